--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"mulleinrouter/internal/standalone/wire"
+	"mulleinrouter/internal/standalone/simprotocol"
 )
 
 func main() {
-	if err := wire.NewHost().Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simprotocol.NewHost().Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 
 	"mulleinrouter/internal/emulator/capacity"
-	"mulleinrouter/internal/emulator/slopes"
+	"mulleinrouter/internal/emulator/costmodel"
 )
 
 // Exit codes.
@@ -43,7 +43,7 @@
 	if m.Quick {
 		part = 10
 	}
-	r, err := slopes.Measure(part, func(s *slopes.Series) {
+	r, err := costmodel.Measure(part, func(s *costmodel.Series) {
 		logger.Log("msg", "slope measured", "name", s.Name)
 		of := s.Of
 		if s.Log {
@@ -99,7 +99,7 @@
 			return err
 		}
 		defer f.Close()
-		run, err = slopes.Read(f)
+		run, err = costmodel.Read(f)
 	}
 	if err != nil {
 		return unusable{err}
--- a/cmd/mulleinrouter/rehearse_test.go
+++ b/cmd/mulleinrouter/rehearse_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"mulleinrouter/internal/emulator/rehearse"
+	"mulleinrouter/internal/emulator/faulttest"
 )
 
 // rehearsed are the timelines that are played on processes of the program with every landing, with the race detector in
@@ -24,13 +24,13 @@
 	for _, name := range play {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			timeline, err := rehearse.Read("../../deploy/rehearsals/" + name + ".hcl")
+			timeline, err := faulttest.Read("../../deploy/faulttests/" + name + ".hcl")
 			if err != nil {
 				t.Fatal(err)
 			}
 			// Limits are wide: what must not happen is looked at all along, what must come may be late on a slow machine.
 			dir := t.TempDir()
-			report, err := rehearse.Play(context.Background(), timeline, rehearse.Options{Program: program, Dir: dir, Slack: 1.5})
+			report, err := faulttest.Play(context.Background(), timeline, faulttest.Options{Program: program, Dir: dir, Slack: 1.5})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -66,10 +66,10 @@
 
 // All that ship can be read, and each name among those that are played is one of them.
 func TestShippedRehearsals(t *testing.T) {
-	paths, _ := filepath.Glob("../../deploy/rehearsals/*.hcl")
+	paths, _ := filepath.Glob("../../deploy/faulttests/*.hcl")
 	var names []string
 	for _, p := range paths {
-		if _, err := rehearse.Read(p); err != nil {
+		if _, err := faulttest.Read(p); err != nil {
 			t.Error(err)
 		}
 		names = append(names, strings.TrimSuffix(filepath.Base(p), ".hcl"))
--- a/cmd/mulleinrouter/upgrade_test.go
+++ b/cmd/mulleinrouter/upgrade_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"mulleinrouter/internal/emulator/standin"
+	"mulleinrouter/internal/emulator/fakes"
 )
 
 // upgrades is how often TestUpgrade starts a newer process beside the running one. MULLEIN_UPGRADES asks for more.
@@ -27,7 +27,7 @@
 	t.Parallel()
 	times := upgrades
 	fmt.Sscan(os.Getenv("MULLEIN_UPGRADES"), &times)
-	quotes := &standin.Quotes{Cores: 8}
+	quotes := &fakes.Quotes{Cores: 8}
 	if err := quotes.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/deploy/rehearsals/rehearsals.go
+++ b/deploy/faulttests/faulttests.go
@@ -1,5 +1,5 @@
-// Package rehearsals holds the timelines that ship, so that the program can play them by name wherever it runs.
-package rehearsals
+// Package faulttests holds the timelines that ship, so that the program can play them by name wherever it runs.
+package faulttests
 
 import "embed"
 
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -2,9 +2,9 @@
 
 import (
 	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/quota"
 	"mulleinrouter/internal/cluster/registry"
-	"mulleinrouter/internal/control/consensus"
 )
 
 // Frame is one message. At most one of the pointers is set; Call names a call, and its answer bears the same number.
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -15,8 +15,8 @@
 	"github.com/pkg/errors"
 
 	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/registry"
-	"mulleinrouter/internal/control/consensus"
 )
 
 func TestFramesComeBackAsTheyWere(t *testing.T) {
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -19,10 +19,10 @@
 	"github.com/matryer/is"
 
 	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/registry"
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/transport"
-	"mulleinrouter/internal/control/consensus"
 	"mulleinrouter/internal/control/storage"
 )
 
--- a/internal/control/contact.go
+++ b/internal/control/contact.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"mulleinrouter/internal/control/consensus"
+	"mulleinrouter/internal/cluster/consensus"
 )
 
 const (
--- a/internal/control/electorate.go
+++ b/internal/control/electorate.go
@@ -10,8 +10,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/transport"
-	"mulleinrouter/internal/control/consensus"
 )
 
 const (
--- a/internal/control/electorate_test.go
+++ b/internal/control/electorate_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/cockroachdb/pebble/v2/vfs"
 
-	"mulleinrouter/internal/control/consensus"
+	"mulleinrouter/internal/cluster/consensus"
 )
 
 const (
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -15,13 +15,13 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/go-kit/log"
 
+	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/metrics"
 	"mulleinrouter/internal/cluster/quota"
 	"mulleinrouter/internal/cluster/registry"
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/cluster/transport"
-	"mulleinrouter/internal/control/consensus"
 	"mulleinrouter/internal/control/storage"
 )
 
--- a/internal/control/orders_mutants_test.go
+++ b/internal/control/orders_mutants_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"mulleinrouter/internal/cluster/configuration"
-	"mulleinrouter/internal/control/consensus"
+	"mulleinrouter/internal/cluster/consensus"
 )
 
 // The orders find what is seeded here, in the directory and in the ballots: in so many seeds, or in a scene.
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -20,7 +20,7 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 
 	"mulleinrouter/internal/cluster/configuration"
-	"mulleinrouter/internal/control/consensus"
+	"mulleinrouter/internal/cluster/consensus"
 )
 
 // The orders: up to eight operators at once send to three real nodes in fake time, lose answers, send again at once, late, elsewhere and in
--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -11,8 +11,8 @@
 	"github.com/cockroachdb/errors"
 
 	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/transport"
-	"mulleinrouter/internal/control/consensus"
 )
 
 const (
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/transport"
-	"mulleinrouter/internal/control/consensus"
 	"mulleinrouter/internal/control/storage"
 )
 
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"mulleinrouter/internal/control/consensus"
+	"mulleinrouter/internal/cluster/consensus"
 )
 
 // Status is what GET /view tells an operator of a control node.
--- a/internal/control/storage/size_test.go
+++ b/internal/control/storage/size_test.go
@@ -13,9 +13,9 @@
 	"github.com/matryer/is"
 
 	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/registry"
 	"mulleinrouter/internal/cluster/replication"
-	"mulleinrouter/internal/control/consensus"
 )
 
 func sizeOf(is *is.I, fs vfs.FS) (bytes int64, files int) {
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -14,8 +14,8 @@
 	"github.com/go-kit/log"
 
 	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/registry"
-	"mulleinrouter/internal/control/consensus"
 )
 
 // version of what is on disk. A folder of a later one is not opened.
--- a/internal/control/storage/store_test.go
+++ b/internal/control/storage/store_test.go
@@ -16,8 +16,8 @@
 	"github.com/matryer/is"
 
 	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/registry"
-	"mulleinrouter/internal/control/consensus"
 )
 
 // Whatever was acknowledged is there after a loss of power, and what was put later is there as a run of whole batches from
--- a/internal/dataplane/attempt/desk.go
+++ b/internal/dataplane/attempt/desk.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"fmt"
 
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // Kind is what is to be done with a request.
@@ -25,11 +25,11 @@
 // Decision is what the module decided for a request.
 type Decision struct {
 	Kind       Kind
-	Backend    string          // of a Send
-	Until      passhub.Seconds // when to give a Send up, module time
-	RetryAfter passhub.Seconds // of a Refuse; 0: no advice
-	Beyond     bool            // of a Send or a Refuse: the request is beyond its quota
-	Patience   passhub.Seconds // of a Send: so long after it was written, Desk.Impatient is asked whether to give it up; 0: never
+	Backend    string           // of a Send
+	Until      decision.Seconds // when to give a Send up, module time
+	RetryAfter decision.Seconds // of a Refuse; 0: no advice
+	Beyond     bool             // of a Send or a Refuse: the request is beyond its quota
+	Patience   decision.Seconds // of a Send: so long after it was written, Desk.Impatient is asked whether to give it up; 0: never
 }
 
 // Request is one in the module's hands.
@@ -38,8 +38,8 @@
 
 	id       uint64
 	life     Life
-	deadline passhub.Seconds
-	sent     passhub.Seconds
+	deadline decision.Seconds
+	sent     decision.Seconds
 	backend  string
 	long     bool // its body goes up as it comes
 }
@@ -66,10 +66,10 @@
 }
 
 // Timer asks for the module's timer.
-type Timer struct{ passhub.SetTimer }
+type Timer struct{ decision.SetTimer }
 
 // Count asks for a call of the counter.
-type Count struct{ passhub.Count }
+type Count struct{ decision.Count }
 
 // Illegal tells of a step that a request's life does not have. A safe one was taken in its place.
 type Illegal struct {
@@ -85,7 +85,7 @@
 
 // Desk holds the module and the requests in its hands. It is not safe for use by several goroutines at once.
 type Desk struct {
-	gateway *passhub.Gateway
+	gateway *decision.Gateway
 	most    int
 	finish  bool            // attempts that must not run twice go on where the client has left
 	once    map[string]bool // classes that must not run twice
@@ -96,29 +96,29 @@
 }
 
 // NewDesk returns a desk around a gateway that nobody else uses. The settings are the gateway's.
-func NewDesk(g *passhub.Gateway, s *passhub.Settings) *Desk {
+func NewDesk(g *decision.Gateway, s *decision.Settings) *Desk {
 	d := &Desk{gateway: g, open: map[uint64]*Request{}, finish: s.FinishUnsafe}
 	d.classes(s.Classes, s.MaxAttempts)
 	return d
 }
 
 // classes learns what may run twice, and how often a request may be attempted.
-func (d *Desk) classes(classes []passhub.Class, most int) {
+func (d *Desk) classes(classes []decision.Class, most int) {
 	d.most, d.once, d.wrong = max(1, most), map[string]bool{}, map[string]bool{}
 	for _, c := range classes {
-		d.once[c.Name] = c.Effect != passhub.Safe
+		d.once[c.Name] = c.Effect != decision.Safe
 		d.wrong[c.Name] = wrong(&c)
 	}
 }
 
 // wrong tells whether a client's repeat of a request of this class may run again.
-func wrong(c *passhub.Class) bool {
-	return c.Effect == passhub.Unsafe || c.Effect == passhub.Keyed && c.Scope != passhub.ScopeAll
+func wrong(c *decision.Class) bool {
+	return c.Effect == decision.Unsafe || c.Effect == decision.Keyed && c.Scope != decision.ScopeAll
 }
 
 // Retune goes by other classes and another number of attempts for requests that come from now on; those in hand keep
 // what their life began with. The gateway is told too.
-func (d *Desk) Retune(classes []passhub.Class, most int) {
+func (d *Desk) Retune(classes []decision.Class, most int) {
 	d.classes(classes, most)
 	d.gateway.Retune(classes, most)
 }
@@ -127,29 +127,29 @@
 func (d *Desk) Part(part float64, junior bool) { d.gateway.Part(part, junior) }
 
 // Share hands over half of the stores, and what has been learned.
-func (d *Desk) Share(now passhub.Seconds) passhub.Knowledge { return d.gateway.Share(now) }
+func (d *Desk) Share(now decision.Seconds) decision.Knowledge { return d.gateway.Share(now) }
 
 // Take takes that up.
-func (d *Desk) Take(now passhub.Seconds, k passhub.Knowledge) (customers, backends int) {
+func (d *Desk) Take(now decision.Seconds, k decision.Knowledge) (customers, backends int) {
 	return d.gateway.Take(now, k)
 }
 
 // Pool tells how many quote servers are listed, and how many of these the gateway avoids now.
-func (d *Desk) Pool(now passhub.Seconds) (listed, avoided int) { return d.gateway.Pool(now) }
+func (d *Desk) Pool(now decision.Seconds) (listed, avoided int) { return d.gateway.Pool(now) }
 
 // Figures are what the gateway holds now.
-func (d *Desk) Figures(now passhub.Seconds) passhub.Figures { return d.gateway.Figures(now) }
+func (d *Desk) Figures(now decision.Seconds) decision.Figures { return d.gateway.Figures(now) }
 
 // Hold sets what the gateway has of quotas until a time; Warn tells it of servers that others find bad, and Bad which it does itself.
-func (d *Desk) Hold(now passhub.Seconds, all []passhub.Right, until passhub.Seconds) {
+func (d *Desk) Hold(now decision.Seconds, all []decision.Right, until decision.Seconds) {
 	d.gateway.Hold(now, all, until)
 }
 
 // Warn tells of servers that others find bad.
-func (d *Desk) Warn(now passhub.Seconds, servers []string) { d.gateway.Warn(now, servers) }
+func (d *Desk) Warn(now decision.Seconds, servers []string) { d.gateway.Warn(now, servers) }
 
 // Bad names those that this gateway finds bad.
-func (d *Desk) Bad(now passhub.Seconds) []string { return d.gateway.Bad(now) }
+func (d *Desk) Bad(now decision.Seconds) []string { return d.gateway.Bad(now) }
 
 // Members tells how many gateways there are, and through how many of them customers may come.
 func (d *Desk) Members(gateways, doors int) {
@@ -164,12 +164,12 @@
 func (d *Desk) Open() int { return len(d.open) }
 
 // Submit takes a request. Its id is given here.
-func (d *Desk) Submit(now passhub.Seconds, r passhub.Request, host any) (*Request, []Effect) {
+func (d *Desk) Submit(now decision.Seconds, r decision.Request, host any) (*Request, []Effect) {
 	d.last++
 	r.ID = d.last
 	q := &Request{Host: host, id: d.last, deadline: now + r.Left, long: r.Long, life: Life{Once: d.once[r.Class], Wrong: d.wrong[r.Class], Most: d.most}}
 	if c := r.Kind; c != nil {
-		q.life = Life{Once: c.Effect != passhub.Safe, Wrong: wrong(c), Most: cmp.Or(c.Attempts, d.most)}
+		q.life = Life{Once: c.Effect != decision.Safe, Wrong: wrong(c), Most: cmp.Or(c.Attempts, d.most)}
 	}
 	d.open[q.id] = q
 	return q, d.Handle(now, r)
@@ -177,7 +177,7 @@
 
 // Ended tells how the attempt that was decided on last has ended. After Done no decision follows: the answer is the
 // client's.
-func (d *Desk) Ended(now passhub.Seconds, q *Request, o passhub.Outcome) []Effect {
+func (d *Desk) Ended(now decision.Seconds, q *Request, o decision.Outcome) []Effect {
 	d.out = nil
 	gone := q.life.phase == Deserted
 	over, err := q.life.Ended(o)
@@ -188,7 +188,7 @@
 	if over && !mutated("ended-stays") {
 		delete(d.open, q.id)
 	}
-	d.handle(now, passhub.AttemptEnded{ID: q.id, Attempt: q.life.attempts - 1, Backend: q.backend, Outcome: o, Took: now - q.sent, Settled: over, Spent: q.life.spent && !mutated("spent-untold")})
+	d.handle(now, decision.AttemptEnded{ID: q.id, Attempt: q.life.attempts - 1, Backend: q.backend, Outcome: o, Took: now - q.sent, Settled: over, Spent: q.life.spent && !mutated("spent-untold")})
 	if gone && !mutated("gone-untold") {
 		d.out = append(d.out, Tell{q, Decision{Kind: Gone}})
 	}
@@ -199,25 +199,25 @@
 func (d *Desk) Spend(q *Request) { q.life.Spend() }
 
 // Impatient tells whether the attempt that is out is to be given up, the patience with it having run out. What cannot be sent again is not.
-func (d *Desk) Impatient(now passhub.Seconds, q *Request) bool {
+func (d *Desk) Impatient(now decision.Seconds, q *Request) bool {
 	return q.life.phase == Out && !q.life.Once && !q.life.spent && (d.gateway.Impatient(now, q.id) || mutated("impatient-always"))
 }
 
-// Planned tells that something planned is under way, until a time: see passhub.Gateway.Planned.
-func (d *Desk) Planned(till passhub.Seconds) {
+// Planned tells that something planned is under way, until a time: see decision.Gateway.Planned.
+func (d *Desk) Planned(till decision.Seconds) {
 	if !mutated("planned-untold") {
 		d.gateway.Planned(till)
 	}
 }
 
 // Arrived tells that the body of a request has gone out whole: the quote server's time counts from now on.
-func (d *Desk) Arrived(now passhub.Seconds, q *Request) {
+func (d *Desk) Arrived(now decision.Seconds, q *Request) {
 	q.sent = now
 	d.gateway.Arrived(now, q.id)
 }
 
 // Leave tells that nobody waits for the answer any more. An attempt that is out is still to be told of.
-func (d *Desk) Leave(now passhub.Seconds, q *Request) []Effect {
+func (d *Desk) Leave(now decision.Seconds, q *Request) []Effect {
 	d.out = nil
 	before := q.life.phase
 	if before != Waiting && before != Out {
@@ -228,7 +228,7 @@
 		delete(d.open, q.id)
 	}
 	if !mutated("leaving-untold") {
-		d.handle(now, passhub.ClientGone{ID: q.id})
+		d.handle(now, decision.ClientGone{ID: q.id})
 	}
 	if over {
 		d.out = append(d.out, Tell{q, Decision{Kind: Gone}})
@@ -237,27 +237,27 @@
 }
 
 // Handle gives the module an event.
-func (d *Desk) Handle(now passhub.Seconds, e passhub.Event) []Effect {
+func (d *Desk) Handle(now decision.Seconds, e decision.Event) []Effect {
 	d.out = nil
 	d.handle(now, e)
 	return d.out
 }
 
-func (d *Desk) handle(now passhub.Seconds, e passhub.Event) {
+func (d *Desk) handle(now decision.Seconds, e decision.Event) {
 	actions := d.gateway.Handle(now, e)
 	switch e.(type) {
-	case passhub.Timer, passhub.Counted: // a cycle may have turned: what is held goes before it
+	case decision.Timer, decision.Counted: // a cycle may have turned: what is held goes before it
 		d.gateway.Held(now)
 	}
 	for _, action := range actions {
 		switch a := action.(type) {
-		case passhub.Send:
+		case decision.Send:
 			d.send(now, a)
-		case passhub.Refuse:
+		case decision.Refuse:
 			if q := d.open[a.ID]; q != nil && q.life.phase != Deserted {
 				d.say(q, q.life.Refuse(), Decision{Kind: Refuse, RetryAfter: a.RetryAfter, Beyond: a.Beyond})
 			}
-		case passhub.Fail:
+		case decision.Fail:
 			if q := d.open[a.ID]; q != nil && q.life.phase != Deserted {
 				word := Decision{Kind: Fail}
 				if mutated("fail-refuses") {
@@ -265,22 +265,22 @@
 				}
 				d.say(q, q.life.Fail(), word)
 			}
-		case passhub.Cancel:
+		case decision.Cancel:
 			if q := d.open[a.ID]; q != nil && q.life.MayHaveRun() && a.Attempt == q.life.attempts-1 && !(d.finish && q.life.Once && q.life.phase == Deserted) {
 				if !mutated("cancel-lost") {
 					d.out = append(d.out, Stop{q, a.Attempt})
 				}
 			}
-		case passhub.SetTimer:
+		case decision.SetTimer:
 			d.out = append(d.out, Timer{a})
-		case passhub.Count:
+		case decision.Count:
 			d.out = append(d.out, Count{a})
 		}
 	}
 }
 
 // send takes up the decision to make an attempt. One that must not be made is told to the module as never made.
-func (d *Desk) send(now passhub.Seconds, a passhub.Send) {
+func (d *Desk) send(now decision.Seconds, a decision.Send) {
 	q := d.open[a.ID]
 	if q == nil {
 		return
--- a/internal/dataplane/attempt/life.go
+++ b/internal/dataplane/attempt/life.go
@@ -10,7 +10,7 @@
 	"errors"
 	"fmt"
 
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // Phase is where in its life a request is.
@@ -83,12 +83,12 @@
 }
 
 // Ended is the end of the attempt that is out. It tells whether that was the last word: served, or nobody waits.
-func (l *Life) Ended(o passhub.Outcome) (over bool, err error) {
+func (l *Life) Ended(o decision.Outcome) (over bool, err error) {
 	if l.phase != Out && l.phase != Deserted {
 		return false, fmt.Errorf("an attempt ends while %v: %w", l.phase, ErrPhase)
 	}
 	l.mayRun = l.mayRun || !o.Proves()
-	if l.phase == Deserted && !mutated("deserted-waits") || o == passhub.Done {
+	if l.phase == Deserted && !mutated("deserted-waits") || o == decision.Done {
 		l.phase = Over
 		return true, nil
 	}
--- a/internal/dataplane/backoff/backoff.go
+++ b/internal/dataplane/backoff/backoff.go
@@ -8,7 +8,7 @@
 // the number that the settings tell. It doubles with each failure, for how much the service bears is not told.
 package backoff
 
-import "mulleinrouter/passhub"
+import "mulleinrouter/internal/decision"
 
 const (
 	least   = 0.2  // s: window of a small fleet
@@ -18,7 +18,7 @@
 )
 
 // Window is that of one ingress for one service. It begins with New.
-type Window struct{ first, now passhub.Seconds }
+type Window struct{ first, now decision.Seconds }
 
 // New returns the window of one ingress among fleet.
 func New(fleet int) *Window {
@@ -26,7 +26,7 @@
 	return &Window{first: first, now: first}
 }
 
-func window(fleet int) passhub.Seconds { return min(longest, max(least, float64(fleet)*each)) }
+func window(fleet int) decision.Seconds { return min(longest, max(least, float64(fleet)*each)) }
 
 // Resize goes by another number of ingresses: those that live. What it has doubled to stays so.
 func (w *Window) Resize(fleet int) {
@@ -35,14 +35,14 @@
 }
 
 // Failed tells how long to wait after a call that failed, or a break. Chance is even in [0, 1), from the ingress's seed.
-func (w *Window) Failed(chance float64) passhub.Seconds {
+func (w *Window) Failed(chance float64) decision.Seconds {
 	wait := chance * w.now
 	w.now = min(2*w.now, most*w.first)
 	return wait
 }
 
 // Now is how long the window is, in seconds.
-func (w *Window) Now() passhub.Seconds { return w.now }
+func (w *Window) Now() decision.Seconds { return w.now }
 
 // Worked tells that a call was answered: the next failure is the first again.
 func (w *Window) Worked() { w.now = w.first }
--- a/internal/dataplane/client/conn.go
+++ b/internal/dataplane/clientconn/conn.go
@@ -1,4 +1,4 @@
-package client
+package clientconn
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"fmt"
 	"slices"
 
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // State is where in its life a client's connection is.
@@ -79,11 +79,11 @@
 // gives one of another time. It is not safe for use by several goroutines at once.
 type Conn struct {
 	state State
-	since passhub.Seconds // in that state; until a first request is whole, since the beginning
-	fresh bool            // no request has come in whole
-	asks  bool            // idle, but bytes of a request are here
-	code  string          // why it is being ended from here; "": it is not
-	told  bool            // that the last answer is the last
+	since decision.Seconds // in that state; until a first request is whole, since the beginning
+	fresh bool             // no request has come in whole
+	asks  bool             // idle, but bytes of a request are here
+	code  string           // why it is being ended from here; "": it is not
+	told  bool             // that the last answer is the last
 	pace  Pace
 	times *Times // nil: the usual ones
 }
@@ -92,7 +92,7 @@
 func (c *Conn) Keep(t *Times) { c.times = t }
 
 // Accepted returns the machine of a connection that has just been accepted.
-func Accepted(now passhub.Seconds) Conn { return Conn{since: now, fresh: true} }
+func Accepted(now decision.Seconds) Conn { return Conn{since: now, fresh: true} }
 
 // State tells where it is.
 func (c *Conn) State() State { return c.state }
@@ -107,7 +107,7 @@
 // no request has begun to come. Freed: the cut of its reads is
 // to be undone, for a request had begun to come in as it was ended as unused: taken is taken, and it is the last. An error
 // is ErrStep: the state is entered all the same, and the connection ends with the answer that is under way.
-func (c *Conn) Enter(to State, now passhub.Seconds, keepOpen bool) (on, freed bool, err error) {
+func (c *Conn) Enter(to State, now decision.Seconds, keepOpen bool) (on, freed bool, err error) {
 	if to != Lingering && !slices.Contains(steps[c.state], to) {
 		err = fmt.Errorf("%v while %v: %w", to, c.state, ErrStep)
 		c.code = cmp.Or(c.code, codeIllegal)
@@ -141,11 +141,11 @@
 }
 
 // Wait and Got tell when a piece of a body is waited for, and that it has come.
-func (c *Conn) Wait(now passhub.Seconds)       { c.pace.Wait(now) }
-func (c *Conn) Got(now passhub.Seconds, n int) { c.pace.Got(now, n) }
+func (c *Conn) Wait(now decision.Seconds)       { c.pace.Wait(now) }
+func (c *Conn) Got(now decision.Seconds, n int) { c.pace.Got(now, n) }
 
 // Due tells what it is to be ended for at this time; "": nothing.
-func (c *Conn) Due(now passhub.Seconds) (code string) {
+func (c *Conn) Due(now decision.Seconds) (code string) {
 	age, times := now-c.since, cmp.Or(c.times, &usual)
 	switch c.state {
 	case Head: // also one that was ended as unused when its first byte came
@@ -192,7 +192,7 @@
 func (c *Conn) Begun() bool { return c.asks }
 
 // useless tells whether it holds its place for nothing: it has not asked anything yet, or asks slowly, or is refused.
-func (c *Conn) useless(now passhub.Seconds) bool {
+func (c *Conn) useless(now decision.Seconds) bool {
 	switch c.state {
 	case Lingering:
 		return true
@@ -207,7 +207,7 @@
 // Spare tells whether it may be ended for want of room, and Before whether it goes before another that may: those that
 // are useless go before the idle ones of clients that are served, and of these the longest idle. A flood of silent
 // connections crowds out itself.
-func (c *Conn) Spare(now passhub.Seconds) bool {
+func (c *Conn) Spare(now decision.Seconds) bool {
 	if c.code != "" {
 		return false // it goes anyway
 	}
@@ -215,7 +215,7 @@
 }
 
 // Before tells whether it makes room before another that may, too.
-func (c *Conn) Before(other *Conn, now passhub.Seconds) bool {
+func (c *Conn) Before(other *Conn, now decision.Seconds) bool {
 	if a, b := c.useless(now), other.useless(now); a != b {
 		return a
 	}
--- a/internal/dataplane/client/conn_test.go
+++ b/internal/dataplane/clientconn/conn_test.go
@@ -1,4 +1,4 @@
-package client
+package clientconn
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // do takes a connection through steps, some seconds apart, and writes down what each comes to. A word is a state that is
@@ -16,10 +16,10 @@
 func do(t *testing.T, c *Conn, script string) string {
 	t.Helper()
 	var out []string
-	now, keep := passhub.Seconds(0), true
+	now, keep := decision.Seconds(0), true
 	for _, word := range strings.Fields(script) {
 		var n int
-		var d passhub.Seconds
+		var d decision.Seconds
 		switch {
 		case strings.HasPrefix(word, "+"):
 			fmt.Sscanf(word, "+%g", &d)
@@ -101,7 +101,7 @@
 
 // What makes room first, from what does so last, and what never does.
 func TestSpare(t *testing.T) {
-	at := func(since passhub.Seconds, script string) *Conn {
+	at := func(since decision.Seconds, script string) *Conn {
 		c := Accepted(since)
 		do(t, &c, script)
 		c.since = since
--- a/internal/dataplane/client/mutant_on.go
+++ b/internal/dataplane/clientconn/mutant_on.go
@@ -1,6 +1,6 @@
 //go:build mutants
 
-package client
+package clientconn
 
 // Mutant names the fault that is seeded; empty: none. Tests set it before anything runs.
 var Mutant string
--- a/internal/dataplane/client/pace.go
+++ b/internal/dataplane/clientconn/pace.go
@@ -1,8 +1,8 @@
-// Package client decides about the connections of clients: how long what they send may take to come. It does no I/O,
+// Package clientconn decides about the connections of clients: how long what they send may take to come. It does no I/O,
 // reads no clock and starts no goroutine.
-package client
+package clientconn
 
-import "mulleinrouter/passhub"
+import "mulleinrouter/internal/decision"
 
 const (
 	bodyFree  = 2.0      // s for which a body may be waited for before its rate counts
@@ -18,16 +18,16 @@
 	Long bool // it is passed on as it comes, and may come in pieces of any size
 
 	got     int64
-	waited  passhub.Seconds
-	since   passhub.Seconds
+	waited  decision.Seconds
+	since   decision.Seconds
 	waiting bool
 }
 
 // Wait tells that the next piece is waited for from now on.
-func (p *Pace) Wait(now passhub.Seconds) { p.since, p.waiting = now, true }
+func (p *Pace) Wait(now decision.Seconds) { p.since, p.waiting = now, true }
 
 // Got tells that so many bytes have come.
-func (p *Pace) Got(now passhub.Seconds, n int) {
+func (p *Pace) Got(now decision.Seconds, n int) {
 	if p.waiting {
 		p.waited += max(0, now-p.since)
 	}
@@ -36,7 +36,7 @@
 }
 
 // Late tells whether it is to be given up: nothing has come for long, or it trickles.
-func (p *Pace) Late(now passhub.Seconds) bool {
+func (p *Pace) Late(now decision.Seconds) bool {
 	if !p.waiting {
 		return false
 	}
--- a/internal/dataplane/engine/engine.go
+++ b/internal/dataplane/engine/engine.go
@@ -13,7 +13,7 @@
 	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/dataplane/attempt"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // Clock is the module's time: Unix seconds as the machine had them at the start, carried on by the
@@ -33,10 +33,10 @@
 
 // NewClockOf returns a clock that follows another: that of those who keep the counters, where the time of day is not to be believed.
 // It must never go back.
-func NewClockOf(now func() passhub.Seconds) *Clock { return &Clock{of: now} }
+func NewClockOf(now func() decision.Seconds) *Clock { return &Clock{of: now} }
 
 // Time is the time of a moment of the module's.
-func (c *Clock) Time(at passhub.Seconds) time.Time {
+func (c *Clock) Time(at decision.Seconds) time.Time {
 	if c.of != nil {
 		return time.Now().Add(time.Duration((at - c.of()) * float64(time.Second)))
 	}
@@ -44,7 +44,7 @@
 }
 
 // Now is the module's time.
-func (c *Clock) Now() passhub.Seconds {
+func (c *Clock) Now() decision.Seconds {
 	if c.of != nil {
 		return c.of()
 	}
@@ -54,11 +54,11 @@
 // Counter carries out the module's calls to the shared counter. Add must not wait; what comes of it
 // is told to Engine.Counted, once.
 type Counter interface {
-	Add(name string, amount float64, keep passhub.Seconds)
+	Add(name string, amount float64, keep decision.Seconds)
 }
 
-// Pairs is a Counter of pairs (passhub.Settings.Pairs): it is given the whole call, and tells CountedOf what came of it.
-type Pairs interface{ Call(passhub.Count) }
+// Pairs is a Counter of pairs (decision.Settings.Pairs): it is given the whole call, and tells CountedOf what came of it.
+type Pairs interface{ Call(decision.Count) }
 
 // Kind is what is to be done with a request.
 type Kind = attempt.Kind
@@ -74,24 +74,24 @@
 // Decision is what the module decided for a request.
 type Decision struct {
 	Kind       Kind
-	Backend    string          // of a Send
-	Until      time.Time       // when to give a Send up
-	Beyond     bool            // of a Send: the request is beyond its quota
-	RetryAfter passhub.Seconds // of a Refuse; 0: no advice
-	Patience   time.Duration   // of a Send: so long after it was written, Ticket.Impatient is asked whether to give it up; 0: never
+	Backend    string           // of a Send
+	Until      time.Time        // when to give a Send up
+	Beyond     bool             // of a Send: the request is beyond its quota
+	RetryAfter decision.Seconds // of a Refuse; 0: no advice
+	Patience   time.Duration    // of a Send: so long after it was written, Ticket.Impatient is asked whether to give it up; 0: never
 }
 
 // Catalogue tells the terms of members where plans change in service (plans.State does). The engine asks it under
 // its mutex, so that no request is decided on terms that a change told before it has replaced.
 type Catalogue interface {
 	// Terms are those of a member whose client names a plan; nil: those of the settings.
-	Terms(member, plan string, now passhub.Seconds) *passhub.Terms
+	Terms(member, plan string, now decision.Seconds) *decision.Terms
 	// Due are the terms that changed since it was asked last and that the module must be told of.
-	Due(now passhub.Seconds) []passhub.Terms
+	Due(now decision.Seconds) []decision.Terms
 	// Next is when that will be so again, by what is known now; 0: never.
-	Next(now passhub.Seconds) passhub.Seconds
+	Next(now decision.Seconds) decision.Seconds
 	// InForce is the number of the revision that holds; 0: none.
-	InForce(now passhub.Seconds) uint64
+	InForce(now decision.Seconds) uint64
 }
 
 // Sharer is told of requests and of what came of calls of the counter, for ingresses that share quotas among themselves. Its calls
@@ -100,9 +100,9 @@
 	// Asked tells of a request: its customer's set of ingresses, its quota and the request's size in units.
 	Asked(customer string, first, doors int, quota, units float64)
 	// Adding tells of a call of the counter as it leaves.
-	Adding(name string, amount float64, keep passhub.Seconds)
+	Adding(name string, amount float64, keep decision.Seconds)
 	// Counted tells of its answer, and gives what the module is to be told: a total that cannot be is none.
-	Counted(name string, outcome passhub.Outcome, total float64) passhub.Outcome
+	Counted(name string, outcome decision.Outcome, total float64) decision.Outcome
 }
 
 // Engine owns the desk at which the gateway and the requests in its hands are.
@@ -117,13 +117,13 @@
 	quotas    map[string]float64     // by plan of the settings, for the sharer
 	sharer    atomic.Pointer[Sharer] // nil: nothing is shared
 	counts    counts
-	catalogue Catalogue       // nil: none, plans are those of the settings
-	due       *time.Timer     // for what the catalogue has next
-	lapses    passhub.Seconds // when this process's part of the ingress ends unless it is renewed; 0: never
+	catalogue Catalogue        // nil: none, plans are those of the settings
+	due       *time.Timer      // for what the catalogue has next
+	lapses    decision.Seconds // when this process's part of the ingress ends unless it is renewed; 0: never
 }
 
 // New returns an engine around a gateway that nobody else uses. The settings are the gateway's.
-func New(gateway *passhub.Gateway, settings *passhub.Settings, clock *Clock) *Engine {
+func New(gateway *decision.Gateway, settings *decision.Settings, clock *Clock) *Engine {
 	e := &Engine{desk: attempt.NewDesk(gateway, settings), clock: clock, quotas: map[string]float64{}}
 	for _, p := range settings.Plans {
 		e.quotas[p.Name] = p.Rate
@@ -134,36 +134,36 @@
 // Start gives the gateway its first event. Counter may be nil where the deployment has none.
 func (e *Engine) Start(counter Counter) {
 	e.counter = counter
-	e.handle(passhub.Start{})
+	e.handle(decision.Start{})
 }
 
 // ShareWith has requests and calls of the counter told to whoever shares quotas with other ingresses.
 func (e *Engine) ShareWith(s Sharer) { e.sharer.Store(&s) }
 
 // Backends tells news of the list of backends.
-func (e *Engine) Backends(news passhub.Backends) { e.handle(news) }
+func (e *Engine) Backends(news decision.Backends) { e.handle(news) }
 
 // Counted tells what came of a counter call.
-func (e *Engine) Counted(name string, outcome passhub.Outcome, total float64) {
+func (e *Engine) Counted(name string, outcome decision.Outcome, total float64) {
 	e.CountedOf(name, outcome, total, 0)
 }
 
 // CountedOf tells what came of a call of counters that are pairs: the sum, and how many gateways it is from.
-func (e *Engine) CountedOf(name string, outcome passhub.Outcome, total float64, holders int) {
+func (e *Engine) CountedOf(name string, outcome decision.Outcome, total float64, holders int) {
 	if s := e.sharer.Load(); s != nil {
 		outcome = (*s).Counted(name, outcome, total)
 	}
-	e.do(func(now passhub.Seconds) []attempt.Effect {
-		if e.counts.calls++; outcome != passhub.Done {
+	e.do(func(now decision.Seconds) []attempt.Effect {
+		if e.counts.calls++; outcome != decision.Done {
 			e.counts.unanswered++
 		}
-		return e.desk.Handle(now, passhub.Counted{Name: name, Outcome: outcome, Total: total, Holders: holders})
+		return e.desk.Handle(now, decision.Counted{Name: name, Outcome: outcome, Total: total, Holders: holders})
 	})
 }
 
 // Retune has the module go by other classes and another number of attempts from now on. Requests in hand keep the
 // class they began with. No request is decided meanwhile.
-func (e *Engine) Retune(classes []passhub.Class, maxAttempts int) {
+func (e *Engine) Retune(classes []decision.Class, maxAttempts int) {
 	e.mu.Lock()
 	e.desk.Retune(slices.Clone(classes), maxAttempts)
 	e.mu.Unlock()
@@ -171,7 +171,7 @@
 
 // Part sets how much of the ingress this process is, for so many seconds: where nothing has said otherwise by then, the
 // process was stopped meanwhile, and is none of it. For 0 it holds until the next call.
-func (e *Engine) Part(part float64, junior bool, lease passhub.Seconds) {
+func (e *Engine) Part(part float64, junior bool, lease decision.Seconds) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.lapses = 0; lease > 0 {
@@ -181,21 +181,21 @@
 }
 
 // Share hands over half of the stores to another process of this ingress, and what has been learned.
-func (e *Engine) Share() passhub.Knowledge {
+func (e *Engine) Share() decision.Knowledge {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.desk.Share(e.clock.Now())
 }
 
 // Take takes up what another process of this ingress handed over.
-func (e *Engine) Take(k passhub.Knowledge) (customers, backends int) {
+func (e *Engine) Take(k decision.Knowledge) (customers, backends int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.desk.Take(e.clock.Now(), k)
 }
 
 // Hold sets what this ingress has of its customers' quotas, for so many seconds: behind these it has what it keeps.
-func (e *Engine) Hold(all []passhub.Right, lease passhub.Seconds) {
+func (e *Engine) Hold(all []decision.Right, lease decision.Seconds) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
@@ -210,7 +210,7 @@
 }
 
 // Planned tells that something planned is under way, for so many seconds: patience ends no request that is here or comes meanwhile.
-func (e *Engine) Planned(seconds passhub.Seconds) {
+func (e *Engine) Planned(seconds decision.Seconds) {
 	e.mu.Lock()
 	e.desk.Planned(e.now() + seconds)
 	e.mu.Unlock()
@@ -238,7 +238,7 @@
 }
 
 // now is the module's time, the mutex held. A part whose lease has run out is none.
-func (e *Engine) now() passhub.Seconds {
+func (e *Engine) now() decision.Seconds {
 	now := e.clock.Now()
 	if e.lapses > 0 && now > e.lapses {
 		e.desk.Part(0, true)
@@ -254,7 +254,7 @@
 }
 
 // Figures are what the module holds now.
-func (e *Engine) Figures() passhub.Figures {
+func (e *Engine) Figures() decision.Figures {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.desk.Figures(e.clock.Now())
@@ -262,7 +262,7 @@
 
 // Revise lets a function change the catalogue, and tells the module what has changed by it. It returns the
 // catalogue that counts from now on. No request is decided meanwhile.
-func (e *Engine) Revise(change func(now passhub.Seconds) Catalogue) {
+func (e *Engine) Revise(change func(now decision.Seconds) Catalogue) {
 	e.mu.Lock()
 	e.catalogue = change(e.clock.Now())
 	later := e.told()
@@ -310,7 +310,7 @@
 
 // Submit hands a request to the gateway. Cancel is called, perhaps from another goroutine, when the
 // attempt that is out is to be stopped.
-func (e *Engine) Submit(r passhub.Request, cancel func()) *Ticket {
+func (e *Engine) Submit(r decision.Request, cancel func()) *Ticket {
 	t := &Ticket{engine: e, cancel: cancel, Plan: r.Plan,
 		next: make(chan Decision, 2)} // a Send not yet taken up, and the Gone behind it
 	e.mu.Lock()
@@ -340,8 +340,8 @@
 
 // Ended tells how the attempt that the last decision asked for ended. After Done no decision follows:
 // the answer is the client's.
-func (t *Ticket) Ended(outcome passhub.Outcome) {
-	t.engine.do(func(now passhub.Seconds) []attempt.Effect { return t.engine.desk.Ended(now, t.request, outcome) })
+func (t *Ticket) Ended(outcome decision.Outcome) {
+	t.engine.do(func(now decision.Seconds) []attempt.Effect { return t.engine.desk.Ended(now, t.request, outcome) })
 }
 
 // Spend tells that something of the request's body has been taken that cannot be had again: the attempt that is out is
@@ -368,15 +368,15 @@
 
 // Leave tells that nobody waits for the answer any more. An attempt that is out is still to be told of.
 func (t *Ticket) Leave() {
-	t.engine.do(func(now passhub.Seconds) []attempt.Effect { return t.engine.desk.Leave(now, t.request) })
+	t.engine.do(func(now decision.Seconds) []attempt.Effect { return t.engine.desk.Leave(now, t.request) })
 }
 
-func (e *Engine) handle(event passhub.Event) {
-	e.do(func(now passhub.Seconds) []attempt.Effect { return e.desk.Handle(now, event) })
+func (e *Engine) handle(event decision.Event) {
+	e.do(func(now decision.Seconds) []attempt.Effect { return e.desk.Handle(now, event) })
 }
 
 // do has something happen at the desk, under the mutex, and carries out what comes of it.
-func (e *Engine) do(happen func(now passhub.Seconds) []attempt.Effect) {
+func (e *Engine) do(happen func(now decision.Seconds) []attempt.Effect) {
 	e.mu.Lock()
 	now := e.now() // under the mutex: the module's time never goes back
 	later := e.decide(happen(now))
@@ -395,13 +395,13 @@
 
 // counts are what was decided since a time, and the calls of the counter that were answered or not.
 type counts struct {
-	since             passhub.Seconds // 0: not begun
-	decided           [4]int          // by Kind
+	since             decision.Seconds // 0: not begun
+	decided           [4]int           // by Kind
 	calls, unanswered int
 }
 
 // turn returns what was counted, and begins anew, when it is time to tell it.
-func (c *counts) turn(now passhub.Seconds) (due bool, told counts) {
+func (c *counts) turn(now decision.Seconds) (due bool, told counts) {
 	if c.since == 0 {
 		c.since = now
 	}
@@ -445,14 +445,14 @@
 			}
 		case attempt.Timer:
 			wait := time.Duration((a.At - e.clock.Now()) * float64(time.Second))
-			time.AfterFunc(max(0, wait), func() { e.handle(passhub.Timer{Token: a.Token}) })
+			time.AfterFunc(max(0, wait), func() { e.handle(decision.Timer{Token: a.Token}) })
 		case attempt.Count:
 			if p, ok := e.counter.(Pairs); ok {
 				p.Call(a.Count)
 				continue
 			}
 			if e.counter == nil {
-				e.Counted(a.Name, passhub.Refused, 0)
+				e.Counted(a.Name, decision.Refused, 0)
 				continue
 			}
 			if s := e.sharer.Load(); s != nil {
--- a/internal/dataplane/engine/engine_test.go
+++ b/internal/dataplane/engine/engine_test.go
@@ -8,35 +8,35 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/plans"
-	"mulleinrouter/passhub"
 )
 
 // counter keeps the calls that it is given, and answers none.
 type counter struct{ calls chan string }
 
-func (c counter) Add(name string, amount float64, keep passhub.Seconds) { c.calls <- name }
+func (c counter) Add(name string, amount float64, keep decision.Seconds) { c.calls <- name }
 
-func settings() passhub.Settings {
-	return passhub.Settings{
+func settings() decision.Settings {
+	return decision.Settings{
 		Balancers: 1, MaxAttempts: 2, MayCancel: true, MayCount: true, CountWait: 0.03, MaxUnits: 1, MayRetryAfter: true, MaxRetryAfter: 1,
-		Classes: []passhub.Class{{Name: "read", Aim: 20, Deadline: 30, Worth: 1, Effect: passhub.Safe},
+		Classes: []decision.Class{{Name: "read", Aim: 20, Deadline: 30, Worth: 1, Effect: decision.Safe},
 			{Name: "send", Aim: 20, Deadline: 30, Worth: 1}},
-		Plans: []passhub.Plan{{Name: "p", Rate: 1000, Burst: 1000, Price: 1}, {Name: "thin", Rate: 0.5, Burst: 0.9, Price: 1}},
+		Plans: []decision.Plan{{Name: "p", Rate: 1000, Burst: 1000, Price: 1}, {Name: "thin", Rate: 0.5, Burst: 0.9, Price: 1}},
 	}
 }
 
 func started(c Counter) *Engine { return startedWith(settings(), c) }
 
-func startedWith(s passhub.Settings, c Counter) *Engine {
-	e := New(passhub.New(s, 1), &s, NewClock())
+func startedWith(s decision.Settings, c Counter) *Engine {
+	e := New(decision.New(s, 1), &s, NewClock())
 	e.Start(c)
-	e.Backends(passhub.Backends{Complete: true, List: []passhub.Backend{{ID: "b", Serving: true, Size: 1}}})
+	e.Backends(decision.Backends{Complete: true, List: []decision.Backend{{ID: "b", Serving: true, Size: 1}}})
 	return e
 }
 
-func request(class, plan string, doors int) passhub.Request {
-	return passhub.Request{Class: class, Plan: plan, Customer: "c", Left: 30, Units: 1, Doors: doors}
+func request(class, plan string, doors int) decision.Request {
+	return decision.Request{Class: class, Plan: plan, Customer: "c", Left: 30, Units: 1, Doors: doors}
 }
 
 var noTimes = cmpopts.IgnoreFields(Decision{}, "Until", "RetryAfter")
@@ -46,15 +46,15 @@
 	send := Decision{Kind: Send, Backend: "b"}
 	for _, tc := range []struct {
 		name, class string
-		outcomes    []passhub.Outcome
+		outcomes    []decision.Outcome
 		want        []Decision
 	}{
-		{"served", "read", []passhub.Outcome{passhub.Done}, []Decision{send}},
-		{"safe again, refused after the last", "read", []passhub.Outcome{passhub.Reset, passhub.Failed}, []Decision{send, send, {Kind: Refuse}}},
-		{"unsafe that may have run fails", "send", []passhub.Outcome{passhub.Reset}, []Decision{send, {Kind: Fail}}},
-		{"unsafe that timed out fails", "send", []passhub.Outcome{passhub.TimedOut}, []Decision{send, {Kind: Fail}}},
-		{"unsafe that has not run is refused", "send", []passhub.Outcome{passhub.Busy}, []Decision{send, {Kind: Refuse}}},
-		{"unsafe that was skipped goes again", "send", []passhub.Outcome{passhub.Skipped, passhub.Done}, []Decision{send, send}},
+		{"served", "read", []decision.Outcome{decision.Done}, []Decision{send}},
+		{"safe again, refused after the last", "read", []decision.Outcome{decision.Reset, decision.Failed}, []Decision{send, send, {Kind: Refuse}}},
+		{"unsafe that may have run fails", "send", []decision.Outcome{decision.Reset}, []Decision{send, {Kind: Fail}}},
+		{"unsafe that timed out fails", "send", []decision.Outcome{decision.TimedOut}, []Decision{send, {Kind: Fail}}},
+		{"unsafe that has not run is refused", "send", []decision.Outcome{decision.Busy}, []Decision{send, {Kind: Refuse}}},
+		{"unsafe that was skipped goes again", "send", []decision.Outcome{decision.Skipped, decision.Done}, []Decision{send, send}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			e := started(nil)
@@ -87,7 +87,7 @@
 	if cancelled != 1 || e.desk.Open() != 1 {
 		t.Errorf("cancelled %d times, %d requests kept; want 1 and 1", cancelled, e.desk.Open())
 	}
-	ticket.Ended(passhub.Cancelled)
+	ticket.Ended(decision.Cancelled)
 	if diff := cmp.Diff(Decision{Kind: Gone}, ticket.Next()); diff != "" || e.desk.Open() != 0 {
 		t.Errorf("%d requests kept\n%s", e.desk.Open(), diff)
 	}
@@ -104,7 +104,7 @@
 	if diff := cmp.Diff(Decision{Kind: Gone}, ticket.Next()); diff != "" {
 		t.Error(diff)
 	}
-	e.Counted(name, passhub.Done, 1)
+	e.Counted(name, decision.Done, 1)
 	if e.desk.Open() != 0 {
 		t.Errorf("%d requests kept", e.desk.Open())
 	}
@@ -119,7 +119,7 @@
 	if diff := cmp.Diff(Decision{Kind: Send, Backend: "b"}, ticket.Next(), noTimes); diff != "" {
 		t.Error(diff)
 	}
-	ticket.Ended(passhub.Done)
+	ticket.Ended(decision.Done)
 }
 
 // Where the settings promise a counter and there is none, each call is told to have failed.
@@ -129,25 +129,25 @@
 	if diff := cmp.Diff(Decision{Kind: Send, Backend: "b"}, ticket.Next(), noTimes); diff != "" {
 		t.Error(diff)
 	}
-	ticket.Ended(passhub.Done)
+	ticket.Ended(decision.Done)
 }
 
 // A member's terms come from the catalogue, whatever the client names, and change at their time also where nobody asks.
 func TestCatalogue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const member = "00000000000000aa"
-		small := passhub.Plan{Name: "small", Rate: 0.001, Burst: 1, Price: 1, BeyondCosts: 1}
-		large := passhub.Plan{Name: "large", Rate: 1e9, Burst: 1e9, Price: 1, BeyondCosts: 1}
+		small := decision.Plan{Name: "small", Rate: 0.001, Burst: 1, Price: 1, BeyondCosts: 1}
+		large := decision.Plan{Name: "large", Rate: 1e9, Burst: 1e9, Price: 1, BeyondCosts: 1}
 		clock := NewClock()
 		s := settings()
-		e := New(passhub.New(s, 1), &s, clock)
+		e := New(decision.New(s, 1), &s, clock)
 		e.Start(nil)
-		e.Backends(passhub.Backends{Complete: true, List: []passhub.Backend{{ID: "b", Serving: true, Size: 1}}})
+		e.Backends(decision.Backends{Complete: true, List: []decision.Backend{{ID: "b", Serving: true, Size: 1}}})
 		state := plans.NewState(settings().Plans)
-		revision := func(n uint64, holds passhub.Seconds, plan string) plans.Revision {
-			return plans.Revision{Number: n, Holds: holds, Authority: plans.Listed, Plans: []passhub.Plan{small, large}, Members: map[string]string{member: plan}}
+		revision := func(n uint64, holds decision.Seconds, plan string) plans.Revision {
+			return plans.Revision{Number: n, Holds: holds, Authority: plans.Listed, Plans: []decision.Plan{small, large}, Members: map[string]string{member: plan}}
 		}
-		e.Revise(func(now passhub.Seconds) Catalogue {
+		e.Revise(func(now decision.Seconds) Catalogue {
 			state.Offer(revision(1, now, "small"), now)
 			state.Offer(revision(2, now+2, "large"), now)
 			state.Offer(revision(3, now+5, "small"), now)
@@ -159,7 +159,7 @@
 			ticket := e.Submit(r, func() {})
 			d := ticket.Next()
 			if d.Kind == Send {
-				ticket.Ended(passhub.Done)
+				ticket.Ended(decision.Done)
 			}
 			return d.Kind, ticket.Plan, ticket.Revision
 		}
@@ -180,7 +180,7 @@
 		if d := other.Next(); d.Kind != Send || other.Plan != "p" || other.Revision != 3 {
 			t.Errorf("one that is not listed: %v on %s of revision %d", d.Kind, other.Plan, other.Revision)
 		}
-		other.Ended(passhub.Done)
+		other.Ended(decision.Done)
 	})
 }
 
--- a/internal/dataplane/ingress/body.go
+++ b/internal/dataplane/ingress/body.go
@@ -8,11 +8,11 @@
 	"sync"
 	"time"
 
-	"mulleinrouter/internal/dataplane/client"
+	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/dataplane/upstream"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // take reads the body of a request that fits, or the beginning of one that does not: that one is the upload's.
@@ -23,7 +23,7 @@
 		}
 		r.Expect = false
 	}
-	c.paces(client.Body)
+	c.paces(clientconn.Body)
 	err := c.reader.ReadBody(r)
 	c.paced = false
 	return err
@@ -33,7 +33,7 @@
 var goOn = []byte("HTTP/1.1 100 Continue\r\n\r\n")
 
 // paces enters a state in which a body comes: from now on the sweep looks at how.
-func (c *conn) paces(st client.State) {
+func (c *conn) paces(st clientconn.State) {
 	c.to(st)
 	c.paced = true
 }
@@ -65,7 +65,7 @@
 }
 
 // seconds is a moment on the server's own clock.
-func (s *Server) seconds(at time.Time) passhub.Seconds { return at.Sub(s.base).Seconds() }
+func (s *Server) seconds(at time.Time) decision.Seconds { return at.Sub(s.base).Seconds() }
 
 // unwatched has nobody look out for the client's leaving while an answer is made. Behind a long body, skip does.
 func (c *conn) unwatched(r *http1.Request) {
@@ -86,7 +86,7 @@
 // skip reads off what is left of a body that was answered before it was up: the next request begins behind it.
 func (c *conn) skip(b *http1.Body) (whole bool) {
 	c.SetReadDeadline(time.Time{})
-	c.paces(client.Skipping)
+	c.paces(clientconn.Skipping)
 	n, err := io.Copy(io.Discard, io.LimitReader(b, skipMost))
 	c.paced = false
 	if err != nil || n == skipMost && !b.Ended() {
@@ -114,7 +114,7 @@
 	if !u.spent {
 		u.spent = true
 		u.ticket.Spend()
-		u.conn.paces(client.Uploading)
+		u.conn.paces(clientconn.Uploading)
 		if u.expect {
 			u.conn.Write(goOn) // where it fails, the body does not come
 		}
@@ -148,7 +148,7 @@
 // Arrived hands the connection to the watcher: the client's next request may come, or the client may leave.
 func (u *upload) Arrived() {
 	u.conn.paced = false
-	u.conn.to(client.Deciding)
+	u.conn.to(clientconn.Deciding)
 	u.ticket.Arrived()
 	u.conn.watch <- u.ticket
 }
@@ -172,7 +172,7 @@
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.CloseWrite()
 	}
-	c.to(client.Lingering)
+	c.to(clientconn.Lingering)
 	buf := upstream.Pieces.Get().(*[]byte)
 	defer upstream.Pieces.Put(buf)
 	for end := time.Now().Add(most); time.Now().Before(end); {
--- a/internal/dataplane/ingress/conn.go
+++ b/internal/dataplane/ingress/conn.go
@@ -8,10 +8,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	"mulleinrouter/internal/dataplane/client"
+	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/http1"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // conn is one client's connection.
@@ -26,7 +26,7 @@
 	watch         chan *engine.Ticket // the request in hand, for the watcher
 	arrived       chan error          // the watcher's word: the next request begins, or the connection is over
 
-	life client.Conn // guarded by the server's mutex
+	life clientconn.Conn // guarded by the server's mutex
 }
 
 // end closes a connection from outside, the server's mutex held.
@@ -41,7 +41,7 @@
 }
 
 // to enters a state. It tells whether the connection goes on.
-func (c *conn) to(st client.State) bool {
+func (c *conn) to(st clientconn.State) bool {
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,7 +52,7 @@
 	if freed {
 		c.SetReadDeadline(time.Time{})
 	}
-	if st == client.Idle && s.waiting > 0 {
+	if st == clientconn.Idle && s.waiting > 0 {
 		s.room.Broadcast()
 	}
 	return on
@@ -92,7 +92,7 @@
 	code, served, err := "", 0, c.reader.Wait()
 	watching := false
 	for ; err == nil && code == ""; served++ {
-		c.to(client.Head)
+		c.to(clientconn.Head)
 		var r *http1.Request
 		if r, err = c.reader.Head(); err == nil {
 			c.old, c.bodiless = r.Old, r.Method == "HEAD"
@@ -109,7 +109,7 @@
 			go c.watcher()
 		}
 		if code, err = c.serve(r); err == nil && code == "" {
-			if !c.to(client.Idle) && !c.hears() {
+			if !c.to(clientconn.Idle) && !c.hears() {
 				break
 			}
 			err = <-c.arrived
@@ -178,8 +178,8 @@
 		p.Status, p.Code, p.Text = 413, "client-body-too-large", "body too large"
 	case errors.Is(err, http1.ErrExpect):
 		p.Status, p.Code, p.Text = 417, "client-bad-expectation", "an expectation that cannot be met"
-	case c.ended() == client.CodeSlow:
-		p.Status, p.Code, p.Text = 408, client.CodeSlow, "the request did not come to its end"
+	case c.ended() == clientconn.CodeSlow:
+		p.Status, p.Code, p.Text = 408, clientconn.CodeSlow, "the request did not come to its end"
 	default:
 		return "" // the connection itself ended
 	}
@@ -218,7 +218,7 @@
 }
 
 // answer writes a whole answer at once.
-func (c *conn) answer(status int, retryAfter passhub.Seconds, body []byte, last bool) error {
+func (c *conn) answer(status int, retryAfter decision.Seconds, body []byte, last bool) error {
 	b := http1.AppendHead(c.out[:0], status, len(body))
 	if retryAfter > 0 {
 		b = http1.AppendSeconds(b, "Retry-After", retryAfter)
@@ -246,7 +246,7 @@
 	if c.out = b; cap(b) > 8<<10 {
 		c.out = nil // guards against many connections that each keep the room of a large answer
 	}
-	c.to(client.Answering)
+	c.to(clientconn.Answering)
 	_, err := c.Write(b)
 	return err
 }
--- a/internal/dataplane/ingress/ingress.go
+++ b/internal/dataplane/ingress/ingress.go
@@ -13,13 +13,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"mulleinrouter/internal/dataplane/client"
+	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/dataplane/traffic"
 	"mulleinrouter/internal/dataplane/upstream"
 	"mulleinrouter/internal/dataplane/usage"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 const (
@@ -67,14 +67,14 @@
 	waiting int                 // accepted connections that wait for room
 	halt    context.Context
 	halted  context.CancelFunc
-	life    passhub.Lifecycle // readiness, and whether connections stay open after an answer
+	life    decision.Lifecycle // readiness, and whether connections stay open after an answer
 
 	figures figures
 	totals  totals
 }
 
 // New returns a server for what the settings name, with at most so many connections at once.
-func New(s *passhub.Settings, e *engine.Engine, p *upstream.Pool, most int, log *logrus.Logger) *Server {
+func New(s *decision.Settings, e *engine.Engine, p *upstream.Pool, most int, log *logrus.Logger) *Server {
 	srv := &Server{
 		engine: e, pool: p, log: log,
 		ingresses: max(1, s.Balancers), mostUnits: cmp.Or(s.MaxUnits, mostUnits), most: most,
@@ -97,12 +97,12 @@
 
 // SetClasses says which classes clients may name from now on; the class fixes the method. A request that is in hand
 // keeps what it was read with.
-func (s *Server) SetClasses(classes []passhub.Class) {
+func (s *Server) SetClasses(classes []decision.Class) {
 	m := make(map[string]string, len(classes))
 	for _, c := range classes {
 		s.figures.of(c.Name)
 		m[c.Name] = "POST"
-		if c.Effect == passhub.Safe {
+		if c.Effect == decision.Safe {
 			m[c.Name] = "GET"
 		}
 	}
@@ -132,7 +132,7 @@
 			time.Sleep(acceptPause)
 			continue
 		}
-		c := &conn{Conn: nc, server: s, life: client.Accepted(s.seconds(time.Now())),
+		c := &conn{Conn: nc, server: s, life: clientconn.Accepted(s.seconds(time.Now())),
 			watch: make(chan *engine.Ticket), arrived: make(chan error, 1)}
 		c.reader = http1.NewReader(c)
 		if s.dialect.Times != nil {
@@ -172,7 +172,7 @@
 		return c.lastOf(r, c.answerProblem(bad, ends(r)))
 	}
 	counts := s.figures.of(request.Class) // once a request: the figures' lock is not taken for each of its events
-	c.to(client.Deciding)
+	c.to(clientconn.Deciding)
 	ctx, cancel := context.WithCancel(s.halt)
 	defer cancel()
 	ticket := s.engine.Submit(request, cancel)
@@ -198,14 +198,14 @@
 			s.totals.attempts.Add(int64(result.Writes))
 			bill.arrival = max(bill.arrival, usage.ArrivalOf(result.Outcome, result.Answered))
 			last = result
-			if result.Outcome == passhub.Done && result.Stream != nil {
+			if result.Outcome == decision.Done && result.Stream != nil {
 				ticket.Ended(result.Outcome) // served: what follows is the body's way to the client
 				s.ended(Answered)
 				counts.count(result.Head.Status)
 				r.Close = r.Close || r.Old && result.Stream.Length < 0
 				return c.lastOf(r, c.relay(result.Head, result.Stream, ends(r)))
 			}
-			if result.Outcome == passhub.Done {
+			if result.Outcome == decision.Done {
 				s.ended(Answered)
 				err = c.pass(result.Head, result.Body, ends(r))
 				counts.count(result.Head.Status)
@@ -228,7 +228,7 @@
 			counts.count(status)
 			return c.lastOf(r, c.answer(status, d.RetryAfter, nil, ends(r)))
 		case engine.Fail:
-			if s.dialect.PassFailures && last.Outcome == passhub.Failed && last.Head != nil {
+			if s.dialect.PassFailures && last.Outcome == decision.Failed && last.Head != nil {
 				counts.count(last.Head.Status)
 				s.ended(ServerFailed)
 				return c.lastOf(r, c.pass(last.Head, last.Body, ends(r)))
@@ -255,7 +255,7 @@
 
 // open records a try before its first attempt goes out: should the process be killed, it is known to have been
 // sent, and not whether it arrived.
-func (a *account) open(m Meter, r *passhub.Request, t *engine.Ticket, beyond bool) {
+func (a *account) open(m Meter, r *decision.Request, t *engine.Ticket, beyond bool) {
 	if a.meter != nil {
 		return // a further attempt
 	}
@@ -304,29 +304,29 @@
 }
 
 // Started says that it serves: the readiness page says yes from now on.
-func (s *Server) Started() { s.move(passhub.Started) }
+func (s *Server) Started() { s.move(decision.Started) }
 
 // Leave makes the readiness page say that clients should go elsewhere, for good: a SIGTERM has come. Idle
 // connections are closed at once, the others after their next answer.
-func (s *Server) Leave() { s.move(passhub.Terminate) }
+func (s *Server) Leave() { s.move(decision.Terminate) }
 
 // LameDuck drains without stopping: the readiness page says no, idle connections are closed at once and the others
 // after their next answer; new connections are still served, each for one request. It tells whether the call was
 // taken.
-func (s *Server) LameDuck() bool { return s.move(passhub.Lame) }
+func (s *Server) LameDuck() bool { return s.move(decision.Lame) }
 
 // Rejoin ends a drain that LameDuck began: the readiness page says yes again, and connections stay open. It tells
 // whether the call was taken: not once it stops.
-func (s *Server) Rejoin() bool { return s.move(passhub.Rejoin) }
+func (s *Server) Rejoin() bool { return s.move(decision.Rejoin) }
 
 // Phase tells where the process is in its life.
-func (s *Server) Phase() passhub.Phase {
+func (s *Server) Phase() decision.Phase {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.life.Phase()
 }
 
-func (s *Server) move(e passhub.LifeEvent) bool {
+func (s *Server) move(e decision.LifeEvent) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.life.Phase()
@@ -334,7 +334,7 @@
 	if !s.life.KeepOpen() {
 		for c := range s.conns {
 			if c.life.Drains() && !(c.life.Hears() && c.begun()) {
-				c.end(client.CodeDrain)
+				c.end(clientconn.CodeDrain)
 			}
 		}
 	}
@@ -347,7 +347,7 @@
 // Drain closes the idle connections and waits for the others to end. At the end of patience it stops
 // the attempts that are out, so that each request still gets its answer, and waits a little longer.
 func (s *Server) Drain(patience, rest time.Duration) {
-	s.move(passhub.Close)
+	s.move(decision.Close)
 	if !s.wait(patience) {
 		s.halted()
 		s.wait(rest)
--- a/internal/dataplane/ingress/ingress_test.go
+++ b/internal/dataplane/ingress/ingress_test.go
@@ -12,12 +12,12 @@
 
 	"github.com/sirupsen/logrus"
 
-	"mulleinrouter/internal/dataplane/client"
+	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/upstream"
 	"mulleinrouter/internal/dataplane/usage"
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/emulator/exchange"
-	"mulleinrouter/passhub"
 )
 
 // TestExchanges plays clients against a server that takes two connections at once.
@@ -26,15 +26,15 @@
 		p := exchange.New(t, "server")
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		settings := passhub.Settings{
+		settings := decision.Settings{
 			Balancers: 1, MaxAttempts: 1, MayCancel: true,
-			Classes: []passhub.Class{{Name: "send", Aim: 20, Deadline: 30, Worth: 1},
-				{Name: "read", Aim: 20, Deadline: 30, Worth: 1, Effect: passhub.Safe}},
-			Plans: []passhub.Plan{{Name: "plus", Rate: 1000, Burst: 1000, Price: 1}},
+			Classes: []decision.Class{{Name: "send", Aim: 20, Deadline: 30, Worth: 1},
+				{Name: "read", Aim: 20, Deadline: 30, Worth: 1, Effect: decision.Safe}},
+			Plans: []decision.Plan{{Name: "plus", Rate: 1000, Burst: 1000, Price: 1}},
 		}
-		e := engine.New(passhub.New(settings, 1), &settings, engine.NewClock())
+		e := engine.New(decision.New(settings, 1), &settings, engine.NewClock())
 		e.Start(nil)
-		e.Backends(passhub.Backends{Complete: true, List: []passhub.Backend{{ID: "s-1", Serving: true, Size: 1}}})
+		e.Backends(decision.Backends{Complete: true, List: []decision.Backend{{ID: "s-1", Serving: true, Size: 1}}})
 		pool := upstream.New(func(string) (string, bool) { return p.Addr("server"), true },
 			upstream.Limits{Connections: 2, ConnectTimeout: time.Minute, Keepalive: time.Minute}, log)
 		s := New(&settings, e, pool, 2, log)
@@ -82,14 +82,14 @@
 		}
 		p.Hooks["drain-begins"] = func(string) string {
 			go s.Drain(time.Minute, time.Minute)
-			return until(func() bool { return s.life.Phase() == passhub.Closing })("")
+			return until(func() bool { return s.life.Phase() == decision.Closing })("")
 		}
 		p.Hooks["sweep-later"] = func(later string) string {
 			d, _ := time.ParseDuration(later)
 			s.sweepAt(time.Now().Add(d))
 			return later
 		}
-		in := func(st client.State) func(string) string { // so many connections are in that state
+		in := func(st clientconn.State) func(string) string { // so many connections are in that state
 			return func(many string) string {
 				never := until(func() bool {
 					n := 0
@@ -103,9 +103,9 @@
 				return many + never
 			}
 		}
-		p.Hooks["idle"] = in(client.Idle)
-		p.Hooks["reading"] = in(client.Head)
-		p.Hooks["taking"] = in(client.Uploading)
+		p.Hooks["idle"] = in(clientconn.Idle)
+		p.Hooks["reading"] = in(clientconn.Head)
+		p.Hooks["taking"] = in(clientconn.Uploading)
 		p.Hooks["gone"] = until(func() bool { return len(s.conns) == 0 && len(s.ids) == 0 })
 		p.Hooks["waiting"] = until(func() bool { return s.waiting > 0 })
 		p.Hooks["open"] = func(string) string {
@@ -175,7 +175,7 @@
 		}
 		defer near.Close()
 		far.Write([]byte(word))
-		c := &conn{Conn: near, life: client.Accepted(-1)}
+		c := &conn{Conn: near, life: clientconn.Accepted(-1)}
 		if s.conns[c] = struct{}{}; word == "" {
 			silent = c
 		} else if exchange.Until(c.begun) != "" {
--- a/internal/dataplane/ingress/relay.go
+++ b/internal/dataplane/ingress/relay.go
@@ -6,7 +6,7 @@
 	"io"
 	"time"
 
-	"mulleinrouter/internal/dataplane/client"
+	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/dataplane/upstream"
 )
@@ -59,7 +59,7 @@
 
 // push writes a piece of an answer, with as long as a slow client may take for it.
 func (c *conn) push(b []byte) error {
-	c.to(client.Answering) // from now: a client that takes longer over this piece holds the connection for nothing
+	c.to(clientconn.Answering) // from now: a client that takes longer over this piece holds the connection for nothing
 	c.SetWriteDeadline(time.Now().Add(upstream.StallMost))
 	_, err := c.Write(b)
 	return err
--- a/internal/dataplane/ingress/relay_test.go
+++ b/internal/dataplane/ingress/relay_test.go
@@ -17,8 +17,8 @@
 
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/upstream"
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/emulator/exchange"
-	"mulleinrouter/passhub"
 )
 
 // bigServer answers every request with a 200 of size bytes, written in small pieces, with a length or chunked.
@@ -92,12 +92,12 @@
 			addr := bigServer(t, size, chunked)
 			log := logrus.New()
 			log.SetOutput(io.Discard)
-			settings := passhub.Settings{Balancers: 1, MaxAttempts: 1,
-				Classes: []passhub.Class{{Name: "read", Aim: 20, Deadline: 30, Worth: 1, Effect: passhub.Safe}},
-				Plans:   []passhub.Plan{{Name: "plus", Rate: 1000, Burst: 1000, Price: 1}}}
-			e := engine.New(passhub.New(settings, 1), &settings, engine.NewClock())
+			settings := decision.Settings{Balancers: 1, MaxAttempts: 1,
+				Classes: []decision.Class{{Name: "read", Aim: 20, Deadline: 30, Worth: 1, Effect: decision.Safe}},
+				Plans:   []decision.Plan{{Name: "plus", Rate: 1000, Burst: 1000, Price: 1}}}
+			e := engine.New(decision.New(settings, 1), &settings, engine.NewClock())
 			e.Start(nil)
-			e.Backends(passhub.Backends{Complete: true, List: []passhub.Backend{{ID: "s-1", Serving: true, Size: 1}}})
+			e.Backends(decision.Backends{Complete: true, List: []decision.Backend{{ID: "s-1", Serving: true, Size: 1}}})
 			pool := upstream.New(func(string) (string, bool) { return addr, true },
 				upstream.Limits{Connections: 4, ConnectTimeout: time.Minute, Keepalive: time.Minute}, log)
 			ctx, cancel := context.WithCancel(context.Background())
--- a/internal/dataplane/ingress/request.go
+++ b/internal/dataplane/ingress/request.go
@@ -6,10 +6,10 @@
 	"strings"
 	"time"
 
-	"mulleinrouter/internal/dataplane/client"
+	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/dataplane/upstream"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 const (
@@ -36,8 +36,8 @@
 type Problem struct {
 	Status     int
 	Code, Text string
-	Allow      string          // method, for a 405
-	RetryAfter passhub.Seconds // 0: no advice
+	Allow      string           // method, for a 405
+	RetryAfter decision.Seconds // 0: no advice
 }
 
 // Dialect is what clients are answered in. New gives a server that of the deployments in service; Speak gives it another.
@@ -45,7 +45,7 @@
 	// Ready is the path of the readiness page.
 	Ready string
 	// Parse translates a client's request. It decides nothing.
-	Parse func(*http1.Request) (passhub.Request, *upstream.Message, *Problem)
+	Parse func(*http1.Request) (decision.Request, *upstream.Message, *Problem)
 	// Deciding are the fields that are not passed on to servers, Reports those that are not passed on to clients.
 	Deciding, Reports map[string]bool
 	// Beyond is the status of a refusal for a quota's sake; 0: 503 as any other.
@@ -54,14 +54,14 @@
 	PassFailures bool
 	// Times are those of clients' connections; nil: the usual ones. MostBody is for a request's body, in bytes; 0: the usual one. They
 	// are asked for each connection.
-	Times    func() *client.Times
+	Times    func() *clientconn.Times
 	MostBody func() int64
 }
 
 // parse translates a client's request. Nothing here decides what becomes of it.
-func (s *Server) parse(r *http1.Request) (request passhub.Request, m *upstream.Message, bad *Problem) {
-	fail := func(status int, code, text string) (passhub.Request, *upstream.Message, *Problem) {
-		return passhub.Request{}, nil, &Problem{Status: status, Code: code, Text: text}
+func (s *Server) parse(r *http1.Request) (request decision.Request, m *upstream.Message, bad *Problem) {
+	fail := func(status int, code, text string) (decision.Request, *upstream.Message, *Problem) {
+		return decision.Request{}, nil, &Problem{Status: status, Code: code, Text: text}
 	}
 	path, _, _ := strings.Cut(r.Target, "?")
 	member, ok := strings.CutPrefix(path, pathPrefix)
@@ -113,7 +113,7 @@
 
 // terms reads 'units=2,spread=3,first=1'. Terms it does not know are passed over. What the settings do not
 // allow is refused: it would use up the quota of the customer it names.
-func (s *Server) terms(value string, r *passhub.Request) bool {
+func (s *Server) terms(value string, r *decision.Request) bool {
 	var units, spread, first bool
 	for value != "" {
 		var term string
--- a/internal/dataplane/ingress/room.go
+++ b/internal/dataplane/ingress/room.go
@@ -5,7 +5,7 @@
 	"syscall"
 	"time"
 
-	"mulleinrouter/internal/dataplane/client"
+	"mulleinrouter/internal/dataplane/clientconn"
 )
 
 // add makes room first: the connection that holds its place for the least goes. Where each has a request
@@ -20,7 +20,7 @@
 			continue // one connection goes for each that comes, not one more whenever another ends
 		}
 		if other := s.spare(time.Now()); other != nil {
-			other.end(client.CodeRoom)
+			other.end(clientconn.CodeRoom)
 			asked = true
 		} else if !again {
 			again = true
@@ -30,7 +30,7 @@
 	s.waiting--
 	s.conns[c] = struct{}{}
 	if !s.life.Accepts() {
-		c.end(client.CodeDrain) // accepted as the hand-over ended: the client asks elsewhere
+		c.end(clientconn.CodeDrain) // accepted as the hand-over ended: the client asks elsewhere
 	}
 }
 
@@ -44,7 +44,7 @@
 				spare = c
 			}
 		}
-		if spare == nil || spare.life.State() != client.Idle || !spare.begun() {
+		if spare == nil || spare.life.State() != clientconn.Idle || !spare.begun() {
 			return spare
 		}
 		spare.life.Began() // in a rush its request may be here for long before it is read
@@ -91,7 +91,7 @@
 	defer s.mu.Unlock()
 	now := s.seconds(at)
 	for c := range s.conns {
-		if code := c.life.Due(now); code != "" && !(c.life.State() == client.Idle && c.life.Hears() && c.begun()) {
+		if code := c.life.Due(now); code != "" && !(c.life.State() == clientconn.Idle && c.life.Hears() && c.begun()) {
 			c.end(code)
 		}
 	}
--- a/internal/dataplane/upstream/patience_test.go
+++ b/internal/dataplane/upstream/patience_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"mulleinrouter/internal/dataplane/link"
+	"mulleinrouter/internal/dataplane/upstreamconn"
 )
 
 // A silent server is given up when whoever is asked says so, and not before; once the answer is there nobody is asked.
@@ -87,7 +87,7 @@
 		for range tc.uses {
 			c.Begin()
 			c.Written()
-			c.Answered(link.Answer{Status: 200}, false)
+			c.Answered(upstreamconn.Answer{Status: 200}, false)
 		}
 		if p.held(c, tc.once); waited != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, waited, tc.want)
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -11,22 +11,22 @@
 	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/dataplane/http1"
-	"mulleinrouter/internal/dataplane/link"
 	"mulleinrouter/internal/dataplane/traffic"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/dataplane/upstreamconn"
+	"mulleinrouter/internal/decision"
 )
 
 // conn is one connection to a backend.
 type conn struct {
 	net.Conn
-	link.Link
+	upstreamconn.Link
 	backend, addr string
 	reader        *http1.Reader
 	raw           syscall.RawConn
-	settle        time.Duration   // by which what it answers to a byte is here, as a rule
-	wait          time.Duration   // the same, for the request that is going out
-	answered      passhub.Seconds // when it last did
-	unnamed       bool            // an answer without an id has come on it
+	settle        time.Duration    // by which what it answers to a byte is here, as a rule
+	wait          time.Duration    // the same, for the request that is going out
+	answered      decision.Seconds // when it last did
+	unnamed       bool             // an answer without an id has come on it
 	traffic       *traffic.Counter
 }
 
@@ -36,7 +36,7 @@
 )
 
 // get takes the connection used last, or opens one.
-func (p *Pool) get(ctx context.Context, backend string, until time.Time, fit link.Fit) (*conn, error) {
+func (p *Pool) get(ctx context.Context, backend string, until time.Time, fit upstreamconn.Fit) (*conn, error) {
 	addr, _ := p.lookup(backend)
 	for {
 		p.mu.Lock()
@@ -52,7 +52,7 @@
 			p.close(kept.Conn, code, nil)
 			continue
 		}
-		if fit.Unnamed = kept.Conn.unnamed; !link.Fits(fit) {
+		if fit.Unnamed = kept.Conn.unnamed; !upstreamconn.Fits(fit) {
 			p.close(kept.Conn, "upstream-not-needed", nil)
 			continue
 		}
--- a/internal/dataplane/upstream/upload.go
+++ b/internal/dataplane/upstream/upload.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"mulleinrouter/internal/dataplane/http1"
-	"mulleinrouter/internal/dataplane/link"
+	"mulleinrouter/internal/dataplane/upstreamconn"
 )
 
 // Upload is a request's body that is passed on as it comes: it is sent to one server at the most.
@@ -54,7 +54,7 @@
 	if code := c.stale(c.addr); code != "" || ctx.Err() != nil {
 		return false, fmt.Errorf("%w: %w: %s", errServer, errEnded, code)
 	}
-	if _, serving := p.lookup(c.backend); !link.Goes(serving, ctx.Err() != nil) {
+	if _, serving := p.lookup(c.backend); !upstreamconn.Goes(serving, ctx.Err() != nil) {
 		return false, errLeaving
 	}
 	pumped := make(chan error, 1)
@@ -120,13 +120,13 @@
 
 // uploadTrouble is how an upload failed before its last byte was written: nothing ran. The server is to blame only where
 // it broke the connection.
-func uploadTrouble(ctx context.Context, err error) link.Trouble {
+func uploadTrouble(ctx context.Context, err error) upstreamconn.Trouble {
 	var timeout net.Error
 	switch {
 	case ctx.Err() != nil, errors.Is(err, errClient), errors.Is(err, errLeaving):
-		return link.Cancelled
+		return upstreamconn.Cancelled
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return link.Cancelled // the time ran out on the body's way
+		return upstreamconn.Cancelled // the time ran out on the body's way
 	}
-	return link.Broke
+	return upstreamconn.Broke
 }
--- a/internal/dataplane/upstream/upstream.go
+++ b/internal/dataplane/upstream/upstream.go
@@ -18,9 +18,9 @@
 	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/dataplane/http1"
-	"mulleinrouter/internal/dataplane/link"
 	"mulleinrouter/internal/dataplane/traffic"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/dataplane/upstreamconn"
+	"mulleinrouter/internal/decision"
 )
 
 const (
@@ -30,7 +30,7 @@
 	settleTrips, settleLeast, settleMost = 2, time.Millisecond, 10 * time.Millisecond // of the time to connect
 )
 
-const rested = passhub.Seconds(0.05) // since its last answer: a server may have forgotten a connection by then
+const rested = decision.Seconds(0.05) // since its last answer: a server may have forgotten a connection by then
 
 // Lookup gives a backend's address, and whether it may be sent anything new.
 type Lookup func(id string) (addr string, serving bool)
@@ -81,8 +81,8 @@
 	base   time.Time   // the shelf's times are seconds since then
 
 	mu     sync.Mutex
-	shelf  *link.Shelf[*conn]
-	memory link.Memory
+	shelf  *upstreamconn.Shelf[*conn]
+	memory upstreamconn.Memory
 	dials  atomic.Int64
 }
 
@@ -90,10 +90,10 @@
 func New(lookup Lookup, limits Limits, log *logrus.Logger) *Pool {
 	dialer := net.Dialer{Timeout: limits.ConnectTimeout, KeepAlive: -1}
 	return &Pool{lookup: lookup, limits: limits, log: log, dial: dialer.DialContext, base: time.Now(),
-		shelf: link.NewShelf[*conn](limits.Connections), settle: func(c *conn) { time.Sleep(c.wait) }}
+		shelf: upstreamconn.NewShelf[*conn](limits.Connections), settle: func(c *conn) { time.Sleep(c.wait) }}
 }
 
-func (p *Pool) now() passhub.Seconds { return time.Since(p.base).Seconds() }
+func (p *Pool) now() decision.Seconds { return time.Since(p.base).Seconds() }
 
 // Message is a request as it goes to a backend.
 type Message struct {
@@ -114,7 +114,7 @@
 
 // Result is how an attempt ended, with the body if it was Done.
 type Result struct {
-	Outcome  passhub.Outcome
+	Outcome  decision.Outcome
 	Answered bool            // a whole answer came after the request had been written whole: it had arrived
 	Writes   int             // times the request was written whole, to one connection after another
 	Head     *http1.Response // of the answer; nil: none came
@@ -129,18 +129,18 @@
 // Do makes one attempt. It ends by itself at until, and early when the context ends.
 func (p *Pool) Do(ctx context.Context, backend string, m *Message, until time.Time) Result {
 	if _, serving := p.lookup(backend); !serving || ctx.Err() != nil {
-		return Result{Outcome: passhub.Skipped}
+		return Result{Outcome: decision.Skipped}
 	}
-	writes, fit := 0, link.Fit{Once: m.Once}
+	writes, fit := 0, upstreamconn.Fit{Once: m.Once}
 	if p.Dialect.ID != "" {
 		fit.Again = slices.Contains(m.tried, backend)
 	}
 	for {
 		c, err := p.get(ctx, backend, until, fit)
 		if errors.Is(err, errUnneeded) || errors.Is(err, errFull) {
-			return Result{Outcome: passhub.Skipped, Writes: writes} // nothing was sent whole, and the server is not to blame
+			return Result{Outcome: decision.Skipped, Writes: writes} // nothing was sent whole, and the server is not to blame
 		} else if err != nil {
-			return Result{Outcome: passhub.Refused, Writes: writes}
+			return Result{Outcome: decision.Refused, Writes: writes}
 		}
 		v, head, body, err := p.attempt(ctx, c, m, until, &writes)
 		err = cmp.Or(err, v.Err)
@@ -162,14 +162,14 @@
 
 // attempt is the life of a request on a connection: written, answered. What each end of it proves, and whether the
 // connection may be used again, is the link's to say.
-func (p *Pool) attempt(ctx context.Context, c *conn, m *Message, until time.Time, writes *int) (v link.Verdict, head *http1.Response, body []byte, err error) {
+func (p *Pool) attempt(ctx context.Context, c *conn, m *Message, until time.Time, writes *int) (v upstreamconn.Verdict, head *http1.Response, body []byte, err error) {
 	if err := c.Begin(); err != nil {
-		return c.Unwritten(link.Broke), nil, nil, err
+		return c.Unwritten(upstreamconn.Broke), nil, nil, err
 	}
 	// A dial takes a while: the list may have changed, the client gone, the time run out.
 	addr, serving := p.lookup(c.backend)
 	left := time.Until(until)
-	if !link.Ready(serving, addr == c.addr, ctx.Err() != nil, left.Seconds()) {
+	if !upstreamconn.Ready(serving, addr == c.addr, ctx.Err() != nil, left.Seconds()) {
 		return c.NotBegun(), nil, nil, nil
 	}
 	c.SetDeadline(until)
@@ -186,17 +186,17 @@
 		}
 		if err != nil {
 			how := uploadTrouble(ctx, err)
-			if how == link.Broke {
+			if how == upstreamconn.Broke {
 				p.lost(c)
 			}
 			return c.Unwritten(how), nil, nil, err
 		}
 	} else if whole, err := p.write(ctx, c, *buf, m.Once || !m.safe()); !whole {
 		if ctx.Err() != nil || errors.Is(err, errLeaving) {
-			return c.Unwritten(link.Cancelled), nil, nil, err // nothing ran, and the server is not to blame
+			return c.Unwritten(upstreamconn.Cancelled), nil, nil, err // nothing ran, and the server is not to blame
 		}
 		p.lost(c)
-		return c.Unwritten(link.Broke), nil, nil, err
+		return c.Unwritten(upstreamconn.Broke), nil, nil, err
 	}
 	c.Written()
 	if *writes++; p.Dialect.ID != "" {
@@ -209,7 +209,7 @@
 	cancelled := !stop() // then the deadline may be changed at any time from now on
 	if err != nil {
 		how := trouble(ctx, err)
-		if how == link.Broke {
+		if how == upstreamconn.Broke {
 			p.lost(c)
 		}
 		return c.Unanswered(how), nil, nil, err
@@ -240,7 +240,7 @@
 func (p *Pool) write(ctx context.Context, c *conn, b []byte, once bool) (whole bool, err error) {
 	now := p.now()
 	p.mu.Lock()
-	hold := p.memory.Hold(c.backend, now, link.Evidence{Fresh: c.Uses() == 1, Idle: now - c.answered, Once: once})
+	hold := p.memory.Hold(c.backend, now, upstreamconn.Evidence{Fresh: c.Uses() == 1, Idle: now - c.answered, Once: once})
 	p.mu.Unlock()
 	if !hold {
 		n, err := c.Write(b)
@@ -256,7 +256,7 @@
 	if code := c.stale(c.addr); code != "" || ctx.Err() != nil {
 		return false, fmt.Errorf("%w: %s", errEnded, code)
 	}
-	if _, serving := p.lookup(c.backend); !link.Goes(serving, ctx.Err() != nil) {
+	if _, serving := p.lookup(c.backend); !upstreamconn.Goes(serving, ctx.Err() != nil) {
 		return false, errLeaving // between the two parts the news came that it drains
 	}
 	n, err := c.Write(b[last:])
@@ -273,18 +273,18 @@
 }
 
 // trouble tells apart how a connection failed on which a request had been written whole.
-func trouble(ctx context.Context, err error) link.Trouble {
+func trouble(ctx context.Context, err error) upstreamconn.Trouble {
 	var timeout net.Error
 	switch {
 	case ctx.Err() != nil:
-		return link.Cancelled
+		return upstreamconn.Cancelled
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return link.Late
+		return upstreamconn.Late
 	case errors.Is(err, errBroken), errors.Is(err, http1.ErrStartLine), errors.Is(err, http1.ErrHeader), errors.Is(err, http1.ErrFraming),
 		errors.Is(err, http1.ErrHeadTooLarge), errors.Is(err, http1.ErrBodyTooLarge):
-		return link.Malformed
+		return upstreamconn.Malformed
 	}
-	return link.Broke
+	return upstreamconn.Broke
 }
 
 // means is what an answer means.
@@ -309,13 +309,13 @@
 var errBroken = errors.New("no answer in the protocol")
 
 // read takes the answer, and its body if it is the client's and is not streamed. Without an error there is a head.
-func (p *Pool) read(c *conn, m *Message) (a link.Answer, head *http1.Response, body []byte, err error) {
+func (p *Pool) read(c *conn, m *Message) (a upstreamconn.Answer, head *http1.Response, body []byte, err error) {
 	for r := c.reader; ; {
 		if head, err = r.Response(m.Method == "HEAD"); err != nil {
 			return a, nil, nil, err
 		}
 		meaning := p.means(m, head)
-		a = link.Answer{Status: head.Status, NotProcessed: meaning == Refused, Close: head.Close}
+		a = upstreamconn.Answer{Status: head.Status, NotProcessed: meaning == Refused, Close: head.Close}
 		switch meaning {
 		case Served:
 			a.Status = 200
--- a/internal/dataplane/link/hold.go
+++ b/internal/dataplane/upstreamconn/hold.go
@@ -1,6 +1,6 @@
-package link
+package upstreamconn
 
-import "mulleinrouter/passhub"
+import "mulleinrouter/internal/decision"
 
 // A request may be written in two parts, the last byte some milliseconds after the rest: a server that has forgotten
 // a connection answers the first part with a reset, and with the last byte still here that proves that nothing ran. The
@@ -17,25 +17,25 @@
 
 // Evidence is what is known of a connection and a request before that is written.
 type Evidence struct {
-	Fresh bool            // nothing has been answered on the connection
-	Idle  passhub.Seconds // since it last answered
-	Once  bool            // the request must not run twice
+	Fresh bool             // nothing has been answered on the connection
+	Idle  decision.Seconds // since it last answered
+	Once  bool             // the request must not run twice
 }
 
 // Memory remembers which servers lost connections unawares, and when. It is not safe for use by several goroutines at
 // once.
-type Memory struct{ lost map[string]passhub.Seconds }
+type Memory struct{ lost map[string]decision.Seconds }
 
 // Lost tells of a connection that ended without a word while it was idle, or as a request came on it.
-func (m *Memory) Lost(server string, now passhub.Seconds) {
+func (m *Memory) Lost(server string, now decision.Seconds) {
 	if m.lost == nil {
-		m.lost = map[string]passhub.Seconds{}
+		m.lost = map[string]decision.Seconds{}
 	}
 	m.lost[server] = now
 }
 
 // Hold tells whether the last byte of a request is to be held back.
-func (m *Memory) Hold(server string, now passhub.Seconds, e Evidence) bool {
+func (m *Memory) Hold(server string, now decision.Seconds, e Evidence) bool {
 	if at, ok := m.lost[server]; ok && now-at < lostFor {
 		return true
 	}
@@ -43,7 +43,7 @@
 }
 
 // Forget drops what is too old to tell anything.
-func (m *Memory) Forget(now passhub.Seconds) {
+func (m *Memory) Forget(now decision.Seconds) {
 	for server, at := range m.lost {
 		if now-at >= lostFor {
 			delete(m.lost, server)
--- a/internal/dataplane/link/link.go
+++ b/internal/dataplane/upstreamconn/link.go
@@ -1,13 +1,13 @@
-// Package link is the life of a connection to a quote server, and the shelf on which idle ones are kept. It is written
+// Package upstreamconn is the life of a connection to a quote server, and the shelf on which idle ones are kept. It is written
 // as a machine that serving code runs on and that an explorer drives through every order of events. It does no I/O,
 // reads no clock and starts no goroutine.
-package link
+package upstreamconn
 
 import (
 	"errors"
 	"fmt"
 
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // State is where in its life a connection is.
@@ -50,7 +50,7 @@
 
 // Verdict is how an attempt on a connection ended, and what becomes of the connection.
 type Verdict struct {
-	Outcome  passhub.Outcome
+	Outcome  decision.Outcome
 	Answered bool   // a whole answer came to a request that was written whole: it had arrived
 	Again    bool   // the next connection may be tried for the same attempt: nothing of it has run
 	Keep     bool   // the connection goes back on the shelf
@@ -84,7 +84,7 @@
 
 // Ready tells whether a request may still go out on a connection that was taken or opened for it: the list may have
 // changed meanwhile, the client gone, the time run out.
-func Ready(serving, sameAddress, cancelled bool, left passhub.Seconds) bool {
+func Ready(serving, sameAddress, cancelled bool, left decision.Seconds) bool {
 	return (serving || mutated("ready-draining")) && (sameAddress || mutated("ready-moved")) && !cancelled && left > 0
 }
 
@@ -128,7 +128,7 @@
 	}
 	l.state = Idle
 	l.uses--
-	return Verdict{Outcome: passhub.Skipped, Keep: true}
+	return Verdict{Outcome: decision.Skipped, Keep: true}
 }
 
 // Unwritten is the end before the last byte of a request was written: the write failed, the server spoke or ended it
@@ -141,12 +141,12 @@
 	l.state = Ended
 	if mutated("unwritten-kept") {
 		l.state = Idle
-		return Verdict{Outcome: passhub.Refused, Keep: true}
+		return Verdict{Outcome: decision.Refused, Keep: true}
 	}
 	if t == Cancelled {
-		return Verdict{Outcome: passhub.Skipped, Code: "upstream-not-needed"}
+		return Verdict{Outcome: decision.Skipped, Code: "upstream-not-needed"}
 	}
-	return Verdict{Outcome: passhub.Refused, Again: l.uses > 1, Code: "upstream-write-failed"}
+	return Verdict{Outcome: decision.Refused, Again: l.uses > 1, Code: "upstream-write-failed"}
 }
 
 // Early is the end by an answer that came before the last byte of a request was written. The connection is ended: half a
@@ -223,17 +223,17 @@
 }
 
 // Outcome is what an answer means (PROTOCOL, "Ingresses to quote servers").
-func Outcome(a Answer) passhub.Outcome {
+func Outcome(a Answer) decision.Outcome {
 	switch {
 	case a.Status == 200:
-		return passhub.Done
+		return decision.Done
 	case (a.Status == 503 || a.Status == 504) && (a.NotProcessed || mutated("busy-unproven")):
-		return passhub.Busy
+		return decision.Busy
 	}
 	if mutated("error-proves") {
-		return passhub.Busy
+		return decision.Busy
 	}
-	return passhub.Failed
+	return decision.Failed
 }
 
 // Unanswered is the end without an answer after the request was written whole. It may have run, or may yet.
@@ -244,24 +244,24 @@
 	l.state = Ended
 	switch {
 	case mutated("reset-proves") && t == Broke:
-		return Verdict{Outcome: passhub.Refused, Code: "upstream-reset"}
+		return Verdict{Outcome: decision.Refused, Code: "upstream-reset"}
 	case mutated("late-proves") && t == Late:
-		return Verdict{Outcome: passhub.Skipped, Code: "upstream-timeout"}
+		return Verdict{Outcome: decision.Skipped, Code: "upstream-timeout"}
 	case mutated("cancel-proves") && t == Cancelled:
-		return Verdict{Outcome: passhub.Skipped, Code: "upstream-cancelled"}
+		return Verdict{Outcome: decision.Skipped, Code: "upstream-cancelled"}
 	case mutated("spoilt-kept") && t == Malformed:
 		l.state = Idle
-		return Verdict{Outcome: passhub.Failed, Keep: true}
+		return Verdict{Outcome: decision.Failed, Keep: true}
 	}
 	switch t {
 	case Cancelled:
-		return Verdict{Outcome: passhub.Cancelled, Code: "upstream-cancelled"}
+		return Verdict{Outcome: decision.Cancelled, Code: "upstream-cancelled"}
 	case Late:
-		return Verdict{Outcome: passhub.TimedOut, Code: "upstream-timeout"}
+		return Verdict{Outcome: decision.TimedOut, Code: "upstream-timeout"}
 	case Malformed:
-		return Verdict{Outcome: passhub.Failed, Code: "upstream-bad-answer"}
+		return Verdict{Outcome: decision.Failed, Code: "upstream-bad-answer"}
 	}
-	return Verdict{Outcome: passhub.Reset, Code: "upstream-reset"}
+	return Verdict{Outcome: decision.Reset, Code: "upstream-reset"}
 }
 
 // Drop ends an idle connection.
@@ -270,5 +270,5 @@
 // illegal is the safe way out of a mistake: the connection is ended, and what was on it may have run.
 func (l *Link) illegal(what string) Verdict {
 	l.state = Ended
-	return Verdict{Outcome: passhub.Reset, Code: "upstream-illegal", Err: fmt.Errorf("%s: %w", what, ErrState)}
+	return Verdict{Outcome: decision.Reset, Code: "upstream-illegal", Err: fmt.Errorf("%s: %w", what, ErrState)}
 }
--- a/internal/dataplane/link/link_test.go
+++ b/internal/dataplane/upstreamconn/link_test.go
@@ -1,4 +1,4 @@
-package link
+package upstreamconn
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // Each row of PROTOCOL's table of outcomes, and each with a cancel at the same time.
@@ -46,24 +46,24 @@
 		want  Verdict
 		state State
 	}{
-		{"200", false, answered(Answer{Status: 200}, false), Verdict{Outcome: passhub.Done, Answered: true, Keep: true}, Idle},
-		{"200 and a cancel", false, answered(Answer{Status: 200}, true), Verdict{Outcome: passhub.Done, Answered: true, Code: "upstream-not-needed"}, Ended},
-		{"200 and its close", true, answered(Answer{Status: 200, Close: true}, false), Verdict{Outcome: passhub.Done, Answered: true, Code: "upstream-close"}, Ended},
-		{"200 and more", true, answered(Answer{Status: 200, More: true}, false), Verdict{Outcome: passhub.Done, Answered: true, Code: "upstream-bad-answer"}, Ended},
-		{"500", false, answered(Answer{Status: 500}, false), Verdict{Outcome: passhub.Failed, Answered: true, Keep: true}, Idle},
-		{"500 not processed", false, answered(Answer{Status: 500, NotProcessed: true}, false), Verdict{Outcome: passhub.Failed, Answered: true, Keep: true}, Idle},
-		{"503", false, answered(Answer{Status: 503}, false), Verdict{Outcome: passhub.Failed, Answered: true, Keep: true}, Idle},
-		{"503 not processed", false, answered(Answer{Status: 503, NotProcessed: true}, false), Verdict{Outcome: passhub.Busy, Answered: true, Keep: true}, Idle},
-		{"504 not processed and a cancel", false, answered(Answer{Status: 504, NotProcessed: true}, true), Verdict{Outcome: passhub.Busy, Answered: true, Code: "upstream-not-needed"}, Ended},
-		{"breaks before the last byte, new", false, unwritten(Broke), Verdict{Outcome: passhub.Refused, Code: "upstream-write-failed"}, Ended},
-		{"breaks before the last byte, kept", true, unwritten(Broke), Verdict{Outcome: passhub.Refused, Again: true, Code: "upstream-write-failed"}, Ended},
-		{"cancelled before the last byte", true, unwritten(Cancelled), Verdict{Outcome: passhub.Skipped, Code: "upstream-not-needed"}, Ended},
-		{"breaks after it", true, unanswered(Broke), Verdict{Outcome: passhub.Reset, Code: "upstream-reset"}, Ended},
-		{"silent", true, unanswered(Late), Verdict{Outcome: passhub.TimedOut, Code: "upstream-timeout"}, Ended},
-		{"cancelled after it", true, unanswered(Cancelled), Verdict{Outcome: passhub.Cancelled, Code: "upstream-cancelled"}, Ended},
-		{"no answer", true, unanswered(Malformed), Verdict{Outcome: passhub.Failed, Code: "upstream-bad-answer"}, Ended},
-		{"not begun", true, func(l *Link) Verdict { l.Begin(); return l.NotBegun() }, Verdict{Outcome: passhub.Skipped, Keep: true}, Idle},
-		{"an answer to nothing", true, func(l *Link) Verdict { return l.Answered(Answer{Status: 200}, false) }, Verdict{Outcome: passhub.Reset, Code: "upstream-illegal", Err: ErrState}, Ended},
+		{"200", false, answered(Answer{Status: 200}, false), Verdict{Outcome: decision.Done, Answered: true, Keep: true}, Idle},
+		{"200 and a cancel", false, answered(Answer{Status: 200}, true), Verdict{Outcome: decision.Done, Answered: true, Code: "upstream-not-needed"}, Ended},
+		{"200 and its close", true, answered(Answer{Status: 200, Close: true}, false), Verdict{Outcome: decision.Done, Answered: true, Code: "upstream-close"}, Ended},
+		{"200 and more", true, answered(Answer{Status: 200, More: true}, false), Verdict{Outcome: decision.Done, Answered: true, Code: "upstream-bad-answer"}, Ended},
+		{"500", false, answered(Answer{Status: 500}, false), Verdict{Outcome: decision.Failed, Answered: true, Keep: true}, Idle},
+		{"500 not processed", false, answered(Answer{Status: 500, NotProcessed: true}, false), Verdict{Outcome: decision.Failed, Answered: true, Keep: true}, Idle},
+		{"503", false, answered(Answer{Status: 503}, false), Verdict{Outcome: decision.Failed, Answered: true, Keep: true}, Idle},
+		{"503 not processed", false, answered(Answer{Status: 503, NotProcessed: true}, false), Verdict{Outcome: decision.Busy, Answered: true, Keep: true}, Idle},
+		{"504 not processed and a cancel", false, answered(Answer{Status: 504, NotProcessed: true}, true), Verdict{Outcome: decision.Busy, Answered: true, Code: "upstream-not-needed"}, Ended},
+		{"breaks before the last byte, new", false, unwritten(Broke), Verdict{Outcome: decision.Refused, Code: "upstream-write-failed"}, Ended},
+		{"breaks before the last byte, kept", true, unwritten(Broke), Verdict{Outcome: decision.Refused, Again: true, Code: "upstream-write-failed"}, Ended},
+		{"cancelled before the last byte", true, unwritten(Cancelled), Verdict{Outcome: decision.Skipped, Code: "upstream-not-needed"}, Ended},
+		{"breaks after it", true, unanswered(Broke), Verdict{Outcome: decision.Reset, Code: "upstream-reset"}, Ended},
+		{"silent", true, unanswered(Late), Verdict{Outcome: decision.TimedOut, Code: "upstream-timeout"}, Ended},
+		{"cancelled after it", true, unanswered(Cancelled), Verdict{Outcome: decision.Cancelled, Code: "upstream-cancelled"}, Ended},
+		{"no answer", true, unanswered(Malformed), Verdict{Outcome: decision.Failed, Code: "upstream-bad-answer"}, Ended},
+		{"not begun", true, func(l *Link) Verdict { l.Begin(); return l.NotBegun() }, Verdict{Outcome: decision.Skipped, Keep: true}, Idle},
+		{"an answer to nothing", true, func(l *Link) Verdict { return l.Answered(Answer{Status: 200}, false) }, Verdict{Outcome: decision.Reset, Code: "upstream-illegal", Err: ErrState}, Ended},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := &Link{}
@@ -125,7 +125,7 @@
 			}
 		}
 		v := l.Streams(Answer{Status: 200, Close: tc.close}, tc.cancel)
-		if v.Keep || v.Outcome != passhub.Done || l.State() != Streaming || l.Begin() == nil {
+		if v.Keep || v.Outcome != decision.Done || l.State() != Streaming || l.Begin() == nil {
 			t.Errorf("%s: %+v, %v", tc.name, v, l.State())
 		}
 		if got := l.Streamed(tc.whole, tc.more); got != tc.want || (l.State() == Idle) != tc.want.Keep {
--- a/internal/dataplane/link/shelf.go
+++ b/internal/dataplane/upstreamconn/shelf.go
@@ -1,6 +1,6 @@
-package link
+package upstreamconn
 
-import "mulleinrouter/passhub"
+import "mulleinrouter/internal/decision"
 
 // Shelf keeps the idle connections to all servers, and counts those that are up. C is whatever the host has for a
 // connection. It is not safe for use by several goroutines at once.
@@ -14,7 +14,7 @@
 // Kept is an idle connection.
 type Kept[C any] struct {
 	Conn  C
-	Since passhub.Seconds // idle since then
+	Since decision.Seconds // idle since then
 }
 
 // NewShelf returns an empty shelf.
@@ -69,7 +69,7 @@
 }
 
 // Put puts a connection back.
-func (s *Shelf[C]) Put(server string, c C, now passhub.Seconds) {
+func (s *Shelf[C]) Put(server string, c C, now decision.Seconds) {
 	if mutated("put-twice") {
 		s.idle[server] = append(s.idle[server], Kept[C]{c, now})
 	}
@@ -85,7 +85,7 @@
 
 // Old takes out the connections that have been idle since before a time, and those to servers that are to get nothing
 // new.
-func (s *Shelf[C]) Old(before passhub.Seconds, serving func(server string) bool) (old []C) {
+func (s *Shelf[C]) Old(before decision.Seconds, serving func(server string) bool) (old []C) {
 	for server, list := range s.idle {
 		n := 0
 		if !serving(server) {
--- a/internal/dataplane/usage/usage.go
+++ b/internal/dataplane/usage/usage.go
@@ -12,7 +12,7 @@
 	"math"
 	"slices"
 
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // Arrival tells whether an attempt's request arrived whole at a quote server. The larger one wins over the
@@ -38,11 +38,11 @@
 // ArrivalOf is what an attempt's outcome proves (PROTOCOL, "Ingresses to quote servers"). Answered: a whole answer
 // came, after the request had been written whole. A server that turns a request away has it whole, too: units
 // are taken when the first attempt has arrived, not when it has run.
-func ArrivalOf(outcome passhub.Outcome, answered bool) Arrival {
+func ArrivalOf(outcome decision.Outcome, answered bool) Arrival {
 	switch {
-	case answered || outcome == passhub.Done || outcome == passhub.Busy:
+	case answered || outcome == decision.Done || outcome == decision.Busy:
 		return Whole
-	case outcome == passhub.Refused || outcome == passhub.Skipped:
+	case outcome == decision.Refused || outcome == decision.Skipped:
 		return Never
 	}
 	return Unknown // written whole, and then broken, silent or given up
--- a/internal/dataplane/usage/usage_test.go
+++ b/internal/dataplane/usage/usage_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 func try(member string, minute int64) Try {
@@ -27,14 +27,14 @@
 
 func TestArrivalOf(t *testing.T) {
 	for _, tc := range []struct {
-		outcome  passhub.Outcome
+		outcome  decision.Outcome
 		answered bool
 		want     Arrival
 	}{
-		{passhub.Done, true, Whole}, {passhub.Busy, true, Whole}, {passhub.Failed, true, Whole}, // a 500
-		{passhub.Failed, false, Unknown}, // what came was no answer
-		{passhub.TimedOut, false, Unknown}, {passhub.Reset, false, Unknown}, {passhub.Cancelled, false, Unknown},
-		{passhub.Refused, false, Never}, {passhub.Skipped, false, Never},
+		{decision.Done, true, Whole}, {decision.Busy, true, Whole}, {decision.Failed, true, Whole}, // a 500
+		{decision.Failed, false, Unknown}, // what came was no answer
+		{decision.TimedOut, false, Unknown}, {decision.Reset, false, Unknown}, {decision.Cancelled, false, Unknown},
+		{decision.Refused, false, Never}, {decision.Skipped, false, Never},
 	} {
 		if got := ArrivalOf(tc.outcome, tc.answered); got != tc.want {
 			t.Errorf("outcome %v, answered %v: %v, want %v", tc.outcome, tc.answered, got, tc.want)
--- a/passhub/attempts.go
+++ b/internal/decision/attempts.go
@@ -1,4 +1,4 @@
-package passhub
+package decision
 
 import (
 	"cmp"
--- a/internal/dataplane/odds/mix.go
+++ b/internal/decision/conformance/mix.go
@@ -1,4 +1,4 @@
-package odds
+package conformance
 
 // Mix is what a member asks for, by worth: which part of its use, in units, each worth makes up lately. The zero value knows nothing.
 type Mix struct {
--- a/internal/dataplane/odds/mix_test.go
+++ b/internal/decision/conformance/mix_test.go
@@ -1,4 +1,4 @@
-package odds
+package conformance
 
 import (
 	"math"
--- a/internal/dataplane/odds/odds.go
+++ b/internal/decision/conformance/odds.go
@@ -1,4 +1,4 @@
-// Package odds keeps how often requests turned out to be inside their quota, of those that the shared counter was asked
+// Package conformance keeps how often requests turned out to be inside their quota, of those that the shared counter was asked
 // about, so that others can be decided without asking. It does no I/O and reads no clock.
 //
 // Among 80 ingresses each meets a member about once a minute, and the counter takes half of the calls: most requests are
@@ -6,7 +6,7 @@
 // such a request is whether its client marks it as a repeat: most that are refused for their quota come again, and by then
 // four of five are beyond it. First tries and repeats are kept apart, over all members whose requests cost beyond the quota,
 // for one ingress asks about each kind only once in a second or two: kept for each member, it would never learn anything.
-package odds
+package conformance
 
 const (
 	keep  = 0.95 // weight of what was known, with each further answer: about the last twenty count
--- a/passhub/passhub.go
+++ b/internal/decision/decision.go
@@ -1,9 +1,9 @@
-// Package passhub decides, for one gateway among several, what to do with each request of a
+// Package decision decides, for one gateway among several, what to do with each request of a
 // service sold by plan: send it to a backend, try it again, refuse it or fail it.
 //
 // It does no I/O and reads no clock. A host feeds it events and carries out the actions it returns:
 //
-//	g := passhub.New(settings, seed)
+//	g := decision.New(settings, seed)
 //	for event := range events {
 //		for _, action := range g.Handle(now, event) {
 //			// carry out the action
@@ -14,7 +14,7 @@
 // quota and what becomes of one that is not; quotas.go, customers, their terms and slices, and the counter that
 // gateways share; attempts.go, the first, the next and what came of each; servers.go, which are used and how
 // much each may hold; gateway.go holds them together and has every constant.
-package passhub
+package decision
 
 // Seconds is a time on the host's clock, or a span of it. The clock may begin anywhere.
 type Seconds = float64
@@ -57,7 +57,7 @@
 	Cycle Seconds // of these counters
 
 	// Further attempts to one group of backends, over all gateways: this share of the first ones, and so many beyond it. 0: each gateway
-	// goes by its own rule (internal/dataplane/retry).
+	// goes by its own rule (internal/decision/retry).
 	RetryShare, RetrySlack float64
 
 	// Of a gateway that is two processes for a while; Part sets them.
--- a/passhub/gateway.go
+++ b/internal/decision/gateway.go
@@ -1,10 +1,10 @@
-package passhub
+package decision
 
 import (
 	"math/rand/v2"
 	"slices"
 
-	"mulleinrouter/internal/dataplane/odds"
+	"mulleinrouter/internal/decision/conformance"
 )
 
 const (
@@ -80,7 +80,7 @@
 
 	plannedTill Seconds // requests that come until then are not given up by patience
 
-	odds               odds.Odds
+	odds               conformance.Odds
 	silent             int     // counter calls in a row without an answer
 	muted              Seconds // the counter is left alone until then
 	chance             float64 // of a call for a request of a thin customer
--- a/passhub/gateway_test.go
+++ b/internal/decision/gateway_test.go
@@ -1,4 +1,4 @@
-package passhub
+package decision
 
 import (
 	"bytes"
@@ -504,7 +504,7 @@
 
 // The limit is on the files that deploy/balancer.toml names as policy, together.
 func TestModuleSize(t *testing.T) {
-	deploy, err := os.ReadFile("../deploy/balancer.toml")
+	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -514,7 +514,7 @@
 	}
 	lines := 0
 	for _, file := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(list[1], -1) {
-		text, err := os.ReadFile("../" + string(file[1]))
+		text, err := os.ReadFile("../../" + string(file[1]))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/passhub/hold.go
+++ b/internal/decision/hold.go
@@ -1,4 +1,4 @@
-package passhub
+package decision
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 )
 
 // Ingresses that know of each other may share the quotas of their customers among themselves while the counter is not to be trusted
-// (internal/standalone/fleet/share). What this gateway has of each is held here, and goes before what the gateway reckons itself. It is not
+// (internal/standalone/fleet/quotashare). What this gateway has of each is held here, and goes before what the gateway reckons itself. It is not
 // part of the simulator's policy: there, gateways do not talk.
 
 // Right is what this gateway has of a customer's quota, in units a second.
--- a/passhub/keeper.go
+++ b/internal/decision/keeper.go
@@ -1,4 +1,4 @@
-package passhub
+package decision
 
 // Where the system keeps its own counters, they are pairs: what was asked in a cycle, summed over the gateways, and how many of these
 // it is from ("each ingress holding a slice adds r to one counter and 1 to another"). Cycles are named by the common clock of those who
--- a/passhub/lifecycle.go
+++ b/internal/decision/lifecycle.go
@@ -1,4 +1,4 @@
-package passhub
+package decision
 
 // Lifecycle decides what an ingress process says and does as its operators and the platform move it: whether the
 // front is to send it clients (readiness), whether it is alive for its operators, whether connections are kept open
--- a/passhub/pools.go
+++ b/internal/decision/pools.go
@@ -1,4 +1,4 @@
-package passhub
+package decision
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"mulleinrouter/internal/dataplane/retry"
+	"mulleinrouter/internal/decision/retry"
 )
 
 // pool is what is known of the backends of one group. A host that names no groups has one pool for all.
--- a/passhub/quotas.go
+++ b/internal/decision/quotas.go
@@ -1,4 +1,4 @@
-package passhub
+package decision
 
 import (
 	"cmp"
@@ -8,8 +8,8 @@
 	"strconv"
 	"strings"
 
-	"mulleinrouter/internal/dataplane/ceiling"
-	"mulleinrouter/internal/dataplane/odds"
+	"mulleinrouter/internal/decision/conformance"
+	"mulleinrouter/internal/decision/ratelimit"
 )
 
 type customer struct {
@@ -20,11 +20,11 @@
 	doors, quota       float64 // gateways it may use; what slices share: units a second, or attempts open
 	open               int     // attempts out
 	seen, fastAt       Seconds
-	fast               float64  // requests a second asked just now
-	slice, level, most float64  // units a second; units in the local store, and that it can hold
-	mix                odds.Mix // what it asks for
-	ceiling            float64  // what this gateway's part of the ceiling still lets through
-	filled, ceilFill   Seconds  // when level and ceiling were reckoned
+	fast               float64         // requests a second asked just now
+	slice, level, most float64         // units a second; units in the local store, and that it can hold
+	mix                conformance.Mix // what it asks for
+	ceiling            float64         // what this gateway's part of the ceiling still lets through
+	filled, ceilFill   Seconds         // when level and ceiling were reckoned
 	period, phase      Seconds
 	cycle              int64
 	since, readAt      Seconds // when the cycle began; when its totals are to be read, 0: not now
@@ -329,7 +329,7 @@
 	}
 	if a.room > 0 {
 		if e.Outcome == Done && e.Total <= a.room && a.plan == c.plan {
-			r.common = g.now + ceiling.Late
+			r.common = g.now + ratelimit.Late
 		}
 		g.send(r)
 		return
--- a/internal/dataplane/ceiling/ceiling.go
+++ b/internal/decision/ratelimit/ceiling.go
@@ -1,4 +1,4 @@
-// Package ceiling splits a hard ceiling among the ingresses that one member's requests come through, so that all of them
+// Package ratelimit splits a hard ceiling among the ingresses that one member's requests come through, so that all of them
 // together never pass it. It does no I/O and reads no clock; times are in seconds, amounts in units.
 //
 // Split evenly, a ceiling is refused where it is not used up: a member comes through a few of its ingresses at a time (of
@@ -9,7 +9,7 @@
 // No chain of spans passes the common part, of rate r and depth d: time t touches at most t/span + 2 spans of room r*span
 // each, and what they grant is sent up to Late after the answer, so at most r*t + 2*r*span + r*Late = r*t + d comes, by
 // the choice of span. A counter that was lost comes back empty, but no sooner than a span lasts: none is granted twice.
-package ceiling
+package ratelimit
 
 import (
 	"math"
--- a/internal/dataplane/ceiling/ceiling_test.go
+++ b/internal/decision/ratelimit/ceiling_test.go
@@ -1,4 +1,4 @@
-package ceiling
+package ratelimit
 
 import (
 	"fmt"
--- a/passhub/retune.go
+++ b/internal/decision/retune.go
@@ -1,4 +1,4 @@
-package passhub
+package decision
 
 // Retune has the gateway go by other classes and another number of attempts from now on, as an operator's SIGHUP
 // brings them. Each request in hand holds the class it began with and keeps it; requests of a class that is dropped
--- a/passhub/terms.go
+++ b/internal/decision/terms.go
@@ -1,11 +1,11 @@
-package passhub
+package decision
 
 import (
 	"fmt"
 	"hash/fnv"
 	"strconv"
 
-	"mulleinrouter/internal/dataplane/ceiling"
+	"mulleinrouter/internal/decision/ratelimit"
 )
 
 // Tag is one word for a plan's figures, the same at all gateways where they are the same. The plan's name is
@@ -18,8 +18,8 @@
 }
 
 // split is the plan's ceiling among the gateways of a customer.
-func (p *Plan) split(doors float64, counter bool) ceiling.Split {
-	return ceiling.Split{Rate: p.CeilingRate, Depth: p.CeilingDepth, Slack: p.CeilingSlack, Doors: doors, Counter: counter}
+func (p *Plan) split(doors float64, counter bool) ratelimit.Split {
+	return ratelimit.Split{Rate: p.CeilingRate, Depth: p.CeilingDepth, Slack: p.CeilingSlack, Doors: doors, Counter: counter}
 }
 
 // sendsBeyond tells whether requests are sent on beyond the quota: they earn more than they cost.
--- a/internal/emulator/capacity/plan.go
+++ b/internal/emulator/capacity/plan.go
@@ -12,14 +12,14 @@
 	"strconv"
 
 	"mulleinrouter/internal/cluster/settings"
-	"mulleinrouter/internal/emulator/slopes"
+	"mulleinrouter/internal/emulator/costmodel"
 )
 
 //go:embed slopes.json
 var stored []byte
 
 // Stored are the slopes that came with the program. It errs where they cannot be read.
-func Stored() (*slopes.Run, error) { return slopes.Read(bytes.NewReader(stored)) }
+func Stored() (*costmodel.Run, error) { return costmodel.Read(bytes.NewReader(stored)) }
 
 // Plan is a size, what is known where at it, and the limits: figures by their paths.
 type Plan struct {
--- a/internal/emulator/capacity/plan_test.go
+++ b/internal/emulator/capacity/plan_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"mulleinrouter/internal/emulator/slopes"
+	"mulleinrouter/internal/emulator/costmodel"
 )
 
 // tiny is a small plan that gives what must be given.
@@ -37,10 +37,10 @@
 `
 
 // flat are slopes of which each says the same: one a thing, and nothing beside.
-func flat(t *testing.T, names []string) *slopes.Run {
-	r := new(slopes.Run)
+func flat(t *testing.T, names []string) *costmodel.Run {
+	r := new(costmodel.Run)
 	for _, n := range names {
-		s := slopes.Series{Name: n, Points: []slopes.Point{{N: 1, Y: 1}, {N: 2, Y: 2}, {N: 4, Y: 4}}, Held: slopes.Point{N: 8, Y: 8}}
+		s := costmodel.Series{Name: n, Points: []costmodel.Point{{N: 1, Y: 1}, {N: 2, Y: 2}, {N: 4, Y: 4}}, Held: costmodel.Point{N: 8, Y: 8}}
 		if err := s.Fit(); err != nil {
 			t.Fatal(err)
 		}
@@ -86,7 +86,7 @@
 	is.NoErr(r.Write(&out))
 	is.True(strings.Contains(out.String(), "binds first: "+order[0].Role))
 
-	_, err = p.Reckon(new(slopes.Run))
+	_, err = p.Reckon(new(costmodel.Run))
 	is.True(err != nil && strings.Contains(err.Error(), "store.route"))
 }
 
--- a/internal/emulator/capacity/reckon.go
+++ b/internal/emulator/capacity/reckon.go
@@ -6,7 +6,7 @@
 
 	"github.com/pkg/errors"
 
-	"mulleinrouter/internal/emulator/slopes"
+	"mulleinrouter/internal/emulator/costmodel"
 )
 
 // Row is one need of a role beside its limit.
@@ -34,19 +34,19 @@
 // reckoner takes slopes by their names, and keeps the first that lacks.
 type reckoner struct {
 	*Plan
-	run  *slopes.Run
+	run  *costmodel.Run
 	err  error
 	rows []Row
 }
 
-func (r *reckoner) series(name string) *slopes.Series {
+func (r *reckoner) series(name string) *costmodel.Series {
 	if s := r.run.Find(name); s != nil {
 		return s
 	}
 	if r.err == nil {
 		r.err = errors.Errorf("the run has no slope %q", name)
 	}
-	return new(slopes.Series)
+	return new(costmodel.Series)
 }
 
 // each is what one more of a thing costs; at is what an operation costs at a size.
@@ -111,7 +111,7 @@
 )
 
 // reckon fills the rows at one size.
-func (p *Plan) reckon(run *slopes.Run) ([]Row, error) {
+func (p *Plan) reckon(run *costmodel.Run) ([]Row, error) {
 	r := &reckoner{Plan: p, run: run}
 	r.ingress()
 	r.core()
@@ -340,7 +340,7 @@
 
 // Reckon reckons the needs at the size of the plan, and for each up to which part of that size it keeps its limit. It errs where the run
 // lacks a slope.
-func (p *Plan) Reckon(run *slopes.Run) (*Report, error) {
+func (p *Plan) Reckon(run *costmodel.Run) (*Report, error) {
 	rows, err := p.reckon(run)
 	if err != nil {
 		return nil, err
--- a/internal/emulator/capacity/report.go
+++ b/internal/emulator/capacity/report.go
@@ -9,13 +9,13 @@
 	"strings"
 	"text/tabwriter"
 
-	"mulleinrouter/internal/emulator/slopes"
+	"mulleinrouter/internal/emulator/costmodel"
 )
 
 // Report is what was reckoned.
 type Report struct {
 	Plan *Plan
-	Run  *slopes.Run
+	Run  *costmodel.Run
 	Rows []Row
 }
 
--- a/internal/emulator/slopes/cluster.go
+++ b/internal/emulator/costmodel/cluster.go
@@ -1,4 +1,4 @@
-package slopes
+package costmodel
 
 import (
 	"bufio"
@@ -12,11 +12,11 @@
 	"github.com/go-kit/log"
 
 	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/quota"
 	"mulleinrouter/internal/cluster/registry"
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/transport"
-	"mulleinrouter/internal/control/consensus"
 	"mulleinrouter/internal/control/storage"
 )
 
--- a/internal/emulator/slopes/fit.go
+++ b/internal/emulator/costmodel/fit.go
@@ -1,7 +1,7 @@
-// Package slopes measures what the roles of the system cost by the size of what they know: live heap in bytes, processor time of this
+// Package costmodel measures what the roles of the system cost by the size of what they know: live heap in bytes, processor time of this
 // process in seconds, bytes on the wire. Each measurement is taken at several sizes, a line is laid through all but one of them,
 // and the one that was held back is predicted.
-package slopes
+package costmodel
 
 import (
 	"bufio"
--- a/internal/emulator/slopes/gateway.go
+++ b/internal/emulator/costmodel/gateway.go
@@ -1,4 +1,4 @@
-package slopes
+package costmodel
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"runtime"
 	"runtime/debug"
 
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // ingressesMost is the number of ingresses that a gateway here is one of.
@@ -14,30 +14,30 @@
 
 // gate is a gateway of the proxy as proxy sets it up, with a clock that only moves as told.
 type gate struct {
-	g     *passhub.Gateway
+	g     *decision.Gateway
 	now   float64
 	id    uint64
-	class *passhub.Class
-	terms []*passhub.Terms
+	class *decision.Class
+	terms []*decision.Terms
 	acts  int
 }
 
 // newGate is a gateway before so many servers, in groups of so many, that has met so many tenants.
 func newGate(servers, group, tenants, doors int) *gate {
-	x := &gate{class: &passhub.Class{Name: "r", Aim: 0.4, Deadline: 1, Worth: 1, LateWorth: 0.5, Attempts: 2, Hold: 0.088, Effect: passhub.Safe}}
-	x.g = passhub.New(passhub.Settings{Balancers: ingressesMost, Me: 1, Zone: "region-hall-1", AnswerSlack: 0.02, ColdShare: 0.5, WarmUp: 3, MaxAttempts: 2,
+	x := &gate{class: &decision.Class{Name: "r", Aim: 0.4, Deadline: 1, Worth: 1, LateWorth: 0.5, Attempts: 2, Hold: 0.088, Effect: decision.Safe}}
+	x.g = decision.New(decision.Settings{Balancers: ingressesMost, Me: 1, Zone: "region-hall-1", AnswerSlack: 0.02, ColdShare: 0.5, WarmUp: 3, MaxAttempts: 2,
 		MayCancel: true, MayRetryAfter: true, MaxRetryAfter: 0.5, ConnectTimeout: 0.25, Keepalive: 8, MayCount: true, CountWait: 0.35, Slots: true,
 		Afar: 1.25, Pairs: true, Cycle: 1, RetryShare: 0.16, RetrySlack: 48}, 1)
-	x.g.Handle(0, passhub.Start{})
-	list := make([]passhub.Backend, servers)
+	x.g.Handle(0, decision.Start{})
+	list := make([]decision.Backend, servers)
 	for i := range list {
 		s := server(i, 1)
-		list[i] = passhub.Backend{ID: s.ID, Group: fmt.Sprint("g", i/group), Kind: "k", Zone: s.Zone, Serving: true, Size: 3}
+		list[i] = decision.Backend{ID: s.ID, Group: fmt.Sprint("g", i/group), Kind: "k", Zone: s.Zone, Serving: true, Size: 3}
 	}
-	x.g.Handle(0, passhub.Backends{List: list})
+	x.g.Handle(0, decision.Backends{List: list})
 	x.now = 20
 	for i := range tenants {
-		x.terms = append(x.terms, &passhub.Terms{Customer: tenantName(i), Tag: "7", Plan: passhub.Plan{Name: tenantName(i), Rate: float64(10 + i%90), Burst: 50, Price: 1}})
+		x.terms = append(x.terms, &decision.Terms{Customer: tenantName(i), Tag: "7", Plan: decision.Plan{Name: tenantName(i), Rate: float64(10 + i%90), Burst: 50, Price: 1}})
 		x.request(i, "g0", doors)
 	}
 	return x
@@ -46,7 +46,7 @@
 // request has the gateway decide a request of a tenant, answers its call of the counter if it makes one, and ends its attempt.
 func (x *gate) request(tenant int, group string, doors int) {
 	x.id++
-	r := passhub.Request{ID: x.id, Class: "r", Kind: x.class, Group: group, Left: 0.9, Units: 1, Doors: doors}
+	r := decision.Request{ID: x.id, Class: "r", Kind: x.class, Group: group, Left: 0.9, Units: 1, Doors: doors}
 	if len(x.terms) > 0 {
 		t := x.terms[tenant%len(x.terms)]
 		r.Customer, r.Terms = t.Customer, t
@@ -54,21 +54,21 @@
 	x.follow(x.g.Handle(x.now, r))
 }
 
-func (x *gate) follow(actions []passhub.Action) {
+func (x *gate) follow(actions []decision.Action) {
 	x.acts += len(actions)
 	for _, a := range actions {
 		switch a := a.(type) {
-		case passhub.Count:
-			x.follow(x.g.Handle(x.now, passhub.Counted{Name: a.Name, Outcome: passhub.Done, Total: max(1, a.Add), Holders: 2}))
-		case passhub.Send:
-			x.follow(x.g.Handle(x.now, passhub.AttemptEnded{ID: a.ID, Attempt: 1, Backend: a.Backend, Outcome: passhub.Done, Took: 0.01}))
+		case decision.Count:
+			x.follow(x.g.Handle(x.now, decision.Counted{Name: a.Name, Outcome: decision.Done, Total: max(1, a.Add), Holders: 2}))
+		case decision.Send:
+			x.follow(x.g.Handle(x.now, decision.AttemptEnded{ID: a.ID, Attempt: 1, Backend: a.Backend, Outcome: decision.Done, Took: 0.01}))
 		}
 	}
 }
 
 func (x *gate) tick() {
 	x.now += 0.05
-	x.follow(x.g.Handle(x.now, passhub.Timer{Token: "tick"}))
+	x.follow(x.g.Handle(x.now, decision.Timer{Token: "tick"}))
 }
 
 // gateways are the proxy's decisions. Requests come at the pace of one ingress of the size to design for; ticks are not counted
--- a/internal/emulator/slopes/slopes_test.go
+++ b/internal/emulator/costmodel/slopes_test.go
@@ -1,4 +1,4 @@
-package slopes
+package costmodel
 
 import (
 	"bytes"
--- a/internal/emulator/standin/billing.go
+++ b/internal/emulator/fakes/billing.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"compress/gzip"
@@ -11,7 +11,7 @@
 	"sync"
 
 	"mulleinrouter/internal/dataplane/usage"
-	"mulleinrouter/internal/standalone/fleet/steward"
+	"mulleinrouter/internal/standalone/fleet/leaseservice"
 	"mulleinrouter/internal/standalone/usageexport"
 )
 
@@ -119,7 +119,7 @@
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	if word := r.Header.Get(steward.FencingToken); word != "" && !b.fence(word, batch) {
+	if word := r.Header.Get(leaseservice.FencingToken); word != "" && !b.fence(word, batch) {
 		http.Error(w, "an older holder's", http.StatusPreconditionFailed)
 		return
 	}
--- a/internal/emulator/standin/discovery.go
+++ b/internal/emulator/fakes/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"fmt"
--- a/internal/emulator/standin/quotes.go
+++ b/internal/emulator/fakes/quotes.go
@@ -1,7 +1,7 @@
-// Package standin has small servers that stand in for what an ingress meets, written from PROTOCOL: quote servers,
+// Package fakes has small servers that stand in for what an ingress meets, written from PROTOCOL: quote servers,
 // discovery with its watch, a billing endpoint. The counter is that of package counterd. They listen on loopback
 // only. Tests, measurements and `mulleinrouter try` use them.
-package standin
+package fakes
 
 import (
 	"context"
--- a/internal/emulator/rehearse/actions.go
+++ b/internal/emulator/faulttest/actions.go
@@ -1,4 +1,4 @@
-package rehearse
+package faulttest
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 	"syscall"
 	"time"
 
+	"mulleinrouter/internal/emulator/fakes"
 	"mulleinrouter/internal/emulator/faultnet"
-	"mulleinrouter/internal/emulator/rig"
-	"mulleinrouter/internal/emulator/standin"
-	"mulleinrouter/internal/standalone/fleet/steward"
+	"mulleinrouter/internal/emulator/testcluster"
+	"mulleinrouter/internal/standalone/fleet/leaseservice"
 )
 
 // happen does the steps at their times.
@@ -122,7 +122,7 @@
 }
 
 // running does something with the process of each node that runs one; what goes wrong is noted.
-func (a *action) running(do func(*rig.Process) error) {
+func (a *action) running(do func(*testcluster.Process) error) {
 	for _, n := range a.nodes {
 		if process := n.running(); process != nil {
 			a.player.problem(do(process))
@@ -245,14 +245,14 @@
 func (a *action) lameDuck() (undo func(), err error) {
 	err = a.each(func(n *node, _ int) error { _, err := call(n.running().Mgmt, "LAMEDUCK"); return err })
 	return func() {
-		a.running(func(process *rig.Process) error { _, err := call(process.Mgmt, "REJOIN"); return err })
+		a.running(func(process *testcluster.Process) error { _, err := call(process.Mgmt, "REJOIN"); return err })
 	}, err
 }
 
 func (a *action) fill() (undo func(), err error) {
 	err = a.each(func(n *node, _ int) error { return n.running().Fill(true) })
 	return func() {
-		a.running(func(process *rig.Process) error { return process.Fill(false) })
+		a.running(func(process *testcluster.Process) error { return process.Fill(false) })
 	}, err
 }
 
@@ -277,7 +277,7 @@
 
 func (a *action) server() (undo func(), err error) {
 	i, _ := strconv.Atoi(a.step.Word) // checked with the file
-	a.player.w.quotes[i-1].Set(&standin.Faults{Error: 1})
+	a.player.w.quotes[i-1].Set(&fakes.Faults{Error: 1})
 	return func() { a.player.w.quotes[i-1].Set(nil) }, nil
 }
 
@@ -292,7 +292,7 @@
 
 func (a *action) give() (undo func(), err error) {
 	return nil, a.each(func(n *node, _ int) error {
-		_, err := call(n.running().Mgmt, "GIVE "+steward.Export+" "+n.name)
+		_, err := call(n.running().Mgmt, "GIVE "+leaseservice.Export+" "+n.name)
 		return err
 	})
 }
--- a/internal/emulator/rehearse/customers.go
+++ b/internal/emulator/faulttest/customers.go
@@ -1,4 +1,4 @@
-package rehearse
+package faulttest
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"mulleinrouter/internal/standalone/counterd"
-	"mulleinrouter/internal/standalone/fleet/sharing"
+	"mulleinrouter/internal/standalone/counterserver"
+	"mulleinrouter/internal/standalone/fleet/quotasync"
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
@@ -89,7 +89,7 @@
 		if err != nil {
 			return "", fmt.Errorf("rehearsal: %w", err)
 		}
-		c := counterd.New(1)
+		c := counterserver.New(1)
 		go c.Serve(l)
 		w.others, w.otherL = append(w.others, c), append(w.otherL, l)
 		return l.Addr().String(), nil
@@ -153,7 +153,7 @@
 			if process == nil || process.Stopped() {
 				continue
 			}
-			var r sharing.Report
+			var r quotasync.Report
 			if lines, err := call(process.Mgmt, "STATE -"); err != nil || len(lines) == 0 || jsontext.Decode([]byte(lines[0]), &r) != nil || len(r.Warned) == 0 {
 				continue
 			}
--- a/internal/emulator/rehearse/duties.go
+++ b/internal/emulator/faulttest/duties.go
@@ -1,4 +1,4 @@
-package rehearse
+package faulttest
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"mulleinrouter/internal/standalone/fleet/steward"
+	"mulleinrouter/internal/standalone/fleet/leaseservice"
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
@@ -36,13 +36,13 @@
 			if err != nil || len(lines) == 0 {
 				continue
 			}
-			var t steward.Told
+			var t leaseservice.Told
 			if jsontext.Decode([]byte(lines[0]), &t) != nil {
 				continue
 			}
 			h := holding{at: time.Now()}
 			for _, d := range t.Duties {
-				if d.Duty == steward.Export {
+				if d.Duty == leaseservice.Export {
 					h.holder, h.token = d.Holder, d.Token
 				}
 			}
@@ -186,7 +186,7 @@
 			if process == nil || process.Stopped() {
 				continue
 			}
-			var a steward.Announced
+			var a leaseservice.Announced
 			lines, err := call(process.Mgmt, "CATALOGUE")
 			if err != nil || len(lines) == 0 || jsontext.Decode([]byte(lines[0]), &a) != nil {
 				o.same, o.text = false, n.name+" does not answer"
--- a/internal/emulator/rehearse/file.go
+++ b/internal/emulator/faulttest/file.go
@@ -1,7 +1,7 @@
-// Package rehearse plays timelines of faults on real processes: it starts ingresses of the built program on loopback, each
+// Package faulttest plays timelines of faults on real processes: it starts ingresses of the built program on loopback, each
 // with an address of its own, carries what they say to each other and to their stand-ins over links that it controls by
 // direction and by pair, stops, kills, fills disks and restores folders as a file says, and checks what the file expects.
-package rehearse
+package faulttest
 
 import (
 	"fmt"
@@ -11,10 +11,10 @@
 	"strings"
 	"time"
 
-	"mulleinrouter/deploy/rehearsals"
+	"mulleinrouter/deploy/faulttests"
 	"mulleinrouter/internal/emulator/faultnet"
-	"mulleinrouter/internal/standalone/disk"
 	"mulleinrouter/internal/standalone/hclfile"
+	"mulleinrouter/internal/standalone/vfs"
 )
 
 // Timeline is a rehearsal as its file has it.
@@ -144,12 +144,12 @@
 )
 
 // diskFails are the ways in which a disk fails, below the stores of a process.
-var diskFails = map[string]map[disk.Op]disk.Bad{
-	"write":  {disk.Write: {Err: "EIO"}},
-	"torn":   {disk.Write: {Err: "EIO", Torn: true}},
-	"full":   {disk.Write: {Err: "ENOSPC", Torn: true}},
-	"sync":   {disk.Sync: {Err: "EIO"}},
-	"rename": {disk.Rename: {Err: "EIO"}},
+var diskFails = map[string]map[vfs.Op]vfs.Bad{
+	"write":  {vfs.Write: {Err: "EIO"}},
+	"torn":   {vfs.Write: {Err: "EIO", Torn: true}},
+	"full":   {vfs.Write: {Err: "ENOSPC", Torn: true}},
+	"sync":   {vfs.Sync: {Err: "EIO"}},
+	"rename": {vfs.Rename: {Err: "EIO"}},
 }
 
 // stands are ends that are no members: what an ingress says to them goes over links, too.
@@ -188,7 +188,7 @@
 
 // Shipped reads one of those that ship, by its name.
 func Shipped(name string) (*Timeline, error) {
-	text, err := rehearsals.Files.ReadFile(name + ".hcl")
+	text, err := faulttests.Files.ReadFile(name + ".hcl")
 	if err != nil {
 		return nil, fmt.Errorf("rehearsal: no timeline %q ships, and no file has this name", name)
 	}
--- a/internal/emulator/rehearse/find.go
+++ b/internal/emulator/faulttest/find.go
@@ -1,4 +1,4 @@
-package rehearse
+package faulttest
 
 import (
 	"fmt"
--- a/internal/emulator/rehearse/nodes.go
+++ b/internal/emulator/faulttest/nodes.go
@@ -1,4 +1,4 @@
-package rehearse
+package faulttest
 
 import (
 	"fmt"
@@ -7,12 +7,12 @@
 	"time"
 
 	"mulleinrouter/internal/emulator/faultnet"
-	"mulleinrouter/internal/emulator/rig"
-	"mulleinrouter/internal/standalone/disk"
+	"mulleinrouter/internal/emulator/testcluster"
 	"mulleinrouter/internal/standalone/faultinjection"
 	"mulleinrouter/internal/standalone/fleet/gossip"
 	"mulleinrouter/internal/standalone/jsontext"
 	"mulleinrouter/internal/standalone/mgmt"
+	"mulleinrouter/internal/standalone/vfs"
 )
 
 // node is one member: its place, and the process that runs there.
@@ -29,8 +29,8 @@
 	saved    string
 
 	mu      sync.Mutex
-	process *rig.Process // nil: none runs
-	twin    *rig.Process
+	process *testcluster.Process // nil: none runs
+	twin    *testcluster.Process
 	starts  int
 	off     []span // when nothing could be expected of it
 	view    uint64
@@ -45,7 +45,7 @@
 }
 
 // launch starts a member's process.
-func (w *world) launch(i int, twin bool) (*rig.Process, error) {
+func (w *world) launch(i int, twin bool) (*testcluster.Process, error) {
 	n := w.nodes[i]
 	path, err := w.config(n, i, twin)
 	if err != nil {
@@ -58,18 +58,18 @@
 	if err := n.fails(w.t, nil); err != nil { // its machine has a sound disk again
 		return nil, err
 	}
-	return rig.Launch(log, "process-started", w.program, "serve", "-c", path, "--rehearsal", n.faults())
+	return testcluster.Launch(log, "process-started", w.program, "serve", "-c", path, "--rehearsal", n.faults())
 }
 
 func (n *node) faults() string { return n.folder + ".faults.json" }
 
 // fails has the disk below a member's process fail from now on, or no more.
-func (n *node) fails(t *Timeline, all map[disk.Op]disk.Bad) error {
+func (n *node) fails(t *Timeline, all map[vfs.Op]vfs.Bad) error {
 	text, err := jsontext.Encode(faultinjection.Plan{Clock: t.Clocks[n.name], Fail: all})
 	if err != nil {
 		return err
 	}
-	return disk.Replace(disk.OS{}, n.faults(), text, 0o644)
+	return vfs.Replace(vfs.OS{}, n.faults(), text, 0o644)
 }
 
 // plans is a member's own file of the catalogue. It stays where the folder of its state is lost.
@@ -79,13 +79,13 @@
 func (n *node) usage() string { return n.folder + ".usage" }
 
 // run has a process be the member's.
-func (n *node) run(p *rig.Process) {
+func (n *node) run(p *testcluster.Process) {
 	n.mu.Lock()
 	n.process, n.view = p, 0
 	n.mu.Unlock()
 }
 
-func (n *node) running() *rig.Process {
+func (n *node) running() *testcluster.Process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.process
--- a/internal/emulator/rehearse/play.go
+++ b/internal/emulator/faulttest/play.go
@@ -1,4 +1,4 @@
-package rehearse
+package faulttest
 
 import (
 	"cmp"
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"mulleinrouter/internal/emulator/rig"
-	"mulleinrouter/internal/emulator/standin"
+	"mulleinrouter/internal/emulator/fakes"
+	"mulleinrouter/internal/emulator/testcluster"
 	"mulleinrouter/internal/standalone/fleet/gossip"
 	"mulleinrouter/internal/standalone/jsontext"
 )
@@ -48,7 +48,7 @@
 	number  uint64 // of the newest revision that was written
 	orders  []order
 	warned  []warning
-	taken   []standin.Taken
+	taken   []fakes.Taken
 	fenced  int
 }
 
@@ -244,7 +244,7 @@
 
 // spending is what a process has spent since its start.
 type spending struct {
-	process *rig.Process
+	process *testcluster.Process
 	traffic gossip.Traffic
 	cpu     time.Duration
 }
--- a/internal/emulator/rehearse/world.go
+++ b/internal/emulator/faulttest/world.go
@@ -1,4 +1,4 @@
-package rehearse
+package faulttest
 
 import (
 	"cmp"
@@ -17,14 +17,14 @@
 	"sync/atomic"
 	"time"
 
+	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/emulator/fakes"
 	"mulleinrouter/internal/emulator/faultnet"
-	"mulleinrouter/internal/emulator/rig"
-	"mulleinrouter/internal/emulator/standin"
+	"mulleinrouter/internal/emulator/testcluster"
 	"mulleinrouter/internal/standalone/catalogue"
-	"mulleinrouter/internal/standalone/counterd"
+	"mulleinrouter/internal/standalone/counterserver"
 	"mulleinrouter/internal/standalone/discovery"
 	"mulleinrouter/internal/standalone/plans"
-	"mulleinrouter/passhub"
 )
 
 // world is what a rehearsal plays in.
@@ -35,11 +35,11 @@
 	links   *faultnet.Links
 	network string // first three numbers of the members' addresses
 
-	billing  *standin.Billing
-	quotes   []*standin.Quotes
-	counter  *counterd.Server
+	billing  *fakes.Billing
+	quotes   []*fakes.Quotes
+	counter  *counterserver.Server
 	counterL net.Listener
-	others   []*counterd.Server // counters in place of the first, or beside it
+	others   []*counterserver.Server // counters in place of the first, or beside it
 	otherL   []net.Listener
 	shift    atomic.Int64 // by how many ingresses the customers' busy ones have moved
 	nodes    []*node
@@ -48,7 +48,7 @@
 	mu    sync.Mutex
 	byIP  map[string]string // member by the address that it calls from
 	relay []*faultnet.Relay
-	lists []*standin.Discovery
+	lists []*fakes.Discovery
 }
 
 type span struct{ from, to time.Time } // to is zero: not over yet
@@ -62,20 +62,20 @@
 	n := os.Getpid() + 1009*int(worlds.Add(1))
 	w.network = fmt.Sprintf("127.%d.%d", 64+n/200%64, 1+n%200)
 	for i := range max(1, t.Servers) {
-		q := &standin.Quotes{Cores: 16, Queue: 64, Work: 2 * time.Millisecond, Salt: uint64(i)}
+		q := &fakes.Quotes{Cores: 16, Queue: 64, Work: 2 * time.Millisecond, Salt: uint64(i)}
 		if err := q.Start(); err != nil {
 			return w, err
 		}
 		w.quotes = append(w.quotes, q)
 	}
-	w.billing = &standin.Billing{}
+	w.billing = &fakes.Billing{}
 	if err := w.billing.Start(); err != nil {
 		return w, err
 	}
 	if w.counterL, err = net.Listen("tcp4", "127.0.0.1:0"); err != nil {
 		return w, fmt.Errorf("rehearsal: %w", err)
 	}
-	w.counter = counterd.New(1)
+	w.counter = counterserver.New(1)
 	go w.counter.Serve(w.counterL)
 	if t.Sealed {
 		w.keys = []string{newKey()}
@@ -147,7 +147,7 @@
 // stands puts a member's own relays before the stand-ins: at these, the listener tells who calls.
 func (w *world) stands(n *node) error {
 	me := func(net.Addr) string { return n.name }
-	d := &standin.Discovery{}
+	d := &fakes.Discovery{}
 	if err := d.Start(); err != nil {
 		return err
 	}
@@ -294,7 +294,7 @@
 // revise writes a revision into a member's file: under one number, each member's has another content.
 func (w *world) revise(n *node, number uint64) error {
 	i := slices.Index(w.nodes, n)
-	r := plans.Revision{Number: number, Authority: plans.Header, Plans: []passhub.Plan{{Name: "basic", Rate: 1000 + float64(i), Burst: 1000, Price: 1}}}
+	r := plans.Revision{Number: number, Authority: plans.Header, Plans: []decision.Plan{{Name: "basic", Rate: 1000 + float64(i), Burst: 1000, Price: 1}}}
 	if number > 1 {
 		r.Holds = float64(time.Now().Add(time.Second).UnixMilli()) / 1000
 	}
@@ -377,8 +377,8 @@
 }
 
 // arrived is what arrived at all quote servers.
-func (w *world) arrived() map[string]standin.Arrival {
-	all := map[string]standin.Arrival{}
+func (w *world) arrived() map[string]fakes.Arrival {
+	all := map[string]fakes.Arrival{}
 	for _, q := range w.quotes {
 		maps.Copy(all, q.Arrived())
 	}
@@ -390,7 +390,7 @@
 	var ending sync.WaitGroup
 	for _, n := range w.nodes {
 		n.mu.Lock()
-		all := []*rig.Process{n.process, n.twin}
+		all := []*testcluster.Process{n.process, n.twin}
 		n.mu.Unlock()
 		for _, p := range all {
 			if p != nil {
--- a/internal/emulator/rules/rules_test.go
+++ b/internal/emulator/invariants/rules_test.go
@@ -1,4 +1,4 @@
-package rules
+package invariants
 
 import (
 	"slices"
--- a/internal/emulator/loopback/client.go
+++ b/internal/emulator/loopback/client.go
@@ -20,7 +20,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"mulleinrouter/internal/emulator/rules"
+	"mulleinrouter/internal/emulator/invariants"
 )
 
 const (
@@ -45,7 +45,7 @@
 	in   *bufio.Reader
 	edge *machine
 	till time.Time
-	last *rules.Try
+	last *invariants.Try
 }
 
 // extra looks for bytes behind the last answer, and whether the connection has been closed.
@@ -135,9 +135,9 @@
 		left := c.deadline - time.Since(o.began)
 		t, advice := f.try(o, n, left, rng)
 		left = c.deadline - time.Since(o.began)
-		promise := t.End == rules.Answered && (t.Status == 408 || t.Status == 421 || t.Status == 429 || t.Status == 503)
-		final := t.End == rules.Answered && (t.Status/100 == 2 || slices.Contains([]int{400, 401, 403, 404, 413, 431}, t.Status))
-		again := !final && (!c.once || promise || t.End == rules.Unconnected)
+		promise := t.End == invariants.Answered && (t.Status == 408 || t.Status == 421 || t.Status == 429 || t.Status == 503)
+		final := t.End == invariants.Answered && (t.Status/100 == 2 || slices.Contains([]int{400, 401, 403, 404, 413, 431}, t.Status))
+		again := !final && (!c.once || promise || t.End == invariants.Unconnected)
 		wait := backoff + time.Duration(rng.Int64N(int64(backoff)))
 		backoff *= 2
 		if advice > 0 {
@@ -152,9 +152,9 @@
 }
 
 // try makes one try; advice is what Retry-After says.
-func (f *cluster) try(o *order, n int, left time.Duration, rng *rand.Rand) (t *rules.Try, advice time.Duration) {
+func (f *cluster) try(o *order, n int, left time.Duration, rng *rand.Rand) (t *invariants.Try, advice time.Duration) {
 	c := o.class
-	t = &rules.Try{ID: fmt.Sprintf("%016x", rng.Uint64()), Class: c.name, Once: c.once, Probe: o.probe != nil, Method: http.MethodGet,
+	t = &invariants.Try{ID: fmt.Sprintf("%016x", rng.Uint64()), Class: c.name, Once: c.once, Probe: o.probe != nil, Method: http.MethodGet,
 		Host: o.route.host, Target: fmt.Sprintf("%s%x", o.route.prefix, rng.Uint32N(1<<20)), Key: o.key, Left: left.Seconds(),
 		Began: f.at(o.began), Aim: c.aim.Seconds()}
 	if rng.IntN(4) == 0 {
@@ -179,7 +179,7 @@
 		t.Edge = edge.name
 		conn, err := net.DialTimeout("tcp4", edge.at(f.ports.front), min(connectMost, left))
 		if err != nil {
-			t.Sent, t.Done, t.End = f.now(), f.now(), rules.Unconnected
+			t.Sent, t.Done, t.End = f.now(), f.now(), invariants.Unconnected
 			return t, 0
 		}
 		k = &kept{c: conn.(*net.TCPConn), in: bufio.NewReader(conn), edge: edge}
@@ -217,12 +217,12 @@
 	} else {
 		t.End = failed(err)
 	}
-	if t.End == rules.CutOff && t.Status == 0 && f.unread(k.c, err) {
-		t.End = rules.Unconnected
+	if t.End == invariants.CutOff && t.Status == 0 && f.unread(k.c, err) {
+		t.End = invariants.Unconnected
 	}
 	t.Done = f.now()
-	if err != nil || t.End != rules.Answered || closing || k.till.IsZero() {
-		if err == nil && t.End == rules.Answered {
+	if err != nil || t.End != invariants.Answered || closing || k.till.IsZero() {
+		if err == nil && t.End == invariants.Answered {
 			f.drop(k)
 		} else {
 			k.c.Close()
@@ -238,11 +238,11 @@
 }
 
 // failed is how a try ended whose connection failed.
-func failed(err error) rules.Ending {
+func failed(err error) invariants.Ending {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return rules.GaveUp
+		return invariants.GaveUp
 	}
-	return rules.CutOff
+	return invariants.CutOff
 }
 
 // unread tells whether the machine closed the connection without having read the request: its kernel resets such a connection. It may
@@ -266,7 +266,7 @@
 }
 
 // read reads an answer. The connection may be kept until k.till; zero: it may not.
-func (f *cluster) read(k *kept, t *rules.Try) (advice time.Duration, err error) {
+func (f *cluster) read(k *kept, t *invariants.Try) (advice time.Duration, err error) {
 	k.till = time.Time{}
 	if _, err := k.in.Peek(1); err != nil {
 		t.End = failed(err)
@@ -275,8 +275,8 @@
 	r, err := http.ReadResponse(k.in, &http.Request{Method: t.Method})
 	if err != nil {
 		ended := errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)
-		if t.End = failed(err); t.End == rules.CutOff && !ended {
-			t.End = rules.Garbled
+		if t.End = failed(err); t.End == invariants.CutOff && !ended {
+			t.End = invariants.Garbled
 		}
 		return 0, err
 	}
--- a/internal/emulator/loopback/faults.go
+++ b/internal/emulator/loopback/faults.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"mulleinrouter/internal/emulator/rules"
+	"mulleinrouter/internal/emulator/invariants"
 )
 
 // Fault is one entry of a schedule.
@@ -106,7 +106,7 @@
 		}},
 		"cut-edge": {"an edge machine is cut off from all core nodes for 3 s", func(f *cluster, n int) {
 			m := f.edgeOf(n)
-			over := f.ledger.trouble(rules.Trouble{Machine: m.name, From: f.now()})
+			over := f.ledger.trouble(invariants.Trouble{Machine: m.name, From: f.now()})
 			heal := f.sever(m, f.core, bothWays)
 			f.hold(darkFor)
 			heal()
@@ -339,7 +339,7 @@
 
 // blackout kills all core nodes, wipes one disk (nil: none), and starts them again.
 func (f *cluster) blackout(wiped *machine) {
-	over := f.ledger.trouble(rules.Trouble{Machine: "core", Core: true, Majority: true, From: f.now()})
+	over := f.ledger.trouble(invariants.Trouble{Machine: "core", Core: true, Majority: true, From: f.now()})
 	f.ledger.do(func() { f.ledger.log.Closing = f.now() })
 	var dead, back sync.WaitGroup
 	dead.Add(len(f.core))
--- a/internal/emulator/loopback/heartbeats.go
+++ b/internal/emulator/loopback/heartbeats.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"mulleinrouter/internal/emulator/rules"
+	"mulleinrouter/internal/emulator/invariants"
 )
 
 // beats tells the control nodes of it until it ends.
@@ -50,7 +50,7 @@
 		s.mu.Unlock()
 		if ok {
 			if phase != "serving" {
-				s.f.ledger.leave(rules.Leave{Instance: s.id, At: s.f.now(), By: by})
+				s.f.ledger.leave(invariants.Leave{Instance: s.id, At: s.f.now(), By: by})
 			}
 			return true
 		}
--- a/internal/emulator/loopback/ledger.go
+++ b/internal/emulator/loopback/ledger.go
@@ -4,17 +4,17 @@
 	"fmt"
 	"sync"
 
-	"mulleinrouter/internal/emulator/rules"
+	"mulleinrouter/internal/emulator/invariants"
 )
 
 // ledger collects what is seen, from all goroutines.
 type ledger struct {
 	mu       sync.Mutex
-	log      rules.Log
-	tries    []*rules.Try
-	arrivals []*rules.Arrival
-	versions []*rules.Version
-	troubles []*rules.Trouble
+	log      invariants.Log
+	tries    []*invariants.Try
+	arrivals []*invariants.Arrival
+	versions []*invariants.Version
+	troubles []*invariants.Trouble
 	notes    []string
 }
 
@@ -25,28 +25,28 @@
 	change()
 }
 
-func (b *ledger) arrival(a *rules.Arrival) { b.do(func() { b.arrivals = append(b.arrivals, a) }) }
-func (b *ledger) try(t *rules.Try)         { b.do(func() { b.tries = append(b.tries, t) }) }
-func (b *ledger) version(v *rules.Version) { b.do(func() { b.versions = append(b.versions, v) }) }
-func (b *ledger) leave(l rules.Leave)      { b.do(func() { b.log.Leaves = append(b.log.Leaves, l) }) }
-func (b *ledger) read(r rules.Read)        { b.do(func() { b.log.Reads = append(b.log.Reads, r) }) }
-func (b *ledger) life(machine string, at rules.Seconds) {
-	b.do(func() { b.log.Lives = append(b.log.Lives, rules.Life{Machine: machine, At: at}) })
+func (b *ledger) arrival(a *invariants.Arrival) { b.do(func() { b.arrivals = append(b.arrivals, a) }) }
+func (b *ledger) try(t *invariants.Try)         { b.do(func() { b.tries = append(b.tries, t) }) }
+func (b *ledger) version(v *invariants.Version) { b.do(func() { b.versions = append(b.versions, v) }) }
+func (b *ledger) leave(l invariants.Leave)      { b.do(func() { b.log.Leaves = append(b.log.Leaves, l) }) }
+func (b *ledger) read(r invariants.Read)        { b.do(func() { b.log.Reads = append(b.log.Reads, r) }) }
+func (b *ledger) life(machine string, at invariants.Seconds) {
+	b.do(func() { b.log.Lives = append(b.log.Lives, invariants.Life{Machine: machine, At: at}) })
 }
-func (b *ledger) order(machine string, at rules.Seconds) {
-	b.do(func() { b.log.Orders = append(b.log.Orders, rules.Order{Machine: machine, At: at}) })
+func (b *ledger) order(machine string, at invariants.Seconds) {
+	b.do(func() { b.log.Orders = append(b.log.Orders, invariants.Order{Machine: machine, At: at}) })
 }
 
 // trouble notes trouble that lasts until over is called, for ever if it is not.
-func (b *ledger) trouble(t rules.Trouble) (over func(rules.Seconds)) {
-	t.To = rules.Never
+func (b *ledger) trouble(t invariants.Trouble) (over func(invariants.Seconds)) {
+	t.To = invariants.Never
 	b.do(func() { b.troubles = append(b.troubles, &t) })
-	return func(at rules.Seconds) { b.do(func() { t.To = at }) }
+	return func(at invariants.Seconds) { b.do(func() { t.To = at }) }
 }
 
 // ownEnd notes that a process ended by itself. RULES bears that in some times of trouble; here it never passes.
-func (b *ledger) ownEnd(process string, at rules.Seconds, text string) {
-	b.do(func() { b.log.Stuck = append(b.log.Stuck, rules.Own{Process: process, At: at, Text: text}) })
+func (b *ledger) ownEnd(process string, at invariants.Seconds, text string) {
+	b.do(func() { b.log.Stuck = append(b.log.Stuck, invariants.Own{Process: process, At: at, Text: text}) })
 }
 
 func (b *ledger) note(format string, args ...any) {
@@ -54,7 +54,7 @@
 }
 
 // whole is a copy of all that is in the book.
-func (b *ledger) whole() *rules.Log {
+func (b *ledger) whole() *invariants.Log {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.log
--- a/internal/emulator/loopback/loopback.go
+++ b/internal/emulator/loopback/loopback.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"mulleinrouter/internal/cluster/settings"
-	"mulleinrouter/internal/emulator/rules"
+	"mulleinrouter/internal/emulator/invariants"
 )
 
 const (
@@ -71,7 +71,7 @@
 	edge     []*machine
 	ledger   ledger
 	base     time.Time
-	open     rules.Seconds // when traffic began
+	open     invariants.Seconds // when traffic began
 
 	world context.Context // ends when all is over
 	ctx   context.Context // ends with the traffic
@@ -100,7 +100,7 @@
 	odd     []oddity       // what probes ask for
 	answers map[string]int // of the system's own
 	wiped   *machine       // whose disk was lost last
-	wipedAt rules.Seconds
+	wipedAt invariants.Seconds
 }
 
 // oddity is a request whose handling shows which configuration is in force.
@@ -109,8 +109,8 @@
 	key   string
 }
 
-func (f *cluster) now() rules.Seconds           { return time.Since(f.base).Seconds() }
-func (f *cluster) at(t time.Time) rules.Seconds { return t.Sub(f.base).Seconds() }
+func (f *cluster) now() invariants.Seconds           { return time.Since(f.base).Seconds() }
+func (f *cluster) at(t time.Time) invariants.Seconds { return t.Sub(f.base).Seconds() }
 func (f *cluster) grace() time.Duration {
 	return time.Duration(f.o.Bounds.Grace * float64(time.Second))
 }
@@ -163,7 +163,7 @@
 	}
 	o.Bin = bin
 	f := &cluster{o: o, base: time.Now(), rng: rand.New(rand.NewPCG(o.Seed, 0)), live: map[*class][]*route{}, answers: map[string]int{}}
-	f.ledger.log.Closing = rules.Never
+	f.ledger.log.Closing = invariants.Never
 	f.cutting = slices.ContainsFunc(o.Faults, func(x Fault) bool { return strings.HasPrefix(x.Name, "cut-") })
 	transport := &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second, DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -210,9 +210,9 @@
 
 // play starts all, has the traffic and the faults run, and returns when their time is over.
 func (f *cluster) play() error {
-	started := map[string]func(rules.Seconds){}
+	started := map[string]func(invariants.Seconds){}
 	for _, m := range slices.Concat(f.core, f.edge) {
-		started[m.name] = f.ledger.trouble(rules.Trouble{Machine: m.name, Core: m.core, Planned: true})
+		started[m.name] = f.ledger.trouble(invariants.Trouble{Machine: m.name, Core: m.core, Planned: true})
 		if err := m.begin(); err != nil {
 			return err
 		}
--- a/internal/emulator/loopback/machine.go
+++ b/internal/emulator/loopback/machine.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"mulleinrouter/internal/emulator/rules"
+	"mulleinrouter/internal/emulator/invariants"
 )
 
 // The programs, as they are named in the folder of programs.
@@ -227,7 +227,7 @@
 func (m *machine) crash(procs []*process, meanwhile func()) {
 	m.settling.Lock()
 	defer m.settling.Unlock()
-	over := m.f.ledger.trouble(rules.Trouble{Machine: m.name, Core: m.core, From: m.f.now()})
+	over := m.f.ledger.trouble(invariants.Trouble{Machine: m.name, Core: m.core, From: m.f.now()})
 	for _, p := range procs {
 		p.kill()
 	}
@@ -245,7 +245,7 @@
 func (m *machine) roll() {
 	m.settling.Lock()
 	defer m.settling.Unlock()
-	over := m.f.ledger.trouble(rules.Trouble{Machine: m.name, Core: m.core, Planned: true, From: m.f.now()})
+	over := m.f.ledger.trouble(invariants.Trouble{Machine: m.name, Core: m.core, Planned: true, From: m.f.now()})
 	if !m.core {
 		m.f.ledger.order(m.name, m.f.now())
 	}
@@ -269,7 +269,7 @@
 func (m *machine) freeze(span time.Duration) {
 	m.settling.Lock()
 	defer m.settling.Unlock()
-	over := m.f.ledger.trouble(rules.Trouble{Machine: m.name, Core: m.core, From: m.f.now()})
+	over := m.f.ledger.trouble(invariants.Trouble{Machine: m.name, Core: m.core, From: m.f.now()})
 	for _, p := range m.procs {
 		p.signal(unix.SIGSTOP, false)
 	}
@@ -284,9 +284,9 @@
 // servers and operators ask, and what it answers is judged. Meanwhile changes are ordered at all nodes.
 func (m *machine) cutOff(others []*machine, w way, span time.Duration) {
 	f := m.f
-	over := f.ledger.trouble(rules.Trouble{Machine: m.name, Core: true, From: f.now()})
+	over := f.ledger.trouble(invariants.Trouble{Machine: m.name, Core: true, From: f.now()})
 	heal := f.sever(m, others, w)
-	c := rules.Cut{Machine: m.name, From: f.now()}
+	c := invariants.Cut{Machine: m.name, From: f.now()}
 	until := time.Now().Add(span)
 	answers := map[int]int{}
 	for n := 0; time.Now().Before(until); n++ {
@@ -308,7 +308,7 @@
 // ask asks a core node what it may say only in contact with a majority, each thing in turn, and returns the status; 0: none.
 func (m *machine) ask(n int) int {
 	f := m.f
-	said := rules.Said{Machine: m.name, Began: f.now()}
+	said := invariants.Said{Machine: m.name, Began: f.now()}
 	switch n % 4 {
 	case 0:
 		said.What = "configuration read"
@@ -342,7 +342,7 @@
 func (m *machine) retire() {
 	m.settling.Lock()
 	defer m.settling.Unlock()
-	m.f.ledger.trouble(rules.Trouble{Machine: m.name, Core: m.core, From: m.f.now()})(m.f.now())
+	m.f.ledger.trouble(invariants.Trouble{Machine: m.name, Core: m.core, From: m.f.now()})(m.f.now())
 	for _, p := range m.procs {
 		p.kill()
 	}
--- a/internal/emulator/loopback/operator.go
+++ b/internal/emulator/loopback/operator.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"mulleinrouter/internal/emulator/rules"
+	"mulleinrouter/internal/emulator/invariants"
 )
 
 const (
@@ -100,8 +100,8 @@
 }
 
 // seen is an item as the rules want it.
-func seen(i item, valid bool, at rules.Seconds) *rules.Version {
-	v := &rules.Version{Item: i.key(), Number: i.number, Dropped: i.body == nil, Valid: valid, Sent: at, Acked: rules.Never}
+func seen(i item, valid bool, at invariants.Seconds) *invariants.Version {
+	v := &invariants.Version{Item: i.key(), Number: i.number, Dropped: i.body == nil, Valid: valid, Sent: at, Acked: invariants.Never}
 	if i.body == nil {
 		return v
 	}
@@ -109,7 +109,7 @@
 	json.Unmarshal(text, &v.Body)
 	switch i.section {
 	case "routes":
-		r := &rules.Route{Host: i.body["authority"].(string), Prefix: i.body["pathPrefix"].(string), Public: i.body["public"].(bool)}
+		r := &invariants.Route{Host: i.body["authority"].(string), Prefix: i.body["pathPrefix"].(string), Public: i.body["public"].(bool)}
 		if s, ok := i.body["backend"].(string); ok {
 			r.Services = []string{s}
 		}
@@ -120,7 +120,7 @@
 		}
 		v.Route = r
 	case "customers":
-		v.Tenant = &rules.Tenant{Name: i.name, Keys: slices.Clone(i.body["apiKeys"].([]string)), Rate: i.body["ratePerS"].(float64),
+		v.Tenant = &invariants.Tenant{Name: i.name, Keys: slices.Clone(i.body["apiKeys"].([]string)), Rate: i.body["ratePerS"].(float64),
 			Burst: i.body["burst"].(float64)}
 	}
 	return v
@@ -129,7 +129,7 @@
 // send brings items, at node first and, where that fails, at the others, until there is a clear answer; status 0: there was none.
 func (o *operator) send(first int, valid bool, items ...item) (status int) {
 	f := o.f
-	var versions []*rules.Version
+	var versions []*invariants.Version
 	for _, i := range items {
 		v := seen(i, valid, f.now())
 		versions = append(versions, v)
@@ -222,7 +222,7 @@
 						o.f.ledger.note("%s: GET /config cannot be read: %v", m.name, err)
 						return
 					}
-					o.f.ledger.read(rules.Read{Machine: m.name, At: began, Items: items})
+					o.f.ledger.read(invariants.Read{Machine: m.name, At: began, Items: items})
 					return
 				}
 				if time.Now().After(until) {
--- a/internal/emulator/loopback/report.go
+++ b/internal/emulator/loopback/report.go
@@ -9,30 +9,30 @@
 	"text/tabwriter"
 	"time"
 
-	"mulleinrouter/internal/emulator/rules"
+	"mulleinrouter/internal/emulator/invariants"
 )
 
 // Report is what a play came to.
 type Report struct {
-	Breaches []rules.Breach
+	Breaches []invariants.Breach
 	Rows     []Row
 	Used     []Used
 	Notes    []string
-	Dir      string         // settings, disks and logs
-	Open     rules.Seconds  // when the traffic began; the times of Breaches count from the start of the play
-	AckP99   rules.Seconds  // of the operator's calls
-	Probes   int64          // of health, at servers
-	Arrivals int            // at servers
-	Answers  map[string]int // of the system's own, by status and text: of each try, not only the last
+	Dir      string             // settings, disks and logs
+	Open     invariants.Seconds // when the traffic began; the times of Breaches count from the start of the play
+	AckP99   invariants.Seconds // of the operator's calls
+	Probes   int64              // of health, at servers
+	Arrivals int                // at servers
+	Answers  map[string]int     // of the system's own, by status and text: of each try, not only the last
 }
 
 // Row is a class of requests. A request counts once, by how its last try ended.
 type Row struct {
 	Class                    string
 	Requests, Served, InTime int
-	Refused                  int            // by a promise
-	Failed                   map[string]int // by how
-	P50, P99                 rules.Seconds  // of the served
+	Refused                  int                // by a promise
+	Failed                   map[string]int     // by how
+	P50, P99                 invariants.Seconds // of the served
 }
 
 // Used is what a process used over all its lives.
@@ -62,7 +62,7 @@
 	for _, m := range f.edge {
 		l.Edges = append(l.Edges, m.name)
 	}
-	r.Breaches = rules.Judge(l)
+	r.Breaches = invariants.Judge(l)
 	r.Arrivals, r.Probes = len(l.Arrivals), f.probes.Load()
 	r.AckP99 = part(f.ackTimes.list, 0.99)
 	r.Notes, r.Answers = f.ledger.notes, f.answers
@@ -79,7 +79,7 @@
 		}
 		row.Requests++
 		switch took := t.Done - t.Began; {
-		case t.End != rules.Answered:
+		case t.End != invariants.Answered:
 			row.Failed[t.End.String()]++
 		case t.Status/100 == 2:
 			row.Served++
--- a/internal/emulator/loopback/server.go
+++ b/internal/emulator/loopback/server.go
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"mulleinrouter/internal/emulator/rules"
+	"mulleinrouter/internal/emulator/invariants"
 )
 
 const (
@@ -239,7 +239,7 @@
 	s.light()
 	now := s.f.now
 	id := r.Header.Get("X-Attempt-Id")
-	a := &rules.Arrival{ID: id, Instance: s.id, Service: s.service, At: now(), Ran: rules.Never, End: now(), Method: r.Method, Host: r.Host,
+	a := &invariants.Arrival{ID: id, Instance: s.id, Service: s.service, At: now(), Ran: invariants.Never, End: now(), Method: r.Method, Host: r.Host,
 		Target: r.RequestURI, Body: sum(r.body), Tenant: r.Header.Get("X-Tenant"), Expected: r.Header.Get("X-Target-Instance")}
 	if id == "" && r.Method == http.MethodGet && r.URL.Path == healthPath {
 		s.f.probes.Add(1)
@@ -290,7 +290,7 @@
 }
 
 // run works on a request that has a slot, and answers it.
-func (s *server) run(c net.Conn, r asked, a *rules.Arrival, deadline *time.Timer, gone <-chan struct{}) (more bool) {
+func (s *server) run(c net.Conn, r asked, a *invariants.Arrival, deadline *time.Timer, gone <-chan struct{}) (more bool) {
 	now := s.f.now
 	span, chunked, leave, failing, size := s.drawn()
 	what := s.mishap()
@@ -299,7 +299,7 @@
 	}
 	work := time.NewTimer(span)
 	defer work.Stop()
-	s.f.ledger.do(func() { a.Ran, a.End = now(), rules.Never })
+	s.f.ledger.do(func() { a.Ran, a.End = now(), invariants.Never })
 	status := 200
 	select {
 	case <-work.C:
--- a/internal/emulator/explore/client.go
+++ b/internal/emulator/modelcheck/client.go
@@ -1,16 +1,16 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
 
-	clientconn "mulleinrouter/internal/dataplane/client"
-	"mulleinrouter/passhub"
+	clientconn "mulleinrouter/internal/dataplane/clientconn"
+	"mulleinrouter/internal/decision"
 )
 
 // clientWorld is one client's connection, and the few steps of the ingress between those of its machine.
 type clientWorld struct {
 	machine clientconn.Conn
-	now     passhub.Seconds
+	now     decision.Seconds
 	keep    bool // connections stay open
 	hears   bool // one that was not told to end is not ended over what has begun to come
 	crowded bool
@@ -22,8 +22,8 @@
 	ended    bool
 	endedIn  clientconn.State // where it was ended from outside
 	requests int
-	begun    passhub.Seconds // when what is read now began, or its last piece came
-	waited   passhub.Seconds // for the body, in all
+	begun    decision.Seconds // when what is read now began, or its last piece came
+	waited   decision.Seconds // for the body, in all
 	got      int
 
 	violation *Violation
@@ -115,7 +115,7 @@
 }
 
 // pass lets time go by, with the sweeps in it.
-func (w *clientWorld) pass(seconds passhub.Seconds) {
+func (w *clientWorld) pass(seconds decision.Seconds) {
 	for end := w.now + seconds; w.now < end && !w.ended; {
 		if w.cut { // a read that is cut short does not take its time
 			w.noticed()
--- a/internal/emulator/explore/config.go
+++ b/internal/emulator/modelcheck/config.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
--- a/internal/emulator/explore/connections.go
+++ b/internal/emulator/modelcheck/connections.go
@@ -1,8 +1,8 @@
-package explore
+package modelcheck
 
 import (
-	"mulleinrouter/internal/dataplane/link"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/dataplane/upstreamconn"
+	"mulleinrouter/internal/decision"
 )
 
 // noConnection is a dial that came to nothing: refused, or not needed any more.
@@ -10,19 +10,19 @@
 	w.shelf.Gone()
 	t.conn.ended = true
 	if t.cancelled || w.now >= t.until-1e-9 {
-		w.ended(t, passhub.Skipped)
+		w.ended(t, decision.Skipped)
 		return
 	}
-	w.ended(t, passhub.Refused)
+	w.ended(t, decision.Refused)
 }
 
 // get is Pool.get: the connection used last, unless it is seen to have ended, or a new one.
-func (w *World) get(t *try, fit link.Fit) (k *conn, outcome passhub.Outcome, ok bool) {
+func (w *World) get(t *try, fit upstreamconn.Fit) (k *conn, outcome decision.Outcome, ok bool) {
 	addr, _ := w.lookup(t.backend)
 	for n := 0; ; n++ {
 		if n > 8 {
 			w.violate("one-request-on-a-connection", "what was taken from the shelf is still on it")
-			return nil, passhub.Refused, false
+			return nil, decision.Refused, false
 		}
 		kept, found := w.shelf.Take(t.backend)
 		if !found {
@@ -35,7 +35,7 @@
 			w.close(k)
 			continue
 		}
-		if fit.Unnamed = kept.Conn.unnamed; !link.Fits(fit) {
+		if fit.Unnamed = kept.Conn.unnamed; !upstreamconn.Fits(fit) {
 			w.close(kept.Conn)
 			continue
 		}
@@ -43,7 +43,7 @@
 	}
 	spare, end, room := w.shelf.Room()
 	if !room {
-		return nil, passhub.Skipped, false
+		return nil, decision.Skipped, false
 	}
 	if end {
 		w.close(spare)
@@ -51,7 +51,7 @@
 	s := w.server(t.backend)
 	if s.down {
 		w.shelf.Gone()
-		return nil, passhub.Refused, false
+		return nil, decision.Refused, false
 	}
 	return &conn{server: s, addr: addr}, 0, true
 }
@@ -91,12 +91,12 @@
 }
 
 // finish takes a verdict, as Pool.Do does, and tells the desk.
-func (w *World) finish(t *try, k *conn, v link.Verdict) {
+func (w *World) finish(t *try, k *conn, v upstreamconn.Verdict) {
 	if v.Err != nil {
 		w.violate("legal", "%v", v.Err)
 	}
 	k.used = nil
-	if k.State() == link.Streaming {
+	if k.State() == upstreamconn.Streaming {
 		t.client.stream = k
 	} else {
 		w.release(k, v)
@@ -110,7 +110,7 @@
 }
 
 // release puts a connection back, or ends it, by a verdict.
-func (w *World) release(k *conn, v link.Verdict) {
+func (w *World) release(k *conn, v upstreamconn.Verdict) {
 	if v.Keep {
 		if k.spoilt {
 			w.violate("spoilt-is-spoilt", "a connection is kept that is spoilt")
--- a/internal/emulator/explore/events.go
+++ b/internal/emulator/modelcheck/events.go
@@ -1,12 +1,12 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
 	"math"
 	"slices"
 
-	"mulleinrouter/internal/dataplane/link"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/dataplane/upstreamconn"
+	"mulleinrouter/internal/decision"
 )
 
 // event is one thing that may happen in a state.
@@ -103,21 +103,21 @@
 	if len(w.counts) > 0 {
 		for _, a := range []struct {
 			name    string
-			outcome passhub.Outcome
+			outcome decision.Outcome
 			total   float64
-		}{{"counted", passhub.Done, 3}, {"count-busy", passhub.Busy, 0}, {"count-late", passhub.TimedOut, 0}, {"count-no-number", passhub.Failed, 0}} {
+		}{{"counted", decision.Done, 3}, {"count-busy", decision.Busy, 0}, {"count-late", decision.TimedOut, 0}, {"count-no-number", decision.Failed, 0}} {
 			add(a.name, func(w *World) {
 				name := w.counts[0]
 				w.counts = w.counts[1:]
 				w.sum += a.total
-				w.do(w.desk.Handle(w.now, passhub.Counted{Name: name, Outcome: a.outcome, Total: w.sum}))
+				w.do(w.desk.Handle(w.now, decision.Counted{Name: name, Outcome: a.outcome, Total: w.sum}))
 			})
 		}
 	}
 	add("plan", func(w *World) {
 		w.plan = 1 - w.plan
 		p := planTable[w.plan]
-		w.do(w.desk.Handle(w.now, passhub.Terms{Customer: "m", Plan: p, Tag: p.Tag()}))
+		w.do(w.desk.Handle(w.now, decision.Terms{Customer: "m", Plan: p, Tag: p.Tag()}))
 	})
 	if !w.draining {
 		add("sigterm", func(w *World) {
@@ -158,9 +158,9 @@
 	}
 	if t.stage == holding {
 		on("last-byte", func(w *World, t *try, k *conn) {
-			if _, serving := w.lookup(t.backend); !link.Goes(serving, t.cancelled) {
+			if _, serving := w.lookup(t.backend); !upstreamconn.Goes(serving, t.cancelled) {
 				k.spoilt = true // half a request is on it
-				w.finish(t, k, k.Unwritten(link.Cancelled))
+				w.finish(t, k, k.Unwritten(upstreamconn.Cancelled))
 				return
 			}
 			w.goesOut(t)
@@ -174,9 +174,9 @@
 		for _, name := range []string{"breaks-early", "speaks-early"} {
 			on(name, func(w *World, t *try, k *conn) {
 				k.spoilt = true
-				how := link.Broke
+				how := upstreamconn.Broke
 				if t.cancelled {
-					how = link.Cancelled
+					how = upstreamconn.Cancelled
 				}
 				w.memory.Lost(t.backend, w.now)
 				w.finish(t, k, k.Unwritten(how))
@@ -189,7 +189,7 @@
 		on("breaks-in-send", func(w *World, t *try, k *conn) {
 			k.spoilt = true
 			w.memory.Lost(t.backend, w.now)
-			w.finish(t, k, k.Unwritten(map[bool]link.Trouble{false: link.Broke, true: link.Cancelled}[t.cancelled]))
+			w.finish(t, k, k.Unwritten(map[bool]upstreamconn.Trouble{false: upstreamconn.Broke, true: upstreamconn.Cancelled}[t.cancelled]))
 		})
 		return
 	}
@@ -205,11 +205,11 @@
 	}
 	for _, a := range []struct {
 		name   string
-		answer link.Answer
+		answer upstreamconn.Answer
 	}{
-		{"200", link.Answer{Status: 200}}, {"200-and-close", link.Answer{Status: 200, Close: true}}, {"200-and-more", link.Answer{Status: 200, More: true}},
-		{"500", link.Answer{Status: 500}}, {"503-not-processed", link.Answer{Status: 503, NotProcessed: true}},
-		{"504-not-processed", link.Answer{Status: 504, NotProcessed: true}}, {"503", link.Answer{Status: 503}},
+		{"200", upstreamconn.Answer{Status: 200}}, {"200-and-close", upstreamconn.Answer{Status: 200, Close: true}}, {"200-and-more", upstreamconn.Answer{Status: 200, More: true}},
+		{"500", upstreamconn.Answer{Status: 500}}, {"503-not-processed", upstreamconn.Answer{Status: 503, NotProcessed: true}},
+		{"504-not-processed", upstreamconn.Answer{Status: 504, NotProcessed: true}}, {"503", upstreamconn.Answer{Status: 503}},
 	} {
 		on(a.name, func(w *World, t *try, k *conn) {
 			k.spoilt = k.spoilt || a.answer.Close || a.answer.More || t.cancelled // a deadline that may be changed at any time
@@ -223,14 +223,14 @@
 	on("interim", func(w *World, t *try, k *conn) {}) // passed over by the reader
 	for _, a := range []struct {
 		name    string
-		trouble link.Trouble
-	}{{"spoilt", link.Malformed}, {"breaks", link.Broke}, {"time-out", link.Late}} {
+		trouble upstreamconn.Trouble
+	}{{"spoilt", upstreamconn.Malformed}, {"breaks", upstreamconn.Broke}, {"time-out", upstreamconn.Late}} {
 		on(a.name, func(w *World, t *try, k *conn) {
 			how := a.trouble
 			if t.cancelled {
-				how = link.Cancelled
+				how = upstreamconn.Cancelled
 			}
-			if how == link.Late { // until then timers run, and others' time runs out
+			if how == upstreamconn.Late { // until then timers run, and others' time runs out
 				for t.client.try == t && w.now < t.until-1e-9 && len(w.Violations) == 0 {
 					w.pass()
 				}
@@ -238,7 +238,7 @@
 					return
 				}
 			}
-			if how == link.Broke {
+			if how == upstreamconn.Broke {
 				w.memory.Lost(t.backend, w.now)
 			}
 			k.spoilt = true
@@ -252,16 +252,16 @@
 	on("503-unnamed", func(w *World, t *try, k *conn) {
 		k.unnamed, k.refused, k.spoilt = true, true, k.spoilt || t.cancelled
 		t.client.mayRun--
-		w.finish(t, k, k.Answered(link.Answer{Status: 503, NotProcessed: true}, t.cancelled))
+		w.finish(t, k, k.Answered(upstreamconn.Answer{Status: 503, NotProcessed: true}, t.cancelled))
 	})
 	on("200-long", func(w *World, t *try, k *conn) {
 		k.refused, k.spoilt = false, k.spoilt || t.cancelled
-		w.finish(t, k, k.Streams(link.Answer{Status: 200}, t.cancelled))
+		w.finish(t, k, k.Streams(upstreamconn.Answer{Status: 200}, t.cancelled))
 	})
 	on("other-answer", func(w *World, t *try, k *conn) { // a copy of the answer before stands in this one's place
 		if k.refused && (k.unnamed || k.before == t.client) { // by its name, or for want of one, it cannot be told from this one's
 			k.spoilt = true
-			w.finish(t, k, k.Answered(link.Answer{Status: 503, NotProcessed: true}, t.cancelled))
+			w.finish(t, k, k.Answered(upstreamconn.Answer{Status: 503, NotProcessed: true}, t.cancelled))
 			return
 		}
 		k.spoilt = true
@@ -269,7 +269,7 @@
 			w.violate("bounded", "%s has passed over %d answers to others", t.client.name, t.others)
 		}
 		if !k.Other() {
-			w.finish(t, k, k.Unanswered(link.Malformed))
+			w.finish(t, k, k.Unanswered(upstreamconn.Malformed))
 		}
 	})
 }
@@ -280,18 +280,18 @@
 	on("server-breaks-upload", func(w *World, t *try, k *conn) {
 		k.spoilt = true
 		w.memory.Lost(t.backend, w.now)
-		w.finish(t, k, k.Unwritten(map[bool]link.Trouble{false: link.Broke, true: link.Cancelled}[t.cancelled]))
+		w.finish(t, k, k.Unwritten(map[bool]upstreamconn.Trouble{false: upstreamconn.Broke, true: upstreamconn.Cancelled}[t.cancelled]))
 	})
 	on("leaves-upload", func(w *World, t *try, k *conn) { // it stalls, or leaves: nobody waits for the answer
 		c := t.client
 		k.spoilt, c.gone, t.cancelled = true, true, true
 		w.do(w.desk.Leave(w.now, c.request))
-		w.finish(t, k, k.Unwritten(link.Cancelled))
+		w.finish(t, k, k.Unwritten(upstreamconn.Cancelled))
 	})
 	for _, a := range []struct {
 		name   string
-		answer link.Answer
-	}{{"early-200", link.Answer{Status: 200}}, {"early-500", link.Answer{Status: 500}}, {"early-503-not-processed", link.Answer{Status: 503, NotProcessed: true}}} {
+		answer upstreamconn.Answer
+	}{{"early-200", upstreamconn.Answer{Status: 200}}, {"early-500", upstreamconn.Answer{Status: 500}}, {"early-503-not-processed", upstreamconn.Answer{Status: 503, NotProcessed: true}}} {
 		on(a.name, func(w *World, t *try, k *conn) {
 			k.spoilt = true // half a request is on it
 			if !a.answer.NotProcessed {
--- a/internal/emulator/explore/mutants_test.go
+++ b/internal/emulator/modelcheck/mutants_test.go
@@ -1,6 +1,6 @@
 //go:build mutants
 
-package explore
+package modelcheck
 
 import (
 	"slices"
@@ -8,8 +8,8 @@
 	"testing"
 
 	"mulleinrouter/internal/dataplane/attempt"
-	clientconn "mulleinrouter/internal/dataplane/client"
-	"mulleinrouter/internal/dataplane/link"
+	clientconn "mulleinrouter/internal/dataplane/clientconn"
+	"mulleinrouter/internal/dataplane/upstreamconn"
 )
 
 // mutants are faults that are seeded in what serves, and the properties of which one must be found violated.
@@ -17,13 +17,13 @@
 	where *string
 	name  string
 }{
-	{&link.Mutant, "ready-draining"}, {&link.Mutant, "held-goes"}, {&link.Mutant, "ready-moved"}, {&link.Mutant, "unwritten-kept"}, {&link.Mutant, "more-kept"},
-	{&link.Mutant, "close-kept"}, {&link.Mutant, "cancelled-kept"}, {&link.Mutant, "busy-unproven"}, {&link.Mutant, "error-proves"},
-	{&link.Mutant, "reset-proves"}, {&link.Mutant, "late-proves"}, {&link.Mutant, "cancel-proves"}, {&link.Mutant, "spoilt-kept"},
-	{&link.Mutant, "early-kept"}, {&attempt.Mutant, "spent-untold"}, {&link.Mutant, "taken-stays"}, {&link.Mutant, "put-twice"}, {&link.Mutant, "gone-uncounted"},
+	{&upstreamconn.Mutant, "ready-draining"}, {&upstreamconn.Mutant, "held-goes"}, {&upstreamconn.Mutant, "ready-moved"}, {&upstreamconn.Mutant, "unwritten-kept"}, {&upstreamconn.Mutant, "more-kept"},
+	{&upstreamconn.Mutant, "close-kept"}, {&upstreamconn.Mutant, "cancelled-kept"}, {&upstreamconn.Mutant, "busy-unproven"}, {&upstreamconn.Mutant, "error-proves"},
+	{&upstreamconn.Mutant, "reset-proves"}, {&upstreamconn.Mutant, "late-proves"}, {&upstreamconn.Mutant, "cancel-proves"}, {&upstreamconn.Mutant, "spoilt-kept"},
+	{&upstreamconn.Mutant, "early-kept"}, {&attempt.Mutant, "spent-untold"}, {&upstreamconn.Mutant, "taken-stays"}, {&upstreamconn.Mutant, "put-twice"}, {&upstreamconn.Mutant, "gone-uncounted"},
 	{&attempt.Mutant, "deserted-waits"}, {&attempt.Mutant, "left-is-over"}, {&attempt.Mutant, "ended-stays"}, {&attempt.Mutant, "gone-untold"},
 	{&attempt.Mutant, "fail-refuses"}, {&attempt.Mutant, "cancel-lost"}, {&attempt.Mutant, "no-time-out"}, {&attempt.Mutant, "leaving-untold"},
-	{&link.Mutant, "other-kept"}, {&link.Mutant, "cut-kept"}, {&link.Mutant, "stream-more-kept"}, {&attempt.Mutant, "planned-untold"}, {&attempt.Mutant, "impatient-always"},
+	{&upstreamconn.Mutant, "other-kept"}, {&upstreamconn.Mutant, "cut-kept"}, {&upstreamconn.Mutant, "stream-more-kept"}, {&attempt.Mutant, "planned-untold"}, {&attempt.Mutant, "impatient-always"},
 }
 
 // Every fault that is seeded in the clients' connections is found.
@@ -75,8 +75,8 @@
 		events      string
 		want        string
 	}{
-		{&link.Mutant, "unnamed-kept", "send servers=1 odd", "last-byte c1, 503-unnamed c1, retries c1, time, last-byte c2, other-answer c2", "refusal-is-harmless"},
-		{&link.Mutant, "others-endless", "send servers=1 odd", "last-byte c1" + strings.Repeat(", other-answer c1", 9), "bounded"},
+		{&upstreamconn.Mutant, "unnamed-kept", "send servers=1 odd", "last-byte c1, 503-unnamed c1, retries c1, time, last-byte c2, other-answer c2", "refusal-is-harmless"},
+		{&upstreamconn.Mutant, "others-endless", "send servers=1 odd", "last-byte c1" + strings.Repeat(", other-answer c1", 9), "bounded"},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			defer func() { *m.where = "" }()
@@ -98,7 +98,7 @@
 
 // A long body whose first bytes leave after the news of a drain is found, though one that had begun before may go on.
 func TestLongBodyAfterDrain(t *testing.T) {
-	defer func() { link.Mutant = "" }()
+	defer func() { upstreamconn.Mutant = "" }()
 	c := Config{Servers: 1, Kept: true, Long: true}
 	late, begun := []string{"drains s1", "time", "last-byte c1"}, []string{"last-byte c1", "drains s1", "time", "up c1"}
 	for _, row := range []struct {
@@ -106,7 +106,7 @@
 		events []string
 		want   string
 	}{{"held-goes", late, "drained"}, {"", late, ""}, {"held-goes", begun, ""}, {"", begun, ""}} {
-		link.Mutant = row.mutant
+		upstreamconn.Mutant = row.mutant
 		got := ""
 		if found, _ := Replay(c, row.events); len(found) > 0 {
 			got = found[0].Property
--- a/internal/emulator/explore/schedule.go
+++ b/internal/emulator/modelcheck/schedule.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"strings"
 
 	"mulleinrouter/internal/dataplane/attempt"
-	"mulleinrouter/internal/dataplane/link"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/dataplane/upstreamconn"
+	"mulleinrouter/internal/decision"
 )
 
 // check looks at what must hold between events.
@@ -120,11 +120,11 @@
 	}
 	w.now = at
 	for _, name := range w.counts {
-		w.do(w.desk.Handle(w.now, passhub.Counted{Name: name, Outcome: passhub.TimedOut}))
+		w.do(w.desk.Handle(w.now, decision.Counted{Name: name, Outcome: decision.TimedOut}))
 	}
 	w.counts = nil
 	due := w.timers[:0:0]
-	w.timers = slices.DeleteFunc(w.timers, func(s passhub.SetTimer) bool {
+	w.timers = slices.DeleteFunc(w.timers, func(s decision.SetTimer) bool {
 		if s.At <= w.now {
 			due = append(due, s)
 			return true
@@ -132,16 +132,16 @@
 		return false
 	})
 	for _, s := range due {
-		w.do(w.desk.Handle(w.now, passhub.Timer{Token: s.Token}))
+		w.do(w.desk.Handle(w.now, decision.Timer{Token: s.Token}))
 	}
 	w.check()
 }
 
 // runOut ends an attempt whose time has run out, or that was given up.
 func (w *World) runOut(t *try) {
-	trouble := link.Late
+	trouble := upstreamconn.Late
 	if t.cancelled {
-		trouble = link.Cancelled
+		trouble = upstreamconn.Cancelled
 	}
 	if t.stage == dialing {
 		w.noConnection(t)
@@ -150,8 +150,8 @@
 	k := t.conn
 	k.spoilt = true
 	if t.stage == holding || t.stage == uploading || t.stage == sending {
-		if trouble == link.Late {
-			trouble = link.Broke // the write's deadline
+		if trouble == upstreamconn.Late {
+			trouble = upstreamconn.Broke // the write's deadline
 		}
 		w.finish(t, k, k.Unwritten(trouble))
 		return
--- a/internal/emulator/explore/world.go
+++ b/internal/emulator/modelcheck/world.go
@@ -1,17 +1,17 @@
-// Package explore drives the decision module, the desk, the lives of requests and of connections through every order of
-// a few events, and checks the rules that matter most after each. What serves is what is explored: passhub.Gateway,
+// Package modelcheck drives the decision module, the desk, the lives of requests and of connections through every order of
+// a few events, and checks the rules that matter most after each. What serves is what is explored: decision.Gateway,
 // attempt.Desk, link.Link, link.Shelf and link.Memory. Around them stands a small world: clients, quote servers, a list,
 // a counter and a clock, and in place of the ingress's and the pool's goroutines their few steps between decisions.
 //
 // It does no I/O and reads no clock but its own.
-package explore
+package modelcheck
 
 import (
 	"fmt"
 
 	"mulleinrouter/internal/dataplane/attempt"
-	"mulleinrouter/internal/dataplane/link"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/dataplane/upstreamconn"
+	"mulleinrouter/internal/decision"
 )
 
 // The world's figures.
@@ -25,12 +25,12 @@
 // World is one run: a state, and what has been found wrong.
 type World struct {
 	config     Config
-	now        passhub.Seconds
+	now        decision.Seconds
 	desk       *attempt.Desk
-	shelf      *link.Shelf[*conn]
-	memory     link.Memory
+	shelf      *upstreamconn.Shelf[*conn]
+	memory     upstreamconn.Memory
 	servers    []*server // by list order; those that are gone stay, to be looked at
-	timers     []passhub.SetTimer
+	timers     []decision.SetTimer
 	counts     []string // calls that are out
 	sum        float64
 	clients    []*client
@@ -52,19 +52,19 @@
 	id, addr string
 	listed   bool
 	serving  bool
-	told     passhub.Seconds // when it was told to drain, or gone
-	down     bool            // refuses connections
+	told     decision.Seconds // when it was told to drain, or gone
+	down     bool             // refuses connections
 }
 
 // conn is a connection to a server.
 type conn struct {
-	link.Link
+	upstreamconn.Link
 	server   *server
 	addr     string
 	used     *try // on it now
 	spoilt   bool // in truth: ended by the server, or with stray bytes, or at the mercy of a deadline that may change
 	ended    bool // from here
-	answered passhub.Seconds
+	answered decision.Seconds
 	by       *client // whose request was written on it last,
 	before   *client // and before that
 	unnamed  bool    // an answer without a name has come on it
@@ -76,7 +76,7 @@
 	name     string
 	send     bool
 	request  *attempt.Request
-	at       passhub.Seconds
+	at       decision.Seconds
 	gone     bool // left
 	answers  int
 	status   string
@@ -106,12 +106,12 @@
 type try struct {
 	client    *client
 	backend   string
-	until     passhub.Seconds
+	until     decision.Seconds
 	conn      *conn
 	stage     stage
 	cancelled bool
-	patience  passhub.Seconds // after it was written; 0: none
-	writtenAt passhub.Seconds
+	patience  decision.Seconds // after it was written; 0: none
+	writtenAt decision.Seconds
 	others    int // answers to other requests that came in its answer's place
 }
 
@@ -125,17 +125,17 @@
 }
 
 // plans that a change goes to and fro between.
-var planTable = []passhub.Plan{
+var planTable = []decision.Plan{
 	{Name: "small", Rate: 1, Burst: 2, Price: 1, BeyondCosts: 1},
 	{Name: "large", Rate: 1000, Burst: 1000, Price: 1, BeyondCosts: 1},
 }
 
 // New returns a world with its first request asked.
 func New(c Config) *World {
-	s := passhub.Settings{
+	s := decision.Settings{
 		Balancers: 3, MaxAttempts: 4, MayCancel: true, MayRetryAfter: true, MaxRetryAfter: 1, MayCount: true, CountWait: 0.05, MaxUnits: 1,
 		DrainGrace: grace, AnswerSlack: slack, ColdShare: 0.2, WarmUp: 10, OverloadFactor: 2, OverloadFor: 1,
-		Classes: []passhub.Class{{Name: "read", Aim: aim, Deadline: deadline, Worth: 1, LateWorth: 0.2, Patience: 1, Effect: passhub.Safe},
+		Classes: []decision.Class{{Name: "read", Aim: aim, Deadline: deadline, Worth: 1, LateWorth: 0.2, Patience: 1, Effect: decision.Safe},
 			{Name: "send", Aim: aim, Deadline: deadline, Worth: 1, LateWorth: 0.2}},
 		Plans: planTable,
 	}
@@ -143,8 +143,8 @@
 	if c.Full {
 		most = 1
 	}
-	w := &World{config: c, now: 1000, desk: attempt.NewDesk(passhub.New(s, 1), &s), shelf: link.NewShelf[*conn](most)}
-	w.do(w.desk.Handle(w.now, passhub.Start{}))
+	w := &World{config: c, now: 1000, desk: attempt.NewDesk(decision.New(s, 1), &s), shelf: upstreamconn.NewShelf[*conn](most)}
+	w.do(w.desk.Handle(w.now, decision.Start{}))
 	for i := range c.Servers {
 		w.servers = append(w.servers, &server{id: fmt.Sprint("s", i+1), addr: fmt.Sprint("a", i+1), listed: true, serving: true})
 	}
@@ -154,7 +154,7 @@
 		w.shelf.Room()
 		k.Begin()
 		k.Written()
-		k.Answered(link.Answer{Status: 200}, false)
+		k.Answered(upstreamconn.Answer{Status: 200}, false)
 		k.answered = w.now
 		w.shelf.Put(w.servers[0].id, k, w.now)
 		w.now += 2 // idle for long: the last byte is held
@@ -169,10 +169,10 @@
 }
 
 func (w *World) list() {
-	news := passhub.Backends{Complete: true}
+	news := decision.Backends{Complete: true}
 	for _, s := range w.servers {
 		if s.listed {
-			news.List = append(news.List, passhub.Backend{ID: s.id, Zone: "a", Serving: s.serving, Size: 1})
+			news.List = append(news.List, decision.Backend{ID: s.id, Zone: "a", Serving: s.serving, Size: 1})
 		}
 	}
 	w.do(w.desk.Handle(w.now, news))
@@ -205,7 +205,7 @@
 	if w.config.Thin {
 		doors = 5
 	}
-	r := passhub.Request{Class: class, Plan: planTable[w.plan].Name, Customer: "m", Left: deadline, Units: 1, Doors: doors, Repeat: repeat, Long: w.long}
+	r := decision.Request{Class: class, Plan: planTable[w.plan].Name, Customer: "m", Left: deadline, Units: 1, Doors: doors, Repeat: repeat, Long: w.long}
 	var effects []attempt.Effect
 	c.request, effects = w.desk.Submit(w.now, r, c)
 	w.do(effects)
@@ -300,10 +300,10 @@
 func (w *World) start(t *try) {
 	t.client.try = t
 	if _, serving := w.lookup(t.backend); !serving || t.cancelled {
-		w.ended(t, passhub.Skipped)
+		w.ended(t, decision.Skipped)
 		return
 	}
-	k, outcome, ok := w.get(t, link.Fit{Again: t.client.tried[t.backend], Once: t.client.send})
+	k, outcome, ok := w.get(t, upstreamconn.Fit{Again: t.client.tried[t.backend], Once: t.client.send})
 	switch {
 	case !ok:
 		w.ended(t, outcome)
@@ -325,11 +325,11 @@
 	}
 	if err := k.Begin(); err != nil {
 		w.violate("legal", "%v", err)
-		w.ended(t, passhub.Reset)
+		w.ended(t, decision.Reset)
 		return
 	}
 	addr, serving := w.lookup(t.backend)
-	if !link.Ready(serving, addr == k.addr, t.cancelled, t.until-w.now) {
+	if !upstreamconn.Ready(serving, addr == k.addr, t.cancelled, t.until-w.now) {
 		w.finish(t, k, k.NotBegun())
 		return
 	}
@@ -344,7 +344,7 @@
 	if life := c.request.Life(); life.Spent() {
 		w.violate("spent-is-spent", "%s begins again, and its body has gone", c.name)
 	}
-	if c.long || w.memory.Hold(t.backend, w.now, link.Evidence{Fresh: k.Uses() == 1, Idle: w.now - k.answered, Once: c.send}) {
+	if c.long || w.memory.Hold(t.backend, w.now, upstreamconn.Evidence{Fresh: k.Uses() == 1, Idle: w.now - k.answered, Once: c.send}) {
 		t.stage = holding
 		return
 	}
@@ -372,25 +372,25 @@
 		w.violate("planned-is-kept", "%s is given up by patience, and must not run twice", c.name)
 	}
 	k.spoilt = true
-	w.finish(t, k, k.Unanswered(link.Late))
+	w.finish(t, k, k.Unanswered(upstreamconn.Late))
 	if c.tries == before && !c.gone { // the other one may turn out to be down
 		w.violate("given-up-goes-on", "%s is given up by patience, and goes to no other server", c.name)
 	}
 }
 
 // ended tells the desk how an attempt ended, and answers the client if it was served: as ingress.serve does.
-func (w *World) ended(t *try, o passhub.Outcome) {
+func (w *World) ended(t *try, o decision.Outcome) {
 	c := t.client
 	c.try = nil
-	if o == passhub.Done {
+	if o == decision.Done {
 		w.answer(c, "served")
 		c.told++
 	}
-	if o == passhub.Done && c.told > 1 {
+	if o == decision.Done && c.told > 1 {
 		w.violate("one-answer", "%s is served after its last word", c.name)
 	}
 	gone := c.request.Life()
-	if p := gone.Phase(); p == attempt.Deserted && o == passhub.Done {
+	if p := gone.Phase(); p == attempt.Deserted && o == decision.Done {
 		c.told-- // its host hears Gone, too: the answer went to nobody
 	}
 	w.do(w.desk.Ended(w.now, c.request, o))
--- a/internal/emulator/rig/process.go
+++ b/internal/emulator/testcluster/process.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"bufio"
--- a/internal/emulator/rig/report.go
+++ b/internal/emulator/testcluster/report.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"time"
 
 	"mulleinrouter/internal/dataplane/usage"
-	"mulleinrouter/internal/emulator/standin"
+	"mulleinrouter/internal/emulator/fakes"
 )
 
 // PlanLine is what became of the requests of a plan's members: those that were on it all the time, and those that
@@ -45,7 +45,7 @@
 	Used         float64 // of the new quota, by members who were moved to basic and asked for twice of it; 0: not measured
 	UsedAlways   float64 // the same of members who were on basic all along
 	Problems     []string
-	arrivals     map[string]standin.Arrival
+	arrivals     map[string]fakes.Arrival
 	requests     map[string]*request
 }
 
@@ -64,7 +64,7 @@
 
 // compare gathers what clients and quote servers saw.
 func (r *Run) compare() *Report {
-	p := &Report{Events: r.events, arrivals: map[string]standin.Arrival{}, requests: r.load.all}
+	p := &Report{Events: r.events, arrivals: map[string]fakes.Arrival{}, requests: r.load.all}
 	for _, q := range r.quotes {
 		for id, a := range q.Arrived() {
 			was := p.arrivals[id]
--- a/internal/emulator/rig/rig.go
+++ b/internal/emulator/testcluster/rig.go
@@ -1,7 +1,7 @@
-// Package rig runs several ingresses as processes on loopback among stand-ins, sends them the requests of many
+// Package testcluster runs several ingresses as processes on loopback among stand-ins, sends them the requests of many
 // members, changes plans, books allowance, kills what it is told to kill, and compares what was billed with what the
 // stand-in quote servers counted.
-package rig
+package testcluster
 
 import (
 	"context"
@@ -18,12 +18,12 @@
 	"sync/atomic"
 	"time"
 
-	"mulleinrouter/internal/emulator/standin"
+	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/emulator/fakes"
 	"mulleinrouter/internal/standalone/catalogue"
-	"mulleinrouter/internal/standalone/counterd"
+	"mulleinrouter/internal/standalone/counterserver"
 	"mulleinrouter/internal/standalone/discovery"
 	"mulleinrouter/internal/standalone/plans"
-	"mulleinrouter/passhub"
 )
 
 // Options say what a run is made of.
@@ -45,8 +45,8 @@
 // The plans of a run. With three ingresses and requests of at most two units, slices of either hold some requests
 // each cycle.
 var (
-	basic = passhub.Plan{Name: "basic", Rate: 10, Burst: 20, Price: 1, BeyondCosts: 0.5}
-	plus  = passhub.Plan{Name: "plus", Rate: 30, Burst: 60, Price: 2, ExcessWorth: 0.3,
+	basic = decision.Plan{Name: "basic", Rate: 10, Burst: 20, Price: 1, BeyondCosts: 0.5}
+	plus  = decision.Plan{Name: "plus", Rate: 30, Burst: 60, Price: 2, ExcessWorth: 0.3,
 		CeilingRate: 45, CeilingDepth: 90, CeilingSlack: 9}
 )
 
@@ -61,11 +61,11 @@
 type Run struct {
 	Options
 	rng       *rand.Rand
-	quotes    []*standin.Quotes
-	directory *standin.Discovery
-	counter   *counterd.Server
+	quotes    []*fakes.Quotes
+	directory *fakes.Discovery
+	counter   *counterserver.Server
 	listener  net.Listener
-	billing   *standin.Billing
+	billing   *fakes.Billing
 	revisions []plans.Revision
 	nodes     []*Process
 	exporters []*Process
@@ -125,12 +125,12 @@
 		}
 		r.remove = true
 	}
-	r.directory, r.billing = &standin.Discovery{}, &standin.Billing{}
+	r.directory, r.billing = &fakes.Discovery{}, &fakes.Billing{}
 	if err := errors.Join(r.directory.Start(), r.billing.Start()); err != nil {
 		return err
 	}
 	for i := range 3 {
-		q := &standin.Quotes{Cores: 16, Queue: 64, Work: 2 * time.Millisecond, Salt: r.Seed + uint64(i)}
+		q := &fakes.Quotes{Cores: 16, Queue: 64, Work: 2 * time.Millisecond, Salt: r.Seed + uint64(i)}
 		kind, size := "a", 1.0
 		if i == 2 {
 			q.Work, kind, size = 4*time.Millisecond, "b", 0.5
@@ -139,7 +139,7 @@
 			return err
 		}
 		if r.Faults {
-			q.Set(&standin.Faults{Error: 0.002, Turned: 0.01, Cut: 0.002, Spoilt: 0.001})
+			q.Set(&fakes.Faults{Error: 0.002, Turned: 0.01, Cut: 0.002, Spoilt: 0.001})
 		}
 		r.quotes = append(r.quotes, q)
 		r.directory.Tell(discovery.Target{UID: fmt.Sprint("quotes-", i+1), Endpoint: q.Addr(), Zone: "a", Model: kind, State: "active", Capacity: size})
@@ -147,10 +147,10 @@
 	if r.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return fmt.Errorf("rig: counter: %w", err)
 	}
-	r.counter = counterd.New(2)
+	r.counter = counterserver.New(2)
 	go r.counter.Serve(r.listener)
 
-	first := plans.Revision{Number: 1, Authority: plans.Listed, Bookable: 10 * float64(r.Members), Plans: []passhub.Plan{basic, plus}, Members: map[string]string{}}
+	first := plans.Revision{Number: 1, Authority: plans.Listed, Bookable: 10 * float64(r.Members), Plans: []decision.Plan{basic, plus}, Members: map[string]string{}}
 	for i := range r.Members {
 		first.Members[member(i)] = []string{"basic", "plus"}[i%2]
 	}
@@ -341,7 +341,7 @@
 // crash has billing take a batch and lose its answer, then kills the exporter that waits for another, and starts it again.
 func (r *Run) crash(i int) error {
 	if r.Faults {
-		r.billing.Next(standin.Loses, standin.Fails)
+		r.billing.Next(fakes.Loses, fakes.Fails)
 	}
 	time.Sleep(time.Duration(r.rng.Float64() * float64(time.Second)))
 	r.exporters[i].Kill()
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -12,7 +12,27 @@
 )
 
 // pure lists the packages that decide: free of I/O, clock and goroutines.
-var pure = []string{"passhub", "internal/dataplane/attempt", "internal/dataplane/backoff", "internal/dataplane/ceiling", "internal/dataplane/client", "internal/standalone/fleet/announce", "internal/standalone/fleet/duty", "internal/standalone/fleet/membership", "internal/standalone/fleet/share", "internal/dataplane/link", "internal/dataplane/odds", "internal/cluster/configuration", "internal/cluster/registry", "internal/cluster/quota", "internal/control/consensus", "internal/standalone/overlap", "internal/standalone/plans", "internal/dataplane/retry", "internal/dataplane/usage"}
+var pure = []string{
+	"internal/cluster/configuration",
+	"internal/cluster/consensus",
+	"internal/cluster/quota",
+	"internal/cluster/registry",
+	"internal/dataplane/attempt",
+	"internal/dataplane/backoff",
+	"internal/dataplane/clientconn",
+	"internal/dataplane/upstreamconn",
+	"internal/dataplane/usage",
+	"internal/decision",
+	"internal/decision/conformance",
+	"internal/decision/ratelimit",
+	"internal/decision/retry",
+	"internal/standalone/fleet/membership",
+	"internal/standalone/fleet/quotashare",
+	"internal/standalone/fleet/revisionlog",
+	"internal/standalone/fleet/singleton",
+	"internal/standalone/handover",
+	"internal/standalone/plans",
+}
 
 // harmless lists what they may import besides each other: nothing here reads a clock, a file or a socket, or
 // starts a goroutine. rand/v2 is used with seeds that the host gives.
@@ -52,24 +72,25 @@
 	}
 }
 
-// allowed lists, for each folder at the first level of internal/, which others its packages may import. passhub may be imported
+// allowed lists, for each folder at the first level of internal/, which others its packages may import. decision may be imported
 // by all but the programs of the control side.
 var allowed = map[string][]string{
 	"agent":      {"cluster"},
-	"cluster":    {"cluster", "control/consensus"},
+	"cluster":    {"cluster"},
 	"control":    {"cluster", "control"},
-	"dataplane":  {"dataplane", "passhub"},
-	"emulator":   {"cluster", "control", "dataplane", "emulator", "standalone", "passhub"},
-	"proxy":      {"cluster", "dataplane", "passhub"},
-	"standalone": {"dataplane", "standalone", "passhub"},
+	"dataplane":  {"dataplane", "decision"},
+	"decision":   {"decision"},
+	"emulator":   {"cluster", "control", "dataplane", "emulator", "standalone", "decision"},
+	"proxy":      {"cluster", "dataplane", "decision"},
+	"standalone": {"dataplane", "standalone", "decision"},
 }
 
 // exceptions are the imports that cross a layer all the same, with the reason.
 var exceptions = map[string]string{
-	"internal/emulator/rehearse imports deploy/rehearsals":       "the timelines that ship",
-	"internal/standalone/cli imports internal/emulator/explore":  "mulleinrouter audit states",
-	"internal/standalone/cli imports internal/emulator/rehearse": "mulleinrouter rehearse",
-	"internal/standalone/cli imports internal/emulator/rig":      "mulleinrouter try",
+	"internal/emulator/faulttest imports deploy/faulttests":         "the timelines that ship",
+	"internal/standalone/cli imports internal/emulator/modelcheck":  "mulleinrouter audit states",
+	"internal/standalone/cli imports internal/emulator/faulttest":   "mulleinrouter rehearse",
+	"internal/standalone/cli imports internal/emulator/testcluster": "mulleinrouter try",
 }
 
 func TestLayers(t *testing.T) {
--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -18,8 +18,8 @@
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/dataplane/ingress"
 	"mulleinrouter/internal/dataplane/upstream"
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/emulator/exchange"
-	"mulleinrouter/passhub"
 )
 
 // chained is a proxy whose one server is the function given: it is called with each connection, and ends it by coming back.
@@ -47,10 +47,10 @@
 		}
 	}()
 	speech := speechOf(t, strings.Replace(testConfig, `"weighted":[{"backend":"s1","share":30},{"backend":"s2","share":70}]`, `"backend":"s2"`, 1), true, true)
-	s := &passhub.Settings{Balancers: 1, MaxAttempts: 2, MayCancel: true, FinishUnsafe: true, Slots: true}
-	e := engine.New(passhub.New(*s, 1), s, engine.NewClock())
+	s := &decision.Settings{Balancers: 1, MaxAttempts: 2, MayCancel: true, FinishUnsafe: true, Slots: true}
+	e := engine.New(decision.New(*s, 1), s, engine.NewClock())
 	e.Start(nil)
-	e.Backends(passhub.Backends{List: []passhub.Backend{{ID: "i-2", Group: "s2", Serving: true, Size: 9}}})
+	e.Backends(decision.Backends{List: []decision.Backend{{ID: "i-2", Group: "s2", Serving: true, Size: 9}}})
 	pool := upstream.New(func(string) (string, bool) { return back.Addr().String(), true },
 		upstream.Limits{Connections: 99, ConnectTimeout: time.Second, Keepalive: time.Minute}, quiet())
 	pool.Dialect = upstream.Dialect{Begin: beginRequest, Meaning: classifyAnswer, ID: headerAttemptID}
@@ -243,7 +243,7 @@
 	is.True(!a.Close) // it is not told to go
 	ask("i2")
 	go server.Drain(time.Minute, 0)
-	is.Equal(exchange.Until(func() bool { return server.Phase() == passhub.Closing }), "")
+	is.Equal(exchange.Until(func() bool { return server.Phase() == decision.Closing }), "")
 	close(rest)
 	b, err := io.ReadAll(a.Body)
 	is.NoErr(err)
--- a/internal/proxy/control_feed.go
+++ b/internal/proxy/control_feed.go
@@ -13,7 +13,7 @@
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/cluster/transport"
 	"mulleinrouter/internal/dataplane/engine"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 const (
@@ -35,7 +35,7 @@
 	client  *replication.Client
 	engine  *engine.Engine
 	shedder *shedder
-	warmUp  passhub.Seconds
+	warmUp  decision.Seconds
 	bounds  func() settings.Bounds // in force
 
 	table        atomic.Pointer[configuration.RoutingTable]
@@ -64,7 +64,7 @@
 		o.log.Log("msg", "configuration in force", "epoch", newestEpoch(f.Items), "items", len(f.Items))
 	}
 	if len(f.Instances) > 0 {
-		o.engine.Backends(passhub.Backends{List: o.backends(f.Instances)})
+		o.engine.Backends(decision.Backends{List: o.backends(f.Instances)})
 	}
 	o.setMembers(f.Members)
 	o.shedder.observe(time.Now(), time.Duration(f.LinkDelay*float64(time.Second)), f.LinkDelay > 0)
@@ -81,7 +81,7 @@
 }
 
 // disruptionWindow is for how long after a change of settings or configuration what it breaks off counts as lost by it, in seconds (RULES, LOST).
-func (o *controlFeed) disruptionWindow() passhub.Seconds { return o.bounds().ConfigApply + 1 }
+func (o *controlFeed) disruptionWindow() decision.Seconds { return o.bounds().ConfigApply + 1 }
 
 // newestEpoch is the epoch of the newest of some items.
 func newestEpoch(items []configuration.Item) (epoch uint64) {
@@ -127,14 +127,14 @@
 }
 
 // backends translates instances for the module. Those of a life that is over, or silent, get nothing.
-func (o *controlFeed) backends(ls []registry.Instance) []passhub.Backend {
-	list := make([]passhub.Backend, 0, len(ls))
+func (o *controlFeed) backends(ls []registry.Instance) []decision.Backend {
+	list := make([]decision.Backend, 0, len(ls))
 	for _, l := range ls {
 		now, ok := o.store.Instance(l.ID)
 		if !ok {
 			continue
 		}
-		b := passhub.Backend{ID: now.ID, Group: now.Service, Kind: now.Service, Zone: now.Zone, Serving: now.Phase == registry.Serving, Size: float64(now.Capacity)}
+		b := decision.Backend{ID: now.ID, Group: now.Service, Kind: now.Service, Zone: now.Zone, Serving: now.Phase == registry.Serving, Size: float64(now.Capacity)}
 		if now.ColdUntil > 0 && !math.IsInf(now.ColdUntil, 0) {
 			b.Booted = now.ColdUntil - o.warmUp
 		}
@@ -150,15 +150,15 @@
 }
 
 // Add is never called: counters are pairs.
-func (o *controlFeed) Add(name string, _ float64, _ passhub.Seconds) {
-	o.engine.CountedOf(name, passhub.Refused, 0, 0)
+func (o *controlFeed) Add(name string, _ float64, _ decision.Seconds) {
+	o.engine.CountedOf(name, decision.Refused, 0, 0)
 }
 
 // Call carries out the module's calls of the counters.
-func (o *controlFeed) Call(c passhub.Count) {
+func (o *controlFeed) Call(c decision.Count) {
 	if o.calls.Add(1) > maxCounterCalls {
 		o.calls.Add(-1)
-		go o.engine.CountedOf(c.Name, passhub.Busy, 0, 0)
+		go o.engine.CountedOf(c.Name, decision.Busy, 0, 0)
 		return
 	}
 	a := &transport.CounterAdd{Name: c.Customer, Cycle: c.Cycle, Holder: o.node, Amount: c.Add, ReadOnly: c.Add == 0, Retention: c.Keep, PerRequest: c.Each}
@@ -171,15 +171,15 @@
 		answer, err := o.client.Call(counterTimeout, &transport.Frame{CounterAdd: a})
 		switch {
 		case err != nil:
-			o.engine.CountedOf(c.Name, passhub.TimedOut, 0, 0)
+			o.engine.CountedOf(c.Name, decision.TimedOut, 0, 0)
 		case answer.CounterTotal == nil || !answer.CounterTotal.OK:
 			holders := 0
 			if answer.CounterTotal != nil {
 				holders = answer.CounterTotal.Holders // taken, by a keeper that is not sure of the others yet
 			}
-			o.engine.CountedOf(c.Name, passhub.Failed, 0, holders)
+			o.engine.CountedOf(c.Name, decision.Failed, 0, holders)
 		default:
-			o.engine.CountedOf(c.Name, passhub.Done, answer.CounterTotal.Sum, answer.CounterTotal.Holders)
+			o.engine.CountedOf(c.Name, decision.Done, answer.CounterTotal.Sum, answer.CounterTotal.Holders)
 		}
 	}()
 }
