--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -5,7 +5,7 @@
 
 	"mulleinrouter/internal/cluster/metrics"
 	"mulleinrouter/internal/dataplane/ingress"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // registerMetrics registers the proxy's figures (docs/operate/figures.md).
@@ -35,7 +35,7 @@
 	})
 }
 
-func (b *Proxy) figures() passhub.Figures { return b.control.engine.Figures() }
+func (b *Proxy) figures() decision.Figures { return b.control.engine.Figures() }
 
 func (b *Proxy) requestSamples() []metrics.Sample {
 	outcomes := b.server.Totals().Outcomes
@@ -48,8 +48,8 @@
 
 func (b *Proxy) serverSamples() []metrics.Sample {
 	servers := b.figures().Servers
-	samples := make([]metrics.Sample, 0, len(passhub.ServerStates))
-	for _, state := range passhub.ServerStates {
+	samples := make([]metrics.Sample, 0, len(decision.ServerStates))
+	for _, state := range decision.ServerStates {
 		samples = append(samples, metrics.Sample{Label: string(state), Value: float64(servers[state])})
 	}
 	return samples
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -9,7 +9,7 @@
 
 	"mulleinrouter/internal/cluster/metrics"
 	"mulleinrouter/internal/cluster/settings"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // The figures of a proxy, and how they follow what it knows of servers.
@@ -28,11 +28,11 @@
 	for _, line := range []string{"mulleinrouter_proxy_ready 0", `mulleinrouter_proxy_requests_total{outcome="answered"} 0`, `mulleinrouter_proxy_servers{state="good"} 0`} {
 		is.True(strings.Contains(empty, line))
 	}
-	var list []passhub.Backend
+	var list []decision.Backend
 	for _, id := range []string{"a", "b", "c"} {
-		list = append(list, passhub.Backend{ID: id, Group: "s", Serving: id != "c", Size: 2})
+		list = append(list, decision.Backend{ID: id, Group: "s", Serving: id != "c", Size: 2})
 	}
-	b.control.engine.Backends(passhub.Backends{List: list})
+	b.control.engine.Backends(decision.Backends{List: list})
 	full := text()
 	is.True(strings.Contains(full, `mulleinrouter_proxy_servers{state="unknown"} 2`))
 	is.True(strings.Contains(full, `mulleinrouter_proxy_servers{state="leaving"} 1`))
--- a/internal/proxy/planned_test.go
+++ b/internal/proxy/planned_test.go
@@ -17,7 +17,7 @@
 	"mulleinrouter/internal/cluster/transport"
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/ingress"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // TestSilenceEndsNothingRoundWhatIsPlanned has a server fall silent while another is free. On an ordinary day the request goes on to that
@@ -45,13 +45,13 @@
 				is := is.New(t)
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				s := &passhub.Settings{Balancers: 1, MaxAttempts: 2, MayCancel: true, Slots: true}
+				s := &decision.Settings{Balancers: 1, MaxAttempts: 2, MayCancel: true, Slots: true}
 				o := &controlFeed{shedder: newShedder(0), log: log.NewNopLogger(), base: time.Now(), store: replication.NewStore(1), ready: make(chan struct{}),
 					bounds: func() settings.Bounds { return settings.Bounds{ConfigApply: apply} }}
 				o.table.Store(configuration.NewRoutingTable())
-				o.engine = engine.New(passhub.New(*s, 1), s, engine.NewClock())
+				o.engine = engine.New(decision.New(*s, 1), s, engine.NewClock())
 				o.started = true
-				o.engine.Backends(passhub.Backends{List: []passhub.Backend{{ID: "a", Serving: true, Size: 9}, {ID: "b", Serving: true, Size: 9}}})
+				o.engine.Backends(decision.Backends{List: []decision.Backend{{ID: "a", Serving: true, Size: 9}, {ID: "b", Serving: true, Size: 9}}})
 				b := &Proxy{log: o.log, control: o, server: ingress.New(s, o.engine, nil, 9, quiet())}
 				hup := make(chan os.Signal)
 				passed := b.forwardHangups(ctx, hup)
@@ -67,8 +67,8 @@
 					tc.planned(b, hup)
 					time.Sleep(tc.ago)
 				}
-				class := &passhub.Class{Name: "r", Aim: 0.2, Deadline: 8, Worth: 1, LateWorth: 0.5, Attempts: 2, Patience: patience, Effect: passhub.Safe}
-				ticket := o.engine.Submit(passhub.Request{Class: "r", Kind: class, Left: 8, Units: 1, Terms: anonymousTerms, Doors: 1}, func() {})
+				class := &decision.Class{Name: "r", Aim: 0.2, Deadline: 8, Worth: 1, LateWorth: 0.5, Attempts: 2, Patience: patience, Effect: decision.Safe}
+				ticket := o.engine.Submit(decision.Request{Class: "r", Kind: class, Left: 8, Units: 1, Terms: anonymousTerms, Doors: 1}, func() {})
 				d := ticket.Next()
 				is.Equal(d.Kind, engine.Send)
 				is.True(d.Patience > 0)
@@ -81,7 +81,7 @@
 				time.Sleep(time.Second)
 				is.Equal(ticket.Impatient(), tc.given) // nor later
 				if tc.given {
-					ticket.Ended(passhub.TimedOut)
+					ticket.Ended(decision.TimedOut)
 					other := ticket.Next()
 					is.Equal(other.Kind, engine.Send)
 					is.True(other.Backend != d.Backend)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -22,7 +22,7 @@
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/ingress"
 	"mulleinrouter/internal/dataplane/upstream"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 const (
@@ -89,12 +89,12 @@
 func (b *Proxy) wire(me, life uint64, clock *replication.Clock) *Proxy {
 	p, o := b.p, b.control
 	quiet := quiet()
-	s := &passhub.Settings{Balancers: 1, Me: int(me % (1 << 31)), Zone: p.Zone, AnswerSlack: 0.02, ColdShare: 0.5, WarmUp: warmUp, MaxAttempts: 2,
+	s := &decision.Settings{Balancers: 1, Me: int(me % (1 << 31)), Zone: p.Zone, AnswerSlack: 0.02, ColdShare: 0.5, WarmUp: warmUp, MaxAttempts: 2,
 		MayCancel: true, FinishUnsafe: true, MayRetryAfter: true, MaxRetryAfter: 0.5, ConnectTimeout: connectTimeout.Seconds(), Keepalive: keepalive.Seconds(),
 		MayCount: true, CountWait: counterTimeout.Seconds(), Slots: true, Afar: otherZoneCost, Pairs: true, Cycle: counterCycle,
 		RetryShare: retryBudgetShare * p.Bounds.RetryRatio, RetrySlack: retryBudgetShare * p.Bounds.RetrySlack}
-	o.engine = engine.New(passhub.New(*s, me^life), s, engine.NewClockOf(clock.Now))
-	b.translator = &translator{control: o, splits: newSplitter(rand.New(rand.NewPCG(me, life))), terms: map[string]*passhub.Terms{}, classes: map[string]*passhub.Class{}}
+	o.engine = engine.New(decision.New(*s, me^life), s, engine.NewClockOf(clock.Now))
+	b.translator = &translator{control: o, splits: newSplitter(rand.New(rand.NewPCG(me, life))), terms: map[string]*decision.Terms{}, classes: map[string]*decision.Class{}}
 	sockets := float64(max(64, p.Limits.MaxFDs-reservedFDs))
 	b.pool = upstream.New(o.lookup, upstream.Limits{Connections: int(upstreamShare * sockets), ConnectTimeout: connectTimeout, Keepalive: keepalive}, quiet)
 	b.pool.Dialect = upstream.Dialect{Begin: beginRequest, Meaning: classifyAnswer, ID: headerAttemptID}
@@ -111,7 +111,7 @@
 const retryBudgetShare = 0.8
 
 // Ready tells whether this proxy wants clients.
-func (b *Proxy) Ready() bool { return b.server.Phase() == passhub.Serving }
+func (b *Proxy) Ready() bool { return b.server.Phase() == decision.Serving }
 
 // ServeMetrics has Run serve the proxy's figures too.
 func (b *Proxy) ServeMetrics(e metrics.Endpoint) { b.metrics = e }
--- a/internal/proxy/translator.go
+++ b/internal/proxy/translator.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"mulleinrouter/internal/cluster/configuration"
-	"mulleinrouter/internal/dataplane/client"
+	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/dataplane/ingress"
 	"mulleinrouter/internal/dataplane/upstream"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // The fields of PROTOCOL, "Requests" and "Answers", in textproto's own form: Get would make each anew.
@@ -20,10 +20,10 @@
 	headerTarget, headerSeal, headerNotExecuted                        = "X-Target-Instance", "X-Server-Seal", "X-Not-Executed"
 	authScheme                                                         = "Token "
 
-	maxAttemptIDBytes = 128                  // bytes
-	maxTimeLeftMs     = 600_000.0            // ms: no client waits longer
-	replyAllowance    = 10.0 / 1000          // s taken off the time that a client waits: the answer still has its way to go
-	unknownRetryAfter = passhub.Seconds(0.3) // s until a client whose route or key is not known here, perhaps not yet, should ask again
+	maxAttemptIDBytes = 128                   // bytes
+	maxTimeLeftMs     = 600_000.0             // ms: no client waits longer
+	replyAllowance    = 10.0 / 1000           // s taken off the time that a client waits: the answer still has its way to go
+	unknownRetryAfter = decision.Seconds(0.3) // s until a client whose route or key is not known here, perhaps not yet, should ask again
 )
 
 // consumedHeaders are the fields that the system decides by or writes itself: they are not passed on, and no trailer may have them. The key
@@ -39,8 +39,8 @@
 
 	mu      sync.Mutex
 	splits  *splitter
-	terms   map[string]*passhub.Terms // of tenants that asked lately
-	classes map[string]*passhub.Class // of routes that were asked lately
+	terms   map[string]*decision.Terms // of tenants that asked lately
+	classes map[string]*decision.Class // of routes that were asked lately
 }
 
 // maxCachedEntries bounds what is kept of routes and tenants; beyond it all is made anew, which costs little.
@@ -50,9 +50,9 @@
 func (s *translator) dialect() ingress.Dialect {
 	return ingress.Dialect{
 		Parse: s.parse, Deciding: consumedHeaders, Reports: serverOnlyHeaders, Beyond: 429, PassFailures: true,
-		Times: func() *client.Times {
+		Times: func() *clientconn.Times {
 			b := s.control.table.Load().ClientLimits()
-			t := &client.Times{Silent: 15, Idle: 15, Head: 3, Hears: true}
+			t := &clientconn.Times{Silent: 15, Idle: 15, Head: 3, Hears: true}
 			if b.IdleTime > 0 {
 				t.Idle, t.Silent = b.IdleTime, b.IdleTime
 			}
@@ -66,9 +66,9 @@
 }
 
 // parse finds a request's route and its tenant, and translates it. It decides nothing but whether there are these.
-func (s *translator) parse(r *http1.Request) (request passhub.Request, m *upstream.Message, bad *ingress.Problem) {
-	fail := func(status int, code, text string) (passhub.Request, *upstream.Message, *ingress.Problem) {
-		return passhub.Request{}, nil, &ingress.Problem{Status: status, Code: code, Text: text}
+func (s *translator) parse(r *http1.Request) (request decision.Request, m *upstream.Message, bad *ingress.Problem) {
+	fail := func(status int, code, text string) (decision.Request, *upstream.Message, *ingress.Problem) {
+		return decision.Request{}, nil, &ingress.Problem{Status: status, Code: code, Text: text}
 	}
 	for _, key := range [...]string{headerAttemptID, headerTimeLeft, headerAuthorization, "Host"} {
 		if len(r.Header[key]) > 1 { // who counts the other one decides otherwise
@@ -108,7 +108,7 @@
 	if !s.control.serviceExists(service) {
 		return s.unknownReply(404, "request-unknown-service", "no such service")
 	}
-	request = passhub.Request{Class: route.Name, Kind: s.class(route), Group: service, Left: min(left/1000, route.Deadline), Units: 1,
+	request = decision.Request{Class: route.Name, Kind: s.class(route), Group: service, Left: min(left/1000, route.Deadline), Units: 1,
 		Doors: s.control.ingressCount(), Long: r.Long != nil}
 	request.Repeat = left/1000 < route.Deadline-0.001
 	request.Left = max(request.Left/2, request.Left-replyAllowance)
@@ -123,16 +123,16 @@
 }
 
 // anonymousTerms are the terms of requests on public routes that come without a key.
-var anonymousTerms = &passhub.Terms{Plan: passhub.Plan{Price: 1}, Tag: "-"}
+var anonymousTerms = &decision.Terms{Plan: decision.Plan{Price: 1}, Tag: "-"}
 
 // unknownReply is the answer to who asks for what is not known here. Only one who knows that the configuration here is fresh may say
 // that there is none; else the request has not run, and may come again.
-func (s *translator) unknownReply(status int, code, text string) (passhub.Request, *upstream.Message, *ingress.Problem) {
+func (s *translator) unknownReply(status int, code, text string) (decision.Request, *upstream.Message, *ingress.Problem) {
 	p := &ingress.Problem{Status: status, Code: code, Text: text}
 	if !s.control.fresh() {
 		p.Status, p.Code, p.RetryAfter = 503, code+"-yet", unknownRetryAfter
 	}
-	return passhub.Request{}, nil, p
+	return decision.Request{}, nil, p
 }
 
 // chooseService returns the service that a request on a route goes to.
@@ -153,16 +153,16 @@
 )
 
 // class is a route as the module knows it.
-func (s *translator) class(route *configuration.Route) *passhub.Class {
+func (s *translator) class(route *configuration.Route) *decision.Class {
 	key := route.Name + "\x00" + strconv.FormatUint(route.Version, 16)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.classes[key]
 	if c == nil {
-		c = &passhub.Class{Name: route.Name, Aim: route.Target, Deadline: route.Deadline, Worth: worthOfPriority(route.Priority, routePriorityStep), LateWorth: 0.5,
-			Attempts: route.MaxTries, Hold: maxQueueShareOfTarget * route.Target, Patience: patience, Effect: passhub.Safe}
+		c = &decision.Class{Name: route.Name, Aim: route.Target, Deadline: route.Deadline, Worth: worthOfPriority(route.Priority, routePriorityStep), LateWorth: 0.5,
+			Attempts: route.MaxTries, Hold: maxQueueShareOfTarget * route.Target, Patience: patience, Effect: decision.Safe}
 		if route.Mutating {
-			c.Effect = passhub.Unsafe
+			c.Effect = decision.Unsafe
 		}
 		if len(s.classes) >= maxCachedEntries {
 			clear(s.classes)
@@ -173,14 +173,14 @@
 }
 
 // tenantTerms is a tenant's quota as the module knows it.
-func (s *translator) tenantTerms(t *configuration.Tenant) *passhub.Terms {
+func (s *translator) tenantTerms(t *configuration.Tenant) *decision.Terms {
 	tag := strconv.FormatUint(t.Version, 16)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.terms[t.Name]
 	if e == nil || e.Tag != tag {
-		e = &passhub.Terms{Customer: t.Name, Tag: tag,
-			Plan: passhub.Plan{Name: t.Name, Rate: t.Rate, Burst: t.Burst, Price: worthOfPriority(t.Priority, tenantPriorityStep)}}
+		e = &decision.Terms{Customer: t.Name, Tag: tag,
+			Plan: decision.Plan{Name: t.Name, Rate: t.Rate, Burst: t.Burst, Price: worthOfPriority(t.Priority, tenantPriorityStep)}}
 		if len(s.terms) >= maxCachedEntries {
 			clear(s.terms)
 		}
--- a/internal/proxy/translator_test.go
+++ b/internal/proxy/translator_test.go
@@ -14,7 +14,7 @@
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/dataplane/upstream"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // testConfig is a whole of three routes, two tenants and two services.
@@ -44,7 +44,7 @@
 	if fresh {
 		o.quorumAt.Store(int64(time.Hour))
 	}
-	return &translator{control: o, splits: newSplitter(rand.New(rand.NewPCG(1, 1))), terms: map[string]*passhub.Terms{}, classes: map[string]*passhub.Class{}}
+	return &translator{control: o, splits: newSplitter(rand.New(rand.NewPCG(1, 1))), terms: map[string]*decision.Terms{}, classes: map[string]*decision.Class{}}
 }
 
 func head(t *testing.T, text string) *http1.Request {
@@ -207,7 +207,7 @@
 	p.Dialect = upstream.Dialect{Begin: beginRequest, Meaning: classifyAnswer, ID: headerAttemptID}
 	for _, id := range []string{"first", "second", "third"} {
 		r := p.Do(t.Context(), "i-1", &upstream.Message{Method: "GET", Target: "/", Host: "h", ID: id}, time.Now().Add(5*time.Second))
-		is.Equal(r.Outcome, passhub.Done)
+		is.Equal(r.Outcome, decision.Done)
 		is.Equal(string(r.Body), id[:1])
 	}
 	is.Equal(len(conns), 2) // the second request's connection was ended, for one answer too many had come on it
--- a/internal/standalone/catalogue/catalogue.go
+++ b/internal/standalone/catalogue/catalogue.go
@@ -14,9 +14,9 @@
 	"github.com/hashicorp/hcl/v2/gohcl"
 	"github.com/hashicorp/hcl/v2/hclwrite"
 
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/hclfile"
 	"mulleinrouter/internal/standalone/plans"
-	"mulleinrouter/passhub"
 )
 
 // most bounds a file: it is read whole.
@@ -165,7 +165,7 @@
 	return out.Bytes()
 }
 
-func rfc3339(at passhub.Seconds) string {
+func rfc3339(at decision.Seconds) string {
 	if at == 0 {
 		return ""
 	}
@@ -197,7 +197,7 @@
 )
 
 // Apply adds a revision to those of a catalogue, and leaves out what is past by now: all below the one in force.
-func Apply(all []plans.Revision, r plans.Revision, now passhub.Seconds) ([]plans.Revision, error) {
+func Apply(all []plans.Revision, r plans.Revision, now decision.Seconds) ([]plans.Revision, error) {
 	if n := len(all); n > 0 {
 		if last := &all[n-1]; r.Number <= last.Number {
 			return nil, fmt.Errorf("revision %d: %w: %d", r.Number, ErrStale, last.Number)
--- a/internal/standalone/cli/audit.go
+++ b/internal/standalone/cli/audit.go
@@ -8,7 +8,7 @@
 	"runtime"
 	"time"
 
-	"mulleinrouter/internal/emulator/explore"
+	"mulleinrouter/internal/emulator/modelcheck"
 )
 
 // Audit are the commands that look for violations of the rules.
@@ -30,7 +30,7 @@
 // Run explores, and shows what it found.
 func (c *AuditStates) Run(p *Program) error {
 	began, shown := time.Now(), 0
-	r := explore.Explore(explore.Options{Depth: c.Depth, Random: c.Random, Seed: c.Seed, Progress: func(done, all int, orderings int64) {
+	r := modelcheck.Explore(modelcheck.Options{Depth: c.Depth, Random: c.Random, Seed: c.Seed, Progress: func(done, all int, orderings int64) {
 		if part := done * 10 / all; part > shown {
 			shown = part
 			fmt.Fprintf(p.err, "%3d%%  %d orderings, %.0f s\n", part*10, orderings, time.Since(began).Seconds())
@@ -75,11 +75,11 @@
 		return badFile{err}
 	}
 	defer f.Close()
-	trace, err := explore.ReadTrace(f)
+	trace, err := modelcheck.ReadTrace(f)
 	if err != nil {
 		return badFile{fmt.Errorf("%s: %w", c.File, err)}
 	}
-	violations, happened := explore.Replay(trace.Config, trace.Events)
+	violations, happened := modelcheck.Replay(trace.Config, trace.Events)
 	fmt.Fprintf(p.out, "%d of %d events happened\n", len(happened), len(trace.Events))
 	for _, v := range violations {
 		fmt.Fprintf(p.out, "%s: %s\n", v.Property, v.Text)
--- a/internal/standalone/cli/cli_test.go
+++ b/internal/standalone/cli/cli_test.go
@@ -12,7 +12,7 @@
 	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/dataplane/usage"
-	"mulleinrouter/internal/emulator/standin"
+	"mulleinrouter/internal/emulator/fakes"
 	"mulleinrouter/internal/standalone/usagesegment"
 )
 
@@ -141,7 +141,7 @@
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	b := &standin.Billing{}
+	b := &fakes.Billing{}
 	if err := b.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standalone/cli/fleet.go
+++ b/internal/standalone/cli/fleet.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"mulleinrouter/internal/standalone/fleet/gossip"
-	"mulleinrouter/internal/standalone/fleet/share"
-	"mulleinrouter/internal/standalone/fleet/sharing"
-	"mulleinrouter/internal/standalone/fleet/steward"
+	"mulleinrouter/internal/standalone/fleet/leaseservice"
+	"mulleinrouter/internal/standalone/fleet/quotashare"
+	"mulleinrouter/internal/standalone/fleet/quotasync"
 	"mulleinrouter/internal/standalone/jsontext"
 	"mulleinrouter/internal/standalone/mgmt"
 )
@@ -133,7 +133,7 @@
 }
 
 // told asks for what is agreed on, or has it changed.
-func (a *address) told(call string) (*steward.Told, string, error) {
+func (a *address) told(call string) (*leaseservice.Told, string, error) {
 	line, err := a.ask(call)
 	if errors.Is(err, errNoFleet) {
 		return nil, "", errNoLeader
@@ -141,7 +141,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	t := &steward.Told{}
+	t := &leaseservice.Told{}
 	return t, line, jsontext.Decode([]byte(line), t)
 }
 
@@ -189,7 +189,7 @@
 		fmt.Fprintln(p.out, line)
 		return nil
 	}
-	var a steward.Announced
+	var a leaseservice.Announced
 	if err := jsontext.Decode([]byte(line), &a); err != nil {
 		return err
 	}
@@ -223,7 +223,7 @@
 		fmt.Fprintln(p.out, line)
 		return nil
 	}
-	var r sharing.Report
+	var r quotasync.Report
 	if err := jsontext.Decode([]byte(line), &r); err != nil {
 		return err
 	}
@@ -233,7 +233,7 @@
 		fmt.Fprintf(p.out, "the counter is not trusted (%s): quotas go by loans", cmp.Or(r.Why, "there is none"))
 	}
 	fmt.Fprintf(p.out, "; %.4g units a second given, %.4g taken; %d words refused; warned of %d servers %s\n\n", r.Given, r.Taken, r.Refused, len(r.Warned), strings.Join(r.Warned, " "))
-	parts := func(all []share.Part) (text string) {
+	parts := func(all []quotashare.Part) (text string) {
 		for _, q := range all {
 			text += fmt.Sprintf("%s %.4g ", q.Name, q.Rate)
 		}
--- a/internal/standalone/cli/plans.go
+++ b/internal/standalone/cli/plans.go
@@ -15,18 +15,18 @@
 
 	jsoniter "github.com/json-iterator/go"
 
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/catalogue"
 	"mulleinrouter/internal/standalone/plans"
-	"mulleinrouter/passhub"
 )
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
 func table(w io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(w, 0, 0, 2, ' ', 0) }
 
-func now() passhub.Seconds { return float64(time.Now().UnixMilli()) / 1000 }
+func now() decision.Seconds { return float64(time.Now().UnixMilli()) / 1000 }
 
-func at(t passhub.Seconds) string {
+func at(t decision.Seconds) string {
 	if t == 0 {
 		return "as soon as it is read"
 	}
@@ -174,7 +174,7 @@
 	In    string `placeholder:"SPAN" default:"5s" help:"How long from now on it holds, such as 30s: time for all ingresses to hear of it. 0 for at once."`
 }
 
-func (w *When) time() (passhub.Seconds, error) {
+func (w *When) time() (decision.Seconds, error) {
 	if w.Holds != "" {
 		t, err := time.Parse(time.RFC3339Nano, w.Holds)
 		if err != nil {
--- a/internal/standalone/cli/rehearse.go
+++ b/internal/standalone/cli/rehearse.go
@@ -13,12 +13,12 @@
 	"sync"
 	"syscall"
 
-	"mulleinrouter/internal/emulator/rehearse"
+	"mulleinrouter/internal/emulator/faulttest"
 )
 
 // Rehearse plays a timeline of faults.
 type Rehearse struct {
-	File      string  `arg:"" help:"A timeline: a file, or one of those that ship (deploy/rehearsals) by its name, such as duty-holder."`
+	File      string  `arg:"" help:"A timeline: a file, or one of those that ship (deploy/faulttests) by its name, such as duty-holder."`
 	Ingresses int     `help:"So many ingresses instead of those that the file names."`
 	Seed      uint64  `help:"Another seed than the file's."`
 	Dir       string  `type:"path" help:"Folder for files and logs; it stays. Default: a temporary one."`
@@ -29,11 +29,11 @@
 }
 
 // timeline reads a file, or one that ships.
-func timeline(name string) (*rehearse.Timeline, error) {
+func timeline(name string) (*faulttest.Timeline, error) {
 	if _, err := os.Stat(name); errors.Is(err, fs.ErrNotExist) && filepath.Base(name) == name && filepath.Ext(name) == "" {
-		return rehearse.Shipped(name)
+		return faulttest.Shipped(name)
 	}
-	return rehearse.Read(name)
+	return faulttest.Read(name)
 }
 
 var errNotHeld = errors.New("not all that was expected held")
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	o := rehearse.Options{Program: program, Dir: c.Dir, Progress: p.out, Slack: c.Slack}
+	o := faulttest.Options{Program: program, Dir: c.Dir, Progress: p.out, Slack: c.Slack}
 	if c.Events != "" {
 		f, err := os.Create(c.Events)
 		if err != nil {
@@ -64,7 +64,7 @@
 	if c.Repeat > 1 {
 		return c.often(ctx, p.out, t, o)
 	}
-	report, err := rehearse.Play(ctx, t, o)
+	report, err := faulttest.Play(ctx, t, o)
 	if err != nil {
 		return err
 	}
@@ -77,9 +77,9 @@
 }
 
 // often plays it again and again. One that fails is told with its seed, and its files stay where a folder was named.
-func (c *Rehearse) often(ctx context.Context, out io.Writer, t *rehearse.Timeline, o rehearse.Options) error {
+func (c *Rehearse) often(ctx context.Context, out io.Writer, t *faulttest.Timeline, o faulttest.Options) error {
 	var mu sync.Mutex
-	var all []*rehearse.Report
+	var all []*faulttest.Report
 	failed := 0
 	turns, playing := make(chan struct{}, max(1, c.Beside)), sync.WaitGroup{}
 	o.Progress, o.Events = nil, nil
@@ -93,7 +93,7 @@
 			if p.Dir != "" {
 				p.Dir = filepath.Join(p.Dir, fmt.Sprint(one.Seed))
 			}
-			report, err := rehearse.Play(ctx, &one, p)
+			report, err := faulttest.Play(ctx, &one, p)
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
@@ -114,7 +114,7 @@
 	playing.Wait()
 	if len(all) > 0 {
 		fmt.Fprintln(out)
-		rehearse.Table(out, all)
+		faulttest.Table(out, all)
 	}
 	fmt.Fprintf(out, "%d of %d held\n", c.Repeat-failed, c.Repeat)
 	if failed > 0 {
--- a/internal/standalone/cli/usage.go
+++ b/internal/standalone/cli/usage.go
@@ -15,7 +15,7 @@
 	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/dataplane/usage"
-	"mulleinrouter/internal/emulator/rig"
+	"mulleinrouter/internal/emulator/testcluster"
 	"mulleinrouter/internal/standalone/usageexport"
 	"mulleinrouter/internal/standalone/usagesegment"
 )
@@ -238,7 +238,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	fmt.Fprintf(p.out, "%d ingresses, 3 stand-in quote servers, discovery, a counter and billing on loopback; %d members for %g s\n", c.Ingresses, c.Members, c.Seconds)
-	report, err := rig.Play(ctx, rig.Options{Program: program, Dir: c.Dir, Ingresses: c.Ingresses, Members: c.Members, Seconds: c.Seconds, Load: c.Load,
+	report, err := testcluster.Play(ctx, testcluster.Options{Program: program, Dir: c.Dir, Ingresses: c.Ingresses, Members: c.Members, Seconds: c.Seconds, Load: c.Load,
 		Changes: true, Kill: c.Kill, Crashes: c.Crashes, Faults: c.Faults, Seed: c.Seed, Progress: p.out})
 	if err != nil {
 		return err
--- a/internal/standalone/config/config.go
+++ b/internal/standalone/config/config.go
@@ -9,11 +9,11 @@
 	"strconv"
 	"time"
 
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/discovery"
 	"mulleinrouter/internal/standalone/faultinjection"
 	"mulleinrouter/internal/standalone/jsontext"
 	"mulleinrouter/internal/standalone/settings"
-	"mulleinrouter/passhub"
 )
 
 // Config is the configuration of one ingress.
@@ -25,7 +25,7 @@
 	Seed                    uint64
 	Limits                  Limits
 	Known                   *discovery.List // nil: none
-	Settings                passhub.Settings
+	Settings                decision.Settings
 	SettingsRaw             []byte // the settings as the file has them, to check a newer file against; nil: our own form
 
 	// Only our own file names these: the platform gives no place for them.
--- a/internal/standalone/config/config_test.go
+++ b/internal/standalone/config/config_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/discovery"
-	"mulleinrouter/passhub"
 )
 
 const file = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","counter":"127.0.0.1:3","seed":"ff","later":[],
@@ -30,10 +30,10 @@
 			Limits: Limits{Cores: 1.5, MemoryMB: 192, Sockets: 1024},
 			Known: &discovery.List{Rev: 7, All: true, Targets: []discovery.Target{
 				{UID: "s", Endpoint: "h:1", Zone: "a", Model: "m", State: "leaving", Capacity: 2, BootMs: 1500}}},
-			Settings: passhub.Settings{
+			Settings: decision.Settings{
 				Balancers: 3, Me: 1, MayCount: true, CountWait: 0.03,
-				Classes: []passhub.Class{{Name: "c", Aim: 1, Deadline: 3, Worth: 2, Effect: passhub.Safe}},
-				Plans:   []passhub.Plan{{Name: "p", Rate: 4, Burst: 5, Price: 1.2}},
+				Classes: []decision.Class{{Name: "c", Aim: 1, Deadline: 3, Worth: 2, Effect: decision.Safe}},
+				Plans:   []decision.Plan{{Name: "p", Rate: 4, Burst: 5, Price: 1.2}},
 			},
 		}
 		change(c)
--- a/internal/standalone/config/fuzz_test.go
+++ b/internal/standalone/config/fuzz_test.go
@@ -5,30 +5,30 @@
 	"strings"
 	"testing"
 
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/hclfile"
-	"mulleinrouter/passhub"
 )
 
 // serve has a module run on settings that were accepted: each request gets a decision or is held, and nothing breaks.
 func serve(t *testing.T, c *Config) {
-	g := passhub.New(c.Settings, c.Seed)
-	g.Handle(0, passhub.Start{})
-	g.Handle(0, passhub.Backends{Complete: true, List: []passhub.Backend{{ID: "s", Serving: true}}})
+	g := decision.New(c.Settings, c.Seed)
+	g.Handle(0, decision.Start{})
+	g.Handle(0, decision.Backends{Complete: true, List: []decision.Backend{{ID: "s", Serving: true}}})
 	id := uint64(0)
 	for _, plan := range c.Settings.Plans {
 		for i := range 6 {
 			id++
 			now := float64(i) * 3
-			actions := g.Handle(now, passhub.Request{ID: id, Class: c.Settings.Classes[0].Name, Plan: plan.Name, Customer: plan.Name, Left: 3, Units: 2, Doors: 1 + i%3*20})
+			actions := g.Handle(now, decision.Request{ID: id, Class: c.Settings.Classes[0].Name, Plan: plan.Name, Customer: plan.Name, Left: 3, Units: 2, Doors: 1 + i%3*20})
 			for n := 0; n < len(actions) && n < 100; n++ {
 				switch a := actions[n].(type) {
-				case passhub.Count:
-					actions = append(actions, g.Handle(now, passhub.Counted{Name: a.Name, Outcome: passhub.Done, Total: a.Add})...)
-				case passhub.Send:
-					actions = append(actions, g.Handle(now+0.1, passhub.AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: passhub.Done, Took: 0.1, Settled: true})...)
+				case decision.Count:
+					actions = append(actions, g.Handle(now, decision.Counted{Name: a.Name, Outcome: decision.Done, Total: a.Add})...)
+				case decision.Send:
+					actions = append(actions, g.Handle(now+0.1, decision.AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: decision.Done, Took: 0.1, Settled: true})...)
 				}
 			}
-			g.Handle(now+1, passhub.Timer{Token: "tick"})
+			g.Handle(now+1, decision.Timer{Token: "tick"})
 		}
 	}
 }
--- a/internal/standalone/config/hcl.go
+++ b/internal/standalone/config/hcl.go
@@ -10,11 +10,11 @@
 	"strings"
 	"time"
 
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/discovery"
-	"mulleinrouter/internal/standalone/fleet/keyfile"
+	"mulleinrouter/internal/standalone/fleet/keyring"
 	"mulleinrouter/internal/standalone/hclfile"
 	"mulleinrouter/internal/standalone/plans"
-	"mulleinrouter/passhub"
 )
 
 // ours is the form of our own file. Times are spans such as "250ms", rates are units a second.
@@ -280,7 +280,7 @@
 		return f.At(at+"interval", fmt.Sprintf("must be from %v to %v", probesOftenest, probesSeldomest))
 	}
 	if m.KeyFile != "" {
-		if _, err := keyfile.Read(m.KeyFile); err != nil {
+		if _, err := keyring.Read(m.KeyFile); err != nil {
 			return f.At(at+"key_file", err.Error())
 		}
 	}
@@ -316,7 +316,7 @@
 	for _, d := range []struct {
 		key, text string
 		otherwise time.Duration
-		into      *passhub.Seconds
+		into      *decision.Seconds
 	}{
 		{"drain_grace", r.DrainGrace, 250 * time.Millisecond, &s.DrainGrace},
 		{"answer_slack", r.AnswerSlack, 50 * time.Millisecond, &s.AnswerSlack},
@@ -367,7 +367,7 @@
 		if err != nil {
 			return err
 		}
-		class := passhub.Class{Name: k.Name, Aim: aim.Seconds(), Deadline: deadline.Seconds(), Worth: cmp.Or(k.Worth, 1), LateWorth: k.LateWorth}
+		class := decision.Class{Name: k.Name, Aim: aim.Seconds(), Deadline: deadline.Seconds(), Worth: cmp.Or(k.Worth, 1), LateWorth: k.LateWorth}
 		switch {
 		case aim <= 0:
 			return f.At(at+".aim", "must be more than 0")
@@ -378,9 +378,9 @@
 		}
 		switch k.Repeat {
 		case "safe":
-			class.Effect = passhub.Safe
+			class.Effect = decision.Safe
 		case "never":
-			class.Effect = passhub.Unsafe
+			class.Effect = decision.Unsafe
 		default:
 			return f.At(at+".repeat", fmt.Sprintf("%q is neither \"safe\" (may run twice) nor \"never\"", k.Repeat))
 		}
--- a/internal/standalone/counter/counter.go
+++ b/internal/standalone/counterclient/counter.go
@@ -1,6 +1,6 @@
-// Package counter calls the quota counter that all ingresses share: RESP2, pipelined over a few
+// Package counterclient calls the quota counter that all ingresses share: RESP2, pipelined over a few
 // connections.
-package counter
+package counterclient
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 const (
@@ -35,7 +35,7 @@
 var longAgo = time.Unix(1, 0)
 
 // Told receives what came of a call.
-type Told func(name string, outcome passhub.Outcome, total float64)
+type Told func(name string, outcome decision.Outcome, total float64)
 
 // Client calls the counter, at one address at a time.
 type Client struct {
@@ -116,7 +116,7 @@
 
 // Add calls the counter and does not wait for the answer. All calls for a name travel on one
 // lane: answers for it come in the order of the calls.
-func (c *Client) Add(name string, amount float64, keep passhub.Seconds) {
+func (c *Client) Add(name string, amount float64, keep decision.Seconds) {
 	h := fnv.New32a()
 	io.WriteString(h, name)
 	c.lanes[h.Sum32()%uint32(len(c.lanes))].add(name, amount, keep)
@@ -164,19 +164,19 @@
 	return nil
 }
 
-func (l *lane) add(name string, amount float64, keep passhub.Seconds) {
+func (l *lane) add(name string, amount float64, keep decision.Seconds) {
 	l.mu.Lock()
 	// What is out for this name at the old address is not waited for any longer: two connections keep
 	// no order, and its answer would pass for this one's.
 	for l.takeOver(name) {
 		l.mu.Unlock()
-		l.client.told(name, passhub.Reset, 0)
+		l.client.told(name, decision.Reset, 0)
 		l.mu.Lock()
 	}
 	k := l.use()
 	if k == nil || len(k.left) >= mostLeft {
 		l.mu.Unlock()
-		l.client.told(name, passhub.Refused, 0)
+		l.client.told(name, decision.Refused, 0)
 		return
 	}
 	c := &call{name: name, at: time.Now()}
@@ -187,8 +187,8 @@
 	l.mu.Unlock()
 	if err != nil {
 		c.timer.Stop()
-		l.client.told(name, passhub.Refused, 0) // its last byte was not written: it is not added
-		k.conn.Close()                          // its reader notices, and tells those that were written
+		l.client.told(name, decision.Refused, 0) // its last byte was not written: it is not added
+		k.conn.Close()                           // its reader notices, and tells those that were written
 	}
 }
 
@@ -224,7 +224,7 @@
 	c.over = true
 	l.mu.Unlock()
 	if !over {
-		l.client.told(c.name, passhub.TimedOut, 0)
+		l.client.told(c.name, decision.TimedOut, 0)
 	}
 }
 
@@ -326,7 +326,7 @@
 	}
 	l.client.log.WithFields(logrus.Fields{"code": code, "lost": len(lost)}).Info("counter connection ended")
 	for _, c := range lost {
-		l.client.told(c.name, passhub.Reset, 0)
+		l.client.told(c.name, decision.Reset, 0)
 	}
 }
 
@@ -350,7 +350,7 @@
 			err = fmt.Errorf("%w: of this call", errAnswer)
 		}
 		if err != nil {
-			a = answer{outcome: passhub.Failed} // to this call all the same: it was added, the total is not known
+			a = answer{outcome: decision.Failed} // to this call all the same: it was added, the total is not known
 			k.cut = true
 		}
 		k.left[0] = nil
@@ -375,7 +375,7 @@
 // answer is one of the counter's.
 type answer struct {
 	pong    bool // to a ping: no answer to a call
-	outcome passhub.Outcome
+	outcome decision.Outcome
 	total   float64
 }
 
@@ -391,9 +391,9 @@
 	case line == "+PONG":
 		return answer{pong: true}, nil
 	case strings.HasPrefix(line, "-BUSY"):
-		return answer{outcome: passhub.Busy}, nil
+		return answer{outcome: decision.Busy}, nil
 	case strings.HasPrefix(line, "-"):
-		return answer{outcome: passhub.Failed}, nil
+		return answer{outcome: decision.Failed}, nil
 	case strings.HasPrefix(line, "$"):
 		n, err := strconv.Atoi(number)
 		if err != nil || n < 1 || n > mostDigits {
@@ -412,7 +412,7 @@
 	if err != nil || strings.Trim(number, "0123456789.eE+-") != "" { // infinities and their like
 		return a, fmt.Errorf("%w: %.20q", errAnswer, number)
 	}
-	return answer{outcome: passhub.Done, total: total}, nil
+	return answer{outcome: decision.Done, total: total}, nil
 }
 
 // readLine reads a line. One longer than the buffer is none of the counter's: it may never end.
@@ -427,7 +427,7 @@
 	return strings.TrimRight(string(line), "\r\n"), nil
 }
 
-func appendCall(b []byte, name string, amount float64, keep passhub.Seconds) []byte {
+func appendCall(b []byte, name string, amount float64, keep decision.Seconds) []byte {
 	b = append(b, "*4\r\n$7\r\nCNT.ADD\r\n"...)
 	b = appendBulk(b, name)
 	b = appendBulk(b, strconv.FormatFloat(amount, 'f', -1, 64))
--- a/internal/standalone/counter/counter_test.go
+++ b/internal/standalone/counterclient/counter_test.go
@@ -1,4 +1,4 @@
-package counter
+package counterclient
 
 import (
 	"bufio"
@@ -12,13 +12,13 @@
 
 	"github.com/sirupsen/logrus"
 
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/emulator/exchange"
-	"mulleinrouter/passhub"
 )
 
-var words = map[passhub.Outcome]string{
-	passhub.Done: "done", passhub.Busy: "busy", passhub.Failed: "failed", passhub.TimedOut: "timed out",
-	passhub.Reset: "reset", passhub.Refused: "refused",
+var words = map[decision.Outcome]string{
+	decision.Done: "done", decision.Busy: "busy", decision.Failed: "failed", decision.TimedOut: "timed out",
+	decision.Reset: "reset", decision.Refused: "refused",
 }
 
 // TestExchanges plays one lane's calls and answers.
@@ -28,7 +28,7 @@
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		told := make(chan string, 10)
-		c := newClient(p.Addr("counter"), time.Minute, func(name string, outcome passhub.Outcome, total float64) {
+		c := newClient(p.Addr("counter"), time.Minute, func(name string, outcome decision.Outcome, total float64) {
 			told <- fmt.Sprintf("%s %s %v", name, words[outcome], total)
 		}, log, 1)
 		defer c.Close()
@@ -95,7 +95,7 @@
 	defer l.Close()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	c := newClient(l.Addr().String(), time.Minute, func(string, passhub.Outcome, float64) {}, log, 1)
+	c := newClient(l.Addr().String(), time.Minute, func(string, decision.Outcome, float64) {}, log, 1)
 	defer c.Close()
 	go c.lanes[0].run()
 	begun := time.Now()
--- a/internal/standalone/counterd/counterd_test.go
+++ b/internal/standalone/counterserver/counterd_test.go
@@ -1,4 +1,4 @@
-package counterd
+package counterserver
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/sirupsen/logrus"
 
-	"mulleinrouter/internal/standalone/counter"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/standalone/counterclient"
 )
 
 // The store agrees with one that looks through all names at each call.
@@ -107,19 +107,19 @@
 	s, addr := serve(t)
 	type told struct {
 		name    string
-		outcome passhub.Outcome
+		outcome decision.Outcome
 		total   float64
 	}
 	answers := make(chan told, 10)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	c := counter.New(addr, 10*time.Second, func(name string, o passhub.Outcome, total float64) { answers <- told{name, o, total} }, log)
+	c := counterclient.New(addr, 10*time.Second, func(name string, o decision.Outcome, total float64) { answers <- told{name, o, total} }, log)
 	defer c.Close()
 	add := func(want told) {
 		t.Helper()
 		for { // until its connection is up
 			c.Add(want.name, 2, 10)
-			if got := <-answers; got.outcome != passhub.Refused {
+			if got := <-answers; got.outcome != decision.Refused {
 				if got != want {
 					t.Errorf("%+v, want %+v", got, want)
 				}
@@ -128,15 +128,15 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	add(told{"a", passhub.Done, 2})
-	add(told{"a", passhub.Done, 4})
+	add(told{"a", decision.Done, 2})
+	add(told{"a", decision.Done, 4})
 	s.Set(&Fault{Busy: true})
-	add(told{"a", passhub.Busy, 0})
+	add(told{"a", decision.Busy, 0})
 	s.Set(&Fault{Delay: time.Millisecond})
-	add(told{"a", passhub.Done, 6})
+	add(told{"a", decision.Done, 6})
 	s.Set(nil)
 	s.Empty()
-	add(told{"a", passhub.Done, 2})
+	add(told{"a", decision.Done, 2})
 	s.Set(&Fault{Silent: true})
 	c.Add("a", 2, 10)
 	for s.Calls() < 6 {
--- a/internal/standalone/counterd/server.go
+++ b/internal/standalone/counterserver/server.go
@@ -1,4 +1,4 @@
-package counterd
+package counterserver
 
 import (
 	"bufio"
--- a/internal/standalone/counterd/store.go
+++ b/internal/standalone/counterserver/store.go
@@ -1,6 +1,6 @@
-// Package counterd is a quota counter of our own: numbers by name that ingresses add to, over RESP2 as PROTOCOL words
+// Package counterserver is a quota counter of our own: numbers by name that ingresses add to, over RESP2 as PROTOCOL words
 // it. One ingress can have it embedded for all those on its machine; stand-ins use it, too.
-package counterd
+package counterserver
 
 import (
 	"container/heap"
--- a/internal/standalone/discovery/discovery.go
+++ b/internal/standalone/discovery/discovery.go
@@ -18,8 +18,8 @@
 
 	"mulleinrouter/internal/dataplane/backoff"
 	"mulleinrouter/internal/dataplane/http1"
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/jsontext"
-	"mulleinrouter/passhub"
 )
 
 const (
@@ -71,8 +71,8 @@
 
 // apply takes news and returns it in the module's form. The directory has it first: whoever is told
 // to send must find the address.
-func (d *Directory) apply(l *List) passhub.Backends {
-	news := passhub.Backends{Complete: l.All, List: make([]passhub.Backend, 0, len(l.Targets))}
+func (d *Directory) apply(l *List) decision.Backends {
+	news := decision.Backends{Complete: l.All, List: make([]decision.Backend, 0, len(l.Targets))}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.entries == nil || l.All {
@@ -85,7 +85,7 @@
 		} else {
 			d.entries[t.UID] = entry{addr: t.Endpoint, serving: serving}
 		}
-		news.List = append(news.List, passhub.Backend{
+		news.List = append(news.List, decision.Backend{
 			ID: t.UID, Zone: t.Zone, Kind: t.Model, Serving: serving, Size: t.Capacity,
 			Booted: t.BootMs / 1000, // the module's clock is Unix time
 		})
@@ -97,7 +97,7 @@
 type Watcher struct {
 	Addr      string
 	Directory *Directory
-	Tell      func(passhub.Backends)
+	Tell      func(decision.Backends)
 	Log       *logrus.Logger
 	Fleet     int    // ingresses that ask the same discovery: they must not ask in step
 	Seed      uint64 // for chance
@@ -194,7 +194,7 @@
 }
 
 // pause waits, or until the context ends.
-func pause(ctx context.Context, wait passhub.Seconds) {
+func pause(ctx context.Context, wait decision.Seconds) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Duration(wait * float64(time.Second))):
--- a/internal/standalone/discovery/discovery_test.go
+++ b/internal/standalone/discovery/discovery_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/emulator/exchange"
-	"mulleinrouter/passhub"
 )
 
 // TestExchanges plays discovery's side: what the module is told, and what the directory then says.
@@ -20,9 +20,9 @@
 		p := exchange.New(t, "discovery", "other")
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		news := make(chan passhub.Backends, 10)
+		news := make(chan decision.Backends, 10)
 		w := &Watcher{Addr: p.Addr("discovery"), Directory: &Directory{}, Log: log,
-			Tell: func(b passhub.Backends) { news <- b }, answer: time.Minute, silence: time.Minute}
+			Tell: func(b decision.Backends) { news <- b }, answer: time.Minute, silence: time.Minute}
 		if strings.HasSuffix(script, "silent.txt") {
 			w.silence = time.Millisecond
 		}
@@ -65,7 +65,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	told := 0
-	w := &Watcher{Directory: &Directory{}, Log: log, Tell: func(passhub.Backends) { told++ }}
+	w := &Watcher{Directory: &Directory{}, Log: log, Tell: func(decision.Backends) { told++ }}
 	const active = `{"uid":"s-1","endpoint":"h:1","state":"active"}`
 	hundreds := make([]string, 600)
 	for i := range hundreds {
--- a/internal/standalone/discovery/fuzz_test.go
+++ b/internal/standalone/discovery/fuzz_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // FuzzLists: whatever comes as a list, what is none changes nothing, only active servers are served, and the module goes on
@@ -23,26 +23,26 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	f.Fuzz(func(t *testing.T, first, second []byte) {
-		g := passhub.New(passhub.Settings{Balancers: 80, WarmUp: 18, ColdShare: 0.2, MaxAttempts: 4,
-			Classes: []passhub.Class{{Name: "c", Aim: 1, Deadline: 3, Worth: 1, Effect: passhub.Safe}}, Plans: []passhub.Plan{{Name: "p", Price: 1}}}, 1)
-		g.Handle(0, passhub.Start{})
-		w := &Watcher{Directory: &Directory{}, Log: log, Tell: func(b passhub.Backends) { g.Handle(1, b) }}
+		g := decision.New(decision.Settings{Balancers: 80, WarmUp: 18, ColdShare: 0.2, MaxAttempts: 4,
+			Classes: []decision.Class{{Name: "c", Aim: 1, Deadline: 3, Worth: 1, Effect: decision.Safe}}, Plans: []decision.Plan{{Name: "p", Price: 1}}}, 1)
+		g.Handle(0, decision.Start{})
+		w := &Watcher{Directory: &Directory{}, Log: log, Tell: func(b decision.Backends) { g.Handle(1, b) }}
 		for i, raw := range [][]byte{first, second} {
 			before, rev := maps.Clone(w.Directory.entries), w.rev
 			if err := w.take(raw); err != nil && (!maps.Equal(before, w.Directory.entries) || rev != w.rev) {
 				t.Fatalf("%v, and the list changed", err)
 			}
 			now, id, said := 2+10*float64(i), uint64(i+1), 0
-			out := g.Handle(now, passhub.Request{ID: id, Class: "c", Plan: "p", Customer: "c", Left: 3, Units: 1})
+			out := g.Handle(now, decision.Request{ID: id, Class: "c", Plan: "p", Customer: "c", Left: 3, Units: 1})
 			for end := now + 3; now < end; now += 0.05 { // held, it is sent or refused in time
-				for _, a := range append(out, g.Handle(now, passhub.Timer{Token: "tick"})...) {
+				for _, a := range append(out, g.Handle(now, decision.Timer{Token: "tick"})...) {
 					switch a := a.(type) {
-					case passhub.Send:
+					case decision.Send:
 						if _, serving := w.Directory.Lookup(a.Backend); !serving {
 							t.Fatalf("sent to %q, which is not to be served", a.Backend)
 						}
 						said++
-					case passhub.Refuse:
+					case decision.Refuse:
 						said++
 					}
 				}
--- a/internal/standalone/discovery/start_test.go
+++ b/internal/standalone/discovery/start_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // TestKnownAsksAtOnce: an ingress of a large fleet that starts with a list from before opens its watch at the first
@@ -24,7 +24,7 @@
 		log.SetOutput(io.Discard)
 		conns := make(chan net.Conn, 1)
 		w := &Watcher{Addr: "discovery:1", Directory: &Directory{}, Log: log, Fleet: 300, Seed: 7,
-			Tell: func(passhub.Backends) {}, answer: time.Minute, silence: time.Minute,
+			Tell: func(decision.Backends) {}, answer: time.Minute, silence: time.Minute,
 			dial: func(context.Context, string, string) (net.Conn, error) {
 				ours, theirs := net.Pipe()
 				conns <- theirs
@@ -97,7 +97,7 @@
 					go serve(theirs)
 					return ours, nil
 				}}
-			w.Tell = func(passhub.Backends) {
+			w.Tell = func(decision.Backends) {
 				if w.rev == 42 {
 					heard <- time.Since(start)
 				}
--- a/internal/standalone/faultinjection/rehearsed.go
+++ b/internal/standalone/faultinjection/rehearsed.go
@@ -9,23 +9,23 @@
 	"syscall"
 	"time"
 
-	"mulleinrouter/internal/standalone/disk"
 	"mulleinrouter/internal/standalone/fleet/quorum"
 	"mulleinrouter/internal/standalone/jsontext"
+	"mulleinrouter/internal/standalone/vfs"
 )
 
 const lookEvery = 50 * time.Millisecond
 
 // Plan is what the file says. It is replaced whole.
 type Plan struct {
-	Clock float64              `json:"clock"` // seconds of this process's clock a second, read at its start; 0: 1
-	Fail  map[disk.Op]disk.Bad `json:"fail"`  // operations that fail from now on
+	Clock float64            `json:"clock"` // seconds of this process's clock a second, read at its start; 0: 1
+	Fail  map[vfs.Op]vfs.Bad `json:"fail"`  // operations that fail from now on
 }
 
 // Faults are those of this process. A nil one does nothing.
 type Faults struct {
 	clock float64
-	disk  *disk.Faulty
+	disk  *vfs.Faulty
 }
 
 // Follow goes by a file, for as long as the process runs.
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Faults{clock: p.Clock, disk: &disk.Faulty{FS: disk.OS{}}}
+	f := &Faults{clock: p.Clock, disk: &vfs.Faulty{FS: vfs.OS{}}}
 	f.disk.Set(p.Fail)
 	go func() {
 		for range time.Tick(lookEvery) {
@@ -66,9 +66,9 @@
 }
 
 // Disk is what lies below the stores that replace whole files.
-func (f *Faults) Disk() disk.FS {
+func (f *Faults) Disk() vfs.FS {
 	if f == nil {
-		return disk.OS{}
+		return vfs.OS{}
 	}
 	return f.disk
 }
@@ -83,24 +83,24 @@
 
 type votes struct {
 	quorum.Store
-	disk *disk.Faulty
+	disk *vfs.Faulty
 }
 
 func (v *votes) Open() (*quorum.Durable, error) {
-	if err := v.disk.Now(disk.Write); err != nil {
+	if err := v.disk.Now(vfs.Write); err != nil {
 		return nil, full(err)
 	}
 	return v.Store.Open()
 }
 
 func (v *votes) Save(b quorum.Batch) error {
-	if err := v.disk.Now(disk.Write); err != nil {
+	if err := v.disk.Now(vfs.Write); err != nil {
 		return full(err)
 	}
 	if err := v.Store.Save(b); err != nil {
 		return err
 	}
-	return v.disk.Now(disk.Sync)
+	return v.disk.Now(vfs.Sync)
 }
 
 func full(err error) error {
--- a/internal/standalone/fleet/gossip/gossip.go
+++ b/internal/standalone/fleet/gossip/gossip.go
@@ -18,7 +18,7 @@
 	"github.com/hashicorp/memberlist"
 	"github.com/sirupsen/logrus"
 
-	"mulleinrouter/internal/standalone/fleet/keyfile"
+	"mulleinrouter/internal/standalone/fleet/keyring"
 	"mulleinrouter/internal/standalone/fleet/membership"
 )
 
@@ -128,12 +128,12 @@
 	f.lines = &lines{log: o.Log, refused: &f.meter.refused}
 	f.o.Interval = cmp.Or(o.Interval, DefaultInterval)
 	if o.KeyFile != "" {
-		keys, err := keyfile.Read(o.KeyFile)
+		keys, err := keyring.Read(o.KeyFile)
 		if err != nil {
 			return nil, err
 		}
 		if f.ring, err = memberlist.NewKeyring(keys, keys[0]); err != nil {
-			return nil, fmt.Errorf("%w: %w", keyfile.ErrKeys, err)
+			return nil, fmt.Errorf("%w: %w", keyring.ErrKeys, err)
 		}
 	}
 	var nonce [8]byte
@@ -440,7 +440,7 @@
 	if f.ring == nil {
 		return nil
 	}
-	keys, err := keyfile.Read(f.o.KeyFile)
+	keys, err := keyring.Read(f.o.KeyFile)
 	if err != nil {
 		return err
 	}
--- a/internal/standalone/fleet/keyfile/keyfile.go
+++ b/internal/standalone/fleet/keyring/keyfile.go
@@ -1,5 +1,5 @@
-// Package keyfile reads the keys with which a fleet seals what its members say to each other.
-package keyfile
+// Package keyring reads the keys with which a fleet seals what its members say to each other.
+package keyring
 
 import (
 	"encoding/base64"
--- a/internal/standalone/fleet/steward/calls.go
+++ b/internal/standalone/fleet/leaseservice/calls.go
@@ -1,4 +1,4 @@
-package steward
+package leaseservice
 
 import (
 	"bytes"
--- a/internal/standalone/fleet/steward/steward.go
+++ b/internal/standalone/fleet/leaseservice/steward.go
@@ -1,7 +1,7 @@
-// Package steward does the duties of an ingress: it asks the voters for those that this ingress would do, is one of the voters
+// Package leaseservice does the duties of an ingress: it asks the voters for those that this ingress would do, is one of the voters
 // where the configuration names it, and runs the work of a duty for as long as it is held. What decides is duty and quorum;
 // this package is the clock, the fleet's messages and the disk round them.
-package steward
+package leaseservice
 
 import (
 	"cmp"
@@ -15,11 +15,11 @@
 
 	"github.com/sirupsen/logrus"
 
-	"mulleinrouter/internal/standalone/fleet/duty"
 	"mulleinrouter/internal/standalone/fleet/gossip"
 	"mulleinrouter/internal/standalone/fleet/membership"
 	"mulleinrouter/internal/standalone/fleet/quorum"
 	"mulleinrouter/internal/standalone/fleet/quorum/boltstore"
+	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
 // Topics of messages between ingresses.
@@ -70,13 +70,13 @@
 	done   sync.WaitGroup
 
 	mu      sync.Mutex // guards what follows
-	holder  *duty.Holder
+	holder  *singleton.Holder
 	core    *quorum.Core // nil: no voter
 	store   *boltstore.Store
 	works   map[string]*work
-	known   map[string]duty.Grown // the last answer
+	known   map[string]singleton.Grown // the last answer
 	beatAt  time.Duration
-	self    duty.Claimant
+	self    singleton.Claimant
 	state   string
 	billing string
 
@@ -92,9 +92,9 @@
 
 // Start begins. A voter whose folder cannot be used says so, and the rest goes on.
 func Start(o Options) *Steward {
-	s := &Steward{o: o, base: time.Now(), in: make(chan incoming, queueMost), works: map[string]*work{}, known: map[string]duty.Grown{}, unreached: make(chan error, 1)}
+	s := &Steward{o: o, base: time.Now(), in: make(chan incoming, queueMost), works: map[string]*work{}, known: map[string]singleton.Grown{}, unreached: make(chan error, 1)}
 	self := o.Fleet.Self()
-	s.holder = duty.NewHolder(claimant(self), o.Zone)
+	s.holder = singleton.NewHolder(claimant(self), o.Zone)
 	if slices.Contains(o.Voters, self.Name) {
 		s.store = &boltstore.Store{Path: filepath.Join(o.Dir, "votes.db")}
 		var votes quorum.Store = s.store
@@ -126,11 +126,11 @@
 	return s
 }
 
-func claimant(m membership.Member) duty.Claimant {
-	return duty.Claimant{Name: m.Name, Boot: m.Boot, Nonce: m.Nonce}
+func claimant(m membership.Member) singleton.Claimant {
+	return singleton.Claimant{Name: m.Name, Boot: m.Boot, Nonce: m.Nonce}
 }
 
-func (s *Steward) now() duty.Seconds {
+func (s *Steward) now() singleton.Seconds {
 	return time.Since(s.base).Seconds() * cmp.Or(s.o.Clock, 1)
 }
 
@@ -148,7 +148,7 @@
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.works)) {
-		s.carry(s.holder.Step(s.now(), duty.Wanted{Duty: name, Zone: s.works[name].zone}))
+		s.carry(s.holder.Step(s.now(), singleton.Wanted{Duty: name, Zone: s.works[name].zone}))
 	}
 }
 
@@ -173,7 +173,7 @@
 			w.cancel()
 			ended = append(ended, w.ended)
 		}
-		s.carry(s.holder.Step(s.now(), duty.Resign{Duty: name}))
+		s.carry(s.holder.Step(s.now(), singleton.Resign{Duty: name}))
 	}
 	return ended
 }
@@ -277,7 +277,7 @@
 	defer s.mu.Unlock()
 	now := time.Since(s.base)
 	if now-s.beatAt > stallMost {
-		s.carry(s.holder.Step(s.now(), duty.Woken{}))
+		s.carry(s.holder.Step(s.now(), singleton.Woken{}))
 	}
 	s.beatAt = now
 	if c := claimant(s.o.Fleet.Self()); c != s.self {
@@ -298,5 +298,5 @@
 		s.o.Log.WithField("code", "duty-no-room").Error("the record of duties is not written in time: this ingress gives up what it holds, and takes nothing until it is")
 		s.resign()
 	}
-	s.carry(s.holder.Step(s.now(), duty.HolderTick{}))
+	s.carry(s.holder.Step(s.now(), singleton.HolderTick{}))
 }
--- a/internal/standalone/fleet/steward/work.go
+++ b/internal/standalone/fleet/leaseservice/work.go
@@ -1,4 +1,4 @@
-package steward
+package leaseservice
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/sirupsen/logrus"
 
-	"mulleinrouter/internal/standalone/fleet/duty"
 	"mulleinrouter/internal/standalone/fleet/gossip"
 	"mulleinrouter/internal/standalone/fleet/quorum"
+	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
 // Record is what an ingress holds, as it was when it was last written. Writing it is the proof that there is room: who cannot
@@ -54,17 +54,17 @@
 			}
 		}
 	case topicAsk:
-		var a duty.Ask
+		var a singleton.Ask
 		if s.core != nil && cbor.Unmarshal(m.data, &a) == nil && a.From.Name == m.from {
 			s.out(s.core.Ask(now, a))
 		}
 	case topicAnswer:
-		var a duty.Answer
+		var a singleton.Answer
 		if slices.Contains(s.o.Voters, m.from) && cbor.Unmarshal(m.data, &a) == nil {
 			s.answered(a)
 		}
 	case topicNudge:
-		s.carry(s.holder.Step(now, duty.Nudged{}))
+		s.carry(s.holder.Step(now, singleton.Nudged{}))
 	case topicCall:
 		s.call(m)
 	case topicPost:
@@ -81,11 +81,11 @@
 	}
 }
 
-func (s *Steward) answered(a duty.Answer) {
+func (s *Steward) answered(a singleton.Answer) {
 	for _, g := range a.Grants {
 		s.known[g.Duty] = g
 	}
-	s.carry(s.holder.Step(s.now(), duty.Answered{Answer: a}))
+	s.carry(s.holder.Step(s.now(), singleton.Answered{Answer: a}))
 }
 
 // out carries out what the voter wants. The mutex is held.
@@ -105,7 +105,7 @@
 	}
 	for _, n := range o.Nudge {
 		if n == self {
-			s.carry(s.holder.Step(s.now(), duty.Nudged{}))
+			s.carry(s.holder.Step(s.now(), singleton.Nudged{}))
 			continue
 		}
 		s.o.Fleet.Send(n, topicNudge, []byte{1})
@@ -113,10 +113,10 @@
 }
 
 // carry does what the holder wants. The mutex is held.
-func (s *Steward) carry(actions []duty.HolderAction) {
+func (s *Steward) carry(actions []singleton.HolderAction) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case duty.Send:
+		case singleton.Send:
 			data, err := cbor.Marshal(a.Ask)
 			if err != nil {
 				continue
@@ -129,15 +129,15 @@
 					s.out(s.core.Ask(s.now(), a.Ask))
 				}
 			}
-		case duty.Gained:
+		case singleton.Gained:
 			s.o.Log.WithFields(logrus.Fields{"code": "duty-gained", "duty": a.Duty, "token": a.Token}).Info("this ingress holds a duty")
 			s.begin(a.Duty, a.Token)
-		case duty.Lost:
+		case singleton.Lost:
 			s.o.Log.WithFields(logrus.Fields{"code": "duty-lost", "duty": a.Duty, "token": a.Token}).Warn("this ingress holds a duty no more")
 			if w := s.works[a.Duty]; w != nil && w.cancel != nil {
 				w.cancel()
 			}
-		case duty.Yield:
+		case singleton.Yield:
 			if w := s.works[a.Duty]; w != nil && w.cancel != nil {
 				w.cancel()
 			}
@@ -167,14 +167,14 @@
 		w.cancel = nil
 		close(ended)
 		if stopped {
-			s.carry(s.holder.Step(s.now(), duty.Yielded{Duty: name}))
+			s.carry(s.holder.Step(s.now(), singleton.Yielded{Duty: name}))
 			if t, ok := s.holder.May(s.now(), name); ok && t != token { // it was gained again meanwhile
 				s.begin(name, t)
 			}
 			return
 		}
 		s.o.Log.WithFields(logrus.Fields{"code": "duty-resigned", "duty": name}).WithError(err).Error("the work of a duty cannot be done here; another ingress may have it")
-		s.carry(s.holder.Step(s.now(), duty.Resign{Duty: name}))
+		s.carry(s.holder.Step(s.now(), singleton.Resign{Duty: name}))
 		time.AfterFunc(resignFor, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
--- a/internal/standalone/fleet/membership/types.go
+++ b/internal/standalone/fleet/membership/types.go
@@ -1,11 +1,11 @@
 package membership
 
 import (
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // Seconds are those of a clock that only goes on.
-type Seconds = passhub.Seconds
+type Seconds = decision.Seconds
 
 // Phase is where a member is in its life, as it says itself.
 type Phase uint8
--- a/internal/standalone/fleet/quorum/apply.go
+++ b/internal/standalone/fleet/quorum/apply.go
@@ -8,11 +8,11 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"mulleinrouter/internal/standalone/fleet/duty"
+	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
 // apply brings an entry that was agreed on to the register.
-func (c *Core) apply(now duty.Seconds, e *pb.Entry) {
+func (c *Core) apply(now singleton.Seconds, e *pb.Entry) {
 	c.applied = e.GetIndex()
 	switch e.GetType() {
 	case pb.EntryConfChange:
@@ -35,17 +35,17 @@
 		if len(e.GetData()) == 0 { // the first of a leader: all before it is applied
 			if c.leads && e.GetTerm() == c.node.BasicStatus().GetTerm() {
 				c.led = true
-				c.carry(now, c.clerk.Step(now, duty.Led{}))
+				c.carry(now, c.clerk.Step(now, singleton.Led{}))
 			}
 			return
 		}
-		var k duty.Command
+		var k singleton.Command
 		if err := decoding.Unmarshal(e.GetData(), &k); err != nil {
 			return // agreed on by all alike: all pass over it
 		}
 		ok := c.register.Apply(k, e.GetIndex())
-		c.out.Changed = c.out.Changed || ok && k.Kind != duty.Renew
-		c.carry(now, c.clerk.Step(now, duty.Applied{Command: k, OK: ok}))
+		c.out.Changed = c.out.Changed || ok && k.Kind != singleton.Renew
+		c.carry(now, c.clerk.Step(now, singleton.Applied{Command: k, OK: ok}))
 	}
 }
 
@@ -69,16 +69,16 @@
 }
 
 // carry does what the clerk wants.
-func (c *Core) carry(now duty.Seconds, actions []duty.ClerkAction) {
+func (c *Core) carry(now singleton.Seconds, actions []singleton.ClerkAction) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case duty.Propose:
+		case singleton.Propose:
 			if data, err := cbor.Marshal(a.Command); err == nil && c.node != nil && len(data) <= mostData {
 				c.node.Propose(data) // dropped where it leads no more: who waits asks again
 			}
-		case duty.Reply:
+		case singleton.Reply:
 			c.out.Reply = append(c.out.Reply, a)
-		case duty.Nudge:
+		case singleton.Nudge:
 			if a.Name != "" {
 				c.out.Nudge = append(c.out.Nudge, a.Name)
 			}
@@ -87,7 +87,7 @@
 }
 
 // Change adds a voter that waits to be added, or removes one. One change is agreed on at a time.
-func (c *Core) Change(now duty.Seconds, name string, add bool) (out Out, err error) {
+func (c *Core) Change(now singleton.Seconds, name string, add bool) (out Out, err error) {
 	out = c.step(now, func() {
 		if !c.led {
 			err = ErrNotLeading
--- a/internal/standalone/fleet/quorum/core.go
+++ b/internal/standalone/fleet/quorum/core.go
@@ -18,7 +18,7 @@
 	"go.etcd.io/raft/v3/tracker"
 	"google.golang.org/protobuf/proto"
 
-	"mulleinrouter/internal/standalone/fleet/duty"
+	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
 // Ticks, in units of TickEvery seconds of the host's clock.
@@ -45,15 +45,15 @@
 	mem      *raft.MemoryStorage
 	node     *raft.RawNode
 	conf     *pb.ConfState
-	register *duty.Register
-	clerk    *duty.Clerk
+	register *singleton.Register
+	clerk    *singleton.Clerk
 	applied  uint64
 	kept     uint64 // index of the last snapshot
 	leader   uint64
 	leads    bool
 	led      bool
-	tickAt   duty.Seconds
-	resumeAt duty.Seconds
+	tickAt   singleton.Seconds
+	resumeAt singleton.Seconds
 	ticks    int
 	vouched  map[uint64]bool   // others that have said how far they saw this voter
 	unformed map[string]uint64 // ids of named voters that wait to be formed
@@ -66,8 +66,8 @@
 func Open(name string, named []string, store Store, base uint64) (*Core, error) {
 	c := &Core{name: name, named: slices.Clone(named), store: store, base: base, vouched: map[uint64]bool{}, unformed: map[string]uint64{}}
 	slices.Sort(c.named)
-	c.register = duty.NewRegister()
-	c.clerk = duty.NewClerk(c.register)
+	c.register = singleton.NewRegister()
+	c.clerk = singleton.NewClerk(c.register)
 	d, err := store.Open()
 	if err != nil {
 		c.state, c.why = Retired, err.Error()
@@ -93,8 +93,8 @@
 
 // snapshot is a register with its voters, as snapshots carry it.
 type snapshot struct {
-	Register *duty.Register    `cbor:"1,keyasint"`
-	Names    map[uint64]string `cbor:"2,keyasint"`
+	Register *singleton.Register `cbor:"1,keyasint"`
+	Names    map[uint64]string   `cbor:"2,keyasint"`
 }
 
 // begin has raft run on what is on the disk.
@@ -137,7 +137,7 @@
 		return fmt.Errorf("quorum: %w: a snapshot: %v", ErrDamaged, err)
 	}
 	if held.Register.Duties == nil {
-		held.Register.Duties = map[string]duty.Entry{}
+		held.Register.Duties = map[string]singleton.Entry{}
 	}
 	c.register, c.d.Names = held.Register, held.Names
 	c.clerk.Follow(c.register)
@@ -151,25 +151,25 @@
 	c.state, c.why, c.node = Retired, why, nil
 	if c.led {
 		c.led = false
-		c.clerk.Step(c.tickAt, duty.Deposed{})
+		c.clerk.Step(c.tickAt, singleton.Deposed{})
 	}
 	c.out.Changed = true
 }
 
 // Tick lets time pass; it is to come every TickEvery. What was missed is not made up for.
-func (c *Core) Tick(now duty.Seconds) Out {
+func (c *Core) Tick(now singleton.Seconds) Out {
 	return c.step(now, func() {
 		c.ticks++
 		c.greet()
 		if c.state == Voting {
 			c.node.Tick()
 		}
-		c.carry(now, c.clerk.Step(now, duty.ClerkTick{}))
+		c.carry(now, c.clerk.Step(now, singleton.ClerkTick{}))
 	})
 }
 
 // Receive takes what another voter said. What cannot be read is nobody's.
-func (c *Core) Receive(now duty.Seconds, data []byte) (Out, error) {
+func (c *Core) Receive(now singleton.Seconds, data []byte) (Out, error) {
 	var e envelope
 	if len(data) > mostMessage {
 		return Out{}, fmt.Errorf("quorum: %d bytes", len(data))
@@ -181,17 +181,17 @@
 }
 
 // Ask takes an ingress's question; Give an operator's wish.
-func (c *Core) Ask(now duty.Seconds, a duty.Ask) Out {
-	return c.step(now, func() { c.carry(now, c.clerk.Step(now, duty.Asked{Ask: a})) })
+func (c *Core) Ask(now singleton.Seconds, a singleton.Ask) Out {
+	return c.step(now, func() { c.carry(now, c.clerk.Step(now, singleton.Asked{Ask: a})) })
 }
 
 // Give has a duty go to a member.
-func (c *Core) Give(now duty.Seconds, name, to string) Out {
-	return c.step(now, func() { c.carry(now, c.clerk.Step(now, duty.Give{Duty: name, To: to})) })
+func (c *Core) Give(now singleton.Seconds, name, to string) Out {
+	return c.step(now, func() { c.carry(now, c.clerk.Step(now, singleton.Give{Duty: name, To: to})) })
 }
 
 // Resume begins anew from the disk, once there is room again, or an older process of this ingress has let go of it.
-func (c *Core) Resume(now duty.Seconds) {
+func (c *Core) Resume(now singleton.Seconds) {
 	if c.state != Full && c.state != Busy || now < c.resumeAt {
 		return
 	}
@@ -229,7 +229,7 @@
 		c.state, c.why, c.node = Full, err.Error(), nil
 		if c.led {
 			c.led = false
-			c.clerk.Step(c.tickAt, duty.Deposed{})
+			c.clerk.Step(c.tickAt, singleton.Deposed{})
 		}
 		c.out.Changed = true
 	default:
@@ -306,14 +306,14 @@
 }
 
 // ready does what raft wants, in its order: to the disk, then to others, then to the register.
-func (c *Core) ready(now duty.Seconds) {
+func (c *Core) ready(now singleton.Seconds) {
 	for c.node != nil && c.node.HasReady() {
 		rd := c.node.Ready()
 		if s := rd.SoftState; s != nil {
 			c.leader, c.leads, c.out.Changed = s.Lead, s.RaftState == raft.StateLeader, true
 			if !c.leads && c.led {
 				c.led = false
-				c.clerk.Step(now, duty.Deposed{})
+				c.clerk.Step(now, singleton.Deposed{})
 			}
 		}
 		b := Batch{Entries: rd.Entries}
--- a/internal/standalone/fleet/quorum/formation.go
+++ b/internal/standalone/fleet/quorum/formation.go
@@ -8,11 +8,11 @@
 	"github.com/fxamacker/cbor/v2"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"mulleinrouter/internal/standalone/fleet/duty"
+	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
 // step does something, and then what raft wants of it. The library panics where a log goes back: its voter retires.
-func (c *Core) step(now duty.Seconds, do func()) (out Out) {
+func (c *Core) step(now singleton.Seconds, do func()) (out Out) {
 	c.out, c.tickAt = Out{}, now
 	defer func() {
 		if r := recover(); r != nil {
@@ -83,7 +83,7 @@
 
 // formed is the beginning of the log, the same at each voter.
 func (c *Core) formed(voters map[uint64]string, base uint64) {
-	r := duty.NewRegister()
+	r := singleton.NewRegister()
 	r.Last = base
 	data, err := cbor.Marshal(snapshot{r, voters})
 	if err != nil {
--- a/internal/standalone/fleet/quorum/load_test.go
+++ b/internal/standalone/fleet/quorum/load_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"mulleinrouter/internal/standalone/fleet/duty"
 	"mulleinrouter/internal/standalone/fleet/quorum"
 	"mulleinrouter/internal/standalone/fleet/quorum/boltstore"
+	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
 // group is three voters on real disks, and ingresses that want all duties, in fake time and without a network's delay.
@@ -19,7 +19,7 @@
 	names   []string
 	cores   map[string]*quorum.Core
 	stores  map[string]*boltstore.Store
-	holders map[string]*duty.Holder
+	holders map[string]*singleton.Holder
 	away    bool // nothing reaches the voters
 	asks    int
 	bytes   int
@@ -41,16 +41,16 @@
 		g.on(p.To, func(c *quorum.Core) quorum.Out { o, _ := c.Receive(g.now, p.Data); return o })
 	}
 	for _, r := range out.Reply {
-		g.hold(r.To.Name, duty.Answered{Answer: r.Answer})
+		g.hold(r.To.Name, singleton.Answered{Answer: r.Answer})
 	}
 	for _, n := range out.Nudge {
-		g.hold(n, duty.Nudged{})
+		g.hold(n, singleton.Nudged{})
 	}
 }
 
-func (g *group) hold(name string, e duty.HolderEvent) {
+func (g *group) hold(name string, e singleton.HolderEvent) {
 	for _, a := range g.holders[name].Step(g.now, e) {
-		if s, ok := a.(duty.Send); ok && !g.away {
+		if s, ok := a.(singleton.Send); ok && !g.away {
 			g.asks++
 			for _, v := range g.names {
 				g.on(v, func(c *quorum.Core) quorum.Out { return c.Ask(g.now, s.Ask) })
@@ -65,7 +65,7 @@
 			g.on(v, func(c *quorum.Core) quorum.Out { return c.Tick(g.now) })
 		}
 		for i := range len(g.holders) {
-			g.hold(fmt.Sprint("in", i), duty.HolderTick{})
+			g.hold(fmt.Sprint("in", i), singleton.HolderTick{})
 		}
 	}
 }
@@ -94,7 +94,7 @@
 	if os.Getenv("MULLEIN_LONG") != "" {
 		ingresses, duties = 300, 50
 	}
-	g := &group{now: 1000, cores: map[string]*quorum.Core{}, stores: map[string]*boltstore.Store{}, holders: map[string]*duty.Holder{}, cpu: map[string]time.Duration{}}
+	g := &group{now: 1000, cores: map[string]*quorum.Core{}, stores: map[string]*boltstore.Store{}, holders: map[string]*singleton.Holder{}, cpu: map[string]time.Duration{}}
 	dir := t.TempDir()
 	for i := range 3 {
 		g.names = append(g.names, fmt.Sprint("v", i))
@@ -109,9 +109,9 @@
 	}
 	for i := range ingresses {
 		name := fmt.Sprint("in", i)
-		g.holders[name] = duty.NewHolder(duty.Claimant{Name: name, Boot: 1, Nonce: 1}, "a")
+		g.holders[name] = singleton.NewHolder(singleton.Claimant{Name: name, Boot: 1, Nonce: 1}, "a")
 		for d := range duties {
-			g.hold(name, duty.Wanted{Duty: fmt.Sprint("duty", d)})
+			g.hold(name, singleton.Wanted{Duty: fmt.Sprint("duty", d)})
 		}
 	}
 	g.run(12)
@@ -156,9 +156,9 @@
 	for ; !c.Status().Leads && now < 1100; now += quorum.TickEvery {
 		c.Tick(now)
 	}
-	ask := duty.Ask{From: duty.Claimant{Name: "a", Boot: 1}}
-	for d := range duty.MostDuties {
-		ask.Wants = append(ask.Wants, duty.Want{Duty: fmt.Sprint("duty", d)})
+	ask := singleton.Ask{From: singleton.Claimant{Name: "a", Boot: 1}}
+	for d := range singleton.MostDuties {
+		ask.Wants = append(ask.Wants, singleton.Want{Duty: fmt.Sprint("duty", d)})
 	}
 	for id := uint64(1); int(c.Status().Applied) < entries && now < 2000; now += quorum.TickEvery {
 		ask.ID = id
--- a/internal/standalone/fleet/quorum/mutants_test.go
+++ b/internal/standalone/fleet/quorum/mutants_test.go
@@ -6,18 +6,18 @@
 	"testing"
 	"testing/cryptotest"
 
-	"mulleinrouter/internal/standalone/fleet/duty"
+	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
 // Every fault that is seeded in what serves, or at the far end, is found by timelines, and none is found without.
 func TestMutants(t *testing.T) {
-	defer func() { Mutant, duty.Mutant = "", "" }()
+	defer func() { Mutant, singleton.Mutant = "", "" }()
 	const seeds = 100
 	for _, m := range []struct {
 		where *string
 		name  string
-	}{{&Mutant, ""}, {&Mutant, "unfenced"}, {&Mutant, "vote-unkept"}, {&Mutant, "entries-unkept"}, {&duty.Mutant, "token-again"}, {&duty.Mutant, "leader-forgets"},
-		{&duty.Mutant, "renewal-unagreed"}, {&duty.Mutant, "expires-early"}, {&duty.Mutant, "expires-unseen"}, {&duty.Mutant, "acts-on"}} {
+	}{{&Mutant, ""}, {&Mutant, "unfenced"}, {&Mutant, "vote-unkept"}, {&Mutant, "entries-unkept"}, {&singleton.Mutant, "token-again"}, {&singleton.Mutant, "leader-forgets"},
+		{&singleton.Mutant, "renewal-unagreed"}, {&singleton.Mutant, "expires-early"}, {&singleton.Mutant, "expires-unseen"}, {&singleton.Mutant, "acts-on"}} {
 		t.Run(m.name, func(t *testing.T) {
 			cryptotest.SetGlobalRandom(t, 1)
 			*m.where = m.name
--- a/internal/standalone/fleet/quorum/sim_test.go
+++ b/internal/standalone/fleet/quorum/sim_test.go
@@ -13,7 +13,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"mulleinrouter/internal/standalone/fleet/duty"
+	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
 // disk is a store in memory: what is saved is durable, and may be copied and brought back.
@@ -77,7 +77,7 @@
 	disk    *disk
 	saved   *Durable
 	core    *Core // nil: no voter, or down
-	holder  *duty.Holder
+	holder  *singleton.Holder
 	boot    uint64
 	up      bool
 	stopped float64 // until then
@@ -187,8 +187,8 @@
 	if slices.Contains(f.named(), m.name) {
 		m.core, _ = Open(m.name, f.named(), m.disk, uint64(1e6+f.now)<<20)
 	}
-	m.holder = duty.NewHolder(duty.Claimant{Name: m.name, Boot: m.boot, Nonce: m.boot}, "a")
-	f.hold(m, duty.Wanted{Duty: theDuty})
+	m.holder = singleton.NewHolder(singleton.Claimant{Name: m.name, Boot: m.boot, Nonce: m.boot}, "a")
+	f.hold(m, singleton.Wanted{Duty: theDuty})
 }
 
 // every is a machine's beat: ten times a second by its own clock.
@@ -197,7 +197,7 @@
 		if m.up && f.now >= m.stopped {
 			f.work(m) // whoever works may wake before whoever keeps the lease
 			if local := f.local(m); local-m.beat > 1 {
-				f.hold(m, duty.Woken{})
+				f.hold(m, singleton.Woken{})
 			}
 			m.beat = f.local(m)
 			queue := m.queue
@@ -209,7 +209,7 @@
 				m.core.Resume(f.local(m))
 				f.out(m, m.core.Tick(f.local(m)))
 			}
-			f.hold(m, duty.HolderTick{})
+			f.hold(m, singleton.HolderTick{})
 			f.work(m)
 		}
 		f.every(m)
@@ -257,12 +257,12 @@
 	}
 	for _, r := range o.Reply {
 		if to := f.machine(r.To.Name); to != nil {
-			f.send(m, to, func() { f.hold(to, duty.Answered{Answer: r.Answer}) })
+			f.send(m, to, func() { f.hold(to, singleton.Answered{Answer: r.Answer}) })
 		}
 	}
 	for _, n := range o.Nudge {
 		if to := f.machine(n); to != nil {
-			f.send(m, to, func() { f.hold(to, duty.Nudged{}) })
+			f.send(m, to, func() { f.hold(to, singleton.Nudged{}) })
 		}
 	}
 	if m.core != nil && m.core.applied > 0 && m.core.state != Unformed {
@@ -282,8 +282,8 @@
 }
 
 // hold gives an event to a machine's holder.
-func (f *fleet) hold(m *machine, e duty.HolderEvent) {
-	if a, ok := e.(duty.Answered); ok {
+func (f *fleet) hold(m *machine, e singleton.HolderEvent) {
+	if a, ok := e.(singleton.Answered); ok {
 		key := fmt.Sprint(m.name, m.boot, a.Answer.ID)
 		for _, g := range a.Answer.Grants {
 			if sent, out := f.asked[key]; out && g.Held { // for the checker of the register of holders
@@ -295,7 +295,7 @@
 	}
 	for _, a := range m.holder.Step(f.local(m), e) {
 		switch a := a.(type) {
-		case duty.Send:
+		case singleton.Send:
 			f.asked[fmt.Sprint(m.name, m.boot, a.Ask.ID)] = f.now
 			for _, v := range f.all[:f.voters] {
 				f.send(m, v, func() {
@@ -304,9 +304,9 @@
 					}
 				})
 			}
-		case duty.Yield:
+		case singleton.Yield:
 			boot := m.boot
-			f.at(0.05, func() { f.on(m, boot, func() { f.hold(m, duty.Yielded(a)) }) })
+			f.at(0.05, func() { f.on(m, boot, func() { f.hold(m, singleton.Yielded(a)) }) })
 		}
 	}
 }
@@ -359,7 +359,7 @@
 	case 2: // whoever acts stops
 		for _, h := range f.all {
 			if _, ok := h.holder.May(f.local(h), theDuty); ok && h.up {
-				h.stopped = f.now + 10*duty.Lease
+				h.stopped = f.now + 10*singleton.Lease
 			}
 		}
 	case 3, 4:
--- a/internal/standalone/fleet/quorum/types.go
+++ b/internal/standalone/fleet/quorum/types.go
@@ -7,7 +7,7 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"mulleinrouter/internal/standalone/fleet/duty"
+	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
 // Durable is what a voter has on disk.
@@ -80,7 +80,7 @@
 // Out is what comes of a step.
 type Out struct {
 	Send    []Packet
-	Reply   []duty.Reply
+	Reply   []singleton.Reply
 	Nudge   []string
 	Changed bool // the register, the leader or the voters
 }
@@ -137,7 +137,7 @@
 }
 
 // Register is what is agreed on, as far as this voter knows. It is not to be changed.
-func (c *Core) Register() *duty.Register { return c.register }
+func (c *Core) Register() *singleton.Register { return c.register }
 
 // Line is who waits for a duty, where this voter leads.
 func (c *Core) Line(name string) []string { return c.clerk.Line(name) }
--- a/internal/standalone/fleet/share/events.go
+++ b/internal/standalone/fleet/quotashare/events.go
@@ -1,4 +1,4 @@
-package share
+package quotashare
 
 // Event is what happens.
 type Event interface{ event() }
--- a/internal/standalone/fleet/share/health.go
+++ b/internal/standalone/fleet/quotashare/health.go
@@ -1,4 +1,4 @@
-package share
+package quotashare
 
 import (
 	"fmt"
--- a/internal/dataplane/link/mutant_off.go
+++ b/internal/standalone/fleet/quotashare/mutant_off.go
@@ -1,6 +1,6 @@
 //go:build !mutants
 
-package link
+package quotashare
 
 // mutated tells whether a fault is seeded at a place. Only builds with the tag mutants have any: there, the explorer is
 // tested by whether it finds them.
--- a/internal/standalone/fleet/share/mutants_test.go
+++ b/internal/standalone/fleet/quotashare/mutants_test.go
@@ -1,6 +1,6 @@
 //go:build mutants
 
-package share
+package quotashare
 
 import "testing"
 
--- a/internal/standalone/fleet/share/rights.go
+++ b/internal/standalone/fleet/quotashare/rights.go
@@ -1,4 +1,4 @@
-// Package share decides what ingresses share of their state, such that a part of a fleet which hears nothing stays within a stated
+// Package quotashare decides what ingresses share of their state, such that a part of a fleet which hears nothing stays within a stated
 // bound. Three kinds, each with what it needs:
 //
 //   - Quotas are rights that are lent for a time (this file). While the counter is not to be trusted each door of a member has its
@@ -9,7 +9,7 @@
 //
 // It does no I/O, reads no clock and starts no goroutine: Book.Step takes an event and the time and gives actions. Times are
 // seconds of the host's monotonic clock.
-package share
+package quotashare
 
 import (
 	"math"
--- a/internal/standalone/fleet/share/types.go
+++ b/internal/standalone/fleet/quotashare/types.go
@@ -1,4 +1,4 @@
-package share
+package quotashare
 
 // Seconds are those of a clock that only goes on.
 type Seconds = float64
--- a/internal/standalone/fleet/sharing/sharing.go
+++ b/internal/standalone/fleet/quotasync/sharing.go
@@ -1,6 +1,6 @@
-// Package sharing has an ingress share quotas and judgements on servers with the others: the clock, the fleet's messages and the
+// Package quotasync has an ingress share quotas and judgements on servers with the others: the clock, the fleet's messages and the
 // engine round package share, which decides.
-package sharing
+package quotasync
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/sirupsen/logrus"
 
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/fleet/gossip"
-	"mulleinrouter/internal/standalone/fleet/share"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/standalone/fleet/quotashare"
 )
 
 const (
@@ -33,7 +33,7 @@
 
 // Engine is where what is decided goes.
 type Engine interface {
-	Hold(all []passhub.Right, lease passhub.Seconds)
+	Hold(all []decision.Right, lease decision.Seconds)
 	Warn(servers []string)
 	Bad() []string
 	Pool() (listed, avoided int)
@@ -41,7 +41,7 @@
 
 // Options say what an ingress is.
 type Options struct {
-	share.Options
+	quotashare.Options
 	Fleet Fleet
 	Clock float64 // seconds of its clock a second: a rehearsal has it run fast or slow
 	Log   *logrus.Logger
@@ -54,21 +54,21 @@
 	in   chan word
 
 	mu   sync.Mutex // guards the book
-	book *share.Book
+	book *quotashare.Book
 	beat time.Duration
 }
 
 type word struct {
 	from string
-	word share.Word
+	word quotashare.Word
 }
 
 // New returns one that does not speak yet.
 func New(o Options) *Sharing {
 	s := &Sharing{o: o, base: time.Now(), in: make(chan word, queueMost)}
-	s.book = share.New(0, o.Options)
+	s.book = quotashare.New(0, o.Options)
 	o.Fleet.Handle(topic, func(from string, data []byte) {
-		var w share.Word
+		var w quotashare.Word
 		if cbor.Unmarshal(data, &w) != nil {
 			return
 		}
@@ -80,30 +80,30 @@
 	return s
 }
 
-func (s *Sharing) now() share.Seconds { return time.Since(s.base).Seconds() * s.o.Clock }
+func (s *Sharing) now() quotashare.Seconds { return time.Since(s.base).Seconds() * s.o.Clock }
 
 // Asked takes a request that the engine tells of; Adding and Counted take its calls of the counter.
 func (s *Sharing) Asked(customer string, first, doors int, quota, units float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.Step(s.now(), share.Asked{Member: customer, First: first, Doors: doors, Quota: quota, Units: units})
+	s.book.Step(s.now(), quotashare.Asked{Member: customer, First: first, Doors: doors, Quota: quota, Units: units})
 }
 
 // Adding tells of a call of the counter.
-func (s *Sharing) Adding(name string, amount float64, keep passhub.Seconds) {
+func (s *Sharing) Adding(name string, amount float64, keep decision.Seconds) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.Step(s.now(), share.Adding{Name: name, Amount: amount, Keep: keep})
+	s.book.Step(s.now(), quotashare.Adding{Name: name, Amount: amount, Keep: keep})
 }
 
 // Counted tells of its answer. While the counter is not trusted the module hears that it answers, and no total.
-func (s *Sharing) Counted(name string, outcome passhub.Outcome, total float64) passhub.Outcome {
+func (s *Sharing) Counted(name string, outcome decision.Outcome, total float64) decision.Outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	answered := outcome == passhub.Done || outcome == passhub.Busy || outcome == passhub.Failed
-	s.carry(s.book.Step(s.now(), share.Counted{Name: name, Answered: answered, Done: outcome == passhub.Done, Total: total}))
-	if sound, _ := s.book.Sound(); !sound && outcome == passhub.Done {
-		return passhub.Failed
+	answered := outcome == decision.Done || outcome == decision.Busy || outcome == decision.Failed
+	s.carry(s.book.Step(s.now(), quotashare.Counted{Name: name, Answered: answered, Done: outcome == decision.Done, Total: total}))
+	if sound, _ := s.book.Sound(); !sound && outcome == decision.Done {
+		return decision.Failed
 	}
 	return outcome
 }
@@ -118,24 +118,24 @@
 		case <-ctx.Done():
 			return
 		case w := <-s.in:
-			s.do(e, share.Heard{From: w.from, Word: w.word})
+			s.do(e, quotashare.Heard{From: w.from, Word: w.word})
 		case <-tick.C:
 			now := time.Since(s.base)
 			if now-s.beat > stallMost {
-				s.do(e, share.Woken{})
+				s.do(e, quotashare.Woken{})
 			}
 			s.beat = now
 			if s.o.Fleet.Gone() {
-				s.do(e, share.Aside{})
+				s.do(e, quotashare.Aside{})
 			}
 			listed, _ := e.Pool()
-			s.do(e, share.Tick{Doors: s.o.Fleet.Numbers(), Living: s.o.Fleet.Living(), Bad: e.Bad(), Listed: listed})
+			s.do(e, quotashare.Tick{Doors: s.o.Fleet.Numbers(), Living: s.o.Fleet.Living(), Bad: e.Bad(), Listed: listed})
 		}
 	}
 }
 
 // do has something happen, and carries out what comes of it. The engine is called without the book's mutex: it calls back.
-func (s *Sharing) do(e Engine, event share.Event) {
+func (s *Sharing) do(e Engine, event quotashare.Event) {
 	s.mu.Lock()
 	actions := s.book.Step(s.now(), event)
 	now := s.now()
@@ -143,13 +143,13 @@
 	s.carry(actions)
 	for _, a := range actions {
 		switch a := a.(type) {
-		case share.Hold:
-			all := make([]passhub.Right, 0, len(a.Rights))
+		case quotashare.Hold:
+			all := make([]decision.Right, 0, len(a.Rights))
 			for _, r := range a.Rights {
-				all = append(all, passhub.Right{Customer: r.Member, Rate: r.Rate, Less: r.Less, Keep: r.Keep, Scaled: r.Scaled})
+				all = append(all, decision.Right{Customer: r.Member, Rate: r.Rate, Less: r.Less, Keep: r.Keep, Scaled: r.Scaled})
 			}
 			e.Hold(all, a.Until-now)
-		case share.Warn:
+		case quotashare.Warn:
 			e.Warn(a.Servers)
 			s.o.Log.WithFields(logrus.Fields{"code": "share-warned", "servers": a.Servers}).Info("the servers that others find bad have changed")
 		}
@@ -157,14 +157,14 @@
 }
 
 // carry does what needs no engine.
-func (s *Sharing) carry(actions []share.Action) {
+func (s *Sharing) carry(actions []quotashare.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case share.Say:
+		case quotashare.Say:
 			if data, err := cbor.Marshal(a.Word); err == nil {
 				s.o.Fleet.Send(a.To, topic, data)
 			}
-		case share.Turned:
+		case quotashare.Turned:
 			entry := s.o.Log.WithField("why", a.Why)
 			if a.Sound {
 				entry.WithField("code", "share-counter-trusted").Info("the counter is trusted again: quotas go by its totals")
@@ -177,13 +177,13 @@
 
 // Report is what is told of it, as JSON.
 type Report struct {
-	Sound   bool           `json:"sound"` // the counter is trusted
-	Why     string         `json:"why,omitempty"`
-	Refused int            `json:"refused"` // words that changed nothing
-	Given   float64        `json:"given"`   // units a second lent to others, and borrowed
-	Taken   float64        `json:"taken"`
-	Warned  []string       `json:"warned,omitempty"`
-	Members []share.Status `json:"members,omitempty"`
+	Sound   bool                `json:"sound"` // the counter is trusted
+	Why     string              `json:"why,omitempty"`
+	Refused int                 `json:"refused"` // words that changed nothing
+	Given   float64             `json:"given"`   // units a second lent to others, and borrowed
+	Taken   float64             `json:"taken"`
+	Warned  []string            `json:"warned,omitempty"`
+	Members []quotashare.Status `json:"members,omitempty"`
 }
 
 // Report tells; of one member, or of all.
--- a/internal/standalone/fleet/announce/announce.go
+++ b/internal/standalone/fleet/revisionlog/announce.go
@@ -1,10 +1,10 @@
-// Package announce brings the revisions of a catalogue into one order over a fleet. Whoever holds the duty of the catalogue says
+// Package revisionlog brings the revisions of a catalogue into one order over a fleet. Whoever holds the duty of the catalogue says
 // which content a number stands for; each ingress takes what is said under the newest token that it has heard, keeps it, and
 // refuses what comes under an older one. A holder begins by asking all that live for what they were told before, so that a
 // revision which its predecessor announced to a few goes on to all.
 //
 // It does no I/O, reads no clock and starts no goroutine: Step takes an event and the time and gives actions.
-package announce
+package revisionlog
 
 import (
 	"cmp"
--- a/internal/standalone/fleet/announce/announce_test.go
+++ b/internal/standalone/fleet/revisionlog/announce_test.go
@@ -1,4 +1,4 @@
-package announce
+package revisionlog
 
 import (
 	"fmt"
--- /dev/null
+++ b/internal/standalone/fleet/revisionlog/mutant_on.go
@@ -0,0 +1,9 @@
+//go:build mutants
+
+package revisionlog
+
+// Mutant names the fault that is seeded; empty: none. Tests set it before anything runs.
+var Mutant string
+
+// mutated tells whether a fault is seeded at a place.
+func mutated(name string) bool { return Mutant == name }
--- a/internal/standalone/fleet/announce/mutants_test.go
+++ b/internal/standalone/fleet/revisionlog/mutants_test.go
@@ -1,6 +1,6 @@
 //go:build mutants
 
-package announce
+package revisionlog
 
 import "testing"
 
--- a/internal/standalone/fleet/duty/holder.go
+++ b/internal/standalone/fleet/singleton/holder.go
@@ -1,4 +1,4 @@
-package duty
+package singleton
 
 import (
 	"maps"
--- a/internal/standalone/fleet/announce/mutant_on.go
+++ b/internal/standalone/fleet/singleton/mutant_on.go
@@ -1,6 +1,6 @@
 //go:build mutants
 
-package announce
+package singleton
 
 // Mutant names the fault that is seeded; empty: none. Tests set it before anything runs.
 var Mutant string
--- a/internal/standalone/fleet/duty/mutants_test.go
+++ b/internal/standalone/fleet/singleton/mutants_test.go
@@ -1,6 +1,6 @@
 //go:build mutants
 
-package duty
+package singleton
 
 import "testing"
 
--- a/internal/standalone/fleet/duty/register.go
+++ b/internal/standalone/fleet/singleton/register.go
@@ -1,10 +1,10 @@
-// Package duty decides which ingress does a piece of work that only one may do at a time. Register is what the voters agree
+// Package singleton decides which ingress does a piece of work that only one may do at a time. Register is what the voters agree
 // on, applied in the order of their log; Clerk is the leader's part, which keeps the line and the leases; Holder is the part
 // of each ingress, which knows until when it may act. What is done under a duty carries its token, and who receives it refuses
 // older ones: that is the proof, the lease only makes refusals rare.
 //
 // It does no I/O, reads no clock and starts no goroutine. Times are seconds of each process's own monotonic clock.
-package duty
+package singleton
 
 import (
 	"cmp"
--- a/internal/standalone/overlap/mutants_test.go
+++ b/internal/standalone/handover/mutants_test.go
@@ -1,6 +1,6 @@
 //go:build mutants
 
-package overlap
+package handover
 
 import "testing"
 
--- a/internal/standalone/overlap/overlap.go
+++ b/internal/standalone/handover/overlap.go
@@ -1,7 +1,7 @@
-// Package overlap decides how much of one ingress each of its processes is while a newer one starts beside an older one: of
+// Package handover decides how much of one ingress each of its processes is while a newer one starts beside an older one: of
 // quotas, ceilings and the bounds at quote servers, what both take together is what one ingress may. It does no I/O and
 // reads no clock; times are in seconds on a clock that the processes share.
-package overlap
+package handover
 
 import "slices"
 
--- a/internal/standalone/overlap/overlap_test.go
+++ b/internal/standalone/handover/overlap_test.go
@@ -1,4 +1,4 @@
-package overlap
+package handover
 
 import (
 	"fmt"
--- a/internal/standalone/hclfile/hclfile.go
+++ b/internal/standalone/hclfile/hclfile.go
@@ -13,7 +13,7 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 	"github.com/zclconf/go-cty/cty"
 
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // Error is what is wrong at one place of a file.
@@ -151,7 +151,7 @@
 }
 
 // Time reads a time of RFC 3339 at a path, as Unix seconds. Empty: 0.
-func (f *File) Time(path, text string) (passhub.Seconds, error) {
+func (f *File) Time(path, text string) (decision.Seconds, error) {
 	if text == "" {
 		return 0, nil
 	}
@@ -185,13 +185,13 @@
 }
 
 // Plan is the plan in the module's form.
-func (p Plan) Plan() passhub.Plan {
-	return passhub.Plan{Name: p.Name, Rate: p.Rate, Burst: p.Burst, Open: p.Open, Price: p.Price, ExcessWorth: p.ExcessWorth,
+func (p Plan) Plan() decision.Plan {
+	return decision.Plan{Name: p.Name, Rate: p.Rate, Burst: p.Burst, Open: p.Open, Price: p.Price, ExcessWorth: p.ExcessWorth,
 		BeyondCosts: p.BeyondCosts, CeilingRate: p.CeilingRate, CeilingDepth: p.CeilingDepth, CeilingSlack: p.CeilingSlack}
 }
 
 // FromPlan is the opposite.
-func FromPlan(p passhub.Plan) Plan {
+func FromPlan(p decision.Plan) Plan {
 	return Plan{Name: p.Name, Rate: p.Rate, Burst: p.Burst, Open: p.Open, Price: p.Price, ExcessWorth: p.ExcessWorth,
 		BeyondCosts: p.BeyondCosts, CeilingRate: p.CeilingRate, CeilingDepth: p.CeilingDepth, CeilingSlack: p.CeilingSlack}
 }
--- a/internal/standalone/node/fleet.go
+++ b/internal/standalone/node/fleet.go
@@ -8,18 +8,18 @@
 	"strconv"
 	"strings"
 
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/catalogue"
-	"mulleinrouter/internal/standalone/fleet/announce"
 	"mulleinrouter/internal/standalone/fleet/gossip"
+	"mulleinrouter/internal/standalone/fleet/leaseservice"
 	"mulleinrouter/internal/standalone/fleet/membership"
-	"mulleinrouter/internal/standalone/fleet/share"
-	"mulleinrouter/internal/standalone/fleet/sharing"
-	"mulleinrouter/internal/standalone/fleet/steward"
+	"mulleinrouter/internal/standalone/fleet/quotashare"
+	"mulleinrouter/internal/standalone/fleet/quotasync"
+	"mulleinrouter/internal/standalone/fleet/revisionlog"
 	"mulleinrouter/internal/standalone/jsontext"
 	"mulleinrouter/internal/standalone/mgmt"
 	"mulleinrouter/internal/standalone/plans"
 	"mulleinrouter/internal/standalone/state"
-	"mulleinrouter/passhub"
 )
 
 // Kinds of files.
@@ -56,15 +56,15 @@
 	n.watcher.Turn = n.fleet.Rank
 	if m.Share {
 		self := n.fleet.Self()
-		n.sharing = sharing.New(sharing.Options{Fleet: n.fleet, Clock: c.Rehearsed.Clock(), Log: n.log, Options: share.Options{Name: c.Name, Zone: c.Settings.Zone,
-			Fleet: max(1, c.Settings.Balancers), Claim: share.Claim{Boot: self.Boot, Nonce: self.Nonce}, Counter: n.count != nil}})
+		n.sharing = quotasync.New(quotasync.Options{Fleet: n.fleet, Clock: c.Rehearsed.Clock(), Log: n.log, Options: quotashare.Options{Name: c.Name, Zone: c.Settings.Zone,
+			Fleet: max(1, c.Settings.Balancers), Claim: quotashare.Claim{Boot: self.Boot, Nonce: self.Nonce}, Counter: n.count != nil}})
 		n.engine.ShareWith(n.sharing)
 		n.spawn(func() { n.sharing.Run(ctx, n.engine) })
 	}
 	if len(m.Voters) > 0 {
 		kept := n.folder(int64(os.Getpid())) // of this process: beside a newer one each keeps what it holds itself
-		n.duties = steward.Start(steward.Options{Fleet: n.fleet, Zone: c.Settings.Zone, Voters: m.Voters, Dir: c.State, Log: n.log,
-			Clock: c.Rehearsed.Clock(), Votes: c.Rehearsed.Votes, Keep: func(r steward.Record) error { return kept.Write(dutyRecord, r) }})
+		n.duties = leaseservice.Start(leaseservice.Options{Fleet: n.fleet, Zone: c.Settings.Zone, Voters: m.Voters, Dir: c.State, Log: n.log,
+			Clock: c.Rehearsed.Clock(), Votes: c.Rehearsed.Votes, Keep: func(r leaseservice.Record) error { return kept.Write(dutyRecord, r) }})
 		n.closed = append(n.closed, func() { kept.Remove(dutyRecord, kept.Process()) })
 	}
 	n.closed = append(n.closed, func() {
@@ -95,9 +95,9 @@
 		return
 	}
 	switch n.server.Phase() {
-	case passhub.Serving:
+	case decision.Serving:
 		n.fleet.Phase(membership.Serving)
-	case passhub.LameDuck:
+	case decision.LameDuck:
 		n.fleet.Phase(membership.LameDuck)
 	}
 }
@@ -164,7 +164,7 @@
 
 // dutyCall asks the leader, and tells what it says.
 func (n *Node) dutyCall(word string, words []string) (bool, []string) {
-	var t *steward.Told
+	var t *leaseservice.Told
 	var err error
 	switch {
 	case word == "DUTIES" && len(words) == 0:
@@ -206,7 +206,7 @@
 // announced yet, are those of this ingress's own file.
 func (n *Node) announced(ctx context.Context, first []plans.Revision) {
 	kept, read := n.folder(0), false
-	n.announcer, read = n.duties.Announce(ctx, steward.Announcing{
+	n.announcer, read = n.duties.Announce(ctx, leaseservice.Announcing{
 		Check: func(text []byte) (uint64, string, error) {
 			r, err := revisionOf(text)
 			if err != nil {
@@ -220,8 +220,8 @@
 			}
 		},
 		Living: n.fleet.Living,
-		Read:   func(r *announce.Record) error { return kept.Read(planRecord, kept.Process(), r) },
-		Write:  func(r announce.Record) error { return kept.Write(planRecord, r) },
+		Read:   func(r *revisionlog.Record) error { return kept.Read(planRecord, kept.Process(), r) },
+		Write:  func(r revisionlog.Record) error { return kept.Write(planRecord, r) },
 	})
 	if !read {
 		n.offer(first)
@@ -232,7 +232,7 @@
 // announce hands revisions of this ingress's file to whoever announces.
 func (n *Node) announce(all []plans.Revision) {
 	for _, r := range all {
-		n.announcer.Offer(announce.Entry{Number: r.Number, Digest: r.Digest(), Text: catalogue.Format([]plans.Revision{r})})
+		n.announcer.Offer(revisionlog.Entry{Number: r.Number, Digest: r.Digest(), Text: catalogue.Format([]plans.Revision{r})})
 	}
 }
 
--- a/internal/standalone/node/node.go
+++ b/internal/standalone/node/node.go
@@ -22,19 +22,19 @@
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/ingress"
 	"mulleinrouter/internal/dataplane/upstream"
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/config"
-	"mulleinrouter/internal/standalone/counter"
-	"mulleinrouter/internal/standalone/counterd"
+	"mulleinrouter/internal/standalone/counterclient"
+	"mulleinrouter/internal/standalone/counterserver"
 	"mulleinrouter/internal/standalone/discovery"
 	"mulleinrouter/internal/standalone/fleet/gossip"
-	"mulleinrouter/internal/standalone/fleet/sharing"
-	"mulleinrouter/internal/standalone/fleet/steward"
+	"mulleinrouter/internal/standalone/fleet/leaseservice"
+	"mulleinrouter/internal/standalone/fleet/quotasync"
 	"mulleinrouter/internal/standalone/hotrestart"
 	"mulleinrouter/internal/standalone/mgmt"
 	"mulleinrouter/internal/standalone/plans"
 	"mulleinrouter/internal/standalone/usageexport"
 	"mulleinrouter/internal/standalone/usagesegment"
-	"mulleinrouter/passhub"
 )
 
 const (
@@ -60,7 +60,7 @@
 	listener net.Listener
 	mgmt     net.Listener // nil: none
 	engine   *engine.Engine
-	count    *counter.Client // nil: none
+	count    *counterclient.Client // nil: none
 	server   *ingress.Server
 	watcher  *discovery.Watcher
 	meter    *usagesegment.Writer // nil: use is not metered
@@ -71,11 +71,11 @@
 
 	applied, rejected atomic.Int64 // configuration files read at SIGHUP
 
-	sharing   *sharing.Sharing   // quotas and judgements shared with the others; nil: they are not
-	fleet     *gossip.Fleet      // the other ingresses; nil: they are not known
-	duties    *steward.Steward   // nil: there are none
-	announcer *steward.Announcer // nil: revisions of the catalogue hold as its file has them
-	younger   atomic.Bool        // a newer process of this ingress runs beside it
+	sharing   *quotasync.Sharing      // quotas and judgements shared with the others; nil: they are not
+	fleet     *gossip.Fleet           // the other ingresses; nil: they are not known
+	duties    *leaseservice.Steward   // nil: there are none
+	announcer *leaseservice.Announcer // nil: revisions of the catalogue hold as its file has them
+	younger   atomic.Bool             // a newer process of this ingress runs beside it
 
 	pair    *pair       // other processes of this ingress; nil: there can be none
 	leaving atomic.Bool // it takes no new clients
@@ -115,7 +115,7 @@
 func (n *Node) start(ctx context.Context) (err error) {
 	c := n.config
 	// Before it listens: what comes to it meanwhile goes to the older process.
-	var learned *passhub.Knowledge
+	var learned *decision.Knowledge
 	if n.pair = beside(c.State, c.Name, c.Listen, int64(os.Getpid()), n.log); n.pair != nil {
 		learned = n.pair.learn()
 	}
@@ -128,10 +128,10 @@
 			return err
 		}
 	}
-	n.engine = engine.New(passhub.New(c.Settings, c.Seed), &c.Settings, engine.NewClock())
+	n.engine = engine.New(decision.New(c.Settings, c.Seed), &c.Settings, engine.NewClock())
 	n.engine.Log = n.log
 	if c.Counter != "" {
-		n.count = counter.New(c.Counter, seconds(c.Settings.CountWait), n.engine.Counted, n.log)
+		n.count = counterclient.New(c.Counter, seconds(c.Settings.CountWait), n.engine.Counted, n.log)
 		n.closed = append(n.closed, n.count.Close)
 		n.engine.Start(n.count)
 	} else {
@@ -276,7 +276,7 @@
 	if err != nil {
 		return fmt.Errorf("counter: %w", err)
 	}
-	server := counterd.New(1)
+	server := counterserver.New(1)
 	n.config.Counter = l.Addr().String()
 	go server.Serve(l)
 	n.closed = append(n.closed, func() {
@@ -346,7 +346,7 @@
 func (n *Node) exporter(dir string) *usageexport.Exporter {
 	e := &usageexport.Exporter{Dir: dir, Endpoint: n.config.Usage.Endpoint, Keep: n.config.Usage.Keep, Log: n.log}
 	if n.duties != nil {
-		e.Client = &http.Client{Timeout: exportMost, Transport: steward.Exporting{Steward: n.duties}}
+		e.Client = &http.Client{Timeout: exportMost, Transport: leaseservice.Exporting{Steward: n.duties}}
 	}
 	return e
 }
@@ -452,4 +452,4 @@
 	n.closed = nil
 }
 
-func seconds(s passhub.Seconds) time.Duration { return time.Duration(s * float64(time.Second)) }
+func seconds(s decision.Seconds) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/standalone/node/node_test.go
+++ b/internal/standalone/node/node_test.go
@@ -13,10 +13,10 @@
 	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/dataplane/usage"
-	"mulleinrouter/internal/emulator/standin"
+	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/emulator/fakes"
 	"mulleinrouter/internal/standalone/config"
 	"mulleinrouter/internal/standalone/usagesegment"
-	"mulleinrouter/passhub"
 )
 
 const member = "00000000000000aa"
@@ -43,9 +43,9 @@
 	}
 }
 
-func start(t *testing.T, text string) (*Node, *standin.Quotes, lines) {
+func start(t *testing.T, text string) (*Node, *fakes.Quotes, lines) {
 	t.Helper()
-	q := &standin.Quotes{Cores: 8}
+	q := &fakes.Quotes{Cores: 8}
 	if err := q.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -183,13 +183,13 @@
 	if diff := cmp.Diff([]int{200, 200, 503, 400}, append(asks(t, n, "basic", 3), ask(t, n, "gold"))); diff != "" {
 		t.Error(diff)
 	}
-	other := &standin.Quotes{Cores: 1}
+	other := &fakes.Quotes{Cores: 1}
 	if err := other.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer other.Stop()
 	next := *n.config
-	next.Settings.Plans = []passhub.Plan{{Name: "basic", Rate: 1e9, Burst: 1e9, Price: 1}, {Name: "gold", Rate: 1e9, Burst: 1e9, Price: 1}}
+	next.Settings.Plans = []decision.Plan{{Name: "basic", Rate: 1e9, Burst: 1e9, Price: 1}, {Name: "gold", Rate: 1e9, Burst: 1e9, Price: 1}}
 	known := *n.config.Known
 	known.Targets = append(known.Targets[:0:0], known.Targets...)
 	known.Targets[0].UID, known.Targets[0].Endpoint = "other", other.Addr()
@@ -207,7 +207,7 @@
 		t.Errorf("%d at the server that left, %d at the one that came", len(q.Served()), len(other.Served()))
 	}
 	broken := next
-	broken.Settings.Plans = []passhub.Plan{{Name: "basic", Rate: 1e9}}
+	broken.Settings.Plans = []decision.Plan{{Name: "basic", Rate: 1e9}}
 	if err := n.Reload(&broken); err == nil || ask(t, n, "gold") != 200 {
 		t.Errorf("plans that are none: %v", err)
 	}
--- a/internal/standalone/node/overlap.go
+++ b/internal/standalone/node/overlap.go
@@ -9,15 +9,15 @@
 
 	"github.com/sirupsen/logrus"
 
-	"mulleinrouter/internal/standalone/overlap"
+	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/standalone/handover"
 	"mulleinrouter/internal/standalone/state"
-	"mulleinrouter/passhub"
 )
 
 const (
 	records, knowledge = "record", "knowledge" // kinds of files
 
-	beat     = time.Duration(overlap.Beat * float64(time.Second))
+	beat     = time.Duration(handover.Beat * float64(time.Second))
 	handWait = time.Second           // for an older process to hand over what it has learned
 	handLook = 20 * time.Millisecond // between looks for it
 	oldFile  = 60.0                  // s after its last beat a record is taken away: its process was killed
@@ -26,7 +26,7 @@
 // pair is this process beside others of the same ingress, while one upgrades another.
 type pair struct {
 	folder *state.Folder
-	member *overlap.Member
+	member *handover.Member
 	log    *logrus.Logger
 
 	handed   map[int64]bool // younger processes that have had what was learned here
@@ -41,20 +41,20 @@
 	if _, port, err := net.SplitHostPort(listen); dir == "" || err != nil || port == "0" {
 		return nil
 	}
-	return &pair{folder: state.Open(dir, name+" "+listen, process), member: overlap.New(process, unix()), log: log, handed: map[int64]bool{}}
+	return &pair{folder: state.Open(dir, name+" "+listen, process), member: handover.New(process, unix()), log: log, handed: map[int64]bool{}}
 }
 
 // unix is the time that processes of one machine share.
 func unix() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 
 // others reads the records of the processes beside this one. What cannot be read is not there.
-func (p *pair) others() (all []overlap.Record, err error) {
+func (p *pair) others() (all []handover.Record, err error) {
 	processes, err := p.folder.Processes(records)
 	if err != nil {
 		return nil, err
 	}
 	for _, process := range processes {
-		var r overlap.Record
+		var r handover.Record
 		if err := p.folder.Read(records, process, &r); err != nil {
 			if !errors.Is(err, fs.ErrNotExist) { // it left meanwhile
 				p.tell(err)
@@ -83,7 +83,7 @@
 }
 
 // turn is a beat. Share hands over what was learned, once to each younger process; nil: there is nothing yet.
-func (p *pair) turn(share func() passhub.Knowledge) overlap.View {
+func (p *pair) turn(share func() decision.Knowledge) handover.View {
 	p.trouble = false
 	all, err := p.others()
 	p.tell(err)
@@ -107,17 +107,17 @@
 }
 
 // learn waits a moment for what an older process hands over; nil where there is none, or it does not.
-func (p *pair) learn() *passhub.Knowledge {
+func (p *pair) learn() *decision.Knowledge {
 	begun := unix()
 	alone := p.turn(nil).Alone
 	for end := time.Now().Add(handWait); !alone && time.Now().Before(end); time.Sleep(handLook) {
 		processes, err := p.folder.Processes(knowledge)
 		p.tell(err)
 		for _, process := range processes {
-			var k passhub.Knowledge
+			var k decision.Knowledge
 			if err := p.folder.Read(knowledge, process, &k); err != nil {
 				p.tell(err)
-			} else if k.At > begun-overlap.Lease {
+			} else if k.At > begun-handover.Lease {
 				return &k
 			}
 		}
@@ -150,7 +150,7 @@
 	n.younger.Store(len(v.Younger) > 0)
 	lease := 0.0
 	if !v.Alone {
-		lease = overlap.Lease
+		lease = handover.Lease
 	}
 	n.engine.Part(v.Own.Part, v.Junior, lease)
 }
--- a/internal/standalone/node/overlap_test.go
+++ b/internal/standalone/node/overlap_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/sirupsen/logrus"
 
-	"mulleinrouter/internal/standalone/overlap"
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/standalone/handover"
 )
 
 func quiet() *logrus.Logger {
@@ -25,9 +25,9 @@
 	dir := t.TempDir()
 	beside := func(process int64) *pair { return beside(dir, "n1", "10.0.0.4:80", process, quiet()) }
 	old, shared := beside(1), 0
-	share := func() passhub.Knowledge {
+	share := func() decision.Knowledge {
 		shared++
-		return passhub.Knowledge{At: unix(), Usual: 0.25}
+		return decision.Knowledge{At: unix(), Usual: 0.25}
 	}
 	if k := old.learn(); k != nil {
 		t.Fatal("learned from nobody")
@@ -35,9 +35,9 @@
 	if v := old.turn(share); !v.Alone || v.Own.Part != 1 {
 		t.Fatalf("alone: %+v", v)
 	}
-	young, learned := beside(2), make(chan *passhub.Knowledge)
+	young, learned := beside(2), make(chan *decision.Knowledge)
 	go func() { learned <- young.learn() }()
-	var k *passhub.Knowledge
+	var k *decision.Knowledge
 	for k == nil {
 		select {
 		case k = <-learned:
@@ -124,7 +124,7 @@
 	if s := ask(t, n, "plus"); s != 200 {
 		t.Errorf("alone again: %d", s)
 	}
-	if overlap.Lease <= 2*overlap.Beat {
+	if handover.Lease <= 2*handover.Beat {
 		t.Error("one late beat would end a lease")
 	}
 }
--- a/internal/standalone/node/reload.go
+++ b/internal/standalone/node/reload.go
@@ -9,11 +9,11 @@
 	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/dataplane/engine"
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/catalogue"
 	"mulleinrouter/internal/standalone/config"
 	"mulleinrouter/internal/standalone/plans"
 	"mulleinrouter/internal/standalone/settings"
-	"mulleinrouter/passhub"
 )
 
 // Reloaded counts a configuration file read at SIGHUP: taken, or turned down whole.
@@ -50,7 +50,7 @@
 
 // offer takes revisions of the catalogue's file.
 func (n *Node) offer(all []plans.Revision) {
-	n.revise(func(now passhub.Seconds) {
+	n.revise(func(now decision.Seconds) {
 		for _, r := range all {
 			n.revised(r, n.state.Offer(r, now), now)
 		}
@@ -59,11 +59,11 @@
 
 // settle takes one that was announced.
 func (n *Node) settle(r plans.Revision) {
-	n.revise(func(now passhub.Seconds) { n.revised(r, n.state.Settle(r, now), now) })
+	n.revise(func(now decision.Seconds) { n.revised(r, n.state.Settle(r, now), now) })
 }
 
 // revised tells what became of a revision. The mutex is held.
-func (n *Node) revised(r plans.Revision, verdict plans.Verdict, now passhub.Seconds) {
+func (n *Node) revised(r plans.Revision, verdict plans.Verdict, now decision.Seconds) {
 	if verdict == plans.Same {
 		return
 	}
@@ -82,13 +82,13 @@
 }
 
 // revise changes what this ingress knows of plans, and has the module and the clients' side go by it.
-func (n *Node) revise(change func(now passhub.Seconds)) {
+func (n *Node) revise(change func(now decision.Seconds)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.state == nil {
 		n.state = plans.NewState(n.config.Settings.Plans)
 	}
-	n.engine.Revise(func(now passhub.Seconds) engine.Catalogue {
+	n.engine.Revise(func(now decision.Seconds) engine.Catalogue {
 		change(now)
 		n.server.SetPlans(n.state.Plans(now))
 		return n.state
@@ -117,7 +117,7 @@
 		if all := r.Validate(); len(all) > 0 {
 			return fmt.Errorf("settings: %w", all[0])
 		}
-		n.revise(func(now passhub.Seconds) {
+		n.revise(func(now decision.Seconds) {
 			n.last++
 			r.Number, r.Holds = n.last, now
 			n.state.Offer(r, now)
--- a/internal/standalone/plans/plans.go
+++ b/internal/standalone/plans/plans.go
@@ -16,7 +16,7 @@
 	"sort"
 	"strings"
 
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // Authority says who names a member's plan.
@@ -30,11 +30,11 @@
 
 // Revision is one state of the catalogue, whole.
 type Revision struct {
-	Number    uint64          // from 1; the higher one wins from its time on
-	Holds     passhub.Seconds // from when it holds, Unix time; 0: from when it is heard
+	Number    uint64           // from 1; the higher one wins from its time on
+	Holds     decision.Seconds // from when it holds, Unix time; 0: from when it is heard
 	Authority Authority
 	Bookable  float64 // units a second that all bookings may take together, at any instant
-	Plans     []passhub.Plan
+	Plans     []decision.Plan
 	Members   map[string]string // plan by member
 	Bookings  []Booking
 }
@@ -42,8 +42,8 @@
 // Booking is allowance that a member has been promised for a span, on top of its plan's quota.
 type Booking struct {
 	ID, Member string
-	From, To   passhub.Seconds // Unix time; To is no part of it
-	Units      float64         // spread evenly over the span; what is unused lapses
+	From, To   decision.Seconds // Unix time; To is no part of it
+	Units      float64          // spread evenly over the span; what is unused lapses
 }
 
 // Rate is what the booking adds to the member's quota while it runs, in units a second.
@@ -69,7 +69,7 @@
 	if len(r.Plans) == 0 {
 		bad("a revision needs one plan at least", "plan")
 	}
-	byName := map[string]passhub.Plan{}
+	byName := map[string]decision.Plan{}
 	for _, p := range r.Plans {
 		if _, twice := byName[p.Name]; twice || p.Name == "" || strings.ContainsAny(p.Name, " \t\r\n") {
 			bad("a plan needs a name of its own, one word", "plan", p.Name)
@@ -101,7 +101,7 @@
 	return append(all, r.checkBookings(byName)...)
 }
 
-func (r *Revision) checkBookings(byName map[string]passhub.Plan) (all []Problem) {
+func (r *Revision) checkBookings(byName map[string]decision.Plan) (all []Problem) {
 	bad := func(text string, where ...string) { all = append(all, Problem{strings.Join(where, "."), text}) }
 	ids := map[string]bool{}
 	for _, b := range r.Bookings {
@@ -141,7 +141,7 @@
 }
 
 // checkCeilings holds what a member has booked under its plan's ceiling: no booking is sold that cannot be used.
-func (r *Revision) checkCeilings(byName map[string]passhub.Plan) (all []Problem) {
+func (r *Revision) checkCeilings(byName map[string]decision.Plan) (all []Problem) {
 	byMember := map[string][]Booking{}
 	for _, b := range r.Bookings {
 		before := byMember[b.Member]
@@ -160,10 +160,10 @@
 
 // Misfit tells why a booking cannot be accepted, and what would fit.
 type Misfit struct {
-	At    passhub.Seconds // the instant with the least left
-	Free  float64         // units a second left then
-	Units float64         // the most that fits in the same span
-	From  passhub.Seconds // the earliest later begin from which the whole fits; 0: it never does
+	At    decision.Seconds // the instant with the least left
+	Free  float64          // units a second left then
+	Units float64          // the most that fits in the same span
+	From  decision.Seconds // the earliest later begin from which the whole fits; 0: it never does
 }
 
 func (m *Misfit) Error() string {
@@ -183,7 +183,7 @@
 	}
 	m := &Misfit{At: at, Free: bookable - most, Units: math.Floor(math.Max(0, bookable-most)*(b.To-b.From) + 1e-6)}
 	// The sum falls only where a booking ends: nothing between such ends can be the earliest.
-	ends := make([]passhub.Seconds, 0, len(there))
+	ends := make([]decision.Seconds, 0, len(there))
 	for _, o := range there {
 		if o.To > b.From {
 			ends = append(ends, o.To)
@@ -208,7 +208,7 @@
 }
 
 // peak is the largest sum of the bookings' rates within a span, and when it is first reached.
-func peak(all []Booking, from, to passhub.Seconds) (at passhub.Seconds, most float64) {
+func peak(all []Booking, from, to decision.Seconds) (at decision.Seconds, most float64) {
 	type step struct{ at, by float64 }
 	var steps []step
 	for _, b := range all {
@@ -231,7 +231,7 @@
 func (r *Revision) Digest() string {
 	h := fnv.New64a()
 	fmt.Fprint(h, r.Number, r.Holds, r.Authority, r.Bookable)
-	for _, p := range slices.SortedFunc(slices.Values(r.Plans), func(a, b passhub.Plan) int { return cmp.Compare(a.Name, b.Name) }) {
+	for _, p := range slices.SortedFunc(slices.Values(r.Plans), func(a, b decision.Plan) int { return cmp.Compare(a.Name, b.Name) }) {
 		fmt.Fprintf(h, "|%+v", p)
 	}
 	for _, m := range slices.Sorted(maps.Keys(r.Members)) {
@@ -289,13 +289,13 @@
 	value float64
 }
 
-func figures(p passhub.Plan) []figure {
+func figures(p decision.Plan) []figure {
 	return []figure{{"rate", p.Rate}, {"burst", p.Burst}, {"open", float64(p.Open)}, {"price", p.Price}, {"excess_worth", p.ExcessWorth},
 		{"beyond_costs", p.BeyondCosts}, {"ceiling_rate", p.CeilingRate}, {"ceiling_depth", p.CeilingDepth}, {"ceiling_slack", p.CeilingSlack}}
 }
 
 // Figures tells a plan's figures in a line, those that are there.
-func Figures(p passhub.Plan) string {
+func Figures(p decision.Plan) string {
 	var words []string
 	for _, f := range figures(p) {
 		if f.value != 0 {
--- a/internal/standalone/plans/plans_test.go
+++ b/internal/standalone/plans/plans_test.go
@@ -9,19 +9,19 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 const anna, bert = "00000000000000aa", "00000000000000bb"
 
-func basic() passhub.Plan { return passhub.Plan{Name: "basic", Rate: 4, Burst: 8, Price: 1} }
+func basic() decision.Plan { return decision.Plan{Name: "basic", Rate: 4, Burst: 8, Price: 1} }
 
-func plus() passhub.Plan {
-	return passhub.Plan{Name: "plus", Rate: 10, Burst: 20, Price: 2, CeilingRate: 20, CeilingDepth: 40, CeilingSlack: 4}
+func plus() decision.Plan {
+	return decision.Plan{Name: "plus", Rate: 10, Burst: 20, Price: 2, CeilingRate: 20, CeilingDepth: 40, CeilingSlack: 4}
 }
 
-func revision(n uint64, holds passhub.Seconds, change ...func(*Revision)) Revision {
-	r := Revision{Number: n, Holds: holds, Authority: Listed, Bookable: 100, Plans: []passhub.Plan{basic(), plus()},
+func revision(n uint64, holds decision.Seconds, change ...func(*Revision)) Revision {
+	r := Revision{Number: n, Holds: holds, Authority: Listed, Bookable: 100, Plans: []decision.Plan{basic(), plus()},
 		Members: map[string]string{anna: "basic", bert: "plus"}}
 	for _, f := range change {
 		f(&r)
@@ -151,7 +151,7 @@
 }
 
 // rates tells what quota a member has at some times.
-func rates(s *State, member, tier string, at ...passhub.Seconds) (all []float64) {
+func rates(s *State, member, tier string, at ...decision.Seconds) (all []float64) {
 	for _, now := range at {
 		t := s.Terms(member, tier, now)
 		if t == nil {
@@ -164,7 +164,7 @@
 }
 
 func TestRevisionsComeInForce(t *testing.T) {
-	s := NewState([]passhub.Plan{basic()})
+	s := NewState([]decision.Plan{basic()})
 	if diff := cmp.Diff([]float64{4, -1}, append(rates(s, anna, "basic", 1), rates(s, anna, "gold", 1)...)); diff != "" {
 		t.Error("the settings alone", diff)
 	}
@@ -277,14 +277,14 @@
 func TestDueAndNext(t *testing.T) {
 	s := NewState(nil)
 	s.Offer(revision(1, 0), 0)
-	due := func(now passhub.Seconds) map[string]float64 {
+	due := func(now decision.Seconds) map[string]float64 {
 		m := map[string]float64{}
 		for _, t := range s.Due(now) {
 			m[t.Customer] = t.Plan.Rate
 		}
 		return m
 	}
-	check := func(now, next passhub.Seconds, want map[string]float64) {
+	check := func(now, next decision.Seconds, want map[string]float64) {
 		t.Helper()
 		if got := due(now); !maps.Equal(want, got) || s.Next(now) != next {
 			t.Errorf("at %g: due %v, next %g; want %v and %g", now, got, s.Next(now), want, next)
--- a/internal/standalone/plans/state.go
+++ b/internal/standalone/plans/state.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"mulleinrouter/passhub"
+	"mulleinrouter/internal/decision"
 )
 
 // mostPending bounds the revisions kept that do not hold yet: more than that are no plan but a mistake.
@@ -30,46 +30,46 @@
 
 // State is what one ingress knows of the catalogue. It is not safe for use by several goroutines at once.
 type State struct {
-	base    map[string]*passhub.Terms // the plans of the settings, for a time before any revision holds
-	retired map[string]*passhub.Terms // plans that a revision took away: by header, members may still name them
-	all     []*compiled               // by number; the first one may hold, the others do not yet
-	told    passhub.Seconds           // changes until then have been told
-	was     *compiled                 // held then
+	base    map[string]*decision.Terms // the plans of the settings, for a time before any revision holds
+	retired map[string]*decision.Terms // plans that a revision took away: by header, members may still name them
+	all     []*compiled                // by number; the first one may hold, the others do not yet
+	told    decision.Seconds           // changes until then have been told
+	was     *compiled                  // held then
 }
 
 // compiled is a revision made ready to be asked.
 type compiled struct {
 	Revision
 	digest string
-	terms  map[string]*passhub.Terms // by plan
-	spans  map[string][]span         // by member, in order
-	edges  []passhub.Seconds         // when any of them begins or ends, in order
+	terms  map[string]*decision.Terms // by plan
+	spans  map[string][]span          // by member, in order
+	edges  []decision.Seconds         // when any of them begins or ends, in order
 }
 
 // span is a stretch of time in which a member has booked the same rate.
 type span struct {
-	from, to passhub.Seconds
+	from, to decision.Seconds
 	rate     float64
-	terms    map[string]*passhub.Terms // by plan, made when first asked for
+	terms    map[string]*decision.Terms // by plan, made when first asked for
 }
 
 // NewState returns a state that knows the plans of the settings only.
-func NewState(base []passhub.Plan) *State {
-	s := &State{base: map[string]*passhub.Terms{}, retired: map[string]*passhub.Terms{}}
+func NewState(base []decision.Plan) *State {
+	s := &State{base: map[string]*decision.Terms{}, retired: map[string]*decision.Terms{}}
 	for _, p := range base {
-		s.base[p.Name] = &passhub.Terms{Plan: p, Tag: p.Tag()}
+		s.base[p.Name] = &decision.Terms{Plan: p, Tag: p.Tag()}
 	}
 	return s
 }
 
 // Offer takes a valid revision. Whatever the order in which ingresses hear of revisions, they come to hold the
 // same ones: the number decides, and under one number the digest.
-func (s *State) Offer(r Revision, now passhub.Seconds) Verdict { return s.offer(r, now, false) }
+func (s *State) Offer(r Revision, now decision.Seconds) Verdict { return s.offer(r, now, false) }
 
 // Settle takes a revision that was announced: it holds in place of any other of its number.
-func (s *State) Settle(r Revision, now passhub.Seconds) Verdict { return s.offer(r, now, true) }
+func (s *State) Settle(r Revision, now decision.Seconds) Verdict { return s.offer(r, now, true) }
 
-func (s *State) offer(r Revision, now passhub.Seconds, settled bool) Verdict {
+func (s *State) offer(r Revision, now decision.Seconds, settled bool) Verdict {
 	digest, verdict := r.Digest(), Announced
 	if r.Holds <= now {
 		verdict = Late
@@ -98,7 +98,7 @@
 }
 
 // InForce is the number of the revision that holds; 0: none does, the settings do.
-func (s *State) InForce(now passhub.Seconds) uint64 {
+func (s *State) InForce(now decision.Seconds) uint64 {
 	if c := s.at(now); c != nil {
 		return c.Number
 	}
@@ -106,7 +106,7 @@
 }
 
 // at is the revision with the highest number of those whose time has come. Those below it are forgotten.
-func (s *State) at(now passhub.Seconds) *compiled {
+func (s *State) at(now decision.Seconds) *compiled {
 	for i := len(s.all) - 1; i >= 0; i-- {
 		if s.all[i].Holds <= now {
 			if i > 0 {
@@ -125,7 +125,7 @@
 
 // Terms are those of a member whose client names a plan, now; nil: nobody knows such a plan. The same pointer
 // comes back while they stay the same.
-func (s *State) Terms(member, tier string, now passhub.Seconds) *passhub.Terms {
+func (s *State) Terms(member, tier string, now decision.Seconds) *decision.Terms {
 	c := s.at(now)
 	if c == nil {
 		return s.base[tier]
@@ -138,7 +138,7 @@
 	return c.on(member, tier, now, s)
 }
 
-func (c *compiled) on(member, plan string, now passhub.Seconds, s *State) *passhub.Terms {
+func (c *compiled) on(member, plan string, now decision.Seconds, s *State) *decision.Terms {
 	t := c.terms[plan]
 	if t == nil {
 		// Taken away while clients still name it: they are served by its last figures, not turned away.
@@ -154,7 +154,7 @@
 				if p.Rate += b.rate; p.CeilingRate > 0 {
 					p.Rate = min(p.Rate, p.CeilingRate)
 				}
-				b.terms[plan] = &passhub.Terms{Plan: p, Tag: p.Tag()}
+				b.terms[plan] = &decision.Terms{Plan: p, Tag: p.Tag()}
 			}
 			return b.terms[plan]
 		}
@@ -163,9 +163,9 @@
 }
 
 // Plans are the names of the plans that clients may name now.
-func (s *State) Plans(now passhub.Seconds) []string {
+func (s *State) Plans(now decision.Seconds) []string {
 	var names []string
-	add := func(m map[string]*passhub.Terms) {
+	add := func(m map[string]*decision.Terms) {
 		for name := range m {
 			names = append(names, name)
 		}
@@ -181,7 +181,7 @@
 
 // Due tells the terms of the members that the catalogue lists and whose terms have changed since the last call.
 // Others are told with their next request; without one they ask for nothing.
-func (s *State) Due(now passhub.Seconds) (due []passhub.Terms) {
+func (s *State) Due(now decision.Seconds) (due []decision.Terms) {
 	c, was, since := s.at(now), s.was, s.told
 	s.was, s.told = c, now
 	if c == nil || c.Authority != Listed {
@@ -189,7 +189,7 @@
 	}
 	tell := func(member string) {
 		if t := s.Terms(member, "", now); t != nil {
-			due = append(due, passhub.Terms{Customer: member, Plan: t.Plan, Tag: t.Tag})
+			due = append(due, decision.Terms{Customer: member, Plan: t.Plan, Tag: t.Tag})
 		}
 	}
 	if c == was {
@@ -206,13 +206,13 @@
 			}
 		}
 	}
-	slices.SortFunc(due, func(a, b passhub.Terms) int { return cmp.Compare(a.Customer, b.Customer) })
+	slices.SortFunc(due, func(a, b decision.Terms) int { return cmp.Compare(a.Customer, b.Customer) })
 	return due
 }
 
 // Next is when terms change next by what is known now; 0: not at all.
-func (s *State) Next(now passhub.Seconds) (next passhub.Seconds) {
-	earlier := func(at passhub.Seconds) {
+func (s *State) Next(now decision.Seconds) (next decision.Seconds) {
+	earlier := func(at decision.Seconds) {
 		if at > now && (next == 0 || at < next) {
 			next = at
 		}
@@ -231,16 +231,16 @@
 }
 
 func compile(r Revision, digest string) *compiled {
-	c := &compiled{Revision: r, digest: digest, terms: map[string]*passhub.Terms{}, spans: map[string][]span{}}
+	c := &compiled{Revision: r, digest: digest, terms: map[string]*decision.Terms{}, spans: map[string][]span{}}
 	for _, p := range r.Plans {
-		c.terms[p.Name] = &passhub.Terms{Plan: p, Tag: p.Tag()}
+		c.terms[p.Name] = &decision.Terms{Plan: p, Tag: p.Tag()}
 	}
 	byMember := map[string][]Booking{}
 	for _, b := range r.Bookings {
 		byMember[b.Member] = append(byMember[b.Member], b)
 	}
 	for member, list := range byMember {
-		var at []passhub.Seconds
+		var at []decision.Seconds
 		for _, b := range list {
 			at = append(at, b.From, b.To)
 		}
@@ -254,7 +254,7 @@
 				}
 			}
 			if rate > 0 {
-				c.spans[member] = append(c.spans[member], span{at[i], at[i+1], rate, map[string]*passhub.Terms{}})
+				c.spans[member] = append(c.spans[member], span{at[i], at[i+1], rate, map[string]*decision.Terms{}})
 			}
 		}
 		c.edges = append(c.edges, at...)
--- a/internal/standalone/settings/settings.go
+++ b/internal/standalone/settings/settings.go
@@ -8,15 +8,15 @@
 	"fmt"
 	"math"
 
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/jsontext"
-	"mulleinrouter/passhub"
 )
 
 const mostIngresses = 100_000
 
 // Decode reads the settings object that an instance is given at its start, in the simulator's first
 // message or in a real ingress's configuration. Keys it does not know are ignored.
-func Decode(raw []byte) (passhub.Settings, error) {
+func Decode(raw []byte) (decision.Settings, error) {
 	var w struct {
 		Balancers, Me int
 		Zone          string
@@ -45,19 +45,19 @@
 		}
 	}
 	if len(raw) == 0 || string(raw) == "null" {
-		return passhub.Settings{}, errors.New("no settings")
+		return decision.Settings{}, errors.New("no settings")
 	}
 	if err := jsontext.Decode(raw, &w); err != nil {
-		return passhub.Settings{}, fmt.Errorf("settings: %w", err)
+		return decision.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	// A number that cannot be true would silence this ingress, or have all take the same place among them.
 	if w.Balancers < 0 || w.Balancers > mostIngresses {
-		return passhub.Settings{}, fmt.Errorf("settings: Balancers: %d is not from 0 to %d", w.Balancers, mostIngresses)
+		return decision.Settings{}, fmt.Errorf("settings: Balancers: %d is not from 0 to %d", w.Balancers, mostIngresses)
 	}
 	if w.Me < 0 || w.Balancers > 0 && w.Me >= w.Balancers {
-		return passhub.Settings{}, fmt.Errorf("settings: Me: %d is not below Balancers, %d", w.Me, w.Balancers)
+		return decision.Settings{}, fmt.Errorf("settings: Me: %d is not below Balancers, %d", w.Me, w.Balancers)
 	}
-	s := passhub.Settings{
+	s := decision.Settings{
 		Balancers: w.Balancers, Me: w.Me, Zone: w.Zone,
 		DrainGrace: w.Invariants.DrainGrace, AnswerSlack: w.Invariants.AnswerSlack,
 		ColdShare: w.Invariants.StartCapacity, WarmUp: w.Invariants.WarmUp,
@@ -69,18 +69,18 @@
 		MayCount: w.FamilyInfo.MayCount, CountFee: w.FamilyInfo.CountFee, CountWait: w.FamilyInfo.CountWait,
 		CostAfter: w.FamilyInfo.CostAfter, MaxUnits: w.FamilyInfo.MaxUnits,
 	}
-	effects := map[string]passhub.Effect{"pure": passhub.Safe, "token": passhub.Keyed}
-	scopes := map[string]passhub.Scope{
-		"all": passhub.ScopeAll, "zone": passhub.ScopeZone, "cell": passhub.ScopeCell,
+	effects := map[string]decision.Effect{"pure": decision.Safe, "token": decision.Keyed}
+	scopes := map[string]decision.Scope{
+		"all": decision.ScopeAll, "zone": decision.ScopeZone, "cell": decision.ScopeCell,
 	}
 	for _, c := range w.Classes {
-		s.Classes = append(s.Classes, passhub.Class{
+		s.Classes = append(s.Classes, decision.Class{
 			Name: c.Name, Aim: c.Promise, Deadline: c.Deadline, Worth: c.Gain, LateWorth: c.LateWorth,
 			Effect: effects[c.Effect], Scope: scopes[c.DedupScope],
 		})
 	}
 	for _, p := range w.Packages {
-		s.Plans = append(s.Plans, passhub.Plan{
+		s.Plans = append(s.Plans, decision.Plan{
 			Name: p.Name, Rate: p.Refill, Burst: p.Burst, Open: p.Open, Price: p.Pays,
 			ExcessWorth: p.ExcessWorth, BeyondCosts: p.BeyondCosts,
 			CeilingRate: p.NeverOverRate, CeilingDepth: p.NeverOverDepth, CeilingSlack: p.HardSlack,
--- a/internal/standalone/wire/wire.go
+++ b/internal/standalone/simprotocol/wire.go
@@ -1,6 +1,6 @@
-// Package wire speaks the JSON dialect of the bench: batches of events in, batches of actions out.
+// Package simprotocol speaks the JSON dialect of the bench: batches of events in, batches of actions out.
 // It translates and judges nothing.
-package wire
+package simprotocol
 
 import (
 	"bufio"
@@ -8,9 +8,9 @@
 	"fmt"
 	"io"
 
+	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/jsontext"
 	"mulleinrouter/internal/standalone/settings"
-	"mulleinrouter/passhub"
 )
 
 type batch struct {
@@ -36,13 +36,13 @@
 
 // Host keeps the independent gateways of one process.
 type Host struct {
-	gateways map[int]*passhub.Gateway
-	lists    map[int][]passhub.Backend
+	gateways map[int]*decision.Gateway
+	lists    map[int][]decision.Backend
 }
 
 // NewHost returns a host with no gateways.
 func NewHost() *Host {
-	return &Host{gateways: map[int]*passhub.Gateway{}, lists: map[int][]passhub.Backend{}}
+	return &Host{gateways: map[int]*decision.Gateway{}, lists: map[int][]decision.Backend{}}
 }
 
 // Serve answers batches until the input ends.
@@ -103,7 +103,7 @@
 
 // event hands one event to its gateway. Unknown names, and events for a gateway that is not
 // running, are skipped.
-func (h *Host) event(now float64, instance int, raw jsontext.Raw) ([]passhub.Action, error) {
+func (h *Host) event(now float64, instance int, raw jsontext.Raw) ([]decision.Action, error) {
 	var msg []jsontext.Raw
 	if err := jsontext.Decode(raw, &msg); err != nil {
 		return nil, fmt.Errorf("not a message: %w", err)
@@ -113,15 +113,15 @@
 	if f.err != nil {
 		return nil, fmt.Errorf("message without a name: %w", f.err)
 	}
-	var event passhub.Event
+	var event decision.Event
 	switch name {
 	case "CONFIGURE":
 		s, err := settings.Decode(f.raw(2))
 		if err != nil {
 			return nil, fmt.Errorf("CONFIGURE: %w", err)
 		}
-		h.gateways[instance] = passhub.New(s, uint64(f.integer(1)))
-		event = passhub.Start{}
+		h.gateways[instance] = decision.New(s, uint64(f.integer(1)))
+		event = decision.Start{}
 	case "STOP":
 		delete(h.gateways, instance)
 		return nil, nil
@@ -136,21 +136,21 @@
 		if how == "unavailable" {
 			return nil, nil
 		}
-		event = passhub.Backends{Complete: how != "update", List: h.lists[int(f.integer(3))]}
+		event = decision.Backends{Complete: how != "update", List: h.lists[int(f.integer(3))]}
 	case "SUBMIT":
 		options := f.integer(9)
-		event = passhub.Request{
+		event = decision.Request{
 			ID: uint64(f.integer(1)), Class: f.text(2), Plan: f.text(3), Customer: f.text(4),
 			Left: f.number(5), Units: f.number(6), Doors: int(f.integer(7)), Repeat: options&2 != 0,
 		}
 	case "CLIENT_GONE":
-		event = passhub.ClientGone{ID: uint64(f.integer(1))}
+		event = decision.ClientGone{ID: uint64(f.integer(1))}
 	case "FIRED":
-		event = passhub.Timer{Token: f.text(1)}
+		event = decision.Timer{Token: f.text(1)}
 	case "SUM":
-		event = passhub.Counted{Outcome: outcome(f.text(1)), Name: f.text(2), Total: f.number(3)}
+		event = decision.Counted{Outcome: outcome(f.text(1)), Name: f.text(2), Total: f.number(3)}
 	case "COMPLETED":
-		event = passhub.AttemptEnded{
+		event = decision.AttemptEnded{
 			ID: uint64(f.integer(1)), Units: f.number(2), Outcome: outcome(f.text(3)), Took: f.number(4),
 			Backend: f.text(6), Settled: f.flag(7), Attempt: int(f.integer(8)),
 		}
@@ -192,24 +192,24 @@
 func (f *fields) integer(i int) int64  { return field[int64](f, i) }
 func (f *fields) flag(i int) bool      { return field[bool](f, i) }
 
-var outcomes = map[string]passhub.Outcome{
-	"done": passhub.Done, "err": passhub.Failed, "busy": passhub.Busy, "etimedout": passhub.TimedOut,
-	"econnrefused": passhub.Refused, "econnreset": passhub.Reset, "ecanceled": passhub.Cancelled,
-	"skipped": passhub.Skipped,
+var outcomes = map[string]decision.Outcome{
+	"done": decision.Done, "err": decision.Failed, "busy": decision.Busy, "etimedout": decision.TimedOut,
+	"econnrefused": decision.Refused, "econnreset": decision.Reset, "ecanceled": decision.Cancelled,
+	"skipped": decision.Skipped,
 }
 
 // outcome gives Failed, which proves nothing, for a word it does not know.
-func outcome(word string) passhub.Outcome { return outcomes[word] }
+func outcome(word string) decision.Outcome { return outcomes[word] }
 
-func backends(raw jsontext.Raw) ([]passhub.Backend, error) {
+func backends(raw jsontext.Raw) ([]decision.Backend, error) {
 	var rows [][]jsontext.Raw
 	if err := jsontext.Decode(raw, &rows); err != nil {
 		return nil, err
 	}
-	list := make([]passhub.Backend, 0, len(rows))
+	list := make([]decision.Backend, 0, len(rows))
 	for i, row := range rows {
 		f := fields{msg: row}
-		b := passhub.Backend{
+		b := decision.Backend{
 			ID: f.text(0), Zone: f.text(1), Kind: f.text(2), Serving: f.text(4) == "SERVING",
 			Size: f.number(5), Booted: f.number(6),
 		}
@@ -221,19 +221,19 @@
 	return list, nil
 }
 
-func encode(action passhub.Action) []any {
+func encode(action decision.Action) []any {
 	switch a := action.(type) {
-	case passhub.Send:
+	case decision.Send:
 		return []any{"TRANSMIT", a.ID, a.Backend, a.Timeout}
-	case passhub.Cancel:
+	case decision.Cancel:
 		return []any{"ABORT_ATTEMPT", a.ID, a.Attempt}
-	case passhub.Refuse:
+	case decision.Refuse:
 		return []any{"REFUSE", a.ID, a.RetryAfter}
-	case passhub.Fail:
+	case decision.Fail:
 		return []any{"FINISH_ERROR", a.ID}
-	case passhub.SetTimer:
+	case decision.SetTimer:
 		return []any{"SLEEP", a.At, a.Token}
-	case passhub.Count:
+	case decision.Count:
 		return []any{"BUMP", a.Name, a.Add, a.Keep}
 	default:
 		return []any{"WRITE_LOG", fmt.Sprintf("no word for %T", action)}
--- a/internal/standalone/wire/wire_test.go
+++ b/internal/standalone/simprotocol/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"bytes"
--- a/internal/standalone/state/state.go
+++ b/internal/standalone/state/state.go
@@ -13,8 +13,8 @@
 	"strconv"
 	"strings"
 
-	"mulleinrouter/internal/standalone/disk"
 	"mulleinrouter/internal/standalone/jsontext"
+	"mulleinrouter/internal/standalone/vfs"
 )
 
 const (
@@ -34,7 +34,7 @@
 
 // Folder is where the processes of one ingress keep their files. Its name tells the ingresses of one folder apart.
 type Folder struct {
-	Disk disk.FS // the machine's, unless a test has it fail
+	Disk vfs.FS // the machine's, unless a test has it fail
 
 	dir, ingress string
 	process      int64
@@ -42,7 +42,7 @@
 
 // Open returns the folder of an ingress, as a process has it. Nothing is read or written yet.
 func Open(dir, ingress string, process int64) *Folder {
-	return &Folder{Disk: disk.OS{}, dir: dir, ingress: strconv.Quote(ingress), process: process}
+	return &Folder{Disk: vfs.OS{}, dir: dir, ingress: strconv.Quote(ingress), process: process}
 }
 
 func (f *Folder) path(kind string, process int64) string {
@@ -57,7 +57,7 @@
 		return fmt.Errorf("state: %w", err)
 	}
 	head := fmt.Sprintf("%s %d %08x %s\n", magic, version, crc32.Checksum(body, table), f.ingress)
-	if err := disk.Replace(f.Disk, f.path(kind, f.process), append([]byte(head), body...), 0o600); err != nil {
+	if err := vfs.Replace(f.Disk, f.path(kind, f.process), append([]byte(head), body...), 0o600); err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
 	return nil
--- a/internal/standalone/state/state_test.go
+++ b/internal/standalone/state/state_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mulleinrouter/internal/standalone/disk"
+	"mulleinrouter/internal/standalone/vfs"
 )
 
 type content struct {
@@ -88,11 +88,11 @@
 // Whatever write, sync or rename fails, torn or whole: a reader finds what was written before or, where the rename was done and
 // told as failed, what was to be written; never something else, and nothing is left behind.
 func TestFailingDisk(t *testing.T) {
-	for _, op := range []disk.Op{disk.Write, disk.Sync, disk.Rename} {
+	for _, op := range []vfs.Op{vfs.Write, vfs.Sync, vfs.Rename} {
 		for _, torn := range []bool{false, true} {
 			for _, err := range []error{syscall.ENOSPC, syscall.EIO} {
 				dir := t.TempDir()
-				bad := &disk.Faulty{FS: disk.OS{}}
+				bad := &vfs.Faulty{FS: vfs.OS{}}
 				f := Open(dir, "a", 0)
 				f.Disk = bad
 				if err := f.Write("x", []int{1}); err != nil {
@@ -103,7 +103,7 @@
 					t.Errorf("%s, torn %v: %v", op, torn, got)
 				}
 				var v []int
-				if err := f.Read("x", 0, &v); err != nil || len(v) != 1 && !(op == disk.Rename && torn) {
+				if err := f.Read("x", 0, &v); err != nil || len(v) != 1 && !(op == vfs.Rename && torn) {
 					t.Errorf("%s, torn %v: %v, %v", op, torn, v, err)
 				}
 				bad.Fail(op, 0, nil, false)
--- a/internal/standalone/usageexport/export_test.go
+++ b/internal/standalone/usageexport/export_test.go
@@ -15,7 +15,7 @@
 	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/dataplane/usage"
-	"mulleinrouter/internal/emulator/standin"
+	"mulleinrouter/internal/emulator/fakes"
 	"mulleinrouter/internal/standalone/usageexport"
 	"mulleinrouter/internal/standalone/usagesegment"
 )
@@ -27,8 +27,8 @@
 	return l, b
 }
 
-func billing(t *testing.T) *standin.Billing {
-	b := &standin.Billing{}
+func billing(t *testing.T) *fakes.Billing {
+	b := &fakes.Billing{}
 	if err := b.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 	}
 }
 
-func exporter(t *testing.T, dir string, b *standin.Billing) *usageexport.Exporter {
+func exporter(t *testing.T, dir string, b *fakes.Billing) *usageexport.Exporter {
 	t.Helper()
 	log, _ := logger()
 	e := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Keep: time.Hour, Log: log}
@@ -82,7 +82,7 @@
 // The exporter is killed at every place, with every answer of the endpoint before and after: the bill is the same.
 func TestKilledAnywhereBilledOnce(t *testing.T) {
 	points := []string{"while storing the batch", "before sending", "after sending", "before storing the acknowledgement", "while storing the acknowledgement"}
-	faults := map[string]standin.BillingFault{"fine": standin.Fine, "fails": standin.Fails, "loses": standin.Loses, "babble": standin.Babble, "slow": standin.Slow}
+	faults := map[string]fakes.BillingFault{"fine": fakes.Fine, "fails": fakes.Fails, "loses": fakes.Loses, "babble": fakes.Babble, "slow": fakes.Slow}
 	for _, point := range points {
 		for name, fault := range faults {
 			t.Run(point+", "+name, func(t *testing.T) {
@@ -128,7 +128,7 @@
 	record(t, dir, 10)
 	e := exporter(t, dir, b)
 	defer e.Close()
-	b.Next(standin.Hangs)
+	b.Next(fakes.Hangs)
 	ctx, cancel := context.WithCancel(context.Background())
 	e.SetPoint(func(at string) error {
 		if at == "before sending" {
@@ -156,7 +156,7 @@
 	record(t, dir, 10)
 	e := exporter(t, dir, b)
 	defer e.Close()
-	b.Next(standin.Loses)
+	b.Next(fakes.Loses)
 	e.Step(context.Background())
 	// Billing has the batch. Its copy here changes, as by a disk that loses a sync.
 	other := exporterOf(t, b, dir)
@@ -166,7 +166,7 @@
 }
 
 // exporterOf has a folder under the same name, with other records.
-func exporterOf(t *testing.T, b *standin.Billing, dir string) *usageexport.Exporter {
+func exporterOf(t *testing.T, b *fakes.Billing, dir string) *usageexport.Exporter {
 	t.Helper()
 	source, err := usagesegment.Source(dir)
 	if err != nil {
@@ -260,7 +260,7 @@
 	dir, b := t.TempDir(), billing(t)
 	record(t, dir, 10)
 	log, lines := logger()
-	b.Next(standin.Fails, standin.Fails)
+	b.Next(fakes.Fails, fakes.Fails)
 	e := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Keep: time.Hour, Log: log}
 	ctx, cancel := context.WithCancel(context.Background())
 	e.Client = &http.Client{Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
--- a/internal/standalone/disk/disk.go
+++ b/internal/standalone/vfs/disk.go
@@ -1,6 +1,6 @@
-// Package disk is the seam below the stores that replace whole files: a few operations, the machine's own (OS), and the same
+// Package vfs is the seam below the stores that replace whole files: a few operations, the machine's own (OS), and the same
 // failing on demand (Faulty), so that a test has any write, sync or rename go wrong, torn or whole.
-package disk
+package vfs
 
 import (
 	"errors"
