--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -102,16 +102,16 @@
 
 // Plan is what a customer has bought. Its quotas hold over all gateways together.
 type Plan struct {
-	Name         string
-	Rate         float64 // quota, in units a second; 0: none
-	Burst        float64 // units that may be used at once
-	Open         int     // quota on attempts out at once; 0: none
-	Price        float64 // multiplies the worth
-	ExcessWorth  float64 // share of its worth that a request sent on beyond the quota earns
-	BeyondCosts  float64 // share of its worth that such a request costs
-	CeilingRate  float64 // hard ceiling, in units a second; 0: none
-	CeilingDepth float64
-	CeilingSlack float64
+	Name         string  `json:"Name"`
+	Rate         float64 `json:"Rate"`        // quota, in units a second; 0: none
+	Burst        float64 `json:"Burst"`       // units that may be used at once
+	Open         int     `json:"Open"`        // quota on attempts out at once; 0: none
+	Price        float64 `json:"Price"`       // multiplies the worth
+	ExcessWorth  float64 `json:"ExcessWorth"` // share of its worth that a request sent on beyond the quota earns
+	BeyondCosts  float64 `json:"BeyondCosts"` // share of its worth that such a request costs
+	CeilingRate  float64 `json:"CeilingRate"` // hard ceiling, in units a second; 0: none
+	CeilingDepth float64 `json:"CeilingDepth"`
+	CeilingSlack float64 `json:"CeilingSlack"`
 }
 
 // Event is something the gateway learns.
@@ -140,9 +140,9 @@
 // Terms are what a customer has bought, as they hold now. As an event they change those of a customer that the
 // gateway knows; others are told with their requests. What a change carries over is said at replan.
 type Terms struct {
-	Customer string
-	Plan     Plan
-	Tag      string // one word for these figures at all gateways: totals are kept apart by it
+	Customer string `json:"Customer"`
+	Plan     Plan   `json:"Plan"`
+	Tag      string `json:"Tag"` // one word for these figures at all gateways: totals are kept apart by it
 }
 
 // Request is a client's request; the gateway owes it exactly one answer.
--- a/internal/decision/state.go
+++ b/internal/decision/state.go
@@ -38,34 +38,43 @@
 
 // Knowledge is what a gateway has learned, as of a time on the clock that its processes share.
 type Knowledge struct {
-	At        Seconds
-	Usual     Seconds // time of an answer, over the fleet
-	Rate      float64 // sends a second
-	Chance    float64 // of a call to the counter
-	Customers []CustomerKnowledge
-	Backends  []BackendKnowledge
+	At        Seconds             `json:"At"`
+	Usual     Seconds             `json:"Usual"`  // time of an answer, over the fleet
+	Rate      float64             `json:"Rate"`   // sends a second
+	Chance    float64             `json:"Chance"` // of a call to the counter
+	Customers []CustomerKnowledge `json:"Customers"`
+	Backends  []BackendKnowledge  `json:"Backends"`
 }
 
 // CustomerKnowledge is what is known of one customer's quota.
 type CustomerKnowledge struct {
-	Terms             Terms
-	Doors             int
-	Slice             float64 // units a second
-	Level, Ceiling    float64 // units
-	Filled, CeilFill  Seconds // when these were reckoned
-	Rate, Total, Told float64 // asked here, and the last totals: asked at all gateways, by how many
-	TotalAt, ValidFor Seconds
-	Ratio, Part       float64 // of a thin customer
+	Terms    Terms   `json:"Terms"`
+	Doors    int     `json:"Doors"`
+	Slice    float64 `json:"Slice"`    // units a second
+	Level    float64 `json:"Level"`    // units
+	Ceiling  float64 `json:"Ceiling"`  // units
+	Filled   Seconds `json:"Filled"`   // when these were reckoned
+	CeilFill Seconds `json:"CeilFill"` // when these were reckoned
+	Rate     float64 `json:"Rate"`     // asked here, and the last totals: asked at all gateways, by how many
+	Total    float64 `json:"Total"`    // asked here, and the last totals: asked at all gateways, by how many
+	Told     float64 `json:"Told"`     // asked here, and the last totals: asked at all gateways, by how many
+	TotalAt  Seconds `json:"TotalAt"`
+	ValidFor Seconds `json:"ValidFor"`
+	Ratio    float64 `json:"Ratio"` // of a thin customer
+	Part     float64 `json:"Part"`  // of a thin customer
 }
 
 // BackendKnowledge is what is known of one backend.
 type BackendKnowledge struct {
-	ID                 string
-	Limit, Errors      float64
-	Time, Usual        Seconds // of an answer: its own, and that of its kind
-	Bad                int     // failures in a row
-	Good               bool
-	DownTill, FullTill Seconds
+	ID       string  `json:"ID"`
+	Limit    float64 `json:"Limit"`
+	Errors   float64 `json:"Errors"`
+	Time     Seconds `json:"Time"`  // of an answer: its own, and that of its kind
+	Usual    Seconds `json:"Usual"` // of an answer: its own, and that of its kind
+	Bad      int     `json:"Bad"`   // failures in a row
+	Good     bool    `json:"Good"`
+	DownTill Seconds `json:"DownTill"`
+	FullTill Seconds `json:"FullTill"`
 }
 
 // Share halves what the local stores hold, and returns the other half with all that has been learned. What a store is below nothing, for requests turned out
