--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -193,7 +193,7 @@
 			}
 			f.update()
 		},
-		OnLink: func(up bool, err error) {
+		OnConnection: func(up bool, err error) {
 			if up {
 				logger.Log("msg", "source answers")
 				f.retryOthers(s)
@@ -364,7 +364,7 @@
 			continue // the settings changed just now
 		}
 		answer, err := seeds[at].client.Call(counterTimeout, &transport.Frame{CounterAdd: add})
-		if err == nil && answer.CounterTotal != nil && (answer.CounterTotal.OK || answer.CounterTotal.Holders > 0) {
+		if err == nil && answer.CounterTotal != nil && (answer.CounterTotal.OK || answer.CounterTotal.Reporters > 0) {
 			return answer.CounterTotal // its keeper, be it one that is not sure yet of all holders
 		}
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -80,7 +80,7 @@
 				if f.CounterAdd.Name == "nobody's" {
 					return &transport.Frame{CounterTotal: &transport.CounterTotal{}}
 				}
-				return &transport.Frame{CounterTotal: &transport.CounterTotal{OK: f.CounterAdd.Name != "unsure", Sum: f.CounterAdd.Amount, Holders: 1}}
+				return &transport.Frame{CounterTotal: &transport.CounterTotal{OK: f.CounterAdd.Name != "unsure", Sum: f.CounterAdd.Amount, Reporters: 1}}
 			})
 		}
 	}()
@@ -141,7 +141,7 @@
 			name := fmt.Sprint("tenant-", i)
 			a, err := proxy.Call(time.Second, &transport.Frame{CounterAdd: &transport.CounterAdd{Name: name, Amount: float64(i)}})
 			is.NoErr(err)
-			is.Equal(*a.CounterTotal, transport.CounterTotal{OK: true, Sum: float64(i), Holders: 1})
+			is.Equal(*a.CounterTotal, transport.CounterTotal{OK: true, Sum: float64(i), Reporters: 1})
 			is.True(slices.Contains(c.nodes[quota.Owner(name, living)].adds, name))
 		}
 		a, err := proxy.Call(time.Second, &transport.Frame{CounterAdd: &transport.CounterAdd{Name: "nobody's"}})
@@ -151,7 +151,7 @@
 		// A keeper that took an add and is not sure of the others yet is its keeper: the next one is not asked.
 		a, err = proxy.Call(time.Second, &transport.Frame{CounterAdd: &transport.CounterAdd{Name: "unsure"}})
 		is.NoErr(err)
-		is.Equal(*a.CounterTotal, transport.CounterTotal{Holders: 1})
+		is.Equal(*a.CounterTotal, transport.CounterTotal{Reporters: 1})
 		is.True(slices.Contains(one.adds, "unsure") != slices.Contains(two.adds, "unsure"))
 
 		// One goes: what is here stays enough, but it is no quorum any more, and its counters go to the other.
--- a/internal/cluster/configuration/fields.go
+++ b/internal/cluster/configuration/fields.go
@@ -29,16 +29,16 @@
 	Deadline float64 // seconds that a request may be held at most
 	Target   float64 // seconds within which an answer earns its full worth; Deadline where none is given
 	Priority int     // 0 is the highest
-	MaxTries int     // servers that one try of a client may be sent to; at least 1
+	MaxAttempts int     // servers that one try of a client may be sent to; at least 1
 	Public   bool    // no key is needed
 	Service  string  // its service, where Split is empty
-	Split    []Share // its services; goes before Service
+	Split    []WeightedService // its services; goes before Service
 	Version  uint64
 	Epoch    uint64
 }
 
-// Share is a service with its part of a route.
-type Share struct {
+// WeightedService is a service with its part of a route.
+type WeightedService struct {
 	Service string
 	Weight  float64 // of the sum of all weights
 }
@@ -103,7 +103,7 @@
 	}
 	host := r.text("authority", math.MaxInt)
 	route := Route{Name: i.Key.Name, Host: HostOf(host), Prefix: r.text("pathPrefix", MaxPrefixBytes), Deadline: r.seconds("deadlineMs"),
-		Target: r.seconds("targetMs"), Priority: r.whole("priority", math.MinInt32), MaxTries: max(r.whole("maxTries", math.MinInt32), 1),
+		Target: r.seconds("targetMs"), Priority: r.whole("priority", math.MinInt32), MaxAttempts: max(r.whole("maxTries", math.MinInt32), 1),
 		Public: r.flag("public"), Service: r.text("backend", MaxNameBytes), Version: i.Version, Epoch: i.Epoch}
 	if route.Target == 0 {
 		route.Target = route.Deadline
@@ -125,7 +125,7 @@
 	var sum float64
 	for n, v := range shares {
 		s := r.within("weighted", n, v)
-		share := Share{Service: s.text("backend", MaxNameBytes), Weight: s.amount("share")}
+		share := WeightedService{Service: s.text("backend", MaxNameBytes), Weight: s.amount("share")}
 		s.must(share.Service != "", "backend", "missing")
 		sum += share.Weight
 		route.Split = append(route.Split, share)
--- a/internal/cluster/configuration/snapshot_test.go
+++ b/internal/cluster/configuration/snapshot_test.go
@@ -79,8 +79,8 @@
 
 	table := NewRoutingTable().With(book, changed)
 	route := table.Route("a.EXAMPLE:8388", "/a/b")
-	is.Equal(*route, Route{Name: "r-1", Host: "a.example", Prefix: "/a/", Deadline: 1.0005, Target: 0.4, Priority: 2, MaxTries: 2, Public: true,
-		Split: []Share{{"s1", 90}, {"s2", 0.5}}, Version: 10})
+	is.Equal(*route, Route{Name: "r-1", Host: "a.example", Prefix: "/a/", Deadline: 1.0005, Target: 0.4, Priority: 2, MaxAttempts: 2, Public: true,
+		Split: []WeightedService{{"s1", 90}, {"s2", 0.5}}, Version: 10})
 	is.Equal(*table.Tenant("k2"), Tenant{Name: `t"1`, Keys: []string{"k1", "k2"}, Priority: 1, Rate: 94.5, Burst: 9, Version: 7})
 	is.Equal(*table.Service("s1"), Service{Name: "s1", Health: "/health", MaxConnections: 130, Version: 7})
 	is.Equal(table.ClientLimits(), ClientLimits{HeaderBytes: 16384, BodyBytes: 67108864, HeaderTime: 3, IdleTime: 15})
@@ -322,7 +322,7 @@
 			return 400
 		}
 		seen[r.key()] = true
-		for _, s := range append([]Share{{r.Service, 1}}, r.Split...) {
+		for _, s := range append([]WeightedService{{r.Service, 1}}, r.Split...) {
 			if i, ok := next[Key{Services, s.Service}]; s.Service != "" && (!ok || i.Deleted) {
 				return 400
 			}
--- a/internal/cluster/consensus/electorate.go
+++ b/internal/cluster/consensus/electorate.go
@@ -19,8 +19,8 @@
 	Voters []Voter `cbor:"2,keyasint,omitempty"` // never changed in place
 }
 
-// First is the electorate of the first start.
-func First(at []string) Electorate {
+// InitialElectorate is the electorate of the first start.
+func InitialElectorate(at []string) Electorate {
 	var e Electorate
 	for _, a := range at {
 		e.Voters = append(e.Voters, Voter{At: a})
--- a/internal/cluster/consensus/walk_test.go
+++ b/internal/cluster/consensus/walk_test.go
@@ -120,7 +120,7 @@
 	for i := range w.names {
 		n := &node{}
 		if i < len(w.first) && (i > 0 || seed%8 != 3) { // one may have fallen before it had written to its disk
-			n.kept.Electorate = First(w.first)
+			n.kept.Electorate = InitialElectorate(w.first)
 		}
 		w.nodes = append(w.nodes, n)
 	}
@@ -150,7 +150,7 @@
 	}
 	n.queue, n.calls, n.reading = nil, nil, false
 	if n.blank() && w.fault == "votes-blank" && i < len(w.first) {
-		n.Electorate = First(w.first)
+		n.Electorate = InitialElectorate(w.first)
 	}
 	if n.blank() && n.Disk == 0 {
 		n.Disk = uint64(w.lives)
@@ -230,7 +230,7 @@
 // bears tells whether the loss of one more disk is borne: no electorate that stands, or may yet, has lost another. A voter that is back with
 // another disk is whole once it is listed with that, in the newest electorate that a disk has.
 func (w *world) bears(i int) bool {
-	newest, all := First(w.first), [][]Voter(nil)
+	newest, all := InitialElectorate(w.first), [][]Voter(nil)
 	add := func(p *Proposal) {
 		if p != nil && p.Voters != nil {
 			all = append(all, p.Voters)
--- a/internal/cluster/quota/counter.go
+++ b/internal/cluster/quota/counter.go
@@ -34,7 +34,7 @@
 
 // add keeps a report, and corrects the sum that is at hand by the difference.
 func (c *counter) add(now float64, r *Report) {
-	h := c.holders[r.Holder]
+	h := c.holders[r.Reporter]
 	if h == nil {
 		if len(c.holders) >= MaxHolders {
 			c.evict()
@@ -43,7 +43,7 @@
 		if r.PerRequest {
 			h.serials = &serials{}
 		}
-		c.holders[r.Holder] = h
+		c.holders[r.Reporter] = h
 	} else if now < c.till {
 		if amount, counts, _ := h.counts(now, c.cycle); counts {
 			c.sum -= amount
--- a/internal/cluster/quota/keeper.go
+++ b/internal/cluster/quota/keeper.go
@@ -46,8 +46,8 @@
 	return x
 }
 
-// Keeper keeps the counters of one control node. Time never goes back. Callers keep it to one goroutine at a time.
-type Keeper struct {
+// CounterTable keeps the counters of one control node. Time never goes back. Callers keep it to one goroutine at a time.
+type CounterTable struct {
 	views  []view // the one in force last; those before that the fence still asks for
 	names  map[string]*counter
 	newest *counter // by last use
@@ -62,11 +62,11 @@
 }
 
 // New makes a keeper that answers for nothing yet.
-func New() *Keeper { return &Keeper{names: map[string]*counter{}} }
+func New() *CounterTable { return &CounterTable{names: map[string]*counter{}} }
 
 // SetMembers says who shares the names from now on: the control nodes that live, of which this is one, and whether they are more than
 // half of the core. It may be called as often as one likes; only a difference counts.
-func (k *Keeper) SetMembers(now float64, living []string, me string, quorum bool) {
+func (k *CounterTable) SetMembers(now float64, living []string, me string, quorum bool) {
 	v := view{from: now, me: me}
 	if quorum && slices.Contains(living, me) {
 		v.living = slices.Clone(living)
@@ -87,14 +87,14 @@
 }
 
 // trim leaves out views that ended before the fence.
-func (k *Keeper) trim(now float64) {
+func (k *CounterTable) trim(now float64) {
 	for len(k.views) > 1 && k.views[1].from <= now-HandoverFence {
 		k.views = slices.Delete(k.views, 0, 1)
 	}
 }
 
 // owns tells whether a name is mine now, and whether it has been for as long as the fence.
-func (k *Keeper) owns(now float64, name string) (mine, sure bool) {
+func (k *CounterTable) owns(now float64, name string) (mine, sure bool) {
 	k.trim(now)
 	sure = len(k.views) > 0 && k.views[0].from <= now-HandoverFence
 	for _, v := range k.views {
@@ -112,7 +112,7 @@
 // holder rise, and far fewer than 64*serialWords of them are under way at once (a holder that begins anew takes another name, or
 // begins above). A name is kept for Retention after its last use, LateReportRetention at least. Cycles must not be longer than
 // HandoverFence, or a new keeper would answer before all holders have reported to it.
-func (k *Keeper) Add(now float64, r *Report) Total {
+func (k *CounterTable) Add(now float64, r *Report) Total {
 	k.expire(now)
 	mine, sure := k.owns(now, r.Name)
 	if !mine || !r.valid() {
@@ -139,22 +139,22 @@
 	case !sure && r.ReadOnly:
 		return Total{}
 	case !sure:
-		return Total{Holders: 1}
+		return Total{Reporters: 1}
 	}
 	sum, holders := c.total(now, r.Cycle)
-	return Total{OK: true, Sum: sum, Holders: holders}
+	return Total{OK: true, Sum: sum, Reporters: holders}
 }
 
 // valid tells whether a report from another process can be one at all.
 func (r *Report) valid() bool {
-	if len(r.Name) > maxNameLength || len(r.Holder) > maxNameLength || r.Holder == "" && !r.ReadOnly {
+	if len(r.Name) > maxNameLength || len(r.Reporter) > maxNameLength || r.Reporter == "" && !r.ReadOnly {
 		return false
 	}
 	return !math.IsNaN(r.Amount) && !math.IsInf(r.Amount, 0) && r.Amount >= 0
 }
 
 // newCounter makes a counter, in the place of the one that was used longest ago where there are too many.
-func (k *Keeper) newCounter(name string) *counter {
+func (k *CounterTable) newCounter(name string) *counter {
 	if len(k.names) >= MaxNames {
 		k.drop(k.oldest)
 	}
@@ -164,7 +164,7 @@
 }
 
 // expire forgets names that nobody has used for long; a few at a time.
-func (k *Keeper) expire(now float64) {
+func (k *CounterTable) expire(now float64) {
 	for range 4 {
 		c := k.oldest
 		if c == nil || now < c.used+c.keep {
@@ -174,12 +174,12 @@
 	}
 }
 
-func (k *Keeper) drop(c *counter) {
+func (k *CounterTable) drop(c *counter) {
 	k.unlink(c)
 	delete(k.names, c.name)
 }
 
-func (k *Keeper) link(c *counter) {
+func (k *CounterTable) link(c *counter) {
 	c.older, c.newer = k.newest, nil
 	if k.newest != nil {
 		k.newest.newer = c
@@ -189,7 +189,7 @@
 	k.newest = c
 }
 
-func (k *Keeper) unlink(c *counter) {
+func (k *CounterTable) unlink(c *counter) {
 	if c.older != nil {
 		c.older.newer = c.newer
 	} else {
@@ -204,4 +204,4 @@
 }
 
 // Len counts the names that are kept.
-func (k *Keeper) Len() int { return len(k.names) }
+func (k *CounterTable) Len() int { return len(k.names) }
--- a/internal/cluster/quota/keeper_test.go
+++ b/internal/cluster/quota/keeper_test.go
@@ -83,13 +83,13 @@
 				if !read {
 					all[name] = append(all[name], x)
 				}
-				got := k.Add(now, &Report{Name: name, Cycle: x.cycle, Holder: x.holder, Amount: x.amount, ReadOnly: read, PerRequest: one, Serial: x.serial, Retention: 100})
+				got := k.Add(now, &Report{Name: name, Cycle: x.cycle, Reporter: x.holder, Amount: x.amount, ReadOnly: read, PerRequest: one, Serial: x.serial, Retention: 100})
 				is.True(got.OK)
 				wantSum, wantHolders := plain(all[name], now, x.cycle, one)
 				if got.Sum != wantSum {
 					t.Fatal(seed, one, now, x, read, got.Sum, wantSum, all[name])
 				}
-				is.Equal(got.Holders, wantHolders)
+				is.Equal(got.Reporters, wantHolders)
 			}
 		}
 	}
@@ -102,7 +102,7 @@
 	for seed := range uint64(60) {
 		is := is.New(t)
 		odds := rand.New(rand.NewPCG(seed, 3))
-		keepers := map[string]*Keeper{}
+		keepers := map[string]*CounterTable{}
 		for _, n := range names {
 			keepers[n] = New()
 		}
@@ -132,7 +132,7 @@
 			for i := range 4 {
 				answers := 0
 				for _, k := range keepers {
-					if k.Add(now, &Report{Name: fmt.Sprint("tenant-", i), Cycle: int64(now), Holder: "h", Amount: 1, Retention: 10}).OK {
+					if k.Add(now, &Report{Name: fmt.Sprint("tenant-", i), Cycle: int64(now), Reporter: "h", Amount: 1, Retention: 10}).OK {
 						answers++
 					}
 				}
@@ -153,8 +153,8 @@
 	k := New()
 	k.SetMembers(0, both, "b", true)
 	add := func(now float64, holder string, amount float64) (float64, int, bool) {
-		got := k.Add(now, &Report{Name: name, Cycle: int64(now), Holder: holder, Amount: amount, Retention: 10})
-		return got.Sum, got.Holders, got.OK
+		got := k.Add(now, &Report{Name: name, Cycle: int64(now), Reporter: holder, Amount: amount, Retention: 10})
+		return got.Sum, got.Reporters, got.OK
 	}
 	_, _, ok := add(5, "x", 7)
 	is.True(!ok) // a keeps it
@@ -173,6 +173,6 @@
 	is.True(!ok)
 	_, _, ok = add(12, "x", 7)
 	is.True(ok)
-	k.Add(100, &Report{Name: "another", Cycle: 100, Holder: "x", Amount: 1})
+	k.Add(100, &Report{Name: "another", Cycle: 100, Reporter: "x", Amount: 1})
 	is.Equal(k.Len(), 1) // forgotten
 }
--- a/internal/cluster/registry/registry.go
+++ b/internal/cluster/registry/registry.go
@@ -10,8 +10,8 @@
 
 // Times and bounds of a Registry. Those in heartbeats are spans between two calls of one server.
 const (
-	SilenceBeats                    = 3.5     // heartbeats without a call until an instance is judged silent
-	MassSilenceRecheckBeats         = 2.0     // heartbeats for which a mass silence is looked at, once calls come again
+	SilenceHeartbeats                    = 3.5     // heartbeats without a call until an instance is judged silent
+	MassSilenceRecheckHeartbeats         = 2.0     // heartbeats for which a mass silence is looked at, once calls come again
 	MassSilenceMinimum              = 4       // so many silent at once may be a mass silence
 	TombstoneRetention      Seconds = 120     // a gone line is kept so long: a late call must not raise it
 	SilentRetention         Seconds = 600     // a silent instance is kept so long: it may only be cut off
@@ -216,7 +216,7 @@
 		r.quorumSince = max(r.quorumSince, now)
 	}
 	r.lastCheck, r.checked = now, true
-	patience := SilenceBeats * r.beat
+	patience := SilenceHeartbeats * r.beat
 	if !r.hasQuorum || now-r.quorumSince < patience {
 		r.massSilence = false
 		return nil
@@ -231,7 +231,7 @@
 		r.massSilence, r.callsResumed = true, false
 	}
 	if r.massSilence {
-		if !r.callsResumed || now-r.callsResumedAt < MassSilenceRecheckBeats*r.beat {
+		if !r.callsResumed || now-r.callsResumedAt < MassSilenceRecheckHeartbeats*r.beat {
 			return nil
 		}
 		r.massSilence = false
--- a/internal/cluster/registry/registry_test.go
+++ b/internal/cluster/registry/registry_test.go
@@ -51,7 +51,7 @@
 		p.since = max(p.since, now)
 	}
 	p.looked, p.checked = now, true
-	if !p.hasQuorum || now-p.since < SilenceBeats*p.beat {
+	if !p.hasQuorum || now-p.since < SilenceHeartbeats*p.beat {
 		p.mass = false
 		return nil
 	}
@@ -59,7 +59,7 @@
 	for id, l := range p.lines {
 		if l.Phase == Serving {
 			serving++
-			if now-p.at[id] >= SilenceBeats*p.beat {
+			if now-p.at[id] >= SilenceHeartbeats*p.beat {
 				due = append(due, id)
 			}
 		}
@@ -68,7 +68,7 @@
 		p.mass, p.calls = true, false
 	}
 	if p.mass {
-		if !p.calls || now-p.callsResumedAt < MassSilenceRecheckBeats*p.beat {
+		if !p.calls || now-p.callsResumedAt < MassSilenceRecheckHeartbeats*p.beat {
 			return nil
 		}
 		p.mass = false
@@ -79,7 +79,7 @@
 		p.set(now, l)
 	}
 	for id, l := range p.lines {
-		if l.Phase == Draining && now-p.at[id] >= SilenceBeats*p.beat+DrainRetention {
+		if l.Phase == Draining && now-p.at[id] >= SilenceHeartbeats*p.beat+DrainRetention {
 			l.Phase = Gone
 			p.set(now, l)
 			due = append(due, id)
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -26,7 +26,7 @@
 	Seeds                             []string
 	Zones                             map[string]string // region of each zone
 
-	BeatInterval float64         // between two calls of a server
+	HeartbeatInterval float64         // between two calls of a server
 	Clauses      map[string]bool // parts of the rules that are in force
 	Tolerance    Tolerance
 	Bounds       Bounds
@@ -89,7 +89,7 @@
 		},
 		FrontAddr: r.address("network.bind.frontAddr"), ReadyAddr: r.address("network.bind.readyAddr"), ControlAddr: r.address("network.bind.controlAddr"),
 		Seeds: r.list("network.seedNodes"), Zones: r.table("network.zones"),
-		BeatInterval: r.millis("platform.beatMs", 1.5), Clauses: map[string]bool{},
+		HeartbeatInterval: r.millis("platform.beatMs", 1.5), Clauses: map[string]bool{},
 		Tolerance: Tolerance{Machines: r.integer("terms.tolerance.machineLosses", 0), Zones: r.integer("terms.tolerance.zones", 0),
 			Regions: r.integer("terms.tolerance.regionLosses", 0)},
 		Bounds: Bounds{
--- a/internal/cluster/settings/settings_test.go
+++ b/internal/cluster/settings/settings_test.go
@@ -49,7 +49,7 @@
 	is.Equal(p.Tolerance, Tolerance{Machines: 2})
 	is.Equal(p.Limits, Limits{CPUFraction: 0.25, Cores: 1, MaxFDs: 900})
 	is.Equal([]bool{p.LossCounted, p.Bootstrap, p.Bounds.RevokeGlobal}, []bool{true, false, true})
-	is.Equal([]float64{p.BeatInterval, p.Bounds.Drain, p.Bounds.Grace, p.Bounds.Contact, p.Bounds.RetryRatio}, []float64{1.25, 2.75, 7.5, 3, 0.2})
+	is.Equal([]float64{p.HeartbeatInterval, p.Bounds.Drain, p.Bounds.Grace, p.Bounds.Contact, p.Bounds.RetryRatio}, []float64{1.25, 2.75, 7.5, 3, 0.2})
 	is.Equal([]string{p.InternalAddr(), p.AgentAddr(), p.InternalAddrOf("10.9.0.1:9000"), p.InternalAddrOf("a.example:9000")},
 		[]string{"10.9.0.7:7000", "127.0.0.1:7000", "10.9.0.1:7000", ""})
 	several := *p
--- a/internal/control/contact_test.go
+++ b/internal/control/contact_test.go
@@ -138,7 +138,7 @@
 		kept := []string{}
 		for n, a := range g.seeds {
 			x := g.agents[0][n]
-			r, err := x.Call(time.Second, &transport.Frame{CounterAdd: &transport.CounterAdd{Name: name, Cycle: 1, Holder: "edge-0", Amount: 2, Retention: 60}})
+			r, err := x.Call(time.Second, &transport.Frame{CounterAdd: &transport.CounterAdd{Name: name, Cycle: 1, Reporter: "edge-0", Amount: 2, Retention: 60}})
 			if err == nil && r.CounterTotal != nil && r.CounterTotal.OK {
 				kept = append(kept, a)
 			}
@@ -423,7 +423,7 @@
 		g.fail("it woke and counts as before")
 	}
 	n.keeper.Unlock()
-	if r := n.handleCounter(&transport.Frame{CounterAdd: &transport.CounterAdd{Name: "t0", Cycle: 1, Holder: "edge-0", Amount: 2, Retention: 60}}); r.CounterTotal.OK {
+	if r := n.handleCounter(&transport.Frame{CounterAdd: &transport.CounterAdd{Name: "t0", Cycle: 1, Reporter: "edge-0", Amount: 2, Retention: 60}}); r.CounterTotal.OK {
 		g.fail("it woke and keeps a counter")
 	}
 	g.lapse()
@@ -432,7 +432,7 @@
 	// In contact again, its names may have been kept by another: they wait for the fence.
 	for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); pass(20 * time.Millisecond) {
 		for _, name := range []string{"t0", "t1", "t2", "t3"} {
-			if r := n.handleCounter(&transport.Frame{CounterAdd: &transport.CounterAdd{Name: name, Cycle: 1, Holder: "edge-0", Amount: 2, Retention: 60}}); r.CounterTotal.OK {
+			if r := n.handleCounter(&transport.Frame{CounterAdd: &transport.CounterAdd{Name: name, Cycle: 1, Reporter: "edge-0", Amount: 2, Retention: 60}}); r.CounterTotal.OK {
 				g.fail("%v after it woke it keeps %s", time.Until(end), name)
 			}
 		}
--- a/internal/control/electorate.go
+++ b/internal/control/electorate.go
@@ -60,7 +60,7 @@
 // electorateOf is the one that a node tells of; it stands in the snapshot of Epoch.
 func electorateOf(i *transport.CatchUpChunk) consensus.Electorate {
 	if !i.Electorate.Known() {
-		return consensus.First(i.Voters)
+		return consensus.InitialElectorate(i.Voters)
 	}
 	return i.Electorate
 }
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -77,7 +77,7 @@
 	}
 	keeper struct {
 		sync.Mutex
-		*quota.Keeper
+		*quota.CounterTable
 		term uint64 // the span of contact in which it was last told its duty
 	}
 
@@ -117,8 +117,8 @@
 	n.replica = &replica{self: n.self, store: n.store, isOwnBallot: func(b consensus.Ballot) bool { return strings.HasPrefix(b.Node, n.name+"/") },
 		drawDiskID: func() uint64 { return n.incarnation }, electorateChanged: n.notifyWatch}
 	n.proposals = newProposalQueue(n)
-	n.instances = newInstanceRegistry(n.store, s.BeatInterval, n.uptime)
-	n.keeper.Keeper = quota.New()
+	n.instances = newInstanceRegistry(n.store, s.HeartbeatInterval, n.uptime)
+	n.keeper.CounterTable = quota.New()
 	n.gate.connectionSlots = newConnectionSlots(s.Limits.MaxFDs)
 	n.contact = newContact(n.self, func() time.Duration { return time.Since(n.started) }, n.replica.votersForContact)
 	told := func() []string {
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -138,7 +138,7 @@
 	var err error
 	host, _, _ := net.SplitHostPort(addr)
 	m.Node, err = New(Config{
-		Settings: &settings.Settings{Node: "core-" + host, Host: host, ControlAddr: addr, DataPath: "d", InnerFirst: 75, Seeds: c.seeds, BeatInterval: 1.5, Bootstrap: bootstrap,
+		Settings: &settings.Settings{Node: "core-" + host, Host: host, ControlAddr: addr, DataPath: "d", InnerFirst: 75, Seeds: c.seeds, HeartbeatInterval: 1.5, Bootstrap: bootstrap,
 			Zone: "z" + host, Tolerance: settings.Tolerance{Machines: 1}, Bounds: settings.Bounds{Contact: 5}},
 		Log: log.NewNopLogger(), FS: m.hang, Incarnation: c.lives, Control: m.control, Internal: m.inner,
 		Dial: func(_ context.Context, inner string) (net.Conn, error) { return c.dial(addr, inner) },
@@ -505,8 +505,8 @@
 		// Counters: one node answers for each, and none of those on the small side of a cut.
 		keepers := func() (n int) {
 			for _, x := range clients[:3] {
-				if r, err := x.Call(time.Second, &transport.Frame{CounterAdd: &transport.CounterAdd{Name: "t", Cycle: 1, Holder: "edge-0", Amount: 2, Retention: 10}}); err == nil && r.CounterTotal.OK {
-					c.Equal(*r.CounterTotal, transport.CounterTotal{OK: true, Sum: 2, Holders: 1})
+				if r, err := x.Call(time.Second, &transport.Frame{CounterAdd: &transport.CounterAdd{Name: "t", Cycle: 1, Reporter: "edge-0", Amount: 2, Retention: 10}}); err == nil && r.CounterTotal.OK {
+					c.Equal(*r.CounterTotal, transport.CounterTotal{OK: true, Sum: 2, Reporters: 1})
 					n++
 				}
 			}
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -43,7 +43,7 @@
 				n.warm.Store(true)
 			}
 		}
-		x.client.OnLink = func(up bool, err error) {
+		x.client.OnConnection = func(up bool, err error) {
 			if up {
 				n.log.Log("msg", "control node answers", "at", a)
 				n.notifyWatch()
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -52,7 +52,7 @@
 	switch {
 	case !s.Empty || v.acceptor.Disk != 0:
 	case bootstrap != nil:
-		v.acceptor.Electorate = consensus.First(bootstrap)
+		v.acceptor.Electorate = consensus.InitialElectorate(bootstrap)
 		v.persistAcceptor()
 	default:
 		v.acceptor.Disk = v.drawDiskID()
--- a/internal/control/storage/size_test.go
+++ b/internal/control/storage/size_test.go
@@ -51,7 +51,7 @@
 		is.Equal(len(s.Staged), 0)
 		for k := range changes / restarts {
 			epoch := uint64(life*changes/restarts + k + 1)
-			b := Batch{Acceptor: &consensus.Acceptor{Epoch: epoch, Electorate: consensus.First([]string{"x", "y", "z"})}, NoSync: true, ClearStage: k%50 == 49}
+			b := Batch{Acceptor: &consensus.Acceptor{Epoch: epoch, Electorate: consensus.InitialElectorate([]string{"x", "y", "z"})}, NoSync: true, ClearStage: k%50 == 49}
 			for range each {
 				i := configuration.Item{Key: configuration.Key{Kind: configuration.Tenants, Name: fmt.Sprint("tenant-", rnd.IntN(names))}, Version: epoch, Epoch: epoch}
 				if i.Deleted = rnd.IntN(10) == 0; !i.Deleted {
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -231,7 +231,7 @@
 		case keyVoters[0]:
 			var first []string
 			if err = decoding.Unmarshal(b, &first); err == nil && !s.Acceptor.Electorate.Known() { // the acceptor's key comes before
-				s.Acceptor.Electorate = consensus.First(first)
+				s.Acceptor.Electorate = consensus.InitialElectorate(first)
 			}
 		case keyAcceptor[0]:
 			err = decoding.Unmarshal(b, &s.Acceptor)
--- a/internal/control/storage/store_test.go
+++ b/internal/control/storage/store_test.go
@@ -207,7 +207,7 @@
 	}{promised, 3})
 	set(keyPending, pending)
 	is.NoErr(v.Close())
-	want := consensus.Acceptor{Promised: promised, Epoch: 3, Electorate: consensus.First([]string{"x", "y", "z"}), Pending: &pending}
+	want := consensus.Acceptor{Promised: promised, Epoch: 3, Electorate: consensus.InitialElectorate([]string{"x", "y", "z"}), Pending: &pending}
 	for range 2 { // as it was left, and as this version leaves it
 		v, s, err := Open(fs, "d", log.NewNopLogger())
 		is.NoErr(err)
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -134,5 +134,5 @@
 	if mutated("ready-alone") {
 		ok, term = true, n.confirmed.Load()
 	}
-	return ok && n.confirmed.Load() == term && (!n.behind.Load() || mutated("ready-behind")) && n.store.Snapshot().Len() > 0 && (n.warm.Load() || n.uptime() > 1.2*n.settings.BeatInterval)
+	return ok && n.confirmed.Load() == term && (!n.behind.Load() || mutated("ready-behind")) && n.store.Snapshot().Len() > 0 && (n.warm.Load() || n.uptime() > 1.2*n.settings.HeartbeatInterval)
 }
--- a/internal/dataplane/attempt/desk.go
+++ b/internal/dataplane/attempt/desk.go
@@ -10,12 +10,12 @@
 // Kind is what is to be done with a request.
 type Kind int
 
-// The kinds. Refuse, Fail and Gone are the last word on a request.
+// The kinds. Reject, Fail and NoAnswer are the last word on a request.
 const (
 	Send   Kind = iota // start an attempt, tell Ended what came of it
-	Refuse             // answer that trying again does no harm
+	Reject             // answer that trying again does no harm
 	Fail               // answer that it was not served and may have run
-	Gone               // answer nothing: nobody waits
+	NoAnswer               // answer nothing: nobody waits
 )
 
 var kinds = [...]string{"send", "refuse", "fail", "gone"}
@@ -26,10 +26,10 @@
 type Decision struct {
 	Kind       Kind
 	Backend    string           // of a Send
-	Until      decision.Seconds // when to give a Send up, module time
+	Deadline      decision.Seconds // when to give a Send up, module time
 	RetryAfter decision.Seconds // of a Refuse; 0: no advice
-	Beyond     bool             // of a Send or a Refuse: the request is beyond its quota
-	Patience   decision.Seconds // of a Send: so long after it was written, Desk.Impatient is asked whether to give it up; 0: never
+	OverQuota     bool             // of a Send or a Refuse: the request is beyond its quota
+	SlowAfter   decision.Seconds // of a Send: so long after it was written, Desk.Impatient is asked whether to give it up; 0: never
 }
 
 // Request is one in the module's hands.
@@ -37,7 +37,7 @@
 	Host any // whoever waits for its decisions; the desk does not look at it
 
 	id       uint64
-	life     Life
+	life     Machine
 	deadline decision.Seconds
 	sent     decision.Seconds
 	backend  string
@@ -47,20 +47,20 @@
 // ID names it to the module.
 func (r *Request) ID() uint64 { return r.id }
 
-// Life is where it is in its life, to look at.
-func (r *Request) Life() Life { return r.life }
+// Machine is where it is in its life, to look at.
+func (r *Request) Machine() Machine { return r.life }
 
 // Effect is something to be done, in order.
 type Effect interface{ effect() }
 
-// Tell tells a decision to the request's host.
-type Tell struct {
+// Notify tells a decision to the request's host.
+type Notify struct {
 	Request  *Request
 	Decision Decision
 }
 
-// Stop stops the attempt that is out, unless it has ended meanwhile: it is the one with this number.
-type Stop struct {
+// CancelAttempt stops the attempt that is out, unless it has ended meanwhile: it is the one with this number.
+type CancelAttempt struct {
 	Request *Request
 	Attempt int
 }
@@ -68,23 +68,23 @@
 // Timer asks for the module's timer.
 type Timer struct{ decision.SetTimer }
 
-// Count asks for a call of the counter.
-type Count struct{ decision.Count }
+// CounterCall asks for a call of the counter.
+type CounterCall struct{ decision.CounterCall }
 
-// Illegal tells of a step that a request's life does not have. A safe one was taken in its place.
-type Illegal struct {
+// IllegalStep tells of a step that a request's life does not have. A safe one was taken in its place.
+type IllegalStep struct {
 	Request *Request
 	Err     error
 }
 
-func (Tell) effect()    {}
-func (Stop) effect()    {}
+func (Notify) effect()    {}
+func (CancelAttempt) effect()    {}
 func (Timer) effect()   {}
-func (Count) effect()   {}
-func (Illegal) effect() {}
+func (CounterCall) effect()   {}
+func (IllegalStep) effect() {}
 
-// Desk holds the module and the requests in its hands. It is not safe for use by several goroutines at once.
-type Desk struct {
+// Dispatcher holds the module and the requests in its hands. It is not safe for use by several goroutines at once.
+type Dispatcher struct {
 	gateway *decision.Gateway
 	most    int
 	finish  bool            // attempts that must not run twice go on where the client has left
@@ -95,135 +95,135 @@
 	out     []Effect
 }
 
-// NewDesk returns a desk around a gateway that nobody else uses. The settings are the gateway's.
-func NewDesk(g *decision.Gateway, s *decision.Settings) *Desk {
-	d := &Desk{gateway: g, open: map[uint64]*Request{}, finish: s.FinishUnsafe}
+// NewDispatcher returns a desk around a gateway that nobody else uses. The settings are the gateway's.
+func NewDispatcher(g *decision.Gateway, s *decision.Settings) *Dispatcher {
+	d := &Dispatcher{gateway: g, open: map[uint64]*Request{}, finish: s.FinishNonIdempotent}
 	d.classes(s.Classes, s.MaxAttempts)
 	return d
 }
 
 // classes learns what may run twice, and how often a request may be attempted.
-func (d *Desk) classes(classes []decision.Class, most int) {
+func (d *Dispatcher) classes(classes []decision.Class, most int) {
 	d.most, d.once, d.wrong = max(1, most), map[string]bool{}, map[string]bool{}
 	for _, c := range classes {
-		d.once[c.Name] = c.Effect != decision.Safe
+		d.once[c.Name] = c.Effect != decision.Idempotent
 		d.wrong[c.Name] = wrong(&c)
 	}
 }
 
 // wrong tells whether a client's repeat of a request of this class may run again.
 func wrong(c *decision.Class) bool {
-	return c.Effect == decision.Unsafe || c.Effect == decision.Keyed && c.Scope != decision.ScopeAll
+	return c.Effect == decision.NonIdempotent || c.Effect == decision.IdempotentByKey && c.Scope != decision.ScopeAll
 }
 
-// Retune goes by other classes and another number of attempts for requests that come from now on; those in hand keep
+// Reconfigure goes by other classes and another number of attempts for requests that come from now on; those in hand keep
 // what their life began with. The gateway is told too.
-func (d *Desk) Retune(classes []decision.Class, most int) {
+func (d *Dispatcher) Reconfigure(classes []decision.Class, most int) {
 	d.classes(classes, most)
-	d.gateway.Retune(classes, most)
+	d.gateway.Reconfigure(classes, most)
 }
 
-// Part sets how much of the ingress this process is; junior: the other process reports it to the counter.
-func (d *Desk) Part(part float64, junior bool) { d.gateway.Part(part, junior) }
+// SetShare sets how much of the ingress this process is; junior: the other process reports it to the counter.
+func (d *Dispatcher) SetShare(part float64, junior bool) { d.gateway.SetShare(part, junior) }
 
-// Share hands over half of the stores, and what has been learned.
-func (d *Desk) Share(now decision.Seconds) decision.Knowledge { return d.gateway.Share(now) }
+// HandOver hands over half of the stores, and what has been learned.
+func (d *Dispatcher) HandOver(now decision.Seconds) decision.Knowledge { return d.gateway.HandOver(now) }
 
-// Take takes that up.
-func (d *Desk) Take(now decision.Seconds, k decision.Knowledge) (customers, backends int) {
-	return d.gateway.Take(now, k)
+// Restore takes that up.
+func (d *Dispatcher) Restore(now decision.Seconds, k decision.Knowledge) (customers, backends int) {
+	return d.gateway.Restore(now, k)
 }
 
-// Pool tells how many quote servers are listed, and how many of these the gateway avoids now.
-func (d *Desk) Pool(now decision.Seconds) (listed, avoided int) { return d.gateway.Pool(now) }
+// PoolSize tells how many quote servers are listed, and how many of these the gateway avoids now.
+func (d *Dispatcher) PoolSize(now decision.Seconds) (listed, avoided int) { return d.gateway.PoolSize(now) }
 
-// Figures are what the gateway holds now.
-func (d *Desk) Figures(now decision.Seconds) decision.Figures { return d.gateway.Figures(now) }
+// Stats are what the gateway holds now.
+func (d *Dispatcher) Stats(now decision.Seconds) decision.Stats { return d.gateway.Stats(now) }
 
-// Hold sets what the gateway has of quotas until a time; Warn tells it of servers that others find bad, and Bad which it does itself.
-func (d *Desk) Hold(now decision.Seconds, all []decision.Right, until decision.Seconds) {
-	d.gateway.Hold(now, all, until)
+// SetGrants sets what the gateway has of quotas until a time; Warn tells it of servers that others find bad, and Bad which it does itself.
+func (d *Dispatcher) SetGrants(now decision.Seconds, all []decision.QuotaGrant, until decision.Seconds) {
+	d.gateway.SetGrants(now, all, until)
 }
 
-// Warn tells of servers that others find bad.
-func (d *Desk) Warn(now decision.Seconds, servers []string) { d.gateway.Warn(now, servers) }
+// SetSuspects tells of servers that others find bad.
+func (d *Dispatcher) SetSuspects(now decision.Seconds, servers []string) { d.gateway.SetSuspects(now, servers) }
 
-// Bad names those that this gateway finds bad.
-func (d *Desk) Bad(now decision.Seconds) []string { return d.gateway.Bad(now) }
+// UnhealthyServers names those that this gateway finds bad.
+func (d *Dispatcher) UnhealthyServers(now decision.Seconds) []string { return d.gateway.UnhealthyServers(now) }
 
-// Members tells how many gateways there are, and through how many of them customers may come.
-func (d *Desk) Members(gateways, doors int) {
-	d.gateway.Members(gateways)
-	d.gateway.Doors(doors)
+// SetMembers tells how many gateways there are, and through how many of them customers may come.
+func (d *Dispatcher) SetMembers(gateways, doors int) {
+	d.gateway.SetMembers(gateways)
+	d.gateway.SetCustomerGateways(doors)
 }
 
-// Place tells where this gateway stands among those of its zone.
-func (d *Desk) Place(rank, peers int) { d.gateway.Place(rank, peers) }
+// SetZoneRank tells where this gateway stands among those of its zone.
+func (d *Dispatcher) SetZoneRank(rank, peers int) { d.gateway.SetZoneRank(rank, peers) }
 
-// Open is how many requests are in hand.
-func (d *Desk) Open() int { return len(d.open) }
+// Pending is how many requests are in hand.
+func (d *Dispatcher) Pending() int { return len(d.open) }
 
 // Submit takes a request. Its id is given here.
-func (d *Desk) Submit(now decision.Seconds, r decision.Request, host any) (*Request, []Effect) {
+func (d *Dispatcher) Submit(now decision.Seconds, r decision.Request, host any) (*Request, []Effect) {
 	d.last++
 	r.ID = d.last
-	q := &Request{Host: host, id: d.last, deadline: now + r.Left, long: r.Long, life: Life{Once: d.once[r.Class], Wrong: d.wrong[r.Class], Most: d.most}}
+	q := &Request{Host: host, id: d.last, deadline: now + r.TimeLeft, long: r.Streamed, life: Machine{AtMostOnce: d.once[r.Class], NoClientRetry: d.wrong[r.Class], MaxAttempts: d.most}}
 	if c := r.Kind; c != nil {
-		q.life = Life{Once: c.Effect != decision.Safe, Wrong: wrong(c), Most: cmp.Or(c.Attempts, d.most)}
+		q.life = Machine{AtMostOnce: c.Effect != decision.Idempotent, NoClientRetry: wrong(c), MaxAttempts: cmp.Or(c.MaxAttempts, d.most)}
 	}
 	d.open[q.id] = q
 	return q, d.Handle(now, r)
 }
 
-// Ended tells how the attempt that was decided on last has ended. After Done no decision follows: the answer is the
+// AttemptEnded tells how the attempt that was decided on last has ended. After Done no decision follows: the answer is the
 // client's.
-func (d *Desk) Ended(now decision.Seconds, q *Request, o decision.Outcome) []Effect {
+func (d *Dispatcher) AttemptEnded(now decision.Seconds, q *Request, o decision.Outcome) []Effect {
 	d.out = nil
-	gone := q.life.phase == Deserted
-	over, err := q.life.Ended(o)
+	gone := q.life.phase == Abandoned
+	over, err := q.life.AttemptEnded(o)
 	if err != nil {
-		d.out = append(d.out, Illegal{q, err})
+		d.out = append(d.out, IllegalStep{q, err})
 		return d.out
 	}
 	if over && !mutated("ended-stays") {
 		delete(d.open, q.id)
 	}
-	d.handle(now, decision.AttemptEnded{ID: q.id, Attempt: q.life.attempts - 1, Backend: q.backend, Outcome: o, Took: now - q.sent, Settled: over, Spent: q.life.spent && !mutated("spent-untold")})
+	d.handle(now, decision.AttemptEnded{ID: q.id, Attempt: q.life.attempts - 1, Backend: q.backend, Outcome: o, Duration: now - q.sent, Answered: over, BodyConsumed: q.life.spent && !mutated("spent-untold")})
 	if gone && !mutated("gone-untold") {
-		d.out = append(d.out, Tell{q, Decision{Kind: Gone}})
+		d.out = append(d.out, Notify{q, Decision{Kind: NoAnswer}})
 	}
 	return d.out
 }
 
-// Spend tells that something of a request's body has been taken that cannot be had again.
-func (d *Desk) Spend(q *Request) { q.life.Spend() }
+// ConsumeBody tells that something of a request's body has been taken that cannot be had again.
+func (d *Dispatcher) ConsumeBody(q *Request) { q.life.ConsumeBody() }
 
-// Impatient tells whether the attempt that is out is to be given up, the patience with it having run out. What cannot be sent again is not.
-func (d *Desk) Impatient(now decision.Seconds, q *Request) bool {
-	return q.life.phase == Out && !q.life.Once && !q.life.spent && (d.gateway.Impatient(now, q.id) || mutated("impatient-always"))
+// ShouldAbandon tells whether the attempt that is out is to be given up, the patience with it having run out. What cannot be sent again is not.
+func (d *Dispatcher) ShouldAbandon(now decision.Seconds, q *Request) bool {
+	return q.life.phase == InFlight && !q.life.AtMostOnce && !q.life.spent && (d.gateway.ShouldAbandon(now, q.id) || mutated("impatient-always"))
 }
 
-// Planned tells that something planned is under way, until a time: see decision.Gateway.Planned.
-func (d *Desk) Planned(till decision.Seconds) {
+// ExpectDisruption tells that something planned is under way, until a time: see decision.Gateway.ExpectDisruption.
+func (d *Dispatcher) ExpectDisruption(till decision.Seconds) {
 	if !mutated("planned-untold") {
-		d.gateway.Planned(till)
+		d.gateway.ExpectDisruption(till)
 	}
 }
 
-// Arrived tells that the body of a request has gone out whole: the quote server's time counts from now on.
-func (d *Desk) Arrived(now decision.Seconds, q *Request) {
+// BodyUploaded tells that the body of a request has gone out whole: the quote server's time counts from now on.
+func (d *Dispatcher) BodyUploaded(now decision.Seconds, q *Request) {
 	q.sent = now
-	d.gateway.Arrived(now, q.id)
+	d.gateway.BodyUploaded(now, q.id)
 }
 
-// Leave tells that nobody waits for the answer any more. An attempt that is out is still to be told of.
-func (d *Desk) Leave(now decision.Seconds, q *Request) []Effect {
+// ClientGone tells that nobody waits for the answer any more. An attempt that is out is still to be told of.
+func (d *Dispatcher) ClientGone(now decision.Seconds, q *Request) []Effect {
 	d.out = nil
 	before := q.life.phase
-	if before != Waiting && before != Out {
+	if before != Waiting && before != InFlight {
 		return nil
 	}
-	over := q.life.Leave()
+	over := q.life.ClientGone()
 	if over {
 		delete(d.open, q.id)
 	}
@@ -231,62 +231,62 @@
 		d.handle(now, decision.ClientGone{ID: q.id})
 	}
 	if over {
-		d.out = append(d.out, Tell{q, Decision{Kind: Gone}})
+		d.out = append(d.out, Notify{q, Decision{Kind: NoAnswer}})
 	}
 	return d.out
 }
 
 // Handle gives the module an event.
-func (d *Desk) Handle(now decision.Seconds, e decision.Event) []Effect {
+func (d *Dispatcher) Handle(now decision.Seconds, e decision.Event) []Effect {
 	d.out = nil
 	d.handle(now, e)
 	return d.out
 }
 
-func (d *Desk) handle(now decision.Seconds, e decision.Event) {
+func (d *Dispatcher) handle(now decision.Seconds, e decision.Event) {
 	actions := d.gateway.Handle(now, e)
 	switch e.(type) {
-	case decision.Timer, decision.Counted: // a cycle may have turned: what is held goes before it
-		d.gateway.Held(now)
+	case decision.Timer, decision.CounterReply: // a cycle may have turned: what is held goes before it
+		d.gateway.ReapplyGrants(now)
 	}
 	for _, action := range actions {
 		switch a := action.(type) {
 		case decision.Send:
 			d.send(now, a)
-		case decision.Refuse:
-			if q := d.open[a.ID]; q != nil && q.life.phase != Deserted {
-				d.say(q, q.life.Refuse(), Decision{Kind: Refuse, RetryAfter: a.RetryAfter, Beyond: a.Beyond})
+		case decision.Reject:
+			if q := d.open[a.ID]; q != nil && q.life.phase != Abandoned {
+				d.say(q, q.life.Reject(), Decision{Kind: Reject, RetryAfter: a.RetryAfter, OverQuota: a.OverQuota})
 			}
 		case decision.Fail:
-			if q := d.open[a.ID]; q != nil && q.life.phase != Deserted {
+			if q := d.open[a.ID]; q != nil && q.life.phase != Abandoned {
 				word := Decision{Kind: Fail}
 				if mutated("fail-refuses") {
-					word.Kind = Refuse
+					word.Kind = Reject
 				}
 				d.say(q, q.life.Fail(), word)
 			}
 		case decision.Cancel:
-			if q := d.open[a.ID]; q != nil && q.life.MayHaveRun() && a.Attempt == q.life.attempts-1 && !(d.finish && q.life.Once && q.life.phase == Deserted) {
+			if q := d.open[a.ID]; q != nil && q.life.MayHaveRun() && a.Attempt == q.life.attempts-1 && !(d.finish && q.life.AtMostOnce && q.life.phase == Abandoned) {
 				if !mutated("cancel-lost") {
-					d.out = append(d.out, Stop{q, a.Attempt})
+					d.out = append(d.out, CancelAttempt{q, a.Attempt})
 				}
 			}
 		case decision.SetTimer:
 			d.out = append(d.out, Timer{a})
-		case decision.Count:
-			d.out = append(d.out, Count{a})
+		case decision.CounterCall:
+			d.out = append(d.out, CounterCall{a})
 		}
 	}
 }
 
 // send takes up the decision to make an attempt. One that must not be made is told to the module as never made.
-func (d *Desk) send(now decision.Seconds, a decision.Send) {
+func (d *Dispatcher) send(now decision.Seconds, a decision.Send) {
 	q := d.open[a.ID]
 	if q == nil {
 		return
 	}
 	if err := q.life.Send(); err != nil {
-		d.out = append(d.out, Illegal{q, err})
+		d.out = append(d.out, IllegalStep{q, err})
 		if q.life.phase == Waiting {
 			d.say(q, q.life.Fail(), Decision{Kind: Fail})
 		}
@@ -294,7 +294,7 @@
 	}
 	q.backend, q.sent = a.Backend, now
 	if q.long {
-		d.gateway.Uploading(q.id)
+		d.gateway.BodyUploading(q.id)
 	}
 	until := q.deadline
 	if mutated("no-time-out") {
@@ -303,13 +303,13 @@
 	if a.Timeout > 0 {
 		until = min(until, now+a.Timeout)
 	}
-	d.out = append(d.out, Tell{q, Decision{Kind: Send, Backend: a.Backend, Until: until, Beyond: a.Beyond, Patience: a.Patience}})
+	d.out = append(d.out, Notify{q, Decision{Kind: Send, Backend: a.Backend, Deadline: until, OverQuota: a.OverQuota, SlowAfter: a.SlowAfter}})
 }
 
 // say says the last word on a request. A refusal that would lie becomes a failure.
-func (d *Desk) say(q *Request, err error, word Decision) {
+func (d *Dispatcher) say(q *Request, err error, word Decision) {
 	if err != nil {
-		d.out = append(d.out, Illegal{q, fmt.Errorf("%v: %w", word.Kind, err)})
+		d.out = append(d.out, IllegalStep{q, fmt.Errorf("%v: %w", word.Kind, err)})
 		if q.life.phase != Waiting {
 			return
 		}
@@ -317,5 +317,5 @@
 		word = Decision{Kind: Fail}
 	}
 	delete(d.open, q.id)
-	d.out = append(d.out, Tell{q, word})
+	d.out = append(d.out, Notify{q, word})
 }
--- a/internal/dataplane/attempt/life.go
+++ b/internal/dataplane/attempt/life.go
@@ -19,9 +19,9 @@
 // The phases.
 const (
 	Waiting  Phase = iota // in the module's hands; nothing is out
-	Out                   // an attempt is out, or has been decided on
-	Deserted              // nobody waits for the answer any more, and an attempt is still out
-	Over                  // its last word has been said
+	InFlight                   // an attempt is out, or has been decided on
+	Abandoned              // nobody waits for the answer any more, and an attempt is still out
+	Finished                  // its last word has been said
 )
 
 var phases = [...]string{"waiting", "out", "deserted", "over"}
@@ -32,17 +32,17 @@
 // ends in an answer that is safe.
 var (
 	ErrPhase  = errors.New("not in this phase")
-	ErrMany   = errors.New("one attempt too many")
-	ErrTwice  = errors.New("it may have run and must not run twice")
-	ErrSpent  = errors.New("its body has gone")
-	ErrRefuse = errors.New("a refusal, though it may have run and must not run twice")
+	ErrTooManyAttempts   = errors.New("one attempt too many")
+	ErrMayHaveRun  = errors.New("it may have run and must not run twice")
+	ErrBodyConsumed  = errors.New("its body has gone")
+	ErrUnsafeReject = errors.New("a refusal, though it may have run and must not run twice")
 )
 
-// Life is the machine of one request. Its zero value is a request that may run twice, of one attempt at most.
-type Life struct {
-	Once  bool // it must not run twice: nothing is sent again that may have run
-	Wrong bool // nor may it be asked again by its client: a refusal after it may have run would be a lie
-	Most  int  // attempts
+// Machine is the machine of one request. Its zero value is a request that may run twice, of one attempt at most.
+type Machine struct {
+	AtMostOnce  bool // it must not run twice: nothing is sent again that may have run
+	NoClientRetry bool // nor may it be asked again by its client: a refusal after it may have run would be a lie
+	MaxAttempts  int  // attempts
 
 	phase    Phase
 	attempts int
@@ -51,85 +51,85 @@
 }
 
 // Phase tells where it is.
-func (l *Life) Phase() Phase { return l.phase }
+func (l *Machine) Phase() Phase { return l.phase }
 
 // Attempts is how many have been decided on.
-func (l *Life) Attempts() int { return l.attempts }
+func (l *Machine) Attempts() int { return l.attempts }
 
 // MayHaveRun tells whether an attempt may have run, or may yet, as far as is known.
-func (l *Life) MayHaveRun() bool { return l.mayRun || l.phase == Out || l.phase == Deserted }
+func (l *Machine) MayHaveRun() bool { return l.mayRun || l.phase == InFlight || l.phase == Abandoned }
 
-// Spend tells that something of its body has been taken that cannot be had again: the attempt that is out is the last.
-func (l *Life) Spend() { l.spent = true }
+// ConsumeBody tells that something of its body has been taken that cannot be had again: the attempt that is out is the last.
+func (l *Machine) ConsumeBody() { l.spent = true }
 
-// Spent tells whether it cannot be sent again.
-func (l *Life) Spent() bool { return l.spent }
+// BodyConsumed tells whether it cannot be sent again.
+func (l *Machine) BodyConsumed() bool { return l.spent }
 
 // Send is the decision to make an attempt.
-func (l *Life) Send() error {
+func (l *Machine) Send() error {
 	switch {
 	case l.phase != Waiting:
 		return fmt.Errorf("send while %v: %w", l.phase, ErrPhase)
-	case l.attempts >= max(1, l.Most):
-		return fmt.Errorf("send after %d: %w", l.attempts, ErrMany)
+	case l.attempts >= max(1, l.MaxAttempts):
+		return fmt.Errorf("send after %d: %w", l.attempts, ErrTooManyAttempts)
 	case l.spent:
-		return fmt.Errorf("send: %w", ErrSpent)
-	case l.Once && l.mayRun:
-		return fmt.Errorf("send: %w", ErrTwice)
+		return fmt.Errorf("send: %w", ErrBodyConsumed)
+	case l.AtMostOnce && l.mayRun:
+		return fmt.Errorf("send: %w", ErrMayHaveRun)
 	}
-	l.phase = Out
+	l.phase = InFlight
 	l.attempts++
 	return nil
 }
 
-// Ended is the end of the attempt that is out. It tells whether that was the last word: served, or nobody waits.
-func (l *Life) Ended(o decision.Outcome) (over bool, err error) {
-	if l.phase != Out && l.phase != Deserted {
+// AttemptEnded is the end of the attempt that is out. It tells whether that was the last word: served, or nobody waits.
+func (l *Machine) AttemptEnded(o decision.Outcome) (over bool, err error) {
+	if l.phase != InFlight && l.phase != Abandoned {
 		return false, fmt.Errorf("an attempt ends while %v: %w", l.phase, ErrPhase)
 	}
-	l.mayRun = l.mayRun || !o.Proves()
-	if l.phase == Deserted && !mutated("deserted-waits") || o == decision.Done {
-		l.phase = Over
+	l.mayRun = l.mayRun || !o.ProvesNotExecuted()
+	if l.phase == Abandoned && !mutated("deserted-waits") || o == decision.Succeeded {
+		l.phase = Finished
 		return true, nil
 	}
 	l.phase = Waiting
 	return false, nil
 }
 
-// Refuse is the decision to answer that trying again does no harm.
-func (l *Life) Refuse() error {
+// Reject is the decision to answer that trying again does no harm.
+func (l *Machine) Reject() error {
 	if l.phase != Waiting {
 		return fmt.Errorf("refuse while %v: %w", l.phase, ErrPhase)
 	}
-	if l.Wrong && l.mayRun {
-		return ErrRefuse
+	if l.NoClientRetry && l.mayRun {
+		return ErrUnsafeReject
 	}
-	l.phase = Over
+	l.phase = Finished
 	return nil
 }
 
 // Fail is the decision to answer that it was not served and may have run.
-func (l *Life) Fail() error {
+func (l *Machine) Fail() error {
 	if l.phase != Waiting {
 		return fmt.Errorf("fail while %v: %w", l.phase, ErrPhase)
 	}
-	l.phase = Over
+	l.phase = Finished
 	return nil
 }
 
-// Leave tells that nobody waits for the answer any more. Over: nothing is out, it was the last word. It may come at
+// ClientGone tells that nobody waits for the answer any more. Over: nothing is out, it was the last word. It may come at
 // any time, and more than once.
-func (l *Life) Leave() (over bool) {
+func (l *Machine) ClientGone() (over bool) {
 	switch l.phase {
 	case Waiting:
-		l.phase = Over
+		l.phase = Finished
 		return true
-	case Out:
+	case InFlight:
 		if mutated("left-is-over") {
-			l.phase = Over
+			l.phase = Finished
 			return true
 		}
-		l.phase = Deserted
+		l.phase = Abandoned
 	}
 	return false
 }
--- a/internal/dataplane/engine/engine.go
+++ b/internal/dataplane/engine/engine.go
@@ -57,8 +57,8 @@
 	Add(name string, amount float64, keep decision.Seconds)
 }
 
-// Pairs is a Counter of pairs (decision.Settings.Pairs): it is given the whole call, and tells CountedOf what came of it.
-type Pairs interface{ Call(decision.Count) }
+// PairCounter is a Counter of pairs (decision.Settings.PairCounter): it is given the whole call, and tells CountedOf what came of it.
+type PairCounter interface{ Call(decision.CounterCall) }
 
 // Kind is what is to be done with a request.
 type Kind = attempt.Kind
@@ -66,9 +66,9 @@
 // The kinds. Refuse, Fail and Gone are the last word on a request.
 const (
 	Send   = attempt.Send
-	Refuse = attempt.Refuse
+	Refuse = attempt.Reject
 	Fail   = attempt.Fail
-	Gone   = attempt.Gone
+	Gone   = attempt.NoAnswer
 )
 
 // Decision is what the module decided for a request.
@@ -94,15 +94,15 @@
 	InForce(now decision.Seconds) uint64
 }
 
-// Sharer is told of requests and of what came of calls of the counter, for ingresses that share quotas among themselves. Its calls
+// QuotaSharer is told of requests and of what came of calls of the counter, for ingresses that share quotas among themselves. Its calls
 // must not wait, and must not call the engine.
-type Sharer interface {
-	// Asked tells of a request: its customer's set of ingresses, its quota and the request's size in units.
-	Asked(customer string, first, doors int, quota, units float64)
-	// Adding tells of a call of the counter as it leaves.
-	Adding(name string, amount float64, keep decision.Seconds)
-	// Counted tells of its answer, and gives what the module is to be told: a total that cannot be is none.
-	Counted(name string, outcome decision.Outcome, total float64) decision.Outcome
+type QuotaSharer interface {
+	// ObserveRequest tells of a request: its customer's set of ingresses, its quota and the request's size in units.
+	ObserveRequest(customer string, first, doors int, quota, units float64)
+	// ObserveCounterCall tells of a call of the counter as it leaves.
+	ObserveCounterCall(name string, amount float64, keep decision.Seconds)
+	// ObserveCounterReply tells of its answer, and gives what the module is to be told: a total that cannot be is none.
+	ObserveCounterReply(name string, outcome decision.Outcome, total float64) decision.Outcome
 }
 
 // Engine owns the desk at which the gateway and the requests in its hands are.
@@ -113,9 +113,9 @@
 	counter Counter
 
 	mu        sync.Mutex
-	desk      *attempt.Desk
+	desk      *attempt.Dispatcher
 	quotas    map[string]float64     // by plan of the settings, for the sharer
-	sharer    atomic.Pointer[Sharer] // nil: nothing is shared
+	sharer    atomic.Pointer[QuotaSharer] // nil: nothing is shared
 	counts    counts
 	catalogue Catalogue        // nil: none, plans are those of the settings
 	due       *time.Timer      // for what the catalogue has next
@@ -124,7 +124,7 @@
 
 // New returns an engine around a gateway that nobody else uses. The settings are the gateway's.
 func New(gateway *decision.Gateway, settings *decision.Settings, clock *Clock) *Engine {
-	e := &Engine{desk: attempt.NewDesk(gateway, settings), clock: clock, quotas: map[string]float64{}}
+	e := &Engine{desk: attempt.NewDispatcher(gateway, settings), clock: clock, quotas: map[string]float64{}}
 	for _, p := range settings.Plans {
 		e.quotas[p.Name] = p.Rate
 	}
@@ -138,7 +138,7 @@
 }
 
 // ShareWith has requests and calls of the counter told to whoever shares quotas with other ingresses.
-func (e *Engine) ShareWith(s Sharer) { e.sharer.Store(&s) }
+func (e *Engine) ShareWith(s QuotaSharer) { e.sharer.Store(&s) }
 
 // Backends tells news of the list of backends.
 func (e *Engine) Backends(news decision.Backends) { e.handle(news) }
@@ -151,13 +151,13 @@
 // CountedOf tells what came of a call of counters that are pairs: the sum, and how many gateways it is from.
 func (e *Engine) CountedOf(name string, outcome decision.Outcome, total float64, holders int) {
 	if s := e.sharer.Load(); s != nil {
-		outcome = (*s).Counted(name, outcome, total)
+		outcome = (*s).ObserveCounterReply(name, outcome, total)
 	}
 	e.do(func(now decision.Seconds) []attempt.Effect {
-		if e.counts.calls++; outcome != decision.Done {
+		if e.counts.calls++; outcome != decision.Succeeded {
 			e.counts.unanswered++
 		}
-		return e.desk.Handle(now, decision.Counted{Name: name, Outcome: outcome, Total: total, Holders: holders})
+		return e.desk.Handle(now, decision.CounterReply{Name: name, Outcome: outcome, Total: total, Holders: holders})
 	})
 }
 
@@ -165,7 +165,7 @@
 // class they began with. No request is decided meanwhile.
 func (e *Engine) Retune(classes []decision.Class, maxAttempts int) {
 	e.mu.Lock()
-	e.desk.Retune(slices.Clone(classes), maxAttempts)
+	e.desk.Reconfigure(slices.Clone(classes), maxAttempts)
 	e.mu.Unlock()
 }
 
@@ -177,49 +177,49 @@
 	if e.lapses = 0; lease > 0 {
 		e.lapses = e.clock.Now() + lease
 	}
-	e.desk.Part(part, junior)
+	e.desk.SetShare(part, junior)
 }
 
 // Share hands over half of the stores to another process of this ingress, and what has been learned.
 func (e *Engine) Share() decision.Knowledge {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.desk.Share(e.clock.Now())
+	return e.desk.HandOver(e.clock.Now())
 }
 
 // Take takes up what another process of this ingress handed over.
 func (e *Engine) Take(k decision.Knowledge) (customers, backends int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.desk.Take(e.clock.Now(), k)
+	return e.desk.Restore(e.clock.Now(), k)
 }
 
 // Hold sets what this ingress has of its customers' quotas, for so many seconds: behind these it has what it keeps.
-func (e *Engine) Hold(all []decision.Right, lease decision.Seconds) {
+func (e *Engine) Hold(all []decision.QuotaGrant, lease decision.Seconds) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	e.desk.Hold(now, all, now+lease)
+	e.desk.SetGrants(now, all, now+lease)
 }
 
 // Members tells how many gateways there are, and through how many of them customers may come.
 func (e *Engine) Members(gateways, doors int) {
 	e.mu.Lock()
-	e.desk.Members(gateways, doors)
+	e.desk.SetMembers(gateways, doors)
 	e.mu.Unlock()
 }
 
 // Planned tells that something planned is under way, for so many seconds: patience ends no request that is here or comes meanwhile.
 func (e *Engine) Planned(seconds decision.Seconds) {
 	e.mu.Lock()
-	e.desk.Planned(e.now() + seconds)
+	e.desk.ExpectDisruption(e.now() + seconds)
 	e.mu.Unlock()
 }
 
 // Place tells where this gateway stands among those of its zone.
 func (e *Engine) Place(rank, peers int) {
 	e.mu.Lock()
-	e.desk.Place(rank, peers)
+	e.desk.SetZoneRank(rank, peers)
 	e.mu.Unlock()
 }
 
@@ -227,21 +227,21 @@
 func (e *Engine) Warn(servers []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.desk.Warn(e.now(), servers)
+	e.desk.SetSuspects(e.now(), servers)
 }
 
 // Bad names the servers that the module itself finds bad.
 func (e *Engine) Bad() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.desk.Bad(e.now())
+	return e.desk.UnhealthyServers(e.now())
 }
 
 // now is the module's time, the mutex held. A part whose lease has run out is none.
 func (e *Engine) now() decision.Seconds {
 	now := e.clock.Now()
 	if e.lapses > 0 && now > e.lapses {
-		e.desk.Part(0, true)
+		e.desk.SetShare(0, true)
 	}
 	return now
 }
@@ -250,14 +250,14 @@
 func (e *Engine) Pool() (listed, avoided int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.desk.Pool(e.clock.Now())
+	return e.desk.PoolSize(e.clock.Now())
 }
 
 // Figures are what the module holds now.
-func (e *Engine) Figures() decision.Figures {
+func (e *Engine) Figures() decision.Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.desk.Figures(e.clock.Now())
+	return e.desk.Stats(e.clock.Now())
 }
 
 // Revise lets a function change the catalogue, and tells the module what has changed by it. It returns the
@@ -325,7 +325,7 @@
 		if r.Terms != nil {
 			quota = r.Terms.Plan.Rate
 		}
-		(*s).Asked(r.Customer, r.First, r.Doors, quota, r.Units)
+		(*s).ObserveRequest(r.Customer, r.FirstGateway, r.Gateways, quota, r.Units)
 	}
 	var effects []attempt.Effect
 	t.request, effects = e.desk.Submit(now, r, t)
@@ -341,14 +341,14 @@
 // Ended tells how the attempt that the last decision asked for ended. After Done no decision follows:
 // the answer is the client's.
 func (t *Ticket) Ended(outcome decision.Outcome) {
-	t.engine.do(func(now decision.Seconds) []attempt.Effect { return t.engine.desk.Ended(now, t.request, outcome) })
+	t.engine.do(func(now decision.Seconds) []attempt.Effect { return t.engine.desk.AttemptEnded(now, t.request, outcome) })
 }
 
 // Spend tells that something of the request's body has been taken that cannot be had again: the attempt that is out is
 // the last.
 func (t *Ticket) Spend() {
 	t.engine.mu.Lock()
-	t.engine.desk.Spend(t.request)
+	t.engine.desk.ConsumeBody(t.request)
 	t.engine.mu.Unlock()
 }
 
@@ -356,19 +356,19 @@
 func (t *Ticket) Impatient() bool {
 	t.engine.mu.Lock()
 	defer t.engine.mu.Unlock()
-	return t.engine.desk.Impatient(t.engine.now(), t.request)
+	return t.engine.desk.ShouldAbandon(t.engine.now(), t.request)
 }
 
 // Arrived tells that the body of a long request has gone out whole.
 func (t *Ticket) Arrived() {
 	t.engine.mu.Lock()
-	t.engine.desk.Arrived(t.engine.clock.Now(), t.request)
+	t.engine.desk.BodyUploaded(t.engine.clock.Now(), t.request)
 	t.engine.mu.Unlock()
 }
 
 // Leave tells that nobody waits for the answer any more. An attempt that is out is still to be told of.
 func (t *Ticket) Leave() {
-	t.engine.do(func(now decision.Seconds) []attempt.Effect { return t.engine.desk.Leave(now, t.request) })
+	t.engine.do(func(now decision.Seconds) []attempt.Effect { return t.engine.desk.ClientGone(now, t.request) })
 }
 
 func (e *Engine) handle(event decision.Event) {
@@ -416,17 +416,17 @@
 // made. What reaches outside is returned, to be carried out once the mutex is free.
 func (e *Engine) decide(effects []attempt.Effect) (later []attempt.Effect) {
 	for _, effect := range effects {
-		tell, ok := effect.(attempt.Tell)
+		tell, ok := effect.(attempt.Notify)
 		if !ok {
 			later = append(later, effect)
 			continue
 		}
 		d := tell.Decision
 		e.counts.decided[d.Kind]++
-		told := Decision{Kind: d.Kind, Backend: d.Backend, Beyond: d.Beyond, RetryAfter: d.RetryAfter}
+		told := Decision{Kind: d.Kind, Backend: d.Backend, Beyond: d.OverQuota, RetryAfter: d.RetryAfter}
 		if d.Kind == Send {
-			told.Until = e.clock.Time(d.Until)
-			told.Patience = time.Duration(d.Patience * float64(time.Second))
+			told.Until = e.clock.Time(d.Deadline)
+			told.Patience = time.Duration(d.SlowAfter * float64(time.Second))
 		}
 		tell.Request.Host.(*Ticket).next <- told
 	}
@@ -436,30 +436,30 @@
 func (e *Engine) carryOut(effects []attempt.Effect) {
 	for _, effect := range effects {
 		switch a := effect.(type) {
-		case attempt.Stop:
+		case attempt.CancelAttempt:
 			e.mu.Lock()
-			life := a.Request.Life()
+			life := a.Request.Machine()
 			e.mu.Unlock()
-			if p := life.Phase(); (p == attempt.Out || p == attempt.Deserted) && life.Attempts() == a.Attempt+1 {
+			if p := life.Phase(); (p == attempt.InFlight || p == attempt.Abandoned) && life.Attempts() == a.Attempt+1 {
 				a.Request.Host.(*Ticket).cancel()
 			}
 		case attempt.Timer:
 			wait := time.Duration((a.At - e.clock.Now()) * float64(time.Second))
 			time.AfterFunc(max(0, wait), func() { e.handle(decision.Timer{Token: a.Token}) })
-		case attempt.Count:
-			if p, ok := e.counter.(Pairs); ok {
-				p.Call(a.Count)
+		case attempt.CounterCall:
+			if p, ok := e.counter.(PairCounter); ok {
+				p.Call(a.CounterCall)
 				continue
 			}
 			if e.counter == nil {
-				e.Counted(a.Name, decision.Refused, 0)
+				e.Counted(a.Name, decision.ConnectionRefused, 0)
 				continue
 			}
 			if s := e.sharer.Load(); s != nil {
-				(*s).Adding(a.Name, a.Add, a.Keep)
+				(*s).ObserveCounterCall(a.Name, a.Add, a.Retention)
 			}
-			e.counter.Add(a.Name, a.Add, a.Keep)
-		case attempt.Illegal:
+			e.counter.Add(a.Name, a.Add, a.Retention)
+		case attempt.IllegalStep:
 			if e.Log != nil {
 				e.Log.WithField("code", "attempt-illegal").WithError(a.Err).Error("a step that a request's life does not have; a safe one was taken")
 			}
--- a/internal/dataplane/engine/engine_test.go
+++ b/internal/dataplane/engine/engine_test.go
@@ -19,10 +19,10 @@
 
 func settings() decision.Settings {
 	return decision.Settings{
-		Balancers: 1, MaxAttempts: 2, MayCancel: true, MayCount: true, CountWait: 0.03, MaxUnits: 1, MayRetryAfter: true, MaxRetryAfter: 1,
-		Classes: []decision.Class{{Name: "read", Aim: 20, Deadline: 30, Worth: 1, Effect: decision.Safe},
-			{Name: "send", Aim: 20, Deadline: 30, Worth: 1}},
-		Plans: []decision.Plan{{Name: "p", Rate: 1000, Burst: 1000, Price: 1}, {Name: "thin", Rate: 0.5, Burst: 0.9, Price: 1}},
+		Gateways: 1, MaxAttempts: 2, MayCancel: true, HasCounter: true, CounterTimeout: 0.03, MaxUnits: 1, MayRetryAfter: true, MaxRetryAfter: 1,
+		Classes: []decision.Class{{Name: "read", LatencyTarget: 20, Deadline: 30, Value: 1, Effect: decision.Idempotent},
+			{Name: "send", LatencyTarget: 20, Deadline: 30, Value: 1}},
+		Plans: []decision.Plan{{Name: "p", Rate: 1000, Burst: 1000, ValueWeight: 1}, {Name: "thin", Rate: 0.5, Burst: 0.9, ValueWeight: 1}},
 	}
 }
 
@@ -36,7 +36,7 @@
 }
 
 func request(class, plan string, doors int) decision.Request {
-	return decision.Request{Class: class, Plan: plan, Customer: "c", Left: 30, Units: 1, Doors: doors}
+	return decision.Request{Class: class, Plan: plan, Customer: "c", TimeLeft: 30, Units: 1, Gateways: doors}
 }
 
 var noTimes = cmpopts.IgnoreFields(Decision{}, "Until", "RetryAfter")
@@ -49,12 +49,12 @@
 		outcomes    []decision.Outcome
 		want        []Decision
 	}{
-		{"served", "read", []decision.Outcome{decision.Done}, []Decision{send}},
-		{"safe again, refused after the last", "read", []decision.Outcome{decision.Reset, decision.Failed}, []Decision{send, send, {Kind: Refuse}}},
-		{"unsafe that may have run fails", "send", []decision.Outcome{decision.Reset}, []Decision{send, {Kind: Fail}}},
+		{"served", "read", []decision.Outcome{decision.Succeeded}, []Decision{send}},
+		{"safe again, refused after the last", "read", []decision.Outcome{decision.ConnectionReset, decision.Failed}, []Decision{send, send, {Kind: Refuse}}},
+		{"unsafe that may have run fails", "send", []decision.Outcome{decision.ConnectionReset}, []Decision{send, {Kind: Fail}}},
 		{"unsafe that timed out fails", "send", []decision.Outcome{decision.TimedOut}, []Decision{send, {Kind: Fail}}},
-		{"unsafe that has not run is refused", "send", []decision.Outcome{decision.Busy}, []Decision{send, {Kind: Refuse}}},
-		{"unsafe that was skipped goes again", "send", []decision.Outcome{decision.Skipped, decision.Done}, []Decision{send, send}},
+		{"unsafe that has not run is refused", "send", []decision.Outcome{decision.Rejected}, []Decision{send, {Kind: Refuse}}},
+		{"unsafe that was skipped goes again", "send", []decision.Outcome{decision.NotSent, decision.Succeeded}, []Decision{send, send}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			e := started(nil)
@@ -70,8 +70,8 @@
 			if diff := cmp.Diff(tc.want, got, noTimes); diff != "" {
 				t.Error(diff)
 			}
-			if e.desk.Open() != 0 || len(ticket.next) != 0 {
-				t.Errorf("%d requests and %d decisions left behind", e.desk.Open(), len(ticket.next))
+			if e.desk.Pending() != 0 || len(ticket.next) != 0 {
+				t.Errorf("%d requests and %d decisions left behind", e.desk.Pending(), len(ticket.next))
 			}
 		})
 	}
@@ -84,19 +84,19 @@
 	ticket.Next()
 	ticket.Leave()
 	ticket.Leave() // once is enough
-	if cancelled != 1 || e.desk.Open() != 1 {
-		t.Errorf("cancelled %d times, %d requests kept; want 1 and 1", cancelled, e.desk.Open())
+	if cancelled != 1 || e.desk.Pending() != 1 {
+		t.Errorf("cancelled %d times, %d requests kept; want 1 and 1", cancelled, e.desk.Pending())
 	}
 	ticket.Ended(decision.Cancelled)
-	if diff := cmp.Diff(Decision{Kind: Gone}, ticket.Next()); diff != "" || e.desk.Open() != 0 {
-		t.Errorf("%d requests kept\n%s", e.desk.Open(), diff)
+	if diff := cmp.Diff(Decision{Kind: Gone}, ticket.Next()); diff != "" || e.desk.Pending() != 0 {
+		t.Errorf("%d requests kept\n%s", e.desk.Pending(), diff)
 	}
 }
 
 // A client that leaves while its request waits for the counter leaves nothing to do; the late answer harms nobody.
 func TestLeaveWhileWaiting(t *testing.T) {
 	c, patient := counter{make(chan string, 1)}, settings()
-	patient.CountWait = 20 // else the request is sent without the counter, should the test be held up
+	patient.CounterTimeout = 20 // else the request is sent without the counter, should the test be held up
 	e := startedWith(patient, c)
 	ticket := e.Submit(request("read", "thin", 2), func() { t.Error("cancelled, but nothing was out") })
 	name := <-c.calls
@@ -104,9 +104,9 @@
 	if diff := cmp.Diff(Decision{Kind: Gone}, ticket.Next()); diff != "" {
 		t.Error(diff)
 	}
-	e.Counted(name, decision.Done, 1)
-	if e.desk.Open() != 0 {
-		t.Errorf("%d requests kept", e.desk.Open())
+	e.Counted(name, decision.Succeeded, 1)
+	if e.desk.Pending() != 0 {
+		t.Errorf("%d requests kept", e.desk.Pending())
 	}
 }
 
@@ -119,7 +119,7 @@
 	if diff := cmp.Diff(Decision{Kind: Send, Backend: "b"}, ticket.Next(), noTimes); diff != "" {
 		t.Error(diff)
 	}
-	ticket.Ended(decision.Done)
+	ticket.Ended(decision.Succeeded)
 }
 
 // Where the settings promise a counter and there is none, each call is told to have failed.
@@ -129,15 +129,15 @@
 	if diff := cmp.Diff(Decision{Kind: Send, Backend: "b"}, ticket.Next(), noTimes); diff != "" {
 		t.Error(diff)
 	}
-	ticket.Ended(decision.Done)
+	ticket.Ended(decision.Succeeded)
 }
 
 // A member's terms come from the catalogue, whatever the client names, and change at their time also where nobody asks.
 func TestCatalogue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const member = "00000000000000aa"
-		small := decision.Plan{Name: "small", Rate: 0.001, Burst: 1, Price: 1, BeyondCosts: 1}
-		large := decision.Plan{Name: "large", Rate: 1e9, Burst: 1e9, Price: 1, BeyondCosts: 1}
+		small := decision.Plan{Name: "small", Rate: 0.001, Burst: 1, ValueWeight: 1, ExcessCost: 1}
+		large := decision.Plan{Name: "large", Rate: 1e9, Burst: 1e9, ValueWeight: 1, ExcessCost: 1}
 		clock := NewClock()
 		s := settings()
 		e := New(decision.New(s, 1), &s, clock)
@@ -159,7 +159,7 @@
 			ticket := e.Submit(r, func() {})
 			d := ticket.Next()
 			if d.Kind == Send {
-				ticket.Ended(decision.Done)
+				ticket.Ended(decision.Succeeded)
 			}
 			return d.Kind, ticket.Plan, ticket.Revision
 		}
@@ -180,7 +180,7 @@
 		if d := other.Next(); d.Kind != Send || other.Plan != "p" || other.Revision != 3 {
 			t.Errorf("one that is not listed: %v on %s of revision %d", d.Kind, other.Plan, other.Revision)
 		}
-		other.Ended(decision.Done)
+		other.Ended(decision.Succeeded)
 	})
 }
 
--- a/internal/dataplane/ingress/body.go
+++ b/internal/dataplane/ingress/body.go
@@ -173,8 +173,8 @@
 		tcp.CloseWrite()
 	}
 	c.to(clientconn.Lingering)
-	buf := upstream.Pieces.Get().(*[]byte)
-	defer upstream.Pieces.Put(buf)
+	buf := upstream.ChunkPool.Get().(*[]byte)
+	defer upstream.ChunkPool.Put(buf)
 	for end := time.Now().Add(most); time.Now().Before(end); {
 		c.SetReadDeadline(time.Now().Add(lingerMost))
 		if _, err := c.Conn.Read(*buf); err != nil {
--- a/internal/dataplane/ingress/figures.go
+++ b/internal/dataplane/ingress/figures.go
@@ -9,8 +9,8 @@
 // mostClassFigures bounds the classes that figures are kept for: names that clients make up must not grow them.
 const mostClassFigures = 64
 
-// ClassFigures are the counts of one class since the process started.
-type ClassFigures struct {
+// ClassStats are the counts of one class since the process started.
+type ClassStats struct {
 	Class                   string
 	OK, Shed, Errors, Tries int64 // answered 200; refused (503); failed (any other answer); attempts written whole
 }
@@ -62,10 +62,10 @@
 }
 
 // Figures are the counts of each class, by name, and the requests in hand now.
-func (s *Server) Figures() (classes []ClassFigures, active int64) {
+func (s *Server) Figures() (classes []ClassStats, active int64) {
 	s.figures.mu.Lock()
 	for name, c := range s.figures.classes {
-		classes = append(classes, ClassFigures{Class: name, OK: c.ok.Load(), Shed: c.shed.Load(), Errors: c.errors.Load(), Tries: c.tries.Load()})
+		classes = append(classes, ClassStats{Class: name, OK: c.ok.Load(), Shed: c.shed.Load(), Errors: c.errors.Load(), Tries: c.tries.Load()})
 	}
 	s.figures.mu.Unlock()
 	sort.Slice(classes, func(i, j int) bool { return classes[i].Class < classes[j].Class })
--- a/internal/dataplane/ingress/ingress.go
+++ b/internal/dataplane/ingress/ingress.go
@@ -77,7 +77,7 @@
 func New(s *decision.Settings, e *engine.Engine, p *upstream.Pool, most int, log *logrus.Logger) *Server {
 	srv := &Server{
 		engine: e, pool: p, log: log,
-		ingresses: max(1, s.Balancers), mostUnits: cmp.Or(s.MaxUnits, mostUnits), most: most,
+		ingresses: max(1, s.Gateways), mostUnits: cmp.Or(s.MaxUnits, mostUnits), most: most,
 		conns: map[*conn]struct{}{}, ids: map[string]struct{}{}, base: time.Now(),
 	}
 	srv.dialect = Dialect{Ready: "/ready", Parse: srv.parse, Deciding: deciding, Reports: reports}
@@ -102,7 +102,7 @@
 	for _, c := range classes {
 		s.figures.of(c.Name)
 		m[c.Name] = "POST"
-		if c.Effect == decision.Safe {
+		if c.Effect == decision.Idempotent {
 			m[c.Name] = "GET"
 		}
 	}
@@ -192,20 +192,20 @@
 			if s.Meter != nil {
 				bill.open(s.Meter, &request, ticket, d.Beyond)
 			}
-			message.Patience = upstream.Patience{For: d.Patience, Out: ticket.Impatient}
+			message.Patience = upstream.SlowAttempt{After: d.Patience, ShouldAbandon: ticket.Impatient}
 			result := s.pool.Do(ctx, d.Backend, message, d.Until)
 			counts.tried(result.Writes)
 			s.totals.attempts.Add(int64(result.Writes))
 			bill.arrival = max(bill.arrival, usage.ArrivalOf(result.Outcome, result.Answered))
 			last = result
-			if result.Outcome == decision.Done && result.Stream != nil {
+			if result.Outcome == decision.Succeeded && result.Stream != nil {
 				ticket.Ended(result.Outcome) // served: what follows is the body's way to the client
 				s.ended(Answered)
 				counts.count(result.Head.Status)
 				r.Close = r.Close || r.Old && result.Stream.Length < 0
 				return c.lastOf(r, c.relay(result.Head, result.Stream, ends(r)))
 			}
-			if result.Outcome == decision.Done {
+			if result.Outcome == decision.Succeeded {
 				s.ended(Answered)
 				err = c.pass(result.Head, result.Body, ends(r))
 				counts.count(result.Head.Status)
@@ -313,7 +313,7 @@
 // LameDuck drains without stopping: the readiness page says no, idle connections are closed at once and the others
 // after their next answer; new connections are still served, each for one request. It tells whether the call was
 // taken.
-func (s *Server) LameDuck() bool { return s.move(decision.Lame) }
+func (s *Server) LameDuck() bool { return s.move(decision.EnterLameDuck) }
 
 // Rejoin ends a drain that LameDuck began: the readiness page says yes again, and connections stay open. It tells
 // whether the call was taken: not once it stops.
@@ -326,7 +326,7 @@
 	return s.life.Phase()
 }
 
-func (s *Server) move(e decision.LifeEvent) bool {
+func (s *Server) move(e decision.LifecycleEvent) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.life.Phase()
--- a/internal/dataplane/ingress/ingress_test.go
+++ b/internal/dataplane/ingress/ingress_test.go
@@ -27,10 +27,10 @@
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		settings := decision.Settings{
-			Balancers: 1, MaxAttempts: 1, MayCancel: true,
-			Classes: []decision.Class{{Name: "send", Aim: 20, Deadline: 30, Worth: 1},
-				{Name: "read", Aim: 20, Deadline: 30, Worth: 1, Effect: decision.Safe}},
-			Plans: []decision.Plan{{Name: "plus", Rate: 1000, Burst: 1000, Price: 1}},
+			Gateways: 1, MaxAttempts: 1, MayCancel: true,
+			Classes: []decision.Class{{Name: "send", LatencyTarget: 20, Deadline: 30, Value: 1},
+				{Name: "read", LatencyTarget: 20, Deadline: 30, Value: 1, Effect: decision.Idempotent}},
+			Plans: []decision.Plan{{Name: "plus", Rate: 1000, Burst: 1000, ValueWeight: 1}},
 		}
 		e := engine.New(decision.New(settings, 1), &settings, engine.NewClock())
 		e.Start(nil)
--- a/internal/dataplane/ingress/relay.go
+++ b/internal/dataplane/ingress/relay.go
@@ -28,10 +28,10 @@
 	if err := c.push(b); err != nil {
 		return err
 	}
-	buf := upstream.Pieces.Get().(*[]byte)
-	defer upstream.Pieces.Put(buf)
+	buf := upstream.ChunkPool.Get().(*[]byte)
+	defer upstream.ChunkPool.Put(buf)
 	for {
-		n, rerr := st.Read((*buf)[http1.ChunkRoom : http1.ChunkRoom+upstream.PieceSize])
+		n, rerr := st.Read((*buf)[http1.ChunkRoom : http1.ChunkRoom+upstream.ChunkSize])
 		ended := errors.Is(rerr, io.EOF)
 		out := (*buf)[http1.ChunkRoom : http1.ChunkRoom+n]
 		if chunked {
@@ -60,7 +60,7 @@
 // push writes a piece of an answer, with as long as a slow client may take for it.
 func (c *conn) push(b []byte) error {
 	c.to(clientconn.Answering) // from now: a client that takes longer over this piece holds the connection for nothing
-	c.SetWriteDeadline(time.Now().Add(upstream.StallMost))
+	c.SetWriteDeadline(time.Now().Add(upstream.MaxStall))
 	_, err := c.Write(b)
 	return err
 }
--- a/internal/dataplane/ingress/relay_test.go
+++ b/internal/dataplane/ingress/relay_test.go
@@ -92,9 +92,9 @@
 			addr := bigServer(t, size, chunked)
 			log := logrus.New()
 			log.SetOutput(io.Discard)
-			settings := decision.Settings{Balancers: 1, MaxAttempts: 1,
-				Classes: []decision.Class{{Name: "read", Aim: 20, Deadline: 30, Worth: 1, Effect: decision.Safe}},
-				Plans:   []decision.Plan{{Name: "plus", Rate: 1000, Burst: 1000, Price: 1}}}
+			settings := decision.Settings{Gateways: 1, MaxAttempts: 1,
+				Classes: []decision.Class{{Name: "read", LatencyTarget: 20, Deadline: 30, Value: 1, Effect: decision.Idempotent}},
+				Plans:   []decision.Plan{{Name: "plus", Rate: 1000, Burst: 1000, ValueWeight: 1}}}
 			e := engine.New(decision.New(settings, 1), &settings, engine.NewClock())
 			e.Start(nil)
 			e.Backends(decision.Backends{Complete: true, List: []decision.Backend{{ID: "s-1", Serving: true, Size: 1}}})
--- a/internal/dataplane/ingress/request.go
+++ b/internal/dataplane/ingress/request.go
@@ -96,18 +96,18 @@
 	if !(*s.plans.Load())[request.Plan] {
 		return fail(400, "request-unknown-plan", "X-Tier names no plan")
 	}
-	if request.Left, ok = decimal(r.Header.Get(keyTimeout)); !ok || request.Left <= 0 || request.Left > mostTimeout {
+	if request.TimeLeft, ok = decimal(r.Header.Get(keyTimeout)); !ok || request.TimeLeft <= 0 || request.TimeLeft > mostTimeout {
 		return fail(400, "request-bad-timeout", "X-Timeout is not a time in seconds")
 	}
-	request.Left = max(request.Left/2, request.Left-transit.Seconds())
+	request.TimeLeft = max(request.TimeLeft/2, request.TimeLeft-transit.Seconds())
 	if !s.terms(r.Header.Get(keyTerms), &request) {
 		return fail(400, "request-bad-terms", "X-Call-Terms does not state units, spread and first")
 	}
 	if http1.Misplaced(r.Trailer, deciding) {
 		return fail(400, "request-bad-trailer", "a trailer states what belongs in the head")
 	}
-	request.Long = r.Long != nil
-	request.Repeat = r.Header.Get(keyRetried) == "1"
+	request.Streamed = r.Long != nil
+	request.ClientRetry = r.Header.Get(keyRetried) == "1"
 	return request, &upstream.Message{Method: r.Method, Target: r.Target, ID: id, Body: r.Body, Trailer: r.Trailer, Fields: http1.AppendFields(nil, r.Header, deciding)}, nil // serve adds a long body
 }
 
@@ -132,7 +132,7 @@
 				return false
 			}
 			n, err := strconv.ParseUint(number, 10, 31)
-			if r.Doors, spread = int(n), err == nil && n > 0 && int(n) <= s.ingresses; !spread {
+			if r.Gateways, spread = int(n), err == nil && n > 0 && int(n) <= s.ingresses; !spread {
 				return false
 			}
 		case "first":
@@ -140,7 +140,7 @@
 				return false
 			}
 			n, err := strconv.ParseUint(number, 10, 31)
-			if r.First, first = int(n), err == nil && int(n) < s.ingresses; !first {
+			if r.FirstGateway, first = int(n), err == nil && int(n) < s.ingresses; !first {
 				return false
 			}
 		}
--- a/internal/dataplane/upstream/patience.go
+++ b/internal/dataplane/upstream/patience.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Patience is how long a server may be silent to a request that was written whole before somebody is asked whether to wait on.
-type Patience struct {
-	For time.Duration // 0: nobody is asked
-	Out func() bool   // whether to give the attempt up now; asked again each askEvery
+// SlowAttempt is how long a server may be silent to a request that was written whole before somebody is asked whether to wait on.
+type SlowAttempt struct {
+	After time.Duration // 0: nobody is asked
+	ShouldAbandon func() bool   // whether to give the attempt up now; asked again each askEvery
 }
 
 const askEvery = 50 * time.Millisecond
@@ -21,19 +21,19 @@
 }
 
 // with begins it: once it is out, what is read from the connection comes too late.
-func (p *Patience) with(c *conn) *lapse {
-	if p.For <= 0 {
+func (p *SlowAttempt) with(c *conn) *lapse {
+	if p.After <= 0 {
 		return nil
 	}
 	l := &lapse{}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.timer = time.AfterFunc(p.For, func() {
+	l.timer = time.AfterFunc(p.After, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		switch {
 		case l.over:
-		case p.Out():
+		case p.ShouldAbandon():
 			c.SetDeadline(longAgo)
 		default:
 			l.timer.Reset(askEvery)
--- a/internal/dataplane/upstream/patience_test.go
+++ b/internal/dataplane/upstream/patience_test.go
@@ -40,7 +40,7 @@
 				if tc.answer > 0 {
 					time.AfterFunc(tc.answer, func() { there.Write([]byte("x")) })
 				}
-				p := Patience{For: tc.patience, Out: func() bool {
+				p := SlowAttempt{After: tc.patience, ShouldAbandon: func() bool {
 					asked++
 					return tc.from > 0 && time.Since(begun) >= tc.from
 				}}
@@ -80,7 +80,7 @@
 		{"a server that is farther away than that", 2, 0.2, true, time.Millisecond, settle},
 	} {
 		p := New(nil, Limits{}, nil)
-		p.Dialect.Doubt = tc.doubt
+		p.Dialect.MinHoldIdle = tc.doubt
 		waited := time.Duration(-1)
 		p.settle = func(c *conn) { waited = c.wait }
 		c := &conn{settle: settle, answered: p.now() - tc.idle}
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -36,7 +36,7 @@
 )
 
 // get takes the connection used last, or opens one.
-func (p *Pool) get(ctx context.Context, backend string, until time.Time, fit upstreamconn.Fit) (*conn, error) {
+func (p *Pool) get(ctx context.Context, backend string, until time.Time, fit upstreamconn.Reuse) (*conn, error) {
 	addr, _ := p.lookup(backend)
 	for {
 		p.mu.Lock()
@@ -52,7 +52,7 @@
 			p.close(kept.Conn, code, nil)
 			continue
 		}
-		if fit.Unnamed = kept.Conn.unnamed; !upstreamconn.Fits(fit) {
+		if fit.Unnamed = kept.Conn.unnamed; !upstreamconn.MayReuse(fit) {
 			p.close(kept.Conn, "upstream-not-needed", nil)
 			continue
 		}
--- a/internal/dataplane/upstream/stream.go
+++ b/internal/dataplane/upstream/stream.go
@@ -10,15 +10,15 @@
 	"mulleinrouter/internal/dataplane/http1"
 )
 
-// StallMost is how long a streamed body may make no progress, in either direction, before it is given up. A body over
+// MaxStall is how long a streamed body may make no progress, in either direction, before it is given up. A body over
 // 64 KiB is timed to its first bytes; after them, only a peer that stops is cut off.
-const StallMost = 10 * time.Second
+const MaxStall = 10 * time.Second
 
-// PieceSize is the most of a streamed body that is held at once, in either direction.
-const PieceSize = 32 << 10
+// ChunkSize is the most of a streamed body that is held at once, in either direction.
+const ChunkSize = 32 << 10
 
-// Pieces are the buffers of streamed bodies: PieceSize bytes from http1.ChunkRoom on, with room for a chunk's framing.
-var Pieces = sync.Pool{New: func() any { b := make([]byte, http1.ChunkRoom+PieceSize+http1.ChunkEnd); return &b }}
+// ChunkPool are the buffers of streamed bodies: PieceSize bytes from http1.ChunkRoom on, with room for a chunk's framing.
+var ChunkPool = sync.Pool{New: func() any { b := make([]byte, http1.ChunkRoom+ChunkSize+http1.ChunkEnd); return &b }}
 
 // Stream is the body of a served answer, read from the quote server's connection as it comes.
 type Stream struct {
@@ -34,7 +34,7 @@
 
 // Read reads what has come of the body. io.EOF: it has all come.
 func (s *Stream) Read(p []byte) (int, error) {
-	s.c.SetReadDeadline(time.Now().Add(StallMost))
+	s.c.SetReadDeadline(time.Now().Add(MaxStall))
 	n, err := s.body.Read(p)
 	if errors.Is(err, io.EOF) {
 		s.end = true
@@ -51,7 +51,7 @@
 		return
 	}
 	s.done = true
-	if v := s.c.Streamed(s.end, s.c.reader.Buffered() > 0); v.Keep {
+	if v := s.c.Streamed(s.end, s.c.reader.Buffered() > 0); v.Reusable {
 		s.pool.put(s.c)
 	} else {
 		s.pool.close(s.c, v.Code, nil)
--- a/internal/dataplane/upstream/upload.go
+++ b/internal/dataplane/upstream/upload.go
@@ -54,7 +54,7 @@
 	if code := c.stale(c.addr); code != "" || ctx.Err() != nil {
 		return false, fmt.Errorf("%w: %w: %s", errServer, errEnded, code)
 	}
-	if _, serving := p.lookup(c.backend); !upstreamconn.Goes(serving, ctx.Err() != nil) {
+	if _, serving := p.lookup(c.backend); !upstreamconn.MayRelease(serving, ctx.Err() != nil) {
 		return false, errLeaving
 	}
 	pumped := make(chan error, 1)
@@ -90,12 +90,12 @@
 // pump copies a body in pieces, each written before the next is read: what the server does not take, the client cannot
 // send.
 func pump(c *conn, u Upload) error {
-	buf := Pieces.Get().(*[]byte)
-	defer Pieces.Put(buf)
+	buf := ChunkPool.Get().(*[]byte)
+	defer ChunkPool.Put(buf)
 	chunked := u.Length() < 0
 	for {
 		// A chunk's head stands before the piece and its line end behind it, so that one write sends all.
-		n, err := u.Read((*buf)[http1.ChunkRoom : http1.ChunkRoom+PieceSize])
+		n, err := u.Read((*buf)[http1.ChunkRoom : http1.ChunkRoom+ChunkSize])
 		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("%w: %w", errClient, err)
 		}
@@ -106,7 +106,7 @@
 			}
 		}
 		if len(out) > 0 {
-			c.SetWriteDeadline(time.Now().Add(StallMost))
+			c.SetWriteDeadline(time.Now().Add(MaxStall))
 			if _, werr := c.Write(out); werr != nil {
 				return fmt.Errorf("%w: %w", errServer, werr)
 			}
@@ -120,7 +120,7 @@
 
 // uploadTrouble is how an upload failed before its last byte was written: nothing ran. The server is to blame only where
 // it broke the connection.
-func uploadTrouble(ctx context.Context, err error) upstreamconn.Trouble {
+func uploadTrouble(ctx context.Context, err error) upstreamconn.Failure {
 	var timeout net.Error
 	switch {
 	case ctx.Err() != nil, errors.Is(err, errClient), errors.Is(err, errLeaving):
@@ -128,5 +128,5 @@
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return upstreamconn.Cancelled // the time ran out on the body's way
 	}
-	return upstreamconn.Broke
+	return upstreamconn.ConnectionLost
 }
--- a/internal/dataplane/upstream/upstream.go
+++ b/internal/dataplane/upstream/upstream.go
@@ -47,20 +47,20 @@
 	// Begin appends a request's line and the fields that concern the attempt. Nil: as in service.
 	Begin func(b []byte, m *Message, backend string, left time.Duration) []byte
 	// Meaning is what an answer means to the request it came behind. Nil: as in service.
-	Meaning func(m *Message, a *http1.Response) Meaning
+	Meaning func(m *Message, a *http1.Response) AnswerMeaning
 	// ID is the field in which an answer carries back the id of its request, in textproto's form; "": none does, as in service.
 	ID string
-	// Doubt is for how long the last byte of what must not run twice is held at least on a connection that has rested; 0: as on any.
-	Doubt time.Duration
+	// MinHoldIdle is for how long the last byte of what must not run twice is held at least on a connection that has rested; 0: as on any.
+	MinHoldIdle time.Duration
 }
 
-// Meaning is what an answer means.
-type Meaning uint8
+// AnswerMeaning is what an answer means.
+type AnswerMeaning uint8
 
 // The meanings.
 const (
-	Served  Meaning = iota // it is the request's answer, whatever it says
-	Refused                // it says that the request has not run
+	Served  AnswerMeaning = iota // it is the request's answer, whatever it says
+	NotExecuted                // it says that the request has not run
 	Failed                 // the server failed, and the request may have run
 	Foreign                // it answers another request: what is behind it may be this one's
 	Broken                 // it is no answer in the protocol
@@ -81,8 +81,8 @@
 	base   time.Time   // the shelf's times are seconds since then
 
 	mu     sync.Mutex
-	shelf  *upstreamconn.Shelf[*conn]
-	memory upstreamconn.Memory
+	shelf  *upstreamconn.IdlePool[*conn]
+	memory upstreamconn.LossHistory
 	dials  atomic.Int64
 }
 
@@ -90,7 +90,7 @@
 func New(lookup Lookup, limits Limits, log *logrus.Logger) *Pool {
 	dialer := net.Dialer{Timeout: limits.ConnectTimeout, KeepAlive: -1}
 	return &Pool{lookup: lookup, limits: limits, log: log, dial: dialer.DialContext, base: time.Now(),
-		shelf: upstreamconn.NewShelf[*conn](limits.Connections), settle: func(c *conn) { time.Sleep(c.wait) }}
+		shelf: upstreamconn.NewIdlePool[*conn](limits.Connections), settle: func(c *conn) { time.Sleep(c.wait) }}
 }
 
 func (p *Pool) now() decision.Seconds { return time.Since(p.base).Seconds() }
@@ -104,7 +104,7 @@
 	Once               bool                 // it must not run twice, whatever its method
 	Trailer            textproto.MIMEHeader // behind Body, which then goes out in one chunk; nil: none
 	Upload             Upload               // a body that is too long to be held; Body is then nil
-	Patience           Patience             // with the attempt that it is handed over for
+	Patience           SlowAttempt             // with the attempt that it is handed over for
 
 	tried []string // servers to which it was written whole
 }
@@ -129,18 +129,18 @@
 // Do makes one attempt. It ends by itself at until, and early when the context ends.
 func (p *Pool) Do(ctx context.Context, backend string, m *Message, until time.Time) Result {
 	if _, serving := p.lookup(backend); !serving || ctx.Err() != nil {
-		return Result{Outcome: decision.Skipped}
+		return Result{Outcome: decision.NotSent}
 	}
-	writes, fit := 0, upstreamconn.Fit{Once: m.Once}
+	writes, fit := 0, upstreamconn.Reuse{Once: m.Once}
 	if p.Dialect.ID != "" {
 		fit.Again = slices.Contains(m.tried, backend)
 	}
 	for {
 		c, err := p.get(ctx, backend, until, fit)
 		if errors.Is(err, errUnneeded) || errors.Is(err, errFull) {
-			return Result{Outcome: decision.Skipped, Writes: writes} // nothing was sent whole, and the server is not to blame
+			return Result{Outcome: decision.NotSent, Writes: writes} // nothing was sent whole, and the server is not to blame
 		} else if err != nil {
-			return Result{Outcome: decision.Refused, Writes: writes}
+			return Result{Outcome: decision.ConnectionRefused, Writes: writes}
 		}
 		v, head, body, err := p.attempt(ctx, c, m, until, &writes)
 		err = cmp.Or(err, v.Err)
@@ -149,12 +149,12 @@
 			s.Length = s.body.Length
 			return Result{Outcome: v.Outcome, Answered: v.Answered, Writes: writes, Head: head, Stream: s}
 		}
-		if v.Keep {
+		if v.Reusable {
 			p.put(c)
 		} else {
 			p.close(c, v.Code, err)
 		}
-		if !v.Again || m.Upload != nil && m.Upload.Spent() {
+		if !v.TryNextConnection || m.Upload != nil && m.Upload.Spent() {
 			return Result{Outcome: v.Outcome, Answered: v.Answered, Head: head, Body: body, Writes: writes}
 		}
 	}
@@ -164,12 +164,12 @@
 // connection may be used again, is the link's to say.
 func (p *Pool) attempt(ctx context.Context, c *conn, m *Message, until time.Time, writes *int) (v upstreamconn.Verdict, head *http1.Response, body []byte, err error) {
 	if err := c.Begin(); err != nil {
-		return c.Unwritten(upstreamconn.Broke), nil, nil, err
+		return c.Unwritten(upstreamconn.ConnectionLost), nil, nil, err
 	}
 	// A dial takes a while: the list may have changed, the client gone, the time run out.
 	addr, serving := p.lookup(c.backend)
 	left := time.Until(until)
-	if !upstreamconn.Ready(serving, addr == c.addr, ctx.Err() != nil, left.Seconds()) {
+	if !upstreamconn.MayBegin(serving, addr == c.addr, ctx.Err() != nil, left.Seconds()) {
 		return c.NotBegun(), nil, nil, nil
 	}
 	c.SetDeadline(until)
@@ -186,7 +186,7 @@
 		}
 		if err != nil {
 			how := uploadTrouble(ctx, err)
-			if how == upstreamconn.Broke {
+			if how == upstreamconn.ConnectionLost {
 				p.lost(c)
 			}
 			return c.Unwritten(how), nil, nil, err
@@ -196,7 +196,7 @@
 			return c.Unwritten(upstreamconn.Cancelled), nil, nil, err // nothing ran, and the server is not to blame
 		}
 		p.lost(c)
-		return c.Unwritten(upstreamconn.Broke), nil, nil, err
+		return c.Unwritten(upstreamconn.ConnectionLost), nil, nil, err
 	}
 	c.Written()
 	if *writes++; p.Dialect.ID != "" {
@@ -209,7 +209,7 @@
 	cancelled := !stop() // then the deadline may be changed at any time from now on
 	if err != nil {
 		how := trouble(ctx, err)
-		if how == upstreamconn.Broke {
+		if how == upstreamconn.ConnectionLost {
 			p.lost(c)
 		}
 		return c.Unanswered(how), nil, nil, err
@@ -240,7 +240,7 @@
 func (p *Pool) write(ctx context.Context, c *conn, b []byte, once bool) (whole bool, err error) {
 	now := p.now()
 	p.mu.Lock()
-	hold := p.memory.Hold(c.backend, now, upstreamconn.Evidence{Fresh: c.Uses() == 1, Idle: now - c.answered, Once: once})
+	hold := p.memory.Hold(c.backend, now, upstreamconn.Evidence{Fresh: c.Uses() == 1, Idle: now - c.answered, AtMostOnce: once})
 	p.mu.Unlock()
 	if !hold {
 		n, err := c.Write(b)
@@ -256,7 +256,7 @@
 	if code := c.stale(c.addr); code != "" || ctx.Err() != nil {
 		return false, fmt.Errorf("%w: %s", errEnded, code)
 	}
-	if _, serving := p.lookup(c.backend); !upstreamconn.Goes(serving, ctx.Err() != nil) {
+	if _, serving := p.lookup(c.backend); !upstreamconn.MayRelease(serving, ctx.Err() != nil) {
 		return false, errLeaving // between the two parts the news came that it drains
 	}
 	n, err := c.Write(b[last:])
@@ -267,28 +267,28 @@
 // takes is not known: the time to connect is that of the kernels, the reset that of a busy server.
 func (p *Pool) held(c *conn, once bool) {
 	if c.wait = c.settle; once && c.Uses() > 1 && p.now()-c.answered > rested {
-		c.wait = max(c.wait, p.Dialect.Doubt)
+		c.wait = max(c.wait, p.Dialect.MinHoldIdle)
 	}
 	p.settle(c)
 }
 
 // trouble tells apart how a connection failed on which a request had been written whole.
-func trouble(ctx context.Context, err error) upstreamconn.Trouble {
+func trouble(ctx context.Context, err error) upstreamconn.Failure {
 	var timeout net.Error
 	switch {
 	case ctx.Err() != nil:
 		return upstreamconn.Cancelled
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return upstreamconn.Late
+		return upstreamconn.TimedOut
 	case errors.Is(err, errBroken), errors.Is(err, http1.ErrStartLine), errors.Is(err, http1.ErrHeader), errors.Is(err, http1.ErrFraming),
 		errors.Is(err, http1.ErrHeadTooLarge), errors.Is(err, http1.ErrBodyTooLarge):
 		return upstreamconn.Malformed
 	}
-	return upstreamconn.Broke
+	return upstreamconn.ConnectionLost
 }
 
 // means is what an answer means.
-func (p *Pool) means(m *Message, head *http1.Response) Meaning {
+func (p *Pool) means(m *Message, head *http1.Response) AnswerMeaning {
 	if p.Dialect.Meaning != nil {
 		return p.Dialect.Meaning(m, head)
 	}
@@ -296,7 +296,7 @@
 	case head.Status == 200:
 		return Served
 	case (head.Status == 503 || head.Status == 504) && head.Header.Get("X-Not-Processed") == "1":
-		return Refused
+		return NotExecuted
 	}
 	return Failed
 }
@@ -315,11 +315,11 @@
 			return a, nil, nil, err
 		}
 		meaning := p.means(m, head)
-		a = upstreamconn.Answer{Status: head.Status, NotProcessed: meaning == Refused, Close: head.Close}
+		a = upstreamconn.Answer{Status: head.Status, NotProcessed: meaning == NotExecuted, Close: head.Close}
 		switch meaning {
 		case Served:
 			a.Status = 200
-		case Refused:
+		case NotExecuted:
 			a.Status = 503
 		}
 		if meaning == Served && head.Large() { // what follows its body is looked at once that has been read
--- a/internal/dataplane/upstream/upstream_test.go
+++ b/internal/dataplane/upstream/upstream_test.go
@@ -18,8 +18,8 @@
 )
 
 var words = map[decision.Outcome]string{
-	decision.Failed: "Failed", decision.Done: "Done", decision.Busy: "Busy", decision.TimedOut: "TimedOut",
-	decision.Refused: "Refused", decision.Reset: "Reset", decision.Cancelled: "Cancelled", decision.Skipped: "Skipped",
+	decision.Failed: "Failed", decision.Succeeded: "Done", decision.Rejected: "Busy", decision.TimedOut: "TimedOut",
+	decision.ConnectionRefused: "Refused", decision.ConnectionReset: "Reset", decision.Cancelled: "Cancelled", decision.NotSent: "Skipped",
 }
 
 // TestOutcomes plays every row of the protocol's table of outcomes, and what keeps connections fit for use.
@@ -112,7 +112,7 @@
 		return l.Addr().String(), asked <= 2 // before the dial, for its address, and after it
 	}, Limits{Connections: 1, ConnectTimeout: time.Minute, Keepalive: time.Minute}, log)
 	got := pool.Do(context.Background(), "s-1", &Message{Method: "GET", Target: "/", ID: "1"}, time.Now().Add(time.Minute))
-	if diff := cmp.Diff(Result{Outcome: decision.Skipped}, got); diff != "" {
+	if diff := cmp.Diff(Result{Outcome: decision.NotSent}, got); diff != "" {
 		t.Error(diff)
 	}
 	c, err := l.Accept()
@@ -132,9 +132,9 @@
 		leave bool
 		want  decision.Outcome
 	}{
-		{"client left", time.Minute, true, decision.Skipped},
-		{"time ran out", time.Millisecond, false, decision.Skipped},
-		{"no connection", time.Minute, false, decision.Refused},
+		{"client left", time.Minute, true, decision.NotSent},
+		{"time ran out", time.Millisecond, false, decision.NotSent},
+		{"no connection", time.Minute, false, decision.ConnectionRefused},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			log := logrus.New()
@@ -143,7 +143,7 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			pool.dial = func(within context.Context, _, _ string) (net.Conn, error) {
-				if tc.want == decision.Refused {
+				if tc.want == decision.ConnectionRefused {
 					return nil, syscall.ECONNREFUSED
 				}
 				if tc.leave {
@@ -198,7 +198,7 @@
 		t.Fatal(err)
 	}
 	cancel()
-	if diff := cmp.Diff(Result{Outcome: decision.Skipped}, <-result); diff != "" || pool.shelf.Up() != 0 {
+	if diff := cmp.Diff(Result{Outcome: decision.NotSent}, <-result); diff != "" || pool.shelf.Up() != 0 {
 		t.Errorf("%d connections counted as open\n%s", pool.shelf.Up(), diff)
 	}
 }
--- a/internal/dataplane/upstreamconn/hold.go
+++ b/internal/dataplane/upstreamconn/hold.go
@@ -19,15 +19,15 @@
 type Evidence struct {
 	Fresh bool             // nothing has been answered on the connection
 	Idle  decision.Seconds // since it last answered
-	Once  bool             // the request must not run twice
+	AtMostOnce  bool             // the request must not run twice
 }
 
-// Memory remembers which servers lost connections unawares, and when. It is not safe for use by several goroutines at
+// LossHistory remembers which servers lost connections unawares, and when. It is not safe for use by several goroutines at
 // once.
-type Memory struct{ lost map[string]decision.Seconds }
+type LossHistory struct{ lost map[string]decision.Seconds }
 
 // Lost tells of a connection that ended without a word while it was idle, or as a request came on it.
-func (m *Memory) Lost(server string, now decision.Seconds) {
+func (m *LossHistory) Lost(server string, now decision.Seconds) {
 	if m.lost == nil {
 		m.lost = map[string]decision.Seconds{}
 	}
@@ -35,15 +35,15 @@
 }
 
 // Hold tells whether the last byte of a request is to be held back.
-func (m *Memory) Hold(server string, now decision.Seconds, e Evidence) bool {
+func (m *LossHistory) Hold(server string, now decision.Seconds, e Evidence) bool {
 	if at, ok := m.lost[server]; ok && now-at < lostFor {
 		return true
 	}
-	return e.Once || !e.Fresh && e.Idle > idleLong
+	return e.AtMostOnce || !e.Fresh && e.Idle > idleLong
 }
 
 // Forget drops what is too old to tell anything.
-func (m *Memory) Forget(now decision.Seconds) {
+func (m *LossHistory) Forget(now decision.Seconds) {
 	for server, at := range m.lost {
 		if now-at >= lostFor {
 			delete(m.lost, server)
--- a/internal/dataplane/upstreamconn/link.go
+++ b/internal/dataplane/upstreamconn/link.go
@@ -29,13 +29,13 @@
 // ErrState tells of an event that a connection's state does not have: the host's mistake.
 var ErrState = errors.New("not in this state")
 
-// Trouble is how a connection failed.
-type Trouble uint8
+// Failure is how a connection failed.
+type Failure uint8
 
 // The troubles.
 const (
-	Broke     Trouble = iota // it ended or was reset
-	Late                     // the time for the attempt ran out
+	ConnectionLost     Failure = iota // it ended or was reset
+	TimedOut                     // the time for the attempt ran out
 	Cancelled                // the attempt was given up from here
 	Malformed                // what came is no answer
 )
@@ -52,8 +52,8 @@
 type Verdict struct {
 	Outcome  decision.Outcome
 	Answered bool   // a whole answer came to a request that was written whole: it had arrived
-	Again    bool   // the next connection may be tried for the same attempt: nothing of it has run
-	Keep     bool   // the connection goes back on the shelf
+	TryNextConnection    bool   // the next connection may be tried for the same attempt: nothing of it has run
+	Reusable     bool   // the connection goes back on the shelf
 	Code     string // of the log line, where it does not
 	Err      error  // a step that this life does not have: the host's mistake
 }
@@ -82,29 +82,29 @@
 	return nil
 }
 
-// Ready tells whether a request may still go out on a connection that was taken or opened for it: the list may have
+// MayBegin tells whether a request may still go out on a connection that was taken or opened for it: the list may have
 // changed meanwhile, the client gone, the time run out.
-func Ready(serving, sameAddress, cancelled bool, left decision.Seconds) bool {
+func MayBegin(serving, sameAddress, cancelled bool, left decision.Seconds) bool {
 	return (serving || mutated("ready-draining")) && (sameAddress || mutated("ready-moved")) && !cancelled && left > 0
 }
 
-// Goes tells whether what was held back of a request, its last byte or the first of a long body, may still go out. Once a
+// MayRelease tells whether what was held back of a request, its last byte or the first of a long body, may still go out. Once a
 // byte of a long body has gone, the rest follows it to its end: for drains a send counts from its first byte (PROTOCOL,
 // "Figures").
-func Goes(serving, cancelled bool) bool {
+func MayRelease(serving, cancelled bool) bool {
 	return (serving || mutated("held-goes")) && !cancelled
 }
 
-// Fit is what is known of a kept connection and the request that is to go out on it, where answers name the request that they are for.
-type Fit struct {
+// Reuse is what is known of a kept connection and the request that is to go out on it, where answers name the request that they are for.
+type Reuse struct {
 	Again   bool // the same request, so one under the same name, has been written to this server before
 	Once    bool // the request must not run twice
 	Unnamed bool // an answer without a name has come on the connection
 }
 
-// Fits tells whether a kept connection may be taken. A copy of an earlier answer may come on it in the place of the next: where the name does
+// MayReuse tells whether a kept connection may be taken. A copy of an earlier answer may come on it in the place of the next: where the name does
 // not tell the two apart, an old refusal would be taken for the word that the new request has not run.
-func Fits(f Fit) bool {
+func MayReuse(f Reuse) bool {
 	return !f.Again && !(f.Once && f.Unnamed && !mutated("unnamed-kept"))
 }
 
@@ -128,25 +128,25 @@
 	}
 	l.state = Idle
 	l.uses--
-	return Verdict{Outcome: decision.Skipped, Keep: true}
+	return Verdict{Outcome: decision.NotSent, Reusable: true}
 }
 
 // Unwritten is the end before the last byte of a request was written: the write failed, the server spoke or ended it
 // before, or the attempt was given up. Nothing ran. A kept connection may have been forgotten by the server, which says
 // nothing of the server: the next one may take its place. A new one is the last to be tried.
-func (l *Link) Unwritten(t Trouble) Verdict {
+func (l *Link) Unwritten(t Failure) Verdict {
 	if l.state != Writing {
 		return l.illegal("unwritten")
 	}
 	l.state = Ended
 	if mutated("unwritten-kept") {
 		l.state = Idle
-		return Verdict{Outcome: decision.Refused, Keep: true}
+		return Verdict{Outcome: decision.ConnectionRefused, Reusable: true}
 	}
 	if t == Cancelled {
-		return Verdict{Outcome: decision.Skipped, Code: "upstream-not-needed"}
+		return Verdict{Outcome: decision.NotSent, Code: "upstream-not-needed"}
 	}
-	return Verdict{Outcome: decision.Refused, Again: l.uses > 1, Code: "upstream-write-failed"}
+	return Verdict{Outcome: decision.ConnectionRefused, TryNextConnection: l.uses > 1, Code: "upstream-write-failed"}
 }
 
 // Early is the end by an answer that came before the last byte of a request was written. The connection is ended: half a
@@ -159,7 +159,7 @@
 	l.state = Ended
 	if mutated("early-kept") {
 		l.state = Idle
-		return Verdict{Outcome: Outcome(a), Keep: true}
+		return Verdict{Outcome: Outcome(a), Reusable: true}
 	}
 	return Verdict{Outcome: Outcome(a), Code: "upstream-early-answer"}
 }
@@ -190,10 +190,10 @@
 	case cancelled && !mutated("cancelled-kept"):
 		v.Code = "upstream-not-needed" // its deadline may be changed at any time from now on
 	default:
-		v.Keep = true
+		v.Reusable = true
 	}
 	l.state = Ended
-	if v.Keep {
+	if v.Reusable {
 		l.state = Idle
 	}
 	return v
@@ -203,7 +203,7 @@
 func (l *Link) Streams(a Answer, cancelled bool) Verdict {
 	v := l.Answered(a, cancelled)
 	if v.Err == nil {
-		l.state, l.last, v.Keep = Streaming, !v.Keep, false
+		l.state, l.last, v.Reusable = Streaming, !v.Reusable, false
 	}
 	return v
 }
@@ -219,49 +219,49 @@
 		return Verdict{Code: "upstream-stream-ended"}
 	}
 	l.state = Idle
-	return Verdict{Keep: true}
+	return Verdict{Reusable: true}
 }
 
 // Outcome is what an answer means (PROTOCOL, "Ingresses to quote servers").
 func Outcome(a Answer) decision.Outcome {
 	switch {
 	case a.Status == 200:
-		return decision.Done
+		return decision.Succeeded
 	case (a.Status == 503 || a.Status == 504) && (a.NotProcessed || mutated("busy-unproven")):
-		return decision.Busy
+		return decision.Rejected
 	}
 	if mutated("error-proves") {
-		return decision.Busy
+		return decision.Rejected
 	}
 	return decision.Failed
 }
 
 // Unanswered is the end without an answer after the request was written whole. It may have run, or may yet.
-func (l *Link) Unanswered(t Trouble) Verdict {
+func (l *Link) Unanswered(t Failure) Verdict {
 	if l.state != Awaiting {
 		return l.illegal("unanswered")
 	}
 	l.state = Ended
 	switch {
-	case mutated("reset-proves") && t == Broke:
-		return Verdict{Outcome: decision.Refused, Code: "upstream-reset"}
-	case mutated("late-proves") && t == Late:
-		return Verdict{Outcome: decision.Skipped, Code: "upstream-timeout"}
+	case mutated("reset-proves") && t == ConnectionLost:
+		return Verdict{Outcome: decision.ConnectionRefused, Code: "upstream-reset"}
+	case mutated("late-proves") && t == TimedOut:
+		return Verdict{Outcome: decision.NotSent, Code: "upstream-timeout"}
 	case mutated("cancel-proves") && t == Cancelled:
-		return Verdict{Outcome: decision.Skipped, Code: "upstream-cancelled"}
+		return Verdict{Outcome: decision.NotSent, Code: "upstream-cancelled"}
 	case mutated("spoilt-kept") && t == Malformed:
 		l.state = Idle
-		return Verdict{Outcome: decision.Failed, Keep: true}
+		return Verdict{Outcome: decision.Failed, Reusable: true}
 	}
 	switch t {
 	case Cancelled:
 		return Verdict{Outcome: decision.Cancelled, Code: "upstream-cancelled"}
-	case Late:
+	case TimedOut:
 		return Verdict{Outcome: decision.TimedOut, Code: "upstream-timeout"}
 	case Malformed:
 		return Verdict{Outcome: decision.Failed, Code: "upstream-bad-answer"}
 	}
-	return Verdict{Outcome: decision.Reset, Code: "upstream-reset"}
+	return Verdict{Outcome: decision.ConnectionReset, Code: "upstream-reset"}
 }
 
 // Drop ends an idle connection.
@@ -270,5 +270,5 @@
 // illegal is the safe way out of a mistake: the connection is ended, and what was on it may have run.
 func (l *Link) illegal(what string) Verdict {
 	l.state = Ended
-	return Verdict{Outcome: decision.Reset, Code: "upstream-illegal", Err: fmt.Errorf("%s: %w", what, ErrState)}
+	return Verdict{Outcome: decision.ConnectionReset, Code: "upstream-illegal", Err: fmt.Errorf("%s: %w", what, ErrState)}
 }
--- a/internal/dataplane/upstreamconn/link_test.go
+++ b/internal/dataplane/upstreamconn/link_test.go
@@ -27,13 +27,13 @@
 			return l.Answered(a, cancelled)
 		}
 	}
-	unanswered := func(tr Trouble) func(*Link) Verdict {
+	unanswered := func(tr Failure) func(*Link) Verdict {
 		return func(l *Link) Verdict {
 			written(l)
 			return l.Unanswered(tr)
 		}
 	}
-	unwritten := func(tr Trouble) func(*Link) Verdict {
+	unwritten := func(tr Failure) func(*Link) Verdict {
 		return func(l *Link) Verdict {
 			l.Begin()
 			return l.Unwritten(tr)
@@ -46,24 +46,24 @@
 		want  Verdict
 		state State
 	}{
-		{"200", false, answered(Answer{Status: 200}, false), Verdict{Outcome: decision.Done, Answered: true, Keep: true}, Idle},
-		{"200 and a cancel", false, answered(Answer{Status: 200}, true), Verdict{Outcome: decision.Done, Answered: true, Code: "upstream-not-needed"}, Ended},
-		{"200 and its close", true, answered(Answer{Status: 200, Close: true}, false), Verdict{Outcome: decision.Done, Answered: true, Code: "upstream-close"}, Ended},
-		{"200 and more", true, answered(Answer{Status: 200, More: true}, false), Verdict{Outcome: decision.Done, Answered: true, Code: "upstream-bad-answer"}, Ended},
-		{"500", false, answered(Answer{Status: 500}, false), Verdict{Outcome: decision.Failed, Answered: true, Keep: true}, Idle},
-		{"500 not processed", false, answered(Answer{Status: 500, NotProcessed: true}, false), Verdict{Outcome: decision.Failed, Answered: true, Keep: true}, Idle},
-		{"503", false, answered(Answer{Status: 503}, false), Verdict{Outcome: decision.Failed, Answered: true, Keep: true}, Idle},
-		{"503 not processed", false, answered(Answer{Status: 503, NotProcessed: true}, false), Verdict{Outcome: decision.Busy, Answered: true, Keep: true}, Idle},
-		{"504 not processed and a cancel", false, answered(Answer{Status: 504, NotProcessed: true}, true), Verdict{Outcome: decision.Busy, Answered: true, Code: "upstream-not-needed"}, Ended},
-		{"breaks before the last byte, new", false, unwritten(Broke), Verdict{Outcome: decision.Refused, Code: "upstream-write-failed"}, Ended},
-		{"breaks before the last byte, kept", true, unwritten(Broke), Verdict{Outcome: decision.Refused, Again: true, Code: "upstream-write-failed"}, Ended},
-		{"cancelled before the last byte", true, unwritten(Cancelled), Verdict{Outcome: decision.Skipped, Code: "upstream-not-needed"}, Ended},
-		{"breaks after it", true, unanswered(Broke), Verdict{Outcome: decision.Reset, Code: "upstream-reset"}, Ended},
-		{"silent", true, unanswered(Late), Verdict{Outcome: decision.TimedOut, Code: "upstream-timeout"}, Ended},
+		{"200", false, answered(Answer{Status: 200}, false), Verdict{Outcome: decision.Succeeded, Answered: true, Reusable: true}, Idle},
+		{"200 and a cancel", false, answered(Answer{Status: 200}, true), Verdict{Outcome: decision.Succeeded, Answered: true, Code: "upstream-not-needed"}, Ended},
+		{"200 and its close", true, answered(Answer{Status: 200, Close: true}, false), Verdict{Outcome: decision.Succeeded, Answered: true, Code: "upstream-close"}, Ended},
+		{"200 and more", true, answered(Answer{Status: 200, More: true}, false), Verdict{Outcome: decision.Succeeded, Answered: true, Code: "upstream-bad-answer"}, Ended},
+		{"500", false, answered(Answer{Status: 500}, false), Verdict{Outcome: decision.Failed, Answered: true, Reusable: true}, Idle},
+		{"500 not processed", false, answered(Answer{Status: 500, NotProcessed: true}, false), Verdict{Outcome: decision.Failed, Answered: true, Reusable: true}, Idle},
+		{"503", false, answered(Answer{Status: 503}, false), Verdict{Outcome: decision.Failed, Answered: true, Reusable: true}, Idle},
+		{"503 not processed", false, answered(Answer{Status: 503, NotProcessed: true}, false), Verdict{Outcome: decision.Rejected, Answered: true, Reusable: true}, Idle},
+		{"504 not processed and a cancel", false, answered(Answer{Status: 504, NotProcessed: true}, true), Verdict{Outcome: decision.Rejected, Answered: true, Code: "upstream-not-needed"}, Ended},
+		{"breaks before the last byte, new", false, unwritten(ConnectionLost), Verdict{Outcome: decision.ConnectionRefused, Code: "upstream-write-failed"}, Ended},
+		{"breaks before the last byte, kept", true, unwritten(ConnectionLost), Verdict{Outcome: decision.ConnectionRefused, TryNextConnection: true, Code: "upstream-write-failed"}, Ended},
+		{"cancelled before the last byte", true, unwritten(Cancelled), Verdict{Outcome: decision.NotSent, Code: "upstream-not-needed"}, Ended},
+		{"breaks after it", true, unanswered(ConnectionLost), Verdict{Outcome: decision.ConnectionReset, Code: "upstream-reset"}, Ended},
+		{"silent", true, unanswered(TimedOut), Verdict{Outcome: decision.TimedOut, Code: "upstream-timeout"}, Ended},
 		{"cancelled after it", true, unanswered(Cancelled), Verdict{Outcome: decision.Cancelled, Code: "upstream-cancelled"}, Ended},
 		{"no answer", true, unanswered(Malformed), Verdict{Outcome: decision.Failed, Code: "upstream-bad-answer"}, Ended},
-		{"not begun", true, func(l *Link) Verdict { l.Begin(); return l.NotBegun() }, Verdict{Outcome: decision.Skipped, Keep: true}, Idle},
-		{"an answer to nothing", true, func(l *Link) Verdict { return l.Answered(Answer{Status: 200}, false) }, Verdict{Outcome: decision.Reset, Code: "upstream-illegal", Err: ErrState}, Ended},
+		{"not begun", true, func(l *Link) Verdict { l.Begin(); return l.NotBegun() }, Verdict{Outcome: decision.NotSent, Reusable: true}, Idle},
+		{"an answer to nothing", true, func(l *Link) Verdict { return l.Answered(Answer{Status: 200}, false) }, Verdict{Outcome: decision.ConnectionReset, Code: "upstream-illegal", Err: ErrState}, Ended},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := &Link{}
@@ -83,13 +83,13 @@
 // A kept connection is taken where the names of answers tell a copy of an earlier one from the request's own.
 func TestFits(t *testing.T) {
 	for _, tc := range []struct {
-		f    Fit
+		f    Reuse
 		want bool
 	}{
-		{Fit{}, true}, {Fit{Once: true}, true}, {Fit{Unnamed: true}, true}, {Fit{Once: true, Unnamed: true}, false},
-		{Fit{Again: true}, false}, {Fit{Again: true, Once: true}, false}, {Fit{Again: true, Unnamed: true}, false}, {Fit{Again: true, Once: true, Unnamed: true}, false},
+		{Reuse{}, true}, {Reuse{Once: true}, true}, {Reuse{Unnamed: true}, true}, {Reuse{Once: true, Unnamed: true}, false},
+		{Reuse{Again: true}, false}, {Reuse{Again: true, Once: true}, false}, {Reuse{Again: true, Unnamed: true}, false}, {Reuse{Again: true, Once: true, Unnamed: true}, false},
 	} {
-		if got := Fits(tc.f); got != tc.want {
+		if got := MayReuse(tc.f); got != tc.want {
 			t.Errorf("%+v: %v", tc.f, got)
 		}
 	}
@@ -104,7 +104,7 @@
 		whole, more   bool
 		want          Verdict
 	}{
-		{"whole", 0, false, false, true, false, Verdict{Keep: true}},
+		{"whole", 0, false, false, true, false, Verdict{Reusable: true}},
 		{"cut", 0, false, false, false, false, Verdict{Code: "upstream-stream-cut"}},
 		{"more behind it", 0, false, false, true, true, Verdict{Code: "upstream-stream-ended"}},
 		{"the server closes", 0, true, false, true, false, Verdict{Code: "upstream-stream-ended"}},
@@ -113,7 +113,7 @@
 		{"behind four", 4, false, false, true, false, Verdict{Code: "upstream-stream-ended"}},
 	} {
 		l := &Link{}
-		if l.Other() || l.Streamed(true, false).Keep {
+		if l.Other() || l.Streamed(true, false).Reusable {
 			t.Errorf("%s: before anything was written", tc.name)
 		}
 		*l = Link{}
@@ -125,10 +125,10 @@
 			}
 		}
 		v := l.Streams(Answer{Status: 200, Close: tc.close}, tc.cancel)
-		if v.Keep || v.Outcome != decision.Done || l.State() != Streaming || l.Begin() == nil {
+		if v.Reusable || v.Outcome != decision.Succeeded || l.State() != Streaming || l.Begin() == nil {
 			t.Errorf("%s: %+v, %v", tc.name, v, l.State())
 		}
-		if got := l.Streamed(tc.whole, tc.more); got != tc.want || (l.State() == Idle) != tc.want.Keep {
+		if got := l.Streamed(tc.whole, tc.more); got != tc.want || (l.State() == Idle) != tc.want.Reusable {
 			t.Errorf("%s: %+v, want %+v", tc.name, got, tc.want)
 		}
 	}
@@ -143,7 +143,7 @@
 }
 
 func TestHold(t *testing.T) {
-	var m Memory
+	var m LossHistory
 	m.Lost("bad", 100)
 	for _, tc := range []struct {
 		server string
@@ -152,7 +152,7 @@
 		want   bool
 	}{
 		{"good", 101, Evidence{Fresh: true}, false}, {"good", 101, Evidence{Idle: 0.5}, false}, {"good", 101, Evidence{Idle: 1.5}, true},
-		{"good", 101, Evidence{Fresh: true, Once: true}, true}, {"good", 101, Evidence{Idle: 0.01, Once: true}, true},
+		{"good", 101, Evidence{Fresh: true, AtMostOnce: true}, true}, {"good", 101, Evidence{Idle: 0.01, AtMostOnce: true}, true},
 		{"bad", 101, Evidence{Fresh: true}, true}, {"bad", 109, Evidence{Idle: 0.01}, true}, {"bad", 111, Evidence{Idle: 0.01}, false},
 	} {
 		if got := m.Hold(tc.server, tc.now, tc.e); got != tc.want {
@@ -172,7 +172,7 @@
 // A shelf used by chance: what is up is what was taken and not told as gone, in no more places than there are.
 func TestShelf(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	s, next, full, spares := NewShelf[int](5), 0, 0, 0
+	s, next, full, spares := NewIdlePool[int](5), 0, 0, 0
 	busy, idle, where := map[int]string{}, map[int]string{}, map[int]float64{}
 	any := func(m map[int]string) int {
 		for id := range next {
--- a/internal/dataplane/upstreamconn/shelf.go
+++ b/internal/dataplane/upstreamconn/shelf.go
@@ -2,32 +2,32 @@
 
 import "mulleinrouter/internal/decision"
 
-// Shelf keeps the idle connections to all servers, and counts those that are up. C is whatever the host has for a
+// IdlePool keeps the idle connections to all servers, and counts those that are up. C is whatever the host has for a
 // connection. It is not safe for use by several goroutines at once.
-type Shelf[C any] struct {
-	Most int // up at once, to all servers
+type IdlePool[C any] struct {
+	Max int // up at once, to all servers
 
-	idle map[string][]Kept[C] // by server, the one used last at the end
+	idle map[string][]IdleConn[C] // by server, the one used last at the end
 	up   int
 }
 
-// Kept is an idle connection.
-type Kept[C any] struct {
+// IdleConn is an idle connection.
+type IdleConn[C any] struct {
 	Conn  C
 	Since decision.Seconds // idle since then
 }
 
-// NewShelf returns an empty shelf.
-func NewShelf[C any](most int) *Shelf[C] { return &Shelf[C]{Most: most, idle: map[string][]Kept[C]{}} }
+// NewIdlePool returns an empty shelf.
+func NewIdlePool[C any](most int) *IdlePool[C] { return &IdlePool[C]{Max: most, idle: map[string][]IdleConn[C]{}} }
 
 // Up is how many connections are up, idle or not, or about to be.
-func (s *Shelf[C]) Up() int { return s.up }
+func (s *IdlePool[C]) Up() int { return s.up }
 
 // Idle is how many connections to a server are idle.
-func (s *Shelf[C]) Idle(server string) int { return len(s.idle[server]) }
+func (s *IdlePool[C]) Idle(server string) int { return len(s.idle[server]) }
 
 // Take takes the connection to a server that was used last, if one is idle.
-func (s *Shelf[C]) Take(server string) (c Kept[C], ok bool) {
+func (s *IdlePool[C]) Take(server string) (c IdleConn[C], ok bool) {
 	list := s.idle[server]
 	if len(list) == 0 {
 		return c, false
@@ -40,7 +40,7 @@
 	return c, true
 }
 
-func (s *Shelf[C]) set(server string, list []Kept[C]) {
+func (s *IdlePool[C]) set(server string, list []IdleConn[C]) {
 	if len(list) == 0 {
 		delete(s.idle, server) // guards against an entry for each server that ever was
 		return
@@ -50,8 +50,8 @@
 
 // Room makes a place for a new connection, which counts as up from then on. Spare is one to end for it, if there is
 // one; not ok: all places are taken by connections in use.
-func (s *Shelf[C]) Room() (spare C, end, ok bool) {
-	if s.up >= s.Most {
+func (s *IdlePool[C]) Room() (spare C, end, ok bool) {
+	if s.up >= s.Max {
 		from := ""
 		for server, list := range s.idle {
 			if from == "" || list[0].Since < s.idle[from][0].Since {
@@ -69,15 +69,15 @@
 }
 
 // Put puts a connection back.
-func (s *Shelf[C]) Put(server string, c C, now decision.Seconds) {
+func (s *IdlePool[C]) Put(server string, c C, now decision.Seconds) {
 	if mutated("put-twice") {
-		s.idle[server] = append(s.idle[server], Kept[C]{c, now})
+		s.idle[server] = append(s.idle[server], IdleConn[C]{c, now})
 	}
-	s.idle[server] = append(s.idle[server], Kept[C]{c, now})
+	s.idle[server] = append(s.idle[server], IdleConn[C]{c, now})
 }
 
 // Gone tells that a connection that was up is no more, or that one never came up.
-func (s *Shelf[C]) Gone() {
+func (s *IdlePool[C]) Gone() {
 	if !mutated("gone-uncounted") {
 		s.up--
 	}
@@ -85,7 +85,7 @@
 
 // Old takes out the connections that have been idle since before a time, and those to servers that are to get nothing
 // new.
-func (s *Shelf[C]) Old(before decision.Seconds, serving func(server string) bool) (old []C) {
+func (s *IdlePool[C]) Old(before decision.Seconds, serving func(server string) bool) (old []C) {
 	for server, list := range s.idle {
 		n := 0
 		if !serving(server) {
@@ -103,7 +103,7 @@
 }
 
 // Last is the idle connection to a server that was used last, to look at.
-func (s *Shelf[C]) Last(server string) (c C, ok bool) {
+func (s *IdlePool[C]) Last(server string) (c C, ok bool) {
 	if list := s.idle[server]; len(list) > 0 {
 		return list[len(list)-1].Conn, true
 	}
--- a/internal/dataplane/usage/usage.go
+++ b/internal/dataplane/usage/usage.go
@@ -40,9 +40,9 @@
 // are taken when the first attempt has arrived, not when it has run.
 func ArrivalOf(outcome decision.Outcome, answered bool) Arrival {
 	switch {
-	case answered || outcome == decision.Done || outcome == decision.Busy:
+	case answered || outcome == decision.Succeeded || outcome == decision.Rejected:
 		return Whole
-	case outcome == decision.Refused || outcome == decision.Skipped:
+	case outcome == decision.ConnectionRefused || outcome == decision.NotSent:
 		return Never
 	}
 	return Unknown // written whole, and then broken, silent or given up
--- a/internal/dataplane/usage/usage_test.go
+++ b/internal/dataplane/usage/usage_test.go
@@ -31,10 +31,10 @@
 		answered bool
 		want     Arrival
 	}{
-		{decision.Done, true, Whole}, {decision.Busy, true, Whole}, {decision.Failed, true, Whole}, // a 500
+		{decision.Succeeded, true, Whole}, {decision.Rejected, true, Whole}, {decision.Failed, true, Whole}, // a 500
 		{decision.Failed, false, Unknown}, // what came was no answer
-		{decision.TimedOut, false, Unknown}, {decision.Reset, false, Unknown}, {decision.Cancelled, false, Unknown},
-		{decision.Refused, false, Never}, {decision.Skipped, false, Never},
+		{decision.TimedOut, false, Unknown}, {decision.ConnectionReset, false, Unknown}, {decision.Cancelled, false, Unknown},
+		{decision.ConnectionRefused, false, Never}, {decision.NotSent, false, Never},
 	} {
 		if got := ArrivalOf(tc.outcome, tc.answered); got != tc.want {
 			t.Errorf("outcome %v, answered %v: %v, want %v", tc.outcome, tc.answered, got, tc.want)
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -42,23 +42,23 @@
 
 // holdUntil is when a request that finds no backend is to be refused.
 func (r *request) holdUntil() Seconds {
-	wait := cmp.Or(r.class.Hold, holdShare*r.class.Aim)
+	wait := cmp.Or(r.class.MaxQueueTime, holdShare*r.class.LatencyTarget)
 	return min(r.arrived+wait, r.aimAt, r.dueAt-2*tickEvery)
 }
 
 func (g *Gateway) start(r *request, b *backend) {
 	if c := r.c; len(r.attempts) == 0 && g.now > r.common {
-		if g.topUp(c); c.plan.CeilingRate > 0 && c.ceiling < r.Units {
+		if g.topUp(c); c.plan.LimitRate > 0 && c.ceiling < r.Units {
 			g.refuse(r)
 			return
 		}
 		c.ceiling = max(0, c.ceiling-r.Units)
 	}
 	timeout, rest, patience := 0.0, r.aimAt-g.now, g.patienceWith(r)
-	if r.class.Effect == Safe && r.class.LateWorth == 0 && rest > 0 && rest+tickEvery <= r.dueAt-g.now {
+	if r.class.Effect == Idempotent && r.class.LateValue == 0 && rest > 0 && rest+tickEvery <= r.dueAt-g.now {
 		timeout = rest + tickEvery // nothing is earned after the aim: free the backend
 		// Far beyond the usual time none will come (the connection fell silent): another can be in time.
-		early := max(silentShare*r.class.Aim, silentTimes*r.pool.lat)
+		early := max(silentShare*r.class.LatencyTarget, silentTimes*r.pool.lat)
 		if len(r.attempts) == 0 && 2*early < rest {
 			timeout = early
 		}
@@ -89,9 +89,9 @@
 
 // again decides what follows an attempt that was not served. What may have run is sent again if harmless.
 func (g *Gateway) again(r *request, proven, spent bool) {
-	late := g.now > r.aimAt && r.class.LateWorth == 0 || r.dueAt-g.now <= 2*g.s.AnswerSlack
-	most := cmp.Or(r.class.Attempts, g.s.MaxAttempts)
-	if (r.class.Effect == Safe || !r.mayHaveRun()) && !late && !spent && len(r.attempts) < most {
+	late := g.now > r.aimAt && r.class.LateValue == 0 || r.dueAt-g.now <= 2*g.s.AnswerSlack
+	most := cmp.Or(r.class.MaxAttempts, g.s.MaxAttempts)
+	if (r.class.Effect == Idempotent || !r.mayHaveRun()) && !late && !spent && len(r.attempts) < most {
 		if b := g.pick(r); b != nil && r.pool.retries.Again(g.now, proven, len(g.held) > 0) {
 			g.start(r, b)
 			return
@@ -106,7 +106,7 @@
 
 // giveUp gives the final answer: a refusal only where a new try surely does no harm.
 func (g *Gateway) giveUp(r *request) {
-	if !r.mayHaveRun() || r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll {
+	if !r.mayHaveRun() || r.class.Effect == Idempotent || r.class.Effect == IdempotentByKey && r.class.Scope == ScopeAll {
 		g.refuse(r)
 		return
 	}
@@ -128,7 +128,7 @@
 		return
 	}
 	a := &r.attempts[e.Attempt]
-	b, proven := a.b, e.Outcome.Proves()
+	b, proven := a.b, e.Outcome.ProvesNotExecuted()
 	a.ended, a.mayRun = true, !proven
 	r.out--
 	r.c.open--
@@ -140,19 +140,19 @@
 		b.ghosts++ // whether work stops when nobody waits for it is not told
 	}
 	g.judge(b, r, a, e)
-	if e.Outcome != Cancelled && e.Outcome != Skipped {
-		r.pool.retries.Ended(g.now, e.Outcome == Done)
+	if e.Outcome != Cancelled && e.Outcome != NotSent {
+		r.pool.retries.Ended(g.now, e.Outcome == Succeeded)
 	}
-	if e.Outcome == Done && e.Units > 0 && r.inside && r.c.plan.Rate > 0 && !r.answered {
+	if e.Outcome == Succeeded && e.Units > 0 && r.inside && r.c.plan.Rate > 0 && !r.answered {
 		r.c.level -= e.Units - r.Units
 	}
 	switch {
 	case r.answered:
-	case e.Settled || e.Outcome == Done:
+	case e.Answered || e.Outcome == Succeeded:
 		g.end(r)
 		g.cancel(r)
 	default:
-		g.again(r, proven, e.Spent)
+		g.again(r, proven, e.BodyConsumed)
 	}
 	if r.answered && r.out == 0 {
 		delete(g.requests, r.ID)
@@ -187,11 +187,11 @@
 	g.open = slices.DeleteFunc(g.open, func(r *request) bool {
 		for i := range r.attempts {
 			a := &r.attempts[i]
-			if !a.ended && !a.slow && g.now-a.sent > slowAt*r.class.Aim {
+			if !a.ended && !a.slow && g.now-a.sent > slowAt*r.class.LatencyTarget {
 				a.slow = true
 				g.adapt(a.b, true)
 			}
-			if !a.ended && !a.late && g.now-a.sent > r.class.Aim {
+			if !a.ended && !a.late && g.now-a.sent > r.class.LatencyTarget {
 				a.late = true
 				g.failed(a.b, false)
 			}
--- a/internal/decision/bodies.go
+++ b/internal/decision/bodies.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// Uploading tells that the body of a request whose attempt has just been decided on is on its way up. Until Arrived,
+// BodyUploading tells that the body of a request whose attempt has just been decided on is on its way up. Until Arrived,
 // the attempt is neither slow nor late, and its backend owes it no answer: how long a body takes is its client's doing.
 // It is not part of the simulator's policy: there, requests have no bodies.
-func (g *Gateway) Uploading(id uint64) {
+func (g *Gateway) BodyUploading(id uint64) {
 	if a := g.lastAttempt(id); a != nil {
 		a.sent = math.Inf(1)
 		if a.b.out == 1 {
@@ -14,8 +14,8 @@
 	}
 }
 
-// Arrived tells that the body has gone out whole: from now on the backend works on the request.
-func (g *Gateway) Arrived(now Seconds, id uint64) {
+// BodyUploaded tells that the body has gone out whole: from now on the backend works on the request.
+func (g *Gateway) BodyUploaded(now Seconds, id uint64) {
 	if a := g.lastAttempt(id); a != nil {
 		a.sent = now
 		if a.b.waiting == 0 {
--- a/internal/decision/campus_test.go
+++ b/internal/decision/campus_test.go
@@ -44,14 +44,14 @@
 type answer struct {
 	at Seconds
 	to int
-	Counted
+	CounterReply
 }
 
 func newCampus(t *testing.T, seed uint64, doors int, p Plan) *campus {
-	c := &campus{T: t, rnd: rand.New(rand.NewPCG(seed, 1)), m: counter{}, sent: map[string]float64{}, asked: map[uint64]Request{}, now: 100, ceiling: p.CeilingDepth}
+	c := &campus{T: t, rnd: rand.New(rand.NewPCG(seed, 1)), m: counter{}, sent: map[string]float64{}, asked: map[uint64]Request{}, now: 100, ceiling: p.LimitBurst}
 	c.s = testSettings()
-	c.s.Classes[1].Worth = 5.0 / 3 // keyed; the safe one is worth 1
-	c.s.Balancers, c.s.MaxUnits, c.s.CountWait, c.s.Plans = doors, 6, 0.08, []Plan{p}
+	c.s.Classes[1].Value = 5.0 / 3 // keyed; the safe one is worth 1
+	c.s.Gateways, c.s.MaxUnits, c.s.CounterTimeout, c.s.Plans = doors, 6, 0.08, []Plan{p}
 	for range doors {
 		c.at = append(c.at, nil)
 		c.start(len(c.at) - 1)
@@ -62,7 +62,7 @@
 // start starts a gateway; one that runs is killed before.
 func (c *campus) start(i int) {
 	s := c.s
-	s.Me = i
+	s.Index = i
 	c.at[i] = New(s, c.rnd.Uint64())
 	c.at[i].Handle(c.now, Start{})
 	c.at[i].Handle(c.now, Backends{Complete: true, List: []Backend{up("x", 0), up("y", 0), up("z", 0)}})
@@ -71,9 +71,9 @@
 func (c *campus) do(i int, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Count:
+		case CounterCall:
 			if c.silent {
-				c.due = append(c.due, answer{c.now + c.s.CountWait, i, Counted{Name: a.Name, Outcome: TimedOut}})
+				c.due = append(c.due, answer{c.now + c.s.CounterTimeout, i, CounterReply{Name: a.Name, Outcome: TimedOut}})
 			} else {
 				c.due = append(c.due, answer{c.now + c.late*c.rnd.Float64(), i, c.m.add(a)})
 			}
@@ -83,7 +83,7 @@
 			c.largest = max(c.largest, r.Units)
 			c.ceiling -= r.Units
 			c.lowest = min(c.lowest, c.ceiling)
-			c.do(i, c.at[i].Handle(c.now, AttemptEnded{ID: a.ID, Backend: a.Backend, Attempt: 0, Outcome: Done, Took: 0.01, Settled: true, Units: c.settled(r.Units)}))
+			c.do(i, c.at[i].Handle(c.now, AttemptEnded{ID: a.ID, Backend: a.Backend, Attempt: 0, Outcome: Succeeded, Duration: 0.01, Answered: true, Units: c.settled(r.Units)}))
 		}
 	}
 }
@@ -110,14 +110,14 @@
 	for until := c.now + span; c.now < until; {
 		before := c.now
 		c.now += 0.05
-		c.ceiling = min(p.CeilingDepth, c.ceiling+p.CeilingRate*(c.now-before))
+		c.ceiling = min(p.LimitBurst, c.ceiling+p.LimitRate*(c.now-before))
 		due := c.due
 		c.due = nil
 		for _, d := range due {
 			if d.at > c.now {
 				c.due = append(c.due, d)
 			} else {
-				c.do(d.to, c.at[d.to].Handle(c.now, d.Counted))
+				c.do(d.to, c.at[d.to].Handle(c.now, d.CounterReply))
 			}
 		}
 		for i, g := range c.at {
@@ -129,7 +129,7 @@
 				i = 0
 			}
 			c.id++
-			r := Request{ID: c.id, Class: []string{"safe", "keyed"}[c.rnd.IntN(2)], Plan: p.Name, Customer: "c", Left: 6, Units: float64(1 + c.rnd.IntN(6)), Doors: len(c.at)}
+			r := Request{ID: c.id, Class: []string{"safe", "keyed"}[c.rnd.IntN(2)], Plan: p.Name, Customer: "c", TimeLeft: 6, Units: float64(1 + c.rnd.IntN(6)), Gateways: len(c.at)}
 			c.asked[r.ID] = r
 			c.plain.ask(p, c.now, r.Units)
 			c.do(i, c.at[i].Handle(c.now, r))
@@ -143,11 +143,11 @@
 	for seed := range uint64(60) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
 		doors := 2 + int(seed%3)
-		p := Plan{Name: "multi", Rate: 3.5 + 2.6*rnd.Float64(), Price: 1.2, BeyondCosts: 0.8}
+		p := Plan{Name: "multi", Rate: 3.5 + 2.6*rnd.Float64(), ValueWeight: 1.2, ExcessCost: 0.8}
 		p.Burst = max(24, p.Rate*(3.1+2.1*rnd.Float64()))
 		over := 1.8 + 0.5*rnd.Float64()
-		p.CeilingRate, p.CeilingDepth = over*p.Rate, over*p.Burst
-		p.CeilingSlack = max(6, 0.1*p.CeilingDepth)
+		p.LimitRate, p.LimitBurst = over*p.Rate, over*p.Burst
+		p.LimitSlack = max(6, 0.1*p.LimitBurst)
 		c := newCampus(t, seed, doors, p)
 		c.late = 0.02
 		for range 6 {
@@ -167,15 +167,15 @@
 		}
 		c.silent = true
 		c.play(14, 8*p.Rate, 0.5)
-		if c.lowest < -p.CeilingSlack {
-			t.Errorf("seed %d: %d gateways: the store of the ceiling came down to %.1f, slack %.1f", seed, doors, c.lowest, p.CeilingSlack)
+		if c.lowest < -p.LimitSlack {
+			t.Errorf("seed %d: %d gateways: the store of the ceiling came down to %.1f, slack %.1f", seed, doors, c.lowest, p.LimitSlack)
 		}
 	}
 }
 
 // At the start nobody is refused for a ceiling that no gateway has used yet: what is inside the quota's burst runs in the first second.
 func TestBurstRunsAtTheStart(t *testing.T) {
-	p := Plan{Name: "multi", Rate: 5, Burst: 24, Price: 1.2, BeyondCosts: 0.8, CeilingRate: 10, CeilingDepth: 48, CeilingSlack: 6}
+	p := Plan{Name: "multi", Rate: 5, Burst: 24, ValueWeight: 1.2, ExcessCost: 0.8, LimitRate: 10, LimitBurst: 48, LimitSlack: 6}
 	sum := 0.0
 	for seed := range uint64(40) {
 		c := newCampus(t, seed, 3, p)
@@ -189,7 +189,7 @@
 
 // A store of small members holds one request, be it larger than the even part of the burst: none is always refused.
 func TestLargestRequestIsNotRefusedForEver(t *testing.T) {
-	p := Plan{Name: "small", Rate: 1.6, Burst: 12, Price: 1, BeyondCosts: 1.2}
+	p := Plan{Name: "small", Rate: 1.6, Burst: 12, ValueWeight: 1, ExcessCost: 1.2}
 	for doors := 2; doors <= 4; doors++ {
 		c := newCampus(t, uint64(doors), doors, p)
 		c.play(30, 4, 0)
@@ -213,7 +213,7 @@
 
 // A member that asks for more than its quota has more of its dear requests let through than of the others; one that does not, all of both.
 func TestDearerRequestsFirst(t *testing.T) {
-	p := Plan{Name: "multi", Rate: 5, Burst: 24, Price: 1, BeyondCosts: 1}
+	p := Plan{Name: "multi", Rate: 5, Burst: 24, ValueWeight: 1, ExcessCost: 1}
 	for _, tc := range []struct{ units, least, most float64 }{{15, 1.3, 2}, {2, 0.9, 1.1}} {
 		c := newCampus(t, 1, 3, p)
 		c.late = 0.01
@@ -229,7 +229,7 @@
 // Stores are overbooked, what comes into them is not: over any span, what runs is within the quota and one and a half bursts, wherever it is asked; and
 // in the long run near the quota.
 func TestOverbookedStoresKeepTheRate(t *testing.T) {
-	p := Plan{Name: "b", Rate: 6, Burst: 30, Price: 1, BeyondCosts: 1}
+	p := Plan{Name: "b", Rate: 6, Burst: 30, ValueWeight: 1, ExcessCost: 1}
 	for seed := range uint64(20) {
 		c := newCampus(t, seed, 2+int(seed%3), p)
 		c.late = 0.01
@@ -254,7 +254,7 @@
 	for seed := range uint64(12) {
 		rnd, doors := rand.New(rand.NewPCG(seed, 3)), 2+int(seed%3)
 		s := testSettings()
-		s.Balancers, s.ColdShare, s.WarmUp, s.OverloadFactor, s.OverloadFor = doors, 0.18, 17, 3, 1.5
+		s.Gateways, s.SlowStartShare, s.SlowStartTime, s.OverloadFactor, s.OverloadFor = doors, 0.18, 17, 3, 1.5
 		var gateways []*Gateway
 		var heard []Seconds
 		warm := []Backend{}
@@ -262,7 +262,7 @@
 			warm = append(warm, up(fmt.Sprint("w", j), 0))
 		}
 		for i := range doors {
-			s.Me = i
+			s.Index = i
 			g := New(s, seed)
 			g.Handle(0, Start{})
 			g.Handle(0, Backends{Complete: true, List: warm})
@@ -293,7 +293,7 @@
 			for i, g := range gateways {
 				if heard[i] > 0 && now >= heard[i] {
 					heard[i] = 0
-					g.Handle(now, Backends{Complete: true, List: append(slices.Clone(warm), Backend{ID: "cold", Zone: "a", Serving: true, Booted: 5})})
+					g.Handle(now, Backends{Complete: true, List: append(slices.Clone(warm), Backend{ID: "cold", Zone: "a", Serving: true, StartedAt: 5})})
 				}
 				g.Handle(now, Timer{"tick"})
 			}
@@ -307,7 +307,7 @@
 						out++
 						took *= 1 + float64(out)
 					}
-					due = append(due, end{now + took, g, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Done, Took: took, Settled: true}})
+					due = append(due, end{now + took, g, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Succeeded, Duration: took, Answered: true}})
 				}
 			}
 		}
@@ -336,7 +336,7 @@
 		for doors := 2; doors <= 3; doors++ {
 			sent, plain := 0.0, 0.0
 			for seed := range uint64(4) {
-				p := Plan{Name: "small", Rate: 1.2, Burst: 12, Price: 0.88, BeyondCosts: 1.2}
+				p := Plan{Name: "small", Rate: 1.2, Burst: 12, ValueWeight: 0.88, ExcessCost: 1.2}
 				c := newCampus(t, seed, doors, p)
 				c.late = 0.02
 				for range 100 {
--- a/internal/decision/conformance/mix.go
+++ b/internal/decision/conformance/mix.go
@@ -1,7 +1,7 @@
 package conformance
 
-// Mix is what a member asks for, by worth: which part of its use, in units, each worth makes up lately. The zero value knows nothing.
-type Mix struct {
+// ValueDistribution is what a member asks for, by worth: which part of its use, in units, each worth makes up lately. The zero value knows nothing.
+type ValueDistribution struct {
 	worths, asked []float64
 	sum           float64
 }
@@ -12,7 +12,7 @@
 )
 
 // Told adds a request of a worth, in points, and what it asked, in units.
-func (m *Mix) Told(worth, units float64) {
+func (m *ValueDistribution) Told(worth, units float64) {
 	at := -1
 	for i := range m.asked {
 		m.asked[i] *= keepMix
@@ -29,7 +29,7 @@
 }
 
 // Dearer is the part of what was asked, 0 to 1, that is worth more.
-func (m *Mix) Dearer(worth float64) (part float64) {
+func (m *ValueDistribution) Dearer(worth float64) (part float64) {
 	for i, w := range m.worths {
 		if w > worth && m.sum > 0 {
 			part += m.asked[i] / m.sum
--- a/internal/decision/conformance/mix_test.go
+++ b/internal/decision/conformance/mix_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestMix(t *testing.T) {
-	var m Mix
+	var m ValueDistribution
 	if m.Dearer(1) != 0 {
 		t.Error("knows something before anything was asked")
 	}
--- a/internal/decision/conformance/odds.go
+++ b/internal/decision/conformance/odds.go
@@ -13,12 +13,12 @@
 	prior = 1.0  // answers that count as inside, before any came
 )
 
-// Odds are those of one ingress. The zero value knows nothing: all is inside.
-type Odds struct{ first, repeat mean }
+// Estimator are those of one ingress. The zero value knows nothing: all is inside.
+type Estimator struct{ first, repeat mean }
 
 type mean struct{ inside, asked float64 }
 
-func (o *Odds) of(repeat bool) *mean {
+func (o *Estimator) of(repeat bool) *mean {
 	if repeat {
 		return &o.repeat
 	}
@@ -26,13 +26,13 @@
 }
 
 // Told tells what came of a request that was asked about: the chance, 0 to 1, of it being inside its quota.
-func (o *Odds) Told(repeat bool, inside float64) {
+func (o *Estimator) Told(repeat bool, inside float64) {
 	m := o.of(repeat)
 	m.inside, m.asked = keep*m.inside+inside, keep*m.asked+1
 }
 
 // Inside is the chance that a request that is not asked about is inside its quota.
-func (o *Odds) Inside(repeat bool) float64 {
+func (o *Estimator) Inside(repeat bool) float64 {
 	m := o.of(repeat)
 	return (m.inside + prior) / (m.asked + prior)
 }
--- a/internal/decision/conformance/odds_test.go
+++ b/internal/decision/conformance/odds_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestOdds(t *testing.T) {
-	var o Odds
+	var o Estimator
 	if o.Inside(false) != 1 || o.Inside(true) != 1 {
 		t.Error("knows something before anything was told")
 	}
--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -21,58 +21,58 @@
 
 // Settings is what a gateway is told at its start. Zero values mean: not there, or no limit.
 type Settings struct {
-	Balancers int // gateways in all
-	Me        int // number of this one, from 0
+	Gateways int // gateways in all
+	Index        int // number of this one, from 0
 	Zone      string
 	Classes   []Class
 	Plans     []Plan
 
 	DrainGrace     Seconds // a drained backend may get no new work later than this
 	AnswerSlack    Seconds // an answer may come this long after the client's deadline
-	ColdShare      float64 // a backend starts at this share of its capacity at least
-	WarmUp         Seconds // and is warm after this
+	SlowStartShare      float64 // a backend starts at this share of its capacity at least
+	SlowStartTime         Seconds // and is warm after this
 	OverloadFactor float64 // sent more than this multiple of its present capacity
 	OverloadFor    Seconds // for this long, a cold backend falls over
 
 	MaxAttempts int // for one request
 	MayCancel   bool
-	// FinishUnsafe has attempts that must not run twice go on to their end where the client has left: whether they run is in doubt, and a
+	// FinishNonIdempotent has attempts that must not run twice go on to their end where the client has left: whether they run is in doubt, and a
 	// server that is at work on one is not to be broken off.
-	FinishUnsafe  bool
+	FinishNonIdempotent  bool
 	MayRetryAfter bool
 	MaxRetryAfter Seconds
 
 	ConnectTimeout Seconds // for the host: a connection not up by then counts as refused
 	Keepalive      Seconds // for the host: a backend closes connections idle for this long
 
-	MayCount  bool    // there is a counter service
-	CountFee  float64 // share of the whole result that one call for each request costs
-	CountWait Seconds // a call unanswered for this long has timed out
-	CostAfter bool    // units are guesses, settled by the first good answer
+	HasCounter  bool    // there is a counter service
+	CounterCallCost  float64 // share of the whole result that one call for each request costs
+	CounterTimeout Seconds // a call unanswered for this long has timed out
+	SettledLater bool    // units are guesses, settled by the first good answer
 	MaxUnits  float64 // the most units one request counts
 
-	Slots bool    // the size of a backend is the number of requests that it works on at a time
-	Afar  float64 // cost of a backend in another zone beside one in this gateway's own; 0: they are alike
-	Pairs bool    // counters tell a sum and how many gateways it is from (keeper.go), and are kept by the system's own nodes
-	Cycle Seconds // of these counters
+	CapacityInSlots bool    // the size of a backend is the number of requests that it works on at a time
+	RemoteZoneCost  float64 // cost of a backend in another zone beside one in this gateway's own; 0: they are alike
+	PairCounters bool    // counters tell a sum and how many gateways it is from (keeper.go), and are kept by the system's own nodes
+	CounterCycle Seconds // of these counters
 
 	// Further attempts to one group of backends, over all gateways: this share of the first ones, and so many beyond it. 0: each gateway
 	// goes by its own rule (internal/decision/retry).
 	RetryShare, RetrySlack float64
 
 	// Of a gateway that is two processes for a while; Part sets them.
-	Absent float64 // how much of the gateway another process of it is; 0: this one is all of it
-	Junior bool    // another process reports this gateway to the counter as one that asks
+	OtherShare float64 // how much of the gateway another process of it is; 0: this one is all of it
+	Secondary bool    // another process reports this gateway to the counter as one that asks
 }
 
 // Effect tells whether a class of requests may run twice.
 type Effect int
 
-// The effects: Unsafe must never run twice, Keyed only where repeats are dropped, Safe may.
+// The effects: NonIdempotent must never run twice, IdempotentByKey only where repeats are dropped, Idempotent may.
 const (
-	Unsafe Effect = iota
-	Keyed
-	Safe
+	NonIdempotent Effect = iota
+	IdempotentByKey
+	Idempotent
 )
 
 // Scope tells which backends drop the repeats of a keyed request.
@@ -89,13 +89,13 @@
 // Class is a class of requests.
 type Class struct {
 	Name      string
-	Aim       Seconds // an answer within this earns the whole worth
+	LatencyTarget       Seconds // an answer within this earns the whole worth
 	Deadline  Seconds
-	Worth     float64
-	LateWorth float64 // share of the worth an answer after the aim earns
-	Attempts  int     // for one request of it; 0: as the settings say
-	Patience  float64 // usual times of an answer after which a first attempt that may be repeated may be given up; 0: it is not
-	Hold      Seconds // it waits no longer for a backend; 0: a part of its aim
+	Value     float64
+	LateValue float64 // share of the worth an answer after the aim earns
+	MaxAttempts  int     // for one request of it; 0: as the settings say
+	SlowAttemptFactor  float64 // usual times of an answer after which a first attempt that may be repeated may be given up; 0: it is not
+	MaxQueueTime      Seconds // it waits no longer for a backend; 0: a part of its aim
 	Effect    Effect
 	Scope     Scope // of a keyed class
 }
@@ -105,13 +105,13 @@
 	Name         string  `json:"Name"`
 	Rate         float64 `json:"Rate"`        // quota, in units a second; 0: none
 	Burst        float64 `json:"Burst"`       // units that may be used at once
-	Open         int     `json:"Open"`        // quota on attempts out at once; 0: none
-	Price        float64 `json:"Price"`       // multiplies the worth
-	ExcessWorth  float64 `json:"ExcessWorth"` // share of its worth that a request sent on beyond the quota earns
-	BeyondCosts  float64 `json:"BeyondCosts"` // share of its worth that such a request costs
-	CeilingRate  float64 `json:"CeilingRate"` // hard ceiling, in units a second; 0: none
-	CeilingDepth float64 `json:"CeilingDepth"`
-	CeilingSlack float64 `json:"CeilingSlack"`
+	MaxInFlight         int     `json:"Open"`        // quota on attempts out at once; 0: none
+	ValueWeight        float64 `json:"Price"`       // multiplies the worth
+	ExcessValue  float64 `json:"ExcessWorth"` // share of its worth that a request sent on beyond the quota earns
+	ExcessCost  float64 `json:"BeyondCosts"` // share of its worth that such a request costs
+	LimitRate  float64 `json:"CeilingRate"` // hard ceiling, in units a second; 0: none
+	LimitBurst float64 `json:"CeilingDepth"`
+	LimitSlack float64 `json:"CeilingSlack"`
 }
 
 // Event is something the gateway learns.
@@ -134,7 +134,7 @@
 	Kind    string  // of machine; those of a kind are alike
 	Serving bool    // false: draining or gone, send it nothing new
 	Size    float64 // relative; 0: not told
-	Booted  Seconds // when it last started; 0: long ago
+	StartedAt  Seconds // when it last started; 0: long ago
 }
 
 // Terms are what a customer has bought, as they hold now. As an event they change those of a customer that the
@@ -153,13 +153,13 @@
 	Group    string // of the backends that it may go to
 	Plan     string
 	Customer string
-	Left     Seconds // until the client gives up
+	TimeLeft     Seconds // until the client gives up
 	Units    float64 // it draws from the quota, perhaps a guess
-	Doors    int     // gateways this customer's requests may come through
-	First    int     // number of the first of these, for the host: they are counted round
-	Repeat   bool    // marked by the client as a repeat
+	Gateways    int     // gateways this customer's requests may come through
+	FirstGateway    int     // number of the first of these, for the host: they are counted round
+	ClientRetry   bool    // marked by the client as a repeat
 	Terms    *Terms  // the customer's own; nil: those of Plan in the settings
-	Long     bool    // its body is passed on as it comes: once a byte of it has gone out, it cannot be sent again
+	Streamed     bool    // its body is passed on as it comes: once a byte of it has gone out, it cannot be sent again
 }
 
 // ClientGone tells that a request has ended without an answer.
@@ -171,21 +171,21 @@
 // Outcome tells how a call or an attempt ended.
 type Outcome int
 
-// The outcomes. Busy, Refused and Skipped prove that nothing ran.
+// The outcomes. Rejected, ConnectionRefused and NotSent prove that nothing ran.
 const (
 	Failed Outcome = iota // an error, or an outcome unknown to the host
-	Done
-	Busy
+	Succeeded
+	Rejected
 	TimedOut
-	Refused // no connection
-	Reset
+	ConnectionRefused // no connection
+	ConnectionReset
 	Cancelled
-	Skipped
+	NotSent
 )
 
-// Proves tells whether an outcome proves that nothing ran and nothing will (PROTOCOL, "Ingresses to quote servers"). A
+// ProvesNotExecuted tells whether an outcome proves that nothing ran and nothing will (PROTOCOL, "Ingresses to quote servers"). A
 // cancel proves nothing by itself: one that came before anything was written whole is told as Skipped.
-func (o Outcome) Proves() bool { return o == Busy || o == Refused || o == Skipped }
+func (o Outcome) ProvesNotExecuted() bool { return o == Rejected || o == ConnectionRefused || o == NotSent }
 
 // AttemptEnded tells how an attempt ended; each Send gets exactly one.
 type AttemptEnded struct {
@@ -193,14 +193,14 @@
 	Attempt int
 	Backend string
 	Outcome Outcome
-	Took    Seconds
-	Settled bool    // the request has its answer
-	Spent   bool    // the request cannot be sent again: its body has gone
+	Duration    Seconds
+	Answered bool    // the request has its answer
+	BodyConsumed   bool    // the request cannot be sent again: its body has gone
 	Units   float64 // true units, where they are settled afterwards; else 0
 }
 
-// Counted is the answer to a Count. Failed: the counter answered, but no total can be told from it.
-type Counted struct {
+// CounterReply is the answer to a Count. Failed: the counter answered, but no total can be told from it.
+type CounterReply struct {
 	Name    string
 	Outcome Outcome
 	Total   float64
@@ -214,7 +214,7 @@
 func (ClientGone) event()   {}
 func (Timer) event()        {}
 func (AttemptEnded) event() {}
-func (Counted) event()      {}
+func (CounterReply) event()      {}
 
 // Action is something the host is to do.
 type Action interface{ action() }
@@ -224,10 +224,10 @@
 	ID      uint64
 	Backend string
 	Timeout Seconds
-	Beyond  bool // the request is beyond its quota
-	// Patience is after how long without an answer, from when the request was written, Gateway.Impatient is to be asked whether to give
+	OverQuota  bool // the request is beyond its quota
+	// SlowAfter is after how long without an answer, from when the request was written, Gateway.Impatient is to be asked whether to give
 	// the attempt up, and again now and then; 0: never.
-	Patience Seconds
+	SlowAfter Seconds
 }
 
 // Cancel stops waiting for an attempt.
@@ -236,11 +236,11 @@
 	Attempt int
 }
 
-// Refuse answers a request: not served, and trying again does no harm.
-type Refuse struct {
+// Reject answers a request: not served, and trying again does no harm.
+type Reject struct {
 	ID         uint64
 	RetryAfter Seconds // 0: no advice
-	Beyond     bool    // it is beyond its quota
+	OverQuota     bool    // it is beyond its quota
 }
 
 // Fail answers a request: not served, and it may have run.
@@ -252,21 +252,21 @@
 	Token string
 }
 
-// Count adds to a named number that all gateways share and asks for the total.
-type Count struct {
+// CounterCall adds to a named number that all gateways share and asks for the total.
+type CounterCall struct {
 	Name string
 	Add  float64
-	Keep Seconds // a new name is forgotten after this
+	Retention Seconds // a new name is forgotten after this
 
 	// Where counters are pairs: whose it is, and of which cycle; Each: every call adds anew, else one takes the place of another.
 	Customer string
 	Cycle    int64
-	Each     bool
+	PerRequest     bool
 }
 
 func (Send) action()     {}
 func (Cancel) action()   {}
-func (Refuse) action()   {}
+func (Reject) action()   {}
 func (Fail) action()     {}
 func (SetTimer) action() {}
-func (Count) action()    {}
+func (CounterCall) action()    {}
--- a/internal/decision/figures.go
+++ b/internal/decision/figures.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// Figures are what a gateway holds at one moment, for operators. They are not part of the simulator's policy.
-type Figures struct {
-	Requests  int // in hand
-	Waiting   int // of these, the ones that wait for a server
+// Stats are what a gateway holds at one moment, for operators. They are not part of the simulator's policy.
+type Stats struct {
+	Pending  int // in hand
+	Queued   int // of these, the ones that wait for a server
 	Customers int // that asked within the last minute
 	Servers   map[ServerState]int
 	// RetryTokens is how many further attempts may be made at once for the service that has fewest left.
@@ -19,20 +19,20 @@
 
 // The states of servers, the first that applies.
 const (
-	ServerLeaving ServerState = "leaving" // draining, silent or gone
-	ServerResting ServerState = "resting" // it failed several times in a row
-	ServerFull    ServerState = "full"    // it turned work away a moment ago
-	ServerCold    ServerState = "cold"    // it has started a moment ago
+	ServerDraining ServerState = "leaving" // draining, silent or gone
+	ServerEjected ServerState = "resting" // it failed several times in a row
+	ServerOverloaded    ServerState = "full"    // it turned work away a moment ago
+	ServerSlowStart    ServerState = "cold"    // it has started a moment ago
 	ServerUnknown ServerState = "unknown" // no good answer since it was listed or failed
-	ServerGood    ServerState = "good"    // its last answer was good
+	ServerHealthy    ServerState = "good"    // its last answer was good
 )
 
 // ServerStates lists all states, in the order in which they are looked at.
-var ServerStates = [...]ServerState{ServerLeaving, ServerResting, ServerFull, ServerCold, ServerUnknown, ServerGood}
+var ServerStates = [...]ServerState{ServerDraining, ServerEjected, ServerOverloaded, ServerSlowStart, ServerUnknown, ServerHealthy}
 
-// Figures counts. It walks all servers that are known.
-func (g *Gateway) Figures(now Seconds) Figures {
-	f := Figures{Requests: len(g.requests), Waiting: len(g.held), Customers: len(g.customers), Servers: map[ServerState]int{},
+// Stats counts. It walks all servers that are known.
+func (g *Gateway) Stats(now Seconds) Stats {
+	f := Stats{Pending: len(g.requests), Queued: len(g.held), Customers: len(g.customers), Servers: map[ServerState]int{},
 		RetryTokens: math.Inf(1), CounterCallsUnanswered: g.silent}
 	for b := range g.all() {
 		if b.listed {
@@ -53,15 +53,15 @@
 func (g *Gateway) serverState(b *backend, now Seconds) ServerState {
 	switch {
 	case !b.Serving:
-		return ServerLeaving
+		return ServerDraining
 	case b.downTill > now:
-		return ServerResting
+		return ServerEjected
 	case b.fullTill > now:
-		return ServerFull
-	case b.coldAt > 0 && now-b.coldAt < g.s.WarmUp:
-		return ServerCold
+		return ServerOverloaded
+	case b.coldAt > 0 && now-b.coldAt < g.s.SlowStartTime:
+		return ServerSlowStart
 	case !b.good:
 		return ServerUnknown
 	}
-	return ServerGood
+	return ServerHealthy
 }
--- a/internal/decision/gateway.go
+++ b/internal/decision/gateway.go
@@ -80,7 +80,7 @@
 
 	plannedTill Seconds // requests that come until then are not given up by patience
 
-	odds               conformance.Odds
+	odds               conformance.Estimator
 	silent             int     // counter calls in a row without an answer
 	muted              Seconds // the counter is left alone until then
 	chance             float64 // of a call for a request of a thin customer
@@ -98,7 +98,7 @@
 		groups: map[string]*pool{}, patience: map[string]Seconds{}, chance: 1, rated: 1,
 	}
 	g.pool, g.s.MaxUnits = g.group(""), max(1, s.MaxUnits)
-	g.s.Balancers, g.s.MaxAttempts = max(1, s.Balancers), max(1, s.MaxAttempts)
+	g.s.Gateways, g.s.MaxAttempts = max(1, s.Gateways), max(1, s.MaxAttempts)
 	for i := range s.Classes {
 		g.classes[s.Classes[i].Name] = &s.Classes[i]
 	}
@@ -135,7 +135,7 @@
 		}
 	case AttemptEnded:
 		g.ended(e)
-	case Counted:
+	case CounterReply:
 		g.counted(e)
 	}
 	return g.out
@@ -152,10 +152,10 @@
 	g.overdue()
 	g.known = slices.DeleteFunc(g.known, func(c *customer) bool {
 		// A host that loses an answer of the counter must not lose the request.
-		for len(c.asks) > 0 && g.now > c.asks[0].at+2*g.s.CountWait+tickEvery {
+		for len(c.asks) > 0 && g.now > c.asks[0].at+2*g.s.CounterTimeout+tickEvery {
 			a := c.asks[0]
 			c.asks = c.asks[1:]
-			g.told(c, a, Counted{Outcome: TimedOut})
+			g.told(c, a, CounterReply{Outcome: TimedOut})
 		}
 		if g.now-c.seen > idleLapse && c.open == 0 {
 			delete(g.customers, c.key)
--- a/internal/decision/gateway_test.go
+++ b/internal/decision/gateway_test.go
@@ -12,20 +12,20 @@
 
 func testSettings() Settings {
 	return Settings{
-		Balancers: 2, Zone: "a", DrainGrace: 0.25, AnswerSlack: 0.016, ColdShare: 0.2, WarmUp: 10,
+		Gateways: 2, Zone: "a", DrainGrace: 0.25, AnswerSlack: 0.016, SlowStartShare: 0.2, SlowStartTime: 10,
 		OverloadFactor: 2.5, OverloadFor: 1, MaxAttempts: 3, MayCancel: true,
-		MayRetryAfter: true, MaxRetryAfter: 1, MayCount: true, CountWait: 0.05, MaxUnits: 1,
+		MayRetryAfter: true, MaxRetryAfter: 1, HasCounter: true, CounterTimeout: 0.05, MaxUnits: 1,
 		Classes: []Class{
-			{Name: "safe", Aim: 1, Deadline: 3, Worth: 1, LateWorth: 0.1, Effect: Safe},
-			{Name: "keyed", Aim: 1, Deadline: 3, Worth: 1, LateWorth: 0.1, Effect: Keyed, Scope: ScopeCell},
-			{Name: "unsafe", Aim: 1, Deadline: 3, Worth: 1, LateWorth: 0.1},
+			{Name: "safe", LatencyTarget: 1, Deadline: 3, Value: 1, LateValue: 0.1, Effect: Idempotent},
+			{Name: "keyed", LatencyTarget: 1, Deadline: 3, Value: 1, LateValue: 0.1, Effect: IdempotentByKey, Scope: ScopeCell},
+			{Name: "unsafe", LatencyTarget: 1, Deadline: 3, Value: 1, LateValue: 0.1},
 		},
 		Plans: []Plan{
-			{Name: "rate", Rate: 10, Burst: 20, Price: 1, BeyondCosts: 1},
-			{Name: "earns", Rate: 10, Burst: 20, Price: 1, ExcessWorth: 0.5},
-			{Name: "open", Open: 2, Price: 1, BeyondCosts: 0.6},
-			{Name: "ceiling", Rate: 10, Burst: 20, Price: 1, ExcessWorth: 0.1, CeilingRate: 20, CeilingDepth: 40, CeilingSlack: 4},
-			{Name: "free", Price: 1},
+			{Name: "rate", Rate: 10, Burst: 20, ValueWeight: 1, ExcessCost: 1},
+			{Name: "earns", Rate: 10, Burst: 20, ValueWeight: 1, ExcessValue: 0.5},
+			{Name: "open", MaxInFlight: 2, ValueWeight: 1, ExcessCost: 0.6},
+			{Name: "ceiling", Rate: 10, Burst: 20, ValueWeight: 1, ExcessValue: 0.1, LimitRate: 20, LimitBurst: 40, LimitSlack: 4},
+			{Name: "free", ValueWeight: 1},
 		},
 	}
 }
@@ -41,7 +41,7 @@
 func up(id string, cell int) Backend { return Backend{ID: id, Zone: "a", Serving: true} }
 
 func ask(id uint64, class, plan string) Request {
-	return Request{ID: id, Class: class, Plan: plan, Customer: "c", Left: 3, Units: 1, Doors: 2}
+	return Request{ID: id, Class: class, Plan: plan, Customer: "c", TimeLeft: 3, Units: 1, Gateways: 2}
 }
 
 func of[T Action](actions []Action) (found []T) {
@@ -54,11 +54,11 @@
 }
 
 // run ticks the gateway from one time to another and answers counter calls with reply.
-func run(g *Gateway, from, to Seconds, reply func(Count) Counted) (all []Action) {
+func run(g *Gateway, from, to Seconds, reply func(CounterCall) CounterReply) (all []Action) {
 	for now := from; now < to; now += tickEvery {
 		out := g.Handle(now, Timer{"tick"})
 		all = append(all, out...)
-		for _, call := range of[Count](out) {
+		for _, call := range of[CounterCall](out) {
 			if reply != nil {
 				all = append(all, g.Handle(now, reply(call))...)
 			}
@@ -86,7 +86,7 @@
 			}
 			for _, r := range tc.r {
 				g := New(testSettings(), 1)
-				c := g.customer(Request{Customer: "c", Doors: int(tc.n)}, g.plans["rate"])
+				c := g.customer(Request{Customer: "c", Gateways: int(tc.n)}, g.plans["rate"])
 				c.r = r
 				g.settle(c, R, k)
 				sum += c.slice
@@ -112,7 +112,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := New(testSettings(), 1)
 			g.now = 10
-			c := g.customer(Request{Customer: "c", Doors: 2}, g.plans["rate"])
+			c := g.customer(Request{Customer: "c", Gateways: 2}, g.plans["rate"])
 			c.r, c.R, c.k, c.totalAt, c.slice = 4.4, 12, 2, 9, 3
 			g.settle(c, tc.R, tc.k)
 			if c.slice != 3 {
@@ -123,7 +123,7 @@
 }
 
 func TestCounterSilentOrRefusingFreezesAndIsLeftAlone(t *testing.T) {
-	for _, outcome := range []Outcome{TimedOut, Busy, Refused} {
+	for _, outcome := range []Outcome{TimedOut, Rejected, ConnectionRefused} {
 		g := started(t, testSettings(), up("x", 0))
 		calls := 0
 		for i := 0; i < 400; i++ {
@@ -134,9 +134,9 @@
 				g.Handle(now, r)
 			}
 			out := g.Handle(now, Timer{"tick"})
-			for _, call := range of[Count](out) {
+			for _, call := range of[CounterCall](out) {
 				calls++
-				g.Handle(now, Counted{Name: call.Name, Outcome: outcome})
+				g.Handle(now, CounterReply{Name: call.Name, Outcome: outcome})
 			}
 		}
 		for _, c := range g.known {
@@ -153,8 +153,8 @@
 func TestQuietCustomersMakeNoCallsAndLapse(t *testing.T) {
 	g := started(t, testSettings(), up("x", 0))
 	g.Handle(0, ask(1, "safe", "rate"))
-	g.Handle(0.1, AttemptEnded{ID: 1, Backend: "x", Outcome: Done, Settled: true, Took: 0.1})
-	if calls := of[Count](run(g, 0.1, idleLapse-1, nil)); len(calls) > 0 {
+	g.Handle(0.1, AttemptEnded{ID: 1, Backend: "x", Outcome: Succeeded, Answered: true, Duration: 0.1})
+	if calls := of[CounterCall](run(g, 0.1, idleLapse-1, nil)); len(calls) > 0 {
 		t.Errorf("%d calls for one request", len(calls))
 	}
 	if len(g.customers) != 1 {
@@ -170,7 +170,7 @@
 	g := started(t, testSettings(), up("x", 0))
 	g.Handle(0, ask(1, "safe", "rate"))
 	for _, name := range []string{"", "c", "c/zz", "nobody/1", g.customers["c"].name(g.customers["c"].cycle)} {
-		g.Handle(1, Counted{Name: name, Outcome: Done, Total: 5e5})
+		g.Handle(1, CounterReply{Name: name, Outcome: Succeeded, Total: 5e5})
 	}
 	if got := g.customers["c"].slice; got != 5 {
 		t.Errorf("slice moved to %v", got)
@@ -181,7 +181,7 @@
 	g := started(t, testSettings(), up("x", 0), up("y", 0))
 	refused := 0
 	for i := uint64(0); i < 60; i++ {
-		for _, a := range of[Refuse](g.Handle(0, ask(i, "safe", "rate"))) {
+		for _, a := range of[Reject](g.Handle(0, ask(i, "safe", "rate"))) {
 			refused++
 			if a.RetryAfter <= 0 || a.RetryAfter > 1 {
 				t.Errorf("retry after %v", a.RetryAfter)
@@ -198,7 +198,7 @@
 	g.Handle(0, ask(1, "safe", "rate"))
 	c := g.customers["c"]
 	c.level = 1
-	g.Handle(0, AttemptEnded{ID: 1, Backend: "x", Outcome: Done, Settled: true, Took: 0.1, Units: 4})
+	g.Handle(0, AttemptEnded{ID: 1, Backend: "x", Outcome: Succeeded, Answered: true, Duration: 0.1, Units: 4})
 	if c.level != -2 {
 		t.Errorf("level %v, want -2", c.level)
 	}
@@ -224,12 +224,12 @@
 		t.Error("a calm customer's first request was not sent")
 	}
 	g.lat = 2 // answers slow: the other gateway surely has its part out
-	if len(of[Refuse](g.Handle(0.1, ask(2, "safe", "open")))) != 1 {
+	if len(of[Reject](g.Handle(0.1, ask(2, "safe", "open")))) != 1 {
 		t.Error("sent on though the limit is most likely full")
 	}
 	g.lat = 0.01
 	g.Handle(5, ask(3, "safe", "open"))
-	if len(of[Refuse](g.Handle(9, ask(4, "safe", "open")))) != 1 {
+	if len(of[Reject](g.Handle(9, ask(4, "safe", "open")))) != 1 {
 		t.Error("a third attempt at once was sent on")
 	}
 }
@@ -244,7 +244,7 @@
 		id++
 		for range of[Send](g.Handle(now, ask(id, "safe", "ceiling"))) {
 			units++
-			g.Handle(now, AttemptEnded{ID: id, Backend: g.requests[id].attempts[0].b.ID, Outcome: Done, Settled: true, Took: 0.01})
+			g.Handle(now, AttemptEnded{ID: id, Backend: g.requests[id].attempts[0].b.ID, Outcome: Succeeded, Answered: true, Duration: 0.01})
 		}
 	}
 	if units == 0 || units > 10*6+1 {
@@ -255,20 +255,20 @@
 // A gateway with nothing left of its own part asks for the common one, and goes by the answer.
 func TestCommonPartOfACeilingIsAskedFor(t *testing.T) {
 	for _, tc := range []struct {
-		reply Counted
+		reply CounterReply
 		sends int
 	}{
-		{Counted{Outcome: Done, Total: 1}, 1}, {Counted{Outcome: Done, Total: 100}, 0}, // the room is 20 * 0.925 / 4
-		{Counted{Outcome: TimedOut}, 0}, {Counted{Outcome: Busy}, 0},
+		{CounterReply{Outcome: Succeeded, Total: 1}, 1}, {CounterReply{Outcome: Succeeded, Total: 100}, 0}, // the room is 20 * 0.925 / 4
+		{CounterReply{Outcome: TimedOut}, 0}, {CounterReply{Outcome: Rejected}, 0},
 	} {
 		g := started(t, testSettings(), up("x", 0))
-		calls := of[Count](g.Handle(0, ask(1, "safe", "ceiling")))
+		calls := of[CounterCall](g.Handle(0, ask(1, "safe", "ceiling")))
 		if len(calls) != 1 || calls[0].Add != 1 {
 			t.Fatalf("calls %v", calls)
 		}
 		tc.reply.Name = calls[0].Name
 		out := g.Handle(0.01, tc.reply)
-		if len(of[Send](out)) != tc.sends || len(of[Refuse](out)) != 1-tc.sends {
+		if len(of[Send](out)) != tc.sends || len(of[Reject](out)) != 1-tc.sends {
 			t.Errorf("%+v: %v", tc.reply, out)
 		}
 	}
@@ -286,10 +286,10 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := started(t, testSettings(), tc.backends...)
 			r := ask(1, "unsafe", "free")
-			r.Left = tc.left
+			r.TimeLeft = tc.left
 			out := g.Handle(0, r)
 			out = append(out, run(g, 0.001, tc.left, nil)...)
-			if len(of[Refuse](out)) != 1 || len(of[Send](out)) != 0 || len(g.requests) != 0 {
+			if len(of[Reject](out)) != 1 || len(of[Send](out)) != 0 || len(g.requests) != 0 {
 				t.Errorf("got %v", out)
 			}
 		})
@@ -301,8 +301,8 @@
 	if len(of[Send](g.Handle(0, ask(1, "?", "?")))) != 1 {
 		t.Fatal("not sent")
 	}
-	out := g.Handle(1, AttemptEnded{ID: 1, Backend: "x", Outcome: TimedOut, Took: 1})
-	if len(of[Fail](out)) != 1 || len(of[Send](out)) != 0 || len(of[Refuse](out)) != 0 {
+	out := g.Handle(1, AttemptEnded{ID: 1, Backend: "x", Outcome: TimedOut, Duration: 1})
+	if len(of[Fail](out)) != 1 || len(of[Send](out)) != 0 || len(of[Reject](out)) != 0 {
 		t.Errorf("got %v", out)
 	}
 }
@@ -315,18 +315,18 @@
 		at      Seconds
 		want    string // the next action
 	}{
-		{"unsafe", Refused, 0.1, "send"}, {"unsafe", Busy, 0.1, "send"}, {"unsafe", Skipped, 0.1, "send"},
-		{"unsafe", TimedOut, 0.1, "fail"}, {"unsafe", Reset, 0.1, "fail"}, {"unsafe", Failed, 0.1, "fail"},
-		{"keyed", Reset, 0.1, "fail"}, {"keyed", Busy, 0.1, "send"}, {"safe", Reset, 0.1, "send"},
+		{"unsafe", ConnectionRefused, 0.1, "send"}, {"unsafe", Rejected, 0.1, "send"}, {"unsafe", NotSent, 0.1, "send"},
+		{"unsafe", TimedOut, 0.1, "fail"}, {"unsafe", ConnectionReset, 0.1, "fail"}, {"unsafe", Failed, 0.1, "fail"},
+		{"keyed", ConnectionReset, 0.1, "fail"}, {"keyed", Rejected, 0.1, "send"}, {"safe", ConnectionReset, 0.1, "send"},
 	} {
 		t.Run(fmt.Sprint(tc.class, tc.outcome, tc.at), func(t *testing.T) {
 			g := started(t, testSettings(), backends...)
 			first := of[Send](g.Handle(0, ask(1, tc.class, "free")))[0]
-			out := g.Handle(tc.at, AttemptEnded{ID: 1, Backend: first.Backend, Outcome: tc.outcome, Took: tc.at})
+			out := g.Handle(tc.at, AttemptEnded{ID: 1, Backend: first.Backend, Outcome: tc.outcome, Duration: tc.at})
 			sends, fails := of[Send](out), of[Fail](out)
 			switch tc.want {
 			case "fail":
-				if len(sends) != 0 || len(fails) != 1 || len(of[Refuse](out)) != 0 {
+				if len(sends) != 0 || len(fails) != 1 || len(of[Reject](out)) != 0 {
 					t.Errorf("got %v", out)
 				}
 			default:
@@ -358,14 +358,14 @@
 }
 
 func TestColdBackendGetsItsPartOnly(t *testing.T) {
-	g := started(t, testSettings(), up("x", 0), up("y", 0), Backend{ID: "cold", Zone: "a", Serving: true, Booted: 0.001})
+	g := started(t, testSettings(), up("x", 0), up("y", 0), Backend{ID: "cold", Zone: "a", Serving: true, StartedAt: 0.001})
 	sent := map[string]int{}
 	var out []Send
 	for i := uint64(0); i < 200; i++ { // 100 a second for 2 s, eight out at any time
 		now := 0.01 + float64(i)*0.01
 		out = append(out, of[Send](g.Handle(now, ask(i, "safe", "free")))...)
 		if len(out) > 7 {
-			g.Handle(now, AttemptEnded{ID: out[0].ID, Backend: out[0].Backend, Outcome: Done, Settled: true, Took: 0.1})
+			g.Handle(now, AttemptEnded{ID: out[0].ID, Backend: out[0].Backend, Outcome: Succeeded, Answered: true, Duration: 0.1})
 			sent[out[0].Backend]++
 			out = out[1:]
 		}
@@ -386,7 +386,7 @@
 		out = append(out, g.Handle(now, Timer{"tick"})...)
 		for _, s := range of[Send](out) {
 			sends++
-			g.Handle(now, AttemptEnded{ID: s.ID, Backend: "x", Outcome: Busy, Took: 0.001})
+			g.Handle(now, AttemptEnded{ID: s.ID, Backend: "x", Outcome: Rejected, Duration: 0.001})
 		}
 	}
 	if sends == 0 || sends > 15 {
@@ -401,7 +401,7 @@
 		g.Handle(0, ask(i, "unsafe", "free"))
 	}
 	for i := uint64(0); i < 4; i++ {
-		g.Handle(3, AttemptEnded{ID: i, Backend: "x", Outcome: TimedOut, Took: 3})
+		g.Handle(3, AttemptEnded{ID: i, Backend: "x", Outcome: TimedOut, Duration: 3})
 	}
 	b.downTill, b.limit = 0, 4
 	if len(of[Send](g.Handle(3.001, ask(9, "unsafe", "free")))) != 0 {
@@ -422,7 +422,7 @@
 	g := started(t, testSettings(), up("x", 0), up("y", 0))
 	g.Handle(0, ask(1, "safe", "free"))
 	dead := g.requests[1].attempts[0].b
-	g.Handle(0, AttemptEnded{ID: 1, Backend: dead.ID, Outcome: Refused})
+	g.Handle(0, AttemptEnded{ID: 1, Backend: dead.ID, Outcome: ConnectionRefused})
 	sent := map[string]int{}
 	for i := uint64(10); i < 13; i++ {
 		for _, s := range of[Send](g.Handle(0.5, ask(i, "safe", "free"))) {
@@ -453,14 +453,14 @@
 }
 
 func TestBareSettingsDecideSensibly(t *testing.T) {
-	s := Settings{Plans: []Plan{{Name: "rate", Rate: 10, Burst: 20, Price: 1}, {Name: "none", Price: 1}}}
+	s := Settings{Plans: []Plan{{Name: "rate", Rate: 10, Burst: 20, ValueWeight: 1}, {Name: "none", ValueWeight: 1}}}
 	for _, plan := range []string{"rate", "none"} {
 		g := started(t, s, up("x", 0))
 		r := ask(1, "any", plan)
-		r.Doors = 0 // not told: one gateway, the whole quota, no calls
+		r.Gateways = 0 // not told: one gateway, the whole quota, no calls
 		out := g.Handle(0, r)
 		out = append(out, run(g, 0.05, 20, nil)...)
-		if len(of[Send](out)) != 1 || len(of[Count](out)) != 0 {
+		if len(of[Send](out)) != 1 || len(of[CounterCall](out)) != 0 {
 			t.Errorf("%s: got %v", plan, out)
 		}
 	}
@@ -477,7 +477,7 @@
 	}
 	g.Handle(1, ask(1, "safe", "free"))
 	for _, attempt := range []int{-1, 7} {
-		g.Handle(1, AttemptEnded{ID: 1, Attempt: attempt, Backend: "x", Outcome: Done})
+		g.Handle(1, AttemptEnded{ID: 1, Attempt: attempt, Backend: "x", Outcome: Succeeded})
 	}
 	if len(g.requests) != 1 {
 		t.Error("an outcome of no attempt ended the request")
@@ -493,7 +493,7 @@
 			r.Customer = fmt.Sprint("c", i%7)
 			all = append(all, g.Handle(now, r)...)
 			all = append(all, g.Handle(now, Timer{"tick"})...)
-			all = append(all, g.Handle(now, AttemptEnded{ID: i - i%4, Backend: "x", Outcome: Outcome(i % 8), Took: 0.1})...)
+			all = append(all, g.Handle(now, AttemptEnded{ID: i - i%4, Backend: "x", Outcome: Outcome(i % 8), Duration: 0.1})...)
 		}
 		return all
 	}
@@ -542,7 +542,7 @@
 
 func TestHeldWorkDearestFirstThenNewest(t *testing.T) {
 	g := started(t, testSettings())
-	g.classes["dear"] = &Class{Name: "dear", Aim: 1, Deadline: 3, Worth: 5}
+	g.classes["dear"] = &Class{Name: "dear", LatencyTarget: 1, Deadline: 3, Value: 5}
 	for i, class := range []string{"safe", "dear", "safe", "dear"} {
 		g.Handle(float64(i)*0.01, ask(uint64(i), class, "free"))
 	}
@@ -564,11 +564,11 @@
 		now := float64(i) * 0.01
 		for _, s := range of[Send](g.Handle(now, ask(i, "unsafe", "free"))) {
 			to[s.Backend]++
-			outcome := Done
+			outcome := Succeeded
 			if s.Backend == "x" {
 				outcome = Failed
 			}
-			g.Handle(now, AttemptEnded{ID: i, Backend: s.Backend, Outcome: outcome, Settled: outcome == Done, Took: 0.01})
+			g.Handle(now, AttemptEnded{ID: i, Backend: s.Backend, Outcome: outcome, Answered: outcome == Succeeded, Duration: 0.01})
 		}
 	}
 	if to["x"] == 0 || to["x"] > 5 || to["y"] < 90 {
@@ -596,7 +596,7 @@
 	sum := last
 	for range 2 {
 		g := New(testSettings(), 1)
-		c := g.customer(Request{Customer: "c", Doors: n}, g.plans["rate"])
+		c := g.customer(Request{Customer: "c", Gateways: n}, g.plans["rate"])
 		c.r = 4
 		g.settle(c, 8, 2)
 		sum += c.slice
@@ -612,7 +612,7 @@
 		g.Handle(1, ask(i, "safe", "open"))
 	}
 	for id := range g.requests {
-		g.Handle(1, AttemptEnded{ID: id, Backend: "x", Outcome: Done, Settled: true, Took: 0.1})
+		g.Handle(1, AttemptEnded{ID: id, Backend: "x", Outcome: Succeeded, Answered: true, Duration: 0.1})
 	}
 	g.lat = 5
 	if len(of[Send](g.Handle(1.01, ask(99, "safe", "open")))) != 1 {
@@ -626,8 +626,8 @@
 		outcome Outcome
 		refused bool // else failed: it may have run
 	}{
-		{"safe", Busy, true}, {"safe", TimedOut, true}, {"keyed", Busy, true}, {"keyed", Reset, false},
-		{"unsafe", Refused, true}, {"unsafe", TimedOut, false}, {"unsafe", Failed, false},
+		{"safe", Rejected, true}, {"safe", TimedOut, true}, {"keyed", Rejected, true}, {"keyed", ConnectionReset, false},
+		{"unsafe", ConnectionRefused, true}, {"unsafe", TimedOut, false}, {"unsafe", Failed, false},
 	} {
 		s := testSettings()
 		s.MaxAttempts = 1
@@ -636,8 +636,8 @@
 		if len(send) != 1 {
 			t.Fatalf("%v: not sent", tc)
 		}
-		out := g.Handle(1.5, AttemptEnded{ID: 1, Backend: "x", Outcome: tc.outcome, Took: 0.5})
-		refusals, failures := of[Refuse](out), of[Fail](out)
+		out := g.Handle(1.5, AttemptEnded{ID: 1, Backend: "x", Outcome: tc.outcome, Duration: 0.5})
+		refusals, failures := of[Reject](out), of[Fail](out)
 		if tc.refused && (len(refusals) != 1 || refusals[0].RetryAfter <= 0) || !tc.refused && len(failures) != 1 {
 			t.Errorf("%v: got %v with the outcome, want the answer", tc, out)
 		}
@@ -645,12 +645,12 @@
 	g := started(t, testSettings(), up("x", 0))
 	r := ask(1, "safe", "rate")
 	g.customer(r, g.plans["rate"]).level = -100 // beyond its quota, which earns nothing
-	if out := of[Refuse](g.Handle(0, r)); len(out) != 1 || out[0].RetryAfter <= 0 {
+	if out := of[Reject](g.Handle(0, r)); len(out) != 1 || out[0].RetryAfter <= 0 {
 		t.Errorf("beyond the quota: got %v", out)
 	}
 	g = started(t, testSettings()) // no backend at all: a bounded wait for one, then the answer
 	g.Handle(1, ask(1, "safe", "free"))
-	if out := run(g, 1.01, 1+holdShare+2*tickEvery, nil); len(of[Refuse](out)) != 1 {
+	if out := run(g, 1.01, 1+holdShare+2*tickEvery, nil); len(of[Reject](out)) != 1 {
 		t.Errorf("no backend: got %v by %v of the aim", out, holdShare)
 	}
 }
@@ -659,7 +659,7 @@
 // that a lost counter leaves unanswered must not count as one that a crowded counter could not take.
 func TestCallsResumeAfterALostCounter(t *testing.T) {
 	s := testSettings()
-	s.Plans = []Plan{{Name: "thin", Rate: 1, Burst: 2, Price: 1, BeyondCosts: 1}}
+	s.Plans = []Plan{{Name: "thin", Rate: 1, Burst: 2, ValueWeight: 1, ExcessCost: 1}}
 	g, id := started(t, s, up("b", 0)), uint64(0)
 	// customers has 20 customers ask in each second and answers their calls; it tells how many were made.
 	customers := func(from, to Seconds, outcome Outcome) (calls int) {
@@ -667,22 +667,22 @@
 			out := g.Handle(now, Timer{"tick"})
 			id++
 			e := ask(id, "safe", "thin")
-			e.Customer, e.Doors = fmt.Sprint("c", id%20), 5
+			e.Customer, e.Gateways = fmt.Sprint("c", id%20), 5
 			out = append(out, g.Handle(now, e)...)
-			for _, a := range of[Count](out) {
+			for _, a := range of[CounterCall](out) {
 				calls++
-				out = append(out, g.Handle(now, Counted{Name: a.Name, Outcome: outcome, Total: 1})...)
+				out = append(out, g.Handle(now, CounterReply{Name: a.Name, Outcome: outcome, Total: 1})...)
 			}
 			for _, a := range of[Send](out) {
-				g.Handle(now, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Done, Took: 0.01, Settled: true})
+				g.Handle(now, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Succeeded, Duration: 0.01, Answered: true})
 			}
 		}
 		return calls
 	}
-	before := customers(0, 5, Done)
+	before := customers(0, 5, Succeeded)
 	customers(5, 11, TimedOut)
-	customers(11, 13, Done) // the first answer after the loss
-	if after := customers(13, 18, Done); before < 50 || after < before*3/4 {
+	customers(11, 13, Succeeded) // the first answer after the loss
+	if after := customers(13, 18, Succeeded); before < 50 || after < before*3/4 {
 		t.Errorf("%d calls in 5 s before the loss, %d after it", before, after)
 	}
 }
@@ -693,10 +693,10 @@
 	for _, tc := range []struct {
 		outcome Outcome
 		less    bool
-	}{{Failed, false}, {Refused, false}, {Reset, false}, {Busy, true}, {TimedOut, true}} {
+	}{{Failed, false}, {ConnectionRefused, false}, {ConnectionReset, false}, {Rejected, true}, {TimedOut, true}} {
 		g := started(t, testSettings())
 		for range 3 {
-			g.Handle(1, Counted{Name: "c/1", Outcome: tc.outcome})
+			g.Handle(1, CounterReply{Name: "c/1", Outcome: tc.outcome})
 		}
 		if less := g.chance < 1; less != tc.less {
 			t.Errorf("outcome %d: chance %v", tc.outcome, g.chance)
@@ -709,14 +709,14 @@
 func TestAStallOfTheCounterIsOneSign(t *testing.T) {
 	g := started(t, testSettings())
 	for range 10 {
-		g.Handle(1, Counted{Name: "c/1", Outcome: TimedOut})
+		g.Handle(1, CounterReply{Name: "c/1", Outcome: TimedOut})
 	}
 	if g.chance != chanceDown {
 		t.Errorf("chance %v after a stall", g.chance)
 	}
 	g.chance = chanceLeast
 	for range 200 {
-		g.Handle(2, Counted{Name: "c/1", Outcome: Done, Total: 1})
+		g.Handle(2, CounterReply{Name: "c/1", Outcome: Succeeded, Total: 1})
 	}
 	if g.chance < 1 {
 		t.Errorf("chance %v after 200 answers", g.chance)
@@ -727,31 +727,31 @@
 // however many of its like are beyond theirs.
 func TestUnknownSmallCustomerIsNotJudgedByItsLike(t *testing.T) {
 	s := testSettings()
-	s.Plans = []Plan{{Name: "thin", Rate: 1, Burst: 2, Price: 1, BeyondCosts: 1}}
+	s.Plans = []Plan{{Name: "thin", Rate: 1, Burst: 2, ValueWeight: 1, ExcessCost: 1}}
 	g, id := started(t, s, up("b", 0)), uint64(0)
 	tries := func(customer string, from Seconds, outcome Outcome, total float64) (sent int) {
 		for i := range 200 {
 			now := from + float64(i)*0.1
 			id++
 			e := ask(id, "safe", "thin")
-			e.Customer, e.Doors = customer, 4
+			e.Customer, e.Gateways = customer, 4
 			out := g.Handle(now, e)
 			for n := 0; n < len(out); n++ { // an answer may be followed by another call
-				if a, ok := out[n].(Count); ok {
-					out = append(out, g.Handle(now, Counted{Name: a.Name, Outcome: outcome, Total: total})...)
+				if a, ok := out[n].(CounterCall); ok {
+					out = append(out, g.Handle(now, CounterReply{Name: a.Name, Outcome: outcome, Total: total})...)
 				}
 			}
 			for _, a := range of[Send](out) {
 				sent++
-				g.Handle(now, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Done, Took: 0.01, Settled: true})
+				g.Handle(now, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Succeeded, Duration: 0.01, Answered: true})
 			}
 		}
 		return sent
 	}
 	for i := range 10 {
-		tries(fmt.Sprint("heavy", i), 1+20*float64(i), Done, 100)
+		tries(fmt.Sprint("heavy", i), 1+20*float64(i), Succeeded, 100)
 	}
-	if sent := tries("unknown", 300, Refused, 0); sent < 4 || sent > 7 { // 20 s at a quarter of a unit a second
+	if sent := tries("unknown", 300, ConnectionRefused, 0); sent < 4 || sent > 7 { // 20 s at a quarter of a unit a second
 		t.Errorf("%d of 200 sent on in 20 s", sent)
 	}
 }
@@ -760,23 +760,23 @@
 // customer that asked little when the counter fell silent got in whatever it asked for afterwards.
 func TestRisingDemandOfAThinCustomerIsBoundedBetweenTotals(t *testing.T) {
 	s := testSettings()
-	s.Plans = []Plan{{Name: "thin", Rate: 1, Burst: 2, Price: 1, BeyondCosts: 1}}
+	s.Plans = []Plan{{Name: "thin", Rate: 1, Burst: 2, ValueWeight: 1, ExcessCost: 1}}
 	g, id := started(t, s, up("b", 0)), uint64(0)
 	try := func(now Seconds, outcome Outcome) (sent int) {
 		id++
 		e := ask(id, "safe", "thin")
-		e.Doors = 5
+		e.Gateways = 5
 		out := g.Handle(now, e)
-		for _, a := range of[Count](out) {
-			out = append(out, g.Handle(now, Counted{Name: a.Name, Outcome: outcome, Total: 1})...)
+		for _, a := range of[CounterCall](out) {
+			out = append(out, g.Handle(now, CounterReply{Name: a.Name, Outcome: outcome, Total: 1})...)
 		}
 		for _, a := range of[Send](out) {
 			sent++
-			g.Handle(now, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Done, Took: 0.01, Settled: true})
+			g.Handle(now, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Succeeded, Duration: 0.01, Answered: true})
 		}
 		return sent
 	}
-	if sent := try(1, Done); sent != 1 {
+	if sent := try(1, Succeeded); sent != 1 {
 		t.Fatalf("%d sent on while the counter answers", sent)
 	}
 	sent := 0
@@ -792,15 +792,15 @@
 // bursts, no more. With room for one request only, what came in twos was refused far inside quotas.
 func TestUnwatchedSmallCustomerHasItsPartOfTheBurst(t *testing.T) {
 	s := testSettings()
-	s.MayCount = false
-	s.Plans = []Plan{{Name: "thin", Rate: 1, Burst: 20, Price: 1, BeyondCosts: 1}}
+	s.HasCounter = false
+	s.Plans = []Plan{{Name: "thin", Rate: 1, Burst: 20, ValueWeight: 1, ExcessCost: 1}}
 	g, sent := started(t, s, up("a", 0), up("b", 0)), 0
 	for id := range uint64(10) {
 		e := ask(id+1, "safe", "thin")
-		e.Doors = 4
+		e.Gateways = 4
 		for _, a := range of[Send](g.Handle(1, e)) {
 			sent++
-			g.Handle(1, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Done, Took: 0.01, Settled: true})
+			g.Handle(1, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Succeeded, Duration: 0.01, Answered: true})
 		}
 	}
 	if sent != 7 {
@@ -825,7 +825,7 @@
 	if n := len(g.order); n > 3 || n != len(g.backends) || g.backends["kept"] == nil || g.backends["busy"] == nil {
 		t.Errorf("%d backends in order, %d by id, want kept, the last one, and the one that owes an answer", n, len(g.backends))
 	}
-	g.Handle(502, AttemptEnded{ID: 1, Backend: "busy", Outcome: Done, Took: 500, Settled: true})
+	g.Handle(502, AttemptEnded{ID: 1, Backend: "busy", Outcome: Succeeded, Duration: 500, Answered: true})
 	if g.Handle(503, Timer{"tick"}); g.backends["busy"] != nil {
 		t.Error("kept though it owes nothing any more")
 	}
@@ -839,7 +839,7 @@
 		want  Seconds
 	}{{0.01, "safe", 0.3}, {0.5, "safe", 1.05}, {0.01, "unsafe", 0}} {
 		s := testSettings()
-		s.Classes[0].LateWorth = 0
+		s.Classes[0].LateValue = 0
 		g := started(t, s, up("b", 0))
 		g.lat = tc.usual
 		sent := of[Send](g.Handle(1, ask(1, tc.class, "free")))
--- a/internal/decision/hold.go
+++ b/internal/decision/hold.go
@@ -9,8 +9,8 @@
 // (internal/standalone/fleet/quotashare). What this gateway has of each is held here, and goes before what the gateway reckons itself. It is not
 // part of the simulator's policy: there, gateways do not talk.
 
-// Right is what this gateway has of a customer's quota, in units a second.
-type Right struct {
+// QuotaGrant is what this gateway has of a customer's quota, in units a second.
+type QuotaGrant struct {
 	Customer   string
 	Rate       float64 // of Scaled: the part of what the gateway reckons itself
 	Less, Keep float64 // of Scaled: what is lent of that; what it has in any case
@@ -19,20 +19,20 @@
 
 // right is one that is held.
 type right struct {
-	Right
+	QuotaGrant
 	until     Seconds
 	set, base float64 // the slice as it was set; as the gateway itself had it
 	at        Seconds // when the ceiling was last brought up to now
 }
 
-// Hold sets what this gateway has of quotas, in place of all before, until a time: behind it, it has of each what it keeps.
-func (g *Gateway) Hold(now Seconds, all []Right, until Seconds) {
+// SetGrants sets what this gateway has of quotas, in place of all before, until a time: behind it, it has of each what it keeps.
+func (g *Gateway) SetGrants(now Seconds, all []QuotaGrant, until Seconds) {
 	g.now = now
 	was := g.rights
 	g.rights = make(map[string]*right, len(all))
 	for _, e := range all {
 		if c := g.customers[e.Customer]; c != nil && c.quota > 0 && c.plan.Rate > 0 {
-			h := &right{Right: e, base: c.slice, set: c.slice, at: now}
+			h := &right{QuotaGrant: e, base: c.slice, set: c.slice, at: now}
 			if w := was[e.Customer]; w != nil {
 				h.base, h.set, h.at = w.base, w.set, w.at
 			}
@@ -51,11 +51,11 @@
 			}
 		}
 	}
-	g.Held(now)
+	g.ReapplyGrants(now)
 }
 
-// Held has what is held hold again, behind an event that may have changed it.
-func (g *Gateway) Held(now Seconds) {
+// ReapplyGrants has what is held hold again, behind an event that may have changed it.
+func (g *Gateway) ReapplyGrants(now Seconds) {
 	if len(g.rights) == 0 {
 		return
 	}
@@ -97,7 +97,7 @@
 	switch {
 	case g.rights[c.key] != nil:
 		return g.s.MaxUnits
-	case g.s.Pairs:
+	case g.s.PairCounters:
 		return 0
 	}
 	return min(c.plan.Burst, g.s.MaxUnits)
@@ -107,18 +107,18 @@
 func (g *Gateway) lendCeiling(c *customer, h *right, rate float64) {
 	dt := max(0, g.now-h.at)
 	h.at = g.now
-	if c.plan.CeilingRate <= 0 || h.Scaled {
+	if c.plan.LimitRate <= 0 || h.Scaled {
 		return
 	}
 	g.topUp(c)
-	s := c.plan.split(c.doors, g.s.MayCount)
+	s := c.plan.split(c.doors, g.s.HasCounter)
 	even, own := c.quota/c.doors, s.Own(math.Inf(1), 0, 1) // all that its even part can hold
 	more := rate/even - 1
 	c.ceiling = min(own*rate/even, max(0, c.ceiling+more*dt*s.Rate*own/(s.Depth+s.Slack)))
 }
 
-// Bad names the servers that this gateway itself finds bad: it rests them after failures, or a good part of their answers lately were.
-func (g *Gateway) Bad(now Seconds) (all []string) {
+// UnhealthyServers names the servers that this gateway itself finds bad: it rests them after failures, or a good part of their answers lately were.
+func (g *Gateway) UnhealthyServers(now Seconds) (all []string) {
 	for b := range g.all() {
 		if b.listed && b.Serving && (b.downTill > now || b.errs > badShare) {
 			all = append(all, b.ID)
@@ -128,9 +128,9 @@
 	return all
 }
 
-// Warn tells of servers that others find bad. One that has answered well here a moment ago is not touched; another has to prove
+// SetSuspects tells of servers that others find bad. One that has answered well here a moment ago is not touched; another has to prove
 // itself, and costs more than those of which nothing is said. Nothing is done to a server that is not on the list.
-func (g *Gateway) Warn(now Seconds, servers []string) {
+func (g *Gateway) SetSuspects(now Seconds, servers []string) {
 	for b := range g.all() {
 		if b.listed && slices.Contains(servers, b.ID) && !(b.good && b.bad == 0 && b.seen >= 1) {
 			b.good, b.errs = false, max(b.errs, badShare)
--- a/internal/decision/hold_test.go
+++ b/internal/decision/hold_test.go
@@ -15,7 +15,7 @@
 }
 
 func newHeld(p Plan) *held {
-	h := &held{g: New(Settings{Balancers: 4, Classes: []Class{{Name: "c", Aim: 1, Deadline: 2, Worth: 1, Effect: Safe}}, Plans: []Plan{p}, MaxUnits: 1}, 1), now: 1000}
+	h := &held{g: New(Settings{Gateways: 4, Classes: []Class{{Name: "c", LatencyTarget: 1, Deadline: 2, Value: 1, Effect: Idempotent}}, Plans: []Plan{p}, MaxUnits: 1}, 1), now: 1000}
 	h.do(Start{})
 	h.do(Backends{Complete: true, List: []Backend{{ID: "s1", Serving: true, Size: 1}, {ID: "s2", Serving: true, Size: 1}}})
 	return h
@@ -25,7 +25,7 @@
 	for _, a := range h.g.Handle(h.now, e) {
 		if s, ok := a.(Send); ok {
 			h.sent++
-			h.do(AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Done, Took: 0.001, Settled: true})
+			h.do(AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Succeeded, Duration: 0.001, Answered: true})
 		}
 	}
 }
@@ -35,10 +35,10 @@
 	for i := range int(seconds * 100) {
 		h.now += 0.01
 		h.id++
-		h.do(Request{ID: h.id, Class: "c", Plan: "p", Customer: "m", Left: 2, Units: 1, Doors: 4})
+		h.do(Request{ID: h.id, Class: "c", Plan: "p", Customer: "m", TimeLeft: 2, Units: 1, Gateways: 4})
 		if i%5 == 0 {
 			h.do(Timer{"tick"})
-			h.g.Held(h.now)
+			h.g.ReapplyGrants(h.now)
 		}
 	}
 	return h.sent / seconds
@@ -48,32 +48,32 @@
 // its own again.
 func TestHold(t *testing.T) {
 	for _, p := range []Plan{
-		{Name: "p", Rate: 40, Burst: 4, Price: 1, BeyondCosts: 1},
-		{Name: "p", Rate: 40, Burst: 4, Price: 1, BeyondCosts: 1, CeilingRate: 50, CeilingDepth: 50, CeilingSlack: 5},
-		{Name: "p", Rate: 2, Burst: 1, Price: 1, BeyondCosts: 1}, // thin
+		{Name: "p", Rate: 40, Burst: 4, ValueWeight: 1, ExcessCost: 1},
+		{Name: "p", Rate: 40, Burst: 4, ValueWeight: 1, ExcessCost: 1, LimitRate: 50, LimitBurst: 50, LimitSlack: 5},
+		{Name: "p", Rate: 2, Burst: 1, ValueWeight: 1, ExcessCost: 1}, // thin
 	} {
 		h := newHeld(p)
 		h.run(3)
 		for _, row := range []struct {
-			right Right
+			right QuotaGrant
 			lease Seconds
 			want  float64 // of the quota
 		}{
-			{Right{}, 0, 0.25}, // nothing is held
-			{Right{Customer: "m", Rate: 0.9 * p.Rate, Keep: p.Rate / 16}, 60, 0.9},
-			{Right{Customer: "m", Rate: 0.05 * p.Rate, Keep: p.Rate / 16}, 60, 0.05},
-			{Right{Customer: "m", Rate: 0.9 * p.Rate, Keep: p.Rate / 16}, -1, 1.0 / 16},
-			{Right{Customer: "m", Rate: 1, Less: 0.15 * p.Rate, Keep: p.Rate / 16, Scaled: true}, 60, 0.10},
-			{Right{}, 0, 0.25},
+			{QuotaGrant{}, 0, 0.25}, // nothing is held
+			{QuotaGrant{Customer: "m", Rate: 0.9 * p.Rate, Keep: p.Rate / 16}, 60, 0.9},
+			{QuotaGrant{Customer: "m", Rate: 0.05 * p.Rate, Keep: p.Rate / 16}, 60, 0.05},
+			{QuotaGrant{Customer: "m", Rate: 0.9 * p.Rate, Keep: p.Rate / 16}, -1, 1.0 / 16},
+			{QuotaGrant{Customer: "m", Rate: 1, Less: 0.15 * p.Rate, Keep: p.Rate / 16, Scaled: true}, 60, 0.10},
+			{QuotaGrant{}, 0, 0.25},
 		} {
 			if row.right.Scaled && p.Rate < 10 {
 				continue // of a thin one, each request goes by the totals
 			}
-			var all []Right
+			var all []QuotaGrant
 			if row.right.Customer != "" {
 				all = append(all, row.right)
 			}
-			h.g.Hold(h.now, all, h.now+row.lease)
+			h.g.SetGrants(h.now, all, h.now+row.lease)
 			h.run(3) // what the store holds, and the ceiling's
 			got := h.run(40)
 			if want := row.want * p.Rate; math.Abs(got-want) > 0.12*want+0.03 {
@@ -85,21 +85,21 @@
 
 // Others' word makes a server cost more, unless it has answered well here a moment ago; one that is not listed stays so.
 func TestWarn(t *testing.T) {
-	h := newHeld(Plan{Name: "p", Rate: 1000, Burst: 1000, Price: 1})
+	h := newHeld(Plan{Name: "p", Rate: 1000, Burst: 1000, ValueWeight: 1})
 	h.run(2)
 	own := h.g.backends["s1"]
 	own.good, own.bad, own.seen = true, 0, 3
 	other := h.g.backends["s2"]
 	other.good, other.seen, other.errs = true, 0.1, 0
-	h.g.Warn(h.now, []string{"s1", "s2", "s3"})
+	h.g.SetSuspects(h.now, []string{"s1", "s2", "s3"})
 	if got := fmt.Sprint(own.good, own.errs < badShare, other.good, other.errs, len(h.g.backends)); got != fmt.Sprint(true, true, false, badShare, 2) {
 		t.Error(got)
 	}
-	if bad := fmt.Sprint(h.g.Bad(h.now)); bad != "[]" {
+	if bad := fmt.Sprint(h.g.UnhealthyServers(h.now)); bad != "[]" {
 		t.Errorf("what others said is told as its own: %s", bad)
 	}
 	other.errs = 0.6
-	if bad := fmt.Sprint(h.g.Bad(h.now)); bad != "[s2]" {
+	if bad := fmt.Sprint(h.g.UnhealthyServers(h.now)); bad != "[s2]" {
 		t.Errorf("bad by its own answers: %s", bad)
 	}
 }
--- a/internal/decision/keeper.go
+++ b/internal/decision/keeper.go
@@ -41,7 +41,7 @@
 // report adds what was asked here in the cycle that has closed. Every holder reports, also one that was asked little, and also while calls go
 // unanswered: it is one a cycle, and who does not report loses its slice.
 func (g *Gateway) report(c *customer) {
-	if c.quota <= 0 || c.thin || !g.s.MayCount {
+	if c.quota <= 0 || c.thin || !g.s.HasCounter {
 		return
 	}
 	c.calls = 1
@@ -49,7 +49,7 @@
 }
 
 // read takes a keeper's answer: to the report, and then to the call that reads both counters.
-func (g *Gateway) read(c *customer, e Counted) {
+func (g *Gateway) read(c *customer, e CounterReply) {
 	if c.calls == 1 {
 		c.ackedAt, c.readAt = g.now, g.now+readDelay
 		return
@@ -66,7 +66,7 @@
 
 // taken notes that a keeper took a report, though it is not sure yet of all others and tells no sum: the slice stays frozen, and is given
 // to nobody else.
-func (c *customer) taken(now Seconds, e Counted) {
+func (c *customer) taken(now Seconds, e CounterReply) {
 	if e.Outcome == Failed && e.Holders > 0 && e.Name == c.name(c.cycle) {
 		c.ackedAt = now
 	}
@@ -75,7 +75,7 @@
 // aimed is the share of a quota that chance aims at where each request is a report. Calls of the system's own keepers are rarely lost; with
 // all of it, gateways that fall back to their stores while a keeper changes have passed the rule in the model.
 func (g *Gateway) aimed() float64 {
-	if g.s.Pairs {
+	if g.s.PairCounters {
 		return aimPairs
 	}
 	return aimShare
@@ -92,7 +92,7 @@
 // paced is the slice as it may be used now. Where counters are pairs, one whose reports are not taken any more falls back to the part
 // that others leave to those who do not report: a gateway that is cut off gets more careful.
 func (g *Gateway) paced(c *customer) float64 {
-	if g.s.Pairs && g.now-c.ackedAt > lapse && c.doors > 1 {
+	if g.s.PairCounters && g.now-c.ackedAt > lapse && c.doors > 1 {
 		return min(c.slice, quietShare*c.quota/c.doors)
 	}
 	return c.slice
@@ -102,7 +102,7 @@
 // for a moment, or a process that stood still, would else cost at once what was saved up, and what is well within the quota be refused.
 // Elsewhere stores are overbooked: what comes in stays pinned to the quota, but few requests a cycle come anywhere else than the last cycle's did.
 func (g *Gateway) stored(c *customer) float64 {
-	if !g.s.Pairs {
+	if !g.s.PairCounters {
 		return overbooked * c.slice
 	}
 	if g.now-c.ackedAt < lapse+storedFor {
@@ -113,7 +113,7 @@
 
 // store is what the local store of a new customer holds.
 func (g *Gateway) store(c *customer, t *Terms) float64 {
-	if g.s.Pairs && g.now-g.started < young {
+	if g.s.PairCounters && g.now-g.started < young {
 		return 1 + youngPart*t.Plan.Burst/c.doors
 	}
 	return t.Plan.Burst + g.s.MaxUnits
@@ -121,7 +121,7 @@
 
 // suffix ends the names of a customer's counters. Packed totals of two quotas must not be mixed; pairs say the same under any quota.
 func (g *Gateway) suffix(t *Terms) string {
-	if g.s.Pairs {
+	if g.s.PairCounters {
 		return ""
 	}
 	return "." + t.Tag
@@ -130,31 +130,31 @@
 // thinOfPairs tells which customers' requests are reports of their own. The keepers are near, and a call costs a few milliseconds: a
 // store that holds a handful of requests refuses by chance what is well within the quota.
 func (g *Gateway) thinOfPairs(c *customer) {
-	if g.s.Pairs {
+	if g.s.PairCounters {
 		c.thin = c.plan.Rate > 0 && c.doors > 1 && c.quota*c.period < thinPairs*c.doors
 	}
 }
 
 // heardOf notes that a keeper answered for a thin customer, sure of all others or not.
-func (g *Gateway) heardOf(c *customer, e Counted) {
+func (g *Gateway) heardOf(c *customer, e CounterReply) {
 	if answered(e) {
 		c.ackedAt = g.now
 	}
 }
 
 // answered tells whether a keeper was reached, sure of all others or not. An agent that reaches none says Failed too.
-func answered(e Counted) bool { return e.Outcome == Done || e.Outcome == Failed && e.Holders > 0 }
+func answered(e CounterReply) bool { return e.Outcome == Succeeded || e.Outcome == Failed && e.Holders > 0 }
 
 // reached notes that a keeper of pairs answered, whatever it was asked.
-func (g *Gateway) reached(e Counted) {
-	if g.s.Pairs && answered(e) {
+func (g *Gateway) reached(e CounterReply) {
+	if g.s.PairCounters && answered(e) {
 		g.kept = g.now
 	}
 }
 
 // firstAck is when a new customer's reports were last taken, for all that is known: by the answers to others.
 func (g *Gateway) firstAck() Seconds {
-	if g.s.Pairs {
+	if g.s.PairCounters {
 		return max(g.kept, g.started)
 	}
 	return g.now
@@ -169,7 +169,7 @@
 // others answer, the customer's keeper is changing hands: then nobody reaches it, and the stores are all there is.
 func (g *Gateway) alone(c *customer) float64 {
 	rate, at, most := g.rate(c)*c.share, g.reachedAt(c), g.thinLapse(c)
-	if !g.s.Pairs || g.now-at < most {
+	if !g.s.PairCounters || g.now-at < most {
 		return rate
 	}
 	if c.filled-at < most {
@@ -184,7 +184,7 @@
 // restrain cuts a store to a part where no keeper has answered since a request came: a burst is let in by those who reach them, so the stores of all
 // gateways together stand for a part of one more and a few requests. What comes in after that is the gateway's share, until the lapse.
 func (g *Gateway) restrain(c *customer, r *request) {
-	if at := g.reachedAt(c); g.s.Pairs && c.thin && g.kept < r.arrived && c.silentAt <= at {
+	if at := g.reachedAt(c); g.s.PairCounters && c.thin && g.kept < r.arrived && c.silentAt <= at {
 		c.silentAt = g.now
 		c.level = min(c.level, thinStore*c.plan.Burst*c.share+thinSpare*g.s.MaxUnits/c.doors+g.part()*g.rate(c)*c.share*min(g.now-at, g.thinLapse(c)))
 	}
@@ -193,7 +193,7 @@
 // luck lets a request of a thin customer through for which its store holds less than it needs, with that chance, where no keeper has answered since
 // it came. The store is empty then: over many gateways just what they hold runs.
 func (g *Gateway) luck(c *customer, r *request, p float64) bool {
-	if !g.s.Pairs || !c.thin || g.kept >= r.arrived {
+	if !g.s.PairCounters || !c.thin || g.kept >= r.arrived {
 		return false
 	}
 	c.level = 0
@@ -204,7 +204,7 @@
 // begins in the middle of one; what ran meanwhile is given back over the next. Each request is decided upon its own total, so between two
 // totals ran what their ratios say: all up to the limit, where it was crossed.
 func (g *Gateway) brake(c *customer, ratio, limit float64, cycle int64, spent Seconds) {
-	if !g.s.Pairs || c.plan.Rate <= 0 {
+	if !g.s.PairCounters || c.plan.Rate <= 0 {
 		return
 	}
 	b, since, asked, from := &c.bucket, g.now-c.bucket.at, c.sum-c.bucket.sum, c.bucket.sum
@@ -231,14 +231,14 @@
 // recent tells whether the last total may stand for the cycle before. Keepers are near: where counters are pairs, one that is older than a cycle
 // is asked for anew, or each gateway whose last word is from before a rush would let another burst in.
 func (g *Gateway) recent(c *customer) bool {
-	if g.s.Pairs {
+	if g.s.PairCounters {
 		return g.now-c.totalAt < c.period
 	}
 	return g.believed(c)
 }
 
-// Doors tells through how many gateways customers may come now, where that is learned.
-func (g *Gateway) Doors(n int) {
+// SetCustomerGateways tells through how many gateways customers may come now, where that is learned.
+func (g *Gateway) SetCustomerGateways(n int) {
 	for _, c := range g.known {
 		c.doors = float64(max(1, n))
 		g.thinOfPairs(c)
