--- a/internal/decision/keeper_test.go
+++ b/internal/decision/keeper_test.go
@@ -15,7 +15,7 @@
 // quotaWorld plays gateways that count in pairs round one keeper, in fake time, and counts what they let through.
 type quotaWorld struct {
 	rng    *rand.Rand
-	keeper *quota.Keeper
+	keeper *quota.CounterTable
 	nodes  []*quotaNode
 	now    float64
 	id     uint64
@@ -64,7 +64,7 @@
 func (w *quotaWorld) start(n *quotaNode) {
 	n.lastLife++
 	n.lost = nil
-	n.g = New(Settings{Balancers: len(w.nodes), MayCount: true, CountWait: 0.35, Pairs: true, Cycle: 1, Slots: true, MaxAttempts: 1,
+	n.g = New(Settings{Gateways: len(w.nodes), HasCounter: true, CounterTimeout: 0.35, PairCounters: true, CounterCycle: 1, CapacityInSlots: true, MaxAttempts: 1,
 		MayRetryAfter: true, MaxRetryAfter: 1}, w.rng.Uint64())
 	n.tick = w.now + 0.05*w.rng.Float64()
 	w.handle(n, Start{})
@@ -76,21 +76,21 @@
 		switch a := a.(type) {
 		case Send:
 			w.ran = append(w.ran, w.now)
-			w.handle(n, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Done, Took: 0.01, Settled: true})
-		case Refuse:
+			w.handle(n, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Succeeded, Duration: 0.01, Answered: true})
+		case Reject:
 			n.refused++
-		case Count:
-			c := Counted{Name: a.Name, Outcome: Failed}
+		case CounterCall:
+			c := CounterReply{Name: a.Name, Outcome: Failed}
 			if !n.cut && w.rng.Float64() >= w.lost && (w.deaf == "" || a.Customer != w.deaf) {
 				holder := n.name
-				if a.Each {
+				if a.PerRequest {
 					holder += "#" + strconv.Itoa(n.lastLife)
 				}
 				w.id++
-				total := w.keeper.Add(w.now, &quota.Report{Name: a.Customer, Cycle: a.Cycle, Holder: holder, Amount: a.Add, ReadOnly: a.Add == 0,
-					PerRequest: a.Each, Serial: w.id, Retention: a.Keep})
-				if c.Outcome, c.Holders = Failed, total.Holders; total.OK {
-					c.Outcome, c.Total = Done, total.Sum
+				total := w.keeper.Add(w.now, &quota.Report{Name: a.Customer, Cycle: a.Cycle, Reporter: holder, Amount: a.Add, ReadOnly: a.Add == 0,
+					PerRequest: a.PerRequest, Serial: w.id, Retention: a.Retention})
+				if c.Outcome, c.Holders = Failed, total.Reporters; total.OK {
+					c.Outcome, c.Total = Succeeded, total.Sum
 				}
 				defer w.handle(n, c)
 				continue
@@ -118,7 +118,7 @@
 				if w.tenants > 1 {
 					tenant += strconv.Itoa(w.rng.IntN(w.tenants))
 				}
-				n.queue = append(n.queue, Request{ID: w.id, Class: "c", Customer: tenant, Left: 1, Units: 1, Doors: len(w.nodes), Terms: &Terms{Plan: w.plan, Tag: "1"}})
+				n.queue = append(n.queue, Request{ID: w.id, Class: "c", Customer: tenant, TimeLeft: 1, Units: 1, Gateways: len(w.nodes), Terms: &Terms{Plan: w.plan, Tag: "1"}})
 			}
 			if w.now < n.stall {
 				continue
@@ -130,7 +130,7 @@
 			for len(n.lost) > 0 && n.lost[0].at <= w.now {
 				name := n.lost[0].name
 				n.lost = n.lost[1:]
-				w.handle(n, Counted{Name: name, Outcome: Failed})
+				w.handle(n, CounterReply{Name: name, Outcome: Failed})
 			}
 			for _, r := range n.queue {
 				w.handle(n, r)
@@ -169,11 +169,11 @@
 		least float64 // of the calm requests that are let through
 		lost  float64
 	}{
-		{"large", 11, Plan{Rate: 122, Burst: 122, Price: 1}, 0.62, 0.99, 0},
-		{"small", 11, Plan{Rate: 18, Burst: 18, Price: 1}, 0.62, 0.93, 0},
-		{"lossy", 11, Plan{Rate: 122, Burst: 122, Price: 1}, 0.62, 0.98, 0.05},
-		{"one", 1, Plan{Rate: 20, Burst: 20, Price: 1}, 0.62, 0.98, 0},
-		{"many", 85, Plan{Rate: 4, Burst: 4, Price: 1}, 0.5, 0.7, 0},
+		{"large", 11, Plan{Rate: 122, Burst: 122, ValueWeight: 1}, 0.62, 0.99, 0},
+		{"small", 11, Plan{Rate: 18, Burst: 18, ValueWeight: 1}, 0.62, 0.93, 0},
+		{"lossy", 11, Plan{Rate: 122, Burst: 122, ValueWeight: 1}, 0.62, 0.98, 0.05},
+		{"one", 1, Plan{Rate: 20, Burst: 20, ValueWeight: 1}, 0.62, 0.98, 0},
+		{"many", 85, Plan{Rate: 4, Burst: 4, ValueWeight: 1}, 0.5, 0.7, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -222,7 +222,7 @@
 // TestSlicesAddUpToTheQuota compares the slices after a calm while with the plain model: every slice is r + (Q-R)/k, and together they are Q.
 func TestSlicesAddUpToTheQuota(t *testing.T) {
 	is := is.New(t)
-	plan := Plan{Rate: 200, Burst: 200, Price: 1}
+	plan := Plan{Rate: 200, Burst: 200, ValueWeight: 1}
 	w := newQuotaWorld(3, 7, plan, func(i int) float64 { return 5 + 6*float64(i) })
 	w.run(20, nil)
 	sum, R := 0.0, 0.0
@@ -245,7 +245,7 @@
 // TestSlicesStayWhileAKeeperChanges has a keeper go and another take over under its fence while a tenant rushes: what runs stays within
 // the rule, and the quota goes on being served.
 func TestSlicesStayWhileAKeeperChanges(t *testing.T) {
-	plan := Plan{Rate: 122, Burst: 122, Price: 1}
+	plan := Plan{Rate: 122, Burst: 122, ValueWeight: 1}
 	w := newQuotaWorld(4, 11, plan, func(i int) float64 { return 4 + float64(i%3)*4 })
 	w.run(10, nil)
 	for _, n := range w.nodes {
@@ -286,7 +286,7 @@
 	} {
 		asked, refused := 0, 0
 		for seed := range uint64(6) {
-			plan := Plan{Rate: 50, Burst: 50, Price: 1}
+			plan := Plan{Rate: 50, Burst: 50, ValueWeight: 1}
 			w := newQuotaWorld(seed, 3, plan, func(i int) float64 { return 6 * 0.62 * plan.Rate / 3 * (0.5 + float64(i%3)*0.5) })
 			w.tenants = 6
 			w.run(8, nil) // it begins from nothing
@@ -317,7 +317,7 @@
 	for _, nodes := range []int{3, 11} {
 		for _, part := range []int{2, 3} {
 			for _, gap := range []float64{0, 2, 2.6, 3.2, 4} {
-				plan := Plan{Rate: 122, Burst: 122, Price: 1}
+				plan := Plan{Rate: 122, Burst: 122, ValueWeight: 1}
 				w := newQuotaWorld(uint64(part), nodes, plan, func(i int) float64 { return 0.3 * plan.Rate / float64(nodes) * (0.5 + float64(i%3)*0.5) })
 				w.run(14, nil)
 				for i, n := range w.nodes {
--- a/internal/decision/lifecycle.go
+++ b/internal/decision/lifecycle.go
@@ -25,13 +25,13 @@
 
 func (p Phase) String() string { return phaseNames[p] }
 
-// LifeEvent is what moves a process from one phase to another.
-type LifeEvent int
+// LifecycleEvent is what moves a process from one phase to another.
+type LifecycleEvent int
 
 // The events.
 const (
-	Started   LifeEvent = iota // it can serve
-	Lame                       // an operator called LAMEDUCK
+	Started   LifecycleEvent = iota // it can serve
+	EnterLameDuck                       // an operator called LAMEDUCK
 	Rejoin                     // an operator called REJOIN
 	Terminate                  // SIGTERM
 	Close                      // after SIGTERM, the front sends no more: the listener closes
@@ -42,7 +42,7 @@
 
 // Handle moves it by an event. It tells whether the event was taken: REJOIN and LAMEDUCK are refused once it stops,
 // and REJOIN before it serves; what is refused changes nothing. An event that leaves the phase as it is, is taken.
-func (l *Lifecycle) Handle(e LifeEvent) (taken bool) {
+func (l *Lifecycle) Handle(e LifecycleEvent) (taken bool) {
 	switch {
 	case e == Close:
 		l.phase = Closing
@@ -56,7 +56,7 @@
 		if l.phase == Starting {
 			l.phase = Serving
 		}
-	case e == Lame:
+	case e == EnterLameDuck:
 		l.phase = LameDuck
 	case e == Rejoin:
 		if l.phase == Starting {
--- a/internal/decision/lifecycle_test.go
+++ b/internal/decision/lifecycle_test.go
@@ -15,21 +15,21 @@
 	}
 	for _, c := range []struct {
 		name   string
-		events []LifeEvent
+		events []LifecycleEvent
 		want   said
 	}{
 		{"new", nil, said{"starting", false, false, true, true, nil}},
-		{"started", []LifeEvent{Started}, said{"serving", true, true, true, true, []bool{true}}},
-		{"rejoin before serving is refused", []LifeEvent{Rejoin}, said{"starting", false, false, true, true, []bool{false}}},
-		{"lame duck", []LifeEvent{Started, Lame}, said{"lame-duck", false, true, false, true, []bool{true, true}}},
-		{"lame duck twice", []LifeEvent{Started, Lame, Lame}, said{"lame-duck", false, true, false, true, []bool{true, true, true}}},
-		{"rejoined", []LifeEvent{Started, Lame, Rejoin}, said{"serving", true, true, true, true, []bool{true, true, true}}},
-		{"started again changes nothing", []LifeEvent{Started, Lame, Started}, said{"lame-duck", false, true, false, true, []bool{true, true, true}}},
-		{"terminated", []LifeEvent{Started, Terminate}, said{"stopping", false, false, true, true, []bool{true, true}}},
-		{"closing", []LifeEvent{Started, Terminate, Close}, said{"closing", false, false, false, false, []bool{true, true, true}}},
-		{"closing refuses the rest", []LifeEvent{Started, Terminate, Close, Rejoin, Lame, Terminate}, said{"closing", false, false, false, false, []bool{true, true, true, false, false, false}}},
-		{"no way back from stopping", []LifeEvent{Started, Terminate, Rejoin, Lame, Started}, said{"stopping", false, false, true, true, []bool{true, true, false, false, false}}},
-		{"terminated while lame", []LifeEvent{Started, Lame, Terminate}, said{"stopping", false, false, true, true, []bool{true, true, true}}},
+		{"started", []LifecycleEvent{Started}, said{"serving", true, true, true, true, []bool{true}}},
+		{"rejoin before serving is refused", []LifecycleEvent{Rejoin}, said{"starting", false, false, true, true, []bool{false}}},
+		{"lame duck", []LifecycleEvent{Started, EnterLameDuck}, said{"lame-duck", false, true, false, true, []bool{true, true}}},
+		{"lame duck twice", []LifecycleEvent{Started, EnterLameDuck, EnterLameDuck}, said{"lame-duck", false, true, false, true, []bool{true, true, true}}},
+		{"rejoined", []LifecycleEvent{Started, EnterLameDuck, Rejoin}, said{"serving", true, true, true, true, []bool{true, true, true}}},
+		{"started again changes nothing", []LifecycleEvent{Started, EnterLameDuck, Started}, said{"lame-duck", false, true, false, true, []bool{true, true, true}}},
+		{"terminated", []LifecycleEvent{Started, Terminate}, said{"stopping", false, false, true, true, []bool{true, true}}},
+		{"closing", []LifecycleEvent{Started, Terminate, Close}, said{"closing", false, false, false, false, []bool{true, true, true}}},
+		{"closing refuses the rest", []LifecycleEvent{Started, Terminate, Close, Rejoin, EnterLameDuck, Terminate}, said{"closing", false, false, false, false, []bool{true, true, true, false, false, false}}},
+		{"no way back from stopping", []LifecycleEvent{Started, Terminate, Rejoin, EnterLameDuck, Started}, said{"stopping", false, false, true, true, []bool{true, true, false, false, false}}},
+		{"terminated while lame", []LifecycleEvent{Started, EnterLameDuck, Terminate}, said{"stopping", false, false, true, true, []bool{true, true, true}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var l Lifecycle
--- a/internal/decision/patience.go
+++ b/internal/decision/patience.go
@@ -7,22 +7,22 @@
 // patienceWith is after what time a first attempt may be given up so that another server can still answer; 0: never. A server that has gone
 // dark says nothing, and most of what a client waits would be spent on it. What must not run twice is never given up: it could only be lost.
 func (g *Gateway) patienceWith(r *request) Seconds {
-	if r.class.Patience == 0 || r.class.Effect != Safe || len(r.attempts) > 0 || cmp.Or(r.class.Attempts, g.s.MaxAttempts) < 2 {
+	if r.class.SlowAttemptFactor == 0 || r.class.Effect != Idempotent || len(r.attempts) > 0 || cmp.Or(r.class.MaxAttempts, g.s.MaxAttempts) < 2 {
 		return 0
 	}
-	early := max(leastPatience*r.class.Aim, r.class.Patience*r.pool.lat)
+	early := max(leastPatience*r.class.LatencyTarget, r.class.SlowAttemptFactor*r.pool.lat)
 	if early+2*r.pool.lat > r.dueAt-g.now {
 		return 0
 	}
 	return early
 }
 
-// Impatient tells whether the attempt that is out for a request, with which the patience has run out, is to be given up now: nothing that was
+// ShouldAbandon tells whether the attempt that is out for a request, with which the patience has run out, is to be given up now: nothing that was
 // planned is under way, another backend has room for the request, the budget has a further attempt for it, and there is time for an answer.
 // Else the silent one may still answer, where giving it up would only end the request.
-func (g *Gateway) Impatient(now Seconds, id uint64) bool {
+func (g *Gateway) ShouldAbandon(now Seconds, id uint64) bool {
 	r := g.requests[id]
-	if r == nil || r.answered || r.out != 1 || len(r.attempts) != 1 || r.class.Effect != Safe || r.arrived < g.plannedTill {
+	if r == nil || r.answered || r.out != 1 || len(r.attempts) != 1 || r.class.Effect != Idempotent || r.arrived < g.plannedTill {
 		return false
 	}
 	if g.now = max(g.now, now); r.dueAt-g.now <= 2*max(g.s.AnswerSlack, r.pool.lat) {
@@ -32,6 +32,6 @@
 	return b != nil && b != r.attempts[0].b && r.pool.retries.Affords(g.now, false, len(g.held) > 0)
 }
 
-// Planned tells that something planned is under way: this process leaves, its settings were read anew, or a configuration has just come into
+// ExpectDisruption tells that something planned is under way: this process leaves, its settings were read anew, or a configuration has just come into
 // force. No patience ends what comes until then, and what is here already.
-func (g *Gateway) Planned(till Seconds) { g.plannedTill = max(g.plannedTill, till) }
+func (g *Gateway) ExpectDisruption(till Seconds) { g.plannedTill = max(g.plannedTill, till) }
--- a/internal/decision/patience_test.go
+++ b/internal/decision/patience_test.go
@@ -29,22 +29,22 @@
 		{name: "it must not run twice", class: "unsafe", others: []Backend{up("y", 0)}, at: asked + early},
 		{name: "it must not run twice under its key", class: "keyed", others: []Backend{up("y", 0)}, at: asked + early},
 		{name: "it has ended", others: []Backend{up("y", 0)}, at: asked + early, while: func(g *Gateway) {
-			g.Handle(asked+0.5, AttemptEnded{ID: 1, Backend: "x", Outcome: Done, Took: 0.5, Settled: true})
+			g.Handle(asked+0.5, AttemptEnded{ID: 1, Backend: "x", Outcome: Succeeded, Duration: 0.5, Answered: true})
 		}},
 		{name: "its client has left", others: []Backend{up("y", 0)}, at: asked + early, while: func(g *Gateway) { g.Handle(asked+0.5, ClientGone{1}) }},
-		{name: "planned before", others: []Backend{up("y", 0)}, at: asked + early, before: func(g *Gateway) { g.Planned(asked + 0.01) }},
-		{name: "planned long before", others: []Backend{up("y", 0)}, at: asked + early, before: func(g *Gateway) { g.Planned(asked - 0.01) }, want: true},
-		{name: "planned meanwhile", others: []Backend{up("y", 0)}, at: asked + early, while: func(g *Gateway) { g.Planned(asked + 0.6) }},
+		{name: "planned before", others: []Backend{up("y", 0)}, at: asked + early, before: func(g *Gateway) { g.ExpectDisruption(asked + 0.01) }},
+		{name: "planned long before", others: []Backend{up("y", 0)}, at: asked + early, before: func(g *Gateway) { g.ExpectDisruption(asked - 0.01) }, want: true},
+		{name: "planned meanwhile", others: []Backend{up("y", 0)}, at: asked + early, while: func(g *Gateway) { g.ExpectDisruption(asked + 0.6) }},
 		{name: "planned, the end of it told after a later one", others: []Backend{up("y", 0)}, at: asked + early, before: func(g *Gateway) {
-			g.Planned(asked + 0.01)
-			g.Planned(asked - 1)
+			g.ExpectDisruption(asked + 0.01)
+			g.ExpectDisruption(asked - 1)
 		}},
-		{name: "it leaves for good", others: []Backend{up("y", 0)}, at: asked + early + 1, while: func(g *Gateway) { g.Planned(math.Inf(1)) }},
+		{name: "it leaves for good", others: []Backend{up("y", 0)}, at: asked + early + 1, while: func(g *Gateway) { g.ExpectDisruption(math.Inf(1)) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := testSettings()
 			for i := range s.Classes {
-				s.Classes[i].Patience = 6
+				s.Classes[i].SlowAttemptFactor = 6
 			}
 			g := started(t, s, up("x", 0))
 			g.lat = 0.01
@@ -56,7 +56,7 @@
 				class = "safe"
 			}
 			sent := of[Send](g.Handle(asked, ask(1, class, "free")))
-			if len(sent) != 1 || sent[0].Timeout != 0 || (sent[0].Patience == early) != (class == "safe") {
+			if len(sent) != 1 || sent[0].Timeout != 0 || (sent[0].SlowAfter == early) != (class == "safe") {
 				t.Fatalf("sent %+v", sent)
 			}
 			g.Handle(asked+0.1, Backends{List: tc.others})
@@ -64,7 +64,7 @@
 				tc.while(g)
 			}
 			tokens := g.retries
-			if got := g.Impatient(tc.at, 1); got != tc.want {
+			if got := g.ShouldAbandon(tc.at, 1); got != tc.want {
 				t.Errorf("given up: %v, want %v", got, tc.want)
 			}
 			if g.retries != tokens {
@@ -73,8 +73,8 @@
 			if !tc.want {
 				return
 			}
-			out := g.Handle(tc.at, AttemptEnded{ID: 1, Backend: "x", Outcome: TimedOut, Took: tc.at - asked})
-			if again := of[Send](out); len(again) != 1 || again[0].Backend != "y" || again[0].Patience != 0 {
+			out := g.Handle(tc.at, AttemptEnded{ID: 1, Backend: "x", Outcome: TimedOut, Duration: tc.at - asked})
+			if again := of[Send](out); len(again) != 1 || again[0].Backend != "y" || again[0].SlowAfter != 0 {
 				t.Errorf("given up, and then %+v", out)
 			}
 		})
--- a/internal/decision/pools.go
+++ b/internal/decision/pools.go
@@ -53,7 +53,7 @@
 // budget is that of one group for further attempts.
 func (g *Gateway) budget() retry.Budget {
 	if g.s.RetryShare > 0 {
-		return retry.Divided(g.s.RetryShare, g.s.RetrySlack, g.s.Balancers)
+		return retry.Divided(g.s.RetryShare, g.s.RetrySlack, g.s.Gateways)
 	}
 	return retry.New()
 }
@@ -79,7 +79,7 @@
 			p.listed++
 		}
 	}
-	gateways, all := float64(g.s.Balancers), float64(max(1, p.listed))
+	gateways, all := float64(g.s.Gateways), float64(max(1, p.listed))
 	reach := min(all, math.Ceil(max(reachLeast, reachFew*all/gateways, reachSpan*p.sentRate)))
 	p.reach, p.sharing = int(reach), max(1, gateways*reach/all/reachFew)
 }
@@ -128,16 +128,16 @@
 	switch {
 	case float64(b.out)+b.ghosts < b.home:
 		return homeCost
-	case g.s.Afar > 0 && b.Zone != g.s.Zone:
-		return g.s.Afar
+	case g.s.RemoteZoneCost > 0 && b.Zone != g.s.Zone:
+		return g.s.RemoteZoneCost
 	}
 	return 1
 }
 
 const homeCost = 0.3 // beside that of another backend
 
-// Place tells where this gateway stands among those of its zone.
-func (g *Gateway) Place(rank, peers int) {
+// SetZoneRank tells where this gateway stands among those of its zone.
+func (g *Gateway) SetZoneRank(rank, peers int) {
 	if rank < 0 || rank >= peers {
 		return
 	}
@@ -152,7 +152,7 @@
 
 // homes cuts the slots of a group's backends in this zone evenly among the gateways here, in an order that all make alike.
 func (g *Gateway) homes(p *pool) {
-	if !g.s.Slots || g.standing.peers == 0 {
+	if !g.s.CapacityInSlots || g.standing.peers == 0 {
 		return
 	}
 	var near []*backend
@@ -172,10 +172,10 @@
 	}
 }
 
-// Members tells how many gateways there are, as it is learned. Budgets of further attempts and what a gateway uses follow.
-func (g *Gateway) Members(n int) {
-	if n > 0 && n != g.s.Balancers {
-		g.s.Balancers = n
+// SetMembers tells how many gateways there are, as it is learned. Budgets of further attempts and what a gateway uses follow.
+func (g *Gateway) SetMembers(n int) {
+	if n > 0 && n != g.s.Gateways {
+		g.s.Gateways = n
 		for _, p := range g.pools {
 			p.retries.Divide(n)
 		}
--- a/internal/decision/quotas.go
+++ b/internal/decision/quotas.go
@@ -22,7 +22,7 @@
 	seen, fastAt       Seconds
 	fast               float64         // requests a second asked just now
 	slice, level, most float64         // units a second; units in the local store, and that it can hold
-	mix                conformance.Mix // what it asks for
+	mix                conformance.ValueDistribution // what it asks for
 	ceiling            float64         // what this gateway's part of the ceiling still lets through
 	filled, ceilFill   Seconds         // when level and ceiling were reckoned
 	period, phase      Seconds
@@ -57,7 +57,7 @@
 		h := fnv.New32a()
 		h.Write([]byte(e.Customer))
 		c = &customer{key: e.Customer, hash: h.Sum32(), since: g.now, filled: g.now, totalAt: math.Inf(-1)}
-		c.doors, c.ackedAt = float64(max(1, e.Doors)), g.firstAck()
+		c.doors, c.ackedAt = float64(max(1, e.Gateways)), g.firstAck()
 		g.adopt(c, t)
 		c.validFor = freshCycles * c.period
 		c.slice, c.level = c.quota/c.doors, g.store(c, t) // fill cuts it
@@ -75,10 +75,10 @@
 func (g *Gateway) adopt(c *customer, t *Terms) {
 	c.plan, c.tag, c.suffix = &t.Plan, t.Tag, g.suffix(t)
 	if c.quota = c.plan.Rate; c.quota <= 0 {
-		c.quota = float64(c.plan.Open)
+		c.quota = float64(c.plan.MaxInFlight)
 	}
 	// Without a quota it does not matter.
-	c.period = cmp.Or(g.s.Cycle, min(cycleMax, max(cycleMin, cycleUnits/c.quota)))
+	c.period = cmp.Or(g.s.CounterCycle, min(cycleMax, max(cycleMin, cycleUnits/c.quota)))
 	// The phase spreads the calls of a cycle over it.
 	c.phase = float64(c.hash%1024) / 1024 * c.period
 	c.cycle = c.cycleAt(g.now)
@@ -103,13 +103,13 @@
 		part = c.slice / c.quota
 	}
 	field, _ := c.pack()
-	if !g.s.Pairs && g.s.MayCount && g.now >= g.muted && !c.thin && c.doors > 1 && c.quota > 0 {
+	if !g.s.PairCounters && g.s.HasCounter && g.now >= g.muted && !c.thin && c.doors > 1 && c.quota > 0 {
 		for n := range int64(changeCycles + 1) {
 			name, keep := c.name(c.cycleAt(g.now)+n), (changeCycles+1)*c.period+1
-			g.do(Count{Name: name, Add: field * c.doors, Keep: keep})
+			g.do(CounterCall{Name: name, Add: field * c.doors, Retention: keep})
 		}
 	}
-	if c.plan.CeilingRate > 0 {
+	if c.plan.LimitRate > 0 {
 		c.level = min(c.level, c.ceiling) // what the ceiling kept back is not set free
 	} else {
 		c.ceiling = max(c.ceiling, c.level) // what the quota let through, a new ceiling does
@@ -124,8 +124,8 @@
 
 // topUp brings what this gateway's own part of the ceiling still lets through up to now.
 func (g *Gateway) topUp(c *customer) {
-	if c.plan.CeilingRate > 0 {
-		c.ceiling = c.plan.split(c.doors, g.s.MayCount).Own(c.ceiling, g.now-c.ceilFill, g.part())
+	if c.plan.LimitRate > 0 {
+		c.ceiling = c.plan.split(c.doors, g.s.HasCounter).Own(c.ceiling, g.now-c.ceilFill, g.part())
 	}
 	c.ceilFill = g.now
 }
@@ -136,10 +136,10 @@
 	if g.topUp(c); !r.inside || c.ceiling >= r.Units || g.now < max(g.muted, c.holdTill) {
 		return false
 	}
-	span, room, keep, ok := c.plan.split(c.doors, g.s.MayCount).Common(g.now)
+	span, room, keep, ok := c.plan.split(c.doors, g.s.HasCounter).Common(g.now)
 	if ok {
 		c.asks = append(c.asks, query{r: r, plan: c.plan, name: c.key + "/" + span, at: g.now, room: room})
-		g.do(Count{Name: c.key + "/" + span, Add: r.Units, Keep: keep})
+		g.do(CounterCall{Name: c.key + "/" + span, Add: r.Units, Retention: keep})
 	}
 	return ok
 }
@@ -179,20 +179,20 @@
 }
 
 func (g *Gateway) count(c *customer, cycle int64, add float64) {
-	g.do(Count{c.name(cycle), add, 2*c.period + 1, c.key, cycle, c.thin})
+	g.do(CounterCall{c.name(cycle), add, 2*c.period + 1, c.key, cycle, c.thin})
 }
 
 // turn closes a customer's cycle and, where its demand nears the slice, adds it to the counter.
 func (g *Gateway) turn(c *customer) {
 	span := max(g.now-c.since, c.period/2)
 	r := c.demand / span / max(0.1, g.part())
-	if g.s.Pairs && !math.IsInf(c.totalAt, -1) {
+	if g.s.PairCounters && !math.IsInf(c.totalAt, -1) {
 		r = c.r + smoothing*(r-c.r)
 	}
 	c.r, c.demand, c.since = r, 0, g.now
 	c.cycle = c.cycleAt(g.now)
 	c.readAt, c.calls = 0, 0
-	if g.s.Pairs {
+	if g.s.PairCounters {
 		g.report(c)
 		return
 	}
@@ -203,7 +203,7 @@
 		c.slice = even // quiet: no calls, and the others leave it quietShare of this
 		return
 	}
-	if !g.s.MayCount || g.now < g.muted {
+	if !g.s.HasCounter || g.now < g.muted {
 		return // frozen
 	}
 	c.calls = 1
@@ -219,9 +219,9 @@
 }
 
 // counted takes a total. What is no sound answer for this cycle leaves the slice frozen.
-func (g *Gateway) counted(e Counted) {
+func (g *Gateway) counted(e CounterReply) {
 	g.reached(e)
-	if e.Outcome == Done || e.Outcome == Busy || e.Outcome == Failed {
+	if e.Outcome == Succeeded || e.Outcome == Rejected || e.Outcome == Failed {
 		if g.unheard >= muteAfter && g.now-g.heard > lostAfter {
 			g.chance = g.rated // else it took minutes, at few calls, until quotas were watched again
 		}
@@ -231,12 +231,12 @@
 		g.unheard++
 	}
 	switch e.Outcome {
-	case Done:
+	case Succeeded:
 		g.silent, g.muted = 0, 0
 		g.chance = min(1, g.chance+chanceUp)
 	case Failed: // answered, if not with a total: no sign that it has no room
 	default:
-		if (e.Outcome == Busy || e.Outcome == TimedOut) && g.now >= g.cutAt+chanceCuts {
+		if (e.Outcome == Rejected || e.Outcome == TimedOut) && g.now >= g.cutAt+chanceCuts {
 			// A broken connection says nothing of room.
 			g.cutAt = g.now
 			g.chance = max(chanceLeast, g.chance*chanceDown)
@@ -252,11 +252,11 @@
 		g.told(c, a, e)
 		return
 	}
-	if c.thin || c.calls == 0 || c.name(c.cycle) != e.Name || e.Outcome != Done {
+	if c.thin || c.calls == 0 || c.name(c.cycle) != e.Name || e.Outcome != Succeeded {
 		c.taken(g.now, e)
 		return
 	}
-	if g.s.Pairs {
+	if g.s.PairCounters {
 		g.read(c, e)
 		return
 	}
@@ -286,7 +286,7 @@
 // take them all, some customers are not watched, the same ones at all gateways, for half a total is noise;
 // first those whose answer decides nothing. Where what is beyond costs, all are watched, but sampled thinly.
 func (g *Gateway) callChance(c *customer, r *request) float64 {
-	if g.s.Pairs {
+	if g.s.PairCounters {
 		return 1
 	}
 	least := min(1, c.units(r)/(weightMost*g.rate(c)*c.period))
@@ -294,7 +294,7 @@
 		watched := g.chance
 		if c.plan.sendsBeyond() { // the answer decides nothing
 			watched = math.Pow(g.chance, yieldPower)
-		} else if least > g.chance && c.plan.BeyondCosts > 0 {
+		} else if least > g.chance && c.plan.ExcessCost > 0 {
 			return g.chance
 		}
 		if float64(c.hash)/math.MaxUint32*least > watched {
@@ -321,20 +321,20 @@
 // told decides a request of a thin customer. Exception: each counted one is a report, as r is 0 or noise. It
 // adds itself, and the answer is the read. The step is the same: with R under the quota x covers r, above it
 // x is Q*r/R, and chance admits that part: it stays pinned to Q. Up to the burst's room all is inside.
-func (g *Gateway) told(c *customer, a query, e Counted) {
+func (g *Gateway) told(c *customer, a query, e CounterReply) {
 	r, Q, T := a.r, g.rate(c), c.period
 	g.heardOf(c, e)
 	if r.answered {
 		return
 	}
 	if a.room > 0 {
-		if e.Outcome == Done && e.Total <= a.room && a.plan == c.plan {
+		if e.Outcome == Succeeded && e.Total <= a.room && a.plan == c.plan {
 			r.common = g.now + ratelimit.Late
 		}
 		g.send(r)
 		return
 	}
-	if e.Outcome != Done || a.plan != c.plan {
+	if e.Outcome != Succeeded || a.plan != c.plan {
 		r.inside = g.inside(r)
 		g.admit(r)
 		return
@@ -348,7 +348,7 @@
 	spent := min(T, g.now-float64(now)*T-c.phase)
 	if !known {
 		if before = 0; c.sum > Q*spent && c.sum > a.add+1e-6 {
-			if g.chance >= crowded || c.plan.BeyondCosts <= 0 {
+			if g.chance >= crowded || c.plan.ExcessCost <= 0 {
 				g.ask(r, a.cycle-1, 0)
 				return
 			}
@@ -376,8 +376,8 @@
 	own := (c.r*T+c.demand)/(T+max(0, g.now-c.since)) + quiet
 	c.share = min(1, own/(R+quiet*c.doors))
 	g.fill(c)
-	if c.plan.BeyondCosts > 0 {
-		g.odds.Told(r.Repeat, c.ratio)
+	if c.plan.ExcessCost > 0 {
+		g.odds.Told(r.ClientRetry, c.ratio)
 	}
 	if r.inside = g.rng.Float64() < c.ratio; r.inside {
 		c.level = max(0, c.level-c.units(r))
--- a/internal/decision/retune_test.go
+++ b/internal/decision/retune_test.go
@@ -5,20 +5,20 @@
 // TestRetuneKeepsOpenRequestsClass: a request in hand keeps the class it began with when the classes change under it,
 // and a request that comes later is decided by the new class.
 func TestRetuneKeepsOpenRequestsClass(t *testing.T) {
-	s := Settings{Balancers: 1, MaxAttempts: 4, WarmUp: 1,
-		Classes: []Class{{Name: "c", Aim: 1, Deadline: 3, Worth: 1, Effect: Safe}},
-		Plans:   []Plan{{Name: "p", Rate: 100, Burst: 100, Price: 1}}}
+	s := Settings{Gateways: 1, MaxAttempts: 4, SlowStartTime: 1,
+		Classes: []Class{{Name: "c", LatencyTarget: 1, Deadline: 3, Value: 1, Effect: Idempotent}},
+		Plans:   []Plan{{Name: "p", Rate: 100, Burst: 100, ValueWeight: 1}}}
 	g := New(s, 1)
 	g.Handle(0, Start{})
 	g.Handle(0, Backends{Complete: true, List: []Backend{{ID: "b", Serving: true, Size: 1}}})
-	g.Handle(0, Request{ID: 1, Class: "c", Plan: "p", Customer: "m", Units: 1, Left: 3})
-	g.Retune([]Class{{Name: "c", Aim: 2, Deadline: 6, Worth: 5, Effect: Unsafe}, {Name: "d", Aim: 1, Deadline: 3, Worth: 1}}, 2)
-	g.Handle(0, Request{ID: 2, Class: "c", Plan: "p", Customer: "m", Units: 1, Left: 3})
-	g.Handle(0, Request{ID: 3, Class: "d", Plan: "p", Customer: "m", Units: 1, Left: 3})
-	if r := g.requests[1]; r == nil || r.class.Effect != Safe || r.class.Aim != 1 {
+	g.Handle(0, Request{ID: 1, Class: "c", Plan: "p", Customer: "m", Units: 1, TimeLeft: 3})
+	g.Reconfigure([]Class{{Name: "c", LatencyTarget: 2, Deadline: 6, Value: 5, Effect: NonIdempotent}, {Name: "d", LatencyTarget: 1, Deadline: 3, Value: 1}}, 2)
+	g.Handle(0, Request{ID: 2, Class: "c", Plan: "p", Customer: "m", Units: 1, TimeLeft: 3})
+	g.Handle(0, Request{ID: 3, Class: "d", Plan: "p", Customer: "m", Units: 1, TimeLeft: 3})
+	if r := g.requests[1]; r == nil || r.class.Effect != Idempotent || r.class.LatencyTarget != 1 {
 		t.Fatalf("the open request lost its class: %+v", r)
 	}
-	if r := g.requests[2]; r == nil || r.class.Effect != Unsafe || r.class.Worth != 5 {
+	if r := g.requests[2]; r == nil || r.class.Effect != NonIdempotent || r.class.Value != 5 {
 		t.Fatalf("a later request is not of the new class: %+v", r)
 	}
 	if r := g.requests[3]; r == nil || r.class.Name != "d" {
--- a/internal/decision/scale_test.go
+++ b/internal/decision/scale_test.go
@@ -10,15 +10,15 @@
 // counter is a model of the counter service.
 type counter map[string]float64
 
-func (m counter) add(c Count) Counted {
+func (m counter) add(c CounterCall) CounterReply {
 	m[c.Name] += c.Add
-	return Counted{Name: c.Name, Outcome: Done, Total: m[c.Name]}
+	return CounterReply{Name: c.Name, Outcome: Succeeded, Total: m[c.Name]}
 }
 
 func TestTotalsOf500GatewaysAreRightAndSlicesSumToTheQuota(t *testing.T) {
 	for _, over := range []float64{0.6, 2} { // times the quota
 		s := testSettings()
-		s.Plans = []Plan{{Name: "rate", Rate: 5000, Burst: 10000, Price: 1, BeyondCosts: 1}}
+		s.Plans = []Plan{{Name: "rate", Rate: 5000, Burst: 10000, ValueWeight: 1, ExcessCost: 1}}
 		const n = 500
 		m, rng, R, k := counter{}, rand.New(rand.NewPCG(1, 2)), 0.0, 0.0
 		var all []*customer
@@ -26,7 +26,7 @@
 		for i := range n {
 			g := New(s, uint64(i))
 			g.now = 100
-			c := g.customer(Request{Customer: "c", Doors: n}, g.plans["rate"])
+			c := g.customer(Request{Customer: "c", Gateways: n}, g.plans["rate"])
 			if c.thin {
 				t.Fatal("20 units a cycle at each gateway are not thin")
 			}
@@ -34,7 +34,7 @@
 			R += c.demand / c.period
 			k++
 			g.turn(c)
-			for _, call := range of[Count](g.out) {
+			for _, call := range of[CounterCall](g.out) {
 				m.add(call)
 			}
 			all, gateways = append(all, c), append(gateways, g)
@@ -42,7 +42,7 @@
 		sum := 0.0
 		for i, c := range all {
 			c.calls = 2 // the read
-			gateways[i].counted(Counted{Name: c.name(c.cycle), Outcome: Done, Total: m[c.name(c.cycle)]})
+			gateways[i].counted(CounterReply{Name: c.name(c.cycle), Outcome: Succeeded, Total: m[c.name(c.cycle)]})
 			if c.k != k || math.Abs(c.R-R) > 0.02*R {
 				t.Fatalf("gateway %d read %v of %v holders and %v units of %v", i, c.k, k, c.R, R)
 			}
@@ -55,7 +55,7 @@
 }
 
 // play lets n gateways take a customer's requests in turn and returns the units sent on.
-func play(s Settings, plan string, n int, perSecond, seconds float64, reply func(Count) Counted) (sent float64) {
+func play(s Settings, plan string, n int, perSecond, seconds float64, reply func(CounterCall) CounterReply) (sent float64) {
 	var gateways []*Gateway
 	for i := range n {
 		g := New(s, uint64(i))
@@ -68,14 +68,14 @@
 		now, id := 1+float64(i)/perSecond, uint64(i+1)
 		g := gateways[rng.IntN(n)]
 		r := ask(id, "safe", plan)
-		r.Doors = n
+		r.Gateways = n
 		out := g.Handle(now, r)
-		for len(of[Count](out)) > 0 {
-			out = g.Handle(now, reply(of[Count](out)[0]))
+		for len(of[CounterCall](out)) > 0 {
+			out = g.Handle(now, reply(of[CounterCall](out)[0]))
 		}
 		for _, send := range of[Send](out) {
 			sent++
-			g.Handle(now, AttemptEnded{ID: send.ID, Backend: send.Backend, Outcome: Done, Settled: true, Took: 0.1})
+			g.Handle(now, AttemptEnded{ID: send.ID, Backend: send.Backend, Outcome: Succeeded, Answered: true, Duration: 0.1})
 		}
 	}
 	return sent
@@ -94,7 +94,7 @@
 }
 
 func TestUnknownThinCustomerGetsTheEvenShare(t *testing.T) { // no answer, ever: one request for each gateway at most
-	down := func(c Count) Counted { return Counted{Name: c.Name, Outcome: TimedOut} }
+	down := func(c CounterCall) CounterReply { return CounterReply{Name: c.Name, Outcome: TimedOut} }
 	if got := play(testSettings(), "rate", 50, 40, 20, down); got < 40 || got > 50+10*20 {
 		t.Errorf("%v sent on without a counter, want one for each gateway and the quota at most", got)
 	}
@@ -106,10 +106,10 @@
 	calls := map[bool]int{}
 	for i := range 400 {
 		r := ask(uint64(i+1), "safe", "rate")
-		r.Customer, r.Doors = fmt.Sprint("c", i), 200
-		for _, call := range of[Count](g.Handle(float64(i)*2, r)) { // beyond the pause after unanswered calls
+		r.Customer, r.Gateways = fmt.Sprint("c", i), 200
+		for _, call := range of[CounterCall](g.Handle(float64(i)*2, r)) { // beyond the pause after unanswered calls
 			calls[i >= 200]++
-			g.Handle(float64(i)*2, Counted{Name: call.Name, Outcome: Busy})
+			g.Handle(float64(i)*2, CounterReply{Name: call.Name, Outcome: Rejected})
 		}
 	}
 	if calls[false] < 5 || calls[true] > 30 {
@@ -122,14 +122,14 @@
 	for seed := range uint64(5) {
 		s := testSettings()
 		for i := range s.Plans {
-			s.Plans[i].ExcessWorth = 2 // sent on beyond the quota too: an answer decides nothing
+			s.Plans[i].ExcessValue = 2 // sent on beyond the quota too: an answer decides nothing
 		}
 		g := New(s, seed)
 		g.chance = 0.75
 		var watched []bool
 		n := 0
 		for i := range 200 {
-			r := &request{Request: Request{Customer: fmt.Sprint("c", i), Units: 4, Doors: 200}}
+			r := &request{Request: Request{Customer: fmt.Sprint("c", i), Units: 4, Gateways: 200}}
 			r.c = g.customer(r.Request, g.plans["rate"])
 			watched = append(watched, g.callChance(r.c, r) > 0)
 			if watched[i] {
@@ -153,11 +153,11 @@
 func TestRequestIsAnsweredThoughTheCounterNeverIs(t *testing.T) {
 	g := started(t, testSettings(), up("x", 0))
 	r := ask(1, "safe", "rate")
-	r.Doors = 200
-	if len(of[Count](g.Handle(0, r))) != 1 {
+	r.Gateways = 200
+	if len(of[CounterCall](g.Handle(0, r))) != 1 {
 		t.Fatal("not asked")
 	}
-	if out := run(g, 0.05, 1, nil); len(of[Send](out))+len(of[Refuse](out)) != 1 {
+	if out := run(g, 0.05, 1, nil); len(of[Send](out))+len(of[Reject](out)) != 1 {
 		t.Errorf("got %v", out)
 	}
 }
@@ -165,12 +165,12 @@
 // fleet starts n gateways that share m backends.
 func fleet(n, m int) (gateways []*Gateway, list []Backend) {
 	s := testSettings()
-	s.Balancers = n
+	s.Gateways = n
 	for i := range m {
 		list = append(list, up(fmt.Sprint("b", i), 0))
 	}
 	for i := range n {
-		s.Me = i
+		s.Index = i
 		g := New(s, uint64(i))
 		g.Handle(0, Start{})
 		g.Handle(0, Backends{Complete: true, List: list})
@@ -210,10 +210,10 @@
 				actions = append(actions, g.Handle(now, ask(id, "safe", "free"))...)
 			}
 			for _, s := range of[Send](actions) {
-				e := AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Done, Settled: true, Took: 0.1}
+				e := AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Succeeded, Answered: true, Duration: 0.1}
 				after := 2
 				if full[s.Backend] {
-					e, after = AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: TimedOut, Took: 1.05}, 21
+					e, after = AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: TimedOut, Duration: 1.05}, 21
 				}
 				due[step+after] = append(due[step+after], out{g, e})
 				if now > 15 {
@@ -242,9 +242,9 @@
 				actions = append(actions, g.Handle(now, ask(id, "safe", "free"))...)
 			}
 			for _, s := range of[Send](actions) {
-				e := AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Failed, Took: 0.01}
+				e := AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Failed, Duration: 0.01}
 				if now > 10 {
-					e.Outcome, e.Settled, served[i] = Done, true, true
+					e.Outcome, e.Answered, served[i] = Succeeded, true, true
 				}
 				g.Handle(now, e)
 			}
@@ -300,7 +300,7 @@
 			if i%3 == 0 {
 				took = 0.4
 			}
-			g.Handle(1+float64(i/3)/2+took, AttemptEnded{ID: send.ID, Backend: send.Backend, Outcome: Done, Settled: true, Took: took})
+			g.Handle(1+float64(i/3)/2+took, AttemptEnded{ID: send.ID, Backend: send.Backend, Outcome: Succeeded, Answered: true, Duration: took})
 		}
 	}
 	if sent < 57 {
@@ -315,19 +315,19 @@
 	for i := range list {
 		if i%5 < 3 {
 			list[i].Serving = false
-			news.List = append(news.List, list[i], Backend{ID: fmt.Sprint("new", i), Zone: "a", Serving: true, Booted: 90})
+			news.List = append(news.List, list[i], Backend{ID: fmt.Sprint("new", i), Zone: "a", Serving: true, StartedAt: 90})
 		}
 	}
 	s := testSettings()
 	for _, g := range gateways {
 		g.Handle(100, news)
 		for i := range 12 {
-			now := 100 + s.WarmUp/2 + float64(i)/4
+			now := 100 + s.SlowStartTime/2 + float64(i)/4
 			id++
 			for _, send := range of[Send](g.Handle(now, ask(id, "safe", "free"))) {
 				sent++
 				used[send.Backend]++
-				g.Handle(now+0.1, AttemptEnded{ID: send.ID, Backend: send.Backend, Outcome: Done, Settled: true, Took: 0.1})
+				g.Handle(now+0.1, AttemptEnded{ID: send.ID, Backend: send.Backend, Outcome: Succeeded, Answered: true, Duration: 0.1})
 			}
 		}
 	}
@@ -350,10 +350,10 @@
 		for n := range 40 {
 			now, id := 1+float64(n)/8, uint64(i*100+n+1)
 			for _, send := range of[Send](g.Handle(now, ask(id, "safe", "free"))) {
-				end := AttemptEnded{ID: send.ID, Backend: send.Backend, Outcome: Done, Settled: true, Took: 0.1}
+				end := AttemptEnded{ID: send.ID, Backend: send.Backend, Outcome: Succeeded, Answered: true, Duration: 0.1}
 				if send.Backend == list[0].ID {
 					errors++
-					end.Outcome, end.Settled = Failed, false
+					end.Outcome, end.Answered = Failed, false
 				}
 				g.Handle(now+0.1, end)
 			}
@@ -366,7 +366,7 @@
 
 func TestCrowdedCounterIsAskedForAllWhereBeyondCosts(t *testing.T) {
 	s := testSettings()
-	s.Plans = []Plan{{Name: "costs", Rate: 3, Burst: 15, Price: 1, BeyondCosts: 1}, {Name: "earns", Rate: 20, Burst: 40, Price: 1, ExcessWorth: 0.3}}
+	s.Plans = []Plan{{Name: "costs", Rate: 3, Burst: 15, ValueWeight: 1, ExcessCost: 1}, {Name: "earns", Rate: 20, Burst: 40, ValueWeight: 1, ExcessValue: 0.3}}
 	gateways, _ := fleet(80, 60)
 	calls := map[string]int{}
 	g := New(s, 1)
@@ -375,8 +375,8 @@
 		for n := range 400 {
 			g.chance = 0.4
 			r := ask(uint64(i*1000+n+1), "safe", plan)
-			r.Customer, r.Doors, r.Units = fmt.Sprint(plan, n), len(gateways), 2
-			calls[plan] += len(of[Count](g.Handle(1, r)))
+			r.Customer, r.Gateways, r.Units = fmt.Sprint(plan, n), len(gateways), 2
+			calls[plan] += len(of[CounterCall](g.Handle(1, r)))
 		}
 	}
 	if n := calls["costs"]; n < 120 || n > 200 { // two fifths of them, each with the same chance
@@ -390,36 +390,36 @@
 // What no call decides is decided by what came of those asked about: first tries and repeats, each by their kind.
 func TestUnaskedRepeatsGoByTheAskedOnes(t *testing.T) { // zone+vast, a crowded counter: a sixth sent beyond quotas
 	s := testSettings()
-	s.Balancers, s.MaxUnits = 80, 4
-	s.Plans = []Plan{{Name: "costs", Rate: 3, Burst: 15, Price: 1, BeyondCosts: 1}}
+	s.Gateways, s.MaxUnits = 80, 4
+	s.Plans = []Plan{{Name: "costs", Rate: 3, Burst: 15, ValueWeight: 1, ExcessCost: 1}}
 	g, id := New(s, 1), uint64(0)
 	g.Handle(0, Start{})
 	g.Handle(0, Backends{Complete: true, List: []Backend{up("x", 0), up("y", 0), up("z", 0)}})
-	submit := func(customer string, repeat bool, reply Counted) (sent int) {
+	submit := func(customer string, repeat bool, reply CounterReply) (sent int) {
 		id++
 		r := ask(id, "safe", "costs")
-		r.Customer, r.Doors, r.Units, r.Repeat = customer, 60, 2, repeat
+		r.Customer, r.Gateways, r.Units, r.ClientRetry = customer, 60, 2, repeat
 		out := g.Handle(float64(id)/10, r)
 		for n := 0; n < len(out); n++ {
 			switch a := out[n].(type) {
-			case Count:
+			case CounterCall:
 				reply.Name = a.Name
 				out = append(out, g.Handle(float64(id)/10, reply)...)
 			case Send:
 				sent++
-				g.Handle(float64(id)/10, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Done, Took: 0.01, Settled: true})
+				g.Handle(float64(id)/10, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Succeeded, Duration: 0.01, Answered: true})
 			}
 		}
 		return sent
 	}
 	for i := range 20 {
-		submit(fmt.Sprint("calm", i), false, Counted{Outcome: Done, Total: 2})
-		submit(fmt.Sprint("heavy", i), true, Counted{Outcome: Done, Total: 200})
+		submit(fmt.Sprint("calm", i), false, CounterReply{Outcome: Succeeded, Total: 2})
+		submit(fmt.Sprint("heavy", i), true, CounterReply{Outcome: Succeeded, Total: 200})
 	}
 	first, again := 0, 0
 	for i := range 40 {
-		first += submit(fmt.Sprint("met", i), false, Counted{Outcome: Refused})
-		again += submit(fmt.Sprint("new", i), true, Counted{Outcome: Refused})
+		first += submit(fmt.Sprint("met", i), false, CounterReply{Outcome: ConnectionRefused})
+		again += submit(fmt.Sprint("new", i), true, CounterReply{Outcome: ConnectionRefused})
 	}
 	if first < 38 || again > 2 {
 		t.Errorf("of 40 each that were not asked about, %d first tries and %d repeats sent on", first, again)
@@ -430,7 +430,7 @@
 func TestOddBackendsDoNotKeepOthersFromUse(t *testing.T) {
 	for name, odd := range map[string]Backend{
 		"no id": {Serving: true}, "no end of a size": {ID: "o", Serving: true, Size: 1e300}, "a size below nothing": {ID: "o", Serving: true, Size: -4},
-		"started tomorrow": {ID: "o", Serving: true, Booted: 1e6}, "left before it was seen": {ID: "o"},
+		"started tomorrow": {ID: "o", Serving: true, StartedAt: 1e6}, "left before it was seen": {ID: "o"},
 	} {
 		gateways, list := fleet(80, 3)
 		g, used := gateways[0], map[string]int{}
@@ -438,18 +438,18 @@
 		for i := range 200 {
 			now, id := 1+float64(i)/5, uint64(i+1)
 			out := g.Handle(now, ask(id, "safe", "free"))
-			if len(of[Send](out))+len(of[Refuse](out)) != 1 {
+			if len(of[Send](out))+len(of[Reject](out)) != 1 {
 				out = run(g, now, now+1, nil)
 			}
 			for _, send := range of[Send](out) {
 				used[send.Backend]++
-				g.Handle(now+0.1, AttemptEnded{ID: send.ID, Backend: send.Backend, Outcome: Done, Settled: true, Took: 0.1})
+				g.Handle(now+0.1, AttemptEnded{ID: send.ID, Backend: send.Backend, Outcome: Succeeded, Answered: true, Duration: 0.1})
 			}
 		}
 		if n := used[list[0].ID] + used[list[1].ID] + used[list[2].ID]; n < 5 || n+used[odd.ID] < 195 || used[odd.ID] > 0 && !odd.Serving {
 			t.Errorf("%s: used %v", name, used)
 		}
-		if b := g.backends["o"]; b != nil && odd.Booted > 0 && g.cold(b) < 1 {
+		if b := g.backends["o"]; b != nil && odd.StartedAt > 0 && g.cold(b) < 1 {
 			t.Errorf("%s: cold for ever", name)
 		}
 	}
@@ -459,8 +459,8 @@
 // met in the last minute.
 func TestNothingGrowsWhileServersAreReplacedForHours(t *testing.T) {
 	s := testSettings()
-	s.Balancers, s.MaxUnits = 80, 4
-	s.Plans = append(s.Plans, Plan{Name: "plus", Rate: 20, Burst: 40, Price: 1, CeilingRate: 40, CeilingDepth: 80, CeilingSlack: 8})
+	s.Gateways, s.MaxUnits = 80, 4
+	s.Plans = append(s.Plans, Plan{Name: "plus", Rate: 20, Burst: 40, ValueWeight: 1, LimitRate: 40, LimitBurst: 80, LimitSlack: 8})
 	var list []Backend
 	for i := range 60 {
 		list = append(list, up(fmt.Sprint("b", i), 0))
@@ -474,7 +474,7 @@
 				if i%5 < 3 {
 					old := list[i]
 					old.Serving = false
-					list[i] = Backend{ID: fmt.Sprint("b", i, "-", step), Zone: "a", Serving: true, Booted: now}
+					list[i] = Backend{ID: fmt.Sprint("b", i, "-", step), Zone: "a", Serving: true, StartedAt: now}
 					news.List = append(news.List, old, list[i])
 				}
 			}
@@ -484,17 +484,17 @@
 		for _, plan := range []string{"rate", "plus"} {
 			id++
 			r := ask(id, "safe", plan)
-			r.Customer, r.Doors, r.Units = fmt.Sprint("c", id), 20, 2
+			r.Customer, r.Gateways, r.Units = fmt.Sprint("c", id), 20, 2
 			out = append(out, g.Handle(now, r)...)
 		}
 		for n := 0; n < len(out); n++ {
 			switch a := out[n].(type) {
-			case Count:
-				out = append(out, g.Handle(now, Counted{Name: a.Name, Outcome: Done, Total: a.Add})...)
+			case CounterCall:
+				out = append(out, g.Handle(now, CounterReply{Name: a.Name, Outcome: Succeeded, Total: a.Add})...)
 			case Send:
-				end := AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Done, Took: 0.1, Settled: true}
+				end := AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Succeeded, Duration: 0.1, Answered: true}
 				if id%7 == 0 {
-					end.Outcome, end.Settled = Reset, false
+					end.Outcome, end.Answered = ConnectionReset, false
 				}
 				out = append(out, g.Handle(now+0.1, end)...)
 			}
@@ -510,14 +510,14 @@
 
 func TestRepeatTooLateToEarnWaitsForNothing(t *testing.T) { // trebic-later: 14% served, but too late
 	s := testSettings()
-	s.Classes[0].LateWorth = 0
+	s.Classes[0].LateValue = 0
 	g := started(t, s, up("x", 0))
 	g.Handle(1, ask(1, "safe", "free")) // leaves 3 s, the whole deadline
 	id := uint64(1)
 	repeat := func(left Seconds) []Action {
 		id++
 		r := ask(id, "safe", "free")
-		r.Left, r.Repeat = left, true
+		r.TimeLeft, r.ClientRetry = left, true
 		return g.Handle(1, r)
 	}
 	if out := repeat(2.5); len(of[Send](out)) != 1 || of[Send](out)[0].Timeout > 0.61 {
@@ -526,14 +526,14 @@
 	if out := repeat(1.5); len(of[Send](out)) != 1 {
 		t.Errorf("too late, but there is room: %v", out)
 	}
-	if out := repeat(1.5); len(of[Refuse](out)) != 1 {
+	if out := repeat(1.5); len(of[Reject](out)) != 1 {
 		t.Errorf("too late, and half of the bound is in use: %v", out)
 	}
 	if out := repeat(2.5); len(of[Send](out)) != 1 {
 		t.Errorf("in time, and there is room: %v", out)
 	}
 	r := ask(99, "safe", "free")
-	if r.Left = 1.5; len(of[Send](g.Handle(1, r))) != 1 {
+	if r.TimeLeft = 1.5; len(of[Send](g.Handle(1, r))) != 1 {
 		t.Error("not a repeat: its client is in a hurry, no more")
 	}
 }
@@ -579,7 +579,7 @@
 	for i := range n {
 		g := New(testSettings(), uint64(i))
 		g.Handle(0, Start{})
-		list := []Backend{{ID: "cold", Zone: "a", Serving: true, Booted: 0.01}}
+		list := []Backend{{ID: "cold", Zone: "a", Serving: true, StartedAt: 0.01}}
 		for j := range 9 {
 			list = append(list, up(fmt.Sprint("w", j), 0))
 		}
@@ -594,7 +594,7 @@
 			if all++; s.Backend == "cold" {
 				cold++
 			}
-			g.Handle(now, AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Done, Settled: true, Took: 0.1})
+			g.Handle(now, AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Succeeded, Answered: true, Duration: 0.1})
 		}
 	}
 	// A warm one gets about 70 in that second; the cold one bears 2.5 times 0.2 of what it can do warm.
@@ -606,9 +606,9 @@
 func TestOddInputAtScale(t *testing.T) {
 	g := started(t, testSettings())
 	r := ask(1, "safe", "rate")
-	r.Doors = 100000 // more gateways than there are, and than a total holds
+	r.Gateways = 100000 // more gateways than there are, and than a total holds
 	g.Handle(1, r)
-	g.Handle(1, Counted{Name: g.customers["c"].name(g.customers["c"].cycle), Outcome: Done, Total: 9e15})
+	g.Handle(1, CounterReply{Name: g.customers["c"].name(g.customers["c"].cycle), Outcome: Succeeded, Total: 9e15})
 	var list []Backend
 	for i := range 700 {
 		list = append(list, up(fmt.Sprint("b", i), 0))
@@ -640,7 +640,7 @@
 		r := ask(uint64(i+1), "safe", "free")
 		r.Customer = fmt.Sprint("c", i%400)
 		for _, s := range of[Send](g.Handle(now, r)) {
-			g.Handle(now, AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Done, Settled: true, Took: 0.01})
+			g.Handle(now, AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Succeeded, Answered: true, Duration: 0.01})
 		}
 		if i%5 == 0 {
 			g.Handle(now, Timer{"tick"})
--- a/internal/decision/servers.go
+++ b/internal/decision/servers.go
@@ -44,17 +44,17 @@
 			h := fnv.New64a()
 			h.Write([]byte(row.ID))
 			b = &backend{pool: p, usual: p.kinds[row.Kind], filled: g.now}
-			b.limit = max(1, limitStart/float64(g.s.Balancers))
-			b.rank = rand.NewPCG(h.Sum64(), uint64(g.s.Me)).Uint64()
+			b.limit = max(1, limitStart/float64(g.s.Gateways))
+			b.rank = rand.NewPCG(h.Sum64(), uint64(g.s.Index)).Uint64()
 			b.lat = *b.usual
 			g.backends[row.ID] = b
 			p.order = append(p.order, b)
 		}
-		if row.Booted > b.Booted {
-			b.coldAt = min(row.Booted, g.now+g.s.WarmUp) // a start far ahead would leave it cold for ever
+		if row.StartedAt > b.StartedAt {
+			b.coldAt = min(row.StartedAt, g.now+g.s.SlowStartTime) // a start far ahead would leave it cold for ever
 			b.filled, b.tokens, b.limit, b.downTill = g.now, 0, 1, 0
 		}
-		if b.Backend, b.listed = row, true; g.s.Slots {
+		if b.Backend, b.listed = row, true; g.s.CapacityInSlots {
 			b.limit = b.most()
 		}
 	}
@@ -114,10 +114,10 @@
 
 // cold is the share of its capacity that a backend surely has.
 func (g *Gateway) cold(b *backend) float64 {
-	if b.coldAt == 0 || g.now-b.coldAt >= g.s.WarmUp {
+	if b.coldAt == 0 || g.now-b.coldAt >= g.s.SlowStartTime {
 		return 1
 	}
-	return g.s.ColdShare + (1-g.s.ColdShare)*max(0, g.now-b.coldAt)/g.s.WarmUp
+	return g.s.SlowStartShare + (1-g.s.SlowStartShare)*max(0, g.now-b.coldAt)/g.s.SlowStartTime
 }
 
 // coldRoom keeps a cold backend to its share of a warm one's; below one send while cold, chance in pick does.
@@ -125,13 +125,13 @@
 	rate := share * b.pool.sentRate / float64(max(1, b.pool.warm))
 	b.tokens = min(1, b.tokens+rate*(g.now-b.filled))
 	b.filled = g.now
-	return b.tokens >= 1 || rate*g.s.WarmUp < 1
+	return b.tokens >= 1 || rate*g.s.SlowStartTime < 1
 }
 
 // judge learns a backend's time and health from outcomes alone.
 func (g *Gateway) judge(b *backend, r *request, a *attempt, e AttemptEnded) {
 	switch e.Outcome {
-	case Done:
+	case Succeeded:
 		if !a.late {
 			if b.pool.trials = min(reachLeast, b.pool.trials+trialShare); !b.good {
 				// Or all stay with the few they know (join+vast).
@@ -140,28 +140,28 @@
 			b.bad, b.busy, b.good = 0, 0, true
 		}
 		b.seen++
-		b.errs, b.lat = b.errs*(1-errAlpha), b.lat+latAlpha*(e.Took-b.lat)
-		*b.usual += latAlpha / 2 * (e.Took - *b.usual)
-		b.pool.lat += latAlpha / 4 * (e.Took - b.pool.lat)
+		b.errs, b.lat = b.errs*(1-errAlpha), b.lat+latAlpha*(e.Duration-b.lat)
+		*b.usual += latAlpha / 2 * (e.Duration - *b.usual)
+		b.pool.lat += latAlpha / 4 * (e.Duration - b.pool.lat)
 		if !a.slow {
-			g.adapt(b, e.Took > slowAt*r.class.Aim)
+			g.adapt(b, e.Duration > slowAt*r.class.LatencyTarget)
 		}
-	case Busy:
+	case Rejected:
 		b.bad, b.good, b.busy = 0, false, min(b.busy+1, 4)
 		b.fullTill = g.now + busyFor*math.Exp2(float64(b.busy))
 		g.adapt(b, true)
-	case Refused, Reset, TimedOut, Failed:
+	case ConnectionRefused, ConnectionReset, TimedOut, Failed:
 		b.errs += errAlpha * (1 - b.errs)
 		if e.Outcome == TimedOut {
 			if !a.slow {
 				g.adapt(b, true)
 			}
-			b.lat = max(b.lat, b.lat+latAlpha*(e.Took-b.lat))
+			b.lat = max(b.lat, b.lat+latAlpha*(e.Duration-b.lat))
 		}
 		if !a.late {
 			// A sound one fails one request in a thousand: one error is enough, where others stand by.
 			others := b.pool.reach < b.pool.listed
-			g.failed(b, e.Outcome == Refused || e.Outcome == Failed && others)
+			g.failed(b, e.Outcome == ConnectionRefused || e.Outcome == Failed && others)
 		}
 	}
 }
@@ -178,7 +178,7 @@
 
 // adapt moves a backend's limit: up by one for its worth of good answers, down on a slow one, once at a time.
 func (g *Gateway) adapt(b *backend, slow bool) {
-	if g.s.Slots {
+	if g.s.CapacityInSlots {
 		b.limit = b.most() // told, not learned
 	} else if !slow {
 		if float64(b.out+1) >= b.limit*limitUsed {
--- a/internal/decision/state_test.go
+++ b/internal/decision/state_test.go
@@ -17,7 +17,7 @@
 	f.play(20, each, nil)
 	if join != nil {
 		s := testSettings()
-		s.Balancers = 3
+		s.Gateways = 3
 		young := younger(f, s, 9, up("x", 0), up("y", 0))
 		join(f, f.gateways[0], young)
 		f.gateways, f.terms, f.owed = append(f.gateways, young), append(f.terms, f.terms[0]), append(f.owed, 0)
@@ -39,8 +39,8 @@
 // Both processes of an upgrade are one gateway to a member: they send on what the one would, by quota and by ceiling, where
 // two that know nothing of each other send on more.
 func TestTwoProcessesAreOneGateway(t *testing.T) {
-	quota := Plan{Name: "q", Rate: 30, Burst: 60, Price: 1, BeyondCosts: 1}
-	hard := Plan{Name: "h", Rate: 15, Burst: 30, Price: 1, ExcessWorth: 0.5, CeilingRate: 30, CeilingDepth: 60, CeilingSlack: 6}
+	quota := Plan{Name: "q", Rate: 30, Burst: 60, ValueWeight: 1, ExcessCost: 1}
+	hard := Plan{Name: "h", Rate: 15, Burst: 30, ValueWeight: 1, ExcessValue: 0.5, LimitRate: 30, LimitBurst: 60, LimitSlack: 6}
 	for _, tc := range []struct {
 		name   string
 		plan   Plan
@@ -49,10 +49,10 @@
 		t.Run(tc.name, func(t *testing.T) {
 			one, _ := upgraded(t, tc.plan, tc.demand, nil)
 			pair, _ := upgraded(t, tc.plan, tc.demand, func(f *member, old, young *Gateway) {
-				k := old.Share(f.now)
-				old.Part(0.5, false)
-				young.Part(0.5, true)
-				if c, b := young.Take(f.now, k); c != 1 || b != 2 {
+				k := old.HandOver(f.now)
+				old.SetShare(0.5, false)
+				young.SetShare(0.5, true)
+				if c, b := young.Restore(f.now, k); c != 1 || b != 2 {
 					t.Fatalf("took up %d customers and %d backends", c, b)
 				}
 			})
@@ -70,14 +70,14 @@
 
 // What is handed over is divided, not doubled, and taken up as if the time since had passed.
 func TestShareAndTake(t *testing.T) {
-	plan := Plan{Name: "q", Rate: 30, Burst: 60, Price: 1, BeyondCosts: 1}
+	plan := Plan{Name: "q", Rate: 30, Burst: 60, ValueWeight: 1, ExcessCost: 1}
 	_, f := upgraded(t, plan, 60, nil)
 	old := f.gateways[0]
 	old.now = f.now
 	old.fill(old.customers["c"])
 	before := old.customers["c"].level
 	old.backends["x"].limit, old.backends["x"].lat = 40, 0.5
-	k := old.Share(f.now)
+	k := old.HandOver(f.now)
 	fresh := func() *Gateway { return younger(f, testSettings(), 2, up("x", 0)) }
 	begin := fresh().backends["x"].limit
 	approx := cmpopts.EquateApprox(0, 1e-6)
@@ -91,9 +91,9 @@
 		{"10 s later", 10, func(*Knowledge) {}, 1, begin + (40-begin)/math.E},
 		{"an hour later", 3600, func(*Knowledge) {}, 0, begin},
 		{"by a clock that went back", -60, func(*Knowledge) {}, 0, begin},
-		{"of an impossible store", 0, func(k *Knowledge) { k.Customers[0].Level = -1 }, 0, 40},
+		{"of an impossible store", 0, func(k *Knowledge) { k.Customers[0].Tokens = -1 }, 0, 40},
 		{"of a server that is gone", 0, func(k *Knowledge) { k.Backends[0].ID, k.Backends[1].ID = "gone", "left" }, 1, begin},
-		{"infinite", 0, func(k *Knowledge) { k.Backends[0].Limit, k.Backends[1].Limit = math.Inf(1), -1; k.Usual = math.Inf(1) }, 1, limitMost},
+		{"infinite", 0, func(k *Knowledge) { k.Backends[0].Limit, k.Backends[1].Limit = math.Inf(1), -1; k.TypicalTime = math.Inf(1) }, 1, limitMost},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g, changed := fresh(), k
@@ -104,7 +104,7 @@
 				}
 			}
 			tc.k(&changed)
-			customers, _ := g.Take(f.now+tc.age, changed)
+			customers, _ := g.Restore(f.now+tc.age, changed)
 			if diff := cmp.Diff(tc.customers, float64(customers)); diff != "" {
 				t.Error("customers", diff)
 			}
@@ -122,14 +122,14 @@
 
 // A member whose store is below nothing, as its requests turned out larger than guessed, has no full one at the newer process.
 func TestStoreBelowNothingIsHandedOverEmpty(t *testing.T) {
-	plan := Plan{Name: "q", Rate: 30, Burst: 60, Price: 1, BeyondCosts: 1}
+	plan := Plan{Name: "q", Rate: 30, Burst: 60, ValueWeight: 1, ExcessCost: 1}
 	_, f := upgraded(t, plan, 60, nil)
 	old := f.gateways[0]
 	old.now = f.now
 	old.fill(old.customers["c"])
 	old.customers["c"].level = -4
 	g := younger(f, testSettings(), 2, up("x", 0))
-	if customers, _ := g.Take(f.now, old.Share(f.now)); customers != 1 {
+	if customers, _ := g.Restore(f.now, old.HandOver(f.now)); customers != 1 {
 		t.Fatalf("%d members taken up", customers)
 	}
 	if here, there := old.customers["c"].level, g.customers["c"].level; here != -4 || there != 0 {
--- a/internal/decision/terms.go
+++ b/internal/decision/terms.go
@@ -19,11 +19,11 @@
 
 // split is the plan's ceiling among the gateways of a customer.
 func (p *Plan) split(doors float64, counter bool) ratelimit.Split {
-	return ratelimit.Split{Rate: p.CeilingRate, Depth: p.CeilingDepth, Slack: p.CeilingSlack, Doors: doors, Counter: counter}
+	return ratelimit.Split{Rate: p.LimitRate, Depth: p.LimitBurst, Slack: p.LimitSlack, Doors: doors, Counter: counter}
 }
 
 // sendsBeyond tells whether requests are sent on beyond the quota: they earn more than they cost.
-func (p *Plan) sendsBeyond() bool { return p.ExcessWorth > p.BeyondCosts }
+func (p *Plan) sendsBeyond() bool { return p.ExcessValue > p.ExcessCost }
 
 // ceilingAtStart is what all gateways together take their own parts of the ceiling to hold when they start, in units. Where requests are sent on
 // beyond the quota that is nothing: one that was killed cannot know what it spent. Where none are, it is two thirds of the quota's burst: what
--- a/internal/decision/terms_test.go
+++ b/internal/decision/terms_test.go
@@ -27,7 +27,7 @@
 func newMember(t *testing.T, n int, terms *Terms) *member {
 	f := &member{t: t, m: counter{}, now: 100, owed: make([]float64, n), answers: map[uint64]int{}}
 	s := testSettings()
-	s.Balancers = n
+	s.Gateways = n
 	for i := range n {
 		g := New(s, uint64(i+1))
 		g.Handle(f.now, Start{})
@@ -41,17 +41,17 @@
 func (f *member) handle(g *Gateway, e Event) {
 	for _, a := range g.Handle(f.now, e) {
 		switch a := a.(type) {
-		case Count:
+		case CounterCall:
 			if told := f.m.add(a); f.silent {
-				f.handle(g, Counted{Name: a.Name, Outcome: TimedOut})
+				f.handle(g, CounterReply{Name: a.Name, Outcome: TimedOut})
 			} else {
 				f.handle(g, told)
 			}
 		case Send:
 			f.sent++
 			f.answers[a.ID]++
-			f.handle(g, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Done, Settled: true, Took: 0.01})
-		case Refuse:
+			f.handle(g, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Succeeded, Answered: true, Duration: 0.01})
+		case Reject:
 			f.answers[a.ID]++
 		}
 	}
@@ -74,8 +74,8 @@
 
 func (f *member) ask(i int) {
 	f.id++
-	f.handle(f.gateways[i], Request{ID: f.id, Class: "safe", Plan: "rate", Customer: "c", Left: 3, Units: 1,
-		Doors: cmp.Or(f.doors, len(f.gateways)), Terms: f.terms[i]})
+	f.handle(f.gateways[i], Request{ID: f.id, Class: "safe", Plan: "rate", Customer: "c", TimeLeft: 3, Units: 1,
+		Gateways: cmp.Or(f.doors, len(f.gateways)), Terms: f.terms[i]})
 }
 
 func (f *member) change(i int, t *Terms) {
@@ -93,7 +93,7 @@
 }
 
 func terms(rate, burst float64) *Terms {
-	p := Plan{Rate: rate, Burst: burst, Price: 1, BeyondCosts: 1}
+	p := Plan{Rate: rate, Burst: burst, ValueWeight: 1, ExcessCost: 1}
 	return &Terms{Plan: p, Tag: p.Tag()}
 }
 
@@ -179,10 +179,10 @@
 
 // However a member goes back and forth, it gets no more through than on the better plan all the time.
 func TestBackAndForthGainsNothing(t *testing.T) {
-	small := Plan{Rate: 10, Burst: 20, Price: 1, BeyondCosts: 1}
-	large := Plan{Rate: 30, Burst: 40, Price: 1, BeyondCosts: 1}
-	ceiling := Plan{Rate: 10, Burst: 20, Price: 1, ExcessWorth: 1, CeilingRate: 25, CeilingDepth: 40, CeilingSlack: 4}
-	lower := Plan{Rate: 5, Burst: 10, Price: 1, ExcessWorth: 1, CeilingRate: 12, CeilingDepth: 20, CeilingSlack: 2}
+	small := Plan{Rate: 10, Burst: 20, ValueWeight: 1, ExcessCost: 1}
+	large := Plan{Rate: 30, Burst: 40, ValueWeight: 1, ExcessCost: 1}
+	ceiling := Plan{Rate: 10, Burst: 20, ValueWeight: 1, ExcessValue: 1, LimitRate: 25, LimitBurst: 40, LimitSlack: 4}
+	lower := Plan{Rate: 5, Burst: 10, ValueWeight: 1, ExcessValue: 1, LimitRate: 12, LimitBurst: 20, LimitSlack: 2}
 	sent := func(every float64, plans ...Plan) float64 {
 		g := started(t, testSettings(), up("x", 0), up("y", 0))
 		n, id := 0.0, uint64(0)
@@ -190,10 +190,10 @@
 			p := plans[int(now/every)%len(plans)]
 			id++
 			r := ask(id, "safe", "rate")
-			r.Doors, r.Terms = 1, &Terms{Plan: p, Tag: p.Tag()}
+			r.Gateways, r.Terms = 1, &Terms{Plan: p, Tag: p.Tag()}
 			for _, s := range of[Send](g.Handle(now, r)) {
 				n++
-				g.Handle(now, AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Done, Settled: true, Took: 0.001})
+				g.Handle(now, AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Succeeded, Answered: true, Duration: 0.001})
 			}
 		}
 		return n
@@ -216,11 +216,11 @@
 }
 
 func TestUpgradeKeepsWhatWasHeld(t *testing.T) {
-	plus := Plan{Rate: 30, Burst: 60, Price: 1, BeyondCosts: 1, CeilingRate: 60, CeilingDepth: 120, CeilingSlack: 6}
-	basic := Plan{Rate: 10, Burst: 20, Price: 1, BeyondCosts: 1}
+	plus := Plan{Rate: 30, Burst: 60, ValueWeight: 1, ExcessCost: 1, LimitRate: 60, LimitBurst: 120, LimitSlack: 6}
+	basic := Plan{Rate: 10, Burst: 20, ValueWeight: 1, ExcessCost: 1}
 	g := started(t, testSettings(), up("x", 0))
 	g.now = 50
-	c := g.customer(Request{Customer: "c", Doors: 1}, &Terms{Plan: basic, Tag: "basic"})
+	c := g.customer(Request{Customer: "c", Gateways: 1}, &Terms{Plan: basic, Tag: "basic"})
 	c.filled, c.level = 50, 15
 	g.replan(c, &Terms{Plan: plus, Tag: "plus"})
 	if c.level != 15 || c.ceiling < 15 || c.slice != 30 {
@@ -234,11 +234,11 @@
 }
 
 func TestCeilingLoweredBelowWhatTheStoreHolds(t *testing.T) {
-	high := Plan{Rate: 30, Burst: 60, Price: 1, CeilingRate: 60, CeilingDepth: 120, CeilingSlack: 6}
-	low := Plan{Rate: 5, Burst: 10, Price: 1, CeilingRate: 6, CeilingDepth: 12, CeilingSlack: 1}
+	high := Plan{Rate: 30, Burst: 60, ValueWeight: 1, LimitRate: 60, LimitBurst: 120, LimitSlack: 6}
+	low := Plan{Rate: 5, Burst: 10, ValueWeight: 1, LimitRate: 6, LimitBurst: 12, LimitSlack: 1}
 	g := started(t, testSettings(), up("x", 0))
 	g.now = 50
-	c := g.customer(Request{Customer: "c", Doors: 2}, &Terms{Plan: high, Tag: "high"})
+	c := g.customer(Request{Customer: "c", Gateways: 2}, &Terms{Plan: high, Tag: "high"})
 	c.level, c.filled, c.ceiling, c.ceilFill = -3, 50, 60, 50 // true units were more than guessed: it owes
 	g.replan(c, &Terms{Plan: low, Tag: "low"})
 	g.topUp(c)
@@ -290,14 +290,14 @@
 func TestRequestThatWaitsForTheCounterAsTheTermsChange(t *testing.T) {
 	g := started(t, testSettings(), up("x", 0))
 	r := ask(1, "safe", "rate")
-	r.Doors = 50
-	calls := of[Count](g.Handle(1, r))
+	r.Gateways = 50
+	calls := of[CounterCall](g.Handle(1, r))
 	if len(calls) != 1 {
 		t.Fatalf("%d calls", len(calls))
 	}
-	out := g.Handle(1.01, Terms{Customer: "c", Plan: Plan{Rate: 5000, Burst: 5000, Price: 1}, Tag: "other"})
-	out = append(out, g.Handle(1.02, Counted{Name: calls[0].Name, Outcome: Done, Total: 1})...)
-	if len(of[Send](out))+len(of[Refuse](out)) != 1 {
+	out := g.Handle(1.01, Terms{Customer: "c", Plan: Plan{Rate: 5000, Burst: 5000, ValueWeight: 1}, Tag: "other"})
+	out = append(out, g.Handle(1.02, CounterReply{Name: calls[0].Name, Outcome: Succeeded, Total: 1})...)
+	if len(of[Send](out))+len(of[Reject](out)) != 1 {
 		t.Errorf("%v: one answer or attempt wanted", out)
 	}
 }
@@ -305,8 +305,8 @@
 // A member without a quota, one with a limit on attempts and one with a rate, in all orders, by chance.
 func TestChangesAmongAllKindsOfPlans(t *testing.T) {
 	s := testSettings()
-	kinds := []Plan{{Price: 1}, {Open: 3, Price: 1}, {Rate: 10, Burst: 20, Price: 1}, {Rate: 5000, Burst: 9000, Price: 1},
-		{Rate: 10, Burst: 20, Price: 1, CeilingRate: 20, CeilingDepth: 40, CeilingSlack: 4}}
+	kinds := []Plan{{ValueWeight: 1}, {MaxInFlight: 3, ValueWeight: 1}, {Rate: 10, Burst: 20, ValueWeight: 1}, {Rate: 5000, Burst: 9000, ValueWeight: 1},
+		{Rate: 10, Burst: 20, ValueWeight: 1, LimitRate: 20, LimitBurst: 40, LimitSlack: 4}}
 	rng := rand.New(rand.NewPCG(5, 5))
 	g := started(t, s, up("x", 0))
 	m, answered, id := counter{}, map[uint64]int{}, uint64(0)
@@ -314,12 +314,12 @@
 	handle = func(now Seconds, e Event) {
 		for _, a := range g.Handle(now, e) {
 			switch a := a.(type) {
-			case Count:
+			case CounterCall:
 				handle(now, m.add(a))
 			case Send:
 				answered[a.ID]++
-				handle(now, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Done, Settled: true, Took: 0.01})
-			case Refuse:
+				handle(now, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Succeeded, Answered: true, Duration: 0.01})
+			case Reject:
 				answered[a.ID]++
 			}
 		}
@@ -333,7 +333,7 @@
 		}
 		id++
 		r := ask(id, "safe", "free")
-		r.Doors, r.Terms = 8, &Terms{Plan: p, Tag: p.Tag()}
+		r.Gateways, r.Terms = 8, &Terms{Plan: p, Tag: p.Tag()}
 		handle(now, r)
 		if c := g.customers["c"]; math.IsNaN(c.level+c.slice+c.ceiling+c.ratio+c.share) || c.slice < 0 {
 			t.Fatalf("level %v, slice %v, ceiling %v, ratio %v, share %v", c.level, c.slice, c.ceiling, c.ratio, c.share)
--- a/internal/decision/thin_cut_test.go
+++ b/internal/decision/thin_cut_test.go
@@ -26,7 +26,7 @@
 				t.Run(fmt.Sprintf("%d gateways, %.0f a second, one of %d cut, %.0f quotas asked %.0f s later", nodes, rate, part, times, gap), func(t *testing.T) {
 					t.Parallel()
 					worst := 0
-					plan := Plan{Rate: rate, Burst: rate, Price: 1}
+					plan := Plan{Rate: rate, Burst: rate, ValueWeight: 1}
 					for seed := range seeds {
 						w := newQuotaWorld(seed, nodes, plan, func(i int) float64 { return 0.5 * plan.Rate / float64(nodes) * (0.5 + float64(i%3)*0.5) })
 						w.run(14, nil)
@@ -62,7 +62,7 @@
 	served := func(deaf string) float64 {
 		asked, refused := 0, 0
 		for seed := range uint64(8) {
-			plan := Plan{Rate: 20, Burst: 20, Price: 1}
+			plan := Plan{Rate: 20, Burst: 20, ValueWeight: 1}
 			w := newQuotaWorld(seed, 11, plan, func(i int) float64 { return tenants * 0.5 * plan.Rate / 11 * (0.5 + float64(i%3)*0.5) })
 			w.tenants = tenants
 			w.run(10, nil)
--- a/internal/decision/thin_test.go
+++ b/internal/decision/thin_test.go
@@ -19,10 +19,10 @@
 	} {
 		s := testSettings()
 		s.MaxUnits = 4
-		s.Plans = []Plan{{Name: "p", Rate: tc.rate, Burst: tc.burst, Price: 1, BeyondCosts: 1}}
+		s.Plans = []Plan{{Name: "p", Rate: tc.rate, Burst: tc.burst, ValueWeight: 1, ExcessCost: 1}}
 		g := started(t, s, up("b", 0))
 		e := ask(1, "safe", "p")
-		e.Doors = tc.doors
+		e.Gateways = tc.doors
 		g.Handle(1, e)
 		if got := g.customers["c"].thin; got != tc.thin {
 			t.Errorf("%s: thin %v", tc.name, got)
@@ -32,7 +32,7 @@
 
 // Three gateways of a small member that asks three times its quota send on nearly all of it, and no more.
 func TestSmallMemberOfASmallFleetGetsItsQuota(t *testing.T) {
-	plan := Plan{Name: "b", Rate: 3, Burst: 15, Price: 1, BeyondCosts: 1}
+	plan := Plan{Name: "b", Rate: 3, Burst: 15, ValueWeight: 1, ExcessCost: 1}
 	f := newMember(t, 3, &Terms{Customer: "c", Plan: plan, Tag: plan.Tag()})
 	f.play(30, []float64{5, 3, 1}, nil) // the burst is used up
 	before := f.sent
--- a/internal/emulator/costmodel/cluster.go
+++ b/internal/emulator/costmodel/cluster.go
@@ -88,12 +88,12 @@
 }
 
 // kept is a keeper that is sure of its names, with so many holders of each.
-func kept(names, holders int, one bool) *quota.Keeper {
+func kept(names, holders int, one bool) *quota.CounterTable {
 	k := quota.New()
 	k.SetMembers(0, []string{"a"}, "a", true)
 	for t := range names {
 		for h := range holders {
-			k.Add(3, &quota.Report{Name: tenantName(t), Cycle: 3, Holder: holder(h), Amount: 1, PerRequest: one, Serial: 1, Retention: 3})
+			k.Add(3, &quota.Report{Name: tenantName(t), Cycle: 3, Reporter: holder(h), Amount: 1, PerRequest: one, Serial: 1, Retention: 3})
 		}
 	}
 	return k
@@ -267,9 +267,9 @@
 		{"count", "n pairs of Add and Total", "calls", func(n int) []*transport.Frame {
 			return many(2*n, func(i int) *transport.Frame {
 				if i%2 == 1 {
-					return &transport.Frame{Call: uint64(1e6 + i), CounterTotal: &transport.CounterTotal{OK: true, Sum: 87.125, Holders: 40}}
+					return &transport.Frame{Call: uint64(1e6 + i), CounterTotal: &transport.CounterTotal{OK: true, Sum: 87.125, Reporters: 40}}
 				}
-				return &transport.Frame{Call: uint64(1e6 + i), CounterAdd: &transport.CounterAdd{Name: tenantName(i), Cycle: 86400, Holder: holder(i%3300) + "#1z141z4",
+				return &transport.Frame{Call: uint64(1e6 + i), CounterAdd: &transport.CounterAdd{Name: tenantName(i), Cycle: 86400, Reporter: holder(i%3300) + "#1z141z4",
 					Amount: 1, Retention: 3, PerRequest: true, Serial: uint64(1e6 + i)}}
 			})
 		}},
@@ -324,7 +324,7 @@
 		func(n int) func(int) {
 			k, names := kept(n, 1, true), many(n, tenantName)
 			return func(i int) {
-				k.Add(3, &quota.Report{Name: names[i*7919%n], Cycle: 3, Holder: holder0, Amount: 1, PerRequest: true, Serial: uint64(i) + 2, Retention: 3})
+				k.Add(3, &quota.Report{Name: names[i*7919%n], Cycle: 3, Reporter: holder0, Amount: 1, PerRequest: true, Serial: uint64(i) + 2, Retention: 3})
 			}
 		}, 8000, 16000, 32000, 64000, 120000)
 	m.cpu(Series{Name: "tally.total", What: "first read of a cycle by a Keeper, which goes through all holders of the tenant", Of: "holders"}, 50,
@@ -355,7 +355,7 @@
 	m.cpu(Series{Name: "ballot.change", What: "one change through a proposer and its voters in one process", Of: "voters"}, 500, func(n int) func(int) {
 		voters := many(n, func(i int) string { return fmt.Sprint("v", i) })
 		acceptors := map[string]*consensus.Acceptor{}
-		base, items := consensus.Base{Electorate: consensus.First(voters)}, tenants(1)
+		base, items := consensus.Base{Electorate: consensus.InitialElectorate(voters)}, tenants(1)
 		for _, v := range voters {
 			acceptors[v] = &consensus.Acceptor{At: v, Electorate: base.Electorate}
 		}
--- a/internal/emulator/costmodel/gateway.go
+++ b/internal/emulator/costmodel/gateway.go
@@ -24,10 +24,10 @@
 
 // newGate is a gateway before so many servers, in groups of so many, that has met so many tenants.
 func newGate(servers, group, tenants, doors int) *gate {
-	x := &gate{class: &decision.Class{Name: "r", Aim: 0.4, Deadline: 1, Worth: 1, LateWorth: 0.5, Attempts: 2, Hold: 0.088, Effect: decision.Safe}}
-	x.g = decision.New(decision.Settings{Balancers: ingressesMost, Me: 1, Zone: "region-hall-1", AnswerSlack: 0.02, ColdShare: 0.5, WarmUp: 3, MaxAttempts: 2,
-		MayCancel: true, MayRetryAfter: true, MaxRetryAfter: 0.5, ConnectTimeout: 0.25, Keepalive: 8, MayCount: true, CountWait: 0.35, Slots: true,
-		Afar: 1.25, Pairs: true, Cycle: 1, RetryShare: 0.16, RetrySlack: 48}, 1)
+	x := &gate{class: &decision.Class{Name: "r", LatencyTarget: 0.4, Deadline: 1, Value: 1, LateValue: 0.5, MaxAttempts: 2, MaxQueueTime: 0.088, Effect: decision.Idempotent}}
+	x.g = decision.New(decision.Settings{Gateways: ingressesMost, Index: 1, Zone: "region-hall-1", AnswerSlack: 0.02, SlowStartShare: 0.5, SlowStartTime: 3, MaxAttempts: 2,
+		MayCancel: true, MayRetryAfter: true, MaxRetryAfter: 0.5, ConnectTimeout: 0.25, Keepalive: 8, HasCounter: true, CounterTimeout: 0.35, CapacityInSlots: true,
+		RemoteZoneCost: 1.25, PairCounters: true, CounterCycle: 1, RetryShare: 0.16, RetrySlack: 48}, 1)
 	x.g.Handle(0, decision.Start{})
 	list := make([]decision.Backend, servers)
 	for i := range list {
@@ -37,7 +37,7 @@
 	x.g.Handle(0, decision.Backends{List: list})
 	x.now = 20
 	for i := range tenants {
-		x.terms = append(x.terms, &decision.Terms{Customer: tenantName(i), Tag: "7", Plan: decision.Plan{Name: tenantName(i), Rate: float64(10 + i%90), Burst: 50, Price: 1}})
+		x.terms = append(x.terms, &decision.Terms{Customer: tenantName(i), Tag: "7", Plan: decision.Plan{Name: tenantName(i), Rate: float64(10 + i%90), Burst: 50, ValueWeight: 1}})
 		x.request(i, "g0", doors)
 	}
 	return x
@@ -46,7 +46,7 @@
 // request has the gateway decide a request of a tenant, answers its call of the counter if it makes one, and ends its attempt.
 func (x *gate) request(tenant int, group string, doors int) {
 	x.id++
-	r := decision.Request{ID: x.id, Class: "r", Kind: x.class, Group: group, Left: 0.9, Units: 1, Doors: doors}
+	r := decision.Request{ID: x.id, Class: "r", Kind: x.class, Group: group, TimeLeft: 0.9, Units: 1, Gateways: doors}
 	if len(x.terms) > 0 {
 		t := x.terms[tenant%len(x.terms)]
 		r.Customer, r.Terms = t.Customer, t
@@ -58,10 +58,10 @@
 	x.acts += len(actions)
 	for _, a := range actions {
 		switch a := a.(type) {
-		case decision.Count:
-			x.follow(x.g.Handle(x.now, decision.Counted{Name: a.Name, Outcome: decision.Done, Total: max(1, a.Add), Holders: 2}))
+		case decision.CounterCall:
+			x.follow(x.g.Handle(x.now, decision.CounterReply{Name: a.Name, Outcome: decision.Succeeded, Total: max(1, a.Add), Holders: 2}))
 		case decision.Send:
-			x.follow(x.g.Handle(x.now, decision.AttemptEnded{ID: a.ID, Attempt: 1, Backend: a.Backend, Outcome: decision.Done, Took: 0.01}))
+			x.follow(x.g.Handle(x.now, decision.AttemptEnded{ID: a.ID, Attempt: 1, Backend: a.Backend, Outcome: decision.Succeeded, Duration: 0.01}))
 		}
 	}
 }
--- a/internal/emulator/modelcheck/connections.go
+++ b/internal/emulator/modelcheck/connections.go
@@ -10,19 +10,19 @@
 	w.shelf.Gone()
 	t.conn.ended = true
 	if t.cancelled || w.now >= t.until-1e-9 {
-		w.ended(t, decision.Skipped)
+		w.ended(t, decision.NotSent)
 		return
 	}
-	w.ended(t, decision.Refused)
+	w.ended(t, decision.ConnectionRefused)
 }
 
 // get is Pool.get: the connection used last, unless it is seen to have ended, or a new one.
-func (w *World) get(t *try, fit upstreamconn.Fit) (k *conn, outcome decision.Outcome, ok bool) {
+func (w *World) get(t *try, fit upstreamconn.Reuse) (k *conn, outcome decision.Outcome, ok bool) {
 	addr, _ := w.lookup(t.backend)
 	for n := 0; ; n++ {
 		if n > 8 {
 			w.violate("one-request-on-a-connection", "what was taken from the shelf is still on it")
-			return nil, decision.Refused, false
+			return nil, decision.ConnectionRefused, false
 		}
 		kept, found := w.shelf.Take(t.backend)
 		if !found {
@@ -35,7 +35,7 @@
 			w.close(k)
 			continue
 		}
-		if fit.Unnamed = kept.Conn.unnamed; !upstreamconn.Fits(fit) {
+		if fit.Unnamed = kept.Conn.unnamed; !upstreamconn.MayReuse(fit) {
 			w.close(kept.Conn)
 			continue
 		}
@@ -43,7 +43,7 @@
 	}
 	spare, end, room := w.shelf.Room()
 	if !room {
-		return nil, decision.Skipped, false
+		return nil, decision.NotSent, false
 	}
 	if end {
 		w.close(spare)
@@ -51,7 +51,7 @@
 	s := w.server(t.backend)
 	if s.down {
 		w.shelf.Gone()
-		return nil, decision.Refused, false
+		return nil, decision.ConnectionRefused, false
 	}
 	return &conn{server: s, addr: addr}, 0, true
 }
@@ -83,7 +83,7 @@
 	c.tried[t.backend] = true
 	k.before, k.by = k.by, c
 	if c.long {
-		w.desk.Arrived(w.now, c.request)
+		w.desk.BodyUploaded(w.now, c.request)
 	}
 	if c.mayRun++; c.send && c.mayRun > 1 {
 		w.violate("never-twice", "%s must not run twice, and may have", c.name)
@@ -101,7 +101,7 @@
 	} else {
 		w.release(k, v)
 	}
-	if life := t.client.request.Life(); v.Again && !life.Spent() {
+	if life := t.client.request.Machine(); v.TryNextConnection && !life.BodyConsumed() {
 		t.conn = nil
 		w.start(t)
 		return
@@ -111,7 +111,7 @@
 
 // release puts a connection back, or ends it, by a verdict.
 func (w *World) release(k *conn, v upstreamconn.Verdict) {
-	if v.Keep {
+	if v.Reusable {
 		if k.spoilt {
 			w.violate("spoilt-is-spoilt", "a connection is kept that is spoilt")
 		}
--- a/internal/emulator/modelcheck/events.go
+++ b/internal/emulator/modelcheck/events.go
@@ -45,7 +45,7 @@
 			add("leaves"+id, func(w *World) {
 				c := w.clients[i]
 				c.gone = true
-				w.do(w.desk.Leave(w.now, c.request))
+				w.do(w.desk.ClientGone(w.now, c.request))
 			})
 		}
 		if c.finished && !c.retried && (c.status == "refused" || c.gone) && !w.draining && len(w.clients) < 3 {
@@ -105,12 +105,12 @@
 			name    string
 			outcome decision.Outcome
 			total   float64
-		}{{"counted", decision.Done, 3}, {"count-busy", decision.Busy, 0}, {"count-late", decision.TimedOut, 0}, {"count-no-number", decision.Failed, 0}} {
+		}{{"counted", decision.Succeeded, 3}, {"count-busy", decision.Rejected, 0}, {"count-late", decision.TimedOut, 0}, {"count-no-number", decision.Failed, 0}} {
 			add(a.name, func(w *World) {
 				name := w.counts[0]
 				w.counts = w.counts[1:]
 				w.sum += a.total
-				w.do(w.desk.Handle(w.now, decision.Counted{Name: name, Outcome: a.outcome, Total: w.sum}))
+				w.do(w.desk.Handle(w.now, decision.CounterReply{Name: name, Outcome: a.outcome, Total: w.sum}))
 			})
 		}
 	}
@@ -122,7 +122,7 @@
 	if !w.draining {
 		add("sigterm", func(w *World) {
 			w.draining = true
-			w.desk.Planned(math.Inf(1))
+			w.desk.ExpectDisruption(math.Inf(1))
 		})
 	} else if !w.halted {
 		add("patience", func(w *World) { // every attempt that is out, or will be, is given up
@@ -158,7 +158,7 @@
 	}
 	if t.stage == holding {
 		on("last-byte", func(w *World, t *try, k *conn) {
-			if _, serving := w.lookup(t.backend); !upstreamconn.Goes(serving, t.cancelled) {
+			if _, serving := w.lookup(t.backend); !upstreamconn.MayRelease(serving, t.cancelled) {
 				k.spoilt = true // half a request is on it
 				w.finish(t, k, k.Unwritten(upstreamconn.Cancelled))
 				return
@@ -166,7 +166,7 @@
 			w.goesOut(t)
 			if t.client.long {
 				t.stage = uploading
-				w.desk.Spend(t.client.request)
+				w.desk.ConsumeBody(t.client.request)
 				return
 			}
 			w.written(t)
@@ -174,7 +174,7 @@
 		for _, name := range []string{"breaks-early", "speaks-early"} {
 			on(name, func(w *World, t *try, k *conn) {
 				k.spoilt = true
-				how := upstreamconn.Broke
+				how := upstreamconn.ConnectionLost
 				if t.cancelled {
 					how = upstreamconn.Cancelled
 				}
@@ -189,7 +189,7 @@
 		on("breaks-in-send", func(w *World, t *try, k *conn) {
 			k.spoilt = true
 			w.memory.Lost(t.backend, w.now)
-			w.finish(t, k, k.Unwritten(map[bool]upstreamconn.Trouble{false: upstreamconn.Broke, true: upstreamconn.Cancelled}[t.cancelled]))
+			w.finish(t, k, k.Unwritten(map[bool]upstreamconn.Failure{false: upstreamconn.ConnectionLost, true: upstreamconn.Cancelled}[t.cancelled]))
 		})
 		return
 	}
@@ -223,14 +223,14 @@
 	on("interim", func(w *World, t *try, k *conn) {}) // passed over by the reader
 	for _, a := range []struct {
 		name    string
-		trouble upstreamconn.Trouble
-	}{{"spoilt", upstreamconn.Malformed}, {"breaks", upstreamconn.Broke}, {"time-out", upstreamconn.Late}} {
+		trouble upstreamconn.Failure
+	}{{"spoilt", upstreamconn.Malformed}, {"breaks", upstreamconn.ConnectionLost}, {"time-out", upstreamconn.TimedOut}} {
 		on(a.name, func(w *World, t *try, k *conn) {
 			how := a.trouble
 			if t.cancelled {
 				how = upstreamconn.Cancelled
 			}
-			if how == upstreamconn.Late { // until then timers run, and others' time runs out
+			if how == upstreamconn.TimedOut { // until then timers run, and others' time runs out
 				for t.client.try == t && w.now < t.until-1e-9 && len(w.Violations) == 0 {
 					w.pass()
 				}
@@ -238,7 +238,7 @@
 					return
 				}
 			}
-			if how == upstreamconn.Broke {
+			if how == upstreamconn.ConnectionLost {
 				w.memory.Lost(t.backend, w.now)
 			}
 			k.spoilt = true
@@ -280,12 +280,12 @@
 	on("server-breaks-upload", func(w *World, t *try, k *conn) {
 		k.spoilt = true
 		w.memory.Lost(t.backend, w.now)
-		w.finish(t, k, k.Unwritten(map[bool]upstreamconn.Trouble{false: upstreamconn.Broke, true: upstreamconn.Cancelled}[t.cancelled]))
+		w.finish(t, k, k.Unwritten(map[bool]upstreamconn.Failure{false: upstreamconn.ConnectionLost, true: upstreamconn.Cancelled}[t.cancelled]))
 	})
 	on("leaves-upload", func(w *World, t *try, k *conn) { // it stalls, or leaves: nobody waits for the answer
 		c := t.client
 		k.spoilt, c.gone, t.cancelled = true, true, true
-		w.do(w.desk.Leave(w.now, c.request))
+		w.do(w.desk.ClientGone(w.now, c.request))
 		w.finish(t, k, k.Unwritten(upstreamconn.Cancelled))
 	})
 	for _, a := range []struct {
--- a/internal/emulator/modelcheck/schedule.go
+++ b/internal/emulator/modelcheck/schedule.go
@@ -16,18 +16,18 @@
 		return
 	}
 	for _, c := range w.clients {
-		life := c.request.Life()
+		life := c.request.Machine()
 		if c.gone && c.try != nil && !c.try.cancelled {
 			w.violate("left-is-cancelled", "%s has left, and its attempt goes on", c.name)
 		}
-		if life.Phase() == attempt.Over && c.told == 0 {
+		if life.Phase() == attempt.Finished && c.told == 0 {
 			w.violate("given-up-is-answered", "%s is over, and nobody was told", c.name)
 		}
-		if life.Phase() == attempt.Waiting && c.try != nil || (life.Phase() == attempt.Out || life.Phase() == attempt.Deserted) && c.try == nil {
+		if life.Phase() == attempt.Waiting && c.try != nil || (life.Phase() == attempt.InFlight || life.Phase() == attempt.Abandoned) && c.try == nil {
 			w.violate("legal", "%s is %v, attempt out: %v", c.name, life.Phase(), c.try != nil)
 		}
 	}
-	if n := w.shelf.Up(); n > w.shelf.Most {
+	if n := w.shelf.Up(); n > w.shelf.Max {
 		w.violate("bounded", "%d connections are up", n)
 	}
 }
@@ -36,7 +36,7 @@
 func (w *World) Key() string {
 	var b strings.Builder
 	for _, c := range w.clients {
-		life := c.request.Life()
+		life := c.request.Machine()
 		fmt.Fprintf(&b, "%v%d%v%v%d", life.Phase(), life.Attempts(), c.gone, c.status, c.mayRun)
 		if c.try != nil {
 			fmt.Fprintf(&b, "/%s%d%v", c.try.backend, c.try.stage, c.try.cancelled)
@@ -78,7 +78,7 @@
 			w.violate("nothing-left", "%s still has an attempt out", c.name)
 		}
 	}
-	if n := w.desk.Open(); n > 0 {
+	if n := w.desk.Pending(); n > 0 {
 		w.violate("nothing-left", "%d requests are left at the desk", n)
 	}
 	idle := 0
@@ -120,7 +120,7 @@
 	}
 	w.now = at
 	for _, name := range w.counts {
-		w.do(w.desk.Handle(w.now, decision.Counted{Name: name, Outcome: decision.TimedOut}))
+		w.do(w.desk.Handle(w.now, decision.CounterReply{Name: name, Outcome: decision.TimedOut}))
 	}
 	w.counts = nil
 	due := w.timers[:0:0]
@@ -139,7 +139,7 @@
 
 // runOut ends an attempt whose time has run out, or that was given up.
 func (w *World) runOut(t *try) {
-	trouble := upstreamconn.Late
+	trouble := upstreamconn.TimedOut
 	if t.cancelled {
 		trouble = upstreamconn.Cancelled
 	}
@@ -150,8 +150,8 @@
 	k := t.conn
 	k.spoilt = true
 	if t.stage == holding || t.stage == uploading || t.stage == sending {
-		if trouble == upstreamconn.Late {
-			trouble = upstreamconn.Broke // the write's deadline
+		if trouble == upstreamconn.TimedOut {
+			trouble = upstreamconn.ConnectionLost // the write's deadline
 		}
 		w.finish(t, k, k.Unwritten(trouble))
 		return
--- a/internal/emulator/modelcheck/world.go
+++ b/internal/emulator/modelcheck/world.go
@@ -26,9 +26,9 @@
 type World struct {
 	config     Config
 	now        decision.Seconds
-	desk       *attempt.Desk
-	shelf      *upstreamconn.Shelf[*conn]
-	memory     upstreamconn.Memory
+	desk       *attempt.Dispatcher
+	shelf      *upstreamconn.IdlePool[*conn]
+	memory     upstreamconn.LossHistory
 	servers    []*server // by list order; those that are gone stay, to be looked at
 	timers     []decision.SetTimer
 	counts     []string // calls that are out
@@ -126,24 +126,24 @@
 
 // plans that a change goes to and fro between.
 var planTable = []decision.Plan{
-	{Name: "small", Rate: 1, Burst: 2, Price: 1, BeyondCosts: 1},
-	{Name: "large", Rate: 1000, Burst: 1000, Price: 1, BeyondCosts: 1},
+	{Name: "small", Rate: 1, Burst: 2, ValueWeight: 1, ExcessCost: 1},
+	{Name: "large", Rate: 1000, Burst: 1000, ValueWeight: 1, ExcessCost: 1},
 }
 
 // New returns a world with its first request asked.
 func New(c Config) *World {
 	s := decision.Settings{
-		Balancers: 3, MaxAttempts: 4, MayCancel: true, MayRetryAfter: true, MaxRetryAfter: 1, MayCount: true, CountWait: 0.05, MaxUnits: 1,
-		DrainGrace: grace, AnswerSlack: slack, ColdShare: 0.2, WarmUp: 10, OverloadFactor: 2, OverloadFor: 1,
-		Classes: []decision.Class{{Name: "read", Aim: aim, Deadline: deadline, Worth: 1, LateWorth: 0.2, Patience: 1, Effect: decision.Safe},
-			{Name: "send", Aim: aim, Deadline: deadline, Worth: 1, LateWorth: 0.2}},
+		Gateways: 3, MaxAttempts: 4, MayCancel: true, MayRetryAfter: true, MaxRetryAfter: 1, HasCounter: true, CounterTimeout: 0.05, MaxUnits: 1,
+		DrainGrace: grace, AnswerSlack: slack, SlowStartShare: 0.2, SlowStartTime: 10, OverloadFactor: 2, OverloadFor: 1,
+		Classes: []decision.Class{{Name: "read", LatencyTarget: aim, Deadline: deadline, Value: 1, LateValue: 0.2, SlowAttemptFactor: 1, Effect: decision.Idempotent},
+			{Name: "send", LatencyTarget: aim, Deadline: deadline, Value: 1, LateValue: 0.2}},
 		Plans: planTable,
 	}
 	most := 4
 	if c.Full {
 		most = 1
 	}
-	w := &World{config: c, now: 1000, desk: attempt.NewDesk(decision.New(s, 1), &s), shelf: upstreamconn.NewShelf[*conn](most)}
+	w := &World{config: c, now: 1000, desk: attempt.NewDispatcher(decision.New(s, 1), &s), shelf: upstreamconn.NewIdlePool[*conn](most)}
 	w.do(w.desk.Handle(w.now, decision.Start{}))
 	for i := range c.Servers {
 		w.servers = append(w.servers, &server{id: fmt.Sprint("s", i+1), addr: fmt.Sprint("a", i+1), listed: true, serving: true})
@@ -205,7 +205,7 @@
 	if w.config.Thin {
 		doors = 5
 	}
-	r := decision.Request{Class: class, Plan: planTable[w.plan].Name, Customer: "m", Left: deadline, Units: 1, Doors: doors, Repeat: repeat, Long: w.long}
+	r := decision.Request{Class: class, Plan: planTable[w.plan].Name, Customer: "m", TimeLeft: deadline, Units: 1, Gateways: doors, ClientRetry: repeat, Streamed: w.long}
 	var effects []attempt.Effect
 	c.request, effects = w.desk.Submit(w.now, r, c)
 	w.do(effects)
@@ -225,17 +225,17 @@
 		e := w.queue[0]
 		w.queue = w.queue[1:]
 		switch a := e.(type) {
-		case attempt.Tell:
+		case attempt.Notify:
 			w.tell(a.Request.Host.(*client), a.Decision)
-		case attempt.Stop:
+		case attempt.CancelAttempt:
 			if c := a.Request.Host.(*client); c.try != nil && c.tries == a.Attempt+1 {
 				c.try.cancelled = true
 			}
 		case attempt.Timer:
 			w.timers = append(w.timers, a.SetTimer)
-		case attempt.Count:
+		case attempt.CounterCall:
 			w.counts = append(w.counts, a.Name)
-		case attempt.Illegal:
+		case attempt.IllegalStep:
 			w.violate("legal", "%v", a.Err)
 		}
 	}
@@ -253,10 +253,10 @@
 		if c.tries++; c.tries > 4 {
 			w.violate("four-attempts", "%s has %d", c.name, c.tries)
 		}
-		if d.Until > c.at+deadline+1e-9 {
-			w.violate("in-time", "%s may be out until %.2f s after it was taken", c.name, d.Until-c.at)
+		if d.Deadline > c.at+deadline+1e-9 {
+			w.violate("in-time", "%s may be out until %.2f s after it was taken", c.name, d.Deadline-c.at)
 		}
-		w.start(&try{client: c, backend: d.Backend, until: d.Until, patience: d.Patience})
+		w.start(&try{client: c, backend: d.Backend, until: d.Deadline, patience: d.SlowAfter})
 		return
 	}
 	c.told++
@@ -267,14 +267,14 @@
 		w.violate("one-attempt-at-a-time", "%s hears %v with an attempt out", c.name, d.Kind)
 	}
 	switch d.Kind {
-	case attempt.Refuse:
+	case attempt.Reject:
 		if c.send && c.mayRun > 0 {
 			w.violate("refusal-is-harmless", "%s must not run twice, may have run, and was refused", c.name)
 		}
 		w.answer(c, "refused")
 	case attempt.Fail:
 		w.answer(c, "failed")
-	case attempt.Gone:
+	case attempt.NoAnswer:
 		if !c.gone && !w.halted {
 			w.violate("one-answer", "%s waits, and is answered nothing", c.name)
 		}
@@ -300,10 +300,10 @@
 func (w *World) start(t *try) {
 	t.client.try = t
 	if _, serving := w.lookup(t.backend); !serving || t.cancelled {
-		w.ended(t, decision.Skipped)
+		w.ended(t, decision.NotSent)
 		return
 	}
-	k, outcome, ok := w.get(t, upstreamconn.Fit{Again: t.client.tried[t.backend], Once: t.client.send})
+	k, outcome, ok := w.get(t, upstreamconn.Reuse{Again: t.client.tried[t.backend], Once: t.client.send})
 	switch {
 	case !ok:
 		w.ended(t, outcome)
@@ -325,11 +325,11 @@
 	}
 	if err := k.Begin(); err != nil {
 		w.violate("legal", "%v", err)
-		w.ended(t, decision.Reset)
+		w.ended(t, decision.ConnectionReset)
 		return
 	}
 	addr, serving := w.lookup(t.backend)
-	if !upstreamconn.Ready(serving, addr == k.addr, t.cancelled, t.until-w.now) {
+	if !upstreamconn.MayBegin(serving, addr == k.addr, t.cancelled, t.until-w.now) {
 		w.finish(t, k, k.NotBegun())
 		return
 	}
@@ -341,10 +341,10 @@
 	} else if s.addr != k.addr {
 		w.violate("nothing-new-to-the-gone", "%s begins at an address that is another server's", c.name)
 	}
-	if life := c.request.Life(); life.Spent() {
+	if life := c.request.Machine(); life.BodyConsumed() {
 		w.violate("spent-is-spent", "%s begins again, and its body has gone", c.name)
 	}
-	if c.long || w.memory.Hold(t.backend, w.now, upstreamconn.Evidence{Fresh: k.Uses() == 1, Idle: w.now - k.answered, Once: c.send}) {
+	if c.long || w.memory.Hold(t.backend, w.now, upstreamconn.Evidence{Fresh: k.Uses() == 1, Idle: w.now - k.answered, AtMostOnce: c.send}) {
 		t.stage = holding
 		return
 	}
@@ -360,7 +360,7 @@
 	for end := t.writtenAt + t.patience; t.client.try == t && w.now < end-1e-9 && len(w.Violations) == 0; {
 		w.pass()
 	}
-	if t.client.try != t || t.cancelled || !w.desk.Impatient(w.now, t.client.request) {
+	if t.client.try != t || t.cancelled || !w.desk.ShouldAbandon(w.now, t.client.request) {
 		return
 	}
 	c := t.client
@@ -372,7 +372,7 @@
 		w.violate("planned-is-kept", "%s is given up by patience, and must not run twice", c.name)
 	}
 	k.spoilt = true
-	w.finish(t, k, k.Unanswered(upstreamconn.Late))
+	w.finish(t, k, k.Unanswered(upstreamconn.TimedOut))
 	if c.tries == before && !c.gone { // the other one may turn out to be down
 		w.violate("given-up-goes-on", "%s is given up by patience, and goes to no other server", c.name)
 	}
@@ -382,17 +382,17 @@
 func (w *World) ended(t *try, o decision.Outcome) {
 	c := t.client
 	c.try = nil
-	if o == decision.Done {
+	if o == decision.Succeeded {
 		w.answer(c, "served")
 		c.told++
 	}
-	if o == decision.Done && c.told > 1 {
+	if o == decision.Succeeded && c.told > 1 {
 		w.violate("one-answer", "%s is served after its last word", c.name)
 	}
-	gone := c.request.Life()
-	if p := gone.Phase(); p == attempt.Deserted && o == decision.Done {
+	gone := c.request.Machine()
+	if p := gone.Phase(); p == attempt.Abandoned && o == decision.Succeeded {
 		c.told-- // its host hears Gone, too: the answer went to nobody
 	}
-	w.do(w.desk.Ended(w.now, c.request, o))
+	w.do(w.desk.AttemptEnded(w.now, c.request, o))
 	w.check()
 }
--- a/internal/emulator/testcluster/report.go
+++ b/internal/emulator/testcluster/report.go
@@ -135,13 +135,13 @@
 			byMember[q.member] = append(byMember[q.member], id)
 		}
 	}
-	room := plus.CeilingDepth + plus.CeilingSlack + 0.15*plus.CeilingRate
+	room := plus.LimitBurst + plus.LimitSlack + 0.15*plus.LimitRate
 	for _, ids := range byMember {
 		slices.SortFunc(ids, func(a, b string) int { return p.arrivals[a].First.Compare(p.arrivals[b].First) })
 		owed, last := 0.0, r.begun
 		for _, id := range ids {
 			at := p.arrivals[id].First
-			owed = math.Max(0, owed-plus.CeilingRate*at.Sub(last).Seconds()) + p.requests[id].units
+			owed = math.Max(0, owed-plus.LimitRate*at.Sub(last).Seconds()) + p.requests[id].units
 			last = at
 			nearest = math.Max(nearest, owed/room)
 		}
--- a/internal/emulator/testcluster/rig.go
+++ b/internal/emulator/testcluster/rig.go
@@ -45,9 +45,9 @@
 // The plans of a run. With three ingresses and requests of at most two units, slices of either hold some requests
 // each cycle.
 var (
-	basic = decision.Plan{Name: "basic", Rate: 10, Burst: 20, Price: 1, BeyondCosts: 0.5}
-	plus  = decision.Plan{Name: "plus", Rate: 30, Burst: 60, Price: 2, ExcessWorth: 0.3,
-		CeilingRate: 45, CeilingDepth: 90, CeilingSlack: 9}
+	basic = decision.Plan{Name: "basic", Rate: 10, Burst: 20, ValueWeight: 1, ExcessCost: 0.5}
+	plus  = decision.Plan{Name: "plus", Rate: 30, Burst: 60, ValueWeight: 2, ExcessValue: 0.3,
+		LimitRate: 45, LimitBurst: 90, LimitSlack: 9}
 )
 
 const (
--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -47,7 +47,7 @@
 		}
 	}()
 	speech := speechOf(t, strings.Replace(testConfig, `"weighted":[{"backend":"s1","share":30},{"backend":"s2","share":70}]`, `"backend":"s2"`, 1), true, true)
-	s := &decision.Settings{Balancers: 1, MaxAttempts: 2, MayCancel: true, FinishUnsafe: true, Slots: true}
+	s := &decision.Settings{Gateways: 1, MaxAttempts: 2, MayCancel: true, FinishNonIdempotent: true, CapacityInSlots: true}
 	e := engine.New(decision.New(*s, 1), s, engine.NewClock())
 	e.Start(nil)
 	e.Backends(decision.Backends{List: []decision.Backend{{ID: "i-2", Group: "s2", Serving: true, Size: 9}}})
--- a/internal/proxy/control_feed.go
+++ b/internal/proxy/control_feed.go
@@ -136,7 +136,7 @@
 		}
 		b := decision.Backend{ID: now.ID, Group: now.Service, Kind: now.Service, Zone: now.Zone, Serving: now.Phase == registry.Serving, Size: float64(now.Capacity)}
 		if now.ColdUntil > 0 && !math.IsInf(now.ColdUntil, 0) {
-			b.Booted = now.ColdUntil - o.warmUp
+			b.StartedAt = now.ColdUntil - o.warmUp
 		}
 		list = append(list, b)
 	}
@@ -151,20 +151,20 @@
 
 // Add is never called: counters are pairs.
 func (o *controlFeed) Add(name string, _ float64, _ decision.Seconds) {
-	o.engine.CountedOf(name, decision.Refused, 0, 0)
+	o.engine.CountedOf(name, decision.ConnectionRefused, 0, 0)
 }
 
 // Call carries out the module's calls of the counters.
-func (o *controlFeed) Call(c decision.Count) {
+func (o *controlFeed) Call(c decision.CounterCall) {
 	if o.calls.Add(1) > maxCounterCalls {
 		o.calls.Add(-1)
-		go o.engine.CountedOf(c.Name, decision.Busy, 0, 0)
+		go o.engine.CountedOf(c.Name, decision.Rejected, 0, 0)
 		return
 	}
-	a := &transport.CounterAdd{Name: c.Customer, Cycle: c.Cycle, Holder: o.node, Amount: c.Add, ReadOnly: c.Add == 0, Retention: c.Keep, PerRequest: c.Each}
-	if c.Each {
+	a := &transport.CounterAdd{Name: c.Customer, Cycle: c.Cycle, Reporter: o.node, Amount: c.Add, ReadOnly: c.Add == 0, Retention: c.Retention, PerRequest: c.PerRequest}
+	if c.PerRequest {
 		a.Serial = o.nextSerial.Add(1)
-		a.Holder = o.process
+		a.Reporter = o.process
 	}
 	go func() {
 		defer o.calls.Add(-1)
@@ -175,11 +175,11 @@
 		case answer.CounterTotal == nil || !answer.CounterTotal.OK:
 			holders := 0
 			if answer.CounterTotal != nil {
-				holders = answer.CounterTotal.Holders // taken, by a keeper that is not sure of the others yet
+				holders = answer.CounterTotal.Reporters // taken, by a keeper that is not sure of the others yet
 			}
 			o.engine.CountedOf(c.Name, decision.Failed, 0, holders)
 		default:
-			o.engine.CountedOf(c.Name, decision.Done, answer.CounterTotal.Sum, answer.CounterTotal.Holders)
+			o.engine.CountedOf(c.Name, decision.Succeeded, answer.CounterTotal.Sum, answer.CounterTotal.Reporters)
 		}
 	}()
 }
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -20,7 +20,7 @@
 	r.CounterFamily("requests_total", "Requests of clients that have ended, by outcome.", "outcome", b.requestSamples)
 	r.Counter("attempts_total", "Times a request was sent to a server.", func() float64 { return float64(b.server.Totals().Attempts) })
 	r.Gauge("requests_in_flight", "Requests in hand.", func() float64 { return float64(b.server.Totals().InFlight) })
-	r.Gauge("requests_waiting", "Requests that wait for a server.", func() float64 { return float64(b.figures().Waiting) })
+	r.Gauge("requests_waiting", "Requests that wait for a server.", func() float64 { return float64(b.figures().Queued) })
 	r.Gauge("client_connections", "Connections of clients.", func() float64 { return float64(b.server.Totals().Clients) })
 	r.Gauge("server_connections", "Connections to servers.", func() float64 { return float64(b.pool.Connections()) })
 	r.Counter("server_connects_total", "Connections to servers that were begun.", func() float64 { return float64(b.pool.Dials()) })
@@ -35,7 +35,7 @@
 	})
 }
 
-func (b *Proxy) figures() decision.Figures { return b.control.engine.Figures() }
+func (b *Proxy) figures() decision.Stats { return b.control.engine.Figures() }
 
 func (b *Proxy) requestSamples() []metrics.Sample {
 	outcomes := b.server.Totals().Outcomes
--- a/internal/proxy/planned_test.go
+++ b/internal/proxy/planned_test.go
@@ -45,7 +45,7 @@
 				is := is.New(t)
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				s := &decision.Settings{Balancers: 1, MaxAttempts: 2, MayCancel: true, Slots: true}
+				s := &decision.Settings{Gateways: 1, MaxAttempts: 2, MayCancel: true, CapacityInSlots: true}
 				o := &controlFeed{shedder: newShedder(0), log: log.NewNopLogger(), base: time.Now(), store: replication.NewStore(1), ready: make(chan struct{}),
 					bounds: func() settings.Bounds { return settings.Bounds{ConfigApply: apply} }}
 				o.table.Store(configuration.NewRoutingTable())
@@ -67,8 +67,8 @@
 					tc.planned(b, hup)
 					time.Sleep(tc.ago)
 				}
-				class := &decision.Class{Name: "r", Aim: 0.2, Deadline: 8, Worth: 1, LateWorth: 0.5, Attempts: 2, Patience: patience, Effect: decision.Safe}
-				ticket := o.engine.Submit(decision.Request{Class: "r", Kind: class, Left: 8, Units: 1, Terms: anonymousTerms, Doors: 1}, func() {})
+				class := &decision.Class{Name: "r", LatencyTarget: 0.2, Deadline: 8, Value: 1, LateValue: 0.5, MaxAttempts: 2, SlowAttemptFactor: patience, Effect: decision.Idempotent}
+				ticket := o.engine.Submit(decision.Request{Class: "r", Kind: class, TimeLeft: 8, Units: 1, Terms: anonymousTerms, Gateways: 1}, func() {})
 				d := ticket.Next()
 				is.Equal(d.Kind, engine.Send)
 				is.True(d.Patience > 0)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -89,9 +89,9 @@
 func (b *Proxy) wire(me, life uint64, clock *replication.Clock) *Proxy {
 	p, o := b.p, b.control
 	quiet := quiet()
-	s := &decision.Settings{Balancers: 1, Me: int(me % (1 << 31)), Zone: p.Zone, AnswerSlack: 0.02, ColdShare: 0.5, WarmUp: warmUp, MaxAttempts: 2,
-		MayCancel: true, FinishUnsafe: true, MayRetryAfter: true, MaxRetryAfter: 0.5, ConnectTimeout: connectTimeout.Seconds(), Keepalive: keepalive.Seconds(),
-		MayCount: true, CountWait: counterTimeout.Seconds(), Slots: true, Afar: otherZoneCost, Pairs: true, Cycle: counterCycle,
+	s := &decision.Settings{Gateways: 1, Index: int(me % (1 << 31)), Zone: p.Zone, AnswerSlack: 0.02, SlowStartShare: 0.5, SlowStartTime: warmUp, MaxAttempts: 2,
+		MayCancel: true, FinishNonIdempotent: true, MayRetryAfter: true, MaxRetryAfter: 0.5, ConnectTimeout: connectTimeout.Seconds(), Keepalive: keepalive.Seconds(),
+		HasCounter: true, CounterTimeout: counterTimeout.Seconds(), CapacityInSlots: true, RemoteZoneCost: otherZoneCost, PairCounters: true, CounterCycle: counterCycle,
 		RetryShare: retryBudgetShare * p.Bounds.RetryRatio, RetrySlack: retryBudgetShare * p.Bounds.RetrySlack}
 	o.engine = engine.New(decision.New(*s, me^life), s, engine.NewClockOf(clock.Now))
 	b.translator = &translator{control: o, splits: newSplitter(rand.New(rand.NewPCG(me, life))), terms: map[string]*decision.Terms{}, classes: map[string]*decision.Class{}}
@@ -99,7 +99,7 @@
 	b.pool = upstream.New(o.lookup, upstream.Limits{Connections: int(upstreamShare * sockets), ConnectTimeout: connectTimeout, Keepalive: keepalive}, quiet)
 	b.pool.Dialect = upstream.Dialect{Begin: beginRequest, Meaning: classifyAnswer, ID: headerAttemptID}
 	if p.Clauses["pool"] { // servers there forget connections that rest
-		b.pool.Dialect.Doubt = resetDoubt
+		b.pool.Dialect.MinHoldIdle = resetDoubt
 	}
 	b.server = ingress.New(s, o.engine, b.pool, int(clientShare*sockets), quiet)
 	b.server.Speak(b.translator.dialect())
--- a/internal/proxy/splits_test.go
+++ b/internal/proxy/splits_test.go
@@ -15,7 +15,7 @@
 		route := &configuration.Route{Name: "r"}
 		sum := 0.0
 		for n, w := range weights {
-			route.Split = append(route.Split, configuration.Share{Service: string(rune('a' + n)), Weight: w})
+			route.Split = append(route.Split, configuration.WeightedService{Service: string(rune('a' + n)), Weight: w})
 			sum += w
 		}
 		firsts := map[string]float64{}
--- a/internal/proxy/translator.go
+++ b/internal/proxy/translator.go
@@ -108,10 +108,10 @@
 	if !s.control.serviceExists(service) {
 		return s.unknownReply(404, "request-unknown-service", "no such service")
 	}
-	request = decision.Request{Class: route.Name, Kind: s.class(route), Group: service, Left: min(left/1000, route.Deadline), Units: 1,
-		Doors: s.control.ingressCount(), Long: r.Long != nil}
-	request.Repeat = left/1000 < route.Deadline-0.001
-	request.Left = max(request.Left/2, request.Left-replyAllowance)
+	request = decision.Request{Class: route.Name, Kind: s.class(route), Group: service, TimeLeft: min(left/1000, route.Deadline), Units: 1,
+		Gateways: s.control.ingressCount(), Streamed: r.Long != nil}
+	request.ClientRetry = left/1000 < route.Deadline-0.001
+	request.TimeLeft = max(request.TimeLeft/2, request.TimeLeft-replyAllowance)
 	m = &upstream.Message{Method: r.Method, Target: r.Target, ID: id, Host: host, Once: route.Mutating, Body: r.Body, Trailer: r.Trailer,
 		Fields: http1.AppendFields(nil, r.Header, consumedHeaders)}
 	if tenant != nil {
@@ -123,7 +123,7 @@
 }
 
 // anonymousTerms are the terms of requests on public routes that come without a key.
-var anonymousTerms = &decision.Terms{Plan: decision.Plan{Price: 1}, Tag: "-"}
+var anonymousTerms = &decision.Terms{Plan: decision.Plan{ValueWeight: 1}, Tag: "-"}
 
 // unknownReply is the answer to who asks for what is not known here. Only one who knows that the configuration here is fresh may say
 // that there is none; else the request has not run, and may come again.
@@ -159,10 +159,10 @@
 	defer s.mu.Unlock()
 	c := s.classes[key]
 	if c == nil {
-		c = &decision.Class{Name: route.Name, Aim: route.Target, Deadline: route.Deadline, Worth: worthOfPriority(route.Priority, routePriorityStep), LateWorth: 0.5,
-			Attempts: route.MaxTries, Hold: maxQueueShareOfTarget * route.Target, Patience: patience, Effect: decision.Safe}
+		c = &decision.Class{Name: route.Name, LatencyTarget: route.Target, Deadline: route.Deadline, Value: worthOfPriority(route.Priority, routePriorityStep), LateValue: 0.5,
+			MaxAttempts: route.MaxAttempts, MaxQueueTime: maxQueueShareOfTarget * route.Target, SlowAttemptFactor: patience, Effect: decision.Idempotent}
 		if route.Mutating {
-			c.Effect = decision.Unsafe
+			c.Effect = decision.NonIdempotent
 		}
 		if len(s.classes) >= maxCachedEntries {
 			clear(s.classes)
@@ -180,7 +180,7 @@
 	e := s.terms[t.Name]
 	if e == nil || e.Tag != tag {
 		e = &decision.Terms{Customer: t.Name, Tag: tag,
-			Plan: decision.Plan{Name: t.Name, Rate: t.Rate, Burst: t.Burst, Price: worthOfPriority(t.Priority, tenantPriorityStep)}}
+			Plan: decision.Plan{Name: t.Name, Rate: t.Rate, Burst: t.Burst, ValueWeight: worthOfPriority(t.Priority, tenantPriorityStep)}}
 		if len(s.terms) >= maxCachedEntries {
 			clear(s.terms)
 		}
@@ -218,14 +218,14 @@
 
 // classifyAnswer is what a server's answer means (PROTOCOL, "Servers" and "Answers"): only X-Not-Executed, or 421, says that the request has
 // not run, and an answer under another id is not its own, whatever it says. One without an end of its own may have been cut short.
-func classifyAnswer(m *upstream.Message, a *http1.Response) upstream.Meaning {
+func classifyAnswer(m *upstream.Message, a *http1.Response) upstream.AnswerMeaning {
 	switch id := a.Header.Get(headerAttemptID); {
 	case len(a.Header[headerAttemptID]) > 1:
 		return upstream.Broken
 	case id != "" && id != m.ID:
 		return upstream.Foreign
 	case a.Header.Get(headerNotExecuted) != "" || a.Status == 421:
-		return upstream.Refused
+		return upstream.NotExecuted
 	case promisesNotRun(a.Status):
 		return upstream.Broken
 	case a.Unbounded():
--- a/internal/proxy/translator_test.go
+++ b/internal/proxy/translator_test.go
@@ -93,7 +93,7 @@
 			is.True(bad == nil)
 			is.Equal(request.Class, c.route)
 			is.Equal(m.Tenant, c.tenant)
-			is.True(request.Left <= 0.9)
+			is.True(request.TimeLeft <= 0.9)
 			is.Equal(m.Once, c.route == "r2")
 			out := string(beginRequest(nil, m, "i-77", 1500*time.Millisecond)) + string(m.Fields)
 			is.True(!strings.Contains(out, "Token")) // servers are not shown the key
@@ -126,7 +126,7 @@
 }
 
 func TestOnlyTheServersOwnWordProvesThatNothingRan(t *testing.T) {
-	for text, want := range map[string]upstream.Meaning{
+	for text, want := range map[string]upstream.AnswerMeaning{
 		"200 OK\nX-Attempt-Id: i1\nX-Server-Seal: s":                         upstream.Served,
 		"201 Created\nX-Attempt-Id: i1\nX-Server-Seal: s":                    upstream.Served,
 		"200 OK\nX-Attempt-Id: i1":                                           upstream.Broken,
@@ -140,9 +140,9 @@
 		"429 Many\nX-Attempt-Id: i1":                                         upstream.Broken,
 		"408 Slow\nX-Attempt-Id: i1":                                         upstream.Broken,
 		"504 Late":                                                           upstream.Failed,
-		"503 Full\nX-Not-Executed: 1":                                        upstream.Refused,
-		"429 Many\nX-Attempt-Id: i1\nX-Not-Executed: 1":                      upstream.Refused,
-		"421 Other\nX-Instance-Id: i-5":                                      upstream.Refused,
+		"503 Full\nX-Not-Executed: 1":                                        upstream.NotExecuted,
+		"429 Many\nX-Attempt-Id: i1\nX-Not-Executed: 1":                      upstream.NotExecuted,
+		"421 Other\nX-Instance-Id: i-5":                                      upstream.NotExecuted,
 		"404 None":                                                           upstream.Broken,
 		"404 None\nX-Attempt-Id: i1":                                         upstream.Served,
 		"503 Full\nX-Attempt-Id: i2\nX-Not-Executed: 1":                      upstream.Foreign, // another's refusal proves nothing here
@@ -207,7 +207,7 @@
 	p.Dialect = upstream.Dialect{Begin: beginRequest, Meaning: classifyAnswer, ID: headerAttemptID}
 	for _, id := range []string{"first", "second", "third"} {
 		r := p.Do(t.Context(), "i-1", &upstream.Message{Method: "GET", Target: "/", Host: "h", ID: id}, time.Now().Add(5*time.Second))
-		is.Equal(r.Outcome, decision.Done)
+		is.Equal(r.Outcome, decision.Succeeded)
 		is.Equal(string(r.Body), id[:1])
 	}
 	is.Equal(len(conns), 2) // the second request's connection was ended, for one answer too many had come on it
--- a/internal/standalone/cli/serve.go
+++ b/internal/standalone/cli/serve.go
@@ -176,7 +176,7 @@
 	fmt.Fprintf(p.out, "%s: a configuration in order\n", c.File)
 	t := table(p.out)
 	for _, row := range [][2]string{
-		{"listens at", read.Listen}, {"ingress", fmt.Sprintf("%d of %d", s.Me+1, max(1, s.Balancers))}, {"quote servers", servers}, {"counter", counter},
+		{"listens at", read.Listen}, {"ingress", fmt.Sprintf("%d of %d", s.Index+1, max(1, s.Gateways))}, {"quote servers", servers}, {"counter", counter},
 		{"classes", fmt.Sprint(len(s.Classes))}, {"plans", fmt.Sprint(len(s.Plans))}, {"catalogue", or(read.Catalogue, "none")},
 	} {
 		fmt.Fprintf(t, "%s\t%s\n", row[0], row[1])
--- a/internal/standalone/config/config.go
+++ b/internal/standalone/config/config.go
@@ -144,7 +144,7 @@
 	if len(c.Settings.Classes) == 0 || len(c.Settings.Plans) == 0 {
 		return nil, errors.New("settings: no classes or no plans")
 	}
-	if c.Settings.MayCount && c.Counter == "" {
+	if c.Settings.HasCounter && c.Counter == "" {
 		return nil, errors.New("counter: the settings promise one, but there is no address")
 	}
 	return c, nil
--- a/internal/standalone/config/config_test.go
+++ b/internal/standalone/config/config_test.go
@@ -31,9 +31,9 @@
 			Known: &discovery.List{Rev: 7, All: true, Targets: []discovery.Target{
 				{UID: "s", Endpoint: "h:1", Zone: "a", Model: "m", State: "leaving", Capacity: 2, BootMs: 1500}}},
 			Settings: decision.Settings{
-				Balancers: 3, Me: 1, MayCount: true, CountWait: 0.03,
-				Classes: []decision.Class{{Name: "c", Aim: 1, Deadline: 3, Worth: 2, Effect: decision.Safe}},
-				Plans:   []decision.Plan{{Name: "p", Rate: 4, Burst: 5, Price: 1.2}},
+				Gateways: 3, Index: 1, HasCounter: true, CounterTimeout: 0.03,
+				Classes: []decision.Class{{Name: "c", LatencyTarget: 1, Deadline: 3, Value: 2, Effect: decision.Idempotent}},
+				Plans:   []decision.Plan{{Name: "p", Rate: 4, Burst: 5, ValueWeight: 1.2}},
 			},
 		}
 		change(c)
--- a/internal/standalone/config/fuzz_test.go
+++ b/internal/standalone/config/fuzz_test.go
@@ -19,13 +19,13 @@
 		for i := range 6 {
 			id++
 			now := float64(i) * 3
-			actions := g.Handle(now, decision.Request{ID: id, Class: c.Settings.Classes[0].Name, Plan: plan.Name, Customer: plan.Name, Left: 3, Units: 2, Doors: 1 + i%3*20})
+			actions := g.Handle(now, decision.Request{ID: id, Class: c.Settings.Classes[0].Name, Plan: plan.Name, Customer: plan.Name, TimeLeft: 3, Units: 2, Gateways: 1 + i%3*20})
 			for n := 0; n < len(actions) && n < 100; n++ {
 				switch a := actions[n].(type) {
-				case decision.Count:
-					actions = append(actions, g.Handle(now, decision.Counted{Name: a.Name, Outcome: decision.Done, Total: a.Add})...)
+				case decision.CounterCall:
+					actions = append(actions, g.Handle(now, decision.CounterReply{Name: a.Name, Outcome: decision.Succeeded, Total: a.Add})...)
 				case decision.Send:
-					actions = append(actions, g.Handle(now+0.1, decision.AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: decision.Done, Took: 0.1, Settled: true})...)
+					actions = append(actions, g.Handle(now+0.1, decision.AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: decision.Succeeded, Duration: 0.1, Answered: true})...)
 				}
 			}
 			g.Handle(now+1, decision.Timer{Token: "tick"})
--- a/internal/standalone/config/hcl.go
+++ b/internal/standalone/config/hcl.go
@@ -219,7 +219,7 @@
 // fleet reads which of several ingresses this one is, and the counter that they share.
 func (w *ours) fleet(f *hclfile.File, c *Config) error {
 	s := &c.Settings
-	s.Balancers = 1
+	s.Gateways = 1
 	if l := w.Fleet; l != nil {
 		if l.Ingresses < 1 {
 			return f.At("fleet.ingresses", "must be 1 or more")
@@ -227,7 +227,7 @@
 		if l.Number < 0 || l.Number >= l.Ingresses {
 			return f.At("fleet.number", fmt.Sprintf("must be from 0 to %d", l.Ingresses-1))
 		}
-		s.Balancers, s.Me, s.Zone = l.Ingresses, l.Number, l.Zone
+		s.Gateways, s.Index, s.Zone = l.Ingresses, l.Number, l.Zone
 		if l.Membership != nil {
 			if err := l.Membership.read(f, c); err != nil {
 				return err
@@ -245,7 +245,7 @@
 	if (k.Address == "") == (k.Embedded == "") {
 		return f.At("counter", "needs an address, or embedded with an address to listen on, and not both")
 	}
-	s.MayCount, s.CountWait = true, wait.Seconds()
+	s.HasCounter, s.CounterTimeout = true, wait.Seconds()
 	c.Counter, c.Embedded = k.Address, k.Embedded
 	if k.Embedded != "" {
 		return address(f, "counter.embedded", k.Embedded)
@@ -320,7 +320,7 @@
 	}{
 		{"drain_grace", r.DrainGrace, 250 * time.Millisecond, &s.DrainGrace},
 		{"answer_slack", r.AnswerSlack, 50 * time.Millisecond, &s.AnswerSlack},
-		{"warm_up", r.WarmUp, 10 * time.Second, &s.WarmUp},
+		{"warm_up", r.WarmUp, 10 * time.Second, &s.SlowStartTime},
 		{"overload_for", r.OverloadFor, time.Second, &s.OverloadFor},
 		{"max_retry_after", r.MaxRetryAfter, 5 * time.Second, &s.MaxRetryAfter},
 		{"connect_timeout", r.ConnectTimeout, 250 * time.Millisecond, &s.ConnectTimeout},
@@ -332,11 +332,11 @@
 		}
 		*d.into = v.Seconds()
 	}
-	s.ColdShare, s.OverloadFactor = cmp.Or(r.ColdShare, 0.2), cmp.Or(r.OverloadFactor, 2.5)
+	s.SlowStartShare, s.OverloadFactor = cmp.Or(r.ColdShare, 0.2), cmp.Or(r.OverloadFactor, 2.5)
 	s.MaxAttempts, s.MaxUnits = cmp.Or(r.MaxAttempts, mostAttempts), r.MaxUnits
 	s.MayCancel, s.MayRetryAfter = true, s.MaxRetryAfter > 0
 	switch {
-	case s.ColdShare < 0 || s.ColdShare > 1:
+	case s.SlowStartShare < 0 || s.SlowStartShare > 1:
 		return f.At("rules.cold_share", "must be from 0 to 1")
 	case s.OverloadFactor < 1:
 		return f.At("rules.overload_factor", "must be 1 or more")
@@ -367,20 +367,20 @@
 		if err != nil {
 			return err
 		}
-		class := decision.Class{Name: k.Name, Aim: aim.Seconds(), Deadline: deadline.Seconds(), Worth: cmp.Or(k.Worth, 1), LateWorth: k.LateWorth}
+		class := decision.Class{Name: k.Name, LatencyTarget: aim.Seconds(), Deadline: deadline.Seconds(), Value: cmp.Or(k.Worth, 1), LateValue: k.LateWorth}
 		switch {
 		case aim <= 0:
 			return f.At(at+".aim", "must be more than 0")
 		case deadline < aim:
 			return f.At(at+".deadline", "before the aim")
-		case class.Worth < 0 || class.LateWorth < 0 || class.LateWorth > 1:
+		case class.Value < 0 || class.LateValue < 0 || class.LateValue > 1:
 			return f.At(at, "worth must be 0 or more, late_worth from 0 to 1")
 		}
 		switch k.Repeat {
 		case "safe":
-			class.Effect = decision.Safe
+			class.Effect = decision.Idempotent
 		case "never":
-			class.Effect = decision.Unsafe
+			class.Effect = decision.NonIdempotent
 		default:
 			return f.At(at+".repeat", fmt.Sprintf("%q is neither \"safe\" (may run twice) nor \"never\"", k.Repeat))
 		}
--- a/internal/standalone/config/hcl_test.go
+++ b/internal/standalone/config/hcl_test.go
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !c.Static || len(c.Known.Targets) != 2 || c.Embedded != "127.0.0.1:0" || !c.Settings.MayCount || c.Catalogue != "/etc/plans.hcl" {
+	if !c.Static || len(c.Known.Targets) != 2 || c.Embedded != "127.0.0.1:0" || !c.Settings.HasCounter || c.Catalogue != "/etc/plans.hcl" {
 		t.Errorf("%+v", c)
 	}
 	if diff := cmp.Diff(&Usage{Dir: "/var/usage", Rotate: time.Minute, Keep: 168 * time.Hour}, c.Usage); diff != "" {
--- a/internal/standalone/counterclient/counter.go
+++ b/internal/standalone/counterclient/counter.go
@@ -170,13 +170,13 @@
 	// no order, and its answer would pass for this one's.
 	for l.takeOver(name) {
 		l.mu.Unlock()
-		l.client.told(name, decision.Reset, 0)
+		l.client.told(name, decision.ConnectionReset, 0)
 		l.mu.Lock()
 	}
 	k := l.use()
 	if k == nil || len(k.left) >= mostLeft {
 		l.mu.Unlock()
-		l.client.told(name, decision.Refused, 0)
+		l.client.told(name, decision.ConnectionRefused, 0)
 		return
 	}
 	c := &call{name: name, at: time.Now()}
@@ -187,7 +187,7 @@
 	l.mu.Unlock()
 	if err != nil {
 		c.timer.Stop()
-		l.client.told(name, decision.Refused, 0) // its last byte was not written: it is not added
+		l.client.told(name, decision.ConnectionRefused, 0) // its last byte was not written: it is not added
 		k.conn.Close()                           // its reader notices, and tells those that were written
 	}
 }
@@ -326,7 +326,7 @@
 	}
 	l.client.log.WithFields(logrus.Fields{"code": code, "lost": len(lost)}).Info("counter connection ended")
 	for _, c := range lost {
-		l.client.told(c.name, decision.Reset, 0)
+		l.client.told(c.name, decision.ConnectionReset, 0)
 	}
 }
 
@@ -391,7 +391,7 @@
 	case line == "+PONG":
 		return answer{pong: true}, nil
 	case strings.HasPrefix(line, "-BUSY"):
-		return answer{outcome: decision.Busy}, nil
+		return answer{outcome: decision.Rejected}, nil
 	case strings.HasPrefix(line, "-"):
 		return answer{outcome: decision.Failed}, nil
 	case strings.HasPrefix(line, "$"):
@@ -412,7 +412,7 @@
 	if err != nil || strings.Trim(number, "0123456789.eE+-") != "" { // infinities and their like
 		return a, fmt.Errorf("%w: %.20q", errAnswer, number)
 	}
-	return answer{outcome: decision.Done, total: total}, nil
+	return answer{outcome: decision.Succeeded, total: total}, nil
 }
 
 // readLine reads a line. One longer than the buffer is none of the counter's: it may never end.
--- a/internal/standalone/counterclient/counter_test.go
+++ b/internal/standalone/counterclient/counter_test.go
@@ -17,8 +17,8 @@
 )
 
 var words = map[decision.Outcome]string{
-	decision.Done: "done", decision.Busy: "busy", decision.Failed: "failed", decision.TimedOut: "timed out",
-	decision.Reset: "reset", decision.Refused: "refused",
+	decision.Succeeded: "done", decision.Rejected: "busy", decision.Failed: "failed", decision.TimedOut: "timed out",
+	decision.ConnectionReset: "reset", decision.ConnectionRefused: "refused",
 }
 
 // TestExchanges plays one lane's calls and answers.
--- a/internal/standalone/counterserver/counterd_test.go
+++ b/internal/standalone/counterserver/counterd_test.go
@@ -119,7 +119,7 @@
 		t.Helper()
 		for { // until its connection is up
 			c.Add(want.name, 2, 10)
-			if got := <-answers; got.outcome != decision.Refused {
+			if got := <-answers; got.outcome != decision.ConnectionRefused {
 				if got != want {
 					t.Errorf("%+v, want %+v", got, want)
 				}
@@ -128,15 +128,15 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	add(told{"a", decision.Done, 2})
-	add(told{"a", decision.Done, 4})
+	add(told{"a", decision.Succeeded, 2})
+	add(told{"a", decision.Succeeded, 4})
 	s.Set(&Fault{Busy: true})
-	add(told{"a", decision.Busy, 0})
+	add(told{"a", decision.Rejected, 0})
 	s.Set(&Fault{Delay: time.Millisecond})
-	add(told{"a", decision.Done, 6})
+	add(told{"a", decision.Succeeded, 6})
 	s.Set(nil)
 	s.Empty()
-	add(told{"a", decision.Done, 2})
+	add(told{"a", decision.Succeeded, 2})
 	s.Set(&Fault{Silent: true})
 	c.Add("a", 2, 10)
 	for s.Calls() < 6 {
--- a/internal/standalone/discovery/discovery.go
+++ b/internal/standalone/discovery/discovery.go
@@ -87,7 +87,7 @@
 		}
 		news.List = append(news.List, decision.Backend{
 			ID: t.UID, Zone: t.Zone, Kind: t.Model, Serving: serving, Size: t.Capacity,
-			Booted: t.BootMs / 1000, // the module's clock is Unix time
+			StartedAt: t.BootMs / 1000, // the module's clock is Unix time
 		})
 	}
 	return news
--- a/internal/standalone/discovery/discovery_test.go
+++ b/internal/standalone/discovery/discovery_test.go
@@ -38,7 +38,7 @@
 			b := <-news
 			text := fmt.Sprint(b.Complete)
 			for _, x := range b.List {
-				text += fmt.Sprintf(" %s/%s/%s/%v/%v/%v", x.ID, x.Zone, x.Kind, x.Serving, x.Size, x.Booted)
+				text += fmt.Sprintf(" %s/%s/%s/%v/%v/%v", x.ID, x.Zone, x.Kind, x.Serving, x.Size, x.StartedAt)
 			}
 			return text
 		}
--- a/internal/standalone/discovery/fuzz_test.go
+++ b/internal/standalone/discovery/fuzz_test.go
@@ -23,8 +23,8 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	f.Fuzz(func(t *testing.T, first, second []byte) {
-		g := decision.New(decision.Settings{Balancers: 80, WarmUp: 18, ColdShare: 0.2, MaxAttempts: 4,
-			Classes: []decision.Class{{Name: "c", Aim: 1, Deadline: 3, Worth: 1, Effect: decision.Safe}}, Plans: []decision.Plan{{Name: "p", Price: 1}}}, 1)
+		g := decision.New(decision.Settings{Gateways: 80, SlowStartTime: 18, SlowStartShare: 0.2, MaxAttempts: 4,
+			Classes: []decision.Class{{Name: "c", LatencyTarget: 1, Deadline: 3, Value: 1, Effect: decision.Idempotent}}, Plans: []decision.Plan{{Name: "p", ValueWeight: 1}}}, 1)
 		g.Handle(0, decision.Start{})
 		w := &Watcher{Directory: &Directory{}, Log: log, Tell: func(b decision.Backends) { g.Handle(1, b) }}
 		for i, raw := range [][]byte{first, second} {
@@ -33,7 +33,7 @@
 				t.Fatalf("%v, and the list changed", err)
 			}
 			now, id, said := 2+10*float64(i), uint64(i+1), 0
-			out := g.Handle(now, decision.Request{ID: id, Class: "c", Plan: "p", Customer: "c", Left: 3, Units: 1})
+			out := g.Handle(now, decision.Request{ID: id, Class: "c", Plan: "p", Customer: "c", TimeLeft: 3, Units: 1})
 			for end := now + 3; now < end; now += 0.05 { // held, it is sent or refused in time
 				for _, a := range append(out, g.Handle(now, decision.Timer{Token: "tick"})...) {
 					switch a := a.(type) {
@@ -42,7 +42,7 @@
 							t.Fatalf("sent to %q, which is not to be served", a.Backend)
 						}
 						said++
-					case decision.Refuse:
+					case decision.Reject:
 						said++
 					}
 				}
--- a/internal/standalone/fleet/quotasync/sharing.go
+++ b/internal/standalone/fleet/quotasync/sharing.go
@@ -33,7 +33,7 @@
 
 // Engine is where what is decided goes.
 type Engine interface {
-	Hold(all []decision.Right, lease decision.Seconds)
+	Hold(all []decision.QuotaGrant, lease decision.Seconds)
 	Warn(servers []string)
 	Bad() []string
 	Pool() (listed, avoided int)
@@ -82,27 +82,27 @@
 
 func (s *Sharing) now() quotashare.Seconds { return time.Since(s.base).Seconds() * s.o.Clock }
 
-// Asked takes a request that the engine tells of; Adding and Counted take its calls of the counter.
-func (s *Sharing) Asked(customer string, first, doors int, quota, units float64) {
+// ObserveRequest takes a request that the engine reports; ObserveCounterCall and ObserveCounterReply take its calls of the counter.
+func (s *Sharing) ObserveRequest(customer string, first, doors int, quota, units float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.book.Step(s.now(), quotashare.Asked{Member: customer, First: first, Doors: doors, Quota: quota, Units: units})
 }
 
-// Adding tells of a call of the counter.
-func (s *Sharing) Adding(name string, amount float64, keep decision.Seconds) {
+// ObserveCounterCall takes a call of the counter.
+func (s *Sharing) ObserveCounterCall(name string, amount float64, keep decision.Seconds) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.book.Step(s.now(), quotashare.Adding{Name: name, Amount: amount, Keep: keep})
 }
 
 // Counted tells of its answer. While the counter is not trusted the module hears that it answers, and no total.
-func (s *Sharing) Counted(name string, outcome decision.Outcome, total float64) decision.Outcome {
+func (s *Sharing) ObserveCounterReply(name string, outcome decision.Outcome, total float64) decision.Outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	answered := outcome == decision.Done || outcome == decision.Busy || outcome == decision.Failed
-	s.carry(s.book.Step(s.now(), quotashare.Counted{Name: name, Answered: answered, Done: outcome == decision.Done, Total: total}))
-	if sound, _ := s.book.Sound(); !sound && outcome == decision.Done {
+	answered := outcome == decision.Succeeded || outcome == decision.Rejected || outcome == decision.Failed
+	s.carry(s.book.Step(s.now(), quotashare.Counted{Name: name, Answered: answered, Done: outcome == decision.Succeeded, Total: total}))
+	if sound, _ := s.book.Sound(); !sound && outcome == decision.Succeeded {
 		return decision.Failed
 	}
 	return outcome
@@ -144,9 +144,9 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case quotashare.Hold:
-			all := make([]decision.Right, 0, len(a.Rights))
+			all := make([]decision.QuotaGrant, 0, len(a.Rights))
 			for _, r := range a.Rights {
-				all = append(all, decision.Right{Customer: r.Member, Rate: r.Rate, Less: r.Less, Keep: r.Keep, Scaled: r.Scaled})
+				all = append(all, decision.QuotaGrant{Customer: r.Member, Rate: r.Rate, Less: r.Less, Keep: r.Keep, Scaled: r.Scaled})
 			}
 			e.Hold(all, a.Until-now)
 		case quotashare.Warn:
--- a/internal/standalone/hclfile/hclfile.go
+++ b/internal/standalone/hclfile/hclfile.go
@@ -186,12 +186,12 @@
 
 // Plan is the plan in the module's form.
 func (p Plan) Plan() decision.Plan {
-	return decision.Plan{Name: p.Name, Rate: p.Rate, Burst: p.Burst, Open: p.Open, Price: p.Price, ExcessWorth: p.ExcessWorth,
-		BeyondCosts: p.BeyondCosts, CeilingRate: p.CeilingRate, CeilingDepth: p.CeilingDepth, CeilingSlack: p.CeilingSlack}
+	return decision.Plan{Name: p.Name, Rate: p.Rate, Burst: p.Burst, MaxInFlight: p.Open, ValueWeight: p.Price, ExcessValue: p.ExcessWorth,
+		ExcessCost: p.BeyondCosts, LimitRate: p.CeilingRate, LimitBurst: p.CeilingDepth, LimitSlack: p.CeilingSlack}
 }
 
 // FromPlan is the opposite.
 func FromPlan(p decision.Plan) Plan {
-	return Plan{Name: p.Name, Rate: p.Rate, Burst: p.Burst, Open: p.Open, Price: p.Price, ExcessWorth: p.ExcessWorth,
-		BeyondCosts: p.BeyondCosts, CeilingRate: p.CeilingRate, CeilingDepth: p.CeilingDepth, CeilingSlack: p.CeilingSlack}
+	return Plan{Name: p.Name, Rate: p.Rate, Burst: p.Burst, Open: p.MaxInFlight, Price: p.ValueWeight, ExcessWorth: p.ExcessValue,
+		BeyondCosts: p.ExcessCost, CeilingRate: p.LimitRate, CeilingDepth: p.LimitBurst, CeilingSlack: p.LimitSlack}
 }
--- a/internal/standalone/node/fleet.go
+++ b/internal/standalone/node/fleet.go
@@ -46,7 +46,7 @@
 func (n *Node) meet(ctx context.Context) (err error) {
 	c, m := n.config, n.config.Membership
 	o := gossip.Options{Fleet: m.Fleet, Name: c.Name, Zone: c.Settings.Zone, Version: version(), Listen: m.Listen, Advertise: m.Advertise, Join: m.Join,
-		KeyFile: m.KeyFile, Interval: m.Interval, Expect: c.Settings.Balancers, Number: c.Settings.Me, Seed: c.Seed, Log: n.log}
+		KeyFile: m.KeyFile, Interval: m.Interval, Expect: c.Settings.Gateways, Number: c.Settings.Index, Seed: c.Seed, Log: n.log}
 	if c.State != "" {
 		o.Store = record{n.folder(0)}
 	}
@@ -57,7 +57,7 @@
 	if m.Share {
 		self := n.fleet.Self()
 		n.sharing = quotasync.New(quotasync.Options{Fleet: n.fleet, Clock: c.Rehearsed.Clock(), Log: n.log, Options: quotashare.Options{Name: c.Name, Zone: c.Settings.Zone,
-			Fleet: max(1, c.Settings.Balancers), Claim: quotashare.Claim{Boot: self.Boot, Nonce: self.Nonce}, Counter: n.count != nil}})
+			Fleet: max(1, c.Settings.Gateways), Claim: quotashare.Claim{Boot: self.Boot, Nonce: self.Nonce}, Counter: n.count != nil}})
 		n.engine.ShareWith(n.sharing)
 		n.spawn(func() { n.sharing.Run(ctx, n.engine) })
 	}
--- a/internal/standalone/node/node.go
+++ b/internal/standalone/node/node.go
@@ -131,7 +131,7 @@
 	n.engine = engine.New(decision.New(c.Settings, c.Seed), &c.Settings, engine.NewClock())
 	n.engine.Log = n.log
 	if c.Counter != "" {
-		n.count = counterclient.New(c.Counter, seconds(c.Settings.CountWait), n.engine.Counted, n.log)
+		n.count = counterclient.New(c.Counter, seconds(c.Settings.CounterTimeout), n.engine.Counted, n.log)
 		n.closed = append(n.closed, n.count.Close)
 		n.engine.Start(n.count)
 	} else {
@@ -139,7 +139,7 @@
 	}
 	directory := &discovery.Directory{}
 	n.watcher = &discovery.Watcher{Addr: c.Discovery, Directory: directory, Tell: n.engine.Backends, Log: n.log,
-		Fleet: c.Settings.Balancers, Seed: c.Seed}
+		Fleet: c.Settings.Gateways, Seed: c.Seed}
 	if c.Known != nil {
 		n.watcher.Known(c.Known)
 	}
--- a/internal/standalone/node/node_test.go
+++ b/internal/standalone/node/node_test.go
@@ -189,7 +189,7 @@
 	}
 	defer other.Stop()
 	next := *n.config
-	next.Settings.Plans = []decision.Plan{{Name: "basic", Rate: 1e9, Burst: 1e9, Price: 1}, {Name: "gold", Rate: 1e9, Burst: 1e9, Price: 1}}
+	next.Settings.Plans = []decision.Plan{{Name: "basic", Rate: 1e9, Burst: 1e9, ValueWeight: 1}, {Name: "gold", Rate: 1e9, Burst: 1e9, ValueWeight: 1}}
 	known := *n.config.Known
 	known.Targets = append(known.Targets[:0:0], known.Targets...)
 	known.Targets[0].UID, known.Targets[0].Endpoint = "other", other.Addr()
--- a/internal/standalone/node/overlap_test.go
+++ b/internal/standalone/node/overlap_test.go
@@ -27,7 +27,7 @@
 	old, shared := beside(1), 0
 	share := func() decision.Knowledge {
 		shared++
-		return decision.Knowledge{At: unix(), Usual: 0.25}
+		return decision.Knowledge{At: unix(), TypicalTime: 0.25}
 	}
 	if k := old.learn(); k != nil {
 		t.Fatal("learned from nobody")
@@ -48,7 +48,7 @@
 			old.turn(share)
 		}
 	}
-	if k.Usual != 0.25 || shared != 1 {
+	if k.TypicalTime != 0.25 || shared != 1 {
 		t.Errorf("handed over %+v, %d times", k, shared)
 	}
 	var got []float64
--- a/internal/standalone/plans/plans.go
+++ b/internal/standalone/plans/plans.go
@@ -83,10 +83,10 @@
 		if p.Rate > 0 && p.Burst <= 0 {
 			bad("a rate needs a burst above 0: a store that holds nothing lets nothing through", "plan", p.Name, "burst")
 		}
-		if p.CeilingRate > 0 && p.CeilingRate < p.Rate {
+		if p.LimitRate > 0 && p.LimitRate < p.Rate {
 			bad(fmt.Sprintf("below the plan's rate of %g", p.Rate), "plan", p.Name, "ceiling_rate")
 		}
-		if p.CeilingRate > 0 && p.CeilingDepth <= 0 {
+		if p.LimitRate > 0 && p.LimitBurst <= 0 {
 			bad("a ceiling needs a depth above 0", "plan", p.Name, "ceiling_depth")
 		}
 	}
@@ -147,10 +147,10 @@
 		before := byMember[b.Member]
 		byMember[b.Member] = append(before, b)
 		p := byName[r.Members[b.Member]]
-		if p.CeilingRate <= 0 {
+		if p.LimitRate <= 0 {
 			continue
 		}
-		if m := Fit(before, b, p.CeilingRate-p.Rate); m != nil {
+		if m := Fit(before, b, p.LimitRate-p.Rate); m != nil {
 			all = append(all, Problem{"booking." + b.ID + ".units",
 				fmt.Sprintf("with plan %q, at most %.0f units in this span stay under its ceiling", p.Name, m.Units)})
 		}
@@ -232,17 +232,31 @@
 	h := fnv.New64a()
 	fmt.Fprint(h, r.Number, r.Holds, r.Authority, r.Bookable)
 	for _, p := range slices.SortedFunc(slices.Values(r.Plans), func(a, b decision.Plan) int { return cmp.Compare(a.Name, b.Name) }) {
-		fmt.Fprintf(h, "|%+v", p)
+		fmt.Fprint(h, "|", planDigestText(p))
 	}
 	for _, m := range slices.Sorted(maps.Keys(r.Members)) {
 		fmt.Fprint(h, "|", m, "=", r.Members[m])
 	}
 	for _, b := range slices.SortedFunc(slices.Values(r.Bookings), func(a, b Booking) int { return cmp.Compare(a.ID, b.ID) }) {
-		fmt.Fprintf(h, "|%+v", b)
+		fmt.Fprint(h, "|", bookingDigestText(b))
 	}
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
+// planDigestText is a plan as it enters a digest. The words are part of the format: ingresses of all versions
+// compare digests, so they do not follow the names of the fields.
+func planDigestText(p decision.Plan) string {
+	return fmt.Sprintf("{Name:%v Rate:%v Burst:%v Open:%v Price:%v ExcessWorth:%v BeyondCosts:%v "+
+		"CeilingRate:%v CeilingDepth:%v CeilingSlack:%v}",
+		p.Name, p.Rate, p.Burst, p.MaxInFlight, p.ValueWeight, p.ExcessValue, p.ExcessCost,
+		p.LimitRate, p.LimitBurst, p.LimitSlack)
+}
+
+// bookingDigestText is a booking as it enters a digest; see planDigestText.
+func bookingDigestText(b Booking) string {
+	return fmt.Sprintf("{ID:%v Member:%v From:%v To:%v Units:%v}", b.ID, b.Member, b.From, b.To, b.Units)
+}
+
 // Change is one difference between two revisions.
 type Change struct {
 	What, Name string // plan, member, booking or setting
@@ -290,8 +304,8 @@
 }
 
 func figures(p decision.Plan) []figure {
-	return []figure{{"rate", p.Rate}, {"burst", p.Burst}, {"open", float64(p.Open)}, {"price", p.Price}, {"excess_worth", p.ExcessWorth},
-		{"beyond_costs", p.BeyondCosts}, {"ceiling_rate", p.CeilingRate}, {"ceiling_depth", p.CeilingDepth}, {"ceiling_slack", p.CeilingSlack}}
+	return []figure{{"rate", p.Rate}, {"burst", p.Burst}, {"open", float64(p.MaxInFlight)}, {"price", p.ValueWeight}, {"excess_worth", p.ExcessValue},
+		{"beyond_costs", p.ExcessCost}, {"ceiling_rate", p.LimitRate}, {"ceiling_depth", p.LimitBurst}, {"ceiling_slack", p.LimitSlack}}
 }
 
 // Figures tells a plan's figures in a line, those that are there.
--- a/internal/standalone/plans/plans_test.go
+++ b/internal/standalone/plans/plans_test.go
@@ -14,10 +14,10 @@
 
 const anna, bert = "00000000000000aa", "00000000000000bb"
 
-func basic() decision.Plan { return decision.Plan{Name: "basic", Rate: 4, Burst: 8, Price: 1} }
+func basic() decision.Plan { return decision.Plan{Name: "basic", Rate: 4, Burst: 8, ValueWeight: 1} }
 
 func plus() decision.Plan {
-	return decision.Plan{Name: "plus", Rate: 10, Burst: 20, Price: 2, CeilingRate: 20, CeilingDepth: 40, CeilingSlack: 4}
+	return decision.Plan{Name: "plus", Rate: 10, Burst: 20, ValueWeight: 2, LimitRate: 20, LimitBurst: 40, LimitSlack: 4}
 }
 
 func revision(n uint64, holds decision.Seconds, change ...func(*Revision)) Revision {
@@ -41,8 +41,8 @@
 		{"plan twice", func(r *Revision) { r.Plans = append(r.Plans, basic()) }, []string{"plan.basic: a plan needs a name of its own, one word"}},
 		{"below zero", func(r *Revision) { r.Plans[0].Rate = -1 }, []string{"plan.basic.rate: must be a number, 0 or more"}},
 		{"no burst", func(r *Revision) { r.Plans[0].Burst = 0 }, []string{"plan.basic.burst: a rate needs a burst above 0: a store that holds nothing lets nothing through"}},
-		{"ceiling below the rate", func(r *Revision) { r.Plans[1].CeilingRate = 9 }, []string{"plan.plus.ceiling_rate: below the plan's rate of 10"}},
-		{"ceiling without depth", func(r *Revision) { r.Plans[1].CeilingDepth = 0 }, []string{"plan.plus.ceiling_depth: a ceiling needs a depth above 0"}},
+		{"ceiling below the rate", func(r *Revision) { r.Plans[1].LimitRate = 9 }, []string{"plan.plus.ceiling_rate: below the plan's rate of 10"}},
+		{"ceiling without depth", func(r *Revision) { r.Plans[1].LimitBurst = 0 }, []string{"plan.plus.ceiling_depth: a ceiling needs a depth above 0"}},
 		{"a plan removed while members are on it", func(r *Revision) { r.Plans = r.Plans[:1] },
 			[]string{"members." + bert + `: is on plan "plus", which this revision does not have`}},
 		{"no member", func(r *Revision) { r.Members = map[string]string{"Anna": "basic"} },
--- a/internal/standalone/plans/state.go
+++ b/internal/standalone/plans/state.go
@@ -151,8 +151,8 @@
 		if b := &c.spans[member][i]; b.from <= now && now < b.to && t.Plan.Rate > 0 {
 			if b.terms[plan] == nil {
 				p := t.Plan
-				if p.Rate += b.rate; p.CeilingRate > 0 {
-					p.Rate = min(p.Rate, p.CeilingRate)
+				if p.Rate += b.rate; p.LimitRate > 0 {
+					p.Rate = min(p.Rate, p.LimitRate)
 				}
 				b.terms[plan] = &decision.Terms{Plan: p, Tag: p.Tag()}
 			}
--- a/internal/standalone/settings/settings.go
+++ b/internal/standalone/settings/settings.go
@@ -58,32 +58,32 @@
 		return decision.Settings{}, fmt.Errorf("settings: Me: %d is not below Balancers, %d", w.Me, w.Balancers)
 	}
 	s := decision.Settings{
-		Balancers: w.Balancers, Me: w.Me, Zone: w.Zone,
+		Gateways: w.Balancers, Index: w.Me, Zone: w.Zone,
 		DrainGrace: w.Invariants.DrainGrace, AnswerSlack: w.Invariants.AnswerSlack,
-		ColdShare: w.Invariants.StartCapacity, WarmUp: w.Invariants.WarmUp,
+		SlowStartShare: w.Invariants.StartCapacity, SlowStartTime: w.Invariants.WarmUp,
 		OverloadFactor: w.Invariants.OverloadFactor, OverloadFor: w.Invariants.OverloadFor,
 		MaxAttempts:   w.Permissions.SendCap,
 		MayCancel:     w.Permissions.Cancelling,
 		MayRetryAfter: w.Permissions.RetryAfter, MaxRetryAfter: w.Permissions.MaxRetryAfter,
 		ConnectTimeout: w.Permissions.ConnectTimeout, Keepalive: w.Permissions.Keepalive,
-		MayCount: w.FamilyInfo.MayCount, CountFee: w.FamilyInfo.CountFee, CountWait: w.FamilyInfo.CountWait,
-		CostAfter: w.FamilyInfo.CostAfter, MaxUnits: w.FamilyInfo.MaxUnits,
+		HasCounter: w.FamilyInfo.MayCount, CounterCallCost: w.FamilyInfo.CountFee, CounterTimeout: w.FamilyInfo.CountWait,
+		SettledLater: w.FamilyInfo.CostAfter, MaxUnits: w.FamilyInfo.MaxUnits,
 	}
-	effects := map[string]decision.Effect{"pure": decision.Safe, "token": decision.Keyed}
+	effects := map[string]decision.Effect{"pure": decision.Idempotent, "token": decision.IdempotentByKey}
 	scopes := map[string]decision.Scope{
 		"all": decision.ScopeAll, "zone": decision.ScopeZone, "cell": decision.ScopeCell,
 	}
 	for _, c := range w.Classes {
 		s.Classes = append(s.Classes, decision.Class{
-			Name: c.Name, Aim: c.Promise, Deadline: c.Deadline, Worth: c.Gain, LateWorth: c.LateWorth,
+			Name: c.Name, LatencyTarget: c.Promise, Deadline: c.Deadline, Value: c.Gain, LateValue: c.LateWorth,
 			Effect: effects[c.Effect], Scope: scopes[c.DedupScope],
 		})
 	}
 	for _, p := range w.Packages {
 		s.Plans = append(s.Plans, decision.Plan{
-			Name: p.Name, Rate: p.Refill, Burst: p.Burst, Open: p.Open, Price: p.Pays,
-			ExcessWorth: p.ExcessWorth, BeyondCosts: p.BeyondCosts,
-			CeilingRate: p.NeverOverRate, CeilingDepth: p.NeverOverDepth, CeilingSlack: p.HardSlack,
+			Name: p.Name, Rate: p.Refill, Burst: p.Burst, MaxInFlight: p.Open, ValueWeight: p.Pays,
+			ExcessValue: p.ExcessWorth, ExcessCost: p.BeyondCosts,
+			LimitRate: p.NeverOverRate, LimitBurst: p.NeverOverDepth, LimitSlack: p.HardSlack,
 		})
 	}
 	return s, nil
--- a/internal/standalone/simprotocol/wire.go
+++ b/internal/standalone/simprotocol/wire.go
@@ -141,18 +141,18 @@
 		options := f.integer(9)
 		event = decision.Request{
 			ID: uint64(f.integer(1)), Class: f.text(2), Plan: f.text(3), Customer: f.text(4),
-			Left: f.number(5), Units: f.number(6), Doors: int(f.integer(7)), Repeat: options&2 != 0,
+			TimeLeft: f.number(5), Units: f.number(6), Gateways: int(f.integer(7)), ClientRetry: options&2 != 0,
 		}
 	case "CLIENT_GONE":
 		event = decision.ClientGone{ID: uint64(f.integer(1))}
 	case "FIRED":
 		event = decision.Timer{Token: f.text(1)}
 	case "SUM":
-		event = decision.Counted{Outcome: outcome(f.text(1)), Name: f.text(2), Total: f.number(3)}
+		event = decision.CounterReply{Outcome: outcome(f.text(1)), Name: f.text(2), Total: f.number(3)}
 	case "COMPLETED":
 		event = decision.AttemptEnded{
-			ID: uint64(f.integer(1)), Units: f.number(2), Outcome: outcome(f.text(3)), Took: f.number(4),
-			Backend: f.text(6), Settled: f.flag(7), Attempt: int(f.integer(8)),
+			ID: uint64(f.integer(1)), Units: f.number(2), Outcome: outcome(f.text(3)), Duration: f.number(4),
+			Backend: f.text(6), Answered: f.flag(7), Attempt: int(f.integer(8)),
 		}
 	}
 	if f.err != nil {
@@ -193,9 +193,9 @@
 func (f *fields) flag(i int) bool      { return field[bool](f, i) }
 
 var outcomes = map[string]decision.Outcome{
-	"done": decision.Done, "err": decision.Failed, "busy": decision.Busy, "etimedout": decision.TimedOut,
-	"econnrefused": decision.Refused, "econnreset": decision.Reset, "ecanceled": decision.Cancelled,
-	"skipped": decision.Skipped,
+	"done": decision.Succeeded, "err": decision.Failed, "busy": decision.Rejected, "etimedout": decision.TimedOut,
+	"econnrefused": decision.ConnectionRefused, "econnreset": decision.ConnectionReset, "ecanceled": decision.Cancelled,
+	"skipped": decision.NotSent,
 }
 
 // outcome gives Failed, which proves nothing, for a word it does not know.
@@ -211,7 +211,7 @@
 		f := fields{msg: row}
 		b := decision.Backend{
 			ID: f.text(0), Zone: f.text(1), Kind: f.text(2), Serving: f.text(4) == "SERVING",
-			Size: f.number(5), Booted: f.number(6),
+			Size: f.number(5), StartedAt: f.number(6),
 		}
 		if f.err != nil {
 			return nil, fmt.Errorf("row %d: %w", i, f.err)
@@ -227,14 +227,14 @@
 		return []any{"TRANSMIT", a.ID, a.Backend, a.Timeout}
 	case decision.Cancel:
 		return []any{"ABORT_ATTEMPT", a.ID, a.Attempt}
-	case decision.Refuse:
+	case decision.Reject:
 		return []any{"REFUSE", a.ID, a.RetryAfter}
 	case decision.Fail:
 		return []any{"FINISH_ERROR", a.ID}
 	case decision.SetTimer:
 		return []any{"SLEEP", a.At, a.Token}
-	case decision.Count:
-		return []any{"BUMP", a.Name, a.Add, a.Keep}
+	case decision.CounterCall:
+		return []any{"BUMP", a.Name, a.Add, a.Retention}
 	default:
 		return []any{"WRITE_LOG", fmt.Sprintf("no word for %T", action)}
 	}
