--- a/internal/cluster/configuration/fields.go
+++ b/internal/cluster/configuration/fields.go
@@ -22,19 +22,19 @@
 
 // Route is a route, as it is followed.
 type Route struct {
-	Name     string
-	Host     string  // in lower case, without a port
-	Prefix   string  // of the path; begins and ends with a slash
-	Mutating bool    // mutating: at most one run for each try of a client
-	Deadline float64 // seconds that a request may be held at most
-	Target   float64 // seconds within which an answer earns its full worth; Deadline where none is given
-	Priority int     // 0 is the highest
-	MaxAttempts int     // servers that one try of a client may be sent to; at least 1
-	Public   bool    // no key is needed
-	Service  string  // its service, where Split is empty
-	Split    []WeightedService // its services; goes before Service
-	Version  uint64
-	Epoch    uint64
+	Name        string
+	Host        string            // in lower case, without a port
+	Prefix      string            // of the path; begins and ends with a slash
+	Mutating    bool              // mutating: at most one run for each try of a client
+	Deadline    float64           // seconds that a request may be held at most
+	Target      float64           // seconds within which an answer earns its full worth; Deadline where none is given
+	Priority    int               // 0 is the highest
+	MaxAttempts int               // servers that one try of a client may be sent to; at least 1
+	Public      bool              // no key is needed
+	Service     string            // its service, where Split is empty
+	Split       []WeightedService // its services; goes before Service
+	Version     uint64
+	Epoch       uint64
 }
 
 // WeightedService is a service with its part of a route.
--- a/internal/cluster/quota/messages.go
+++ b/internal/cluster/quota/messages.go
@@ -7,7 +7,7 @@
 type Report struct {
 	Name       string  `cbor:"1,keyasint"` // of the counter: a tenant and its terms
 	Cycle      int64   `cbor:"2,keyasint"`
-	Reporter     string  `cbor:"3,keyasint"`           // the ingress that reports; with PerRequest its process
+	Reporter   string  `cbor:"3,keyasint"`           // the ingress that reports; with PerRequest its process
 	Amount     float64 `cbor:"4,keyasint,omitempty"` // requests
 	ReadOnly   bool    `cbor:"5,keyasint,omitempty"` // a question: nothing is added
 	Retention  float64 `cbor:"6,keyasint,omitempty"` // seconds for which the cycle is kept
@@ -20,7 +20,7 @@
 // Without OK this node is not the keeper of the counter, or, where Holders is above 0, it has taken the report and does not
 // know yet whether it has heard all other holders.
 type Total struct {
-	OK      bool    `cbor:"1,keyasint,omitempty"`
-	Sum     float64 `cbor:"2,keyasint,omitempty"` // requests, over all holders
+	OK        bool    `cbor:"1,keyasint,omitempty"`
+	Sum       float64 `cbor:"2,keyasint,omitempty"` // requests, over all holders
 	Reporters int     `cbor:"3,keyasint,omitempty"`
 }
--- a/internal/cluster/registry/registry.go
+++ b/internal/cluster/registry/registry.go
@@ -12,11 +12,11 @@
 const (
 	SilenceHeartbeats                    = 3.5     // heartbeats without a call until an instance is judged silent
 	MassSilenceRecheckHeartbeats         = 2.0     // heartbeats for which a mass silence is looked at, once calls come again
-	MassSilenceMinimum              = 4       // so many silent at once may be a mass silence
-	TombstoneRetention      Seconds = 120     // a gone line is kept so long: a late call must not raise it
-	SilentRetention         Seconds = 600     // a silent instance is kept so long: it may only be cut off
-	DrainRetention          Seconds = 60      // a draining instance that is not heard is taken for gone after this and the patience
-	MaxInstances                    = 1 << 19 // instances of one registry; the one longest unheard goes for a new one
+	MassSilenceMinimum                   = 4       // so many silent at once may be a mass silence
+	TombstoneRetention           Seconds = 120     // a gone line is kept so long: a late call must not raise it
+	SilentRetention              Seconds = 600     // a silent instance is kept so long: it may only be cut off
+	DrainRetention               Seconds = 60      // a draining instance that is not heard is taken for gone after this and the patience
+	MaxInstances                         = 1 << 19 // instances of one registry; the one longest unheard goes for a new one
 )
 
 const (
--- a/internal/cluster/replication/client.go
+++ b/internal/cluster/replication/client.go
@@ -51,7 +51,7 @@
 	Handle       func(*transport.Frame) *transport.Frame // calls of the source (see transport.Conn.Run); nil: none are taken
 	Consume      func(*transport.Update)                 // takes the place of merging an update into the Store; nil: merge
 	OnUpdate     func(*transport.Update)                 // after each feed, in which then is only what was news here (unless Take took it); nil: nobody asks
-	OnConnection       func(up bool, err error)                // the source answered on a new connection, or a connection on which it had ended; nil: nobody asks
+	OnConnection func(up bool, err error)                // the source answered on a new connection, or a connection on which it had ended; nil: nobody asks
 	InitialSync  *InitialSync                            // who of those that share the Store takes the whole first; nil: all do
 	RepairSource bool                                    // tell a source that began a new incarnation the instances that it then lacks
 	Dial         func(context.Context) (net.Conn, error) // nil: TCP to Addr
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -27,9 +27,9 @@
 	Zones                             map[string]string // region of each zone
 
 	HeartbeatInterval float64         // between two calls of a server
-	Clauses      map[string]bool // parts of the rules that are in force
-	Tolerance    Tolerance
-	Bounds       Bounds
+	Clauses           map[string]bool // parts of the rules that are in force
+	Tolerance         Tolerance
+	Bounds            Bounds
 }
 
 // Limits is what the process may use.
--- a/internal/dataplane/attempt/desk.go
+++ b/internal/dataplane/attempt/desk.go
@@ -12,10 +12,10 @@
 
 // The kinds. Reject, Fail and NoAnswer are the last word on a request.
 const (
-	Send   Kind = iota // start an attempt, tell Ended what came of it
-	Reject             // answer that trying again does no harm
-	Fail               // answer that it was not served and may have run
-	NoAnswer               // answer nothing: nobody waits
+	Send     Kind = iota // start an attempt, tell Ended what came of it
+	Reject               // answer that trying again does no harm
+	Fail                 // answer that it was not served and may have run
+	NoAnswer             // answer nothing: nobody waits
 )
 
 var kinds = [...]string{"send", "refuse", "fail", "gone"}
@@ -26,10 +26,10 @@
 type Decision struct {
 	Kind       Kind
 	Backend    string           // of a Send
-	Deadline      decision.Seconds // when to give a Send up, module time
+	Deadline   decision.Seconds // when to give a Send up, module time
 	RetryAfter decision.Seconds // of a Refuse; 0: no advice
-	OverQuota     bool             // of a Send or a Refuse: the request is beyond its quota
-	SlowAfter   decision.Seconds // of a Send: so long after it was written, Desk.Impatient is asked whether to give it up; 0: never
+	OverQuota  bool             // of a Send or a Refuse: the request is beyond its quota
+	SlowAfter  decision.Seconds // of a Send: so long after it was written, Desk.Impatient is asked whether to give it up; 0: never
 }
 
 // Request is one in the module's hands.
@@ -77,11 +77,11 @@
 	Err     error
 }
 
-func (Notify) effect()    {}
-func (CancelAttempt) effect()    {}
-func (Timer) effect()   {}
+func (Notify) effect()        {}
+func (CancelAttempt) effect() {}
+func (Timer) effect()         {}
 func (CounterCall) effect()   {}
-func (IllegalStep) effect() {}
+func (IllegalStep) effect()   {}
 
 // Dispatcher holds the module and the requests in its hands. It is not safe for use by several goroutines at once.
 type Dispatcher struct {
@@ -127,7 +127,9 @@
 func (d *Dispatcher) SetShare(part float64, junior bool) { d.gateway.SetShare(part, junior) }
 
 // HandOver hands over half of the stores, and what has been learned.
-func (d *Dispatcher) HandOver(now decision.Seconds) decision.Knowledge { return d.gateway.HandOver(now) }
+func (d *Dispatcher) HandOver(now decision.Seconds) decision.Knowledge {
+	return d.gateway.HandOver(now)
+}
 
 // Restore takes that up.
 func (d *Dispatcher) Restore(now decision.Seconds, k decision.Knowledge) (customers, backends int) {
@@ -135,7 +137,9 @@
 }
 
 // PoolSize tells how many quote servers are listed, and how many of these the gateway avoids now.
-func (d *Dispatcher) PoolSize(now decision.Seconds) (listed, avoided int) { return d.gateway.PoolSize(now) }
+func (d *Dispatcher) PoolSize(now decision.Seconds) (listed, avoided int) {
+	return d.gateway.PoolSize(now)
+}
 
 // Stats are what the gateway holds now.
 func (d *Dispatcher) Stats(now decision.Seconds) decision.Stats { return d.gateway.Stats(now) }
@@ -146,10 +150,14 @@
 }
 
 // SetSuspects tells of servers that others find bad.
-func (d *Dispatcher) SetSuspects(now decision.Seconds, servers []string) { d.gateway.SetSuspects(now, servers) }
+func (d *Dispatcher) SetSuspects(now decision.Seconds, servers []string) {
+	d.gateway.SetSuspects(now, servers)
+}
 
 // UnhealthyServers names those that this gateway finds bad.
-func (d *Dispatcher) UnhealthyServers(now decision.Seconds) []string { return d.gateway.UnhealthyServers(now) }
+func (d *Dispatcher) UnhealthyServers(now decision.Seconds) []string {
+	return d.gateway.UnhealthyServers(now)
+}
 
 // SetMembers tells how many gateways there are, and through how many of them customers may come.
 func (d *Dispatcher) SetMembers(gateways, doors int) {
--- a/internal/dataplane/attempt/life.go
+++ b/internal/dataplane/attempt/life.go
@@ -18,10 +18,10 @@
 
 // The phases.
 const (
-	Waiting  Phase = iota // in the module's hands; nothing is out
-	InFlight                   // an attempt is out, or has been decided on
+	Waiting   Phase = iota // in the module's hands; nothing is out
+	InFlight               // an attempt is out, or has been decided on
 	Abandoned              // nobody waits for the answer any more, and an attempt is still out
-	Finished                  // its last word has been said
+	Finished               // its last word has been said
 )
 
 var phases = [...]string{"waiting", "out", "deserted", "over"}
@@ -31,18 +31,18 @@
 // Errors of steps that a life does not have. They are the module's or the host's mistakes: each is told with a code and
 // ends in an answer that is safe.
 var (
-	ErrPhase  = errors.New("not in this phase")
-	ErrTooManyAttempts   = errors.New("one attempt too many")
-	ErrMayHaveRun  = errors.New("it may have run and must not run twice")
-	ErrBodyConsumed  = errors.New("its body has gone")
-	ErrUnsafeReject = errors.New("a refusal, though it may have run and must not run twice")
+	ErrPhase           = errors.New("not in this phase")
+	ErrTooManyAttempts = errors.New("one attempt too many")
+	ErrMayHaveRun      = errors.New("it may have run and must not run twice")
+	ErrBodyConsumed    = errors.New("its body has gone")
+	ErrUnsafeReject    = errors.New("a refusal, though it may have run and must not run twice")
 )
 
 // Machine is the machine of one request. Its zero value is a request that may run twice, of one attempt at most.
 type Machine struct {
-	AtMostOnce  bool // it must not run twice: nothing is sent again that may have run
+	AtMostOnce    bool // it must not run twice: nothing is sent again that may have run
 	NoClientRetry bool // nor may it be asked again by its client: a refusal after it may have run would be a lie
-	MaxAttempts  int  // attempts
+	MaxAttempts   int  // attempts
 
 	phase    Phase
 	attempts int
--- a/internal/dataplane/engine/engine.go
+++ b/internal/dataplane/engine/engine.go
@@ -114,7 +114,7 @@
 
 	mu        sync.Mutex
 	desk      *attempt.Dispatcher
-	quotas    map[string]float64     // by plan of the settings, for the sharer
+	quotas    map[string]float64          // by plan of the settings, for the sharer
 	sharer    atomic.Pointer[QuotaSharer] // nil: nothing is shared
 	counts    counts
 	catalogue Catalogue        // nil: none, plans are those of the settings
@@ -137,19 +137,19 @@
 	e.handle(decision.Start{})
 }
 
-// ShareWith has requests and calls of the counter told to whoever shares quotas with other ingresses.
-func (e *Engine) ShareWith(s QuotaSharer) { e.sharer.Store(&s) }
+// SetQuotaSharer has requests and calls of the counter told to whoever shares quotas with other ingresses.
+func (e *Engine) SetQuotaSharer(s QuotaSharer) { e.sharer.Store(&s) }
 
-// Backends tells news of the list of backends.
-func (e *Engine) Backends(news decision.Backends) { e.handle(news) }
+// SetBackends tells news of the list of backends.
+func (e *Engine) SetBackends(news decision.Backends) { e.handle(news) }
 
-// Counted tells what came of a counter call.
-func (e *Engine) Counted(name string, outcome decision.Outcome, total float64) {
-	e.CountedOf(name, outcome, total, 0)
+// CounterReplied tells what came of a counter call.
+func (e *Engine) CounterReplied(name string, outcome decision.Outcome, total float64) {
+	e.PairCounterReplied(name, outcome, total, 0)
 }
 
-// CountedOf tells what came of a call of counters that are pairs: the sum, and how many gateways it is from.
-func (e *Engine) CountedOf(name string, outcome decision.Outcome, total float64, holders int) {
+// PairCounterReplied tells what came of a call of counters that are pairs: the sum, and how many gateways it is from.
+func (e *Engine) PairCounterReplied(name string, outcome decision.Outcome, total float64, holders int) {
 	if s := e.sharer.Load(); s != nil {
 		outcome = (*s).ObserveCounterReply(name, outcome, total)
 	}
@@ -161,17 +161,17 @@
 	})
 }
 
-// Retune has the module go by other classes and another number of attempts from now on. Requests in hand keep the
+// Reconfigure has the module go by other classes and another number of attempts from now on. Requests in hand keep the
 // class they began with. No request is decided meanwhile.
-func (e *Engine) Retune(classes []decision.Class, maxAttempts int) {
+func (e *Engine) Reconfigure(classes []decision.Class, maxAttempts int) {
 	e.mu.Lock()
 	e.desk.Reconfigure(slices.Clone(classes), maxAttempts)
 	e.mu.Unlock()
 }
 
-// Part sets how much of the ingress this process is, for so many seconds: where nothing has said otherwise by then, the
+// SetShare sets how much of the ingress this process is, for so many seconds: where nothing has said otherwise by then, the
 // process was stopped meanwhile, and is none of it. For 0 it holds until the next call.
-func (e *Engine) Part(part float64, junior bool, lease decision.Seconds) {
+func (e *Engine) SetShare(part float64, junior bool, lease decision.Seconds) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.lapses = 0; lease > 0 {
@@ -180,58 +180,58 @@
 	e.desk.SetShare(part, junior)
 }
 
-// Share hands over half of the stores to another process of this ingress, and what has been learned.
-func (e *Engine) Share() decision.Knowledge {
+// HandOver hands over half of the stores to another process of this ingress, and what has been learned.
+func (e *Engine) HandOver() decision.Knowledge {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.desk.HandOver(e.clock.Now())
 }
 
-// Take takes up what another process of this ingress handed over.
-func (e *Engine) Take(k decision.Knowledge) (customers, backends int) {
+// Restore takes up what another process of this ingress handed over.
+func (e *Engine) Restore(k decision.Knowledge) (customers, backends int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.desk.Restore(e.clock.Now(), k)
 }
 
-// Hold sets what this ingress has of its customers' quotas, for so many seconds: behind these it has what it keeps.
-func (e *Engine) Hold(all []decision.QuotaGrant, lease decision.Seconds) {
+// SetGrants sets what this ingress has of its customers' quotas, for so many seconds: behind these it has what it keeps.
+func (e *Engine) SetGrants(all []decision.QuotaGrant, lease decision.Seconds) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
 	e.desk.SetGrants(now, all, now+lease)
 }
 
-// Members tells how many gateways there are, and through how many of them customers may come.
-func (e *Engine) Members(gateways, doors int) {
+// SetMembers tells how many gateways there are, and through how many of them customers may come.
+func (e *Engine) SetMembers(gateways, doors int) {
 	e.mu.Lock()
 	e.desk.SetMembers(gateways, doors)
 	e.mu.Unlock()
 }
 
-// Planned tells that something planned is under way, for so many seconds: patience ends no request that is here or comes meanwhile.
-func (e *Engine) Planned(seconds decision.Seconds) {
+// ExpectDisruption tells that something planned is under way, for so many seconds: patience ends no request that is here or comes meanwhile.
+func (e *Engine) ExpectDisruption(seconds decision.Seconds) {
 	e.mu.Lock()
 	e.desk.ExpectDisruption(e.now() + seconds)
 	e.mu.Unlock()
 }
 
-// Place tells where this gateway stands among those of its zone.
-func (e *Engine) Place(rank, peers int) {
+// SetZoneRank tells where this gateway stands among those of its zone.
+func (e *Engine) SetZoneRank(rank, peers int) {
 	e.mu.Lock()
 	e.desk.SetZoneRank(rank, peers)
 	e.mu.Unlock()
 }
 
-// Warn tells the module of servers that others find bad.
-func (e *Engine) Warn(servers []string) {
+// SetSuspects tells the module of servers that others find bad.
+func (e *Engine) SetSuspects(servers []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.desk.SetSuspects(e.now(), servers)
 }
 
-// Bad names the servers that the module itself finds bad.
-func (e *Engine) Bad() []string {
+// UnhealthyServers names the servers that the module itself finds bad.
+func (e *Engine) UnhealthyServers() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.desk.UnhealthyServers(e.now())
@@ -246,23 +246,23 @@
 	return now
 }
 
-// Pool tells how many quote servers are listed, and how many of these the module avoids now.
-func (e *Engine) Pool() (listed, avoided int) {
+// PoolSize tells how many quote servers are listed, and how many of these the module avoids now.
+func (e *Engine) PoolSize() (listed, avoided int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.desk.PoolSize(e.clock.Now())
 }
 
-// Figures are what the module holds now.
-func (e *Engine) Figures() decision.Stats {
+// Stats are what the module holds now.
+func (e *Engine) Stats() decision.Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.desk.Stats(e.clock.Now())
 }
 
-// Revise lets a function change the catalogue, and tells the module what has changed by it. It returns the
+// SetCatalogue lets a function change the catalogue, and tells the module what has changed by it. It returns the
 // catalogue that counts from now on. No request is decided meanwhile.
-func (e *Engine) Revise(change func(now decision.Seconds) Catalogue) {
+func (e *Engine) SetCatalogue(change func(now decision.Seconds) Catalogue) {
 	e.mu.Lock()
 	e.catalogue = change(e.clock.Now())
 	later := e.told()
@@ -338,36 +338,38 @@
 // Next waits for the next decision.
 func (t *Ticket) Next() Decision { return <-t.next }
 
-// Ended tells how the attempt that the last decision asked for ended. After Done no decision follows:
+// AttemptEnded tells how the attempt that the last decision asked for ended. After Done no decision follows:
 // the answer is the client's.
-func (t *Ticket) Ended(outcome decision.Outcome) {
-	t.engine.do(func(now decision.Seconds) []attempt.Effect { return t.engine.desk.AttemptEnded(now, t.request, outcome) })
+func (t *Ticket) AttemptEnded(outcome decision.Outcome) {
+	t.engine.do(func(now decision.Seconds) []attempt.Effect {
+		return t.engine.desk.AttemptEnded(now, t.request, outcome)
+	})
 }
 
-// Spend tells that something of the request's body has been taken that cannot be had again: the attempt that is out is
+// ConsumeBody tells that something of the request's body has been taken that cannot be had again: the attempt that is out is
 // the last.
-func (t *Ticket) Spend() {
+func (t *Ticket) ConsumeBody() {
 	t.engine.mu.Lock()
 	t.engine.desk.ConsumeBody(t.request)
 	t.engine.mu.Unlock()
 }
 
-// Impatient tells whether the attempt that is out is to be given up, the patience with it having run out.
-func (t *Ticket) Impatient() bool {
+// ShouldAbandon tells whether the attempt that is out is to be given up, the patience with it having run out.
+func (t *Ticket) ShouldAbandon() bool {
 	t.engine.mu.Lock()
 	defer t.engine.mu.Unlock()
 	return t.engine.desk.ShouldAbandon(t.engine.now(), t.request)
 }
 
-// Arrived tells that the body of a long request has gone out whole.
-func (t *Ticket) Arrived() {
+// BodyUploaded tells that the body of a long request has gone out whole.
+func (t *Ticket) BodyUploaded() {
 	t.engine.mu.Lock()
 	t.engine.desk.BodyUploaded(t.engine.clock.Now(), t.request)
 	t.engine.mu.Unlock()
 }
 
-// Leave tells that nobody waits for the answer any more. An attempt that is out is still to be told of.
-func (t *Ticket) Leave() {
+// ClientGone tells that nobody waits for the answer any more. An attempt that is out is still to be told of.
+func (t *Ticket) ClientGone() {
 	t.engine.do(func(now decision.Seconds) []attempt.Effect { return t.engine.desk.ClientGone(now, t.request) })
 }
 
@@ -452,7 +454,7 @@
 				continue
 			}
 			if e.counter == nil {
-				e.Counted(a.Name, decision.ConnectionRefused, 0)
+				e.CounterReplied(a.Name, decision.ConnectionRefused, 0)
 				continue
 			}
 			if s := e.sharer.Load(); s != nil {
--- a/internal/dataplane/engine/engine_test.go
+++ b/internal/dataplane/engine/engine_test.go
@@ -31,7 +31,7 @@
 func startedWith(s decision.Settings, c Counter) *Engine {
 	e := New(decision.New(s, 1), &s, NewClock())
 	e.Start(c)
-	e.Backends(decision.Backends{Complete: true, List: []decision.Backend{{ID: "b", Serving: true, Size: 1}}})
+	e.SetBackends(decision.Backends{Complete: true, List: []decision.Backend{{ID: "b", Serving: true, Size: 1}}})
 	return e
 }
 
@@ -62,7 +62,7 @@
 			var got []Decision
 			for _, o := range tc.outcomes {
 				got = append(got, ticket.Next())
-				ticket.Ended(o)
+				ticket.AttemptEnded(o)
 			}
 			if len(tc.want) > len(tc.outcomes) {
 				got = append(got, ticket.Next())
@@ -82,12 +82,12 @@
 	e, cancelled := started(nil), 0
 	ticket := e.Submit(request("send", "p", 1), func() { cancelled++ })
 	ticket.Next()
-	ticket.Leave()
-	ticket.Leave() // once is enough
+	ticket.ClientGone()
+	ticket.ClientGone() // once is enough
 	if cancelled != 1 || e.desk.Pending() != 1 {
 		t.Errorf("cancelled %d times, %d requests kept; want 1 and 1", cancelled, e.desk.Pending())
 	}
-	ticket.Ended(decision.Cancelled)
+	ticket.AttemptEnded(decision.Cancelled)
 	if diff := cmp.Diff(Decision{Kind: Gone}, ticket.Next()); diff != "" || e.desk.Pending() != 0 {
 		t.Errorf("%d requests kept\n%s", e.desk.Pending(), diff)
 	}
@@ -100,11 +100,11 @@
 	e := startedWith(patient, c)
 	ticket := e.Submit(request("read", "thin", 2), func() { t.Error("cancelled, but nothing was out") })
 	name := <-c.calls
-	ticket.Leave()
+	ticket.ClientGone()
 	if diff := cmp.Diff(Decision{Kind: Gone}, ticket.Next()); diff != "" {
 		t.Error(diff)
 	}
-	e.Counted(name, decision.Succeeded, 1)
+	e.CounterReplied(name, decision.Succeeded, 1)
 	if e.desk.Pending() != 0 {
 		t.Errorf("%d requests kept", e.desk.Pending())
 	}
@@ -119,7 +119,7 @@
 	if diff := cmp.Diff(Decision{Kind: Send, Backend: "b"}, ticket.Next(), noTimes); diff != "" {
 		t.Error(diff)
 	}
-	ticket.Ended(decision.Succeeded)
+	ticket.AttemptEnded(decision.Succeeded)
 }
 
 // Where the settings promise a counter and there is none, each call is told to have failed.
@@ -129,7 +129,7 @@
 	if diff := cmp.Diff(Decision{Kind: Send, Backend: "b"}, ticket.Next(), noTimes); diff != "" {
 		t.Error(diff)
 	}
-	ticket.Ended(decision.Succeeded)
+	ticket.AttemptEnded(decision.Succeeded)
 }
 
 // A member's terms come from the catalogue, whatever the client names, and change at their time also where nobody asks.
@@ -142,12 +142,12 @@
 		s := settings()
 		e := New(decision.New(s, 1), &s, clock)
 		e.Start(nil)
-		e.Backends(decision.Backends{Complete: true, List: []decision.Backend{{ID: "b", Serving: true, Size: 1}}})
+		e.SetBackends(decision.Backends{Complete: true, List: []decision.Backend{{ID: "b", Serving: true, Size: 1}}})
 		state := plans.NewState(settings().Plans)
 		revision := func(n uint64, holds decision.Seconds, plan string) plans.Revision {
 			return plans.Revision{Number: n, Holds: holds, Authority: plans.Listed, Plans: []decision.Plan{small, large}, Members: map[string]string{member: plan}}
 		}
-		e.Revise(func(now decision.Seconds) Catalogue {
+		e.SetCatalogue(func(now decision.Seconds) Catalogue {
 			state.Offer(revision(1, now, "small"), now)
 			state.Offer(revision(2, now+2, "large"), now)
 			state.Offer(revision(3, now+5, "small"), now)
@@ -159,7 +159,7 @@
 			ticket := e.Submit(r, func() {})
 			d := ticket.Next()
 			if d.Kind == Send {
-				ticket.Ended(decision.Succeeded)
+				ticket.AttemptEnded(decision.Succeeded)
 			}
 			return d.Kind, ticket.Plan, ticket.Revision
 		}
@@ -180,7 +180,7 @@
 		if d := other.Next(); d.Kind != Send || other.Plan != "p" || other.Revision != 3 {
 			t.Errorf("one that is not listed: %v on %s of revision %d", d.Kind, other.Plan, other.Revision)
 		}
-		other.Ended(decision.Succeeded)
+		other.AttemptEnded(decision.Succeeded)
 	})
 }
 
--- a/internal/dataplane/ingress/body.go
+++ b/internal/dataplane/ingress/body.go
@@ -113,7 +113,7 @@
 func (u *upload) Read(p []byte) (n int, err error) {
 	if !u.spent {
 		u.spent = true
-		u.ticket.Spend()
+		u.ticket.ConsumeBody()
 		u.conn.paces(clientconn.Uploading)
 		if u.expect {
 			u.conn.Write(goOn) // where it fails, the body does not come
@@ -149,7 +149,7 @@
 func (u *upload) Arrived() {
 	u.conn.paced = false
 	u.conn.to(clientconn.Deciding)
-	u.ticket.Arrived()
+	u.ticket.BodyUploaded()
 	u.conn.watch <- u.ticket
 }
 
--- a/internal/dataplane/ingress/conn.go
+++ b/internal/dataplane/ingress/conn.go
@@ -143,7 +143,7 @@
 	for ticket := range c.watch {
 		err := c.reader.Wait()
 		if err != nil && ticket != nil {
-			ticket.Leave()
+			ticket.ClientGone()
 		}
 		c.arrived <- err
 	}
--- a/internal/dataplane/ingress/figures.go
+++ b/internal/dataplane/ingress/figures.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Figures are the counts of each class, by name, and the requests in hand now.
-func (s *Server) Figures() (classes []ClassStats, active int64) {
+// Stats are the counts of each class, by name, and the requests in hand now.
+func (s *Server) Stats() (classes []ClassStats, active int64) {
 	s.figures.mu.Lock()
 	for name, c := range s.figures.classes {
 		classes = append(classes, ClassStats{Class: name, OK: c.ok.Load(), Shed: c.shed.Load(), Errors: c.errors.Load(), Tries: c.tries.Load()})
--- a/internal/dataplane/ingress/ingress.go
+++ b/internal/dataplane/ingress/ingress.go
@@ -92,8 +92,8 @@
 	return srv
 }
 
-// Speak has it speak another dialect. It is called before Serve.
-func (s *Server) Speak(d Dialect) { s.dialect = d }
+// SetDialect has it speak another dialect. It is called before Serve.
+func (s *Server) SetDialect(d Dialect) { s.dialect = d }
 
 // SetClasses says which classes clients may name from now on; the class fixes the method. A request that is in hand
 // keeps what it was read with.
@@ -192,14 +192,14 @@
 			if s.Meter != nil {
 				bill.open(s.Meter, &request, ticket, d.Beyond)
 			}
-			message.Patience = upstream.SlowAttempt{After: d.Patience, ShouldAbandon: ticket.Impatient}
+			message.Patience = upstream.SlowAttempt{After: d.Patience, ShouldAbandon: ticket.ShouldAbandon}
 			result := s.pool.Do(ctx, d.Backend, message, d.Until)
 			counts.tried(result.Writes)
 			s.totals.attempts.Add(int64(result.Writes))
 			bill.arrival = max(bill.arrival, usage.ArrivalOf(result.Outcome, result.Answered))
 			last = result
 			if result.Outcome == decision.Succeeded && result.Stream != nil {
-				ticket.Ended(result.Outcome) // served: what follows is the body's way to the client
+				ticket.AttemptEnded(result.Outcome) // served: what follows is the body's way to the client
 				s.ended(Answered)
 				counts.count(result.Head.Status)
 				r.Close = r.Close || r.Old && result.Stream.Length < 0
@@ -209,13 +209,13 @@
 				s.ended(Answered)
 				err = c.pass(result.Head, result.Body, ends(r))
 				counts.count(result.Head.Status)
-				ticket.Ended(result.Outcome)
+				ticket.AttemptEnded(result.Outcome)
 				return c.lastOf(r, err)
 			}
 			if up != nil && up.failed != nil {
-				ticket.Leave() // the client did not send what it began with: nobody waits for an answer to it
+				ticket.ClientGone() // the client did not send what it began with: nobody waits for an answer to it
 			}
-			ticket.Ended(result.Outcome)
+			ticket.AttemptEnded(result.Outcome)
 		case engine.Refuse:
 			status, outcome := 503, RefusedNoServer
 			if d.Beyond {
@@ -306,9 +306,9 @@
 // Started says that it serves: the readiness page says yes from now on.
 func (s *Server) Started() { s.move(decision.Started) }
 
-// Leave makes the readiness page say that clients should go elsewhere, for good: a SIGTERM has come. Idle
+// Shutdown makes the readiness page say that clients should go elsewhere, for good: a SIGTERM has come. Idle
 // connections are closed at once, the others after their next answer.
-func (s *Server) Leave() { s.move(decision.Terminate) }
+func (s *Server) Shutdown() { s.move(decision.Terminate) }
 
 // LameDuck drains without stopping: the readiness page says no, idle connections are closed at once and the others
 // after their next answer; new connections are still served, each for one request. It tells whether the call was
--- a/internal/dataplane/ingress/ingress_test.go
+++ b/internal/dataplane/ingress/ingress_test.go
@@ -34,7 +34,7 @@
 		}
 		e := engine.New(decision.New(settings, 1), &settings, engine.NewClock())
 		e.Start(nil)
-		e.Backends(decision.Backends{Complete: true, List: []decision.Backend{{ID: "s-1", Serving: true, Size: 1}}})
+		e.SetBackends(decision.Backends{Complete: true, List: []decision.Backend{{ID: "s-1", Serving: true, Size: 1}}})
 		pool := upstream.New(func(string) (string, bool) { return p.Addr("server"), true },
 			upstream.Limits{Connections: 2, ConnectTimeout: time.Minute, Keepalive: time.Minute}, log)
 		s := New(&settings, e, pool, 2, log)
@@ -65,7 +65,7 @@
 			}
 		}
 		p.Hooks["leave"] = func(string) string {
-			s.Leave()
+			s.Shutdown()
 			return ""
 		}
 		p.Hooks["lameduck"] = func(string) string {
--- a/internal/dataplane/ingress/relay_test.go
+++ b/internal/dataplane/ingress/relay_test.go
@@ -97,7 +97,7 @@
 				Plans:   []decision.Plan{{Name: "plus", Rate: 1000, Burst: 1000, ValueWeight: 1}}}
 			e := engine.New(decision.New(settings, 1), &settings, engine.NewClock())
 			e.Start(nil)
-			e.Backends(decision.Backends{Complete: true, List: []decision.Backend{{ID: "s-1", Serving: true, Size: 1}}})
+			e.SetBackends(decision.Backends{Complete: true, List: []decision.Backend{{ID: "s-1", Serving: true, Size: 1}}})
 			pool := upstream.New(func(string) (string, bool) { return addr, true },
 				upstream.Limits{Connections: 4, ConnectTimeout: time.Minute, Keepalive: time.Minute}, log)
 			ctx, cancel := context.WithCancel(context.Background())
--- a/internal/dataplane/upstream/patience.go
+++ b/internal/dataplane/upstream/patience.go
@@ -7,7 +7,7 @@
 
 // SlowAttempt is how long a server may be silent to a request that was written whole before somebody is asked whether to wait on.
 type SlowAttempt struct {
-	After time.Duration // 0: nobody is asked
+	After         time.Duration // 0: nobody is asked
 	ShouldAbandon func() bool   // whether to give the attempt up now; asked again each askEvery
 }
 
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -19,7 +19,7 @@
 // conn is one connection to a backend.
 type conn struct {
 	net.Conn
-	upstreamconn.Link
+	upstreamconn.Machine
 	backend, addr string
 	reader        *http1.Reader
 	raw           syscall.RawConn
@@ -58,7 +58,7 @@
 		}
 		return kept.Conn, nil
 	}
-	spare, end, ok := p.shelf.Room()
+	spare, end, ok := p.shelf.Reserve()
 	p.mu.Unlock()
 	if !ok {
 		return nil, errFull
@@ -145,7 +145,7 @@
 
 func (p *Pool) gone() {
 	p.mu.Lock()
-	p.shelf.Gone()
+	p.shelf.Closed()
 	p.mu.Unlock()
 }
 
@@ -178,11 +178,11 @@
 
 func (p *Pool) sweep(now time.Time) {
 	p.mu.Lock()
-	old := p.shelf.Old(now.Sub(p.base).Seconds()-idleShare*p.limits.Keepalive.Seconds(), func(backend string) bool {
+	old := p.shelf.TakeExpired(now.Sub(p.base).Seconds()-idleShare*p.limits.Keepalive.Seconds(), func(backend string) bool {
 		_, serving := p.lookup(backend)
 		return serving
 	})
-	p.memory.Forget(p.now())
+	p.memory.Expire(p.now())
 	p.mu.Unlock()
 	for _, c := range old {
 		p.close(c, "upstream-idle", nil)
@@ -193,7 +193,7 @@
 func (p *Pool) Connections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.shelf.Up()
+	return p.shelf.Open()
 }
 
 // Dials is how many connections were begun since the process started.
--- a/internal/dataplane/upstream/stream.go
+++ b/internal/dataplane/upstream/stream.go
@@ -51,7 +51,7 @@
 		return
 	}
 	s.done = true
-	if v := s.c.Streamed(s.end, s.c.reader.Buffered() > 0); v.Reusable {
+	if v := s.c.StreamEnded(s.end, s.c.reader.Buffered() > 0); v.Reusable {
 		s.pool.put(s.c)
 	} else {
 		s.pool.close(s.c, v.Code, nil)
--- a/internal/dataplane/upstream/upstream.go
+++ b/internal/dataplane/upstream/upstream.go
@@ -59,11 +59,11 @@
 
 // The meanings.
 const (
-	Served  AnswerMeaning = iota // it is the request's answer, whatever it says
-	NotExecuted                // it says that the request has not run
-	Failed                 // the server failed, and the request may have run
-	Foreign                // it answers another request: what is behind it may be this one's
-	Broken                 // it is no answer in the protocol
+	Served      AnswerMeaning = iota // it is the request's answer, whatever it says
+	NotExecuted                      // it says that the request has not run
+	Failed                           // the server failed, and the request may have run
+	Foreign                          // it answers another request: what is behind it may be this one's
+	Broken                           // it is no answer in the protocol
 )
 
 // Pool keeps the connections to all backends.
@@ -104,7 +104,7 @@
 	Once               bool                 // it must not run twice, whatever its method
 	Trailer            textproto.MIMEHeader // behind Body, which then goes out in one chunk; nil: none
 	Upload             Upload               // a body that is too long to be held; Body is then nil
-	Patience           SlowAttempt             // with the attempt that it is handed over for
+	Patience           SlowAttempt          // with the attempt that it is handed over for
 
 	tried []string // servers to which it was written whole
 }
@@ -164,7 +164,7 @@
 // connection may be used again, is the link's to say.
 func (p *Pool) attempt(ctx context.Context, c *conn, m *Message, until time.Time, writes *int) (v upstreamconn.Verdict, head *http1.Response, body []byte, err error) {
 	if err := c.Begin(); err != nil {
-		return c.Unwritten(upstreamconn.ConnectionLost), nil, nil, err
+		return c.FailedWriting(upstreamconn.ConnectionLost), nil, nil, err
 	}
 	// A dial takes a while: the list may have changed, the client gone, the time run out.
 	addr, serving := p.lookup(c.backend)
@@ -181,7 +181,7 @@
 		if err != nil && answered {
 			a, head, body, err := p.read(c, m)
 			if err == nil {
-				return c.Early(a), head, body, nil
+				return c.AnsweredEarly(a), head, body, nil
 			}
 		}
 		if err != nil {
@@ -189,14 +189,14 @@
 			if how == upstreamconn.ConnectionLost {
 				p.lost(c)
 			}
-			return c.Unwritten(how), nil, nil, err
+			return c.FailedWriting(how), nil, nil, err
 		}
 	} else if whole, err := p.write(ctx, c, *buf, m.Once || !m.safe()); !whole {
 		if ctx.Err() != nil || errors.Is(err, errLeaving) {
-			return c.Unwritten(upstreamconn.Cancelled), nil, nil, err // nothing ran, and the server is not to blame
+			return c.FailedWriting(upstreamconn.Cancelled), nil, nil, err // nothing ran, and the server is not to blame
 		}
 		p.lost(c)
-		return c.Unwritten(upstreamconn.ConnectionLost), nil, nil, err
+		return c.FailedWriting(upstreamconn.ConnectionLost), nil, nil, err
 	}
 	c.Written()
 	if *writes++; p.Dialect.ID != "" {
@@ -212,12 +212,12 @@
 		if how == upstreamconn.ConnectionLost {
 			p.lost(c)
 		}
-		return c.Unanswered(how), nil, nil, err
+		return c.FailedAwaiting(how), nil, nil, err
 	}
 	c.answered = p.now()
 	c.unnamed = c.unnamed || p.Dialect.ID != "" && head.Header.Get(p.Dialect.ID) == ""
 	if p.streams(m, head) {
-		return c.Streams(a, cancelled), head, nil, nil
+		return c.BeginStreaming(a, cancelled), head, nil, nil
 	}
 	return c.Answered(a, cancelled), head, body, nil
 }
@@ -230,7 +230,7 @@
 // lost remembers that a server's connection ended unawares.
 func (p *Pool) lost(c *conn) {
 	p.mu.Lock()
-	p.memory.Lost(c.backend, p.now())
+	p.memory.Record(c.backend, p.now())
 	p.mu.Unlock()
 }
 
@@ -240,7 +240,7 @@
 func (p *Pool) write(ctx context.Context, c *conn, b []byte, once bool) (whole bool, err error) {
 	now := p.now()
 	p.mu.Lock()
-	hold := p.memory.Hold(c.backend, now, upstreamconn.Evidence{Fresh: c.Uses() == 1, Idle: now - c.answered, AtMostOnce: once})
+	hold := p.memory.HoldLastByte(c.backend, now, upstreamconn.Evidence{Fresh: c.Uses() == 1, Idle: now - c.answered, AtMostOnce: once})
 	p.mu.Unlock()
 	if !hold {
 		n, err := c.Write(b)
@@ -328,7 +328,7 @@
 		if body, err = r.Body(head); err != nil {
 			return a, nil, nil, err
 		}
-		if meaning == Foreign && c.Other() {
+		if meaning == Foreign && c.ForeignAnswer() {
 			continue
 		}
 		if meaning == Foreign || meaning == Broken {
--- a/internal/dataplane/upstream/upstream_test.go
+++ b/internal/dataplane/upstream/upstream_test.go
@@ -91,7 +91,7 @@
 		p.Hooks["open"] = func(string) string {
 			pool.mu.Lock()
 			defer pool.mu.Unlock()
-			return strconv.Itoa(pool.shelf.Up())
+			return strconv.Itoa(pool.shelf.Open())
 		}
 		p.Play(script)
 	})
@@ -153,8 +153,8 @@
 				return nil, within.Err()
 			}
 			got := pool.Do(ctx, "s-1", &Message{Method: "GET", Target: "/", ID: "1"}, time.Now().Add(tc.left))
-			if diff := cmp.Diff(Result{Outcome: tc.want}, got); diff != "" || pool.shelf.Up() != 0 {
-				t.Errorf("%d connections counted as open\n%s", pool.shelf.Up(), diff)
+			if diff := cmp.Diff(Result{Outcome: tc.want}, got); diff != "" || pool.shelf.Open() != 0 {
+				t.Errorf("%d connections counted as open\n%s", pool.shelf.Open(), diff)
 			}
 		})
 	}
@@ -198,7 +198,7 @@
 		t.Fatal(err)
 	}
 	cancel()
-	if diff := cmp.Diff(Result{Outcome: decision.NotSent}, <-result); diff != "" || pool.shelf.Up() != 0 {
-		t.Errorf("%d connections counted as open\n%s", pool.shelf.Up(), diff)
+	if diff := cmp.Diff(Result{Outcome: decision.NotSent}, <-result); diff != "" || pool.shelf.Open() != 0 {
+		t.Errorf("%d connections counted as open\n%s", pool.shelf.Open(), diff)
 	}
 }
--- a/internal/dataplane/upstreamconn/hold.go
+++ b/internal/dataplane/upstreamconn/hold.go
@@ -17,33 +17,33 @@
 
 // Evidence is what is known of a connection and a request before that is written.
 type Evidence struct {
-	Fresh bool             // nothing has been answered on the connection
-	Idle  decision.Seconds // since it last answered
-	AtMostOnce  bool             // the request must not run twice
+	Fresh      bool             // nothing has been answered on the connection
+	Idle       decision.Seconds // since it last answered
+	AtMostOnce bool             // the request must not run twice
 }
 
 // LossHistory remembers which servers lost connections unawares, and when. It is not safe for use by several goroutines at
 // once.
 type LossHistory struct{ lost map[string]decision.Seconds }
 
-// Lost tells of a connection that ended without a word while it was idle, or as a request came on it.
-func (m *LossHistory) Lost(server string, now decision.Seconds) {
+// Record tells of a connection that ended without a word while it was idle, or as a request came on it.
+func (m *LossHistory) Record(server string, now decision.Seconds) {
 	if m.lost == nil {
 		m.lost = map[string]decision.Seconds{}
 	}
 	m.lost[server] = now
 }
 
-// Hold tells whether the last byte of a request is to be held back.
-func (m *LossHistory) Hold(server string, now decision.Seconds, e Evidence) bool {
+// HoldLastByte tells whether the last byte of a request is to be held back.
+func (m *LossHistory) HoldLastByte(server string, now decision.Seconds, e Evidence) bool {
 	if at, ok := m.lost[server]; ok && now-at < lostFor {
 		return true
 	}
 	return e.AtMostOnce || !e.Fresh && e.Idle > idleLong
 }
 
-// Forget drops what is too old to tell anything.
-func (m *LossHistory) Forget(now decision.Seconds) {
+// Expire drops what is too old to tell anything.
+func (m *LossHistory) Expire(now decision.Seconds) {
 	for server, at := range m.lost {
 		if now-at >= lostFor {
 			delete(m.lost, server)
--- a/internal/dataplane/upstreamconn/link.go
+++ b/internal/dataplane/upstreamconn/link.go
@@ -34,10 +34,10 @@
 
 // The troubles.
 const (
-	ConnectionLost     Failure = iota // it ended or was reset
-	TimedOut                     // the time for the attempt ran out
-	Cancelled                // the attempt was given up from here
-	Malformed                // what came is no answer
+	ConnectionLost Failure = iota // it ended or was reset
+	TimedOut                      // the time for the attempt ran out
+	Cancelled                     // the attempt was given up from here
+	Malformed                     // what came is no answer
 )
 
 // Answer is what a server's answer says.
@@ -50,16 +50,16 @@
 
 // Verdict is how an attempt on a connection ended, and what becomes of the connection.
 type Verdict struct {
-	Outcome  decision.Outcome
-	Answered bool   // a whole answer came to a request that was written whole: it had arrived
-	TryNextConnection    bool   // the next connection may be tried for the same attempt: nothing of it has run
-	Reusable     bool   // the connection goes back on the shelf
-	Code     string // of the log line, where it does not
-	Err      error  // a step that this life does not have: the host's mistake
+	Outcome           decision.Outcome
+	Answered          bool   // a whole answer came to a request that was written whole: it had arrived
+	TryNextConnection bool   // the next connection may be tried for the same attempt: nothing of it has run
+	Reusable          bool   // the connection goes back on the shelf
+	Code              string // of the log line, where it does not
+	Err               error  // a step that this life does not have: the host's mistake
 }
 
-// Link is the machine of one connection. Its zero value is one that has just come up.
-type Link struct {
+// Machine is the machine of one connection. Its zero value is one that has just come up.
+type Machine struct {
 	state  State
 	uses   int
 	others int  // answers to other requests that came on it
@@ -67,13 +67,13 @@
 }
 
 // State tells where it is.
-func (l *Link) State() State { return l.state }
+func (l *Machine) State() State { return l.state }
 
 // Uses is how many requests have begun on it.
-func (l *Link) Uses() int { return l.uses }
+func (l *Machine) Uses() int { return l.uses }
 
 // Begin takes it for a request.
-func (l *Link) Begin() error {
+func (l *Machine) Begin() error {
 	if l.state != Idle {
 		return fmt.Errorf("begin while %v: %w", l.state, ErrState)
 	}
@@ -108,9 +108,9 @@
 	return !f.Again && !(f.Once && f.Unnamed && !mutated("unnamed-kept"))
 }
 
-// Other tells that an answer to another request came in this one's place. On: it is passed over, for this one's may be behind it; the
+// ForeignAnswer tells that an answer to another request came in this one's place. On: it is passed over, for this one's may be behind it; the
 // connection is not used again. Not on: there is no end of them.
-func (l *Link) Other() (on bool) {
+func (l *Machine) ForeignAnswer() (on bool) {
 	if l.state != Awaiting {
 		return false
 	}
@@ -122,7 +122,7 @@
 const mostOthers = 4
 
 // NotBegun gives it back before a byte was written: the server is to get nothing new, or nobody waits any more.
-func (l *Link) NotBegun() Verdict {
+func (l *Machine) NotBegun() Verdict {
 	if l.state != Writing {
 		return l.illegal("not begun")
 	}
@@ -131,10 +131,10 @@
 	return Verdict{Outcome: decision.NotSent, Reusable: true}
 }
 
-// Unwritten is the end before the last byte of a request was written: the write failed, the server spoke or ended it
+// FailedWriting is the end before the last byte of a request was written: the write failed, the server spoke or ended it
 // before, or the attempt was given up. Nothing ran. A kept connection may have been forgotten by the server, which says
 // nothing of the server: the next one may take its place. A new one is the last to be tried.
-func (l *Link) Unwritten(t Failure) Verdict {
+func (l *Machine) FailedWriting(t Failure) Verdict {
 	if l.state != Writing {
 		return l.illegal("unwritten")
 	}
@@ -149,10 +149,10 @@
 	return Verdict{Outcome: decision.ConnectionRefused, TryNextConnection: l.uses > 1, Code: "upstream-write-failed"}
 }
 
-// Early is the end by an answer that came before the last byte of a request was written. The connection is ended: half a
+// AnsweredEarly is the end by an answer that came before the last byte of a request was written. The connection is ended: half a
 // request is on it. A server begins on a request with its last byte, but one that answers with an error may have read
 // enough to: only a refusal in the protocol's form proves that nothing ran.
-func (l *Link) Early(a Answer) Verdict {
+func (l *Machine) AnsweredEarly(a Answer) Verdict {
 	if l.state != Writing {
 		return l.illegal("early")
 	}
@@ -165,7 +165,7 @@
 }
 
 // Written tells that the last byte has been written. From now on it may run.
-func (l *Link) Written() error {
+func (l *Machine) Written() error {
 	if l.state != Writing {
 		return fmt.Errorf("written while %v: %w", l.state, ErrState)
 	}
@@ -175,7 +175,7 @@
 
 // Answered is the end by an answer. One with bytes behind it answers its request, and spoils the connection; given up
 // at the same time, it still answers it.
-func (l *Link) Answered(a Answer, cancelled bool) Verdict {
+func (l *Machine) Answered(a Answer, cancelled bool) Verdict {
 	if l.state != Awaiting {
 		return l.illegal("answered")
 	}
@@ -199,8 +199,8 @@
 	return v
 }
 
-// Streams is the end of an attempt by an answer whose body is read as it comes: it is served. The connection stays in use until Streamed.
-func (l *Link) Streams(a Answer, cancelled bool) Verdict {
+// BeginStreaming is the end of an attempt by an answer whose body is read as it comes: it is served. The connection stays in use until Streamed.
+func (l *Machine) BeginStreaming(a Answer, cancelled bool) Verdict {
 	v := l.Answered(a, cancelled)
 	if v.Err == nil {
 		l.state, l.last, v.Reusable = Streaming, !v.Reusable, false
@@ -208,8 +208,8 @@
 	return v
 }
 
-// Streamed is the end of such a body: whole, or cut from either side; more: bytes came behind it.
-func (l *Link) Streamed(whole, more bool) Verdict {
+// StreamEnded is the end of such a body: whole, or cut from either side; more: bytes came behind it.
+func (l *Machine) StreamEnded(whole, more bool) Verdict {
 	kept := l.state == Streaming && !l.last
 	l.state = Ended
 	switch {
@@ -236,8 +236,8 @@
 	return decision.Failed
 }
 
-// Unanswered is the end without an answer after the request was written whole. It may have run, or may yet.
-func (l *Link) Unanswered(t Failure) Verdict {
+// FailedAwaiting is the end without an answer after the request was written whole. It may have run, or may yet.
+func (l *Machine) FailedAwaiting(t Failure) Verdict {
 	if l.state != Awaiting {
 		return l.illegal("unanswered")
 	}
@@ -265,10 +265,10 @@
 }
 
 // Drop ends an idle connection.
-func (l *Link) Drop() { l.state = Ended }
+func (l *Machine) Drop() { l.state = Ended }
 
 // illegal is the safe way out of a mistake: the connection is ended, and what was on it may have run.
-func (l *Link) illegal(what string) Verdict {
+func (l *Machine) illegal(what string) Verdict {
 	l.state = Ended
 	return Verdict{Outcome: decision.ConnectionReset, Code: "upstream-illegal", Err: fmt.Errorf("%s: %w", what, ErrState)}
 }
--- a/internal/dataplane/upstreamconn/link_test.go
+++ b/internal/dataplane/upstreamconn/link_test.go
@@ -13,36 +13,36 @@
 
 // Each row of PROTOCOL's table of outcomes, and each with a cancel at the same time.
 func TestVerdicts(t *testing.T) {
-	written := func(l *Link) {
+	written := func(l *Machine) {
 		l.Begin()
 		l.Written()
 	}
-	kept := func(l *Link) { // a connection that has answered before
+	kept := func(l *Machine) { // a connection that has answered before
 		written(l)
 		l.Answered(Answer{Status: 200}, false)
 	}
-	answered := func(a Answer, cancelled bool) func(*Link) Verdict {
-		return func(l *Link) Verdict {
+	answered := func(a Answer, cancelled bool) func(*Machine) Verdict {
+		return func(l *Machine) Verdict {
 			written(l)
 			return l.Answered(a, cancelled)
 		}
 	}
-	unanswered := func(tr Failure) func(*Link) Verdict {
-		return func(l *Link) Verdict {
+	unanswered := func(tr Failure) func(*Machine) Verdict {
+		return func(l *Machine) Verdict {
 			written(l)
-			return l.Unanswered(tr)
+			return l.FailedAwaiting(tr)
 		}
 	}
-	unwritten := func(tr Failure) func(*Link) Verdict {
-		return func(l *Link) Verdict {
+	unwritten := func(tr Failure) func(*Machine) Verdict {
+		return func(l *Machine) Verdict {
 			l.Begin()
-			return l.Unwritten(tr)
+			return l.FailedWriting(tr)
 		}
 	}
 	for _, tc := range []struct {
 		name  string
 		kept  bool
-		do    func(*Link) Verdict
+		do    func(*Machine) Verdict
 		want  Verdict
 		state State
 	}{
@@ -62,11 +62,11 @@
 		{"silent", true, unanswered(TimedOut), Verdict{Outcome: decision.TimedOut, Code: "upstream-timeout"}, Ended},
 		{"cancelled after it", true, unanswered(Cancelled), Verdict{Outcome: decision.Cancelled, Code: "upstream-cancelled"}, Ended},
 		{"no answer", true, unanswered(Malformed), Verdict{Outcome: decision.Failed, Code: "upstream-bad-answer"}, Ended},
-		{"not begun", true, func(l *Link) Verdict { l.Begin(); return l.NotBegun() }, Verdict{Outcome: decision.NotSent, Reusable: true}, Idle},
-		{"an answer to nothing", true, func(l *Link) Verdict { return l.Answered(Answer{Status: 200}, false) }, Verdict{Outcome: decision.ConnectionReset, Code: "upstream-illegal", Err: ErrState}, Ended},
+		{"not begun", true, func(l *Machine) Verdict { l.Begin(); return l.NotBegun() }, Verdict{Outcome: decision.NotSent, Reusable: true}, Idle},
+		{"an answer to nothing", true, func(l *Machine) Verdict { return l.Answered(Answer{Status: 200}, false) }, Verdict{Outcome: decision.ConnectionReset, Code: "upstream-illegal", Err: ErrState}, Ended},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := &Link{}
+			l := &Machine{}
 			if tc.kept {
 				kept(l)
 			}
@@ -112,31 +112,31 @@
 		{"behind another's answer", 1, false, false, true, false, Verdict{Code: "upstream-stream-ended"}},
 		{"behind four", 4, false, false, true, false, Verdict{Code: "upstream-stream-ended"}},
 	} {
-		l := &Link{}
-		if l.Other() || l.Streamed(true, false).Reusable {
+		l := &Machine{}
+		if l.ForeignAnswer() || l.StreamEnded(true, false).Reusable {
 			t.Errorf("%s: before anything was written", tc.name)
 		}
-		*l = Link{}
+		*l = Machine{}
 		l.Begin()
 		l.Written()
 		for range tc.others {
-			if !l.Other() {
+			if !l.ForeignAnswer() {
 				t.Errorf("%s: not passed over", tc.name)
 			}
 		}
-		v := l.Streams(Answer{Status: 200, Close: tc.close}, tc.cancel)
+		v := l.BeginStreaming(Answer{Status: 200, Close: tc.close}, tc.cancel)
 		if v.Reusable || v.Outcome != decision.Succeeded || l.State() != Streaming || l.Begin() == nil {
 			t.Errorf("%s: %+v, %v", tc.name, v, l.State())
 		}
-		if got := l.Streamed(tc.whole, tc.more); got != tc.want || (l.State() == Idle) != tc.want.Reusable {
+		if got := l.StreamEnded(tc.whole, tc.more); got != tc.want || (l.State() == Idle) != tc.want.Reusable {
 			t.Errorf("%s: %+v, want %+v", tc.name, got, tc.want)
 		}
 	}
-	l := &Link{}
+	l := &Machine{}
 	l.Begin()
 	l.Written()
 	for n := range 6 {
-		if l.Other() != (n < mostOthers) {
+		if l.ForeignAnswer() != (n < mostOthers) {
 			t.Errorf("the other answer %d", n)
 		}
 	}
@@ -144,7 +144,7 @@
 
 func TestHold(t *testing.T) {
 	var m LossHistory
-	m.Lost("bad", 100)
+	m.Record("bad", 100)
 	for _, tc := range []struct {
 		server string
 		now    float64
@@ -155,15 +155,15 @@
 		{"good", 101, Evidence{Fresh: true, AtMostOnce: true}, true}, {"good", 101, Evidence{Idle: 0.01, AtMostOnce: true}, true},
 		{"bad", 101, Evidence{Fresh: true}, true}, {"bad", 109, Evidence{Idle: 0.01}, true}, {"bad", 111, Evidence{Idle: 0.01}, false},
 	} {
-		if got := m.Hold(tc.server, tc.now, tc.e); got != tc.want {
+		if got := m.HoldLastByte(tc.server, tc.now, tc.e); got != tc.want {
 			t.Errorf("%s at %g, %+v: %v", tc.server, tc.now, tc.e, got)
 		}
 	}
-	m.Forget(105)
+	m.Expire(105)
 	if len(m.lost) != 1 {
 		t.Error("forgotten too early")
 	}
-	m.Forget(111)
+	m.Expire(111)
 	if len(m.lost) != 0 {
 		t.Error("kept for ever")
 	}
@@ -194,7 +194,7 @@
 				busy[c.Conn] = server
 			}
 		case 1:
-			spare, end, ok := s.Room()
+			spare, end, ok := s.Reserve()
 			if !ok {
 				if full++; len(idle) > 0 || len(busy) < 5 {
 					t.Fatal("no room, and there is")
@@ -209,7 +209,7 @@
 					}
 				}
 				delete(idle, spare)
-				s.Gone()
+				s.Closed()
 			}
 			busy[next] = server
 			next++
@@ -222,19 +222,19 @@
 		case 3:
 			if id := any(busy); id >= 0 {
 				delete(busy, id)
-				s.Gone()
+				s.Closed()
 			}
 		case 4:
-			for _, id := range s.Old(now-20, func(server string) bool { return server != "s2" || rng.IntN(2) == 0 }) {
+			for _, id := range s.TakeExpired(now-20, func(server string) bool { return server != "s2" || rng.IntN(2) == 0 }) {
 				if _, ok := idle[id]; !ok || idle[id] != "s2" && where[id] >= now-20 {
 					t.Fatalf("%d ended, idle since %g at %g", id, where[id], now)
 				}
 				delete(idle, id)
-				s.Gone()
+				s.Closed()
 			}
 		}
-		if s.Up() != len(idle)+len(busy) || s.Up() > 5 || s.Idle("s0")+s.Idle("s1")+s.Idle("s2") != len(idle) {
-			t.Fatalf("%d up, %d idle and %d busy", s.Up(), len(idle), len(busy))
+		if s.Open() != len(idle)+len(busy) || s.Open() > 5 || s.Idle("s0")+s.Idle("s1")+s.Idle("s2") != len(idle) {
+			t.Fatalf("%d up, %d idle and %d busy", s.Open(), len(idle), len(busy))
 		}
 	}
 	if full == 0 || spares == 0 {
--- a/internal/dataplane/upstreamconn/shelf.go
+++ b/internal/dataplane/upstreamconn/shelf.go
@@ -18,10 +18,12 @@
 }
 
 // NewIdlePool returns an empty shelf.
-func NewIdlePool[C any](most int) *IdlePool[C] { return &IdlePool[C]{Max: most, idle: map[string][]IdleConn[C]{}} }
+func NewIdlePool[C any](most int) *IdlePool[C] {
+	return &IdlePool[C]{Max: most, idle: map[string][]IdleConn[C]{}}
+}
 
-// Up is how many connections are up, idle or not, or about to be.
-func (s *IdlePool[C]) Up() int { return s.up }
+// Open is how many connections are up, idle or not, or about to be.
+func (s *IdlePool[C]) Open() int { return s.up }
 
 // Idle is how many connections to a server are idle.
 func (s *IdlePool[C]) Idle(server string) int { return len(s.idle[server]) }
@@ -48,9 +50,9 @@
 	s.idle[server] = list
 }
 
-// Room makes a place for a new connection, which counts as up from then on. Spare is one to end for it, if there is
+// Reserve makes a place for a new connection, which counts as up from then on. Spare is one to end for it, if there is
 // one; not ok: all places are taken by connections in use.
-func (s *IdlePool[C]) Room() (spare C, end, ok bool) {
+func (s *IdlePool[C]) Reserve() (spare C, end, ok bool) {
 	if s.up >= s.Max {
 		from := ""
 		for server, list := range s.idle {
@@ -76,16 +78,16 @@
 	s.idle[server] = append(s.idle[server], IdleConn[C]{c, now})
 }
 
-// Gone tells that a connection that was up is no more, or that one never came up.
-func (s *IdlePool[C]) Gone() {
+// Closed tells that a connection that was up is no more, or that one never came up.
+func (s *IdlePool[C]) Closed() {
 	if !mutated("gone-uncounted") {
 		s.up--
 	}
 }
 
-// Old takes out the connections that have been idle since before a time, and those to servers that are to get nothing
+// TakeExpired takes out the connections that have been idle since before a time, and those to servers that are to get nothing
 // new.
-func (s *IdlePool[C]) Old(before decision.Seconds, serving func(server string) bool) (old []C) {
+func (s *IdlePool[C]) TakeExpired(before decision.Seconds, serving func(server string) bool) (old []C) {
 	for server, list := range s.idle {
 		n := 0
 		if !serving(server) {
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -23,7 +23,7 @@
 	g.requests[e.ID] = r
 	g.open = append(g.open, r)
 	c.demand += e.Units
-	c.mix.Told(class.Value, e.Units)
+	c.mix.Observe(class.Value, e.Units)
 	c.fast = c.fast*math.Exp((c.fastAt-g.now)/fastSpan) + 1/fastSpan
 	c.fastAt = g.now
 	if c.thin && !g.evenPart(c) && g.s.HasCounter && g.now >= g.muted && e.TimeLeft > g.s.CounterTimeout+2*tickEvery {
@@ -87,13 +87,13 @@
 	if c.thin && (g.believed(c) || g.silent > 0 && c.ratio > 0) && g.rng.Float64() >= c.ratio {
 		return false // a silent counter freezes the ratio
 	}
-	if c.thin && c.plan.ExcessCost > 0 && !g.believed(c) && g.odds.Inside(r.ClientRetry) < worth {
+	if c.thin && c.plan.ExcessCost > 0 && !g.believed(c) && g.odds.Conforming(r.ClientRetry) < worth {
 		return false
 	}
 	g.fill(c)
 	g.restrain(c, r)
 	// A part of the store is for dearer requests: of one that is full it costs nothing.
-	if p := (c.level - keptForDear*c.most*c.mix.Dearer(r.class.Value)) / c.units(r); p < 1 {
+	if p := (c.level - keptForDear*c.most*c.mix.ShareAbove(r.class.Value)) / c.units(r); p < 1 {
 		return g.luck(c, r, p)
 	}
 	c.level -= c.units(r)
--- a/internal/decision/conformance/mix.go
+++ b/internal/decision/conformance/mix.go
@@ -11,8 +11,8 @@
 	mostKinds = 16   // worths that are told apart; further ones count as none dearer
 )
 
-// Told adds a request of a worth, in points, and what it asked, in units.
-func (m *ValueDistribution) Told(worth, units float64) {
+// Observe adds a request of a worth, in points, and what it asked, in units.
+func (m *ValueDistribution) Observe(worth, units float64) {
 	at := -1
 	for i := range m.asked {
 		m.asked[i] *= keepMix
@@ -28,8 +28,8 @@
 	}
 }
 
-// Dearer is the part of what was asked, 0 to 1, that is worth more.
-func (m *ValueDistribution) Dearer(worth float64) (part float64) {
+// ShareAbove is the part of what was asked, 0 to 1, that is worth more.
+func (m *ValueDistribution) ShareAbove(worth float64) (part float64) {
 	for i, w := range m.worths {
 		if w > worth && m.sum > 0 {
 			part += m.asked[i] / m.sum
--- a/internal/decision/conformance/odds.go
+++ b/internal/decision/conformance/odds.go
@@ -25,14 +25,14 @@
 	return &o.first
 }
 
-// Told tells what came of a request that was asked about: the chance, 0 to 1, of it being inside its quota.
-func (o *Estimator) Told(repeat bool, inside float64) {
+// Observe tells what came of a request that was asked about: the chance, 0 to 1, of it being inside its quota.
+func (o *Estimator) Observe(repeat bool, inside float64) {
 	m := o.of(repeat)
 	m.inside, m.asked = keep*m.inside+inside, keep*m.asked+1
 }
 
-// Inside is the chance that a request that is not asked about is inside its quota.
-func (o *Estimator) Inside(repeat bool) float64 {
+// Conforming is the chance that a request that is not asked about is inside its quota.
+func (o *Estimator) Conforming(repeat bool) float64 {
 	m := o.of(repeat)
 	return (m.inside + prior) / (m.asked + prior)
 }
--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -22,15 +22,15 @@
 // Settings is what a gateway is told at its start. Zero values mean: not there, or no limit.
 type Settings struct {
 	Gateways int // gateways in all
-	Index        int // number of this one, from 0
-	Zone      string
-	Classes   []Class
-	Plans     []Plan
+	Index    int // number of this one, from 0
+	Zone     string
+	Classes  []Class
+	Plans    []Plan
 
 	DrainGrace     Seconds // a drained backend may get no new work later than this
 	AnswerSlack    Seconds // an answer may come this long after the client's deadline
-	SlowStartShare      float64 // a backend starts at this share of its capacity at least
-	SlowStartTime         Seconds // and is warm after this
+	SlowStartShare float64 // a backend starts at this share of its capacity at least
+	SlowStartTime  Seconds // and is warm after this
 	OverloadFactor float64 // sent more than this multiple of its present capacity
 	OverloadFor    Seconds // for this long, a cold backend falls over
 
@@ -38,23 +38,23 @@
 	MayCancel   bool
 	// FinishNonIdempotent has attempts that must not run twice go on to their end where the client has left: whether they run is in doubt, and a
 	// server that is at work on one is not to be broken off.
-	FinishNonIdempotent  bool
-	MayRetryAfter bool
-	MaxRetryAfter Seconds
+	FinishNonIdempotent bool
+	MayRetryAfter       bool
+	MaxRetryAfter       Seconds
 
 	ConnectTimeout Seconds // for the host: a connection not up by then counts as refused
 	Keepalive      Seconds // for the host: a backend closes connections idle for this long
 
-	HasCounter  bool    // there is a counter service
-	CounterCallCost  float64 // share of the whole result that one call for each request costs
-	CounterTimeout Seconds // a call unanswered for this long has timed out
-	SettledLater bool    // units are guesses, settled by the first good answer
-	MaxUnits  float64 // the most units one request counts
+	HasCounter      bool    // there is a counter service
+	CounterCallCost float64 // share of the whole result that one call for each request costs
+	CounterTimeout  Seconds // a call unanswered for this long has timed out
+	SettledLater    bool    // units are guesses, settled by the first good answer
+	MaxUnits        float64 // the most units one request counts
 
 	CapacityInSlots bool    // the size of a backend is the number of requests that it works on at a time
 	RemoteZoneCost  float64 // cost of a backend in another zone beside one in this gateway's own; 0: they are alike
-	PairCounters bool    // counters tell a sum and how many gateways it is from (keeper.go), and are kept by the system's own nodes
-	CounterCycle Seconds // of these counters
+	PairCounters    bool    // counters tell a sum and how many gateways it is from (keeper.go), and are kept by the system's own nodes
+	CounterCycle    Seconds // of these counters
 
 	// Further attempts to one group of backends, over all gateways: this share of the first ones, and so many beyond it. 0: each gateway
 	// goes by its own rule (internal/decision/retry).
@@ -62,7 +62,7 @@
 
 	// Of a gateway that is two processes for a while; Part sets them.
 	OtherShare float64 // how much of the gateway another process of it is; 0: this one is all of it
-	Secondary bool    // another process reports this gateway to the counter as one that asks
+	Secondary  bool    // another process reports this gateway to the counter as one that asks
 }
 
 // Effect tells whether a class of requests may run twice.
@@ -88,30 +88,30 @@
 
 // Class is a class of requests.
 type Class struct {
-	Name      string
-	LatencyTarget       Seconds // an answer within this earns the whole worth
-	Deadline  Seconds
-	Value     float64
-	LateValue float64 // share of the worth an answer after the aim earns
-	MaxAttempts  int     // for one request of it; 0: as the settings say
-	SlowAttemptFactor  float64 // usual times of an answer after which a first attempt that may be repeated may be given up; 0: it is not
+	Name              string
+	LatencyTarget     Seconds // an answer within this earns the whole worth
+	Deadline          Seconds
+	Value             float64
+	LateValue         float64 // share of the worth an answer after the aim earns
+	MaxAttempts       int     // for one request of it; 0: as the settings say
+	SlowAttemptFactor float64 // usual times of an answer after which a first attempt that may be repeated may be given up; 0: it is not
 	MaxQueueTime      Seconds // it waits no longer for a backend; 0: a part of its aim
-	Effect    Effect
-	Scope     Scope // of a keyed class
+	Effect            Effect
+	Scope             Scope // of a keyed class
 }
 
 // Plan is what a customer has bought. Its quotas hold over all gateways together.
 type Plan struct {
-	Name         string  `json:"Name"`
-	Rate         float64 `json:"Rate"`        // quota, in units a second; 0: none
-	Burst        float64 `json:"Burst"`       // units that may be used at once
-	MaxInFlight         int     `json:"Open"`        // quota on attempts out at once; 0: none
-	ValueWeight        float64 `json:"Price"`       // multiplies the worth
-	ExcessValue  float64 `json:"ExcessWorth"` // share of its worth that a request sent on beyond the quota earns
+	Name        string  `json:"Name"`
+	Rate        float64 `json:"Rate"`        // quota, in units a second; 0: none
+	Burst       float64 `json:"Burst"`       // units that may be used at once
+	MaxInFlight int     `json:"Open"`        // quota on attempts out at once; 0: none
+	ValueWeight float64 `json:"Price"`       // multiplies the worth
+	ExcessValue float64 `json:"ExcessWorth"` // share of its worth that a request sent on beyond the quota earns
 	ExcessCost  float64 `json:"BeyondCosts"` // share of its worth that such a request costs
-	LimitRate  float64 `json:"CeilingRate"` // hard ceiling, in units a second; 0: none
-	LimitBurst float64 `json:"CeilingDepth"`
-	LimitSlack float64 `json:"CeilingSlack"`
+	LimitRate   float64 `json:"CeilingRate"` // hard ceiling, in units a second; 0: none
+	LimitBurst  float64 `json:"CeilingDepth"`
+	LimitSlack  float64 `json:"CeilingSlack"`
 }
 
 // Event is something the gateway learns.
@@ -128,13 +128,13 @@
 
 // Backend is one line of the list.
 type Backend struct {
-	ID      string
-	Group   string // requests go to backends of their own group
-	Zone    string
-	Kind    string  // of machine; those of a kind are alike
-	Serving bool    // false: draining or gone, send it nothing new
-	Size    float64 // relative; 0: not told
-	StartedAt  Seconds // when it last started; 0: long ago
+	ID        string
+	Group     string // requests go to backends of their own group
+	Zone      string
+	Kind      string  // of machine; those of a kind are alike
+	Serving   bool    // false: draining or gone, send it nothing new
+	Size      float64 // relative; 0: not told
+	StartedAt Seconds // when it last started; 0: long ago
 }
 
 // Terms are what a customer has bought, as they hold now. As an event they change those of a customer that the
@@ -147,18 +147,18 @@
 
 // Request is a client's request; the gateway owes it exactly one answer.
 type Request struct {
-	ID       uint64
-	Class    string
-	Kind     *Class // the class itself; nil: that of the settings with its name
-	Group    string // of the backends that it may go to
-	Plan     string
-	Customer string
+	ID           uint64
+	Class        string
+	Kind         *Class // the class itself; nil: that of the settings with its name
+	Group        string // of the backends that it may go to
+	Plan         string
+	Customer     string
 	TimeLeft     Seconds // until the client gives up
-	Units    float64 // it draws from the quota, perhaps a guess
-	Gateways    int     // gateways this customer's requests may come through
-	FirstGateway    int     // number of the first of these, for the host: they are counted round
-	ClientRetry   bool    // marked by the client as a repeat
-	Terms    *Terms  // the customer's own; nil: those of Plan in the settings
+	Units        float64 // it draws from the quota, perhaps a guess
+	Gateways     int     // gateways this customer's requests may come through
+	FirstGateway int     // number of the first of these, for the host: they are counted round
+	ClientRetry  bool    // marked by the client as a repeat
+	Terms        *Terms  // the customer's own; nil: those of Plan in the settings
 	Streamed     bool    // its body is passed on as it comes: once a byte of it has gone out, it cannot be sent again
 }
 
@@ -185,18 +185,20 @@
 
 // ProvesNotExecuted tells whether an outcome proves that nothing ran and nothing will (PROTOCOL, "Ingresses to quote servers"). A
 // cancel proves nothing by itself: one that came before anything was written whole is told as Skipped.
-func (o Outcome) ProvesNotExecuted() bool { return o == Rejected || o == ConnectionRefused || o == NotSent }
+func (o Outcome) ProvesNotExecuted() bool {
+	return o == Rejected || o == ConnectionRefused || o == NotSent
+}
 
 // AttemptEnded tells how an attempt ended; each Send gets exactly one.
 type AttemptEnded struct {
-	ID      uint64
-	Attempt int
-	Backend string
-	Outcome Outcome
-	Duration    Seconds
-	Answered bool    // the request has its answer
-	BodyConsumed   bool    // the request cannot be sent again: its body has gone
-	Units   float64 // true units, where they are settled afterwards; else 0
+	ID           uint64
+	Attempt      int
+	Backend      string
+	Outcome      Outcome
+	Duration     Seconds
+	Answered     bool    // the request has its answer
+	BodyConsumed bool    // the request cannot be sent again: its body has gone
+	Units        float64 // true units, where they are settled afterwards; else 0
 }
 
 // CounterReply is the answer to a Count. Failed: the counter answered, but no total can be told from it.
@@ -214,17 +216,17 @@
 func (ClientGone) event()   {}
 func (Timer) event()        {}
 func (AttemptEnded) event() {}
-func (CounterReply) event()      {}
+func (CounterReply) event() {}
 
 // Action is something the host is to do.
 type Action interface{ action() }
 
 // Send starts an attempt of a request. Timeout 0: until the client gives up.
 type Send struct {
-	ID      uint64
-	Backend string
-	Timeout Seconds
-	OverQuota  bool // the request is beyond its quota
+	ID        uint64
+	Backend   string
+	Timeout   Seconds
+	OverQuota bool // the request is beyond its quota
 	// SlowAfter is after how long without an answer, from when the request was written, Gateway.Impatient is to be asked whether to give
 	// the attempt up, and again now and then; 0: never.
 	SlowAfter Seconds
@@ -240,7 +242,7 @@
 type Reject struct {
 	ID         uint64
 	RetryAfter Seconds // 0: no advice
-	OverQuota     bool    // it is beyond its quota
+	OverQuota  bool    // it is beyond its quota
 }
 
 // Fail answers a request: not served, and it may have run.
@@ -254,19 +256,19 @@
 
 // CounterCall adds to a named number that all gateways share and asks for the total.
 type CounterCall struct {
-	Name string
-	Add  float64
+	Name      string
+	Add       float64
 	Retention Seconds // a new name is forgotten after this
 
 	// Where counters are pairs: whose it is, and of which cycle; Each: every call adds anew, else one takes the place of another.
-	Customer string
-	Cycle    int64
-	PerRequest     bool
+	Customer   string
+	Cycle      int64
+	PerRequest bool
 }
 
-func (Send) action()     {}
-func (Cancel) action()   {}
-func (Reject) action()   {}
-func (Fail) action()     {}
-func (SetTimer) action() {}
-func (CounterCall) action()    {}
+func (Send) action()        {}
+func (Cancel) action()      {}
+func (Reject) action()      {}
+func (Fail) action()        {}
+func (SetTimer) action()    {}
+func (CounterCall) action() {}
--- a/internal/decision/figures.go
+++ b/internal/decision/figures.go
@@ -4,8 +4,8 @@
 
 // Stats are what a gateway holds at one moment, for operators. They are not part of the simulator's policy.
 type Stats struct {
-	Pending  int // in hand
-	Queued   int // of these, the ones that wait for a server
+	Pending   int // in hand
+	Queued    int // of these, the ones that wait for a server
 	Customers int // that asked within the last minute
 	Servers   map[ServerState]int
 	// RetryTokens is how many further attempts may be made at once for the service that has fewest left.
@@ -19,11 +19,11 @@
 
 // The states of servers, the first that applies.
 const (
-	ServerDraining ServerState = "leaving" // draining, silent or gone
-	ServerEjected ServerState = "resting" // it failed several times in a row
-	ServerOverloaded    ServerState = "full"    // it turned work away a moment ago
-	ServerSlowStart    ServerState = "cold"    // it has started a moment ago
-	ServerUnknown ServerState = "unknown" // no good answer since it was listed or failed
+	ServerDraining   ServerState = "leaving" // draining, silent or gone
+	ServerEjected    ServerState = "resting" // it failed several times in a row
+	ServerOverloaded ServerState = "full"    // it turned work away a moment ago
+	ServerSlowStart  ServerState = "cold"    // it has started a moment ago
+	ServerUnknown    ServerState = "unknown" // no good answer since it was listed or failed
 	ServerHealthy    ServerState = "good"    // its last answer was good
 )
 
--- a/internal/decision/keeper.go
+++ b/internal/decision/keeper.go
@@ -143,7 +143,9 @@
 }
 
 // answered tells whether a keeper was reached, sure of all others or not. An agent that reaches none says Failed too.
-func answered(e CounterReply) bool { return e.Outcome == Succeeded || e.Outcome == Failed && e.Holders > 0 }
+func answered(e CounterReply) bool {
+	return e.Outcome == Succeeded || e.Outcome == Failed && e.Holders > 0
+}
 
 // reached notes that a keeper of pairs answered, whatever it was asked.
 func (g *Gateway) reached(e CounterReply) {
--- a/internal/decision/lifecycle.go
+++ b/internal/decision/lifecycle.go
@@ -30,11 +30,11 @@
 
 // The events.
 const (
-	Started   LifecycleEvent = iota // it can serve
+	Started       LifecycleEvent = iota // it can serve
 	EnterLameDuck                       // an operator called LAMEDUCK
-	Rejoin                     // an operator called REJOIN
-	Terminate                  // SIGTERM
-	Close                      // after SIGTERM, the front sends no more: the listener closes
+	Rejoin                              // an operator called REJOIN
+	Terminate                           // SIGTERM
+	Close                               // after SIGTERM, the front sends no more: the listener closes
 )
 
 // Phase is the phase it is in.
--- a/internal/decision/quotas.go
+++ b/internal/decision/quotas.go
@@ -20,11 +20,11 @@
 	doors, quota       float64 // gateways it may use; what slices share: units a second, or attempts open
 	open               int     // attempts out
 	seen, fastAt       Seconds
-	fast               float64         // requests a second asked just now
-	slice, level, most float64         // units a second; units in the local store, and that it can hold
+	fast               float64                       // requests a second asked just now
+	slice, level, most float64                       // units a second; units in the local store, and that it can hold
 	mix                conformance.ValueDistribution // what it asks for
-	ceiling            float64         // what this gateway's part of the ceiling still lets through
-	filled, ceilFill   Seconds         // when level and ceiling were reckoned
+	ceiling            float64                       // what this gateway's part of the ceiling still lets through
+	filled, ceilFill   Seconds                       // when level and ceiling were reckoned
 	period, phase      Seconds
 	cycle              int64
 	since, readAt      Seconds // when the cycle began; when its totals are to be read, 0: not now
@@ -377,7 +377,7 @@
 	c.share = min(1, own/(R+quiet*c.doors))
 	g.fill(c)
 	if c.plan.ExcessCost > 0 {
-		g.odds.Told(r.ClientRetry, c.ratio)
+		g.odds.Observe(r.ClientRetry, c.ratio)
 	}
 	if r.inside = g.rng.Float64() < c.ratio; r.inside {
 		c.level = max(0, c.level-c.units(r))
--- a/internal/decision/state.go
+++ b/internal/decision/state.go
@@ -38,43 +38,43 @@
 
 // Knowledge is what a gateway has learned, as of a time on the clock that its processes share.
 type Knowledge struct {
-	At        Seconds             `json:"At"`
-	TypicalTime     Seconds             `json:"Usual"`  // time of an answer, over the fleet
-	SendRate      float64             `json:"Rate"`   // sends a second
-	CounterCallProbability    float64             `json:"Chance"` // of a call to the counter
-	Customers []CustomerKnowledge `json:"Customers"`
-	Backends  []BackendKnowledge  `json:"Backends"`
+	At                     Seconds             `json:"At"`
+	TypicalTime            Seconds             `json:"Usual"`  // time of an answer, over the fleet
+	SendRate               float64             `json:"Rate"`   // sends a second
+	CounterCallProbability float64             `json:"Chance"` // of a call to the counter
+	Customers              []CustomerKnowledge `json:"Customers"`
+	Backends               []BackendKnowledge  `json:"Backends"`
 }
 
 // CustomerKnowledge is what is known of one customer's quota.
 type CustomerKnowledge struct {
-	Terms    Terms   `json:"Terms"`
-	Gateways    int     `json:"Doors"`
-	Slice    float64 `json:"Slice"`    // units a second
-	Tokens    float64 `json:"Level"`    // units
-	LimitTokens  float64 `json:"Ceiling"`  // units
-	TokensAt   Seconds `json:"Filled"`   // when these were reckoned
+	Terms         Terms   `json:"Terms"`
+	Gateways      int     `json:"Doors"`
+	Slice         float64 `json:"Slice"`    // units a second
+	Tokens        float64 `json:"Level"`    // units
+	LimitTokens   float64 `json:"Ceiling"`  // units
+	TokensAt      Seconds `json:"Filled"`   // when these were reckoned
 	LimitTokensAt Seconds `json:"CeilFill"` // when these were reckoned
-	LocalDemand     float64 `json:"Rate"`     // asked here, and the last totals: asked at all gateways, by how many
-	TotalDemand    float64 `json:"Total"`    // asked here, and the last totals: asked at all gateways, by how many
+	LocalDemand   float64 `json:"Rate"`     // asked here, and the last totals: asked at all gateways, by how many
+	TotalDemand   float64 `json:"Total"`    // asked here, and the last totals: asked at all gateways, by how many
 	Reporters     float64 `json:"Told"`     // asked here, and the last totals: asked at all gateways, by how many
-	TotalAt  Seconds `json:"TotalAt"`
-	ValidFor Seconds `json:"ValidFor"`
+	TotalAt       Seconds `json:"TotalAt"`
+	ValidFor      Seconds `json:"ValidFor"`
 	AdmitRatio    float64 `json:"Ratio"` // of a thin customer
-	DemandShare     float64 `json:"Part"`  // of a thin customer
+	DemandShare   float64 `json:"Part"`  // of a thin customer
 }
 
 // BackendKnowledge is what is known of one backend.
 type BackendKnowledge struct {
-	ID       string  `json:"ID"`
-	Limit    float64 `json:"Limit"`
-	Errors   float64 `json:"Errors"`
-	TypicalTime     Seconds `json:"Time"`  // of an answer: its own, and that of its kind
-	KindTypicalTime    Seconds `json:"Usual"` // of an answer: its own, and that of its kind
-	ConsecutiveFailures      int     `json:"Bad"`   // failures in a row
-	Healthy     bool    `json:"Good"`
-	EjectedUntil Seconds `json:"DownTill"`
-	OverloadedUntil Seconds `json:"FullTill"`
+	ID                  string  `json:"ID"`
+	Limit               float64 `json:"Limit"`
+	Errors              float64 `json:"Errors"`
+	TypicalTime         Seconds `json:"Time"`  // of an answer: its own, and that of its kind
+	KindTypicalTime     Seconds `json:"Usual"` // of an answer: its own, and that of its kind
+	ConsecutiveFailures int     `json:"Bad"`   // failures in a row
+	Healthy             bool    `json:"Good"`
+	EjectedUntil        Seconds `json:"DownTill"`
+	OverloadedUntil     Seconds `json:"FullTill"`
 }
 
 // HandOver halves what the local stores hold, and returns the other half with all that has been learned. What a store is below nothing, for requests turned out
--- a/internal/decision/state_test.go
+++ b/internal/decision/state_test.go
@@ -93,7 +93,10 @@
 		{"by a clock that went back", -60, func(*Knowledge) {}, 0, begin},
 		{"of an impossible store", 0, func(k *Knowledge) { k.Customers[0].Tokens = -1 }, 0, 40},
 		{"of a server that is gone", 0, func(k *Knowledge) { k.Backends[0].ID, k.Backends[1].ID = "gone", "left" }, 1, begin},
-		{"infinite", 0, func(k *Knowledge) { k.Backends[0].Limit, k.Backends[1].Limit = math.Inf(1), -1; k.TypicalTime = math.Inf(1) }, 1, limitMost},
+		{"infinite", 0, func(k *Knowledge) {
+			k.Backends[0].Limit, k.Backends[1].Limit = math.Inf(1), -1
+			k.TypicalTime = math.Inf(1)
+		}, 1, limitMost},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g, changed := fresh(), k
--- a/internal/emulator/modelcheck/connections.go
+++ b/internal/emulator/modelcheck/connections.go
@@ -7,7 +7,7 @@
 
 // noConnection is a dial that came to nothing: refused, or not needed any more.
 func (w *World) noConnection(t *try) {
-	w.shelf.Gone()
+	w.shelf.Closed()
 	t.conn.ended = true
 	if t.cancelled || w.now >= t.until-1e-9 {
 		w.ended(t, decision.NotSent)
@@ -30,7 +30,7 @@
 		}
 		if k := kept.Conn; k.addr != addr || k.spoilt && !k.ended {
 			if k.addr == addr {
-				w.memory.Lost(t.backend, w.now)
+				w.memory.Record(t.backend, w.now)
 			}
 			w.close(k)
 			continue
@@ -41,7 +41,7 @@
 		}
 		return kept.Conn, 0, true
 	}
-	spare, end, room := w.shelf.Room()
+	spare, end, room := w.shelf.Reserve()
 	if !room {
 		return nil, decision.NotSent, false
 	}
@@ -50,7 +50,7 @@
 	}
 	s := w.server(t.backend)
 	if s.down {
-		w.shelf.Gone()
+		w.shelf.Closed()
 		return nil, decision.ConnectionRefused, false
 	}
 	return &conn{server: s, addr: addr}, 0, true
@@ -62,7 +62,7 @@
 	}
 	k.Drop()
 	k.ended, k.spoilt = true, true
-	w.shelf.Gone()
+	w.shelf.Closed()
 }
 
 // goesOut is what was held back of a request going out: its last byte, or the first of a long body. Nothing has run before
@@ -130,6 +130,6 @@
 func (w *World) streamed(c *client, whole, more bool) {
 	k := c.stream
 	c.stream, k.spoilt = nil, k.spoilt || !whole || more
-	w.release(k, k.Streamed(whole, more))
+	w.release(k, k.StreamEnded(whole, more))
 	w.check()
 }
--- a/internal/emulator/modelcheck/events.go
+++ b/internal/emulator/modelcheck/events.go
@@ -160,7 +160,7 @@
 		on("last-byte", func(w *World, t *try, k *conn) {
 			if _, serving := w.lookup(t.backend); !upstreamconn.MayRelease(serving, t.cancelled) {
 				k.spoilt = true // half a request is on it
-				w.finish(t, k, k.Unwritten(upstreamconn.Cancelled))
+				w.finish(t, k, k.FailedWriting(upstreamconn.Cancelled))
 				return
 			}
 			w.goesOut(t)
@@ -178,8 +178,8 @@
 				if t.cancelled {
 					how = upstreamconn.Cancelled
 				}
-				w.memory.Lost(t.backend, w.now)
-				w.finish(t, k, k.Unwritten(how))
+				w.memory.Record(t.backend, w.now)
+				w.finish(t, k, k.FailedWriting(how))
 			})
 		}
 		return
@@ -188,8 +188,8 @@
 		on("goes-out", func(w *World, t *try, k *conn) { w.written(t) })
 		on("breaks-in-send", func(w *World, t *try, k *conn) {
 			k.spoilt = true
-			w.memory.Lost(t.backend, w.now)
-			w.finish(t, k, k.Unwritten(map[bool]upstreamconn.Failure{false: upstreamconn.ConnectionLost, true: upstreamconn.Cancelled}[t.cancelled]))
+			w.memory.Record(t.backend, w.now)
+			w.finish(t, k, k.FailedWriting(map[bool]upstreamconn.Failure{false: upstreamconn.ConnectionLost, true: upstreamconn.Cancelled}[t.cancelled]))
 		})
 		return
 	}
@@ -239,10 +239,10 @@
 				}
 			}
 			if how == upstreamconn.ConnectionLost {
-				w.memory.Lost(t.backend, w.now)
+				w.memory.Record(t.backend, w.now)
 			}
 			k.spoilt = true
-			w.finish(t, k, k.Unanswered(how))
+			w.finish(t, k, k.FailedAwaiting(how))
 		})
 	}
 }
@@ -256,7 +256,7 @@
 	})
 	on("200-long", func(w *World, t *try, k *conn) {
 		k.refused, k.spoilt = false, k.spoilt || t.cancelled
-		w.finish(t, k, k.Streams(upstreamconn.Answer{Status: 200}, t.cancelled))
+		w.finish(t, k, k.BeginStreaming(upstreamconn.Answer{Status: 200}, t.cancelled))
 	})
 	on("other-answer", func(w *World, t *try, k *conn) { // a copy of the answer before stands in this one's place
 		if k.refused && (k.unnamed || k.before == t.client) { // by its name, or for want of one, it cannot be told from this one's
@@ -268,8 +268,8 @@
 		if t.others++; t.others > 8 {
 			w.violate("bounded", "%s has passed over %d answers to others", t.client.name, t.others)
 		}
-		if !k.Other() {
-			w.finish(t, k, k.Unanswered(upstreamconn.Malformed))
+		if !k.ForeignAnswer() {
+			w.finish(t, k, k.FailedAwaiting(upstreamconn.Malformed))
 		}
 	})
 }
@@ -279,14 +279,14 @@
 	on("up", func(w *World, t *try, k *conn) { w.written(t) })
 	on("server-breaks-upload", func(w *World, t *try, k *conn) {
 		k.spoilt = true
-		w.memory.Lost(t.backend, w.now)
-		w.finish(t, k, k.Unwritten(map[bool]upstreamconn.Failure{false: upstreamconn.ConnectionLost, true: upstreamconn.Cancelled}[t.cancelled]))
+		w.memory.Record(t.backend, w.now)
+		w.finish(t, k, k.FailedWriting(map[bool]upstreamconn.Failure{false: upstreamconn.ConnectionLost, true: upstreamconn.Cancelled}[t.cancelled]))
 	})
 	on("leaves-upload", func(w *World, t *try, k *conn) { // it stalls, or leaves: nobody waits for the answer
 		c := t.client
 		k.spoilt, c.gone, t.cancelled = true, true, true
 		w.do(w.desk.ClientGone(w.now, c.request))
-		w.finish(t, k, k.Unwritten(upstreamconn.Cancelled))
+		w.finish(t, k, k.FailedWriting(upstreamconn.Cancelled))
 	})
 	for _, a := range []struct {
 		name   string
@@ -297,7 +297,7 @@
 			if !a.answer.NotProcessed {
 				t.client.mayRun++ // who answers may have read enough to run it
 			}
-			w.finish(t, k, k.Early(a.answer))
+			w.finish(t, k, k.AnsweredEarly(a.answer))
 		})
 	}
 }
--- a/internal/emulator/modelcheck/schedule.go
+++ b/internal/emulator/modelcheck/schedule.go
@@ -27,7 +27,7 @@
 			w.violate("legal", "%s is %v, attempt out: %v", c.name, life.Phase(), c.try != nil)
 		}
 	}
-	if n := w.shelf.Up(); n > w.shelf.Max {
+	if n := w.shelf.Open(); n > w.shelf.Max {
 		w.violate("bounded", "%d connections are up", n)
 	}
 }
@@ -89,7 +89,7 @@
 		}
 		seen[s.id] = true
 	}
-	if up := w.shelf.Up(); up != idle {
+	if up := w.shelf.Open(); up != idle {
 		w.violate("nothing-left", "%d connections count as up, %d are idle", up, idle)
 	}
 	if len(w.timers) > 1 {
@@ -153,8 +153,8 @@
 		if trouble == upstreamconn.TimedOut {
 			trouble = upstreamconn.ConnectionLost // the write's deadline
 		}
-		w.finish(t, k, k.Unwritten(trouble))
+		w.finish(t, k, k.FailedWriting(trouble))
 		return
 	}
-	w.finish(t, k, k.Unanswered(trouble))
+	w.finish(t, k, k.FailedAwaiting(trouble))
 }
--- a/internal/emulator/modelcheck/world.go
+++ b/internal/emulator/modelcheck/world.go
@@ -58,7 +58,7 @@
 
 // conn is a connection to a server.
 type conn struct {
-	upstreamconn.Link
+	upstreamconn.Machine
 	server   *server
 	addr     string
 	used     *try // on it now
@@ -151,7 +151,7 @@
 	w.list()
 	if c.Kept {
 		k := &conn{server: w.servers[0], addr: w.servers[0].addr}
-		w.shelf.Room()
+		w.shelf.Reserve()
 		k.Begin()
 		k.Written()
 		k.Answered(upstreamconn.Answer{Status: 200}, false)
@@ -344,7 +344,7 @@
 	if life := c.request.Machine(); life.BodyConsumed() {
 		w.violate("spent-is-spent", "%s begins again, and its body has gone", c.name)
 	}
-	if c.long || w.memory.Hold(t.backend, w.now, upstreamconn.Evidence{Fresh: k.Uses() == 1, Idle: w.now - k.answered, AtMostOnce: c.send}) {
+	if c.long || w.memory.HoldLastByte(t.backend, w.now, upstreamconn.Evidence{Fresh: k.Uses() == 1, Idle: w.now - k.answered, AtMostOnce: c.send}) {
 		t.stage = holding
 		return
 	}
@@ -372,7 +372,7 @@
 		w.violate("planned-is-kept", "%s is given up by patience, and must not run twice", c.name)
 	}
 	k.spoilt = true
-	w.finish(t, k, k.Unanswered(upstreamconn.TimedOut))
+	w.finish(t, k, k.FailedAwaiting(upstreamconn.TimedOut))
 	if c.tries == before && !c.gone { // the other one may turn out to be down
 		w.violate("given-up-goes-on", "%s is given up by patience, and goes to no other server", c.name)
 	}
--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -50,12 +50,12 @@
 	s := &decision.Settings{Gateways: 1, MaxAttempts: 2, MayCancel: true, FinishNonIdempotent: true, CapacityInSlots: true}
 	e := engine.New(decision.New(*s, 1), s, engine.NewClock())
 	e.Start(nil)
-	e.Backends(decision.Backends{List: []decision.Backend{{ID: "i-2", Group: "s2", Serving: true, Size: 9}}})
+	e.SetBackends(decision.Backends{List: []decision.Backend{{ID: "i-2", Group: "s2", Serving: true, Size: 9}}})
 	pool := upstream.New(func(string) (string, bool) { return back.Addr().String(), true },
 		upstream.Limits{Connections: 99, ConnectTimeout: time.Second, Keepalive: time.Minute}, quiet())
 	pool.Dialect = upstream.Dialect{Begin: beginRequest, Meaning: classifyAnswer, ID: headerAttemptID}
 	server = ingress.New(s, e, pool, 99, quiet())
-	server.Speak(speech.dialect())
+	server.SetDialect(speech.dialect())
 	server.Started()
 	go server.Serve(client)
 	t.Cleanup(func() { server.Drain(time.Second, 0) })
--- a/internal/proxy/control_feed.go
+++ b/internal/proxy/control_feed.go
@@ -59,18 +59,18 @@
 		o.engine.Start(o)
 	}
 	if len(f.Items) > 0 {
-		o.engine.Planned(o.disruptionWindow())
+		o.engine.ExpectDisruption(o.disruptionWindow())
 		o.table.Store(o.table.Load().With(o.store.Snapshot(), f.Items))
 		o.log.Log("msg", "configuration in force", "epoch", newestEpoch(f.Items), "items", len(f.Items))
 	}
 	if len(f.Instances) > 0 {
-		o.engine.Backends(decision.Backends{List: o.backends(f.Instances)})
+		o.engine.SetBackends(decision.Backends{List: o.backends(f.Instances)})
 	}
 	o.setMembers(f.Members)
 	o.shedder.observe(time.Now(), time.Duration(f.LinkDelay*float64(time.Second)), f.LinkDelay > 0)
 	if f.ZonePeers > 0 && (f.Rank != o.rank || f.ZonePeers != o.peers) {
 		o.rank, o.peers = f.Rank, f.ZonePeers
-		o.engine.Place(f.Rank, f.ZonePeers)
+		o.engine.SetZoneRank(f.Rank, f.ZonePeers)
 	}
 	if f.Quorum { // as of when it was sent: this process may have stood still
 		o.quorumAt.Store(int64(time.Since(o.base) - o.client.Clock.Age(f.Clock)))
@@ -103,7 +103,7 @@
 	}
 	if members != o.members {
 		o.members = members
-		o.engine.Members(members, o.ingressCount())
+		o.engine.SetMembers(members, o.ingressCount())
 	}
 }
 
@@ -151,14 +151,14 @@
 
 // Add is never called: counters are pairs.
 func (o *controlFeed) Add(name string, _ float64, _ decision.Seconds) {
-	o.engine.CountedOf(name, decision.ConnectionRefused, 0, 0)
+	o.engine.PairCounterReplied(name, decision.ConnectionRefused, 0, 0)
 }
 
 // Call carries out the module's calls of the counters.
 func (o *controlFeed) Call(c decision.CounterCall) {
 	if o.calls.Add(1) > maxCounterCalls {
 		o.calls.Add(-1)
-		go o.engine.CountedOf(c.Name, decision.Rejected, 0, 0)
+		go o.engine.PairCounterReplied(c.Name, decision.Rejected, 0, 0)
 		return
 	}
 	a := &transport.CounterAdd{Name: c.Customer, Cycle: c.Cycle, Reporter: o.node, Amount: c.Add, ReadOnly: c.Add == 0, Retention: c.Retention, PerRequest: c.PerRequest}
@@ -171,15 +171,15 @@
 		answer, err := o.client.Call(counterTimeout, &transport.Frame{CounterAdd: a})
 		switch {
 		case err != nil:
-			o.engine.CountedOf(c.Name, decision.TimedOut, 0, 0)
+			o.engine.PairCounterReplied(c.Name, decision.TimedOut, 0, 0)
 		case answer.CounterTotal == nil || !answer.CounterTotal.OK:
 			holders := 0
 			if answer.CounterTotal != nil {
 				holders = answer.CounterTotal.Reporters // taken, by a keeper that is not sure of the others yet
 			}
-			o.engine.CountedOf(c.Name, decision.Failed, 0, holders)
+			o.engine.PairCounterReplied(c.Name, decision.Failed, 0, holders)
 		default:
-			o.engine.CountedOf(c.Name, decision.Succeeded, answer.CounterTotal.Sum, answer.CounterTotal.Reporters)
+			o.engine.PairCounterReplied(c.Name, decision.Succeeded, answer.CounterTotal.Sum, answer.CounterTotal.Reporters)
 		}
 	}()
 }
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -35,7 +35,7 @@
 	})
 }
 
-func (b *Proxy) figures() decision.Stats { return b.control.engine.Figures() }
+func (b *Proxy) figures() decision.Stats { return b.control.engine.Stats() }
 
 func (b *Proxy) requestSamples() []metrics.Sample {
 	outcomes := b.server.Totals().Outcomes
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -32,7 +32,7 @@
 	for _, id := range []string{"a", "b", "c"} {
 		list = append(list, decision.Backend{ID: id, Group: "s", Serving: id != "c", Size: 2})
 	}
-	b.control.engine.Backends(decision.Backends{List: list})
+	b.control.engine.SetBackends(decision.Backends{List: list})
 	full := text()
 	is.True(strings.Contains(full, `mulleinrouter_proxy_servers{state="unknown"} 2`))
 	is.True(strings.Contains(full, `mulleinrouter_proxy_servers{state="leaving"} 1`))
--- a/internal/proxy/planned_test.go
+++ b/internal/proxy/planned_test.go
@@ -51,7 +51,7 @@
 				o.table.Store(configuration.NewRoutingTable())
 				o.engine = engine.New(decision.New(*s, 1), s, engine.NewClock())
 				o.started = true
-				o.engine.Backends(decision.Backends{List: []decision.Backend{{ID: "a", Serving: true, Size: 9}, {ID: "b", Serving: true, Size: 9}}})
+				o.engine.SetBackends(decision.Backends{List: []decision.Backend{{ID: "a", Serving: true, Size: 9}, {ID: "b", Serving: true, Size: 9}}})
 				b := &Proxy{log: o.log, control: o, server: ingress.New(s, o.engine, nil, 9, quiet())}
 				hup := make(chan os.Signal)
 				passed := b.forwardHangups(ctx, hup)
@@ -77,11 +77,11 @@
 					tc.planned(b, hup)
 				}
 				time.Sleep(d.Patience)
-				is.Equal(ticket.Impatient(), tc.given)
+				is.Equal(ticket.ShouldAbandon(), tc.given)
 				time.Sleep(time.Second)
-				is.Equal(ticket.Impatient(), tc.given) // nor later
+				is.Equal(ticket.ShouldAbandon(), tc.given) // nor later
 				if tc.given {
-					ticket.Ended(decision.TimedOut)
+					ticket.AttemptEnded(decision.TimedOut)
 					other := ticket.Next()
 					is.Equal(other.Kind, engine.Send)
 					is.True(other.Backend != d.Backend)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -102,7 +102,7 @@
 		b.pool.Dialect.MinHoldIdle = resetDoubt
 	}
 	b.server = ingress.New(s, o.engine, b.pool, int(clientShare*sockets), quiet)
-	b.server.Speak(b.translator.dialect())
+	b.server.SetDialect(b.translator.dialect())
 	b.server.Traffic, b.pool.Traffic = o.shedder.counter, o.shedder.counter
 	return b
 }
@@ -175,8 +175,8 @@
 
 // announceShutdown has the clients sent elsewhere. A server's silence ends nothing from now on.
 func (b *Proxy) announceShutdown() {
-	b.control.engine.Planned(math.Inf(1))
-	b.server.Leave()
+	b.control.engine.ExpectDisruption(math.Inf(1))
+	b.server.Shutdown()
 }
 
 // forwardHangups passes signals on, and has the module know of each as it comes, whether the file says anything new or not.
@@ -188,7 +188,7 @@
 			case <-ctx.Done():
 				return
 			case s := <-hup:
-				b.control.engine.Planned(b.control.disruptionWindow())
+				b.control.engine.ExpectDisruption(b.control.disruptionWindow())
 				select {
 				case passed <- s:
 				default: // one is on its way
--- a/internal/standalone/counterclient/counter.go
+++ b/internal/standalone/counterclient/counter.go
@@ -188,7 +188,7 @@
 	if err != nil {
 		c.timer.Stop()
 		l.client.told(name, decision.ConnectionRefused, 0) // its last byte was not written: it is not added
-		k.conn.Close()                           // its reader notices, and tells those that were written
+		k.conn.Close()                                     // its reader notices, and tells those that were written
 	}
 }
 
--- a/internal/standalone/fleet/quotasync/sharing.go
+++ b/internal/standalone/fleet/quotasync/sharing.go
@@ -33,10 +33,10 @@
 
 // Engine is where what is decided goes.
 type Engine interface {
-	Hold(all []decision.QuotaGrant, lease decision.Seconds)
-	Warn(servers []string)
-	Bad() []string
-	Pool() (listed, avoided int)
+	SetGrants(all []decision.QuotaGrant, lease decision.Seconds)
+	SetSuspects(servers []string)
+	UnhealthyServers() []string
+	PoolSize() (listed, avoided int)
 }
 
 // Options say what an ingress is.
@@ -128,8 +128,8 @@
 			if s.o.Fleet.Gone() {
 				s.do(e, quotashare.Aside{})
 			}
-			listed, _ := e.Pool()
-			s.do(e, quotashare.Tick{Doors: s.o.Fleet.Numbers(), Living: s.o.Fleet.Living(), Bad: e.Bad(), Listed: listed})
+			listed, _ := e.PoolSize()
+			s.do(e, quotashare.Tick{Doors: s.o.Fleet.Numbers(), Living: s.o.Fleet.Living(), Bad: e.UnhealthyServers(), Listed: listed})
 		}
 	}
 }
@@ -148,9 +148,9 @@
 			for _, r := range a.Rights {
 				all = append(all, decision.QuotaGrant{Customer: r.Member, Rate: r.Rate, Less: r.Less, Keep: r.Keep, Scaled: r.Scaled})
 			}
-			e.Hold(all, a.Until-now)
+			e.SetGrants(all, a.Until-now)
 		case quotashare.Warn:
-			e.Warn(a.Servers)
+			e.SetSuspects(a.Servers)
 			s.o.Log.WithFields(logrus.Fields{"code": "share-warned", "servers": a.Servers}).Info("the servers that others find bad have changed")
 		}
 	}
--- a/internal/standalone/node/fleet.go
+++ b/internal/standalone/node/fleet.go
@@ -58,7 +58,7 @@
 		self := n.fleet.Self()
 		n.sharing = quotasync.New(quotasync.Options{Fleet: n.fleet, Clock: c.Rehearsed.Clock(), Log: n.log, Options: quotashare.Options{Name: c.Name, Zone: c.Settings.Zone,
 			Fleet: max(1, c.Settings.Gateways), Claim: quotashare.Claim{Boot: self.Boot, Nonce: self.Nonce}, Counter: n.count != nil}})
-		n.engine.ShareWith(n.sharing)
+		n.engine.SetQuotaSharer(n.sharing)
 		n.spawn(func() { n.sharing.Run(ctx, n.engine) })
 	}
 	if len(m.Voters) > 0 {
--- a/internal/standalone/node/node.go
+++ b/internal/standalone/node/node.go
@@ -131,20 +131,20 @@
 	n.engine = engine.New(decision.New(c.Settings, c.Seed), &c.Settings, engine.NewClock())
 	n.engine.Log = n.log
 	if c.Counter != "" {
-		n.count = counterclient.New(c.Counter, seconds(c.Settings.CounterTimeout), n.engine.Counted, n.log)
+		n.count = counterclient.New(c.Counter, seconds(c.Settings.CounterTimeout), n.engine.CounterReplied, n.log)
 		n.closed = append(n.closed, n.count.Close)
 		n.engine.Start(n.count)
 	} else {
 		n.engine.Start(nil)
 	}
 	directory := &discovery.Directory{}
-	n.watcher = &discovery.Watcher{Addr: c.Discovery, Directory: directory, Tell: n.engine.Backends, Log: n.log,
+	n.watcher = &discovery.Watcher{Addr: c.Discovery, Directory: directory, Tell: n.engine.SetBackends, Log: n.log,
 		Fleet: c.Settings.Gateways, Seed: c.Seed}
 	if c.Known != nil {
 		n.watcher.Known(c.Known)
 	}
 	if learned != nil {
-		customers, backends := n.engine.Take(*learned)
+		customers, backends := n.engine.Restore(*learned)
 		n.log.WithFields(logrus.Fields{"code": "process-learned", "customers": customers, "servers": backends}).Info("an older process handed over what it knows")
 	}
 	if n.pair != nil {
@@ -234,8 +234,8 @@
 // (|g). Each is counted where its event happens: answers and attempts in the clients' side, the list and what of it
 // is avoided in the module, files at SIGHUP here.
 func (n *Node) Figures() []string {
-	classes, active := n.server.Figures()
-	listed, avoided := n.engine.Pool()
+	classes, active := n.server.Stats()
+	listed, avoided := n.engine.PoolSize()
 	lines := make([]string, 0, 4*len(classes)+6)
 	var tries int64
 	for _, c := range classes {
@@ -419,7 +419,7 @@
 // Drain serves on while the front still sends, then closes idle connections and waits for the others to have their
 // answers, within the patience that a planned restart leaves.
 func (n *Node) Drain() {
-	n.server.Leave()
+	n.server.Shutdown()
 	n.goes()
 	// A newer process may listen beside this one: new connections go to it from now on, and what is queued here
 	// already is taken before the listener closes, which would reset it.
--- a/internal/standalone/node/overlap.go
+++ b/internal/standalone/node/overlap.go
@@ -146,11 +146,11 @@
 // beat is one turn; the module is told how much of the ingress this process is, and for how long that holds unless it is
 // renewed: a process that is stopped and wakes must not act on a part that others have taken.
 func (n *Node) beat() {
-	v := n.pair.turn(n.engine.Share)
+	v := n.pair.turn(n.engine.HandOver)
 	n.younger.Store(len(v.Younger) > 0)
 	lease := 0.0
 	if !v.Alone {
 		lease = handover.Lease
 	}
-	n.engine.Part(v.Own.Part, v.Junior, lease)
+	n.engine.SetShare(v.Own.Part, v.Junior, lease)
 }
--- a/internal/standalone/node/overlap_test.go
+++ b/internal/standalone/node/overlap_test.go
@@ -115,12 +115,12 @@
 	if s := ask(t, n, "plus"); s != 200 {
 		t.Fatalf("before: %d", s)
 	}
-	n.engine.Part(0.5, true, 1e-9) // its lease is over at once
+	n.engine.SetShare(0.5, true, 1e-9) // its lease is over at once
 	time.Sleep(time.Millisecond)
 	if s := ask(t, n, "plus"); s != 503 {
 		t.Errorf("with a part that has lapsed: %d, want a refusal", s)
 	}
-	n.engine.Part(1, false, 0)
+	n.engine.SetShare(1, false, 0)
 	if s := ask(t, n, "plus"); s != 200 {
 		t.Errorf("alone again: %d", s)
 	}
--- a/internal/standalone/node/reload.go
+++ b/internal/standalone/node/reload.go
@@ -88,7 +88,7 @@
 	if n.state == nil {
 		n.state = plans.NewState(n.config.Settings.Plans)
 	}
-	n.engine.Revise(func(now decision.Seconds) engine.Catalogue {
+	n.engine.SetCatalogue(func(now decision.Seconds) engine.Catalogue {
 		change(now)
 		n.server.SetPlans(n.state.Plans(now))
 		return n.state
@@ -126,7 +126,7 @@
 		n.config.Settings.Plans = c.Settings.Plans
 	}
 	if s := c.Settings; !slices.Equal(s.Classes, n.config.Settings.Classes) || s.MaxAttempts != n.config.Settings.MaxAttempts {
-		n.engine.Retune(s.Classes, s.MaxAttempts) // the module first: a request of a new class is known there when it comes
+		n.engine.Reconfigure(s.Classes, s.MaxAttempts) // the module first: a request of a new class is known there when it comes
 		n.server.SetClasses(s.Classes)
 		n.config.Settings.Classes, n.config.Settings.MaxAttempts = slices.Clone(s.Classes), s.MaxAttempts
 		n.log.WithFields(logrus.Fields{"code": "process-retuned", "classes": len(s.Classes), "attempts": s.MaxAttempts}).Info("the settings have other classes")
--- a/internal/standalone/plans/plans.go
+++ b/internal/standalone/plans/plans.go
@@ -238,7 +238,7 @@
 		fmt.Fprint(h, "|", m, "=", r.Members[m])
 	}
 	for _, b := range slices.SortedFunc(slices.Values(r.Bookings), func(a, b Booking) int { return cmp.Compare(a.ID, b.ID) }) {
-		fmt.Fprint(h, "|", bookingDigestText(b))
+		fmt.Fprint(h, "|", b)
 	}
 	return fmt.Sprintf("%016x", h.Sum64())
 }
@@ -252,11 +252,6 @@
 		p.LimitRate, p.LimitBurst, p.LimitSlack)
 }
 
-// bookingDigestText is a booking as it enters a digest; see planDigestText.
-func bookingDigestText(b Booking) string {
-	return fmt.Sprintf("{ID:%v Member:%v From:%v To:%v Units:%v}", b.ID, b.Member, b.From, b.To, b.Units)
-}
-
 // Change is one difference between two revisions.
 type Change struct {
 	What, Name string // plan, member, booking or setting
