--- /dev/null
+++ b/internal/control/storage/golden_test.go
@@ -0,0 +1,201 @@
+package storage
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/cockroachdb/pebble/v2"
+	"github.com/cockroachdb/pebble/v2/vfs"
+	"github.com/go-kit/log"
+
+	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/cluster/consensus"
+	"mulleinrouter/internal/cluster/registry"
+)
+
+// goldenDir holds data that the landed version 76a3bb5 wrote: folders, and the records in them as it listed them.
+const goldenDir = "testdata/landed-76a3bb5"
+
+// goldenStep is one batch of the recorded history, with the name under which the dump that follows it is recorded.
+type goldenStep struct {
+	name  string
+	batch Batch
+}
+
+// goldenSteps is the history that the landed version wrote: first start, promise, accepted change, chosen change with a new electorate,
+// instances, members, a staged catch-up, its end, and an accepted change that is not known to be chosen.
+func goldenSteps() []goldenStep {
+	first := consensus.InitialElectorate([]string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"})
+	second := consensus.Electorate{Since: 2, Voters: []consensus.Voter{
+		{At: "10.0.0.1:7000"}, {At: "10.0.0.2:7000", Disk: 1<<63 + 5}, {At: "10.0.0.4:7000", Disk: 77},
+	}}
+	route := configuration.Item{
+		Key: configuration.Key{Kind: configuration.Routes, Name: "route-1"}, Version: 0x10,
+		Body: []byte(`{"authority":"api.example","pathPrefix":"/v1/","deadlineMs":1500,"routeKind":"idempotent","backend":"s"}`), Epoch: 1,
+	}
+	tenant := configuration.Item{Key: configuration.Key{Kind: configuration.Tenants, Name: "tenant ü"}, Version: 1<<32 - 1, Deleted: true, Epoch: 2}
+	history := configuration.History{{Version: 0x10, Digest: 1<<64 - 1}, {Version: 3, Digest: 4}}
+	changed := route
+	changed.Version, changed.Epoch, changed.History = 0x11, 2, &history
+	limits := configuration.Item{Key: configuration.Key{Kind: configuration.Limits}, Version: 1, Body: []byte(`{"maxBodyBytes":1048576}`), Epoch: 2}
+	ballot := consensus.Ballot{Round: 300, Node: "10.0.0.1:7000/17"}
+	proposal := consensus.Proposal{Ballot: ballot, Epoch: 1, Items: []configuration.Item{route}}
+	electing := consensus.Proposal{
+		Ballot: consensus.Ballot{Round: 301, Node: "10.0.0.2:7000/18"}, Epoch: 2,
+		Items: []configuration.Item{changed, tenant, limits}, Voters: second.Voters,
+	}
+	left := consensus.Proposal{
+		Ballot: consensus.Ballot{Round: 1 << 40, Node: "10.0.0.4:7000/19"}, Epoch: 3,
+		Items: []configuration.Item{{Key: configuration.Key{Kind: configuration.Services, Name: "s"}, Version: 9, Body: []byte(`{"healthPath":"/health"}`), Epoch: 3}},
+	}
+	instances := []registry.Instance{
+		{ID: "server-1", Service: "s", Address: "10.1.0.1:80", Zone: "a", Generation: "g1", Capacity: 8, Phase: registry.Draining, Seq: 7, ColdUntil: 12.5},
+		{ID: "server-2", Service: "s", Address: "10.1.0.2:80", Phase: registry.Gone, Seq: 1 << 33},
+		{ID: "server-3"},
+	}
+	return []goldenStep{
+		{"first start", Batch{Acceptor: &consensus.Acceptor{Electorate: first}}},
+		{"promise", Batch{Acceptor: &consensus.Acceptor{Promised: ballot, Electorate: first}}},
+		{"accepted", Batch{Acceptor: &consensus.Acceptor{Promised: ballot, Electorate: first, Pending: &proposal}}},
+		{"accepted again", Batch{Acceptor: &consensus.Acceptor{Promised: ballot, Electorate: first, Pending: &proposal}, NoSync: true}},
+		{"chosen", Batch{Acceptor: &consensus.Acceptor{Promised: ballot, Epoch: 1, Electorate: first}, Items: proposal.Items}},
+		{"electorate accepted", Batch{Acceptor: &consensus.Acceptor{Promised: electing.Ballot, Epoch: 1, Electorate: first, Pending: &electing}}},
+		{"electorate chosen", Batch{
+			Acceptor: &consensus.Acceptor{Promised: electing.Ballot, Epoch: 2, Electorate: second, Disk: 1<<63 + 5}, Items: electing.Items,
+		}},
+		{"instances", Batch{Instances: instances}},
+		{"members", Batch{Members: 12, NoSync: true}},
+		{"deleted instance", Batch{DeleteInstances: []string{"server-3", "server-4"}}},
+		{"staged", Batch{Stage: &Stage{Base: 2, First: 3, Top: 5, From: 1 << 63}, Staged: []configuration.Item{route, tenant}}},
+		{"staged more", Batch{Stage: &Stage{Base: 2, First: 3, Top: 6, From: 1<<63 + 9}, Staged: []configuration.Item{changed}}},
+		{"stage cleared", Batch{ClearStage: true, Items: []configuration.Item{changed}}},
+		{"staged anew", Batch{ClearStage: true, Stage: &Stage{Base: 2, First: 8, Top: 8, From: 4}, Staged: []configuration.Item{limits}}},
+		{"accepted and not chosen", Batch{
+			Acceptor:  &consensus.Acceptor{Promised: left.Ballot, Epoch: 2, Electorate: second, Disk: 1<<63 + 5, Pending: &left},
+			Instances: instances[:1], DeleteInstances: []string{"server-2"}, Members: 13,
+		}},
+	}
+}
+
+// dumpRecords lists the keys and values of a store, in hexadecimal, one record a line.
+func dumpRecords(t *testing.T, db *pebble.DB) string {
+	t.Helper()
+	var out strings.Builder
+	it, err := db.NewIter(nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for it.First(); it.Valid(); it.Next() {
+		fmt.Fprintf(&out, "%x = %x\n", it.Key(), it.Value())
+	}
+	if err := it.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return out.String()
+}
+
+// openGolden opens a store of its own in memory.
+func openGolden(t *testing.T) *Store {
+	t.Helper()
+	store, _, err := Open(vfs.NewMem(), "d", log.NewNopLogger())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { store.Close() })
+	return store
+}
+
+// dumpSteps writes the golden history and lists the records after each of its steps.
+func dumpSteps(t *testing.T, store *Store) string {
+	t.Helper()
+	var out strings.Builder
+	for _, step := range goldenSteps() {
+		if err := store.Save(t.Context(), step.batch); err != nil {
+			t.Fatalf("%s: %v", step.name, err)
+		}
+		fmt.Fprintf(&out, "# %s\n%s", step.name, dumpRecords(t, store.db))
+	}
+	return out.String()
+}
+
+// dumpResaved writes all of a state to a new store and lists its records: what was read, in terms that don't depend on Go's names.
+func dumpResaved(t *testing.T, state State) string {
+	t.Helper()
+	store := openGolden(t)
+	everything := Batch{
+		Acceptor: &state.Acceptor, Items: state.Items, Instances: state.Instances, Members: state.Members,
+		Stage: state.Stage, Staged: state.Staged,
+	}
+	if err := store.Save(t.Context(), everything); err != nil {
+		t.Fatal(err)
+	}
+	return dumpRecords(t, store.db)
+}
+
+// readGolden is a recorded file.
+func readGolden(t *testing.T, name string) string {
+	t.Helper()
+	b, err := os.ReadFile(filepath.Join(goldenDir, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(b)
+}
+
+// diffRecords fails at the first line in which a list of records differs from a recorded one.
+func diffRecords(t *testing.T, got, want string) {
+	t.Helper()
+	if got == want {
+		return
+	}
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(want, "\n")
+	for n := range min(len(gotLines), len(wantLines)) {
+		if gotLines[n] != wantLines[n] {
+			t.Fatalf("line %d:\ngot  %s\nwant %s", n+1, gotLines[n], wantLines[n])
+		}
+	}
+	t.Fatalf("%d lines, want %d", len(gotLines), len(wantLines))
+}
+
+// The same batches leave the same records, byte for byte, as they did in the landed version.
+func TestGoldenRecords(t *testing.T) {
+	diffRecords(t, dumpSteps(t, openGolden(t)), readGolden(t, "records.txt"))
+}
+
+// Folders that the landed version wrote, or that it read though an earlier version wrote them, are read as it read them.
+func TestGoldenFolders(t *testing.T) {
+	for _, folder := range []struct {
+		name  string
+		empty bool
+	}{
+		{name: "version1"},
+		{name: "version2"},
+		{name: "version3-closed"},
+		{name: "version3-killed"},
+		{name: "version3-empty", empty: true},
+	} {
+		t.Run(folder.name, func(t *testing.T) {
+			dir := filepath.Join(t.TempDir(), folder.name)
+			if err := os.CopyFS(dir, os.DirFS(filepath.Join(goldenDir, folder.name))); err != nil {
+				t.Fatal(err)
+			}
+			for _, opened := range []string{"as the landed version left it", "as this version left it"} {
+				store, state, err := Open(nil, dir, log.NewNopLogger())
+				if err != nil {
+					t.Fatalf("%s: %v", opened, err)
+				}
+				if state.Empty != folder.empty {
+					t.Errorf("%s: empty: got %v, want %v", opened, state.Empty, folder.empty)
+				}
+				diffRecords(t, dumpRecords(t, store.db), readGolden(t, folder.name+".records.txt"))
+				diffRecords(t, dumpResaved(t, state), readGolden(t, folder.name+".resaved.txt"))
+				if err := store.Close(); err != nil {
+					t.Fatalf("%s: %v", opened, err)
+				}
+			}
+		})
+	}
+}
