--- a/internal/cluster/configuration/canonical.go
+++ b/internal/cluster/configuration/canonical.go
@@ -6,6 +6,8 @@
 	"slices"
 	"strconv"
 	"strings"
+
+	"mulleinrouter/internal/mutants"
 )
 
 // Two bodies say the same where they are one JSON value (RFC 8259): the order of members, space, the spelling of numbers and strings are the
@@ -35,7 +37,7 @@
 
 // equalBodies tells whether two bodies are one value.
 func equalBodies(a, b []byte) bool {
-	return bytes.Equal(a, b) || bytes.Equal(canonicalBody(a), canonicalBody(b)) && !mutated("byte-for-byte")
+	return bytes.Equal(a, b) || bytes.Equal(canonicalBody(a), canonicalBody(b)) && !mutants.On("configuration/byte-for-byte")
 }
 
 func (t *jsonReader) canonical(out []byte, depth int) ([]byte, error) {
--- a/internal/cluster/configuration/item.go
+++ b/internal/cluster/configuration/item.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"slices"
+
+	"mulleinrouter/internal/mutants"
 )
 
 // Kind is a kind of items.
@@ -54,8 +56,8 @@
 
 // lookupHistory tells what a version said that is overtaken. Where it is neither found nor new, it is too old: nothing is lookupHistory of it.
 func (i Item) lookupHistory(version uint64) (sum uint64, found, isNew bool) {
-	if i.History == nil || mutated("forgets-past") {
-		return 0, false, !mutated("forgets-past")
+	if i.History == nil || mutants.On("configuration/forgets-past") {
+		return 0, false, !mutants.On("configuration/forgets-past")
 	}
 	past := *i.History
 	n, found := slices.BinarySearchFunc(past, version, func(p HistoricVersion, v uint64) int { return cmp.Compare(v, p.Version) })
@@ -93,7 +95,7 @@
 
 // NewerThan tells whether an item takes the place of another of its name: only a higher version does.
 func (i Item) NewerThan(old Item) bool {
-	return i.Version > old.Version || i.Version == old.Version && mutated("equal-wins")
+	return i.Version > old.Version || i.Version == old.Version && mutants.On("configuration/equal-wins")
 }
 
 // maxKeyNameBytes is how long a name may be, in bytes.
--- a/internal/cluster/configuration/snapshot.go
+++ b/internal/cluster/configuration/snapshot.go
@@ -5,6 +5,8 @@
 	"iter"
 	"slices"
 	"strings"
+
+	"mulleinrouter/internal/mutants"
 )
 
 // Snapshot is a set of items, one to a name, with the dropped ones as tombstones. It is immutable: Merge and Check make new ones that
@@ -220,7 +222,7 @@
 	}
 	next, changed = b.merge(items, read)
 	for _, i := range items {
-		if i.contradicts(next.entry(i.Key).Item) && !mutated("takes-contradiction") {
+		if i.contradicts(next.entry(i.Key).Item) && !mutants.On("configuration/takes-contradiction") {
 			return nil, nil, &Rejection{Status: 409, Text: i.Key.String() + ": this version says something else already"}
 		}
 	}
@@ -229,7 +231,7 @@
 		if old == nil || i.Version >= old.Version || read[n].route == nil {
 			continue
 		}
-		if _, _, isNew := old.lookupHistory(i.Version); isNew || mutated("judges-overtaken") {
+		if _, _, isNew := old.lookupHistory(i.Version); isNew || mutants.On("configuration/judges-overtaken") {
 			if err := next.checkRoute(read[n].route); err != nil {
 				return nil, nil, err
 			}
--- a/internal/cluster/consensus/acceptor.go
+++ b/internal/cluster/consensus/acceptor.go
@@ -1,5 +1,7 @@
 package consensus
 
+import "mulleinrouter/internal/mutants"
+
 // Acceptor is what a voter has promised and accepted. Whoever holds one has each changed state on disk, synced, before the
 // answer that came with it leaves: for its own proposals too. An answer that repeats an earlier one waits for the same sync.
 // A node outside the electorate has one as well, and answers from it: what it says counts where it is listed, with its disk.
@@ -43,16 +45,16 @@
 func (a *Acceptor) Accept(p Proposal) (Accepted, bool) {
 	r := Accepted{Promised: a.Promised, Epoch: a.Epoch}
 	switch {
-	case p.Ballot.Compare(a.Promised) < 0 && !mutated("stale-ballot"), p.Epoch <= a.Epoch:
+	case p.Ballot.Compare(a.Promised) < 0 && !mutants.On("consensus/stale-ballot"), p.Epoch <= a.Epoch:
 		return r, false
-	case p.Epoch > a.Epoch+1 && !(mutated("votes-unfinished") && a.Pending == nil):
+	case p.Epoch > a.Epoch+1 && !(mutants.On("consensus/votes-unfinished") && a.Pending == nil):
 		r.Behind = true
 		return r, false
-	case !a.Votes() && !mutated("out-votes") && !mutated("votes-unfinished"):
+	case !a.Votes() && !mutants.On("consensus/out-votes") && !mutants.On("consensus/votes-unfinished"):
 		return r, false
 	}
 	r.OK, r.Promised = true, p.Ballot
-	if mutated("votes-unfinished") {
+	if mutants.On("consensus/votes-unfinished") {
 		r.Epoch = p.Epoch - 1
 	}
 	if a.Pending != nil && a.Pending.Ballot == p.Ballot && a.Pending.Epoch == p.Epoch {
--- a/internal/cluster/consensus/compose.go
+++ b/internal/cluster/consensus/compose.go
@@ -1,6 +1,9 @@
 package consensus
 
-import "mulleinrouter/internal/cluster/configuration"
+import (
+	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/mutants"
+)
 
 // Verdict is what becomes of a call of an operator upon a snapshot.
 type Verdict struct {
@@ -18,7 +21,7 @@
 	next, size := whole, 0
 	for n, call := range calls {
 		changed, alone, err := check(whole, call)
-		if mutated("composes-together") {
+		if mutants.On("consensus/composes-together") {
 			changed, alone, err = check(next, call)
 		}
 		switch {
@@ -33,7 +36,7 @@
 		for _, i := range changed {
 			bytes += i.Size()
 		}
-		if size > 0 && !mutated("composes-blind") {
+		if size > 0 && !mutants.On("consensus/composes-blind") {
 			if size+bytes > most {
 				continue
 			}
--- a/internal/cluster/consensus/mutants_test.go
+++ b/internal/cluster/consensus/mutants_test.go
@@ -2,22 +2,32 @@
 
 package consensus
 
-import "testing"
+import (
+	"testing"
 
-func TestMutants(t *testing.T) {
-	defer func() { Mutant = "" }()
-	for _, Mutant = range []string{"stale-ballot", "ignores-pending", "keeps-ballot", "composes-together", "composes-blind", "crosses-ballot", "new-chooses", "out-votes",
-		"any-disk", "votes-unfinished", "no-seal"} {
-		seed, wrong, fault := uint64(0), "", "unsealed" // found by what it brings about, not by where it sits
-		if Mutant == "no-seal" {
-			fault = ""
-		}
-		for ; seed < 20*walks && wrong == ""; seed++ {
-			wrong, _ = walk(seed, fault)
-		}
-		if wrong == "" {
-			t.Errorf("%s: not found", Mutant)
-		}
-		t.Logf("%s: seed %d: %s", Mutant, seed-1, wrong)
+	"mulleinrouter/internal/mutants"
+)
+
+// The walks find each fault that can be seeded into this package.
+func TestWalksFindMutants(t *testing.T) {
+	for _, mutant := range []string{
+		"stale-ballot", "ignores-pending", "keeps-ballot", "composes-together", "composes-blind", "crosses-ballot", "new-chooses",
+		"out-votes", "any-disk", "votes-unfinished", "no-seal",
+	} {
+		t.Run(mutant, func(t *testing.T) {
+			mutants.Seed(t, "consensus/"+mutant)
+			fault := "unsealed" // a mutant is found by what it brings about, not by the place where it sits
+			if mutant == "no-seal" {
+				fault = ""
+			}
+			seed, wrong := uint64(0), ""
+			for ; seed < 20*walks && wrong == ""; seed++ {
+				wrong, _ = walk(seed, fault)
+			}
+			if wrong == "" {
+				t.Errorf("%s: not found", mutant)
+			}
+			t.Logf("%s: seed %d: %s", mutant, seed-1, wrong)
+		})
 	}
 }
--- a/internal/cluster/consensus/proposer.go
+++ b/internal/cluster/consensus/proposer.go
@@ -4,6 +4,7 @@
 	"math/rand/v2"
 
 	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/mutants"
 )
 
 // ActionKind is what a proposer wants done.
@@ -81,7 +82,7 @@
 func (p *Proposer) Start(base Base, reading bool) Action {
 	p.rebase(base)
 	p.confirmed, p.reading, p.pauses = false, reading, 0
-	if p.inFlight != nil || p.highestSeen.Compare(p.ballot) > 0 || p.current != Done && !mutated("keeps-ballot") {
+	if p.inFlight != nil || p.highestSeen.Compare(p.ballot) > 0 || p.current != Done && !mutants.On("consensus/keeps-ballot") {
 		p.prepared = false // what is out comes first; and a higher ballot is about, which most would stand by
 	}
 	if reading {
@@ -97,11 +98,11 @@
 // is nothing to the next.
 func (p *Proposer) rebase(b Base) bool {
 	other := !b.Electorate.Equal(p.base.Electorate)
-	if mutated("out-votes") && p.base.Electorate.Known() {
+	if mutants.On("consensus/out-votes") && p.base.Electorate.Known() {
 		b.Electorate.Voters = p.base.Electorate.Voters
 	}
 	p.base = b
-	if other && !mutated("crosses-ballot") {
+	if other && !mutants.On("consensus/crosses-ballot") {
 		p.prepared = false
 	}
 	return other
@@ -116,7 +117,7 @@
 	if a.Epoch > p.newestEpoch || p.newestAt == "" {
 		p.newestEpoch, p.newestAt = a.Epoch, from
 	}
-	if p.current == Prepare && (!a.OK || a.Promised != p.ballot) || !p.base.Electorate.Has(Voter{At: from, Disk: a.Disk}) && !mutated("any-disk") {
+	if p.current == Prepare && (!a.OK || a.Promised != p.ballot) || !p.base.Electorate.Has(Voter{At: from, Disk: a.Disk}) && !mutants.On("consensus/any-disk") {
 		return p.refused(from)
 	}
 	if p.granted[from] {
@@ -144,7 +145,7 @@
 		p.inFlight = nil
 	}
 	open := p.foundPending
-	if open != nil && (open.Epoch != p.base.Epoch+1 || mutated("ignores-pending")) {
+	if open != nil && (open.Epoch != p.base.Epoch+1 || mutants.On("consensus/ignores-pending")) {
 		open = nil
 	}
 	if p.asked == Read {
@@ -160,7 +161,7 @@
 	if open != nil {
 		return p.accept(open.Items, open.Voters)
 	}
-	if p.needsSeal && !mutated("no-seal") {
+	if p.needsSeal && !mutants.On("consensus/no-seal") {
 		return p.accept(nil, nil)
 	}
 	if p.reading {
@@ -213,7 +214,7 @@
 
 func (p *Proposer) accept(items []configuration.Item, voters []Voter) Action {
 	p.inFlight = &Proposal{Ballot: p.ballot, Epoch: p.base.Epoch + 1, Items: items, Voters: voters}
-	if voters != nil && mutated("new-chooses") {
+	if voters != nil && mutants.On("consensus/new-chooses") {
 		p.base.Electorate.Voters = voters
 	}
 	return p.emit(Action{Kind: Accept, To: p.base.Electorate.Addresses(), Proposal: *p.inFlight})
@@ -245,7 +246,7 @@
 	}
 	p.pauses = 0
 	if p.rebase(base) {
-		if mutated("crosses-ballot") {
+		if mutants.On("consensus/crosses-ballot") {
 			return p.emit(Action{Kind: Compose, Confirmed: p.confirmed})
 		}
 		return p.startRound(Prepare)
--- a/internal/control/orders_mutants_test.go
+++ b/internal/control/orders_mutants_test.go
@@ -6,15 +6,14 @@
 	"sync"
 	"testing"
 
-	"mulleinrouter/internal/cluster/configuration"
-	"mulleinrouter/internal/cluster/consensus"
+	"mulleinrouter/internal/mutants"
 )
 
 // The orders find what is seeded here, in the directory and in the ballots: in so many seeds, or in a scene.
 func TestOrdersFind(t *testing.T) {
 	for _, f := range []struct {
 		mutant string
-		of     *string
+		of     *string // nil: it is one of package mutants
 		scene  string
 	}{
 		{"answers-before", &Mutant, ""},
@@ -23,24 +22,33 @@
 		{"learns-any", &Mutant, "word of another"},
 		{"refuses-unsure", &Mutant, "cut off"},
 		{"proposes-gone", &Mutant, "gone"},
-		{"keeps-ballot", &consensus.Mutant, "late majority"},
-		{"stale-ballot", &consensus.Mutant, ""},
-		{"ignores-pending", &consensus.Mutant, ""},
-		{"composes-blind", &consensus.Mutant, ""},
-		{"byte-for-byte", &configuration.Mutant, ""},
-		{"forgets-past", &configuration.Mutant, ""},
-		{"judges-overtaken", &configuration.Mutant, ""},
-		{"takes-contradiction", &configuration.Mutant, ""},
-		{"equal-wins", &configuration.Mutant, ""},
+		{"consensus/keeps-ballot", nil, "late majority"},
+		{"consensus/stale-ballot", nil, ""},
+		{"consensus/ignores-pending", nil, ""},
+		{"consensus/composes-blind", nil, ""},
+		{"configuration/byte-for-byte", nil, ""},
+		{"configuration/forgets-past", nil, ""},
+		{"configuration/judges-overtaken", nil, ""},
+		{"configuration/takes-contradiction", nil, ""},
+		{"configuration/equal-wins", nil, ""},
 	} {
-		*f.of = f.mutant
+		if f.of != nil {
+			*f.of = f.mutant
+		} else {
+			mutants.Seed(t, f.mutant)
+		}
 		seed, wrong := uint64(0), ""
 		if f.scene != "" {
 			wrong = play(t, scenes[f.scene])
 		} else {
 			seed, wrong = firstWrong(t, 200)
 		}
-		if *f.of = ""; wrong == "" {
+		if f.of != nil {
+			*f.of = ""
+		} else {
+			mutants.Seed(t, "")
+		}
+		if wrong == "" {
 			t.Errorf("%s: not found", f.mutant)
 		}
 		t.Logf("%s: seed %d: %.300s", f.mutant, seed, wrong)
--- a/internal/control/storage/mutants_test.go
+++ b/internal/control/storage/mutants_test.go
@@ -2,18 +2,25 @@
 
 package storage
 
-import "testing"
+import (
+	"testing"
 
-func TestMutants(t *testing.T) {
-	defer func() { Mutant = "" }()
-	for _, Mutant = range []string{"folder-unsynced"} {
-		seed, wrong, refused := uint64(0), "", 0
-		for ; seed < 10 && wrong == "" && refused == 0; seed++ {
-			wrong, _, refused = namesWalk(seed)
-		}
-		if wrong == "" && refused == 0 {
-			t.Errorf("%s: not found", Mutant)
-		}
-		t.Logf("%s: seed %d: %d refused, %s", Mutant, seed-1, refused, wrong)
+	"mulleinrouter/internal/mutants"
+)
+
+// The walks over power losses find each fault that can be seeded into this package.
+func TestPowerLossWalksFindMutants(t *testing.T) {
+	for _, mutant := range []string{"folder-unsynced"} {
+		t.Run(mutant, func(t *testing.T) {
+			mutants.Seed(t, "storage/"+mutant)
+			seed, wrong, refused := uint64(0), "", 0
+			for ; seed < 10 && wrong == "" && refused == 0; seed++ {
+				wrong, _, refused = namesWalk(seed)
+			}
+			if wrong == "" && refused == 0 {
+				t.Errorf("%s: not found", mutant)
+			}
+			t.Logf("%s: seed %d: %d refused, %s", mutant, seed-1, refused, wrong)
+		})
 	}
 }
--- a/internal/control/storage/retrying_fs.go
+++ b/internal/control/storage/retrying_fs.go
@@ -7,6 +7,8 @@
 
 	"github.com/cockroachdb/errors"
 	"github.com/cockroachdb/pebble/v2/vfs"
+
+	"mulleinrouter/internal/mutants"
 )
 
 // retryingFS is a file system on a disk that may refuse: what it refuses is tried again until the disk takes it, as if it had been slow,
@@ -56,7 +58,7 @@
 
 // settle has the names made in a folder on disk.
 func (s *retryingFS) settle(name string) error {
-	if c := s.count(name); c.made == c.synced || mutated("folder-unsynced") {
+	if c := s.count(name); c.made == c.synced || mutants.On("storage/folder-unsynced") {
 		return nil
 	}
 	d, err := s.OpenDir(name)
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -26,6 +26,7 @@
 	"internal/decision/conformance",
 	"internal/decision/ratelimit",
 	"internal/decision/retry",
+	"internal/mutants",
 	"internal/standalone/fleet/membership",
 	"internal/standalone/fleet/quotashare",
 	"internal/standalone/fleet/revisionlog",
@@ -76,13 +77,13 @@
 // by all but the programs of the control side.
 var allowed = map[string][]string{
 	"agent":      {"cluster"},
-	"cluster":    {"cluster"},
-	"control":    {"cluster", "control"},
-	"dataplane":  {"dataplane", "decision"},
+	"cluster":    {"cluster", "mutants"},
+	"control":    {"cluster", "control", "mutants"},
+	"dataplane":  {"dataplane", "decision", "mutants"},
 	"decision":   {"decision"},
 	"emulator":   {"cluster", "control", "dataplane", "emulator", "standalone", "decision"},
 	"proxy":      {"cluster", "dataplane", "decision"},
-	"standalone": {"dataplane", "standalone", "decision"},
+	"standalone": {"dataplane", "standalone", "decision", "mutants"},
 }
 
 // exceptions are the imports that cross a layer all the same, with the reason.
--- /dev/null
+++ b/internal/mutants/off.go
@@ -0,0 +1,6 @@
+//go:build !mutants
+
+package mutants
+
+// On reports whether the named fault is seeded: never, in builds without the tag mutants.
+func On(string) bool { return false }
