--- a/internal/cluster/configuration/fields.go
+++ b/internal/cluster/configuration/fields.go
@@ -16,7 +16,7 @@
 	MaxPrefixBytes = 1024    // bytes of a path's prefix, and so of the part of a path that is looked at
 	MaxKeyBytes    = 1024    // bytes of a tenant's key
 	MaxKeys        = 10_000  // keys of a tenant
-	MaxShares      = 1000    // services that a route splits over
+	MaxSplitServices      = 1000    // services that a route splits over
 	MaxBodyBytes   = 1 << 20 // bytes of an item's body
 )
 
@@ -27,7 +27,7 @@
 	Prefix      string            // of the path; begins and ends with a slash
 	Mutating    bool              // mutating: at most one run for each try of a client
 	Deadline    float64           // seconds that a request may be held at most
-	Target      float64           // seconds within which an answer earns its full worth; Deadline where none is given
+	LatencyTarget      float64           // seconds within which an answer earns its full worth; Deadline where none is given
 	Priority    int               // 0 is the highest
 	MaxAttempts int               // servers that one try of a client may be sent to; at least 1
 	Public      bool              // no key is needed
@@ -103,10 +103,10 @@
 	}
 	host := r.text("authority", math.MaxInt)
 	route := Route{Name: i.Key.Name, Host: HostOf(host), Prefix: r.text("pathPrefix", MaxPrefixBytes), Deadline: r.seconds("deadlineMs"),
-		Target: r.seconds("targetMs"), Priority: r.whole("priority", math.MinInt32), MaxAttempts: max(r.whole("maxTries", math.MinInt32), 1),
+		LatencyTarget: r.seconds("targetMs"), Priority: r.whole("priority", math.MinInt32), MaxAttempts: max(r.whole("maxTries", math.MinInt32), 1),
 		Public: r.flag("public"), Service: r.text("backend", MaxNameBytes), Version: i.Version, Epoch: i.Epoch}
-	if route.Target == 0 {
-		route.Target = route.Deadline
+	if route.LatencyTarget == 0 {
+		route.LatencyTarget = route.Deadline
 	}
 	r.must(route.Host != "", "authority", "empty")
 	r.must(len(route.Host) <= MaxHostBytes, "authority", "too long")
@@ -120,7 +120,7 @@
 	default:
 		r.must(false, "routeKind", fmt.Sprintf("%.40q is neither idempotent nor mutating", kind))
 	}
-	shares, given := r.list("weighted", MaxShares)
+	shares, given := r.list("weighted", MaxSplitServices)
 	r.must(given || route.Service != "", "backend", "missing, and so is weighted")
 	var sum float64
 	for n, v := range shares {
--- a/internal/cluster/configuration/routing_table.go
+++ b/internal/cluster/configuration/routing_table.go
@@ -114,11 +114,11 @@
 // HasTenants tells whether any tenant stands, so that requests need a key.
 func (t *RoutingTable) HasTenants() bool { return t.tenants.size > 0 }
 
-// Tenants is the number of tenants that stand.
-func (t *RoutingTable) Tenants() int { return t.tenants.size }
+// TenantCount is the number of tenants that stand.
+func (t *RoutingTable) TenantCount() int { return t.tenants.size }
 
-// Routes is the number of routes that stand.
-func (t *RoutingTable) Routes() int {
+// RouteCount is the number of routes that stand.
+func (t *RoutingTable) RouteCount() int {
 	if t.book == nil {
 		return 0
 	}
--- a/internal/cluster/configuration/snapshot_test.go
+++ b/internal/cluster/configuration/snapshot_test.go
@@ -79,13 +79,13 @@
 
 	table := NewRoutingTable().With(book, changed)
 	route := table.Route("a.EXAMPLE:8388", "/a/b")
-	is.Equal(*route, Route{Name: "r-1", Host: "a.example", Prefix: "/a/", Deadline: 1.0005, Target: 0.4, Priority: 2, MaxAttempts: 2, Public: true,
+	is.Equal(*route, Route{Name: "r-1", Host: "a.example", Prefix: "/a/", Deadline: 1.0005, LatencyTarget: 0.4, Priority: 2, MaxAttempts: 2, Public: true,
 		Split: []WeightedService{{"s1", 90}, {"s2", 0.5}}, Version: 10})
 	is.Equal(*table.Tenant("k2"), Tenant{Name: `t"1`, Keys: []string{"k1", "k2"}, Priority: 1, Rate: 94.5, Burst: 9, Version: 7})
 	is.Equal(*table.Service("s1"), Service{Name: "s1", Health: "/health", MaxConnections: 130, Version: 7})
 	is.Equal(table.ClientLimits(), ClientLimits{HeaderBytes: 16384, BodyBytes: 67108864, HeaderTime: 3, IdleTime: 15})
 	is.Equal(table.RouteByName("r-1"), route)
-	is.Equal([]int{table.Routes(), table.Tenants(), len(slices.Collect(table.Services()))}, []int{1, 1, 2})
+	is.Equal([]int{table.RouteCount(), table.TenantCount(), len(slices.Collect(table.Services()))}, []int{1, 1, 2})
 	for _, path := range []string{"", "/", "/a", "a/", "/b/a/"} {
 		is.Equal(table.Route("a.example", path), nil)
 	}
@@ -414,8 +414,8 @@
 	for i := range b.All() {
 		is.True(i.SameContent(m[i.Key]))
 	}
-	is.Equal(table.Routes(), len(m.routes()))
-	is.Equal(table.Tenants(), len(m.tenants()))
+	is.Equal(table.RouteCount(), len(m.routes()))
+	is.Equal(table.TenantCount(), len(m.tenants()))
 	for _, host := range hosts {
 		for _, path := range paths {
 			found := table.Route(host, path+"w")
@@ -543,7 +543,7 @@
 			book, changed = book.Merge([]Item{{Key: Key{kind, name}, Version: 10, Deleted: true}})
 			table = table.With(book, changed)
 		}
-		is.True(table.Route("a", "/") == nil && table.Tenant("k") == nil && !table.HasTenants() && table.Routes() == 0)
+		is.True(table.Route("a", "/") == nil && table.Tenant("k") == nil && !table.HasTenants() && table.RouteCount() == 0)
 		is.Equal(book.routesByKey.size+book.serviceReferences.size+table.keys.size+table.tenants.size, 0)
 	}
 }
--- a/internal/cluster/configuration/walk.go
+++ b/internal/cluster/configuration/walk.go
@@ -21,10 +21,10 @@
 // Position is where a key stands in the order of From, in any snapshot.
 func (k Key) Position() uint64 { return walkPosition(k.hash()) }
 
-// From goes through the items that stand at a position or behind it, dropped ones included, in order of their positions. What follows
-// an item is had again with From(position+1): in this snapshot or a later one, here or on another machine. Keys that share a position, hardly
+// ItemsFrom goes through the items that stand at a position or behind it, dropped ones included, in order of their positions. What follows
+// an item is had again with ItemsFrom(position+1): in this snapshot or a later one, here or on another machine. Keys that share a position, hardly
 // ever any, come one after the other, in no order.
-func (b *Snapshot) From(position uint64) iter.Seq2[uint64, Item] {
+func (b *Snapshot) ItemsFrom(position uint64) iter.Seq2[uint64, Item] {
 	return func(yield func(uint64, Item) bool) {
 		if b != nil {
 			b.items.root.from(0, position, false, func(k Key, e *entry) bool { return yield(k.Position(), e.Item) })
--- a/internal/cluster/configuration/walk_test.go
+++ b/internal/cluster/configuration/walk_test.go
@@ -36,7 +36,7 @@
 		if n == 0 {
 			most = len(want) + 1
 		}
-		for p, i := range book.From(at) {
+		for p, i := range book.ItemsFrom(at) {
 			is.Equal(p, i.Key.Position())
 			if got = append(got, i.Key); len(got) >= most {
 				break
--- a/internal/cluster/consensus/acceptor.go
+++ b/internal/cluster/consensus/acceptor.go
@@ -10,15 +10,15 @@
 	Epoch      uint64     `cbor:"2,keyasint"`           // of the newest snapshot that is known here to be chosen
 	Electorate Electorate `cbor:"3,keyasint,omitempty"` // that chooses the change to the next epoch; empty: not known
 	Disk       uint64     `cbor:"4,keyasint,omitempty"` // drawn when it was first written to; 0: at the first start of all
-	At         string     `cbor:"-"`                    // own address
+	Addr         string     `cbor:"-"`                    // own address
 	Pending    *Proposal  `cbor:"-"`                    // accepted upon that snapshot, not known to be chosen; never changed in place
 }
 
 // Self is the voter that this is, if it is one.
-func (a *Acceptor) Self() Voter { return Voter{At: a.At, Disk: a.Disk} }
+func (a *Acceptor) Self() Voter { return Voter{Addr: a.Addr, Disk: a.Disk} }
 
-// Votes tells whether this is in the electorate that chooses next, as far as is known here.
-func (a *Acceptor) Votes() bool { return a.Electorate.Has(a.Self()) }
+// IsVoter tells whether this is in the electorate that chooses next, as far as is known here.
+func (a *Acceptor) IsVoter() bool { return a.Electorate.Contains(a.Self()) }
 
 // Base is what a proposer here starts from.
 func (a *Acceptor) Base() Base { return Base{Epoch: a.Epoch, Electorate: a.Electorate} }
@@ -50,7 +50,7 @@
 	case p.Epoch > a.Epoch+1 && !(mutants.On("consensus/votes-unfinished") && a.Pending == nil):
 		r.Behind = true
 		return r, false
-	case !a.Votes() && !mutants.On("consensus/out-votes") && !mutants.On("consensus/votes-unfinished"):
+	case !a.IsVoter() && !mutants.On("consensus/out-votes") && !mutants.On("consensus/votes-unfinished"):
 		return r, false
 	}
 	r.OK, r.Promised = true, p.Ballot
@@ -74,8 +74,8 @@
 	return true
 }
 
-// Above is the first ballot of a name that is higher than another.
-func (b Ballot) Above(name string) Ballot { return Ballot{Round: b.Round + 1, Node: name} }
+// Next is the first ballot of a name that is higher than another.
+func (b Ballot) Next(name string) Ballot { return Ballot{Round: b.Round + 1, Node: name} }
 
 // Majority is more than half of a number of voters.
 func Majority(n int) int { return n/2 + 1 }
--- a/internal/cluster/consensus/electorate.go
+++ b/internal/cluster/consensus/electorate.go
@@ -5,7 +5,7 @@
 // Voter is a control node that chooses, with the disk that its votes are on. A machine that comes with another disk is another voter:
 // the lost one is as one that never answers again, and none of its votes is given twice.
 type Voter struct {
-	At   string `cbor:"1,keyasint"`
+	Addr   string `cbor:"1,keyasint"`
 	Disk uint64 `cbor:"2,keyasint,omitempty"` // 0: that of the first start
 }
 
@@ -23,7 +23,7 @@
 func InitialElectorate(at []string) Electorate {
 	var e Electorate
 	for _, a := range at {
-		e.Voters = append(e.Voters, Voter{At: a})
+		e.Voters = append(e.Voters, Voter{Addr: a})
 	}
 	return e
 }
@@ -31,12 +31,12 @@
 // Known tells whether there is one at all.
 func (e Electorate) Known() bool { return len(e.Voters) > 0 }
 
-// Has tells whether a voter is in it, with that disk.
-func (e Electorate) Has(v Voter) bool { return slices.Contains(e.Voters, v) }
+// Contains tells whether a voter is in it, with that disk.
+func (e Electorate) Contains(v Voter) bool { return slices.Contains(e.Voters, v) }
 
-// At is the voter at an address.
-func (e Electorate) At(addr string) (Voter, bool) {
-	k := slices.IndexFunc(e.Voters, func(v Voter) bool { return v.At == addr })
+// VoterAt is the voter at an address.
+func (e Electorate) VoterAt(addr string) (Voter, bool) {
+	k := slices.IndexFunc(e.Voters, func(v Voter) bool { return v.Addr == addr })
 	if k < 0 {
 		return Voter{}, false
 	}
@@ -47,7 +47,7 @@
 func (e Electorate) Addresses() []string {
 	all := make([]string, len(e.Voters))
 	for k, v := range e.Voters {
-		all[k] = v.At
+		all[k] = v.Addr
 	}
 	return all
 }
@@ -60,12 +60,12 @@
 	return e.Since == o.Since && slices.Equal(e.Voters, o.Voters)
 }
 
-// Replaced is its voters with one in the place of another: by address. Out empty: one more. In empty: one less.
-func (e Electorate) Replaced(out string, in Voter) []Voter {
+// ReplaceVoter is its voters with one in the place of another: by address. Out empty: one more. In empty: one less.
+func (e Electorate) ReplaceVoter(out string, in Voter) []Voter {
 	all := slices.Clone(e.Voters)
-	k := slices.IndexFunc(all, func(v Voter) bool { return v.At == out })
+	k := slices.IndexFunc(all, func(v Voter) bool { return v.Addr == out })
 	switch {
-	case k >= 0 && in.At == "":
+	case k >= 0 && in.Addr == "":
 		return slices.Delete(all, k, k+1)
 	case k >= 0:
 		all[k] = in
--- a/internal/cluster/consensus/proposer.go
+++ b/internal/cluster/consensus/proposer.go
@@ -117,7 +117,7 @@
 	if a.Epoch > p.newestEpoch || p.newestAt == "" {
 		p.newestEpoch, p.newestAt = a.Epoch, from
 	}
-	if p.current == Prepare && (!a.OK || a.Promised != p.ballot) || !p.base.Electorate.Has(Voter{At: from, Disk: a.Disk}) && !mutants.On("consensus/any-disk") {
+	if p.current == Prepare && (!a.OK || a.Promised != p.ballot) || !p.base.Electorate.Contains(Voter{Addr: from, Disk: a.Disk}) && !mutants.On("consensus/any-disk") {
 		return p.refused(from)
 	}
 	if p.granted[from] {
@@ -257,8 +257,8 @@
 	return p.emit(Action{Kind: Compose, Confirmed: p.confirmed})
 }
 
-// Lost tells that a voter does not answer.
-func (p *Proposer) Lost(try uint64, from string) Action {
+// NoReply tells that a voter does not answer.
+func (p *Proposer) NoReply(try uint64, from string) Action {
 	if try != p.try || (p.current != Prepare && p.current != Read && p.current != Accept) {
 		return Action{}
 	}
@@ -328,7 +328,7 @@
 		if p.highestSeen.Compare(p.ballot) < 0 {
 			p.highestSeen = p.ballot
 		}
-		p.ballot = p.highestSeen.Above(p.name)
+		p.ballot = p.highestSeen.Next(p.name)
 		p.ballot.Round += p.rnd.Uint64N(2 + 8*uint64(min(p.pauses, 10))) // who lost a few rounds is not to lose the next by its name
 		a.Ballot = p.ballot
 	}
--- a/internal/cluster/consensus/walk_test.go
+++ b/internal/cluster/consensus/walk_test.go
@@ -141,7 +141,7 @@
 	n := w.nodes[i]
 	w.lives++
 	n.disk = n.kept
-	n.At = w.names[i]
+	n.Addr = w.names[i]
 	n.name = fmt.Sprintf("%d/%d", i, w.lives)
 	n.p, n.todo, n.late, n.left, n.want = NewProposer(n.name, uint64(w.lives)), Action{Kind: Done}, nil, false, nil
 	n.changed = 0
@@ -219,7 +219,7 @@
 
 // lost tells whether a voter's disk is gone.
 func (w *world) lost(v Voter, also int) bool {
-	k := slices.Index(w.names, v.At)
+	k := slices.Index(w.names, v.Addr)
 	n := w.nodes[k]
 	if k == also || n.gone {
 		return true
@@ -269,22 +269,22 @@
 func (w *world) seat(i int) {
 	n := w.nodes[i]
 	e := n.Electorate
-	if v, listed := e.At(n.At); listed && v.Disk != n.Disk {
+	if v, listed := e.VoterAt(n.Addr); listed && v.Disk != n.Disk {
 		if n.kept.Disk == n.Disk {
 			w.enroll(i)
 		}
 		return
 	}
 	k := w.rnd.IntN(len(w.nodes))
-	in := Voter{At: w.names[k], Disk: w.nodes[k].kept.Disk}
-	if _, listed := e.At(in.At); listed || w.nodes[k].gone || w.nodes[k].kept.blank() {
+	in := Voter{Addr: w.names[k], Disk: w.nodes[k].kept.Disk}
+	if _, listed := e.VoterAt(in.Addr); listed || w.nodes[k].gone || w.nodes[k].kept.blank() {
 		in = Voter{}
 	}
-	out := e.Voters[w.rnd.IntN(len(e.Voters))].At
-	if in.At != "" && len(e.Voters) < 5 && w.rnd.IntN(4) == 0 {
+	out := e.Voters[w.rnd.IntN(len(e.Voters))].Addr
+	if in.Addr != "" && len(e.Voters) < 5 && w.rnd.IntN(4) == 0 {
 		out = ""
 	}
-	if in.At == "" && len(e.Voters) <= 3 || out == "" && in.At == "" {
+	if in.Addr == "" && len(e.Voters) <= 3 || out == "" && in.Addr == "" {
 		return
 	}
 	n.left = false
@@ -297,7 +297,7 @@
 func (w *world) enroll(i int) {
 	n := w.nodes[i]
 	n.left = false
-	n.want = &seat{n.At, n.Self()}
+	n.want = &seat{n.Addr, n.Self()}
 	w.act(i, n.p.Start(n.Base(), false))
 }
 
@@ -307,17 +307,17 @@
 		return nil
 	}
 	e := n.Electorate
-	_, out := e.At(n.want.out)
-	if n.want.out != "" && !out || n.want.in.At != "" && e.Has(n.want.in) || n.want.in.At == "" && len(e.Voters) <= 3 || n.want.out == "" && len(e.Voters) >= 5 {
+	_, out := e.VoterAt(n.want.out)
+	if n.want.out != "" && !out || n.want.in.Addr != "" && e.Contains(n.want.in) || n.want.in.Addr == "" && len(e.Voters) <= 3 || n.want.out == "" && len(e.Voters) >= 5 {
 		return nil
 	}
-	if v, ok := e.At(n.want.in.At); ok && v.At != n.want.out {
+	if v, ok := e.VoterAt(n.want.in.Addr); ok && v.Addr != n.want.out {
 		return nil
 	}
-	if n.want.in.At != "" && w.lost(n.want.in, -1) {
+	if n.want.in.Addr != "" && w.lost(n.want.in, -1) {
 		return nil // it must be heard when it is proposed
 	}
-	return e.Replaced(n.want.out, n.want.in)
+	return e.ReplaceVoter(n.want.out, n.want.in)
 }
 
 // send has an operator send a call to a node: a new one, or one of which it has no clear answer.
@@ -424,7 +424,7 @@
 func (w *world) sealed(e Electorate) {
 	have := 0
 	for _, v := range e.Voters {
-		if n := w.nodes[slices.Index(w.names, v.At)]; n.kept.Electorate.Since >= e.Since || w.lost(v, -1) {
+		if n := w.nodes[slices.Index(w.names, v.Addr)]; n.kept.Electorate.Since >= e.Since || w.lost(v, -1) {
 			have++ // or had, before a loss that came since
 		}
 	}
@@ -610,7 +610,7 @@
 				if n.gone {
 					continue
 				}
-				v, listed := n.Electorate.At(n.At)
+				v, listed := n.Electorate.VoterAt(n.Addr)
 				listed = listed && v.Disk != n.Disk
 				quiet = quiet && n.todo.Kind == Done && !n.blank() && !listed
 				switch {
--- a/internal/cluster/transport/golden_test.go
+++ b/internal/cluster/transport/golden_test.go
@@ -38,7 +38,7 @@
 		},
 		{ID: "server-2"},
 	}
-	voters := []consensus.Voter{{At: "10.0.0.1:7000"}, {At: "10.0.0.2:7000", Disk: 1<<64 - 2}}
+	voters := []consensus.Voter{{Addr: "10.0.0.1:7000"}, {Addr: "10.0.0.2:7000", Disk: 1<<64 - 2}}
 	proposal := consensus.Proposal{Ballot: ballot, Epoch: 5, Items: items, Voters: voters}
 	bare := consensus.Proposal{Ballot: ballot, Epoch: 5}
 	return []goldenFrame{
--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -53,7 +53,7 @@
 
 // staging is what has come of a transfer. The voter's lock is held.
 type staging struct {
-	storage.Stage
+	storage.StageProgress
 	items map[configuration.Key]configuration.Item
 	saved bool      // there is something of it on disk
 	moved time.Time // when the last piece came
@@ -61,18 +61,18 @@
 
 // load takes what was on disk.
 func (s *staging) load(from storage.State) {
-	if s.saved = from.Stage != nil; !s.saved || from.Stage.Top <= from.Acceptor.Epoch || mutated("begins-anew") {
+	if s.saved = from.Stage != nil; !s.saved || from.Stage.LastEpoch <= from.Acceptor.Epoch || mutated("begins-anew") {
 		return
 	}
-	s.Stage, s.items = *from.Stage, map[configuration.Key]configuration.Item{}
-	for _, i := range from.Staged {
+	s.StageProgress, s.items = *from.Stage, map[configuration.Key]configuration.Item{}
+	for _, i := range from.StagedItems {
 		s.items[i.Key] = i
 	}
 }
 
 // finish drops what is staged once a snapshot as new is here. It tells whether there is anything of it on disk.
 func (s *staging) finish(epoch uint64) (saved bool) {
-	if s.Top > epoch {
+	if s.LastEpoch > epoch {
 		return false
 	}
 	saved = s.saved
@@ -90,23 +90,23 @@
 			s.items[it.Key] = it
 		}
 	}
-	if s.From == 0 {
-		s.First = i.Epoch
+	if s.NextPosition == 0 {
+		s.FirstEpoch = i.Epoch
 	}
-	s.Top, s.From = i.Epoch, i.NextPosition
-	if s.From != 0 {
+	s.LastEpoch, s.NextPosition = i.Epoch, i.NextPosition
+	if s.NextPosition != 0 {
 		return false
 	}
-	s.Base = s.First
-	return s.First == s.Top || mutated("mixes-epochs")
+	s.BaseEpoch = s.FirstEpoch
+	return s.FirstEpoch == s.LastEpoch || mutated("mixes-epochs")
 }
 
 // nextCatchUpRequest is the question for the next piece.
 func (v *replica) nextCatchUpRequest() *transport.CatchUpRequest {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.staging.Base = max(v.staging.Base, v.acceptor.Epoch)
-	return &transport.CatchUpRequest{Epoch: v.staging.Base, FromPosition: v.staging.From, NewestEpoch: v.staging.Top}
+	v.staging.BaseEpoch = max(v.staging.BaseEpoch, v.acceptor.Epoch)
+	return &transport.CatchUpRequest{Epoch: v.staging.BaseEpoch, FromPosition: v.staging.NextPosition, NewestEpoch: v.staging.LastEpoch}
 }
 
 // stageChunk takes the answer to a question. It tells how far the snapshot here is then, and whether the answer was of any use: one to a question
@@ -116,12 +116,12 @@
 	defer v.mu.Unlock()
 	e := electorateOf(i)
 	s := &v.staging
-	s.Base = max(s.Base, v.acceptor.Epoch)
-	if !e.Known() || len(e.Voters) > maxPeers || v.storage == nil || i.Epoch <= v.acceptor.Epoch || i.Epoch < s.Top && !mutated("older-source") || q.FromPosition != s.From || q.Epoch > s.Base || i.NextPosition != 0 && i.NextPosition <= q.FromPosition || !allKeysValid(i.Items) {
+	s.BaseEpoch = max(s.BaseEpoch, v.acceptor.Epoch)
+	if !e.Known() || len(e.Voters) > maxPeers || v.storage == nil || i.Epoch <= v.acceptor.Epoch || i.Epoch < s.LastEpoch && !mutated("older-source") || q.FromPosition != s.NextPosition || q.Epoch > s.BaseEpoch || i.NextPosition != 0 && i.NextPosition <= q.FromPosition || !allKeysValid(i.Items) {
 		return v.acceptor.Epoch, false
 	}
 	s.moved = time.Now()
-	direct := s.Top == 0 && i.NextPosition == 0
+	direct := s.LastEpoch == 0 && i.NextPosition == 0
 	if whole := s.add(i); whole || mutated("epoch-before-items") {
 		items := make([]configuration.Item, 0, len(s.items))
 		for _, it := range s.items {
@@ -129,11 +129,11 @@
 		}
 		v.apply(consensus.Base{Epoch: i.Epoch, Electorate: e}, items)
 	} else if !direct {
-		stage := s.Stage
+		stage := s.StageProgress
 		s.saved = true
-		b := storage.Batch{Stage: &stage, Staged: i.Items, NoSync: true} // what is lost of it comes again
+		b := storage.Batch{Stage: &stage, StagedItems: i.Items, NoSync: true} // what is lost of it comes again
 		if mutated("position-without-items") {
-			b.Staged = nil
+			b.StagedItems = nil
 		}
 		v.storage.Put(b)
 	}
@@ -169,7 +169,7 @@
 func itemsNewerThan(book *configuration.Snapshot, recent []chosenChange, epoch, from uint64) iter.Seq2[uint64, configuration.Item] {
 	if len(recent) == 0 || recent[0].epoch > epoch+1 && !(mutated("recent-off-by-one") && recent[0].epoch == epoch+2) {
 		return func(yield func(uint64, configuration.Item) bool) {
-			for at, i := range book.From(from) {
+			for at, i := range book.ItemsFrom(from) {
 				if i.Epoch > epoch && !yield(at, i) {
 					return
 				}
@@ -312,7 +312,7 @@
 func (v *replica) staged() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.staging.Top != 0
+	return v.staging.LastEpoch != 0
 }
 
 // moved is when the last piece came.
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -490,7 +490,7 @@
 				m = c.start(c.seeds[2], disk, false)
 			}
 			if time.Since(began) > 5*time.Minute {
-				t.Fatalf("not there after %v: %+v", time.Since(began), m.replica.staging.Stage)
+				t.Fatalf("not there after %v: %+v", time.Since(began), m.replica.staging.StageProgress)
 			}
 		}
 		took := time.Since(began)
--- a/internal/control/electorate.go
+++ b/internal/control/electorate.go
@@ -93,11 +93,11 @@
 func (n *Node) enroll(ctx context.Context) {
 	base, _ := n.replica.base()
 	self := n.replica.asVoter()
-	listed, ok := base.Electorate.At(self.At)
+	listed, ok := base.Electorate.VoterAt(self.Addr)
 	if !ok || listed == self {
 		return
 	}
-	err := n.proposals.changeElectorate(ctx, electorateChange{base.Electorate, base.Electorate.Replaced(self.At, self)}, electorateChangeTimeout)
+	err := n.proposals.changeElectorate(ctx, electorateChange{base.Electorate, base.Electorate.ReplaceVoter(self.Addr, self)}, electorateChangeTimeout)
 	if err != nil {
 		n.log.Log("msg", "not in the electorate yet", "err", err)
 		return
@@ -164,7 +164,7 @@
 // learners is those that are heard, in the order of their addresses.
 func (n *Node) learners(e consensus.Electorate) (all []learner) {
 	n.eachPeer(func(x *peer) {
-		if _, ok := e.At(x.addr); ok || !x.client.Connected() {
+		if _, ok := e.VoterAt(x.addr); ok || !x.client.Connected() {
 			return
 		}
 		all = append(all, learner{x.addr, n.zone(x.addr)})
@@ -190,7 +190,7 @@
 func (n *Node) successors(e consensus.Electorate, out string) []learner {
 	all, voters := n.learners(e), map[string]int{}
 	for _, v := range e.Voters {
-		voters[n.zone(v.At)]++
+		voters[n.zone(v.Addr)]++
 	}
 	home := n.zone(out)
 	slices.SortStableFunc(all, func(a, b learner) int {
@@ -212,7 +212,7 @@
 	e := base.Electorate
 	stands := n.electorateAge(e)
 	term, held := n.contact.current()
-	if !held || n.confirmed.Load() != term || book.Len() == 0 || stands < minElectorateAge || !e.Has(n.replica.asVoter()) || n.electorateState.tending.Load() {
+	if !held || n.confirmed.Load() != term || book.Len() == 0 || stands < minElectorateAge || !e.Contains(n.replica.asVoter()) || n.electorateState.tending.Load() {
 		return
 	}
 	living, _, _ := n.contact.living()
@@ -220,8 +220,8 @@
 	after := time.Duration(n.settings.Bounds.Contact*float64(time.Second)) + replacementDelay + rank*replacementRankDelay
 	var out string
 	for _, v := range e.Voters {
-		if n.silence(v.At, stands) > after {
-			out = v.At
+		if n.silence(v.Addr, stands) > after {
+			out = v.Addr
 			break
 		}
 	}
@@ -273,16 +273,16 @@
 	case p.Epoch < base.Epoch:
 		return consensus.Voter{}, errors.Wrapf(errBehind, "%s, by %d changes", addr, base.Epoch-p.Epoch)
 	}
-	return consensus.Voter{At: addr, Disk: p.Disk}, nil
+	return consensus.Voter{Addr: addr, Disk: p.Disk}, nil
 }
 
 // replace has one control node take the place of another in the electorate, in one step. While, where there is one, must hold to the last.
 func (n *Node) replace(ctx context.Context, base consensus.Base, out, in string, most time.Duration, while func() bool) error {
 	e := base.Electorate
-	if _, ok := e.At(out); !ok {
+	if _, ok := e.VoterAt(out); !ok {
 		return errors.Newf("%s is no voter", out)
 	}
-	if _, ok := e.At(in); ok {
+	if _, ok := e.VoterAt(in); ok {
 		return errors.Newf("%s is a voter already", in)
 	}
 	v, err := n.probe(ctx, in, base)
@@ -290,7 +290,7 @@
 		err = errors.Newf("%s is back", out)
 	}
 	if err == nil {
-		err = n.changeElectorate(ctx, e, e.Replaced(out, v), most, v)
+		err = n.changeElectorate(ctx, e, e.ReplaceVoter(out, v), most, v)
 	}
 	if err != nil {
 		n.log.Log("msg", "not replaced", "out", out, "in", in, "err", err)
@@ -320,7 +320,7 @@
 	for _, half := range [][]consensus.Voter{from.Voters, to} {
 		heard := 0
 		for _, v := range half {
-			if age := n.contact.age(v.At); v.At == n.self || age >= 0 && age <= contactTTL || slices.Contains(newcomers, v) {
+			if age := n.contact.age(v.Addr); v.Addr == n.self || age >= 0 && age <= contactTTL || slices.Contains(newcomers, v) {
 				heard++
 			}
 		}
@@ -337,7 +337,7 @@
 // handOverVote has a learner take this node's place among the voters before it ends.
 func (n *Node) handOverVote(ctx context.Context) {
 	base, _ := n.replica.base()
-	if !base.Electorate.Has(n.replica.asVoter()) {
+	if !base.Electorate.Contains(n.replica.asVoter()) {
 		return
 	}
 	if !n.inContact() {
--- a/internal/control/electorate_test.go
+++ b/internal/control/electorate_test.go
@@ -74,7 +74,7 @@
 			base, _ := m.replica.base()
 			got := slices.Sorted(slices.Values(base.Electorate.Addresses()))
 			ok = ok && slices.Equal(got, want)
-			if _, listed := base.Electorate.At(m.addr); listed {
+			if _, listed := base.Electorate.VoterAt(m.addr); listed {
 				_, votes := m.replica.electorate()
 				ok = ok && votes
 			}
--- a/internal/control/instances.go
+++ b/internal/control/instances.go
@@ -103,7 +103,7 @@
 }
 
 // persistDepartures puts those instances that leave, as they stand here, on their way to the disk. Nil: there is nothing to keep.
-func (r *instanceRegistry) persistDepartures(to *storage.Store, ids ...string) *storage.Ticket {
+func (r *instanceRegistry) persistDepartures(to *storage.Store, ids ...string) *storage.Future {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var b storage.Batch
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -65,12 +65,12 @@
 	e := base.Electorate
 	all := Members{Epoch: base.Epoch, Since: e.Since, Stands: n.electorateAge(e).Seconds(), Wanted: max(n.wantedVoters(), len(e.Voters)), Contact: n.inContact(), Learners: []Member{}, Voters: []Member{}}
 	for _, v := range e.Voters {
-		m := n.member(v.At, base.Epoch)
+		m := n.member(v.Addr, base.Epoch)
 		m.Disk = strconv.FormatUint(v.Disk, 16)
 		m.Lost = m.Self && v != n.replica.asVoter()
 		all.Voters = append(all.Voters, m)
 	}
-	if _, listed := e.At(n.self); !listed {
+	if _, listed := e.VoterAt(n.self); !listed {
 		all.Learners = append(all.Learners, n.member(n.self, base.Epoch))
 	}
 	for _, l := range n.learners(e) {
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -683,7 +683,7 @@
 		items, err := configuration.ReadPatch([]byte(upsert([]string{service("t", 2)}, nil)))
 		c.NoErr(err)
 		held := consensus.Proposal{Ballot: consensus.Ballot{Round: 50, Node: "a"}, Epoch: epoch + 1, Items: items}
-		if a := v.accept(held, nil); a == nil || !a.OK || v.learn(held.Ballot.Above("b"), held.Epoch) {
+		if a := v.accept(held, nil); a == nil || !a.OK || v.learn(held.Ballot.Next("b"), held.Epoch) {
 			return "it took its own for the other"
 		}
 		if status := c.patch(c.seeds[0], upsert([]string{service("u", 3)}, nil)); status != 200 {
--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -400,7 +400,7 @@
 			case r != nil:
 				event = func(x *consensus.Proposer) consensus.Action { return x.Accepted(a.Attempt, to, *r) }
 			default:
-				event = func(x *consensus.Proposer) consensus.Action { return x.Lost(a.Attempt, to) }
+				event = func(x *consensus.Proposer) consensus.Action { return x.NoReply(a.Attempt, to) }
 			}
 			d.post(of, event)
 		}()
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -31,7 +31,7 @@
 	mu           sync.Mutex
 	storage      *storage.Store // nil: the disk has not been read yet
 	acceptor     consensus.Acceptor
-	ticket       *storage.Ticket // of the last change of a; nil: as it was found
+	ticket       *storage.Future // of the last change of a; nil: as it was found
 	pendingAt    time.Time       // since when a.Pending waits
 	foreignRound chan struct{}   // closed once the change of another node that is under way here is chosen; nil: none is
 	recent       []chosenChange  // up to a.Epoch without a gap
@@ -44,7 +44,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.storage, v.acceptor = vt, s.Acceptor
-	v.acceptor.At = v.self
+	v.acceptor.Addr = v.self
 	v.staging.load(s)
 	v.store.MergeItems(s.Items)
 	v.store.SetEpoch(v.acceptor.Epoch)
@@ -70,7 +70,7 @@
 func (v *replica) diskResponsive() bool { return v.storage != nil && !v.storage.Stalled(syncTimeout) }
 
 // synced waits until what a ticket stands for is on disk, for a while and so much longer.
-func synced(t *storage.Ticket, longer time.Duration) bool {
+func synced(t *storage.Future, longer time.Duration) bool {
 	if t == nil {
 		return true
 	}
@@ -101,7 +101,7 @@
 	v.mu.Lock()
 	if q.ReadOnly {
 		known, p := v.acceptor.Electorate.Known(), v.acceptor.Read()
-		var t *storage.Ticket
+		var t *storage.Future
 		if known && q.Synced {
 			t = v.storage.Put(storage.Batch{Acceptor: &v.acceptor})
 		}
@@ -239,7 +239,7 @@
 func (v *replica) pendingFor(now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.acceptor.Pending == nil || !v.acceptor.Votes() {
+	if v.acceptor.Pending == nil || !v.acceptor.IsVoter() {
 		return 0
 	}
 	return now.Sub(v.pendingAt)
@@ -266,7 +266,7 @@
 	if !v.acceptor.Electorate.Known() {
 		return nil, false
 	}
-	return v.acceptor.Electorate.Addresses(), v.acceptor.Votes()
+	return v.acceptor.Electorate.Addresses(), v.acceptor.IsVoter()
 }
 
 // votersForContact is the voters as this node counts them when it looks whom it hears: where it is listed with a disk that it lost, it is nobody.
@@ -277,7 +277,7 @@
 		return nil
 	}
 	all := v.acceptor.Electorate.Addresses()
-	if k := slices.Index(all, v.self); k >= 0 && !v.acceptor.Votes() {
+	if k := slices.Index(all, v.self); k >= 0 && !v.acceptor.IsVoter() {
 		all[k] = ""
 	}
 	return all
--- a/internal/control/storage/golden_test.go
+++ b/internal/control/storage/golden_test.go
@@ -30,7 +30,7 @@
 func goldenSteps() []goldenStep {
 	first := consensus.InitialElectorate([]string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"})
 	second := consensus.Electorate{Since: 2, Voters: []consensus.Voter{
-		{At: "10.0.0.1:7000"}, {At: "10.0.0.2:7000", Disk: 1<<63 + 5}, {At: "10.0.0.4:7000", Disk: 77},
+		{Addr: "10.0.0.1:7000"}, {Addr: "10.0.0.2:7000", Disk: 1<<63 + 5}, {Addr: "10.0.0.4:7000", Disk: 77},
 	}}
 	route := configuration.Item{
 		Key: configuration.Key{Kind: configuration.Routes, Name: "route-1"}, Version: 0x10,
@@ -69,10 +69,10 @@
 		{"instances", Batch{Instances: instances}},
 		{"members", Batch{Members: 12, NoSync: true}},
 		{"deleted instance", Batch{DeleteInstances: []string{"server-3", "server-4"}}},
-		{"staged", Batch{Stage: &Stage{Base: 2, First: 3, Top: 5, From: 1 << 63}, Staged: []configuration.Item{route, tenant}}},
-		{"staged more", Batch{Stage: &Stage{Base: 2, First: 3, Top: 6, From: 1<<63 + 9}, Staged: []configuration.Item{changed}}},
+		{"staged", Batch{Stage: &StageProgress{BaseEpoch: 2, FirstEpoch: 3, LastEpoch: 5, NextPosition: 1 << 63}, StagedItems: []configuration.Item{route, tenant}}},
+		{"staged more", Batch{Stage: &StageProgress{BaseEpoch: 2, FirstEpoch: 3, LastEpoch: 6, NextPosition: 1<<63 + 9}, StagedItems: []configuration.Item{changed}}},
 		{"stage cleared", Batch{ClearStage: true, Items: []configuration.Item{changed}}},
-		{"staged anew", Batch{ClearStage: true, Stage: &Stage{Base: 2, First: 8, Top: 8, From: 4}, Staged: []configuration.Item{limits}}},
+		{"staged anew", Batch{ClearStage: true, Stage: &StageProgress{BaseEpoch: 2, FirstEpoch: 8, LastEpoch: 8, NextPosition: 4}, StagedItems: []configuration.Item{limits}}},
 		{"accepted and not chosen", Batch{
 			Acceptor:  &consensus.Acceptor{Promised: left.Ballot, Epoch: 2, Electorate: second, Disk: 1<<63 + 5, Pending: &left},
 			Instances: instances[:1], DeleteInstances: []string{"server-2"}, Members: 13,
@@ -127,7 +127,7 @@
 	store := openGolden(t)
 	everything := Batch{
 		Acceptor: &state.Acceptor, Items: state.Items, Instances: state.Instances, Members: state.Members,
-		Stage: state.Stage, Staged: state.Staged,
+		Stage: state.Stage, StagedItems: state.StagedItems,
 	}
 	if err := store.Save(t.Context(), everything); err != nil {
 		t.Fatal(err)
--- a/internal/control/storage/size_test.go
+++ b/internal/control/storage/size_test.go
@@ -48,7 +48,7 @@
 		v, s, err := Open(fs, "d", log.NewNopLogger())
 		is.NoErr(err)
 		is.Equal(len(s.Items), len(live))
-		is.Equal(len(s.Staged), 0)
+		is.Equal(len(s.StagedItems), 0)
 		for k := range changes / restarts {
 			epoch := uint64(life*changes/restarts + k + 1)
 			b := Batch{Acceptor: &consensus.Acceptor{Epoch: epoch, Electorate: consensus.InitialElectorate([]string{"x", "y", "z"})}, NoSync: true, ClearStage: k%50 == 49}
@@ -63,7 +63,7 @@
 				b.Items = append(b.Items, i)
 			}
 			if k%50 == 10 {
-				b.Stage, b.Staged = &Stage{Top: epoch}, b.Items
+				b.Stage, b.StagedItems = &StageProgress{LastEpoch: epoch}, b.Items
 			}
 			for range 20 { // of 300 servers that stand, 20 go with each change
 				seq++
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -65,16 +65,16 @@
 	Items     []configuration.Item // in order of their keys
 	Instances []registry.Instance
 	Members   int // ingresses, as last counted; 0: never
-	Stage     *Stage
-	Staged    []configuration.Item
+	Stage     *StageProgress
+	StagedItems    []configuration.Item
 }
 
-// Stage is how far a transfer of the snapshot has come whose items are staged: kept, and not yet part of what is here.
-type Stage struct {
-	Base  uint64 `cbor:"1,keyasint"` // all up to this epoch is here or staged
-	First uint64 `cbor:"2,keyasint"` // epoch of the first piece of this pass
-	Top   uint64 `cbor:"3,keyasint"` // and of the last
-	From  uint64 `cbor:"4,keyasint"` // position that the pass goes on from
+// StageProgress is how far a transfer of the snapshot has come whose items are staged: kept, and not yet part of what is here.
+type StageProgress struct {
+	BaseEpoch  uint64 `cbor:"1,keyasint"` // all up to this epoch is here or staged
+	FirstEpoch uint64 `cbor:"2,keyasint"` // epoch of the first piece of this pass
+	LastEpoch   uint64 `cbor:"3,keyasint"` // and of the last
+	NextPosition  uint64 `cbor:"4,keyasint"` // position that the pass goes on from
 }
 
 // Batch is what is saved at once: whole or not at all. What is nil stays as it was.
@@ -85,8 +85,8 @@
 	DeleteInstances []string // ids of instances
 	Members         int      // 0: as it was
 	NoSync          bool     // it may go without a sync: whatever is saved after it is never on disk without it
-	Stage           *Stage
-	Staged          []configuration.Item // each in the place of another of its key that is staged
+	Stage           *StageProgress
+	StagedItems          []configuration.Item // each in the place of another of its key that is staged
 	ClearStage      bool                 // the transfer is over: nothing is staged any more
 }
 
@@ -97,7 +97,7 @@
 	log log.Logger
 
 	mu     sync.Mutex
-	open   *Ticket   // what the next commit takes
+	open   *Future   // what the next commit takes
 	began  time.Time // of the commit under way; zero: none is
 	closed bool
 	wake   chan struct{}
@@ -107,8 +107,8 @@
 	versioned bool                // so is the version; its too
 }
 
-// Ticket is a commit that is yet to come.
-type Ticket struct {
+// Future is a commit that is yet to come.
+type Future struct {
 	batches []Batch
 	sync    bool
 	done    chan struct{}
@@ -116,7 +116,7 @@
 }
 
 // Wait waits until what the ticket was given for is on disk, synced. When the context ends first the write may still happen.
-func (t *Ticket) Wait(ctx context.Context) error {
+func (t *Future) Wait(ctx context.Context) error {
 	select {
 	case <-t.done:
 		return t.err
@@ -131,7 +131,7 @@
 }
 
 // Done is closed when the commit has ended; Wait does not wait then.
-func (t *Ticket) Done() <-chan struct{} { return t.done }
+func (t *Future) Done() <-chan struct{} { return t.done }
 
 // Open opens a folder, or makes it. It waits as long as the disk does. No fs: the machine's own.
 func Open(fs vfs.FS, dir string, logger log.Logger) (*Store, State, error) {
@@ -211,7 +211,7 @@
 	return nil
 }
 
-func newTicket() *Ticket { return &Ticket{done: make(chan struct{})} }
+func newTicket() *Future { return &Future{done: make(chan struct{})} }
 
 func (v *Store) read() (s State, err error) {
 	it, err := v.db.NewIter(nil)
@@ -245,12 +245,12 @@
 			err = decoding.Unmarshal(b, &i)
 			s.Items = append(s.Items, i)
 		case keyStage[0]:
-			s.Stage = new(Stage)
+			s.Stage = new(StageProgress)
 			err = decoding.Unmarshal(b, s.Stage)
 		case keyStaged:
 			var i configuration.Item
 			err = decoding.Unmarshal(b, &i)
-			s.Staged = append(s.Staged, i)
+			s.StagedItems = append(s.StagedItems, i)
 		case keyInstance:
 			var l registry.Instance
 			err = decoding.Unmarshal(b, &l)
@@ -267,7 +267,7 @@
 }
 
 // Put has a batch written behind all that was put before, and gives a ticket for its sync. It does not wait.
-func (v *Store) Put(b Batch) *Ticket {
+func (v *Store) Put(b Batch) *Future {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	t := v.open
@@ -326,7 +326,7 @@
 	}
 }
 
-func (v *Store) commit(t *Ticket) error {
+func (v *Store) commit(t *Future) error {
 	to := v.db.NewBatch()
 	set := func(key []byte, value any) error {
 		b, err := cbor.Marshal(value)
@@ -374,7 +374,7 @@
 	if b.Stage != nil {
 		note(set(keyStage, b.Stage))
 	}
-	for _, i := range b.Staged {
+	for _, i := range b.StagedItems {
 		note(set(itemKey(keyStaged, i.Key), i))
 	}
 	for _, l := range b.Instances {
--- a/internal/control/storage/store_test.go
+++ b/internal/control/storage/store_test.go
@@ -65,7 +65,7 @@
 	}
 	k := rnd.IntN(9)
 	b := Batch{Acceptor: a, NoSync: rnd.IntN(2) == 0, Items: []configuration.Item{{Key: configuration.Key{Kind: configuration.Routes, Name: fmt.Sprint(k)}, Version: uint64(n), Body: make([]byte, rnd.IntN(20000))}}}
-	a.Electorate = consensus.Electorate{Since: uint64(n / 4), Voters: []consensus.Voter{{At: "x"}, {At: fmt.Sprint(n / 4), Disk: 7}}}
+	a.Electorate = consensus.Electorate{Since: uint64(n / 4), Voters: []consensus.Voter{{Addr: "x"}, {Addr: fmt.Sprint(n / 4), Disk: 7}}}
 	if rnd.IntN(2) == 0 {
 		b.Instances = []registry.Instance{{ID: fmt.Sprint(k), Seq: uint64(n)}}
 	} else {
@@ -168,7 +168,7 @@
 		all = append(all, batch(rnd, n))
 	}
 	all[len(all)-1].NoSync = false
-	var last *Ticket
+	var last *Future
 	for _, b := range all[1:] {
 		last = v.Put(b)
 	}
--- a/internal/emulator/costmodel/cluster.go
+++ b/internal/emulator/costmodel/cluster.go
@@ -357,7 +357,7 @@
 		acceptors := map[string]*consensus.Acceptor{}
 		base, items := consensus.Base{Electorate: consensus.InitialElectorate(voters)}, tenants(1)
 		for _, v := range voters {
-			acceptors[v] = &consensus.Acceptor{At: v, Electorate: base.Electorate}
+			acceptors[v] = &consensus.Acceptor{Addr: v, Electorate: base.Electorate}
 		}
 		p := consensus.NewProposer(voters[0], 1)
 		return func(int) { base = chosen(p, voters, acceptors, base, items) }
--- a/internal/proxy/control_feed.go
+++ b/internal/proxy/control_feed.go
@@ -75,7 +75,7 @@
 	if f.Quorum { // as of when it was sent: this process may have stood still
 		o.quorumAt.Store(int64(time.Since(o.base) - o.client.Clock.Age(f.Clock)))
 	}
-	if f.Complete && f.Ready && o.table.Load().Routes() > 0 && o.complete.CompareAndSwap(false, true) {
+	if f.Complete && f.Ready && o.table.Load().RouteCount() > 0 && o.complete.CompareAndSwap(false, true) {
 		close(o.ready)
 	}
 }
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -12,7 +12,7 @@
 func (b *Proxy) registerMetrics(r *metrics.Registry) {
 	r.Flag("ready", "Whether the platform is to send clients.", b.Ready)
 	r.Gauge("config_epoch", "Epoch of the configuration in force.", func() float64 { return float64(b.control.store.Epoch()) })
-	r.Gauge("config_routes", "Routes in force.", func() float64 { return float64(b.control.table.Load().Routes()) })
+	r.Gauge("config_routes", "Routes in force.", func() float64 { return float64(b.control.table.Load().RouteCount()) })
 	r.Gauge("control_contact_age_seconds", "Time since the agent last heard a majority of the control nodes.", func() float64 {
 		return (time.Since(b.control.base) - time.Duration(b.control.quorumAt.Load())).Seconds()
 	})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -152,7 +152,7 @@
 	select {
 	case <-b.control.ready:
 		b.server.Started()
-		b.log.Log("msg", "serving", "routes", b.control.table.Load().Routes())
+		b.log.Log("msg", "serving", "routes", b.control.table.Load().RouteCount())
 		<-ctx.Done()
 	case <-ctx.Done():
 	}
--- a/internal/proxy/translator.go
+++ b/internal/proxy/translator.go
@@ -159,8 +159,8 @@
 	defer s.mu.Unlock()
 	c := s.classes[key]
 	if c == nil {
-		c = &decision.Class{Name: route.Name, LatencyTarget: route.Target, Deadline: route.Deadline, Value: worthOfPriority(route.Priority, routePriorityStep), LateValue: 0.5,
-			MaxAttempts: route.MaxAttempts, MaxQueueTime: maxQueueShareOfTarget * route.Target, SlowAttemptFactor: patience, Effect: decision.Idempotent}
+		c = &decision.Class{Name: route.Name, LatencyTarget: route.LatencyTarget, Deadline: route.Deadline, Value: worthOfPriority(route.Priority, routePriorityStep), LateValue: 0.5,
+			MaxAttempts: route.MaxAttempts, MaxQueueTime: maxQueueShareOfTarget * route.LatencyTarget, SlowAttemptFactor: patience, Effect: decision.Idempotent}
 		if route.Mutating {
 			c.Effect = decision.NonIdempotent
 		}
