--- a/cmd/emulator/try.go
+++ b/cmd/emulator/try.go
@@ -47,8 +47,8 @@
 		Open: 8 * time.Second, Dir: dir}
 	if c.Brisk {
 		o.Open = 3 * time.Second
-		o.Bounds = loopback.Brisk()
-		o.Beat = 500 * time.Millisecond
+		o.Bounds = loopback.FastBounds()
+		o.HeartbeatInterval = 500 * time.Millisecond
 	}
 	for _, x := range schedule {
 		logger.Log("msg", "fault planned", "at", x.At, "name", x.Name, "target", x.Target)
--- a/internal/emulator/fakes/discovery.go
+++ b/internal/emulator/fakes/discovery.go
@@ -47,8 +47,8 @@
 // Stop ends it, connections and all.
 func (d *Discovery) Stop() { d.server.Close() }
 
-// Silence has it say nothing more, on any connection, or speak again.
-func (d *Discovery) Silence(is bool) {
+// SetSilent has it say nothing more, on any connection, or speak again.
+func (d *Discovery) SetSilent(is bool) {
 	d.mu.Lock()
 	d.silent = is
 	d.mu.Unlock()
--- a/internal/emulator/invariants/handling.go
+++ b/internal/emulator/invariants/handling.go
@@ -17,7 +17,7 @@
 type whole []*Version
 
 // shows tells whether a request is handled so under a choice of versions.
-func (w whole) shows(t *Try, o outcome) bool {
+func (w whole) shows(t *Attempt, o outcome) bool {
 	var route *Route
 	var tenant *Tenant
 	for _, v := range w {
@@ -45,7 +45,7 @@
 }
 
 // bearing is the items that may bear on a request: the routes at its place, and who ever held its key.
-func (j *judge) bearing(t *Try) (items []string) {
+func (j *checker) bearing(t *Attempt) (items []string) {
 	for item, vs := range j.items {
 		if slices.ContainsFunc(vs, func(v *Version) bool {
 			return v.Route != nil && v.Route.Host == t.Host && strings.HasPrefix(t.Target, v.Route.Prefix) ||
@@ -60,7 +60,7 @@
 
 // possible tells whether some choice of versions shows the outcome, where each item has a version that allow lets through; and which
 // number is the least that each item has in such a choice.
-func (j *judge) possible(t *Try, o outcome, items []string, allow func(item string, v *Version) bool) (least map[string]uint64, ok bool) {
+func (j *checker) possible(t *Attempt, o outcome, items []string, allow func(item string, v *Version) bool) (least map[string]uint64, ok bool) {
 	least = map[string]uint64{}
 	choice := make(whole, len(items))
 	var try func(n int)
@@ -94,7 +94,7 @@
 
 // handling is one event that shows what was in force on a machine.
 type handling struct {
-	t  *Try
+	t  *Attempt
 	o  outcome
 	at Seconds // it was seen
 }
@@ -106,15 +106,15 @@
 	return fmt.Sprintf("%v, sent at %.3f s and refused with %d", h.t, h.t.Sent, h.o.status)
 }
 
-func (j *judge) handled() (hs []handling) {
+func (j *checker) handled() (hs []handling) {
 	for i := range j.Arrivals {
 		a := &j.Arrivals[i]
 		if t := j.tries[a.ID]; t != nil && a.ran() {
-			hs = append(hs, handling{t, outcome{service: a.Service}, a.Ran})
+			hs = append(hs, handling{t, outcome{service: a.Service}, a.Started})
 		}
 	}
-	for i := range j.Tries {
-		t := &j.Tries[i]
+	for i := range j.Attempts {
+		t := &j.Attempts[i]
 		if t.End == Answered && t.Seal == "" && (t.Status == 401 || t.Status == 403 || t.Status == 404) {
 			hs = append(hs, handling{t, outcome{status: t.Status}, t.Done})
 		}
@@ -130,7 +130,7 @@
 }
 
 // handlings judges ROUTE and CONFIG: late, back, and what must never be in force.
-func (j *judge) handlings() {
+func (j *checker) handlings() {
 	seen := map[string][]shown{} // by machine and item
 	for _, h := range j.handled() {
 		items := j.bearing(h.t)
@@ -142,7 +142,7 @@
 				j.add("CONFIG", h.at, "%v: only what was refused or is invalid allows it", h)
 			} else if h.o.service != "" {
 				j.add("ROUTE", h.at, "%v: no configuration that was sent allows it", h)
-			} else if in, _ := j.touched(h.t.Edge, h.t.Sent, h.at); in {
+			} else if in, _ := j.inContact(h.t.Edge, h.t.Sent, h.at); in {
 				j.add("CONFIG", h.at, "%v: no configuration that was sent says so", h)
 			}
 			continue
@@ -153,7 +153,7 @@
 			}
 		}
 		key := func(item string) string { return h.t.Edge + " " + item }
-		life := j.life(h.t.Edge, h.t.Sent)
+		life := j.processStart(h.t.Edge, h.t.Sent)
 		floor := map[string]uint64{}
 		for _, item := range items {
 			for _, s := range seen[key(item)] {
@@ -184,8 +184,8 @@
 }
 
 // slack is what a machine that is slowed or was frozen has more of.
-func (j *judge) slack(machine string, at Seconds) Seconds {
-	for _, t := range j.Troubles {
+func (j *checker) slack(machine string, at Seconds) Seconds {
+	for _, t := range j.Faults {
 		if t.Machine == machine && t.From <= at && at <= t.To+j.Bounds.Contact {
 			return 8 * j.Bounds.RevertSlack
 		}
@@ -195,8 +195,8 @@
 
 // due is the least version that each item that bears on a request must have had on its machine; bound tells whether the machine is held
 // to it.
-func (j *judge) due(h handling) (floor map[string]uint64, bound bool) {
-	in, stretched := j.touched(h.t.Edge, h.t.Sent, h.at)
+func (j *checker) due(h handling) (floor map[string]uint64, bound bool) {
+	in, stretched := j.inContact(h.t.Edge, h.t.Sent, h.at)
 	late := j.Bounds.ConfigApply
 	if !in {
 		late += j.Bounds.MaxStretch
@@ -216,7 +216,7 @@
 }
 
 // proper tells whether every configuration that may be in force while a request is on its way has its route and its key.
-func (j *judge) proper(t *Try) bool {
+func (j *checker) proper(t *Attempt) bool {
 	items := j.bearing(t)
 	floor := map[string]uint64{}
 	for _, item := range items {
--- a/internal/emulator/invariants/judge.go
+++ b/internal/emulator/invariants/judge.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// Judge names every rule that the play broke, in the order of the times.
-func Judge(l *Log) []Breach {
-	j := &judge{Log: l, tries: map[string]*Try{}, arrivals: map[string][]*Arrival{}, items: map[string][]*Version{}}
-	for i := range l.Tries {
-		j.tries[l.Tries[i].ID] = &l.Tries[i]
+// Check names every rule that the play broke, in the order of the times.
+func Check(l *Log) []Violation {
+	j := &checker{Log: l, tries: map[string]*Attempt{}, arrivals: map[string][]*Arrival{}, items: map[string][]*Version{}}
+	for i := range l.Attempts {
+		j.tries[l.Attempts[i].ID] = &l.Attempts[i]
 	}
 	for i := range l.Arrivals {
 		a := &l.Arrivals[i]
@@ -32,93 +32,93 @@
 	j.quota()
 	j.denied()
 	j.contact()
-	for _, o := range l.Stuck {
+	for _, o := range l.Exits {
 		j.add("FAULT", o.At, "%s ended by itself: %s", o.Process, o.Text)
 	}
-	slices.SortStableFunc(j.found, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
-	return j.found
+	slices.SortStableFunc(j.violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	return j.violations
 }
 
 // contactFor is how long a core machine may go by an answer of the others (design/worst-days.md, part 1), with half a second for the box.
 const contactFor = 2.0
 
 // contact judges CONTACT, a rule of our own: a core machine without a majority says nothing as if it were current, neither yes nor no.
-func (j *judge) contact() {
-	for _, s := range j.Said {
+func (j *checker) contact() {
+	for _, s := range j.ControlAnswers {
 		clear := s.Status/100 == 2 || s.Status/100 == 4 && s.Status != 408 && s.Status != 429
-		for _, c := range j.Cuts {
+		for _, c := range j.Partitions {
 			if clear && s.Machine == c.Machine && s.Began > c.From+contactFor && s.Done < c.To {
-				j.add("CONTACT", s.Done, "%s, cut off for %.1f s, answered %d: %s", s.Machine, s.Done-c.From, s.Status, s.What)
+				j.add("CONTACT", s.Done, "%s, cut off for %.1f s, answered %d: %s", s.Machine, s.Done-c.From, s.Status, s.Call)
 			}
 		}
 	}
 }
 
-type judge struct {
+type checker struct {
 	*Log
-	tries    map[string]*Try
-	arrivals map[string][]*Arrival
-	items    map[string][]*Version
-	found    []Breach
+	tries      map[string]*Attempt
+	arrivals   map[string][]*Arrival
+	items      map[string][]*Version
+	violations []Violation
 }
 
-func (j *judge) add(rule string, at Seconds, format string, args ...any) {
-	j.found = append(j.found, Breach{rule, at, fmt.Sprintf(format, args...)})
+func (j *checker) add(rule string, at Seconds, format string, args ...any) {
+	j.violations = append(j.violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 }
 
-func (a *Arrival) ran() bool { return a.Ran < Never }
+func (a *Arrival) ran() bool { return a.Started < Never }
 
 // requests judges TWICE, REFUSED, MIXED and UNASKED, each request by itself.
-func (j *judge) requests() {
+func (j *checker) requests() {
 	for i := range j.Arrivals {
 		a := &j.Arrivals[i]
 		t := j.tries[a.ID]
 		switch {
 		case !a.ran():
 		case t == nil:
-			j.add("UNASKED", a.Ran, "%s ran %q, which no client sent", a.Instance, a.ID)
+			j.add("UNASKED", a.Started, "%s ran %q, which no client sent", a.Instance, a.ID)
 		case a.Method != t.Method || a.Host != t.Host || a.Target != t.Target || a.Body != t.Body:
-			j.add("UNASKED", a.Ran, "%s ran %s %s%s (body %x) for %s, sent as %s %s%s (body %x)", a.Instance, a.Method, a.Host, a.Target, a.Body, a.ID,
+			j.add("UNASKED", a.Started, "%s ran %s %s%s (body %x) for %s, sent as %s %s%s (body %x)", a.Instance, a.Method, a.Host, a.Target, a.Body, a.ID,
 				t.Method, t.Host, t.Target, t.Body)
 		case !j.tenantFits(t, a.Tenant):
-			j.add("UNASKED", a.Ran, "%s ran %s with X-Tenant %q, which does not hold its key", a.Instance, a.ID, a.Tenant)
+			j.add("UNASKED", a.Started, "%s ran %s with X-Tenant %q, which does not hold its key", a.Instance, a.ID, a.Tenant)
 		}
 		if a.Status == 421 && a.ran() {
 			panic("rules: a server ran what it turned away")
 		}
 	}
-	for i := range j.Tries {
-		t := &j.Tries[i]
+	for i := range j.Attempts {
+		t := &j.Attempts[i]
 		ran := 0
 		for _, a := range j.arrivals[t.ID] {
 			if a.ran() {
 				ran++
 			}
 		}
-		if t.Once && ran > 1 {
+		if t.AtMostOnce && ran > 1 {
 			j.add("TWICE", t.Sent, "%s ran %d times", t, ran)
 		}
-		if t.Once && ran > 0 && t.End == Answered && promise(t.Status) {
+		if t.AtMostOnce && ran > 0 && t.End == Answered && promisesNotExecuted(t.Status) {
 			j.add("REFUSED", t.Done, "%s ended with %d, and it has run", t, t.Status)
 		}
 		j.mixed(t)
 	}
 }
 
-func promise(status int) bool {
+func promisesNotExecuted(status int) bool {
 	return status == 408 || status == 421 || status == 429 || status == 503
 }
 
-func (t *Try) String() string {
+func (t *Attempt) String() string {
 	return fmt.Sprintf("%s %s (%s at %s)", t.Class, t.ID, t.Target, t.Edge)
 }
 
-func (j *judge) mixed(t *Try) {
-	broke := slices.ContainsFunc(j.arrivals[t.ID], func(a *Arrival) bool { return a.Broke })
+func (j *checker) mixed(t *Attempt) {
+	broke := slices.ContainsFunc(j.arrivals[t.ID], func(a *Arrival) bool { return a.Aborted })
 	if t.Surplus {
 		j.add("MIXED", t.Done, "%s: bytes came with no request waiting", t)
 	}
-	if t.End == Garbled && !broke {
+	if t.End == Malformed && !broke {
 		j.add("MIXED", t.Done, "%s: bytes that are no answer", t)
 	}
 	if t.End != Answered {
@@ -137,7 +137,7 @@
 }
 
 // tenantFits tells whether a server may be told this tenant.
-func (j *judge) tenantFits(t *Try, told string) bool {
+func (j *checker) tenantFits(t *Attempt, told string) bool {
 	if t.Key == "" {
 		return told == ""
 	}
@@ -155,11 +155,11 @@
 	return !held && told == "" // on a public route; elsewhere ROUTE says it
 }
 
-// touched tells whether a machine that takes clients was in touch for a whole span; stretched, whether it was but for the core, and the
+// inContact tells whether a machine that takes clients was in touch for a whole span; stretched, whether it was but for the core, and the
 // core kept more than half.
-func (j *judge) touched(machine string, from, to Seconds) (in, stretched bool) {
+func (j *checker) inContact(machine string, from, to Seconds) (in, stretched bool) {
 	in, stretched = true, true
-	for _, t := range j.Troubles {
+	for _, t := range j.Faults {
 		if t.From > to || t.To+j.Bounds.Contact < from {
 			continue
 		}
@@ -173,10 +173,10 @@
 	return in, stretched
 }
 
-// life is when the machine's last process began, at a time.
-func (j *judge) life(machine string, at Seconds) Seconds {
+// processStart is when the machine's last process began, at a time.
+func (j *checker) processStart(machine string, at Seconds) Seconds {
 	last := math.Inf(-1)
-	for _, l := range j.Lives {
+	for _, l := range j.ProcessStarts {
 		if l.Machine == machine && l.At <= at {
 			last = max(last, l.At)
 		}
@@ -184,19 +184,19 @@
 	return last
 }
 
-func (j *judge) drains() {
+func (j *checker) drains() {
 	for i := range j.Arrivals {
 		a := &j.Arrivals[i]
 		t := j.tries[a.ID]
 		if t == nil || a.Status == 421 {
 			continue
 		}
-		for _, l := range j.Leaves {
+		for _, l := range j.Departures {
 			if l.Instance != a.Instance || a.At <= l.At+j.Bounds.Drain {
 				continue
 			}
-			by, _ := j.touched(l.By, l.At, l.At)
-			in, _ := j.touched(t.Edge, min(t.Sent, l.At), a.At)
+			by, _ := j.inContact(l.By, l.At, l.At)
+			in, _ := j.inContact(t.Edge, min(t.Sent, l.At), a.At)
 			if by && in {
 				j.add("DRAIN", a.At, "%s reached %s %.2f s after its leave was acknowledged by %s", t, a.Instance, a.At-l.At, l.By)
 				break
@@ -206,27 +206,27 @@
 }
 
 // lost judges LOST where work was planned: a request that a process took and let go of after a SIGTERM.
-func (j *judge) lost() {
+func (j *checker) lost() {
 	b := j.Bounds
-	for i := range j.Tries {
-		t := &j.Tries[i]
-		for _, o := range j.Orders {
+	for i := range j.Attempts {
+		t := &j.Attempts[i]
+		for _, o := range j.Terminations {
 			if o.Machine != t.Edge || t.Done < o.At || t.Done > o.At+b.Grace+1 {
 				continue
 			}
 			for _, a := range j.arrivals[t.ID] {
-				if t.End == Answered && t.Status >= 500 && t.Seal == "" && a.ran() && a.Ran < t.Done && a.End > t.Done && !j.troubled(t) &&
-					t.Done < t.Sent+t.Left {
+				if t.End == Answered && t.Status >= 500 && t.Seal == "" && a.ran() && a.Started < t.Done && a.End > t.Done && !j.faulted(t) &&
+					t.Done < t.Sent+t.TimeLeft {
 					j.add("LOST", t.Done, "%s: ended with a %d of its own while %s was at work on it", t, t.Status, a.Instance)
 				}
 			}
-			if t.End != CutOff || t.Done >= t.Sent+t.Left-0.005 || j.troubled(t) {
+			if t.End != Truncated || t.Done >= t.Sent+t.TimeLeft-0.005 || j.faulted(t) {
 				continue
 			}
 			passed, excused := false, false
 			for _, a := range j.arrivals[t.ID] {
 				passed = passed || a.At <= t.Done
-				excused = excused || a.Broke || a.End > o.At+b.Grace/2
+				excused = excused || a.Aborted || a.End > o.At+b.Grace/2
 			}
 			if (passed || t.Done > t.Sent+b.LossSlack) && !excused {
 				j.add("LOST", t.Done, "%s: its connection ended without an answer %.2f s after SIGTERM", t, t.Done-o.At)
@@ -235,24 +235,24 @@
 	}
 }
 
-// troubled tells whether there was unplanned trouble of the system's from some time before a try until its end.
-func (j *judge) troubled(t *Try) bool {
-	return slices.ContainsFunc(j.Troubles, func(x Trouble) bool {
+// faulted tells whether there was unplanned trouble of the system's from some time before a try until its end.
+func (j *checker) faulted(t *Attempt) bool {
+	return slices.ContainsFunc(j.Faults, func(x Fault) bool {
 		return !x.Planned && x.From <= t.Done && x.To >= t.Sent-j.Bounds.Contact
 	})
 }
 
 // kept judges what was read back at the end, and what was acknowledged though it was invalid.
-func (j *judge) kept() {
+func (j *checker) kept() {
 	for _, v := range j.Versions {
 		if !v.Valid && v.Acked < Never {
 			j.add("CONFIG", v.Acked, "%s %08x was acknowledged, and its call is invalid", v.Item, v.Number)
 		}
 	}
-	if len(j.Reads) == 0 {
+	if len(j.ConfigReads) == 0 {
 		j.add("CONFIG", Never, "nothing was read back at the end")
 	}
-	for _, r := range j.Reads {
+	for _, r := range j.ConfigReads {
 		for item, vs := range j.items {
 			var acked *Version
 			for _, v := range vs {
@@ -298,7 +298,7 @@
 }
 
 // budget judges BUDGET: each window that ends with a further arrival.
-func (j *judge) budget() {
+func (j *checker) budget() {
 	type extra struct {
 		at      Seconds
 		service string
@@ -314,8 +314,8 @@
 		}
 	}
 	asked := map[string][]Seconds{} // of each service: when requests for it were sent
-	for i := range j.Tries {
-		t := &j.Tries[i]
+	for i := range j.Attempts {
+		t := &j.Attempts[i]
 		for s := range j.mayGo(t) {
 			asked[s] = append(asked[s], t.Sent)
 		}
@@ -348,7 +348,7 @@
 }
 
 // mayGo is every service that a request may have been for.
-func (j *judge) mayGo(t *Try) map[string]bool {
+func (j *checker) mayGo(t *Attempt) map[string]bool {
 	out := map[string]bool{}
 	for _, vs := range j.items {
 		for _, v := range vs {
@@ -363,7 +363,7 @@
 }
 
 // quota judges QUOTA: each window that begins with a request that ran.
-func (j *judge) quota() {
+func (j *checker) quota() {
 	type run struct {
 		sent, at Seconds
 		edge     string
@@ -405,7 +405,7 @@
 }
 
 // holders is the tenants that ever held a key.
-func (j *judge) holders(key string) (names []string) {
+func (j *checker) holders(key string) (names []string) {
 	for _, v := range j.Versions {
 		if key != "" && v.Tenant != nil && slices.Contains(v.Tenant.Keys, key) && !slices.Contains(names, v.Tenant.Name) {
 			names = append(names, v.Tenant.Name)
@@ -415,7 +415,7 @@
 }
 
 // granted is how many requests of a tenant may run in a window, by the most generous version that may be in force in it.
-func (j *judge) granted(tenant string, from, w Seconds) float64 {
+func (j *checker) granted(tenant string, from, w Seconds) float64 {
 	most := 0.0
 	vs := j.items["customers/"+tenant]
 	for _, v := range vs {
@@ -424,7 +424,7 @@
 		}
 		over := slices.ContainsFunc(vs, func(o *Version) bool {
 			return o.Number > v.Number && o.Acked+j.Bounds.ConfigApply+w <= from && !slices.ContainsFunc(j.Edges, func(edge string) bool {
-				in, _ := j.touched(edge, o.Acked, o.Acked+j.Bounds.ConfigApply)
+				in, _ := j.inContact(edge, o.Acked, o.Acked+j.Bounds.ConfigApply)
 				return !in
 			})
 		})
@@ -440,18 +440,18 @@
 }
 
 // denied judges DENIED: 3xx and 4xx of the system's own for proper requests, by machines in touch.
-func (j *judge) denied() {
+func (j *checker) denied() {
 	n, all, first := 0, 0, ""
-	for i := range j.Tries {
-		t := &j.Tries[i]
+	for i := range j.Attempts {
+		t := &j.Attempts[i]
 		if t.Probe {
 			continue
 		}
 		all++
-		if t.End != Answered || t.Seal != "" || t.Status/100 != 3 && t.Status/100 != 4 || promise(t.Status) {
+		if t.End != Answered || t.Seal != "" || t.Status/100 != 3 && t.Status/100 != 4 || promisesNotExecuted(t.Status) {
 			continue
 		}
-		if in, _ := j.touched(t.Edge, t.Sent, t.Done); !in || !j.proper(t) {
+		if in, _ := j.inContact(t.Edge, t.Sent, t.Done); !in || !j.proper(t) {
 			continue
 		}
 		if n++; first == "" {
--- a/internal/emulator/invariants/log.go
+++ b/internal/emulator/invariants/log.go
@@ -16,20 +16,20 @@
 
 // Log is all that was seen. The order within a list does not matter.
 type Log struct {
-	Bounds   settings.Bounds
-	Edges    []string // machines that take clients
-	Tries    []Try
-	Arrivals []Arrival
-	Versions []Version
-	Leaves   []Leave
-	Troubles []Trouble
-	Lives    []Life
-	Orders   []Order
-	Reads    []Read
-	Closing  Seconds // when the closing fault began; Never: there was none
-	Stuck    []Own   // processes that ended by themselves
-	Cuts     []Cut
-	Said     []Said
+	Bounds         settings.Bounds
+	Edges          []string // machines that take clients
+	Attempts       []Attempt
+	Arrivals       []Arrival
+	Versions       []Version
+	Departures     []Departure
+	Faults         []Fault
+	ProcessStarts  []ProcessStart
+	Terminations   []Termination
+	ConfigReads    []ConfigRead
+	Closing        Seconds // when the closing fault began; Never: there was none
+	Exits          []Exit  // processes that ended by themselves
+	Partitions     []Partition
+	ControlAnswers []ControlAnswer
 }
 
 // Ending is how a try ended for its client.
@@ -37,31 +37,31 @@
 
 // The endings.
 const (
-	Answered    Ending = iota
-	CutOff             // the connection ended without a whole answer
-	GaveUp             // the client did
-	Unconnected        // no connection came up, or it was found closed before the request went out
-	Garbled            // what came was no answer in the protocol
+	Answered     Ending = iota
+	Truncated           // the connection ended without a whole answer
+	TimedOut            // the client did
+	NotConnected        // no connection came up, or it was found closed before the request went out
+	Malformed           // what came was no answer in the protocol
 )
 
 func (e Ending) String() string {
 	return [...]string{"answered", "cut off", "given up", "not connected", "garbled"}[e]
 }
 
-// Try is one request as its client saw it.
-type Try struct {
+// Attempt is one request as its client saw it.
+type Attempt struct {
 	ID, Class, Edge string // Edge: the machine that it was sent to
-	Once            bool   // its route is mutating
+	AtMostOnce      bool   // its route is mutating
 	Probe           bool   // it asks for what may not exist: no worth, and no part in DENIED
 	Method, Host    string
 	Target          string
 	Key             string  // empty: none was sent
-	Claimed         string  // the X-Tenant that the client put in, if any
+	ClaimedTenant   string  // the X-Tenant that the client put in, if any
 	Body            uint64  // sum of its body
 	Sent, Done      Seconds // its last byte was sent; it ended
-	Left            Seconds // that the client said it would wait, from Sent
-	Began           Seconds // the first try of it was sent
-	Aim             Seconds // that an answer earns its full worth in, from Began
+	TimeLeft        Seconds // that the client said it would wait, from Sent
+	FirstSent       Seconds // the first try of it was sent
+	LatencyTarget   Seconds // that an answer earns its full worth in, from Began
 	Last            bool    // no further try followed
 
 	End      Ending
@@ -76,7 +76,7 @@
 type Arrival struct {
 	ID, Instance, Service string
 	At                    Seconds // it was read
-	Ran                   Seconds // work on it began; Never: it did not run
+	Started               Seconds // work on it began; Never: it did not run
 	End                   Seconds // the server was through with it
 	Method, Host, Target  string
 	Body                  uint64
@@ -84,7 +84,7 @@
 	Status                int    // that the server answered, or would have
 	Seal                  string
 	Sum                   uint64 // of the whole body of the answer
-	Broke                 bool   // the server itself broke the answer off, or sent bytes that are none
+	Aborted               bool   // the server itself broke the answer off, or sent bytes that are none
 }
 
 // Version is an item of the configuration as one operator sent it. Two that raced may have one number.
@@ -115,15 +115,15 @@
 	Rate, Burst float64
 }
 
-// Leave is an acknowledgement that a server is draining or gone.
-type Leave struct {
+// Departure is an acknowledgement that a server is draining or gone.
+type Departure struct {
 	Instance string
 	At       Seconds
 	By       string // the core machine
 }
 
-// Trouble is what keeps a machine from being in touch. For a machine of the core it unsettles the core.
-type Trouble struct {
+// Fault is what keeps a machine from being in touch. For a machine of the core it unsettles the core.
+type Fault struct {
 	Machine  string
 	Core     bool
 	Majority bool // more than half of the core was away; else the others went on
@@ -131,47 +131,47 @@
 	From, To Seconds
 }
 
-// Cut is a time in which a core machine reached no majority of the core.
-type Cut struct {
+// Partition is a time in which a core machine reached no majority of the core.
+type Partition struct {
 	Machine  string
 	From, To Seconds
 }
 
-// Said is what a core machine answered to a call that needs contact with a majority. Status 0: nothing.
-type Said struct {
-	Machine, What string
+// ControlAnswer is what a core machine answered to a call that needs contact with a majority. Status 0: nothing.
+type ControlAnswer struct {
+	Machine, Call string
 	Began, Done   Seconds
 	Status        int
 }
 
-// Life is the start of a process on a machine that takes clients.
-type Life struct {
+// ProcessStart is the start of a process on a machine that takes clients.
+type ProcessStart struct {
 	Machine string
 	At      Seconds
 }
 
-// Order is a SIGTERM to a machine that takes clients.
-type Order struct {
+// Termination is a SIGTERM to a machine that takes clients.
+type Termination struct {
 	Machine string
 	At      Seconds
 }
 
-// Read is what GET /config returned at the end: the bodies by item, as encoding/json reads them.
-type Read struct {
+// ConfigRead is what GET /config returned at the end: the bodies by item, as encoding/json reads them.
+type ConfigRead struct {
 	Machine string
 	At      Seconds
 	Items   map[string]any
 }
 
-// Own is a process that ended by itself.
-type Own struct {
+// Exit is a process that ended by itself.
+type Exit struct {
 	Process string
 	At      Seconds
 	Text    string
 }
 
-// Breach is a rule that was broken.
-type Breach struct {
+// Violation is a rule that was broken.
+type Violation struct {
 	Rule string // as RULES.md names it
 	At   Seconds
 	Text string
--- a/internal/emulator/loopback/client.go
+++ b/internal/emulator/loopback/client.go
@@ -30,8 +30,8 @@
 	keepMost    = 14 * time.Second
 )
 
-// person is a client: it stands in a zone, and may keep a connection.
-type person struct {
+// clientUser is a client: it stands in a zone, and may keep a connection.
+type clientUser struct {
 	number int
 	zone   int
 
@@ -45,7 +45,7 @@
 	in   *bufio.Reader
 	edge *machine
 	till time.Time
-	last *invariants.Try
+	last *invariants.Attempt
 }
 
 // extra looks for bytes behind the last answer, and whether the connection has been closed.
@@ -72,7 +72,7 @@
 		return
 	}
 	if surplus, _ := k.extra(); surplus {
-		f.ledger.do(func() { k.last.Surplus = true })
+		f.recorder.update(func() { k.last.Surplus = true })
 	}
 	k.c.Close()
 }
@@ -82,7 +82,7 @@
 	class  *class
 	route  *route
 	key    string
-	person *person
+	person *clientUser
 	probe  *machine // it goes there, and once only
 	pooled bool
 	began  time.Time
@@ -110,14 +110,14 @@
 		routes := f.liveRoutes(c)
 		r := routes[rng.IntN(len(routes))]
 		key := t.key(rng)
-		o := &order{class: c, route: r, key: key, person: f.people[rng.IntN(len(f.people))], pooled: rng.IntN(2) == 0, began: time.Now()}
+		o := &order{class: c, route: r, key: key, person: f.users[rng.IntN(len(f.users))], pooled: rng.IntN(2) == 0, began: time.Now()}
 		if r.public && rng.IntN(2) == 0 {
 			o.key = ""
 		}
 		seed := rng.Uint64()
 		if f.out.Add(1) > atOnceMost {
 			f.out.Add(-1)
-			f.ledger.note("clients are overloaded: a request was not sent")
+			f.recorder.note("clients are overloaded: a request was not sent")
 			continue
 		}
 		f.clients.Go(func() {
@@ -137,14 +137,14 @@
 		left = c.deadline - time.Since(o.began)
 		promise := t.End == invariants.Answered && (t.Status == 408 || t.Status == 421 || t.Status == 429 || t.Status == 503)
 		final := t.End == invariants.Answered && (t.Status/100 == 2 || slices.Contains([]int{400, 401, 403, 404, 413, 431}, t.Status))
-		again := !final && (!c.once || promise || t.End == invariants.Unconnected)
+		again := !final && (!c.once || promise || t.End == invariants.NotConnected)
 		wait := backoff + time.Duration(rng.Int64N(int64(backoff)))
 		backoff *= 2
 		if advice > 0 {
 			wait = min(advice, left/3)
 		}
 		if !again || o.probe != nil || n == repeats || left-wait < 20*time.Millisecond || f.world.Err() != nil {
-			f.ledger.do(func() { t.Last = true })
+			f.recorder.update(func() { t.Last = true })
 			return
 		}
 		f.pause(wait)
@@ -152,11 +152,11 @@
 }
 
 // try makes one try; advice is what Retry-After says.
-func (f *cluster) try(o *order, n int, left time.Duration, rng *rand.Rand) (t *invariants.Try, advice time.Duration) {
+func (f *cluster) try(o *order, n int, left time.Duration, rng *rand.Rand) (t *invariants.Attempt, advice time.Duration) {
 	c := o.class
-	t = &invariants.Try{ID: fmt.Sprintf("%016x", rng.Uint64()), Class: c.name, Once: c.once, Probe: o.probe != nil, Method: http.MethodGet,
-		Host: o.route.host, Target: fmt.Sprintf("%s%x", o.route.prefix, rng.Uint32N(1<<20)), Key: o.key, Left: left.Seconds(),
-		Began: f.at(o.began), Aim: c.aim.Seconds()}
+	t = &invariants.Attempt{ID: fmt.Sprintf("%016x", rng.Uint64()), Class: c.name, AtMostOnce: c.once, Probe: o.probe != nil, Method: http.MethodGet,
+		Host: o.route.host, Target: fmt.Sprintf("%s%x", o.route.prefix, rng.Uint32N(1<<20)), Key: o.key, TimeLeft: left.Seconds(),
+		FirstSent: f.at(o.began), LatencyTarget: c.aim.Seconds()}
 	if rng.IntN(4) == 0 {
 		t.Target += "?q=" + strconv.Itoa(rng.IntN(100))
 	}
@@ -174,12 +174,12 @@
 	if edge == nil && k == nil {
 		edge = f.door(o.person, n)
 	}
-	defer f.ledger.try(t)
+	defer f.recorder.try(t)
 	if k == nil {
 		t.Edge = edge.name
 		conn, err := net.DialTimeout("tcp4", edge.at(f.ports.front), min(connectMost, left))
 		if err != nil {
-			t.Sent, t.Done, t.End = f.now(), f.now(), invariants.Unconnected
+			t.Sent, t.Done, t.End = f.now(), f.now(), invariants.NotConnected
 			return t, 0
 		}
 		k = &kept{c: conn.(*net.TCPConn), in: bufio.NewReader(conn), edge: edge}
@@ -192,7 +192,7 @@
 		fmt.Fprintf(&b, "Authorization: Token %s\r\n", o.key)
 	}
 	if rng.IntN(10) == 0 {
-		t.Claimed = "somebody"
+		t.ClaimedTenant = "somebody"
 		b.WriteString("X-Tenant: somebody\r\nx-target-instance: i-0\r\n")
 	}
 	closing := !o.pooled || o.probe != nil
@@ -217,8 +217,8 @@
 	} else {
 		t.End = failed(err)
 	}
-	if t.End == invariants.CutOff && t.Status == 0 && f.unread(k.c, err) {
-		t.End = invariants.Unconnected
+	if t.End == invariants.Truncated && t.Status == 0 && f.unread(k.c, err) {
+		t.End = invariants.NotConnected
 	}
 	t.Done = f.now()
 	if err != nil || t.End != invariants.Answered || closing || k.till.IsZero() {
@@ -240,9 +240,9 @@
 // failed is how a try ended whose connection failed.
 func failed(err error) invariants.Ending {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return invariants.GaveUp
+		return invariants.TimedOut
 	}
-	return invariants.CutOff
+	return invariants.Truncated
 }
 
 // unread tells whether the machine closed the connection without having read the request: its kernel resets such a connection. It may
@@ -266,7 +266,7 @@
 }
 
 // read reads an answer. The connection may be kept until k.till; zero: it may not.
-func (f *cluster) read(k *kept, t *invariants.Try) (advice time.Duration, err error) {
+func (f *cluster) read(k *kept, t *invariants.Attempt) (advice time.Duration, err error) {
 	k.till = time.Time{}
 	if _, err := k.in.Peek(1); err != nil {
 		t.End = failed(err)
@@ -275,8 +275,8 @@
 	r, err := http.ReadResponse(k.in, &http.Request{Method: t.Method})
 	if err != nil {
 		ended := errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)
-		if t.End = failed(err); t.End == invariants.CutOff && !ended {
-			t.End = invariants.Garbled
+		if t.End = failed(err); t.End == invariants.Truncated && !ended {
+			t.End = invariants.Malformed
 		}
 		return 0, err
 	}
@@ -313,7 +313,7 @@
 }
 
 // pooledOf is the connection that a client keeps, if it may still be used.
-func (f *cluster) pooledOf(p *person) *kept {
+func (f *cluster) pooledOf(p *clientUser) *kept {
 	p.mu.Lock()
 	k := p.idle
 	p.idle = nil
@@ -374,7 +374,7 @@
 }
 
 // door is the machine that a client's connection is handed to (PROTOCOL, "How clients arrive").
-func (f *cluster) door(p *person, try int) *machine {
+func (f *cluster) door(p *clientUser, try int) *machine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for far := range zones {
--- a/internal/emulator/loopback/deployment.go
+++ b/internal/emulator/loopback/deployment.go
@@ -106,18 +106,18 @@
 				public: n == 1 && c.once})
 		}
 	}
-	for n := range tenantMany {
+	for n := range tenantCount {
 		weights += 1 / float64(n+1)
 	}
-	for n := range tenantMany {
+	for n := range tenantCount {
 		w := 1 / float64(n+1) / weights
 		t := &tenant{name: word("t"), weight: w, keys: []string{word("k") + word("x"), word("k") + word("y")}}
 		t.rate = float64(int(1.6*w*rate*f.o.Load) + 3)
 		t.burst = t.rate
 		f.tenants = append(f.tenants, t)
 	}
-	for n := range peopleMany {
-		f.people = append(f.people, &person{number: n, zone: f.rng.IntN(zones)})
+	for n := range clientCount {
+		f.users = append(f.users, &clientUser{number: n, zone: f.rng.IntN(zones)})
 	}
 	return nil
 }
--- a/internal/emulator/loopback/faults.go
+++ b/internal/emulator/loopback/faults.go
@@ -106,7 +106,7 @@
 		}},
 		"cut-edge": {"an edge machine is cut off from all core nodes for 3 s", func(f *cluster, n int) {
 			m := f.edgeOf(n)
-			over := f.ledger.trouble(invariants.Trouble{Machine: m.name, From: f.now()})
+			over := f.recorder.beginFault(invariants.Fault{Machine: m.name, From: f.now()})
 			heal := f.sever(m, f.core, bothWays)
 			f.hold(darkFor)
 			heal()
@@ -299,7 +299,7 @@
 // replace starts a server like another one.
 func (f *cluster) replace(s *server, addr string) {
 	if _, err := f.serve(s.service, s.zone, addr, s.generation); err != nil {
-		f.ledger.note("a server was not started: %v", err)
+		f.recorder.note("a server was not started: %v", err)
 	}
 }
 
@@ -320,27 +320,27 @@
 func (m *machine) wipe() {
 	f := m.f
 	f.mu.Lock()
-	bearable := len(f.core) >= 3 && (f.wiped == nil || f.wiped == m || f.now() > f.wipedAt+f.o.Bounds.CatchUp+comeBack.Seconds())
+	bearable := len(f.core) >= 3 && (f.diskLost == nil || f.diskLost == m || f.now() > f.diskLostAt+f.o.Bounds.CatchUp+comeBack.Seconds())
 	if bearable {
-		f.wiped, f.wipedAt = m, f.now()
+		f.diskLost, f.diskLostAt = m, f.now()
 	}
 	f.mu.Unlock()
 	if !bearable {
-		f.ledger.note("the disk of %s stays: the loss of another is not over", m.name)
+		f.recorder.note("the disk of %s stays: the loss of another is not over", m.name)
 		return
 	}
 	if err := os.RemoveAll(m.disk()); err != nil {
-		f.ledger.note("%s: %v", m.name, err)
+		f.recorder.note("%s: %v", m.name, err)
 	}
 	if err := os.MkdirAll(m.disk(), 0o700); err != nil {
-		f.ledger.note("%s: %v", m.name, err)
+		f.recorder.note("%s: %v", m.name, err)
 	}
 }
 
 // blackout kills all core nodes, wipes one disk (nil: none), and starts them again.
 func (f *cluster) blackout(wiped *machine) {
-	over := f.ledger.trouble(invariants.Trouble{Machine: "core", Core: true, Majority: true, From: f.now()})
-	f.ledger.do(func() { f.ledger.log.Closing = f.now() })
+	over := f.recorder.beginFault(invariants.Fault{Machine: "core", Core: true, Majority: true, From: f.now()})
+	f.recorder.update(func() { f.recorder.log.Closing = f.now() })
 	var dead, back sync.WaitGroup
 	dead.Add(len(f.core))
 	for _, m := range f.core {
--- a/internal/emulator/loopback/heartbeats.go
+++ b/internal/emulator/loopback/heartbeats.go
@@ -14,7 +14,7 @@
 
 // beats tells the control nodes of it until it ends.
 func (s *server) beats() {
-	t := time.NewTicker(s.f.o.Beat)
+	t := time.NewTicker(s.f.o.HeartbeatInterval)
 	defer t.Stop()
 	for {
 		if !s.dark.Load() && !s.draining.Load() {
@@ -50,7 +50,7 @@
 		s.mu.Unlock()
 		if ok {
 			if phase != "serving" {
-				s.f.ledger.leave(invariants.Leave{Instance: s.id, At: s.f.now(), By: by})
+				s.f.recorder.departure(invariants.Departure{Instance: s.id, At: s.f.now(), By: by})
 			}
 			return true
 		}
@@ -87,7 +87,7 @@
 	text, err := io.ReadAll(io.LimitReader(answer.Body, ackBytes+1))
 	if err != nil || len(text) > ackBytes || answer.StatusCode/100 != 2 {
 		if answer.StatusCode/100 == 4 {
-			s.f.ledger.note("%s %s of %s got %d: %.100s", method, phase, s.id, answer.StatusCode, text)
+			s.f.recorder.note("%s %s of %s got %d: %.100s", method, phase, s.id, answer.StatusCode, text)
 		}
 		return "", "", false
 	}
@@ -106,7 +106,7 @@
 		s.f.hold(time.Duration(s.f.o.Bounds.Drain*float64(time.Second)) + behind)
 		s.tell(http.MethodDelete, "gone", leaveMost)
 	} else {
-		s.f.ledger.note("%s: no acknowledgement of its leave", s.id)
+		s.f.recorder.note("%s: no acknowledgement of its leave", s.id)
 	}
 	s.end()
 }
--- a/internal/emulator/loopback/ledger.go
+++ b/internal/emulator/loopback/ledger.go
@@ -7,59 +7,73 @@
 	"mulleinrouter/internal/emulator/invariants"
 )
 
-// ledger collects what is seen, from all goroutines.
-type ledger struct {
+// recorder collects what is seen, from all goroutines.
+type recorder struct {
 	mu       sync.Mutex
 	log      invariants.Log
-	tries    []*invariants.Try
+	attempts []*invariants.Attempt
 	arrivals []*invariants.Arrival
 	versions []*invariants.Version
-	troubles []*invariants.Trouble
+	faults   []*invariants.Fault
 	notes    []string
 }
 
-// do runs what changes an entry.
-func (b *ledger) do(change func()) {
+// update runs what changes an entry.
+func (b *recorder) update(change func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change()
 }
 
-func (b *ledger) arrival(a *invariants.Arrival) { b.do(func() { b.arrivals = append(b.arrivals, a) }) }
-func (b *ledger) try(t *invariants.Try)         { b.do(func() { b.tries = append(b.tries, t) }) }
-func (b *ledger) version(v *invariants.Version) { b.do(func() { b.versions = append(b.versions, v) }) }
-func (b *ledger) leave(l invariants.Leave)      { b.do(func() { b.log.Leaves = append(b.log.Leaves, l) }) }
-func (b *ledger) read(r invariants.Read)        { b.do(func() { b.log.Reads = append(b.log.Reads, r) }) }
-func (b *ledger) life(machine string, at invariants.Seconds) {
-	b.do(func() { b.log.Lives = append(b.log.Lives, invariants.Life{Machine: machine, At: at}) })
+func (b *recorder) arrival(a *invariants.Arrival) {
+	b.update(func() { b.arrivals = append(b.arrivals, a) })
 }
-func (b *ledger) order(machine string, at invariants.Seconds) {
-	b.do(func() { b.log.Orders = append(b.log.Orders, invariants.Order{Machine: machine, At: at}) })
+func (b *recorder) try(t *invariants.Attempt) {
+	b.update(func() { b.attempts = append(b.attempts, t) })
+}
+func (b *recorder) version(v *invariants.Version) {
+	b.update(func() { b.versions = append(b.versions, v) })
+}
+func (b *recorder) departure(l invariants.Departure) {
+	b.update(func() { b.log.Departures = append(b.log.Departures, l) })
+}
+func (b *recorder) read(r invariants.ConfigRead) {
+	b.update(func() { b.log.ConfigReads = append(b.log.ConfigReads, r) })
+}
+func (b *recorder) processStart(machine string, at invariants.Seconds) {
+	b.update(func() {
+		b.log.ProcessStarts = append(b.log.ProcessStarts, invariants.ProcessStart{Machine: machine, At: at})
+	})
+}
+func (b *recorder) termination(machine string, at invariants.Seconds) {
+	b.update(func() {
+		b.log.Terminations = append(b.log.Terminations, invariants.Termination{Machine: machine, At: at})
+	})
 }
 
-// trouble notes trouble that lasts until over is called, for ever if it is not.
-func (b *ledger) trouble(t invariants.Trouble) (over func(invariants.Seconds)) {
+// beginFault notes beginFault that lasts until over is called, for ever if it is not.
+func (b *recorder) beginFault(t invariants.Fault) (over func(invariants.Seconds)) {
 	t.To = invariants.Never
-	b.do(func() { b.troubles = append(b.troubles, &t) })
-	return func(at invariants.Seconds) { b.do(func() { t.To = at }) }
+	b.update(func() { b.faults = append(b.faults, &t) })
+	return func(at invariants.Seconds) { b.update(func() { t.To = at }) }
 }
 
-// ownEnd notes that a process ended by itself. RULES bears that in some times of trouble; here it never passes.
-func (b *ledger) ownEnd(process string, at invariants.Seconds, text string) {
-	b.do(func() { b.log.Stuck = append(b.log.Stuck, invariants.Own{Process: process, At: at, Text: text}) })
+// exit notes that a process ended by itself. RULES bears that in some times of trouble; here it never passes.
+func (b *recorder) exit(process string, at invariants.Seconds, text string) {
+	b.update(func() { b.log.Exits = append(b.log.Exits, invariants.Exit{Process: process, At: at, Text: text}) })
 }
 
-func (b *ledger) note(format string, args ...any) {
-	b.do(func() { b.notes = append(b.notes, fmt.Sprintf(format, args...)) })
+func (b *recorder) note(format string, args ...any) {
+	b.update(func() { b.notes = append(b.notes, fmt.Sprintf(format, args...)) })
 }
 
-// whole is a copy of all that is in the book.
-func (b *ledger) whole() *invariants.Log {
+// snapshot is a copy of all that is in the book.
+func (b *recorder) snapshot() *invariants.Log {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.log
-	for _, t := range b.tries {
-		l.Tries = append(l.Tries, *t)
+	for _, t := range b.attempts {
+		l.Attempts = append(l.Attempts, *t)
 	}
 	for _, a := range b.arrivals {
 		l.Arrivals = append(l.Arrivals, *a)
@@ -67,8 +81,8 @@
 	for _, v := range b.versions {
 		l.Versions = append(l.Versions, *v)
 	}
-	for _, t := range b.troubles {
-		l.Troubles = append(l.Troubles, *t)
+	for _, t := range b.faults {
+		l.Faults = append(l.Faults, *t)
 	}
 	return &l
 }
--- a/internal/emulator/loopback/loopback.go
+++ b/internal/emulator/loopback/loopback.go
@@ -21,42 +21,42 @@
 )
 
 const (
-	zones      = 3
-	peopleMany = 60
-	tenantMany = 6
-	healthPath = "/health"
-	hotTimes   = 8
+	zones       = 3
+	clientCount = 60
+	tenantCount = 6
+	healthPath  = "/health"
+	hotTimes    = 8
 
-	startMost = 25 * time.Second // for the machines to be ready
-	probeEach = 80 * time.Millisecond
+	startTimeout  = 25 * time.Second // for the machines to be ready
+	probeInterval = 80 * time.Millisecond
 )
 
 func zoneName(z int) string { return fmt.Sprintf("hall-%c", 'a'+z) }
 
 // Options is what is played.
 type Options struct {
-	Core, Edge int           // machines
-	For        time.Duration // of traffic
-	Faults     []Fault
-	Seed       uint64
-	Bin        string          // folder of the three programs
-	Load       float64         // of the usual 120 requests a second; 0: 1
-	Bounds     settings.Bounds // zero: Usual
-	Beat       time.Duration   // of servers; 0: 1.5 s
-	Open       time.Duration   // traffic begins this long after the machines do, at least
-	Dir        string          // folder for settings, disks and logs
+	Core, Edge        int           // machines
+	For               time.Duration // of traffic
+	Faults            []Fault
+	Seed              uint64
+	Bin               string          // folder of the three programs
+	Load              float64         // of the usual 120 requests a second; 0: 1
+	Bounds            settings.Bounds // zero: Usual
+	HeartbeatInterval time.Duration   // of servers; 0: 1.5 s
+	Open              time.Duration   // traffic begins this long after the machines do, at least
+	Dir               string          // folder for settings, disks and logs
 }
 
-// Usual is the figures of the rules on usual days.
-func Usual() settings.Bounds {
+// DefaultBounds is the figures of the rules on usual days.
+func DefaultBounds() settings.Bounds {
 	return settings.Bounds{SeedLag: 3, ReuseAfter: 2, Contact: 3, Ack: 5, CatchUp: 4, Drain: 2.5, Grace: 6, LossSlack: 0.2, ConfigApply: 2.5,
 		RevertSlack: 0.25, MaxStretch: 8, Revoke: 5, RetryRatio: 0.2, RetryWindow: 10, RetrySlack: 62, QuotaWindow: 5, QuotaExcess: 0.1,
 		QuotaSlack: 20, Recovery: 15}
 }
 
-// Brisk is figures for plays of a few seconds: machines are held to the rules sooner after trouble, and to less time.
-func Brisk() settings.Bounds {
-	b := Usual()
+// FastBounds is figures for plays of a few seconds: machines are held to the rules sooner after trouble, and to less time.
+func FastBounds() settings.Bounds {
+	b := DefaultBounds()
 	b.Contact, b.ConfigApply, b.Drain, b.MaxStretch = 1, 1.5, 1.2, 3
 	return b
 }
@@ -69,7 +69,7 @@
 	ports    ports
 	core     []*machine
 	edge     []*machine
-	ledger   ledger
+	recorder recorder
 	base     time.Time
 	open     invariants.Seconds // when traffic began
 
@@ -82,7 +82,7 @@
 	services map[string]kind
 	classes  []*class
 	tenants  []*tenant
-	people   []*person
+	users    []*clientUser
 	clients  sync.WaitGroup
 	faults   sync.WaitGroup
 	serial   atomic.Int64
@@ -92,15 +92,15 @@
 	acker    atomic.Pointer[machine] // that acknowledged a change last
 	ackTimes span
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	servers []*server
-	entries []entry
-	live    map[*class][]*route
-	odd     []oddity       // what probes ask for
-	answers map[string]int // of the system's own
-	wiped   *machine       // whose disk was lost last
-	wipedAt invariants.Seconds
+	mu         sync.Mutex
+	rng        *rand.Rand
+	servers    []*server
+	entries    []entry
+	live       map[*class][]*route
+	odd        []oddity       // what probes ask for
+	answers    map[string]int // of the system's own
+	diskLost   *machine       // whose disk was lost last
+	diskLostAt invariants.Seconds
 }
 
 // oddity is a request whose handling shows which configuration is in force.
@@ -148,11 +148,11 @@
 	if o.Load == 0 {
 		o.Load = 1
 	}
-	if o.Beat == 0 {
-		o.Beat = 1500 * time.Millisecond
+	if o.HeartbeatInterval == 0 {
+		o.HeartbeatInterval = 1500 * time.Millisecond
 	}
 	if o.Bounds == (settings.Bounds{}) {
-		o.Bounds = Usual()
+		o.Bounds = DefaultBounds()
 	}
 	if o.Core < 1 || o.Edge < 1 || o.Core > 50 || o.Edge > 50 {
 		return nil, errors.New("between 1 and 50 core machines, and as many edge machines")
@@ -163,7 +163,7 @@
 	}
 	o.Bin = bin
 	f := &cluster{o: o, base: time.Now(), rng: rand.New(rand.NewPCG(o.Seed, 0)), live: map[*class][]*route{}, answers: map[string]int{}}
-	f.ledger.log.Closing = invariants.Never
+	f.recorder.log.Closing = invariants.Never
 	f.cutting = slices.ContainsFunc(o.Faults, func(x Fault) bool { return strings.HasPrefix(x.Name, "cut-") })
 	transport := &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second, DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -201,7 +201,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, p := range f.people {
+	for _, p := range f.users {
 		f.drop(p.idle)
 	}
 	r.judge(f)
@@ -212,7 +212,7 @@
 func (f *cluster) play() error {
 	started := map[string]func(invariants.Seconds){}
 	for _, m := range slices.Concat(f.core, f.edge) {
-		started[m.name] = f.ledger.trouble(invariants.Trouble{Machine: m.name, Core: m.core, Planned: true})
+		started[m.name] = f.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, Planned: true})
 		if err := m.begin(); err != nil {
 			return err
 		}
@@ -226,7 +226,7 @@
 		}
 	}
 	if status := f.operator.bring(f.first()...); status != 200 {
-		return fmt.Errorf("the first configuration was not taken: %d, %s\n%s", status, strings.Join(f.ledger.notes, "; "), f.logs())
+		return fmt.Errorf("the first configuration was not taken: %d, %s\n%s", status, strings.Join(f.recorder.notes, "; "), f.logs())
 	}
 	for _, m := range slices.Concat(f.core, f.edge) {
 		if err := m.settle(false); err != nil {
@@ -248,7 +248,7 @@
 	for _, x := range f.o.Faults {
 		f.faults.Go(func() {
 			if f.hold(x.At) {
-				f.ledger.note("%.1f s: %s", f.now()-f.open, x.Name)
+				f.recorder.note("%.1f s: %s", f.now()-f.open, x.Name)
 				faults[x.Name].play(f, x.Target)
 			}
 		})
@@ -264,23 +264,23 @@
 
 // await waits until every machine is ready and serves each route.
 func (f *cluster) await() error {
-	until := time.Now().Add(startMost)
+	until := time.Now().Add(startTimeout)
 	rng := rand.New(rand.NewPCG(f.o.Seed, 99))
 	for _, m := range f.edge {
 		for !f.ready(m, time.Second) {
 			if time.Now().After(until) || !f.hold(30*time.Millisecond) {
-				return fmt.Errorf("%s was not ready in %v\n%s", m.name, startMost, f.logs())
+				return fmt.Errorf("%s was not ready in %v\n%s", m.name, startTimeout, f.logs())
 			}
 		}
 		for _, c := range f.classes {
 			for _, r := range f.live[c] {
 				for {
-					t, _ := f.try(&order{class: c, route: r, key: f.tenants[0].key(rng), person: f.people[0], probe: m, began: time.Now()}, 0, c.deadline, rng)
+					t, _ := f.try(&order{class: c, route: r, key: f.tenants[0].key(rng), person: f.users[0], probe: m, began: time.Now()}, 0, c.deadline, rng)
 					if t.Status == 200 {
 						break
 					}
 					if time.Now().After(until) || !f.hold(30*time.Millisecond) {
-						return fmt.Errorf("%s did not serve %s in %v: %v, %d\n%s", m.name, c.name, startMost, t.End, t.Status, f.logs())
+						return fmt.Errorf("%s did not serve %s in %v: %v, %d\n%s", m.name, c.name, startTimeout, t.End, t.Status, f.logs())
 					}
 				}
 			}
@@ -304,7 +304,7 @@
 func (f *cluster) ask() {
 	rng := rand.New(rand.NewPCG(f.o.Seed, 98))
 	never := &route{name: "never", host: "nowhere.example", prefix: "/never/", class: f.classes[0]}
-	for n := 0; f.hold(probeEach); n++ {
+	for n := 0; f.hold(probeInterval); n++ {
 		m := f.edge[n%len(f.edge)]
 		f.mu.Lock()
 		odd := oddity{route: never}
@@ -317,7 +317,7 @@
 		}
 		seed := rng.Uint64()
 		f.clients.Go(func() {
-			f.order(&order{class: odd.route.class, route: odd.route, key: odd.key, person: f.people[0], probe: m, began: time.Now()},
+			f.order(&order{class: odd.route.class, route: odd.route, key: odd.key, person: f.users[0], probe: m, began: time.Now()},
 				rand.New(rand.NewPCG(seed, 2)))
 		})
 	}
@@ -357,7 +357,7 @@
 				p.hold = true
 				p.mu.Unlock()
 				if f.ctx.Err() != nil && p.quit(f.grace()) {
-					f.ledger.note("%s on %s did not end within the grace after SIGTERM", p.program, m.name)
+					f.recorder.note("%s on %s did not end within the grace after SIGTERM", p.program, m.name)
 				}
 			})
 		}
--- a/internal/emulator/loopback/loopback_test.go
+++ b/internal/emulator/loopback/loopback_test.go
@@ -53,8 +53,8 @@
 			if c.name == "second-loss" {
 				core = 4
 			}
-			r, err := Play(t.Context(), Options{Core: core, Edge: 3, For: c.span, Faults: c.faults, Seed: 5, Bin: bin, Bounds: Brisk(), Load: 0.6,
-				Open: 3 * time.Second, Beat: 500 * time.Millisecond, Dir: t.TempDir()})
+			r, err := Play(t.Context(), Options{Core: core, Edge: 3, For: c.span, Faults: c.faults, Seed: 5, Bin: bin, Bounds: FastBounds(), Load: 0.6,
+				Open: 3 * time.Second, HeartbeatInterval: 500 * time.Millisecond, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/emulator/loopback/machine.go
+++ b/internal/emulator/loopback/machine.go
@@ -125,7 +125,7 @@
 		}
 		line("platform.discoverySource", "self_register")
 		line("platform.entryKind", "vip")
-		line("platform.beatMs", f.o.Beat.Milliseconds())
+		line("platform.beatMs", f.o.HeartbeatInterval.Milliseconds())
 		line("platform.configMode", "parts")
 		line("terms.clauses", "base,drain,config,cost,retry,recover,tenants,quota")
 		line("terms.tolerance.machineLosses", min(1, (len(f.core)-1)/2))
@@ -186,7 +186,7 @@
 		}
 		for _, at := range append([]*machine{m}, others...) {
 			if err := at.layLinks(); err != nil {
-				f.ledger.note("%s: %v", at.name, err)
+				f.recorder.note("%s: %v", at.name, err)
 			}
 		}
 	}
@@ -227,7 +227,7 @@
 func (m *machine) crash(procs []*process, meanwhile func()) {
 	m.settling.Lock()
 	defer m.settling.Unlock()
-	over := m.f.ledger.trouble(invariants.Trouble{Machine: m.name, Core: m.core, From: m.f.now()})
+	over := m.f.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, From: m.f.now()})
 	for _, p := range procs {
 		p.kill()
 	}
@@ -245,15 +245,15 @@
 func (m *machine) roll() {
 	m.settling.Lock()
 	defer m.settling.Unlock()
-	over := m.f.ledger.trouble(invariants.Trouble{Machine: m.name, Core: m.core, Planned: true, From: m.f.now()})
+	over := m.f.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, Planned: true, From: m.f.now()})
 	if !m.core {
-		m.f.ledger.order(m.name, m.f.now())
+		m.f.recorder.termination(m.name, m.f.now())
 	}
 	var all sync.WaitGroup
 	for _, p := range m.procs {
 		all.Go(func() {
 			if p.quit(m.f.grace()) {
-				m.f.ledger.note("%s on %s did not end within the grace after SIGTERM", p.program, m.name)
+				m.f.recorder.note("%s on %s did not end within the grace after SIGTERM", p.program, m.name)
 			}
 		})
 	}
@@ -269,7 +269,7 @@
 func (m *machine) freeze(span time.Duration) {
 	m.settling.Lock()
 	defer m.settling.Unlock()
-	over := m.f.ledger.trouble(invariants.Trouble{Machine: m.name, Core: m.core, From: m.f.now()})
+	over := m.f.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, From: m.f.now()})
 	for _, p := range m.procs {
 		p.signal(unix.SIGSTOP, false)
 	}
@@ -284,9 +284,9 @@
 // servers and operators ask, and what it answers is judged. Meanwhile changes are ordered at all nodes.
 func (m *machine) cutOff(others []*machine, w way, span time.Duration) {
 	f := m.f
-	over := f.ledger.trouble(invariants.Trouble{Machine: m.name, Core: true, From: f.now()})
+	over := f.recorder.beginFault(invariants.Fault{Machine: m.name, Core: true, From: f.now()})
 	heal := f.sever(m, others, w)
-	c := invariants.Cut{Machine: m.name, From: f.now()}
+	c := invariants.Partition{Machine: m.name, From: f.now()}
 	until := time.Now().Add(span)
 	answers := map[int]int{}
 	for n := 0; time.Now().Before(until); n++ {
@@ -299,22 +299,22 @@
 		}
 	}
 	c.To = f.now()
-	f.ledger.do(func() { f.ledger.log.Cuts = append(f.ledger.log.Cuts, c) })
+	f.recorder.update(func() { f.recorder.log.Partitions = append(f.recorder.log.Partitions, c) })
 	heal()
 	over(f.now())
-	f.ledger.note("%s, cut off, answered (by status; 0: no acknowledgement): %v", m.name, answers)
+	f.recorder.note("%s, cut off, answered (by status; 0: no acknowledgement): %v", m.name, answers)
 }
 
 // ask asks a core node what it may say only in contact with a majority, each thing in turn, and returns the status; 0: none.
 func (m *machine) ask(n int) int {
 	f := m.f
-	said := invariants.Said{Machine: m.name, Began: f.now()}
+	said := invariants.ControlAnswer{Machine: m.name, Began: f.now()}
 	switch n % 4 {
 	case 0:
-		said.What = "configuration read"
+		said.Call = "configuration read"
 		said.Status, _ = f.operator.call(http.MethodGet, m, nil, callMost)
 	case 1:
-		said.What = "order that stands"
+		said.Call = "order that stands"
 		i := f.tenants[0].item()
 		f.operator.mu.Lock()
 		if known, ok := f.operator.items[i.key()]; ok {
@@ -323,10 +323,10 @@
 		f.operator.mu.Unlock()
 		said.Status, _ = f.operator.call(http.MethodPatch, m, patch([]item{i}), callMost)
 	case 2:
-		said.What = "order that cannot be read"
+		said.Call = "order that cannot be read"
 		said.Status, _ = f.operator.call(http.MethodPatch, m, []byte("{"), callMost)
 	case 3:
-		said.What = "beat"
+		said.Call = "beat"
 		if s := f.serverOf(n); s != nil {
 			if _, _, ok := s.call(m.at(f.ports.control), http.MethodPut, "serving"); ok {
 				said.Status = http.StatusOK
@@ -334,7 +334,7 @@
 		}
 	}
 	said.Done = f.now()
-	f.ledger.do(func() { f.ledger.log.Said = append(f.ledger.log.Said, said) })
+	f.recorder.update(func() { f.recorder.log.ControlAnswers = append(f.recorder.log.ControlAnswers, said) })
 	return said.Status
 }
 
@@ -342,7 +342,7 @@
 func (m *machine) retire() {
 	m.settling.Lock()
 	defer m.settling.Unlock()
-	m.f.ledger.trouble(invariants.Trouble{Machine: m.name, Core: m.core, From: m.f.now()})(m.f.now())
+	m.f.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, From: m.f.now()})(m.f.now())
 	for _, p := range m.procs {
 		p.kill()
 	}
--- a/internal/emulator/loopback/operator.go
+++ b/internal/emulator/loopback/operator.go
@@ -133,7 +133,7 @@
 	for _, i := range items {
 		v := seen(i, valid, f.now())
 		versions = append(versions, v)
-		f.ledger.version(v)
+		f.recorder.version(v)
 	}
 	text := patch(items)
 	wait := callMost + time.Duration(len(text))*time.Microsecond
@@ -143,7 +143,7 @@
 		got, said := o.call(http.MethodPatch, f.core[n%len(f.core)], text, wait)
 		switch {
 		case got/100 == 2:
-			f.ledger.do(func() {
+			f.recorder.update(func() {
 				for _, v := range versions {
 					v.Acked = f.now()
 				}
@@ -152,20 +152,20 @@
 			f.ackTimes.add(f.now() - began)
 			return got
 		case got == 400 || got == 409 || got == 412 || got == 413 || got == 422, got/100 == 4 && got != 408 && got != 429 && odd == 2:
-			f.ledger.do(func() {
+			f.recorder.update(func() {
 				for _, v := range versions {
 					v.Refused = true
 				}
 			})
 			if valid {
-				f.ledger.note("a valid call got %d from %s: %.200s", got, f.core[n%len(f.core)].name, said)
+				f.recorder.note("a valid call got %d from %s: %.200s", got, f.core[n%len(f.core)].name, said)
 			}
 			return got
 		case got/100 == 4:
 			odd++
 		}
 		if time.Now().After(until) || f.ctx.Err() != nil {
-			f.ledger.note("a call of %d items was never acknowledged, the %dth answer was %d: %.200s", len(items), n-first+1, got, said)
+			f.recorder.note("a call of %d items was never acknowledged, the %dth answer was %d: %.200s", len(items), n-first+1, got, said)
 			return 0
 		}
 		f.pause(pause)
@@ -219,14 +219,14 @@
 				if status, text := o.call(http.MethodGet, m, nil, 2*callMost); status == 200 {
 					items, err := readItems(text)
 					if err != nil {
-						o.f.ledger.note("%s: GET /config cannot be read: %v", m.name, err)
+						o.f.recorder.note("%s: GET /config cannot be read: %v", m.name, err)
 						return
 					}
-					o.f.ledger.read(invariants.Read{Machine: m.name, At: began, Items: items})
+					o.f.recorder.read(invariants.ConfigRead{Machine: m.name, At: began, Items: items})
 					return
 				}
 				if time.Now().After(until) {
-					o.f.ledger.note("%s: GET /config has no answer", m.name)
+					o.f.recorder.note("%s: GET /config has no answer", m.name)
 					return
 				}
 				o.f.pause(pause)
--- a/internal/emulator/loopback/process.go
+++ b/internal/emulator/loopback/process.go
@@ -23,7 +23,7 @@
 	done    chan struct{} // closed once this life has ended
 	asked   bool          // this life was told to end
 	hold    bool          // it is not to be started again
-	lives   int
+	starts  int
 	cpu     time.Duration // of lives that ended
 	peak    int64         // bytes, the most of any life
 	running bool
@@ -84,9 +84,9 @@
 		return fmt.Errorf("%s on %s: %w", p.program, p.m.name, err)
 	}
 	p.cmd, p.done, p.asked, p.hold, p.running = cmd, make(chan struct{}), false, false, true
-	p.lives++
+	p.starts++
 	if !p.m.core {
-		p.m.f.ledger.life(p.m.name, p.m.f.now())
+		p.m.f.recorder.processStart(p.m.name, p.m.f.now())
 	}
 	go p.attend(cmd, p.done)
 	return nil
@@ -106,7 +106,7 @@
 	if asked || hold {
 		return
 	}
-	p.m.f.ledger.ownEnd(p.program+" on "+p.m.name, p.m.f.now(), fmt.Sprintf("%v: %s", err, p.logEnd()))
+	p.m.f.recorder.exit(p.program+" on "+p.m.name, p.m.f.now(), fmt.Sprintf("%v: %s", err, p.logEnd()))
 	select {
 	case <-p.m.f.ctx.Done():
 	case <-time.After(comeBack):
@@ -169,7 +169,7 @@
 		c, m := measured(p.cmd.Process.Pid)
 		cpu, peak = cpu+c, max(peak, m)
 	}
-	return cpu, peak, p.lives
+	return cpu, peak, p.starts
 }
 
 // measured reads from /proc what a process used: processor time, and the most memory that was resident.
--- a/internal/emulator/loopback/report.go
+++ b/internal/emulator/loopback/report.go
@@ -14,7 +14,7 @@
 
 // Report is what a play came to.
 type Report struct {
-	Breaches []invariants.Breach
+	Breaches []invariants.Violation
 	Rows     []Row
 	Used     []Used
 	Notes    []string
@@ -57,18 +57,18 @@
 
 // judge adds what needs the whole log.
 func (r *Report) judge(f *cluster) {
-	l := f.ledger.whole()
+	l := f.recorder.snapshot()
 	l.Bounds = f.o.Bounds
 	for _, m := range f.edge {
 		l.Edges = append(l.Edges, m.name)
 	}
-	r.Breaches = invariants.Judge(l)
+	r.Breaches = invariants.Check(l)
 	r.Arrivals, r.Probes = len(l.Arrivals), f.probes.Load()
 	r.AckP99 = part(f.ackTimes.list, 0.99)
-	r.Notes, r.Answers = f.ledger.notes, f.answers
+	r.Notes, r.Answers = f.recorder.notes, f.answers
 	rows := map[string]*Row{}
 	times := map[string][]float64{}
-	for _, t := range l.Tries {
+	for _, t := range l.Attempts {
 		if t.Probe || !t.Last {
 			continue
 		}
@@ -78,12 +78,12 @@
 			rows[t.Class] = row
 		}
 		row.Requests++
-		switch took := t.Done - t.Began; {
+		switch took := t.Done - t.FirstSent; {
 		case t.End != invariants.Answered:
 			row.Failed[t.End.String()]++
 		case t.Status/100 == 2:
 			row.Served++
-			if took <= t.Aim {
+			if took <= t.LatencyTarget {
 				row.InTime++
 			}
 			times[t.Class] = append(times[t.Class], took)
--- a/internal/emulator/loopback/server.go
+++ b/internal/emulator/loopback/server.go
@@ -239,7 +239,7 @@
 	s.light()
 	now := s.f.now
 	id := r.Header.Get("X-Attempt-Id")
-	a := &invariants.Arrival{ID: id, Instance: s.id, Service: s.service, At: now(), Ran: invariants.Never, End: now(), Method: r.Method, Host: r.Host,
+	a := &invariants.Arrival{ID: id, Instance: s.id, Service: s.service, At: now(), Started: invariants.Never, End: now(), Method: r.Method, Host: r.Host,
 		Target: r.RequestURI, Body: sum(r.body), Tenant: r.Header.Get("X-Tenant"), Expected: r.Header.Get("X-Target-Instance")}
 	if id == "" && r.Method == http.MethodGet && r.URL.Path == healthPath {
 		s.f.probes.Add(1)
@@ -249,23 +249,23 @@
 		}
 		return s.write(c, status, "", "X-Instance-Id: "+s.id+"\r\n", nil, r.Close, false)
 	}
-	s.f.ledger.arrival(a)
+	s.f.recorder.arrival(a)
 	turn := func(status int, fields string) bool {
-		s.f.ledger.do(func() { a.Status, a.End = status, now() })
+		s.f.recorder.update(func() { a.Status, a.End = status, now() })
 		return s.write(c, status, id, fields, []byte("not run\n"), r.Close, false)
 	}
 	if a.Expected != "" && a.Expected != s.id {
 		return turn(421, "X-Instance-Id: "+s.id+"\r\n")
 	}
 	if r.Header.Get("Authorization") != "" {
-		s.f.ledger.note("a server was shown a key, by %s", id)
+		s.f.recorder.note("a server was shown a key, by %s", id)
 	}
 	if id == "" {
 		return turn(400, "X-Not-Executed: 1\r\n")
 	}
 	left, err := strconv.ParseFloat(r.Header.Get("X-Time-Left-Ms"), 64)
 	if err != nil {
-		s.f.ledger.note("X-Time-Left-Ms %q, by %s", r.Header.Get("X-Time-Left-Ms"), id)
+		s.f.recorder.note("X-Time-Left-Ms %q, by %s", r.Header.Get("X-Time-Left-Ms"), id)
 		left = 1000
 	}
 	deadline := time.NewTimer(time.Duration(left * float64(time.Millisecond)))
@@ -283,7 +283,7 @@
 	case <-gone:
 		return false
 	case <-s.ctx.Done():
-		s.f.ledger.do(func() { a.Broke = true })
+		s.f.recorder.update(func() { a.Aborted = true })
 		return false
 	}
 	return s.run(c, r, a, deadline, gone)
@@ -299,17 +299,17 @@
 	}
 	work := time.NewTimer(span)
 	defer work.Stop()
-	s.f.ledger.do(func() { a.Ran, a.End = now(), invariants.Never })
+	s.f.recorder.update(func() { a.Started, a.End = now(), invariants.Never })
 	status := 200
 	select {
 	case <-work.C:
 	case <-deadline.C:
 		status = 504
 	case <-gone:
-		s.f.ledger.do(func() { a.End = now() })
+		s.f.recorder.update(func() { a.End = now() })
 		return false
 	case <-s.ctx.Done():
-		s.f.ledger.do(func() { a.End, a.Broke = now(), true })
+		s.f.recorder.update(func() { a.End, a.Aborted = now(), true })
 		return false
 	}
 	s.light()
@@ -318,9 +318,9 @@
 	}
 	seal := fmt.Sprintf("%s.%x.%d", s.id, s.f.serial.Add(1), status)
 	body := pattern(seal, size)
-	s.f.ledger.do(func() {
+	s.f.recorder.update(func() {
 		a.End, a.Status, a.Seal, a.Sum = now(), status, seal, sum(body)
-		a.Broke = what != none && what != surplus
+		a.Aborted = what != none && what != surplus
 	})
 	fields := "X-Server-Seal: " + seal + "\r\n"
 	leave = leave || s.draining.Load() || r.Close
--- a/internal/emulator/modelcheck/config.go
+++ b/internal/emulator/modelcheck/config.go
@@ -11,7 +11,7 @@
 	Two     bool    // two requests at once
 	Servers int     // 1 or 2
 	Kept    bool    // a connection to the first server has been used before
-	Thin    bool    // the member's requests ask the counter
+	Sparse  bool    // the member's requests ask the counter
 	Full    bool    // one connection at the most
 	Dials   bool    // new connections take their time to come up
 	Long    bool    // the first request's body goes up as it comes
@@ -28,7 +28,7 @@
 	for _, f := range []struct {
 		is   bool
 		word string
-	}{{c.Kept, "kept"}, {c.Thin, "thin"}, {c.Full, "full"}, {c.Dials, "dials"}, {c.Long, "long"}, {c.Odd, "odd"}} {
+	}{{c.Kept, "kept"}, {c.Sparse, "thin"}, {c.Full, "full"}, {c.Dials, "dials"}, {c.Long, "long"}, {c.Odd, "odd"}} {
 		if f.is {
 			words = append(words, f.word)
 		}
@@ -49,7 +49,7 @@
 		case word == "kept":
 			c.Kept = true
 		case word == "thin":
-			c.Thin = true
+			c.Sparse = true
 		case word == "full":
 			c.Full = true
 		case word == "dials":
--- a/internal/emulator/modelcheck/connections.go
+++ b/internal/emulator/modelcheck/connections.go
@@ -7,7 +7,7 @@
 
 // noConnection is a dial that came to nothing: refused, or not needed any more.
 func (w *World) noConnection(t *try) {
-	w.shelf.Closed()
+	w.idlePool.Closed()
 	t.conn.ended = true
 	if t.cancelled || w.now >= t.until-1e-9 {
 		w.ended(t, decision.NotSent)
@@ -24,7 +24,7 @@
 			w.violate("one-request-on-a-connection", "what was taken from the shelf is still on it")
 			return nil, decision.ConnectionRefused, false
 		}
-		kept, found := w.shelf.Take(t.backend)
+		kept, found := w.idlePool.Take(t.backend)
 		if !found {
 			break
 		}
@@ -41,7 +41,7 @@
 		}
 		return kept.Conn, 0, true
 	}
-	spare, end, room := w.shelf.Reserve()
+	spare, end, room := w.idlePool.Reserve()
 	if !room {
 		return nil, decision.NotSent, false
 	}
@@ -50,7 +50,7 @@
 	}
 	s := w.server(t.backend)
 	if s.down {
-		w.shelf.Closed()
+		w.idlePool.Closed()
 		return nil, decision.ConnectionRefused, false
 	}
 	return &conn{server: s, addr: addr}, 0, true
@@ -62,7 +62,7 @@
 	}
 	k.Drop()
 	k.ended, k.spoilt = true, true
-	w.shelf.Closed()
+	w.idlePool.Closed()
 }
 
 // goesOut is what was held back of a request going out: its last byte, or the first of a long body. Nothing has run before
@@ -83,7 +83,7 @@
 	c.tried[t.backend] = true
 	k.before, k.by = k.by, c
 	if c.long {
-		w.desk.BodyUploaded(w.now, c.request)
+		w.dispatcher.BodyUploaded(w.now, c.request)
 	}
 	if c.mayRun++; c.send && c.mayRun > 1 {
 		w.violate("never-twice", "%s must not run twice, and may have", c.name)
@@ -117,7 +117,7 @@
 		}
 		if _, serving := w.lookup(k.server.id); serving {
 			k.answered = w.now
-			w.shelf.Put(k.server.id, k, w.now)
+			w.idlePool.Put(k.server.id, k, w.now)
 		} else {
 			w.close(k)
 		}
--- a/internal/emulator/modelcheck/events.go
+++ b/internal/emulator/modelcheck/events.go
@@ -45,7 +45,7 @@
 			add("leaves"+id, func(w *World) {
 				c := w.clients[i]
 				c.gone = true
-				w.do(w.desk.ClientGone(w.now, c.request))
+				w.do(w.dispatcher.ClientGone(w.now, c.request))
 			})
 		}
 		if c.finished && !c.retried && (c.status == "refused" || c.gone) && !w.draining && len(w.clients) < 3 {
@@ -85,9 +85,9 @@
 		if !s.down {
 			add("refuses"+id, func(w *World) { w.servers[i].down = true })
 		}
-		if k, ok := w.shelf.Last(s.id); ok && !k.spoilt {
+		if k, ok := w.idlePool.Last(s.id); ok && !k.spoilt {
 			add("forgets"+id, func(w *World) {
-				if k, ok := w.shelf.Last(w.servers[i].id); ok {
+				if k, ok := w.idlePool.Last(w.servers[i].id); ok {
 					k.spoilt = true
 				}
 			})
@@ -110,19 +110,19 @@
 				name := w.counts[0]
 				w.counts = w.counts[1:]
 				w.sum += a.total
-				w.do(w.desk.Handle(w.now, decision.CounterReply{Name: name, Outcome: a.outcome, Total: w.sum}))
+				w.do(w.dispatcher.Handle(w.now, decision.CounterReply{Name: name, Outcome: a.outcome, Total: w.sum}))
 			})
 		}
 	}
 	add("plan", func(w *World) {
 		w.plan = 1 - w.plan
 		p := planTable[w.plan]
-		w.do(w.desk.Handle(w.now, decision.Terms{Customer: "m", Plan: p, Tag: p.Tag()}))
+		w.do(w.dispatcher.Handle(w.now, decision.Terms{Customer: "m", Plan: p, Tag: p.Tag()}))
 	})
 	if !w.draining {
 		add("sigterm", func(w *World) {
 			w.draining = true
-			w.desk.ExpectDisruption(math.Inf(1))
+			w.dispatcher.ExpectDisruption(math.Inf(1))
 		})
 	} else if !w.halted {
 		add("patience", func(w *World) { // every attempt that is out, or will be, is given up
@@ -166,7 +166,7 @@
 			w.goesOut(t)
 			if t.client.long {
 				t.stage = uploading
-				w.desk.ConsumeBody(t.client.request)
+				w.dispatcher.ConsumeBody(t.client.request)
 				return
 			}
 			w.written(t)
@@ -285,7 +285,7 @@
 	on("leaves-upload", func(w *World, t *try, k *conn) { // it stalls, or leaves: nobody waits for the answer
 		c := t.client
 		k.spoilt, c.gone, t.cancelled = true, true, true
-		w.do(w.desk.ClientGone(w.now, c.request))
+		w.do(w.dispatcher.ClientGone(w.now, c.request))
 		w.finish(t, k, k.FailedWriting(upstreamconn.Cancelled))
 	})
 	for _, a := range []struct {
--- a/internal/emulator/modelcheck/explore.go
+++ b/internal/emulator/modelcheck/explore.go
@@ -45,13 +45,13 @@
 func Configs() (all []Config) {
 	for _, servers := range []int{1, 2} {
 		for bits := range 8 {
-			base := Config{Servers: servers, Kept: bits&1 != 0, Thin: bits&2 != 0, Full: bits&4 != 0}
+			base := Config{Servers: servers, Kept: bits&1 != 0, Sparse: bits&2 != 0, Full: bits&4 != 0}
 			for _, send := range []bool{false, true} {
 				one := base
 				one.Send[0] = send
 				all = append(all, one)
 			}
-			if !base.Thin { // two requests at once: the connection and the desk are what they share
+			if !base.Sparse { // two requests at once: the connection and the desk are what they share
 				for _, pair := range [][2]bool{{false, true}, {true, true}} {
 					two := base
 					two.Two, two.Send = true, pair
--- a/internal/emulator/modelcheck/schedule.go
+++ b/internal/emulator/modelcheck/schedule.go
@@ -27,7 +27,7 @@
 			w.violate("legal", "%s is %v, attempt out: %v", c.name, life.Phase(), c.try != nil)
 		}
 	}
-	if n := w.shelf.Open(); n > w.shelf.Max {
+	if n := w.idlePool.Open(); n > w.idlePool.Max {
 		w.violate("bounded", "%d connections are up", n)
 	}
 }
@@ -47,7 +47,7 @@
 		b.WriteByte(' ')
 	}
 	for _, s := range w.servers {
-		fmt.Fprintf(&b, "%s%v%v%v%d ", s.addr, s.listed, s.serving, s.down, w.shelf.Idle(s.id))
+		fmt.Fprintf(&b, "%s%v%v%v%d ", s.addr, s.listed, s.serving, s.down, w.idlePool.Idle(s.id))
 	}
 	fmt.Fprintf(&b, "%d%v%v%d", len(w.counts), w.draining, w.halted, w.plan)
 	return b.String()
@@ -78,18 +78,18 @@
 			w.violate("nothing-left", "%s still has an attempt out", c.name)
 		}
 	}
-	if n := w.desk.Pending(); n > 0 {
+	if n := w.dispatcher.Pending(); n > 0 {
 		w.violate("nothing-left", "%d requests are left at the desk", n)
 	}
 	idle := 0
 	seen := map[string]bool{}
 	for _, s := range w.servers {
 		if !seen[s.id] {
-			idle += w.shelf.Idle(s.id)
+			idle += w.idlePool.Idle(s.id)
 		}
 		seen[s.id] = true
 	}
-	if up := w.shelf.Open(); up != idle {
+	if up := w.idlePool.Open(); up != idle {
 		w.violate("nothing-left", "%d connections count as up, %d are idle", up, idle)
 	}
 	if len(w.timers) > 1 {
@@ -120,7 +120,7 @@
 	}
 	w.now = at
 	for _, name := range w.counts {
-		w.do(w.desk.Handle(w.now, decision.CounterReply{Name: name, Outcome: decision.TimedOut}))
+		w.do(w.dispatcher.Handle(w.now, decision.CounterReply{Name: name, Outcome: decision.TimedOut}))
 	}
 	w.counts = nil
 	due := w.timers[:0:0]
@@ -132,7 +132,7 @@
 		return false
 	})
 	for _, s := range due {
-		w.do(w.desk.Handle(w.now, decision.Timer{Token: s.Token}))
+		w.do(w.dispatcher.Handle(w.now, decision.Timer{Token: s.Token}))
 	}
 	w.check()
 }
--- a/internal/emulator/modelcheck/world.go
+++ b/internal/emulator/modelcheck/world.go
@@ -26,8 +26,8 @@
 type World struct {
 	config     Config
 	now        decision.Seconds
-	desk       *attempt.Dispatcher
-	shelf      *upstreamconn.IdlePool[*conn]
+	dispatcher *attempt.Dispatcher
+	idlePool   *upstreamconn.IdlePool[*conn]
 	memory     upstreamconn.LossHistory
 	servers    []*server // by list order; those that are gone stay, to be looked at
 	timers     []decision.SetTimer
@@ -143,20 +143,20 @@
 	if c.Full {
 		most = 1
 	}
-	w := &World{config: c, now: 1000, desk: attempt.NewDispatcher(decision.New(s, 1), &s), shelf: upstreamconn.NewIdlePool[*conn](most)}
-	w.do(w.desk.Handle(w.now, decision.Start{}))
+	w := &World{config: c, now: 1000, dispatcher: attempt.NewDispatcher(decision.New(s, 1), &s), idlePool: upstreamconn.NewIdlePool[*conn](most)}
+	w.do(w.dispatcher.Handle(w.now, decision.Start{}))
 	for i := range c.Servers {
 		w.servers = append(w.servers, &server{id: fmt.Sprint("s", i+1), addr: fmt.Sprint("a", i+1), listed: true, serving: true})
 	}
 	w.list()
 	if c.Kept {
 		k := &conn{server: w.servers[0], addr: w.servers[0].addr}
-		w.shelf.Reserve()
+		w.idlePool.Reserve()
 		k.Begin()
 		k.Written()
 		k.Answered(upstreamconn.Answer{Status: 200}, false)
 		k.answered = w.now
-		w.shelf.Put(w.servers[0].id, k, w.now)
+		w.idlePool.Put(w.servers[0].id, k, w.now)
 		w.now += 2 // idle for long: the last byte is held
 	}
 	w.long = c.Long
@@ -175,7 +175,7 @@
 			news.List = append(news.List, decision.Backend{ID: s.id, Zone: "a", Serving: s.serving, Size: 1})
 		}
 	}
-	w.do(w.desk.Handle(w.now, news))
+	w.do(w.dispatcher.Handle(w.now, news))
 }
 
 func (w *World) server(id string) *server {
@@ -202,12 +202,12 @@
 	if send {
 		class = "send"
 	}
-	if w.config.Thin {
+	if w.config.Sparse {
 		doors = 5
 	}
 	r := decision.Request{Class: class, Plan: planTable[w.plan].Name, Customer: "m", TimeLeft: deadline, Units: 1, Gateways: doors, ClientRetry: repeat, Streamed: w.long}
 	var effects []attempt.Effect
-	c.request, effects = w.desk.Submit(w.now, r, c)
+	c.request, effects = w.dispatcher.Submit(w.now, r, c)
 	w.do(effects)
 }
 
@@ -360,7 +360,7 @@
 	for end := t.writtenAt + t.patience; t.client.try == t && w.now < end-1e-9 && len(w.Violations) == 0; {
 		w.pass()
 	}
-	if t.client.try != t || t.cancelled || !w.desk.ShouldAbandon(w.now, t.client.request) {
+	if t.client.try != t || t.cancelled || !w.dispatcher.ShouldAbandon(w.now, t.client.request) {
 		return
 	}
 	c := t.client
@@ -393,6 +393,6 @@
 	if p := gone.Phase(); p == attempt.Abandoned && o == decision.Succeeded {
 		c.told-- // its host hears Gone, too: the answer went to nobody
 	}
-	w.do(w.desk.AttemptEnded(w.now, c.request, o))
+	w.do(w.dispatcher.AttemptEnded(w.now, c.request, o))
 	w.check()
 }
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -12,14 +12,14 @@
 // Seconds are counted from the start of traffic.
 type Seconds = float64
 
-// Trouble is one entry of a day. Its strings are TOML values as they stand in the file.
-type Trouble struct {
+// Fault is one entry of a day. Its strings are TOML values as they stand in the file.
+type Fault struct {
 	At     Seconds
 	Kind   string
 	Fields []string // name = value
 }
 
-func (t Trouble) String() string {
+func (t Fault) String() string {
 	return fmt.Sprintf("  { at = %.2f, kind = %q%s },", t.At, t.Kind, strings.Join(append([]string{""}, t.Fields...), ", "))
 }
 
@@ -30,8 +30,8 @@
 	One     float64 // the marks between which worth less prices is read as a score
 	Zero    float64
 	Closing string // a TOML table; empty: none
-	Plan    []Trouble
-	Faults  []Trouble
+	Plan    []Fault
+	Faults  []Fault
 }
 
 const (
@@ -57,8 +57,8 @@
 
 // finish puts the troubles of a day in order and draws its closing fault, of these kinds; a lost disk in one of these ways.
 func (d drawing) finish(day *Day, kinds []string, wiped ...string) {
-	for _, list := range [][]Trouble{day.Faults, day.Plan} {
-		slices.SortStableFunc(list, func(a, b Trouble) int { return int(1000*a.At) - int(1000*b.At) })
+	for _, list := range [][]Fault{day.Faults, day.Plan} {
+		slices.SortStableFunc(list, func(a, b Fault) int { return int(1000*a.At) - int(1000*b.At) })
 	}
 	if kind := d.pick(kinds...); kind != "" {
 		day.Closing = fmt.Sprintf("{ kind = %q, down_s = %.2f", kind, d.between(0.7, 1.5))
@@ -96,52 +96,52 @@
 )
 
 // fault is one of the core.
-func (d drawing) fault(at Seconds) Trouble {
+func (d drawing) fault(at Seconds) Fault {
 	switch d.IntN(10) {
 	case 0, 1:
-		return Trouble{at, "core_cut", []string{"count = 1", d.lasting(4, 20), d.how(whose, silent, []string{"", "", "one_way", "seeds", "both"}, after)}}
+		return Fault{at, "core_cut", []string{"count = 1", d.lasting(4, 20), d.how(whose, silent, []string{"", "", "one_way", "seeds", "both"}, after)}}
 	case 2:
-		return Trouble{at, "core_cut", []string{"count = 1", "for_s = 20.0", d.how(whose, []string{"", "seeds"}, after)}}
+		return Fault{at, "core_cut", []string{"count = 1", "for_s = 20.0", d.how(whose, []string{"", "seeds"}, after)}}
 	case 3, 4:
-		return Trouble{at, "node_kill", []string{`on = "core"`, "count = 1", d.lasting(1, 4), d.how([]string{"", "power"}, whose, after, []string{"", "drain"})}}
+		return Fault{at, "node_kill", []string{`on = "core"`, "count = 1", d.lasting(1, 4), d.how([]string{"", "power"}, whose, after, []string{"", "drain"})}}
 	case 5:
-		return Trouble{at, "after_ack_kill", []string{d.lasting(1, 3), d.how([]string{"", "kill"}, []string{"", "timed", "taken"})}}
+		return Fault{at, "after_ack_kill", []string{d.lasting(1, 3), d.how([]string{"", "kill"}, []string{"", "timed", "taken"})}}
 	case 6:
-		return Trouble{at, "after_ack_wipe", []string{d.lasting(1, 3), d.how([]string{"", "timed"})}}
+		return Fault{at, "after_ack_wipe", []string{d.lasting(1, 3), d.how([]string{"", "timed"})}}
 	case 7:
-		return Trouble{at, "herd_kill", []string{`on = "core"`, d.lasting(1, 2), d.how([]string{"", "power"}, []string{"", "taken"})}}
+		return Fault{at, "herd_kill", []string{`on = "core"`, d.lasting(1, 2), d.how([]string{"", "power"}, []string{"", "taken"})}}
 	case 8:
-		return Trouble{at, "disk_stall", []string{"count = 1", d.lasting(1, 4), d.how([]string{"", "leader"})}}
+		return Fault{at, "disk_stall", []string{"count = 1", d.lasting(1, 4), d.how([]string{"", "leader"})}}
 	}
-	return Trouble{at, "roll_term", []string{`on = "core"`, "x = 1.0", fmt.Sprintf("gap_s = %.1f", d.between(3, 6)), d.how([]string{"", "busy", "remove"})}}
+	return Fault{at, "roll_term", []string{`on = "core"`, "x = 1.0", fmt.Sprintf("gap_s = %.1f", d.between(3, 6)), d.how([]string{"", "busy", "remove"})}}
 }
 
 // changes of the configuration: a few, or one in a fraction of a second all day.
-func (d drawing) changes() (all []Trouble) {
+func (d drawing) changes() (all []Fault) {
 	gap := d.between(3, 8)
 	if d.IntN(4) == 0 {
 		gap = d.between(0.1, 0.25)
 	}
 	for at := d.between(2, 4); at < last; at += gap * d.between(0.7, 1.3) {
-		all = append(all, Trouble{at, "config_change", []string{d.how([]string{"route", "weights", "timeout", "tenant", "quota", "idle"})}})
+		all = append(all, Fault{at, "config_change", []string{d.how([]string{"route", "weights", "timeout", "tenant", "quota", "idle"})}})
 	}
 	return all
 }
 
 // planned is other work beside it.
-func (d drawing) planned(at Seconds) Trouble {
+func (d drawing) planned(at Seconds) Fault {
 	switch d.IntN(5) {
 	case 0:
-		return Trouble{at, "config_race", []string{fmt.Sprintf("count = %d", 1+d.IntN(4)), fmt.Sprintf("gap_s = %.1f", d.between(0.2, 1.2))}}
+		return Fault{at, "config_race", []string{fmt.Sprintf("count = %d", 1+d.IntN(4)), fmt.Sprintf("gap_s = %.1f", d.between(0.2, 1.2))}}
 	case 1:
-		return Trouble{at, "bad_config", []string{"count = 3", "gap_s = 0.6", d.how([]string{"cut_short", "unknown_service", "same_place", "no_weight", "no_timeout",
+		return Fault{at, "bad_config", []string{"count = 3", "gap_s = 0.6", d.how([]string{"cut_short", "unknown_service", "same_place", "no_weight", "no_timeout",
 			"old_version", "same_version", "stale_match", "shared_key"})}}
 	case 2:
-		return Trouble{at, "revoke", []string{"count = 2", "gap_s = 1.0"}}
+		return Fault{at, "revoke", []string{"count = 2", "gap_s = 1.0"}}
 	case 3:
-		return Trouble{at, "release", []string{"share = 0.3", "x = 1.0", "gap_s = 1.0"}}
+		return Fault{at, "release", []string{"share = 0.3", "x = 1.0", "gap_s = 1.0"}}
 	}
-	return Trouble{at, "scale_in", []string{fmt.Sprintf("share = %.2f", d.between(0.08, 0.15))}}
+	return Fault{at, "scale_in", []string{fmt.Sprintf("share = %.2f", d.between(0.08, 0.15))}}
 }
 
 // String is the file of the day.
@@ -153,7 +153,7 @@
 	}
 	for _, list := range []struct {
 		name string
-		of   []Trouble
+		of   []Fault
 	}{{"plan", d.Plan}, {"faults", d.Faults}} {
 		fmt.Fprintf(&b, "%s = [\n", list.name)
 		for _, t := range list.of {
@@ -191,68 +191,68 @@
 }
 
 // hard is a trouble of the core in the variants that Draw does not know.
-func (d drawing) hard(at Seconds) Trouble {
+func (d drawing) hard(at Seconds) Fault {
 	switch d.IntN(8) {
 	case 0, 1:
-		return Trouble{at, "core_cut", []string{"count = 1", d.lasting(4, 20), d.how([]string{"", "leader", "reader", "turn", "oldest"}, silent,
+		return Fault{at, "core_cut", []string{"count = 1", d.lasting(4, 20), d.how([]string{"", "leader", "reader", "turn", "oldest"}, silent,
 			[]string{"all", "near", "lure", "all lure"}, after, []string{"", "drain"})}}
 	case 2:
-		return Trouble{at, "replace_core", []string{d.times(0.5, 3), d.how([]string{"", "oldest"}, []string{"", "planned"})}}
+		return Fault{at, "replace_core", []string{d.times(0.5, 3), d.how([]string{"", "oldest"}, []string{"", "planned"})}}
 	case 3:
-		return Trouble{at, "after_ack_kill", []string{d.lasting(1, 3), d.how([]string{"taken gone", "timed", "kill taken"})}}
+		return Fault{at, "after_ack_kill", []string{d.lasting(1, 3), d.how([]string{"taken gone", "timed", "kill taken"})}}
 	case 4:
-		return Trouble{at, "after_ack_wipe", []string{d.lasting(1, 3), d.how([]string{"oldest", "timed"})}}
+		return Fault{at, "after_ack_wipe", []string{d.lasting(1, 3), d.how([]string{"oldest", "timed"})}}
 	case 5:
-		return Trouble{at, "herd_kill", []string{`on = "core"`, d.lasting(1, 2), d.how([]string{"power taken", "taken all", "power"})}}
+		return Fault{at, "herd_kill", []string{`on = "core"`, d.lasting(1, 2), d.how([]string{"power taken", "taken all", "power"})}}
 	case 6:
-		return Trouble{at, "disk_full", []string{"count = 1", d.lasting(2, 6)}}
+		return Fault{at, "disk_full", []string{"count = 1", d.lasting(2, 6)}}
 	}
-	return Trouble{at, "disk_slow", []string{"count = 1", d.times(10, 40), d.lasting(2, 8), d.how([]string{"", "leader"})}}
+	return Fault{at, "disk_slow", []string{"count = 1", d.times(10, 40), d.lasting(2, 8), d.how([]string{"", "leader"})}}
 }
 
 // any is a trouble of servers, edge machines or callers.
-func (d drawing) any(at Seconds) Trouble {
+func (d drawing) any(at Seconds) Fault {
 	switch d.IntN(20) {
 	case 0:
-		return Trouble{at, "hot_tenant", []string{d.times(5, 9), d.lasting(4, 9), fmt.Sprintf("count = %d", 1+d.IntN(6))}}
+		return Fault{at, "hot_tenant", []string{d.times(5, 9), d.lasting(4, 9), fmt.Sprintf("count = %d", 1+d.IntN(6))}}
 	case 1:
-		return Trouble{at, "burst", []string{d.times(1.5, 2.5), d.lasting(3, 6)}}
+		return Fault{at, "burst", []string{d.times(1.5, 2.5), d.lasting(3, 6)}}
 	case 2:
-		return Trouble{at, "retry_abuse", []string{d.share(0.1, 0.4), d.times(1, 3), d.lasting(3, 6)}}
+		return Fault{at, "retry_abuse", []string{d.share(0.1, 0.4), d.times(1, 3), d.lasting(3, 6)}}
 	case 3:
-		return Trouble{at, "give_up", []string{d.share(0.2, 0.7), d.times(50, 200), d.lasting(3, 8)}}
+		return Fault{at, "give_up", []string{d.share(0.2, 0.7), d.times(50, 200), d.lasting(3, 8)}}
 	case 4:
-		return Trouble{at, "srv_crash", []string{d.share(0.1, 0.3), d.lasting(3, 6), d.how([]string{"", "dark"}, []string{"", "gone"}, []string{"", "across"})}}
+		return Fault{at, "srv_crash", []string{d.share(0.1, 0.3), d.lasting(3, 6), d.how([]string{"", "dark"}, []string{"", "gone"}, []string{"", "across"})}}
 	case 5:
-		return Trouble{at, "srv_slow", []string{d.share(0.1, 0.3), d.times(3, 6), d.lasting(4, 8)}}
+		return Fault{at, "srv_slow", []string{d.share(0.1, 0.3), d.times(3, 6), d.lasting(4, 8)}}
 	case 6:
-		return Trouble{at, "replace_with_reuse", []string{d.share(0.1, 0.2), d.how([]string{"", "drain", "dark"})}}
+		return Fault{at, "replace_with_reuse", []string{d.share(0.1, 0.2), d.how([]string{"", "drain", "dark"})}}
 	case 7:
-		return Trouble{at, "scale_in", []string{d.share(0.1, 0.2), d.how([]string{"spot"})}}
+		return Fault{at, "scale_in", []string{d.share(0.1, 0.2), d.how([]string{"spot"})}}
 	case 8:
-		return Trouble{at, "answer_lost", []string{d.share(0.3, 0.6), d.times(0.02, 0.06), d.lasting(3, 6), d.how([]string{"", "reset"})}}
+		return Fault{at, "answer_lost", []string{d.share(0.3, 0.6), d.times(0.02, 0.06), d.lasting(3, 6), d.how([]string{"", "reset"})}}
 	case 9, 10:
-		return Trouble{at, "garble", []string{d.share(0.3, 0.6), d.times(0.02, 0.05), d.lasting(3, 6), d.how([]string{"", "extra", "extra late", "unframed", "early"})}}
+		return Fault{at, "garble", []string{d.share(0.3, 0.6), d.times(0.02, 0.05), d.lasting(3, 6), d.how([]string{"", "extra", "extra late", "unframed", "early"})}}
 	case 11:
-		return Trouble{at, "node_kill", []string{d.share(0.1, 0.4), d.lasting(2, 5), d.how([]string{"", "power"})}}
+		return Fault{at, "node_kill", []string{d.share(0.1, 0.4), d.lasting(2, 5), d.how([]string{"", "power"})}}
 	case 12:
-		return Trouble{at, "node_freeze", []string{d.share(0.1, 0.3), d.lasting(1, 6)}}
+		return Fault{at, "node_freeze", []string{d.share(0.1, 0.3), d.lasting(1, 6)}}
 	case 13:
-		return Trouble{at, "node_slow", []string{d.share(0.1, 0.3), d.times(3, 6), d.lasting(3, 6)}}
+		return Fault{at, "node_slow", []string{d.share(0.1, 0.3), d.times(3, 6), d.lasting(3, 6)}}
 	case 14:
 		how, most := d.how([]string{"", "busy", "remove"}), 1.0
 		if strings.Contains(how, "remove") {
 			most = 0.3 // what is left must carry the traffic
 		}
-		return Trouble{at, "roll_term", []string{d.share(most/2, most), fmt.Sprintf("x = %d.0", 1+d.IntN(4)), fmt.Sprintf("gap_s = %.1f", d.between(0.3, 1.5)), how}}
+		return Fault{at, "roll_term", []string{d.share(most/2, most), fmt.Sprintf("x = %d.0", 1+d.IntN(4)), fmt.Sprintf("gap_s = %.1f", d.between(0.3, 1.5)), how}}
 	case 15:
-		return Trouble{at, "herd_kill", []string{d.share(0.3, 0.7), d.lasting(1, 3), d.how([]string{"", "power"})}}
+		return Fault{at, "herd_kill", []string{d.share(0.3, 0.7), d.lasting(1, 3), d.how([]string{"", "power"})}}
 	case 16:
-		return Trouble{at, "node_cut", []string{d.share(0.1, 0.4), d.lasting(4, 12), d.how([]string{"", "all", "servers"})}}
+		return Fault{at, "node_cut", []string{d.share(0.1, 0.4), d.lasting(4, 12), d.how([]string{"", "all", "servers"})}}
 	case 17:
-		return Trouble{at, "clock_step", []string{d.share(0.2, 0.5), fmt.Sprintf("x = %.0f.0", d.between(500, 4000)), d.lasting(3, 8), d.how([]string{"", "back", "ahead"})}}
+		return Fault{at, "clock_step", []string{d.share(0.2, 0.5), fmt.Sprintf("x = %.0f.0", d.between(500, 4000)), d.lasting(3, 8), d.how([]string{"", "back", "ahead"})}}
 	case 18:
-		return Trouble{at, "hup", []string{d.share(0.3, 1), fmt.Sprintf("gap_s = %.1f", d.between(0.5, 2))}}
+		return Fault{at, "hup", []string{d.share(0.3, 1), fmt.Sprintf("gap_s = %.1f", d.between(0.5, 2))}}
 	}
-	return Trouble{at, "reset_conns", []string{d.share(0.1, 0.5), d.times(0.3, 1), d.how([]string{""})}}
+	return Fault{at, "reset_conns", []string{d.share(0.1, 0.5), d.times(0.3, 1), d.how([]string{""})}}
 }
--- a/internal/emulator/scenario/scenario_test.go
+++ b/internal/emulator/scenario/scenario_test.go
@@ -16,7 +16,7 @@
 		d := Draw(seed, 0.9, 0.5)
 		is.Equal(d.String(), Draw(seed, 0.9, 0.5).String())
 		is.True(len(d.Faults) >= 2 && len(d.Faults) <= 4)
-		for _, list := range [][]Trouble{d.Faults, d.Plan} {
+		for _, list := range [][]Fault{d.Faults, d.Plan} {
 			for i, tr := range list {
 				is.True(tr.At >= 2 && tr.At <= last)
 				is.True(i == 0 || int(1000*list[i-1].At) <= int(1000*tr.At))
