--- a/internal/dataplane/attempt/desk.go
+++ b/internal/dataplane/attempt/dispatcher.go
@@ -18,9 +18,9 @@
 	NoAnswer             // answer nothing: nobody waits
 )
 
-var kinds = [...]string{"send", "refuse", "fail", "gone"}
+var kindNames = [...]string{"send", "refuse", "fail", "gone"}
 
-func (k Kind) String() string { return kinds[k] }
+func (k Kind) String() string { return kindNames[k] }
 
 // Decision is what the module decided for a request.
 type Decision struct {
@@ -37,18 +37,18 @@
 	Host any // whoever waits for its decisions; the desk does not look at it
 
 	id       uint64
-	life     Machine
+	machine  Machine
 	deadline decision.Seconds
-	sent     decision.Seconds
+	sentAt   decision.Seconds
 	backend  string
-	long     bool // its body goes up as it comes
+	streamed bool // its body goes up as it comes
 }
 
 // ID names it to the module.
 func (r *Request) ID() uint64 { return r.id }
 
 // Machine is where it is in its life, to look at.
-func (r *Request) Machine() Machine { return r.life }
+func (r *Request) Machine() Machine { return r.machine }
 
 // Effect is something to be done, in order.
 type Effect interface{ effect() }
@@ -85,41 +85,41 @@
 
 // Dispatcher holds the module and the requests in its hands. It is not safe for use by several goroutines at once.
 type Dispatcher struct {
-	gateway *decision.Gateway
-	most    int
-	finish  bool            // attempts that must not run twice go on where the client has left
-	once    map[string]bool // classes that must not run twice
-	wrong   map[string]bool // of these, those where a client's repeat may run again
-	open    map[uint64]*Request
-	last    uint64
-	out     []Effect
+	gateway             *decision.Gateway
+	maxAttempts         int
+	finishNonIdempotent bool            // attempts that must not run twice go on where the client has left
+	atMostOnce          map[string]bool // classes that must not run twice
+	noClientRetry       map[string]bool // of these, those where a client's repeat may run again
+	pending             map[uint64]*Request
+	lastID              uint64
+	effects             []Effect
 }
 
 // NewDispatcher returns a desk around a gateway that nobody else uses. The settings are the gateway's.
 func NewDispatcher(g *decision.Gateway, s *decision.Settings) *Dispatcher {
-	d := &Dispatcher{gateway: g, open: map[uint64]*Request{}, finish: s.FinishNonIdempotent}
-	d.classes(s.Classes, s.MaxAttempts)
+	d := &Dispatcher{gateway: g, pending: map[uint64]*Request{}, finishNonIdempotent: s.FinishNonIdempotent}
+	d.setClasses(s.Classes, s.MaxAttempts)
 	return d
 }
 
 // classes learns what may run twice, and how often a request may be attempted.
-func (d *Dispatcher) classes(classes []decision.Class, most int) {
-	d.most, d.once, d.wrong = max(1, most), map[string]bool{}, map[string]bool{}
+func (d *Dispatcher) setClasses(classes []decision.Class, most int) {
+	d.maxAttempts, d.atMostOnce, d.noClientRetry = max(1, most), map[string]bool{}, map[string]bool{}
 	for _, c := range classes {
-		d.once[c.Name] = c.Effect != decision.Idempotent
-		d.wrong[c.Name] = wrong(&c)
+		d.atMostOnce[c.Name] = c.Effect != decision.Idempotent
+		d.noClientRetry[c.Name] = clientRetryMayRunAgain(&c)
 	}
 }
 
 // wrong tells whether a client's repeat of a request of this class may run again.
-func wrong(c *decision.Class) bool {
+func clientRetryMayRunAgain(c *decision.Class) bool {
 	return c.Effect == decision.NonIdempotent || c.Effect == decision.IdempotentByKey && c.Scope != decision.ScopeAll
 }
 
 // Reconfigure goes by other classes and another number of attempts for requests that come from now on; those in hand keep
 // what their life began with. The gateway is told too.
 func (d *Dispatcher) Reconfigure(classes []decision.Class, most int) {
-	d.classes(classes, most)
+	d.setClasses(classes, most)
 	d.gateway.Reconfigure(classes, most)
 }
 
@@ -169,46 +169,46 @@
 func (d *Dispatcher) SetZoneRank(rank, peers int) { d.gateway.SetZoneRank(rank, peers) }
 
 // Pending is how many requests are in hand.
-func (d *Dispatcher) Pending() int { return len(d.open) }
+func (d *Dispatcher) Pending() int { return len(d.pending) }
 
 // Submit takes a request. Its id is given here.
 func (d *Dispatcher) Submit(now decision.Seconds, r decision.Request, host any) (*Request, []Effect) {
-	d.last++
-	r.ID = d.last
-	q := &Request{Host: host, id: d.last, deadline: now + r.TimeLeft, long: r.Streamed, life: Machine{AtMostOnce: d.once[r.Class], NoClientRetry: d.wrong[r.Class], MaxAttempts: d.most}}
+	d.lastID++
+	r.ID = d.lastID
+	q := &Request{Host: host, id: d.lastID, deadline: now + r.TimeLeft, streamed: r.Streamed, machine: Machine{AtMostOnce: d.atMostOnce[r.Class], NoClientRetry: d.noClientRetry[r.Class], MaxAttempts: d.maxAttempts}}
 	if c := r.Kind; c != nil {
-		q.life = Machine{AtMostOnce: c.Effect != decision.Idempotent, NoClientRetry: wrong(c), MaxAttempts: cmp.Or(c.MaxAttempts, d.most)}
+		q.machine = Machine{AtMostOnce: c.Effect != decision.Idempotent, NoClientRetry: clientRetryMayRunAgain(c), MaxAttempts: cmp.Or(c.MaxAttempts, d.maxAttempts)}
 	}
-	d.open[q.id] = q
+	d.pending[q.id] = q
 	return q, d.Handle(now, r)
 }
 
 // AttemptEnded tells how the attempt that was decided on last has ended. After Done no decision follows: the answer is the
 // client's.
 func (d *Dispatcher) AttemptEnded(now decision.Seconds, q *Request, o decision.Outcome) []Effect {
-	d.out = nil
-	gone := q.life.phase == Abandoned
-	over, err := q.life.AttemptEnded(o)
+	d.effects = nil
+	gone := q.machine.phase == Abandoned
+	over, err := q.machine.AttemptEnded(o)
 	if err != nil {
-		d.out = append(d.out, IllegalStep{q, err})
-		return d.out
+		d.effects = append(d.effects, IllegalStep{q, err})
+		return d.effects
 	}
 	if over && !mutated("ended-stays") {
-		delete(d.open, q.id)
+		delete(d.pending, q.id)
 	}
-	d.handle(now, decision.AttemptEnded{ID: q.id, Attempt: q.life.attempts - 1, Backend: q.backend, Outcome: o, Duration: now - q.sent, Answered: over, BodyConsumed: q.life.spent && !mutated("spent-untold")})
+	d.handle(now, decision.AttemptEnded{ID: q.id, Attempt: q.machine.attempts - 1, Backend: q.backend, Outcome: o, Duration: now - q.sentAt, Answered: over, BodyConsumed: q.machine.bodyConsumed && !mutated("spent-untold")})
 	if gone && !mutated("gone-untold") {
-		d.out = append(d.out, Notify{q, Decision{Kind: NoAnswer}})
+		d.effects = append(d.effects, Notify{q, Decision{Kind: NoAnswer}})
 	}
-	return d.out
+	return d.effects
 }
 
 // ConsumeBody tells that something of a request's body has been taken that cannot be had again.
-func (d *Dispatcher) ConsumeBody(q *Request) { q.life.ConsumeBody() }
+func (d *Dispatcher) ConsumeBody(q *Request) { q.machine.ConsumeBody() }
 
 // ShouldAbandon tells whether the attempt that is out is to be given up, the patience with it having run out. What cannot be sent again is not.
 func (d *Dispatcher) ShouldAbandon(now decision.Seconds, q *Request) bool {
-	return q.life.phase == InFlight && !q.life.AtMostOnce && !q.life.spent && (d.gateway.ShouldAbandon(now, q.id) || mutated("impatient-always"))
+	return q.machine.phase == InFlight && !q.machine.AtMostOnce && !q.machine.bodyConsumed && (d.gateway.ShouldAbandon(now, q.id) || mutated("impatient-always"))
 }
 
 // ExpectDisruption tells that something planned is under way, until a time: see decision.Gateway.ExpectDisruption.
@@ -220,35 +220,35 @@
 
 // BodyUploaded tells that the body of a request has gone out whole: the quote server's time counts from now on.
 func (d *Dispatcher) BodyUploaded(now decision.Seconds, q *Request) {
-	q.sent = now
+	q.sentAt = now
 	d.gateway.BodyUploaded(now, q.id)
 }
 
 // ClientGone tells that nobody waits for the answer any more. An attempt that is out is still to be told of.
-func (d *Dispatcher) ClientGone(now decision.Seconds, q *Request) []Effect {
-	d.out = nil
-	before := q.life.phase
+func (d *Dispatcher) ClientDisconnected(now decision.Seconds, q *Request) []Effect {
+	d.effects = nil
+	before := q.machine.phase
 	if before != Waiting && before != InFlight {
 		return nil
 	}
-	over := q.life.ClientGone()
+	over := q.machine.ClientDisconnected()
 	if over {
-		delete(d.open, q.id)
+		delete(d.pending, q.id)
 	}
 	if !mutated("leaving-untold") {
 		d.handle(now, decision.ClientGone{ID: q.id})
 	}
 	if over {
-		d.out = append(d.out, Notify{q, Decision{Kind: NoAnswer}})
+		d.effects = append(d.effects, Notify{q, Decision{Kind: NoAnswer}})
 	}
-	return d.out
+	return d.effects
 }
 
 // Handle gives the module an event.
 func (d *Dispatcher) Handle(now decision.Seconds, e decision.Event) []Effect {
-	d.out = nil
+	d.effects = nil
 	d.handle(now, e)
-	return d.out
+	return d.effects
 }
 
 func (d *Dispatcher) handle(now decision.Seconds, e decision.Event) {
@@ -262,46 +262,46 @@
 		case decision.Send:
 			d.send(now, a)
 		case decision.Reject:
-			if q := d.open[a.ID]; q != nil && q.life.phase != Abandoned {
-				d.say(q, q.life.Reject(), Decision{Kind: Reject, RetryAfter: a.RetryAfter, OverQuota: a.OverQuota})
+			if q := d.pending[a.ID]; q != nil && q.machine.phase != Abandoned {
+				d.finish(q, q.machine.Reject(), Decision{Kind: Reject, RetryAfter: a.RetryAfter, OverQuota: a.OverQuota})
 			}
 		case decision.Fail:
-			if q := d.open[a.ID]; q != nil && q.life.phase != Abandoned {
+			if q := d.pending[a.ID]; q != nil && q.machine.phase != Abandoned {
 				word := Decision{Kind: Fail}
 				if mutated("fail-refuses") {
 					word.Kind = Reject
 				}
-				d.say(q, q.life.Fail(), word)
+				d.finish(q, q.machine.Fail(), word)
 			}
 		case decision.Cancel:
-			if q := d.open[a.ID]; q != nil && q.life.MayHaveRun() && a.Attempt == q.life.attempts-1 && !(d.finish && q.life.AtMostOnce && q.life.phase == Abandoned) {
+			if q := d.pending[a.ID]; q != nil && q.machine.MayHaveRun() && a.Attempt == q.machine.attempts-1 && !(d.finishNonIdempotent && q.machine.AtMostOnce && q.machine.phase == Abandoned) {
 				if !mutated("cancel-lost") {
-					d.out = append(d.out, CancelAttempt{q, a.Attempt})
+					d.effects = append(d.effects, CancelAttempt{q, a.Attempt})
 				}
 			}
 		case decision.SetTimer:
-			d.out = append(d.out, Timer{a})
+			d.effects = append(d.effects, Timer{a})
 		case decision.CounterCall:
-			d.out = append(d.out, CounterCall{a})
+			d.effects = append(d.effects, CounterCall{a})
 		}
 	}
 }
 
 // send takes up the decision to make an attempt. One that must not be made is told to the module as never made.
 func (d *Dispatcher) send(now decision.Seconds, a decision.Send) {
-	q := d.open[a.ID]
+	q := d.pending[a.ID]
 	if q == nil {
 		return
 	}
-	if err := q.life.Send(); err != nil {
-		d.out = append(d.out, IllegalStep{q, err})
-		if q.life.phase == Waiting {
-			d.say(q, q.life.Fail(), Decision{Kind: Fail})
+	if err := q.machine.Send(); err != nil {
+		d.effects = append(d.effects, IllegalStep{q, err})
+		if q.machine.phase == Waiting {
+			d.finish(q, q.machine.Fail(), Decision{Kind: Fail})
 		}
 		return
 	}
-	q.backend, q.sent = a.Backend, now
-	if q.long {
+	q.backend, q.sentAt = a.Backend, now
+	if q.streamed {
 		d.gateway.BodyUploading(q.id)
 	}
 	until := q.deadline
@@ -311,19 +311,19 @@
 	if a.Timeout > 0 {
 		until = min(until, now+a.Timeout)
 	}
-	d.out = append(d.out, Notify{q, Decision{Kind: Send, Backend: a.Backend, Deadline: until, OverQuota: a.OverQuota, SlowAfter: a.SlowAfter}})
+	d.effects = append(d.effects, Notify{q, Decision{Kind: Send, Backend: a.Backend, Deadline: until, OverQuota: a.OverQuota, SlowAfter: a.SlowAfter}})
 }
 
 // say says the last word on a request. A refusal that would lie becomes a failure.
-func (d *Dispatcher) say(q *Request, err error, word Decision) {
+func (d *Dispatcher) finish(q *Request, err error, word Decision) {
 	if err != nil {
-		d.out = append(d.out, IllegalStep{q, fmt.Errorf("%v: %w", word.Kind, err)})
-		if q.life.phase != Waiting {
+		d.effects = append(d.effects, IllegalStep{q, fmt.Errorf("%v: %w", word.Kind, err)})
+		if q.machine.phase != Waiting {
 			return
 		}
-		q.life.Fail()
+		q.machine.Fail()
 		word = Decision{Kind: Fail}
 	}
-	delete(d.open, q.id)
-	d.out = append(d.out, Notify{q, word})
+	delete(d.pending, q.id)
+	d.effects = append(d.effects, Notify{q, word})
 }
--- a/internal/dataplane/attempt/life.go
+++ b/internal/dataplane/attempt/machine.go
@@ -24,9 +24,9 @@
 	Finished               // its last word has been said
 )
 
-var phases = [...]string{"waiting", "out", "deserted", "over"}
+var phaseNames = [...]string{"waiting", "out", "deserted", "over"}
 
-func (p Phase) String() string { return phases[p] }
+func (p Phase) String() string { return phaseNames[p] }
 
 // Errors of steps that a life does not have. They are the module's or the host's mistakes: each is told with a code and
 // ends in an answer that is safe.
@@ -44,92 +44,94 @@
 	NoClientRetry bool // nor may it be asked again by its client: a refusal after it may have run would be a lie
 	MaxAttempts   int  // attempts
 
-	phase    Phase
-	attempts int
-	mayRun   bool // an attempt that is over may have run, or may yet
-	spent    bool // of its body, something has been taken that cannot be had again
+	phase        Phase
+	attempts     int
+	mayHaveRun   bool // an attempt that is over may have run, or may yet
+	bodyConsumed bool // of its body, something has been taken that cannot be had again
 }
 
 // Phase tells where it is.
-func (l *Machine) Phase() Phase { return l.phase }
+func (m *Machine) Phase() Phase { return m.phase }
 
 // Attempts is how many have been decided on.
-func (l *Machine) Attempts() int { return l.attempts }
+func (m *Machine) Attempts() int { return m.attempts }
 
 // MayHaveRun tells whether an attempt may have run, or may yet, as far as is known.
-func (l *Machine) MayHaveRun() bool { return l.mayRun || l.phase == InFlight || l.phase == Abandoned }
+func (m *Machine) MayHaveRun() bool {
+	return m.mayHaveRun || m.phase == InFlight || m.phase == Abandoned
+}
 
 // ConsumeBody tells that something of its body has been taken that cannot be had again: the attempt that is out is the last.
-func (l *Machine) ConsumeBody() { l.spent = true }
+func (m *Machine) ConsumeBody() { m.bodyConsumed = true }
 
 // BodyConsumed tells whether it cannot be sent again.
-func (l *Machine) BodyConsumed() bool { return l.spent }
+func (m *Machine) BodyConsumed() bool { return m.bodyConsumed }
 
 // Send is the decision to make an attempt.
-func (l *Machine) Send() error {
+func (m *Machine) Send() error {
 	switch {
-	case l.phase != Waiting:
-		return fmt.Errorf("send while %v: %w", l.phase, ErrPhase)
-	case l.attempts >= max(1, l.MaxAttempts):
-		return fmt.Errorf("send after %d: %w", l.attempts, ErrTooManyAttempts)
-	case l.spent:
+	case m.phase != Waiting:
+		return fmt.Errorf("send while %v: %w", m.phase, ErrPhase)
+	case m.attempts >= max(1, m.MaxAttempts):
+		return fmt.Errorf("send after %d: %w", m.attempts, ErrTooManyAttempts)
+	case m.bodyConsumed:
 		return fmt.Errorf("send: %w", ErrBodyConsumed)
-	case l.AtMostOnce && l.mayRun:
+	case m.AtMostOnce && m.mayHaveRun:
 		return fmt.Errorf("send: %w", ErrMayHaveRun)
 	}
-	l.phase = InFlight
-	l.attempts++
+	m.phase = InFlight
+	m.attempts++
 	return nil
 }
 
 // AttemptEnded is the end of the attempt that is out. It tells whether that was the last word: served, or nobody waits.
-func (l *Machine) AttemptEnded(o decision.Outcome) (over bool, err error) {
-	if l.phase != InFlight && l.phase != Abandoned {
-		return false, fmt.Errorf("an attempt ends while %v: %w", l.phase, ErrPhase)
+func (m *Machine) AttemptEnded(o decision.Outcome) (over bool, err error) {
+	if m.phase != InFlight && m.phase != Abandoned {
+		return false, fmt.Errorf("an attempt ends while %v: %w", m.phase, ErrPhase)
 	}
-	l.mayRun = l.mayRun || !o.ProvesNotExecuted()
-	if l.phase == Abandoned && !mutated("deserted-waits") || o == decision.Succeeded {
-		l.phase = Finished
+	m.mayHaveRun = m.mayHaveRun || !o.ProvesNotExecuted()
+	if m.phase == Abandoned && !mutated("deserted-waits") || o == decision.Succeeded {
+		m.phase = Finished
 		return true, nil
 	}
-	l.phase = Waiting
+	m.phase = Waiting
 	return false, nil
 }
 
 // Reject is the decision to answer that trying again does no harm.
-func (l *Machine) Reject() error {
-	if l.phase != Waiting {
-		return fmt.Errorf("refuse while %v: %w", l.phase, ErrPhase)
+func (m *Machine) Reject() error {
+	if m.phase != Waiting {
+		return fmt.Errorf("refuse while %v: %w", m.phase, ErrPhase)
 	}
-	if l.NoClientRetry && l.mayRun {
+	if m.NoClientRetry && m.mayHaveRun {
 		return ErrUnsafeReject
 	}
-	l.phase = Finished
+	m.phase = Finished
 	return nil
 }
 
 // Fail is the decision to answer that it was not served and may have run.
-func (l *Machine) Fail() error {
-	if l.phase != Waiting {
-		return fmt.Errorf("fail while %v: %w", l.phase, ErrPhase)
+func (m *Machine) Fail() error {
+	if m.phase != Waiting {
+		return fmt.Errorf("fail while %v: %w", m.phase, ErrPhase)
 	}
-	l.phase = Finished
+	m.phase = Finished
 	return nil
 }
 
 // ClientGone tells that nobody waits for the answer any more. Over: nothing is out, it was the last word. It may come at
 // any time, and more than once.
-func (l *Machine) ClientGone() (over bool) {
-	switch l.phase {
+func (m *Machine) ClientDisconnected() (over bool) {
+	switch m.phase {
 	case Waiting:
-		l.phase = Finished
+		m.phase = Finished
 		return true
 	case InFlight:
 		if mutated("left-is-over") {
-			l.phase = Finished
+			m.phase = Finished
 			return true
 		}
-		l.phase = Abandoned
+		m.phase = Abandoned
 	}
 	return false
 }
--- a/internal/dataplane/clientconn/conn_test.go
+++ b/internal/dataplane/clientconn/machine_test.go
@@ -13,7 +13,7 @@
 
 // do takes a connection through steps, some seconds apart, and writes down what each comes to. A word is a state that is
 // entered, or: wait, got=N, end, due, last, last-crowded, drain (connections are not kept from now on), asks.
-func do(t *testing.T, c *Conn, script string) string {
+func do(t *testing.T, c *Machine, script string) string {
 	t.Helper()
 	var out []string
 	now, keep := decision.Seconds(0), true
@@ -25,24 +25,24 @@
 			fmt.Sscanf(word, "+%g", &d)
 			now += d
 		case word == "wait":
-			c.Wait(now)
+			c.AwaitBody(now)
 		case strings.HasPrefix(word, "got="):
 			fmt.Sscanf(word, "got=%d", &n)
-			c.Got(now, n)
+			c.BodyReceived(now, n)
 		case word == "end":
-			out = append(out, fmt.Sprintf("%+v", c.End("x")))
+			out = append(out, fmt.Sprintf("%+v", c.Close("x")))
 		case word == "due":
-			out = append(out, "due:"+c.Due(now))
+			out = append(out, "due:"+c.TimeoutCode(now))
 		case word == "last", word == "last-crowded":
-			out = append(out, fmt.Sprint("last:", c.Last(word == "last-crowded", keep)))
+			out = append(out, fmt.Sprint("last:", c.CloseAfterAnswer(word == "last-crowded", keep)))
 		case word == "drain":
 			keep = false
-			out = append(out, fmt.Sprint("drains:", c.Drains()))
+			out = append(out, fmt.Sprint("drains:", c.ClosesOnDrain()))
 		case word == "asks":
-			c.Began()
+			c.MarkRequestPending()
 		default:
 			i := 0
-			for states[i] != word {
+			for stateNames[i] != word {
 				i++
 			}
 			on, freed, err := c.Enter(State(i), now, keep)
@@ -56,8 +56,8 @@
 			out = append(out, said)
 		}
 	}
-	if c.Code() != "" {
-		out = append(out, c.Code())
+	if c.CloseCode() != "" {
+		out = append(out, c.CloseCode())
 	}
 	return strings.Join(out, ", ")
 }
@@ -101,33 +101,33 @@
 
 // What makes room first, from what does so last, and what never does.
 func TestSpare(t *testing.T) {
-	at := func(since decision.Seconds, script string) *Conn {
+	at := func(since decision.Seconds, script string) *Machine {
 		c := Accepted(since)
 		do(t, &c, script)
 		c.since = since
 		return &c
 	}
 	const now = 100.0
-	all := []*Conn{
+	all := []*Machine{
 		at(99, "head"), at(99.99, ""), at(99.999, "head deciding answering lingering"), // slow, silent, refused
 		at(40, "head deciding answering idle"), at(99, "head deciding answering idle"), // long idle, idle
 	}
-	kept := []*Conn{
+	kept := []*Machine{
 		at(99.99, "head"), at(99, "asks"), at(99, "head deciding answering idle head"), at(0, "head deciding"),
 		at(0, "head body deciding uploading"), at(0, "head deciding answering"), at(0, "head deciding answering idle end"),
 	}
 	for i, c := range all {
-		if !c.Spare(now) {
+		if !c.Evictable(now) {
 			t.Errorf("%d is not spared", i)
 		}
 		for j, other := range all {
-			if i != j && c.Before(other, now) != (i < j) {
-				t.Errorf("%d before %d: %v", i, j, c.Before(other, now))
+			if i != j && c.EvictBefore(other, now) != (i < j) {
+				t.Errorf("%d before %d: %v", i, j, c.EvictBefore(other, now))
 			}
 		}
 	}
 	for i, c := range kept {
-		if c.Spare(now) {
+		if c.Evictable(now) {
 			t.Errorf("%d, %v, makes room", i, c.State())
 		}
 	}
--- a/internal/dataplane/engine/engine.go
+++ b/internal/dataplane/engine/engine.go
@@ -20,35 +20,35 @@
 // monotonic clock. Gateways that share a counter name their cycles by it, so it must begin alike
 // everywhere; a step of the wall clock must not move it.
 type Clock struct {
-	base time.Time
-	unix float64
-	of   func() float64 // nil: this clock's own
+	base     time.Time
+	baseUnix float64
+	source   func() float64 // nil: this clock's own
 }
 
 // NewClock returns a clock that starts now.
 func NewClock() *Clock {
 	now := time.Now()
-	return &Clock{base: now, unix: float64(now.UnixNano()) / 1e9}
+	return &Clock{base: now, baseUnix: float64(now.UnixNano()) / 1e9}
 }
 
 // NewClockOf returns a clock that follows another: that of those who keep the counters, where the time of day is not to be believed.
 // It must never go back.
-func NewClockOf(now func() decision.Seconds) *Clock { return &Clock{of: now} }
+func NewClockOf(now func() decision.Seconds) *Clock { return &Clock{source: now} }
 
 // Time is the time of a moment of the module's.
 func (c *Clock) Time(at decision.Seconds) time.Time {
-	if c.of != nil {
-		return time.Now().Add(time.Duration((at - c.of()) * float64(time.Second)))
+	if c.source != nil {
+		return time.Now().Add(time.Duration((at - c.source()) * float64(time.Second)))
 	}
-	return c.base.Add(time.Duration((at - c.unix) * float64(time.Second)))
+	return c.base.Add(time.Duration((at - c.baseUnix) * float64(time.Second)))
 }
 
 // Now is the module's time.
 func (c *Clock) Now() decision.Seconds {
-	if c.of != nil {
-		return c.of()
+	if c.source != nil {
+		return c.source()
 	}
-	return c.unix + time.Since(c.base).Seconds()
+	return c.baseUnix + time.Since(c.base).Seconds()
 }
 
 // Counter carries out the module's calls to the shared counter. Add must not wait; what comes of it
@@ -65,20 +65,20 @@
 
 // The kinds. Refuse, Fail and Gone are the last word on a request.
 const (
-	Send   = attempt.Send
-	Refuse = attempt.Reject
-	Fail   = attempt.Fail
-	Gone   = attempt.NoAnswer
+	Send     = attempt.Send
+	Reject   = attempt.Reject
+	Fail     = attempt.Fail
+	NoAnswer = attempt.NoAnswer
 )
 
 // Decision is what the module decided for a request.
 type Decision struct {
 	Kind       Kind
 	Backend    string           // of a Send
-	Until      time.Time        // when to give a Send up
-	Beyond     bool             // of a Send: the request is beyond its quota
+	Deadline   time.Time        // when to give a Send up
+	OverQuota  bool             // of a Send: the request is beyond its quota
 	RetryAfter decision.Seconds // of a Refuse; 0: no advice
-	Patience   time.Duration    // of a Send: so long after it was written, Ticket.Impatient is asked whether to give it up; 0: never
+	SlowAfter  time.Duration    // of a Send: so long after it was written, Ticket.Impatient is asked whether to give it up; 0: never
 }
 
 // Catalogue tells the terms of members where plans change in service (plans.State does). The engine asks it under
@@ -112,21 +112,21 @@
 	clock   *Clock
 	counter Counter
 
-	mu        sync.Mutex
-	desk      *attempt.Dispatcher
-	quotas    map[string]float64          // by plan of the settings, for the sharer
-	sharer    atomic.Pointer[QuotaSharer] // nil: nothing is shared
-	counts    counts
-	catalogue Catalogue        // nil: none, plans are those of the settings
-	due       *time.Timer      // for what the catalogue has next
-	lapses    decision.Seconds // when this process's part of the ingress ends unless it is renewed; 0: never
+	mu             sync.Mutex
+	dispatcher     *attempt.Dispatcher
+	planRates      map[string]float64          // by plan of the settings, for the sharer
+	sharer         atomic.Pointer[QuotaSharer] // nil: nothing is shared
+	counters       counters
+	catalogue      Catalogue        // nil: none, plans are those of the settings
+	catalogueTimer *time.Timer      // for what the catalogue has next
+	shareExpires   decision.Seconds // when this process's part of the ingress ends unless it is renewed; 0: never
 }
 
 // New returns an engine around a gateway that nobody else uses. The settings are the gateway's.
 func New(gateway *decision.Gateway, settings *decision.Settings, clock *Clock) *Engine {
-	e := &Engine{desk: attempt.NewDispatcher(gateway, settings), clock: clock, quotas: map[string]float64{}}
+	e := &Engine{dispatcher: attempt.NewDispatcher(gateway, settings), clock: clock, planRates: map[string]float64{}}
 	for _, p := range settings.Plans {
-		e.quotas[p.Name] = p.Rate
+		e.planRates[p.Name] = p.Rate
 	}
 	return e
 }
@@ -154,10 +154,10 @@
 		outcome = (*s).ObserveCounterReply(name, outcome, total)
 	}
 	e.do(func(now decision.Seconds) []attempt.Effect {
-		if e.counts.calls++; outcome != decision.Succeeded {
-			e.counts.unanswered++
+		if e.counters.counterCalls++; outcome != decision.Succeeded {
+			e.counters.failedCounterCalls++
 		}
-		return e.desk.Handle(now, decision.CounterReply{Name: name, Outcome: outcome, Total: total, Holders: holders})
+		return e.dispatcher.Handle(now, decision.CounterReply{Name: name, Outcome: outcome, Total: total, Holders: holders})
 	})
 }
 
@@ -165,7 +165,7 @@
 // class they began with. No request is decided meanwhile.
 func (e *Engine) Reconfigure(classes []decision.Class, maxAttempts int) {
 	e.mu.Lock()
-	e.desk.Reconfigure(slices.Clone(classes), maxAttempts)
+	e.dispatcher.Reconfigure(slices.Clone(classes), maxAttempts)
 	e.mu.Unlock()
 }
 
@@ -174,24 +174,24 @@
 func (e *Engine) SetShare(part float64, junior bool, lease decision.Seconds) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.lapses = 0; lease > 0 {
-		e.lapses = e.clock.Now() + lease
+	if e.shareExpires = 0; lease > 0 {
+		e.shareExpires = e.clock.Now() + lease
 	}
-	e.desk.SetShare(part, junior)
+	e.dispatcher.SetShare(part, junior)
 }
 
 // HandOver hands over half of the stores to another process of this ingress, and what has been learned.
 func (e *Engine) HandOver() decision.Knowledge {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.desk.HandOver(e.clock.Now())
+	return e.dispatcher.HandOver(e.clock.Now())
 }
 
 // Restore takes up what another process of this ingress handed over.
 func (e *Engine) Restore(k decision.Knowledge) (customers, backends int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.desk.Restore(e.clock.Now(), k)
+	return e.dispatcher.Restore(e.clock.Now(), k)
 }
 
 // SetGrants sets what this ingress has of its customers' quotas, for so many seconds: behind these it has what it keeps.
@@ -199,27 +199,27 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	e.desk.SetGrants(now, all, now+lease)
+	e.dispatcher.SetGrants(now, all, now+lease)
 }
 
 // SetMembers tells how many gateways there are, and through how many of them customers may come.
 func (e *Engine) SetMembers(gateways, doors int) {
 	e.mu.Lock()
-	e.desk.SetMembers(gateways, doors)
+	e.dispatcher.SetMembers(gateways, doors)
 	e.mu.Unlock()
 }
 
 // ExpectDisruption tells that something planned is under way, for so many seconds: patience ends no request that is here or comes meanwhile.
 func (e *Engine) ExpectDisruption(seconds decision.Seconds) {
 	e.mu.Lock()
-	e.desk.ExpectDisruption(e.now() + seconds)
+	e.dispatcher.ExpectDisruption(e.now() + seconds)
 	e.mu.Unlock()
 }
 
 // SetZoneRank tells where this gateway stands among those of its zone.
 func (e *Engine) SetZoneRank(rank, peers int) {
 	e.mu.Lock()
-	e.desk.SetZoneRank(rank, peers)
+	e.dispatcher.SetZoneRank(rank, peers)
 	e.mu.Unlock()
 }
 
@@ -227,21 +227,21 @@
 func (e *Engine) SetSuspects(servers []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.desk.SetSuspects(e.now(), servers)
+	e.dispatcher.SetSuspects(e.now(), servers)
 }
 
 // UnhealthyServers names the servers that the module itself finds bad.
 func (e *Engine) UnhealthyServers() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.desk.UnhealthyServers(e.now())
+	return e.dispatcher.UnhealthyServers(e.now())
 }
 
 // now is the module's time, the mutex held. A part whose lease has run out is none.
 func (e *Engine) now() decision.Seconds {
 	now := e.clock.Now()
-	if e.lapses > 0 && now > e.lapses {
-		e.desk.SetShare(0, true)
+	if e.shareExpires > 0 && now > e.shareExpires {
+		e.dispatcher.SetShare(0, true)
 	}
 	return now
 }
@@ -250,14 +250,14 @@
 func (e *Engine) PoolSize() (listed, avoided int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.desk.PoolSize(e.clock.Now())
+	return e.dispatcher.PoolSize(e.clock.Now())
 }
 
 // Stats are what the module holds now.
 func (e *Engine) Stats() decision.Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.desk.Stats(e.clock.Now())
+	return e.dispatcher.Stats(e.clock.Now())
 }
 
 // SetCatalogue lets a function change the catalogue, and tells the module what has changed by it. It returns the
@@ -265,28 +265,28 @@
 func (e *Engine) SetCatalogue(change func(now decision.Seconds) Catalogue) {
 	e.mu.Lock()
 	e.catalogue = change(e.clock.Now())
-	later := e.told()
+	later := e.applyCatalogue()
 	e.mu.Unlock()
 	e.carryOut(later)
 }
 
 // told tells the module which terms have changed, and comes back when the next ones do. The mutex is held.
-func (e *Engine) told() (later []attempt.Effect) {
+func (e *Engine) applyCatalogue() (later []attempt.Effect) {
 	if e.catalogue == nil {
 		return nil
 	}
 	now := e.clock.Now()
 	for _, t := range e.catalogue.Due(now) {
-		later = append(later, e.decide(e.desk.Handle(now, t))...)
+		later = append(later, e.deliver(e.dispatcher.Handle(now, t))...)
 	}
-	if e.due != nil {
-		e.due.Stop()
+	if e.catalogueTimer != nil {
+		e.catalogueTimer.Stop()
 	}
 	if next := e.catalogue.Next(now); next > 0 {
-		wait := min(next-now, longestWait) // far ahead the clocks may be set meanwhile
-		e.due = time.AfterFunc(time.Duration(wait*float64(time.Second)), func() {
+		wait := min(next-now, maxCatalogueWait) // far ahead the clocks may be set meanwhile
+		e.catalogueTimer = time.AfterFunc(time.Duration(wait*float64(time.Second)), func() {
 			e.mu.Lock()
-			later := e.told()
+			later := e.applyCatalogue()
 			e.mu.Unlock()
 			e.carryOut(later)
 		})
@@ -295,7 +295,7 @@
 }
 
 // longestWait is for how long a timer is set for a change of terms, in seconds.
-const longestWait = 60.0
+const maxCatalogueWait = 60.0
 
 // Ticket is a request in the gateway's hands.
 type Ticket struct {
@@ -321,15 +321,15 @@
 		}
 	}
 	if s := e.sharer.Load(); s != nil {
-		quota := e.quotas[r.Plan]
+		quota := e.planRates[r.Plan]
 		if r.Terms != nil {
 			quota = r.Terms.Plan.Rate
 		}
 		(*s).ObserveRequest(r.Customer, r.FirstGateway, r.Gateways, quota, r.Units)
 	}
 	var effects []attempt.Effect
-	t.request, effects = e.desk.Submit(now, r, t)
-	later := e.decide(effects)
+	t.request, effects = e.dispatcher.Submit(now, r, t)
+	later := e.deliver(effects)
 	e.mu.Unlock()
 	e.carryOut(later)
 	return t
@@ -342,7 +342,7 @@
 // the answer is the client's.
 func (t *Ticket) AttemptEnded(outcome decision.Outcome) {
 	t.engine.do(func(now decision.Seconds) []attempt.Effect {
-		return t.engine.desk.AttemptEnded(now, t.request, outcome)
+		return t.engine.dispatcher.AttemptEnded(now, t.request, outcome)
 	})
 }
 
@@ -350,7 +350,7 @@
 // the last.
 func (t *Ticket) ConsumeBody() {
 	t.engine.mu.Lock()
-	t.engine.desk.ConsumeBody(t.request)
+	t.engine.dispatcher.ConsumeBody(t.request)
 	t.engine.mu.Unlock()
 }
 
@@ -358,65 +358,67 @@
 func (t *Ticket) ShouldAbandon() bool {
 	t.engine.mu.Lock()
 	defer t.engine.mu.Unlock()
-	return t.engine.desk.ShouldAbandon(t.engine.now(), t.request)
+	return t.engine.dispatcher.ShouldAbandon(t.engine.now(), t.request)
 }
 
 // BodyUploaded tells that the body of a long request has gone out whole.
 func (t *Ticket) BodyUploaded() {
 	t.engine.mu.Lock()
-	t.engine.desk.BodyUploaded(t.engine.clock.Now(), t.request)
+	t.engine.dispatcher.BodyUploaded(t.engine.clock.Now(), t.request)
 	t.engine.mu.Unlock()
 }
 
 // ClientGone tells that nobody waits for the answer any more. An attempt that is out is still to be told of.
-func (t *Ticket) ClientGone() {
-	t.engine.do(func(now decision.Seconds) []attempt.Effect { return t.engine.desk.ClientGone(now, t.request) })
+func (t *Ticket) ClientDisconnected() {
+	t.engine.do(func(now decision.Seconds) []attempt.Effect {
+		return t.engine.dispatcher.ClientDisconnected(now, t.request)
+	})
 }
 
 func (e *Engine) handle(event decision.Event) {
-	e.do(func(now decision.Seconds) []attempt.Effect { return e.desk.Handle(now, event) })
+	e.do(func(now decision.Seconds) []attempt.Effect { return e.dispatcher.Handle(now, event) })
 }
 
 // do has something happen at the desk, under the mutex, and carries out what comes of it.
 func (e *Engine) do(happen func(now decision.Seconds) []attempt.Effect) {
 	e.mu.Lock()
 	now := e.now() // under the mutex: the module's time never goes back
-	later := e.decide(happen(now))
-	due, c := e.counts.turn(now)
+	later := e.deliver(happen(now))
+	due, c := e.counters.rotate(now)
 	e.mu.Unlock()
 	e.carryOut(later)
 	if due && e.Log != nil {
-		e.Log.WithFields(logrus.Fields{"code": "engine-counts", "sent": c.decided[Send], "refused": c.decided[Refuse], "failed": c.decided[Fail],
-			"gone": c.decided[Gone], "calls": c.calls, "unanswered": c.unanswered}).Info("decided lately")
+		e.Log.WithFields(logrus.Fields{"code": "engine-counts", "sent": c.decided[Send], "refused": c.decided[Reject], "failed": c.decided[Fail],
+			"gone": c.decided[NoAnswer], "calls": c.counterCalls, "unanswered": c.failedCounterCalls}).Info("decided lately")
 	}
 }
 
 // countsEvery is how often an ingress tells what it decided, in seconds: one alone tells little, so that lines must be few
 // enough to add up over a fleet.
-const countsEvery = 10.0
+const countersInterval = 10.0
 
 // counts are what was decided since a time, and the calls of the counter that were answered or not.
-type counts struct {
-	since             decision.Seconds // 0: not begun
-	decided           [4]int           // by Kind
-	calls, unanswered int
+type counters struct {
+	since                            decision.Seconds // 0: not begun
+	decided                          [4]int           // by Kind
+	counterCalls, failedCounterCalls int
 }
 
 // turn returns what was counted, and begins anew, when it is time to tell it.
-func (c *counts) turn(now decision.Seconds) (due bool, told counts) {
+func (c *counters) rotate(now decision.Seconds) (due bool, told counters) {
 	if c.since == 0 {
 		c.since = now
 	}
-	if now-c.since < countsEvery {
-		return false, counts{}
+	if now-c.since < countersInterval {
+		return false, counters{}
 	}
-	told, *c = *c, counts{since: now}
-	return told.decided != [4]int{} || told.calls > 0, told
+	told, *c = *c, counters{since: now}
+	return told.decided != [4]int{} || told.counterCalls > 0, told
 }
 
 // decide tells decisions to those who wait for them, the mutex held: they must come in the order in which they were
 // made. What reaches outside is returned, to be carried out once the mutex is free.
-func (e *Engine) decide(effects []attempt.Effect) (later []attempt.Effect) {
+func (e *Engine) deliver(effects []attempt.Effect) (later []attempt.Effect) {
 	for _, effect := range effects {
 		tell, ok := effect.(attempt.Notify)
 		if !ok {
@@ -424,11 +426,11 @@
 			continue
 		}
 		d := tell.Decision
-		e.counts.decided[d.Kind]++
-		told := Decision{Kind: d.Kind, Backend: d.Backend, Beyond: d.OverQuota, RetryAfter: d.RetryAfter}
+		e.counters.decided[d.Kind]++
+		told := Decision{Kind: d.Kind, Backend: d.Backend, OverQuota: d.OverQuota, RetryAfter: d.RetryAfter}
 		if d.Kind == Send {
-			told.Until = e.clock.Time(d.Deadline)
-			told.Patience = time.Duration(d.SlowAfter * float64(time.Second))
+			told.Deadline = e.clock.Time(d.Deadline)
+			told.SlowAfter = time.Duration(d.SlowAfter * float64(time.Second))
 		}
 		tell.Request.Host.(*Ticket).next <- told
 	}
--- a/internal/dataplane/engine/engine_test.go
+++ b/internal/dataplane/engine/engine_test.go
@@ -39,7 +39,7 @@
 	return decision.Request{Class: class, Plan: plan, Customer: "c", TimeLeft: 30, Units: 1, Gateways: doors}
 }
 
-var noTimes = cmpopts.IgnoreFields(Decision{}, "Until", "RetryAfter")
+var noTimes = cmpopts.IgnoreFields(Decision{}, "Deadline", "RetryAfter")
 
 // What came of the attempts decides what is next, down to the final answer; nothing is left behind.
 func TestDecisions(t *testing.T) {
@@ -50,10 +50,10 @@
 		want        []Decision
 	}{
 		{"served", "read", []decision.Outcome{decision.Succeeded}, []Decision{send}},
-		{"safe again, refused after the last", "read", []decision.Outcome{decision.ConnectionReset, decision.Failed}, []Decision{send, send, {Kind: Refuse}}},
+		{"safe again, refused after the last", "read", []decision.Outcome{decision.ConnectionReset, decision.Failed}, []Decision{send, send, {Kind: Reject}}},
 		{"unsafe that may have run fails", "send", []decision.Outcome{decision.ConnectionReset}, []Decision{send, {Kind: Fail}}},
 		{"unsafe that timed out fails", "send", []decision.Outcome{decision.TimedOut}, []Decision{send, {Kind: Fail}}},
-		{"unsafe that has not run is refused", "send", []decision.Outcome{decision.Rejected}, []Decision{send, {Kind: Refuse}}},
+		{"unsafe that has not run is refused", "send", []decision.Outcome{decision.Rejected}, []Decision{send, {Kind: Reject}}},
 		{"unsafe that was skipped goes again", "send", []decision.Outcome{decision.NotSent, decision.Succeeded}, []Decision{send, send}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -70,8 +70,8 @@
 			if diff := cmp.Diff(tc.want, got, noTimes); diff != "" {
 				t.Error(diff)
 			}
-			if e.desk.Pending() != 0 || len(ticket.next) != 0 {
-				t.Errorf("%d requests and %d decisions left behind", e.desk.Pending(), len(ticket.next))
+			if e.dispatcher.Pending() != 0 || len(ticket.next) != 0 {
+				t.Errorf("%d requests and %d decisions left behind", e.dispatcher.Pending(), len(ticket.next))
 			}
 		})
 	}
@@ -82,14 +82,14 @@
 	e, cancelled := started(nil), 0
 	ticket := e.Submit(request("send", "p", 1), func() { cancelled++ })
 	ticket.Next()
-	ticket.ClientGone()
-	ticket.ClientGone() // once is enough
-	if cancelled != 1 || e.desk.Pending() != 1 {
-		t.Errorf("cancelled %d times, %d requests kept; want 1 and 1", cancelled, e.desk.Pending())
+	ticket.ClientDisconnected()
+	ticket.ClientDisconnected() // once is enough
+	if cancelled != 1 || e.dispatcher.Pending() != 1 {
+		t.Errorf("cancelled %d times, %d requests kept; want 1 and 1", cancelled, e.dispatcher.Pending())
 	}
 	ticket.AttemptEnded(decision.Cancelled)
-	if diff := cmp.Diff(Decision{Kind: Gone}, ticket.Next()); diff != "" || e.desk.Pending() != 0 {
-		t.Errorf("%d requests kept\n%s", e.desk.Pending(), diff)
+	if diff := cmp.Diff(Decision{Kind: NoAnswer}, ticket.Next()); diff != "" || e.dispatcher.Pending() != 0 {
+		t.Errorf("%d requests kept\n%s", e.dispatcher.Pending(), diff)
 	}
 }
 
@@ -100,13 +100,13 @@
 	e := startedWith(patient, c)
 	ticket := e.Submit(request("read", "thin", 2), func() { t.Error("cancelled, but nothing was out") })
 	name := <-c.calls
-	ticket.ClientGone()
-	if diff := cmp.Diff(Decision{Kind: Gone}, ticket.Next()); diff != "" {
+	ticket.ClientDisconnected()
+	if diff := cmp.Diff(Decision{Kind: NoAnswer}, ticket.Next()); diff != "" {
 		t.Error(diff)
 	}
 	e.CounterReplied(name, decision.Succeeded, 1)
-	if e.desk.Pending() != 0 {
-		t.Errorf("%d requests kept", e.desk.Pending())
+	if e.dispatcher.Pending() != 0 {
+		t.Errorf("%d requests kept", e.dispatcher.Pending())
 	}
 }
 
@@ -170,12 +170,12 @@
 			}
 		}
 		check(Send, "small", 1)
-		check(Refuse, "small", 1)
+		check(Reject, "small", 1)
 		time.Sleep(3 * time.Second)
 		check(Send, "large", 2)
 		time.Sleep(3 * time.Second)
 		check(Send, "small", 3) // what the store of the large plan left, up to the small one's burst
-		check(Refuse, "small", 3)
+		check(Reject, "small", 3)
 		other := e.Submit(request("read", "p", 1), func() {})
 		if d := other.Next(); d.Kind != Send || other.Plan != "p" || other.Revision != 3 {
 			t.Errorf("one that is not listed: %v on %s of revision %d", d.Kind, other.Plan, other.Revision)
@@ -185,7 +185,7 @@
 }
 
 func TestCountsAreToldOnceInTenSeconds(t *testing.T) {
-	var c counts
+	var c counters
 	for _, step := range []struct {
 		now  float64
 		sent int
@@ -193,7 +193,7 @@
 		want int
 	}{{100, 2, false, 0}, {109, 1, false, 0}, {110, 0, true, 3}, {111, 4, false, 0}, {125, 0, true, 4}, {140, 0, false, 0}} {
 		c.decided[Send] += step.sent
-		if due, told := c.turn(step.now); due != step.due || told.decided[Send] != step.want {
+		if due, told := c.rotate(step.now); due != step.due || told.decided[Send] != step.want {
 			t.Errorf("at %v: %v, %d sent", step.now, due, told.decided[Send])
 		}
 	}
--- a/internal/dataplane/http1/append.go
+++ b/internal/dataplane/http1/append.go
@@ -66,17 +66,17 @@
 }
 
 // ChunkRoom is what Chunk needs before a piece of a body, and ChunkEnd behind it, a last chunk without a trailer included.
-const ChunkRoom, ChunkEnd = 10, 7
+const ChunkPrefix, ChunkSuffix = 10, 7
 
 // Chunk makes one chunk, in place, of the n bytes that stand at ChunkRoom in b, so that a single write sends it. Without
 // bytes there is nothing to send: an empty chunk would be the last.
-func Chunk(b []byte, n int) []byte {
+func FrameChunk(b []byte, n int) []byte {
 	if n == 0 {
 		return nil
 	}
-	var size [ChunkRoom]byte
+	var size [ChunkPrefix]byte
 	head := append(strconv.AppendInt(size[:0], int64(n), 16), "\r\n"...)
-	begin := ChunkRoom - len(head)
+	begin := ChunkPrefix - len(head)
 	copy(b[begin:], head)
-	return append(b[begin:ChunkRoom+n], "\r\n"...)
+	return append(b[begin:ChunkPrefix+n], "\r\n"...)
 }
--- a/internal/dataplane/http1/chunks.go
+++ b/internal/dataplane/http1/chunked.go
@@ -13,25 +13,25 @@
 )
 
 // chunks reads a chunked body up to and with its trailer.
-type chunks struct {
-	m          *Reader
-	left       uint64
-	over, data int64 // bytes of framing and of content so far
-	begun      bool
-	trailer    textproto.MIMEHeader
-	err        error
+type chunkedReader struct {
+	reader                     *Reader
+	remaining                  uint64
+	framingBytes, contentBytes int64 // bytes of framing and of content so far
+	begun                      bool
+	trailer                    textproto.MIMEHeader
+	err                        error
 }
 
-func (c *chunks) Read(p []byte) (int, error) {
-	if c.err == nil && c.left == 0 {
+func (c *chunkedReader) Read(p []byte) (int, error) {
+	if c.err == nil && c.remaining == 0 {
 		c.err = c.next()
 	}
 	if c.err != nil {
 		return 0, c.err
 	}
-	n, err := c.m.buf.Read(p[:min(uint64(len(p)), c.left)])
-	c.left -= uint64(n)
-	c.data += int64(n)
+	n, err := c.reader.buf.Read(p[:min(uint64(len(p)), c.remaining)])
+	c.remaining -= uint64(n)
+	c.contentBytes += int64(n)
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
@@ -39,7 +39,7 @@
 	return n, err
 }
 
-func (c *chunks) next() error {
+func (c *chunkedReader) next() error {
 	if c.begun {
 		if line, err := c.line(); err != nil || len(line) > 0 {
 			return cmp.Or(err, ErrFraming)
@@ -51,10 +51,10 @@
 		return err
 	}
 	size, _, _ := bytes.Cut(line, []byte(";"))
-	if c.left, err = strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 32); err != nil {
+	if c.remaining, err = strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 32); err != nil {
 		return fmt.Errorf("%w: chunk size %.20q", ErrFraming, size)
 	}
-	if c.left > 0 {
+	if c.remaining > 0 {
 		return nil
 	}
 	for room := MaxHead; ; { // the trailer is held: a peer could else send one without end
@@ -63,7 +63,7 @@
 			return cmp.Or(err, io.EOF)
 		}
 		name, value, ok := strings.Cut(string(line), ":")
-		if room -= len(line); room < 0 || !ok || !isName(name) || !clean(value) {
+		if room -= len(line); room < 0 || !ok || !validFieldName(name) || !validFieldValue(value) {
 			return fmt.Errorf("%w: trailer %.40q", ErrFraming, line)
 		}
 		if c.trailer == nil {
@@ -74,8 +74,8 @@
 }
 
 // line reads a line of the framing. One longer than the buffer is no framing.
-func (c *chunks) line() ([]byte, error) {
-	line, err := c.m.buf.ReadSlice('\n')
+func (c *chunkedReader) line() ([]byte, error) {
+	line, err := c.reader.buf.ReadSlice('\n')
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
 		return nil, ErrFraming
@@ -84,7 +84,7 @@
 	case err != nil:
 		return nil, err
 	}
-	if c.over += int64(len(line)); c.over > chunkOverhead+chunkPart*c.data {
+	if c.framingBytes += int64(len(line)); c.framingBytes > maxChunkFraming+chunkFramingFactor*c.contentBytes {
 		return nil, ErrBodyTooLarge
 	}
 	line, ok := bytes.CutSuffix(line, []byte("\r\n"))
--- a/internal/dataplane/http1/fields.go
+++ b/internal/dataplane/http1/fields.go
@@ -8,13 +8,13 @@
 )
 
 // perHop are the fields that concern one connection, or the framing on it (RFC 9110, 7.6.1): each side writes its own.
-var perHop = map[string]bool{
+var hopByHop = map[string]bool{
 	"Connection": true, "Content-Length": true, "Expect": true, "Host": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
 // unfitTrailer are fields that mean something before a body, not behind it (RFC 9110, 6.5.1).
-var unfitTrailer = map[string]bool{
+var forbiddenTrailers = map[string]bool{
 	"Authorization": true, "Cache-Control": true, "Content-Encoding": true, "Content-Range": true, "Content-Type": true,
 	"Max-Forwards": true, "Range": true, "Retry-After": true, "Set-Cookie": true,
 }
@@ -25,7 +25,7 @@
 	var names [16]string
 	all := names[:0]
 	for name := range h {
-		if !perHop[name] && !except[name] {
+		if !hopByHop[name] && !except[name] {
 			all = append(all, name)
 		}
 	}
@@ -34,7 +34,7 @@
 	}
 	slices.Sort(all)
 	for _, name := range all {
-		if !named(h["Connection"], name) {
+		if !connectionNames(h["Connection"], name) {
 			for _, value := range h[name] {
 				b = AppendField(b, name, value)
 			}
@@ -44,7 +44,7 @@
 }
 
 // named tells whether a Connection field names another one.
-func named(connection []string, name string) bool {
+func connectionNames(connection []string, name string) bool {
 	return slices.ContainsFunc(connection, func(v string) bool {
 		for option := range strings.SplitSeq(v, ",") {
 			if strings.EqualFold(strings.TrimSpace(option), name) {
@@ -56,11 +56,11 @@
 }
 
 // AppendLast ends a chunked body, with those fields of a trailer that are meant for the other end and may stand there.
-func AppendLast(b []byte, trailer textproto.MIMEHeader, except map[string]bool) []byte {
+func AppendLastChunk(b []byte, trailer textproto.MIMEHeader, except map[string]bool) []byte {
 	b = append(b, "0\r\n"...)
 	if len(trailer) > 0 {
 		fit := maps.Clone(trailer)
-		maps.DeleteFunc(fit, func(name string, _ []string) bool { return unfitTrailer[name] })
+		maps.DeleteFunc(fit, func(name string, _ []string) bool { return forbiddenTrailers[name] })
 		b = AppendFields(b, fit, except)
 	}
 	return append(b, "\r\n"...)
@@ -68,7 +68,7 @@
 
 // clean tells whether a field's value can be passed on: a line end or a NUL in it would be another message elsewhere
 // (RFC 9110, 5.5).
-func clean(value string) bool {
+func validFieldValue(value string) bool {
 	for i := range len(value) {
 		if c := value[i]; c < ' ' && c != '\t' || c == 0x7f {
 			return false
@@ -78,7 +78,7 @@
 }
 
 // isName tells whether a field's name is a token (RFC 9110, 5.6.2).
-func isName(s string) bool {
+func validFieldName(s string) bool {
 	for i := range len(s) {
 		switch c := s[i]; {
 		case 'a' <= c && c <= 'z', 'A' <= c && c <= 'Z', '0' <= c && c <= '9', strings.IndexByte("!#$%&'*+-.^_`|~", c) >= 0:
@@ -91,9 +91,9 @@
 
 // Misplaced tells whether a trailer has a field that frames a message, or one of those that decide: behind the body it would
 // be one thing to whoever reads it and another to whoever does not.
-func Misplaced(trailer textproto.MIMEHeader, deciding map[string]bool) bool {
+func HasForbiddenTrailer(trailer textproto.MIMEHeader, deciding map[string]bool) bool {
 	for name := range trailer {
-		if perHop[name] || deciding[name] {
+		if hopByHop[name] || deciding[name] {
 			return true
 		}
 	}
--- a/internal/dataplane/http1/fuzz_test.go
+++ b/internal/dataplane/http1/fuzz_test.go
@@ -29,7 +29,7 @@
 		if err != nil {
 			return
 		}
-		if len(got.Body) > MaxBody || got.Method == "" || got.Target == "" {
+		if len(got.Body) > MaxBufferedBody || got.Method == "" || got.Target == "" {
 			t.Fatalf("%+v", got)
 		}
 		want, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(b)))
@@ -62,7 +62,7 @@
 		if err != nil {
 			return
 		}
-		if len(body) > MaxBody || got.Status < 200 || got.Status > 999 {
+		if len(body) > MaxBufferedBody || got.Status < 200 || got.Status > 999 {
 			t.Fatalf("%+v with %d bytes", got, len(body))
 		}
 		if strings.HasPrefix(string(b), fmt.Sprintf("HTTP/1.1 %d", got.Status)) { // no interim ones before it: net/http hands those out
--- a/internal/dataplane/http1/http1.go
+++ b/internal/dataplane/http1/reader.go
@@ -18,13 +18,13 @@
 	// MaxHead bounds a start line with its headers: a peer could else send one without end.
 	MaxHead = 16 << 10
 	// MaxBody is the most of a body that is read whole. A longer one is passed on as it comes.
-	MaxBody = 64 << 10
+	MaxBufferedBody = 64 << 10
 	// MostBody is the most that a request may carry, where the reader is not told another.
-	MostBody = 32 << 20
+	DefaultMaxRequestBody = 32 << 20
 
-	mostInterim   = 8        // 1xx answers before one: a server could else send them without end
-	chunkOverhead = 64 << 10 // bytes that the framing of a chunked body may take, and chunkPart times its content:
-	chunkPart     = 16       // one byte a chunk is legal, lines without end for nothing are not
+	maxInterim         = 8        // 1xx answers before one: a server could else send them without end
+	maxChunkFraming    = 64 << 10 // bytes that the framing of a chunked body may take, and chunkPart times its content:
+	chunkFramingFactor = 16       // one byte a chunk is legal, lines without end for nothing are not
 )
 
 // What can be wrong with a message. Any of them leaves the connection without a known place to go on.
@@ -39,10 +39,10 @@
 
 // Reader reads the messages of one connection.
 type Reader struct {
-	Most  int64 // bytes of a request's body; 0: MostBody
-	limit io.LimitedReader
-	buf   *bufio.Reader
-	text  textproto.Reader
+	MaxRequestBody int64 // bytes of a request's body; 0: MostBody
+	limit          io.LimitedReader
+	buf            *bufio.Reader
+	text           textproto.Reader
 }
 
 // NewReader returns a reader of the messages that come from r.
@@ -54,14 +54,14 @@
 }
 
 // Wait returns once a byte of the next message is there, or with the error that ended the connection.
-func (m *Reader) Wait() error {
-	m.limit.N = math.MaxInt64
-	_, err := m.buf.Peek(1)
+func (rd *Reader) Wait() error {
+	rd.limit.N = math.MaxInt64
+	_, err := rd.buf.Peek(1)
 	return err
 }
 
 // Buffered tells how many bytes have been read from the connection ahead of the messages.
-func (m *Reader) Buffered() int { return m.buf.Buffered() }
+func (rd *Reader) Buffered() int { return rd.buf.Buffered() }
 
 // Request is one request: its head and, once ReadBody has been called, its body.
 type Request struct {
@@ -69,15 +69,15 @@
 	Header         textproto.MIMEHeader
 	Body           []byte
 	Trailer        textproto.MIMEHeader // behind a Body that came in chunks
-	Long           *Body                // a body over MaxBody: it is still on the connection, to be read as it comes; Body is then nil
+	Streamed       *Body                // a body over MaxBody: it is still on the connection, to be read as it comes; Body is then nil
 	Close          bool                 // the connection ends with the answer
-	Old            bool                 // HTTP/1.0: it knows no chunks
+	HTTP10         bool                 // HTTP/1.0: it knows no chunks
 	Expect         bool                 // the client waits for 100 Continue before it sends the body
 	framing
 }
 
 // FitsNot tells whether the head tells that the body is longer than MaxBody.
-func (r *Request) FitsNot() bool { return r.length > MaxBody }
+func (r *Request) TooLongToBuffer() bool { return r.length > MaxBufferedBody }
 
 // HasBody tells whether a body follows the head.
 func (r *Request) HasBody() bool { return r.chunked || r.length > 0 }
@@ -86,24 +86,24 @@
 type Body struct {
 	Length int64 // as the head tells it; -1: chunked
 
-	begin []byte // of a chunked one: what was read before it proved to be long
-	rest  io.Reader
-	left  int64 // that may still come
-	ended bool  // all of it has been read
+	buffered  []byte // of a chunked one: what was read before it proved to be long
+	rest      io.Reader
+	remaining int64 // that may still come
+	ended     bool  // all of it has been read
 }
 
 // Read reads what has come. io.EOF: it has all come. ErrBodyTooLarge: it is longer than MostBody.
 func (b *Body) Read(p []byte) (n int, err error) {
-	if len(b.begin) > 0 {
-		n = copy(p, b.begin)
-		b.begin = b.begin[n:]
-	} else if n, err = b.rest.Read(p); errors.Is(err, io.EOF) && b.Length >= 0 && int64(n) < b.left {
+	if len(b.buffered) > 0 {
+		n = copy(p, b.buffered)
+		b.buffered = b.buffered[n:]
+	} else if n, err = b.rest.Read(p); errors.Is(err, io.EOF) && b.Length >= 0 && int64(n) < b.remaining {
 		err = io.ErrUnexpectedEOF
 	}
-	if b.left -= int64(n); b.left < 0 {
+	if b.remaining -= int64(n); b.remaining < 0 {
 		return 0, ErrBodyTooLarge
 	}
-	if err == nil && b.Length >= 0 && b.left == 0 {
+	if err == nil && b.Length >= 0 && b.remaining == 0 {
 		err = io.EOF // with the last byte: nobody is to wait for one more
 	}
 	b.ended = errors.Is(err, io.EOF)
@@ -111,37 +111,37 @@
 }
 
 // Rest is how much of it is still to come, in bytes; of a chunked one, how much may be.
-func (b *Body) Rest() int64 { return b.left }
+func (b *Body) Remaining() int64 { return b.remaining }
 
 // Ended tells whether all of it has been read.
 func (b *Body) Ended() bool { return b.ended }
 
 // Head reads the head of the next request. Its body is ReadBody's to read.
-func (m *Reader) Head() (*Request, error) {
-	m.limit.N = MaxHead - int64(m.buf.Buffered())
-	line, err := m.startLine()
+func (rd *Reader) Head() (*Request, error) {
+	rd.limit.N = MaxHead - int64(rd.buf.Buffered())
+	line, err := rd.startLine()
 	if err != nil {
 		return nil, err
 	}
 	method, rest, ok := strings.Cut(line, " ")
 	target, proto, ok2 := strings.Cut(rest, " ")
-	if !ok || !ok2 || !token(method) || !visible(target) || target[0] != '/' && target != "*" ||
+	if !ok || !ok2 || !isMethod(method) || !visible(target) || target[0] != '/' && target != "*" ||
 		proto != "HTTP/1.1" && proto != "HTTP/1.0" {
 		return nil, fmt.Errorf("%w: %.80q", ErrStartLine, line)
 	}
 	r := &Request{Method: method, Target: target}
-	if r.Header, err = m.header(); err != nil {
+	if r.Header, err = rd.header(); err != nil {
 		return nil, err
 	}
-	r.Old = proto == "HTTP/1.0"
-	r.Close = closes(r.Header, proto)
-	if r.framing, err = framingOf(r.Header, cmp.Or(m.Most, MostBody)); err != nil {
+	r.HTTP10 = proto == "HTTP/1.0"
+	r.Close = closesConnection(r.Header, proto)
+	if r.framing, err = framingOf(r.Header, cmp.Or(rd.MaxRequestBody, DefaultMaxRequestBody)); err != nil {
 		return nil, err
 	}
-	if r.chunked && r.Old {
+	if r.chunked && r.HTTP10 {
 		return nil, fmt.Errorf("%w: a transfer coding in HTTP/1.0", ErrFraming) // RFC 9112, 6.1: its framing is faulty
 	}
-	if expect := r.Header["Expect"]; len(expect) > 0 && !r.Old { // RFC 9110, 10.1.1: of 1.0 it is to be ignored
+	if expect := r.Header["Expect"]; len(expect) > 0 && !r.HTTP10 { // RFC 9110, 10.1.1: of 1.0 it is to be ignored
 		if len(expect) > 1 || !strings.EqualFold(expect[0], "100-continue") {
 			return nil, fmt.Errorf("%w: %.40q", ErrExpect, expect)
 		}
@@ -154,43 +154,43 @@
 }
 
 // ReadBody reads the body that follows a head: the whole of it, or, where it is longer than MaxBody, r.Long is set.
-func (m *Reader) ReadBody(r *Request) (err error) {
-	if !r.chunked && r.length <= MaxBody {
-		r.Body, err = m.body(r.framing)
+func (rd *Reader) ReadBody(r *Request) (err error) {
+	if !r.chunked && r.length <= MaxBufferedBody {
+		r.Body, err = rd.body(r.framing)
 		return err
 	}
-	m.limit.N = math.MaxInt64
+	rd.limit.N = math.MaxInt64
 	if !r.chunked {
-		r.Long = &Body{Length: r.length, rest: io.LimitReader(m.buf, r.length), left: r.length}
+		r.Streamed = &Body{Length: r.length, rest: io.LimitReader(rd.buf, r.length), remaining: r.length}
 		return nil
 	}
-	rest := &chunks{m: m}
-	begin, err := io.ReadAll(io.LimitReader(rest, MaxBody+1))
+	rest := &chunkedReader{reader: rd}
+	begin, err := io.ReadAll(io.LimitReader(rest, MaxBufferedBody+1))
 	if err != nil {
 		return err
 	}
-	if len(begin) <= MaxBody {
+	if len(begin) <= MaxBufferedBody {
 		r.Body, r.Trailer = begin, rest.trailer
 		return nil
 	}
-	r.Long = &Body{Length: -1, begin: begin, rest: rest, left: cmp.Or(m.Most, MostBody)}
+	r.Streamed = &Body{Length: -1, buffered: begin, rest: rest, remaining: cmp.Or(rd.MaxRequestBody, DefaultMaxRequestBody)}
 	return nil
 }
 
 // Response is the head of an answer.
 type Response struct {
-	Status int
-	Header textproto.MIMEHeader
-	Told   int64 // of an answer to HEAD: the length that it tells of a body that does not come
-	Close  bool  // the connection ends with this answer
+	Status     int
+	Header     textproto.MIMEHeader
+	HeadLength int64 // of an answer to HEAD: the length that it tells of a body that does not come
+	Close      bool  // the connection ends with this answer
 	framing
 }
 
 // Response reads the head of the next final answer. Bodiless: it is one to HEAD, whose length is that of another's body.
-func (m *Reader) Response(bodiless bool) (*Response, error) {
-	for range mostInterim + 1 {
-		m.limit.N = MaxHead - int64(m.buf.Buffered())
-		line, err := m.startLine()
+func (rd *Reader) Response(bodiless bool) (*Response, error) {
+	for range maxInterim + 1 {
+		rd.limit.N = MaxHead - int64(rd.buf.Buffered())
+		line, err := rd.startLine()
 		if err != nil {
 			return nil, err
 		}
@@ -201,13 +201,13 @@
 			return nil, fmt.Errorf("%w: %.80q", ErrStartLine, line)
 		}
 		a := &Response{Status: status}
-		if a.Header, err = m.header(); err != nil {
+		if a.Header, err = rd.header(); err != nil {
 			return nil, err
 		}
 		if status < 200 {
 			continue // interim, 100 Continue and its like
 		}
-		a.Close = closes(a.Header, proto)
+		a.Close = closesConnection(a.Header, proto)
 		if status == 204 || status == 304 {
 			return a, nil
 		}
@@ -215,7 +215,7 @@
 			return nil, err
 		}
 		if bodiless {
-			a.Told, a.framing = a.length, framing{}
+			a.HeadLength, a.framing = a.length, framing{}
 			return a, nil
 		}
 		a.Close = a.Close || a.untilClose
@@ -225,40 +225,40 @@
 }
 
 // Large tells whether an answer's body may be longer than MaxBody: it is to be streamed, not read whole.
-func (a *Response) Large() bool { return a.chunked || a.untilClose || a.length > MaxBody }
+func (r *Response) Large() bool { return r.chunked || r.untilClose || r.length > MaxBufferedBody }
 
 // Unbounded tells whether an answer's body ends with the connection: one that was cut short cannot be told from a whole one.
-func (a *Response) Unbounded() bool { return a.untilClose }
+func (r *Response) EndsWithConnection() bool { return r.untilClose }
 
 // Body reads the whole body of an answer, of at most MaxBody.
-func (m *Reader) Body(a *Response) ([]byte, error) { return m.body(a.framing) }
+func (rd *Reader) Body(a *Response) ([]byte, error) { return rd.body(a.framing) }
 
 // Stream returns an answer's body, to be read as it comes. Whoever reads it is to bound what is kept.
-func (m *Reader) Stream(a *Response) *Body {
-	m.limit.N = math.MaxInt64
+func (rd *Reader) Stream(a *Response) *Body {
+	rd.limit.N = math.MaxInt64
 	switch {
 	case a.chunked:
-		return &Body{Length: -1, rest: &chunks{m: m}, left: math.MaxInt64}
+		return &Body{Length: -1, rest: &chunkedReader{reader: rd}, remaining: math.MaxInt64}
 	case a.untilClose:
-		return &Body{Length: -1, rest: m.buf, left: math.MaxInt64}
+		return &Body{Length: -1, rest: rd.buf, remaining: math.MaxInt64}
 	}
-	return &Body{Length: a.length, rest: io.LimitReader(m.buf, a.length), left: a.length}
+	return &Body{Length: a.length, rest: io.LimitReader(rd.buf, a.length), remaining: a.length}
 }
 
 // Trailer are the fields behind a chunked body, once it has been read to its end; nil: there are none.
 func (b *Body) Trailer() textproto.MIMEHeader {
-	if c, ok := b.rest.(*chunks); ok {
+	if c, ok := b.rest.(*chunkedReader); ok {
 		return c.trailer
 	}
 	return nil
 }
 
 // startLine reads a start line. Empty lines before it are passed over, as RFC 9112 asks.
-func (m *Reader) startLine() (string, error) {
+func (rd *Reader) startLine() (string, error) {
 	for range 3 {
-		line, err := m.text.ReadLine()
+		line, err := rd.text.ReadLine()
 		if err != nil {
-			return "", m.tooLarge(err)
+			return "", rd.tooLarge(err)
 		}
 		if line != "" {
 			return line, nil
@@ -267,19 +267,19 @@
 	return "", fmt.Errorf("%w: empty", ErrStartLine)
 }
 
-func (m *Reader) header() (textproto.MIMEHeader, error) {
-	h, err := m.text.ReadMIMEHeader()
+func (rd *Reader) header() (textproto.MIMEHeader, error) {
+	h, err := rd.text.ReadMIMEHeader()
 	var broken textproto.ProtocolError
 	switch {
 	case errors.As(err, &broken):
 		return nil, fmt.Errorf("%w: %.80s", ErrHeader, broken)
 	case errors.Is(err, io.EOF):
-		return nil, m.tooLarge(io.ErrUnexpectedEOF)
+		return nil, rd.tooLarge(io.ErrUnexpectedEOF)
 	case err != nil:
-		return nil, m.tooLarge(err)
+		return nil, rd.tooLarge(err)
 	}
 	for key, values := range h { // textproto lets a name of several words pass, and controls in a value
-		if strings.IndexByte(key, ' ') >= 0 || !clean(strings.Join(values, "")) {
+		if strings.IndexByte(key, ' ') >= 0 || !validFieldValue(strings.Join(values, "")) {
 			return nil, fmt.Errorf("%w: %.80q", ErrHeader, key)
 		}
 	}
@@ -287,8 +287,8 @@
 }
 
 // tooLarge tells an end that the limit made from one that the peer made.
-func (m *Reader) tooLarge(err error) error {
-	if m.limit.N <= 0 {
+func (rd *Reader) tooLarge(err error) error {
+	if rd.limit.N <= 0 {
 		return ErrHeadTooLarge
 	}
 	return err
@@ -323,37 +323,37 @@
 	return f, nil
 }
 
-func (m *Reader) body(f framing) ([]byte, error) {
+func (rd *Reader) body(f framing) ([]byte, error) {
 	switch {
 	case f.chunked:
-		m.limit.N = math.MaxInt64
-		return m.bounded(&chunks{m: m})
+		rd.limit.N = math.MaxInt64
+		return rd.bounded(&chunkedReader{reader: rd})
 	case f.untilClose:
-		m.limit.N = math.MaxInt64
-		return m.bounded(m.buf)
+		rd.limit.N = math.MaxInt64
+		return rd.bounded(rd.buf)
 	case f.length == 0:
 		return nil, nil
-	case f.length > MaxBody:
+	case f.length > MaxBufferedBody:
 		return nil, ErrBodyTooLarge
 	}
-	m.limit.N = math.MaxInt64
+	rd.limit.N = math.MaxInt64
 	body := make([]byte, f.length)
-	_, err := io.ReadFull(m.buf, body)
+	_, err := io.ReadFull(rd.buf, body)
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
 	return body, err
 }
 
-func (m *Reader) bounded(r io.Reader) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(r, MaxBody+1))
-	if len(body) > MaxBody {
+func (rd *Reader) bounded(r io.Reader) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(r, MaxBufferedBody+1))
+	if len(body) > MaxBufferedBody {
 		return nil, ErrBodyTooLarge
 	}
 	return body, err
 }
 
-func closes(h textproto.MIMEHeader, proto string) bool {
+func closesConnection(h textproto.MIMEHeader, proto string) bool {
 	for _, v := range h["Connection"] {
 		for _, option := range strings.Split(v, ",") {
 			switch strings.ToLower(strings.TrimSpace(option)) {
@@ -367,7 +367,7 @@
 	return proto == "HTTP/1.0"
 }
 
-func token(s string) bool {
+func isMethod(s string) bool {
 	return s != "" && strings.IndexFunc(s, func(c rune) bool { return c < 'A' || c > 'Z' }) < 0
 }
 
--- a/internal/dataplane/http1/http1_test.go
+++ b/internal/dataplane/http1/reader_test.go
@@ -13,10 +13,10 @@
 )
 
 // Request reads the next request, and its body as far as it is read whole.
-func (m *Reader) Request() (*Request, error) {
-	r, err := m.Head()
+func (rd *Reader) Request() (*Request, error) {
+	r, err := rd.Head()
 	if err == nil {
-		err = m.ReadBody(r)
+		err = rd.ReadBody(r)
 	}
 	return r, err
 }
@@ -73,7 +73,7 @@
 				t.Fatalf("error %v, want %v", err, tc.err)
 			}
 			if tc.err == nil {
-				if diff := cmp.Diff(tc.want, got, cmpopts.IgnoreFields(Request{}, "framing", "Old")); diff != "" {
+				if diff := cmp.Diff(tc.want, got, cmpopts.IgnoreFields(Request{}, "framing", "HTTP10")); diff != "" {
 					t.Error(diff)
 				}
 			}
@@ -104,10 +104,10 @@
 // Interim answers are passed over, but not without end.
 func TestInterimAnswersAreBounded(t *testing.T) {
 	const interim, final = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n"
-	if a, err := NewReader(strings.NewReader(strings.Repeat(interim, mostInterim) + final)).Response(false); err != nil || a.Status != 200 {
-		t.Errorf("after %d: %+v, %v", mostInterim, a, err)
+	if a, err := NewReader(strings.NewReader(strings.Repeat(interim, maxInterim) + final)).Response(false); err != nil || a.Status != 200 {
+		t.Errorf("after %d: %+v, %v", maxInterim, a, err)
 	}
-	if a, err := NewReader(strings.NewReader(strings.Repeat(interim, mostInterim+1) + final)).Response(false); !errors.Is(err, ErrStartLine) {
+	if a, err := NewReader(strings.NewReader(strings.Repeat(interim, maxInterim+1) + final)).Response(false); !errors.Is(err, ErrStartLine) {
 		t.Errorf("after one more: %+v, %v", a, err)
 	}
 }
@@ -124,13 +124,13 @@
 	}
 	f.Fuzz(func(t *testing.T, in string) {
 		if r, err := NewReader(strings.NewReader(in)).Request(); err == nil {
-			if len(r.Body) > MaxBody || !Visible(r.Target) || !Visible(r.Method) {
+			if len(r.Body) > MaxBufferedBody || !Visible(r.Target) || !Visible(r.Method) {
 				t.Errorf("passed %q %q with %d bytes", r.Method, r.Target, len(r.Body))
 			}
 		}
 		m := NewReader(strings.NewReader(in))
 		if a, err := m.Response(false); err == nil {
-			if body, err := m.Body(a); err == nil && len(body) > MaxBody || a.Status < 200 {
+			if body, err := m.Body(a); err == nil && len(body) > MaxBufferedBody || a.Status < 200 {
 				t.Errorf("passed status %d with %d bytes", a.Status, len(body))
 			}
 		}
--- a/internal/dataplane/ingress/figures.go
+++ b/internal/dataplane/ingress/class_stats.go
@@ -7,7 +7,7 @@
 )
 
 // mostClassFigures bounds the classes that figures are kept for: names that clients make up must not grow them.
-const mostClassFigures = 64
+const maxClasses = 64
 
 // ClassStats are the counts of one class since the process started.
 type ClassStats struct {
@@ -16,25 +16,25 @@
 }
 
 // figures are counted where the events happen: the answer written, the attempt written whole.
-type figures struct {
-	active  atomic.Int64 // requests taken and not yet ended
-	mu      sync.Mutex
-	classes map[string]*classCounts
+type classStats struct {
+	inFlight atomic.Int64 // requests taken and not yet ended
+	mu       sync.Mutex
+	classes  map[string]*classCounts
 }
 
 type classCounts struct{ ok, shed, errors, tries atomic.Int64 }
 
 // of returns the counts of a class; nil where there are too many classes already.
-func (f *figures) of(class string) *classCounts {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.classes == nil {
-		f.classes = map[string]*classCounts{}
+func (s *classStats) class(class string) *classCounts {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.classes == nil {
+		s.classes = map[string]*classCounts{}
 	}
-	c := f.classes[class]
-	if c == nil && len(f.classes) < mostClassFigures {
+	c := s.classes[class]
+	if c == nil && len(s.classes) < maxClasses {
 		c = &classCounts{}
-		f.classes[class] = c
+		s.classes[class] = c
 	}
 	return c
 }
@@ -63,11 +63,11 @@
 
 // Stats are the counts of each class, by name, and the requests in hand now.
 func (s *Server) Stats() (classes []ClassStats, active int64) {
-	s.figures.mu.Lock()
-	for name, c := range s.figures.classes {
+	s.stats.mu.Lock()
+	for name, c := range s.stats.classes {
 		classes = append(classes, ClassStats{Class: name, OK: c.ok.Load(), Shed: c.shed.Load(), Errors: c.errors.Load(), Tries: c.tries.Load()})
 	}
-	s.figures.mu.Unlock()
+	s.stats.mu.Unlock()
 	sort.Slice(classes, func(i, j int) bool { return classes[i].Class < classes[j].Class })
-	return classes, s.figures.active.Load()
+	return classes, s.stats.inFlight.Load()
 }
--- a/internal/dataplane/ingress/room.go
+++ b/internal/dataplane/ingress/eviction.go
@@ -10,50 +10,50 @@
 
 // add makes room first: the connection that holds its place for the least goes. Where each has a request
 // in hand, it waits until one is idle or ends.
-func (s *Server) add(c *conn) {
+func (s *Server) admit(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.waiting++
 	again := false
-	for asked := false; len(s.conns) >= s.most; s.room.Wait() {
+	for asked := false; len(s.conns) >= s.maxConns; s.changed.Wait() {
 		if asked {
 			continue // one connection goes for each that comes, not one more whenever another ends
 		}
-		if other := s.spare(time.Now()); other != nil {
-			other.end(clientconn.CodeRoom)
+		if other := s.evictionCandidate(time.Now()); other != nil {
+			other.close(clientconn.CodeEvicted)
 			asked = true
 		} else if !again {
 			again = true
-			time.AfterFunc(soon, s.room.Broadcast) // one that is new now is slow by then
+			time.AfterFunc(evictionRetry, s.changed.Broadcast) // one that is new now is slow by then
 		}
 	}
 	s.waiting--
 	s.conns[c] = struct{}{}
-	if !s.life.Accepts() {
-		c.end(clientconn.CodeDrain) // accepted as the hand-over ended: the client asks elsewhere
+	if !s.lifecycle.Accepts() {
+		c.close(clientconn.CodeDrain) // accepted as the hand-over ended: the client asks elsewhere
 	}
 }
 
 // spare is the connection to close for want of room, nil where there is none: client.Conn says which goes first.
-func (s *Server) spare(at time.Time) (spare *conn) {
+func (s *Server) evictionCandidate(at time.Time) (spare *conn) {
 	now := s.seconds(at)
 	for {
 		spare = nil
 		for c := range s.conns {
-			if c.life.Spare(now) && (spare == nil || c.life.Before(&spare.life, now)) {
+			if c.machine.Evictable(now) && (spare == nil || c.machine.EvictBefore(&spare.machine, now)) {
 				spare = c
 			}
 		}
-		if spare == nil || spare.life.State() != clientconn.Idle || !spare.begun() {
+		if spare == nil || spare.machine.State() != clientconn.Idle || !spare.requestPending() {
 			return spare
 		}
-		spare.life.Began() // in a rush its request may be here for long before it is read
+		spare.machine.MarkRequestPending() // in a rush its request may be here for long before it is read
 	}
 }
 
 // begun tells whether bytes have come that nobody has read yet.
-func (c *conn) begun() (is bool) {
-	if c.life.Begun() {
+func (c *conn) requestPending() (is bool) {
+	if c.machine.RequestPending() {
 		return true
 	}
 	tcp, ok := c.Conn.(*net.TCPConn)
@@ -74,11 +74,11 @@
 
 // sweep ends connections that hold their place for nothing.
 func (s *Server) sweep() {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-s.halt.Done():
+		case <-s.ctx.Done():
 			return
 		case now := <-ticker.C:
 			s.sweepAt(now)
@@ -91,11 +91,11 @@
 	defer s.mu.Unlock()
 	now := s.seconds(at)
 	for c := range s.conns {
-		if code := c.life.Due(now); code != "" && !(c.life.State() == clientconn.Idle && c.life.Hears() && c.begun()) {
-			c.end(code)
+		if code := c.machine.TimeoutCode(now); code != "" && !(c.machine.State() == clientconn.Idle && c.machine.ServesPending() && c.requestPending()) {
+			c.close(code)
 		}
 	}
 	if s.waiting > 0 {
-		s.room.Broadcast() // one that was new a moment ago may be slow by now
+		s.changed.Broadcast() // one that was new a moment ago may be slow by now
 	}
 }
--- a/internal/dataplane/ingress/request.go
+++ b/internal/dataplane/ingress/parse.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	pathPrefix  = "/api/"
-	mostTimeout = 300.0 // s: no client of this service waits that long
-	mostUnits   = 1e6   // where the settings name no most
-	mostID      = 128   // bytes
+	pathPrefix      = "/api/"
+	maxTimeout      = 300.0 // s: no client of this service waits that long
+	defaultMaxUnits = 1e6   // where the settings name no most
+	maxIDLength     = 128   // bytes
 
 	// The keys in textproto's own form: Get would make each anew.
 	keyID, keyClass, keyPlan         = "X-Request-Id", "X-Priority-Class", "X-Tier"
 	keyTimeout, keyTerms, keyRetried = "X-Timeout", "X-Call-Terms", "X-Retried"
 
 	// transit is taken off the time that a client waits: the answer still has its way to go.
-	transit = 10 * time.Millisecond
+	answerTransit = 10 * time.Millisecond
 )
 
 // deciding are the fields that an ingress decides by, or writes itself: they are not passed on, and no trailer may have them.
-var deciding = map[string]bool{keyID: true, keyClass: true, keyPlan: true, keyTimeout: true, keyTerms: true, keyRetried: true}
+var ingressFields = map[string]bool{keyID: true, keyClass: true, keyPlan: true, keyTimeout: true, keyTerms: true, keyRetried: true}
 
 // reports are the fields in which quote servers tell the ingress something: clients do not get them.
-var reports = map[string]bool{"X-Server-Load": true, "X-Not-Processed": true}
+var serverFields = map[string]bool{"X-Server-Load": true, "X-Not-Processed": true}
 
 // Problem is a request that cannot be handed to the module: the client's fault, or that of who does not know yet.
-type Problem struct {
+type RequestError struct {
 	Status     int
 	Code, Text string
 	Allow      string           // method, for a 405
@@ -43,25 +43,25 @@
 // Dialect is what clients are answered in. New gives a server that of the deployments in service; Speak gives it another.
 type Dialect struct {
 	// Ready is the path of the readiness page.
-	Ready string
+	ReadyPath string
 	// Parse translates a client's request. It decides nothing.
-	Parse func(*http1.Request) (decision.Request, *upstream.Message, *Problem)
+	Parse func(*http1.Request) (decision.Request, *upstream.Message, *RequestError)
 	// Deciding are the fields that are not passed on to servers, Reports those that are not passed on to clients.
-	Deciding, Reports map[string]bool
+	IngressFields, ServerFields map[string]bool
 	// Beyond is the status of a refusal for a quota's sake; 0: 503 as any other.
-	Beyond int
+	OverQuotaStatus int
 	// PassFailures has a server's own answer passed on where it failed and nothing else can be done.
-	PassFailures bool
+	ForwardFailures bool
 	// Times are those of clients' connections; nil: the usual ones. MostBody is for a request's body, in bytes; 0: the usual one. They
 	// are asked for each connection.
-	Times    func() *clientconn.Times
-	MostBody func() int64
+	Timeouts func() *clientconn.Timeouts
+	MaxBody  func() int64
 }
 
 // parse translates a client's request. Nothing here decides what becomes of it.
-func (s *Server) parse(r *http1.Request) (request decision.Request, m *upstream.Message, bad *Problem) {
-	fail := func(status int, code, text string) (decision.Request, *upstream.Message, *Problem) {
-		return decision.Request{}, nil, &Problem{Status: status, Code: code, Text: text}
+func (s *Server) parse(r *http1.Request) (request decision.Request, m *upstream.Message, bad *RequestError) {
+	fail := func(status int, code, text string) (decision.Request, *upstream.Message, *RequestError) {
+		return decision.Request{}, nil, &RequestError{Status: status, Code: code, Text: text}
 	}
 	path, _, _ := strings.Cut(r.Target, "?")
 	member, ok := strings.CutPrefix(path, pathPrefix)
@@ -79,7 +79,7 @@
 		return fail(404, "request-unknown-customer", "the path does not end in a customer")
 	}
 	id := r.Header.Get(keyID)
-	if !http1.Visible(id) || len(id) > mostID {
+	if !http1.Visible(id) || len(id) > maxIDLength {
 		return fail(400, "request-bad-id", "X-Request-ID is missing or not a word")
 	}
 	request.Class = r.Header.Get(keyClass)
@@ -96,19 +96,19 @@
 	if !(*s.plans.Load())[request.Plan] {
 		return fail(400, "request-unknown-plan", "X-Tier names no plan")
 	}
-	if request.TimeLeft, ok = decimal(r.Header.Get(keyTimeout)); !ok || request.TimeLeft <= 0 || request.TimeLeft > mostTimeout {
+	if request.TimeLeft, ok = decimal(r.Header.Get(keyTimeout)); !ok || request.TimeLeft <= 0 || request.TimeLeft > maxTimeout {
 		return fail(400, "request-bad-timeout", "X-Timeout is not a time in seconds")
 	}
-	request.TimeLeft = max(request.TimeLeft/2, request.TimeLeft-transit.Seconds())
+	request.TimeLeft = max(request.TimeLeft/2, request.TimeLeft-answerTransit.Seconds())
 	if !s.terms(r.Header.Get(keyTerms), &request) {
 		return fail(400, "request-bad-terms", "X-Call-Terms does not state units, spread and first")
 	}
-	if http1.Misplaced(r.Trailer, deciding) {
+	if http1.HasForbiddenTrailer(r.Trailer, ingressFields) {
 		return fail(400, "request-bad-trailer", "a trailer states what belongs in the head")
 	}
-	request.Streamed = r.Long != nil
+	request.Streamed = r.Streamed != nil
 	request.ClientRetry = r.Header.Get(keyRetried) == "1"
-	return request, &upstream.Message{Method: r.Method, Target: r.Target, ID: id, Body: r.Body, Trailer: r.Trailer, Fields: http1.AppendFields(nil, r.Header, deciding)}, nil // serve adds a long body
+	return request, &upstream.Message{Method: r.Method, Target: r.Target, ID: id, Body: r.Body, Trailer: r.Trailer, Fields: http1.AppendFields(nil, r.Header, ingressFields)}, nil // serve adds a long body
 }
 
 // terms reads 'units=2,spread=3,first=1'. Terms it does not know are passed over. What the settings do not
@@ -124,7 +124,7 @@
 			if units {
 				return false // said twice: who counts the other one decides otherwise
 			}
-			if r.Units, units = decimal(number); r.Units <= 0 || r.Units > s.mostUnits {
+			if r.Units, units = decimal(number); r.Units <= 0 || r.Units > s.maxUnits {
 				return false
 			}
 		case "spread":
--- a/internal/dataplane/ingress/relay.go
+++ b/internal/dataplane/ingress/relay.go
@@ -16,31 +16,31 @@
 // server's did, else the body is chunked; a client whose answer is cut can tell: errAnswerCut.
 func (c *conn) relay(head *http1.Response, st *upstream.Stream, last bool) error {
 	defer st.Close()
-	reports := c.server.dialect.Reports
+	reports := c.server.dialect.ServerFields
 	b := http1.AppendStatus(c.out[:0], head.Status)
-	chunked := st.Length < 0 && !c.old
+	chunked := st.Length < 0 && !c.http10
 	if chunked || st.Length >= 0 {
 		b = http1.AppendFraming(b, st.Length)
 	} // else the body ends with the connection: HTTP/1.0 knows no chunks
 	b = http1.AppendFields(b, head.Header, reports)
 	b = c.endHead(b, last)
 	c.out = b
-	if err := c.push(b); err != nil {
+	if err := c.writePiece(b); err != nil {
 		return err
 	}
 	buf := upstream.ChunkPool.Get().(*[]byte)
 	defer upstream.ChunkPool.Put(buf)
 	for {
-		n, rerr := st.Read((*buf)[http1.ChunkRoom : http1.ChunkRoom+upstream.ChunkSize])
+		n, rerr := st.Read((*buf)[http1.ChunkPrefix : http1.ChunkPrefix+upstream.ChunkSize])
 		ended := errors.Is(rerr, io.EOF)
-		out := (*buf)[http1.ChunkRoom : http1.ChunkRoom+n]
+		out := (*buf)[http1.ChunkPrefix : http1.ChunkPrefix+n]
 		if chunked {
-			if out = http1.Chunk(*buf, n); ended {
-				out = http1.AppendLast(out, st.Trailer(), reports)
+			if out = http1.FrameChunk(*buf, n); ended {
+				out = http1.AppendLastChunk(out, st.Trailer(), reports)
 			}
 		}
 		if len(out) > 0 {
-			if err := c.push(out); err != nil {
+			if err := c.writePiece(out); err != nil {
 				return err
 			}
 		}
@@ -58,8 +58,8 @@
 var errAnswerCut = errors.New("the quote server's answer broke off")
 
 // push writes a piece of an answer, with as long as a slow client may take for it.
-func (c *conn) push(b []byte) error {
-	c.to(clientconn.Answering) // from now: a client that takes longer over this piece holds the connection for nothing
+func (c *conn) writePiece(b []byte) error {
+	c.enter(clientconn.Answering) // from now: a client that takes longer over this piece holds the connection for nothing
 	c.SetWriteDeadline(time.Now().Add(upstream.MaxStall))
 	_, err := c.Write(b)
 	return err
--- a/internal/dataplane/ingress/ingress.go
+++ b/internal/dataplane/ingress/server.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	sweepEvery  = 250 * time.Millisecond
-	soon        = 100 * time.Millisecond // until room is looked for again: a new connection that still asks nothing makes some
-	acceptPause = 10 * time.Millisecond  // guards against spinning on an error that stays
-	crowdedPart = 8                      // of the places: with no more left, an answer is the last on its connection
-	lingerMost  = time.Second            // for a client to read why it is refused, or to send more of what is read off
-	lingerLong  = 5 * time.Second        // for the rest of a long body to be read off
+	sweepInterval   = 250 * time.Millisecond
+	evictionRetry   = 100 * time.Millisecond // until room is looked for again: a new connection that still asks nothing makes some
+	acceptPause     = 10 * time.Millisecond  // guards against spinning on an error that stays
+	crowdedFraction = 8                      // of the places: with no more left, an answer is the last on its connection
+	lingerShort     = time.Second            // for a client to read why it is refused, or to send more of what is read off
+	lingerLong      = 5 * time.Second        // for the rest of a long body to be read off
 )
 
 // Meter records tries for billing. Its methods return at once and may be called from several goroutines.
@@ -46,7 +46,7 @@
 	// Traffic counts what goes over clients' connections; nil: nothing is counted. It is set before Serve.
 	Traffic *traffic.Counter
 	// About is what the readiness page says of the fleet, in X-Fleet; nil: nothing. It is set before Serve.
-	About func() string
+	FleetStatus func() string
 
 	dialect   Dialect
 	engine    *engine.Engine
@@ -55,34 +55,34 @@
 	methods   atomic.Pointer[map[string]string] // by class
 	plans     atomic.Pointer[map[string]bool]
 	ingresses int
-	mostUnits float64
-	most      int // connections at once
+	maxUnits  float64
+	maxConns  int // connections at once
 
 	base time.Time // the pace's times are seconds since then
 
-	mu      sync.Mutex
-	conns   map[*conn]struct{}
-	ids     map[string]struct{} // of the requests in hand
-	room    sync.Cond           // a connection has ended, or become idle while one waits for room
-	waiting int                 // accepted connections that wait for room
-	halt    context.Context
-	halted  context.CancelFunc
-	life    decision.Lifecycle // readiness, and whether connections stay open after an answer
+	mu        sync.Mutex
+	conns     map[*conn]struct{}
+	ids       map[string]struct{} // of the requests in hand
+	changed   sync.Cond           // a connection has ended, or become idle while one waits for room
+	waiting   int                 // accepted connections that wait for room
+	ctx       context.Context
+	cancel    context.CancelFunc
+	lifecycle decision.Lifecycle // readiness, and whether connections stay open after an answer
 
-	figures figures
-	totals  totals
+	stats  classStats
+	totals totals
 }
 
 // New returns a server for what the settings name, with at most so many connections at once.
 func New(s *decision.Settings, e *engine.Engine, p *upstream.Pool, most int, log *logrus.Logger) *Server {
 	srv := &Server{
 		engine: e, pool: p, log: log,
-		ingresses: max(1, s.Gateways), mostUnits: cmp.Or(s.MaxUnits, mostUnits), most: most,
+		ingresses: max(1, s.Gateways), maxUnits: cmp.Or(s.MaxUnits, defaultMaxUnits), maxConns: most,
 		conns: map[*conn]struct{}{}, ids: map[string]struct{}{}, base: time.Now(),
 	}
-	srv.dialect = Dialect{Ready: "/ready", Parse: srv.parse, Deciding: deciding, Reports: reports}
-	srv.room.L = &srv.mu
-	srv.halt, srv.halted = context.WithCancel(context.Background())
+	srv.dialect = Dialect{ReadyPath: "/ready", Parse: srv.parse, IngressFields: ingressFields, ServerFields: serverFields}
+	srv.changed.L = &srv.mu
+	srv.ctx, srv.cancel = context.WithCancel(context.Background())
 	srv.SetClasses(s.Classes)
 	var names []string
 	for _, p := range s.Plans {
@@ -100,7 +100,7 @@
 func (s *Server) SetClasses(classes []decision.Class) {
 	m := make(map[string]string, len(classes))
 	for _, c := range classes {
-		s.figures.of(c.Name)
+		s.stats.class(c.Name)
 		m[c.Name] = "POST"
 		if c.Effect == decision.Idempotent {
 			m[c.Name] = "GET"
@@ -132,17 +132,17 @@
 			time.Sleep(acceptPause)
 			continue
 		}
-		c := &conn{Conn: nc, server: s, life: clientconn.Accepted(s.seconds(time.Now())),
-			watch: make(chan *engine.Ticket), arrived: make(chan error, 1)}
+		c := &conn{Conn: nc, server: s, machine: clientconn.Accepted(s.seconds(time.Now())),
+			watch: make(chan *engine.Ticket), watched: make(chan error, 1)}
 		c.reader = http1.NewReader(c)
-		if s.dialect.Times != nil {
-			c.life.Keep(s.dialect.Times())
+		if s.dialect.Timeouts != nil {
+			c.machine.SetTimeouts(s.dialect.Timeouts())
 		}
-		if s.dialect.MostBody != nil {
-			c.reader.Most = s.dialect.MostBody()
+		if s.dialect.MaxBody != nil {
+			c.reader.MaxRequestBody = s.dialect.MaxBody()
 		}
 		s.Traffic.Connected()
-		s.add(c)
+		s.admit(c)
 		go c.run()
 	}
 }
@@ -151,95 +151,95 @@
 // connection ends with it.
 func (c *conn) serve(r *http1.Request) (code string, err error) {
 	s := c.server
-	if r.Target == s.dialect.Ready {
+	if r.Target == s.dialect.ReadyPath {
 		return c.ready(r)
 	}
-	s.figures.active.Add(1)
-	defer s.figures.active.Add(-1)
+	s.stats.inFlight.Add(1)
+	defer s.stats.inFlight.Add(-1)
 	request, message, bad := s.dialect.Parse(r)
-	if bad == nil && !s.claim(message.ID) {
-		bad = &Problem{Status: 409, Code: "request-id-in-use", Text: "X-Request-ID is that of a request in hand"}
+	if bad == nil && !s.claimID(message.ID) {
+		bad = &RequestError{Status: 409, Code: "request-id-in-use", Text: "X-Request-ID is that of a request in hand"}
 	} else if bad == nil {
-		defer s.free(message.ID)
+		defer s.releaseID(message.ID)
 	}
 	if bad != nil {
 		s.log.WithFields(logrus.Fields{"code": bad.Code, "status": bad.Status}).Warn("bad request")
 		if class := r.Header.Get(keyClass); class != "" {
-			s.figures.of(class).count(bad.Status)
+			s.stats.class(class).count(bad.Status)
 		}
-		s.ended(Rejected)
-		c.unwatched(r)
-		return c.lastOf(r, c.answerProblem(bad, ends(r)))
+		s.countOutcome(Invalid)
+		c.skipWatch(r)
+		return c.afterAnswer(r, c.answerError(bad, closesConnection(r)))
 	}
-	counts := s.figures.of(request.Class) // once a request: the figures' lock is not taken for each of its events
-	c.to(clientconn.Deciding)
-	ctx, cancel := context.WithCancel(s.halt)
+	counts := s.stats.class(request.Class) // once a request: the figures' lock is not taken for each of its events
+	c.enter(clientconn.Deciding)
+	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
 	ticket := s.engine.Submit(request, cancel)
 	var up *upload
-	if r.Long == nil {
+	if r.Streamed == nil {
 		c.watch <- ticket
 	} else {
-		up = &upload{conn: c, ticket: ticket, body: r.Long, expect: r.Expect}
+		up = &upload{conn: c, ticket: ticket, body: r.Streamed, expect: r.Expect}
 		message.Upload = up
 	}
-	var bill account
+	var bill meteredRequest
 	defer bill.close()
 	var last upstream.Result // of the attempts, with the server's own answer
 	for {
 		switch d := ticket.Next(); d.Kind {
 		case engine.Send:
 			if s.Meter != nil {
-				bill.open(s.Meter, &request, ticket, d.Beyond)
+				bill.open(s.Meter, &request, ticket, d.OverQuota)
 			}
-			message.Patience = upstream.SlowAttempt{After: d.Patience, ShouldAbandon: ticket.ShouldAbandon}
-			result := s.pool.Do(ctx, d.Backend, message, d.Until)
+			message.SlowAttempt = upstream.SlowAttempt{After: d.SlowAfter, ShouldAbandon: ticket.ShouldAbandon}
+			result := s.pool.Do(ctx, d.Backend, message, d.Deadline)
 			counts.tried(result.Writes)
 			s.totals.attempts.Add(int64(result.Writes))
 			bill.arrival = max(bill.arrival, usage.ArrivalOf(result.Outcome, result.Answered))
 			last = result
 			if result.Outcome == decision.Succeeded && result.Stream != nil {
 				ticket.AttemptEnded(result.Outcome) // served: what follows is the body's way to the client
-				s.ended(Answered)
+				s.countOutcome(Answered)
 				counts.count(result.Head.Status)
-				r.Close = r.Close || r.Old && result.Stream.Length < 0
-				return c.lastOf(r, c.relay(result.Head, result.Stream, ends(r)))
+				r.Close = r.Close || r.HTTP10 && result.Stream.Length < 0
+				return c.afterAnswer(r, c.relay(result.Head, result.Stream, closesConnection(r)))
 			}
 			if result.Outcome == decision.Succeeded {
-				s.ended(Answered)
-				err = c.pass(result.Head, result.Body, ends(r))
+				s.countOutcome(Answered)
+				err = c.forward(result.Head, result.Body, closesConnection(r))
 				counts.count(result.Head.Status)
 				ticket.AttemptEnded(result.Outcome)
-				return c.lastOf(r, err)
+				return c.afterAnswer(r, err)
 			}
-			if up != nil && up.failed != nil {
-				ticket.ClientGone() // the client did not send what it began with: nobody waits for an answer to it
+			if up != nil && up.err != nil {
+				ticket.ClientDisconnected() // the client did not send what it began with: nobody waits for an answer to it
 			}
 			ticket.AttemptEnded(result.Outcome)
-		case engine.Refuse:
-			status, outcome := 503, RefusedNoServer
-			if d.Beyond {
-				outcome = RefusedQuota
+		case engine.Reject:
+			status, outcome := 503, NoServer
+			if d.OverQuota {
+				outcome = OverQuota
 			}
-			if d.Beyond && s.dialect.Beyond > 0 {
-				status = s.dialect.Beyond
+			if d.OverQuota && s.dialect.OverQuotaStatus > 0 {
+				status = s.dialect.OverQuotaStatus
 			}
-			s.ended(outcome)
+			s.countOutcome(outcome)
 			counts.count(status)
-			return c.lastOf(r, c.answer(status, d.RetryAfter, nil, ends(r)))
+			return c.afterAnswer(r, c.answer(status, d.RetryAfter, nil, closesConnection(r)))
 		case engine.Fail:
-			if s.dialect.PassFailures && last.Outcome == decision.Failed && last.Head != nil {
+			if s.dialect.ForwardFailures && last.Outcome == decision.Failed && last.Head != nil {
 				counts.count(last.Head.Status)
-				s.ended(ServerFailed)
-				return c.lastOf(r, c.pass(last.Head, last.Body, ends(r)))
+				s.countOutcome(ServerFailed)
+				return c.afterAnswer(r, c.forward(last.Head, last.Body, closesConnection(r)))
 			}
 			counts.count(502)
-			s.ended(Failed)
-			return c.lastOf(r, c.answer(502, 0, nil, ends(r)))
-		case engine.Gone:
-			s.ended(ClientGone)
-			if up != nil && up.failed != nil {
-				return c.refuseMessage(up.failed), up.failed
+			s.countOutcome(Failed)
+			return c.afterAnswer(r, c.answer(502, 0, nil, closesConnection(r)))
+		case engine.NoAnswer:
+			s.countOutcome(ClientDisconnected)
+			if up != nil && up.err != nil {
+				return c.rejectMessage(up.err), up.err
 			}
 			return "client-gone", nil
 		}
@@ -247,7 +247,7 @@
 }
 
 // account is what billing is to know of one try.
-type account struct {
+type meteredRequest struct {
 	meter   Meter // nil: nothing has gone out
 	seq     uint64
 	arrival usage.Arrival // of the attempt that got farthest
@@ -255,24 +255,24 @@
 
 // open records a try before its first attempt goes out: should the process be killed, it is known to have been
 // sent, and not whether it arrived.
-func (a *account) open(m Meter, r *decision.Request, t *engine.Ticket, beyond bool) {
-	if a.meter != nil {
+func (m *meteredRequest) open(meter Meter, r *decision.Request, t *engine.Ticket, beyond bool) {
+	if m.meter != nil {
 		return // a further attempt
 	}
-	a.meter = m
-	a.seq = m.Sent(usage.Try{Member: r.Customer, Plan: t.Plan, Class: r.Class, Revision: t.Revision,
+	m.meter = meter
+	m.seq = meter.Sent(usage.Try{Member: r.Customer, Plan: t.Plan, Class: r.Class, Revision: t.Revision,
 		Units: usage.ToMicro(r.Units), Beyond: beyond, Minute: time.Now().Unix() / 60})
 }
 
-func (a *account) close() {
-	if a.meter != nil {
-		a.meter.Ended(a.seq, a.arrival)
+func (m *meteredRequest) close() {
+	if m.meter != nil {
+		m.meter.Ended(m.seq, m.arrival)
 	}
 }
 
 // claim takes an id for one request, until it is freed. A second request under it is no retry, for these
 // have ids of their own: quote servers would take the two for one, to the harm of the first.
-func (s *Server) claim(id string) bool {
+func (s *Server) claimID(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, taken := s.ids[id]
@@ -280,7 +280,7 @@
 	return !taken
 }
 
-func (s *Server) free(id string) {
+func (s *Server) releaseID(id string) {
 	s.mu.Lock()
 	delete(s.ids, id)
 	s.mu.Unlock()
@@ -289,56 +289,56 @@
 // ready answers the front: 200 while the process serves and wants clients, 503 before, while it is a lame duck and
 // once it stops.
 func (c *conn) ready(r *http1.Request) (code string, err error) {
-	c.unwatched(r)
+	c.skipWatch(r)
 	status := 503
 	c.server.mu.Lock()
-	if c.server.life.Ready() {
+	if c.server.lifecycle.Ready() {
 		status = 200
 	}
 	c.server.mu.Unlock()
-	if about := c.server.About; about != nil {
+	if about := c.server.FleetStatus; about != nil {
 		b := http1.AppendField(http1.AppendHead(c.out[:0], status, 0), "X-Fleet", about())
-		return c.lastOf(r, c.send(b, nil, ends(r)))
+		return c.afterAnswer(r, c.send(b, nil, closesConnection(r)))
 	}
-	return c.lastOf(r, c.answer(status, 0, nil, ends(r)))
+	return c.afterAnswer(r, c.answer(status, 0, nil, closesConnection(r)))
 }
 
 // Started says that it serves: the readiness page says yes from now on.
-func (s *Server) Started() { s.move(decision.Started) }
+func (s *Server) Started() { s.transition(decision.Started) }
 
 // Shutdown makes the readiness page say that clients should go elsewhere, for good: a SIGTERM has come. Idle
 // connections are closed at once, the others after their next answer.
-func (s *Server) Shutdown() { s.move(decision.Terminate) }
+func (s *Server) Shutdown() { s.transition(decision.Terminate) }
 
 // LameDuck drains without stopping: the readiness page says no, idle connections are closed at once and the others
 // after their next answer; new connections are still served, each for one request. It tells whether the call was
 // taken.
-func (s *Server) LameDuck() bool { return s.move(decision.EnterLameDuck) }
+func (s *Server) LameDuck() bool { return s.transition(decision.EnterLameDuck) }
 
 // Rejoin ends a drain that LameDuck began: the readiness page says yes again, and connections stay open. It tells
 // whether the call was taken: not once it stops.
-func (s *Server) Rejoin() bool { return s.move(decision.Rejoin) }
+func (s *Server) Rejoin() bool { return s.transition(decision.Rejoin) }
 
 // Phase tells where the process is in its life.
 func (s *Server) Phase() decision.Phase {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.life.Phase()
+	return s.lifecycle.Phase()
 }
 
-func (s *Server) move(e decision.LifecycleEvent) bool {
+func (s *Server) transition(e decision.LifecycleEvent) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.life.Phase()
-	taken := s.life.Handle(e)
-	if !s.life.KeepOpen() {
+	before := s.lifecycle.Phase()
+	taken := s.lifecycle.Handle(e)
+	if !s.lifecycle.KeepOpen() {
 		for c := range s.conns {
-			if c.life.Drains() && !(c.life.Hears() && c.begun()) {
-				c.end(clientconn.CodeDrain)
+			if c.machine.ClosesOnDrain() && !(c.machine.ServesPending() && c.requestPending()) {
+				c.close(clientconn.CodeDrain)
 			}
 		}
 	}
-	if after := s.life.Phase(); after != before {
+	if after := s.lifecycle.Phase(); after != before {
 		s.log.WithFields(logrus.Fields{"code": "process-phase", "phase": after.String(), "was": before.String()}).Info("the process moved on")
 	}
 	return taken
@@ -347,28 +347,28 @@
 // Drain closes the idle connections and waits for the others to end. At the end of patience it stops
 // the attempts that are out, so that each request still gets its answer, and waits a little longer.
 func (s *Server) Drain(patience, rest time.Duration) {
-	s.move(decision.Close)
-	if !s.wait(patience) {
-		s.halted()
-		s.wait(rest)
+	s.transition(decision.Close)
+	if !s.awaitConns(patience) {
+		s.cancel()
+		s.awaitConns(rest)
 	}
-	s.halted()
+	s.cancel()
 }
 
 // wait tells whether all connections have ended in time.
-func (s *Server) wait(most time.Duration) bool {
+func (s *Server) awaitConns(most time.Duration) bool {
 	late := false
 	timer := time.AfterFunc(most, func() {
 		s.mu.Lock()
 		late = true
-		s.room.Broadcast()
+		s.changed.Broadcast()
 		s.mu.Unlock()
 	})
 	defer timer.Stop()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for len(s.conns) > 0 && !late {
-		s.room.Wait()
+		s.changed.Wait()
 	}
 	return len(s.conns) == 0
 }
--- a/internal/dataplane/ingress/ingress_test.go
+++ b/internal/dataplane/ingress/server_test.go
@@ -82,7 +82,7 @@
 		}
 		p.Hooks["drain-begins"] = func(string) string {
 			go s.Drain(time.Minute, time.Minute)
-			return until(func() bool { return s.life.Phase() == decision.Closing })("")
+			return until(func() bool { return s.lifecycle.Phase() == decision.Closing })("")
 		}
 		p.Hooks["sweep-later"] = func(later string) string {
 			d, _ := time.ParseDuration(later)
@@ -94,7 +94,7 @@
 				never := until(func() bool {
 					n := 0
 					for c := range s.conns {
-						if c.life.State() == st {
+						if c.machine.State() == st {
 							n++
 						}
 					}
@@ -104,7 +104,7 @@
 			}
 		}
 		p.Hooks["idle"] = in(clientconn.Idle)
-		p.Hooks["reading"] = in(clientconn.Head)
+		p.Hooks["reading"] = in(clientconn.ReadingHead)
 		p.Hooks["taking"] = in(clientconn.Uploading)
 		p.Hooks["gone"] = until(func() bool { return len(s.conns) == 0 && len(s.ids) == 0 })
 		p.Hooks["waiting"] = until(func() bool { return s.waiting > 0 })
@@ -175,18 +175,18 @@
 		}
 		defer near.Close()
 		far.Write([]byte(word))
-		c := &conn{Conn: near, life: clientconn.Accepted(-1)}
+		c := &conn{Conn: near, machine: clientconn.Accepted(-1)}
 		if s.conns[c] = struct{}{}; word == "" {
 			silent = c
-		} else if exchange.Until(c.begun) != "" {
+		} else if exchange.Until(c.requestPending) != "" {
 			t.Fatal("the byte does not come")
 		}
 	}
-	if got := s.spare(time.Now()); got != silent {
+	if got := s.evictionCandidate(time.Now()); got != silent {
 		t.Errorf("want %+v, got %+v", silent, got)
 	}
 	delete(s.conns, silent)
-	if got := s.spare(time.Now()); got != nil {
+	if got := s.evictionCandidate(time.Now()); got != nil {
 		t.Errorf("want none, got %+v", got)
 	}
 }
--- a/internal/dataplane/ingress/body.go
+++ b/internal/dataplane/ingress/upload.go
@@ -16,43 +16,43 @@
 )
 
 // take reads the body of a request that fits, or the beginning of one that does not: that one is the upload's.
-func (c *conn) take(r *http1.Request) error {
-	if r.Expect && !r.FitsNot() {
-		if _, err := c.Write(goOn); err != nil {
+func (c *conn) readBody(r *http1.Request) error {
+	if r.Expect && !r.TooLongToBuffer() {
+		if _, err := c.Write(continueAnswer); err != nil {
 			return err
 		}
 		r.Expect = false
 	}
-	c.paces(clientconn.Body)
+	c.enterBody(clientconn.ReadingBody)
 	err := c.reader.ReadBody(r)
-	c.paced = false
+	c.readingBody = false
 	return err
 }
 
 // goOn tells a client that waits for it to send the body.
-var goOn = []byte("HTTP/1.1 100 Continue\r\n\r\n")
+var continueAnswer = []byte("HTTP/1.1 100 Continue\r\n\r\n")
 
 // paces enters a state in which a body comes: from now on the sweep looks at how.
-func (c *conn) paces(st clientconn.State) {
-	c.to(st)
-	c.paced = true
+func (c *conn) enterBody(st clientconn.State) {
+	c.enter(st)
+	c.readingBody = true
 }
 
 // Read reads from the client, and tells the pace of a body that is being taken.
 func (c *conn) Read(p []byte) (int, error) {
-	if !c.paced {
+	if !c.readingBody {
 		n, err := c.Conn.Read(p)
 		c.server.Traffic.Read(n)
 		return n, err
 	}
 	s := c.server
 	s.mu.Lock()
-	c.life.Wait(s.seconds(time.Now()))
+	c.machine.AwaitBody(s.seconds(time.Now()))
 	s.mu.Unlock()
 	n, err := c.Conn.Read(p)
 	s.Traffic.Read(n)
 	s.mu.Lock()
-	c.life.Got(s.seconds(time.Now()), n)
+	c.machine.BodyReceived(s.seconds(time.Now()), n)
 	s.mu.Unlock()
 	return n, err
 }
@@ -68,28 +68,28 @@
 func (s *Server) seconds(at time.Time) decision.Seconds { return at.Sub(s.base).Seconds() }
 
 // unwatched has nobody look out for the client's leaving while an answer is made. Behind a long body, skip does.
-func (c *conn) unwatched(r *http1.Request) {
-	if r.Long == nil {
+func (c *conn) skipWatch(r *http1.Request) {
+	if r.Streamed == nil {
 		c.watch <- nil
 	}
 }
 
 // skipMost is the most of a body that is read off so that its connection can be kept: more is not worth its transport.
-const skipMost = 4 << 20
+const maxDiscard = 4 << 20
 
 // ends tells whether an answer is the last on its connection for its request's sake: the client asks for it, or too much
 // of a body would have to be read off first.
-func ends(r *http1.Request) bool {
-	return r.Close || r.Long != nil && !r.Long.Ended() && r.Long.Length >= 0 && r.Long.Rest() > skipMost
+func closesConnection(r *http1.Request) bool {
+	return r.Close || r.Streamed != nil && !r.Streamed.Ended() && r.Streamed.Length >= 0 && r.Streamed.Remaining() > maxDiscard
 }
 
 // skip reads off what is left of a body that was answered before it was up: the next request begins behind it.
-func (c *conn) skip(b *http1.Body) (whole bool) {
+func (c *conn) discardBody(b *http1.Body) (whole bool) {
 	c.SetReadDeadline(time.Time{})
-	c.paces(clientconn.Skipping)
-	n, err := io.Copy(io.Discard, io.LimitReader(b, skipMost))
-	c.paced = false
-	if err != nil || n == skipMost && !b.Ended() {
+	c.enterBody(clientconn.Discarding)
+	n, err := io.Copy(io.Discard, io.LimitReader(b, maxDiscard))
+	c.readingBody = false
+	if err != nil || n == maxDiscard && !b.Ended() {
 		return false
 	}
 	c.watch <- nil
@@ -99,28 +99,28 @@
 // upload is a long body on its way from the client to a quote server. Its Read is called by the goroutine that sends it
 // on, which is over before the attempt is told to have ended.
 type upload struct {
-	conn   *conn
-	ticket *engine.Ticket
-	body   *http1.Body
-	expect bool // the client waits for a word before it sends it
-	spent  bool
-	failed error // the client did not send it to its end
-
-	mu             sync.Mutex
-	whole, aborted bool
+	conn     *conn
+	ticket   *engine.Ticket
+	body     *http1.Body
+	expect   bool // the client waits for a word before it sends it
+	consumed bool
+	err      error // the client did not send it to its end
+
+	mu                sync.Mutex
+	complete, aborted bool
 }
 
 func (u *upload) Read(p []byte) (n int, err error) {
-	if !u.spent {
-		u.spent = true
+	if !u.consumed {
+		u.consumed = true
 		u.ticket.ConsumeBody()
-		u.conn.paces(clientconn.Uploading)
+		u.conn.enterBody(clientconn.Uploading)
 		if u.expect {
-			u.conn.Write(goOn) // where it fails, the body does not come
+			u.conn.Write(continueAnswer) // where it fails, the body does not come
 		}
 	}
 	n, err = u.body.Read(p)
-	if errors.Is(err, io.EOF) && http1.Misplaced(u.body.Trailer(), u.conn.server.dialect.Deciding) {
+	if errors.Is(err, io.EOF) && http1.HasForbiddenTrailer(u.body.Trailer(), u.conn.server.dialect.IngressFields) {
 		err = fmt.Errorf("%w: a trailer states what belongs in the head", http1.ErrFraming) // the last chunk has not gone out
 	}
 	if err == nil {
@@ -128,8 +128,8 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.whole = errors.Is(err, io.EOF); !u.whole && !u.aborted { // else the error is the abort's, not the client's
-		u.failed = err
+	if u.complete = errors.Is(err, io.EOF); !u.complete && !u.aborted { // else the error is the abort's, not the client's
+		u.err = err
 	}
 	return n, err
 }
@@ -138,17 +138,17 @@
 func (u *upload) Length() int64 { return u.body.Length }
 
 // AppendLast ends a chunked one, with the client's trailer.
-func (u *upload) AppendLast(b []byte) []byte {
-	return http1.AppendLast(b, u.body.Trailer(), u.conn.server.dialect.Deciding)
+func (u *upload) AppendTrailer(b []byte) []byte {
+	return http1.AppendLastChunk(b, u.body.Trailer(), u.conn.server.dialect.IngressFields)
 }
 
 // Spent tells whether something of it has been read.
-func (u *upload) Spent() bool { return u.spent }
+func (u *upload) Consumed() bool { return u.consumed }
 
 // Arrived hands the connection to the watcher: the client's next request may come, or the client may leave.
-func (u *upload) Arrived() {
-	u.conn.paced = false
-	u.conn.to(clientconn.Deciding)
+func (u *upload) Uploaded() {
+	u.conn.readingBody = false
+	u.conn.enter(clientconn.Deciding)
 	u.ticket.BodyUploaded()
 	u.conn.watch <- u.ticket
 }
@@ -157,26 +157,26 @@
 func (u *upload) Abort() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.whole {
+	if !u.complete {
 		u.aborted = true
-		u.conn.SetReadDeadline(longAgo)
+		u.conn.SetReadDeadline(expired)
 	}
 }
 
-var longAgo = time.Unix(1, 0)
+var expired = time.Unix(1, 0)
 
 // linger reads off what a client still sends, for a while: closing with unread bytes would reset the connection, and the
 // answer might be lost with it.
 func (c *conn) linger(most time.Duration) {
-	c.paced = false
+	c.readingBody = false
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.CloseWrite()
 	}
-	c.to(clientconn.Lingering)
+	c.enter(clientconn.Lingering)
 	buf := upstream.ChunkPool.Get().(*[]byte)
 	defer upstream.ChunkPool.Put(buf)
 	for end := time.Now().Add(most); time.Now().Before(end); {
-		c.SetReadDeadline(time.Now().Add(lingerMost))
+		c.SetReadDeadline(time.Now().Add(lingerShort))
 		if _, err := c.Conn.Read(*buf); err != nil {
 			return
 		}
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -20,19 +20,19 @@
 type conn struct {
 	net.Conn
 	upstreamconn.Machine
-	backend, addr string
-	reader        *http1.Reader
-	raw           syscall.RawConn
-	settle        time.Duration    // by which what it answers to a byte is here, as a rule
-	wait          time.Duration    // the same, for the request that is going out
-	answered      decision.Seconds // when it last did
-	unnamed       bool             // an answer without an id has come on it
-	traffic       *traffic.Counter
+	backend, addr   string
+	reader          *http1.Reader
+	raw             syscall.RawConn
+	resetWait       time.Duration    // by which what it answers to a byte is here, as a rule
+	hold            time.Duration    // the same, for the request that is going out
+	lastAnswer      decision.Seconds // when it last did
+	sawUnidentified bool             // an answer without an id has come on it
+	traffic         *traffic.Counter
 }
 
 var (
-	errFull     = errors.New("all connections are in use")
-	errUnneeded = errors.New("given up before the connection was up")
+	errPoolExhausted = errors.New("all connections are in use")
+	errNotNeeded     = errors.New("given up before the connection was up")
 )
 
 // get takes the connection used last, or opens one.
@@ -40,28 +40,28 @@
 	addr, _ := p.lookup(backend)
 	for {
 		p.mu.Lock()
-		kept, ok := p.shelf.Take(backend)
+		kept, ok := p.idle.Take(backend)
 		if !ok {
 			break // with the mutex held
 		}
 		p.mu.Unlock()
 		if code := kept.Conn.stale(addr); code != "" {
 			if code != "upstream-moved" {
-				p.lost(kept.Conn)
+				p.recordLoss(kept.Conn)
 			}
 			p.close(kept.Conn, code, nil)
 			continue
 		}
-		if fit.Unnamed = kept.Conn.unnamed; !upstreamconn.MayReuse(fit) {
+		if fit.SawUnidentified = kept.Conn.sawUnidentified; !upstreamconn.MayReuse(fit) {
 			p.close(kept.Conn, "upstream-not-needed", nil)
 			continue
 		}
 		return kept.Conn, nil
 	}
-	spare, end, ok := p.shelf.Reserve()
+	spare, end, ok := p.idle.Reserve()
 	p.mu.Unlock()
 	if !ok {
-		return nil, errFull
+		return nil, errPoolExhausted
 	}
 	if end {
 		p.close(spare, "upstream-room", nil)
@@ -72,17 +72,17 @@
 	nc, err := p.dial(within, "tcp", addr)
 	done()
 	if err != nil {
-		p.gone()
+		p.forget()
 		code := "upstream-connect-failed"
 		if ctx.Err() != nil || time.Until(until) <= 0 {
 			// Taken for a refusal, it would have the module leave a server alone that is well.
-			code, err = "upstream-not-needed", fmt.Errorf("%w: %w", errUnneeded, err)
+			code, err = "upstream-not-needed", fmt.Errorf("%w: %w", errNotNeeded, err)
 		}
 		p.log.WithFields(logrus.Fields{"code": code, "backend": backend}).WithError(err).Info("upstream connection ended")
 		return nil, err
 	}
 	c := &conn{Conn: nc, backend: backend, addr: addr, traffic: p.Traffic,
-		settle: min(max(settleTrips*time.Since(begun), settleLeast), settleMost)}
+		resetWait: min(max(resetRoundTrips*time.Since(begun), minResetWait), maxResetWait)}
 	c.reader = http1.NewReader(c)
 	p.Traffic.Connected()
 	if c.raw, err = nc.(*net.TCPConn).SyscallConn(); err != nil {
@@ -139,20 +139,20 @@
 	}
 	c.SetDeadline(time.Time{})
 	p.mu.Lock()
-	p.shelf.Put(c.backend, c, p.now())
+	p.idle.Put(c.backend, c, p.now())
 	p.mu.Unlock()
 }
 
-func (p *Pool) gone() {
+func (p *Pool) forget() {
 	p.mu.Lock()
-	p.shelf.Closed()
+	p.idle.Closed()
 	p.mu.Unlock()
 }
 
 func (p *Pool) close(c *conn, code string, err error) {
 	c.Drop()
 	c.Close()
-	p.gone()
+	p.forget()
 	entry := p.log.WithFields(logrus.Fields{"code": code, "backend": c.backend, "uses": c.Uses()})
 	if err != nil {
 		entry = entry.WithError(err)
@@ -163,7 +163,7 @@
 // Run closes idle connections before the servers do, and those to servers that are to get nothing
 // new, until the context ends; then all that are idle.
 func (p *Pool) Run(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -178,11 +178,11 @@
 
 func (p *Pool) sweep(now time.Time) {
 	p.mu.Lock()
-	old := p.shelf.TakeExpired(now.Sub(p.base).Seconds()-idleShare*p.limits.Keepalive.Seconds(), func(backend string) bool {
+	old := p.idle.TakeExpired(now.Sub(p.base).Seconds()-idleShare*p.limits.Keepalive.Seconds(), func(backend string) bool {
 		_, serving := p.lookup(backend)
 		return serving
 	})
-	p.memory.Expire(p.now())
+	p.losses.Expire(p.now())
 	p.mu.Unlock()
 	for _, c := range old {
 		p.close(c, "upstream-idle", nil)
@@ -193,7 +193,7 @@
 func (p *Pool) Connections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.shelf.Open()
+	return p.idle.Open()
 }
 
 // Dials is how many connections were begun since the process started.
--- a/internal/dataplane/upstream/patience.go
+++ b/internal/dataplane/upstream/slow_attempt.go
@@ -11,44 +11,44 @@
 	ShouldAbandon func() bool   // whether to give the attempt up now; asked again each askEvery
 }
 
-const askEvery = 50 * time.Millisecond
+const slowAttemptInterval = 50 * time.Millisecond
 
 // lapse is the patience with one attempt.
-type lapse struct {
-	mu    sync.Mutex
-	timer *time.Timer
-	over  bool
+type slowAttemptTimer struct {
+	mu      sync.Mutex
+	timer   *time.Timer
+	stopped bool
 }
 
 // with begins it: once it is out, what is read from the connection comes too late.
-func (p *SlowAttempt) with(c *conn) *lapse {
-	if p.After <= 0 {
+func (s *SlowAttempt) start(c *conn) *slowAttemptTimer {
+	if s.After <= 0 {
 		return nil
 	}
-	l := &lapse{}
+	l := &slowAttemptTimer{}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.timer = time.AfterFunc(p.After, func() {
+	l.timer = time.AfterFunc(s.After, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		switch {
-		case l.over:
-		case p.ShouldAbandon():
-			c.SetDeadline(longAgo)
+		case l.stopped:
+		case s.ShouldAbandon():
+			c.SetDeadline(expired)
 		default:
-			l.timer.Reset(askEvery)
+			l.timer.Reset(slowAttemptInterval)
 		}
 	})
 	return l
 }
 
 // stop ends it: from now on it leaves the connection alone.
-func (l *lapse) stop() {
-	if l == nil {
+func (t *slowAttemptTimer) stop() {
+	if t == nil {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.over = true
-	l.timer.Stop()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.stopped = true
+	t.timer.Stop()
 }
--- a/internal/dataplane/upstream/patience_test.go
+++ b/internal/dataplane/upstream/slow_attempt_test.go
@@ -44,7 +44,7 @@
 					asked++
 					return tc.from > 0 && time.Since(begun) >= tc.from
 				}}
-				l := p.with(c)
+				l := p.start(c)
 				var b [1]byte
 				_, err := c.Read(b[:])
 				l.stop()
@@ -82,14 +82,14 @@
 		p := New(nil, Limits{}, nil)
 		p.Dialect.MinHoldIdle = tc.doubt
 		waited := time.Duration(-1)
-		p.settle = func(c *conn) { waited = c.wait }
-		c := &conn{settle: settle, answered: p.now() - tc.idle}
+		p.awaitReset = func(c *conn) { waited = c.hold }
+		c := &conn{resetWait: settle, lastAnswer: p.now() - tc.idle}
 		for range tc.uses {
 			c.Begin()
 			c.Written()
 			c.Answered(upstreamconn.Answer{Status: 200}, false)
 		}
-		if p.held(c, tc.once); waited != tc.want {
+		if p.hold(c, tc.once); waited != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, waited, tc.want)
 		}
 	}
--- a/internal/dataplane/upstream/upload.go
+++ b/internal/dataplane/upstream/upload.go
@@ -19,53 +19,53 @@
 	// Length is what the client's head tells; -1: not told, it goes out chunked.
 	Length() int64
 	// AppendLast ends a chunked one, with the client's trailer.
-	AppendLast(b []byte) []byte
+	AppendTrailer(b []byte) []byte
 	// Spent tells whether something of it has been read: it cannot be sent to another server.
-	Spent() bool
+	Consumed() bool
 	// Arrived tells that it has gone out whole.
-	Arrived()
+	Uploaded()
 	// Abort has a Read that is out, and any later one, end at once. It may be called from another goroutine.
 	Abort()
 }
 
 var (
-	errClient = errors.New("the client's body did not come to its end")
-	errServer = errors.New("the server took no more of the body")
+	errClientUpload = errors.New("the client's body did not come to its end")
+	errServerUpload = errors.New("the server took no more of the body")
 )
 
 // early is how long an answer may take to show after a write has failed: a server that refuses a body answers, and ends
 // the connection under what is still being written.
-const early = 100 * time.Millisecond
+const earlyAnswerWait = 100 * time.Millisecond
 
 // upload writes a request with a long body, and listens meanwhile. It returns once the body has gone out whole (err nil)
 // or the attempt has ended before that; answered: an answer has begun to come, whole or not.
 func (p *Pool) upload(ctx context.Context, c *conn, m *Message, head []byte, until time.Time) (answered bool, err error) {
 	stop := context.AfterFunc(ctx, func() {
-		c.SetDeadline(longAgo)
+		c.SetDeadline(expired)
 		m.Upload.Abort()
 	})
 	defer stop()
 	if _, err := c.Write(head); err != nil {
-		return false, fmt.Errorf("%w: %w", errServer, err)
+		return false, fmt.Errorf("%w: %w", errServerUpload, err)
 	}
 	// Nothing of the body is gone yet: a server that has forgotten the connection shows it now, and the request goes
 	// to another.
-	p.held(c, m.Once)
+	p.hold(c, m.AtMostOnce)
 	if code := c.stale(c.addr); code != "" || ctx.Err() != nil {
-		return false, fmt.Errorf("%w: %w: %s", errServer, errEnded, code)
+		return false, fmt.Errorf("%w: %w: %s", errServerUpload, errConnectionEnded, code)
 	}
 	if _, serving := p.lookup(c.backend); !upstreamconn.MayRelease(serving, ctx.Err() != nil) {
-		return false, errLeaving
+		return false, errDraining
 	}
 	pumped := make(chan error, 1)
 	go func() {
 		err := pump(c, m.Upload)
 		switch {
 		case err == nil:
-		case errors.Is(err, errServer):
-			c.SetReadDeadline(time.Now().Add(early))
+		case errors.Is(err, errServerUpload):
+			c.SetReadDeadline(time.Now().Add(earlyAnswerWait))
 		default:
-			c.SetReadDeadline(longAgo)
+			c.SetReadDeadline(expired)
 		}
 		pumped <- err
 	}()
@@ -74,11 +74,11 @@
 	case err = <-pumped: // as it should be: the body has gone out before the answer came
 	default:
 		m.Upload.Abort()
-		c.SetWriteDeadline(longAgo)
+		c.SetWriteDeadline(expired)
 		// It may have gone out whole at the same moment. Else, what ended it is what was heard from the server.
 		var timeout net.Error
 		if err = <-pumped; err != nil && waited != nil && !(errors.As(waited, &timeout) && timeout.Timeout()) {
-			err = fmt.Errorf("%w: %w", errServer, waited)
+			err = fmt.Errorf("%w: %w", errServerUpload, waited)
 		}
 	}
 	if waited == nil && ctx.Err() == nil {
@@ -95,24 +95,24 @@
 	chunked := u.Length() < 0
 	for {
 		// A chunk's head stands before the piece and its line end behind it, so that one write sends all.
-		n, err := u.Read((*buf)[http1.ChunkRoom : http1.ChunkRoom+ChunkSize])
+		n, err := u.Read((*buf)[http1.ChunkPrefix : http1.ChunkPrefix+ChunkSize])
 		if err != nil && !errors.Is(err, io.EOF) {
-			return fmt.Errorf("%w: %w", errClient, err)
+			return fmt.Errorf("%w: %w", errClientUpload, err)
 		}
-		out := (*buf)[http1.ChunkRoom : http1.ChunkRoom+n]
+		out := (*buf)[http1.ChunkPrefix : http1.ChunkPrefix+n]
 		if chunked {
-			if out = http1.Chunk(*buf, n); err != nil {
-				out = u.AppendLast(out)
+			if out = http1.FrameChunk(*buf, n); err != nil {
+				out = u.AppendTrailer(out)
 			}
 		}
 		if len(out) > 0 {
 			c.SetWriteDeadline(time.Now().Add(MaxStall))
 			if _, werr := c.Write(out); werr != nil {
-				return fmt.Errorf("%w: %w", errServer, werr)
+				return fmt.Errorf("%w: %w", errServerUpload, werr)
 			}
 		}
 		if err != nil {
-			u.Arrived()
+			u.Uploaded()
 			return nil
 		}
 	}
@@ -120,10 +120,10 @@
 
 // uploadTrouble is how an upload failed before its last byte was written: nothing ran. The server is to blame only where
 // it broke the connection.
-func uploadTrouble(ctx context.Context, err error) upstreamconn.Failure {
+func failureUploading(ctx context.Context, err error) upstreamconn.Failure {
 	var timeout net.Error
 	switch {
-	case ctx.Err() != nil, errors.Is(err, errClient), errors.Is(err, errLeaving):
+	case ctx.Err() != nil, errors.Is(err, errClientUpload), errors.Is(err, errDraining):
 		return upstreamconn.Cancelled
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return upstreamconn.Cancelled // the time ran out on the body's way
--- a/internal/dataplane/upstream/upstream.go
+++ b/internal/dataplane/upstream/upstream.go
@@ -24,13 +24,13 @@
 )
 
 const (
-	idleShare  = 0.6 // of the servers' keep-alive: a request written to a connection they close is lost
-	sweepEvery = time.Second
+	idleShare     = 0.6 // of the servers' keep-alive: a request written to a connection they close is lost
+	sweepInterval = time.Second
 
-	settleTrips, settleLeast, settleMost = 2, time.Millisecond, 10 * time.Millisecond // of the time to connect
+	resetRoundTrips, minResetWait, maxResetWait = 2, time.Millisecond, 10 * time.Millisecond // of the time to connect
 )
 
-const rested = decision.Seconds(0.05) // since its last answer: a server may have forgotten a connection by then
+const minRest = decision.Seconds(0.05) // since its last answer: a server may have forgotten a connection by then
 
 // Lookup gives a backend's address, and whether it may be sent anything new.
 type Lookup func(id string) (addr string, serving bool)
@@ -45,11 +45,11 @@
 // Dialect is what servers are spoken to in. That of the deployments in service is its zero value.
 type Dialect struct {
 	// Begin appends a request's line and the fields that concern the attempt. Nil: as in service.
-	Begin func(b []byte, m *Message, backend string, left time.Duration) []byte
+	AppendHead func(b []byte, m *Message, backend string, left time.Duration) []byte
 	// Meaning is what an answer means to the request it came behind. Nil: as in service.
 	Meaning func(m *Message, a *http1.Response) AnswerMeaning
 	// ID is the field in which an answer carries back the id of its request, in textproto's form; "": none does, as in service.
-	ID string
+	IDField string
 	// MinHoldIdle is for how long the last byte of what must not run twice is held at least on a connection that has rested; 0: as on any.
 	MinHoldIdle time.Duration
 }
@@ -73,16 +73,16 @@
 	// Traffic counts what goes over the connections; nil: nothing is counted. It is set before the first attempt.
 	Traffic *traffic.Counter
 
-	lookup Lookup
-	limits Limits
-	log    *logrus.Logger
-	dial   func(ctx context.Context, network, addr string) (net.Conn, error)
-	settle func(*conn) // waits until a reset by the server would be here
-	base   time.Time   // the shelf's times are seconds since then
+	lookup     Lookup
+	limits     Limits
+	log        *logrus.Logger
+	dial       func(ctx context.Context, network, addr string) (net.Conn, error)
+	awaitReset func(*conn) // waits until a reset by the server would be here
+	base       time.Time   // the shelf's times are seconds since then
 
 	mu     sync.Mutex
-	shelf  *upstreamconn.IdlePool[*conn]
-	memory upstreamconn.LossHistory
+	idle   *upstreamconn.IdlePool[*conn]
+	losses upstreamconn.LossHistory
 	dials  atomic.Int64
 }
 
@@ -90,7 +90,7 @@
 func New(lookup Lookup, limits Limits, log *logrus.Logger) *Pool {
 	dialer := net.Dialer{Timeout: limits.ConnectTimeout, KeepAlive: -1}
 	return &Pool{lookup: lookup, limits: limits, log: log, dial: dialer.DialContext, base: time.Now(),
-		shelf: upstreamconn.NewIdlePool[*conn](limits.Connections), settle: func(c *conn) { time.Sleep(c.wait) }}
+		idle: upstreamconn.NewIdlePool[*conn](limits.Connections), awaitReset: func(c *conn) { time.Sleep(c.hold) }}
 }
 
 func (p *Pool) now() decision.Seconds { return time.Since(p.base).Seconds() }
@@ -101,12 +101,12 @@
 	Fields             []byte // further fields of its head, as they are written
 	Body               []byte
 	Host, Tenant       string               // in a dialect that knows them
-	Once               bool                 // it must not run twice, whatever its method
+	AtMostOnce         bool                 // it must not run twice, whatever its method
 	Trailer            textproto.MIMEHeader // behind Body, which then goes out in one chunk; nil: none
 	Upload             Upload               // a body that is too long to be held; Body is then nil
-	Patience           SlowAttempt          // with the attempt that it is handed over for
+	SlowAttempt        SlowAttempt          // with the attempt that it is handed over for
 
-	tried []string // servers to which it was written whole
+	writtenTo []string // servers to which it was written whole
 }
 
 // safe tells whether its method is one that may be repeated, and has no body as a rule.
@@ -124,20 +124,20 @@
 	Body   []byte
 }
 
-var longAgo = time.Unix(1, 0)
+var expired = time.Unix(1, 0)
 
 // Do makes one attempt. It ends by itself at until, and early when the context ends.
 func (p *Pool) Do(ctx context.Context, backend string, m *Message, until time.Time) Result {
 	if _, serving := p.lookup(backend); !serving || ctx.Err() != nil {
 		return Result{Outcome: decision.NotSent}
 	}
-	writes, fit := 0, upstreamconn.Reuse{Once: m.Once}
-	if p.Dialect.ID != "" {
-		fit.Again = slices.Contains(m.tried, backend)
+	writes, fit := 0, upstreamconn.Reuse{AtMostOnce: m.AtMostOnce}
+	if p.Dialect.IDField != "" {
+		fit.Resent = slices.Contains(m.writtenTo, backend)
 	}
 	for {
 		c, err := p.get(ctx, backend, until, fit)
-		if errors.Is(err, errUnneeded) || errors.Is(err, errFull) {
+		if errors.Is(err, errNotNeeded) || errors.Is(err, errPoolExhausted) {
 			return Result{Outcome: decision.NotSent, Writes: writes} // nothing was sent whole, and the server is not to blame
 		} else if err != nil {
 			return Result{Outcome: decision.ConnectionRefused, Writes: writes}
@@ -145,7 +145,7 @@
 		v, head, body, err := p.attempt(ctx, c, m, until, &writes)
 		err = cmp.Or(err, v.Err)
 		if p.streams(m, head) {
-			s := &Stream{pool: p, c: c, body: c.reader.Stream(head)}
+			s := &Stream{pool: p, conn: c, body: c.reader.Stream(head)}
 			s.Length = s.body.Length
 			return Result{Outcome: v.Outcome, Answered: v.Answered, Writes: writes, Head: head, Stream: s}
 		}
@@ -154,7 +154,7 @@
 		} else {
 			p.close(c, v.Code, err)
 		}
-		if !v.TryNextConnection || m.Upload != nil && m.Upload.Spent() {
+		if !v.TryNextConnection || m.Upload != nil && m.Upload.Consumed() {
 			return Result{Outcome: v.Outcome, Answered: v.Answered, Head: head, Body: body, Writes: writes}
 		}
 	}
@@ -185,37 +185,37 @@
 			}
 		}
 		if err != nil {
-			how := uploadTrouble(ctx, err)
+			how := failureUploading(ctx, err)
 			if how == upstreamconn.ConnectionLost {
-				p.lost(c)
+				p.recordLoss(c)
 			}
 			return c.FailedWriting(how), nil, nil, err
 		}
-	} else if whole, err := p.write(ctx, c, *buf, m.Once || !m.safe()); !whole {
-		if ctx.Err() != nil || errors.Is(err, errLeaving) {
+	} else if whole, err := p.write(ctx, c, *buf, m.AtMostOnce || !m.safe()); !whole {
+		if ctx.Err() != nil || errors.Is(err, errDraining) {
 			return c.FailedWriting(upstreamconn.Cancelled), nil, nil, err // nothing ran, and the server is not to blame
 		}
-		p.lost(c)
+		p.recordLoss(c)
 		return c.FailedWriting(upstreamconn.ConnectionLost), nil, nil, err
 	}
 	c.Written()
-	if *writes++; p.Dialect.ID != "" {
-		m.tried = append(m.tried, c.backend)
+	if *writes++; p.Dialect.IDField != "" {
+		m.writtenTo = append(m.writtenTo, c.backend)
 	}
-	stop := context.AfterFunc(ctx, func() { c.SetDeadline(longAgo) })
-	lapse := m.Patience.with(c)
+	stop := context.AfterFunc(ctx, func() { c.SetDeadline(expired) })
+	lapse := m.SlowAttempt.start(c)
 	a, head, body, err := p.read(c, m)
 	lapse.stop()
 	cancelled := !stop() // then the deadline may be changed at any time from now on
 	if err != nil {
-		how := trouble(ctx, err)
+		how := failureAwaiting(ctx, err)
 		if how == upstreamconn.ConnectionLost {
-			p.lost(c)
+			p.recordLoss(c)
 		}
 		return c.FailedAwaiting(how), nil, nil, err
 	}
-	c.answered = p.now()
-	c.unnamed = c.unnamed || p.Dialect.ID != "" && head.Header.Get(p.Dialect.ID) == ""
+	c.lastAnswer = p.now()
+	c.sawUnidentified = c.sawUnidentified || p.Dialect.IDField != "" && head.Header.Get(p.Dialect.IDField) == ""
 	if p.streams(m, head) {
 		return c.BeginStreaming(a, cancelled), head, nil, nil
 	}
@@ -223,14 +223,14 @@
 }
 
 var (
-	errEnded   = errors.New("ended before the request was whole")
-	errLeaving = errors.New("the server is to get nothing new")
+	errConnectionEnded = errors.New("ended before the request was whole")
+	errDraining        = errors.New("the server is to get nothing new")
 )
 
 // lost remembers that a server's connection ended unawares.
-func (p *Pool) lost(c *conn) {
+func (p *Pool) recordLoss(c *conn) {
 	p.mu.Lock()
-	p.memory.Record(c.backend, p.now())
+	p.losses.Record(c.backend, p.now())
 	p.mu.Unlock()
 }
 
@@ -240,24 +240,24 @@
 func (p *Pool) write(ctx context.Context, c *conn, b []byte, once bool) (whole bool, err error) {
 	now := p.now()
 	p.mu.Lock()
-	hold := p.memory.HoldLastByte(c.backend, now, upstreamconn.Evidence{Fresh: c.Uses() == 1, Idle: now - c.answered, AtMostOnce: once})
+	hold := p.losses.HoldLastByte(c.backend, now, upstreamconn.Evidence{New: c.Uses() == 1, IdleFor: now - c.lastAnswer, AtMostOnce: once})
 	p.mu.Unlock()
 	if !hold {
 		n, err := c.Write(b)
 		return n == len(b), err
 	}
-	stop := context.AfterFunc(ctx, func() { c.SetDeadline(longAgo) })
+	stop := context.AfterFunc(ctx, func() { c.SetDeadline(expired) })
 	defer stop()
 	last := len(b) - 1
 	if _, err = c.Write(b[:last]); err != nil {
 		return false, err
 	}
-	p.held(c, once)
+	p.hold(c, once)
 	if code := c.stale(c.addr); code != "" || ctx.Err() != nil {
-		return false, fmt.Errorf("%w: %s", errEnded, code)
+		return false, fmt.Errorf("%w: %s", errConnectionEnded, code)
 	}
 	if _, serving := p.lookup(c.backend); !upstreamconn.MayRelease(serving, ctx.Err() != nil) {
-		return false, errLeaving // between the two parts the news came that it drains
+		return false, errDraining // between the two parts the news came that it drains
 	}
 	n, err := c.Write(b[last:])
 	return n == 1, err
@@ -265,22 +265,22 @@
 
 // held waits, with something of a request held back, until a reset by a server that has forgotten the connection would be here. How long one
 // takes is not known: the time to connect is that of the kernels, the reset that of a busy server.
-func (p *Pool) held(c *conn, once bool) {
-	if c.wait = c.settle; once && c.Uses() > 1 && p.now()-c.answered > rested {
-		c.wait = max(c.wait, p.Dialect.MinHoldIdle)
+func (p *Pool) hold(c *conn, once bool) {
+	if c.hold = c.resetWait; once && c.Uses() > 1 && p.now()-c.lastAnswer > minRest {
+		c.hold = max(c.hold, p.Dialect.MinHoldIdle)
 	}
-	p.settle(c)
+	p.awaitReset(c)
 }
 
 // trouble tells apart how a connection failed on which a request had been written whole.
-func trouble(ctx context.Context, err error) upstreamconn.Failure {
+func failureAwaiting(ctx context.Context, err error) upstreamconn.Failure {
 	var timeout net.Error
 	switch {
 	case ctx.Err() != nil:
 		return upstreamconn.Cancelled
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return upstreamconn.TimedOut
-	case errors.Is(err, errBroken), errors.Is(err, http1.ErrStartLine), errors.Is(err, http1.ErrHeader), errors.Is(err, http1.ErrFraming),
+	case errors.Is(err, errMalformedAnswer), errors.Is(err, http1.ErrStartLine), errors.Is(err, http1.ErrHeader), errors.Is(err, http1.ErrFraming),
 		errors.Is(err, http1.ErrHeadTooLarge), errors.Is(err, http1.ErrBodyTooLarge):
 		return upstreamconn.Malformed
 	}
@@ -288,7 +288,7 @@
 }
 
 // means is what an answer means.
-func (p *Pool) means(m *Message, head *http1.Response) AnswerMeaning {
+func (p *Pool) meaning(m *Message, head *http1.Response) AnswerMeaning {
 	if p.Dialect.Meaning != nil {
 		return p.Dialect.Meaning(m, head)
 	}
@@ -303,10 +303,10 @@
 
 // streams tells whether an answer's body is passed on as it comes, by whoever answers the client.
 func (p *Pool) streams(m *Message, head *http1.Response) bool {
-	return head != nil && head.Large() && p.means(m, head) == Served
+	return head != nil && head.Large() && p.meaning(m, head) == Served
 }
 
-var errBroken = errors.New("no answer in the protocol")
+var errMalformedAnswer = errors.New("no answer in the protocol")
 
 // read takes the answer, and its body if it is the client's and is not streamed. Without an error there is a head.
 func (p *Pool) read(c *conn, m *Message) (a upstreamconn.Answer, head *http1.Response, body []byte, err error) {
@@ -314,7 +314,7 @@
 		if head, err = r.Response(m.Method == "HEAD"); err != nil {
 			return a, nil, nil, err
 		}
-		meaning := p.means(m, head)
+		meaning := p.meaning(m, head)
 		a = upstreamconn.Answer{Status: head.Status, NotProcessed: meaning == NotExecuted, Close: head.Close}
 		switch meaning {
 		case Served:
@@ -332,9 +332,9 @@
 			continue
 		}
 		if meaning == Foreign || meaning == Broken {
-			return a, nil, nil, errBroken
+			return a, nil, nil, errMalformedAnswer
 		}
-		a.More = r.Buffered() > 0
+		a.TrailingBytes = r.Buffered() > 0
 		return a, head, body, nil
 	}
 }
@@ -343,7 +343,7 @@
 
 // appendRequest writes a request so that one write sends it whole.
 func (p *Pool) appendRequest(b []byte, m *Message, backend string, left time.Duration) []byte {
-	if begin := p.Dialect.Begin; begin != nil {
+	if begin := p.Dialect.AppendHead; begin != nil {
 		b = begin(b, m, backend, left)
 	} else {
 		b = http1.AppendRequestLine(b, m.Method, m.Target, "app.svc")
@@ -360,7 +360,7 @@
 			b = append(strconv.AppendInt(b, int64(len(m.Body)), 16), "\r\n"...)
 			b = append(append(b, m.Body...), "\r\n"...)
 		}
-		return http1.AppendLast(b, m.Trailer, nil)
+		return http1.AppendLastChunk(b, m.Trailer, nil)
 	case len(m.Body) > 0 || !m.safe():
 		b = http1.AppendLength(b, len(m.Body))
 	}
--- a/internal/dataplane/upstream/upstream_test.go
+++ b/internal/dataplane/upstream/upstream_test.go
@@ -47,18 +47,18 @@
 			return body
 		}
 		p.Hooks["time-runs-out"] = func(string) string { // of the attempt on the oldest connection
-			(<-dialed).SetReadDeadline(longAgo)
+			(<-dialed).SetReadDeadline(expired)
 			return ""
 		}
 		p.Hooks["hold"] = func(string) string { // the last byte, until the server has ended the connection
-			pool.settle = func(c *conn) { exchange.Until(func() bool { return c.stale(addr) != "" }) }
+			pool.awaitReset = func(c *conn) { exchange.Until(func() bool { return c.stale(addr) != "" }) }
 			return ""
 		}
 		p.Hooks["ended"] = func(string) string { // the news that the server ended the idle connection is here
 			return exchange.Until(func() bool {
 				pool.mu.Lock()
 				defer pool.mu.Unlock()
-				c, ok := pool.shelf.Last("s-1")
+				c, ok := pool.idle.Peek("s-1")
 				return ok && c.stale(addr) == "upstream-ended"
 			})
 		}
@@ -91,7 +91,7 @@
 		p.Hooks["open"] = func(string) string {
 			pool.mu.Lock()
 			defer pool.mu.Unlock()
-			return strconv.Itoa(pool.shelf.Open())
+			return strconv.Itoa(pool.idle.Open())
 		}
 		p.Play(script)
 	})
@@ -153,8 +153,8 @@
 				return nil, within.Err()
 			}
 			got := pool.Do(ctx, "s-1", &Message{Method: "GET", Target: "/", ID: "1"}, time.Now().Add(tc.left))
-			if diff := cmp.Diff(Result{Outcome: tc.want}, got); diff != "" || pool.shelf.Open() != 0 {
-				t.Errorf("%d connections counted as open\n%s", pool.shelf.Open(), diff)
+			if diff := cmp.Diff(Result{Outcome: tc.want}, got); diff != "" || pool.idle.Open() != 0 {
+				t.Errorf("%d connections counted as open\n%s", pool.idle.Open(), diff)
 			}
 		})
 	}
@@ -198,7 +198,7 @@
 		t.Fatal(err)
 	}
 	cancel()
-	if diff := cmp.Diff(Result{Outcome: decision.NotSent}, <-result); diff != "" || pool.shelf.Open() != 0 {
-		t.Errorf("%d connections counted as open\n%s", pool.shelf.Open(), diff)
+	if diff := cmp.Diff(Result{Outcome: decision.NotSent}, <-result); diff != "" || pool.idle.Open() != 0 {
+		t.Errorf("%d connections counted as open\n%s", pool.idle.Open(), diff)
 	}
 }
--- a/internal/dataplane/upstreamconn/hold.go
+++ b/internal/dataplane/upstreamconn/loss_history.go
@@ -11,42 +11,42 @@
 //   - before a request that must not run twice: without a proof, its client is told that it failed;
 //   - on a connection that has been idle for long. A read that is lost with it is sent again, and the loss is remembered.
 const (
-	lostFor  = 10.0 // s for which a lost connection tells of the others to its server
-	idleLong = 1.0  // s: one that answered later than this ago may have been forgotten
+	lossMemory = 10.0 // s for which a lost connection tells of the others to its server
+	longIdle   = 1.0  // s: one that answered later than this ago may have been forgotten
 )
 
 // Evidence is what is known of a connection and a request before that is written.
 type Evidence struct {
-	Fresh      bool             // nothing has been answered on the connection
-	Idle       decision.Seconds // since it last answered
+	New        bool             // nothing has been answered on the connection
+	IdleFor    decision.Seconds // since it last answered
 	AtMostOnce bool             // the request must not run twice
 }
 
 // LossHistory remembers which servers lost connections unawares, and when. It is not safe for use by several goroutines at
 // once.
-type LossHistory struct{ lost map[string]decision.Seconds }
+type LossHistory struct{ lastLoss map[string]decision.Seconds }
 
 // Record tells of a connection that ended without a word while it was idle, or as a request came on it.
-func (m *LossHistory) Record(server string, now decision.Seconds) {
-	if m.lost == nil {
-		m.lost = map[string]decision.Seconds{}
+func (h *LossHistory) Record(server string, now decision.Seconds) {
+	if h.lastLoss == nil {
+		h.lastLoss = map[string]decision.Seconds{}
 	}
-	m.lost[server] = now
+	h.lastLoss[server] = now
 }
 
 // HoldLastByte tells whether the last byte of a request is to be held back.
-func (m *LossHistory) HoldLastByte(server string, now decision.Seconds, e Evidence) bool {
-	if at, ok := m.lost[server]; ok && now-at < lostFor {
+func (h *LossHistory) HoldLastByte(server string, now decision.Seconds, e Evidence) bool {
+	if at, ok := h.lastLoss[server]; ok && now-at < lossMemory {
 		return true
 	}
-	return e.AtMostOnce || !e.Fresh && e.Idle > idleLong
+	return e.AtMostOnce || !e.New && e.IdleFor > longIdle
 }
 
 // Expire drops what is too old to tell anything.
-func (m *LossHistory) Expire(now decision.Seconds) {
-	for server, at := range m.lost {
-		if now-at >= lostFor {
-			delete(m.lost, server)
+func (h *LossHistory) Expire(now decision.Seconds) {
+	for server, at := range h.lastLoss {
+		if now-at >= lossMemory {
+			delete(h.lastLoss, server)
 		}
 	}
 }
--- a/internal/dataplane/upstreamconn/link.go
+++ b/internal/dataplane/upstreamconn/machine.go
@@ -22,9 +22,9 @@
 	Ended
 )
 
-var states = [...]string{"idle", "writing", "awaiting", "streaming", "ended"}
+var stateNames = [...]string{"idle", "writing", "awaiting", "streaming", "ended"}
 
-func (s State) String() string { return states[s] }
+func (s State) String() string { return stateNames[s] }
 
 // ErrState tells of an event that a connection's state does not have: the host's mistake.
 var ErrState = errors.New("not in this state")
@@ -42,10 +42,10 @@
 
 // Answer is what a server's answer says.
 type Answer struct {
-	Status       int
-	NotProcessed bool // X-Not-Processed: 1
-	Close        bool // the server ends the connection with it
-	More         bool // bytes came behind it: they answer nothing
+	Status        int
+	NotProcessed  bool // X-Not-Processed: 1
+	Close         bool // the server ends the connection with it
+	TrailingBytes bool // bytes came behind it: they answer nothing
 }
 
 // Verdict is how an attempt on a connection ended, and what becomes of the connection.
@@ -60,25 +60,25 @@
 
 // Machine is the machine of one connection. Its zero value is one that has just come up.
 type Machine struct {
-	state  State
-	uses   int
-	others int  // answers to other requests that came on it
-	last   bool // streaming: it is not used again, however the body ends
+	state            State
+	uses             int
+	foreignAnswers   int  // answers to other requests that came on it
+	closeAfterStream bool // streaming: it is not used again, however the body ends
 }
 
 // State tells where it is.
-func (l *Machine) State() State { return l.state }
+func (m *Machine) State() State { return m.state }
 
 // Uses is how many requests have begun on it.
-func (l *Machine) Uses() int { return l.uses }
+func (m *Machine) Uses() int { return m.uses }
 
 // Begin takes it for a request.
-func (l *Machine) Begin() error {
-	if l.state != Idle {
-		return fmt.Errorf("begin while %v: %w", l.state, ErrState)
+func (m *Machine) Begin() error {
+	if m.state != Idle {
+		return fmt.Errorf("begin while %v: %w", m.state, ErrState)
 	}
-	l.state = Writing
-	l.uses++
+	m.state = Writing
+	m.uses++
 	return nil
 }
 
@@ -97,93 +97,93 @@
 
 // Reuse is what is known of a kept connection and the request that is to go out on it, where answers name the request that they are for.
 type Reuse struct {
-	Again   bool // the same request, so one under the same name, has been written to this server before
-	Once    bool // the request must not run twice
-	Unnamed bool // an answer without a name has come on the connection
+	Resent          bool // the same request, so one under the same name, has been written to this server before
+	AtMostOnce      bool // the request must not run twice
+	SawUnidentified bool // an answer without a name has come on the connection
 }
 
 // MayReuse tells whether a kept connection may be taken. A copy of an earlier answer may come on it in the place of the next: where the name does
 // not tell the two apart, an old refusal would be taken for the word that the new request has not run.
 func MayReuse(f Reuse) bool {
-	return !f.Again && !(f.Once && f.Unnamed && !mutated("unnamed-kept"))
+	return !f.Resent && !(f.AtMostOnce && f.SawUnidentified && !mutated("unnamed-kept"))
 }
 
 // ForeignAnswer tells that an answer to another request came in this one's place. On: it is passed over, for this one's may be behind it; the
 // connection is not used again. Not on: there is no end of them.
-func (l *Machine) ForeignAnswer() (on bool) {
-	if l.state != Awaiting {
+func (m *Machine) ForeignAnswer() (on bool) {
+	if m.state != Awaiting {
 		return false
 	}
-	l.others++
-	return l.others <= mostOthers || mutated("others-endless")
+	m.foreignAnswers++
+	return m.foreignAnswers <= maxForeignAnswers || mutated("others-endless")
 }
 
 // mostOthers bounds the answers to other requests that are passed over before this one's: a server could send them without end.
-const mostOthers = 4
+const maxForeignAnswers = 4
 
 // NotBegun gives it back before a byte was written: the server is to get nothing new, or nobody waits any more.
-func (l *Machine) NotBegun() Verdict {
-	if l.state != Writing {
-		return l.illegal("not begun")
+func (m *Machine) NotBegun() Verdict {
+	if m.state != Writing {
+		return m.illegal("not begun")
 	}
-	l.state = Idle
-	l.uses--
+	m.state = Idle
+	m.uses--
 	return Verdict{Outcome: decision.NotSent, Reusable: true}
 }
 
 // FailedWriting is the end before the last byte of a request was written: the write failed, the server spoke or ended it
 // before, or the attempt was given up. Nothing ran. A kept connection may have been forgotten by the server, which says
 // nothing of the server: the next one may take its place. A new one is the last to be tried.
-func (l *Machine) FailedWriting(t Failure) Verdict {
-	if l.state != Writing {
-		return l.illegal("unwritten")
+func (m *Machine) FailedWriting(t Failure) Verdict {
+	if m.state != Writing {
+		return m.illegal("unwritten")
 	}
-	l.state = Ended
+	m.state = Ended
 	if mutated("unwritten-kept") {
-		l.state = Idle
+		m.state = Idle
 		return Verdict{Outcome: decision.ConnectionRefused, Reusable: true}
 	}
 	if t == Cancelled {
 		return Verdict{Outcome: decision.NotSent, Code: "upstream-not-needed"}
 	}
-	return Verdict{Outcome: decision.ConnectionRefused, TryNextConnection: l.uses > 1, Code: "upstream-write-failed"}
+	return Verdict{Outcome: decision.ConnectionRefused, TryNextConnection: m.uses > 1, Code: "upstream-write-failed"}
 }
 
 // AnsweredEarly is the end by an answer that came before the last byte of a request was written. The connection is ended: half a
 // request is on it. A server begins on a request with its last byte, but one that answers with an error may have read
 // enough to: only a refusal in the protocol's form proves that nothing ran.
-func (l *Machine) AnsweredEarly(a Answer) Verdict {
-	if l.state != Writing {
-		return l.illegal("early")
+func (m *Machine) AnsweredEarly(a Answer) Verdict {
+	if m.state != Writing {
+		return m.illegal("early")
 	}
-	l.state = Ended
+	m.state = Ended
 	if mutated("early-kept") {
-		l.state = Idle
-		return Verdict{Outcome: Outcome(a), Reusable: true}
+		m.state = Idle
+		return Verdict{Outcome: OutcomeOf(a), Reusable: true}
 	}
-	return Verdict{Outcome: Outcome(a), Code: "upstream-early-answer"}
+	return Verdict{Outcome: OutcomeOf(a), Code: "upstream-early-answer"}
 }
 
 // Written tells that the last byte has been written. From now on it may run.
-func (l *Machine) Written() error {
-	if l.state != Writing {
-		return fmt.Errorf("written while %v: %w", l.state, ErrState)
+func (m *Machine) Written() error {
+	if m.state != Writing {
+		return fmt.Errorf("written while %v: %w", m.state, ErrState)
 	}
-	l.state = Awaiting
+	m.state = Awaiting
 	return nil
 }
 
 // Answered is the end by an answer. One with bytes behind it answers its request, and spoils the connection; given up
 // at the same time, it still answers it.
-func (l *Machine) Answered(a Answer, cancelled bool) Verdict {
-	if l.state != Awaiting {
-		return l.illegal("answered")
+func (m *Machine) Answered(a Answer, cancelled bool) Verdict {
+	if m.state != Awaiting {
+		return m.illegal("answered")
 	}
-	v := Verdict{Answered: true, Outcome: Outcome(a)}
+	v := Verdict{Answered: true, Outcome: OutcomeOf(a)}
 	switch {
-	case a.More && !mutated("more-kept"):
+	case a.TrailingBytes && !mutated("more-kept"):
 		v.Code = "upstream-bad-answer"
-	case l.others > 0 && !mutated("other-kept"):
+	case m.foreignAnswers > 0 && !mutated("other-kept"):
 		v.Code = "upstream-bad-answer" // nobody asked for it here, and more may come
 	case a.Close && !mutated("close-kept"):
 		v.Code = "upstream-close"
@@ -192,38 +192,38 @@
 	default:
 		v.Reusable = true
 	}
-	l.state = Ended
+	m.state = Ended
 	if v.Reusable {
-		l.state = Idle
+		m.state = Idle
 	}
 	return v
 }
 
 // BeginStreaming is the end of an attempt by an answer whose body is read as it comes: it is served. The connection stays in use until Streamed.
-func (l *Machine) BeginStreaming(a Answer, cancelled bool) Verdict {
-	v := l.Answered(a, cancelled)
+func (m *Machine) BeginStreaming(a Answer, cancelled bool) Verdict {
+	v := m.Answered(a, cancelled)
 	if v.Err == nil {
-		l.state, l.last, v.Reusable = Streaming, !v.Reusable, false
+		m.state, m.closeAfterStream, v.Reusable = Streaming, !v.Reusable, false
 	}
 	return v
 }
 
 // StreamEnded is the end of such a body: whole, or cut from either side; more: bytes came behind it.
-func (l *Machine) StreamEnded(whole, more bool) Verdict {
-	kept := l.state == Streaming && !l.last
-	l.state = Ended
+func (m *Machine) StreamEnded(whole, more bool) Verdict {
+	kept := m.state == Streaming && !m.closeAfterStream
+	m.state = Ended
 	switch {
 	case !whole && !mutated("cut-kept"):
 		return Verdict{Code: "upstream-stream-cut"}
 	case more && !mutated("stream-more-kept"), !kept:
 		return Verdict{Code: "upstream-stream-ended"}
 	}
-	l.state = Idle
+	m.state = Idle
 	return Verdict{Reusable: true}
 }
 
 // Outcome is what an answer means (PROTOCOL, "Ingresses to quote servers").
-func Outcome(a Answer) decision.Outcome {
+func OutcomeOf(a Answer) decision.Outcome {
 	switch {
 	case a.Status == 200:
 		return decision.Succeeded
@@ -237,11 +237,11 @@
 }
 
 // FailedAwaiting is the end without an answer after the request was written whole. It may have run, or may yet.
-func (l *Machine) FailedAwaiting(t Failure) Verdict {
-	if l.state != Awaiting {
-		return l.illegal("unanswered")
+func (m *Machine) FailedAwaiting(t Failure) Verdict {
+	if m.state != Awaiting {
+		return m.illegal("unanswered")
 	}
-	l.state = Ended
+	m.state = Ended
 	switch {
 	case mutated("reset-proves") && t == ConnectionLost:
 		return Verdict{Outcome: decision.ConnectionRefused, Code: "upstream-reset"}
@@ -250,7 +250,7 @@
 	case mutated("cancel-proves") && t == Cancelled:
 		return Verdict{Outcome: decision.NotSent, Code: "upstream-cancelled"}
 	case mutated("spoilt-kept") && t == Malformed:
-		l.state = Idle
+		m.state = Idle
 		return Verdict{Outcome: decision.Failed, Reusable: true}
 	}
 	switch t {
@@ -265,10 +265,10 @@
 }
 
 // Drop ends an idle connection.
-func (l *Machine) Drop() { l.state = Ended }
+func (m *Machine) Drop() { m.state = Ended }
 
 // illegal is the safe way out of a mistake: the connection is ended, and what was on it may have run.
-func (l *Machine) illegal(what string) Verdict {
-	l.state = Ended
+func (m *Machine) illegal(what string) Verdict {
+	m.state = Ended
 	return Verdict{Outcome: decision.ConnectionReset, Code: "upstream-illegal", Err: fmt.Errorf("%s: %w", what, ErrState)}
 }
--- a/internal/dataplane/upstreamconn/link_test.go
+++ b/internal/dataplane/upstreamconn/machine_test.go
@@ -49,7 +49,7 @@
 		{"200", false, answered(Answer{Status: 200}, false), Verdict{Outcome: decision.Succeeded, Answered: true, Reusable: true}, Idle},
 		{"200 and a cancel", false, answered(Answer{Status: 200}, true), Verdict{Outcome: decision.Succeeded, Answered: true, Code: "upstream-not-needed"}, Ended},
 		{"200 and its close", true, answered(Answer{Status: 200, Close: true}, false), Verdict{Outcome: decision.Succeeded, Answered: true, Code: "upstream-close"}, Ended},
-		{"200 and more", true, answered(Answer{Status: 200, More: true}, false), Verdict{Outcome: decision.Succeeded, Answered: true, Code: "upstream-bad-answer"}, Ended},
+		{"200 and more", true, answered(Answer{Status: 200, TrailingBytes: true}, false), Verdict{Outcome: decision.Succeeded, Answered: true, Code: "upstream-bad-answer"}, Ended},
 		{"500", false, answered(Answer{Status: 500}, false), Verdict{Outcome: decision.Failed, Answered: true, Reusable: true}, Idle},
 		{"500 not processed", false, answered(Answer{Status: 500, NotProcessed: true}, false), Verdict{Outcome: decision.Failed, Answered: true, Reusable: true}, Idle},
 		{"503", false, answered(Answer{Status: 503}, false), Verdict{Outcome: decision.Failed, Answered: true, Reusable: true}, Idle},
@@ -86,8 +86,8 @@
 		f    Reuse
 		want bool
 	}{
-		{Reuse{}, true}, {Reuse{Once: true}, true}, {Reuse{Unnamed: true}, true}, {Reuse{Once: true, Unnamed: true}, false},
-		{Reuse{Again: true}, false}, {Reuse{Again: true, Once: true}, false}, {Reuse{Again: true, Unnamed: true}, false}, {Reuse{Again: true, Once: true, Unnamed: true}, false},
+		{Reuse{}, true}, {Reuse{AtMostOnce: true}, true}, {Reuse{SawUnidentified: true}, true}, {Reuse{AtMostOnce: true, SawUnidentified: true}, false},
+		{Reuse{Resent: true}, false}, {Reuse{Resent: true, AtMostOnce: true}, false}, {Reuse{Resent: true, SawUnidentified: true}, false}, {Reuse{Resent: true, AtMostOnce: true, SawUnidentified: true}, false},
 	} {
 		if got := MayReuse(tc.f); got != tc.want {
 			t.Errorf("%+v: %v", tc.f, got)
@@ -136,7 +136,7 @@
 	l.Begin()
 	l.Written()
 	for n := range 6 {
-		if l.ForeignAnswer() != (n < mostOthers) {
+		if l.ForeignAnswer() != (n < maxForeignAnswers) {
 			t.Errorf("the other answer %d", n)
 		}
 	}
@@ -151,20 +151,20 @@
 		e      Evidence
 		want   bool
 	}{
-		{"good", 101, Evidence{Fresh: true}, false}, {"good", 101, Evidence{Idle: 0.5}, false}, {"good", 101, Evidence{Idle: 1.5}, true},
-		{"good", 101, Evidence{Fresh: true, AtMostOnce: true}, true}, {"good", 101, Evidence{Idle: 0.01, AtMostOnce: true}, true},
-		{"bad", 101, Evidence{Fresh: true}, true}, {"bad", 109, Evidence{Idle: 0.01}, true}, {"bad", 111, Evidence{Idle: 0.01}, false},
+		{"good", 101, Evidence{New: true}, false}, {"good", 101, Evidence{IdleFor: 0.5}, false}, {"good", 101, Evidence{IdleFor: 1.5}, true},
+		{"good", 101, Evidence{New: true, AtMostOnce: true}, true}, {"good", 101, Evidence{IdleFor: 0.01, AtMostOnce: true}, true},
+		{"bad", 101, Evidence{New: true}, true}, {"bad", 109, Evidence{IdleFor: 0.01}, true}, {"bad", 111, Evidence{IdleFor: 0.01}, false},
 	} {
 		if got := m.HoldLastByte(tc.server, tc.now, tc.e); got != tc.want {
 			t.Errorf("%s at %g, %+v: %v", tc.server, tc.now, tc.e, got)
 		}
 	}
 	m.Expire(105)
-	if len(m.lost) != 1 {
+	if len(m.lastLoss) != 1 {
 		t.Error("forgotten too early")
 	}
 	m.Expire(111)
-	if len(m.lost) != 0 {
+	if len(m.lastLoss) != 0 {
 		t.Error("kept for ever")
 	}
 }
--- a/internal/emulator/modelcheck/client.go
+++ b/internal/emulator/modelcheck/client.go
@@ -9,7 +9,7 @@
 
 // clientWorld is one client's connection, and the few steps of the ingress between those of its machine.
 type clientWorld struct {
-	machine clientconn.Conn
+	machine clientconn.Machine
 	now     decision.Seconds
 	keep    bool // connections stay open
 	hears   bool // one that was not told to end is not ended over what has begun to come
@@ -43,7 +43,7 @@
 	if freed {
 		w.cut = false
 	}
-	if w.cut && (to == clientconn.Head || to == clientconn.Body || to == clientconn.Uploading) {
+	if w.cut && (to == clientconn.ReadingHead || to == clientconn.ReadingBody || to == clientconn.Uploading) {
 		w.violate("taken-is-taken", "a request has begun, and its reads are cut")
 	}
 	return on
@@ -57,21 +57,21 @@
 }
 
 func (w *clientWorld) wait() {
-	w.machine.Wait(w.now)
+	w.machine.AwaitBody(w.now)
 	w.begun = w.now
 }
 
 func (w *clientWorld) piece(n int) {
 	w.waited += w.now - w.begun
 	w.got += n
-	w.machine.Got(w.now, n)
+	w.machine.BodyReceived(w.now, n)
 }
 
 // answer is what ingress does once a request has its answer.
 func (w *clientWorld) answer() {
-	w.told = w.machine.Last(w.crowded, w.keep)
-	if w.machine.Code() != "" && !w.told {
-		w.violate("last-is-told", "it is being ended (%s), and its answer does not say so", w.machine.Code())
+	w.told = w.machine.CloseAfterAnswer(w.crowded, w.keep)
+	if w.machine.CloseCode() != "" && !w.told {
+		w.violate("last-is-told", "it is being ended (%s), and its answer does not say so", w.machine.CloseCode())
 	}
 	w.enter(clientconn.Answering)
 }
@@ -85,13 +85,13 @@
 
 // noticed is a read that was cut short.
 func (w *clientWorld) noticed() {
-	if code := w.machine.Code(); w.machine.State() == clientconn.Idle {
+	if code := w.machine.CloseCode(); w.machine.State() == clientconn.Idle {
 		w.ended = true
-	} else if code == clientconn.CodeRoom && w.endedIn == w.machine.State() {
+	} else if code == clientconn.CodeEvicted && w.endedIn == w.machine.State() {
 		w.ended = true // slow as it is, it made room: nothing was taken yet
-	} else if code != clientconn.CodeSlow {
+	} else if code != clientconn.CodeSlowRequest {
 		w.violate("taken-is-taken", "a request that was coming in was ended as %s", code)
-	} else if w.machine.State() == clientconn.Skipping {
+	} else if w.machine.State() == clientconn.Discarding {
 		w.ended = true
 	} else {
 		w.refuse()
@@ -104,7 +104,7 @@
 		w.violate("taken-is-answered", "ended as %s while %v", code, st)
 	}
 	w.endedIn = w.machine.State()
-	c := w.machine.End(code)
+	c := w.machine.Close(code)
 	w.cut = w.cut || c.Reads
 	if w.machine.State() == clientconn.Answering {
 		if !c.Writes {
@@ -122,7 +122,7 @@
 			return
 		}
 		w.now += 0.25
-		if code := w.machine.Due(w.now); code != "" {
+		if code := w.machine.TimeoutCode(w.now); code != "" {
 			w.end(code)
 		}
 	}
@@ -137,12 +137,12 @@
 		if still > 3 {
 			w.violate("silent-ends", "idle for %.1f s", still)
 		}
-	case clientconn.Head:
+	case clientconn.ReadingHead:
 		if still > 3 {
 			w.violate("slow-ends", "a head comes for %.1f s", still)
 		}
-	case clientconn.Body, clientconn.Uploading, clientconn.Skipping:
-		if still > 3 && w.machine.State() == clientconn.Body {
+	case clientconn.ReadingBody, clientconn.Uploading, clientconn.Discarding:
+		if still > 3 && w.machine.State() == clientconn.ReadingBody {
 			w.violate("stall-ends", "nothing came of a body for %.1f s", still)
 		}
 		if w.waited+still > 2.5+float64(w.got)/(32<<10) {
@@ -167,13 +167,13 @@
 		all = append(all, "cut-noticed")
 	}
 	return append(all, map[clientconn.State][]string{
-		clientconn.Idle:      {"begins"},
-		clientconn.Head:      {"no-body", "body", "long-body", "broken"},
-		clientconn.Body:      {"piece", "byte", "body-whole", "broken"},
-		clientconn.Deciding:  {"answer", "upload", "next"},
-		clientconn.Uploading: {"piece", "byte", "up", "early-answer", "broken"},
-		clientconn.Answering: {"written", "next"},
-		clientconn.Skipping:  {"piece", "byte", "rest-read"},
+		clientconn.Idle:        {"begins"},
+		clientconn.ReadingHead: {"no-body", "body", "long-body", "broken"},
+		clientconn.ReadingBody: {"piece", "byte", "body-whole", "broken"},
+		clientconn.Deciding:    {"answer", "upload", "next"},
+		clientconn.Uploading:   {"piece", "byte", "up", "early-answer", "broken"},
+		clientconn.Answering:   {"written", "next"},
+		clientconn.Discarding:  {"piece", "byte", "rest-read"},
 	}[w.machine.State()]...)
 }
 
@@ -184,12 +184,12 @@
 	case "while":
 		w.pass(4)
 	case "room":
-		if w.machine.Spare(w.now) {
-			w.end(clientconn.CodeRoom)
+		if w.machine.Evictable(w.now) {
+			w.end(clientconn.CodeEvicted)
 		}
 	case "drain":
 		w.keep = false
-		if w.machine.Drains() {
+		if w.machine.ClosesOnDrain() {
 			w.end(clientconn.CodeDrain)
 		}
 	case "crowd":
@@ -200,14 +200,14 @@
 		if w.requests++; w.requests > 1 {
 			w.begun = w.now
 		}
-		w.enter(clientconn.Head)
+		w.enter(clientconn.ReadingHead)
 	case "no-body":
 		w.enter(clientconn.Deciding)
 	case "body":
-		w.take(clientconn.Body)
+		w.take(clientconn.ReadingBody)
 	case "long-body":
 		w.rest = true
-		w.enter(clientconn.Body)
+		w.enter(clientconn.ReadingBody)
 		w.enter(clientconn.Deciding)
 	case "broken":
 		w.refuse()
@@ -234,7 +234,7 @@
 			w.enter(clientconn.Lingering)
 			w.ended = true
 		} else if w.rest {
-			w.take(clientconn.Skipping)
+			w.take(clientconn.Discarding)
 		} else {
 			w.idle()
 		}
@@ -243,7 +243,7 @@
 		w.rest = false
 		w.idle()
 	}
-	if !w.ended && !w.keep && w.machine.State() == clientconn.Idle && w.machine.Code() == "" {
+	if !w.ended && !w.keep && w.machine.State() == clientconn.Idle && w.machine.CloseCode() == "" {
 		w.violate("drained-ends", "idle in a drain, and nothing ends it")
 	}
 }
@@ -251,7 +251,7 @@
 func (w *clientWorld) idle() {
 	w.begun = w.now
 	on := w.enter(clientconn.Idle)
-	switch hears := w.machine.Hears(); {
+	switch hears := w.machine.ServesPending(); {
 	case on && w.told:
 		w.violate("last-is-last", "it goes on after its last answer")
 	case w.next && (on || hears):
@@ -273,7 +273,7 @@
 		trace []string
 	}
 	hears := clientWorld{machine: clientconn.Accepted(0), keep: true, hears: true}
-	hears.machine.Keep(&clientconn.Times{Silent: 2, Idle: 2, Head: 2.5, Hears: true})
+	hears.machine.SetTimeouts(&clientconn.Timeouts{FirstByte: 2, Idle: 2, Head: 2.5, ServePending: true})
 	level := []run{{world: clientWorld{machine: clientconn.Accepted(0), keep: true}}, {world: hears}}
 	for range depth {
 		var next []run
--- a/internal/emulator/modelcheck/connections.go
+++ b/internal/emulator/modelcheck/connections.go
@@ -35,7 +35,7 @@
 			w.close(k)
 			continue
 		}
-		if fit.Unnamed = kept.Conn.unnamed; !upstreamconn.MayReuse(fit) {
+		if fit.SawUnidentified = kept.Conn.unnamed; !upstreamconn.MayReuse(fit) {
 			w.close(kept.Conn)
 			continue
 		}
--- a/internal/emulator/modelcheck/events.go
+++ b/internal/emulator/modelcheck/events.go
@@ -45,7 +45,7 @@
 			add("leaves"+id, func(w *World) {
 				c := w.clients[i]
 				c.gone = true
-				w.do(w.desk.ClientGone(w.now, c.request))
+				w.do(w.desk.ClientDisconnected(w.now, c.request))
 			})
 		}
 		if c.finished && !c.retried && (c.status == "refused" || c.gone) && !w.draining && len(w.clients) < 3 {
@@ -85,9 +85,9 @@
 		if !s.down {
 			add("refuses"+id, func(w *World) { w.servers[i].down = true })
 		}
-		if k, ok := w.shelf.Last(s.id); ok && !k.spoilt {
+		if k, ok := w.shelf.Peek(s.id); ok && !k.spoilt {
 			add("forgets"+id, func(w *World) {
-				if k, ok := w.shelf.Last(w.servers[i].id); ok {
+				if k, ok := w.shelf.Peek(w.servers[i].id); ok {
 					k.spoilt = true
 				}
 			})
@@ -207,12 +207,12 @@
 		name   string
 		answer upstreamconn.Answer
 	}{
-		{"200", upstreamconn.Answer{Status: 200}}, {"200-and-close", upstreamconn.Answer{Status: 200, Close: true}}, {"200-and-more", upstreamconn.Answer{Status: 200, More: true}},
+		{"200", upstreamconn.Answer{Status: 200}}, {"200-and-close", upstreamconn.Answer{Status: 200, Close: true}}, {"200-and-more", upstreamconn.Answer{Status: 200, TrailingBytes: true}},
 		{"500", upstreamconn.Answer{Status: 500}}, {"503-not-processed", upstreamconn.Answer{Status: 503, NotProcessed: true}},
 		{"504-not-processed", upstreamconn.Answer{Status: 504, NotProcessed: true}}, {"503", upstreamconn.Answer{Status: 503}},
 	} {
 		on(a.name, func(w *World, t *try, k *conn) {
-			k.spoilt = k.spoilt || a.answer.Close || a.answer.More || t.cancelled // a deadline that may be changed at any time
+			k.spoilt = k.spoilt || a.answer.Close || a.answer.TrailingBytes || t.cancelled // a deadline that may be changed at any time
 			k.refused = a.answer.NotProcessed
 			if a.answer.NotProcessed {
 				t.client.mayRun-- // it never ran
@@ -285,7 +285,7 @@
 	on("leaves-upload", func(w *World, t *try, k *conn) { // it stalls, or leaves: nobody waits for the answer
 		c := t.client
 		k.spoilt, c.gone, t.cancelled = true, true, true
-		w.do(w.desk.ClientGone(w.now, c.request))
+		w.do(w.desk.ClientDisconnected(w.now, c.request))
 		w.finish(t, k, k.FailedWriting(upstreamconn.Cancelled))
 	})
 	for _, a := range []struct {
--- a/internal/emulator/modelcheck/world.go
+++ b/internal/emulator/modelcheck/world.go
@@ -303,7 +303,7 @@
 		w.ended(t, decision.NotSent)
 		return
 	}
-	k, outcome, ok := w.get(t, upstreamconn.Reuse{Again: t.client.tried[t.backend], Once: t.client.send})
+	k, outcome, ok := w.get(t, upstreamconn.Reuse{Resent: t.client.tried[t.backend], AtMostOnce: t.client.send})
 	switch {
 	case !ok:
 		w.ended(t, outcome)
@@ -344,7 +344,7 @@
 	if life := c.request.Machine(); life.BodyConsumed() {
 		w.violate("spent-is-spent", "%s begins again, and its body has gone", c.name)
 	}
-	if c.long || w.memory.HoldLastByte(t.backend, w.now, upstreamconn.Evidence{Fresh: k.Uses() == 1, Idle: w.now - k.answered, AtMostOnce: c.send}) {
+	if c.long || w.memory.HoldLastByte(t.backend, w.now, upstreamconn.Evidence{New: k.Uses() == 1, IdleFor: w.now - k.answered, AtMostOnce: c.send}) {
 		t.stage = holding
 		return
 	}
--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -53,7 +53,7 @@
 	e.SetBackends(decision.Backends{List: []decision.Backend{{ID: "i-2", Group: "s2", Serving: true, Size: 9}}})
 	pool := upstream.New(func(string) (string, bool) { return back.Addr().String(), true },
 		upstream.Limits{Connections: 99, ConnectTimeout: time.Second, Keepalive: time.Minute}, quiet())
-	pool.Dialect = upstream.Dialect{Begin: beginRequest, Meaning: classifyAnswer, ID: headerAttemptID}
+	pool.Dialect = upstream.Dialect{AppendHead: beginRequest, Meaning: classifyAnswer, IDField: headerAttemptID}
 	server = ingress.New(s, e, pool, 99, quiet())
 	server.SetDialect(speech.dialect())
 	server.Started()
--- a/internal/proxy/planned_test.go
+++ b/internal/proxy/planned_test.go
@@ -71,12 +71,12 @@
 				ticket := o.engine.Submit(decision.Request{Class: "r", Kind: class, TimeLeft: 8, Units: 1, Terms: anonymousTerms, Gateways: 1}, func() {})
 				d := ticket.Next()
 				is.Equal(d.Kind, engine.Send)
-				is.True(d.Patience > 0)
+				is.True(d.SlowAfter > 0)
 				if tc.in > 0 {
 					time.Sleep(tc.in)
 					tc.planned(b, hup)
 				}
-				time.Sleep(d.Patience)
+				time.Sleep(d.SlowAfter)
 				is.Equal(ticket.ShouldAbandon(), tc.given)
 				time.Sleep(time.Second)
 				is.Equal(ticket.ShouldAbandon(), tc.given) // nor later
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -97,7 +97,7 @@
 	b.translator = &translator{control: o, splits: newSplitter(rand.New(rand.NewPCG(me, life))), terms: map[string]*decision.Terms{}, classes: map[string]*decision.Class{}}
 	sockets := float64(max(64, p.Limits.MaxFDs-reservedFDs))
 	b.pool = upstream.New(o.lookup, upstream.Limits{Connections: int(upstreamShare * sockets), ConnectTimeout: connectTimeout, Keepalive: keepalive}, quiet)
-	b.pool.Dialect = upstream.Dialect{Begin: beginRequest, Meaning: classifyAnswer, ID: headerAttemptID}
+	b.pool.Dialect = upstream.Dialect{AppendHead: beginRequest, Meaning: classifyAnswer, IDField: headerAttemptID}
 	if p.Clauses["pool"] { // servers there forget connections that rest
 		b.pool.Dialect.MinHoldIdle = resetDoubt
 	}
--- a/internal/proxy/rules_test.go
+++ b/internal/proxy/rules_test.go
@@ -193,7 +193,7 @@
 			if r.ReadBody(q) != nil {
 				return
 			}
-			all, err := io.ReadAll(q.Long) // it reads on: to the body's end, or until the proxy ends the connection
+			all, err := io.ReadAll(q.Streamed) // it reads on: to the body's end, or until the proxy ends the connection
 			rest <- all
 			if err != nil {
 				return
--- a/internal/proxy/translator.go
+++ b/internal/proxy/translator.go
@@ -49,26 +49,26 @@
 // dialect is what clients are answered in.
 func (s *translator) dialect() ingress.Dialect {
 	return ingress.Dialect{
-		Parse: s.parse, Deciding: consumedHeaders, Reports: serverOnlyHeaders, Beyond: 429, PassFailures: true,
-		Times: func() *clientconn.Times {
+		Parse: s.parse, IngressFields: consumedHeaders, ServerFields: serverOnlyHeaders, OverQuotaStatus: 429, ForwardFailures: true,
+		Timeouts: func() *clientconn.Timeouts {
 			b := s.control.table.Load().ClientLimits()
-			t := &clientconn.Times{Silent: 15, Idle: 15, Head: 3, Hears: true}
+			t := &clientconn.Timeouts{FirstByte: 15, Idle: 15, Head: 3, ServePending: true}
 			if b.IdleTime > 0 {
-				t.Idle, t.Silent = b.IdleTime, b.IdleTime
+				t.Idle, t.FirstByte = b.IdleTime, b.IdleTime
 			}
 			if b.HeaderTime > 0 {
 				t.Head = b.HeaderTime
 			}
 			return t
 		},
-		MostBody: func() int64 { return int64(s.control.table.Load().ClientLimits().BodyBytes) },
+		MaxBody: func() int64 { return int64(s.control.table.Load().ClientLimits().BodyBytes) },
 	}
 }
 
 // parse finds a request's route and its tenant, and translates it. It decides nothing but whether there are these.
-func (s *translator) parse(r *http1.Request) (request decision.Request, m *upstream.Message, bad *ingress.Problem) {
-	fail := func(status int, code, text string) (decision.Request, *upstream.Message, *ingress.Problem) {
-		return decision.Request{}, nil, &ingress.Problem{Status: status, Code: code, Text: text}
+func (s *translator) parse(r *http1.Request) (request decision.Request, m *upstream.Message, bad *ingress.RequestError) {
+	fail := func(status int, code, text string) (decision.Request, *upstream.Message, *ingress.RequestError) {
+		return decision.Request{}, nil, &ingress.RequestError{Status: status, Code: code, Text: text}
 	}
 	for _, key := range [...]string{headerAttemptID, headerTimeLeft, headerAuthorization, "Host"} {
 		if len(r.Header[key]) > 1 { // who counts the other one decides otherwise
@@ -83,7 +83,7 @@
 	if err != nil || !(left > 0) || left > maxTimeLeftMs {
 		return fail(400, "request-bad-time", "X-Time-Left-Ms is not a time in milliseconds")
 	}
-	if http1.Misplaced(r.Trailer, consumedHeaders) {
+	if http1.HasForbiddenTrailer(r.Trailer, consumedHeaders) {
 		return fail(400, "request-bad-trailer", "a trailer states what belongs in the head")
 	}
 	if !s.control.complete.Load() { // a part of a configuration may lack the tenants, and let anybody in
@@ -109,10 +109,10 @@
 		return s.unknownReply(404, "request-unknown-service", "no such service")
 	}
 	request = decision.Request{Class: route.Name, Kind: s.class(route), Group: service, TimeLeft: min(left/1000, route.Deadline), Units: 1,
-		Gateways: s.control.ingressCount(), Streamed: r.Long != nil}
+		Gateways: s.control.ingressCount(), Streamed: r.Streamed != nil}
 	request.ClientRetry = left/1000 < route.Deadline-0.001
 	request.TimeLeft = max(request.TimeLeft/2, request.TimeLeft-replyAllowance)
-	m = &upstream.Message{Method: r.Method, Target: r.Target, ID: id, Host: host, Once: route.Mutating, Body: r.Body, Trailer: r.Trailer,
+	m = &upstream.Message{Method: r.Method, Target: r.Target, ID: id, Host: host, AtMostOnce: route.Mutating, Body: r.Body, Trailer: r.Trailer,
 		Fields: http1.AppendFields(nil, r.Header, consumedHeaders)}
 	if tenant != nil {
 		request.Customer, request.Terms, m.Tenant = tenant.Name, s.tenantTerms(tenant), tenant.Name
@@ -127,8 +127,8 @@
 
 // unknownReply is the answer to who asks for what is not known here. Only one who knows that the configuration here is fresh may say
 // that there is none; else the request has not run, and may come again.
-func (s *translator) unknownReply(status int, code, text string) (decision.Request, *upstream.Message, *ingress.Problem) {
-	p := &ingress.Problem{Status: status, Code: code, Text: text}
+func (s *translator) unknownReply(status int, code, text string) (decision.Request, *upstream.Message, *ingress.RequestError) {
+	p := &ingress.RequestError{Status: status, Code: code, Text: text}
 	if !s.control.fresh() {
 		p.Status, p.Code, p.RetryAfter = 503, code+"-yet", unknownRetryAfter
 	}
@@ -228,7 +228,7 @@
 		return upstream.NotExecuted
 	case promisesNotRun(a.Status):
 		return upstream.Broken
-	case a.Unbounded():
+	case a.EndsWithConnection():
 		return upstream.Broken
 	case a.Status >= 500:
 		return upstream.Failed
--- a/internal/proxy/translator_test.go
+++ b/internal/proxy/translator_test.go
@@ -94,7 +94,7 @@
 			is.Equal(request.Class, c.route)
 			is.Equal(m.Tenant, c.tenant)
 			is.True(request.TimeLeft <= 0.9)
-			is.Equal(m.Once, c.route == "r2")
+			is.Equal(m.AtMostOnce, c.route == "r2")
 			out := string(beginRequest(nil, m, "i-77", 1500*time.Millisecond)) + string(m.Fields)
 			is.True(!strings.Contains(out, "Token")) // servers are not shown the key
 			h, err := textproto.NewReader(bufio.NewReader(strings.NewReader(out[strings.Index(out, "\r\n")+2:] + "\r\n"))).ReadMIMEHeader()
@@ -204,7 +204,7 @@
 		}
 	}()
 	p := upstream.New(func(string) (string, bool) { return l.Addr().String(), true }, upstream.Limits{Connections: 9, ConnectTimeout: time.Second, Keepalive: time.Minute}, quiet())
-	p.Dialect = upstream.Dialect{Begin: beginRequest, Meaning: classifyAnswer, ID: headerAttemptID}
+	p.Dialect = upstream.Dialect{AppendHead: beginRequest, Meaning: classifyAnswer, IDField: headerAttemptID}
 	for _, id := range []string{"first", "second", "third"} {
 		r := p.Do(t.Context(), "i-1", &upstream.Message{Method: "GET", Target: "/", Host: "h", ID: id}, time.Now().Add(5*time.Second))
 		is.Equal(r.Outcome, decision.Succeeded)
--- a/internal/standalone/node/node.go
+++ b/internal/standalone/node/node.go
@@ -162,7 +162,7 @@
 	}, n.log)
 	n.server = ingress.New(&c.Settings, n.engine, pool, int(clientShare*float64(c.Limits.Sockets)), n.log)
 	if n.fleet != nil {
-		n.server.About = n.about
+		n.server.FleetStatus = n.about
 	}
 	if c.Catalogue != "" {
 		if err := n.follow(ctx); err != nil {
