--- a/internal/dataplane/attempt/dispatcher.go
+++ b/internal/dataplane/attempt/dispatcher.go
@@ -7,278 +7,183 @@
 	"mulleinrouter/internal/decision"
 )
 
-// Kind is what is to be done with a request.
-type Kind int
-
-// The kinds. Reject, Fail and NoAnswer are the last word on a request.
-const (
-	Send     Kind = iota // start an attempt, tell Ended what came of it
-	Reject               // answer that trying again does no harm
-	Fail                 // answer that it was not served and may have run
-	NoAnswer             // answer nothing: nobody waits
-)
-
-var kindNames = [...]string{"send", "refuse", "fail", "gone"}
-
-func (k Kind) String() string { return kindNames[k] }
-
-// Decision is what the module decided for a request.
-type Decision struct {
-	Kind       Kind
-	Backend    string           // of a Send
-	Deadline   decision.Seconds // when to give a Send up, module time
-	RetryAfter decision.Seconds // of a Refuse; 0: no advice
-	OverQuota  bool             // of a Send or a Refuse: the request is beyond its quota
-	SlowAfter  decision.Seconds // of a Send: so long after it was written, Desk.Impatient is asked whether to give it up; 0: never
-}
-
-// Request is one in the module's hands.
-type Request struct {
-	Host any // whoever waits for its decisions; the desk does not look at it
-
-	id       uint64
-	machine  Machine
-	deadline decision.Seconds
-	sentAt   decision.Seconds
-	backend  string
-	streamed bool // its body goes up as it comes
-}
-
-// ID names it to the module.
-func (r *Request) ID() uint64 { return r.id }
-
-// Machine is where it is in its life, to look at.
-func (r *Request) Machine() Machine { return r.machine }
-
-// Effect is something to be done, in order.
-type Effect interface{ effect() }
-
-// Notify tells a decision to the request's host.
-type Notify struct {
-	Request  *Request
-	Decision Decision
-}
-
-// CancelAttempt stops the attempt that is out, unless it has ended meanwhile: it is the one with this number.
-type CancelAttempt struct {
-	Request *Request
-	Attempt int
-}
-
-// Timer asks for the module's timer.
-type Timer struct{ decision.SetTimer }
-
-// CounterCall asks for a call of the counter.
-type CounterCall struct{ decision.CounterCall }
-
-// IllegalStep tells of a step that a request's life does not have. A safe one was taken in its place.
-type IllegalStep struct {
-	Request *Request
-	Err     error
-}
-
-func (Notify) effect()        {}
-func (CancelAttempt) effect() {}
-func (Timer) effect()         {}
-func (CounterCall) effect()   {}
-func (IllegalStep) effect()   {}
-
-// Dispatcher holds the module and the requests in its hands. It is not safe for use by several goroutines at once.
-type Dispatcher struct {
+// Dispatcher owns the decision module's gateway and the pending requests. H is the type of the requests' host. It is not
+// safe for concurrent use.
+type Dispatcher[H any] struct {
 	gateway             *decision.Gateway
 	maxAttempts         int
-	finishNonIdempotent bool            // attempts that must not run twice go on where the client has left
-	atMostOnce          map[string]bool // classes that must not run twice
-	noClientRetry       map[string]bool // of these, those where a client's repeat may run again
-	pending             map[uint64]*Request
+	finishNonIdempotent bool            // at-most-once attempts are not cancelled when their client disconnects
+	atMostOnce          map[string]bool // by class: must run at most once
+	noClientRetry       map[string]bool // by class: a client's retry may run again
+	pending             map[uint64]*Request[H]
 	lastID              uint64
-	effects             []Effect
+	effects             []Effect // of the event that is being handled
 }
 
-// NewDispatcher returns a desk around a gateway that nobody else uses. The settings are the gateway's.
-func NewDispatcher(g *decision.Gateway, s *decision.Settings) *Dispatcher {
-	d := &Dispatcher{gateway: g, pending: map[uint64]*Request{}, finishNonIdempotent: s.FinishNonIdempotent}
-	d.setClasses(s.Classes, s.MaxAttempts)
+// NewDispatcher returns a dispatcher around a gateway that nobody else uses. The settings are the gateway's.
+func NewDispatcher[H any](gateway *decision.Gateway, settings *decision.Settings) *Dispatcher[H] {
+	d := &Dispatcher[H]{
+		gateway:             gateway,
+		finishNonIdempotent: settings.FinishNonIdempotent,
+		pending:             map[uint64]*Request[H]{},
+	}
+	d.setClasses(settings.Classes, settings.MaxAttempts)
 	return d
 }
 
-// classes learns what may run twice, and how often a request may be attempted.
-func (d *Dispatcher) setClasses(classes []decision.Class, most int) {
-	d.maxAttempts, d.atMostOnce, d.noClientRetry = max(1, most), map[string]bool{}, map[string]bool{}
+// setClasses records which classes may run more than once, and the number of attempts.
+func (d *Dispatcher[H]) setClasses(classes []decision.Class, maxAttempts int) {
+	d.maxAttempts = max(1, maxAttempts)
+	d.atMostOnce = map[string]bool{}
+	d.noClientRetry = map[string]bool{}
 	for _, c := range classes {
 		d.atMostOnce[c.Name] = c.Effect != decision.Idempotent
 		d.noClientRetry[c.Name] = clientRetryMayRunAgain(&c)
 	}
 }
 
-// wrong tells whether a client's repeat of a request of this class may run again.
+// clientRetryMayRunAgain reports whether a client's retry of a request of this class may run again.
 func clientRetryMayRunAgain(c *decision.Class) bool {
-	return c.Effect == decision.NonIdempotent || c.Effect == decision.IdempotentByKey && c.Scope != decision.ScopeAll
-}
-
-// Reconfigure goes by other classes and another number of attempts for requests that come from now on; those in hand keep
-// what their life began with. The gateway is told too.
-func (d *Dispatcher) Reconfigure(classes []decision.Class, most int) {
-	d.setClasses(classes, most)
-	d.gateway.Reconfigure(classes, most)
-}
-
-// SetShare sets how much of the ingress this process is; junior: the other process reports it to the counter.
-func (d *Dispatcher) SetShare(part float64, junior bool) { d.gateway.SetShare(part, junior) }
-
-// HandOver hands over half of the stores, and what has been learned.
-func (d *Dispatcher) HandOver(now decision.Seconds) decision.Knowledge {
-	return d.gateway.HandOver(now)
-}
-
-// Restore takes that up.
-func (d *Dispatcher) Restore(now decision.Seconds, k decision.Knowledge) (customers, backends int) {
-	return d.gateway.Restore(now, k)
-}
-
-// PoolSize tells how many quote servers are listed, and how many of these the gateway avoids now.
-func (d *Dispatcher) PoolSize(now decision.Seconds) (listed, avoided int) {
-	return d.gateway.PoolSize(now)
-}
-
-// Stats are what the gateway holds now.
-func (d *Dispatcher) Stats(now decision.Seconds) decision.Stats { return d.gateway.Stats(now) }
-
-// SetGrants sets what the gateway has of quotas until a time; Warn tells it of servers that others find bad, and Bad which it does itself.
-func (d *Dispatcher) SetGrants(now decision.Seconds, all []decision.QuotaGrant, until decision.Seconds) {
-	d.gateway.SetGrants(now, all, until)
-}
-
-// SetSuspects tells of servers that others find bad.
-func (d *Dispatcher) SetSuspects(now decision.Seconds, servers []string) {
-	d.gateway.SetSuspects(now, servers)
-}
-
-// UnhealthyServers names those that this gateway finds bad.
-func (d *Dispatcher) UnhealthyServers(now decision.Seconds) []string {
-	return d.gateway.UnhealthyServers(now)
+	switch c.Effect {
+	case decision.NonIdempotent:
+		return true
+	case decision.IdempotentByKey:
+		return c.Scope != decision.ScopeAll
+	}
+	return false
 }
 
-// SetMembers tells how many gateways there are, and through how many of them customers may come.
-func (d *Dispatcher) SetMembers(gateways, doors int) {
-	d.gateway.SetMembers(gateways)
-	d.gateway.SetCustomerGateways(doors)
+// Reconfigure sets the classes and the number of attempts for requests that are submitted from now on, here and in the
+// gateway. Pending requests keep those that they were submitted with.
+func (d *Dispatcher[H]) Reconfigure(classes []decision.Class, maxAttempts int) {
+	d.setClasses(classes, maxAttempts)
+	d.gateway.Reconfigure(classes, maxAttempts)
 }
 
-// SetZoneRank tells where this gateway stands among those of its zone.
-func (d *Dispatcher) SetZoneRank(rank, peers int) { d.gateway.SetZoneRank(rank, peers) }
+// Pending returns the number of pending requests.
+func (d *Dispatcher[H]) Pending() int { return len(d.pending) }
 
-// Pending is how many requests are in hand.
-func (d *Dispatcher) Pending() int { return len(d.pending) }
-
-// Submit takes a request. Its id is given here.
-func (d *Dispatcher) Submit(now decision.Seconds, r decision.Request, host any) (*Request, []Effect) {
+// Submit takes a request and gives it its ID.
+func (d *Dispatcher[H]) Submit(now decision.Seconds, r decision.Request, host H) (*Request[H], []Effect) {
 	d.lastID++
 	r.ID = d.lastID
-	q := &Request{Host: host, id: d.lastID, deadline: now + r.TimeLeft, streamed: r.Streamed, machine: Machine{AtMostOnce: d.atMostOnce[r.Class], NoClientRetry: d.noClientRetry[r.Class], MaxAttempts: d.maxAttempts}}
-	if c := r.Kind; c != nil {
-		q.machine = Machine{AtMostOnce: c.Effect != decision.Idempotent, NoClientRetry: clientRetryMayRunAgain(c), MaxAttempts: cmp.Or(c.MaxAttempts, d.maxAttempts)}
+	q := &Request[H]{
+		Host:     host,
+		id:       r.ID,
+		deadline: now + r.TimeLeft,
+		streamed: r.Streamed,
+		machine:  d.machineOf(&r),
 	}
 	d.pending[q.id] = q
 	return q, d.Handle(now, r)
 }
 
-// AttemptEnded tells how the attempt that was decided on last has ended. After Done no decision follows: the answer is the
-// client's.
-func (d *Dispatcher) AttemptEnded(now decision.Seconds, q *Request, o decision.Outcome) []Effect {
+// machineOf returns the machine of a request as its class has it: the class that the request itself carries, else the
+// configured one of its class's name.
+func (d *Dispatcher[H]) machineOf(r *decision.Request) Machine {
+	if c := r.Kind; c != nil {
+		return Machine{
+			AtMostOnce:    c.Effect != decision.Idempotent,
+			NoClientRetry: clientRetryMayRunAgain(c),
+			MaxAttempts:   cmp.Or(c.MaxAttempts, d.maxAttempts),
+		}
+	}
+	return Machine{
+		AtMostOnce:    d.atMostOnce[r.Class],
+		NoClientRetry: d.noClientRetry[r.Class],
+		MaxAttempts:   d.maxAttempts,
+	}
+}
+
+// AttemptEnded reports how the attempt in flight has ended. After decision.Succeeded no decision follows: the answer is
+// the client's.
+func (d *Dispatcher[H]) AttemptEnded(now decision.Seconds, q *Request[H], outcome decision.Outcome) []Effect {
 	d.effects = nil
-	gone := q.machine.phase == Abandoned
-	over, err := q.machine.AttemptEnded(o)
+	abandoned := q.phase() == Abandoned
+	finished, err := q.machine.AttemptEnded(outcome)
 	if err != nil {
-		d.effects = append(d.effects, IllegalStep{q, err})
+		d.effects = append(d.effects, IllegalStep[H]{q, err})
 		return d.effects
 	}
-	if over && !mutated("ended-stays") {
+	if finished && !mutated("ended-stays") {
 		delete(d.pending, q.id)
 	}
-	d.handle(now, decision.AttemptEnded{ID: q.id, Attempt: q.machine.attempts - 1, Backend: q.backend, Outcome: o, Duration: now - q.sentAt, Answered: over, BodyConsumed: q.machine.bodyConsumed && !mutated("spent-untold")})
-	if gone && !mutated("gone-untold") {
-		d.effects = append(d.effects, Notify{q, Decision{Kind: NoAnswer}})
+	d.handle(now, decision.AttemptEnded{
+		ID:           q.id,
+		Attempt:      q.lastAttempt(),
+		Backend:      q.backend,
+		Outcome:      outcome,
+		Duration:     now - q.sentAt,
+		Answered:     finished,
+		BodyConsumed: q.machine.bodyConsumed && !mutated("spent-untold"),
+	})
+	if abandoned && !mutated("gone-untold") {
+		d.effects = append(d.effects, Notify[H]{q, Decision{Kind: NoAnswer}})
 	}
 	return d.effects
 }
 
-// ConsumeBody tells that something of a request's body has been taken that cannot be had again.
-func (d *Dispatcher) ConsumeBody(q *Request) { q.machine.ConsumeBody() }
+// ConsumeBody records that a part of a request's body has been read that cannot be read again.
+func (d *Dispatcher[H]) ConsumeBody(q *Request[H]) { q.machine.ConsumeBody() }
 
-// ShouldAbandon tells whether the attempt that is out is to be given up, the patience with it having run out. What cannot be sent again is not.
-func (d *Dispatcher) ShouldAbandon(now decision.Seconds, q *Request) bool {
-	return q.machine.phase == InFlight && !q.machine.AtMostOnce && !q.machine.bodyConsumed && (d.gateway.ShouldAbandon(now, q.id) || mutated("impatient-always"))
-}
-
-// ExpectDisruption tells that something planned is under way, until a time: see decision.Gateway.ExpectDisruption.
-func (d *Dispatcher) ExpectDisruption(till decision.Seconds) {
-	if !mutated("planned-untold") {
-		d.gateway.ExpectDisruption(till)
+// ShouldAbandon reports whether the attempt in flight, which is slow, is to be given up. One that could not be made again
+// is not.
+func (d *Dispatcher[H]) ShouldAbandon(now decision.Seconds, q *Request[H]) bool {
+	if q.phase() != InFlight || q.machine.AtMostOnce || q.machine.bodyConsumed {
+		return false
 	}
+	return d.gateway.ShouldAbandon(now, q.id) || mutated("impatient-always")
 }
 
-// BodyUploaded tells that the body of a request has gone out whole: the quote server's time counts from now on.
-func (d *Dispatcher) BodyUploaded(now decision.Seconds, q *Request) {
+// BodyUploaded reports that a request's streamed body has been written completely: the server's time counts from now on.
+func (d *Dispatcher[H]) BodyUploaded(now decision.Seconds, q *Request[H]) {
 	q.sentAt = now
 	d.gateway.BodyUploaded(now, q.id)
 }
 
-// ClientGone tells that nobody waits for the answer any more. An attempt that is out is still to be told of.
-func (d *Dispatcher) ClientDisconnected(now decision.Seconds, q *Request) []Effect {
+// ClientDisconnected reports that the client no longer waits for an answer. The end of an attempt in flight is still to be
+// reported.
+func (d *Dispatcher[H]) ClientDisconnected(now decision.Seconds, q *Request[H]) []Effect {
 	d.effects = nil
-	before := q.machine.phase
-	if before != Waiting && before != InFlight {
+	if q.phase() != Waiting && q.phase() != InFlight {
 		return nil
 	}
-	over := q.machine.ClientDisconnected()
-	if over {
+	finished := q.machine.ClientDisconnected()
+	if finished {
 		delete(d.pending, q.id)
 	}
 	if !mutated("leaving-untold") {
 		d.handle(now, decision.ClientGone{ID: q.id})
 	}
-	if over {
-		d.effects = append(d.effects, Notify{q, Decision{Kind: NoAnswer}})
+	if finished {
+		d.effects = append(d.effects, Notify[H]{q, Decision{Kind: NoAnswer}})
 	}
 	return d.effects
 }
 
-// Handle gives the module an event.
-func (d *Dispatcher) Handle(now decision.Seconds, e decision.Event) []Effect {
+// Handle passes an event to the decision module.
+func (d *Dispatcher[H]) Handle(now decision.Seconds, event decision.Event) []Effect {
 	d.effects = nil
-	d.handle(now, e)
+	d.handle(now, event)
 	return d.effects
 }
 
-func (d *Dispatcher) handle(now decision.Seconds, e decision.Event) {
-	actions := d.gateway.Handle(now, e)
-	switch e.(type) {
-	case decision.Timer, decision.CounterReply: // a cycle may have turned: what is held goes before it
-		d.gateway.ReapplyGrants(now)
+func (d *Dispatcher[H]) handle(now decision.Seconds, event decision.Event) {
+	actions := d.gateway.Handle(now, event)
+	switch event.(type) {
+	case decision.Timer, decision.CounterReply:
+		d.gateway.ReapplyGrants(now) // a counter cycle may have begun, which has replaced the grants
 	}
 	for _, action := range actions {
 		switch a := action.(type) {
 		case decision.Send:
 			d.send(now, a)
 		case decision.Reject:
-			if q := d.pending[a.ID]; q != nil && q.machine.phase != Abandoned {
-				d.finish(q, q.machine.Reject(), Decision{Kind: Reject, RetryAfter: a.RetryAfter, OverQuota: a.OverQuota})
-			}
+			d.reject(a)
 		case decision.Fail:
-			if q := d.pending[a.ID]; q != nil && q.machine.phase != Abandoned {
-				word := Decision{Kind: Fail}
-				if mutated("fail-refuses") {
-					word.Kind = Reject
-				}
-				d.finish(q, q.machine.Fail(), word)
-			}
+			d.fail(a)
 		case decision.Cancel:
-			if q := d.pending[a.ID]; q != nil && q.machine.MayHaveRun() && a.Attempt == q.machine.attempts-1 && !(d.finishNonIdempotent && q.machine.AtMostOnce && q.machine.phase == Abandoned) {
-				if !mutated("cancel-lost") {
-					d.effects = append(d.effects, CancelAttempt{q, a.Attempt})
-				}
-			}
+			d.cancel(a)
 		case decision.SetTimer:
 			d.effects = append(d.effects, Timer{a})
 		case decision.CounterCall:
@@ -287,15 +192,15 @@
 	}
 }
 
-// send takes up the decision to make an attempt. One that must not be made is told to the module as never made.
-func (d *Dispatcher) send(now decision.Seconds, a decision.Send) {
+// send carries out the decision to make an attempt. One that must not be made ends the request as failed.
+func (d *Dispatcher[H]) send(now decision.Seconds, a decision.Send) {
 	q := d.pending[a.ID]
 	if q == nil {
 		return
 	}
 	if err := q.machine.Send(); err != nil {
-		d.effects = append(d.effects, IllegalStep{q, err})
-		if q.machine.phase == Waiting {
+		d.effects = append(d.effects, IllegalStep[H]{q, err})
+		if q.phase() == Waiting {
 			d.finish(q, q.machine.Fail(), Decision{Kind: Fail})
 		}
 		return
@@ -304,26 +209,70 @@
 	if q.streamed {
 		d.gateway.BodyUploading(q.id)
 	}
-	until := q.deadline
+	deadline := q.deadline
 	if mutated("no-time-out") {
-		until += 60
+		deadline += 60
 	}
 	if a.Timeout > 0 {
-		until = min(until, now+a.Timeout)
+		deadline = min(deadline, now+a.Timeout)
+	}
+	d.effects = append(d.effects, Notify[H]{q, Decision{
+		Kind:      Send,
+		Backend:   a.Backend,
+		Deadline:  deadline,
+		OverQuota: a.OverQuota,
+		SlowAfter: a.SlowAfter,
+	}})
+}
+
+// reject carries out the decision to reject a request.
+func (d *Dispatcher[H]) reject(a decision.Reject) {
+	q := d.pending[a.ID]
+	if q == nil || q.phase() == Abandoned {
+		return
+	}
+	d.finish(q, q.machine.Reject(), Decision{Kind: Reject, RetryAfter: a.RetryAfter, OverQuota: a.OverQuota})
+}
+
+// fail carries out the decision that a request has failed.
+func (d *Dispatcher[H]) fail(a decision.Fail) {
+	q := d.pending[a.ID]
+	if q == nil || q.phase() == Abandoned {
+		return
+	}
+	final := Decision{Kind: Fail}
+	if mutated("fail-refuses") {
+		final.Kind = Reject
+	}
+	d.finish(q, q.machine.Fail(), final)
+}
+
+// cancel carries out the decision to cancel an attempt, if it is the one in flight. An attempt that must run at most once
+// is finished for a client that has disconnected, where the settings say so.
+func (d *Dispatcher[H]) cancel(a decision.Cancel) {
+	q := d.pending[a.ID]
+	if q == nil || !q.machine.MayHaveRun() || a.Attempt != q.lastAttempt() {
+		return
+	}
+	if d.finishNonIdempotent && q.machine.AtMostOnce && q.phase() == Abandoned {
+		return
+	}
+	if !mutated("cancel-lost") {
+		d.effects = append(d.effects, CancelAttempt[H]{q, a.Attempt})
 	}
-	d.effects = append(d.effects, Notify{q, Decision{Kind: Send, Backend: a.Backend, Deadline: until, OverQuota: a.OverQuota, SlowAfter: a.SlowAfter}})
 }
 
-// say says the last word on a request. A refusal that would lie becomes a failure.
-func (d *Dispatcher) finish(q *Request, err error, word Decision) {
+// finish delivers the final decision on a request, err being what its machine says to it. An unsafe rejection becomes a
+// failure.
+func (d *Dispatcher[H]) finish(q *Request[H], err error, final Decision) {
 	if err != nil {
-		d.effects = append(d.effects, IllegalStep{q, fmt.Errorf("%v: %w", word.Kind, err)})
-		if q.machine.phase != Waiting {
+		d.effects = append(d.effects, IllegalStep[H]{q, fmt.Errorf("%v: %w", final.Kind, err)})
+		if q.phase() != Waiting {
 			return
 		}
-		q.machine.Fail()
-		word = Decision{Kind: Fail}
+		_ = q.machine.Fail() // cannot fail while waiting
+		final = Decision{Kind: Fail}
 	}
 	delete(d.pending, q.id)
-	d.effects = append(d.effects, Notify{q, word})
+	d.effects = append(d.effects, Notify[H]{q, final})
 }
--- a/internal/dataplane/attempt/machine.go
+++ b/internal/dataplane/attempt/machine.go
@@ -1,70 +1,53 @@
-// Package attempt is the life of a request: taken, sent on perhaps several times, answered once. It is written as a
-// machine that serving code runs on and that an explorer drives through every order of events. It does no I/O, reads
-// no clock and starts no goroutine.
-//
-// Life is the machine of one request; Desk holds the decision module and the lives of all requests in its hands, and
-// turns what happens into what is to be done.
 package attempt
 
 import (
-	"errors"
 	"fmt"
 
 	"mulleinrouter/internal/decision"
 )
 
-// Phase is where in its life a request is.
+// Phase is a phase of a request's life cycle.
 type Phase uint8
 
 // The phases.
 const (
-	Waiting   Phase = iota // in the module's hands; nothing is out
-	InFlight               // an attempt is out, or has been decided on
-	Abandoned              // nobody waits for the answer any more, and an attempt is still out
-	Finished               // its last word has been said
+	Waiting   Phase = iota // the decision module has it; no attempt is in flight
+	InFlight               // an attempt is in flight, or has been decided on
+	Abandoned              // the client has disconnected, and an attempt is still in flight
+	Finished               // the final decision has been made
 )
 
-var phaseNames = [...]string{"waiting", "out", "deserted", "over"}
+var phaseNames = [...]string{"waiting", "in flight", "abandoned", "finished"}
 
 func (p Phase) String() string { return phaseNames[p] }
 
-// Errors of steps that a life does not have. They are the module's or the host's mistakes: each is told with a code and
-// ends in an answer that is safe.
-var (
-	ErrPhase           = errors.New("not in this phase")
-	ErrTooManyAttempts = errors.New("one attempt too many")
-	ErrMayHaveRun      = errors.New("it may have run and must not run twice")
-	ErrBodyConsumed    = errors.New("its body has gone")
-	ErrUnsafeReject    = errors.New("a refusal, though it may have run and must not run twice")
-)
-
-// Machine is the machine of one request. Its zero value is a request that may run twice, of one attempt at most.
+// Machine is the state machine of one request. Its zero value is an idempotent request of one attempt at most.
 type Machine struct {
-	AtMostOnce    bool // it must not run twice: nothing is sent again that may have run
-	NoClientRetry bool // nor may it be asked again by its client: a refusal after it may have run would be a lie
-	MaxAttempts   int  // attempts
+	AtMostOnce    bool // once it may have run, it is not attempted again
+	NoClientRetry bool // a retry by its client might run too: once it may have run, it is not rejected
+	MaxAttempts   int  // 0: one
 
 	phase        Phase
 	attempts     int
-	mayHaveRun   bool // an attempt that is over may have run, or may yet
-	bodyConsumed bool // of its body, something has been taken that cannot be had again
+	mayHaveRun   bool // an attempt that has ended may have run, or may yet
+	bodyConsumed bool // a part of its body has been read that cannot be read again
 }
 
-// Phase tells where it is.
+// Phase returns the phase.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// Attempts is how many have been decided on.
+// Attempts returns the number of attempts that have been decided on.
 func (m *Machine) Attempts() int { return m.attempts }
 
-// MayHaveRun tells whether an attempt may have run, or may yet, as far as is known.
+// MayHaveRun reports whether an attempt may have run, or may yet, as far as is known.
 func (m *Machine) MayHaveRun() bool {
 	return m.mayHaveRun || m.phase == InFlight || m.phase == Abandoned
 }
 
-// ConsumeBody tells that something of its body has been taken that cannot be had again: the attempt that is out is the last.
+// ConsumeBody records that a part of the body has been read that cannot be read again: the attempt in flight is the last.
 func (m *Machine) ConsumeBody() { m.bodyConsumed = true }
 
-// BodyConsumed tells whether it cannot be sent again.
+// BodyConsumed reports whether the request cannot be sent again for want of its body.
 func (m *Machine) BodyConsumed() bool { return m.bodyConsumed }
 
 // Send is the decision to make an attempt.
@@ -73,7 +56,7 @@
 	case m.phase != Waiting:
 		return fmt.Errorf("send while %v: %w", m.phase, ErrPhase)
 	case m.attempts >= max(1, m.MaxAttempts):
-		return fmt.Errorf("send after %d: %w", m.attempts, ErrTooManyAttempts)
+		return fmt.Errorf("send after %d attempts: %w", m.attempts, ErrTooManyAttempts)
 	case m.bodyConsumed:
 		return fmt.Errorf("send: %w", ErrBodyConsumed)
 	case m.AtMostOnce && m.mayHaveRun:
@@ -84,13 +67,14 @@
 	return nil
 }
 
-// AttemptEnded is the end of the attempt that is out. It tells whether that was the last word: served, or nobody waits.
-func (m *Machine) AttemptEnded(o decision.Outcome) (over bool, err error) {
+// AttemptEnded ends the attempt in flight. Finished reports whether the request ends with it: it succeeded, or its client
+// has disconnected.
+func (m *Machine) AttemptEnded(outcome decision.Outcome) (finished bool, err error) {
 	if m.phase != InFlight && m.phase != Abandoned {
-		return false, fmt.Errorf("an attempt ends while %v: %w", m.phase, ErrPhase)
+		return false, fmt.Errorf("attempt ended while %v: %w", m.phase, ErrPhase)
 	}
-	m.mayHaveRun = m.mayHaveRun || !o.ProvesNotExecuted()
-	if m.phase == Abandoned && !mutated("deserted-waits") || o == decision.Succeeded {
+	m.mayHaveRun = m.mayHaveRun || !outcome.ProvesNotExecuted()
+	if m.phase == Abandoned && !mutated("deserted-waits") || outcome == decision.Succeeded {
 		m.phase = Finished
 		return true, nil
 	}
@@ -98,10 +82,10 @@
 	return false, nil
 }
 
-// Reject is the decision to answer that trying again does no harm.
+// Reject is the decision to answer that a retry by the client does no harm.
 func (m *Machine) Reject() error {
 	if m.phase != Waiting {
-		return fmt.Errorf("refuse while %v: %w", m.phase, ErrPhase)
+		return fmt.Errorf("reject while %v: %w", m.phase, ErrPhase)
 	}
 	if m.NoClientRetry && m.mayHaveRun {
 		return ErrUnsafeReject
@@ -110,7 +94,7 @@
 	return nil
 }
 
-// Fail is the decision to answer that it was not served and may have run.
+// Fail is the decision to answer that the request was not served and may have run.
 func (m *Machine) Fail() error {
 	if m.phase != Waiting {
 		return fmt.Errorf("fail while %v: %w", m.phase, ErrPhase)
@@ -119,9 +103,9 @@
 	return nil
 }
 
-// ClientGone tells that nobody waits for the answer any more. Over: nothing is out, it was the last word. It may come at
-// any time, and more than once.
-func (m *Machine) ClientDisconnected() (over bool) {
+// ClientDisconnected records that the client no longer waits for an answer. Finished reports whether the request ends with
+// it: no attempt was in flight. It may be called in any phase, and more than once.
+func (m *Machine) ClientDisconnected() (finished bool) {
 	switch m.phase {
 	case Waiting:
 		m.phase = Finished
--- a/internal/dataplane/attempt/mutant_off.go
+++ b/internal/dataplane/attempt/mutant_off.go
@@ -2,6 +2,6 @@
 
 package attempt
 
-// mutated tells whether a fault is seeded at a place. Only builds with the tag mutants have any: there, the explorer is
-// tested by whether it finds them.
+// mutated reports whether the fault of this name is seeded. Only builds with the tag mutants seed faults: there, the
+// model checker is tested by whether it finds them.
 func mutated(string) bool { return false }
--- /dev/null
+++ b/internal/dataplane/engine/counter.go
@@ -0,0 +1,69 @@
+package engine
+
+import (
+	"mulleinrouter/internal/dataplane/attempt"
+	"mulleinrouter/internal/decision"
+)
+
+// Counter carries out the decision module's calls of the shared counter. Add must not block; its result goes to
+// Engine.CounterReplied, once.
+type Counter interface {
+	// Add adds an amount to the counter of this name, which is kept for so many seconds.
+	Add(name string, amount float64, keep decision.Seconds)
+}
+
+// PairCounter is a Counter of pairs (decision.Settings.PairCounter): it gets the whole call, and its result goes to
+// Engine.PairCounterReplied.
+type PairCounter interface{ Call(decision.CounterCall) }
+
+// QuotaSharer observes requests and calls of the counter, for ingresses that share quotas among themselves. Its methods
+// must not block and must not call the engine.
+type QuotaSharer interface {
+	// ObserveRequest observes a request: its customer, the first of the customer's gateways and their number, its quota in
+	// units per second and its size in units.
+	ObserveRequest(customer string, first, gateways int, quota, units float64)
+	// ObserveCounterCall observes a call of the counter as it is made.
+	ObserveCounterCall(name string, amount float64, keep decision.Seconds)
+	// ObserveCounterReply observes its result, and returns the outcome that the decision module gets: an impossible total
+	// is none.
+	ObserveCounterReply(name string, outcome decision.Outcome, total float64) decision.Outcome
+}
+
+// SetQuotaSharer sets the observer of requests and calls of the counter.
+func (e *Engine) SetQuotaSharer(s QuotaSharer) { e.sharer.Store(&s) }
+
+// CounterReplied reports the result of a call of the counter.
+func (e *Engine) CounterReplied(name string, outcome decision.Outcome, total float64) {
+	e.PairCounterReplied(name, outcome, total, 0)
+}
+
+// PairCounterReplied reports the result of a call of a counter of pairs: the sum, and how many gateways it is of.
+func (e *Engine) PairCounterReplied(name string, outcome decision.Outcome, total float64, holders int) {
+	if s := e.sharer.Load(); s != nil {
+		outcome = (*s).ObserveCounterReply(name, outcome, total)
+	}
+	e.do(func(now decision.Seconds) []attempt.Effect {
+		e.counters.counterCalls++
+		if outcome != decision.Succeeded {
+			e.counters.failedCounterCalls++
+		}
+		reply := decision.CounterReply{Name: name, Outcome: outcome, Total: total, Holders: holders}
+		return e.dispatcher.Handle(now, reply)
+	})
+}
+
+// callCounter carries out a call of the counter. Without a counter it fails at once.
+func (e *Engine) callCounter(call decision.CounterCall) {
+	if p, ok := e.counter.(PairCounter); ok {
+		p.Call(call)
+		return
+	}
+	if e.counter == nil {
+		e.CounterReplied(call.Name, decision.ConnectionRefused, 0)
+		return
+	}
+	if s := e.sharer.Load(); s != nil {
+		(*s).ObserveCounterCall(call.Name, call.Add, call.Retention)
+	}
+	e.counter.Add(call.Name, call.Add, call.Retention)
+}
--- a/internal/dataplane/engine/engine_test.go
+++ b/internal/dataplane/engine/engine_test.go
@@ -70,8 +70,8 @@
 			if diff := cmp.Diff(tc.want, got, noTimes); diff != "" {
 				t.Error(diff)
 			}
-			if e.dispatcher.Pending() != 0 || len(ticket.next) != 0 {
-				t.Errorf("%d requests and %d decisions left behind", e.dispatcher.Pending(), len(ticket.next))
+			if e.dispatcher.Pending() != 0 || len(ticket.decisions) != 0 {
+				t.Errorf("%d requests and %d decisions left behind", e.dispatcher.Pending(), len(ticket.decisions))
 			}
 		})
 	}
--- a/internal/dataplane/upstreamconn/mutant_on.go
+++ b/internal/dataplane/upstreamconn/mutant_on.go
@@ -2,8 +2,8 @@
 
 package upstreamconn
 
-// Mutant names the fault that is seeded; empty: none. Tests set it before anything runs.
+// Mutant names the seeded fault; empty: none. Tests set it before anything runs.
 var Mutant string
 
-// mutated tells whether a fault is seeded at a place.
+// mutated reports whether the fault of this name is seeded.
 func mutated(name string) bool { return Mutant == name }
--- a/internal/emulator/modelcheck/world.go
+++ b/internal/emulator/modelcheck/world.go
@@ -26,7 +26,7 @@
 type World struct {
 	config     Config
 	now        decision.Seconds
-	desk       *attempt.Dispatcher
+	desk       *attempt.Dispatcher[*client]
 	shelf      *upstreamconn.IdlePool[*conn]
 	memory     upstreamconn.LossHistory
 	servers    []*server // by list order; those that are gone stay, to be looked at
@@ -75,7 +75,7 @@
 type client struct {
 	name     string
 	send     bool
-	request  *attempt.Request
+	request  *attempt.Request[*client]
 	at       decision.Seconds
 	gone     bool // left
 	answers  int
@@ -143,7 +143,7 @@
 	if c.Full {
 		most = 1
 	}
-	w := &World{config: c, now: 1000, desk: attempt.NewDispatcher(decision.New(s, 1), &s), shelf: upstreamconn.NewIdlePool[*conn](most)}
+	w := &World{config: c, now: 1000, desk: attempt.NewDispatcher[*client](decision.New(s, 1), &s), shelf: upstreamconn.NewIdlePool[*conn](most)}
 	w.do(w.desk.Handle(w.now, decision.Start{}))
 	for i := range c.Servers {
 		w.servers = append(w.servers, &server{id: fmt.Sprint("s", i+1), addr: fmt.Sprint("a", i+1), listed: true, serving: true})
@@ -225,17 +225,17 @@
 		e := w.queue[0]
 		w.queue = w.queue[1:]
 		switch a := e.(type) {
-		case attempt.Notify:
-			w.tell(a.Request.Host.(*client), a.Decision)
-		case attempt.CancelAttempt:
-			if c := a.Request.Host.(*client); c.try != nil && c.tries == a.Attempt+1 {
+		case attempt.Notify[*client]:
+			w.tell(a.Request.Host, a.Decision)
+		case attempt.CancelAttempt[*client]:
+			if c := a.Request.Host; c.try != nil && c.tries == a.Attempt+1 {
 				c.try.cancelled = true
 			}
 		case attempt.Timer:
 			w.timers = append(w.timers, a.SetTimer)
 		case attempt.CounterCall:
 			w.counts = append(w.counts, a.Name)
-		case attempt.IllegalStep:
+		case attempt.IllegalStep[*client]:
 			w.violate("legal", "%v", a.Err)
 		}
 	}
