--- /dev/null
+++ b/internal/standalone/fleet/gossip/golden_test.go
@@ -0,0 +1,73 @@
+package gossip
+
+import (
+	"bytes"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"mulleinrouter/internal/standalone/fleet/membership"
+	"mulleinrouter/internal/standalone/goldentest"
+)
+
+// TestGoldenMessages reads the messages of an earlier version and, where the encoding is deterministic, writes the same
+// bytes. The encoding of a map isn't.
+func TestGoldenMessages(t *testing.T) {
+	self := membership.Claim{Boot: 12, Nonce: 1<<63 - 3}
+	other := membership.Claim{Boot: 3, Nonce: 99}
+	for _, tc := range []struct {
+		file        string
+		want        *message
+		unspecified bool // the order of its bytes
+	}{
+		{"ping.cbor", messageOf(membership.Word{
+			From: "n1", Addr: "10.0.0.4:7946", Claim: self, Seq: 300, Echo: 299, Yours: other,
+		}), false},
+		{"links-request.cbor", &message{Kind: rowAsk, From: "n1", Ask: 70000}, false},
+		{"links-response.cbor", &message{Kind: row, From: "n2", Ask: 70000, Row: map[string]membership.Link{
+			"n1": membership.LinkIn, "n3": membership.LinkNone, "n4": membership.LinkBoth, "n5": membership.LinkUnknown,
+		}}, true},
+		{"payload.cbor", &message{Kind: load, From: "n1", Topic: 10, Data: []byte{1, 2, 3, 255}}, false},
+	} {
+		t.Run(tc.file, func(t *testing.T) {
+			golden := goldentest.Read(t, tc.file)
+			got := &message{}
+			if err := decode(golden, got); err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(tc.want, got); diff != "" {
+				t.Errorf("read (-want +got):\n%s", diff)
+			}
+			if written := encode(tc.want); !tc.unspecified && !bytes.Equal(written, golden) {
+				t.Errorf("written: got %x, want %x", written, golden)
+			}
+		})
+	}
+}
+
+// TestGoldenMetadata does the same for what a member says of itself in the SWIM protocol.
+func TestGoldenMetadata(t *testing.T) {
+	for _, tc := range []struct {
+		file string
+		want about
+	}{
+		{"meta.cbor", about{
+			Claim: [2]uint64{12, 1<<63 - 3}, Zone: "a", Version: "v1", Phase: membership.Leaving, Number: 5,
+		}},
+		{"meta-empty.cbor", about{}},
+	} {
+		t.Run(tc.file, func(t *testing.T) {
+			golden := goldentest.Read(t, tc.file)
+			var got about
+			if err := decode(golden, &got); err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(tc.want, got); diff != "" {
+				t.Errorf("read (-want +got):\n%s", diff)
+			}
+			if written := encode(tc.want); !bytes.Equal(written, golden) {
+				t.Errorf("written: got %x, want %x", written, golden)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/standalone/usageexport/golden_test.go
@@ -0,0 +1,163 @@
+package usageexport_test
+
+import (
+	"bytes"
+	"compress/gzip"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"go.etcd.io/bbolt"
+
+	"mulleinrouter/internal/dataplane/usage"
+	"mulleinrouter/internal/standalone/goldentest"
+	"mulleinrouter/internal/standalone/jsontext"
+	"mulleinrouter/internal/standalone/usageexport"
+)
+
+var goldenSegments = []string{"usage-0000000000000001.seg", "usage-0000000000000002.seg"}
+
+// goldenDir lays out a folder as an earlier version left it: two segments, and the store if it is wanted. There, batch 1
+// is acknowledged and batch 2 waits.
+func goldenDir(t *testing.T, withStore bool) string {
+	t.Helper()
+	dir := t.TempDir()
+	files := map[string][]byte{"source": []byte("0123456789abcdef\n")}
+	for _, name := range goldenSegments {
+		files[name] = goldentest.Read(t, name+".gz")
+	}
+	if withStore {
+		files["export.db"] = goldentest.Read(t, "export.db.gz")
+	}
+	for name, data := range files {
+		if err := os.WriteFile(filepath.Join(dir, name), data, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return dir
+}
+
+// goldenExporter opens a folder. Its endpoint keeps the bodies and acknowledges the first accept of them.
+func goldenExporter(t *testing.T, dir string, accept int) (e *usageexport.Exporter, bodies *[]string) {
+	t.Helper()
+	bodies = &[]string{}
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		reader, err := gzip.NewReader(r.Body)
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		body, err := io.ReadAll(reader)
+		if err != nil {
+			t.Error(err)
+		}
+		if *bodies = append(*bodies, string(body)); len(*bodies) > accept {
+			w.WriteHeader(http.StatusInternalServerError)
+			return
+		}
+		var b usage.Batch
+		if err := jsontext.Decode(body, &b); err != nil {
+			t.Error(err)
+		}
+		fmt.Fprintf(w, `{"source":%q,"number":%d,"digest":%q}`, b.Source, b.Number, usageexport.Digest(body))
+	}))
+	t.Cleanup(server.Close)
+	log, _ := logger()
+	e = &usageexport.Exporter{Dir: dir, Endpoint: server.URL, Keep: time.Hour, Log: log}
+	if err := e.Open(); err != nil {
+		t.Fatal(err)
+	}
+	return e, bodies
+}
+
+// storeContent returns all keys and values of a store.
+func storeContent(t *testing.T, path string) map[string]string {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o644, &bbolt.Options{ReadOnly: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	all := map[string]string{}
+	err = db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
+			return b.ForEach(func(k, v []byte) error {
+				all[fmt.Sprintf("%s/%x", bucket, k)] = string(bytes.Clone(v))
+				return nil
+			})
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return all
+}
+
+// TestGoldenStoreRead goes on from the store of an earlier version: the batch that waits is sent with the same bytes.
+func TestGoldenStoreRead(t *testing.T) {
+	e, bodies := goldenExporter(t, goldenDir(t, true), 1)
+	defer e.Close()
+	sent, _, _, err := e.Step(context.Background())
+	if err != nil || !sent {
+		t.Fatalf("got sent %v, %v", sent, err)
+	}
+	if diff := cmp.Diff([]string{string(goldentest.Read(t, "batch-2.json"))}, *bodies); diff != "" {
+		t.Errorf("bodies (-want +got):\n%s", diff)
+	}
+	var digests []string
+	err = e.Sent(func(_ usage.Batch, digest string, acknowledged bool) error {
+		digests = append(digests, fmt.Sprint(digest, " ", acknowledged))
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := []string{
+		usageexport.Digest(goldentest.Read(t, "batch-1.json")) + " true",
+		usageexport.Digest(goldentest.Read(t, "batch-2.json")) + " true",
+	}
+	if diff := cmp.Diff(want, digests); diff != "" {
+		t.Errorf("batches (-want +got):\n%s", diff)
+	}
+	verdict, err := e.Verify()
+	if err != nil || len(verdict.Problems) > 0 {
+		t.Errorf("got problems %v, %v; want none", verdict.Problems, err)
+	}
+}
+
+// TestGoldenStoreWritten writes the same batches and the same store as an earlier version, key by key.
+func TestGoldenStoreWritten(t *testing.T) {
+	dir := goldenDir(t, false)
+	second := filepath.Join(dir, goldenSegments[1])
+	if err := os.Rename(second, second+".later"); err != nil {
+		t.Fatal(err)
+	}
+	e, bodies := goldenExporter(t, dir, 1)
+	if sent, _, _, err := e.Step(context.Background()); err != nil || !sent {
+		t.Fatalf("batch 1: got sent %v, %v", sent, err)
+	}
+	if err := os.Rename(second+".later", second); err != nil {
+		t.Fatal(err)
+	}
+	if sent, _, _, err := e.Step(context.Background()); err == nil || sent {
+		t.Fatalf("batch 2: got sent %v, %v; want an error", sent, err)
+	}
+	if err := e.Close(); err != nil {
+		t.Fatal(err)
+	}
+	wantBodies := []string{string(goldentest.Read(t, "batch-1.json")), string(goldentest.Read(t, "batch-2.json"))}
+	if diff := cmp.Diff(wantBodies, *bodies); diff != "" {
+		t.Errorf("bodies (-want +got):\n%s", diff)
+	}
+	want := storeContent(t, filepath.Join(goldenDir(t, true), "export.db"))
+	if diff := cmp.Diff(want, storeContent(t, filepath.Join(dir, "export.db"))); diff != "" {
+		t.Errorf("store (-want +got):\n%s", diff)
+	}
+}
--- /dev/null
+++ b/internal/standalone/usagesegment/golden_test.go
@@ -0,0 +1,134 @@
+package usagesegment
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"mulleinrouter/internal/dataplane/usage"
+	"mulleinrouter/internal/standalone/goldentest"
+)
+
+const (
+	goldenBegun  = 1_740_000_000_123 // Unix ms, when the first segment began
+	goldenSealed = 1_740_000_200_500 // Unix ms, of the last write to the open segments
+	goldenRun    = 0x1122334455667788
+)
+
+// writeGolden writes what the golden files hold: a sealed segment with four attempts, one of them without an end, and an
+// open one with three.
+func writeGolden(t *testing.T, dir string) (sealedData, openData []byte) {
+	t.Helper()
+	c := &clock{at: time.UnixMilli(goldenBegun)}
+	log, _ := logger()
+	if err := os.WriteFile(filepath.Join(dir, "source"), []byte("0123456789abcdef\n"), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	w, err := open(dir, time.Minute, log, c.now, allocate)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer w.Close()
+	w.run = goldenRun // drawn at random by open: the golden files have this one
+	copy(w.in.data, usage.AppendHeader(nil, usage.Header{Number: 1, Writer: w.run, Begun: goldenBegun}))
+	var next int64
+	for i := range 4 {
+		var x usage.Try
+		goldentest.Fill(&x, &next)
+		if seq := w.Sent(x); i < 3 {
+			w.Ended(seq, usage.Arrival(i))
+		}
+	}
+	c.pass(2 * time.Minute)
+	w.look(false)
+	for range 3 {
+		var x usage.Try
+		goldentest.Fill(&x, &next)
+		w.Ended(w.Sent(x), usage.Whole)
+	}
+	if sealedData, err = os.ReadFile(filepath.Join(dir, name(1, sealedEnd))); err != nil {
+		t.Fatal(err)
+	}
+	if openData, err = os.ReadFile(filepath.Join(dir, name(2, openEnd))); err != nil {
+		t.Fatal(err)
+	}
+	return sealedData, openData
+}
+
+// TestGoldenSegmentsWritten writes the same bytes as an earlier version.
+func TestGoldenSegmentsWritten(t *testing.T) {
+	sealed, open := writeGolden(t, t.TempDir())
+	if want := goldentest.Read(t, "sealed.seg.gz"); !bytes.Equal(sealed, want) {
+		t.Errorf("sealed segment: got %x, want %x", sealed, want)
+	}
+	if want := goldentest.Read(t, "open.open.gz"); !bytes.Equal(open, want) {
+		t.Errorf("open segment: got %x..., want %x...", open[:512], want[:512])
+	}
+}
+
+// TestGoldenSegmentsRead reads the segments of an earlier version.
+func TestGoldenSegmentsRead(t *testing.T) {
+	for _, tc := range []struct {
+		file    string
+		header  usage.Header
+		records int
+		damaged int
+		lost    int
+	}{
+		{"sealed.seg.gz", usage.Header{Number: 1, Writer: goldenRun, Begun: goldenBegun, Sealed: goldenBegun + 120_000}, 7, 0, 0},
+		{"open.open.gz", usage.Header{Number: 2, Writer: goldenRun, Begun: goldenBegun + 120_000}, 6, 0, 0},
+		{"damaged.open.gz", usage.Header{Number: 2, Writer: goldenRun, Begun: goldenBegun + 120_000}, 5, 1, 9},
+	} {
+		t.Run(tc.file, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "segment")
+			if err := os.WriteFile(path, goldentest.Read(t, tc.file), 0o644); err != nil {
+				t.Fatal(err)
+			}
+			header, data, err := Read(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(tc.header, header); diff != "" {
+				t.Errorf("header (-want +got):\n%s", diff)
+			}
+			report, err := usage.Scan(data, func(usage.Record) {})
+			if err != nil || report.Records != tc.records || report.Damaged != tc.damaged || report.Lost != tc.lost {
+				t.Errorf("got %+v, %v; want %d records, %d damaged, %d bytes lost", report, err, tc.records, tc.damaged, tc.lost)
+			}
+		})
+	}
+}
+
+// TestGoldenSegmentsReclosed closes the open segments of an earlier version as that version did.
+func TestGoldenSegmentsReclosed(t *testing.T) {
+	for _, tc := range []struct{ open, closed string }{
+		{"open.open.gz", "open-closed.seg.gz"},
+		{"damaged.open.gz", "damaged-closed.seg.gz"},
+	} {
+		t.Run(tc.open, func(t *testing.T) {
+			dir := t.TempDir()
+			path := filepath.Join(dir, name(2, openEnd))
+			if err := os.WriteFile(path, goldentest.Read(t, tc.open), 0o644); err != nil {
+				t.Fatal(err)
+			}
+			modified := time.UnixMilli(goldenSealed)
+			if err := os.Chtimes(path, modified, modified); err != nil {
+				t.Fatal(err)
+			}
+			if err := reclose(path, modified); err != nil {
+				t.Fatal(err)
+			}
+			got, err := os.ReadFile(filepath.Join(dir, name(2, sealedEnd)))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if want := goldentest.Read(t, tc.closed); !bytes.Equal(got, want) {
+				t.Errorf("got %x, want %x", got, want)
+			}
+		})
+	}
+}
