--- /dev/null
+++ b/internal/standalone/fleet/leaseservice/encoding_test.go
@@ -0,0 +1,80 @@
+package leaseservice
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/google/go-cmp/cmp"
+
+	"mulleinrouter/internal/standalone/fleet/revisionlog"
+	"mulleinrouter/internal/standalone/jsontext"
+)
+
+// TestEncodingOfLandedVersion holds the messages between ingresses, the replies of the mgmt interface and the records on
+// disk still: the files under testdata/landed were written by commit 76a3bb5, before the types and fields were renamed.
+func TestEncodingOfLandedVersion(t *testing.T) {
+	status := Told{
+		Error:  "e",
+		Leader: "n1",
+		Term:   4,
+		Voters: []string{"n1", "n2"},
+		Duties: []DutyReport{
+			{Duty: "export", Holder: "n1", Token: 12, Line: []string{"n2", "n3"}},
+			{Duty: "catalogue"},
+		},
+		Past: []HolderReport{{Duty: "export", Token: 12, Holder: "n1", Start: 3}},
+	}
+	brief := revisionlog.Entry{Number: 3, Token: 12, Digest: "d3"}
+	full := brief
+	full.Text = []byte("text")
+	tests := []struct {
+		file  string
+		value any
+	}{
+		{"call_status.cbor", call{Word: "status"}},
+		{"call_give.cbor", call{Word: "give", Duty: "export", Name: "n2"}},
+		{"told.cbor", status},
+		{"told.json", status},
+		{"posting.cbor", posting{
+			Header: map[string][]string{"Content-Type": {"application/json"}},
+			Body:   []byte("batch"),
+		}},
+		{"posted.cbor", posted{Status: 200, Header: map[string][]string{"X-A": {"b"}}, Body: []byte("ok")}},
+		{"message_tell.cbor", revisionlog.Message{Kind: revisionlog.Tell, Token: 12, Entries: []revisionlog.Entry{full}}},
+		{"message_have.cbor", revisionlog.Message{Kind: revisionlog.Have, Token: 12, Entries: []revisionlog.Entry{brief}}},
+		{"message_ask.cbor", revisionlog.Message{Kind: revisionlog.Ask, Token: 12}},
+		{"announced.json", Announced{Taken: 12, Holder: "n1", Refused: 2, Entries: []revisionlog.Entry{brief}}},
+		{"record.json", revisionlog.Record{Taken: 12, Entries: []revisionlog.Entry{full}}},
+		{"duty_record.json", Record{Name: "n1", Boot: 3, Tokens: map[string]uint64{"export": 12}}},
+	}
+	for _, test := range tests {
+		t.Run(test.file, func(t *testing.T) {
+			encode, decode := cbor.Marshal, cbor.Unmarshal
+			if filepath.Ext(test.file) == ".json" {
+				encode, decode = jsontext.Encode, jsontext.Decode
+			}
+			landed, err := os.ReadFile(filepath.Join("testdata", "landed", test.file))
+			if err != nil {
+				t.Fatal(err)
+			}
+			written, err := encode(test.value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !bytes.Equal(written, landed) {
+				t.Errorf("encoded %q, want %q", written, landed)
+			}
+			decoded := reflect.New(reflect.TypeOf(test.value))
+			if err := decode(landed, decoded.Interface()); err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(test.value, decoded.Elem().Interface()); diff != "" {
+				t.Errorf("decoded (-want +got):\n%s", diff)
+			}
+		})
+	}
+}
--- a/internal/standalone/fleet/leaseservice/work.go
+++ b/internal/standalone/fleet/leaseservice/work.go
@@ -19,9 +19,9 @@
 // Record is what an ingress holds, as it was when it was last written. Writing it is the proof that there is room: who cannot
 // keep what it does under a duty does nothing under it.
 type Record struct {
-	Name   string
-	Boot   uint64
-	Tokens map[string]uint64 // by duty
+	Name   string            `json:"Name"`
+	Boot   uint64            `json:"Boot"`
+	Tokens map[string]uint64 `json:"Tokens"` // by duty
 }
 
 // Work is what a duty is: it runs until the context ends, and asks for the token before each effect. Returning early gives the
--- /dev/null
+++ b/internal/standalone/fleet/quorum/boltstore/landed_test.go
@@ -0,0 +1,162 @@
+package boltstore
+
+import (
+	"compress/gzip"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"go.etcd.io/bbolt"
+	pb "go.etcd.io/raft/v3/raftpb"
+
+	"mulleinrouter/internal/standalone/fleet/quorum"
+	"mulleinrouter/internal/standalone/fleet/singleton"
+	"mulleinrouter/internal/standalone/jsontext"
+)
+
+// landedStore returns a copy of the voter's file that commit 76a3bb5 wrote: a snapshot, entries behind it, a hard state.
+func landedStore(t *testing.T) *Store {
+	t.Helper()
+	packed, err := os.Open(filepath.Join("testdata", "landed", "voter.db.gz"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer packed.Close()
+	unpacked, err := gzip.NewReader(packed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	raw, err := io.ReadAll(unpacked)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &Store{Path: filepath.Join(t.TempDir(), "votes.db")}
+	if err := os.WriteFile(s.Path, raw, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { s.Close() })
+	return s
+}
+
+func readLandedJSON(t *testing.T, name string, into any) {
+	t.Helper()
+	raw, err := os.ReadFile(filepath.Join("testdata", "landed", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := jsontext.Decode(raw, into); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// dump returns all values of a file by bucket and key, in hexadecimal.
+func dump(t *testing.T, path string) map[string]string {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	all := map[string]string{}
+	err = db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
+			return b.ForEach(func(k, v []byte) error {
+				all[fmt.Sprintf("%s/%x", name, k)] = fmt.Sprintf("%x", v)
+				return nil
+			})
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return all
+}
+
+// A voter that opens the landed version's file has the table, term and log that the landed version had.
+func TestOpenLandedStore(t *testing.T) {
+	var want struct {
+		Status struct {
+			ID, Boot, Term, Applied uint64
+			Voters                  []string
+		} `json:"status"`
+		Register struct {
+			Last   uint64
+			Duties map[string]struct {
+				Holder singleton.Claimant
+				Token  uint64
+				Seen   uint64
+			}
+			History []struct {
+				Duty  string
+				Token uint64
+				To    singleton.Claimant
+				Index uint64
+			}
+		} `json:"register"`
+	}
+	readLandedJSON(t, "state.json", &want)
+	core, err := quorum.Open("v", []string{"v"}, landedStore(t), 1<<40)
+	if err != nil {
+		t.Fatal(err)
+	}
+	now := 1000.0
+	for ; !core.Status().Leads && now < 1100; now += quorum.TickEvery {
+		core.Tick(now)
+	}
+	got := core.Status()
+	if got.ID != want.Status.ID || got.Boot != want.Status.Boot+1 || got.Term != want.Status.Term+1 {
+		t.Errorf("got id %d, boot %d, term %d, want id %d, boot %d, term %d",
+			got.ID, got.Boot, got.Term, want.Status.ID, want.Status.Boot+1, want.Status.Term+1)
+	}
+	if got.Applied != want.Status.Applied+1 { // the new leader's first entry is one more
+		t.Errorf("applied %d entries, want %d", got.Applied, want.Status.Applied+1)
+	}
+	if diff := cmp.Diff(want.Status.Voters, got.Voters); diff != "" {
+		t.Errorf("voters (-want +got):\n%s", diff)
+	}
+	table := singleton.NewRegister()
+	table.Last = want.Register.Last
+	for name, lease := range want.Register.Duties {
+		table.Duties[name] = singleton.Entry{Holder: lease.Holder, Token: lease.Token, Seen: lease.Seen}
+	}
+	for _, past := range want.Register.History {
+		table.History = append(table.History,
+			singleton.Term{Duty: past.Duty, Token: past.Token, To: past.To, Index: past.Index})
+	}
+	if diff := cmp.Diff(table, core.Register()); diff != "" {
+		t.Errorf("table (-want +got):\n%s", diff)
+	}
+}
+
+// What is written into the landed version's file is, value by value, what the landed version wrote there.
+func TestSaveIntoLandedStore(t *testing.T) {
+	s := landedStore(t)
+	d, err := s.Open()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(d.Entries) != 8 || d.Boot != 2 {
+		t.Errorf("got %d entries and boot %d, want 8 and 2", len(d.Entries), d.Boot)
+	}
+	err = s.Save(quorum.Batch{
+		Snapshot: &pb.Snapshot{Data: []byte("all"), Metadata: &pb.SnapshotMetadata{
+			Index: new(uint64(3000)), Term: new(uint64(9)), ConfState: &pb.ConfState{Voters: []uint64{1, 2}}}},
+		Replace: true,
+		Names:   map[uint64]string{1: "a"},
+		Hard:    &pb.HardState{Term: new(uint64(9)), Vote: new(uint64(1)), Commit: new(uint64(3001))},
+		Entries: []*pb.Entry{entry(3001, 9), entry(3002, 9)},
+		Witness: map[uint64]quorum.Witness{2: {Boot: 7, Index: 3000}},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.Close()
+	var want map[string]string
+	readLandedJSON(t, "saved.json", &want)
+	if diff := cmp.Diff(want, dump(t, s.Path)); diff != "" {
+		t.Errorf("saved values (-want +got):\n%s", diff)
+	}
+}
--- a/internal/standalone/fleet/revisionlog/announce.go
+++ b/internal/standalone/fleet/revisionlog/announce.go
@@ -39,8 +39,8 @@
 
 // Record is what an ingress keeps.
 type Record struct {
-	Taken   uint64 // the newest token that it was told anything under
-	Entries []Entry
+	Taken   uint64  `json:"Taken"` // the newest token that it was told anything under
+	Entries []Entry `json:"Entries"`
 }
 
 // Kind is what a message is.
--- a/internal/standalone/fleet/singleton/register.go
+++ b/internal/standalone/fleet/singleton/register.go
@@ -40,9 +40,9 @@
 
 // Claimant is a process that holds a duty or wants to.
 type Claimant struct {
-	Name  string
-	Boot  uint64
-	Nonce uint64
+	Name  string `cbor:"Name"`
+	Boot  uint64 `cbor:"Boot"`
+	Nonce uint64 `cbor:"Nonce"`
 }
 
 // Command changes the register.
@@ -67,24 +67,24 @@
 
 // Entry is a duty as the register has it.
 type Entry struct {
-	Holder Claimant // the zero value: nobody
-	Token  uint64   // of the last grant
-	Seen   uint64   // place in the log of the grant or the last renewal
+	Holder Claimant `cbor:"Holder"` // the zero value: nobody
+	Token  uint64   `cbor:"Token"`  // of the last grant
+	Seen   uint64   `cbor:"Seen"`   // place in the log of the grant or the last renewal
 }
 
 // Term is one holder's time, for the history.
 type Term struct {
-	Duty  string
-	Token uint64
-	To    Claimant
-	Index uint64 // of the log
+	Duty  string   `cbor:"Duty"`
+	Token uint64   `cbor:"Token"`
+	To    Claimant `cbor:"To"`
+	Index uint64   `cbor:"Index"` // of the log
 }
 
 // Register is the state that the voters agree on.
 type Register struct {
-	Last    uint64 // the highest token that was ever given
-	Duties  map[string]Entry
-	History []Term
+	Last    uint64           `cbor:"Last"` // the highest token that was ever given
+	Duties  map[string]Entry `cbor:"Duties"`
+	History []Term           `cbor:"History"`
 }
 
 // NewRegister returns an empty one.
