--- a/internal/dataplane/engine/engine_test.go
+++ b/internal/dataplane/engine/engine_test.go
@@ -145,7 +145,7 @@
 		e.SetBackends(decision.Backends{Complete: true, List: []decision.Backend{{ID: "b", Serving: true, Size: 1}}})
 		state := plans.NewState(settings().Plans)
 		revision := func(n uint64, holds decision.Seconds, plan string) plans.Revision {
-			return plans.Revision{Number: n, Holds: holds, Authority: plans.Listed, Plans: []decision.Plan{small, large}, Members: map[string]string{member: plan}}
+			return plans.Revision{Number: n, Holds: holds, Authority: plans.AuthorityCatalogue, Plans: []decision.Plan{small, large}, Members: map[string]string{member: plan}}
 		}
 		e.SetCatalogue(func(now decision.Seconds) Catalogue {
 			state.Offer(revision(1, now, "small"), now)
--- a/internal/emulator/faulttest/file.go
+++ b/internal/emulator/faulttest/file.go
@@ -204,20 +204,20 @@
 	}
 	t := &Timeline{Name: w.Name, Seed: w.Seed, Ingresses: w.Ingresses, Interval: w.Interval, Sealed: w.Sealed, Quiet: w.Quiet, Voters: w.Voters}
 	if w.Voters != 0 && w.Voters != 1 && w.Voters != 3 && w.Voters != 5 || w.Voters > w.Ingresses {
-		return nil, f.At("voters", "0, 1, 3 or 5 of the ingresses")
+		return nil, f.ErrorAt("voters", "0, 1, 3 or 5 of the ingresses")
 	}
 	if w.Ingresses < 1 || w.Ingresses > mostIngresses {
-		return nil, f.At("ingresses", fmt.Sprintf("must be from 1 to %d", mostIngresses))
+		return nil, f.ErrorAt("ingresses", fmt.Sprintf("must be from 1 to %d", mostIngresses))
 	}
 	if t.Catalogue = w.Catalogue; t.Catalogue && t.Voters == 0 {
-		return nil, f.At("catalogue", "what is announced needs voters")
+		return nil, f.ErrorAt("catalogue", "what is announced needs voters")
 	}
 	t.Share, t.Customers, t.Quota, t.Servers = w.Share, w.Customers, w.Quota, w.Servers
 	if t.Servers < 0 || t.Servers > len(stands)-quotesAt {
-		return nil, f.At("servers", fmt.Sprintf("up to %d", len(stands)-quotesAt))
+		return nil, f.ErrorAt("servers", fmt.Sprintf("up to %d", len(stands)-quotesAt))
 	}
 	if t.Customers < 0 || t.Customers > 100 || t.Customers > 0 && !(t.Quota >= 1 && t.Quota <= 1000) {
-		return nil, f.At("customers", "up to 100, with a quota from 1 to 1000 units a second")
+		return nil, f.ErrorAt("customers", "up to 100, with a quota from 1 to 1000 units a second")
 	}
 	if _, err := f.Duration("interval", w.Interval, 0); err != nil {
 		return nil, err
@@ -226,7 +226,7 @@
 		return nil, err
 	}
 	if t.Lasts <= 0 || t.Lasts > mostLasts {
-		return nil, f.At("lasts", fmt.Sprintf("must be more than 0 and at most %v", mostLasts))
+		return nil, f.ErrorAt("lasts", fmt.Sprintf("must be more than 0 and at most %v", mostLasts))
 	}
 	for _, b := range w.Steps {
 		if err := t.step(f, b); err != nil {
@@ -235,13 +235,13 @@
 	}
 	for name, rate := range w.Clocks {
 		if !slices.Contains(t.Names(), name) || !(rate >= 0.5 && rate <= 2) {
-			return nil, f.At("clocks", "seconds of a member's clock in one, from 0.5 to 2, by its name")
+			return nil, f.ErrorAt("clocks", "seconds of a member's clock in one, from 0.5 to 2, by its name")
 		}
 	}
 	t.Clocks = w.Clocks
 	slices.SortStableFunc(t.Steps, func(a, b Step) int { return int(a.At - b.At) })
 	if len(w.Expect) == 0 {
-		return nil, f.At("expect", "nothing is expected: a rehearsal that cannot fail shows nothing")
+		return nil, f.ErrorAt("expect", "nothing is expected: a rehearsal that cannot fail shows nothing")
 	}
 	for _, b := range w.Expect {
 		if err := t.expect(f, b); err != nil {
@@ -273,7 +273,7 @@
 		case isRange && i >= 0 && j >= i:
 			all = append(all, names[i:j+1]...)
 		default:
-			return nil, f.At(path, fmt.Sprintf("no member is %q: they are n1 to n%d", w, t.Ingresses))
+			return nil, f.ErrorAt(path, fmt.Sprintf("no member is %q: they are n1 to n%d", w, t.Ingresses))
 		}
 	}
 	return all, nil
@@ -290,7 +290,7 @@
 		return err
 	}
 	if when > t.Lasts {
-		return f.At(at, fmt.Sprintf("%v is past the end, %v", when, t.Lasts))
+		return f.ErrorAt(at, fmt.Sprintf("%v is past the end, %v", when, t.Lasts))
 	}
 	s.At = when
 	if s.For, err = f.Duration(at+".for", b.For, 0); err != nil {
@@ -318,21 +318,21 @@
 	}
 	if b.Keys != "" {
 		if !t.Sealed || !slices.Contains([]string{"add", "turn", "drop"}, b.Keys) {
-			return f.At(at+".keys", "of a sealed fleet a key is one of add, turn and drop")
+			return f.ErrorAt(at+".keys", "of a sealed fleet a key is one of add, turn and drop")
 		}
 		s.Do, s.Word = "keys", b.Keys
 		done++
 	}
 	if b.Counter != "" {
 		if !slices.Contains([]string{"gone", "back", "empty", "split"}, b.Counter) {
-			return f.At(at+".counter", "one of gone, back, empty and split")
+			return f.ErrorAt(at+".counter", "one of gone, back, empty and split")
 		}
 		s.Do, s.Word = "counter", b.Counter
 		done++
 	}
 	if b.Server != 0 {
 		if b.Server < 1 || b.Server > max(1, t.Servers) {
-			return f.At(at+".server", "the number of one of the quote servers")
+			return f.ErrorAt(at+".server", "the number of one of the quote servers")
 		}
 		s.Do, s.Word = "server", strconv.Itoa(b.Server)
 		done++
@@ -344,7 +344,7 @@
 	if b.Voters != "" {
 		verb, name, _ := strings.Cut(b.Voters, " ")
 		if t.Voters == 0 || !slices.Contains(t.Names(), name) || verb != "add" && verb != "remove" {
-			return f.At(at+".voters", "it is add or remove and the name of a member, where there are voters")
+			return f.ErrorAt(at+".voters", "it is add or remove and the name of a member, where there are voters")
 		}
 		s.Do, s.Word = "voters", b.Voters
 		done++
@@ -357,28 +357,28 @@
 		done++
 	}
 	if done != 1 {
-		return f.At(at, "one thing is done in each at")
+		return f.ErrorAt(at, "one thing is done in each at")
 	}
 	if _, known := diskFails[b.Fails]; known != (s.Do == "disk") {
-		return f.At(at+".fails", "of a disk, it is one of write, torn, full, sync and rename")
+		return f.ErrorAt(at+".fails", "of a disk, it is one of write, torn, full, sync and rename")
 	}
 	if s.Do == "revise" && !t.Catalogue {
-		return f.At(at+".revise", "there is no catalogue")
+		return f.ErrorAt(at+".revise", "there is no catalogue")
 	}
 	if s.Do == "disk" {
 		s.Word = b.Fails
 	}
 	if b.Dies != "" && (s.Do != "upgrade" || b.Dies != "old" && b.Dies != "young") {
-		return f.At(at+".dies", "of an upgrade, either the old process dies or the young one")
+		return f.ErrorAt(at+".dies", "of an upgrade, either the old process dies or the young one")
 	}
 	if s.Do == "upgrade" {
 		s.Word = b.Dies
 	}
 	if b.Folder != "" && (s.Do != "start" || !slices.Contains([]string{"kept", "empty", "saved"}, b.Folder)) {
-		return f.At(at+".folder", "of a start, the folder is one of kept, empty and saved")
+		return f.ErrorAt(at+".folder", "of a start, the folder is one of kept, empty and saved")
 	}
 	if s.For > 0 && !slices.Contains([]string{"stop", "link", "fill", "lameduck", "disk", "server"}, s.Do) {
-		return f.At(at+".for", "what is undone is a stop, a link, a fill, a disk, a server or a lameduck")
+		return f.ErrorAt(at+".for", "what is undone is a stop, a link, a fill, a disk, a server or a lameduck")
 	}
 	t.Steps = append(t.Steps, s)
 	return nil
@@ -405,10 +405,10 @@
 		return l, err
 	}
 	if err := l.Fault.Validate(); err != nil {
-		return l, f.At(at, err.Error())
+		return l, f.ErrorAt(at, err.Error())
 	}
 	if l.Fault == (faultnet.Fault{}) {
-		return l, f.At(at, "no fault is named")
+		return l, f.ErrorAt(at, "no fault is named")
 	}
 	switch b.Protocol {
 	case "":
@@ -418,7 +418,7 @@
 	case "streams":
 		l.Proto = faultnet.Streams
 	default:
-		return l, f.At(at+".protocol", fmt.Sprintf("%q is neither \"datagrams\" nor \"streams\"", b.Protocol))
+		return l, f.ErrorAt(at+".protocol", fmt.Sprintf("%q is neither \"datagrams\" nor \"streams\"", b.Protocol))
 	}
 	return l, nil
 }
@@ -427,14 +427,14 @@
 	at := "expect." + b.Kind
 	words, ok := kinds[b.Kind]
 	if !ok {
-		return f.At(at, fmt.Sprintf("nothing is called %q", b.Kind))
+		return f.ErrorAt(at, fmt.Sprintf("nothing is called %q", b.Kind))
 	}
 	if !slices.Contains(words, b.Is) && (words != nil || b.Is != "") {
-		return f.At(at+".is", fmt.Sprintf("must be one of %q", words))
+		return f.ErrorAt(at+".is", fmt.Sprintf("must be one of %q", words))
 	}
 	e := Expect{Kind: b.Kind, Is: b.Is, Most: b.Most, Least: b.Least}
 	if b.Kind == "use" && (t.Customers == 0 || !(b.Most > 0 && b.Least >= 0)) {
-		return f.At(at, "use of customers' quotas needs customers, and most, a part of the quota")
+		return f.ErrorAt(at, "use of customers' quotas needs customers, and most, a part of the quota")
 	}
 	var err error
 	if e.Of, err = t.members(f, at+".of", b.Of); err != nil {
@@ -450,7 +450,7 @@
 		return err
 	}
 	if e.After+e.Within > t.Lasts || e.Within <= 0 {
-		return f.At(at, fmt.Sprintf("it ends past the end, %v", t.Lasts))
+		return f.ErrorAt(at, fmt.Sprintf("it ends past the end, %v", t.Lasts))
 	}
 	t.Expect = append(t.Expect, e)
 	return nil
--- a/internal/emulator/faulttest/world.go
+++ b/internal/emulator/faulttest/world.go
@@ -294,7 +294,7 @@
 // revise writes a revision into a member's file: under one number, each member's has another content.
 func (w *world) revise(n *node, number uint64) error {
 	i := slices.Index(w.nodes, n)
-	r := plans.Revision{Number: number, Authority: plans.Header, Plans: []decision.Plan{{Name: "basic", Rate: 1000 + float64(i), Burst: 1000, ValueWeight: 1}}}
+	r := plans.Revision{Number: number, Authority: plans.AuthorityHeader, Plans: []decision.Plan{{Name: "basic", Rate: 1000 + float64(i), Burst: 1000, ValueWeight: 1}}}
 	if number > 1 {
 		r.Holds = float64(time.Now().Add(time.Second).UnixMilli()) / 1000
 	}
--- a/internal/emulator/testcluster/rig.go
+++ b/internal/emulator/testcluster/rig.go
@@ -150,7 +150,7 @@
 	r.counter = counterserver.New(2)
 	go r.counter.Serve(r.listener)
 
-	first := plans.Revision{Number: 1, Authority: plans.Listed, Bookable: 10 * float64(r.Members), Plans: []decision.Plan{basic, plus}, Members: map[string]string{}}
+	first := plans.Revision{Number: 1, Authority: plans.AuthorityCatalogue, BookableRate: 10 * float64(r.Members), Plans: []decision.Plan{basic, plus}, Members: map[string]string{}}
 	for i := range r.Members {
 		first.Members[member(i)] = []string{"basic", "plus"}[i%2]
 	}
--- a/internal/standalone/catalogue/catalogue.go
+++ b/internal/standalone/catalogue/catalogue.go
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	if len(f.Revisions) == 0 {
-		return nil, parsed.At("revision", "a catalogue needs one revision at least")
+		return nil, parsed.ErrorAt("revision", "a catalogue needs one revision at least")
 	}
 	var all []plans.Revision
 	for _, w := range f.Revisions {
@@ -78,7 +78,7 @@
 			return nil, err
 		}
 		if slices.ContainsFunc(all, func(o plans.Revision) bool { return o.Number == r.Number }) {
-			return nil, parsed.At("revision."+w.Number, "another revision of this file has the same number")
+			return nil, parsed.ErrorAt("revision."+w.Number, "another revision of this file has the same number")
 		}
 		all = append(all, *r)
 	}
@@ -90,19 +90,19 @@
 	here := "revision." + w.Number
 	n, err := strconv.ParseUint(w.Number, 10, 63)
 	if err != nil {
-		return nil, f.At(here, "the number of a revision is a whole number from 1 on, in quotes")
+		return nil, f.ErrorAt(here, "the number of a revision is a whole number from 1 on, in quotes")
 	}
-	r := &plans.Revision{Number: n, Bookable: w.Bookable, Members: map[string]string{}}
+	r := &plans.Revision{Number: n, BookableRate: w.Bookable, Members: map[string]string{}}
 	if r.Holds, err = f.Time(here+".holds", w.Holds); err != nil {
 		return nil, err
 	}
 	switch w.Authority {
 	case "", "catalogue":
-		r.Authority = plans.Listed
+		r.Authority = plans.AuthorityCatalogue
 	case "header":
-		r.Authority = plans.Header
+		r.Authority = plans.AuthorityHeader
 	default:
-		return nil, f.At(here+".authority", fmt.Sprintf("%q is neither \"catalogue\" nor \"header\"", w.Authority))
+		return nil, f.ErrorAt(here+".authority", fmt.Sprintf("%q is neither \"catalogue\" nor \"header\"", w.Authority))
 	}
 	for _, p := range w.Plans {
 		r.Plans = append(r.Plans, p.Plan())
@@ -110,7 +110,7 @@
 	for plan, members := range w.Members {
 		for _, m := range members {
 			if other, twice := r.Members[m]; twice {
-				return nil, f.At(here+".members", fmt.Sprintf("%s is on %q and on %q", m, other, plan))
+				return nil, f.ErrorAt(here+".members", fmt.Sprintf("%s is on %q and on %q", m, other, plan))
 			}
 			r.Members[m] = plan
 		}
@@ -133,7 +133,7 @@
 		} else {
 			p.Where = here + "." + p.Where
 		}
-		err := f.At(p.Where, p.Text).(*hclfile.Error)
+		err := f.ErrorAt(p.Where, p.Text).(*hclfile.Error)
 		err.More = len(problems) - 1
 		return nil, err
 	}
@@ -145,7 +145,7 @@
 	var f file
 	for _, r := range all {
 		w := revision{Number: strconv.FormatUint(r.Number, 10), Holds: rfc3339(r.Holds), Authority: r.Authority.String(),
-			Bookable: r.Bookable, Members: map[string][]string{}}
+			Bookable: r.BookableRate, Members: map[string][]string{}}
 		for _, p := range r.Plans {
 			w.Plans = append(w.Plans, hclfile.FromPlan(p))
 		}
@@ -193,7 +193,7 @@
 // Errors of changing a catalogue.
 var (
 	ErrStale = errors.New("its number is not above the last one's")
-	ErrOlder = errors.New("it holds before the last one does")
+	ErrEarlierStart = errors.New("it holds before the last one does")
 )
 
 // Apply adds a revision to those of a catalogue, and leaves out what is past by now: all below the one in force.
@@ -202,7 +202,7 @@
 		if last := &all[n-1]; r.Number <= last.Number {
 			return nil, fmt.Errorf("revision %d: %w: %d", r.Number, ErrStale, last.Number)
 		} else if r.Holds > 0 && r.Holds < last.Holds {
-			return nil, fmt.Errorf("revision %d: %w", r.Number, ErrOlder)
+			return nil, fmt.Errorf("revision %d: %w", r.Number, ErrEarlierStart)
 		}
 	}
 	keep := 0
--- a/internal/standalone/catalogue/catalogue_test.go
+++ b/internal/standalone/catalogue/catalogue_test.go
@@ -48,12 +48,12 @@
 		t.Fatal(err)
 	}
 	r := all[0]
-	if r.Number != 7 || r.Holds != 1796119200 || r.Authority != plans.Listed || len(r.Plans) != 2 || r.Members["00000000000000cc"] != "plus" ||
+	if r.Number != 7 || r.Holds != 1796119200 || r.Authority != plans.AuthorityCatalogue || len(r.Plans) != 2 || r.Members["00000000000000cc"] != "plus" ||
 		r.Bookings[0].To-r.Bookings[0].From != 300.5 || r.Bookings[0].Units != 30050 {
 		t.Errorf("%+v", r)
 	}
 	second := r
-	second.Number, second.Authority, second.Members, second.Bookings = 8, plans.Header, map[string]string{}, nil
+	second.Number, second.Authority, second.Members, second.Bookings = 8, plans.AuthorityHeader, map[string]string{}, nil
 	again, err := Parse("again.hcl", Format([]plans.Revision{r, second}))
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 	if _, err := Apply(all, r(4, 130), 50); !errors.Is(err, ErrStale) {
 		t.Errorf("a number again: %v", err)
 	}
-	if _, err := Apply(all, r(5, 110), 50); !errors.Is(err, ErrOlder) {
+	if _, err := Apply(all, r(5, 110), 50); !errors.Is(err, ErrEarlierStart) {
 		t.Errorf("before the last one: %v", err)
 	}
 }
@@ -128,7 +128,7 @@
 	log.SetOutput(lines)
 	logged := make(chan struct{}, 100)
 	log.AddHook(hook(logged))
-	w := &Watcher{Path: path, Log: log, Tell: func(all []plans.Revision) { told <- all[len(all)-1].Number }}
+	w := &Watcher{Path: path, Log: log, OnChange: func(all []plans.Revision) { told <- all[len(all)-1].Number }}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() { done <- w.Run(ctx) }()
--- a/internal/standalone/catalogue/watch.go
+++ b/internal/standalone/catalogue/watch.go
@@ -14,7 +14,7 @@
 // Watcher follows a catalogue's file.
 type Watcher struct {
 	Path string
-	Tell func([]plans.Revision) // of each whole catalogue that can be used, from one goroutine
+	OnChange func([]plans.Revision) // of each whole catalogue that can be used, from one goroutine
 	Log  *logrus.Logger
 
 	last error
@@ -59,5 +59,5 @@
 		return
 	}
 	w.last = nil
-	w.Tell(all)
+	w.OnChange(all)
 }
--- a/internal/standalone/cli/fleet.go
+++ b/internal/standalone/cli/fleet.go
@@ -43,7 +43,7 @@
 // ask calls a management address for one line of JSON.
 func (a *address) ask(call string) (string, error) {
 	lines, err := mgmt.Call(a.Mgmt, call, 5*time.Second)
-	if errors.Is(err, mgmt.ErrRefused) {
+	if errors.Is(err, mgmt.ErrRejected) {
 		return "", errNoFleet
 	}
 	return strings.Join(lines[:min(1, len(lines))], ""), err
--- a/internal/standalone/cli/plans.go
+++ b/internal/standalone/cli/plans.go
@@ -97,7 +97,7 @@
 			state = "past"
 		}
 		fmt.Fprintf(w, "\nrevision %d, %s, holds from: %s; plans are named by: %s; bookable: %g units a second; digest %s\n",
-			r.Number, state, at(r.Holds), r.Authority, r.Bookable, r.Digest())
+			r.Number, state, at(r.Holds), r.Authority, r.BookableRate, r.Digest())
 		members := map[string]int{}
 		for _, plan := range r.Members {
 			members[plan]++
@@ -105,7 +105,7 @@
 		t := table(w)
 		fmt.Fprintln(t, "  plan\tmembers\tfigures")
 		for _, plan := range r.Plans {
-			fmt.Fprintf(t, "  %s\t%d\t%s\n", plan.Name, members[plan.Name], plans.Figures(plan))
+			fmt.Fprintf(t, "  %s\t%d\t%s\n", plan.Name, members[plan.Name], plans.FormatPlan(plan))
 		}
 		t.Flush()
 		writeBookings(w, r.Bookings)
--- a/internal/standalone/cli/serve.go
+++ b/internal/standalone/cli/serve.go
@@ -45,7 +45,7 @@
 		return badFile{err}
 	}
 	if s.Rehearsal != "" {
-		if c.Rehearsed, err = faultinjection.Follow(s.Rehearsal); err != nil {
+		if c.FaultInjection, err = faultinjection.Follow(s.Rehearsal); err != nil {
 			return badFile{err}
 		}
 	}
@@ -82,7 +82,7 @@
 			err = fmt.Errorf("%s: %w", cmp.Or(os.Getenv("NODE_CONFIG"), "the configuration"), err)
 		}
 	}
-	n.Reloaded(err == nil)
+	n.CountReload(err == nil)
 	if err != nil {
 		logger.WithField("code", "process-reload-failed").WithError(err).Error("the configuration stays as it was")
 		return
--- a/internal/standalone/config/config.go
+++ b/internal/standalone/config/config.go
@@ -32,13 +32,13 @@
 	Static    bool   // Known is the whole list: there is no discovery
 	Embedded  string // address where this ingress serves a counter of its own; empty: none
 	Catalogue string // file of plans that change in service; empty: none
-	Announce  bool   // revisions of the catalogue hold once the holder of that duty has announced them
+	AnnounceRevisions  bool   // revisions of the catalogue hold once the holder of that duty has announced them
 	Usage     *Usage // nil: use is not metered
 	LogFormat string // text or json; empty: text
 
 	Membership *Membership // nil: ingresses do not know of each other
 
-	Rehearsed *faultinjection.Faults // of a process that a rehearsal started; no file names them
+	FaultInjection *faultinjection.Faults // of a process that a rehearsal started; no file names them
 }
 
 // Membership is how this ingress knows of the others of its fleet.
--- a/internal/standalone/config/hcl.go
+++ b/internal/standalone/config/hcl.go
@@ -141,7 +141,7 @@
 
 func address(f *hclfile.File, path, addr string) error {
 	if _, _, err := net.SplitHostPort(addr); err != nil {
-		return f.At(path, fmt.Sprintf("not host:port: %q", addr))
+		return f.ErrorAt(path, fmt.Sprintf("not host:port: %q", addr))
 	}
 	return nil
 }
@@ -159,12 +159,12 @@
 	}
 	if w.State != "" {
 		if info, err := os.Stat(w.State); err != nil || !info.IsDir() {
-			return f.At("state", fmt.Sprintf("%q is no folder", w.State))
+			return f.ErrorAt("state", fmt.Sprintf("%q is no folder", w.State))
 		}
 		c.State = w.State
 	}
 	if w.Log != "" && w.Log != "text" && w.Log != "json" {
-		return f.At("log_format", fmt.Sprintf("%q is neither \"text\" nor \"json\"", w.Log))
+		return f.ErrorAt("log_format", fmt.Sprintf("%q is neither \"text\" nor \"json\"", w.Log))
 	}
 	if l := w.Limits; l != nil {
 		c.Limits = Limits{Cores: l.Cores, MemoryMB: l.MemoryMB, Sockets: l.Sockets}
@@ -173,7 +173,7 @@
 			bad bool
 		}{{"cores", l.Cores < 0}, {"memory_mb", l.MemoryMB < 0}, {"sockets", l.Sockets < 0}} {
 			if v.bad {
-				return f.At("limits."+v.key, "below zero")
+				return f.ErrorAt("limits."+v.key, "below zero")
 			}
 		}
 	}
@@ -184,12 +184,12 @@
 func (w *ours) servers(f *hclfile.File, c *Config) error {
 	if w.Discovery != "" {
 		if len(w.Servers) > 0 {
-			return f.At("server."+w.Servers[0].ID, "servers are written down and discovery is named: only one of them may be")
+			return f.ErrorAt("server."+w.Servers[0].ID, "servers are written down and discovery is named: only one of them may be")
 		}
 		return address(f, "discovery", w.Discovery)
 	}
 	if len(w.Servers) == 0 {
-		return f.At("server", "neither discovery nor a server is named: nothing could be sent anywhere")
+		return f.ErrorAt("server", "neither discovery nor a server is named: nothing could be sent anywhere")
 	}
 	c.Static = true
 	c.Known = &discovery.List{All: true}
@@ -197,14 +197,14 @@
 	for _, s := range w.Servers {
 		at := "server." + s.ID
 		if seen[s.ID] || s.ID == "" {
-			return f.At(at, "a server needs a name of its own")
+			return f.ErrorAt(at, "a server needs a name of its own")
 		}
 		seen[s.ID] = true
 		if err := address(f, at+".address", s.Address); err != nil {
 			return err
 		}
 		if s.Size < 0 {
-			return f.At(at+".size", "below zero")
+			return f.ErrorAt(at+".size", "below zero")
 		}
 		state := "active"
 		if s.Drained {
@@ -222,10 +222,10 @@
 	s.Gateways = 1
 	if l := w.Fleet; l != nil {
 		if l.Ingresses < 1 {
-			return f.At("fleet.ingresses", "must be 1 or more")
+			return f.ErrorAt("fleet.ingresses", "must be 1 or more")
 		}
 		if l.Number < 0 || l.Number >= l.Ingresses {
-			return f.At("fleet.number", fmt.Sprintf("must be from 0 to %d", l.Ingresses-1))
+			return f.ErrorAt("fleet.number", fmt.Sprintf("must be from 0 to %d", l.Ingresses-1))
 		}
 		s.Gateways, s.Index, s.Zone = l.Ingresses, l.Number, l.Zone
 		if l.Membership != nil {
@@ -243,7 +243,7 @@
 		return err
 	}
 	if (k.Address == "") == (k.Embedded == "") {
-		return f.At("counter", "needs an address, or embedded with an address to listen on, and not both")
+		return f.ErrorAt("counter", "needs an address, or embedded with an address to listen on, and not both")
 	}
 	s.HasCounter, s.CounterTimeout = true, wait.Seconds()
 	c.Counter, c.Embedded = k.Address, k.Embedded
@@ -261,39 +261,39 @@
 // read reads how this ingress knows of the others.
 func (b *membershipBlock) read(f *hclfile.File, c *Config) (err error) {
 	const at = "fleet.membership."
-	m := &Membership{Fleet: b.Fleet, Listen: b.Listen, Advertise: b.Advertise, Join: b.Join, KeyFile: f.Beside(b.KeyFile)}
+	m := &Membership{Fleet: b.Fleet, Listen: b.Listen, Advertise: b.Advertise, Join: b.Join, KeyFile: f.ResolvePath(b.KeyFile)}
 	if b.Fleet == "" || len(b.Fleet) > mostName {
-		return f.At(at+"fleet", fmt.Sprintf("a fleet needs a name, of %d bytes at the most", mostName))
+		return f.ErrorAt(at+"fleet", fmt.Sprintf("a fleet needs a name, of %d bytes at the most", mostName))
 	}
 	if len(c.Name) > mostName {
-		return f.At("name", fmt.Sprintf("a member's name has %d bytes at the most", mostName))
+		return f.ErrorAt("name", fmt.Sprintf("a member's name has %d bytes at the most", mostName))
 	}
 	for _, a := range append([]struct{ key, addr string }{{"listen", b.Listen}, {"advertise", cmp.Or(b.Advertise, b.Listen)}}, joins(b.Join)...) {
 		if _, err := netip.ParseAddrPort(a.addr); err != nil {
-			return f.At(at+a.key, fmt.Sprintf("not an address and a port in numbers: %q", a.addr))
+			return f.ErrorAt(at+a.key, fmt.Sprintf("not an address and a port in numbers: %q", a.addr))
 		}
 	}
 	if m.Interval, err = f.Duration(at+"interval", b.Interval, 300*time.Millisecond); err != nil {
 		return err
 	}
 	if m.Interval < probesOftenest || m.Interval > probesSeldomest {
-		return f.At(at+"interval", fmt.Sprintf("must be from %v to %v", probesOftenest, probesSeldomest))
+		return f.ErrorAt(at+"interval", fmt.Sprintf("must be from %v to %v", probesOftenest, probesSeldomest))
 	}
 	if m.KeyFile != "" {
 		if _, err := keyring.Read(m.KeyFile); err != nil {
-			return f.At(at+"key_file", err.Error())
+			return f.ErrorAt(at+"key_file", err.Error())
 		}
 	}
 	m.Voters, m.Share = b.Voters, b.Share
 	if n := len(b.Voters); n != 0 && n != 1 && n != 3 && n != 5 {
-		return f.At(at+"voters", "three or five, or one that is not to be lost")
+		return f.ErrorAt(at+"voters", "three or five, or one that is not to be lost")
 	}
 	for i, v := range b.Voters {
 		if v == "" || len(v) > mostName || slices.Contains(b.Voters[:i], v) {
-			return f.At(at+"voters", fmt.Sprintf("each once, by its name: %q", v))
+			return f.ErrorAt(at+"voters", fmt.Sprintf("each once, by its name: %q", v))
 		}
 		if v == c.Name && c.State == "" {
-			return f.At(at+"voters", "a voter needs a state folder that lasts")
+			return f.ErrorAt(at+"voters", "a voter needs a state folder that lasts")
 		}
 	}
 	c.Membership = m
@@ -337,26 +337,26 @@
 	s.MayCancel, s.MayRetryAfter = true, s.MaxRetryAfter > 0
 	switch {
 	case s.SlowStartShare < 0 || s.SlowStartShare > 1:
-		return f.At("rules.cold_share", "must be from 0 to 1")
+		return f.ErrorAt("rules.cold_share", "must be from 0 to 1")
 	case s.OverloadFactor < 1:
-		return f.At("rules.overload_factor", "must be 1 or more")
+		return f.ErrorAt("rules.overload_factor", "must be 1 or more")
 	case s.MaxAttempts < 1 || s.MaxAttempts > mostAttempts:
-		return f.At("rules.max_attempts", fmt.Sprintf("must be from 1 to %d", mostAttempts))
+		return f.ErrorAt("rules.max_attempts", fmt.Sprintf("must be from 1 to %d", mostAttempts))
 	case s.MaxUnits < 0:
-		return f.At("rules.max_units", "below zero")
+		return f.ErrorAt("rules.max_units", "below zero")
 	}
 	return nil
 }
 
 func (w *ours) classes(f *hclfile.File, c *Config) error {
 	if len(w.Classes) == 0 {
-		return f.At("class", "there is no class of requests")
+		return f.ErrorAt("class", "there is no class of requests")
 	}
 	seen := map[string]bool{}
 	for _, k := range w.Classes {
 		at := "class." + k.Name
 		if seen[k.Name] || k.Name == "" || strings.ContainsAny(k.Name, " \t\r\n") {
-			return f.At(at, "a class needs a name of its own, one word")
+			return f.ErrorAt(at, "a class needs a name of its own, one word")
 		}
 		seen[k.Name] = true
 		aim, err := f.Duration(at+".aim", k.Aim, 0)
@@ -370,11 +370,11 @@
 		class := decision.Class{Name: k.Name, LatencyTarget: aim.Seconds(), Deadline: deadline.Seconds(), Value: cmp.Or(k.Worth, 1), LateValue: k.LateWorth}
 		switch {
 		case aim <= 0:
-			return f.At(at+".aim", "must be more than 0")
+			return f.ErrorAt(at+".aim", "must be more than 0")
 		case deadline < aim:
-			return f.At(at+".deadline", "before the aim")
+			return f.ErrorAt(at+".deadline", "before the aim")
 		case class.Value < 0 || class.LateValue < 0 || class.LateValue > 1:
-			return f.At(at, "worth must be 0 or more, late_worth from 0 to 1")
+			return f.ErrorAt(at, "worth must be 0 or more, late_worth from 0 to 1")
 		}
 		switch k.Repeat {
 		case "safe":
@@ -382,7 +382,7 @@
 		case "never":
 			class.Effect = decision.NonIdempotent
 		default:
-			return f.At(at+".repeat", fmt.Sprintf("%q is neither \"safe\" (may run twice) nor \"never\"", k.Repeat))
+			return f.ErrorAt(at+".repeat", fmt.Sprintf("%q is neither \"safe\" (may run twice) nor \"never\"", k.Repeat))
 		}
 		c.Settings.Classes = append(c.Settings.Classes, class)
 	}
@@ -398,7 +398,7 @@
 	}
 	r := plans.Revision{Number: 1, Plans: c.Settings.Plans}
 	if all := r.Validate(); len(all) > 0 {
-		return f.At(all[0].Where, all[0].Text)
+		return f.ErrorAt(all[0].Where, all[0].Text)
 	}
 	return nil
 }
@@ -406,16 +406,16 @@
 // files reads where the catalogue and the records of use are: beside this file, unless the paths are whole.
 func (w *ours) files(f *hclfile.File, c *Config) (err error) {
 	if w.Catalogue != nil {
-		c.Catalogue, c.Announce = f.Beside(w.Catalogue.File), w.Catalogue.Announce
-		if c.Announce && (c.Membership == nil || len(c.Membership.Voters) == 0 || c.State == "") {
-			return f.At("catalogue.announce", "needs voters in the fleet's membership, and a state folder")
+		c.Catalogue, c.AnnounceRevisions = f.ResolvePath(w.Catalogue.File), w.Catalogue.Announce
+		if c.AnnounceRevisions && (c.Membership == nil || len(c.Membership.Voters) == 0 || c.State == "") {
+			return f.ErrorAt("catalogue.announce", "needs voters in the fleet's membership, and a state folder")
 		}
 	}
 	u := w.Usage
 	if u == nil {
 		return nil
 	}
-	c.Usage = &Usage{Dir: f.Beside(u.Dir), Endpoint: u.Endpoint}
+	c.Usage = &Usage{Dir: f.ResolvePath(u.Dir), Endpoint: u.Endpoint}
 	if c.Usage.Rotate, err = f.Duration("usage.rotate", u.Rotate, time.Minute); err != nil {
 		return err
 	}
@@ -423,10 +423,10 @@
 		return err
 	}
 	if c.Usage.Rotate < time.Second {
-		return f.At("usage.rotate", "must be 1s or more")
+		return f.ErrorAt("usage.rotate", "must be 1s or more")
 	}
 	if u.Endpoint != "" && !strings.HasPrefix(u.Endpoint, "http://") && !strings.HasPrefix(u.Endpoint, "https://") {
-		return f.At("usage.endpoint", fmt.Sprintf("not a URL: %q", u.Endpoint))
+		return f.ErrorAt("usage.endpoint", fmt.Sprintf("not a URL: %q", u.Endpoint))
 	}
 	return nil
 }
--- a/internal/standalone/counterclient/counter.go
+++ b/internal/standalone/counterclient/counter.go
@@ -34,13 +34,13 @@
 
 var longAgo = time.Unix(1, 0)
 
-// Told receives what came of a call.
-type Told func(name string, outcome decision.Outcome, total float64)
+// ReplyFunc receives what came of a call.
+type ReplyFunc func(name string, outcome decision.Outcome, total float64)
 
 // Client calls the counter, at one address at a time.
 type Client struct {
 	wait  time.Duration
-	told  Told
+	told  ReplyFunc
 	log   *logrus.Logger
 	lanes []*lane
 	stop  chan struct{}
@@ -51,7 +51,7 @@
 }
 
 // New returns a client that gives a call up after wait. It tells what came of each call once.
-func New(addr string, wait time.Duration, told Told, log *logrus.Logger) *Client {
+func New(addr string, wait time.Duration, told ReplyFunc, log *logrus.Logger) *Client {
 	c := newClient(addr, wait, told, log, laneCount)
 	for _, l := range c.lanes {
 		go l.run()
@@ -61,7 +61,7 @@
 }
 
 // newClient leaves it to the caller to run the lanes and to look after them.
-func newClient(addr string, wait time.Duration, told Told, log *logrus.Logger, lanes int) *Client {
+func newClient(addr string, wait time.Duration, told ReplyFunc, log *logrus.Logger, lanes int) *Client {
 	c := &Client{addr: addr, moved: make(chan struct{}), wait: wait, told: told, log: log, stop: make(chan struct{})}
 	for range lanes {
 		c.lanes = append(c.lanes, &lane{client: c})
@@ -69,9 +69,9 @@
 	return c
 }
 
-// Move has the counter called at another address from now on. Each lane changes over once its connection
+// SetAddress has the counter called at another address from now on. Each lane changes over once its connection
 // there is up; what is out on the old one is still waited for there.
-func (c *Client) Move(addr string) {
+func (c *Client) SetAddress(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if addr != c.addr {
--- a/internal/standalone/counterclient/counter_test.go
+++ b/internal/standalone/counterclient/counter_test.go
@@ -65,7 +65,7 @@
 			return ""
 		}
 		p.Hooks["move"] = func(string) string {
-			c.Move(p.Addr("other"))
+			c.SetAddress(p.Addr("other"))
 			return ""
 		}
 		p.Hooks["moved"] = func(string) string { // new calls go to the new connection
--- a/internal/standalone/counterserver/server.go
+++ b/internal/standalone/counterserver/server.go
@@ -51,15 +51,15 @@
 // New returns a server with so many parts.
 func New(parts int) *Server {
 	s := &Server{parts: make([]part, max(1, parts)), conns: map[net.Conn]struct{}{}, byHost: map[string]int{}}
-	s.Empty()
+	s.Reset()
 	return s
 }
 
-// Set makes it do something wrong from now on; nil: no more.
-func (s *Server) Set(f *Fault) { s.fault.Store(f) }
+// InjectFault makes it do something wrong from now on; nil: no more.
+func (s *Server) InjectFault(f *Fault) { s.fault.Store(f) }
 
-// Empty forgets all numbers, as a counter does that comes back after its hall failed.
-func (s *Server) Empty() {
+// Reset forgets all numbers, as a counter does that comes back after its hall failed.
+func (s *Server) Reset() {
 	for i := range s.parts {
 		p := &s.parts[i]
 		p.Lock()
@@ -161,8 +161,8 @@
 	}
 	amount, err := strconv.ParseFloat(args[2], 64)
 	keep, err2 := strconv.ParseInt(args[3], 10, 64)
-	if err != nil || err2 != nil || math.IsNaN(amount) || math.Abs(amount) > MostAmount || keep < 1 ||
-		args[1] == "" || len(args[1]) > MostName {
+	if err != nil || err2 != nil || math.IsNaN(amount) || math.Abs(amount) > MaxAmount || keep < 1 ||
+		args[1] == "" || len(args[1]) > MaxNameBytes {
 		return "-ERR no such call\r\n"
 	}
 	s.calls.Add(1)
--- a/internal/standalone/counterserver/store.go
+++ b/internal/standalone/counterserver/store.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// MostName bounds a name, in bytes.
-	MostName = 64
-	// MostAmount bounds what one call may add.
-	MostAmount = 1e9
+	// MaxNameBytes bounds a name, in bytes.
+	MaxNameBytes = 64
+	// MaxAmount bounds what one call may add.
+	MaxAmount = 1e9
 	mostKeep   = 60_000 // ms: longer ones count as this
 )
 
--- a/internal/standalone/discovery/discovery.go
+++ b/internal/standalone/discovery/discovery.go
@@ -97,14 +97,14 @@
 type Watcher struct {
 	Addr      string
 	Directory *Directory
-	Tell      func(decision.Backends)
+	OnUpdate      func(decision.Backends)
 	Log       *logrus.Logger
-	Fleet     int    // ingresses that ask the same discovery: they must not ask in step
+	FleetSize     int    // ingresses that ask the same discovery: they must not ask in step
 	Seed      uint64 // for chance
 
-	// Turn tells this ingress's place among those that live, from 0, and how many they are; nil: nobody knows, and chance
+	// Rank tells this ingress's place among those that live, from 0, and how many they are; nil: nobody knows, and chance
 	// decides when it asks again.
-	Turn func() (rank, of int)
+	Rank func() (rank, of int)
 
 	answer  time.Duration // longest wait for an answer to begin, or for the list; 0: silentFor
 	silence time.Duration // longest wait for a line of the watch; 0: silentFor
@@ -118,8 +118,8 @@
 	leave func() // ends the connection that is in use; nil: none is
 }
 
-// Move has the list followed at another address from now on. The last list stays until that one tells its own.
-func (w *Watcher) Move(addr string) {
+// SetAddress has the list followed at another address from now on. The last list stays until that one tells its own.
+func (w *Watcher) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.moved = addr
@@ -140,19 +140,19 @@
 	return within, w.leave
 }
 
-// Known takes the list that the ingress last had. Where it names any server, only what changed since is asked for: a
+// RestoreList takes the list that the ingress last had. Where it names any server, only what changed since is asked for: a
 // whole list costs discovery several times as much, and after a release most of a fleet would ask for one at once.
-func (w *Watcher) Known(l *List) {
+func (w *Watcher) RestoreList(l *List) {
 	w.rev, w.listed = l.Rev, len(l.Targets) > 0
 	news := w.Directory.apply(l)
 	news.Complete = true
-	w.Tell(news)
+	w.OnUpdate(news)
 }
 
 // Run follows the list until the context ends. While discovery is silent the last list stays.
 func (w *Watcher) Run(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(w.Seed, 2))
-	w.again = backoff.New(w.Fleet)
+	w.again = backoff.New(w.FleetSize)
 	// With a list from before, the watch asks at once, for the changes since: without it, each server that drains
 	// meanwhile counts as told and is sent new requests (the drain rule, over a fleet of 300: roll, herd and join).
 	for ctx.Err() == nil {
@@ -181,8 +181,8 @@
 			continue
 		}
 		chance := rng.Float64()
-		if w.Turn != nil { // one after another over the window, however the others' chances fall
-			rank, of := w.Turn()
+		if w.Rank != nil { // one after another over the window, however the others' chances fall
+			rank, of := w.Rank()
 			w.again.Resize(of)
 			chance = (float64(rank) + chance) / float64(of)
 		}
@@ -298,7 +298,7 @@
 		return fmt.Errorf("%w: %w", errList, err)
 	}
 	w.rev = l.Rev
-	w.Tell(w.Directory.apply(&l))
+	w.OnUpdate(w.Directory.apply(&l))
 	w.Log.WithFields(logrus.Fields{"code": "discovery-list", "rev": l.Rev, "changed": len(l.Targets)}).Info("list of quote servers changed")
 	return nil
 }
--- a/internal/standalone/discovery/discovery_test.go
+++ b/internal/standalone/discovery/discovery_test.go
@@ -22,11 +22,11 @@
 		log.SetOutput(io.Discard)
 		news := make(chan decision.Backends, 10)
 		w := &Watcher{Addr: p.Addr("discovery"), Directory: &Directory{}, Log: log,
-			Tell: func(b decision.Backends) { news <- b }, answer: time.Minute, silence: time.Minute}
+			OnUpdate: func(b decision.Backends) { news <- b }, answer: time.Minute, silence: time.Minute}
 		if strings.HasSuffix(script, "silent.txt") {
 			w.silence = time.Millisecond
 		}
-		w.Known(&List{Rev: 41, Targets: []Target{{UID: "s-1", Endpoint: "h:1", State: "active"}}})
+		w.RestoreList(&List{Rev: 41, Targets: []Target{{UID: "s-1", Endpoint: "h:1", State: "active"}}})
 		if !strings.HasSuffix(script, "known.txt") {
 			w.listed = false // these are of an ingress that has no list to go on from
 		}
@@ -43,7 +43,7 @@
 			return text
 		}
 		p.Hooks["move"] = func(string) string {
-			w.Move(p.Addr("other"))
+			w.SetAddress(p.Addr("other"))
 			return ""
 		}
 		p.Hooks["s-1"] = lookup(w, "s-1")
@@ -65,7 +65,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	told := 0
-	w := &Watcher{Directory: &Directory{}, Log: log, Tell: func(decision.Backends) { told++ }}
+	w := &Watcher{Directory: &Directory{}, Log: log, OnUpdate: func(decision.Backends) { told++ }}
 	const active = `{"uid":"s-1","endpoint":"h:1","state":"active"}`
 	hundreds := make([]string, 600)
 	for i := range hundreds {
--- a/internal/standalone/discovery/fuzz_test.go
+++ b/internal/standalone/discovery/fuzz_test.go
@@ -26,7 +26,7 @@
 		g := decision.New(decision.Settings{Gateways: 80, SlowStartTime: 18, SlowStartShare: 0.2, MaxAttempts: 4,
 			Classes: []decision.Class{{Name: "c", LatencyTarget: 1, Deadline: 3, Value: 1, Effect: decision.Idempotent}}, Plans: []decision.Plan{{Name: "p", ValueWeight: 1}}}, 1)
 		g.Handle(0, decision.Start{})
-		w := &Watcher{Directory: &Directory{}, Log: log, Tell: func(b decision.Backends) { g.Handle(1, b) }}
+		w := &Watcher{Directory: &Directory{}, Log: log, OnUpdate: func(b decision.Backends) { g.Handle(1, b) }}
 		for i, raw := range [][]byte{first, second} {
 			before, rev := maps.Clone(w.Directory.entries), w.rev
 			if err := w.take(raw); err != nil && (!maps.Equal(before, w.Directory.entries) || rev != w.rev) {
--- a/internal/standalone/discovery/start_test.go
+++ b/internal/standalone/discovery/start_test.go
@@ -23,14 +23,14 @@
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		conns := make(chan net.Conn, 1)
-		w := &Watcher{Addr: "discovery:1", Directory: &Directory{}, Log: log, Fleet: 300, Seed: 7,
-			Tell: func(decision.Backends) {}, answer: time.Minute, silence: time.Minute,
+		w := &Watcher{Addr: "discovery:1", Directory: &Directory{}, Log: log, FleetSize: 300, Seed: 7,
+			OnUpdate: func(decision.Backends) {}, answer: time.Minute, silence: time.Minute,
 			dial: func(context.Context, string, string) (net.Conn, error) {
 				ours, theirs := net.Pipe()
 				conns <- theirs
 				return ours, nil
 			}}
-		w.Known(&List{Rev: 41, Targets: []Target{{UID: "s-1", Endpoint: "h:1", State: "active"}}})
+		w.RestoreList(&List{Rev: 41, Targets: []Target{{UID: "s-1", Endpoint: "h:1", State: "active"}}})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { defer close(done); w.Run(ctx) }()
@@ -91,18 +91,18 @@
 				io.Copy(io.Discard, c) // open, and silent for good
 			}
 			heard := make(chan time.Duration, 16)
-			w := &Watcher{Addr: "discovery:1", Directory: &Directory{}, Log: log, Fleet: 300, Seed: seed,
+			w := &Watcher{Addr: "discovery:1", Directory: &Directory{}, Log: log, FleetSize: 300, Seed: seed,
 				dial: func(context.Context, string, string) (net.Conn, error) {
 					ours, theirs := net.Pipe()
 					go serve(theirs)
 					return ours, nil
 				}}
-			w.Tell = func(decision.Backends) {
+			w.OnUpdate = func(decision.Backends) {
 				if w.rev == 42 {
 					heard <- time.Since(start)
 				}
 			}
-			w.Known(&List{Rev: 41, Targets: []Target{{UID: "s-1", Endpoint: "h:1", State: "active"}}})
+			w.RestoreList(&List{Rev: 41, Targets: []Target{{UID: "s-1", Endpoint: "h:1", State: "active"}}})
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			go func() { defer close(done); w.Run(ctx) }()
--- a/internal/standalone/hclfile/hclfile.go
+++ b/internal/standalone/hclfile/hclfile.go
@@ -99,9 +99,9 @@
 	return e
 }
 
-// At makes an error about a place named by a path, such as `plan.plus.rate`: the attribute or the block that it
+// ErrorAt makes an error about a place named by a path, such as `plan.plus.rate`: the attribute or the block that it
 // leads to, or as far as it leads.
-func (f *File) At(path, text string) error {
+func (f *File) ErrorAt(path, text string) error {
 	at := f.locate(path)
 	return &Error{File: f.Name, Line: at.Line, Column: at.Column, Text: path + ": " + text}
 }
@@ -145,7 +145,7 @@
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
-		return 0, f.At(path, fmt.Sprintf("not a span of time such as \"250ms\" or \"1m30s\": %q", text))
+		return 0, f.ErrorAt(path, fmt.Sprintf("not a span of time such as \"250ms\" or \"1m30s\": %q", text))
 	}
 	return d, nil
 }
@@ -157,13 +157,13 @@
 	}
 	t, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
-		return 0, f.At(path, fmt.Sprintf("not a time such as \"2026-12-01T10:00:00Z\": %q", text))
+		return 0, f.ErrorAt(path, fmt.Sprintf("not a time such as \"2026-12-01T10:00:00Z\": %q", text))
 	}
 	return float64(t.UnixMilli()) / 1000, nil
 }
 
-// Beside makes a path in a file one from the file's own folder.
-func (f *File) Beside(path string) string {
+// ResolvePath makes a path in a file one from the file's own folder.
+func (f *File) ResolvePath(path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
 	}
--- a/internal/standalone/mgmt/call.go
+++ b/internal/standalone/mgmt/call.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// ErrRefused tells that a call was answered with NAK, or not at all.
-var ErrRefused = errors.New("refused")
+// ErrRejected tells that a call was answered with NAK, or not at all.
+var ErrRejected = errors.New("refused")
 
 const mostAnswer = 4 << 20 // bytes of a line
 
@@ -34,7 +34,7 @@
 		return nil, fmt.Errorf("mgmt: %w", err)
 	}
 	if len(lines) == 0 || lines[0] != "ACK" {
-		return nil, fmt.Errorf("mgmt: %s: %w", line, ErrRefused)
+		return nil, fmt.Errorf("mgmt: %s: %w", line, ErrRejected)
 	}
 	return lines[1:], nil
 }
--- a/internal/standalone/mgmt/mgmt.go
+++ b/internal/standalone/mgmt/mgmt.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// LineMost is the longest call, in bytes without its line end; a longer one gets NAK.
-	LineMost = 256
-	// Patience is how long a caller has to finish its line once it has connected.
-	Patience = 2 * time.Second
-	// Most is how many callers are served at once; one more crowds out the one that has waited longest.
-	Most = 32
+	// MaxCallBytes is the longest call, in bytes without its line end; a longer one gets NAK.
+	MaxCallBytes = 256
+	// CallTimeout is how long a caller has to finish its line once it has connected.
+	CallTimeout = 2 * time.Second
+	// MaxCallers is how many callers are served at once; one more crowds out the one that has waited longest.
+	MaxCallers = 32
 	// writeMost guards against a caller that does not read its answer.
 	writeMost = time.Second
 )
@@ -66,7 +66,7 @@
 func (s *Server) admit(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) >= Most {
+	if len(s.conns) >= MaxCallers {
 		var first net.Conn
 		for o, at := range s.conns {
 			if first == nil || at.Before(s.conns[first]) {
@@ -86,8 +86,8 @@
 		s.mu.Unlock()
 		c.Close()
 	}()
-	c.SetReadDeadline(time.Now().Add(Patience))
-	word, rest, err := readCall(bufio.NewReaderSize(c, LineMost+2))
+	c.SetReadDeadline(time.Now().Add(CallTimeout))
+	word, rest, err := readCall(bufio.NewReaderSize(c, MaxCallBytes+2))
 	answer := "NAK\n"
 	code := "mgmt-answered"
 	switch {
@@ -126,7 +126,7 @@
 }
 
 var (
-	errTooLong = fmt.Errorf("a call of more than %d bytes", LineMost)
+	errTooLong = fmt.Errorf("a call of more than %d bytes", MaxCallBytes)
 	errEmpty   = errors.New("an empty call")
 )
 
@@ -140,7 +140,7 @@
 		return "", "", fmt.Errorf("mgmt: %w", err)
 	}
 	text := strings.TrimSpace(string(line))
-	if len(text) > LineMost {
+	if len(text) > MaxCallBytes {
 		return "", "", errTooLong
 	}
 	if text == "" {
--- a/internal/standalone/mgmt/mgmt_test.go
+++ b/internal/standalone/mgmt/mgmt_test.go
@@ -67,8 +67,8 @@
 		{"ECHO some words \n", "ACK\nsome words\n"},
 		{"NOSUCH\n", "NAK\n"},
 		{"\n", "NAK\n"},
-		{strings.Repeat("P", LineMost+1) + "\n", "NAK\n"},
-		{strings.Repeat("P", 10*LineMost), "NAK\n"},
+		{strings.Repeat("P", MaxCallBytes+1) + "\n", "NAK\n"},
+		{strings.Repeat("P", 10*MaxCallBytes), "NAK\n"},
 		{"PING\nINFO\n", "ACK\n"}, // one call a connection
 	} {
 		if got := call(t, addr, c.send); got != c.want {
@@ -98,7 +98,7 @@
 func TestSilentCallers(t *testing.T) {
 	addr := serve(t)
 	var silent []net.Conn
-	for range 3 * Most {
+	for range 3 * MaxCallers {
 		c, err := net.Dial("tcp4", addr)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/standalone/node/bench_test.go
+++ b/internal/standalone/node/bench_test.go
@@ -18,8 +18,6 @@
 	"testing"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/standalone/config"
 )
 
@@ -91,6 +89,7 @@
 	return l.Addr().String()
 }
 
+// ingressAt starts an ingress in front of a backend, with more text in its configuration.
 func ingressAt(b *testing.B, to, more string) string {
 	servers := "" // as many as the module needs to let all connections' requests out at once
 	for i := range 32 {
@@ -114,9 +113,7 @@
 		b.Fatal(err)
 	}
 	c.Limits = config.Limits{MemoryMB: 192, Sockets: 4096}
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	n, err := Start(c, log)
+	n, err := Start(c, discardLog())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -124,6 +121,20 @@
 	return n.Addr()
 }
 
+// sharedFleet is the configuration of an ingress that shares quotas with another one.
+const sharedFleet = `
+name = "n0"
+fleet {
+  ingresses = 2
+  number = 0
+  membership {
+    fleet = "bench"
+    listen = "127.0.0.1:0"
+    share = true
+  }
+}
+`
+
 // BenchmarkServe is what a request costs through a relay that only moves bytes, through httputil.ReverseProxy and
 // through an ingress, without and with metering: the time that the processor spent on it, the client's and the
 // backend's part, the same in all, included.
@@ -139,8 +150,8 @@
 		{"of two", pair, func(b *testing.B, to string) string {
 			return ingressAt(b, to, "fleet {\n  ingresses = 2\n  number = 0\n}\n")
 		}},
-		{"shared", pair, func(b *testing.B, to string) string { // 400 members that it would lend to the other one
-			return ingressAt(b, to, "name = \"n0\"\nfleet {\n  ingresses = 2\n  number = 0\n  membership {\n    fleet = \"bench\"\n    listen = \"127.0.0.1:0\"\n    share = true\n  }\n}\n")
+		{"shared", pair, func(b *testing.B, to string) string { // with 400 members whose quota it could grant to the other
+			return ingressAt(b, to, sharedFleet)
 		}},
 		{"metered", alone, func(b *testing.B, to string) string {
 			return ingressAt(b, to, fmt.Sprintf("usage {\n  dir = %q\n}\n", b.TempDir()))
@@ -166,10 +177,11 @@
 	return &client{Conn: c, r: textproto.NewReader(bufio.NewReader(c)), terms: "units=1,spread=1,first=0"}, nil
 }
 
-// ask sends a request, reads its answer whole, and tells whether it was served.
-func (c *client) ask(n int64) (served bool, err error) {
+// send sends a request, reads the complete response, and returns whether it was served.
+func (c *client) send(n int64) (served bool, err error) {
 	c.out.Reset()
-	fmt.Fprintf(&c.out, "GET /api/%016x HTTP/1.1\r\nHost: app\r\nX-Request-ID: r%d\r\nX-Priority-Class: quote-read\r\nX-Tier: plus\r\n"+
+	fmt.Fprintf(&c.out, "GET /api/%016x HTTP/1.1\r\nHost: app\r\n"+
+		"X-Request-ID: r%d\r\nX-Priority-Class: quote-read\r\nX-Tier: plus\r\n"+
 		"X-Timeout: 5\r\nX-Call-Terms: %s\r\n\r\n", n%400, n, c.terms)
 	if _, err := c.Write(c.out.Bytes()); err != nil {
 		return false, err
@@ -197,7 +209,7 @@
 // load sends b.N requests over some connections.
 func load(b *testing.B, addr, terms string) {
 	const conns = 128
-	var next, refused atomic.Int64
+	var next, rejected atomic.Int64
 	var wg sync.WaitGroup
 	var before, after syscall.Rusage
 	b.ReportAllocs()
@@ -215,13 +227,13 @@
 			defer c.Close()
 			c.terms = terms
 			for n := next.Add(1); n <= int64(b.N); n = next.Add(1) {
-				served, err := c.ask(n)
+				served, err := c.send(n)
 				if err != nil {
 					b.Error(err)
 					return
 				}
 				if !served {
-					refused.Add(1)
+					rejected.Add(1)
 				}
 			}
 		}()
@@ -229,15 +241,15 @@
 	wg.Wait()
 	syscall.Getrusage(syscall.RUSAGE_SELF, &after)
 	b.StopTimer()
-	if n := refused.Load(); n > int64(b.N/100)+conns {
+	if n := rejected.Load(); n > int64(b.N/100)+conns {
 		b.Errorf("%d of %d requests not served", n, b.N)
 	}
 	cpu := func(r *syscall.Rusage) time.Duration { return time.Duration(r.Utime.Nano() + r.Stime.Nano()) }
 	b.ReportMetric(float64(cpu(&after)-cpu(&before))/float64(b.N)/1000, "cpu-us/op")
 }
 
-// BenchmarkAt140 is how long an answer takes at 140 requests a second on connections in use, through httputil.ReverseProxy
-// and through an ingress. Run it with -benchtime 1400x: ten seconds each.
+// BenchmarkAt140 is how long an answer takes at 140 requests a second on connections in use, through
+// httputil.ReverseProxy and through an ingress. Run it with -benchtime 1400x: ten seconds each.
 func BenchmarkAt140(b *testing.B) {
 	for _, bc := range []struct {
 		name  string
@@ -267,7 +279,7 @@
 					for n := k; n < b.N; n += conns {
 						<-ticker.C
 						began := time.Now()
-						if _, err := c.ask(int64(n)); err != nil {
+						if _, err := c.send(int64(n)); err != nil {
 							b.Error(err)
 							return
 						}
@@ -287,6 +299,7 @@
 	}
 }
 
+// reverseProxy starts the standard library's reverse proxy.
 func reverseProxy(b *testing.B, to string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- /dev/null
+++ b/internal/standalone/node/catalogue.go
@@ -0,0 +1,135 @@
+package node
+
+import (
+	"context"
+
+	"github.com/sirupsen/logrus"
+
+	"mulleinrouter/internal/dataplane/engine"
+	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/standalone/catalogue"
+	"mulleinrouter/internal/standalone/fleet/leaseservice"
+	"mulleinrouter/internal/standalone/fleet/revisionlog"
+	"mulleinrouter/internal/standalone/plans"
+)
+
+// startCatalogue reads the catalogue, and again whenever its file changes. An error of the first reading is
+// returned: an ingress must not start with other plans than its operators meant.
+func (n *Node) startCatalogue(ctx context.Context) error {
+	revisions, err := catalogue.Load(n.config.Catalogue)
+	if err != nil {
+		return err
+	}
+	onChange := n.applyRevisions
+	if n.config.AnnounceRevisions {
+		n.startAnnouncer(ctx, revisions)
+		onChange = n.proposeRevisions
+	} else {
+		n.applyRevisions(revisions)
+	}
+	watcher := &catalogue.Watcher{Path: n.config.Catalogue, OnChange: onChange, Log: n.log}
+	n.spawn(func() {
+		if err := watcher.Run(ctx); err != nil {
+			n.log.WithField("code", "plans-watch-failed").WithError(err).
+				Error("catalogue not watched; changes apply after a restart")
+		}
+	})
+	return nil
+}
+
+// startAnnouncer has revisions take effect only once the holder of the catalogue's lease has announced them. Where
+// nothing has been announced yet, the first ones are those of this ingress's own file.
+func (n *Node) startAnnouncer(ctx context.Context, first []plans.Revision) {
+	folder, read := n.stateFolder(0), false
+	n.announcer, read = n.leases.Announce(ctx, leaseservice.Announcing{
+		Check: func(text []byte) (uint64, string, error) {
+			r, err := parseRevision(text)
+			if err != nil {
+				return 0, "", err
+			}
+			return r.Number, r.Digest(), nil
+		},
+		Take: func(text []byte) {
+			if r, err := parseRevision(text); err == nil { // Check has accepted it
+				n.commitRevision(r)
+			}
+		},
+		Living: n.fleet.Living,
+		Read:   func(r *revisionlog.Record) error { return folder.Read(revisionLogRecord, folder.Process(), r) },
+		Write:  func(r revisionlog.Record) error { return folder.Write(revisionLogRecord, r) },
+	})
+	if !read {
+		n.applyRevisions(first)
+	}
+	n.proposeRevisions(first)
+}
+
+// proposeRevisions submits revisions of this ingress's file to the holder of the catalogue's lease.
+func (n *Node) proposeRevisions(revisions []plans.Revision) {
+	for _, r := range revisions {
+		n.announcer.Offer(revisionlog.Entry{
+			Number: r.Number,
+			Digest: r.Digest(),
+			Text:   catalogue.Format([]plans.Revision{r}),
+		})
+	}
+}
+
+// parseRevision reads the text of one announced revision.
+func parseRevision(text []byte) (plans.Revision, error) {
+	revisions, err := catalogue.Parse("announced", text)
+	if err != nil {
+		return plans.Revision{}, err
+	}
+	return revisions[0], nil
+}
+
+// applyRevisions applies revisions of the catalogue's file.
+func (n *Node) applyRevisions(revisions []plans.Revision) {
+	n.updatePlans(func(now decision.Seconds) {
+		for _, r := range revisions {
+			n.logVerdict(r, n.planState.Offer(r, now), now)
+		}
+	})
+}
+
+// commitRevision applies a revision that was announced.
+func (n *Node) commitRevision(r plans.Revision) {
+	n.updatePlans(func(now decision.Seconds) { n.logVerdict(r, n.planState.Commit(r, now), now) })
+}
+
+// updatePlans changes the state of plans, and has the decision module and the server of clients follow it.
+func (n *Node) updatePlans(change func(now decision.Seconds)) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.planState == nil {
+		n.planState = plans.NewState(n.config.Settings.Plans)
+	}
+	n.engine.SetCatalogue(func(now decision.Seconds) engine.Catalogue {
+		change(now)
+		n.server.SetPlans(n.planState.Plans(now))
+		return n.planState
+	})
+}
+
+// logVerdict logs what became of a revision. The caller holds mu.
+func (n *Node) logVerdict(r plans.Revision, verdict plans.Verdict, now decision.Seconds) {
+	if verdict == plans.VerdictDuplicate {
+		return
+	}
+	entry := n.log.WithFields(logrus.Fields{
+		"revision": r.Number, "digest": r.Digest(), "verdict": verdict.String(), "in_force": n.planState.InForce(now),
+	})
+	switch {
+	case verdict == plans.VerdictPending || verdict == plans.VerdictLate:
+		entry.WithFields(logrus.Fields{"code": "plans-revised", "holds": r.Holds}).Info("new catalogue revision")
+	case verdict == plans.VerdictConflict && n.announcer != nil:
+		entry.WithField("code", "plans-settled").
+			Warn("announced revision replaces a different one with the same number")
+	case verdict == plans.VerdictConflict:
+		entry.WithField("code", "plans-conflict").
+			Error("two revisions have the same number; the one with the higher digest takes effect at all ingresses")
+	default:
+		entry.WithField("code", "plans-passed-over").Warn("revision ignored")
+	}
+}
--- /dev/null
+++ b/internal/standalone/node/fleetcalls.go
@@ -0,0 +1,114 @@
+package node
+
+import (
+	"strconv"
+	"strings"
+
+	"mulleinrouter/internal/standalone/fleet/leaseservice"
+	"mulleinrouter/internal/standalone/fleet/membership"
+	"mulleinrouter/internal/standalone/jsontext"
+	"mulleinrouter/internal/standalone/mgmt"
+)
+
+// handleFleetCall answers the calls about the fleet at the management address.
+func (n *Node) handleFleetCall(word, arguments string) (bool, []string) {
+	switch word {
+	case "FLEET": // FLEET [VIEW]: the members, and what changed after a view
+		after, err := strconv.ParseUint(arguments, 10, 64)
+		if arguments != "" && err != nil {
+			return false, nil
+		}
+		return jsonAnswer(n.fleet.Report(after))
+	case "LINKS": // which member receives from which
+		return jsonAnswer(n.fleet.LinkNames())
+	case "DUTIES", "GIVE", "VOTERS": // DUTIES; GIVE DUTY NAME; VOTERS add|remove NAME
+		if n.leases == nil {
+			return false, nil
+		}
+		return n.handleLeaseCall(word, strings.Fields(arguments))
+	case "CATALOGUE": // the announced revisions
+		if n.announcer == nil {
+			return false, nil
+		}
+		return jsonAnswer(n.announcer.Report())
+	case "STATE": // STATE [MEMBER]: what the ingresses share
+		if n.quotaSync == nil {
+			return false, nil
+		}
+		return jsonAnswer(n.quotaSync.Report(arguments))
+	case "TURN": // whether this ingress may be restarted now
+		return n.fleet.Turn(), nil
+	default:
+		return false, nil
+	}
+}
+
+// jsonAnswer is the answer that carries a value as one line of JSON.
+func jsonAnswer(v any) (bool, []string) {
+	text, err := jsontext.Encode(v)
+	if err != nil {
+		return false, nil
+	}
+	return true, []string{string(text), endOfAnswer}
+}
+
+// handleLeaseCall forwards a call about leases to the leader of the voters, and returns its answer.
+func (n *Node) handleLeaseCall(word string, arguments []string) (bool, []string) {
+	var answer *leaseservice.Told
+	var err error
+	switch {
+	case word == "DUTIES" && len(arguments) == 0:
+		answer, err = n.leases.Status()
+	case word == "GIVE" && len(arguments) == 2:
+		answer, err = n.leases.Give(arguments[0], arguments[1])
+	case word == "VOTERS" && len(arguments) == 2 && (arguments[0] == "add" || arguments[0] == "remove"):
+		answer, err = n.leases.Change(arguments[1], arguments[0] == "add")
+	default:
+		return false, nil
+	}
+	if err != nil {
+		return false, []string{err.Error()}
+	}
+	text, err := jsontext.Encode(answer)
+	return err == nil, []string{string(text), endOfAnswer}
+}
+
+// Values of the gauge ingress.fleet_sure.
+var judgementGauge = map[string]int64{
+	membership.CutOff.String():  0,
+	membership.Thinned.String(): 1,
+	membership.Whole.String():   2,
+}
+
+// fleetStats are the statistics of INFO about the fleet.
+func (n *Node) fleetStats() []string {
+	report := n.fleet.Report(0)
+	return append(n.quotaSyncStats(),
+		mgmt.Gauge("ingress.fleet_view", int64(report.View)),
+		mgmt.Gauge("ingress.fleet_heard", int64(report.Heard)),
+		mgmt.Gauge("ingress.fleet_agreed", int64(report.Agreed)),
+		mgmt.Gauge("ingress.fleet_sure", judgementGauge[report.Judgement]),
+		mgmt.Count("ingress.fleet_stalls", int64(report.Stalls)),
+		mgmt.Count("ingress.fleet_refused", report.Refused),
+		mgmt.Count("ingress.fleet_packets_out", report.Traffic.PacketsOut),
+		mgmt.Count("ingress.fleet_bytes_out", report.Traffic.BytesOut))
+}
+
+// quotaSyncStats are those about shared quotas; nil: they are not shared.
+func (n *Node) quotaSyncStats() []string {
+	if n.quotaSync == nil {
+		return nil
+	}
+	report := n.quotaSync.Report("-")
+	trusted := int64(0)
+	if report.Sound {
+		trusted = 1
+	}
+	return []string{
+		mgmt.Gauge("ingress.share_trusted", trusted),
+		mgmt.Gauge("ingress.share_given", int64(report.Given)),
+		mgmt.Gauge("ingress.share_taken", int64(report.Taken)),
+		mgmt.Gauge("ingress.share_warned", int64(len(report.Warned))),
+		mgmt.Count("ingress.share_refused", int64(report.Refused)),
+	}
+}
--- a/internal/standalone/node/node_test.go
+++ b/internal/standalone/node/node_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -21,11 +20,12 @@
 
 const member = "00000000000000aa"
 
-// lines are the log's, for tests that wait for one.
-type lines chan string
+// logCodes are the codes of log lines, for tests that wait for one.
+type logCodes chan string
 
-func (lines) Levels() []logrus.Level { return logrus.AllLevels }
-func (l lines) Fire(e *logrus.Entry) error {
+func (logCodes) Levels() []logrus.Level { return logrus.AllLevels }
+
+func (l logCodes) Fire(e *logrus.Entry) error {
 	if code, ok := e.Data["code"].(string); ok {
 		select {
 		case l <- code:
@@ -35,7 +35,8 @@
 	return nil
 }
 
-func (l lines) until(code string) {
+// await waits until a code is logged.
+func (l logCodes) await(code string) {
 	for c := range l {
 		if c == code {
 			return
@@ -43,30 +44,30 @@
 	}
 }
 
-func start(t *testing.T, text string) (*Node, *fakes.Quotes, lines) {
+// startNode starts a node with one fake quote server, from hclConfig and more text.
+func startNode(t *testing.T, text string) (*Node, *fakes.Quotes, logCodes) {
 	t.Helper()
-	q := &fakes.Quotes{Cores: 8}
-	if err := q.Start(); err != nil {
+	quotes := &fakes.Quotes{Cores: 8}
+	if err := quotes.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(q.Stop)
-	c, err := config.ParseFile("test.hcl", []byte(ours(q.Addr(), "quote-read")+text))
+	t.Cleanup(quotes.Stop)
+	c, err := config.ParseFile("test.hcl", []byte(hclConfig(quotes.Addr(), "quote-read")+text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Limits = config.Limits{MemoryMB: 192, Sockets: 1024}
-	log, seen := logrus.New(), make(lines, 1000)
-	log.SetOutput(io.Discard)
-	log.AddHook(seen)
+	log, logged := discardLog(), make(logCodes, 1000)
+	log.AddHook(logged)
 	n, err := Start(c, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return n, q, seen
+	return n, quotes, logged
 }
 
-// ours is a configuration of our own form with one quote server and one class that is safe to repeat.
-func ours(server, class string) string {
+// hclConfig is a configuration in HCL with one quote server and one class that is idempotent.
+func hclConfig(server, class string) string {
 	return fmt.Sprintf(`
 listen = "127.0.0.1:0"
 server "q" {
@@ -80,40 +81,47 @@
 `, server, class)
 }
 
-var ids int
+var lastRequestID int
 
-// ask sends a request of the class quote-read and tells the status.
-func ask(t *testing.T, n *Node, tier string) int {
+// request sends a request of the class quote-read and returns the status.
+func request(t *testing.T, n *Node, tier string) int {
 	t.Helper()
-	return askClass(t, n, "quote-read", tier)
+	return requestClass(t, n, "quote-read", tier)
 }
 
-// askClass sends a request of a class and tells the status.
-func askClass(t *testing.T, n *Node, class, tier string) int {
+// requestClass sends a request of a class and returns the status.
+func requestClass(t *testing.T, n *Node, class, tier string) int {
 	t.Helper()
-	ids++
+	lastRequestID++
 	r, err := http.NewRequest("GET", "http://"+n.Addr()+"/api/"+member, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Close = true
-	for name, value := range map[string]string{"X-Request-ID": fmt.Sprint("r", ids), "X-Priority-Class": class, "X-Tier": tier,
-		"X-Timeout": "30", "X-Call-Terms": "units=1,spread=1,first=0"} {
+	for name, value := range map[string]string{
+		"X-Request-ID":     fmt.Sprint("r", lastRequestID),
+		"X-Priority-Class": class,
+		"X-Tier":           tier,
+		"X-Timeout":        "30",
+		"X-Call-Terms":     "units=1,spread=1,first=0",
+	} {
 		r.Header.Set(name, value)
 	}
-	a, err := http.DefaultClient.Do(r)
+	response, err := http.DefaultClient.Do(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.Body.Close()
-	return a.StatusCode
+	response.Body.Close()
+	return response.StatusCode
 }
 
-func asks(t *testing.T, n *Node, tier string, times int) (all []int) {
+// requests sends several requests, one after another, and returns their statuses.
+func requests(t *testing.T, n *Node, tier string, times int) (statuses []int) {
+	t.Helper()
 	for range times {
-		all = append(all, ask(t, n, tier))
+		statuses = append(statuses, request(t, n, tier))
 	}
-	return all
+	return statuses
 }
 
 const twoPlans = `
@@ -129,10 +137,11 @@
   }
 `
 
-// A member is refused, upgraded by the catalogue while the ingress serves, and served; the bill tells both plans.
-func TestUpgradeInService(t *testing.T) {
+// A member is rejected, upgraded by the catalogue while the ingress serves, and served; the usage records name both
+// plans.
+func TestCatalogueChangesPlanInService(t *testing.T) {
 	dir := t.TempDir()
-	path := filepath.Join(dir, "plans.hcl")
+	path, usageDir := filepath.Join(dir, "plans.hcl"), filepath.Join(dir, "usage")
 	write := func(n int, plan string) {
 		text := fmt.Sprintf("revision \"%d\" {\n%s\n  members = {\n    %s = [%q]\n  }\n}\n", n, twoPlans, plan, member)
 		if err := os.WriteFile(path+".new", []byte(text), 0o644); err != nil {
@@ -143,45 +152,56 @@
 		}
 	}
 	write(1, "basic")
-	n, _, seen := start(t, fmt.Sprintf("catalogue {\n  file = %q\n}\nusage {\n  dir = %q\n}\n", path, dir+"/usage"))
-	got := asks(t, n, "plus", 4) // the catalogue wins over what the client says
-	seen.until("process-started")
+	n, _, logged := startNode(t, fmt.Sprintf("catalogue {\n  file = %q\n}\nusage {\n  dir = %q\n}\n", path, usageDir))
+	got := requests(t, n, "plus", 4) // the catalogue wins over the plan that the client names
+	logged.await("process-started")
 	write(2, "plus")
-	seen.until("plans-revised")
-	got = append(got, asks(t, n, "basic", 3)...)
+	logged.await("plans-revised")
+	got = append(got, requests(t, n, "basic", 3)...)
 	if diff := cmp.Diff([]int{200, 200, 503, 503, 200, 200, 200}, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("statuses (-want +got):\n%s", diff)
 	}
 	n.Stop()
-	list, err := usagesegment.List(dir + "/usage")
+	want := map[string]int64{
+		"basic of 1, beyond false, unknown false": 2,
+		"plus of 2, beyond false, unknown false":  3,
+	}
+	if diff := cmp.Diff(want, attemptsByPlan(t, usageDir)); diff != "" {
+		t.Errorf("billed (-want +got):\n%s", diff)
+	}
+}
+
+// attemptsByPlan adds up the attempts in a folder of usage records.
+func attemptsByPlan(t *testing.T, dir string) map[string]int64 {
+	t.Helper()
+	segments, err := usagesegment.List(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ledger, byPlan := usage.Ledger{}, map[string]int64{}
-	for _, s := range list {
-		h, data, err := usagesegment.Read(s.Path)
+	ledger, attempts := usage.Ledger{}, map[string]int64{}
+	for _, segment := range segments {
+		header, data, err := usagesegment.Read(segment.Path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		tally, _, err := ledger.Segment(h, data)
+		tally, _, err := ledger.Segment(header, data)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, r := range tally.Rows() {
-			byPlan[fmt.Sprintf("%s of %d, beyond %v, unknown %v", r.Plan, r.Revision, r.Beyond, r.Unknown)] += r.Tries
+			key := fmt.Sprintf("%s of %d, beyond %v, unknown %v", r.Plan, r.Revision, r.Beyond, r.Unknown)
+			attempts[key] += r.Tries
 		}
 	}
-	want := map[string]int64{"basic of 1, beyond false, unknown false": 2, "plus of 2, beyond false, unknown false": 3}
-	if diff := cmp.Diff(want, byPlan); diff != "" {
-		t.Errorf("billed (-want +got):\n%s", diff)
-	}
+	return attempts
 }
 
-func TestReloadTakesPlansAndServers(t *testing.T) {
-	n, q, _ := start(t, twoPlans)
+func TestReloadAppliesPlansAndServers(t *testing.T) {
+	n, quotes, _ := startNode(t, twoPlans)
 	defer n.Stop()
-	if diff := cmp.Diff([]int{200, 200, 503, 400}, append(asks(t, n, "basic", 3), ask(t, n, "gold"))); diff != "" {
-		t.Error(diff)
+	statuses := append(requests(t, n, "basic", 3), request(t, n, "gold"))
+	if diff := cmp.Diff([]int{200, 200, 503, 400}, statuses); diff != "" {
+		t.Errorf("statuses before (-want +got):\n%s", diff)
 	}
 	other := &fakes.Quotes{Cores: 1}
 	if err := other.Start(); err != nil {
@@ -189,7 +209,10 @@
 	}
 	defer other.Stop()
 	next := *n.config
-	next.Settings.Plans = []decision.Plan{{Name: "basic", Rate: 1e9, Burst: 1e9, ValueWeight: 1}, {Name: "gold", Rate: 1e9, Burst: 1e9, ValueWeight: 1}}
+	next.Settings.Plans = []decision.Plan{
+		{Name: "basic", Rate: 1e9, Burst: 1e9, ValueWeight: 1},
+		{Name: "gold", Rate: 1e9, Burst: 1e9, ValueWeight: 1},
+	}
 	known := *n.config.Known
 	known.Targets = append(known.Targets[:0:0], known.Targets...)
 	known.Targets[0].UID, known.Targets[0].Endpoint = "other", other.Addr()
@@ -197,45 +220,50 @@
 	if err := n.Reload(&next); err != nil {
 		t.Fatal(err)
 	}
-	ask(t, n, "basic") // finds the store as it was: empty; from then on it fills at the new rate
-	// Plus was taken away: those who still name it are served by its last figures.
-	got := append(asks(t, n, "basic", 3), ask(t, n, "gold"), ask(t, n, "plus"))
-	if diff := cmp.Diff([]int{200, 200, 200, 200, 200}, got); diff != "" {
-		t.Error(diff)
+	request(t, n, "basic") // finds the bucket as it was: empty; from then on it fills at the new rate
+	// The plan plus was removed: clients that still name it are served by its last figures.
+	statuses = append(requests(t, n, "basic", 3), request(t, n, "gold"), request(t, n, "plus"))
+	if diff := cmp.Diff([]int{200, 200, 200, 200, 200}, statuses); diff != "" {
+		t.Errorf("statuses after (-want +got):\n%s", diff)
 	}
-	if len(q.Served()) != 2 || len(other.Served()) < 5 {
-		t.Errorf("%d at the server that left, %d at the one that came", len(q.Served()), len(other.Served()))
+	if len(quotes.Served()) != 2 || len(other.Served()) < 5 {
+		t.Errorf("%d requests at the removed server, %d at the added one; want 2, and 5 or more",
+			len(quotes.Served()), len(other.Served()))
 	}
 	broken := next
 	broken.Settings.Plans = []decision.Plan{{Name: "basic", Rate: 1e9}}
-	if err := n.Reload(&broken); err == nil || ask(t, n, "gold") != 200 {
-		t.Errorf("plans that are none: %v", err)
+	if err := n.Reload(&broken); err == nil || request(t, n, "gold") != 200 {
+		t.Errorf("Reload of invalid plans: error %v, want one and the plans unchanged", err)
 	}
 }
 
-func TestEmbeddedCounterServesItsNeighbour(t *testing.T) {
-	one, _, _ := start(t, twoPlans+"fleet {\n  ingresses = 2\n  number = 0\n}\ncounter {\n  embedded = \"127.0.0.1:0\"\n  wait = \"10s\"\n}\n")
-	defer one.Stop()
-	two, _, _ := start(t, twoPlans+fmt.Sprintf("fleet {\n  ingresses = 2\n  number = 1\n}\ncounter {\n  address = %q\n}\n", one.config.Counter))
-	defer two.Stop()
-	if a, b := ask(t, one, "plus"), ask(t, two, "plus"); a != 200 || b != 200 {
-		t.Errorf("%d and %d", a, b)
+func TestEmbeddedCounterServesAnotherIngress(t *testing.T) {
+	const fleet = "fleet {\n  ingresses = 2\n  number = %d\n}\n"
+	first, _, _ := startNode(t, twoPlans+fmt.Sprintf(fleet, 0)+
+		"counter {\n  embedded = \"127.0.0.1:0\"\n  wait = \"10s\"\n}\n")
+	defer first.Stop()
+	second, _, _ := startNode(t, twoPlans+fmt.Sprintf(fleet, 1)+
+		fmt.Sprintf("counter {\n  address = %q\n}\n", first.config.Counter))
+	defer second.Stop()
+	if a, b := request(t, first, "plus"), request(t, second, "plus"); a != 200 || b != 200 {
+		t.Errorf("statuses %d and %d, want 200 and 200", a, b)
 	}
 }
 
-// What cannot be had at the start is an error, and nothing stays behind.
+// What cannot be opened at the start is an error, and nothing stays behind.
 func TestStartFails(t *testing.T) {
 	dir := t.TempDir()
-	if err := os.WriteFile(dir+"/file", []byte("x"), 0o644); err != nil {
+	file := filepath.Join(dir, "file")
+	if err := os.WriteFile(file, []byte("x"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	for name, tc := range map[string]struct{ text, want string }{
-		"no catalogue":           {"catalogue {\n  file = \"" + dir + "/none.hcl\"\n}\n", "catalogue: "},
-		"a catalogue that is no": {"catalogue {\n  file = \"" + dir + "/file\"\n}\n", dir + "/file:1:"},
-		"no folder for use":      {twoPlans + "usage {\n  dir = \"" + dir + "/file/usage\"\n}\n", "usage: "},
-		"counter's address":      {twoPlans + "counter {\n  embedded = \"192.0.2.1:1\"\n}\n", "counter: "},
+	for _, tc := range []struct{ name, text, want string }{
+		{"no catalogue", "catalogue {\n  file = \"" + dir + "/none.hcl\"\n}\n", "catalogue: "},
+		{"not a catalogue", "catalogue {\n  file = \"" + file + "\"\n}\n", file + ":1:"},
+		{"no usage folder", twoPlans + "usage {\n  dir = \"" + file + "/usage\"\n}\n", "usage: "},
+		{"counter address", twoPlans + "counter {\n  embedded = \"192.0.2.1:1\"\n}\n", "counter: "},
 	} {
-		t.Run(name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			c, err := config.ParseFile("f", []byte(`
 listen = "127.0.0.1:0"
 server "q" {
@@ -250,10 +278,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			log := logrus.New()
-			log.SetOutput(io.Discard)
-			if n, err := Start(c, log); err == nil || !strings.HasPrefix(err.Error(), tc.want) {
-				t.Errorf("%v %v", n, err)
+			if n, err := Start(c, discardLog()); err == nil || !strings.HasPrefix(err.Error(), tc.want) {
+				t.Errorf("Start() = %v, %v; want an error that begins with %q", n, err, tc.want)
 			}
 		})
 	}
--- a/internal/standalone/node/reload.go
+++ b/internal/standalone/node/reload.go
@@ -1,149 +1,105 @@
 package node
 
 import (
-	"context"
-	"errors"
 	"fmt"
 	"slices"
 
 	"github.com/sirupsen/logrus"
 
-	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/decision"
-	"mulleinrouter/internal/standalone/catalogue"
 	"mulleinrouter/internal/standalone/config"
 	"mulleinrouter/internal/standalone/plans"
 	"mulleinrouter/internal/standalone/settings"
 )
 
-// Reloaded counts a configuration file read at SIGHUP: taken, or turned down whole.
-func (n *Node) Reloaded(taken bool) {
-	if taken {
-		n.applied.Add(1)
+// CountReload counts a configuration file read at SIGHUP: applied as a whole, or rejected as a whole.
+func (n *Node) CountReload(applied bool) {
+	if applied {
+		n.reloadsApplied.Add(1)
 	} else {
-		n.rejected.Add(1)
+		n.reloadsRejected.Add(1)
 	}
 }
 
-// follow reads the catalogue, and again whenever it changes. The first reading must do: an ingress does not start
-// with plans that nobody meant.
-func (n *Node) follow(ctx context.Context) error {
-	all, err := catalogue.Load(n.config.Catalogue)
-	if err != nil {
+// Reload applies a newer configuration as far as it may change in service: the addresses of discovery and the
+// counter, the static list of servers, the classes of requests and the plans. It changes all of that or, with an
+// error, nothing.
+func (n *Node) Reload(c *config.Config) error {
+	if err := n.checkReload(c); err != nil {
 		return err
 	}
-	tell := n.offer
-	if n.config.Announce {
-		n.announced(ctx, all)
-		tell = n.announce
-	} else {
-		n.offer(all)
+	if err := n.reloadPlans(c); err != nil {
+		return err
 	}
-	w := &catalogue.Watcher{Path: n.config.Catalogue, Tell: tell, Log: n.log}
-	n.spawn(func() {
-		if err := w.Run(ctx); err != nil {
-			n.log.WithField("code", "plans-watch-failed").WithError(err).Error("the catalogue is not watched; changes come with a restart")
-		}
-	})
-	return nil
-}
-
-// offer takes revisions of the catalogue's file.
-func (n *Node) offer(all []plans.Revision) {
-	n.revise(func(now decision.Seconds) {
-		for _, r := range all {
-			n.revised(r, n.state.Offer(r, now), now)
+	n.reloadClasses(c)
+	n.config.SettingsRaw = c.SettingsRaw
+	if n.fleet != nil {
+		if err := n.fleet.Reload(); err != nil { // the key file; config has just read it without an error
+			return err
 		}
-	})
-}
-
-// settle takes one that was announced.
-func (n *Node) settle(r plans.Revision) {
-	n.revise(func(now decision.Seconds) { n.revised(r, n.state.Settle(r, now), now) })
-}
-
-// revised tells what became of a revision. The mutex is held.
-func (n *Node) revised(r plans.Revision, verdict plans.Verdict, now decision.Seconds) {
-	if verdict == plans.Same {
-		return
 	}
-	entry := n.log.WithFields(logrus.Fields{"revision": r.Number, "digest": r.Digest(), "verdict": verdict.String(),
-		"in_force": n.state.InForce(now)})
-	switch {
-	case verdict == plans.Announced || verdict == plans.Late:
-		entry.WithFields(logrus.Fields{"code": "plans-revised", "holds": r.Holds}).Info("the catalogue has a new revision")
-	case verdict == plans.Conflict && n.announcer != nil:
-		entry.WithField("code", "plans-settled").Warn("another content was announced under this number than this ingress had; it holds")
-	case verdict == plans.Conflict:
-		entry.WithField("code", "plans-conflict").Error("two revisions have one number; the one with the higher digest counts, at all ingresses")
-	default:
-		entry.WithField("code", "plans-passed-over").Warn("a revision was passed over")
+	if c.Static {
+		n.watcher.RestoreList(c.Known)
+	} else {
+		n.watcher.SetAddress(c.Discovery)
 	}
-}
-
-// revise changes what this ingress knows of plans, and has the module and the clients' side go by it.
-func (n *Node) revise(change func(now decision.Seconds)) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.state == nil {
-		n.state = plans.NewState(n.config.Settings.Plans)
+	if n.counter != nil && c.Embedded == "" {
+		n.counter.SetAddress(c.Counter)
 	}
-	n.engine.SetCatalogue(func(now decision.Seconds) engine.Catalogue {
-		change(now)
-		n.server.SetPlans(n.state.Plans(now))
-		return n.state
-	})
+	return nil
 }
 
-var errCounter = errors.New("counter: no address")
-
-// Reload goes by a newer configuration, as far as it may change while serving: the addresses of discovery and the
-// counter, the servers that are written down, and the plans. It changes all of that or, with an error, nothing.
-func (n *Node) Reload(c *config.Config) error {
+// checkReload returns an error for a configuration that cannot replace the present one in service.
+func (n *Node) checkReload(c *config.Config) error {
 	if n.config.SettingsRaw != nil {
 		if err := settings.Check(c.SettingsRaw, n.config.SettingsRaw); err != nil {
 			return err
 		}
 	}
-	if n.count != nil && c.Counter == "" && c.Embedded == "" {
-		return errCounter
+	if n.counter != nil && c.Counter == "" && c.Embedded == "" {
+		return ErrNoCounterAddress
 	}
 	if c.Static != n.config.Static {
-		return errors.New("servers written down and discovery cannot take each other's place while it serves")
-	}
-	if !slices.Equal(c.Settings.Plans, n.config.Settings.Plans) && n.config.Catalogue == "" {
-		r := plans.Revision{Authority: plans.Header, Plans: c.Settings.Plans}
-		r.Number = 1
-		if all := r.Validate(); len(all) > 0 {
-			return fmt.Errorf("settings: %w", all[0])
-		}
-		n.revise(func(now decision.Seconds) {
-			n.last++
-			r.Number, r.Holds = n.last, now
-			n.state.Offer(r, now)
-		})
-		n.log.WithFields(logrus.Fields{"code": "plans-revised", "revision": r.Number, "digest": r.Digest(), "verdict": plans.Late.String()}).Info("the settings have other plans")
-		n.config.Settings.Plans = c.Settings.Plans
-	}
-	if s := c.Settings; !slices.Equal(s.Classes, n.config.Settings.Classes) || s.MaxAttempts != n.config.Settings.MaxAttempts {
-		n.engine.Reconfigure(s.Classes, s.MaxAttempts) // the module first: a request of a new class is known there when it comes
-		n.server.SetClasses(s.Classes)
-		n.config.Settings.Classes, n.config.Settings.MaxAttempts = slices.Clone(s.Classes), s.MaxAttempts
-		n.log.WithFields(logrus.Fields{"code": "process-retuned", "classes": len(s.Classes), "attempts": s.MaxAttempts}).Info("the settings have other classes")
-	}
-	n.config.SettingsRaw = c.SettingsRaw
-	if n.fleet != nil {
-		if err := n.fleet.Reload(); err != nil { // checked with the file a moment ago
-			return err
-		}
+		return ErrServerSourceChanged
 	}
-	if c.Static {
-		n.watcher.Known(c.Known)
-	} else {
-		n.watcher.Move(c.Discovery)
+	return nil
+}
+
+// reloadPlans applies changed plans as a revision of its own number. With a catalogue, the plans are the catalogue's.
+func (n *Node) reloadPlans(c *config.Config) error {
+	if n.config.Catalogue != "" || slices.Equal(c.Settings.Plans, n.config.Settings.Plans) {
+		return nil
 	}
-	if n.count != nil && c.Embedded == "" {
-		n.count.Move(c.Counter)
+	revision := plans.Revision{Number: 1, Authority: plans.AuthorityHeader, Plans: c.Settings.Plans}
+	if problems := revision.Validate(); len(problems) > 0 {
+		return fmt.Errorf("settings: %w", problems[0])
 	}
+	n.updatePlans(func(now decision.Seconds) {
+		n.lastReloadRevision++
+		revision.Number, revision.Holds = n.lastReloadRevision, now
+		n.planState.Offer(revision, now)
+	})
+	n.log.WithFields(logrus.Fields{
+		"code":     "plans-revised",
+		"revision": revision.Number,
+		"digest":   revision.Digest(),
+		"verdict":  plans.VerdictLate.String(),
+	}).Info("plans of the settings changed")
+	n.config.Settings.Plans = c.Settings.Plans
 	return nil
 }
+
+// reloadClasses applies changed classes of requests and another limit of attempts.
+func (n *Node) reloadClasses(c *config.Config) {
+	current, next := &n.config.Settings, &c.Settings
+	if slices.Equal(next.Classes, current.Classes) && next.MaxAttempts == current.MaxAttempts {
+		return
+	}
+	// The decision module first: a request of a new class must be known there when it comes.
+	n.engine.Reconfigure(next.Classes, next.MaxAttempts)
+	n.server.SetClasses(next.Classes)
+	current.Classes, current.MaxAttempts = slices.Clone(next.Classes), next.MaxAttempts
+	n.log.WithFields(logrus.Fields{
+		"code": "process-retuned", "classes": len(next.Classes), "attempts": next.MaxAttempts,
+	}).Info("classes of the settings changed")
+}
--- /dev/null
+++ b/internal/standalone/node/usage.go
@@ -0,0 +1,182 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"slices"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"mulleinrouter/internal/standalone/fleet/leaseservice"
+	"mulleinrouter/internal/standalone/usageexport"
+	"mulleinrouter/internal/standalone/usagesegment"
+)
+
+const (
+	// secondaryDirSuffix ends the name of the usage folder of a newer process while the older one writes to the
+	// configured folder.
+	secondaryDirSuffix = ".beside"
+
+	openDirAttempts  = 5                // in turn at the configured folder and the secondary one
+	lockedDirRetry   = time.Second      // between attempts to open a folder that another process has locked
+	leftoverInterval = 3 * time.Second  // between looks for records of a process that was killed
+	exportTimeout    = 30 * time.Second // for one batch to be sent and acknowledged
+)
+
+// startUsage records usage and, where the configuration names an endpoint, exports it. Beside an older process of
+// this ingress it writes to the secondary folder, which billing treats as another source; what the older process
+// leaves in the configured folder is exported once that process has ended.
+func (n *Node) startUsage(ctx context.Context) error {
+	writer, dir, otherDir, err := n.openUsageDir()
+	if err != nil {
+		return err
+	}
+	n.meter, n.server.Meter = writer, writer
+	n.closers = append(n.closers, func() {
+		if err := writer.Close(); err != nil {
+			n.log.WithField("code", "usage-bad-segment").WithError(err).
+				Error("cannot close the last usage segment; the next start closes it")
+		}
+	})
+	n.spawn(func() { writer.Run(ctx) })
+	if n.config.Usage.Endpoint != "" {
+		if n.leases != nil { // the holder of the export lease sends for the whole fleet
+			n.leases.DoExport(n.config.Usage.Endpoint)
+		}
+		if err := n.startExporter(ctx, dir); err != nil {
+			return err
+		}
+	}
+	if n.peers != nil {
+		n.spawn(func() { n.exportLeftovers(ctx, otherDir) })
+	}
+	return nil
+}
+
+// openUsageDir opens the configured folder, or the secondary one where another process of this ingress has locked
+// it. It returns the folder that it opened and the other of the two. The other process may hold either for a moment
+// while it looks for leftovers, hence the attempts.
+func (n *Node) openUsageDir() (writer *usagesegment.Writer, dir, otherDir string, err error) {
+	usage := n.config.Usage
+	dir, otherDir = usage.Dir, usage.Dir+secondaryDirSuffix
+	writer, err = usagesegment.Open(dir, usage.Rotate, n.log)
+	for range openDirAttempts {
+		if !errors.Is(err, usagesegment.ErrTaken) || n.peers == nil {
+			break
+		}
+		dir, otherDir = otherDir, dir
+		writer, err = usagesegment.Open(dir, usage.Rotate, n.log)
+	}
+	return writer, dir, otherDir, err
+}
+
+// startExporter exports a folder's records until the context ends. Where another process is still exporting them, it
+// begins once that process has finished.
+func (n *Node) startExporter(ctx context.Context, dir string) error {
+	exporter := n.newExporter(dir)
+	err := exporter.Open()
+	if errors.Is(err, usageexport.ErrTaken) {
+		n.spawn(func() {
+			if n.openWhenUnlocked(ctx, exporter.Open) {
+				defer exporter.Close()
+				exporter.Run(ctx)
+			}
+		})
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	n.closers = append(n.closers, func() { exporter.Close() })
+	n.spawn(func() { exporter.Run(ctx) })
+	return nil
+}
+
+// newExporter returns an exporter of a folder, not yet open.
+func (n *Node) newExporter(dir string) *usageexport.Exporter {
+	exporter := &usageexport.Exporter{
+		Dir:      dir,
+		Endpoint: n.config.Usage.Endpoint,
+		Keep:     n.config.Usage.Keep,
+		Log:      n.log,
+	}
+	if n.leases != nil {
+		exporter.Client = &http.Client{
+			Timeout:   exportTimeout,
+			Transport: leaseservice.Exporting{Steward: n.leases},
+		}
+	}
+	return exporter
+}
+
+// openWhenUnlocked calls open until no other process has the folder locked. It returns false if the context ends
+// first, or if open fails for another reason.
+func (n *Node) openWhenUnlocked(ctx context.Context, open func() error) bool {
+	for {
+		err := open()
+		if err == nil {
+			return true
+		}
+		if !errors.Is(err, usageexport.ErrTaken) && !errors.Is(err, usagesegment.ErrTaken) {
+			n.log.WithField("code", "usage-bad-segment").WithError(err).
+				Error("cannot export the usage records of another process; the command usage export does it")
+			return false
+		}
+		select {
+		case <-ctx.Done():
+			return false
+		case <-time.After(lockedDirRetry):
+		}
+	}
+}
+
+// exportLeftovers exports what another process of this ingress left in its folder, once that process has ended: an
+// older one as planned, or a newer one that died during an upgrade.
+func (n *Node) exportLeftovers(ctx context.Context, dir string) {
+	isOpen := func(s usagesegment.Info) bool { return s.Open }
+	for first := true; ; {
+		segments, err := usagesegment.List(dir)
+		leftovers := err == nil && (first && len(segments) > 0 || slices.ContainsFunc(segments, isOpen))
+		if leftovers && n.closeOpenSegments(dir) && n.config.Usage.Endpoint != "" {
+			n.exportAll(ctx, dir)
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(leftoverInterval):
+		}
+		first = first && !leftovers
+	}
+}
+
+// closeOpenSegments closes the open segments of a folder, as the next start would. It returns false if another
+// process has the folder locked.
+func (n *Node) closeOpenSegments(dir string) bool {
+	writer, err := usagesegment.Open(dir, n.config.Usage.Rotate, n.log)
+	return err == nil && writer.Close() == nil
+}
+
+// exportAll exports the records of a folder until none is left or the context ends.
+func (n *Node) exportAll(ctx context.Context, dir string) {
+	exporter := n.newExporter(dir)
+	if !n.openWhenUnlocked(ctx, exporter.Open) {
+		return
+	}
+	defer exporter.Close()
+	for ctx.Err() == nil {
+		sent, _, _, err := exporter.Step(ctx)
+		if err == nil && !sent {
+			n.log.WithFields(logrus.Fields{"code": "usage-inherited", "dir": dir}).
+				Info("usage records of another process of this ingress exported")
+			return
+		}
+		if err != nil {
+			select {
+			case <-ctx.Done():
+			case <-time.After(lockedDirRetry):
+			}
+		}
+	}
+}
--- a/internal/standalone/plans/plans.go
+++ b/internal/standalone/plans/plans.go
@@ -24,19 +24,19 @@
 
 // The authorities: the client's X-Tier names the plan, or the catalogue does for the members that it lists.
 const (
-	Header Authority = iota
-	Listed
+	AuthorityHeader Authority = iota
+	AuthorityCatalogue
 )
 
 // Revision is one state of the catalogue, whole.
 type Revision struct {
-	Number    uint64           // from 1; the higher one wins from its time on
-	Holds     decision.Seconds // from when it holds, Unix time; 0: from when it is heard
-	Authority Authority
-	Bookable  float64 // units a second that all bookings may take together, at any instant
-	Plans     []decision.Plan
-	Members   map[string]string // plan by member
-	Bookings  []Booking
+	Number       uint64           // from 1; the higher one wins from its time on
+	Holds        decision.Seconds // from when it holds, Unix time; 0: from when it is heard
+	Authority    Authority
+	BookableRate float64 `json:"Bookable"` // units a second that all bookings may take together, at any instant
+	Plans        []decision.Plan
+	Members      map[string]string // plan by member
+	Bookings     []Booking
 }
 
 // Booking is allowance that a member has been promised for a span, on top of its plan's quota.
@@ -49,21 +49,21 @@
 // Rate is what the booking adds to the member's quota while it runs, in units a second.
 func (b Booking) Rate() float64 { return b.Units / (b.To - b.From) }
 
-// Problem is something wrong with a revision. Where names the place as a path, such as `plan.plus.rate`.
-type Problem struct{ Where, Text string }
+// ValidationError is something wrong with a revision. Where names the place as a path, such as `plan.plus.rate`.
+type ValidationError struct{ Where, Text string }
 
-func (p Problem) Error() string { return p.Where + ": " + p.Text }
+func (p ValidationError) Error() string { return p.Where + ": " + p.Text }
 
 // Validate tells all that is wrong with a revision by itself; nil: nothing.
-func (r *Revision) Validate() (all []Problem) {
-	bad := func(text string, where ...string) { all = append(all, Problem{strings.Join(where, "."), text}) }
+func (r *Revision) Validate() (all []ValidationError) {
+	bad := func(text string, where ...string) { all = append(all, ValidationError{strings.Join(where, "."), text}) }
 	if r.Number == 0 {
 		bad("the number must be 1 or more", "revision")
 	}
 	if !finite(r.Holds) {
 		bad("not a time", "holds")
 	}
-	if !finite(r.Bookable) {
+	if !finite(r.BookableRate) {
 		bad("must be a number of units a second, 0 or more", "bookable_rate")
 	}
 	if len(r.Plans) == 0 {
@@ -91,7 +91,7 @@
 		}
 	}
 	for _, m := range slices.Sorted(maps.Keys(r.Members)) {
-		if !IsMember(m) {
+		if !ValidMember(m) {
 			bad("a member is 16 lower-case hexadecimal digits, below 2^33", "members", m)
 		}
 		if _, ok := byName[r.Members[m]]; !ok {
@@ -101,15 +101,15 @@
 	return append(all, r.checkBookings(byName)...)
 }
 
-func (r *Revision) checkBookings(byName map[string]decision.Plan) (all []Problem) {
-	bad := func(text string, where ...string) { all = append(all, Problem{strings.Join(where, "."), text}) }
+func (r *Revision) checkBookings(byName map[string]decision.Plan) (all []ValidationError) {
+	bad := func(text string, where ...string) { all = append(all, ValidationError{strings.Join(where, "."), text}) }
 	ids := map[string]bool{}
 	for _, b := range r.Bookings {
 		if b.ID == "" || ids[b.ID] {
 			bad("a booking needs a name of its own", "booking", b.ID)
 		}
 		ids[b.ID] = true
-		if !IsMember(b.Member) {
+		if !ValidMember(b.Member) {
 			bad("a member is 16 lower-case hexadecimal digits, below 2^33", "booking", b.ID, "member")
 		}
 		if !(b.From > 0 && b.From < b.To) || !finite(b.To) {
@@ -118,7 +118,7 @@
 		if !finite(b.Units) || b.Units == 0 {
 			bad("must be more than 0", "booking", b.ID, "units")
 		}
-		if r.Authority == Listed {
+		if r.Authority == AuthorityCatalogue {
 			if plan, listed := r.Members[b.Member]; !listed {
 				bad("is not among the members that this revision lists", "booking", b.ID, "member")
 			} else if byName[plan].Rate <= 0 {
@@ -129,19 +129,19 @@
 	if len(all) > 0 {
 		return all
 	}
-	if m := fit(r.Bookings, r.Bookable); m != nil {
+	if m := fit(r.Bookings, r.BookableRate); m != nil {
 		// The first one that does not fit those before it is the one to blame. Fewer bookings never fit worse.
-		n := sort.Search(len(r.Bookings)-1, func(i int) bool { return fit(r.Bookings[:i+1], r.Bookable) != nil })
-		bad(Fit(r.Bookings[:n], r.Bookings[n], r.Bookable).Error(), "booking", r.Bookings[n].ID, "units")
+		n := sort.Search(len(r.Bookings)-1, func(i int) bool { return fit(r.Bookings[:i+1], r.BookableRate) != nil })
+		bad(CheckCapacity(r.Bookings[:n], r.Bookings[n], r.BookableRate).Error(), "booking", r.Bookings[n].ID, "units")
 	}
-	if r.Authority == Listed {
+	if r.Authority == AuthorityCatalogue {
 		all = append(all, r.checkCeilings(byName)...)
 	}
 	return all
 }
 
 // checkCeilings holds what a member has booked under its plan's ceiling: no booking is sold that cannot be used.
-func (r *Revision) checkCeilings(byName map[string]decision.Plan) (all []Problem) {
+func (r *Revision) checkCeilings(byName map[string]decision.Plan) (all []ValidationError) {
 	byMember := map[string][]Booking{}
 	for _, b := range r.Bookings {
 		before := byMember[b.Member]
@@ -150,23 +150,23 @@
 		if p.LimitRate <= 0 {
 			continue
 		}
-		if m := Fit(before, b, p.LimitRate-p.Rate); m != nil {
-			all = append(all, Problem{"booking." + b.ID + ".units",
+		if m := CheckCapacity(before, b, p.LimitRate-p.Rate); m != nil {
+			all = append(all, ValidationError{"booking." + b.ID + ".units",
 				fmt.Sprintf("with plan %q, at most %.0f units in this span stay under its ceiling", p.Name, m.Units)})
 		}
 	}
 	return all
 }
 
-// Misfit tells why a booking cannot be accepted, and what would fit.
-type Misfit struct {
+// CapacityError tells why a booking cannot be accepted, and what would fit.
+type CapacityError struct {
 	At    decision.Seconds // the instant with the least left
 	Free  float64          // units a second left then
 	Units float64          // the most that fits in the same span
 	From  decision.Seconds // the earliest later begin from which the whole fits; 0: it never does
 }
 
-func (m *Misfit) Error() string {
+func (m *CapacityError) Error() string {
 	text := fmt.Sprintf("at Unix time %.0f only %g units a second are left; %.0f units would fit in this span", m.At, math.Max(0, m.Free), m.Units)
 	if m.From > 0 {
 		text += fmt.Sprintf(", the whole from Unix time %.0f on", m.From)
@@ -174,14 +174,14 @@
 	return text
 }
 
-// Fit tells whether one more booking stays within the bookable rate (units a second) at every instant, together
+// CheckCapacity tells whether one more booking stays within the bookable rate (units a second) at every instant, together
 // with those that are there; nil: it does.
-func Fit(there []Booking, b Booking, bookable float64) *Misfit {
+func CheckCapacity(there []Booking, b Booking, bookable float64) *CapacityError {
 	at, most := peak(there, b.From, b.To)
 	if most+b.Rate() <= bookable*(1+1e-9) {
 		return nil
 	}
-	m := &Misfit{At: at, Free: bookable - most, Units: math.Floor(math.Max(0, bookable-most)*(b.To-b.From) + 1e-6)}
+	m := &CapacityError{At: at, Free: bookable - most, Units: math.Floor(math.Max(0, bookable-most)*(b.To-b.From) + 1e-6)}
 	// The sum falls only where a booking ends: nothing between such ends can be the earliest.
 	ends := make([]decision.Seconds, 0, len(there))
 	for _, o := range there {
@@ -200,9 +200,9 @@
 }
 
 // fit tells whether bookings stay within the rate together, in one pass.
-func fit(all []Booking, bookable float64) *Misfit {
+func fit(all []Booking, bookable float64) *CapacityError {
 	if at, most := peak(all, math.Inf(-1), math.Inf(1)); most > bookable*(1+1e-9) {
-		return &Misfit{At: at, Free: bookable - most}
+		return &CapacityError{At: at, Free: bookable - most}
 	}
 	return nil
 }
@@ -230,7 +230,7 @@
 // Digest is a word for all that a revision says, its number included. Equal revisions have equal ones.
 func (r *Revision) Digest() string {
 	h := fnv.New64a()
-	fmt.Fprint(h, r.Number, r.Holds, r.Authority, r.Bookable)
+	fmt.Fprint(h, r.Number, r.Holds, r.Authority, r.BookableRate)
 	for _, p := range slices.SortedFunc(slices.Values(r.Plans), func(a, b decision.Plan) int { return cmp.Compare(a.Name, b.Name) }) {
 		fmt.Fprint(h, "|", planDigestText(p))
 	}
@@ -264,10 +264,10 @@
 		m := map[[2]string]string{
 			{"setting", "holds"}:         fmt.Sprintf("%.3f", r.Holds),
 			{"setting", "authority"}:     r.Authority.String(),
-			{"setting", "bookable_rate"}: fmt.Sprint(r.Bookable),
+			{"setting", "bookable_rate"}: fmt.Sprint(r.BookableRate),
 		}
 		for _, p := range r.Plans {
-			m[[2]string{"plan", p.Name}] = Figures(p)
+			m[[2]string{"plan", p.Name}] = FormatPlan(p)
 		}
 		for member, plan := range r.Members {
 			m[[2]string{"member", member}] = plan
@@ -303,8 +303,8 @@
 		{"beyond_costs", p.ExcessCost}, {"ceiling_rate", p.LimitRate}, {"ceiling_depth", p.LimitBurst}, {"ceiling_slack", p.LimitSlack}}
 }
 
-// Figures tells a plan's figures in a line, those that are there.
-func Figures(p decision.Plan) string {
+// FormatPlan tells a plan's figures in a line, those that are there.
+func FormatPlan(p decision.Plan) string {
 	var words []string
 	for _, f := range figures(p) {
 		if f.value != 0 {
@@ -316,14 +316,14 @@
 
 // String is the word for an authority in files and tables.
 func (a Authority) String() string {
-	if a == Listed {
+	if a == AuthorityCatalogue {
 		return "catalogue"
 	}
 	return "header"
 }
 
-// IsMember tells whether a word names a member: 16 hexadecimal digits, lower case, below 2^33 (PROTOCOL).
-func IsMember(s string) bool {
+// ValidMember tells whether a word names a member: 16 hexadecimal digits, lower case, below 2^33 (PROTOCOL).
+func ValidMember(s string) bool {
 	return len(s) == 16 && strings.Trim(s, "0123456789abcdef") == "" && strings.HasPrefix(s, "0000000") && (s[7] == '0' || s[7] == '1')
 }
 
--- a/internal/standalone/plans/plans_test.go
+++ b/internal/standalone/plans/plans_test.go
@@ -21,7 +21,7 @@
 }
 
 func revision(n uint64, holds decision.Seconds, change ...func(*Revision)) Revision {
-	r := Revision{Number: n, Holds: holds, Authority: Listed, Bookable: 100, Plans: []decision.Plan{basic(), plus()},
+	r := Revision{Number: n, Holds: holds, Authority: AuthorityCatalogue, BookableRate: 100, Plans: []decision.Plan{basic(), plus()},
 		Members: map[string]string{anna: "basic", bert: "plus"}}
 	for _, f := range change {
 		f(&r)
@@ -98,7 +98,7 @@
 			}
 			return true
 		}
-		m := Fit(there, b, 20)
+		m := CheckCapacity(there, b, 20)
 		if (m == nil) != fits(b) {
 			t.Fatalf("%v with %v: %v", b, there, m)
 		}
@@ -199,7 +199,7 @@
 	for round := range 200 {
 		s := NewState(nil)
 		for _, i := range rng.Perm(len(all)) {
-			if s.Offer(all[i], 10+rng.Float64()) == Conflict {
+			if s.Offer(all[i], 10+rng.Float64()) == VerdictConflict {
 				conflicts++
 			}
 		}
@@ -247,7 +247,7 @@
 func TestBookingNeverPassesTheCeiling(t *testing.T) {
 	s := NewState(nil) // by header: the plan is not known when the booking is checked
 	s.Offer(revision(1, 0, func(r *Revision) {
-		r.Authority, r.Members = Header, nil
+		r.Authority, r.Members = AuthorityHeader, nil
 		r.Bookings = []Booking{{"b", bert, 100, 110, 900}}
 	}), 0)
 	if diff := cmp.Diff([]float64{20, 94}, append(rates(s, bert, "plus", 105), rates(s, bert, "basic", 105)...)); diff != "" {
@@ -261,11 +261,11 @@
 	if diff := cmp.Diff([]float64{4, 10}, append(rates(s, anna, "plus", 1), rates(s, "00000000000000cc", "plus", 1)...)); diff != "" {
 		t.Error("the catalogue wins for those it lists:", diff)
 	}
-	s.Offer(revision(2, 0, func(r *Revision) { r.Authority = Header }), 2)
+	s.Offer(revision(2, 0, func(r *Revision) { r.Authority = AuthorityHeader }), 2)
 	if diff := cmp.Diff([]float64{10}, rates(s, anna, "plus", 3)); diff != "" {
 		t.Error("the header wins:", diff)
 	}
-	s.Offer(revision(3, 0, func(r *Revision) { r.Authority, r.Plans, r.Members = Header, r.Plans[:1], nil }), 4)
+	s.Offer(revision(3, 0, func(r *Revision) { r.Authority, r.Plans, r.Members = AuthorityHeader, r.Plans[:1], nil }), 4)
 	if diff := cmp.Diff([]float64{10}, rates(s, anna, "plus", 5)); diff != "" {
 		t.Error("a plan taken away turns clients away that still name it:", diff)
 	}
@@ -307,7 +307,7 @@
 	for i := range uint64(mostPending) {
 		s.Offer(revision(i+1, 100), 0)
 	}
-	if v := s.Offer(revision(1000, 100), 0); v != Full {
+	if v := s.Offer(revision(1000, 100), 0); v != VerdictQueueFull {
 		t.Errorf("one more is %v", v)
 	}
 	if s.InForce(100) != mostPending || len(s.all) != 1 {
--- a/internal/standalone/plans/state.go
+++ b/internal/standalone/plans/state.go
@@ -16,12 +16,12 @@
 
 // The verdicts.
 const (
-	Announced Verdict = iota // kept; it holds from its time on
-	Late                     // its time had come before it was heard: it holds at once
-	Same                     // known already
-	Older                    // one with a higher number holds: passed over
-	Conflict                 // another content under a number that is known; the one with the higher digest counts
-	Full                     // too many are announced: passed over
+	VerdictPending Verdict = iota // kept; it holds from its time on
+	VerdictLate                     // its time had come before it was heard: it holds at once
+	VerdictDuplicate                     // known already
+	VerdictStale                    // one with a higher number holds: passed over
+	VerdictConflict                 // another content under a number that is known; the one with the higher digest counts
+	VerdictQueueFull                     // too many are announced: passed over
 )
 
 var verdicts = [...]string{"announced", "late", "same", "older", "conflict", "full"}
@@ -66,32 +66,32 @@
 // same ones: the number decides, and under one number the digest.
 func (s *State) Offer(r Revision, now decision.Seconds) Verdict { return s.offer(r, now, false) }
 
-// Settle takes a revision that was announced: it holds in place of any other of its number.
-func (s *State) Settle(r Revision, now decision.Seconds) Verdict { return s.offer(r, now, true) }
+// Commit takes a revision that was announced: it holds in place of any other of its number.
+func (s *State) Commit(r Revision, now decision.Seconds) Verdict { return s.offer(r, now, true) }
 
 func (s *State) offer(r Revision, now decision.Seconds, settled bool) Verdict {
-	digest, verdict := r.Digest(), Announced
+	digest, verdict := r.Digest(), VerdictPending
 	if r.Holds <= now {
-		verdict = Late
+		verdict = VerdictLate
 	}
 	held := s.at(now)
 	if held != nil && r.Number < held.Number {
-		return Older
+		return VerdictStale
 	}
 	i, found := slices.BinarySearchFunc(s.all, r.Number, func(c *compiled, n uint64) int { return cmp.Compare(c.Number, n) })
 	if found {
 		if digest == s.all[i].digest {
-			return Same
+			return VerdictDuplicate
 		}
-		verdict = Conflict
+		verdict = VerdictConflict
 		if digest < s.all[i].digest && !settled {
-			return Conflict
+			return VerdictConflict
 		}
 		s.all[i] = compile(r, digest)
 		return verdict
 	}
 	if len(s.all) >= mostPending {
-		return Full
+		return VerdictQueueFull
 	}
 	s.all = slices.Insert(s.all, i, compile(r, digest))
 	return verdict
@@ -130,7 +130,7 @@
 	if c == nil {
 		return s.base[tier]
 	}
-	if c.Authority == Listed {
+	if c.Authority == AuthorityCatalogue {
 		if plan, ok := c.Members[member]; ok {
 			tier = plan
 		}
@@ -184,7 +184,7 @@
 func (s *State) Due(now decision.Seconds) (due []decision.Terms) {
 	c, was, since := s.at(now), s.was, s.told
 	s.was, s.told = c, now
-	if c == nil || c.Authority != Listed {
+	if c == nil || c.Authority != AuthorityCatalogue {
 		return nil
 	}
 	tell := func(member string) {
