--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -48,9 +48,9 @@
 	if err != nil {
 		return err
 	}
-	var cuts *linkfaults.Links // nil: none
+	var cuts *linkfaults.Injector // nil: none
 	if s.Links != "" {
-		if cuts, err = linkfaults.Follow(s.Links); err != nil {
+		if cuts, err = linkfaults.NewInjector(s.Links); err != nil {
 			return err
 		}
 	}
--- a/cmd/control/main.go
+++ b/cmd/control/main.go
@@ -54,7 +54,7 @@
 	debug.SetMemoryLimit(max(heap, int64(p.Limits.MemoryMB)<<20/2))
 	c := control.Config{Settings: p, Metrics: s.Metrics, Log: log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr))}
 	if s.Links != "" {
-		l, err := linkfaults.Follow(s.Links)
+		l, err := linkfaults.NewInjector(s.Links)
 		if err != nil {
 			return err
 		}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -253,7 +253,7 @@
 // One that is out of contact, or is known to be behind another, feeds nobody anew.
 func evaluate(words []sourceStatus, now time.Time, since time.Duration) (o clusterView) {
 	heard, whole, electorate, newest, knows := 0, 0, 0, uint64(0), uint64(0)
-	in := func(w *sourceStatus) bool { return w.Incarnation != 0 && now.Sub(w.LastHeard) <= statusTTL && w.Quorum }
+	in := func(w *sourceStatus) bool { return w.Incarnation != 0 && now.Sub(w.LastUpdateAt) <= statusTTL && w.Quorum }
 	for i := range words {
 		w := &words[i]
 		newest = max(newest, w.Epoch)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -182,7 +182,7 @@
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	said := func(ago time.Duration, whole, quorum bool) sourceStatus {
-		return sourceStatus{addr: "a", up: true, complete: whole, State: replication.State{Incarnation: 1, Ready: whole, Quorum: quorum, LastHeard: now.Add(-ago)}}
+		return sourceStatus{addr: "a", up: true, complete: whole, State: replication.State{Incarnation: 1, Ready: whole, Quorum: quorum, LastUpdateAt: now.Add(-ago)}}
 	}
 	never := sourceStatus{}
 	for _, x := range []struct {
@@ -262,7 +262,7 @@
 	now := time.Unix(100, 0)
 	said := func(told, quorum bool, epoch uint64, members int, voters ...string) sourceStatus {
 		return sourceStatus{addr: "a", learned: told, up: true, complete: true, State: replication.State{Incarnation: 1, Ready: true, Quorum: quorum, Epoch: epoch, Members: members, Rank: members, ZonePeers: 20,
-			Voters: voters, LastHeard: now}}
+			Voters: voters, LastUpdateAt: now}}
 	}
 	five := []string{"a", "b", "c", "d", "e"}
 	for i, x := range []struct {
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -36,7 +36,7 @@
 		if s.client.Connected() {
 			connected++
 		}
-		if s.client.State().Within(statusTTL) {
+		if s.client.State().UpdatedWithin(statusTTL) {
 			heard++
 		}
 	}
--- a/internal/cluster/linkfaults/links.go
+++ b/internal/cluster/linkfaults/links.go
@@ -14,12 +14,12 @@
 
 const lookEvery = 20 * time.Millisecond
 
-// Cuts is the hosts that a process is cut off from, by direction.
-type Cuts struct{ To, From map[string]bool }
+// Partition is the hosts that a process is cut off from, by direction.
+type Partition struct{ To, From map[string]bool }
 
 // Parse reads lines "to HOST", "from HOST" and "both HOST". Empty lines and those that begin with # say nothing.
-func Parse(text string) (Cuts, error) {
-	c := Cuts{map[string]bool{}, map[string]bool{}}
+func Parse(text string) (Partition, error) {
+	c := Partition{map[string]bool{}, map[string]bool{}}
 	n := 0
 	for line := range strings.Lines(text) {
 		n++
@@ -41,15 +41,15 @@
 	return c, nil
 }
 
-// Links opens connections that obey the file.
-type Links struct{ cuts atomic.Pointer[Cuts] }
+// Injector opens connections that obey the file.
+type Injector struct{ cuts atomic.Pointer[Partition] }
 
-// Follow goes by a file, for as long as the process runs. The file is replaced whole; one that cannot be read later on changes nothing.
-func Follow(path string) (*Links, error) {
-	read := func() (Cuts, error) {
+// NewInjector goes by a file, for as long as the process runs. The file is replaced whole; one that cannot be read later on changes nothing.
+func NewInjector(path string) (*Injector, error) {
+	read := func() (Partition, error) {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			return Cuts{}, err
+			return Partition{}, err
 		}
 		return Parse(string(text))
 	}
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	l := &Links{}
+	l := &Injector{}
 	l.cuts.Store(&c)
 	go func() {
 		for range time.Tick(lookEvery) {
@@ -70,7 +70,7 @@
 }
 
 // Dialer returns a dialer that obeys the file, over another one; over a nil Links, that one.
-func (l *Links) Dialer(dial func(ctx context.Context, addr string) (net.Conn, error)) func(ctx context.Context, addr string) (net.Conn, error) {
+func (l *Injector) Dialer(dial func(ctx context.Context, addr string) (net.Conn, error)) func(ctx context.Context, addr string) (net.Conn, error) {
 	if l == nil {
 		return dial
 	}
@@ -97,7 +97,7 @@
 // conn is a connection to a host.
 type conn struct {
 	net.Conn
-	links       *Links
+	links       *Injector
 	host        string
 	read, write atomic.Int64 // deadlines, as Unix nanoseconds; 0: none
 	once        sync.Once
@@ -105,7 +105,7 @@
 }
 
 // hold waits while the link is cut that way.
-func (c *conn) hold(cut func(*Cuts) bool, deadline *atomic.Int64) error {
+func (c *conn) hold(cut func(*Partition) bool, deadline *atomic.Int64) error {
 	for cut(c.links.cuts.Load()) {
 		select {
 		case <-c.closed:
@@ -122,7 +122,7 @@
 // Read takes what has come, unless it is held.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if late := c.hold(func(x *Cuts) bool { return x.From[c.host] }, &c.read); late != nil {
+	if late := c.hold(func(x *Partition) bool { return x.From[c.host] }, &c.read); late != nil {
 		return 0, errors.Join(late, c.Conn.Close()) // what has come is lost with it
 	}
 	return n, err
@@ -130,7 +130,7 @@
 
 // Write sends, once it may.
 func (c *conn) Write(b []byte) (int, error) {
-	if err := c.hold(func(x *Cuts) bool { return x.To[c.host] }, &c.write); err != nil {
+	if err := c.hold(func(x *Partition) bool { return x.To[c.host] }, &c.write); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
--- a/internal/cluster/linkfaults/links_test.go
+++ b/internal/cluster/linkfaults/links_test.go
@@ -25,7 +25,7 @@
 func TestCutsHoldAndLetGo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		l := &Links{}
+		l := &Injector{}
 		set := func(text string) {
 			c, err := Parse(text)
 			is.NoErr(err)
--- a/internal/cluster/quota/counter.go
+++ b/internal/cluster/quota/counter.go
@@ -36,7 +36,7 @@
 func (c *counter) add(now float64, r *Report) {
 	h := c.holders[r.Reporter]
 	if h == nil {
-		if len(c.holders) >= MaxHolders {
+		if len(c.holders) >= MaxReporters {
 			c.evict()
 		}
 		h = &holder{at: now, cycle: r.Cycle}
--- a/internal/cluster/quota/keeper.go
+++ b/internal/cluster/quota/keeper.go
@@ -11,7 +11,7 @@
 	LateReportRetention = 3.0   // a holder that is late counts so long with what it told last
 	MaxRetention        = 600.0 // for which a cycle is kept at most
 	MaxNames            = 1 << 17
-	MaxHolders          = 8192 // of one name
+	MaxReporters          = 8192 // of one name
 )
 
 const (
@@ -61,8 +61,8 @@
 	me     string
 }
 
-// New makes a keeper that answers for nothing yet.
-func New() *CounterTable { return &CounterTable{names: map[string]*counter{}} }
+// NewCounterTable makes a keeper that answers for nothing yet.
+func NewCounterTable() *CounterTable { return &CounterTable{names: map[string]*counter{}} }
 
 // SetMembers says who shares the names from now on: the control nodes that live, of which this is one, and whether they are more than
 // half of the core. It may be called as often as one likes; only a difference counts.
--- a/internal/cluster/quota/keeper_test.go
+++ b/internal/cluster/quota/keeper_test.go
@@ -63,7 +63,7 @@
 		for _, one := range []bool{false, true} {
 			is := is.New(t)
 			odds := rand.New(rand.NewPCG(seed, 2))
-			k := New()
+			k := NewCounterTable()
 			k.SetMembers(0, []string{"me"}, "me", true)
 			now, all, serial := 10.0, map[string][]told{}, map[string]uint64{}
 			for range 800 {
@@ -104,7 +104,7 @@
 		odds := rand.New(rand.NewPCG(seed, 3))
 		keepers := map[string]*CounterTable{}
 		for _, n := range names {
-			keepers[n] = New()
+			keepers[n] = NewCounterTable()
 		}
 		cut, sees := "", map[string]float64{} // who is cut off, and from when on each notices
 		served, last := 0, 0.0
@@ -150,7 +150,7 @@
 	for i := 0; Owner(name, both) != "a"; i++ {
 		name = fmt.Sprint("tenant-", i)
 	}
-	k := New()
+	k := NewCounterTable()
 	k.SetMembers(0, both, "b", true)
 	add := func(now float64, holder string, amount float64) (float64, int, bool) {
 		got := k.Add(now, &Report{Name: name, Cycle: int64(now), Reporter: holder, Amount: amount, Retention: 10})
--- a/internal/cluster/registry/registry.go
+++ b/internal/cluster/registry/registry.go
@@ -10,9 +10,9 @@
 
 // Times and bounds of a Registry. Those in heartbeats are spans between two calls of one server.
 const (
-	SilenceHeartbeats                    = 3.5     // heartbeats without a call until an instance is judged silent
-	MassSilenceRecheckHeartbeats         = 2.0     // heartbeats for which a mass silence is looked at, once calls come again
-	MassSilenceMinimum                   = 4       // so many silent at once may be a mass silence
+	TimeoutHeartbeats                    = 3.5     // heartbeats without a call until an instance is judged silent
+	MassTimeoutRecheckHeartbeats         = 2.0     // heartbeats for which a mass silence is looked at, once calls come again
+	MassTimeoutMinimum                   = 4       // so many silent at once may be a mass silence
 	TombstoneRetention           Seconds = 120     // a gone line is kept so long: a late call must not raise it
 	SilentRetention              Seconds = 600     // a silent instance is kept so long: it may only be cut off
 	DrainRetention               Seconds = 60      // a draining instance that is not heard is taken for gone after this and the patience
@@ -34,7 +34,7 @@
 // entry is an instance within the queue of its phase, and within that of what was heard here.
 type entry struct {
 	instance                   Instance
-	lastHeard                  Seconds // last heard, or since when it has its phase
+	lastSeenAt                  Seconds // last heard, or since when it has its phase
 	overdue                    bool
 	heartbeatNumber            uint64 // of the last call heard here; 0: none
 	phaseLinks, heartbeatLinks links
@@ -45,7 +45,7 @@
 // queue is a list of entries, the oldest first.
 type queue struct {
 	first, last *entry
-	n           int
+	length           int
 	of          func(*entry) *links
 }
 
@@ -61,7 +61,7 @@
 		q.of(q.last).next = e
 	}
 	q.last = e
-	q.n++
+	q.length++
 }
 
 func (q *queue) remove(e *entry) {
@@ -77,13 +77,13 @@
 		q.of(l.next).prev = l.prev
 	}
 	l.prev, l.next = nil, nil
-	q.n--
+	q.length--
 }
 
 // Registry is a control node's judgement of which servers are silent. Every method takes the time, which never goes back, and
 // costs by what changes, not by how many instances there are. It does no I/O; callers keep it to one goroutine at a time.
 type Registry struct {
-	beat       Seconds
+	heartbeatInterval       Seconds
 	entries    map[string]*entry
 	phases     [Gone + 1]queue // instances by phase, the one longest unheard (or longest in that phase) first
 	heartbeats queue           // instances heard here, the one longest unheard here first
@@ -95,14 +95,14 @@
 	checked        bool
 	overdue        int    // serving instances that the patience with has ended: the first so many of their queue
 	cursor         *entry // the first that is not overdue
-	massSilence    bool   // a mass silence is being looked at
+	massTimeout    bool   // a mass silence is being looked at
 	callsResumedAt Seconds
 	callsResumed   bool // calls have come since it began, from again on
 }
 
 // New makes a registry of servers that call once in so many seconds.
 func New(beat Seconds) *Registry {
-	r := &Registry{beat: beat, entries: map[string]*entry{}, heartbeats: queue{of: heartbeatLinksOf}}
+	r := &Registry{heartbeatInterval: beat, entries: map[string]*entry{}, heartbeats: queue{of: heartbeatLinksOf}}
 	for i := range r.phases {
 		r.phases[i].of = phaseLinksOf
 	}
@@ -129,20 +129,20 @@
 	e := r.entries[l.ID]
 	if e == nil {
 		e = r.add(now, l)
-		r.noteHeartbeat(e)
+		r.trackHeartbeat(e)
 		return e.instance, true
 	}
 	if old := e.instance; l.Supersedes(old) {
 		r.update(now, e, l)
 		if l.Phase < Gone {
-			r.noteHeartbeat(e)
+			r.trackHeartbeat(e)
 		}
 		return e.instance, l.DiffersFrom(old)
 	}
 	// A call that is sent once more still shows that the server lives; one that was held up on its way does not.
 	if l.Seq == e.instance.Seq && e.instance.Phase != Gone && e.instance.Phase != Silent {
 		r.touch(now, e)
-		r.noteHeartbeat(e)
+		r.trackHeartbeat(e)
 	}
 	return e.instance, false
 }
@@ -212,29 +212,29 @@
 // the instances and at least MassSilenceMinimum, is rather a cut of this node: nobody is judged until calls come again, from anyone,
 // and then only who has not called for MassSilenceRecheckBeats heartbeats more.
 func (r *Registry) DetectSilent(now Seconds) []Instance {
-	if r.checked && now-r.lastCheck > r.beat {
+	if r.checked && now-r.lastCheck > r.heartbeatInterval {
 		r.quorumSince = max(r.quorumSince, now)
 	}
 	r.lastCheck, r.checked = now, true
-	patience := SilenceHeartbeats * r.beat
+	patience := TimeoutHeartbeats * r.heartbeatInterval
 	if !r.hasQuorum || now-r.quorumSince < patience {
-		r.massSilence = false
+		r.massTimeout = false
 		return nil
 	}
 	serving := &r.phases[Serving]
-	for r.cursor != nil && now-r.cursor.lastHeard >= patience {
+	for r.cursor != nil && now-r.cursor.lastSeenAt >= patience {
 		r.cursor.overdue = true
 		r.overdue++
 		r.cursor = r.cursor.phaseLinks.next
 	}
-	if !r.massSilence && r.overdue >= MassSilenceMinimum && 2*r.overdue > serving.n {
-		r.massSilence, r.callsResumed = true, false
+	if !r.massTimeout && r.overdue >= MassTimeoutMinimum && 2*r.overdue > serving.length {
+		r.massTimeout, r.callsResumed = true, false
 	}
-	if r.massSilence {
-		if !r.callsResumed || now-r.callsResumedAt < MassSilenceRecheckHeartbeats*r.beat {
+	if r.massTimeout {
+		if !r.callsResumed || now-r.callsResumedAt < MassTimeoutRecheckHeartbeats*r.heartbeatInterval {
 			return nil
 		}
-		r.massSilence = false
+		r.massTimeout = false
 	}
 	var due []Instance
 	for r.overdue > 0 {
@@ -244,7 +244,7 @@
 		r.update(now, e, l)
 		due = append(due, l)
 	}
-	for leaving := &r.phases[Draining]; leaving.first != nil && now-leaving.first.lastHeard >= patience+DrainRetention; {
+	for leaving := &r.phases[Draining]; leaving.first != nil && now-leaving.first.lastSeenAt >= patience+DrainRetention; {
 		e := leaving.first
 		l := e.instance
 		l.Phase = Gone
@@ -260,7 +260,7 @@
 		Phase
 		keep Seconds
 	}{{Gone, TombstoneRetention}, {Silent, SilentRetention}} {
-		for q := &r.phases[k.Phase]; q.first != nil && now-q.first.lastHeard >= k.keep; {
+		for q := &r.phases[k.Phase]; q.first != nil && now-q.first.lastSeenAt >= k.keep; {
 			ids = append(ids, q.first.instance.ID)
 			r.remove(q.first)
 		}
@@ -300,11 +300,11 @@
 			}
 		}
 	}
-	e := &entry{instance: l, lastHeard: now}
+	e := &entry{instance: l, lastSeenAt: now}
 	r.entries[l.ID] = e
 	r.enqueue(e)
 	if l.Phase == Serving || l.Phase == Draining {
-		r.noteCall(now)
+		r.observeCall(now)
 	}
 	return e
 }
@@ -312,10 +312,10 @@
 // update gives an entry another instance of its id, heard now.
 func (r *Registry) update(now Seconds, e *entry, l Instance) {
 	r.dequeue(e)
-	e.instance, e.lastHeard = l, now
+	e.instance, e.lastSeenAt = l, now
 	r.enqueue(e)
 	if l.Phase == Serving || l.Phase == Draining {
-		r.noteCall(now)
+		r.observeCall(now)
 	} else if e.heartbeatNumber != 0 {
 		r.heartbeats.remove(e)
 		e.heartbeatNumber = 0
@@ -324,15 +324,15 @@
 
 func (r *Registry) touch(now Seconds, e *entry) { r.update(now, e, e.instance) }
 
-// noteCall notes that somebody noteCall, for the look at a mass silence.
-func (r *Registry) noteCall(now Seconds) {
-	if r.massSilence && !r.callsResumed {
+// observeCall notes that somebody observeCall, for the look at a mass silence.
+func (r *Registry) observeCall(now Seconds) {
+	if r.massTimeout && !r.callsResumed {
 		r.callsResumed, r.callsResumedAt = true, now
 	}
 }
 
-// noteHeartbeat notes that an entry was heard here.
-func (r *Registry) noteHeartbeat(e *entry) {
+// trackHeartbeat notes that an entry was heard here.
+func (r *Registry) trackHeartbeat(e *entry) {
 	if e.instance.Phase >= Gone {
 		return
 	}
--- a/internal/cluster/registry/registry_test.go
+++ b/internal/cluster/registry/registry_test.go
@@ -51,7 +51,7 @@
 		p.since = max(p.since, now)
 	}
 	p.looked, p.checked = now, true
-	if !p.hasQuorum || now-p.since < SilenceHeartbeats*p.beat {
+	if !p.hasQuorum || now-p.since < TimeoutHeartbeats*p.beat {
 		p.mass = false
 		return nil
 	}
@@ -59,16 +59,16 @@
 	for id, l := range p.lines {
 		if l.Phase == Serving {
 			serving++
-			if now-p.at[id] >= SilenceHeartbeats*p.beat {
+			if now-p.at[id] >= TimeoutHeartbeats*p.beat {
 				due = append(due, id)
 			}
 		}
 	}
-	if !p.mass && len(due) >= MassSilenceMinimum && 2*len(due) > serving {
+	if !p.mass && len(due) >= MassTimeoutMinimum && 2*len(due) > serving {
 		p.mass, p.calls = true, false
 	}
 	if p.mass {
-		if !p.calls || now-p.callsResumedAt < MassSilenceRecheckHeartbeats*p.beat {
+		if !p.calls || now-p.callsResumedAt < MassTimeoutRecheckHeartbeats*p.beat {
 			return nil
 		}
 		p.mass = false
@@ -79,7 +79,7 @@
 		p.set(now, l)
 	}
 	for id, l := range p.lines {
-		if l.Phase == Draining && now-p.at[id] >= SilenceHeartbeats*p.beat+DrainRetention {
+		if l.Phase == Draining && now-p.at[id] >= TimeoutHeartbeats*p.beat+DrainRetention {
 			l.Phase = Gone
 			p.set(now, l)
 			due = append(due, id)
--- a/internal/cluster/replication/client.go
+++ b/internal/cluster/replication/client.go
@@ -31,8 +31,8 @@
 	maxBackoff     = time.Second
 )
 
-// ErrDown means that there is no connection to the source now.
-var ErrDown = errors.New("source not connected")
+// ErrNotConnected means that there is no connection to the source now.
+var ErrNotConnected = errors.New("source not connected")
 
 // Client keeps one subscription to one source and merges what comes into the Store. Set its fields, then Run it.
 type Client struct {
@@ -74,12 +74,12 @@
 	Rank        int       // of this process's ingress among those of its zone
 	ZonePeers   int       // 0: it has no rank
 	Voters      []string  // the electorate, as it told it last
-	LastHeard   time.Time // when it sent the last feed, by the common clock; only for spans, which are of the steady clock
+	LastUpdateAt   time.Time // when it sent the last feed, by the common clock; only for spans, which are of the steady clock
 }
 
-// Within tells whether a source was heard so recently.
-func (s State) Within(span time.Duration) bool {
-	return s.Incarnation != 0 && time.Since(s.LastHeard) <= span
+// UpdatedWithin tells whether a source was heard so recently.
+func (s State) UpdatedWithin(span time.Duration) bool {
+	return s.Incarnation != 0 && time.Since(s.LastUpdateAt) <= span
 }
 
 // State returns what is known of the source now. What it last said stays when the connection ends; see Heard.
@@ -102,7 +102,7 @@
 	conn := c.conn
 	c.mu.Unlock()
 	if conn == nil {
-		return nil, ErrDown
+		return nil, ErrNotConnected
 	}
 	return conn.Call(timeout, f)
 }
@@ -201,7 +201,7 @@
 	if conn.Send(&transport.Frame{Hello: hello}) != nil {
 		return false
 	}
-	if c.RepairSource && was.Incarnation != 0 && time.Since(was.LastHeard) > repairAfterAbsence {
+	if c.RepairSource && was.Incarnation != 0 && time.Since(was.LastUpdateAt) > repairAfterAbsence {
 		s.received = map[string]struct{}{}
 	}
 	err := conn.Run(func(f *transport.Frame) *transport.Frame {
--- a/internal/cluster/replication/replication_test.go
+++ b/internal/cluster/replication/replication_test.go
@@ -282,7 +282,7 @@
 
 		// Heartbeats keep it up, and it ends with its context.
 		time.Sleep(30 * time.Second)
-		is.True(c.Connected() && c.State().Within(time.Second))
+		is.True(c.Connected() && c.State().UpdatedWithin(time.Second))
 		cancel()
 		all.Wait()
 		x.cut()
--- a/internal/cluster/settings/paths.go
+++ b/internal/cluster/settings/paths.go
@@ -19,15 +19,15 @@
 	Line  int
 }
 
-// Fault is one thing that is wrong with a file of settings.
-type Fault struct {
+// SettingError is one thing that is wrong with a file of settings.
+type SettingError struct {
 	File string // without its folder; empty where only a text was read
 	Line int    // 0: the file lacks something
 	Key  string // empty where the line has none
 	Text string
 }
 
-func (f Fault) Error() string {
+func (f SettingError) Error() string {
 	where := f.File
 	if f.Line > 0 {
 		where = strings.TrimPrefix(fmt.Sprintf("%s:%d", f.File, f.Line), ":")
@@ -35,10 +35,10 @@
 	return strings.TrimPrefix(strings.TrimPrefix(where+": ", ": ")+strings.TrimPrefix(f.Key+": ", ": ")+f.Text, ": ")
 }
 
-// Faults is all that is wrong, in the order of the lines and what is missing at the end. It is an error of one line.
-type Faults []Fault
+// SettingErrors is all that is wrong, in the order of the lines and what is missing at the end. It is an error of one line.
+type SettingErrors []SettingError
 
-func (f Faults) Error() string {
+func (f SettingErrors) Error() string {
 	texts := make([]string, 0, len(f))
 	for n, one := range f {
 		if n == 10 {
@@ -51,21 +51,21 @@
 }
 
 // in is the faults as those of a file; nil, and so no error, where there are none.
-func (f Faults) in(file string) error {
+func (f SettingErrors) in(file string) error {
 	if len(f) == 0 {
 		return nil
 	}
 	for n := range f {
 		f[n].File = file
 	}
-	slices.SortStableFunc(f, func(a, b Fault) int { return cmp.Compare(uint(a.Line)-1, uint(b.Line)-1) }) // no line: last
+	slices.SortStableFunc(f, func(a, b SettingError) int { return cmp.Compare(uint(a.Line)-1, uint(b.Line)-1) }) // no line: last
 	return f
 }
 
 // Parse reads lines of the form a.b.c=value. Empty lines and those that begin with # say nothing. Errors are Faults: lines that are of no
 // such form, and paths given twice.
 func Parse(text string) (Paths, error) {
-	paths, faults := Paths{}, Faults(nil)
+	paths, faults := Paths{}, SettingErrors(nil)
 	n := 0
 	for line := range strings.Lines(text) {
 		n++
@@ -78,11 +78,11 @@
 		old, twice := paths[key]
 		switch {
 		case !ok:
-			faults = append(faults, Fault{Line: n, Text: fmt.Sprintf("no \"=\": %.40q", line)})
+			faults = append(faults, SettingError{Line: n, Text: fmt.Sprintf("no \"=\": %.40q", line)})
 		case key == "":
-			faults = append(faults, Fault{Line: n, Text: fmt.Sprintf("no key: %.40q", line)})
+			faults = append(faults, SettingError{Line: n, Text: fmt.Sprintf("no key: %.40q", line)})
 		case twice:
-			faults = append(faults, Fault{Line: n, Key: key, Text: fmt.Sprintf("given on line %d already", old.Line)})
+			faults = append(faults, SettingError{Line: n, Key: key, Text: fmt.Sprintf("given on line %d already", old.Line)})
 		default:
 			paths[key] = Setting{strings.TrimSpace(value), n}
 		}
@@ -93,19 +93,19 @@
 // reader reads settings by their paths and keeps all that is wrong.
 type reader struct {
 	paths  Paths
-	faults Faults
+	faults SettingErrors
 }
 
 func (r *reader) fault(path, what string) {
 	at := r.paths[path]
-	r.faults = append(r.faults, Fault{Line: at.Line, Key: path, Text: fmt.Sprintf("%s: %.60q", what, at.Value)})
+	r.faults = append(r.faults, SettingError{Line: at.Line, Key: path, Text: fmt.Sprintf("%s: %.60q", what, at.Value)})
 }
 
 // need marks paths that must be there.
 func (r *reader) need(paths ...string) {
 	for _, path := range paths {
 		if at, ok := r.paths[path]; !ok {
-			r.faults = append(r.faults, Fault{Key: path, Text: "missing"})
+			r.faults = append(r.faults, SettingError{Key: path, Text: "missing"})
 		} else if at.Value == "" {
 			r.fault(path, "empty")
 		}
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -69,12 +69,12 @@
 	Recovery     float64 // after machines are back, until requests are served again
 }
 
-// Read reads the text of a file of settings; file is its name, for what is wrong. Unknown fields are passed over; a field that has a
+// Decode reads the text of a file of settings; file is its name, for what is wrong. Unknown fields are passed over; a field that has a
 // default may be missing. Errors are Faults.
-func Read(file, text string) (*Settings, error) {
+func Decode(file, text string) (*Settings, error) {
 	paths, err := Parse(text)
 	if err != nil {
-		return nil, err.(Faults).in(file)
+		return nil, err.(SettingErrors).in(file)
 	}
 	r := &reader{paths: paths}
 	r.need("self.nodeName", "self.hostIp", "self.zone", "network.innerPortRange", "network.seedNodes")
@@ -139,10 +139,10 @@
 
 // Require tells whether there is what a program cannot be without, beyond what all need: proxy, agent or control. Errors are Faults.
 func (p *Settings) Require(program string) error {
-	var faults Faults
+	var faults SettingErrors
 	need := func(key, value string) {
 		if value == "" {
-			faults = append(faults, Fault{Key: key, Text: "missing, and " + program + " needs it"})
+			faults = append(faults, SettingError{Key: key, Text: "missing, and " + program + " needs it"})
 		}
 	}
 	switch program {
@@ -154,7 +154,7 @@
 		need("self.dataPath", p.DataPath)
 	case "agent":
 	default:
-		faults = append(faults, Fault{Text: fmt.Sprintf("no program is named %.40q", program)})
+		faults = append(faults, SettingError{Text: fmt.Sprintf("no program is named %.40q", program)})
 	}
 	return faults.in("")
 }
--- a/internal/cluster/settings/settings_test.go
+++ b/internal/cluster/settings/settings_test.go
@@ -38,7 +38,7 @@
 
 func TestReadsSettings(t *testing.T) {
 	is := is.New(t)
-	p, err := Read("node.conf", example)
+	p, err := Decode("node.conf", example)
 	is.NoErr(err)
 	is.Equal(p.Serving, []string{"edge", "control"})
 	is.Equal([]string{p.Node, p.Role, p.Class, p.Host, p.Zone, p.FrontAddr, p.ReadyAddr, p.ControlAddr},
@@ -85,7 +85,7 @@
 			"\nself.bootstrap=no", `node.conf:3: self.bootstrap: neither true nor false: "no"; ` +
 				`node.conf: self.nodeName: missing; node.conf: self.hostIp: missing`},
 	} {
-		p, err := Read("node.conf", strings.Replace(example, c.old, c.new, 1))
+		p, err := Decode("node.conf", strings.Replace(example, c.old, c.new, 1))
 		if err == nil || err.Error() != c.want || p != nil {
 			t.Errorf("%q in place of %q:\n\t%v, want\n\t%s", c.new, c.old, err, c.want)
 		}
@@ -111,7 +111,7 @@
 		t.Helper()
 		got, p, err := again()
 		if err == nil {
-			err = Faults{}
+			err = SettingErrors{}
 		}
 		is.Equal(got, changed)
 		is.Equal(p.Zone, zone)
--- a/internal/cluster/settings/watch.go
+++ b/internal/cluster/settings/watch.go
@@ -37,7 +37,7 @@
 	if len(text) > maxFileBytes {
 		return nil, fmt.Errorf("settings: %s: too long", path)
 	}
-	return Read(filepath.Base(path), string(text))
+	return Decode(filepath.Base(path), string(text))
 }
 
 func located(path string) (string, error) {
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -48,7 +48,7 @@
 	if x := n.peer(addr); x != nil {
 		s := x.client.State()
 		if s.Incarnation != 0 {
-			m.Heard = max(0, time.Since(s.LastHeard).Seconds())
+			m.Heard = max(0, time.Since(s.LastUpdateAt).Seconds())
 		}
 		if age := n.contact.age(addr).Seconds(); age >= 0 && (m.Heard < 0 || age < m.Heard) { // voters are asked too
 			m.Heard = age
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -118,7 +118,7 @@
 		drawDiskID: func() uint64 { return n.incarnation }, electorateChanged: n.notifyWatch}
 	n.proposals = newProposalQueue(n)
 	n.instances = newInstanceRegistry(n.store, s.HeartbeatInterval, n.uptime)
-	n.keeper.CounterTable = quota.New()
+	n.keeper.CounterTable = quota.NewCounterTable()
 	n.gate.connectionSlots = newConnectionSlots(s.Limits.MaxFDs)
 	n.contact = newContact(n.self, func() time.Duration { return time.Since(n.started) }, n.replica.votersForContact)
 	told := func() []string {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -86,7 +86,7 @@
 		state := x.client.State()
 		heard := -1.0
 		if state.Incarnation != 0 {
-			heard = time.Since(state.LastHeard).Seconds()
+			heard = time.Since(state.LastUpdateAt).Seconds()
 		}
 		all = append(all, SourceStatus{ControlAddr: x.addr, HeardSecondsAgo: heard, AnsweredSecondsAgo: max(-1, n.contact.age(x.addr).Seconds()),
 			Epoch: state.Epoch, Ready: state.Ready, Quorum: state.Quorum})
--- a/internal/decision/keeper_test.go
+++ b/internal/decision/keeper_test.go
@@ -51,7 +51,7 @@
 const givenUp = 0.32 // s
 
 func newQuotaWorld(seed uint64, nodes int, plan Plan, rates func(i int) float64) *quotaWorld {
-	w := &quotaWorld{rng: rand.New(rand.NewPCG(seed, 9)), keeper: quota.New(), plan: plan, now: 100}
+	w := &quotaWorld{rng: rand.New(rand.NewPCG(seed, 9)), keeper: quota.NewCounterTable(), plan: plan, now: 100}
 	w.keeper.SetMembers(0, []string{"k"}, "k", true)
 	for i := range nodes {
 		n := &quotaNode{name: strconv.Itoa(i), rate: rates(i)}
@@ -252,7 +252,7 @@
 		n.rate *= 8
 	}
 	w.run(3, nil)
-	w.keeper = quota.New() // another one, that knows nothing
+	w.keeper = quota.NewCounterTable() // another one, that knows nothing
 	from := len(w.ran)
 	for _, n := range w.nodes {
 		n.cut = true // until the one before is missed
--- a/internal/emulator/capacity/plan.go
+++ b/internal/emulator/capacity/plan.go
@@ -79,9 +79,9 @@
 // Read reads a file of settings, lines a.b=value. Errors are premises.Faults: what is missing, unknown or no figure that can be.
 func Read(file, text string) (*Plan, error) {
 	paths, err := settings.Parse(text)
-	var faults settings.Faults
+	var faults settings.SettingErrors
 	if err != nil {
-		faults = err.(settings.Faults)
+		faults = err.(settings.SettingErrors)
 	}
 	p := &Plan{Name: file, figures: map[string]float64{}}
 	for _, path := range slices.Sorted(maps.Keys(paths)) {
@@ -102,7 +102,7 @@
 			p.figures[path] = v
 			continue
 		}
-		faults = append(faults, settings.Fault{Line: s.Line, Key: path, Text: wrong})
+		faults = append(faults, settings.SettingError{Line: s.Line, Key: path, Text: wrong})
 	}
 	for _, path := range slices.Sorted(maps.Keys(fields)) {
 		f := fields[path]
@@ -110,7 +110,7 @@
 			continue
 		}
 		if f.must {
-			faults = append(faults, settings.Fault{Key: path, Text: "missing"})
+			faults = append(faults, settings.SettingError{Key: path, Text: "missing"})
 		}
 		p.figures[path] = f.otherwise
 	}
@@ -118,7 +118,7 @@
 		faults[i].File = file
 	}
 	if len(faults) > 0 {
-		slices.SortStableFunc(faults, func(a, b settings.Fault) int { return int(uint16(a.Line-1)) - int(uint16(b.Line-1)) })
+		slices.SortStableFunc(faults, func(a, b settings.SettingError) int { return int(uint16(a.Line-1)) - int(uint16(b.Line-1)) })
 		return nil, faults
 	}
 	return p, nil
--- a/internal/emulator/costmodel/cluster.go
+++ b/internal/emulator/costmodel/cluster.go
@@ -89,7 +89,7 @@
 
 // kept is a keeper that is sure of its names, with so many holders of each.
 func kept(names, holders int, one bool) *quota.CounterTable {
-	k := quota.New()
+	k := quota.NewCounterTable()
 	k.SetMembers(0, []string{"a"}, "a", true)
 	for t := range names {
 		for h := range holders {
