--- a/internal/cluster/replication/dial.go
+++ b/internal/cluster/replication/dial.go
@@ -6,16 +6,18 @@
 	"time"
 )
 
-// A machine that has no power does not answer: the opening packet of a connection is lost, and the kernel repeats it only after a
-// second. A client that has just started, or has just lost its source, therefore begins a new connection every eagerInterval while the
-// earlier ones still wait, and takes the first that comes up. Both machines may be back at any moment then, and each tenth of a second
-// counts for all requests of an ingress. After eagerPeriod the usual backoff holds.
+// A machine without power does not answer: the opening packet of a connection is lost, and the kernel repeats it only
+// after a second. A client that has just started, or has just lost its source, therefore opens a new connection every
+// eagerInterval while the earlier ones are still pending, and takes the first that is established. Both machines may be
+// back at any moment then, and each tenth of a second delays all requests of an ingress. After eagerPeriod the usual
+// backoff holds.
 const (
 	eagerPeriod   = 3 * time.Second
 	eagerInterval = 50 * time.Millisecond
-	eagerTimeout  = time.Second // for one of these connections: a link that is choked may need it
+	eagerTimeout  = time.Second // of one of these connections: a congested link may need it
 )
 
+// dialFunc opens a connection.
 type dialFunc func(context.Context) (net.Conn, error)
 
 // dialResult is how one attempt at a connection ended.
@@ -24,20 +26,26 @@
 	err  error
 }
 
-// dialEagerly begins connections until one comes up or the context ends. At most eagerTimeout/eagerInterval of them wait at a time.
+// eagerly returns a dialFunc that dials as dialEagerly does.
+func eagerly(dial dialFunc) dialFunc {
+	return func(ctx context.Context) (net.Conn, error) { return dialEagerly(ctx, dial) }
+}
+
+// dialEagerly opens connections until one is established or the context ends. At most eagerTimeout/eagerInterval of
+// them are pending at a time.
 func dialEagerly(ctx context.Context, dial dialFunc) (net.Conn, error) {
 	attempts, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results := make(chan dialResult)
 	begin := func() {
-		limited, done := context.WithTimeout(attempts, eagerTimeout)
-		defer done()
+		limited, stop := context.WithTimeout(attempts, eagerTimeout)
+		defer stop()
 		conn, err := dial(limited)
 		select {
 		case results <- dialResult{conn, err}:
 		case <-attempts.Done():
 			if err == nil {
-				conn.Close() // another one was first
+				conn.Close() // another one was established before
 			}
 		}
 	}
--- a/internal/cluster/replication/digests.go
+++ b/internal/cluster/replication/digests.go
@@ -8,26 +8,28 @@
 )
 
 const (
-	buckets          = 256
-	minDigestEntries = 256 // of which a snapshot costs little more than the sums
+	buckets = 256
+	// minDigestEntries is the size of a store below which its snapshot costs little more than its digests.
+	minDigestEntries = 256
 )
 
-// digests has, for each bucket of things, the sum of the hashes of what is known of them: two stores with the same sum of a bucket hold the
-// same in it. Of an instance only what differs counts (see registry.Instance.DiffersFrom).
+// digests has, for each bucket of entries, the sum of their hashes: two stores with the same digest of a bucket hold
+// the same in it. Of an instance only what registry.Instance.DiffersFrom compares counts.
 type digests [buckets]uint64
 
-// MatchingBuckets is what another store was found to hold already, by its sums, when this one's last change had that number.
+// MatchingBuckets is what another store was found to hold already, by its digests, when this one's last change had the
+// sequence number upTo. A nil *MatchingBuckets is empty.
 type MatchingBuckets struct {
 	bits [buckets / 8]byte
 	upTo uint64
 }
 
-// contains tells whether the other holds what last changed with that number.
+// contains reports whether the other store holds the entry of that bucket that last changed at that number.
 func (m *MatchingBuckets) contains(bucket uint8, seq uint64) bool {
 	return m != nil && seq <= m.upTo && m.bits[bucket/8]&(1<<(bucket%8)) != 0
 }
 
-// Bits is what tells the other which buckets are the same; nil: none.
+// Bits returns the matching buckets as a bit set for the other store; nil: none.
 func (m *MatchingBuckets) Bits() []byte {
 	if m == nil {
 		return nil
@@ -35,10 +37,10 @@
 	return m.bits[:]
 }
 
-// inMatchingBucket tells whether an instance is in a bucket that a source said is the same.
-func inMatchingBucket(told []byte, id string) bool {
-	b := instanceBucket(id)
-	return int(b/8) < len(told) && told[b/8]&(1<<(b%8)) != 0
+// inMatchingBucket reports whether an instance is in one of the buckets that a source sent as matching.
+func inMatchingBucket(bits []byte, id string) bool {
+	bucket := instanceBucket(id)
+	return int(bucket/8) < len(bits) && bits[bucket/8]&(1<<(bucket%8)) != 0
 }
 
 // hash is FNV-1a, with the length of each text before it.
@@ -46,6 +48,7 @@
 
 const firstHash hash = 14695981039346656037
 
+// number adds a number, little endian.
 func (h hash) number(n uint64) hash {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], n)
@@ -55,6 +58,7 @@
 	return h
 }
 
+// text adds a text with its length before it.
 func (h hash) text(s string) hash {
 	h = h.number(uint64(len(s)))
 	for i := range len(s) {
@@ -63,7 +67,8 @@
 	return h
 }
 
-// mixed spreads a hash over all of its bits (the finalizer of SplitMix64): the sum of plain ones would show differences that cancel out.
+// mixed spreads a hash over all of its bits (the finalizer of SplitMix64): in a sum of unmixed hashes, differences of
+// two entries could cancel out.
 func (h hash) mixed() uint64 {
 	n := uint64(h)
 	n = (n ^ n>>30) * 0xbf58476d1ce4e5b9
@@ -73,12 +78,13 @@
 
 func instanceBucket(id string) uint8 { return uint8(firstHash.text(id).mixed()) }
 
-func itemBucket(k configuration.Key) uint8 {
-	return uint8(firstHash.number(uint64(k.Kind)).text(k.Name).mixed())
+func itemBucket(key configuration.Key) uint8 {
+	return uint8(firstHash.number(uint64(key.Kind)).text(key.Name).mixed())
 }
 
-func instanceHash(l *registry.Instance) uint64 {
-	return firstHash.text(l.ID).text(l.Service).text(l.Address).text(l.Zone).text(l.Generation).number(uint64(l.Capacity)).number(uint64(l.Phase)).mixed()
+func instanceHash(i *registry.Instance) uint64 {
+	h := firstHash.text(i.ID).text(i.Service).text(i.Address).text(i.Zone).text(i.Generation)
+	return h.number(uint64(i.Capacity)).number(uint64(i.Phase)).mixed()
 }
 
 func itemHash(i *configuration.Item) uint64 {
@@ -88,52 +94,52 @@
 	}
 	h = h.text(string(i.Body))
 	if i.History != nil {
-		for _, p := range *i.History {
-			h = h.number(p.Version).number(p.Digest)
+		for _, previous := range *i.History {
+			h = h.number(previous.Version).number(previous.Digest)
 		}
 	}
 	return h.mixed()
 }
 
-// updateDigest has the sums follow a slot as it is now. The mutex is held.
-func (s *Store) updateDigest(at int32) {
-	e := &s.slots[at]
-	s.digests[e.bucket] -= e.digest
-	if e.key.Kind != 0 {
-		item, _ := s.snapshot.Load().Get(e.key)
-		e.bucket, e.digest = itemBucket(e.key), itemHash(&item)
+// updateDigest brings the digest of a slot's bucket up to date with the slot. The mutex is held.
+func (s *Store) updateDigest(index int32) {
+	entry := &s.slots[index]
+	s.digests[entry.bucket] -= entry.digest
+	if entry.key.Kind != 0 {
+		item, _ := s.snapshot.Load().Get(entry.key)
+		entry.bucket, entry.digest = itemBucket(entry.key), itemHash(&item)
 	} else {
-		e.bucket, e.digest = instanceBucket(e.instance.ID), instanceHash(&e.instance)
+		entry.bucket, entry.digest = instanceBucket(entry.instance.ID), instanceHash(&entry.instance)
 	}
-	s.digests[e.bucket] += e.digest
+	s.digests[entry.bucket] += entry.digest
 }
 
-// Digests returns what another store needs to tell what is here already; nil where there is little.
+// Digests returns, encoded, what another store needs to find out what is here already; nil for a small store.
 func (s *Store) Digests() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.items)+len(s.instances) < minDigestEntries {
 		return nil
 	}
-	b := make([]byte, 0, 8*buckets)
+	encoded := make([]byte, 0, 8*buckets)
 	for _, sum := range s.digests {
-		b = binary.LittleEndian.AppendUint64(b, sum)
+		encoded = binary.LittleEndian.AppendUint64(encoded, sum)
 	}
-	return b
+	return encoded
 }
 
-// Match tells what a store with these sums holds already; nil: nothing that is known.
-func (s *Store) Match(told []byte) *MatchingBuckets {
-	if len(told) != 8*buckets {
+// Match returns what a store with these encoded digests holds already; nil: that is not known.
+func (s *Store) Match(encoded []byte) *MatchingBuckets {
+	if len(encoded) != 8*buckets {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m := &MatchingBuckets{upTo: s.seq}
-	for b, sum := range s.digests {
-		if binary.LittleEndian.Uint64(told[8*b:]) == sum {
-			m.bits[b/8] |= 1 << (b % 8)
+	matching := &MatchingBuckets{upTo: s.seq}
+	for bucket, sum := range s.digests {
+		if binary.LittleEndian.Uint64(encoded[8*bucket:]) == sum {
+			matching.bits[bucket/8] |= 1 << (bucket % 8)
 		}
 	}
-	return m
+	return matching
 }
--- /dev/null
+++ b/internal/cluster/replication/feed.go
@@ -0,0 +1,137 @@
+package replication
+
+import (
+	"slices"
+	"time"
+
+	"mulleinrouter/internal/cluster/transport"
+)
+
+const (
+	batchDelay        = 2 * time.Millisecond   // changes that come closer together go in one update
+	heartbeatInterval = 400 * time.Millisecond // the least time between two updates that carry heartbeats
+	maxHeartbeats     = 2048                   // heartbeats in one update
+)
+
+// feed is the sending side of one subscription: what the subscriber has been sent so far.
+type feed struct {
+	source *Source
+	conn   *transport.Conn
+	hello  *transport.Hello
+
+	initial      bool // the subscriber has nothing yet: it gets shared chunks first
+	seq          uint64
+	matching     *MatchingBuckets // what the subscriber held when it subscribed
+	matchingBits []byte           // of matching, for the next update; nil: they were sent
+	voters       []string         // as last sent
+
+	sendsHeartbeats  bool
+	heartbeatNumber  uint64 // heartbeats up to this one were sent
+	lastHeartbeatsAt time.Time
+}
+
+func newFeed(s *Source, conn *transport.Conn, hello *transport.Hello) *feed {
+	f := &feed{source: s, conn: conn, hello: hello}
+	if hello.SourceIncarnation == s.Store.Incarnation() {
+		f.seq = hello.Seq
+	} else {
+		f.matching = s.Store.Match(hello.Digests)
+	}
+	f.matchingBits = f.matching.Bits()
+	f.sendsHeartbeats = hello.Class == ClassControl && s.Heartbeats != nil
+	if f.sendsHeartbeats {
+		_, f.heartbeatNumber = s.Heartbeats(0) // what was received before is out of date by now
+	}
+	f.initial = f.seq == 0 && f.matching == nil && hello.Class != ClassControl
+	return f
+}
+
+// run sends updates until the connection ends. It wakes up for changes and each half second.
+func (f *feed) run() {
+	timer := time.NewTimer(transport.HeartbeatInterval)
+	defer timer.Stop()
+	for {
+		changed := f.source.Store.Changed()
+		if f.initial {
+			sent, err := f.sendChunk()
+			if err != nil {
+				return
+			}
+			if sent {
+				continue
+			}
+			f.initial = false
+		}
+		builtAt, more, err := f.sendUpdate()
+		if err != nil {
+			return
+		}
+		if more {
+			continue
+		}
+		if !wait(timer, transport.HeartbeatInterval, changed, f.conn.Done()) {
+			return
+		}
+		if left := batchDelay - time.Since(builtAt); left > 0 && !wait(timer, left, nil, f.conn.Done()) {
+			return
+		}
+	}
+}
+
+// sendChunk sends the next shared chunk; not sent: little is left, which goes with the next update.
+func (f *feed) sendChunk() (sent bool, err error) {
+	next, found, err := f.source.chunk(f.seq)
+	if err != nil || !found {
+		return false, err
+	}
+	if err := f.conn.SendEncoded(next.frame); err != nil {
+		return false, err
+	}
+	f.seq = next.last
+	return true, nil
+}
+
+// sendUpdate sends an update with the changes that the subscriber lacks; more: there are further ones.
+func (f *feed) sendUpdate() (builtAt time.Time, more bool, err error) {
+	s := f.source
+	update := s.status()
+	if s.Rank != nil {
+		update.Rank, update.ZonePeers = s.Rank(f.hello.Node)
+	}
+	if s.Voters != nil && f.hello.Class != ClassControl {
+		if voters := s.Voters(); !slices.Equal(voters, f.voters) {
+			f.voters, update.Voters = voters, voters
+		}
+	}
+	changes := s.Store.ChangesSinceExcept(f.seq, chunkBytes, f.matching)
+	f.seq = changes.Seq
+	update.Items, update.Instances, update.Complete = changes.Items, changes.Instances, changes.Complete
+	update.Seq = f.seq
+	update.MatchingBuckets, f.matchingBits = f.matchingBits, nil
+	if f.hello.Class == ClassControl {
+		update.Items = nil // a control node takes items only from what consensus has chosen
+	}
+	builtAt = time.Now()
+	more = !update.Complete
+	if f.sendsHeartbeats && builtAt.Sub(f.lastHeartbeatsAt) >= heartbeatInterval {
+		update.Heartbeats, f.heartbeatNumber = s.Heartbeats(f.heartbeatNumber)
+		if len(update.Heartbeats) < maxHeartbeats {
+			f.lastHeartbeatsAt = builtAt
+		} else {
+			more = true
+		}
+	}
+	return builtAt, more, f.conn.Send(&transport.Frame{Update: update})
+}
+
+// wait waits for a change or the end of a time; false: the connection has ended.
+func wait(timer *time.Timer, timeout time.Duration, changed, done <-chan struct{}) bool {
+	timer.Reset(timeout)
+	select {
+	case <-done:
+		return false
+	case <-changed:
+	case <-timer.C:
+	}
+	return true
+}
--- a/internal/cluster/replication/initial_sync.go
+++ b/internal/cluster/replication/initial_sync.go
@@ -9,41 +9,47 @@
 )
 
 const (
-	initialSyncIdle    = 250 * time.Millisecond  // without a word of it, a source is first no longer
-	initialSyncMaxWait = 1500 * time.Millisecond // that a session waits: a source hangs up on who says nothing for transport.IdleTimeout
+	// initialSyncIdle is the time without an update after which a source is no longer the first.
+	initialSyncIdle = 250 * time.Millisecond
+	// initialSyncMaxWait bounds the wait of a session: a source closes a connection on which nothing comes for
+	// transport.IdleTimeout.
+	initialSyncMaxWait = 1500 * time.Millisecond
 )
 
-// InitialSync has one of several clients of one store that is still empty take the snapshot before the others subscribe, who then need
-// only what differs (Store.Sums): that of the source that was connected first, the nearest.
+// InitialSync has one of several clients of one store that is still empty take the snapshot before the others
+// subscribe, who then need only what differs (Store.Digests): that of the source that was connected first, the nearest.
+// The zero value is ready for use, by one store's clients.
 type InitialSync struct {
-	mu       sync.Mutex
-	first    *session
-	heard    time.Time     // when the source that is first was heard last
-	freed    chan struct{} // closed when the first has the snapshot, or has ended
-	complete bool          // somebody has the snapshot
+	mu        sync.Mutex    // guards the fields below
+	first     *session      // the one that takes the snapshot; nil: none does
+	updatedAt time.Time     // when the source of first last sent an update
+	released  chan struct{} // closed when first has the snapshot, or has ended
+	complete  bool          // a session has the snapshot
 }
 
-// await returns when a session may subscribe. Where the source that is first is quiet, the next takes its place.
-func (t *InitialSync) await(ctx context.Context, s *session) {
+// await returns when a session may subscribe. Where the source that is first is quiet, the next session takes its
+// place.
+func (is *InitialSync) await(ctx context.Context, s *session) {
 	for began := time.Now(); ; {
-		t.mu.Lock()
-		if t.first != nil && time.Since(t.heard) >= initialSyncIdle {
-			t.release()
+		is.mu.Lock()
+		if is.first != nil && time.Since(is.updatedAt) >= initialSyncIdle {
+			is.release()
 		}
-		if t.first == nil && !t.complete {
-			t.first, t.heard, t.freed = s, time.Now(), make(chan struct{})
-			t.mu.Unlock()
+		if is.first == nil && !is.complete {
+			is.first, is.updatedAt, is.released = s, time.Now(), make(chan struct{})
+			is.mu.Unlock()
 			return
 		}
-		over, freed, left := t.complete, t.freed, min(initialSyncIdle-time.Since(t.heard), initialSyncMaxWait-time.Since(began))
-		t.mu.Unlock()
-		if over || left <= 0 {
+		complete, released := is.complete, is.released
+		left := min(initialSyncIdle-time.Since(is.updatedAt), initialSyncMaxWait-time.Since(began))
+		is.mu.Unlock()
+		if complete || left <= 0 {
 			return
 		}
 		timer := time.NewTimer(left)
 		select {
 		case <-ctx.Done():
-		case <-freed:
+		case <-released:
 		case <-timer.C:
 		}
 		timer.Stop()
@@ -54,29 +60,30 @@
 }
 
 // observe notes an update of a session's source.
-func (t *InitialSync) observe(s *session, f *transport.Update) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.first != s {
+func (is *InitialSync) observe(s *session, update *transport.Update) {
+	is.mu.Lock()
+	defer is.mu.Unlock()
+	if is.first != s {
 		return
 	}
-	t.heard = time.Now()
-	if f.Complete {
-		t.complete = true
-		t.release()
+	is.updatedAt = time.Now()
+	if update.Complete {
+		is.complete = true
+		is.release()
 	}
 }
 
 // end notes that a session has ended.
-func (t *InitialSync) end(s *session) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.first == s {
-		t.release()
+func (is *InitialSync) end(s *session) {
+	is.mu.Lock()
+	defer is.mu.Unlock()
+	if is.first == s {
+		is.release()
 	}
 }
 
-func (t *InitialSync) release() {
-	t.first = nil
-	close(t.freed)
+// release lets the others subscribe, or one of them be the first. The mutex is held.
+func (is *InitialSync) release() {
+	is.first = nil
+	close(is.released)
 }
--- a/internal/cluster/replication/replication_test.go
+++ b/internal/cluster/replication/replication_test.go
@@ -20,166 +20,187 @@
 )
 
 func item(n int, version uint64) configuration.Item {
-	return configuration.Item{Key: configuration.Key{Kind: configuration.Services, Name: fmt.Sprint("s", n)}, Version: version,
-		Body: fmt.Appendf(nil, `{"healthPath":"/health","maxConns":%d}`, version)}
+	return configuration.Item{
+		Key:     configuration.Key{Kind: configuration.Services, Name: fmt.Sprint("s", n)},
+		Version: version,
+		Body:    fmt.Appendf(nil, `{"healthPath":"/health","maxConns":%d}`, version),
+	}
 }
 
-// A plain store keeps everything with the number of its last change, and looks through all of it.
-type plain struct {
-	seq   uint64
-	items map[string]configuration.Item
-	lines map[string]registry.Instance
-	at    map[string]uint64
+// modelStore is the model of a Store: it keeps every entry with the number of its last change, and goes through all of
+// them.
+type modelStore struct {
+	seq       uint64
+	items     map[string]configuration.Item
+	instances map[string]registry.Instance
+	changedAt map[string]uint64
 }
 
-func (p *plain) note(key string) { p.seq++; p.at[key] = p.seq }
+func (m *modelStore) recordChange(key string) {
+	m.seq++
+	m.changedAt[key] = m.seq
+}
 
-func (p *plain) since(seq uint64) (keys []string) {
-	for key, at := range p.at {
+func (m *modelStore) since(seq uint64) (keys []string) {
+	for key, at := range m.changedAt {
 		if at > seq {
 			keys = append(keys, key)
 		}
 	}
-	slices.SortFunc(keys, func(a, b string) int { return cmp.Compare(p.at[a], p.at[b]) })
+	slices.SortFunc(keys, func(a, b string) int { return cmp.Compare(m.changedAt[a], m.changedAt[b]) })
 	return keys
 }
 
-func TestStoreAgainstPlain(t *testing.T) {
+func TestStoreAgainstModel(t *testing.T) {
 	for seed := range uint64(30) {
 		is := is.New(t)
-		odds := rand.New(rand.NewPCG(seed, 4))
+		random := rand.New(rand.NewPCG(seed, 4))
 		s := NewStore(9)
-		p := &plain{items: map[string]configuration.Item{}, lines: map[string]registry.Instance{}, at: map[string]uint64{}}
+		model := &modelStore{
+			items:     map[string]configuration.Item{},
+			instances: map[string]registry.Instance{},
+			changedAt: map[string]uint64{},
+		}
 		cursor := uint64(0)
 		for range 1500 {
-			switch odds.IntN(10) {
+			switch random.IntN(10) {
 			case 0, 1, 2:
-				i := item(odds.IntN(12), uint64(odds.IntN(60)))
+				i := item(random.IntN(12), uint64(random.IntN(60)))
 				name := "item" + i.Key.Name
 				changed := s.MergeItems([]configuration.Item{i})
-				old, known := p.items[name]
-				news := !known || i.Version > old.Version
-				is.Equal(len(changed) == 1, news)
-				if news {
-					p.items[name] = i
+				old, known := model.items[name]
+				isNew := !known || i.Version > old.Version
+				is.Equal(len(changed) == 1, isNew)
+				if isNew {
+					model.items[name] = i
 				}
-				if news || old.Version > i.Version {
-					p.note(name)
+				if isNew || old.Version > i.Version {
+					model.recordChange(name)
 				}
 			case 3:
-				if id := fmt.Sprint("i", odds.IntN(20)); odds.IntN(4) == 0 {
+				if id := fmt.Sprint("i", random.IntN(20)); random.IntN(4) == 0 {
 					s.ForgetInstances([]string{id})
-					delete(p.lines, id)
-					delete(p.at, "line"+id)
+					delete(model.instances, id)
+					delete(model.changedAt, "instance"+id)
 				}
 			default:
-				l := registry.Instance{ID: fmt.Sprint("i", odds.IntN(20)), Service: "a", Seq: uint64(odds.IntN(100)), Phase: registry.Phase(odds.IntN(16) / 5)}
-				changed := s.MergeInstances([]registry.Instance{l})
-				old, known := p.lines[l.ID]
-				news := !known || l.Supersedes(old) && l.DiffersFrom(old)
-				is.Equal(len(changed) == 1, news)
-				if news || old.Supersedes(l) && l.DiffersFrom(old) {
-					p.note("line" + l.ID)
+				instance := registry.Instance{
+					ID:      fmt.Sprint("i", random.IntN(20)),
+					Service: "a",
+					Seq:     uint64(random.IntN(100)),
+					Phase:   registry.Phase(random.IntN(16) / 5),
 				}
-				if !known || l.Supersedes(old) {
-					p.lines[l.ID] = l
+				changed := s.MergeInstances([]registry.Instance{instance})
+				old, known := model.instances[instance.ID]
+				isNew := !known || instance.Supersedes(old) && instance.DiffersFrom(old)
+				is.Equal(len(changed) == 1, isNew)
+				if isNew || old.Supersedes(instance) && instance.DiffersFrom(old) {
+					model.recordChange("instance" + instance.ID)
+				}
+				if !known || instance.Supersedes(old) {
+					model.instances[instance.ID] = instance
 				}
 			}
-			is.Equal(s.Seq(), p.seq)
-			if odds.IntN(4) > 0 {
+			is.Equal(s.Seq(), model.seq)
+			if random.IntN(4) > 0 {
 				continue
 			}
-			// Either what is behind the cursor, a piece at a time, or behind any number.
-			seq, most := cursor, 1+odds.IntN(200)
-			if odds.IntN(3) == 0 {
-				seq, most = uint64(odds.Int64N(int64(p.seq)+1)), 1<<20
+			// Either what is behind the cursor, a chunk at a time, or behind any number.
+			seq, maxBytes := cursor, 1+random.IntN(200)
+			if random.IntN(3) == 0 {
+				seq, maxBytes = uint64(random.Int64N(int64(model.seq)+1)), 1<<20
 			}
-			items, ls, last, whole := s.ChangesSince(seq, most)
-			want := p.since(seq)
-			if whole {
-				is.Equal(last, p.seq)
+			changes := s.ChangesSince(seq, maxBytes)
+			want := model.since(seq)
+			if changes.Complete {
+				is.Equal(changes.Seq, model.seq)
 			} else {
-				is.True(len(items)+len(ls) > 0)
-				want = slices.DeleteFunc(want, func(key string) bool { return p.at[key] > last })
+				is.True(len(changes.Items)+len(changes.Instances) > 0)
+				want = slices.DeleteFunc(want, func(key string) bool { return model.changedAt[key] > changes.Seq })
 			}
 			var got []string
-			for _, i := range items {
-				i.History = nil // the directory's own
-				is.Equal(i, p.items["item"+i.Key.Name])
+			for _, i := range changes.Items {
+				i.History = nil // kept by the snapshot itself
+				is.Equal(i, model.items["item"+i.Key.Name])
 				got = append(got, "item"+i.Key.Name)
 			}
-			for _, l := range ls {
-				is.Equal(l, p.lines[l.ID])
-				got = append(got, "line"+l.ID)
+			for _, instance := range changes.Instances {
+				is.Equal(instance, model.instances[instance.ID])
+				got = append(got, "instance"+instance.ID)
 			}
 			slices.Sort(got)
 			slices.Sort(want)
 			is.Equal(got, want)
 			if seq == cursor {
-				cursor = last
+				cursor = changes.Seq
 			}
 		}
 		is.True(len(s.log) <= 64+2*len(s.slots))
-		s.ForgetInactive(p.seq)
-		for _, l := range s.Instances() {
-			is.True(l.Phase == registry.Serving || l.Phase == registry.Draining)
+		s.ForgetInactive(model.seq)
+		for _, instance := range s.Instances() {
+			is.True(instance.Phase == registry.Serving || instance.Phase == registry.Draining)
 		}
 	}
 }
 
 func TestClockNeverGoesBack(t *testing.T) {
 	is := is.New(t)
-	odds := rand.New(rand.NewPCG(5, 5))
+	random := rand.New(rand.NewPCG(5, 5))
 	base, last := 0.0, 0.0
-	c := NewClock(func() float64 { return base })
-	c.Observe(1e6, 0)
-	is.Equal(c.Now(), 1e6) // the first time may be anywhere
+	client := NewClock(func() float64 { return base })
+	client.Observe(1e6, 0)
+	is.Equal(client.Now(), 1e6) // the first time may be anywhere
 	for range 10000 {
-		base += odds.Float64()
-		before := c.Now()
-		c.Observe(before+(odds.Float64()-0.7)*1e5, odds.Float64()/100)
-		now := c.Now()
+		base += random.Float64()
+		before := client.Now()
+		client.Observe(before+(random.Float64()-0.7)*1e5, random.Float64()/100)
+		now := client.Now()
 		is.True(now >= before && now >= last && now-before <= 3601)
 		last = now
 	}
-	c.Observe(c.Now()+0.004, 0)
-	is.Equal(c.Now(), last)
+	client.Observe(client.Now()+0.004, 0)
+	is.Equal(client.Now(), last)
 }
 
-// exchange is a source that can be started anew and cut off, with no network.
-type exchange struct {
+// fakeSource is a source over in-memory connections that can be restarted and disconnected.
+type fakeSource struct {
 	mu     sync.Mutex
 	source *Source
 	conns  []net.Conn
 }
 
-func (x *exchange) restart(life uint64) *Store {
-	s := NewStore(life)
-	x.mu.Lock()
-	defer x.mu.Unlock()
+func (fs *fakeSource) restart(incarnation uint64) *Store {
+	s := NewStore(incarnation)
+	fs.mu.Lock()
+	defer fs.mu.Unlock()
 	clock := NewClock(func() float64 { return 50 })
-	x.source = &Source{Store: s, Clock: clock, Quorum: func() bool { return true }, OnInstances: func(ls []registry.Instance) { s.MergeInstances(ls) }}
+	fs.source = &Source{
+		Store:       s,
+		Clock:       clock,
+		Quorum:      func() bool { return true },
+		OnInstances: func(instances []registry.Instance) { s.MergeInstances(instances) },
+	}
 	return s
 }
 
-func (x *exchange) cut() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	for _, c := range x.conns {
-		c.Close()
+func (fs *fakeSource) disconnect() {
+	fs.mu.Lock()
+	defer fs.mu.Unlock()
+	for _, client := range fs.conns {
+		client.Close()
 	}
-	x.conns = nil
+	fs.conns = nil
 }
 
-func (x *exchange) dial(context.Context) (net.Conn, error) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.source == nil {
+func (fs *fakeSource) dial(context.Context) (net.Conn, error) {
+	fs.mu.Lock()
+	defer fs.mu.Unlock()
+	if fs.source == nil {
 		return nil, net.ErrClosed
 	}
 	here, there := net.Pipe()
-	x.conns = append(x.conns, here)
-	s := x.source
+	fs.conns = append(fs.conns, here)
+	s := fs.source
 	go func() {
 		conn := transport.NewConn(there)
 		f, err := conn.Receive()
@@ -194,114 +215,125 @@
 func TestSubscription(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		x := &exchange{}
-		from := x.restart(1)
+		source := &fakeSource{}
+		store := source.restart(1)
 		for n := range 3000 {
-			from.MergeItems([]configuration.Item{item(n, 1)})
+			store.MergeItems([]configuration.Item{item(n, 1)})
 		}
-		from.MergeInstances([]registry.Instance{{ID: "i", Seq: 1}, {ID: "dead", Seq: 1}})
+		store.MergeInstances([]registry.Instance{{ID: "i", Seq: 1}, {ID: "dead", Seq: 1}})
 
 		var mu sync.Mutex
-		got, feeds := map[string]int{}, 0 // how often each came
-		to := NewStore(77)
-		var c *Client
-		c = &Client{Node: "n", Class: ClassAgent, Incarnation: 77, Store: to, Clock: NewClock(func() float64 { return 0 }), Dial: x.dial, RepairSource: true,
-			Ready: func() bool { return true }, Consume: func(f *transport.Update) {
+		got, updates := map[string]int{}, 0 // got: how often each entry came
+		replica := NewStore(77)
+		var client *Client
+		client = &Client{
+			Node:         "n",
+			Class:        ClassAgent,
+			Incarnation:  77,
+			Store:        replica,
+			Clock:        NewClock(func() float64 { return 0 }),
+			Dial:         source.dial,
+			RepairSource: true,
+			Ready:        func() bool { return true },
+			Consume: func(f *transport.Update) {
 				mu.Lock()
 				defer mu.Unlock()
-				feeds++
+				updates++
 				for _, i := range f.Items {
 					got[i.Key.Name]++
 				}
-				for _, l := range f.Instances {
-					got[l.ID]++
+				for _, instance := range f.Instances {
+					got[instance.ID]++
 				}
-				c.merge(f)
-			}}
+				client.merge(f)
+			},
+		}
 		ctx, cancel := context.WithCancel(t.Context())
 		var all sync.WaitGroup
-		all.Go(func() { c.Run(ctx) })
+		all.Go(func() { client.Run(ctx) })
 		synctest.Wait()
-		is.True(c.Connected() && c.State().Complete && c.State().Quorum)
-		is.Equal(to.Snapshot().Len(), 3000)
-		is.Equal(c.Clock.Now(), 50.0)
-		// once takes what has come since it was last asked: so many things, and each of them once.
-		once := func(things int) (in int) {
+		is.True(client.Connected() && client.State().Complete && client.State().Quorum)
+		is.Equal(replica.Snapshot().Len(), 3000)
+		is.Equal(client.Clock.Now(), 50.0)
+		// once checks what has come since its last call: so many entries, each of them once. It returns in how many updates.
+		once := func(entries int) (in int) {
 			t.Helper()
 			mu.Lock()
 			defer mu.Unlock()
-			is.Equal(len(got), things)
+			is.Equal(len(got), entries)
 			for key, n := range got {
 				if n != 1 {
-					t.Fatal(key, "came", n, "times")
+					t.Fatalf("%s came %d times, want once", key, n)
 				}
 			}
-			in, feeds = feeds, 0
+			in, updates = updates, 0
 			clear(got)
 			return in
 		}
 		is.True(once(3002) > 1)
 
-		// News comes at once, and in few feeds.
+		// Changes come at once, and in few updates.
 		for n := range 100 {
-			from.MergeItems([]configuration.Item{item(n, 2)})
+			store.MergeItems([]configuration.Item{item(n, 2)})
 		}
 		time.Sleep(10 * time.Millisecond)
 		synctest.Wait()
 		is.True(once(100) <= 5)
 
-		// A cut: only what changed meanwhile comes, once.
-		x.cut()
+		// After a lost connection only what changed meanwhile comes, once.
+		source.disconnect()
 		synctest.Wait()
-		is.True(!c.Connected())
-		from.MergeItems([]configuration.Item{item(5, 3), item(6, 3)})
-		from.MergeInstances([]registry.Instance{{ID: "i", Seq: 2, Phase: registry.Draining}})
+		is.True(!client.Connected())
+		store.MergeItems([]configuration.Item{item(5, 3), item(6, 3)})
+		store.MergeInstances([]registry.Instance{{ID: "i", Seq: 2, Phase: registry.Draining}})
 		time.Sleep(time.Second)
 		synctest.Wait()
-		is.True(c.Connected())
+		is.True(client.Connected())
 		once(3)
-		l, _ := to.Instance("i")
-		is.Equal(l.Phase, registry.Draining)
+		instance, _ := replica.Instance("i")
+		is.Equal(instance.Phase, registry.Draining)
 
-		// The source starts anew, knows less, and has its numbers begin anew too: nothing is missed, and it learns what it lost.
-		from = x.restart(2)
-		from.MergeItems([]configuration.Item{item(7, 9)})
-		from.MergeInstances([]registry.Instance{{ID: "i", Seq: 3, Phase: registry.Draining}})
-		x.cut()
+		// The source starts anew, knows less, and has its numbers begin anew too: nothing is missed, and it learns what it
+		// lost.
+		store = source.restart(2)
+		store.MergeItems([]configuration.Item{item(7, 9)})
+		store.MergeInstances([]registry.Instance{{ID: "i", Seq: 3, Phase: registry.Draining}})
+		source.disconnect()
 		time.Sleep(time.Second)
 		synctest.Wait()
-		is.Equal(c.State().Incarnation, uint64(2))
+		is.Equal(client.State().Incarnation, uint64(2))
 		once(2)
 		time.Sleep(5 * time.Second)
-		l, ok := from.Instance("dead")
-		is.True(ok && l.Phase == registry.Serving)
-		l, _ = from.Instance("i")
-		is.Equal(l.Seq, uint64(3))
-		i, _ := to.Snapshot().Get(item(7, 9).Key)
+		instance, ok := store.Instance("dead")
+		is.True(ok && instance.Phase == registry.Serving)
+		instance, _ = store.Instance("i")
+		is.Equal(instance.Seq, uint64(3))
+		i, _ := replica.Snapshot().Get(item(7, 9).Key)
 		is.Equal(i.Version, uint64(9))
 
-		// Heartbeats keep it up, and it ends with its context.
+		// Heartbeats keep the connection, and Run ends with its context.
 		time.Sleep(30 * time.Second)
-		is.True(c.Connected() && c.State().UpdatedWithin(time.Second))
+		is.True(client.Connected() && client.State().UpdatedWithin(time.Second))
 		cancel()
 		all.Wait()
-		x.cut()
+		source.disconnect()
 		synctest.Wait()
-		is.True(!c.Connected())
+		is.True(!client.Connected())
 	})
 }
 
-// Whoever holds an older instance or item is told the newer one by whoever hears of it, also where that is no news to others.
-func TestReadsMend(t *testing.T) {
+// TestOutdatedInstanceIsRepaired checks that an instance which is out of date makes the newer one count as changed, so
+// that its sender gets it.
+func TestOutdatedInstanceIsRepaired(t *testing.T) {
 	is := is.New(t)
 	s := NewStore(1)
 	s.MergeInstances([]registry.Instance{{ID: "i", Seq: 4}})
 	s.MergeInstances([]registry.Instance{{ID: "i", Seq: 9}}) // a heartbeat like the one before
-	_, _, seq, _ := s.ChangesSince(0, 1<<20)
+	seq := s.ChangesSince(0, 1<<20).Seq
 	is.Equal(len(s.MergeInstances([]registry.Instance{{ID: "i", Seq: 7, Phase: registry.Silent}})), 0)
-	_, ls, _, _ := s.ChangesSince(seq, 1<<20)
-	is.Equal(ls, []registry.Instance{{ID: "i", Seq: 9}})
-	_, _, seq, _ = s.ChangesSince(0, 1<<20)
-	s.MergeInstances([]registry.Instance{{ID: "i", Seq: 9, Address: "another"}}) // neither wins: not passed back and forth for ever
+	is.Equal(s.ChangesSince(seq, 1<<20).Instances, []registry.Instance{{ID: "i", Seq: 9}})
+	seq = s.ChangesSince(0, 1<<20).Seq
+	// neither supersedes the other: it must not be sent back and forth
+	s.MergeInstances([]registry.Instance{{ID: "i", Seq: 9, Address: "another"}})
 	is.Equal(s.Seq(), seq)
 }
--- a/internal/cluster/replication/retry_test.go
+++ b/internal/cluster/replication/retry_test.go
@@ -11,39 +11,46 @@
 	"github.com/matryer/is"
 )
 
-// A source that was dark while it was dialled, or is waited for, is tried at once when there is word of it; one that is connected is left alone.
-func TestWake(t *testing.T) {
+// TestRetryNow has a source that was without power while it was dialed, or whose backoff runs, be tried at once; a
+// connection that is established stays.
+func TestRetryNow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		x := &exchange{}
-		x.restart(1)
-		dark := true
+		source := &fakeSource{}
+		source.restart(1)
+		unreachable := true
 		var mu sync.Mutex
 		dials := 0
-		c := &Client{Node: "n", Class: ClassAgent, Incarnation: 7, Store: NewStore(7), Clock: NewClock(func() float64 { return 0 }),
+		client := &Client{
+			Node:        "n",
+			Class:       ClassAgent,
+			Incarnation: 7,
+			Store:       NewStore(7),
+			Clock:       NewClock(func() float64 { return 0 }),
 			Dial: func(ctx context.Context) (net.Conn, error) {
 				mu.Lock()
 				dials++
-				hangs := dark
+				hangs := unreachable
 				mu.Unlock()
 				if hangs {
 					<-ctx.Done()
 					return nil, ctx.Err()
 				}
-				return x.dial(ctx)
-			}}
-		c.RetryNow() // before it runs
+				return source.dial(ctx)
+			},
+		}
+		client.RetryNow() // before it runs
 		ctx, cancel := context.WithCancel(t.Context())
 		var all sync.WaitGroup
-		all.Go(func() { c.Run(ctx) })
-		time.Sleep(10 * time.Second) // by now it tries once in some seconds
+		all.Go(func() { client.Run(ctx) })
+		time.Sleep(10 * time.Second) // by now the backoff is at its longest
 		synctest.Wait()
 		mu.Lock()
-		dark = false
+		unreachable = false
 		mu.Unlock()
 		began := time.Now()
-		c.RetryNow()
-		for !c.Connected() {
+		client.RetryNow()
+		for !client.Connected() {
 			time.Sleep(time.Millisecond)
 			synctest.Wait()
 		}
@@ -52,17 +59,17 @@
 		before := dials
 		mu.Unlock()
 		for range 5 {
-			c.RetryNow()
+			client.RetryNow()
 			time.Sleep(time.Second)
 			synctest.Wait()
 		}
 		mu.Lock()
 		is.Equal(dials, before)
 		mu.Unlock()
-		is.True(c.Connected())
+		is.True(client.Connected())
 		cancel()
 		all.Wait()
-		x.cut()
+		source.disconnect()
 		synctest.Wait()
 	})
 }
--- a/internal/emulator/costmodel/cluster.go
+++ b/internal/emulator/costmodel/cluster.go
@@ -216,9 +216,9 @@
 func snapshot(s *replication.Store, frame func([]byte)) {
 	var b []byte
 	for seq, whole := uint64(0), false; !whole; {
-		f := &transport.Update{Incarnation: 1 << 60}
-		f.Items, f.Instances, seq, whole = s.ChangesSince(seq, 64<<10)
-		f.Seq = seq
+		changes := s.ChangesSince(seq, 64<<10)
+		seq, whole = changes.Seq, changes.Complete
+		f := &transport.Update{Incarnation: 1 << 60, Items: changes.Items, Instances: changes.Instances, Seq: seq}
 		b, _ = transport.Append(b[:0], &transport.Frame{Update: f})
 		frame(b)
 	}
