--- /dev/null
+++ b/internal/cluster/registry/queue.go
@@ -0,0 +1,53 @@
+package registry
+
+// entry is an instance within the queue of its phase, and within that of the heartbeats received here.
+type entry struct {
+	instance                   Instance
+	lastSeenAt                 Seconds // last heartbeat, or since when it has its phase
+	overdue                    bool    // counted in Registry.overdue
+	heartbeatNumber            uint64  // of the last heartbeat received here; 0: none
+	phaseLinks, heartbeatLinks links
+}
+
+// links are the neighbors of an entry in one queue.
+type links struct{ prev, next *entry }
+
+// queue is an intrusive list of entries, the oldest first.
+type queue struct {
+	first, last *entry
+	length      int
+	linksOf     func(*entry) *links
+}
+
+func phaseLinksOf(e *entry) *links     { return &e.phaseLinks }
+func heartbeatLinksOf(e *entry) *links { return &e.heartbeatLinks }
+
+// push appends an entry that is not in the queue.
+func (q *queue) push(e *entry) {
+	l := q.linksOf(e)
+	l.prev, l.next = q.last, nil
+	if q.last == nil {
+		q.first = e
+	} else {
+		q.linksOf(q.last).next = e
+	}
+	q.last = e
+	q.length++
+}
+
+// remove takes an entry out of the queue.
+func (q *queue) remove(e *entry) {
+	l := q.linksOf(e)
+	if l.prev == nil {
+		q.first = l.next
+	} else {
+		q.linksOf(l.prev).next = l.next
+	}
+	if l.next == nil {
+		q.last = l.prev
+	} else {
+		q.linksOf(l.next).prev = l.prev
+	}
+	l.prev, l.next = nil, nil
+	q.length--
+}
--- a/internal/cluster/registry/registry.go
+++ b/internal/cluster/registry/registry.go
@@ -1,110 +1,54 @@
 package registry
 
-import "math"
-
-// Heartbeat is a call of a server, told among control nodes.
-type Heartbeat struct {
-	ID  string `cbor:"1,keyasint"`
-	Seq uint64 `cbor:"2,keyasint"`
-}
-
-// Times and bounds of a Registry. Those in heartbeats are spans between two calls of one server.
-const (
-	TimeoutHeartbeats                    = 3.5     // heartbeats without a call until an instance is judged silent
-	MassTimeoutRecheckHeartbeats         = 2.0     // heartbeats for which a mass silence is looked at, once calls come again
-	MassTimeoutMinimum                   = 4       // so many silent at once may be a mass silence
-	TombstoneRetention           Seconds = 120     // a gone line is kept so long: a late call must not raise it
-	SilentRetention              Seconds = 600     // a silent instance is kept so long: it may only be cut off
-	DrainRetention               Seconds = 60      // a draining instance that is not heard is taken for gone after this and the patience
-	MaxInstances                         = 1 << 19 // instances of one registry; the one longest unheard goes for a new one
-)
-
+// Bounds of a Registry. Those in heartbeats are multiples of the interval between two calls of one server.
 const (
-	maxNameLength = 512
-	maxCapacity   = 1 << 20
+	// TimeoutHeartbeats is the time without a call after which an instance is silent, in heartbeats.
+	TimeoutHeartbeats = 3.5
+	// MassTimeoutRecheckHeartbeats is the time after the first call that ends a mass timeout until instances are judged
+	// again, in heartbeats.
+	MassTimeoutRecheckHeartbeats = 2.0
+	// MassTimeoutMinimum is the least number of instances that time out together in a mass timeout.
+	MassTimeoutMinimum = 4
+	// TombstoneRetention is the time for which a gone instance is kept, so that a late call does not bring it back.
+	TombstoneRetention Seconds = 120
+	// SilentRetention is the time for which a silent instance is kept: it may only be partitioned.
+	SilentRetention Seconds = 600
+	// DrainRetention is the time, after its timeout, for which a draining instance without calls is not yet gone.
+	DrainRetention Seconds = 60
+	// MaxInstances bounds the instances of one registry; the one without a call for longest is dropped for a new one.
+	MaxInstances = 1 << 19
 )
 
-// Valid tells whether an instance that another process told of can be one at all.
-func (l Instance) Valid() bool {
-	return l.ID != "" && len(l.ID) <= maxNameLength && len(l.Service) <= maxNameLength && len(l.Address) <= maxNameLength &&
-		len(l.Zone) <= maxNameLength && len(l.Generation) <= maxNameLength && l.Capacity >= 0 && l.Capacity <= maxCapacity && l.Phase <= Gone &&
-		!math.IsNaN(l.ColdUntil) && !math.IsInf(l.ColdUntil, 0)
-}
-
-// entry is an instance within the queue of its phase, and within that of what was heard here.
-type entry struct {
-	instance                   Instance
-	lastSeenAt                  Seconds // last heard, or since when it has its phase
-	overdue                    bool
-	heartbeatNumber            uint64 // of the last call heard here; 0: none
-	phaseLinks, heartbeatLinks links
-}
-
-type links struct{ prev, next *entry }
-
-// queue is a list of entries, the oldest first.
-type queue struct {
-	first, last *entry
-	length           int
-	of          func(*entry) *links
-}
-
-func phaseLinksOf(e *entry) *links     { return &e.phaseLinks }
-func heartbeatLinksOf(e *entry) *links { return &e.heartbeatLinks }
-
-func (q *queue) push(e *entry) {
-	l := q.of(e)
-	l.prev, l.next = q.last, nil
-	if q.last == nil {
-		q.first = e
-	} else {
-		q.of(q.last).next = e
-	}
-	q.last = e
-	q.length++
-}
-
-func (q *queue) remove(e *entry) {
-	l := q.of(e)
-	if l.prev == nil {
-		q.first = l.next
-	} else {
-		q.of(l.prev).next = l.next
-	}
-	if l.next == nil {
-		q.last = l.prev
-	} else {
-		q.of(l.next).prev = l.prev
-	}
-	l.prev, l.next = nil, nil
-	q.length--
-}
-
-// Registry is a control node's judgement of which servers are silent. Every method takes the time, which never goes back, and
-// costs by what changes, not by how many instances there are. It does no I/O; callers keep it to one goroutine at a time.
+// Registry is the failure detector of a control node. Every method takes the time, which never goes back, and its cost
+// depends on what changes, not on the number of instances. Calls must be serialized.
 type Registry struct {
-	heartbeatInterval       Seconds
-	entries    map[string]*entry
-	phases     [Gone + 1]queue // instances by phase, the one longest unheard (or longest in that phase) first
-	heartbeats queue           // instances heard here, the one longest unheard here first
-	lastNumber uint64          // calls heard here
+	heartbeatInterval Seconds
+	entries           map[string]*entry
+	phases            [Gone + 1]queue // by phase, the one longest without a call (or longest in that phase) first
+	heartbeats        queue           // instances with heartbeats received here, the oldest heartbeat first
+	lastNumber        uint64          // of the heartbeats received here
+
+	hasQuorum   bool
+	quorumSince Seconds // of a quorum without interruption
+	lastCheck   Seconds // the last DetectSilent
+	checked     bool    // there was one
 
-	hasQuorum      bool
-	quorumSince    Seconds // from when on it has heard a quorum, without a pause
-	lastCheck      Seconds // when Due was last asked
-	checked        bool
-	overdue        int    // serving instances that the patience with has ended: the first so many of their queue
-	cursor         *entry // the first that is not overdue
-	massTimeout    bool   // a mass silence is being looked at
-	callsResumedAt Seconds
-	callsResumed   bool // calls have come since it began, from again on
+	overdue        int     // serving instances that have timed out: the first so many of their queue
+	cursor         *entry  // the first serving instance that is not overdue
+	massTimeout    bool    // more than half timed out together: nobody is judged
+	callsResumed   bool    // calls have come since the mass timeout began
+	callsResumedAt Seconds // the first of them
 }
 
 // New makes a registry of servers that call once in so many seconds.
-func New(beat Seconds) *Registry {
-	r := &Registry{heartbeatInterval: beat, entries: map[string]*entry{}, heartbeats: queue{of: heartbeatLinksOf}}
+func New(heartbeatInterval Seconds) *Registry {
+	r := &Registry{
+		heartbeatInterval: heartbeatInterval,
+		entries:           map[string]*entry{},
+		heartbeats:        queue{linksOf: heartbeatLinksOf},
+	}
 	for i := range r.phases {
-		r.phases[i].of = phaseLinksOf
+		r.phases[i].linksOf = phaseLinksOf
 	}
 	return r
 }
@@ -112,7 +56,7 @@
 // Len counts the instances, with silent and gone ones that are still kept.
 func (r *Registry) Len() int { return len(r.entries) }
 
-// Get returns the instance of an id.
+// Get returns the instance with that ID.
 func (r *Registry) Get(id string) (Instance, bool) {
 	if e := r.entries[id]; e != nil {
 		return e.instance, true
@@ -120,46 +64,47 @@
 	return Instance{}, false
 }
 
-// RecordHeartbeat takes a call of a server. It returns the instance as it stands now, which for a late or repeated call is not that of the call, and
-// whether it is news to others. An improper instance leaves all as it was.
-func (r *Registry) RecordHeartbeat(now Seconds, l Instance) (merged Instance, news bool) {
-	if !l.Valid() {
-		return l, false
+// RecordHeartbeat takes a call of a server. It returns the instance as it stands now, which for a late or repeated call
+// is not that of the call, and whether other processes must be sent it. An invalid instance changes nothing.
+func (r *Registry) RecordHeartbeat(now Seconds, instance Instance) (merged Instance, changed bool) {
+	if !instance.Valid() {
+		return instance, false
 	}
-	e := r.entries[l.ID]
+	e := r.entries[instance.ID]
 	if e == nil {
-		e = r.add(now, l)
+		e = r.add(now, instance)
 		r.trackHeartbeat(e)
 		return e.instance, true
 	}
-	if old := e.instance; l.Supersedes(old) {
-		r.update(now, e, l)
-		if l.Phase < Gone {
+	if old := e.instance; instance.Supersedes(old) {
+		r.update(now, e, instance)
+		if instance.Phase < Gone {
 			r.trackHeartbeat(e)
 		}
-		return e.instance, l.DiffersFrom(old)
+		return e.instance, instance.DiffersFrom(old)
 	}
-	// A call that is sent once more still shows that the server lives; one that was held up on its way does not.
-	if l.Seq == e.instance.Seq && e.instance.Phase != Gone && e.instance.Phase != Silent {
+	// A repeated call still shows that the server is alive; one that was delayed on its way does not.
+	if instance.Seq == e.instance.Seq && e.instance.Phase != Gone && e.instance.Phase != Silent {
 		r.touch(now, e)
 		r.trackHeartbeat(e)
 	}
 	return e.instance, false
 }
 
-// RecordDeparture takes a server's word that it has ended. An instance of that id never comes back while its tombstone is kept, even where
-// none was known.
-func (r *Registry) RecordDeparture(now Seconds, id string) (merged Instance, news bool) {
-	l := Instance{ID: id, Phase: Gone}
+// RecordDeparture takes a server's call that it has ended. An instance of that ID does not come back while its
+// tombstone is kept, even where none was known.
+func (r *Registry) RecordDeparture(now Seconds, id string) (merged Instance, changed bool) {
+	instance := Instance{ID: id, Phase: Gone}
 	if e := r.entries[id]; e != nil {
-		l = e.instance
-		l.Phase = Gone
+		instance = e.instance
+		instance.Phase = Gone
 	}
-	return r.RecordHeartbeat(now, l)
+	return r.RecordHeartbeat(now, instance)
 }
 
-// RecordRemoteHeartbeat takes word of another control node that it heard a call. What is not known here, or known better, stays.
-func (r *Registry) RecordRemoteHeartbeat(now Seconds, id string, seq uint64) (merged Instance, news bool) {
+// RecordRemoteHeartbeat takes a heartbeat that another control node received. One of an unknown instance, or that is
+// out of date, changes nothing.
+func (r *Registry) RecordRemoteHeartbeat(now Seconds, id string, seq uint64) (merged Instance, changed bool) {
 	e := r.entries[id]
 	if e == nil {
 		return Instance{}, false
@@ -167,154 +112,85 @@
 	if e.instance.Phase == Gone || seq <= e.instance.Seq {
 		return e.instance, false
 	}
-	old, l := e.instance, e.instance
-	l.Seq = seq
-	if l.Phase == Silent {
-		l.Phase = Serving
+	old, instance := e.instance, e.instance
+	instance.Seq = seq
+	if instance.Phase == Silent {
+		instance.Phase = Serving
 	}
-	r.update(now, e, l)
-	return l, l.DiffersFrom(old)
+	r.update(now, e, instance)
+	return instance, instance.DiffersFrom(old)
 }
 
-// Merge takes instances that another process knows: a subscriber, after this node has lost its own, or another control node. They count as
-// heard now. It returns those that are news here.
-func (r *Registry) Merge(now Seconds, ls []Instance) (news []Instance) {
-	for _, l := range ls {
-		if !l.Valid() {
+// Merge takes instances that another process knows: a subscriber, after this node has lost its own, or another control
+// node. They count as seen now. It returns those that changed something here.
+func (r *Registry) Merge(now Seconds, instances []Instance) (changed []Instance) {
+	for _, instance := range instances {
+		if !instance.Valid() {
 			continue
 		}
-		e := r.entries[l.ID]
+		e := r.entries[instance.ID]
 		if e == nil {
-			news = append(news, r.add(now, l).instance)
+			changed = append(changed, r.add(now, instance).instance)
 			continue
 		}
-		if old := e.instance; l.Supersedes(old) {
-			r.update(now, e, l)
-			if l.DiffersFrom(old) {
-				news = append(news, l)
+		if old := e.instance; instance.Supersedes(old) {
+			r.update(now, e, instance)
+			if instance.DiffersFrom(old) {
+				changed = append(changed, instance)
 			}
 		}
 	}
-	return news
-}
-
-// SetQuorum tells whether this node is up and hears more than half of the control nodes. Instances are judged only by one that has for as
-// long as the patience.
-func (r *Registry) SetQuorum(now Seconds, quorum bool) {
-	if quorum && !r.hasQuorum {
-		r.quorumSince = now
-	}
-	r.hasQuorum = quorum
-}
-
-// DetectSilent returns the instances that become silent now, and draining ones that become gone. It is to be asked a few times in each heartbeat: where
-// it was not for a whole one, the process itself stood still, and its patience begins anew. A mass silence, of more than half of
-// the instances and at least MassSilenceMinimum, is rather a cut of this node: nobody is judged until calls come again, from anyone,
-// and then only who has not called for MassSilenceRecheckBeats heartbeats more.
-func (r *Registry) DetectSilent(now Seconds) []Instance {
-	if r.checked && now-r.lastCheck > r.heartbeatInterval {
-		r.quorumSince = max(r.quorumSince, now)
-	}
-	r.lastCheck, r.checked = now, true
-	patience := TimeoutHeartbeats * r.heartbeatInterval
-	if !r.hasQuorum || now-r.quorumSince < patience {
-		r.massTimeout = false
-		return nil
-	}
-	serving := &r.phases[Serving]
-	for r.cursor != nil && now-r.cursor.lastSeenAt >= patience {
-		r.cursor.overdue = true
-		r.overdue++
-		r.cursor = r.cursor.phaseLinks.next
-	}
-	if !r.massTimeout && r.overdue >= MassTimeoutMinimum && 2*r.overdue > serving.length {
-		r.massTimeout, r.callsResumed = true, false
-	}
-	if r.massTimeout {
-		if !r.callsResumed || now-r.callsResumedAt < MassTimeoutRecheckHeartbeats*r.heartbeatInterval {
-			return nil
-		}
-		r.massTimeout = false
-	}
-	var due []Instance
-	for r.overdue > 0 {
-		e := serving.first
-		l := e.instance
-		l.Phase = Silent
-		r.update(now, e, l)
-		due = append(due, l)
-	}
-	for leaving := &r.phases[Draining]; leaving.first != nil && now-leaving.first.lastSeenAt >= patience+DrainRetention; {
-		e := leaving.first
-		l := e.instance
-		l.Phase = Gone
-		r.update(now, e, l)
-		due = append(due, l)
-	}
-	return due
-}
-
-// Expire forgets the instances that have been gone or silent for long, and returns their ids.
-func (r *Registry) Expire(now Seconds) (ids []string) {
-	for _, k := range [...]struct {
-		Phase
-		keep Seconds
-	}{{Gone, TombstoneRetention}, {Silent, SilentRetention}} {
-		for q := &r.phases[k.Phase]; q.first != nil && now-q.first.lastSeenAt >= k.keep; {
-			ids = append(ids, q.first.instance.ID)
-			r.remove(q.first)
-		}
-	}
-	return ids
+	return changed
 }
 
-// HeartbeatsSince returns what was heard here behind a number, at most so many of the oldest, and the number to ask with next time. Numbers
-// start behind 0. An instance that was heard more than once is in it once.
-func (r *Registry) HeartbeatsSince(since uint64, most int) (heard []Heartbeat, last uint64) {
-	e, n := r.heartbeats.last, 0
+// HeartbeatsSince returns the heartbeats received here behind a number, at most maxHeartbeats of the oldest, and the
+// number to ask with next. The first has number 1. An instance with several heartbeats is in it once.
+func (r *Registry) HeartbeatsSince(since uint64, maxHeartbeats int) (heartbeats []Heartbeat, last uint64) {
+	e, count := r.heartbeats.last, 0
 	for ; e != nil && e.heartbeatNumber > since; e = e.heartbeatLinks.prev {
-		n++
+		count++
 	}
 	if e == nil {
 		e = r.heartbeats.first
 	} else {
 		e = e.heartbeatLinks.next
 	}
-	if n = min(n, most); n <= 0 {
+	if count = min(count, maxHeartbeats); count <= 0 {
 		return nil, since
 	}
-	heard, last = make([]Heartbeat, 0, n), since
-	for ; len(heard) < n; e = e.heartbeatLinks.next {
-		heard = append(heard, Heartbeat{ID: e.instance.ID, Seq: e.instance.Seq})
+	heartbeats, last = make([]Heartbeat, 0, count), since
+	for ; len(heartbeats) < count; e = e.heartbeatLinks.next {
+		heartbeats = append(heartbeats, Heartbeat{ID: e.instance.ID, Seq: e.instance.Seq})
 		last = e.heartbeatNumber
 	}
-	return heard, last
+	return heartbeats, last
 }
 
-func (r *Registry) add(now Seconds, l Instance) *entry {
+// add takes an instance that is not known, in the place of the one that matters least where there are too many.
+func (r *Registry) add(now Seconds, instance Instance) *entry {
 	if len(r.entries) >= MaxInstances {
-		for _, p := range [...]Phase{Gone, Silent, Draining, Serving} {
-			if e := r.phases[p].first; e != nil {
+		for _, phase := range [...]Phase{Gone, Silent, Draining, Serving} {
+			if e := r.phases[phase].first; e != nil {
 				r.remove(e)
 				break
 			}
 		}
 	}
-	e := &entry{instance: l, lastSeenAt: now}
-	r.entries[l.ID] = e
+	e := &entry{instance: instance, lastSeenAt: now}
+	r.entries[instance.ID] = e
 	r.enqueue(e)
-	if l.Phase == Serving || l.Phase == Draining {
+	if instance.Phase == Serving || instance.Phase == Draining {
 		r.observeCall(now)
 	}
 	return e
 }
 
-// update gives an entry another instance of its id, heard now.
-func (r *Registry) update(now Seconds, e *entry, l Instance) {
+// update gives an entry another version of its instance, seen now.
+func (r *Registry) update(now Seconds, e *entry, instance Instance) {
 	r.dequeue(e)
-	e.instance, e.lastSeenAt = l, now
+	e.instance, e.lastSeenAt = instance, now
 	r.enqueue(e)
-	if l.Phase == Serving || l.Phase == Draining {
+	if instance.Phase == Serving || instance.Phase == Draining {
 		r.observeCall(now)
 	} else if e.heartbeatNumber != 0 {
 		r.heartbeats.remove(e)
@@ -322,16 +198,17 @@
 	}
 }
 
+// touch counts an entry as seen now.
 func (r *Registry) touch(now Seconds, e *entry) { r.update(now, e, e.instance) }
 
-// observeCall notes that somebody observeCall, for the look at a mass silence.
+// observeCall notes that a server has called: a mass timeout may be over.
 func (r *Registry) observeCall(now Seconds) {
 	if r.massTimeout && !r.callsResumed {
 		r.callsResumed, r.callsResumedAt = true, now
 	}
 }
 
-// trackHeartbeat notes that an entry was heard here.
+// trackHeartbeat gives an entry the next number of the heartbeats received here.
 func (r *Registry) trackHeartbeat(e *entry) {
 	if e.instance.Phase >= Gone {
 		return
@@ -344,6 +221,7 @@
 	r.heartbeats.push(e)
 }
 
+// enqueue puts an entry into the queue of its phase.
 func (r *Registry) enqueue(e *entry) {
 	r.phases[e.instance.Phase].push(e)
 	if e.instance.Phase == Serving && r.cursor == nil {
@@ -351,6 +229,7 @@
 	}
 }
 
+// dequeue takes an entry out of the queue of its phase.
 func (r *Registry) dequeue(e *entry) {
 	if e.overdue {
 		e.overdue = false
@@ -362,6 +241,7 @@
 	r.phases[e.instance.Phase].remove(e)
 }
 
+// remove forgets an entry.
 func (r *Registry) remove(e *entry) {
 	if e.heartbeatNumber != 0 {
 		r.heartbeats.remove(e)
