--- a/internal/cluster/quota/counter.go
+++ b/internal/cluster/quota/counter.go
@@ -1,161 +1,145 @@
 package quota
 
-import (
-	"math"
-)
+import "math"
 
+// counter is the counter of one name. It stands in the list of its CounterTable by last use.
 type counter struct {
 	name         string
 	newer, older *counter
-	used, keep   float64
-	holders      map[string]*holder
+	usedAt       float64
+	retention    float64 // seconds
+	reporters    map[string]*reporter
+	cached       cachedTotal
+}
 
-	// What Add last made out, for one cycle. It holds until then, when the first late holder falls out.
-	cycle int64
-	sum   float64
-	count int
-	till  float64
+// cachedTotal is the last total of a counter, for one cycle. It is valid until the first late reporter no longer
+// counts.
+type cachedTotal struct {
+	cycle     int64
+	sum       float64
+	reporters int
+	validTo   float64
 }
 
-// holder is what a holder told for the newest cycle it told of, and for the one before.
-type holder struct {
-	at                    float64
-	cycle, earlierCycle   int64
-	amount, earlierAmount float64
-	hasEarlier            bool // before is a cycle
-	serials               *serials
+// contribution is what a reporter adds to the total of a cycle.
+type contribution struct {
+	amount  float64
+	counts  bool
+	validTo float64 // until when it counts so
 }
 
-// serials are those of the adds of a holder that came: all up to the top, but for the unset bits.
-type serials struct {
-	top  uint64
-	seen [serialWords]uint64
+// reporter is what a reporter reported for its newest cycle, and for the one before.
+type reporter struct {
+	reportedAt            float64
+	cycle, earlierCycle   int64
+	amount, earlierAmount float64
+	hasEarlier            bool     // earlierCycle is a cycle
+	serials               *serials // of PerRequest reports; nil: none came
 }
 
-// add keeps a report, and corrects the sum that is at hand by the difference.
-func (c *counter) add(now float64, r *Report) {
-	h := c.holders[r.Reporter]
-	if h == nil {
-		if len(c.holders) >= MaxReporters {
+// add takes a report, and corrects the cached total by the difference.
+func (c *counter) add(now float64, report *Report) {
+	r := c.reporters[report.Reporter]
+	if r == nil {
+		if len(c.reporters) >= MaxReporters {
 			c.evict()
 		}
-		h = &holder{at: now, cycle: r.Cycle}
-		if r.PerRequest {
-			h.serials = &serials{}
+		r = &reporter{reportedAt: now, cycle: report.Cycle}
+		if report.PerRequest {
+			r.serials = &serials{}
 		}
-		c.holders[r.Reporter] = h
-	} else if now < c.till {
-		if amount, counts, _ := h.counts(now, c.cycle); counts {
-			c.sum -= amount
-			c.count--
+		c.reporters[report.Reporter] = r
+	} else if now < c.cached.validTo {
+		if before := r.contribution(now, c.cached.cycle); before.counts {
+			c.cached.sum -= before.amount
+			c.cached.reporters--
 		}
 	}
-	h.update(now, r)
-	if now < c.till {
-		if amount, counts, till := h.counts(now, c.cycle); counts {
-			c.sum += amount
-			c.count++
-			c.till = min(c.till, till)
+	r.update(now, report)
+	if now < c.cached.validTo {
+		if after := r.contribution(now, c.cached.cycle); after.counts {
+			c.cached.sum += after.amount
+			c.cached.reporters++
+			c.cached.validTo = min(c.cached.validTo, after.validTo)
 		}
 	}
 }
 
-// update takes a report of this holder. One for a cycle before the two that are kept is too late for anybody to read.
-func (h *holder) update(now float64, r *Report) {
-	if r.PerRequest {
-		if h.serials == nil {
-			h.serials = &serials{}
+// update takes a report of this reporter. One for a cycle before the two that are kept is ignored: nobody reads that
+// cycle any more.
+func (r *reporter) update(now float64, report *Report) {
+	if report.PerRequest {
+		if r.serials == nil {
+			r.serials = &serials{}
 		}
-		if !h.serials.first(r.Serial) {
+		if !r.serials.first(report.Serial) {
 			return
 		}
 	}
-	amount := r.Amount
+	amount := report.Amount
 	switch {
-	case r.Cycle > h.cycle:
-		h.earlierCycle, h.earlierAmount, h.hasEarlier = h.cycle, h.amount, true
-		h.cycle, h.amount, h.at = r.Cycle, amount, now
-	case r.Cycle == h.cycle:
-		if r.PerRequest {
-			amount += h.amount
+	case report.Cycle > r.cycle:
+		r.earlierCycle, r.earlierAmount, r.hasEarlier = r.cycle, r.amount, true
+		r.cycle, r.amount, r.reportedAt = report.Cycle, amount, now
+	case report.Cycle == r.cycle:
+		if report.PerRequest {
+			amount += r.amount
 		}
-		h.amount, h.at = amount, now
-	case !h.hasEarlier || r.Cycle >= h.earlierCycle:
-		if r.PerRequest && h.hasEarlier && r.Cycle == h.earlierCycle {
-			amount += h.earlierAmount
+		r.amount, r.reportedAt = amount, now
+	case !r.hasEarlier || report.Cycle >= r.earlierCycle:
+		if report.PerRequest && r.hasEarlier && report.Cycle == r.earlierCycle {
+			amount += r.earlierAmount
 		}
-		h.earlierCycle, h.earlierAmount, h.hasEarlier = r.Cycle, amount, true
+		r.earlierCycle, r.earlierAmount, r.hasEarlier = report.Cycle, amount, true
 	}
 }
 
-// counts returns what a holder counts in a cycle, whether it does, and until when.
-func (h *holder) counts(now float64, cycle int64) (amount float64, counts bool, till float64) {
+// contribution returns what a reporter adds to the total of a cycle. One that has not reported for it counts with its
+// last report for LateReportRetention, unless its reports count by request.
+func (r *reporter) contribution(now float64, cycle int64) contribution {
 	switch {
-	case h.cycle == cycle:
-		return h.amount, true, math.Inf(1)
-	case h.hasEarlier && h.earlierCycle == cycle:
-		return h.earlierAmount, true, math.Inf(1)
-	case h.serials != nil:
-		return 0, false, math.Inf(1)
+	case r.cycle == cycle:
+		return contribution{amount: r.amount, counts: true, validTo: math.Inf(1)}
+	case r.hasEarlier && r.earlierCycle == cycle:
+		return contribution{amount: r.earlierAmount, counts: true, validTo: math.Inf(1)}
+	case r.serials != nil:
+		return contribution{validTo: math.Inf(1)}
 	}
-	return h.amount, now < h.at+LateReportRetention, h.at + LateReportRetention
+	validTo := r.reportedAt + LateReportRetention
+	return contribution{amount: r.amount, counts: now < validTo, validTo: validTo}
 }
 
-// total sums a cycle up. That of the newest cycle is kept, so that many holders can ask for it.
-func (c *counter) total(now float64, cycle int64) (sum float64, holders int) {
-	if now < c.till && cycle == c.cycle {
-		return c.sum, c.count
+// total sums a cycle. The total of the newest cycle is cached, because many reporters ask for it.
+func (c *counter) total(now float64, cycle int64) (sum float64, reporters int) {
+	if now < c.cached.validTo && cycle == c.cached.cycle {
+		return c.cached.sum, c.cached.reporters
 	}
-	till, newest := math.Inf(1), cycle
-	for name, r := range c.holders {
+	validTo, newest := math.Inf(1), cycle
+	for name, r := range c.reporters {
 		newest = max(newest, r.cycle)
-		a, counts, t := r.counts(now, cycle)
-		if counts {
-			sum += a
-			holders++
-			till = min(till, t)
-		} else if now >= r.at+max(c.keep, LateReportRetention) {
-			delete(c.holders, name)
+		added := r.contribution(now, cycle)
+		if added.counts {
+			sum += added.amount
+			reporters++
+			validTo = min(validTo, added.validTo)
+		} else if now >= r.reportedAt+max(c.retention, LateReportRetention) {
+			delete(c.reporters, name)
 		}
 	}
 	if cycle == newest {
-		c.cycle, c.sum, c.count, c.till = cycle, sum, holders, till
+		c.cached = cachedTotal{cycle: cycle, sum: sum, reporters: reporters, validTo: validTo}
 	}
-	return sum, holders
+	return sum, reporters
 }
 
-// evict drops the holder that told longest ago.
+// evict drops the reporter that reported longest ago.
 func (c *counter) evict() {
-	worst, at := "", math.Inf(1)
-	for name, r := range c.holders {
-		if r.at < at || r.at == at && name < worst {
-			worst, at = name, r.at
+	oldest, at := "", math.Inf(1)
+	for name, r := range c.reporters {
+		if r.reportedAt < at || r.reportedAt == at && name < oldest {
+			oldest, at = name, r.reportedAt
 		}
 	}
-	delete(c.holders, worst)
-	c.till = math.Inf(-1)
-}
-
-// first tells whether a serial comes for the first time. One far behind the others is taken for known.
-func (s *serials) first(serial uint64) bool {
-	if serial > s.top {
-		// The ring holds the past*64 serials up to the top; those that are new in it have not come.
-		if serial-s.top >= serialWords*64 {
-			s.seen = [serialWords]uint64{}
-		} else {
-			for n := s.top + 1; n <= serial; n++ {
-				s.seen[n/64%serialWords] &^= 1 << (n % 64)
-			}
-		}
-		s.top = serial
-	} else if s.top-serial >= serialWords*64 {
-		return false
-	}
-	bit := uint64(1) << (serial % 64)
-	word := &s.seen[serial/64%serialWords]
-	if *word&bit != 0 {
-		return false
-	}
-	*word |= bit
-	return true
+	delete(c.reporters, oldest)
+	c.cached.validTo = math.Inf(-1)
 }
--- a/internal/cluster/quota/messages.go
+++ b/internal/cluster/quota/messages.go
@@ -1,9 +1,11 @@
 package quota
 
-// Report is what a holder reports to the keeper of a counter, or a question for the counter's sum.
+import "math"
+
+// Report is what a reporter sends to the owner of a counter, or a question for the counter's sum.
 //
-// One holder reports once to a cycle: a report that comes again under the same holder and cycle replaces the one before. With
-// PerRequest each report counts by itself, and Serial tells repeated ones apart.
+// One reporter reports once to a cycle: a report that comes again from the same reporter for the same cycle replaces
+// the one before. With PerRequest each report counts by itself, and Serial tells repeated ones apart.
 type Report struct {
 	Name       string  `cbor:"1,keyasint"` // of the counter: a tenant and its terms
 	Cycle      int64   `cbor:"2,keyasint"`
@@ -12,15 +14,26 @@
 	ReadOnly   bool    `cbor:"5,keyasint,omitempty"` // a question: nothing is added
 	Retention  float64 `cbor:"6,keyasint,omitempty"` // seconds for which the cycle is kept
 	PerRequest bool    `cbor:"7,keyasint,omitempty"`
-	Serial     uint64  `cbor:"8,keyasint,omitempty"` // of a PerRequest report; rises within one holder
+	Serial     uint64  `cbor:"8,keyasint,omitempty"` // of a PerRequest report; rises for each reporter
+}
+
+// valid reports whether a report from another process is within the bounds of one.
+func (r *Report) valid() bool {
+	if len(r.Name) > maxNameLength || len(r.Reporter) > maxNameLength {
+		return false
+	}
+	if r.Reporter == "" && !r.ReadOnly {
+		return false
+	}
+	return !math.IsNaN(r.Amount) && !math.IsInf(r.Amount, 0) && r.Amount >= 0
 }
 
-// Total is the keeper's answer to a Report.
+// Total is the owner's answer to a Report.
 //
-// Without OK this node is not the keeper of the counter, or, where Holders is above 0, it has taken the report and does not
-// know yet whether it has heard all other holders.
+// Without OK this node is not the owner of the counter, or, where Reporters is above 0, it has taken the report and
+// does not know yet whether it has the reports of all others.
 type Total struct {
 	OK        bool    `cbor:"1,keyasint,omitempty"`
-	Sum       float64 `cbor:"2,keyasint,omitempty"` // requests, over all holders
+	Sum       float64 `cbor:"2,keyasint,omitempty"` // requests, over all reporters
 	Reporters int     `cbor:"3,keyasint,omitempty"`
 }
