--- a/internal/cluster/settings/paths.go
+++ b/internal/cluster/settings/paths.go
@@ -1,11 +1,9 @@
 package settings
 
 import (
-	"cmp"
 	"fmt"
 	"math"
 	"net/netip"
-	"slices"
 	"strconv"
 	"strings"
 )
@@ -19,53 +17,10 @@
 	Line  int
 }
 
-// SettingError is one thing that is wrong with a file of settings.
-type SettingError struct {
-	File string // without its folder; empty where only a text was read
-	Line int    // 0: the file lacks something
-	Key  string // empty where the line has none
-	Text string
-}
-
-func (f SettingError) Error() string {
-	where := f.File
-	if f.Line > 0 {
-		where = strings.TrimPrefix(fmt.Sprintf("%s:%d", f.File, f.Line), ":")
-	}
-	return strings.TrimPrefix(strings.TrimPrefix(where+": ", ": ")+strings.TrimPrefix(f.Key+": ", ": ")+f.Text, ": ")
-}
-
-// SettingErrors is all that is wrong, in the order of the lines and what is missing at the end. It is an error of one line.
-type SettingErrors []SettingError
-
-func (f SettingErrors) Error() string {
-	texts := make([]string, 0, len(f))
-	for n, one := range f {
-		if n == 10 {
-			texts = append(texts, fmt.Sprintf("and %d more", len(f)-n))
-			break
-		}
-		texts = append(texts, one.Error())
-	}
-	return strings.Join(texts, "; ")
-}
-
-// in is the faults as those of a file; nil, and so no error, where there are none.
-func (f SettingErrors) in(file string) error {
-	if len(f) == 0 {
-		return nil
-	}
-	for n := range f {
-		f[n].File = file
-	}
-	slices.SortStableFunc(f, func(a, b SettingError) int { return cmp.Compare(uint(a.Line)-1, uint(b.Line)-1) }) // no line: last
-	return f
-}
-
-// Parse reads lines of the form a.b.c=value. Empty lines and those that begin with # say nothing. Errors are Faults: lines that are of no
-// such form, and paths given twice.
-func Parse(text string) (Paths, error) {
-	paths, faults := Paths{}, SettingErrors(nil)
+// Parse reads lines of the form a.b.c=value. Empty lines and those that begin with # are ignored. The errors are lines
+// that are of no such form, and paths given twice.
+func Parse(text string) (Paths, SettingErrors) {
+	paths, errs := Paths{}, SettingErrors(nil)
 	n := 0
 	for line := range strings.Lines(text) {
 		n++
@@ -75,133 +30,141 @@
 		}
 		key, value, ok := strings.Cut(line, "=")
 		key = strings.TrimSpace(key)
-		old, twice := paths[key]
+		old, duplicate := paths[key]
 		switch {
 		case !ok:
-			faults = append(faults, SettingError{Line: n, Text: fmt.Sprintf("no \"=\": %.40q", line)})
+			errs = append(errs, SettingError{Line: n, Text: fmt.Sprintf("no \"=\": %.40q", line)})
 		case key == "":
-			faults = append(faults, SettingError{Line: n, Text: fmt.Sprintf("no key: %.40q", line)})
-		case twice:
-			faults = append(faults, SettingError{Line: n, Key: key, Text: fmt.Sprintf("given on line %d already", old.Line)})
+			errs = append(errs, SettingError{Line: n, Text: fmt.Sprintf("no key: %.40q", line)})
+		case duplicate:
+			text := fmt.Sprintf("given on line %d already", old.Line)
+			errs = append(errs, SettingError{Line: n, Key: key, Text: text})
 		default:
-			paths[key] = Setting{strings.TrimSpace(value), n}
+			paths[key] = Setting{Value: strings.TrimSpace(value), Line: n}
 		}
 	}
-	return paths, faults.in("")
+	return paths, errs
 }
 
-// reader reads settings by their paths and keeps all that is wrong.
+// reader reads settings by their paths and collects all that is wrong.
 type reader struct {
 	paths  Paths
-	faults SettingErrors
+	errors SettingErrors
 }
 
-func (r *reader) fault(path, what string) {
+// fail adds an error of the value at a path.
+func (r *reader) fail(path, text string) {
 	at := r.paths[path]
-	r.faults = append(r.faults, SettingError{Line: at.Line, Key: path, Text: fmt.Sprintf("%s: %.60q", what, at.Value)})
+	r.errors = append(r.errors, SettingError{Line: at.Line, Key: path, Text: fmt.Sprintf("%s: %.60q", text, at.Value)})
 }
 
-// need marks paths that must be there.
-func (r *reader) need(paths ...string) {
+// require adds an error for each path that is missing or empty.
+func (r *reader) require(paths ...string) {
 	for _, path := range paths {
 		if at, ok := r.paths[path]; !ok {
-			r.faults = append(r.faults, SettingError{Key: path, Text: "missing"})
+			r.errors = append(r.errors, SettingError{Key: path, Text: "missing"})
 		} else if at.Value == "" {
-			r.fault(path, "empty")
+			r.fail(path, "empty")
 		}
 	}
 }
 
+// text returns the value at a path; empty: there is none.
 func (r *reader) text(path string) string { return r.paths[path].Value }
 
-// given tells whether there is a value to read.
+// given returns the value at a path, and whether there is one to read.
 func (r *reader) given(path string) (string, bool) {
 	v := r.paths[path].Value
 	return v, v != ""
 }
 
-func (r *reader) list(path string) (list []string) {
+// list reads values that are separated by commas.
+func (r *reader) list(path string) (values []string) {
 	v, ok := r.given(path)
 	if !ok {
 		return nil
 	}
-	for one := range strings.SplitSeq(v, ",") {
-		one = strings.TrimSpace(one)
-		if one == "" {
-			r.fault(path, "a list with an empty place")
+	for value := range strings.SplitSeq(v, ",") {
+		value = strings.TrimSpace(value)
+		if value == "" {
+			r.fail(path, "a list with an empty place")
 			return nil
 		}
-		list = append(list, one)
+		values = append(values, value)
 	}
-	return list
+	return values
 }
 
-// table is what stands below a path, by the rest of its path.
+// table returns the values below a path, by the rest of their paths.
 func (r *reader) table(path string) map[string]string {
-	out := map[string]string{}
+	table := map[string]string{}
 	for p, at := range r.paths {
 		if name, ok := strings.CutPrefix(p, path+"."); ok && name != "" {
-			out[name] = at.Value
+			table[name] = at.Value
 		}
 	}
-	return out
+	return table
 }
 
+// flag reads true or false; false where there is no value.
 func (r *reader) flag(path string) bool {
 	v, ok := r.given(path)
 	if ok && v != "true" && v != "false" {
-		r.fault(path, "neither true nor false")
+		r.fail(path, "neither true nor false")
 	}
 	return v == "true"
 }
 
-func (r *reader) integer(path string, otherwise int) int {
+// integer reads a whole number, 0 or above; 0 where there is none.
+func (r *reader) integer(path string) int {
 	v, ok := r.given(path)
 	if !ok {
-		return otherwise
+		return 0
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil {
-		r.fault(path, "not a whole number")
-		return otherwise
+		r.fail(path, "not a whole number")
+		return 0
 	}
 	if n < 0 {
-		r.fault(path, "below 0")
+		r.fail(path, "below 0")
 	}
 	return n
 }
 
-func (r *reader) number(path string, otherwise float64) float64 {
+// number reads a finite number, 0 or above.
+func (r *reader) number(path string, fallback float64) float64 {
 	v, ok := r.given(path)
 	if !ok {
-		return otherwise
+		return fallback
 	}
-	f, err := strconv.ParseFloat(v, 64)
-	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		r.fault(path, "not a number")
-		return otherwise
+	x, err := strconv.ParseFloat(v, 64)
+	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
+		r.fail(path, "not a number")
+		return fallback
 	}
-	if f < 0 {
-		r.fault(path, "below 0")
+	if x < 0 {
+		r.fail(path, "below 0")
 	}
-	return f
+	return x
 }
 
-// millis is a span in milliseconds, as seconds; otherwise is in seconds.
-func (r *reader) millis(path string, otherwise float64) float64 {
-	return r.number(path, otherwise*1000) / 1000
+// millis reads a span in milliseconds, and returns it in seconds; fallback is in seconds.
+func (r *reader) millis(path string, fallback float64) float64 {
+	return r.number(path, fallback*1000) / 1000
 }
 
-// address is host:port; names are not looked up anywhere, so the host is an IPv4 address.
+// address reads host:port; names are not resolved anywhere, so the host is an IPv4 address.
 func (r *reader) address(path string) string {
 	v, ok := r.given(path)
 	if ok && !isAddress(v) {
-		r.fault(path, "not an address and a port")
+		r.fail(path, "not an address and a port")
 	}
 	return v
 }
 
-func isAddress(v string) bool {
-	a, err := netip.ParseAddrPort(v)
-	return err == nil && a.Addr().Is4() && a.Port() > 0
+// isAddress reports whether a value is an IPv4 address with a port.
+func isAddress(value string) bool {
+	address, err := netip.ParseAddrPort(value)
+	return err == nil && address.Addr().Is4() && address.Port() > 0
 }
--- a/internal/cluster/settings/settings_test.go
+++ b/internal/cluster/settings/settings_test.go
@@ -36,33 +36,38 @@
 terms.bounds.revokeGlobal=true
 `
 
-func TestReadsSettings(t *testing.T) {
+func TestDecode(t *testing.T) {
 	is := is.New(t)
-	p, err := Decode("node.conf", example)
+	s, err := Decode("node.conf", example)
 	is.NoErr(err)
-	is.Equal(p.Serving, []string{"edge", "control"})
-	is.Equal([]string{p.Node, p.Role, p.Class, p.Host, p.Zone, p.FrontAddr, p.ReadyAddr, p.ControlAddr},
+	is.Equal(s.Serving, []string{"edge", "control"})
+	is.Equal([]string{s.Node, s.Role, s.Class, s.Host, s.Zone, s.FrontAddr, s.ReadyAddr, s.ControlAddr},
 		[]string{"edge-7", "board", "edge", "10.9.0.7", "north", "10.9.0.7:8000", "10.9.0.7:8001", ""})
-	is.Equal(p.Seeds, []string{"10.9.0.1:9000", "10.9.0.2:9000"})
-	is.Equal(p.Zones, map[string]string{"north": "r1", "south.b": "r2"})
-	is.Equal(p.Clauses, map[string]bool{"base": true, "quota": true})
-	is.Equal(p.Tolerance, Tolerance{Machines: 2})
-	is.Equal(p.Limits, Limits{CPUFraction: 0.25, Cores: 1, MaxFDs: 900})
-	is.Equal([]bool{p.LossCounted, p.Bootstrap, p.Bounds.RevokeGlobal}, []bool{true, false, true})
-	is.Equal([]float64{p.HeartbeatInterval, p.Bounds.Drain, p.Bounds.Grace, p.Bounds.Contact, p.Bounds.RetryRatio}, []float64{1.25, 2.75, 7.5, 3, 0.2})
-	is.Equal([]string{p.InternalAddr(), p.AgentAddr(), p.InternalAddrOf("10.9.0.1:9000"), p.InternalAddrOf("a.example:9000")},
+	is.Equal(s.Seeds, []string{"10.9.0.1:9000", "10.9.0.2:9000"})
+	is.Equal(s.Zones, map[string]string{"north": "r1", "south.b": "r2"})
+	is.Equal(s.Clauses, map[string]bool{"base": true, "quota": true})
+	is.Equal(s.Tolerance, Tolerance{Machines: 2})
+	is.Equal(s.Limits, Limits{CPUFraction: 0.25, Cores: 1, MaxFDs: 900})
+	is.Equal([]bool{s.LossCounted, s.Bootstrap, s.Bounds.RevokeGlobal}, []bool{true, false, true})
+	is.Equal([]float64{
+		s.HeartbeatInterval, s.Bounds.Drain, s.Bounds.Grace, s.Bounds.Contact, s.Bounds.RetryRatio,
+	}, []float64{1.25, 2.75, 7.5, 3, 0.2})
+	is.Equal([]string{
+		s.InternalAddr(), s.AgentAddr(), s.InternalAddrOf("10.9.0.1:9000"),
+		s.InternalAddrOf("a.example:9000"),
+	},
 		[]string{"10.9.0.7:7000", "127.0.0.1:7000", "10.9.0.1:7000", ""})
-	several := *p
+	several := *s
 	several.Host = "127.1.0.7" // several machines on one box
 	is.Equal(several.AgentAddr(), "127.1.0.7:7000")
-	is.NoErr(p.Require("proxy"))
-	is.NoErr(p.Require("agent"))
-	is.Equal(p.Require("control").Error(),
+	is.NoErr(s.Require("proxy"))
+	is.NoErr(s.Require("agent"))
+	is.Equal(s.Require("control").Error(),
 		"network.bind.controlAddr: missing, and control needs it; self.dataPath: missing, and control needs it")
-	is.Equal(p.Require("gate").Error(), `no program is named "gate"`)
+	is.Equal(s.Require("gate").Error(), `no program is named "gate"`)
 }
 
-func TestNamesWhatIsWrong(t *testing.T) {
+func TestDecodeErrors(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"maxFds=900", "maxFds=x", `node.conf:11: self.limits.maxFds: not a whole number: "x"`},
 		{"maxFds=900", "maxFds=9.5", `node.conf:11: self.limits.maxFds: not a whole number: "9.5"`},
@@ -72,9 +77,18 @@
 		{"lossCounted=true", "lossCounted=1", `node.conf:9: self.lossCounted: neither true nor false: "1"`},
 		{"serving=edge,control", "serving=edge,", `node.conf:5: self.serving: a list with an empty place: "edge,"`},
 		{"hostIp=10.9.0.7\n", "hostIp=edge-7\n", `node.conf:6: self.hostIp: not an IPv4 address: "edge-7"`},
-		{"frontAddr=10.9.0.7:8000", "frontAddr=10.9.0.7", `node.conf:13: network.bind.frontAddr: not an address and a port: "10.9.0.7"`},
-		{"10.9.0.2:9000", "seed:9000", `node.conf:16: network.seedNodes: not a list of addresses with ports: "10.9.0.1:9000,seed:9000"`},
-		{"7000,7003", "7003,7000", `node.conf:15: network.innerPortRange: not two ports, the first and the last: "7003,7000"`},
+		{
+			"frontAddr=10.9.0.7:8000", "frontAddr=10.9.0.7",
+			`node.conf:13: network.bind.frontAddr: not an address and a port: "10.9.0.7"`,
+		},
+		{
+			"10.9.0.2:9000", "seed:9000",
+			`node.conf:16: network.seedNodes: not a list of addresses with ports: "10.9.0.1:9000,seed:9000"`,
+		},
+		{
+			"7000,7003", "7003,7000",
+			`node.conf:15: network.innerPortRange: not two ports, the first and the last: "7003,7000"`,
+		},
 		{"7000,7003", "7000", `node.conf:15: network.innerPortRange: not two ports, the first and the last: "7000"`},
 		{"7000,7003", "", `node.conf:15: network.innerPortRange: empty: ""`},
 		{"self.zone=north", "self.zon=north", `node.conf: self.zone: missing`},
@@ -85,14 +99,14 @@
 			"\nself.bootstrap=no", `node.conf:3: self.bootstrap: neither true nor false: "no"; ` +
 				`node.conf: self.nodeName: missing; node.conf: self.hostIp: missing`},
 	} {
-		p, err := Decode("node.conf", strings.Replace(example, c.old, c.new, 1))
-		if err == nil || err.Error() != c.want || p != nil {
+		s, err := Decode("node.conf", strings.Replace(example, c.old, c.new, 1))
+		if err == nil || err.Error() != c.want || s != nil {
 			t.Errorf("%q in place of %q:\n\t%v, want\n\t%s", c.new, c.old, err, c.want)
 		}
 	}
 }
 
-func TestWatcherTakesWholeFilesOnly(t *testing.T) {
+func TestWatcherRejectsBrokenFiles(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "node.conf")
 	at := time.Unix(1_700_000_000, 0)
@@ -109,31 +123,31 @@
 	w := NewWatcher("", first)
 	expect := func(changed bool, zone, wrong string, again func() (bool, *Settings, error)) {
 		t.Helper()
-		got, p, err := again()
+		got, s, err := again()
 		if err == nil {
 			err = SettingErrors{}
 		}
 		is.Equal(got, changed)
-		is.Equal(p.Zone, zone)
-		is.Equal(p, w.Current())
+		is.Equal(s.Zone, zone)
+		is.Equal(s, w.Current())
 		is.Equal(err.Error(), wrong)
 	}
 	in := func(zone string) string { return strings.Replace(example, "zone=north", "zone="+zone, 1) }
 	expect(false, "north", "", w.Reread)
 	write(in("south"), time.Second)
 	expect(true, "south", "", w.Reread)
-	write(in("north"), 0) // size and time are the same: only the signal tells
+	write(in("north"), 0) // size and time are the same: only a reload finds it
 	expect(false, "south", "", w.Reread)
 	expect(true, "north", "", w.Reload)
 	write(example+"torn", -time.Hour) // the time of day jumped
 	expect(false, "north", `node.conf:25: no "=": "torn"`, w.Reread)
-	expect(false, "north", "", w.Reread) // told once
+	expect(false, "north", "", w.Reread) // reported once
 	expect(false, "north", `node.conf:25: no "=": "torn"`, w.Reload)
 	write(in("east")+"\n\n\n\n", 0) // as long as the torn one, at the same time
 	expect(true, "east", "", w.Reread)
 	is.NoErr(os.Remove(path))
-	_, p, err := w.Reread()
-	is.True(err != nil && p.Zone == "east")
+	_, s, err := w.Reread()
+	is.True(err != nil && s.Zone == "east")
 	_, err = Load(path)
 	is.True(err != nil)
 }
--- a/internal/cluster/settings/watch.go
+++ b/internal/cluster/settings/watch.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -15,13 +14,15 @@
 // EnvVariable is the environment variable that holds the path of the settings file.
 const EnvVariable = "MULLEINROUTER_CONFIG"
 
-// maxFileBytes is how long a file of settings may be, in bytes: the usual one has 2 KB.
-const maxFileBytes = 1 << 20
+const (
+	maxFileBytes = 1 << 20         // of a file of settings: the usual one has 2 KB
+	pollInterval = 5 * time.Second // between two looks at a file that changes without a signal
+)
 
-// Load reads a file of settings: the one at path or, where that is empty, the one that the environment names. Errors are Faults, or tell
-// that the file cannot be read.
+// Load reads a file of settings: the one at path or, where that is empty, the one that the environment names. Errors
+// are SettingErrors, ErrNoFile, ErrTooLong, or those of reading the file.
 func Load(path string) (*Settings, error) {
-	path, err := located(path)
+	path, err := resolvePath(path)
 	if err != nil {
 		return nil, err
 	}
@@ -35,77 +36,82 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if len(text) > maxFileBytes {
-		return nil, fmt.Errorf("settings: %s: too long", path)
+		return nil, fmt.Errorf("settings: %s: %w", path, ErrTooLong)
 	}
 	return Decode(filepath.Base(path), string(text))
 }
 
-func located(path string) (string, error) {
+// resolvePath returns the path, or the one that the environment names.
+func resolvePath(path string) (string, error) {
 	if path == "" {
 		path = os.Getenv(EnvVariable)
 	}
 	if path == "" {
-		return "", errors.New("settings: no file is given, and " + EnvVariable + " names none")
+		return "", ErrNoFile
 	}
 	return path, nil
 }
 
-// Watcher holds the settings that are in force while their file may change. One goroutine rereads; any may ask for Current.
+// Watcher holds the settings that are in force while their file may change. One goroutine rereads it; any may ask for
+// Current.
 type Watcher struct {
 	path          string
 	current       atomic.Pointer[Settings]
-	seen          stamp
-	reportedError string // the error that was reported last, while the file is as it was then
+	seen          fileVersion
+	reportedError string // the text of the error that was returned last, while the file is as it was then
 }
 
-// stamp is what tells that a file is another one without reading it.
-type stamp struct {
-	size int64
-	time time.Time
+// fileVersion tells without reading a file that it has changed.
+type fileVersion struct {
+	size    int64
+	modTime time.Time
 }
 
-// NewWatcher watches the file that first came from; path is as for Load. What was written since is found by the first Reread.
+// NewWatcher watches the file that first was loaded from; path is as for Load. A change since then is found by the
+// first Reread.
 func NewWatcher(path string, first *Settings) *Watcher {
 	w := &Watcher{path: path}
 	w.current.Store(first)
 	return w
 }
 
-// Current is the settings in force.
+// Current returns the settings in force.
 func (w *Watcher) Current() *Settings { return w.current.Load() }
 
-// Reread looks whether the file is another one, by its size and time, and if so takes it. Call it every few seconds: files change
-// without a signal too. Changed tells whether p says something else than the settings before it. A broken file is refused whole:
-// then p is what was in force before, and the error is returned once for each thing that is wrong.
-func (w *Watcher) Reread() (changed bool, p *Settings, err error) {
-	path, err := located(w.path)
+// Reread checks whether the file has changed, by its size and time, and if so loads it. Call it every few seconds:
+// files change without a signal too. Changed reports whether the settings differ from those before. A broken file is
+// rejected as a whole: then the settings stay in force, and the same error is returned once.
+func (w *Watcher) Reread() (changed bool, s *Settings, err error) {
+	path, err := resolvePath(w.path)
 	if err != nil {
 		return false, w.Current(), err
 	}
 	info, err := os.Stat(path)
-	if err == nil && w.seen == (stamp{info.Size(), info.ModTime()}) {
+	if err == nil && w.seen == (fileVersion{info.Size(), info.ModTime()}) {
 		return false, w.Current(), nil
 	}
-	told := w.reportedError
-	if changed, p, err = w.Reload(); err != nil && err.Error() == told {
+	reported := w.reportedError
+	if changed, s, err = w.Reload(); err != nil && err.Error() == reported {
 		err = nil
 	}
-	return changed, p, err
+	return changed, s, err
 }
 
-// Reload is Reread without a look at size and time first: for SIGHUP, which says that there is something to read. It returns every error.
-func (w *Watcher) Reload() (changed bool, p *Settings, err error) {
-	path, err := located(w.path)
+// Reload is Reread without the check of size and time: for SIGHUP, which says that there is something to read. It
+// returns every error.
+func (w *Watcher) Reload() (changed bool, s *Settings, err error) {
+	path, err := resolvePath(w.path)
 	if err != nil {
 		return false, w.Current(), err
 	}
-	var seen stamp // from before the reading, so that what is written meanwhile is found by the next one
+	var seen fileVersion // from before the reading, so that a change meanwhile is found by the next one
 	if info, err := os.Stat(path); err == nil {
-		seen = stamp{info.Size(), info.ModTime()}
+		seen = fileVersion{info.Size(), info.ModTime()}
 	}
 	next, err := Load(path)
 	if err != nil {
-		w.seen, w.reportedError = stamp{}, err.Error() // it may be half written: read it again, whatever its time says
+		// It may be half written: read it again, whatever its time is.
+		w.seen, w.reportedError = fileVersion{}, err.Error()
 		return false, w.Current(), err
 	}
 	w.seen, w.reportedError = seen, ""
@@ -113,12 +119,9 @@
 	return !reflect.DeepEqual(old, next), next, nil
 }
 
-// pollInterval is how often a file that changes without a signal is looked at.
-const pollInterval = 5 * time.Second
-
-// Follow reads the file again at each signal, and when it has changed without one, until the context ends. Told is called after each
-// reading that changed something or failed.
-func (w *Watcher) Follow(ctx context.Context, hup <-chan os.Signal, told func(changed bool, err error)) {
+// Follow rereads the file at each signal, and when it has changed without one, until the context ends. It calls
+// onReload after each reading that changed something or failed.
+func (w *Watcher) Follow(ctx context.Context, hangups <-chan os.Signal, onReload func(changed bool, err error)) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
@@ -127,13 +130,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-hup:
+		case <-hangups:
 			changed, _, err = w.Reload()
 		case <-tick.C:
 			changed, _, err = w.Reread()
 		}
 		if changed || err != nil {
-			told(changed, err)
+			onReload(changed, err)
 		}
 	}
 }
--- a/internal/emulator/capacity/plan.go
+++ b/internal/emulator/capacity/plan.go
@@ -78,11 +78,7 @@
 
 // Read reads a file of settings, lines a.b=value. Errors are premises.Faults: what is missing, unknown or no figure that can be.
 func Read(file, text string) (*Plan, error) {
-	paths, err := settings.Parse(text)
-	var faults settings.SettingErrors
-	if err != nil {
-		faults = err.(settings.SettingErrors)
-	}
+	paths, faults := settings.Parse(text)
 	p := &Plan{Name: file, figures: map[string]float64{}}
 	for _, path := range slices.Sorted(maps.Keys(paths)) {
 		s := paths[path]
