--- a/internal/cluster/transport/codec.go
+++ b/internal/cluster/transport/codec.go
@@ -10,29 +10,37 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of a frame in bytes, without the four of its length.
+// Bounds of a frame in bytes, without its length prefix.
 const (
-	MaxFrame        = 1 << 20  // of all that goes to and from the edge
-	MaxControlFrame = 32 << 20 // of what control nodes say to one another: a first configuration comes in one call
+	MaxFrame        = 1 << 20  // of all frames to and from an ingress
+	MaxControlFrame = 32 << 20 // of frames between control nodes: a first configuration comes in one call
 )
 
-// ErrFrame marks bytes that are no frame: too long, empty, or not to be decoded. The connection they came on is of no
-// more use.
-var ErrFrame = errors.New("not a frame")
+const (
+	prefixBytes = 4        // of a frame's length, big endian
+	readBytes   = 64 << 10 // by which a buffer grows at most while a frame arrives
+)
+
+// Bounds of what a frame decodes to. Arrays are bounded so that a small frame can't claim much memory: an element
+// takes a byte on the wire and may take some hundred in memory.
+const (
+	maxNesting              = 12
+	maxMapPairs             = 64
+	maxArrayElements        = 1 << 16
+	maxControlArrayElements = 1 << 21
+)
 
-// Arrays are bounded so that a small frame cannot claim much memory: an element is some hundred bytes here and may be
-// one there.
 var (
-	edgeDecoding    = must(bounded(1 << 16).DecMode())
-	controlDecoding = must(bounded(1 << 21).DecMode()) // for frames over MaxFrame
-	encoding        = must(cbor.EncOptions{}.UserBufferEncMode())
+	frameDecoding        = must(decOptions(maxArrayElements).DecMode())
+	controlFrameDecoding = must(decOptions(maxControlArrayElements).DecMode()) // for frames longer than MaxFrame
+	encoding             = must(cbor.EncOptions{}.UserBufferEncMode())
 )
 
-func bounded(elements int) cbor.DecOptions {
+func decOptions(arrayElements int) cbor.DecOptions {
 	return cbor.DecOptions{
-		MaxNestedLevels:  12,
-		MaxArrayElements: elements,
-		MaxMapPairs:      64,
+		MaxNestedLevels:  maxNesting,
+		MaxArrayElements: arrayElements,
+		MaxMapPairs:      maxMapPairs,
 		IndefLength:      cbor.IndefLengthForbidden,
 		TagsMd:           cbor.TagsForbidden,
 	}
@@ -40,77 +48,72 @@
 
 func must[T any](mode T, err error) T {
 	if err != nil {
-		panic(err)
+		panic(err) // the options are constant
 	}
 	return mode
 }
 
-// Append appends a frame with its length, four bytes, highest first. It errs where the frame is longer than MaxWhole;
-// what is returned then is as long as b was.
+// Append appends a frame with its length prefix. Its error wraps ErrFrame where the frame is longer than
+// MaxControlFrame. After an error, the result is as long as b.
 func Append(b []byte, f *Frame) ([]byte, error) {
-	at := len(b)
-	buf := bytes.NewBuffer(append(b, 0, 0, 0, 0))
+	start := len(b)
+	buf := bytes.NewBuffer(append(b, make([]byte, prefixBytes)...))
 	if err := encoding.MarshalToBuffer(f, buf); err != nil {
-		return b[:at], errors.Wrap(err, "encode a frame")
+		return b[:start], errors.Wrap(err, "encode a frame")
 	}
 	b = buf.Bytes()
-	n := len(b) - at - 4
-	if n > MaxControlFrame {
-		return b[:at], errors.Wrapf(ErrFrame, "%d bytes", n)
+	length := len(b) - start - prefixBytes
+	if length > MaxControlFrame {
+		return b[:start], errors.Wrapf(ErrFrame, "%d bytes", length)
 	}
-	binary.BigEndian.PutUint32(b[at:], uint32(n))
+	binary.BigEndian.PutUint32(b[start:], uint32(length))
 	return b, nil
 }
 
-// Read reads the next frame, of at most that many bytes. Its error is that of the reader or wraps ErrFrame.
-func Read(r *bufio.Reader, most int) (*Frame, error) {
-	f, _, err := read(r, most, nil)
+// Read reads the next frame, of at most maxBytes. Its error is that of the reader or wraps ErrFrame.
+func Read(r *bufio.Reader, maxBytes int) (*Frame, error) {
+	f, _, err := readFrame(r, maxBytes, nil)
 	return f, err
 }
 
-// read is Read with a buffer for the bytes, which it returns for the next frame. Nothing of the frame lies in that
-// buffer. Memory is taken as bytes come, not as the length claims.
-func read(r *bufio.Reader, most int, buf []byte) (*Frame, []byte, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+// readFrame is Read with a buffer for the bytes, which it returns for the next frame. The frame doesn't refer to it.
+func readFrame(r *bufio.Reader, maxBytes int, buf []byte) (*Frame, []byte, error) {
+	var prefix [prefixBytes]byte
+	if _, err := io.ReadFull(r, prefix[:]); err != nil {
 		return nil, buf, err
 	}
-	n := int64(binary.BigEndian.Uint32(head[:]))
-	if n == 0 || n > int64(most) {
-		return nil, buf, errors.Wrapf(ErrFrame, "%d bytes where at most %d may come", n, most)
+	length := int64(binary.BigEndian.Uint32(prefix[:]))
+	if length == 0 || length > int64(maxBytes) {
+		return nil, buf, errors.Wrapf(ErrFrame, "%d bytes where at most %d may come", length, maxBytes)
 	}
-	buf = buf[:0]
-	for left := int(n); left > 0; {
-		step := min(left, 64<<10)
-		at := len(buf)
-		if cap(buf) < at+step {
-			buf = append(make([]byte, 0, max(2*at, at+step)), buf...)
-		}
-		buf = buf[:at+step]
-		if _, err := io.ReadFull(r, buf[at:]); err != nil {
-			return nil, buf, err
-		}
-		left -= step
+	buf, err := readFull(r, buf[:0], int(length))
+	if err != nil {
+		return nil, buf, err
 	}
-	f, mode := new(Frame), edgeDecoding
+	mode := frameDecoding
 	if len(buf) > MaxFrame {
-		mode = controlDecoding
+		mode = controlFrameDecoding
 	}
+	f := new(Frame)
 	if err := mode.Unmarshal(buf, f); err != nil {
 		return nil, buf, errors.Wrapf(ErrFrame, "%v", err)
 	}
 	return f, buf, nil
 }
 
-// IsReply tells whether a frame answers a call: it bears a number and asks nothing. An empty frame with a number is
-// an answer too.
-func (f *Frame) IsReply() bool {
-	return f.Call != 0 && f.Hello == nil && f.Update == nil && f.Renewal == nil && f.CounterAdd == nil &&
-		f.Prepare == nil && f.Accept == nil && f.Chosen == nil && f.CatchUpRequest == nil && f.PersistRequest == nil && f.Ping == nil
-}
-
-// mayBlock tells whether what answers this call may wait for a disk, or comes where both ends write at once: two
-// readers that write answers wait for one another where nothing lies between them.
-func (f *Frame) mayBlock() bool {
-	return f.Call != 0 && (f.Ping != nil || f.Prepare != nil || f.Accept != nil || f.Chosen != nil || f.CatchUpRequest != nil || f.PersistRequest != nil)
+// readFull reads n bytes. The buffer grows as bytes arrive, not by what n claims.
+func readFull(r io.Reader, buf []byte, n int) ([]byte, error) {
+	for left := n; left > 0; {
+		step := min(left, readBytes)
+		start := len(buf)
+		if cap(buf) < start+step {
+			buf = append(make([]byte, 0, max(2*start, start+step)), buf...)
+		}
+		buf = buf[:start+step]
+		if _, err := io.ReadFull(r, buf[start:]); err != nil {
+			return buf, err
+		}
+		left -= step
+	}
+	return buf, nil
 }
--- /dev/null
+++ b/internal/cluster/transport/consensus_messages.go
@@ -0,0 +1,26 @@
+package transport
+
+import "mulleinrouter/internal/cluster/consensus"
+
+// Prepare asks a control node to promise a ballot.
+type Prepare struct {
+	Ballot   consensus.Ballot `cbor:"1,keyasint"`
+	ReadOnly bool             `cbor:"2,keyasint,omitempty"` // nothing is to be promised: consensus.Acceptor.Read
+	// Synced means, with ReadOnly: reply once all that the reply reports is on disk.
+	Synced bool `cbor:"3,keyasint,omitempty"`
+}
+
+// Promise is the reply to Prepare.
+type Promise struct{ consensus.Promise }
+
+// Accept asks a control node to accept a change.
+type Accept struct{ consensus.Proposal }
+
+// Accepted is the reply to Accept.
+type Accepted struct{ consensus.Accepted }
+
+// Chosen notifies a control node that a change is chosen.
+type Chosen struct{ consensus.Proposal }
+
+// Ping is a call whose empty reply shows that two control nodes reach each other.
+type Ping struct{}
--- a/internal/cluster/transport/doc.go
+++ b/internal/cluster/transport/doc.go
@@ -1,6 +1,20 @@
-// Package transport is the wire format between the processes of the system: length-prefixed frames of CBOR, over TCP
-// between machines and over loopback between a proxy and its agent.
+// Package transport is the wire format between the processes of the system, and the connections that carry it:
+// length-prefixed frames of CBOR (RFC 8949), over TCP between machines and over loopback between a proxy and its
+// agent.
 //
-// Whatever arrives is untrusted input: lengths are bounded, unknown fields are ignored, and a frame that cannot be
-// decoded ends its connection. Conn multiplexes calls and one-way frames over one connection.
+// A Frame holds one message. Messages are in frame.go (the envelope and the subscription to a source),
+// consensus_messages.go (between control nodes) and catchup_messages.go. Their field numbers are the protocol: a
+// number is never used again, and an unknown one is ignored, so processes of neighbouring versions understand each
+// other.
+//
+// Whatever arrives is untrusted input (codec.go): lengths are bounded, and a frame that can't be decoded ends its
+// connection. A Conn (conn.go, with its sending side in sender.go and its calls in calls.go) multiplexes calls and
+// one-way frames over one connection. It owns the connection; its goroutines are the callers' own and those that Run
+// starts for calls that may block.
+//
+// Errors are in errors.go. The package may import the packages of cluster whose types are on the wire: configuration,
+// consensus, quota and registry.
+//
+// Tests: transport_test.go, with frames that are broken at random; golden_test.go compares each type of message, byte
+// for byte, with what the version before the great renaming sent.
 package transport
--- a/internal/cluster/transport/golden_test.go
+++ b/internal/cluster/transport/golden_test.go
@@ -29,13 +29,20 @@
 	ballot := consensus.Ballot{Round: 1 << 33, Node: "10.0.0.1:7000/17"}
 	history := configuration.History{{Version: 6, Digest: 1<<64 - 1}, {Version: 2, Digest: 5}}
 	items := []configuration.Item{
-		{Key: configuration.Key{Kind: configuration.Routes, Name: "route-1"}, Version: 7, Body: []byte(`{"a":"ü"}`), Epoch: 4, History: &history},
+		{
+			Key:     configuration.Key{Kind: configuration.Routes, Name: "route-1"},
+			Version: 7,
+			Body:    []byte(`{"a":"ü"}`),
+			Epoch:   4,
+			History: &history,
+		},
 		{Key: configuration.Key{Kind: configuration.Limits}, Version: 1, Deleted: true},
 	}
 	instances := []registry.Instance{
 		{
-			ID: "server-1", Service: "s", Address: "10.1.0.1:80", Zone: "a", Generation: "g", Capacity: 3, Phase: registry.Silent, Seq: 9,
-			ColdUntil: 12.25,
+			ID: "server-1", Service: "s", Address: "10.1.0.1:80", Zone: "a", Generation: "g", Capacity: 3,
+			Phase: registry.Silent,
+			Seq:   9, ColdUntil: 12.25,
 		},
 		{ID: "server-2"},
 	}
@@ -46,12 +53,15 @@
 		{"empty", &Frame{}},
 		{"empty reply", &Frame{Call: 1 << 40}},
 		{"hello", &Frame{Hello: &Hello{
-			Node: "edge-1", Class: "control", Incarnation: 1<<64 - 1, SourceIncarnation: 5, Seq: 6, Instances: instances, Epoch: 8, Zone: "a",
-			ControlAddr: "10.0.0.3:7000", Digests: []byte{1, 2, 0xff},
+			Node: "edge-1", Class: "control", Incarnation: 1<<64 - 1, SourceIncarnation: 5, Seq: 6, Instances: instances,
+			Epoch: 8, Zone: "a", ControlAddr: "10.0.0.3:7000", Digests: []byte{1, 2, 0xff},
 		}}},
 		{"bare hello", &Frame{Hello: &Hello{}}},
 		{"update", &Frame{Update: &Update{
-			Incarnation: 3, Seq: 4, Complete: true, Items: items, Instances: instances, Heartbeats: []Heartbeat{{ID: "server-1", Seq: 10}, {}},
+			Incarnation: 3, Seq: 4, Complete: true, Items: items, Instances: instances, Heartbeats: []Heartbeat{
+				{ID: "server-1", Seq: 10},
+				{},
+			},
 			Members: 2, Clock: 1.5, Epoch: 9, Ready: true, Quorum: true, Rank: 1, ZonePeers: 2, LinkDelay: 0.001,
 			Voters: []string{"10.0.0.1:7000"}, MatchingBuckets: []byte{0x80},
 		}}},
@@ -72,7 +82,10 @@
 		{"bare promise", &Frame{Call: 2, Promise: &Promise{}}},
 		{"accept", &Frame{Call: 3, Accept: &Accept{proposal}}},
 		{"bare accept", &Frame{Call: 3, Accept: &Accept{bare}}},
-		{"accepted", &Frame{Call: 3, Accepted: &Accepted{consensus.Accepted{OK: true, Behind: true, Promised: ballot, Epoch: 4}}}},
+		{
+			"accepted",
+			&Frame{Call: 3, Accepted: &Accepted{consensus.Accepted{OK: true, Behind: true, Promised: ballot, Epoch: 4}}},
+		},
 		{"bare accepted", &Frame{Call: 3, Accepted: &Accepted{}}},
 		{"chosen", &Frame{Chosen: &Chosen{proposal}}},
 		{"bare chosen", &Frame{Call: 4, Chosen: &Chosen{bare}}},
@@ -81,7 +94,9 @@
 		}}},
 		{"bare catch-up request", &Frame{Call: 5, CatchUpRequest: &CatchUpRequest{}}},
 		{"catch-up chunk", &Frame{Call: 5, CatchUpChunk: &CatchUpChunk{
-			NextPosition: 1 << 63, MoreInstances: true, Epoch: 3, Items: items, Voters: []string{"10.0.0.1:7000"}, Instances: instances,
+			NextPosition: 1 << 63, MoreInstances: true, Epoch: 3, Items: items, Voters: []string{
+				"10.0.0.1:7000",
+			}, Instances: instances,
 			Electorate: consensus.Electorate{Since: 2, Voters: voters},
 		}}},
 		{"bare catch-up chunk", &Frame{Call: 5, CatchUpChunk: &CatchUpChunk{}}},
--- /dev/null
+++ b/internal/cluster/transport/sender.go
@@ -0,0 +1,124 @@
+package transport
+
+import (
+	"net"
+	"sync"
+	"time"
+)
+
+// sender is the sending side of a connection: a queue of encoded frames, which one of its callers at a time writes
+// for all.
+type sender struct {
+	nc        net.Conn
+	closeConn func() error
+
+	mu      sync.Mutex // guards the fields below; it is not held during a write
+	changed sync.Cond  // the queue has shrunk, or err is set
+	queue   []byte     // encoded frames that wait to be written
+	spare   []byte     // a buffer for the next queue
+	writing bool       // a caller writes
+	err     error      // the connection has ended
+}
+
+func (s *sender) init(nc net.Conn, closeConn func() error) {
+	s.nc, s.closeConn = nc, closeConn
+	s.changed.L = &s.mu
+}
+
+func (s *sender) send(f *Frame) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.awaitCapacity(); err != nil {
+		return err
+	}
+	if s.queue == nil {
+		s.queue, s.spare = s.spare, nil
+	}
+	queue, err := Append(s.queue, f)
+	s.queue = queue
+	if err != nil || s.writing {
+		return err
+	}
+	return s.flush(nil)
+}
+
+func (s *sender) sendEncoded(frames []byte) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.awaitCapacity(); err != nil {
+		return err
+	}
+	if s.writing {
+		s.queue = append(s.queue, frames...)
+		return nil
+	}
+	return s.flush(frames)
+}
+
+// awaitCapacity waits, with the lock held, while more than maxQueuedBytes wait for a peer that doesn't read.
+func (s *sender) awaitCapacity() error {
+	for s.err == nil && s.writing && len(s.queue) >= maxQueuedBytes {
+		s.changed.Wait()
+	}
+	return s.err
+}
+
+// flush writes encoded frames, which it doesn't keep, and then the queue until it is empty. It is called with the
+// lock held, and releases it during each write.
+func (s *sender) flush(encoded []byte) error {
+	s.writing = true
+	for s.err == nil && (len(encoded) > 0 || len(s.queue) > 0) {
+		if len(encoded) > 0 {
+			s.writeUnlocked(encoded)
+			encoded = nil
+			continue
+		}
+		buf := s.queue
+		s.queue, s.spare = s.spare, nil
+		s.writeUnlocked(buf)
+		if s.err == nil && cap(buf) <= maxRetainedBuffer {
+			s.spare = buf[:0]
+		}
+	}
+	s.writing = false
+	return s.err
+}
+
+// writeUnlocked writes a buffer with the lock released. After an error the connection is closed.
+func (s *sender) writeUnlocked(buf []byte) {
+	s.mu.Unlock()
+	err := s.write(buf)
+	if err != nil {
+		_ = s.closeConn() // the error of the write is the one to report
+	}
+	s.mu.Lock()
+	if err != nil {
+		s.err = err
+	}
+	s.changed.Broadcast()
+}
+
+func (s *sender) write(buf []byte) error {
+	for len(buf) > 0 {
+		n := min(len(buf), maxWriteBytes)
+		if err := s.nc.SetWriteDeadline(time.Now().Add(WriteTimeout)); err != nil {
+			return err
+		}
+		if _, err := s.nc.Write(buf[:n]); err != nil {
+			return err
+		}
+		buf = buf[n:]
+	}
+	return nil
+}
+
+// close fails all senders, those that wait too.
+func (s *sender) close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.err == nil {
+		s.err = ErrClosed
+	}
+	s.queue, s.spare = nil, nil
+	s.changed.Broadcast()
+}
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -19,45 +19,67 @@
 	"mulleinrouter/internal/cluster/registry"
 )
 
-func TestFramesComeBackAsTheyWere(t *testing.T) {
-	is := is.New(t)
-	at := consensus.Ballot{Round: 3, Node: "a"}
-	change := consensus.Proposal{Ballot: at, Epoch: 4, Items: []configuration.Item{{Key: configuration.Key{Kind: configuration.Routes, Name: "r"}, Version: 7, Body: []byte(`{}`)}}}
-	frames := []*Frame{
-		{Hello: &Hello{Node: "n", Class: "agent", Incarnation: 1<<64 - 1, Instances: []registry.Instance{{ID: "i", Phase: registry.Draining, ColdUntil: 2.5}}}},
-		{Update: &Update{Incarnation: 2, Seq: 3, Complete: true, Clock: 1.25, Items: change.Items, Heartbeats: []Heartbeat{{ID: "i", Seq: 4}}}},
-		{Call: 5, Promise: &Promise{consensus.Promise{OK: true, Promised: at, Epoch: 3, Pending: &change}}},
+// testFrames is some frames, and their encoding one behind the other.
+func testFrames(t *testing.T) (frames []*Frame, encoded []byte) {
+	t.Helper()
+	ballot := consensus.Ballot{Round: 3, Node: "a"}
+	items := []configuration.Item{{
+		Key: configuration.Key{Kind: configuration.Routes, Name: "r"}, Version: 7, Body: []byte(`{}`),
+	}}
+	change := consensus.Proposal{Ballot: ballot, Epoch: 4, Items: items}
+	instances := []registry.Instance{{ID: "i", Phase: registry.Draining, ColdUntil: 2.5}}
+	frames = []*Frame{
+		{Hello: &Hello{Node: "n", Class: "agent", Incarnation: 1<<64 - 1, Instances: instances}},
+		{Update: &Update{
+			Incarnation: 2, Seq: 3, Complete: true, Clock: 1.25, Items: items, Heartbeats: []Heartbeat{{ID: "i", Seq: 4}},
+		}},
+		{Call: 5, Promise: &Promise{consensus.Promise{OK: true, Promised: ballot, Epoch: 3, Pending: &change}}},
 		{Call: 6, Accept: &Accept{change}},
-		{Call: 7, Accepted: &Accepted{consensus.Accepted{Behind: true, Promised: at}}},
+		{Call: 7, Accepted: &Accepted{consensus.Accepted{Behind: true, Promised: ballot}}},
 		{Call: 8},
 	}
-	var b []byte
-	var err error
 	for _, f := range frames {
-		b, err = Append(b, f)
-		is.NoErr(err)
+		var err error
+		if encoded, err = Append(encoded, f); err != nil {
+			t.Fatal(err)
+		}
 	}
-	r := bufio.NewReader(bytes.NewReader(b))
+	return frames, encoded
+}
+
+func TestFramesRoundTrip(t *testing.T) {
+	is := is.New(t)
+	frames, encoded := testFrames(t)
+	r := bufio.NewReader(bytes.NewReader(encoded))
 	for _, f := range frames {
 		got, err := Read(r, MaxFrame)
 		is.NoErr(err)
 		is.Equal(got, f)
 	}
-	// Whatever is broken ends in an error, and takes no more memory than came.
-	odds := rand.New(rand.NewPCG(1, 1))
+}
+
+// Whatever is broken ends in an error, and takes no more memory than has come.
+func TestBrokenFrames(t *testing.T) {
+	_, encoded := testFrames(t)
+	rnd := rand.New(rand.NewPCG(1, 1))
 	for range 20000 {
-		broken := bytes.Clone(b)
-		for range 1 + odds.IntN(4) {
-			broken[odds.IntN(len(broken))] = byte(odds.Uint32())
+		broken := bytes.Clone(encoded)
+		for range 1 + rnd.IntN(4) {
+			broken[rnd.IntN(len(broken))] = byte(rnd.Uint32())
 		}
 		r := bufio.NewReader(bytes.NewReader(broken))
-		for err = nil; err == nil; {
+		for err := error(nil); err == nil; {
 			_, err = Read(r, MaxFrame)
 		}
 	}
-	claim := binary.BigEndian.AppendUint32(nil, MaxFrame+1)
-	_, err = Read(bufio.NewReader(bytes.NewReader(claim)), MaxFrame)
-	is.True(errors.Is(err, ErrFrame))
+}
+
+func TestFrameTooLong(t *testing.T) {
+	prefix := binary.BigEndian.AppendUint32(nil, MaxFrame+1)
+	_, err := Read(bufio.NewReader(bytes.NewReader(prefix)), MaxFrame)
+	if !errors.Is(err, ErrFrame) {
+		t.Errorf("got %v, want %v", err, ErrFrame)
+	}
 }
 
 func TestCalls(t *testing.T) {
@@ -72,44 +94,44 @@
 			}
 			return &Frame{CounterTotal: &CounterTotal{OK: true, Sum: f.CounterAdd.Amount}}
 		})
-		var all sync.WaitGroup
+		var calls sync.WaitGroup
 		for i := range 50 {
-			all.Go(func() {
+			calls.Go(func() {
 				f, err := one.Call(time.Second, &Frame{CounterAdd: &CounterAdd{Amount: float64(i)}})
 				is.NoErr(err)
 				is.Equal(f.CounterTotal.Sum, float64(i))
 			})
 		}
-		all.Wait()
-		at := time.Now()
+		calls.Wait()
+		start := time.Now()
 		_, err := one.Call(time.Second, &Frame{CounterAdd: &CounterAdd{Name: "silent"}})
 		is.Equal(err, ErrNoReply)
-		is.Equal(time.Since(at), time.Second)
-		// Nobody says anything more: both sides end after Quiet, and with them whoever waits for an answer.
-		at = time.Now()
+		is.Equal(time.Since(start), time.Second)
+		// Neither side sends anything more: both end after IdleTimeout, and the pending call with them.
+		start = time.Now()
 		_, err = one.Call(time.Minute, &Frame{CounterAdd: &CounterAdd{Name: "silent"}})
 		is.Equal(err, ErrClosed)
-		is.True(time.Since(at) <= IdleTimeout)
+		is.True(time.Since(start) <= IdleTimeout)
 		<-two.Done()
 		is.True(one.Send(&Frame{}) != nil)
 	})
 }
 
-// A peer that does not read holds a sender up for a while, and then the connection ends.
+// A peer that does not read blocks a sender for a while, and then the connection ends.
 func TestPeerThatDoesNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a, _ := net.Pipe()
 		c := NewConn(a)
-		at := time.Now()
-		var all sync.WaitGroup
+		start := time.Now()
+		var senders sync.WaitGroup
 		for range 8 {
-			all.Go(func() {
+			senders.Go(func() {
 				for c.Send(&Frame{CounterAdd: &CounterAdd{Name: string(make([]byte, 100<<10))}}) == nil {
 				}
 			})
 		}
-		all.Wait()
-		is.Equal(time.Since(at), WriteTimeout)
+		senders.Wait()
+		is.Equal(time.Since(start), WriteTimeout)
 	})
 }
