--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -1,22 +1,30 @@
-// Command agent is the agent on an edge machine: it keeps the link to the control nodes and feeds the proxy beside it over loopback.
+// Command agent is the agent on an edge machine: it subscribes to the control nodes and feeds the proxy beside it over
+// loopback. See docs/design/system.md.
 package main
 
 import (
 	"context"
 	"fmt"
-	"os"
-	"runtime"
-	"runtime/debug"
+	"strings"
 
 	"github.com/alecthomas/kong"
-	"github.com/go-kit/log"
 
 	"mulleinrouter/internal/agent"
 	"mulleinrouter/internal/cluster/command"
-	"mulleinrouter/internal/cluster/linkfaults"
+	"mulleinrouter/internal/cluster/settings"
 )
 
-const name = "agent"
+const (
+	name        = "agent"
+	description = "The agent on an edge machine: it keeps the link to the control nodes and feeds the proxy beside it."
+)
+
+// memoryLimit is the size of the heap from which the collector works harder, in bytes: the machine's memory is the
+// proxy's.
+const memoryLimit = 32 << 20
+
+// gcPercent suits an agent, which makes little garbage.
+const gcPercent = 50
 
 type program struct {
 	Serve serve `cmd:"" default:"withargs" help:"Keep the link and feed the proxy (the default)."`
@@ -26,68 +34,67 @@
 	Version kong.VersionFlag `help:"Say which version this is."`
 }
 
-type settings struct {
-	File string `arg:"" optional:"" help:"Settings file. Default: the one that ${variable} names."`
-}
-
-// heap is what the agent may use before the collector works harder, in bytes: the machine's memory is the proxy's.
-const heap = 32 << 20
-
 type serve struct {
-	settings
+	command.SettingsArgument
 	command.ServeOptions
-	Links string `hidden:"" help:"For rehearsals: a file that says which hosts the process is cut off from."`
+	command.LinkFaultsFlag
 }
 
 func (s *serve) Run() error {
-	// Memory is dear on these machines and the agent makes little garbage; only one thread runs at a time there.
-	debug.SetGCPercent(50)
-	debug.SetMemoryLimit(heap)
-	runtime.GOMAXPROCS(1)
-	p, err := command.Load(s.File, name)
+	loaded, err := command.Start(s.File, name, command.Memory{GCPercent: gcPercent, Limit: limitMemory})
 	if err != nil {
 		return err
 	}
-	var cuts *linkfaults.Injector // nil: none
-	if s.Links != "" {
-		if cuts, err = linkfaults.NewInjector(s.Links); err != nil {
-			return err
-		}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	dial, err := s.Dialer(ctx, agent.Dial)
+	if err != nil {
+		return err
 	}
-	return agent.Run(agent.Options{File: s.File, Settings: p, Log: log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)), Dial: cuts.Dialer(agent.Dial), Metrics: s.Metrics})
+	return agent.Run(agent.Options{
+		File:     s.File,
+		Settings: loaded,
+		Log:      command.NewLogger(),
+		Dial:     dial,
+		Metrics:  s.Metrics,
+	})
 }
 
-type check struct{ settings }
+func limitMemory(*settings.Settings) int64 { return memoryLimit }
 
-func (c *check) Run() error {
-	p, err := command.Load(c.File, name)
-	if err != nil {
-		return err
-	}
-	fmt.Printf("node %s in %s, proxy at %s\n", p.Node, p.Zone, p.AgentAddr())
-	for _, s := range p.Seeds {
-		fmt.Printf("control node at %s\n", p.InternalAddrOf(s))
+type check struct{ command.SettingsArgument }
+
+func (c *check) Run() error { return command.Check(c.File, name, describe) }
+
+// describe returns what matters to an agent in its settings.
+func describe(s *settings.Settings) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "node %s in %s, proxy at %s\n", s.Node, s.Zone, s.AgentAddr())
+	for _, seed := range s.Seeds {
+		fmt.Fprintf(&text, "control node at %s\n", s.InternalAddrOf(seed))
 	}
-	return nil
+	return text.String()
 }
 
-type show struct{ settings }
+type show struct{ command.SettingsArgument }
 
 func (s *show) Run() error {
-	p, err := command.Load(s.File, name)
+	loaded, err := command.Load(s.File, name)
 	if err != nil {
 		return err
 	}
-	r, err := agent.Ask(context.Background(), p.AgentAddr())
+	report, err := agent.Ask(context.Background(), loaded.AgentAddr())
 	if err != nil {
 		return err
 	}
-	fmt.Printf("incarnation %x, ready %t, quorum %t\n%d ingresses, epoch %d, common clock %.3f s\n%d items, %d servers known, %d serving\n",
-		r.Incarnation, r.Ready, r.Quorum, r.Members, r.Epoch, r.Clock, r.Items, r.Lines, r.Serving)
+	fmt.Printf("incarnation %x, ready %t, quorum %t\n", report.Incarnation, report.Ready, report.Quorum)
+	fmt.Printf("%d ingresses, epoch %d, common clock %.3f s\n", report.Members, report.Epoch, report.Clock)
+	fmt.Printf("%d items, %d servers known, %d serving\n", report.Items, report.Lines, report.Serving)
 	return nil
 }
 
 func main() {
-	command.Main(name, "The agent on an edge machine: it keeps the link to the control nodes and feeds the proxy beside it.",
-		new(program), func(o command.ServeOptions) error { return (&serve{ServeOptions: o}).Run() })
+	command.Main(name, description, new(program), func(options command.ServeOptions) error {
+		return (&serve{ServeOptions: options}).Run()
+	})
 }
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,4 +1,4 @@
-// Command proxy is the proxy of an edge machine: see docs/design/system.md.
+// Command proxy is the proxy of an edge machine: it serves clients. See docs/design/system.md.
 package main
 
 import (
@@ -8,19 +8,19 @@
 	"fmt"
 	"os"
 	"os/signal"
-	"runtime"
-	"runtime/debug"
 	"syscall"
 
 	"github.com/alecthomas/kong"
-	"github.com/go-kit/log"
 
 	"mulleinrouter/internal/cluster/command"
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/proxy"
 )
 
-const name = "proxy"
+const (
+	name        = "proxy"
+	description = "The proxy of an edge machine: it serves clients, with what the agent beside it knows."
+)
 
 type program struct {
 	Serve serve `cmd:"" default:"withargs" help:"Serve clients until SIGTERM (the default)."`
@@ -30,45 +30,46 @@
 }
 
 type serve struct {
-	File string `short:"c" help:"Settings file. Default: the one that ${variable} names." placeholder:"FILE"`
+	command.SettingsFlag
 	command.ServeOptions
 }
 
 func (s *serve) Run() error {
-	// Only one thread runs at a time on these machines.
-	runtime.GOMAXPROCS(1)
-	p, err := command.Load(s.File, name)
+	loaded, err := command.Start(s.File, name, command.Memory{Limit: limitMemory})
 	if err != nil {
 		return err
 	}
-	debug.SetMemoryLimit(int64(p.Limits.MemoryMB) << 20 * 6 / 10)
-	var life [8]byte
-	rand.Read(life[:])
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	logger := log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr))
-	served := proxy.New(settings.NewWatcher(s.File, p), binary.LittleEndian.Uint64(life[:])|1, logger)
-	served.ServeMetrics(s.Metrics)
-	return served.Run(ctx, hup)
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	p := proxy.New(settings.NewWatcher(s.File, loaded), newIncarnation(), command.NewLogger())
+	p.ServeMetrics(s.Metrics)
+	return p.Run(ctx, hangups)
 }
 
-type check struct {
-	File string `arg:"" optional:"" help:"Settings file. Default: the one that ${variable} names."`
+// limitMemory leaves four tenths of the machine's memory to the kernel's socket buffers and the agent.
+func limitMemory(s *settings.Settings) int64 { return int64(s.Limits.MemoryMB) << 20 * 6 / 10 }
+
+// newIncarnation returns a number that no other process of this machine has had, not 0.
+func newIncarnation() uint64 {
+	var random [8]byte
+	rand.Read(random[:])
+	return binary.LittleEndian.Uint64(random[:]) | 1
 }
 
-func (c *check) Run() error {
-	p, err := command.Load(c.File, name)
-	if err != nil {
-		return err
-	}
-	fmt.Printf("node %s in %s, clients at %s, readiness at %s, agent at %s\n", p.Node, p.Zone, p.FrontAddr, p.ReadyAddr, p.AgentAddr())
-	return nil
+type check struct{ command.SettingsArgument }
+
+func (c *check) Run() error { return command.Check(c.File, name, describe) }
+
+// describe returns what matters to a proxy in its settings.
+func describe(s *settings.Settings) string {
+	return fmt.Sprintf("node %s in %s, clients at %s, readiness at %s, agent at %s\n",
+		s.Node, s.Zone, s.FrontAddr, s.ReadyAddr, s.AgentAddr())
 }
 
 func main() {
-	command.Main(name, "The proxy of an edge machine: it serves clients, with what the agent beside it knows.", new(program), func(o command.ServeOptions) error {
-		return (&serve{ServeOptions: o}).Run()
+	command.Main(name, description, new(program), func(options command.ServeOptions) error {
+		return (&serve{ServeOptions: options}).Run()
 	})
 }
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -1,18 +1,9 @@
 package agent
 
 import (
-	"context"
-
 	"mulleinrouter/internal/cluster/metrics"
 )
 
-// serveMetrics serves the agent's figures until the context ends.
-func (f *Agent) serveMetrics(ctx context.Context, o Options) {
-	r := metrics.NewRegistry(program)
-	f.registerMetrics(r)
-	r.Serve(ctx, o.Metrics, o.Settings.Host, f.log)
-}
-
 // registerMetrics registers the agent's figures (docs/operate/figures.md).
 func (f *Agent) registerMetrics(r *metrics.Registry) {
 	r.Flag("ready", "Whether what is here is enough for the proxy to serve.", f.ready.Load)
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -53,7 +53,10 @@
 	defer cancel()
 	f.Follow(ctx, o.Settings)
 	go f.Serve(l)
-	f.all.Go(func() { f.serveMetrics(ctx, o) })
+	f.all.Go(func() {
+		server := metrics.Server{Program: program, Endpoint: o.Metrics, Host: o.Settings.Host, Log: f.log}
+		server.Serve(ctx, f.registerMetrics)
+	})
 	f.log.Log("msg", "started", "node", o.Settings.Node, "at", o.Settings.AgentAddr(), "incarnation", f.incarnation)
 	f.loop(ctx, settings.NewWatcher(o.File, o.Settings), signals)
 	f.log.Log("msg", "ended")
--- /dev/null
+++ b/internal/cluster/command/settings.go
@@ -0,0 +1,88 @@
+package command
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"runtime"
+	"runtime/debug"
+
+	"github.com/go-kit/log"
+
+	"mulleinrouter/internal/cluster/linkfaults"
+	"mulleinrouter/internal/cluster/settings"
+)
+
+// SettingsArgument is the settings file as the argument of a command. The help is set to the name of the environment
+// variable by Main.
+type SettingsArgument struct {
+	File string `arg:"" optional:"" help:"Settings file. Default: the one that ${variable} names."`
+}
+
+// SettingsFlag is the settings file as a flag of a command.
+type SettingsFlag struct {
+	File string `name:"file" short:"c" help:"Settings file. Default: the one that ${variable} names." placeholder:"FILE"`
+}
+
+// LinkFaultsFlag is the file of package linkfaults as a flag of a command.
+type LinkFaultsFlag struct {
+	LinkFaults string `name:"links" hidden:"" help:"For fault tests: a file of hosts to partition from."`
+}
+
+// Dialer returns a dialer whose connections the file blocks until the context ends, over another one; without a file,
+// the other one.
+func (f LinkFaultsFlag) Dialer(ctx context.Context, dial linkfaults.DialFunc) (linkfaults.DialFunc, error) {
+	injector, err := linkfaults.NewInjector(ctx, f.LinkFaults)
+	if err != nil {
+		return nil, err
+	}
+	return injector.Dialer(dial), nil
+}
+
+// Load reads a settings file for a program; empty: the one that settings.EnvVariable names. Errors are *SettingsError.
+func Load(file, program string) (*settings.Settings, error) {
+	s, err := settings.Load(file)
+	if err == nil {
+		err = s.Require(program)
+	}
+	if err != nil {
+		return nil, &SettingsError{Err: err}
+	}
+	return s, nil
+}
+
+// Check loads a settings file for a program, and prints what describe returns of it.
+func Check(file, program string, describe func(*settings.Settings) string) error {
+	s, err := Load(file, program)
+	if err != nil {
+		return err
+	}
+	_, err = fmt.Print(describe(s))
+	return err
+}
+
+// Memory says how a program uses memory, which is scarce on the machines of the system.
+type Memory struct {
+	// GCPercent is the growth of the heap that starts a collection; 0: Go's default.
+	GCPercent int
+	// Limit returns the size of the heap from which the collector works harder, in bytes.
+	Limit func(*settings.Settings) int64
+}
+
+// Start loads the settings of a program that serves, and sets the limits of the Go runtime: one thread at a time, for
+// that is what the machines run, and the memory.
+func Start(file, program string, memory Memory) (*settings.Settings, error) {
+	if memory.GCPercent > 0 {
+		debug.SetGCPercent(memory.GCPercent)
+	}
+	runtime.GOMAXPROCS(1)
+	s, err := Load(file, program)
+	if err != nil {
+		return nil, err
+	}
+	debug.SetMemoryLimit(memory.Limit(s))
+	return s, nil
+}
+
+// NewLogger returns the logger of a program: logfmt on standard error.
+func NewLogger() log.Logger { return log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)) }
--- /dev/null
+++ b/internal/cluster/linkfaults/injector.go
@@ -0,0 +1,155 @@
+package linkfaults
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// pollInterval is the interval at which the file is read again, and at which a blocked connection checks the partition.
+const pollInterval = 20 * time.Millisecond
+
+// DialFunc opens a connection to host:port.
+type DialFunc func(ctx context.Context, addr string) (net.Conn, error)
+
+// Injector opens connections that a partition blocks. A nil *Injector blocks nothing.
+type Injector struct{ partition atomic.Pointer[Partition] }
+
+// NewInjector follows the file at path until the context ends. The file is replaced as a whole; one that cannot be read
+// later on changes nothing. An empty path gives a nil Injector.
+func NewInjector(ctx context.Context, path string) (*Injector, error) {
+	if path == "" {
+		return nil, nil
+	}
+	first, err := load(path)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	in := &Injector{}
+	in.partition.Store(&first)
+	go in.follow(ctx, path)
+	return in, nil
+}
+
+// follow reads the file again until the context ends.
+func (in *Injector) follow(ctx context.Context, path string) {
+	tick := time.NewTicker(pollInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+			if next, err := load(path); err == nil {
+				in.partition.Store(&next)
+			}
+		}
+	}
+}
+
+// Dialer returns a dialer whose connections the partition blocks, over another one; that of a nil Injector is the other
+// one.
+func (in *Injector) Dialer(dial DialFunc) DialFunc {
+	if in == nil {
+		return dial
+	}
+	return func(ctx context.Context, addr string) (net.Conn, error) {
+		host, _, err := net.SplitHostPort(addr)
+		if err != nil {
+			return nil, err
+		}
+		for p := in.partition.Load(); p.To[host] || p.From[host]; p = in.partition.Load() {
+			select {
+			case <-ctx.Done():
+				return nil, ctx.Err()
+			case <-time.After(pollInterval):
+			}
+		}
+		netConn, err := dial(ctx, addr)
+		if err != nil {
+			return nil, err
+		}
+		return &conn{Conn: netConn, injector: in, host: host, closed: make(chan struct{})}, nil
+	}
+}
+
+// conn is a connection to a host.
+type conn struct {
+	net.Conn
+	injector      *Injector
+	host          string
+	readDeadline  atomic.Int64 // Unix nanoseconds; 0: none
+	writeDeadline atomic.Int64 // Unix nanoseconds; 0: none
+	closeOnce     sync.Once
+	closed        chan struct{}
+}
+
+// wait waits while the link is blocked in a direction.
+func (c *conn) wait(blocked func(*Partition) bool, deadline *atomic.Int64) error {
+	for blocked(c.injector.partition.Load()) {
+		select {
+		case <-c.closed:
+			return net.ErrClosed
+		case <-time.After(pollInterval):
+		}
+		if at := deadline.Load(); at != 0 && time.Now().UnixNano() > at {
+			return os.ErrDeadlineExceeded
+		}
+	}
+	return nil
+}
+
+// Read returns what has come, once the link from the host is not blocked.
+func (c *conn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	if blocked := c.wait(func(p *Partition) bool { return p.From[c.host] }, &c.readDeadline); blocked != nil {
+		return 0, errors.Join(blocked, c.Conn.Close()) // what has come is lost, and so the connection ends
+	}
+	return n, err
+}
+
+// Write sends, once the link to the host is not blocked.
+func (c *conn) Write(b []byte) (int, error) {
+	if err := c.wait(func(p *Partition) bool { return p.To[c.host] }, &c.writeDeadline); err != nil {
+		return 0, err
+	}
+	return c.Conn.Write(b)
+}
+
+// Close closes the connection, and ends waiting reads and writes.
+func (c *conn) Close() error {
+	c.closeOnce.Do(func() { close(c.closed) })
+	return c.Conn.Close()
+}
+
+// unixNanos returns a deadline in Unix nanoseconds; 0: none.
+func unixNanos(t time.Time) int64 {
+	if t.IsZero() {
+		return 0
+	}
+	return t.UnixNano()
+}
+
+// SetDeadline implements net.Conn.
+func (c *conn) SetDeadline(t time.Time) error {
+	c.readDeadline.Store(unixNanos(t))
+	c.writeDeadline.Store(unixNanos(t))
+	return c.Conn.SetDeadline(t)
+}
+
+// SetReadDeadline implements net.Conn.
+func (c *conn) SetReadDeadline(t time.Time) error {
+	c.readDeadline.Store(unixNanos(t))
+	return c.Conn.SetReadDeadline(t)
+}
+
+// SetWriteDeadline implements net.Conn.
+func (c *conn) SetWriteDeadline(t time.Time) error {
+	c.writeDeadline.Store(unixNanos(t))
+	return c.Conn.SetWriteDeadline(t)
+}
--- a/internal/cluster/linkfaults/links_test.go
+++ b/internal/cluster/linkfaults/injector_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net"
 	"testing"
 	"testing/synctest"
@@ -12,28 +13,30 @@
 
 func TestParse(t *testing.T) {
 	is := is.New(t)
-	c, err := Parse("# nothing\n\nto 127.1.0.1\nfrom 127.1.0.2\nboth 127.1.0.3\n")
+	partition, err := Parse("# nothing\n\nto 127.1.0.1\nfrom 127.1.0.2\nboth 127.1.0.3\n")
 	is.NoErr(err)
-	is.True(c.To["127.1.0.1"] && !c.From["127.1.0.1"])
-	is.True(c.From["127.1.0.2"] && !c.To["127.1.0.2"])
-	is.True(c.To["127.1.0.3"] && c.From["127.1.0.3"])
+	is.True(partition.To["127.1.0.1"] && !partition.From["127.1.0.1"])
+	is.True(partition.From["127.1.0.2"] && !partition.To["127.1.0.2"])
+	is.True(partition.To["127.1.0.3"] && partition.From["127.1.0.3"])
 	_, err = Parse("to 127.1.0.1\ncut 127.1.0.2")
+	is.True(errors.Is(err, ErrBadLine))
 	is.Equal(err.Error(), `line 2: not "to HOST", "from HOST" or "both HOST"`)
 }
 
-// What a cut holds comes once the link is whole; each way by itself; deadlines and the connection's end are kept meanwhile.
-func TestCutsHoldAndLetGo(t *testing.T) {
+// TestPartition checks that what a partition blocks is carried once it has healed, each direction by itself, and that
+// deadlines and the connection's end hold meanwhile.
+func TestPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		l := &Injector{}
+		injector := &Injector{}
 		set := func(text string) {
-			c, err := Parse(text)
+			partition, err := Parse(text)
 			is.NoErr(err)
-			l.cuts.Store(&c)
+			injector.partition.Store(&partition)
 		}
 		set("")
 		var far net.Conn
-		dial := l.Dialer(func(context.Context, string) (net.Conn, error) {
+		dial := injector.Dialer(func(context.Context, string) (net.Conn, error) {
 			near, other := net.Pipe()
 			far = other
 			return near, nil
@@ -61,14 +64,14 @@
 		go far.Write([]byte("y"))
 		c.SetReadDeadline(time.Now().Add(time.Second))
 		is.True(took(func() { _, err = c.Read(make([]byte, 9)) }) >= time.Second)
-		is.True(err != nil) // its time is over, and the connection with it
+		is.True(err != nil) // its deadline has passed, and the connection has ended
 		_, err = far.Write([]byte("z"))
 		is.True(err != nil)
 
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		is.True(took(func() { _, err = dial(ctx, "h:1") }) >= time.Second)
-		is.True(err != nil) // no connection comes up across a cut
+		is.True(err != nil) // no connection is established across a partition
 		_, err = dial(t.Context(), "other:1")
 		is.NoErr(err)
 		is.NoErr(c.Close())
--- a/internal/cluster/metrics/endpoint.go
+++ b/internal/cluster/metrics/endpoint.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// Endpoint is where a role serves its figures, as deploy/system.toml writes it: "PORT/PATH". The zero value is none.
+// Endpoint is where a role serves its metrics, as deploy/system.toml writes it: "PORT/PATH". The zero value is none.
 type Endpoint struct {
 	Port int
 	Path string // begins with a slash
 }
 
-// ParseEndpoint parses "PORT/PATH"; the empty text is the zero Endpoint.
+// ParseEndpoint parses "PORT/PATH"; the empty text is the zero Endpoint. Errors wrap ErrBadEndpoint.
 func ParseEndpoint(text string) (Endpoint, error) {
 	if text == "" {
 		return Endpoint{}, nil
@@ -21,18 +21,18 @@
 	port, path, found := strings.Cut(text, "/")
 	number, err := strconv.ParseUint(port, 10, 16)
 	if err != nil || number == 0 || !found || path == "" {
-		return Endpoint{}, fmt.Errorf("metrics: %.60q is not of the form PORT/PATH", text)
+		return Endpoint{}, fmt.Errorf("metrics: %.60q is %w", text, ErrBadEndpoint)
 	}
 	return Endpoint{Port: int(number), Path: "/" + path}, nil
 }
 
-// Enabled tells whether figures are to be served.
+// Enabled reports whether metrics are to be served.
 func (e Endpoint) Enabled() bool { return e.Port > 0 }
 
-// Address is the address to listen on, on a machine with that IP address.
+// Address returns the address to listen on, on a machine with that IP address.
 func (e Endpoint) Address(host string) string { return net.JoinHostPort(host, strconv.Itoa(e.Port)) }
 
-// UnmarshalText parses an endpoint on a command line.
+// UnmarshalText parses an endpoint on a command line. Errors wrap ErrBadEndpoint.
 func (e *Endpoint) UnmarshalText(text []byte) (err error) {
 	*e, err = ParseEndpoint(string(text))
 	return err
--- /dev/null
+++ b/internal/cluster/metrics/errors.go
@@ -0,0 +1,6 @@
+package metrics
+
+import "errors"
+
+// ErrBadEndpoint is wrapped in the error of a text that is no Endpoint.
+var ErrBadEndpoint = errors.New("not of the form PORT/PATH")
--- a/internal/cluster/metrics/metrics_test.go
+++ b/internal/cluster/metrics/metrics_test.go
@@ -1,6 +1,7 @@
 package metrics
 
 import (
+	"errors"
 	"net/http/httptest"
 	"strings"
 	"testing"
@@ -12,18 +13,18 @@
 	for text, want := range map[string]Endpoint{"": {}, "9464/metrics": {9464, "/metrics"}, "1/a/b": {1, "/a/b"}} {
 		got, err := ParseEndpoint(text)
 		if err != nil || got != want {
-			t.Errorf("%q: %v, %v", text, got, err)
+			t.Errorf("%q: got %v, %v, want %v", text, got, err, want)
 		}
 	}
 	for _, text := range []string{"metrics", "0/metrics", "65536/metrics", "-1/m", "9464", "9464/", "x/metrics"} {
-		if got, err := ParseEndpoint(text); err == nil {
-			t.Errorf("%q is taken for %v", text, got)
+		if got, err := ParseEndpoint(text); !errors.Is(err, ErrBadEndpoint) {
+			t.Errorf("%q: got %v, %v, want %v", text, got, err, ErrBadEndpoint)
 		}
 	}
 }
 
-// TestText asks for the figures over HTTP and looks at names, types and values.
-func TestText(t *testing.T) {
+// TestServeHTTP requests the metrics over HTTP and checks names, types and values.
+func TestServeHTTP(t *testing.T) {
 	is := is.New(t)
 	r := NewRegistry("proxy")
 	ready := false
@@ -36,10 +37,14 @@
 	is.Equal(answer.Code, 200)
 	is.True(strings.HasPrefix(answer.Header().Get("Content-Type"), "text/plain"))
 	text := answer.Body.String()
-	for _, line := range []string{"mulleinrouter_proxy_ready 1", "# TYPE mulleinrouter_proxy_attempts_total counter", "mulleinrouter_proxy_attempts_total 7",
-		`mulleinrouter_proxy_servers{state="avoided"} 1`, "# TYPE mulleinrouter_proxy_servers gauge", "mulleinrouter_proxy_uptime_seconds "} {
-		if !strings.Contains(text, line) {
-			t.Errorf("%q is missing in\n%s", line, text)
+	for _, want := range []string{
+		"mulleinrouter_proxy_ready 1", "# TYPE mulleinrouter_proxy_attempts_total counter",
+		"mulleinrouter_proxy_attempts_total 7",
+		`mulleinrouter_proxy_servers{state="avoided"} 1`,
+		"# TYPE mulleinrouter_proxy_servers gauge", "mulleinrouter_proxy_uptime_seconds ",
+	} {
+		if !strings.Contains(text, want) {
+			t.Errorf("got\n%s\nwant %q in it", text, want)
 		}
 	}
 }
--- a/internal/cluster/metrics/registry.go
+++ b/internal/cluster/metrics/registry.go
@@ -11,23 +11,24 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/common/expfmt"
 
-	"mulleinrouter/internal/cluster/transport"
+	"mulleinrouter/internal/cluster/retry"
 )
 
 const (
 	namespace      = "mulleinrouter"
 	requestTimeout = 5 * time.Second
-	bindAttempts   = 20 // the process before may still hold the port
-	bindInterval   = 250 * time.Millisecond
 )
 
-// Registry holds the figures of one process. Register all of them before Serve.
+// bindPolicy covers the time for which the process before may still hold the port.
+var bindPolicy = retry.Policy{Attempts: 20, Interval: 250 * time.Millisecond}
+
+// Registry holds the metrics of one process. Register all of them before it serves.
 type Registry struct {
 	program  string
 	registry *prometheus.Registry
 }
 
-// NewRegistry returns a registry for a program: control, agent or proxy. It holds the figures that all programs have.
+// NewRegistry returns a registry for a program: control, agent or proxy. It holds the metrics that all programs have.
 func NewRegistry(program string) *Registry {
 	r := &Registry{program: program, registry: prometheus.NewRegistry()}
 	started := time.Now()
@@ -36,11 +37,12 @@
 	return r
 }
 
+// options names a metric: mulleinrouter_PROGRAM_NAME.
 func (r *Registry) options(name, help string, labels prometheus.Labels) prometheus.Opts {
 	return prometheus.Opts{Namespace: namespace, Subsystem: r.program, Name: name, Help: help, ConstLabels: labels}
 }
 
-// Gauge registers a figure that goes up and down. Its value is asked for at each request, from any goroutine.
+// Gauge registers a metric that goes up and down. Its value is read at each request, from any goroutine.
 func (r *Registry) Gauge(name, help string, value func() float64) {
 	r.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts(r.options(name, help, nil)), value))
 }
@@ -55,7 +57,7 @@
 	})
 }
 
-// Counter registers a figure that only rises; its name ends in _total.
+// Counter registers a metric that only rises; its name ends in _total.
 func (r *Registry) Counter(name, help string, value func() float64) {
 	r.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts(r.options(name, help, nil)), value))
 }
@@ -78,7 +80,11 @@
 
 func (r *Registry) family(name, help, label string, kind prometheus.ValueType, samples func() []Sample) {
 	fullName := prometheus.BuildFQName(namespace, r.program, name)
-	r.registry.MustRegister(&family{desc: prometheus.NewDesc(fullName, help, []string{label}, nil), kind: kind, samples: samples})
+	r.registry.MustRegister(&family{
+		desc:    prometheus.NewDesc(fullName, help, []string{label}, nil),
+		kind:    kind,
+		samples: samples,
+	})
 }
 
 // family is a prometheus.Collector of series that differ in one label.
@@ -98,7 +104,7 @@
 	}
 }
 
-// Write writes all figures in the text format.
+// Write writes all metrics in the text format of Prometheus.
 func (r *Registry) Write(w io.Writer) error {
 	families, err := r.registry.Gather()
 	if err != nil {
@@ -112,35 +118,49 @@
 	return nil
 }
 
-// ServeHTTP answers one request for the figures.
+// ServeHTTP answers one request for the metrics.
 func (r *Registry) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", string(expfmt.NewFormat(expfmt.TypeTextPlain)))
-	_ = r.Write(w) // whoever asked and went does not matter
+	_ = r.Write(w) // the client may have disconnected
+}
+
+// Server says where a program serves its metrics.
+type Server struct {
+	Program  string   // control, agent or proxy
+	Endpoint Endpoint // the zero value: nowhere
+	Host     string   // the machine's IP address
+	Log      log.Logger
+}
+
+// Serve serves the metrics that register adds, besides those of all programs, until the context ends.
+func (s Server) Serve(ctx context.Context, register func(*Registry)) {
+	r := NewRegistry(s.Program)
+	register(r)
+	r.Serve(ctx, s.Endpoint, s.Host, s.Log)
 }
 
-// Serve serves the figures at the endpoint on that host until the context ends. A port that is in use for long leaves the process
-// without figures, which is logged, and nothing else is harmed.
-func (r *Registry) Serve(ctx context.Context, e Endpoint, host string, logger log.Logger) {
-	if !e.Enabled() {
+// Serve serves the metrics at the endpoint on that host until the context ends. A port that stays in use leaves the
+// process without metrics, which is logged, and has no other effect.
+func (r *Registry) Serve(ctx context.Context, endpoint Endpoint, host string, logger log.Logger) {
+	if !endpoint.Enabled() {
 		return
 	}
-	address := e.Address(host)
-	listener, err := transport.Listen(address)
-	for attempt := 1; err != nil && attempt < bindAttempts; attempt++ {
-		select {
-		case <-ctx.Done():
-			return
-		case <-time.After(bindInterval):
-		}
-		listener, err = transport.Listen(address)
-	}
+	address := endpoint.Address(host)
+	listener, err := retry.Listen(ctx, address, bindPolicy)
 	if err != nil {
-		logger.Log("msg", "no metrics", "address", address, "err", err)
+		if ctx.Err() == nil {
+			logger.Log("msg", "metrics not served", "address", address, "err", err)
+		}
 		return
 	}
 	mux := http.NewServeMux()
-	mux.Handle("GET "+e.Path, r)
-	server := &http.Server{Handler: mux, ReadTimeout: requestTimeout, WriteTimeout: requestTimeout, IdleTimeout: requestTimeout}
+	mux.Handle("GET "+endpoint.Path, r)
+	server := &http.Server{
+		Handler:      mux,
+		ReadTimeout:  requestTimeout,
+		WriteTimeout: requestTimeout,
+		IdleTimeout:  requestTimeout,
+	}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
 	_ = server.Serve(listener) // ends with the context
--- /dev/null
+++ b/internal/cluster/retry/retry.go
@@ -0,0 +1,45 @@
+package retry
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"time"
+
+	"mulleinrouter/internal/cluster/transport"
+)
+
+// Policy says how often something is attempted, and the interval between two attempts.
+type Policy struct {
+	Attempts int
+	Interval time.Duration
+}
+
+// Sleep waits for a time; false: the context ended before.
+func Sleep(ctx context.Context, d time.Duration) bool {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-timer.C:
+		return true
+	}
+}
+
+// Listen listens on host:port, which the process before may hold for a moment longer. It returns the error of the last
+// attempt, or that of the context if it ends before.
+func Listen(ctx context.Context, addr string, policy Policy) (net.Listener, error) {
+	for attempt := 1; ; attempt++ {
+		listener, err := transport.Listen(addr)
+		if err == nil {
+			return listener, nil
+		}
+		if attempt >= policy.Attempts {
+			return nil, fmt.Errorf("listen on %s: %w", addr, err)
+		}
+		if !Sleep(ctx, policy.Interval) {
+			return nil, fmt.Errorf("listen on %s: %w", addr, ctx.Err())
+		}
+	}
+}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -116,11 +116,10 @@
 // ServeMetrics has Run serve the proxy's figures too.
 func (b *Proxy) ServeMetrics(e metrics.Endpoint) { b.metrics = e }
 
-// serveMetrics serves the proxy's figures until the context ends.
+// serveMetrics serves the proxy's metrics until the context ends.
 func (b *Proxy) serveMetrics(ctx context.Context) {
-	r := metrics.NewRegistry(program)
-	b.registerMetrics(r)
-	r.Serve(ctx, b.metrics, b.p.Host, b.log)
+	server := metrics.Server{Program: program, Endpoint: b.metrics, Host: b.p.Host, Log: b.log}
+	server.Serve(ctx, b.registerMetrics)
 }
 
 // Run serves until the context ends, and then hands its clients over within the grace that the platform gives. A signal on hup says that
