--- a/internal/cluster/retry/retry.go
+++ b/internal/cluster/retry/retry.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"net"
 	"time"
 
@@ -36,10 +35,10 @@
 			return listener, nil
 		}
 		if attempt >= policy.Attempts {
-			return nil, fmt.Errorf("listen on %s: %w", addr, err)
+			return nil, err
 		}
 		if !Sleep(ctx, policy.Interval) {
-			return nil, fmt.Errorf("listen on %s: %w", addr, ctx.Err())
+			return nil, ctx.Err()
 		}
 	}
 }
