--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -89,7 +89,7 @@
 	}
 	fmt.Printf("incarnation %x, ready %t, quorum %t\n", report.Incarnation, report.Ready, report.Quorum)
 	fmt.Printf("%d ingresses, epoch %d, common clock %.3f s\n", report.Members, report.Epoch, report.Clock)
-	fmt.Printf("%d items, %d servers known, %d serving\n", report.Items, report.Lines, report.Serving)
+	fmt.Printf("%d items, %d servers known, %d serving\n", report.Items, report.Instances, report.Serving)
 	return nil
 }
 
--- a/internal/agent/link_delay.go
+++ b/internal/agent/link_delay.go
@@ -11,12 +11,12 @@
 	linkDelaySamples    = 32 // that are kept
 )
 
-// linkDelay estimates for how long packets wait at this machine's link, from how old the updates of the control nodes are as they
-// arrive. The least age within a window counts, over all sources: while a queue stands at the link all updates are late, whereas
-// those that one source or one cut held back arrive beside fresh ones. A machine that hears nothing tells nothing: absence of
-// updates is no sign of a queue.
+// linkDelay estimates the queueing delay of packets at this machine's link, from the age of the control nodes' updates
+// on arrival. The least age within a window counts, over all sources: while there is a queue at the link all updates
+// are late, whereas those that one source or one partition delayed arrive beside fresh ones. Without updates the delay
+// is not known: their absence is no sign of a queue. Safe for concurrent use.
 type linkDelay struct {
-	mu      sync.Mutex
+	mu      sync.Mutex                    // guards the fields below
 	samples [linkDelaySamples]delaySample // a ring
 	next    int
 }
@@ -26,20 +26,20 @@
 	age time.Duration
 }
 
-// observe takes an update that arrived at a time and was so old.
-func (d *linkDelay) observe(now time.Time, age time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.samples[d.next] = delaySample{now, age}
-	d.next = (d.next + 1) % len(d.samples)
+// observe takes the age of an update that arrived at a time.
+func (ld *linkDelay) observe(now time.Time, age time.Duration) {
+	ld.mu.Lock()
+	defer ld.mu.Unlock()
+	ld.samples[ld.next] = delaySample{at: now, age: age}
+	ld.next = (ld.next + 1) % len(ld.samples)
 }
 
 // current returns the estimate at a time, above 0; 0: it is not known.
-func (d *linkDelay) current(now time.Time) time.Duration {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (ld *linkDelay) current(now time.Time) time.Duration {
+	ld.mu.Lock()
+	defer ld.mu.Unlock()
 	least, count := time.Duration(0), 0
-	for _, s := range d.samples {
+	for _, s := range ld.samples {
 		if s.at.IsZero() || now.Sub(s.at) > linkDelayWindow {
 			continue
 		}
--- a/internal/agent/metrics_test.go
+++ b/internal/agent/metrics_test.go
@@ -12,23 +12,32 @@
 	"mulleinrouter/internal/cluster/registry"
 )
 
-// The figures of an agent that has heard nobody, and of one that knows servers: the same series, however many there are.
+// TestMetrics checks that an agent without sources and one that knows servers have the same series, however many there
+// are.
 func TestMetrics(t *testing.T) {
 	is := is.New(t)
-	f := New(7, log.NewNopLogger())
+	a := New(7, log.NewNopLogger())
 	r := metrics.NewRegistry(program)
-	f.registerMetrics(r)
+	a.registerMetrics(r)
 	text := func() string {
 		var b strings.Builder
 		is.NoErr(r.Write(&b))
 		return b.String()
 	}
 	empty := text()
-	for _, line := range []string{"mulleinrouter_agent_ready 0", "mulleinrouter_agent_quorum 0", `mulleinrouter_agent_instances{phase="serving"} 0`, `mulleinrouter_agent_sources{state="known"} 0`} {
+	for _, line := range []string{
+		"mulleinrouter_agent_ready 0", "mulleinrouter_agent_quorum 0",
+		`mulleinrouter_agent_instances{phase="serving"} 0`,
+		`mulleinrouter_agent_sources{state="known"} 0`,
+	} {
 		is.True(strings.Contains(empty, line))
 	}
 	for i := range 100 {
-		f.store.MergeInstances([]registry.Instance{{ID: "i-" + string(rune('0'+i)), Service: "s" + string(rune('0'+i)), Address: "10.0.0.1:1"}})
+		a.store.MergeInstances([]registry.Instance{{
+			ID:      "i-" + string(rune('0'+i)),
+			Service: "s" + string(rune('0'+i)),
+			Address: "10.0.0.1:1",
+		}})
 	}
 	full := text()
 	is.True(strings.Contains(full, `mulleinrouter_agent_instances{phase="serving"} 100`))
@@ -36,8 +45,8 @@
 	t.Log("series:", strings.Count(full, "\nmulleinrouter_"))
 }
 
-// The delay of the link is the least age of the updates of all sources within a window: one source that stands still, or a cut that
-// heals, tells nothing, a queue at this machine does.
+// TestLinkDelay checks that the delay is the least age of all sources' updates within a window: one source that is
+// stopped, or a partition that heals, shows none, a queue at this machine does.
 func TestLinkDelay(t *testing.T) {
 	const fresh, late = 3 * time.Millisecond, 2 * time.Second
 	start := time.Unix(1000, 0)
@@ -45,14 +54,14 @@
 		ages []time.Duration // every 200 ms, the last 100 ms ago
 		want time.Duration
 	}{
-		"nothing heard":             {nil, 0},
-		"one update":                {[]time.Duration{late}, 0},
-		"calm":                      {[]time.Duration{fresh, fresh, fresh}, fresh},
-		"a queue":                   {[]time.Duration{late, late + 1, late}, late},
-		"one source stands still":   {[]time.Duration{late, fresh, late}, fresh},
-		"a cut that has healed":     {[]time.Duration{late, late, late, fresh}, fresh},
-		"a queue that has gone":     {[]time.Duration{late, late, late, fresh, fresh, fresh, fresh}, fresh},
-		"a queue after a calm time": {[]time.Duration{fresh, fresh, fresh, late, late, late}, late},
+		"no updates":                 {nil, 0},
+		"one update":                 {[]time.Duration{late}, 0},
+		"no queue":                   {[]time.Duration{fresh, fresh, fresh}, fresh},
+		"a queue":                    {[]time.Duration{late, late + 1, late}, late},
+		"one source is stopped":      {[]time.Duration{late, fresh, late}, fresh},
+		"a healed partition":         {[]time.Duration{late, late, late, fresh}, fresh},
+		"a queue that has drained":   {[]time.Duration{late, late, late, fresh, fresh, fresh, fresh}, fresh},
+		"a queue after an idle time": {[]time.Duration{fresh, fresh, fresh, late, late, late}, late},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
