--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -22,8 +22,9 @@
 	"mulleinrouter/internal/emulator/exchange"
 )
 
-// chained is a proxy whose one server is the function given: it is called with each connection, and ends it by coming back.
-func chained(t *testing.T, serve func(nc *net.TCPConn, r *http1.Reader)) (front string, server *ingress.Server) {
+// startProxy starts a proxy whose one server is the function given: it is called with each connection, which ends when
+// it returns.
+func startProxy(t *testing.T, serve func(nc *net.TCPConn, r *http1.Reader)) (front string, server *ingress.Server) {
 	t.Helper()
 	listen := func() net.Listener {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -46,27 +47,33 @@
 			}()
 		}
 	}()
-	speech := speechOf(t, strings.Replace(testConfig, `"weighted":[{"backend":"s1","share":30},{"backend":"s2","share":70}]`, `"backend":"s2"`, 1), true, true)
+	translator := translatorFor(
+		t, strings.Replace(
+			testConfig, `"weighted":[{"backend":"s1","share":30},{"backend":"s2","share":70}]`, `"backend":"s2"`, 1,
+		), true, true,
+	)
 	s := &decision.Settings{Gateways: 1, MaxAttempts: 2, MayCancel: true, FinishNonIdempotent: true, CapacityInSlots: true}
 	e := engine.New(decision.New(*s, 1), s, engine.NewClock())
 	e.Start(nil)
 	e.SetBackends(decision.Backends{List: []decision.Backend{{ID: "i-2", Group: "s2", Serving: true, Size: 9}}})
 	pool := upstream.New(func(string) (string, bool) { return back.Addr().String(), true },
-		upstream.Limits{Connections: 99, ConnectTimeout: time.Second, Keepalive: time.Minute}, quiet())
-	pool.Dialect = upstream.Dialect{AppendHead: beginRequest, Meaning: classifyAnswer, IDField: headerAttemptID}
-	server = ingress.New(s, e, pool, 99, quiet())
-	server.SetDialect(speech.dialect())
+		upstream.Limits{Connections: 99, ConnectTimeout: time.Second, Keepalive: time.Minute}, discardLogger())
+	pool.Dialect = upstream.Dialect{AppendHead: appendRequestHead, Meaning: classifyAnswer, IDField: headerAttemptID}
+	server = ingress.New(s, e, pool, 99, discardLogger())
+	server.SetDialect(translator.dialect())
 	server.Started()
 	go server.Serve(client)
 	t.Cleanup(func() { server.Drain(time.Second, 0) })
 	return client.Addr().String(), server
 }
 
-// asked sends a request that must not run twice, and reads its answer as far as it comes.
-func asked(t *testing.T, nc net.Conn, r *bufio.Reader, id string) (status int, header http.Header, body string, err error) {
+// postRequest sends a request that must not run twice, and reads its answer as far as it comes.
+func postRequest(
+	t *testing.T, nc net.Conn, r *bufio.Reader, id string,
+) (status int, header http.Header, body string, err error) {
 	t.Helper()
 	nc.SetDeadline(time.Now().Add(10 * time.Second))
-	fmt.Fprintf(nc, "POST /a/b/x HTTP/1.1\r\nHost: one.example\r\nAuthorization: Token k3\r\nX-Attempt-Id: %s\r\nX-Time-Left-Ms: 5000\r\nContent-Length: 2\r\n\r\nhi", id)
+	fmt.Fprintf(nc, mutationFormat, id, 5000, 2, "hi")
 	a, err := http.ReadResponse(r, nil)
 	if err != nil {
 		return 0, nil, "", err
@@ -76,25 +83,31 @@
 	return a.StatusCode, a.Header, string(b), err
 }
 
-// TestCutAnswersNeverLookWhole has the server break off after each byte of its answer, with a close or a reset: the client gets no success,
-// or one that it can see is not whole. After the last byte it gets it whole.
-func TestCutAnswersNeverLookWhole(t *testing.T) {
+// TestTruncatedAnswersNeverLookComplete has the server end the connection after each byte of its answer, with a close
+// or a reset: the client gets no success, or one that it can see is truncated. After the last byte it gets all of it.
+func TestTruncatedAnswersNeverLookComplete(t *testing.T) {
 	const own = "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Server-Seal: s\r\n"
 	for name, c := range map[string]struct{ answer, body string }{
-		"with a length":        {own + "Content-Length: 5\r\n\r\nhello", "hello"},
-		"in chunks":            {own + "Transfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\nX-Sum: 1\r\n\r\n", "hello"},
-		"behind an interim":    {"HTTP/1.1 100 Continue\r\n\r\n" + own + "Content-Length: 2\r\n\r\nhi", "hi"},
-		"behind another's":     {strings.Replace(own, "{id}", "i-other", 1) + "Content-Length: 1\r\n\r\nx" + own + "Content-Length: 2\r\n\r\nhi", "hi"},
+		"with a length": {own + "Content-Length: 5\r\n\r\nhello", "hello"},
+		"in chunks": {
+			own + "Transfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\nX-Sum: 1\r\n\r\n",
+			"hello",
+		},
+		"behind an interim": {"HTTP/1.1 100 Continue\r\n\r\n" + own + "Content-Length: 2\r\n\r\nhi", "hi"},
+		"behind another's": {
+			strings.Replace(own, "{id}", "i-other", 1) + "Content-Length: 1\r\n\r\nx" + own + "Content-Length: 2\r\n\r\nhi",
+			"hi",
+		},
 		"without a body":       {own + "Content-Length: 0\r\n\r\n", ""},
 		"with no end but that": {own + "\r\nhello", "\x00"}, // it may have been cut short: never a success
 	} {
 		t.Run(name, func(t *testing.T) {
-			front, _ := chained(t, func(nc *net.TCPConn, r *http1.Reader) {
+			front, _ := startProxy(t, func(nc *net.TCPConn, r *http1.Reader) {
 				q, err := r.Head()
 				if err != nil || r.ReadBody(q) != nil {
 					return
 				}
-				id := q.Header.Get(headerAttemptID) // which tells what to do
+				id := q.Header.Get(headerAttemptID) // whose first letter and number say what to do
 				cut, _ := strconv.Atoi(id[1:5])
 				io.WriteString(nc, strings.ReplaceAll(c.answer, "{id}", id)[:cut])
 				if id[0] == 'r' {
@@ -109,16 +122,18 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					status, header, body, err := asked(t, nc, bufio.NewReader(nc), id)
+					status, header, body, err := postRequest(t, nc, bufio.NewReader(nc), id)
 					nc.Close()
-					whole := cut == length && c.body != "\x00"
+					complete := cut == length && c.body != "\x00"
 					switch success := err == nil && status/100 == 2; {
-					case success && (!whole || body != c.body || header.Get("X-Server-Seal") != "s"):
-						t.Errorf("cut after %d bytes, reset %v: a success with %q", cut, reset, body)
-					case !success && whole && !reset: // a reset may overtake the last bytes
-						t.Errorf("whole, and the client got %d, %v", status, err)
+					case success && (!complete || body != c.body || header.Get("X-Server-Seal") != "s"):
+						t.Errorf("cut after %d bytes, reset %v: a success with %q, want none of less than %q", cut, reset, body, c.body)
+					case !success && complete && !reset: // a reset may overtake the last bytes
+						t.Errorf("complete answer: the client got %d, %v, want a success", status, err)
 					case err == nil && status != 200 && status != 502:
-						t.Errorf("cut after %d bytes, reset %v: it may have run, and the client got %d", cut, reset, status)
+						t.Errorf(
+							"cut after %d bytes, reset %v: it may have run, and the client got %d, want 200 or 502", cut, reset, status,
+						)
 					}
 				}
 			}
@@ -126,20 +141,22 @@
 	}
 }
 
-// TestAnswersFindTheirOwnCaller sends one request behind another to a server that answers each with what may stand in an answer's place: the
-// one before, a second one, another's refusal, one without a name. A client gets its own answer or a failure, and never hears that a request
-// has not run which has; nothing runs twice.
-func TestAnswersFindTheirOwnCaller(t *testing.T) {
+// TestAnswersReachTheirOwnClient sends one request behind another to a server that answers each with what may stand in
+// an answer's place: the answer before, a second one, another's rejection, one without an ID. A client gets its own
+// answer or a failure, and never that a request was not executed which was; nothing runs twice.
+func TestAnswersReachTheirOwnClient(t *testing.T) {
 	ok := func(id string) string {
-		return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Seal: s\r\nContent-Length: %d\r\n\r\n%s", id, len(id), id)
+		return fmt.Sprintf(
+			"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Seal: s\r\nContent-Length: %d\r\n\r\n%s", id, len(id), id,
+		)
 	}
 	full := func(id string) string {
 		return fmt.Sprintf("HTTP/1.1 503 Full\r\nX-Attempt-Id: %s\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", id)
 	}
-	const bare = "HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
-	tricks := []struct {
+	const anonymous = "HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
+	cases := []struct {
 		name   string
-		answer func(id, before, last string) string // last is what the request before got on this connection
+		answer func(id, before, last string) string // last is the answer to the request before on this connection
 		status int
 		runs   int
 	}{
@@ -147,23 +164,26 @@
 		{"the one before in its place", func(id, before, _ string) string { return ok(before) + ok(id) }, 200, 1},
 		{"what was said before in its place", func(id, _, last string) string { return last + ok(id) }, 200, 1},
 		{"two of its own", func(id, _, _ string) string { return ok(id) + ok(id) }, 200, 1},
-		{"the refusal of the one before in its place", func(id, before, _ string) string { return full(before) + ok(id) }, 200, 1},
+		{
+			"the refusal of the one before in its place",
+			func(id, before, _ string) string { return full(before) + ok(id) }, 200, 1,
+		},
 		{"only the one before, and the end", func(_, before, _ string) string { return ok(before) }, 502, 1},
 		{"five others", func(id, before, _ string) string { return strings.Repeat(ok(before), 5) + ok(id) }, 502, 1},
-		{"its own and a refusal", func(id, _, _ string) string { return ok(id) + bare }, 200, 1},
+		{"its own and a refusal", func(id, _, _ string) string { return ok(id) + anonymous }, 200, 1},
 		{"its refusal", func(id, _, _ string) string { return full(id) }, 503, 0},
-		{"a refusal without a name", func(string, string, string) string { return bare }, 503, 0},
+		{"a refusal without a name", func(string, string, string) string { return anonymous }, 503, 0},
 		{"its refusal, twice", func(id, _, _ string) string { return full(id) + full(id) }, 503, 0},
 		{"no name", func(id, _, _ string) string { return strings.Replace(ok(id), "X-Attempt-Id", "X-Other", 1) }, 502, 1},
 		{"no seal", func(id, _, _ string) string { return strings.Replace(ok(id), "X-Server-Seal", "X-Other", 1) }, 502, 1},
 	}
-	for _, first := range tricks {
+	for _, first := range cases {
 		t.Run(first.name, func(t *testing.T) {
 			t.Parallel()
-			for _, second := range tricks {
+			for _, second := range cases {
 				var mu sync.Mutex
 				runs := map[string]int{}
-				front, _ := chained(t, func(nc *net.TCPConn, r *http1.Reader) {
+				front, _ := startProxy(t, func(nc *net.TCPConn, r *http1.Reader) {
 					for before, last := "i-none", ""; ; {
 						q, err := r.Head()
 						if err != nil || r.ReadBody(q) != nil {
@@ -192,17 +212,19 @@
 					id     string
 					status int
 				}{{"f", first.status}, {"s", second.status}} {
-					for try := 0; ; try++ {
-						id := fmt.Sprint(tr.id, try)
-						status, _, body, err := asked(t, nc, r, id)
+					for attempt := 0; ; attempt++ {
+						id := fmt.Sprint(tr.id, attempt)
+						status, _, body, err := postRequest(t, nc, r, id)
 						mu.Lock()
 						ran := runs[id]
 						mu.Unlock()
-						if i == 1 && status == 503 && ran == 0 && tr.status != 503 && err == nil && try < 50 {
-							continue // it rests after a refusal: the client asks again
+						if i == 1 && status == 503 && ran == 0 && tr.status != 503 && err == nil && attempt < 50 {
+							continue // it is avoided after a rejection: the client retries
 						}
-						if err != nil || status != tr.status || status == 200 && body != id || ran > 1 || (status == 429 || status == 503) && ran > 0 {
-							t.Errorf("%q behind %q: the client of %s got %d with %q (%v), it ran %d times", second.name, first.name, id, status, body, err, ran)
+						if err != nil || status != tr.status || status == 200 && body != id || ran > 1 || (status == 429 ||
+							status == 503) && ran > 0 {
+							t.Errorf("%q behind %q: the client of %s got %d with %q (%v), it ran %d times",
+								second.name, first.name, id, status, body, err, ran)
 						}
 						break
 					}
@@ -213,19 +235,21 @@
 	}
 }
 
-// TestReadIsTaken has a client's next request come while the answer to the one before goes out, and the machine close its door meanwhile: the
-// client was not told to go, so the request is answered, on a connection that ends with it.
-func TestReadIsTaken(t *testing.T) {
+// TestPendingRequestIsServedWhileDraining has a client's next request come while the answer to the one before is sent,
+// and the proxy drain meanwhile: the client was not asked to close, so the request is served, on a connection that ends
+// with it.
+func TestPendingRequestIsServedWhileDraining(t *testing.T) {
 	is := is.New(t)
-	rest := make(chan bool)
-	front, server := chained(t, func(nc *net.TCPConn, r *http1.Reader) {
+	finish := make(chan bool)
+	front, server := startProxy(t, func(nc *net.TCPConn, r *http1.Reader) {
 		for {
 			q, err := r.Head()
 			if err != nil || r.ReadBody(q) != nil {
 				return
 			}
-			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n", q.Header.Get(headerAttemptID))
-			<-rest
+			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Seal: s\r\n"+
+				"Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n", q.Header.Get(headerAttemptID))
+			<-finish
 			io.WriteString(nc, "1\r\nb\r\n0\r\n\r\n")
 		}
 	})
@@ -234,22 +258,22 @@
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(20 * time.Second))
 	ask := func(id string) {
-		fmt.Fprintf(nc, "POST /a/b/x HTTP/1.1\r\nHost: one.example\r\nAuthorization: Token k3\r\nX-Attempt-Id: %s\r\nX-Time-Left-Ms: 9000\r\nContent-Length: 2\r\n\r\nhi", id)
+		fmt.Fprintf(nc, mutationFormat, id, 9000, 2, "hi")
 	}
 	r := bufio.NewReader(nc)
 	ask("i1")
 	a, err := http.ReadResponse(r, nil)
 	is.NoErr(err)
-	is.True(!a.Close) // it is not told to go
+	is.True(!a.Close) // it may send another request
 	ask("i2")
 	go server.Drain(time.Minute, 0)
 	is.Equal(exchange.Until(func() bool { return server.Phase() == decision.Closing }), "")
-	close(rest)
+	close(finish)
 	b, err := io.ReadAll(a.Body)
 	is.NoErr(err)
 	is.Equal(string(b), "ab")
 	a, err = http.ReadResponse(r, nil)
-	is.NoErr(err) // it was dropped
+	is.NoErr(err) // it was not dropped
 	b, err = io.ReadAll(a.Body)
 	is.NoErr(err)
 	is.Equal(string(b), "ab")
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -12,27 +12,36 @@
 	"mulleinrouter/internal/decision"
 )
 
-// The figures of a proxy, and how they follow what it knows of servers.
+// TestMetrics checks the metrics of a proxy, and how they follow what it knows of servers.
 func TestMetrics(t *testing.T) {
 	is := is.New(t)
-	p := &settings.Settings{Node: "edge-1", Zone: "z", Host: "127.0.0.1", InnerFirst: 7000, Limits: settings.Limits{MaxFDs: 1000}}
-	b := New(settings.NewWatcher("", p), 5, log.NewNopLogger())
+	s := &settings.Settings{
+		Node:       "edge-1",
+		Zone:       "z",
+		Host:       "127.0.0.1",
+		InnerFirst: 7000,
+		Limits:     settings.Limits{MaxFDs: 1000},
+	}
+	p := New(settings.NewWatcher("", s), 5, log.NewNopLogger())
 	r := metrics.NewRegistry(program)
-	b.registerMetrics(r)
+	p.registerMetrics(r)
 	text := func() string {
 		var out strings.Builder
 		is.NoErr(r.Write(&out))
 		return out.String()
 	}
 	empty := text()
-	for _, line := range []string{"mulleinrouter_proxy_ready 0", `mulleinrouter_proxy_requests_total{outcome="answered"} 0`, `mulleinrouter_proxy_servers{state="good"} 0`} {
+	for _, line := range []string{
+		"mulleinrouter_proxy_ready 0", `mulleinrouter_proxy_requests_total{outcome="answered"} 0`,
+		`mulleinrouter_proxy_servers{state="good"} 0`,
+	} {
 		is.True(strings.Contains(empty, line))
 	}
 	var list []decision.Backend
 	for _, id := range []string{"a", "b", "c"} {
 		list = append(list, decision.Backend{ID: id, Group: "s", Serving: id != "c", Size: 2})
 	}
-	b.control.engine.SetBackends(decision.Backends{List: list})
+	p.control.engine.SetBackends(decision.Backends{List: list})
 	full := text()
 	is.True(strings.Contains(full, `mulleinrouter_proxy_servers{state="unknown"} 2`))
 	is.True(strings.Contains(full, `mulleinrouter_proxy_servers{state="leaving"} 1`))
--- a/internal/proxy/planned_test.go
+++ b/internal/proxy/planned_test.go
@@ -20,25 +20,32 @@
 	"mulleinrouter/internal/decision"
 )
 
-// TestSilenceEndsNothingRoundWhatIsPlanned has a server fall silent while another is free. On an ordinary day the request goes on to that
-// one; where the machine leaves, its settings are read anew or a configuration comes into force, the request stays where it is.
-func TestSilenceEndsNothingRoundWhatIsPlanned(t *testing.T) {
+// TestPlannedDisruptionsKeepAttempts has a server become silent while another is free. Usually the request goes on to
+// that one; where the proxy shuts down, its settings are read again or a configuration comes into force, the attempt
+// goes on.
+func TestPlannedDisruptionsKeepAttempts(t *testing.T) {
 	const apply = 2.5
-	type when struct{ ago, in time.Duration } // what is planned happens so long before the request comes, or after
+	type when struct{ ago, in time.Duration } // the disruption comes so long before the request, or after
 	for name, tc := range map[string]struct {
-		planned func(b *Proxy, hup chan os.Signal)
+		planned func(p *Proxy, hangups chan os.Signal)
 		when
-		given bool
+		abandoned bool
 	}{
-		"an ordinary day":                 {planned: func(*Proxy, chan os.Signal) {}, given: true},
-		"SIGTERM while it is out":         {planned: func(b *Proxy, _ chan os.Signal) { b.announceShutdown() }, when: when{in: 100 * time.Millisecond}},
-		"SIGTERM before it":               {planned: func(b *Proxy, _ chan os.Signal) { b.announceShutdown() }, when: when{ago: 2 * time.Second}},
+		"no disruption": {planned: func(*Proxy, chan os.Signal) {}, abandoned: true},
+		"SIGTERM while it is out": {
+			planned: func(p *Proxy, _ chan os.Signal) { p.beginShutdown() },
+			when:    when{in: 100 * time.Millisecond},
+		},
+		"SIGTERM before it": {
+			planned: func(p *Proxy, _ chan os.Signal) { p.beginShutdown() },
+			when:    when{ago: 2 * time.Second},
+		},
 		"SIGHUP while it is out":          {planned: hangUp, when: when{in: 100 * time.Millisecond}},
 		"SIGHUP before it":                {planned: hangUp, when: when{ago: 3400 * time.Millisecond}},
-		"SIGHUP long before it":           {planned: hangUp, when: when{ago: 3600 * time.Millisecond}, given: true},
+		"SIGHUP long before it":           {planned: hangUp, when: when{ago: 3600 * time.Millisecond}, abandoned: true},
 		"a configuration while it is out": {planned: change, when: when{in: 100 * time.Millisecond}},
 		"a configuration before it":       {planned: change, when: when{ago: 3400 * time.Millisecond}},
-		"a configuration long before it":  {planned: change, when: when{ago: 3600 * time.Millisecond}, given: true},
+		"a configuration long before it":  {planned: change, when: when{ago: 3600 * time.Millisecond}, abandoned: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -46,41 +53,65 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				s := &decision.Settings{Gateways: 1, MaxAttempts: 2, MayCancel: true, CapacityInSlots: true}
-				o := &controlFeed{shedder: newShedder(0), log: log.NewNopLogger(), base: time.Now(), store: replication.NewStore(1), ready: make(chan struct{}),
-					bounds: func() settings.Bounds { return settings.Bounds{ConfigApply: apply} }}
-				o.table.Store(configuration.NewRoutingTable())
-				o.engine = engine.New(decision.New(*s, 1), s, engine.NewClock())
-				o.started = true
-				o.engine.SetBackends(decision.Backends{List: []decision.Backend{{ID: "a", Serving: true, Size: 9}, {ID: "b", Serving: true, Size: 9}}})
-				b := &Proxy{log: o.log, control: o, server: ingress.New(s, o.engine, nil, 9, quiet())}
-				hup := make(chan os.Signal)
-				passed := b.forwardHangups(ctx, hup)
+				feed := &controlFeed{
+					shedder:   newShedder(0),
+					log:       log.NewNopLogger(),
+					startedAt: time.Now(),
+					store:     replication.NewStore(1),
+					ready:     make(chan struct{}),
+					bounds:    func() settings.Bounds { return settings.Bounds{ConfigApply: apply} },
+				}
+				feed.table.Store(configuration.NewRoutingTable())
+				feed.engine = engine.New(decision.New(*s, 1), s, engine.NewClock())
+				feed.engineStarted = true
+				feed.engine.SetBackends(decision.Backends{
+					List: []decision.Backend{{ID: "a", Serving: true, Size: 9}, {ID: "b", Serving: true, Size: 9}},
+				})
+				p := &Proxy{log: feed.log, control: feed, server: ingress.New(s, feed.engine, nil, 9, discardLogger())}
+				hangups := make(chan os.Signal)
+				forwarded := p.forwardHangups(ctx, hangups)
 				go func() {
 					for ctx.Err() == nil {
 						select {
-						case <-passed:
+						case <-forwarded:
 						case <-ctx.Done():
 						}
 					}
 				}()
 				if tc.in == 0 {
-					tc.planned(b, hup)
+					tc.planned(p, hangups)
 					time.Sleep(tc.ago)
 				}
-				class := &decision.Class{Name: "r", LatencyTarget: 0.2, Deadline: 8, Value: 1, LateValue: 0.5, MaxAttempts: 2, SlowAttemptFactor: patience, Effect: decision.Idempotent}
-				ticket := o.engine.Submit(decision.Request{Class: "r", Kind: class, TimeLeft: 8, Units: 1, Terms: anonymousTerms, Gateways: 1}, func() {})
+				class := &decision.Class{
+					Name:              "r",
+					LatencyTarget:     0.2,
+					Deadline:          8,
+					Value:             1,
+					LateValue:         0.5,
+					MaxAttempts:       2,
+					SlowAttemptFactor: slowAttemptFactor,
+					Effect:            decision.Idempotent,
+				}
+				ticket := feed.engine.Submit(decision.Request{
+					Class:    "r",
+					Kind:     class,
+					TimeLeft: 8,
+					Units:    1,
+					Terms:    anonymousTerms,
+					Gateways: 1,
+				}, func() {})
 				d := ticket.Next()
 				is.Equal(d.Kind, engine.Send)
 				is.True(d.SlowAfter > 0)
 				if tc.in > 0 {
 					time.Sleep(tc.in)
-					tc.planned(b, hup)
+					tc.planned(p, hangups)
 				}
 				time.Sleep(d.SlowAfter)
-				is.Equal(ticket.ShouldAbandon(), tc.given)
+				is.Equal(ticket.ShouldAbandon(), tc.abandoned)
 				time.Sleep(time.Second)
-				is.Equal(ticket.ShouldAbandon(), tc.given) // nor later
-				if tc.given {
+				is.Equal(ticket.ShouldAbandon(), tc.abandoned) // nor later
+				if tc.abandoned {
 					ticket.AttemptEnded(decision.TimedOut)
 					other := ticket.Next()
 					is.Equal(other.Kind, engine.Send)
@@ -91,27 +122,28 @@
 	}
 }
 
-func hangUp(_ *Proxy, hup chan os.Signal) {
-	hup <- syscall.SIGHUP
+func hangUp(_ *Proxy, hangups chan os.Signal) {
+	hangups <- syscall.SIGHUP
 	synctest.Wait()
 }
 
-func change(b *Proxy, _ chan os.Signal) {
+func change(p *Proxy, _ chan os.Signal) {
 	items, err := configuration.ReadPatch([]byte(testConfig))
 	if err != nil {
 		panic(err)
 	}
-	b.control.applyUpdate(&transport.Update{Items: items})
+	p.control.applyUpdate(&transport.Update{Items: items})
 }
 
-// What is given up on a leaving machine is given up in the second half of the grace, and answered before its end.
-func TestParting(t *testing.T) {
+// TestShutdownTimes checks that what is given up at a shutdown is given up in the second half of the grace, and
+// answered before its end.
+func TestShutdownTimes(t *testing.T) {
 	is := is.New(t)
 	for grace := 2 * time.Second; grace <= 30*time.Second; grace += 100 * time.Millisecond {
 		serve, finish := shutdownTimes(grace)
 		is.True(serve+finish >= grace/2)        // LOST counts what is given up before
 		is.True(serve+finish+drainRest < grace) // time for the last answers
-		is.True(serve <= handOverTime)          // longer than the platform needs to hear
-		is.True(grace < 6*time.Second || serve == handOverTime)
+		is.True(serve <= maxHandoverTime)       // longer than the platform needs to notice
+		is.True(grace < 6*time.Second || serve == maxHandoverTime)
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,21 +1,14 @@
 package proxy
 
 import (
-	"context"
-	"fmt"
 	"hash/fnv"
 	"io"
-	"math"
 	"math/rand/v2"
-	"net"
-	"os"
-	"strconv"
 	"time"
 
 	"github.com/go-kit/log"
 	"github.com/sirupsen/logrus"
 
-	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/metrics"
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/settings"
@@ -25,185 +18,145 @@
 	"mulleinrouter/internal/decision"
 )
 
+// program is the name of this program in logs, metrics and settings.
+const program = "proxy"
+
+// Shares of the file descriptors; the rest is for a few others.
 const (
-	clientShare   = 0.55 // of the descriptors; the rest is for servers and a few others
+	clientShare   = 0.55
 	upstreamShare = 0.35
-	reservedFDs   = 200 // descriptors that are not for sockets (DEPLOY, "Machines")
-
-	connectTimeout = 250 * time.Millisecond // for a connection to a server: a machine that is dark does not answer
-	keepalive      = 8 * time.Second        // servers close connections idle for this long, as far as is known
-	resetDoubt     = 30 * time.Millisecond  // until the reset of a forgotten connection is here: at 10 ms, 161 of 161 came later on a wide day
-	warmUp         = 3.0                    // s for which a server is slow after its start
-	otherZoneCost  = 1.25                   // cost of a server in another zone beside one in one's own
-	counterCycle   = 1.0                    // s of the counters
+	reservedFDs   = 200 // that are not for sockets (DEPLOY, "Machines")
+	minSocketFDs  = 64
+)
 
-	// After SIGTERM the platform finds out by its question each second, twice, that no new clients are wanted; they are served till then.
-	handOverTime = 2200 * time.Millisecond
-	drainRest    = 400 * time.Millisecond
+const (
+	// connectTimeout bounds a connection to a server: a machine without power does not answer.
+	connectTimeout = 250 * time.Millisecond
+	// keepalive is the idle time after which servers close connections, as far as is known.
+	keepalive = 8 * time.Second
+	// resetDelay is the time until the reset of a connection that the server has dropped is here: at 10 ms, 161 of 161
+	// came later on a wide day.
+	resetDelay = 30 * time.Millisecond
+	// retryBudgetShare of the further attempts that the rules allow is used: windows slide, and ingresses come and go.
+	retryBudgetShare = 0.8
+	// maxNodeIndex bounds the number of a gateway in decision.Settings.
+	maxNodeIndex = 1 << 31
 )
 
-// program is the name of this program in logs, metrics and settings.
-const program = "proxy"
+// Parameters of the decision module, in seconds where no unit stands.
+const (
+	answerSlack    = 0.02
+	slowStartTime  = 3.0 // for which a server is slow after its start
+	slowStartShare = 0.5 // of its capacity meanwhile
+	maxAttempts    = 2
+	maxRetryAfter  = 0.5
+	remoteZoneCost = 1.25 // of a server in another zone, in that of one in the own zone
+	counterCycle   = 1.0
+)
 
-// Proxy is one proxy.
+// Proxy is a running proxy.
 type Proxy struct {
-	p          *settings.Settings
-	watch      *settings.Watcher
+	settings   *settings.Settings // at the start
+	watcher    *settings.Watcher
 	log        log.Logger
 	control    *controlFeed
 	translator *translator
 	pool       *upstream.Pool
 	server     *ingress.Server
-	front      *sheddingListener
-	page       net.Listener
-	metrics    metrics.Endpoint // where figures are served; zero: nowhere
-}
-
-// New returns a proxy for the settings that are watched. Life is a number that no other process of this machine has had.
-func New(watch *settings.Watcher, life uint64, logger log.Logger) *Proxy {
-	p := watch.Current()
-	h := fnv.New64a()
-	h.Write([]byte(p.Node))
-	me := h.Sum64()
-	b := &Proxy{p: p, watch: watch, log: log.With(logger, "part", program)}
-	base := time.Now()
-	o := &controlFeed{log: b.log, shedder: newShedder(p.Limits.LinkMbps), node: p.Node, process: p.Node + "#" + strconv.FormatUint(life, 36), store: replication.NewStore(life), warmUp: warmUp, base: base, ready: make(chan struct{}),
-		bounds: func() settings.Bounds { return watch.Current().Bounds }}
-	o.table.Store(configuration.NewRoutingTable())
-	clock := replication.NewClock(func() float64 { return time.Since(base).Seconds() })
-	o.client = &replication.Client{Addr: p.AgentAddr(), Node: p.Node, Class: replication.ClassProxy, Incarnation: life, Seed: me, Store: o.store, Clock: clock,
-		OnUpdate: o.applyUpdate, Ready: b.Ready}
-	b.control = o
-	return b.wire(me, life, clock)
+	metrics    metrics.Endpoint // where metrics are served; zero: nowhere
 }
 
-// quiet is the log of the data plane: what it says of each connection is too much for a machine whose logs cost processor time.
-func quiet() *logrus.Logger {
-	l := logrus.New()
-	l.SetOutput(io.Discard)
-	l.SetLevel(logrus.ErrorLevel)
-	return l
-}
-
-// wire puts the data plane together.
-func (b *Proxy) wire(me, life uint64, clock *replication.Clock) *Proxy {
-	p, o := b.p, b.control
-	quiet := quiet()
-	s := &decision.Settings{Gateways: 1, Index: int(me % (1 << 31)), Zone: p.Zone, AnswerSlack: 0.02, SlowStartShare: 0.5, SlowStartTime: warmUp, MaxAttempts: 2,
-		MayCancel: true, FinishNonIdempotent: true, MayRetryAfter: true, MaxRetryAfter: 0.5, ConnectTimeout: connectTimeout.Seconds(), Keepalive: keepalive.Seconds(),
-		HasCounter: true, CounterTimeout: counterTimeout.Seconds(), CapacityInSlots: true, RemoteZoneCost: otherZoneCost, PairCounters: true, CounterCycle: counterCycle,
-		RetryShare: retryBudgetShare * p.Bounds.RetryRatio, RetrySlack: retryBudgetShare * p.Bounds.RetrySlack}
-	o.engine = engine.New(decision.New(*s, me^life), s, engine.NewClockOf(clock.Now))
-	b.translator = &translator{control: o, splits: newSplitter(rand.New(rand.NewPCG(me, life))), terms: map[string]*decision.Terms{}, classes: map[string]*decision.Class{}}
-	sockets := float64(max(64, p.Limits.MaxFDs-reservedFDs))
-	b.pool = upstream.New(o.lookup, upstream.Limits{Connections: int(upstreamShare * sockets), ConnectTimeout: connectTimeout, Keepalive: keepalive}, quiet)
-	b.pool.Dialect = upstream.Dialect{AppendHead: beginRequest, Meaning: classifyAnswer, IDField: headerAttemptID}
-	if p.Clauses["pool"] { // servers there forget connections that rest
-		b.pool.Dialect.MinHoldIdle = resetDoubt
+// New returns a proxy for the settings that are watched. The incarnation is a number that no other process of this
+// machine has had.
+func New(watcher *settings.Watcher, incarnation uint64, logger log.Logger) *Proxy {
+	s := watcher.Current()
+	p := &Proxy{settings: s, watcher: watcher, log: log.With(logger, "part", program)}
+	p.control = newControlFeed(watcher, incarnation, p.log)
+	startedAt := p.control.startedAt
+	clock := replication.NewClock(func() float64 { return time.Since(startedAt).Seconds() })
+	seed := nodeSeed(s.Node)
+	p.control.client = &replication.Client{
+		Addr:        s.AgentAddr(),
+		Node:        s.Node,
+		Class:       replication.ClassProxy,
+		Incarnation: incarnation,
+		Seed:        seed,
+		Store:       p.control.store,
+		Clock:       clock,
+		OnUpdate:    p.control.applyUpdate,
+		Ready:       p.Ready,
 	}
-	b.server = ingress.New(s, o.engine, b.pool, int(clientShare*sockets), quiet)
-	b.server.SetDialect(b.translator.dialect())
-	b.server.Traffic, b.pool.Traffic = o.shedder.counter, o.shedder.counter
-	return b
+	p.connectDataPlane(seed, incarnation, clock)
+	return p
 }
 
-// retryBudgetShare of what the rules allow in further attempts is used: windows slide, and ingresses come and go.
-const retryBudgetShare = 0.8
-
-// Ready tells whether this proxy wants clients.
-func (b *Proxy) Ready() bool { return b.server.Phase() == decision.Serving }
-
-// ServeMetrics has Run serve the proxy's figures too.
-func (b *Proxy) ServeMetrics(e metrics.Endpoint) { b.metrics = e }
-
-// serveMetrics serves the proxy's metrics until the context ends.
-func (b *Proxy) serveMetrics(ctx context.Context) {
-	server := metrics.Server{Program: program, Endpoint: b.metrics, Host: b.p.Host, Log: b.log}
-	server.Serve(ctx, b.registerMetrics)
+// nodeSeed returns a number for a node's random draws.
+func nodeSeed(node string) uint64 {
+	h := fnv.New64a()
+	h.Write([]byte(node))
+	return h.Sum64()
 }
 
-// Run serves until the context ends, and then hands its clients over within the grace that the platform gives. A signal on hup says that
-// the settings file has changed; it may also change without one.
-func (b *Proxy) Run(ctx context.Context, hup <-chan os.Signal) (err error) {
-	listen := func() (net.Listener, error) { return net.Listen("tcp4", b.p.FrontAddr) }
-	if b.front, err = newSheddingListener(listen, b.control.shedder, b.log); err != nil {
-		return fmt.Errorf("clients' address: %w", err)
-	}
-	defer b.front.Close()
-	if b.page, err = net.Listen("tcp4", b.p.ReadyAddr); err != nil {
-		return fmt.Errorf("readiness address: %w", err)
+// connectDataPlane connects the decision module, the engine, the pool of connections to servers and the clients'
+// server.
+func (p *Proxy) connectDataPlane(seed, incarnation uint64, clock *replication.Clock) {
+	logger := discardLogger()
+	decisions := p.decisionSettings(seed)
+	p.control.engine = engine.New(decision.New(*decisions, seed^incarnation), decisions, engine.NewClockOf(clock.Now))
+	p.translator = newTranslator(p.control, newSplitter(rand.New(rand.NewPCG(seed, incarnation))))
+	sockets := float64(max(minSocketFDs, p.settings.Limits.MaxFDs-reservedFDs))
+	p.pool = upstream.New(p.control.lookup, upstream.Limits{
+		Connections:    int(upstreamShare * sockets),
+		ConnectTimeout: connectTimeout,
+		Keepalive:      keepalive,
+	}, logger)
+	p.pool.Dialect = upstream.Dialect{AppendHead: appendRequestHead, Meaning: classifyAnswer, IDField: headerAttemptID}
+	if p.settings.Clauses["pool"] { // servers there drop idle connections
+		p.pool.Dialect.MinHoldIdle = resetDelay
 	}
-	defer b.page.Close()
-	running, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	for _, run := range []func(){
-		func() { b.control.client.Run(running) },
-		func() { b.pool.Run(running) },
-		func() { serveReadiness(b.page, b.Ready) },
-		func() { b.server.Serve(b.front) },
-		func() { b.front.Run(running.Done()) },
-		func() { b.serveMetrics(running) },
-		func() { b.watch.Follow(running, b.forwardHangups(running, hup), b.settingsReread) },
-	} {
-		go run()
-	}
-	b.log.Log("msg", "waiting for the agent", "front", b.p.FrontAddr, "agent", b.p.AgentAddr())
-	select {
-	case <-b.control.ready:
-		b.server.Started()
-		b.log.Log("msg", "serving", "routes", b.control.table.Load().RouteCount())
-		<-ctx.Done()
-	case <-ctx.Done():
-	}
-	b.log.Log("msg", "leaving")
-	b.announceShutdown()
-	serve, finish := shutdownTimes(time.Duration(b.watch.Current().Bounds.Grace * float64(time.Second)))
-	time.Sleep(serve)
-	b.front.Close()
-	b.server.Drain(finish, drainRest)
-	b.log.Log("msg", "left")
-	return nil
+	p.server = ingress.New(decisions, p.control.engine, p.pool, int(clientShare*sockets), logger)
+	p.server.SetDialect(p.translator.dialect())
+	p.server.Traffic, p.pool.Traffic = p.control.shedder.counter, p.control.shedder.counter
 }
 
-// shutdownTimes is for how long a machine that leaves serves on as before, and then finishes what it has, before what is left is given up: all of it
-// within the grace, with a rest for the last answers, and nothing given up in its first half.
-func shutdownTimes(grace time.Duration) (serve, finish time.Duration) {
-	serve = min(handOverTime, grace*2/5)
-	return serve, max(0, grace-serve-2*drainRest-200*time.Millisecond)
+// decisionSettings returns the settings of the decision module.
+func (p *Proxy) decisionSettings(seed uint64) *decision.Settings {
+	bounds := p.settings.Bounds
+	return &decision.Settings{
+		Gateways:            1,
+		Index:               int(seed % maxNodeIndex),
+		Zone:                p.settings.Zone,
+		AnswerSlack:         answerSlack,
+		SlowStartShare:      slowStartShare,
+		SlowStartTime:       slowStartTime,
+		MaxAttempts:         maxAttempts,
+		MayCancel:           true,
+		FinishNonIdempotent: true,
+		MayRetryAfter:       true,
+		MaxRetryAfter:       maxRetryAfter,
+		ConnectTimeout:      connectTimeout.Seconds(),
+		Keepalive:           keepalive.Seconds(),
+		HasCounter:          true,
+		CounterTimeout:      counterTimeout.Seconds(),
+		CapacityInSlots:     true,
+		RemoteZoneCost:      remoteZoneCost,
+		PairCounters:        true,
+		CounterCycle:        counterCycle,
+		RetryShare:          retryBudgetShare * bounds.RetryRatio,
+		RetrySlack:          retryBudgetShare * bounds.RetrySlack,
+	}
 }
 
-// announceShutdown has the clients sent elsewhere. A server's silence ends nothing from now on.
-func (b *Proxy) announceShutdown() {
-	b.control.engine.ExpectDisruption(math.Inf(1))
-	b.server.Shutdown()
+// discardLogger returns the logger of the data plane: to log each connection would cost too much processor time here.
+func discardLogger() *logrus.Logger {
+	logger := logrus.New()
+	logger.SetOutput(io.Discard)
+	logger.SetLevel(logrus.ErrorLevel)
+	return logger
 }
 
-// forwardHangups passes signals on, and has the module know of each as it comes, whether the file says anything new or not.
-func (b *Proxy) forwardHangups(ctx context.Context, hup <-chan os.Signal) <-chan os.Signal {
-	passed := make(chan os.Signal, 1)
-	go func() {
-		for {
-			select {
-			case <-ctx.Done():
-				return
-			case s := <-hup:
-				b.control.engine.ExpectDisruption(b.control.disruptionWindow())
-				select {
-				case passed <- s:
-				default: // one is on its way
-				}
-			}
-		}
-	}()
-	return passed
-}
+// Ready reports whether this proxy takes new clients.
+func (p *Proxy) Ready() bool { return p.server.Phase() == decision.Serving }
 
-// settingsReread is told of a settings file that was read again. The grace holds from now on, what else the proxy goes by from its next start on.
-func (b *Proxy) settingsReread(changed bool, err error) {
-	switch {
-	case err != nil:
-		b.log.Log("msg", "settings refused, the old ones stay", "err", err)
-	case changed:
-		b.log.Log("msg", "settings read again")
-	}
-}
+// ServeMetrics has Run serve the proxy's metrics too.
+func (p *Proxy) ServeMetrics(endpoint metrics.Endpoint) { p.metrics = endpoint }
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -2,45 +2,57 @@
 
 import (
 	"net"
+	"net/http"
 	"time"
 
 	"mulleinrouter/internal/dataplane/http1"
 )
 
-// serveReadiness answers the platform's question whether this proxy wants clients, one request a connection or many.
-func serveReadiness(l net.Listener, ready func() bool) {
+const (
+	readinessPath    = "/readiness"
+	readinessTimeout = 5 * time.Second // for one request, and between two of a connection
+)
+
+// serveReadiness answers the platform's checks whether this proxy takes new clients, until the listener is closed. A
+// connection ends with the client, with readinessTimeout or with the process.
+func serveReadiness(listener net.Listener, ready func() bool) {
 	for {
-		nc, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go func() {
-			defer nc.Close()
-			for r := http1.NewReader(nc); ; {
-				nc.SetDeadline(time.Now().Add(5 * time.Second))
-				if r.Wait() != nil {
-					return
-				}
-				q, err := r.Head()
-				if err != nil || q.HasBody() {
-					return
-				}
-				status := 404
-				switch {
-				case q.Target != "/readiness":
-				case ready():
-					status = 200
-				default:
-					status = 503
-				}
-				b := http1.AppendHead(nil, status, 0)
-				if q.Close {
-					b = http1.AppendField(b, "Connection", "close")
-				}
-				if _, err := nc.Write(append(b, "\r\n"...)); err != nil || q.Close {
-					return
-				}
-			}
-		}()
+		go serveReadinessChecks(conn, ready)
+	}
+}
+
+// serveReadinessChecks answers the checks on one connection.
+func serveReadinessChecks(conn net.Conn, ready func() bool) {
+	defer conn.Close()
+	for reader := http1.NewReader(conn); ; {
+		conn.SetDeadline(time.Now().Add(readinessTimeout))
+		if reader.Wait() != nil {
+			return
+		}
+		request, err := reader.Head()
+		if err != nil || request.HasBody() {
+			return
+		}
+		answer := http1.AppendHead(nil, readinessStatus(request.Target, ready), 0)
+		if request.Close {
+			answer = http1.AppendField(answer, "Connection", "close")
+		}
+		if _, err := conn.Write(append(answer, "\r\n"...)); err != nil || request.Close {
+			return
+		}
+	}
+}
+
+func readinessStatus(path string, ready func() bool) int {
+	switch {
+	case path != readinessPath:
+		return http.StatusNotFound
+	case ready():
+		return http.StatusOK
 	}
+	return http.StatusServiceUnavailable
 }
--- a/internal/proxy/rules_test.go
+++ b/internal/proxy/rules_test.go
@@ -17,22 +17,31 @@
 	"mulleinrouter/internal/dataplane/http1"
 )
 
-// sealed is a server's whole answer to a request, with its seal.
+// sealed is a server's complete answer to a request, with its seal.
 func sealed(status int, id, fields, body string) string {
-	return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\nX-Server-Seal: s\r\n%sContent-Length: %d\r\n\r\n%s", status, id, fields, len(body), body)
+	return fmt.Sprintf(
+		"HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\nX-Server-Seal: s\r\n%sContent-Length: %d\r\n\r\n%s", status, id, fields, len(
+			body,
+		), body,
+	)
 }
 
-// lookup sends a repeatable request, whose route allows 1000 ms and two servers, and mutate one that must not run twice, with 2000 ms.
-func lookup(nc net.Conn, id string, leftMs int) {
+// sendLookup sends an idempotent request, whose route allows 1000 ms and two servers.
+func sendLookup(nc net.Conn, id string, leftMs int) {
 	fmt.Fprintf(nc, "GET /x HTTP/1.1\r\nHost: two.example\r\nX-Attempt-Id: %s\r\nX-Time-Left-Ms: %d\r\n\r\n", id, leftMs)
 }
 
-func mutate(nc net.Conn, id string, leftMs, length int) {
-	fmt.Fprintf(nc, "POST /a/b/x HTTP/1.1\r\nHost: one.example\r\nAuthorization: Token k3\r\nX-Attempt-Id: %s\r\nX-Time-Left-Ms: %d\r\nContent-Length: %d\r\n\r\n%s",
-		id, leftMs, length, strings.Repeat("b", length))
+// mutationFormat is a request that must not run twice: its ID, the milliseconds that its client waits, the length of
+// the body and the body. Its route allows 2000 ms.
+const mutationFormat = "POST /a/b/x HTTP/1.1\r\nHost: one.example\r\nAuthorization: Token k3\r\n" +
+	"X-Attempt-Id: %s\r\nX-Time-Left-Ms: %d\r\nContent-Length: %d\r\n\r\n%s"
+
+// sendMutation sends a request that must not run twice.
+func sendMutation(nc net.Conn, id string, leftMs, length int) {
+	fmt.Fprintf(nc, mutationFormat, id, leftMs, length, strings.Repeat("b", length))
 }
 
-// connect opens a client's connection that no test waits on for ever.
+// connect opens a client's connection with a deadline.
 func connect(t *testing.T, front string) net.Conn {
 	t.Helper()
 	nc, err := net.Dial("tcp4", front)
@@ -44,14 +53,15 @@
 	return nc
 }
 
-// Each send tells a server how long the client still waits: never longer than the client said, nor than the route allows, and less on the
-// second send than on the first. A request goes to no more servers than its route allows.
-func TestTimeLeftOnEachSend(t *testing.T) {
+// TestTimeLeftOnEachAttempt checks the time that each attempt tells its server the client still waits: never longer
+// than the client said, nor than the route allows, and less on the second attempt than on the first. A request goes to
+// no more servers than its route allows.
+func TestTimeLeftOnEachAttempt(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	var left []int
 	var sent []time.Time
-	front, _ := chained(t, func(nc *net.TCPConn, r *http1.Reader) {
+	front, _ := startProxy(t, func(nc *net.TCPConn, r *http1.Reader) {
 		for {
 			q, err := r.Head()
 			if err != nil {
@@ -68,16 +78,16 @@
 		left, sent = nil, nil
 		nc := connect(t, front)
 		began := time.Now()
-		lookup(nc, fmt.Sprint("t", client), client)
+		sendLookup(nc, fmt.Sprint("t", client), client)
 		a, err := http.ReadResponse(bufio.NewReader(nc), nil)
 		is.NoErr(err)
 		is.True(a.StatusCode >= 500)
 		mu.Lock()
-		is.True(len(left) >= 1 && len(left) <= 2) // maxTries
+		is.True(len(left) >= 1 && len(left) <= 2) // the route allows two
 		for n, ms := range left {
 			is.True(ms > 0 && ms <= min(client, 1000))
 			if n > 0 {
-				is.True(ms <= left[n-1]) // what is left only falls
+				is.True(ms <= left[n-1]) // it only decreases
 				const slack = 400        // ms, for a busy machine between the two; the rule allows 500
 				ends, first := sent[n].Sub(began).Milliseconds()+int64(ms), sent[0].Sub(began).Milliseconds()+int64(left[0])
 				is.True(ends <= first+slack)
@@ -87,10 +97,11 @@
 	}
 }
 
-// A request whose server never answers gets its final answer by its route's deadline, though its client would wait longer.
+// TestAnsweredByTheDeadline checks that a request whose server never answers is answered by its route's deadline,
+// though its client would wait longer.
 func TestAnsweredByTheDeadline(t *testing.T) {
 	is := is.New(t)
-	front, _ := chained(t, func(nc *net.TCPConn, r *http1.Reader) {
+	front, _ := startProxy(t, func(nc *net.TCPConn, r *http1.Reader) {
 		for {
 			if q, err := r.Head(); err != nil || r.ReadBody(q) != nil {
 				return
@@ -98,8 +109,8 @@
 		}
 	})
 	for deadline, send := range map[time.Duration]func(nc net.Conn){
-		time.Second:     func(nc net.Conn) { lookup(nc, "d1", 60_000) },
-		2 * time.Second: func(nc net.Conn) { mutate(nc, "d2", 60_000, 2) },
+		time.Second:     func(nc net.Conn) { sendLookup(nc, "d1", 60_000) },
+		2 * time.Second: func(nc net.Conn) { sendMutation(nc, "d2", 60_000, 2) },
 	} {
 		nc := connect(t, front)
 		began := time.Now()
@@ -108,20 +119,22 @@
 		is.NoErr(err)
 		took := time.Since(began)
 		is.True(took < deadline+500*time.Millisecond)
-		is.True(a.StatusCode == 502 || a.StatusCode == 503 && deadline == time.Second) // what may have run and may not repeat is promised nothing
+		// after a request that may have run and must not run twice, 503 would be a promise
+		is.True(a.StatusCode == 502 || a.StatusCode == 503 && deadline == time.Second)
 	}
 }
 
-// A client that leaves: a repeatable request at work is broken off, and not sent again; one that must not run twice goes on to its end.
-func TestClientLeaves(t *testing.T) {
+// TestClientDisconnects checks that the attempt of an idempotent request is canceled with its client, and not repeated;
+// one that must not run twice goes on to its end.
+func TestClientDisconnects(t *testing.T) {
 	is := is.New(t)
-	type seen struct {
+	type outcome struct {
 		id     string
 		broken bool // the connection ended before the server had answered
 	}
-	arrived, ended := make(chan string, 9), make(chan seen, 9)
+	arrived, ended := make(chan string, 9), make(chan outcome, 9)
 	release := make(chan bool)
-	front, _ := chained(t, func(nc *net.TCPConn, r *http1.Reader) {
+	front, _ := startProxy(t, func(nc *net.TCPConn, r *http1.Reader) {
 		for {
 			q, err := r.Head()
 			if err != nil || r.ReadBody(q) != nil {
@@ -129,35 +142,35 @@
 			}
 			id := q.Header.Get(headerAttemptID)
 			arrived <- id
-			gone := make(chan bool, 1)
-			go func() { gone <- r.Wait() != nil }()
+			disconnected := make(chan bool, 1)
+			go func() { disconnected <- r.Wait() != nil }()
 			select {
-			case broken := <-gone:
-				ended <- seen{id, broken}
+			case broken := <-disconnected:
+				ended <- outcome{id, broken}
 				return
 			case <-release:
 				io.WriteString(nc, sealed(200, id, "", "ok"))
-				ended <- seen{id, false}
-				<-gone
+				ended <- outcome{id, false}
+				<-disconnected
 				return
 			}
 		}
 	})
 	nc := connect(t, front)
-	lookup(nc, "g1", 900)
+	sendLookup(nc, "g1", 900)
 	is.Equal(<-arrived, "g1")
 	left := time.Now()
 	nc.Close()
-	is.Equal(<-ended, seen{"g1", true})
+	is.Equal(<-ended, outcome{"g1", true})
 	is.True(time.Since(left) < 500*time.Millisecond)
 
 	nc = connect(t, front)
-	mutate(nc, "g2", 1900, 2)
+	sendMutation(nc, "g2", 1900, 2)
 	is.Equal(<-arrived, "g2")
 	nc.Close()
-	// The proxy has heard of it once it has served another client since; the server is still at work.
+	// The proxy has noticed it once it has served another client since; the server is still at work.
 	other := connect(t, front)
-	mutate(other, "g3", 1900, 2)
+	sendMutation(other, "g3", 1900, 2)
 	is.Equal(<-arrived, "g3")
 	close(release)
 	for range 2 {
@@ -166,13 +179,13 @@
 	is.Equal(len(arrived), 0) // nothing was sent a second time
 }
 
-// A server answers before it has read a long body: the client gets that answer, and nothing but the rest of that body ever comes where it
-// is due.
+// TestEarlyAnswerToALongBody has a server answer before it has read a long body: the client gets that answer, and the
+// server nothing but the rest of that body in its place.
 func TestEarlyAnswerToALongBody(t *testing.T) {
 	is := is.New(t)
 	const length = 300 << 10
 	rest := make(chan []byte, 9)
-	front, _ := chained(t, func(nc *net.TCPConn, r *http1.Reader) {
+	front, _ := startProxy(t, func(nc *net.TCPConn, r *http1.Reader) {
 		for {
 			q, err := r.Head()
 			if err != nil {
@@ -201,13 +214,13 @@
 		}
 	})
 	nc := connect(t, front)
-	go func() { mutate(nc, "early", 1900, length) }()
+	go func() { sendMutation(nc, "early", 1900, length) }()
 	a, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	is.NoErr(err)
 	is.Equal(a.StatusCode, 403)
 	for n := range 3 {
 		next := connect(t, front)
-		mutate(next, fmt.Sprint("next", n), 1900, 2)
+		sendMutation(next, fmt.Sprint("next", n), 1900, 2)
 		a, err := http.ReadResponse(bufio.NewReader(next), nil)
 		is.NoErr(err)
 		is.Equal(a.StatusCode, 200)
@@ -215,7 +228,8 @@
 	is.Equal(strings.Trim(string(<-rest), "b"), "") // the body, and nothing else
 }
 
-// A server's own failure keeps its status and its seal. What promises that nothing has run is passed on only with the server's proof.
+// TestFailuresKeepTheirStatus checks that a server's own failure keeps its status and its seal. A status that promises
+// that nothing was executed is forwarded only with the server's proof.
 func TestFailuresKeepTheirStatus(t *testing.T) {
 	for name, c := range map[string]struct {
 		status int
@@ -234,7 +248,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			front, _ := chained(t, func(nc *net.TCPConn, r *http1.Reader) {
+			front, _ := startProxy(t, func(nc *net.TCPConn, r *http1.Reader) {
 				for {
 					q, err := r.Head()
 					if err != nil || r.ReadBody(q) != nil {
@@ -244,7 +258,7 @@
 				}
 			})
 			nc := connect(t, front)
-			mutate(nc, "f1", 1900, 2)
+			sendMutation(nc, "f1", 1900, 2)
 			a, err := http.ReadResponse(bufio.NewReader(nc), nil)
 			is.NoErr(err)
 			is.Equal(a.StatusCode, c.want)
--- /dev/null
+++ b/internal/proxy/server_protocol.go
@@ -0,0 +1,62 @@
+package proxy
+
+import (
+	"net/http"
+	"strconv"
+	"time"
+
+	"mulleinrouter/internal/dataplane/http1"
+	"mulleinrouter/internal/dataplane/upstream"
+)
+
+// appendRequestHead appends the first lines of a request to a server (PROTOCOL, "Requests").
+func appendRequestHead(b []byte, m *upstream.Message, backend string, left time.Duration) []byte {
+	b = http1.AppendRequestLine(b, m.Method, m.Target, m.Host)
+	b = http1.AppendField(b, headerAttemptID, m.ID)
+	b = http1.AppendField(b, headerTimeLeft, strconv.FormatInt(max(1, left.Milliseconds()), 10))
+	b = http1.AppendField(b, headerTarget, backend)
+	if m.Tenant != "" {
+		b = http1.AppendField(b, headerTenant, m.Tenant)
+	}
+	return b
+}
+
+// promisesNotExecuted reports whether a status promises a client that its request was not executed and never will be. A
+// server proves that by X-Not-Executed: without it, such a status proves nothing, and is never forwarded.
+func promisesNotExecuted(status int) bool {
+	switch status {
+	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return true
+	}
+	return false
+}
+
+// classifyAnswer returns what a server's answer means (PROTOCOL, "Servers" and "Answers"): only X-Not-Executed, or 421,
+// proves that the request was not executed, and an answer with another ID belongs to another request, whatever it is.
+// One that only the end of the connection delimits may have been truncated.
+func classifyAnswer(m *upstream.Message, answer *http1.Response) upstream.AnswerMeaning {
+	switch id := answer.Header.Get(headerAttemptID); {
+	case len(answer.Header[headerAttemptID]) > 1:
+		return upstream.Broken
+	case id != "" && id != m.ID:
+		return upstream.Foreign
+	case answer.Header.Get(headerNotExecuted) != "" || answer.Status == http.StatusMisdirectedRequest:
+		return upstream.NotExecuted
+	case promisesNotExecuted(answer.Status):
+		return upstream.Broken
+	case answer.EndsWithConnection():
+		return upstream.Broken
+	case answer.Status >= http.StatusInternalServerError:
+		return upstream.Failed
+	case id == "":
+		return upstream.Broken
+	case answer.Status/100 == 2 && !hasSeal(answer):
+		return upstream.Broken
+	}
+	return upstream.Served
+}
+
+// hasSeal reports whether a success has the server's seal, which holds for the body as it is only without an encoding.
+func hasSeal(answer *http1.Response) bool {
+	return answer.Header.Get(headerSeal) != "" && answer.Header.Get(headerEncoding) == ""
+}
--- a/internal/proxy/shedding_listener.go
+++ b/internal/proxy/shedding_listener.go
@@ -1,51 +1,64 @@
 package proxy
 
 import (
+	"context"
 	"errors"
 	"net"
 	"sync"
 	"time"
 
 	"github.com/go-kit/log"
+
+	"mulleinrouter/internal/cluster/retry"
 )
 
 const (
-	// doorOpen is for how long the door is open at a time while the machine sheds: much longer than a connection takes to come up, for
-	// those that are coming up as it closes have sent their request for nothing. The admitted share says for how long it is closed.
-	doorOpen      = 40 * time.Millisecond
-	relistenPause = 10 * time.Millisecond // after the address could not be bound again
+	// openPeriod is for how long the address is open at a time while the machine sheds load: much longer than a connection
+	// takes to be established, because those that are pending as it closes have sent their request for nothing. The
+	// admitted share says for how long it is closed.
+	openPeriod = 40 * time.Millisecond
+	// reopenInterval is the time between two attempts to bind the address again.
+	reopenInterval = 10 * time.Millisecond
 )
 
-// sheddingListener is a listener whose address is closed for a part of the time while a machine sheds: clients get a reset for their
-// first packet and ask elsewhere, and nothing of their request crosses the link.
+// sheddingListener is a listener whose address is closed for a part of the time while a machine sheds load: clients get
+// a reset for their first packet and go elsewhere, and nothing of their request crosses the link.
 type sheddingListener struct {
 	listen  func() (net.Listener, error)
 	shedder *shedder
 	log     log.Logger
 
-	mu      sync.Mutex
-	current net.Listener // nil: the door is closed for the moment
-	changed chan struct{}
-	ended   bool
+	mu      sync.Mutex    // guards the fields below
+	current net.Listener  // nil: the address is closed for the moment
+	changed chan struct{} // closed when current changes
+	closed  bool
 }
 
-// newSheddingListener binds the address at once. Run must go on for connections to be shed.
-func newSheddingListener(listen func() (net.Listener, error), s *shedder, logger log.Logger) (*sheddingListener, error) {
+// newSheddingListener binds the address at once. Run must run for load to be shed.
+func newSheddingListener(
+	listen func() (net.Listener, error), s *shedder, logger log.Logger,
+) (*sheddingListener, error) {
 	first, err := listen()
 	if err != nil {
 		return nil, err
 	}
-	return &sheddingListener{listen: listen, shedder: s, log: logger, current: first, changed: make(chan struct{})}, nil
+	return &sheddingListener{
+		listen:  listen,
+		shedder: s,
+		log:     logger,
+		current: first,
+		changed: make(chan struct{}),
+	}, nil
 }
 
-// Accept waits for a connection through all the times for which the door is closed.
-func (l *sheddingListener) Accept() (net.Conn, error) {
+// Accept waits for a connection, also while the address is closed for the moment.
+func (sl *sheddingListener) Accept() (net.Conn, error) {
 	for {
-		l.mu.Lock()
-		current, changed, ended := l.current, l.changed, l.ended
-		l.mu.Unlock()
+		sl.mu.Lock()
+		current, changed, closed := sl.current, sl.changed, sl.closed
+		sl.mu.Unlock()
 		switch {
-		case ended:
+		case closed:
 			return nil, net.ErrClosed
 		case current == nil:
 			<-changed
@@ -55,111 +68,104 @@
 		if err == nil || !errors.Is(err, net.ErrClosed) {
 			return conn, err
 		}
-		l.mu.Lock()
-		if l.current == current && !l.ended {
-			l.ended = true // somebody else closed it
+		sl.mu.Lock()
+		if sl.current == current && !sl.closed {
+			sl.closed = true // it was not suspend that closed it
 		}
-		l.mu.Unlock()
+		sl.mu.Unlock()
 	}
 }
 
 // Close ends the listener for good.
-func (l *sheddingListener) Close() error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.ended {
+func (sl *sheddingListener) Close() error {
+	sl.mu.Lock()
+	defer sl.mu.Unlock()
+	if sl.closed {
 		return nil
 	}
-	l.ended = true
-	current := l.set(nil)
+	sl.closed = true
+	current := sl.replace(nil)
 	if current == nil {
 		return nil
 	}
 	return current.Close()
 }
 
-// Addr is the address that is bound, or was last.
-func (l *sheddingListener) Addr() net.Addr {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.current == nil {
+// Addr returns the address that is bound; an empty one while it is closed.
+func (sl *sheddingListener) Addr() net.Addr {
+	sl.mu.Lock()
+	defer sl.mu.Unlock()
+	if sl.current == nil {
 		return &net.TCPAddr{}
 	}
-	return l.current.Addr()
+	return sl.current.Addr()
 }
 
-// set replaces the current listener and returns the one before. The mutex is held.
-func (l *sheddingListener) set(next net.Listener) (before net.Listener) {
-	before, l.current = l.current, next
-	close(l.changed)
-	l.changed = make(chan struct{})
-	return before
+// replace replaces the current listener and returns the one before. The mutex is held.
+func (sl *sheddingListener) replace(next net.Listener) (previous net.Listener) {
+	previous, sl.current = sl.current, next
+	close(sl.changed)
+	sl.changed = make(chan struct{})
+	return previous
 }
 
-// Run opens and closes the door by the admitted share until the listener is closed.
-func (l *sheddingListener) Run(done <-chan struct{}) {
+// Run opens and closes the address by the admitted share until the context ends or the listener is closed.
+func (sl *sheddingListener) Run(ctx context.Context) {
 	shedding := false
 	for {
-		share := l.shedder.admitted(time.Now())
+		share := sl.shedder.admitted(time.Now())
 		if now := share < 1; now != shedding {
 			shedding = now
-			l.log.Log("msg", "shedding", "on", shedding)
+			sl.log.Log("msg", "shedding", "on", shedding)
 		}
 		if !shedding {
-			if !pause(done, shedInterval) {
+			if !retry.Sleep(ctx, shedInterval) {
 				return
 			}
 			continue
 		}
-		closed := time.Duration(float64(doorOpen) * (1/share - 1))
-		if !pause(done, doorOpen) || !l.shut() || !pause(done, closed) || !l.reopen(done) {
+		closedPeriod := time.Duration(float64(openPeriod) * (1/share - 1))
+		if !retry.Sleep(ctx, openPeriod) || !sl.suspend() || !retry.Sleep(ctx, closedPeriod) || !sl.resume(ctx) {
 			return
 		}
 	}
 }
 
-// shut closes the door for a while; false: the listener has ended.
-func (l *sheddingListener) shut() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.ended {
+// suspend closes the address for a while; false: the listener is closed.
+func (sl *sheddingListener) suspend() bool {
+	sl.mu.Lock()
+	defer sl.mu.Unlock()
+	if sl.closed {
 		return false
 	}
-	if before := l.set(nil); before != nil {
-		before.Close()
+	if previous := sl.replace(nil); previous != nil {
+		previous.Close()
 	}
 	return true
 }
 
-// reopen opens the door again; false: the listener has ended.
-func (l *sheddingListener) reopen(done <-chan struct{}) bool {
+// resume opens the address again; false: the listener is closed, or the context has ended.
+func (sl *sheddingListener) resume(ctx context.Context) bool {
 	for {
-		next, err := l.listen()
+		next, err := sl.listen()
 		if err == nil {
-			l.mu.Lock()
-			defer l.mu.Unlock()
-			if l.ended {
-				next.Close()
-				return false
-			}
-			l.set(next)
-			return true
+			return sl.setCurrent(next)
 		}
-		l.log.Log("msg", "door not opened", "err", err)
-		if !pause(done, relistenPause) {
+		sl.log.Log("msg", "listener not reopened", "err", err)
+		if !retry.Sleep(ctx, reopenInterval) {
 			return false
 		}
 	}
 }
 
-// pause waits; false: done was closed before.
-func pause(done <-chan struct{}, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-done:
+// setCurrent has connections be accepted from a listener; false: this one is closed, and so the other is too.
+func (sl *sheddingListener) setCurrent(next net.Listener) bool {
+	sl.mu.Lock()
+	defer sl.mu.Unlock()
+	if sl.closed {
+		next.Close()
 		return false
-	case <-t.C:
-		return true
 	}
+	sl.replace(next)
+	return true
 }
--- a/internal/proxy/shedding_test.go
+++ b/internal/proxy/shedding_test.go
@@ -18,8 +18,8 @@
 	"mulleinrouter/internal/dataplane/traffic"
 )
 
-// overloadedLink is a plain model of a machine's link in one direction: what is offered waits in one queue, and a request is worth
-// something only if it is through within its deadline. A refused connection costs the link a packet.
+// overloadedLink is a model of a machine's link in one direction: what is offered waits in one queue, and a request
+// counts only if it is through within its deadline. A refused connection costs the link a packet.
 type overloadedLink struct {
 	capacity float64 // bytes a second
 	queue    float64 // bytes
@@ -27,27 +27,32 @@
 	refusal  float64
 }
 
-// step offers so many requests a second, of which a share is admitted, for dt seconds. It returns the bytes that went through and the
-// requests that will be in time.
-func (l *overloadedLink) step(dt, offered, share, deadline float64) (through, inTime float64) {
-	arrives := offered * dt * (share*l.request + (1-share)*l.refusal)
-	if delay := l.queue / l.capacity; delay < deadline {
+// step offers so many requests a second, of which a share is admitted, for dt seconds. It returns the bytes that went
+// through and the requests that will be in time.
+func (ol *overloadedLink) step(dt, offered, share, deadline float64) (through, inTime float64) {
+	arrives := offered * dt * (share*ol.request + (1-share)*ol.refusal)
+	if delay := ol.queue / ol.capacity; delay < deadline {
 		inTime = offered * dt * share
 	}
-	through = min(l.queue+arrives, l.capacity*dt)
-	l.queue += arrives - through
+	through = min(ol.queue+arrives, ol.capacity*dt)
+	ol.queue += arrives - through
 	return through, inTime
 }
 
-// TestShedding offers a machine 0.5 to 8 times what its link bears. Without too much load nothing is ever refused; with it, after some
-// seconds the machine serves at least 0.4 of what its link bears beside refusals, where one that takes all serves nothing in time.
+// TestShedding offers a machine 0.5 to 8 times what its link bears. Without too much load nothing is ever refused; with
+// it, after some seconds the machine serves at least 0.4 of what its link bears beside refusals, where one that takes
+// all serves nothing in time.
 func TestShedding(t *testing.T) {
 	const linkMbps, capacity, request, refusal, deadline = 2.0, 250e3, 3300.0, 130.0, 2.0
 	for _, times := range []float64{0.5, 0.65, 2, 4, 8} {
 		offered := times * capacity / request
 		serve := func(shed bool) (inTime float64, refused bool) {
-			now, link, s := time.Unix(1000, 0), overloadedLink{capacity: capacity, request: request, refusal: refusal}, newShedder(linkMbps)
-			var told time.Time
+			now, link, s := time.Unix(1000, 0), overloadedLink{
+				capacity: capacity,
+				request:  request,
+				refusal:  refusal,
+			}, newShedder(linkMbps)
+			var observedAt time.Time
 			for second := 0.0; second < 40; second += 0.01 {
 				now = now.Add(10 * time.Millisecond)
 				share := 1.0
@@ -60,27 +65,29 @@
 				if second >= 20 {
 					inTime += ok / 20
 				}
-				if now.Sub(told) >= 500*time.Millisecond { // as updates of the agent come
-					told = now
+				if now.Sub(observedAt) >= 500*time.Millisecond { // as updates of the agent come
+					observedAt = now
 					s.observe(now, time.Duration(link.queue/capacity*float64(time.Second)), true)
 				}
 			}
 			return inTime, refused
 		}
 		served, refused := serve(true)
-		plain, _ := serve(false)
-		bears := math.Min(offered, (capacity-offered*refusal)/request) // what refusals leave
+		without, _ := serve(false)
+		capacityLeft := math.Min(offered, (capacity-offered*refusal)/request) // what refusals leave
 		switch {
 		case times < 0.7 && (refused || served < 0.99*offered):
-			t.Errorf("%v times: refused %v, served %.0f of %.0f", times, refused, served, offered)
-		case times > 1 && (served < 0.4*bears || plain > 0.1*bears):
-			t.Errorf("%v times: served %.0f of %.0f that the link bears, %.0f without shedding", times, served, bears, plain)
+			t.Errorf("%v times: refused %v, served %.0f, want false, %.0f", times, refused, served, offered)
+		case times > 1 && (served < 0.4*capacityLeft || without > 0.1*capacityLeft):
+			t.Errorf("%v times: served %.0f, want 0.4 of %.0f at least; without shedding %.0f, want 0.1 at most",
+				times, served, capacityLeft, without)
 		}
 	}
 }
 
-// TestNoEvidence has a machine that hears nothing of its link's delay, and one whose delay is long past, admit all.
-func TestNoEvidence(t *testing.T) {
+// TestSheddingNeedsEvidence checks that a machine without a known delay of its link, and one whose observed delay is
+// out of date, admit all.
+func TestSheddingNeedsEvidence(t *testing.T) {
 	is := is.New(t)
 	now, s := time.Unix(1000, 0), newShedder(2)
 	for range 100 {
@@ -98,8 +105,9 @@
 	is.Equal(newShedder(0).load.Update(5, 1e9, 1e9), 0.0) // a link of unknown speed
 }
 
-// TestSheddingListener opens and closes the door of a real socket: connections that were taken are kept, those that come meanwhile are
-// refused, the address is served again afterwards, and Close ends Accept whether the door is open or not.
+// TestSheddingListener closes and opens the address of a real socket: accepted connections are kept, those that come
+// meanwhile are refused, the address is served again afterwards, and Close ends Accept whether the address is open or
+// not.
 func TestSheddingListener(t *testing.T) {
 	is := is.New(t)
 	first, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -113,51 +121,51 @@
 		}
 		return net.Listen("tcp4", address)
 	}
-	l, err := newSheddingListener(listen, newShedder(0), log.NewNopLogger())
+	listener, err := newSheddingListener(listen, newShedder(0), log.NewNopLogger())
 	is.NoErr(err)
-	var taken atomic.Int64
-	var kept sync.Map
+	var accepted atomic.Int64
+	var conns sync.Map
 	ended := make(chan error, 1)
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				ended <- err
 				return
 			}
-			kept.Store(taken.Add(1), conn)
+			conns.Store(accepted.Add(1), conn)
 		}
 	}()
 	dial := func() (net.Conn, error) { return net.DialTimeout("tcp4", address, 10*time.Second) }
-	kind, err := dial()
+	early, err := dial()
 	is.NoErr(err)
-	defer kind.Close()
-	for taken.Load() == 0 {
+	defer early.Close()
+	for accepted.Load() == 0 {
 		runtime.Gosched()
 	}
-	done := context.Background().Done()
+	ctx := context.Background()
 	for range 3 {
-		is.True(l.shut())
+		is.True(listener.suspend())
 		_, err = dial()
 		is.True(errors.Is(err, syscall.ECONNREFUSED))
-		is.True(l.reopen(done))
-		before := taken.Load()
+		is.True(listener.resume(ctx))
+		before := accepted.Load()
 		again, err := dial()
 		is.NoErr(err)
 		defer again.Close()
-		for taken.Load() == before {
+		for accepted.Load() == before {
 			runtime.Gosched()
 		}
 	}
-	server, _ := kept.Load(int64(1)) // taken before the door was ever closed
+	server, _ := conns.Load(int64(1)) // accepted before the address was ever closed
 	_, err = server.(net.Conn).Write([]byte("x"))
 	is.NoErr(err)
 	buf := make([]byte, 1)
-	is.NoErr(kind.SetReadDeadline(time.Now().Add(10 * time.Second)))
-	_, err = kind.Read(buf)
+	is.NoErr(early.SetReadDeadline(time.Now().Add(10 * time.Second)))
+	_, err = early.Read(buf)
 	is.NoErr(err)
-	is.True(l.shut())
-	is.NoErr(l.Close())
+	is.True(listener.suspend())
+	is.NoErr(listener.Close())
 	is.True(errors.Is(<-ended, net.ErrClosed))
-	is.True(!l.reopen(done)) // nothing is bound again
+	is.True(!listener.resume(ctx)) // the address is not bound again
 }
--- a/internal/proxy/splits.go
+++ b/internal/proxy/splits.go
@@ -7,13 +7,14 @@
 	"mulleinrouter/internal/cluster/configuration"
 )
 
-// goldenRatio is the step of the sequence by which requests are split: of all steps, its multiples lie most evenly in the unit
-// interval, whichever number of them is looked at.
+// goldenRatio is the step of the sequence by which requests are split: of all steps, its multiples lie most evenly in
+// the unit interval, for any number of them.
 const goldenRatio = 0.6180339887498949
 
-// splitter distributes the requests of routes with several services by their weights. Each route has a low-discrepancy sequence
-// with a random start: any run of n requests is off its shares by less than one or two requests, where independent draws would
-// be off by the square root of n, and proxies that each see few requests do not all begin with the same service.
+// splitter distributes the requests of routes with several services by their weights. Each route has a low-discrepancy
+// sequence with a random start: any run of n requests is off its shares by less than one or two requests, where
+// independent draws would be off by the square root of n, and proxies that each see few requests do not all begin with
+// the same service.
 //
 // It is not safe for concurrent use.
 type splitter struct {
--- a/internal/proxy/splits_test.go
+++ b/internal/proxy/splits_test.go
@@ -8,8 +8,8 @@
 	"mulleinrouter/internal/cluster/configuration"
 )
 
-// TestSplitsOfFewRequests has several proxies split a few hundred requests, as in a calm time that the rules look at: each part gets
-// its share, within far less than independent draws would be off, and over all seeds no proxy favours a part.
+// TestSplitsOfFewRequests has several proxies split a few hundred requests: each service gets its weight, with a far
+// smaller error than independent draws would have, and over all seeds no proxy prefers a service.
 func TestSplitsOfFewRequests(t *testing.T) {
 	for _, weights := range [][]float64{{90, 10}, {30, 70}, {1, 1, 1}, {5, 0, 95}, {1, 99}} {
 		route := &configuration.Route{Name: "r"}
@@ -30,8 +30,11 @@
 				counts[all[load.IntN(proxies)].choose(route)]++
 			}
 			for n, w := range weights {
-				if off := math.Abs(float64(counts[route.Split[n].Service]) - requests*w/sum); off > 12 { // 4% of the requests; independent draws are off by 26 now and then
-					t.Errorf("weights %v, seed %d: part %d got %d of %d requests", weights, seed, n, counts[route.Split[n].Service], requests)
+				// 4% of the requests; independent draws are off by 26 now and then
+				if off := math.Abs(float64(counts[route.Split[n].Service]) - requests*w/sum); off > 12 {
+					t.Errorf(
+						"weights %v, seed %d: part %d got %d of %d requests", weights, seed, n, counts[route.Split[n].Service], requests,
+					)
 				}
 			}
 			firsts[newSplitter(rand.New(rand.NewPCG(seed, 7))).choose(route)]++
--- a/internal/proxy/translator.go
+++ b/internal/proxy/translator.go
@@ -1,10 +1,10 @@
 package proxy
 
 import (
+	"net/http"
 	"strconv"
 	"strings"
 	"sync"
-	"time"
 
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/dataplane/clientconn"
@@ -14,226 +14,200 @@
 	"mulleinrouter/internal/decision"
 )
 
-// The fields of PROTOCOL, "Requests" and "Answers", in textproto's own form: Get would make each anew.
 const (
-	headerAttemptID, headerTimeLeft, headerAuthorization, headerTenant = "X-Attempt-Id", "X-Time-Left-Ms", "Authorization", "X-Tenant"
-	headerTarget, headerSeal, headerNotExecuted                        = "X-Target-Instance", "X-Server-Seal", "X-Not-Executed"
-	authScheme                                                         = "Token "
-
-	maxAttemptIDBytes = 128                   // bytes
-	maxTimeLeftMs     = 600_000.0             // ms: no client waits longer
-	replyAllowance    = 10.0 / 1000           // s taken off the time that a client waits: the answer still has its way to go
-	unknownRetryAfter = decision.Seconds(0.3) // s until a client whose route or key is not known here, perhaps not yet, should ask again
+	maxAttemptIDBytes = 128
+	maxTimeLeftMs     = 600_000.0 // no client waits longer
+	msPerSecond       = 1000
+
+	// replyAllowance is taken off the time that a client waits, in seconds: the answer still has its way to go.
+	replyAllowance = 10.0 / 1000
+	// clientRetryMargin is how much less than its route's deadline a client must wait for its request to be a retry, in
+	// seconds.
+	clientRetryMargin = 0.001
+	// unknownRetryAfter is the time until a client should ask again whose route or key is not known here, perhaps not yet.
+	unknownRetryAfter = decision.Seconds(0.3)
 )
 
-// consumedHeaders are the fields that the system decides by or writes itself: they are not passed on, and no trailer may have them. The key
-// is the client's alone: servers are told the tenant.
-var consumedHeaders = map[string]bool{headerAttemptID: true, headerTimeLeft: true, headerAuthorization: true, headerTenant: true, headerTarget: true}
-
-// serverOnlyHeaders are fields in which servers tell the system something: clients do not get them.
-var serverOnlyHeaders = map[string]bool{headerNotExecuted: true, "X-Instance-Id": true}
+// Timeouts of clients' connections in seconds, where the configuration has none.
+const (
+	defaultIdleTimeout = 15
+	defaultHeadTimeout = 3
+)
 
-// translator translates between the wire and the module.
+// translator translates the requests of clients for the decision module. Safe for concurrent use.
 type translator struct {
 	control *controlFeed
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards the fields below
 	splits  *splitter
-	terms   map[string]*decision.Terms // of tenants that asked lately
-	classes map[string]*decision.Class // of routes that were asked lately
+	terms   map[string]*decision.Terms // of tenants, by name
+	classes map[string]*decision.Class // of routes, by name and version
 }
 
-// maxCachedEntries bounds what is kept of routes and tenants; beyond it all is made anew, which costs little.
-const maxCachedEntries = 1 << 14
+func newTranslator(control *controlFeed, splits *splitter) *translator {
+	return &translator{
+		control: control,
+		splits:  splits,
+		terms:   map[string]*decision.Terms{},
+		classes: map[string]*decision.Class{},
+	}
+}
 
-// dialect is what clients are answered in.
-func (s *translator) dialect() ingress.Dialect {
+// dialect is how clients are served.
+func (t *translator) dialect() ingress.Dialect {
 	return ingress.Dialect{
-		Parse: s.parse, IngressFields: consumedHeaders, ServerFields: serverOnlyHeaders, OverQuotaStatus: 429, ForwardFailures: true,
-		Timeouts: func() *clientconn.Timeouts {
-			b := s.control.table.Load().ClientLimits()
-			t := &clientconn.Timeouts{FirstByte: 15, Idle: 15, Head: 3, ServePending: true}
-			if b.IdleTime > 0 {
-				t.Idle, t.FirstByte = b.IdleTime, b.IdleTime
-			}
-			if b.HeaderTime > 0 {
-				t.Head = b.HeaderTime
-			}
-			return t
-		},
-		MaxBody: func() int64 { return int64(s.control.table.Load().ClientLimits().BodyBytes) },
+		Parse:           t.parse,
+		IngressFields:   consumedHeaders,
+		ServerFields:    serverOnlyHeaders,
+		OverQuotaStatus: http.StatusTooManyRequests,
+		ForwardFailures: true,
+		Timeouts:        t.clientTimeouts,
+		MaxBody:         func() int64 { return int64(t.control.table.Load().ClientLimits().BodyBytes) },
+	}
+}
+
+// clientTimeouts returns the timeouts of clients' connections.
+func (t *translator) clientTimeouts() *clientconn.Timeouts {
+	limits := t.control.table.Load().ClientLimits()
+	timeouts := &clientconn.Timeouts{
+		FirstByte:    defaultIdleTimeout,
+		Idle:         defaultIdleTimeout,
+		Head:         defaultHeadTimeout,
+		ServePending: true,
+	}
+	if limits.IdleTime > 0 {
+		timeouts.Idle, timeouts.FirstByte = limits.IdleTime, limits.IdleTime
+	}
+	if limits.HeaderTime > 0 {
+		timeouts.Head = limits.HeaderTime
+	}
+	return timeouts
+}
+
+// parse finds a request's route and its tenant, and translates it. It decides only whether there are these.
+func (t *translator) parse(r *http1.Request) (decision.Request, *upstream.Message, *ingress.RequestError) {
+	left, invalid := checkHead(r)
+	if invalid != nil {
+		return decision.Request{}, nil, invalid
+	}
+	destination, unknown := t.resolve(r)
+	if unknown != nil {
+		return decision.Request{}, nil, unknown
+	}
+	route := destination.route
+	request := decision.Request{
+		Class:    route.Name,
+		Kind:     t.class(route),
+		Group:    destination.service,
+		TimeLeft: min(left, route.Deadline),
+		Units:    1,
+		Gateways: t.control.ingressCount(),
+		Streamed: r.Streamed != nil,
+	}
+	request.ClientRetry = left < route.Deadline-clientRetryMargin
+	request.TimeLeft = max(request.TimeLeft/2, request.TimeLeft-replyAllowance)
+	message := &upstream.Message{
+		Method:     r.Method,
+		Target:     r.Target,
+		ID:         r.Header.Get(headerAttemptID),
+		Host:       r.Header.Get(headerHost),
+		AtMostOnce: route.Mutating,
+		Body:       r.Body,
+		Trailer:    r.Trailer,
+		Fields:     http1.AppendFields(nil, r.Header, consumedHeaders),
+	}
+	if tenant := destination.tenant; tenant != nil {
+		request.Customer, request.Terms = tenant.Name, t.tenantTerms(tenant)
+		message.Tenant = tenant.Name
+	} else {
+		request.Terms = anonymousTerms
 	}
+	return request, message, nil
 }
 
-// parse finds a request's route and its tenant, and translates it. It decides nothing but whether there are these.
-func (s *translator) parse(r *http1.Request) (request decision.Request, m *upstream.Message, bad *ingress.RequestError) {
-	fail := func(status int, code, text string) (decision.Request, *upstream.Message, *ingress.RequestError) {
-		return decision.Request{}, nil, &ingress.RequestError{Status: status, Code: code, Text: text}
+// checkHead checks the fields that the system decides by, and returns the seconds for which the client waits.
+func checkHead(r *http1.Request) (left float64, invalid *ingress.RequestError) {
+	fail := func(code, text string) (float64, *ingress.RequestError) {
+		return 0, &ingress.RequestError{Status: http.StatusBadRequest, Code: code, Text: text}
 	}
-	for _, key := range [...]string{headerAttemptID, headerTimeLeft, headerAuthorization, "Host"} {
-		if len(r.Header[key]) > 1 { // who counts the other one decides otherwise
-			return fail(400, "request-twice", key+" stands there twice")
+	for _, key := range [...]string{headerAttemptID, headerTimeLeft, headerAuthorization, headerHost} {
+		if len(r.Header[key]) > 1 { // whoever counts the other one decides otherwise
+			return fail("request-twice", key+" stands there twice")
 		}
 	}
 	id := r.Header.Get(headerAttemptID)
 	if !http1.Visible(id) || len(id) > maxAttemptIDBytes {
-		return fail(400, "request-bad-id", "X-Attempt-Id is missing or not a word")
+		return fail("request-bad-id", "X-Attempt-Id is missing or not a word")
 	}
-	left, err := strconv.ParseFloat(r.Header.Get(headerTimeLeft), 64)
-	if err != nil || !(left > 0) || left > maxTimeLeftMs {
-		return fail(400, "request-bad-time", "X-Time-Left-Ms is not a time in milliseconds")
+	leftMs, err := strconv.ParseFloat(r.Header.Get(headerTimeLeft), 64)
+	if err != nil || !(leftMs > 0) || leftMs > maxTimeLeftMs { // not above 0: also a NaN
+		return fail("request-bad-time", "X-Time-Left-Ms is not a time in milliseconds")
 	}
 	if http1.HasForbiddenTrailer(r.Trailer, consumedHeaders) {
-		return fail(400, "request-bad-trailer", "a trailer states what belongs in the head")
+		return fail("request-bad-trailer", "a trailer states what belongs in the head")
 	}
-	if !s.control.complete.Load() { // a part of a configuration may lack the tenants, and let anybody in
-		return s.unknownReply(503, "request-too-soon", "no configuration yet")
+	return leftMs / msPerSecond, nil
+}
+
+// destination is where a request goes, and on whose account.
+type destination struct {
+	route   *configuration.Route
+	service string
+	tenant  *configuration.Tenant // nil: anonymous, on a public route
+}
+
+// resolve finds a request's destination in the configuration in force.
+func (t *translator) resolve(r *http1.Request) (destination, *ingress.RequestError) {
+	if !t.control.complete.Load() { // a part of a configuration may lack the tenants, and admit anybody
+		return destination{}, t.unknownError(http.StatusServiceUnavailable, "request-too-soon", "no configuration yet")
 	}
-	table, host := s.control.table.Load(), r.Header.Get("Host")
+	table := t.control.table.Load()
 	path, _, _ := strings.Cut(r.Target, "?")
-	route := table.Route(host, path)
+	route := table.Route(r.Header.Get(headerHost), path)
 	if route == nil {
-		return s.unknownReply(404, "request-unknown-route", "no such route")
-	}
-	var tenant *configuration.Tenant
-	if auth := r.Header.Get(headerAuthorization); auth != "" && table.HasTenants() {
-		if key, ok := strings.CutPrefix(auth, authScheme); ok {
-			tenant = table.Tenant(key)
-		}
+		return destination{}, t.unknownError(http.StatusNotFound, "request-unknown-route", "no such route")
 	}
+	tenant := tenantOf(r, table)
 	if tenant == nil && !route.Public && table.HasTenants() {
-		return s.unknownReply(401, "request-unknown-key", "no such key")
-	}
-	service := s.chooseService(route)
-	if !s.control.serviceExists(service) {
-		return s.unknownReply(404, "request-unknown-service", "no such service")
+		return destination{}, t.unknownError(http.StatusUnauthorized, "request-unknown-key", "no such key")
 	}
-	request = decision.Request{Class: route.Name, Kind: s.class(route), Group: service, TimeLeft: min(left/1000, route.Deadline), Units: 1,
-		Gateways: s.control.ingressCount(), Streamed: r.Streamed != nil}
-	request.ClientRetry = left/1000 < route.Deadline-0.001
-	request.TimeLeft = max(request.TimeLeft/2, request.TimeLeft-replyAllowance)
-	m = &upstream.Message{Method: r.Method, Target: r.Target, ID: id, Host: host, AtMostOnce: route.Mutating, Body: r.Body, Trailer: r.Trailer,
-		Fields: http1.AppendFields(nil, r.Header, consumedHeaders)}
-	if tenant != nil {
-		request.Customer, request.Terms, m.Tenant = tenant.Name, s.tenantTerms(tenant), tenant.Name
-	} else {
-		request.Terms = anonymousTerms
+	service := t.chooseService(route)
+	if !t.control.serviceExists(service) {
+		return destination{}, t.unknownError(http.StatusNotFound, "request-unknown-service", "no such service")
 	}
-	return request, m, nil
+	return destination{route: route, service: service, tenant: tenant}, nil
 }
 
-// anonymousTerms are the terms of requests on public routes that come without a key.
-var anonymousTerms = &decision.Terms{Plan: decision.Plan{ValueWeight: 1}, Tag: "-"}
-
-// unknownReply is the answer to who asks for what is not known here. Only one who knows that the configuration here is fresh may say
-// that there is none; else the request has not run, and may come again.
-func (s *translator) unknownReply(status int, code, text string) (decision.Request, *upstream.Message, *ingress.RequestError) {
-	p := &ingress.RequestError{Status: status, Code: code, Text: text}
-	if !s.control.fresh() {
-		p.Status, p.Code, p.RetryAfter = 503, code+"-yet", unknownRetryAfter
+// tenantOf returns the tenant whose key a request has; nil: none.
+func tenantOf(r *http1.Request, table *configuration.RoutingTable) *configuration.Tenant {
+	authorization := r.Header.Get(headerAuthorization)
+	if authorization == "" || !table.HasTenants() {
+		return nil
 	}
-	return decision.Request{}, nil, p
-}
-
-// chooseService returns the service that a request on a route goes to.
-func (s *translator) chooseService(route *configuration.Route) string {
-	if len(route.Split) == 0 {
-		return route.Service
+	key, ok := strings.CutPrefix(authorization, authScheme)
+	if !ok {
+		return nil
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.splits.choose(route)
+	return table.Tenant(key)
 }
 
-const (
-	routePriorityStep     = 3.0  // worth of a route's rank beside the next lower
-	tenantPriorityStep    = 64.0 // a tenant's priority goes before the route's
-	patience              = 6.0  // usual times of an answer: one in some hundred takes longer
-	maxQueueShareOfTarget = 0.22 // of the aim that a request may wait for a server: a refusal within a quarter of it costs least
-)
-
-// class is a route as the module knows it.
-func (s *translator) class(route *configuration.Route) *decision.Class {
-	key := route.Name + "\x00" + strconv.FormatUint(route.Version, 16)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	c := s.classes[key]
-	if c == nil {
-		c = &decision.Class{Name: route.Name, LatencyTarget: route.LatencyTarget, Deadline: route.Deadline, Value: worthOfPriority(route.Priority, routePriorityStep), LateValue: 0.5,
-			MaxAttempts: route.MaxAttempts, MaxQueueTime: maxQueueShareOfTarget * route.LatencyTarget, SlowAttemptFactor: patience, Effect: decision.Idempotent}
-		if route.Mutating {
-			c.Effect = decision.NonIdempotent
-		}
-		if len(s.classes) >= maxCachedEntries {
-			clear(s.classes)
-		}
-		s.classes[key] = c
+// unknownError is the answer to a request for what is not known here. Only a proxy whose configuration is current may
+// answer that there is none; else the request was not executed, and may be sent again.
+func (t *translator) unknownError(status int, code, text string) *ingress.RequestError {
+	unknown := &ingress.RequestError{Status: status, Code: code, Text: text}
+	if !t.control.current() {
+		unknown.Status, unknown.Code = http.StatusServiceUnavailable, code+"-yet"
+		unknown.RetryAfter = unknownRetryAfter
 	}
-	return c
+	return unknown
 }
 
-// tenantTerms is a tenant's quota as the module knows it.
-func (s *translator) tenantTerms(t *configuration.Tenant) *decision.Terms {
-	tag := strconv.FormatUint(t.Version, 16)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	e := s.terms[t.Name]
-	if e == nil || e.Tag != tag {
-		e = &decision.Terms{Customer: t.Name, Tag: tag,
-			Plan: decision.Plan{Name: t.Name, Rate: t.Rate, Burst: t.Burst, ValueWeight: worthOfPriority(t.Priority, tenantPriorityStep)}}
-		if len(s.terms) >= maxCachedEntries {
-			clear(s.terms)
-		}
-		s.terms[t.Name] = e
-	}
-	return e
-}
-
-// worthOfPriority turns a priority, where 0 is the highest, into a worth.
-func worthOfPriority(priority int, step float64) float64 {
-	worth := 1.0
-	for range min(max(priority, 0), 8) {
-		worth /= step
-	}
-	return worth
-}
-
-// beginRequest begins a request to a server (PROTOCOL, "Requests").
-func beginRequest(b []byte, m *upstream.Message, backend string, left time.Duration) []byte {
-	b = http1.AppendRequestLine(b, m.Method, m.Target, m.Host)
-	b = http1.AppendField(b, headerAttemptID, m.ID)
-	b = http1.AppendField(b, headerTimeLeft, strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	b = http1.AppendField(b, headerTarget, backend)
-	if m.Tenant != "" {
-		b = http1.AppendField(b, headerTenant, m.Tenant)
+// chooseService returns the service that a request on a route goes to.
+func (t *translator) chooseService(route *configuration.Route) string {
+	if len(route.Split) == 0 {
+		return route.Service
 	}
-	return b
-}
-
-// promisesNotRun tells whether a status promises a client that its request has not run and never will. A server's own word for that is
-// X-Not-Executed: without it, such a status proves nothing, and is never passed on.
-func promisesNotRun(status int) bool {
-	return status == 408 || status == 429 || status == 503
-}
-
-// classifyAnswer is what a server's answer means (PROTOCOL, "Servers" and "Answers"): only X-Not-Executed, or 421, says that the request has
-// not run, and an answer under another id is not its own, whatever it says. One without an end of its own may have been cut short.
-func classifyAnswer(m *upstream.Message, a *http1.Response) upstream.AnswerMeaning {
-	switch id := a.Header.Get(headerAttemptID); {
-	case len(a.Header[headerAttemptID]) > 1:
-		return upstream.Broken
-	case id != "" && id != m.ID:
-		return upstream.Foreign
-	case a.Header.Get(headerNotExecuted) != "" || a.Status == 421:
-		return upstream.NotExecuted
-	case promisesNotRun(a.Status):
-		return upstream.Broken
-	case a.EndsWithConnection():
-		return upstream.Broken
-	case a.Status >= 500:
-		return upstream.Failed
-	case id == "", a.Status/100 == 2 && (a.Header.Get(headerSeal) == "" || a.Header.Get("Content-Encoding") != ""):
-		return upstream.Broken
-	}
-	return upstream.Served
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.splits.choose(route)
 }
--- a/internal/proxy/translator_test.go
+++ b/internal/proxy/translator_test.go
@@ -17,37 +17,45 @@
 	"mulleinrouter/internal/decision"
 )
 
-// testConfig is a whole of three routes, two tenants and two services.
+// testConfig is a complete configuration of three routes, two tenants and two services.
 const testConfig = `{"upsert":{
-"routes":{"r1":{"authority":"one.example","pathPrefix":"/a/","routeKind":"idempotent","deadlineMs":1000,"targetMs":400,"priority":2,"backend":"s1","maxTries":2,"public":false,"generation":"00000001"},
-"r2":{"authority":"one.example","pathPrefix":"/a/b/","routeKind":"mutating","deadlineMs":2000,"targetMs":500,"priority":0,"weighted":[{"backend":"s1","share":30},{"backend":"s2","share":70}],"maxTries":1,"public":false,"generation":"00000001"},
-"r3":{"authority":"two.example","pathPrefix":"/","routeKind":"idempotent","deadlineMs":1000,"targetMs":400,"priority":1,"backend":"s2","maxTries":2,"public":true,"generation":"00000001"}},
-"customers":{"t1":{"apiKeys":["k1","k2"],"priority":0,"ratePerS":10,"burst":20,"generation":"00000001"},
-"t2":{"apiKeys":["k3"],"priority":1,"ratePerS":0,"burst":0,"generation":"00000001"}},
-"services":{"s1":{"healthPath":"/health","maxConns":10,"protocol":"h1","tlsMode":false,"generation":"00000001"},"s2":{"healthPath":"/health","maxConns":10,"protocol":"h1","tlsMode":false,"generation":"00000001"}}},
+"routes":{
+	"r1":{"authority":"one.example","pathPrefix":"/a/","routeKind":"idempotent","deadlineMs":1000,"targetMs":400,
+		"priority":2,"backend":"s1","maxTries":2,"public":false,"generation":"00000001"},
+	"r2":{"authority":"one.example","pathPrefix":"/a/b/","routeKind":"mutating","deadlineMs":2000,"targetMs":500,
+		"priority":0,"weighted":[{"backend":"s1","share":30},{"backend":"s2","share":70}],"maxTries":1,
+		"public":false,"generation":"00000001"},
+	"r3":{"authority":"two.example","pathPrefix":"/","routeKind":"idempotent","deadlineMs":1000,"targetMs":400,
+		"priority":1,"backend":"s2","maxTries":2,"public":true,"generation":"00000001"}},
+"customers":{
+	"t1":{"apiKeys":["k1","k2"],"priority":0,"ratePerS":10,"burst":20,"generation":"00000001"},
+	"t2":{"apiKeys":["k3"],"priority":1,"ratePerS":0,"burst":0,"generation":"00000001"}},
+"services":{
+	"s1":{"healthPath":"/health","maxConns":10,"protocol":"h1","tlsMode":false,"generation":"00000001"},
+	"s2":{"healthPath":"/health","maxConns":10,"protocol":"h1","tlsMode":false,"generation":"00000001"}}},
 "remove":{"routes":[]}}`
 
-func testSpeech(t *testing.T, fresh, whole bool) *translator {
-	return speechOf(t, testConfig, fresh, whole)
+func newTestTranslator(t *testing.T, current, complete bool) *translator {
+	return translatorFor(t, testConfig, current, complete)
 }
 
-func speechOf(t *testing.T, config string, fresh, whole bool) *translator {
+func translatorFor(t *testing.T, config string, current, complete bool) *translator {
 	items, err := configuration.ReadPatch([]byte(config))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var book *configuration.Snapshot
-	book, changed := book.Merge(items)
-	o := &controlFeed{shedder: newShedder(0), base: time.Now().Add(-time.Hour), ready: make(chan struct{})}
-	o.table.Store(configuration.NewRoutingTable().With(book, changed))
-	o.complete.Store(whole)
-	if fresh {
-		o.quorumAt.Store(int64(time.Hour))
+	var empty *configuration.Snapshot
+	snapshot, changed := empty.Merge(items)
+	feed := &controlFeed{shedder: newShedder(0), startedAt: time.Now().Add(-time.Hour), ready: make(chan struct{})}
+	feed.table.Store(configuration.NewRoutingTable().With(snapshot, changed))
+	feed.complete.Store(complete)
+	if current {
+		feed.quorumAt.Store(int64(time.Hour))
 	}
-	return &translator{control: o, splits: newSplitter(rand.New(rand.NewPCG(1, 1))), terms: map[string]*decision.Terms{}, classes: map[string]*decision.Class{}}
+	return newTranslator(feed, newSplitter(rand.New(rand.NewPCG(1, 1))))
 }
 
-func head(t *testing.T, text string) *http1.Request {
+func requestHead(t *testing.T, text string) *http1.Request {
 	t.Helper()
 	r, err := http1.NewReader(strings.NewReader(strings.ReplaceAll(text, "\n", "\r\n") + "\r\n\r\n")).Head()
 	if err != nil {
@@ -56,17 +64,21 @@
 	return r
 }
 
-func TestRequestsFindTheirRouteAndTenant(t *testing.T) {
+func TestParse(t *testing.T) {
 	const line = "GET /a/x?q=/a/b/ HTTP/1.1\nHost: One.example\nX-Attempt-Id: i1\nX-Time-Left-Ms: 900"
 	for name, c := range map[string]struct {
 		text         string
 		stale, early bool
-		status       int // 0: it is handed to the module
+		status       int // 0: it is accepted
 		route        string
 		tenant       string
 	}{
-		"route and tenant":     {text: line + "\nAuthorization: Token k2", route: "r1", tenant: "t1"},
-		"the longest prefix":   {text: strings.Replace(line, "/a/x", "/a/b/x", 1) + "\nAuthorization: Token k3", route: "r2", tenant: "t2"},
+		"route and tenant": {text: line + "\nAuthorization: Token k2", route: "r1", tenant: "t1"},
+		"the longest prefix": {
+			text:   strings.Replace(line, "/a/x", "/a/b/x", 1) + "\nAuthorization: Token k3",
+			route:  "r2",
+			tenant: "t2",
+		},
 		"tenant of the client": {text: line + "\nX-Tenant: t2\nAuthorization: Token k1", route: "r1", tenant: "t1"},
 		"public":               {text: strings.Replace(line, "One", "two", 1), route: "r3"},
 		"no route":             {text: strings.Replace(line, "One", "three", 1), status: 404},
@@ -83,11 +95,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			request, m, bad := testSpeech(t, !c.stale, !c.early).parse(head(t, c.text))
+			request, m, bad := newTestTranslator(t, !c.stale, !c.early).parse(requestHead(t, c.text))
 			if c.status != 0 {
 				is.True(bad != nil)
 				is.Equal(bad.Status, c.status)
-				is.Equal(bad.RetryAfter > 0, c.status == 503) // what has not run may come again
+				is.Equal(bad.RetryAfter > 0, c.status == 503) // what was not executed may be sent again
 				return
 			}
 			is.True(bad == nil)
@@ -95,9 +107,11 @@
 			is.Equal(m.Tenant, c.tenant)
 			is.True(request.TimeLeft <= 0.9)
 			is.Equal(m.AtMostOnce, c.route == "r2")
-			out := string(beginRequest(nil, m, "i-77", 1500*time.Millisecond)) + string(m.Fields)
-			is.True(!strings.Contains(out, "Token")) // servers are not shown the key
-			h, err := textproto.NewReader(bufio.NewReader(strings.NewReader(out[strings.Index(out, "\r\n")+2:] + "\r\n"))).ReadMIMEHeader()
+			out := string(appendRequestHead(nil, m, "i-77", 1500*time.Millisecond)) + string(m.Fields)
+			is.True(!strings.Contains(out, "Token")) // servers do not get the key
+			h, err := textproto.NewReader(
+				bufio.NewReader(strings.NewReader(out[strings.Index(out, "\r\n")+2:] + "\r\n")),
+			).ReadMIMEHeader()
 			is.NoErr(err)
 			is.Equal(h.Get("X-Target-Instance"), "i-77")
 			is.Equal(h.Get("X-Time-Left-Ms"), "1500")
@@ -114,18 +128,18 @@
 	return []string{name}
 }
 
-func TestSplitRoutesFollowTheirShares(t *testing.T) {
+func TestSplitRoutesFollowTheirWeights(t *testing.T) {
 	is := is.New(t)
-	s, n := testSpeech(t, true, true), 0
+	translator, count := newTestTranslator(t, true, true), 0
 	for range 1000 {
-		if s.chooseService(s.control.table.Load().RouteByName("r2")) == "s2" {
-			n++
+		if translator.chooseService(translator.control.table.Load().RouteByName("r2")) == "s2" {
+			count++
 		}
 	}
-	is.True(n > 650 && n < 750)
+	is.True(count > 650 && count < 750)
 }
 
-func TestOnlyTheServersOwnWordProvesThatNothingRan(t *testing.T) {
+func TestClassifyAnswer(t *testing.T) {
 	for text, want := range map[string]upstream.AnswerMeaning{
 		"200 OK\nX-Attempt-Id: i1\nX-Server-Seal: s":                         upstream.Served,
 		"201 Created\nX-Attempt-Id: i1\nX-Server-Seal: s":                    upstream.Served,
@@ -135,7 +149,7 @@
 		"200 OK\nX-Attempt-Id: i2\nX-Server-Seal: s":                         upstream.Foreign,
 		"500 Oops\nX-Attempt-Id: i2":                                         upstream.Foreign,
 		"500 Oops\nX-Attempt-Id: i1":                                         upstream.Failed,
-		"503 Full\nX-Attempt-Id: i1":                                         upstream.Broken, // a promise that nothing proves
+		"503 Full\nX-Attempt-Id: i1":                                         upstream.Broken, // a promise without proof
 		"503 Full\nX-Attempt-Id: i1\nX-Server-Seal: s":                       upstream.Broken,
 		"429 Many\nX-Attempt-Id: i1":                                         upstream.Broken,
 		"408 Slow\nX-Attempt-Id: i1":                                         upstream.Broken,
@@ -145,17 +159,20 @@
 		"421 Other\nX-Instance-Id: i-5":                                      upstream.NotExecuted,
 		"404 None":                                                           upstream.Broken,
 		"404 None\nX-Attempt-Id: i1":                                         upstream.Served,
-		"503 Full\nX-Attempt-Id: i2\nX-Not-Executed: 1":                      upstream.Foreign, // another's refusal proves nothing here
-		"421 Other\nX-Attempt-Id: i2":                                        upstream.Foreign,
-		"200 OK\nX-Attempt-Id: i1\nX-Attempt-Id: i2\nX-Server-Seal: s":       upstream.Broken,
-		"503 Full\nX-Attempt-Id: i1\nX-Attempt-Id: i2\nX-Not-Executed: 1":    upstream.Broken,
+		// another request's rejection proves nothing here
+		"503 Full\nX-Attempt-Id: i2\nX-Not-Executed: 1":                   upstream.Foreign,
+		"421 Other\nX-Attempt-Id: i2":                                     upstream.Foreign,
+		"200 OK\nX-Attempt-Id: i1\nX-Attempt-Id: i2\nX-Server-Seal: s":    upstream.Broken,
+		"503 Full\nX-Attempt-Id: i1\nX-Attempt-Id: i2\nX-Not-Executed: 1": upstream.Broken,
 	} {
-		for _, unbounded := range []bool{false, true} { // its end is the connection's: it may have been cut short
+		for _, unbounded := range []bool{false, true} { // only the end of the connection delimits it: it may be truncated
 			end := "\r\nContent-Length: 0\r\n\r\n"
 			if unbounded {
 				end = "\r\n\r\n"
 			}
-			a, err := http1.NewReader(strings.NewReader("HTTP/1.1 " + strings.ReplaceAll(text, "\n", "\r\n") + end)).Response(false)
+			a, err := http1.NewReader(strings.NewReader("HTTP/1.1 " + strings.ReplaceAll(text, "\n", "\r\n") + end)).Response(
+				false,
+			)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -164,14 +181,14 @@
 				want = upstream.Broken
 			}
 			if got := classifyAnswer(&upstream.Message{ID: "i1"}, a); got != want {
-				t.Errorf("%q, unbounded %v, means %v, not %v", text, unbounded, got, want)
+				t.Errorf("%q, unbounded %v: got %v, want %v", text, unbounded, got, want)
 			}
 		}
 	}
 }
 
-// TestSurplusAnswersBelongToNoRequest has a server send a second answer late, in the place of the next one's: the client of the next
-// request gets its own, and the connection is not used again.
+// TestSurplusAnswersBelongToNoRequest has a server send a second answer late, in the place of the next one's: the
+// client of the next request gets its own, and the connection is not used again.
 func TestSurplusAnswersBelongToNoRequest(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -203,12 +220,21 @@
 			}()
 		}
 	}()
-	p := upstream.New(func(string) (string, bool) { return l.Addr().String(), true }, upstream.Limits{Connections: 9, ConnectTimeout: time.Second, Keepalive: time.Minute}, quiet())
-	p.Dialect = upstream.Dialect{AppendHead: beginRequest, Meaning: classifyAnswer, IDField: headerAttemptID}
+	p := upstream.New(func(string) (string, bool) { return l.Addr().String(), true }, upstream.Limits{
+		Connections:    9,
+		ConnectTimeout: time.Second,
+		Keepalive:      time.Minute,
+	}, discardLogger())
+	p.Dialect = upstream.Dialect{AppendHead: appendRequestHead, Meaning: classifyAnswer, IDField: headerAttemptID}
 	for _, id := range []string{"first", "second", "third"} {
-		r := p.Do(t.Context(), "i-1", &upstream.Message{Method: "GET", Target: "/", Host: "h", ID: id}, time.Now().Add(5*time.Second))
+		r := p.Do(t.Context(), "i-1", &upstream.Message{
+			Method: "GET",
+			Target: "/",
+			Host:   "h",
+			ID:     id,
+		}, time.Now().Add(5*time.Second))
 		is.Equal(r.Outcome, decision.Succeeded)
 		is.Equal(string(r.Body), id[:1])
 	}
-	is.Equal(len(conns), 2) // the second request's connection was ended, for one answer too many had come on it
+	is.Equal(len(conns), 2) // the second request's connection was closed: a surplus answer had come on it
 }
