--- a/internal/standalone/fleet/leaseservice/calls.go
+++ b/internal/standalone/fleet/leaseservice/calls.go
@@ -69,12 +69,12 @@
 	}
 	st, r := s.core.Status(), s.core.Register()
 	t.Leader, t.Term, t.Voters = st.Leader, st.Term, st.Voters
-	for _, name := range r.Names() {
-		e := r.Duties[name]
+	for _, name := range r.Roles() {
+		e := r.Leases[name]
 		t.Duties = append(t.Duties, DutyReport{name, e.Holder.Name, e.Token, s.core.Line(name)})
 	}
 	for _, h := range r.History {
-		t.Past = append(t.Past, HolderReport{h.Duty, h.Token, h.To.Name, h.To.Boot})
+		t.Past = append(t.Past, HolderReport{h.Role, h.Token, h.Holder.Name, h.Holder.Boot})
 	}
 	if data, err := cbor.Marshal(t); err == nil {
 		s.tell(m.from, topicTold, m.data, data)
@@ -177,8 +177,8 @@
 	if len(m.data) < 8 || cbor.Unmarshal(m.data[8:], &p) != nil {
 		return
 	}
-	token, holds := s.holder.May(s.now(), Export)
-	until, endpoint := s.holder.Until(Export)-s.now(), s.billing // its own: what others hand over goes nowhere else
+	token, holds := s.holder.FencingToken(s.now(), Export)
+	until, endpoint := s.holder.ExpiresAt(Export)-s.now(), s.billing // its own: what others hand over goes nowhere else
 	if !holds {
 		go s.told(m, posted{Body: []byte("it does not hold the export")})
 		return
--- a/internal/standalone/fleet/leaseservice/steward.go
+++ b/internal/standalone/fleet/leaseservice/steward.go
@@ -70,13 +70,13 @@
 	done   sync.WaitGroup
 
 	mu      sync.Mutex // guards what follows
-	holder  *singleton.Holder
+	holder  *singleton.LeaseHolder
 	core    *quorum.Core // nil: no voter
 	store   *boltstore.Store
 	works   map[string]*work
-	known   map[string]singleton.Grown // the last answer
+	known   map[string]singleton.RoleStatus // the last answer
 	beatAt  time.Duration
-	self    singleton.Claimant
+	self    singleton.Identity
 	state   string
 	billing string
 
@@ -92,9 +92,9 @@
 
 // Start begins. A voter whose folder cannot be used says so, and the rest goes on.
 func Start(o Options) *Steward {
-	s := &Steward{o: o, base: time.Now(), in: make(chan incoming, queueMost), works: map[string]*work{}, known: map[string]singleton.Grown{}, unreached: make(chan error, 1)}
+	s := &Steward{o: o, base: time.Now(), in: make(chan incoming, queueMost), works: map[string]*work{}, known: map[string]singleton.RoleStatus{}, unreached: make(chan error, 1)}
 	self := o.Fleet.Self()
-	s.holder = singleton.NewHolder(claimant(self), o.Zone)
+	s.holder = singleton.NewLeaseHolder(claimant(self), o.Zone)
 	if slices.Contains(o.Voters, self.Name) {
 		s.store = &boltstore.Store{Path: filepath.Join(o.Dir, "votes.db")}
 		var votes quorum.Store = s.store
@@ -126,8 +126,8 @@
 	return s
 }
 
-func claimant(m membership.Member) singleton.Claimant {
-	return singleton.Claimant{Name: m.Name, Boot: m.Boot, Nonce: m.Nonce}
+func claimant(m membership.Member) singleton.Identity {
+	return singleton.Identity{Name: m.Name, Boot: m.Boot, Nonce: m.Nonce}
 }
 
 func (s *Steward) now() singleton.Seconds {
@@ -148,7 +148,7 @@
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.works)) {
-		s.carry(s.holder.Step(s.now(), singleton.Wanted{Duty: name, Zone: s.works[name].zone}))
+		s.carry(s.holder.Step(s.now(), singleton.Acquire{Role: name, PreferredZone: s.works[name].zone}))
 	}
 }
 
@@ -173,7 +173,7 @@
 			w.cancel()
 			ended = append(ended, w.ended)
 		}
-		s.carry(s.holder.Step(s.now(), singleton.Resign{Duty: name}))
+		s.carry(s.holder.Step(s.now(), singleton.Resign{Role: name}))
 	}
 	return ended
 }
@@ -194,7 +194,7 @@
 		s.mu.Lock()
 		r := Record{Name: s.o.Fleet.Self().Name, Boot: s.o.Fleet.Self().Boot, Tokens: map[string]uint64{}}
 		for name := range s.works {
-			if token, ok := s.holder.May(s.now(), name); ok {
+			if token, ok := s.holder.FencingToken(s.now(), name); ok {
 				r.Tokens[name] = token
 			}
 		}
@@ -253,7 +253,7 @@
 func (s *Steward) May(name string) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.holder.May(s.now(), name)
+	return s.holder.FencingToken(s.now(), name)
 }
 
 func (s *Steward) run(ctx context.Context) {
@@ -277,11 +277,11 @@
 	defer s.mu.Unlock()
 	now := time.Since(s.base)
 	if now-s.beatAt > stallMost {
-		s.carry(s.holder.Step(s.now(), singleton.Woken{}))
+		s.carry(s.holder.Step(s.now(), singleton.StallDetected{}))
 	}
 	s.beatAt = now
 	if c := claimant(s.o.Fleet.Self()); c != s.self {
-		s.holder.Renamed(c)
+		s.holder.SetIdentity(c)
 		s.self = c
 	}
 	if s.core != nil {
@@ -298,5 +298,5 @@
 		s.o.Log.WithField("code", "duty-no-room").Error("the record of duties is not written in time: this ingress gives up what it holds, and takes nothing until it is")
 		s.resign()
 	}
-	s.carry(s.holder.Step(s.now(), singleton.HolderTick{}))
+	s.carry(s.holder.Step(s.now(), singleton.LeaseHolderTick{}))
 }
--- a/internal/standalone/fleet/leaseservice/work.go
+++ b/internal/standalone/fleet/leaseservice/work.go
@@ -54,17 +54,17 @@
 			}
 		}
 	case topicAsk:
-		var a singleton.Ask
+		var a singleton.AcquireRequest
 		if s.core != nil && cbor.Unmarshal(m.data, &a) == nil && a.From.Name == m.from {
 			s.out(s.core.Ask(now, a))
 		}
 	case topicAnswer:
-		var a singleton.Answer
+		var a singleton.AcquireResponse
 		if slices.Contains(s.o.Voters, m.from) && cbor.Unmarshal(m.data, &a) == nil {
 			s.answered(a)
 		}
 	case topicNudge:
-		s.carry(s.holder.Step(now, singleton.Nudged{}))
+		s.carry(s.holder.Step(now, singleton.WakeReceived{}))
 	case topicCall:
 		s.call(m)
 	case topicPost:
@@ -81,11 +81,11 @@
 	}
 }
 
-func (s *Steward) answered(a singleton.Answer) {
+func (s *Steward) answered(a singleton.AcquireResponse) {
 	for _, g := range a.Grants {
-		s.known[g.Duty] = g
+		s.known[g.Role] = g
 	}
-	s.carry(s.holder.Step(s.now(), singleton.Answered{Answer: a}))
+	s.carry(s.holder.Step(s.now(), singleton.ResponseReceived{Response: a}))
 }
 
 // out carries out what the voter wants. The mutex is held.
@@ -96,16 +96,16 @@
 	self := s.o.Fleet.Self().Name
 	for _, r := range o.Reply {
 		if r.To.Name == self {
-			s.answered(r.Answer)
+			s.answered(r.Response)
 			continue
 		}
-		if data, err := cbor.Marshal(r.Answer); err == nil {
+		if data, err := cbor.Marshal(r.Response); err == nil {
 			s.o.Fleet.Send(r.To.Name, topicAnswer, data)
 		}
 	}
 	for _, n := range o.Nudge {
 		if n == self {
-			s.carry(s.holder.Step(s.now(), singleton.Nudged{}))
+			s.carry(s.holder.Step(s.now(), singleton.WakeReceived{}))
 			continue
 		}
 		s.o.Fleet.Send(n, topicNudge, []byte{1})
@@ -113,11 +113,11 @@
 }
 
 // carry does what the holder wants. The mutex is held.
-func (s *Steward) carry(actions []singleton.HolderAction) {
+func (s *Steward) carry(actions []singleton.LeaseHolderAction) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case singleton.Send:
-			data, err := cbor.Marshal(a.Ask)
+		case singleton.SendRequest:
+			data, err := cbor.Marshal(a.Request)
 			if err != nil {
 				continue
 			}
@@ -126,19 +126,19 @@
 				if v != self {
 					s.o.Fleet.Send(v, topicAsk, data)
 				} else if s.core != nil {
-					s.out(s.core.Ask(s.now(), a.Ask))
+					s.out(s.core.Ask(s.now(), a.Request))
 				}
 			}
-		case singleton.Gained:
-			s.o.Log.WithFields(logrus.Fields{"code": "duty-gained", "duty": a.Duty, "token": a.Token}).Info("this ingress holds a duty")
-			s.begin(a.Duty, a.Token)
-		case singleton.Lost:
-			s.o.Log.WithFields(logrus.Fields{"code": "duty-lost", "duty": a.Duty, "token": a.Token}).Warn("this ingress holds a duty no more")
-			if w := s.works[a.Duty]; w != nil && w.cancel != nil {
+		case singleton.LeaseGained:
+			s.o.Log.WithFields(logrus.Fields{"code": "duty-gained", "duty": a.Role, "token": a.Token}).Info("this ingress holds a duty")
+			s.begin(a.Role, a.Token)
+		case singleton.LeaseLost:
+			s.o.Log.WithFields(logrus.Fields{"code": "duty-lost", "duty": a.Role, "token": a.Token}).Warn("this ingress holds a duty no more")
+			if w := s.works[a.Role]; w != nil && w.cancel != nil {
 				w.cancel()
 			}
-		case singleton.Yield:
-			if w := s.works[a.Duty]; w != nil && w.cancel != nil {
+		case singleton.StepDown:
+			if w := s.works[a.Role]; w != nil && w.cancel != nil {
 				w.cancel()
 			}
 		}
@@ -167,14 +167,14 @@
 		w.cancel = nil
 		close(ended)
 		if stopped {
-			s.carry(s.holder.Step(s.now(), singleton.Yielded{Duty: name}))
-			if t, ok := s.holder.May(s.now(), name); ok && t != token { // it was gained again meanwhile
+			s.carry(s.holder.Step(s.now(), singleton.SteppedDown{Role: name}))
+			if t, ok := s.holder.FencingToken(s.now(), name); ok && t != token { // it was gained again meanwhile
 				s.begin(name, t)
 			}
 			return
 		}
 		s.o.Log.WithFields(logrus.Fields{"code": "duty-resigned", "duty": name}).WithError(err).Error("the work of a duty cannot be done here; another ingress may have it")
-		s.carry(s.holder.Step(s.now(), singleton.Resign{Duty: name}))
+		s.carry(s.holder.Step(s.now(), singleton.Resign{Role: name}))
 		time.AfterFunc(resignFor, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
--- a/internal/standalone/fleet/quorum/apply.go
+++ b/internal/standalone/fleet/quorum/apply.go
@@ -35,7 +35,7 @@
 		if len(e.GetData()) == 0 { // the first of a leader: all before it is applied
 			if c.leads && e.GetTerm() == c.node.BasicStatus().GetTerm() {
 				c.led = true
-				c.carry(now, c.clerk.Step(now, singleton.Led{}))
+				c.carry(now, c.clerk.Step(now, singleton.LeadershipGained{}))
 			}
 			return
 		}
@@ -45,7 +45,7 @@
 		}
 		ok := c.register.Apply(k, e.GetIndex())
 		c.out.Changed = c.out.Changed || ok && k.Kind != singleton.Renew
-		c.carry(now, c.clerk.Step(now, singleton.Applied{Command: k, OK: ok}))
+		c.carry(now, c.clerk.Step(now, singleton.CommandApplied{Command: k, OK: ok}))
 	}
 }
 
@@ -69,7 +69,7 @@
 }
 
 // carry does what the clerk wants.
-func (c *Core) carry(now singleton.Seconds, actions []singleton.ClerkAction) {
+func (c *Core) carry(now singleton.Seconds, actions []singleton.ManagerAction) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case singleton.Propose:
@@ -78,7 +78,7 @@
 			}
 		case singleton.Reply:
 			c.out.Reply = append(c.out.Reply, a)
-		case singleton.Nudge:
+		case singleton.Wake:
 			if a.Name != "" {
 				c.out.Nudge = append(c.out.Nudge, a.Name)
 			}
--- a/internal/standalone/fleet/quorum/boltstore/landed_test.go
+++ b/internal/standalone/fleet/quorum/boltstore/landed_test.go
@@ -85,14 +85,14 @@
 		Register struct {
 			Last   uint64
 			Duties map[string]struct {
-				Holder singleton.Claimant
+				Holder singleton.Identity
 				Token  uint64
 				Seen   uint64
 			}
 			History []struct {
 				Duty  string
 				Token uint64
-				To    singleton.Claimant
+				To    singleton.Identity
 				Index uint64
 			}
 		} `json:"register"`
@@ -117,14 +117,14 @@
 	if diff := cmp.Diff(want.Status.Voters, got.Voters); diff != "" {
 		t.Errorf("voters (-want +got):\n%s", diff)
 	}
-	table := singleton.NewRegister()
-	table.Last = want.Register.Last
+	table := singleton.NewLeaseTable()
+	table.LastToken = want.Register.Last
 	for name, lease := range want.Register.Duties {
-		table.Duties[name] = singleton.Entry{Holder: lease.Holder, Token: lease.Token, Seen: lease.Seen}
+		table.Leases[name] = singleton.Lease{Holder: lease.Holder, Token: lease.Token, RenewedAt: lease.Seen}
 	}
 	for _, past := range want.Register.History {
 		table.History = append(table.History,
-			singleton.Term{Duty: past.Duty, Token: past.Token, To: past.To, Index: past.Index})
+			singleton.Tenure{Role: past.Duty, Token: past.Token, Holder: past.To, Index: past.Index})
 	}
 	if diff := cmp.Diff(table, core.Register()); diff != "" {
 		t.Errorf("table (-want +got):\n%s", diff)
--- a/internal/standalone/fleet/quorum/core.go
+++ b/internal/standalone/fleet/quorum/core.go
@@ -45,8 +45,8 @@
 	mem      *raft.MemoryStorage
 	node     *raft.RawNode
 	conf     *pb.ConfState
-	register *singleton.Register
-	clerk    *singleton.Clerk
+	register *singleton.LeaseTable
+	clerk    *singleton.LeaseManager
 	applied  uint64
 	kept     uint64 // index of the last snapshot
 	leader   uint64
@@ -66,8 +66,8 @@
 func Open(name string, named []string, store Store, base uint64) (*Core, error) {
 	c := &Core{name: name, named: slices.Clone(named), store: store, base: base, vouched: map[uint64]bool{}, unformed: map[string]uint64{}}
 	slices.Sort(c.named)
-	c.register = singleton.NewRegister()
-	c.clerk = singleton.NewClerk(c.register)
+	c.register = singleton.NewLeaseTable()
+	c.clerk = singleton.NewLeaseManager(c.register)
 	d, err := store.Open()
 	if err != nil {
 		c.state, c.why = Retired, err.Error()
@@ -93,7 +93,7 @@
 
 // snapshot is a register with its voters, as snapshots carry it.
 type snapshot struct {
-	Register *singleton.Register `cbor:"1,keyasint"`
+	Register *singleton.LeaseTable `cbor:"1,keyasint"`
 	Names    map[uint64]string   `cbor:"2,keyasint"`
 }
 
@@ -136,11 +136,11 @@
 	if err := cbor.Unmarshal(s.GetData(), &held); err != nil || held.Register == nil {
 		return fmt.Errorf("quorum: %w: a snapshot: %v", ErrDamaged, err)
 	}
-	if held.Register.Duties == nil {
-		held.Register.Duties = map[string]singleton.Entry{}
+	if held.Register.Leases == nil {
+		held.Register.Leases = map[string]singleton.Lease{}
 	}
 	c.register, c.d.Names = held.Register, held.Names
-	c.clerk.Follow(c.register)
+	c.clerk.SetTable(c.register)
 	c.conf = proto.Clone(s.GetMetadata().GetConfState()).(*pb.ConfState)
 	c.applied, c.kept = s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex()
 	return nil
@@ -151,7 +151,7 @@
 	c.state, c.why, c.node = Retired, why, nil
 	if c.led {
 		c.led = false
-		c.clerk.Step(c.tickAt, singleton.Deposed{})
+		c.clerk.Step(c.tickAt, singleton.LeadershipLost{})
 	}
 	c.out.Changed = true
 }
@@ -164,7 +164,7 @@
 		if c.state == Voting {
 			c.node.Tick()
 		}
-		c.carry(now, c.clerk.Step(now, singleton.ClerkTick{}))
+		c.carry(now, c.clerk.Step(now, singleton.ManagerTick{}))
 	})
 }
 
@@ -181,13 +181,13 @@
 }
 
 // Ask takes an ingress's question; Give an operator's wish.
-func (c *Core) Ask(now singleton.Seconds, a singleton.Ask) Out {
-	return c.step(now, func() { c.carry(now, c.clerk.Step(now, singleton.Asked{Ask: a})) })
+func (c *Core) Ask(now singleton.Seconds, a singleton.AcquireRequest) Out {
+	return c.step(now, func() { c.carry(now, c.clerk.Step(now, singleton.RequestReceived{Request: a})) })
 }
 
 // Give has a duty go to a member.
 func (c *Core) Give(now singleton.Seconds, name, to string) Out {
-	return c.step(now, func() { c.carry(now, c.clerk.Step(now, singleton.Give{Duty: name, To: to})) })
+	return c.step(now, func() { c.carry(now, c.clerk.Step(now, singleton.Transfer{Role: name, To: to})) })
 }
 
 // Resume begins anew from the disk, once there is room again, or an older process of this ingress has let go of it.
@@ -229,7 +229,7 @@
 		c.state, c.why, c.node = Full, err.Error(), nil
 		if c.led {
 			c.led = false
-			c.clerk.Step(c.tickAt, singleton.Deposed{})
+			c.clerk.Step(c.tickAt, singleton.LeadershipLost{})
 		}
 		c.out.Changed = true
 	default:
@@ -262,7 +262,7 @@
 	case kindHello:
 		if !e.Formed && slices.Contains(c.named, e.Name) {
 			if c.unformed[e.Name] = e.From; c.d.Names[e.From] == e.Name {
-				c.send(e.Name, envelope{Kind: kindForm, Voters: c.d.Names, Base: c.register.Last}) // it did not hear that it is one of us
+				c.send(e.Name, envelope{Kind: kindForm, Voters: c.d.Names, Base: c.register.LastToken}) // it did not hear that it is one of us
 			}
 		}
 		if e.Formed {
@@ -313,7 +313,7 @@
 			c.leader, c.leads, c.out.Changed = s.Lead, s.RaftState == raft.StateLeader, true
 			if !c.leads && c.led {
 				c.led = false
-				c.clerk.Step(now, singleton.Deposed{})
+				c.clerk.Step(now, singleton.LeadershipLost{})
 			}
 		}
 		b := Batch{Entries: rd.Entries}
--- a/internal/standalone/fleet/quorum/encoding_test.go
+++ b/internal/standalone/fleet/quorum/encoding_test.go
@@ -16,7 +16,7 @@
 // TestEncodingOfLandedVersion holds the format of messages between voters and of snapshots still: the files under
 // testdata/landed were written by commit 76a3bb5, before the types and fields were renamed.
 func TestEncodingOfLandedVersion(t *testing.T) {
-	holder := singleton.Claimant{Name: "n1", Boot: 3, Nonce: 4}
+	holder := singleton.Identity{Name: "n1", Boot: 3, Nonce: 4}
 	tests := []struct {
 		file  string
 		value any
@@ -29,10 +29,10 @@
 		{"envelope_form", envelope{Kind: kindForm, From: 11, Name: "n1", Boot: 2, Voters: map[uint64]string{11: "n1"},
 			Base: 1 << 40}},
 		{"snapshot", snapshot{
-			Register: &singleton.Register{
-				Last:    12,
-				Duties:  map[string]singleton.Entry{"export": {Holder: holder, Token: 12, Seen: 44}},
-				History: []singleton.Term{{Duty: "export", Token: 12, To: holder, Index: 40}},
+			Register: &singleton.LeaseTable{
+				LastToken:    12,
+				Leases:  map[string]singleton.Lease{"export": {Holder: holder, Token: 12, RenewedAt: 44}},
+				History: []singleton.Tenure{{Role: "export", Token: 12, Holder: holder, Index: 40}},
 			},
 			Names: map[uint64]string{11: "n1"},
 		}},
--- a/internal/standalone/fleet/quorum/formation.go
+++ b/internal/standalone/fleet/quorum/formation.go
@@ -83,8 +83,8 @@
 
 // formed is the beginning of the log, the same at each voter.
 func (c *Core) formed(voters map[uint64]string, base uint64) {
-	r := singleton.NewRegister()
-	r.Last = base
+	r := singleton.NewLeaseTable()
+	r.LastToken = base
 	data, err := cbor.Marshal(snapshot{r, voters})
 	if err != nil {
 		c.retire(err.Error())
--- a/internal/standalone/fleet/quorum/load_test.go
+++ b/internal/standalone/fleet/quorum/load_test.go
@@ -19,7 +19,7 @@
 	names   []string
 	cores   map[string]*quorum.Core
 	stores  map[string]*boltstore.Store
-	holders map[string]*singleton.Holder
+	holders map[string]*singleton.LeaseHolder
 	away    bool // nothing reaches the voters
 	asks    int
 	bytes   int
@@ -41,19 +41,19 @@
 		g.on(p.To, func(c *quorum.Core) quorum.Out { o, _ := c.Receive(g.now, p.Data); return o })
 	}
 	for _, r := range out.Reply {
-		g.hold(r.To.Name, singleton.Answered{Answer: r.Answer})
+		g.hold(r.To.Name, singleton.ResponseReceived{Response: r.Response})
 	}
 	for _, n := range out.Nudge {
-		g.hold(n, singleton.Nudged{})
+		g.hold(n, singleton.WakeReceived{})
 	}
 }
 
-func (g *group) hold(name string, e singleton.HolderEvent) {
+func (g *group) hold(name string, e singleton.LeaseHolderEvent) {
 	for _, a := range g.holders[name].Step(g.now, e) {
-		if s, ok := a.(singleton.Send); ok && !g.away {
+		if s, ok := a.(singleton.SendRequest); ok && !g.away {
 			g.asks++
 			for _, v := range g.names {
-				g.on(v, func(c *quorum.Core) quorum.Out { return c.Ask(g.now, s.Ask) })
+				g.on(v, func(c *quorum.Core) quorum.Out { return c.Ask(g.now, s.Request) })
 			}
 		}
 	}
@@ -65,7 +65,7 @@
 			g.on(v, func(c *quorum.Core) quorum.Out { return c.Tick(g.now) })
 		}
 		for i := range len(g.holders) {
-			g.hold(fmt.Sprint("in", i), singleton.HolderTick{})
+			g.hold(fmt.Sprint("in", i), singleton.LeaseHolderTick{})
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	for d := range duties {
 		who := ""
 		for name, h := range g.holders {
-			if _, ok := h.May(g.now, fmt.Sprint("duty", d)); ok {
+			if _, ok := h.FencingToken(g.now, fmt.Sprint("duty", d)); ok {
 				if who != "" {
 					t.Errorf("%s and %s hold duty %d", who, name, d)
 				}
@@ -94,7 +94,7 @@
 	if os.Getenv("MULLEIN_LONG") != "" {
 		ingresses, duties = 300, 50
 	}
-	g := &group{now: 1000, cores: map[string]*quorum.Core{}, stores: map[string]*boltstore.Store{}, holders: map[string]*singleton.Holder{}, cpu: map[string]time.Duration{}}
+	g := &group{now: 1000, cores: map[string]*quorum.Core{}, stores: map[string]*boltstore.Store{}, holders: map[string]*singleton.LeaseHolder{}, cpu: map[string]time.Duration{}}
 	dir := t.TempDir()
 	for i := range 3 {
 		g.names = append(g.names, fmt.Sprint("v", i))
@@ -109,9 +109,9 @@
 	}
 	for i := range ingresses {
 		name := fmt.Sprint("in", i)
-		g.holders[name] = singleton.NewHolder(singleton.Claimant{Name: name, Boot: 1, Nonce: 1}, "a")
+		g.holders[name] = singleton.NewLeaseHolder(singleton.Identity{Name: name, Boot: 1, Nonce: 1}, "a")
 		for d := range duties {
-			g.hold(name, singleton.Wanted{Duty: fmt.Sprint("duty", d)})
+			g.hold(name, singleton.Acquire{Role: fmt.Sprint("duty", d)})
 		}
 	}
 	g.run(12)
@@ -156,16 +156,16 @@
 	for ; !c.Status().Leads && now < 1100; now += quorum.TickEvery {
 		c.Tick(now)
 	}
-	ask := singleton.Ask{From: singleton.Claimant{Name: "a", Boot: 1}}
-	for d := range singleton.MostDuties {
-		ask.Wants = append(ask.Wants, singleton.Want{Duty: fmt.Sprint("duty", d)})
+	ask := singleton.AcquireRequest{From: singleton.Identity{Name: "a", Boot: 1}}
+	for d := range singleton.MaxRoles {
+		ask.Roles = append(ask.Roles, singleton.RoleRequest{Role: fmt.Sprint("duty", d)})
 	}
 	for id := uint64(1); int(c.Status().Applied) < entries && now < 2000; now += quorum.TickEvery {
 		ask.ID = id
 		c.Ask(now, ask)
 		c.Tick(now)
-		for i := range ask.Wants {
-			ask.Wants[i].Token = c.Register().Duties[ask.Wants[i].Duty].Token
+		for i := range ask.Roles {
+			ask.Roles[i].Token = c.Register().Leases[ask.Roles[i].Role].Token
 		}
 		id++
 	}
@@ -180,8 +180,8 @@
 	for end := now + 100; !c.Status().Leads && now < end; now += quorum.TickEvery {
 		c.Tick(now)
 	}
-	if c.Register().Last != want.Last || len(c.Register().Duties) != len(want.Duties) || int(c.Status().Applied) < entries {
-		t.Errorf("it knows of %d entries and %d duties, wanted %d of %d", c.Status().Applied, len(c.Register().Duties), len(want.Duties), entries)
+	if c.Register().LastToken != want.LastToken || len(c.Register().Leases) != len(want.Leases) || int(c.Status().Applied) < entries {
+		t.Errorf("it knows of %d entries and %d duties, wanted %d of %d", c.Status().Applied, len(c.Register().Leases), len(want.Leases), entries)
 	}
 	t.Logf("after %d entries: opened in %v, a file of %d kB", entries, took, s.Size()>>10)
 }
--- a/internal/standalone/fleet/quorum/sim_test.go
+++ b/internal/standalone/fleet/quorum/sim_test.go
@@ -77,7 +77,7 @@
 	disk    *disk
 	saved   *Durable
 	core    *Core // nil: no voter, or down
-	holder  *singleton.Holder
+	holder  *singleton.LeaseHolder
 	boot    uint64
 	up      bool
 	stopped float64 // until then
@@ -187,8 +187,8 @@
 	if slices.Contains(f.named(), m.name) {
 		m.core, _ = Open(m.name, f.named(), m.disk, uint64(1e6+f.now)<<20)
 	}
-	m.holder = singleton.NewHolder(singleton.Claimant{Name: m.name, Boot: m.boot, Nonce: m.boot}, "a")
-	f.hold(m, singleton.Wanted{Duty: theDuty})
+	m.holder = singleton.NewLeaseHolder(singleton.Identity{Name: m.name, Boot: m.boot, Nonce: m.boot}, "a")
+	f.hold(m, singleton.Acquire{Role: theDuty})
 }
 
 // every is a machine's beat: ten times a second by its own clock.
@@ -197,7 +197,7 @@
 		if m.up && f.now >= m.stopped {
 			f.work(m) // whoever works may wake before whoever keeps the lease
 			if local := f.local(m); local-m.beat > 1 {
-				f.hold(m, singleton.Woken{})
+				f.hold(m, singleton.StallDetected{})
 			}
 			m.beat = f.local(m)
 			queue := m.queue
@@ -209,7 +209,7 @@
 				m.core.Resume(f.local(m))
 				f.out(m, m.core.Tick(f.local(m)))
 			}
-			f.hold(m, singleton.HolderTick{})
+			f.hold(m, singleton.LeaseHolderTick{})
 			f.work(m)
 		}
 		f.every(m)
@@ -257,22 +257,22 @@
 	}
 	for _, r := range o.Reply {
 		if to := f.machine(r.To.Name); to != nil {
-			f.send(m, to, func() { f.hold(to, singleton.Answered{Answer: r.Answer}) })
+			f.send(m, to, func() { f.hold(to, singleton.ResponseReceived{Response: r.Response}) })
 		}
 	}
 	for _, n := range o.Nudge {
 		if to := f.machine(n); to != nil {
-			f.send(m, to, func() { f.hold(to, singleton.Nudged{}) })
+			f.send(m, to, func() { f.hold(to, singleton.WakeReceived{}) })
 		}
 	}
 	if m.core != nil && m.core.applied > 0 && m.core.state != Unformed {
-		text := fmt.Sprintf("%d %v", m.core.register.Last, m.core.register.Duties)
+		text := fmt.Sprintf("%d %v", m.core.register.LastToken, m.core.register.Leases)
 		if was, ok := f.states[m.core.applied]; ok && was != text {
 			f.problem("%s has another register at entry %d: %s, not %s", m.name, m.core.applied, text, was)
 		}
 		f.states[m.core.applied] = text
 		for _, t := range m.core.register.History {
-			who := fmt.Sprint(t.To)
+			who := fmt.Sprint(t.Holder)
 			if was, ok := f.grants[t.Token]; ok && was != who {
 				f.problem("token %d was given to %s and to %s", t.Token, was, who)
 			}
@@ -282,11 +282,11 @@
 }
 
 // hold gives an event to a machine's holder.
-func (f *fleet) hold(m *machine, e singleton.HolderEvent) {
-	if a, ok := e.(singleton.Answered); ok {
-		key := fmt.Sprint(m.name, m.boot, a.Answer.ID)
-		for _, g := range a.Answer.Grants {
-			if sent, out := f.asked[key]; out && g.Held { // for the checker of the register of holders
+func (f *fleet) hold(m *machine, e singleton.LeaseHolderEvent) {
+	if a, ok := e.(singleton.ResponseReceived); ok {
+		key := fmt.Sprint(m.name, m.boot, a.Response.ID)
+		for _, g := range a.Response.Grants {
+			if sent, out := f.asked[key]; out && g.Confirmed { // for the checker of the register of holders
 				f.history = append(f.history, porcupine.Operation{ClientId: slices.Index(f.all, m), Input: [2]any{g.Token, fmt.Sprint(m.name, m.boot)}, Output: true,
 					Call: int64(sent * 1e6), Return: int64(f.now * 1e6)})
 			}
@@ -295,25 +295,25 @@
 	}
 	for _, a := range m.holder.Step(f.local(m), e) {
 		switch a := a.(type) {
-		case singleton.Send:
-			f.asked[fmt.Sprint(m.name, m.boot, a.Ask.ID)] = f.now
+		case singleton.SendRequest:
+			f.asked[fmt.Sprint(m.name, m.boot, a.Request.ID)] = f.now
 			for _, v := range f.all[:f.voters] {
 				f.send(m, v, func() {
 					if v.core != nil {
-						f.out(v, v.core.Ask(f.local(v), a.Ask))
+						f.out(v, v.core.Ask(f.local(v), a.Request))
 					}
 				})
 			}
-		case singleton.Yield:
+		case singleton.StepDown:
 			boot := m.boot
-			f.at(0.05, func() { f.on(m, boot, func() { f.hold(m, singleton.Yielded(a)) }) })
+			f.at(0.05, func() { f.on(m, boot, func() { f.hold(m, singleton.SteppedDown(a)) }) })
 		}
 	}
 }
 
 // work has an effect at the far end, if the duty is this machine's. Between the look and the effect it may stand still.
 func (f *fleet) work(m *machine) {
-	token, ok := m.holder.May(f.local(m), theDuty)
+	token, ok := m.holder.FencingToken(f.local(m), theDuty)
 	if !ok {
 		return
 	}
@@ -358,8 +358,8 @@
 		}
 	case 2: // whoever acts stops
 		for _, h := range f.all {
-			if _, ok := h.holder.May(f.local(h), theDuty); ok && h.up {
-				h.stopped = f.now + 10*singleton.Lease
+			if _, ok := h.holder.FencingToken(f.local(h), theDuty); ok && h.up {
+				h.stopped = f.now + 10*singleton.LeaseDuration
 			}
 		}
 	case 3, 4:
@@ -520,7 +520,7 @@
 		if m.core == nil || m.core.state != Voting || len(f.problems) > 0 {
 			continue
 		}
-		if last := m.core.register.Last; last < f.lastAct {
+		if last := m.core.register.LastToken; last < f.lastAct {
 			f.problem("%s knows of token %d, and %d was acted under", m.name, last, f.lastAct)
 		}
 	}
--- a/internal/standalone/fleet/quorum/types.go
+++ b/internal/standalone/fleet/quorum/types.go
@@ -137,7 +137,7 @@
 }
 
 // Register is what is agreed on, as far as this voter knows. It is not to be changed.
-func (c *Core) Register() *singleton.Register { return c.register }
+func (c *Core) Register() *singleton.LeaseTable { return c.register }
 
 // Line is who waits for a duty, where this voter leads.
-func (c *Core) Line(name string) []string { return c.clerk.Line(name) }
+func (c *Core) Line(name string) []string { return c.clerk.Candidates(name) }
--- a/internal/standalone/fleet/singleton/encoding_test.go
+++ b/internal/standalone/fleet/singleton/encoding_test.go
@@ -14,29 +14,29 @@
 // TestEncodingOfLandedVersion holds the wire and disk formats still: the files under testdata/landed were written by
 // commit 76a3bb5, before the types and fields were renamed.
 func TestEncodingOfLandedVersion(t *testing.T) {
-	holder := Claimant{Name: "n1", Boot: 3, Nonce: 0x1122334455667788}
-	former := Claimant{Name: "n2", Boot: 1, Nonce: 2}
+	holder := Identity{Name: "n1", Boot: 3, Nonce: 0x1122334455667788}
+	former := Identity{Name: "n2", Boot: 1, Nonce: 2}
 	tests := []struct {
 		file  string
 		value any
 	}{
-		{"acquire_request", Ask{From: holder, ID: 9, Zone: "a", Load: 0.25, Wants: []Want{
-			{Duty: "catalogue", Token: 7, Zone: "b"},
-			{Duty: "export", Leave: true},
+		{"acquire_request", AcquireRequest{From: holder, ID: 9, Zone: "a", Load: 0.25, Roles: []RoleRequest{
+			{Role: "catalogue", Token: 7, PreferredZone: "b"},
+			{Role: "export", Release: true},
 		}}},
-		{"acquire_request_minimal", Ask{From: holder, ID: 1, Wants: []Want{{Duty: "export"}}}},
-		{"acquire_response", Answer{ID: 9, Grants: []Grown{
-			{Duty: "export", Token: 8, Held: true, Yield: true, Holder: "n1", Mine: true},
-			{Duty: "catalogue"},
+		{"acquire_request_minimal", AcquireRequest{From: holder, ID: 1, Roles: []RoleRequest{{Role: "export"}}}},
+		{"acquire_response", AcquireResponse{ID: 9, Grants: []RoleStatus{
+			{Role: "export", Token: 8, Confirmed: true, StepDown: true, Holder: "n1", IsHolder: true},
+			{Role: "catalogue"},
 		}}},
-		{"command_expire", Command{Kind: Expire, Duty: "export", To: holder, Token: 5, Seen: 77}},
-		{"command_grant", Command{Kind: Grant, Duty: "export", To: holder, Token: 5}},
-		{"table", Register{
-			Last:   12,
-			Duties: map[string]Entry{"export": {Holder: holder, Token: 12, Seen: 44}},
-			History: []Term{
-				{Duty: "export", Token: 11, To: former, Index: 30},
-				{Duty: "export", Token: 12, To: holder, Index: 40},
+		{"command_expire", Command{Kind: Expire, Role: "export", To: holder, Token: 5, RenewedAt: 77}},
+		{"command_grant", Command{Kind: Grant, Role: "export", To: holder, Token: 5}},
+		{"table", LeaseTable{
+			LastToken:   12,
+			Leases: map[string]Lease{"export": {Holder: holder, Token: 12, RenewedAt: 44}},
+			History: []Tenure{
+				{Role: "export", Token: 11, Holder: former, Index: 30},
+				{Role: "export", Token: 12, Holder: holder, Index: 40},
 			},
 		}},
 	}
--- a/internal/standalone/fleet/singleton/register.go
+++ b/internal/standalone/fleet/singleton/register.go
@@ -17,29 +17,29 @@
 
 // The times, in seconds.
 const (
-	// Lease is for how long a holder may act behind the sending of the question that confirmed it.
-	Lease = 3.0
-	// Drift bounds how much faster or slower than another a clock runs.
-	Drift = 0.05
-	// Margin is what the leader waits for beyond a lease, and what a holder stops before its end.
-	Margin = 0.05
-	// expiry is how long the leader waits behind a renewal: a holder's clock may be slow by Drift and the leader's fast by it.
-	expiry = Lease*(1+Drift)/(1-Drift) + Margin
-
-	renewEvery = Lease / 6 // a holder, and one that waits, asks
-	gather     = 0.6       // a new leader hears who waits before it grants
-	again      = 1.0       // a grant that was not agreed on is proposed again
-	waits      = 1.6       // one that has not asked for so long does not wait any more
-
-	// MostDuties bounds the register; no command adds more.
-	MostDuties  = 256
-	mostHistory = 128
-	mostWaiting = 1024
-	mostName    = 64
+	// LeaseDuration is for how long a holder may act behind the sending of the question that confirmed it.
+	LeaseDuration = 3.0
+	// MaxClockDrift bounds how much faster or slower than another a clock runs.
+	MaxClockDrift = 0.05
+	// SafetyMargin is what the leader waits for beyond a lease, and what a holder stops before its end.
+	SafetyMargin = 0.05
+	// expireAfter is how long the leader waits behind a renewal: a holder's clock may be slow by Drift and the leader's fast by it.
+	expireAfter = LeaseDuration*(1+MaxClockDrift)/(1-MaxClockDrift) + SafetyMargin
+
+	renewInterval = LeaseDuration / 6 // a holder, and one that waits, asks
+	grantDelay     = 0.6       // a new leader hears who waits before it grants
+	grantRetryInterval      = 1.0       // a grant that was not agreed on is proposed again
+	candidateTimeout      = 1.6       // one that has not asked for so long does not wait any more
+
+	// MaxRoles bounds the register; no command adds more.
+	MaxRoles  = 256
+	maxHistory = 128
+	maxCandidates = 1024
+	maxNameLength    = 64
 )
 
-// Claimant is a process that holds a duty or wants to.
-type Claimant struct {
+// Identity is a process that holds a duty or wants to.
+type Identity struct {
 	Name  string `cbor:"Name"`
 	Boot  uint64 `cbor:"Boot"`
 	Nonce uint64 `cbor:"Nonce"`
@@ -47,53 +47,53 @@
 
 // Command changes the register.
 type Command struct {
-	Kind  Kind     `cbor:"1,keyasint"`
-	Duty  string   `cbor:"2,keyasint"`
-	To    Claimant `cbor:"3,keyasint"`
+	Kind  CommandKind     `cbor:"1,keyasint"`
+	Role  string   `cbor:"2,keyasint"`
+	To    Identity `cbor:"3,keyasint"`
 	Token uint64   `cbor:"4,keyasint"`           // of the duty as the proposer knew it
-	Seen  uint64   `cbor:"5,keyasint,omitempty"` // of an Expire: the renewal that the proposer last saw agreed on
+	RenewedAt  uint64   `cbor:"5,keyasint,omitempty"` // of an Expire: the renewal that the proposer last saw agreed on
 }
 
-// Kind is what a command does.
-type Kind uint8
+// CommandKind is what a command does.
+type CommandKind uint8
 
 // The kinds.
 const (
-	Grant  Kind = 1 // a duty that nobody holds is To's, under a new token
-	Renew  Kind = 2 // To still holds it
-	Free   Kind = 3 // To gives it up
-	Expire Kind = 4 // nobody holds it any more: its lease has ended, unless it was renewed since
+	Grant  CommandKind = 1 // a duty that nobody holds is To's, under a new token
+	Renew  CommandKind = 2 // To still holds it
+	Release   CommandKind = 3 // To gives it up
+	Expire CommandKind = 4 // nobody holds it any more: its lease has ended, unless it was renewed since
 )
 
-// Entry is a duty as the register has it.
-type Entry struct {
-	Holder Claimant `cbor:"Holder"` // the zero value: nobody
+// Lease is a duty as the register has it.
+type Lease struct {
+	Holder Identity `cbor:"Holder"` // the zero value: nobody
 	Token  uint64   `cbor:"Token"`  // of the last grant
-	Seen   uint64   `cbor:"Seen"`   // place in the log of the grant or the last renewal
+	RenewedAt   uint64   `cbor:"Seen"`   // place in the log of the grant or the last renewal
 }
 
-// Term is one holder's time, for the history.
-type Term struct {
-	Duty  string   `cbor:"Duty"`
+// Tenure is one holder's time, for the history.
+type Tenure struct {
+	Role  string   `cbor:"Duty"`
 	Token uint64   `cbor:"Token"`
-	To    Claimant `cbor:"To"`
+	Holder    Identity `cbor:"To"`
 	Index uint64   `cbor:"Index"` // of the log
 }
 
-// Register is the state that the voters agree on.
-type Register struct {
-	Last    uint64           `cbor:"Last"` // the highest token that was ever given
-	Duties  map[string]Entry `cbor:"Duties"`
-	History []Term           `cbor:"History"`
+// LeaseTable is the state that the voters agree on.
+type LeaseTable struct {
+	LastToken    uint64           `cbor:"Last"` // the highest token that was ever given
+	Leases  map[string]Lease `cbor:"Duties"`
+	History []Tenure           `cbor:"History"`
 }
 
-// NewRegister returns an empty one.
-func NewRegister() *Register { return &Register{Duties: map[string]Entry{}} }
+// NewLeaseTable returns an empty one.
+func NewLeaseTable() *LeaseTable { return &LeaseTable{Leases: map[string]Lease{}} }
 
 // Apply takes a command at its place in the log. It tells whether it changed or confirmed anything.
-func (r *Register) Apply(c Command, index uint64) bool {
-	e, known := r.Duties[c.Duty]
-	if c.Duty == "" || len(c.Duty) > mostName || !known && (c.Kind != Grant || len(r.Duties) >= MostDuties) {
+func (r *LeaseTable) Apply(c Command, index uint64) bool {
+	e, known := r.Leases[c.Role]
+	if c.Role == "" || len(c.Role) > maxNameLength || !known && (c.Kind != Grant || len(r.Leases) >= MaxRoles) {
 		return false
 	}
 	if e.Token != c.Token && !mutated("token-unchecked") {
@@ -101,17 +101,17 @@
 	}
 	switch c.Kind {
 	case Grant:
-		if e.Holder != (Claimant{}) && !mutated("held-granted") || c.To.Name == "" || len(c.To.Name) > mostName {
+		if e.Holder != (Identity{}) && !mutated("held-granted") || c.To.Name == "" || len(c.To.Name) > maxNameLength {
 			return false
 		}
-		r.Last++
+		r.LastToken++
 		if mutated("token-again") {
-			r.Last--
+			r.LastToken--
 			e.Token--
 		}
-		r.Duties[c.Duty] = Entry{Holder: c.To, Token: r.Last, Seen: index}
-		r.History = append(r.History, Term{c.Duty, r.Last, c.To, index})
-		if n := len(r.History) - mostHistory; n > 0 {
+		r.Leases[c.Role] = Lease{Holder: c.To, Token: r.LastToken, RenewedAt: index}
+		r.History = append(r.History, Tenure{c.Role, r.LastToken, c.To, index})
+		if n := len(r.History) - maxHistory; n > 0 {
 			r.History = slices.Delete(r.History, 0, n)
 		}
 		return true
@@ -119,39 +119,39 @@
 		if e.Holder != c.To {
 			return false
 		}
-		e.Seen = index
-	case Free:
-		if e.Holder != c.To || c.To == (Claimant{}) {
+		e.RenewedAt = index
+	case Release:
+		if e.Holder != c.To || c.To == (Identity{}) {
 			return false
 		}
-		e.Holder = Claimant{}
+		e.Holder = Identity{}
 	case Expire:
 		// A leader that stood still finds a lease ended and, behind it in its queue, the renewals: these go to the log first,
 		// and are answered. An expiry that was decided before them must not follow.
-		if e.Holder == (Claimant{}) || e.Seen != c.Seen && !mutated("expires-unseen") {
+		if e.Holder == (Identity{}) || e.RenewedAt != c.RenewedAt && !mutated("expires-unseen") {
 			return false
 		}
-		e.Holder = Claimant{}
+		e.Holder = Identity{}
 	default:
 		return false
 	}
-	r.Duties[c.Duty] = e
+	r.Leases[c.Role] = e
 	return true
 }
 
 // Clone is a copy that shares nothing.
-func (r *Register) Clone() *Register {
-	return &Register{Last: r.Last, Duties: maps.Clone(r.Duties), History: slices.Clone(r.History)}
+func (r *LeaseTable) Clone() *LeaseTable {
+	return &LeaseTable{LastToken: r.LastToken, Leases: maps.Clone(r.Leases), History: slices.Clone(r.History)}
 }
 
-// Names are those of the duties, sorted.
-func (r *Register) Names() []string { return slices.Sorted(maps.Keys(r.Duties)) }
+// Roles are those of the duties, sorted.
+func (r *LeaseTable) Roles() []string { return slices.Sorted(maps.Keys(r.Leases)) }
 
-// better tells which of two that wait goes first: the one that was named, then the zone that is preferred, then the smaller
+// compareCandidates tells which of two that wait goes first: the one that was named, then the zone that is preferred, then the smaller
 // load in steps of a tenth, then the name. It is asked when a duty is free alone: nobody is pushed out of one.
-func better(a, b waiting, zone string) int {
-	return cmp.Or(-cmp.Compare(rank(a.Zone == zone && zone != ""), rank(b.Zone == zone && zone != "")),
-		cmp.Compare(int(a.Load*10), int(b.Load*10)), cmp.Compare(a.Who.Name, b.Who.Name))
+func compareCandidates(a, b candidate, zone string) int {
+	return cmp.Or(-cmp.Compare(rank(a.zone == zone && zone != ""), rank(b.zone == zone && zone != "")),
+		cmp.Compare(int(a.load*10), int(b.load*10)), cmp.Compare(a.identity.Name, b.identity.Name))
 }
 
 func rank(is bool) int {
