--- a/internal/emulator/fakes/billing.go
+++ b/internal/emulator/fakes/billing.go
@@ -119,7 +119,7 @@
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	if word := r.Header.Get(leaseservice.FencingToken); word != "" && !b.fence(word, batch) {
+	if word := r.Header.Get(leaseservice.FencingTokenHeader); word != "" && !b.fence(word, batch) {
 		http.Error(w, "an older holder's", http.StatusPreconditionFailed)
 		return
 	}
--- a/internal/emulator/faulttest/actions.go
+++ b/internal/emulator/faulttest/actions.go
@@ -292,7 +292,7 @@
 
 func (a *action) give() (undo func(), err error) {
 	return nil, a.each(func(n *node, _ int) error {
-		_, err := call(n.running().Mgmt, "GIVE "+leaseservice.Export+" "+n.name)
+		_, err := call(n.running().Mgmt, "GIVE "+leaseservice.RoleExport+" "+n.name)
 		return err
 	})
 }
--- a/internal/emulator/faulttest/duties.go
+++ b/internal/emulator/faulttest/duties.go
@@ -36,13 +36,13 @@
 			if err != nil || len(lines) == 0 {
 				continue
 			}
-			var t leaseservice.Told
+			var t leaseservice.Status
 			if jsontext.Decode([]byte(lines[0]), &t) != nil {
 				continue
 			}
 			h := holding{at: time.Now()}
-			for _, d := range t.Duties {
-				if d.Duty == leaseservice.Export {
+			for _, d := range t.Roles {
+				if d.Role == leaseservice.RoleExport {
 					h.holder, h.token = d.Holder, d.Token
 				}
 			}
@@ -186,7 +186,7 @@
 			if process == nil || process.Stopped() {
 				continue
 			}
-			var a leaseservice.Announced
+			var a leaseservice.AnnouncerStatus
 			lines, err := call(process.Mgmt, "CATALOGUE")
 			if err != nil || len(lines) == 0 || jsontext.Decode([]byte(lines[0]), &a) != nil {
 				o.same, o.text = false, n.name+" does not answer"
--- a/internal/standalone/cli/fleet.go
+++ b/internal/standalone/cli/fleet.go
@@ -133,7 +133,7 @@
 }
 
 // told asks for what is agreed on, or has it changed.
-func (a *address) told(call string) (*leaseservice.Told, string, error) {
+func (a *address) told(call string) (*leaseservice.Status, string, error) {
 	line, err := a.ask(call)
 	if errors.Is(err, errNoFleet) {
 		return nil, "", errNoLeader
@@ -141,7 +141,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	t := &leaseservice.Told{}
+	t := &leaseservice.Status{}
 	return t, line, jsontext.Decode([]byte(line), t)
 }
 
@@ -163,12 +163,12 @@
 	fmt.Fprintf(p.out, "%s leads in term %d; voters %s\n\n", t.Leader, t.Term, strings.Join(t.Voters, " "))
 	w := table(p.out)
 	fmt.Fprintln(w, "duty\tholder\ttoken\twaiting")
-	for _, d := range t.Duties {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", d.Duty, cmp.Or(d.Holder, "nobody"), d.Token, strings.Join(d.Line, " "))
+	for _, d := range t.Roles {
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", d.Role, cmp.Or(d.Holder, "nobody"), d.Token, strings.Join(d.Candidates, " "))
 	}
 	fmt.Fprintln(w, "\nduty\theld by\ttoken\tstart")
-	for _, h := range t.Past {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", h.Duty, h.Holder, h.Token, h.Start)
+	for _, h := range t.History {
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", h.Role, h.Holder, h.Token, h.Boot)
 	}
 	return w.Flush()
 }
@@ -189,11 +189,11 @@
 		fmt.Fprintln(p.out, line)
 		return nil
 	}
-	var a leaseservice.Announced
+	var a leaseservice.AnnouncerStatus
 	if err := jsontext.Decode([]byte(line), &a); err != nil {
 		return err
 	}
-	fmt.Fprintf(p.out, "%s announces; newest token taken %d, %d messages refused\n\n", cmp.Or(a.Holder, "nobody"), a.Taken, a.Refused)
+	fmt.Fprintf(p.out, "%s announces; newest token taken %d, %d messages refused\n\n", cmp.Or(a.Holder, "nobody"), a.LastToken, a.Rejected)
 	w := table(p.out)
 	fmt.Fprintln(w, "revision\ttoken\tdigest")
 	for _, e := range a.Entries {
--- a/internal/standalone/faultinjection/rehearsed.go
+++ b/internal/standalone/faultinjection/rehearsed.go
@@ -105,7 +105,7 @@
 
 func full(err error) error {
 	if errors.Is(err, syscall.ENOSPC) {
-		return fmt.Errorf("%w: %w", quorum.ErrFull, err)
+		return fmt.Errorf("%w: %w", quorum.ErrNoSpace, err)
 	}
 	return err
 }
--- a/internal/standalone/fleet/leaseservice/encoding_test.go
+++ b/internal/standalone/fleet/leaseservice/encoding_test.go
@@ -17,16 +17,16 @@
 // TestEncodingOfLandedVersion holds the messages between ingresses, the replies of the mgmt interface and the records on
 // disk still: the files under testdata/landed were written by commit 76a3bb5, before the types and fields were renamed.
 func TestEncodingOfLandedVersion(t *testing.T) {
-	status := Told{
+	status := Status{
 		Error:  "e",
 		Leader: "n1",
 		Term:   4,
 		Voters: []string{"n1", "n2"},
-		Duties: []DutyReport{
-			{Duty: "export", Holder: "n1", Token: 12, Line: []string{"n2", "n3"}},
-			{Duty: "catalogue"},
+		Roles: []RoleStatus{
+			{Role: "export", Holder: "n1", Token: 12, Candidates: []string{"n2", "n3"}},
+			{Role: "catalogue"},
 		},
-		Past: []HolderReport{{Duty: "export", Token: 12, Holder: "n1", Start: 3}},
+		History: []Tenure{{Role: "export", Token: 12, Holder: "n1", Boot: 3}},
 	}
 	brief := revisionlog.Entry{Number: 3, Token: 12, Digest: "d3"}
 	full := brief
@@ -35,20 +35,20 @@
 		file  string
 		value any
 	}{
-		{"call_status.cbor", call{Word: "status"}},
-		{"call_give.cbor", call{Word: "give", Duty: "export", Name: "n2"}},
+		{"call_status.cbor", call{Command: "status"}},
+		{"call_give.cbor", call{Command: "give", Role: "export", Name: "n2"}},
 		{"told.cbor", status},
 		{"told.json", status},
-		{"posting.cbor", posting{
+		{"posting.cbor", exportRequest{
 			Header: map[string][]string{"Content-Type": {"application/json"}},
 			Body:   []byte("batch"),
 		}},
-		{"posted.cbor", posted{Status: 200, Header: map[string][]string{"X-A": {"b"}}, Body: []byte("ok")}},
-		{"message_tell.cbor", revisionlog.Message{Kind: revisionlog.Tell, Token: 12, Entries: []revisionlog.Entry{full}}},
-		{"message_have.cbor", revisionlog.Message{Kind: revisionlog.Have, Token: 12, Entries: []revisionlog.Entry{brief}}},
-		{"message_ask.cbor", revisionlog.Message{Kind: revisionlog.Ask, Token: 12}},
-		{"announced.json", Announced{Taken: 12, Holder: "n1", Refused: 2, Entries: []revisionlog.Entry{brief}}},
-		{"record.json", revisionlog.Record{Taken: 12, Entries: []revisionlog.Entry{full}}},
+		{"posted.cbor", exportResponse{Status: 200, Header: map[string][]string{"X-A": {"b"}}, Body: []byte("ok")}},
+		{"message_tell.cbor", revisionlog.Message{Kind: revisionlog.Announce, Token: 12, Entries: []revisionlog.Entry{full}}},
+		{"message_have.cbor", revisionlog.Message{Kind: revisionlog.Inventory, Token: 12, Entries: []revisionlog.Entry{brief}}},
+		{"message_ask.cbor", revisionlog.Message{Kind: revisionlog.Query, Token: 12}},
+		{"announced.json", AnnouncerStatus{LastToken: 12, Holder: "n1", Rejected: 2, Entries: []revisionlog.Entry{brief}}},
+		{"record.json", revisionlog.Record{LastToken: 12, Entries: []revisionlog.Entry{full}}},
 		{"duty_record.json", Record{Name: "n1", Boot: 3, Tokens: map[string]uint64{"export": 12}}},
 	}
 	for _, test := range tests {
--- a/internal/standalone/fleet/leaseservice/steward.go
+++ b/internal/standalone/fleet/leaseservice/steward.go
@@ -25,20 +25,20 @@
 // Topics of messages between ingresses.
 const (
 	topicVote   gossip.Topic = 1 // among voters
-	topicAsk    gossip.Topic = 2 // duty.Ask
-	topicAnswer gossip.Topic = 3 // duty.Answer
-	topicNudge  gossip.Topic = 4
+	topicAcquireRequest    gossip.Topic = 2 // duty.Ask
+	topicAcquireResponse gossip.Topic = 3 // duty.Answer
+	topicWake  gossip.Topic = 4
 	topicCall   gossip.Topic = 5 // operators' calls, to whoever leads
-	topicTold   gossip.Topic = 6 // the answer
-	topicPost   gossip.Topic = 7 // a batch of use, to the holder of its export
-	topicPosted gossip.Topic = 8
+	topicCallResponse   gossip.Topic = 6 // the answer
+	topicExport   gossip.Topic = 7 // a batch of use, to the holder of its export
+	topicExportResponse gossip.Topic = 8
 )
 
 const (
-	beat      = 100 * time.Millisecond
-	stallMost = time.Second
-	queueMost = 1024 // messages that wait; more are lost, as on the network
-	callMost  = 800 * time.Millisecond
+	tickInterval      = 100 * time.Millisecond
+	stallThreshold = time.Second
+	inboxSize = 1024 // messages that wait; more are lost, as on the network
+	callTimeout  = 800 * time.Millisecond
 )
 
 // Fleet is what a steward needs of membership.
@@ -56,72 +56,72 @@
 	Dir    string   // where this ingress keeps its votes, if it is a voter
 	Log    *logrus.Logger
 
-	Clock float64                         // seconds of its clock a second: a rehearsal has it run fast or slow; 0: 1
-	Votes func(quorum.Store) quorum.Store // a rehearsal has it fail; nil: as it is
-	Keep  func(Record) error              // replaces the record on disk, and returns once it is there
+	ClockRate float64                         // seconds of its clock a second: a rehearsal has it run fast or slow; 0: 1
+	WrapStore func(quorum.Store) quorum.Store // a rehearsal has it fail; nil: as it is
+	StoreRecord  func(Record) error              // replaces the record on disk, and returns once it is there
 }
 
 // Steward is the one of an ingress.
-type Steward struct {
-	o      Options
-	base   time.Time
-	in     chan incoming
+type Service struct {
+	options      Options
+	startedAt   time.Time
+	inbox     chan incoming
 	cancel context.CancelFunc
-	done   sync.WaitGroup
+	goroutines   sync.WaitGroup
 
 	mu      sync.Mutex // guards what follows
-	holder  *singleton.LeaseHolder
-	core    *quorum.Core // nil: no voter
+	leaseHolder  *singleton.LeaseHolder
+	voter    *quorum.Voter // nil: no voter
 	store   *boltstore.Store
-	works   map[string]*work
-	known   map[string]singleton.RoleStatus // the last answer
-	beatAt  time.Duration
-	self    singleton.Identity
-	state   string
-	billing string
+	roles   map[string]*role
+	roleStatus   map[string]singleton.RoleStatus // the last answer
+	lastTick  time.Duration
+	identity    singleton.Identity
+	voterState   string
+	billingEndpoint string
 
-	failing   time.Time  // since when billing is not reached; zero: it was, last
-	unreached chan error // it was not for too long
+	unreachableSince   time.Time  // since when billing is not reached; zero: it was, last
+	unreachable chan error // it was not for too long
 
 	drained  bool          // operators have it do nothing
-	roomless bool          // its record cannot be written
-	keptAt   time.Duration // when it was last written, or found to be
+	recordFailed bool          // its record cannot be written
+	recordCheckedAt   time.Duration // when it was last written, or found to be
 
-	waits sync.Map // of calls and posts, by number
+	pendingCalls sync.Map // of calls and posts, by number
 }
 
 // Start begins. A voter whose folder cannot be used says so, and the rest goes on.
-func Start(o Options) *Steward {
-	s := &Steward{o: o, base: time.Now(), in: make(chan incoming, queueMost), works: map[string]*work{}, known: map[string]singleton.RoleStatus{}, unreached: make(chan error, 1)}
+func Start(o Options) *Service {
+	s := &Service{options: o, startedAt: time.Now(), inbox: make(chan incoming, inboxSize), roles: map[string]*role{}, roleStatus: map[string]singleton.RoleStatus{}, unreachable: make(chan error, 1)}
 	self := o.Fleet.Self()
-	s.holder = singleton.NewLeaseHolder(claimant(self), o.Zone)
+	s.leaseHolder = singleton.NewLeaseHolder(claimant(self), o.Zone)
 	if slices.Contains(o.Voters, self.Name) {
 		s.store = &boltstore.Store{Path: filepath.Join(o.Dir, "votes.db")}
 		var votes quorum.Store = s.store
-		if o.Votes != nil {
-			votes = o.Votes(votes)
+		if o.WrapStore != nil {
+			votes = o.WrapStore(votes)
 		}
 		core, err := quorum.Open(self.Name, o.Voters, votes, uint64(time.Now().Unix())<<20)
 		if err != nil {
 			o.Log.WithField("code", "duty-voter-unusable").WithError(err).Error("this voter does not vote: its folder cannot be used")
 		}
-		s.core = core
+		s.voter = core
 	}
-	for _, t := range []gossip.Topic{topicVote, topicAsk, topicAnswer, topicNudge, topicCall, topicTold, topicPost, topicPosted} {
+	for _, t := range []gossip.Topic{topicVote, topicAcquireRequest, topicAcquireResponse, topicWake, topicCall, topicCallResponse, topicExport, topicExportResponse} {
 		o.Fleet.Handle(t, func(from string, data []byte) {
 			select {
-			case s.in <- incoming{t, from, data}:
+			case s.inbox <- incoming{t, from, data}:
 			default:
 			}
 		})
 	}
 	var ctx context.Context
 	ctx, s.cancel = context.WithCancel(context.Background())
-	s.done.Add(1)
-	go func() { defer s.done.Done(); s.run(ctx) }()
-	if o.Keep != nil {
-		s.done.Add(1)
-		go func() { defer s.done.Done(); s.prove(ctx) }()
+	s.goroutines.Add(1)
+	go func() { defer s.goroutines.Done(); s.run(ctx) }()
+	if o.StoreRecord != nil {
+		s.goroutines.Add(1)
+		go func() { defer s.goroutines.Done(); s.storeRecords(ctx) }()
 	}
 	return s
 }
@@ -130,33 +130,33 @@
 	return singleton.Identity{Name: m.Name, Boot: m.Boot, Nonce: m.Nonce}
 }
 
-func (s *Steward) now() singleton.Seconds {
-	return time.Since(s.base).Seconds() * cmp.Or(s.o.Clock, 1)
+func (s *Service) now() singleton.Seconds {
+	return time.Since(s.startedAt).Seconds() * cmp.Or(s.options.ClockRate, 1)
 }
 
 // Do has this ingress want a duty, and run its work while it is held.
-func (s *Steward) Do(name, zone string, w Work) {
+func (s *Service) AddRole(name, zone string, w Work) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.works[name] = &work{do: w, zone: zone}
-	s.want()
+	s.roles[name] = &role{run: w, preferredZone: zone}
+	s.acquireAll()
 }
 
 // want asks for all duties that this ingress may do. The mutex is held.
-func (s *Steward) want() {
-	if s.drained || s.roomless {
+func (s *Service) acquireAll() {
+	if s.drained || s.recordFailed {
 		return
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.works)) {
-		s.carry(s.holder.Step(s.now(), singleton.Acquire{Role: name, PreferredZone: s.works[name].zone}))
+	for _, name := range slices.Sorted(maps.Keys(s.roles)) {
+		s.execute(s.leaseHolder.Step(s.now(), singleton.Acquire{Role: name, PreferredZone: s.roles[name].preferredZone}))
 	}
 }
 
 // Resign gives all duties up: this process goes. It waits until their work has stopped, and the voters were told once.
-func (s *Steward) Resign() {
+func (s *Service) Resign() {
 	s.mu.Lock()
 	s.drained = true
-	ended := s.resign()
+	ended := s.resignAll()
 	s.mu.Unlock()
 	for _, e := range ended {
 		select {
@@ -167,40 +167,40 @@
 }
 
 // resign gives all up, and tells when their work has ended. The mutex is held.
-func (s *Steward) resign() (ended []chan struct{}) {
-	for _, name := range slices.Sorted(maps.Keys(s.works)) {
-		if w := s.works[name]; w.cancel != nil {
+func (s *Service) resignAll() (ended []chan struct{}) {
+	for _, name := range slices.Sorted(maps.Keys(s.roles)) {
+		if w := s.roles[name]; w.cancel != nil {
 			w.cancel()
 			ended = append(ended, w.ended)
 		}
-		s.carry(s.holder.Step(s.now(), singleton.Resign{Role: name}))
+		s.execute(s.leaseHolder.Step(s.now(), singleton.Resign{Role: name}))
 	}
 	return ended
 }
 
 // Rejoin has it want again what it resigned.
-func (s *Steward) Rejoin() {
+func (s *Service) Rejoin() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.drained = false
-	s.want()
+	s.acquireAll()
 }
 
 // prove writes the record, over and over: more often where this ingress holds something.
-func (s *Steward) prove(ctx context.Context) {
-	tick := time.NewTicker(proveEvery)
+func (s *Service) storeRecords(ctx context.Context) {
+	tick := time.NewTicker(recordInterval)
 	defer tick.Stop()
 	for n := 0; ; n++ {
 		s.mu.Lock()
-		r := Record{Name: s.o.Fleet.Self().Name, Boot: s.o.Fleet.Self().Boot, Tokens: map[string]uint64{}}
-		for name := range s.works {
-			if token, ok := s.holder.FencingToken(s.now(), name); ok {
+		r := Record{Name: s.options.Fleet.Self().Name, Boot: s.options.Fleet.Self().Boot, Tokens: map[string]uint64{}}
+		for name := range s.roles {
+			if token, ok := s.leaseHolder.FencingToken(s.now(), name); ok {
 				r.Tokens[name] = token
 			}
 		}
 		s.mu.Unlock()
-		if len(r.Tokens) > 0 || n%proveSeldom == 0 {
-			s.room(s.o.Keep(r))
+		if len(r.Tokens) > 0 || n%idleRecordTicks == 0 {
+			s.recordStored(s.options.StoreRecord(r))
 		}
 		select {
 		case <-ctx.Done():
@@ -211,35 +211,35 @@
 }
 
 const (
-	proveEvery  = 500 * time.Millisecond
-	proveSeldom = 4 // of these, where it holds nothing
-	proveMost   = 2 * time.Second
+	recordInterval  = 500 * time.Millisecond
+	idleRecordTicks = 4 // of these, where it holds nothing
+	recordTimeout   = 2 * time.Second
 )
 
 // room goes by whether the record could be written.
-func (s *Steward) room(err error) {
+func (s *Service) recordStored(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keptAt = time.Since(s.base)
+	s.recordCheckedAt = time.Since(s.startedAt)
 	switch {
-	case err != nil && !s.roomless:
-		s.roomless = true
-		s.o.Log.WithField("code", "duty-no-room").WithError(err).Error("the record of duties cannot be written: this ingress gives up what it holds, and takes nothing until it can")
-		s.resign()
-	case err == nil && s.roomless:
-		s.roomless = false
-		s.o.Log.WithField("code", "duty-room").Info("the record of duties can be written again")
-		s.want()
+	case err != nil && !s.recordFailed:
+		s.recordFailed = true
+		s.options.Log.WithField("code", "duty-no-room").WithError(err).Error("the record of duties cannot be written: this ingress gives up what it holds, and takes nothing until it can")
+		s.resignAll()
+	case err == nil && s.recordFailed:
+		s.recordFailed = false
+		s.options.Log.WithField("code", "duty-room").Info("the record of duties can be written again")
+		s.acquireAll()
 	}
 }
 
 // Stop ends it.
-func (s *Steward) Stop() {
+func (s *Service) Stop() {
 	s.cancel()
-	s.done.Wait()
+	s.goroutines.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, w := range s.works {
+	for _, w := range s.roles {
 		if w.cancel != nil {
 			w.cancel()
 		}
@@ -250,53 +250,53 @@
 }
 
 // May tells whether this ingress holds a duty now, and under which token.
-func (s *Steward) May(name string) (uint64, bool) {
+func (s *Service) FencingToken(name string) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.holder.FencingToken(s.now(), name)
+	return s.leaseHolder.FencingToken(s.now(), name)
 }
 
-func (s *Steward) run(ctx context.Context) {
-	tick := time.NewTicker(beat)
+func (s *Service) run(ctx context.Context) {
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	s.beatAt = time.Since(s.base)
+	s.lastTick = time.Since(s.startedAt)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-s.in:
-			s.take(m)
+		case m := <-s.inbox:
+			s.handleMessage(m)
 		case <-tick.C:
 			s.tick()
 		}
 	}
 }
 
-func (s *Steward) tick() {
+func (s *Service) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := time.Since(s.base)
-	if now-s.beatAt > stallMost {
-		s.carry(s.holder.Step(s.now(), singleton.StallDetected{}))
+	now := time.Since(s.startedAt)
+	if now-s.lastTick > stallThreshold {
+		s.execute(s.leaseHolder.Step(s.now(), singleton.StallDetected{}))
 	}
-	s.beatAt = now
-	if c := claimant(s.o.Fleet.Self()); c != s.self {
-		s.holder.SetIdentity(c)
-		s.self = c
+	s.lastTick = now
+	if c := claimant(s.options.Fleet.Self()); c != s.identity {
+		s.leaseHolder.SetIdentity(c)
+		s.identity = c
 	}
-	if s.core != nil {
-		s.core.Resume(s.now())
-		s.out(s.core.Tick(s.now()))
-		st := s.core.Status()
-		if text := fmt.Sprint(st.State, st.Leader, st.Voters); text != s.state {
-			s.state = text
-			s.o.Log.WithFields(logrus.Fields{"code": "duty-voter", "state": string(st.State), "leader": st.Leader, "voters": fmt.Sprint(st.Voters), "why": st.Why}).Info("what this voter is has changed")
+	if s.voter != nil {
+		s.voter.Reopen(s.now())
+		s.deliver(s.voter.Tick(s.now()))
+		st := s.voter.Status()
+		if text := fmt.Sprint(st.State, st.Leader, st.Voters); text != s.voterState {
+			s.voterState = text
+			s.options.Log.WithFields(logrus.Fields{"code": "duty-voter", "state": string(st.State), "leader": st.Leader, "voters": fmt.Sprint(st.Voters), "why": st.Reason}).Info("what this voter is has changed")
 		}
 	}
-	if s.o.Keep != nil && now-s.keptAt > proveMost+proveSeldom*proveEvery && !s.roomless {
-		s.roomless = true // a disk that hangs says nothing
-		s.o.Log.WithField("code", "duty-no-room").Error("the record of duties is not written in time: this ingress gives up what it holds, and takes nothing until it is")
-		s.resign()
+	if s.options.StoreRecord != nil && now-s.recordCheckedAt > recordTimeout+idleRecordTicks*recordInterval && !s.recordFailed {
+		s.recordFailed = true // a disk that hangs says nothing
+		s.options.Log.WithField("code", "duty-no-room").Error("the record of duties is not written in time: this ingress gives up what it holds, and takes nothing until it is")
+		s.resignAll()
 	}
-	s.carry(s.holder.Step(s.now(), singleton.LeaseHolderTick{}))
+	s.execute(s.leaseHolder.Step(s.now(), singleton.LeaseHolderTick{}))
 }
--- a/internal/standalone/fleet/leaseservice/work.go
+++ b/internal/standalone/fleet/leaseservice/work.go
@@ -34,44 +34,44 @@
 	data  []byte
 }
 
-type work struct {
-	do     Work
-	zone   string
+type role struct {
+	run     Work
+	preferredZone   string
 	cancel context.CancelFunc // nil: it does not run
 	ended  chan struct{}
 }
 
 // take goes by a message.
-func (s *Steward) take(m incoming) {
+func (s *Service) handleMessage(m incoming) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	switch m.topic {
 	case topicVote:
-		if s.core != nil {
-			if out, err := s.core.Receive(now, m.data); err == nil {
-				s.out(out)
+		if s.voter != nil {
+			if out, err := s.voter.Receive(now, m.data); err == nil {
+				s.deliver(out)
 			}
 		}
-	case topicAsk:
+	case topicAcquireRequest:
 		var a singleton.AcquireRequest
-		if s.core != nil && cbor.Unmarshal(m.data, &a) == nil && a.From.Name == m.from {
-			s.out(s.core.Ask(now, a))
+		if s.voter != nil && cbor.Unmarshal(m.data, &a) == nil && a.From.Name == m.from {
+			s.deliver(s.voter.HandleRequest(now, a))
 		}
-	case topicAnswer:
+	case topicAcquireResponse:
 		var a singleton.AcquireResponse
-		if slices.Contains(s.o.Voters, m.from) && cbor.Unmarshal(m.data, &a) == nil {
-			s.answered(a)
+		if slices.Contains(s.options.Voters, m.from) && cbor.Unmarshal(m.data, &a) == nil {
+			s.responseReceived(a)
 		}
-	case topicNudge:
-		s.carry(s.holder.Step(now, singleton.WakeReceived{}))
+	case topicWake:
+		s.execute(s.leaseHolder.Step(now, singleton.WakeReceived{}))
 	case topicCall:
-		s.call(m)
-	case topicPost:
-		s.post(m)
-	case topicTold, topicPosted:
+		s.handleCall(m)
+	case topicExport:
+		s.handleExport(m)
+	case topicCallResponse, topicExportResponse:
 		if len(m.data) > 8 {
-			if wait, ok := s.waits.Load(binary.BigEndian.Uint64(m.data)); ok {
+			if wait, ok := s.pendingCalls.Load(binary.BigEndian.Uint64(m.data)); ok {
 				select {
 				case wait.(chan []byte) <- m.data[8:]:
 				default:
@@ -81,39 +81,39 @@
 	}
 }
 
-func (s *Steward) answered(a singleton.AcquireResponse) {
+func (s *Service) responseReceived(a singleton.AcquireResponse) {
 	for _, g := range a.Grants {
-		s.known[g.Role] = g
+		s.roleStatus[g.Role] = g
 	}
-	s.carry(s.holder.Step(s.now(), singleton.ResponseReceived{Response: a}))
+	s.execute(s.leaseHolder.Step(s.now(), singleton.ResponseReceived{Response: a}))
 }
 
 // out carries out what the voter wants. The mutex is held.
-func (s *Steward) out(o quorum.Out) {
-	for _, p := range o.Send {
-		s.o.Fleet.Send(p.To, topicVote, p.Data)
+func (s *Service) deliver(o quorum.Output) {
+	for _, p := range o.Messages {
+		s.options.Fleet.Send(p.To, topicVote, p.Data)
 	}
-	self := s.o.Fleet.Self().Name
-	for _, r := range o.Reply {
+	self := s.options.Fleet.Self().Name
+	for _, r := range o.Replies {
 		if r.To.Name == self {
-			s.answered(r.Response)
+			s.responseReceived(r.Response)
 			continue
 		}
 		if data, err := cbor.Marshal(r.Response); err == nil {
-			s.o.Fleet.Send(r.To.Name, topicAnswer, data)
+			s.options.Fleet.Send(r.To.Name, topicAcquireResponse, data)
 		}
 	}
-	for _, n := range o.Nudge {
+	for _, n := range o.Wake {
 		if n == self {
-			s.carry(s.holder.Step(s.now(), singleton.WakeReceived{}))
+			s.execute(s.leaseHolder.Step(s.now(), singleton.WakeReceived{}))
 			continue
 		}
-		s.o.Fleet.Send(n, topicNudge, []byte{1})
+		s.options.Fleet.Send(n, topicWake, []byte{1})
 	}
 }
 
 // carry does what the holder wants. The mutex is held.
-func (s *Steward) carry(actions []singleton.LeaseHolderAction) {
+func (s *Service) execute(actions []singleton.LeaseHolderAction) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case singleton.SendRequest:
@@ -121,24 +121,24 @@
 			if err != nil {
 				continue
 			}
-			self := s.o.Fleet.Self().Name
-			for _, v := range s.o.Voters {
+			self := s.options.Fleet.Self().Name
+			for _, v := range s.options.Voters {
 				if v != self {
-					s.o.Fleet.Send(v, topicAsk, data)
-				} else if s.core != nil {
-					s.out(s.core.Ask(s.now(), a.Request))
+					s.options.Fleet.Send(v, topicAcquireRequest, data)
+				} else if s.voter != nil {
+					s.deliver(s.voter.HandleRequest(s.now(), a.Request))
 				}
 			}
 		case singleton.LeaseGained:
-			s.o.Log.WithFields(logrus.Fields{"code": "duty-gained", "duty": a.Role, "token": a.Token}).Info("this ingress holds a duty")
-			s.begin(a.Role, a.Token)
+			s.options.Log.WithFields(logrus.Fields{"code": "duty-gained", "duty": a.Role, "token": a.Token}).Info("this ingress holds a duty")
+			s.startWork(a.Role, a.Token)
 		case singleton.LeaseLost:
-			s.o.Log.WithFields(logrus.Fields{"code": "duty-lost", "duty": a.Role, "token": a.Token}).Warn("this ingress holds a duty no more")
-			if w := s.works[a.Role]; w != nil && w.cancel != nil {
+			s.options.Log.WithFields(logrus.Fields{"code": "duty-lost", "duty": a.Role, "token": a.Token}).Warn("this ingress holds a duty no more")
+			if w := s.roles[a.Role]; w != nil && w.cancel != nil {
 				w.cancel()
 			}
 		case singleton.StepDown:
-			if w := s.works[a.Role]; w != nil && w.cancel != nil {
+			if w := s.roles[a.Role]; w != nil && w.cancel != nil {
 				w.cancel()
 			}
 		}
@@ -146,8 +146,8 @@
 }
 
 // begin runs the work of a duty. The mutex is held.
-func (s *Steward) begin(name string, token uint64) {
-	w := s.works[name]
+func (s *Service) startWork(name string, token uint64) {
+	w := s.roles[name]
 	if w == nil || w.cancel != nil {
 		return
 	}
@@ -156,8 +156,8 @@
 	w.ended = make(chan struct{})
 	ended := w.ended
 	go func() {
-		err := w.do(ctx, func() (uint64, bool) {
-			t, ok := s.May(name)
+		err := w.run(ctx, func() (uint64, bool) {
+			t, ok := s.FencingToken(name)
 			return t, ok && t == token
 		})
 		s.mu.Lock()
@@ -167,49 +167,49 @@
 		w.cancel = nil
 		close(ended)
 		if stopped {
-			s.carry(s.holder.Step(s.now(), singleton.SteppedDown{Role: name}))
-			if t, ok := s.holder.FencingToken(s.now(), name); ok && t != token { // it was gained again meanwhile
-				s.begin(name, t)
+			s.execute(s.leaseHolder.Step(s.now(), singleton.SteppedDown{Role: name}))
+			if t, ok := s.leaseHolder.FencingToken(s.now(), name); ok && t != token { // it was gained again meanwhile
+				s.startWork(name, t)
 			}
 			return
 		}
-		s.o.Log.WithFields(logrus.Fields{"code": "duty-resigned", "duty": name}).WithError(err).Error("the work of a duty cannot be done here; another ingress may have it")
-		s.carry(s.holder.Step(s.now(), singleton.Resign{Role: name}))
-		time.AfterFunc(resignFor, func() {
+		s.options.Log.WithFields(logrus.Fields{"code": "duty-resigned", "duty": name}).WithError(err).Error("the work of a duty cannot be done here; another ingress may have it")
+		s.execute(s.leaseHolder.Step(s.now(), singleton.Resign{Role: name}))
+		time.AfterFunc(reacquireDelay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.want()
+			s.acquireAll()
 		})
 	}()
 }
 
-const resignFor = 10 * time.Second // who could not do a duty asks for it again
+const reacquireDelay = 10 * time.Second // who could not do a duty asks for it again
 
 // Holder is who holds a duty, as last heard; empty: nobody is known.
-func (s *Steward) Holder(name string) string {
+func (s *Service) LeaseHolder(name string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.known[name].Holder
+	return s.roleStatus[name].Holder
 }
 
-var errNoAnswer = errors.New("no voter that leads has answered: is there a majority?")
+var errNoResponse = errors.New("no voter that leads has answered: is there a majority?")
 
 // wait sends something that is answered under a number.
-func (s *Steward) wait(ctx context.Context, to []string, topic gossip.Topic, body []byte, most time.Duration) ([]byte, error) {
+func (s *Service) call(ctx context.Context, to []string, topic gossip.Topic, body []byte, most time.Duration) ([]byte, error) {
 	var r [8]byte
 	rand.Read(r[:])
 	id := binary.BigEndian.Uint64(r[:])
 	answer := make(chan []byte, 1)
-	s.waits.Store(id, answer)
-	defer s.waits.Delete(id)
+	s.pendingCalls.Store(id, answer)
+	defer s.pendingCalls.Delete(id)
 	data := append(r[:], body...)
-	self := s.o.Fleet.Self().Name
+	self := s.options.Fleet.Self().Name
 	for _, name := range to {
 		if name == self {
-			s.in <- incoming{topic, self, data}
+			s.inbox <- incoming{topic, self, data}
 			continue
 		}
-		s.o.Fleet.Send(name, topic, data)
+		s.options.Fleet.Send(name, topic, data)
 	}
 	select {
 	case b := <-answer:
@@ -217,19 +217,19 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-time.After(most):
-		return nil, errNoAnswer
+		return nil, errNoResponse
 	}
 }
 
 // tell answers what came under a number.
-func (s *Steward) tell(to string, topic gossip.Topic, id []byte, body []byte) {
+func (s *Service) respond(to string, topic gossip.Topic, id []byte, body []byte) {
 	data := append(slices.Clone(id[:8]), body...)
-	if to == s.o.Fleet.Self().Name {
+	if to == s.options.Fleet.Self().Name {
 		select {
-		case s.in <- incoming{topic, to, data}:
+		case s.inbox <- incoming{topic, to, data}:
 		default:
 		}
 		return
 	}
-	s.o.Fleet.Send(to, topic, data)
+	s.options.Fleet.Send(to, topic, data)
 }
--- a/internal/standalone/fleet/quorum/boltstore/boltstore.go
+++ b/internal/standalone/fleet/quorum/boltstore/boltstore.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	lockMost = 20 * time.Millisecond // an older process of this ingress has it for as long as it runs: it is tried again
-	kept     = 200                   // entries before a snapshot that stay
+	lockTimeout = 20 * time.Millisecond // an older process of this ingress has it for as long as it runs: it is tried again
+	retainedEntries     = 200                   // entries before a snapshot that stay
 )
 
 var (
@@ -34,10 +34,10 @@
 	keyID      = []byte("id")
 	keyBoot    = []byte("boot")
 	keyNames   = []byte("names")
-	keyHard    = []byte("hard")
-	keySnap    = []byte("snapshot")
-	keyWitness = []byte("witness")
-	table      = crc32.MakeTable(crc32.Castagnoli)
+	keyHardState    = []byte("hard")
+	keySnapshot    = []byte("snapshot")
+	keyPeers = []byte("witness")
+	castagnoli      = crc32.MakeTable(crc32.Castagnoli)
 )
 
 // Store is one file.
@@ -52,11 +52,11 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			d, err = nil, fmt.Errorf("%s: %w: %v", s.Path, quorum.ErrDamaged, r)
+			d, err = nil, fmt.Errorf("%s: %w: %v", s.Path, quorum.ErrCorrupt, r)
 		}
 	}()
 	s.Close()
-	if s.db, err = bbolt.Open(s.Path, 0o600, &bbolt.Options{Timeout: lockMost}); err != nil {
+	if s.db, err = bbolt.Open(s.Path, 0o600, &bbolt.Options{Timeout: lockTimeout}); err != nil {
 		return nil, s.wrap("open", err)
 	}
 	d = &quorum.Durable{}
@@ -74,7 +74,7 @@
 			return err
 		}
 		if d.ID == 0 {
-			if d.ID, err = draw(); err != nil {
+			if d.ID, err = drawID(); err != nil {
 				return err
 			}
 			if err := put(meta, keyID, binary.BigEndian.AppendUint64(nil, d.ID)); err != nil {
@@ -90,7 +90,7 @@
 	return d, nil
 }
 
-func draw() (uint64, error) {
+func drawID() (uint64, error) {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		return 0, err
@@ -101,17 +101,17 @@
 // wrap tells a disk without room from other trouble.
 func (s *Store) wrap(what string, err error) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG) {
-		return fmt.Errorf("%s: %s: %w: %w", s.Path, what, quorum.ErrFull, err)
+		return fmt.Errorf("%s: %s: %w: %w", s.Path, what, quorum.ErrNoSpace, err)
 	}
 	if errors.Is(err, berrors.ErrTimeout) {
-		return fmt.Errorf("%s: %w", s.Path, quorum.ErrBusy)
+		return fmt.Errorf("%s: %w", s.Path, quorum.ErrLocked)
 	}
 	return fmt.Errorf("%s: %s: %w", s.Path, what, err)
 }
 
 // put keeps a value with its checksum, which covers the key as well.
 func put(b *bbolt.Bucket, key, value []byte) error {
-	sum := crc32.Update(crc32.Checksum(key, table), table, value)
+	sum := crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 	return b.Put(key, append(binary.BigEndian.AppendUint32(nil, sum), value...))
 }
 
@@ -120,12 +120,12 @@
 	if v == nil {
 		return nil, nil
 	}
-	return checked(key, v)
+	return verifyChecksum(key, v)
 }
 
-func checked(key, v []byte) ([]byte, error) {
-	if len(v) < 4 || binary.BigEndian.Uint32(v) != crc32.Update(crc32.Checksum(key, table), table, v[4:]) {
-		return nil, fmt.Errorf("%w: %q", quorum.ErrDamaged, key)
+func verifyChecksum(key, v []byte) ([]byte, error) {
+	if len(v) < 4 || binary.BigEndian.Uint32(v) != crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, v[4:]) {
+		return nil, fmt.Errorf("%w: %q", quorum.ErrCorrupt, key)
 	}
 	return append([]byte{}, v[4:]...), nil
 }
@@ -137,12 +137,12 @@
 		key  []byte
 		read func([]byte) error
 	}{
-		{keyID, func(b []byte) error { return number(b, &d.ID) }},
-		{keyBoot, func(b []byte) error { return number(b, &d.Boot) }},
+		{keyID, func(b []byte) error { return readUint64(b, &d.ID) }},
+		{keyBoot, func(b []byte) error { return readUint64(b, &d.Boot) }},
 		{keyNames, func(b []byte) error { return cbor.Unmarshal(b, &d.Names) }},
-		{keyWitness, func(b []byte) error { return cbor.Unmarshal(b, &d.Witness) }},
-		{keyHard, func(b []byte) error { d.Hard = &pb.HardState{}; return proto.Unmarshal(b, d.Hard) }},
-		{keySnap, func(b []byte) error { d.Snapshot = &pb.Snapshot{}; return proto.Unmarshal(b, d.Snapshot) }},
+		{keyPeers, func(b []byte) error { return cbor.Unmarshal(b, &d.Peers) }},
+		{keyHardState, func(b []byte) error { d.HardState = &pb.HardState{}; return proto.Unmarshal(b, d.HardState) }},
+		{keySnapshot, func(b []byte) error { d.Snapshot = &pb.Snapshot{}; return proto.Unmarshal(b, d.Snapshot) }},
 	} {
 		b, err := get(meta, v.key)
 		if err != nil {
@@ -152,34 +152,34 @@
 			continue
 		}
 		if err := v.read(b); err != nil {
-			return fmt.Errorf("%w: %q: %w", quorum.ErrDamaged, v.key, err)
+			return fmt.Errorf("%w: %q: %w", quorum.ErrCorrupt, v.key, err)
 		}
 	}
 	first := d.Snapshot.GetMetadata().GetIndex()
 	cursor := tx.Bucket(bucketLog).Cursor()
 	next := uint64(0)
 	for k, v := cursor.First(); k != nil; k, v = cursor.Next() {
-		b, err := checked(k, v)
+		b, err := verifyChecksum(k, v)
 		if err != nil {
 			return err
 		}
 		e := &pb.Entry{}
 		if err := proto.Unmarshal(b, e); err != nil || e.GetIndex() != binary.BigEndian.Uint64(k) || next != 0 && e.GetIndex() != next {
-			return fmt.Errorf("%w: entry %d: %v", quorum.ErrDamaged, binary.BigEndian.Uint64(k), err)
+			return fmt.Errorf("%w: entry %d: %v", quorum.ErrCorrupt, binary.BigEndian.Uint64(k), err)
 		}
 		if next = e.GetIndex() + 1; e.GetIndex() > first {
 			d.Entries = append(d.Entries, e)
 		}
 	}
-	if n := len(d.Entries); n > 0 && d.Entries[0].GetIndex() != first+1 || d.Hard.GetCommit() > max(first, next-min(next, 1)) {
-		return fmt.Errorf("%w: a gap in the log", quorum.ErrDamaged)
+	if n := len(d.Entries); n > 0 && d.Entries[0].GetIndex() != first+1 || d.HardState.GetCommit() > max(first, next-min(next, 1)) {
+		return fmt.Errorf("%w: a gap in the log", quorum.ErrCorrupt)
 	}
 	return nil
 }
 
-func number(b []byte, into *uint64) error {
+func readUint64(b []byte, into *uint64) error {
 	if len(b) != 8 {
-		return quorum.ErrDamaged
+		return quorum.ErrCorrupt
 	}
 	*into = binary.BigEndian.Uint64(b)
 	return nil
@@ -194,12 +194,12 @@
 			if err != nil {
 				return err
 			}
-			if err := put(meta, keySnap, data); err != nil {
+			if err := put(meta, keySnapshot, data); err != nil {
 				return err
 			}
 			at := b.Snapshot.GetMetadata().GetIndex()
 			c := log.Cursor()
-			for k, _ := c.First(); k != nil && (b.Replace || binary.BigEndian.Uint64(k)+kept <= at); k, _ = c.First() {
+			for k, _ := c.First(); k != nil && (b.Replace || binary.BigEndian.Uint64(k)+retainedEntries <= at); k, _ = c.First() {
 				if err := c.Delete(); err != nil {
 					return err
 				}
@@ -207,7 +207,7 @@
 		}
 		if len(b.Entries) > 0 { // they replace what stood at their places and behind
 			c := log.Cursor()
-			for k, _ := c.Seek(index(b.Entries[0].GetIndex())); k != nil; k, _ = c.Seek(index(b.Entries[0].GetIndex())) {
+			for k, _ := c.Seek(logKey(b.Entries[0].GetIndex())); k != nil; k, _ = c.Seek(logKey(b.Entries[0].GetIndex())) {
 				if err := c.Delete(); err != nil {
 					return err
 				}
@@ -218,16 +218,16 @@
 			if err != nil {
 				return err
 			}
-			if err := put(log, index(e.GetIndex()), data); err != nil {
+			if err := put(log, logKey(e.GetIndex()), data); err != nil {
 				return err
 			}
 		}
-		if b.Hard != nil {
-			data, err := proto.Marshal(b.Hard)
+		if b.HardState != nil {
+			data, err := proto.Marshal(b.HardState)
 			if err != nil {
 				return err
 			}
-			if err := put(meta, keyHard, data); err != nil {
+			if err := put(meta, keyHardState, data); err != nil {
 				return err
 			}
 		}
@@ -236,7 +236,7 @@
 				return err
 			}
 		}
-		return putCBOR(meta, keyWitness, b.Witness)
+		return putCBOR(meta, keyPeers, b.Peers)
 	})
 	if err != nil {
 		return s.wrap("save", err)
@@ -252,7 +252,7 @@
 	return put(b, key, data)
 }
 
-func index(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
+func logKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 
 // Close lets go of the file.
 func (s *Store) Close() error {
--- a/internal/standalone/fleet/quorum/boltstore/boltstore_test.go
+++ b/internal/standalone/fleet/quorum/boltstore/boltstore_test.go
@@ -31,9 +31,9 @@
 	}
 	hard := &pb.HardState{Term: new(uint64(3)), Vote: new(uint64(9)), Commit: new(uint64(4))}
 	for _, b := range []quorum.Batch{
-		{Snapshot: snapshot(1), Replace: true, Names: map[uint64]string{1: "a", 2: "b"}, Hard: &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))}},
+		{Snapshot: snapshot(1), Replace: true, Names: map[uint64]string{1: "a", 2: "b"}, HardState: &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))}},
 		{Entries: []*pb.Entry{entry(2, 1), entry(3, 1), entry(4, 1), entry(5, 1)}},
-		{Entries: []*pb.Entry{entry(4, 2)}, Hard: hard, Witness: map[uint64]quorum.Witness{2: {Boot: 7, Index: 3}}},
+		{Entries: []*pb.Entry{entry(4, 2)}, HardState: hard, Peers: map[uint64]quorum.PeerProgress{2: {Boot: 7, Index: 3}}},
 	} {
 		if err := s.Save(b); err != nil {
 			t.Fatal(err)
@@ -43,12 +43,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &quorum.Durable{ID: first.ID, Boot: 2, Names: map[uint64]string{1: "a", 2: "b"}, Hard: hard, Snapshot: snapshot(1),
-		Entries: []*pb.Entry{entry(2, 1), entry(3, 1), entry(4, 2)}, Witness: map[uint64]quorum.Witness{2: {Boot: 7, Index: 3}}}
+	want := &quorum.Durable{ID: first.ID, Boot: 2, Names: map[uint64]string{1: "a", 2: "b"}, HardState: hard, Snapshot: snapshot(1),
+		Entries: []*pb.Entry{entry(2, 1), entry(3, 1), entry(4, 2)}, Peers: map[uint64]quorum.PeerProgress{2: {Boot: 7, Index: 3}}}
 	if diff := cmp.Diff(want, got, protocmp.Transform()); diff != "" {
 		t.Error(diff)
 	}
-	if err := s.Save(quorum.Batch{Snapshot: snapshot(9), Replace: true, Hard: &pb.HardState{Term: new(uint64(4)), Commit: new(uint64(9))}}); err != nil {
+	if err := s.Save(quorum.Batch{Snapshot: snapshot(9), Replace: true, HardState: &pb.HardState{Term: new(uint64(4)), Commit: new(uint64(9))}}); err != nil {
 		t.Fatal(err)
 	}
 	if got, err = s.Open(); err != nil || len(got.Entries) != 0 || got.Snapshot.GetMetadata().GetIndex() != 9 {
@@ -64,7 +64,7 @@
 	if _, err := s.Open(); err != nil {
 		t.Fatal(err)
 	}
-	s.Save(quorum.Batch{Snapshot: snapshot(1), Replace: true, Names: map[uint64]string{1: "a"}, Hard: &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))}})
+	s.Save(quorum.Batch{Snapshot: snapshot(1), Replace: true, Names: map[uint64]string{1: "a"}, HardState: &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))}})
 	for i := uint64(2); i < 30; i++ {
 		if err := s.Save(quorum.Batch{Entries: []*pb.Entry{entry(i, 1)}}); err != nil {
 			t.Fatal(err)
@@ -117,7 +117,7 @@
 
 // A folder where nothing can be written is full or not to be believed, and says so.
 func TestNoFolder(t *testing.T) {
-	if _, err := (&Store{Path: filepath.Join(t.TempDir(), "none", "votes")}).Open(); err == nil || errors.Is(err, quorum.ErrFull) {
+	if _, err := (&Store{Path: filepath.Join(t.TempDir(), "none", "votes")}).Open(); err == nil || errors.Is(err, quorum.ErrNoSpace) {
 		t.Error(err)
 	}
 }
--- a/internal/standalone/fleet/quorum/boltstore/landed_test.go
+++ b/internal/standalone/fleet/quorum/boltstore/landed_test.go
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	now := 1000.0
-	for ; !core.Status().Leads && now < 1100; now += quorum.TickEvery {
+	for ; !core.Status().Leading && now < 1100; now += quorum.TickInterval {
 		core.Tick(now)
 	}
 	got := core.Status()
@@ -126,7 +126,7 @@
 		table.History = append(table.History,
 			singleton.Tenure{Role: past.Duty, Token: past.Token, Holder: past.To, Index: past.Index})
 	}
-	if diff := cmp.Diff(table, core.Register()); diff != "" {
+	if diff := cmp.Diff(table, core.Table()); diff != "" {
 		t.Errorf("table (-want +got):\n%s", diff)
 	}
 }
@@ -146,9 +146,9 @@
 			Index: new(uint64(3000)), Term: new(uint64(9)), ConfState: &pb.ConfState{Voters: []uint64{1, 2}}}},
 		Replace: true,
 		Names:   map[uint64]string{1: "a"},
-		Hard:    &pb.HardState{Term: new(uint64(9)), Vote: new(uint64(1)), Commit: new(uint64(3001))},
+		HardState:    &pb.HardState{Term: new(uint64(9)), Vote: new(uint64(1)), Commit: new(uint64(3001))},
 		Entries: []*pb.Entry{entry(3001, 9), entry(3002, 9)},
-		Witness: map[uint64]quorum.Witness{2: {Boot: 7, Index: 3000}},
+		Peers: map[uint64]quorum.PeerProgress{2: {Boot: 7, Index: 3000}},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standalone/fleet/quorum/core.go
+++ b/internal/standalone/fleet/quorum/core.go
@@ -23,68 +23,68 @@
 
 // Ticks, in units of TickEvery seconds of the host's clock.
 const (
-	TickEvery      = 0.1 // s
+	TickInterval      = 0.1 // s
 	heartbeatTicks = 2
 	electionTicks  = 8 // to 15, by chance
 	snapshotEvery  = 2000
-	keptEntries    = 200
-	mostData       = 64 << 10 // bytes of a proposal
-	mostMessage    = 8 << 20  // bytes of an envelope: a snapshot of the largest register fits
-	helloEvery     = 3        // ticks
-	resumeEvery    = 0.5      // s
+	retainedEntries    = 200
+	maxProposalBytes       = 64 << 10 // bytes of a proposal
+	maxMessageBytes    = 8 << 20  // bytes of an envelope: a snapshot of the largest register fits
+	helloTicks     = 3        // ticks
+	reopenInterval    = 0.5      // s
 )
 
 // Core is one voter. It is not safe for use by several goroutines.
-type Core struct {
+type Voter struct {
 	name     string
-	named    []string // voters that the configuration names
+	configured    []string // voters that the configuration names
 	store    Store
 	state    State
-	why      string
-	d        *Durable
-	mem      *raft.MemoryStorage
+	reason      string
+	durable        *Durable
+	raftStorage      *raft.MemoryStorage
 	node     *raft.RawNode
-	conf     *pb.ConfState
-	register *singleton.LeaseTable
-	clerk    *singleton.LeaseManager
+	confState     *pb.ConfState
+	table *singleton.LeaseTable
+	manager    *singleton.LeaseManager
 	applied  uint64
-	kept     uint64 // index of the last snapshot
+	snapshotIndex     uint64 // index of the last snapshot
 	leader   uint64
-	leads    bool
-	led      bool
-	tickAt   singleton.Seconds
-	resumeAt singleton.Seconds
+	raftLeader    bool
+	leading      bool
+	steppedAt   singleton.Seconds
+	nextReopenAt singleton.Seconds
 	ticks    int
-	vouched  map[uint64]bool   // others that have said how far they saw this voter
-	unformed map[string]uint64 // ids of named voters that wait to be formed
-	base     uint64            // of tokens, where this voter forms
-	out      Out
+	confirmedBy  map[uint64]bool   // others that have said how far they saw this voter
+	joining map[string]uint64 // ids of named voters that wait to be formed
+	tokenBase     uint64            // of tokens, where this voter forms
+	out      Output
 }
 
 // Open begins a voter from what is on its disk. base is what tokens begin above if the voters are formed now: the time in
 // seconds shifted by 20 bits, so that a register whose voters all lost their folders does not go back.
-func Open(name string, named []string, store Store, base uint64) (*Core, error) {
-	c := &Core{name: name, named: slices.Clone(named), store: store, base: base, vouched: map[uint64]bool{}, unformed: map[string]uint64{}}
-	slices.Sort(c.named)
-	c.register = singleton.NewLeaseTable()
-	c.clerk = singleton.NewLeaseManager(c.register)
+func Open(name string, named []string, store Store, base uint64) (*Voter, error) {
+	c := &Voter{name: name, configured: slices.Clone(named), store: store, tokenBase: base, confirmedBy: map[uint64]bool{}, joining: map[string]uint64{}}
+	slices.Sort(c.configured)
+	c.table = singleton.NewLeaseTable()
+	c.manager = singleton.NewLeaseManager(c.table)
 	d, err := store.Open()
 	if err != nil {
-		c.state, c.why = Retired, err.Error()
+		c.state, c.reason = Retired, err.Error()
 		switch {
-		case errors.Is(err, ErrFull):
+		case errors.Is(err, ErrNoSpace):
 			c.state = Full
-		case errors.Is(err, ErrBusy):
+		case errors.Is(err, ErrLocked):
 			c.state = Busy
 			return c, nil
 		}
 		return c, fmt.Errorf("quorum: %w", err)
 	}
-	c.d = d
-	if d.Witness == nil {
-		d.Witness = map[uint64]Witness{}
+	c.durable = d
+	if d.Peers == nil {
+		d.Peers = map[uint64]PeerProgress{}
 	}
-	if err := c.begin(); err != nil {
+	if err := c.startRaft(); err != nil {
 		c.retire(err.Error())
 		return c, err
 	}
@@ -98,16 +98,16 @@
 }
 
 // begin has raft run on what is on the disk.
-func (c *Core) begin() (err error) {
+func (c *Voter) startRaft() (err error) {
 	defer func() { // the library panics where what is on the disk does not fit together
 		if r := recover(); r != nil {
-			err = fmt.Errorf("quorum: %w: %v", ErrDamaged, r)
+			err = fmt.Errorf("quorum: %w: %v", ErrCorrupt, r)
 		}
 	}()
-	c.mem, c.conf = raft.NewMemoryStorage(), &pb.ConfState{}
+	c.raftStorage, c.confState = raft.NewMemoryStorage(), &pb.ConfState{}
 	c.state = Unformed
-	if s := c.d.Snapshot; s != nil {
-		if err := c.mem.ApplySnapshot(s); err != nil {
+	if s := c.durable.Snapshot; s != nil {
+		if err := c.raftStorage.ApplySnapshot(s); err != nil {
 			return fmt.Errorf("quorum: %w", err)
 		}
 		if err := c.restore(s); err != nil {
@@ -115,15 +115,15 @@
 		}
 		c.state = Waiting
 	}
-	if c.d.Hard != nil {
-		c.mem.SetHardState(c.d.Hard)
+	if c.durable.HardState != nil {
+		c.raftStorage.SetHardState(c.durable.HardState)
 	}
-	if err := c.mem.Append(c.d.Entries); err != nil {
+	if err := c.raftStorage.Append(c.durable.Entries); err != nil {
 		return fmt.Errorf("quorum: %w", err)
 	}
-	c.node, err = raft.NewRawNode(&raft.Config{ID: c.d.ID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: c.mem, Applied: c.applied,
+	c.node, err = raft.NewRawNode(&raft.Config{ID: c.durable.ID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: c.raftStorage, Applied: c.applied,
 		MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 1 << 20, CheckQuorum: true, PreVote: true, StepDownOnRemoval: true,
-		Logger: quiet{}})
+		Logger: silentLogger{}})
 	if err != nil {
 		return fmt.Errorf("quorum: %w", err)
 	}
@@ -131,92 +131,92 @@
 }
 
 // restore goes by a snapshot.
-func (c *Core) restore(s *pb.Snapshot) error {
+func (c *Voter) restore(s *pb.Snapshot) error {
 	var held snapshot
 	if err := cbor.Unmarshal(s.GetData(), &held); err != nil || held.Register == nil {
-		return fmt.Errorf("quorum: %w: a snapshot: %v", ErrDamaged, err)
+		return fmt.Errorf("quorum: %w: a snapshot: %v", ErrCorrupt, err)
 	}
 	if held.Register.Leases == nil {
 		held.Register.Leases = map[string]singleton.Lease{}
 	}
-	c.register, c.d.Names = held.Register, held.Names
-	c.clerk.SetTable(c.register)
-	c.conf = proto.Clone(s.GetMetadata().GetConfState()).(*pb.ConfState)
-	c.applied, c.kept = s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex()
+	c.table, c.durable.Names = held.Register, held.Names
+	c.manager.SetTable(c.table)
+	c.confState = proto.Clone(s.GetMetadata().GetConfState()).(*pb.ConfState)
+	c.applied, c.snapshotIndex = s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex()
 	return nil
 }
 
 // retire has it say nothing more under its id.
-func (c *Core) retire(why string) {
-	c.state, c.why, c.node = Retired, why, nil
-	if c.led {
-		c.led = false
-		c.clerk.Step(c.tickAt, singleton.LeadershipLost{})
+func (c *Voter) retire(why string) {
+	c.state, c.reason, c.node = Retired, why, nil
+	if c.leading {
+		c.leading = false
+		c.manager.Step(c.steppedAt, singleton.LeadershipLost{})
 	}
 	c.out.Changed = true
 }
 
 // Tick lets time pass; it is to come every TickEvery. What was missed is not made up for.
-func (c *Core) Tick(now singleton.Seconds) Out {
+func (c *Voter) Tick(now singleton.Seconds) Output {
 	return c.step(now, func() {
 		c.ticks++
-		c.greet()
+		c.sendHello()
 		if c.state == Voting {
 			c.node.Tick()
 		}
-		c.carry(now, c.clerk.Step(now, singleton.ManagerTick{}))
+		c.execute(now, c.manager.Step(now, singleton.ManagerTick{}))
 	})
 }
 
 // Receive takes what another voter said. What cannot be read is nobody's.
-func (c *Core) Receive(now singleton.Seconds, data []byte) (Out, error) {
+func (c *Voter) Receive(now singleton.Seconds, data []byte) (Output, error) {
 	var e envelope
-	if len(data) > mostMessage {
-		return Out{}, fmt.Errorf("quorum: %d bytes", len(data))
+	if len(data) > maxMessageBytes {
+		return Output{}, fmt.Errorf("quorum: %d bytes", len(data))
 	}
-	if err := decoding.Unmarshal(data, &e); err != nil {
-		return Out{}, fmt.Errorf("quorum: %w", err)
+	if err := strictDecoding.Unmarshal(data, &e); err != nil {
+		return Output{}, fmt.Errorf("quorum: %w", err)
 	}
 	return c.step(now, func() { c.receive(e) }), nil
 }
 
 // Ask takes an ingress's question; Give an operator's wish.
-func (c *Core) Ask(now singleton.Seconds, a singleton.AcquireRequest) Out {
-	return c.step(now, func() { c.carry(now, c.clerk.Step(now, singleton.RequestReceived{Request: a})) })
+func (c *Voter) HandleRequest(now singleton.Seconds, a singleton.AcquireRequest) Output {
+	return c.step(now, func() { c.execute(now, c.manager.Step(now, singleton.RequestReceived{Request: a})) })
 }
 
 // Give has a duty go to a member.
-func (c *Core) Give(now singleton.Seconds, name, to string) Out {
-	return c.step(now, func() { c.carry(now, c.clerk.Step(now, singleton.Transfer{Role: name, To: to})) })
+func (c *Voter) Transfer(now singleton.Seconds, name, to string) Output {
+	return c.step(now, func() { c.execute(now, c.manager.Step(now, singleton.Transfer{Role: name, To: to})) })
 }
 
 // Resume begins anew from the disk, once there is room again, or an older process of this ingress has let go of it.
-func (c *Core) Resume(now singleton.Seconds) {
-	if c.state != Full && c.state != Busy || now < c.resumeAt {
+func (c *Voter) Reopen(now singleton.Seconds) {
+	if c.state != Full && c.state != Busy || now < c.nextReopenAt {
 		return
 	}
-	c.resumeAt = now + resumeEvery
+	c.nextReopenAt = now + reopenInterval
 	d, err := c.store.Open()
 	if err != nil {
-		if c.state == Busy && !errors.Is(err, ErrBusy) && !errors.Is(err, ErrFull) {
+		if c.state == Busy && !errors.Is(err, ErrLocked) && !errors.Is(err, ErrNoSpace) {
 			c.retire(err.Error())
 		}
 		return
 	}
-	c.d, c.vouched = d, map[uint64]bool{}
-	if d.Witness == nil {
-		d.Witness = map[uint64]Witness{}
+	c.durable, c.confirmedBy = d, map[uint64]bool{}
+	if d.Peers == nil {
+		d.Peers = map[uint64]PeerProgress{}
 	}
-	if err := c.begin(); err != nil {
+	if err := c.startRaft(); err != nil {
 		c.retire(err.Error())
 	}
 }
 
 // save keeps a batch. Where there is no room it says nothing until there is; after any other error the folder is not believed.
-func (c *Core) save(b Batch) bool {
-	b.Witness = c.d.Witness
+func (c *Voter) save(b Batch) bool {
+	b.Peers = c.durable.Peers
 	if mutated("vote-unkept") {
-		b.Hard = nil
+		b.HardState = nil
 	}
 	if mutated("entries-unkept") {
 		b.Entries = nil
@@ -225,11 +225,11 @@
 	switch {
 	case err == nil:
 		return true
-	case errors.Is(err, ErrFull):
-		c.state, c.why, c.node = Full, err.Error(), nil
-		if c.led {
-			c.led = false
-			c.clerk.Step(c.tickAt, singleton.LeadershipLost{})
+	case errors.Is(err, ErrNoSpace):
+		c.state, c.reason, c.node = Full, err.Error(), nil
+		if c.leading {
+			c.leading = false
+			c.manager.Step(c.steppedAt, singleton.LeadershipLost{})
 		}
 		c.out.Changed = true
 	default:
@@ -238,67 +238,67 @@
 	return false
 }
 
-func (c *Core) send(to string, e envelope) {
-	e.From, e.Name, e.Boot = c.d.ID, c.name, c.d.Boot
+func (c *Voter) send(to string, e envelope) {
+	e.From, e.Name, e.Boot = c.durable.ID, c.name, c.durable.Boot
 	data, err := cbor.Marshal(e)
 	if err != nil {
 		return
 	}
-	c.out.Send = append(c.out.Send, Packet{to, data})
+	c.out.Messages = append(c.out.Messages, Message{to, data})
 }
 
 // receive goes by what another voter said.
-func (c *Core) receive(e envelope) {
-	if e.From == c.d.ID || e.Name == c.name {
+func (c *Voter) receive(e envelope) {
+	if e.From == c.durable.ID || e.Name == c.name {
 		return
 	}
-	seen := c.d.Witness[e.From]
+	seen := c.durable.Peers[e.From]
 	stale := e.Boot < seen.Boot
-	if e.Boot > seen.Boot && c.d.Names[e.From] != "" {
+	if e.Boot > seen.Boot && c.durable.Names[e.From] != "" {
 		seen.Boot = e.Boot
-		c.d.Witness[e.From] = seen // kept with the next batch
+		c.durable.Peers[e.From] = seen // kept with the next batch
 	}
 	switch e.Kind {
 	case kindHello:
-		if !e.Formed && slices.Contains(c.named, e.Name) {
-			if c.unformed[e.Name] = e.From; c.d.Names[e.From] == e.Name {
-				c.send(e.Name, envelope{Kind: kindForm, Voters: c.d.Names, Base: c.register.LastToken}) // it did not hear that it is one of us
+		if !e.Formed && slices.Contains(c.configured, e.Name) {
+			if c.joining[e.Name] = e.From; c.durable.Names[e.From] == e.Name {
+				c.send(e.Name, envelope{Kind: kindBootstrap, Voters: c.durable.Names, TokenBase: c.table.LastToken}) // it did not hear that it is one of us
 			}
 		}
 		if e.Formed {
-			delete(c.unformed, e.Name)
+			delete(c.joining, e.Name)
 			w := seen
 			if !stale { // it has this start itself
 				w.Boot = 0
 			}
-			c.send(e.Name, envelope{Kind: kindKnown, Known: w, Formed: c.state != Unformed, Awaited: c.state == Waiting})
+			c.send(e.Name, envelope{Kind: kindProgress, Progress: w, Formed: c.state != Unformed, Waiting: c.state == Waiting})
 		}
-	case kindKnown:
-		last, _ := c.mem.LastIndex()
+	case kindProgress:
+		last, _ := c.raftStorage.LastIndex()
 		switch {
-		case c.state != Waiting || !e.Formed || c.d.Names[e.From] == "":
-		case (e.Known.Index > last || e.Known.Boot > c.d.Boot) && !mutated("gone-back-votes"):
-			c.retire(fmt.Sprintf("its folder went back: %s saw it at entry %d of start %d, it is at %d of %d", e.Name, e.Known.Index, e.Known.Boot, last, c.d.Boot))
+		case c.state != Waiting || !e.Formed || c.durable.Names[e.From] == "":
+		case (e.Progress.Index > last || e.Progress.Boot > c.durable.Boot) && !mutated("gone-back-votes"):
+			c.retire(fmt.Sprintf("its folder went back: %s saw it at entry %d of start %d, it is at %d of %d", e.Name, e.Progress.Index, e.Progress.Boot, last, c.durable.Boot))
 		default:
-			c.vouched[e.From] = true
-			c.trust()
+			c.confirmedBy[e.From] = true
+			c.startVotingIfConfirmed()
 		}
-	case kindForm:
-		if c.state == Unformed && e.Voters[c.d.ID] == c.name && len(e.Voters) == len(c.named) {
-			c.formed(e.Voters, e.Base)
+	case kindBootstrap:
+		if c.state == Unformed && e.Voters[c.durable.ID] == c.name && len(e.Voters) == len(c.configured) {
+			c.bootstrap(e.Voters, e.TokenBase)
 		}
 	case kindRaft:
 		if stale || c.state == Waiting {
 			return // an older start of that voter, or this one does not know yet what it promised
 		}
 		for id, index := range e.Match {
-			if w := c.d.Witness[id]; id != c.d.ID && index > w.Index {
+			if w := c.durable.Peers[id]; id != c.durable.ID && index > w.Index {
 				w.Index = index
-				c.d.Witness[id] = w
+				c.durable.Peers[id] = w
 			}
 		}
 		m := &pb.Message{}
-		if proto.Unmarshal(e.Raft, m) != nil || m.GetFrom() != e.From || m.GetTo() != c.d.ID {
+		if proto.Unmarshal(e.Raft, m) != nil || m.GetFrom() != e.From || m.GetTo() != c.durable.ID {
 			return
 		}
 		c.node.Step(m)
@@ -306,26 +306,26 @@
 }
 
 // ready does what raft wants, in its order: to the disk, then to others, then to the register.
-func (c *Core) ready(now singleton.Seconds) {
+func (c *Voter) ready(now singleton.Seconds) {
 	for c.node != nil && c.node.HasReady() {
 		rd := c.node.Ready()
 		if s := rd.SoftState; s != nil {
-			c.leader, c.leads, c.out.Changed = s.Lead, s.RaftState == raft.StateLeader, true
-			if !c.leads && c.led {
-				c.led = false
-				c.clerk.Step(now, singleton.LeadershipLost{})
+			c.leader, c.raftLeader, c.out.Changed = s.Lead, s.RaftState == raft.StateLeader, true
+			if !c.raftLeader && c.leading {
+				c.leading = false
+				c.manager.Step(now, singleton.LeadershipLost{})
 			}
 		}
 		b := Batch{Entries: rd.Entries}
 		if !raft.IsEmptyHardState(rd.HardState) {
-			b.Hard = rd.HardState
+			b.HardState = rd.HardState
 		}
 		if !raft.IsEmptySnap(rd.Snapshot) {
 			b.Snapshot, b.Replace = rd.Snapshot, true
 		}
-		if b.Hard != nil || b.Snapshot != nil || len(b.Entries) > 0 {
+		if b.HardState != nil || b.Snapshot != nil || len(b.Entries) > 0 {
 			if b.Snapshot != nil { // of a leader: from now on it is what this voter knows
-				if err := c.mem.ApplySnapshot(b.Snapshot); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
+				if err := c.raftStorage.ApplySnapshot(b.Snapshot); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 					c.retire(err.Error())
 					return
 				}
@@ -333,7 +333,7 @@
 					c.retire(err.Error())
 					return
 				}
-				b.Names = c.d.Names
+				b.Names = c.durable.Names
 				if c.state == Unformed {
 					c.state = Voting // it was added: it never promised anything
 				}
@@ -341,13 +341,13 @@
 			if !c.save(b) {
 				return
 			}
-			if b.Hard != nil {
-				c.mem.SetHardState(b.Hard)
+			if b.HardState != nil {
+				c.raftStorage.SetHardState(b.HardState)
 			}
-			c.mem.Append(b.Entries)
+			c.raftStorage.Append(b.Entries)
 		}
 		for _, m := range rd.Messages {
-			c.say(m)
+			c.sendRaft(m)
 		}
 		for _, e := range rd.CommittedEntries {
 			c.apply(now, e)
@@ -361,14 +361,14 @@
 }
 
 // say sends a message of raft, with what this voter knows of how far the others are.
-func (c *Core) say(m *pb.Message) {
-	name := c.d.Names[m.GetTo()]
+func (c *Voter) sendRaft(m *pb.Message) {
+	name := c.durable.Names[m.GetTo()]
 	data, err := proto.Marshal(m)
 	if name == "" || err != nil {
 		return
 	}
 	e := envelope{Kind: kindRaft, Raft: data}
-	if c.leads && m.GetType() == pb.MsgHeartbeat {
+	if c.raftLeader && m.GetType() == pb.MsgHeartbeat {
 		e.Match = map[uint64]uint64{}
 		c.node.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) { e.Match[id] = pr.Match })
 	}
--- a/internal/standalone/fleet/quorum/encoding_test.go
+++ b/internal/standalone/fleet/quorum/encoding_test.go
@@ -24,10 +24,10 @@
 		{"envelope_raft", envelope{Kind: kindRaft, From: 11, Name: "n1", Boot: 2, Raft: []byte{1, 2, 3},
 			Match: map[uint64]uint64{12: 34}}},
 		{"envelope_hello", envelope{Kind: kindHello, From: 11, Name: "n1", Boot: 2, Index: 5, Formed: true}},
-		{"envelope_known", envelope{Kind: kindKnown, From: 11, Name: "n1", Boot: 2, Known: Witness{Boot: 3, Index: 4},
-			Formed: true, Awaited: true}},
-		{"envelope_form", envelope{Kind: kindForm, From: 11, Name: "n1", Boot: 2, Voters: map[uint64]string{11: "n1"},
-			Base: 1 << 40}},
+		{"envelope_known", envelope{Kind: kindProgress, From: 11, Name: "n1", Boot: 2, Progress: PeerProgress{Boot: 3, Index: 4},
+			Formed: true, Waiting: true}},
+		{"envelope_form", envelope{Kind: kindBootstrap, From: 11, Name: "n1", Boot: 2, Voters: map[uint64]string{11: "n1"},
+			TokenBase: 1 << 40}},
 		{"snapshot", snapshot{
 			Register: &singleton.LeaseTable{
 				LastToken:    12,
@@ -51,7 +51,7 @@
 				t.Errorf("encoded %x, want %x", written, landed)
 			}
 			decoded := reflect.New(reflect.TypeOf(test.value))
-			if err := decoding.Unmarshal(landed, decoded.Interface()); err != nil {
+			if err := strictDecoding.Unmarshal(landed, decoded.Interface()); err != nil {
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(test.value, decoded.Elem().Interface()); diff != "" {
--- a/internal/standalone/fleet/quorum/formation.go
+++ b/internal/standalone/fleet/quorum/formation.go
@@ -12,13 +12,13 @@
 )
 
 // step does something, and then what raft wants of it. The library panics where a log goes back: its voter retires.
-func (c *Core) step(now singleton.Seconds, do func()) (out Out) {
-	c.out, c.tickAt = Out{}, now
+func (c *Voter) step(now singleton.Seconds, do func()) (out Output) {
+	c.out, c.steppedAt = Output{}, now
 	defer func() {
 		if r := recover(); r != nil {
 			c.retire(fmt.Sprint(r))
 		}
-		out, c.out = c.out, Out{}
+		out, c.out = c.out, Output{}
 	}()
 	if c.node == nil {
 		return c.out
@@ -30,34 +30,34 @@
 
 // greet asks the others who this voter is to them, until more than half have said; a voter that is named and not formed
 // tells the first of them its id.
-func (c *Core) greet() {
-	if c.state == Voting || c.ticks%helloEvery != 0 {
+func (c *Voter) sendHello() {
+	if c.state == Voting || c.ticks%helloTicks != 0 {
 		return
 	}
-	last, _ := c.mem.LastIndex()
+	last, _ := c.raftStorage.LastIndex()
 	e := envelope{Kind: kindHello, Index: last, Formed: c.state != Unformed}
-	to := c.named
+	to := c.configured
 	if c.state != Unformed {
-		to = slices.Sorted(maps.Values(c.d.Names))
-		c.trust()
+		to = slices.Sorted(maps.Values(c.durable.Names))
+		c.startVotingIfConfirmed()
 	}
 	for _, name := range to {
 		if name != c.name {
 			c.send(name, e)
 		}
 	}
-	c.form()
+	c.bootstrapIfComplete()
 }
 
 // trust lets it vote once a majority, itself among it, has not seen it further than it is.
-func (c *Core) trust() {
+func (c *Voter) startVotingIfConfirmed() {
 	if c.state != Waiting {
 		return
 	}
-	voters := c.conf.GetVoters()
+	voters := c.confState.GetVoters()
 	n := 0
 	for _, id := range voters {
-		if id == c.d.ID || c.vouched[id] {
+		if id == c.durable.ID || c.confirmedBy[id] {
 			n++
 		}
 	}
@@ -68,21 +68,21 @@
 
 // form makes the voters that the configuration names one group, once each of them has said that its folder knows of none. The
 // first by name does it, and goes on telling those that did not hear.
-func (c *Core) form() {
-	if c.state != Unformed || len(c.named) == 0 || c.named[0] != c.name || len(c.unformed) < len(c.named)-1 {
+func (c *Voter) bootstrapIfComplete() {
+	if c.state != Unformed || len(c.configured) == 0 || c.configured[0] != c.name || len(c.joining) < len(c.configured)-1 {
 		return
 	}
-	voters := map[uint64]string{c.d.ID: c.name}
-	for name, id := range c.unformed {
+	voters := map[uint64]string{c.durable.ID: c.name}
+	for name, id := range c.joining {
 		voters[id] = name
 	}
-	if len(voters) == len(c.named) {
-		c.formed(voters, c.base)
+	if len(voters) == len(c.configured) {
+		c.bootstrap(voters, c.tokenBase)
 	}
 }
 
 // formed is the beginning of the log, the same at each voter.
-func (c *Core) formed(voters map[uint64]string, base uint64) {
+func (c *Voter) bootstrap(voters map[uint64]string, base uint64) {
 	r := singleton.NewLeaseTable()
 	r.LastToken = base
 	data, err := cbor.Marshal(snapshot{r, voters})
@@ -91,12 +91,12 @@
 		return
 	}
 	s := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: new(uint64(1)), Term: new(uint64(1)), ConfState: &pb.ConfState{Voters: slices.Sorted(maps.Keys(voters))}}}
-	if !c.save(Batch{Snapshot: s, Replace: true, Names: voters, Hard: &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1)), Vote: new(uint64(0))}}) {
+	if !c.save(Batch{Snapshot: s, Replace: true, Names: voters, HardState: &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1)), Vote: new(uint64(0))}}) {
 		return
 	}
-	c.d.Snapshot, c.d.Names = s, voters
-	c.d.Hard = &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1)), Vote: new(uint64(0))}
-	if err := c.begin(); err != nil {
+	c.durable.Snapshot, c.durable.Names = s, voters
+	c.durable.HardState = &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1)), Vote: new(uint64(0))}
+	if err := c.startRaft(); err != nil {
 		c.retire(err.Error())
 		return
 	}
--- a/internal/standalone/fleet/quorum/load_test.go
+++ b/internal/standalone/fleet/quorum/load_test.go
@@ -17,7 +17,7 @@
 type group struct {
 	now     float64
 	names   []string
-	cores   map[string]*quorum.Core
+	cores   map[string]*quorum.Voter
 	stores  map[string]*boltstore.Store
 	holders map[string]*singleton.LeaseHolder
 	away    bool // nothing reaches the voters
@@ -32,18 +32,18 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func (g *group) on(name string, do func(*quorum.Core) quorum.Out) {
+func (g *group) on(name string, do func(*quorum.Voter) quorum.Output) {
 	before := spent()
 	out := do(g.cores[name])
 	g.cpu[name] += spent() - before
-	for _, p := range out.Send {
+	for _, p := range out.Messages {
 		g.bytes += len(p.Data)
-		g.on(p.To, func(c *quorum.Core) quorum.Out { o, _ := c.Receive(g.now, p.Data); return o })
+		g.on(p.To, func(c *quorum.Voter) quorum.Output { o, _ := c.Receive(g.now, p.Data); return o })
 	}
-	for _, r := range out.Reply {
+	for _, r := range out.Replies {
 		g.hold(r.To.Name, singleton.ResponseReceived{Response: r.Response})
 	}
-	for _, n := range out.Nudge {
+	for _, n := range out.Wake {
 		g.hold(n, singleton.WakeReceived{})
 	}
 }
@@ -53,16 +53,16 @@
 		if s, ok := a.(singleton.SendRequest); ok && !g.away {
 			g.asks++
 			for _, v := range g.names {
-				g.on(v, func(c *quorum.Core) quorum.Out { return c.Ask(g.now, s.Request) })
+				g.on(v, func(c *quorum.Voter) quorum.Output { return c.HandleRequest(g.now, s.Request) })
 			}
 		}
 	}
 }
 
 func (g *group) run(seconds float64) {
-	for end := g.now + seconds; g.now < end; g.now += quorum.TickEvery {
+	for end := g.now + seconds; g.now < end; g.now += quorum.TickInterval {
 		for _, v := range g.names {
-			g.on(v, func(c *quorum.Core) quorum.Out { return c.Tick(g.now) })
+			g.on(v, func(c *quorum.Voter) quorum.Output { return c.Tick(g.now) })
 		}
 		for i := range len(g.holders) {
 			g.hold(fmt.Sprint("in", i), singleton.LeaseHolderTick{})
@@ -94,7 +94,7 @@
 	if os.Getenv("MULLEIN_LONG") != "" {
 		ingresses, duties = 300, 50
 	}
-	g := &group{now: 1000, cores: map[string]*quorum.Core{}, stores: map[string]*boltstore.Store{}, holders: map[string]*singleton.LeaseHolder{}, cpu: map[string]time.Duration{}}
+	g := &group{now: 1000, cores: map[string]*quorum.Voter{}, stores: map[string]*boltstore.Store{}, holders: map[string]*singleton.LeaseHolder{}, cpu: map[string]time.Duration{}}
 	dir := t.TempDir()
 	for i := range 3 {
 		g.names = append(g.names, fmt.Sprint("v", i))
@@ -153,23 +153,23 @@
 		t.Fatal(err)
 	}
 	now := 1000.0
-	for ; !c.Status().Leads && now < 1100; now += quorum.TickEvery {
+	for ; !c.Status().Leading && now < 1100; now += quorum.TickInterval {
 		c.Tick(now)
 	}
 	ask := singleton.AcquireRequest{From: singleton.Identity{Name: "a", Boot: 1}}
 	for d := range singleton.MaxRoles {
 		ask.Roles = append(ask.Roles, singleton.RoleRequest{Role: fmt.Sprint("duty", d)})
 	}
-	for id := uint64(1); int(c.Status().Applied) < entries && now < 2000; now += quorum.TickEvery {
+	for id := uint64(1); int(c.Status().Applied) < entries && now < 2000; now += quorum.TickInterval {
 		ask.ID = id
-		c.Ask(now, ask)
+		c.HandleRequest(now, ask)
 		c.Tick(now)
 		for i := range ask.Roles {
-			ask.Roles[i].Token = c.Register().Leases[ask.Roles[i].Role].Token
+			ask.Roles[i].Token = c.Table().Leases[ask.Roles[i].Role].Token
 		}
 		id++
 	}
-	want := c.Register().Clone()
+	want := c.Table().Clone()
 	began := time.Now()
 	c, err = quorum.Open("v", []string{"v"}, s, 1<<40)
 	took := time.Since(began)
@@ -177,11 +177,11 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	for end := now + 100; !c.Status().Leads && now < end; now += quorum.TickEvery {
+	for end := now + 100; !c.Status().Leading && now < end; now += quorum.TickInterval {
 		c.Tick(now)
 	}
-	if c.Register().LastToken != want.LastToken || len(c.Register().Leases) != len(want.Leases) || int(c.Status().Applied) < entries {
-		t.Errorf("it knows of %d entries and %d duties, wanted %d of %d", c.Status().Applied, len(c.Register().Leases), len(want.Leases), entries)
+	if c.Table().LastToken != want.LastToken || len(c.Table().Leases) != len(want.Leases) || int(c.Status().Applied) < entries {
+		t.Errorf("it knows of %d entries and %d duties, wanted %d of %d", c.Status().Applied, len(c.Table().Leases), len(want.Leases), entries)
 	}
 	t.Logf("after %d entries: opened in %v, a file of %d kB", entries, took, s.Size()>>10)
 }
--- a/internal/standalone/fleet/quorum/logger.go
+++ b/internal/standalone/fleet/quorum/logger.go
@@ -5,32 +5,32 @@
 )
 
 // quiet is a log that says nothing: what matters is in Status. Its panics are the library's, for a log that went back.
-type quiet struct{}
+type silentLogger struct{}
 
-func (quiet) Debug(...any) {}
+func (silentLogger) Debug(...any) {}
 
-func (quiet) Debugf(string, ...any) {}
+func (silentLogger) Debugf(string, ...any) {}
 
-func (quiet) Error(...any) {}
+func (silentLogger) Error(...any) {}
 
-func (quiet) Errorf(string, ...any) {}
+func (silentLogger) Errorf(string, ...any) {}
 
-func (quiet) Info(...any) {}
+func (silentLogger) Info(...any) {}
 
-func (quiet) Infof(string, ...any) {}
+func (silentLogger) Infof(string, ...any) {}
 
-func (quiet) Warning(...any) {}
+func (silentLogger) Warning(...any) {}
 
-func (quiet) Warningf(string, ...any) {}
+func (silentLogger) Warningf(string, ...any) {}
 
-func (quiet) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
+func (silentLogger) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
 
-func (quiet) Fatalf(f string, v ...any) {
+func (silentLogger) Fatalf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
 
-func (quiet) Panic(v ...any) { panic(fmt.Sprint(v...)) }
+func (silentLogger) Panic(v ...any) { panic(fmt.Sprint(v...)) }
 
-func (quiet) Panicf(f string, v ...any) {
+func (silentLogger) Panicf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
--- a/internal/standalone/fleet/quorum/sim_test.go
+++ b/internal/standalone/fleet/quorum/sim_test.go
@@ -25,7 +25,7 @@
 
 func (s *disk) Open() (*Durable, error) {
 	if s.full {
-		return nil, ErrFull
+		return nil, ErrNoSpace
 	}
 	if s.d == nil {
 		s.next += 7919
@@ -37,9 +37,9 @@
 
 func (s *disk) copy() *Durable {
 	c := *s.d
-	c.Names, c.Witness, c.Entries = maps.Clone(s.d.Names), maps.Clone(s.d.Witness), slices.Clone(s.d.Entries)
-	if s.d.Hard != nil {
-		c.Hard = proto.Clone(s.d.Hard).(*pb.HardState)
+	c.Names, c.Peers, c.Entries = maps.Clone(s.d.Names), maps.Clone(s.d.Peers), slices.Clone(s.d.Entries)
+	if s.d.HardState != nil {
+		c.HardState = proto.Clone(s.d.HardState).(*pb.HardState)
 	}
 	if s.d.Snapshot != nil {
 		c.Snapshot = proto.Clone(s.d.Snapshot).(*pb.Snapshot)
@@ -49,10 +49,10 @@
 
 func (s *disk) Save(b Batch) error {
 	if s.full {
-		return ErrFull
+		return ErrNoSpace
 	}
-	if b.Hard != nil {
-		s.d.Hard = proto.Clone(b.Hard).(*pb.HardState)
+	if b.HardState != nil {
+		s.d.HardState = proto.Clone(b.HardState).(*pb.HardState)
 	}
 	if b.Snapshot != nil {
 		s.d.Snapshot = proto.Clone(b.Snapshot).(*pb.Snapshot)
@@ -66,7 +66,7 @@
 	if b.Names != nil {
 		s.d.Names = maps.Clone(b.Names)
 	}
-	s.d.Witness = maps.Clone(b.Witness)
+	s.d.Peers = maps.Clone(b.Peers)
 	return nil
 }
 
@@ -76,7 +76,7 @@
 	rate    float64 // of its clock
 	disk    *disk
 	saved   *Durable
-	core    *Core // nil: no voter, or down
+	core    *Voter // nil: no voter, or down
 	holder  *singleton.LeaseHolder
 	boot    uint64
 	up      bool
@@ -193,7 +193,7 @@
 
 // every is a machine's beat: ten times a second by its own clock.
 func (f *fleet) every(m *machine) {
-	f.at(TickEvery/m.rate, func() {
+	f.at(TickInterval/m.rate, func() {
 		if m.up && f.now >= m.stopped {
 			f.work(m) // whoever works may wake before whoever keeps the lease
 			if local := f.local(m); local-m.beat > 1 {
@@ -206,7 +206,7 @@
 				do()
 			}
 			if m.core != nil {
-				m.core.Resume(f.local(m))
+				m.core.Reopen(f.local(m))
 				f.out(m, m.core.Tick(f.local(m)))
 			}
 			f.hold(m, singleton.LeaseHolderTick{})
@@ -241,8 +241,8 @@
 }
 
 // out carries out what a voter wants, and looks at what it agreed on.
-func (f *fleet) out(m *machine, o Out) {
-	for _, p := range o.Send {
+func (f *fleet) out(m *machine, o Output) {
+	for _, p := range o.Messages {
 		if to := f.machine(p.To); to != nil {
 			f.send(m, to, func() {
 				if to.core != nil {
@@ -255,23 +255,23 @@
 			})
 		}
 	}
-	for _, r := range o.Reply {
+	for _, r := range o.Replies {
 		if to := f.machine(r.To.Name); to != nil {
 			f.send(m, to, func() { f.hold(to, singleton.ResponseReceived{Response: r.Response}) })
 		}
 	}
-	for _, n := range o.Nudge {
+	for _, n := range o.Wake {
 		if to := f.machine(n); to != nil {
 			f.send(m, to, func() { f.hold(to, singleton.WakeReceived{}) })
 		}
 	}
 	if m.core != nil && m.core.applied > 0 && m.core.state != Unformed {
-		text := fmt.Sprintf("%d %v", m.core.register.LastToken, m.core.register.Leases)
+		text := fmt.Sprintf("%d %v", m.core.table.LastToken, m.core.table.Leases)
 		if was, ok := f.states[m.core.applied]; ok && was != text {
 			f.problem("%s has another register at entry %d: %s, not %s", m.name, m.core.applied, text, was)
 		}
 		f.states[m.core.applied] = text
-		for _, t := range m.core.register.History {
+		for _, t := range m.core.table.History {
 			who := fmt.Sprint(t.Holder)
 			if was, ok := f.grants[t.Token]; ok && was != who {
 				f.problem("token %d was given to %s and to %s", t.Token, was, who)
@@ -300,7 +300,7 @@
 			for _, v := range f.all[:f.voters] {
 				f.send(m, v, func() {
 					if v.core != nil {
-						f.out(v, v.core.Ask(f.local(v), a.Request))
+						f.out(v, v.core.HandleRequest(f.local(v), a.Request))
 					}
 				})
 			}
@@ -520,7 +520,7 @@
 		if m.core == nil || m.core.state != Voting || len(f.problems) > 0 {
 			continue
 		}
-		if last := m.core.register.LastToken; last < f.lastAct {
+		if last := m.core.table.LastToken; last < f.lastAct {
 			f.problem("%s knows of token %d, and %d was acted under", m.name, last, f.lastAct)
 		}
 	}
--- a/internal/standalone/fleet/revisionlog/announce_test.go
+++ b/internal/standalone/fleet/revisionlog/announce_test.go
@@ -8,7 +8,7 @@
 
 // end is one ingress of a timeline: what it knows, what is on its disk, and what it was last seen to have taken.
 type end struct {
-	book   *Book
+	book   *Log
 	disk   Record
 	full   bool
 	token  uint64 // that it holds, as it believes
@@ -48,7 +48,7 @@
 		for _, a := range actions {
 			switch a := a.(type) {
 			case Send:
-				if a.Message.Kind == Have && len(a.Message.Entries) > 0 {
+				if a.Message.Kind == Inventory && len(a.Message.Entries) > 0 {
 					if confirmed[name] == nil {
 						confirmed[name] = map[uint64]Entry{}
 					}
@@ -56,18 +56,18 @@
 						confirmed[name][c.Number] = c
 					}
 				}
-				if a.Message.Kind == Tell && e.token == 0 {
+				if a.Message.Kind == Announce && e.token == 0 {
 					note("%s tells without the duty", name)
 				}
 				if rng.Float64() >= loss {
 					out = append(out, packet{now + 0.01 + 0.3*rng.Float64()*rng.Float64(), name, a.To, a.Message})
 				}
-			case Keep:
+			case StoreRecord:
 				if !e.full {
 					e.disk = a.Record
-					act(now, name, e.book.Step(now, Kept(a)))
+					act(now, name, e.book.Step(now, RecordStored(a)))
 				}
-			case Take:
+			case Apply:
 				k := [2]uint64{a.Entry.Number, a.Entry.Token}
 				if was, ok := said[k]; ok && was != a.Entry.Digest {
 					note("number %d under token %d stands for two contents", k[0], k[1])
@@ -93,7 +93,7 @@
 			}
 			name := names[rng.IntN(n)]
 			digest := fmt.Sprint(number, "-", rng.IntN(1000))
-			act(now, name, ends[name].book.Step(now, Offered{Entry{Number: number, Digest: digest, Text: []byte(digest)}}))
+			act(now, name, ends[name].book.Step(now, LocalRevision{Entry{Number: number, Digest: digest, Text: []byte(digest)}}))
 		case rng.IntN(3) == 0:
 			loss = []float64{0, 0.1, 0.4}[rng.IntN(3)]
 		case rng.IntN(3) == 0:
@@ -107,7 +107,7 @@
 				for _, k := range e.disk.Entries {
 					found = found || k.Number == c.Number && k.Token >= c.Token
 				}
-				if low := e.disk.Entries; !found && (len(low) < MostEntries || c.Number > low[0].Number) {
+				if low := e.disk.Entries; !found && (len(low) < MaxEntries || c.Number > low[0].Number) {
 					note("%s confirmed %d and has lost it", name, c.Number)
 				}
 			}
@@ -121,18 +121,18 @@
 			holder = names[rng.IntN(n)]
 			e := ends[holder]
 			e.token, e.lostAt = token, 0
-			act(now, holder, e.book.Step(now, Gained{token}))
+			act(now, holder, e.book.Step(now, LeaseGained{token}))
 		}
 		for _, name := range names {
 			e := ends[name]
 			if e.token != 0 && e.lostAt > 0 && now > e.lostAt {
 				e.token, e.lostAt = 0, 0
-				act(now, name, e.book.Step(now, Lost{}))
+				act(now, name, e.book.Step(now, LeaseLost{}))
 			}
 			if name == holder && e.token == 0 { // it was killed, and has it again
 				token++
 				e.token = token
-				act(now, name, e.book.Step(now, Gained{token}))
+				act(now, name, e.book.Step(now, LeaseGained{token}))
 			}
 		}
 		var later []packet
@@ -145,7 +145,7 @@
 		out = later
 		for _, p := range due {
 			if p.at <= now {
-				act(now, p.to, ends[p.to].book.Step(now, Heard{p.from, p.m}))
+				act(now, p.to, ends[p.to].book.Step(now, MessageReceived{p.from, p.m}))
 			}
 		}
 		for _, name := range names {
@@ -156,7 +156,7 @@
 				}
 			}
 			act(now, name, ends[name].book.Step(now, Tick{others, holder}))
-			if _, t := ends[name].book.Entries(); t > token || !ends[name].full && t < taken[name] && ends[name].disk.Taken >= taken[name] {
+			if _, t := ends[name].book.Entries(); t > token || !ends[name].full && t < taken[name] && ends[name].disk.LastToken >= taken[name] {
 				note("%s has taken token %d", name, t)
 			} else {
 				taken[name] = t
@@ -187,10 +187,10 @@
 	entry := func(digest string) Entry { return Entry{Number: 1, Digest: digest, Text: []byte(digest)} }
 	// A holder that told one member alone is killed: its successor, whose own file has another revision under that number, asks first.
 	a, b := New(Record{}), New(Record{})
-	a.Step(1, Heard{"old", Message{Kind: Tell, Token: 1, Entries: []Entry{{Number: 1, Token: 1, Digest: "first", Text: []byte("first")}}}})
-	b.Step(2, Offered{entry("second")})
-	b.Step(2, Gained{2})
-	to := map[string]*Book{"a": a, "b": b}
+	a.Step(1, MessageReceived{"old", Message{Kind: Announce, Token: 1, Entries: []Entry{{Number: 1, Token: 1, Digest: "first", Text: []byte("first")}}}})
+	b.Step(2, LocalRevision{entry("second")})
+	b.Step(2, LeaseGained{2})
+	to := map[string]*Log{"a": a, "b": b}
 	for now := Seconds(2); now < 8; now += 0.1 {
 		queue := map[string][]Action{"b": b.Step(now, Tick{[]string{"a"}, "b"}), "a": a.Step(now, Tick{[]string{"b"}, "b"})}
 		for len(queue) > 0 {
@@ -202,9 +202,9 @@
 						if to[x.To] == nil {
 							continue // the old holder is gone
 						}
-						next[x.To] = append(next[x.To], to[x.To].Step(now, Heard{from, x.Message})...)
-					case Keep:
-						next[from] = append(next[from], to[from].Step(now, Kept(x))...)
+						next[x.To] = append(next[x.To], to[x.To].Step(now, MessageReceived{from, x.Message})...)
+					case StoreRecord:
+						next[from] = append(next[from], to[from].Step(now, RecordStored(x))...)
 					}
 				}
 			}
@@ -215,7 +215,7 @@
 		return fmt.Sprintf("the successor has %v", all)
 	}
 	// What comes under an older token changes nothing.
-	a.Step(9, Heard{"old", Message{Kind: Tell, Token: 1, Entries: []Entry{{Number: 2, Token: 1, Digest: "late", Text: []byte("late")}}}})
+	a.Step(9, MessageReceived{"old", Message{Kind: Announce, Token: 1, Entries: []Entry{{Number: 2, Token: 1, Digest: "late", Text: []byte("late")}}}})
 	if all, _ := a.Entries(); len(all) != 1 {
 		return fmt.Sprintf("a late word was taken: %v", all)
 	}
--- a/internal/standalone/node/fleet.go
+++ b/internal/standalone/node/fleet.go
@@ -64,7 +64,7 @@
 	if len(m.Voters) > 0 {
 		kept := n.folder(int64(os.Getpid())) // of this process: beside a newer one each keeps what it holds itself
 		n.duties = leaseservice.Start(leaseservice.Options{Fleet: n.fleet, Zone: c.Settings.Zone, Voters: m.Voters, Dir: c.State, Log: n.log,
-			Clock: c.Rehearsed.Clock(), Votes: c.Rehearsed.Votes, Keep: func(r leaseservice.Record) error { return kept.Write(dutyRecord, r) }})
+			ClockRate: c.Rehearsed.Clock(), WrapStore: c.Rehearsed.Votes, StoreRecord: func(r leaseservice.Record) error { return kept.Write(dutyRecord, r) }})
 		n.closed = append(n.closed, func() { kept.Remove(dutyRecord, kept.Process()) })
 	}
 	n.closed = append(n.closed, func() {
@@ -144,7 +144,7 @@
 		if n.announcer == nil {
 			return false, nil
 		}
-		v = n.announcer.Report()
+		v = n.announcer.Status()
 	case "STATE": // STATE [MEMBER]: what is shared
 		if n.sharing == nil {
 			return false, nil
@@ -164,15 +164,15 @@
 
 // dutyCall asks the leader, and tells what it says.
 func (n *Node) dutyCall(word string, words []string) (bool, []string) {
-	var t *leaseservice.Told
+	var t *leaseservice.Status
 	var err error
 	switch {
 	case word == "DUTIES" && len(words) == 0:
 		t, err = n.duties.Status()
 	case word == "GIVE" && len(words) == 2:
-		t, err = n.duties.Give(words[0], words[1])
+		t, err = n.duties.Transfer(words[0], words[1])
 	case word == "VOTERS" && len(words) == 2 && (words[0] == "add" || words[0] == "remove"):
-		t, err = n.duties.Change(words[1], words[0] == "add")
+		t, err = n.duties.ChangeVoters(words[1], words[0] == "add")
 	default:
 		return false, nil
 	}
@@ -206,7 +206,7 @@
 // announced yet, are those of this ingress's own file.
 func (n *Node) announced(ctx context.Context, first []plans.Revision) {
 	kept, read := n.folder(0), false
-	n.announcer, read = n.duties.Announce(ctx, leaseservice.Announcing{
+	n.announcer, read = n.duties.StartAnnouncer(ctx, leaseservice.AnnouncerOptions{
 		Check: func(text []byte) (uint64, string, error) {
 			r, err := revisionOf(text)
 			if err != nil {
@@ -214,12 +214,12 @@
 			}
 			return r.Number, r.Digest(), nil
 		},
-		Take: func(text []byte) {
+		Apply: func(text []byte) {
 			if r, err := revisionOf(text); err == nil { // checked when it came
 				n.settle(r)
 			}
 		},
-		Living: n.fleet.Living,
+		LivePeers: n.fleet.Living,
 		Read:   func(r *revisionlog.Record) error { return kept.Read(planRecord, kept.Process(), r) },
 		Write:  func(r revisionlog.Record) error { return kept.Write(planRecord, r) },
 	})
@@ -232,7 +232,7 @@
 // announce hands revisions of this ingress's file to whoever announces.
 func (n *Node) announce(all []plans.Revision) {
 	for _, r := range all {
-		n.announcer.Offer(revisionlog.Entry{Number: r.Number, Digest: r.Digest(), Text: catalogue.Format([]plans.Revision{r})})
+		n.announcer.Submit(revisionlog.Entry{Number: r.Number, Digest: r.Digest(), Text: catalogue.Format([]plans.Revision{r})})
 	}
 }
 
--- a/internal/standalone/node/node.go
+++ b/internal/standalone/node/node.go
@@ -73,7 +73,7 @@
 
 	sharing   *quotasync.Sharing      // quotas and judgements shared with the others; nil: they are not
 	fleet     *gossip.Fleet           // the other ingresses; nil: they are not known
-	duties    *leaseservice.Steward   // nil: there are none
+	duties    *leaseservice.Service   // nil: there are none
 	announcer *leaseservice.Announcer // nil: revisions of the catalogue hold as its file has them
 	younger   atomic.Bool             // a newer process of this ingress runs beside it
 
@@ -318,7 +318,7 @@
 	})
 	n.spawn(func() { w.Run(ctx) })
 	if u.Endpoint != "" && n.duties != nil { // the one that holds the export sends for all
-		n.duties.DoExport(u.Endpoint)
+		n.duties.AddExport(u.Endpoint)
 	}
 	e := n.exporter(dir)
 	if u.Endpoint != "" {
@@ -346,7 +346,7 @@
 func (n *Node) exporter(dir string) *usageexport.Exporter {
 	e := &usageexport.Exporter{Dir: dir, Endpoint: n.config.Usage.Endpoint, Keep: n.config.Usage.Keep, Log: n.log}
 	if n.duties != nil {
-		e.Client = &http.Client{Timeout: exportMost, Transport: leaseservice.Exporting{Steward: n.duties}}
+		e.Client = &http.Client{Timeout: exportMost, Transport: leaseservice.ExportTransport{Service: n.duties}}
 	}
 	return e
 }
