--- a/internal/standalone/fleet/quorum/boltstore/landed_test.go
+++ b/internal/standalone/fleet/quorum/boltstore/landed_test.go
@@ -120,7 +120,7 @@
 	table := singleton.NewLeaseTable()
 	table.LastToken = want.Register.Last
 	for name, lease := range want.Register.Duties {
-		table.Leases[name] = singleton.Lease{Holder: lease.Holder, Token: lease.Token, RenewedAt: lease.Seen}
+		table.Leases[name] = singleton.Lease{Holder: lease.Holder, Token: lease.Token, RenewedIndex: lease.Seen}
 	}
 	for _, past := range want.Register.History {
 		table.History = append(table.History,
--- a/internal/standalone/fleet/quorum/encoding_test.go
+++ b/internal/standalone/fleet/quorum/encoding_test.go
@@ -31,7 +31,7 @@
 		{"snapshot", snapshot{
 			Register: &singleton.LeaseTable{
 				LastToken:    12,
-				Leases:  map[string]singleton.Lease{"export": {Holder: holder, Token: 12, RenewedAt: 44}},
+				Leases:  map[string]singleton.Lease{"export": {Holder: holder, Token: 12, RenewedIndex: 44}},
 				History: []singleton.Tenure{{Role: "export", Token: 12, Holder: holder, Index: 40}},
 			},
 			Names: map[uint64]string{11: "n1"},
--- a/internal/standalone/fleet/revisionlog/mutant_off.go
+++ b/internal/standalone/fleet/revisionlog/mutant_off.go
@@ -2,6 +2,5 @@
 
 package revisionlog
 
-// mutated tells whether a fault is seeded at a place. Only builds with the tag mutants have any: there, the explorer is
-// tested by whether it finds them.
+// mutated reports whether the named fault is seeded. Only builds with the tag mutants seed any, to test that the tests find it.
 func mutated(string) bool { return false }
--- a/internal/standalone/fleet/singleton/encoding_test.go
+++ b/internal/standalone/fleet/singleton/encoding_test.go
@@ -29,11 +29,11 @@
 			{Role: "export", Token: 8, Confirmed: true, StepDown: true, Holder: "n1", IsHolder: true},
 			{Role: "catalogue"},
 		}}},
-		{"command_expire", Command{Kind: Expire, Role: "export", To: holder, Token: 5, RenewedAt: 77}},
+		{"command_expire", Command{Kind: Expire, Role: "export", To: holder, Token: 5, RenewedIndex: 77}},
 		{"command_grant", Command{Kind: Grant, Role: "export", To: holder, Token: 5}},
 		{"table", LeaseTable{
-			LastToken:   12,
-			Leases: map[string]Lease{"export": {Holder: holder, Token: 12, RenewedAt: 44}},
+			LastToken: 12,
+			Leases:    map[string]Lease{"export": {Holder: holder, Token: 12, RenewedIndex: 44}},
 			History: []Tenure{
 				{Role: "export", Token: 11, Holder: former, Index: 30},
 				{Role: "export", Token: 12, Holder: holder, Index: 40},
--- /dev/null
+++ b/internal/standalone/fleet/singleton/lease_holder.go
@@ -0,0 +1,281 @@
+package singleton
+
+import (
+	"maps"
+	"slices"
+)
+
+// LeaseHolderEvent is an event of the LeaseHolder.
+type LeaseHolderEvent interface{ leaseHolderEvent() }
+
+// Events of the LeaseHolder.
+type (
+	// Acquire has this ingress request a role from now on.
+	Acquire struct{ Role, PreferredZone string }
+	// Resign gives a role up, and does not request it again until Acquire: the process ends, or cannot do the role's
+	// work.
+	Resign struct{ Role string }
+	// SteppedDown says that the work of a role has stopped after StepDown.
+	SteppedDown struct{ Role string }
+	// ResponseReceived is a response of the leader.
+	ResponseReceived struct{ Response AcquireResponse }
+	// WakeReceived has the next request sent at once.
+	WakeReceived struct{}
+	// StallDetected says that this process was paused: it acts on no lease until a request sent later is answered.
+	StallDetected struct{}
+	// LeaseHolderTick says that time has passed.
+	LeaseHolderTick struct{ Load float64 } // 0 to 1
+)
+
+func (Acquire) leaseHolderEvent()          {}
+func (Resign) leaseHolderEvent()           {}
+func (SteppedDown) leaseHolderEvent()      {}
+func (ResponseReceived) leaseHolderEvent() {}
+func (WakeReceived) leaseHolderEvent()     {}
+func (StallDetected) leaseHolderEvent()    {}
+func (LeaseHolderTick) leaseHolderEvent()  {}
+
+// LeaseHolderAction is what the LeaseHolder wants done.
+type LeaseHolderAction interface{ leaseHolderAction() }
+
+// Actions of the LeaseHolder.
+type (
+	// SendRequest sends a request to all voters, of which the leader responds. It may be lost.
+	SendRequest struct{ Request AcquireRequest }
+	// LeaseGained starts the work of a role, under a fencing token, until LeaseLost.
+	LeaseGained struct {
+		Role  string
+		Token uint64
+	}
+	// LeaseLost stops the work of a role: its lease has ended.
+	LeaseLost struct {
+		Role  string
+		Token uint64
+	}
+	// StepDown stops the work of a role, which is to be transferred. SteppedDown is to follow.
+	StepDown struct{ Role string }
+)
+
+func (SendRequest) leaseHolderAction() {}
+func (LeaseGained) leaseHolderAction() {}
+func (LeaseLost) leaseHolderAction()   {}
+func (StepDown) leaseHolderAction()    {}
+
+// roleLease is the state of one role at an ingress.
+type roleLease struct {
+	preferredZone string
+	token         uint64  // 0: not held
+	expiresAt     Seconds // counted from when the request was sent that the leader confirmed
+	acting        bool    // between LeaseGained and LeaseLost
+	steppingDown  bool    // StepDown was returned
+	releasing     bool    // the next request releases the role
+	resigned      bool    // it is not requested again
+}
+
+// LeaseHolder is the part of each ingress: it requests roles and renews its leases.
+type LeaseHolder struct {
+	self          Identity
+	zone          string
+	load          float64
+	roles         map[string]*roleLease
+	lastRequestID uint64
+	requestSentAt map[uint64]Seconds // by id, of requests without a response
+	nextRequestAt Seconds
+}
+
+// NewLeaseHolder returns the holder of a process.
+func NewLeaseHolder(self Identity, zone string) *LeaseHolder {
+	return &LeaseHolder{
+		self:          self,
+		zone:          zone,
+		roles:         map[string]*roleLease{},
+		requestSentAt: map[uint64]Seconds{},
+	}
+}
+
+// SetIdentity replaces the identity of this process. Leases of the former identity are not renewed any more.
+func (lh *LeaseHolder) SetIdentity(self Identity) { lh.self = self }
+
+// FencingToken returns the token under which this ingress may act on a role now; ok is false where it may not. It is
+// to be called before each effect of the role.
+func (lh *LeaseHolder) FencingToken(now Seconds, role string) (token uint64, ok bool) {
+	lease := lh.roles[role]
+	if lease == nil || lease.token == 0 || !lease.acting {
+		return 0, false
+	}
+	if now >= lease.expiresAt-SafetyMargin && !mutated("acts-on") {
+		return 0, false
+	}
+	return lease.token, true
+}
+
+// ExpiresAt returns when the lease of a role ends; 0 if this ingress does not hold it.
+func (lh *LeaseHolder) ExpiresAt(role string) Seconds {
+	if lease := lh.roles[role]; lease != nil && lease.token != 0 {
+		return lease.expiresAt
+	}
+	return 0
+}
+
+// Step handles an event.
+func (lh *LeaseHolder) Step(now Seconds, event LeaseHolderEvent) (actions []LeaseHolderAction) {
+	switch event := event.(type) {
+	case Acquire:
+		lh.acquire(now, event)
+	case Resign:
+		if lease := lh.roles[event.Role]; lease != nil {
+			lease.resigned = true
+			actions = lh.release(now, event.Role, lease)
+		}
+	case SteppedDown:
+		if lease := lh.roles[event.Role]; lease != nil && lease.steppingDown {
+			actions = lh.release(now, event.Role, lease)
+		}
+	case WakeReceived:
+		lh.nextRequestAt = min(lh.nextRequestAt, now)
+	case StallDetected:
+		lh.stallDetected(now)
+	case ResponseReceived:
+		actions = lh.responseReceived(now, event.Response)
+	case LeaseHolderTick:
+		lh.load = event.Load
+	}
+	return append(actions, lh.tick(now)...)
+}
+
+func (lh *LeaseHolder) acquire(now Seconds, event Acquire) {
+	if len(lh.roles) < MaxRoles {
+		lease := lh.roles[event.Role]
+		if lease == nil {
+			lease = &roleLease{}
+			lh.roles[event.Role] = lease
+		}
+		lease.preferredZone, lease.resigned = event.PreferredZone, false
+	}
+	lh.nextRequestAt = now
+}
+
+// release stops acting on a role and releases it with a request that is sent at once.
+func (lh *LeaseHolder) release(now Seconds, role string, lease *roleLease) []LeaseHolderAction {
+	lease.releasing = true
+	lh.nextRequestAt = now
+	return lh.stopActing(role, lease)
+}
+
+// stallDetected ends all leases. Responses to requests that were sent before the pause may still arrive and are
+// ignored.
+func (lh *LeaseHolder) stallDetected(now Seconds) {
+	if mutated("woken-acts") {
+		return
+	}
+	clear(lh.requestSentAt)
+	for _, lease := range lh.roles {
+		lease.expiresAt = 0
+	}
+	lh.nextRequestAt = now
+}
+
+// responseReceived applies the leader's response to a request that is not answered yet.
+func (lh *LeaseHolder) responseReceived(now Seconds, r AcquireResponse) (actions []LeaseHolderAction) {
+	sentAt, waiting := lh.requestSentAt[r.ID]
+	if !waiting {
+		return nil // answered already, or sent before a pause of this process
+	}
+	delete(lh.requestSentAt, r.ID)
+	if mutated("lease-from-answer") {
+		sentAt = now
+	}
+	for _, status := range r.Grants {
+		if lease := lh.roles[status.Role]; lease != nil {
+			actions = append(actions, lh.applyStatus(now, sentAt, lease, status)...)
+		}
+	}
+	return actions
+}
+
+// applyStatus applies the status of one role, in a response to a request that was sent at sentAt.
+func (lh *LeaseHolder) applyStatus(now, sentAt Seconds, lease *roleLease, status RoleStatus) []LeaseHolderAction {
+	switch {
+	case status.Token < lease.token: // a late response
+		return nil
+	case status.IsHolder && !status.Confirmed && status.Token > lease.token && !lease.releasing:
+		// Granted. The lease counts from the next request, which names the token.
+		lease.token, lease.expiresAt = status.Token, 0
+		lh.nextRequestAt = now
+		return nil
+	case status.IsHolder && mutated("grant-is-lease") && status.Token > lease.token:
+		lease.token, lease.expiresAt, lease.acting = status.Token, sentAt+LeaseDuration, true
+		return []LeaseHolderAction{LeaseGained{status.Role, lease.token}}
+	case status.Confirmed && status.Token == lease.token && !lease.releasing:
+		return lh.renewed(now, sentAt, lease, status)
+	case !status.IsHolder: // somebody else holds the role, or nobody
+		actions := lh.stopActing(status.Role, lease)
+		lease.token, lease.releasing, lease.steppingDown = 0, false, false
+		return actions
+	}
+	return nil
+}
+
+// renewed extends a lease that the leader confirmed.
+func (lh *LeaseHolder) renewed(now, sentAt Seconds, lease *roleLease, status RoleStatus) (actions []LeaseHolderAction) {
+	lease.expiresAt = max(lease.expiresAt, sentAt+LeaseDuration)
+	if !lease.acting && now < lease.expiresAt-SafetyMargin {
+		lease.acting = true
+		actions = append(actions, LeaseGained{status.Role, lease.token})
+	}
+	if status.StepDown && !lease.steppingDown && lease.acting {
+		lease.steppingDown = true
+		actions = append(actions, StepDown{status.Role})
+	}
+	return actions
+}
+
+// stopActing returns LeaseLost if the ingress acts on a role.
+func (lh *LeaseHolder) stopActing(role string, lease *roleLease) []LeaseHolderAction {
+	if !lease.acting {
+		return nil
+	}
+	lease.acting = false
+	return []LeaseHolderAction{LeaseLost{role, lease.token}}
+}
+
+// tick stops acting on leases that have ended, and sends a request when one is due.
+func (lh *LeaseHolder) tick(now Seconds) (actions []LeaseHolderAction) {
+	for _, role := range slices.Sorted(maps.Keys(lh.roles)) {
+		if lease := lh.roles[role]; lease.acting && now >= lease.expiresAt-SafetyMargin {
+			actions = append(actions, lh.stopActing(role, lease)...)
+		}
+	}
+	for id, sentAt := range lh.requestSentAt {
+		if now > sentAt+LeaseDuration {
+			delete(lh.requestSentAt, id)
+		}
+	}
+	if now < lh.nextRequestAt || len(lh.roles) == 0 {
+		return actions
+	}
+	return append(actions, SendRequest{lh.nextRequest(now)})
+}
+
+// nextRequest returns a request for all roles. Roles that were resigned and are not held are named for the last time.
+func (lh *LeaseHolder) nextRequest(now Seconds) AcquireRequest {
+	lh.nextRequestAt = now + renewInterval
+	lh.lastRequestID++
+	lh.requestSentAt[lh.lastRequestID] = now
+	r := AcquireRequest{From: lh.self, ID: lh.lastRequestID, Zone: lh.zone, Load: lh.load}
+	for _, role := range slices.Sorted(maps.Keys(lh.roles)) {
+		lease := lh.roles[role]
+		if lease.resigned && lease.token == 0 {
+			delete(lh.roles, role)
+			r.Roles = append(r.Roles, RoleRequest{Role: role, Release: true})
+			continue
+		}
+		r.Roles = append(r.Roles, RoleRequest{
+			Role:          role,
+			Token:         lease.token,
+			Release:       lease.releasing,
+			PreferredZone: lease.preferredZone,
+		})
+	}
+	return r
+}
--- /dev/null
+++ b/internal/standalone/fleet/singleton/lease_manager_test.go
@@ -0,0 +1,67 @@
+package singleton
+
+import (
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// managerDialogue steps a manager whose proposals are applied to its table at once.
+type managerDialogue struct {
+	table   *LeaseTable
+	manager *LeaseManager
+	index   uint64
+}
+
+func newManagerDialogue() *managerDialogue {
+	table := NewLeaseTable()
+	return &managerDialogue{table: table, manager: NewLeaseManager(table)}
+}
+
+func (d *managerDialogue) step(now Seconds, event ManagerEvent) {
+	actions := d.manager.Step(now, event)
+	for ; len(actions) > 0; actions = actions[1:] {
+		if p, ok := actions[0].(Propose); ok {
+			d.index++
+			applied := CommandApplied{Command: p.Command, OK: d.table.Apply(p.Command, d.index)}
+			actions = append(actions, d.manager.Step(now, applied)...)
+		}
+	}
+}
+
+// request requests the role "d", which prefers zone "b".
+func (d *managerDialogue) request(now Seconds, from Identity, zone string, load float64, r RoleRequest) {
+	r.Role, r.PreferredZone = "d", "b"
+	d.step(now, RequestReceived{AcquireRequest{From: from, Zone: zone, Load: load, Roles: []RoleRequest{r}}})
+}
+
+// Candidates are granted a role in the order of zone, load and name; one that a transfer names goes first; a holder
+// is not preempted.
+func TestCandidateOrder(t *testing.T) {
+	d := newManagerDialogue()
+	d.step(0, LeadershipGained{})
+	for now := 0.1; now < 1; now += 0.1 {
+		d.request(now, n1, "a", 0.1, RoleRequest{})
+		d.request(now, n2, "b", 0.9, RoleRequest{})
+		d.request(now, n3, "b", 0.3, RoleRequest{})
+		d.step(now, ManagerTick{})
+	}
+	if got := d.table.Leases["d"].Holder.Name; got != "n3" { // the one with the smaller load in the preferred zone
+		t.Errorf("holder is %s, want n3", got)
+	}
+
+	d.request(1.0, n1, "b", 0, RoleRequest{}) // goes before the holder by now
+	d.step(1.1, ManagerTick{})
+	if got := d.table.Leases["d"].Holder; got != n3 {
+		t.Errorf("holder is %v, want %v", got, n3)
+	}
+	if diff := cmp.Diff([]string{"n1", "n2"}, d.manager.Candidates("d")); diff != "" {
+		t.Errorf("candidates (-want +got):\n%s", diff)
+	}
+
+	d.step(1.2, Transfer{Role: "d", To: "n2"})
+	d.request(1.3, n3, "b", 0.3, RoleRequest{Token: 1, Release: true})
+	if got := d.table.Leases["d"]; got.Holder != n2 || got.Token != 2 {
+		t.Errorf("after the transfer the lease is %+v, want holder %v and token 2", got, n2)
+	}
+}
--- a/internal/standalone/fleet/singleton/mutant_on.go
+++ b/internal/standalone/fleet/singleton/mutant_on.go
@@ -5,5 +5,5 @@
 // Mutant names the fault that is seeded; empty: none. Tests set it before anything runs.
 var Mutant string
 
-// mutated tells whether a fault is seeded at a place.
+// mutated reports whether the named fault is seeded.
 func mutated(name string) bool { return Mutant == name }
--- a/internal/standalone/fleet/singleton/mutants_test.go
+++ b/internal/standalone/fleet/singleton/mutants_test.go
@@ -2,16 +2,29 @@
 
 package singleton
 
-import "testing"
+import (
+	"errors"
+	"testing"
+)
 
-// What the timelines cannot tell apart, for two guards stand behind each other, the rules of each part do.
+// Faults that the simulated fleets of package quorum cannot tell apart, as two guards stand behind each other, are
+// found by the dialogues of each part.
 func TestMutants(t *testing.T) {
 	defer func() { Mutant = "" }()
-	for _, Mutant = range []string{"token-unchecked", "held-granted", "token-again", "lease-from-answer", "woken-acts", "acts-on", "expires-unseen"} {
-		text := rules()
-		if text == "" {
-			t.Errorf("%s lives: a rule is missing", Mutant)
+	mutants := []string{
+		"token-unchecked",
+		"held-granted",
+		"token-again",
+		"lease-from-answer",
+		"woken-acts",
+		"acts-on",
+		"expires-unseen",
+	}
+	for _, Mutant = range mutants {
+		err := errors.Join(checkLeaseTable(), checkLeaseHolder())
+		if err == nil {
+			t.Errorf("mutant %s was not found", Mutant)
 		}
-		t.Logf("%s: %s", Mutant, text)
+		t.Logf("%s: %v", Mutant, err)
 	}
 }
