--- a/internal/cluster/consensus/acceptor.go
+++ b/internal/cluster/consensus/acceptor.go
@@ -1,5 +1,7 @@
 package consensus
 
+import "mulleinrouter/internal/mutants"
+
 // Acceptor is what a voter has promised and accepted. Whoever holds one has each changed state on disk, synced, before the
 // answer that came with it leaves: for its own proposals too. An answer that repeats an earlier one waits for the same sync.
 // A node outside the electorate has one as well, and answers from it: what it says counts where it is listed, with its disk.
@@ -8,15 +10,15 @@
 	Epoch      uint64     `cbor:"2,keyasint"`           // of the newest snapshot that is known here to be chosen
 	Electorate Electorate `cbor:"3,keyasint,omitempty"` // that chooses the change to the next epoch; empty: not known
 	Disk       uint64     `cbor:"4,keyasint,omitempty"` // drawn when it was first written to; 0: at the first start of all
-	At         string     `cbor:"-"`                    // own address
+	Addr         string     `cbor:"-"`                    // own address
 	Pending    *Proposal  `cbor:"-"`                    // accepted upon that snapshot, not known to be chosen; never changed in place
 }
 
 // Self is the voter that this is, if it is one.
-func (a *Acceptor) Self() Voter { return Voter{At: a.At, Disk: a.Disk} }
+func (a *Acceptor) Self() Voter { return Voter{Addr: a.Addr, Disk: a.Disk} }
 
-// Votes tells whether this is in the electorate that chooses next, as far as is known here.
-func (a *Acceptor) Votes() bool { return a.Electorate.Has(a.Self()) }
+// IsVoter tells whether this is in the electorate that chooses next, as far as is known here.
+func (a *Acceptor) IsVoter() bool { return a.Electorate.Contains(a.Self()) }
 
 // Base is what a proposer here starts from.
 func (a *Acceptor) Base() Base { return Base{Epoch: a.Epoch, Electorate: a.Electorate} }
@@ -43,16 +45,16 @@
 func (a *Acceptor) Accept(p Proposal) (Accepted, bool) {
 	r := Accepted{Promised: a.Promised, Epoch: a.Epoch}
 	switch {
-	case p.Ballot.Compare(a.Promised) < 0 && !mutated("stale-ballot"), p.Epoch <= a.Epoch:
+	case p.Ballot.Compare(a.Promised) < 0 && !mutants.On("consensus/stale-ballot"), p.Epoch <= a.Epoch:
 		return r, false
-	case p.Epoch > a.Epoch+1 && !(mutated("votes-unfinished") && a.Pending == nil):
+	case p.Epoch > a.Epoch+1 && !(mutants.On("consensus/votes-unfinished") && a.Pending == nil):
 		r.Behind = true
 		return r, false
-	case !a.Votes() && !mutated("out-votes") && !mutated("votes-unfinished"):
+	case !a.IsVoter() && !mutants.On("consensus/out-votes") && !mutants.On("consensus/votes-unfinished"):
 		return r, false
 	}
 	r.OK, r.Promised = true, p.Ballot
-	if mutated("votes-unfinished") {
+	if mutants.On("consensus/votes-unfinished") {
 		r.Epoch = p.Epoch - 1
 	}
 	if a.Pending != nil && a.Pending.Ballot == p.Ballot && a.Pending.Epoch == p.Epoch {
@@ -72,8 +74,8 @@
 	return true
 }
 
-// Above is the first ballot of a name that is higher than another.
-func (b Ballot) Above(name string) Ballot { return Ballot{Round: b.Round + 1, Node: name} }
+// Next is the first ballot of a name that is higher than another.
+func (b Ballot) Next(name string) Ballot { return Ballot{Round: b.Round + 1, Node: name} }
 
 // Majority is more than half of a number of voters.
 func Majority(n int) int { return n/2 + 1 }
--- a/internal/emulator/modelcheck/world.go
+++ b/internal/emulator/modelcheck/world.go
@@ -26,8 +26,8 @@
 type World struct {
 	config     Config
 	now        decision.Seconds
-	desk       *attempt.Dispatcher
-	shelf      *upstreamconn.IdlePool[*conn]
+	dispatcher *attempt.Dispatcher[*client]
+	idlePool   *upstreamconn.IdlePool[*conn]
 	memory     upstreamconn.LossHistory
 	servers    []*server // by list order; those that are gone stay, to be looked at
 	timers     []decision.SetTimer
@@ -75,7 +75,7 @@
 type client struct {
 	name     string
 	send     bool
-	request  *attempt.Request
+	request  *attempt.Request[*client]
 	at       decision.Seconds
 	gone     bool // left
 	answers  int
@@ -143,20 +143,20 @@
 	if c.Full {
 		most = 1
 	}
-	w := &World{config: c, now: 1000, desk: attempt.NewDispatcher(decision.New(s, 1), &s), shelf: upstreamconn.NewIdlePool[*conn](most)}
-	w.do(w.desk.Handle(w.now, decision.Start{}))
+	w := &World{config: c, now: 1000, dispatcher: attempt.NewDispatcher[*client](decision.New(s, 1), &s), idlePool: upstreamconn.NewIdlePool[*conn](most)}
+	w.do(w.dispatcher.Handle(w.now, decision.Start{}))
 	for i := range c.Servers {
 		w.servers = append(w.servers, &server{id: fmt.Sprint("s", i+1), addr: fmt.Sprint("a", i+1), listed: true, serving: true})
 	}
 	w.list()
 	if c.Kept {
 		k := &conn{server: w.servers[0], addr: w.servers[0].addr}
-		w.shelf.Reserve()
+		w.idlePool.Reserve()
 		k.Begin()
 		k.Written()
 		k.Answered(upstreamconn.Answer{Status: 200}, false)
 		k.answered = w.now
-		w.shelf.Put(w.servers[0].id, k, w.now)
+		w.idlePool.Put(w.servers[0].id, k, w.now)
 		w.now += 2 // idle for long: the last byte is held
 	}
 	w.long = c.Long
@@ -175,7 +175,7 @@
 			news.List = append(news.List, decision.Backend{ID: s.id, Zone: "a", Serving: s.serving, Size: 1})
 		}
 	}
-	w.do(w.desk.Handle(w.now, news))
+	w.do(w.dispatcher.Handle(w.now, news))
 }
 
 func (w *World) server(id string) *server {
@@ -202,12 +202,12 @@
 	if send {
 		class = "send"
 	}
-	if w.config.Thin {
+	if w.config.Sparse {
 		doors = 5
 	}
 	r := decision.Request{Class: class, Plan: planTable[w.plan].Name, Customer: "m", TimeLeft: deadline, Units: 1, Gateways: doors, ClientRetry: repeat, Streamed: w.long}
 	var effects []attempt.Effect
-	c.request, effects = w.desk.Submit(w.now, r, c)
+	c.request, effects = w.dispatcher.Submit(w.now, r, c)
 	w.do(effects)
 }
 
@@ -225,17 +225,17 @@
 		e := w.queue[0]
 		w.queue = w.queue[1:]
 		switch a := e.(type) {
-		case attempt.Notify:
-			w.tell(a.Request.Host.(*client), a.Decision)
-		case attempt.CancelAttempt:
-			if c := a.Request.Host.(*client); c.try != nil && c.tries == a.Attempt+1 {
+		case attempt.Notify[*client]:
+			w.tell(a.Request.Host, a.Decision)
+		case attempt.CancelAttempt[*client]:
+			if c := a.Request.Host; c.try != nil && c.tries == a.Attempt+1 {
 				c.try.cancelled = true
 			}
 		case attempt.Timer:
 			w.timers = append(w.timers, a.SetTimer)
 		case attempt.CounterCall:
 			w.counts = append(w.counts, a.Name)
-		case attempt.IllegalStep:
+		case attempt.IllegalStep[*client]:
 			w.violate("legal", "%v", a.Err)
 		}
 	}
@@ -303,7 +303,7 @@
 		w.ended(t, decision.NotSent)
 		return
 	}
-	k, outcome, ok := w.get(t, upstreamconn.Reuse{Again: t.client.tried[t.backend], Once: t.client.send})
+	k, outcome, ok := w.get(t, upstreamconn.Reuse{Resent: t.client.tried[t.backend], AtMostOnce: t.client.send})
 	switch {
 	case !ok:
 		w.ended(t, outcome)
@@ -344,7 +344,7 @@
 	if life := c.request.Machine(); life.BodyConsumed() {
 		w.violate("spent-is-spent", "%s begins again, and its body has gone", c.name)
 	}
-	if c.long || w.memory.HoldLastByte(t.backend, w.now, upstreamconn.Evidence{Fresh: k.Uses() == 1, Idle: w.now - k.answered, AtMostOnce: c.send}) {
+	if c.long || w.memory.HoldLastByte(t.backend, w.now, upstreamconn.Evidence{New: k.Uses() == 1, IdleFor: w.now - k.answered, AtMostOnce: c.send}) {
 		t.stage = holding
 		return
 	}
@@ -360,7 +360,7 @@
 	for end := t.writtenAt + t.patience; t.client.try == t && w.now < end-1e-9 && len(w.Violations) == 0; {
 		w.pass()
 	}
-	if t.client.try != t || t.cancelled || !w.desk.ShouldAbandon(w.now, t.client.request) {
+	if t.client.try != t || t.cancelled || !w.dispatcher.ShouldAbandon(w.now, t.client.request) {
 		return
 	}
 	c := t.client
@@ -393,6 +393,6 @@
 	if p := gone.Phase(); p == attempt.Abandoned && o == decision.Succeeded {
 		c.told-- // its host hears Gone, too: the answer went to nobody
 	}
-	w.do(w.desk.AttemptEnded(w.now, c.request, o))
+	w.do(w.dispatcher.AttemptEnded(w.now, c.request, o))
 	w.check()
 }
