--- a/internal/standalone/node/usage.go
+++ b/internal/standalone/node/usage.go
@@ -43,7 +43,7 @@
 	n.spawn(func() { writer.Run(ctx) })
 	if n.config.Usage.Endpoint != "" {
 		if n.leases != nil { // the holder of the export lease sends for the whole fleet
-			n.leases.DoExport(n.config.Usage.Endpoint)
+			n.leases.AddExport(n.config.Usage.Endpoint)
 		}
 		if err := n.startExporter(ctx, dir); err != nil {
 			return err
@@ -105,7 +105,7 @@
 	if n.leases != nil {
 		exporter.Client = &http.Client{
 			Timeout:   exportTimeout,
-			Transport: leaseservice.Exporting{Steward: n.leases},
+			Transport: leaseservice.ExportTransport{Service: n.leases},
 		}
 	}
 	return exporter
