--- a/internal/dataplane/attempt/desk.go
+++ b/internal/dataplane/attempt/desk.go
@@ -236,7 +236,7 @@
 		delete(d.open, q.id)
 	}
 	if !mutated("leaving-untold") {
-		d.handle(now, decision.ClientGone{ID: q.id})
+		d.handle(now, decision.ClientDisconnected{ID: q.id})
 	}
 	if over {
 		d.out = append(d.out, Notify{q, Decision{Kind: NoAnswer}})
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-func (g *Gateway) request(e Request) {
+func (g *Gateway) handleRequest(e Request) {
 	if g.requests[e.ID] != nil {
 		return
 	}
@@ -16,106 +16,106 @@
 	if terms == nil { // not in the settings: no quota is known
 		terms = &Terms{Plan: Plan{ValueWeight: 1}, Tag: "x"}
 	}
-	c := g.customer(e, terms)
-	r := &request{Request: e, class: class, pool: g.group(e.Group), c: c, arrived: g.now}
-	r.dueAt = g.now + e.TimeLeft
-	r.aimAt = g.now + class.LatencyTarget - g.age(e, class)
+	c := g.customerFor(e, terms)
+	r := &request{Request: e, class: class, pool: g.poolFor(e.Group), customer: c, arrivedAt: g.now}
+	r.deadline = g.now + e.TimeLeft
+	r.targetAt = g.now + class.LatencyTarget - g.elapsedAtClient(e, class)
 	g.requests[e.ID] = r
-	g.open = append(g.open, r)
-	c.demand += e.Units
-	c.mix.Observe(class.Value, e.Units)
-	c.fast = c.fast*math.Exp((c.fastAt-g.now)/fastSpan) + 1/fastSpan
-	c.fastAt = g.now
-	if c.thin && !g.evenPart(c) && g.s.HasCounter && g.now >= g.muted && e.TimeLeft > g.s.CounterTimeout+2*tickEvery {
-		if p := g.callChance(c, r); g.rng.Float64() < p {
-			g.ask(r, c.cycleAt(g.now), c.units(r)/p)
+	g.unanswered = append(g.unanswered, r)
+	c.cycle.demand += e.Units
+	c.values.Observe(class.Value, e.Units)
+	c.arrivals.perSecond = c.arrivals.perSecond*math.Exp((c.arrivals.at-g.now)/arrivalWindow) + 1/arrivalWindow
+	c.arrivals.at = g.now
+	if c.sparse.active && !g.withinEvenShare(c) && g.settings.HasCounter && g.now >= g.counter.pausedUntil && e.TimeLeft > g.settings.CounterTimeout+2*tickInterval {
+		if p := g.callProbability(c, r); g.rng.Float64() < p {
+			g.queryCounter(r, c.cycleAt(g.now), c.unitsOf(r)/p)
 			return
 		}
 	}
-	r.inside = g.inside(r)
+	r.conforming = g.withinQuota(r)
 	g.admit(r)
 }
 
 // age is how long ago the client first asked, told by the time a repeat has left: a part of what remains of
 // the deadline. It guards against work in vain, in an overload a quarter of all served (trebic-later).
-func (g *Gateway) age(e Request, class *Class) Seconds {
-	g.patience[class.Name] = max(g.patience[class.Name], e.TimeLeft)
+func (g *Gateway) elapsedAtClient(e Request, class *Class) Seconds {
+	g.maxTimeLeft[class.Name] = max(g.maxTimeLeft[class.Name], e.TimeLeft)
 	if !e.ClientRetry {
 		return 0
 	}
-	return max(0, class.Deadline*(1-(e.TimeLeft+tickEvery)/g.patience[class.Name]))
+	return max(0, class.Deadline*(1-(e.TimeLeft+tickInterval)/g.maxTimeLeft[class.Name]))
 }
 
 // admit sends a request on, or refuses it, once it is known whether it is inside.
 func (g *Gateway) admit(r *request) {
-	plan := r.c.plan
+	plan := r.customer.plan
 	r.value = r.class.Value * plan.ValueWeight
-	if r.spare = !r.inside; g.now+r.pool.lat > r.aimAt {
-		r.value, r.spare = r.value*r.class.LateValue, true
+	if r.lowPriority = !r.conforming; g.now+r.pool.latency > r.targetAt {
+		r.value, r.lowPriority = r.value*r.class.LateValue, true
 	}
-	if !r.inside {
+	if !r.conforming {
 		if r.value *= plan.ExcessValue - plan.ExcessCost; r.value <= 0 {
-			g.refuse(r)
+			g.reject(r)
 			return
 		}
 	}
-	if !g.common(r) {
-		g.send(r)
+	if !g.requestSharedLimit(r) {
+		g.dispatch(r)
 	}
 }
 
 // inside tells, without asking, whether the quota has room, as far as this gateway may use it.
-func (g *Gateway) inside(r *request) bool {
-	c, worth := r.c, r.c.plan.ExcessCost/(1+r.c.plan.ExcessCost) // the chance of being inside that pays
+func (g *Gateway) withinQuota(r *request) bool {
+	c, worth := r.customer, r.customer.plan.ExcessCost/(1+r.customer.plan.ExcessCost) // the chance of being inside that pays
 	if limit := c.plan.MaxInFlight; limit > 0 {
-		if c.open >= limit || g.evenPart(c) {
-			return c.open < limit
+		if c.inFlight >= limit || g.withinEvenShare(c) {
+			return c.inFlight < limit
 		}
-		if c.plan.Rate <= 0 && !c.thin {
+		if c.plan.Rate <= 0 && !c.sparse.active {
 			// Exception: limits of two or three do not divide. Sent on is what is inside by chance, with the
 			// others' attempts by the totals or, before these tell of a burst, the own rate.
-			rest := min(c.r, quietShare*c.quota/c.doors) * (c.doors - 1)
-			if g.believed(c) {
-				rest = c.R - c.r + (c.doors-c.k)*quietShare*c.quota/c.doors
+			rest := min(c.cycle.localRate, quietFraction*c.quota/c.gateways) * (c.gateways - 1)
+			if g.totalsValid(c) {
+				rest = c.cycle.totalRate - c.cycle.localRate + (c.gateways-c.cycle.reporters)*quietFraction*c.quota/c.gateways
 			}
-			return chanceUnder(limit-c.open, max(rest, c.fast*(c.doors-1))*g.lat) > worth
+			return poissonBelow(limit-c.inFlight, max(rest, c.arrivals.perSecond*(c.gateways-1))*g.defaultPool.latency) > worth
 		}
 	}
 	if c.quota <= 0 {
 		return true
 	}
-	if c.thin && (g.believed(c) || g.silent > 0 && c.ratio > 0) && g.rng.Float64() >= c.ratio {
+	if c.sparse.active && (g.totalsValid(c) || g.counter.failures > 0 && c.sparse.admitRatio > 0) && g.rng.Float64() >= c.sparse.admitRatio {
 		return false // a silent counter freezes the ratio
 	}
-	if c.thin && c.plan.ExcessCost > 0 && !g.believed(c) && g.odds.Conforming(r.ClientRetry) < worth {
+	if c.sparse.active && c.plan.ExcessCost > 0 && !g.totalsValid(c) && g.conformance.Conforming(r.ClientRetry) < worth {
 		return false
 	}
-	g.fill(c)
-	g.restrain(c, r)
+	g.refill(c)
+	g.limitWhenUnreachable(c, r)
 	// A part of the store is for dearer requests: of one that is full it costs nothing.
-	if p := (c.level - keptForDear*c.most*c.mix.ShareAbove(r.class.Value)) / c.units(r); p < 1 {
-		return g.luck(c, r, p)
+	if p := (c.bucket.tokens - reservedForValuable*c.bucket.capacity*c.values.ShareAbove(r.class.Value)) / c.unitsOf(r); p < 1 {
+		return g.admitFraction(c, r, p)
 	}
-	c.level -= c.units(r)
+	c.bucket.tokens -= c.unitsOf(r)
 	return true
 }
 
 // refuse answers a request that may not have run.
-func (g *Gateway) refuse(r *request) {
-	wait := g.s.MaxRetryAfter
-	if c := r.c; c.plan.Rate > 0 && !r.inside && c.slice > 0 {
-		wait = min(wait, max(0, r.Units-c.level)/c.slice)
+func (g *Gateway) reject(r *request) {
+	wait := g.settings.MaxRetryAfter
+	if c := r.customer; c.plan.Rate > 0 && !r.conforming && c.bucket.slice > 0 {
+		wait = min(wait, max(0, r.Units-c.bucket.tokens)/c.bucket.slice)
 	}
-	if !g.s.MayRetryAfter {
+	if !g.settings.MayRetryAfter {
 		wait = 0
 	}
-	g.do(Reject{r.ID, wait, !r.inside})
-	g.end(r)
+	g.emit(Reject{r.ID, wait, !r.conforming})
+	g.finish(r)
 }
 
-func (g *Gateway) end(r *request) {
+func (g *Gateway) finish(r *request) {
 	r.answered = true
-	if r.out == 0 {
+	if r.inFlight == 0 {
 		delete(g.requests, r.ID)
 	}
 }
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -7,58 +7,58 @@
 
 type request struct {
 	Request
-	class            *Class
-	pool             *pool // of the backends that it may go to
-	c                *customer
-	arrived, dueAt   Seconds
-	common           Seconds // the common part of the ceiling lets it through until then; 0: it does not
-	value            float64
-	attempts         []attempt
-	out              int // attempts
-	inside, answered bool
-	spare            bool    // beyond the quota, or too late to earn its worth: waits for nothing
-	aimAt            Seconds // an answer by then earns the whole worth
+	class                *Class
+	pool                 *backendPool // of the backends that it may go to
+	customer             *customer
+	arrivedAt, deadline  Seconds
+	sharedLimitUntil     Seconds // the common part of the ceiling lets it through until then; 0: it does not
+	value                float64
+	attempts             []attempt
+	inFlight             int // attempts
+	conforming, answered bool
+	lowPriority          bool    // beyond the quota, or too late to earn its worth: waits for nothing
+	targetAt             Seconds // an answer by then earns the whole worth
 }
 
 type attempt struct {
-	b             *backend
-	sent          Seconds
-	ended, mayRun bool // mayRun: it may have run, or may yet
-	slow, late    bool // it has been counted as slow, or as failed, for the aim has passed
+	backend                  *backend
+	sentAt                   Seconds
+	ended, mayHaveExecuted   bool // mayRun: it may have run, or may yet
+	countedSlow, countedLate bool // it has been counted as slow, or as failed, for the aim has passed
 }
 
 // send starts the first attempt, or holds the request until a backend can take it.
-func (g *Gateway) send(r *request) {
-	switch b := g.pick(r); {
+func (g *Gateway) dispatch(r *request) {
+	switch b := g.selectBackend(r); {
 	case b != nil:
-		g.start(r, b)
-	case g.now >= r.holdUntil():
+		g.startAttempt(r, b)
+	case g.now >= r.queueDeadline():
 		// No later look would come in time (h440035: a client's last try with 40 ms left was lost).
-		g.refuse(r)
+		g.reject(r)
 	default:
-		g.held = append(g.held, r)
+		g.queue = append(g.queue, r)
 	}
 }
 
 // holdUntil is when a request that finds no backend is to be refused.
-func (r *request) holdUntil() Seconds {
-	wait := cmp.Or(r.class.MaxQueueTime, holdShare*r.class.LatencyTarget)
-	return min(r.arrived+wait, r.aimAt, r.dueAt-2*tickEvery)
+func (r *request) queueDeadline() Seconds {
+	wait := cmp.Or(r.class.MaxQueueTime, queueTimeFraction*r.class.LatencyTarget)
+	return min(r.arrivedAt+wait, r.targetAt, r.deadline-2*tickInterval)
 }
 
-func (g *Gateway) start(r *request, b *backend) {
-	if c := r.c; len(r.attempts) == 0 && g.now > r.common {
-		if g.topUp(c); c.plan.LimitRate > 0 && c.ceiling < r.Units {
-			g.refuse(r)
+func (g *Gateway) startAttempt(r *request, b *backend) {
+	if c := r.customer; len(r.attempts) == 0 && g.now > r.sharedLimitUntil {
+		if g.refillLimit(c); c.plan.LimitRate > 0 && c.limit.tokens < r.Units {
+			g.reject(r)
 			return
 		}
-		c.ceiling = max(0, c.ceiling-r.Units)
+		c.limit.tokens = max(0, c.limit.tokens-r.Units)
 	}
-	timeout, rest, patience := 0.0, r.aimAt-g.now, g.patienceWith(r)
-	if r.class.Effect == Idempotent && r.class.LateValue == 0 && rest > 0 && rest+tickEvery <= r.dueAt-g.now {
-		timeout = rest + tickEvery // nothing is earned after the aim: free the backend
+	timeout, rest, patience := 0.0, r.targetAt-g.now, g.slowAttemptTimeout(r)
+	if r.class.Effect == Idempotent && r.class.LateValue == 0 && rest > 0 && rest+tickInterval <= r.deadline-g.now {
+		timeout = rest + tickInterval // nothing is earned after the aim: free the backend
 		// Far beyond the usual time none will come (the connection fell silent): another can be in time.
-		early := max(silentShare*r.class.LatencyTarget, silentTimes*r.pool.lat)
+		early := max(lostAttemptFraction*r.class.LatencyTarget, lostAttemptLatencies*r.pool.latency)
 		if len(r.attempts) == 0 && 2*early < rest {
 			timeout = early
 		}
@@ -66,134 +66,134 @@
 	if timeout > 0 {
 		patience = 0
 	}
-	r.attempts = append(r.attempts, attempt{b: b, sent: g.now, mayRun: true})
-	r.out++
-	r.c.open++
-	b.out++
-	b.usedAt = g.now
-	if b.waiting == 0 {
-		b.waiting = g.now
+	r.attempts = append(r.attempts, attempt{backend: b, sentAt: g.now, mayHaveExecuted: true})
+	r.inFlight++
+	r.customer.inFlight++
+	b.inFlight++
+	b.lastSentAt = g.now
+	if b.unansweredSince == 0 {
+		b.unansweredSince = g.now
 	}
-	if g.cold(b) < 1 {
-		b.tokens--
+	if g.warmFraction(b) < 1 {
+		b.warmUpTokens--
 	}
-	r.pool.sentRate += 1 / sentSpan
-	if !b.good {
-		r.pool.trials--
+	r.pool.sendRate += 1 / sendRateWindow
+	if !b.healthy {
+		r.pool.trialTokens--
 	}
 	if len(r.attempts) == 1 {
-		r.pool.retries.First()
+		r.pool.retryBudget.ObserveFirstAttempt()
 	}
-	g.do(Send{r.ID, b.ID, timeout, !r.inside, patience})
+	g.emit(Send{r.ID, b.ID, timeout, !r.conforming, patience})
 }
 
 // again decides what follows an attempt that was not served. What may have run is sent again if harmless.
-func (g *Gateway) again(r *request, proven, spent bool) {
-	late := g.now > r.aimAt && r.class.LateValue == 0 || r.dueAt-g.now <= 2*g.s.AnswerSlack
-	most := cmp.Or(r.class.MaxAttempts, g.s.MaxAttempts)
-	if (r.class.Effect == Idempotent || !r.mayHaveRun()) && !late && !spent && len(r.attempts) < most {
-		if b := g.pick(r); b != nil && r.pool.retries.Again(g.now, proven, len(g.held) > 0) {
-			g.start(r, b)
+func (g *Gateway) retryOrFail(r *request, proven, spent bool) {
+	late := g.now > r.targetAt && r.class.LateValue == 0 || r.deadline-g.now <= 2*g.settings.AnswerSlack
+	most := cmp.Or(r.class.MaxAttempts, g.settings.MaxAttempts)
+	if (r.class.Effect == Idempotent || !r.mayHaveExecuted()) && !late && !spent && len(r.attempts) < most {
+		if b := g.selectBackend(r); b != nil && r.pool.retryBudget.Take(g.now, proven, len(g.queue) > 0) {
+			g.startAttempt(r, b)
 			return
 		}
 	}
-	g.giveUp(r)
+	g.failRequest(r)
 }
 
-func (r *request) mayHaveRun() bool {
-	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayRun })
+func (r *request) mayHaveExecuted() bool {
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayHaveExecuted })
 }
 
 // giveUp gives the final answer: a refusal only where a new try surely does no harm.
-func (g *Gateway) giveUp(r *request) {
-	if !r.mayHaveRun() || r.class.Effect == Idempotent || r.class.Effect == IdempotentByKey && r.class.Scope == ScopeAll {
-		g.refuse(r)
+func (g *Gateway) failRequest(r *request) {
+	if !r.mayHaveExecuted() || r.class.Effect == Idempotent || r.class.Effect == IdempotentByKey && r.class.Scope == ScopeAll {
+		g.reject(r)
 		return
 	}
-	g.do(Fail{r.ID})
-	g.end(r)
+	g.emit(Fail{r.ID})
+	g.finish(r)
 }
 
-func (g *Gateway) cancel(r *request) {
+func (g *Gateway) cancelAttempts(r *request) {
 	for i := range r.attempts {
-		if !r.attempts[i].ended && g.s.MayCancel {
-			g.do(Cancel{r.ID, i})
+		if !r.attempts[i].ended && g.settings.MayCancel {
+			g.emit(Cancel{r.ID, i})
 		}
 	}
 }
 
-func (g *Gateway) ended(e AttemptEnded) {
+func (g *Gateway) handleAttemptEnded(e AttemptEnded) {
 	r := g.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
 		return
 	}
 	a := &r.attempts[e.Attempt]
-	b, proven := a.b, e.Outcome.ProvesNotExecuted()
-	a.ended, a.mayRun = true, !proven
-	r.out--
-	r.c.open--
-	b.waiting = 0
-	if b.out--; b.out > 0 {
-		b.waiting = g.now
+	b, proven := a.backend, e.Outcome.ProvesNotExecuted()
+	a.ended, a.mayHaveExecuted = true, !proven
+	r.inFlight--
+	r.customer.inFlight--
+	b.unansweredSince = 0
+	if b.inFlight--; b.inFlight > 0 {
+		b.unansweredSince = g.now
 	}
 	if e.Outcome == TimedOut || e.Outcome == Cancelled {
-		b.ghosts++ // whether work stops when nobody waits for it is not told
+		b.abandoned++ // whether work stops when nobody waits for it is not told
 	}
-	g.judge(b, r, a, e)
+	g.observeOutcome(b, r, a, e)
 	if e.Outcome != Cancelled && e.Outcome != NotSent {
-		r.pool.retries.Ended(g.now, e.Outcome == Succeeded)
+		r.pool.retryBudget.ObserveOutcome(g.now, e.Outcome == Succeeded)
 	}
-	if e.Outcome == Succeeded && e.Units > 0 && r.inside && r.c.plan.Rate > 0 && !r.answered {
-		r.c.level -= e.Units - r.Units
+	if e.Outcome == Succeeded && e.Units > 0 && r.conforming && r.customer.plan.Rate > 0 && !r.answered {
+		r.customer.bucket.tokens -= e.Units - r.Units
 	}
 	switch {
 	case r.answered:
 	case e.Answered || e.Outcome == Succeeded:
-		g.end(r)
-		g.cancel(r)
+		g.finish(r)
+		g.cancelAttempts(r)
 	default:
-		g.again(r, proven, e.BodyConsumed)
+		g.retryOrFail(r, proven, e.BodyConsumed)
 	}
-	if r.answered && r.out == 0 {
+	if r.answered && r.inFlight == 0 {
 		delete(g.requests, r.ID)
 	}
-	g.release()
+	g.dispatchQueued()
 }
 
 // release sends held requests on, and refuses those that have waited too long.
-func (g *Gateway) release() {
-	if len(g.held) == 0 {
+func (g *Gateway) dispatchQueued() {
+	if len(g.queue) == 0 {
 		return
 	}
-	held := g.held
-	g.held = nil
+	held := g.queue
+	g.queue = nil
 	// The dearest first; among equals the newest: what has waited long would be late anyway.
 	slices.SortStableFunc(held, func(a, b *request) int {
-		return cmp.Or(cmp.Compare(b.value, a.value), cmp.Compare(b.arrived, a.arrived))
+		return cmp.Or(cmp.Compare(b.value, a.value), cmp.Compare(b.arrivedAt, a.arrivedAt))
 	})
 	for i, r := range held {
 		switch {
 		case r.answered:
-		case len(g.held) > 0 && g.now < r.holdUntil():
-			g.held = append(g.held, held[i]) // no room for a dearer one: none for this
+		case len(g.queue) > 0 && g.now < r.queueDeadline():
+			g.queue = append(g.queue, held[i]) // no room for a dearer one: none for this
 		default:
-			g.send(r)
+			g.dispatch(r)
 		}
 	}
 }
 
 // overdue counts an attempt as slow while it is out (i891194: unsafe ones told so only after five seconds).
-func (g *Gateway) overdue() {
-	g.open = slices.DeleteFunc(g.open, func(r *request) bool {
+func (g *Gateway) observeOverdueAttempts() {
+	g.unanswered = slices.DeleteFunc(g.unanswered, func(r *request) bool {
 		for i := range r.attempts {
 			a := &r.attempts[i]
-			if !a.ended && !a.slow && g.now-a.sent > slowAt*r.class.LatencyTarget {
-				a.slow = true
-				g.adapt(a.b, true)
+			if !a.ended && !a.countedSlow && g.now-a.sentAt > slowFraction*r.class.LatencyTarget {
+				a.countedSlow = true
+				g.adjustLimit(a.backend, true)
 			}
-			if !a.ended && !a.late && g.now-a.sent > r.class.LatencyTarget {
-				a.late = true
-				g.failed(a.b, false)
+			if !a.ended && !a.countedLate && g.now-a.sentAt > r.class.LatencyTarget {
+				a.countedLate = true
+				g.recordFailure(a.backend, false)
 			}
 		}
 		return r.answered
--- a/internal/decision/bodies.go
+++ b/internal/decision/body_uploads.go
@@ -7,9 +7,9 @@
 // It is not part of the simulator's policy: there, requests have no bodies.
 func (g *Gateway) BodyUploading(id uint64) {
 	if a := g.lastAttempt(id); a != nil {
-		a.sent = math.Inf(1)
-		if a.b.out == 1 {
-			a.b.waiting = 0
+		a.sentAt = math.Inf(1)
+		if a.backend.inFlight == 1 {
+			a.backend.unansweredSince = 0
 		}
 	}
 }
@@ -17,9 +17,9 @@
 // BodyUploaded tells that the body has gone out whole: from now on the backend works on the request.
 func (g *Gateway) BodyUploaded(now Seconds, id uint64) {
 	if a := g.lastAttempt(id); a != nil {
-		a.sent = now
-		if a.b.waiting == 0 {
-			a.b.waiting = now
+		a.sentAt = now
+		if a.backend.unansweredSince == 0 {
+			a.backend.unansweredSince = now
 		}
 	}
 }
--- a/internal/decision/conformance/odds.go
+++ b/internal/decision/conformance/estimator.go
@@ -9,16 +9,16 @@
 package conformance
 
 const (
-	keep  = 0.95 // weight of what was known, with each further answer: about the last twenty count
-	prior = 1.0  // answers that count as inside, before any came
+	observationRetention = 0.95 // weight of what was known, with each further answer: about the last twenty count
+	priorObservations    = 1.0  // answers that count as inside, before any came
 )
 
 // Estimator are those of one ingress. The zero value knows nothing: all is inside.
-type Estimator struct{ first, repeat mean }
+type Estimator struct{ first, repeat conformingRatio }
 
-type mean struct{ inside, asked float64 }
+type conformingRatio struct{ conforming, observed float64 }
 
-func (o *Estimator) of(repeat bool) *mean {
+func (o *Estimator) of(repeat bool) *conformingRatio {
 	if repeat {
 		return &o.repeat
 	}
@@ -28,11 +28,11 @@
 // Observe tells what came of a request that was asked about: the chance, 0 to 1, of it being inside its quota.
 func (o *Estimator) Observe(repeat bool, inside float64) {
 	m := o.of(repeat)
-	m.inside, m.asked = keep*m.inside+inside, keep*m.asked+1
+	m.conforming, m.observed = observationRetention*m.conforming+inside, observationRetention*m.observed+1
 }
 
 // Conforming is the chance that a request that is not asked about is inside its quota.
 func (o *Estimator) Conforming(repeat bool) float64 {
 	m := o.of(repeat)
-	return (m.inside + prior) / (m.asked + prior)
+	return (m.conforming + priorObservations) / (m.observed + priorObservations)
 }
--- a/internal/decision/conformance/mix.go
+++ b/internal/decision/conformance/value_distribution.go
@@ -2,37 +2,37 @@
 
 // ValueDistribution is what a member asks for, by worth: which part of its use, in units, each worth makes up lately. The zero value knows nothing.
 type ValueDistribution struct {
-	worths, asked []float64
-	sum           float64
+	values, demand []float64
+	total          float64
 }
 
 const (
-	keepMix   = 0.97 // weight of what was asked, with each further request: about the last thirty count
-	mostKinds = 16   // worths that are told apart; further ones count as none dearer
+	retention = 0.97 // weight of what was asked, with each further request: about the last thirty count
+	maxValues = 16   // worths that are told apart; further ones count as none dearer
 )
 
 // Observe adds a request of a worth, in points, and what it asked, in units.
 func (m *ValueDistribution) Observe(worth, units float64) {
 	at := -1
-	for i := range m.asked {
-		m.asked[i] *= keepMix
-		if m.worths[i] == worth {
+	for i := range m.demand {
+		m.demand[i] *= retention
+		if m.values[i] == worth {
 			at = i
 		}
 	}
-	if m.sum = keepMix*m.sum + units; at < 0 && len(m.worths) < mostKinds {
-		at, m.worths, m.asked = len(m.worths), append(m.worths, worth), append(m.asked, 0)
+	if m.total = retention*m.total + units; at < 0 && len(m.values) < maxValues {
+		at, m.values, m.demand = len(m.values), append(m.values, worth), append(m.demand, 0)
 	}
 	if at >= 0 {
-		m.asked[at] += units
+		m.demand[at] += units
 	}
 }
 
 // ShareAbove is the part of what was asked, 0 to 1, that is worth more.
 func (m *ValueDistribution) ShareAbove(worth float64) (part float64) {
-	for i, w := range m.worths {
-		if w > worth && m.sum > 0 {
-			part += m.asked[i] / m.sum
+	for i, w := range m.values {
+		if w > worth && m.total > 0 {
+			part += m.demand[i] / m.total
 		}
 	}
 	return min(1, part)
--- a/internal/decision/conformance/mix_test.go
+++ b/internal/decision/conformance/value_distribution_test.go
@@ -38,7 +38,7 @@
 	for i := range 10_000 { // odd worths do not grow it
 		m.Observe(float64(i), 1)
 	}
-	if len(m.worths) > mostKinds || m.ShareAbove(0) > 1 {
-		t.Errorf("%d worths", len(m.worths))
+	if len(m.values) > maxValues || m.ShareAbove(0) > 1 {
+		t.Errorf("%d worths", len(m.values))
 	}
 }
--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -163,7 +163,7 @@
 }
 
 // ClientGone tells that a request has ended without an answer.
-type ClientGone struct{ ID uint64 }
+type ClientDisconnected struct{ ID uint64 }
 
 // Timer tells that a timer is due.
 type Timer struct{ Token string }
@@ -209,14 +209,14 @@
 	Holders int // gateways that it is from, where counters are pairs; of a Failed one: the keeper took the report, and tells no sum yet
 }
 
-func (Start) event()        {}
-func (Backends) event()     {}
-func (Request) event()      {}
-func (Terms) event()        {}
-func (ClientGone) event()   {}
-func (Timer) event()        {}
-func (AttemptEnded) event() {}
-func (CounterReply) event() {}
+func (Start) event()              {}
+func (Backends) event()           {}
+func (Request) event()            {}
+func (Terms) event()              {}
+func (ClientDisconnected) event() {}
+func (Timer) event()              {}
+func (AttemptEnded) event()       {}
+func (CounterReply) event()       {}
 
 // Action is something the host is to do.
 type Action interface{ action() }
--- a/internal/decision/gateway_test.go
+++ b/internal/decision/gateway_test.go
@@ -55,7 +55,7 @@
 
 // run ticks the gateway from one time to another and answers counter calls with reply.
 func run(g *Gateway, from, to Seconds, reply func(CounterCall) CounterReply) (all []Action) {
-	for now := from; now < to; now += tickEvery {
+	for now := from; now < to; now += tickInterval {
 		out := g.Handle(now, Timer{"tick"})
 		all = append(all, out...)
 		for _, call := range of[CounterCall](out) {
@@ -86,15 +86,15 @@
 			}
 			for _, r := range tc.r {
 				g := New(testSettings(), 1)
-				c := g.customer(Request{Customer: "c", Gateways: int(tc.n)}, g.plans["rate"])
-				c.r = r
-				g.settle(c, R, k)
-				sum += c.slice
-				if R > c.quota && tc.n == k && math.Abs(c.slice/r-c.quota/R) > 1e-9 {
-					t.Errorf("slice %v of demand %v: not the common ratio", c.slice, r)
+				c := g.customerFor(Request{Customer: "c", Gateways: int(tc.n)}, g.plans["rate"])
+				c.cycle.localRate = r
+				g.applyTotals(c, R, k)
+				sum += c.bucket.slice
+				if R > c.quota && tc.n == k && math.Abs(c.bucket.slice/r-c.quota/R) > 1e-9 {
+					t.Errorf("slice %v of demand %v: not the common ratio", c.bucket.slice, r)
 				}
 			}
-			want := 10 * (1 - quietShare*(tc.n-k)/tc.n) // the quiet keep their part: never free for others
+			want := 10 * (1 - quietFraction*(tc.n-k)/tc.n) // the quiet keep their part: never free for others
 			if math.Abs(sum-want) > 1e-9 {
 				t.Errorf("slices sum to %v, want %v", sum, want)
 			}
@@ -112,11 +112,11 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := New(testSettings(), 1)
 			g.now = 10
-			c := g.customer(Request{Customer: "c", Gateways: 2}, g.plans["rate"])
-			c.r, c.R, c.k, c.totalAt, c.slice = 4.4, 12, 2, 9, 3
-			g.settle(c, tc.R, tc.k)
-			if c.slice != 3 {
-				t.Errorf("slice moved to %v", c.slice)
+			c := g.customerFor(Request{Customer: "c", Gateways: 2}, g.plans["rate"])
+			c.cycle.localRate, c.cycle.totalRate, c.cycle.reporters, c.cycle.totalAt, c.bucket.slice = 4.4, 12, 2, 9, 3
+			g.applyTotals(c, tc.R, tc.k)
+			if c.bucket.slice != 3 {
+				t.Errorf("slice moved to %v", c.bucket.slice)
 			}
 		})
 	}
@@ -127,7 +127,7 @@
 		g := started(t, testSettings(), up("x", 0))
 		calls := 0
 		for i := 0; i < 400; i++ {
-			now := float64(i) * tickEvery
+			now := float64(i) * tickInterval
 			for j := 0; j < 3; j++ { // three customers asking for 20 units a second each
 				r := ask(uint64(1000+i*3+j), "safe", "rate")
 				r.Customer = fmt.Sprint("c", j)
@@ -139,9 +139,9 @@
 				g.Handle(now, CounterReply{Name: call.Name, Outcome: outcome})
 			}
 		}
-		for _, c := range g.known {
-			if c.slice != 5 {
-				t.Errorf("%v: slice moved to %v", outcome, c.slice)
+		for _, c := range g.customerList {
+			if c.bucket.slice != 5 {
+				t.Errorf("%v: slice moved to %v", outcome, c.bucket.slice)
 			}
 		}
 		if calls == 0 || calls > 25 {
@@ -154,14 +154,14 @@
 	g := started(t, testSettings(), up("x", 0))
 	g.Handle(0, ask(1, "safe", "rate"))
 	g.Handle(0.1, AttemptEnded{ID: 1, Backend: "x", Outcome: Succeeded, Answered: true, Duration: 0.1})
-	if calls := of[CounterCall](run(g, 0.1, idleLapse-1, nil)); len(calls) > 0 {
+	if calls := of[CounterCall](run(g, 0.1, idleExpiry-1, nil)); len(calls) > 0 {
 		t.Errorf("%d calls for one request", len(calls))
 	}
 	if len(g.customers) != 1 {
 		t.Fatal("forgotten too early")
 	}
-	run(g, idleLapse, idleLapse+1, nil)
-	if len(g.customers) != 0 || len(g.known) != 0 {
+	run(g, idleExpiry, idleExpiry+1, nil)
+	if len(g.customers) != 0 || len(g.customerList) != 0 {
 		t.Error("kept after an idle minute")
 	}
 }
@@ -169,10 +169,10 @@
 func TestCounterAnswersForForgottenNamesAreIgnored(t *testing.T) {
 	g := started(t, testSettings(), up("x", 0))
 	g.Handle(0, ask(1, "safe", "rate"))
-	for _, name := range []string{"", "c", "c/zz", "nobody/1", g.customers["c"].name(g.customers["c"].cycle)} {
+	for _, name := range []string{"", "c", "c/zz", "nobody/1", g.customers["c"].counterName(g.customers["c"].cycle.number)} {
 		g.Handle(1, CounterReply{Name: name, Outcome: Succeeded, Total: 5e5})
 	}
-	if got := g.customers["c"].slice; got != 5 {
+	if got := g.customers["c"].bucket.slice; got != 5 {
 		t.Errorf("slice moved to %v", got)
 	}
 }
@@ -197,10 +197,10 @@
 	g := started(t, testSettings(), up("x", 0))
 	g.Handle(0, ask(1, "safe", "rate"))
 	c := g.customers["c"]
-	c.level = 1
+	c.bucket.tokens = 1
 	g.Handle(0, AttemptEnded{ID: 1, Backend: "x", Outcome: Succeeded, Answered: true, Duration: 0.1, Units: 4})
-	if c.level != -2 {
-		t.Errorf("level %v, want -2", c.level)
+	if c.bucket.tokens != -2 {
+		t.Errorf("level %v, want -2", c.bucket.tokens)
 	}
 }
 
@@ -210,11 +210,11 @@
 	for i := uint64(0); i < 60; i++ {
 		r := ask(i, "safe", "earns")
 		r.Units = 20 // never inside a slice of 5 with 10 of the burst
-		g.customer(r, g.plans["earns"]).level = -100
+		g.customerFor(r, g.plans["earns"]).bucket.tokens = -100
 		sent += len(of[Send](g.Handle(0, r)))
 	}
-	if sent != limitStart/2/2 { // half of the bound of each of two gateways
-		t.Errorf("%d sent on, want %v", sent, limitStart/2/2)
+	if sent != initialLimit/2/2 { // half of the bound of each of two gateways
+		t.Errorf("%d sent on, want %v", sent, initialLimit/2/2)
 	}
 }
 
@@ -223,11 +223,11 @@
 	if len(of[Send](g.Handle(0, ask(1, "safe", "open")))) != 1 {
 		t.Error("a calm customer's first request was not sent")
 	}
-	g.lat = 2 // answers slow: the other gateway surely has its part out
+	g.defaultPool.latency = 2 // answers slow: the other gateway surely has its part out
 	if len(of[Reject](g.Handle(0.1, ask(2, "safe", "open")))) != 1 {
 		t.Error("sent on though the limit is most likely full")
 	}
-	g.lat = 0.01
+	g.defaultPool.latency = 0.01
 	g.Handle(5, ask(3, "safe", "open"))
 	if len(of[Reject](g.Handle(9, ask(4, "safe", "open")))) != 1 {
 		t.Error("a third attempt at once was sent on")
@@ -244,7 +244,7 @@
 		id++
 		for range of[Send](g.Handle(now, ask(id, "safe", "ceiling"))) {
 			units++
-			g.Handle(now, AttemptEnded{ID: id, Backend: g.requests[id].attempts[0].b.ID, Outcome: Succeeded, Answered: true, Duration: 0.01})
+			g.Handle(now, AttemptEnded{ID: id, Backend: g.requests[id].attempts[0].backend.ID, Outcome: Succeeded, Answered: true, Duration: 0.01})
 		}
 	}
 	if units == 0 || units > 10*6+1 {
@@ -403,7 +403,7 @@
 	for i := uint64(0); i < 4; i++ {
 		g.Handle(3, AttemptEnded{ID: i, Backend: "x", Outcome: TimedOut, Duration: 3})
 	}
-	b.downTill, b.limit = 0, 4
+	b.ejectedUntil, b.limit = 0, 4
 	if len(of[Send](g.Handle(3.001, ask(9, "unsafe", "free")))) != 0 {
 		t.Error("sent to a backend that is still at work on what timed out")
 	}
@@ -413,7 +413,7 @@
 	g := started(t, testSettings(), up("x", 0))
 	g.Handle(0, ask(1, "unsafe", "free"))
 	run(g, 0.05, 0.7, nil)
-	if got := g.backends["x"].limit; got >= limitStart {
+	if got := g.backends["x"].limit; got >= initialLimit {
 		t.Errorf("bound still %v with an answer overdue", got)
 	}
 }
@@ -421,7 +421,7 @@
 func TestDeadBackendIsLeftAloneThenGetsOneAttempt(t *testing.T) {
 	g := started(t, testSettings(), up("x", 0), up("y", 0))
 	g.Handle(0, ask(1, "safe", "free"))
-	dead := g.requests[1].attempts[0].b
+	dead := g.requests[1].attempts[0].backend
 	g.Handle(0, AttemptEnded{ID: 1, Backend: dead.ID, Outcome: ConnectionRefused})
 	sent := map[string]int{}
 	for i := uint64(10); i < 13; i++ {
@@ -444,8 +444,8 @@
 
 func TestWhenAllLookBadNoneIsTheOutlier(t *testing.T) {
 	g := started(t, testSettings(), up("x", 0), up("y", 0))
-	for _, b := range g.order {
-		b.downTill = 100
+	for _, b := range g.defaultPool.order {
+		b.ejectedUntil = 100
 	}
 	if len(of[Send](g.Handle(1, ask(1, "safe", "free")))) != 1 {
 		t.Error("nothing tried though all backends look alike")
@@ -469,7 +469,7 @@
 func TestStaleEventsAreIgnored(t *testing.T) {
 	g := started(t, testSettings(), up("x", 0))
 	for _, e := range []Event{
-		AttemptEnded{ID: 99}, ClientGone{ID: 99}, Timer{"old"},
+		AttemptEnded{ID: 99}, ClientDisconnected{ID: 99}, Timer{"old"},
 	} {
 		if out := g.Handle(1, e); len(out) != 0 {
 			t.Errorf("%T: got %v", e, out)
@@ -578,14 +578,14 @@
 
 func TestFullBoundsDoNotSendWorkToEjectedBackends(t *testing.T) { // ic5a586: 39% no connection
 	g := started(t, testSettings(), up("x", 0), up("y", 0))
-	g.backends["x"].downTill = 100
+	g.backends["x"].ejectedUntil = 100
 	sent := map[string]int{}
 	for i := uint64(0); i < 20; i++ {
 		for _, s := range of[Send](g.Handle(1, ask(i, "safe", "free"))) {
 			sent[s.Backend]++
 		}
 	}
-	if sent["x"] != 0 || sent["y"] != limitStart/2 { // two gateways
+	if sent["x"] != 0 || sent["y"] != initialLimit/2 { // two gateways
 		t.Errorf("sent %v", sent)
 	}
 }
@@ -596,12 +596,12 @@
 	sum := last
 	for range 2 {
 		g := New(testSettings(), 1)
-		c := g.customer(Request{Customer: "c", Gateways: n}, g.plans["rate"])
-		c.r = 4
-		g.settle(c, 8, 2)
-		sum += c.slice
+		c := g.customerFor(Request{Customer: "c", Gateways: n}, g.plans["rate"])
+		c.cycle.localRate = 4
+		g.applyTotals(c, 8, 2)
+		sum += c.bucket.slice
 	}
-	if above := sum - 10; above < 0 || above > last-quietShare*10/n+1e-9 {
+	if above := sum - 10; above < 0 || above > last-quietFraction*10/n+1e-9 {
 		t.Errorf("sum %v above the quota; the bound is the lost slice less the quiet part", above)
 	}
 }
@@ -614,7 +614,7 @@
 	for id := range g.requests {
 		g.Handle(1, AttemptEnded{ID: id, Backend: "x", Outcome: Succeeded, Answered: true, Duration: 0.1})
 	}
-	g.lat = 5
+	g.defaultPool.latency = 5
 	if len(of[Send](g.Handle(1.01, ask(99, "safe", "open")))) != 1 {
 		t.Error("refused within the even part: two gateways with one attempt each cannot pass a limit of two")
 	}
@@ -644,14 +644,14 @@
 	}
 	g := started(t, testSettings(), up("x", 0))
 	r := ask(1, "safe", "rate")
-	g.customer(r, g.plans["rate"]).level = -100 // beyond its quota, which earns nothing
+	g.customerFor(r, g.plans["rate"]).bucket.tokens = -100 // beyond its quota, which earns nothing
 	if out := of[Reject](g.Handle(0, r)); len(out) != 1 || out[0].RetryAfter <= 0 {
 		t.Errorf("beyond the quota: got %v", out)
 	}
 	g = started(t, testSettings()) // no backend at all: a bounded wait for one, then the answer
 	g.Handle(1, ask(1, "safe", "free"))
-	if out := run(g, 1.01, 1+holdShare+2*tickEvery, nil); len(of[Reject](out)) != 1 {
-		t.Errorf("no backend: got %v by %v of the aim", out, holdShare)
+	if out := run(g, 1.01, 1+queueTimeFraction+2*tickInterval, nil); len(of[Reject](out)) != 1 {
+		t.Errorf("no backend: got %v by %v of the aim", out, queueTimeFraction)
 	}
 }
 
@@ -663,7 +663,7 @@
 	g, id := started(t, s, up("b", 0)), uint64(0)
 	// customers has 20 customers ask in each second and answers their calls; it tells how many were made.
 	customers := func(from, to Seconds, outcome Outcome) (calls int) {
-		for now := from; now < to; now += tickEvery {
+		for now := from; now < to; now += tickInterval {
 			out := g.Handle(now, Timer{"tick"})
 			id++
 			e := ask(id, "safe", "thin")
@@ -698,8 +698,8 @@
 		for range 3 {
 			g.Handle(1, CounterReply{Name: "c/1", Outcome: tc.outcome})
 		}
-		if less := g.chance < 1; less != tc.less {
-			t.Errorf("outcome %d: chance %v", tc.outcome, g.chance)
+		if less := g.counter.callProbability < 1; less != tc.less {
+			t.Errorf("outcome %d: chance %v", tc.outcome, g.counter.callProbability)
 		}
 	}
 }
@@ -711,15 +711,15 @@
 	for range 10 {
 		g.Handle(1, CounterReply{Name: "c/1", Outcome: TimedOut})
 	}
-	if g.chance != chanceDown {
-		t.Errorf("chance %v after a stall", g.chance)
+	if g.counter.callProbability != callProbabilityDecrease {
+		t.Errorf("chance %v after a stall", g.counter.callProbability)
 	}
-	g.chance = chanceLeast
+	g.counter.callProbability = minCallProbability
 	for range 200 {
 		g.Handle(2, CounterReply{Name: "c/1", Outcome: Succeeded, Total: 1})
 	}
-	if g.chance < 1 {
-		t.Errorf("chance %v after 200 answers", g.chance)
+	if g.counter.callProbability < 1 {
+		t.Errorf("chance %v after 200 answers", g.counter.callProbability)
 	}
 }
 
@@ -822,7 +822,7 @@
 		g.Handle(now, Backends{List: []Backend{up(fmt.Sprint("b", i), 0), {ID: fmt.Sprint("b", i-1), Zone: "a"}}})
 		g.Handle(now, Timer{"tick"})
 	}
-	if n := len(g.order); n > 3 || n != len(g.backends) || g.backends["kept"] == nil || g.backends["busy"] == nil {
+	if n := len(g.defaultPool.order); n > 3 || n != len(g.backends) || g.backends["kept"] == nil || g.backends["busy"] == nil {
 		t.Errorf("%d backends in order, %d by id, want kept, the last one, and the one that owes an answer", n, len(g.backends))
 	}
 	g.Handle(502, AttemptEnded{ID: 1, Backend: "busy", Outcome: Succeeded, Duration: 500, Answered: true})
@@ -841,7 +841,7 @@
 		s := testSettings()
 		s.Classes[0].LateValue = 0
 		g := started(t, s, up("b", 0))
-		g.lat = tc.usual
+		g.defaultPool.latency = tc.usual
 		sent := of[Send](g.Handle(1, ask(1, tc.class, "free")))
 		if len(sent) != 1 || math.Abs(sent[0].Timeout-tc.want) > 1e-9 {
 			t.Errorf("%s, usually %v s: got %v, want a time-out of %v", tc.class, tc.usual, sent, tc.want)
--- a/internal/decision/state.go
+++ b/internal/decision/handover.go
@@ -11,26 +11,26 @@
 // instance is one process.
 
 const (
-	takenFor    = 60.0 // s: older knowledge tells nothing of the present
-	forgetTimes = 10.0 // s in which two thirds of what is known of a backend's bound and times is forgotten
+	maxKnowledgeAge = 60.0 // s: older knowledge tells nothing of the present
+	knowledgeDecay  = 10.0 // s in which two thirds of what is known of a backend's bound and times is forgotten
 )
 
 // SetShare sets how much of the gateway this process is, from 0 to 1: its stores, its part of ceilings and its bounds at
 // backends fill and hold so much less. Junior: another process reports this gateway to the counter as one that asks.
 func (g *Gateway) SetShare(part float64, junior bool) {
-	g.s.OtherShare, g.s.Secondary = 1-max(0, min(1, part)), junior
+	g.settings.OtherShare, g.settings.Secondary = 1-max(0, min(1, part)), junior
 }
 
-func (g *Gateway) part() float64 { return 1 - g.s.OtherShare }
+func (g *Gateway) processShare() float64 { return 1 - g.settings.OtherShare }
 
 // room is how much of a store this process may hold: its part, but a whole request.
-func (g *Gateway) room(most float64) float64 {
-	return max(min(most, g.s.MaxUnits), g.part()*most)
+func (g *Gateway) capacityShare(most float64) float64 {
+	return max(min(most, g.settings.MaxUnits), g.processShare()*most)
 }
 
 // reporter is what a report adds to the number of gateways that ask.
-func (g *Gateway) reporter(field float64) float64 {
-	if g.s.Secondary {
+func (g *Gateway) reporterCount(field float64) float64 {
+	if g.settings.Secondary {
 		return 0
 	}
 	return field
@@ -81,26 +81,26 @@
 // larger than guessed, stays here: the newer process begins with none of it, not with a full store.
 func (g *Gateway) HandOver(now Seconds) Knowledge {
 	g.now = now
-	k := Knowledge{At: now, TypicalTime: g.lat, SendRate: g.sentRate, CounterCallProbability: g.chance}
-	for _, c := range g.known {
-		g.topUp(c)
+	k := Knowledge{At: now, TypicalTime: g.defaultPool.latency, SendRate: g.defaultPool.sendRate, CounterCallProbability: g.counter.callProbability}
+	for _, c := range g.customerList {
+		g.refillLimit(c)
 		if c.quota > 0 {
-			g.fill(c)
+			g.refill(c)
 		}
-		half := max(0, c.level) / 2
-		c.level, c.ceiling = c.level-half, c.ceiling/2
-		totalAt := c.totalAt
+		half := max(0, c.bucket.tokens) / 2
+		c.bucket.tokens, c.limit.tokens = c.bucket.tokens-half, c.limit.tokens/2
+		totalAt := c.cycle.totalAt
 		if math.IsInf(totalAt, -1) {
 			totalAt = 0 // files have no infinity
 		}
-		k.Customers = append(k.Customers, CustomerKnowledge{Terms: Terms{Customer: c.key, Plan: *c.plan, Tag: c.tag}, Gateways: int(c.doors), Slice: c.slice,
-			Tokens: half, LimitTokens: c.ceiling, TokensAt: c.filled, LimitTokensAt: c.ceilFill, LocalDemand: c.r, TotalDemand: c.R, Reporters: c.k, TotalAt: totalAt,
-			ValidFor: c.validFor, AdmitRatio: c.ratio, DemandShare: c.share})
+		k.Customers = append(k.Customers, CustomerKnowledge{Terms: Terms{Customer: c.key, Plan: *c.plan, Tag: c.termsTag}, Gateways: int(c.gateways), Slice: c.bucket.slice,
+			Tokens: half, LimitTokens: c.limit.tokens, TokensAt: c.bucket.refilledAt, LimitTokensAt: c.limit.refilledAt, LocalDemand: c.cycle.localRate, TotalDemand: c.cycle.totalRate, Reporters: c.cycle.reporters, TotalAt: totalAt,
+			ValidFor: c.cycle.validFor, AdmitRatio: c.sparse.admitRatio, DemandShare: c.sparse.demandShare})
 	}
-	for b := range g.all() {
+	for b := range g.allBackends() {
 		if b.listed {
-			k.Backends = append(k.Backends, BackendKnowledge{ID: b.ID, Limit: b.limit, Errors: b.errs, TypicalTime: b.lat, KindTypicalTime: *b.usual,
-				ConsecutiveFailures: b.bad, Healthy: b.good, EjectedUntil: b.downTill, OverloadedUntil: b.fullTill})
+			k.Backends = append(k.Backends, BackendKnowledge{ID: b.ID, Limit: b.limit, Errors: b.errorRate, TypicalTime: b.latency, KindTypicalTime: *b.kindLatency,
+				ConsecutiveFailures: b.failures, Healthy: b.healthy, EjectedUntil: b.ejectedUntil, OverloadedUntil: b.overloadedUntil})
 		}
 	}
 	return k
@@ -111,19 +111,19 @@
 // list and decided nothing yet; what is known of customers whose quota or ceiling is impossible is left out.
 func (g *Gateway) Restore(now Seconds, k Knowledge) (customers, backends int) {
 	age := now - k.At
-	if !(age > -1 && age < takenFor) {
+	if !(age > -1 && age < maxKnowledgeAge) {
 		return 0, 0 // too old, or of a clock that has gone back
 	}
 	g.now = now
-	weight := math.Exp(-max(0, age) / forgetTimes)
+	weight := math.Exp(-max(0, age) / knowledgeDecay)
 	mix := func(to *float64, from float64) {
 		if from > 0 && !math.IsInf(from, 0) {
 			*to += weight * (from - *to)
 		}
 	}
-	mix(&g.lat, k.TypicalTime)
-	mix(&g.chance, min(1, k.CounterCallProbability))
-	g.sentRate, g.rated = weight*max(0, k.SendRate), g.chance
+	mix(&g.defaultPool.latency, k.TypicalTime)
+	mix(&g.counter.callProbability, min(1, k.CounterCallProbability))
+	g.defaultPool.sendRate, g.counter.probabilityAtReply = weight*max(0, k.SendRate), g.counter.callProbability
 	tags := map[string]*Terms{}
 	for _, name := range slices.Sorted(maps.Keys(g.plans)) {
 		tags[g.plans[name].Tag] = g.plans[name]
@@ -136,28 +136,28 @@
 		if terms == nil {
 			terms = &e.Terms // of the catalogue
 		}
-		c := g.customer(Request{Customer: e.Terms.Customer, Gateways: e.Gateways}, terms)
-		c.slice, c.level, c.ceiling, c.filled, c.ceilFill = min(e.Slice, c.quota), e.Tokens, e.LimitTokens, min(e.TokensAt, now), min(e.LimitTokensAt, now)
-		c.r, c.R, c.k, c.ratio, c.share = e.LocalDemand, e.TotalDemand, e.Reporters, e.AdmitRatio, min(1, max(0, e.DemandShare))
-		if c.validFor = max(0, e.ValidFor); e.TotalAt > 0 {
-			c.totalAt = min(e.TotalAt, now)
+		c := g.customerFor(Request{Customer: e.Terms.Customer, Gateways: e.Gateways}, terms)
+		c.bucket.slice, c.bucket.tokens, c.limit.tokens, c.bucket.refilledAt, c.limit.refilledAt = min(e.Slice, c.quota), e.Tokens, e.LimitTokens, min(e.TokensAt, now), min(e.LimitTokensAt, now)
+		c.cycle.localRate, c.cycle.totalRate, c.cycle.reporters, c.sparse.admitRatio, c.sparse.demandShare = e.LocalDemand, e.TotalDemand, e.Reporters, e.AdmitRatio, min(1, max(0, e.DemandShare))
+		if c.cycle.validFor = max(0, e.ValidFor); e.TotalAt > 0 {
+			c.cycle.totalAt = min(e.TotalAt, now)
 		}
 		customers++
 	}
 	for _, e := range k.Backends {
 		b := g.backends[e.ID]
-		if b == nil || !b.listed || b.StartedAt > k.At || g.cold(b) < 1 {
+		if b == nil || !b.listed || b.StartedAt > k.At || g.warmFraction(b) < 1 {
 			continue // another process by now: nothing is known of it
 		}
-		mix(&b.limit, min(limitMost, e.Limit))
-		mix(&b.lat, e.TypicalTime)
-		mix(b.usual, e.KindTypicalTime)
-		b.errs, b.bad, b.good = weight*min(1, max(0, e.Errors)), min(max(0, e.ConsecutiveFailures), ejectAfter+2), e.Healthy
-		b.downTill, b.fullTill = min(e.EjectedUntil, now+ejectMost), min(e.OverloadedUntil, now+ejectMost)
+		mix(&b.limit, min(maxLimit, e.Limit))
+		mix(&b.latency, e.TypicalTime)
+		mix(b.kindLatency, e.KindTypicalTime)
+		b.errorRate, b.failures, b.healthy = weight*min(1, max(0, e.Errors)), min(max(0, e.ConsecutiveFailures), ejectAfterFailures+2), e.Healthy
+		b.ejectedUntil, b.overloadedUntil = min(e.EjectedUntil, now+maxEjection), min(e.OverloadedUntil, now+maxEjection)
 		backends++
 	}
 	for _, p := range g.pools {
-		g.extent(p)
+		g.updateSubset(p)
 	}
 	return customers, backends
 }
--- a/internal/decision/state_test.go
+++ b/internal/decision/handover_test.go
@@ -74,9 +74,9 @@
 	_, f := upgraded(t, plan, 60, nil)
 	old := f.gateways[0]
 	old.now = f.now
-	old.fill(old.customers["c"])
-	before := old.customers["c"].level
-	old.backends["x"].limit, old.backends["x"].lat = 40, 0.5
+	old.refill(old.customers["c"])
+	before := old.customers["c"].bucket.tokens
+	old.backends["x"].limit, old.backends["x"].latency = 40, 0.5
 	k := old.HandOver(f.now)
 	fresh := func() *Gateway { return younger(f, testSettings(), 2, up("x", 0)) }
 	begin := fresh().backends["x"].limit
@@ -96,7 +96,7 @@
 		{"infinite", 0, func(k *Knowledge) {
 			k.Backends[0].Limit, k.Backends[1].Limit = math.Inf(1), -1
 			k.TypicalTime = math.Inf(1)
-		}, 1, limitMost},
+		}, 1, maxLimit},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g, changed := fresh(), k
@@ -111,12 +111,12 @@
 			if diff := cmp.Diff(tc.customers, float64(customers)); diff != "" {
 				t.Error("customers", diff)
 			}
-			if got := g.backends["x"].limit; tc.name != "infinite" && !cmp.Equal(tc.bound, got, approx) || math.IsInf(g.lat, 0) {
-				t.Errorf("bound %v, want %v; usual time %v", got, tc.bound, g.lat)
+			if got := g.backends["x"].limit; tc.name != "infinite" && !cmp.Equal(tc.bound, got, approx) || math.IsInf(g.defaultPool.latency, 0) {
+				t.Errorf("bound %v, want %v; usual time %v", got, tc.bound, g.defaultPool.latency)
 			}
 			if tc.age == 0 && customers == 1 {
-				if sum := old.customers["c"].level + g.customers["c"].level; !cmp.Equal(before, sum, approx) {
-					t.Errorf("stores of %v and %v, before %v", old.customers["c"].level, g.customers["c"].level, before)
+				if sum := old.customers["c"].bucket.tokens + g.customers["c"].bucket.tokens; !cmp.Equal(before, sum, approx) {
+					t.Errorf("stores of %v and %v, before %v", old.customers["c"].bucket.tokens, g.customers["c"].bucket.tokens, before)
 				}
 			}
 		})
@@ -129,13 +129,13 @@
 	_, f := upgraded(t, plan, 60, nil)
 	old := f.gateways[0]
 	old.now = f.now
-	old.fill(old.customers["c"])
-	old.customers["c"].level = -4
+	old.refill(old.customers["c"])
+	old.customers["c"].bucket.tokens = -4
 	g := younger(f, testSettings(), 2, up("x", 0))
 	if customers, _ := g.Restore(f.now, old.HandOver(f.now)); customers != 1 {
 		t.Fatalf("%d members taken up", customers)
 	}
-	if here, there := old.customers["c"].level, g.customers["c"].level; here != -4 || there != 0 {
+	if here, there := old.customers["c"].bucket.tokens, g.customers["c"].bucket.tokens; here != -4 || there != 0 {
 		t.Errorf("stores of %v here and %v at the newer process, want -4 and 0", here, there)
 	}
 }
--- a/internal/decision/keeper_test.go
+++ b/internal/decision/pair_counters_test.go
@@ -124,7 +124,7 @@
 				continue
 			}
 			if w.now >= n.tick {
-				n.tick = max(n.tick+tickEvery, w.now)
+				n.tick = max(n.tick+tickInterval, w.now)
 				w.handle(n, Timer{"tick"})
 			}
 			for len(n.lost) > 0 && n.lost[0].at <= w.now {
@@ -228,17 +228,19 @@
 	sum, R := 0.0, 0.0
 	for _, n := range w.nodes {
 		c := n.g.customers["t"]
-		sum += c.slice
-		R += c.r
-		is.Equal(c.k, 7.0) // all of them hold a slice
+		sum += c.bucket.slice
+		R += c.cycle.localRate
+		is.Equal(c.cycle.reporters, 7.0) // all of them hold a slice
 	}
 	is.True(math.Abs(sum-plan.Rate) < 0.1*plan.Rate)
-	largest := slices.MaxFunc(w.nodes, func(a, b *quotaNode) int { return int(a.g.customers["t"].slice - b.g.customers["t"].slice) })
+	largest := slices.MaxFunc(w.nodes, func(a, b *quotaNode) int {
+		return int(a.g.customers["t"].bucket.slice - b.g.customers["t"].bucket.slice)
+	})
 	is.True(largest.rate >= 29) // the slice follows what is asked
 	w.nodes[0].cut = true
 	w.run(4, nil)
-	if c := w.nodes[0].g.customers["t"]; w.nodes[0].g.paced(c) > quietShare*plan.Rate/7+1e-9 {
-		t.Errorf("cut off, it goes on with %.1f", w.nodes[0].g.paced(c))
+	if c := w.nodes[0].g.customers["t"]; w.nodes[0].g.effectiveSlice(c) > quietFraction*plan.Rate/7+1e-9 {
+		t.Errorf("cut off, it goes on with %.1f", w.nodes[0].g.effectiveSlice(c))
 	}
 }
 
--- a/internal/decision/terms.go
+++ b/internal/decision/plans.go
@@ -18,18 +18,18 @@
 }
 
 // split is the plan's ceiling among the gateways of a customer.
-func (p *Plan) split(doors float64, counter bool) ratelimit.Split {
-	return ratelimit.Split{Rate: p.LimitRate, Depth: p.LimitBurst, Slack: p.LimitSlack, Doors: doors, Counter: counter}
+func (p *Plan) limitSplit(doors float64, counter bool) ratelimit.Split {
+	return ratelimit.Split{Rate: p.LimitRate, Burst: p.LimitBurst, Slack: p.LimitSlack, Gateways: doors, Counter: counter}
 }
 
 // sendsBeyond tells whether requests are sent on beyond the quota: they earn more than they cost.
-func (p *Plan) sendsBeyond() bool { return p.ExcessValue > p.ExcessCost }
+func (p *Plan) forwardsExcess() bool { return p.ExcessValue > p.ExcessCost }
 
 // ceilingAtStart is what all gateways together take their own parts of the ceiling to hold when they start, in units. Where requests are sent on
 // beyond the quota that is nothing: one that was killed cannot know what it spent. Where none are, it is two thirds of the quota's burst: what
 // runs is bounded by the quota, and the ceiling is well above that (in the model, killed thrice in a second; with all of the burst it broke).
-func (p *Plan) ceilingAtStart() float64 {
-	if p.sendsBeyond() {
+func (p *Plan) initialLimitTokens() float64 {
+	if p.forwardsExcess() {
 		return 0
 	}
 	return p.Burst * 2 / 3
--- a/internal/decision/terms_test.go
+++ b/internal/decision/plans_test.go
@@ -59,10 +59,10 @@
 
 // play lets time pass, with so many units a second asked at each gateway, and looks after each tick.
 func (f *member) play(seconds float64, demand []float64, look func()) {
-	for end := f.now + seconds; f.now < end; f.now += tickEvery {
+	for end := f.now + seconds; f.now < end; f.now += tickInterval {
 		for i, g := range f.gateways {
 			f.handle(g, Timer{"tick"})
-			for f.owed[i] += demand[i] * tickEvery; f.owed[i] >= 1; f.owed[i]-- {
+			for f.owed[i] += demand[i] * tickInterval; f.owed[i] >= 1; f.owed[i]-- {
 				f.ask(i)
 			}
 		}
@@ -87,7 +87,7 @@
 
 func (f *member) slices() (sum float64) {
 	for _, g := range f.gateways {
-		sum += g.customers["c"].slice
+		sum += g.customers["c"].bucket.slice
 	}
 	return sum
 }
@@ -110,7 +110,7 @@
 						f := newMember(t, 3, old)
 						f.play(20, demand, nil)
 						worst, before, begun := 0.0, f.slices(), f.now
-						if f.gateways[0].customers["c"].thin || math.Abs(before-60) > 1.5 {
+						if f.gateways[0].customers["c"].sparse.active || math.Abs(before-60) > 1.5 {
 							t.Fatalf("slices sum to %v before the change", before)
 						}
 						f.silent = silent
@@ -120,13 +120,13 @@
 									f.change(i, new)
 								}
 							}
-							f.play(tickEvery, demand, func() { worst = max(worst, f.slices()) })
+							f.play(tickInterval, demand, func() { worst = max(worst, f.slices()) })
 						}
 						f.silent = false
 						if most := max(60, to) * 1.03; worst > most {
 							t.Errorf("slices summed to %v, %v at most wanted", worst, most)
 						}
-						f.play(2*f.gateways[0].customers["c"].period+1, demand, nil)
+						f.play(2*f.gateways[0].customers["c"].cycle.period+1, demand, nil)
 						if sum := f.slices(); math.Abs(sum-to) > 0.02*to {
 							t.Errorf("slices sum to %v two cycles after the last has heard, want %v", sum, to)
 						}
@@ -153,7 +153,7 @@
 		f.change(0, new)
 		f.change(1, new)
 		soon, late := 0.0, 0.0
-		f.play(3*f.gateways[0].customers["c"].period-0.5, demand, func() { soon = max(soon, f.slices()) })
+		f.play(3*f.gateways[0].customers["c"].cycle.period-0.5, demand, func() { soon = max(soon, f.slices()) })
 		f.play(40, demand, func() { late = max(late, f.slices()) })
 		if soon > 1.03*max(60, to) || late > 1.03*(60+to) {
 			t.Errorf("to %v: slices summed to %v, then to %v", to, soon, late)
@@ -220,16 +220,16 @@
 	basic := Plan{Rate: 10, Burst: 20, ValueWeight: 1, ExcessCost: 1}
 	g := started(t, testSettings(), up("x", 0))
 	g.now = 50
-	c := g.customer(Request{Customer: "c", Gateways: 1}, &Terms{Plan: basic, Tag: "basic"})
-	c.filled, c.level = 50, 15
-	g.replan(c, &Terms{Plan: plus, Tag: "plus"})
-	if c.level != 15 || c.ceiling < 15 || c.slice != 30 {
-		t.Errorf("level %v, ceiling %v, slice %v after the upgrade", c.level, c.ceiling, c.slice)
+	c := g.customerFor(Request{Customer: "c", Gateways: 1}, &Terms{Plan: basic, Tag: "basic"})
+	c.bucket.refilledAt, c.bucket.tokens = 50, 15
+	g.changeTerms(c, &Terms{Plan: plus, Tag: "plus"})
+	if c.bucket.tokens != 15 || c.limit.tokens < 15 || c.bucket.slice != 30 {
+		t.Errorf("level %v, ceiling %v, slice %v after the upgrade", c.bucket.tokens, c.limit.tokens, c.bucket.slice)
 	}
-	c.ceiling, c.ceilFill = 100, 50
-	g.replan(c, &Terms{Plan: basic, Tag: "basic"})
-	if c.level != 15 || c.slice != 10 { // no second burst, and what was spared is not lost
-		t.Errorf("level %v, slice %v after the downgrade", c.level, c.slice)
+	c.limit.tokens, c.limit.refilledAt = 100, 50
+	g.changeTerms(c, &Terms{Plan: basic, Tag: "basic"})
+	if c.bucket.tokens != 15 || c.bucket.slice != 10 { // no second burst, and what was spared is not lost
+		t.Errorf("level %v, slice %v after the downgrade", c.bucket.tokens, c.bucket.slice)
 	}
 }
 
@@ -238,12 +238,12 @@
 	low := Plan{Rate: 5, Burst: 10, ValueWeight: 1, LimitRate: 6, LimitBurst: 12, LimitSlack: 1}
 	g := started(t, testSettings(), up("x", 0))
 	g.now = 50
-	c := g.customer(Request{Customer: "c", Gateways: 2}, &Terms{Plan: high, Tag: "high"})
-	c.level, c.filled, c.ceiling, c.ceilFill = -3, 50, 60, 50 // true units were more than guessed: it owes
-	g.replan(c, &Terms{Plan: low, Tag: "low"})
-	g.topUp(c)
-	if c.level != -3 || c.ceiling != 0.75*6.5 { // three quarters of it are this gateway's own
-		t.Errorf("level %v, ceiling %v; the debt stays, the ceiling is the new one at once", c.level, c.ceiling)
+	c := g.customerFor(Request{Customer: "c", Gateways: 2}, &Terms{Plan: high, Tag: "high"})
+	c.bucket.tokens, c.bucket.refilledAt, c.limit.tokens, c.limit.refilledAt = -3, 50, 60, 50 // true units were more than guessed: it owes
+	g.changeTerms(c, &Terms{Plan: low, Tag: "low"})
+	g.refillLimit(c)
+	if c.bucket.tokens != -3 || c.limit.tokens != 0.75*6.5 { // three quarters of it are this gateway's own
+		t.Errorf("level %v, ceiling %v; the debt stays, the ceiling is the new one at once", c.bucket.tokens, c.limit.tokens)
 	}
 }
 
@@ -259,7 +259,7 @@
 		always, f := newMember(t, n, terms(to, 2*to)), newMember(t, n, terms(10, 20))
 		f.play(20, demand, nil)
 		always.play(20, demand, nil)
-		if !f.gateways[0].customers["c"].thin {
+		if !f.gateways[0].customers["c"].sparse.active {
 			t.Fatal("not thin")
 		}
 		begun := f.sent
@@ -270,7 +270,7 @@
 		if most := 5*(10+to) + 2*max(10, to); f.sent-begun > most {
 			t.Errorf("to %v: %v sent while gateways differ, %v at most", to, f.sent-begun, most)
 		}
-		f.play(2*f.gateways[0].customers["c"].period, demand, nil)
+		f.play(2*f.gateways[0].customers["c"].cycle.period, demand, nil)
 		sent, control := f.sent, always.sent
 		f.play(seconds, demand, nil)
 		always.play(seconds, demand, nil)
@@ -335,8 +335,8 @@
 		r := ask(id, "safe", "free")
 		r.Gateways, r.Terms = 8, &Terms{Plan: p, Tag: p.Tag()}
 		handle(now, r)
-		if c := g.customers["c"]; math.IsNaN(c.level+c.slice+c.ceiling+c.ratio+c.share) || c.slice < 0 {
-			t.Fatalf("level %v, slice %v, ceiling %v, ratio %v, share %v", c.level, c.slice, c.ceiling, c.ratio, c.share)
+		if c := g.customers["c"]; math.IsNaN(c.bucket.tokens+c.bucket.slice+c.limit.tokens+c.sparse.admitRatio+c.sparse.demandShare) || c.bucket.slice < 0 {
+			t.Fatalf("level %v, slice %v, ceiling %v, ratio %v, share %v", c.bucket.tokens, c.bucket.slice, c.limit.tokens, c.sparse.admitRatio, c.sparse.demandShare)
 		}
 	}
 	handle(201, Timer{"tick"})
--- a/internal/decision/hold_test.go
+++ b/internal/decision/quota_grants_test.go
@@ -88,17 +88,17 @@
 	h := newHeld(Plan{Name: "p", Rate: 1000, Burst: 1000, ValueWeight: 1})
 	h.run(2)
 	own := h.g.backends["s1"]
-	own.good, own.bad, own.seen = true, 0, 3
+	own.healthy, own.failures, own.recentAnswers = true, 0, 3
 	other := h.g.backends["s2"]
-	other.good, other.seen, other.errs = true, 0.1, 0
+	other.healthy, other.recentAnswers, other.errorRate = true, 0.1, 0
 	h.g.SetSuspects(h.now, []string{"s1", "s2", "s3"})
-	if got := fmt.Sprint(own.good, own.errs < badShare, other.good, other.errs, len(h.g.backends)); got != fmt.Sprint(true, true, false, badShare, 2) {
+	if got := fmt.Sprint(own.healthy, own.errorRate < suspectErrorRate, other.healthy, other.errorRate, len(h.g.backends)); got != fmt.Sprint(true, true, false, suspectErrorRate, 2) {
 		t.Error(got)
 	}
 	if bad := fmt.Sprint(h.g.UnhealthyServers(h.now)); bad != "[]" {
 		t.Errorf("what others said is told as its own: %s", bad)
 	}
-	other.errs = 0.6
+	other.errorRate = 0.6
 	if bad := fmt.Sprint(h.g.UnhealthyServers(h.now)); bad != "[s2]" {
 		t.Errorf("bad by its own answers: %s", bad)
 	}
--- a/internal/decision/quotas.go
+++ b/internal/decision/quotas.go
@@ -8,144 +8,107 @@
 	"strconv"
 	"strings"
 
-	"mulleinrouter/internal/decision/conformance"
 	"mulleinrouter/internal/decision/ratelimit"
 )
 
-type customer struct {
-	key, tag, suffix   string // tag: of its terms; suffix: of the names of its counters
-	pairs                     // where counters are pairs
-	hash               uint32 // of its key
-	plan               *Plan
-	doors, quota       float64 // gateways it may use; what slices share: units a second, or attempts open
-	open               int     // attempts out
-	seen, fastAt       Seconds
-	fast               float64                       // requests a second asked just now
-	slice, level, most float64                       // units a second; units in the local store, and that it can hold
-	mix                conformance.ValueDistribution // what it asks for
-	ceiling            float64                       // what this gateway's part of the ceiling still lets through
-	filled, ceilFill   Seconds                       // when level and ceiling were reckoned
-	period, phase      Seconds
-	cycle              int64
-	since, readAt      Seconds // when the cycle began; when its totals are to be read, 0: not now
-	demand, r          float64 // units asked in this cycle, units a second asked in the last one
-	calls              int     // made in this cycle
-	R, k               float64 // last believed totals
-	totalAt, validFor  Seconds // when they came, and how long they are believed
-	holdTill           Seconds // until then totals of fewer gateways than before are not believed
-
-	thin       bool    // a request at each gateway is over two bursts: each request reports itself
-	sum, ratio float64 // total of this cycle so far; the common ratio x/r by the last totals
-	share      float64 // of the demand that comes through this gateway, by the last totals
-	asks       []query
-}
-
-// query is a request that waits for the counter's answer.
-type query struct {
-	r       *request
-	plan    *Plan
-	name    string
-	cycle   int64
-	at, add float64 // when, and how much it added
-	before  bool    // reads the total of the cycle before
-	room    float64 // of a call for the common part of the ceiling: what there is in its span; else 0
-}
-
-func (g *Gateway) customer(e Request, t *Terms) *customer {
+func (g *Gateway) customerFor(e Request, t *Terms) *customer {
 	c := g.customers[e.Customer]
 	if c == nil {
 		h := fnv.New32a()
 		h.Write([]byte(e.Customer))
-		c = &customer{key: e.Customer, hash: h.Sum32(), since: g.now, filled: g.now, totalAt: math.Inf(-1)}
-		c.doors, c.ackedAt = float64(max(1, e.Gateways)), g.firstAck()
-		g.adopt(c, t)
-		c.validFor = freshCycles * c.period
-		c.slice, c.level = c.quota/c.doors, g.store(c, t) // fill cuts it
-		c.share = 1 / c.doors
-		c.ceilFill, c.ceiling = g.started, c.plan.ceilingAtStart()/c.doors
+		c = &customer{key: e.Customer, hash: h.Sum32()}
+		c.bucket.refilledAt = g.now
+		c.cycle.startedAt = g.now
+		c.cycle.totalAt = math.Inf(-1)
+		c.gateways, c.pairs.ackedAt = float64(max(1, e.Gateways)), g.initialAckedAt()
+		g.applyTerms(c, t)
+		c.cycle.validFor = validCycles * c.cycle.period
+		c.bucket.slice, c.bucket.tokens = c.quota/c.gateways, g.initialTokens(c, t) // fill cuts it
+		c.sparse.demandShare = 1 / c.gateways
+		c.limit.refilledAt, c.limit.tokens = g.startedAt, c.plan.initialLimitTokens()/c.gateways
 		g.customers[e.Customer] = c
-		g.known = append(g.known, c)
+		g.customerList = append(g.customerList, c)
 	}
-	g.replan(c, t)
-	c.seen = g.now
+	g.changeTerms(c, t)
+	c.lastUsedAt = g.now
 	return c
 }
 
 // adopt sets what follows from terms alone.
-func (g *Gateway) adopt(c *customer, t *Terms) {
-	c.plan, c.tag, c.suffix = &t.Plan, t.Tag, g.suffix(t)
+func (g *Gateway) applyTerms(c *customer, t *Terms) {
+	c.plan, c.termsTag, c.counterSuffix = &t.Plan, t.Tag, g.counterSuffix(t)
 	if c.quota = c.plan.Rate; c.quota <= 0 {
 		c.quota = float64(c.plan.MaxInFlight)
 	}
 	// Without a quota it does not matter.
-	c.period = cmp.Or(g.s.CounterCycle, min(cycleMax, max(cycleMin, cycleUnits/c.quota)))
+	c.cycle.period = cmp.Or(g.settings.CounterCycle, min(maxCyclePeriod, max(minCyclePeriod, unitsPerCycle/c.quota)))
 	// The phase spreads the calls of a cycle over it.
-	c.phase = float64(c.hash%1024) / 1024 * c.period
-	c.cycle = c.cycleAt(g.now)
-	if c.thin = c.quota > 0 && c.doors > 2*c.quota; c.plan.Rate > 0 {
-		c.thin = c.doors > 1 && thinBursts*c.plan.Burst < c.doors*g.s.MaxUnits
+	c.cycle.phase = float64(c.hash%1024) / 1024 * c.cycle.period
+	c.cycle.number = c.cycleAt(g.now)
+	if c.sparse.active = c.quota > 0 && c.gateways > 2*c.quota; c.plan.Rate > 0 {
+		c.sparse.active = c.gateways > 1 && sparseBursts*c.plan.Burst < c.gateways*g.settings.MaxUnits
 	}
-	g.thinOfPairs(c)
+	g.updatePairSparse(c)
 }
 
 // replan puts a customer on other terms. Stores keep what they hold, up to the new most, and a slice its part
 // of the quota: no change costs what was held, and none, often as it comes, gives a second burst. Gateways
 // hear at different times, and totals of one name are for one quota: k of the old name is put beyond all
 // gateways, which freezes slices there, and those here stay until as many report: never more than the larger.
-func (g *Gateway) replan(c *customer, t *Terms) {
-	if c.tag == t.Tag {
+func (g *Gateway) changeTerms(c *customer, t *Terms) {
+	if c.termsTag == t.Tag {
 		return
 	}
-	g.topUp(c)
-	part := 1 / c.doors
+	g.refillLimit(c)
+	part := 1 / c.gateways
 	if c.quota > 0 {
-		g.fill(c)
-		part = c.slice / c.quota
-	}
-	field, _ := c.pack()
-	if !g.s.PairCounters && g.s.HasCounter && g.now >= g.muted && !c.thin && c.doors > 1 && c.quota > 0 {
-		for n := range int64(changeCycles + 1) {
-			name, keep := c.name(c.cycleAt(g.now)+n), (changeCycles+1)*c.period+1
-			g.do(CounterCall{Name: name, Add: field * c.doors, Retention: keep})
+		g.refill(c)
+		part = c.bucket.slice / c.quota
+	}
+	field, _ := c.packing()
+	if !g.settings.PairCounters && g.settings.HasCounter && g.now >= g.counter.pausedUntil && !c.sparse.active && c.gateways > 1 && c.quota > 0 {
+		for n := range int64(termsChangeCycles + 1) {
+			name, keep := c.counterName(c.cycleAt(g.now)+n), (termsChangeCycles+1)*c.cycle.period+1
+			g.emit(CounterCall{Name: name, Add: field * c.gateways, Retention: keep})
 		}
 	}
 	if c.plan.LimitRate > 0 {
-		c.level = min(c.level, c.ceiling) // what the ceiling kept back is not set free
+		c.bucket.tokens = min(c.bucket.tokens, c.limit.tokens) // what the ceiling kept back is not set free
 	} else {
-		c.ceiling = max(c.ceiling, c.level) // what the quota let through, a new ceiling does
+		c.limit.tokens = max(c.limit.tokens, c.bucket.tokens) // what the quota let through, a new ceiling does
 	}
-	g.adopt(c, t)
-	c.slice, c.filled, c.readAt, c.calls, c.sum = part*c.quota, g.now, 0, 0, 0
-	c.holdTill = g.now + changeCycles*c.period
-	if c.thin && c.ratio > 0 && c.R > 0 {
-		c.ratio = min(1, aimShare*g.rate(c)/c.R)
+	g.applyTerms(c, t)
+	c.bucket.slice, c.bucket.refilledAt, c.cycle.readAt, c.cycle.calls, c.sparse.cycleTotal = part*c.quota, g.now, 0, 0, 0
+	c.cycle.holdUntil = g.now + termsChangeCycles*c.cycle.period
+	if c.sparse.active && c.sparse.admitRatio > 0 && c.cycle.totalRate > 0 {
+		c.sparse.admitRatio = min(1, sampledUtilization*g.quotaRate(c)/c.cycle.totalRate)
 	}
 }
 
 // topUp brings what this gateway's own part of the ceiling still lets through up to now.
-func (g *Gateway) topUp(c *customer) {
+func (g *Gateway) refillLimit(c *customer) {
 	if c.plan.LimitRate > 0 {
-		c.ceiling = c.plan.split(c.doors, g.s.HasCounter).Own(c.ceiling, g.now-c.ceilFill, g.part())
+		c.limit.tokens = c.plan.limitSplit(c.gateways, g.settings.HasCounter).OwnTokens(c.limit.tokens, g.now-c.limit.refilledAt, g.processShare())
 	}
-	c.ceilFill = g.now
+	c.limit.refilledAt = g.now
 }
 
 // common asks the counter for a request inside the quota that is more than this gateway's own part allows.
-func (g *Gateway) common(r *request) bool {
-	c := r.c
-	if g.topUp(c); !r.inside || c.ceiling >= r.Units || g.now < max(g.muted, c.holdTill) {
+func (g *Gateway) requestSharedLimit(r *request) bool {
+	c := r.customer
+	if g.refillLimit(c); !r.conforming || c.limit.tokens >= r.Units || g.now < max(g.counter.pausedUntil, c.cycle.holdUntil) {
 		return false
 	}
-	span, room, keep, ok := c.plan.split(c.doors, g.s.HasCounter).Common(g.now)
+	span, room, keep, ok := c.plan.limitSplit(c.gateways, g.settings.HasCounter).SharedSpan(g.now)
 	if ok {
-		c.asks = append(c.asks, query{r: r, plan: c.plan, name: c.key + "/" + span, at: g.now, room: room})
-		g.do(CounterCall{Name: c.key + "/" + span, Add: r.Units, Retention: keep})
+		c.sparse.queries = append(c.sparse.queries, counterQuery{request: r, plan: c.plan, counterName: c.key + "/" + span, sentAt: g.now, spanCapacity: room})
+		g.emit(CounterCall{Name: c.key + "/" + span, Add: r.Units, Retention: keep})
 	}
 	return ok
 }
 
 // units is what a request counts against its quota.
-func (c *customer) units(r *request) float64 {
+func (c *customer) unitsOf(r *request) float64 {
 	if c.plan.Rate <= 0 {
 		return 1
 	}
@@ -153,234 +116,236 @@
 }
 
 // evenPart tells whether an attempt more is within the even part of an open limit: no sum passes it.
-func (g *Gateway) evenPart(c *customer) bool {
-	return c.plan.Rate <= 0 && float64(c.open+1)*c.doors <= c.quota
+func (g *Gateway) withinEvenShare(c *customer) bool {
+	return c.plan.Rate <= 0 && float64(c.inFlight+1)*c.gateways <= c.quota
 }
 
 // fill brings the local store up to now. It holds the slice's share of the burst; that of a thin customer the
 // share of its demand, the even one while nothing is known of it, and one request at least.
-func (g *Gateway) fill(c *customer) {
-	slice := g.paced(c)
-	rate, most := slice, max(g.whole(c), c.plan.Burst*min(1, g.stored(c)/c.quota))
-	if c.thin {
-		rate, most = g.alone(c), max(g.s.MaxUnits, c.plan.Burst*c.share)
-	}
-	c.most = g.room(most)
-	c.level = min(c.most, c.level+g.part()*rate*(g.now-c.filled))
-	c.filled = g.now
+func (g *Gateway) refill(c *customer) {
+	slice := g.effectiveSlice(c)
+	rate, most := slice, max(g.minCapacity(c), c.plan.Burst*min(1, g.sliceOfBurst(c)/c.quota))
+	if c.sparse.active {
+		rate, most = g.sparseRefillRate(c), max(g.settings.MaxUnits, c.plan.Burst*c.sparse.demandShare)
+	}
+	c.bucket.capacity = g.capacityShare(most)
+	c.bucket.tokens = min(c.bucket.capacity, c.bucket.tokens+g.processShare()*rate*(g.now-c.bucket.refilledAt))
+	c.bucket.refilledAt = g.now
 }
 
-func (g *Gateway) believed(c *customer) bool { return g.now-c.totalAt < c.validFor }
+func (g *Gateway) totalsValid(c *customer) bool { return g.now-c.cycle.totalAt < c.cycle.validFor }
 
-func (c *customer) cycleAt(now Seconds) int64 { return int64(math.Floor((now - c.phase) / c.period)) }
+func (c *customer) cycleAt(now Seconds) int64 {
+	return int64(math.Floor((now - c.cycle.phase) / c.cycle.period))
+}
 
-func (c *customer) name(cycle int64) string {
-	return c.key + "/" + strconv.FormatInt(cycle, 36) + c.suffix
+func (c *customer) counterName(cycle int64) string {
+	return c.key + "/" + strconv.FormatInt(cycle, 36) + c.counterSuffix
 }
 
-func (g *Gateway) count(c *customer, cycle int64, add float64) {
-	g.do(CounterCall{c.name(cycle), add, 2*c.period + 1, c.key, cycle, c.thin})
+func (g *Gateway) callCounter(c *customer, cycle int64, add float64) {
+	g.emit(CounterCall{c.counterName(cycle), add, 2*c.cycle.period + 1, c.key, cycle, c.sparse.active})
 }
 
 // turn closes a customer's cycle and, where its demand nears the slice, adds it to the counter.
-func (g *Gateway) turn(c *customer) {
-	span := max(g.now-c.since, c.period/2)
-	r := c.demand / span / max(0.1, g.part())
-	if g.s.PairCounters && !math.IsInf(c.totalAt, -1) {
-		r = c.r + smoothing*(r-c.r)
-	}
-	c.r, c.demand, c.since = r, 0, g.now
-	c.cycle = c.cycleAt(g.now)
-	c.readAt, c.calls = 0, 0
-	if g.s.PairCounters {
-		g.report(c)
+func (g *Gateway) closeCycle(c *customer) {
+	span := max(g.now-c.cycle.startedAt, c.cycle.period/2)
+	r := c.cycle.demand / span / max(0.1, g.processShare())
+	if g.settings.PairCounters && !math.IsInf(c.cycle.totalAt, -1) {
+		r = c.cycle.localRate + demandSmoothing*(r-c.cycle.localRate)
+	}
+	c.cycle.localRate, c.cycle.demand, c.cycle.startedAt = r, 0, g.now
+	c.cycle.number = c.cycleAt(g.now)
+	c.cycle.readAt, c.cycle.calls = 0, 0
+	if g.settings.PairCounters {
+		g.reportDemand(c)
 		return
 	}
-	if c.quota <= 0 || c.doors < 2 || c.thin {
+	if c.quota <= 0 || c.gateways < 2 || c.sparse.active {
 		return
 	}
-	if even := c.quota / c.doors; c.r < quietShare*even {
-		c.slice = even // quiet: no calls, and the others leave it quietShare of this
+	if even := c.quota / c.gateways; c.cycle.localRate < quietFraction*even {
+		c.bucket.slice = even // quiet: no calls, and the others leave it quietShare of this
 		return
 	}
-	if !g.s.HasCounter || g.now < g.muted {
+	if !g.settings.HasCounter || g.now < g.counter.pausedUntil {
 		return // frozen
 	}
-	c.calls = 1
-	field, unit := c.pack()
-	most := math.Floor((field - 1) / c.doors) // so that no number of gateways spills into k
-	g.count(c, c.cycle, g.reporter(field)+min(most, math.Floor(c.r*g.part()/unit+g.rng.Float64())))
+	c.cycle.calls = 1
+	field, unit := c.packing()
+	most := math.Floor((field - 1) / c.gateways) // so that no number of gateways spills into k
+	g.callCounter(c, c.cycle.number, g.reporterCount(field)+min(most, math.Floor(c.cycle.localRate*g.processShare()/unit+g.rng.Float64())))
 }
 
 // pack tells how a total of seven digits holds k and, below it, R in units that are rounded by chance.
-func (c *customer) pack() (field, unit float64) {
-	field = math.Pow(10, 6-math.Floor(math.Log10(c.doors)))
-	return field, packSpan * c.quota / field
+func (c *customer) packing() (field, unit float64) {
+	field = math.Pow(10, 6-math.Floor(math.Log10(c.gateways)))
+	return field, packedQuotas * c.quota / field
 }
 
 // counted takes a total. What is no sound answer for this cycle leaves the slice frozen.
-func (g *Gateway) counted(e CounterReply) {
-	g.reached(e)
+func (g *Gateway) handleCounterReply(e CounterReply) {
+	g.noteKeeperReply(e)
 	if e.Outcome == Succeeded || e.Outcome == Rejected || e.Outcome == Failed {
-		if g.unheard >= muteAfter && g.now-g.heard > lostAfter {
-			g.chance = g.rated // else it took minutes, at few calls, until quotas were watched again
+		if g.counter.unanswered >= pauseAfterFailures && g.now-g.counter.repliedAt > counterLostAfter {
+			g.counter.callProbability = g.counter.probabilityAtReply // else it took minutes, at few calls, until quotas were watched again
 		}
-		g.heard, g.unheard = g.now, 0
-		defer func() { g.rated = g.chance }()
+		g.counter.repliedAt, g.counter.unanswered = g.now, 0
+		defer func() { g.counter.probabilityAtReply = g.counter.callProbability }()
 	} else {
-		g.unheard++
+		g.counter.unanswered++
 	}
 	switch e.Outcome {
 	case Succeeded:
-		g.silent, g.muted = 0, 0
-		g.chance = min(1, g.chance+chanceUp)
+		g.counter.failures, g.counter.pausedUntil = 0, 0
+		g.counter.callProbability = min(1, g.counter.callProbability+callProbabilityIncrease)
 	case Failed: // answered, if not with a total: no sign that it has no room
 	default:
-		if (e.Outcome == Rejected || e.Outcome == TimedOut) && g.now >= g.cutAt+chanceCuts {
+		if (e.Outcome == Rejected || e.Outcome == TimedOut) && g.now >= g.counter.reducedAt+callProbabilityCutInterval {
 			// A broken connection says nothing of room.
-			g.cutAt = g.now
-			g.chance = max(chanceLeast, g.chance*chanceDown)
+			g.counter.reducedAt = g.now
+			g.counter.callProbability = max(minCallProbability, g.counter.callProbability*callProbabilityDecrease)
 		}
-		if g.silent++; g.silent >= muteAfter {
-			g.muted = g.now + muteFor
+		if g.counter.failures++; g.counter.failures >= pauseAfterFailures {
+			g.counter.pausedUntil = g.now + pauseDuration
 		}
 	}
 	c := cmp.Or(g.customers[e.Name[:max(0, strings.LastIndexByte(e.Name, '/'))]], &customer{}) // forgotten
-	if i := slices.IndexFunc(c.asks, func(a query) bool { return a.name == e.Name }); i >= 0 {
-		a := c.asks[i]
-		c.asks = slices.Delete(c.asks, i, i+1)
-		g.told(c, a, e)
+	if i := slices.IndexFunc(c.sparse.queries, func(a counterQuery) bool { return a.counterName == e.Name }); i >= 0 {
+		a := c.sparse.queries[i]
+		c.sparse.queries = slices.Delete(c.sparse.queries, i, i+1)
+		g.decideBySample(c, a, e)
 		return
 	}
-	if c.thin || c.calls == 0 || c.name(c.cycle) != e.Name || e.Outcome != Succeeded {
-		c.taken(g.now, e)
+	if c.sparse.active || c.cycle.calls == 0 || c.counterName(c.cycle.number) != e.Name || e.Outcome != Succeeded {
+		c.noteReportTaken(g.now, e)
 		return
 	}
-	if g.s.PairCounters {
-		g.read(c, e)
+	if g.settings.PairCounters {
+		g.handlePairReply(c, e)
 		return
 	}
-	field, unit := c.pack()
-	if k := math.Floor(e.Total / field); c.calls == 1 && k < c.doors {
-		c.readAt = g.now + readDelay
+	field, unit := c.packing()
+	if k := math.Floor(e.Total / field); c.cycle.calls == 1 && k < c.gateways {
+		c.cycle.readAt = g.now + readDelay
 	} else {
-		g.settle(c, (e.Total-k*field)*unit, k)
+		g.applyTotals(c, (e.Total-k*field)*unit, k)
 	}
 }
 
 // settle sets the slice from totals, unless they cannot be true.
-func (g *Gateway) settle(c *customer, R, k float64) {
-	doubt := g.believed(c) && k < c.k && R < dropShare*c.R // counts lost? once only
-	if k < 1 || k > c.doors || R < c.r/2 || k < c.k && g.now < c.holdTill {
+func (g *Gateway) applyTotals(c *customer, R, k float64) {
+	doubt := g.totalsValid(c) && k < c.cycle.reporters && R < doubtFraction*c.cycle.totalRate // counts lost? once only
+	if k < 1 || k > c.gateways || R < c.cycle.localRate/2 || k < c.cycle.reporters && g.now < c.cycle.holdUntil {
 		return
 	}
-	if c.R, c.k, c.totalAt = R, k, g.now; doubt || c.plan.Rate <= 0 {
+	if c.cycle.totalRate, c.cycle.reporters, c.cycle.totalAt = R, k, g.now; doubt || c.plan.Rate <= 0 {
 		return
 	}
-	g.fill(c)
-	c.step(c.quota * (1 - quietShare*(c.doors-k)/c.doors)) // quiet gateways keep their part
+	g.refill(c)
+	c.pinSlice(c.quota * (1 - quietFraction*(c.gateways-k)/c.gateways)) // quiet gateways keep their part
 }
 
 // callChance is how likely a request of a thin customer asks the counter. What is added is divided by it,
 // so it must not weigh much in a cycle: large quotas need few calls, small ones all. When the counter cannot
 // take them all, some customers are not watched, the same ones at all gateways, for half a total is noise;
 // first those whose answer decides nothing. Where what is beyond costs, all are watched, but sampled thinly.
-func (g *Gateway) callChance(c *customer, r *request) float64 {
-	if g.s.PairCounters {
+func (g *Gateway) callProbability(c *customer, r *request) float64 {
+	if g.settings.PairCounters {
 		return 1
 	}
-	least := min(1, c.units(r)/(weightMost*g.rate(c)*c.period))
-	if g.unheard < muteAfter { // else who tries it?
-		watched := g.chance
-		if c.plan.sendsBeyond() { // the answer decides nothing
-			watched = math.Pow(g.chance, yieldPower)
-		} else if least > g.chance && c.plan.ExcessCost > 0 {
-			return g.chance
+	least := min(1, c.unitsOf(r)/(maxCallWeight*g.quotaRate(c)*c.cycle.period))
+	if g.counter.unanswered < pauseAfterFailures { // else who tries it?
+		watched := g.counter.callProbability
+		if c.plan.forwardsExcess() { // the answer decides nothing
+			watched = math.Pow(g.counter.callProbability, excessCallExponent)
+		} else if least > g.counter.callProbability && c.plan.ExcessCost > 0 {
+			return g.counter.callProbability
 		}
 		if float64(c.hash)/math.MaxUint32*least > watched {
 			return 0
 		}
 	}
-	return least + (1-least)*min(1, (g.now-c.totalAt)/c.validFor)*g.chance
+	return least + (1-least)*min(1, (g.now-c.cycle.totalAt)/c.cycle.validFor)*g.counter.callProbability
 }
 
 // rate is what a full quota lets through in a second; a quarter of an open limit may be out on average.
-func (g *Gateway) rate(c *customer) float64 {
+func (g *Gateway) quotaRate(c *customer) float64 {
 	if c.plan.Rate <= 0 {
-		return c.quota / 4 / g.lat
+		return c.quota / 4 / g.defaultPool.latency
 	}
 	return c.quota
 }
 
 // ask adds a request to a cycle's total, or with 0 reads it, and lets the request wait for the answer.
-func (g *Gateway) ask(r *request, cycle int64, add float64) {
-	r.c.asks = append(r.c.asks, query{r, r.c.plan, r.c.name(cycle), cycle, g.now, add, add == 0, 0})
-	g.count(r.c, cycle, add)
+func (g *Gateway) queryCounter(r *request, cycle int64, add float64) {
+	r.customer.sparse.queries = append(r.customer.sparse.queries, counterQuery{r, r.customer.plan, r.customer.counterName(cycle), cycle, g.now, add, add == 0, 0})
+	g.callCounter(r.customer, cycle, add)
 }
 
 // told decides a request of a thin customer. Exception: each counted one is a report, as r is 0 or noise. It
 // adds itself, and the answer is the read. The step is the same: with R under the quota x covers r, above it
 // x is Q*r/R, and chance admits that part: it stays pinned to Q. Up to the burst's room all is inside.
-func (g *Gateway) told(c *customer, a query, e CounterReply) {
-	r, Q, T := a.r, g.rate(c), c.period
-	g.heardOf(c, e)
+func (g *Gateway) decideBySample(c *customer, a counterQuery, e CounterReply) {
+	r, Q, T := a.request, g.quotaRate(c), c.cycle.period
+	g.noteSparseReply(c, e)
 	if r.answered {
 		return
 	}
-	if a.room > 0 {
-		if e.Outcome == Succeeded && e.Total <= a.room && a.plan == c.plan {
-			r.common = g.now + ratelimit.Late
+	if a.spanCapacity > 0 {
+		if e.Outcome == Succeeded && e.Total <= a.spanCapacity && a.plan == c.plan {
+			r.sharedLimitUntil = g.now + ratelimit.GrantValidity
 		}
-		g.send(r)
+		g.dispatch(r)
 		return
 	}
 	if e.Outcome != Succeeded || a.plan != c.plan {
-		r.inside = g.inside(r)
+		r.conforming = g.withinQuota(r)
 		g.admit(r)
 		return
 	}
-	now, before, known := a.cycle, c.R*T, g.recent(c)
-	if a.before {
+	now, before, known := a.cycle, c.cycle.totalRate*T, g.previousCycleKnown(c)
+	if a.previousCycle {
 		now, before, known = a.cycle+1, e.Total, true
 	} else {
-		c.sum = e.Total
+		c.sparse.cycleTotal = e.Total
 	}
-	spent := min(T, g.now-float64(now)*T-c.phase)
+	spent := min(T, g.now-float64(now)*T-c.cycle.phase)
 	if !known {
-		if before = 0; c.sum > Q*spent && c.sum > a.add+1e-6 {
-			if g.chance >= crowded || c.plan.ExcessCost <= 0 {
-				g.ask(r, a.cycle-1, 0)
+		if before = 0; c.sparse.cycleTotal > Q*spent && c.sparse.cycleTotal > a.amount+1e-6 {
+			if g.counter.callProbability >= crowdedCallProbability || c.plan.ExcessCost <= 0 {
+				g.queryCounter(r, a.cycle-1, 0)
 				return
 			}
-			before = min(c.sum/max(spent, T/4), 2*Q) * T // a second call would cost another its only one
+			before = min(c.sparse.cycleTotal/max(spent, T/4), 2*Q) * T // a second call would cost another its only one
 		}
 	}
-	R, ratio := (before+c.sum)/(T+spent), c.ratio
-	c.validFor = min(validMost*T, 2*c.validFor)
-	if math.IsInf(c.totalAt, -1) || (R > Q) != (c.R > Q) {
-		c.validFor = T
+	R, ratio := (before+c.sparse.cycleTotal)/(T+spent), c.sparse.admitRatio
+	c.cycle.validFor = min(maxValidCycles*T, 2*c.cycle.validFor)
+	if math.IsInf(c.cycle.totalAt, -1) || (R > Q) != (c.cycle.totalRate > Q) {
+		c.cycle.validFor = T
 	}
-	c.R, c.totalAt = R, g.now
+	c.cycle.totalRate, c.cycle.totalAt = R, g.now
 	room := c.plan.Burst * max(0, min(1, 3-2.5*before/(Q*T))) // spent by who was over the quota, or near it
 	switch {
-	case c.sum <= room+Q*spent:
-		c.ratio = 1
+	case c.sparse.cycleTotal <= room+Q*spent:
+		c.sparse.admitRatio = 1
 	case before > Q*T:
-		c.ratio = min(1, g.aimed()*Q/R)
+		c.sparse.admitRatio = min(1, g.targetUtilization()*Q/R)
 	default:
-		c.ratio = min(1, g.aimed()*Q*spent/c.sum)
+		c.sparse.admitRatio = min(1, g.targetUtilization()*Q*spent/c.sparse.cycleTotal)
 	}
-	g.brake(c, ratio, room+Q*spent, now, spent)
+	g.throttleOverdraft(c, ratio, room+Q*spent, now, spent)
 	// Between two words the ratio lets in no more than its slice and burst (fleet day: 3 quotas for 6 s).
-	quiet := quietShare * Q / c.doors // as r is noise
-	own := (c.r*T+c.demand)/(T+max(0, g.now-c.since)) + quiet
-	c.share = min(1, own/(R+quiet*c.doors))
-	g.fill(c)
+	quiet := quietFraction * Q / c.gateways // as r is noise
+	own := (c.cycle.localRate*T+c.cycle.demand)/(T+max(0, g.now-c.cycle.startedAt)) + quiet
+	c.sparse.demandShare = min(1, own/(R+quiet*c.gateways))
+	g.refill(c)
 	if c.plan.ExcessCost > 0 {
-		g.odds.Observe(r.ClientRetry, c.ratio)
+		g.conformance.Observe(r.ClientRetry, c.sparse.admitRatio)
 	}
-	if r.inside = g.rng.Float64() < c.ratio; r.inside {
-		c.level = max(0, c.level-c.units(r))
+	if r.conforming = g.rng.Float64() < c.sparse.admitRatio; r.conforming {
+		c.bucket.tokens = max(0, c.bucket.tokens-c.unitsOf(r))
 	}
 	g.admit(r)
 }
--- a/internal/decision/ratelimit/ceiling.go
+++ b/internal/decision/ratelimit/ratelimit.go
@@ -17,42 +17,42 @@
 )
 
 const (
-	own = 0.75 // of the ceiling, split evenly; more in common is lost while the counter is crowded
+	ownShare = 0.75 // of the ceiling, split evenly; more in common is lost while the counter is crowded
 	// Late is for how long after the counter's answer a grant of the common part holds.
-	Late     = 0.15
-	mostSpan = 2.0 // a lost counter is back after three seconds at the soonest
+	GrantValidity = 0.15
+	maxSpan       = 2.0 // a lost counter is back after three seconds at the soonest
 )
 
 // Split is a ceiling and whom it is split among.
 type Split struct {
-	Rate, Depth, Slack float64
-	Doors              float64 // ingresses that the member may come through
+	Rate, Burst, Slack float64
+	Gateways           float64 // ingresses that the member may come through
 	Counter            bool    // they share one
 }
 
 // span is that of the common part, 0 where there is none: without a counter, or with a depth too small for the delays.
 func (s Split) span() float64 {
-	if !s.Counter || s.Doors < 2 || s.Rate <= 0 {
+	if !s.Counter || s.Gateways < 2 || s.Rate <= 0 {
 		return 0
 	}
-	return min(mostSpan, max(0, (s.Depth/s.Rate-Late)/2))
+	return min(maxSpan, max(0, (s.Burst/s.Rate-GrantValidity)/2))
 }
 
 // Own is what an ingress may let through by itself: left is what it had, since is how long ago that was. Share is how much
 // of the ingress the process is that asks: 1 but while a newer one starts beside an older one.
-func (s Split) Own(left, since, share float64) float64 {
-	part := share / s.Doors
+func (s Split) OwnTokens(left, since, share float64) float64 {
+	part := share / s.Gateways
 	if s.span() > 0 {
-		part *= own
+		part *= ownShare
 	}
-	return min(part*(s.Depth+s.Slack), left+part*s.Rate*since)
+	return min(part*(s.Burst+s.Slack), left+part*s.Rate*since)
 }
 
 // Common names the span of a moment, the room in it, and for how long its number is needed; not ok: there is none.
-func (s Split) Common(now float64) (name string, room, keep float64, ok bool) {
+func (s Split) SharedSpan(now float64) (name string, room, keep float64, ok bool) {
 	span := s.span()
 	if span == 0 {
 		return "", 0, 0, false
 	}
-	return "c" + strconv.FormatInt(int64(math.Floor(now/span)), 36), (1 - own) * s.Rate * span, 2*span + 1, true
+	return "c" + strconv.FormatInt(int64(math.Floor(now/span)), 36), (1 - ownShare) * s.Rate * span, 2*span + 1, true
 }
--- a/internal/decision/ratelimit/ceiling_test.go
+++ b/internal/decision/ratelimit/ratelimit_test.go
@@ -19,19 +19,19 @@
 }
 
 func newFleet(s Split) *fleet {
-	n := int(s.Doors)
-	return &fleet{s: s, left: make([]float64, n), at: make([]float64, n), counter: map[string]float64{}, store: s.Depth}
+	n := int(s.Gateways)
+	return &fleet{s: s, left: make([]float64, n), at: make([]float64, n), counter: map[string]float64{}, store: s.Burst}
 }
 
 // ask has a request of some units come to a door; the answer of the counter and the send come late.
 func (f *fleet) ask(now float64, door int, units, late float64) bool {
-	f.left[door], f.at[door] = f.s.Own(f.left[door], now-f.at[door], 1), now
+	f.left[door], f.at[door] = f.s.OwnTokens(f.left[door], now-f.at[door], 1), now
 	if f.left[door] >= units {
 		f.left[door] -= units
 		f.send(now, units)
 		return true
 	}
-	name, room, _, ok := f.s.Common(now)
+	name, room, _, ok := f.s.SharedSpan(now)
 	if !ok {
 		return false
 	}
@@ -44,7 +44,7 @@
 
 // send may come out of order by less than Late: the store is kept by the later of the times, which only lowers it.
 func (f *fleet) send(now, units float64) {
-	f.store = min(f.s.Depth, f.store+f.s.Rate*max(0, now-f.to)) - units
+	f.store = min(f.s.Burst, f.store+f.s.Rate*max(0, now-f.to)) - units
 	f.to = max(f.to, now)
 	f.lowest, f.sent = min(f.lowest, f.store), f.sent+units
 }
@@ -55,13 +55,13 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		rate := 30 + 40*rng.Float64()
 		depth := rate * (1.1 + 1.4*rng.Float64())
-		s := Split{Rate: rate, Depth: depth, Slack: max(4, 0.1*depth), Doors: math.Floor(depth / 8), Counter: true}
+		s := Split{Rate: rate, Burst: depth, Slack: max(4, 0.1*depth), Gateways: math.Floor(depth / 8), Counter: true}
 		f, door := newFleet(s), 0
 		for now := 0.0; now < 30; now += 0.2 * rng.Float64() * rng.Float64() / rate * 10 {
 			if rng.IntN(200) == 0 {
-				door = rng.IntN(int(s.Doors)) // the busy door moves
+				door = rng.IntN(int(s.Gateways)) // the busy door moves
 			}
-			if now > 10 && now < 10+mostSpan+1 {
+			if now > 10 && now < 10+maxSpan+1 {
 				clear(f.counter) // it is lost, and no call is answered meanwhile
 				s.Counter = false
 			} else {
@@ -69,15 +69,15 @@
 			}
 			at := door
 			if rng.IntN(3) == 0 || seed%3 == 0 {
-				at = rng.IntN(int(s.Doors))
+				at = rng.IntN(int(s.Gateways))
 			}
 			if !s.Counter {
-				f.left[at], f.at[at] = f.s.Own(f.left[at], now-f.at[at], 1), now
+				f.left[at], f.at[at] = f.s.OwnTokens(f.left[at], now-f.at[at], 1), now
 				if f.left[at] < 4 {
 					continue
 				}
 			}
-			f.ask(now, at, float64(1+rng.IntN(4)), rng.Float64()*Late)
+			f.ask(now, at, float64(1+rng.IntN(4)), rng.Float64()*GrantValidity)
 		}
 		if f.lowest < -s.Slack {
 			t.Errorf("seed %d: the store came down to %.1f, slack %.1f", seed, f.lowest, s.Slack)
@@ -93,7 +93,7 @@
 	refused := map[bool]float64{}
 	for _, counter := range []bool{true, false} {
 		rng := rand.New(rand.NewPCG(1, 1))
-		f := newFleet(Split{Rate: 40, Depth: 60, Slack: 6, Doors: 8, Counter: counter})
+		f := newFleet(Split{Rate: 40, Burst: 60, Slack: 6, Gateways: 8, Counter: counter})
 		asked := 0.0
 		for now := 5.0; now < 65; now += rng.ExpFloat64() / 9 { // 22.5 units a second
 			door := rng.IntN(8)
@@ -113,14 +113,14 @@
 
 func TestNoCommonPart(t *testing.T) {
 	for _, s := range []Split{
-		{Rate: 40, Depth: 60, Slack: 6, Doors: 8},
-		{Rate: 40, Depth: 60, Slack: 6, Doors: 1, Counter: true},
-		{Rate: 40, Depth: 40 * Late, Slack: 6, Doors: 8, Counter: true},
+		{Rate: 40, Burst: 60, Slack: 6, Gateways: 8},
+		{Rate: 40, Burst: 60, Slack: 6, Gateways: 1, Counter: true},
+		{Rate: 40, Burst: 40 * GrantValidity, Slack: 6, Gateways: 8, Counter: true},
 	} {
-		if name, room, _, ok := s.Common(100); ok {
+		if name, room, _, ok := s.SharedSpan(100); ok {
 			t.Errorf("%+v: %s, %v", s, name, room)
 		}
-		if got := fmt.Sprint(s.Own(0, 1e6, 1)); got != fmt.Sprint((s.Depth+s.Slack)/s.Doors) {
+		if got := fmt.Sprint(s.OwnTokens(0, 1e6, 1)); got != fmt.Sprint((s.Burst+s.Slack)/s.Gateways) {
 			t.Errorf("%+v: own part %s", s, got)
 		}
 	}
--- a/internal/decision/retune_test.go
+++ b/internal/decision/reconfigure_test.go
@@ -24,7 +24,7 @@
 	if r := g.requests[3]; r == nil || r.class.Name != "d" {
 		t.Fatalf("the added class is not known: %+v", r)
 	}
-	if g.s.MaxAttempts != 2 {
-		t.Errorf("attempts %d, want 2", g.s.MaxAttempts)
+	if g.settings.MaxAttempts != 2 {
+		t.Errorf("attempts %d, want 2", g.settings.MaxAttempts)
 	}
 }
--- a/internal/decision/retry/retry.go
+++ b/internal/decision/retry/retry.go
@@ -10,72 +10,74 @@
 import "math"
 
 const (
-	share       = 0.1  // tokens for a first attempt
-	most, first = 8, 4 // tokens that are kept, and at the start: a single failure is no storm
-	span        = 2.0  // s: how far back the group's health is looked at
-	failing     = 0.5  // share of the attempts lately that failed: the group does
-	least       = 8.0  // attempts lately: fewer tell nothing of a group
+	defaultShare                    = 0.1  // tokens for a first attempt
+	defaultMaxTokens, initialTokens = 8, 4 // tokens that are kept, and at the start: a single failure is no storm
+	healthWindow                    = 2.0  // s: how far back the group's health is looked at
+	failingShare                    = 0.5  // share of the attempts lately that failed: the group does
+	minAttempts                     = 8.0  // attempts lately: fewer tell nothing of a group
 )
 
 // Budget is that of one ingress for one group of servers. It begins with New.
 type Budget struct {
-	tokens        float64
-	tried, failed float64 // lately, older ones count less
-	at            float64 // when that was reckoned, in seconds
+	tokens             float64
+	attempts, failures float64 // lately, older ones count less
+	decayedAt          float64 // when that was reckoned, in seconds
 
-	share, most float64
-	slack       float64 // over all ingresses; 0: the budget is not divided, and what was turned away costs nothing while the group is well
+	share, maxTokens float64
+	slack            float64 // over all ingresses; 0: the budget is not divided, and what was turned away costs nothing while the group is well
 }
 
 // Divided returns the budget of one of so many ingresses where all of them together may make so large a share of further attempts, and
 // the slack beyond it in a window: each saves up its part of the slack. What a server turned away has arrived there, and costs a token too.
 func Divided(share, slack float64, ingresses int) Budget {
 	b := Budget{share: share, slack: slack}
-	b.Divide(ingresses)
-	b.tokens = b.most
+	b.SetGateways(ingresses)
+	b.tokens = b.maxTokens
 	return b
 }
 
 // Divide tells how many ingresses share a divided budget now.
-func (b *Budget) Divide(ingresses int) {
+func (b *Budget) SetGateways(ingresses int) {
 	if b.slack > 0 {
-		b.most = max(1, b.slack/float64(max(1, ingresses)))
-		b.tokens = min(b.tokens, b.most)
+		b.maxTokens = max(1, b.slack/float64(max(1, ingresses)))
+		b.tokens = min(b.tokens, b.maxTokens)
 	}
 }
 
 // New returns a budget with some tokens.
-func New() Budget { return Budget{tokens: first, share: share, most: most} }
+func New() Budget {
+	return Budget{tokens: initialTokens, share: defaultShare, maxTokens: defaultMaxTokens}
+}
 
 // First tells of a request's first attempt.
-func (b *Budget) First() { b.tokens = min(b.most, b.tokens+b.share) }
+func (b *Budget) ObserveFirstAttempt() { b.tokens = min(b.maxTokens, b.tokens+b.share) }
 
 // Ended tells how an attempt ended: served, or in any other way that is the server's. Now is in seconds.
-func (b *Budget) Ended(now float64, served bool) {
-	b.fade(now)
-	if b.tried++; !served {
-		b.failed++
+func (b *Budget) ObserveOutcome(now float64, served bool) {
+	b.decay(now)
+	if b.attempts++; !served {
+		b.failures++
 	}
 }
 
-func (b *Budget) fade(now float64) {
-	part := math.Exp(-max(0, now-b.at) / span)
-	b.tried, b.failed, b.at = b.tried*part, b.failed*part, max(b.at, now)
+func (b *Budget) decay(now float64) {
+	part := math.Exp(-max(0, now-b.decayedAt) / healthWindow)
+	b.attempts, b.failures, b.decayedAt = b.attempts*part, b.failures*part, max(b.decayedAt, now)
 }
 
 // Failing tells whether the group as a whole fails.
 func (b *Budget) Failing(now float64) bool {
-	b.fade(now)
-	return b.tried >= least && b.failed >= failing*b.tried
+	b.decay(now)
+	return b.attempts >= minAttempts && b.failures >= failingShare*b.attempts
 }
 
 // Again tells whether a further attempt may be made, and takes a token if it costs one. Proven: the last one surely has
 // not run. Crowded: first attempts wait for a server; they go before what may have run.
-func (b *Budget) Again(now float64, proven, crowded bool) bool {
+func (b *Budget) Take(now float64, proven, crowded bool) bool {
 	if b.free(now, proven) {
 		return true
 	}
-	if !b.Affords(now, proven, crowded) {
+	if !b.Allows(now, proven, crowded) {
 		return false
 	}
 	b.tokens--
@@ -83,7 +85,7 @@
 }
 
 // Affords tells whether Again would say yes, and takes nothing.
-func (b *Budget) Affords(now float64, proven, crowded bool) bool {
+func (b *Budget) Allows(now float64, proven, crowded bool) bool {
 	return b.free(now, proven) || b.tokens >= 1 && (proven || !crowded)
 }
 
--- a/internal/decision/retry/retry_test.go
+++ b/internal/decision/retry/retry_test.go
@@ -31,15 +31,15 @@
 					n++
 				}
 				b := &budgets[n]
-				b.First()
+				b.ObserveFirstAttempt()
 				counted := now > 5 // the tokens of the start are gone by then
 				if counted {
 					firsts++
 				}
 				for attempts := 1; ; attempts++ {
 					ok := rng.Float64() >= tc.bad
-					b.Ended(now, ok)
-					if ok || attempts == 4 || !b.Again(now, tc.proven, false) {
+					b.ObserveOutcome(now, ok)
+					if ok || attempts == 4 || !b.Take(now, tc.proven, false) {
 						break
 					}
 					if counted {
@@ -56,16 +56,16 @@
 
 func TestCrowdedAndFew(t *testing.T) {
 	b := New()
-	if b.Again(0, false, true) || !b.Again(0, false, false) {
+	if b.Take(0, false, true) || !b.Take(0, false, false) {
 		t.Error("what may have run goes before first attempts that wait, or not at all")
 	}
 	for range 7 {
-		b.Ended(1, false)
+		b.ObserveOutcome(1, false)
 	}
 	if b.Failing(1) {
 		t.Error("seven attempts tell of a whole group")
 	}
-	b.Ended(1, false)
+	b.ObserveOutcome(1, false)
 	if !b.Failing(1) || b.Failing(10) {
 		t.Error("eight do, and not for ever")
 	}
--- a/internal/decision/scale_test.go
+++ b/internal/decision/scale_test.go
@@ -26,27 +26,27 @@
 		for i := range n {
 			g := New(s, uint64(i))
 			g.now = 100
-			c := g.customer(Request{Customer: "c", Gateways: n}, g.plans["rate"])
-			if c.thin {
+			c := g.customerFor(Request{Customer: "c", Gateways: n}, g.plans["rate"])
+			if c.sparse.active {
 				t.Fatal("20 units a cycle at each gateway are not thin")
 			}
-			c.since, c.demand = 100-c.period, over*5000/n*c.period*(0.8+0.4*rng.Float64())
-			R += c.demand / c.period
+			c.cycle.startedAt, c.cycle.demand = 100-c.cycle.period, over*5000/n*c.cycle.period*(0.8+0.4*rng.Float64())
+			R += c.cycle.demand / c.cycle.period
 			k++
-			g.turn(c)
-			for _, call := range of[CounterCall](g.out) {
+			g.closeCycle(c)
+			for _, call := range of[CounterCall](g.actions) {
 				m.add(call)
 			}
 			all, gateways = append(all, c), append(gateways, g)
 		}
 		sum := 0.0
 		for i, c := range all {
-			c.calls = 2 // the read
-			gateways[i].counted(CounterReply{Name: c.name(c.cycle), Outcome: Succeeded, Total: m[c.name(c.cycle)]})
-			if c.k != k || math.Abs(c.R-R) > 0.02*R {
-				t.Fatalf("gateway %d read %v of %v holders and %v units of %v", i, c.k, k, c.R, R)
+			c.cycle.calls = 2 // the read
+			gateways[i].handleCounterReply(CounterReply{Name: c.counterName(c.cycle.number), Outcome: Succeeded, Total: m[c.counterName(c.cycle.number)]})
+			if c.cycle.reporters != k || math.Abs(c.cycle.totalRate-R) > 0.02*R {
+				t.Fatalf("gateway %d read %v of %v holders and %v units of %v", i, c.cycle.reporters, k, c.cycle.totalRate, R)
 			}
-			sum += c.slice
+			sum += c.bucket.slice
 		}
 		if math.Abs(sum-5000) > 100 {
 			t.Errorf("at %v of the quota slices sum to %v, not 5000", over, sum)
@@ -125,13 +125,13 @@
 			s.Plans[i].ExcessValue = 2 // sent on beyond the quota too: an answer decides nothing
 		}
 		g := New(s, seed)
-		g.chance = 0.75
+		g.counter.callProbability = 0.75
 		var watched []bool
 		n := 0
 		for i := range 200 {
 			r := &request{Request: Request{Customer: fmt.Sprint("c", i), Units: 4, Gateways: 200}}
-			r.c = g.customer(r.Request, g.plans["rate"])
-			watched = append(watched, g.callChance(r.c, r) > 0)
+			r.customer = g.customerFor(r.Request, g.plans["rate"])
+			watched = append(watched, g.callProbability(r.customer, r) > 0)
 			if watched[i] {
 				n++
 			}
@@ -259,20 +259,20 @@
 	gateways, list := fleet(240, 60)
 	users := map[string]int{}
 	for _, g := range gateways {
-		if g.reach != int(reachLeast) {
-			t.Fatalf("reach %d at first", g.reach)
+		if g.defaultPool.subsetSize != int(minSubset) {
+			t.Fatalf("reach %d at first", g.defaultPool.subsetSize)
 		}
-		for _, b := range g.order[:g.reach] {
+		for _, b := range g.defaultPool.order[:g.defaultPool.subsetSize] {
 			users[b.ID]++
 		}
-		before := g.order[0].ID
+		before := g.defaultPool.order[0].ID
 		g.Handle(1, Backends{List: []Backend{up("new", 0)}})
-		if g.order[0].ID != before && g.order[0].ID != "new" {
+		if g.defaultPool.order[0].ID != before && g.defaultPool.order[0].ID != "new" {
 			t.Error("a new backend moved the others")
 		}
-		g.sentRate = 200 // traffic has gathered here
-		if g.tick(); g.reach != 61 {
-			t.Errorf("reach %d at 200 sends a second", g.reach)
+		g.defaultPool.sendRate = 200 // traffic has gathered here
+		if g.tick(); g.defaultPool.subsetSize != 61 {
+			t.Errorf("reach %d at 200 sends a second", g.defaultPool.subsetSize)
 		}
 	}
 	for _, b := range list {
@@ -282,8 +282,8 @@
 	}
 	few, list := fleet(3, 10)
 	for _, g := range few {
-		if g.reach != len(list) || g.sharing != 1 {
-			t.Errorf("few gateways: reach %d, sharing %v", g.reach, g.sharing)
+		if g.defaultPool.subsetSize != len(list) || g.defaultPool.gatewaysPerBackend != 1 {
+			t.Errorf("few gateways: reach %d, sharing %v", g.defaultPool.subsetSize, g.defaultPool.gatewaysPerBackend)
 		}
 	}
 }
@@ -373,7 +373,7 @@
 	g.Handle(0, Start{})
 	for i, plan := range []string{"costs", "earns"} {
 		for n := range 400 {
-			g.chance = 0.4
+			g.counter.callProbability = 0.4
 			r := ask(uint64(i*1000+n+1), "safe", plan)
 			r.Customer, r.Gateways, r.Units = fmt.Sprint(plan, n), len(gateways), 2
 			calls[plan] += len(of[CounterCall](g.Handle(1, r)))
@@ -449,7 +449,7 @@
 		if n := used[list[0].ID] + used[list[1].ID] + used[list[2].ID]; n < 5 || n+used[odd.ID] < 195 || used[odd.ID] > 0 && !odd.Serving {
 			t.Errorf("%s: used %v", name, used)
 		}
-		if b := g.backends["o"]; b != nil && odd.StartedAt > 0 && g.cold(b) < 1 {
+		if b := g.backends["o"]; b != nil && odd.StartedAt > 0 && g.warmFraction(b) < 1 {
 			t.Errorf("%s: cold for ever", name)
 		}
 	}
@@ -500,11 +500,11 @@
 			}
 		}
 		if step > 600 {
-			most = max(most, len(g.backends)+len(g.order), len(g.customers)+len(g.known), len(g.requests)+len(g.open)+len(g.held))
+			most = max(most, len(g.backends)+len(g.defaultPool.order), len(g.customers)+len(g.customerList), len(g.requests)+len(g.unanswered)+len(g.queue))
 		}
 	}
-	if most > 2*(60+36*14) || len(g.kinds) > 2 {
-		t.Errorf("%d entries at the most, %d kinds", most, len(g.kinds))
+	if most > 2*(60+36*14) || len(g.defaultPool.kindLatencies) > 2 {
+		t.Errorf("%d entries at the most, %d kinds", most, len(g.defaultPool.kindLatencies))
 	}
 }
 
@@ -608,7 +608,7 @@
 	r := ask(1, "safe", "rate")
 	r.Gateways = 100000 // more gateways than there are, and than a total holds
 	g.Handle(1, r)
-	g.Handle(1, CounterReply{Name: g.customers["c"].name(g.customers["c"].cycle), Outcome: Succeeded, Total: 9e15})
+	g.Handle(1, CounterReply{Name: g.customers["c"].counterName(g.customers["c"].cycle.number), Outcome: Succeeded, Total: 9e15})
 	var list []Backend
 	for i := range 700 {
 		list = append(list, up(fmt.Sprint("b", i), 0))
--- a/internal/decision/patience_test.go
+++ b/internal/decision/slow_attempts_test.go
@@ -20,10 +20,10 @@
 		{name: "another is there", others: []Backend{up("y", 0)}, at: asked + early, want: true},
 		{name: "there is none", at: asked + early},
 		{name: "it drains", others: []Backend{{ID: "y", Zone: "a"}}, at: asked + early},
-		{name: "it is full", others: []Backend{up("y", 0)}, at: asked + early, while: func(g *Gateway) { g.backends["y"].fullTill = math.Inf(1) }},
+		{name: "it is full", others: []Backend{up("y", 0)}, at: asked + early, while: func(g *Gateway) { g.backends["y"].overloadedUntil = math.Inf(1) }},
 		{name: "no time is left", others: []Backend{up("y", 0)}, at: asked + 2.99},
 		{name: "the budget is spent", others: []Backend{up("y", 0)}, at: asked + early, while: func(g *Gateway) {
-			for g.retries.Again(g.now, false, false) {
+			for g.defaultPool.retryBudget.Take(g.now, false, false) {
 			}
 		}},
 		{name: "it must not run twice", class: "unsafe", others: []Backend{up("y", 0)}, at: asked + early},
@@ -31,7 +31,7 @@
 		{name: "it has ended", others: []Backend{up("y", 0)}, at: asked + early, while: func(g *Gateway) {
 			g.Handle(asked+0.5, AttemptEnded{ID: 1, Backend: "x", Outcome: Succeeded, Duration: 0.5, Answered: true})
 		}},
-		{name: "its client has left", others: []Backend{up("y", 0)}, at: asked + early, while: func(g *Gateway) { g.Handle(asked+0.5, ClientGone{1}) }},
+		{name: "its client has left", others: []Backend{up("y", 0)}, at: asked + early, while: func(g *Gateway) { g.Handle(asked+0.5, ClientDisconnected{1}) }},
 		{name: "planned before", others: []Backend{up("y", 0)}, at: asked + early, before: func(g *Gateway) { g.ExpectDisruption(asked + 0.01) }},
 		{name: "planned long before", others: []Backend{up("y", 0)}, at: asked + early, before: func(g *Gateway) { g.ExpectDisruption(asked - 0.01) }, want: true},
 		{name: "planned meanwhile", others: []Backend{up("y", 0)}, at: asked + early, while: func(g *Gateway) { g.ExpectDisruption(asked + 0.6) }},
@@ -47,7 +47,7 @@
 				s.Classes[i].SlowAttemptFactor = 6
 			}
 			g := started(t, s, up("x", 0))
-			g.lat = 0.01
+			g.defaultPool.latency = 0.01
 			if tc.before != nil {
 				tc.before(g)
 			}
@@ -63,11 +63,11 @@
 			if tc.while != nil {
 				tc.while(g)
 			}
-			tokens := g.retries
+			tokens := g.defaultPool.retryBudget
 			if got := g.ShouldAbandon(tc.at, 1); got != tc.want {
 				t.Errorf("given up: %v, want %v", got, tc.want)
 			}
-			if g.retries != tokens {
+			if g.defaultPool.retryBudget != tokens {
 				t.Error("asking took something of the budget")
 			}
 			if !tc.want {
--- a/internal/decision/thin_test.go
+++ b/internal/decision/sparse_test.go
@@ -24,7 +24,7 @@
 		e := ask(1, "safe", "p")
 		e.Gateways = tc.doors
 		g.Handle(1, e)
-		if got := g.customers["c"].thin; got != tc.thin {
+		if got := g.customers["c"].sparse.active; got != tc.thin {
 			t.Errorf("%s: thin %v", tc.name, got)
 		}
 	}
--- a/internal/decision/figures.go
+++ b/internal/decision/stats.go
@@ -32,16 +32,16 @@
 
 // Stats counts. It walks all servers that are known.
 func (g *Gateway) Stats(now Seconds) Stats {
-	f := Stats{Pending: len(g.requests), Queued: len(g.held), Customers: len(g.customers), Servers: map[ServerState]int{},
-		RetryTokens: math.Inf(1), CounterCallsUnanswered: g.silent}
-	for b := range g.all() {
+	f := Stats{Pending: len(g.requests), Queued: len(g.queue), Customers: len(g.customers), Servers: map[ServerState]int{},
+		RetryTokens: math.Inf(1), CounterCallsUnanswered: g.counter.failures}
+	for b := range g.allBackends() {
 		if b.listed {
 			f.Servers[g.serverState(b, now)]++
 		}
 	}
 	for _, p := range g.pools {
-		if p.listed > 0 {
-			f.RetryTokens = min(f.RetryTokens, p.retries.Tokens())
+		if p.serving > 0 {
+			f.RetryTokens = min(f.RetryTokens, p.retryBudget.Tokens())
 		}
 	}
 	if math.IsInf(f.RetryTokens, 1) {
@@ -54,13 +54,13 @@
 	switch {
 	case !b.Serving:
 		return ServerDraining
-	case b.downTill > now:
+	case b.ejectedUntil > now:
 		return ServerEjected
-	case b.fullTill > now:
+	case b.overloadedUntil > now:
 		return ServerOverloaded
-	case b.coldAt > 0 && now-b.coldAt < g.s.SlowStartTime:
+	case b.warmingSince > 0 && now-b.warmingSince < g.settings.SlowStartTime:
 		return ServerSlowStart
-	case !b.good:
+	case !b.healthy:
 		return ServerUnknown
 	}
 	return ServerHealthy
--- a/internal/standalone/simprotocol/wire.go
+++ b/internal/standalone/simprotocol/wire.go
@@ -144,7 +144,7 @@
 			TimeLeft: f.number(5), Units: f.number(6), Gateways: int(f.integer(7)), ClientRetry: options&2 != 0,
 		}
 	case "CLIENT_GONE":
-		event = decision.ClientGone{ID: uint64(f.integer(1))}
+		event = decision.ClientDisconnected{ID: uint64(f.integer(1))}
 	case "FIRED":
 		event = decision.Timer{Token: f.text(1)}
 	case "SUM":
