--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -1,60 +1,70 @@
 package decision
 
-import (
-	"cmp"
-	"math"
-)
+import "cmp"
 
+// handleRequest admits a request or rejects it, or calls the counter to decide it by the reply.
 func (g *Gateway) handleRequest(e Request) {
 	if g.requests[e.ID] != nil {
 		return
 	}
-	class, terms := cmp.Or(e.Kind, g.classes[e.Class]), cmp.Or(e.Terms, g.plans[e.Plan])
-	if class == nil { // not in the settings: safe to refuse, never to repeat
-		class = &Class{LatencyTarget: e.TimeLeft, Value: 1}
-	}
-	if terms == nil { // not in the settings: no quota is known
-		terms = &Terms{Plan: Plan{ValueWeight: 1}, Tag: "x"}
-	}
-	c := g.customerFor(e, terms)
-	r := &request{Request: e, class: class, pool: g.poolFor(e.Group), customer: c, arrivedAt: g.now}
-	r.deadline = g.now + e.TimeLeft
-	r.targetAt = g.now + class.LatencyTarget - g.elapsedAtClient(e, class)
+	r := g.newRequest(e)
 	g.requests[e.ID] = r
 	g.unanswered = append(g.unanswered, r)
+	c := r.customer
 	c.cycle.demand += e.Units
-	c.values.Observe(class.Value, e.Units)
-	c.arrivals.perSecond = c.arrivals.perSecond*math.Exp((c.arrivals.at-g.now)/arrivalWindow) + 1/arrivalWindow
-	c.arrivals.at = g.now
-	if c.sparse.active && !g.withinEvenShare(c) && g.settings.HasCounter && g.now >= g.counter.pausedUntil && e.TimeLeft > g.settings.CounterTimeout+2*tickInterval {
-		if p := g.callProbability(c, r); g.rng.Float64() < p {
-			g.queryCounter(r, c.cycleAt(g.now), c.unitsOf(r)/p)
-			return
-		}
+	c.values.Observe(r.class.Value, e.Units)
+	c.arrivals.observe(g.now)
+	if g.querySparse(r) {
+		return
 	}
 	r.conforming = g.withinQuota(r)
 	g.admit(r)
 }
 
-// age is how long ago the client first asked, told by the time a repeat has left: a part of what remains of
-// the deadline. It guards against work in vain, in an overload a quarter of all served (trebic-later).
+func (g *Gateway) newRequest(e Request) *request {
+	class := cmp.Or(e.Kind, g.classes[e.Class])
+	if class == nil { // not in the settings: safe to reject, never to retry
+		class = &Class{LatencyTarget: e.TimeLeft, Value: 1}
+	}
+	terms := cmp.Or(e.Terms, g.plans[e.Plan])
+	if terms == nil { // not in the settings: no quota is known
+		terms = &Terms{Plan: Plan{ValueWeight: 1}, Tag: "x"}
+	}
+	return &request{
+		Request:   e,
+		class:     class,
+		customer:  g.customerFor(e, terms),
+		pool:      g.poolFor(e.Group),
+		arrivedAt: g.now,
+		deadline:  g.now + e.TimeLeft,
+		targetAt:  g.now + class.LatencyTarget - g.elapsedAtClient(e, class),
+	}
+}
+
+// elapsedAtClient is how long ago the client first sent a request that it retries, estimated from the time
+// that the retry has left, as a part of what remains of the deadline. It guards against work in vain: in an
+// overload, a quarter of all that was served came too late.
 func (g *Gateway) elapsedAtClient(e Request, class *Class) Seconds {
-	g.maxTimeLeft[class.Name] = max(g.maxTimeLeft[class.Name], e.TimeLeft)
+	longest := max(g.maxTimeLeft[class.Name], e.TimeLeft)
+	g.maxTimeLeft[class.Name] = longest
 	if !e.ClientRetry {
 		return 0
 	}
-	return max(0, class.Deadline*(1-(e.TimeLeft+tickInterval)/g.maxTimeLeft[class.Name]))
+	return max(0, class.Deadline*(1-(e.TimeLeft+tickInterval)/longest))
 }
 
-// admit sends a request on, or refuses it, once it is known whether it is inside.
+// admit forwards a request, or rejects it, once it is known whether it conforms to its quota.
 func (g *Gateway) admit(r *request) {
 	plan := r.customer.plan
 	r.value = r.class.Value * plan.ValueWeight
-	if r.lowPriority = !r.conforming; g.now+r.pool.latency > r.targetAt {
-		r.value, r.lowPriority = r.value*r.class.LateValue, true
+	r.lowPriority = !r.conforming
+	if g.now+r.pool.latency > r.targetAt {
+		r.value *= r.class.LateValue
+		r.lowPriority = true
 	}
 	if !r.conforming {
-		if r.value *= plan.ExcessValue - plan.ExcessCost; r.value <= 0 {
+		r.value *= plan.ExcessValue - plan.ExcessCost
+		if r.value <= 0 {
 			g.reject(r)
 			return
 		}
@@ -64,43 +74,68 @@
 	}
 }
 
-// inside tells, without asking, whether the quota has room, as far as this gateway may use it.
+// withinQuota decides, without a call of the counter, whether a request conforms to its quota, as far as this
+// gateway may use it.
 func (g *Gateway) withinQuota(r *request) bool {
-	c, worth := r.customer, r.customer.plan.ExcessCost/(1+r.customer.plan.ExcessCost) // the chance of being inside that pays
+	c := r.customer
+	// The probability of conforming above which forwarding pays.
+	minProbability := c.plan.ExcessCost / (1 + c.plan.ExcessCost)
 	if limit := c.plan.MaxInFlight; limit > 0 {
-		if c.inFlight >= limit || g.withinEvenShare(c) {
-			return c.inFlight < limit
+		if c.inFlight >= limit {
+			return false
+		}
+		if g.withinEvenShare(c) {
+			return true
 		}
 		if c.plan.Rate <= 0 && !c.sparse.active {
-			// Exception: limits of two or three do not divide. Sent on is what is inside by chance, with the
-			// others' attempts by the totals or, before these tell of a burst, the own rate.
-			rest := min(c.cycle.localRate, quietFraction*c.quota/c.gateways) * (c.gateways - 1)
-			if g.totalsValid(c) {
-				rest = c.cycle.totalRate - c.cycle.localRate + (c.gateways-c.cycle.reporters)*quietFraction*c.quota/c.gateways
-			}
-			return poissonBelow(limit-c.inFlight, max(rest, c.arrivals.perSecond*(c.gateways-1))*g.defaultPool.latency) > worth
+			return g.probablyWithinInFlightLimit(c) > minProbability
 		}
 	}
 	if c.quota <= 0 {
 		return true
 	}
-	if c.sparse.active && (g.totalsValid(c) || g.counter.failures > 0 && c.sparse.admitRatio > 0) && g.rng.Float64() >= c.sparse.admitRatio {
-		return false // a silent counter freezes the ratio
+	if c.sparse.active && !g.passesSampling(r, minProbability) {
+		return false
 	}
-	if c.sparse.active && c.plan.ExcessCost > 0 && !g.totalsValid(c) && g.conformance.Conforming(r.ClientRetry) < worth {
+	return g.takeTokens(r)
+}
+
+// withinEvenShare reports whether one more attempt is within the even part of a limit on attempts in flight:
+// no sum of these passes the limit.
+func (g *Gateway) withinEvenShare(c *customer) bool {
+	return c.plan.Rate <= 0 && float64(c.inFlight+1)*c.gateways <= c.quota
+}
+
+// probablyWithinInFlightLimit is the probability that one more attempt is within a limit on attempts in
+// flight. A limit of two or three cannot be divided among gateways. The attempts of the others are estimated
+// from the totals or, before these show a burst, from this gateway's own arrivals.
+func (g *Gateway) probablyWithinInFlightLimit(c *customer) float64 {
+	y := &c.cycle
+	others := min(y.localRate, quietFraction*c.quota/c.gateways) * (c.gateways - 1)
+	if g.totalsValid(c) {
+		others = y.totalRate - y.localRate + (c.gateways-y.reporters)*quietFraction*c.quota/c.gateways
+	}
+	rate := max(others, c.arrivals.perSecond*(c.gateways-1))
+	return poissonBelow(c.plan.MaxInFlight-c.inFlight, rate*g.defaultPool.latency)
+}
+
+// passesSampling decides a request of a sparse customer by the last admit ratio or, where no total is valid,
+// by what became of other requests.
+func (g *Gateway) passesSampling(r *request, minProbability float64) bool {
+	c := r.customer
+	valid := g.totalsValid(c)
+	// While the counter does not answer, the ratio stays as it is.
+	frozen := g.counter.failures > 0 && c.sparse.admitRatio > 0
+	if (valid || frozen) && g.rng.Float64() >= c.sparse.admitRatio {
 		return false
 	}
-	g.refill(c)
-	g.limitWhenUnreachable(c, r)
-	// A part of the store is for dearer requests: of one that is full it costs nothing.
-	if p := (c.bucket.tokens - reservedForValuable*c.bucket.capacity*c.values.ShareAbove(r.class.Value)) / c.unitsOf(r); p < 1 {
-		return g.admitFraction(c, r, p)
+	if valid || c.plan.ExcessCost <= 0 {
+		return true
 	}
-	c.bucket.tokens -= c.unitsOf(r)
-	return true
+	return g.conformance.Conforming(r.ClientRetry) >= minProbability
 }
 
-// refuse answers a request that may not have run.
+// reject answers a request that may not have been executed.
 func (g *Gateway) reject(r *request) {
 	wait := g.settings.MaxRetryAfter
 	if c := r.customer; c.plan.Rate > 0 && !r.conforming && c.bucket.slice > 0 {
@@ -109,10 +144,11 @@
 	if !g.settings.MayRetryAfter {
 		wait = 0
 	}
-	g.emit(Reject{r.ID, wait, !r.conforming})
+	g.emit(Reject{ID: r.ID, RetryAfter: wait, OverQuota: !r.conforming})
 	g.finish(r)
 }
 
+// finish marks a request as answered. It is forgotten once no attempt is in flight.
 func (g *Gateway) finish(r *request) {
 	r.answered = true
 	if r.inFlight == 0 {
--- a/internal/decision/conformance/estimator_test.go
+++ b/internal/decision/conformance/estimator_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestOdds(t *testing.T) {
+func TestEstimator(t *testing.T) {
 	var o Estimator
 	if o.Conforming(false) != 1 || o.Conforming(true) != 1 {
 		t.Error("knows something before anything was told")
--- a/internal/decision/conformance/value_distribution.go
+++ b/internal/decision/conformance/value_distribution.go
@@ -1,6 +1,7 @@
 package conformance
 
-// ValueDistribution is what a member asks for, by worth: which part of its use, in units, each worth makes up lately. The zero value knows nothing.
+// ValueDistribution is what a member asks for, by worth: which part of its use, in units, each worth makes up
+// lately. The zero value knows nothing.
 type ValueDistribution struct {
 	values, demand []float64
 	total          float64
--- a/internal/decision/conformance/value_distribution_test.go
+++ b/internal/decision/conformance/value_distribution_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestMix(t *testing.T) {
+func TestValueDistribution(t *testing.T) {
 	var m ValueDistribution
 	if m.ShareAbove(1) != 0 {
 		t.Error("knows something before anything was asked")
--- /dev/null
+++ b/internal/decision/counter_health.go
@@ -0,0 +1,70 @@
+package decision
+
+const (
+	pauseAfterFailures = 4   // calls in a row without a good answer, after which calls pause
+	pauseDuration      = 1.0 // s without calls, until one tries again
+	counterLostAfter   = 2.5 // s without a reply: the counter is lost, which tells nothing of its capacity
+
+	callProbabilityIncrease = 0.005 // added on a good answer
+	callProbabilityDecrease = 0.75  // factor on none
+	// Seconds between two decreases: a stall leaves many calls unanswered at once.
+	callProbabilityCutInterval = 0.1
+	minCallProbability         = 0.02 // below it no answer would ever raise it again
+)
+
+// counterHealth is how the shared counter answers this gateway. The call probability adapts to the counter's
+// capacity by additive increase and multiplicative decrease.
+type counterHealth struct {
+	failures           int     // calls in a row without a good answer
+	pausedUntil        Seconds // no calls until then
+	callProbability    float64 // of a call for a request of a sparse customer
+	probabilityAtReply float64 // callProbability at the last reply, also one that rejected the call
+	repliedAt          Seconds
+	reducedAt          Seconds // when callProbability was last reduced
+	unanswered         int     // calls in a row since the last reply
+}
+
+// observe learns how a call ended.
+func (h *counterHealth) observe(now Seconds, outcome Outcome) {
+	replied := outcome == Succeeded || outcome == Rejected || outcome == Failed
+	if replied {
+		if h.unanswered >= pauseAfterFailures && now-h.repliedAt > counterLostAfter {
+			// Raised from the minimum by few calls, it would be minutes until quotas are watched again.
+			h.callProbability = h.probabilityAtReply
+		}
+		h.repliedAt = now
+		h.unanswered = 0
+	} else {
+		h.unanswered++
+	}
+	switch outcome {
+	case Succeeded:
+		h.failures = 0
+		h.pausedUntil = 0
+		h.callProbability = min(1, h.callProbability+callProbabilityIncrease)
+	case Failed: // a reply without a total: no sign that the counter is overloaded
+	default:
+		h.observeFailure(now, outcome)
+	}
+	if replied {
+		h.probabilityAtReply = h.callProbability
+	}
+}
+
+func (h *counterHealth) observeFailure(now Seconds, outcome Outcome) {
+	// A broken connection tells nothing of the counter's capacity.
+	overloaded := outcome == Rejected || outcome == TimedOut
+	if overloaded && now >= h.reducedAt+callProbabilityCutInterval {
+		h.reducedAt = now
+		h.callProbability = max(minCallProbability, h.callProbability*callProbabilityDecrease)
+	}
+	h.failures++
+	if h.failures >= pauseAfterFailures {
+		h.pausedUntil = now + pauseDuration
+	}
+}
+
+// counterAvailable reports whether the counter may be called now.
+func (g *Gateway) counterAvailable() bool {
+	return g.settings.HasCounter && g.now >= g.counter.pausedUntil
+}
--- a/internal/decision/customers.go
+++ b/internal/decision/customers.go
@@ -1,6 +1,22 @@
 package decision
 
-import "mulleinrouter/internal/decision/conformance"
+import (
+	"cmp"
+	"hash/fnv"
+	"math"
+
+	"mulleinrouter/internal/decision/conformance"
+)
+
+const (
+	// idleExpiry is how long a customer, a removed backend or an empty group stays known without use, in
+	// seconds.
+	idleExpiry = 60.0
+	// termsChangeCycles is for how many cycles after a change of terms other gateways may not know of it.
+	termsChangeCycles = 3
+	// phaseSteps is in how many steps a hash of the customer spreads the start of cycles over a period.
+	phaseSteps = 1024
+)
 
 // customer is what a gateway knows of one customer: its terms, what it uses and its part of the quota.
 type customer struct {
@@ -24,72 +40,133 @@
 	pairs  pairCounters
 }
 
-// arrivalRate is an exponentially weighted rate of requests.
-type arrivalRate struct {
-	perSecond float64
-	at        Seconds // when perSecond was computed
+// customerFor returns the customer of a request under the given terms. It creates one that is not known and
+// applies terms that have changed.
+func (g *Gateway) customerFor(e Request, t *Terms) *customer {
+	c := g.customers[e.Customer]
+	if c == nil {
+		c = g.newCustomer(e, t)
+		g.customers[e.Customer] = c
+		g.customerList = append(g.customerList, c)
+	}
+	g.changeTerms(c, t)
+	c.lastUsedAt = g.now
+	return c
 }
 
-// tokenBucket holds this gateway's slice of a customer's quota and what is saved up of it.
-type tokenBucket struct {
-	slice      float64 // units a second that this gateway may grant
-	tokens     float64 // units; below 0 where requests turned out larger than guessed
-	capacity   float64 // units
-	refilledAt Seconds
+func (g *Gateway) newCustomer(e Request, t *Terms) *customer {
+	h := fnv.New32a()
+	h.Write([]byte(e.Customer))
+	c := &customer{
+		key:      e.Customer,
+		hash:     h.Sum32(),
+		gateways: float64(max(1, e.Gateways)),
+	}
+	c.bucket.refilledAt = g.now
+	c.cycle.startedAt = g.now
+	c.cycle.totalAt = math.Inf(-1)
+	c.pairs.ackedAt = g.initialAckedAt()
+	g.applyTerms(c, t)
+	c.cycle.validFor = validCycles * c.cycle.period
+	c.bucket.slice = c.quota / c.gateways
+	c.bucket.tokens = g.initialTokens(c, t) // refill cuts it to the capacity
+	c.sparse.demandShare = 1 / c.gateways
+	c.limit.refilledAt = g.startedAt
+	c.limit.tokens = c.plan.initialLimitTokens() / c.gateways
+	return c
 }
 
-// limitBucket holds this gateway's own part of a customer's hard rate limit.
-type limitBucket struct {
-	tokens     float64 // units
-	refilledAt Seconds
+// applyTerms sets what follows from terms alone.
+func (g *Gateway) applyTerms(c *customer, t *Terms) {
+	c.plan = &t.Plan
+	c.termsTag = t.Tag
+	c.counterSuffix = g.counterSuffix(t)
+	c.quota = c.plan.Rate
+	if c.quota <= 0 {
+		c.quota = float64(c.plan.MaxInFlight)
+	}
+	// Without a quota the period does not matter.
+	period := min(maxCyclePeriod, max(minCyclePeriod, unitsPerCycle/c.quota))
+	c.cycle.period = cmp.Or(g.settings.CounterCycle, period)
+	c.cycle.phase = float64(c.hash%phaseSteps) / phaseSteps * c.cycle.period
+	c.cycle.number = c.cycle.numberAt(g.now)
+	c.sparse.active = g.isSparse(c)
+	g.updatePairSparse(c)
 }
 
-// counterCycle is the state of one customer in the cycles of the shared counter.
-type counterCycle struct {
-	period    Seconds
-	phase     Seconds // offset of the cycles, so that the calls of all customers spread over a period
-	number    int64   // of the present cycle
-	startedAt Seconds
-	readAt    Seconds // when the totals are to be read; 0: not in this cycle
-	demand    float64 // units asked here in this cycle
-	calls     int     // made in this cycle
+// changeTerms puts a customer on other terms.
+//
+// Buckets keep what they hold, up to the new capacity, and a slice keeps its part of the quota: no change
+// costs what was saved up, and none, however often it comes, gives a second burst. Gateways learn of a change
+// at different times, while the totals of one name are for one quota. So the number of reporters under the
+// old name is raised beyond all gateways, which freezes the slices of those who still use it, and slices here
+// stay until as many report as before: the sum of all slices never passes the larger of the two quotas.
+func (g *Gateway) changeTerms(c *customer, t *Terms) {
+	if c.termsTag == t.Tag {
+		return
+	}
+	g.refillLimit(c)
+	part := 1 / c.gateways
+	if c.quota > 0 {
+		g.refill(c)
+		part = c.bucket.slice / c.quota
+	}
+	g.invalidateCounters(c)
+	if c.plan.LimitRate > 0 {
+		// What the rate limit kept back is not set free.
+		c.bucket.tokens = min(c.bucket.tokens, c.limit.tokens)
+	} else {
+		c.limit.tokens = max(c.limit.tokens, c.bucket.tokens) // a new rate limit admits what the quota did
+	}
+	g.applyTerms(c, t)
+	c.bucket.slice = part * c.quota
+	c.bucket.refilledAt = g.now
+	c.cycle.readAt = 0
+	c.cycle.calls = 0
+	c.sparse.cycleTotal = 0
+	c.cycle.holdUntil = g.now + termsChangeCycles*c.cycle.period
+	if c.sparse.active && c.sparse.admitRatio > 0 && c.cycle.totalRate > 0 {
+		c.sparse.admitRatio = min(1, sampledUtilization*g.quotaRate(c)/c.cycle.totalRate)
+	}
+}
 
-	localRate float64 // units a second asked here in the last cycle
-	totalRate float64 // units a second asked at all gateways, by the last valid total
-	reporters float64 // gateways that the total is from
-	totalAt   Seconds // when the last total came; -Inf: none has
-	validFor  Seconds // how long a total is believed
-	holdUntil Seconds // until then totals of fewer gateways than before are not believed
+// invalidateCounters makes the totals of this cycle and the next ones impossible for gateways that still go
+// by the old terms. Pair counters need none of it: they mean the same under any quota.
+func (g *Gateway) invalidateCounters(c *customer) {
+	if g.settings.PairCounters || !g.counterAvailable() {
+		return
+	}
+	if c.sparse.active || c.gateways <= 1 || c.quota <= 0 {
+		return
+	}
+	reporterUnit, _ := c.packing()
+	for n := range int64(termsChangeCycles + 1) {
+		g.emit(CounterCall{
+			Name:      c.counterName(c.cycle.numberAt(g.now) + n),
+			Add:       reporterUnit * c.gateways,
+			Retention: (termsChangeCycles+1)*c.cycle.period + 1,
+		})
+	}
 }
 
-// sparseMode is the state of a customer whose slice is less than a few requests, so that each request is decided by sampling.
-type sparseMode struct {
-	active      bool
-	cycleTotal  float64 // total of the present cycle, as last read
-	admitRatio  float64 // part of the requests that is admitted, by the last totals; the same at all gateways
-	demandShare float64 // part of the demand that comes through this gateway, by the last totals
-	queries     []counterQuery
+// isIdle reports whether nothing was asked for so long that the customer may be forgotten.
+func (c *customer) isIdle(now Seconds) bool {
+	return now-c.lastUsedAt > idleExpiry && c.inFlight == 0
 }
 
-// counterQuery is a request that waits for the counter's answer.
-type counterQuery struct {
-	request       *request
-	plan          *Plan
-	counterName   string
-	cycle         int64
-	sentAt        Seconds
-	amount        float64 // that it added
-	previousCycle bool    // reads the total of the cycle before
-	spanCapacity  float64 // of a call for the shared part of the rate limit: what a span has; else 0
+// unitsOf is what a request counts against the quota.
+func (c *customer) unitsOf(r *request) float64 {
+	if c.plan.Rate <= 0 {
+		return 1
+	}
+	return r.Units
 }
 
-// counterHealth is how the shared counter answers this gateway.
-type counterHealth struct {
-	failures           int     // calls in a row without a good answer
-	pausedUntil        Seconds // no calls until then
-	callProbability    float64 // of a call for a request of a sparse customer
-	probabilityAtReply float64 // callProbability at the last reply, also one that rejected the call
-	repliedAt          Seconds
-	reducedAt          Seconds // when callProbability was last reduced
-	unanswered         int     // calls in a row since the last reply
+// quotaRate is how many units a second a fully used quota admits. Of a limit on attempts in flight, a quarter
+// may be used on average.
+func (g *Gateway) quotaRate(c *customer) float64 {
+	if c.plan.Rate <= 0 {
+		return c.quota / 4 / g.defaultPool.latency
+	}
+	return c.quota
 }
--- a/internal/decision/handover.go
+++ b/internal/decision/handover.go
@@ -6,42 +6,49 @@
 	"slices"
 )
 
-// Two processes may be one gateway for a while: a newer one starts beside an older one. Part says how much of the gateway
-// this process is, Share and Take hand over what one has learned. None of it is part of the simulator's policy: there, an
-// instance is one process.
+// Two processes may be one gateway for a while: a newer one starts beside an older one. SetShare sets how
+// much of the gateway this process is; HandOver and Restore pass on what one has learned. In the simulator an
+// instance is one process, so this file is no part of its policy.
 
 const (
 	maxKnowledgeAge = 60.0 // s: older knowledge tells nothing of the present
-	knowledgeDecay  = 10.0 // s in which two thirds of what is known of a backend's bound and times is forgotten
+	// Seconds in which two thirds of what is known of backends' limits and latencies is forgotten.
+	knowledgeDecay = 10.0
+	clockTolerance = 1.0 // s by which the clocks of two processes may differ
 )
 
-// SetShare sets how much of the gateway this process is, from 0 to 1: its stores, its part of ceilings and its bounds at
-// backends fill and hold so much less. Junior: another process reports this gateway to the counter as one that asks.
-func (g *Gateway) SetShare(part float64, junior bool) {
-	g.settings.OtherShare, g.settings.Secondary = 1-max(0, min(1, part)), junior
+// SetShare sets how much of the gateway this process is, from 0 to 1: its buckets, its part of rate limits
+// and its limits at backends are so much smaller. Secondary: another process reports this gateway to the
+// counter.
+func (g *Gateway) SetShare(share float64, secondary bool) {
+	g.settings.OtherShare = 1 - max(0, min(1, share))
+	g.settings.Secondary = secondary
 }
 
+// processShare is how much of the gateway this process is, from 0 to 1.
 func (g *Gateway) processShare() float64 { return 1 - g.settings.OtherShare }
 
-// room is how much of a store this process may hold: its part, but a whole request.
-func (g *Gateway) capacityShare(most float64) float64 {
-	return max(min(most, g.settings.MaxUnits), g.processShare()*most)
+// capacityShare is how much of a bucket's capacity this process may hold: its share, and one request at
+// least.
+func (g *Gateway) capacityShare(capacity float64) float64 {
+	return max(min(capacity, g.settings.MaxUnits), g.processShare()*capacity)
 }
 
-// reporter is what a report adds to the number of gateways that ask.
-func (g *Gateway) reporterCount(field float64) float64 {
+// reporterCount is what a report adds to the reporters in a packed number.
+func (g *Gateway) reporterCount(reporterUnit float64) float64 {
 	if g.settings.Secondary {
 		return 0
 	}
-	return field
+	return reporterUnit
 }
 
-// Knowledge is what a gateway has learned, as of a time on the clock that its processes share.
+// Knowledge is what a gateway has learned, at a time on the clock that its processes share. It is stored as
+// JSON by an ingress in service: the tags carry the names under which older versions stored it.
 type Knowledge struct {
 	At                     Seconds             `json:"At"`
-	TypicalTime            Seconds             `json:"Usual"`  // time of an answer, over the fleet
-	SendRate               float64             `json:"Rate"`   // sends a second
-	CounterCallProbability float64             `json:"Chance"` // of a call to the counter
+	TypicalTime            Seconds             `json:"Usual"`  // of an answer, over all backends
+	SendRate               float64             `json:"Rate"`   // attempts a second
+	CounterCallProbability float64             `json:"Chance"` // of a call for a request of a sparse customer
 	Customers              []CustomerKnowledge `json:"Customers"`
 	Backends               []BackendKnowledge  `json:"Backends"`
 }
@@ -53,15 +60,15 @@
 	Slice         float64 `json:"Slice"`    // units a second
 	Tokens        float64 `json:"Level"`    // units
 	LimitTokens   float64 `json:"Ceiling"`  // units
-	TokensAt      Seconds `json:"Filled"`   // when these were reckoned
-	LimitTokensAt Seconds `json:"CeilFill"` // when these were reckoned
-	LocalDemand   float64 `json:"Rate"`     // asked here, and the last totals: asked at all gateways, by how many
-	TotalDemand   float64 `json:"Total"`    // asked here, and the last totals: asked at all gateways, by how many
-	Reporters     float64 `json:"Told"`     // asked here, and the last totals: asked at all gateways, by how many
+	TokensAt      Seconds `json:"Filled"`   // when Tokens were computed
+	LimitTokensAt Seconds `json:"CeilFill"` // when LimitTokens were computed
+	LocalDemand   float64 `json:"Rate"`     // units a second asked at this gateway
+	TotalDemand   float64 `json:"Total"`    // units a second asked at all gateways, by the last total
+	Reporters     float64 `json:"Told"`     // gateways that the last total is from
 	TotalAt       Seconds `json:"TotalAt"`
 	ValidFor      Seconds `json:"ValidFor"`
-	AdmitRatio    float64 `json:"Ratio"` // of a thin customer
-	DemandShare   float64 `json:"Part"`  // of a thin customer
+	AdmitRatio    float64 `json:"Ratio"` // of a sparse customer
+	DemandShare   float64 `json:"Part"`  // of a sparse customer
 }
 
 // BackendKnowledge is what is known of one backend.
@@ -69,95 +76,176 @@
 	ID                  string  `json:"ID"`
 	Limit               float64 `json:"Limit"`
 	Errors              float64 `json:"Errors"`
-	TypicalTime         Seconds `json:"Time"`  // of an answer: its own, and that of its kind
-	KindTypicalTime     Seconds `json:"Usual"` // of an answer: its own, and that of its kind
+	TypicalTime         Seconds `json:"Time"`  // of an answer of this backend
+	KindTypicalTime     Seconds `json:"Usual"` // of an answer of all backends of its kind
 	ConsecutiveFailures int     `json:"Bad"`   // failures in a row
 	Healthy             bool    `json:"Good"`
 	EjectedUntil        Seconds `json:"DownTill"`
 	OverloadedUntil     Seconds `json:"FullTill"`
 }
 
-// HandOver halves what the local stores hold, and returns the other half with all that has been learned. What a store is below nothing, for requests turned out
-// larger than guessed, stays here: the newer process begins with none of it, not with a full store.
+// HandOver halves what the local buckets hold, and returns the other half with all that was learned. What a
+// bucket is below zero, as requests turned out larger than guessed, stays here: the newer process begins with
+// an empty bucket then, not with a full one.
 func (g *Gateway) HandOver(now Seconds) Knowledge {
 	g.now = now
-	k := Knowledge{At: now, TypicalTime: g.defaultPool.latency, SendRate: g.defaultPool.sendRate, CounterCallProbability: g.counter.callProbability}
+	k := Knowledge{
+		At:                     now,
+		TypicalTime:            g.defaultPool.latency,
+		SendRate:               g.defaultPool.sendRate,
+		CounterCallProbability: g.counter.callProbability,
+	}
 	for _, c := range g.customerList {
-		g.refillLimit(c)
-		if c.quota > 0 {
-			g.refill(c)
-		}
-		half := max(0, c.bucket.tokens) / 2
-		c.bucket.tokens, c.limit.tokens = c.bucket.tokens-half, c.limit.tokens/2
-		totalAt := c.cycle.totalAt
-		if math.IsInf(totalAt, -1) {
-			totalAt = 0 // files have no infinity
-		}
-		k.Customers = append(k.Customers, CustomerKnowledge{Terms: Terms{Customer: c.key, Plan: *c.plan, Tag: c.termsTag}, Gateways: int(c.gateways), Slice: c.bucket.slice,
-			Tokens: half, LimitTokens: c.limit.tokens, TokensAt: c.bucket.refilledAt, LimitTokensAt: c.limit.refilledAt, LocalDemand: c.cycle.localRate, TotalDemand: c.cycle.totalRate, Reporters: c.cycle.reporters, TotalAt: totalAt,
-			ValidFor: c.cycle.validFor, AdmitRatio: c.sparse.admitRatio, DemandShare: c.sparse.demandShare})
+		k.Customers = append(k.Customers, g.handOverCustomer(c))
 	}
 	for b := range g.allBackends() {
 		if b.listed {
-			k.Backends = append(k.Backends, BackendKnowledge{ID: b.ID, Limit: b.limit, Errors: b.errorRate, TypicalTime: b.latency, KindTypicalTime: *b.kindLatency,
-				ConsecutiveFailures: b.failures, Healthy: b.healthy, EjectedUntil: b.ejectedUntil, OverloadedUntil: b.overloadedUntil})
+			k.Backends = append(k.Backends, b.knowledge())
 		}
 	}
 	return k
 }
 
-// Restore takes up what another process of this gateway has learned, as if the time since had passed here: stores fill,
-// totals lapse, bounds and times go back to what a new process begins with. It is meant for a process that has heard the
-// list and decided nothing yet; what is known of customers whose quota or ceiling is impossible is left out.
+func (g *Gateway) handOverCustomer(c *customer) CustomerKnowledge {
+	g.refillLimit(c)
+	if c.quota > 0 {
+		g.refill(c)
+	}
+	half := max(0, c.bucket.tokens) / 2
+	c.bucket.tokens -= half
+	c.limit.tokens /= 2
+	totalAt := c.cycle.totalAt
+	if c.cycle.neverRead() {
+		totalAt = 0 // JSON has no infinity
+	}
+	return CustomerKnowledge{
+		Terms:         Terms{Customer: c.key, Plan: *c.plan, Tag: c.termsTag},
+		Gateways:      int(c.gateways),
+		Slice:         c.bucket.slice,
+		Tokens:        half,
+		LimitTokens:   c.limit.tokens,
+		TokensAt:      c.bucket.refilledAt,
+		LimitTokensAt: c.limit.refilledAt,
+		LocalDemand:   c.cycle.localRate,
+		TotalDemand:   c.cycle.totalRate,
+		Reporters:     c.cycle.reporters,
+		TotalAt:       totalAt,
+		ValidFor:      c.cycle.validFor,
+		AdmitRatio:    c.sparse.admitRatio,
+		DemandShare:   c.sparse.demandShare,
+	}
+}
+
+func (b *backend) knowledge() BackendKnowledge {
+	return BackendKnowledge{
+		ID:                  b.ID,
+		Limit:               b.limit,
+		Errors:              b.errorRate,
+		TypicalTime:         b.latency,
+		KindTypicalTime:     *b.kindLatency,
+		ConsecutiveFailures: b.failures,
+		Healthy:             b.healthy,
+		EjectedUntil:        b.ejectedUntil,
+		OverloadedUntil:     b.overloadedUntil,
+	}
+}
+
+// Restore applies what another process of this gateway has learned, as if the time since had passed here:
+// buckets refill, totals expire, limits and latencies decay to what a new process begins with. It is meant
+// for a process that knows its backends and has decided nothing yet. It returns how many customers and
+// backends it restored: knowledge of customers whose quota or rate limit is impossible is left out.
 func (g *Gateway) Restore(now Seconds, k Knowledge) (customers, backends int) {
 	age := now - k.At
-	if !(age > -1 && age < maxKnowledgeAge) {
-		return 0, 0 // too old, or of a clock that has gone back
+	if !(age > -clockTolerance && age < maxKnowledgeAge) {
+		return 0, 0 // too old, or the clock was set back
 	}
 	g.now = now
-	weight := math.Exp(-max(0, age) / knowledgeDecay)
-	mix := func(to *float64, from float64) {
-		if from > 0 && !math.IsInf(from, 0) {
-			*to += weight * (from - *to)
-		}
-	}
-	mix(&g.defaultPool.latency, k.TypicalTime)
-	mix(&g.counter.callProbability, min(1, k.CounterCallProbability))
-	g.defaultPool.sendRate, g.counter.probabilityAtReply = weight*max(0, k.SendRate), g.counter.callProbability
-	tags := map[string]*Terms{}
+	weight := decayWeight(math.Exp(-max(0, age) / knowledgeDecay))
+	weight.apply(&g.defaultPool.latency, k.TypicalTime)
+	weight.apply(&g.counter.callProbability, min(1, k.CounterCallProbability))
+	g.counter.probabilityAtReply = g.counter.callProbability
+	g.defaultPool.sendRate = float64(weight) * max(0, k.SendRate)
+	termsByTag := map[string]*Terms{}
 	for _, name := range slices.Sorted(maps.Keys(g.plans)) {
-		tags[g.plans[name].Tag] = g.plans[name]
+		termsByTag[g.plans[name].Tag] = g.plans[name]
 	}
 	for _, e := range k.Customers {
-		if e.Gateways < 1 || e.Tokens < 0 || e.LimitTokens < 0 || e.Slice < 0 || e.TokensAt > now+1 || e.LimitTokensAt > now+1 || g.customers[e.Terms.Customer] != nil {
-			continue
-		}
-		terms := tags[e.Terms.Tag]
-		if terms == nil {
-			terms = &e.Terms // of the catalogue
+		if g.restoreCustomer(e, termsByTag) {
+			customers++
 		}
-		c := g.customerFor(Request{Customer: e.Terms.Customer, Gateways: e.Gateways}, terms)
-		c.bucket.slice, c.bucket.tokens, c.limit.tokens, c.bucket.refilledAt, c.limit.refilledAt = min(e.Slice, c.quota), e.Tokens, e.LimitTokens, min(e.TokensAt, now), min(e.LimitTokensAt, now)
-		c.cycle.localRate, c.cycle.totalRate, c.cycle.reporters, c.sparse.admitRatio, c.sparse.demandShare = e.LocalDemand, e.TotalDemand, e.Reporters, e.AdmitRatio, min(1, max(0, e.DemandShare))
-		if c.cycle.validFor = max(0, e.ValidFor); e.TotalAt > 0 {
-			c.cycle.totalAt = min(e.TotalAt, now)
-		}
-		customers++
 	}
 	for _, e := range k.Backends {
-		b := g.backends[e.ID]
-		if b == nil || !b.listed || b.StartedAt > k.At || g.warmFraction(b) < 1 {
-			continue // another process by now: nothing is known of it
+		if g.restoreBackend(e, k.At, weight) {
+			backends++
 		}
-		mix(&b.limit, min(maxLimit, e.Limit))
-		mix(&b.latency, e.TypicalTime)
-		mix(b.kindLatency, e.KindTypicalTime)
-		b.errorRate, b.failures, b.healthy = weight*min(1, max(0, e.Errors)), min(max(0, e.ConsecutiveFailures), ejectAfterFailures+2), e.Healthy
-		b.ejectedUntil, b.overloadedUntil = min(e.EjectedUntil, now+maxEjection), min(e.OverloadedUntil, now+maxEjection)
-		backends++
 	}
 	for _, p := range g.pools {
 		g.updateSubset(p)
 	}
 	return customers, backends
 }
+
+// decayWeight is the weight of knowledge of a certain age, from 0 to 1.
+type decayWeight float64
+
+// apply moves a value towards a known one by the weight, unless that is impossible.
+func (w decayWeight) apply(value *float64, known float64) {
+	if known > 0 && !math.IsInf(known, 0) {
+		*value += float64(w) * (known - *value)
+	}
+}
+
+// valid reports whether what is known of a customer can be true at a time.
+func (e *CustomerKnowledge) valid(now Seconds) bool {
+	if e.Gateways < 1 || e.Tokens < 0 || e.LimitTokens < 0 || e.Slice < 0 {
+		return false
+	}
+	if e.TokensAt > now+clockTolerance || e.LimitTokensAt > now+clockTolerance {
+		return false
+	}
+	return true
+}
+
+// restoreCustomer applies what is known of one customer. It reports whether it did.
+func (g *Gateway) restoreCustomer(e CustomerKnowledge, termsByTag map[string]*Terms) bool {
+	if !e.valid(g.now) || g.customers[e.Terms.Customer] != nil {
+		return false
+	}
+	terms := termsByTag[e.Terms.Tag]
+	if terms == nil {
+		terms = &e.Terms // of the catalogue
+	}
+	c := g.customerFor(Request{Customer: e.Terms.Customer, Gateways: e.Gateways}, terms)
+	c.bucket.slice = min(e.Slice, c.quota)
+	c.bucket.tokens = e.Tokens
+	c.bucket.refilledAt = min(e.TokensAt, g.now)
+	c.limit.tokens = e.LimitTokens
+	c.limit.refilledAt = min(e.LimitTokensAt, g.now)
+	c.cycle.localRate = e.LocalDemand
+	c.cycle.totalRate = e.TotalDemand
+	c.cycle.reporters = e.Reporters
+	c.cycle.validFor = max(0, e.ValidFor)
+	if e.TotalAt > 0 {
+		c.cycle.totalAt = min(e.TotalAt, g.now)
+	}
+	c.sparse.admitRatio = e.AdmitRatio
+	c.sparse.demandShare = min(1, max(0, e.DemandShare))
+	return true
+}
+
+// restoreBackend applies what was known of one backend at a time. It reports whether it did.
+func (g *Gateway) restoreBackend(e BackendKnowledge, at Seconds, weight decayWeight) bool {
+	b := g.backends[e.ID]
+	if b == nil || !b.listed || b.StartedAt > at || g.warmFraction(b) < 1 {
+		return false // another process by now: nothing is known of it
+	}
+	weight.apply(&b.limit, min(maxLimit, e.Limit))
+	weight.apply(&b.latency, e.TypicalTime)
+	weight.apply(b.kindLatency, e.KindTypicalTime)
+	b.errorRate = float64(weight) * min(1, max(0, e.Errors))
+	b.failures = min(max(0, e.ConsecutiveFailures), ejectAfterFailures+maxEjectionSteps)
+	b.healthy = e.Healthy
+	b.ejectedUntil = min(e.EjectedUntil, g.now+maxEjection)
+	b.overloadedUntil = min(e.OverloadedUntil, g.now+maxEjection)
+	return true
+}
--- a/internal/decision/lifecycle.go
+++ b/internal/decision/lifecycle.go
@@ -1,10 +1,10 @@
 package decision
 
-// Lifecycle decides what an ingress process says and does as its operators and the platform move it: whether the
-// front is to send it clients (readiness), whether it is alive for its operators, whether connections are kept open
-// after an answer, and whether it hands its clients' address over to a newer process. It is a machine without I/O or
-// clock, like the gateway; the network carries out what it answers. It is not part of the simulator's policy: there
-// are no processes to hand over there.
+// Lifecycle decides what an ingress process says and does as its operators and the platform move it: whether
+// the front is to send it clients (readiness), whether it is alive for its operators, whether connections are
+// kept open after an answer, and whether it hands its clients' address over to a newer process. It is a
+// machine without I/O or clock, like the gateway; the network carries out what it answers. It is not part of
+// the simulator's policy: there are no processes to hand over there.
 type Lifecycle struct {
 	phase Phase
 }
@@ -16,9 +16,11 @@
 const (
 	Starting Phase = iota // listening, not yet serving
 	Serving               // serving, and the front may send it clients
-	LameDuck              // serving what it has; the front is to send clients elsewhere (a drain that an operator called)
-	Stopping              // SIGTERM has come: it serves on while the front still sends and hands its address over
-	Closing               // its listener is closed: it finishes what it has and exits
+	// Serving what it has; the front is to send clients elsewhere (a drain that an operator called).
+	LameDuck
+	// SIGTERM has come: it serves on while the front still sends and hands its address over.
+	Stopping
+	Closing // its listener is closed: it finishes what it has and exits
 )
 
 var phaseNames = [...]string{"starting", "serving", "lame-duck", "stopping", "closing"}
@@ -40,8 +42,9 @@
 // Phase is the phase it is in.
 func (l *Lifecycle) Phase() Phase { return l.phase }
 
-// Handle moves it by an event. It tells whether the event was taken: REJOIN and LAMEDUCK are refused once it stops,
-// and REJOIN before it serves; what is refused changes nothing. An event that leaves the phase as it is, is taken.
+// Handle moves it by an event. It tells whether the event was taken: REJOIN and LAMEDUCK are refused once it
+// stops, and REJOIN before it serves; what is refused changes nothing. An event that leaves the phase as it
+// is, is taken.
 func (l *Lifecycle) Handle(e LifecycleEvent) (taken bool) {
 	switch {
 	case e == Close:
@@ -70,13 +73,14 @@
 // Ready tells whether the readiness page says yes: the front is to send new clients.
 func (l *Lifecycle) Ready() bool { return l.phase == Serving }
 
-// KeepOpen tells whether a client's connection may stay open after an answer. Draining, each connection ends with its
-// next answer, or at once where it is idle: a connection held open would keep its client here. After SIGTERM,
-// connections stay open while the front still sends: clients that are told to go could only come back.
+// KeepOpen tells whether a client's connection may stay open after an answer. Draining, each connection ends
+// with its next answer, or at once where it is idle: a connection held open would keep its client here. After
+// SIGTERM, connections stay open while the front still sends: clients that are told to go could only come
+// back.
 func (l *Lifecycle) KeepOpen() bool { return l.phase != LameDuck && l.phase != Closing }
 
-// Accepts tells whether a new connection is served. Once the listener is to close, one that was accepted as it
-// closed is ended unread: its client asks elsewhere.
+// Accepts tells whether a new connection is served. Once the listener is to close, one that was accepted as
+// it closed is ended unread: its client asks elsewhere.
 func (l *Lifecycle) Accepts() bool { return l.phase != Closing }
 
 // Alive tells whether a process in this phase says yes to its operators' PING: it can serve.
--- a/internal/decision/lifecycle_test.go
+++ b/internal/decision/lifecycle_test.go
@@ -6,38 +6,74 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestLifecycle plays sequences of events and what the process then says.
+// lifecycleState is what a process says of itself, and which events it has taken.
+type lifecycleState struct {
+	Phase                       string
+	Ready, Alive, Open, Accepts bool
+	Taken                       []bool
+}
+
+var lifecycleCases = []struct {
+	name   string
+	events []LifecycleEvent
+	want   lifecycleState
+}{
+	{"new", nil, lifecycleState{"starting", false, false, true, true, nil}},
+	{"started", []LifecycleEvent{Started}, lifecycleState{"serving", true, true, true, true, []bool{true}}},
+	{
+		"rejoin before serving is refused", []LifecycleEvent{Rejoin},
+		lifecycleState{"starting", false, false, true, true, []bool{false}},
+	},
+	{
+		"lame duck", []LifecycleEvent{Started, EnterLameDuck},
+		lifecycleState{"lame-duck", false, true, false, true, []bool{true, true}},
+	},
+	{
+		"lame duck twice", []LifecycleEvent{Started, EnterLameDuck, EnterLameDuck},
+		lifecycleState{"lame-duck", false, true, false, true, []bool{true, true, true}},
+	},
+	{
+		"rejoined", []LifecycleEvent{Started, EnterLameDuck, Rejoin},
+		lifecycleState{"serving", true, true, true, true, []bool{true, true, true}},
+	},
+	{
+		"started again changes nothing", []LifecycleEvent{Started, EnterLameDuck, Started},
+		lifecycleState{"lame-duck", false, true, false, true, []bool{true, true, true}},
+	},
+	{
+		"terminated", []LifecycleEvent{Started, Terminate},
+		lifecycleState{"stopping", false, false, true, true, []bool{true, true}},
+	},
+	{
+		"closing", []LifecycleEvent{Started, Terminate, Close},
+		lifecycleState{"closing", false, false, false, false, []bool{true, true, true}},
+	},
+	{
+		"closing refuses the rest",
+		[]LifecycleEvent{Started, Terminate, Close, Rejoin, EnterLameDuck, Terminate},
+		lifecycleState{"closing", false, false, false, false, []bool{true, true, true, false, false, false}},
+	},
+	{
+		"no way back from stopping", []LifecycleEvent{Started, Terminate, Rejoin, EnterLameDuck, Started},
+		lifecycleState{"stopping", false, false, true, true, []bool{true, true, false, false, false}},
+	},
+	{
+		"terminated while lame", []LifecycleEvent{Started, EnterLameDuck, Terminate},
+		lifecycleState{"stopping", false, false, true, true, []bool{true, true, true}},
+	},
+}
+
+// TestLifecycle applies sequences of events and checks what the process then says.
 func TestLifecycle(t *testing.T) {
-	type said struct {
-		Phase                       string
-		Ready, Alive, Open, Accepts bool
-		Taken                       []bool
-	}
-	for _, c := range []struct {
-		name   string
-		events []LifecycleEvent
-		want   said
-	}{
-		{"new", nil, said{"starting", false, false, true, true, nil}},
-		{"started", []LifecycleEvent{Started}, said{"serving", true, true, true, true, []bool{true}}},
-		{"rejoin before serving is refused", []LifecycleEvent{Rejoin}, said{"starting", false, false, true, true, []bool{false}}},
-		{"lame duck", []LifecycleEvent{Started, EnterLameDuck}, said{"lame-duck", false, true, false, true, []bool{true, true}}},
-		{"lame duck twice", []LifecycleEvent{Started, EnterLameDuck, EnterLameDuck}, said{"lame-duck", false, true, false, true, []bool{true, true, true}}},
-		{"rejoined", []LifecycleEvent{Started, EnterLameDuck, Rejoin}, said{"serving", true, true, true, true, []bool{true, true, true}}},
-		{"started again changes nothing", []LifecycleEvent{Started, EnterLameDuck, Started}, said{"lame-duck", false, true, false, true, []bool{true, true, true}}},
-		{"terminated", []LifecycleEvent{Started, Terminate}, said{"stopping", false, false, true, true, []bool{true, true}}},
-		{"closing", []LifecycleEvent{Started, Terminate, Close}, said{"closing", false, false, false, false, []bool{true, true, true}}},
-		{"closing refuses the rest", []LifecycleEvent{Started, Terminate, Close, Rejoin, EnterLameDuck, Terminate}, said{"closing", false, false, false, false, []bool{true, true, true, false, false, false}}},
-		{"no way back from stopping", []LifecycleEvent{Started, Terminate, Rejoin, EnterLameDuck, Started}, said{"stopping", false, false, true, true, []bool{true, true, false, false, false}}},
-		{"terminated while lame", []LifecycleEvent{Started, EnterLameDuck, Terminate}, said{"stopping", false, false, true, true, []bool{true, true, true}}},
-	} {
+	for _, c := range lifecycleCases {
 		t.Run(c.name, func(t *testing.T) {
 			var l Lifecycle
-			got := said{}
+			got := lifecycleState{}
 			for _, e := range c.events {
 				got.Taken = append(got.Taken, l.Handle(e))
 			}
-			got.Phase, got.Ready, got.Alive, got.Open, got.Accepts = l.Phase().String(), l.Ready(), l.Phase().Alive(), l.KeepOpen(), l.Accepts()
+			got.Phase, got.Ready, got.Alive = l.Phase().String(), l.Ready(), l.Phase().Alive()
+			got.Open, got.Accepts = l.KeepOpen(), l.Accepts()
 			if d := cmp.Diff(c.want, got); d != "" {
 				t.Errorf("(-want +got)\n%s", d)
 			}
--- a/internal/decision/pair_counters_test.go
+++ b/internal/decision/pair_counters_test.go
@@ -12,47 +12,48 @@
 	"mulleinrouter/internal/cluster/quota"
 )
 
-// quotaWorld plays gateways that count in pairs round one keeper, in fake time, and counts what they let through.
+// quotaWorld simulates gateways that count in pairs round one counter owner, in fake time, and counts what
+// they let through.
 type quotaWorld struct {
-	rng    *rand.Rand
-	keeper *quota.CounterTable
-	nodes  []*quotaNode
-	now    float64
-	id     uint64
-	ran    []float64 // when requests were sent on
-	plan   Plan
-	lost   float64 // share of the keeper's calls that are lost
-	deaf   string  // the tenant whose calls are lost, all of them
+	rng        *rand.Rand
+	counters   *quota.CounterTable
+	nodes      []*quotaNode
+	now        float64
+	id         uint64
+	admittedAt []float64 // when requests were forwarded
+	plan       Plan
+	lostShare  float64 // share of the counter owner's calls that are lost
+	lostTenant string  // the tenant whose calls are lost, all of them
 
 	tenants int // over one: the requests are those of so many, each with the plan
 }
 
 type quotaNode struct {
-	g        *Gateway
-	name     string
-	rate     float64 // requests a second that come to it
-	cut      bool    // it does not reach the keeper
-	from     float64 // it is down until then
-	stall    float64 // it stands still until then, and what has come meanwhile waits
-	queue    []Request
-	tick     float64
-	asked    int
-	refused  int
-	lastLife int
-	lost     []lostCall
+	g            *Gateway
+	name         string
+	rate         float64 // requests a second that come to it
+	partitioned  bool    // it does not reach the counter owner
+	downUntil    float64 // it is down until then
+	stalledUntil float64 // it stands still until then, and what has come meanwhile waits
+	queue        []Request
+	nextTick     float64
+	requests     int
+	rejections   int
+	incarnation  int
+	lostCalls    []lostCall
 }
 
-// lostCall is one that nobody answers: the agent tells so after it has tried two keepers.
+// lostCall is one that nobody answers: the agent tells so after it has tried two counter owners.
 type lostCall struct {
 	at   float64
 	name string
 }
 
-const givenUp = 0.32 // s
+const lostCallTimeout = 0.32 // s
 
 func newQuotaWorld(seed uint64, nodes int, plan Plan, rates func(i int) float64) *quotaWorld {
-	w := &quotaWorld{rng: rand.New(rand.NewPCG(seed, 9)), keeper: quota.New(), plan: plan, now: 100}
-	w.keeper.SetMembers(0, []string{"k"}, "k", true)
+	w := &quotaWorld{rng: rand.New(rand.NewPCG(seed, 9)), counters: quota.New(), plan: plan, now: 100}
+	w.counters.SetMembers(0, []string{"k"}, "k", true)
 	for i := range nodes {
 		n := &quotaNode{name: strconv.Itoa(i), rate: rates(i)}
 		w.nodes = append(w.nodes, n)
@@ -62,11 +63,20 @@
 }
 
 func (w *quotaWorld) start(n *quotaNode) {
-	n.lastLife++
-	n.lost = nil
-	n.g = New(Settings{Gateways: len(w.nodes), HasCounter: true, CounterTimeout: 0.35, PairCounters: true, CounterCycle: 1, CapacityInSlots: true, MaxAttempts: 1,
-		MayRetryAfter: true, MaxRetryAfter: 1}, w.rng.Uint64())
-	n.tick = w.now + 0.05*w.rng.Float64()
+	n.incarnation++
+	n.lostCalls = nil
+	n.g = New(Settings{
+		Gateways:        len(w.nodes),
+		HasCounter:      true,
+		CounterTimeout:  0.35,
+		PairCounters:    true,
+		CounterCycle:    1,
+		CapacityInSlots: true,
+		MaxAttempts:     1,
+		MayRetryAfter:   true,
+		MaxRetryAfter:   1,
+	}, w.rng.Uint64())
+	n.nextTick = w.now + 0.05*w.rng.Float64()
 	w.handle(n, Start{})
 	w.handle(n, Backends{List: []Backend{{ID: "s", Serving: true, Size: 1e3}}})
 }
@@ -75,61 +85,76 @@
 	for _, a := range n.g.Handle(w.now, e) {
 		switch a := a.(type) {
 		case Send:
-			w.ran = append(w.ran, w.now)
-			w.handle(n, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Succeeded, Duration: 0.01, Answered: true})
+			w.admittedAt = append(w.admittedAt, w.now)
+			w.handle(n, AttemptEnded{
+				ID: a.ID, Backend: a.Backend, Outcome: Succeeded, Duration: 0.01, Answered: true,
+			})
 		case Reject:
-			n.refused++
+			n.rejections++
 		case CounterCall:
 			c := CounterReply{Name: a.Name, Outcome: Failed}
-			if !n.cut && w.rng.Float64() >= w.lost && (w.deaf == "" || a.Customer != w.deaf) {
+			targeted := w.lostTenant != "" && a.Customer == w.lostTenant
+			lost := n.partitioned || w.rng.Float64() < w.lostShare || targeted
+			if !lost {
 				holder := n.name
 				if a.PerRequest {
-					holder += "#" + strconv.Itoa(n.lastLife)
+					holder += "#" + strconv.Itoa(n.incarnation)
 				}
 				w.id++
-				total := w.keeper.Add(w.now, &quota.Report{Name: a.Customer, Cycle: a.Cycle, Reporter: holder, Amount: a.Add, ReadOnly: a.Add == 0,
-					PerRequest: a.PerRequest, Serial: w.id, Retention: a.Retention})
+				total := w.counters.Add(w.now, &quota.Report{
+					Name:       a.Customer,
+					Cycle:      a.Cycle,
+					Reporter:   holder,
+					Amount:     a.Add,
+					ReadOnly:   a.Add == 0,
+					PerRequest: a.PerRequest,
+					Serial:     w.id,
+					Retention:  a.Retention,
+				})
 				if c.Outcome, c.Holders = Failed, total.Reporters; total.OK {
 					c.Outcome, c.Total = Succeeded, total.Sum
 				}
 				defer w.handle(n, c)
 				continue
 			}
-			n.lost = append(n.lost, lostCall{w.now + givenUp, a.Name})
+			n.lostCalls = append(n.lostCalls, lostCall{w.now + lostCallTimeout, a.Name})
 		}
 	}
 }
 
-// run plays a span in steps of a millisecond; what comes is Poisson.
+// run simulates a span in steps of a millisecond; what comes is Poisson.
 func (w *quotaWorld) run(span float64, each func()) {
 	for end := w.now + span; w.now < end; w.now += 0.001 {
 		for _, n := range w.nodes {
-			if w.now < n.from {
+			if w.now < n.downUntil {
 				continue
 			}
-			if n.from > 0 {
-				n.from = 0
+			if n.downUntil > 0 {
+				n.downUntil = 0
 				w.start(n)
 			}
 			if w.rng.Float64() < n.rate*0.001 {
 				w.id++
-				n.asked++
+				n.requests++
 				tenant := "t"
 				if w.tenants > 1 {
 					tenant += strconv.Itoa(w.rng.IntN(w.tenants))
 				}
-				n.queue = append(n.queue, Request{ID: w.id, Class: "c", Customer: tenant, TimeLeft: 1, Units: 1, Gateways: len(w.nodes), Terms: &Terms{Plan: w.plan, Tag: "1"}})
+				n.queue = append(n.queue, Request{
+					ID: w.id, Class: "c", Customer: tenant, TimeLeft: 1, Units: 1, Gateways: len(w.nodes),
+					Terms: &Terms{Plan: w.plan, Tag: "1"},
+				})
 			}
-			if w.now < n.stall {
+			if w.now < n.stalledUntil {
 				continue
 			}
-			if w.now >= n.tick {
-				n.tick = max(n.tick+tickInterval, w.now)
+			if w.now >= n.nextTick {
+				n.nextTick = max(n.nextTick+tickInterval, w.now)
 				w.handle(n, Timer{"tick"})
 			}
-			for len(n.lost) > 0 && n.lost[0].at <= w.now {
-				name := n.lost[0].name
-				n.lost = n.lost[1:]
+			for len(n.lostCalls) > 0 && n.lostCalls[0].at <= w.now {
+				name := n.lostCalls[0].name
+				n.lostCalls = n.lostCalls[1:]
 				w.handle(n, CounterReply{Name: name, Outcome: Failed})
 			}
 			for _, r := range n.queue {
@@ -144,10 +169,10 @@
 }
 
 // most is the most that ran in any window of so long.
-func (w *quotaWorld) most(window float64) (most int) {
+func (w *quotaWorld) maxAdmitted(window float64) (most int) {
 	first := 0
-	for i, at := range w.ran {
-		for w.ran[first] <= at-window {
+	for i, at := range w.admittedAt {
+		for w.admittedAt[first] <= at-window {
 			first++
 		}
 		most = max(most, i-first+1)
@@ -156,10 +181,25 @@
 }
 
 // allowed is the rule QUOTA of the bench: the quota over the window and its burst, a tenth more, and twenty.
-func allowed(p Plan) int { return int((p.Rate*5+p.Burst)*1.1) + 20 }
+func maxAllowed(p Plan) int { return int((p.Rate*5+p.Burst)*1.1) + 20 }
 
-// TestQuotaHoldsOverAllGateways has a tenant ask eight times its usual, unevenly, while gateways are cut off from the keeper, killed and back,
-// and calls are lost: what runs in any five seconds stays within the rule, and a tenant within its quota is hardly refused.
+// servedDuring runs a span and returns which share of the requests in it was served, and how many came.
+func (w *quotaWorld) servedDuring(span float64) (served float64, requests int) {
+	for _, n := range w.nodes {
+		n.requests, n.rejections = 0, 0
+	}
+	w.run(span, nil)
+	rejections := 0
+	for _, n := range w.nodes {
+		requests += n.requests
+		rejections += n.rejections
+	}
+	return 1 - float64(rejections)/float64(max(1, requests)), requests
+}
+
+// TestQuotaHoldsOverAllGateways has a tenant ask eight times its usual, unevenly, while gateways are
+// partitioned from the counter owner, killed and back, and calls are lost: what runs in any five seconds
+// stays within the rule, and a tenant within its quota is hardly rejected.
 func TestQuotaHoldsOverAllGateways(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -178,18 +218,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			for seed := range uint64(5) {
-				w := newQuotaWorld(seed, c.nodes, c.plan, func(i int) float64 { return c.calm * c.plan.Rate / float64(c.nodes) * (0.5 + float64(i%3)*0.5) })
-				w.lost = c.lost
+				w := newQuotaWorld(
+					seed, c.nodes, c.plan,
+					func(i int) float64 {
+						return c.calm * c.plan.Rate / float64(c.nodes) * (0.5 + float64(i%3)*0.5)
+					},
+				)
+				w.lostShare = c.lost
 				w.run(8, nil) // it begins from nothing
-				asked, refused := 0, 0
-				for _, n := range w.nodes {
-					n.asked, n.refused = 0, 0
-				}
-				w.run(20, nil)
-				for _, n := range w.nodes {
-					asked, refused = asked+n.asked, refused+n.refused
-				}
-				if served := 1 - float64(refused)/float64(max(1, asked)); served < c.least {
+				served, asked := w.servedDuring(20)
+				if served < c.least {
 					t.Errorf("seed %d: %.3f of %d calm requests let through", seed, served, asked)
 				}
 				for _, n := range w.nodes {
@@ -200,26 +238,27 @@
 					switch {
 					case c.nodes < 3:
 					case i%4 == 1:
-						n.cut = true
+						n.partitioned = true
 					case i%2 == 0:
-						n.from = w.now + 2.2 + w.rng.Float64()
+						n.downUntil = w.now + 2.2 + w.rng.Float64()
 					}
 				}
 				w.run(6, nil)
 				for _, n := range w.nodes {
-					n.cut = false
+					n.partitioned = false
 				}
 				w.run(5, nil)
-				is.True(len(w.ran) > 0)
-				if most := w.most(5); most > allowed(c.plan) {
-					t.Errorf("seed %d: %d ran in five seconds, %d may", seed, most, allowed(c.plan))
+				is.True(len(w.admittedAt) > 0)
+				if most := w.maxAdmitted(5); most > maxAllowed(c.plan) {
+					t.Errorf("seed %d: %d ran in five seconds, %d may", seed, most, maxAllowed(c.plan))
 				}
 			}
 		})
 	}
 }
 
-// TestSlicesAddUpToTheQuota compares the slices after a calm while with the plain model: every slice is r + (Q-R)/k, and together they are Q.
+// TestSlicesAddUpToTheQuota compares the slices after a calm while with the plain model: every slice is r +
+// (Q-R)/k, and together they are Q.
 func TestSlicesAddUpToTheQuota(t *testing.T) {
 	is := is.New(t)
 	plan := Plan{Rate: 200, Burst: 200, ValueWeight: 1}
@@ -237,16 +276,16 @@
 		return int(a.g.customers["t"].bucket.slice - b.g.customers["t"].bucket.slice)
 	})
 	is.True(largest.rate >= 29) // the slice follows what is asked
-	w.nodes[0].cut = true
+	w.nodes[0].partitioned = true
 	w.run(4, nil)
 	if c := w.nodes[0].g.customers["t"]; w.nodes[0].g.effectiveSlice(c) > quietFraction*plan.Rate/7+1e-9 {
 		t.Errorf("cut off, it goes on with %.1f", w.nodes[0].g.effectiveSlice(c))
 	}
 }
 
-// TestSlicesStayWhileAKeeperChanges has a keeper go and another take over under its fence while a tenant rushes: what runs stays within
-// the rule, and the quota goes on being served.
-func TestSlicesStayWhileAKeeperChanges(t *testing.T) {
+// TestSlicesStayWhileACounterOwnerChanges has a counter owner go and another take over under its fence while
+// a tenant rushes: what runs stays within the rule, and the quota goes on being served.
+func TestSlicesStayWhileACounterOwnerChanges(t *testing.T) {
 	plan := Plan{Rate: 122, Burst: 122, ValueWeight: 1}
 	w := newQuotaWorld(4, 11, plan, func(i int) float64 { return 4 + float64(i%3)*4 })
 	w.run(10, nil)
@@ -254,57 +293,69 @@
 		n.rate *= 8
 	}
 	w.run(3, nil)
-	w.keeper = quota.New() // another one, that knows nothing
-	from := len(w.ran)
+	w.counters = quota.New() // another one, that knows nothing
+	from := len(w.admittedAt)
 	for _, n := range w.nodes {
-		n.cut = true // until the one before is missed
+		n.partitioned = true // until the one before is missed
 	}
 	w.run(1.5, nil)
 	for _, n := range w.nodes {
-		n.cut = false
+		n.partitioned = false
 	}
-	w.keeper.SetMembers(w.now, []string{"k"}, "k", true)
+	w.counters.SetMembers(w.now, []string{"k"}, "k", true)
 	w.run(4.5, nil)
-	if served := float64(len(w.ran)-from) / (6 * plan.Rate); served < 0.9 {
+	if served := float64(len(w.admittedAt)-from) / (6 * plan.Rate); served < 0.9 {
 		t.Errorf("%.2f of the quota ran while the keeper changed", served)
 	}
-	if most := w.most(5); most > allowed(plan) {
-		t.Errorf("%d ran in five seconds, %d may", most, allowed(plan))
+	if most := w.maxAdmitted(5); most > maxAllowed(plan) {
+		t.Errorf("%d ran in five seconds, %d may", most, maxAllowed(plan))
 	}
 }
 
-// TestLateKeeperCostsNothingInsideTheQuota has the keeper out of reach of all gateways for a while, or one gateway stand still with what comes
-// to it, while six tenants ask what is well within their quotas: hardly anything is refused. (150, 583 and 9 of some 6,000 were, where a keeper
-// that was late for 1.5, 2.5 and 0.5 s had reports left out for a second more, and then the stores cut at once.)
-func TestLateKeeperCostsNothingInsideTheQuota(t *testing.T) {
+// TestLateCounterOwnerCostsNothingWithinTheQuota has the counter owner out of reach of all gateways for a
+// while, or one gateway stand still with what comes to it, while six tenants ask what is well within their
+// quotas: hardly anything is rejected. (150, 583 and 9 of some 6,000 were, where a counter owner that was
+// late for 1.5, 2.5 and 0.5 s had reports left out for a second more, and then the buckets cut at once.)
+func TestLateCounterOwnerCostsNothingWithinTheQuota(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		span  float64
 		stall bool
-		most  float64 // share of all that is refused
+		most  float64 // share of all that is rejected
 	}{
-		{"late", 0.3, false, 0.001}, {"late", 0.5, false, 0.001}, {"late", 1, false, 0.001}, {"late", 1.5, false, 0.002}, {"late", 2.5, false, 0.008},
-		{"still", 0.3, true, 0.001}, {"still", 0.5, true, 0.001}, {"still", 1, true, 0.001}, {"still", 1.5, true, 0.003},
+		{
+			"late", 0.3, false, 0.001,
+		}, {
+			"late", 0.5, false, 0.001,
+		}, {"late", 1, false, 0.001}, {"late", 1.5, false, 0.002}, {"late", 2.5, false, 0.008},
+		{
+			"still", 0.3, true, 0.001,
+		}, {"still", 0.5, true, 0.001}, {"still", 1, true, 0.001}, {"still", 1.5, true, 0.003},
 	} {
 		asked, refused := 0, 0
 		for seed := range uint64(6) {
 			plan := Plan{Rate: 50, Burst: 50, ValueWeight: 1}
-			w := newQuotaWorld(seed, 3, plan, func(i int) float64 { return 6 * 0.62 * plan.Rate / 3 * (0.5 + float64(i%3)*0.5) })
+			w := newQuotaWorld(
+				seed, 3, plan,
+				func(i int) float64 {
+					return 6 * 0.62 * plan.Rate / 3 * (0.5 + float64(i%3)*0.5)
+				},
+			)
 			w.tenants = 6
 			w.run(8, nil) // it begins from nothing
 			for i, n := range w.nodes {
-				n.asked, n.refused, n.cut = 0, 0, !c.stall
+				n.requests, n.rejections, n.partitioned = 0, 0, !c.stall
 				if c.stall && i == 0 {
-					n.stall = w.now + c.span
+					n.stalledUntil = w.now + c.span
 				}
 			}
 			w.run(c.span, nil)
 			for _, n := range w.nodes {
-				n.cut = false
+				n.partitioned = false
 			}
 			w.run(4, nil)
 			for _, n := range w.nodes {
-				asked, refused = asked+n.asked, refused+n.refused
+				asked, refused = asked+n.requests, refused+n.rejections
 			}
 		}
 		if share := float64(refused) / float64(asked); share > c.most {
@@ -313,17 +364,23 @@
 	}
 }
 
-// TestStoresThatStayPassNoQuota has a tenant that asked little, so that all stores are full, rush twentyfold some time after every second or
-// third gateway was cut off from the keeper: what runs in any five seconds stays within the rule.
-func TestStoresThatStayPassNoQuota(t *testing.T) {
+// TestRetainedBucketsPassNoQuota has a tenant that asked little, so that all buckets are full, rush
+// twentyfold some time after every second or third gateway was partitioned from the counter owner: what runs
+// in any five seconds stays within the rule.
+func TestRetainedBucketsPassNoQuota(t *testing.T) {
 	for _, nodes := range []int{3, 11} {
 		for _, part := range []int{2, 3} {
 			for _, gap := range []float64{0, 2, 2.6, 3.2, 4} {
 				plan := Plan{Rate: 122, Burst: 122, ValueWeight: 1}
-				w := newQuotaWorld(uint64(part), nodes, plan, func(i int) float64 { return 0.3 * plan.Rate / float64(nodes) * (0.5 + float64(i%3)*0.5) })
+				w := newQuotaWorld(
+					uint64(part), nodes, plan,
+					func(i int) float64 {
+						return 0.3 * plan.Rate / float64(nodes) * (0.5 + float64(i%3)*0.5)
+					},
+				)
 				w.run(14, nil)
 				for i, n := range w.nodes {
-					n.cut = i%part == 0
+					n.partitioned = i%part == 0
 				}
 				w.run(gap, nil)
 				for _, n := range w.nodes {
@@ -331,11 +388,14 @@
 				}
 				w.run(4, nil)
 				for _, n := range w.nodes {
-					n.cut = false
+					n.partitioned = false
 				}
 				w.run(4, nil)
-				if most := w.most(5); most > allowed(plan) {
-					t.Errorf("%d gateways, one of %d cut, a rush %.1f s later: %d ran in five seconds, %d may", nodes, part, gap, most, allowed(plan))
+				if most := w.maxAdmitted(5); most > maxAllowed(plan) {
+					t.Errorf(
+						"%d gateways, one of %d cut, a rush %.1f s later: %d ran in five seconds, %d may",
+						nodes, part, gap, most, maxAllowed(plan),
+					)
 				}
 			}
 		}
--- a/internal/decision/plans_test.go
+++ b/internal/decision/plans_test.go
@@ -8,41 +8,45 @@
 	"testing"
 )
 
-// member is some gateways around one counter, and one customer who asks at all of them. Each goes by the terms
-// that it has heard of.
-type member struct {
-	t        *testing.T
-	gateways []*Gateway
-	terms    []*Terms
-	m        counter
-	silent   bool // the counter is
-	now      Seconds
-	owed     []float64 // units asked for and not yet sent as a request, by gateway
-	sent     float64
-	answers  map[uint64]int
-	id       uint64
-	doors    int // 0: as many as there are gateways
+// customer is some gateways around one counter, and one customer who asks at all of them. Each goes by the
+// terms that it has received.
+type customerFleet struct {
+	t                *testing.T
+	gateways         []*Gateway
+	terms            []*Terms
+	counter          packedCounter
+	counterSilent    bool // the counter is
+	now              Seconds
+	pendingUnits     []float64 // units asked for and not yet sent as a request, by gateway
+	sent             float64
+	answers          map[uint64]int
+	id               uint64
+	customerGateways int // 0: as many as there are gateways
 }
 
-func newMember(t *testing.T, n int, terms *Terms) *member {
-	f := &member{t: t, m: counter{}, now: 100, owed: make([]float64, n), answers: map[uint64]int{}}
+func newCustomerFleet(t *testing.T, n int, terms *Terms) *customerFleet {
+	f := &customerFleet{
+		t: t, counter: packedCounter{}, now: 100, pendingUnits: make([]float64, n), answers: map[uint64]int{},
+	}
 	s := testSettings()
 	s.Gateways = n
 	for i := range n {
 		g := New(s, uint64(i+1))
 		g.Handle(f.now, Start{})
-		g.Handle(f.now, Backends{Complete: true, List: []Backend{up("x", 0), up("y", 0)}})
+		g.Handle(
+			f.now, Backends{Complete: true, List: []Backend{servingBackend("x", 0), servingBackend("y", 0)}},
+		)
 		f.gateways, f.terms = append(f.gateways, g), append(f.terms, terms)
 	}
 	return f
 }
 
 // handle carries out all that a gateway asks for, at once.
-func (f *member) handle(g *Gateway, e Event) {
+func (f *customerFleet) handle(g *Gateway, e Event) {
 	for _, a := range g.Handle(f.now, e) {
 		switch a := a.(type) {
 		case CounterCall:
-			if told := f.m.add(a); f.silent {
+			if told := f.counter.add(a); f.counterSilent {
 				f.handle(g, CounterReply{Name: a.Name, Outcome: TimedOut})
 			} else {
 				f.handle(g, told)
@@ -50,19 +54,21 @@
 		case Send:
 			f.sent++
 			f.answers[a.ID]++
-			f.handle(g, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Succeeded, Answered: true, Duration: 0.01})
+			f.handle(g, AttemptEnded{
+				ID: a.ID, Backend: a.Backend, Outcome: Succeeded, Answered: true, Duration: 0.01,
+			})
 		case Reject:
 			f.answers[a.ID]++
 		}
 	}
 }
 
-// play lets time pass, with so many units a second asked at each gateway, and looks after each tick.
-func (f *member) play(seconds float64, demand []float64, look func()) {
+// simulate lets time pass, with so many units a second asked at each gateway, and looks after each tick.
+func (f *customerFleet) run(seconds float64, demand []float64, look func()) {
 	for end := f.now + seconds; f.now < end; f.now += tickInterval {
 		for i, g := range f.gateways {
 			f.handle(g, Timer{"tick"})
-			for f.owed[i] += demand[i] * tickInterval; f.owed[i] >= 1; f.owed[i]-- {
+			for f.pendingUnits[i] += demand[i] * tickInterval; f.pendingUnits[i] >= 1; f.pendingUnits[i]-- {
 				f.ask(i)
 			}
 		}
@@ -72,20 +78,28 @@
 	}
 }
 
-func (f *member) ask(i int) {
+func (f *customerFleet) ask(i int) {
 	f.id++
-	f.handle(f.gateways[i], Request{ID: f.id, Class: "safe", Plan: "rate", Customer: "c", TimeLeft: 3, Units: 1,
-		Gateways: cmp.Or(f.doors, len(f.gateways)), Terms: f.terms[i]})
+	f.handle(f.gateways[i], Request{
+		ID:       f.id,
+		Class:    "safe",
+		Plan:     "rate",
+		Customer: "c",
+		TimeLeft: 3,
+		Units:    1,
+		Gateways: cmp.Or(f.customerGateways, len(f.gateways)),
+		Terms:    f.terms[i],
+	})
 }
 
-func (f *member) change(i int, t *Terms) {
+func (f *customerFleet) changeTerms(i int, t *Terms) {
 	f.terms[i] = t
 	e := *t
 	e.Customer = "c"
 	f.handle(f.gateways[i], e)
 }
 
-func (f *member) slices() (sum float64) {
+func (f *customerFleet) slices() (sum float64) {
 	for _, g := range f.gateways {
 		sum += g.customers["c"].bucket.slice
 	}
@@ -97,9 +111,9 @@
 	return &Terms{Plan: p, Tag: p.Tag()}
 }
 
-// A change that reaches three gateways apart from each other. Slices never sum to more than the larger quota while
-// they differ, and to the new one from two cycles after the last has heard.
-func TestChangeHeardAtDifferentTimes(t *testing.T) {
+// A change that reaches three gateways apart from each other. Slices never sum to more than the larger quota
+// while they differ, and to the new one from two cycles after the last has heard.
+func TestTermsChangeReceivedAtDifferentTimes(t *testing.T) {
 	demands := map[string][]float64{"over": {90, 60, 30}, "between": {30, 25, 20}, "uneven": {100, 15, 22}}
 	for name, demand := range demands {
 		for _, to := range []float64{100, 30} { // from 60
@@ -107,34 +121,36 @@
 				for _, delays := range [][]float64{{0, 2, 5}, {5, 0, 2}, {0, 0.4, 0.4}, {0, 0, 0}} {
 					t.Run(fmt.Sprintf("%s to %v silent %v %v", name, to, silent, delays), func(t *testing.T) {
 						old, new := terms(60, 120), terms(to, 2*to)
-						f := newMember(t, 3, old)
-						f.play(20, demand, nil)
+						f := newCustomerFleet(t, 3, old)
+						f.run(20, demand, nil)
 						worst, before, begun := 0.0, f.slices(), f.now
 						if f.gateways[0].customers["c"].sparse.active || math.Abs(before-60) > 1.5 {
 							t.Fatalf("slices sum to %v before the change", before)
 						}
-						f.silent = silent
+						f.counterSilent = silent
 						for f.now < begun+6 {
 							for i, d := range delays {
 								if f.terms[i] == old && f.now >= begun+d {
-									f.change(i, new)
+									f.changeTerms(i, new)
 								}
 							}
-							f.play(tickInterval, demand, func() { worst = max(worst, f.slices()) })
+							f.run(tickInterval, demand, func() { worst = max(worst, f.slices()) })
 						}
-						f.silent = false
+						f.counterSilent = false
 						if most := max(60, to) * 1.03; worst > most {
 							t.Errorf("slices summed to %v, %v at most wanted", worst, most)
 						}
-						f.play(2*f.gateways[0].customers["c"].cycle.period+1, demand, nil)
+						f.run(2*f.gateways[0].customers["c"].cycle.period+1, demand, nil)
 						if sum := f.slices(); math.Abs(sum-to) > 0.02*to {
 							t.Errorf("slices sum to %v two cycles after the last has heard, want %v", sum, to)
 						}
 						sent := f.sent
-						f.play(20, demand, nil)
+						f.run(20, demand, nil)
 						least := min(to, demand[0]+demand[1]+demand[2])
 						if used := (f.sent - sent) / 20; used > 1.02*to || used < 0.95*least {
-							t.Errorf("%v units a second used, of a quota of %v and %v asked for", used, to, demand)
+							t.Errorf(
+								"%v units a second used, of a quota of %v and %v asked for", used, to, demand,
+							)
 						}
 					})
 				}
@@ -143,57 +159,66 @@
 	}
 }
 
-// One gateway never hears. For three cycles slices stay under the larger quota; then either side is pinned to its own.
-func TestChangeNeverHeardAtOneGateway(t *testing.T) {
+// One gateway never hears. For three cycles slices stay under the larger quota; then either side is pinned to
+// its own.
+func TestTermsChangeNeverReceivedAtOneGateway(t *testing.T) {
 	for _, to := range []float64{100, 30} {
 		old, new := terms(60, 120), terms(to, 2*to)
-		f := newMember(t, 3, old)
+		f := newCustomerFleet(t, 3, old)
 		demand := []float64{90, 60, 70}
-		f.play(20, demand, nil)
-		f.change(0, new)
-		f.change(1, new)
+		f.run(20, demand, nil)
+		f.changeTerms(0, new)
+		f.changeTerms(1, new)
 		soon, late := 0.0, 0.0
-		f.play(3*f.gateways[0].customers["c"].cycle.period-0.5, demand, func() { soon = max(soon, f.slices()) })
-		f.play(40, demand, func() { late = max(late, f.slices()) })
+		f.run(
+			3*f.gateways[0].customers["c"].cycle.period-0.5, demand, func() { soon = max(soon, f.slices()) },
+		)
+		f.run(40, demand, func() { late = max(late, f.slices()) })
 		if soon > 1.03*max(60, to) || late > 1.03*(60+to) {
 			t.Errorf("to %v: slices summed to %v, then to %v", to, soon, late)
 		}
 	}
 }
 
-func TestCustomerThatComesAsTheChangeDoes(t *testing.T) { // first request and change in one cycle
-	f := newMember(t, 3, terms(60, 120))
+func TestCustomerArrivesWithATermsChange(t *testing.T) { // first request and change in one cycle
+	f := newCustomerFleet(t, 3, terms(60, 120))
 	f.ask(0)
 	f.now += 0.1
 	for i := range f.gateways {
-		f.change(i, terms(30, 60)) // two of them do not know the customer yet
+		f.changeTerms(i, terms(30, 60)) // two of them do not know the customer yet
 	}
 	if f.gateways[1].customers["c"] != nil {
 		t.Error("a customer is kept that never asked")
 	}
-	f.play(20, []float64{40, 40, 40}, nil)
+	f.run(20, []float64{40, 40, 40}, nil)
 	if sum := f.slices(); math.Abs(sum-30) > 0.6 {
 		t.Errorf("slices sum to %v, not 30", sum)
 	}
 }
 
-// However a member goes back and forth, it gets no more through than on the better plan all the time.
-func TestBackAndForthGainsNothing(t *testing.T) {
+// However a customer goes back and forth, it gets no more through than on the better plan all the time.
+func TestChangingTermsBackAndForthGainsNothing(t *testing.T) {
 	small := Plan{Rate: 10, Burst: 20, ValueWeight: 1, ExcessCost: 1}
 	large := Plan{Rate: 30, Burst: 40, ValueWeight: 1, ExcessCost: 1}
-	ceiling := Plan{Rate: 10, Burst: 20, ValueWeight: 1, ExcessValue: 1, LimitRate: 25, LimitBurst: 40, LimitSlack: 4}
-	lower := Plan{Rate: 5, Burst: 10, ValueWeight: 1, ExcessValue: 1, LimitRate: 12, LimitBurst: 20, LimitSlack: 2}
+	ceiling := Plan{
+		Rate: 10, Burst: 20, ValueWeight: 1, ExcessValue: 1, LimitRate: 25, LimitBurst: 40, LimitSlack: 4,
+	}
+	lower := Plan{
+		Rate: 5, Burst: 10, ValueWeight: 1, ExcessValue: 1, LimitRate: 12, LimitBurst: 20, LimitSlack: 2,
+	}
 	sent := func(every float64, plans ...Plan) float64 {
-		g := started(t, testSettings(), up("x", 0), up("y", 0))
+		g := startedGateway(t, testSettings(), servingBackend("x", 0), servingBackend("y", 0))
 		n, id := 0.0, uint64(0)
 		for now := 50.0; now < 80; now += 0.01 {
 			p := plans[int(now/every)%len(plans)]
 			id++
-			r := ask(id, "safe", "rate")
+			r := testRequest(id, "safe", "rate")
 			r.Gateways, r.Terms = 1, &Terms{Plan: p, Tag: p.Tag()}
-			for _, s := range of[Send](g.Handle(now, r)) {
+			for _, s := range actionsOf[Send](g.Handle(now, r)) {
 				n++
-				g.Handle(now, AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Succeeded, Answered: true, Duration: 0.001})
+				g.Handle(now, AttemptEnded{
+					ID: s.ID, Backend: s.Backend, Outcome: Succeeded, Answered: true, Duration: 0.001,
+				})
 			}
 		}
 		return n
@@ -206,8 +231,8 @@
 			}
 		}
 	}
-	// Between a plan with a ceiling and one without, what passes is under the ceiling's rate and depth and what the
-	// other plan lets through while it holds.
+	// Between a plan with a rate limit and one without, what passes is under the rate limit's rate and depth
+	// and what the other plan lets through while it holds.
 	for _, every := range []float64{0.1, 0.5, 1, 3} {
 		if got, most := sent(every, ceiling, small), 25.0*30+44+20+10*30; got > most {
 			t.Errorf("%v s with a ceiling and without in turn: %v sent, %v at most", every, got, most)
@@ -215,16 +240,21 @@
 	}
 }
 
-func TestUpgradeKeepsWhatWasHeld(t *testing.T) {
-	plus := Plan{Rate: 30, Burst: 60, ValueWeight: 1, ExcessCost: 1, LimitRate: 60, LimitBurst: 120, LimitSlack: 6}
+func TestUpgradeKeepsTokens(t *testing.T) {
+	plus := Plan{
+		Rate: 30, Burst: 60, ValueWeight: 1, ExcessCost: 1, LimitRate: 60, LimitBurst: 120, LimitSlack: 6,
+	}
 	basic := Plan{Rate: 10, Burst: 20, ValueWeight: 1, ExcessCost: 1}
-	g := started(t, testSettings(), up("x", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x", 0))
 	g.now = 50
 	c := g.customerFor(Request{Customer: "c", Gateways: 1}, &Terms{Plan: basic, Tag: "basic"})
 	c.bucket.refilledAt, c.bucket.tokens = 50, 15
 	g.changeTerms(c, &Terms{Plan: plus, Tag: "plus"})
 	if c.bucket.tokens != 15 || c.limit.tokens < 15 || c.bucket.slice != 30 {
-		t.Errorf("level %v, ceiling %v, slice %v after the upgrade", c.bucket.tokens, c.limit.tokens, c.bucket.slice)
+		t.Errorf(
+			"level %v, ceiling %v, slice %v after the upgrade", c.bucket.tokens, c.limit.tokens,
+			c.bucket.slice,
+		)
 	}
 	c.limit.tokens, c.limit.refilledAt = 100, 50
 	g.changeTerms(c, &Terms{Plan: basic, Tag: "basic"})
@@ -233,47 +263,51 @@
 	}
 }
 
-func TestCeilingLoweredBelowWhatTheStoreHolds(t *testing.T) {
+func TestRateLimitLoweredBelowTokens(t *testing.T) {
 	high := Plan{Rate: 30, Burst: 60, ValueWeight: 1, LimitRate: 60, LimitBurst: 120, LimitSlack: 6}
 	low := Plan{Rate: 5, Burst: 10, ValueWeight: 1, LimitRate: 6, LimitBurst: 12, LimitSlack: 1}
-	g := started(t, testSettings(), up("x", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x", 0))
 	g.now = 50
 	c := g.customerFor(Request{Customer: "c", Gateways: 2}, &Terms{Plan: high, Tag: "high"})
-	c.bucket.tokens, c.bucket.refilledAt, c.limit.tokens, c.limit.refilledAt = -3, 50, 60, 50 // true units were more than guessed: it owes
+	// True units were more than guessed: it owes.
+	c.bucket.tokens, c.bucket.refilledAt, c.limit.tokens, c.limit.refilledAt = -3, 50, 60, 50
 	g.changeTerms(c, &Terms{Plan: low, Tag: "low"})
 	g.refillLimit(c)
 	if c.bucket.tokens != -3 || c.limit.tokens != 0.75*6.5 { // three quarters of it are this gateway's own
-		t.Errorf("level %v, ceiling %v; the debt stays, the ceiling is the new one at once", c.bucket.tokens, c.limit.tokens)
+		t.Errorf(
+			"level %v, ceiling %v; the debt stays, the ceiling is the new one at once", c.bucket.tokens,
+			c.limit.tokens,
+		)
 	}
 }
 
-// Thin customers: each request is a report of its own, and some are out as the change comes. Their use is held by
-// chance, so it is compared with that of a fleet that has been on the new terms all along.
-func TestChangeOfThinCustomers(t *testing.T) {
+// Thin customers: each request is a report of its own, and some are out as the change comes. Their use is
+// held by chance, so it is compared with that of a fleet that has been on the new terms all along.
+func TestTermsChangeOfSparseCustomers(t *testing.T) {
 	const n, seconds = 48, 500
 	demand := make([]float64, n)
 	for i := range demand {
 		demand[i] = 40.0 / n
 	}
 	for _, to := range []float64{20, 5} {
-		always, f := newMember(t, n, terms(to, 2*to)), newMember(t, n, terms(10, 20))
-		f.play(20, demand, nil)
-		always.play(20, demand, nil)
+		always, f := newCustomerFleet(t, n, terms(to, 2*to)), newCustomerFleet(t, n, terms(10, 20))
+		f.run(20, demand, nil)
+		always.run(20, demand, nil)
 		if !f.gateways[0].customers["c"].sparse.active {
 			t.Fatal("not thin")
 		}
 		begun := f.sent
 		for i := range f.gateways { // heard over five seconds
-			f.change(i, terms(to, 2*to))
-			f.play(5.0/n, demand, nil)
+			f.changeTerms(i, terms(to, 2*to))
+			f.run(5.0/n, demand, nil)
 		}
 		if most := 5*(10+to) + 2*max(10, to); f.sent-begun > most {
 			t.Errorf("to %v: %v sent while gateways differ, %v at most", to, f.sent-begun, most)
 		}
-		f.play(2*f.gateways[0].customers["c"].cycle.period, demand, nil)
+		f.run(2*f.gateways[0].customers["c"].cycle.period, demand, nil)
 		sent, control := f.sent, always.sent
-		f.play(seconds, demand, nil)
-		always.play(seconds, demand, nil)
+		f.run(seconds, demand, nil)
+		always.run(seconds, demand, nil)
 		used, want := (f.sent-sent)/seconds, (always.sent-control)/seconds
 		t.Logf("to %v: %v units a second used after the change, %v without one", to, used, want)
 		if math.Abs(used-want) > 0.03*to {
@@ -287,29 +321,35 @@
 	}
 }
 
-func TestRequestThatWaitsForTheCounterAsTheTermsChange(t *testing.T) {
-	g := started(t, testSettings(), up("x", 0))
-	r := ask(1, "safe", "rate")
+func TestTermsChangeDuringACounterCall(t *testing.T) {
+	g := startedGateway(t, testSettings(), servingBackend("x", 0))
+	r := testRequest(1, "safe", "rate")
 	r.Gateways = 50
-	calls := of[CounterCall](g.Handle(1, r))
+	calls := actionsOf[CounterCall](g.Handle(1, r))
 	if len(calls) != 1 {
 		t.Fatalf("%d calls", len(calls))
 	}
-	out := g.Handle(1.01, Terms{Customer: "c", Plan: Plan{Rate: 5000, Burst: 5000, ValueWeight: 1}, Tag: "other"})
+	out := g.Handle(
+		1.01, Terms{Customer: "c", Plan: Plan{Rate: 5000, Burst: 5000, ValueWeight: 1}, Tag: "other"},
+	)
 	out = append(out, g.Handle(1.02, CounterReply{Name: calls[0].Name, Outcome: Succeeded, Total: 1})...)
-	if len(of[Send](out))+len(of[Reject](out)) != 1 {
+	if len(actionsOf[Send](out))+len(actionsOf[Reject](out)) != 1 {
 		t.Errorf("%v: one answer or attempt wanted", out)
 	}
 }
 
-// A member without a quota, one with a limit on attempts and one with a rate, in all orders, by chance.
-func TestChangesAmongAllKindsOfPlans(t *testing.T) {
+// A customer without a quota, one with a limit on attempts and one with a rate, in all orders, by chance.
+func TestTermsChangesAmongAllKindsOfPlans(t *testing.T) {
 	s := testSettings()
-	kinds := []Plan{{ValueWeight: 1}, {MaxInFlight: 3, ValueWeight: 1}, {Rate: 10, Burst: 20, ValueWeight: 1}, {Rate: 5000, Burst: 9000, ValueWeight: 1},
+	kinds := []Plan{{ValueWeight: 1}, {MaxInFlight: 3, ValueWeight: 1}, {
+		Rate: 10, Burst: 20, ValueWeight: 1,
+	}, {
+		Rate: 5000, Burst: 9000, ValueWeight: 1,
+	},
 		{Rate: 10, Burst: 20, ValueWeight: 1, LimitRate: 20, LimitBurst: 40, LimitSlack: 4}}
 	rng := rand.New(rand.NewPCG(5, 5))
-	g := started(t, s, up("x", 0))
-	m, answered, id := counter{}, map[uint64]int{}, uint64(0)
+	g := startedGateway(t, s, servingBackend("x", 0))
+	m, answered, id := packedCounter{}, map[uint64]int{}, uint64(0)
 	var handle func(now Seconds, e Event)
 	handle = func(now Seconds, e Event) {
 		for _, a := range g.Handle(now, e) {
@@ -318,7 +358,9 @@
 				handle(now, m.add(a))
 			case Send:
 				answered[a.ID]++
-				handle(now, AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: Succeeded, Answered: true, Duration: 0.01})
+				handle(now, AttemptEnded{
+					ID: a.ID, Backend: a.Backend, Outcome: Succeeded, Answered: true, Duration: 0.01,
+				})
 			case Reject:
 				answered[a.ID]++
 			}
@@ -332,11 +374,16 @@
 			continue
 		}
 		id++
-		r := ask(id, "safe", "free")
+		r := testRequest(id, "safe", "free")
 		r.Gateways, r.Terms = 8, &Terms{Plan: p, Tag: p.Tag()}
 		handle(now, r)
-		if c := g.customers["c"]; math.IsNaN(c.bucket.tokens+c.bucket.slice+c.limit.tokens+c.sparse.admitRatio+c.sparse.demandShare) || c.bucket.slice < 0 {
-			t.Fatalf("level %v, slice %v, ceiling %v, ratio %v, share %v", c.bucket.tokens, c.bucket.slice, c.limit.tokens, c.sparse.admitRatio, c.sparse.demandShare)
+		if c := g.customers["c"]; math.IsNaN(
+			c.bucket.tokens+c.bucket.slice+c.limit.tokens+c.sparse.admitRatio+c.sparse.demandShare,
+		) || c.bucket.slice < 0 {
+			t.Fatalf(
+				"level %v, slice %v, ceiling %v, ratio %v, share %v", c.bucket.tokens, c.bucket.slice,
+				c.limit.tokens, c.sparse.admitRatio, c.sparse.demandShare,
+			)
 		}
 	}
 	handle(201, Timer{"tick"})
--- a/internal/decision/quota_grants.go
+++ b/internal/decision/quota_grants.go
@@ -1,98 +1,123 @@
 package decision
 
-import (
-	"math"
-	"slices"
-)
+import "math"
 
-// Ingresses that know of each other may share the quotas of their customers among themselves while the counter is not to be trusted
-// (internal/standalone/fleet/quotashare). What this gateway has of each is held here, and goes before what the gateway reckons itself. It is not
-// part of the simulator's policy: there, gateways do not talk.
-
-// QuotaGrant is what this gateway has of a customer's quota, in units a second.
+// QuotaGrant is what this gateway has of a customer's quota, in units a second. It goes before the slice that
+// the gateway computes itself.
+//
+// Ingresses that know of each other divide the quotas of their customers among themselves while the counter
+// is not reliable (internal/standalone/fleet/quotashare). In the simulator gateways do not communicate, so
+// this file is no part of its policy.
 type QuotaGrant struct {
-	Customer   string
-	Rate       float64 // of Scaled: the part of what the gateway reckons itself
-	Less, Keep float64 // of Scaled: what is lent of that; what it has in any case
-	Scaled     bool
+	Customer string
+	Rate     float64 // units a second; of Scaled: the part of what the gateway computes itself
+	Less     float64 // of Scaled: units a second of that which are lent to others
+	Keep     float64 // units a second that it has in any case
+	Scaled   bool
 }
 
-// right is one that is held.
+// grant is a quota grant in force.
 type grant struct {
 	QuotaGrant
-	expiresAt              Seconds
-	appliedSlice, ownSlice float64 // the slice as it was set; as the gateway itself had it
-	limitTransferredAt     Seconds // when the ceiling was last brought up to now
+	expiresAt          Seconds
+	appliedSlice       float64 // the slice as the grant set it
+	ownSlice           float64 // the slice as the gateway computed it
+	limitTransferredAt Seconds // when the rate limit was last brought up to now
+}
+
+// rateAt is what the grant allows at a time, in units a second.
+func (h *grant) rateAt(now Seconds) float64 {
+	switch {
+	case now > h.expiresAt:
+		return h.Keep
+	case h.Scaled:
+		return max(min(h.Keep, h.ownSlice), h.ownSlice*h.Rate-h.Less)
+	}
+	return h.Rate
 }
 
-// SetGrants sets what this gateway has of quotas, in place of all before, until a time: behind it, it has of each what it keeps.
-func (g *Gateway) SetGrants(now Seconds, all []QuotaGrant, until Seconds) {
+// SetGrants sets what this gateway has of quotas, in place of all grants before. After the given time it has
+// of each what it keeps.
+func (g *Gateway) SetGrants(now Seconds, grants []QuotaGrant, until Seconds) {
 	g.now = now
-	was := g.grants
-	g.grants = make(map[string]*grant, len(all))
-	for _, e := range all {
-		if c := g.customers[e.Customer]; c != nil && c.quota > 0 && c.plan.Rate > 0 {
-			h := &grant{QuotaGrant: e, ownSlice: c.bucket.slice, appliedSlice: c.bucket.slice, limitTransferredAt: now}
-			if w := was[e.Customer]; w != nil {
-				h.ownSlice, h.appliedSlice, h.limitTransferredAt = w.ownSlice, w.appliedSlice, w.limitTransferredAt
-			}
-			h.expiresAt = until
-			g.grants[e.Customer] = h
+	previous := g.grants
+	g.grants = make(map[string]*grant, len(grants))
+	for _, e := range grants {
+		c := g.customers[e.Customer]
+		if c == nil || c.quota <= 0 || c.plan.Rate <= 0 {
+			continue
+		}
+		slice := c.bucket.slice
+		h := &grant{
+			QuotaGrant: e, expiresAt: until, ownSlice: slice, appliedSlice: slice, limitTransferredAt: now,
+		}
+		if old := previous[e.Customer]; old != nil {
+			h.ownSlice = old.ownSlice
+			h.appliedSlice = old.appliedSlice
+			h.limitTransferredAt = old.limitTransferredAt
 		}
+		g.grants[e.Customer] = h
 	}
-	for name, w := range was {
+	for name, old := range previous {
 		if c := g.customers[name]; c != nil && g.grants[name] == nil {
-			g.refill(c)
-			if w.Scaled && c.bucket.slice == w.appliedSlice {
-				c.bucket.slice = w.ownSlice
-			}
-			if c.sparse.active {
-				c.cycle.totalAt, c.sparse.demandShare = math.Inf(-1), 1/c.gateways // what was held tells nothing of the others
-			}
+			g.revokeGrant(c, old)
 		}
 	}
 	g.ReapplyGrants(now)
 }
 
-// ReapplyGrants has what is held hold again, behind an event that may have changed it.
+// revokeGrant has a customer's slice be what the gateway computes itself.
+func (g *Gateway) revokeGrant(c *customer, h *grant) {
+	g.refill(c)
+	if h.Scaled && c.bucket.slice == h.appliedSlice {
+		c.bucket.slice = h.ownSlice
+	}
+	if c.sparse.active {
+		c.cycle.totalAt = math.Inf(-1) // the grant tells nothing of the other gateways
+		c.sparse.demandShare = 1 / c.gateways
+	}
+}
+
+// ReapplyGrants puts the grants into force again, after an event that may have changed slices.
 func (g *Gateway) ReapplyGrants(now Seconds) {
 	if len(g.grants) == 0 {
 		return
 	}
 	g.now = now
 	for _, c := range g.customerList {
-		h := g.grants[c.key]
-		if h == nil {
-			continue
-		}
-		if c.bucket.slice != h.appliedSlice {
-			h.ownSlice = c.bucket.slice
-		}
-		rate := h.Rate
-		switch {
-		case now > h.expiresAt:
-			rate = h.Keep
-		case h.Scaled:
-			rate = max(min(h.Keep, h.ownSlice), h.ownSlice*h.Rate-h.Less)
+		if h := g.grants[c.key]; h != nil {
+			g.applyGrant(c, h)
 		}
-		if c.sparse.active {
-			if h.Scaled && now <= h.expiresAt {
-				continue // each request goes by the counter's totals
-			}
-			g.refill(c)
-			c.sparse.demandShare, c.sparse.admitRatio, c.cycle.totalAt = min(1, rate/c.quota), 1, now
-		} else if c.bucket.slice != rate {
-			g.refill(c)
-			c.bucket.slice = rate
-			c.bucket.tokens = min(c.bucket.tokens, g.capacityShare(max(g.minCapacity(c), c.plan.Burst*min(1, rate/c.quota))))
-		}
-		h.appliedSlice = c.bucket.slice
-		g.transferLimit(c, h, rate)
 	}
 }
 
-// whole is what a store holds at the least, however little of the quota is here: one request. Over all gateways that is two bursts at most, or the
-// customer is thin; where counters are pairs only a held customer's does, as those who are cut off would let in what is beyond the rule's slack.
+func (g *Gateway) applyGrant(c *customer, h *grant) {
+	if c.bucket.slice != h.appliedSlice {
+		h.ownSlice = c.bucket.slice
+	}
+	rate := h.rateAt(g.now)
+	part := min(1, rate/c.quota)
+	switch {
+	case c.sparse.active && h.Scaled && g.now <= h.expiresAt:
+		return // each request is decided by the counter's totals
+	case c.sparse.active:
+		g.refill(c)
+		c.sparse.demandShare = part
+		c.sparse.admitRatio = 1
+		c.cycle.totalAt = g.now
+	case c.bucket.slice != rate:
+		g.refill(c)
+		c.bucket.slice = rate
+		capacity := max(g.minCapacity(c), c.plan.Burst*part)
+		c.bucket.tokens = min(c.bucket.tokens, g.capacityShare(capacity))
+	}
+	h.appliedSlice = c.bucket.slice
+	g.transferLimit(c, h, rate)
+}
+
+// minCapacity is what a bucket holds at least, however little of the quota is here: one request. Over all
+// gateways that is two bursts at most, or the customer is sparse. Where counters are pairs only a bucket with
+// a grant has it, as gateways that are partitioned would admit more than the tolerance of the quota's rule.
 func (g *Gateway) minCapacity(c *customer) float64 {
 	switch {
 	case g.grants[c.key] != nil:
@@ -103,39 +128,19 @@
 	return min(c.plan.Burst, g.settings.MaxUnits)
 }
 
-// lendCeiling has the parts of a hard ceiling follow those of the quota: what a gateway has beyond the even part another has less.
+// transferLimit has the parts of a hard rate limit follow those of the quota: what a gateway has beyond the
+// even part, another has less.
 func (g *Gateway) transferLimit(c *customer, h *grant, rate float64) {
-	dt := max(0, g.now-h.limitTransferredAt)
+	elapsed := max(0, g.now-h.limitTransferredAt)
 	h.limitTransferredAt = g.now
 	if c.plan.LimitRate <= 0 || h.Scaled {
 		return
 	}
 	g.refillLimit(c)
-	s := c.plan.limitSplit(c.gateways, g.settings.HasCounter)
-	even, own := c.quota/c.gateways, s.OwnTokens(math.Inf(1), 0, 1) // all that its even part can hold
-	more := rate/even - 1
-	c.limit.tokens = min(own*rate/even, max(0, c.limit.tokens+more*dt*s.Rate*own/(s.Burst+s.Slack)))
+	split := c.plan.limitSplit(c.gateways, g.settings.HasCounter)
+	even := c.quota / c.gateways
+	capacity := split.OwnTokens(math.Inf(1), 0, 1) // of the even part
+	excess := rate/even - 1
+	transferred := excess * elapsed * split.Rate * capacity / (split.Burst + split.Slack)
+	c.limit.tokens = min(capacity*rate/even, max(0, c.limit.tokens+transferred))
 }
-
-// UnhealthyServers names the servers that this gateway itself finds bad: it rests them after failures, or a good part of their answers lately were.
-func (g *Gateway) UnhealthyServers(now Seconds) (all []string) {
-	for b := range g.allBackends() {
-		if b.listed && b.Serving && (b.ejectedUntil > now || b.errorRate > suspectErrorRate) {
-			all = append(all, b.ID)
-		}
-	}
-	slices.Sort(all)
-	return all
-}
-
-// SetSuspects tells of servers that others find bad. One that has answered well here a moment ago is not touched; another has to prove
-// itself, and costs more than those of which nothing is said. Nothing is done to a server that is not on the list.
-func (g *Gateway) SetSuspects(now Seconds, servers []string) {
-	for b := range g.allBackends() {
-		if b.listed && slices.Contains(servers, b.ID) && !(b.healthy && b.failures == 0 && b.recentAnswers >= 1) {
-			b.healthy, b.errorRate = false, max(b.errorRate, suspectErrorRate)
-		}
-	}
-}
-
-const suspectErrorRate = 0.3 // of the answers lately, by weight
--- a/internal/decision/reconfigure_test.go
+++ b/internal/decision/reconfigure_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestRetuneKeepsOpenRequestsClass: a request in hand keeps the class it began with when the classes change under it,
-// and a request that comes later is decided by the new class.
-func TestRetuneKeepsOpenRequestsClass(t *testing.T) {
+// TestReconfigureKeepsTheClassOfPendingRequests: a request in hand keeps the class it began with when the
+// classes change under it, and a request that comes later is decided by the new class.
+func TestReconfigureKeepsTheClassOfPendingRequests(t *testing.T) {
 	s := Settings{Gateways: 1, MaxAttempts: 4, SlowStartTime: 1,
 		Classes: []Class{{Name: "c", LatencyTarget: 1, Deadline: 3, Value: 1, Effect: Idempotent}},
 		Plans:   []Plan{{Name: "p", Rate: 100, Burst: 100, ValueWeight: 1}}}
@@ -12,7 +12,13 @@
 	g.Handle(0, Start{})
 	g.Handle(0, Backends{Complete: true, List: []Backend{{ID: "b", Serving: true, Size: 1}}})
 	g.Handle(0, Request{ID: 1, Class: "c", Plan: "p", Customer: "m", Units: 1, TimeLeft: 3})
-	g.Reconfigure([]Class{{Name: "c", LatencyTarget: 2, Deadline: 6, Value: 5, Effect: NonIdempotent}, {Name: "d", LatencyTarget: 1, Deadline: 3, Value: 1}}, 2)
+	g.Reconfigure(
+		[]Class{
+			{Name: "c", LatencyTarget: 2, Deadline: 6, Value: 5, Effect: NonIdempotent},
+			{Name: "d", LatencyTarget: 1, Deadline: 3, Value: 1},
+		},
+		2,
+	)
 	g.Handle(0, Request{ID: 2, Class: "c", Plan: "p", Customer: "m", Units: 1, TimeLeft: 3})
 	g.Handle(0, Request{ID: 3, Class: "d", Plan: "p", Customer: "m", Units: 1, TimeLeft: 3})
 	if r := g.requests[1]; r == nil || r.class.Effect != Idempotent || r.class.LatencyTarget != 1 {
--- a/internal/decision/retry/retry.go
+++ b/internal/decision/retry/retry.go
@@ -1,20 +1,23 @@
-// Package retry decides whether a further attempt of a request may be afforded. It does no I/O and reads no clock.
+// Package retry decides whether a further attempt of a request may be afforded. It does no I/O and reads no
+// clock.
 //
-// A further attempt is good where one server fails and others are well, and harmful where all fail: then each request
-// costs several attempts, which is what keeps the servers down. So attempts that may have run always cost a token, and
-// those that surely have not run (turned away, refused) cost one as soon as the group as a whole fails. Tokens are
-// saved up by first attempts, a tenth for each. Each ingress holds further attempts to a tenth of its own first ones, so
-// all of them together hold to a tenth of all, however the first ones are spread, and without talk.
+// A further attempt is good where one server fails and others are well, and harmful where all fail: then each
+// request costs several attempts, which is what keeps the servers down. So attempts that may have run always
+// cost a token, and those that surely have not run (turned away, refused) cost one as soon as the group as a
+// whole fails. Tokens are saved up by first attempts, a tenth for each. Each ingress holds further attempts
+// to a tenth of its own first ones, so all of them together hold to a tenth of all, however the first ones
+// are spread, and without talk.
 package retry
 
 import "math"
 
 const (
-	defaultShare                    = 0.1  // tokens for a first attempt
-	defaultMaxTokens, initialTokens = 8, 4 // tokens that are kept, and at the start: a single failure is no storm
-	healthWindow                    = 2.0  // s: how far back the group's health is looked at
-	failingShare                    = 0.5  // share of the attempts lately that failed: the group does
-	minAttempts                     = 8.0  // attempts lately: fewer tell nothing of a group
+	defaultShare = 0.1 // tokens for a first attempt
+	// Tokens that are kept, and at the start: a single failure is no storm.
+	defaultMaxTokens, initialTokens = 8, 4
+	healthWindow                    = 2.0 // s: how far back the group's health is looked at
+	failingShare                    = 0.5 // share of the attempts lately that failed: the group does
+	minAttempts                     = 8.0 // attempts lately: fewer tell nothing of a group
 )
 
 // Budget is that of one ingress for one group of servers. It begins with New.
@@ -24,11 +27,14 @@
 	decayedAt          float64 // when that was reckoned, in seconds
 
 	share, maxTokens float64
-	slack            float64 // over all ingresses; 0: the budget is not divided, and what was turned away costs nothing while the group is well
+	// Over all ingresses; 0: the budget is not divided, and what was turned away costs nothing while the
+	// group is well.
+	slack float64
 }
 
-// Divided returns the budget of one of so many ingresses where all of them together may make so large a share of further attempts, and
-// the slack beyond it in a window: each saves up its part of the slack. What a server turned away has arrived there, and costs a token too.
+// Divided returns the budget of one of so many ingresses where all of them together may make so large a share
+// of further attempts, and the slack beyond it in a window: each saves up its part of the slack. What a
+// server turned away has arrived there, and costs a token too.
 func Divided(share, slack float64, ingresses int) Budget {
 	b := Budget{share: share, slack: slack}
 	b.SetGateways(ingresses)
@@ -71,8 +77,8 @@
 	return b.attempts >= minAttempts && b.failures >= failingShare*b.attempts
 }
 
-// Again tells whether a further attempt may be made, and takes a token if it costs one. Proven: the last one surely has
-// not run. Crowded: first attempts wait for a server; they go before what may have run.
+// Again tells whether a further attempt may be made, and takes a token if it costs one. Proven: the last one
+// surely has not run. Crowded: first attempts wait for a server; they go before what may have run.
 func (b *Budget) Take(now float64, proven, crowded bool) bool {
 	if b.free(now, proven) {
 		return true
--- a/internal/decision/retry/retry_test.go
+++ b/internal/decision/retry/retry_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Several ingresses with unlike shares of the load, and a group that fails, turns away or is well: further attempts are at
-// most a tenth of the first ones once it fails, and what is proven is free while it is well.
-func TestStorm(t *testing.T) {
+// Several ingresses with unlike shares of the load, and a group that fails, rejects or is well: further
+// attempts are at most a tenth of the first ones once it fails, and what is proven is free while it is well.
+func TestRetryStorm(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		bad    float64 // share of the attempts that fail
@@ -16,7 +16,9 @@
 		least  float64
 	}{
 		{"well", 0.02, true, 0.05, 0.015}, {"one of four is down", 0.25, true, 0.5, 0.25},
-		{"all turn away", 1, true, 0.105, 0.09}, {"all fail", 1, false, 0.105, 0.09}, {"most fail", 0.7, false, 0.105, 0.09},
+		{
+			"all turn away", 1, true, 0.105, 0.09,
+		}, {"all fail", 1, false, 0.105, 0.09}, {"most fail", 0.7, false, 0.105, 0.09},
 		{"a few fail", 0.05, false, 0.08, 0.04},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -54,7 +56,7 @@
 	}
 }
 
-func TestCrowdedAndFew(t *testing.T) {
+func TestQueuedFirstAttemptsAndFewAttempts(t *testing.T) {
 	b := New()
 	if b.Take(0, false, true) || !b.Take(0, false, false) {
 		t.Error("what may have run goes before first attempts that wait, or not at all")
--- a/internal/decision/sparse_test.go
+++ b/internal/decision/sparse_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Who is decided by chance, request by request, and who by the pinned step: stores hold one request each at the least, and that is two bursts at the most.
-func TestWhoIsThin(t *testing.T) {
+// Who is decided by chance, request by request, and who by the pinned step: buckets hold one request each at
+// the least, and that is two bursts at the most.
+func TestWhichCustomersAreSparse(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		rate, burst float64
@@ -20,8 +21,8 @@
 		s := testSettings()
 		s.MaxUnits = 4
 		s.Plans = []Plan{{Name: "p", Rate: tc.rate, Burst: tc.burst, ValueWeight: 1, ExcessCost: 1}}
-		g := started(t, s, up("b", 0))
-		e := ask(1, "safe", "p")
+		g := startedGateway(t, s, servingBackend("b", 0))
+		e := testRequest(1, "safe", "p")
 		e.Gateways = tc.doors
 		g.Handle(1, e)
 		if got := g.customers["c"].sparse.active; got != tc.thin {
@@ -30,13 +31,13 @@
 	}
 }
 
-// Three gateways of a small member that asks three times its quota send on nearly all of it, and no more.
-func TestSmallMemberOfASmallFleetGetsItsQuota(t *testing.T) {
+// Three gateways of a small customer that asks three times its quota forward nearly all of it, and no more.
+func TestSmallCustomerOfASmallFleetGetsItsQuota(t *testing.T) {
 	plan := Plan{Name: "b", Rate: 3, Burst: 15, ValueWeight: 1, ExcessCost: 1}
-	f := newMember(t, 3, &Terms{Customer: "c", Plan: plan, Tag: plan.Tag()})
-	f.play(30, []float64{5, 3, 1}, nil) // the burst is used up
+	f := newCustomerFleet(t, 3, &Terms{Customer: "c", Plan: plan, Tag: plan.Tag()})
+	f.run(30, []float64{5, 3, 1}, nil) // the burst is used up
 	before := f.sent
-	f.play(200, []float64{5, 3, 1}, nil)
+	f.run(200, []float64{5, 3, 1}, nil)
 	if share := (f.sent - before) / (200 * plan.Rate); share < 0.93 || share > 1.05 {
 		t.Errorf("%.2f of the quota sent on", share)
 	}
