--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -48,7 +48,7 @@
 	if x := n.peer(addr); x != nil {
 		s := x.client.State()
 		if s.Incarnation != 0 {
-			m.Heard = max(0, time.Since(s.LastHeard).Seconds())
+			m.Heard = max(0, time.Since(s.LastUpdateAt).Seconds())
 		}
 		if age := n.contact.age(addr).Seconds(); age >= 0 && (m.Heard < 0 || age < m.Heard) { // voters are asked too
 			m.Heard = age
@@ -65,12 +65,12 @@
 	e := base.Electorate
 	all := Members{Epoch: base.Epoch, Since: e.Since, Stands: n.electorateAge(e).Seconds(), Wanted: max(n.wantedVoters(), len(e.Voters)), Contact: n.inContact(), Learners: []Member{}, Voters: []Member{}}
 	for _, v := range e.Voters {
-		m := n.member(v.At, base.Epoch)
+		m := n.member(v.Addr, base.Epoch)
 		m.Disk = strconv.FormatUint(v.Disk, 16)
 		m.Lost = m.Self && v != n.replica.asVoter()
 		all.Voters = append(all.Voters, m)
 	}
-	if _, listed := e.At(n.self); !listed {
+	if _, listed := e.VoterAt(n.self); !listed {
 		all.Learners = append(all.Learners, n.member(n.self, base.Epoch))
 	}
 	for _, l := range n.learners(e) {
--- /dev/null
+++ b/internal/dataplane/attempt/dispatcher.go
@@ -0,0 +1,278 @@
+package attempt
+
+import (
+	"cmp"
+	"fmt"
+
+	"mulleinrouter/internal/decision"
+)
+
+// Dispatcher owns the decision module's gateway and the pending requests. H is the type of the requests' host. It is not
+// safe for concurrent use.
+type Dispatcher[H any] struct {
+	gateway             *decision.Gateway
+	maxAttempts         int
+	finishNonIdempotent bool            // at-most-once attempts are not cancelled when their client disconnects
+	atMostOnce          map[string]bool // by class: must run at most once
+	noClientRetry       map[string]bool // by class: a client's retry may run again
+	pending             map[uint64]*Request[H]
+	lastID              uint64
+	effects             []Effect // of the event that is being handled
+}
+
+// NewDispatcher returns a dispatcher around a gateway that nobody else uses. The settings are the gateway's.
+func NewDispatcher[H any](gateway *decision.Gateway, settings *decision.Settings) *Dispatcher[H] {
+	d := &Dispatcher[H]{
+		gateway:             gateway,
+		finishNonIdempotent: settings.FinishNonIdempotent,
+		pending:             map[uint64]*Request[H]{},
+	}
+	d.setClasses(settings.Classes, settings.MaxAttempts)
+	return d
+}
+
+// setClasses records which classes may run more than once, and the number of attempts.
+func (d *Dispatcher[H]) setClasses(classes []decision.Class, maxAttempts int) {
+	d.maxAttempts = max(1, maxAttempts)
+	d.atMostOnce = map[string]bool{}
+	d.noClientRetry = map[string]bool{}
+	for _, c := range classes {
+		d.atMostOnce[c.Name] = c.Effect != decision.Idempotent
+		d.noClientRetry[c.Name] = clientRetryMayRunAgain(&c)
+	}
+}
+
+// clientRetryMayRunAgain reports whether a client's retry of a request of this class may run again.
+func clientRetryMayRunAgain(c *decision.Class) bool {
+	switch c.Effect {
+	case decision.NonIdempotent:
+		return true
+	case decision.IdempotentByKey:
+		return c.Scope != decision.ScopeAll
+	}
+	return false
+}
+
+// Reconfigure sets the classes and the number of attempts for requests that are submitted from now on, here and in the
+// gateway. Pending requests keep those that they were submitted with.
+func (d *Dispatcher[H]) Reconfigure(classes []decision.Class, maxAttempts int) {
+	d.setClasses(classes, maxAttempts)
+	d.gateway.Reconfigure(classes, maxAttempts)
+}
+
+// Pending returns the number of pending requests.
+func (d *Dispatcher[H]) Pending() int { return len(d.pending) }
+
+// Submit takes a request and gives it its ID.
+func (d *Dispatcher[H]) Submit(now decision.Seconds, r decision.Request, host H) (*Request[H], []Effect) {
+	d.lastID++
+	r.ID = d.lastID
+	q := &Request[H]{
+		Host:     host,
+		id:       r.ID,
+		deadline: now + r.TimeLeft,
+		streamed: r.Streamed,
+		machine:  d.machineOf(&r),
+	}
+	d.pending[q.id] = q
+	return q, d.Handle(now, r)
+}
+
+// machineOf returns the machine of a request as its class has it: the class that the request itself carries, else the
+// configured one of its class's name.
+func (d *Dispatcher[H]) machineOf(r *decision.Request) Machine {
+	if c := r.Kind; c != nil {
+		return Machine{
+			AtMostOnce:    c.Effect != decision.Idempotent,
+			NoClientRetry: clientRetryMayRunAgain(c),
+			MaxAttempts:   cmp.Or(c.MaxAttempts, d.maxAttempts),
+		}
+	}
+	return Machine{
+		AtMostOnce:    d.atMostOnce[r.Class],
+		NoClientRetry: d.noClientRetry[r.Class],
+		MaxAttempts:   d.maxAttempts,
+	}
+}
+
+// AttemptEnded reports how the attempt in flight has ended. After decision.Succeeded no decision follows: the answer is
+// the client's.
+func (d *Dispatcher[H]) AttemptEnded(now decision.Seconds, q *Request[H], outcome decision.Outcome) []Effect {
+	d.effects = nil
+	abandoned := q.phase() == Abandoned
+	finished, err := q.machine.AttemptEnded(outcome)
+	if err != nil {
+		d.effects = append(d.effects, IllegalStep[H]{q, err})
+		return d.effects
+	}
+	if finished && !mutated("ended-stays") {
+		delete(d.pending, q.id)
+	}
+	d.handle(now, decision.AttemptEnded{
+		ID:           q.id,
+		Attempt:      q.lastAttempt(),
+		Backend:      q.backend,
+		Outcome:      outcome,
+		Duration:     now - q.sentAt,
+		Answered:     finished,
+		BodyConsumed: q.machine.bodyConsumed && !mutated("spent-untold"),
+	})
+	if abandoned && !mutated("gone-untold") {
+		d.effects = append(d.effects, Notify[H]{q, Decision{Kind: NoAnswer}})
+	}
+	return d.effects
+}
+
+// ConsumeBody records that a part of a request's body has been read that cannot be read again.
+func (d *Dispatcher[H]) ConsumeBody(q *Request[H]) { q.machine.ConsumeBody() }
+
+// ShouldAbandon reports whether the attempt in flight, which is slow, is to be given up. One that could not be made again
+// is not.
+func (d *Dispatcher[H]) ShouldAbandon(now decision.Seconds, q *Request[H]) bool {
+	if q.phase() != InFlight || q.machine.AtMostOnce || q.machine.bodyConsumed {
+		return false
+	}
+	return d.gateway.ShouldAbandon(now, q.id) || mutated("impatient-always")
+}
+
+// BodyUploaded reports that a request's streamed body has been written completely: the server's time counts from now on.
+func (d *Dispatcher[H]) BodyUploaded(now decision.Seconds, q *Request[H]) {
+	q.sentAt = now
+	d.gateway.BodyUploaded(now, q.id)
+}
+
+// ClientDisconnected reports that the client no longer waits for an answer. The end of an attempt in flight is still to be
+// reported.
+func (d *Dispatcher[H]) ClientDisconnected(now decision.Seconds, q *Request[H]) []Effect {
+	d.effects = nil
+	if q.phase() != Waiting && q.phase() != InFlight {
+		return nil
+	}
+	finished := q.machine.ClientDisconnected()
+	if finished {
+		delete(d.pending, q.id)
+	}
+	if !mutated("leaving-untold") {
+		d.handle(now, decision.ClientDisconnected{ID: q.id})
+	}
+	if finished {
+		d.effects = append(d.effects, Notify[H]{q, Decision{Kind: NoAnswer}})
+	}
+	return d.effects
+}
+
+// Handle passes an event to the decision module.
+func (d *Dispatcher[H]) Handle(now decision.Seconds, event decision.Event) []Effect {
+	d.effects = nil
+	d.handle(now, event)
+	return d.effects
+}
+
+func (d *Dispatcher[H]) handle(now decision.Seconds, event decision.Event) {
+	actions := d.gateway.Handle(now, event)
+	switch event.(type) {
+	case decision.Timer, decision.CounterReply:
+		d.gateway.ReapplyGrants(now) // a counter cycle may have begun, which has replaced the grants
+	}
+	for _, action := range actions {
+		switch a := action.(type) {
+		case decision.Send:
+			d.send(now, a)
+		case decision.Reject:
+			d.reject(a)
+		case decision.Fail:
+			d.fail(a)
+		case decision.Cancel:
+			d.cancel(a)
+		case decision.SetTimer:
+			d.effects = append(d.effects, Timer{a})
+		case decision.CounterCall:
+			d.effects = append(d.effects, CounterCall{a})
+		}
+	}
+}
+
+// send carries out the decision to make an attempt. One that must not be made ends the request as failed.
+func (d *Dispatcher[H]) send(now decision.Seconds, a decision.Send) {
+	q := d.pending[a.ID]
+	if q == nil {
+		return
+	}
+	if err := q.machine.Send(); err != nil {
+		d.effects = append(d.effects, IllegalStep[H]{q, err})
+		if q.phase() == Waiting {
+			d.finish(q, q.machine.Fail(), Decision{Kind: Fail})
+		}
+		return
+	}
+	q.backend, q.sentAt = a.Backend, now
+	if q.streamed {
+		d.gateway.BodyUploading(q.id)
+	}
+	deadline := q.deadline
+	if mutated("no-time-out") {
+		deadline += 60
+	}
+	if a.Timeout > 0 {
+		deadline = min(deadline, now+a.Timeout)
+	}
+	d.effects = append(d.effects, Notify[H]{q, Decision{
+		Kind:      Send,
+		Backend:   a.Backend,
+		Deadline:  deadline,
+		OverQuota: a.OverQuota,
+		SlowAfter: a.SlowAfter,
+	}})
+}
+
+// reject carries out the decision to reject a request.
+func (d *Dispatcher[H]) reject(a decision.Reject) {
+	q := d.pending[a.ID]
+	if q == nil || q.phase() == Abandoned {
+		return
+	}
+	d.finish(q, q.machine.Reject(), Decision{Kind: Reject, RetryAfter: a.RetryAfter, OverQuota: a.OverQuota})
+}
+
+// fail carries out the decision that a request has failed.
+func (d *Dispatcher[H]) fail(a decision.Fail) {
+	q := d.pending[a.ID]
+	if q == nil || q.phase() == Abandoned {
+		return
+	}
+	final := Decision{Kind: Fail}
+	if mutated("fail-refuses") {
+		final.Kind = Reject
+	}
+	d.finish(q, q.machine.Fail(), final)
+}
+
+// cancel carries out the decision to cancel an attempt, if it is the one in flight. An attempt that must run at most once
+// is finished for a client that has disconnected, where the settings say so.
+func (d *Dispatcher[H]) cancel(a decision.Cancel) {
+	q := d.pending[a.ID]
+	if q == nil || !q.machine.MayHaveRun() || a.Attempt != q.lastAttempt() {
+		return
+	}
+	if d.finishNonIdempotent && q.machine.AtMostOnce && q.phase() == Abandoned {
+		return
+	}
+	if !mutated("cancel-lost") {
+		d.effects = append(d.effects, CancelAttempt[H]{q, a.Attempt})
+	}
+}
+
+// finish delivers the final decision on a request, err being what its machine says to it. An unsafe rejection becomes a
+// failure.
+func (d *Dispatcher[H]) finish(q *Request[H], err error, final Decision) {
+	if err != nil {
+		d.effects = append(d.effects, IllegalStep[H]{q, fmt.Errorf("%v: %w", final.Kind, err)})
+		if q.phase() != Waiting {
+			return
+		}
+		_ = q.machine.Fail() // cannot fail while waiting
+		final = Decision{Kind: Fail}
+	}
+	delete(d.pending, q.id)
+	d.effects = append(d.effects, Notify[H]{q, final})
+}
--- a/internal/decision/pair_counters_test.go
+++ b/internal/decision/pair_counters_test.go
@@ -52,7 +52,12 @@
 const lostCallTimeout = 0.32 // s
 
 func newQuotaWorld(seed uint64, nodes int, plan Plan, rates func(i int) float64) *quotaWorld {
-	w := &quotaWorld{rng: rand.New(rand.NewPCG(seed, 9)), counters: quota.New(), plan: plan, now: 100}
+	w := &quotaWorld{
+		rng:      rand.New(rand.NewPCG(seed, 9)),
+		counters: quota.NewCounterTable(),
+		plan:     plan,
+		now:      100,
+	}
 	w.counters.SetMembers(0, []string{"k"}, "k", true)
 	for i := range nodes {
 		n := &quotaNode{name: strconv.Itoa(i), rate: rates(i)}
@@ -293,7 +298,7 @@
 		n.rate *= 8
 	}
 	w.run(3, nil)
-	w.counters = quota.New() // another one, that knows nothing
+	w.counters = quota.NewCounterTable() // another one, that knows nothing
 	from := len(w.admittedAt)
 	for _, n := range w.nodes {
 		n.partitioned = true // until the one before is missed
