--- a/internal/dataplane/attempt/dispatcher.go
+++ b/internal/dataplane/attempt/dispatcher.go
@@ -153,7 +153,7 @@
 		delete(d.pending, q.id)
 	}
 	if !mutated("leaving-untold") {
-		d.handle(now, decision.ClientGone{ID: q.id})
+		d.handle(now, decision.ClientDisconnected{ID: q.id})
 	}
 	if finished {
 		d.effects = append(d.effects, Notify[H]{q, Decision{Kind: NoAnswer}})
