--- a/internal/standalone/catalogue/catalogue.go
+++ b/internal/standalone/catalogue/catalogue.go
@@ -128,12 +128,12 @@
 	}
 	if problems := r.Validate(); len(problems) > 0 {
 		p := problems[0]
-		if p.Where == "revision" {
-			p.Where = here
+		if p.Path == "revision" {
+			p.Path = here
 		} else {
-			p.Where = here + "." + p.Where
+			p.Path = here + "." + p.Path
 		}
-		err := f.ErrorAt(p.Where, p.Text).(*hclfile.Error)
+		err := f.ErrorAt(p.Path, p.Text).(*hclfile.Error)
 		err.More = len(problems) - 1
 		return nil, err
 	}
@@ -192,7 +192,7 @@
 
 // Errors of changing a catalogue.
 var (
-	ErrStale = errors.New("its number is not above the last one's")
+	ErrStale        = errors.New("its number is not above the last one's")
 	ErrEarlierStart = errors.New("it holds before the last one does")
 )
 
--- a/internal/standalone/catalogue/watch.go
+++ b/internal/standalone/catalogue/watch.go
@@ -13,9 +13,9 @@
 
 // Watcher follows a catalogue's file.
 type Watcher struct {
-	Path string
+	Path     string
 	OnChange func([]plans.Revision) // of each whole catalogue that can be used, from one goroutine
-	Log  *logrus.Logger
+	Log      *logrus.Logger
 
 	last error
 }
--- a/internal/standalone/config/config.go
+++ b/internal/standalone/config/config.go
@@ -29,12 +29,12 @@
 	SettingsRaw             []byte // the settings as the file has them, to check a newer file against; nil: our own form
 
 	// Only our own file names these: the platform gives no place for them.
-	Static    bool   // Known is the whole list: there is no discovery
-	Embedded  string // address where this ingress serves a counter of its own; empty: none
-	Catalogue string // file of plans that change in service; empty: none
-	AnnounceRevisions  bool   // revisions of the catalogue hold once the holder of that duty has announced them
-	Usage     *Usage // nil: use is not metered
-	LogFormat string // text or json; empty: text
+	Static            bool   // Known is the whole list: there is no discovery
+	Embedded          string // address where this ingress serves a counter of its own; empty: none
+	Catalogue         string // file of plans that change in service; empty: none
+	AnnounceRevisions bool   // revisions of the catalogue hold once the holder of that duty has announced them
+	Usage             *Usage // nil: use is not metered
+	LogFormat         string // text or json; empty: text
 
 	Membership *Membership // nil: ingresses do not know of each other
 
--- a/internal/standalone/config/hcl.go
+++ b/internal/standalone/config/hcl.go
@@ -398,7 +398,7 @@
 	}
 	r := plans.Revision{Number: 1, Plans: c.Settings.Plans}
 	if all := r.Validate(); len(all) > 0 {
-		return f.ErrorAt(all[0].Where, all[0].Text)
+		return f.ErrorAt(all[0].Path, all[0].Text)
 	}
 	return nil
 }
--- a/internal/standalone/counterserver/store.go
+++ b/internal/standalone/counterserver/store.go
@@ -13,7 +13,7 @@
 	MaxNameBytes = 64
 	// MaxAmount bounds what one call may add.
 	MaxAmount = 1e9
-	mostKeep   = 60_000 // ms: longer ones count as this
+	mostKeep  = 60_000 // ms: longer ones count as this
 )
 
 // Store holds the numbers. It does no I/O and reads no clock, and is not safe for use by several goroutines at once.
--- a/internal/standalone/discovery/discovery.go
+++ b/internal/standalone/discovery/discovery.go
@@ -97,9 +97,9 @@
 type Watcher struct {
 	Addr      string
 	Directory *Directory
-	OnUpdate      func(decision.Backends)
+	OnUpdate  func(decision.Backends)
 	Log       *logrus.Logger
-	FleetSize     int    // ingresses that ask the same discovery: they must not ask in step
+	FleetSize int    // ingresses that ask the same discovery: they must not ask in step
 	Seed      uint64 // for chance
 
 	// Rank tells this ingress's place among those that live, from 0, and how many they are; nil: nobody knows, and chance
--- a/internal/standalone/node/catalogue.go
+++ b/internal/standalone/node/catalogue.go
@@ -107,7 +107,7 @@
 	}
 	n.engine.SetCatalogue(func(now decision.Seconds) engine.Catalogue {
 		change(now)
-		n.server.SetPlans(n.planState.Plans(now))
+		n.server.SetPlans(n.planState.Plans())
 		return n.planState
 	})
 }
--- /dev/null
+++ b/internal/standalone/plans/compiled.go
@@ -0,0 +1,105 @@
+package plans
+
+import (
+	"slices"
+
+	"mulleinrouter/internal/decision"
+)
+
+// compiled is a revision prepared for lookups.
+type compiled struct {
+	Revision
+	digest string
+	terms  map[string]*decision.Terms // by plan
+	spans  map[string][]span          // by member, in order
+	edges  []decision.Seconds         // when any span begins or ends, in order
+}
+
+// span is a stretch of time in which a member has booked the same rate.
+type span struct {
+	from, to decision.Seconds
+	rate     float64                    // units a second
+	terms    map[string]*decision.Terms // by plan, made when first asked for
+}
+
+// covers returns whether a time is within the span.
+func (s *span) covers(now decision.Seconds) bool { return s.from <= now && now < s.to }
+
+// changesWithin returns whether the span begins or ends after since, until now.
+func (s *span) changesWithin(since, now decision.Seconds) bool {
+	return since < s.from && s.from <= now || since < s.to && s.to <= now
+}
+
+// newTerms are the terms of a plan.
+func newTerms(p decision.Plan) *decision.Terms { return &decision.Terms{Plan: p, Tag: p.Tag()} }
+
+func compile(r Revision, digest string) *compiled {
+	c := &compiled{
+		Revision: r,
+		digest:   digest,
+		terms:    map[string]*decision.Terms{},
+		spans:    map[string][]span{},
+	}
+	for _, p := range r.Plans {
+		c.terms[p.Name] = newTerms(p)
+	}
+	byMember := map[string][]Booking{}
+	for _, b := range r.Bookings {
+		byMember[b.Member] = append(byMember[b.Member], b)
+	}
+	for member, bookings := range byMember {
+		c.addSpans(member, bookings)
+	}
+	slices.Sort(c.edges)
+	c.edges = slices.Compact(c.edges)
+	return c
+}
+
+// addSpans cuts a member's bookings where any of them begins or ends, and adds up their rates in between.
+func (c *compiled) addSpans(member string, bookings []Booking) {
+	var edges []decision.Seconds
+	for _, b := range bookings {
+		edges = append(edges, b.From, b.To)
+	}
+	slices.Sort(edges)
+	edges = slices.Compact(edges)
+	for i := range edges[:len(edges)-1] {
+		rate := 0.0
+		for _, b := range bookings {
+			if b.From <= edges[i] && edges[i] < b.To {
+				rate += b.Rate()
+			}
+		}
+		if rate > 0 {
+			c.spans[member] = append(c.spans[member], span{edges[i], edges[i+1], rate, map[string]*decision.Terms{}})
+		}
+	}
+	c.edges = append(c.edges, edges...)
+}
+
+// lookup is the terms of a member on a plan, with what it has booked; nil: the revision lacks the plan. The same
+// pointer comes back while the terms stay the same.
+func (c *compiled) lookup(member, plan string, now decision.Seconds) *decision.Terms {
+	terms := c.terms[plan]
+	if terms == nil || terms.Plan.Rate <= 0 {
+		return terms
+	}
+	for i := range c.spans[member] {
+		if s := &c.spans[member][i]; s.covers(now) {
+			return s.raised(plan, terms)
+		}
+	}
+	return terms
+}
+
+// raised is a plan's terms with the booked rate on top, up to the plan's rate limit.
+func (s *span) raised(plan string, terms *decision.Terms) *decision.Terms {
+	if s.terms[plan] == nil {
+		p := terms.Plan
+		if p.Rate += s.rate; p.LimitRate > 0 {
+			p.Rate = min(p.Rate, p.LimitRate)
+		}
+		s.terms[plan] = newTerms(p)
+	}
+	return s.terms[plan]
+}
--- a/internal/standalone/plans/plans_test.go
+++ b/internal/standalone/plans/plans_test.go
@@ -17,12 +17,18 @@
 func basic() decision.Plan { return decision.Plan{Name: "basic", Rate: 4, Burst: 8, ValueWeight: 1} }
 
 func plus() decision.Plan {
-	return decision.Plan{Name: "plus", Rate: 10, Burst: 20, ValueWeight: 2, LimitRate: 20, LimitBurst: 40, LimitSlack: 4}
+	return decision.Plan{
+		Name: "plus", Rate: 10, Burst: 20, ValueWeight: 2,
+		LimitRate: 20, LimitBurst: 40, LimitSlack: 4,
+	}
 }
 
 func revision(n uint64, holds decision.Seconds, change ...func(*Revision)) Revision {
-	r := Revision{Number: n, Holds: holds, Authority: AuthorityCatalogue, BookableRate: 100, Plans: []decision.Plan{basic(), plus()},
-		Members: map[string]string{anna: "basic", bert: "plus"}}
+	r := Revision{
+		Number: n, Holds: holds, Authority: AuthorityCatalogue, BookableRate: 100,
+		Plans:   []decision.Plan{basic(), plus()},
+		Members: map[string]string{anna: "basic", bert: "plus"},
+	}
 	for _, f := range change {
 		f(&r)
 	}
@@ -35,28 +41,35 @@
 		change func(*Revision)
 		want   []string
 	}{
-		{"good", func(*Revision) {}, nil},
+		{"valid", func(*Revision) {}, nil},
 		{"no number", func(r *Revision) { r.Number = 0 }, []string{"revision: the number must be 1 or more"}},
-		{"no plans", func(r *Revision) { r.Plans, r.Members = nil, nil }, []string{"plan: a revision needs one plan at least"}},
-		{"plan twice", func(r *Revision) { r.Plans = append(r.Plans, basic()) }, []string{"plan.basic: a plan needs a name of its own, one word"}},
+		{"no plans", func(r *Revision) { r.Plans, r.Members = nil, nil },
+			[]string{"plan: a revision needs one plan at least"}},
+		{"plan twice", func(r *Revision) { r.Plans = append(r.Plans, basic()) },
+			[]string{"plan.basic: a plan needs a name of its own, one word"}},
 		{"below zero", func(r *Revision) { r.Plans[0].Rate = -1 }, []string{"plan.basic.rate: must be a number, 0 or more"}},
-		{"no burst", func(r *Revision) { r.Plans[0].Burst = 0 }, []string{"plan.basic.burst: a rate needs a burst above 0: a store that holds nothing lets nothing through"}},
-		{"ceiling below the rate", func(r *Revision) { r.Plans[1].LimitRate = 9 }, []string{"plan.plus.ceiling_rate: below the plan's rate of 10"}},
-		{"ceiling without depth", func(r *Revision) { r.Plans[1].LimitBurst = 0 }, []string{"plan.plus.ceiling_depth: a ceiling needs a depth above 0"}},
+		{"no burst", func(r *Revision) { r.Plans[0].Burst = 0 },
+			[]string{"plan.basic.burst: a rate needs a burst above 0: a store that holds nothing lets nothing through"}},
+		{"rate limit below the rate", func(r *Revision) { r.Plans[1].LimitRate = 9 },
+			[]string{"plan.plus.ceiling_rate: below the plan's rate of 10"}},
+		{"rate limit without burst", func(r *Revision) { r.Plans[1].LimitBurst = 0 },
+			[]string{"plan.plus.ceiling_depth: a ceiling needs a depth above 0"}},
 		{"a plan removed while members are on it", func(r *Revision) { r.Plans = r.Plans[:1] },
 			[]string{"members." + bert + `: is on plan "plus", which this revision does not have`}},
-		{"no member", func(r *Revision) { r.Members = map[string]string{"Anna": "basic"} },
+		{"not a member", func(r *Revision) { r.Members = map[string]string{"Anna": "basic"} },
 			[]string{"members.Anna: a member is 16 lower-case hexadecimal digits, below 2^33"}},
 		{"booking of an unlisted member", func(r *Revision) { r.Bookings = []Booking{{"b", "00000000000000cc", 10, 20, 5}} },
 			[]string{"booking.b.member: is not among the members that this revision lists"}},
 		{"booking that ends before it begins", func(r *Revision) { r.Bookings = []Booking{{"b", anna, 20, 10, 5}} },
 			[]string{"booking.b.to: must end after it begins"}},
-		{"bookings under one name", func(r *Revision) { r.Bookings = []Booking{{"b", anna, 10, 20, 5}, {"b", bert, 10, 20, 5}} },
-			[]string{"booking.b: a booking needs a name of its own"}},
+		{"bookings under one name", func(r *Revision) {
+			r.Bookings = []Booking{{"b", anna, 10, 20, 5}, {"b", bert, 10, 20, 5}}
+		}, []string{"booking.b: a booking needs a name of its own"}},
 		{"bookings beyond the bookable rate", func(r *Revision) {
 			r.Bookings = []Booking{{"b1", anna, 10, 20, 600}, {"b2", anna, 15, 25, 500}, {"b3", anna, 30, 40, 1}}
-		}, []string{"booking.b2.units: at Unix time 15 only 40 units a second are left; 400 units would fit in this span, the whole from Unix time 20 on"}},
-		{"booking beyond the ceiling", func(r *Revision) { r.Bookings = []Booking{{"b", bert, 10, 20, 101}} },
+		}, []string{"booking.b2.units: at Unix time 15 only 40 units a second are left; " +
+			"400 units would fit in this span, the whole from Unix time 20 on"}},
+		{"booking beyond the rate limit", func(r *Revision) { r.Bookings = []Booking{{"b", bert, 10, 20, 101}} },
 			[]string{`booking.b.units: with plan "plus", at most 100 units in this span stay under its ceiling`}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -66,28 +79,30 @@
 				got = append(got, p.Error())
 			}
 			if diff := cmp.Diff(tc.want, got); diff != "" {
-				t.Errorf("(-want +got):\n%s", diff)
+				t.Errorf("Validate() (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// Fit agrees with a look at every instant, on bookings drawn by chance; what it says would fit does, and no more.
-func TestFitAgreesWithEveryInstant(t *testing.T) {
+// CheckCapacity agrees with a check of every instant, on random bookings; what it says would fit does, and no more.
+func TestCheckCapacityAgreesWithEveryInstant(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	refused, moved := 0, 0
+	rejected, moved := 0, 0
 	for range 3000 {
-		var there []Booking
+		var existing []Booking
 		for i := range rng.IntN(6) {
 			from := float64(1 + rng.IntN(20))
-			there = append(there, Booking{fmt.Sprint(i), anna, from, from + float64(1+rng.IntN(8)), float64(1 + rng.IntN(60))})
+			existing = append(existing, Booking{
+				fmt.Sprint(i), anna, from, from + float64(1+rng.IntN(8)), float64(1 + rng.IntN(60)),
+			})
 		}
 		from := float64(1 + rng.IntN(20))
 		b := Booking{"new", anna, from, from + float64(1+rng.IntN(8)), float64(1 + rng.IntN(80))}
 		fits := func(b Booking) bool {
 			for x := 1.0; x < 100; x += 0.5 {
 				sum := 0.0
-				for _, o := range append([]Booking{b}, there...) {
+				for _, o := range append([]Booking{b}, existing...) {
 					if o.From <= x && x < o.To {
 						sum += o.Rate()
 					}
@@ -98,35 +113,35 @@
 			}
 			return true
 		}
-		m := CheckCapacity(there, b, 20)
+		m := CheckCapacity(existing, b, 20)
 		if (m == nil) != fits(b) {
-			t.Fatalf("%v with %v: %v", b, there, m)
+			t.Fatalf("%v with %v: %v", b, existing, m)
 		}
 		if m == nil {
 			continue
 		}
-		refused++
+		rejected++
 		if less := b; m.Units > 0 {
 			if less.Units = m.Units; !fits(less) {
-				t.Fatalf("%v with %v: %g units do not fit", b, there, m.Units)
+				t.Fatalf("%v with %v: %g units do not fit", b, existing, m.Units)
 			}
 			if less.Units++; fits(less) {
-				t.Fatalf("%v with %v: more than %g units fit", b, there, m.Units)
+				t.Fatalf("%v with %v: more than %g units fit", b, existing, m.Units)
 			}
 		}
 		for from := b.From; ; from += 0.5 {
 			later := Booking{"later", anna, from, from + b.To - b.From, b.Units}
 			if from >= 60 || fits(later) {
 				if (m.From == 0) != (from >= 60) || m.From != 0 && m.From != from {
-					t.Fatalf("%v with %v: from %g on, %g said", b, there, from, m.From)
+					t.Fatalf("%v with %v: from %g on, %g said", b, existing, from, m.From)
 				}
 				moved++
 				break
 			}
 		}
 	}
-	if refused < 500 || moved < 500 {
-		t.Errorf("only %d refused, %d moved", refused, moved)
+	if rejected < 500 || moved < 500 {
+		t.Errorf("%d rejected, %d with a later start; want 500 or more of each", rejected, moved)
 	}
 }
 
@@ -143,14 +158,14 @@
 		{"setting", "holds", "0.000", "50.000"},
 	}
 	if diff := cmp.Diff(want, Diff(&a, &b)); diff != "" {
-		t.Errorf("(-want +got):\n%s", diff)
+		t.Errorf("Diff() (-want +got):\n%s", diff)
 	}
 	if Diff(&a, &a) != nil {
-		t.Error("a revision differs from itself")
+		t.Errorf("Diff of a revision and itself = %v, want none", Diff(&a, &a))
 	}
 }
 
-// rates tells what quota a member has at some times.
+// rates returns the quota that a member has at some times, in units a second; -1: no such plan.
 func rates(s *State, member, tier string, at ...decision.Seconds) (all []float64) {
 	for _, now := range at {
 		t := s.Terms(member, tier, now)
@@ -165,28 +180,31 @@
 
 func TestRevisionsComeInForce(t *testing.T) {
 	s := NewState([]decision.Plan{basic()})
-	if diff := cmp.Diff([]float64{4, -1}, append(rates(s, anna, "basic", 1), rates(s, anna, "gold", 1)...)); diff != "" {
-		t.Error("the settings alone", diff)
+	got := append(rates(s, anna, "basic", 1), rates(s, anna, "gold", 1)...)
+	if diff := cmp.Diff([]float64{4, -1}, got); diff != "" {
+		t.Errorf("rates of the settings alone (-want +got):\n%s", diff)
 	}
 	verdicts := fmt.Sprint(
 		s.Offer(revision(1, 0), 10), s.Offer(revision(1, 0), 11),
-		s.Offer(revision(3, 100, func(r *Revision) { r.Members[anna] = "plus" }), 12), // announced
-		s.Offer(revision(2, 50, func(r *Revision) { r.Plans[0].Rate = 6 }), 13),       // heard after a later one
-		s.Offer(revision(4, 14, func(r *Revision) { r.Plans[0].Rate = 7 }), 15),       // late: holds at once
-		s.Offer(revision(2, 50), 16)) // passed by
+		s.Offer(revision(3, 100, func(r *Revision) { r.Members[anna] = "plus" }), 12), // pending
+		s.Offer(revision(2, 50, func(r *Revision) { r.Plans[0].Rate = 6 }), 13),       // received after a later one
+		s.Offer(revision(4, 14, func(r *Revision) { r.Plans[0].Rate = 7 }), 15),       // late: in force at once
+		s.Offer(revision(2, 50), 16)) // stale
 	if want := "late same announced announced late older"; verdicts != want {
 		t.Errorf("verdicts %s, want %s", verdicts, want)
 	}
-	if diff := cmp.Diff([]float64{7, 7, 10}, append(rates(s, anna, "basic", 16, 200), rates(s, bert, "basic", 16)...)); diff != "" {
-		t.Error("a higher number puts lower ones aside, announced ones too", diff)
+	got = append(rates(s, anna, "basic", 16, 200), rates(s, bert, "basic", 16)...)
+	if diff := cmp.Diff([]float64{7, 7, 10}, got); diff != "" {
+		t.Errorf("a higher number must replace lower ones, pending ones too (-want +got):\n%s", diff)
 	}
 	if n := s.InForce(200); n != 4 {
-		t.Errorf("revision %d in force", n)
+		t.Errorf("revision %d in force, want 4", n)
 	}
 }
 
-// Whatever the order in which ingresses hear, they come to the same terms: also of two revisions under one number.
-func TestOrderOfHearingDoesNotMatter(t *testing.T) {
+// Whatever the order in which ingresses receive revisions, they come to the same terms: also of two revisions under
+// one number.
+func TestOrderOfReceiptDoesNotMatter(t *testing.T) {
 	all := []Revision{
 		revision(1, 0), revision(2, 20, func(r *Revision) { r.Members[anna] = "plus" }),
 		revision(2, 20, func(r *Revision) { r.Plans[0].Rate = 5 }), // the same number, another content
@@ -196,7 +214,7 @@
 	var first []float64
 	conflicts := 0
 	rng := rand.New(rand.NewPCG(2, 2))
-	for round := range 200 {
+	for run := range 200 {
 		s := NewState(nil)
 		for _, i := range rng.Perm(len(all)) {
 			if s.Offer(all[i], 10+rng.Float64()) == VerdictConflict {
@@ -204,15 +222,15 @@
 			}
 		}
 		got := append(rates(s, anna, "", 15, 25, 35, 55, 65), rates(s, bert, "", 15, 25, 35, 55)...)
-		if round == 0 {
+		if run == 0 {
 			first = got
 		}
 		if diff := cmp.Diff(first, got); diff != "" {
-			t.Fatalf("round %d: %s", round, diff)
+			t.Fatalf("run %d (-first +got):\n%s", run, diff)
 		}
 	}
 	if conflicts != 200 {
-		t.Errorf("%d conflicts told in 200 rounds", conflicts)
+		t.Errorf("%d conflicts in 200 runs, want 200", conflicts)
 	}
 }
 
@@ -223,54 +241,56 @@
 	}), 0)
 	got := rates(s, anna, "", 99, 100, 149, 150, 199, 200, 249, 250)
 	if diff := cmp.Diff([]float64{4, 9, 9, 11, 11, 6, 6, 4}, got); diff != "" {
-		t.Errorf("overlapping: %s", diff)
+		t.Errorf("overlapping (-want +got):\n%s", diff)
 	}
 	if s.Terms(anna, "", 160) != s.Terms(anna, "", 161) {
-		t.Error("the same terms are made anew for each request")
+		t.Error("Terms returns another pointer for unchanged terms")
 	}
 	if a, b := s.Terms(anna, "", 120).Tag, s.Terms(anna, "", 99).Tag; a == b {
-		t.Error("totals of the raised quota and of the plain one would be mixed")
+		t.Errorf("the raised quota and the plain one have the same tag %q", a)
 	}
-	// Changed while it runs, and cancelled while the other one has its tail.
+	// One booking is changed while it runs, and the other cancelled.
 	s.Offer(revision(2, 160, func(r *Revision) { r.Bookings = []Booking{{"a2", anna, 150, 250, 300}} }), 155)
 	if diff := cmp.Diff([]float64{11, 7, 7, 4}, rates(s, anna, "", 159, 160, 200, 250)); diff != "" {
-		t.Errorf("changed and cancelled: %s", diff)
+		t.Errorf("changed and cancelled (-want +got):\n%s", diff)
 	}
-	// An ingress that starts within one.
+	// An ingress that starts within a booking.
 	late := NewState(nil)
 	late.Offer(revision(2, 160, func(r *Revision) { r.Bookings = []Booking{{"a2", anna, 150, 250, 300}} }), 180)
 	if diff := cmp.Diff([]float64{7}, rates(late, anna, "", 180)); diff != "" {
-		t.Errorf("started within one: %s", diff)
+		t.Errorf("started within a booking (-want +got):\n%s", diff)
 	}
 }
 
-func TestBookingNeverPassesTheCeiling(t *testing.T) {
+func TestBookingNeverExceedsTheRateLimit(t *testing.T) {
 	s := NewState(nil) // by header: the plan is not known when the booking is checked
 	s.Offer(revision(1, 0, func(r *Revision) {
 		r.Authority, r.Members = AuthorityHeader, nil
 		r.Bookings = []Booking{{"b", bert, 100, 110, 900}}
 	}), 0)
-	if diff := cmp.Diff([]float64{20, 94}, append(rates(s, bert, "plus", 105), rates(s, bert, "basic", 105)...)); diff != "" {
-		t.Error(diff)
+	got := append(rates(s, bert, "plus", 105), rates(s, bert, "basic", 105)...)
+	if diff := cmp.Diff([]float64{20, 94}, got); diff != "" {
+		t.Errorf("rates (-want +got):\n%s", diff)
 	}
 }
 
 func TestAuthority(t *testing.T) {
 	s := NewState(nil)
 	s.Offer(revision(1, 0), 0)
-	if diff := cmp.Diff([]float64{4, 10}, append(rates(s, anna, "plus", 1), rates(s, "00000000000000cc", "plus", 1)...)); diff != "" {
-		t.Error("the catalogue wins for those it lists:", diff)
+	got := append(rates(s, anna, "plus", 1), rates(s, "00000000000000cc", "plus", 1)...)
+	if diff := cmp.Diff([]float64{4, 10}, got); diff != "" {
+		t.Errorf("the catalogue must win for the members that it lists (-want +got):\n%s", diff)
 	}
 	s.Offer(revision(2, 0, func(r *Revision) { r.Authority = AuthorityHeader }), 2)
 	if diff := cmp.Diff([]float64{10}, rates(s, anna, "plus", 3)); diff != "" {
-		t.Error("the header wins:", diff)
+		t.Errorf("the header must win (-want +got):\n%s", diff)
 	}
 	s.Offer(revision(3, 0, func(r *Revision) { r.Authority, r.Plans, r.Members = AuthorityHeader, r.Plans[:1], nil }), 4)
 	if diff := cmp.Diff([]float64{10}, rates(s, anna, "plus", 5)); diff != "" {
-		t.Error("a plan taken away turns clients away that still name it:", diff)
+		t.Errorf("clients that still name a removed plan must be served by it (-want +got):\n%s", diff)
 	}
-	if names := strings.Join(s.Plans(5), " "); names != "basic plus" {
-		t.Errorf("plans %q", names)
+	if names := strings.Join(s.Plans(), " "); names != "basic plus" {
+		t.Errorf("plans %q, want %q", names, "basic plus")
 	}
 }
 
@@ -297,20 +317,20 @@
 		r.Bookings = []Booking{{"b", bert, 60, 70, 20}}
 	}), 10)
 	check(11, 50, map[string]float64{})
-	check(50, 60, map[string]float64{anna: 10, bert: 10}) // bert has something booked: told again
+	check(50, 60, map[string]float64{anna: 10, bert: 10}) // bert has a booking: due again
 	check(60, 70, map[string]float64{bert: 12})
 	check(71, 0, map[string]float64{bert: 10})
 }
 
-func TestTooManyAnnounced(t *testing.T) {
+func TestTooManyPending(t *testing.T) {
 	s := NewState(nil)
-	for i := range uint64(mostPending) {
+	for i := range uint64(maxPending) {
 		s.Offer(revision(i+1, 100), 0)
 	}
 	if v := s.Offer(revision(1000, 100), 0); v != VerdictQueueFull {
-		t.Errorf("one more is %v", v)
+		t.Errorf("verdict on one more = %v, want %v", v, VerdictQueueFull)
 	}
-	if s.InForce(100) != mostPending || len(s.all) != 1 {
-		t.Errorf("revision %d in force, %d kept", s.InForce(100), len(s.all))
+	if s.InForce(100) != maxPending || len(s.known) != 1 {
+		t.Errorf("revision %d in force, %d known; want %d and 1", s.InForce(100), len(s.known), maxPending)
 	}
 }
--- a/internal/standalone/plans/state.go
+++ b/internal/standalone/plans/state.go
@@ -2,131 +2,123 @@
 
 import (
 	"cmp"
-	"fmt"
 	"slices"
 
 	"mulleinrouter/internal/decision"
 )
 
-// mostPending bounds the revisions kept that do not hold yet: more than that are no plan but a mistake.
-const mostPending = 64
+// maxPending bounds the revisions that are known and not yet in force; more of them can only be a mistake.
+const maxPending = 64
 
-// Verdict tells what became of a revision that was offered.
+// Verdict says what became of a revision that was offered.
 type Verdict int
 
-// The verdicts.
 const (
-	VerdictPending Verdict = iota // kept; it holds from its time on
-	VerdictLate                     // its time had come before it was heard: it holds at once
-	VerdictDuplicate                     // known already
-	VerdictStale                    // one with a higher number holds: passed over
-	VerdictConflict                 // another content under a number that is known; the one with the higher digest counts
-	VerdictQueueFull                     // too many are announced: passed over
+	// VerdictPending means: kept; it takes effect when its time comes.
+	VerdictPending Verdict = iota
+	// VerdictLate means: its time had come before it was received; it takes effect at once.
+	VerdictLate
+	// VerdictDuplicate means: known already.
+	VerdictDuplicate
+	// VerdictStale means: ignored, because one with a higher number is in force.
+	VerdictStale
+	// VerdictConflict means: its number is known with another content; the one with the higher digest counts.
+	VerdictConflict
+	// VerdictQueueFull means: ignored, because too many are pending.
+	VerdictQueueFull
 )
 
-var verdicts = [...]string{"announced", "late", "same", "older", "conflict", "full"}
+// verdictNames are the words of logs, which operators' pages quote.
+var verdictNames = [...]string{"announced", "late", "same", "older", "conflict", "full"}
 
-func (v Verdict) String() string { return verdicts[v] }
+func (v Verdict) String() string { return verdictNames[v] }
 
 // State is what one ingress knows of the catalogue. It is not safe for use by several goroutines at once.
 type State struct {
-	base    map[string]*decision.Terms // the plans of the settings, for a time before any revision holds
-	retired map[string]*decision.Terms // plans that a revision took away: by header, members may still name them
-	all     []*compiled                // by number; the first one may hold, the others do not yet
-	told    decision.Seconds           // changes until then have been told
-	was     *compiled                  // held then
-}
-
-// compiled is a revision made ready to be asked.
-type compiled struct {
-	Revision
-	digest string
-	terms  map[string]*decision.Terms // by plan
-	spans  map[string][]span          // by member, in order
-	edges  []decision.Seconds         // when any of them begins or ends, in order
-}
+	base    map[string]*decision.Terms // the plans of the settings, for a time before any revision is in force
+	retired map[string]*decision.Terms // plans that a revision removed: clients may still name them by header
+	known   []*compiled                // by number; the first one may be in force, the others are pending
 
-// span is a stretch of time in which a member has booked the same rate.
-type span struct {
-	from, to decision.Seconds
-	rate     float64
-	terms    map[string]*decision.Terms // by plan, made when first asked for
+	reportedUntil decision.Seconds // Due has returned the changes until then
+	reported      *compiled        // the revision that was in force then
 }
 
 // NewState returns a state that knows the plans of the settings only.
 func NewState(base []decision.Plan) *State {
 	s := &State{base: map[string]*decision.Terms{}, retired: map[string]*decision.Terms{}}
 	for _, p := range base {
-		s.base[p.Name] = &decision.Terms{Plan: p, Tag: p.Tag()}
+		s.base[p.Name] = newTerms(p)
 	}
 	return s
 }
 
-// Offer takes a valid revision. Whatever the order in which ingresses hear of revisions, they come to hold the
-// same ones: the number decides, and under one number the digest.
-func (s *State) Offer(r Revision, now decision.Seconds) Verdict { return s.offer(r, now, false) }
+// Offer adds a valid revision. Whatever the order in which ingresses receive revisions, they come to agree on the
+// one in force: the number decides, and under one number the digest.
+func (s *State) Offer(r Revision, now decision.Seconds) Verdict { return s.add(r, now, false) }
 
-// Commit takes a revision that was announced: it holds in place of any other of its number.
-func (s *State) Commit(r Revision, now decision.Seconds) Verdict { return s.offer(r, now, true) }
+// Commit adds a revision that was announced under a lease: it replaces any other of its number.
+func (s *State) Commit(r Revision, now decision.Seconds) Verdict { return s.add(r, now, true) }
 
-func (s *State) offer(r Revision, now decision.Seconds, settled bool) Verdict {
-	digest, verdict := r.Digest(), VerdictPending
-	if r.Holds <= now {
-		verdict = VerdictLate
-	}
-	held := s.at(now)
-	if held != nil && r.Number < held.Number {
+func (s *State) add(r Revision, now decision.Seconds, committed bool) Verdict {
+	digest := r.Digest()
+	if c := s.inForce(now); c != nil && r.Number < c.Number {
 		return VerdictStale
 	}
-	i, found := slices.BinarySearchFunc(s.all, r.Number, func(c *compiled, n uint64) int { return cmp.Compare(c.Number, n) })
+	byNumber := func(c *compiled, n uint64) int { return cmp.Compare(c.Number, n) }
+	i, found := slices.BinarySearchFunc(s.known, r.Number, byNumber)
 	if found {
-		if digest == s.all[i].digest {
+		switch known := s.known[i].digest; {
+		case digest == known:
 			return VerdictDuplicate
+		case digest > known || committed:
+			s.known[i] = compile(r, digest)
 		}
-		verdict = VerdictConflict
-		if digest < s.all[i].digest && !settled {
-			return VerdictConflict
-		}
-		s.all[i] = compile(r, digest)
-		return verdict
+		return VerdictConflict
 	}
-	if len(s.all) >= mostPending {
+	if len(s.known) >= maxPending {
 		return VerdictQueueFull
 	}
-	s.all = slices.Insert(s.all, i, compile(r, digest))
-	return verdict
+	s.known = slices.Insert(s.known, i, compile(r, digest))
+	if r.Holds <= now {
+		return VerdictLate
+	}
+	return VerdictPending
 }
 
-// InForce is the number of the revision that holds; 0: none does, the settings do.
+// InForce is the number of the revision in force; 0: there is none, and the plans of the settings count.
 func (s *State) InForce(now decision.Seconds) uint64 {
-	if c := s.at(now); c != nil {
+	if c := s.inForce(now); c != nil {
 		return c.Number
 	}
 	return 0
 }
 
-// at is the revision with the highest number of those whose time has come. Those below it are forgotten.
-func (s *State) at(now decision.Seconds) *compiled {
-	for i := len(s.all) - 1; i >= 0; i-- {
-		if s.all[i].Holds <= now {
-			if i > 0 {
-				for _, c := range s.all[:i] {
-					for name, t := range c.terms {
-						s.retired[name] = t
-					}
-				}
-				s.all = slices.Delete(s.all, 0, i)
-			}
-			return s.all[0]
+// inForce is the revision with the highest number of those whose time has come; nil: there is none. It forgets those
+// with lower numbers, except for their plans.
+func (s *State) inForce(now decision.Seconds) *compiled {
+	for i := len(s.known) - 1; i >= 0; i-- {
+		if s.known[i].Holds <= now {
+			s.retire(i)
+			return s.known[0]
 		}
 	}
 	return nil
 }
 
-// Terms are those of a member whose client names a plan, now; nil: nobody knows such a plan. The same pointer
-// comes back while they stay the same.
+// retire removes the first n revisions and keeps their plans' terms.
+func (s *State) retire(n int) {
+	for _, c := range s.known[:n] {
+		for name, terms := range c.terms {
+			s.retired[name] = terms
+		}
+	}
+	s.known = slices.Delete(s.known, 0, n)
+}
+
+// Terms are those of a member whose client names a plan; nil: the plan is unknown. The same pointer comes back
+// while the terms stay the same.
 func (s *State) Terms(member, tier string, now decision.Seconds) *decision.Terms {
-	c := s.at(now)
+	c := s.inForce(now)
 	if c == nil {
 		return s.base[tier]
 	}
@@ -135,35 +127,19 @@
 			tier = plan
 		}
 	}
-	return c.on(member, tier, now, s)
-}
-
-func (c *compiled) on(member, plan string, now decision.Seconds, s *State) *decision.Terms {
-	t := c.terms[plan]
-	if t == nil {
-		// Taken away while clients still name it: they are served by its last figures, not turned away.
-		if t = s.retired[plan]; t == nil {
-			return s.base[plan]
-		}
-		return t
+	if terms := c.lookup(member, tier, now); terms != nil {
+		return terms
 	}
-	for i := range c.spans[member] {
-		if b := &c.spans[member][i]; b.from <= now && now < b.to && t.Plan.Rate > 0 {
-			if b.terms[plan] == nil {
-				p := t.Plan
-				if p.Rate += b.rate; p.LimitRate > 0 {
-					p.Rate = min(p.Rate, p.LimitRate)
-				}
-				b.terms[plan] = &decision.Terms{Plan: p, Tag: p.Tag()}
-			}
-			return b.terms[plan]
-		}
+	// The plan was removed while clients still name it: they are served by its last figures, not rejected.
+	if terms := s.retired[tier]; terms != nil {
+		return terms
 	}
-	return t
+	return s.base[tier]
 }
 
-// Plans are the names of the plans that clients may name now.
-func (s *State) Plans(now decision.Seconds) []string {
+// Plans are the names of the plans that clients may name, in order. Those of pending revisions are among them:
+// clients may learn of a revision a moment earlier than this ingress puts it into force.
+func (s *State) Plans() []string {
 	var names []string
 	add := func(m map[string]*decision.Terms) {
 		for name := range m {
@@ -172,37 +148,36 @@
 	}
 	add(s.base)
 	add(s.retired)
-	for _, c := range s.all {
-		add(c.terms) // announced ones too: the front may be told a moment earlier
+	for _, c := range s.known {
+		add(c.terms)
 	}
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// Due tells the terms of the members that the catalogue lists and whose terms have changed since the last call.
-// Others are told with their next request; without one they ask for nothing.
+// Due returns the terms of members that the catalogue lists and whose terms have changed since the last call, in
+// order of members. Other members' terms are looked up with their next request.
 func (s *State) Due(now decision.Seconds) (due []decision.Terms) {
-	c, was, since := s.at(now), s.was, s.told
-	s.was, s.told = c, now
+	c, before, since := s.inForce(now), s.reported, s.reportedUntil
+	s.reported, s.reportedUntil = c, now
 	if c == nil || c.Authority != AuthorityCatalogue {
 		return nil
 	}
-	tell := func(member string) {
+	add := func(member string) {
 		if t := s.Terms(member, "", now); t != nil {
 			due = append(due, decision.Terms{Customer: member, Plan: t.Plan, Tag: t.Tag})
 		}
 	}
-	if c == was {
+	if c == before {
 		for member, spans := range c.spans {
-			if slices.ContainsFunc(spans, func(b span) bool { return since < b.from && b.from <= now || since < b.to && b.to <= now }) {
-				tell(member)
+			if slices.ContainsFunc(spans, func(b span) bool { return b.changesWithin(since, now) }) {
+				add(member)
 			}
 		}
 	} else {
-		for member, plan := range c.Members {
-			if was == nil || was.Members[member] != plan || was.terms[plan] == nil || was.terms[plan].Tag != c.terms[plan].Tag ||
-				len(was.spans[member])+len(c.spans[member]) > 0 {
-				tell(member)
+		for member := range c.Members {
+			if c.differsFor(member, before) {
+				add(member)
 			}
 		}
 	}
@@ -210,61 +185,34 @@
 	return due
 }
 
-// Next is when terms change next by what is known now; 0: not at all.
+// differsFor returns whether a member's terms may differ from those of another revision, which may be nil.
+func (c *compiled) differsFor(member string, before *compiled) bool {
+	plan := c.Members[member]
+	if before == nil || before.Members[member] != plan {
+		return true
+	}
+	if before.terms[plan] == nil || before.terms[plan].Tag != c.terms[plan].Tag {
+		return true
+	}
+	return len(before.spans[member])+len(c.spans[member]) > 0
+}
+
+// Next is when terms change next, as far as is known now; 0: never.
 func (s *State) Next(now decision.Seconds) (next decision.Seconds) {
 	earlier := func(at decision.Seconds) {
 		if at > now && (next == 0 || at < next) {
 			next = at
 		}
 	}
-	if c := s.at(now); c != nil {
+	if c := s.inForce(now); c != nil {
 		if i, _ := slices.BinarySearch(c.edges, now); i < len(c.edges) {
-			for _, at := range c.edges[i:min(i+2, len(c.edges))] { // one that is now, and the one after it
+			for _, at := range c.edges[i:min(i+2, len(c.edges))] { // the edge may be now: the one after it counts then
 				earlier(at)
 			}
 		}
 	}
-	for _, c := range s.all {
+	for _, c := range s.known {
 		earlier(c.Holds)
 	}
 	return next
 }
-
-func compile(r Revision, digest string) *compiled {
-	c := &compiled{Revision: r, digest: digest, terms: map[string]*decision.Terms{}, spans: map[string][]span{}}
-	for _, p := range r.Plans {
-		c.terms[p.Name] = &decision.Terms{Plan: p, Tag: p.Tag()}
-	}
-	byMember := map[string][]Booking{}
-	for _, b := range r.Bookings {
-		byMember[b.Member] = append(byMember[b.Member], b)
-	}
-	for member, list := range byMember {
-		var at []decision.Seconds
-		for _, b := range list {
-			at = append(at, b.From, b.To)
-		}
-		slices.Sort(at)
-		at = slices.Compact(at)
-		for i := range at[:len(at)-1] {
-			rate := 0.0
-			for _, b := range list {
-				if b.From <= at[i] && at[i] < b.To {
-					rate += b.Rate()
-				}
-			}
-			if rate > 0 {
-				c.spans[member] = append(c.spans[member], span{at[i], at[i+1], rate, map[string]*decision.Terms{}})
-			}
-		}
-		c.edges = append(c.edges, at...)
-	}
-	slices.Sort(c.edges)
-	c.edges = slices.Compact(c.edges)
-	return c
-}
-
-// String tells a booking as tables and logs show it.
-func (b Booking) String() string {
-	return fmt.Sprintf("%s: %g units for %s over %.0f s", b.ID, b.Units, b.Member, b.To-b.From)
-}
