--- a/internal/standalone/node/node.go
+++ b/internal/standalone/node/node.go
@@ -204,7 +204,7 @@
 	}, n.log)
 	n.server = ingress.New(&c.Settings, n.engine, pool, int(clientSocketShare*sockets), n.log)
 	if n.fleet != nil {
-		n.server.About = n.fleetStatus
+		n.server.FleetStatus = n.fleetStatus
 	}
 	return pool
 }
