--- a/internal/standalone/catalogue/catalogue_test.go
+++ b/internal/standalone/catalogue/catalogue_test.go
@@ -48,9 +48,14 @@
 		t.Fatal(err)
 	}
 	r := all[0]
-	if r.Number != 7 || r.Holds != 1796119200 || r.Authority != plans.AuthorityCatalogue || len(r.Plans) != 2 || r.Members["00000000000000cc"] != "plus" ||
-		r.Bookings[0].To-r.Bookings[0].From != 300.5 || r.Bookings[0].Units != 30050 {
-		t.Errorf("%+v", r)
+	if r.Number != 7 || r.Holds != 1796119200 || r.Authority != plans.AuthorityCatalogue {
+		t.Errorf("number %d, holds %v, authority %v; want 7, 1796119200, catalogue", r.Number, r.Holds, r.Authority)
+	}
+	if len(r.Plans) != 2 || r.Members["00000000000000cc"] != "plus" {
+		t.Errorf("plans %+v, members %v; want two plans, and plus for 00000000000000cc", r.Plans, r.Members)
+	}
+	if b := r.Bookings[0]; b.To-b.From != 300.5 || b.Units != 30050 {
+		t.Errorf("booking %+v, want 30050 units over 300.5 s", b)
 	}
 	second := r
 	second.Number, second.Authority, second.Members, second.Bookings = 8, plans.AuthorityHeader, map[string]string{}, nil
@@ -59,35 +64,46 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff([]plans.Revision{r, second}, again); diff != "" {
-		t.Errorf("what is written reads otherwise (-want +got):\n%s", diff)
+		t.Errorf("after Format and Parse (-want +got):\n%s", diff)
 	}
 }
 
-func TestWhatIsWrongIsToldWithItsPlace(t *testing.T) {
-	for _, tc := range []struct{ name, from, to, want string }{
+func TestParseErrorsNameThePlace(t *testing.T) {
+	for _, tc := range []struct{ name, from, to, want string }{ // from is replaced by to; a want may end in *
 		{"not HCL", "revision \"7\" {", "revision \"7\" ", `f:1:14: Invalid block definition: *`},
 		{"nothing", good, "", `f:1:1: revision: a catalogue needs one revision at least`},
-		{"unknown key", "    price = 1", "    prize = 1", `f:9:5: Unsupported argument: An argument named "prize" is not expected here. Did you mean "price"?`},
+		{"unknown key", "    price = 1", "    prize = 1",
+			`f:9:5: Unsupported argument: An argument named "prize" is not expected here. Did you mean "price"?`},
 		{"wrong type", "rate  = 4", `rate  = "much"`, `f:7:14: Unsuitable value type: *`},
-		{"no number", `"7"`, `"seven"`, `f:1:1: revision.seven: the number of a revision is a whole number from 1 on, in quotes`},
+		{"no number", `"7"`, `"seven"`,
+			`f:1:1: revision.seven: the number of a revision is a whole number from 1 on, in quotes`},
 		{"authority", `"catalogue"`, `"me"`, `f:3:3: revision.7.authority: "me" is neither "catalogue" nor "header"`},
-		{"time", `"2026-12-01T10:00:00Z"`, `"today"`, `f:2:3: revision.7.holds: not a time such as "2026-12-01T10:00:00Z": "today"`},
-		{"plan without a burst", "burst = 8", "burst = 0", `f:8:5: revision.7.plan.basic.burst: a rate needs a burst above 0: *`},
-		{"member twice", `["00000000000000cc"]`, `["00000000000000bb"]`, `f:15:3: revision.7.members: 00000000000000bb is on *`},
-		{"member of no plan", "    plus  = [", "    gold  = [", `f:15:3: revision.7.members.00000000000000cc: is on plan "gold", which this revision does not have`},
+		{"time", `"2026-12-01T10:00:00Z"`, `"today"`,
+			`f:2:3: revision.7.holds: not a time such as "2026-12-01T10:00:00Z": "today"`},
+		{"plan without a burst", "burst = 8", "burst = 0",
+			`f:8:5: revision.7.plan.basic.burst: a rate needs a burst above 0: *`},
+		{"member twice", `["00000000000000cc"]`, `["00000000000000bb"]`,
+			`f:15:3: revision.7.members: 00000000000000bb is on *`},
+		{"member of no plan", "    plus  = [", "    gold  = [",
+			`f:15:3: revision.7.members.00000000000000cc: is on plan "gold", which this revision does not have`},
 		{"booking too large", "30050", "3005000", `f:23:5: revision.7.booking.results.units: at Unix time *`},
-		{"two revisions of one number", "\n}\n", "\n}\n" + good, `f:1:1: revision.7: another revision of this file has the same number`},
+		{"two revisions of one number", "\n}\n", "\n}\n" + good,
+			`f:1:1: revision.7: another revision of this file has the same number`},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if !strings.Contains(good, tc.from) {
-				t.Fatal("nothing to change")
+				t.Fatalf("%q is not in the catalogue", tc.from)
 			}
 			_, err := Parse("f", []byte(strings.Replace(good, tc.from, tc.to, 1)))
 			if err == nil {
-				t.Fatal("taken")
+				t.Fatalf("no error, want %s", tc.want)
 			}
-			start, any := strings.CutSuffix(tc.want, "*")
-			if got := err.Error(); got != tc.want && !(any && strings.HasPrefix(got, start)) || strings.Contains(got, "\n") {
+			got := err.Error()
+			matches := got == tc.want
+			if prefix, isPrefix := strings.CutSuffix(tc.want, "*"); isPrefix {
+				matches = strings.HasPrefix(got, prefix)
+			}
+			if !matches || strings.Contains(got, "\n") {
 				t.Errorf("got  %s\nwant %s", got, tc.want)
 			}
 		})
@@ -104,17 +120,18 @@
 	}
 	all, err := Apply([]plans.Revision{r(1, 10), r(2, 20), r(3, 100)}, r(4, 120), 50)
 	if diff := cmp.Diff([]uint64{2, 3, 4}, numbers(all)); diff != "" || err != nil {
-		t.Errorf("%v, what is past goes: %s", err, diff)
+		t.Errorf("error %v; numbers without those that are past (-want +got):\n%s", err, diff)
 	}
 	if _, err := Apply(all, r(4, 130), 50); !errors.Is(err, ErrStale) {
-		t.Errorf("a number again: %v", err)
+		t.Errorf("Apply of the same number = %v, want %v", err, ErrStale)
 	}
 	if _, err := Apply(all, r(5, 110), 50); !errors.Is(err, ErrEarlierStart) {
-		t.Errorf("before the last one: %v", err)
+		t.Errorf("Apply of an earlier start = %v, want %v", err, ErrEarlierStart)
 	}
 }
 
-// The watched file is replaced by good and broken ones: the good ones are told, a broken one is logged once.
+// The watched file is replaced by valid and invalid ones: OnChange receives the valid ones, and an invalid one is
+// logged once.
 func TestWatcher(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plans.hcl")
 	write := func(text string) {
@@ -123,50 +140,55 @@
 		}
 	}
 	write(good)
-	lines, told := &bytes.Buffer{}, make(chan uint64, 100)
+	lines, received := &bytes.Buffer{}, make(chan uint64, 100)
 	log := logrus.New()
 	log.SetOutput(lines)
 	logged := make(chan struct{}, 100)
-	log.AddHook(hook(logged))
-	w := &Watcher{Path: path, Log: log, OnChange: func(all []plans.Revision) { told <- all[len(all)-1].Number }}
+	log.AddHook(logHook(logged))
+	onChange := func(all []plans.Revision) { received <- all[len(all)-1].Number }
+	w := &Watcher{Path: path, Log: log, OnChange: onChange}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() { done <- w.Run(ctx) }()
-	until := func(want uint64) {
-		for n := range told { // an event may be told more than once
+	await := func(want uint64) {
+		for n := range received { // one replacement may be several events
 			if n == want {
 				return
 			}
 		}
 	}
-	until(7)
+	await(7)
 	write("nonsense")
 	<-logged
 	write("nonsense")
 	write(strings.Replace(good, `"7"`, `"8"`, 1))
-	until(8)
+	await(8)
 	os.Remove(path)
 	<-logged
 	write(strings.Replace(good, `"7"`, `"9"`, 1))
-	until(9)
+	await(9)
 	cancel()
 	if err := <-done; err != nil {
-		t.Error(err)
+		t.Errorf("Run() = %v, want nil", err)
 	}
-	if n := strings.Count(lines.String(), "plans-bad-catalogue"); n != 2 || !strings.Contains(lines.String(), path+":1:1: ") {
-		t.Errorf("%d lines:\n%s", n, lines)
+	n := strings.Count(lines.String(), "plans-bad-catalogue")
+	if n != 2 || !strings.Contains(lines.String(), path+":1:1: ") {
+		t.Errorf("%d lines with plans-bad-catalogue, want 2 with the place %s:1:1:\n%s", n, path, lines)
 	}
 }
 
-type hook chan struct{}
+// logHook receives a value for each log line.
+type logHook chan struct{}
+
+func (logHook) Levels() []logrus.Level { return logrus.AllLevels }
 
-func (hook) Levels() []logrus.Level { return logrus.AllLevels }
-func (h hook) Fire(*logrus.Entry) error {
-	h <- struct{}{}
+func (l logHook) Fire(*logrus.Entry) error {
+	l <- struct{}{}
 	return nil
 }
 
-// FuzzParse: a catalogue is refused with one line that names its place, or is valid and the same when written again.
+// FuzzParse: a catalogue is rejected with one line that names the place, or is valid and stays the same when it is
+// written and read again.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(good))
 	f.Add([]byte("revision \"1\" {\n  plan \"a\" {\n    open = 3\n  }\n}\n"))
--- /dev/null
+++ b/internal/standalone/catalogue/errors.go
@@ -0,0 +1,12 @@
+package catalogue
+
+import "errors"
+
+// Errors of Apply: the revision cannot follow the last one of the catalogue.
+var (
+	// ErrStale is returned for a revision whose number is not above the last one's.
+	ErrStale = errors.New("its number is not above the last one's")
+
+	// ErrEarlierStart is returned for a revision that would take effect before the last one does.
+	ErrEarlierStart = errors.New("it holds before the last one does")
+)
--- a/internal/standalone/catalogue/watch.go
+++ b/internal/standalone/catalogue/watcher.go
@@ -14,14 +14,14 @@
 // Watcher follows a catalogue's file.
 type Watcher struct {
 	Path     string
-	OnChange func([]plans.Revision) // of each whole catalogue that can be used, from one goroutine
+	OnChange func([]plans.Revision) // receives each valid catalogue, from the goroutine of Run
 	Log      *logrus.Logger
 
-	last error
+	lastError error // nil: the last reading succeeded
 }
 
-// Run reads the file and then again whenever it is replaced, until the context ends. A catalogue that cannot be
-// used leaves the last one in force, and is logged once.
+// Run reads the file, and again whenever it is replaced, until the context ends. A catalogue that is not valid
+// changes nothing, and is logged once.
 func (w *Watcher) Run(ctx context.Context) error {
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
@@ -42,7 +42,8 @@
 				w.Read()
 			}
 		case err := <-watcher.Errors:
-			w.Log.WithField("code", "plans-watch-failed").WithError(err).Warn("a change of the catalogue may have been missed; it is read again")
+			w.Log.WithField("code", "plans-watch-failed").WithError(err).
+				Warn("catalogue change may have been missed; reading the file again")
 			w.Read()
 		}
 	}
@@ -50,14 +51,15 @@
 
 // Read reads the file once.
 func (w *Watcher) Read() {
-	all, err := Load(w.Path)
+	revisions, err := Load(w.Path)
 	if err != nil {
-		if w.last == nil || w.last.Error() != err.Error() { // an editor that saves in steps must not fill the log
-			w.Log.WithField("code", "plans-bad-catalogue").WithError(err).Error("the plans stay as they were")
+		// An editor that saves in steps must not fill the log.
+		if w.lastError == nil || w.lastError.Error() != err.Error() {
+			w.Log.WithField("code", "plans-bad-catalogue").WithError(err).Error("catalogue invalid; plans unchanged")
 		}
-		w.last = err
+		w.lastError = err
 		return
 	}
-	w.last = nil
-	w.OnChange(all)
+	w.lastError = nil
+	w.OnChange(revisions)
 }
--- a/internal/standalone/hclfile/hclfile.go
+++ b/internal/standalone/hclfile/hclfile.go
@@ -101,7 +101,7 @@
 
 // ErrorAt makes an error about a place named by a path, such as `plan.plus.rate`: the attribute or the block that it
 // leads to, or as far as it leads.
-func (f *File) ErrorAt(path, text string) error {
+func (f *File) ErrorAt(path, text string) *Error {
 	at := f.locate(path)
 	return &Error{File: f.Name, Line: at.Line, Column: at.Column, Text: path + ": " + text}
 }
