--- /dev/null
+++ b/internal/standalone/counterclient/client.go
@@ -0,0 +1,109 @@
+package counterclient
+
+import (
+	"hash/fnv"
+	"io"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"mulleinrouter/internal/decision"
+)
+
+const (
+	pipelineCount = 4 // connections; the counter resets any past 32 from one ingress
+	checkInterval = 500 * time.Millisecond
+)
+
+// ReplyFunc receives the outcome of a call, and the total of its name if the call succeeded.
+type ReplyFunc func(name string, outcome decision.Outcome, total float64)
+
+// Client calls the counter, at one address at a time.
+type Client struct {
+	timeout   time.Duration
+	onReply   ReplyFunc
+	log       *logrus.Logger
+	pipelines []*pipeline
+	closed    chan struct{}
+
+	mu      sync.Mutex    // guards the fields below
+	addr    string        // host:port
+	changed chan struct{} // closed when addr is no longer the address
+}
+
+// New returns a client that gives each call up after a timeout. It calls onReply once for each call.
+func New(addr string, timeout time.Duration, onReply ReplyFunc, log *logrus.Logger) *Client {
+	c := newClient(addr, timeout, onReply, log, pipelineCount)
+	for _, p := range c.pipelines {
+		go p.run()
+	}
+	go c.checkPipelines()
+	return c
+}
+
+// newClient leaves it to the caller to run the pipelines and to check them.
+func newClient(addr string, timeout time.Duration, onReply ReplyFunc, log *logrus.Logger, pipelines int) *Client {
+	c := &Client{
+		addr:    addr,
+		changed: make(chan struct{}),
+		timeout: timeout,
+		onReply: onReply,
+		log:     log,
+		closed:  make(chan struct{}),
+	}
+	for range pipelines {
+		c.pipelines = append(c.pipelines, &pipeline{client: c})
+	}
+	return c
+}
+
+// SetAddress has the counter called at another address from now on. Each pipeline changes over once its connection
+// there is up; calls in flight on the old one are still waited for there.
+func (c *Client) SetAddress(addr string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if addr != c.addr {
+		close(c.changed)
+		c.addr, c.changed = addr, make(chan struct{})
+	}
+}
+
+// address is the present address, and a channel that is closed when it changes.
+func (c *Client) address() (addr string, changed <-chan struct{}) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.addr, c.changed
+}
+
+// checkPipelines checks the connections of all pipelines until the client is closed.
+func (c *Client) checkPipelines() {
+	ticker := time.NewTicker(checkInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-c.closed:
+			return
+		case now := <-ticker.C:
+			for _, p := range c.pipelines {
+				p.check(now)
+			}
+		}
+	}
+}
+
+// Close ends the connections, and with them the goroutines of the client, without waiting for either. Calls in
+// flight are reported as reset: they may have been added.
+func (c *Client) Close() {
+	close(c.closed)
+	for _, p := range c.pipelines {
+		p.close()
+	}
+}
+
+// Add adds an amount to a name, which the counter keeps for some seconds. It does not wait for the reply.
+func (c *Client) Add(name string, amount float64, keep decision.Seconds) {
+	h := fnv.New32a()
+	io.WriteString(h, name)
+	c.pipelines[h.Sum32()%uint32(len(c.pipelines))].add(name, amount, keep)
+}
--- /dev/null
+++ b/internal/standalone/counterclient/client_test.go
@@ -0,0 +1,148 @@
+package counterclient
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"math"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/emulator/exchange"
+)
+
+// outcomeNames are the outcomes in the scripts of testdata.
+var outcomeNames = map[decision.Outcome]string{
+	decision.Succeeded:         "done",
+	decision.Rejected:          "busy",
+	decision.Failed:            "failed",
+	decision.TimedOut:          "timed out",
+	decision.ConnectionReset:   "reset",
+	decision.ConnectionRefused: "refused",
+}
+
+// discardLog returns a logger that writes nowhere.
+func discardLog() *logrus.Logger {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	return log
+}
+
+// TestExchanges plays the calls and replies of one pipeline.
+func TestExchanges(t *testing.T) {
+	exchange.Each(t, "testdata/*.txt", func(t *testing.T, script string) {
+		p := exchange.New(t, "counter", "other")
+		replies := make(chan string, 10)
+		onReply := func(name string, outcome decision.Outcome, total float64) {
+			replies <- fmt.Sprintf("%s %s %v", name, outcomeNames[outcome], total)
+		}
+		c := newClient(p.Addr("counter"), time.Minute, onReply, discardLog(), 1)
+		defer c.Close()
+		pipe := c.pipelines[0]
+		p.Hooks["run"] = func(string) string {
+			go pipe.run()
+			return ""
+		}
+		p.Hooks["up"] = func(string) string { // the pipeline has noticed its connection
+			return exchange.Until(func() bool {
+				pipe.mu.Lock()
+				defer pipe.mu.Unlock()
+				return pipe.current() != nil
+			})
+		}
+		p.Hooks["cannot-write"] = func(string) string { // any write fails from now on, before its first byte
+			pipe.mu.Lock()
+			defer pipe.mu.Unlock()
+			pipe.current().conn.(*net.TCPConn).CloseWrite()
+			return ""
+		}
+		p.Hooks["add"] = func(text string) string {
+			var name string
+			var amount, keep float64
+			fmt.Sscan(text, &name, &amount, &keep)
+			c.Add(name, amount, keep)
+			return text
+		}
+		p.Hooks["time-out"] = func(string) string { // as the timer of the oldest call does
+			pipe.mu.Lock()
+			oldest := pipe.connections[0].calls[0]
+			pipe.mu.Unlock()
+			pipe.giveUp(oldest)
+			return ""
+		}
+		p.Hooks["set-address"] = func(string) string {
+			c.SetAddress(p.Addr("other"))
+			return ""
+		}
+		p.Hooks["address-changed"] = func(string) string { // new calls go to the new connection
+			return exchange.Until(func() bool {
+				pipe.mu.Lock()
+				defer pipe.mu.Unlock()
+				current := pipe.current()
+				return current != nil && current.conn.RemoteAddr().String() == p.Addr("other")
+			})
+		}
+		p.Hooks["reply"] = func(string) string { return <-replies }
+		p.Hooks["check-later"] = func(later string) string {
+			d, _ := time.ParseDuration(later)
+			pipe.check(time.Now().Add(d))
+			return later
+		}
+		p.Play(script)
+	})
+}
+
+// A counter that ends each connection at once, because it has too many, is dialled again only after a delay.
+func TestReconnectDelayWithoutReply(t *testing.T) {
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	onReply := func(string, decision.Outcome, float64) {}
+	c := newClient(l.Addr().String(), time.Minute, onReply, discardLog(), 1)
+	defer c.Close()
+	go c.pipelines[0].run()
+	begun := time.Now()
+	const times = 4
+	for range times {
+		conn, err := l.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		conn.Close()
+	}
+	if took := time.Since(begun); took < (times-1)*reconnectDelay {
+		t.Errorf("%d connections within %v, want at least %v between two", times, took, reconnectDelay)
+	}
+}
+
+// FuzzReadReply: whatever the counter sends is a reply or an error; a total is a number, and never read from more
+// lines than a reply has.
+func FuzzReadReply(f *testing.F) {
+	for _, text := range []string{
+		"$3\r\n2.5\r\n", "+PONG\r\n", "-BUSY\r\n", "-ERR no\r\n", ":7\r\n", "$-1\r\n", "$9999999\r\nx",
+		"*1\r\n$1\r\n1\r\n", "$3\r\nNaN\r\n", "$3\r\nInf\r\n",
+	} {
+		f.Add([]byte(text))
+	}
+	f.Fuzz(func(t *testing.T, b []byte) {
+		r := bufio.NewReaderSize(bytes.NewReader(b), 1024)
+		a, err := readReply(r)
+		if err != nil {
+			return
+		}
+		if math.IsNaN(a.total) || math.IsInf(a.total, 0) || a.pong && a.outcome != 0 {
+			t.Fatalf("%q: %+v", b, a)
+		}
+		rest, _ := io.ReadAll(r)
+		if used := bytes.Count(b[:len(b)-len(rest)], []byte("\n")); used < 1 || used > 2 {
+			t.Fatalf("%q: a reply of %d lines, want 1 or 2", b, used)
+		}
+	})
+}
--- /dev/null
+++ b/internal/standalone/counterclient/pipeline.go
@@ -0,0 +1,259 @@
+package counterclient
+
+import (
+	"bufio"
+	"cmp"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"mulleinrouter/internal/decision"
+)
+
+const (
+	maxPendingCalls  = 1024 // on one connection, those included that were given up
+	dialTimeout      = 250 * time.Millisecond
+	reconnectDelay   = 100 * time.Millisecond
+	pingInterval     = 2 * time.Second // the counter closes idle connections after 10 s or less
+	silenceTimeout   = time.Second     // a machine that vanished leaves connections open and silent
+	readBufferLength = 1024            // bytes; a longer line is none of the counter's
+)
+
+// pipeline has one connection in use. Where the counter's address has changed, the connections before it stay until
+// the calls on them are answered.
+type pipeline struct {
+	client *Client
+
+	mu          sync.Mutex    // guards the fields below, and the connections
+	connections []*connection // the last one is in use, unless it is retired
+	request     []byte        // buffer of the request that is written
+}
+
+// current is the connection that takes new calls; nil: none does.
+func (p *pipeline) current() *connection {
+	if n := len(p.connections); n > 0 && p.connections[n-1].usable() {
+		return p.connections[n-1]
+	}
+	return nil
+}
+
+// close ends the connections as the client is closed.
+func (p *pipeline) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.connections {
+		c.end("counter-closed")
+	}
+}
+
+// add sends a call, or reports at once that it cannot be sent.
+func (p *pipeline) add(name string, amount float64, keep decision.Seconds) {
+	p.mu.Lock()
+	// Calls for this name at the old address are not waited for any longer: two connections keep no order, and a late
+	// reply would be taken for that to this call.
+	for p.abandonRetired(name) {
+		p.mu.Unlock()
+		p.client.onReply(name, decision.ConnectionReset, 0)
+		p.mu.Lock()
+	}
+	c := p.current()
+	if c == nil || len(c.calls) >= maxPendingCalls {
+		p.mu.Unlock()
+		p.client.onReply(name, decision.ConnectionRefused, 0)
+		return
+	}
+	sent := &call{name: name, sentAt: time.Now()}
+	sent.timer = time.AfterFunc(p.client.timeout, func() { p.giveUp(sent) })
+	p.request = appendAdd(p.request[:0], name, amount, keep)
+	err := c.write(p.request, sent, p.client.timeout)
+	sent.done = err != nil
+	p.mu.Unlock()
+	if err != nil {
+		sent.timer.Stop()
+		// The last byte of the call was not written, so it is not added.
+		p.client.onReply(name, decision.ConnectionRefused, 0)
+		c.conn.Close() // its reader notices, and reports the calls that were written
+	}
+}
+
+// abandonRetired gives up the oldest call for a name on a retired connection; false: there is none.
+func (p *pipeline) abandonRetired(name string) bool {
+	for _, c := range p.connections {
+		if c.retiredAt.IsZero() {
+			continue
+		}
+		for _, pending := range c.calls {
+			if !pending.done && pending.name == name {
+				pending.done = true
+				pending.timer.Stop()
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// giveUp reports a call whose timeout has passed.
+func (p *pipeline) giveUp(c *call) {
+	p.mu.Lock()
+	first := c.finish()
+	p.mu.Unlock()
+	if first {
+		p.client.onReply(c.name, decision.TimedOut, 0)
+	}
+}
+
+// run keeps one connection up, at the present address, until the client is closed.
+func (p *pipeline) run() {
+	for {
+		addr, changed := p.client.address()
+		ended := make(chan struct{})
+		if conn, err := net.DialTimeout("tcp", addr, dialTimeout); err != nil {
+			time.AfterFunc(reconnectDelay, func() { close(ended) })
+		} else {
+			c := p.use(conn)
+			go func() {
+				p.remove(c, p.readReplies(c))
+				// Without a reply it counts as one that could not connect: a counter that ends each connection at once must not
+				// be dialled thousands of times a second.
+				if !c.replied {
+					time.Sleep(reconnectDelay)
+				}
+				close(ended)
+			}()
+		}
+		select {
+		case <-p.client.closed:
+			return
+		case <-ended:
+		case <-changed: // the next connection comes up beside this one
+		}
+	}
+}
+
+// use puts a new connection into use, and retires the one before it.
+func (p *pipeline) use(conn net.Conn) *connection {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := time.Now()
+	c := &connection{conn: conn, lastReply: now}
+	for _, old := range p.connections {
+		if old.retiredAt.IsZero() {
+			old.retiredAt = now
+			if len(old.calls) == 0 {
+				old.end("counter-moved")
+			}
+		}
+	}
+	p.connections = append(p.connections, c)
+	select {
+	case <-p.client.closed: // meanwhile
+		c.end("counter-closed")
+	default:
+	}
+	return c
+}
+
+// check keeps idle connections from being closed by the counter, and ends silent ones.
+func (p *pipeline) check(now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.connections {
+		silentFor := now.Sub(c.lastReply)
+		switch {
+		case c.broken:
+		case !c.retiredAt.IsZero():
+			if now.Sub(c.retiredAt) > silenceTimeout {
+				c.end("counter-moved")
+			}
+		case len(c.calls) > 0 && now.Sub(c.calls[0].sentAt) > silenceTimeout && silentFor > silenceTimeout:
+			c.end("counter-silent")
+		case len(c.calls) == 0 && silentFor > pingInterval:
+			p.request = append(p.request[:0], ping...)
+			if c.write(p.request, &call{done: true, sentAt: now}, p.client.timeout) != nil {
+				c.conn.Close()
+			}
+		}
+	}
+}
+
+// remove removes a connection that has ended, and reports the calls on it: they may have been added.
+func (p *pipeline) remove(c *connection, err error) {
+	c.conn.Close()
+	p.mu.Lock()
+	p.connections = slices.DeleteFunc(p.connections, func(other *connection) bool { return other == c })
+	lost := c.calls[:0]
+	for _, pending := range c.calls {
+		if pending.finish() {
+			pending.timer.Stop()
+			lost = append(lost, pending)
+		}
+	}
+	c.calls = nil
+	code := cmp.Or(c.closeCause, endCode(err))
+	p.mu.Unlock()
+	p.client.log.WithFields(logrus.Fields{"code": code, "lost": len(lost)}).Info("counter connection ended")
+	for _, pending := range lost {
+		p.client.onReply(pending.name, decision.ConnectionReset, 0)
+	}
+}
+
+// endCode is the log code for the end of a connection that this side did not cause.
+func endCode(err error) string {
+	switch {
+	case errors.Is(err, io.EOF):
+		return "counter-ended"
+	case errors.Is(err, errProtocol):
+		return "counter-bad-answer"
+	default:
+		return "counter-broken"
+	}
+}
+
+// readReplies reads replies in the order of the calls, until the connection ends.
+func (p *pipeline) readReplies(c *connection) error {
+	r := bufio.NewReaderSize(c.conn, readBufferLength)
+	for {
+		received, err := readReply(r)
+		if err != nil && !errors.Is(err, errProtocol) {
+			return err
+		}
+		if err := p.handleReply(c, received, err); err != nil {
+			return err
+		}
+	}
+}
+
+// handleReply reports the oldest call of a connection by a reply. One that is malformed, as its error says, still
+// belongs to that call, which was added: the total alone is unknown.
+func (p *pipeline) handleReply(c *connection, received reply, err error) error {
+	p.mu.Lock()
+	if len(c.calls) == 0 {
+		p.mu.Unlock()
+		return cmp.Or(err, fmt.Errorf("%w: one too many", errProtocol))
+	}
+	answered := c.next(time.Now())
+	if err == nil && (answered.name == "") != received.pong {
+		err = fmt.Errorf("%w: of this call", errProtocol)
+	}
+	if err != nil {
+		received = reply{outcome: decision.Failed}
+		c.broken = true
+	}
+	first := answered.finish()
+	if len(c.calls) == 0 && !c.retiredAt.IsZero() {
+		c.end("counter-moved")
+	}
+	p.mu.Unlock()
+	if first {
+		answered.timer.Stop()
+		p.client.onReply(answered.name, received.outcome, received.total)
+	}
+	return err
+}
