--- a/internal/standalone/counterserver/server.go
+++ b/internal/standalone/counterserver/server.go
@@ -3,72 +3,71 @@
 import (
 	"bufio"
 	"errors"
-	"hash/fnv"
-	"io"
-	"math"
 	"net"
-	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
 )
 
 const (
-	mostNames = 1 << 20 // over all parts: some 100 MB at the very most, 60 s of 17,000 new names a second
-	mostArgs  = 8
-	mostWord  = 256 // bytes of one argument
-	idleMost  = 10 * time.Second
-	mostConns = 32 // of one address, further ones are reset
+	maxNames        = 1 << 20 // over all shards: some 100 MB, 60 s of 17,000 new names a second
+	maxConnsPerHost = 32      // further ones are reset
+	idleTimeout     = 10 * time.Second
+	acceptRetry     = 10 * time.Millisecond // after a failure to accept
+	bufferBytes     = 4096                  // of a connection, for each direction
 )
 
-// Server serves a counter's numbers.
+// Server serves the totals of a counter.
 type Server struct {
-	parts []part
+	shards []shard
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards the fields below
 	conns  map[net.Conn]struct{}
-	byHost map[string]int
+	byHost map[string]int // connections by the caller's address
 	closed bool
 
 	fault atomic.Pointer[Fault]
 	calls atomic.Int64
 }
 
-// part holds some of the names. Its calls are served in turn.
-type part struct {
-	sync.Mutex
+// shard holds some of the names. Its calls are served one after another.
+type shard struct {
+	mu    sync.Mutex // guards store
 	store *Store
 }
 
-// Fault is what a stand-in's counter does wrong.
+// Fault is what the counter of a test does wrong. The zero value is no fault.
 type Fault struct {
 	Delay  time.Duration // before each call is served
 	Silent bool          // calls are added and never answered
-	Busy   bool          // calls are turned away
+	Busy   bool          // calls are rejected
 }
 
-// New returns a server with so many parts.
-func New(parts int) *Server {
-	s := &Server{parts: make([]part, max(1, parts)), conns: map[net.Conn]struct{}{}, byHost: map[string]int{}}
+// New returns a server with a number of shards, one at least.
+func New(shards int) *Server {
+	s := &Server{
+		shards: make([]shard, max(1, shards)),
+		conns:  map[net.Conn]struct{}{},
+		byHost: map[string]int{},
+	}
 	s.Reset()
 	return s
 }
 
-// InjectFault makes it do something wrong from now on; nil: no more.
+// InjectFault injects a fault in place of the one before; nil: none.
 func (s *Server) InjectFault(f *Fault) { s.fault.Store(f) }
 
-// Reset forgets all numbers, as a counter does that comes back after its hall failed.
+// Reset forgets all totals, like a counter that restarts after a failure of its failure domain.
 func (s *Server) Reset() {
-	for i := range s.parts {
-		p := &s.parts[i]
-		p.Lock()
-		p.store = NewStore(mostNames / len(s.parts))
-		p.Unlock()
+	for i := range s.shards {
+		sh := &s.shards[i]
+		sh.mu.Lock()
+		sh.store = NewStore(maxNames / len(s.shards))
+		sh.mu.Unlock()
 	}
 }
 
-// Calls is how many calls have added or been turned away.
+// Calls is how many calls to add have been served or rejected.
 func (s *Server) Calls() int64 { return s.calls.Load() }
 
 // Serve accepts connections until the listener closes.
@@ -79,35 +78,46 @@
 			return nil
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // descriptors run short: no reason to stop for good
+			time.Sleep(acceptRetry) // too few descriptors are no reason to stop for good
 			continue
 		}
 		host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-		s.mu.Lock()
-		if s.closed || s.byHost[host] >= mostConns {
-			s.mu.Unlock()
+		if !s.register(c, host) {
 			if t, ok := c.(*net.TCPConn); ok {
-				t.SetLinger(0)
+				t.SetLinger(0) // resets it
 			}
 			c.Close()
 			continue
 		}
-		s.conns[c] = struct{}{}
-		s.byHost[host]++
-		s.mu.Unlock()
 		go func() {
+			defer s.unregister(c, host)
+			defer c.Close()
 			s.serve(c)
-			c.Close()
-			s.mu.Lock()
-			delete(s.conns, c)
-			if s.byHost[host]--; s.byHost[host] == 0 {
-				delete(s.byHost, host)
-			}
-			s.mu.Unlock()
 		}()
 	}
 }
 
+// register admits a connection; false: the server is closed, or the host has too many.
+func (s *Server) register(c net.Conn, host string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed || s.byHost[host] >= maxConnsPerHost {
+		return false
+	}
+	s.conns[c] = struct{}{}
+	s.byHost[host]++
+	return true
+}
+
+func (s *Server) unregister(c net.Conn, host string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.conns, c)
+	if s.byHost[host]--; s.byHost[host] == 0 {
+		delete(s.byHost, host)
+	}
+}
+
 // Close ends all connections, and those that come later.
 func (s *Server) Close() {
 	s.mu.Lock()
@@ -118,124 +128,28 @@
 	}
 }
 
-var errCall = errors.New("no call of RESP2")
-
+// serve answers the calls of a connection until it ends.
 func (s *Server) serve(c net.Conn) {
-	r := bufio.NewReaderSize(c, 4096)
-	w := bufio.NewWriterSize(c, 4096)
+	r := bufio.NewReaderSize(c, bufferBytes)
+	w := bufio.NewWriterSize(c, bufferBytes)
 	for {
-		if r.Buffered() == 0 { // answers to calls written one behind another go out together
+		if r.Buffered() == 0 { // replies to pipelined calls go out together
 			if w.Flush() != nil {
 				return
 			}
-			c.SetReadDeadline(time.Now().Add(idleMost))
+			c.SetReadDeadline(time.Now().Add(idleTimeout))
 		}
 		args, err := readCall(r)
-		if errors.Is(err, errCall) {
-			w.WriteString("-ERR Protocol error\r\n")
+		if errors.Is(err, errProtocol) {
+			w.WriteString(replyProtocolError)
 			w.Flush()
 			return
 		}
 		if err != nil {
 			return
 		}
-		if answer := s.answer(args); answer != "" {
-			w.WriteString(answer)
-		}
-	}
-}
-
-// answer carries a call out. Empty: it is not answered.
-func (s *Server) answer(args []string) string {
-	switch strings.ToUpper(args[0]) {
-	case "PING":
-		return "+PONG\r\n"
-	case "CLIENT", "SELECT":
-		return "+OK\r\n"
-	case "CNT.ADD":
-	default:
-		return "-ERR unknown command\r\n"
-	}
-	if len(args) != 4 {
-		return "-ERR wrong number of arguments\r\n"
-	}
-	amount, err := strconv.ParseFloat(args[2], 64)
-	keep, err2 := strconv.ParseInt(args[3], 10, 64)
-	if err != nil || err2 != nil || math.IsNaN(amount) || math.Abs(amount) > MaxAmount || keep < 1 ||
-		args[1] == "" || len(args[1]) > MaxNameBytes {
-		return "-ERR no such call\r\n"
-	}
-	s.calls.Add(1)
-	f := s.fault.Load()
-	if f == nil {
-		f = &Fault{}
-	}
-	if f.Busy {
-		return "-BUSY\r\n"
-	}
-	h := fnv.New32a()
-	io.WriteString(h, args[1])
-	p := &s.parts[h.Sum32()%uint32(len(s.parts))]
-	p.Lock()
-	if f.Delay > 0 {
-		time.Sleep(f.Delay) // its part serves nobody else meanwhile
-	}
-	total, ok := p.store.Add(time.Now().UnixMilli(), args[1], amount, keep)
-	p.Unlock()
-	switch {
-	case f.Silent:
-		return ""
-	case !ok:
-		return "-BUSY\r\n"
-	}
-	text := strconv.FormatFloat(total, 'f', -1, 64)
-	return "$" + strconv.Itoa(len(text)) + "\r\n" + text + "\r\n"
-}
-
-// readCall reads an array of bulk strings, or a line of words.
-func readCall(r *bufio.Reader) ([]string, error) {
-	line, err := readLine(r)
-	if err != nil {
-		return nil, err
-	}
-	if !strings.HasPrefix(line, "*") {
-		if words := strings.Fields(line); len(words) > 0 && len(words) <= mostArgs {
-			return words, nil
-		}
-		return nil, errCall
-	}
-	n, err := strconv.Atoi(line[1:])
-	if err != nil || n < 1 || n > mostArgs {
-		return nil, errCall
-	}
-	args := make([]string, n)
-	for i := range args {
-		if line, err = readLine(r); err != nil {
-			return nil, err
-		}
-		size, err := strconv.Atoi(strings.TrimPrefix(line, "$"))
-		if err != nil || !strings.HasPrefix(line, "$") || size < 0 || size > mostWord {
-			return nil, errCall
-		}
-		b := make([]byte, size+2)
-		if _, err := io.ReadFull(r, b); err != nil {
-			return nil, err
-		}
-		if string(b[size:]) != "\r\n" {
-			return nil, errCall
+		if reply := s.execute(args); reply != "" {
+			w.WriteString(reply)
 		}
-		args[i] = string(b[:size])
-	}
-	return args, nil
-}
-
-func readLine(r *bufio.Reader) (string, error) {
-	line, err := r.ReadSlice('\n')
-	if errors.Is(err, bufio.ErrBufferFull) {
-		return "", errCall
-	}
-	if err != nil {
-		return "", err
 	}
-	return strings.TrimRight(string(line), "\r\n"), nil
 }
--- a/internal/standalone/counterserver/counterd_test.go
+++ b/internal/standalone/counterserver/server_test.go
@@ -20,13 +20,13 @@
 )
 
 // The store agrees with one that looks through all names at each call.
-func TestStoreAgreesWithAPlainOne(t *testing.T) {
+func TestStoreAgreesWithALinearOne(t *testing.T) {
 	type number struct {
 		total float64
 		until int64
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	s, plain, now, turned := NewStore(20), map[string]*number{}, int64(0), 0
+	s, plain, now, rejected := NewStore(20), map[string]*number{}, int64(0), 0
 	for range 20_000 {
 		now += rng.Int64N(40)
 		name, amount, keep := fmt.Sprint(rng.IntN(40)), float64(rng.IntN(200)-50)/4, rng.Int64N(900)
@@ -38,8 +38,8 @@
 		got, ok := s.Add(now, name, amount, keep)
 		p := plain[name]
 		if p == nil && len(plain) >= 20 {
-			if turned++; ok {
-				t.Fatal("no room, and taken")
+			if rejected++; ok {
+				t.Fatalf("%s added to a full store", name)
 			}
 			continue
 		}
@@ -52,15 +52,18 @@
 			t.Fatalf("%s: %v, want %v; %d names, want %d", name, got, p.total, s.Len(), len(plain))
 		}
 	}
-	if turned == 0 {
-		t.Error("never full")
+	if rejected == 0 {
+		t.Error("the store was never full")
 	}
-	if _, ok := s.Add(now+1_000_000, "far", 1, 1e9); !ok || s.order[0].until != now+1_000_000+mostKeep {
-		t.Error("a name is kept for more than a minute")
+	_, ok := s.Add(now+1_000_000, "far", 1, 1e9)
+	if got, want := s.byExpiry[0].expiresAt, now+1_000_000+maxKeepMs; !ok || got != want {
+		t.Errorf("ok %v, expires at %d ms; want true and %d", ok, got, want)
 	}
 }
 
-func serve(t *testing.T) (*Server, string) {
+// startServer starts a server, and returns it and its address.
+func startServer(t *testing.T) (*Server, string) {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -74,15 +77,23 @@
 	return s, l.Addr().String()
 }
 
-// Calls and answers as PROTOCOL words them.
+// Calls and replies as PROTOCOL words them.
 func TestProtocol(t *testing.T) {
-	_, addr := serve(t)
-	for _, tc := range []struct{ name, say, want string }{
-		{"lines", "PING\r\nCLIENT SETNAME x\r\nSELECT 0\r\nCNT.ADD a 2.5 4000\r\nCNT.ADD a -1 4000\r\nCNT.ADD a 0 1\r\n", "+PONG\r\n+OK\r\n+OK\r\n$3\r\n2.5\r\n$3\r\n1.5\r\n$3\r\n1.5\r\n"},
-		{"arrays", "*4\r\n$7\r\nCNT.ADD\r\n$1\r\nb\r\n$7\r\n1000000\r\n$1\r\n9\r\n*1\r\n$4\r\nping\r\n", "$7\r\n1000000\r\n+PONG\r\n"},
+	_, addr := startServer(t)
+	for _, tc := range []struct{ name, send, want string }{
+		{"lines",
+			"PING\r\nCLIENT SETNAME x\r\nSELECT 0\r\nCNT.ADD a 2.5 4000\r\nCNT.ADD a -1 4000\r\nCNT.ADD a 0 1\r\n",
+			"+PONG\r\n+OK\r\n+OK\r\n$3\r\n2.5\r\n$3\r\n1.5\r\n$3\r\n1.5\r\n"},
+		{"arrays",
+			"*4\r\n$7\r\nCNT.ADD\r\n$1\r\nb\r\n$7\r\n1000000\r\n$1\r\n9\r\n*1\r\n$4\r\nping\r\n",
+			"$7\r\n1000000\r\n+PONG\r\n"},
 		{"seven digits", "CNT.ADD c 123456789 1000\r\n", "$9\r\n123456800\r\n"},
-		{"no such calls", "CNT.ADD d x 1\r\nCNT.ADD d 1 0\r\nCNT.ADD d 1e10 1\r\nCNT.ADD d 1\r\nGET d\r\nCNT.ADD " + strings.Repeat("n", 65) + " 1 1\r\nCNT.ADD d NaN 1\r\n",
-			"-ERR no such call\r\n-ERR no such call\r\n-ERR no such call\r\n-ERR wrong number of arguments\r\n-ERR unknown command\r\n-ERR no such call\r\n-ERR no such call\r\n"},
+		{"no such calls",
+			"CNT.ADD d x 1\r\nCNT.ADD d 1 0\r\nCNT.ADD d 1e10 1\r\nCNT.ADD d 1\r\nGET d\r\n" +
+				"CNT.ADD " + strings.Repeat("n", 65) + " 1 1\r\nCNT.ADD d NaN 1\r\n",
+			"-ERR no such call\r\n-ERR no such call\r\n-ERR no such call\r\n" +
+				"-ERR wrong number of arguments\r\n-ERR unknown command\r\n" +
+				"-ERR no such call\r\n-ERR no such call\r\n"},
 		{"no RESP", "*4\r\n$9999\r\n", "-ERR Protocol error\r\n"},
 		{"an array without end", "*99999\r\n", "-ERR Protocol error\r\n"},
 	} {
@@ -92,92 +103,96 @@
 				t.Fatal(err)
 			}
 			defer c.Close()
-			io.WriteString(c, tc.say)
+			io.WriteString(c, tc.send)
 			c.(*net.TCPConn).CloseWrite()
 			got, err := io.ReadAll(c)
 			if diff := cmp.Diff(tc.want, string(got)); diff != "" || err != nil {
-				t.Errorf("%v\n%s", err, diff)
+				t.Errorf("error %v; replies (-want +got):\n%s", err, diff)
 			}
 		})
 	}
 }
 
-// Our client and our counter, with what a stand-in does wrong.
-func TestWithOurClient(t *testing.T) {
-	s, addr := serve(t)
-	type told struct {
+// The client of ingresses against this server, with injected faults.
+func TestWithCounterClient(t *testing.T) {
+	s, addr := startServer(t)
+	type reply struct {
 		name    string
 		outcome decision.Outcome
 		total   float64
 	}
-	answers := make(chan told, 10)
+	replies := make(chan reply, 10)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	c := counterclient.New(addr, 10*time.Second, func(name string, o decision.Outcome, total float64) { answers <- told{name, o, total} }, log)
+	onReply := func(name string, outcome decision.Outcome, total float64) { replies <- reply{name, outcome, total} }
+	c := counterclient.New(addr, 10*time.Second, onReply, log)
 	defer c.Close()
-	add := func(want told) {
+	add := func(want reply) {
 		t.Helper()
 		for { // until its connection is up
 			c.Add(want.name, 2, 10)
-			if got := <-answers; got.outcome != decision.ConnectionRefused {
+			if got := <-replies; got.outcome != decision.ConnectionRefused {
 				if got != want {
-					t.Errorf("%+v, want %+v", got, want)
+					t.Errorf("reply %+v, want %+v", got, want)
 				}
 				return
 			}
 			time.Sleep(time.Millisecond)
 		}
 	}
-	add(told{"a", decision.Succeeded, 2})
-	add(told{"a", decision.Succeeded, 4})
+	add(reply{"a", decision.Succeeded, 2})
+	add(reply{"a", decision.Succeeded, 4})
 	s.InjectFault(&Fault{Busy: true})
-	add(told{"a", decision.Rejected, 0})
+	add(reply{"a", decision.Rejected, 0})
 	s.InjectFault(&Fault{Delay: time.Millisecond})
-	add(told{"a", decision.Succeeded, 6})
+	add(reply{"a", decision.Succeeded, 6})
 	s.InjectFault(nil)
 	s.Reset()
-	add(told{"a", decision.Succeeded, 2})
+	add(reply{"a", decision.Succeeded, 2})
 	s.InjectFault(&Fault{Silent: true})
 	c.Add("a", 2, 10)
 	for s.Calls() < 6 {
 		time.Sleep(time.Millisecond)
 	}
 	select {
-	case got := <-answers:
+	case got := <-replies:
 		t.Errorf("a silent counter answered %+v", got)
 	default:
 	}
 }
 
 func TestTooManyConnectionsAreReset(t *testing.T) {
-	_, addr := serve(t)
-	for i := range mostConns + 1 {
+	_, addr := startServer(t)
+	for i := range maxConnsPerHost + 1 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
-			if i < mostConns {
+			if i < maxConnsPerHost {
 				t.Fatal(err)
 			}
 			continue // reset before the dial was over
 		}
 		defer c.Close()
 		io.WriteString(c, "PING\r\n")
-		if _, err := bufio.NewReader(c).ReadString('\n'); (err == nil) != (i < mostConns) {
-			t.Errorf("connection %d: %v", i+1, err)
+		if _, err := bufio.NewReader(c).ReadString('\n'); (err == nil) != (i < maxConnsPerHost) {
+			t.Errorf("connection %d: error %v, want one for those above %d alone", i+1, err, maxConnsPerHost)
 		}
 	}
 }
 
 func BenchmarkAdd(b *testing.B) {
-	s := NewStore(mostNames)
+	s := NewStore(maxNames)
 	b.ReportAllocs()
 	for i := range b.N {
 		s.Add(int64(i/10), fmt.Sprint(i%50_000), 1, 5000)
 	}
 }
 
-// FuzzCall: whatever callers say is carried out or refused, in bounded memory.
+// FuzzCall: whatever callers send is carried out or rejected, in bounded memory.
 func FuzzCall(f *testing.F) {
-	for _, text := range []string{"PING\r\n", "*4\r\n$7\r\nCNT.ADD\r\n$1\r\na\r\n$1\r\n2\r\n$1\r\n9\r\n", "CNT.ADD a 1 1\r\n", "*99999\r\n", "*1\r\n$-5\r\n"} {
+	for _, text := range []string{
+		"PING\r\n", "*4\r\n$7\r\nCNT.ADD\r\n$1\r\na\r\n$1\r\n2\r\n$1\r\n9\r\n",
+		"CNT.ADD a 1 1\r\n", "*99999\r\n", "*1\r\n$-5\r\n",
+	} {
 		f.Add([]byte(text))
 	}
 	s := New(1)
@@ -188,11 +203,11 @@
 			if err != nil {
 				return
 			}
-			if len(args) == 0 || len(args) > mostArgs {
-				t.Fatalf("%q: %q", b, args)
+			if len(args) == 0 || len(args) > maxArgs {
+				t.Fatalf("%q: arguments %q, want from 1 to %d", b, args, maxArgs)
 			}
-			if answer := s.answer(args); !strings.HasSuffix(answer, "\r\n") {
-				t.Fatalf("%q: answered %q", args, answer)
+			if got := s.execute(args); !strings.HasSuffix(got, "\r\n") {
+				t.Fatalf("%q: reply %q, want one that ends a line", args, got)
 			}
 		}
 	})
--- a/internal/standalone/counterserver/store.go
+++ b/internal/standalone/counterserver/store.go
@@ -1,5 +1,3 @@
-// Package counterserver is a quota counter of our own: numbers by name that ingresses add to, over RESP2 as PROTOCOL words
-// it. One ingress can have it embedded for all those on its machine; stand-ins use it, too.
 package counterserver
 
 import (
@@ -9,78 +7,87 @@
 )
 
 const (
-	// MaxNameBytes bounds a name, in bytes.
+	// MaxNameBytes bounds a name.
 	MaxNameBytes = 64
-	// MaxAmount bounds what one call may add.
+	// MaxAmount bounds what one call may add, and take away.
 	MaxAmount = 1e9
-	mostKeep  = 60_000 // ms: longer ones count as this
+
+	maxKeepMs         = 60_000 // longer times count as this
+	significantDigits = 7      // of a total: callers may count on no more
 )
 
-// Store holds the numbers. It does no I/O and reads no clock, and is not safe for use by several goroutines at once.
+// Store holds totals by name. It does no I/O and reads no clock, and is not safe for use by several goroutines at
+// once.
 type Store struct {
-	most  int // names held at once
-	names map[string]*entry
-	order expiries
+	maxNames int
+	entries  map[string]*entry
+	byExpiry expiryHeap
 }
 
+// entry is one total.
 type entry struct {
-	name  string
-	total float64
-	until int64 // ms
+	name      string
+	total     float64
+	expiresAt int64 // ms
 }
 
-// NewStore returns an empty store that holds so many names at once at the most.
-func NewStore(most int) *Store { return &Store{most: most, names: map[string]*entry{}} }
+// NewStore returns an empty store for a number of names.
+func NewStore(maxNames int) *Store { return &Store{maxNames: maxNames, entries: map[string]*entry{}} }
 
-// Add adds an amount to a name and tells the total. Now and keep are in ms; a new name is forgotten keep after it came.
-// Not ok: there is no room for another name, and nothing was added.
-func (s *Store) Add(now int64, name string, amount float64, keep int64) (total float64, ok bool) {
-	s.expire(now)
-	e := s.names[name]
+// Add adds an amount to a name and returns the total. Both times are in ms; a name expires keepMs after it was new.
+// Not ok: there is no capacity for another name, and nothing was added.
+func (s *Store) Add(nowMs int64, name string, amount float64, keepMs int64) (total float64, ok bool) {
+	s.expire(nowMs)
+	e := s.entries[name]
 	if e == nil {
-		if len(s.names) >= s.most {
+		if len(s.entries) >= s.maxNames {
 			return 0, false
 		}
-		e = &entry{name: name, until: now + min(max(1, keep), mostKeep)}
-		s.names[name] = e
-		heap.Push(&s.order, e)
+		e = &entry{name: name, expiresAt: nowMs + min(max(1, keepMs), maxKeepMs)}
+		s.entries[name] = e
+		heap.Push(&s.byExpiry, e)
 	}
 	e.total += amount
-	return round7(e.total), true
+	return round(e.total), true
 }
 
-// Len is how many names it holds.
-func (s *Store) Len() int { return len(s.names) }
+// Len is the number of names.
+func (s *Store) Len() int { return len(s.entries) }
 
-func (s *Store) expire(now int64) {
-	for len(s.order) > 0 && s.order[0].until <= now {
-		delete(s.names, heap.Pop(&s.order).(*entry).name)
+// expire removes the names whose time is over.
+func (s *Store) expire(nowMs int64) {
+	for len(s.byExpiry) > 0 && s.byExpiry[0].expiresAt <= nowMs {
+		delete(s.entries, heap.Pop(&s.byExpiry).(*entry).name)
 	}
 }
 
-// round7 keeps seven digits: callers may count on no more.
-func round7(v float64) float64 {
+// round keeps the significant digits of a total.
+func round(v float64) float64 {
 	if v == 0 || math.IsInf(v, 0) {
 		return v
 	}
-	r, err := strconv.ParseFloat(strconv.FormatFloat(v, 'e', 6, 64), 64)
+	r, err := strconv.ParseFloat(strconv.FormatFloat(v, 'e', significantDigits-1, 64), 64)
 	if err != nil {
 		return v
 	}
 	return r
 }
 
-// expiries is a heap of entries, the first to be forgotten on top.
-type expiries []*entry
+// expiryHeap is a heap of entries, the first to expire on top.
+type expiryHeap []*entry
+
+func (eh expiryHeap) Len() int           { return len(eh) }
+func (eh expiryHeap) Less(i, j int) bool { return eh[i].expiresAt < eh[j].expiresAt }
+func (eh expiryHeap) Swap(i, j int)      { eh[i], eh[j] = eh[j], eh[i] }
+
+// Push adds an entry, for container/heap.
+func (eh *expiryHeap) Push(x any) { *eh = append(*eh, x.(*entry)) }
 
-func (h expiries) Len() int           { return len(h) }
-func (h expiries) Less(i, j int) bool { return h[i].until < h[j].until }
-func (h expiries) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *expiries) Push(x any)        { *h = append(*h, x.(*entry)) }
-func (h *expiries) Pop() any {
-	old := *h
-	e := old[len(old)-1]
+// Pop removes the last entry, for container/heap.
+func (eh *expiryHeap) Pop() any {
+	old := *eh
+	last := old[len(old)-1]
 	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	return e
+	*eh = old[:len(old)-1]
+	return last
 }
