--- a/internal/standalone/discovery/discovery_test.go
+++ b/internal/standalone/discovery/discovery_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"strings"
@@ -14,35 +15,46 @@
 	"mulleinrouter/internal/emulator/exchange"
 )
 
-// TestExchanges plays discovery's side: what the module is told, and what the directory then says.
+// discardLog returns a logger that writes nowhere.
+func discardLog() *logrus.Logger {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	return log
+}
+
+// TestExchanges plays discovery's side: the updates that the decision module gets, and what the directory then holds.
 func TestExchanges(t *testing.T) {
 	exchange.Each(t, "testdata/*.txt", func(t *testing.T, script string) {
 		p := exchange.New(t, "discovery", "other")
-		log := logrus.New()
-		log.SetOutput(io.Discard)
-		news := make(chan decision.Backends, 10)
-		w := &Watcher{Addr: p.Addr("discovery"), Directory: &Directory{}, Log: log,
-			OnUpdate: func(b decision.Backends) { news <- b }, answer: time.Minute, silence: time.Minute}
+		updates := make(chan decision.Backends, 10)
+		w := &Watcher{
+			Addr:         p.Addr("discovery"),
+			Directory:    &Directory{},
+			Log:          discardLog(),
+			OnUpdate:     func(b decision.Backends) { updates <- b },
+			replyTimeout: time.Minute,
+			watchTimeout: time.Minute,
+		}
 		if strings.HasSuffix(script, "silent.txt") {
-			w.silence = time.Millisecond
+			w.watchTimeout = time.Millisecond
 		}
 		w.RestoreList(&List{Rev: 41, Targets: []Target{{UID: "s-1", Endpoint: "h:1", State: "active"}}})
-		if !strings.HasSuffix(script, "known.txt") {
-			w.listed = false // these are of an ingress that has no list to go on from
+		if !strings.HasSuffix(script, "restored-list.txt") {
+			w.hasList = false // these are of an ingress that has no list to go on from
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { defer close(done); w.Run(ctx) }()
 		defer func() { cancel(); <-done }()
-		p.Hooks["told"] = func(string) string {
-			b := <-news
+		p.Hooks["update"] = func(string) string {
+			b := <-updates
 			text := fmt.Sprint(b.Complete)
 			for _, x := range b.List {
 				text += fmt.Sprintf(" %s/%s/%s/%v/%v/%v", x.ID, x.Zone, x.Kind, x.Serving, x.Size, x.StartedAt)
 			}
 			return text
 		}
-		p.Hooks["move"] = func(string) string {
+		p.Hooks["set-address"] = func(string) string {
 			w.SetAddress(p.Addr("other"))
 			return ""
 		}
@@ -59,13 +71,11 @@
 	}
 }
 
-// Lists that discovery may send in trouble, one behind the other: what is no list changes nothing, the rest is read as far
-// as it has a meaning.
-func TestOddLists(t *testing.T) {
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	told := 0
-	w := &Watcher{Directory: &Directory{}, Log: log, OnUpdate: func(decision.Backends) { told++ }}
+// Lists that a faulty discovery may send, one after another: a malformed one changes nothing, the others are read
+// as far as they have a meaning.
+func TestUnusualLists(t *testing.T) {
+	updates := 0
+	w := &Watcher{Directory: &Directory{}, Log: discardLog(), OnUpdate: func(decision.Backends) { updates++ }}
 	const active = `{"uid":"s-1","endpoint":"h:1","state":"active"}`
 	hundreds := make([]string, 600)
 	for i := range hundreds {
@@ -73,7 +83,7 @@
 	}
 	for _, tc := range []struct {
 		name, list string
-		bad        bool
+		malformed  bool
 		servers    int
 		addr       string
 		serving    bool
@@ -84,20 +94,27 @@
 		{"a number as address", `{"rev":2,"all":true,"targets":[{"uid":"s-1","endpoint":7}]}`, true, 1, "h:1", true},
 		{"a number without end", `{"rev":2,"all":true,"targets":[{"uid":"s-1","boot_ms":1e999}]}`, true, 1, "h:1", true},
 		{"left before it was seen", `{"rev":2,"targets":[{"uid":"s-9","state":"left"}]}`, false, 1, "h:1", true},
-		{"another address", `{"rev":3,"targets":[{"uid":"s-1","endpoint":"h:2","state":"active","boot_ms":5}]}`, false, 1, "h:2", true},
-		{"twice, the last counts", `{"rev":4,"targets":[` + active + `,{"uid":"s-1","endpoint":"h:3","state":"leaving"}]}`, false, 1, "h:3", false},
-		{"a state of its own", `{"rev":5,"targets":[{"uid":"s-1","endpoint":"h:3","state":"resting"}]}`, false, 1, "h:3", false},
+		{"another address", `{"rev":3,"targets":[{"uid":"s-1","endpoint":"h:2","state":"active","boot_ms":5}]}`,
+			false, 1, "h:2", true},
+		{"twice, the last counts", `{"rev":4,"targets":[` + active + `,{"uid":"s-1","endpoint":"h:3","state":"leaving"}]}`,
+			false, 1, "h:3", false},
+		{"an unknown state", `{"rev":5,"targets":[{"uid":"s-1","endpoint":"h:3","state":"resting"}]}`,
+			false, 1, "h:3", false},
 		{"hundreds", `{"rev":6,"all":true,"targets":[` + strings.Join(hundreds, ",") + `]}`, false, 600, "h:1", true},
 		{"an older version", `{"rev":1,"all":true,"targets":[` + active + `]}`, false, 1, "h:1", true},
 		{"empty", `{"rev":7,"all":true,"targets":[]}`, false, 0, "", false},
 	} {
-		err := w.take([]byte(tc.list))
+		err := w.apply([]byte(tc.list))
+		if (err != nil) != tc.malformed || err != nil && !errors.Is(err, errMalformedList) {
+			t.Errorf("%s: error %v, want a malformed list: %v", tc.name, err, tc.malformed)
+		}
 		addr, serving := w.Directory.Lookup("s-1")
-		if (err != nil) != tc.bad || len(w.Directory.entries) != tc.servers || addr != tc.addr || serving != tc.serving {
-			t.Errorf("%s: %v; %d servers, s-1 %q %v", tc.name, err, len(w.Directory.entries), addr, serving)
+		if got := len(w.Directory.entries); got != tc.servers || addr != tc.addr || serving != tc.serving {
+			t.Errorf("%s: %d servers, s-1 at %q, serving %v; want %d, %q, %v",
+				tc.name, got, addr, serving, tc.servers, tc.addr, tc.serving)
 		}
 	}
-	if told != 8 {
-		t.Errorf("told %d times", told)
+	if updates != 8 {
+		t.Errorf("%d updates, want 8", updates)
 	}
 }
--- /dev/null
+++ b/internal/standalone/discovery/errors.go
@@ -0,0 +1,38 @@
+package discovery
+
+import (
+	"errors"
+	"io"
+	"net"
+)
+
+// Errors of a connection to discovery, which decide its log code and the time until the next one.
+var (
+	// errStatus is wrapped by errors about a response with a status other than 200.
+	errStatus = errors.New("unexpected status")
+
+	// errMalformedList is wrapped by errors about bytes that are no list.
+	errMalformedList = errors.New("not a list")
+
+	// errWatchSilent is wrapped by errors about a watch on which no line came in time.
+	errWatchSilent = errors.New("the watch fell silent")
+)
+
+// codeSilent is the log code of a call or a watch that timed out.
+const codeSilent = "discovery-silent"
+
+// logCode is the log code for the end of a connection.
+func logCode(err error) string {
+	var timeout net.Error
+	switch {
+	case errors.As(err, &timeout) && timeout.Timeout():
+		return codeSilent
+	case errors.Is(err, errStatus):
+		return "discovery-status"
+	case errors.Is(err, errMalformedList):
+		return "discovery-bad-list"
+	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
+		return "discovery-ended"
+	}
+	return "discovery-broken"
+}
