--- a/internal/emulator/capacity/plan.go
+++ b/internal/emulator/capacity/plan.go
@@ -78,11 +78,7 @@
 
 // Read reads a file of settings, lines a.b=value. Errors are premises.Faults: what is missing, unknown or no figure that can be.
 func Read(file, text string) (*Plan, error) {
-	paths, err := settings.Parse(text)
-	var faults settings.Faults
-	if err != nil {
-		faults = err.(settings.Faults)
-	}
+	paths, faults := settings.Parse(text)
 	p := &Plan{Name: file, figures: map[string]float64{}}
 	for _, path := range slices.Sorted(maps.Keys(paths)) {
 		s := paths[path]
@@ -102,7 +98,7 @@
 			p.figures[path] = v
 			continue
 		}
-		faults = append(faults, settings.Fault{Line: s.Line, Key: path, Text: wrong})
+		faults = append(faults, settings.SettingError{Line: s.Line, Key: path, Text: wrong})
 	}
 	for _, path := range slices.Sorted(maps.Keys(fields)) {
 		f := fields[path]
@@ -110,7 +106,7 @@
 			continue
 		}
 		if f.must {
-			faults = append(faults, settings.Fault{Key: path, Text: "missing"})
+			faults = append(faults, settings.SettingError{Key: path, Text: "missing"})
 		}
 		p.figures[path] = f.otherwise
 	}
@@ -118,7 +114,7 @@
 		faults[i].File = file
 	}
 	if len(faults) > 0 {
-		slices.SortStableFunc(faults, func(a, b settings.Fault) int { return int(uint16(a.Line-1)) - int(uint16(b.Line-1)) })
+		slices.SortStableFunc(faults, func(a, b settings.SettingError) int { return int(uint16(a.Line-1)) - int(uint16(b.Line-1)) })
 		return nil, faults
 	}
 	return p, nil
