--- a/internal/standalone/cli/serve.go
+++ b/internal/standalone/cli/serve.go
@@ -37,7 +37,7 @@
 
 	load, reload := config.Load, config.Reload
 	if s.Config != "" {
-		load = func(func(string) string) (*config.Config, error) { return config.File(s.Config) }
+		load = func(func(string) string) (*config.Config, error) { return config.LoadFile(s.Config) }
 		reload = load
 	}
 	c, err := load(os.Getenv)
@@ -156,7 +156,7 @@
 			return ""
 		})
 	} else {
-		read, err = config.File(c.File)
+		read, err = config.LoadFile(c.File)
 	}
 	if err != nil {
 		return badFile{err}
--- a/internal/standalone/config/config_test.go
+++ b/internal/standalone/config/config_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -12,16 +13,18 @@
 	"mulleinrouter/internal/standalone/discovery"
 )
 
-const file = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","counter":"127.0.0.1:3","seed":"ff","later":[],
+const platformText = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","counter":"127.0.0.1:3",
+"seed":"ff","later":[],
 "limits":{"cores":1.5,"memory_mb":192,"sockets":1024},
-"known":{"rev":7,"all":true,"targets":[{"uid":"s","endpoint":"h:1","az":"a","model":"m","state":"leaving","capacity_hint":2,"boot_ms":1500}]},
+"known":{"rev":7,"all":true,"targets":[
+{"uid":"s","endpoint":"h:1","az":"a","model":"m","state":"leaving","capacity_hint":2,"boot_ms":1500}]},
 "settings":{"Balancers":3,"Me":1,"Classes":[{"Name":"c","Promise":1,"Deadline":3,"Gain":2,"Effect":"pure"}],
 "Packages":[{"Name":"p","Refill":4,"Burst":5,"Pays":1.2}],"FamilyInfo":{"MayCount":true,"CountWait":0.03}}}`
 
-// The file says it all; each variable wins over its key, and only over that.
+// The file alone is complete; each variable wins over its key, and only over that.
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(platformText), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	want := func(change func(*Config)) *Config {
@@ -47,7 +50,8 @@
 		{"the file alone", nil, want(func(*Config) {})},
 		{"name", map[string]string{"NODE_NAME": "n9"}, want(func(c *Config) { c.Name = "n9" })},
 		{"listen", map[string]string{"NODE_LISTEN": "127.0.0.9:1"}, want(func(c *Config) { c.Listen = "127.0.0.9:1" })},
-		{"discovery", map[string]string{"NODE_DISCOVERY": "127.0.0.9:2"}, want(func(c *Config) { c.Discovery = "127.0.0.9:2" })},
+		{"discovery", map[string]string{"NODE_DISCOVERY": "127.0.0.9:2"},
+			want(func(c *Config) { c.Discovery = "127.0.0.9:2" })},
 		{"state", map[string]string{"TMPDIR": "/x"}, want(func(c *Config) { c.State = "/x" })},
 		{"management", map[string]string{"NODE_MGMT": "127.0.0.9:4"}, want(func(c *Config) { c.Mgmt = "127.0.0.9:4" })},
 	} {
@@ -62,20 +66,21 @@
 				t.Fatal(err)
 			}
 			if len(got.SettingsRaw) == 0 {
-				t.Error("the settings as the file has them are not kept")
+				t.Error("SettingsRaw is empty, want the settings as the file has them")
 			}
 			got.SettingsRaw = nil
 			if diff := cmp.Diff(tc.want, got); diff != "" {
-				t.Error(diff)
+				t.Errorf("Load() (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// Read again, the file wins, for it is newer than the variables. They fill in what it leaves out.
+// At a reload the file wins, for it is newer than the variables. They fill in what it leaves out.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(strings.Replace(file, `"listen":"127.0.0.1:1",`, "", 1)), 0o600); err != nil {
+	withoutListen := strings.Replace(platformText, `"listen":"127.0.0.1:1",`, "", 1)
+	if err := os.WriteFile(path, []byte(withoutListen), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	env := map[string]string{"NODE_CONFIG": path, "NODE_LISTEN": "127.0.0.9:1", "NODE_DISCOVERY": "127.0.0.9:2"}
@@ -84,14 +89,14 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff([]string{"127.0.0.9:1", "127.0.0.1:2"}, []string{c.Listen, c.Discovery}); diff != "" {
-		t.Error(diff)
+		t.Errorf("listen and discovery (-want +got):\n%s", diff)
 	}
 }
 
 // Without NODE_CONFIG the error says so, and not that some file is missing.
-func TestNoVariable(t *testing.T) {
+func TestLoadWithoutVariable(t *testing.T) {
 	_, err := Load(func(string) string { return "" })
-	if err == nil || err.Error() != "NODE_CONFIG is not set" {
-		t.Errorf("got %v", err)
+	if !errors.Is(err, ErrNoVariable) || err.Error() != "NODE_CONFIG is not set" {
+		t.Errorf("Load() = %v, want %v", err, ErrNoVariable)
 	}
 }
--- a/internal/standalone/config/fuzz_test.go
+++ b/internal/standalone/config/fuzz_test.go
@@ -9,8 +9,9 @@
 	"mulleinrouter/internal/standalone/hclfile"
 )
 
-// serve has a module run on settings that were accepted: each request gets a decision or is held, and nothing breaks.
-func serve(t *testing.T, c *Config) {
+// decide runs the decision module on settings that were accepted: each request is decided or queued, and nothing
+// panics.
+func decide(c *Config) {
 	g := decision.New(c.Settings, c.Seed)
 	g.Handle(0, decision.Start{})
 	g.Handle(0, decision.Backends{Complete: true, List: []decision.Backend{{ID: "s", Serving: true}}})
@@ -19,13 +20,25 @@
 		for i := range 6 {
 			id++
 			now := float64(i) * 3
-			actions := g.Handle(now, decision.Request{ID: id, Class: c.Settings.Classes[0].Name, Plan: plan.Name, Customer: plan.Name, TimeLeft: 3, Units: 2, Gateways: 1 + i%3*20})
+			actions := g.Handle(now, decision.Request{
+				ID:       id,
+				Class:    c.Settings.Classes[0].Name,
+				Plan:     plan.Name,
+				Customer: plan.Name,
+				TimeLeft: 3,
+				Units:    2,
+				Gateways: 1 + i%3*20,
+			})
 			for n := 0; n < len(actions) && n < 100; n++ {
 				switch a := actions[n].(type) {
 				case decision.CounterCall:
-					actions = append(actions, g.Handle(now, decision.CounterReply{Name: a.Name, Outcome: decision.Succeeded, Total: a.Add})...)
+					reply := decision.CounterReply{Name: a.Name, Outcome: decision.Succeeded, Total: a.Add}
+					actions = append(actions, g.Handle(now, reply)...)
 				case decision.Send:
-					actions = append(actions, g.Handle(now+0.1, decision.AttemptEnded{ID: a.ID, Backend: a.Backend, Outcome: decision.Succeeded, Duration: 0.1, Answered: true})...)
+					ended := decision.AttemptEnded{
+						ID: a.ID, Backend: a.Backend, Outcome: decision.Succeeded, Duration: 0.1, Answered: true,
+					}
+					actions = append(actions, g.Handle(now+0.1, ended)...)
 				}
 			}
 			g.Handle(now+1, decision.Timer{Token: "tick"})
@@ -33,41 +46,63 @@
 	}
 }
 
-// FuzzConfig: a configuration is refused, or an ingress can run on it.
+// FuzzConfig: a configuration is rejected, or an ingress can run on it.
 func FuzzConfig(f *testing.F) {
 	for _, s := range []string{
-		`{"name":"n3","listen":"h:1","discovery":"h:2","seed":"8c1f","limits":{"cores":1,"memory_mb":64,"sockets":384},"counter":"h:3","settings":{"Balancers":80,"Me":3,"Classes":[{"Name":"c","Promise":1,"Deadline":3,"Gain":2,"Effect":"pure"}],"Packages":[{"Name":"p","Refill":3,"Burst":15,"Pays":1,"BeyondCosts":1,"NeverOverRate":6,"NeverOverDepth":30,"HardSlack":4}],"FamilyInfo":{"MayCount":true,"CountWait":0.03,"MaxUnits":4}}}`,
-		`{"listen":"h:1","discovery":"h:2","settings":{"Classes":[{"Name":""}],"Packages":[{"Open":2},{"Refill":-3,"Burst":-1},{"Refill":1e300}]}}`,
+		`{"name":"n3","listen":"h:1","discovery":"h:2","seed":"8c1f","limits":{"cores":1,"memory_mb":64,"sockets":384},` +
+			`"counter":"h:3",` +
+			`"settings":{"Balancers":80,"Me":3,` +
+			`"Classes":[{"Name":"c","Promise":1,"Deadline":3,"Gain":2,"Effect":"pure"}],` +
+			`"Packages":[{"Name":"p","Refill":3,"Burst":15,"Pays":1,"BeyondCosts":1,` +
+			`"NeverOverRate":6,"NeverOverDepth":30,"HardSlack":4}],` +
+			`"FamilyInfo":{"MayCount":true,"CountWait":0.03,"MaxUnits":4}}}`,
+		`{"listen":"h:1","discovery":"h:2","settings":{"Classes":[{"Name":""}],` +
+			`"Packages":[{"Open":2},{"Refill":-3,"Burst":-1},{"Refill":1e300}]}}`,
 		`{"listen":"h:1"}`, `{`, `null`,
 	} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		c, err := parse(raw, func(string) string { return "" }, false)
+		c, err := parse(raw, func(string) string { return "" }, variablesFirst)
 		if err == nil {
-			serve(t, c)
+			decide(c)
 		}
 	})
 }
 
-// FuzzHCL: the same of our own form.
+// FuzzHCL: the same for our own form.
 func FuzzHCL(f *testing.F) {
-	f.Add([]byte("listen = \"127.0.0.1:1\"\nserver \"a\" {\n address = \"127.0.0.1:2\"\n}\nclass \"c\" {\n aim = \"1s\"\n deadline = \"3s\"\n worth = 1\n repeat = \"safe\"\n}\nplan \"p\" {\n rate = 4\n burst = 12\n price = 1\n}\n"))
+	f.Add([]byte(`listen = "127.0.0.1:1"
+server "a" {
+ address = "127.0.0.1:2"
+}
+class "c" {
+ aim = "1s"
+ deadline = "3s"
+ worth = 1
+ repeat = "safe"
+}
+plan "p" {
+ rate = 4
+ burst = 12
+ price = 1
+}
+`))
 	f.Add([]byte("listen = "))
 	f.Add([]byte("listen = 9e99999999\nname = \"a${-8e-88888888}\"\n")) // hung: written out digit by digit
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if c, err := ParseFile("f.hcl", text); err == nil && len(c.Settings.Classes) > 0 {
-			serve(t, c)
+			decide(c)
 		}
 	})
 }
 
-func TestNumbersWithoutEndAreRefused(t *testing.T) {
+func TestHugeNumbersAreRejected(t *testing.T) {
 	for _, text := range []string{"listen = 9e99999999\n", "name = \"a\"\nlisten = \"${1 + 2e-99999999}\"\n"} {
 		_, err := ParseFile("f.hcl", []byte(text))
 		var e *hclfile.Error
 		if !errors.As(err, &e) || e.Line != strings.Count(text, "\n") || !strings.Contains(e.Text, "digits") {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: error %v, want one about digits in the last line", text, err)
 		}
 	}
 }
