--- /dev/null
+++ b/internal/standalone/settings/check.go
@@ -0,0 +1,115 @@
+package settings
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+
+	"mulleinrouter/internal/standalone/jsontext"
+)
+
+// jsonObject is an object whose keys are not known beforehand.
+type jsonObject = map[string]any
+
+// Check returns nil if settings may replace those in force (before), as a SIGHUP brings them: a file is applied as
+// a whole or not at all. Each key of the settings in force must still be there, in each section and in each class;
+// each class needs a positive Deadline, and SendCap, the limit of attempts, must be a positive whole number. The
+// error names the key.
+func Check(raw, before []byte) error {
+	var next, current jsonObject
+	if err := jsontext.Decode(raw, &next); err != nil || next == nil {
+		return fmt.Errorf("settings: not an object: %w", cmp.Or(err, errEmpty))
+	}
+	if err := jsontext.Decode(before, &current); err != nil {
+		return fmt.Errorf("settings in force: %w", err)
+	}
+	if err := checkSections(next, current); err != nil {
+		return err
+	}
+	if err := checkClasses(next, current); err != nil {
+		return err
+	}
+	return checkSendCap(next)
+}
+
+// checkSections holds all keys of the settings in force in the next ones, one section deep.
+func checkSections(next, current jsonObject) error {
+	for key, value := range current {
+		if err := checkPresent("", key, value, next); err != nil {
+			return err
+		}
+		section, ok := value.(jsonObject)
+		if !ok {
+			continue
+		}
+		nextSection, ok := next[key].(jsonObject)
+		if !ok {
+			return &KeyError{key, "not an object"}
+		}
+		if err := checkKeys(key+".", nextSection, section); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkKeys holds all keys of one object in the next one.
+func checkKeys(prefix string, next, current jsonObject) error {
+	for key, value := range current {
+		if err := checkPresent(prefix, key, value, next); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkPresent holds one key in an object. Null counts as missing, unless the value in force is null too.
+func checkPresent(prefix, key string, value any, next jsonObject) error {
+	nextValue, there := next[key]
+	if !there || nextValue == nil && value != nil {
+		return &KeyError{prefix + key, "missing"}
+	}
+	return nil
+}
+
+// checkClasses holds each class to the keys of the first class in force, and to a positive deadline.
+func checkClasses(next, current jsonObject) error {
+	classes, _ := next["Classes"].([]any)
+	if len(classes) == 0 {
+		return &KeyError{"Classes", "none"}
+	}
+	var model jsonObject
+	if old, _ := current["Classes"].([]any); len(old) > 0 {
+		model, _ = old[0].(jsonObject)
+	}
+	for i, c := range classes {
+		path := fmt.Sprintf("Classes[%d]", i)
+		class, ok := c.(jsonObject)
+		if !ok {
+			return &KeyError{path, "not an object"}
+		}
+		if err := checkKeys(path+".", class, model); err != nil {
+			return err
+		}
+		if deadline, ok := class["Deadline"].(float64); !ok || !(deadline > 0) {
+			return &KeyError{path + ".Deadline", fmt.Sprintf("%v is not a positive number", class["Deadline"])}
+		}
+	}
+	return nil
+}
+
+// checkSendCap holds the limit of attempts, where there is one, to a positive whole number.
+func checkSendCap(next jsonObject) error {
+	permissions, ok := next["Permissions"].(jsonObject)
+	if !ok {
+		return nil
+	}
+	value, there := permissions["SendCap"]
+	if !there {
+		return nil
+	}
+	if n, ok := value.(float64); !ok || !(n >= 1) || n != math.Trunc(n) {
+		return &KeyError{"Permissions.SendCap", fmt.Sprintf("%v is not a positive whole number", value)}
+	}
+	return nil
+}
