--- a/internal/standalone/jsontext/jsontext.go
+++ b/internal/standalone/jsontext/jsontext.go
@@ -1,4 +1,3 @@
-// Package jsontext is the one place where JSON is read and written, the way encoding/json would.
 package jsontext
 
 import (
@@ -9,12 +8,12 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// Raw is a value that is left as it came.
+// Raw is a value that is not decoded.
 type Raw = jsoniter.RawMessage
 
 var api = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// Decode reads a value. Its errors are one line: the decoder quotes what it read, line ends included.
+// Decode reads a value. Its errors are one line: the decoder's quote what it read, line ends included.
 func Decode(raw []byte, v any) error {
 	if err := api.Unmarshal(raw, v); err != nil {
 		return errors.New(strings.Join(strings.Fields(err.Error()), " "))
@@ -25,5 +24,5 @@
 // Encode writes a value.
 func Encode(v any) ([]byte, error) { return api.Marshal(v) }
 
-// NewEncoder returns an encoder that writes each value on a line.
+// NewEncoder returns an encoder that writes each value on a line of its own.
 func NewEncoder(w io.Writer) *jsoniter.Encoder { return api.NewEncoder(w) }
