--- /dev/null
+++ b/internal/standalone/mgmt/server.go
@@ -0,0 +1,172 @@
+package mgmt
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+)
+
+const (
+	// MaxCallBytes is the length of the longest call, without its line end; a longer one gets NAK.
+	MaxCallBytes = 256
+	// CallTimeout is for a caller to finish its line once it has connected.
+	CallTimeout = 2 * time.Second
+	// MaxCallers is how many callers are served at once; one more evicts the one that has waited longest.
+	MaxCallers = 32
+
+	answerTimeout = time.Second           // for a caller to read its answer, and to end its connection then
+	acceptRetry   = 10 * time.Millisecond // after a failure to accept, which may last
+
+	maxUnreadBytes = 64 << 10 // of a call that is too long, read to end the connection cleanly
+)
+
+// First lines of an answer.
+const (
+	ack = "ACK"
+	nak = "NAK"
+)
+
+// Handler answers calls. It gets the call's word in upper case and what follows it, and returns whether the call is
+// accepted (ACK) and the lines that follow the first. It must not wait for serving. A word that it does not know, it
+// answers with ok false.
+type Handler func(word, arguments string) (ok bool, lines []string)
+
+// Server serves one management address.
+type Server struct {
+	Handler Handler
+	Log     *logrus.Logger
+
+	mu      sync.Mutex             // guards waiting
+	waiting map[net.Conn]time.Time // callers without an answer, by when they connected
+}
+
+// Serve accepts callers until the listener closes.
+func (s *Server) Serve(l net.Listener) error {
+	s.mu.Lock()
+	s.waiting = map[net.Conn]time.Time{}
+	s.mu.Unlock()
+	for {
+		c, err := l.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return nil
+		}
+		if err != nil {
+			s.Log.WithField("code", "mgmt-accept-failed").WithError(err).Warn("management connection not accepted")
+			time.Sleep(acceptRetry)
+			continue
+		}
+		s.admit(c)
+		go s.serve(c)
+	}
+}
+
+// admit registers a caller. Beyond MaxCallers, the one that came first is cut off.
+func (s *Server) admit(c net.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.waiting) >= MaxCallers {
+		var first net.Conn
+		for other, since := range s.waiting {
+			if first == nil || since.Before(s.waiting[first]) {
+				first = other
+			}
+		}
+		first.SetReadDeadline(time.Unix(1, 0)) // in the past: its read ends
+		delete(s.waiting, first)
+	}
+	s.waiting[c] = time.Now()
+}
+
+func (s *Server) remove(c net.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.waiting, c)
+}
+
+// serve answers one caller and ends its connection.
+func (s *Server) serve(c net.Conn) {
+	defer c.Close()
+	defer s.remove(c)
+	c.SetReadDeadline(time.Now().Add(CallTimeout))
+	word, arguments, err := readCall(bufio.NewReaderSize(c, MaxCallBytes+2))
+	from := c.RemoteAddr().String()
+	status, code := nak, "mgmt-answered"
+	var lines []string
+	switch {
+	case errors.Is(err, errTooLong), errors.Is(err, errEmpty):
+		code = "mgmt-bad-call"
+	case err != nil:
+		s.Log.WithFields(logrus.Fields{"code": endCode(err), "from": from}).Info("management connection ended")
+		return
+	default:
+		var ok bool
+		if ok, lines = s.Handler(word, arguments); ok {
+			status = ack
+		}
+	}
+	entry := s.Log.WithFields(logrus.Fields{"code": code, "call": word, "from": from, "answer": status})
+	if err := writeAnswer(c, status, lines); err != nil {
+		entry = entry.WithError(err)
+	}
+	entry.Info("management connection ended")
+}
+
+// writeAnswer writes an answer and ends the connection's sending side.
+func writeAnswer(c net.Conn, status string, lines []string) error {
+	var answer strings.Builder
+	for _, line := range append([]string{status}, lines...) {
+		answer.WriteString(line)
+		answer.WriteByte('\n')
+	}
+	c.SetWriteDeadline(time.Now().Add(answerTimeout))
+	if _, err := io.WriteString(c, answer.String()); err != nil {
+		return err
+	}
+	// Closing with unread bytes of a call that is too long would reset the connection, and the answer might be lost.
+	if tc, ok := c.(*net.TCPConn); ok {
+		tc.CloseWrite()
+		c.SetReadDeadline(time.Now().Add(answerTimeout))
+		io.CopyN(io.Discard, c, maxUnreadBytes)
+	}
+	return nil
+}
+
+// readCall reads one line, ended by LF or CRLF or by the end of the caller's sending, and splits its first word off.
+func readCall(r *bufio.Reader) (word, arguments string, err error) {
+	line, err := r.ReadSlice('\n')
+	if errors.Is(err, bufio.ErrBufferFull) {
+		return "", "", errTooLong
+	}
+	endedBySending := errors.Is(err, io.EOF) && len(line) > 0
+	if err != nil && !endedBySending {
+		return "", "", fmt.Errorf("mgmt: %w", err)
+	}
+	text := strings.TrimSpace(string(line))
+	if len(text) > MaxCallBytes {
+		return "", "", errTooLong
+	}
+	if text == "" {
+		return "", "", errEmpty
+	}
+	word, arguments, _ = strings.Cut(text, " ")
+	return strings.ToUpper(word), strings.TrimSpace(arguments), nil
+}
+
+// endCode is the log code for a connection that ended without a call.
+func endCode(err error) string {
+	var timeout net.Error
+	switch {
+	case errors.As(err, &timeout) && timeout.Timeout():
+		return "mgmt-silent"
+	case errors.Is(err, io.EOF):
+		return "mgmt-closed"
+	}
+	return "mgmt-reset"
+}
--- /dev/null
+++ b/internal/standalone/mgmt/server_test.go
@@ -0,0 +1,134 @@
+package mgmt
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/sirupsen/logrus"
+)
+
+const testTimeout = 10 * time.Second // only a failure waits this long
+
+// startServer starts a server and returns its address.
+func startServer(t *testing.T) string {
+	t.Helper()
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	s := &Server{Log: log, Handler: answerTestCall}
+	go s.Serve(l)
+	t.Cleanup(func() { l.Close() })
+	return l.Addr().String()
+}
+
+// answerTestCall is the handler of the tests.
+func answerTestCall(word, arguments string) (bool, []string) {
+	switch word {
+	case "PING":
+		return true, nil
+	case "INFO":
+		return true, []string{"ingress.active:3|g", "--"}
+	case "ECHO":
+		return true, []string{arguments}
+	}
+	return false, nil
+}
+
+// call sends bytes and reads the complete answer, until the server ends the connection.
+func call(t *testing.T, addr, send string) string {
+	t.Helper()
+	c, err := net.Dial("tcp4", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(testTimeout))
+	if _, err := io.WriteString(c, send); err != nil {
+		t.Fatal(err)
+	}
+	b, err := io.ReadAll(c)
+	if err != nil {
+		t.Fatalf("%.20s: %v", send, err)
+	}
+	return string(b)
+}
+
+func TestCalls(t *testing.T) {
+	addr := startServer(t)
+	for _, tc := range []struct{ send, want string }{
+		{"PING\n", "ACK\n"},
+		{"PING\r\n", "ACK\n"},
+		{"ping\n", "ACK\n"},
+		{"INFO\n", "ACK\ningress.active:3|g\n--\n"},
+		{"ECHO some words \n", "ACK\nsome words\n"},
+		{"NOSUCH\n", "NAK\n"},
+		{"\n", "NAK\n"},
+		{strings.Repeat("P", MaxCallBytes+1) + "\n", "NAK\n"},
+		{strings.Repeat("P", 10*MaxCallBytes), "NAK\n"},
+		{"PING\nINFO\n", "ACK\n"}, // one call a connection
+	} {
+		if diff := cmp.Diff(tc.want, call(t, addr, tc.send)); diff != "" {
+			t.Errorf("answer to %.20q (-want +got):\n%s", tc.send, diff)
+		}
+	}
+}
+
+// A caller that ends its sending instead of its line is answered too.
+func TestCallEndedBySending(t *testing.T) {
+	addr := startServer(t)
+	c, err := net.Dial("tcp4", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(testTimeout))
+	io.WriteString(c, "PING")
+	c.(*net.TCPConn).CloseWrite()
+	if b, _ := io.ReadAll(c); string(b) != "ACK\n" {
+		t.Errorf("answer %q, want %q", b, "ACK\n")
+	}
+}
+
+// More callers than MaxCallers connect and send nothing; a caller that comes after them is answered at once, long
+// before CallTimeout, and those that it evicts are cut off.
+func TestSilentCallers(t *testing.T) {
+	addr := startServer(t)
+	var silent []net.Conn
+	for range 3 * MaxCallers {
+		c, err := net.Dial("tcp4", addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+		silent = append(silent, c)
+	}
+	c, err := net.Dial("tcp4", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	io.WriteString(c, "PING\n")
+	line, err := bufio.NewReader(c).ReadString('\n')
+	if err != nil || line != "ACK\n" {
+		t.Fatalf("a caller after %d silent ones: answer %q, error %v; want ACK", len(silent), line, err)
+	}
+	// Those that were evicted are cut off: a read ends.
+	silent[0].SetReadDeadline(time.Now().Add(testTimeout))
+	_, err = silent[0].Read(make([]byte, 1))
+	if err == nil {
+		t.Error("the first silent caller was answered, want it cut off")
+	}
+	var timeout net.Error
+	if errors.As(err, &timeout) && timeout.Timeout() {
+		t.Errorf("the first silent caller was not cut off: %v", err)
+	}
+}
