--- a/internal/dataplane/attempt/dispatcher.go
+++ b/internal/dataplane/attempt/dispatcher.go
@@ -7,8 +7,8 @@
 	"mulleinrouter/internal/decision"
 )
 
-// Dispatcher owns the decision module's gateway and the pending requests. H is the type of the requests' host. It is not
-// safe for concurrent use.
+// Dispatcher owns the decision module's gateway and the pending requests. H is the type of the requests' host. It is
+// not safe for concurrent use.
 type Dispatcher[H any] struct {
 	gateway             *decision.Gateway
 	maxAttempts         int
@@ -126,8 +126,8 @@
 // ConsumeBody records that a part of a request's body has been read that cannot be read again.
 func (d *Dispatcher[H]) ConsumeBody(q *Request[H]) { q.machine.ConsumeBody() }
 
-// ShouldAbandon reports whether the attempt in flight, which is slow, is to be given up. One that could not be made again
-// is not.
+// ShouldAbandon reports whether the attempt in flight, which is slow, is to be given up. One that could not be made
+// again is not.
 func (d *Dispatcher[H]) ShouldAbandon(now decision.Seconds, q *Request[H]) bool {
 	if q.phase() != InFlight || q.machine.AtMostOnce || q.machine.bodyConsumed {
 		return false
@@ -135,14 +135,15 @@
 	return d.gateway.ShouldAbandon(now, q.id) || mutated("impatient-always")
 }
 
-// BodyUploaded reports that a request's streamed body has been written completely: the server's time counts from now on.
+// BodyUploaded reports that a request's streamed body has been written completely: the server's time counts from now
+// on.
 func (d *Dispatcher[H]) BodyUploaded(now decision.Seconds, q *Request[H]) {
 	q.sentAt = now
 	d.gateway.BodyUploaded(now, q.id)
 }
 
-// ClientDisconnected reports that the client no longer waits for an answer. The end of an attempt in flight is still to be
-// reported.
+// ClientDisconnected reports that the client no longer waits for an answer. The end of an attempt in flight is still
+// to be reported.
 func (d *Dispatcher[H]) ClientDisconnected(now decision.Seconds, q *Request[H]) []Effect {
 	d.effects = nil
 	if q.phase() != Waiting && q.phase() != InFlight {
@@ -247,8 +248,8 @@
 	d.finish(q, q.machine.Fail(), final)
 }
 
-// cancel carries out the decision to cancel an attempt, if it is the one in flight. An attempt that must run at most once
-// is finished for a client that has disconnected, where the settings say so.
+// cancel carries out the decision to cancel an attempt, if it is the one in flight. An attempt that must run at most
+// once is finished for a client that has disconnected, where the settings say so.
 func (d *Dispatcher[H]) cancel(a decision.Cancel) {
 	q := d.pending[a.ID]
 	if q == nil || !q.machine.MayHaveRun() || a.Attempt != q.lastAttempt() {
--- a/internal/dataplane/attempt/errors.go
+++ b/internal/dataplane/attempt/errors.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// Errors of transitions that a request's machine does not have. Each is a mistake of the decision module or of the host:
-// the Dispatcher reports it as an IllegalStep and takes a safe step in its place.
+// Errors of transitions that a request's machine does not have. Each is a mistake of the decision module or of the
+// host: the Dispatcher reports it as an IllegalStep and takes a safe step in its place.
 var (
 	// ErrPhase is a transition that the request's phase does not have.
 	ErrPhase = errors.New("not in this phase")
--- a/internal/dataplane/attempt/machine.go
+++ b/internal/dataplane/attempt/machine.go
@@ -44,7 +44,8 @@
 	return m.mayHaveRun || m.phase == InFlight || m.phase == Abandoned
 }
 
-// ConsumeBody records that a part of the body has been read that cannot be read again: the attempt in flight is the last.
+// ConsumeBody records that a part of the body has been read that cannot be read again: the attempt in flight is the
+// last.
 func (m *Machine) ConsumeBody() { m.bodyConsumed = true }
 
 // BodyConsumed reports whether the request cannot be sent again for want of its body.
@@ -67,8 +68,8 @@
 	return nil
 }
 
-// AttemptEnded ends the attempt in flight. Finished reports whether the request ends with it: it succeeded, or its client
-// has disconnected.
+// AttemptEnded ends the attempt in flight. Finished reports whether the request ends with it: it succeeded, or its
+// client has disconnected.
 func (m *Machine) AttemptEnded(outcome decision.Outcome) (finished bool, err error) {
 	if m.phase != InFlight && m.phase != Abandoned {
 		return false, fmt.Errorf("attempt ended while %v: %w", m.phase, ErrPhase)
@@ -103,8 +104,8 @@
 	return nil
 }
 
-// ClientDisconnected records that the client no longer waits for an answer. Finished reports whether the request ends with
-// it: no attempt was in flight. It may be called in any phase, and more than once.
+// ClientDisconnected records that the client no longer waits for an answer. Finished reports whether the request ends
+// with it: no attempt was in flight. It may be called in any phase, and more than once.
 func (m *Machine) ClientDisconnected() (finished bool) {
 	switch m.phase {
 	case Waiting:
--- a/internal/dataplane/engine/catalogue.go
+++ b/internal/dataplane/engine/catalogue.go
@@ -7,11 +7,12 @@
 	"mulleinrouter/internal/decision"
 )
 
-// maxCatalogueWait bounds the timer for a change of terms, in seconds: the source of the clock may be corrected meanwhile.
+// maxCatalogueWait bounds the timer for a change of terms, in seconds: the source of the clock may be corrected
+// meanwhile.
 const maxCatalogueWait decision.Seconds = 60
 
-// Catalogue holds the terms of customers where plans change while the ingress is in service (plans.State does). The engine
-// asks it under its mutex, so that no request is decided by terms that a change has already replaced.
+// Catalogue holds the terms of customers where plans change while the ingress is in service (plans.State does). The
+// engine asks it under its mutex, so that no request is decided by terms that a change has already replaced.
 type Catalogue interface {
 	// Terms returns the terms of a member whose client names a plan; nil: those of the settings.
 	Terms(member, plan string, now decision.Seconds) *decision.Terms
--- a/internal/dataplane/engine/clock.go
+++ b/internal/dataplane/engine/clock.go
@@ -7,8 +7,8 @@
 )
 
 // Clock is the decision module's time: Unix seconds as the machine had them at the start, carried on by the monotonic
-// clock. Gateways that share a counter name its cycles by this time, so it must begin alike everywhere; a step of the wall
-// clock must not move it.
+// clock. Gateways that share a counter name its cycles by this time, so it must begin alike everywhere; a step of the
+// wall clock must not move it.
 type Clock struct {
 	base     time.Time
 	baseUnix float64                 // base in Unix seconds
--- a/internal/dataplane/engine/counters.go
+++ b/internal/dataplane/engine/counters.go
@@ -6,8 +6,8 @@
 	"mulleinrouter/internal/decision"
 )
 
-// countersInterval is how often an ingress logs what it decided, in seconds: rarely enough that the lines of a fleet can
-// be added up.
+// countersInterval is how often an ingress logs what it decided, in seconds: rarely enough that the lines of a fleet
+// can be added up.
 const countersInterval decision.Seconds = 10
 
 // counters are counts of decisions and of calls of the counter since a time.
--- a/internal/dataplane/engine/effects.go
+++ b/internal/dataplane/engine/effects.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// deliver delivers decisions to their tickets, the mutex held: they must arrive in the order in which they were made. The
-// effects that reach anything outside are returned, to be carried out without the mutex.
+// deliver delivers decisions to their tickets, the mutex held: they must arrive in the order in which they were made.
+// The effects that reach anything outside are returned, to be carried out without the mutex.
 func (e *Engine) deliver(effects []attempt.Effect) (external []attempt.Effect) {
 	for _, effect := range effects {
 		notify, ok := effect.(attempt.Notify[*Ticket])
--- a/internal/dataplane/engine/engine.go
+++ b/internal/dataplane/engine/engine.go
@@ -59,9 +59,9 @@
 	e.dispatcher.Reconfigure(slices.Clone(classes), maxAttempts)
 }
 
-// SetShare sets which part of the ingress, from 0 to 1, this process is, for so many seconds: where it has not been set
-// again by then, the process was stopped meanwhile, and is no part of it. With 0 seconds it does not expire. A secondary
-// process is one whose quota use the other process of the ingress reports to the counter.
+// SetShare sets which part of the ingress, from 0 to 1, this process is, for so many seconds: where it has not been
+// set again by then, the process was stopped meanwhile, and is no part of it. With 0 seconds it does not expire. A
+// secondary process is one whose quota use the other process of the ingress reports to the counter.
 func (e *Engine) SetShare(share float64, secondary bool, lease decision.Seconds) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,8 +102,8 @@
 	e.dispatcher.SetMembers(gateways, customerGateways)
 }
 
-// ExpectDisruption announces a planned disruption of so many seconds: no slow attempt of a request that is pending now or
-// submitted meanwhile is given up early.
+// ExpectDisruption announces a planned disruption of so many seconds: no slow attempt of a request that is pending
+// now or submitted meanwhile is given up early.
 func (e *Engine) ExpectDisruption(seconds decision.Seconds) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/dataplane/engine/ticket.go
+++ b/internal/dataplane/engine/ticket.go
@@ -5,7 +5,8 @@
 	"mulleinrouter/internal/decision"
 )
 
-// maxUndelivered is how many decisions a ticket may hold: a Send that has not been taken up, and the NoAnswer behind it.
+// maxUndelivered is how many decisions a ticket may hold: a Send that has not been taken up, and the NoAnswer behind
+// it.
 const maxUndelivered = 2
 
 // Ticket follows a request that was submitted to the engine.
@@ -69,8 +70,8 @@
 	})
 }
 
-// ConsumeBody records that a part of the request's body has been read that cannot be read again: the attempt in flight is
-// the last.
+// ConsumeBody records that a part of the request's body has been read that cannot be read again: the attempt in
+// flight is the last.
 func (t *Ticket) ConsumeBody() {
 	t.engine.mu.Lock()
 	defer t.engine.mu.Unlock()
--- a/internal/dataplane/upstreamconn/idle_pool.go
+++ b/internal/dataplane/upstreamconn/idle_pool.go
@@ -2,10 +2,10 @@
 
 import "mulleinrouter/internal/decision"
 
-// IdlePool keeps the idle connections to all servers, and counts those that are up. C is whatever the host has for a
-// connection. It is not safe for use by several goroutines at once.
+// IdlePool keeps the idle connections to all servers, and counts the open ones. C is what the host has for a
+// connection.
 type IdlePool[C any] struct {
-	Max int // up at once, to all servers
+	Max int // connections open at once, to all servers
 
 	idle map[string][]IdleConn[C] // by server, the one used last at the end
 	open int
@@ -14,100 +14,106 @@
 // IdleConn is an idle connection.
 type IdleConn[C any] struct {
 	Conn      C
-	IdleSince decision.Seconds // idle since then
+	IdleSince decision.Seconds
 }
 
-// NewIdlePool returns an empty shelf.
-func NewIdlePool[C any](most int) *IdlePool[C] {
-	return &IdlePool[C]{Max: most, idle: map[string][]IdleConn[C]{}}
+// NewIdlePool returns an empty pool with a limit of open connections.
+func NewIdlePool[C any](maxOpen int) *IdlePool[C] {
+	return &IdlePool[C]{Max: maxOpen, idle: map[string][]IdleConn[C]{}}
 }
 
-// Open is how many connections are up, idle or not, or about to be.
-func (p *IdlePool[C]) Open() int { return p.open }
+// Open returns how many connections are open, idle or in use, or being opened.
+func (ip *IdlePool[C]) Open() int { return ip.open }
 
-// Idle is how many connections to a server are idle.
-func (p *IdlePool[C]) Idle(server string) int { return len(p.idle[server]) }
+// Idle returns how many connections to a server are idle.
+func (ip *IdlePool[C]) Idle(server string) int { return len(ip.idle[server]) }
 
 // Take takes the connection to a server that was used last, if one is idle.
-func (p *IdlePool[C]) Take(server string) (c IdleConn[C], ok bool) {
-	list := p.idle[server]
-	if len(list) == 0 {
+func (ip *IdlePool[C]) Take(server string) (c IdleConn[C], ok bool) {
+	conns := ip.idle[server]
+	if len(conns) == 0 {
 		return c, false
 	}
-	c = list[len(list)-1]
-	if mutated("taken-stays") {
-		return c, true
+	last := len(conns) - 1
+	if !mutated("taken-stays") {
+		ip.set(server, conns[:last])
 	}
-	p.set(server, list[:len(list)-1])
-	return c, true
+	return conns[last], true
 }
 
-func (p *IdlePool[C]) set(server string, list []IdleConn[C]) {
-	if len(list) == 0 {
-		delete(p.idle, server) // guards against an entry for each server that ever was
+// set replaces the idle connections to a server.
+func (ip *IdlePool[C]) set(server string, conns []IdleConn[C]) {
+	if len(conns) == 0 {
+		delete(ip.idle, server) // else each server that ever was would keep an entry
 		return
 	}
-	p.idle[server] = list
+	ip.idle[server] = conns
 }
 
-// Reserve makes a place for a new connection, which counts as up from then on. Spare is one to end for it, if there is
-// one; not ok: all places are taken by connections in use.
-func (p *IdlePool[C]) Reserve() (spare C, end, ok bool) {
-	if p.open >= p.Max {
-		from := ""
-		for server, list := range p.idle {
-			if from == "" || list[0].IdleSince < p.idle[from][0].IdleSince {
-				from = server
-			}
+// Reserve counts a new connection as open, which the host is to open now. At the limit, the connection that has been
+// idle for longest makes room: evict says that evicted is to be closed. Not ok: all open connections are in use.
+func (ip *IdlePool[C]) Reserve() (evicted C, evict, ok bool) {
+	if ip.open >= ip.Max {
+		server := ip.longestIdle()
+		if server == "" {
+			return evicted, false, false
 		}
-		if from == "" {
-			return spare, false, false
+		evicted, evict = ip.idle[server][0].Conn, true
+		ip.set(server, ip.idle[server][1:])
+	}
+	ip.open++
+	return evicted, evict, true
+}
+
+// longestIdle returns the server to which a connection has been idle for longest; "": none is idle.
+func (ip *IdlePool[C]) longestIdle() (longest string) {
+	for server, conns := range ip.idle {
+		if longest == "" || conns[0].IdleSince < ip.idle[longest][0].IdleSince {
+			longest = server
 		}
-		spare, end = p.idle[from][0].Conn, true
-		p.set(from, p.idle[from][1:])
 	}
-	p.open++
-	return spare, end, true
+	return longest
 }
 
-// Put puts a connection back.
-func (p *IdlePool[C]) Put(server string, c C, now decision.Seconds) {
+// Put returns a connection to the pool.
+func (ip *IdlePool[C]) Put(server string, c C, now decision.Seconds) {
 	if mutated("put-twice") {
-		p.idle[server] = append(p.idle[server], IdleConn[C]{c, now})
+		ip.idle[server] = append(ip.idle[server], IdleConn[C]{c, now})
 	}
-	p.idle[server] = append(p.idle[server], IdleConn[C]{c, now})
+	ip.idle[server] = append(ip.idle[server], IdleConn[C]{c, now})
 }
 
-// Closed tells that a connection that was up is no more, or that one never came up.
-func (p *IdlePool[C]) Closed() {
+// Closed records that an open connection was closed, or that one that was reserved could not be opened.
+func (ip *IdlePool[C]) Closed() {
 	if !mutated("gone-uncounted") {
-		p.open--
+		ip.open--
 	}
 }
 
-// TakeExpired takes out the connections that have been idle since before a time, and those to servers that are to get nothing
-// new.
-func (p *IdlePool[C]) TakeExpired(before decision.Seconds, serving func(server string) bool) (old []C) {
-	for server, list := range p.idle {
+// TakeExpired takes out the connections that have been idle since before a time, and all those to servers that are not
+// serving.
+func (ip *IdlePool[C]) TakeExpired(before decision.Seconds, serving func(server string) bool) (expired []C) {
+	for server, conns := range ip.idle {
 		n := 0
 		if !serving(server) {
-			n = len(list)
+			n = len(conns)
 		}
-		for n < len(list) && list[n].IdleSince < before {
+		for n < len(conns) && conns[n].IdleSince < before {
 			n++
 		}
-		for _, c := range list[:n] {
-			old = append(old, c.Conn)
+		for _, c := range conns[:n] {
+			expired = append(expired, c.Conn)
 		}
-		p.set(server, list[n:])
+		ip.set(server, conns[n:])
 	}
-	return old
+	return expired
 }
 
-// Last is the idle connection to a server that was used last, to look at.
-func (p *IdlePool[C]) Peek(server string) (c C, ok bool) {
-	if list := p.idle[server]; len(list) > 0 {
-		return list[len(list)-1].Conn, true
+// Peek returns the connection that Take would take, and leaves it in the pool.
+func (ip *IdlePool[C]) Peek(server string) (c C, ok bool) {
+	conns := ip.idle[server]
+	if len(conns) == 0 {
+		return c, false
 	}
-	return c, false
+	return conns[len(conns)-1].Conn, true
 }
--- /dev/null
+++ b/internal/dataplane/upstreamconn/loss_history_test.go
@@ -0,0 +1,42 @@
+package upstreamconn
+
+import (
+	"testing"
+
+	"mulleinrouter/internal/decision"
+)
+
+func TestHoldLastByte(t *testing.T) {
+	var h LossHistory
+	h.Record("lossy", 100)
+	for _, tc := range []struct {
+		name     string
+		server   string
+		now      decision.Seconds
+		evidence Evidence
+		want     bool
+	}{
+		{"new", "sound", 101, Evidence{New: true}, false},
+		{"idle shortly", "sound", 101, Evidence{IdleFor: 0.5}, false},
+		{"idle for long", "sound", 101, Evidence{IdleFor: 1.5}, true},
+		{"new, at most once", "sound", 101, Evidence{New: true, AtMostOnce: true}, true},
+		{"idle shortly, at most once", "sound", 101, Evidence{IdleFor: 0.01, AtMostOnce: true}, true},
+		{"new, a loss 1 s ago", "lossy", 101, Evidence{New: true}, true},
+		{"a loss 9 s ago", "lossy", 109, Evidence{IdleFor: 0.01}, true},
+		{"a loss 11 s ago", "lossy", 111, Evidence{IdleFor: 0.01}, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := h.HoldLastByte(tc.server, tc.now, tc.evidence); got != tc.want {
+				t.Errorf("%s at %g, %+v: got %v, want %v", tc.server, tc.now, tc.evidence, got, tc.want)
+			}
+		})
+	}
+	h.Expire(105)
+	if len(h.lastLoss) != 1 {
+		t.Errorf("%d losses remembered after 5 s, want 1", len(h.lastLoss))
+	}
+	h.Expire(111)
+	if len(h.lastLoss) != 0 {
+		t.Errorf("%d losses remembered after 11 s, want none", len(h.lastLoss))
+	}
+}
--- a/internal/dataplane/upstreamconn/machine.go
+++ b/internal/dataplane/upstreamconn/machine.go
@@ -1,24 +1,20 @@
-// Package upstreamconn is the life of a connection to a quote server, and the shelf on which idle ones are kept. It is written
-// as a machine that serving code runs on and that an explorer drives through every order of events. It does no I/O,
-// reads no clock and starts no goroutine.
 package upstreamconn
 
 import (
-	"errors"
 	"fmt"
 
 	"mulleinrouter/internal/decision"
 )
 
-// State is where in its life a connection is.
+// State is a state of a connection.
 type State uint8
 
 // The states. On a connection that is Ended nothing more is written or read.
 const (
-	Idle      State = iota // up; no request is on it
-	Writing                // a request goes out; its last byte has not
-	Awaiting               // a request has been written whole, its answer is awaited
-	Streaming              // it is served; the body of the answer is read as it comes
+	Idle      State = iota // open, without a request
+	Writing                // a request is being written; its last byte has not been
+	Awaiting               // a request has been written completely, its answer is awaited
+	Streaming              // the answer is the client's; its body is read as it arrives
 	Ended
 )
 
@@ -26,53 +22,25 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// ErrState tells of an event that a connection's state does not have: the host's mistake.
-var ErrState = errors.New("not in this state")
-
-// Failure is how a connection failed.
-type Failure uint8
-
-// The troubles.
-const (
-	ConnectionLost Failure = iota // it ended or was reset
-	TimedOut                      // the time for the attempt ran out
-	Cancelled                     // the attempt was given up from here
-	Malformed                     // what came is no answer
-)
-
-// Answer is what a server's answer says.
-type Answer struct {
-	Status        int
-	NotProcessed  bool // X-Not-Processed: 1
-	Close         bool // the server ends the connection with it
-	TrailingBytes bool // bytes came behind it: they answer nothing
-}
-
-// Verdict is how an attempt on a connection ended, and what becomes of the connection.
-type Verdict struct {
-	Outcome           decision.Outcome
-	Answered          bool   // a whole answer came to a request that was written whole: it had arrived
-	TryNextConnection bool   // the next connection may be tried for the same attempt: nothing of it has run
-	Reusable          bool   // the connection goes back on the shelf
-	Code              string // of the log line, where it does not
-	Err               error  // a step that this life does not have: the host's mistake
-}
+// maxForeignAnswers bounds the answers to other requests that are skipped before the awaited one: a server could send
+// them without end.
+const maxForeignAnswers = 4
 
-// Machine is the machine of one connection. Its zero value is one that has just come up.
+// Machine is the state machine of one connection. Its zero value is a connection that has just been opened.
 type Machine struct {
 	state            State
 	uses             int
-	foreignAnswers   int  // answers to other requests that came on it
-	closeAfterStream bool // streaming: it is not used again, however the body ends
+	foreignAnswers   int  // answers to other requests that have arrived
+	closeAfterStream bool // while streaming: the connection is not used again, however the body ends
 }
 
-// State tells where it is.
+// State returns the state.
 func (m *Machine) State() State { return m.state }
 
-// Uses is how many requests have begun on it.
+// Uses returns how many requests have begun on the connection.
 func (m *Machine) Uses() int { return m.uses }
 
-// Begin takes it for a request.
+// Begin takes the connection for a request.
 func (m *Machine) Begin() error {
 	if m.state != Idle {
 		return fmt.Errorf("begin while %v: %w", m.state, ErrState)
@@ -82,46 +50,7 @@
 	return nil
 }
 
-// MayBegin tells whether a request may still go out on a connection that was taken or opened for it: the list may have
-// changed meanwhile, the client gone, the time run out.
-func MayBegin(serving, sameAddress, cancelled bool, left decision.Seconds) bool {
-	return (serving || mutated("ready-draining")) && (sameAddress || mutated("ready-moved")) && !cancelled && left > 0
-}
-
-// MayRelease tells whether what was held back of a request, its last byte or the first of a long body, may still go out. Once a
-// byte of a long body has gone, the rest follows it to its end: for drains a send counts from its first byte (PROTOCOL,
-// "Figures").
-func MayRelease(serving, cancelled bool) bool {
-	return (serving || mutated("held-goes")) && !cancelled
-}
-
-// Reuse is what is known of a kept connection and the request that is to go out on it, where answers name the request that they are for.
-type Reuse struct {
-	Resent          bool // the same request, so one under the same name, has been written to this server before
-	AtMostOnce      bool // the request must not run twice
-	SawUnidentified bool // an answer without a name has come on the connection
-}
-
-// MayReuse tells whether a kept connection may be taken. A copy of an earlier answer may come on it in the place of the next: where the name does
-// not tell the two apart, an old refusal would be taken for the word that the new request has not run.
-func MayReuse(f Reuse) bool {
-	return !f.Resent && !(f.AtMostOnce && f.SawUnidentified && !mutated("unnamed-kept"))
-}
-
-// ForeignAnswer tells that an answer to another request came in this one's place. On: it is passed over, for this one's may be behind it; the
-// connection is not used again. Not on: there is no end of them.
-func (m *Machine) ForeignAnswer() (on bool) {
-	if m.state != Awaiting {
-		return false
-	}
-	m.foreignAnswers++
-	return m.foreignAnswers <= maxForeignAnswers || mutated("others-endless")
-}
-
-// mostOthers bounds the answers to other requests that are passed over before this one's: a server could send them without end.
-const maxForeignAnswers = 4
-
-// NotBegun gives it back before a byte was written: the server is to get nothing new, or nobody waits any more.
+// NotBegun returns the connection before a byte of the request was written: MayBegin forbade it.
 func (m *Machine) NotBegun() Verdict {
 	if m.state != Writing {
 		return m.illegal("not begun")
@@ -131,30 +60,34 @@
 	return Verdict{Outcome: decision.NotSent, Reusable: true}
 }
 
-// FailedWriting is the end before the last byte of a request was written: the write failed, the server spoke or ended it
-// before, or the attempt was given up. Nothing ran. A kept connection may have been forgotten by the server, which says
-// nothing of the server: the next one may take its place. A new one is the last to be tried.
-func (m *Machine) FailedWriting(t Failure) Verdict {
+// FailedWriting is the end before the last byte of a request was written: the write failed, the server sent something
+// or closed before, or the attempt was cancelled. Nothing has run. That a server has forgotten an idle connection
+// says nothing of the server, so another connection may replace it; a new connection is the last to be tried.
+func (m *Machine) FailedWriting(failure Failure) Verdict {
 	if m.state != Writing {
-		return m.illegal("unwritten")
+		return m.illegal("failed writing")
 	}
 	m.state = Ended
 	if mutated("unwritten-kept") {
 		m.state = Idle
 		return Verdict{Outcome: decision.ConnectionRefused, Reusable: true}
 	}
-	if t == Cancelled {
+	if failure == Cancelled {
 		return Verdict{Outcome: decision.NotSent, Code: "upstream-not-needed"}
 	}
-	return Verdict{Outcome: decision.ConnectionRefused, TryNextConnection: m.uses > 1, Code: "upstream-write-failed"}
+	return Verdict{
+		Outcome:           decision.ConnectionRefused,
+		TryNextConnection: m.uses > 1,
+		Code:              "upstream-write-failed",
+	}
 }
 
-// AnsweredEarly is the end by an answer that came before the last byte of a request was written. The connection is ended: half a
-// request is on it. A server begins on a request with its last byte, but one that answers with an error may have read
-// enough to: only a refusal in the protocol's form proves that nothing ran.
+// AnsweredEarly is the end by an answer that arrived before the last byte of a request was written. The connection is
+// closed: half a request is on it. A server starts a request with its last byte, but one that answers with an error may
+// have read enough to: only a rejection in the protocol's form proves that nothing has run.
 func (m *Machine) AnsweredEarly(a Answer) Verdict {
 	if m.state != Writing {
-		return m.illegal("early")
+		return m.illegal("answered early")
 	}
 	m.state = Ended
 	if mutated("early-kept") {
@@ -164,7 +97,7 @@
 	return Verdict{Outcome: OutcomeOf(a), Code: "upstream-early-answer"}
 }
 
-// Written tells that the last byte has been written. From now on it may run.
+// Written records that the last byte of the request has been written. From now on it may run.
 func (m *Machine) Written() error {
 	if m.state != Writing {
 		return fmt.Errorf("written while %v: %w", m.state, ErrState)
@@ -173,87 +106,89 @@
 	return nil
 }
 
-// Answered is the end by an answer. One with bytes behind it answers its request, and spoils the connection; given up
-// at the same time, it still answers it.
+// ForeignAnswer records that an answer to another request arrived in place of the awaited one. Skip: it is skipped, for
+// the awaited one may follow, and the connection is not used again. Otherwise there have been too many.
+func (m *Machine) ForeignAnswer() (skip bool) {
+	if m.state != Awaiting {
+		return false
+	}
+	m.foreignAnswers++
+	return m.foreignAnswers <= maxForeignAnswers || mutated("others-endless")
+}
+
+// Answered is the end by an answer. With bytes behind it, it answers its request all the same, but the connection is
+// closed; so it does if the attempt was cancelled at the same time.
 func (m *Machine) Answered(a Answer, cancelled bool) Verdict {
 	if m.state != Awaiting {
 		return m.illegal("answered")
 	}
-	v := Verdict{Answered: true, Outcome: OutcomeOf(a)}
+	code := m.closeCode(a, cancelled)
+	m.state = Ended
+	if code == "" {
+		m.state = Idle
+	}
+	return Verdict{Outcome: OutcomeOf(a), Answered: true, Reusable: code == "", Code: code}
+}
+
+// closeCode returns the log code for which the connection is closed after an answer; "": it is reusable.
+func (m *Machine) closeCode(a Answer, cancelled bool) string {
 	switch {
 	case a.TrailingBytes && !mutated("more-kept"):
-		v.Code = "upstream-bad-answer"
+		return "upstream-bad-answer"
 	case m.foreignAnswers > 0 && !mutated("other-kept"):
-		v.Code = "upstream-bad-answer" // nobody asked for it here, and more may come
+		return "upstream-bad-answer" // more of them may follow
 	case a.Close && !mutated("close-kept"):
-		v.Code = "upstream-close"
+		return "upstream-close"
 	case cancelled && !mutated("cancelled-kept"):
-		v.Code = "upstream-not-needed" // its deadline may be changed at any time from now on
-	default:
-		v.Reusable = true
-	}
-	m.state = Ended
-	if v.Reusable {
-		m.state = Idle
+		return "upstream-not-needed" // the cancellation may change its deadline at any time from now on
 	}
-	return v
+	return ""
 }
 
-// BeginStreaming is the end of an attempt by an answer whose body is read as it comes: it is served. The connection stays in use until Streamed.
+// BeginStreaming is the end of an attempt by an answer whose body is read as it arrives. The connection stays in use
+// until StreamEnded.
 func (m *Machine) BeginStreaming(a Answer, cancelled bool) Verdict {
 	v := m.Answered(a, cancelled)
 	if v.Err == nil {
-		m.state, m.closeAfterStream, v.Reusable = Streaming, !v.Reusable, false
+		m.state = Streaming
+		m.closeAfterStream = !v.Reusable
+		v.Reusable = false
 	}
 	return v
 }
 
-// StreamEnded is the end of such a body: whole, or cut from either side; more: bytes came behind it.
-func (m *Machine) StreamEnded(whole, more bool) Verdict {
-	kept := m.state == Streaming && !m.closeAfterStream
+// StreamEnded is the end of such a body, complete or cut off by either side.
+func (m *Machine) StreamEnded(complete, trailingBytes bool) Verdict {
+	reusable := m.state == Streaming && !m.closeAfterStream
 	m.state = Ended
 	switch {
-	case !whole && !mutated("cut-kept"):
+	case !complete && !mutated("cut-kept"):
 		return Verdict{Code: "upstream-stream-cut"}
-	case more && !mutated("stream-more-kept"), !kept:
+	case trailingBytes && !mutated("stream-more-kept"), !reusable:
 		return Verdict{Code: "upstream-stream-ended"}
 	}
 	m.state = Idle
 	return Verdict{Reusable: true}
 }
 
-// Outcome is what an answer means (PROTOCOL, "Ingresses to quote servers").
-func OutcomeOf(a Answer) decision.Outcome {
-	switch {
-	case a.Status == 200:
-		return decision.Succeeded
-	case (a.Status == 503 || a.Status == 504) && (a.NotProcessed || mutated("busy-unproven")):
-		return decision.Rejected
-	}
-	if mutated("error-proves") {
-		return decision.Rejected
-	}
-	return decision.Failed
-}
-
-// FailedAwaiting is the end without an answer after the request was written whole. It may have run, or may yet.
-func (m *Machine) FailedAwaiting(t Failure) Verdict {
+// FailedAwaiting is the end without an answer after the request was written completely. It may have run, or may yet.
+func (m *Machine) FailedAwaiting(failure Failure) Verdict {
 	if m.state != Awaiting {
-		return m.illegal("unanswered")
+		return m.illegal("failed awaiting")
 	}
 	m.state = Ended
 	switch {
-	case mutated("reset-proves") && t == ConnectionLost:
+	case mutated("reset-proves") && failure == ConnectionLost:
 		return Verdict{Outcome: decision.ConnectionRefused, Code: "upstream-reset"}
-	case mutated("late-proves") && t == TimedOut:
+	case mutated("late-proves") && failure == TimedOut:
 		return Verdict{Outcome: decision.NotSent, Code: "upstream-timeout"}
-	case mutated("cancel-proves") && t == Cancelled:
+	case mutated("cancel-proves") && failure == Cancelled:
 		return Verdict{Outcome: decision.NotSent, Code: "upstream-cancelled"}
-	case mutated("spoilt-kept") && t == Malformed:
+	case mutated("spoilt-kept") && failure == Malformed:
 		m.state = Idle
 		return Verdict{Outcome: decision.Failed, Reusable: true}
 	}
-	switch t {
+	switch failure {
 	case Cancelled:
 		return Verdict{Outcome: decision.Cancelled, Code: "upstream-cancelled"}
 	case TimedOut:
@@ -264,11 +199,12 @@
 	return Verdict{Outcome: decision.ConnectionReset, Code: "upstream-reset"}
 }
 
-// Drop ends an idle connection.
+// Drop closes an idle connection.
 func (m *Machine) Drop() { m.state = Ended }
 
-// illegal is the safe way out of a mistake: the connection is ended, and what was on it may have run.
-func (m *Machine) illegal(what string) Verdict {
+// illegal is the safe result of a mistake of the host: the connection is closed, and what was on it may have run.
+func (m *Machine) illegal(event string) Verdict {
+	err := fmt.Errorf("%s while %v: %w", event, m.state, ErrState)
 	m.state = Ended
-	return Verdict{Outcome: decision.ConnectionReset, Code: "upstream-illegal", Err: fmt.Errorf("%s: %w", what, ErrState)}
+	return Verdict{Outcome: decision.ConnectionReset, Code: "upstream-illegal", Err: err}
 }
