--- a/internal/dataplane/clientconn/body_progress.go
+++ b/internal/dataplane/clientconn/body_progress.go
@@ -1,32 +1,33 @@
-// Package clientconn decides about the connections of clients: how long what they send may take to come. It does no I/O,
-// reads no clock and starts no goroutine.
 package clientconn
 
 import "mulleinrouter/internal/decision"
 
 const (
-	bodyGracePeriod  = 2.0      // s for which a body may be waited for before its rate counts
-	minBodyRate      = 32 << 10 // bytes a second that it owes from then on: clients send 64 kB/s or more
-	maxBodyStall     = 2.5      // s in which nothing comes of a body that is read whole: its client is not at it any more
-	maxStreamedStall = 10.0     // s in which nothing comes of a long one: peers take seconds over a piece of any size
-	maxHeadTime      = 2.6      // s for a head: clients may take 2 s, and who takes 3 must have been ended by then
+	// bodyGracePeriod is for how long a body may be awaited before its rate counts.
+	bodyGracePeriod decision.Seconds = 2
+	// minBodyRate is the rate, in bytes a second, that is required from then on: clients send 64 kB/s or more.
+	minBodyRate = 32 << 10
+	// maxBodyStall is for how long nothing may arrive of a body that is buffered: its client has stopped sending.
+	maxBodyStall decision.Seconds = 2.5
+	// maxStreamedStall is the same of a streamed body: peers may take seconds over a piece of any size.
+	maxStreamedStall decision.Seconds = 10
 )
 
-// Pace is how the body of one request comes in. Only the time for which it is waited for counts: not that for which the
-// quote server, or the decision, is. Its zero value is one of which nothing has been waited for.
+// BodyProgress tracks how the body of one request arrives. Only the time for which the client is awaited counts, not
+// that for which the backend or the decision is. Its zero value is a body that has not been awaited yet.
 type BodyProgress struct {
-	Streamed bool // it is passed on as it comes, and may come in pieces of any size
+	Streamed bool // it is forwarded as it arrives, and may arrive in pieces of any size
 
-	received int64
-	waited   decision.Seconds
-	since    decision.Seconds
+	received int64            // bytes
+	waited   decision.Seconds // in total, for the pieces that have arrived
+	since    decision.Seconds // while waiting: when the wait for the next piece began
 	waiting  bool
 }
 
-// Wait tells that the next piece is waited for from now on.
+// Await records that the next piece is awaited from now on.
 func (p *BodyProgress) Await(now decision.Seconds) { p.since, p.waiting = now, true }
 
-// Got tells that so many bytes have come.
+// Received records the arrival of a piece of n bytes.
 func (p *BodyProgress) Received(now decision.Seconds, n int) {
 	if p.waiting {
 		p.waited += max(0, now-p.since)
@@ -35,15 +36,17 @@
 	p.received += int64(n)
 }
 
-// Late tells whether it is to be given up: nothing has come for long, or it trickles.
+// Late reports whether the body is to be given up: it stalls, or arrives too slowly.
 func (p *BodyProgress) Late(now decision.Seconds) bool {
 	if !p.waiting {
 		return false
 	}
-	still, most := now-p.since, maxBodyStall
+	stall, maxStall := now-p.since, maxBodyStall
 	if p.Streamed {
-		most = maxStreamedStall
+		maxStall = maxStreamedStall
 	}
-	stalls := still > most && !mutated("stall-for-ever")
-	return stalls || p.waited+still > bodyGracePeriod+float64(p.received)/minBodyRate && !mutated("trickle-for-ever")
+	if stall > maxStall && !mutated("stall-for-ever") {
+		return true
+	}
+	return p.waited+stall > bodyGracePeriod+float64(p.received)/minBodyRate && !mutated("trickle-for-ever")
 }
--- a/internal/dataplane/clientconn/machine.go
+++ b/internal/dataplane/clientconn/machine.go
@@ -2,68 +2,47 @@
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"slices"
 
 	"mulleinrouter/internal/decision"
 )
 
-// State is where in its life a client's connection is.
+// State is a state of a client's connection.
 type State uint8
 
 // The states.
 const (
 	Idle        State = iota // between requests, or before the first one
-	ReadingHead              // the head of a request comes in
-	ReadingBody              // its body comes in, before it is decided on
-	Deciding                 // the request is in the module's hands, or an attempt is out
-	Uploading                // the body goes up to a quote server as it comes
-	Answering                // an answer goes out
-	Discarding               // the rest of a body that was answered before it was up is read off
-	Lingering                // the last answer has gone out; it is to be read before the connection ends
+	ReadingHead              // the head of a request is being read
+	ReadingBody              // its body is being read, before it is submitted
+	Deciding                 // the request is submitted, or an attempt is in flight
+	Uploading                // the body is forwarded to a backend as it arrives
+	Answering                // an answer is being written
+	Discarding               // the rest of a body that was answered before its end is read and discarded
+	Lingering                // the last answer has been written; the client may read it before the connection is closed
 )
 
-var stateNames = [...]string{"idle", "head", "body", "deciding", "uploading", "answering", "skipping", "lingering"}
+var stateNames = [...]string{
+	"idle", "head", "body", "deciding", "uploading", "answering", "discarding", "lingering",
+}
 
 func (s State) String() string { return stateNames[s] }
 
-// ErrStep tells of a step that a connection's life does not have: the host's mistake.
-var ErrStep = errors.New("not a step from there")
-
-// steps are those of a life: from a state, to which. Every state may go to Lingering.
+// transitions lists the states that may follow each state. Lingering may follow any.
 var transitions = map[State][]State{
 	Idle:        {ReadingHead},
 	ReadingHead: {ReadingBody, Deciding, Answering},
-	// A body that fits leads to a decision; one that does not is decided on by its head.
+	// A body that is buffered leads to a decision; one that is streamed is decided on by its head.
 	ReadingBody: {Deciding, Answering},
 	Deciding:    {Uploading, Answering},
-	// An attempt may end before it is up, and the request come to its answer from the module's hands.
+	// An attempt may end before the upload does, and the request be answered by a decision.
 	Uploading:  {Deciding, Answering},
 	Answering:  {Answering, Discarding, Idle},
 	Discarding: {Idle},
 }
 
-const (
-	maxIdle        = 2.0  // s between requests: clients may count on no more; many ask once and keep the connection
-	maxSilence     = 2.0  // s for the first byte of a client
-	maxAnswerStall = 10.0 // s for a piece of an answer: who takes longer holds the connection for nothing
-	promptRequest  = 0.1  // s: a client that means it sends a request whole at once
-)
-
-// Times are for how long a client's connection may do nothing, in seconds.
-type Timeouts struct {
-	FirstByte, Idle float64 // until its first byte; between requests
-	Head            float64 // for the head of a request
-
-	// Hears: a connection whose client was not told that it ends is not ended over a request that has begun to come.
-	ServePending bool
-}
-
-// usual are those of a deployment that states none.
-var defaultTimeouts = Timeouts{FirstByte: maxSilence, Idle: maxIdle, Head: maxHeadTime}
-
-// Codes of the log's lines, where a connection is ended from here.
+// Log codes of connections that are closed from this side.
 const (
 	CodeEvicted     = "client-room"
 	CodeDrain       = "client-drain"
@@ -75,39 +54,38 @@
 	codeIllegalStep = "client-illegal"
 )
 
-// Conn is the machine of one client's connection. Its zero value is one that has just been accepted at time 0; Accepted
-// gives one of another time. It is not safe for use by several goroutines at once.
+// Machine is the state machine of one client's connection. Its zero value is a connection that was accepted at time 0
+// and has been used; Accepted returns a new one.
 type Machine struct {
 	state          State
-	since          decision.Seconds // in that state; until a first request is whole, since the beginning
-	unused         bool             // no request has come in whole
-	requestPending bool             // idle, but bytes of a request are here
-	closeCode      string           // why it is being ended from here; "": it is not
-	closeAnnounced bool             // that the last answer is the last
+	since          decision.Seconds // in that state; until a first request is complete, since it was accepted
+	unused         bool             // no complete request has arrived
+	requestPending bool             // idle, but bytes of a request have arrived
+	closeCode      string           // why it is being closed from this side; "": it is not
+	closeAnnounced bool             // the client was told that the last answer was the last
 	progress       BodyProgress
-	timeouts       *Timeouts // nil: the usual ones
+	timeouts       *Timeouts // nil: defaultTimeouts
 }
 
-// Keep sets the times that it goes by.
-func (m *Machine) SetTimeouts(t *Timeouts) { m.timeouts = t }
-
 // Accepted returns the machine of a connection that has just been accepted.
 func Accepted(now decision.Seconds) Machine { return Machine{since: now, unused: true} }
 
-// State tells where it is.
+// SetTimeouts sets the timeouts.
+func (m *Machine) SetTimeouts(t *Timeouts) { m.timeouts = t }
+
+// State returns the state.
 func (m *Machine) State() State { return m.state }
 
-// Code tells why it is being ended from here; "": it is not.
+// CloseCode returns the log code for which the connection is being closed from this side; "": it is not.
 func (m *Machine) CloseCode() string { return m.closeCode }
 
-// Cut is what is to be cut short on a connection, so that whoever waits on it hears.
-type Interrupt struct{ Reads, Writes bool }
-
-// Enter moves it to a state. On tells whether it goes on: where not, it is to be ended now, or, idle and one that Hears, once it is known that
-// no request has begun to come. Freed: the cut of its reads is
-// to be undone, for a request had begun to come in as it was ended as unused: taken is taken, and it is the last. An error
-// is ErrStep: the state is entered all the same, and the connection ends with the answer that is under way.
-func (m *Machine) Enter(to State, now decision.Seconds, keepOpen bool) (on, freed bool, err error) {
+// Enter moves the connection to a state.
+//
+// Open reports whether the connection stays open. Where not, it is to be closed now; if it ServesPending and is idle,
+// once it is known that no bytes of a request have arrived. ResumeReads: a request had begun to arrive as the
+// connection was closed, the interrupt of its reads is to be undone, and the request is served as the last. The error
+// wraps ErrStep: the state is entered all the same, and the connection is closed after the answer to its request.
+func (m *Machine) Enter(to State, now decision.Seconds, keepOpen bool) (open, resumeReads bool, err error) {
 	if to != Lingering && !slices.Contains(transitions[m.state], to) {
 		err = fmt.Errorf("%v while %v: %w", to, m.state, ErrStep)
 		m.closeCode = cmp.Or(m.closeCode, codeIllegalStep)
@@ -118,38 +96,58 @@
 	if to == Idle && m.closeCode != "" && !m.ServesPending() {
 		return false, false, err
 	}
-	freed = m.closeCode != "" && (to == ReadingHead || to == ReadingBody || to == Deciding || to == Uploading || to == Discarding) && !mutated("taken-is-cut")
-	if m.unused = m.unused && (to == Idle || to == ReadingHead || to == ReadingBody); !m.unused {
+	resumeReads = m.closeCode != "" && readsRequest(to) && !mutated("taken-is-cut")
+	m.unused = m.unused && (to == Idle || to == ReadingHead || to == ReadingBody)
+	if !m.unused {
 		m.since = now
 	}
 	if to == ReadingBody || to == Uploading || to == Discarding {
 		m.progress = BodyProgress{Streamed: to != ReadingBody}
 	}
 	m.state, m.requestPending = to, false
-	return to != Idle || m.closeCode == "", freed, err
+	return to != Idle || m.closeCode == "", resumeReads, err
 }
 
-// Hears tells whether a request that has begun to come on it while it is idle is heard, whatever would end it.
+// readsRequest reports whether a connection in this state reads a request, or watches for the client's disconnection.
+func readsRequest(s State) bool {
+	return s == ReadingHead || s == ReadingBody || s == Deciding || s == Uploading || s == Discarding
+}
+
+// ServesPending reports whether a request that has begun to arrive on the idle connection is served before the
+// connection is closed.
 func (m *Machine) ServesPending() bool {
 	return m.timeouts != nil && m.timeouts.ServePending && !m.closeAnnounced && !mutated("asked-dropped")
 }
 
-// End ends it from here. What is cut short depends on where it is: a request in hand keeps its answer.
+// MarkRequestPending records that bytes of a request have arrived on the idle connection that nobody has read yet:
+// under load that may take long.
+func (m *Machine) MarkRequestPending() { m.requestPending = true }
+
+// RequestPending reports whether bytes of a request are known to have arrived on the idle connection.
+func (m *Machine) RequestPending() bool { return m.requestPending }
+
+// Interrupt is which operations on a connection are to be interrupted, so that whoever waits for them returns.
+type Interrupt struct{ Reads, Writes bool }
+
+// Close closes the connection from this side. What is interrupted depends on the state: a submitted request is still
+// answered.
 func (m *Machine) Close(code string) Interrupt {
 	m.closeCode = code
 	return Interrupt{Reads: true, Writes: m.state == Answering}
 }
 
-// Wait and Got tell when a piece of a body is waited for, and that it has come.
-func (m *Machine) AwaitBody(now decision.Seconds)           { m.progress.Await(now) }
+// AwaitBody records that the next piece of a body is awaited from now on.
+func (m *Machine) AwaitBody(now decision.Seconds) { m.progress.Await(now) }
+
+// BodyReceived records the arrival of a piece of a body of n bytes.
 func (m *Machine) BodyReceived(now decision.Seconds, n int) { m.progress.Received(now, n) }
 
-// Due tells what it is to be ended for at this time; "": nothing.
-func (m *Machine) TimeoutCode(now decision.Seconds) (code string) {
-	age, times := now-m.since, cmp.Or(m.timeouts, &defaultTimeouts)
+// TimeoutCode returns the log code of the timeout that the connection has exceeded; "": none.
+func (m *Machine) TimeoutCode(now decision.Seconds) string {
+	age, timeouts := now-m.since, cmp.Or(m.timeouts, &defaultTimeouts)
 	switch m.state {
-	case ReadingHead: // also one that was ended as unused when its first byte came
-		if age > times.Head && !mutated("head-for-ever") {
+	case ReadingHead: // even if it was closed as unused when the first byte arrived
+		if age > timeouts.Head && !mutated("head-for-ever") {
 			return CodeSlowRequest
 		}
 	case ReadingBody, Uploading, Discarding:
@@ -163,20 +161,20 @@
 	case Idle:
 		switch {
 		case m.closeCode != "":
-		case m.unused && age > times.FirstByte:
+		case m.unused && age > timeouts.FirstByte:
 			return CodeSilent
-		case !m.unused && age > times.Idle:
+		case !m.unused && age > timeouts.Idle:
 			return CodeIdle
 		}
 	}
 	return ""
 }
 
-// Drains tells whether a drain ends it now: it is idle, and nothing has ended it yet.
+// ClosesOnDrain reports whether a drain closes the connection at once: it is idle, and is not being closed.
 func (m *Machine) ClosesOnDrain() bool { return m.state == Idle && m.closeCode == "" }
 
-// Last tells whether it ends with the next answer. In a crowd it does: told so, the client asks elsewhere; closed while
-// idle, its next request might cross.
+// CloseAfterAnswer reports whether the next answer is the last on the connection. When the server is crowded it is: the
+// client is told so and connects elsewhere, while a connection closed when idle might cross its next request.
 func (m *Machine) CloseAfterAnswer(crowded, keepOpen bool) bool {
 	if m.closeCode == "" && crowded {
 		m.closeCode = CodeEvicted
@@ -184,40 +182,3 @@
 	m.closeAnnounced = m.closeCode != "" && !mutated("last-kept") || !keepOpen
 	return m.closeAnnounced
 }
-
-// Began tells that bytes of a request are here that nobody has read yet: in a rush they may be for long.
-func (m *Machine) MarkRequestPending() { m.requestPending = true }
-
-// Begun tells whether bytes of a request are known to be here.
-func (m *Machine) RequestPending() bool { return m.requestPending }
-
-// useless tells whether it holds its place for nothing: it has not asked anything yet, or asks slowly, or is refused.
-func (m *Machine) unproductive(now decision.Seconds) bool {
-	switch m.state {
-	case Lingering:
-		return true
-	case Idle:
-		return m.unused && !m.requestPending
-	case ReadingHead, ReadingBody:
-		return m.unused && now-m.since > promptRequest
-	}
-	return false
-}
-
-// Spare tells whether it may be ended for want of room, and Before whether it goes before another that may: those that
-// are useless go before the idle ones of clients that are served, and of these the longest idle. A flood of silent
-// connections crowds out itself.
-func (m *Machine) Evictable(now decision.Seconds) bool {
-	if m.closeCode != "" {
-		return false // it goes anyway
-	}
-	return m.unproductive(now) || m.state == Idle && !m.unused && !m.requestPending || m.state == Deciding && mutated("busy-spared")
-}
-
-// Before tells whether it makes room before another that may, too.
-func (m *Machine) EvictBefore(other *Machine, now decision.Seconds) bool {
-	if a, b := m.unproductive(now), other.unproductive(now); a != b {
-		return a
-	}
-	return m.since < other.since
-}
