--- a/internal/dataplane/clientconn/body_progress.go
+++ b/internal/dataplane/clientconn/body_progress.go
@@ -25,28 +25,28 @@
 }
 
 // Await records that the next piece is awaited from now on.
-func (p *BodyProgress) Await(now decision.Seconds) { p.since, p.waiting = now, true }
+func (bp *BodyProgress) Await(now decision.Seconds) { bp.since, bp.waiting = now, true }
 
 // Received records the arrival of a piece of n bytes.
-func (p *BodyProgress) Received(now decision.Seconds, n int) {
-	if p.waiting {
-		p.waited += max(0, now-p.since)
+func (bp *BodyProgress) Received(now decision.Seconds, n int) {
+	if bp.waiting {
+		bp.waited += max(0, now-bp.since)
 	}
-	p.waiting = false
-	p.received += int64(n)
+	bp.waiting = false
+	bp.received += int64(n)
 }
 
 // Late reports whether the body is to be given up: it stalls, or arrives too slowly.
-func (p *BodyProgress) Late(now decision.Seconds) bool {
-	if !p.waiting {
+func (bp *BodyProgress) Late(now decision.Seconds) bool {
+	if !bp.waiting {
 		return false
 	}
-	stall, maxStall := now-p.since, maxBodyStall
-	if p.Streamed {
+	stall, maxStall := now-bp.since, maxBodyStall
+	if bp.Streamed {
 		maxStall = maxStreamedStall
 	}
 	if stall > maxStall && !mutated("stall-for-ever") {
 		return true
 	}
-	return p.waited+stall > bodyGracePeriod+float64(p.received)/minBodyRate && !mutated("trickle-for-ever")
+	return bp.waited+stall > bodyGracePeriod+float64(bp.received)/minBodyRate && !mutated("trickle-for-ever")
 }
--- a/internal/dataplane/clientconn/machine.go
+++ b/internal/dataplane/clientconn/machine.go
@@ -121,7 +121,7 @@
 
 // MarkRequestPending records that bytes of a request have arrived on the idle connection that nobody has read yet:
 // under load that may take long.
-func (m *Machine) MarkRequestPending() { m.requestPending = true }
+func (m *Machine) SetRequestPending() { m.requestPending = true }
 
 // RequestPending reports whether bytes of a request are known to have arrived on the idle connection.
 func (m *Machine) RequestPending() bool { return m.requestPending }
--- a/internal/dataplane/clientconn/machine_test.go
+++ b/internal/dataplane/clientconn/machine_test.go
@@ -43,7 +43,7 @@
 			keepOpen = false
 			result("drained:", m.ClosesOnDrain())
 		case step == "pending":
-			m.MarkRequestPending()
+			m.SetRequestPending()
 		default:
 			results = append(results, enter(t, m, step, now, keepOpen)...)
 		}
--- a/internal/dataplane/ingress/class_stats.go
+++ b/internal/dataplane/ingress/class_stats.go
@@ -25,7 +25,7 @@
 type classCounts struct{ ok, shed, errors, tries atomic.Int64 }
 
 // of returns the counts of a class; nil where there are too many classes already.
-func (s *classStats) class(class string) *classCounts {
+func (s *classStats) of(class string) *classCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.classes == nil {
--- a/internal/dataplane/ingress/eviction.go
+++ b/internal/dataplane/ingress/eviction.go
@@ -47,7 +47,7 @@
 		if spare == nil || spare.machine.State() != clientconn.Idle || !spare.requestPending() {
 			return spare
 		}
-		spare.machine.MarkRequestPending() // in a rush its request may be here for long before it is read
+		spare.machine.SetRequestPending() // in a rush its request may be here for long before it is read
 	}
 }
 
--- a/internal/dataplane/ingress/server.go
+++ b/internal/dataplane/ingress/server.go
@@ -100,7 +100,7 @@
 func (s *Server) SetClasses(classes []decision.Class) {
 	m := make(map[string]string, len(classes))
 	for _, c := range classes {
-		s.stats.class(c.Name)
+		s.stats.of(c.Name)
 		m[c.Name] = "POST"
 		if c.Effect == decision.Idempotent {
 			m[c.Name] = "GET"
@@ -165,13 +165,13 @@
 	if bad != nil {
 		s.log.WithFields(logrus.Fields{"code": bad.Code, "status": bad.Status}).Warn("bad request")
 		if class := r.Header.Get(keyClass); class != "" {
-			s.stats.class(class).count(bad.Status)
+			s.stats.of(class).count(bad.Status)
 		}
 		s.countOutcome(Invalid)
 		c.skipWatch(r)
 		return c.afterAnswer(r, c.answerError(bad, closesConnection(r)))
 	}
-	counts := s.stats.class(request.Class) // once a request: the figures' lock is not taken for each of its events
+	counts := s.stats.of(request.Class) // once a request: the figures' lock is not taken for each of its events
 	c.enter(clientconn.Deciding)
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
--- /dev/null
+++ b/internal/dataplane/upstream/answer.go
@@ -0,0 +1,56 @@
+package upstream
+
+import (
+	"mulleinrouter/internal/dataplane/http1"
+	"mulleinrouter/internal/dataplane/upstreamconn"
+)
+
+// answer is an answer as it was read.
+type answer struct {
+	upstreamconn.Answer
+	head *http1.Response
+	body []byte // nil where it is streamed
+}
+
+// streams reports whether an answer's body is streamed to the client.
+func (p *Pool) streams(m *Message, head *http1.Response) bool {
+	return head != nil && head.Large() && p.meaning(m, head) == Served
+}
+
+// read reads the answer to a request, with its body unless that is streamed. Foreign answers are skipped.
+func (p *Pool) read(c *conn, m *Message) (answer, error) {
+	for {
+		head, err := c.reader.Response(m.Method == "HEAD")
+		if err != nil {
+			return answer{}, err
+		}
+		meaning := p.meaning(m, head)
+		a := answer{Answer: newAnswer(head, meaning), head: head}
+		if meaning == Served && head.Large() { // bytes behind the body are looked for once that has been read
+			return a, nil
+		}
+		if a.body, err = c.reader.Body(head); err != nil {
+			return answer{}, err
+		}
+		switch {
+		case meaning == Foreign && c.ForeignAnswer():
+			continue
+		case meaning == Foreign, meaning == Broken:
+			return answer{}, errMalformedAnswer
+		}
+		a.TrailingBytes = c.reader.Buffered() > 0
+		return a, nil
+	}
+}
+
+// newAnswer returns what the state machine needs of an answer. Its status stands for the meaning.
+func newAnswer(head *http1.Response, meaning AnswerMeaning) upstreamconn.Answer {
+	a := upstreamconn.Answer{Status: head.Status, NotProcessed: meaning == NotExecuted, Close: head.Close}
+	switch meaning {
+	case Served:
+		a.Status = 200
+	case NotExecuted:
+		a.Status = 503
+	}
+	return a
+}
--- /dev/null
+++ b/internal/dataplane/upstream/conn.go
@@ -0,0 +1,69 @@
+package upstream
+
+import (
+	"net"
+	"syscall"
+	"time"
+
+	"mulleinrouter/internal/dataplane/http1"
+	"mulleinrouter/internal/dataplane/traffic"
+	"mulleinrouter/internal/dataplane/upstreamconn"
+	"mulleinrouter/internal/decision"
+)
+
+// pastDeadline is a deadline that has passed: it interrupts what is read or written.
+var pastDeadline = time.Unix(1, 0)
+
+// conn is one connection to a backend.
+type conn struct {
+	net.Conn
+	upstreamconn.Machine
+	backend         string
+	addr            string
+	reader          *http1.Reader
+	raw             syscall.RawConn
+	resetWait       time.Duration    // in which the server's reaction to a byte arrives, as a rule
+	holdTime        time.Duration    // for how long a part of the current request is held back
+	lastAnswer      decision.Seconds // when the server last answered
+	sawUnidentified bool             // an answer without an ID has arrived
+	traffic         *traffic.Counter
+}
+
+// Read reads from the server, and counts the bytes.
+func (c *conn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.traffic.Read(n)
+	return n, err
+}
+
+// Write writes to the server, and counts the bytes.
+func (c *conn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	c.traffic.Wrote(n)
+	return n, err
+}
+
+// stale returns the log code for which an idle connection cannot be used; "": it can. A server that went down meanwhile
+// has closed it: a request written to it would be lost without having run, and without a proof of that.
+func (c *conn) stale(addr string) (code string) {
+	if c.addr != addr {
+		return "upstream-moved"
+	}
+	err := c.raw.Read(func(fd uintptr) bool {
+		var b [1]byte
+		n, err := syscall.Read(int(fd), b[:])
+		switch {
+		case n == 0 && err == nil:
+			code = "upstream-ended"
+		case n > 0:
+			code = "upstream-bad-answer"
+		case err != syscall.EAGAIN && err != syscall.EINTR:
+			code = "upstream-reset-idle"
+		}
+		return true
+	})
+	if err != nil && code == "" {
+		code = "upstream-reset-idle"
+	}
+	return code
+}
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -2,136 +2,82 @@
 
 import (
 	"context"
-	"errors"
-	"fmt"
 	"net"
-	"syscall"
+	"sync"
+	"sync/atomic"
 	"time"
 
 	"github.com/sirupsen/logrus"
 
-	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/dataplane/traffic"
 	"mulleinrouter/internal/dataplane/upstreamconn"
 	"mulleinrouter/internal/decision"
 )
 
-// conn is one connection to a backend.
-type conn struct {
-	net.Conn
-	upstreamconn.Machine
-	backend, addr   string
-	reader          *http1.Reader
-	raw             syscall.RawConn
-	resetWait       time.Duration    // by which what it answers to a byte is here, as a rule
-	hold            time.Duration    // the same, for the request that is going out
-	lastAnswer      decision.Seconds // when it last did
-	sawUnidentified bool             // an answer without an id has come on it
-	traffic         *traffic.Counter
-}
-
-var (
-	errPoolExhausted = errors.New("all connections are in use")
-	errNotNeeded     = errors.New("given up before the connection was up")
+const (
+	// maxIdleShare is the part of the servers' keep-alive for which a connection is kept idle: a request that is written
+	// to a connection as the server closes it is lost.
+	maxIdleShare  = 0.6
+	sweepInterval = time.Second
 )
 
-// get takes the connection used last, or opens one.
-func (p *Pool) get(ctx context.Context, backend string, until time.Time, fit upstreamconn.Reuse) (*conn, error) {
-	addr, _ := p.lookup(backend)
-	for {
-		p.mu.Lock()
-		kept, ok := p.idle.Take(backend)
-		if !ok {
-			break // with the mutex held
-		}
-		p.mu.Unlock()
-		if code := kept.Conn.stale(addr); code != "" {
-			if code != "upstream-moved" {
-				p.recordLoss(kept.Conn)
-			}
-			p.close(kept.Conn, code, nil)
-			continue
-		}
-		if fit.SawUnidentified = kept.Conn.sawUnidentified; !upstreamconn.MayReuse(fit) {
-			p.close(kept.Conn, "upstream-not-needed", nil)
-			continue
-		}
-		return kept.Conn, nil
-	}
-	spare, end, ok := p.idle.Reserve()
-	p.mu.Unlock()
-	if !ok {
-		return nil, errPoolExhausted
-	}
-	if end {
-		p.close(spare, "upstream-room", nil)
-	}
-	begun := time.Now()
-	within, done := context.WithDeadline(ctx, until)
-	p.dials.Add(1)
-	nc, err := p.dial(within, "tcp", addr)
-	done()
-	if err != nil {
-		p.forget()
-		code := "upstream-connect-failed"
-		if ctx.Err() != nil || time.Until(until) <= 0 {
-			// Taken for a refusal, it would have the module leave a server alone that is well.
-			code, err = "upstream-not-needed", fmt.Errorf("%w: %w", errNotNeeded, err)
-		}
-		p.log.WithFields(logrus.Fields{"code": code, "backend": backend}).WithError(err).Info("upstream connection ended")
-		return nil, err
-	}
-	c := &conn{Conn: nc, backend: backend, addr: addr, traffic: p.Traffic,
-		resetWait: min(max(resetRoundTrips*time.Since(begun), minResetWait), maxResetWait)}
-	c.reader = http1.NewReader(c)
-	p.Traffic.Connected()
-	if c.raw, err = nc.(*net.TCPConn).SyscallConn(); err != nil {
-		p.close(c, "upstream-connect-failed", err)
-		return nil, err
-	}
-	return c, nil
-}
+// Lookup returns a backend's address, and whether it may be sent new requests.
+type Lookup func(id string) (addr string, serving bool)
 
-// Read reads from the server, and counts.
-func (c *conn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	c.traffic.Read(n)
-	return n, err
+// Limits bound the pool.
+type Limits struct {
+	Connections    int // open at once, to all backends
+	ConnectTimeout time.Duration
+	Keepalive      time.Duration // after which the servers close idle connections
 }
 
-// Write writes to the server, and counts.
-func (c *conn) Write(b []byte) (int, error) {
-	n, err := c.Conn.Write(b)
-	c.traffic.Wrote(n)
-	return n, err
+// Pool keeps the connections to all backends. It is safe for concurrent use.
+type Pool struct {
+	// Dialect is set before the first attempt.
+	Dialect Dialect
+	// Traffic counts the bytes on the connections; nil: nothing is counted. It is set before the first attempt.
+	Traffic *traffic.Counter
+
+	lookup     Lookup
+	limits     Limits
+	log        *logrus.Logger
+	dial       func(ctx context.Context, network, addr string) (net.Conn, error)
+	awaitReset func(*conn) // waits for conn.holdTime, until a reset by the server would have arrived
+	base       time.Time   // the times of the state machines are seconds since then
+	dials      atomic.Int64
+
+	mu     sync.Mutex // guards idle and losses
+	idle   *upstreamconn.IdlePool[*conn]
+	losses upstreamconn.LossHistory
 }
 
-// stale tells why an idle connection cannot be used, if it cannot. A server that went down meanwhile
-// has closed it: a request written to it would be lost without having run, with no proof of that.
-func (c *conn) stale(addr string) (code string) {
-	if c.addr != addr {
-		return "upstream-moved"
+// New returns an empty pool.
+func New(lookup Lookup, limits Limits, log *logrus.Logger) *Pool {
+	dialer := net.Dialer{Timeout: limits.ConnectTimeout, KeepAlive: -1}
+	return &Pool{
+		lookup:     lookup,
+		limits:     limits,
+		log:        log,
+		dial:       dialer.DialContext,
+		awaitReset: func(c *conn) { time.Sleep(c.holdTime) },
+		base:       time.Now(),
+		idle:       upstreamconn.NewIdlePool[*conn](limits.Connections),
 	}
-	err := c.raw.Read(func(fd uintptr) bool {
-		var b [1]byte
-		n, err := syscall.Read(int(fd), b[:])
-		switch {
-		case n == 0 && err == nil:
-			code = "upstream-ended"
-		case n > 0:
-			code = "upstream-bad-answer"
-		case err != syscall.EAGAIN && err != syscall.EINTR:
-			code = "upstream-reset-idle"
-		}
-		return true
-	})
-	if err != nil && code == "" {
-		code = "upstream-reset-idle"
-	}
-	return code
 }
 
-// put gives a connection back.
+func (p *Pool) now() decision.Seconds { return time.Since(p.base).Seconds() }
+
+// Connections returns how many connections are open, idle or in use.
+func (p *Pool) Connections() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.idle.Open()
+}
+
+// Dials returns how many connections were begun to be opened since the process started.
+func (p *Pool) Dials() int64 { return p.dials.Load() }
+
+// put returns a connection to the pool.
 func (p *Pool) put(c *conn) {
 	if _, serving := p.lookup(c.backend); !serving {
 		p.close(c, "upstream-not-needed", nil)
@@ -139,16 +85,18 @@
 	}
 	c.SetDeadline(time.Time{})
 	p.mu.Lock()
+	defer p.mu.Unlock()
 	p.idle.Put(c.backend, c, p.now())
-	p.mu.Unlock()
 }
 
+// forget counts a connection as closed.
 func (p *Pool) forget() {
 	p.mu.Lock()
+	defer p.mu.Unlock()
 	p.idle.Closed()
-	p.mu.Unlock()
 }
 
+// close closes a connection that is not in the pool.
 func (p *Pool) close(c *conn, code string, err error) {
 	c.Drop()
 	c.Close()
@@ -160,8 +108,15 @@
 	entry.Info("upstream connection ended")
 }
 
-// Run closes idle connections before the servers do, and those to servers that are to get nothing
-// new, until the context ends; then all that are idle.
+// recordLoss records that a connection ended while it was idle, or as a request was written to it.
+func (p *Pool) recordLoss(c *conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.losses.Record(c.backend, p.now())
+}
+
+// Run closes idle connections before the servers do, and those to servers that are not serving, until the context ends;
+// then all idle ones.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -176,25 +131,18 @@
 	}
 }
 
+// sweep closes the idle connections that have expired at a time.
 func (p *Pool) sweep(now time.Time) {
-	p.mu.Lock()
-	old := p.idle.TakeExpired(now.Sub(p.base).Seconds()-idleShare*p.limits.Keepalive.Seconds(), func(backend string) bool {
+	serving := func(backend string) bool {
 		_, serving := p.lookup(backend)
 		return serving
-	})
+	}
+	p.mu.Lock()
+	idleSince := now.Sub(p.base).Seconds() - maxIdleShare*p.limits.Keepalive.Seconds()
+	expired := p.idle.TakeExpired(idleSince, serving)
 	p.losses.Expire(p.now())
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		p.close(c, "upstream-idle", nil)
 	}
 }
-
-// Connections is how many connections to servers are up, idle or not.
-func (p *Pool) Connections() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.idle.Open()
-}
-
-// Dials is how many connections were begun since the process started.
-func (p *Pool) Dials() int64 { return p.dials.Load() }
--- a/internal/dataplane/upstream/upstream_test.go
+++ b/internal/dataplane/upstream/pool_test.go
@@ -17,27 +17,39 @@
 	"mulleinrouter/internal/emulator/exchange"
 )
 
-var words = map[decision.Outcome]string{
-	decision.Failed: "Failed", decision.Succeeded: "Done", decision.Rejected: "Busy", decision.TimedOut: "TimedOut",
-	decision.ConnectionRefused: "Refused", decision.ConnectionReset: "Reset", decision.Cancelled: "Cancelled", decision.NotSent: "Skipped",
+// outcomeNames are the outcomes as the recorded exchanges of testdata name them.
+var outcomeNames = map[decision.Outcome]string{
+	decision.Failed:            "Failed",
+	decision.Succeeded:         "Done",
+	decision.Rejected:          "Busy",
+	decision.TimedOut:          "TimedOut",
+	decision.ConnectionRefused: "Refused",
+	decision.ConnectionReset:   "Reset",
+	decision.Cancelled:         "Cancelled",
+	decision.NotSent:           "Skipped",
 }
 
-// TestOutcomes plays every row of the protocol's table of outcomes, and what keeps connections fit for use.
+// discardLog returns a log that writes nothing.
+func discardLog() *logrus.Logger {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	return log
+}
+
+// TestOutcomes plays every row of the protocol's table of outcomes, and what keeps connections reusable.
 func TestOutcomes(t *testing.T) {
 	exchange.Each(t, "testdata/*.txt", func(t *testing.T, script string) {
 		p := exchange.New(t, "server", "other")
-		log := logrus.New()
-		log.SetOutput(io.Discard)
 		addr, serving := p.Addr("server"), true
 		pool := New(func(string) (string, bool) { return addr, serving },
-			Limits{Connections: 1, ConnectTimeout: time.Minute, Keepalive: time.Minute}, log)
+			Limits{Connections: 1, ConnectTimeout: time.Minute, Keepalive: time.Minute}, discardLog())
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		results := make(chan Result, 1)
 		dialed := make(chan net.Conn, 10)
 		dial := pool.dial
-		pool.dial = func(within context.Context, network, addr string) (net.Conn, error) {
-			nc, err := dial(within, network, addr)
+		pool.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			nc, err := dial(ctx, network, addr)
 			dialed <- nc
 			return nc, err
 		}
@@ -46,15 +58,15 @@
 			go func() { results <- pool.Do(ctx, "s-1", m, time.Now().Add(time.Minute)) }()
 			return body
 		}
-		p.Hooks["time-runs-out"] = func(string) string { // of the attempt on the oldest connection
-			(<-dialed).SetReadDeadline(expired)
+		p.Hooks["time-runs-out"] = func(string) string { // the deadline of the attempt on the oldest connection
+			(<-dialed).SetReadDeadline(pastDeadline)
 			return ""
 		}
-		p.Hooks["hold"] = func(string) string { // the last byte, until the server has ended the connection
+		p.Hooks["hold"] = func(string) string { // the last byte, until the server has closed the connection
 			pool.awaitReset = func(c *conn) { exchange.Until(func() bool { return c.stale(addr) != "" }) }
 			return ""
 		}
-		p.Hooks["ended"] = func(string) string { // the news that the server ended the idle connection is here
+		p.Hooks["ended"] = func(string) string { // the close of the idle connection by the server has arrived
 			return exchange.Until(func() bool {
 				pool.mu.Lock()
 				defer pool.mu.Unlock()
@@ -65,11 +77,11 @@
 		p.Hooks["outcome"] = func(string) string {
 			r := <-results
 			body := r.Body
-			if r.Stream != nil { // too long, or of no told length: read as it comes
+			if r.Stream != nil { // too long to be buffered, or of unknown length
 				body, _ = io.ReadAll(r.Stream)
 				r.Stream.Close()
 			}
-			return strings.TrimSpace(words[r.Outcome] + " " + string(body))
+			return strings.TrimSpace(outcomeNames[r.Outcome] + " " + string(body))
 		}
 		p.Hooks["cancel"] = func(string) string {
 			cancel()
@@ -97,86 +109,80 @@
 	})
 }
 
-// A server that left while the connection was being made gets nothing.
-func TestLeftDuringDial(t *testing.T) {
+// A server that drains while the connection is being opened gets nothing.
+func TestServerDrainsDuringDial(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	asked := 0
+	lookups := 0
 	pool := New(func(string) (string, bool) {
-		asked++
-		return l.Addr().String(), asked <= 2 // before the dial, for its address, and after it
-	}, Limits{Connections: 1, ConnectTimeout: time.Minute, Keepalive: time.Minute}, log)
+		lookups++
+		return l.Addr().String(), lookups <= 2 // before the dial, for its address, and after it
+	}, Limits{Connections: 1, ConnectTimeout: time.Minute, Keepalive: time.Minute}, discardLog())
 	got := pool.Do(context.Background(), "s-1", &Message{Method: "GET", Target: "/", ID: "1"}, time.Now().Add(time.Minute))
 	if diff := cmp.Diff(Result{Outcome: decision.NotSent}, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("result (-want +got):\n%s", diff)
 	}
 	c, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if b, err := io.ReadAll(c); len(b) > 0 || err != nil {
-		t.Errorf("the server got %q, %v", b, err)
+		t.Errorf("the server got %q with %v, want nothing", b, err)
 	}
 }
 
-// A dial that ends because the client left or the time ran out says nothing about the server.
-func TestGivenUpDuringDial(t *testing.T) {
+// A dial that ends because the client disconnected or the deadline passed says nothing about the server.
+func TestCancelledDuringDial(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		left  time.Duration
-		leave bool
-		want  decision.Outcome
+		name       string
+		left       time.Duration // until the deadline
+		disconnect bool
+		want       decision.Outcome
 	}{
-		{"client left", time.Minute, true, decision.NotSent},
-		{"time ran out", time.Millisecond, false, decision.NotSent},
-		{"no connection", time.Minute, false, decision.ConnectionRefused},
+		{"client disconnected", time.Minute, true, decision.NotSent},
+		{"deadline passed", time.Millisecond, false, decision.NotSent},
+		{"connection refused", time.Minute, false, decision.ConnectionRefused},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			log := logrus.New()
-			log.SetOutput(io.Discard)
-			pool := New(func(string) (string, bool) { return "h:1", true }, Limits{Connections: 1}, log)
+			pool := New(func(string) (string, bool) { return "h:1", true }, Limits{Connections: 1}, discardLog())
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			pool.dial = func(within context.Context, _, _ string) (net.Conn, error) {
+			pool.dial = func(dialCtx context.Context, _, _ string) (net.Conn, error) {
 				if tc.want == decision.ConnectionRefused {
 					return nil, syscall.ECONNREFUSED
 				}
-				if tc.leave {
+				if tc.disconnect {
 					cancel()
 				}
-				<-within.Done()
-				return nil, within.Err()
+				<-dialCtx.Done()
+				return nil, dialCtx.Err()
 			}
 			got := pool.Do(ctx, "s-1", &Message{Method: "GET", Target: "/", ID: "1"}, time.Now().Add(tc.left))
 			if diff := cmp.Diff(Result{Outcome: tc.want}, got); diff != "" || pool.idle.Open() != 0 {
-				t.Errorf("%d connections counted as open\n%s", pool.idle.Open(), diff)
+				t.Errorf("%d connections counted as open, want none; result (-want +got):\n%s", pool.idle.Open(), diff)
 			}
 		})
 	}
 }
 
-// Nor does a write that ends because the client left. Small buffers keep the request from fitting in.
-func TestLeftDuringWrite(t *testing.T) {
-	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+// Nor does a write that ends because the client disconnected. With small buffers the request does not fit in.
+func TestClientDisconnectsDuringWrite(t *testing.T) {
+	smallBuffer := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1) })
 	}}
-	l, err := small.Listen(context.Background(), "tcp", "127.0.0.1:0")
+	l, err := smallBuffer.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	log := logrus.New()
-	log.SetOutput(io.Discard)
 	pool := New(func(string) (string, bool) { return l.Addr().String(), true },
-		Limits{Connections: 1, ConnectTimeout: time.Minute}, log)
+		Limits{Connections: 1, ConnectTimeout: time.Minute}, discardLog())
 	dial := pool.dial
-	pool.dial = func(within context.Context, network, addr string) (net.Conn, error) {
-		nc, err := dial(within, network, addr)
+	pool.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		nc, err := dial(ctx, network, addr)
 		if err == nil {
 			err = nc.(*net.TCPConn).SetWriteBuffer(1)
 		}
@@ -199,6 +205,6 @@
 	}
 	cancel()
 	if diff := cmp.Diff(Result{Outcome: decision.NotSent}, <-result); diff != "" || pool.idle.Open() != 0 {
-		t.Errorf("%d connections counted as open\n%s", pool.idle.Open(), diff)
+		t.Errorf("%d connections counted as open, want none; result (-want +got):\n%s", pool.idle.Open(), diff)
 	}
 }
--- a/internal/dataplane/upstream/slow_attempt.go
+++ b/internal/dataplane/upstream/slow_attempt.go
@@ -5,50 +5,52 @@
 	"time"
 )
 
-// SlowAttempt is how long a server may be silent to a request that was written whole before somebody is asked whether to wait on.
+// slowAttemptInterval is how often SlowAttempt.ShouldAbandon is asked again.
+const slowAttemptInterval = 50 * time.Millisecond
+
+// SlowAttempt is when an attempt counts as slow, and who decides whether to give it up then.
 type SlowAttempt struct {
-	After         time.Duration // 0: nobody is asked
-	ShouldAbandon func() bool   // whether to give the attempt up now; asked again each askEvery
+	After         time.Duration // since the request was written completely; 0: never
+	ShouldAbandon func() bool   // asked then, and again each slowAttemptInterval until it is true
 }
 
-const slowAttemptInterval = 50 * time.Millisecond
-
-// lapse is the patience with one attempt.
+// slowAttemptTimer watches one attempt.
 type slowAttemptTimer struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // guards what follows; held while ShouldAbandon is asked, so that stop waits for it
 	timer   *time.Timer
 	stopped bool
 }
 
-// with begins it: once it is out, what is read from the connection comes too late.
+// start begins to watch a connection: once the attempt is to be given up, its deadline has passed. Nil: nothing is
+// watched.
 func (s *SlowAttempt) start(c *conn) *slowAttemptTimer {
 	if s.After <= 0 {
 		return nil
 	}
-	l := &slowAttemptTimer{}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.timer = time.AfterFunc(s.After, func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
+	t := &slowAttemptTimer{}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.timer = time.AfterFunc(s.After, func() {
+		t.mu.Lock()
+		defer t.mu.Unlock()
 		switch {
-		case l.stopped:
+		case t.stopped:
 		case s.ShouldAbandon():
-			c.SetDeadline(expired)
+			c.SetDeadline(pastDeadline)
 		default:
-			l.timer.Reset(slowAttemptInterval)
+			t.timer.Reset(slowAttemptInterval)
 		}
 	})
-	return l
+	return t
 }
 
-// stop ends it: from now on it leaves the connection alone.
-func (t *slowAttemptTimer) stop() {
-	if t == nil {
+// stop ends the watch: from now on it leaves the connection alone.
+func (st *slowAttemptTimer) stop() {
+	if st == nil {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.stopped = true
-	t.timer.Stop()
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.stopped = true
+	st.timer.Stop()
 }
--- a/internal/dataplane/upstream/slow_attempt_test.go
+++ b/internal/dataplane/upstream/slow_attempt_test.go
@@ -9,88 +9,99 @@
 	"time"
 
 	"mulleinrouter/internal/dataplane/upstreamconn"
+	"mulleinrouter/internal/decision"
 )
 
-// A silent server is given up when whoever is asked says so, and not before; once the answer is there nobody is asked.
-func TestPatience(t *testing.T) {
+// An attempt at a silent server is given up when ShouldAbandon says so, and not before; after the answer it is not
+// asked.
+func TestSlowAttempt(t *testing.T) {
+	const deadline = 10 * time.Second
 	for _, tc := range []struct {
 		name     string
-		patience time.Duration
-		from     time.Duration // it is out from then on; 0: never
+		after    time.Duration // of the SlowAttempt
+		abandon  time.Duration // when ShouldAbandon says so; 0: never
 		answer   time.Duration // when the server answers; 0: never
 		want     time.Duration // when the read ends
-		late     bool
-		asked    int
+		timeout  bool          // it ends by a deadline
+		minAsked int           // how often ShouldAbandon is asked, or once more
 	}{
-		{"none", 0, time.Second, 3 * time.Second, 3 * time.Second, false, 0},
-		{"out", time.Second, time.Millisecond, 0, time.Second, true, 1},
-		{"out later", time.Second, 1220 * time.Millisecond, 0, 1250 * time.Millisecond, true, 6},
-		{"never out", time.Second, 0, 3 * time.Second, 3 * time.Second, false, 40},
+		{"not watched", 0, time.Second, 3 * time.Second, 3 * time.Second, false, 0},
+		{"abandoned", time.Second, time.Millisecond, 0, time.Second, true, 1},
+		{"abandoned later", time.Second, 1220 * time.Millisecond, 0, 1250 * time.Millisecond, true, 6},
+		{"never abandoned", time.Second, 0, 3 * time.Second, 3 * time.Second, false, 40},
 		{"answered before", time.Second, time.Millisecond, 900 * time.Millisecond, 900 * time.Millisecond, false, 0},
-		{"never out, the time runs out", time.Second, 0, 0, 10 * time.Second, true, 180},
+		{"never abandoned, the deadline passes", time.Second, 0, 0, deadline, true, 180},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				here, there := net.Pipe()
-				defer here.Close()
-				defer there.Close()
+				client, server := net.Pipe()
+				defer client.Close()
+				defer server.Close()
 				begun, asked := time.Now(), 0
-				c := &conn{Conn: here}
-				c.SetDeadline(begun.Add(10 * time.Second))
+				c := &conn{Conn: client}
+				c.SetDeadline(begun.Add(deadline))
 				if tc.answer > 0 {
-					time.AfterFunc(tc.answer, func() { there.Write([]byte("x")) })
+					time.AfterFunc(tc.answer, func() { server.Write([]byte("x")) })
 				}
-				p := SlowAttempt{After: tc.patience, ShouldAbandon: func() bool {
+				slow := SlowAttempt{After: tc.after, ShouldAbandon: func() bool {
 					asked++
-					return tc.from > 0 && time.Since(begun) >= tc.from
+					return tc.abandon > 0 && time.Since(begun) >= tc.abandon
 				}}
-				l := p.start(c)
+				timer := slow.start(c)
 				var b [1]byte
 				_, err := c.Read(b[:])
-				l.stop()
-				if took := time.Since(begun); took != tc.want || errors.Is(err, os.ErrDeadlineExceeded) != tc.late || asked < tc.asked || asked > tc.asked+1 {
-					t.Errorf("%v after %v, asked %d times; want it late: %v after %v, asked %d times", err, took, asked, tc.late, tc.want, tc.asked)
+				timer.stop()
+				took := time.Since(begun)
+				if took != tc.want || errors.Is(err, os.ErrDeadlineExceeded) != tc.timeout {
+					t.Errorf("read ends after %v with %v, want %v, by a deadline: %v", took, err, tc.want, tc.timeout)
+				}
+				if asked < tc.minAsked || asked > tc.minAsked+1 {
+					t.Errorf("asked %d times, want %d or once more", asked, tc.minAsked)
 				}
 				c.SetDeadline(time.Time{})
-				time.AfterFunc(20*time.Second, func() { there.Write([]byte("y")) })
+				time.AfterFunc(20*time.Second, func() { server.Write([]byte("y")) })
 				if _, err := c.Read(b[:]); err != nil || b[0] != 'y' {
-					t.Errorf("afterwards the connection is not left alone: %v", err)
+					t.Errorf("afterwards: read %q with %v, want y: the connection is not left alone", b[:], err)
 				}
 			})
 		})
 	}
 }
 
-// The last byte waits for longer where a connection has rested and the request must not run twice, and only in a dialect that says so.
-func TestRestedConnectionsAreDoubted(t *testing.T) {
-	const settle, doubt = 2 * time.Millisecond, 30 * time.Millisecond
+// The last byte is held back for longer where a connection was idle and the request must run at most once, and only
+// in a dialect that says so.
+func TestMinHoldIdle(t *testing.T) {
+	const resetWait, minHold = 2 * time.Millisecond, 30 * time.Millisecond
 	for _, tc := range []struct {
-		name  string
-		uses  int
-		idle  float64
-		once  bool
-		doubt time.Duration
-		want  time.Duration
+		name       string
+		uses       int
+		idle       decision.Seconds
+		atMostOnce bool
+		minHold    time.Duration // of the dialect
+		want       time.Duration
 	}{
-		{"rested", 2, 0.2, true, doubt, doubt},
-		{"used just now", 2, 0.01, true, doubt, settle},
-		{"new", 1, 100, true, doubt, settle},
-		{"may run twice", 2, 0.2, false, doubt, settle},
-		{"in service", 2, 0.2, true, 0, settle},
-		{"a server that is farther away than that", 2, 0.2, true, time.Millisecond, settle},
+		{"idle", 2, 0.2, true, minHold, minHold},
+		{"used just now", 2, 0.01, true, minHold, resetWait},
+		{"new", 1, 100, true, minHold, resetWait},
+		{"idempotent", 2, 0.2, false, minHold, resetWait},
+		{"dialect in service", 2, 0.2, true, 0, resetWait},
+		{"a server farther away than that", 2, 0.2, true, time.Millisecond, resetWait},
 	} {
-		p := New(nil, Limits{}, nil)
-		p.Dialect.MinHoldIdle = tc.doubt
-		waited := time.Duration(-1)
-		p.awaitReset = func(c *conn) { waited = c.hold }
-		c := &conn{resetWait: settle, lastAnswer: p.now() - tc.idle}
-		for range tc.uses {
-			c.Begin()
-			c.Written()
-			c.Answered(upstreamconn.Answer{Status: 200}, false)
-		}
-		if p.hold(c, tc.once); waited != tc.want {
-			t.Errorf("%s: %v, want %v", tc.name, waited, tc.want)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			p := New(nil, Limits{}, nil)
+			p.Dialect.MinHoldIdle = tc.minHold
+			held := time.Duration(-1)
+			p.awaitReset = func(c *conn) { held = c.holdTime }
+			c := &conn{resetWait: resetWait, lastAnswer: p.now() - tc.idle}
+			for range tc.uses {
+				c.Begin()
+				c.Written()
+				c.Answered(upstreamconn.Answer{Status: 200}, false)
+			}
+			p.hold(c, tc.atMostOnce)
+			if held != tc.want {
+				t.Errorf("held for %v, want %v", held, tc.want)
+			}
+		})
 	}
 }
--- a/internal/dataplane/upstream/stream.go
+++ b/internal/dataplane/upstream/stream.go
@@ -10,19 +10,23 @@
 	"mulleinrouter/internal/dataplane/http1"
 )
 
-// MaxStall is how long a streamed body may make no progress, in either direction, before it is given up. A body over
-// 64 KiB is timed to its first bytes; after them, only a peer that stops is cut off.
+// MaxStall is for how long a streamed body may make no progress, in either direction. The deadline of the attempt holds
+// until its first bytes; after them, only a peer that stalls is disconnected.
 const MaxStall = 10 * time.Second
 
-// ChunkSize is the most of a streamed body that is held at once, in either direction.
+// ChunkSize is how many bytes of a streamed body are buffered at most, in either direction.
 const ChunkSize = 32 << 10
 
-// ChunkPool are the buffers of streamed bodies: PieceSize bytes from http1.ChunkRoom on, with room for a chunk's framing.
-var ChunkPool = sync.Pool{New: func() any { b := make([]byte, http1.ChunkPrefix+ChunkSize+http1.ChunkSuffix); return &b }}
+// ChunkPool holds buffers for streamed bodies: ChunkSize bytes from http1.ChunkPrefix on, with space for the framing
+// of a chunk around them.
+var ChunkPool = sync.Pool{New: func() any {
+	b := make([]byte, http1.ChunkPrefix+ChunkSize+http1.ChunkSuffix)
+	return &b
+}}
 
-// Stream is the body of a served answer, read from the quote server's connection as it comes.
+// Stream is the body of a served answer, read from the backend's connection as it arrives.
 type Stream struct {
-	// Length is the body's length as the head tells it; -1: the head does not tell (chunked, or until the close).
+	// Length is the body's length in bytes as the head states it; -1: it does not (chunked, or until the close).
 	Length int64
 
 	pool     *Pool
@@ -32,7 +36,13 @@
 	closed   bool
 }
 
-// Read reads what has come of the body. io.EOF: it has all come.
+// newStream returns the body of an answer whose head has been read.
+func newStream(p *Pool, c *conn, head *http1.Response) *Stream {
+	body := c.reader.Stream(head)
+	return &Stream{Length: body.Length, pool: p, conn: c, body: body}
+}
+
+// Read reads what has arrived of the body. With io.EOF, it is complete.
 func (s *Stream) Read(p []byte) (int, error) {
 	s.conn.SetReadDeadline(time.Now().Add(MaxStall))
 	n, err := s.body.Read(p)
@@ -42,18 +52,20 @@
 	return n, err
 }
 
-// Trailer are the fields behind a chunked body, once it has been read to its end; nil: there are none.
+// Trailer returns the fields after a chunked body that has been read to its end; nil: there are none.
 func (s *Stream) Trailer() textproto.MIMEHeader { return s.body.Trailer() }
 
-// Close gives the connection back where the body was read to its end and nothing followed it; else it ends it.
+// Close returns the connection to the pool if the body was read to its end and nothing followed it, and else closes it.
+// It may be called more than once.
 func (s *Stream) Close() {
 	if s.closed {
 		return
 	}
 	s.closed = true
-	if v := s.conn.StreamEnded(s.complete, s.conn.reader.Buffered() > 0); v.Reusable {
+	verdict := s.conn.StreamEnded(s.complete, s.conn.reader.Buffered() > 0)
+	if verdict.Reusable {
 		s.pool.put(s.conn)
 	} else {
-		s.pool.close(s.conn, v.Code, nil)
+		s.pool.close(s.conn, verdict.Code, nil)
 	}
 }
--- a/internal/dataplane/upstream/upload.go
+++ b/internal/dataplane/upstream/upload.go
@@ -5,128 +5,134 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"time"
 
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/dataplane/upstreamconn"
 )
 
-// Upload is a request's body that is passed on as it comes: it is sent to one server at the most.
+// earlyAnswerWait is how long an answer may take to arrive after a write has failed: a server that rejects a body
+// answers, and closes the connection while the body is still being written.
+const earlyAnswerWait = 100 * time.Millisecond
+
+// Upload is a request's body that is streamed from the client: it can be sent to one server only.
 type Upload interface {
-	// Read reads what has come; with the last of it, or behind it, io.EOF. It is called by one goroutine at a time.
+	// Read reads what has arrived; with the last of it, or after it, io.EOF. It is called by one goroutine at a time.
 	Read(p []byte) (int, error)
-	// Length is what the client's head tells; -1: not told, it goes out chunked.
+	// Length is what the client's head states, in bytes; -1: nothing, it is sent chunked.
 	Length() int64
-	// AppendLast ends a chunked one, with the client's trailer.
+	// AppendTrailer appends the last chunk, with the client's trailer.
 	AppendTrailer(b []byte) []byte
-	// Spent tells whether something of it has been read: it cannot be sent to another server.
+	// Consumed reports whether a part of it has been read: it cannot be sent to another server.
 	Consumed() bool
-	// Arrived tells that it has gone out whole.
+	// Uploaded reports that it has been written completely.
 	Uploaded()
-	// Abort has a Read that is out, and any later one, end at once. It may be called from another goroutine.
+	// Abort interrupts a Read, and any later one. It may be called by another goroutine.
 	Abort()
 }
 
-var (
-	errClientUpload = errors.New("the client's body did not come to its end")
-	errServerUpload = errors.New("the server took no more of the body")
-)
-
-// early is how long an answer may take to show after a write has failed: a server that refuses a body answers, and ends
-// the connection under what is still being written.
-const earlyAnswerWait = 100 * time.Millisecond
-
-// upload writes a request with a long body, and listens meanwhile. It returns once the body has gone out whole (err nil)
-// or the attempt has ended before that; answered: an answer has begun to come, whole or not.
-func (p *Pool) upload(ctx context.Context, c *conn, m *Message, head []byte, until time.Time) (answered bool, err error) {
+// upload writes a request with a streamed body, and listens meanwhile. It returns once the body has been written
+// completely (err nil) or the attempt has ended before that. Answered: an answer has begun to arrive.
+func (p *Pool) upload(
+	ctx context.Context, c *conn, m *Message, head []byte, deadline time.Time,
+) (answered bool, err error) {
 	stop := context.AfterFunc(ctx, func() {
-		c.SetDeadline(expired)
+		c.SetDeadline(pastDeadline)
 		m.Upload.Abort()
 	})
 	defer stop()
 	if _, err := c.Write(head); err != nil {
 		return false, fmt.Errorf("%w: %w", errServerUpload, err)
 	}
-	// Nothing of the body is gone yet: a server that has forgotten the connection shows it now, and the request goes
-	// to another.
+	// Nothing of the body has been read yet: a server that has forgotten the connection shows it now, and the request
+	// is sent over another.
 	p.hold(c, m.AtMostOnce)
-	if code := c.stale(c.addr); code != "" || ctx.Err() != nil {
-		return false, fmt.Errorf("%w: %w: %s", errServerUpload, errConnectionEnded, code)
-	}
-	if _, serving := p.lookup(c.backend); !upstreamconn.MayRelease(serving, ctx.Err() != nil) {
-		return false, errDraining
-	}
-	pumped := make(chan error, 1)
-	go func() {
-		err := pump(c, m.Upload)
-		switch {
-		case err == nil:
-		case errors.Is(err, errServerUpload):
-			c.SetReadDeadline(time.Now().Add(earlyAnswerWait))
-		default:
-			c.SetReadDeadline(expired)
+	if err := p.mayRelease(ctx, c); err != nil {
+		if errors.Is(err, errDraining) {
+			return false, err
 		}
-		pumped <- err
-	}()
-	waited := c.reader.Wait() // for an answer, the end of the connection, or of the time
+		return false, fmt.Errorf("%w: %w", errServerUpload, err)
+	}
+	uploaded := make(chan error, 1)
+	go func() { uploaded <- copyUpload(c, m.Upload) }()
+	readErr := c.reader.Wait() // for an answer, the end of the connection, or a deadline
 	select {
-	case err = <-pumped: // as it should be: the body has gone out before the answer came
+	case err = <-uploaded: // as a rule, before the answer arrived
 	default:
-		m.Upload.Abort()
-		c.SetWriteDeadline(expired)
-		// It may have gone out whole at the same moment. Else, what ended it is what was heard from the server.
-		var timeout net.Error
-		if err = <-pumped; err != nil && waited != nil && !(errors.As(waited, &timeout) && timeout.Timeout()) {
-			err = fmt.Errorf("%w: %w", errServerUpload, waited)
-		}
+		err = interruptUpload(c, m.Upload, uploaded, readErr)
+	}
+	if readErr == nil && ctx.Err() == nil {
+		c.SetReadDeadline(deadline) // copyUpload may have changed it
+	}
+	return readErr == nil, err
+}
+
+// copyUpload copies a body to a server, and interrupts the wait for an answer if that fails.
+func copyUpload(c *conn, u Upload) error {
+	err := copyChunks(c, u)
+	switch {
+	case err == nil:
+	case errors.Is(err, errServerUpload):
+		c.SetReadDeadline(time.Now().Add(earlyAnswerWait))
+	default:
+		c.SetReadDeadline(pastDeadline)
 	}
-	if waited == nil && ctx.Err() == nil {
-		c.SetReadDeadline(until) // which the end of the pump may have moved
+	return err
+}
+
+// interruptUpload ends an upload under which the server answered or closed the connection, and waits for its end. The
+// body may have been written completely at the same moment. Else, what the server did is the cause.
+func interruptUpload(c *conn, u Upload, uploaded <-chan error, readErr error) error {
+	u.Abort()
+	c.SetWriteDeadline(pastDeadline)
+	err := <-uploaded
+	if err != nil && readErr != nil && !isTimeout(readErr) {
+		return fmt.Errorf("%w: %w", errServerUpload, readErr)
 	}
-	return waited == nil, err
+	return err
 }
 
-// pump copies a body in pieces, each written before the next is read: what the server does not take, the client cannot
-// send.
-func pump(c *conn, u Upload) error {
+// copyChunks copies a body in pieces, each written before the next is read: what the server does not take, the client
+// cannot send.
+func copyChunks(c *conn, u Upload) error {
 	buf := ChunkPool.Get().(*[]byte)
 	defer ChunkPool.Put(buf)
 	chunked := u.Length() < 0
 	for {
-		// A chunk's head stands before the piece and its line end behind it, so that one write sends all.
+		// The piece leaves space for a chunk's framing on both sides, so that one write sends it.
 		n, err := u.Read((*buf)[http1.ChunkPrefix : http1.ChunkPrefix+ChunkSize])
-		if err != nil && !errors.Is(err, io.EOF) {
+		last := err != nil
+		if last && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("%w: %w", errClientUpload, err)
 		}
 		out := (*buf)[http1.ChunkPrefix : http1.ChunkPrefix+n]
 		if chunked {
-			if out = http1.FrameChunk(*buf, n); err != nil {
+			out = http1.FrameChunk(*buf, n)
+			if last {
 				out = u.AppendTrailer(out)
 			}
 		}
 		if len(out) > 0 {
 			c.SetWriteDeadline(time.Now().Add(MaxStall))
-			if _, werr := c.Write(out); werr != nil {
-				return fmt.Errorf("%w: %w", errServerUpload, werr)
+			if _, err := c.Write(out); err != nil {
+				return fmt.Errorf("%w: %w", errServerUpload, err)
 			}
 		}
-		if err != nil {
+		if last {
 			u.Uploaded()
 			return nil
 		}
 	}
 }
 
-// uploadTrouble is how an upload failed before its last byte was written: nothing ran. The server is to blame only where
-// it broke the connection.
+// failureUploading returns how an upload failed before its last byte was written: nothing has run. The server is to
+// blame only where it broke the connection.
 func failureUploading(ctx context.Context, err error) upstreamconn.Failure {
-	var timeout net.Error
 	switch {
 	case ctx.Err() != nil, errors.Is(err, errClientUpload), errors.Is(err, errDraining):
 		return upstreamconn.Cancelled
-	case errors.As(err, &timeout) && timeout.Timeout():
-		return upstreamconn.Cancelled // the time ran out on the body's way
+	case isTimeout(err):
+		return upstreamconn.Cancelled // the deadline passed during the upload
 	}
 	return upstreamconn.ConnectionLost
 }
--- /dev/null
+++ b/internal/dataplane/upstream/write.go
@@ -0,0 +1,106 @@
+package upstream
+
+import (
+	"context"
+	"fmt"
+	"strconv"
+	"sync"
+	"time"
+
+	"mulleinrouter/internal/dataplane/http1"
+	"mulleinrouter/internal/dataplane/upstreamconn"
+	"mulleinrouter/internal/decision"
+)
+
+// minRest is the time since its last answer after which a server may have forgotten a connection.
+const minRest decision.Seconds = 0.05
+
+// requestBuffers are buffers for requests as they are written.
+var requestBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
+
+// write sends a request, in two parts where that may prove something, the last byte by itself. A server that has
+// forgotten an idle connection resets it at the first byte of a request, and what arrives before the request is
+// complete is no answer to it: while the last byte is held back, either proves that nothing has run.
+func (p *Pool) write(ctx context.Context, c *conn, request []byte, atMostOnce bool) (complete bool, err error) {
+	if !p.holdsLastByte(c, atMostOnce) {
+		n, err := c.Write(request)
+		return n == len(request), err
+	}
+	stop := context.AfterFunc(ctx, func() { c.SetDeadline(pastDeadline) })
+	defer stop()
+	last := len(request) - 1
+	if _, err = c.Write(request[:last]); err != nil {
+		return false, err
+	}
+	p.hold(c, atMostOnce)
+	if err := p.mayRelease(ctx, c); err != nil {
+		return false, err
+	}
+	n, err := c.Write(request[last:])
+	return n == 1, err
+}
+
+// holdsLastByte reports whether the last byte of a request is to be held back.
+func (p *Pool) holdsLastByte(c *conn, atMostOnce bool) bool {
+	now := p.now()
+	evidence := upstreamconn.Evidence{New: c.Uses() == 1, IdleFor: now - c.lastAnswer, AtMostOnce: atMostOnce}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.losses.HoldLastByte(c.backend, now, evidence)
+}
+
+// hold waits, while a part of a request is held back, until a reset by a server that has forgotten the connection
+// would have arrived. How long that takes is not known: the time to connect is that of the kernels, the reset that of
+// a server that may be busy.
+func (p *Pool) hold(c *conn, atMostOnce bool) {
+	c.holdTime = c.resetWait
+	if atMostOnce && c.Uses() > 1 && p.now()-c.lastAnswer > minRest {
+		c.holdTime = max(c.holdTime, p.Dialect.MinHoldIdle)
+	}
+	p.awaitReset(c)
+}
+
+// mayRelease returns why what was held back of a request must not be written; nil: it may.
+func (p *Pool) mayRelease(ctx context.Context, c *conn) error {
+	if code := c.stale(c.addr); code != "" || ctx.Err() != nil {
+		return fmt.Errorf("%w: %s", errConnectionEnded, code)
+	}
+	if _, serving := p.lookup(c.backend); !upstreamconn.MayRelease(serving, ctx.Err() != nil) {
+		return errDraining
+	}
+	return nil
+}
+
+// appendRequest appends a request, without a streamed body, so that one write sends it completely.
+func (p *Pool) appendRequest(b []byte, m *Message, backend string, left time.Duration) []byte {
+	if appendHead := p.Dialect.AppendHead; appendHead != nil {
+		b = appendHead(b, m, backend, left)
+	} else {
+		b = http1.AppendRequestLine(b, m.Method, m.Target, "app.svc")
+		b = http1.AppendField(b, "X-Request-ID", m.ID)
+		b = http1.AppendSeconds(b, "X-Timeout", left.Seconds())
+	}
+	b = append(b, m.Fields...)
+	switch {
+	case m.Upload != nil:
+		return append(http1.AppendFraming(b, m.Upload.Length()), "\r\n"...)
+	case len(m.Trailer) > 0:
+		return appendChunked(b, m)
+	case len(m.Body) > 0 || !m.safe():
+		b = http1.AppendLength(b, len(m.Body))
+	}
+	b = append(b, "\r\n"...)
+	return append(b, m.Body...)
+}
+
+// appendChunked ends a request's head and appends its body as one chunk, with its trailer.
+func appendChunked(b []byte, m *Message) []byte {
+	b = append(http1.AppendFraming(b, -1), "\r\n"...)
+	if len(m.Body) > 0 {
+		b = strconv.AppendInt(b, int64(len(m.Body)), 16)
+		b = append(b, "\r\n"...)
+		b = append(b, m.Body...)
+		b = append(b, "\r\n"...)
+	}
+	return http1.AppendLastChunk(b, m.Trailer, nil)
+}
