--- a/internal/dataplane/clientconn/machine.go
+++ b/internal/dataplane/clientconn/machine.go
@@ -119,7 +119,7 @@
 	return m.timeouts != nil && m.timeouts.ServePending && !m.closeAnnounced && !mutated("asked-dropped")
 }
 
-// MarkRequestPending records that bytes of a request have arrived on the idle connection that nobody has read yet:
+// SetRequestPending records that bytes of a request have arrived on the idle connection that nobody has read yet:
 // under load that may take long.
 func (m *Machine) SetRequestPending() { m.requestPending = true }
 
--- a/internal/dataplane/ingress/conn.go
+++ b/internal/dataplane/ingress/conn.go
@@ -11,55 +11,63 @@
 	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/http1"
-	"mulleinrouter/internal/decision"
 )
 
-// conn is one client's connection.
+// crowdedFraction is the part of the places (1/n) below which the server is crowded: an answer is then the last on its
+// connection.
+const crowdedFraction = 8
+
+// pastDeadline is a deadline that has passed: it interrupts what is read or written.
+var pastDeadline = time.Unix(1, 0)
+
+// conn is one client's connection. Beside the machine, its fields belong to the goroutine of run.
 type conn struct {
 	net.Conn
-	server           *Server
-	reader           *http1.Reader
-	out              []byte
-	http10, bodiless bool                // the request in hand came by HTTP/1.0; is a HEAD, whose answer has no body
-	lingerFor        time.Duration       // something that was sent is not read: for so long the connection must not end under it
-	readingBody      bool                // a body is being taken: only whoever takes it looks at this
-	watch            chan *engine.Ticket // the request in hand, for the watcher
-	watched          chan error          // the watcher's word: the next request begins, or the connection is over
+	server      *Server
+	reader      *http1.Reader
+	out         []byte              // buffer of answers
+	http10      bool                // the current request is of HTTP/1.0
+	bodiless    bool                // the current request is a HEAD, whose answer has no body
+	readingBody bool                // the progress of a body is tracked; used by the goroutine that reads it
+	lingerFor   time.Duration       // to read on before the connection is closed, as the client still sends; 0: not
+	watch       chan *engine.Ticket // the current request, for watchClient; nil: nobody watches for a disconnection
+	watched     chan error          // the result of watchClient: the next request begins (nil), or the connection ended
 
 	machine clientconn.Machine // guarded by the server's mutex
 }
 
-// end closes a connection from outside, the server's mutex held.
+// close closes the connection from this side, the server's mutex held. A pending request is still answered.
 func (c *conn) close(code string) {
-	cut := c.machine.Close(code)
-	if cut.Reads {
-		c.SetReadDeadline(expired)
+	interrupt := c.machine.Close(code)
+	if interrupt.Reads {
+		c.SetReadDeadline(pastDeadline)
 	}
-	if cut.Writes {
-		c.SetWriteDeadline(expired)
+	if interrupt.Writes {
+		c.SetWriteDeadline(pastDeadline)
 	}
 }
 
-// to enters a state. It tells whether the connection goes on.
-func (c *conn) enter(st clientconn.State) bool {
+// enter enters a state. It reports whether the connection stays open.
+func (c *conn) enter(state clientconn.State) (open bool) {
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	on, freed, err := c.machine.Enter(st, s.seconds(time.Now()), s.lifecycle.KeepOpen())
+	open, resumeReads, err := c.machine.Enter(state, s.seconds(time.Now()), s.lifecycle.KeepOpen())
 	if err != nil {
-		s.log.WithField("code", "client-illegal").WithError(err).Error("a step that a connection's life does not have; it ends")
+		s.log.WithField("code", "client-illegal").WithError(err).
+			Error("illegal transition of a client connection, closing it")
 	}
-	if freed {
+	if resumeReads {
 		c.SetReadDeadline(time.Time{})
 	}
-	if st == clientconn.Idle && s.waiting > 0 {
+	if state == clientconn.Idle && s.waiting > 0 {
 		s.changed.Broadcast()
 	}
-	return on
+	return open
 }
 
-// hears tells whether a connection that is to end as it becomes idle first waits for the watcher's word. It comes at once: the next request has
-// begun, or nothing of it is here.
+// awaitsPending reports whether a connection that is to be closed as it becomes idle first waits for the result of
+// watchClient. It comes at once: the next request has begun, or no byte of it has arrived.
 func (c *conn) awaitsPending() bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -67,79 +75,127 @@
 		return false
 	}
 	if !c.requestPending() {
-		c.SetReadDeadline(expired)
+		c.SetReadDeadline(pastDeadline)
 	}
 	return true
 }
 
-// ended tells why the connection is being ended from outside, if it is.
+// closeCode returns the log code for which the connection is being closed from this side; "": it is not.
 func (c *conn) closeCode() string {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	return c.machine.CloseCode()
 }
 
-// last tells whether the connection is to end with the next answer.
+// closesAfterAnswer reports whether the next answer is the last on the connection.
 func (c *conn) closesAfterAnswer() bool {
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return c.machine.CloseAfterAnswer(len(s.conns) > s.maxConns-s.maxConns/crowdedFraction, s.lifecycle.KeepOpen())
+	crowded := len(s.conns) > s.maxConns-s.maxConns/crowdedFraction
+	return c.machine.CloseAfterAnswer(crowded, s.lifecycle.KeepOpen())
 }
 
-// run serves one connection and leaves one line in the log when it ends.
-func (c *conn) run() {
-	code, served, err := "", 0, c.reader.Wait()
-	watching := false
-	for ; err == nil && code == ""; served++ {
-		c.enter(clientconn.ReadingHead)
-		var r *http1.Request
-		if r, err = c.reader.Head(); err == nil {
-			c.http10, c.bodiless = r.HTTP10, r.Method == "HEAD"
-			if r.HasBody() {
-				err = c.readBody(r)
-			}
-		}
-		if err != nil {
-			code = c.rejectMessage(err)
-			break
-		}
-		if !watching {
-			watching = true
-			go c.watcher()
-		}
-		if code, err = c.serve(r); err == nil && code == "" {
-			if !c.enter(clientconn.Idle) && !c.awaitsPending() {
-				break
-			}
-			err = <-c.watched
-		}
+// Read reads from the client, counts the bytes, and records the progress of a body.
+func (c *conn) Read(p []byte) (int, error) {
+	if !c.readingBody {
+		n, err := c.Conn.Read(p)
+		c.server.Traffic.Read(n)
+		return n, err
 	}
+	s := c.server
+	s.mu.Lock()
+	c.machine.AwaitBody(s.seconds(time.Now()))
+	s.mu.Unlock()
+	n, err := c.Conn.Read(p)
+	s.Traffic.Read(n)
+	s.mu.Lock()
+	c.machine.BodyReceived(s.seconds(time.Now()), n)
+	s.mu.Unlock()
+	return n, err
+}
+
+// Write writes to the client, and counts the bytes.
+func (c *conn) Write(p []byte) (int, error) {
+	n, err := c.Conn.Write(p)
+	c.server.Traffic.Wrote(n)
+	return n, err
+}
+
+// run serves the connection until it ends, and logs its end.
+func (c *conn) run() {
+	requests, code, err := c.serveRequests()
 	if c.lingerFor > 0 {
 		c.linger(c.lingerFor)
 	}
 	c.Close()
-	close(c.watch)
-	s := c.server
-	s.mu.Lock()
-	delete(s.conns, c)
-	s.changed.Broadcast()
-	if why := c.machine.CloseCode(); why != "" {
-		code, err = why, nil // the error is what ending it made
+	close(c.watch) // ends watchClient
+	if closeCode := c.server.remove(c); closeCode != "" {
+		code, err = closeCode, nil // the error only follows from the close
 	}
-	s.mu.Unlock()
 	if code == "" {
 		code = disconnectCode(err)
 	}
-	entry := s.log.WithFields(logrus.Fields{"code": code, "from": c.RemoteAddr().String(), "requests": served})
+	fields := logrus.Fields{"code": code, "from": c.RemoteAddr().String(), "requests": requests}
+	entry := c.server.log.WithFields(fields)
 	if err != nil && !errors.Is(err, io.EOF) {
 		entry = entry.WithError(err)
 	}
 	entry.Info("client connection ended")
 }
 
-// watcher looks out, while a request is in hand, for the client to leave or to send the next one.
-func (c *conn) watcher() {
+// remove removes a connection that has ended, and returns the log code for which it was closed from this side.
+func (s *Server) remove(c *conn) (closeCode string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.conns, c)
+	s.changed.Broadcast()
+	return c.machine.CloseCode()
+}
+
+// serveRequests serves one request after another. It returns how many were served, without one whose answer the
+// connection was closed after for a drain or for want of room, and why the connection ends: a log code, or an error.
+func (c *conn) serveRequests() (served int, code string, err error) {
+	if err := c.reader.Wait(); err != nil {
+		return 0, "", err
+	}
+	for served = 0; ; served++ {
+		r, err := c.readRequest()
+		if err != nil {
+			return served, c.rejectMessage(err), err
+		}
+		if served == 0 {
+			go c.watchClient()
+		}
+		if code, err := c.serve(r); err != nil || code != "" {
+			return served + 1, code, err
+		}
+		if !c.enter(clientconn.Idle) && !c.awaitsPending() {
+			return served, "", nil
+		}
+		if err := <-c.watched; err != nil {
+			return served + 1, "", err
+		}
+	}
+}
+
+// readRequest reads the next request, with its body as far as it is buffered.
+func (c *conn) readRequest() (*http1.Request, error) {
+	c.enter(clientconn.ReadingHead)
+	r, err := c.reader.Head()
+	if err != nil {
+		return nil, err
+	}
+	c.http10, c.bodiless = r.HTTP10, r.Method == "HEAD"
+	if !r.HasBody() {
+		return r, nil
+	}
+	return r, c.readBody(r)
+}
+
+// watchClient waits, while a request is pending, for the client to disconnect or to send the next request. It runs
+// until run closes the channel watch; closing the connection interrupts it.
+func (c *conn) watchClient() {
 	for ticket := range c.watch {
 		err := c.reader.Wait()
 		if err != nil && ticket != nil {
@@ -149,6 +205,15 @@
 	}
 }
 
+// skipWatch has nobody watch for the client's disconnection while an answer is written. After a streamed body,
+// discardBody does so.
+func (c *conn) skipWatch(r *http1.Request) {
+	if r.Streamed == nil {
+		c.watch <- nil
+	}
+}
+
+// disconnectCode returns the log code of a connection that the client or the network ended.
 func disconnectCode(err error) string {
 	var timeout net.Error
 	switch {
@@ -161,102 +226,3 @@
 	}
 	return "client-reset"
 }
-
-// refuseMessage answers what is no request. The place where the next one would begin is lost.
-func (c *conn) rejectMessage(err error) (code string) {
-	p := RequestError{Status: 400}
-	switch {
-	case errors.Is(err, http1.ErrStartLine):
-		p.Code, p.Text = "client-bad-request-line", "broken request line"
-	case errors.Is(err, http1.ErrHeader):
-		p.Code, p.Text = "client-bad-header", "broken header"
-	case errors.Is(err, http1.ErrFraming):
-		p.Code, p.Text = "client-bad-length", "broken length or transfer coding"
-	case errors.Is(err, http1.ErrHeadTooLarge):
-		p.Status, p.Code, p.Text = 431, "client-head-too-large", "request line and headers too large"
-	case errors.Is(err, http1.ErrBodyTooLarge):
-		p.Status, p.Code, p.Text = 413, "client-body-too-large", "body too large"
-	case errors.Is(err, http1.ErrExpect):
-		p.Status, p.Code, p.Text = 417, "client-bad-expectation", "an expectation that cannot be met"
-	case c.closeCode() == clientconn.CodeSlowRequest:
-		p.Status, p.Code, p.Text = 408, clientconn.CodeSlowRequest, "the request did not come to its end"
-	default:
-		return "" // the connection itself ended
-	}
-	c.answerError(&p, true)
-	c.lingerFor = lingerShort
-	return p.Code
-}
-
-// lastOf tells whether the connection ends with this answer.
-func (c *conn) afterAnswer(r *http1.Request, err error) (string, error) {
-	if errors.Is(err, errAnswerCut) {
-		return "client-answer-cut", err
-	}
-	if err != nil {
-		return "client-write-failed", err
-	}
-	switch unread := r.Streamed != nil && !r.Streamed.Ended(); {
-	case unread && (closesConnection(r) || !c.discardBody(r.Streamed)):
-		c.lingerFor = lingerLong
-		return "client-body-unread", nil
-	case r.Close:
-		return "client-asked", nil
-	}
-	return "", nil
-}
-
-// pass passes on a quote server's whole answer. One to HEAD tells of a body that does not come.
-func (c *conn) forward(head *http1.Response, body []byte, last bool) error {
-	b := http1.AppendStatus(c.out[:0], head.Status)
-	if !c.bodiless {
-		b = http1.AppendLength(b, len(body))
-	} else if length := head.Header.Get("Content-Length"); length != "" {
-		b = http1.AppendField(b, "Content-Length", length)
-	}
-	return c.send(http1.AppendFields(b, head.Header, c.server.dialect.ServerFields), body, last)
-}
-
-// answer writes a whole answer at once.
-func (c *conn) answer(status int, retryAfter decision.Seconds, body []byte, last bool) error {
-	b := http1.AppendHead(c.out[:0], status, len(body))
-	if retryAfter > 0 {
-		b = http1.AppendSeconds(b, "Retry-After", retryAfter)
-	}
-	return c.send(b, body, last)
-}
-
-func (c *conn) answerError(p *RequestError, last bool) error {
-	body := []byte(p.Code + ": " + p.Text + "\n")
-	b := http1.AppendHead(c.out[:0], p.Status, len(body))
-	b = http1.AppendField(b, "Content-Type", "text/plain")
-	if p.Allow != "" {
-		b = http1.AppendField(b, "Allow", p.Allow)
-	}
-	if p.RetryAfter > 0 {
-		b = http1.AppendSeconds(b, "Retry-After", p.RetryAfter)
-	}
-	return c.send(b, body, last)
-}
-
-func (c *conn) send(b, body []byte, last bool) error {
-	if b = c.endHead(b, last); !c.bodiless {
-		b = append(b, body...)
-	}
-	if c.out = b; cap(b) > 8<<10 {
-		c.out = nil // guards against many connections that each keep the room of a large answer
-	}
-	c.enter(clientconn.Answering)
-	_, err := c.Write(b)
-	return err
-}
-
-// endHead ends an answer's head, with Connection: close where it is the last on its connection.
-func (c *conn) endHead(b []byte, last bool) []byte {
-	if last || c.closesAfterAnswer() {
-		b = http1.AppendField(b, "Connection", "close")
-	} else if c.http10 {
-		b = http1.AppendField(b, "Connection", "keep-alive")
-	}
-	return append(b, "\r\n"...)
-}
--- a/internal/dataplane/ingress/eviction.go
+++ b/internal/dataplane/ingress/eviction.go
@@ -8,51 +8,57 @@
 	"mulleinrouter/internal/dataplane/clientconn"
 )
 
-// add makes room first: the connection that holds its place for the least goes. Where each has a request
-// in hand, it waits until one is idle or ends.
+const (
+	sweepInterval = 250 * time.Millisecond
+	// evictionRetry is when eviction is tried again: a new connection that has still sent nothing is evictable by then.
+	evictionRetry = 100 * time.Millisecond
+)
+
+// admit adds a connection. At the limit it first evicts another; where each has a pending request, it waits until one
+// is idle or ends.
 func (s *Server) admit(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.waiting++
-	again := false
-	for asked := false; len(s.conns) >= s.maxConns; s.changed.Wait() {
-		if asked {
-			continue // one connection goes for each that comes, not one more whenever another ends
+	retried := false
+	for evicted := false; len(s.conns) >= s.maxConns; s.changed.Wait() {
+		if evicted {
+			continue // one connection is evicted for each new one, not one more whenever another ends
 		}
-		if other := s.evictionCandidate(time.Now()); other != nil {
-			other.close(clientconn.CodeEvicted)
-			asked = true
-		} else if !again {
-			again = true
-			time.AfterFunc(evictionRetry, s.changed.Broadcast) // one that is new now is slow by then
+		if candidate := s.evictionCandidate(time.Now()); candidate != nil {
+			candidate.close(clientconn.CodeEvicted)
+			evicted = true
+		} else if !retried {
+			retried = true
+			time.AfterFunc(evictionRetry, s.changed.Broadcast)
 		}
 	}
 	s.waiting--
 	s.conns[c] = struct{}{}
 	if !s.lifecycle.Accepts() {
-		c.close(clientconn.CodeDrain) // accepted as the hand-over ended: the client asks elsewhere
+		c.close(clientconn.CodeDrain) // accepted as the handover ended: the client connects elsewhere
 	}
 }
 
-// spare is the connection to close for want of room, nil where there is none: client.Conn says which goes first.
-func (s *Server) evictionCandidate(at time.Time) (spare *conn) {
+// evictionCandidate returns the connection to close for want of room; nil: there is none. The mutex is held.
+func (s *Server) evictionCandidate(at time.Time) *conn {
 	now := s.seconds(at)
 	for {
-		spare = nil
+		var candidate *conn
 		for c := range s.conns {
-			if c.machine.Evictable(now) && (spare == nil || c.machine.EvictBefore(&spare.machine, now)) {
-				spare = c
+			if c.machine.Evictable(now) && (candidate == nil || c.machine.EvictBefore(&candidate.machine, now)) {
+				candidate = c
 			}
 		}
-		if spare == nil || spare.machine.State() != clientconn.Idle || !spare.requestPending() {
-			return spare
+		if candidate == nil || candidate.machine.State() != clientconn.Idle || !candidate.requestPending() {
+			return candidate
 		}
-		spare.machine.SetRequestPending() // in a rush its request may be here for long before it is read
+		candidate.machine.SetRequestPending() // under load it may take long until the request is read
 	}
 }
 
-// begun tells whether bytes have come that nobody has read yet.
-func (c *conn) requestPending() (is bool) {
+// requestPending reports whether bytes have arrived on the idle connection that nobody has read yet. The mutex is held.
+func (c *conn) requestPending() (pending bool) {
 	if c.machine.RequestPending() {
 		return true
 	}
@@ -67,12 +73,12 @@
 	raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, _ := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		is = n > 0
+		pending = n > 0
 	})
-	return is
+	return pending
 }
 
-// sweep ends connections that hold their place for nothing.
+// sweep closes connections that exceed a timeout, until the server's context ends.
 func (s *Server) sweep() {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -86,16 +92,24 @@
 	}
 }
 
+// sweepAt closes the connections that exceed a timeout at a time.
 func (s *Server) sweepAt(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.seconds(at)
 	for c := range s.conns {
-		if code := c.machine.TimeoutCode(now); code != "" && !(c.machine.State() == clientconn.Idle && c.machine.ServesPending() && c.requestPending()) {
+		code := c.machine.TimeoutCode(now)
+		if code != "" && !c.isServedBeforeClose() {
 			c.close(code)
 		}
 	}
 	if s.waiting > 0 {
-		s.changed.Broadcast() // one that was new a moment ago may be slow by now
+		s.changed.Broadcast() // a connection that was new a moment ago may be evictable by now
 	}
 }
+
+// isServedBeforeClose reports whether a request has begun to arrive on the idle connection that is served before the
+// connection is closed. The mutex is held.
+func (c *conn) isServedBeforeClose() bool {
+	return c.machine.State() == clientconn.Idle && c.machine.ServesPending() && c.requestPending()
+}
--- /dev/null
+++ b/internal/dataplane/ingress/fixture_test.go
@@ -0,0 +1,80 @@
+package ingress
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"mulleinrouter/internal/dataplane/engine"
+	"mulleinrouter/internal/dataplane/upstream"
+	"mulleinrouter/internal/decision"
+)
+
+// Classes and plans of the tests.
+var (
+	readClass = decision.Class{
+		Name: "read", LatencyTarget: 20, Deadline: 30, Value: 1, Effect: decision.Idempotent,
+	}
+	sendClass = decision.Class{Name: "send", LatencyTarget: 20, Deadline: 30, Value: 1}
+	plusPlan  = decision.Plan{Name: "plus", Rate: 1000, Burst: 1000, ValueWeight: 1}
+)
+
+// newTestServer returns a started server with one backend, whose address may be asked for at any time, and the pool
+// that it uses.
+func newTestServer(settings decision.Settings, backendAddr func() string, upstreamConns, clientConns int) (
+	*Server, *upstream.Pool,
+) {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	e := engine.New(decision.New(settings, 1), &settings, engine.NewClock())
+	e.Start(nil)
+	e.SetBackends(decision.Backends{
+		Complete: true,
+		List:     []decision.Backend{{ID: "s-1", Serving: true, Size: 1}},
+	})
+	lookup := func(string) (string, bool) { return backendAddr(), true }
+	limits := upstream.Limits{Connections: upstreamConns, ConnectTimeout: time.Minute, Keepalive: time.Minute}
+	pool := upstream.New(lookup, limits, log)
+	server := New(&settings, e, pool, clientConns, log)
+	server.Started()
+	return server, pool
+}
+
+// listen returns a listener on loopback, closed at the end of the test.
+func listen(tb testing.TB) net.Listener {
+	tb.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() { listener.Close() })
+	return listener
+}
+
+// dial connects to a listener, until the end of the test.
+func dial(tb testing.TB, listener net.Listener) net.Conn {
+	tb.Helper()
+	nc, err := net.Dial("tcp4", listener.Addr().String())
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() { nc.Close() })
+	return nc
+}
+
+// acceptEach serves each connection of a listener by a goroutine that ends with the connection.
+func acceptEach(listener net.Listener, serve func(net.Conn)) {
+	for {
+		nc, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go func() {
+			defer nc.Close()
+			serve(nc)
+		}()
+	}
+}
--- a/internal/dataplane/ingress/outcomes.go
+++ b/internal/dataplane/ingress/outcomes.go
@@ -7,32 +7,42 @@
 
 // The outcomes.
 const (
-	Answered           Outcome = iota // a server's success, or its refusal of what the client asked
-	ServerFailed                      // a server's own failure was passed on
-	Failed                            // it may have run, and no answer can be given
-	OverQuota                         // it is beyond its tenant's quota, and has not run
-	NoServer                          // no server took it in time, and it has not run
-	Invalid                           // it is none that could be served: unknown route or key, or not well-formed
+	Answered           Outcome = iota // a backend's success, or its rejection of what the client asked for
+	ServerFailed                      // a backend's own failure was forwarded
+	Failed                            // it may have run, and there is no answer
+	OverQuota                         // it exceeded its tenant's quota, and has not run
+	NoServer                          // no backend took it in time, and it has not run
+	Invalid                           // it could not be served: unknown route or key, or not well-formed
 	ClientDisconnected                // nobody waits for the answer
-	outcomeCount                      // not one itself
+
+	outcomeCount
 )
 
-var outcomeNames = [outcomeCount]string{"answered", "server_failed", "failed", "refused_quota", "refused_no_server", "rejected", "client_gone"}
+// outcomeNames are labels of metrics.
+var outcomeNames = [outcomeCount]string{
+	"answered",
+	"server_failed",
+	"failed",
+	"refused_quota",
+	"refused_no_server",
+	"rejected",
+	"client_gone",
+}
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// totals counts requests by their outcome, and the times that attempts were written whole.
+// totals counts requests by their outcome, and the times that attempts were written completely.
 type totals struct {
 	outcomes [outcomeCount]atomic.Int64
 	attempts atomic.Int64
 }
 
-// Totals are counts since the process started.
+// Totals are counts since the process started, and current numbers.
 type Totals struct {
 	Outcomes [outcomeCount]int64 // by Outcome
-	Attempts int64
-	InFlight int64 // requests in hand now
-	Clients  int   // connections now
+	Attempts int64               // written completely
+	InFlight int64               // requests now
+	Clients  int                 // connections now
 }
 
 // Totals returns the counts.
@@ -40,12 +50,13 @@
 	for o := range t.Outcomes {
 		t.Outcomes[o] = s.totals.outcomes[o].Load()
 	}
-	t.Attempts, t.InFlight = s.totals.attempts.Load(), s.stats.inFlight.Load()
+	t.Attempts = s.totals.attempts.Load()
+	t.InFlight = s.stats.inFlight.Load()
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	t.Clients = len(s.conns)
-	s.mu.Unlock()
 	return t
 }
 
-// ended counts a request that has ended.
+// countOutcome counts a request that has ended.
 func (s *Server) countOutcome(o Outcome) { s.totals.outcomes[o].Add(1) }
--- /dev/null
+++ b/internal/dataplane/ingress/pending_request.go
@@ -0,0 +1,177 @@
+package ingress
+
+import (
+	"context"
+
+	"github.com/sirupsen/logrus"
+
+	"mulleinrouter/internal/dataplane/clientconn"
+	"mulleinrouter/internal/dataplane/engine"
+	"mulleinrouter/internal/dataplane/http1"
+	"mulleinrouter/internal/dataplane/upstream"
+	"mulleinrouter/internal/dataplane/usage"
+	"mulleinrouter/internal/decision"
+)
+
+// serve answers one request. It returns the log code for which the connection ends with it; "": it stays open.
+func (c *conn) serve(r *http1.Request) (code string, err error) {
+	s := c.server
+	if r.Target == s.dialect.ReadyPath {
+		return c.answerReadiness(r)
+	}
+	s.stats.inFlight.Add(1)
+	defer s.stats.inFlight.Add(-1)
+	request, message, requestErr := s.dialect.Parse(r)
+	if requestErr != nil {
+		return c.rejectRequest(r, requestErr)
+	}
+	if !s.claimID(message.ID) {
+		return c.rejectRequest(r, errIDInUse)
+	}
+	defer s.releaseID(message.ID)
+	return c.handle(r, &request, message)
+}
+
+// rejectRequest answers a request that is not submitted.
+func (c *conn) rejectRequest(r *http1.Request, e *RequestError) (code string, err error) {
+	s := c.server
+	s.log.WithFields(logrus.Fields{"code": e.Code, "status": e.Status}).Warn("bad request")
+	if class := r.Header.Get(keyClass); class != "" {
+		s.stats.of(class).countAnswer(e.Status)
+	}
+	s.countOutcome(Invalid)
+	c.skipWatch(r)
+	return c.afterAnswer(r, c.rejectWith(e, closesConnection(r)))
+}
+
+// pendingRequest is a submitted request on its way to an answer.
+type pendingRequest struct {
+	conn    *conn
+	request *http1.Request
+	message *upstream.Message
+	ticket  *engine.Ticket
+	upload  *upload      // nil: the body is not streamed
+	counts  *classCounts // looked up once for the request: the lock of the statistics is not taken for each event
+	metered meteredRequest
+	last    upstream.Result // of the last attempt, with the backend's own answer
+}
+
+// handle submits a request, and makes attempts as the engine decides until it is answered.
+func (c *conn) handle(r *http1.Request, request *decision.Request, message *upstream.Message) (code string, err error) {
+	s := c.server
+	p := pendingRequest{conn: c, request: r, message: message, counts: s.stats.of(request.Class)}
+	c.enter(clientconn.Deciding)
+	ctx, cancel := context.WithCancel(s.ctx)
+	defer cancel()
+	p.ticket = s.engine.Submit(*request, cancel)
+	if r.Streamed == nil {
+		c.watch <- p.ticket
+	} else {
+		p.upload = &upload{conn: c, ticket: p.ticket, body: r.Streamed, expect: r.Expect}
+		message.Upload = p.upload
+	}
+	defer p.metered.ended()
+	for {
+		d := p.ticket.Next()
+		switch d.Kind {
+		case engine.Send:
+			if s.Meter != nil {
+				p.metered.sent(s.Meter, request, p.ticket, d.OverQuota)
+			}
+			p.attempt(ctx, d)
+			if p.last.Outcome == decision.Succeeded {
+				return p.forward()
+			}
+			p.attemptFailed()
+		case engine.Reject:
+			return p.reject(d)
+		case engine.Fail:
+			return p.fail()
+		case engine.NoAnswer:
+			return p.abandon()
+		}
+	}
+}
+
+// attempt makes an attempt.
+func (p *pendingRequest) attempt(ctx context.Context, d engine.Decision) {
+	s := p.conn.server
+	p.message.SlowAttempt = upstream.SlowAttempt{After: d.SlowAfter, ShouldAbandon: p.ticket.ShouldAbandon}
+	p.last = s.pool.Do(ctx, d.Backend, p.message, d.Deadline)
+	p.counts.countAttempts(p.last.Writes)
+	s.totals.attempts.Add(int64(p.last.Writes))
+	p.metered.arrival = max(p.metered.arrival, usage.ArrivalOf(p.last.Outcome, p.last.Answered))
+}
+
+// forward forwards the answer of the last attempt, which has succeeded.
+func (p *pendingRequest) forward() (code string, err error) {
+	r, result := p.request, &p.last
+	if result.Stream != nil {
+		p.ticket.AttemptEnded(result.Outcome) // before the body is forwarded, which may take long
+		p.conn.server.countOutcome(Answered)
+		p.counts.countAnswer(result.Head.Status)
+		r.Close = r.Close || r.HTTP10 && result.Stream.Length < 0
+		return p.conn.afterAnswer(r, p.conn.relay(result.Head, result.Stream, closesConnection(r)))
+	}
+	p.conn.server.countOutcome(Answered)
+	err = p.conn.forward(result.Head, result.Body, closesConnection(r))
+	p.counts.countAnswer(result.Head.Status)
+	p.ticket.AttemptEnded(result.Outcome)
+	return p.conn.afterAnswer(r, err)
+}
+
+// attemptFailed reports the end of the last attempt, which has not succeeded, to the engine.
+func (p *pendingRequest) attemptFailed() {
+	if p.uploadErr() != nil {
+		p.ticket.ClientDisconnected() // a client that does not send its body to the end waits for no answer
+	}
+	p.ticket.AttemptEnded(p.last.Outcome)
+}
+
+// uploadErr returns why the client did not send a streamed body to its end; nil: it did, or may yet.
+func (p *pendingRequest) uploadErr() error {
+	if p.upload == nil {
+		return nil
+	}
+	return p.upload.err
+}
+
+// reject answers that a retry does no harm.
+func (p *pendingRequest) reject(d engine.Decision) (code string, err error) {
+	s := p.conn.server
+	status, outcome := 503, NoServer
+	if d.OverQuota {
+		outcome = OverQuota
+		if s.dialect.OverQuotaStatus > 0 {
+			status = s.dialect.OverQuotaStatus
+		}
+	}
+	s.countOutcome(outcome)
+	p.counts.countAnswer(status)
+	last := closesConnection(p.request)
+	return p.conn.afterAnswer(p.request, p.conn.answer(status, d.RetryAfter, nil, last))
+}
+
+// fail answers that the request was not served and may have run: with the backend's own answer, where the dialect
+// says so and there is one.
+func (p *pendingRequest) fail() (code string, err error) {
+	s := p.conn.server
+	last := closesConnection(p.request)
+	if s.dialect.ForwardFailures && p.last.Outcome == decision.Failed && p.last.Head != nil {
+		p.counts.countAnswer(p.last.Head.Status)
+		s.countOutcome(ServerFailed)
+		return p.conn.afterAnswer(p.request, p.conn.forward(p.last.Head, p.last.Body, last))
+	}
+	p.counts.countAnswer(502)
+	s.countOutcome(Failed)
+	return p.conn.afterAnswer(p.request, p.conn.answer(502, 0, nil, last))
+}
+
+// abandon ends a request whose client has disconnected, or did not send its body to the end.
+func (p *pendingRequest) abandon() (code string, err error) {
+	p.conn.server.countOutcome(ClientDisconnected)
+	if err := p.uploadErr(); err != nil {
+		return p.conn.rejectMessage(err), err
+	}
+	return "client-gone", nil
+}
--- a/internal/dataplane/ingress/relay.go
+++ b/internal/dataplane/ingress/relay.go
@@ -11,36 +11,30 @@
 	"mulleinrouter/internal/dataplane/upstream"
 )
 
-// relay passes a served answer's body from the quote server to the client as it comes, each piece written before the
-// next is read: nothing is held back, and nothing is kept but one piece. The head tells the length where the quote
-// server's did, else the body is chunked; a client whose answer is cut can tell: errAnswerCut.
-func (c *conn) relay(head *http1.Response, st *upstream.Stream, last bool) error {
-	defer st.Close()
-	reports := c.server.dialect.ServerFields
-	b := http1.AppendStatus(c.out[:0], head.Status)
-	chunked := st.Length < 0 && !c.http10
-	if chunked || st.Length >= 0 {
-		b = http1.AppendFraming(b, st.Length)
-	} // else the body ends with the connection: HTTP/1.0 knows no chunks
-	b = http1.AppendFields(b, head.Header, reports)
-	b = c.endHead(b, last)
-	c.out = b
-	if err := c.writePiece(b); err != nil {
+// relay forwards a served answer's body from the backend to the client as it arrives, each piece written before the
+// next is read: only one piece is buffered. The head states the length where the backend's does, else the body is
+// chunked. A client whose answer is cut off (errAnswerCut) can tell.
+func (c *conn) relay(head *http1.Response, stream *upstream.Stream, last bool) error {
+	defer stream.Close()
+	chunked := stream.Length < 0 && !c.http10
+	c.out = c.appendStreamedHead(head, stream, last)
+	if err := c.writeAnswer(c.out); err != nil {
 		return err
 	}
 	buf := upstream.ChunkPool.Get().(*[]byte)
 	defer upstream.ChunkPool.Put(buf)
 	for {
-		n, rerr := st.Read((*buf)[http1.ChunkPrefix : http1.ChunkPrefix+upstream.ChunkSize])
-		ended := errors.Is(rerr, io.EOF)
+		n, readErr := stream.Read((*buf)[http1.ChunkPrefix : http1.ChunkPrefix+upstream.ChunkSize])
+		ended := errors.Is(readErr, io.EOF)
 		out := (*buf)[http1.ChunkPrefix : http1.ChunkPrefix+n]
 		if chunked {
-			if out = http1.FrameChunk(*buf, n); ended {
-				out = http1.AppendLastChunk(out, st.Trailer(), reports)
+			out = http1.FrameChunk(*buf, n)
+			if ended {
+				out = http1.AppendLastChunk(out, stream.Trailer(), c.server.dialect.ServerFields)
 			}
 		}
 		if len(out) > 0 {
-			if err := c.writePiece(out); err != nil {
+			if err := c.writeAnswer(out); err != nil {
 				return err
 			}
 		}
@@ -48,18 +42,25 @@
 			c.SetWriteDeadline(time.Time{})
 			return nil
 		}
-		if rerr != nil {
-			// The quote server stopped in the middle: the client can tell the answer is not whole when it ends here.
-			return fmt.Errorf("%w: %w", errAnswerCut, rerr)
+		if readErr != nil {
+			return fmt.Errorf("%w: %w", errAnswerCut, readErr)
 		}
 	}
 }
 
-var errAnswerCut = errors.New("the quote server's answer broke off")
+// appendStreamedHead writes the head of a streamed answer into the connection's buffer.
+func (c *conn) appendStreamedHead(head *http1.Response, stream *upstream.Stream, last bool) []byte {
+	b := http1.AppendStatus(c.out[:0], head.Status)
+	if stream.Length >= 0 || !c.http10 { // else the body ends with the connection: HTTP/1.0 has no chunks
+		b = http1.AppendFraming(b, stream.Length)
+	}
+	b = http1.AppendFields(b, head.Header, c.server.dialect.ServerFields)
+	return c.endHead(b, last)
+}
 
-// push writes a piece of an answer, with as long as a slow client may take for it.
-func (c *conn) writePiece(b []byte) error {
-	c.enter(clientconn.Answering) // from now: a client that takes longer over this piece holds the connection for nothing
+// writePiece writes a piece of an answer, within the time that a slow client may take for it.
+func (c *conn) writeAnswer(b []byte) error {
+	c.enter(clientconn.Answering) // again for each piece: the timeout of the state begins anew
 	c.SetWriteDeadline(time.Now().Add(upstream.MaxStall))
 	_, err := c.Write(b)
 	return err
--- a/internal/dataplane/ingress/relay_test.go
+++ b/internal/dataplane/ingress/relay_test.go
@@ -13,138 +13,128 @@
 	"testing"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
-	"mulleinrouter/internal/dataplane/engine"
-	"mulleinrouter/internal/dataplane/upstream"
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/emulator/exchange"
 )
 
-// bigServer answers every request with a 200 of size bytes, written in small pieces, with a length or chunked.
-func bigServer(t *testing.T, size int, chunked bool) string {
-	t.Helper()
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { l.Close() })
-	go func() {
+// pieceSize is how many bytes a longAnswers server writes at a time: no divisor of any buffer.
+const writeSize = 7001
+
+// longAnswers returns a function that answers each request of a connection with a 200 whose body is
+// exchange.Body(0, size), written in small pieces, with a length or chunked.
+func longAnswers(size int, chunked bool) func(net.Conn) {
+	return func(nc net.Conn) {
+		reader := bufio.NewReader(nc)
 		for {
-			c, err := l.Accept()
-			if err != nil {
+			if _, err := http.ReadRequest(reader); err != nil {
+				return
+			}
+			w := bufio.NewWriterSize(nc, 1000)
+			writeLongAnswer(w, size, chunked)
+			if w.Flush() != nil {
 				return
 			}
-			go func() {
-				defer c.Close()
-				r := bufio.NewReader(c)
-				for {
-					if _, err := http.ReadRequest(r); err != nil {
-						return
-					}
-					w := bufio.NewWriterSize(c, 1000)
-					if chunked {
-						fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-					} else {
-						fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
-					}
-					for i := 0; i < size; i += 7001 {
-						n := min(7001, size-i)
-						if chunked {
-							fmt.Fprintf(w, "%x\r\n", n)
-						}
-						w.Write(exchange.Body(i, n))
-						if chunked {
-							w.WriteString("\r\n")
-						}
-					}
-					if chunked {
-						w.WriteString("0\r\nX-Trailer: 1\r\n\r\n")
-					}
-					if w.Flush() != nil {
-						return
-					}
-				}
-			}()
 		}
-	}()
-	return l.Addr().String()
+	}
+}
+
+// writeLongAnswer writes one such answer. Errors show in Flush.
+func writeLongAnswer(w *bufio.Writer, size int, chunked bool) {
+	if chunked {
+		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+	} else {
+		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
+	}
+	for i := 0; i < size; i += writeSize {
+		n := min(writeSize, size-i)
+		if chunked {
+			fmt.Fprintf(w, "%x\r\n", n)
+		}
+		w.Write(exchange.Body(i, n))
+		if chunked {
+			w.WriteString("\r\n")
+		}
+	}
+	if chunked {
+		w.WriteString("0\r\nX-Trailer: 1\r\n\r\n")
+	}
 }
 
-// checker takes a body and tells whether it is that of exchange.Body(0, n), keeping none of it.
-type checker struct {
-	n     int
+// bodyChecker reports whether what is written to it is exchange.Body(0, n), and keeps none of it.
+type bodyChecker struct {
+	bytes int
 	wrong bool
 }
 
-func (c *checker) Write(p []byte) (int, error) {
-	c.wrong = c.wrong || !bytes.Equal(p, exchange.Body(c.n, len(p)))
-	c.n += len(p)
+func (bc *bodyChecker) Write(p []byte) (int, error) {
+	bc.wrong = bc.wrong || !bytes.Equal(p, exchange.Body(bc.bytes, len(p)))
+	bc.bytes += len(p)
 	return len(p), nil
 }
 
-// TestLongAnswersPassWhole: answers of 5 MB, with a length and chunked, reach the client unchanged, two on one
-// connection, while what the process holds stays far below their size.
-func TestLongAnswersPassWhole(t *testing.T) {
+// heapInUse returns the size of the heap after a collection.
+func heapInUse() int64 {
+	var stats runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapInuse)
+}
+
+// checkLongAnswer sends a request and reads its answer, which must be the backend's.
+func checkLongAnswer(t *testing.T, client net.Conn, reader *bufio.Reader, id, size int, chunked bool) {
+	t.Helper()
+	fmt.Fprintf(client, "GET /api/0000000000000001 HTTP/1.1\r\nX-Request-ID: r%d\r\nX-Priority-Class: read\r\n"+
+		"X-Tier: plus\r\nX-Timeout: 30\r\nX-Call-Terms: units=1,spread=1,first=0\r\n\r\n", id)
+	answer, err := http.ReadResponse(reader, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	check := &bodyChecker{}
+	_, err = io.Copy(check, answer.Body)
+	answer.Body.Close()
+	if err != nil {
+		t.Fatalf("answer %d: %v after %d bytes", id, err, check.bytes)
+	}
+	if answer.StatusCode != 200 || check.bytes != size || check.wrong {
+		t.Fatalf("answer %d: status %d, %d bytes, wrong %v; want 200 and the backend's %d bytes",
+			id, answer.StatusCode, check.bytes, check.wrong, size)
+	}
+	if got := len(answer.TransferEncoding) > 0; got != chunked {
+		t.Errorf("answer %d: transfer coding %v, want chunked: %v", id, answer.TransferEncoding, chunked)
+	}
+	if connection := answer.Header.Get("Connection"); strings.Contains(connection, "close") {
+		t.Errorf("answer %d: Connection: %q, want none", id, connection)
+	}
+}
+
+// Answers of 5 MB, with a length and chunked, reach the client unchanged, two on one connection, while the heap of the
+// process grows by far less.
+func TestLongAnswersAreForwardedUnchanged(t *testing.T) {
 	const size = 5 << 20
 	for _, chunked := range []bool{false, true} {
 		t.Run(fmt.Sprint("chunked ", chunked), func(t *testing.T) {
-			addr := bigServer(t, size, chunked)
-			log := logrus.New()
-			log.SetOutput(io.Discard)
-			settings := decision.Settings{Gateways: 1, MaxAttempts: 1,
-				Classes: []decision.Class{{Name: "read", LatencyTarget: 20, Deadline: 30, Value: 1, Effect: decision.Idempotent}},
-				Plans:   []decision.Plan{{Name: "plus", Rate: 1000, Burst: 1000, ValueWeight: 1}}}
-			e := engine.New(decision.New(settings, 1), &settings, engine.NewClock())
-			e.Start(nil)
-			e.SetBackends(decision.Backends{Complete: true, List: []decision.Backend{{ID: "s-1", Serving: true, Size: 1}}})
-			pool := upstream.New(func(string) (string, bool) { return addr, true },
-				upstream.Limits{Connections: 4, ConnectTimeout: time.Minute, Keepalive: time.Minute}, log)
+			backend := listen(t)
+			go acceptEach(backend, longAnswers(size, chunked))
+			server, pool := newTestServer(decision.Settings{
+				Gateways:    1,
+				MaxAttempts: 1,
+				Classes:     []decision.Class{readClass},
+				Plans:       []decision.Plan{plusPlan},
+			}, backend.Addr().String, 4, 8)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			go pool.Run(ctx)
-			s := New(&settings, e, pool, 8, log)
-			s.Started()
-			l, err := net.Listen("tcp4", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer l.Close()
-			go s.Serve(l)
-			c, err := net.Dial("tcp4", l.Addr().String())
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer c.Close()
-			c.SetDeadline(time.Now().Add(time.Minute)) // only a failure waits this long
-			r := bufio.NewReader(c)
-			var before runtime.MemStats
-			runtime.GC()
-			runtime.ReadMemStats(&before)
-			for i := range 2 {
-				fmt.Fprintf(c, "GET /api/0000000000000001 HTTP/1.1\r\nX-Request-ID: r%d\r\nX-Priority-Class: read\r\nX-Tier: plus\r\nX-Timeout: 30\r\nX-Call-Terms: units=1,spread=1,first=0\r\n\r\n", i)
-				a, err := http.ReadResponse(r, nil)
-				if err != nil {
-					t.Fatal(err)
-				}
-				check := &checker{}
-				_, err = io.Copy(check, a.Body)
-				a.Body.Close()
-				if err != nil {
-					t.Fatalf("answer %d: %v after %d bytes", i, err, check.n)
-				}
-				if a.StatusCode != 200 || check.n != size || check.wrong {
-					t.Fatalf("answer %d: %d, %d bytes, wrong %v: not the quote server's", i, a.StatusCode, check.n, check.wrong)
-				}
-				if chunked != (len(a.TransferEncoding) > 0) || strings.Contains(a.Header.Get("Connection"), "close") {
-					t.Errorf("answer %d: framing %v, connection %q", i, a.TransferEncoding, a.Header.Get("Connection"))
-				}
+			listener := listen(t)
+			go server.Serve(listener)
+			client := dial(t, listener)
+			client.SetDeadline(time.Now().Add(time.Minute)) // only a failure waits this long
+			reader := bufio.NewReader(client)
+			before := heapInUse()
+			for id := range 2 {
+				checkLongAnswer(t, client, reader, id, size, chunked)
 			}
-			var after runtime.MemStats
-			runtime.GC()
-			runtime.ReadMemStats(&after)
-			if grew := int64(after.HeapInuse) - int64(before.HeapInuse); grew > size/4 {
-				t.Errorf("the heap grew by %d bytes over two answers of %d", grew, size)
+			if grown := heapInUse() - before; grown > size/4 {
+				t.Errorf("the heap grew by %d bytes over two answers of %d, want %d at most", grown, size, size/4)
 			}
 		})
 	}
--- a/internal/dataplane/ingress/upload.go
+++ b/internal/dataplane/ingress/upload.go
@@ -12,10 +12,16 @@
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/dataplane/upstream"
-	"mulleinrouter/internal/decision"
 )
 
-// take reads the body of a request that fits, or the beginning of one that does not: that one is the upload's.
+// maxDiscard is how many bytes of a body are discarded at most so that its connection can be kept: more is not worth
+// the transfer.
+const maxDiscard = 4 << 20
+
+// continueAnswer has a client that waits for it send the body.
+var continueAnswer = []byte("HTTP/1.1 100 Continue\r\n\r\n")
+
+// readBody reads the body of a request that is buffered, or the beginning of one that is streamed.
 func (c *conn) readBody(r *http1.Request) error {
 	if r.Expect && !r.TooLongToBuffer() {
 		if _, err := c.Write(continueAnswer); err != nil {
@@ -29,62 +35,15 @@
 	return err
 }
 
-// goOn tells a client that waits for it to send the body.
-var continueAnswer = []byte("HTTP/1.1 100 Continue\r\n\r\n")
-
-// paces enters a state in which a body comes: from now on the sweep looks at how.
-func (c *conn) enterBody(st clientconn.State) {
-	c.enter(st)
+// enterBody enters a state in which a body is read: from now on its progress is tracked.
+func (c *conn) enterBody(state clientconn.State) {
+	c.enter(state)
 	c.readingBody = true
 }
 
-// Read reads from the client, and tells the pace of a body that is being taken.
-func (c *conn) Read(p []byte) (int, error) {
-	if !c.readingBody {
-		n, err := c.Conn.Read(p)
-		c.server.Traffic.Read(n)
-		return n, err
-	}
-	s := c.server
-	s.mu.Lock()
-	c.machine.AwaitBody(s.seconds(time.Now()))
-	s.mu.Unlock()
-	n, err := c.Conn.Read(p)
-	s.Traffic.Read(n)
-	s.mu.Lock()
-	c.machine.BodyReceived(s.seconds(time.Now()), n)
-	s.mu.Unlock()
-	return n, err
-}
-
-// Write writes to the client, and counts.
-func (c *conn) Write(p []byte) (int, error) {
-	n, err := c.Conn.Write(p)
-	c.server.Traffic.Wrote(n)
-	return n, err
-}
-
-// seconds is a moment on the server's own clock.
-func (s *Server) seconds(at time.Time) decision.Seconds { return at.Sub(s.base).Seconds() }
-
-// unwatched has nobody look out for the client's leaving while an answer is made. Behind a long body, skip does.
-func (c *conn) skipWatch(r *http1.Request) {
-	if r.Streamed == nil {
-		c.watch <- nil
-	}
-}
-
-// skipMost is the most of a body that is read off so that its connection can be kept: more is not worth its transport.
-const maxDiscard = 4 << 20
-
-// ends tells whether an answer is the last on its connection for its request's sake: the client asks for it, or too much
-// of a body would have to be read off first.
-func closesConnection(r *http1.Request) bool {
-	return r.Close || r.Streamed != nil && !r.Streamed.Ended() && r.Streamed.Length >= 0 && r.Streamed.Remaining() > maxDiscard
-}
-
-// skip reads off what is left of a body that was answered before it was up: the next request begins behind it.
-func (c *conn) discardBody(b *http1.Body) (whole bool) {
+// discardBody discards the rest of a body that was answered before its end, so that the next request can be read. It
+// reports whether the body came to its end.
+func (c *conn) discardBody(b *http1.Body) (complete bool) {
 	c.SetReadDeadline(time.Time{})
 	c.enterBody(clientconn.Discarding)
 	n, err := io.Copy(io.Discard, io.LimitReader(b, maxDiscard))
@@ -96,56 +55,83 @@
 	return true
 }
 
-// upload is a long body on its way from the client to a quote server. Its Read is called by the goroutine that sends it
-// on, which is over before the attempt is told to have ended.
+// linger reads what a client still sends, for a while: closing a connection with unread bytes would reset it, and the
+// answer might be lost.
+func (c *conn) linger(timeout time.Duration) {
+	c.readingBody = false
+	if tcp, ok := c.Conn.(*net.TCPConn); ok {
+		tcp.CloseWrite()
+	}
+	c.enter(clientconn.Lingering)
+	buf := upstream.ChunkPool.Get().(*[]byte)
+	defer upstream.ChunkPool.Put(buf)
+	for end := time.Now().Add(timeout); time.Now().Before(end); {
+		c.SetReadDeadline(time.Now().Add(lingerShort))
+		if _, err := c.Conn.Read(*buf); err != nil {
+			return
+		}
+	}
+}
+
+// upload is the streamed body of a request, an upstream.Upload. The goroutine that forwards it calls Read; it has
+// returned before the end of the attempt is reported.
 type upload struct {
 	conn     *conn
 	ticket   *engine.Ticket
 	body     *http1.Body
-	expect   bool // the client waits for a word before it sends it
-	consumed bool
+	expect   bool  // the client waits for 100 Continue before it sends the body
+	consumed bool  // a part of it has been read
 	err      error // the client did not send it to its end
 
-	mu                sync.Mutex
-	complete, aborted bool
+	mu       sync.Mutex // guards what follows
+	complete bool       // read to its end
+	aborted  bool
 }
 
+// Read reads what has arrived from the client.
 func (u *upload) Read(p []byte) (n int, err error) {
 	if !u.consumed {
-		u.consumed = true
-		u.ticket.ConsumeBody()
-		u.conn.enterBody(clientconn.Uploading)
-		if u.expect {
-			u.conn.Write(continueAnswer) // where it fails, the body does not come
-		}
+		u.begin()
 	}
 	n, err = u.body.Read(p)
 	if errors.Is(err, io.EOF) && http1.HasForbiddenTrailer(u.body.Trailer(), u.conn.server.dialect.IngressFields) {
-		err = fmt.Errorf("%w: a trailer states what belongs in the head", http1.ErrFraming) // the last chunk has not gone out
+		// The last chunk has not been forwarded.
+		err = fmt.Errorf("%w: a trailer states what belongs in the head", http1.ErrFraming)
 	}
 	if err == nil {
 		return n, nil
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.complete = errors.Is(err, io.EOF); !u.complete && !u.aborted { // else the error is the abort's, not the client's
+	u.complete = errors.Is(err, io.EOF)
+	if !u.complete && !u.aborted { // else the abort is the cause, not the client
 		u.err = err
 	}
 	return n, err
 }
 
-// Length is what the client's head tells.
+// begin prepares the first read.
+func (u *upload) begin() {
+	u.consumed = true
+	u.ticket.ConsumeBody()
+	u.conn.enterBody(clientconn.Uploading)
+	if u.expect {
+		u.conn.Write(continueAnswer) // where it fails, so will the read
+	}
+}
+
+// Length returns what the client's head states, in bytes; -1: nothing.
 func (u *upload) Length() int64 { return u.body.Length }
 
-// AppendLast ends a chunked one, with the client's trailer.
+// AppendTrailer appends the last chunk, with the client's trailer.
 func (u *upload) AppendTrailer(b []byte) []byte {
 	return http1.AppendLastChunk(b, u.body.Trailer(), u.conn.server.dialect.IngressFields)
 }
 
-// Spent tells whether something of it has been read.
+// Consumed reports whether a part of the body has been read.
 func (u *upload) Consumed() bool { return u.consumed }
 
-// Arrived hands the connection to the watcher: the client's next request may come, or the client may leave.
+// Uploaded hands the connection to watchClient: the client may send its next request, or disconnect.
 func (u *upload) Uploaded() {
 	u.conn.readingBody = false
 	u.conn.enter(clientconn.Deciding)
@@ -153,32 +139,12 @@
 	u.conn.watch <- u.ticket
 }
 
-// Abort ends a Read that is out.
+// Abort interrupts a Read, and any later one.
 func (u *upload) Abort() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !u.complete {
 		u.aborted = true
-		u.conn.SetReadDeadline(expired)
-	}
-}
-
-var expired = time.Unix(1, 0)
-
-// linger reads off what a client still sends, for a while: closing with unread bytes would reset the connection, and the
-// answer might be lost with it.
-func (c *conn) linger(most time.Duration) {
-	c.readingBody = false
-	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		tcp.CloseWrite()
-	}
-	c.enter(clientconn.Lingering)
-	buf := upstream.ChunkPool.Get().(*[]byte)
-	defer upstream.ChunkPool.Put(buf)
-	for end := time.Now().Add(most); time.Now().Before(end); {
-		c.SetReadDeadline(time.Now().Add(lingerShort))
-		if _, err := c.Conn.Read(*buf); err != nil {
-			return
-		}
+		u.conn.SetReadDeadline(pastDeadline)
 	}
 }
--- a/internal/standalone/node/node.go
+++ b/internal/standalone/node/node.go
@@ -239,9 +239,9 @@
 	lines := make([]string, 0, 4*len(classes)+6)
 	var tries int64
 	for _, c := range classes {
-		lines = append(lines, mgmt.Count("ingress.responses."+c.Class+".ok", c.OK), mgmt.Count("ingress.responses."+c.Class+".shed", c.Shed),
-			mgmt.Count("ingress.responses."+c.Class+".errors", c.Errors), mgmt.Count("ingress.responses."+c.Class+".tries", c.Tries))
-		tries += c.Tries
+		lines = append(lines, mgmt.Count("ingress.responses."+c.Class+".ok", c.OK), mgmt.Count("ingress.responses."+c.Class+".shed", c.Rejected),
+			mgmt.Count("ingress.responses."+c.Class+".errors", c.Errors), mgmt.Count("ingress.responses."+c.Class+".tries", c.Attempts))
+		tries += c.Attempts
 	}
 	if n.fleet != nil {
 		lines = append(lines, n.fleetFigures()...)
