--- a/internal/dataplane/engine/engine_test.go
+++ b/internal/dataplane/engine/engine_test.go
@@ -180,7 +180,7 @@
 			return plans.Revision{
 				Number:    n,
 				Holds:     holds,
-				Authority: plans.Listed,
+				Authority: plans.AuthorityCatalogue,
 				Plans:     []decision.Plan{small, large},
 				Members:   map[string]string{member: plan},
 			}
