--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -91,7 +91,11 @@
 					return &transport.Frame{CounterTotal: &transport.CounterTotal{}}
 				}
 				return &transport.Frame{
-					CounterTotal: &transport.CounterTotal{OK: f.CounterAdd.Name != "unsure", Sum: f.CounterAdd.Amount, Reporters: 1},
+					CounterTotal: &transport.CounterTotal{
+						OK:        f.CounterAdd.Name != "unsure",
+						Sum:       f.CounterAdd.Amount,
+						Reporters: 1,
+					},
 				}
 			})
 		}
@@ -179,7 +183,8 @@
 		is.Equal(*answer.CounterTotal, transport.CounterTotal{Reporters: 1})
 		is.True(slices.Contains(one.adds, "unsure") != slices.Contains(two.adds, "unsure"))
 
-		// One node stops: what is here stays sufficient, but there is no quorum any more, and its counters go to the other.
+		// One node stops: what is here stays sufficient, but there is no quorum any more, and its counters go to the
+		// other.
 		core.stop(one)
 		pass(3 * time.Second)
 		is.True(proxy.State().Ready && !proxy.State().Quorum)
@@ -193,7 +198,11 @@
 
 		// Other settings: another core, whose changes arrive.
 		four := core.start(4, true)
-		a.Follow(ctx, &settings.Settings{Node: "edge-1", InnerFirst: 7560, Seeds: []string{"10.0.0.2:80", "10.0.0.4:80"}})
+		a.Follow(ctx, &settings.Settings{
+			Node:       "edge-1",
+			InnerFirst: 7560,
+			Seeds:      []string{"10.0.0.2:80", "10.0.0.4:80"},
+		})
 		pass(3 * time.Second)
 		is.True(proxy.State().Quorum)
 		l, ok := store.Instance("i4")
@@ -213,7 +222,12 @@
 			addr:         "a",
 			connected:    true,
 			syncComplete: complete,
-			State:        replication.State{Incarnation: 1, Ready: complete, Quorum: quorum, LastUpdateAt: now.Add(-ago)},
+			State: replication.State{
+				Incarnation:  1,
+				Ready:        complete,
+				Quorum:       quorum,
+				LastUpdateAt: now.Add(-ago),
+			},
 		}
 	}
 	never := sourceStatus{}
@@ -254,7 +268,11 @@
 		three, four := core.start(3, true), core.start(4, true)
 		three.Store.SetEpoch(10)
 		four.Store.SetEpoch(10)
-		a.Follow(ctx, &settings.Settings{Node: "edge-1", InnerFirst: 7560, Seeds: []string{"10.0.0.1:80", "10.0.0.2:80"}})
+		a.Follow(ctx, &settings.Settings{
+			Node:       "edge-1",
+			InnerFirst: 7560,
+			Seeds:      []string{"10.0.0.1:80", "10.0.0.2:80"},
+		})
 		pass(3 * time.Second)
 		view := a.view()
 		is.True(view.quorum && view.sufficient && a.ready.Load())
@@ -318,9 +336,18 @@
 		quorum, enough bool
 		members        int
 	}{
-		{[]sourceStatus{status(false, true, 7, 3), status(false, true, 7, 4), status(false, false, 7, 9)}, true, true, 4},
-		{[]sourceStatus{status(false, true, 7, 3), status(false, true, 8, 4), status(false, false, 7, 9)}, true, false, 4},
-		{[]sourceStatus{status(false, true, 7, 3), status(false, false, 8, 4), status(false, true, 7, 9)}, true, false, 9},
+		{
+			[]sourceStatus{status(false, true, 7, 3), status(false, true, 7, 4), status(false, false, 7, 9)},
+			true, true, 4,
+		},
+		{
+			[]sourceStatus{status(false, true, 7, 3), status(false, true, 8, 4), status(false, false, 7, 9)},
+			true, false, 4,
+		},
+		{
+			[]sourceStatus{status(false, true, 7, 3), status(false, false, 8, 4), status(false, true, 7, 9)},
+			true, false, 9,
+		},
 		{[]sourceStatus{status(false, true, 7, 3, five...), status(false, true, 7, 4, five...)}, false, false, 4},
 		{
 			[]sourceStatus{
--- a/internal/agent/cluster_view.go
+++ b/internal/agent/cluster_view.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	statusTTL         = 2 * time.Second // for which the last update of a source is valid
-	singleSourceAfter = 5 * time.Second // from the start, until one control node in contact with a majority is sufficient
+	statusTTL = 2 * time.Second // for which the last update of a source is valid
+	// from the start, until one control node in contact with a majority is sufficient
+	singleSourceAfter = 5 * time.Second
 )
 
 // clusterView is what the states of all sources say together. Only control nodes that are in contact with a majority of
--- a/internal/agent/counters.go
+++ b/internal/agent/counters.go
@@ -10,7 +10,8 @@
 
 const (
 	maxCounterCalls = 256 // in flight; further ones are answered at once, as by a node that is not the owner
-	// counterTimeout bounds a counter call at each of maxCounterAttempts owners: a proxy waits for little more than all.
+	// counterTimeout bounds a counter call at each of maxCounterAttempts owners: a proxy waits for little more than
+	// all.
 	counterTimeout     = 160 * time.Millisecond
 	maxCounterAttempts = 2
 )
--- a/internal/cluster/metrics/registry.go
+++ b/internal/cluster/metrics/registry.go
@@ -32,7 +32,9 @@
 func NewRegistry(program string) *Registry {
 	r := &Registry{program: program, registry: prometheus.NewRegistry()}
 	started := time.Now()
-	r.Gauge("uptime_seconds", "Time since the process started.", func() float64 { return time.Since(started).Seconds() })
+	r.Gauge("uptime_seconds",
+		"Time since the process started.",
+		func() float64 { return time.Since(started).Seconds() })
 	r.Gauge("goroutines", "Goroutines of the process.", func() float64 { return float64(runtime.NumGoroutine()) })
 	return r
 }
--- a/internal/cluster/quota/counter_table_test.go
+++ b/internal/cluster/quota/counter_table_test.go
@@ -72,7 +72,8 @@
 			for range 800 {
 				now += random.Float64() * 0.2
 				name := fmt.Sprint("tenant-", random.IntN(2))
-				// Most report in time, some a cycle late, some repeat a report, some only ever read or are absent for a while.
+				// Most report in time, some a cycle late, some repeat a report, some only ever read or are absent for a
+				// while.
 				report := receivedReport{
 					at:       now,
 					cycle:    int64(now/2) - int64(random.IntN(10)/9),
--- a/internal/cluster/registry/registry_test.go
+++ b/internal/cluster/registry/registry_test.go
@@ -41,7 +41,8 @@
 
 func (m *modelRegistry) recordHeartbeat(now Seconds, instance Instance) bool {
 	changed := m.merge(now, instance)
-	if old := m.instances[instance.ID]; !changed && old.Seq == instance.Seq && old.Phase != Gone && old.Phase != Silent {
+	old := m.instances[instance.ID]
+	if !changed && old.Seq == instance.Seq && old.Phase != Gone && old.Phase != Silent {
 		m.set(now, old)
 	}
 	return changed
@@ -105,7 +106,11 @@
 		is := is.New(t)
 		random := rand.New(rand.NewPCG(seed, 1))
 		r := New(1.5)
-		model := &modelRegistry{heartbeatInterval: 1.5, instances: map[string]Instance{}, lastSeenAt: map[string]Seconds{}}
+		model := &modelRegistry{
+			heartbeatInterval: 1.5,
+			instances:         map[string]Instance{},
+			lastSeenAt:        map[string]Seconds{},
+		}
 		now, seqs, dead, partitioned := 0.0, map[string]uint64{}, map[string]bool{}, false
 		r.SetQuorum(now, true)
 		model.hasQuorum, model.quorumSince = true, now
--- a/internal/cluster/replication/client.go
+++ b/internal/cluster/replication/client.go
@@ -43,13 +43,14 @@
 	Handle func(*transport.Frame) *transport.Frame
 	// Consume takes the place of merging an update into the Store; nil: merge.
 	Consume func(*transport.Update)
-	// OnUpdate is called after each update, which then holds only what was new here (unless Consume is set); may be nil.
+	// OnUpdate is called after each update, which then holds only what was new here (unless Consume is set); may be
+	// nil.
 	OnUpdate func(*transport.Update)
-	// OnConnection is called when the source has answered on a new connection (up), and when such a connection has ended
-	// (not up, with the cause); may be nil.
+	// OnConnection is called when the source has answered on a new connection (up), and when such a connection has
+	// ended (not up, with the cause); may be nil.
 	OnConnection func(up bool, err error)
-	// InitialSync orders the clients that share an empty Store: one takes the snapshot before the others subscribe. Nil:
-	// each takes all of it.
+	// InitialSync orders the clients that share an empty Store: one takes the snapshot before the others subscribe.
+	// Nil: each takes all of it.
 	InitialSync *InitialSync
 	// RepairSource has a source that began a new incarnation be sent the instances that it then lacks.
 	RepairSource bool
--- a/internal/cluster/replication/digests_test.go
+++ b/internal/cluster/replication/digests_test.go
@@ -254,8 +254,8 @@
 				is.True(s.instances.Load() < 2*count)
 				time.Sleep(2 * time.Second)
 
-				// One begins a new incarnation, and has lost ten instances. Only what differs comes, and exactly the ten are
-				// restored.
+				// One begins a new incarnation, and has lost ten instances. Only what differs comes, and exactly the
+				// ten are restored.
 				s.instances.Store(0)
 				var restored atomic.Int64
 				fill(2, 9, 10)
--- a/internal/cluster/replication/replication_test.go
+++ b/internal/cluster/replication/replication_test.go
@@ -255,7 +255,8 @@
 		is.True(client.Connected() && client.State().Complete && client.State().Quorum)
 		is.Equal(replica.Snapshot().Len(), 3000)
 		is.Equal(client.Clock.Now(), 50.0)
-		// once checks what has come since its last call: so many entries, each of them once. It returns in how many updates.
+		// once checks what has come since its last call: so many entries, each of them once. It returns in how many
+		// updates.
 		once := func(entries int) (in int) {
 			t.Helper()
 			mu.Lock()
@@ -293,8 +294,8 @@
 		instance, _ := replica.Instance("i")
 		is.Equal(instance.Phase, registry.Draining)
 
-		// The source starts anew, knows less, and has its numbers begin anew too: nothing is missed, and it learns what it
-		// lost.
+		// The source starts anew, knows less, and has its numbers begin anew too: nothing is missed, and it learns what
+		// it lost.
 		store = source.restart(2)
 		store.MergeItems([]configuration.Item{item(7, 9)})
 		store.MergeInstances([]registry.Instance{{ID: "i", Seq: 3, Phase: registry.Draining}})
--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -52,7 +52,13 @@
 			testConfig, `"weighted":[{"backend":"s1","share":30},{"backend":"s2","share":70}]`, `"backend":"s2"`, 1,
 		), true, true,
 	)
-	s := &decision.Settings{Gateways: 1, MaxAttempts: 2, MayCancel: true, FinishNonIdempotent: true, CapacityInSlots: true}
+	s := &decision.Settings{
+		Gateways:            1,
+		MaxAttempts:         2,
+		MayCancel:           true,
+		FinishNonIdempotent: true,
+		CapacityInSlots:     true,
+	}
 	e := engine.New(decision.New(*s, 1), s, engine.NewClock())
 	e.Start(nil)
 	e.SetBackends(decision.Backends{List: []decision.Backend{{ID: "i-2", Group: "s2", Serving: true, Size: 9}}})
@@ -127,13 +133,13 @@
 					complete := cut == length && c.body != "\x00"
 					switch success := err == nil && status/100 == 2; {
 					case success && (!complete || body != c.body || header.Get("X-Server-Seal") != "s"):
-						t.Errorf("cut after %d bytes, reset %v: a success with %q, want none of less than %q", cut, reset, body, c.body)
+						t.Errorf("cut after %d bytes, reset %v: a success with %q, want none of less than %q",
+							cut, reset, body, c.body)
 					case !success && complete && !reset: // a reset may overtake the last bytes
 						t.Errorf("complete answer: the client got %d, %v, want a success", status, err)
 					case err == nil && status != 200 && status != 502:
-						t.Errorf(
-							"cut after %d bytes, reset %v: it may have run, and the client got %d, want 200 or 502", cut, reset, status,
-						)
+						t.Errorf("cut after %d bytes, reset %v: it may have run, and the client got %d, want 200 or 502",
+							cut, reset, status)
 					}
 				}
 			}
@@ -151,7 +157,9 @@
 		)
 	}
 	full := func(id string) string {
-		return fmt.Sprintf("HTTP/1.1 503 Full\r\nX-Attempt-Id: %s\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", id)
+		return fmt.Sprintf(
+			"HTTP/1.1 503 Full\r\nX-Attempt-Id: %s\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", id,
+		)
 	}
 	const anonymous = "HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 	cases := []struct {
@@ -174,8 +182,16 @@
 		{"its refusal", func(id, _, _ string) string { return full(id) }, 503, 0},
 		{"a refusal without a name", func(string, string, string) string { return anonymous }, 503, 0},
 		{"its refusal, twice", func(id, _, _ string) string { return full(id) + full(id) }, 503, 0},
-		{"no name", func(id, _, _ string) string { return strings.Replace(ok(id), "X-Attempt-Id", "X-Other", 1) }, 502, 1},
-		{"no seal", func(id, _, _ string) string { return strings.Replace(ok(id), "X-Server-Seal", "X-Other", 1) }, 502, 1},
+		{
+			"no name",
+			func(id, _, _ string) string { return strings.Replace(ok(id), "X-Attempt-Id", "X-Other", 1) },
+			502, 1,
+		},
+		{
+			"no seal",
+			func(id, _, _ string) string { return strings.Replace(ok(id), "X-Server-Seal", "X-Other", 1) },
+			502, 1,
+		},
 	}
 	for _, first := range cases {
 		t.Run(first.name, func(t *testing.T) {
@@ -221,8 +237,9 @@
 						if i == 1 && status == 503 && ran == 0 && tr.status != 503 && err == nil && attempt < 50 {
 							continue // it is avoided after a rejection: the client retries
 						}
-						if err != nil || status != tr.status || status == 200 && body != id || ran > 1 || (status == 429 ||
-							status == 503) && ran > 0 {
+						claimsNotExecuted := status == 429 || status == 503
+						wrong := status != tr.status || status == 200 && body != id
+						if err != nil || wrong || ran > 1 || claimsNotExecuted && ran > 0 {
 							t.Errorf("%q behind %q: the client of %s got %d with %q (%v), it ran %d times",
 								second.name, first.name, id, status, body, err, ran)
 						}
--- a/internal/proxy/classes.go
+++ b/internal/proxy/classes.go
@@ -16,8 +16,8 @@
 	maxPrioritySteps = 8
 	// slowAttemptFactor is the usual answer times after which an attempt is slow: one in some hundred takes longer.
 	slowAttemptFactor = 6.0
-	// maxQueueShareOfTarget is the time that a request may wait for a server, of its latency target: a rejection within a
-	// quarter of it costs least.
+	// maxQueueShareOfTarget is the time that a request may wait for a server, of its latency target: a rejection within
+	// a quarter of it costs least.
 	maxQueueShareOfTarget = 0.22
 	// lateValue is the value of an answer after the latency target, of that of one in time.
 	lateValue = 0.5
--- a/internal/proxy/control_feed.go
+++ b/internal/proxy/control_feed.go
@@ -35,7 +35,8 @@
 type controlFeed struct {
 	log  log.Logger
 	node string
-	// process is the reporter of PerRequest reports: a process that starts anew must not be taken for the one before it.
+	// process is the reporter of PerRequest reports: a process that starts anew must not be taken for the one before
+	// it.
 	process   string
 	startedAt time.Time
 	store     *replication.Store
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -50,7 +50,9 @@
 		func() float64 { return float64(p.server.Totals().Attempts) })
 	r.Gauge("requests_in_flight", "Requests in hand.", func() float64 { return float64(p.server.Totals().InFlight) })
 	r.Gauge("requests_waiting", "Requests that wait for a server.", func() float64 { return float64(p.stats().Queued) })
-	r.Gauge("client_connections", "Connections of clients.", func() float64 { return float64(p.server.Totals().Clients) })
+	r.Gauge("client_connections",
+		"Connections of clients.",
+		func() float64 { return float64(p.server.Totals().Clients) })
 	r.Gauge("server_connections", "Connections to servers.", func() float64 { return float64(p.pool.Connections()) })
 	r.Counter("server_connects_total",
 		"Connections to servers that were begun.",
--- a/internal/proxy/rules_test.go
+++ b/internal/proxy/rules_test.go
@@ -19,16 +19,15 @@
 
 // sealed is a server's complete answer to a request, with its seal.
 func sealed(status int, id, fields, body string) string {
-	return fmt.Sprintf(
-		"HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\nX-Server-Seal: s\r\n%sContent-Length: %d\r\n\r\n%s", status, id, fields, len(
-			body,
-		), body,
-	)
+	return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\nX-Server-Seal: s\r\n%sContent-Length: %d\r\n\r\n%s",
+		status, id, fields, len(body), body)
 }
 
 // sendLookup sends an idempotent request, whose route allows 1000 ms and two servers.
 func sendLookup(nc net.Conn, id string, leftMs int) {
-	fmt.Fprintf(nc, "GET /x HTTP/1.1\r\nHost: two.example\r\nX-Attempt-Id: %s\r\nX-Time-Left-Ms: %d\r\n\r\n", id, leftMs)
+	fmt.Fprintf(
+		nc, "GET /x HTTP/1.1\r\nHost: two.example\r\nX-Attempt-Id: %s\r\nX-Time-Left-Ms: %d\r\n\r\n", id, leftMs,
+	)
 }
 
 // mutationFormat is a request that must not run twice: its ID, the milliseconds that its client waits, the length of
@@ -89,8 +88,9 @@
 			if n > 0 {
 				is.True(ms <= left[n-1]) // it only decreases
 				const slack = 400        // ms, for a busy machine between the two; the rule allows 500
-				ends, first := sent[n].Sub(began).Milliseconds()+int64(ms), sent[0].Sub(began).Milliseconds()+int64(left[0])
-				is.True(ends <= first+slack)
+				deadline := sent[n].Sub(began).Milliseconds() + int64(ms)
+				firstDeadline := sent[0].Sub(began).Milliseconds() + int64(left[0])
+				is.True(deadline <= firstDeadline+slack)
 			}
 		}
 		mu.Unlock()
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// maxHandoverTime is the time after SIGTERM for which new clients are still served: the platform checks the readiness
-	// each second, and sends none after two checks that fail.
+	// maxHandoverTime is the time after SIGTERM for which new clients are still served: the platform checks the
+	// readiness each second, and sends none after two checks that fail.
 	maxHandoverTime = 2200 * time.Millisecond
 	// drainRest is the time for the last answers after open requests were given up.
 	drainRest = 400 * time.Millisecond
--- a/internal/proxy/shedding.go
+++ b/internal/proxy/shedding.go
@@ -13,13 +13,14 @@
 // where clients connect. A connection that is refused before its client has sent anything costs a packet each way, and
 // the others find the link that they need.
 const (
-	shedInterval    = 100 * time.Millisecond  // between two steps of the control loop
-	shedLoad        = 0.85                    // of the link's capacity: with more, a queue builds up
-	increaseLoad    = 0.7                     // of the link's capacity: with less, more may be admitted
-	shedDelay       = 150 * time.Millisecond  // a queue of that delay is more than a burst
-	blockedDelay    = time.Second             // with that delay nothing that is admitted now would be answered in time
-	shedDecrease    = 0.85                    // of the admitted share, for each step under too much load
-	blockDecrease   = 0.6                     // of the admitted share, for each step in which everything is late already
+	shedInterval = 100 * time.Millisecond // between two steps of the control loop
+	shedLoad     = 0.85                   // of the link's capacity: with more, a queue builds up
+	increaseLoad = 0.7                    // of the link's capacity: with less, more may be admitted
+	shedDelay    = 150 * time.Millisecond // a queue of that delay is more than a burst
+	blockedDelay = time.Second            // with that delay nothing that is admitted now would be answered in time
+	shedDecrease = 0.85                   // of the admitted share, for each step under too much load
+	// of the admitted share, for each step in which everything is late already
+	blockDecrease   = 0.6
 	shedIncrease    = 1.02                    // of the admitted share, for each step with capacity left
 	minShare        = 0.03                    // or nothing would show that there is capacity again
 	maxSteps        = 10.0                    // that are made up for at once, where admitted was not called meanwhile
--- a/internal/proxy/shedding_listener.go
+++ b/internal/proxy/shedding_listener.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// openPeriod is for how long the address is open at a time while the machine sheds load: much longer than a connection
-	// takes to be established, because those that are pending as it closes have sent their request for nothing. The
-	// admitted share says for how long it is closed.
+	// openPeriod is for how long the address is open at a time while the machine sheds load: much longer than a
+	// connection takes to be established, because those that are pending as it closes have sent their request for
+	// nothing. The admitted share says for how long it is closed.
 	openPeriod = 40 * time.Millisecond
 	// reopenInterval is the time between two attempts to bind the address again.
 	reopenInterval = 10 * time.Millisecond
--- a/internal/proxy/splits_test.go
+++ b/internal/proxy/splits_test.go
@@ -32,9 +32,8 @@
 			for n, w := range weights {
 				// 4% of the requests; independent draws are off by 26 now and then
 				if off := math.Abs(float64(counts[route.Split[n].Service]) - requests*w/sum); off > 12 {
-					t.Errorf(
-						"weights %v, seed %d: part %d got %d of %d requests", weights, seed, n, counts[route.Split[n].Service], requests,
-					)
+					t.Errorf("weights %v, seed %d: part %d got %d of %d requests, want its weight",
+						weights, seed, n, counts[route.Split[n].Service], requests)
 				}
 			}
 			firsts[newSplitter(rand.New(rand.NewPCG(seed, 7))).choose(route)]++
--- a/internal/proxy/translator.go
+++ b/internal/proxy/translator.go
@@ -24,7 +24,8 @@
 	// clientRetryMargin is how much less than its route's deadline a client must wait for its request to be a retry, in
 	// seconds.
 	clientRetryMargin = 0.001
-	// unknownRetryAfter is the time until a client should ask again whose route or key is not known here, perhaps not yet.
+	// unknownRetryAfter is the time until a client should ask again whose route or key is not known here, perhaps not
+	// yet.
 	unknownRetryAfter = decision.Seconds(0.3)
 )
 
--- a/internal/proxy/translator_test.go
+++ b/internal/proxy/translator_test.go
@@ -149,30 +149,31 @@
 		"200 OK\nX-Attempt-Id: i2\nX-Server-Seal: s":                         upstream.Foreign,
 		"500 Oops\nX-Attempt-Id: i2":                                         upstream.Foreign,
 		"500 Oops\nX-Attempt-Id: i1":                                         upstream.Failed,
-		"503 Full\nX-Attempt-Id: i1":                                         upstream.Broken, // a promise without proof
-		"503 Full\nX-Attempt-Id: i1\nX-Server-Seal: s":                       upstream.Broken,
-		"429 Many\nX-Attempt-Id: i1":                                         upstream.Broken,
-		"408 Slow\nX-Attempt-Id: i1":                                         upstream.Broken,
-		"504 Late":                                                           upstream.Failed,
-		"503 Full\nX-Not-Executed: 1":                                        upstream.NotExecuted,
-		"429 Many\nX-Attempt-Id: i1\nX-Not-Executed: 1":                      upstream.NotExecuted,
-		"421 Other\nX-Instance-Id: i-5":                                      upstream.NotExecuted,
-		"404 None":                                                           upstream.Broken,
-		"404 None\nX-Attempt-Id: i1":                                         upstream.Served,
+		// a promise without proof
+		"503 Full\nX-Attempt-Id: i1":                    upstream.Broken,
+		"503 Full\nX-Attempt-Id: i1\nX-Server-Seal: s":  upstream.Broken,
+		"429 Many\nX-Attempt-Id: i1":                    upstream.Broken,
+		"408 Slow\nX-Attempt-Id: i1":                    upstream.Broken,
+		"504 Late":                                      upstream.Failed,
+		"503 Full\nX-Not-Executed: 1":                   upstream.NotExecuted,
+		"429 Many\nX-Attempt-Id: i1\nX-Not-Executed: 1": upstream.NotExecuted,
+		"421 Other\nX-Instance-Id: i-5":                 upstream.NotExecuted,
+		"404 None":                                      upstream.Broken,
+		"404 None\nX-Attempt-Id: i1":                    upstream.Served,
 		// another request's rejection proves nothing here
 		"503 Full\nX-Attempt-Id: i2\nX-Not-Executed: 1":                   upstream.Foreign,
 		"421 Other\nX-Attempt-Id: i2":                                     upstream.Foreign,
 		"200 OK\nX-Attempt-Id: i1\nX-Attempt-Id: i2\nX-Server-Seal: s":    upstream.Broken,
 		"503 Full\nX-Attempt-Id: i1\nX-Attempt-Id: i2\nX-Not-Executed: 1": upstream.Broken,
 	} {
-		for _, unbounded := range []bool{false, true} { // only the end of the connection delimits it: it may be truncated
+		// only the end of the connection delimits it: it may be truncated
+		for _, unbounded := range []bool{false, true} {
 			end := "\r\nContent-Length: 0\r\n\r\n"
 			if unbounded {
 				end = "\r\n\r\n"
 			}
-			a, err := http1.NewReader(strings.NewReader("HTTP/1.1 " + strings.ReplaceAll(text, "\n", "\r\n") + end)).Response(
-				false,
-			)
+			head := "HTTP/1.1 " + strings.ReplaceAll(text, "\n", "\r\n")
+			a, err := http1.NewReader(strings.NewReader(head + end)).Response(false)
 			if err != nil {
 				t.Fatal(err)
 			}
