--- a/internal/cluster/replication/errors.go
+++ b/internal/cluster/replication/errors.go
@@ -1,6 +1,6 @@
 package replication
 
-import "github.com/pkg/errors"
+import "errors"
 
 // ErrNotConnected is returned by Client.Call while there is no connection to the source.
 var ErrNotConnected = errors.New("source not connected")
