--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -3,7 +3,6 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
