--- a/internal/cluster/consensus/compose.go
+++ b/internal/cluster/consensus/compose.go
@@ -5,25 +5,36 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Verdict is what becomes of a call of an operator upon a snapshot.
+// Verdict is the outcome of validating an operator's call against a snapshot. The zero value means that the call must
+// be validated again upon the next snapshot.
 type Verdict struct {
-	Included       bool  // it goes with the proposal, and is taken once that is chosen
-	AlreadyApplied bool  // all of it is chosen already, or overtaken by what is
-	Err            error // it is refused
-} // none of them: it is to be looked at again upon the next snapshot
+	Included       bool  // it is part of the proposal, and succeeds once that is chosen
+	AlreadyApplied bool  // all of it is chosen already, or superseded by what is
+	Err            error // it is rejected
+}
+
+// ValidateFunc validates a call's items against a snapshot of type S. It returns those that change the snapshot, and
+// the snapshot with them.
+type ValidateFunc[S any] func(snapshot S, call []configuration.Item) (changed []configuration.Item, next S, err error)
 
-// ComposeProposal picks the items of the next proposal from calls that wait, in their order. A call goes in only if
-// it is valid both upon the whole by itself and behind those before it: any two nodes with the same snapshot refuse
-// the same calls, whatever they are chosen with, and so none refuses what another one's proposal still brings. Where
-// a call is refused, the snapshot must be known to be the newest (Action.Sure) before that is said. Most is how many
-// bytes of items may go in, about; the first one always may.
-func ComposeProposal[W any](whole W, calls [][]configuration.Item, most int, check func(W, []configuration.Item) ([]configuration.Item, W, error)) (items []configuration.Item, verdicts []Verdict) {
+// ComposeProposal picks the items of the next proposal from the queued calls, in their order, and returns a verdict
+// on each.
+//
+// A call is included only if it is valid both against the snapshot alone and behind the calls included before it. So
+// any two nodes with the same snapshot reject the same calls, whatever else is proposed with them, and none rejects
+// what another node's proposal still includes. Before a rejection is reported, the snapshot must be known to be the
+// newest one (Action.Confirmed).
+//
+// At most about maxBytes of items are included, but always the first valid call.
+func ComposeProposal[S any](
+	snapshot S, calls [][]configuration.Item, maxBytes int, validate ValidateFunc[S],
+) (items []configuration.Item, verdicts []Verdict) {
 	verdicts = make([]Verdict, len(calls))
-	next, size := whole, 0
+	composed, size := snapshot, 0
 	for n, call := range calls {
-		changed, alone, err := check(whole, call)
+		changed, next, err := validate(snapshot, call)
 		if mutants.On("consensus/composes-together") {
-			changed, alone, err = check(next, call)
+			changed, next, err = validate(composed, call)
 		}
 		switch {
 		case err != nil:
@@ -33,21 +44,26 @@
 			verdicts[n].AlreadyApplied = true
 			continue
 		}
-		bytes := 0
-		for _, i := range changed {
-			bytes += i.Size()
-		}
+		callSize := sizeOf(changed)
 		if size > 0 && !mutants.On("consensus/composes-blind") {
-			if size+bytes > most {
+			if size+callSize > maxBytes {
 				continue
 			}
-			if changed, alone, err = check(next, call); err != nil {
+			if changed, next, err = validate(composed, call); err != nil {
 				continue
 			}
 		}
-		next, size = alone, size+bytes
+		composed, size = next, size+callSize
 		items = append(items, changed...)
 		verdicts[n].Included = true
 	}
 	return items, verdicts
 }
+
+// sizeOf is about how many bytes items have when they are encoded.
+func sizeOf(items []configuration.Item) (bytes int) {
+	for _, item := range items {
+		bytes += item.Size()
+	}
+	return bytes
+}
--- a/internal/cluster/consensus/doc.go
+++ b/internal/cluster/consensus/doc.go
@@ -1,12 +1,19 @@
 // Package consensus decides changes of the configuration by majority, without a log and without a leader.
 //
-// The configuration is one register. Any node may propose its next value. A change is chosen once more than half of
-// the voters have accepted it on their disks. A proposer first asks a majority what they have accepted, so its change
-// builds on the newest chosen one. Each change has an epoch, one higher than that of the snapshot against which it
-// was validated; two changes that are valid alone and invalid together are therefore never both chosen. The set of
-// voters is part of the configuration, see Electorate.
-//
-// Acceptor is the state of a voter, Proposer the state machine that leads a change, ComposeProposal the choice of
-// what goes into one. The package does no I/O, reads no clock and starts no goroutine. walk_test.go explores it by
-// random walks with losses, restarts and changes of the electorate.
+// The configuration is one register, decided by Paxos: an instance of single-decree Paxos for each epoch, whose value
+// is the change from the snapshot of the epoch before. Any node may propose. A change is chosen once a majority of
+// the voters have accepted it on their disks. A proposer first has a majority promise its ballot and report what they
+// have accepted, so its change builds on the newest chosen one. Two changes that are valid alone and invalid together
+// are therefore never both chosen: each is validated against the snapshot that it builds on. The set of voters is
+// part of the configuration, see Electorate.
+//
+// Acceptor is the state of a voter (acceptor.go), Proposer the state machine that leads a change (proposer.go,
+// round.go, with its requests to the caller in action.go), ComposeProposal the choice of what goes into one
+// (compose.go). Messages between nodes are in messages.go, the set of voters in electorate.go.
+//
+// The package does no I/O, reads no clock and starts no goroutine. Its types are state owned by the caller and are
+// not safe for concurrent use. It may import cluster/configuration.
+//
+// Tests: random_walk_test.go runs a simulation (simulation_test.go) with losses, restarts and changes of the
+// electorate; mutants_test.go seeds faults that these must find.
 package consensus
--- a/internal/cluster/consensus/mutants_test.go
+++ b/internal/cluster/consensus/mutants_test.go
@@ -9,10 +9,10 @@
 )
 
 // The walks find each fault that can be seeded into this package.
-func TestWalksFindMutants(t *testing.T) {
+func TestRandomWalksFindMutants(t *testing.T) {
 	for _, mutant := range []string{
-		"stale-ballot", "ignores-pending", "keeps-ballot", "composes-together", "composes-blind", "crosses-ballot", "new-chooses",
-		"out-votes", "any-disk", "votes-unfinished", "no-seal",
+		"stale-ballot", "ignores-pending", "keeps-ballot", "composes-together", "composes-blind", "crosses-ballot",
+		"new-chooses", "out-votes", "any-disk", "votes-unfinished", "no-seal",
 	} {
 		t.Run(mutant, func(t *testing.T) {
 			mutants.Seed(t, "consensus/"+mutant)
@@ -21,8 +21,8 @@
 				fault = ""
 			}
 			seed, wrong := uint64(0), ""
-			for ; seed < 20*walks && wrong == ""; seed++ {
-				wrong, _ = walk(seed, fault)
+			for ; seed < 20*walks() && wrong == ""; seed++ {
+				wrong, _ = randomWalk(seed, fault)
 			}
 			if wrong == "" {
 				t.Errorf("%s: not found", mutant)
--- a/internal/cluster/consensus/norace_test.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build !race
-
-package consensus
-
-const walks = 10000
--- /dev/null
+++ b/internal/cluster/consensus/random_walk_test.go
@@ -0,0 +1,55 @@
+package consensus
+
+import (
+	"testing"
+
+	"mulleinrouter/internal/race"
+)
+
+// walks is how many seeds the random walks have.
+func walks() uint64 {
+	if race.Enabled {
+		return 1000
+	}
+	return 10000
+}
+
+// randomWalk runs the simulation of one seed with a seeded fault; empty: none.
+func randomWalk(seed uint64, fault string) (wrong string, chosen int) {
+	s := newSimulation(seed, fault)
+	for range 150 + seed%600 {
+		if s.step(); s.violation != "" {
+			return s.violation, 0
+		}
+	}
+	s.heal()
+	return s.violation, len(s.chosen)
+}
+
+func TestRandomWalks(t *testing.T) {
+	chosen := 0
+	for seed := range walks() {
+		wrong, n := randomWalk(seed, "")
+		if wrong != "" {
+			t.Fatalf("seed %d: %s", seed, wrong)
+		}
+		chosen += n
+	}
+	if chosen < int(walks()) {
+		t.Errorf("only %d changes in %d walks", chosen, walks())
+	}
+}
+
+// The walks find what a node must not do: answer before the sync, vote without a disk.
+func TestRandomWalksFindFaults(t *testing.T) {
+	for _, fault := range []string{"unsynced", "votes-blank"} {
+		seed, wrong := uint64(0), ""
+		for ; seed < 10*walks() && wrong == ""; seed++ {
+			wrong, _ = randomWalk(seed, fault)
+		}
+		if wrong == "" {
+			t.Errorf("%s: not found", fault)
+		}
+		t.Logf("%s: seed %d: %s", fault, seed-1, wrong)
+	}
+}
--- /dev/null
+++ b/internal/cluster/consensus/round.go
@@ -0,0 +1,220 @@
+package consensus
+
+import "mulleinrouter/internal/mutants"
+
+// The delay after a round that failed, in seconds. It doubles with each failure in a row, up to the maximum, and is
+// reduced by up to half at random.
+const (
+	minBackoff = 0.008
+	maxBackoff = 0.064
+)
+
+// After each failure in a row, a ballot skips more rounds at random, so that a proposer that lost some rounds doesn't
+// lose the next by the order of names.
+const (
+	minRoundsSkipped        = 2
+	roundsSkippedPerBackoff = 8
+	maxBackoffsCounted      = 10
+)
+
+// round is what one round of a proposer has found.
+type round struct {
+	query        ActionKind // Prepare or Read: what the answers are to
+	newestEpoch  uint64     // the highest epoch known to be chosen, of all who answered, whether their votes count or not
+	newestSource string     // address of the node that has it
+	noMajority   bool       // too many have rejected
+	pending      *Proposal  // of those whose votes count: of the highest epoch, under the highest ballot
+}
+
+// startRound begins a round with Prepare or Read.
+func (p *Proposer) startRound(query ActionKind) Action {
+	p.round, p.confirmed = round{query: query}, false
+	a := Action{Kind: query, To: p.base.Electorate.Addresses()}
+	if query == Prepare {
+		p.prepared = false
+		p.ObserveBallot(p.ballot)
+		p.ballot = p.highestSeen.Next(p.name)
+		backoffs := uint64(min(p.backoffs, maxBackoffsCounted))
+		p.ballot.Round += p.rnd.Uint64N(minRoundsSkipped + roundsSkippedPerBackoff*backoffs)
+		a.Ballot = p.ballot
+	}
+	return p.emit(a)
+}
+
+// restart begins a round that suits the run.
+func (p *Proposer) restart() Action {
+	if p.reading && !p.needsSeal {
+		return p.startRound(Read)
+	}
+	return p.startRound(Prepare)
+}
+
+// Promised reports an answer to Prepare or Read.
+func (p *Proposer) Promised(attempt uint64, from string, a Promise) Action {
+	p.ObserveBallot(a.Promised)
+	if attempt != p.attempt || (p.action != Prepare && p.action != Read) {
+		return Action{}
+	}
+	if a.Epoch > p.round.newestEpoch || p.round.newestSource == "" {
+		p.round.newestEpoch, p.round.newestSource = a.Epoch, from
+	}
+	if !p.counts(from, a) {
+		return p.reject(from)
+	}
+	if p.granted[from] {
+		return Action{}
+	}
+	p.granted[from] = true
+	if a.Pending.newerThan(p.round.pending) {
+		p.round.pending = a.Pending
+	}
+	if len(p.granted) < p.base.Electorate.Majority() {
+		return Action{}
+	}
+	if p.action == Prepare {
+		p.prepared = true
+	}
+	return p.continueRound()
+}
+
+// counts reports whether a promise grants what was asked for, and is that of a voter.
+func (p *Proposer) counts(from string, a Promise) bool {
+	if p.action == Prepare && (!a.OK || a.Promised != p.ballot) {
+		return false
+	}
+	return p.base.Electorate.Contains(Voter{Addr: from, Disk: a.Disk}) || mutants.On("consensus/any-disk")
+}
+
+// continueRound goes on once a majority has answered.
+func (p *Proposer) continueRound() Action {
+	if p.round.newestEpoch > p.base.Epoch {
+		return p.fetch()
+	}
+	if p.inFlight != nil && p.inFlight.Epoch <= p.base.Epoch {
+		p.inFlight = nil
+	}
+	pending := p.round.pending
+	if pending != nil && (pending.Epoch != p.base.Epoch+1 || mutants.On("consensus/ignores-pending")) {
+		pending = nil
+	}
+	if p.round.query == Read {
+		if pending != nil {
+			return p.startRound(Prepare) // another proposer left it, and it may have been chosen
+		}
+		return p.emit(Action{Kind: Done})
+	}
+	p.confirmed = true
+	if pending == nil {
+		// Its own may be with voters that did not answer: it comes first, since its calls were not answered otherwise.
+		pending = p.inFlight
+	}
+	if pending != nil {
+		return p.accept(pending.Items, pending.Voters)
+	}
+	if p.needsSeal && !mutants.On("consensus/no-seal") {
+		return p.accept(nil, nil)
+	}
+	if p.reading {
+		return p.emit(Action{Kind: Done})
+	}
+	return p.emit(Action{Kind: Compose, Confirmed: true})
+}
+
+func (p *Proposer) fetch() Action {
+	return p.emit(Action{Kind: Fetch, Source: p.round.newestSource, Epoch: p.round.newestEpoch})
+}
+
+// Fetched reports how far the snapshot here is after Fetch.
+func (p *Proposer) Fetched(attempt uint64, base Base) Action {
+	if attempt != p.attempt || p.action != Fetch {
+		return Action{}
+	}
+	electorateChanged := false
+	if base.Epoch > p.base.Epoch {
+		electorateChanged = p.rebase(base)
+	}
+	if p.base.Epoch < p.round.newestEpoch || p.round.noMajority {
+		return p.backOff()
+	}
+	if p.base.Epoch > p.round.newestEpoch || electorateChanged {
+		return p.restart() // what was found belongs to an earlier epoch, or to another electorate
+	}
+	return p.continueRound()
+}
+
+// Accepted reports an answer to Accept.
+func (p *Proposer) Accepted(attempt uint64, from string, a Accepted) Action {
+	p.ObserveBallot(a.Promised)
+	if attempt != p.attempt || p.action != Accept {
+		return Action{}
+	}
+	if !a.OK || a.Promised != p.ballot || a.Epoch+1 != p.inFlight.Epoch {
+		return p.reject(from)
+	}
+	p.granted[from] = true
+	if len(p.granted) < p.base.Electorate.Majority() {
+		return Action{}
+	}
+	chosen := *p.inFlight
+	p.inFlight = nil
+	// Nothing else was chosen upon the snapshot before it, so nothing newer was acknowledged before this run.
+	p.confirmed = true
+	p.needsSeal = chosen.Voters != nil
+	return p.emit(Action{Kind: Apply, Proposal: chosen})
+}
+
+// NoReply reports that a voter does not answer.
+func (p *Proposer) NoReply(attempt uint64, from string) Action {
+	if attempt != p.attempt || (p.action != Prepare && p.action != Read && p.action != Accept) {
+		return Action{}
+	}
+	return p.reject(from)
+}
+
+// reject counts a voter that doesn't grant what was asked for, and fails the round once the others are no majority.
+func (p *Proposer) reject(from string) Action {
+	if p.granted[from] {
+		return Action{}
+	}
+	p.rejected[from] = true
+	if len(p.base.Electorate.Voters)-len(p.rejected) >= p.base.Electorate.Majority() {
+		return Action{}
+	}
+	return p.abandonRound()
+}
+
+// Timeout reports that the result of an action is overdue.
+func (p *Proposer) Timeout(attempt uint64) Action {
+	if attempt != p.attempt || p.action == Done || p.action == Backoff || p.action == None {
+		return Action{}
+	}
+	return p.abandonRound()
+}
+
+// abandonRound ends a round without a majority. Where one of those who answered knows a newer snapshot, that is
+// fetched first: its electorate may be another one.
+func (p *Proposer) abandonRound() Action {
+	if (p.action == Prepare || p.action == Read) && p.round.newestEpoch > p.base.Epoch {
+		p.round.noMajority = true
+		return p.fetch()
+	}
+	return p.backOff()
+}
+
+// backOff waits before the next round.
+func (p *Proposer) backOff() Action {
+	limit := min(minBackoff*float64(uint(1)<<min(p.backoffs, maxBackoffsCounted)), maxBackoff)
+	p.backoffs++
+	return p.emit(Action{Kind: Backoff, Delay: limit * (0.5 + p.rnd.Float64()/2)})
+}
+
+// Resumed reports that a backoff is over, and how far the snapshot here is by now. A new round begins.
+func (p *Proposer) Resumed(attempt uint64, base Base) Action {
+	if attempt != p.attempt || p.action != Backoff {
+		return Action{}
+	}
+	if base.Epoch > p.base.Epoch {
+		p.rebase(base)
+	}
+	return p.restart()
+}
--- /dev/null
+++ b/internal/cluster/consensus/simulation_network_test.go
@@ -0,0 +1,340 @@
+package consensus
+
+import (
+	"fmt"
+	"slices"
+)
+
+// perform does what a proposer asks for.
+func (s *simulation) perform(i int, a Action) {
+	n := s.nodes[i]
+	if a.Kind == None || n.abandoned {
+		return
+	}
+	n.action = a
+	switch a.Kind {
+	case Prepare, Read, Accept:
+		s.request(i, a)
+	case Fetch:
+		s.fetch(i, slices.Index(s.names, a.Source), int(a.Attempt))
+	case Compose:
+		s.compose(i, a)
+	case Apply:
+		s.apply(i, a.Proposal)
+		if a.Proposal.Voters != nil {
+			n.electorateEpoch = a.Proposal.Epoch
+		}
+		for to := range s.nodes {
+			chosen := Proposal{Ballot: a.Proposal.Ballot, Epoch: a.Proposal.Epoch}
+			s.network = append(s.network, message{from: i, to: to, chosen: &chosen})
+		}
+		s.perform(i, n.proposer.Applied(a.Attempt, n.Base()))
+	case Done:
+		s.endRun(n)
+	}
+}
+
+// request sends what a proposer asks of voters.
+func (s *simulation) request(i int, a Action) {
+	for _, addr := range a.To {
+		m := message{
+			from: i, to: slices.Index(s.names, addr),
+			attempt: int(a.Attempt), incarnation: s.nodes[i].name,
+		}
+		switch a.Kind {
+		case Prepare:
+			m.prepare = &a.Ballot
+		case Read:
+			m.read = &a.Ballot
+		case Accept:
+			m.accept = &a.Proposal
+		}
+		s.network = append(s.network, m)
+	}
+}
+
+// endRun checks what holds after a run. Calls that it did not answer are queued again.
+func (s *simulation) endRun(n *node) {
+	if n.reading {
+		for _, c := range n.acknowledgedBefore {
+			s.checkApplied(n.snapshot, c)
+		}
+	}
+	n.queue = append(n.queue, n.running...)
+	n.running, n.reading, n.wanted = nil, false, nil
+	if n.electorateEpoch > 0 && n.electorateEpoch == n.Electorate.Since && s.fault != "unsealed" {
+		s.checkSealed(n.Electorate)
+	}
+	n.electorateEpoch = 0
+}
+
+// checkSealed checks that a change of the electorate that has ended is on the disks of a majority of the new one.
+func (s *simulation) checkSealed(e Electorate) {
+	have := 0
+	for _, v := range e.Voters {
+		n := s.nodes[slices.Index(s.names, v.Addr)]
+		if n.synced.Electorate.Since >= e.Since || s.diskLost(v, -1) { // or had, before a loss since then
+			have++
+		}
+	}
+	if have < e.Majority() {
+		s.fail("the electorate of epoch %d is on too few disks", e.Since)
+	}
+}
+
+// compose has a node say what is to be proposed.
+func (s *simulation) compose(i int, a Action) {
+	n := s.nodes[i]
+	all := make([]items, len(n.running))
+	for k, c := range n.running {
+		for _, it := range c.items {
+			it.Epoch = n.Epoch + 1
+			all[k] = append(all[k], it)
+		}
+	}
+	if s.rnd.IntN(8) == 0 {
+		s.perform(i, n.proposer.Timeout(a.Attempt)) // the node took too long
+		return
+	}
+	proposed, verdicts := ComposeProposal(n.snapshot, all, 1000, mergeValid)
+	var left []*call
+	for k, v := range verdicts {
+		c := n.running[k]
+		switch {
+		case v.Err != nil && !a.Confirmed:
+			s.perform(i, n.proposer.RequireConfirmation(a.Attempt))
+			return
+		case v.Err != nil:
+			c.rejected, c.node = true, -2
+		case v.AlreadyApplied:
+			c.acknowledged, c.node = true, -2
+		default:
+			left = append(left, c)
+		}
+	}
+	n.running = left
+	voters := s.wantedVoters(n)
+	if voters != nil {
+		proposed = nil
+	}
+	s.perform(i, n.proposer.Composed(a.Attempt, n.Base(), proposed, voters))
+}
+
+// apply applies what a node takes for chosen, and checks that nothing else was chosen for its epoch.
+func (s *simulation) apply(i int, p Proposal) {
+	n, text := s.nodes[i], fmt.Sprint(p.Items, p.Voters)
+	if old, ok := s.chosen[p.Epoch]; ok && old != text {
+		s.fail("epoch %d: %s and %s", p.Epoch, old, text)
+	}
+	s.chosen[p.Epoch] = text
+	if p.Epoch != n.Epoch+1 {
+		return
+	}
+	_, next, err := mergeValid(n.snapshot, p.Items)
+	if err != nil {
+		s.fail("epoch %d: not valid", p.Epoch)
+		return
+	}
+	n.snapshot = next
+	n.Learn(n.Base().With(p))
+}
+
+// fetch has a node catch up from another one.
+func (s *simulation) fetch(i, from, attempt int) {
+	n := s.nodes[i]
+	since := n.Epoch
+	s.network = append(s.network, message{from: i, to: from, attempt: attempt, incarnation: n.name, catchUp: &since})
+}
+
+// takeMessage removes a random message from the network.
+func (s *simulation) takeMessage() message {
+	k := s.rnd.IntN(len(s.network))
+	m := s.network[k]
+	s.network[k] = s.network[len(s.network)-1]
+	s.network = s.network[:len(s.network)-1]
+	return m
+}
+
+// reply sends a reply at once, or when all that is in memory is on disk.
+func (s *simulation) reply(m message, unsynced bool) {
+	if unsynced {
+		s.network = append(s.network, m)
+	} else {
+		n := s.nodes[m.from]
+		n.unsyncedReplies = append(n.unsyncedReplies, m)
+	}
+}
+
+// sync has the state of a node on disk.
+func (s *simulation) sync(i int) {
+	n := s.nodes[i]
+	n.synced = n.diskState
+	s.network = append(s.network, n.unsyncedReplies...)
+	n.unsyncedReplies = nil
+}
+
+// deliver delivers a random message, some of them twice.
+func (s *simulation) deliver(repeat bool) {
+	if len(s.network) == 0 {
+		return
+	}
+	m := s.takeMessage()
+	if s.partitioned >= 0 && m.from != m.to && (m.from == s.partitioned || m.to == s.partitioned) {
+		return
+	}
+	if repeat && s.rnd.IntN(12) == 0 {
+		s.network = append(s.network, m)
+	}
+	n := s.nodes[m.to]
+	if n.removed {
+		return
+	}
+	switch {
+	case m.promise != nil || m.accepted != nil || m.fetched:
+		if m.incarnation == n.name {
+			s.receiveReply(n, m)
+		}
+	case m.chosen != nil:
+		if f := n.Pending; f != nil && f.Ballot == m.chosen.Ballot && f.Epoch == m.chosen.Epoch {
+			s.apply(m.to, *f)
+		}
+	default:
+		s.receiveRequest(n, m)
+	}
+}
+
+// receiveRequest answers a request.
+func (s *simulation) receiveRequest(n *node, m message) {
+	answer := message{from: m.to, to: m.from, attempt: m.attempt, incarnation: m.incarnation}
+	if m.catchUp != nil {
+		answer.fetched, answer.base = true, n.Base()
+		for _, it := range n.snapshot {
+			if it.Epoch > *m.catchUp {
+				answer.items = append(answer.items, it)
+			}
+		}
+		s.reply(answer, true)
+		return
+	}
+	if n.empty() {
+		return // it has no vote, and knows nothing
+	}
+	unsynced := s.fault == "unsynced"
+	switch {
+	case m.read != nil:
+		promise := n.Read()
+		answer.promise, unsynced = &promise, true
+	case m.prepare != nil:
+		promise, _ := n.Prepare(*m.prepare)
+		answer.promise = &promise
+	case m.accept != nil:
+		accepted, _ := n.Accept(*m.accept)
+		answer.accepted = &accepted
+	}
+	s.reply(answer, unsynced)
+}
+
+// receiveReply hands a reply to the proposer that waits for it.
+func (s *simulation) receiveReply(n *node, m message) {
+	attempt := uint64(m.attempt)
+	switch {
+	case m.fetched:
+		if m.base.Epoch == n.Epoch && !n.Electorate.Known() {
+			n.Electorate = m.base.Electorate
+		}
+		if m.base.Epoch > n.Epoch && m.base.Electorate.Known() {
+			_, next, err := mergeValid(n.snapshot, m.items)
+			if err != nil {
+				s.fail("node %d fetched what is not valid", m.to)
+				return
+			}
+			n.snapshot = next
+			n.Learn(m.base)
+		}
+		s.perform(m.to, n.proposer.Fetched(attempt, n.Base()))
+	case m.promise != nil:
+		s.perform(m.to, n.proposer.Promised(attempt, s.names[m.from], *m.promise))
+	case m.accepted != nil:
+		s.perform(m.to, n.proposer.Accepted(attempt, s.names[m.from], *m.accepted))
+	}
+}
+
+// checkApplied checks that an acknowledged call, or a later version of its items, is in a snapshot.
+func (s *simulation) checkApplied(in snapshot, c *call) {
+	for _, it := range c.items {
+		if have, ok := in[it.Key]; !ok || have.Version < it.Version {
+			s.fail("call %d was acknowledged, and %v is %v", c.id, it, have)
+		}
+	}
+}
+
+// heal ends all faults, has all nodes catch up, and reads at each node.
+func (s *simulation) heal() {
+	s.partitioned = -1
+	s.settle()
+	for i, n := range s.nodes {
+		if n.removed {
+			continue
+		}
+		s.start(i, true)
+		s.settle()
+		s.checkCalls(n)
+	}
+}
+
+// checkCalls checks that a node has all that was acknowledged and nothing that was rejected.
+func (s *simulation) checkCalls(n *node) {
+	for _, c := range s.calls {
+		if c.acknowledged {
+			s.checkApplied(n.snapshot, c)
+		}
+		for _, it := range c.items {
+			if have := n.snapshot[it.Key]; c.rejected && have.Version == it.Version {
+				s.fail("call %d was rejected, and %v is in force", c.id, it)
+			}
+		}
+	}
+}
+
+// settle runs without faults until nothing is in progress.
+func (s *simulation) settle() {
+	const maxRounds = 3000
+	for range maxRounds {
+		quiet := len(s.network) == 0
+		for i, n := range s.nodes {
+			quiet = quiet && len(n.unsyncedReplies) == 0
+			s.sync(i) // of all nodes, before any of them times out
+		}
+		for i, n := range s.nodes {
+			if !n.removed {
+				quiet = s.settleNode(i, n) && quiet
+			}
+		}
+		if quiet {
+			return
+		}
+		if len(s.network) == 0 || s.rnd.IntN(8) == 0 {
+			s.fetch(s.rnd.IntN(len(s.nodes)), s.rnd.IntN(len(s.nodes)), 0) // the periodic sweep
+		}
+		for n := len(s.network); n > 0; n-- {
+			s.deliver(false)
+		}
+	}
+	s.fail("it never settles")
+}
+
+// settleNode lets the timers of a node expire, and reports whether it has nothing to do.
+func (s *simulation) settleNode(i int, n *node) (quiet bool) {
+	v, listed := n.Electorate.VoterAt(n.Addr)
+	replaced := listed && v.Disk != n.Disk
+	quiet = n.action.Kind == Done && !n.empty() && !replaced
+	switch {
+	case n.action.Kind == Backoff && s.rnd.IntN(4) == 0:
+		s.perform(i, n.proposer.Resumed(n.action.Attempt, n.Base()))
+	case len(s.network) == 0 && n.action.Kind != Done && n.action.Kind != Backoff:
+		s.perform(i, n.proposer.Timeout(n.action.Attempt))
+	case n.action.Kind == Done && replaced && s.rnd.IntN(4) == 0:
+		s.enrollDisk(i)
+	}
+	return quiet
+}
--- /dev/null
+++ b/internal/cluster/consensus/simulation_test.go
@@ -0,0 +1,407 @@
+package consensus
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+
+	"mulleinrouter/internal/cluster/configuration"
+)
+
+// The simulation has three voters and two more nodes. They lose power and disks, fail for good, replace one another
+// among the voters, and have proposers that compete, over a network that loses, repeats and reorders messages. The
+// plain model beside them is the change that was chosen for each epoch.
+
+type (
+	items    = []configuration.Item
+	snapshot map[configuration.Key]configuration.Item
+)
+
+// mergeValid validates a call. A snapshot is valid if no two of its items have the same body, deleted ones aside.
+func mergeValid(s snapshot, call items) (items, snapshot, error) {
+	next, changed := maps.Clone(s), items(nil)
+	if next == nil {
+		next = snapshot{}
+	}
+	for _, i := range call {
+		if old, ok := next[i.Key]; !ok || i.NewerThan(old) {
+			next[i.Key] = i
+			changed = append(changed, i)
+		}
+	}
+	seen := map[string]bool{}
+	for _, i := range next {
+		if i.Deleted {
+			continue
+		}
+		if seen[string(i.Body)] {
+			return nil, nil, errBodyTaken
+		}
+		seen[string(i.Body)] = true
+	}
+	return changed, next, nil
+}
+
+// errBodyTaken rejects an item whose body another one has.
+var errBodyTaken = errors.New("taken")
+
+// diskState is what a node stores.
+type diskState struct {
+	Acceptor
+	snapshot snapshot
+}
+
+// empty reports whether no state that matters was ever written.
+func (d diskState) empty() bool { return !d.Electorate.Known() }
+
+// electorateChange is a change of the electorate that a node wants: in replaces the voter at out.
+type electorateChange struct {
+	out string
+	in  Voter
+}
+
+// call is a call of an operator.
+type call struct {
+	id           int
+	items        items
+	rejected     bool
+	acknowledged bool
+	node         int // that has it; -1: its outcome is unknown to the operator
+}
+
+// node is a control node, with its process.
+type node struct {
+	diskState                    // in memory
+	synced             diskState // on disk
+	removed            bool      // failed for good, with its disk
+	wanted             *electorateChange
+	electorateEpoch    uint64 // of the change of the electorate in this run; 0: none
+	unsyncedReplies    []message
+	name               string
+	proposer           *Proposer
+	action             Action // what the proposer waits for
+	abandoned          bool   // the run: replies still reach the proposer, its actions are not performed
+	reading            bool
+	acknowledgedBefore []*call // before the read began
+	running            []*call // in this run
+	queue              []*call
+}
+
+// message is a request or a reply, by the field that is set.
+type message struct {
+	from, to, attempt int
+	incarnation       string // of the requesting process: no other takes the reply
+	prepare, read     *Ballot
+	promise           *Promise
+	accept            *Proposal
+	accepted          *Accepted
+	chosen            *Proposal
+	catchUp           *uint64
+	base              Base
+	items             items
+	fetched           bool
+}
+
+// simulation is all nodes and the network between them.
+type simulation struct {
+	rnd            *rand.Rand
+	initial        []string // the voters of the first start
+	names          []string
+	nodes          []*node
+	network        []message
+	calls          []*call
+	chosen         map[uint64]string
+	version        uint64
+	incarnations   int
+	fault          string
+	lossRate       int // losses in a thousand steps
+	electorateRate int // changes of the electorate in a thousand steps
+	partitioned    int // node that nothing reaches and that reaches nobody; -1: none
+	violation      string
+}
+
+func newSimulation(seed uint64, fault string) *simulation {
+	s := &simulation{
+		rnd:            rand.New(rand.NewPCG(seed, 7)),
+		names:          []string{"0", "1", "2", "3", "4"},
+		chosen:         map[uint64]string{},
+		fault:          fault,
+		lossRate:       5 + 20*int(seed%2),
+		electorateRate: 5 + 10*int(seed%3),
+		partitioned:    -1,
+	}
+	s.initial = s.names[:3]
+	for i := range s.names {
+		n := &node{}
+		if i < len(s.initial) && (i > 0 || seed%8 != 3) { // one may have failed before its first write
+			n.synced.Electorate = InitialElectorate(s.initial)
+		}
+		s.nodes = append(s.nodes, n)
+	}
+	for i := range s.nodes {
+		s.restart(i)
+	}
+	return s
+}
+
+func (s *simulation) fail(format string, args ...any) {
+	if s.violation == "" {
+		s.violation = fmt.Sprintf(format, args...)
+	}
+}
+
+// restart starts the process of a node.
+func (s *simulation) restart(i int) {
+	n := s.nodes[i]
+	s.incarnations++
+	n.diskState = n.synced
+	n.Addr = s.names[i]
+	n.name = fmt.Sprintf("%d/%d", i, s.incarnations)
+	n.proposer = NewProposer(n.name, uint64(s.incarnations))
+	n.action, n.unsyncedReplies, n.abandoned = Action{Kind: Done}, nil, false
+	n.wanted, n.electorateEpoch = nil, 0
+	n.dropCalls()
+	if n.empty() && s.fault == "votes-blank" && i < len(s.initial) {
+		n.Electorate = InitialElectorate(s.initial)
+	}
+	if n.empty() && n.Disk == 0 {
+		n.Disk = uint64(s.incarnations)
+	}
+}
+
+// dropCalls forgets the calls of a node. Their operators don't learn what became of them.
+func (n *node) dropCalls() {
+	for _, c := range append(n.queue, n.running...) {
+		c.node = -1
+	}
+	n.queue, n.running, n.reading = nil, nil, false
+}
+
+// loseDisk restarts a node with an empty disk, or has it fail for good.
+func (s *simulation) loseDisk(i int) {
+	n := s.nodes[i]
+	n.synced = diskState{}
+	if s.rnd.IntN(6) == 0 {
+		n.removed = true
+		n.diskState, n.unsyncedReplies, n.action = diskState{}, nil, Action{Kind: Done}
+		n.dropCalls()
+		return
+	}
+	s.restart(i)
+}
+
+// step does one thing that may happen next.
+func (s *simulation) step() {
+	i := s.rnd.IntN(len(s.nodes))
+	n := s.nodes[i]
+	if n.removed {
+		i = (i + 1) % len(s.nodes)
+		n = s.nodes[i]
+	}
+	if n.removed {
+		return
+	}
+	switch k := s.rnd.IntN(1000); {
+	case k < 8:
+		s.partitioned = s.rnd.IntN(4*len(s.nodes)) - 3*len(s.nodes)
+	case k < 550:
+		s.deliver(true)
+	case k < 800:
+		s.sync(i)
+	case k < 860:
+		if len(s.network) > 0 && s.rnd.IntN(2) == 0 {
+			s.takeMessage()
+		} else if n.action.Kind != Done && n.action.Kind != Backoff {
+			s.perform(i, n.proposer.Timeout(n.action.Attempt))
+		}
+	case k < 900:
+		s.perform(i, n.proposer.Resumed(n.action.Attempt, n.Base()))
+	case k < 900+s.lossRate*2/3:
+		s.restart(i)
+	case k < 900+s.lossRate:
+		if !s.toleratesLoss(i) {
+			return
+		}
+		s.loseDisk(i)
+	case k < 945:
+		s.submit(i)
+	case k < 985-s.electorateRate:
+		if n.action.Kind == Done {
+			s.start(i, s.rnd.IntN(4) == 0)
+		} else if s.rnd.IntN(4) == 0 {
+			s.abandon(i)
+		}
+	case k < 985:
+		if n.action.Kind == Done && n.Electorate.Known() {
+			s.changeElectorate(i)
+		}
+	default:
+		s.fetch(i, s.rnd.IntN(len(s.nodes)), 0)
+	}
+}
+
+// diskLost reports whether a voter's disk is lost, or is that of one more node.
+func (s *simulation) diskLost(v Voter, also int) bool {
+	k := slices.Index(s.names, v.Addr)
+	n := s.nodes[k]
+	if k == also || n.removed {
+		return true
+	}
+	return n.synced.Disk != v.Disk || n.synced.empty()
+}
+
+// toleratesLoss reports whether the loss of one more disk is tolerated: no electorate that stands, or may yet, has lost
+// another one. A voter that is back with another disk is no loss once it is listed with that disk in the newest
+// electorate on any disk.
+func (s *simulation) toleratesLoss(i int) bool {
+	newest, all := InitialElectorate(s.initial), [][]Voter(nil)
+	add := func(p *Proposal) {
+		if p != nil && p.Voters != nil {
+			all = append(all, p.Voters)
+		}
+	}
+	for k, n := range s.nodes {
+		if k == i || n.removed {
+			continue
+		}
+		if n.synced.Electorate.Since > newest.Since {
+			newest = n.synced.Electorate
+		}
+		add(n.Pending)
+		add(n.synced.Pending)
+		add(n.proposer.inFlight)
+	}
+	for _, m := range s.network {
+		add(m.accept)
+	}
+	for _, voters := range append(all, newest.Voters) {
+		lost := 0
+		for _, v := range voters {
+			if s.diskLost(v, i) {
+				lost++
+			}
+		}
+		if lost > 1 {
+			return false
+		}
+	}
+	return true
+}
+
+// changeElectorate has a node want another electorate: itself with the disk that it has, if it is listed with
+// another; else a replacement, one voter more or one less.
+func (s *simulation) changeElectorate(i int) {
+	n := s.nodes[i]
+	e := n.Electorate
+	if v, listed := e.VoterAt(n.Addr); listed && v.Disk != n.Disk {
+		if n.synced.Disk == n.Disk {
+			s.enrollDisk(i)
+		}
+		return
+	}
+	k := s.rnd.IntN(len(s.nodes))
+	in := Voter{Addr: s.names[k], Disk: s.nodes[k].synced.Disk}
+	if _, listed := e.VoterAt(in.Addr); listed || s.nodes[k].removed || s.nodes[k].synced.empty() {
+		in = Voter{}
+	}
+	out := e.Voters[s.rnd.IntN(len(e.Voters))].Addr
+	if in.Addr != "" && len(e.Voters) < 5 && s.rnd.IntN(4) == 0 {
+		out = ""
+	}
+	if in.Addr == "" && len(e.Voters) <= 3 || out == "" && in.Addr == "" {
+		return
+	}
+	n.abandoned = false
+	n.wanted = &electorateChange{out, in}
+	n.running, n.queue = n.queue, nil
+	s.perform(i, n.proposer.Start(n.Base(), false))
+}
+
+// enrollDisk has a node that is listed with a lost disk want to be listed with the one it has.
+func (s *simulation) enrollDisk(i int) {
+	n := s.nodes[i]
+	n.abandoned = false
+	n.wanted = &electorateChange{n.Addr, n.Self()}
+	s.perform(i, n.proposer.Start(n.Base(), false))
+}
+
+// wantedVoters lists the voters that a node wants upon its snapshot; nil: there is nothing to change.
+func (s *simulation) wantedVoters(n *node) []Voter {
+	if n.wanted == nil {
+		return nil
+	}
+	e := n.Electorate
+	in, out := n.wanted.in, n.wanted.out
+	_, listed := e.VoterAt(out)
+	switch {
+	case out != "" && !listed, out == "" && len(e.Voters) >= 5:
+		return nil
+	case in.Addr != "" && e.Contains(in), in.Addr == "" && len(e.Voters) <= 3:
+		return nil
+	}
+	if v, ok := e.VoterAt(in.Addr); ok && v.Addr != out {
+		return nil
+	}
+	if in.Addr != "" && s.diskLost(in, -1) {
+		return nil // it must be reached when it is proposed
+	}
+	return e.ReplaceVoter(out, in)
+}
+
+// submit has an operator submit a call to a node: a new one, or one of which it has no clear answer.
+func (s *simulation) submit(i int) {
+	for _, c := range s.calls {
+		if c.node == -1 && s.rnd.IntN(2) == 0 {
+			c.node = i
+			s.nodes[i].queue = append(s.nodes[i].queue, c)
+			return
+		}
+	}
+	c := &call{id: len(s.calls), node: i}
+	for range 1 + s.rnd.IntN(2) {
+		s.version++
+		it := configuration.Item{
+			Key:     configuration.Key{Kind: configuration.Routes, Name: string(rune('a' + s.rnd.IntN(3)))},
+			Version: s.version,
+			Body:    []byte{byte('0' + s.rnd.IntN(3))},
+		}
+		if s.rnd.IntN(5) == 0 {
+			it.Deleted, it.Body = true, nil
+		}
+		c.items = append(c.items, it)
+	}
+	s.calls = append(s.calls, c)
+	s.nodes[i].queue = append(s.nodes[i].queue, c)
+}
+
+// abandon ends a run whose operators don't wait for it any more. They send again.
+func (s *simulation) abandon(i int) {
+	n := s.nodes[i]
+	for _, c := range n.running {
+		c.node = -1
+	}
+	n.running, n.reading, n.abandoned, n.action = nil, false, true, Action{Kind: Done}
+	n.wanted, n.electorateEpoch = nil, 0
+}
+
+// start begins a run: a read, or one for the queued calls.
+func (s *simulation) start(i int, reading bool) {
+	n := s.nodes[i]
+	if !reading && len(n.queue) == 0 || !n.Electorate.Known() {
+		return
+	}
+	n.abandoned = false
+	n.reading, n.acknowledgedBefore = reading, nil
+	if reading {
+		for _, c := range s.calls {
+			if c.acknowledged {
+				n.acknowledgedBefore = append(n.acknowledgedBefore, c)
+			}
+		}
+	} else {
+		n.running, n.queue = n.queue, nil
+	}
+	s.perform(i, n.proposer.Start(n.Base(), reading))
+}
--- a/internal/control/storage/power_loss_fs_test.go
+++ b/internal/control/storage/power_loss_fs_test.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// powerLossFS is a file system in memory that knows what a loss of power may take back: each name of its folder that was
-// created, renamed or removed since the folder was last synced, independently of the others, and unsynced bytes.
+// powerLossFS is a file system in memory that knows what a loss of power may take back: each name of its folder that
+// was created, renamed or removed since the folder was last synced, independently of the others, and unsynced bytes.
 type powerLossFS struct {
 	vfs.FS
 
@@ -215,8 +215,8 @@
 	return files
 }
 
-// losses is what a loss of power at this point may do: keep all changes of names, none, all but one, one alone, and some
-// random subsets.
+// losses is what a loss of power at this point may do: keep all changes of names, none, all but one, one alone, and
+// some random subsets.
 func (c crashPoint) losses(rnd *rand.Rand) (losses []nameLoss) {
 	losses = append(losses, func(int) bool { return true }, func(int) bool { return false })
 	for one := range len(c.unsynced) {
--- a/internal/control/storage/power_loss_test.go
+++ b/internal/control/storage/power_loss_test.go
@@ -17,7 +17,8 @@
 	"mulleinrouter/internal/race"
 )
 
-// powerLossRun is the walk of one seed: a store that is written to through several restarts, each after a loss of power.
+// powerLossRun is the walk of one seed: a store that is written to through several restarts, each after a loss of
+// power.
 type powerLossRun struct {
 	rnd     *rand.Rand
 	is      *is.I
@@ -28,8 +29,9 @@
 	rejected int     // of them, by Open
 }
 
-// powerLossWalk writes batches and loses power at each step of the folder, with each loss of names that may be. What was
-// acknowledged is there, or Open rejects the folder. It returns how many folders were opened, and how many were rejected.
+// powerLossWalk writes batches and loses power at each step of the folder, with each loss of names that may be. What
+// was acknowledged is there, or Open rejects the folder. It returns how many folders were opened, and how many were
+// rejected.
 func powerLossWalk(seed uint64) (wrong string, opened, rejected int) {
 	const restarts, endLosses = 3, 6
 	run := &powerLossRun{rnd: rand.New(rand.NewPCG(seed, 5)), want: []Batch{}}
@@ -163,9 +165,9 @@
 func (f firstFailure) FailNow()        { *f.text = "the state is none that there was" }
 func (f firstFailure) Log(args ...any) { _ = fmt.Sprint(args...) }
 
-// A folder that has lost a name that was synced, which no loss of power takes, is rejected, or is as it was: each of its
-// files is taken away, one at a time, after an orderly end. Without its newest log it is as it was a while before: nothing
-// shows that there was one.
+// A folder that has lost a name that was synced, which no loss of power takes, is rejected, or is as it was: each of
+// its files is taken away, one at a time, after an orderly end. Without its newest log it is as it was a while
+// before: nothing shows that there was one.
 func TestMissingFile(t *testing.T) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(2, 5))
