--- a/internal/emulator/costmodel/cluster.go
+++ b/internal/emulator/costmodel/cluster.go
@@ -89,7 +89,7 @@
 
 // kept is a keeper that is sure of its names, with so many holders of each.
 func kept(names, holders int, one bool) *quota.CounterTable {
-	k := quota.New()
+	k := quota.NewCounterTable()
 	k.SetMembers(0, []string{"a"}, "a", true)
 	for t := range names {
 		for h := range holders {
@@ -216,9 +216,9 @@
 func snapshot(s *replication.Store, frame func([]byte)) {
 	var b []byte
 	for seq, whole := uint64(0), false; !whole; {
-		f := &transport.Update{Incarnation: 1 << 60}
-		f.Items, f.Instances, seq, whole = s.ChangesSince(seq, 64<<10)
-		f.Seq = seq
+		changes := s.ChangesSince(seq, 64<<10)
+		seq, whole = changes.Seq, changes.Complete
+		f := &transport.Update{Incarnation: 1 << 60, Items: changes.Items, Instances: changes.Instances, Seq: seq}
 		b, _ = transport.Append(b[:0], &transport.Frame{Update: f})
 		frame(b)
 	}
