--- a/internal/cluster/configuration/canonical.go
+++ b/internal/cluster/configuration/canonical.go
@@ -10,21 +10,21 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Two bodies say the same where they are one JSON value (RFC 8259): the order of members, space, the spelling of
-// numbers and strings are the sender's. An operator's client may well write an order anew before it sends it again.
-// The generation at the top is left out: it is the item's version, and has spellings of its own.
+// Two bodies have the same content where they are one JSON value (RFC 8259): the order of members, space, and the
+// spelling of numbers and strings are the sender's, and a client may well encode a call anew before it sends it
+// again. The generation at the top is left out: it is the item's version, which has spellings of its own.
 
-// canonicalBody is a body in the one form that all its spellings share; what cannot be read is its own.
+// canonicalBody is a body in the one form that all its spellings share. A body that can't be read is its own form.
 func canonicalBody(body []byte) []byte {
-	t := jsonReader{b: body}
-	out, err := t.canonical(make([]byte, 0, len(body)), 0)
-	if err != nil || t.end() != nil {
+	r := jsonReader{text: body}
+	out, err := r.canonical(make([]byte, 0, len(body)), 0)
+	if err != nil || r.end() != nil {
 		return body
 	}
 	return out
 }
 
-// digest stands for what an item says, in a few bytes.
+// digest is a hash of an item's content. It is stored, so it must not change.
 func (i Item) digest() uint64 {
 	h := fnv.New64a()
 	if i.Deleted {
@@ -35,76 +35,89 @@
 	return h.Sum64()
 }
 
-// equalBodies tells whether two bodies are one value.
+// equalBodies reports whether two bodies are one value.
 func equalBodies(a, b []byte) bool {
-	return bytes.Equal(a, b) || bytes.Equal(canonicalBody(a), canonicalBody(b)) && !mutants.On("configuration/byte-for-byte")
+	if bytes.Equal(a, b) {
+		return true
+	}
+	return bytes.Equal(canonicalBody(a), canonicalBody(b)) && !mutants.On("configuration/byte-for-byte")
 }
 
-func (t *jsonReader) canonical(out []byte, depth int) ([]byte, error) {
+// canonical reads a value and appends its canonical form.
+func (r *jsonReader) canonical(out []byte, depth int) ([]byte, error) {
 	if depth > maxDepth {
-		return nil, t.wrong("too deep")
+		return nil, r.fail("too deep")
 	}
-	switch c := t.next(); c {
+	switch r.next() {
 	case '{':
-		type member struct {
-			name string
-			body []byte
-		}
-		var members []member
-		err := t.object(func(name string) error {
-			body, err := t.canonical(nil, depth+1)
-			if depth > 0 || name != "generation" {
-				members = append(members, member{name, body})
-			}
-			return err
-		})
-		slices.SortFunc(members, func(a, b member) int { return strings.Compare(a.name, b.name) })
-		out = append(out, '{')
-		for _, m := range members {
-			out = append(append(append(quoted(out, m.name), ':'), m.body...), ',')
-		}
-		return append(out, '}'), err
+		return r.canonicalObject(out, depth)
 	case '[':
 		out = append(out, '[')
-		err := t.array(func(int) (err error) {
-			out, err = t.canonical(out, depth+1)
+		err := r.array(func(int) (err error) {
+			out, err = r.canonical(out, depth+1)
 			out = append(out, ',')
 			return err
 		})
 		return append(out, ']'), err
 	case '"':
-		s, err := t.str()
+		s, err := r.string()
 		return quoted(out, s), err
 	case 't', 'f', 'n':
-		from := t.at
-		_, err := t.value(depth)
-		return append(out, t.b[from:t.at]...), err
+		start := r.offset
+		_, err := r.value(depth)
+		return append(out, r.text[start:r.offset]...), err
+	}
+	start := r.offset
+	_, err := r.number()
+	return canonicalNumber(out, string(r.text[start:r.offset])), err
+}
+
+// canonicalObject sorts the members by their names.
+func (r *jsonReader) canonicalObject(out []byte, depth int) ([]byte, error) {
+	type member struct {
+		name  string
+		value []byte
+	}
+	var members []member
+	err := r.object(func(name string) error {
+		value, err := r.canonical(nil, depth+1)
+		if depth > 0 || name != "generation" {
+			members = append(members, member{name, value})
+		}
+		return err
+	})
+	slices.SortFunc(members, func(a, b member) int { return strings.Compare(a.name, b.name) })
+	out = append(out, '{')
+	for _, m := range members {
+		out = append(quoted(out, m.name), ':')
+		out = append(append(out, m.value...), ',')
 	}
-	from := t.at
-	_, err := t.number()
-	return decimal(out, string(t.b[from:t.at])), err
+	return append(out, '}'), err
 }
 
-// decimal writes a number as whole digits, without a zero at their end, and the power of ten that goes with them. It
-// loses nothing, as binary fractions would: two numbers are written alike only if they are equal.
-func decimal(out []byte, number string) []byte {
-	digits, power := number, 0
+// canonicalNumber appends a number as an integer without trailing zeros and a power of ten. Nothing is lost, as it
+// would be in binary fractions: two numbers have the same form only if they are equal.
+func canonicalNumber(out []byte, number string) []byte {
+	digits, exponent := number, 0
 	if e := strings.IndexAny(number, "eE"); e >= 0 {
-		p, err := strconv.ParseInt(number[e+1:], 10, 32)
+		parsed, err := strconv.ParseInt(number[e+1:], 10, 32)
 		if err != nil {
-			return append(out, number...) // nobody means that
+			return append(out, number...) // beyond any use: its own form
 		}
-		digits, power = number[:e], int(p)
+		digits, exponent = number[:e], int(parsed)
 	}
-	digits, minus := strings.CutPrefix(digits, "-")
-	whole, part, _ := strings.Cut(digits, ".")
-	digits, power = strings.TrimLeft(whole+part, "0"), power-len(part)
-	short := strings.TrimRight(digits, "0")
-	if power += len(digits) - len(short); short == "" {
+	digits, negative := strings.CutPrefix(digits, "-")
+	integer, fraction, _ := strings.Cut(digits, ".")
+	digits = strings.TrimLeft(integer+fraction, "0")
+	exponent -= len(fraction)
+	significant := strings.TrimRight(digits, "0")
+	exponent += len(digits) - len(significant)
+	if significant == "" {
 		return append(out, '0')
 	}
-	if minus {
+	if negative {
 		out = append(out, '-')
 	}
-	return strconv.AppendInt(append(append(out, short...), 'e'), int64(power), 10)
+	out = append(append(out, significant...), 'e')
+	return strconv.AppendInt(out, int64(exponent), 10)
 }
--- a/internal/cluster/configuration/canonical_test.go
+++ b/internal/cluster/configuration/canonical_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-// value is the slow model: what the standard library reads, with numbers as exact fractions.
+// value is what the standard library reads, with numbers as exact fractions.
 func value(t *testing.T, body string) any {
 	t.Helper()
 	d := json.NewDecoder(strings.NewReader(body))
@@ -49,7 +49,7 @@
 	return v
 }
 
-// spell writes a value that r draws, in a spelling that how draws.
+// spell writes a random value drawn from r, in a random spelling drawn from how.
 func spell(r, how *rand.Rand, depth int) string {
 	space := func() string { return []string{"", "", " ", "\n\t"}[how.IntN(4)] }
 	text := func(s string) string {
@@ -67,7 +67,10 @@
 	case k < 2 && depth < 3 || depth == 0:
 		var parts []string
 		for i := range r.IntN(4) {
-			parts = append(parts, space()+text(fmt.Sprint("é\"", i, r.IntN(3)))+space()+":"+space()+spell(r, how, depth+1)+space())
+			parts = append(
+				parts,
+				space()+text(fmt.Sprint("é\"", i, r.IntN(3)))+space()+":"+space()+spell(r, how, depth+1)+space(),
+			)
 		}
 		how.Shuffle(len(parts), func(i, j int) { parts[i], parts[j] = parts[j], parts[i] })
 		return "{" + strings.Join(parts, ",") + "}"
@@ -99,7 +102,7 @@
 	return []string{"true", "false", "null"}[r.IntN(3)]
 }
 
-func TestSameHoweverItIsSpelled(t *testing.T) {
+func TestSameContentInAnySpelling(t *testing.T) {
 	is := is.New(t)
 	item := func(body string) Item { return Item{Key: Key{Services, "s"}, Version: 12, Body: []byte(body)} }
 	for _, c := range []struct {
@@ -128,11 +131,12 @@
 		a := spell(rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 2)), 0)
 		b := spell(rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 3)), 0)
 		other := spell(rand.New(rand.NewPCG(seed+1, 1)), rand.New(rand.NewPCG(seed, 3)), 0)
-		if strings.Contains(a, `{`) && json.Valid([]byte(a)) && (&jsonReader{b: []byte(a)}).unique() {
+		if strings.Contains(a, `{`) && json.Valid([]byte(a)) && hasUniqueNames(a) {
 			if !item(a).SameContent(item(b)) {
 				t.Fatalf("seed %d: not the same:\n%s\n%s", seed, a, b)
 			}
-			if want := reflect.DeepEqual(value(t, a), value(t, other)); (&jsonReader{b: []byte(other)}).unique() && item(a).SameContent(item(other)) != want {
+			want := reflect.DeepEqual(value(t, a), value(t, other))
+			if hasUniqueNames(other) && item(a).SameContent(item(other)) != want {
 				t.Fatalf("seed %d: %v expected:\n%s\n%s", seed, want, a, other)
 			} else if !want {
 				different++
@@ -142,29 +146,32 @@
 	is.True(different > 1000)
 }
 
-// unique tells whether no object gives a name twice.
-func (t *jsonReader) unique() bool {
-	_, err := t.value(0)
+// hasUniqueNames reports whether no object in a body has a name twice.
+func hasUniqueNames(body string) bool {
+	r := jsonReader{text: []byte(body)}
+	_, err := r.value(0)
 	return err == nil
 }
 
-// An order that was taken is taken again in any spelling, and another one under its number is not.
-func TestOrdersInAnotherSpelling(t *testing.T) {
+// A call that succeeded succeeds again in any spelling, and another one under its version is rejected.
+func TestRepeatedCallInAnotherSpelling(t *testing.T) {
 	is := is.New(t)
 	first := `{"upsert":{"services":{"s":{"healthPath":"/h","maxConns":130,"protocol":"h1","generation":"0000000a"}},
-		"routes":{"r":{"authority":"a","pathPrefix":"/","routeKind":"mutating","deadlineMs":1000,"weighted":[{"backend":"s","share":90}],"generation":"0000000a"}}}}`
-	again := ` {"remove":{},"upsert":{"routes":{"r":{"generation":"0000000A","weighted":[{"share":9e1,"backend":"\u0073"}],"deadlineMs":1000.0,"routeKind":"mutating",
-		"pathPrefix":"\/","authority":"a"}},"services":{"s":{"maxConns":13e1,"generation":"0000000A","protocol":"h1","healthPath":"/h"}}}}`
+		"routes":{"r":{"authority":"a","pathPrefix":"/","routeKind":"mutating","deadlineMs":1000,
+			"weighted":[{"backend":"s","share":90}],"generation":"0000000a"}}}}`
+	again := ` {"remove":{},"upsert":{"routes":{"r":{"generation":"0000000A","weighted":[{"share":9e1,"backend":"\u0073"}],
+		"deadlineMs":1000.0,"routeKind":"mutating","pathPrefix":"\/","authority":"a"}},"services":{"s":{"maxConns":13e1,
+		"generation":"0000000A","protocol":"h1","healthPath":"/h"}}}}`
 	items, err := ReadPatch([]byte(first))
 	is.NoErr(err)
-	_, book, err := (*Snapshot)(nil).Validate(items)
+	_, snapshot, err := (*Snapshot)(nil).Validate(items)
 	is.NoErr(err)
 	items, err = ReadPatch([]byte(again))
 	is.NoErr(err)
-	changed, next, err := book.Validate(items)
+	changed, next, err := snapshot.Validate(items)
 	is.NoErr(err)
 	is.Equal(len(changed), 0)
-	is.Equal(next, book)
-	status, _ := statusOf(book, strings.Replace(again, "13e1", "13e2", 1))
+	is.Equal(next, snapshot)
+	status, _ := statusOf(snapshot, strings.Replace(again, "13e1", "13e2", 1))
 	is.Equal(status, 409)
 }
--- a/internal/cluster/configuration/item.go
+++ b/internal/cluster/configuration/item.go
@@ -2,7 +2,9 @@
 
 import (
 	"cmp"
-	"slices"
+	"fmt"
+	"strings"
+	"unicode/utf8"
 
 	"mulleinrouter/internal/mutants"
 )
@@ -18,102 +20,103 @@
 	Limits
 )
 
+// sections are the kinds by the names that the operators' calls have for them.
+var sections = map[string]Kind{"routes": Routes, "customers": Tenants, "services": Services, "limits": Limits}
+
+// String is the kind's name in the operators' calls.
+func (k Kind) String() string {
+	for name, kind := range sections {
+		if kind == k {
+			return name
+		}
+	}
+	return "unknown"
+}
+
 // Key names an item.
 type Key struct {
 	Kind Kind   `cbor:"1,keyasint"`
 	Name string `cbor:"2,keyasint,omitempty"`
 }
 
-// Compare orders keys.
+// maxKeyNameBytes bounds the names in keys from other processes: above what any operator's call may have.
+const maxKeyNameBytes = 4096
+
+// Compare orders keys by kind, then by name.
 func (k Key) Compare(o Key) int {
 	return cmp.Or(cmp.Compare(k.Kind, o.Kind), cmp.Compare(k.Name, o.Name))
 }
 
-// Item is one version of an item. Its Body is the JSON object as the operator sent it, without insignificant space;
-// none where it was dropped. Bodies are never changed in place.
-type Item struct {
-	Key     Key      `cbor:"1,keyasint"`
-	Version uint64   `cbor:"2,keyasint"`
-	Deleted bool     `cbor:"3,keyasint,omitempty"`
-	Body    []byte   `cbor:"4,keyasint,omitempty"`
-	Epoch   uint64   `cbor:"5,keyasint,omitempty"` // the change of the snapshot that it was chosen with; 0: not chosen yet
-	History *History `cbor:"6,keyasint,omitempty"` // versions that it overtook, the highest first; nil: none, or it does not stand yet
-}
-
-// History is what is kept of versions that an operator was told are taken and that a higher one overtook, before they
-// came or after: enough to tell an order that is sent again from another one under the same number. It is never
-// changed in place.
-type History []HistoricVersion
-
-// HistoricVersion is one of them.
-type HistoricVersion struct {
-	_       struct{} `cbor:",toarray"`
-	Version uint64
-	Digest  uint64 // of what it said
+// Valid reports whether a key from another process can be one at all.
+func (k Key) Valid() bool {
+	return k.Kind >= Routes && k.Kind <= Limits && len(k.Name) <= maxKeyNameBytes
 }
 
-// maxHistory is how many versions of an item are kept, the highest: who sends again after as many others has waited
-// for minutes.
-const maxHistory = 16
-
-// lookupHistory tells what a version said that is overtaken. Where it is neither found nor new, it is too old:
-// nothing is lookupHistory of it.
-func (i Item) lookupHistory(version uint64) (sum uint64, found, isNew bool) {
-	if i.History == nil || mutants.On("configuration/forgets-past") {
-		return 0, false, !mutants.On("configuration/forgets-past")
-	}
-	past := *i.History
-	n, found := slices.BinarySearchFunc(past, version, func(p HistoricVersion, v uint64) int { return cmp.Compare(v, p.Version) })
-	if found {
-		return past[n].Digest, true, false
+// String is how messages to the operator name an item.
+func (k Key) String() string {
+	if k.Kind == Limits && k.Name == "" {
+		return "limits"
 	}
-	return 0, false, n < maxHistory
+	return fmt.Sprintf("%s %.80q", k.Kind, k.Name)
 }
 
-// with is the past with one more version in it.
-func (p *History) with(i Item) *History {
-	var past History
-	if p != nil {
-		past = slices.Clone(*p)
+// checkName reports what is wrong with the name of an item. Control characters are rejected: the names of tenants go
+// into headers.
+func (k Key) checkName() error {
+	switch {
+	case k.Kind == Limits && k.Name != "":
+		return errLimitsNamed
+	case k.Kind == Limits:
+		return nil
+	case k.Kind < Routes || k.Kind > Limits:
+		return errKindUnknown
+	case k.Name == "" || len(k.Name) > MaxNameBytes:
+		return errNameLength
+	case !utf8.ValidString(k.Name) || strings.ContainsFunc(k.Name, isControl):
+		return errNameCharacters
 	}
-	n, _ := slices.BinarySearchFunc(past, i.Version, func(p HistoricVersion, v uint64) int { return cmp.Compare(v, p.Version) })
-	past = slices.Insert(past, n, HistoricVersion{Version: i.Version, Digest: i.digest()})
-	past = past[:min(len(past), maxHistory)]
-	return &past
+	return nil
 }
 
-// differsFrom tells whether one past tells something else than another.
-func (p *History) differsFrom(o *History) bool {
-	return p != nil && (o == nil || !slices.Equal(*p, *o))
-}
+func isControl(c rune) bool { return c < ' ' || c == 0x7f }
 
-// contradicts tells whether an item says something else than one that stands says, or is known to have been said,
-// under the same version.
-func (i Item) contradicts(stands Item) bool {
-	if i.Version == stands.Version {
-		return !i.SameContent(stands)
-	}
-	sum, found, _ := stands.lookupHistory(i.Version)
-	return found && sum != i.digest()
+// Item is one version of an item.
+type Item struct {
+	Key     Key    `cbor:"1,keyasint"`
+	Version uint64 `cbor:"2,keyasint"`
+	Deleted bool   `cbor:"3,keyasint,omitempty"`
+
+	// Body is the JSON object as the operator sent it, without insignificant space; none where the item is deleted. It is
+	// never changed in place.
+	Body []byte `cbor:"4,keyasint,omitempty"`
+	// Epoch is that of the change with which the item was chosen; 0: it is not chosen yet.
+	Epoch uint64 `cbor:"5,keyasint,omitempty"`
+	// History is the versions that this one superseded; nil: none, or it is not merged yet.
+	History *History `cbor:"6,keyasint,omitempty"`
 }
 
-// NewerThan tells whether an item takes the place of another of its name: only a higher version does.
-func (i Item) NewerThan(old Item) bool {
-	return i.Version > old.Version || i.Version == old.Version && mutants.On("configuration/equal-wins")
-}
+// itemOverhead is about how many bytes an item's encoding has beside its name and its body.
+const itemOverhead = 64
 
-// maxKeyNameBytes is how long a name may be, in bytes.
-const maxKeyNameBytes = 4096
+// Size is about how many bytes the item's encoding has, without its history.
+func (i Item) Size() int { return itemOverhead + len(i.Key.Name) + len(i.Body) }
 
-// Valid tells whether a key that another process told of can be one at all.
-func (k Key) Valid() bool {
-	return k.Kind >= Routes && k.Kind <= Limits && len(k.Name) <= maxKeyNameBytes
+// NewerThan reports whether an item replaces another one of its key: only a higher version does.
+func (i Item) NewerThan(old Item) bool {
+	return i.Version > old.Version || i.Version == old.Version && mutants.On("configuration/equal-wins")
 }
 
-// Size is the bytes of an item on its way, about, without its past.
-func (i Item) Size() int { return 64 + len(i.Key.Name) + len(i.Body) }
-
-// SameContent tells whether two items of one version say the same, however they spell it.
+// SameContent reports whether two items are the same version with the same content, however their bodies are spelled.
 func (i Item) SameContent(o Item) bool {
 	return i.Key == o.Key && i.Version == o.Version && i.Deleted == o.Deleted && equalBodies(i.Body, o.Body)
 }
+
+// contradicts reports whether an item has other content than the current one has, or is known to have had, under the
+// same version.
+func (i Item) contradicts(current Item) bool {
+	if i.Version == current.Version {
+		return !i.SameContent(current)
+	}
+	digest, found, _ := current.lookupHistory(i.Version)
+	return found && digest != i.digest()
+}
--- a/internal/cluster/configuration/json_reader.go
+++ b/internal/cluster/configuration/json_reader.go
@@ -7,247 +7,262 @@
 	"unicode/utf8"
 )
 
-// jsonReader reads JSON (RFC 8259) strictly and in one pass: what an operator sends must be read whole or not at all,
-// and what is read is kept byte for byte beside it. A name given twice in one object is refused, for readers differ
-// on which of the two holds.
+// jsonReader reads JSON (RFC 8259) strictly and in one pass: an operator's call is read completely or not at all, and
+// its bytes are kept beside what was read. A name that is given twice in one object is rejected, since readers differ
+// on which of the two counts. Its errors are *SyntaxError, or those of the functions that it calls.
 type jsonReader struct {
-	b  []byte
-	at int
+	text   []byte
+	offset int
 }
 
-// maxDepth is how deep arrays and objects may lie within one another: real bodies need four.
+// maxDepth is how deep arrays and objects may be nested: real bodies need four levels.
 const maxDepth = 64
 
-// knownFields are the names that bodies are made of; they are not stored anew with each item.
-var knownFields = func() map[string]string {
-	m := map[string]string{}
-	for _, f := range []string{"authority", "pathPrefix", "routeKind", "deadlineMs", "targetMs", "priority", "maxTries", "public", "backend",
-		"weighted", "share", "apiKeys", "ratePerS", "burst", "healthPath", "maxConns", "protocol", "tlsMode", "maxHeaderBytes", "maxBodyBytes",
-		"headerTimeoutMs", "idleTimeoutMs", "generation", "name", "idempotent", "mutating", "h1", "/health"} {
-		m[f] = f
+// escapeBytes is the length of \uXXXX, of which hexDigits are digits.
+const (
+	escapeBytes = 6
+	hexDigits   = 4
+)
+
+// knownStrings are names and values that most bodies have: they are not allocated anew for each item.
+var knownStrings = internStrings(
+	"authority", "pathPrefix", "routeKind", "deadlineMs", "targetMs", "priority", "maxTries",
+	"public", "backend", "weighted", "share",
+	"apiKeys", "ratePerS", "burst",
+	"healthPath", "maxConns", "protocol", "tlsMode",
+	"maxHeaderBytes", "maxBodyBytes", "headerTimeoutMs", "idleTimeoutMs",
+	"generation", "name", "idempotent", "mutating", "h1", "/health",
+)
+
+func internStrings(list ...string) map[string]string {
+	interned := map[string]string{}
+	for _, s := range list {
+		interned[s] = s
 	}
-	return m
-}()
+	return interned
+}
 
-func (t *jsonReader) wrong(what string) error { return fmt.Errorf("byte %d: %s", t.at, what) }
+func (r *jsonReader) fail(problem string) error {
+	return &SyntaxError{Offset: r.offset, Problem: problem}
+}
 
-func (t *jsonReader) space() {
-	for t.at < len(t.b) && blank(t.b[t.at]) {
-		t.at++
+func (r *jsonReader) skipSpace() {
+	for r.offset < len(r.text) && isSpace(r.text[r.offset]) {
+		r.offset++
 	}
 }
 
-func blank(c byte) bool { return c == ' ' || c == '\t' || c == '\n' || c == '\r' }
+func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\n' || c == '\r' }
 
 // next is the next byte that is no space; 0 at the end.
-func (t *jsonReader) next() byte {
-	t.space()
-	if t.at == len(t.b) {
+func (r *jsonReader) next() byte {
+	r.skipSpace()
+	if r.offset == len(r.text) {
 		return 0
 	}
-	return t.b[t.at]
+	return r.text[r.offset]
 }
 
-// end wants nothing but space to follow.
-func (t *jsonReader) end() error {
-	if t.space(); t.at < len(t.b) {
-		return t.wrong("more than one value")
+// end fails if anything but space follows.
+func (r *jsonReader) end() error {
+	if r.skipSpace(); r.offset < len(r.text) {
+		return r.fail("more than one value")
 	}
 	return nil
 }
 
 // object reads an object; member reads the value of each name.
-func (t *jsonReader) object(member func(name string) error) error {
-	if t.next() != '{' {
-		return t.wrong("no object")
+func (r *jsonReader) object(member func(name string) error) error {
+	if r.next() != '{' {
+		return r.fail("no object")
 	}
-	t.at++
+	r.offset++
 	for first := true; ; first = false {
-		switch c := t.next(); {
-		case c == '}':
-			if first {
-				t.at++
-				return nil
-			}
-			return t.wrong("no name")
-		case c != '"':
-			return t.wrong("no name")
+		if c := r.next(); c == '}' && first {
+			r.offset++
+			return nil
+		} else if c != '"' {
+			return r.fail("no name")
 		}
-		name, err := t.str()
+		name, err := r.string()
 		if err != nil {
 			return err
 		}
-		if t.next() != ':' {
-			return t.wrong("no colon")
+		if r.next() != ':' {
+			return r.fail("no colon")
 		}
-		t.at++
-		t.space()
+		r.offset++
+		r.skipSpace()
 		if err := member(name); err != nil {
 			return err
 		}
-		switch t.next() {
+		switch r.next() {
 		case ',':
-			t.at++
+			r.offset++
 		case '}':
-			t.at++
+			r.offset++
 			return nil
 		default:
-			return t.wrong("no comma and no end of the object")
+			return r.fail("no comma and no end of the object")
 		}
 	}
 }
 
 // array reads an array; element reads each value.
-func (t *jsonReader) array(element func(i int) error) error {
-	if t.next() != '[' {
-		return t.wrong("no list")
+func (r *jsonReader) array(element func(index int) error) error {
+	if r.next() != '[' {
+		return r.fail("no list")
 	}
-	t.at++
-	if t.next() == ']' {
-		t.at++
+	r.offset++
+	if r.next() == ']' {
+		r.offset++
 		return nil
 	}
-	for i := 0; ; i++ {
-		t.space()
-		if err := element(i); err != nil {
+	for index := 0; ; index++ {
+		r.skipSpace()
+		if err := element(index); err != nil {
 			return err
 		}
-		switch t.next() {
+		switch r.next() {
 		case ',':
-			t.at++
+			r.offset++
 		case ']':
-			t.at++
+			r.offset++
 			return nil
 		default:
-			return t.wrong("no comma and no end of the list")
+			return r.fail("no comma and no end of the list")
 		}
 	}
 }
 
 // value reads any value: a map[string]any, []any, string, float64 (infinite where it is too large), bool or nil.
-func (t *jsonReader) value(depth int) (any, error) {
+func (r *jsonReader) value(depth int) (any, error) {
 	if depth > maxDepth {
-		return nil, t.wrong("too deep")
+		return nil, r.fail("too deep")
 	}
-	switch c := t.next(); c {
+	switch r.next() {
 	case '{':
 		m := make(map[string]any, 8)
-		return m, t.object(func(name string) (err error) {
+		return m, r.object(func(name string) (err error) {
 			if _, twice := m[name]; twice {
-				return t.wrong(fmt.Sprintf("%.100q given twice", name))
+				return r.fail(fmt.Sprintf("%.100q given twice", name))
 			}
-			m[name], err = t.value(depth + 1)
+			m[name], err = r.value(depth + 1)
 			return err
 		})
 	case '[':
 		var list []any
-		err := t.array(func(int) error {
-			v, err := t.value(depth + 1)
+		err := r.array(func(int) error {
+			v, err := r.value(depth + 1)
 			list = append(list, v)
 			return err
 		})
 		return list, err
 	case '"':
-		return t.str()
+		return r.string()
 	case 't':
-		return true, t.literal("true")
+		return true, r.literal("true")
 	case 'f':
-		return false, t.literal("false")
+		return false, r.literal("false")
 	case 'n':
-		return nil, t.literal("null")
+		return nil, r.literal("null")
 	default:
-		return t.number()
+		return r.number()
 	}
 }
 
-func (t *jsonReader) literal(s string) error {
-	if len(t.b)-t.at < len(s) || string(t.b[t.at:t.at+len(s)]) != s {
-		return t.wrong("no value")
+func (r *jsonReader) literal(s string) error {
+	if len(r.text)-r.offset < len(s) || string(r.text[r.offset:r.offset+len(s)]) != s {
+		return r.fail("no value")
 	}
-	t.at += len(s)
+	r.offset += len(s)
 	return nil
 }
 
-func (t *jsonReader) number() (float64, error) {
-	from := t.at
-	digits := func() bool {
-		start := t.at
-		for t.at < len(t.b) && t.b[t.at]-'0' <= 9 {
-			t.at++
-		}
-		return t.at > start
+func (r *jsonReader) number() (float64, error) {
+	start := r.offset
+	r.skipOne("-")
+	if !r.skipOne("0") && !r.skipDigits() {
+		return 0, r.fail("no value")
 	}
-	is := func(set string) bool {
-		for i := 0; t.at < len(t.b) && i < len(set); i++ {
-			if t.b[t.at] == set[i] {
-				t.at++
-				return true
-			}
-		}
-		return false
+	if r.skipOne(".") && !r.skipDigits() {
+		return 0, r.fail("no digits behind the point")
 	}
-	is("-")
-	if !is("0") && !digits() {
-		return 0, t.wrong("no value")
+	if r.skipOne("eE") {
+		if r.skipOne("+-"); !r.skipDigits() {
+			return 0, r.fail("no digits in the exponent")
+		}
 	}
-	if is(".") && !digits() {
-		return 0, t.wrong("no digits behind the point")
+	f, _ := strconv.ParseFloat(string(r.text[start:r.offset]), 64) // it is a number; out of range it is infinite
+	return f, nil
+}
+
+// skipDigits skips decimal digits, and reports whether there was any.
+func (r *jsonReader) skipDigits() bool {
+	start := r.offset
+	for r.offset < len(r.text) && r.text[r.offset]-'0' <= 9 {
+		r.offset++
 	}
-	if is("eE") {
-		if is("+-"); !digits() {
-			return 0, t.wrong("no digits in the exponent")
+	return r.offset > start
+}
+
+// skipOne skips a byte if it is one of a set, and reports whether it was.
+func (r *jsonReader) skipOne(set string) bool {
+	for i := 0; r.offset < len(r.text) && i < len(set); i++ {
+		if r.text[r.offset] == set[i] {
+			r.offset++
+			return true
 		}
 	}
-	f, _ := strconv.ParseFloat(string(t.b[from:t.at]), 64) // what was read is a number; out of range it is infinite
-	return f, nil
+	return false
 }
 
-// str reads a string.
-func (t *jsonReader) str() (string, error) {
-	t.at++ // its quote
-	from := t.at
-	var out []byte // once there was an escape
+// string reads a string, whose opening quote is next.
+func (r *jsonReader) string() (string, error) {
+	r.offset++
+	start := r.offset // of the bytes that are not in unescaped yet
+	var unescaped []byte
 	for {
-		if t.at == len(t.b) {
-			return "", t.wrong("a string without an end")
+		if r.offset == len(r.text) {
+			return "", r.fail("a string without an end")
 		}
-		switch c := t.b[t.at]; {
+		switch c := r.text[r.offset]; {
 		case c == '"':
-			raw := t.b[from:t.at]
-			t.at++
-			if out != nil {
-				raw = append(out, raw...)
+			raw := r.text[start:r.offset]
+			r.offset++
+			if unescaped != nil {
+				raw = append(unescaped, raw...)
 			}
-			if s, ok := knownFields[string(raw)]; ok {
+			if s, ok := knownStrings[string(raw)]; ok {
 				return s, nil
 			}
 			if !utf8.Valid(raw) {
-				return "", t.wrong("a string that is not UTF-8")
+				return "", r.fail("a string that is not UTF-8")
 			}
 			return string(raw), nil
 		case c < ' ':
-			return "", t.wrong("a control character in a string")
+			return "", r.fail("a control character in a string")
 		case c == '\\':
-			out = append(out, t.b[from:t.at]...)
-			r, err := t.escape()
+			unescaped = append(unescaped, r.text[start:r.offset]...)
+			char, err := r.escape()
 			if err != nil {
 				return "", err
 			}
-			out = utf8.AppendRune(out, r)
-			from = t.at
+			unescaped = utf8.AppendRune(unescaped, char)
+			start = r.offset
 		default:
-			t.at++
+			r.offset++
 		}
 	}
 }
 
-// escape reads what begins with a backslash. Half a surrogate pair stands for nothing: it becomes U+FFFD.
-func (t *jsonReader) escape() (rune, error) {
-	if t.at+1 >= len(t.b) {
-		return 0, t.wrong("a string without an end")
+// escape reads what begins with a backslash. Half of a surrogate pair stands for nothing: it becomes U+FFFD.
+func (r *jsonReader) escape() (rune, error) {
+	if r.offset+1 >= len(r.text) {
+		return 0, r.fail("a string without an end")
 	}
-	c := t.b[t.at+1]
-	t.at += 2
+	c := r.text[r.offset+1]
+	r.offset += 2
 	switch c {
 	case '"', '\\', '/':
 		return rune(c), nil
@@ -262,90 +277,37 @@
 	case 't':
 		return '\t', nil
 	case 'u':
-		r, ok := t.four(t.at)
-		if !ok {
-			return 0, t.wrong("no four digits behind \\u")
-		}
-		t.at += 4
-		if !utf16.IsSurrogate(r) {
-			return r, nil
-		}
-		if t.at+6 <= len(t.b) && t.b[t.at] == '\\' && t.b[t.at+1] == 'u' {
-			if low, ok := t.four(t.at + 2); ok {
-				if both := utf16.DecodeRune(r, low); both != utf8.RuneError {
-					t.at += 6
-					return both, nil
-				}
-			}
-		}
-		return utf8.RuneError, nil
+		return r.unicodeEscape()
 	}
-	return 0, t.wrong("an unknown escape")
+	return 0, r.fail("an unknown escape")
 }
 
-func (t *jsonReader) four(at int) (rune, bool) {
-	if at+4 > len(t.b) {
-		return 0, false
+// unicodeEscape reads the digits behind \u, and the other half of a surrogate pair.
+func (r *jsonReader) unicodeEscape() (rune, error) {
+	char, ok := r.codeUnit(r.offset)
+	if !ok {
+		return 0, r.fail("no four digits behind \\u")
 	}
-	r, ok := hex(string(t.b[at : at+4]))
-	return rune(r), ok
-}
-
-// hex reads a number of hexadecimal digits and nothing else.
-func hex(s string) (n uint64, ok bool) {
-	for i := 0; i < len(s); i++ {
-		switch c := s[i]; {
-		case c >= '0' && c <= '9':
-			n = n<<4 | uint64(c-'0')
-		case c|0x20 >= 'a' && c|0x20 <= 'f':
-			n = n<<4 | uint64(c|0x20-'a'+10)
-		default:
-			return 0, false
-		}
+	r.offset += hexDigits
+	if !utf16.IsSurrogate(char) {
+		return char, nil
 	}
-	return n, s != ""
-}
-
-// compacted is a copy of valid JSON without the space outside of its strings.
-func compacted(b []byte) []byte {
-	n := 0
-	each := func(keep func(byte)) {
-		quoted := false
-		for i := 0; i < len(b); i++ {
-			c := b[i]
-			if !quoted && blank(c) {
-				continue
-			}
-			keep(c)
-			if c == '\\' { // only in a string
-				i++
-				keep(b[i])
-			} else if c == '"' {
-				quoted = !quoted
+	if r.offset+escapeBytes <= len(r.text) && r.text[r.offset] == '\\' && r.text[r.offset+1] == 'u' {
+		if low, ok := r.codeUnit(r.offset + 2); ok {
+			if both := utf16.DecodeRune(char, low); both != utf8.RuneError {
+				r.offset += escapeBytes
+				return both, nil
 			}
 		}
 	}
-	each(func(byte) { n++ })
-	out := make([]byte, 0, n)
-	if n == len(b) {
-		return append(out, b...)
-	}
-	each(func(c byte) { out = append(out, c) })
-	return out
+	return utf8.RuneError, nil
 }
 
-// quoted appends a string as JSON.
-func quoted(b []byte, s string) []byte {
-	b = append(b, '"')
-	for i := 0; i < len(s); i++ {
-		switch c := s[i]; {
-		case c == '"' || c == '\\':
-			b = append(b, '\\', c)
-		case c < ' ':
-			b = fmt.Appendf(b, `\u%04x`, c)
-		default:
-			b = append(b, c)
-		}
+// codeUnit is the four hexadecimal digits at an offset.
+func (r *jsonReader) codeUnit(offset int) (rune, bool) {
+	if offset+hexDigits > len(r.text) {
+		return 0, false
 	}
-	return append(b, '"')
+	unit, ok := parseHex(string(r.text[offset : offset+hexDigits]))
+	return rune(unit), ok
 }
--- a/internal/cluster/configuration/trie.go
+++ b/internal/cluster/configuration/trie.go
@@ -2,45 +2,54 @@
 
 import "math/bits"
 
-// The items and the indexes over them are kept in hash tries: immutable maps of which a copy with one change shares
-// all but the few nodes on the way to it. So a change costs the same however much stands, and whoever reads an older
-// one is not disturbed. Hashes are not seeded: copies of one content are walked alike everywhere. Keys that share a
+// The items and the indexes over them are kept in hash tries: persistent maps of which a copy with one change shares
+// all but the few nodes on the path to it. So a change costs the same at any size, and readers of an older copy are
+// not disturbed. Hashes are not seeded: copies of one content are walked alike on all machines. Keys that share a
 // whole hash end in a plain list.
 
-// hashed is what may be a key.
+// hashed is a type of keys.
 type hashed interface {
 	comparable
 	hash() uint64
 }
 
-// word is a key that is a plain string.
-type word string
+// stringKey is a key that is a plain string.
+type stringKey string
 
-func (w word) hash() uint64 { return mix(fold(basis, string(w))) }
+func (s stringKey) hash() uint64 { return mix(hashString(fnvBasis, string(s))) }
 
-func (k Key) hash() uint64 { return mix(fold(step(basis, byte(k.Kind)), k.Name)) }
+func (k Key) hash() uint64 { return mix(hashString(hashByte(fnvBasis, byte(k.Kind)), k.Name)) }
 
-// Folding is FNV-1a, which grows byte by byte, so that all prefixes of a path are hashed on one walk; mix spreads
-// what it leaves in the low bits.
-const basis, prime = 14695981039346656037, 1099511628211
+// Parameters of FNV-1a with 64 bits. It grows byte by byte, so that all prefixes of a path are hashed in one pass;
+// mix spreads what it leaves in the low bits. The hashes of keys are on the wire, as positions, and must not change.
+const (
+	fnvBasis = 14695981039346656037
+	fnvPrime = 1099511628211
+)
 
-func step(h uint64, c byte) uint64 { return (h ^ uint64(c)) * prime }
+// hostEnd separates a host from a path's prefix in a hash.
+const hostEnd = 0xff
 
-func fold(h uint64, s string) uint64 {
+func hashByte(h uint64, c byte) uint64 { return (h ^ uint64(c)) * fnvPrime }
+
+func hashString(h uint64, s string) uint64 {
 	for i := 0; i < len(s); i++ {
-		h = step(h, s[i])
+		h = hashByte(h, s[i])
 	}
 	return h
 }
 
+func hashHost(host string) uint64 { return hashByte(hashString(fnvBasis, host), hostEnd) }
+
+// mix is the finalizer of MurmurHash3.
 func mix(h uint64) uint64 {
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
 	return h ^ h>>33
 }
 
-// edit marks the nodes that one batch of changes has made: no one else has seen them yet, so the batch may change
-// them in place.
+// edit marks the nodes that one batch of changes has made: nobody else has them yet, so the batch may change them in
+// place.
 type edit struct{ _ byte }
 
 // trie is the map. The zero one is empty. Reading it needs no lock.
@@ -50,21 +59,25 @@
 }
 
 type pair[K hashed, V any] struct {
-	key K
-	val V
+	key   K
+	value V
 }
 
-// node holds pairs and nodes below it by five bits of the hash a level; held and below tell which there are. Pairs
-// are never changed in place, kids only by the edit that owns the node. Below the last bits a node is a list of
-// pairs.
+// node has pairs and child nodes in slots, which are five bits of the hash a level; pairSlots and childSlots are the
+// sets of slots in use. Pairs are never changed in place, children only by the edit that owns the node. After the
+// last bits of the hash a node is a list of pairs.
 type node[K hashed, V any] struct {
-	owner       *edit
-	held, below uint32
-	pairs       []pair[K, V]
-	kids        []*node[K, V]
+	owner      *edit
+	pairSlots  uint32
+	childSlots uint32
+	pairs      []pair[K, V]
+	children   []*node[K, V]
 }
 
-const levelBits, hashBits = 5, 64
+const (
+	levelBits = 5
+	hashBits  = 64
+)
 
 func bitAt(h uint64, shift uint) uint32 { return 1 << (h >> shift & (1<<levelBits - 1)) }
 
@@ -78,21 +91,21 @@
 	for shift := uint(0); n != nil; shift += levelBits {
 		if shift >= hashBits {
 			if i := n.index(k); i >= 0 {
-				return n.pairs[i].val, true
+				return n.pairs[i].value, true
 			}
 			return v, false
 		}
 		bit := bitAt(h, shift)
-		if n.held&bit != 0 {
-			if p := &n.pairs[rank(n.held, bit)]; p.key == k {
-				return p.val, true
+		if n.pairSlots&bit != 0 {
+			if p := &n.pairs[rank(n.pairSlots, bit)]; p.key == k {
+				return p.value, true
 			}
 			return v, false
 		}
-		if n.below&bit == 0 {
+		if n.childSlots&bit == 0 {
 			return v, false
 		}
-		n = n.kids[rank(n.below, bit)]
+		n = n.children[rank(n.childSlots, bit)]
 	}
 	return v, false
 }
@@ -112,7 +125,7 @@
 	if _, ok := t.find(h, k); !ok {
 		return t
 	}
-	return trie[K, V]{t.root.drop(e, 0, h, k), t.size - 1}
+	return trie[K, V]{t.root.remove(e, 0, h, k), t.size - 1}
 }
 
 // all walks the map, in the order of the hashes.
@@ -122,13 +135,20 @@
 	if n == nil {
 		return true
 	}
-	for i := range n.pairs {
-		if !yield(n.pairs[i].key, n.pairs[i].val) {
+	if !n.yieldPairs(yield) {
+		return false
+	}
+	for _, child := range n.children {
+		if !child.walk(yield) {
 			return false
 		}
 	}
-	for _, kid := range n.kids {
-		if !kid.walk(yield) {
+	return true
+}
+
+func (n *node[K, V]) yieldPairs(yield func(K, V) bool) bool {
+	for i := range n.pairs {
+		if !yield(n.pairs[i].key, n.pairs[i].value) {
 			return false
 		}
 	}
@@ -153,7 +173,7 @@
 		return n
 	}
 	c := *n
-	c.owner, c.kids = e, replaced(n.kids, -1, nil)
+	c.owner, c.children = e, replaced(n.children, -1, nil)
 	return &c
 }
 
@@ -169,54 +189,54 @@
 		return n, true
 	}
 	bit := bitAt(h, shift)
-	at := rank(n.held, bit)
+	at := rank(n.pairSlots, bit)
 	switch {
-	case n.below&bit != 0:
-		kid := &n.kids[rank(n.below, bit)]
-		*kid, grew = (*kid).put(e, shift+levelBits, h, k, v)
+	case n.childSlots&bit != 0:
+		child := &n.children[rank(n.childSlots, bit)]
+		*child, grew = (*child).put(e, shift+levelBits, h, k, v)
 		return n, grew
-	case n.held&bit == 0:
-		n.pairs, n.held = inserted(n.pairs, at, p), n.held|bit
+	case n.pairSlots&bit == 0:
+		n.pairs, n.pairSlots = inserted(n.pairs, at, p), n.pairSlots|bit
 		return n, true
 	case n.pairs[at].key == k:
 		n.pairs = replaced(n.pairs, at, p)
 		return n, false
 	}
 	old := n.pairs[at]
-	kid, _ := (*node[K, V])(nil).put(e, shift+levelBits, old.key.hash(), old.key, old.val)
-	kid, _ = kid.put(e, shift+levelBits, h, k, v)
-	n.pairs, n.held = removed(n.pairs, at), n.held&^bit
-	n.kids, n.below = inserted(n.kids, rank(n.below, bit), kid), n.below|bit
+	child, _ := (*node[K, V])(nil).put(e, shift+levelBits, old.key.hash(), old.key, old.value)
+	child, _ = child.put(e, shift+levelBits, h, k, v)
+	n.pairs, n.pairSlots = removed(n.pairs, at), n.pairSlots&^bit
+	n.children, n.childSlots = inserted(n.children, rank(n.childSlots, bit), child), n.childSlots|bit
 	return n, true
 }
 
-// drop takes out a key that is there. What is left may be nothing: then it is nil.
-func (n *node[K, V]) drop(e *edit, shift uint, h uint64, k K) *node[K, V] {
+// remove removes a key that is there. The result is nil if nothing is left.
+func (n *node[K, V]) remove(e *edit, shift uint, h uint64, k K) *node[K, V] {
 	n = n.owned(e)
 	if shift >= hashBits {
 		n.pairs = removed(n.pairs, n.index(k))
-	} else if bit := bitAt(h, shift); n.held&bit != 0 {
-		n.pairs, n.held = removed(n.pairs, rank(n.held, bit)), n.held&^bit
+	} else if bit := bitAt(h, shift); n.pairSlots&bit != 0 {
+		n.pairs, n.pairSlots = removed(n.pairs, rank(n.pairSlots, bit)), n.pairSlots&^bit
 	} else {
-		at := rank(n.below, bit)
-		kid := n.kids[at].drop(e, shift+levelBits, h, k)
+		at := rank(n.childSlots, bit)
+		child := n.children[at].remove(e, shift+levelBits, h, k)
 		switch {
-		case kid == nil:
-			n.kids, n.below = removed(n.kids, at), n.below&^bit
-		case len(kid.kids) == 0 && len(kid.pairs) == 1: // it needs no node of its own
-			n.kids, n.below = removed(n.kids, at), n.below&^bit
-			n.pairs, n.held = inserted(n.pairs, rank(n.held, bit), kid.pairs[0]), n.held|bit
+		case child == nil:
+			n.children, n.childSlots = removed(n.children, at), n.childSlots&^bit
+		case len(child.children) == 0 && len(child.pairs) == 1: // it needs no node
+			n.children, n.childSlots = removed(n.children, at), n.childSlots&^bit
+			n.pairs, n.pairSlots = inserted(n.pairs, rank(n.pairSlots, bit), child.pairs[0]), n.pairSlots|bit
 		default:
-			n.kids[at] = kid
+			n.children[at] = child
 		}
 	}
-	if len(n.pairs) == 0 && len(n.kids) == 0 {
+	if len(n.pairs) == 0 && len(n.children) == 0 {
 		return nil
 	}
 	return n
 }
 
-// The three below copy, with no room to spare.
+// The functions below copy, to slices of exactly the length that is needed.
 
 func inserted[T any](s []T, at int, x T) []T {
 	c := make([]T, len(s)+1)
