--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -214,8 +214,8 @@
 	})
 }
 
+// TestEvaluate checks when the sources are a quorum and when what they sent is sufficient to serve with.
 func TestEvaluate(t *testing.T) {
-	is := is.New(t)
 	now := time.Unix(100, 0)
 	status := func(ago time.Duration, complete, quorum bool) sourceStatus {
 		return sourceStatus{
@@ -231,23 +231,29 @@
 		}
 	}
 	never := sourceStatus{}
-	for _, c := range []struct {
-		statuses       []sourceStatus
-		since          time.Duration
-		quorum, enough bool
+	complete, incomplete := status(0, true, true), status(0, false, true)
+	noContact, outdated := status(0, true, false), status(3*time.Second, true, true)
+	for name, c := range map[string]struct {
+		statuses               []sourceStatus
+		sinceStart             time.Duration
+		wantQuorum, sufficient bool
 	}{
-		{[]sourceStatus{status(0, true, true), status(0, true, true), never}, 0, true, true},
-		{[]sourceStatus{status(0, true, true), status(0, false, true), never}, 0, true, false},
-		{[]sourceStatus{status(0, true, true), never, never}, time.Second, false, false},
-		{[]sourceStatus{status(0, true, true), never, never}, 6 * time.Second, false, true},
-		{[]sourceStatus{status(0, true, false), never, never}, 6 * time.Second, false, false},
-		{[]sourceStatus{status(3*time.Second, true, true), never, never}, 6 * time.Second, false, false},
-		{[]sourceStatus{status(0, true, true)}, 0, true, true},
-		{nil, 6 * time.Second, false, false},
+		"a majority is complete":    {[]sourceStatus{complete, complete, never}, 0, true, true},
+		"one of two is complete":    {[]sourceStatus{complete, incomplete, never}, 0, true, false},
+		"one of three, soon":        {[]sourceStatus{complete, never, never}, time.Second, false, false},
+		"one of three, later":       {[]sourceStatus{complete, never, never}, 6 * time.Second, false, true},
+		"one without contact":       {[]sourceStatus{noContact, never, never}, 6 * time.Second, false, false},
+		"one with an old update":    {[]sourceStatus{outdated, never, never}, 6 * time.Second, false, false},
+		"the only source":           {[]sourceStatus{complete}, 0, true, true},
+		"no sources are configured": {nil, 6 * time.Second, false, false},
 	} {
-		view := evaluate(c.statuses, now, c.since)
-		is.Equal(view.quorum, c.quorum)
-		is.Equal(view.sufficient, c.enough)
+		t.Run(name, func(t *testing.T) {
+			view := evaluate(c.statuses, now, c.sinceStart)
+			if view.quorum != c.wantQuorum || view.sufficient != c.sufficient {
+				t.Errorf("got quorum %t, sufficient %t, want %t, %t",
+					view.quorum, view.sufficient, c.wantQuorum, c.sufficient)
+			}
+		})
 	}
 }
 
@@ -309,7 +315,6 @@
 // TestEvaluateByContact checks that a node which lacks changes of another is not sufficient, and that a majority is one
 // of the voters that a node in contact reported.
 func TestEvaluateByContact(t *testing.T) {
-	is := is.New(t)
 	now := time.Unix(100, 0)
 	status := func(fromVoters, quorum bool, epoch uint64, members int, voters ...string) sourceStatus {
 		return sourceStatus{
@@ -331,40 +336,53 @@
 		}
 	}
 	five := []string{"a", "b", "c", "d", "e"}
-	for i, c := range []struct {
-		statuses       []sourceStatus
-		quorum, enough bool
-		members        int
+	for name, c := range map[string]struct {
+		statuses               []sourceStatus
+		wantQuorum, sufficient bool
+		members                int
 	}{
-		{
+		"the highest count in contact": {
 			[]sourceStatus{status(false, true, 7, 3), status(false, true, 7, 4), status(false, false, 7, 9)},
 			true, true, 4,
 		},
-		{
+		"one lacks changes of another": {
 			[]sourceStatus{status(false, true, 7, 3), status(false, true, 8, 4), status(false, false, 7, 9)},
 			true, false, 4,
 		},
-		{
+		"a newer one is out of contact": {
 			[]sourceStatus{status(false, true, 7, 3), status(false, false, 8, 4), status(false, true, 7, 9)},
 			true, false, 9,
 		},
-		{[]sourceStatus{status(false, true, 7, 3, five...), status(false, true, 7, 4, five...)}, false, false, 4},
-		{
+		"two of five voters": {
+			[]sourceStatus{status(false, true, 7, 3, five...), status(false, true, 7, 4, five...)},
+			false, false, 4,
+		},
+		"three of five voters, one discovered": {
 			[]sourceStatus{
-				status(false, true, 7, 3, five...), status(false, true, 7, 4, five...),
+				status(false, true, 7, 3, five...),
+				status(false, true, 7, 4, five...),
 				status(true, true, 7, 5, five...),
 			},
-			true,
-			true,
-			5,
+			true, true, 5,
+		},
+		"voters reported without contact do not count": {
+			[]sourceStatus{status(false, false, 7, 3, five...), status(false, true, 7, 4, "a")},
+			true, true, 4,
+		},
+		"nobody in contact": {
+			[]sourceStatus{status(false, false, 9, 3, "a"), status(false, false, 7, 4, "a")},
+			false, false, 0,
 		},
-		{[]sourceStatus{status(false, false, 7, 3, five...), status(false, true, 7, 4, "a")}, true, true, 4},
-		{[]sourceStatus{status(false, false, 9, 3, "a"), status(false, false, 7, 4, "a")}, false, false, 0},
 	} {
-		view := evaluate(c.statuses, now, time.Second)
-		if view.quorum != c.quorum || view.sufficient != c.enough || view.members != c.members {
-			t.Errorf("%d: %+v", i, view)
-		}
-		is.Equal(view.rank, c.members)
+		t.Run(name, func(t *testing.T) {
+			view := evaluate(c.statuses, now, time.Second)
+			if view.quorum != c.wantQuorum || view.sufficient != c.sufficient || view.members != c.members {
+				t.Errorf("got %+v, want quorum %t, sufficient %t, members %d",
+					view, c.wantQuorum, c.sufficient, c.members)
+			}
+			if view.rank != c.members {
+				t.Errorf("got rank %d, want that of the node with the most members, %d", view.rank, c.members)
+			}
+		})
 	}
 }
--- a/internal/cluster/command/settings.go
+++ b/internal/cluster/command/settings.go
@@ -31,8 +31,8 @@
 
 // Dialer returns a dialer whose connections the file blocks until the context ends, over another one; without a file,
 // the other one.
-func (f LinkFaultsFlag) Dialer(ctx context.Context, dial linkfaults.DialFunc) (linkfaults.DialFunc, error) {
-	injector, err := linkfaults.NewInjector(ctx, f.LinkFaults)
+func (lf LinkFaultsFlag) Dialer(ctx context.Context, dial linkfaults.DialFunc) (linkfaults.DialFunc, error) {
+	injector, err := linkfaults.NewInjector(ctx, lf.LinkFaults)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cluster/metrics/metrics_test.go
+++ b/internal/cluster/metrics/metrics_test.go
@@ -1,12 +1,20 @@
 package metrics
 
 import (
+	"context"
 	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
 	"net/http/httptest"
 	"strings"
 	"testing"
 
+	"github.com/go-kit/log"
 	"github.com/matryer/is"
+
+	"mulleinrouter/internal/cluster/transport"
 )
 
 func TestParseEndpoint(t *testing.T) {
@@ -48,3 +56,38 @@
 		}
 	}
 }
+
+// TestServerServe serves metrics at an endpoint until the context ends.
+func TestServerServe(t *testing.T) {
+	is := is.New(t)
+	free, err := transport.Listen("127.0.0.1:0")
+	is.NoErr(err)
+	port := free.Addr().(*net.TCPAddr).Port
+	is.NoErr(free.Close())
+	server := Server{
+		Program:  "agent",
+		Endpoint: Endpoint{Port: port, Path: "/metrics"},
+		Host:     "127.0.0.1",
+		Log:      log.NewNopLogger(),
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		server.Serve(ctx, func(r *Registry) { r.Flag("ready", "Ready.", func() bool { return true }) })
+	}()
+	url := fmt.Sprintf("http://127.0.0.1:%d/metrics", port)
+	answer, err := http.Get(url)
+	for err != nil && ctx.Err() == nil && t.Context().Err() == nil { // it does not listen yet
+		answer, err = http.Get(url)
+	}
+	is.NoErr(err)
+	defer answer.Body.Close()
+	text, err := io.ReadAll(answer.Body)
+	is.NoErr(err)
+	if want := "mulleinrouter_agent_ready 1"; !strings.Contains(string(text), want) {
+		t.Errorf("got\n%s\nwant %q in it", text, want)
+	}
+	cancel()
+	<-ended
+}
--- a/internal/cluster/settings/decode.go
+++ b/internal/cluster/settings/decode.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// Defaults of settings that may be missing, in seconds unless the comment says otherwise.
+// Defaults of settings that may be missing, in seconds unless a comment gives another unit.
 const (
 	defaultHeartbeatInterval = 1.5
 	defaultSeedLag           = 3
