--- a/internal/standalone/fleet/leaseservice/announcer.go
+++ b/internal/standalone/fleet/leaseservice/announcer.go
@@ -10,173 +10,215 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/sirupsen/logrus"
 
-	"mulleinrouter/internal/standalone/fleet/gossip"
 	"mulleinrouter/internal/standalone/fleet/revisionlog"
-	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
-// Catalogue is the duty of announcing revisions of the catalogue, so that all ingresses take one order.
+// RoleCatalogue is the role of announcing revisions of the catalogue, so that all ingresses apply them in one order.
 const RoleCatalogue = "catalogue"
 
-const (
-	topicAnnounce gossip.Topic = 9
-	announceInterval               = 250 * time.Millisecond
-)
+const announceInterval = 250 * time.Millisecond
 
-// Announcing says what an announcer does with revisions. Its functions are called from one goroutine.
+// AnnouncerOptions are the options of an Announcer. Its functions are called from one goroutine.
 type AnnouncerOptions struct {
-	Check  func(text []byte) (number uint64, digest string, err error) // reads a revision that another ingress sent
-	Apply   func(text []byte)                                           // has one hold, in place of any other of its number
+	// Check reads the text of a revision that another ingress sent.
+	Check func(text []byte) (number uint64, digest string, err error)
+	// Apply has a revision take effect, in place of any other of its number.
+	Apply func(text []byte)
+	// LivePeers returns the names of the other ingresses that are alive.
 	LivePeers func() []string
-	Read   func(*revisionlog.Record) error // fs.ErrNotExist: none was kept
-	Write  func(revisionlog.Record) error  // returns once it is on disk
+	// Read reads the stored record. fs.ErrNotExist: there is none.
+	Read func(*revisionlog.Record) error
+	// Write replaces the stored record, and returns once it is durable.
+	Write func(revisionlog.Record) error
 }
 
-// Announcer takes and, while this ingress holds the duty, announces revisions.
+// Announcer applies the revisions that are announced and, while this ingress holds RoleCatalogue, announces them.
 type Announcer struct {
-	AnnouncerOptions
-	service  *Service
-	inbox chan func(now singleton.Seconds) []revisionlog.Action
+	options     AnnouncerOptions
+	service     *Service
+	inbox       chan revisionlog.Event
+	ended       <-chan struct{} // closed when run is to end
+	writeFailed bool            // the last record could not be stored; of the goroutine of run
 
-	mu   sync.Mutex // guards the book
+	mu  sync.Mutex // guards log
 	log *revisionlog.Log
-
-	storeFailed bool // the last record could not be written
 }
 
-// Announce has this ingress take announced revisions, and want the duty of announcing them. Those that were kept hold again at once;
-// it tells whether there were any.
-func (s *Service) StartAnnouncer(ctx context.Context, o AnnouncerOptions) (a *Announcer, kept bool) {
+// StartAnnouncer has this ingress apply announced revisions, until the context ends, and request RoleCatalogue.
+// Revisions of the stored record are applied at once; restored reports whether there were any.
+func (s *Service) StartAnnouncer(ctx context.Context, o AnnouncerOptions) (a *Announcer, restored bool) {
 	var r revisionlog.Record
 	if err := o.Read(&r); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		s.options.Log.WithField("code", "duty-record-unusable").WithError(err).Warn("what was announced cannot be read; the holder tells it again")
+		s.log("duty-record-unusable").WithError(err).
+			Warn("stored catalogue revisions cannot be read; the lease holder sends them again")
 		r = revisionlog.Record{}
 	}
-	a = &Announcer{AnnouncerOptions: o, service: s, inbox: make(chan func(singleton.Seconds) []revisionlog.Action, inboxSize), log: revisionlog.New(r)}
+	a = &Announcer{
+		options: o,
+		service: s,
+		inbox:   make(chan revisionlog.Event, inboxSize),
+		ended:   ctx.Done(),
+		log:     revisionlog.New(r),
+	}
 	for _, e := range r.Entries {
 		o.Apply(e.Text)
 	}
-	s.options.Fleet.Handle(topicAnnounce, func(from string, data []byte) {
+	s.options.Fleet.Handle(topicRevisionLog, func(from string, data []byte) {
 		var m revisionlog.Message
-		if cbor.Unmarshal(data, &m) != nil {
-			return
+		if cbor.Unmarshal(data, &m) == nil {
+			a.enqueue(revisionlog.MessageReceived{From: from, Message: m})
 		}
-		a.enqueue(func(now singleton.Seconds) []revisionlog.Action { return a.messageReceived(now, from, m) })
 	})
-	s.goroutines.Add(1)
-	go func() { defer s.goroutines.Done(); a.run(ctx) }()
-	s.AddRole(RoleCatalogue, "", a.announceRole)
+	s.goroutines.Go(func() { a.run(ctx) })
+	s.AddRole(RoleCatalogue, "", a.announceWork)
 	return a, len(r.Entries) > 0
 }
 
-// Offer tells of a revision in this ingress's own file.
-func (a *Announcer) Submit(e revisionlog.Entry) {
-	a.enqueue(func(now singleton.Seconds) []revisionlog.Action { return a.step(now, revisionlog.LocalRevision{Entry: e}) })
-}
+// Submit submits a revision of this ingress's own file.
+func (a *Announcer) Submit(e revisionlog.Entry) { a.enqueue(revisionlog.LocalRevision{Entry: e}) }
 
-// post has something happen in the announcer's goroutine. What comes faster than it is done is lost, as on the network.
-func (a *Announcer) enqueue(f func(singleton.Seconds) []revisionlog.Action) {
+// enqueue hands an event to the goroutine of run. It is dropped if the inbox is full, as on the network.
+func (a *Announcer) enqueue(event revisionlog.Event) {
 	select {
-	case a.inbox <- f:
+	case a.inbox <- event:
 	default:
 	}
 }
 
-// hold is the work of the duty.
-func (a *Announcer) announceRole(ctx context.Context, token func() (uint64, bool)) error {
-	held, ok := token()
-	if ok {
-		a.inbox <- func(now singleton.Seconds) []revisionlog.Action { return a.step(now, revisionlog.LeaseGained{Token: held}) }
+// announceWork is the work of RoleCatalogue.
+func (a *Announcer) announceWork(ctx context.Context, token func() (uint64, bool)) error {
+	if gained, ok := token(); ok {
+		a.enqueueWait(revisionlog.LeaseGained{Token: gained})
 	}
 	<-ctx.Done()
-	a.inbox <- func(now singleton.Seconds) []revisionlog.Action { return a.step(now, revisionlog.LeaseLost{}) }
+	a.enqueueWait(revisionlog.LeaseLost{})
 	return nil
 }
 
-func (a *Announcer) step(now singleton.Seconds, e revisionlog.Event) []revisionlog.Action {
+// enqueueWait hands an event to the goroutine of run, which must not miss it.
+func (a *Announcer) enqueueWait(event revisionlog.Event) {
+	select {
+	case a.inbox <- event:
+	case <-a.ended:
+	}
+}
+
+func (a *Announcer) run(ctx context.Context) {
+	ticker := time.NewTicker(announceInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case event := <-a.inbox:
+			a.handle(event)
+		case <-ticker.C:
+			a.handle(revisionlog.Tick{
+				LivePeers:   a.options.LivePeers(),
+				LeaseHolder: a.service.LeaseHolder(RoleCatalogue),
+			})
+		}
+	}
+}
+
+// handle steps the log and executes its actions. A message with a revision that does not match its digest is dropped.
+func (a *Announcer) handle(event revisionlog.Event) {
+	if m, ok := event.(revisionlog.MessageReceived); ok && !a.check(m) {
+		return
+	}
+	for _, action := range a.step(event) {
+		a.execute(action)
+	}
+}
+
+func (a *Announcer) step(event revisionlog.Event) []revisionlog.Action {
+	now := a.service.now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.log.Step(now, e)
+	return a.log.Step(now, event)
 }
 
-// heard checks what another ingress says: a text must be what its digest and number say.
-func (a *Announcer) messageReceived(now singleton.Seconds, from string, m revisionlog.Message) []revisionlog.Action {
-	for _, e := range m.Entries {
+// check reports whether the texts of a message match their digests and numbers.
+func (a *Announcer) check(m revisionlog.MessageReceived) bool {
+	for _, e := range m.Message.Entries {
 		if len(e.Text) == 0 {
 			continue
 		}
-		if number, digest, err := a.Check(e.Text); err != nil || number != e.Number || digest != e.Digest {
-			a.service.options.Log.WithFields(logrus.Fields{"code": "duty-announcement-bad", "from": from, "revision": e.Number}).WithError(err).Warn("a revision that is not what it is said to be was refused")
-			return nil
+		number, digest, err := a.options.Check(e.Text)
+		if err != nil || number != e.Number || digest != e.Digest {
+			a.service.log("duty-announcement-bad").
+				WithFields(logrus.Fields{"from": m.From, "revision": e.Number}).WithError(err).
+				Warn("announced revision rejected: it does not match its number or digest")
+			return false
 		}
 	}
-	return a.step(now, revisionlog.MessageReceived{From: from, Message: m})
+	return true
 }
 
-func (a *Announcer) run(ctx context.Context) {
-	tick := time.NewTicker(announceInterval)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
+func (a *Announcer) execute(action revisionlog.Action) {
+	switch action := action.(type) {
+	case revisionlog.Send:
+		a.send(action)
+	case revisionlog.Apply:
+		a.options.Apply(action.Entry.Text)
+		a.service.log("duty-announced").WithFields(logrus.Fields{
+			"revision": action.Entry.Number,
+			"digest":   action.Entry.Digest,
+			"token":    action.Entry.Token,
+		}).Info("catalogue revision announced")
+	case revisionlog.StoreRecord:
+		a.store(action.Record)
+	case revisionlog.ReportConflict:
+		a.service.log("duty-revision-turned").
+			WithFields(logrus.Fields{"revision": action.Entry.Number, "digest": action.Entry.Digest}).
+			Error("revision of this ingress's file not announced: its number stands for another content; " +
+				"give it a higher one")
+	}
+}
+
+// send sends a message. One of the lease holder is sent only while this ingress holds the lease under its token.
+func (a *Announcer) send(action revisionlog.Send) {
+	if action.Message.Kind.FromLeaseHolder() {
+		if token, ok := a.service.FencingToken(RoleCatalogue); !ok || token != action.Message.Token {
 			return
-		case f := <-a.inbox:
-			a.execute(f(a.service.now()))
-		case <-tick.C:
-			a.execute(a.step(a.service.now(), revisionlog.Tick{LivePeers: a.LivePeers(), LeaseHolder: a.service.LeaseHolder(RoleCatalogue)}))
 		}
 	}
+	if data, err := cbor.Marshal(action.Message); err == nil {
+		a.service.options.Fleet.Send(action.To, topicRevisionLog, data)
+	}
 }
 
-// carry does what the book wants.
-func (a *Announcer) execute(actions []revisionlog.Action) {
-	for _, x := range actions {
-		switch x := x.(type) {
-		case revisionlog.Send:
-			switch x.Message.Kind {
-			case revisionlog.Query, revisionlog.Announce, revisionlog.Fetch, revisionlog.Reject:
-				if token, ok := a.service.FencingToken(RoleCatalogue); !ok || token != x.Message.Token {
-					continue
-				}
-			}
-			if data, err := cbor.Marshal(x.Message); err == nil {
-				a.service.options.Fleet.Send(x.To, topicAnnounce, data)
-			}
-		case revisionlog.Apply:
-			a.Apply(x.Entry.Text)
-			a.service.options.Log.WithFields(logrus.Fields{"code": "duty-announced", "revision": x.Entry.Number, "digest": x.Entry.Digest, "token": x.Entry.Token}).Info("a revision of the catalogue was announced")
-		case revisionlog.StoreRecord:
-			err := a.Write(x.Record)
-			if err == nil {
-				a.execute(a.step(a.service.now(), revisionlog.RecordStored(x)))
-			} else if !a.storeFailed {
-				a.service.options.Log.WithField("code", "duty-no-room").WithError(err).Error("what was announced holds and cannot be kept; it is tried again, and not confirmed before")
-			}
-			a.storeFailed = err != nil
-		case revisionlog.ReportConflict:
-			a.service.options.Log.WithFields(logrus.Fields{"code": "duty-revision-turned", "revision": x.Entry.Number, "digest": x.Entry.Digest}).Error("a revision of this ingress's file is not announced: its number stands for another; give it a higher one")
-		}
+// store stores a record. One that cannot be stored is not confirmed to the lease holder, and stored again later.
+func (a *Announcer) store(r revisionlog.Record) {
+	err := a.options.Write(r)
+	failedBefore := a.writeFailed
+	if err == nil {
+		a.handle(revisionlog.RecordStored{Record: r})
+	} else if !failedBefore {
+		a.service.log("duty-no-room").WithError(err).
+			Error("announced catalogue revisions apply but cannot be stored; they are not confirmed until they are")
 	}
+	a.writeFailed = err != nil
 }
 
-// Announced is what an ingress tells of the catalogue.
+// AnnouncerStatus is what an ingress reports of the catalogue. The JSON names are those of the first version.
 type AnnouncerStatus struct {
-	LastToken   uint64              `json:"taken"` // the newest token that it was told anything under
-	Holder  string              `json:"holder"`
-	Rejected int                 `json:"refused"`
-	Entries []revisionlog.Entry `json:"entries"` // without texts
+	LastToken uint64              `json:"taken"` // the newest fencing token of a message
+	Holder    string              `json:"holder"`
+	Rejected  int                 `json:"refused"` // messages
+	Entries   []revisionlog.Entry `json:"entries"` // without texts
 }
 
-// Report tells.
+// Status returns the present status.
 func (a *Announcer) Status() AnnouncerStatus {
 	a.mu.Lock()
-	all, taken := a.log.Entries()
-	r := AnnouncerStatus{LastToken: taken, Rejected: a.log.Rejected()}
+	entries, lastToken := a.log.Entries()
+	status := AnnouncerStatus{LastToken: lastToken, Rejected: a.log.Rejected()}
 	a.mu.Unlock()
-	r.Holder = a.service.LeaseHolder(RoleCatalogue)
-	for _, e := range all {
+	status.Holder = a.service.LeaseHolder(RoleCatalogue)
+	for _, e := range entries {
 		e.Text = nil
-		r.Entries = append(r.Entries, e)
+		status.Entries = append(status.Entries, e)
 	}
-	return r
+	return status
 }
--- a/internal/standalone/fleet/leaseservice/encoding_test.go
+++ b/internal/standalone/fleet/leaseservice/encoding_test.go
@@ -14,8 +14,9 @@
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
-// TestEncodingOfLandedVersion holds the messages between ingresses, the replies of the mgmt interface and the records on
-// disk still: the files under testdata/landed were written by commit 76a3bb5, before the types and fields were renamed.
+// TestEncodingOfLandedVersion holds the messages between ingresses, the replies of the mgmt interface and the records
+// on disk still: the files under testdata/landed were written by commit 76a3bb5, before the types and fields were
+// renamed.
 func TestEncodingOfLandedVersion(t *testing.T) {
 	status := Status{
 		Error:  "e",
@@ -35,8 +36,8 @@
 		file  string
 		value any
 	}{
-		{"call_status.cbor", call{Command: "status"}},
-		{"call_give.cbor", call{Command: "give", Role: "export", Name: "n2"}},
+		{"call_status.cbor", callRequest{Command: commandStatus}},
+		{"call_give.cbor", callRequest{Command: commandTransfer, Role: "export", Name: "n2"}},
 		{"told.cbor", status},
 		{"told.json", status},
 		{"posting.cbor", exportRequest{
--- /dev/null
+++ b/internal/standalone/fleet/leaseservice/export.go
@@ -0,0 +1,220 @@
+package leaseservice
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// RoleExport is the role of sending the usage of the whole fleet to billing: the lease holder posts the batches that
+// the ingresses hand to it. A batch stays with its ingress until billing has acknowledged it, and is the same bytes
+// each time it is sent.
+const RoleExport = "export"
+
+// FencingTokenHeader is the header by which billing rejects what a former lease holder sends.
+const FencingTokenHeader = "X-Fencing-Token"
+
+const (
+	maxBatchBytes    = 2 << 20 // of a compressed batch
+	maxResponseBytes = 64 << 10
+	exportTimeout    = 10 * time.Second
+
+	// minExportTime is how long an export may take at least; else it ends with the lease.
+	minExportTime = 1.0 // seconds
+
+	// unreachableTimeout is how long a lease holder that does not reach billing keeps the role: another may reach it.
+	unreachableTimeout = 4 * time.Second
+
+	maxBillingConns        = 8
+	billingConnIdleTimeout = 5 * time.Second
+)
+
+// exportRequest is a request to billing on its way to the lease holder.
+type exportRequest struct {
+	Header map[string][]string `cbor:"2,keyasint"`
+	Body   []byte              `cbor:"3,keyasint"`
+}
+
+// exportResponse is the response of billing, or an error of the lease holder.
+type exportResponse struct {
+	Status int                 `cbor:"1,keyasint"` // 0: Body is an error
+	Header map[string][]string `cbor:"2,keyasint"`
+	Body   []byte              `cbor:"3,keyasint"`
+}
+
+// billingClient bounds the connections to billing.
+var billingClient = &http.Client{Transport: &http.Transport{
+	MaxConnsPerHost: maxBillingConns,
+	IdleConnTimeout: billingConnIdleTimeout,
+}}
+
+// billingState is what a lease holder knows of billing.
+type billingState struct {
+	mu               sync.Mutex // guards what follows, except the channel
+	endpoint         string
+	unreachableSince time.Time // zero: billing answered last
+
+	unreachable chan error // receives an error once billing was not reached for too long
+}
+
+func (b *billingState) setEndpoint(endpoint string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.endpoint = endpoint
+}
+
+func (b *billingState) getEndpoint() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.endpoint
+}
+
+// observe notes whether billing answered, with whatever status.
+func (b *billingState) observe(err error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	switch {
+	case err == nil:
+		b.unreachableSince = time.Time{}
+	case b.unreachableSince.IsZero():
+		b.unreachableSince = time.Now()
+	case time.Since(b.unreachableSince) > unreachableTimeout:
+		select {
+		case b.unreachable <- fmt.Errorf("%w: %w", errBillingUnreachable, err):
+		default:
+		}
+	}
+}
+
+// AddExport has this ingress request RoleExport, and send usage to an endpoint while it holds the lease.
+func (s *Service) AddExport(endpoint string) {
+	s.billing.setEndpoint(endpoint)
+	s.AddRole(RoleExport, "", s.exportWork)
+}
+
+// exportWork is the work of RoleExport. Batches are sent by handleExport as they arrive; this only ends the role when
+// billing is not reached.
+func (s *Service) exportWork(ctx context.Context, _ func() (uint64, bool)) error {
+	s.billing.observe(nil)
+	select {
+	case <-s.billing.unreachable: // of an earlier lease
+	default:
+	}
+	select {
+	case <-ctx.Done():
+		return nil
+	case err := <-s.billing.unreachable:
+		return err
+	}
+}
+
+// ExportTransport is the HTTP transport of an exporter: its requests reach billing by way of the holder of
+// RoleExport.
+type ExportTransport struct{ Service *Service }
+
+// RoundTrip hands a request to the lease holder, and returns the response of billing.
+func (t ExportTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	s := t.Service
+	body, err := readBatch(r)
+	if err != nil {
+		return nil, err
+	}
+	leaseHolder := s.LeaseHolder(RoleExport)
+	if leaseHolder == "" {
+		return nil, errNoLeaseHolder
+	}
+	data, err := cbor.Marshal(exportRequest{Header: r.Header, Body: body})
+	if err != nil {
+		return nil, err
+	}
+	answer, err := s.call(r.Context(), []string{leaseHolder}, topicExport, data, exportTimeout)
+	if err != nil {
+		return nil, err
+	}
+	var response exportResponse
+	if err := cbor.Unmarshal(answer, &response); err != nil {
+		return nil, fmt.Errorf("decode the response of %s to an export: %w", leaseHolder, err)
+	}
+	if response.Status == 0 {
+		return nil, &ExportError{LeaseHolder: leaseHolder, Message: string(response.Body)}
+	}
+	return &http.Response{
+		StatusCode:    response.Status,
+		Header:        response.Header,
+		Body:          io.NopCloser(bytes.NewReader(response.Body)),
+		ContentLength: int64(len(response.Body)),
+		Request:       r,
+	}, nil
+}
+
+// readBatch reads and closes the body of a request.
+func readBatch(r *http.Request) ([]byte, error) {
+	defer r.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBatchBytes+1))
+	if err != nil {
+		return nil, fmt.Errorf("read a batch: %w", err)
+	}
+	if len(body) > maxBatchBytes {
+		return nil, fmt.Errorf("%w: over %d bytes", errBatchTooLarge, maxBatchBytes)
+	}
+	return body, nil
+}
+
+// handleExport sends a batch of another ingress to billing, if this one holds RoleExport. The fencing token goes with
+// it: where this process is paused between the check and the request, billing rejects it. mu is held.
+func (s *Service) handleExport(m message) {
+	var r exportRequest
+	if len(m.data) < callIDLength || cbor.Unmarshal(m.data[callIDLength:], &r) != nil {
+		return
+	}
+	token, holds := s.leaseHolder.FencingToken(s.now(), RoleExport)
+	leaseLeft := s.leaseHolder.ExpiresAt(RoleExport) - s.now()
+	endpoint := s.billing.getEndpoint() // of this ingress: what others hand over goes nowhere else
+	s.workers.Go(func() {
+		if !holds {
+			s.respondToExport(m, exportResponse{Body: []byte(errNotLeaseHolder.Error())})
+			return
+		}
+		timeout := time.Duration(max(leaseLeft, minExportTime) * float64(time.Second))
+		ctx, cancel := context.WithTimeout(s.ctx, timeout)
+		defer cancel()
+		response, err := s.postToBilling(ctx, endpoint, r, token)
+		if err != nil {
+			response = exportResponse{Body: []byte(err.Error())}
+		}
+		s.respondToExport(m, response)
+	})
+}
+
+// postToBilling posts a batch under a fencing token.
+func (s *Service) postToBilling(
+	ctx context.Context, endpoint string, batch exportRequest, token uint64,
+) (exportResponse, error) {
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, endpoint, bytes.NewReader(batch.Body))
+	if err != nil {
+		return exportResponse{}, err
+	}
+	r.Header = batch.Header
+	r.Header.Set(FencingTokenHeader, strconv.FormatUint(token, 10))
+	response, err := billingClient.Do(r)
+	s.billing.observe(err)
+	if err != nil {
+		return exportResponse{}, err
+	}
+	defer response.Body.Close()
+	body, _ := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes)) // its status is what counts
+	return exportResponse{Status: response.StatusCode, Header: response.Header, Body: body}, nil
+}
+
+func (s *Service) respondToExport(request message, response exportResponse) {
+	if data, err := cbor.Marshal(response); err == nil {
+		s.respond(request, topicExportResponse, data)
+	}
+}
--- /dev/null
+++ b/internal/standalone/fleet/leaseservice/messages.go
@@ -0,0 +1,119 @@
+package leaseservice
+
+import (
+	"slices"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"mulleinrouter/internal/standalone/fleet/gossip"
+	"mulleinrouter/internal/standalone/fleet/quorum"
+	"mulleinrouter/internal/standalone/fleet/singleton"
+)
+
+// Topics of messages between ingresses.
+const (
+	topicVote            gossip.Topic = 1 // between voters: quorum.Message
+	topicAcquireRequest  gossip.Topic = 2 // to voters: singleton.AcquireRequest
+	topicAcquireResponse gossip.Topic = 3 // from the leader: singleton.AcquireResponse
+	topicWake            gossip.Topic = 4 // from the leader: send the next request at once
+	topicCall            gossip.Topic = 5 // an operator's call, to voters; the leader responds
+	topicCallResponse    gossip.Topic = 6
+	topicExport          gossip.Topic = 7 // a batch of usage, to the holder of RoleExport
+	topicExportResponse  gossip.Topic = 8
+	topicRevisionLog     gossip.Topic = 9 // revisionlog.Message, see Announcer
+)
+
+// handledTopics are the topics that Service.handleMessage handles.
+var handledTopics = []gossip.Topic{
+	topicVote,
+	topicAcquireRequest,
+	topicAcquireResponse,
+	topicWake,
+	topicCall,
+	topicCallResponse,
+	topicExport,
+	topicExportResponse,
+}
+
+// wakePayload is the payload of topicWake, which says nothing.
+var wakePayload = []byte{1}
+
+// message is a message of another ingress, or of this one to itself.
+type message struct {
+	topic gossip.Topic
+	from  string
+	data  []byte
+}
+
+// enqueue hands a message to the goroutine of run. It is dropped if the inbox is full.
+func (s *Service) enqueue(m message) {
+	select {
+	case s.inbox <- m:
+	default:
+	}
+}
+
+// handleMessage handles a message. One that cannot be decoded is dropped.
+func (s *Service) handleMessage(m message) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	switch m.topic {
+	case topicVote:
+		if s.voter == nil {
+			return
+		}
+		if output, err := s.voter.Receive(s.now(), m.data); err == nil {
+			s.deliver(output)
+		}
+	case topicAcquireRequest:
+		var r singleton.AcquireRequest
+		if s.voter != nil && cbor.Unmarshal(m.data, &r) == nil && r.From.Name == m.from {
+			s.deliver(s.voter.HandleRequest(s.now(), r))
+		}
+	case topicAcquireResponse:
+		var r singleton.AcquireResponse
+		if slices.Contains(s.options.Voters, m.from) && cbor.Unmarshal(m.data, &r) == nil {
+			s.responseReceived(r)
+		}
+	case topicWake:
+		s.stepHolder(singleton.WakeReceived{})
+	case topicCall:
+		s.handleCall(m)
+	case topicExport:
+		s.handleExport(m)
+	case topicCallResponse, topicExportResponse:
+		s.calls.complete(m.data)
+	}
+}
+
+// responseReceived handles a response of the leader. mu is held.
+func (s *Service) responseReceived(r singleton.AcquireResponse) {
+	for _, status := range r.Grants {
+		s.roleStatus[status.Role] = status
+	}
+	s.stepHolder(singleton.ResponseReceived{Response: r})
+}
+
+// deliver sends what the voter wants sent. mu is held.
+func (s *Service) deliver(output quorum.Output) {
+	for _, m := range output.Messages {
+		s.options.Fleet.Send(m.To, topicVote, m.Data)
+	}
+	self := s.self()
+	for _, reply := range output.Replies {
+		if reply.To.Name == self {
+			s.responseReceived(reply.Response)
+			continue
+		}
+		if data, err := cbor.Marshal(reply.Response); err == nil {
+			s.options.Fleet.Send(reply.To.Name, topicAcquireResponse, data)
+		}
+	}
+	for _, name := range output.Wake {
+		if name == self {
+			s.stepHolder(singleton.WakeReceived{})
+			continue
+		}
+		s.options.Fleet.Send(name, topicWake, wakePayload)
+	}
+}
--- /dev/null
+++ b/internal/standalone/fleet/leaseservice/service.go
@@ -0,0 +1,203 @@
+package leaseservice
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"path/filepath"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"mulleinrouter/internal/standalone/fleet/membership"
+	"mulleinrouter/internal/standalone/fleet/quorum"
+	"mulleinrouter/internal/standalone/fleet/quorum/boltstore"
+	"mulleinrouter/internal/standalone/fleet/singleton"
+)
+
+const (
+	tickInterval   = 100 * time.Millisecond
+	stallThreshold = time.Second // without a tick, after which the process is taken to have been paused
+	inboxSize      = 1024        // messages; more are dropped, as on the network
+	storeFile      = "votes.db"  // of a voter, in Options.Dir
+	tokenBaseShift = 20          // of the time in seconds, see quorum.Open
+)
+
+// Service runs the leases of one ingress. Its methods are safe for concurrent use.
+type Service struct {
+	options   Options
+	startedAt time.Time
+	store     *boltstore.Store // nil: no voter
+	inbox     chan message
+	calls     pendingCalls
+	billing   billingState
+
+	ctx        context.Context // ends with Stop
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup // run, storeRecords, announcers
+	workers    sync.WaitGroup // work of roles, exports
+
+	// mu guards what follows. It is held while the voter stores a batch, as nothing may be sent, and no lease be acted
+	// on, before the batch is durable; and while messages are sent, which does not block.
+	mu          sync.Mutex
+	leaseHolder *singleton.LeaseHolder
+	identity    singleton.Identity
+	voter       *quorum.Voter // nil: no voter
+	voterStatus voterStatus   // as last logged
+	roles       map[string]*role
+	roleStatus  map[string]singleton.RoleStatus // by role, of the last response
+	lastTick    time.Duration                   // since startedAt
+	drained     bool                            // no role is requested, see Resign
+	stopped     bool
+
+	recordFailed    bool          // the record cannot be stored: no role is requested
+	recordCheckedAt time.Duration // since startedAt: when it was last stored, or failed to be
+}
+
+// voterStatus is the part of a voter's status of which changes are logged.
+type voterStatus struct {
+	state  quorum.State
+	leader string
+	voters string
+}
+
+// Start starts a service. A voter whose store cannot be opened is logged, and the rest runs without it.
+func Start(o Options) *Service {
+	self := o.Fleet.Self()
+	s := &Service{
+		options:     o,
+		startedAt:   time.Now(),
+		inbox:       make(chan message, inboxSize),
+		billing:     billingState{unreachable: make(chan error, 1)},
+		leaseHolder: singleton.NewLeaseHolder(identityOf(self), o.Zone),
+		roles:       map[string]*role{},
+		roleStatus:  map[string]singleton.RoleStatus{},
+	}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
+	if slices.Contains(o.Voters, self.Name) {
+		s.openVoter(self.Name)
+	}
+	for _, topic := range handledTopics {
+		o.Fleet.Handle(topic, func(from string, data []byte) { s.enqueue(message{topic, from, data}) })
+	}
+	s.goroutines.Go(s.run)
+	if o.StoreRecord != nil {
+		s.goroutines.Go(s.storeRecords)
+	}
+	return s
+}
+
+func (s *Service) openVoter(name string) {
+	s.store = &boltstore.Store{Path: filepath.Join(s.options.Dir, storeFile)}
+	var store quorum.Store = s.store
+	if s.options.WrapStore != nil {
+		store = s.options.WrapStore(store)
+	}
+	tokenBase := uint64(time.Now().Unix()) << tokenBaseShift
+	voter, err := quorum.Open(name, s.options.Voters, store, tokenBase)
+	if err != nil {
+		s.log("duty-voter-unusable").WithError(err).Error("voter disabled: its store cannot be opened")
+	}
+	s.voter = voter
+}
+
+// Stop ends the service, the work of all roles included, and waits.
+func (s *Service) Stop() {
+	s.cancel()
+	s.goroutines.Wait()
+	s.mu.Lock()
+	s.stopped = true
+	for _, r := range s.roles {
+		r.stop()
+	}
+	s.mu.Unlock()
+	s.workers.Wait()
+	if s.store != nil {
+		s.store.Close()
+	}
+}
+
+func identityOf(m membership.Member) singleton.Identity {
+	return singleton.Identity{Name: m.Name, Boot: m.Boot, Nonce: m.Nonce}
+}
+
+// now is the time of this process's monotonic clock.
+func (s *Service) now() singleton.Seconds {
+	return time.Since(s.startedAt).Seconds() * cmp.Or(s.options.ClockRate, 1)
+}
+
+func (s *Service) self() string { return s.options.Fleet.Self().Name }
+
+func (s *Service) log(code string) *logrus.Entry { return s.options.Log.WithField("code", code) }
+
+// run handles messages and ticks until the service is stopped.
+func (s *Service) run() {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	s.mu.Lock()
+	s.lastTick = time.Since(s.startedAt)
+	s.mu.Unlock()
+	for {
+		select {
+		case <-s.ctx.Done():
+			return
+		case m := <-s.inbox:
+			s.handleMessage(m)
+		case <-ticker.C:
+			s.tick()
+		}
+	}
+}
+
+func (s *Service) tick() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := time.Since(s.startedAt)
+	if now-s.lastTick > stallThreshold {
+		s.stepHolder(singleton.StallDetected{})
+	}
+	s.lastTick = now
+	if identity := identityOf(s.options.Fleet.Self()); identity != s.identity {
+		s.leaseHolder.SetIdentity(identity)
+		s.identity = identity
+	}
+	if s.voter != nil {
+		s.voter.Reopen(s.now())
+		s.deliver(s.voter.Tick(s.now()))
+		s.logVoterStatus()
+	}
+	s.checkRecordStored(now)
+	s.stepHolder(singleton.LeaseHolderTick{})
+}
+
+// logVoterStatus logs changes of the voter. mu is held.
+func (s *Service) logVoterStatus() {
+	status := s.voter.Status()
+	present := voterStatus{status.State, status.Leader, fmt.Sprint(status.Voters)}
+	if present == s.voterStatus {
+		return
+	}
+	s.voterStatus = present
+	s.log("duty-voter").WithFields(logrus.Fields{
+		"state":  string(present.state),
+		"leader": present.leader,
+		"voters": present.voters,
+		"why":    status.Reason,
+	}).Info("voter state changed")
+}
+
+// FencingToken returns the token under which this ingress may act on a role now; ok is false where it may not.
+func (s *Service) FencingToken(role string) (token uint64, ok bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.leaseHolder.FencingToken(s.now(), role)
+}
+
+// LeaseHolder returns the name of the ingress that holds a role, as far as is known here; empty: none.
+func (s *Service) LeaseHolder(role string) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.roleStatus[role].Holder
+}
--- a/internal/standalone/fleet/revisionlog/messages.go
+++ b/internal/standalone/fleet/revisionlog/messages.go
@@ -53,7 +53,7 @@
 // Message is a message between ingresses.
 type Message struct {
 	Kind    MessageKind `cbor:"1,keyasint"`
-	Token   uint64      `cbor:"2,keyasint,omitempty"` // of the lease holder; of an Inventory: the newest that the sender knows
+	Token   uint64      `cbor:"2,keyasint,omitempty"` // of an Inventory: the newest known; else the lease holder's
 	Entries []Entry     `cbor:"3,keyasint,omitempty"`
 }
 
