--- a/internal/dataplane/backoff/backoff_test.go
+++ b/internal/dataplane/backoff/window_test.go
@@ -6,32 +6,36 @@
 	"time"
 )
 
-// queue is a service that takes calls in turn, one in 80 ms, holds 30, and works also on those given up after 2 s.
+// queue is a service that takes calls in turn, one in 80 ms, holds 30, and works also on those abandoned after
+// 2 s.
 type queue struct{ free time.Duration }
 
 const (
-	work, patience, room = 80 * time.Millisecond, 2 * time.Second, 30
+	callTime, callTimeout, queueLength = 80 * time.Millisecond, 2 * time.Second, 30
 )
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// call tells when the call is over, and whether it was answered.
+// call returns when the call is over, and whether it was answered.
 func (q *queue) call(now time.Duration) (time.Duration, bool) {
 	if q.free < now {
 		q.free = now
 	}
-	if q.free-now > room*work {
+	if q.free-now > queueLength*callTime {
 		return now + 3*time.Millisecond, false
 	}
-	q.free += work
-	if q.free-now > patience {
-		return now + patience, false
+	q.free += callTime
+	if q.free-now > callTimeout {
+		return now + callTimeout, false
 	}
 	return q.free, true
 }
 
-// served plays a fleet that asks until it is answered, all from the same moment on, and tells when half and all were.
-func served(fleet int, seed uint64, wait func(ingress int, chance float64) time.Duration, until time.Duration) (half, all time.Duration, calls int) {
+// served simulates a fleet that calls until it is answered, all from the same moment on, and returns when half and
+// all were.
+func served(
+	fleet int, seed uint64, wait func(ingress int, chance float64) time.Duration, until time.Duration,
+) (half, all time.Duration, calls int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	due, q, done := make([]time.Duration, fleet), queue{}, 0
 	for i := range due {
@@ -62,8 +66,8 @@
 	return half, all, calls
 }
 
-// A fleet that loses a shared service at one moment gets it back, whatever its size. With the short fixed wait there was
-// before, it never does.
+// A fleet that loses a shared service at one moment gets it back, whatever its size. With the short fixed
+// wait there was before, it never does.
 func TestFleetGetsServiceBack(t *testing.T) {
 	for seed := range uint64(20) {
 		for _, fleet := range []int{1, 3, 80, 300} {
@@ -71,10 +75,17 @@
 			for i := range windows {
 				windows[i] = New(fleet)
 			}
-			limit := 2*time.Duration(fleet)*work + 3*patience
-			half, all, calls := served(fleet, seed, func(i int, chance float64) time.Duration { return seconds(windows[i].Failed(chance)) }, time.Hour)
+			limit := 2*time.Duration(fleet)*callTime + 3*callTimeout
+			half, all, calls := served(
+				fleet, seed,
+				func(i int, chance float64) time.Duration { return seconds(windows[i].Failed(chance)) },
+				time.Hour,
+			)
 			if half > limit || calls > 2*fleet+2 {
-				t.Errorf("%d ingresses, seed %d: half after %v, all after %v, %d calls", fleet, seed, half, all, calls)
+				t.Errorf(
+					"%d ingresses, seed %d: half after %v, all after %v, %d calls", fleet, seed, half, all,
+					calls,
+				)
 			}
 		}
 		fixed := func(int, float64) time.Duration { return 200 * time.Millisecond }
@@ -97,10 +108,10 @@
 			t.Errorf("wait %d is %v, want %v s", i, got[i], want)
 		}
 	}
-	if wait := New(1 << 40).Failed(0.999); wait > longest {
+	if wait := New(1 << 40).Failed(0.999); wait > maxFirst {
 		t.Errorf("with a number that cannot be true: %v", wait)
 	}
-	if wait := New(-1).Failed(0.999); wait <= 0 || wait > least {
-		t.Errorf("without a told number: %v", wait)
+	if wait := New(-1).Failed(0.999); wait <= 0 || wait > minWindow {
+		t.Errorf("without a known number: %v", wait)
 	}
 }
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -110,10 +110,10 @@
 // flight. A limit of two or three cannot be divided among gateways. The attempts of the others are estimated
 // from the totals or, before these show a burst, from this gateway's own arrivals.
 func (g *Gateway) probablyWithinInFlightLimit(c *customer) float64 {
-	y := &c.cycle
-	others := min(y.localRate, quietFraction*c.quota/c.gateways) * (c.gateways - 1)
+	cycle := &c.cycle
+	others := min(cycle.localRate, quietFraction*c.quota/c.gateways) * (c.gateways - 1)
 	if g.totalsValid(c) {
-		others = y.totalRate - y.localRate + (c.gateways-y.reporters)*quietFraction*c.quota/c.gateways
+		others = cycle.totalRate - cycle.localRate + (c.gateways-cycle.reporters)*quietFraction*c.quota/c.gateways
 	}
 	rate := max(others, c.arrivals.perSecond*(c.gateways-1))
 	return poissonBelow(c.plan.MaxInFlight-c.inFlight, rate*g.defaultPool.latency)
--- a/internal/decision/arrival_rate.go
+++ b/internal/decision/arrival_rate.go
@@ -11,9 +11,9 @@
 	at        Seconds // when perSecond was computed
 }
 
-func (a *arrivalRate) observe(now Seconds) {
-	a.perSecond = a.perSecond*math.Exp((a.at-now)/arrivalWindow) + 1/arrivalWindow
-	a.at = now
+func (ar *arrivalRate) observe(now Seconds) {
+	ar.perSecond = ar.perSecond*math.Exp((ar.at-now)/arrivalWindow) + 1/arrivalWindow
+	ar.at = now
 }
 
 // poissonBelow is the probability of fewer than n events where mean are expected.
--- a/internal/decision/conformance/estimator.go
+++ b/internal/decision/conformance/estimator.go
@@ -1,41 +1,44 @@
-// Package conformance keeps how often requests turned out to be inside their quota, of those that the shared
-// counter was asked about, so that others can be decided without asking. It does no I/O and reads no clock.
-//
-// Among 80 ingresses each meets a member about once a minute, and the counter takes half of the calls: most
-// requests are first meetings that no call decides. Let in, a sixth of all that was sent on was beyond
-// quotas. What an ingress can tell of such a request is whether its client marks it as a repeat: most that
-// are refused for their quota come again, and by then four of five are beyond it. First tries and repeats are
-// kept apart, over all members whose requests cost beyond the quota, for one ingress asks about each kind
-// only once in a second or two: kept for each member, it would never learn anything.
 package conformance
 
 const (
-	// Weight of what was known, with each further answer: about the last twenty count.
+	// observationRetention is the weight of what was known at each further observation: about the last twenty
+	// count.
 	observationRetention = 0.95
-	priorObservations    = 1.0 // answers that count as inside, before any came
+	// priorObservations is how many observations count as conforming before any was made.
+	priorObservations = 1.0
 )
 
-// Estimator are those of one ingress. The zero value knows nothing: all is inside.
-type Estimator struct{ first, repeat conformingRatio }
+// Estimator estimates the probability that a request conforms to its quota, from the requests about which the
+// shared counter was called. The zero value knows nothing: all requests conform.
+//
+// Among 80 gateways each sees a customer about once a minute, and the counter takes half of the calls: most
+// requests are the first of their customer and no call decides them. Were all of them admitted, a sixth of
+// what is forwarded would be over quota. What a gateway knows of such a request is whether its client marks
+// it as a retry: most that are rejected for their quota come again, and by then four of five are over quota.
+// So first requests and retries are kept apart, over all customers whose excess costs: one gateway calls the
+// counter about each kind only once in a second or two, and kept for each customer it would never learn
+// anything.
+type Estimator struct{ first, retry conformingRatio }
 
+// conformingRatio is how many requests conformed of those that were observed, weighted by age.
 type conformingRatio struct{ conforming, observed float64 }
 
-func (o *Estimator) of(repeat bool) *conformingRatio {
-	if repeat {
-		return &o.repeat
+func (e *Estimator) ratio(clientRetry bool) *conformingRatio {
+	if clientRetry {
+		return &e.retry
 	}
-	return &o.first
+	return &e.first
 }
 
-// Observe tells what came of a request that was asked about: the chance, 0 to 1, of it being inside its
-// quota.
-func (o *Estimator) Observe(repeat bool, inside float64) {
-	m := o.of(repeat)
-	m.conforming, m.observed = observationRetention*m.conforming+inside, observationRetention*m.observed+1
+// Observe learns the probability, 0 to 1, with which a request conformed that the counter was called about.
+func (e *Estimator) Observe(clientRetry bool, probability float64) {
+	r := e.ratio(clientRetry)
+	r.conforming = observationRetention*r.conforming + probability
+	r.observed = observationRetention*r.observed + 1
 }
 
-// Conforming is the chance that a request that is not asked about is inside its quota.
-func (o *Estimator) Conforming(repeat bool) float64 {
-	m := o.of(repeat)
-	return (m.conforming + priorObservations) / (m.observed + priorObservations)
+// Conforming is the estimated probability, 0 to 1, that a request conforms to its quota.
+func (e *Estimator) Conforming(clientRetry bool) float64 {
+	r := e.ratio(clientRetry)
+	return (r.conforming + priorObservations) / (r.observed + priorObservations)
 }
--- a/internal/decision/conformance/value_distribution.go
+++ b/internal/decision/conformance/value_distribution.go
@@ -1,40 +1,44 @@
 package conformance
 
-// ValueDistribution is what a member asks for, by worth: which part of its use, in units, each worth makes up
-// lately. The zero value knows nothing.
-type ValueDistribution struct {
-	values, demand []float64
-	total          float64
-}
-
 const (
-	retention = 0.97 // weight of what was asked, with each further request: about the last thirty count
-	maxValues = 16   // worths that are told apart; further ones count as none dearer
+	retention = 0.97 // weight of earlier demand at each further request: about the last thirty count
+	maxValues = 16   // that are told apart; requests of further ones count in the total alone
 )
 
-// Observe adds a request of a worth, in points, and what it asked, in units.
-func (m *ValueDistribution) Observe(worth, units float64) {
-	at := -1
-	for i := range m.demand {
-		m.demand[i] *= retention
-		if m.values[i] == worth {
-			at = i
+// ValueDistribution is the recent demand of one customer, in units, by the value of its requests. The zero
+// value knows nothing.
+type ValueDistribution struct {
+	values []float64
+	demand []float64 // units, by the index of values
+	total  float64   // units
+}
+
+// Observe adds a request of a value and its units.
+func (vd *ValueDistribution) Observe(value, units float64) {
+	index := -1
+	for i := range vd.demand {
+		vd.demand[i] *= retention
+		if vd.values[i] == value {
+			index = i
 		}
 	}
-	if m.total = retention*m.total + units; at < 0 && len(m.values) < maxValues {
-		at, m.values, m.demand = len(m.values), append(m.values, worth), append(m.demand, 0)
+	vd.total = retention*vd.total + units
+	if index < 0 && len(vd.values) < maxValues {
+		index = len(vd.values)
+		vd.values = append(vd.values, value)
+		vd.demand = append(vd.demand, 0)
 	}
-	if at >= 0 {
-		m.demand[at] += units
+	if index >= 0 {
+		vd.demand[index] += units
 	}
 }
 
-// ShareAbove is the part of what was asked, 0 to 1, that is worth more.
-func (m *ValueDistribution) ShareAbove(worth float64) (part float64) {
-	for i, w := range m.values {
-		if w > worth && m.total > 0 {
-			part += m.demand[i] / m.total
+// ShareAbove is the share of the recent demand, 0 to 1, whose value is higher.
+func (vd *ValueDistribution) ShareAbove(value float64) (share float64) {
+	for i, v := range vd.values {
+		if v > value && vd.total > 0 {
+			share += vd.demand[i] / vd.total
 		}
 	}
-	return min(1, part)
+	return min(1, share)
 }
--- a/internal/decision/counter_cycles.go
+++ b/internal/decision/counter_cycles.go
@@ -43,12 +43,12 @@
 }
 
 // numberAt is the number of the cycle at a time, the same at all gateways.
-func (y *counterCycle) numberAt(now Seconds) int64 {
-	return int64(math.Floor((now - y.phase) / y.period))
+func (cc *counterCycle) numberAt(now Seconds) int64 {
+	return int64(math.Floor((now - cc.phase) / cc.period))
 }
 
 // neverRead reports whether no total has come yet.
-func (y *counterCycle) neverRead() bool { return math.IsInf(y.totalAt, -1) }
+func (cc *counterCycle) neverRead() bool { return math.IsInf(cc.totalAt, -1) }
 
 // totalsValid reports whether the last total is believed.
 func (g *Gateway) totalsValid(c *customer) bool {
@@ -63,12 +63,12 @@
 //
 // So all slices sum up to Q at each step, and where more is asked, each gateway has the same ratio of it.
 func (c *customer) pinSlice(grantable float64) {
-	y := &c.cycle
-	if y.totalRate > grantable {
-		c.bucket.slice = grantable * y.localRate / y.totalRate
+	cycle := &c.cycle
+	if cycle.totalRate > grantable {
+		c.bucket.slice = grantable * cycle.localRate / cycle.totalRate
 		return
 	}
-	c.bucket.slice = y.localRate + (grantable-y.totalRate)/y.reporters
+	c.bucket.slice = cycle.localRate + (grantable-cycle.totalRate)/cycle.reporters
 }
 
 // grantable is what the given number of reporting gateways may grant together: quiet ones keep their part.
@@ -135,15 +135,15 @@
 
 // measureDemand sets the local rate from the demand of the cycle that ends.
 func (g *Gateway) measureDemand(c *customer) {
-	y := &c.cycle
-	span := max(g.now-y.startedAt, y.period/2)
-	rate := y.demand / span / max(minProcess, g.processShare())
-	if g.settings.PairCounters && !y.neverRead() {
-		rate = y.localRate + demandSmoothing*(rate-y.localRate)
+	cycle := &c.cycle
+	span := max(g.now-cycle.startedAt, cycle.period/2)
+	rate := cycle.demand / span / max(minProcess, g.processShare())
+	if g.settings.PairCounters && !cycle.neverRead() {
+		rate = cycle.localRate + demandSmoothing*(rate-cycle.localRate)
 	}
-	y.localRate = rate
-	y.demand = 0
-	y.startedAt = g.now
+	cycle.localRate = rate
+	cycle.demand = 0
+	cycle.startedAt = g.now
 }
 
 // packing tells how one number of seven digits holds the reporters, in multiples of reporterUnit, and below
@@ -155,7 +155,7 @@
 
 // handleCounterReply takes a total. One that is no valid answer for this cycle leaves the slice as it is.
 func (g *Gateway) handleCounterReply(e CounterReply) {
-	g.noteOwnerReply(e)
+	g.observeOwnerReply(e)
 	g.counter.observe(g.now, e.Outcome)
 	c := g.customers[e.Name[:max(0, strings.LastIndexByte(e.Name, '/'))]]
 	if c == nil {
@@ -170,7 +170,7 @@
 	}
 	current := c.cycle.calls > 0 && c.counterName(c.cycle.number) == e.Name
 	if c.sparse.active || !current || e.Outcome != Succeeded {
-		c.noteReportTaken(g.now, e)
+		c.observeReportAccepted(g.now, e)
 		return
 	}
 	if g.settings.PairCounters {
@@ -193,21 +193,21 @@
 
 // applyTotals sets the slice from totals, unless they cannot be true.
 func (g *Gateway) applyTotals(c *customer, totalRate, reporters float64) {
-	y := &c.cycle
-	fewer := reporters < y.reporters
+	cycle := &c.cycle
+	fewer := reporters < cycle.reporters
 	// The counter may have lost what it counted. This is doubted once only.
-	doubtful := g.totalsValid(c) && fewer && totalRate < doubtFraction*y.totalRate
+	doubtful := g.totalsValid(c) && fewer && totalRate < doubtFraction*cycle.totalRate
 	switch {
 	case reporters < 1 || reporters > c.gateways:
 		return
-	case totalRate < y.localRate/2: // not even what this gateway reported
+	case totalRate < cycle.localRate/2: // not even what this gateway reported
 		return
-	case fewer && g.now < y.holdUntil:
+	case fewer && g.now < cycle.holdUntil:
 		return
 	}
-	y.totalRate = totalRate
-	y.reporters = reporters
-	y.totalAt = g.now
+	cycle.totalRate = totalRate
+	cycle.reporters = reporters
+	cycle.totalAt = g.now
 	if doubtful || c.plan.Rate <= 0 {
 		return
 	}
--- a/internal/decision/counter_health.go
+++ b/internal/decision/counter_health.go
@@ -25,42 +25,42 @@
 }
 
 // observe learns how a call ended.
-func (h *counterHealth) observe(now Seconds, outcome Outcome) {
+func (ch *counterHealth) observe(now Seconds, outcome Outcome) {
 	replied := outcome == Succeeded || outcome == Rejected || outcome == Failed
 	if replied {
-		if h.unanswered >= pauseAfterFailures && now-h.repliedAt > counterLostAfter {
+		if ch.unanswered >= pauseAfterFailures && now-ch.repliedAt > counterLostAfter {
 			// Raised from the minimum by few calls, it would be minutes until quotas are watched again.
-			h.callProbability = h.probabilityAtReply
+			ch.callProbability = ch.probabilityAtReply
 		}
-		h.repliedAt = now
-		h.unanswered = 0
+		ch.repliedAt = now
+		ch.unanswered = 0
 	} else {
-		h.unanswered++
+		ch.unanswered++
 	}
 	switch outcome {
 	case Succeeded:
-		h.failures = 0
-		h.pausedUntil = 0
-		h.callProbability = min(1, h.callProbability+callProbabilityIncrease)
+		ch.failures = 0
+		ch.pausedUntil = 0
+		ch.callProbability = min(1, ch.callProbability+callProbabilityIncrease)
 	case Failed: // a reply without a total: no sign that the counter is overloaded
 	default:
-		h.observeFailure(now, outcome)
+		ch.observeFailure(now, outcome)
 	}
 	if replied {
-		h.probabilityAtReply = h.callProbability
+		ch.probabilityAtReply = ch.callProbability
 	}
 }
 
-func (h *counterHealth) observeFailure(now Seconds, outcome Outcome) {
+func (ch *counterHealth) observeFailure(now Seconds, outcome Outcome) {
 	// A broken connection tells nothing of the counter's capacity.
 	overloaded := outcome == Rejected || outcome == TimedOut
-	if overloaded && now >= h.reducedAt+callProbabilityCutInterval {
-		h.reducedAt = now
-		h.callProbability = max(minCallProbability, h.callProbability*callProbabilityDecrease)
+	if overloaded && now >= ch.reducedAt+callProbabilityCutInterval {
+		ch.reducedAt = now
+		ch.callProbability = max(minCallProbability, ch.callProbability*callProbabilityDecrease)
 	}
-	h.failures++
-	if h.failures >= pauseAfterFailures {
-		h.pausedUntil = now + pauseDuration
+	ch.failures++
+	if ch.failures >= pauseAfterFailures {
+		ch.pausedUntil = now + pauseDuration
 	}
 }
 
--- a/internal/decision/gateway_test.go
+++ b/internal/decision/gateway_test.go
@@ -41,7 +41,7 @@
 	return g
 }
 
-func servingBackend(id string, cell int) Backend { return Backend{ID: id, Zone: "a", Serving: true} }
+func servingBackend(id string) Backend { return Backend{ID: id, Zone: "a", Serving: true} }
 
 func testRequest(id uint64, class, plan string) Request {
 	return Request{ID: id, Class: class, Plan: plan, Customer: "c", TimeLeft: 3, Units: 1, Gateways: 2}
@@ -56,16 +56,10 @@
 	return found
 }
 
-// run ticks the gateway from one time to another and answers counter calls with reply.
-func runTicks(g *Gateway, from, to Seconds, reply func(CounterCall) CounterReply) (all []Action) {
+// runTicks ticks the gateway from one time to another. Counter calls stay unanswered.
+func runTicks(g *Gateway, from, to Seconds) (all []Action) {
 	for now := from; now < to; now += tickInterval {
-		out := g.Handle(now, Timer{"tick"})
-		all = append(all, out...)
-		for _, call := range actionsOf[CounterCall](out) {
-			if reply != nil {
-				all = append(all, g.Handle(now, reply(call))...)
-			}
-		}
+		all = append(all, g.Handle(now, Timer{"tick"})...)
 	}
 	return all
 }
@@ -110,9 +104,12 @@
 		name string
 		R, k float64
 	}{
-		{"emptied", 0, 0}, {"own add lost", 2, 1}, {
+		{"emptied", 0, 0},
+		{"own add lost", 2, 1},
+		{
 			"more holders than gateways", 8, 5,
-		}, {"far below the last", 4.5, 1},
+		},
+		{"far below the last", 4.5, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := New(testSettings(), 1)
@@ -130,7 +127,7 @@
 
 func TestFailingCounterPausesCallsAndLeavesTheSlice(t *testing.T) {
 	for _, outcome := range []Outcome{TimedOut, Rejected, ConnectionRefused} {
-		g := startedGateway(t, testSettings(), servingBackend("x", 0))
+		g := startedGateway(t, testSettings(), servingBackend("x"))
 		calls := 0
 		for i := 0; i < 400; i++ {
 			now := float64(i) * tickInterval
@@ -157,23 +154,23 @@
 }
 
 func TestQuietCustomersMakeNoCallsAndExpire(t *testing.T) {
-	g := startedGateway(t, testSettings(), servingBackend("x", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"))
 	g.Handle(0, testRequest(1, "safe", "rate"))
 	g.Handle(0.1, AttemptEnded{ID: 1, Backend: "x", Outcome: Succeeded, Answered: true, Duration: 0.1})
-	if calls := actionsOf[CounterCall](runTicks(g, 0.1, idleExpiry-1, nil)); len(calls) > 0 {
+	if calls := actionsOf[CounterCall](runTicks(g, 0.1, idleExpiry-1)); len(calls) > 0 {
 		t.Errorf("%d calls for one request", len(calls))
 	}
 	if len(g.customers) != 1 {
 		t.Fatal("forgotten too early")
 	}
-	runTicks(g, idleExpiry, idleExpiry+1, nil)
+	runTicks(g, idleExpiry, idleExpiry+1)
 	if len(g.customers) != 0 || len(g.customerList) != 0 {
 		t.Error("kept after an idle minute")
 	}
 }
 
 func TestCounterRepliesForForgottenNamesAreIgnored(t *testing.T) {
-	g := startedGateway(t, testSettings(), servingBackend("x", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"))
 	g.Handle(0, testRequest(1, "safe", "rate"))
 	for _, name := range []string{
 		"", "c", "c/zz", "nobody/1", g.customers["c"].counterName(g.customers["c"].cycle.number),
@@ -186,7 +183,7 @@
 }
 
 func TestShortfallIsRejectedWithRetryAfter(t *testing.T) {
-	g := startedGateway(t, testSettings(), servingBackend("x", 0), servingBackend("y", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
 	refused := 0
 	for i := uint64(0); i < 60; i++ {
 		for _, a := range actionsOf[Reject](g.Handle(0, testRequest(i, "safe", "rate"))) {
@@ -202,7 +199,7 @@
 }
 
 func TestSettledUnitsOverdrawTheBucket(t *testing.T) {
-	g := startedGateway(t, testSettings(), servingBackend("x", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"))
 	g.Handle(0, testRequest(1, "safe", "rate"))
 	c := g.customers["c"]
 	c.bucket.tokens = 1
@@ -215,7 +212,7 @@
 }
 
 func TestExcessThatEarnsIsForwardedWithinCapacity(t *testing.T) {
-	g := startedGateway(t, testSettings(), servingBackend("x", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"))
 	sent := 0
 	for i := uint64(0); i < 60; i++ {
 		r := testRequest(i, "safe", "earns")
@@ -229,7 +226,7 @@
 }
 
 func TestInFlightLimitOfTwoIsSharedByProbability(t *testing.T) {
-	g := startedGateway(t, testSettings(), servingBackend("x", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"))
 	if len(actionsOf[Send](g.Handle(0, testRequest(1, "safe", "open")))) != 1 {
 		t.Error("a calm customer's first request was not sent")
 	}
@@ -246,7 +243,7 @@
 
 func TestRateLimitHoldsForOneGatewayAndAfterARestart(t *testing.T) {
 	g := startedGateway(
-		t, testSettings(), servingBackend("x", 0), servingBackend("y", 0), servingBackend("z", 0),
+		t, testSettings(), servingBackend("x"), servingBackend("y"), servingBackend("z"),
 	)
 	if len(actionsOf[Send](g.Handle(0, testRequest(1, "safe", "ceiling")))) != 0 {
 		t.Error("a gateway just started spent of a ceiling it cannot know")
@@ -274,10 +271,12 @@
 		sends int
 	}{
 		// The room is 20 * 0.925 / 4.
-		{CounterReply{Outcome: Succeeded, Total: 1}, 1}, {CounterReply{Outcome: Succeeded, Total: 100}, 0},
-		{CounterReply{Outcome: TimedOut}, 0}, {CounterReply{Outcome: Rejected}, 0},
+		{CounterReply{Outcome: Succeeded, Total: 1}, 1},
+		{CounterReply{Outcome: Succeeded, Total: 100}, 0},
+		{CounterReply{Outcome: TimedOut}, 0},
+		{CounterReply{Outcome: Rejected}, 0},
 	} {
-		g := startedGateway(t, testSettings(), servingBackend("x", 0))
+		g := startedGateway(t, testSettings(), servingBackend("x"))
 		calls := actionsOf[CounterCall](g.Handle(0, testRequest(1, "safe", "ceiling")))
 		if len(calls) != 1 || calls[0].Add != 1 {
 			t.Fatalf("calls %v", calls)
@@ -296,7 +295,8 @@
 		backends []Backend
 		left     Seconds
 	}{
-		{"no backend", nil, 3}, {"no backend and no time (h440035)", nil, 0.02},
+		{"no backend", nil, 3},
+		{"no backend and no time (h440035)", nil, 0.02},
 		{"only draining", []Backend{{ID: "x"}}, 3},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -304,7 +304,7 @@
 			r := testRequest(1, "unsafe", "free")
 			r.TimeLeft = tc.left
 			out := g.Handle(0, r)
-			out = append(out, runTicks(g, 0.001, tc.left, nil)...)
+			out = append(out, runTicks(g, 0.001, tc.left)...)
 			if len(actionsOf[Reject](out)) != 1 || len(actionsOf[Send](out)) != 0 || len(g.requests) != 0 {
 				t.Errorf("got %v", out)
 			}
@@ -313,7 +313,7 @@
 }
 
 func TestUnknownPlanAndClassGetOneSafeAnswer(t *testing.T) {
-	g := startedGateway(t, testSettings(), servingBackend("x", 0), servingBackend("y", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
 	if len(actionsOf[Send](g.Handle(0, testRequest(1, "?", "?")))) != 1 {
 		t.Fatal("not sent")
 	}
@@ -324,7 +324,7 @@
 }
 
 func TestAtMostOnce(t *testing.T) {
-	backends := []Backend{servingBackend("x", 0), servingBackend("y", 0), servingBackend("z", 1)}
+	backends := []Backend{servingBackend("x"), servingBackend("y"), servingBackend("z")}
 	for _, tc := range []struct {
 		class   string
 		outcome Outcome
@@ -333,13 +333,19 @@
 	}{
 		{
 			"unsafe", ConnectionRefused, 0.1, "send",
-		}, {"unsafe", Rejected, 0.1, "send"}, {"unsafe", NotSent, 0.1, "send"},
-		{"unsafe", TimedOut, 0.1, "fail"}, {
+		},
+		{"unsafe", Rejected, 0.1, "send"},
+		{"unsafe", NotSent, 0.1, "send"},
+		{"unsafe", TimedOut, 0.1, "fail"},
+		{
 			"unsafe", ConnectionReset, 0.1, "fail",
-		}, {"unsafe", Failed, 0.1, "fail"},
+		},
+		{"unsafe", Failed, 0.1, "fail"},
 		{
 			"keyed", ConnectionReset, 0.1, "fail",
-		}, {"keyed", Rejected, 0.1, "send"}, {"safe", ConnectionReset, 0.1, "send"},
+		},
+		{"keyed", Rejected, 0.1, "send"},
+		{"safe", ConnectionReset, 0.1, "send"},
 	} {
 		t.Run(fmt.Sprint(tc.class, tc.outcome, tc.at), func(t *testing.T) {
 			g := startedGateway(t, testSettings(), backends...)
@@ -363,7 +369,7 @@
 }
 
 func TestDrainingTakesEffectAtOnce(t *testing.T) {
-	g := startedGateway(t, testSettings(), servingBackend("x", 0), servingBackend("y", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
 	g.Handle(1, Backends{List: []Backend{{ID: "x", Zone: "a"}}})
 	g.Handle(1, Backends{List: []Backend{{ID: "x", Zone: "a"}}}) // repeated lists do no harm
 	for i := uint64(0); i < 4; i++ {
@@ -373,7 +379,7 @@
 			}
 		}
 	}
-	g.Handle(2, Backends{Complete: true, List: []Backend{servingBackend("x", 0)}})
+	g.Handle(2, Backends{Complete: true, List: []Backend{servingBackend("x")}})
 	for _, s := range actionsOf[Send](g.Handle(2, testRequest(9, "safe", "free"))) {
 		if s.Backend == "y" {
 			t.Error("sent to a backend that left the list")
@@ -383,7 +389,7 @@
 
 func TestWarmingBackendGetsItsShareOnly(t *testing.T) {
 	g := startedGateway(
-		t, testSettings(), servingBackend("x", 0), servingBackend("y", 0),
+		t, testSettings(), servingBackend("x"), servingBackend("y"),
 		Backend{ID: "cold", Zone: "a", Serving: true, StartedAt: 0.001},
 	)
 	sent := map[string]int{}
@@ -407,7 +413,7 @@
 }
 
 func TestOverloadedBackendsAreNotUsedAgainAtOnce(t *testing.T) { // i891194: 82% of attempts rejected
-	g := startedGateway(t, testSettings(), servingBackend("x", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"))
 	sends := 0
 	for i := uint64(0); i < 500; i++ {
 		now := float64(i) * 0.01
@@ -424,7 +430,7 @@
 }
 
 func TestAbandonedAttemptsStillCount(t *testing.T) { // ib60ee1: 52% of attempts timed out
-	g := startedGateway(t, testSettings(), servingBackend("x", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"))
 	b := g.backends["x"]
 	for i := uint64(0); i < 4; i++ {
 		g.Handle(0, testRequest(i, "unsafe", "free"))
@@ -440,16 +446,16 @@
 
 // Once, slow non-idempotent requests were noticed after 5 s only (i891194).
 func TestSlowAttemptsLowerTheLimitWhileInFlight(t *testing.T) {
-	g := startedGateway(t, testSettings(), servingBackend("x", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"))
 	g.Handle(0, testRequest(1, "unsafe", "free"))
-	runTicks(g, 0.05, 0.7, nil)
+	runTicks(g, 0.05, 0.7)
 	if got := g.backends["x"].limit; got >= initialLimit {
 		t.Errorf("bound still %v with an answer overdue", got)
 	}
 }
 
 func TestEjectedBackendGetsOneAttemptAfterwards(t *testing.T) {
-	g := startedGateway(t, testSettings(), servingBackend("x", 0), servingBackend("y", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
 	g.Handle(0, testRequest(1, "safe", "free"))
 	dead := g.requests[1].attempts[0].backend
 	g.Handle(0, AttemptEnded{ID: 1, Backend: dead.ID, Outcome: ConnectionRefused})
@@ -473,7 +479,7 @@
 }
 
 func TestNoOutlierWhereAllAreUnhealthy(t *testing.T) {
-	g := startedGateway(t, testSettings(), servingBackend("x", 0), servingBackend("y", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
 	for _, b := range g.defaultPool.order {
 		b.ejectedUntil = 100
 	}
@@ -487,11 +493,11 @@
 		Plans: []Plan{{Name: "rate", Rate: 10, Burst: 20, ValueWeight: 1}, {Name: "none", ValueWeight: 1}},
 	}
 	for _, plan := range []string{"rate", "none"} {
-		g := startedGateway(t, s, servingBackend("x", 0))
+		g := startedGateway(t, s, servingBackend("x"))
 		r := testRequest(1, "any", plan)
 		r.Gateways = 0 // not told: one gateway, the whole quota, no calls
 		out := g.Handle(0, r)
-		out = append(out, runTicks(g, 0.05, 20, nil)...)
+		out = append(out, runTicks(g, 0.05, 20)...)
 		if len(actionsOf[Send](out)) != 1 || len(actionsOf[CounterCall](out)) != 0 {
 			t.Errorf("%s: got %v", plan, out)
 		}
@@ -499,7 +505,7 @@
 }
 
 func TestStaleEventsAreIgnored(t *testing.T) {
-	g := startedGateway(t, testSettings(), servingBackend("x", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"))
 	for _, e := range []Event{
 		AttemptEnded{ID: 99}, ClientDisconnected{ID: 99}, Timer{"old"},
 	} {
@@ -519,7 +525,7 @@
 func TestSameEventsSameActions(t *testing.T) {
 	play := func() (all []Action) {
 		g := startedGateway(
-			t, testSettings(), servingBackend("x", 0), servingBackend("y", 0), servingBackend("z", 1),
+			t, testSettings(), servingBackend("x"), servingBackend("y"), servingBackend("z"),
 		)
 		for i := uint64(0); i < 300; i++ {
 			now := float64(i) * 0.02
@@ -554,7 +560,7 @@
 		g.Handle(float64(i)*0.01, testRequest(uint64(i), class, "free"))
 	}
 	var order []uint64
-	out := g.Handle(0.05, Backends{List: []Backend{servingBackend("x", 0), servingBackend("y", 0)}})
+	out := g.Handle(0.05, Backends{List: []Backend{servingBackend("x"), servingBackend("y")}})
 	out = append(out, g.Handle(0.06, Timer{"tick"})...)
 	for _, s := range actionsOf[Send](out) {
 		order = append(order, s.ID)
@@ -565,7 +571,7 @@
 }
 
 func TestErrorsEjectAndRaiseCost(t *testing.T) { // i3e5c58: 37% of attempts answered with an error
-	g := startedGateway(t, testSettings(), servingBackend("x", 0), servingBackend("y", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
 	to := map[string]int{}
 	for i := uint64(0); i < 100; i++ {
 		now := float64(i) * 0.01
@@ -587,7 +593,7 @@
 }
 
 func TestReachedLimitsDoNotSendWorkToEjectedBackends(t *testing.T) { // ic5a586: 39% no connection
-	g := startedGateway(t, testSettings(), servingBackend("x", 0), servingBackend("y", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
 	g.backends["x"].ejectedUntil = 100
 	sent := map[string]int{}
 	for i := uint64(0); i < 20; i++ {
@@ -617,7 +623,7 @@
 }
 
 func TestEvenShareOfAnInFlightLimitAlwaysConforms(t *testing.T) { // trebic big-1: 0.70 inside a limit of 2
-	g := startedGateway(t, testSettings(), servingBackend("x", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"))
 	for i := uint64(0); i < 20; i++ { // a burst: by chance alone the others would seem to fill the limit
 		g.Handle(1, testRequest(i, "safe", "open"))
 	}
@@ -637,14 +643,19 @@
 		outcome Outcome
 		refused bool // else failed: it may have run
 	}{
-		{"safe", Rejected, true}, {"safe", TimedOut, true}, {"keyed", Rejected, true}, {
+		{"safe", Rejected, true},
+		{"safe", TimedOut, true},
+		{"keyed", Rejected, true},
+		{
 			"keyed", ConnectionReset, false,
 		},
-		{"unsafe", ConnectionRefused, true}, {"unsafe", TimedOut, false}, {"unsafe", Failed, false},
+		{"unsafe", ConnectionRefused, true},
+		{"unsafe", TimedOut, false},
+		{"unsafe", Failed, false},
 	} {
 		s := testSettings()
 		s.MaxAttempts = 1
-		g := startedGateway(t, s, servingBackend("x", 0))
+		g := startedGateway(t, s, servingBackend("x"))
 		send := actionsOf[Send](g.Handle(1, testRequest(1, tc.class, "free")))
 		if len(send) != 1 {
 			t.Fatalf("%v: not sent", tc)
@@ -656,7 +667,7 @@
 			t.Errorf("%v: got %v with the outcome, want the answer", tc, out)
 		}
 	}
-	g := startedGateway(t, testSettings(), servingBackend("x", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"))
 	r := testRequest(1, "safe", "rate")
 	g.customerFor(r, g.plans["rate"]).bucket.tokens = -100 // beyond its quota, which earns nothing
 	if out := actionsOf[Reject](g.Handle(0, r)); len(out) != 1 || out[0].RetryAfter <= 0 {
@@ -664,7 +675,7 @@
 	}
 	g = startedGateway(t, testSettings()) // no backend at all: a bounded wait for one, then the answer
 	g.Handle(1, testRequest(1, "safe", "free"))
-	if out := runTicks(g, 1.01, 1+queueTimeFraction+2*tickInterval, nil); len(actionsOf[Reject](out)) != 1 {
+	if out := runTicks(g, 1.01, 1+queueTimeFraction+2*tickInterval); len(actionsOf[Reject](out)) != 1 {
 		t.Errorf("no backend: got %v by %v of the aim", out, queueTimeFraction)
 	}
 }
@@ -674,7 +685,7 @@
 func TestCallsResumeAfterCounterLoss(t *testing.T) {
 	s := testSettings()
 	s.Plans = []Plan{{Name: "thin", Rate: 1, Burst: 2, ValueWeight: 1, ExcessCost: 1}}
-	g, id := startedGateway(t, s, servingBackend("b", 0)), uint64(0)
+	g, id := startedGateway(t, s, servingBackend("b")), uint64(0)
 	// customers has 20 customers ask in each second and answers their calls; it tells how many were made.
 	customers := func(from, to Seconds, outcome Outcome) (calls int) {
 		for now := from; now < to; now += tickInterval {
@@ -710,7 +721,10 @@
 		outcome Outcome
 		less    bool
 	}{
-		{Failed, false}, {ConnectionRefused, false}, {ConnectionReset, false}, {Rejected, true},
+		{Failed, false},
+		{ConnectionRefused, false},
+		{ConnectionReset, false},
+		{Rejected, true},
 		{TimedOut, true},
 	} {
 		g := startedGateway(t, testSettings())
@@ -747,7 +761,7 @@
 func TestUnknownSmallCustomerIsNotEstimatedFromOthers(t *testing.T) {
 	s := testSettings()
 	s.Plans = []Plan{{Name: "thin", Rate: 1, Burst: 2, ValueWeight: 1, ExcessCost: 1}}
-	g, id := startedGateway(t, s, servingBackend("b", 0)), uint64(0)
+	g, id := startedGateway(t, s, servingBackend("b")), uint64(0)
 	tries := func(customer string, from Seconds, outcome Outcome, total float64) (sent int) {
 		for i := range 200 {
 			now := from + float64(i)*0.1
@@ -785,7 +799,7 @@
 func TestRisingDemandOfASparseCustomerIsBoundedBetweenTotals(t *testing.T) {
 	s := testSettings()
 	s.Plans = []Plan{{Name: "thin", Rate: 1, Burst: 2, ValueWeight: 1, ExcessCost: 1}}
-	g, id := startedGateway(t, s, servingBackend("b", 0)), uint64(0)
+	g, id := startedGateway(t, s, servingBackend("b")), uint64(0)
 	try := func(now Seconds, outcome Outcome) (sent int) {
 		id++
 		e := testRequest(id, "safe", "thin")
@@ -820,7 +834,7 @@
 	s := testSettings()
 	s.HasCounter = false
 	s.Plans = []Plan{{Name: "thin", Rate: 1, Burst: 20, ValueWeight: 1, ExcessCost: 1}}
-	g, sent := startedGateway(t, s, servingBackend("a", 0), servingBackend("b", 0)), 0
+	g, sent := startedGateway(t, s, servingBackend("a"), servingBackend("b")), 0
 	for id := range uint64(10) {
 		e := testRequest(id+1, "safe", "thin")
 		e.Gateways = 4
@@ -838,20 +852,20 @@
 
 // Servers replaced all day long, each under a new id, are forgotten once they have left and owe nothing.
 func TestRemovedBackendsAreForgotten(t *testing.T) {
-	g := startedGateway(t, testSettings(), servingBackend("kept", 0))
-	g.Handle(1, Backends{List: []Backend{servingBackend("busy", 0)}})
+	g := startedGateway(t, testSettings(), servingBackend("kept"))
+	g.Handle(1, Backends{List: []Backend{servingBackend("busy")}})
 	g.Handle(1, Backends{List: []Backend{{ID: "kept", Zone: "a"}}})
 	if sent := actionsOf[Send](g.Handle(
 		1, testRequest(1, "unsafe", "free"),
 	)); len(sent) != 1 || sent[0].Backend != "busy" {
 		t.Fatalf("sent %v", sent)
 	}
-	g.Handle(2, Backends{List: []Backend{{ID: "busy", Zone: "a"}, servingBackend("kept", 0)}})
+	g.Handle(2, Backends{List: []Backend{{ID: "busy", Zone: "a"}, servingBackend("kept")}})
 	for i := range 500 {
 		now := 2 + float64(i)
 		g.Handle(
 			now, Backends{
-				List: []Backend{servingBackend(fmt.Sprint("b", i), 0), {ID: fmt.Sprint("b", i-1), Zone: "a"}},
+				List: []Backend{servingBackend(fmt.Sprint("b", i)), {ID: fmt.Sprint("b", i-1), Zone: "a"}},
 			},
 		)
 		g.Handle(now, Timer{"tick"})
@@ -879,7 +893,7 @@
 	}{{0.01, "safe", 0.3}, {0.5, "safe", 1.05}, {0.01, "unsafe", 0}} {
 		s := testSettings()
 		s.Classes[0].LateValue = 0
-		g := startedGateway(t, s, servingBackend("b", 0))
+		g := startedGateway(t, s, servingBackend("b"))
 		g.defaultPool.latency = tc.usual
 		sent := actionsOf[Send](g.Handle(1, testRequest(1, tc.class, "free")))
 		if len(sent) != 1 || math.Abs(sent[0].Timeout-tc.want) > 1e-9 {
--- a/internal/decision/handover.go
+++ b/internal/decision/handover.go
@@ -189,18 +189,18 @@
 type decayWeight float64
 
 // apply moves a value towards a known one by the weight, unless that is impossible.
-func (w decayWeight) apply(value *float64, known float64) {
+func (dw decayWeight) apply(value *float64, known float64) {
 	if known > 0 && !math.IsInf(known, 0) {
-		*value += float64(w) * (known - *value)
+		*value += float64(dw) * (known - *value)
 	}
 }
 
 // valid reports whether what is known of a customer can be true at a time.
-func (e *CustomerKnowledge) valid(now Seconds) bool {
-	if e.Gateways < 1 || e.Tokens < 0 || e.LimitTokens < 0 || e.Slice < 0 {
+func (ck *CustomerKnowledge) valid(now Seconds) bool {
+	if ck.Gateways < 1 || ck.Tokens < 0 || ck.LimitTokens < 0 || ck.Slice < 0 {
 		return false
 	}
-	if e.TokensAt > now+clockTolerance || e.LimitTokensAt > now+clockTolerance {
+	if ck.TokensAt > now+clockTolerance || ck.LimitTokensAt > now+clockTolerance {
 		return false
 	}
 	return true
--- a/internal/decision/handover_test.go
+++ b/internal/decision/handover_test.go
@@ -20,7 +20,7 @@
 	if join != nil {
 		s := testSettings()
 		s.Gateways = 3
-		young := newProcess(f, s, 9, servingBackend("x", 0), servingBackend("y", 0))
+		young := newProcess(f, s, 9, servingBackend("x"), servingBackend("y"))
 		join(f, f.gateways[0], young)
 		f.gateways = append(f.gateways, young)
 		f.terms = append(f.terms, f.terms[0])
@@ -91,7 +91,7 @@
 	before := old.customers["c"].bucket.tokens
 	old.backends["x"].limit, old.backends["x"].latency = 40, 0.5
 	k := old.HandOver(f.now)
-	fresh := func() *Gateway { return newProcess(f, testSettings(), 2, servingBackend("x", 0)) }
+	fresh := func() *Gateway { return newProcess(f, testSettings(), 2, servingBackend("x")) }
 	begin := fresh().backends["x"].limit
 	approx := cmpopts.EquateApprox(0, 1e-6)
 	for _, tc := range []struct {
@@ -149,7 +149,7 @@
 	old.now = f.now
 	old.refill(old.customers["c"])
 	old.customers["c"].bucket.tokens = -4
-	g := newProcess(f, testSettings(), 2, servingBackend("x", 0))
+	g := newProcess(f, testSettings(), 2, servingBackend("x"))
 	if customers, _ := g.Restore(f.now, old.HandOver(f.now)); customers != 1 {
 		t.Fatalf("%d members taken up", customers)
 	}
--- a/internal/decision/pair_counters.go
+++ b/internal/decision/pair_counters.go
@@ -41,41 +41,41 @@
 // handlePairReply takes a counter owner's reply: the first one to the report, the second one to the call that
 // reads both counters.
 func (g *Gateway) handlePairReply(c *customer, e CounterReply) {
-	y := &c.cycle
-	if y.calls == 1 {
+	cycle := &c.cycle
+	if cycle.calls == 1 {
 		c.pairs.ackedAt = g.now
-		y.readAt = g.now + readDelay
+		cycle.readAt = g.now + readDelay
 		return
 	}
 	reporters := float64(e.Holders)
-	if reporters < 1 || e.Total < y.localRate*demandTolerance-presenceAmount {
+	if reporters < 1 || e.Total < cycle.localRate*demandTolerance-presenceAmount {
 		return // it has not counted this gateway: the slice stays as it is
 	}
 	c.gateways = max(c.gateways, reporters)
-	y.totalRate = e.Total
-	y.reporters = reporters
-	y.totalAt = g.now
+	cycle.totalRate = e.Total
+	cycle.reporters = reporters
+	cycle.totalAt = g.now
 	g.refill(c)
 	c.pinSlice(c.grantable(reporters)) // gateways that have not reported yet keep their part
 }
 
-// noteReportTaken notes that a counter owner accepted a report, though it does not know of all other reports
-// yet and tells no total: the slice stays as it is, and is given to nobody else.
-func (c *customer) noteReportTaken(now Seconds, e CounterReply) {
+// observeReportAccepted notes that a counter owner accepted a report, though it does not know of all other
+// reports yet and tells no total: the slice stays as it is, and is given to nobody else.
+func (c *customer) observeReportAccepted(now Seconds, e CounterReply) {
 	if e.Outcome == Failed && e.Holders > 0 && e.Name == c.counterName(c.cycle.number) {
 		c.pairs.ackedAt = now
 	}
 }
 
-// noteOwnerReply notes that an owner of pair counters replied, whatever it was asked.
-func (g *Gateway) noteOwnerReply(e CounterReply) {
+// observeOwnerReply notes that an owner of pair counters replied, whatever it was asked.
+func (g *Gateway) observeOwnerReply(e CounterReply) {
 	if g.settings.PairCounters && ownerAnswered(e) {
 		g.ownerReachedAt = g.now
 	}
 }
 
-// noteSparseReply notes that a counter owner replied for a sparse customer.
-func (g *Gateway) noteSparseReply(c *customer, e CounterReply) {
+// observeSparseReply notes that a counter owner replied for a sparse customer.
+func (g *Gateway) observeSparseReply(c *customer, e CounterReply) {
 	if ownerAnswered(e) {
 		c.pairs.ackedAt = g.now
 	}
--- a/internal/decision/pair_counters_test.go
+++ b/internal/decision/pair_counters_test.go
@@ -128,7 +128,7 @@
 }
 
 // run simulates a span in steps of a millisecond; what comes is Poisson.
-func (w *quotaWorld) run(span float64, each func()) {
+func (w *quotaWorld) run(span float64) {
 	for end := w.now + span; w.now < end; w.now += 0.001 {
 		for _, n := range w.nodes {
 			if w.now < n.downUntil {
@@ -167,17 +167,14 @@
 			}
 			n.queue = n.queue[:0]
 		}
-		if each != nil {
-			each()
-		}
 	}
 }
 
 // most is the most that ran in any window of so long.
-func (w *quotaWorld) maxAdmitted(window float64) (most int) {
+func (w *quotaWorld) maxAdmitted() (most int) {
 	first := 0
 	for i, at := range w.admittedAt {
-		for w.admittedAt[first] <= at-window {
+		for w.admittedAt[first] <= at-ruleWindow {
 			first++
 		}
 		most = max(most, i-first+1)
@@ -185,15 +182,19 @@
 	return most
 }
 
-// allowed is the rule QUOTA of the bench: the quota over the window and its burst, a tenth more, and twenty.
-func maxAllowed(p Plan) int { return int((p.Rate*5+p.Burst)*1.1) + 20 }
+// ruleWindow is the window of the rule QUOTA, in seconds.
+const ruleWindow = 5
+
+// maxAllowed is the rule QUOTA of the bench: the quota over the window and its burst, a tenth more, and
+// twenty.
+func maxAllowed(p Plan) int { return int((p.Rate*ruleWindow+p.Burst)*1.1) + 20 }
 
 // servedDuring runs a span and returns which share of the requests in it was served, and how many came.
 func (w *quotaWorld) servedDuring(span float64) (served float64, requests int) {
 	for _, n := range w.nodes {
 		n.requests, n.rejections = 0, 0
 	}
-	w.run(span, nil)
+	w.run(span)
 	rejections := 0
 	for _, n := range w.nodes {
 		requests += n.requests
@@ -230,7 +231,7 @@
 					},
 				)
 				w.lostShare = c.lost
-				w.run(8, nil) // it begins from nothing
+				w.run(8) // it begins from nothing
 				served, asked := w.servedDuring(20)
 				if served < c.least {
 					t.Errorf("seed %d: %.3f of %d calm requests let through", seed, served, asked)
@@ -238,7 +239,7 @@
 				for _, n := range w.nodes {
 					n.rate *= 8
 				}
-				w.run(4, nil)
+				w.run(4)
 				for i, n := range w.nodes {
 					switch {
 					case c.nodes < 3:
@@ -248,13 +249,13 @@
 						n.downUntil = w.now + 2.2 + w.rng.Float64()
 					}
 				}
-				w.run(6, nil)
+				w.run(6)
 				for _, n := range w.nodes {
 					n.partitioned = false
 				}
-				w.run(5, nil)
+				w.run(5)
 				is.True(len(w.admittedAt) > 0)
-				if most := w.maxAdmitted(5); most > maxAllowed(c.plan) {
+				if most := w.maxAdmitted(); most > maxAllowed(c.plan) {
 					t.Errorf("seed %d: %d ran in five seconds, %d may", seed, most, maxAllowed(c.plan))
 				}
 			}
@@ -268,7 +269,7 @@
 	is := is.New(t)
 	plan := Plan{Rate: 200, Burst: 200, ValueWeight: 1}
 	w := newQuotaWorld(3, 7, plan, func(i int) float64 { return 5 + 6*float64(i) })
-	w.run(20, nil)
+	w.run(20)
 	sum, R := 0.0, 0.0
 	for _, n := range w.nodes {
 		c := n.g.customers["t"]
@@ -282,7 +283,7 @@
 	})
 	is.True(largest.rate >= 29) // the slice follows what is asked
 	w.nodes[0].partitioned = true
-	w.run(4, nil)
+	w.run(4)
 	if c := w.nodes[0].g.customers["t"]; w.nodes[0].g.effectiveSlice(c) > quietFraction*plan.Rate/7+1e-9 {
 		t.Errorf("cut off, it goes on with %.1f", w.nodes[0].g.effectiveSlice(c))
 	}
@@ -293,26 +294,26 @@
 func TestSlicesStayWhileACounterOwnerChanges(t *testing.T) {
 	plan := Plan{Rate: 122, Burst: 122, ValueWeight: 1}
 	w := newQuotaWorld(4, 11, plan, func(i int) float64 { return 4 + float64(i%3)*4 })
-	w.run(10, nil)
+	w.run(10)
 	for _, n := range w.nodes {
 		n.rate *= 8
 	}
-	w.run(3, nil)
+	w.run(3)
 	w.counters = quota.NewCounterTable() // another one, that knows nothing
 	from := len(w.admittedAt)
 	for _, n := range w.nodes {
 		n.partitioned = true // until the one before is missed
 	}
-	w.run(1.5, nil)
+	w.run(1.5)
 	for _, n := range w.nodes {
 		n.partitioned = false
 	}
 	w.counters.SetMembers(w.now, []string{"k"}, "k", true)
-	w.run(4.5, nil)
+	w.run(4.5)
 	if served := float64(len(w.admittedAt)-from) / (6 * plan.Rate); served < 0.9 {
 		t.Errorf("%.2f of the quota ran while the keeper changed", served)
 	}
-	if most := w.maxAdmitted(5); most > maxAllowed(plan) {
+	if most := w.maxAdmitted(); most > maxAllowed(plan) {
 		t.Errorf("%d ran in five seconds, %d may", most, maxAllowed(plan))
 	}
 }
@@ -330,12 +331,19 @@
 	}{
 		{
 			"late", 0.3, false, 0.001,
-		}, {
+		},
+		{
 			"late", 0.5, false, 0.001,
-		}, {"late", 1, false, 0.001}, {"late", 1.5, false, 0.002}, {"late", 2.5, false, 0.008},
+		},
+		{"late", 1, false, 0.001},
+		{"late", 1.5, false, 0.002},
+		{"late", 2.5, false, 0.008},
 		{
 			"still", 0.3, true, 0.001,
-		}, {"still", 0.5, true, 0.001}, {"still", 1, true, 0.001}, {"still", 1.5, true, 0.003},
+		},
+		{"still", 0.5, true, 0.001},
+		{"still", 1, true, 0.001},
+		{"still", 1.5, true, 0.003},
 	} {
 		asked, refused := 0, 0
 		for seed := range uint64(6) {
@@ -347,18 +355,18 @@
 				},
 			)
 			w.tenants = 6
-			w.run(8, nil) // it begins from nothing
+			w.run(8) // it begins from nothing
 			for i, n := range w.nodes {
 				n.requests, n.rejections, n.partitioned = 0, 0, !c.stall
 				if c.stall && i == 0 {
 					n.stalledUntil = w.now + c.span
 				}
 			}
-			w.run(c.span, nil)
+			w.run(c.span)
 			for _, n := range w.nodes {
 				n.partitioned = false
 			}
-			w.run(4, nil)
+			w.run(4)
 			for _, n := range w.nodes {
 				asked, refused = asked+n.requests, refused+n.rejections
 			}
@@ -383,20 +391,20 @@
 						return 0.3 * plan.Rate / float64(nodes) * (0.5 + float64(i%3)*0.5)
 					},
 				)
-				w.run(14, nil)
+				w.run(14)
 				for i, n := range w.nodes {
 					n.partitioned = i%part == 0
 				}
-				w.run(gap, nil)
+				w.run(gap)
 				for _, n := range w.nodes {
 					n.rate *= 20
 				}
-				w.run(4, nil)
+				w.run(4)
 				for _, n := range w.nodes {
 					n.partitioned = false
 				}
-				w.run(4, nil)
-				if most := w.maxAdmitted(5); most > maxAllowed(plan) {
+				w.run(4)
+				if most := w.maxAdmitted(); most > maxAllowed(plan) {
 					t.Errorf(
 						"%d gateways, one of %d cut, a rush %.1f s later: %d ran in five seconds, %d may",
 						nodes, part, gap, most, maxAllowed(plan),
--- a/internal/decision/plans_test.go
+++ b/internal/decision/plans_test.go
@@ -34,7 +34,7 @@
 		g := New(s, uint64(i+1))
 		g.Handle(f.now, Start{})
 		g.Handle(
-			f.now, Backends{Complete: true, List: []Backend{servingBackend("x", 0), servingBackend("y", 0)}},
+			f.now, Backends{Complete: true, List: []Backend{servingBackend("x"), servingBackend("y")}},
 		)
 		f.gateways, f.terms = append(f.gateways, g), append(f.terms, terms)
 	}
@@ -120,8 +120,8 @@
 			for _, silent := range []bool{false, true} {
 				for _, delays := range [][]float64{{0, 2, 5}, {5, 0, 2}, {0, 0.4, 0.4}, {0, 0, 0}} {
 					t.Run(fmt.Sprintf("%s to %v silent %v %v", name, to, silent, delays), func(t *testing.T) {
-						old, new := terms(60, 120), terms(to, 2*to)
-						f := newCustomerFleet(t, 3, old)
+						oldTerms, newTerms := terms(60, 120), terms(to, 2*to)
+						f := newCustomerFleet(t, 3, oldTerms)
 						f.run(20, demand, nil)
 						worst, before, begun := 0.0, f.slices(), f.now
 						if f.gateways[0].customers["c"].sparse.active || math.Abs(before-60) > 1.5 {
@@ -130,8 +130,8 @@
 						f.counterSilent = silent
 						for f.now < begun+6 {
 							for i, d := range delays {
-								if f.terms[i] == old && f.now >= begun+d {
-									f.changeTerms(i, new)
+								if f.terms[i] == oldTerms && f.now >= begun+d {
+									f.changeTerms(i, newTerms)
 								}
 							}
 							f.run(tickInterval, demand, func() { worst = max(worst, f.slices()) })
@@ -163,12 +163,12 @@
 // its own.
 func TestTermsChangeNeverReceivedAtOneGateway(t *testing.T) {
 	for _, to := range []float64{100, 30} {
-		old, new := terms(60, 120), terms(to, 2*to)
-		f := newCustomerFleet(t, 3, old)
+		oldTerms, newTerms := terms(60, 120), terms(to, 2*to)
+		f := newCustomerFleet(t, 3, oldTerms)
 		demand := []float64{90, 60, 70}
 		f.run(20, demand, nil)
-		f.changeTerms(0, new)
-		f.changeTerms(1, new)
+		f.changeTerms(0, newTerms)
+		f.changeTerms(1, newTerms)
 		soon, late := 0.0, 0.0
 		f.run(
 			3*f.gateways[0].customers["c"].cycle.period-0.5, demand, func() { soon = max(soon, f.slices()) },
@@ -207,7 +207,7 @@
 		Rate: 5, Burst: 10, ValueWeight: 1, ExcessValue: 1, LimitRate: 12, LimitBurst: 20, LimitSlack: 2,
 	}
 	sent := func(every float64, plans ...Plan) float64 {
-		g := startedGateway(t, testSettings(), servingBackend("x", 0), servingBackend("y", 0))
+		g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
 		n, id := 0.0, uint64(0)
 		for now := 50.0; now < 80; now += 0.01 {
 			p := plans[int(now/every)%len(plans)]
@@ -245,7 +245,7 @@
 		Rate: 30, Burst: 60, ValueWeight: 1, ExcessCost: 1, LimitRate: 60, LimitBurst: 120, LimitSlack: 6,
 	}
 	basic := Plan{Rate: 10, Burst: 20, ValueWeight: 1, ExcessCost: 1}
-	g := startedGateway(t, testSettings(), servingBackend("x", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"))
 	g.now = 50
 	c := g.customerFor(Request{Customer: "c", Gateways: 1}, &Terms{Plan: basic, Tag: "basic"})
 	c.bucket.refilledAt, c.bucket.tokens = 50, 15
@@ -266,7 +266,7 @@
 func TestRateLimitLoweredBelowTokens(t *testing.T) {
 	high := Plan{Rate: 30, Burst: 60, ValueWeight: 1, LimitRate: 60, LimitBurst: 120, LimitSlack: 6}
 	low := Plan{Rate: 5, Burst: 10, ValueWeight: 1, LimitRate: 6, LimitBurst: 12, LimitSlack: 1}
-	g := startedGateway(t, testSettings(), servingBackend("x", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"))
 	g.now = 50
 	c := g.customerFor(Request{Customer: "c", Gateways: 2}, &Terms{Plan: high, Tag: "high"})
 	// True units were more than guessed: it owes.
@@ -322,7 +322,7 @@
 }
 
 func TestTermsChangeDuringACounterCall(t *testing.T) {
-	g := startedGateway(t, testSettings(), servingBackend("x", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"))
 	r := testRequest(1, "safe", "rate")
 	r.Gateways = 50
 	calls := actionsOf[CounterCall](g.Handle(1, r))
@@ -348,7 +348,7 @@
 	},
 		{Rate: 10, Burst: 20, ValueWeight: 1, LimitRate: 20, LimitBurst: 40, LimitSlack: 4}}
 	rng := rand.New(rand.NewPCG(5, 5))
-	g := startedGateway(t, s, servingBackend("x", 0))
+	g := startedGateway(t, s, servingBackend("x"))
 	m, answered, id := packedCounter{}, map[uint64]int{}, uint64(0)
 	var handle func(now Seconds, e Event)
 	handle = func(now Seconds, e Event) {
--- a/internal/decision/quota_bucket.go
+++ b/internal/decision/quota_bucket.go
@@ -13,10 +13,10 @@
 }
 
 // refill adds what has come in at a rate, in units a second, since the last refill.
-func (b *tokenBucket) refill(now Seconds, rate, capacity float64) {
-	b.capacity = capacity
-	b.tokens = min(b.capacity, b.tokens+rate*(now-b.refilledAt))
-	b.refilledAt = now
+func (tb *tokenBucket) refill(now Seconds, rate, capacity float64) {
+	tb.capacity = capacity
+	tb.tokens = min(tb.capacity, tb.tokens+rate*(now-tb.refilledAt))
+	tb.refilledAt = now
 }
 
 // refill brings the local bucket up to now. It holds the slice's share of the burst; that of a sparse
--- a/internal/decision/quota_grants.go
+++ b/internal/decision/quota_grants.go
@@ -26,14 +26,14 @@
 }
 
 // rateAt is what the grant allows at a time, in units a second.
-func (h *grant) rateAt(now Seconds) float64 {
+func (gr *grant) rateAt(now Seconds) float64 {
 	switch {
-	case now > h.expiresAt:
-		return h.Keep
-	case h.Scaled:
-		return max(min(h.Keep, h.ownSlice), h.ownSlice*h.Rate-h.Less)
+	case now > gr.expiresAt:
+		return gr.Keep
+	case gr.Scaled:
+		return max(min(gr.Keep, gr.ownSlice), gr.ownSlice*gr.Rate-gr.Less)
 	}
-	return h.Rate
+	return gr.Rate
 }
 
 // SetGrants sets what this gateway has of quotas, in place of all grants before. After the given time it has
@@ -112,7 +112,7 @@
 		c.bucket.tokens = min(c.bucket.tokens, g.capacityShare(capacity))
 	}
 	h.appliedSlice = c.bucket.slice
-	g.transferLimit(c, h, rate)
+	g.transferRateLimit(c, h, rate)
 }
 
 // minCapacity is what a bucket holds at least, however little of the quota is here: one request. Over all
@@ -128,9 +128,9 @@
 	return min(c.plan.Burst, g.settings.MaxUnits)
 }
 
-// transferLimit has the parts of a hard rate limit follow those of the quota: what a gateway has beyond the
-// even part, another has less.
-func (g *Gateway) transferLimit(c *customer, h *grant, rate float64) {
+// transferRateLimit has the parts of a hard rate limit follow those of the quota: what a gateway has beyond
+// the even part, another has less.
+func (g *Gateway) transferRateLimit(c *customer, h *grant, rate float64) {
 	elapsed := max(0, g.now-h.limitTransferredAt)
 	h.limitTransferredAt = g.now
 	if c.plan.LimitRate <= 0 || h.Scaled {
--- a/internal/decision/rate_limit_test.go
+++ b/internal/decision/rate_limit_test.go
@@ -76,7 +76,7 @@
 		c.now,
 		Backends{
 			Complete: true,
-			List:     []Backend{servingBackend("x", 0), servingBackend("y", 0), servingBackend("z", 0)},
+			List:     []Backend{servingBackend("x"), servingBackend("y"), servingBackend("z")},
 		},
 	)
 }
@@ -330,7 +330,7 @@
 	s.Gateways, s.SlowStartShare, s.SlowStartTime = gateways, warmingShare, warmingTime
 	s.OverloadFactor, s.OverloadFor = overloadFactor, overloadFor
 	for j := range warmServers {
-		f.warm = append(f.warm, servingBackend(fmt.Sprint("w", j), 0))
+		f.warm = append(f.warm, servingBackend(fmt.Sprint("w", j)))
 	}
 	for i := range gateways {
 		s.Index = i
@@ -428,7 +428,10 @@
 // its quota gets most of what that would let through, one that asks more gets the quota, and never much more.
 func TestTinyQuotasAgainstOneBucket(t *testing.T) {
 	for _, tc := range []struct{ asks, least, most float64 }{
-		{0.3, 0.72, 1.1}, {0.7, 0.7, 1.1}, {1, 0.68, 1.15}, {3, 0.9, 1.15},
+		{0.3, 0.72, 1.1},
+		{0.7, 0.7, 1.1},
+		{1, 0.68, 1.15},
+		{3, 0.9, 1.15},
 	} {
 		for doors := 2; doors <= 3; doors++ {
 			sent, plain := 0.0, 0.0
--- a/internal/decision/ratelimit/ratelimit_test.go
+++ b/internal/decision/ratelimit/split_test.go
@@ -30,22 +30,22 @@
 }
 
 // ask has a request of some units come to a gateway; the answer of the counter and the send come late.
-func (f *limitedFleet) admit(now float64, door int, units, late float64) bool {
-	f.tokens[door], f.refilledAt[door] = f.split.OwnTokens(f.tokens[door], now-f.refilledAt[door], 1), now
-	if f.tokens[door] >= units {
-		f.tokens[door] -= units
+func (f *limitedFleet) admit(now float64, gateway int, units, late float64) {
+	f.tokens[gateway] = f.split.OwnTokens(f.tokens[gateway], now-f.refilledAt[gateway], 1)
+	f.refilledAt[gateway] = now
+	if f.tokens[gateway] >= units {
+		f.tokens[gateway] -= units
 		f.send(now, units)
-		return true
+		return
 	}
 	name, room, _, ok := f.split.SharedSpan(now)
 	if !ok {
-		return false
+		return
 	}
 	if f.counter[name] += units; f.counter[name] > room {
-		return false
+		return
 	}
 	f.send(now+late, units)
-	return true
 }
 
 // send may come out of order by less than Late: the bucket is kept by the later of the times, which only
@@ -67,10 +67,10 @@
 			Rate: rate, Burst: depth, Slack: max(4, 0.1*depth), Gateways: math.Floor(depth / 8),
 			Counter: true,
 		}
-		f, door := newLimitedFleet(s), 0
+		f, gateway := newLimitedFleet(s), 0
 		for now := 0.0; now < 30; now += 0.2 * rng.Float64() * rng.Float64() / rate * 10 {
 			if rng.IntN(200) == 0 {
-				door = rng.IntN(int(s.Gateways)) // the busy gateway moves
+				gateway = rng.IntN(int(s.Gateways)) // the busy gateway moves
 			}
 			if now > 10 && now < 10+maxSpan+1 {
 				clear(f.counter) // it is lost, and no call is answered meanwhile
@@ -78,7 +78,7 @@
 			} else {
 				s.Counter = true
 			}
-			at := door
+			at := gateway
 			if rng.IntN(3) == 0 || seed%3 == 0 {
 				at = rng.IntN(int(s.Gateways))
 			}
@@ -108,13 +108,13 @@
 		f := newLimitedFleet(Split{Rate: 40, Burst: 60, Slack: 6, Gateways: 8, Counter: counter})
 		asked := 0.0
 		for now := 5.0; now < 65; now += rng.ExpFloat64() / 9 { // 22.5 units a second
-			door := rng.IntN(8)
+			gateway := rng.IntN(8)
 			if rng.IntN(5) < 2 {
-				door = 0
+				gateway = 0
 			}
 			units := float64(1 + rng.IntN(4))
 			asked += units
-			f.admit(now, door, units, 0.01)
+			f.admit(now, gateway, units, 0.01)
 		}
 		refused[counter] = 1 - f.sent/asked
 	}
--- a/internal/decision/retry/retry_test.go
+++ b/internal/decision/retry/budget_test.go
@@ -15,10 +15,13 @@
 		most   float64 // further attempts by first ones
 		least  float64
 	}{
-		{"well", 0.02, true, 0.05, 0.015}, {"one of four is down", 0.25, true, 0.5, 0.25},
+		{"well", 0.02, true, 0.05, 0.015},
+		{"one of four is down", 0.25, true, 0.5, 0.25},
 		{
 			"all turn away", 1, true, 0.105, 0.09,
-		}, {"all fail", 1, false, 0.105, 0.09}, {"most fail", 0.7, false, 0.105, 0.09},
+		},
+		{"all fail", 1, false, 0.105, 0.09},
+		{"most fail", 0.7, false, 0.105, 0.09},
 		{"a few fail", 0.05, false, 0.08, 0.04},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/decision/scale_test.go
+++ b/internal/decision/scale_test.go
@@ -69,7 +69,7 @@
 	for i := range n {
 		g := New(s, uint64(i))
 		g.Handle(0, Start{})
-		g.Handle(0, Backends{Complete: true, List: []Backend{servingBackend("x", 0), servingBackend("y", 0)}})
+		g.Handle(0, Backends{Complete: true, List: []Backend{servingBackend("x"), servingBackend("y")}})
 		gateways = append(gateways, g)
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -118,7 +118,7 @@
 // Trebic-later: 51% rejected, all samples noise.
 func TestCallsFallWhenTheCounterRejectsThem(t *testing.T) {
 	s := testSettings()
-	g := startedGateway(t, s, servingBackend("x", 0))
+	g := startedGateway(t, s, servingBackend("x"))
 	calls := map[bool]int{}
 	for i := range 400 {
 		r := testRequest(uint64(i+1), "safe", "rate")
@@ -169,13 +169,13 @@
 }
 
 func TestRequestIsAnsweredWithoutACounterReply(t *testing.T) {
-	g := startedGateway(t, testSettings(), servingBackend("x", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"))
 	r := testRequest(1, "safe", "rate")
 	r.Gateways = 200
 	if len(actionsOf[CounterCall](g.Handle(0, r))) != 1 {
 		t.Fatal("not asked")
 	}
-	if out := runTicks(g, 0.05, 1, nil); len(actionsOf[Send](out))+len(actionsOf[Reject](out)) != 1 {
+	if out := runTicks(g, 0.05, 1); len(actionsOf[Send](out))+len(actionsOf[Reject](out)) != 1 {
 		t.Errorf("got %v", out)
 	}
 }
@@ -185,7 +185,7 @@
 	s := testSettings()
 	s.Gateways = n
 	for i := range m {
-		list = append(list, servingBackend(fmt.Sprint("b", i), 0))
+		list = append(list, servingBackend(fmt.Sprint("b", i)))
 	}
 	for i := range n {
 		s.Index = i
@@ -292,7 +292,7 @@
 			users[b.ID]++
 		}
 		before := g.defaultPool.order[0].ID
-		g.Handle(1, Backends{List: []Backend{servingBackend("new", 0)}})
+		g.Handle(1, Backends{List: []Backend{servingBackend("new")}})
 		if g.defaultPool.order[0].ID != before && g.defaultPool.order[0].ID != "new" {
 			t.Error("a new backend moved the others")
 		}
@@ -447,7 +447,7 @@
 		0,
 		Backends{
 			Complete: true,
-			List:     []Backend{servingBackend("x", 0), servingBackend("y", 0), servingBackend("z", 0)},
+			List:     []Backend{servingBackend("x"), servingBackend("y"), servingBackend("z")},
 		},
 	)
 	submit := func(customer string, repeat bool, reply CounterReply) (sent int) {
@@ -502,7 +502,7 @@
 			now, id := 1+float64(i)/5, uint64(i+1)
 			out := g.Handle(now, testRequest(id, "safe", "free"))
 			if len(actionsOf[Send](out))+len(actionsOf[Reject](out)) != 1 {
-				out = runTicks(g, now, now+1, nil)
+				out = runTicks(g, now, now+1)
 			}
 			for _, send := range actionsOf[Send](out) {
 				used[send.Backend]++
@@ -552,7 +552,7 @@
 	)
 	var list []Backend
 	for i := range 60 {
-		list = append(list, servingBackend(fmt.Sprint("b", i), 0))
+		list = append(list, servingBackend(fmt.Sprint("b", i)))
 	}
 	g, id, most := startedGateway(t, s, list...), uint64(0), 0
 	for step := range 3 * 3600 {
@@ -598,7 +598,7 @@
 func TestRetryTooLateToEarnIsNotQueued(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].LateValue = 0
-	g := startedGateway(t, s, servingBackend("x", 0))
+	g := startedGateway(t, s, servingBackend("x"))
 	g.Handle(1, testRequest(1, "safe", "free")) // leaves 3 s, the whole deadline
 	id := uint64(1)
 	repeat := func(left Seconds) []Action {
@@ -628,7 +628,7 @@
 func TestGatewaysWithoutEvidenceDoNotChooseAlike(t *testing.T) {
 	list, sent := []Backend{}, map[string]int{}
 	for i := range 20 {
-		b := servingBackend(fmt.Sprint("b", i), 0)
+		b := servingBackend(fmt.Sprint("b", i))
 		if b.Size = 1; i < 10 {
 			b.Size = 2
 		}
@@ -655,7 +655,7 @@
 
 // Zdar-later: 35% rejected with room in 5 s.
 func TestRateLimitOfALateCustomerHasFilled(t *testing.T) {
-	g := startedGateway(t, testSettings(), servingBackend("x", 0))
+	g := startedGateway(t, testSettings(), servingBackend("x"))
 	r := testRequest(1, "safe", "ceiling")
 	if len(actionsOf[Send](g.Handle(30, r))) != 1 {
 		t.Error("refused, though this gateway has spent nothing for 30 s")
@@ -672,7 +672,7 @@
 		g.Handle(0, Start{})
 		list := []Backend{{ID: "cold", Zone: "a", Serving: true, StartedAt: 0.01}}
 		for j := range 9 {
-			list = append(list, servingBackend(fmt.Sprint("w", j), 0))
+			list = append(list, servingBackend(fmt.Sprint("w", j)))
 		}
 		g.Handle(0.02, Backends{Complete: true, List: list})
 		gateways = append(gateways, g)
@@ -708,7 +708,7 @@
 	})
 	var list []Backend
 	for i := range 700 {
-		list = append(list, servingBackend(fmt.Sprint("b", i), 0))
+		list = append(list, servingBackend(fmt.Sprint("b", i)))
 	}
 	g.Handle(1, Backends{Complete: true, List: list})
 	other := testRequest(2, "safe", "free")
@@ -718,7 +718,7 @@
 	}
 	g.Handle(0.5, Timer{"tick"}) // a clock that steps back
 	g.Handle(2, Backends{Complete: true})
-	if out := runTicks(g, 2, 6, nil); len(actionsOf[Send](out)) != 0 {
+	if out := runTicks(g, 2, 6); len(actionsOf[Send](out)) != 0 {
 		t.Error("sent to a backend that left the list")
 	}
 }
@@ -728,7 +728,7 @@
 	g.Handle(0, Start{})
 	var list []Backend
 	for i := range 100 {
-		list = append(list, servingBackend(fmt.Sprint("b", i), 0))
+		list = append(list, servingBackend(fmt.Sprint("b", i)))
 	}
 	g.Handle(0, Backends{Complete: true, List: list})
 	b.ReportAllocs()
--- a/internal/decision/slow_attempts_test.go
+++ b/internal/decision/slow_attempts_test.go
@@ -23,57 +23,57 @@
 
 var abandonCases = []abandonCase{
 	{
-		name: "another is there", others: []Backend{servingBackend("y", 0)}, at: requestedAt + slowAfter,
+		name: "another is there", others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		want: true,
 	},
 	{name: "there is none", at: requestedAt + slowAfter},
 	{name: "it drains", others: []Backend{{ID: "y", Zone: "a"}}, at: requestedAt + slowAfter},
 	{
-		name: "it is full", others: []Backend{servingBackend("y", 0)}, at: requestedAt + slowAfter,
+		name: "it is full", others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		while: func(g *Gateway) { g.backends["y"].overloadedUntil = math.Inf(1) },
 	},
-	{name: "no time is left", others: []Backend{servingBackend("y", 0)}, at: requestedAt + 2.99},
+	{name: "no time is left", others: []Backend{servingBackend("y")}, at: requestedAt + 2.99},
 	{
-		name: "the budget is spent", others: []Backend{servingBackend("y", 0)}, at: requestedAt + slowAfter,
+		name: "the budget is spent", others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		while: func(g *Gateway) {
 			for g.defaultPool.retryBudget.Take(g.now, false, false) {
 			}
 		},
 	},
 	{
-		name: "it must not run twice", class: "unsafe", others: []Backend{servingBackend("y", 0)},
+		name: "it must not run twice", class: "unsafe", others: []Backend{servingBackend("y")},
 		at: requestedAt + slowAfter,
 	},
 	{
 		name: "it must not run twice under its key", class: "keyed",
-		others: []Backend{servingBackend("y", 0)}, at: requestedAt + slowAfter,
+		others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 	},
 	{
-		name: "it has ended", others: []Backend{servingBackend("y", 0)}, at: requestedAt + slowAfter,
+		name: "it has ended", others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		while: func(g *Gateway) {
 			ended := AttemptEnded{ID: 1, Backend: "x", Outcome: Succeeded, Duration: 0.5, Answered: true}
 			g.Handle(requestedAt+0.5, ended)
 		},
 	},
 	{
-		name: "its client has left", others: []Backend{servingBackend("y", 0)}, at: requestedAt + slowAfter,
+		name: "its client has left", others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		while: func(g *Gateway) { g.Handle(requestedAt+0.5, ClientDisconnected{1}) },
 	},
 	{
-		name: "planned before", others: []Backend{servingBackend("y", 0)}, at: requestedAt + slowAfter,
+		name: "planned before", others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		before: func(g *Gateway) { g.ExpectDisruption(requestedAt + 0.01) },
 	},
 	{
-		name: "planned long before", others: []Backend{servingBackend("y", 0)}, at: requestedAt + slowAfter,
+		name: "planned long before", others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		before: func(g *Gateway) { g.ExpectDisruption(requestedAt - 0.01) }, want: true,
 	},
 	{
-		name: "planned meanwhile", others: []Backend{servingBackend("y", 0)}, at: requestedAt + slowAfter,
+		name: "planned meanwhile", others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		while: func(g *Gateway) { g.ExpectDisruption(requestedAt + 0.6) },
 	},
 	{
 		name:   "planned, the end of it told after a later one",
-		others: []Backend{servingBackend("y", 0)}, at: requestedAt + slowAfter,
+		others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		before: func(g *Gateway) {
 			g.ExpectDisruption(requestedAt + 0.01)
 			g.ExpectDisruption(requestedAt - 1)
@@ -81,7 +81,7 @@
 	},
 	{
 		name: "it leaves for good", others: []Backend{
-			servingBackend("y", 0),
+			servingBackend("y"),
 		}, at: requestedAt + slowAfter + 1,
 		while: func(g *Gateway) { g.ExpectDisruption(math.Inf(1)) },
 	},
@@ -99,7 +99,7 @@
 	for i := range s.Classes {
 		s.Classes[i].SlowAttemptFactor = 6
 	}
-	g := startedGateway(t, s, servingBackend("x", 0))
+	g := startedGateway(t, s, servingBackend("x"))
 	g.defaultPool.latency = 0.01
 	if tc.before != nil {
 		tc.before(g)
--- a/internal/decision/sparse.go
+++ b/internal/decision/sparse.go
@@ -125,7 +125,7 @@
 
 // handleQueryReply decides a request that has waited for the counter.
 func (g *Gateway) handleQueryReply(c *customer, q counterQuery, e CounterReply) {
-	g.noteSparseReply(c, e)
+	g.observeSparseReply(c, e)
 	switch {
 	case q.request.answered:
 	case q.spanCapacity > 0:
--- a/internal/decision/sparse_partition_test.go
+++ b/internal/decision/sparse_partition_test.go
@@ -38,20 +38,20 @@
 								return 0.5 * plan.Rate / float64(nodes) * (0.5 + float64(i%3)*0.5)
 							},
 						)
-						w.run(14, nil)
+						w.run(14)
 						for i, n := range w.nodes {
 							n.partitioned = i%part == part-1
 						}
-						w.run(gap, nil)
+						w.run(gap)
 						for _, n := range w.nodes {
 							n.rate *= 2 * times
 						}
-						w.run(8, nil)
+						w.run(8)
 						for _, n := range w.nodes {
 							n.partitioned = false
 						}
-						w.run(4, nil)
-						worst = max(worst, w.maxAdmitted(5))
+						w.run(4)
+						worst = max(worst, w.maxAdmitted())
 					}
 					if worst > maxAllowed(plan) {
 						t.Errorf("%d ran in five seconds, %d may", worst, maxAllowed(plan))
@@ -81,12 +81,12 @@
 				},
 			)
 			w.tenants = tenants
-			w.run(10, nil)
+			w.run(10)
 			for _, n := range w.nodes {
 				n.requests, n.rejections, n.partitioned = 0, 0, deaf == ""
 			}
 			w.lostTenant = deaf
-			w.run(1, nil)
+			w.run(1)
 			for _, n := range w.nodes {
 				asked, refused = asked+n.requests, refused+n.rejections
 			}
--- a/internal/decision/sparse_test.go
+++ b/internal/decision/sparse_test.go
@@ -21,7 +21,7 @@
 		s := testSettings()
 		s.MaxUnits = 4
 		s.Plans = []Plan{{Name: "p", Rate: tc.rate, Burst: tc.burst, ValueWeight: 1, ExcessCost: 1}}
-		g := startedGateway(t, s, servingBackend("b", 0))
+		g := startedGateway(t, s, servingBackend("b"))
 		e := testRequest(1, "safe", "p")
 		e.Gateways = tc.doors
 		g.Handle(1, e)
--- a/internal/standalone/simprotocol/wire_test.go
+++ b/internal/standalone/simprotocol/host_test.go
@@ -11,7 +11,8 @@
 const start = `{"Ts":1,"frame":1,"groups":[{"I":%d,"events":[["CONFIGURE",5,{"Balancers":1,"NewKey":[1],` +
 	`"Classes":[{"Name":"read","Promise":1,"Deadline":3,"Gain":1,"Effect":"pure"}],` +
 	`"Packages":[{"Name":"p","Refill":5,"Burst":5,"Pays":1}],"Permissions":{"SendCap":2}}],` +
-	`["CENSUS",0,[["b1","z","k",0,"SERVING",1,null],["b2","z","k",0,"DRAINING",1,null]]],["DISCOVERY","restored",1,0]]}]}`
+	`["CENSUS",0,[["b1","z","k",0,"SERVING",1,null],["b2","z","k",0,"DRAINING",1,null]]],` +
+	`["DISCOVERY","restored",1,0]]}]}`
 
 func serve(t *testing.T, lines ...string) []string {
 	t.Helper()
@@ -24,7 +25,8 @@
 
 func TestHandWrittenBatches(t *testing.T) {
 	got := serve(t, fmt.Sprintf(start, 3),
-		`{"Ts":2,"frame":2,"groups":[{"I":3,"events":[["SUBMIT",3903435346448836,"read","p","91f03b7c55d20a64",2,1,1,0,0],["NEWS",1]]}]}`,
+		`{"Ts":2,"frame":2,"groups":[{"I":3,"events":[`+
+			`["SUBMIT",3903435346448836,"read","p","91f03b7c55d20a64",2,1,1,0,0],["NEWS",1]]}]}`,
 		`{"Ts":2.1,"frame":3,"groups":[{"I":3,"events":[["COMPLETED",3903435346448836,0,"done",0.1,0,"b1",true,0,null],`+
 			`["SUM","done","old/1",5,0.1],["STATUS_BACK","done",0.1,"b1",{"queue":1}],["CLIENT_GONE",7]]}]}`,
 		`{"Ts":2.2,"frame":4,"groups":[]}`)
