--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -113,7 +113,8 @@
 	cycle := &c.cycle
 	others := min(cycle.localRate, quietFraction*c.quota/c.gateways) * (c.gateways - 1)
 	if g.totalsValid(c) {
-		others = cycle.totalRate - cycle.localRate + (c.gateways-cycle.reporters)*quietFraction*c.quota/c.gateways
+		quiet := (c.gateways - cycle.reporters) * quietFraction * c.quota / c.gateways
+		others = cycle.totalRate - cycle.localRate + quiet
 	}
 	rate := max(others, c.arrivals.perSecond*(c.gateways-1))
 	return poissonBelow(c.plan.MaxInFlight-c.inFlight, rate*g.defaultPool.latency)
