--- a/internal/standalone/fleet/gossip/golden_test.go
+++ b/internal/standalone/fleet/gossip/golden_test.go
@@ -13,19 +13,19 @@
 // TestGoldenMessages reads the messages of an earlier version and, where the encoding is deterministic, writes the same
 // bytes. The encoding of a map isn't.
 func TestGoldenMessages(t *testing.T) {
-	self := membership.Claim{Boot: 12, Nonce: 1<<63 - 3}
-	other := membership.Claim{Boot: 3, Nonce: 99}
+	self := membership.Incarnation{Boot: 12, Nonce: 1<<63 - 3}
+	other := membership.Incarnation{Boot: 3, Nonce: 99}
 	for _, tc := range []struct {
 		file        string
 		want        *message
 		unspecified bool // the order of its bytes
 	}{
-		{"ping.cbor", messageOf(membership.Word{
-			From: "n1", Addr: "10.0.0.4:7946", Claim: self, Seq: 300, Echo: 299, Yours: other,
+		{"ping.cbor", messageOf(membership.Message{
+			From: "n1", Addr: "10.0.0.4:7946", Incarnation: self, Seq: 300, AckedSeq: 299, KnownIncarnation: other,
 		}), false},
 		{"links-request.cbor", &message{Kind: rowAsk, From: "n1", Ask: 70000}, false},
 		{"links-response.cbor", &message{Kind: row, From: "n2", Ask: 70000, Row: map[string]membership.Link{
-			"n1": membership.LinkIn, "n3": membership.LinkNone, "n4": membership.LinkBoth, "n5": membership.LinkUnknown,
+			"n1": membership.LinkInboundOnly, "n3": membership.LinkDown, "n4": membership.LinkBidirectional, "n5": membership.LinkUnknown,
 		}}, true},
 		{"payload.cbor", &message{Kind: load, From: "n1", Topic: 10, Data: []byte{1, 2, 3, 255}}, false},
 	} {
--- a/internal/standalone/fleet/gossip/gossip.go
+++ b/internal/standalone/fleet/gossip/gossip.go
@@ -66,8 +66,8 @@
 
 // Record is what is kept: how often a process began under this name, and the last agreed fleet.
 type Record struct {
-	Boot    uint64
-	Members []membership.Member
+	Boot    uint64              `json:"Boot"`
+	Members []membership.Member `json:"Members"`
 }
 
 // Fleet is this ingress among the others.
@@ -84,7 +84,7 @@
 
 	mu        sync.Mutex // guards what follows
 	view      *membership.View
-	pending   []membership.Told // in the order they came, of one member the last
+	pending   []membership.Update // in the order they came, of one member the last
 	rows      map[uint64]chan *message
 	stalls    int
 	lost      int  // words that came faster than they were looked at
@@ -142,7 +142,7 @@
 	}
 	f.nonce = binary.LittleEndian.Uint64(nonce[:])>>1 + 1
 	record := f.read()
-	self := membership.Member{Name: o.Name, Zone: o.Zone, Version: o.Version, Addr: o.Advertise, Number: o.Number, Claim: membership.Claim{Boot: record.Boot + 1, Nonce: f.nonce}}
+	self := membership.Member{Name: o.Name, Zone: o.Zone, Version: o.Version, Addr: o.Advertise, Number: o.Number, Incarnation: membership.Incarnation{Boot: record.Boot + 1, Nonce: f.nonce}}
 	f.view = membership.New(f.now(), self, o.Expect, record.Members, o.Seed^f.nonce)
 	f.tellSelf()
 	f.beat.Store(int64(time.Since(f.base)))
@@ -202,7 +202,7 @@
 	want := func(boot uint64) { wanted, diskAt = &boot, time.Time{} }
 	write := func(boot uint64) {
 		f.mu.Lock()
-		r := Record{Boot: boot, Members: f.view.Agreed()}
+		r := Record{Boot: boot, Members: f.view.AgreedMembers()}
 		f.mu.Unlock()
 		f.store <- r
 		writing = true
@@ -266,14 +266,14 @@
 		}
 		for _, a := range actions {
 			switch a := a.(type) {
-			case membership.Raise:
+			case membership.RaiseIncarnation:
 				f.log.WithFields(logrus.Fields{"code": "fleet-count-raised", "boot": a.Boot}).Warn("others know a later start under this name: this one's count is raised")
 				if f.o.Store == nil {
 					f.counts(a.Boot)
 				} else {
 					want(a.Boot)
 				}
-			case membership.Keep:
+			case membership.PersistView:
 				dirty = true
 			default:
 				f.carry(a)
@@ -286,7 +286,7 @@
 func (f *Fleet) counts(boot uint64) {
 	f.mu.Lock()
 	if f.view.Self().Boot != boot {
-		f.view.Raised(membership.Claim{Boot: boot, Nonce: f.nonce})
+		f.view.SetIncarnation(membership.Incarnation{Boot: boot, Nonce: f.nonce})
 	}
 	f.tellSelf()
 	f.mu.Unlock()
@@ -325,7 +325,7 @@
 		f.answerRow(m)
 	case row:
 		f.mu.Lock()
-		if wait := f.rows[m.Ask]; wait != nil && len(m.Row) <= membership.MostMembers {
+		if wait := f.rows[m.Ask]; wait != nil && len(m.Row) <= membership.MaxMembers {
 			select {
 			case wait <- m:
 			default:
@@ -339,26 +339,26 @@
 // carry does what the view wants.
 func (f *Fleet) carry(a membership.Action) {
 	switch a := a.(type) {
-	case membership.Say:
+	case membership.SendMessage:
 		if i := f.inst.Load(); i != nil {
-			i.send(a.To, a.Addr, messageOf(a.Word))
+			i.send(a.To, a.Addr, messageOf(a.Message))
 		}
 	case membership.Rejoin:
 		if i := f.inst.Load(); i != nil {
 			go i.list.Join([]string{a.Addr})
 		}
-	case membership.Aside:
-		f.log.WithFields(logrus.Fields{"code": "fleet-name-twice", "boot": a.By.Boot}).Error("another process began under this ingress's name: this one leaves the fleet and serves on alone")
+	case membership.NameConflict:
+		f.log.WithFields(logrus.Fields{"code": "fleet-name-twice", "boot": a.Winner.Boot}).Error("another process began under this ingress's name: this one leaves the fleet and serves on alone")
 		f.mu.Lock()
 		f.down = true
 		f.mu.Unlock()
 		f.stop()
-	case membership.Changed:
+	case membership.ViewChanged:
 		c := a.Change
 		entry := f.log.WithFields(logrus.Fields{"view": c.View, "member": c.Name})
-		if a.Judged {
+		if a.Reachability {
 			j := f.Judgement()
-			entry.WithFields(logrus.Fields{"code": "fleet-judgement", "judgement": c.What, "heard": j.Heard, "agreed": j.Agreed}).Warn("how much of the fleet is heard has changed")
+			entry.WithFields(logrus.Fields{"code": "fleet-judgement", "judgement": c.What, "heard": j.Alive, "agreed": j.Agreed}).Warn("how much of the fleet is heard has changed")
 			break
 		}
 		entry.WithFields(logrus.Fields{"code": "fleet-member", "change": c.What, "state": c.To.String(), "was": c.From.String(), "boot": c.Boot}).Info("the view of the fleet has changed")
@@ -382,13 +382,13 @@
 	for len(f.words) > 0 { // they were sent before, and their senders asked again since
 		<-f.words
 	}
-	f.step(membership.Stalled{For: gap.Seconds()})
+	f.step(membership.Paused{Duration: gap.Seconds()})
 }
 
 // tellSelf renews what this member says of itself. The mutex is held.
 func (f *Fleet) tellSelf() {
 	s := f.view.Self()
-	b := encode(about{Claim: pairOf(s.Claim), Zone: s.Zone, Version: s.Version, Phase: s.Phase, Number: s.Number})
+	b := encode(about{Claim: pairOf(s.Incarnation), Zone: s.Zone, Version: s.Version, Phase: s.Phase, Number: s.Number})
 	f.meta.Store(&b)
 }
 
@@ -406,7 +406,7 @@
 		f.mu.Unlock()
 		return
 	}
-	f.view.Step(f.now(), membership.Phased{Phase: p})
+	f.view.Step(f.now(), membership.PhaseChanged{Phase: p})
 	f.tellSelf()
 	f.mu.Unlock()
 	f.announce()
@@ -456,12 +456,12 @@
 
 // Judgement is how much of the fleet this ingress hears, and until when that may be believed. A process that stands still
 // and has not noticed is cut off.
-func (f *Fleet) Judgement() membership.Judgement {
+func (f *Fleet) Judgement() membership.Reachability {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	j := f.view.Judgement(f.now())
+	j := f.view.Reachability(f.now())
 	if f.still() {
-		j.Sureness = membership.CutOff
+		j.Level = membership.Partitioned
 	}
 	return j
 }
--- a/internal/standalone/fleet/gossip/instance.go
+++ b/internal/standalone/fleet/gossip/instance.go
@@ -63,18 +63,18 @@
 	if i.gone.Load() || n.Name == f.o.Name {
 		return
 	}
-	t := membership.Told{State: s, Member: membership.Member{Name: n.Name, Addr: net.JoinHostPort(n.Addr.String(), strconv.Itoa(int(n.Port)))}}
+	t := membership.Update{State: s, Member: membership.Member{Name: n.Name, Addr: net.JoinHostPort(n.Addr.String(), strconv.Itoa(int(n.Port)))}}
 	var a about
 	if err := decode(n.Meta, &a); err != nil && s == membership.Alive {
 		f.meter.refused.Add(1)
 		return
 	}
-	t.Member.Claim, t.Member.Zone, t.Member.Version, t.Member.Phase, t.Member.Number = claimOf(a.Claim), a.Zone, a.Version, a.Phase, a.Number
+	t.Member.Incarnation, t.Member.Zone, t.Member.Version, t.Member.Phase, t.Member.Number = claimOf(a.Claim), a.Zone, a.Version, a.Phase, a.Number
 	if s == membership.Dead && a.Phase == membership.Leaving {
 		t.State = membership.Left // it said so before
 	}
 	f.mu.Lock()
-	if len(f.pending) < 4*membership.MostMembers { // beyond, the next exchange of the whole state tells again
+	if len(f.pending) < 4*membership.MaxMembers { // beyond, the next exchange of the whole state tells again
 		f.pending = append(f.pending, t)
 	}
 	f.mu.Unlock()
@@ -168,7 +168,7 @@
 	f.mu.Lock()
 	rows := map[string]map[string]membership.Link{f.o.Name: f.row()}
 	ask := uint64(time.Since(f.base)) // of this process, no two questions have one number
-	wait := make(chan *message, membership.MostMembers)
+	wait := make(chan *message, membership.MaxMembers)
 	f.rows[ask] = wait
 	f.mu.Unlock()
 	defer func() {
--- a/internal/standalone/fleet/gossip/message.go
+++ b/internal/standalone/fleet/gossip/message.go
@@ -58,7 +58,7 @@
 // decoding is strict: what another process says is input.
 var decoding = func() cbor.DecMode {
 	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 4, MaxArrayElements: 16,
-		MaxMapPairs: membership.MostMembers + 1, IndefLength: cbor.IndefLengthForbidden}.DecMode()
+		MaxMapPairs: membership.MaxMembers + 1, IndefLength: cbor.IndefLengthForbidden}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
 	}
@@ -83,14 +83,14 @@
 	return nil
 }
 
-func pairOf(c membership.Claim) [2]uint64  { return [2]uint64{c.Boot, c.Nonce} }
-func claimOf(p [2]uint64) membership.Claim { return membership.Claim{Boot: p[0], Nonce: p[1]} }
+func pairOf(c membership.Incarnation) [2]uint64  { return [2]uint64{c.Boot, c.Nonce} }
+func claimOf(p [2]uint64) membership.Incarnation { return membership.Incarnation{Boot: p[0], Nonce: p[1]} }
 
 // wordOf is a message's word.
-func (m *message) wordOf() membership.Word {
-	return membership.Word{From: m.From, Addr: m.Addr, Claim: claimOf(m.Claim), Seq: m.Seq, Echo: m.Echo, Yours: claimOf(m.Yours)}
+func (m *message) wordOf() membership.Message {
+	return membership.Message{From: m.From, Addr: m.Addr, Incarnation: claimOf(m.Claim), Seq: m.Seq, AckedSeq: m.Echo, KnownIncarnation: claimOf(m.Yours)}
 }
 
-func messageOf(w membership.Word) *message {
-	return &message{Kind: word, From: w.From, Addr: w.Addr, Claim: pairOf(w.Claim), Seq: w.Seq, Echo: w.Echo, Yours: pairOf(w.Yours)}
+func messageOf(w membership.Message) *message {
+	return &message{Kind: word, From: w.From, Addr: w.Addr, Claim: pairOf(w.Incarnation), Seq: w.Seq, Echo: w.AckedSeq, Yours: pairOf(w.KnownIncarnation)}
 }
--- a/internal/standalone/fleet/gossip/network.go
+++ b/internal/standalone/fleet/gossip/network.go
@@ -46,7 +46,7 @@
 	c.Delegate, c.Events = i, i
 	c.Logger = log.New(f.lines, "", 0)
 	f.mu.Lock()
-	f.view.Bound(addr)
+	f.view.SetAddr(addr)
 	f.mu.Unlock()
 	if i.list, err = memberlist.Create(c); err != nil {
 		i.transport.Shutdown()
@@ -58,7 +58,7 @@
 	f.mu.Lock()
 	f.joinAt, f.joined, f.exchanges = time.Time{}, false, 0
 	f.mu.Unlock()
-	f.step(membership.Anew{})
+	f.step(membership.ProtocolRestarted{})
 	f.log.WithFields(logrus.Fields{"code": "fleet-started", "fleet": f.o.Fleet, "addr": addr, "bound": f.bound(inner), "boot": f.Self().Boot}).Info("in the fleet")
 }
 
@@ -96,9 +96,9 @@
 		return
 	}
 	f.mu.Lock()
-	lost := !f.joined || f.view.Alone()
+	lost := !f.joined || f.view.Isolated()
 	due := (lost || f.exchanges < exchanges) && time.Now().After(f.joinAt)
-	known := f.view.Agreed()
+	known := f.view.AgreedMembers()
 	if due {
 		f.joinAt = time.Now().Add(joinEvery)
 	}
--- a/internal/standalone/fleet/gossip/report.go
+++ b/internal/standalone/fleet/gossip/report.go
@@ -59,18 +59,18 @@
 	defer f.mu.Unlock()
 	now := f.now()
 	ms := func(s membership.Seconds) int64 { return int64(s * 1000) }
-	j := f.view.Judgement(now)
+	j := f.view.Reachability(now)
 	if f.still() {
-		j.Sureness = membership.CutOff
+		j.Level = membership.Partitioned
 	}
-	r := &Report{Fleet: f.o.Fleet, Name: f.o.Name, View: f.view.Number(), Digest: f.view.Digest(), Judgement: j.Sureness.String(),
-		For: ms(now - j.Since), Until: max(0, ms(j.Until-now)), Heard: j.Heard, Agreed: j.Agreed, Stalls: f.stalls,
-		Refused: f.meter.refused.Load() + int64(f.view.Refused()) + int64(f.lost),
+	r := &Report{Fleet: f.o.Fleet, Name: f.o.Name, View: f.view.Version(), Digest: f.view.Digest(), Judgement: j.Level.String(),
+		For: ms(now - j.Since), Until: max(0, ms(j.Until-now)), Heard: j.Alive, Agreed: j.Agreed, Stalls: f.stalls,
+		Refused: f.meter.refused.Load() + int64(f.view.Rejected()) + int64(f.lost),
 		Traffic: Traffic{f.meter.packetsIn.Load(), f.meter.packetsOut.Load(), f.meter.bytesIn.Load(), f.meter.bytesOut.Load()}}
 	for _, s := range f.view.Members(now) {
 		heard := int64(-1)
-		if s.Heard > 0 {
-			heard = ms(now - s.Heard)
+		if s.LastContact > 0 {
+			heard = ms(now - s.LastContact)
 		}
 		r.Members = append(r.Members, MemberReport{s.Name, s.Addr, s.Zone, s.Version, s.Boot, s.Phase.String(), s.State.String(), ms(now - s.Since), s.Link.String(), heard})
 	}
@@ -126,7 +126,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	if f.view.Judgement(now).Sureness != membership.Whole || f.still() {
+	if f.view.Reachability(now).Level != membership.Complete || f.still() {
 		return false
 	}
 	for _, m := range f.view.Members(now) {
--- a/internal/standalone/fleet/membership/events.go
+++ b/internal/standalone/fleet/membership/events.go
@@ -3,85 +3,85 @@
 // Event is what happened.
 type Event interface{ event() }
 
-// Told is what the protocol says of a member. Where it is Dead or Left, only the name counts.
-type Told struct {
+// Update is what the protocol says of a member. Where it is Dead or Left, only the name counts.
+type Update struct {
 	Member Member
 	State  State
 }
 
-// Word is a question or an answer that came from a member directly.
-type Word struct {
+// Message is a question or an answer that came from a member directly.
+type Message struct {
 	From  string
 	Addr  string // where it wants the answer
-	Claim Claim
+	Incarnation Incarnation
 	Seq   uint64 // grows with each word of a claim
-	Echo  uint64 // the question that it answers; 0: it is one
-	Yours Claim  // in answers: the latest start that it knows under the name of whom it answers
+	AckedSeq  uint64 // the question that it answers; 0: it is one
+	KnownIncarnation Incarnation  // in answers: the latest start that it knows under the name of whom it answers
 }
 
-// Stalled tells that this process stood still for so long: what it did not hear meanwhile proves nothing.
-type Stalled struct{ For Seconds }
+// Paused tells that this process stood still for so long: what it did not hear meanwhile proves nothing.
+type Paused struct{ Duration Seconds }
 
-// Phased is this process's own phase.
-type Phased struct{ Phase Phase }
+// PhaseChanged is this process's own phase.
+type PhaseChanged struct{ Phase Phase }
 
-// Anew tells that the protocol begins anew here and knows nobody yet: whom it does not tell of again within a while has
+// ProtocolRestarted tells that the protocol begins anew here and knows nobody yet: whom it does not tell of again within a while has
 // died meanwhile.
-type Anew struct{}
+type ProtocolRestarted struct{}
 
 // Tick lets time pass; it comes ten times a second or so.
 type Tick struct{}
 
-func (Told) event() {}
+func (Update) event() {}
 
-func (Word) event() {}
+func (Message) event() {}
 
-func (Stalled) event() {}
+func (Paused) event() {}
 
-func (Phased) event() {}
+func (PhaseChanged) event() {}
 
-func (Anew) event() {}
+func (ProtocolRestarted) event() {}
 
 func (Tick) event() {}
 
 // Action is what is to be done.
 type Action interface{ action() }
 
-// Say sends a word to an address.
-type Say struct {
+// SendMessage sends a word to an address.
+type SendMessage struct {
 	To, Addr string
-	Word     Word
+	Message     Message
 }
 
 // Rejoin asks a member at its address for the whole state, so that two parts of a fleet find each other again.
 type Rejoin struct{ Name, Addr string }
 
-// Raise is to be answered by a new View.Raised once the count is on disk: peers know a later start under this name.
-type Raise struct{ Boot uint64 }
+// RaiseIncarnation is to be answered by a new View.Raised once the count is on disk: peers know a later start under this name.
+type RaiseIncarnation struct{ Boot uint64 }
 
-// Aside tells that another process took this one's name: it leaves the fleet, without goodbye.
-type Aside struct{ By Claim }
+// NameConflict tells that another process took this one's name: it leaves the fleet, without goodbye.
+type NameConflict struct{ Winner Incarnation }
 
-// Changed is a change of the view, or of the judgement.
-type Changed struct {
+// ViewChanged is a change of the view, or of the judgement.
+type ViewChanged struct {
 	Change Change
-	Judged bool // it is the judgement's
+	Reachability bool // it is the judgement's
 }
 
-// Keep asks for the view to be kept on disk. It is no promise: a fleet is found again without it.
-type Keep struct{}
+// PersistView asks for the view to be kept on disk. It is no promise: a fleet is found again without it.
+type PersistView struct{}
 
-func (Say) action() {}
+func (SendMessage) action() {}
 
 func (Rejoin) action() {}
 
-func (Raise) action() {}
+func (RaiseIncarnation) action() {}
 
-func (Aside) action() {}
+func (NameConflict) action() {}
 
-func (Changed) action() {}
+func (ViewChanged) action() {}
 
-func (Keep) action() {}
+func (PersistView) action() {}
 
 // Change is one step of the view.
 type Change struct {
--- a/internal/standalone/fleet/membership/membership.go
+++ b/internal/standalone/fleet/membership/membership.go
@@ -14,76 +14,76 @@
 
 // The figures. Each is in seconds, if nothing else is said.
 const (
-	askEvery    = 0.5  // a member is asked
-	tryEvery    = 0.25 // the same question again, while it is not answered
-	tries       = 3    // of a question; then it counts as missed
-	lastTries   = 14   // of the one to a member that the protocol gave up, two at each tick: it is not held for dead before
-	deadEvery   = 4    // every so many questions go to one that is dead: it may hear, or be heard
-	doubtEvery  = 2    // and to one that did not answer
-	lately      = 4.0  // one whose word came within this is not held for dead
-	recent      = 4.0  // answers and misses count for the judgement so long
-	hearNone    = 0.8  // without a word of anybody: more is asked
-	silence     = 2.0  // a judgement is believed so long behind the last word heard
-	linkRounds  = 3    // a link is known for so many rounds of questions
-	linkLeast   = 5.0  // and for this at least
-	rejoinEvery = 2.0  // one that is dead is asked to join again
-	anewWait    = 3.0  // from Anew, for the protocol to tell of those that live
-	claimWait   = 3.0  // a process may take a higher count within this from its start: later, another took its name
-	forgetAfter = 3600 // a dead member belongs no more to the agreed fleet, if more than half of it is heard
-	keepEvery   = 1.0  // the view is kept on disk at most so often
+	probeInterval    = 0.5  // a member is asked
+	probeRetryInterval    = 0.25 // the same question again, while it is not answered
+	probeAttempts       = 3    // of a question; then it counts as missed
+	finalProbeAttempts   = 14   // of the one to a member that the protocol gave up, two at each tick: it is not held for dead before
+	deadProbePeriod   = 4    // every so many questions go to one that is dead: it may hear, or be heard
+	missedProbePeriod  = 2    // and to one that did not answer
+	recentContact      = 4.0  // one whose word came within this is not held for dead
+	probeResultTTL      = 4.0  // answers and misses count for the judgement so long
+	isolationDelay    = 0.8  // without a word of anybody: more is asked
+	reachabilityTTL     = 2.0  // a judgement is believed so long behind the last word heard
+	linkTTLRounds  = 3    // a link is known for so many rounds of questions
+	minLinkTTL   = 5.0  // and for this at least
+	rejoinInterval = 2.0  // one that is dead is asked to join again
+	restartGracePeriod    = 3.0  // from Anew, for the protocol to tell of those that live
+	conflictWindow   = 3.0  // a process may take a higher count within this from its start: later, another took its name
+	deadMemberTTL = 3600 // a dead member belongs no more to the agreed fleet, if more than half of it is heard
+	persistInterval   = 1.0  // the view is kept on disk at most so often
 
-	// MostMembers bounds what is remembered: no word of others adds more.
-	MostMembers = 1024
-	mostChanges = 256
-	mostText    = 64 // bytes of a name, zone or version
+	// MaxMembers bounds what is remembered: no word of others adds more.
+	MaxMembers = 1024
+	maxChanges = 256
+	maxTextBytes    = 64 // bytes of a name, zone or version
 )
 
 // peer is what is known of another member.
 type peer struct {
 	member  Member
-	told    State   // by the protocol
-	toldAt  Seconds // when that last changed
+	protocolState    State   // by the protocol
+	protocolStateSince  Seconds // when that last changed
 	agreed  bool    // belongs to the last agreed fleet
-	stale   bool    // told before the protocol began anew
-	rival   Claim   // a later start under its name that spoke, and that the protocol does not take for it
-	doubt   bool    // given up by the protocol, and asked a last time
-	shown   State   // as last published
-	since   Seconds
-	last    uint64  // highest sequence number of its claim
-	in      Seconds // when a word last came; 0: never
-	answer  Seconds // when it last answered
-	missed  Seconds // when a question to it was last given up
-	misses  int     // in a row
-	began   Seconds // when the first of these was asked
-	missing bool    // the last question was missed, and nothing came since
+	unconfirmed   bool    // told before the protocol began anew
+	rivalIncarnation   Incarnation   // a later start under its name that spoke, and that the protocol does not take for it
+	finalProbePending   bool    // given up by the protocol, and asked a last time
+	publishedState   State   // as last published
+	publishedSince   Seconds
+	lastSeq    uint64  // highest sequence number of its claim
+	lastContact      Seconds // when a word last came; 0: never
+	lastAck  Seconds // when it last answered
+	lastMiss  Seconds // when a question to it was last given up
+	consecutiveMisses  int     // in a row
+	firstMissProbedAt   Seconds // when the first of these was asked
+	lastProbeMissed bool    // the last question was missed, and nothing came since
 }
 
 // View is what one ingress concludes. It is not safe for use by several goroutines.
 type View struct {
 	self    Member
-	expect  int // members that the configuration names
-	met     bool
-	begun   Seconds
-	aside   bool
-	raising bool
+	expectedMembers  int // members that the configuration names
+	formed     bool
+	startedAt   Seconds
+	nameLost   bool
+	raisingIncarnation bool
 
 	peers   map[string]*peer
-	number  uint64
+	version  uint64
 	changes []Change
-	refused int // words that were stale, replayed, or of nobody known
+	rejected int // words that were stale, replayed, or of nobody known
 
 	seq      uint64
-	order    []string // whom to ask, in this round
-	asked    int
-	askAt    Seconds
-	rejoinAt Seconds
-	rejoined string
-	asks     []question
-	results  []result
-	contact  Seconds // when anybody was last heard; 0: never since the start or a stall
-	judged   Judgement
-	anewAt   Seconds
-	keepAt   Seconds
+	probeOrder    []string // whom to ask, in this round
+	probeTurns    int
+	nextProbeAt    Seconds
+	nextRejoinAt Seconds
+	lastRejoined string
+	probes     []probe
+	probeResults  []probeResult
+	lastContact  Seconds // when anybody was last heard; 0: never since the start or a stall
+	reachability   Reachability
+	protocolRestartedAt   Seconds
+	nextPersistAt   Seconds
 	dirty    bool
 	rng      *rand.Rand
 }
@@ -91,325 +91,325 @@
 // New returns the view of a process that begins. expect is the number of members that the configuration names, itself
 // included; known are those of the view that was kept.
 func New(now Seconds, self Member, expect int, known []Member, seed uint64) *View {
-	v := &View{self: self, expect: max(1, expect), begun: now, peers: map[string]*peer{}, askAt: now, rejoinAt: now,
+	v := &View{self: self, expectedMembers: max(1, expect), startedAt: now, peers: map[string]*peer{}, nextProbeAt: now, nextRejoinAt: now,
 		rng: rand.New(rand.NewPCG(seed, 77))}
 	for _, m := range known {
-		if m.Name != self.Name && fits(m) && len(v.peers) < MostMembers {
-			v.peers[m.Name] = &peer{member: m, told: Dead, toldAt: now, shown: Dead, since: now, agreed: true}
+		if m.Name != self.Name && isValid(m) && len(v.peers) < MaxMembers {
+			v.peers[m.Name] = &peer{member: m, protocolState: Dead, protocolStateSince: now, publishedState: Dead, publishedSince: now, agreed: true}
 		}
 	}
-	v.met = len(v.peers)+1 >= v.expect && len(known) > 0
-	v.judged = Judgement{Since: now, Until: now, Heard: 1, Agreed: v.base()}
+	v.formed = len(v.peers)+1 >= v.expectedMembers && len(known) > 0
+	v.reachability = Reachability{Since: now, Until: now, Alive: 1, Agreed: v.agreedCount()}
 	return v
 }
 
-func fits(m Member) bool {
-	return m.Name != "" && len(m.Name) <= mostText && len(m.Zone) <= mostText && len(m.Version) <= mostText && len(m.Addr) <= mostText
+func isValid(m Member) bool {
+	return m.Name != "" && len(m.Name) <= maxTextBytes && len(m.Zone) <= maxTextBytes && len(m.Version) <= maxTextBytes && len(m.Addr) <= maxTextBytes
 }
 
 // Step takes an event.
 func (v *View) Step(now Seconds, e Event) (actions []Action) {
 	switch e := e.(type) {
-	case Told:
-		v.take(now, e)
-	case Word:
-		actions = v.word(now, e)
-	case Stalled:
+	case Update:
+		v.applyUpdate(now, e)
+	case Message:
+		actions = v.receive(now, e)
+	case Paused:
 		// Questions that were out, and what was last heard, prove nothing: others were not asked, nor listened to.
-		v.asks, v.results, v.contact = nil, nil, 0
+		v.probes, v.probeResults, v.lastContact = nil, nil, 0
 		for _, p := range v.peers {
-			p.missing, p.misses = false, 0
+			p.lastProbeMissed, p.consecutiveMisses = false, 0
 		}
-	case Anew:
-		v.anewAt = now
+	case ProtocolRestarted:
+		v.protocolRestartedAt = now
 		for _, p := range v.peers {
-			p.stale = p.told == Alive
+			p.unconfirmed = p.protocolState == Alive
 		}
-	case Phased:
+	case PhaseChanged:
 		v.self.Phase = e.Phase
 	case Tick:
-		if v.aside {
+		if v.nameLost {
 			return nil
 		}
-		actions = v.ask(now)
-		v.forget(now)
-		v.gone(now)
+		actions = v.sendProbes(now)
+		v.removeExpired(now)
+		v.expireUnconfirmed(now)
 	}
-	actions = append(actions, v.settle(now)...)
-	if v.dirty && now >= v.keepAt {
-		v.dirty, v.keepAt = false, now+keepEvery
-		actions = append(actions, Keep{})
+	actions = append(actions, v.publish(now)...)
+	if v.dirty && now >= v.nextPersistAt {
+		v.dirty, v.nextPersistAt = false, now+persistInterval
+		actions = append(actions, PersistView{})
 	}
 	return actions
 }
 
-// take goes by what the protocol says.
-func (v *View) take(now Seconds, e Told) {
+// applyUpdate goes by what the protocol says.
+func (v *View) applyUpdate(now Seconds, e Update) {
 	m := e.Member
-	if m.Name == v.self.Name || !fits(m) {
+	if m.Name == v.self.Name || !isValid(m) {
 		return
 	}
 	p := v.peers[m.Name]
 	if p == nil {
-		if e.State != Alive || len(v.peers) >= MostMembers {
+		if e.State != Alive || len(v.peers) >= MaxMembers {
 			return
 		}
-		p = &peer{member: m, told: Alive, toldAt: now, since: now, agreed: true}
+		p = &peer{member: m, protocolState: Alive, protocolStateSince: now, publishedSince: now, agreed: true}
 		v.peers[m.Name] = p
-		v.change(now, p, Change{New: true, To: Alive, What: "state"})
+		v.recordChange(now, p, Change{New: true, To: Alive, What: "state"})
 	}
 	if e.State != Alive {
-		if p.told == Left { // a goodbye stays one: what is heard of the dead later is older
+		if p.protocolState == Left { // a goodbye stays one: what is heard of the dead later is older
 			return
 		}
 		if e.State == Left && !mutated("left-agreed") {
 			p.agreed = false // it let go by itself: the fleet is agreed to be smaller
 		}
-		if e.State == Dead && p.told != Dead && !mutated("dead-unasked") {
-			p.doubt = true
-			v.asks = append(v.asks, question{to: m.Name, last: true, first: v.seq + 1, next: now})
+		if e.State == Dead && p.protocolState != Dead && !mutated("dead-unasked") {
+			p.finalProbePending = true
+			v.probes = append(v.probes, probe{target: m.Name, final: true, firstSeq: v.seq + 1, nextAttemptAt: now})
 		}
-		p.told, p.toldAt, p.stale = e.State, now, false
+		p.protocolState, p.protocolStateSince, p.unconfirmed = e.State, now, false
 		return
 	}
-	if p.member.Claim.Newer(m.Claim) && !mutated("old-claim") {
-		v.refused++ // an older start of the same name: its folder was restored, or the word is late
+	if p.member.Incarnation.Newer(m.Incarnation) && !mutated("old-claim") {
+		v.rejected++ // an older start of the same name: its folder was restored, or the word is late
 		return
 	}
-	if m.Claim != p.member.Claim {
-		p.last, p.in, p.answer, p.missing, p.misses, p.rival = 0, 0, 0, false, 0, Claim{} // what was heard of the former process is not of this one
-		v.change(now, p, Change{From: p.shown, To: p.shown, Boot: m.Boot, What: "claim"})
+	if m.Incarnation != p.member.Incarnation {
+		p.lastSeq, p.lastContact, p.lastAck, p.lastProbeMissed, p.consecutiveMisses, p.rivalIncarnation = 0, 0, 0, false, 0, Incarnation{} // what was heard of the former process is not of this one
+		v.recordChange(now, p, Change{From: p.publishedState, To: p.publishedState, Boot: m.Boot, What: "claim"})
 	} else if m.Phase != p.member.Phase {
-		v.change(now, p, Change{From: p.shown, To: p.shown, Boot: m.Boot, What: "phase"})
+		v.recordChange(now, p, Change{From: p.publishedState, To: p.publishedState, Boot: m.Boot, What: "phase"})
 	}
-	if p.told != Alive {
-		p.toldAt, p.missing, p.misses = now, false, 0 // it was heard by others since
+	if p.protocolState != Alive {
+		p.protocolStateSince, p.lastProbeMissed, p.consecutiveMisses = now, false, 0 // it was heard by others since
 	}
 	if m.Addr == "" {
 		m.Addr = p.member.Addr
 	}
 	// Given up once more, it is asked once more: what is left of an earlier last question must not end that one's doubt.
-	v.asks = slices.DeleteFunc(v.asks, func(q question) bool { return q.last && q.to == m.Name })
-	p.member, p.told, p.agreed, p.stale, p.doubt, v.dirty = m, Alive, true, false, false, true
+	v.probes = slices.DeleteFunc(v.probes, func(q probe) bool { return q.final && q.target == m.Name })
+	p.member, p.protocolState, p.agreed, p.unconfirmed, p.finalProbePending, v.dirty = m, Alive, true, false, false, true
 }
 
-// word goes by what came directly.
-func (v *View) word(now Seconds, w Word) (actions []Action) {
-	if v.aside {
+// receive goes by what came directly.
+func (v *View) receive(now Seconds, w Message) (actions []Action) {
+	if v.nameLost {
 		return nil
 	}
 	p := v.peers[w.From]
 	switch {
 	case w.From == v.self.Name:
 		// Another process says that it is this one. Whoever began later stays.
-		if w.Claim.Newer(v.self.Claim) {
-			return v.challenged(now, w.Claim)
+		if w.Incarnation.Newer(v.self.Incarnation) {
+			return v.resolveNameConflict(now, w.Incarnation)
 		}
-		v.refused++
-		return v.reply(w, v.self.Claim) // it hears that its count is an old one
+		v.rejected++
+		return v.acknowledge(w, v.self.Incarnation) // it hears that its count is an old one
 	case p == nil:
-		v.refused++
-		return v.reply(w, Claim{})
-	case p.member.Claim.Newer(w.Claim):
-		v.refused++
-		return v.reply(w, p.member.Claim)
-	case w.Claim == p.member.Claim && w.Seq <= p.last && !mutated("replays-count"):
-		v.refused++ // doubled, late or replayed
+		v.rejected++
+		return v.acknowledge(w, Incarnation{})
+	case p.member.Incarnation.Newer(w.Incarnation):
+		v.rejected++
+		return v.acknowledge(w, p.member.Incarnation)
+	case w.Incarnation == p.member.Incarnation && w.Seq <= p.lastSeq && !mutated("replays-count"):
+		v.rejected++ // doubled, late or replayed
 		return nil
-	case w.Claim == p.member.Claim:
-		p.last = w.Seq
-		p.in, p.missing, v.contact = now, false, now
+	case w.Incarnation == p.member.Incarnation:
+		p.lastSeq = w.Seq
+		p.lastContact, p.lastProbeMissed, v.lastContact = now, false, now
 	}
 	// A claim that the protocol has not told yet proves nothing of the member it will be: it is answered, and whoever has the
 	// name hears of it.
-	if w.Claim.Newer(p.member.Claim) && w.Claim.Newer(p.rival) {
-		p.rival = w.Claim
+	if w.Incarnation.Newer(p.member.Incarnation) && w.Incarnation.Newer(p.rivalIncarnation) {
+		p.rivalIncarnation = w.Incarnation
 	}
-	if w.Echo == 0 {
-		latest := p.member.Claim
-		if p.rival.Newer(latest) {
-			latest = p.rival
+	if w.AckedSeq == 0 {
+		latest := p.member.Incarnation
+		if p.rivalIncarnation.Newer(latest) {
+			latest = p.rivalIncarnation
 		}
-		return v.reply(w, latest)
+		return v.acknowledge(w, latest)
 	}
-	i := slices.IndexFunc(v.asks, func(q question) bool { return q.to == w.From && w.Echo >= q.first && w.Echo <= v.seq })
-	if i < 0 || w.Claim != p.member.Claim {
+	i := slices.IndexFunc(v.probes, func(q probe) bool { return q.target == w.From && w.AckedSeq >= q.firstSeq && w.AckedSeq <= v.seq })
+	if i < 0 || w.Incarnation != p.member.Incarnation {
 		return nil
 	}
-	v.asks = slices.Delete(v.asks, i, i+1)
-	v.results = append(v.results, result{now, true})
-	p.answer, p.misses = now, 0
-	if w.Yours.Newer(v.self.Claim) && w.Yours != v.self.Claim {
-		return v.challenged(now, w.Yours)
+	v.probes = slices.Delete(v.probes, i, i+1)
+	v.probeResults = append(v.probeResults, probeResult{now, true})
+	p.lastAck, p.consecutiveMisses = now, 0
+	if w.KnownIncarnation.Newer(v.self.Incarnation) && w.KnownIncarnation != v.self.Incarnation {
+		return v.resolveNameConflict(now, w.KnownIncarnation)
 	}
 	return nil
 }
 
-// challenged is what a process does that hears of a later start under its own name. Just begun, it was itself started
+// resolveNameConflict is what a process does that hears of a later start under its own name. Just begun, it was itself started
 // last, and its count is an old one: its folder is empty, or was restored. Later on, another was.
-func (v *View) challenged(now Seconds, by Claim) []Action {
-	if now < v.begun+claimWait || mutated("never-aside") {
-		if v.raising {
+func (v *View) resolveNameConflict(now Seconds, by Incarnation) []Action {
+	if now < v.startedAt+conflictWindow || mutated("never-aside") {
+		if v.raisingIncarnation {
 			return nil
 		}
-		v.raising = true
-		return []Action{Raise{by.Boot + 1}}
+		v.raisingIncarnation = true
+		return []Action{RaiseIncarnation{by.Boot + 1}}
 	}
-	v.aside = true
-	v.judged = Judgement{Since: now, Until: now, Heard: 1, Agreed: v.base()}
-	return []Action{Aside{by}}
+	v.nameLost = true
+	v.reachability = Reachability{Since: now, Until: now, Alive: 1, Agreed: v.agreedCount()}
+	return []Action{NameConflict{by}}
 }
 
-// reply answers a question. An answer is never answered: two that do not know each other would go on for ever.
-func (v *View) reply(w Word, yours Claim) []Action {
-	if w.Echo != 0 && !mutated("answers-answers") {
+// acknowledge answers a question. An answer is never answered: two that do not know each other would go on for ever.
+func (v *View) acknowledge(w Message, yours Incarnation) []Action {
+	if w.AckedSeq != 0 && !mutated("answers-answers") {
 		return nil
 	}
 	v.seq++
-	return []Action{Say{w.From, w.Addr, Word{From: v.self.Name, Addr: v.self.Addr, Claim: v.self.Claim, Seq: v.seq, Echo: max(1, w.Seq), Yours: yours}}}
+	return []Action{SendMessage{w.From, w.Addr, Message{From: v.self.Name, Addr: v.self.Addr, Incarnation: v.self.Incarnation, Seq: v.seq, AckedSeq: max(1, w.Seq), KnownIncarnation: yours}}}
 }
 
-// forget lets go of what is long gone. Cut off, an ingress forgets nobody: what it does not hear may be the fleet.
-func (v *View) forget(now Seconds) {
+// removeExpired lets go of what is long gone. Cut off, an ingress forgets nobody: what it does not hear may be the fleet.
+func (v *View) removeExpired(now Seconds) {
 	for name, p := range v.peers {
-		if p.told == Left && now > p.toldAt+forgetAfter || p.told == Dead && now > p.toldAt+forgetAfter && v.Judgement(now).Sureness != CutOff {
+		if p.protocolState == Left && now > p.protocolStateSince+deadMemberTTL || p.protocolState == Dead && now > p.protocolStateSince+deadMemberTTL && v.Reachability(now).Level != Partitioned {
 			delete(v.peers, name)
 			v.dirty = true
 		}
 	}
 }
 
-// gone gives up who was not told of again, once the others were heard.
-func (v *View) gone(now Seconds) {
-	if v.contact == 0 || now < v.anewAt+anewWait {
+// expireUnconfirmed gives up who was not told of again, once the others were heard.
+func (v *View) expireUnconfirmed(now Seconds) {
+	if v.lastContact == 0 || now < v.protocolRestartedAt+restartGracePeriod {
 		return
 	}
 	for _, p := range v.peers {
-		if p.stale {
-			p.told, p.toldAt, p.stale = Dead, now, false // unasked: it was away for as long as this process
+		if p.unconfirmed {
+			p.protocolState, p.protocolStateSince, p.unconfirmed = Dead, now, false // unasked: it was away for as long as this process
 		}
 	}
 }
 
-// window is how long a link is known.
-func (v *View) window() Seconds {
-	return max(linkLeast, linkRounds*askEvery*Seconds(len(v.peers)))
+// linkTTL is how long a link is known.
+func (v *View) linkTTL() Seconds {
+	return max(minLinkTTL, linkTTLRounds*probeInterval*Seconds(len(v.peers)))
 }
 
-// state concludes what a peer is.
-func (v *View) state(now Seconds, p *peer) State {
+// evaluateState concludes what a peer is.
+func (v *View) evaluateState(now Seconds, p *peer) State {
 	switch {
-	case p.told == Left:
+	case p.protocolState == Left:
 		return Left
-	case p.told == Dead:
+	case p.protocolState == Dead:
 		// The fleet gave it up, and it speaks: what does not work is the way to it.
-		if p.in > p.toldAt && now < p.in+v.window() && !mutated("heard-is-dead") {
+		if p.lastContact > p.protocolStateSince && now < p.lastContact+v.linkTTL() && !mutated("heard-is-dead") {
 			return Alive
 		}
 		// One that hears nobody and is heard cannot refute; its next question shows that it lives. One that has died was last heard
 		// before the protocol began to suspect it.
-		if p.doubt || p.in > 0 && now < p.in+lately {
+		if p.finalProbePending || p.lastContact > 0 && now < p.lastContact+recentContact {
 			return Suspect
 		}
 		return Dead
-	case p.missing && p.misses > 1:
+	case p.lastProbeMissed && p.consecutiveMisses > 1:
 		return Suspect
 	}
 	return Alive
 }
 
-func (v *View) link(now Seconds, p *peer) Link {
-	known := now - v.window()
+func (v *View) evaluateLink(now Seconds, p *peer) Link {
+	known := now - v.linkTTL()
 	of := func(at Seconds) bool { return at > 0 && at > known }
 	switch {
-	case p.misses > 0 && of(p.missed) && of(p.in) && p.in > p.began:
-		return LinkIn
-	case p.misses > 0 && of(p.missed):
-		return LinkNone
-	case of(p.answer), of(p.in):
-		return LinkBoth
+	case p.consecutiveMisses > 0 && of(p.lastMiss) && of(p.lastContact) && p.lastContact > p.firstMissProbedAt:
+		return LinkInboundOnly
+	case p.consecutiveMisses > 0 && of(p.lastMiss):
+		return LinkDown
+	case of(p.lastAck), of(p.lastContact):
+		return LinkBidirectional
 	}
 	return LinkUnknown
 }
 
-// base is how many the last agreed fleet has.
-func (v *View) base() int {
+// agreedCount is how many the last agreed fleet has.
+func (v *View) agreedCount() int {
 	n := 1
 	for _, p := range v.peers {
 		if p.agreed {
 			n++
 		}
 	}
-	if !v.met {
-		n = max(n, v.expect) // the first time, all that the configuration names must have come
+	if !v.formed {
+		n = max(n, v.expectedMembers) // the first time, all that the configuration names must have come
 	}
 	return n
 }
 
-// settle publishes what changed.
-func (v *View) settle(now Seconds) (actions []Action) {
+// publish publishes what changed.
+func (v *View) publish(now Seconds) (actions []Action) {
 	begun := len(v.changes)
 	alive := 1
-	for _, name := range v.names(func(*peer) bool { return true }) {
+	for _, name := range v.sortedNames(func(*peer) bool { return true }) {
 		p := v.peers[name]
-		s := v.state(now, p)
-		if s == Alive && p.agreed && !p.stale {
+		s := v.evaluateState(now, p)
+		if s == Alive && p.agreed && !p.unconfirmed {
 			alive++
 		}
-		if s != p.shown {
-			v.change(now, p, Change{From: p.shown, To: s, What: "state"})
-			p.shown, p.since = s, now
+		if s != p.publishedState {
+			v.recordChange(now, p, Change{From: p.publishedState, To: s, What: "state"})
+			p.publishedState, p.publishedSince = s, now
 		}
 	}
-	if !v.met && len(v.peers)+1 >= v.expect {
-		v.met = true
+	if !v.formed && len(v.peers)+1 >= v.expectedMembers {
+		v.formed = true
 	}
 	for _, c := range v.changes[begun:] {
-		actions = append(actions, Changed{Change: c})
+		actions = append(actions, ViewChanged{Change: c})
 	}
-	if n := len(v.changes) - mostChanges; n > 0 {
+	if n := len(v.changes) - maxChanges; n > 0 {
 		v.changes = slices.Delete(v.changes, 0, n)
 	}
-	if v.aside {
+	if v.nameLost {
 		return actions
 	}
-	was, j := v.Judgement(now), v.judge(now, alive)
-	if j.Since = v.judged.Since; j.Sureness != was.Sureness {
+	was, j := v.Reachability(now), v.evaluateReachability(now, alive)
+	if j.Since = v.reachability.Since; j.Level != was.Level {
 		j.Since = now
-		actions = append(actions, Changed{Change: Change{View: v.number, At: now, Name: v.self.Name, What: j.Sureness.String()}, Judged: true})
+		actions = append(actions, ViewChanged{Change: Change{View: v.version, At: now, Name: v.self.Name, What: j.Level.String()}, Reachability: true})
 	}
-	v.judged = j
+	v.reachability = j
 	return actions
 }
 
-// judge says how much of the fleet is heard.
-func (v *View) judge(now Seconds, alive int) Judgement {
-	v.results = slices.DeleteFunc(v.results, func(r result) bool { return now > r.at+recent })
+// evaluateReachability says how much of the fleet is heard.
+func (v *View) evaluateReachability(now Seconds, alive int) Reachability {
+	v.probeResults = slices.DeleteFunc(v.probeResults, func(r probeResult) bool { return now > r.at+probeResultTTL })
 	missed := 0
-	for _, r := range v.results {
-		if !r.answered {
+	for _, r := range v.probeResults {
+		if !r.acknowledged {
 			missed++
 		}
 	}
-	j := Judgement{Heard: alive, Agreed: v.base(), Until: v.contact + silence, Sureness: Whole}
+	j := Reachability{Alive: alive, Agreed: v.agreedCount(), Until: v.lastContact + reachabilityTTL, Level: Complete}
 	switch {
 	case j.Agreed == 1:
-		j.Until = now + silence // nobody else is expected
-	case v.contact == 0 || now >= j.Until:
-		j.Sureness, j.Until = CutOff, now
-	case len(v.results) >= 4 && missed*2 > len(v.results) && !mutated("misses-pass"):
-		j.Sureness = CutOff // the protocol has not told yet, and most do not answer
+		j.Until = now + reachabilityTTL // nobody else is expected
+	case v.lastContact == 0 || now >= j.Until:
+		j.Level, j.Until = Partitioned, now
+	case len(v.probeResults) >= 4 && missed*2 > len(v.probeResults) && !mutated("misses-pass"):
+		j.Level = Partitioned // the protocol has not told yet, and most do not answer
 	case alive*2 <= j.Agreed && !mutated("half-is-enough"):
-		j.Sureness = CutOff
+		j.Level = Partitioned
 	case alive < j.Agreed:
-		j.Sureness = Thinned
+		j.Level = Majority
 	}
 	return j
 }
 
-func (v *View) change(now Seconds, p *peer, c Change) {
-	v.number++
-	c.View, c.At, c.Name, c.Boot = v.number, now, p.member.Name, cmp.Or(c.Boot, p.member.Boot)
+func (v *View) recordChange(now Seconds, p *peer, c Change) {
+	v.version++
+	c.View, c.At, c.Name, c.Boot = v.version, now, p.member.Name, cmp.Or(c.Boot, p.member.Boot)
 	v.changes = append(v.changes, c)
 	v.dirty = true
 }
--- a/internal/standalone/fleet/membership/membership_test.go
+++ b/internal/standalone/fleet/membership/membership_test.go
@@ -15,14 +15,14 @@
 	os.Exit(m.Run())
 }
 
-func claim(boot uint64) Claim { return Claim{Boot: boot, Nonce: boot} }
+func claim(boot uint64) Incarnation { return Incarnation{Boot: boot, Nonce: boot} }
 
 func peerNamed(name string, boot uint64) Member {
-	return Member{Name: name, Addr: name + ":1", Claim: claim(boot), Phase: Serving}
+	return Member{Name: name, Addr: name + ":1", Incarnation: claim(boot), Phase: Serving}
 }
 
 func told(name string, boot uint64, s State) Event {
-	return Told{peerNamed(name, boot), s}
+	return Update{peerNamed(name, boot), s}
 }
 
 // sayer is whoever draws: rapid, or a generator of random numbers where seeded faults are looked for.
@@ -38,7 +38,7 @@
 	now := Seconds(100)
 	v := New(now, peerNamed("me", 1), 1+t.below(5), nil, 1)
 	type shadow struct {
-		claim   Claim
+		claim   Incarnation
 		told    State
 		toldAt  Seconds
 		heard   Seconds // a word that counts
@@ -52,32 +52,32 @@
 	}
 	lastView, contact, begun := uint64(0), Seconds(0), now
 	asides := false
-	var out []Say
+	var out []SendMessage
 	act := func(e Event) {
 		for _, a := range v.Step(now, e) {
 			switch a := a.(type) {
-			case Say:
-				if w, ok := e.(Word); ok && w.Echo != 0 && a.Word.Echo != 0 {
+			case SendMessage:
+				if w, ok := e.(Message); ok && w.AckedSeq != 0 && a.Message.AckedSeq != 0 {
 					t.Fatalf("an answer is answered")
 				}
-				if a.Word.Echo == 0 {
+				if a.Message.AckedSeq == 0 {
 					out = append(out, a)
 					if m := model[a.To]; m != nil && m.told == Dead {
 						m.asked = true
 					}
 				}
-			case Raise:
-				if now >= begun+claimWait {
+			case RaiseIncarnation:
+				if now >= begun+conflictWindow {
 					t.Fatalf("a count is raised %.1f s after the start", now-begun)
 				}
-				v.Raised(claim(a.Boot))
-			case Aside:
-				if now < begun+claimWait {
+				v.SetIncarnation(claim(a.Boot))
+			case NameConflict:
+				if now < begun+conflictWindow {
 					t.Fatalf("a process stands aside that has just begun")
 				}
 				asides = true
-			case Changed:
-				if a.Judged {
+			case ViewChanged:
+				if a.Reachability {
 					break
 				}
 				if a.Change.View <= lastView {
@@ -93,7 +93,7 @@
 		switch t.below(8) {
 		case 0, 1:
 			c := claim(uint64(1 + t.below(2)))
-			act(Told{Member{Name: name, Addr: name, Claim: c, Phase: Serving}, Alive})
+			act(Update{Member{Name: name, Addr: name, Incarnation: c, Phase: Serving}, Alive})
 			if !m.known || !m.claim.Newer(c) {
 				if c != m.claim {
 					m.heard, m.highest = 0, 0
@@ -105,7 +105,7 @@
 			if t.below(3) == 0 {
 				s = Left
 			}
-			act(Told{Member{Name: name}, s})
+			act(Update{Member{Name: name}, s})
 			if m.known && m.told != Left {
 				if m.told != s {
 					m.asked = false
@@ -120,22 +120,22 @@
 			echo := uint64(0)
 			for _, s := range out {
 				if s.To == name && t.below(2) == 0 {
-					echo = s.Word.Seq
+					echo = s.Message.Seq
 				}
 			}
-			act(Word{From: name, Addr: name, Claim: c, Seq: seq, Echo: echo, Yours: v.Self().Claim})
+			act(Message{From: name, Addr: name, Incarnation: c, Seq: seq, AckedSeq: echo, KnownIncarnation: v.Self().Incarnation})
 			if m.known && c == m.claim && seq > m.highest {
 				m.highest, m.heard, contact = seq, now, now
 			}
 		case 5:
-			act(Stalled{5})
+			act(Paused{5})
 			contact = 0
-			if j := v.Judgement(now); j.Sureness != CutOff && j.Agreed > 1 {
-				t.Fatalf("%v right behind a stall", j.Sureness)
+			if j := v.Reachability(now); j.Level != Partitioned && j.Agreed > 1 {
+				t.Fatalf("%v right behind a stall", j.Level)
 			}
 		case 6:
 			if t.below(8) == 0 {
-				act(Word{From: "me", Addr: "x", Claim: claim(uint64(1 + t.below(4))), Seq: 1})
+				act(Message{From: "me", Addr: "x", Incarnation: claim(uint64(1 + t.below(4))), Seq: 1})
 			}
 		default:
 			for range 1 + t.below(12) {
@@ -144,10 +144,10 @@
 			}
 		}
 		// What must hold after each.
-		j := v.Judgement(now)
+		j := v.Reachability(now)
 		if asides {
-			if j.Sureness != CutOff {
-				t.Fatalf("%v, and another has the name", j.Sureness)
+			if j.Level != Partitioned {
+				t.Fatalf("%v, and another has the name", j.Level)
 			}
 			return
 		}
@@ -163,31 +163,31 @@
 			if s.State == Alive && m.told != Left {
 				alive++
 			}
-			if s.Claim != m.claim {
+			if s.Incarnation != m.claim {
 				t.Fatalf("%s has start %d, its latest is %d", s.Name, s.Boot, m.claim.Boot)
 			}
 			switch {
 			case s.State == Dead && (m.told != Dead || !m.asked):
 				t.Fatalf("%s is dead: told %v, asked since %v", s.Name, m.told, m.asked)
-			case s.State == Dead && m.heard > m.toldAt && now < m.heard+linkLeast:
+			case s.State == Dead && m.heard > m.toldAt && now < m.heard+minLinkTTL:
 				t.Fatalf("%s is dead, and was heard %.1f s ago", s.Name, now-m.heard)
 			case s.State == Left && m.told != Left, s.State != Left && m.told == Left:
 				t.Fatalf("%s is %v, told %v", s.Name, s.State, m.told)
-			case s.Heard != m.heard:
-				t.Fatalf("%s was heard at %.1f, not at %.1f", s.Name, m.heard, s.Heard)
+			case s.LastContact != m.heard:
+				t.Fatalf("%s was heard at %.1f, not at %.1f", s.Name, m.heard, s.LastContact)
 			}
 		}
-		if j.Sureness != CutOff && j.Agreed > 1 && (j.Heard*2 <= j.Agreed || j.Heard > alive || j.Agreed < agreed || contact == 0 || now >= contact+silence) {
-			t.Fatalf("%v: %d of %d, shown %d of %d, heard %.1f s ago", j.Sureness, j.Heard, j.Agreed, alive, agreed, now-contact)
+		if j.Level != Partitioned && j.Agreed > 1 && (j.Alive*2 <= j.Agreed || j.Alive > alive || j.Agreed < agreed || contact == 0 || now >= contact+reachabilityTTL) {
+			t.Fatalf("%v: %d of %d, shown %d of %d, heard %.1f s ago", j.Level, j.Alive, j.Agreed, alive, agreed, now-contact)
 		}
-		if v.met && j.Agreed != agreed {
+		if v.formed && j.Agreed != agreed {
 			t.Fatalf("%d agreed, not %d: who said goodbye is not missed", j.Agreed, agreed)
 		}
-		if j.Sureness == Whole && j.Heard != j.Agreed {
-			t.Fatalf("whole: %d of %d", j.Heard, j.Agreed)
+		if j.Level == Complete && j.Alive != j.Agreed {
+			t.Fatalf("whole: %d of %d", j.Alive, j.Agreed)
 		}
-		if len(v.changes) > mostChanges || len(v.asks) > 8+len(names) || len(v.results) > 40 {
-			t.Fatalf("%d changes, %d questions, %d results are kept", len(v.changes), len(v.asks), len(v.results))
+		if len(v.changes) > maxChanges || len(v.probes) > 8+len(names) || len(v.probeResults) > 40 {
+			t.Fatalf("%d changes, %d questions, %d results are kept", len(v.changes), len(v.probes), len(v.probeResults))
 		}
 	}
 }
@@ -211,8 +211,8 @@
 		B, C   string
 	}
 	at := func() (l look) {
-		j := v.Judgement(now)
-		l = look{Sure: j.Sureness.String(), Heard: j.Heard, Agreed: j.Agreed}
+		j := v.Reachability(now)
+		l = look{Sure: j.Level.String(), Heard: j.Alive, Agreed: j.Agreed}
 		for _, s := range v.Members(now) {
 			switch s.Name {
 			case "b":
@@ -229,11 +229,11 @@
 		for end := now + seconds; now < end; {
 			now += 0.1
 			for _, a := range v.Step(now, Tick{}) {
-				s, ok := a.(Say)
+				s, ok := a.(SendMessage)
 				for _, n := range answering {
 					if ok && s.To == n {
 						seq[n]++
-						v.Step(now, Word{From: n, Claim: claim(1), Seq: seq[n], Echo: s.Word.Seq, Yours: v.Self().Claim})
+						v.Step(now, Message{From: n, Incarnation: claim(1), Seq: seq[n], AckedSeq: s.Message.Seq, KnownIncarnation: v.Self().Incarnation})
 					}
 				}
 			}
@@ -262,7 +262,7 @@
 	pass(3.2, "b")
 	check("it did not answer", look{"thinned", 2, 3, "alive both", "dead none"})
 	seq["c"]++
-	v.Step(now, Word{From: "c", Claim: claim(1), Seq: seq["c"]})
+	v.Step(now, Message{From: "c", Incarnation: claim(1), Seq: seq["c"]})
 	check("it speaks: the way to it is cut", look{"whole", 3, 3, "alive both", "alive in"})
 	pass(8, "b")
 	check("it speaks no more", look{"thinned", 2, 3, "alive both", "dead none"})
@@ -275,9 +275,9 @@
 	v.Step(now, told("c", 1, Left))
 	pass(1, "b")
 	check("one left: two are the fleet", look{"whole", 2, 2, "alive both", "left both"})
-	v.Step(now, Stalled{20})
+	v.Step(now, Paused{20})
 	check("it stood still", look{"cut-off", 2, 2, "alive both", "left both"})
-	v.Step(now, Anew{})
+	v.Step(now, ProtocolRestarted{})
 	pass(1, "b")
 	check("not told again yet", look{"cut-off", 1, 2, "alive both", "left both"})
 	v.Step(now, told("b", 1, Alive))
@@ -295,22 +295,22 @@
 	for _, row := range []struct {
 		name string
 		age  Seconds
-		by   Claim
+		by   Incarnation
 		want Action
 	}{
-		{"just begun, its folder is old", 1, Claim{7, 1}, Raise{8}},
-		{"another began later", 60, Claim{7, 1}, Aside{Claim{7, 1}}},
-		{"another has the same count, drawn higher", 60, Claim{3, 9}, Aside{Claim{3, 9}}},
+		{"just begun, its folder is old", 1, Incarnation{7, 1}, RaiseIncarnation{8}},
+		{"another began later", 60, Incarnation{7, 1}, NameConflict{Incarnation{7, 1}}},
+		{"another has the same count, drawn higher", 60, Incarnation{3, 9}, NameConflict{Incarnation{3, 9}}},
 	} {
-		v := New(0, Member{Name: "a", Claim: Claim{3, 5}}, 2, nil, 1)
-		got := v.Step(row.age, Word{From: "a", Addr: "x", Claim: row.by, Seq: 1})
+		v := New(0, Member{Name: "a", Incarnation: Incarnation{3, 5}}, 2, nil, 1)
+		got := v.Step(row.age, Message{From: "a", Addr: "x", Incarnation: row.by, Seq: 1})
 		if len(got) == 0 || got[0] != row.want {
 			t.Errorf("%s: %v, want %v", row.name, got, row.want)
 		}
 	}
-	v := New(0, Member{Name: "a", Claim: Claim{3, 5}}, 2, nil, 1)
-	got := v.Step(60, Word{From: "a", Addr: "x", Claim: Claim{2, 9}, Seq: 4})
-	if s, ok := got[0].(Say); !ok || s.Word.Yours != (Claim{3, 5}) || s.Addr != "x" {
+	v := New(0, Member{Name: "a", Incarnation: Incarnation{3, 5}}, 2, nil, 1)
+	got := v.Step(60, Message{From: "a", Addr: "x", Incarnation: Incarnation{2, 9}, Seq: 4})
+	if s, ok := got[0].(SendMessage); !ok || s.Message.KnownIncarnation != (Incarnation{3, 5}) || s.Addr != "x" {
 		t.Errorf("an older start hears %v", got)
 	}
 }
@@ -318,7 +318,7 @@
 // One that the protocol gave up is asked often before it is held for dead: of a dozen questions that are lost or whose answers are,
 // the next one's answer keeps it. An earlier last question does not end the doubt of a later one.
 func TestLastQuestion(t *testing.T) {
-	for _, answered := range []int{1, lastTries - 1, 0} {
+	for _, answered := range []int{1, finalProbeAttempts - 1, 0} {
 		v := New(100, peerNamed("me", 1), 2, nil, 1)
 		v.Step(100, told("a", 1, Alive))
 		v.Step(100, told("a", 1, Dead))
@@ -327,9 +327,9 @@
 		said, deadAt := 0, 0.0
 		for now := 100.4; now < 105; now += 0.1 {
 			for _, a := range v.Step(now, Tick{}) {
-				if s, ok := a.(Say); ok && s.To == "a" {
+				if s, ok := a.(SendMessage); ok && s.To == "a" {
 					if said++; said == answered {
-						v.Step(now, Word{From: "a", Claim: claim(1), Seq: 1, Echo: s.Word.Seq, Yours: claim(1)})
+						v.Step(now, Message{From: "a", Incarnation: claim(1), Seq: 1, AckedSeq: s.Message.Seq, KnownIncarnation: claim(1)})
 					}
 				}
 			}
@@ -340,7 +340,7 @@
 		if answered > 0 && deadAt > 0 {
 			t.Errorf("it answered question %d, and was held for dead after %.1f s", answered, deadAt)
 		}
-		if answered == 0 && (deadAt < lastTries*0.05 || deadAt > 1.3) {
+		if answered == 0 && (deadAt < finalProbeAttempts*0.05 || deadAt > 1.3) {
 			t.Errorf("it never answered: held for dead after %.1f s", deadAt)
 		}
 	}
--- a/internal/standalone/fleet/membership/probing.go
+++ b/internal/standalone/fleet/membership/probing.go
@@ -4,138 +4,138 @@
 	"slices"
 )
 
-// question is one that is out.
-type question struct {
-	to    string
-	first uint64 // sequence number of its first try
-	last  bool   // to one that the protocol gave up
-	tried int
-	began Seconds // when it was first tried
-	next  Seconds
+// probe is one that is out.
+type probe struct {
+	target    string
+	firstSeq uint64 // sequence number of its first try
+	final  bool   // to one that the protocol gave up
+	attempts int
+	startedAt Seconds // when it was first tried
+	nextAttemptAt  Seconds
 }
 
-// tries are those that a question has.
-func (q question) tries() int {
-	if q.last {
-		return lastTries
+// maxAttempts are those that a question has.
+func (q probe) maxAttempts() int {
+	if q.final {
+		return finalProbeAttempts
 	}
-	return tries
+	return probeAttempts
 }
 
-type result struct {
+type probeResult struct {
 	at       Seconds
-	answered bool
+	acknowledged bool
 }
 
-// ask says words: again to whom did not answer, and to the next in turn.
-func (v *View) ask(now Seconds) (actions []Action) {
-	v.asks = slices.DeleteFunc(v.asks, func(q question) bool {
-		p := v.peers[q.to]
+// sendProbes says words: again to whom did not answer, and to the next in turn.
+func (v *View) sendProbes(now Seconds) (actions []Action) {
+	v.probes = slices.DeleteFunc(v.probes, func(q probe) bool {
+		p := v.peers[q.target]
 		if p == nil {
 			return true
 		}
-		if now < q.next || q.tried < q.tries() {
+		if now < q.nextAttemptAt || q.attempts < q.maxAttempts() {
 			return false
 		}
-		if p.misses++; p.misses == 1 {
-			p.began = q.began
+		if p.consecutiveMisses++; p.consecutiveMisses == 1 {
+			p.firstMissProbedAt = q.startedAt
 		}
-		p.missed, p.missing = now, p.in < q.began
-		p.doubt = p.doubt && !q.last
-		if p.told == Alive {
-			v.results = append(v.results, result{now, false}) // that the dead do not answer proves nothing
+		p.lastMiss, p.lastProbeMissed = now, p.lastContact < q.startedAt
+		p.finalProbePending = p.finalProbePending && !q.final
+		if p.protocolState == Alive {
+			v.probeResults = append(v.probeResults, probeResult{now, false}) // that the dead do not answer proves nothing
 		}
 		return true
 	})
-	for i := range v.asks {
-		if q := &v.asks[i]; now >= q.next {
-			actions = append(actions, v.try(now, q))
-			if q.last && q.tried < q.tries() {
-				actions = append(actions, v.try(now, q))
+	for i := range v.probes {
+		if q := &v.probes[i]; now >= q.nextAttemptAt {
+			actions = append(actions, v.sendProbe(now, q))
+			if q.final && q.attempts < q.maxAttempts() {
+				actions = append(actions, v.sendProbe(now, q))
 			}
 		}
 	}
-	if now >= v.askAt {
-		v.askAt = max(v.askAt+askEvery, now)
+	if now >= v.nextProbeAt {
+		v.nextProbeAt = max(v.nextProbeAt+probeInterval, now)
 		name := ""
-		if v.contact > 0 && now > v.contact+hearNone {
+		if v.lastContact > 0 && now > v.lastContact+isolationDelay {
 			// One that hears nobody: those that hear it have nothing but its questions to know that it lives.
-			v.askAt = now + askEvery/2
-			name = v.round()
+			v.nextProbeAt = now + probeInterval/2
+			name = v.nextRoundRobin()
 		} else {
-			name = v.turn()
+			name = v.nextTarget()
 		}
 		if name != "" {
-			q := question{to: name, first: v.seq + 1}
-			actions = append(actions, v.try(now, &q))
-			v.asks = append(v.asks, q)
+			q := probe{target: name, firstSeq: v.seq + 1}
+			actions = append(actions, v.sendProbe(now, &q))
+			v.probes = append(v.probes, q)
 		}
 	}
-	if now >= v.rejoinAt {
-		v.rejoinAt = now + rejoinEvery
-		if p := v.lost(); p != nil {
-			v.rejoined = p.member.Name
+	if now >= v.nextRejoinAt {
+		v.nextRejoinAt = now + rejoinInterval
+		if p := v.nextLostMember(); p != nil {
+			v.lastRejoined = p.member.Name
 			actions = append(actions, Rejoin{p.member.Name, p.member.Addr})
 		}
 	}
 	return actions
 }
 
-func (v *View) try(now Seconds, q *question) Action {
-	if q.tried++; q.tried == 1 {
-		q.began = now
+func (v *View) sendProbe(now Seconds, q *probe) Action {
+	if q.attempts++; q.attempts == 1 {
+		q.startedAt = now
 	}
-	q.next = now + tryEvery
-	if q.last && q.tried < q.tries() {
-		q.next = now // with the next tick: a death is not known later, and chance alone has it missed less
+	q.nextAttemptAt = now + probeRetryInterval
+	if q.final && q.attempts < q.maxAttempts() {
+		q.nextAttemptAt = now // with the next tick: a death is not known later, and chance alone has it missed less
 	}
 	v.seq++
-	return Say{q.to, v.peers[q.to].member.Addr, Word{From: v.self.Name, Addr: v.self.Addr, Claim: v.self.Claim, Seq: v.seq}}
+	return SendMessage{q.target, v.peers[q.target].member.Addr, Message{From: v.self.Name, Addr: v.self.Addr, Incarnation: v.self.Incarnation, Seq: v.seq}}
 }
 
-// round is whom to ask next where nobody answers: all, one after another.
-func (v *View) round() string {
-	all := v.names(func(p *peer) bool { return p.told != Left })
-	v.asked++
+// nextRoundRobin is whom to ask next where nobody answers: all, one after another.
+func (v *View) nextRoundRobin() string {
+	all := v.sortedNames(func(p *peer) bool { return p.protocolState != Left })
+	v.probeTurns++
 	for i := range all {
-		if name := all[(v.asked+i)%len(all)]; !slices.ContainsFunc(v.asks, func(q question) bool { return q.to == name }) {
+		if name := all[(v.probeTurns+i)%len(all)]; !slices.ContainsFunc(v.probes, func(q probe) bool { return q.target == name }) {
 			return name
 		}
 	}
 	return ""
 }
 
-// turn is whom to ask next: all that are alive, in an order drawn for each round, now and then one that is dead, and more
+// nextTarget is whom to ask next: all that are alive, in an order drawn for each round, now and then one that is dead, and more
 // often one that did not answer, so that a doubt does not outlast its cause by a round.
-func (v *View) turn() string {
-	v.asked++
+func (v *View) nextTarget() string {
+	v.probeTurns++
 	for _, also := range []struct {
 		every int
 		is    func(*peer) bool
-	}{{deadEvery, func(p *peer) bool { return p.told == Dead }}, {doubtEvery, func(p *peer) bool { return p.told == Alive && p.missing }}} {
-		if v.asked%also.every != 0 {
+	}{{deadProbePeriod, func(p *peer) bool { return p.protocolState == Dead }}, {missedProbePeriod, func(p *peer) bool { return p.protocolState == Alive && p.lastProbeMissed }}} {
+		if v.probeTurns%also.every != 0 {
 			continue
 		}
-		if some := v.names(also.is); len(some) > 0 {
+		if some := v.sortedNames(also.is); len(some) > 0 {
 			return some[v.rng.IntN(len(some))]
 		}
 	}
 	for range 2 {
-		for len(v.order) > 0 {
-			name := v.order[0]
-			v.order = v.order[1:]
-			if p := v.peers[name]; p != nil && p.told == Alive && !slices.ContainsFunc(v.asks, func(q question) bool { return q.to == name }) {
+		for len(v.probeOrder) > 0 {
+			name := v.probeOrder[0]
+			v.probeOrder = v.probeOrder[1:]
+			if p := v.peers[name]; p != nil && p.protocolState == Alive && !slices.ContainsFunc(v.probes, func(q probe) bool { return q.target == name }) {
 				return name
 			}
 		}
-		v.order = v.names(func(p *peer) bool { return p.told == Alive })
-		v.rng.Shuffle(len(v.order), func(i, j int) { v.order[i], v.order[j] = v.order[j], v.order[i] })
+		v.probeOrder = v.sortedNames(func(p *peer) bool { return p.protocolState == Alive })
+		v.rng.Shuffle(len(v.probeOrder), func(i, j int) { v.probeOrder[i], v.probeOrder[j] = v.probeOrder[j], v.probeOrder[i] })
 	}
 	return ""
 }
 
-// names are those of the peers of a kind, sorted: the order of a map would make chance of it.
-func (v *View) names(is func(*peer) bool) (all []string) {
+// sortedNames are those of the peers of a kind, sorted: the order of a map would make chance of it.
+func (v *View) sortedNames(is func(*peer) bool) (all []string) {
 	for name, p := range v.peers {
 		if is(p) {
 			all = append(all, name)
@@ -145,12 +145,12 @@
 	return all
 }
 
-// lost is the next of those that are dead and belong to the fleet, in turn.
-func (v *View) lost() *peer {
-	all := v.names(func(p *peer) bool { return p.told == Dead && p.agreed && p.member.Addr != "" })
+// nextLostMember is the next of those that are dead and belong to the fleet, in turn.
+func (v *View) nextLostMember() *peer {
+	all := v.sortedNames(func(p *peer) bool { return p.protocolState == Dead && p.agreed && p.member.Addr != "" })
 	if len(all) == 0 {
 		return nil
 	}
-	i, _ := slices.BinarySearch(all, v.rejoined+"\x00")
+	i, _ := slices.BinarySearch(all, v.lastRejoined+"\x00")
 	return v.peers[all[i%len(all)]]
 }
--- a/internal/standalone/fleet/membership/queries.go
+++ b/internal/standalone/fleet/membership/queries.go
@@ -11,31 +11,31 @@
 // Self is what this process says of itself.
 func (v *View) Self() Member { return v.self }
 
-// Number is that of the view: it grows with each change.
-func (v *View) Number() uint64 { return v.number }
+// Version is that of the view: it grows with each change.
+func (v *View) Version() uint64 { return v.version }
 
-// Refused is how many words were stale, replayed or of nobody known.
-func (v *View) Refused() int { return v.refused }
+// Rejected is how many words were stale, replayed or of nobody known.
+func (v *View) Rejected() int { return v.rejected }
 
-// Raised tells that a higher count is on disk and holds from now on.
-func (v *View) Raised(c Claim) {
-	v.self.Claim, v.raising, v.seq = c, false, 0
+// SetIncarnation tells that a higher count is on disk and holds from now on.
+func (v *View) SetIncarnation(c Incarnation) {
+	v.self.Incarnation, v.raisingIncarnation, v.seq = c, false, 0
 }
 
-// Judgement is what this ingress says of itself at a time.
-func (v *View) Judgement(now Seconds) Judgement {
-	j := v.judged
+// Reachability is what this ingress says of itself at a time.
+func (v *View) Reachability(now Seconds) Reachability {
+	j := v.reachability
 	if now >= j.Until {
-		j.Sureness = CutOff
+		j.Level = Partitioned
 	}
 	return j
 }
 
 // Members are all that are known, by name, this process among them.
 func (v *View) Members(now Seconds) []Status {
-	all := []Status{{Member: v.self, Since: v.begun, Heard: now, Link: LinkBoth}}
+	all := []Status{{Member: v.self, Since: v.startedAt, LastContact: now, Link: LinkBidirectional}}
 	for _, p := range v.peers {
-		all = append(all, Status{Member: p.member, State: p.shown, Since: p.since, Link: v.link(now, p), Heard: p.in})
+		all = append(all, Status{Member: p.member, State: p.publishedState, Since: p.publishedSince, Link: v.evaluateLink(now, p), LastContact: p.lastContact})
 	}
 	slices.SortFunc(all, func(a, b Status) int { return cmp.Compare(a.Name, b.Name) })
 	return all
@@ -50,9 +50,9 @@
 	return slices.Clone(v.changes[i:])
 }
 
-// Agreed are the others of the last agreed fleet, by name: what is kept on disk.
-func (v *View) Agreed() (all []Member) {
-	for _, name := range v.names(func(p *peer) bool { return p.agreed }) {
+// AgreedMembers are the others of the last agreed fleet, by name: what is kept on disk.
+func (v *View) AgreedMembers() (all []Member) {
+	for _, name := range v.sortedNames(func(p *peer) bool { return p.agreed }) {
 		all = append(all, v.peers[name].member)
 	}
 	return all
@@ -60,10 +60,10 @@
 
 // Digest stands for who lives under which claim: two members with one digest agree.
 func (v *View) Digest() string {
-	living := map[string]Claim{v.self.Name: v.self.Claim}
+	living := map[string]Incarnation{v.self.Name: v.self.Incarnation}
 	for name, p := range v.peers {
-		if p.shown == Alive || p.shown == Suspect {
-			living[name] = p.member.Claim
+		if p.publishedState == Alive || p.publishedState == Suspect {
+			living[name] = p.member.Incarnation
 		}
 	}
 	h := fnv.New64a()
@@ -78,7 +78,7 @@
 func (v *View) Rank() (rank, of int) {
 	of = 1
 	for name, p := range v.peers {
-		if (p.shown == Alive || p.shown == Suspect) && p.member.Phase != Leaving {
+		if (p.publishedState == Alive || p.publishedState == Suspect) && p.member.Phase != Leaving {
 			of++
 			if name < v.self.Name {
 				rank++
@@ -88,8 +88,8 @@
 	return rank, of
 }
 
-// Bound tells the address that others reach this process at.
-func (v *View) Bound(addr string) { v.self.Addr = addr }
+// SetAddr tells the address that others reach this process at.
+func (v *View) SetAddr(addr string) { v.self.Addr = addr }
 
 // Addr is where a member is reached; empty: it is not known.
 func (v *View) Addr(name string) string {
@@ -99,7 +99,7 @@
 	return ""
 }
 
-// Alone tells whether nobody else is known to live.
-func (v *View) Alone() bool {
-	return len(v.names(func(p *peer) bool { return p.told == Alive })) == 0
+// Isolated tells whether nobody else is known to live.
+func (v *View) Isolated() bool {
+	return len(v.sortedNames(func(p *peer) bool { return p.protocolState == Alive })) == 0
 }
--- a/internal/standalone/fleet/membership/types.go
+++ b/internal/standalone/fleet/membership/types.go
@@ -18,11 +18,11 @@
 	Leaving               // SIGTERM came: it leaves the fleet for good or until its next start
 )
 
-var phases = [...]string{"starting", "serving", "lame-duck", "leaving"}
+var phaseNames = [...]string{"starting", "serving", "lame-duck", "leaving"}
 
 func (p Phase) String() string {
-	if int(p) < len(phases) {
-		return phases[p]
+	if int(p) < len(phaseNames) {
+		return phaseNames[p]
 	}
 	return "unknown"
 }
@@ -38,9 +38,9 @@
 	Left                 // it said goodbye
 )
 
-var states = [...]string{"alive", "suspect", "dead", "left"}
+var stateNames = [...]string{"alive", "suspect", "dead", "left"}
 
-func (s State) String() string { return states[s] }
+func (s State) String() string { return stateNames[s] }
 
 // Link is what is known of the way to another member and back.
 type Link uint8
@@ -48,37 +48,40 @@
 // The links.
 const (
 	LinkUnknown Link = iota // not tried of late
-	LinkBoth                // it answered
-	LinkIn                  // it is heard, and does not answer: what is sent to it does not arrive
-	LinkNone                // it does not answer and is not heard
+	LinkBidirectional                // it answered
+	LinkInboundOnly                  // it is heard, and does not answer: what is sent to it does not arrive
+	LinkDown                // it does not answer and is not heard
 )
 
-var links = [...]string{"unknown", "both", "in", "none"}
+var linkNames = [...]string{"unknown", "both", "in", "none"}
 
 func (l Link) String() string {
-	if int(l) < len(links) {
-		return links[l]
+	if int(l) < len(linkNames) {
+		return linkNames[l]
 	}
 	return "unknown" // as another process says it
 }
 
-// Claim is one start of a process under a member's name.
-type Claim struct {
-	Boot  uint64 // counted on the disk of its machine, from 1; higher is later
-	Nonce uint64 // drawn at the start: tells two processes with one count apart
+// Incarnation is one start of a process under a member's name.
+type Incarnation struct {
+	Boot  uint64 `json:"Boot"`  // counted on the disk of its machine, from 1; higher is later
+	Nonce uint64 `json:"Nonce"` // drawn at the start: tells two processes with one count apart
 }
 
 // Newer tells whether c is a later start than o.
-func (c Claim) Newer(o Claim) bool {
+func (c Incarnation) Newer(o Incarnation) bool {
 	return c.Boot > o.Boot || c.Boot == o.Boot && c.Nonce > o.Nonce
 }
 
 // Member is what a member says of itself.
 type Member struct {
-	Name, Addr, Zone, Version string
-	Claim
-	Phase  Phase
-	Number int // of the ingress, from 0, as clients' sets of ingresses name it
+	Name    string `json:"Name"`
+	Addr    string `json:"Addr"`
+	Zone    string `json:"Zone"`
+	Version string `json:"Version"`
+	Incarnation
+	Phase  Phase `json:"Phase"`
+	Number int   `json:"Number"` // of the ingress, from 0, as clients' sets of ingresses name it
 }
 
 // Status is a member and what is concluded of it.
@@ -87,29 +90,29 @@
 	State State
 	Since Seconds // when that began
 	Link  Link
-	Heard Seconds // when it was last heard directly; 0: never
+	LastContact Seconds // when it was last heard directly; 0: never
 }
 
-// Sureness is how much of the fleet an ingress has heard.
-type Sureness uint8
+// ReachabilityLevel is how much of the fleet an ingress has heard.
+type ReachabilityLevel uint8
 
-// The judgements. Whoever builds on them acts for the whole fleet only while Whole or Thinned: two parts of a fleet that
+// The judgements. Whoever builds on them acts for the whole fleet only while Complete or Majority: two parts of a fleet that
 // do not hear each other are never both that, for each of them holds more than half of the last agreed fleet.
 const (
-	CutOff  Sureness = iota // half or less of the last agreed fleet is heard, or nothing is known
-	Thinned                 // more than half of it, not all
-	Whole                   // all of it
+	Partitioned  ReachabilityLevel = iota // half or less of the last agreed fleet is heard, or nothing is known
+	Majority                 // more than half of it, not all
+	Complete                   // all of it
 )
 
-var sure = [...]string{"cut-off", "thinned", "whole"}
+var reachabilityLevelNames = [...]string{"cut-off", "thinned", "whole"}
 
-func (s Sureness) String() string { return sure[s] }
+func (s ReachabilityLevel) String() string { return reachabilityLevelNames[s] }
 
-// Judgement is what an ingress says of itself.
-type Judgement struct {
-	Sureness Sureness
+// Reachability is what an ingress says of itself.
+type Reachability struct {
+	Level ReachabilityLevel
 	Since    Seconds // when it began
 	Until    Seconds // it may be believed until then; behind it, it is CutOff
-	Heard    int     // members that are alive, itself among them
+	Alive    int     // members that are alive, itself among them
 	Agreed   int     // members of the last agreed fleet, itself among them
 }
--- a/internal/standalone/node/fleet.go
+++ b/internal/standalone/node/fleet.go
@@ -120,7 +120,7 @@
 // about is what the readiness page says of the fleet.
 func (n *Node) about() string {
 	r := n.fleet.Judgement()
-	return fmt.Sprintf("%v; heard=%d/%d", r.Sureness, r.Heard, r.Agreed)
+	return fmt.Sprintf("%v; heard=%d/%d", r.Level, r.Alive, r.Agreed)
 }
 
 // fleetCall answers calls about the fleet.
@@ -195,7 +195,7 @@
 		shared = []string{mgmt.Gauge("ingress.share_trusted", trusted), mgmt.Gauge("ingress.share_given", int64(s.Given)), mgmt.Gauge("ingress.share_taken", int64(s.Taken)),
 			mgmt.Gauge("ingress.share_warned", int64(len(s.Warned))), mgmt.Count("ingress.share_refused", int64(s.Refused))}
 	}
-	sure := map[string]int64{membership.CutOff.String(): 0, membership.Thinned.String(): 1, membership.Whole.String(): 2}[r.Judgement]
+	sure := map[string]int64{membership.Partitioned.String(): 0, membership.Majority.String(): 1, membership.Complete.String(): 2}[r.Judgement]
 	return append(shared, mgmt.Gauge("ingress.fleet_view", int64(r.View)), mgmt.Gauge("ingress.fleet_heard", int64(r.Heard)),
 		mgmt.Gauge("ingress.fleet_agreed", int64(r.Agreed)), mgmt.Gauge("ingress.fleet_sure", sure), mgmt.Count("ingress.fleet_stalls", int64(r.Stalls)),
 		mgmt.Count("ingress.fleet_refused", r.Refused), mgmt.Count("ingress.fleet_packets_out", r.Traffic.PacketsOut),
