--- a/internal/emulator/faulttest/customers.go
+++ b/internal/emulator/faulttest/customers.go
@@ -154,7 +154,7 @@
 				continue
 			}
 			var r quotasync.Report
-			if lines, err := call(process.Mgmt, "STATE -"); err != nil || len(lines) == 0 || jsontext.Decode([]byte(lines[0]), &r) != nil || len(r.Warned) == 0 {
+			if lines, err := call(process.Mgmt, "STATE -"); err != nil || len(lines) == 0 || jsontext.Decode([]byte(lines[0]), &r) != nil || len(r.WarnedServers) == 0 {
 				continue
 			}
 			p.mu.Lock()
--- a/internal/emulator/faulttest/find.go
+++ b/internal/emulator/faulttest/find.go
@@ -99,11 +99,11 @@
 	case "refused":
 		f.Held, f.Text = true, ""
 		for _, n := range p.nodesOf(of) {
-			if r := n.report(); r == nil || r.Refused == 0 {
+			if r := n.report(); r == nil || r.Rejected == 0 {
 				f.Held = false
 				f.Text += n.name + " refused nothing "
 			} else {
-				f.Text += fmt.Sprintf("%s %d ", n.name, r.Refused)
+				f.Text += fmt.Sprintf("%s %d ", n.name, r.Rejected)
 			}
 		}
 	}
@@ -180,7 +180,7 @@
 		if r == nil {
 			continue
 		}
-		m.judgements[n.name] = r.Judgement
+		m.judgements[n.name] = r.Reachability
 		if digest == "" {
 			digest = r.Digest
 		}
--- a/internal/emulator/faulttest/nodes.go
+++ b/internal/emulator/faulttest/nodes.go
@@ -142,7 +142,7 @@
 	}
 	n.latest, n.view = r, r.View
 	for _, c := range r.Changes {
-		n.changes = append(n.changes, seen{now.Add(-time.Duration(c.Ago) * time.Millisecond), c})
+		n.changes = append(n.changes, seen{now.Add(-time.Duration(c.AgoMillis) * time.Millisecond), c})
 	}
 }
 
--- a/internal/emulator/faulttest/play.go
+++ b/internal/emulator/faulttest/play.go
@@ -226,7 +226,7 @@
 // whole tells whether every ingress says so.
 func (p *player) whole() bool {
 	for _, n := range p.w.nodes {
-		if r := n.report(); r == nil || r.Judgement != "whole" || r.Agreed != len(p.w.nodes) {
+		if r := n.report(); r == nil || r.Reachability != "whole" || r.Agreed != len(p.w.nodes) {
 			return false
 		}
 	}
--- a/internal/standalone/cli/fleet.go
+++ b/internal/standalone/cli/fleet.go
@@ -66,16 +66,16 @@
 	if err := jsontext.Decode([]byte(line), &r); err != nil {
 		return err
 	}
-	fmt.Fprintf(p.out, "fleet %s as %s sees it: %s for %s, %d of %d heard, view %d %s\n", r.Fleet, r.Name, r.Judgement, span(r.For), r.Heard, r.Agreed, r.View, r.Digest)
-	fmt.Fprintf(p.out, "%d stalls, %d refused, %d packets and %d bytes sent\n\n", r.Stalls, r.Refused, r.Traffic.PacketsOut, r.Traffic.BytesOut)
+	fmt.Fprintf(p.out, "fleet %s as %s sees it: %s for %s, %d of %d heard, view %d %s\n", r.Fleet, r.Name, r.Reachability, span(r.ForMillis), r.Alive, r.Agreed, r.View, r.Digest)
+	fmt.Fprintf(p.out, "%d stalls, %d refused, %d packets and %d bytes sent\n\n", r.Pauses, r.Rejected, r.Traffic.PacketsOut, r.Traffic.BytesOut)
 	t := table(p.out)
 	fmt.Fprintln(t, "member\tstate\tfor\tphase\tlink\theard\tzone\tstart\taddress\tversion")
 	for _, m := range r.Members {
 		heard := "never"
-		if m.Heard >= 0 {
-			heard = span(m.Heard) + " ago"
+		if m.LastContactMillis >= 0 {
+			heard = span(m.LastContactMillis) + " ago"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", m.Name, m.State, span(m.For), m.Phase, m.Link, heard, m.Zone, m.Boot, m.Addr, m.Version)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", m.Name, m.State, span(m.ForMillis), m.Phase, m.Link, heard, m.Zone, m.Boot, m.Addr, m.Version)
 	}
 	return t.Flush()
 }
@@ -227,23 +227,23 @@
 	if err := jsontext.Decode([]byte(line), &r); err != nil {
 		return err
 	}
-	if r.Sound {
+	if r.CounterTrusted {
 		fmt.Fprint(p.out, "the counter is trusted: quotas go by its totals")
 	} else {
-		fmt.Fprintf(p.out, "the counter is not trusted (%s): quotas go by loans", cmp.Or(r.Why, "there is none"))
+		fmt.Fprintf(p.out, "the counter is not trusted (%s): quotas go by loans", cmp.Or(r.Reason, "there is none"))
 	}
-	fmt.Fprintf(p.out, "; %.4g units a second given, %.4g taken; %d words refused; warned of %d servers %s\n\n", r.Given, r.Taken, r.Refused, len(r.Warned), strings.Join(r.Warned, " "))
-	parts := func(all []quotashare.Part) (text string) {
+	fmt.Fprintf(p.out, "; %.4g units a second given, %.4g taken; %d words refused; warned of %d servers %s\n\n", r.Lent, r.Borrowed, r.Rejected, len(r.WarnedServers), strings.Join(r.WarnedServers, " "))
+	parts := func(all []quotashare.Loan) (text string) {
 		for _, q := range all {
-			text += fmt.Sprintf("%s %.4g ", q.Name, q.Rate)
+			text += fmt.Sprintf("%s %.4g ", q.Peer, q.Rate)
 		}
 		return strings.TrimSpace(text)
 	}
 	w := table(p.out)
 	fmt.Fprintln(w, "member\tquota\tright\tasked\tgiven\ttaken\tother doors\tsilent")
-	for _, m := range r.Members {
-		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.4g\t%s\t%s\t%s\t%s\n", m.Member, m.Quota, m.Right, m.Asked, parts(m.GivenTo), parts(m.TakenFrom),
-			strings.Join(m.DoorNames, " "), strings.Join(m.Silent, " "))
+	for _, m := range r.Customers {
+		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.4g\t%s\t%s\t%s\t%s\n", m.Customer, m.Quota, m.Grant, m.Demand, parts(m.LentTo), parts(m.BorrowedFrom),
+			strings.Join(m.Gateways, " "), strings.Join(m.Silent, " "))
 	}
 	return w.Flush()
 }
--- a/internal/standalone/fleet/gossip/fleet_test.go
+++ b/internal/standalone/fleet/gossip/fleet_test.go
@@ -26,8 +26,8 @@
 	"mulleinrouter/internal/standalone/fleet/membership"
 )
 
-// crowd is a fleet in fake time, over a network in memory.
-type crowd struct {
+// testFleet is a fleet in fake time, over a network in memory.
+type testFleet struct {
 	network *faultnet.Memory
 	addrs   []string
 	members []*Fleet // nil: killed
@@ -35,8 +35,8 @@
 
 func name(i int) string { return fmt.Sprintf("n%03d", i) }
 
-func newCrowd(n int, seed uint64) *crowd {
-	c := &crowd{network: faultnet.NewMemory(faultnet.NewLinks(seed)), members: make([]*Fleet, n)}
+func newTestFleet(n int, seed uint64) *testFleet {
+	c := &testFleet{network: faultnet.NewMemory(faultnet.NewLinks(seed)), members: make([]*Fleet, n)}
 	for range n {
 		c.addrs = append(c.addrs, c.network.Addr())
 	}
@@ -46,7 +46,7 @@
 	return c
 }
 
-func (c *crowd) start(i int, p membership.Phase, with ...func(*Options)) {
+func (c *testFleet) start(i int, p membership.Phase, with ...func(*Options)) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	o := Options{Fleet: "test", Name: name(i), Join: c.addrs[:min(3, len(c.addrs))], Expect: len(c.addrs), Seed: uint64(i), Log: log,
@@ -60,11 +60,11 @@
 	if err != nil {
 		panic(err)
 	}
-	f.Phase(p)
+	f.SetPhase(p)
 	c.members[i] = f
 }
 
-func (c *crowd) stop() {
+func (c *testFleet) stop() {
 	for _, f := range c.members {
 		if f != nil {
 			f.Stop()
@@ -74,7 +74,7 @@
 }
 
 // states counts what the living hold a member for.
-func (c *crowd) states(of int) map[string]int {
+func (c *testFleet) states(of int) map[string]int {
 	all := map[string]int{}
 	for i, f := range c.members {
 		if f == nil || i == of {
@@ -91,21 +91,21 @@
 	return all
 }
 
-// agree tells whether all hold one view, and for what they hold themselves.
-func (c *crowd) agree() (digests, judgements map[string]int) {
+// viewCounts tells whether all hold one view, and for what they hold themselves.
+func (c *testFleet) viewCounts() (digests, judgements map[string]int) {
 	digests, judgements = map[string]int{}, map[string]int{}
 	for _, f := range c.members {
 		if f != nil {
 			r := f.Report(0)
 			digests[r.Digest]++
-			judgements[r.Judgement]++
+			judgements[r.Reachability]++
 		}
 	}
 	return digests, judgements
 }
 
-// within lets time pass until something is so; it returns how long that took, and false if it is not so in time.
-func within(most time.Duration, is func() bool) (took time.Duration, ok bool) {
+// waitUntil lets time pass until something is so; it returns how long that took, and false if it is not so in time.
+func waitUntil(most time.Duration, is func() bool) (took time.Duration, ok bool) {
 	for ; took < most; took += 100 * time.Millisecond {
 		if is() {
 			return took, true
@@ -115,14 +115,14 @@
 	return took, is()
 }
 
-func (c *crowd) whole(n int) func() bool {
+func (c *testFleet) complete(n int) func() bool {
 	return func() bool {
-		d, j := c.agree()
+		d, j := c.viewCounts()
 		return len(d) == 1 && j["whole"] == n
 	}
 }
 
-func TestKillIsKnown(t *testing.T) {
+func TestKilledMemberIsDetected(t *testing.T) {
 	sizes := []int{3, 10, 30}
 	if os.Getenv("MULLEIN_LONG") != "" {
 		sizes = append(sizes, 80, 300)
@@ -130,17 +130,17 @@
 	for _, n := range sizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newCrowd(n, 1)
+				c := newTestFleet(n, 1)
 				defer c.stop()
-				took, ok := within(30*time.Second, c.whole(n))
+				took, ok := waitUntil(30*time.Second, c.complete(n))
 				if !ok {
-					d, j := c.agree()
+					d, j := c.viewCounts()
 					t.Fatalf("not whole: %v, %v", d, j)
 				}
 				t.Logf("whole after %v", took)
 				c.members[n-1].Stop()
 				c.members[n-1] = nil
-				took, ok = within(20*time.Second, func() bool { return c.states(n - 1)["dead"] == n-1 })
+				took, ok = waitUntil(20*time.Second, func() bool { return c.states(n - 1)["dead"] == n-1 })
 				before := c.members[0].Report(0).Traffic
 				time.Sleep(10 * time.Second)
 				after := c.members[0].Report(0).Traffic
@@ -153,8 +153,8 @@
 	}
 }
 
-// falseDeaths counts, over all changes that all members remember, deaths of those that live.
-func (c *crowd) falseDeaths(but func(i int) bool) (n int) {
+// countFalseDeaths counts, over all changes that all members remember, deaths of those that live.
+func (c *testFleet) countFalseDeaths(but func(i int) bool) (n int) {
 	living := map[string]bool{}
 	for i, f := range c.members {
 		if f != nil && !but(i) {
@@ -174,18 +174,18 @@
 	return n
 }
 
-// long is a span for CI, or one for MULLEIN_LONG=1.
-func long(short, whole time.Duration) time.Duration {
+// longDuration is a span for CI, or one for MULLEIN_LONG=1.
+func longDuration(short, whole time.Duration) time.Duration {
 	if os.Getenv("MULLEIN_LONG") != "" {
 		return whole
 	}
 	return short
 }
 
-func nobody(int) bool { return false }
+func noMember(int) bool { return false }
 
 // No fault of the network alone has a member that others hear called dead.
-func TestNobodyIsFalselyDead(t *testing.T) {
+func TestNoFalseDeaths(t *testing.T) {
 	const n = 10
 	for _, row := range []struct {
 		name  string
@@ -194,43 +194,43 @@
 		lasts time.Duration
 		whole bool // within 10 s behind its end
 	}{
-		{"30% of all messages lost", func(l *faultnet.Links) { l.Set("*", "*", faultnet.Both, faultnet.Fault{Loss: 0.3}) }, nobody, long(2*time.Minute, 10*time.Minute), true},
+		{"30% of all messages lost", func(l *faultnet.Links) { l.Set("*", "*", faultnet.Both, faultnet.Fault{Loss: 0.3}) }, noMember, longDuration(2*time.Minute, 10*time.Minute), true},
 		{"60% lost at one member", func(l *faultnet.Links) {
 			l.Set("*", name(4), faultnet.Both, faultnet.Fault{Loss: 0.6})
 			l.Set(name(4), "*", faultnet.Both, faultnet.Fault{Loss: 0.6})
 		}, func(i int) bool { return i == 4 }, 30 * time.Second, true},
-		{"one cut, one way", func(l *faultnet.Links) { l.Set(name(1), name(2), faultnet.Both, faultnet.Fault{Cut: true}) }, nobody, long(30*time.Second, 5*time.Minute), true},
+		{"one cut, one way", func(l *faultnet.Links) { l.Set(name(1), name(2), faultnet.Both, faultnet.Fault{Cut: true}) }, noMember, longDuration(30*time.Second, 5*time.Minute), true},
 		{"one cut, both ways", func(l *faultnet.Links) {
 			l.Set(name(1), name(2), faultnet.Both, faultnet.Fault{Cut: true})
 			l.Set(name(2), name(1), faultnet.Both, faultnet.Fault{Cut: true})
-		}, nobody, long(30*time.Second, 5*time.Minute), true},
+		}, noMember, longDuration(30*time.Second, 5*time.Minute), true},
 		{"a ring of cuts, one way", func(l *faultnet.Links) {
 			for i := range n {
 				l.Set(name(i), name((i+1)%n), faultnet.Both, faultnet.Fault{Cut: true})
 			}
-		}, nobody, long(30*time.Second, 5*time.Minute), true},
+		}, noMember, longDuration(30*time.Second, 5*time.Minute), true},
 		{"streams work, datagrams do not, at one", func(l *faultnet.Links) {
 			l.Set("*", name(3), faultnet.Datagrams, faultnet.Fault{Cut: true})
 			l.Set(name(3), "*", faultnet.Datagrams, faultnet.Fault{Cut: true})
 		}, func(i int) bool { return i == 3 }, 30 * time.Second, true},
-		{"only small packets", func(l *faultnet.Links) { l.Set(name(1), name(2), faultnet.Both, faultnet.Fault{Longest: 200}) }, nobody, 20 * time.Second, true},
+		{"only small packets", func(l *faultnet.Links) { l.Set(name(1), name(2), faultnet.Both, faultnet.Fault{Longest: 200}) }, noMember, 20 * time.Second, true},
 		{"doubled, reordered and late", func(l *faultnet.Links) {
 			l.Set("*", "*", faultnet.Both, faultnet.Fault{Double: 0.3, Reorder: 0.3, Delay: 20 * time.Millisecond, Jitter: 40 * time.Millisecond})
-		}, nobody, 30 * time.Second, true},
+		}, noMember, 30 * time.Second, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newCrowd(n, 2)
+				c := newTestFleet(n, 2)
 				defer c.stop()
-				if _, ok := within(30*time.Second, c.whole(n)); !ok {
+				if _, ok := waitUntil(30*time.Second, c.complete(n)); !ok {
 					t.Fatal("not whole at first")
 				}
 				row.fault(c.network.Links)
 				time.Sleep(row.lasts)
-				dead := c.falseDeaths(row.but)
-				_, j := c.agree()
+				dead := c.countFalseDeaths(row.but)
+				_, j := c.viewCounts()
 				c.network.Links.Heal()
-				took, ok := within(30*time.Second, c.whole(n))
+				took, ok := waitUntil(30*time.Second, c.complete(n))
 				t.Logf("%d told falsely; judgements under it %v; whole again %v after %v", dead, j, ok, took)
 				if dead > 0 || !ok {
 					t.Errorf("%d deaths told falsely; whole again: %v", dead, ok)
@@ -241,12 +241,12 @@
 }
 
 // Halves that were cut apart find each other again, however long it took; a member that both hear keeps them together.
-func TestHalvesMeetAgain(t *testing.T) {
+func TestPartitionsRejoin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 8
-		c := newCrowd(n, 4)
+		c := newTestFleet(n, 4)
 		defer c.stop()
-		if _, ok := within(30*time.Second, c.whole(n)); !ok {
+		if _, ok := waitUntil(30*time.Second, c.complete(n)); !ok {
 			t.Fatal("not whole at first")
 		}
 		for _, lasts := range []time.Duration{10 * time.Second, time.Minute, 10 * time.Minute} {
@@ -257,13 +257,13 @@
 					}
 				}
 			}
-			took, ok := within(15*time.Second, func() bool { _, j := c.agree(); return j["cut-off"] == n })
+			took, ok := waitUntil(15*time.Second, func() bool { _, j := c.viewCounts(); return j["cut-off"] == n })
 			if !ok {
 				t.Errorf("not all say that they are cut off")
 			}
 			time.Sleep(lasts)
 			c.network.Links.Heal()
-			again, ok := within(30*time.Second, c.whole(n))
+			again, ok := waitUntil(30*time.Second, c.complete(n))
 			t.Logf("cut for %v: known after %v, whole again after %v", lasts, took, again)
 			if !ok {
 				t.Errorf("cut for %v, they do not meet again", lasts)
@@ -272,52 +272,52 @@
 	})
 }
 
-// memory is a store that fails on demand.
-type memory struct {
-	mu   sync.Mutex
-	kept *Record
-	full bool
+// memoryStore is a store that fails on demand.
+type memoryStore struct {
+	mu     sync.Mutex
+	record *Record
+	full   bool
 }
 
-func (m *memory) Read(v any) error {
+func (m *memoryStore) Read(v any) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.kept == nil {
+	if m.record == nil {
 		return fs.ErrNotExist
 	}
-	*v.(*Record) = *m.kept
+	*v.(*Record) = *m.record
 	return nil
 }
 
-func (m *memory) Write(v any) error {
+func (m *memoryStore) Write(v any) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.full {
 		return syscall.ENOSPC
 	}
 	r := v.(Record)
-	m.kept = &r
+	m.record = &r
 	return nil
 }
 
-func (m *memory) boot() uint64 {
+func (m *memoryStore) boot() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.kept == nil {
+	if m.record == nil {
 		return 0
 	}
-	return m.kept.Boot
+	return m.record.Boot
 }
 
 // A count is on the disk before anybody hears of it: on a full disk the member stays out, and comes once there is room. One that
 // is behind, for its folder was lost or is an old one, is raised above what others know.
-func TestCountIsKeptFirst(t *testing.T) {
+func TestIncarnationIsStoredBeforeUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCrowd(2, 5)
+		c := newTestFleet(2, 5)
 		defer c.stop()
 		c.addrs = append(c.addrs, c.network.Addr())
 		c.members = append(c.members, nil)
-		store := &memory{full: true}
+		store := &memoryStore{full: true}
 		begin := func() *Fleet {
 			c.start(2, membership.Serving, func(o *Options) { o.Store = store })
 			return c.members[2]
@@ -338,7 +338,7 @@
 		store.mu.Lock()
 		store.full = false
 		store.mu.Unlock()
-		if _, ok := within(10*time.Second, func() bool { return seen() == 1 }); !ok {
+		if _, ok := waitUntil(10*time.Second, func() bool { return seen() == 1 }); !ok {
 			t.Fatalf("there is room, and it is seen with %d", seen())
 		}
 		for _, row := range []struct {
@@ -350,10 +350,10 @@
 			c.members[2] = nil
 			time.Sleep(20 * time.Second)
 			store.mu.Lock()
-			store.kept = row.kept
+			store.record = row.kept
 			store.mu.Unlock()
 			begin()
-			if _, ok := within(15*time.Second, func() bool { return seen() == row.want }); !ok || store.boot() != row.want {
+			if _, ok := waitUntil(15*time.Second, func() bool { return seen() == row.want }); !ok || store.boot() != row.want {
 				t.Errorf("folder %s: seen with start %d, kept %d, want %d", row.name, seen(), store.boot(), row.want)
 			}
 		}
@@ -361,11 +361,11 @@
 }
 
 // Eighty join within a second.
-func TestManyJoin(t *testing.T) {
+func TestManyMembersJoinAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCrowd(80, 6)
+		c := newTestFleet(80, 6)
 		defer c.stop()
-		took, ok := within(time.Minute, c.whole(80))
+		took, ok := waitUntil(time.Minute, c.complete(80))
 		t.Logf("whole after %v", took)
 		if !ok {
 			t.Error("not whole")
@@ -374,7 +374,7 @@
 }
 
 // The key changes while a third is cut off.
-func TestKeysTurn(t *testing.T) {
+func TestKeyRotationDuringPartition(t *testing.T) {
 	dir := t.TempDir()
 	keys := filepath.Join(dir, "keys")
 	first, second := base64.StdEncoding.EncodeToString(make([]byte, 32)), base64.StdEncoding.EncodeToString([]byte("0123456789abcdef"))
@@ -386,7 +386,7 @@
 	write("# of the fleet", first)
 	synctest.Test(t, func(t *testing.T) {
 		const n = 12
-		c := &crowd{network: faultnet.NewMemory(faultnet.NewLinks(6)), members: make([]*Fleet, n)}
+		c := &testFleet{network: faultnet.NewMemory(faultnet.NewLinks(6)), members: make([]*Fleet, n)}
 		for range n {
 			c.addrs = append(c.addrs, c.network.Addr())
 		}
@@ -395,7 +395,7 @@
 			time.Sleep(time.Second / n)
 		}
 		defer c.stop()
-		took, ok := within(time.Minute, c.whole(n))
+		took, ok := waitUntil(time.Minute, c.complete(n))
 		t.Logf("%d are whole after %v", n, took)
 		if !ok {
 			t.Fatal("not whole")
@@ -429,14 +429,14 @@
 			t.Errorf("a file that is none: %v", err)
 		}
 		c.network.Links.Heal()
-		if took, ok = within(time.Minute, c.whole(n)); !ok {
+		if took, ok = waitUntil(time.Minute, c.complete(n)); !ok {
 			t.Error("with two keys in use they do not meet again")
 		}
 		t.Logf("whole again with two keys after %v", took)
 		write(second)
 		reload(func(int) bool { return true })
 		time.Sleep(10 * time.Second)
-		if !c.whole(n)() {
+		if !c.complete(n)() {
 			t.Error("with the new key alone they do not hear each other")
 		}
 	})
--- a/internal/standalone/fleet/gossip/golden_test.go
+++ b/internal/standalone/fleet/gossip/golden_test.go
@@ -20,14 +20,14 @@
 		want        *message
 		unspecified bool // the order of its bytes
 	}{
-		{"ping.cbor", messageOf(membership.Message{
+		{"ping.cbor", encodeMembershipMessage(membership.Message{
 			From: "n1", Addr: "10.0.0.4:7946", Incarnation: self, Seq: 300, AckedSeq: 299, KnownIncarnation: other,
 		}), false},
-		{"links-request.cbor", &message{Kind: rowAsk, From: "n1", Ask: 70000}, false},
-		{"links-response.cbor", &message{Kind: row, From: "n2", Ask: 70000, Row: map[string]membership.Link{
+		{"links-request.cbor", &message{Kind: linksRequest, From: "n1", QueryID: 70000}, false},
+		{"links-response.cbor", &message{Kind: linksResponse, From: "n2", QueryID: 70000, Links: map[string]membership.Link{
 			"n1": membership.LinkInboundOnly, "n3": membership.LinkDown, "n4": membership.LinkBidirectional, "n5": membership.LinkUnknown,
 		}}, true},
-		{"payload.cbor", &message{Kind: load, From: "n1", Topic: 10, Data: []byte{1, 2, 3, 255}}, false},
+		{"payload.cbor", &message{Kind: payload, From: "n1", Topic: 10, Data: []byte{1, 2, 3, 255}}, false},
 	} {
 		t.Run(tc.file, func(t *testing.T) {
 			golden := goldentest.Read(t, tc.file)
@@ -49,16 +49,16 @@
 func TestGoldenMetadata(t *testing.T) {
 	for _, tc := range []struct {
 		file string
-		want about
+		want metadata
 	}{
-		{"meta.cbor", about{
-			Claim: [2]uint64{12, 1<<63 - 3}, Zone: "a", Version: "v1", Phase: membership.Leaving, Number: 5,
+		{"meta.cbor", metadata{
+			Incarnation: [2]uint64{12, 1<<63 - 3}, Zone: "a", Version: "v1", Phase: membership.Leaving, Number: 5,
 		}},
-		{"meta-empty.cbor", about{}},
+		{"meta-empty.cbor", metadata{}},
 	} {
 		t.Run(tc.file, func(t *testing.T) {
 			golden := goldentest.Read(t, tc.file)
-			var got about
+			var got metadata
 			if err := decode(golden, &got); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/standalone/fleet/gossip/transport.go
+++ b/internal/standalone/fleet/gossip/transport.go
@@ -15,15 +15,15 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// mostPacket is the longest datagram that is looked at, in bytes: members send 1,400 at the most.
-const mostPacket = 4 << 10
+// maxPacketBytes is the longest datagram that is looked at, in bytes: members send 1,400 at the most.
+const maxPacketBytes = 4 << 10
 
-var errShut = errors.New("this process stood still: what it would say is old")
+var errTransportClosed = errors.New("this process stood still: what it would say is old")
 
 // meter counts what crosses the network. It outlives the instances of the protocol.
 type meter struct {
 	packetsIn, packetsOut, bytesIn, bytesOut atomic.Int64
-	refused                                  atomic.Int64 // packets and streams of another fleet, another key, too long or rubbish
+	rejected                                 atomic.Int64 // packets and streams of another fleet, another key, too long or rubbish
 }
 
 // transport is the network's side of one instance of the protocol: it opens streams from the address it listens at, counts,
@@ -31,28 +31,28 @@
 type transport struct {
 	memberlist.NodeAwareTransport
 	meter    *meter
-	shut     func() bool
+	closed   func() bool
 	packets  chan *memberlist.Packet
 	streams  chan net.Conn
 	done     chan struct{}
 	stopOnce sync.Once
 }
 
-// wrap begins to pass on what a transport takes in.
-func wrap(inner memberlist.NodeAwareTransport, m *meter, shut func() bool) *transport {
-	t := &transport{NodeAwareTransport: inner, meter: m, shut: shut, packets: make(chan *memberlist.Packet, 64), streams: make(chan net.Conn), done: make(chan struct{})}
-	go t.pass()
+// wrapTransport begins to pass on what a transport takes in.
+func wrapTransport(inner memberlist.NodeAwareTransport, m *meter, shut func() bool) *transport {
+	t := &transport{NodeAwareTransport: inner, meter: m, closed: shut, packets: make(chan *memberlist.Packet, 64), streams: make(chan net.Conn), done: make(chan struct{})}
+	go t.forward()
 	return t
 }
 
-func (t *transport) pass() {
+func (t *transport) forward() {
 	for {
 		select {
 		case p := <-t.NodeAwareTransport.PacketCh():
 			t.meter.packetsIn.Add(1)
 			t.meter.bytesIn.Add(int64(len(p.Buf)))
-			if len(p.Buf) > mostPacket {
-				t.meter.refused.Add(1)
+			if len(p.Buf) > maxPacketBytes {
+				t.meter.rejected.Add(1)
 				continue
 			}
 			select {
@@ -81,7 +81,7 @@
 }
 
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	if t.shut() {
+	if t.closed() {
 		return time.Now(), nil // as if it were lost
 	}
 	t.meter.packetsOut.Add(1)
@@ -94,8 +94,8 @@
 }
 
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	if t.shut() {
-		return nil, errShut
+	if t.closed() {
+		return nil, errTransportClosed
 	}
 	c, err := t.NodeAwareTransport.DialAddressTimeout(a, timeout)
 	if err != nil {
@@ -112,27 +112,27 @@
 // stream is a connection between members.
 type stream struct {
 	net.Conn
-	t *transport
+	transport *transport
 }
 
 func (s *stream) Write(b []byte) (int, error) {
-	if s.t.shut() {
-		return 0, errShut
+	if s.transport.closed() {
+		return 0, errTransportClosed
 	}
-	s.t.meter.bytesOut.Add(int64(len(b)))
+	s.transport.meter.bytesOut.Add(int64(len(b)))
 	return s.Conn.Write(b)
 }
 
 func (s *stream) Read(b []byte) (int, error) {
 	n, err := s.Conn.Read(b)
-	s.t.meter.bytesIn.Add(int64(n))
+	s.transport.meter.bytesIn.Add(int64(n))
 	return n, err
 }
 
 // sockets is the transport on real ones, with streams that leave from the address it listens at: that tells who calls.
 type sockets struct {
 	*memberlist.NetTransport
-	from net.TCPAddr
+	localAddr net.TCPAddr
 }
 
 // listen binds an address for packets and streams. Port 0 draws one that both have.
@@ -164,14 +164,14 @@
 
 func (s *sockets) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: timeout}
-	if !s.from.IP.IsUnspecified() {
-		d.LocalAddr = &s.from
+	if !s.localAddr.IP.IsUnspecified() {
+		d.LocalAddr = &s.localAddr
 	}
 	return d.Dial("tcp", a.Addr)
 }
 
-// bound is the address that it listens at.
-func (s *sockets) bound(host string) string {
+// boundAddr is the address that it listens at.
+func (s *sockets) boundAddr(host string) string {
 	return net.JoinHostPort(host, strconv.Itoa(s.GetAutoBindPort()))
 }
 
@@ -184,4 +184,4 @@
 	return net.UDPAddrFromAddrPort(a), nil
 }
 
-var _ io.Writer = (*lines)(nil)
+var _ io.Writer = (*protocolLog)(nil)
--- a/internal/standalone/fleet/membership/events.go
+++ b/internal/standalone/fleet/membership/events.go
@@ -11,12 +11,12 @@
 
 // Message is a question or an answer that came from a member directly.
 type Message struct {
-	From  string
-	Addr  string // where it wants the answer
-	Incarnation Incarnation
-	Seq   uint64 // grows with each word of a claim
-	AckedSeq  uint64 // the question that it answers; 0: it is one
-	KnownIncarnation Incarnation  // in answers: the latest start that it knows under the name of whom it answers
+	From             string
+	Addr             string // where it wants the answer
+	Incarnation      Incarnation
+	Seq              uint64      // grows with each word of a claim
+	AckedSeq         uint64      // the question that it answers; 0: it is one
+	KnownIncarnation Incarnation // in answers: the latest start that it knows under the name of whom it answers
 }
 
 // Paused tells that this process stood still for so long: what it did not hear meanwhile proves nothing.
@@ -50,7 +50,7 @@
 // SendMessage sends a word to an address.
 type SendMessage struct {
 	To, Addr string
-	Message     Message
+	Message  Message
 }
 
 // Rejoin asks a member at its address for the whole state, so that two parts of a fleet find each other again.
@@ -64,7 +64,7 @@
 
 // ViewChanged is a change of the view, or of the judgement.
 type ViewChanged struct {
-	Change Change
+	Change       Change
 	Reachability bool // it is the judgement's
 }
 
--- a/internal/standalone/fleet/membership/membership.go
+++ b/internal/standalone/fleet/membership/membership.go
@@ -14,78 +14,78 @@
 
 // The figures. Each is in seconds, if nothing else is said.
 const (
-	probeInterval    = 0.5  // a member is asked
-	probeRetryInterval    = 0.25 // the same question again, while it is not answered
-	probeAttempts       = 3    // of a question; then it counts as missed
-	finalProbeAttempts   = 14   // of the one to a member that the protocol gave up, two at each tick: it is not held for dead before
-	deadProbePeriod   = 4    // every so many questions go to one that is dead: it may hear, or be heard
+	probeInterval      = 0.5  // a member is asked
+	probeRetryInterval = 0.25 // the same question again, while it is not answered
+	probeAttempts      = 3    // of a question; then it counts as missed
+	finalProbeAttempts = 14   // of the one to a member that the protocol gave up, two at each tick: it is not held for dead before
+	deadProbePeriod    = 4    // every so many questions go to one that is dead: it may hear, or be heard
 	missedProbePeriod  = 2    // and to one that did not answer
 	recentContact      = 4.0  // one whose word came within this is not held for dead
-	probeResultTTL      = 4.0  // answers and misses count for the judgement so long
-	isolationDelay    = 0.8  // without a word of anybody: more is asked
-	reachabilityTTL     = 2.0  // a judgement is believed so long behind the last word heard
-	linkTTLRounds  = 3    // a link is known for so many rounds of questions
-	minLinkTTL   = 5.0  // and for this at least
-	rejoinInterval = 2.0  // one that is dead is asked to join again
-	restartGracePeriod    = 3.0  // from Anew, for the protocol to tell of those that live
-	conflictWindow   = 3.0  // a process may take a higher count within this from its start: later, another took its name
-	deadMemberTTL = 3600 // a dead member belongs no more to the agreed fleet, if more than half of it is heard
-	persistInterval   = 1.0  // the view is kept on disk at most so often
+	probeResultTTL     = 4.0  // answers and misses count for the judgement so long
+	isolationDelay     = 0.8  // without a word of anybody: more is asked
+	reachabilityTTL    = 2.0  // a judgement is believed so long behind the last word heard
+	linkTTLRounds      = 3    // a link is known for so many rounds of questions
+	minLinkTTL         = 5.0  // and for this at least
+	rejoinInterval     = 2.0  // one that is dead is asked to join again
+	restartGracePeriod = 3.0  // from Anew, for the protocol to tell of those that live
+	conflictWindow     = 3.0  // a process may take a higher count within this from its start: later, another took its name
+	deadMemberTTL      = 3600 // a dead member belongs no more to the agreed fleet, if more than half of it is heard
+	persistInterval    = 1.0  // the view is kept on disk at most so often
 
 	// MaxMembers bounds what is remembered: no word of others adds more.
-	MaxMembers = 1024
-	maxChanges = 256
-	maxTextBytes    = 64 // bytes of a name, zone or version
+	MaxMembers   = 1024
+	maxChanges   = 256
+	maxTextBytes = 64 // bytes of a name, zone or version
 )
 
 // peer is what is known of another member.
 type peer struct {
-	member  Member
-	protocolState    State   // by the protocol
-	protocolStateSince  Seconds // when that last changed
-	agreed  bool    // belongs to the last agreed fleet
-	unconfirmed   bool    // told before the protocol began anew
-	rivalIncarnation   Incarnation   // a later start under its name that spoke, and that the protocol does not take for it
-	finalProbePending   bool    // given up by the protocol, and asked a last time
-	publishedState   State   // as last published
-	publishedSince   Seconds
-	lastSeq    uint64  // highest sequence number of its claim
-	lastContact      Seconds // when a word last came; 0: never
-	lastAck  Seconds // when it last answered
-	lastMiss  Seconds // when a question to it was last given up
+	member             Member
+	protocolState      State       // by the protocol
+	protocolStateSince Seconds     // when that last changed
+	agreed             bool        // belongs to the last agreed fleet
+	unconfirmed        bool        // told before the protocol began anew
+	rivalIncarnation   Incarnation // a later start under its name that spoke, and that the protocol does not take for it
+	finalProbePending  bool        // given up by the protocol, and asked a last time
+	publishedState     State       // as last published
+	publishedSince     Seconds
+	lastSeq            uint64  // highest sequence number of its claim
+	lastContact        Seconds // when a word last came; 0: never
+	lastAck            Seconds // when it last answered
+	lastMiss           Seconds // when a question to it was last given up
 	consecutiveMisses  int     // in a row
-	firstMissProbedAt   Seconds // when the first of these was asked
-	lastProbeMissed bool    // the last question was missed, and nothing came since
+	firstMissProbedAt  Seconds // when the first of these was asked
+	lastProbeMissed    bool    // the last question was missed, and nothing came since
 }
 
 // View is what one ingress concludes. It is not safe for use by several goroutines.
 type View struct {
-	self    Member
-	expectedMembers  int // members that the configuration names
-	formed     bool
-	startedAt   Seconds
-	nameLost   bool
+	self               Member
+	expectedMembers    int // members that the configuration names
+	formed             bool
+	startedAt          Seconds
+	nameLost           bool
 	raisingIncarnation bool
 
-	peers   map[string]*peer
+	peers    map[string]*peer
 	version  uint64
-	changes []Change
+	changes  []Change
 	rejected int // words that were stale, replayed, or of nobody known
 
-	seq      uint64
-	probeOrder    []string // whom to ask, in this round
-	probeTurns    int
-	nextProbeAt    Seconds
-	nextRejoinAt Seconds
-	lastRejoined string
-	probes     []probe
-	probeResults  []probeResult
-	lastContact  Seconds // when anybody was last heard; 0: never since the start or a stall
-	reachability   Reachability
-	protocolRestartedAt   Seconds
-	nextPersistAt   Seconds
-	dirty    bool
-	rng      *rand.Rand
+	seq                 uint64
+	probeOrder          []string // whom to ask, in this round
+	probeTurns          int
+	nextProbeAt         Seconds
+	nextRejoinAt        Seconds
+	lastRejoined        string
+	probes              []probe
+	probeResults        []probeResult
+	lastContact         Seconds // when anybody was last heard; 0: never since the start or a stall
+	reachability        Reachability
+	protocolRestartedAt Seconds
+	nextPersistAt       Seconds
+	dirty               bool
+	rng                 *rand.Rand
 }
 
 // New returns the view of a process that begins. expect is the number of members that the configuration names, itself
--- a/internal/standalone/fleet/membership/probing.go
+++ b/internal/standalone/fleet/membership/probing.go
@@ -6,12 +6,12 @@
 
 // probe is one that is out.
 type probe struct {
-	target    string
-	firstSeq uint64 // sequence number of its first try
-	final  bool   // to one that the protocol gave up
-	attempts int
-	startedAt Seconds // when it was first tried
-	nextAttemptAt  Seconds
+	target        string
+	firstSeq      uint64 // sequence number of its first try
+	final         bool   // to one that the protocol gave up
+	attempts      int
+	startedAt     Seconds // when it was first tried
+	nextAttemptAt Seconds
 }
 
 // maxAttempts are those that a question has.
@@ -23,7 +23,7 @@
 }
 
 type probeResult struct {
-	at       Seconds
+	at           Seconds
 	acknowledged bool
 }
 
--- a/internal/standalone/fleet/membership/types.go
+++ b/internal/standalone/fleet/membership/types.go
@@ -47,10 +47,10 @@
 
 // The links.
 const (
-	LinkUnknown Link = iota // not tried of late
-	LinkBidirectional                // it answered
-	LinkInboundOnly                  // it is heard, and does not answer: what is sent to it does not arrive
-	LinkDown                // it does not answer and is not heard
+	LinkUnknown       Link = iota // not tried of late
+	LinkBidirectional             // it answered
+	LinkInboundOnly               // it is heard, and does not answer: what is sent to it does not arrive
+	LinkDown                      // it does not answer and is not heard
 )
 
 var linkNames = [...]string{"unknown", "both", "in", "none"}
@@ -87,9 +87,9 @@
 // Status is a member and what is concluded of it.
 type Status struct {
 	Member
-	State State
-	Since Seconds // when that began
-	Link  Link
+	State       State
+	Since       Seconds // when that began
+	Link        Link
 	LastContact Seconds // when it was last heard directly; 0: never
 }
 
@@ -99,9 +99,9 @@
 // The judgements. Whoever builds on them acts for the whole fleet only while Complete or Majority: two parts of a fleet that
 // do not hear each other are never both that, for each of them holds more than half of the last agreed fleet.
 const (
-	Partitioned  ReachabilityLevel = iota // half or less of the last agreed fleet is heard, or nothing is known
-	Majority                 // more than half of it, not all
-	Complete                   // all of it
+	Partitioned ReachabilityLevel = iota // half or less of the last agreed fleet is heard, or nothing is known
+	Majority                             // more than half of it, not all
+	Complete                             // all of it
 )
 
 var reachabilityLevelNames = [...]string{"cut-off", "thinned", "whole"}
@@ -110,9 +110,9 @@
 
 // Reachability is what an ingress says of itself.
 type Reachability struct {
-	Level ReachabilityLevel
-	Since    Seconds // when it began
-	Until    Seconds // it may be believed until then; behind it, it is CutOff
-	Alive    int     // members that are alive, itself among them
-	Agreed   int     // members of the last agreed fleet, itself among them
+	Level  ReachabilityLevel
+	Since  Seconds // when it began
+	Until  Seconds // it may be believed until then; behind it, it is CutOff
+	Alive  int     // members that are alive, itself among them
+	Agreed int     // members of the last agreed fleet, itself among them
 }
--- a/internal/standalone/fleet/quotashare/events.go
+++ b/internal/standalone/fleet/quotashare/events.go
@@ -5,85 +5,85 @@
 
 // The events.
 type (
-	// Asked tells of a request that came.
-	Asked struct {
-		Member       string
-		First, Doors int
-		Quota, Units float64
+	// Demand tells of a request that came.
+	Demand struct {
+		Customer               string
+		FirstGateway, Gateways int
+		Quota, Units           float64
 	}
-	// Heard is a word of another ingress.
-	Heard struct {
-		From string
-		Word Word
+	// Received is a word of another ingress.
+	Received struct {
+		From    string
+		Message Message
 	}
-	// Adding tells of a call of the counter as it leaves; Counted what came of it.
-	Adding struct {
+	// CounterCall tells of a call of the counter as it leaves; Counted what came of it.
+	CounterCall struct {
 		Name   string
 		Amount float64
-		Keep   Seconds
+		TTL    Seconds
 	}
-	Counted struct {
+	CounterAnswer struct {
 		Name     string
 		Answered bool // by the counter, in whatever words
-		Done     bool // with a total
+		HasTotal bool // with a total
 		Total    float64
 	}
 	// Tick lets time pass; it comes ten times a second or so.
 	Tick struct {
-		Doors  map[int]string // ingresses by number, as membership knows them; this one among them
-		Living []string       // the others
-		Bad    []string       // servers that this ingress itself finds bad
-		Listed int            // servers of its list
+		Ingresses        map[int]string // ingresses by number, as membership knows them; this one among them
+		AlivePeers       []string       // the others
+		UnhealthyServers []string       // servers that this ingress itself finds bad
+		ServerCount      int            // servers of its list
 	}
-	// Woken tells that the process stood still: what it borrowed has ended.
-	Woken struct{}
-	// Aside tells that another process has this ingress's name: its part is that one's.
-	Aside struct{}
+	// Paused tells that the process stood still: what it borrowed has ended.
+	Paused struct{}
+	// NameLost tells that another process has this ingress's name: its part is that one's.
+	NameLost struct{}
 )
 
-func (Asked) event() {}
+func (Demand) event() {}
 
-func (Heard) event() {}
+func (Received) event() {}
 
-func (Adding) event() {}
+func (CounterCall) event() {}
 
-func (Counted) event() {}
+func (CounterAnswer) event() {}
 
 func (Tick) event() {}
 
-func (Woken) event() {}
+func (Paused) event() {}
 
-func (Aside) event() {}
+func (NameLost) event() {}
 
 // Action is what is to be done.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Say sends a word.
-	Say struct {
-		To   string
-		Word Word
+	// SendMessage sends a word.
+	SendMessage struct {
+		To      string
+		Message Message
 	}
-	// Hold sets what this ingress has of members' quotas, in units a second, in place of all before; Until: if nothing is said by
+	// SetGrants sets what this ingress has of members' quotas, in units a second, in place of all before; Until: if nothing is said by
 	// then, the process stood still, and has of each what it never lends.
-	Hold struct {
-		Rights []Right
+	SetGrants struct {
+		Grants []QuotaGrant
 		Until  Seconds
 	}
-	// Warn names the servers that others' votes speak against, in place of all before.
-	Warn struct{ Servers []string }
-	// Turned tells that the counter is trusted from now on, or is not, and why.
-	Turned struct {
-		Sound bool
-		Why   string
+	// WarnServers names the servers that others' votes speak against, in place of all before.
+	WarnServers struct{ Servers []string }
+	// CounterTrustChanged tells that the counter is trusted from now on, or is not, and why.
+	CounterTrustChanged struct {
+		Trusted bool
+		Reason  string
 	}
 )
 
-func (Say) action() {}
+func (SendMessage) action() {}
 
-func (Hold) action() {}
+func (SetGrants) action() {}
 
-func (Warn) action() {}
+func (WarnServers) action() {}
 
-func (Turned) action() {}
+func (CounterTrustChanged) action() {}
--- a/internal/standalone/fleet/quotashare/golden_test.go
+++ b/internal/standalone/fleet/quotashare/golden_test.go
@@ -12,30 +12,30 @@
 
 // TestGoldenMessages reads the messages of an earlier version and writes the same bytes.
 func TestGoldenMessages(t *testing.T) {
-	full := Word{
-		Claim: [2]uint64{12, 1<<63 - 3},
-		Seq:   300,
-		Echo:  299,
-		Of:    [2]uint64{3, 99},
-		Sound: true,
-		Zone:  "a",
-		Bad:   []string{"s1", "s2"},
-		Size:  9,
-		Lines: []Line{
-			{Member: "m1", Rate: 12.5, Lent: 3.25, Sums: []Sum{{"m1/17", 40.125}, {"m1/18", 2}}, Loans: true},
-			{Member: "m2"},
+	full := Message{
+		Incarnation:      [2]uint64{12, 1<<63 - 3},
+		Seq:              300,
+		AckSeq:           299,
+		AckIncarnation:   [2]uint64{3, 99},
+		CounterTrusted:   true,
+		Zone:             "a",
+		UnhealthyServers: []string{"s1", "s2"},
+		ServerCount:      9,
+		Customers: []CustomerReport{
+			{Customer: "m1", Rate: 12.5, Lent: 3.25, Totals: []CounterTotal{{"m1/17", 40.125}, {"m1/18", 2}}, UsesGrants: true},
+			{Customer: "m2"},
 		},
 	}
 	for _, tc := range []struct {
 		file string
-		want Word
+		want Message
 	}{
 		{"full.cbor", full},
-		{"empty.cbor", Word{}},
+		{"empty.cbor", Message{}},
 	} {
 		t.Run(tc.file, func(t *testing.T) {
 			golden := goldentest.Read(t, tc.file)
-			var got Word
+			var got Message
 			if err := cbor.Unmarshal(golden, &got); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/standalone/fleet/quotashare/mutants_test.go
+++ b/internal/standalone/fleet/quotashare/mutants_test.go
@@ -9,9 +9,9 @@
 	defer func() { Mutant = "" }()
 	for _, Mutant = range []string{"give-after-take", "lease-from-answer", "back-early", "held-for-ever", "loan-for-ever", "promise-last", "promises-forgotten",
 		"lends-twice", "totals-believed", "vote-twice", "warned-all"} {
-		text := rules()
+		text := checkRules()
 		for seed := uint64(0); seed < 300 && text == ""; seed++ {
-			text = play(seed).broken
+			text = runScenario(seed).violation
 		}
 		if text == "" {
 			t.Errorf("%s lives: a rule is missing", Mutant)
--- a/internal/standalone/fleet/quotashare/rights.go
+++ b/internal/standalone/fleet/quotashare/rights.go
@@ -18,206 +18,206 @@
 
 // The times, in seconds, and the bounds.
 const (
-	// Lease is for how long a borrower may use a loan behind the sending of the message that its lender answered with it.
-	Lease = 3.0
-	// Drift bounds how much faster or slower than another a clock runs.
-	Drift  = 0.05
-	margin = 0.1
-	// Back is how long a lender waits behind its last word of a loan before it counts on it again.
-	Back = Lease*(1+Drift)/(1-Drift) + margin
+	// LeaseDuration is for how long a borrower may use a loan behind the sending of the message that its lender answered with it.
+	LeaseDuration = 3.0
+	// MaxClockDrift bounds how much faster or slower than another a clock runs.
+	MaxClockDrift = 0.05
+	leaseMargin   = 0.1
+	// ReclaimDelay is how long a lender waits behind its last word of a loan before it counts on it again.
+	ReclaimDelay = LeaseDuration*(1+MaxClockDrift)/(1-MaxClockDrift) + leaseMargin
 
-	// KeepShare is the part of a door's even part that it never lends: its own from the first moment of its process on, for nobody
+	// ReservedShare is the part of a door's even part that it never lends: its own from the first moment of its process on, for nobody
 	// can have been promised it by a process before.
-	KeepShare  = 0.25
-	beatQuick  = 0.25 // words to the other doors while something is lent or the counter is not trusted
-	beatSlow   = 1.0
-	freshFor   = 2.0  // a door's word is believed so long
-	headroom   = 1.25 // of what is asked at a door: what it would have
-	spareRoom  = 1.15 // what it keeps of its own
-	idleLapse  = 30.0 // a member without requests is forgotten
-	mostSent   = 64   // words to a door that are remembered
-	mostLines  = 2000 // members of a word
-	mostPeers  = 1024
-	mostName   = 64
-	mostRate   = 1e9 // units a second: more is no figure
-	mostCustom = 20000
+	ReservedShare          = 0.25
+	fastSendInterval       = 0.25 // words to the other doors while something is lent or the counter is not trusted
+	slowSendInterval       = 1.0
+	reportTTL              = 2.0  // a door's word is believed so long
+	demandHeadroom         = 1.25 // of what is asked at a door: what it would have
+	ownHeadroom            = 1.15 // what it keeps of its own
+	idleTTL                = 30.0 // a member without requests is forgotten
+	maxSentMessages        = 64   // words to a door that are remembered
+	maxCustomersPerMessage = 2000 // members of a word
+	maxPeers               = 1024
+	maxNameBytes           = 64
+	maxRate                = 1e9 // units a second: more is no figure
+	maxCustomers           = 20000
 )
 
-// Book is what one ingress knows. It is not safe for use by several goroutines.
-type Book struct {
-	o       Options
-	begun   Seconds
-	tickAt  Seconds
-	members map[string]*member
-	peers   map[string]*peer
-	doors   map[int]string
-	health  health
-	aside   bool
-	bad     []string
-	listed  int
-	warned  []string
-	held    bool // something was held at the last tick
-	refused int
-	turn    int
+// Allocator is what one ingress knows. It is not safe for use by several goroutines.
+type Allocator struct {
+	options          Options
+	startedAt        Seconds
+	lastTick         Seconds
+	customers        map[string]*customer
+	peers            map[string]*peer
+	ingresses        map[int]string
+	health           counterHealth
+	nameLost         bool
+	unhealthyServers []string
+	serverCount      int
+	warned           []string
+	grantsPublished  bool // something was held at the last tick
+	rejected         int
+	voteTurn         int
 }
 
 // New returns what a process knows that begins.
-func New(now Seconds, o Options) *Book {
-	return &Book{o: o, begun: now, tickAt: now, members: map[string]*member{}, peers: map[string]*peer{}, doors: map[int]string{},
-		health: newHealth(now, o.Counter)}
+func New(now Seconds, o Options) *Allocator {
+	return &Allocator{options: o, startedAt: now, lastTick: now, customers: map[string]*customer{}, peers: map[string]*peer{}, ingresses: map[int]string{},
+		health: newCounterHealth(now, o.HasCounter)}
 }
 
 // Step takes an event.
-func (b *Book) Step(now Seconds, e Event) (actions []Action) {
+func (b *Allocator) Step(now Seconds, e Event) (actions []Action) {
 	switch e := e.(type) {
-	case Asked:
-		b.ask(now, e)
-	case Heard:
-		b.hear(now, e.From, e.Word)
-	case Adding:
-		b.health.adding(now, e)
-	case Counted:
-		return b.health.counted(now, e)
-	case Woken:
+	case Demand:
+		b.addDemand(now, e)
+	case Received:
+		b.receive(now, e.From, e.Message)
+	case CounterCall:
+		b.health.callStarted(now, e)
+	case CounterAnswer:
+		return b.health.callAnswered(now, e)
+	case Paused:
 		for _, p := range b.peers {
-			p.taken, p.until = nil, 0
+			p.borrowed, p.borrowedUntil = nil, 0
 		}
-	case Aside:
-		b.aside = true
+	case NameLost:
+		b.nameLost = true
 	case Tick:
 		return b.tick(now, e)
 	}
 	return nil
 }
 
-func fits(rate float64) bool { return rate >= 0 && rate <= mostRate } // NaN is neither
+func isValidRate(rate float64) bool { return rate >= 0 && rate <= maxRate } // NaN is neither
 
-func (b *Book) ask(now Seconds, e Asked) {
-	m := b.members[e.Member]
+func (b *Allocator) addDemand(now Seconds, e Demand) {
+	m := b.customers[e.Customer]
 	if m == nil {
-		if len(b.members) >= mostCustom || e.Doors < 2 || e.Quota <= 0 || len(e.Member) > mostName {
+		if len(b.customers) >= maxCustomers || e.Gateways < 2 || e.Quota <= 0 || len(e.Customer) > maxNameBytes {
 			return
 		}
-		m = &member{rated: now, heard: map[string]line{}, lent: map[string]float64{}}
-		b.members[e.Member] = m
+		m = &customer{ratedAt: now, reports: map[string]peerReport{}, lent: map[string]float64{}}
+		b.customers[e.Customer] = m
 	}
-	m.first, m.doors, m.quota, m.seen = e.First, e.Doors, e.Quota, now
-	m.asked += e.Units
+	m.firstGateway, m.gateways, m.quota, m.lastDemand = e.FirstGateway, e.Gateways, e.Quota, now
+	m.pendingUnits += e.Units
 }
 
-// hear takes another ingress's word: figures out of range, older words and older starts of it change nothing.
-func (b *Book) hear(now Seconds, from string, w Word) {
+// receive takes another ingress's word: figures out of range, older words and older starts of it change nothing.
+func (b *Allocator) receive(now Seconds, from string, w Message) {
 	p := b.peer(from)
-	claim := Claim{w.Claim[0], w.Claim[1]}
-	if p == nil || len(w.Lines) > mostLines || p.claim.Newer(claim) {
-		b.refused++
+	claim := Incarnation{w.Incarnation[0], w.Incarnation[1]}
+	if p == nil || len(w.Customers) > maxCustomersPerMessage || p.incarnation.Newer(claim) {
+		b.rejected++
 		return
 	}
-	for _, l := range w.Lines {
-		if !fits(l.Rate) || !fits(l.Lent) || len(l.Member) > mostName {
-			b.refused++
+	for _, l := range w.Customers {
+		if !isValidRate(l.Rate) || !isValidRate(l.Lent) || len(l.Customer) > maxNameBytes {
+			b.rejected++
 			return
 		}
 	}
-	if claim.Newer(p.claim) { // what its former process lent is gone with it, and what it was lent too, once that has lapsed
-		p.claim, p.got, p.taken, p.until = claim, 0, nil, 0
+	if claim.Newer(p.incarnation) { // what its former process lent is gone with it, and what it was lent too, once that has lapsed
+		p.incarnation, p.receivedSeq, p.borrowed, p.borrowedUntil = claim, 0, nil, 0
 	}
-	if w.Seq <= p.got {
-		b.refused++ // doubled, late or replayed
+	if w.Seq <= p.receivedSeq {
+		b.rejected++ // doubled, late or replayed
 		return
 	}
-	p.got, p.heard, p.sound, p.zone = w.Seq, now, w.Sound, w.Zone
-	p.taken, p.until = nil, 0
-	if (Claim{w.Of[0], w.Of[1]}) != b.o.Claim || w.Echo > p.seq {
-		w.Echo = 0 // to an earlier process of this ingress, or to nobody
+	p.receivedSeq, p.lastContact, p.counterTrusted, p.zone = w.Seq, now, w.CounterTrusted, w.Zone
+	p.borrowed, p.borrowedUntil = nil, 0
+	if (Incarnation{w.AckIncarnation[0], w.AckIncarnation[1]}) != b.options.Incarnation || w.AckSeq > p.sentSeq {
+		w.AckSeq = 0 // to an earlier process of this ingress, or to nobody
 	}
-	p.echoed = max(p.echoed, w.Echo)
-	if at, known := p.sentAt(w.Echo); known {
-		p.until = at + Lease
+	p.ackedSeq = max(p.ackedSeq, w.AckSeq)
+	if at, known := p.sentAt(w.AckSeq); known {
+		p.borrowedUntil = at + LeaseDuration
 		if mutated("lease-from-answer") {
-			p.until = now + Lease
+			p.borrowedUntil = now + LeaseDuration
 		}
-		p.taken = map[string]float64{}
+		p.borrowed = map[string]float64{}
 	}
-	for _, l := range w.Lines {
-		if p.taken != nil && l.Lent > 0 {
-			p.taken[l.Member] = l.Lent
+	for _, l := range w.Customers {
+		if p.borrowed != nil && l.Lent > 0 {
+			p.borrowed[l.Customer] = l.Lent
 		}
-		if m := b.members[l.Member]; m != nil && b.isDoor(m, from) {
-			m.heard[from] = line{now, l.Rate, l.Loans}
+		if m := b.customers[l.Customer]; m != nil && b.isGateway(m, from) {
+			m.reports[from] = peerReport{now, l.Rate, l.UsesGrants}
 		}
-		b.health.told(now, from, l.Sums)
+		b.health.recordPeerTotals(now, from, l.Totals)
 	}
-	p.bad = nil
-	if len(w.Bad) <= max(1, w.Size)/3 && len(w.Bad) <= mostBad { // who accuses more than a third accuses itself
-		p.bad = w.Bad
+	p.unhealthyServers = nil
+	if len(w.UnhealthyServers) <= max(1, w.ServerCount)/3 && len(w.UnhealthyServers) <= maxVotesPerPeer { // who accuses more than a third accuses itself
+		p.unhealthyServers = w.UnhealthyServers
 	}
 }
 
-func (b *Book) peer(name string) *peer {
+func (b *Allocator) peer(name string) *peer {
 	p := b.peers[name]
-	if p == nil && name != "" && name != b.o.Name && len(name) <= mostName && len(b.peers) < mostPeers {
+	if p == nil && name != "" && name != b.options.Name && len(name) <= maxNameBytes && len(b.peers) < maxPeers {
 		p = &peer{}
 		b.peers[name] = p
 	}
 	return p
 }
 
-func (b *Book) isDoor(m *member, name string) bool {
-	for i := range m.doors {
-		if b.doors[(m.first+i)%max(1, b.o.Fleet)] == name {
+func (b *Allocator) isGateway(m *customer, name string) bool {
+	for i := range m.gateways {
+		if b.ingresses[(m.firstGateway+i)%max(1, b.options.Ingresses)] == name {
 			return true
 		}
 	}
 	return false
 }
 
-// others are the other doors of a member that are known, in order.
-func (b *Book) others(m *member) (names []string) {
-	for i := range m.doors {
-		if n := b.doors[(m.first+i)%max(1, b.o.Fleet)]; n != "" && n != b.o.Name && !slices.Contains(names, n) {
+// peerGateways are the other doors of a member that are known, in order.
+func (b *Allocator) peerGateways(m *customer) (names []string) {
+	for i := range m.gateways {
+		if n := b.ingresses[(m.firstGateway+i)%max(1, b.options.Ingresses)]; n != "" && n != b.options.Name && !slices.Contains(names, n) {
 			names = append(names, n)
 		}
 	}
 	return names
 }
 
-// trusted tells whether a member's quota goes by the counter: this ingress trusts it, and each other door that is heard does.
+// usesCounter tells whether a member's quota goes by the counter: this ingress trusts it, and each other door that is heard does.
 // One that does not must not be alone among doors that go by totals without it.
-func (b *Book) trusted(now Seconds, m *member) bool {
-	if !b.health.sound {
+func (b *Allocator) usesCounter(now Seconds, m *customer) bool {
+	if !b.health.trusted {
 		return false
 	}
-	for _, o := range b.others(m) {
-		if p := b.peers[o]; p != nil && now < p.heard+freshFor && !p.sound {
+	for _, o := range b.peerGateways(m) {
+		if p := b.peers[o]; p != nil && now < p.lastContact+reportTTL && !p.counterTrusted {
 			return false
 		}
 	}
 	return true
 }
 
-// home is a door's own part: all of it, once nobody can have been promised any of it by a process before.
-func (b *Book) home(now Seconds, m *member) (home, lendable float64) {
-	even := m.quota / float64(m.doors)
-	if b.aside || now < b.begun+Back && !mutated("promises-forgotten") {
-		return even * KeepShare, 0
+// ownShare is a door's own part: all of it, once nobody can have been promised any of it by a process before.
+func (b *Allocator) ownShare(now Seconds, m *customer) (home, lendable float64) {
+	even := m.quota / float64(m.gateways)
+	if b.nameLost || now < b.startedAt+ReclaimDelay && !mutated("promises-forgotten") {
+		return even * ReservedShare, 0
 	}
-	return even, even * (1 - KeepShare)
+	return even, even * (1 - ReservedShare)
 }
 
-// right is what this ingress has of a member's quota while the counter is not trusted.
-func (b *Book) right(now Seconds, name string, m *member) float64 {
-	x, _ := b.home(now, m)
-	for _, o := range b.others(m) {
+// grant is what this ingress has of a member's quota while the counter is not trusted.
+func (b *Allocator) grant(now Seconds, name string, m *customer) float64 {
+	x, _ := b.ownShare(now, m)
+	for _, o := range b.peerGateways(m) {
 		p := b.peers[o]
 		if p == nil {
 			continue
 		}
 		if !mutated("give-after-take") {
-			x -= p.promised(now, name)
+			x -= p.maxBelieved(now, name)
 		}
-		if now < p.until || mutated("loan-for-ever") {
-			x += p.taken[name]
+		if now < p.borrowedUntil || mutated("loan-for-ever") {
+			x += p.borrowed[name]
 		}
 	}
 	return max(0, x)
@@ -225,20 +225,20 @@
 
 // lend decides what of a member's own part goes to which door: in proportion to what they need beyond their even parts, as all
 // doors reckon it from the same words.
-func (b *Book) lend(now Seconds, name string, m *member) {
+func (b *Allocator) lend(now Seconds, name string, m *customer) {
 	clear(m.lent)
-	_, lendable := b.home(now, m)
-	if b.trusted(now, m) || lendable == 0 {
+	_, lendable := b.ownShare(now, m)
+	if b.usesCounter(now, m) || lendable == 0 {
 		return
 	}
-	even := m.quota / float64(m.doors)
-	spare := func(rate float64) float64 { return min(even*(1-KeepShare), max(0, even-spareRoom*rate)) }
+	even := m.quota / float64(m.gateways)
+	spare := func(rate float64) float64 { return min(even*(1-ReservedShare), max(0, even-ownHeadroom*rate)) }
 	mine := min(lendable, spare(m.rate))
 	total, needs := spare(m.rate), 0.0
-	for _, o := range b.others(m) {
-		if l, ok := m.heard[o]; ok && now < l.at+freshFor && l.loans {
+	for _, o := range b.peerGateways(m) {
+		if l, ok := m.reports[o]; ok && now < l.at+reportTTL && l.usesGrants {
 			total += spare(l.rate)
-			needs += max(0, headroom*l.rate-even)
+			needs += max(0, demandHeadroom*l.rate-even)
 		}
 	}
 	if mine <= 0 || needs <= 0 {
@@ -246,19 +246,19 @@
 	}
 	// What one borrower may still believe it has is not lent to another: all of it together stays within what may be lent.
 	room := lendable
-	for _, o := range b.others(m) {
+	for _, o := range b.peerGateways(m) {
 		if p := b.peers[o]; p != nil {
-			room -= p.promised(now, name)
+			room -= p.maxBelieved(now, name)
 		}
 	}
-	for _, o := range b.others(m) {
-		l, ok := m.heard[o]
-		if !ok || now >= l.at+freshFor || !l.loans {
+	for _, o := range b.peerGateways(m) {
+		l, ok := m.reports[o]
+		if !ok || now >= l.at+reportTTL || !l.usesGrants {
 			continue
 		}
-		want, had := mine*min(1, needs/total)*max(0, headroom*l.rate-even)/needs, 0.0
+		want, had := mine*min(1, needs/total)*max(0, demandHeadroom*l.rate-even)/needs, 0.0
 		if p := b.peers[o]; p != nil {
-			had = p.promised(now, name)
+			had = p.maxBelieved(now, name)
 		}
 		more := min(max(0, room), max(0, want-had))
 		if mutated("lends-twice") {
@@ -270,93 +270,93 @@
 }
 
 // tick lets go, lends, speaks, and sets what this ingress has.
-func (b *Book) tick(now Seconds, e Tick) (actions []Action) {
-	b.tickAt, b.doors, b.bad, b.listed = now, e.Doors, e.Bad, e.Listed
+func (b *Allocator) tick(now Seconds, e Tick) (actions []Action) {
+	b.lastTick, b.ingresses, b.unhealthyServers, b.serverCount = now, e.Ingresses, e.UnhealthyServers, e.ServerCount
 	actions = b.health.tick(now)
-	for name, m := range b.members {
-		if now > m.seen+idleLapse {
-			delete(b.members, name)
+	for name, m := range b.customers {
+		if now > m.lastDemand+idleTTL {
+			delete(b.customers, name)
 			continue
 		}
-		if span := now - m.rated; span >= 0.5 {
-			m.rate += (1 - math.Exp(-span/2)) * (m.asked/span - m.rate)
-			m.asked, m.rated = 0, now
+		if span := now - m.ratedAt; span >= 0.5 {
+			m.rate += (1 - math.Exp(-span/2)) * (m.pendingUnits/span - m.rate)
+			m.pendingUnits, m.ratedAt = 0, now
 		}
-		for o, l := range m.heard {
-			if now > l.at+idleLapse {
-				delete(m.heard, o)
+		for o, l := range m.reports {
+			if now > l.at+idleTTL {
+				delete(m.reports, o)
 			}
 		}
 		b.lend(now, name, m)
 	}
 	for name, p := range b.peers {
-		if now > p.heard+idleLapse && (len(p.words) == 0 || now > p.words[len(p.words)-1].at+idleLapse) {
+		if now > p.lastContact+idleTTL && (len(p.sent) == 0 || now > p.sent[len(p.sent)-1].sentAt+idleTTL) {
 			delete(b.peers, name)
 		}
 	}
-	actions = append(actions, b.speak(now, e.Living)...)
+	actions = append(actions, b.sendMessages(now, e.AlivePeers)...)
 	// Behind the words: what they promise is let go of before it can be used elsewhere.
-	actions = append(actions, b.hold(now)...)
-	if warn := b.vote(now); !slices.Equal(warn, b.warned) {
+	actions = append(actions, b.publishGrants(now)...)
+	if warn := b.suspectServers(now); !slices.Equal(warn, b.warned) {
 		b.warned = warn
-		actions = append(actions, Warn{warn})
+		actions = append(actions, WarnServers{warn})
 	}
 	return actions
 }
 
-// hold sets what the module goes by. Where the counter is trusted it goes by its own slices, less what is still lent.
-func (b *Book) hold(now Seconds) []Action {
-	h := Hold{Until: now + 1}
+// publishGrants sets what the module goes by. Where the counter is trusted it goes by its own slices, less what is still lent.
+func (b *Allocator) publishGrants(now Seconds) []Action {
+	h := SetGrants{Until: now + 1}
 	if mutated("held-for-ever") {
 		h.Until = math.Inf(1)
 	}
-	for _, name := range b.names() {
-		m := b.members[name]
-		even := m.quota / float64(m.doors)
-		if !b.trusted(now, m) {
-			h.Rights = append(h.Rights, Right{Member: name, Rate: b.right(now, name, m), Keep: even * KeepShare})
+	for _, name := range b.customerNames() {
+		m := b.customers[name]
+		even := m.quota / float64(m.gateways)
+		if !b.usesCounter(now, m) {
+			h.Grants = append(h.Grants, QuotaGrant{Customer: name, Rate: b.grant(now, name, m), Keep: even * ReservedShare})
 			continue
 		}
 		less := 0.0
-		for _, o := range b.others(m) {
+		for _, o := range b.peerGateways(m) {
 			if p := b.peers[o]; p != nil {
-				less += p.promised(now, name)
+				less += p.maxBelieved(now, name)
 			}
 		}
 		if less > 0 {
-			h.Rights = append(h.Rights, Right{Member: name, Rate: 1, Less: less, Keep: even * KeepShare, Scaled: true})
+			h.Grants = append(h.Grants, QuotaGrant{Customer: name, Rate: 1, Less: less, Keep: even * ReservedShare, Scaled: true})
 		}
 	}
-	if len(h.Rights) == 0 && !b.held {
+	if len(h.Grants) == 0 && !b.grantsPublished {
 		return nil
 	}
-	b.held = len(h.Rights) > 0
+	b.grantsPublished = len(h.Grants) > 0
 	return []Action{h}
 }
 
-func (b *Book) names() []string {
-	names := make([]string, 0, len(b.members))
-	for n := range b.members {
+func (b *Allocator) customerNames() []string {
+	names := make([]string, 0, len(b.customers))
+	for n := range b.customers {
 		names = append(names, n)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// speak says to each door what concerns it; to some others, in turn, which servers are bad.
-func (b *Book) speak(now Seconds, living []string) (actions []Action) {
-	lines, alive := map[string][]Line{}, make(map[string]bool, len(living))
+// sendMessages says to each door what concerns it; to some others, in turn, which servers are bad.
+func (b *Allocator) sendMessages(now Seconds, living []string) (actions []Action) {
+	lines, alive := map[string][]CustomerReport{}, make(map[string]bool, len(living))
 	for _, o := range living {
 		alive[o] = true
 	}
-	for _, name := range b.names() {
-		m := b.members[name]
-		sums, loans := b.health.sums(now, name), !b.trusted(now, m)
-		for _, o := range b.others(m) {
+	for _, name := range b.customerNames() {
+		m := b.customers[name]
+		sums, loans := b.health.ownTotals(now, name), !b.usesCounter(now, m)
+		for _, o := range b.peerGateways(m) {
 			if !alive[o] {
 				continue
 			}
-			if l := (Line{name, m.rate, m.lent[o], sums, loans}); len(lines[o]) < mostLines || l.Lent > 0 {
+			if l := (CustomerReport{name, m.rate, m.lent[o], sums, loans}); len(lines[o]) < maxCustomersPerMessage || l.Lent > 0 {
 				lines[o] = append(lines[o], l)
 			}
 		}
@@ -365,41 +365,41 @@
 	for o := range lines {
 		to[o] = true
 	}
-	if len(b.bad) > 0 && len(living) > 0 {
-		for range min(votesTo, len(living)) {
-			b.turn++
-			to[living[b.turn%len(living)]] = true
+	if len(b.unhealthyServers) > 0 && len(living) > 0 {
+		for range min(votesPerRound, len(living)) {
+			b.voteTurn++
+			to[living[b.voteTurn%len(living)]] = true
 		}
 	}
 	for _, o := range sortedKeys(to) {
 		p := b.peer(o)
-		if p == nil || now < p.sayAt {
+		if p == nil || now < p.nextSendAt {
 			continue
 		}
-		quick := slices.ContainsFunc(lines[o], func(l Line) bool { return l.Loans })
-		for _, s := range p.words {
-			quick = quick || len(s.lent) > 0 && now <= s.at+Back
+		quick := slices.ContainsFunc(lines[o], func(l CustomerReport) bool { return l.UsesGrants })
+		for _, s := range p.sent {
+			quick = quick || len(s.lent) > 0 && now <= s.sentAt+ReclaimDelay
 		}
-		p.sayAt = now + beatSlow
+		p.nextSendAt = now + slowSendInterval
 		if quick {
-			p.sayAt = now + beatQuick
+			p.nextSendAt = now + fastSendInterval
 		}
-		p.seq++
-		w := Word{Claim: [2]uint64{b.o.Claim.Boot, b.o.Claim.Nonce}, Seq: p.seq, Echo: p.got, Of: [2]uint64{p.claim.Boot, p.claim.Nonce}, Sound: b.health.sound, Zone: b.o.Zone, Bad: b.bad, Size: b.listed}
-		s := sent{seq: p.seq, at: now, lent: map[string]float64{}}
+		p.sentSeq++
+		w := Message{Incarnation: [2]uint64{b.options.Incarnation.Boot, b.options.Incarnation.Nonce}, Seq: p.sentSeq, AckSeq: p.receivedSeq, AckIncarnation: [2]uint64{p.incarnation.Boot, p.incarnation.Nonce}, CounterTrusted: b.health.trusted, Zone: b.options.Zone, UnhealthyServers: b.unhealthyServers, ServerCount: b.serverCount}
+		s := sentMessage{seq: p.sentSeq, sentAt: now, lent: map[string]float64{}}
 		for _, l := range lines[o] {
-			if len(w.Lines) < mostLines {
-				w.Lines = append(w.Lines, l)
+			if len(w.Customers) < maxCustomersPerMessage {
+				w.Customers = append(w.Customers, l)
 				if l.Lent > 0 {
-					s.lent[l.Member] = l.Lent
+					s.lent[l.Customer] = l.Lent
 				}
 			}
 		}
-		p.words = slices.DeleteFunc(append(p.words, s), func(s sent) bool { return now > s.at+2*Back })
-		if n := len(p.words) - mostSent; n > 0 {
-			p.words = slices.Delete(p.words, 0, n)
+		p.sent = slices.DeleteFunc(append(p.sent, s), func(s sentMessage) bool { return now > s.sentAt+2*ReclaimDelay })
+		if n := len(p.sent) - maxSentMessages; n > 0 {
+			p.sent = slices.Delete(p.sent, 0, n)
 		}
-		actions = append(actions, Say{o, w})
+		actions = append(actions, SendMessage{o, w})
 	}
 	return actions
 }
@@ -413,25 +413,25 @@
 	return keys
 }
 
-// Members tells of those that are known, by name.
-func (b *Book) Members() (all []Status) {
-	now := b.tickAt
-	for _, name := range b.names() {
-		m := b.members[name]
-		s := Status{Member: name, Quota: m.quota, Asked: m.rate, Right: b.right(now, name, m), DoorNames: b.others(m)}
-		for _, o := range s.DoorNames {
+// Customers tells of those that are known, by name.
+func (b *Allocator) Customers() (all []Status) {
+	now := b.lastTick
+	for _, name := range b.customerNames() {
+		m := b.customers[name]
+		s := Status{Customer: name, Quota: m.quota, Demand: m.rate, Grant: b.grant(now, name, m), Gateways: b.peerGateways(m)}
+		for _, o := range s.Gateways {
 			p := b.peers[o]
-			if p == nil || now > p.heard+freshFor {
+			if p == nil || now > p.lastContact+reportTTL {
 				s.Silent = append(s.Silent, o)
 			}
 			if p == nil {
 				continue
 			}
-			if g := p.promised(now, name); g > 0 {
-				s.GivenTo = append(s.GivenTo, Part{o, g})
+			if g := p.maxBelieved(now, name); g > 0 {
+				s.LentTo = append(s.LentTo, Loan{o, g})
 			}
-			if t := p.taken[name]; t > 0 && now < p.until {
-				s.TakenFrom = append(s.TakenFrom, Part{o, t})
+			if t := p.borrowed[name]; t > 0 && now < p.borrowedUntil {
+				s.BorrowedFrom = append(s.BorrowedFrom, Loan{o, t})
 			}
 		}
 		all = append(all, s)
@@ -439,11 +439,11 @@
 	return all
 }
 
-// Sound tells whether the counter is trusted, and what was last wrong with it.
-func (b *Book) Sound() (bool, string) { return b.health.sound, b.health.why }
+// CounterTrusted tells whether the counter is trusted, and what was last wrong with it.
+func (b *Allocator) CounterTrusted() (bool, string) { return b.health.trusted, b.health.reason }
 
-// Refused is how many words changed nothing.
-func (b *Book) Refused() int { return b.refused }
+// Rejected is how many words changed nothing.
+func (b *Allocator) Rejected() int { return b.rejected }
 
-// Warned are the servers that others' votes speak against.
-func (b *Book) Warned() []string { return b.warned }
+// WarnedServers are the servers that others' votes speak against.
+func (b *Allocator) WarnedServers() []string { return b.warned }
--- a/internal/standalone/node/fleet.go
+++ b/internal/standalone/node/fleet.go
@@ -56,8 +56,8 @@
 	n.watcher.Turn = n.fleet.Rank
 	if m.Share {
 		self := n.fleet.Self()
-		n.sharing = quotasync.New(quotasync.Options{Fleet: n.fleet, Clock: c.Rehearsed.Clock(), Log: n.log, Options: quotashare.Options{Name: c.Name, Zone: c.Settings.Zone,
-			Fleet: max(1, c.Settings.Gateways), Claim: quotashare.Claim{Boot: self.Boot, Nonce: self.Nonce}, Counter: n.count != nil}})
+		n.sharing = quotasync.New(quotasync.Options{Gossip: n.fleet, ClockRate: c.Rehearsed.Clock(), Log: n.log, Options: quotashare.Options{Name: c.Name, Zone: c.Settings.Zone,
+			Ingresses: max(1, c.Settings.Gateways), Incarnation: quotashare.Incarnation{Boot: self.Boot, Nonce: self.Nonce}, HasCounter: n.count != nil}})
 		n.engine.SetQuotaSharer(n.sharing)
 		n.spawn(func() { n.sharing.Run(ctx, n.engine) })
 	}
@@ -96,9 +96,9 @@
 	}
 	switch n.server.Phase() {
 	case decision.Serving:
-		n.fleet.Phase(membership.Serving)
+		n.fleet.SetPhase(membership.Serving)
 	case decision.LameDuck:
-		n.fleet.Phase(membership.LameDuck)
+		n.fleet.SetPhase(membership.LameDuck)
 	}
 }
 
@@ -113,13 +113,13 @@
 	case n.younger.Load():
 		n.fleet.Leave(true)
 	default:
-		n.fleet.Phase(membership.Leaving)
+		n.fleet.SetPhase(membership.Leaving)
 	}
 }
 
 // about is what the readiness page says of the fleet.
 func (n *Node) about() string {
-	r := n.fleet.Judgement()
+	r := n.fleet.Reachability()
 	return fmt.Sprintf("%v; heard=%d/%d", r.Level, r.Alive, r.Agreed)
 }
 
@@ -151,7 +151,7 @@
 		}
 		v = n.sharing.Report(rest)
 	case "TURN": // whether this ingress may be restarted now
-		return n.fleet.Turn(), nil
+		return n.fleet.RestartAllowed(), nil
 	default:
 		return false, nil
 	}
@@ -189,16 +189,16 @@
 	if n.sharing != nil {
 		s := n.sharing.Report("-")
 		trusted := int64(0)
-		if s.Sound {
+		if s.CounterTrusted {
 			trusted = 1
 		}
-		shared = []string{mgmt.Gauge("ingress.share_trusted", trusted), mgmt.Gauge("ingress.share_given", int64(s.Given)), mgmt.Gauge("ingress.share_taken", int64(s.Taken)),
-			mgmt.Gauge("ingress.share_warned", int64(len(s.Warned))), mgmt.Count("ingress.share_refused", int64(s.Refused))}
+		shared = []string{mgmt.Gauge("ingress.share_trusted", trusted), mgmt.Gauge("ingress.share_given", int64(s.Lent)), mgmt.Gauge("ingress.share_taken", int64(s.Borrowed)),
+			mgmt.Gauge("ingress.share_warned", int64(len(s.WarnedServers))), mgmt.Count("ingress.share_refused", int64(s.Rejected))}
 	}
-	sure := map[string]int64{membership.Partitioned.String(): 0, membership.Majority.String(): 1, membership.Complete.String(): 2}[r.Judgement]
-	return append(shared, mgmt.Gauge("ingress.fleet_view", int64(r.View)), mgmt.Gauge("ingress.fleet_heard", int64(r.Heard)),
-		mgmt.Gauge("ingress.fleet_agreed", int64(r.Agreed)), mgmt.Gauge("ingress.fleet_sure", sure), mgmt.Count("ingress.fleet_stalls", int64(r.Stalls)),
-		mgmt.Count("ingress.fleet_refused", r.Refused), mgmt.Count("ingress.fleet_packets_out", r.Traffic.PacketsOut),
+	sure := map[string]int64{membership.Partitioned.String(): 0, membership.Majority.String(): 1, membership.Complete.String(): 2}[r.Reachability]
+	return append(shared, mgmt.Gauge("ingress.fleet_view", int64(r.View)), mgmt.Gauge("ingress.fleet_heard", int64(r.Alive)),
+		mgmt.Gauge("ingress.fleet_agreed", int64(r.Agreed)), mgmt.Gauge("ingress.fleet_sure", sure), mgmt.Count("ingress.fleet_stalls", int64(r.Pauses)),
+		mgmt.Count("ingress.fleet_refused", r.Rejected), mgmt.Count("ingress.fleet_packets_out", r.Traffic.PacketsOut),
 		mgmt.Count("ingress.fleet_bytes_out", r.Traffic.BytesOut))
 }
 
@@ -219,7 +219,7 @@
 				n.settle(r)
 			}
 		},
-		Living: n.fleet.Living,
+		Living: n.fleet.AliveMembers,
 		Read:   func(r *revisionlog.Record) error { return kept.Read(planRecord, kept.Process(), r) },
 		Write:  func(r revisionlog.Record) error { return kept.Write(planRecord, r) },
 	})
--- a/internal/standalone/node/node.go
+++ b/internal/standalone/node/node.go
@@ -71,7 +71,7 @@
 
 	applied, rejected atomic.Int64 // configuration files read at SIGHUP
 
-	sharing   *quotasync.Sharing      // quotas and judgements shared with the others; nil: they are not
+	sharing   *quotasync.Service      // quotas and judgements shared with the others; nil: they are not
 	fleet     *gossip.Fleet           // the other ingresses; nil: they are not known
 	duties    *leaseservice.Steward   // nil: there are none
 	announcer *leaseservice.Announcer // nil: revisions of the catalogue hold as its file has them
--- a/internal/standalone/state/golden_test.go
+++ b/internal/standalone/state/golden_test.go
@@ -37,12 +37,12 @@
 			{
 				Name: "n1", Addr: "10.0.0.4:7946", Zone: "a", Version: "v1",
 				Incarnation: membership.Incarnation{Boot: 12, Nonce: 1<<63 - 3},
-				Phase: membership.Serving, Number: 0,
+				Phase:       membership.Serving, Number: 0,
 			},
 			{
 				Name: "n2", Addr: "10.0.0.5:7946", Zone: "b", Version: "v2",
 				Incarnation: membership.Incarnation{Boot: 3, Nonce: 99},
-				Phase: membership.LameDuck, Number: 1,
+				Phase:       membership.LameDuck, Number: 1,
 			},
 		},
 	}
