--- /dev/null
+++ b/internal/standalone/fleet/membership/evaluate.go
@@ -0,0 +1,108 @@
+package membership
+
+import (
+	"slices"
+
+	"mulleinrouter/internal/mutants"
+)
+
+// Durations, in seconds, and counts of the conclusions.
+const (
+	recentContact   = 4.0 // a member whose message came within this time is not dead
+	probeResultTTL  = 4.0 // for how long the result of a probe counts for the reachability
+	minProbeResults = 4   // results without which missed probes don't count for the reachability
+	reachabilityTTL = 2.0 // for how long a conclusion holds after the last contact with any member
+	linkTTLRounds   = 3   // for how many rounds of probes the state of a link holds
+	minLinkTTL      = 5.0 // for how long it holds at least
+)
+
+// linkTTL is for how long the state of a link holds.
+func (v *View) linkTTL() Seconds {
+	return max(minLinkTTL, linkTTLRounds*probeInterval*Seconds(len(v.peers)))
+}
+
+// evaluateState concludes the state of a peer.
+func (v *View) evaluateState(now Seconds, p *peer) State {
+	switch {
+	case p.protocolState == Left:
+		return Left
+	case p.protocolState == Dead:
+		// The protocol declared it dead and it sends messages: it is alive, and only the way to it fails.
+		if p.lastContact > p.protocolStateSince && now < p.lastContact+v.linkTTL() &&
+			!mutants.On("membership/heard-is-dead") {
+			return Alive
+		}
+		// A member that receives nothing can't refute its death, but its next probe shows that it is alive. The last
+		// message of a member that died is older than the protocol's suspicion.
+		if p.finalProbePending || p.lastContact > 0 && now < p.lastContact+recentContact {
+			return Suspect
+		}
+		return Dead
+	case p.lastProbeMissed && p.consecutiveMisses > 1:
+		return Suspect
+	}
+	return Alive
+}
+
+// evaluateLink concludes the state of the link to a peer.
+func (v *View) evaluateLink(now Seconds, p *peer) Link {
+	oldest := now - v.linkTTL()
+	isRecent := func(at Seconds) bool { return at > 0 && at > oldest }
+	missed := p.consecutiveMisses > 0 && isRecent(p.lastMiss)
+	switch {
+	case missed && isRecent(p.lastContact) && p.lastContact > p.firstMissProbedAt:
+		return LinkInboundOnly
+	case missed:
+		return LinkDown
+	case isRecent(p.lastAck), isRecent(p.lastContact):
+		return LinkBidirectional
+	}
+	return LinkUnknown
+}
+
+// agreedCount is the size of the last agreed membership, this member included. Until the fleet has formed for the first
+// time it is at least what the configuration expects.
+func (v *View) agreedCount() int {
+	n := 1
+	for _, p := range v.peers {
+		if p.agreed {
+			n++
+		}
+	}
+	if !v.formed {
+		n = max(n, v.expectedMembers)
+	}
+	return n
+}
+
+// evaluateReachability concludes how much of the fleet is reached, given how many agreed members are alive.
+func (v *View) evaluateReachability(now Seconds, alive int) Reachability {
+	v.probeResults = slices.DeleteFunc(v.probeResults, func(r probeResult) bool { return now > r.at+probeResultTTL })
+	missed := 0
+	for _, r := range v.probeResults {
+		if !r.acknowledged {
+			missed++
+		}
+	}
+	mostMissed := len(v.probeResults) >= minProbeResults && missed*2 > len(v.probeResults)
+	r := Reachability{
+		Level:  Complete,
+		Until:  v.lastContact + reachabilityTTL,
+		Alive:  alive,
+		Agreed: v.agreedCount(),
+	}
+	switch {
+	case r.Agreed == 1:
+		r.Until = now + reachabilityTTL // no other member is expected
+	case v.lastContact == 0 || now >= r.Until:
+		r.Level = Partitioned
+		r.Until = now
+	case mostMissed && !mutants.On("membership/misses-pass"):
+		r.Level = Partitioned // the protocol hasn't noticed yet
+	case alive*2 <= r.Agreed && !mutants.On("membership/half-is-enough"):
+		r.Level = Partitioned
+	case alive < r.Agreed:
+		r.Level = Majority
+	}
+	return r
+}
--- a/internal/standalone/fleet/membership/events.go
+++ b/internal/standalone/fleet/membership/events.go
@@ -1,35 +1,35 @@
 package membership
 
-// Event is what happened.
+// Event is an input of View.Step.
 type Event interface{ event() }
 
-// Update is what the protocol says of a member. Where it is Dead or Left, only the name counts.
+// Update is a report of the SWIM protocol about a member. If State is Dead or Left, only the member's name counts.
 type Update struct {
 	Member Member
 	State  State
 }
 
-// Message is a question or an answer that came from a member directly.
+// Message is a probe or its acknowledgement, received from a member directly.
 type Message struct {
 	From             string
-	Addr             string // where it wants the answer
+	Addr             string // where the sender expects the acknowledgement
 	Incarnation      Incarnation
-	Seq              uint64      // grows with each word of a claim
-	AckedSeq         uint64      // the question that it answers; 0: it is one
-	KnownIncarnation Incarnation // in answers: the latest start that it knows under the name of whom it answers
+	Seq              uint64      // grows with each message of an incarnation
+	AckedSeq         uint64      // sequence number of the acknowledged probe; 0: the message is a probe
+	KnownIncarnation Incarnation // in an acknowledgement: the latest start known under the receiver's name
 }
 
-// Paused tells that this process stood still for so long: what it did not hear meanwhile proves nothing.
+// Paused reports that this process was suspended: what it didn't receive meanwhile proves nothing about others.
 type Paused struct{ Duration Seconds }
 
-// PhaseChanged is this process's own phase.
+// PhaseChanged is a change of this process's own phase.
 type PhaseChanged struct{ Phase Phase }
 
-// ProtocolRestarted tells that the protocol begins anew here and knows nobody yet: whom it does not tell of again within a while has
-// died meanwhile.
+// ProtocolRestarted reports that the SWIM protocol was restarted here and knows nobody yet. Members that it
+// doesn't report again within restartGracePeriod have died meanwhile.
 type ProtocolRestarted struct{}
 
-// Tick lets time pass; it comes ten times a second or so.
+// Tick reports the passing of time. It is expected about ten times a second.
 type Tick struct{}
 
 func (Update) event() {}
@@ -44,31 +44,37 @@
 
 func (Tick) event() {}
 
-// Action is what is to be done.
+// Action is an output of View.Step, to be carried out by the caller.
 type Action interface{ action() }
 
-// SendMessage sends a word to an address.
+// SendMessage sends a message to an address. It may be lost.
 type SendMessage struct {
-	To, Addr string
-	Message  Message
+	To      string
+	Addr    string
+	Message Message
 }
 
-// Rejoin asks a member at its address for the whole state, so that two parts of a fleet find each other again.
-type Rejoin struct{ Name, Addr string }
+// Rejoin exchanges the complete state with a member, so that two parts of a fleet join again.
+type Rejoin struct {
+	Name string
+	Addr string
+}
 
-// RaiseIncarnation is to be answered by a new View.Raised once the count is on disk: peers know a later start under this name.
+// RaiseIncarnation asks for a higher start count, as peers know a later start under this name.
+// View.SetIncarnation is to be called once the count is on disk.
 type RaiseIncarnation struct{ Boot uint64 }
 
-// NameConflict tells that another process took this one's name: it leaves the fleet, without goodbye.
+// NameConflict reports that another process took this one's name: this one has to leave the fleet without
+// announcing it.
 type NameConflict struct{ Winner Incarnation }
 
-// ViewChanged is a change of the view, or of the judgement.
+// ViewChanged reports a change of the view.
 type ViewChanged struct {
 	Change       Change
-	Reachability bool // it is the judgement's
+	Reachability bool // the change is one of the reachability level
 }
 
-// PersistView asks for the view to be kept on disk. It is no promise: a fleet is found again without it.
+// PersistView asks for AgreedMembers to be written to disk. This is an optimisation: seeds find the fleet without it.
 type PersistView struct{}
 
 func (SendMessage) action() {}
@@ -83,14 +89,21 @@
 
 func (PersistView) action() {}
 
+// Kinds of changes, as reports and logs show them.
+const (
+	changedState       = "state"
+	changedPhase       = "phase"
+	changedIncarnation = "claim"
+)
+
 // Change is one step of the view.
 type Change struct {
-	View uint64 // number of the view that it made
+	View uint64 // version of the view that the change made
 	At   Seconds
 	Name string
 	From State
 	To   State
-	New  bool // it was not known before
+	New  bool // the member was not known before
 	Boot uint64
-	What string // "state", "phase" or "claim"
+	What string // "state", "phase" or "claim" (its incarnation); of the reachability: the level's name
 }
--- /dev/null
+++ b/internal/standalone/fleet/membership/messages.go
@@ -0,0 +1,107 @@
+package membership
+
+import (
+	"slices"
+
+	"mulleinrouter/internal/mutants"
+)
+
+// conflictWindow is for how long after its start a process may raise its own count, in seconds. Later, a
+// newer start under its name is another process that took the name.
+const conflictWindow = 3.0
+
+// receive applies a probe or an acknowledgement that came from a member directly.
+func (v *View) receive(now Seconds, m Message) (actions []Action) {
+	if v.nameLost {
+		return nil
+	}
+	p := v.peers[m.From]
+	switch {
+	case m.From == v.self.Name:
+		// Another process uses this one's name. The later start keeps it.
+		if m.Incarnation.Newer(v.self.Incarnation) {
+			return v.resolveNameConflict(now, m.Incarnation)
+		}
+		v.rejected++
+		return v.acknowledge(m, v.self.Incarnation) // this tells it that its count is an earlier one
+	case p == nil:
+		v.rejected++
+		return v.acknowledge(m, Incarnation{})
+	case p.member.Newer(m.Incarnation):
+		v.rejected++
+		return v.acknowledge(m, p.member.Incarnation)
+	case m.Incarnation == p.member.Incarnation && m.Seq <= p.lastSeq && !mutants.On("membership/replays-count"):
+		v.rejected++ // duplicated, reordered or replayed
+		return nil
+	case m.Incarnation == p.member.Incarnation:
+		p.lastSeq = m.Seq
+		p.lastContact = now
+		p.lastProbeMissed = false
+		v.lastContact = now
+	}
+	// An incarnation that the SWIM protocol hasn't reported yet is no proof that the member is alive. Its probes are
+	// acknowledged, and the acknowledgements tell the process that has the name about it.
+	if m.Incarnation.Newer(p.member.Incarnation) && m.Incarnation.Newer(p.rivalIncarnation) {
+		p.rivalIncarnation = m.Incarnation
+	}
+	if m.AckedSeq == 0 {
+		latest := p.member.Incarnation
+		if p.rivalIncarnation.Newer(latest) {
+			latest = p.rivalIncarnation
+		}
+		return v.acknowledge(m, latest)
+	}
+	return v.receiveAck(now, p, m)
+}
+
+// receiveAck ends the probe that a message acknowledges.
+func (v *View) receiveAck(now Seconds, p *peer, m Message) []Action {
+	i := slices.IndexFunc(v.probes, func(q probe) bool {
+		return q.target == m.From && m.AckedSeq >= q.firstSeq && m.AckedSeq <= v.seq
+	})
+	if i < 0 || m.Incarnation != p.member.Incarnation {
+		return nil
+	}
+	v.probes = slices.Delete(v.probes, i, i+1)
+	v.probeResults = append(v.probeResults, probeResult{at: now, acknowledged: true})
+	p.lastAck = now
+	p.consecutiveMisses = 0
+	if m.KnownIncarnation.Newer(v.self.Incarnation) && m.KnownIncarnation != v.self.Incarnation {
+		return v.resolveNameConflict(now, m.KnownIncarnation)
+	}
+	return nil
+}
+
+// resolveNameConflict handles a later start under this process's own name. Shortly after its own start this
+// process is the later one, and its count is an earlier one because its disk was lost or restored: it raises
+// the count. After conflictWindow another process was started under the name, and this one gives the name up.
+func (v *View) resolveNameConflict(now Seconds, other Incarnation) []Action {
+	if now < v.startedAt+conflictWindow || mutants.On("membership/never-aside") {
+		if v.raisingIncarnation {
+			return nil
+		}
+		v.raisingIncarnation = true
+		return []Action{RaiseIncarnation{Boot: other.Boot + 1}}
+	}
+	v.nameLost = true
+	v.reachability = Reachability{Since: now, Until: now, Alive: 1, Agreed: v.agreedCount()}
+	return []Action{NameConflict{Winner: other}}
+}
+
+// acknowledge answers a probe. Acknowledgements are not answered: two members that don't know each other
+// would never end.
+func (v *View) acknowledge(m Message, known Incarnation) []Action {
+	if m.AckedSeq != 0 && !mutants.On("membership/answers-answers") {
+		return nil
+	}
+	ack := v.newMessage()
+	ack.AckedSeq = max(1, m.Seq)
+	ack.KnownIncarnation = known
+	return []Action{SendMessage{To: m.From, Addr: m.Addr, Message: ack}}
+}
+
+// newMessage returns a message with the next sequence number.
+func (v *View) newMessage() Message {
+	v.seq++
+	return Message{From: v.self.Name, Addr: v.self.Addr, Incarnation: v.self.Incarnation, Seq: v.seq}
+}
--- a/internal/standalone/fleet/membership/mutants_test.go
+++ b/internal/standalone/fleet/membership/mutants_test.go
@@ -6,40 +6,61 @@
 	"fmt"
 	"math/rand/v2"
 	"testing"
+
+	"mulleinrouter/internal/mutants"
 )
 
-// Every fault that is seeded in what is concluded is found by chance walks, and none is found without.
+// maxWalks is how many random walks a seeded fault has to be found in.
+const maxWalks = 4000
+
+// TestMutants finds each seeded fault by random walks, and nothing without a fault.
 func TestMutants(t *testing.T) {
-	defer func() { Mutant = "" }()
-	const walks = 4000
-	for _, Mutant = range []string{"", "left-agreed", "old-claim", "replays-count", "never-aside", "dead-unasked", "heard-is-dead", "half-is-enough", "answers-answers"} {
-		text := ""
-		for seed := uint64(0); seed < walks && text == ""; seed++ {
-			text = violation(seed)
-		}
-		switch {
-		case Mutant == "" && text != "":
-			t.Errorf("without a fault: %s", text)
-		case Mutant != "" && text == "":
-			t.Errorf("%s lives: a property is missing", Mutant)
-		default:
-			t.Logf("%s: %s", Mutant, text)
-		}
+	for _, fault := range []string{
+		"",
+		"left-agreed",
+		"old-claim",
+		"replays-count",
+		"never-aside",
+		"dead-unasked",
+		"heard-is-dead",
+		"half-is-enough",
+		"answers-answers",
+	} {
+		t.Run(fault, func(t *testing.T) {
+			seeded := ""
+			if fault != "" {
+				seeded = "membership/" + fault
+			}
+			mutants.Seed(t, seeded)
+			violation := ""
+			for seed := uint64(0); seed < maxWalks && violation == ""; seed++ {
+				violation = walkViolation(seed)
+			}
+			switch {
+			case fault == "" && violation != "":
+				t.Errorf("without a fault: %s", violation)
+			case fault != "" && violation == "":
+				t.Error("the fault is not found: a property is missing")
+			default:
+				t.Log(violation)
+			}
+		})
 	}
 }
 
-// found is a walk with numbers from a seed, that gives what it found instead of failing.
-type found struct{ rng *rand.Rand }
+// seededChooser draws from a seed, and panics with the violation in place of failing a test.
+type seededChooser struct{ rng *rand.Rand }
 
-func (f found) below(n int) int                   { return f.rng.IntN(n) }
-func (f found) Fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
+func (c seededChooser) below(n int) int                   { return c.rng.IntN(n) }
+func (c seededChooser) Fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
 
-func violation(seed uint64) (text string) {
+// walkViolation returns what a random walk finds wrong; empty: nothing.
+func walkViolation(seed uint64) (violation string) {
 	defer func() {
 		if r := recover(); r != nil {
-			text = fmt.Sprint(r)
+			violation = fmt.Sprint(r)
 		}
 	}()
-	walk(found{rand.New(rand.NewPCG(seed, 1))})
+	randomWalk(seededChooser{rand.New(rand.NewPCG(seed, 1))})
 	return ""
 }
--- a/internal/standalone/fleet/membership/probing.go
+++ b/internal/standalone/fleet/membership/probing.go
@@ -4,69 +4,59 @@
 	"slices"
 )
 
-// probe is one that is out.
+// Durations of probing, in seconds, and counts.
+const (
+	probeInterval      = 0.5  // between the starts of two probes
+	probeRetryInterval = 0.25 // between two attempts of a probe
+	isolationDelay     = 0.8  // without a message of any member: probes are sent twice as often
+	rejoinInterval     = 2.0  // between two Rejoin actions
+
+	probeAttempts      = 3  // until a probe counts as missed
+	finalProbeAttempts = 14 // of the probe of a member that the protocol declared dead, two at each tick
+	deadProbePeriod    = 4  // every so many probes go to a dead member: it may be reachable, or reach this one
+	missedProbePeriod  = 2  // every so many go to a member whose last probe was missed
+)
+
+// probe is a pending probe of a member. Each attempt has a sequence number of its own, from firstSeq.
 type probe struct {
 	target        string
-	firstSeq      uint64 // sequence number of its first try
-	final         bool   // to one that the protocol gave up
+	firstSeq      uint64
+	final         bool // the protocol declared the target dead
 	attempts      int
-	startedAt     Seconds // when it was first tried
+	startedAt     Seconds // of the first attempt
 	nextAttemptAt Seconds
 }
 
-// maxAttempts are those that a question has.
-func (q probe) maxAttempts() int {
-	if q.final {
+// maxAttempts is after how many attempts the probe is missed.
+func (p probe) maxAttempts() int {
+	if p.final {
 		return finalProbeAttempts
 	}
 	return probeAttempts
 }
 
+// probeResult is a probe that ended.
 type probeResult struct {
 	at           Seconds
 	acknowledged bool
 }
 
-// sendProbes says words: again to whom did not answer, and to the next in turn.
+// sendProbes ends the probes that were missed, sends further attempts of those that are due, and starts the next one.
 func (v *View) sendProbes(now Seconds) (actions []Action) {
-	v.probes = slices.DeleteFunc(v.probes, func(q probe) bool {
-		p := v.peers[q.target]
-		if p == nil {
-			return true
-		}
-		if now < q.nextAttemptAt || q.attempts < q.maxAttempts() {
-			return false
-		}
-		if p.consecutiveMisses++; p.consecutiveMisses == 1 {
-			p.firstMissProbedAt = q.startedAt
-		}
-		p.lastMiss, p.lastProbeMissed = now, p.lastContact < q.startedAt
-		p.finalProbePending = p.finalProbePending && !q.final
-		if p.protocolState == Alive {
-			v.probeResults = append(v.probeResults, probeResult{now, false}) // that the dead do not answer proves nothing
-		}
-		return true
-	})
+	v.probes = slices.DeleteFunc(v.probes, func(q probe) bool { return v.endMissedProbe(now, q) })
 	for i := range v.probes {
-		if q := &v.probes[i]; now >= q.nextAttemptAt {
+		q := &v.probes[i]
+		if now < q.nextAttemptAt {
+			continue
+		}
+		actions = append(actions, v.sendProbe(now, q))
+		if q.final && q.attempts < q.maxAttempts() {
 			actions = append(actions, v.sendProbe(now, q))
-			if q.final && q.attempts < q.maxAttempts() {
-				actions = append(actions, v.sendProbe(now, q))
-			}
 		}
 	}
 	if now >= v.nextProbeAt {
-		v.nextProbeAt = max(v.nextProbeAt+probeInterval, now)
-		name := ""
-		if v.lastContact > 0 && now > v.lastContact+isolationDelay {
-			// One that hears nobody: those that hear it have nothing but its questions to know that it lives.
-			v.nextProbeAt = now + probeInterval/2
-			name = v.nextRoundRobin()
-		} else {
-			name = v.nextTarget()
-		}
-		if name != "" {
-			q := probe{target: name, firstSeq: v.seq + 1}
+		if target := v.scheduleProbe(now); target != "" {
+			q := probe{target: target, firstSeq: v.seq + 1}
 			actions = append(actions, v.sendProbe(now, &q))
 			v.probes = append(v.probes, q)
 		}
@@ -75,82 +65,133 @@
 		v.nextRejoinAt = now + rejoinInterval
 		if p := v.nextLostMember(); p != nil {
 			v.lastRejoined = p.member.Name
-			actions = append(actions, Rejoin{p.member.Name, p.member.Addr})
+			actions = append(actions, Rejoin{Name: p.member.Name, Addr: p.member.Addr})
 		}
 	}
 	return actions
 }
 
+// endMissedProbe reports whether a probe is over, and counts it as missed.
+func (v *View) endMissedProbe(now Seconds, q probe) bool {
+	p := v.peers[q.target]
+	if p == nil {
+		return true
+	}
+	if now < q.nextAttemptAt || q.attempts < q.maxAttempts() {
+		return false
+	}
+	p.consecutiveMisses++
+	if p.consecutiveMisses == 1 {
+		p.firstMissProbedAt = q.startedAt
+	}
+	p.lastMiss = now
+	p.lastProbeMissed = p.lastContact < q.startedAt
+	p.finalProbePending = p.finalProbePending && !q.final
+	if p.protocolState == Alive { // a dead member that doesn't answer says nothing about the reachability
+		v.probeResults = append(v.probeResults, probeResult{at: now, acknowledged: false})
+	}
+	return true
+}
+
+// scheduleProbe picks the target of the next probe and sets when the one after it is due. Empty: nobody is to
+// be probed.
+func (v *View) scheduleProbe(now Seconds) (target string) {
+	v.nextProbeAt = max(v.nextProbeAt+probeInterval, now)
+	if v.lastContact > 0 && now > v.lastContact+isolationDelay {
+		// Members that still receive from this one know only by its probes that it is alive.
+		v.nextProbeAt = now + probeInterval/2
+		return v.nextRoundRobin()
+	}
+	return v.nextTarget()
+}
+
+// sendProbe sends one attempt of a probe.
 func (v *View) sendProbe(now Seconds, q *probe) Action {
-	if q.attempts++; q.attempts == 1 {
+	q.attempts++
+	if q.attempts == 1 {
 		q.startedAt = now
 	}
 	q.nextAttemptAt = now + probeRetryInterval
 	if q.final && q.attempts < q.maxAttempts() {
-		q.nextAttemptAt = now // with the next tick: a death is not known later, and chance alone has it missed less
+		// With the next tick: many attempts make it unlikely that loss alone misses the probe, and a death is known no later.
+		q.nextAttemptAt = now
 	}
-	v.seq++
-	return SendMessage{q.target, v.peers[q.target].member.Addr, Message{From: v.self.Name, Addr: v.self.Addr, Incarnation: v.self.Incarnation, Seq: v.seq}}
+	return SendMessage{To: q.target, Addr: v.peers[q.target].member.Addr, Message: v.newMessage()}
 }
 
-// nextRoundRobin is whom to ask next where nobody answers: all, one after another.
+// nextRoundRobin is the next target while no member answers: all that haven't left, one after another.
 func (v *View) nextRoundRobin() string {
 	all := v.sortedNames(func(p *peer) bool { return p.protocolState != Left })
 	v.probeTurns++
 	for i := range all {
-		if name := all[(v.probeTurns+i)%len(all)]; !slices.ContainsFunc(v.probes, func(q probe) bool { return q.target == name }) {
+		if name := all[(v.probeTurns+i)%len(all)]; !v.isProbed(name) {
 			return name
 		}
 	}
 	return ""
 }
 
-// nextTarget is whom to ask next: all that are alive, in an order drawn for each round, now and then one that is dead, and more
-// often one that did not answer, so that a doubt does not outlast its cause by a round.
+// nextTarget is the next target otherwise: all members that are alive, in a random order for each round. In
+// between come dead members and, more often, those whose last probe was missed, so that a suspicion is
+// settled within a round.
 func (v *View) nextTarget() string {
 	v.probeTurns++
-	for _, also := range []struct {
-		every int
-		is    func(*peer) bool
-	}{{deadProbePeriod, func(p *peer) bool { return p.protocolState == Dead }}, {missedProbePeriod, func(p *peer) bool { return p.protocolState == Alive && p.lastProbeMissed }}} {
-		if v.probeTurns%also.every != 0 {
+	for _, extra := range []struct {
+		period int
+		is     func(*peer) bool
+	}{
+		{deadProbePeriod, func(p *peer) bool { return p.protocolState == Dead }},
+		{missedProbePeriod, func(p *peer) bool { return p.protocolState == Alive && p.lastProbeMissed }},
+	} {
+		if v.probeTurns%extra.period != 0 {
 			continue
 		}
-		if some := v.sortedNames(also.is); len(some) > 0 {
-			return some[v.rng.IntN(len(some))]
+		if names := v.sortedNames(extra.is); len(names) > 0 {
+			return names[v.rng.IntN(len(names))]
 		}
 	}
-	for range 2 {
+	isAlive := func(p *peer) bool { return p.protocolState == Alive }
+	for range 2 { // the rest of this round, then a new one
 		for len(v.probeOrder) > 0 {
 			name := v.probeOrder[0]
 			v.probeOrder = v.probeOrder[1:]
-			if p := v.peers[name]; p != nil && p.protocolState == Alive && !slices.ContainsFunc(v.probes, func(q probe) bool { return q.target == name }) {
+			if p := v.peers[name]; p != nil && isAlive(p) && !v.isProbed(name) {
 				return name
 			}
 		}
-		v.probeOrder = v.sortedNames(func(p *peer) bool { return p.protocolState == Alive })
-		v.rng.Shuffle(len(v.probeOrder), func(i, j int) { v.probeOrder[i], v.probeOrder[j] = v.probeOrder[j], v.probeOrder[i] })
+		v.probeOrder = v.sortedNames(isAlive)
+		v.rng.Shuffle(len(v.probeOrder), func(i, j int) {
+			v.probeOrder[i], v.probeOrder[j] = v.probeOrder[j], v.probeOrder[i]
+		})
 	}
 	return ""
 }
 
-// sortedNames are those of the peers of a kind, sorted: the order of a map would make chance of it.
-func (v *View) sortedNames(is func(*peer) bool) (all []string) {
+// isProbed reports whether a probe of a member is pending.
+func (v *View) isProbed(name string) bool {
+	return slices.ContainsFunc(v.probes, func(q probe) bool { return q.target == name })
+}
+
+// sortedNames returns the names of the peers of a kind. They are sorted: the order of a map would make runs
+// with the same seed differ.
+func (v *View) sortedNames(is func(*peer) bool) (names []string) {
 	for name, p := range v.peers {
 		if is(p) {
-			all = append(all, name)
+			names = append(names, name)
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
 
-// nextLostMember is the next of those that are dead and belong to the fleet, in turn.
+// nextLostMember returns the next dead member of the agreed membership, in turn; nil if there is none.
 func (v *View) nextLostMember() *peer {
-	all := v.sortedNames(func(p *peer) bool { return p.protocolState == Dead && p.agreed && p.member.Addr != "" })
-	if len(all) == 0 {
+	names := v.sortedNames(func(p *peer) bool {
+		return p.protocolState == Dead && p.agreed && p.member.Addr != ""
+	})
+	if len(names) == 0 {
 		return nil
 	}
-	i, _ := slices.BinarySearch(all, v.lastRejoined+"\x00")
-	return v.peers[all[i%len(all)]]
+	i, _ := slices.BinarySearch(names, v.lastRejoined+"\x00") // the first name behind the last one
+	return v.peers[names[i%len(names)]]
 }
--- a/internal/standalone/fleet/membership/queries.go
+++ b/internal/standalone/fleet/membership/queries.go
@@ -8,40 +8,51 @@
 	"slices"
 )
 
-// Self is what this process says of itself.
+// Self returns what this process says of itself.
 func (v *View) Self() Member { return v.self }
 
-// Version is that of the view: it grows with each change.
+// Version returns the version of the view. It grows with each change.
 func (v *View) Version() uint64 { return v.version }
 
-// Rejected is how many words were stale, replayed or of nobody known.
+// Rejected returns how many messages and updates were old, replayed or of unknown members.
 func (v *View) Rejected() int { return v.rejected }
 
-// SetIncarnation tells that a higher count is on disk and holds from now on.
-func (v *View) SetIncarnation(c Incarnation) {
-	v.self.Incarnation, v.raisingIncarnation, v.seq = c, false, 0
+// SetIncarnation sets a higher incarnation of this process, once it is on disk.
+func (v *View) SetIncarnation(i Incarnation) {
+	v.self.Incarnation = i
+	v.raisingIncarnation = false
+	v.seq = 0
 }
 
-// Reachability is what this ingress says of itself at a time.
+// SetAddr sets the address at which others reach this process.
+func (v *View) SetAddr(addr string) { v.self.Addr = addr }
+
+// Reachability returns how much of the fleet is reached at a time, which may be later than the last step's.
 func (v *View) Reachability(now Seconds) Reachability {
-	j := v.reachability
-	if now >= j.Until {
-		j.Level = Partitioned
+	r := v.reachability
+	if now >= r.Until {
+		r.Level = Partitioned
 	}
-	return j
+	return r
 }
 
-// Members are all that are known, by name, this process among them.
+// Members returns all known members by name, this one included.
 func (v *View) Members(now Seconds) []Status {
 	all := []Status{{Member: v.self, Since: v.startedAt, LastContact: now, Link: LinkBidirectional}}
 	for _, p := range v.peers {
-		all = append(all, Status{Member: p.member, State: p.publishedState, Since: p.publishedSince, Link: v.evaluateLink(now, p), LastContact: p.lastContact})
+		all = append(all, Status{
+			Member:      p.member,
+			State:       p.publishedState,
+			Since:       p.publishedSince,
+			Link:        v.evaluateLink(now, p),
+			LastContact: p.lastContact,
+		})
 	}
 	slices.SortFunc(all, func(a, b Status) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
-// Changes are those after a view, as far as they are remembered.
+// Changes returns the changes after a version, as far back as they are remembered.
 func (v *View) Changes(after uint64) []Change {
 	i := slices.IndexFunc(v.changes, func(c Change) bool { return c.View > after })
 	if i < 0 {
@@ -50,7 +61,7 @@
 	return slices.Clone(v.changes[i:])
 }
 
-// AgreedMembers are the others of the last agreed fleet, by name: what is kept on disk.
+// AgreedMembers returns the other members of the last agreed membership by name. They are what is kept on disk.
 func (v *View) AgreedMembers() (all []Member) {
 	for _, name := range v.sortedNames(func(p *peer) bool { return p.agreed }) {
 		all = append(all, v.peers[name].member)
@@ -58,40 +69,43 @@
 	return all
 }
 
-// Digest stands for who lives under which claim: two members with one digest agree.
+// Digest returns a hash of the members that are alive and their incarnations. Two members with the same digest agree.
 func (v *View) Digest() string {
-	living := map[string]Incarnation{v.self.Name: v.self.Incarnation}
+	alive := map[string]Incarnation{v.self.Name: v.self.Incarnation}
 	for name, p := range v.peers {
-		if p.publishedState == Alive || p.publishedState == Suspect {
-			living[name] = p.member.Incarnation
+		if p.isPublishedAlive() {
+			alive[name] = p.member.Incarnation
 		}
 	}
 	h := fnv.New64a()
-	for _, name := range slices.Sorted(maps.Keys(living)) {
-		fmt.Fprintf(h, "%q %d %d\n", name, living[name].Boot, living[name].Nonce)
+	for _, name := range slices.Sorted(maps.Keys(alive)) {
+		fmt.Fprintf(h, "%q %d %d\n", name, alive[name].Boot, alive[name].Nonce)
 	}
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// Rank is this process's place among those that live and serve or start, from 0, and how many they are. It is a hint for
-// taking turns, never a proof.
+// Rank returns the position of this process among the members that are alive and not leaving, from 0, and
+// their number. It may differ between members: use it to spread load, never to decide who acts.
 func (v *View) Rank() (rank, of int) {
 	of = 1
 	for name, p := range v.peers {
-		if (p.publishedState == Alive || p.publishedState == Suspect) && p.member.Phase != Leaving {
-			of++
-			if name < v.self.Name {
-				rank++
-			}
+		if !p.isPublishedAlive() || p.member.Phase == Leaving {
+			continue
+		}
+		of++
+		if name < v.self.Name {
+			rank++
 		}
 	}
 	return rank, of
 }
 
-// SetAddr tells the address that others reach this process at.
-func (v *View) SetAddr(addr string) { v.self.Addr = addr }
+// isPublishedAlive reports whether a peer is alive or only suspected to be dead.
+func (p *peer) isPublishedAlive() bool {
+	return p.publishedState == Alive || p.publishedState == Suspect
+}
 
-// Addr is where a member is reached; empty: it is not known.
+// Addr returns the address of a member; empty if it is not known.
 func (v *View) Addr(name string) string {
 	if p := v.peers[name]; p != nil {
 		return p.member.Addr
@@ -99,7 +113,7 @@
 	return ""
 }
 
-// Isolated tells whether nobody else is known to live.
+// Isolated reports whether the SWIM protocol knows no other member that is alive.
 func (v *View) Isolated() bool {
 	return len(v.sortedNames(func(p *peer) bool { return p.protocolState == Alive })) == 0
 }
--- a/internal/standalone/fleet/membership/types.go
+++ b/internal/standalone/fleet/membership/types.go
@@ -4,18 +4,21 @@
 	"mulleinrouter/internal/decision"
 )
 
-// Seconds are those of a clock that only goes on.
+// Seconds are seconds of a monotonic clock.
 type Seconds = decision.Seconds
 
-// Phase is where a member is in its life, as it says itself.
+// unknownName stands for a value that a newer version sent.
+const unknownName = "unknown"
+
+// Phase is where a process is in its life cycle, as it says itself.
 type Phase uint8
 
-// The phases.
+// The phases. Their numbers are on the wire and on disk.
 const (
-	Starting Phase = iota // its process is up and does not serve yet
-	Serving               // it takes clients
-	LameDuck              // it finishes what it has; operators drained it
-	Leaving               // SIGTERM came: it leaves the fleet for good or until its next start
+	Starting Phase = iota // the process runs and doesn't serve yet
+	Serving               // it accepts clients
+	LameDuck              // an operator drains it: it finishes the requests that it has
+	Leaving               // it received SIGTERM and leaves the fleet until its next start
 )
 
 var phaseNames = [...]string{"starting", "serving", "lame-duck", "leaving"}
@@ -24,33 +27,33 @@
 	if int(p) < len(phaseNames) {
 		return phaseNames[p]
 	}
-	return "unknown"
+	return unknownName
 }
 
-// State is what an ingress concludes of another.
+// State is the conclusion about another member.
 type State uint8
 
 // The states.
 const (
-	Alive   State = iota // the protocol holds it for alive, or it was heard directly a short while ago
-	Suspect              // the protocol holds it for alive, and it did not answer here of late
-	Dead                 // the fleet holds it for dead, and nothing was heard of it directly
-	Left                 // it said goodbye
+	Alive   State = iota // alive by the SWIM protocol, or in direct contact a short while ago
+	Suspect              // alive by the SWIM protocol, but recent probes from here were not acknowledged
+	Dead                 // dead by the SWIM protocol, and without direct contact since
+	Left                 // it left by itself
 )
 
 var stateNames = [...]string{"alive", "suspect", "dead", "left"}
 
 func (s State) String() string { return stateNames[s] }
 
-// Link is what is known of the way to another member and back.
+// Link is in which directions messages between this ingress and another member arrive. Its numbers are on the wire.
 type Link uint8
 
-// The links.
+// The states of a link.
 const (
-	LinkUnknown       Link = iota // not tried of late
-	LinkBidirectional             // it answered
-	LinkInboundOnly               // it is heard, and does not answer: what is sent to it does not arrive
-	LinkDown                      // it does not answer and is not heard
+	LinkUnknown       Link = iota // not probed recently
+	LinkBidirectional             // the member acknowledged a probe
+	LinkInboundOnly               // its messages arrive here, but it acknowledges nothing: messages from here are lost
+	LinkDown                      // it acknowledges nothing and sends nothing
 )
 
 var linkNames = [...]string{"unknown", "both", "in", "none"}
@@ -59,21 +62,21 @@
 	if int(l) < len(linkNames) {
 		return linkNames[l]
 	}
-	return "unknown" // as another process says it
+	return unknownName // received from another process
 }
 
-// Incarnation is one start of a process under a member's name.
+// Incarnation identifies one start of a process under a member's name.
 type Incarnation struct {
 	Boot  uint64 `json:"Boot"`  // counted on the disk of its machine, from 1; higher is later
-	Nonce uint64 `json:"Nonce"` // drawn at the start: tells two processes with one count apart
+	Nonce uint64 `json:"Nonce"` // drawn at random at the start: distinguishes two processes with the same count
 }
 
-// Newer tells whether c is a later start than o.
-func (c Incarnation) Newer(o Incarnation) bool {
-	return c.Boot > o.Boot || c.Boot == o.Boot && c.Nonce > o.Nonce
+// Newer reports whether i is a later start than other.
+func (i Incarnation) Newer(other Incarnation) bool {
+	return i.Boot > other.Boot || i.Boot == other.Boot && i.Nonce > other.Nonce
 }
 
-// Member is what a member says of itself.
+// Member is what a member says of itself. It is stored on disk as JSON.
 type Member struct {
 	Name    string `json:"Name"`
 	Addr    string `json:"Addr"`
@@ -81,38 +84,39 @@
 	Version string `json:"Version"`
 	Incarnation
 	Phase  Phase `json:"Phase"`
-	Number int   `json:"Number"` // of the ingress, from 0, as clients' sets of ingresses name it
+	Number int   `json:"Number"` // index of the ingress, from 0, as clients' sets of ingresses name it
 }
 
-// Status is a member and what is concluded of it.
+// Status is a member and the conclusions about it.
 type Status struct {
 	Member
 	State       State
-	Since       Seconds // when that began
+	Since       Seconds // when State began
 	Link        Link
-	LastContact Seconds // when it was last heard directly; 0: never
+	LastContact Seconds // when a message last came from it directly; 0: never
 }
 
-// ReachabilityLevel is how much of the fleet an ingress has heard.
+// ReachabilityLevel is how much of the fleet an ingress can reach.
 type ReachabilityLevel uint8
 
-// The judgements. Whoever builds on them acts for the whole fleet only while Complete or Majority: two parts of a fleet that
-// do not hear each other are never both that, for each of them holds more than half of the last agreed fleet.
+// The levels. Actions for the whole fleet are allowed at Majority and Complete only. Two parts of a
+// partitioned fleet are never both at one of these levels, as each of them reaches more than half of the last
+// agreed membership.
 const (
-	Partitioned ReachabilityLevel = iota // half or less of the last agreed fleet is heard, or nothing is known
-	Majority                             // more than half of it, not all
+	Partitioned ReachabilityLevel = iota // at most half of the last agreed membership is reached, or nothing is known
+	Majority                             // more than half of it, but not all
 	Complete                             // all of it
 )
 
 var reachabilityLevelNames = [...]string{"cut-off", "thinned", "whole"}
 
-func (s ReachabilityLevel) String() string { return reachabilityLevelNames[s] }
+func (r ReachabilityLevel) String() string { return reachabilityLevelNames[r] }
 
-// Reachability is what an ingress says of itself.
+// Reachability is an ingress's conclusion about its own contact with the fleet.
 type Reachability struct {
 	Level  ReachabilityLevel
-	Since  Seconds // when it began
-	Until  Seconds // it may be believed until then; behind it, it is CutOff
-	Alive  int     // members that are alive, itself among them
-	Agreed int     // members of the last agreed fleet, itself among them
+	Since  Seconds // when Level began
+	Until  Seconds // when the conclusion expires; from then on the level is Partitioned
+	Alive  int     // members that are alive, this one included
+	Agreed int     // members of the last agreed membership, this one included
 }
