--- a/internal/standalone/fleet/quotashare/doc.go
+++ b/internal/standalone/fleet/quotashare/doc.go
@@ -3,9 +3,9 @@
 // a stated bound. It has three concerns:
 //
 //   - Quota grants under leases (grants.go, lending.go). Each gateway of a customer owns an even share of its quota,
-//     and lends what it doesn't use to gateways that need more. A lender stops using what it lends before it offers it, and
-//     the borrower's lease ends by the borrower's own clock before the lender reclaims it. So the grants of all
-//     gateways of a customer never sum to more than its quota.
+//     and lends what it doesn't use to gateways that need more. A lender stops using what it lends before it offers
+//     it, and the borrower's lease ends by the borrower's own clock before the lender reclaims it. So the grants of
+//     all gateways of a customer never sum to more than its quota.
 //   - The health of the counter (counterhealth.go), concluded from its answers and from what other gateways report to
 //     have added.
 //   - Verdicts on servers (votes.go): other ingresses' votes make an ingress more careful, never less.
