--- a/internal/standalone/fleet/quotashare/doc.go
+++ b/internal/standalone/fleet/quotashare/doc.go
@@ -10,10 +10,11 @@
 //     have added.
 //   - Verdicts on servers (votes.go): other ingresses' votes make an ingress more careful, never less.
 //
-// The package does no I/O, reads no clock and starts no goroutine: Allocator.Step takes an event and the time and
-// returns actions. Times are seconds of the host's monotonic clock, whose rates differ by at most MaxClockDrift. It
-// imports package membership for incarnations, and internal/mutants. Its state belongs to quotasync.Service and is not
-// stored. Messages travel between processes as CBOR with numbered keys, the status as JSON: their tags must not change.
+// The package does no I/O, reads no clock and starts no goroutine: Allocator.Step takes an event and the time
+// and returns actions. Times are seconds of the host's monotonic clock, whose rates differ by at most
+// MaxClockDrift. It imports the decision module for grants, package membership for incarnations, and
+// internal/mutants. Its state belongs to quotasync.Service and is not stored. Messages travel between
+// processes as CBOR with numbered keys, the status as JSON: their tags must not change.
 //
 // Tests: a simulation of a fleet with a counter and a faulty network (simulation_test.go), with faults seeded into the
 // code by mutants_test.go; whole processes in emulator/faulttest.
--- a/internal/standalone/fleet/quotashare/types.go
+++ b/internal/standalone/fleet/quotashare/types.go
@@ -1,6 +1,9 @@
 package quotashare
 
-import "mulleinrouter/internal/standalone/fleet/membership"
+import (
+	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/standalone/fleet/membership"
+)
 
 // Seconds are seconds of a monotonic clock.
 type Seconds = membership.Seconds
@@ -14,14 +17,8 @@
 	HasCounter  bool // false: there is no counter, and gateways lend from the start
 }
 
-// QuotaGrant is what this ingress may use of a customer's quota.
-type QuotaGrant struct {
-	Customer string
-	Rate     float64 // units a second; if Scaled: the factor of what the decision module computes itself
-	Less     float64 // if Scaled: units a second to subtract, as they are lent
-	Keep     float64 // units a second that remain once the grant has expired
-	Scaled   bool
-}
+// QuotaGrant is what this ingress may use of a customer's quota. The decision module admits requests by it.
+type QuotaGrant = decision.QuotaGrant
 
 // Status is the state of a customer's quota, as operators see it.
 type Status struct {
--- /dev/null
+++ b/internal/standalone/fleet/quotasync/report.go
@@ -0,0 +1,34 @@
+package quotasync
+
+import "mulleinrouter/internal/standalone/fleet/quotashare"
+
+// Report is the state of shared quotas, as operators see it in JSON.
+type Report struct {
+	CounterTrusted bool                `json:"sound"`
+	Reason         string              `json:"why,omitempty"` // why the counter is not trusted, or was not the last time
+	Rejected       int                 `json:"refused"`       // messages that changed nothing
+	Lent           float64             `json:"given"`         // units a second to others
+	Borrowed       float64             `json:"taken"`         // units a second from others
+	WarnedServers  []string            `json:"warned,omitempty"`
+	Customers      []quotashare.Status `json:"members,omitempty"`
+}
+
+// Report returns the state with the details of one customer; empty: of all.
+func (s *Service) Report(customer string) Report {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r := Report{Rejected: s.allocator.Rejected(), WarnedServers: s.allocator.WarnedServers()}
+	r.CounterTrusted, r.Reason = s.allocator.CounterTrusted()
+	for _, c := range s.allocator.Customers() {
+		for _, loan := range c.LentTo {
+			r.Lent += loan.Rate
+		}
+		for _, loan := range c.BorrowedFrom {
+			r.Borrowed += loan.Rate
+		}
+		if customer == "" || c.Customer == customer {
+			r.Customers = append(r.Customers, c)
+		}
+	}
+	return r
+}
