--- /dev/null
+++ b/internal/standalone/fleet/gossip/doc.go
@@ -0,0 +1,15 @@
+// Package gossip connects an ingress with the others of its fleet. It runs the SWIM protocol of
+// hashicorp/memberlist (with Lifeguard, encrypted by the fleet's keys), gives what the protocol and direct
+// probes report to the state machine of package membership, and carries payloads of the packages that build
+// on membership (Topic, Fleet.Send, Fleet.Handle).
+//
+// It imports membership and keyring. Fleet owns the view under its mutex. The goroutine of Fleet.run owns the
+// instances of the protocol; a second one writes the record to disk. Fleet.Stop ends both and waits for them.
+// Calls of memberlist that may block on the network run in goroutines that end when the instance is shut down
+// or their time-out passes.
+//
+// Record is stored as JSON, messages are CBOR with numbered keys, reports are JSON: their tags must not change.
+//
+// Tests: fleets over a simulated network in fake time (fleet_test.go); files and messages of an earlier version
+// (golden_test.go); whole processes in emulator/faulttest.
+package gossip
--- a/internal/standalone/fleet/gossip/fleet_test.go
+++ b/internal/standalone/fleet/gossip/fleet_test.go
@@ -1,8 +1,8 @@
 //go:build !race
 
-// Bubbles with many timers crash the race detector's own runtime in Go 1.26 (ThreadSanitizer: CHECK failed, or a fault at a PC within
-// it), also where nothing but net.Pipe deadlines and time.AfterFunc is in them. Races are looked for in the processes that
-// cmd/mulleinrouter rehearses.
+// Bubbles with many timers crash the race detector's own runtime in Go 1.26 (ThreadSanitizer: CHECK failed,
+// or a fault at a PC within it), also where nothing but net.Pipe deadlines and time.AfterFunc is in them.
+// Races are looked for in the processes that cmd/mulleinrouter rehearses.
 package gossip
 
 import (
@@ -309,8 +309,9 @@
 	return m.record.Boot
 }
 
-// A count is on the disk before anybody hears of it: on a full disk the member stays out, and comes once there is room. One that
-// is behind, for its folder was lost or is an old one, is raised above what others know.
+// A count is on the disk before anybody hears of it: on a full disk the member stays out, and comes once
+// there is room. One that is behind, for its folder was lost or is an old one, is raised above what others
+// know.
 func TestIncarnationIsStoredBeforeUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestFleet(2, 5)
--- a/internal/standalone/fleet/gossip/golden_test.go
+++ b/internal/standalone/fleet/gossip/golden_test.go
@@ -20,7 +20,7 @@
 		want        *message
 		unspecified bool // the order of its bytes
 	}{
-		{"ping.cbor", encodeMembershipMessage(membership.Message{
+		{"ping.cbor", newProbeMessage(membership.Message{
 			From: "n1", Addr: "10.0.0.4:7946", Incarnation: self, Seq: 300, AckedSeq: 299, KnownIncarnation: other,
 		}), false},
 		{"links-request.cbor", &message{Kind: linksRequest, From: "n1", QueryID: 70000}, false},
--- a/internal/standalone/fleet/gossip/keys.go
+++ b/internal/standalone/fleet/gossip/keys.go
@@ -8,20 +8,20 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// rotate has a ring hold these keys and no others, the first to seal with.
+// rotate sets the keys of a ring. The first one encrypts.
 func rotate(ring *memberlist.Keyring, keys [][]byte) error {
 	for _, k := range keys {
 		if err := ring.AddKey(k); err != nil {
-			return fmt.Errorf("gossip: %w", err)
+			return fmt.Errorf("gossip: rotate keys: %w", err)
 		}
 	}
 	if err := ring.UseKey(keys[0]); err != nil {
-		return fmt.Errorf("gossip: %w", err)
+		return fmt.Errorf("gossip: rotate keys: %w", err)
 	}
 	for _, old := range ring.GetKeys() {
 		if !slices.ContainsFunc(keys, func(k []byte) bool { return bytes.Equal(k, old) }) {
 			if err := ring.RemoveKey(old); err != nil {
-				return fmt.Errorf("gossip: %w", err)
+				return fmt.Errorf("gossip: rotate keys: %w", err)
 			}
 		}
 	}
--- a/internal/standalone/fleet/gossip/message.go
+++ b/internal/standalone/fleet/gossip/message.go
@@ -1,7 +1,6 @@
 package gossip
 
 import (
-	"errors"
 	"fmt"
 
 	"github.com/fxamacker/cbor/v2"
@@ -9,18 +8,28 @@
 	"mulleinrouter/internal/standalone/fleet/membership"
 )
 
-// messageKind is what a message between members is.
+// messageKind is the kind of a message between members. Its numbers are on the wire.
 type messageKind uint8
 
 const (
-	probeMessage  messageKind = 1 // a question or an answer: membership.Word
-	linksRequest  messageKind = 2 // an operator asks who hears whom
-	linksResponse messageKind = 3 // the answer
-	payload       messageKind = 4 // of those who build on membership
+	probeMessage  messageKind = 1 // a probe or its acknowledgement: membership.Message
+	linksRequest  messageKind = 2 // asks for the state of the receiver's links
+	linksResponse messageKind = 3
+	payload       messageKind = 4 // of a package that builds on membership
 )
 
-// message is one between members, beside those of the protocol. It travels inside the protocol's frame: labelled with the
-// fleet's name and sealed with its key. Fields that are not known are passed over.
+// Bounds of messages.
+const (
+	maxMessageBytes    = 4 << 20 // a batch of usage and a snapshot of the voters' register fit
+	maxDatagramPayload = 1000    // bytes; a longer payload goes by a stream
+	maxStreams         = 64      // payloads being sent by streams
+	maxNameBytes       = 64      // of the sender
+	maxNestedLevels    = 4       // of CBOR
+	maxArrayElements   = 16
+)
+
+// message is a message between members beside those of the SWIM protocol. It travels in the protocol's frame, which
+// carries the fleet's name and is encrypted with its key. Unknown fields are ignored.
 type message struct {
 	Kind             messageKind                `cbor:"1,keyasint"`
 	From             string                     `cbor:"2,keyasint"`
@@ -29,13 +38,13 @@
 	Seq              uint64                     `cbor:"5,keyasint,omitempty"`
 	AckedSeq         uint64                     `cbor:"6,keyasint,omitempty"`
 	KnownIncarnation [2]uint64                  `cbor:"7,keyasint,omitempty"`
-	QueryID          uint64                     `cbor:"8,keyasint,omitempty"` // of a row, and of its answer
+	QueryID          uint64                     `cbor:"8,keyasint,omitempty"` // of a links request and its response
 	Links            map[string]membership.Link `cbor:"9,keyasint,omitempty"`
 	Topic            Topic                      `cbor:"10,keyasint,omitempty"`
 	Data             []byte                     `cbor:"11,keyasint,omitempty"`
 }
 
-// metadata is what a member tells of itself within the protocol.
+// metadata is what a member says of itself in the SWIM protocol.
 type metadata struct {
 	Incarnation [2]uint64        `cbor:"1,keyasint"`
 	Zone        string           `cbor:"2,keyasint,omitempty"`
@@ -44,55 +53,60 @@
 	Number      int              `cbor:"5,keyasint,omitempty"`
 }
 
-// Topic tells what a message of those who build on membership is for.
-type Topic uint8
-
-const (
-	maxMessageBytes    = 4 << 20 // bytes: a batch of use and a snapshot of the voters' register fit
-	maxDatagramPayload = 1000    // bytes of a payload; a longer one goes by a stream
-	maxStreams         = 64      // payloads on their way by streams
-)
-
-var errTooLong = errors.New("too long")
-
-// decodeMode is strict: what another process says is input.
+// decodeMode bounds what other processes send.
 var decodeMode = func() cbor.DecMode {
-	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 4, MaxArrayElements: 16,
-		MaxMapPairs: membership.MaxMembers + 1, IndefLength: cbor.IndefLengthForbidden}.DecMode()
+	mode, err := cbor.DecOptions{
+		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
+		MaxNestedLevels:  maxNestedLevels,
+		MaxArrayElements: maxArrayElements,
+		MaxMapPairs:      membership.MaxMembers + 1,
+		IndefLength:      cbor.IndefLengthForbidden,
+	}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
 	}
-	return m
+	return mode
 }()
 
 func encode(v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
-		panic(err) // the types are ours, and all can be encoded
+		panic(err) // the package's own types can be encoded
 	}
 	return b
 }
 
 func decode(b []byte, v any) error {
 	if len(b) > maxMessageBytes {
-		return fmt.Errorf("gossip: %w: %d bytes", errTooLong, len(b))
+		return fmt.Errorf("gossip: decode: %w: %d bytes", errTooLong, len(b))
 	}
 	if err := decodeMode.Unmarshal(b, v); err != nil {
-		return fmt.Errorf("gossip: %w", err)
+		return fmt.Errorf("gossip: decode: %w", err)
 	}
 	return nil
 }
 
-func incarnationPair(c membership.Incarnation) [2]uint64 { return [2]uint64{c.Boot, c.Nonce} }
-func incarnationFromPair(p [2]uint64) membership.Incarnation {
-	return membership.Incarnation{Boot: p[0], Nonce: p[1]}
-}
-
-// membershipMessage is a message's word.
+// membershipMessage returns the probe or acknowledgement in a message.
 func (m *message) membershipMessage() membership.Message {
-	return membership.Message{From: m.From, Addr: m.Addr, Incarnation: incarnationFromPair(m.Incarnation), Seq: m.Seq, AckedSeq: m.AckedSeq, KnownIncarnation: incarnationFromPair(m.KnownIncarnation)}
+	return membership.Message{
+		From:             m.From,
+		Addr:             m.Addr,
+		Incarnation:      membership.IncarnationFromPair(m.Incarnation),
+		Seq:              m.Seq,
+		AckedSeq:         m.AckedSeq,
+		KnownIncarnation: membership.IncarnationFromPair(m.KnownIncarnation),
+	}
 }
 
-func encodeMembershipMessage(w membership.Message) *message {
-	return &message{Kind: probeMessage, From: w.From, Addr: w.Addr, Incarnation: incarnationPair(w.Incarnation), Seq: w.Seq, AckedSeq: w.AckedSeq, KnownIncarnation: incarnationPair(w.KnownIncarnation)}
+// newProbeMessage returns the message that carries a probe or acknowledgement.
+func newProbeMessage(m membership.Message) *message {
+	return &message{
+		Kind:             probeMessage,
+		From:             m.From,
+		Addr:             m.Addr,
+		Incarnation:      m.Incarnation.Pair(),
+		Seq:              m.Seq,
+		AckedSeq:         m.AckedSeq,
+		KnownIncarnation: m.KnownIncarnation.Pair(),
+	}
 }
--- /dev/null
+++ b/internal/standalone/fleet/gossip/payload.go
@@ -0,0 +1,57 @@
+package gossip
+
+import (
+	"net/netip"
+
+	"github.com/hashicorp/memberlist"
+)
+
+// Topic is what a payload is for. Its numbers are on the wire; each package that sends payloads has its own.
+type Topic uint8
+
+// Handle sets the function that takes the payloads of a topic. It must not block: the protocol waits meanwhile.
+func (f *Fleet) Handle(t Topic, take func(from string, data []byte)) { f.handlers[t].Store(&take) }
+
+func (f *Fleet) handle(m *message) {
+	if take := f.handlers[m.Topic].Load(); take != nil {
+		(*take)(m.From, m.Data)
+	}
+}
+
+// Send sends a payload to a member. A short one goes by a datagram, which may be lost; one over maxDatagramPayload by a
+// stream, which may fail. While maxStreams are being sent, further long payloads are dropped.
+func (f *Fleet) Send(name string, t Topic, data []byte) {
+	i := f.instance.Load()
+	if i == nil {
+		return
+	}
+	f.mu.Lock()
+	addr := f.view.Addr(name)
+	f.mu.Unlock()
+	m := &message{Kind: payload, From: f.options.Name, Topic: t, Data: data}
+	if len(data) <= maxDatagramPayload {
+		i.send(name, addr, m)
+		return
+	}
+	receiver, err := netip.ParseAddrPort(addr)
+	if err != nil {
+		return
+	}
+	select {
+	case f.streams <- struct{}{}:
+	default:
+		return
+	}
+	go func() {
+		defer func() { <-f.streams }()
+		node := &memberlist.Node{Name: name, Addr: receiver.Addr().AsSlice(), Port: receiver.Port()}
+		i.memberlist.SendReliable(node, encode(m))
+	}()
+}
+
+// send sends a message as a datagram, which may be lost.
+func (i *instance) send(name, addr string, m *message) {
+	if to, err := udpAddr(addr); err == nil {
+		i.memberlist.SendToAddress(memberlist.Address{Addr: to.String(), Name: name}, encode(m))
+	}
+}
--- /dev/null
+++ b/internal/standalone/fleet/gossip/protocollog.go
@@ -0,0 +1,97 @@
+package gossip
+
+import (
+	"io"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/sirupsen/logrus"
+)
+
+// rejectionLogInterval is the least time between two log lines about rejected packets.
+const rejectionLogInterval = 10 * time.Second
+
+// rejectionTexts are parts of what memberlist logs of packets and streams that it rejects. It reports them in
+// no other way.
+var rejectionTexts = []string{
+	"Decrypt packet failed",
+	"unacceptable label",
+	"failed to receive",
+	"not supported",
+	"Failed to decode",
+	"missing message type",
+	"invalid checksum",
+	"truncated messages",
+	"Received invalid msgType",
+	"double packet label",
+	"packet too short",
+	"label header",
+}
+
+// protocolLog takes memberlist's log: rejections are counted, the rest is for debugging. It also remembers
+// which failures were logged, for those that are retried until they succeed.
+type protocolLog struct {
+	log      *logrus.Logger
+	rejected *atomic.Int64
+
+	mu           sync.Mutex // guards what follows
+	lastRejected time.Time  // when a rejection was last logged
+	failing      map[failure]bool
+}
+
+var _ io.Writer = (*protocolLog)(nil)
+
+// failure is a kind of failure that is retried.
+type failure string
+
+const (
+	bindFailure failure = "bind"
+	joinFailure failure = "join"
+)
+
+// Write takes a line of memberlist's log.
+func (l *protocolLog) Write(b []byte) (int, error) {
+	text := strings.TrimSpace(string(b))
+	if !slices.ContainsFunc(rejectionTexts, func(part string) bool { return strings.Contains(text, part) }) {
+		l.log.WithField("code", "fleet-protocol").Debug(text)
+		return len(b), nil
+	}
+	count := l.rejected.Add(1)
+	if l.isRejectionDue() {
+		l.log.WithFields(logrus.Fields{"code": "fleet-refused", "count": count, "why": text}).
+			Warn("rejected a packet or stream that is not of this fleet")
+	}
+	return len(b), nil
+}
+
+func (l *protocolLog) isRejectionDue() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if time.Since(l.lastRejected) <= rejectionLogInterval {
+		return false
+	}
+	l.lastRejected = time.Now()
+	return true
+}
+
+// fail reports whether a failure is the first one since it was last resolved.
+func (l *protocolLog) fail(kind failure) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.failing == nil {
+		l.failing = map[failure]bool{}
+	}
+	first := !l.failing[kind]
+	l.failing[kind] = true
+	return first
+}
+
+// resolve ends a failure.
+func (l *protocolLog) resolve(kind failure) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.failing, kind)
+}
--- /dev/null
+++ b/internal/standalone/fleet/gossip/record.go
@@ -0,0 +1,119 @@
+package gossip
+
+import (
+	"context"
+	"errors"
+	"io/fs"
+	"time"
+
+	"mulleinrouter/internal/standalone/fleet/membership"
+)
+
+// writeResult is the outcome of writing a record.
+type writeResult struct {
+	boot uint64 // that was asked for
+	err  error
+}
+
+// readRecord reads the stored record. If it can't be read the process starts without one: peers know the boot count and
+// report it.
+func (f *Fleet) readRecord() (r Record) {
+	if f.options.Store == nil {
+		// Nothing counts the starts, so the time does. If the clock was set back, peers report a later incarnation.
+		return Record{Boot: uint64(time.Now().Unix())}
+	}
+	if err := f.options.Store.Read(&r); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		f.log.WithField("code", "fleet-record-unusable").WithError(err).
+			Warn("the membership record cannot be read; peers are asked for the boot count")
+		return Record{}
+	}
+	return r
+}
+
+// writeRecords writes records one after another until the context ends. It has a goroutine of its own: a slow disk must
+// not delay ticks.
+func (f *Fleet) writeRecords(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case r := <-f.records:
+			result := writeResult{boot: r.Boot}
+			var stored Record
+			if f.options.Store.Read(&stored) == nil {
+				r.Boot = max(r.Boot, stored.Boot) // a newer process of this ingress may have counted on
+			}
+			result.err = f.options.Store.Write(r)
+			select {
+			case f.written <- result:
+			case <-ctx.Done():
+				return
+			}
+		}
+	}
+}
+
+// storeBoot has a boot count written with the next tick. It is announced once it is on disk.
+func (r *runner) storeBoot(boot uint64) {
+	r.pendingBoot = &boot
+	r.nextWriteAt = time.Time{}
+}
+
+// writeRecord starts to write the record if that is due.
+func (r *runner) writeRecord() {
+	if r.writing || !time.Now().After(r.nextWriteAt) {
+		return
+	}
+	r.nextWriteAt = time.Now().Add(writeRetryInterval)
+	f := r.fleet
+	var boot uint64
+	switch {
+	case r.pendingBoot != nil:
+		boot = *r.pendingBoot
+	case r.viewDirty && f.options.Store != nil:
+		r.viewDirty = false
+		boot = f.Self().Boot
+	default:
+		return
+	}
+	f.mu.Lock()
+	record := Record{Boot: boot, Members: f.view.AgreedMembers()}
+	f.mu.Unlock()
+	f.records <- record
+	r.writing = true
+}
+
+// recordWritten applies the outcome of writing the record.
+func (r *runner) recordWritten(result writeResult) {
+	log := r.fleet.log
+	r.writing = false
+	if result.err != nil {
+		if !r.writeFailed {
+			log.WithField("code", "fleet-disk").WithError(result.err).
+				Error("the membership record cannot be written; an incarnation that is not on disk is not announced")
+		}
+		r.writeFailed = true
+		return
+	}
+	if r.writeFailed {
+		log.WithField("code", "fleet-disk-usable").Info("the membership record can be written again")
+	}
+	r.writeFailed = false
+	if r.pendingBoot != nil && result.boot == *r.pendingBoot {
+		r.pendingBoot = nil
+		r.activateIncarnation(result.boot)
+	}
+}
+
+// activateIncarnation uses and announces a boot count that is on disk.
+func (r *runner) activateIncarnation(boot uint64) {
+	f := r.fleet
+	f.mu.Lock()
+	if f.view.Self().Boot != boot {
+		f.view.SetIncarnation(membership.Incarnation{Boot: boot, Nonce: f.nonce})
+	}
+	f.updateMetadata()
+	f.mu.Unlock()
+	r.incarnationStored = true
+	f.broadcastMetadata()
+}
--- /dev/null
+++ b/internal/standalone/fleet/gossip/run.go
@@ -0,0 +1,188 @@
+package gossip
+
+import (
+	"context"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"mulleinrouter/internal/standalone/fleet/membership"
+)
+
+const (
+	tickInterval       = 100 * time.Millisecond
+	maxTickDelay       = time.Second            // a tick that is later shows that the process was suspended
+	bindRetryInterval  = 250 * time.Millisecond // an older process of this ingress may still have the address
+	writeRetryInterval = time.Second            // between two writes of the record
+)
+
+// runner is the state of the goroutine that owns the protocol's instances and gives all events to the view.
+type runner struct {
+	fleet             *Fleet
+	incarnationStored bool // the incarnation is on disk, so it may be announced
+	nextBindAt        time.Time
+
+	pendingBoot *uint64 // a start count that is to be on disk before it is announced
+	viewDirty   bool    // the membership is to be written
+	writing     bool    // a record is being written
+	writeFailed bool    // the last write failed
+	nextWriteAt time.Time
+}
+
+func newRunner(f *Fleet) *runner { return &runner{fleet: f} }
+
+// run brings the protocol's updates, messages and ticks to the view, and carries out its actions, until the
+// context ends.
+func (r *runner) run(ctx context.Context) {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	f := r.fleet
+	defer f.stopInstance()
+	if f.options.Store == nil {
+		r.incarnationStored = true
+	} else {
+		r.storeBoot(f.Self().Boot)
+	}
+	for {
+		var actions []membership.Action
+		select {
+		case <-ctx.Done():
+			return
+		case result := <-f.written:
+			r.recordWritten(result)
+		case <-f.updatesReady:
+			actions = f.applyUpdates()
+		case m := <-f.messages:
+			actions = f.receive(m)
+		case <-ticker.C:
+			actions = r.tick()
+		}
+		for _, a := range actions {
+			r.execute(a)
+		}
+	}
+}
+
+func (r *runner) tick() []membership.Action {
+	f := r.fleet
+	now := time.Since(f.startedAt)
+	if delay := now - time.Duration(f.lastTick.Load()); delay > maxTickDelay {
+		f.restartAfterPause(delay)
+	}
+	f.lastTick.Store(int64(now))
+	actions := f.step(membership.Tick{})
+	r.writeRecord()
+	if r.incarnationStored && f.instance.Load() == nil && !f.Left() && time.Now().After(r.nextBindAt) {
+		r.nextBindAt = time.Now().Add(bindRetryInterval)
+		f.startInstance()
+	}
+	f.joinMembers()
+	return actions
+}
+
+// execute carries out an action of the view.
+func (r *runner) execute(a membership.Action) {
+	f := r.fleet
+	switch a := a.(type) {
+	case membership.RaiseIncarnation:
+		f.log.WithFields(logrus.Fields{"code": "fleet-count-raised", "boot": a.Boot}).
+			Warn("peers know a later incarnation under this name; the boot count is raised")
+		if f.options.Store == nil {
+			r.activateIncarnation(a.Boot)
+		} else {
+			r.storeBoot(a.Boot)
+		}
+	case membership.PersistView:
+		r.viewDirty = true
+	case membership.SendMessage:
+		if i := f.instance.Load(); i != nil {
+			i.send(a.To, a.Addr, newProbeMessage(a.Message))
+		}
+	case membership.Rejoin:
+		if i := f.instance.Load(); i != nil {
+			go i.memberlist.Join([]string{a.Addr})
+		}
+	case membership.NameConflict:
+		f.log.WithFields(logrus.Fields{"code": "fleet-name-twice", "boot": a.Winner.Boot}).
+			Error("another process has this ingress's name; this one leaves the fleet and goes on serving")
+		f.mu.Lock()
+		f.left = true
+		f.mu.Unlock()
+		f.stopInstance()
+	case membership.ViewChanged:
+		f.logChange(a)
+	}
+}
+
+func (f *Fleet) logChange(a membership.ViewChanged) {
+	c := a.Change
+	entry := f.log.WithFields(logrus.Fields{"view": c.View, "member": c.Name})
+	if a.Reachability {
+		r := f.Reachability()
+		entry.WithFields(logrus.Fields{
+			"code":      "fleet-judgement",
+			"judgement": c.What,
+			"heard":     r.Alive,
+			"agreed":    r.Agreed,
+		}).Warn("the reachability of the fleet has changed")
+		return
+	}
+	entry.WithFields(logrus.Fields{
+		"code":   "fleet-member",
+		"change": c.What,
+		"state":  c.To.String(),
+		"was":    c.From.String(),
+		"boot":   c.Boot,
+	}).Info("the view of a member has changed")
+}
+
+// applyUpdates gives the protocol's updates to the view.
+func (f *Fleet) applyUpdates() (actions []membership.Action) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.paused() {
+		f.pendingUpdates = nil // they come from timers that expired while this process was suspended
+		return nil
+	}
+	for _, u := range f.pendingUpdates {
+		actions = append(actions, f.view.Step(f.now(), u)...)
+	}
+	f.pendingUpdates = nil
+	return actions
+}
+
+// receive applies a message of a member.
+func (f *Fleet) receive(m *message) []membership.Action {
+	switch m.Kind {
+	case probeMessage:
+		return f.step(m.membershipMessage())
+	case linksRequest:
+		f.sendLinks(m)
+	case linksResponse:
+		f.receiveLinks(m)
+	}
+	return nil
+}
+
+// paused reports whether this process was suspended and hasn't handled it yet. What timers concluded meanwhile is void.
+func (f *Fleet) paused() bool {
+	return time.Since(f.startedAt)-time.Duration(f.lastTick.Load()) > maxTickDelay
+}
+
+// restartAfterPause discards the protocol's instance: its timers expired while others could not answer.
+func (f *Fleet) restartAfterPause(delay time.Duration) {
+	f.log.WithFields(logrus.Fields{"code": "fleet-stalled", "for": delay.Seconds()}).
+		Warn("this process was suspended; the membership protocol restarts")
+	if i := f.instance.Swap(nil); i != nil {
+		i.closed.Store(true)
+		go i.memberlist.Shutdown()
+	}
+	f.mu.Lock()
+	f.pauses++
+	f.pendingUpdates = nil
+	f.mu.Unlock()
+	for len(f.messages) > 0 { // they are old, and their senders have sent others since
+		<-f.messages
+	}
+	f.step(membership.Paused{Duration: delay.Seconds()})
+}
--- /dev/null
+++ b/internal/standalone/fleet/gossip/sockets.go
@@ -0,0 +1,74 @@
+package gossip
+
+import (
+	"fmt"
+	"log"
+	"net"
+	"net/netip"
+	"strconv"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+)
+
+// bindAttempts is how often a port is drawn: the one drawn for streams may be taken for datagrams.
+const bindAttempts = 10
+
+// sockets is the transport on real sockets. Its streams leave from the address at which it listens, which
+// tells receivers who calls.
+type sockets struct {
+	*memberlist.NetTransport
+	localAddr net.TCPAddr
+}
+
+// listen binds an address for datagrams and streams. Port 0 draws one that is free for both.
+func listen(addr string, logger *log.Logger) (*sockets, error) {
+	host, portText, err := net.SplitHostPort(addr)
+	if err != nil {
+		return nil, fmt.Errorf("gossip: listen at %s: %w", addr, err)
+	}
+	port, err := strconv.Atoi(portText)
+	if err != nil {
+		return nil, fmt.Errorf("gossip: listen at %s: %w", addr, errPort)
+	}
+	attempts := 1
+	if port == 0 {
+		attempts = bindAttempts
+	}
+	config := &memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: logger}
+	for range attempts {
+		var inner *memberlist.NetTransport
+		if inner, err = memberlist.NewNetTransport(config); err == nil {
+			return &sockets{NetTransport: inner, localAddr: net.TCPAddr{IP: net.ParseIP(host)}}, nil
+		}
+	}
+	return nil, fmt.Errorf("gossip: listen at %s: %w", addr, err)
+}
+
+// DialTimeout implements memberlist.Transport.
+func (s *sockets) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	return s.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
+}
+
+// DialAddressTimeout implements memberlist.NodeAwareTransport.
+func (s *sockets) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	d := net.Dialer{Timeout: timeout}
+	if !s.localAddr.IP.IsUnspecified() {
+		d.LocalAddr = &s.localAddr
+	}
+	return d.Dial("tcp", a.Addr)
+}
+
+// boundAddr returns the address at which it listens.
+func (s *sockets) boundAddr(host string) string {
+	return net.JoinHostPort(host, strconv.Itoa(s.GetAutoBindPort()))
+}
+
+// udpAddr parses an address for datagrams. It has to be numeric: a name would have to be looked up.
+func udpAddr(addr string) (net.Addr, error) {
+	a, err := netip.ParseAddrPort(addr)
+	if err != nil {
+		return nil, fmt.Errorf("gossip: address of a member: %w", err)
+	}
+	return net.UDPAddrFromAddrPort(a), nil
+}
--- a/internal/standalone/fleet/gossip/transport.go
+++ b/internal/standalone/fleet/gossip/transport.go
@@ -1,13 +1,7 @@
 package gossip
 
 import (
-	"errors"
-	"fmt"
-	"io"
-	"log"
 	"net"
-	"net/netip"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -15,36 +9,48 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// maxPacketBytes is the longest datagram that is looked at, in bytes: members send 1,400 at the most.
+// maxPacketBytes bounds the datagrams that are accepted. Members send at most 1,400 bytes.
 const maxPacketBytes = 4 << 10
 
-var errTransportClosed = errors.New("this process stood still: what it would say is old")
+// packetQueueLength is how many datagrams wait for memberlist.
+const packetQueueLength = 64
 
-// meter counts what crosses the network. It outlives the instances of the protocol.
+// meter counts the traffic. It outlives the instances of the protocol.
 type meter struct {
-	packetsIn, packetsOut, bytesIn, bytesOut atomic.Int64
-	rejected                                 atomic.Int64 // packets and streams of another fleet, another key, too long or rubbish
+	packetsIn  atomic.Int64
+	packetsOut atomic.Int64
+	bytesIn    atomic.Int64
+	bytesOut   atomic.Int64
+	rejected   atomic.Int64 // packets and streams of another fleet or key, too long or invalid
 }
 
-// transport is the network's side of one instance of the protocol: it opens streams from the address it listens at, counts,
-// and is shut at once where the process has stood still, so that nothing it concluded from others' silence gets out.
+// transport is the network side of one instance of the protocol. It counts the traffic, and sends nothing
+// once the process was suspended: what timers concluded meanwhile must not reach others.
 type transport struct {
 	memberlist.NodeAwareTransport
 	meter    *meter
 	closed   func() bool
 	packets  chan *memberlist.Packet
 	streams  chan net.Conn
-	done     chan struct{}
+	done     chan struct{} // closed by Shutdown, which ends forward
 	stopOnce sync.Once
 }
 
-// wrapTransport begins to pass on what a transport takes in.
-func wrapTransport(inner memberlist.NodeAwareTransport, m *meter, shut func() bool) *transport {
-	t := &transport{NodeAwareTransport: inner, meter: m, closed: shut, packets: make(chan *memberlist.Packet, 64), streams: make(chan net.Conn), done: make(chan struct{})}
+// wrapTransport returns a transport on top of another one. Shutdown ends both.
+func wrapTransport(inner memberlist.NodeAwareTransport, m *meter, closed func() bool) *transport {
+	t := &transport{
+		NodeAwareTransport: inner,
+		meter:              m,
+		closed:             closed,
+		packets:            make(chan *memberlist.Packet, packetQueueLength),
+		streams:            make(chan net.Conn),
+		done:               make(chan struct{}),
+	}
 	go t.forward()
 	return t
 }
 
+// forward passes on what the inner transport receives.
 func (t *transport) forward() {
 	for {
 		select {
@@ -62,7 +68,7 @@
 			}
 		case c := <-t.NodeAwareTransport.StreamCh():
 			select {
-			case t.streams <- &stream{c, t}:
+			case t.streams <- &stream{Conn: c, transport: t}:
 			case <-t.done:
 				c.Close()
 				return
@@ -73,26 +79,33 @@
 	}
 }
 
+// PacketCh implements memberlist.Transport.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
-func (t *transport) StreamCh() <-chan net.Conn           { return t.streams }
 
+// StreamCh implements memberlist.Transport.
+func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
+
+// WriteTo implements memberlist.Transport.
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
+// WriteToAddress implements memberlist.NodeAwareTransport.
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	if t.closed() {
-		return time.Now(), nil // as if it were lost
+		return time.Now(), nil // as if it were lost on the network
 	}
 	t.meter.packetsOut.Add(1)
 	t.meter.bytesOut.Add(int64(len(b)))
 	return t.NodeAwareTransport.WriteToAddress(b, a)
 }
 
+// DialTimeout implements memberlist.Transport.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
+// DialAddressTimeout implements memberlist.NodeAwareTransport.
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	if t.closed() {
 		return nil, errTransportClosed
@@ -101,15 +114,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return &stream{c, t}, nil
+	return &stream{Conn: c, transport: t}, nil
 }
 
+// Shutdown implements memberlist.Transport.
 func (t *transport) Shutdown() error {
 	t.stopOnce.Do(func() { close(t.done) })
 	return t.NodeAwareTransport.Shutdown()
 }
 
-// stream is a connection between members.
+// stream is a connection between members whose bytes are counted.
 type stream struct {
 	net.Conn
 	transport *transport
@@ -128,60 +142,3 @@
 	s.transport.meter.bytesIn.Add(int64(n))
 	return n, err
 }
-
-// sockets is the transport on real ones, with streams that leave from the address it listens at: that tells who calls.
-type sockets struct {
-	*memberlist.NetTransport
-	localAddr net.TCPAddr
-}
-
-// listen binds an address for packets and streams. Port 0 draws one that both have.
-func listen(addr string, logger *log.Logger) (*sockets, error) {
-	host, portText, err := net.SplitHostPort(addr)
-	if err != nil {
-		return nil, fmt.Errorf("gossip: %w", err)
-	}
-	port, err := strconv.Atoi(portText)
-	if err != nil {
-		return nil, fmt.Errorf("gossip: %q is no port", portText)
-	}
-	tries := 1
-	if port == 0 {
-		tries = 10 // the port drawn for streams may be taken for packets
-	}
-	for range tries {
-		var nt *memberlist.NetTransport
-		if nt, err = memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: logger}); err == nil {
-			return &sockets{nt, net.TCPAddr{IP: net.ParseIP(host)}}, nil
-		}
-	}
-	return nil, fmt.Errorf("gossip: %w", err)
-}
-
-func (s *sockets) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
-	return s.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
-}
-
-func (s *sockets) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: timeout}
-	if !s.localAddr.IP.IsUnspecified() {
-		d.LocalAddr = &s.localAddr
-	}
-	return d.Dial("tcp", a.Addr)
-}
-
-// boundAddr is the address that it listens at.
-func (s *sockets) boundAddr(host string) string {
-	return net.JoinHostPort(host, strconv.Itoa(s.GetAutoBindPort()))
-}
-
-// udpAddr is an address that words may be sent to: numbers, for names would have to be looked up.
-func udpAddr(addr string) (net.Addr, error) {
-	a, err := netip.ParseAddrPort(addr)
-	if err != nil {
-		return nil, fmt.Errorf("gossip: %w", err)
-	}
-	return net.UDPAddrFromAddrPort(a), nil
-}
-
-var _ io.Writer = (*protocolLog)(nil)
