--- a/internal/standalone/fleet/gossip/golden_test.go
+++ b/internal/standalone/fleet/gossip/golden_test.go
@@ -25,7 +25,10 @@
 		}), false},
 		{"links-request.cbor", &message{Kind: linksRequest, From: "n1", QueryID: 70000}, false},
 		{"links-response.cbor", &message{Kind: linksResponse, From: "n2", QueryID: 70000, Links: map[string]membership.Link{
-			"n1": membership.LinkInboundOnly, "n3": membership.LinkDown, "n4": membership.LinkBidirectional, "n5": membership.LinkUnknown,
+			"n1": membership.LinkInboundOnly,
+			"n3": membership.LinkDown,
+			"n4": membership.LinkBidirectional,
+			"n5": membership.LinkUnknown,
 		}}, true},
 		{"payload.cbor", &message{Kind: payload, From: "n1", Topic: 10, Data: []byte{1, 2, 3, 255}}, false},
 	} {
--- a/internal/standalone/fleet/gossip/protocollog.go
+++ b/internal/standalone/fleet/gossip/protocollog.go
@@ -53,45 +53,45 @@
 )
 
 // Write takes a line of memberlist's log.
-func (l *protocolLog) Write(b []byte) (int, error) {
+func (pl *protocolLog) Write(b []byte) (int, error) {
 	text := strings.TrimSpace(string(b))
 	if !slices.ContainsFunc(rejectionTexts, func(part string) bool { return strings.Contains(text, part) }) {
-		l.log.WithField("code", "fleet-protocol").Debug(text)
+		pl.log.WithField("code", "fleet-protocol").Debug(text)
 		return len(b), nil
 	}
-	count := l.rejected.Add(1)
-	if l.isRejectionDue() {
-		l.log.WithFields(logrus.Fields{"code": "fleet-refused", "count": count, "why": text}).
+	count := pl.rejected.Add(1)
+	if pl.isRejectionDue() {
+		pl.log.WithFields(logrus.Fields{"code": "fleet-refused", "count": count, "why": text}).
 			Warn("rejected a packet or stream that is not of this fleet")
 	}
 	return len(b), nil
 }
 
-func (l *protocolLog) isRejectionDue() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if time.Since(l.lastRejected) <= rejectionLogInterval {
+func (pl *protocolLog) isRejectionDue() bool {
+	pl.mu.Lock()
+	defer pl.mu.Unlock()
+	if time.Since(pl.lastRejected) <= rejectionLogInterval {
 		return false
 	}
-	l.lastRejected = time.Now()
+	pl.lastRejected = time.Now()
 	return true
 }
 
 // fail reports whether a failure is the first one since it was last resolved.
-func (l *protocolLog) fail(kind failure) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.failing == nil {
-		l.failing = map[failure]bool{}
+func (pl *protocolLog) fail(kind failure) bool {
+	pl.mu.Lock()
+	defer pl.mu.Unlock()
+	if pl.failing == nil {
+		pl.failing = map[failure]bool{}
 	}
-	first := !l.failing[kind]
-	l.failing[kind] = true
+	first := !pl.failing[kind]
+	pl.failing[kind] = true
 	return first
 }
 
 // resolve ends a failure.
-func (l *protocolLog) resolve(kind failure) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.failing, kind)
+func (pl *protocolLog) resolve(kind failure) {
+	pl.mu.Lock()
+	defer pl.mu.Unlock()
+	delete(pl.failing, kind)
 }
--- /dev/null
+++ b/internal/standalone/fleet/gossip/testfleet_test.go
@@ -0,0 +1,194 @@
+//go:build !race
+
+package gossip
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+	"github.com/sirupsen/logrus"
+
+	"mulleinrouter/internal/emulator/faultnet"
+	"mulleinrouter/internal/standalone/fleet/membership"
+)
+
+const (
+	formTimeout  = 30 * time.Second // for a fleet to form, or to be complete again
+	pollInterval = 100 * time.Millisecond
+	seeds        = 3
+
+	complete    = "whole"   // reachability in reports
+	partitioned = "cut-off" // the same
+)
+
+// testFleet is a fleet in fake time over a simulated network.
+type testFleet struct {
+	network *faultnet.Memory
+	addrs   []string
+	members []*Fleet // nil: killed
+}
+
+func memberName(i int) string { return fmt.Sprintf("n%03d", i) }
+
+// newTestFleet returns a network with addresses for a fleet, of which no member is started.
+func newTestFleet(size int, seed uint64) *testFleet {
+	tf := &testFleet{network: faultnet.NewMemory(faultnet.NewLinks(seed)), members: make([]*Fleet, size)}
+	for range size {
+		tf.addrs = append(tf.addrs, tf.network.Addr())
+	}
+	return tf
+}
+
+// startTestFleet starts all members at once.
+func startTestFleet(size int, seed uint64) *testFleet {
+	tf := newTestFleet(size, seed)
+	for i := range size {
+		tf.start(i, membership.Serving)
+	}
+	return tf
+}
+
+func (tf *testFleet) start(i int, p membership.Phase, with ...func(*Options)) {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	o := Options{
+		Fleet:  "test",
+		Name:   memberName(i),
+		Join:   tf.addrs[:min(seeds, len(tf.addrs))],
+		Expect: len(tf.addrs),
+		Seed:   uint64(i),
+		Log:    log,
+		Network: func() (memberlist.NodeAwareTransport, string, error) {
+			return tf.network.Listen(memberName(i), tf.addrs[i]), tf.addrs[i], nil
+		},
+	}
+	for _, set := range with {
+		set(&o)
+	}
+	f, err := Start(o)
+	if err != nil {
+		panic(err)
+	}
+	f.SetPhase(p)
+	tf.members[i] = f
+}
+
+// kill ends a member without announcing it.
+func (tf *testFleet) kill(i int) {
+	tf.members[i].Stop()
+	tf.members[i] = nil
+}
+
+func (tf *testFleet) stop() {
+	for _, f := range tf.members {
+		if f != nil {
+			f.Stop()
+		}
+	}
+	time.Sleep(time.Minute) // memberlist's own goroutines end by their time-outs
+}
+
+// statesOf counts the states in which the other members see a member.
+func (tf *testFleet) statesOf(member int) map[string]int {
+	counts := map[string]int{}
+	for i, f := range tf.members {
+		if f == nil || i == member {
+			continue
+		}
+		state := "unknown"
+		for _, m := range f.Report(0).Members {
+			if m.Name == memberName(member) {
+				state = m.State
+			}
+		}
+		counts[state]++
+	}
+	return counts
+}
+
+// viewCounts counts the members by the digest of their view and by their reachability.
+func (tf *testFleet) viewCounts() (digests, reachabilities map[string]int) {
+	digests, reachabilities = map[string]int{}, map[string]int{}
+	for _, f := range tf.members {
+		if f != nil {
+			r := f.Report(0)
+			digests[r.Digest]++
+			reachabilities[r.Reachability]++
+		}
+	}
+	return digests, reachabilities
+}
+
+// isComplete reports whether all members have the same view and reach the complete fleet.
+func (tf *testFleet) isComplete() bool {
+	digests, reachabilities := tf.viewCounts()
+	return len(digests) == 1 && reachabilities[complete] == len(tf.members)
+}
+
+func (tf *testFleet) requireComplete(t *testing.T, timeout time.Duration) {
+	t.Helper()
+	took, ok := waitUntil(timeout, tf.isComplete)
+	if !ok {
+		digests, reachabilities := tf.viewCounts()
+		t.Fatalf("not complete after %v: views %v, reachability %v", took, digests, reachabilities)
+	}
+	t.Logf("complete after %v", took)
+}
+
+// countFalseDeaths counts, over the changes that all members but the excluded ones remember, deaths of running members.
+func (tf *testFleet) countFalseDeaths(isExcluded func(i int) bool) (deaths int) {
+	running := map[string]bool{}
+	for i, f := range tf.members {
+		if f != nil && !isExcluded(i) {
+			running[memberName(i)] = true
+		}
+	}
+	for i, f := range tf.members {
+		if f == nil || isExcluded(i) {
+			continue
+		}
+		for _, c := range f.Report(0).Changes {
+			if c.To == "dead" && c.What == "state" && running[c.Name] {
+				deaths++
+			}
+		}
+	}
+	return deaths
+}
+
+// cut partitions the links for which a function of sender and receiver holds.
+func (tf *testFleet) cut(isCut func(from, to int) bool) {
+	for i := range tf.members {
+		for j := range tf.members {
+			if isCut(i, j) {
+				tf.network.Links.Set(memberName(i), memberName(j), faultnet.Both, faultnet.Fault{Cut: true})
+			}
+		}
+	}
+}
+
+// waitUntil lets time pass until a condition holds. It returns how long that took, and false after the time-out.
+func waitUntil(timeout time.Duration, holds func() bool) (took time.Duration, ok bool) {
+	for ; took < timeout; took += pollInterval {
+		if holds() {
+			return took, true
+		}
+		time.Sleep(pollInterval)
+	}
+	return took, holds()
+}
+
+// longRun reports whether the long variants of tests are asked for.
+func longRun() bool { return os.Getenv("MULLEIN_LONG") != "" }
+
+// longDuration is a duration for CI, or one for MULLEIN_LONG=1.
+func longDuration(short, long time.Duration) time.Duration {
+	if longRun() {
+		return long
+	}
+	return short
+}
