--- a/internal/standalone/node/management.go
+++ b/internal/standalone/node/management.go
@@ -62,10 +62,10 @@
 		prefix := "ingress.responses." + c.Class
 		lines = append(lines,
 			mgmt.Count(prefix+".ok", c.OK),
-			mgmt.Count(prefix+".shed", c.Shed),
+			mgmt.Count(prefix+".shed", c.Rejected),
 			mgmt.Count(prefix+".errors", c.Errors),
-			mgmt.Count(prefix+".tries", c.Tries))
-		attempts += c.Tries
+			mgmt.Count(prefix+".tries", c.Attempts))
+		attempts += c.Attempts
 	}
 	if n.fleet != nil {
 		lines = append(lines, n.fleetStats()...)
