--- a/internal/emulator/faulttest/file.go
+++ b/internal/emulator/faulttest/file.go
@@ -148,7 +148,7 @@
 )
 
 // diskFails are the ways in which a disk fails, below the stores of a process.
-var diskFails = map[string]map[vfs.Op]vfs.Bad{
+var diskFails = map[string]map[vfs.Op]vfs.Fault{
 	"write":  {vfs.Write: {Err: "EIO"}},
 	"torn":   {vfs.Write: {Err: "EIO", Torn: true}},
 	"full":   {vfs.Write: {Err: "ENOSPC", Torn: true}},
--- a/internal/emulator/faulttest/nodes.go
+++ b/internal/emulator/faulttest/nodes.go
@@ -64,8 +64,8 @@
 func (n *node) faults() string { return n.folder + ".faults.json" }
 
 // fails has the disk below a member's process fail from now on, or no more.
-func (n *node) fails(t *Timeline, all map[vfs.Op]vfs.Bad) error {
-	text, err := jsontext.Encode(faultinjection.Plan{Clock: t.Clocks[n.name], Fail: all})
+func (n *node) fails(t *Timeline, all map[vfs.Op]vfs.Fault) error {
+	text, err := jsontext.Encode(faultinjection.Plan{ClockRate: t.Clocks[n.name], Faults: all})
 	if err != nil {
 		return err
 	}
--- a/internal/standalone/fleet/keyring/keyfile.go
+++ b/internal/standalone/fleet/keyring/keyring.go
@@ -1,4 +1,3 @@
-// Package keyring reads the keys with which a fleet seals what its members say to each other.
 package keyring
 
 import (
@@ -9,35 +8,37 @@
 	"strings"
 )
 
-// ErrKeys tells that a key file cannot be used. Nothing of it is taken.
+// ErrKeys is the error of a key file that can't be used. Nothing of the file is used then.
 var ErrKeys = errors.New("key file")
 
-const mostKeys = 8
+// maxKeys bounds the keys of a file.
+const maxKeys = 8
 
-// Read reads a key file: a key a line, as base64 of 16, 24 or 32 bytes (AES-GCM). The first seals what is sent, all open
-// what comes, so that a new key is first added behind the old one everywhere, then put before it, and the old one taken
-// away at last. Lines that begin with # are passed over. Errors name the file and the line.
+// Read reads a key file. Each line is one key in base64: 16, 24 or 32 bytes, for AES-GCM. Empty lines and
+// those that begin with # are ignored. The first key encrypts, all decrypt: a key is rotated by adding the
+// new one behind the old one on all members, then moving it to the front, then removing the old one. Errors
+// wrap ErrKeys, name the file and the line, and don't contain the key.
 func Read(path string) (keys [][]byte, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrKeys, err)
 	}
-	for n, line := range strings.Split(string(text), "\n") {
+	for i, line := range strings.Split(string(text), "\n") {
 		line = strings.TrimSpace(line)
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
 		key, err := base64.StdEncoding.DecodeString(line)
 		if err != nil {
-			return nil, fmt.Errorf("%w: %s:%d: not base64", ErrKeys, path, n+1) // the key itself is not for the log
+			return nil, fmt.Errorf("%w: %s:%d: not base64", ErrKeys, path, i+1)
 		}
 		if size := len(key); size != 16 && size != 24 && size != 32 {
-			return nil, fmt.Errorf("%w: %s:%d: %d bytes, 16, 24 or 32 are wanted", ErrKeys, path, n+1, len(key))
+			return nil, fmt.Errorf("%w: %s:%d: %d bytes, 16, 24 or 32 are wanted", ErrKeys, path, i+1, size)
 		}
 		keys = append(keys, key)
 	}
-	if len(keys) == 0 || len(keys) > mostKeys {
-		return nil, fmt.Errorf("%w: %s:1: %d keys, from 1 to %d are wanted", ErrKeys, path, len(keys), mostKeys)
+	if len(keys) == 0 || len(keys) > maxKeys {
+		return nil, fmt.Errorf("%w: %s:1: %d keys, from 1 to %d are wanted", ErrKeys, path, len(keys), maxKeys)
 	}
 	return keys, nil
 }
--- a/internal/standalone/goldentest/goldentest.go
+++ b/internal/standalone/goldentest/goldentest.go
@@ -32,9 +32,10 @@
 	return data
 }
 
-// Fill sets each field of the struct that v points to, in the order of declaration, to a value that no other field has.
-// next numbers the values and goes on over several calls. The golden files hold values that were set this way, so that a
-// test doesn't depend on the names of fields and notices if two of them change places in the encoding.
+// Fill sets each field of the struct that v points to, in the order of declaration, to a value that no other
+// field has. next numbers the values and goes on over several calls. The golden files hold values that were
+// set this way, so that a test doesn't depend on the names of fields and notices if two of them change places
+// in the encoding.
 func Fill(v any, next *int64) { fill(reflect.ValueOf(v).Elem(), next) }
 
 func fill(v reflect.Value, next *int64) {
--- a/internal/standalone/handover/mutants_test.go
+++ b/internal/standalone/handover/mutants_test.go
@@ -2,21 +2,23 @@
 
 package handover
 
-import "testing"
+import (
+	"testing"
 
-// Every fault that is seeded lets processes be more than one ingress.
+	"mulleinrouter/internal/mutants"
+)
+
+// TestMutants finds each seeded fault: it lets processes have more than one ingress together.
 func TestMutants(t *testing.T) {
-	defer func() { Mutant = "" }()
-	for _, Mutant = range []string{"sleeper-keeps", "grows-unseen"} {
-		found := false
-		for seed := range uint64(3000) {
-			if most, _ := parts(seed); most > 1+1e-9 {
-				found = true
-				break
+	for _, fault := range []string{"sleeper-keeps", "grows-unseen"} {
+		t.Run(fault, func(t *testing.T) {
+			mutants.Seed(t, "handover/"+fault)
+			for seed := range uint64(randomRuns) {
+				if maxSum, _ := randomRun(seed); maxSum > 1+shareTolerance {
+					return
+				}
 			}
-		}
-		if !found {
-			t.Errorf("%s lives: a property is missing", Mutant)
-		}
+			t.Error("the fault is not found: a property is missing")
+		})
 	}
 }
--- a/internal/standalone/hotrestart/hotrestart.go
+++ b/internal/standalone/hotrestart/hotrestart.go
@@ -1,7 +1,3 @@
-// Package hotrestart opens the clients' address so that a newer process can listen beside the running one
-// (SO_REUSEPORT), and hands the address over to it without resetting a connection: a closed SO_REUSEPORT listener
-// resets what waits in its accept queue, so the old process first steers new connections away from itself and only
-// closes once its queue has been taken.
 package hotrestart
 
 import (
@@ -14,56 +10,61 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listen listens at a TCP address with SO_REUSEPORT, so that another process may listen there too; the kernel shares
-// new connections among the listeners. Where SO_REUSEPORT is refused, it listens alone, as net.Listen would. A
-// steering program that an earlier process left on the group is taken off, so that both processes serve.
+// ErrNotTCP is the error of a listener that is not a *net.TCPListener.
+var ErrNotTCP = errors.New("not a TCP listener")
+
+// newestListener is the index, within a SO_REUSEPORT group of two, of the listener that joined last.
+const newestListener = 1
+
+// Listen listens at a TCP address with SO_REUSEPORT, so that another process may listen there, too; the
+// kernel distributes new connections among the listeners. Where SO_REUSEPORT is not available it listens
+// alone, as net.Listen does. A redirection that an earlier process attached to the group is removed, so that
+// both processes serve.
 func Listen(addr string) (net.Listener, error) {
-	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
-			unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) // refused: it listens alone
+			unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) // an error: it listens alone
 		})
 	}}
-	// Go listens with MPTCP where the kernel has it; an MPTCP listener takes no steering program (EOPNOTSUPP).
-	lc.SetMultipathTCP(false)
-	l, err := lc.Listen(context.Background(), "tcp4", addr)
+	// Go uses MPTCP where the kernel has it, and an MPTCP listener doesn't support the redirection (EOPNOTSUPP).
+	config.SetMultipathTCP(false)
+	l, err := config.Listen(context.Background(), "tcp4", addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	control(l, func(fd int) error {
-		return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_DETACH_REUSEPORT_BPF, 0) // none there: an error
+	controlSocket(l, func(fd int) error {
+		return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_DETACH_REUSEPORT_BPF, 0) // an error: there is none
 	})
 	return l, nil
 }
 
-// Steer has the kernel give the group's new connections to the newest listener beside this one (the last that
-// joined), none to this one. Alone, this listener still gets them all: an index beyond the group falls back to the
-// kernel's hash. It returns an error where the kernel refuses; then new connections go on coming here.
+// Steer redirects the group's new connections to the newest other listener. Without another one this listener goes on
+// getting them: for an index beyond the group the kernel falls back to its hash. After an error, which is ErrNotTCP or
+// the kernel's, new connections go on coming here.
 func Steer(l net.Listener) error {
-	// One instruction: return the index of the second socket of the group.
-	filter := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 1}}
-	return control(l, func(fd int) error {
+	filter := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: newestListener}}
+	return controlSocket(l, func(fd int) error {
 		return unix.SetsockoptSockFprog(fd, unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF,
 			&unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]})
 	})
 }
 
-var errNotTCP = errors.New("not a TCP listener")
-
-func control(l net.Listener, f func(fd int) error) error {
-	tl, ok := l.(*net.TCPListener)
+// controlSocket calls a function with the file descriptor of a listener.
+func controlSocket(l net.Listener, call func(fd int) error) error {
+	tcp, ok := l.(*net.TCPListener)
 	if !ok {
-		return errNotTCP
+		return fmt.Errorf("redirect connections: %w", ErrNotTCP)
 	}
-	raw, err := tl.SyscallConn()
+	raw, err := tcp.SyscallConn()
 	if err != nil {
-		return fmt.Errorf("steer: %w", err)
+		return fmt.Errorf("redirect connections: %w", err)
 	}
-	var inner error
-	if err := raw.Control(func(fd uintptr) { inner = f(int(fd)) }); err != nil {
-		return fmt.Errorf("steer: %w", err)
+	var callErr error
+	if err := raw.Control(func(fd uintptr) { callErr = call(int(fd)) }); err != nil {
+		return fmt.Errorf("redirect connections: %w", err)
 	}
-	if inner != nil {
-		return fmt.Errorf("steer: %w", inner)
+	if callErr != nil {
+		return fmt.Errorf("redirect connections: %w", callErr)
 	}
 	return nil
 }
--- a/internal/standalone/hotrestart/hotrestart_test.go
+++ b/internal/standalone/hotrestart/hotrestart_test.go
@@ -1,16 +1,18 @@
 package hotrestart
 
 import (
+	"errors"
+	"io"
 	"net"
 	"testing"
 	"time"
 )
 
-// guard bounds a wait that only a failure makes long.
-const guard = 10 * time.Second
+// waitTimeout bounds a wait that only a failure makes long.
+const waitTimeout = 10 * time.Second
 
-// TestSteerHandsOver: two listeners share an address; once the first steers, every new connection reaches the second,
-// and closing the first resets none of them.
+// TestSteerHandsOver: two listeners share an address. Once the first one redirects, all new connections reach
+// the second, and closing the first one resets none of them.
 func TestSteerHandsOver(t *testing.T) {
 	old, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -23,7 +25,7 @@
 	}
 	defer newer.Close()
 	if err := Steer(old); err != nil {
-		t.Skipf("the kernel refuses steering: %v", err)
+		t.Skipf("the kernel doesn't support the redirection: %v", err)
 	}
 	const n = 32
 	var dialed []net.Conn
@@ -35,27 +37,25 @@
 		defer c.Close()
 		dialed = append(dialed, c)
 	}
-	old.Close() // what waits in its queue is reset now
-	newer.(*net.TCPListener).SetDeadline(time.Now().Add(guard))
+	old.Close() // what waits in its queue would be reset now
+	newer.(*net.TCPListener).SetDeadline(time.Now().Add(waitTimeout))
 	for i := range n {
 		c, err := newer.Accept()
 		if err != nil {
-			t.Fatalf("the newer listener took %d of %d connections: %v", i, n, err)
+			t.Fatalf("the newer listener accepted %d of %d connections: %v", i, n, err)
 		}
 		c.Close()
 	}
 	for i, c := range dialed {
-		c.SetReadDeadline(time.Now().Add(guard))
+		c.SetReadDeadline(time.Now().Add(waitTimeout))
 		var b [1]byte
-		if _, err := c.Read(b[:]); err == nil || !isEOF(err) {
-			t.Fatalf("connection %d: %v, not an orderly close", i, err)
+		if _, err := c.Read(b[:]); !errors.Is(err, io.EOF) {
+			t.Fatalf("connection %d: got %v, want an orderly close (%v)", i, err, io.EOF)
 		}
 	}
 }
 
-func isEOF(err error) bool { return err != nil && err.Error() == "EOF" }
-
-// TestSteerAlone: a listener that steers with nobody beside it still gets its connections.
+// TestSteerAlone: a listener that redirects without another one beside it still gets its connections.
 func TestSteerAlone(t *testing.T) {
 	l, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -63,14 +63,14 @@
 	}
 	defer l.Close()
 	if err := Steer(l); err != nil {
-		t.Skipf("the kernel refuses steering: %v", err)
+		t.Skipf("the kernel doesn't support the redirection: %v", err)
 	}
 	c, err := net.Dial("tcp4", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(guard))
+	l.(*net.TCPListener).SetDeadline(time.Now().Add(waitTimeout))
 	a, err := l.Accept()
 	if err != nil {
 		t.Fatalf("alone, it got nothing: %v", err)
@@ -78,7 +78,7 @@
 	a.Close()
 }
 
-// TestJoinClearsSteering: a process that joins a group that an earlier one steered serves its share again.
+// TestJoinClearsSteering: once a process joins a group that an earlier one redirected, both get connections again.
 func TestJoinClearsSteering(t *testing.T) {
 	first, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -86,14 +86,14 @@
 	}
 	defer first.Close()
 	if err := Steer(first); err != nil {
-		t.Skipf("the kernel refuses steering: %v", err)
+		t.Skipf("the kernel doesn't support the redirection: %v", err)
 	}
 	second, err := Listen(first.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer second.Close()
-	// Steered, all would go to the second; cleared, the kernel's hash gives some of many to the first.
+	// Redirected, all would go to the second one; by the kernel's hash some of many go to the first one.
 	for range 64 {
 		c, err := net.Dial("tcp4", first.Addr().String())
 		if err != nil {
@@ -101,7 +101,7 @@
 		}
 		defer c.Close()
 	}
-	first.(*net.TCPListener).SetDeadline(time.Now().Add(guard))
+	first.(*net.TCPListener).SetDeadline(time.Now().Add(waitTimeout))
 	if a, err := first.Accept(); err != nil {
 		t.Fatalf("the first listener got none of 64 connections: %v", err)
 	} else {
--- a/internal/standalone/node/fleet.go
+++ b/internal/standalone/node/fleet.go
@@ -29,7 +29,7 @@
 // whole.
 func (n *Node) stateFolder(process int64) *state.Folder {
 	folder := state.Open(n.config.State, n.config.Name, process)
-	folder.Disk = n.config.FaultInjection.Disk()
+	folder.FS = n.config.FaultInjection.FS()
 	return folder
 }
 
@@ -82,7 +82,7 @@
 	c, self := n.config, n.fleet.Self()
 	n.quotaSync = quotasync.New(quotasync.Options{
 		Gossip:    n.fleet,
-		ClockRate: c.FaultInjection.Clock(),
+		ClockRate: c.FaultInjection.ClockRate(),
 		Log:       n.log,
 		Options: quotashare.Options{
 			Name:        c.Name,
@@ -107,8 +107,8 @@
 		Voters:      c.Membership.Voters,
 		Dir:         c.State,
 		Log:         n.log,
-		ClockRate:   c.FaultInjection.Clock(),
-		WrapStore:   c.FaultInjection.Votes,
+		ClockRate:   c.FaultInjection.ClockRate(),
+		WrapStore:   c.FaultInjection.VoteStore,
 		StoreRecord: func(r leaseservice.Record) error { return folder.Write(leaseRecord, r) },
 	})
 	n.closers = append(n.closers, func() { folder.Remove(leaseRecord, folder.Process()) })
--- a/internal/standalone/node/peers.go
+++ b/internal/standalone/node/peers.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	heartbeatInterval     = time.Duration(handover.Beat * float64(time.Second))
+	heartbeatInterval     = time.Duration(handover.HeartbeatInterval * float64(time.Second))
 	knowledgeTimeout      = time.Second           // for an older process to hand over what it knows
 	knowledgePollInterval = 20 * time.Millisecond // between looks for it
 	staleRecordSeconds    = 60.0                  // after its last heartbeat, the record of a killed process is removed
@@ -71,7 +71,7 @@
 			}
 			continue
 		}
-		if unixNow()-record.Beat > staleRecordSeconds {
+		if unixNow()-record.HeartbeatAt > staleRecordSeconds {
 			p.folder.Remove(peerRecord, process)
 			p.folder.Remove(knowledgeRecord, process)
 			continue
@@ -99,8 +99,8 @@
 	p.failed = false
 	records, err := p.records()
 	p.reportFailure(err)
-	view := p.member.Turn(unixNow(), records)
-	for _, process := range view.Younger {
+	view := p.member.Heartbeat(unixNow(), records)
+	for _, process := range view.Newer {
 		if knowledge != nil && !p.handedOver[process] {
 			p.handedOver[process] = true
 			p.reportFailure(p.folder.Write(knowledgeRecord, knowledge()))
@@ -113,7 +113,7 @@
 	}
 	if overlapping := !view.Alone; overlapping != p.overlapping {
 		p.overlapping = overlapping
-		p.log.WithFields(logrus.Fields{"code": "process-overlap", "together": overlapping, "part": view.Own.Part}).
+		p.log.WithFields(logrus.Fields{"code": "process-overlap", "together": overlapping, "part": view.Own.Share}).
 			Info("another process of this ingress started or ended")
 	}
 	return view
@@ -132,7 +132,7 @@
 			var knowledge decision.Knowledge
 			if err := p.folder.Read(knowledgeRecord, process, &knowledge); err != nil {
 				p.reportFailure(err)
-			} else if knowledge.At > begun-handover.Lease {
+			} else if knowledge.At > begun-handover.LeaseDuration {
 				return &knowledge
 			}
 		}
@@ -168,10 +168,10 @@
 // unless it is renewed: a process that was stopped and resumes must not act on a part that others have taken over.
 func (n *Node) peerHeartbeat() {
 	view := n.peers.exchange(n.engine.HandOver)
-	n.newerProcess.Store(len(view.Younger) > 0)
+	n.newerProcess.Store(len(view.Newer) > 0)
 	lease := 0.0
 	if !view.Alone {
-		lease = handover.Lease
+		lease = handover.LeaseDuration
 	}
-	n.engine.SetShare(view.Own.Part, view.Junior, lease)
+	n.engine.SetShare(view.Own.Share, view.Secondary, lease)
 }
--- a/internal/standalone/node/peers_test.go
+++ b/internal/standalone/node/peers_test.go
@@ -37,7 +37,7 @@
 	if k := older.awaitKnowledge(); k != nil {
 		t.Fatalf("knowledge of the first process = %+v, want none", k)
 	}
-	if view := older.exchange(knowledge); !view.Alone || view.Own.Part != 1 {
+	if view := older.exchange(knowledge); !view.Alone || view.Own.Share != 1 {
 		t.Fatalf("view of the first process = %+v, want alone with part 1", view)
 	}
 	newer, received := newPeer(2), make(chan *decision.Knowledge)
@@ -59,9 +59,9 @@
 	var parts []float64
 	step := func(p *peerProcesses) {
 		view := p.exchange(knowledge)
-		parts = append(parts, view.Own.Part)
-		if wantJunior := p == newer; view.Junior != wantJunior && p.folder != nil && len(parts) < 4 {
-			t.Errorf("process %d: junior = %v, want %v", view.Own.Process, view.Junior, wantJunior)
+		parts = append(parts, view.Own.Share)
+		if wantJunior := p == newer; view.Secondary != wantJunior && p.folder != nil && len(parts) < 4 {
+			t.Errorf("process %d: junior = %v, want %v", view.Own.Process, view.Secondary, wantJunior)
 		}
 	}
 	step(newer)
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	for range 2 {
-		if view := first.exchange(nil); !view.Alone || view.Own.Part != 1 {
+		if view := first.exchange(nil); !view.Alone || view.Own.Share != 1 {
 			t.Errorf("beside a damaged record: view = %+v, want alone with part 1", view)
 		}
 	}
@@ -139,7 +139,7 @@
 	if got := request(t, n, "plus"); got != http.StatusOK {
 		t.Errorf("alone again: status %d, want 200", got)
 	}
-	if handover.Lease <= 2*handover.Beat {
-		t.Errorf("lease of %v s, heartbeat every %v s: one late heartbeat would end a lease", handover.Lease, handover.Beat)
+	if handover.LeaseDuration <= 2*handover.HeartbeatInterval {
+		t.Errorf("lease of %v s, heartbeat every %v s: one late heartbeat would end a lease", handover.LeaseDuration, handover.HeartbeatInterval)
 	}
 }
--- /dev/null
+++ b/internal/standalone/state/errors.go
@@ -0,0 +1,13 @@
+package state
+
+import "errors"
+
+// Errors of reading a file. The file is left as it is.
+var (
+	// ErrDamaged is the error of a file whose header, checksum or content is invalid, or that is too large.
+	ErrDamaged = errors.New("damaged file")
+	// ErrVersion is the error of a file with another format version.
+	ErrVersion = errors.New("file of another version")
+	// ErrOtherIngress is the error of a file of an ingress with another name.
+	ErrOtherIngress = errors.New("file of another ingress")
+)
--- a/internal/standalone/state/golden_test.go
+++ b/internal/standalone/state/golden_test.go
@@ -24,10 +24,10 @@
 }
 
 func goldenRecords() (running, leaving handover.Record) {
-	running = handover.New(7, 1740000000.25).Turn(1740000000.75, nil).Own
+	running = handover.New(7, 1740000000.25).Heartbeat(1740000000.75, nil).Own
 	secondary := handover.New(8, 1740000001.25)
 	secondary.Leave()
-	return running, secondary.Turn(1740000001.5, []handover.Record{running}).Own
+	return running, secondary.Heartbeat(1740000001.5, []handover.Record{running}).Own
 }
 
 func goldenFleet() gossip.Record {
--- /dev/null
+++ b/internal/standalone/vfs/vfs.go
@@ -0,0 +1,72 @@
+package vfs
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+)
+
+// File is a file that is being written.
+type File interface {
+	Name() string
+	Write(p []byte) (int, error)
+	Sync() error
+	Close() error
+}
+
+// FS is what stores need of a file system.
+type FS interface {
+	// Create creates a file in a folder with a name that is not in use, as os.CreateTemp does, and with permissions.
+	Create(dir, pattern string, perm fs.FileMode) (File, error)
+	Rename(from, to string) error
+	Remove(path string) error
+}
+
+// OS is the machine's file system.
+type OS struct{}
+
+// Create implements FS.
+func (OS) Create(dir, pattern string, perm fs.FileMode) (File, error) {
+	f, err := os.CreateTemp(dir, pattern)
+	if err != nil {
+		return nil, err
+	}
+	if err := f.Chmod(perm); err != nil {
+		return nil, errors.Join(err, f.Close(), os.Remove(f.Name()))
+	}
+	return f, nil
+}
+
+// Rename implements FS: it replaces a file atomically.
+func (OS) Rename(from, to string) error { return os.Rename(from, to) }
+
+// Remove implements FS.
+func (OS) Remove(path string) error { return os.Remove(path) }
+
+// Replace replaces a file atomically: a reader sees the old content or the new one. If it returns nil the new
+// content is on disk. After an error the old content stands, unless the rename itself failed after its
+// effect.
+func Replace(fsys FS, path string, data []byte, perm fs.FileMode) (err error) {
+	f, err := fsys.Create(filepath.Dir(path), "."+filepath.Base(path)+"-*", perm)
+	if err != nil {
+		return fmt.Errorf("replace %s: %w", path, err)
+	}
+	defer func() {
+		if err != nil {
+			fsys.Remove(f.Name())
+			err = fmt.Errorf("replace %s: %w", path, err)
+		}
+	}()
+	if _, err := f.Write(data); err != nil {
+		return errors.Join(err, f.Close())
+	}
+	if err := f.Sync(); err != nil {
+		return errors.Join(err, f.Close())
+	}
+	if err := f.Close(); err != nil {
+		return err
+	}
+	return fsys.Rename(f.Name(), path)
+}
