--- /dev/null
+++ b/internal/decision/admission_test.go
@@ -0,0 +1,114 @@
+package decision
+
+import (
+	"testing"
+)
+
+func TestShortfallIsRejectedWithRetryAfter(t *testing.T) {
+	g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
+	refused := 0
+	for i := uint64(0); i < 60; i++ {
+		for _, a := range actionsOf[Reject](g.Handle(0, testRequest(i, "safe", "rate"))) {
+			refused++
+			if a.RetryAfter <= 0 || a.RetryAfter > 1 {
+				t.Errorf("retry after %v", a.RetryAfter)
+			}
+		}
+	}
+	if refused < 40 {
+		t.Errorf("only %d of 60 rejected with a burst of 20", refused)
+	}
+}
+
+func TestExcessThatEarnsIsForwardedWithinCapacity(t *testing.T) {
+	g := startedGateway(t, testSettings(), servingBackend("x"))
+	sent := 0
+	for i := uint64(0); i < 60; i++ {
+		r := testRequest(i, "safe", "earns")
+		r.Units = 20 // never inside a slice of 5 with 10 of the burst
+		g.customerFor(r, g.plans["earns"]).bucket.tokens = -100
+		sent += len(actionsOf[Send](g.Handle(0, r)))
+	}
+	if sent != initialLimit/2/2 { // half of the bound of each of two gateways
+		t.Errorf("%d sent on, want %v", sent, initialLimit/2/2)
+	}
+}
+
+func TestInFlightLimitOfTwoIsSharedByProbability(t *testing.T) {
+	g := startedGateway(t, testSettings(), servingBackend("x"))
+	if len(actionsOf[Send](g.Handle(0, testRequest(1, "safe", "open")))) != 1 {
+		t.Error("a calm customer's first request was not sent")
+	}
+	g.defaultPool.latency = 2 // answers slow: the other gateway surely has its part out
+	if len(actionsOf[Reject](g.Handle(0.1, testRequest(2, "safe", "open")))) != 1 {
+		t.Error("sent on though the limit is most likely full")
+	}
+	g.defaultPool.latency = 0.01
+	g.Handle(5, testRequest(3, "safe", "open"))
+	if len(actionsOf[Reject](g.Handle(9, testRequest(4, "safe", "open")))) != 1 {
+		t.Error("a third attempt at once was sent on")
+	}
+}
+
+func TestEvenShareOfAnInFlightLimitAlwaysConforms(t *testing.T) { // trebic big-1: 0.70 inside a limit of 2
+	g := startedGateway(t, testSettings(), servingBackend("x"))
+	for i := uint64(0); i < 20; i++ { // a burst: by chance alone the others would seem to fill the limit
+		g.Handle(1, testRequest(i, "safe", "open"))
+	}
+	for id := range g.requests {
+		g.Handle(1, AttemptEnded{ID: id, Backend: "x", Outcome: Succeeded, Answered: true, Duration: 0.1})
+	}
+	g.defaultPool.latency = 5
+	if len(actionsOf[Send](g.Handle(1.01, testRequest(99, "safe", "open")))) != 1 {
+		t.Error(
+			"rejected within the even share: two gateways with one attempt each cannot pass a limit of two",
+		)
+	}
+}
+
+func TestUnknownPlanAndClassGetOneSafeAnswer(t *testing.T) {
+	g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
+	if len(actionsOf[Send](g.Handle(0, testRequest(1, "?", "?")))) != 1 {
+		t.Fatal("not sent")
+	}
+	out := g.Handle(1, AttemptEnded{ID: 1, Backend: "x", Outcome: TimedOut, Duration: 1})
+	if len(actionsOf[Fail](out)) != 1 || len(actionsOf[Send](out)) != 0 || len(actionsOf[Reject](out)) != 0 {
+		t.Errorf("got %v", out)
+	}
+}
+
+func TestNoRequestIsLost(t *testing.T) {
+	for _, tc := range []struct {
+		name     string
+		backends []Backend
+		left     Seconds
+	}{
+		{"no backend", nil, 3},
+		{"no backend and no time (h440035)", nil, 0.02},
+		{"only draining", []Backend{{ID: "x"}}, 3},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			g := startedGateway(t, testSettings(), tc.backends...)
+			r := testRequest(1, "unsafe", "free")
+			r.TimeLeft = tc.left
+			out := g.Handle(0, r)
+			out = append(out, runTicks(g, 0.001, tc.left)...)
+			if len(actionsOf[Reject](out)) != 1 || len(actionsOf[Send](out)) != 0 || len(g.requests) != 0 {
+				t.Errorf("got %v", out)
+			}
+		})
+	}
+}
+
+func TestSettledUnitsOverdrawTheBucket(t *testing.T) {
+	g := startedGateway(t, testSettings(), servingBackend("x"))
+	g.Handle(0, testRequest(1, "safe", "rate"))
+	c := g.customers["c"]
+	c.bucket.tokens = 1
+	g.Handle(
+		0, AttemptEnded{ID: 1, Backend: "x", Outcome: Succeeded, Answered: true, Duration: 0.1, Units: 4},
+	)
+	if c.bucket.tokens != -2 {
+		t.Errorf("level %v, want -2", c.bucket.tokens)
+	}
+}
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -22,15 +22,15 @@
 	deadline  Seconds
 	targetAt  Seconds // an answer by then earns the full value
 
-	value      float64
-	conforming bool // to its quota
-	// Over quota, or too late to earn its full value: it may use a part of the limits.
-	lowPriority      bool
+	value            float64
 	sharedLimitUntil Seconds // until then the shared part of the rate limit admits it; 0: it does not
-
-	attempts []attempt
-	inFlight int // attempts
-	answered bool
+	attempts         []attempt
+	inFlight         int  // attempts
+	answered         bool // by the gateway or by an attempt
+	conforming       bool // to its quota
+	// lowPriority requests are over quota, or too late to earn their full value. They may use a part of the
+	// backends' limits.
+	lowPriority bool
 }
 
 // attempt is one attempt of a request at a backend.
@@ -126,7 +126,7 @@
 	}
 }
 
-// handleDisconnect ends a request whose client has gone.
+// handleDisconnect ends a request whose client has disconnected.
 func (g *Gateway) handleDisconnect(e ClientDisconnected) {
 	r := g.requests[e.ID]
 	if r == nil || r.answered {
--- /dev/null
+++ b/internal/decision/attempts_test.go
@@ -0,0 +1,129 @@
+package decision
+
+import (
+	"fmt"
+	"math"
+	"testing"
+)
+
+func TestAtMostOnce(t *testing.T) {
+	backends := []Backend{servingBackend("x"), servingBackend("y"), servingBackend("z")}
+	for _, tc := range []struct {
+		class   string
+		outcome Outcome
+		at      Seconds
+		want    string // the next action
+	}{
+		{
+			"unsafe", ConnectionRefused, 0.1, "send",
+		},
+		{"unsafe", Rejected, 0.1, "send"},
+		{"unsafe", NotSent, 0.1, "send"},
+		{"unsafe", TimedOut, 0.1, "fail"},
+		{
+			"unsafe", ConnectionReset, 0.1, "fail",
+		},
+		{"unsafe", Failed, 0.1, "fail"},
+		{
+			"keyed", ConnectionReset, 0.1, "fail",
+		},
+		{"keyed", Rejected, 0.1, "send"},
+		{"safe", ConnectionReset, 0.1, "send"},
+	} {
+		t.Run(fmt.Sprint(tc.class, tc.outcome, tc.at), func(t *testing.T) {
+			g := startedGateway(t, testSettings(), backends...)
+			first := actionsOf[Send](g.Handle(0, testRequest(1, tc.class, "free")))[0]
+			out := g.Handle(
+				tc.at, AttemptEnded{ID: 1, Backend: first.Backend, Outcome: tc.outcome, Duration: tc.at},
+			)
+			sends, fails := actionsOf[Send](out), actionsOf[Fail](out)
+			switch tc.want {
+			case "fail":
+				if len(sends) != 0 || len(fails) != 1 || len(actionsOf[Reject](out)) != 0 {
+					t.Errorf("got %v", out)
+				}
+			default:
+				if len(sends) != 1 {
+					t.Errorf("got %v", out)
+				}
+			}
+		})
+	}
+}
+
+func TestAbandonedAttemptsStillCount(t *testing.T) { // ib60ee1: 52% of attempts timed out
+	g := startedGateway(t, testSettings(), servingBackend("x"))
+	b := g.backends["x"]
+	for i := uint64(0); i < 4; i++ {
+		g.Handle(0, testRequest(i, "unsafe", "free"))
+	}
+	for i := uint64(0); i < 4; i++ {
+		g.Handle(3, AttemptEnded{ID: i, Backend: "x", Outcome: TimedOut, Duration: 3})
+	}
+	b.ejectedUntil, b.limit = 0, 4
+	if len(actionsOf[Send](g.Handle(3.001, testRequest(9, "unsafe", "free")))) != 0 {
+		t.Error("sent to a backend that is still at work on what timed out")
+	}
+}
+
+// A failure is never delayed so that the client does not retry.
+func TestFailedRequestIsAnsweredAtOnce(t *testing.T) {
+	for _, tc := range []struct {
+		class   string
+		outcome Outcome
+		refused bool // else failed: it may have run
+	}{
+		{"safe", Rejected, true},
+		{"safe", TimedOut, true},
+		{"keyed", Rejected, true},
+		{
+			"keyed", ConnectionReset, false,
+		},
+		{"unsafe", ConnectionRefused, true},
+		{"unsafe", TimedOut, false},
+		{"unsafe", Failed, false},
+	} {
+		s := testSettings()
+		s.MaxAttempts = 1
+		g := startedGateway(t, s, servingBackend("x"))
+		send := actionsOf[Send](g.Handle(1, testRequest(1, tc.class, "free")))
+		if len(send) != 1 {
+			t.Fatalf("%v: not sent", tc)
+		}
+		out := g.Handle(1.5, AttemptEnded{ID: 1, Backend: "x", Outcome: tc.outcome, Duration: 0.5})
+		refusals, failures := actionsOf[Reject](out), actionsOf[Fail](out)
+		if tc.refused && (len(refusals) != 1 || refusals[0].RetryAfter <= 0) ||
+			!tc.refused && len(failures) != 1 {
+			t.Errorf("%v: got %v with the outcome, want the answer", tc, out)
+		}
+	}
+	g := startedGateway(t, testSettings(), servingBackend("x"))
+	r := testRequest(1, "safe", "rate")
+	g.customerFor(r, g.plans["rate"]).bucket.tokens = -100 // beyond its quota, which earns nothing
+	if out := actionsOf[Reject](g.Handle(0, r)); len(out) != 1 || out[0].RetryAfter <= 0 {
+		t.Errorf("beyond the quota: got %v", out)
+	}
+	g = startedGateway(t, testSettings()) // no backend at all: a bounded wait for one, then the answer
+	g.Handle(1, testRequest(1, "safe", "free"))
+	if out := runTicks(g, 1.01, 1+queueTimeFraction+2*tickInterval); len(actionsOf[Reject](out)) != 1 {
+		t.Errorf("no backend: got %v by %v of the aim", out, queueTimeFraction)
+	}
+}
+
+// A first attempt at what may run twice is given up in time for another, where answers are usually quick.
+func TestLostFirstAttemptLeavesTimeForARetry(t *testing.T) {
+	for _, tc := range []struct {
+		usual Seconds
+		class string
+		want  Seconds
+	}{{0.01, "safe", 0.3}, {0.5, "safe", 1.05}, {0.01, "unsafe", 0}} {
+		s := testSettings()
+		s.Classes[0].LateValue = 0
+		g := startedGateway(t, s, servingBackend("b"))
+		g.defaultPool.latency = tc.usual
+		sent := actionsOf[Send](g.Handle(1, testRequest(1, tc.class, "free")))
+		if len(sent) != 1 || math.Abs(sent[0].Timeout-tc.want) > 1e-9 {
+			t.Errorf("%s, usually %v s: got %v, want a time-out of %v", tc.class, tc.usual, sent, tc.want)
+		}
+	}
+}
--- a/internal/decision/backend_pools.go
+++ b/internal/decision/backend_pools.go
@@ -12,13 +12,13 @@
 	initialLatency    = 0.1 // s, before any answer
 	latencyForgetRate = 0.2 // part a second by which unused backends forget their latency and errors
 	unusedAfter       = 1.0 // s without an attempt after which a backend is unused
-	answerWindow      = 2.0 // s for which an answer tells of the present
+	answerWindow      = 2.0 // s for which an answer is evidence of the present
 	sendRateWindow    = 3.0 // s
 
 	// Subsetting: each gateway uses only some backends of a large group.
 	minSubset             = 4.0 // backends
 	minGatewaysPerBackend = 4.0 // where there are as many
-	// Seconds in which each backend of a subset is met once: less evidence tells nothing.
+	// Seconds in which each backend of a subset is met once: with less, there is no evidence.
 	subsetContactInterval = 1.0
 
 	// Trial tokens pay for attempts at backends that are not known to be healthy.
--- /dev/null
+++ b/internal/decision/backends_test.go
@@ -0,0 +1,267 @@
+package decision
+
+import (
+	"fmt"
+	"testing"
+)
+
+func TestDrainingTakesEffectAtOnce(t *testing.T) {
+	g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
+	g.Handle(1, Backends{List: []Backend{{ID: "x", Zone: "a"}}})
+	g.Handle(1, Backends{List: []Backend{{ID: "x", Zone: "a"}}}) // repeated lists do no harm
+	for i := uint64(0); i < 4; i++ {
+		for _, s := range actionsOf[Send](g.Handle(1, testRequest(i, "safe", "free"))) {
+			if s.Backend == "x" {
+				t.Error("sent to a draining backend")
+			}
+		}
+	}
+	g.Handle(2, Backends{Complete: true, List: []Backend{servingBackend("x")}})
+	for _, s := range actionsOf[Send](g.Handle(2, testRequest(9, "safe", "free"))) {
+		if s.Backend == "y" {
+			t.Error("sent to a backend that left the list")
+		}
+	}
+}
+
+func TestWarmingBackendGetsItsShareOnly(t *testing.T) {
+	g := startedGateway(
+		t, testSettings(), servingBackend("x"), servingBackend("y"),
+		Backend{ID: "cold", Zone: "a", Serving: true, StartedAt: 0.001},
+	)
+	sent := map[string]int{}
+	var out []Send
+	for i := uint64(0); i < 200; i++ { // 100 a second for 2 s, eight out at any time
+		now := 0.01 + float64(i)*0.01
+		out = append(out, actionsOf[Send](g.Handle(now, testRequest(i, "safe", "free")))...)
+		if len(out) > 7 {
+			g.Handle(now, AttemptEnded{
+				ID: out[0].ID, Backend: out[0].Backend, Outcome: Succeeded, Answered: true, Duration: 0.1,
+			})
+			sent[out[0].Backend]++
+			out = out[1:]
+		}
+		g.Handle(now, Timer{"tick"})
+	}
+	// A warm one gets 100 in 2 s; a warming one has 0.2 to 0.36 of its capacity.
+	if sent["cold"] == 0 || sent["cold"] > 40 {
+		t.Errorf("cold backend was sent %d, the warm ones %d and %d", sent["cold"], sent["x"], sent["y"])
+	}
+}
+
+// Servers replaced all day long, each under a new id, are forgotten once they have left and owe nothing.
+func TestRemovedBackendsAreForgotten(t *testing.T) {
+	g := startedGateway(t, testSettings(), servingBackend("kept"))
+	g.Handle(1, Backends{List: []Backend{servingBackend("busy")}})
+	g.Handle(1, Backends{List: []Backend{{ID: "kept", Zone: "a"}}})
+	if sent := actionsOf[Send](g.Handle(
+		1, testRequest(1, "unsafe", "free"),
+	)); len(sent) != 1 || sent[0].Backend != "busy" {
+		t.Fatalf("sent %v", sent)
+	}
+	g.Handle(2, Backends{List: []Backend{{ID: "busy", Zone: "a"}, servingBackend("kept")}})
+	for i := range 500 {
+		now := 2 + float64(i)
+		g.Handle(
+			now, Backends{
+				List: []Backend{servingBackend(fmt.Sprint("b", i)), {ID: fmt.Sprint("b", i-1), Zone: "a"}},
+			},
+		)
+		g.Handle(now, Timer{"tick"})
+	}
+	if n := len(
+		g.defaultPool.order,
+	); n > 3 || n != len(g.backends) || g.backends["kept"] == nil || g.backends["busy"] == nil {
+		t.Errorf(
+			"%d backends in order, %d by id, want kept, the last one, and the one that owes an answer", n,
+			len(g.backends),
+		)
+	}
+	g.Handle(502, AttemptEnded{ID: 1, Backend: "busy", Outcome: Succeeded, Duration: 500, Answered: true})
+	if g.Handle(503, Timer{"tick"}); g.backends["busy"] != nil {
+		t.Error("kept though it owes nothing any more")
+	}
+}
+
+// Join+vast: 2,960 looks in 3 s found nothing but unproven ones.
+func TestReplacedBackendsAreUsedAtOnce(t *testing.T) {
+	gateways, list := newTestFleet(80, 60)
+	used, sent, id := map[string]int{}, 0, uint64(0)
+	news := Backends{}
+	for i := range list {
+		if i%5 < 3 {
+			list[i].Serving = false
+			news.List = append(
+				news.List, list[i],
+				Backend{ID: fmt.Sprint("new", i), Zone: "a", Serving: true, StartedAt: 90},
+			)
+		}
+	}
+	s := testSettings()
+	for _, g := range gateways {
+		g.Handle(100, news)
+		for i := range 12 {
+			now := 100 + s.SlowStartTime/2 + float64(i)/4
+			id++
+			for _, send := range actionsOf[Send](g.Handle(now, testRequest(id, "safe", "free"))) {
+				sent++
+				used[send.Backend]++
+				g.Handle(now+0.1, AttemptEnded{
+					ID: send.ID, Backend: send.Backend, Outcome: Succeeded, Answered: true, Duration: 0.1,
+				})
+			}
+		}
+	}
+	fresh, most := 0, 0
+	for id, n := range used {
+		if most = max(most, n); len(id) > 3 && id[:3] == "new" {
+			fresh += n
+		}
+	}
+	if sent < 12*80*95/100 || fresh < sent/3 || most > 6*sent/60 {
+		t.Errorf("%d of %d sent at once, %d to the new ones, %d to one of them", sent, 12*80, fresh, most)
+	}
+}
+
+// Six in ten servers replaced every five seconds for three hours, each request by another customer: what is
+// kept is what was met in the last minute.
+// replaceServers replaces three fifths of a list by servers that start now, and returns the update.
+func replaceServers(list []Backend, now int) Backends {
+	update := Backends{}
+	for i := range list {
+		if i%5 >= 3 {
+			continue
+		}
+		old := list[i]
+		old.Serving = false
+		list[i] = Backend{
+			ID:        fmt.Sprint("b", i, "-", now),
+			Zone:      "a",
+			Serving:   true,
+			StartedAt: float64(now),
+		}
+		update.List = append(update.List, old, list[i])
+	}
+	return update
+}
+
+func TestNothingGrowsWhileServersAreReplacedForHours(t *testing.T) {
+	s := testSettings()
+	s.Gateways, s.MaxUnits = 80, 4
+	s.Plans = append(
+		s.Plans,
+		Plan{Name: "plus", Rate: 20, Burst: 40, ValueWeight: 1, LimitRate: 40, LimitBurst: 80, LimitSlack: 8},
+	)
+	var list []Backend
+	for i := range 60 {
+		list = append(list, servingBackend(fmt.Sprint("b", i)))
+	}
+	g, id, most := startedGateway(t, s, list...), uint64(0), 0
+	for step := range 3 * 3600 {
+		now := float64(step)
+		if step%5 == 0 {
+			g.Handle(now, replaceServers(list, step))
+		}
+		out := g.Handle(now, Timer{"tick"})
+		for _, plan := range []string{"rate", "plus"} {
+			id++
+			r := testRequest(id, "safe", plan)
+			r.Customer, r.Gateways, r.Units = fmt.Sprint("c", id), 20, 2
+			out = append(out, g.Handle(now, r)...)
+		}
+		for n := 0; n < len(out); n++ {
+			switch a := out[n].(type) {
+			case CounterCall:
+				reply := CounterReply{Name: a.Name, Outcome: Succeeded, Total: a.Add}
+				out = append(out, g.Handle(now, reply)...)
+			case Send:
+				end := AttemptEnded{
+					ID: a.ID, Backend: a.Backend, Outcome: Succeeded, Duration: 0.1, Answered: true,
+				}
+				if id%7 == 0 {
+					end.Outcome, end.Answered = ConnectionReset, false
+				}
+				out = append(out, g.Handle(now+0.1, end)...)
+			}
+		}
+		if step > 600 {
+			most = max(
+				most, len(g.backends)+len(g.defaultPool.order), len(g.customers)+len(g.customerList),
+				len(g.requests)+len(g.unanswered)+len(g.queue),
+			)
+		}
+	}
+	if most > 2*(60+36*14) || len(g.defaultPool.kindLatencies) > 2 {
+		t.Errorf("%d entries at the most, %d kinds", most, len(g.defaultPool.kindLatencies))
+	}
+}
+
+// Entries that contradict themselves: the sound server beside them is used on, and each request gets its
+// answer.
+func TestOddBackendsDoNotKeepOthersFromUse(t *testing.T) {
+	for name, odd := range map[string]Backend{
+		"no id": {Serving: true}, "no end of a size": {
+			ID: "o", Serving: true, Size: 1e300,
+		}, "a size below nothing": {ID: "o", Serving: true, Size: -4},
+		"started tomorrow": {ID: "o", Serving: true, StartedAt: 1e6}, "left before it was seen": {ID: "o"},
+	} {
+		gateways, list := newTestFleet(80, 3)
+		g, used := gateways[0], map[string]int{}
+		g.Handle(1, Backends{List: []Backend{odd, odd}})
+		for i := range 200 {
+			now, id := 1+float64(i)/5, uint64(i+1)
+			out := g.Handle(now, testRequest(id, "safe", "free"))
+			if len(actionsOf[Send](out))+len(actionsOf[Reject](out)) != 1 {
+				out = runTicks(g, now, now+1)
+			}
+			for _, send := range actionsOf[Send](out) {
+				used[send.Backend]++
+				g.Handle(now+0.1, AttemptEnded{
+					ID: send.ID, Backend: send.Backend, Outcome: Succeeded, Answered: true, Duration: 0.1,
+				})
+			}
+		}
+		n := used[list[0].ID] + used[list[1].ID] + used[list[2].ID]
+		if n < 5 || n+used[odd.ID] < 195 || used[odd.ID] > 0 && !odd.Serving {
+			t.Errorf("%s: used %v", name, used)
+		}
+		if b := g.backends["o"]; b != nil && odd.StartedAt > 0 && g.warmFraction(b) < 1 {
+			t.Errorf("%s: cold for ever", name)
+		}
+	}
+}
+
+// 130 gateways, one saved send each, pushed one over.
+func TestWarmingFleetIsSharedByManyGateways(t *testing.T) {
+	const n = 130
+	cold, all := 0, 0
+	var gateways []*Gateway
+	for i := range n {
+		g := New(testSettings(), uint64(i))
+		g.Handle(0, Start{})
+		list := []Backend{{ID: "cold", Zone: "a", Serving: true, StartedAt: 0.01}}
+		for j := range 9 {
+			list = append(list, servingBackend(fmt.Sprint("w", j)))
+		}
+		g.Handle(0.02, Backends{Complete: true, List: list})
+		gateways = append(gateways, g)
+	}
+	for i := range 650 { // five sends each in 1 s
+		now := 0.1 + float64(i)/650
+		g := gateways[i%n]
+		g.Handle(now, Timer{"tick"})
+		for _, s := range actionsOf[Send](g.Handle(now, testRequest(uint64(i+1), "safe", "free"))) {
+			if all++; s.Backend == "cold" {
+				cold++
+			}
+			g.Handle(
+				now,
+				AttemptEnded{ID: s.ID, Backend: s.Backend, Outcome: Succeeded, Answered: true, Duration: 0.1},
+			)
+		}
+	}
+	// A warm one gets about 70 in that second; the warming one bears 2.5 times 0.2 of what it can do warm.
+	if cold == 0 || cold > 35 || all < 600 {
+		t.Errorf("%d of %d to the cold backend", cold, all)
+	}
+}
--- a/internal/decision/body_uploads.go
+++ b/internal/decision/body_uploads.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// BodyUploading tells that the body of a request whose attempt has just been sent is being uploaded. Until
+// BodyUploading notes that the body of a request whose attempt has just been sent is being uploaded. Until
 // BodyUploaded, the attempt is neither slow nor late, and its backend owes no answer: how long an upload
 // takes is up to the client. In the simulator requests have no bodies, so this file is no part of its policy.
 func (g *Gateway) BodyUploading(id uint64) {
@@ -16,7 +16,7 @@
 	}
 }
 
-// BodyUploaded tells that the body is complete: from now on the backend works on the request.
+// BodyUploaded notes that the body is complete: from now on the backend works on the request.
 func (g *Gateway) BodyUploaded(now Seconds, id uint64) {
 	a := g.lastAttempt(id)
 	if a == nil {
--- a/internal/decision/conformance/estimator_test.go
+++ b/internal/decision/conformance/estimator_test.go
@@ -5,7 +5,7 @@
 func TestEstimator(t *testing.T) {
 	var o Estimator
 	if o.Conforming(false) != 1 || o.Conforming(true) != 1 {
-		t.Error("knows something before anything was told")
+		t.Error("knows something before anything was observed")
 	}
 	o.Observe(true, 0)
 	if got := o.Conforming(true); got != 0.5 {
--- a/internal/decision/conformance/value_distribution.go
+++ b/internal/decision/conformance/value_distribution.go
@@ -2,7 +2,7 @@
 
 const (
 	retention = 0.97 // weight of earlier demand at each further request: about the last thirty count
-	maxValues = 16   // that are told apart; requests of further ones count in the total alone
+	maxValues = 16   // that are kept apart; requests of further ones count in the total alone
 )
 
 // ValueDistribution is the recent demand of one customer, in units, by the value of its requests. The zero
--- a/internal/decision/counter_cycles.go
+++ b/internal/decision/counter_cycles.go
@@ -146,7 +146,7 @@
 	cycle.startedAt = g.now
 }
 
-// packing tells how one number of seven digits holds the reporters, in multiples of reporterUnit, and below
+// packing is how one number of seven digits holds the reporters, in multiples of reporterUnit, and below
 // these the total rate, in multiples of rateUnit that are rounded at random.
 func (c *customer) packing() (reporterUnit, rateUnit float64) {
 	reporterUnit = math.Pow(10, maxDigits-math.Floor(math.Log10(c.gateways)))
--- /dev/null
+++ b/internal/decision/counter_cycles_test.go
@@ -0,0 +1,160 @@
+package decision
+
+import (
+	"math"
+	"math/rand/v2"
+	"testing"
+)
+
+func TestPinnedStepKeepsTheSumAtTheQuota(t *testing.T) {
+	for _, tc := range []struct {
+		name     string
+		rates    []float64 // demand at each reporting gateway
+		gateways float64   // that the customer may use
+	}{
+		{"two holders, room", []float64{4, 2}, 2},
+		{"a holder joins", []float64{4, 2, 3}, 3},
+		{"a holder leaves", []float64{6, 2}, 3},
+		{"over the quota", []float64{30, 10}, 2},
+		{"over the quota, one quiet", []float64{30, 10}, 3},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			totalRate, sum, reporters := 0.0, 0.0, float64(len(tc.rates))
+			for _, rate := range tc.rates {
+				totalRate += rate
+			}
+			for _, rate := range tc.rates {
+				g := New(testSettings(), 1)
+				c := g.customerFor(Request{Customer: "c", Gateways: int(tc.gateways)}, g.plans["rate"])
+				c.cycle.localRate = rate
+				g.applyTotals(c, totalRate, reporters)
+				sum += c.bucket.slice
+				ratio := c.quota / totalRate
+				if ratio < 1 && tc.gateways == reporters && math.Abs(c.bucket.slice/rate-ratio) > 1e-9 {
+					t.Errorf("slice %v of demand %v: not the common ratio", c.bucket.slice, rate)
+				}
+			}
+			// Quiet gateways keep their part: it is never free for others.
+			want := 10 * (1 - quietFraction*(tc.gateways-reporters)/tc.gateways)
+			if math.Abs(sum-want) > 1e-9 {
+				t.Errorf("slices sum to %v, want %v", sum, want)
+			}
+		})
+	}
+}
+
+func TestImpossibleTotalsLeaveTheSlice(t *testing.T) {
+	for _, tc := range []struct {
+		name                 string
+		totalRate, reporters float64
+	}{
+		{"emptied", 0, 0},
+		{"own add lost", 2, 1},
+		{"more holders than gateways", 8, 5},
+		{"far below the last", 4.5, 1},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			g := New(testSettings(), 1)
+			g.now = 10
+			c := g.customerFor(Request{Customer: "c", Gateways: 2}, g.plans["rate"])
+			c.cycle.localRate, c.cycle.totalRate, c.cycle.reporters, c.cycle.totalAt = 4.4, 12, 2, 9
+			c.bucket.slice = 3
+			g.applyTotals(c, tc.totalRate, tc.reporters)
+			if c.bucket.slice != 3 {
+				t.Errorf("slice moved to %v", c.bucket.slice)
+			}
+		})
+	}
+}
+
+func TestQuietCustomersMakeNoCallsAndExpire(t *testing.T) {
+	g := startedGateway(t, testSettings(), servingBackend("x"))
+	g.Handle(0, testRequest(1, "safe", "rate"))
+	g.Handle(0.1, AttemptEnded{ID: 1, Backend: "x", Outcome: Succeeded, Answered: true, Duration: 0.1})
+	if calls := actionsOf[CounterCall](runTicks(g, 0.1, idleExpiry-1)); len(calls) > 0 {
+		t.Errorf("%d calls for one request", len(calls))
+	}
+	if len(g.customers) != 1 {
+		t.Fatal("forgotten too early")
+	}
+	runTicks(g, idleExpiry, idleExpiry+1)
+	if len(g.customers) != 0 || len(g.customerList) != 0 {
+		t.Error("kept after an idle minute")
+	}
+}
+
+func TestCounterRepliesForForgottenNamesAreIgnored(t *testing.T) {
+	g := startedGateway(t, testSettings(), servingBackend("x"))
+	g.Handle(0, testRequest(1, "safe", "rate"))
+	for _, name := range []string{
+		"", "c", "c/zz", "nobody/1", g.customers["c"].counterName(g.customers["c"].cycle.number),
+	} {
+		g.Handle(1, CounterReply{Name: name, Outcome: Succeeded, Total: 5e5})
+	}
+	if got := g.customers["c"].bucket.slice; got != 5 {
+		t.Errorf("slice moved to %v", got)
+	}
+}
+
+func TestLostReportShiftsTheSumByABoundedPart(t *testing.T) {
+	// Three gateways ask 12 of a quota of 10; the third one's add is lost, so it stays at its last slice.
+	const last, n = 4.0, 3.0
+	sum := last
+	for range 2 {
+		g := New(testSettings(), 1)
+		c := g.customerFor(Request{Customer: "c", Gateways: n}, g.plans["rate"])
+		c.cycle.localRate = 4
+		g.applyTotals(c, 8, 2)
+		sum += c.bucket.slice
+	}
+	if above := sum - 10; above < 0 || above > last-quietFraction*10/n+1e-9 {
+		t.Errorf("sum %v above the quota; the bound is the lost slice less the quiet part", above)
+	}
+}
+
+func TestTotalsOf500GatewaysAreRightAndSlicesSumToTheQuota(t *testing.T) {
+	for _, over := range []float64{0.6, 2} { // times the quota
+		s := testSettings()
+		s.Plans = []Plan{{Name: "rate", Rate: 5000, Burst: 10000, ValueWeight: 1, ExcessCost: 1}}
+		const n = 500
+		counter, rng := packedCounter{}, rand.New(rand.NewPCG(1, 2))
+		totalRate, reporters := 0.0, 0.0
+		var all []*customer
+		var gateways []*Gateway
+		for i := range n {
+			g := New(s, uint64(i))
+			g.now = 100
+			c := g.customerFor(Request{Customer: "c", Gateways: n}, g.plans["rate"])
+			if c.sparse.active {
+				t.Fatal("20 units a cycle at each gateway are not sparse")
+			}
+			c.cycle.startedAt = 100 - c.cycle.period
+			c.cycle.demand = over * 5000 / n * c.cycle.period * (0.8 + 0.4*rng.Float64())
+			totalRate += c.cycle.demand / c.cycle.period
+			reporters++
+			g.closeCycle(c)
+			for _, call := range actionsOf[CounterCall](g.actions) {
+				counter.add(call)
+			}
+			all, gateways = append(all, c), append(gateways, g)
+		}
+		sum := 0.0
+		for i, c := range all {
+			c.cycle.calls = 2 // the read
+			gateways[i].handleCounterReply(CounterReply{
+				Name: c.counterName(c.cycle.number), Outcome: Succeeded,
+				Total: counter[c.counterName(c.cycle.number)],
+			})
+			if c.cycle.reporters != reporters || math.Abs(c.cycle.totalRate-totalRate) > 0.02*totalRate {
+				t.Fatalf(
+					"gateway %d read %v of %v holders and %v units of %v", i, c.cycle.reporters, reporters,
+					c.cycle.totalRate, totalRate,
+				)
+			}
+			sum += c.bucket.slice
+		}
+		if math.Abs(sum-5000) > 100 {
+			t.Errorf("at %v of the quota slices sum to %v, not 5000", over, sum)
+		}
+	}
+}
--- a/internal/decision/counter_health.go
+++ b/internal/decision/counter_health.go
@@ -3,7 +3,7 @@
 const (
 	pauseAfterFailures = 4   // calls in a row without a good answer, after which calls pause
 	pauseDuration      = 1.0 // s without calls, until one tries again
-	counterLostAfter   = 2.5 // s without a reply: the counter is lost, which tells nothing of its capacity
+	counterLostAfter   = 2.5 // s without a reply: it is lost, which is no evidence of its capacity
 
 	callProbabilityIncrease = 0.005 // added on a good answer
 	callProbabilityDecrease = 0.75  // factor on none
@@ -52,7 +52,7 @@
 }
 
 func (ch *counterHealth) observeFailure(now Seconds, outcome Outcome) {
-	// A broken connection tells nothing of the counter's capacity.
+	// A broken connection is no evidence of the counter's capacity.
 	overloaded := outcome == Rejected || outcome == TimedOut
 	if overloaded && now >= ch.reducedAt+callProbabilityCutInterval {
 		ch.reducedAt = now
--- a/internal/decision/events.go
+++ b/internal/decision/events.go
@@ -44,10 +44,10 @@
 	Streamed bool
 }
 
-// ClientDisconnected tells that the client of a request no longer waits for an answer.
+// ClientDisconnected is sent when the client of a request no longer waits for an answer.
 type ClientDisconnected struct{ ID uint64 }
 
-// Timer tells that a timer is due.
+// Timer is sent when a timer is due.
 type Timer struct{ Token string }
 
 // Outcome is how a counter call or an attempt ended.
@@ -57,7 +57,7 @@
 const (
 	Failed            Outcome = iota // an error, or an outcome unknown to the host
 	Succeeded                        // a good answer
-	Rejected                         // the server refused the work
+	Rejected                         // the server rejected the work
 	TimedOut                         // no answer in time
 	ConnectionRefused                // no connection
 	ConnectionReset                  // the connection was lost before an answer
@@ -72,7 +72,7 @@
 	return o == Rejected || o == ConnectionRefused || o == NotSent
 }
 
-// AttemptEnded tells how an attempt ended. Each Send is followed by exactly one.
+// AttemptEnded is the end of an attempt. Each Send is followed by exactly one.
 type AttemptEnded struct {
 	ID           uint64
 	Attempt      int // number of the attempt of its request, from 0
@@ -84,7 +84,7 @@
 	Units        float64 // actual units, where they are settled later; else 0
 }
 
-// CounterReply tells how a CounterCall ended. Failed with Holders: the counter accepted the call, but tells
+// CounterReply is the end of a CounterCall. Failed with Holders: the counter accepted the call, but returns
 // no total yet.
 type CounterReply struct {
 	Name    string
--- a/internal/decision/handover.go
+++ b/internal/decision/handover.go
@@ -11,7 +11,7 @@
 // instance is one process, so this file is no part of its policy.
 
 const (
-	maxKnowledgeAge = 60.0 // s: older knowledge tells nothing of the present
+	maxKnowledgeAge = 60.0 // s: older knowledge is no evidence of the present
 	// Seconds in which two thirds of what is known of backends' limits and latencies is forgotten.
 	knowledgeDecay = 10.0
 	clockTolerance = 1.0 // s by which the clocks of two processes may differ
--- a/internal/decision/handover_test.go
+++ b/internal/decision/handover_test.go
@@ -32,7 +32,7 @@
 	return f.sent - before, f
 }
 
-// younger is a process that has just started and heard the list.
+// newProcess is a process that has just started and received the endpoint list.
 func newProcess(f *customerFleet, s Settings, seed uint64, list ...Backend) *Gateway {
 	g := New(s, seed)
 	g.Handle(f.now, Start{})
@@ -52,7 +52,7 @@
 		name   string
 		plan   Plan
 		demand float64
-	}{{"quota", quota, 90}, {"ceiling", hard, 90}, {"inside the quota", quota, 20}} {
+	}{{"quota", quota, 90}, {"rate limit", hard, 90}, {"within the quota", quota, 20}} {
 		t.Run(tc.name, func(t *testing.T) {
 			one, _ := runUpgrade(t, tc.plan, tc.demand, nil)
 			pair, _ := runUpgrade(t, tc.plan, tc.demand, func(f *customerFleet, old, young *Gateway) {
@@ -104,7 +104,7 @@
 		{"10 s later", 10, func(*Knowledge) {}, 1, begin + (40-begin)/math.E},
 		{"an hour later", 3600, func(*Knowledge) {}, 0, begin},
 		{"by a clock that went back", -60, func(*Knowledge) {}, 0, begin},
-		{"of an impossible store", 0, func(k *Knowledge) { k.Customers[0].Tokens = -1 }, 0, 40},
+		{"of an impossible bucket", 0, func(k *Knowledge) { k.Customers[0].Tokens = -1 }, 0, 40},
 		{
 			"of a server that is gone", 0,
 			func(k *Knowledge) { k.Backends[0].ID, k.Backends[1].ID = "gone", "left" }, 1, begin,
@@ -140,7 +140,7 @@
 	}
 }
 
-// A customer whose bucket is below nothing, as its requests turned out larger than guessed, has no full one
+// A customer whose bucket is overdrawn, as its requests turned out larger than guessed, has no full one
 // at the newer process.
 func TestOverdrawnBucketIsHandedOverEmpty(t *testing.T) {
 	plan := Plan{Name: "q", Rate: 30, Burst: 60, ValueWeight: 1, ExcessCost: 1}
--- a/internal/decision/lifecycle.go
+++ b/internal/decision/lifecycle.go
@@ -1,26 +1,24 @@
 package decision
 
-// Lifecycle decides what an ingress process says and does as its operators and the platform move it: whether
-// the front is to send it clients (readiness), whether it is alive for its operators, whether connections are
-// kept open after an answer, and whether it hands its clients' address over to a newer process. It is a
-// machine without I/O or clock, like the gateway; the network carries out what it answers. It is not part of
-// the simulator's policy: there are no processes to hand over there.
+// Lifecycle decides what an ingress process reports and does as its operators and the platform move it:
+// whether the load balancer in front is to send it clients (readiness), whether it is alive for its
+// operators, whether connections are kept open after an answer, and whether connections are accepted. It is a
+// pure state machine like Gateway: the host carries out what it decides. In the simulator processes are not
+// replaced, so it is no part of the simulator's policy. The zero value is in the phase Starting.
 type Lifecycle struct {
 	phase Phase
 }
 
-// Phase is where an ingress process is in its life.
+// Phase is the phase of an ingress process.
 type Phase int
 
-// The phases, in the order a process goes through them; LameDuck may go back to Serving.
+// The phases, in the order in which a process goes through them. LameDuck may go back to Serving.
 const (
-	Starting Phase = iota // listening, not yet serving
-	Serving               // serving, and the front may send it clients
-	// Serving what it has; the front is to send clients elsewhere (a drain that an operator called).
-	LameDuck
-	// SIGTERM has come: it serves on while the front still sends and hands its address over.
-	Stopping
-	Closing // its listener is closed: it finishes what it has and exits
+	Starting Phase = iota // it listens and does not serve yet
+	Serving               // it serves, and the load balancer may send it clients
+	LameDuck              // an operator drains it: it serves what it has, and clients are to go elsewhere
+	Stopping              // after SIGTERM: it serves while the load balancer still sends clients
+	Closing               // its listener is closed: it finishes what it has and exits
 )
 
 var phaseNames = [...]string{"starting", "serving", "lame-duck", "stopping", "closing"}
@@ -33,19 +31,19 @@
 // The events.
 const (
 	Started       LifecycleEvent = iota // it can serve
-	EnterLameDuck                       // an operator called LAMEDUCK
-	Rejoin                              // an operator called REJOIN
+	EnterLameDuck                       // an operator's LAMEDUCK
+	Rejoin                              // an operator's REJOIN
 	Terminate                           // SIGTERM
-	Close                               // after SIGTERM, the front sends no more: the listener closes
+	Close                               // after SIGTERM, no more clients are sent: the listener closes
 )
 
-// Phase is the phase it is in.
+// Phase returns the present phase.
 func (l *Lifecycle) Phase() Phase { return l.phase }
 
-// Handle moves it by an event. It tells whether the event was taken: REJOIN and LAMEDUCK are refused once it
-// stops, and REJOIN before it serves; what is refused changes nothing. An event that leaves the phase as it
-// is, is taken.
-func (l *Lifecycle) Handle(e LifecycleEvent) (taken bool) {
+// Handle applies an event. It reports whether the event was accepted: Rejoin and EnterLameDuck are rejected
+// once the process stops, and Rejoin before it serves. What is rejected changes nothing. An event that leaves
+// the phase as it is, is accepted.
+func (l *Lifecycle) Handle(e LifecycleEvent) (accepted bool) {
 	switch {
 	case e == Close:
 		l.phase = Closing
@@ -70,18 +68,18 @@
 	return true
 }
 
-// Ready tells whether the readiness page says yes: the front is to send new clients.
+// Ready reports whether the readiness page is positive: the load balancer is to send new clients.
 func (l *Lifecycle) Ready() bool { return l.phase == Serving }
 
-// KeepOpen tells whether a client's connection may stay open after an answer. Draining, each connection ends
-// with its next answer, or at once where it is idle: a connection held open would keep its client here. After
-// SIGTERM, connections stay open while the front still sends: clients that are told to go could only come
-// back.
+// KeepOpen reports whether a client's connection may stay open after an answer. While an operator drains the
+// process, each connection ends with its next answer, or at once where it is idle: an open connection would
+// keep its client here. After SIGTERM, connections stay open while the load balancer still sends clients:
+// those that were disconnected could only come back.
 func (l *Lifecycle) KeepOpen() bool { return l.phase != LameDuck && l.phase != Closing }
 
-// Accepts tells whether a new connection is served. Once the listener is to close, one that was accepted as
-// it closed is ended unread: its client asks elsewhere.
+// Accepts reports whether a new connection is served. A connection that was accepted while the listener
+// closed is closed unread: its client connects elsewhere.
 func (l *Lifecycle) Accepts() bool { return l.phase != Closing }
 
-// Alive tells whether a process in this phase says yes to its operators' PING: it can serve.
+// Alive reports whether a process in this phase answers its operators' PING: it can serve.
 func (p Phase) Alive() bool { return p == Serving || p == LameDuck }
--- a/internal/decision/lifecycle_test.go
+++ b/internal/decision/lifecycle_test.go
@@ -21,7 +21,7 @@
 	{"new", nil, lifecycleState{"starting", false, false, true, true, nil}},
 	{"started", []LifecycleEvent{Started}, lifecycleState{"serving", true, true, true, true, []bool{true}}},
 	{
-		"rejoin before serving is refused", []LifecycleEvent{Rejoin},
+		"rejoin before serving is rejected", []LifecycleEvent{Rejoin},
 		lifecycleState{"starting", false, false, true, true, []bool{false}},
 	},
 	{
@@ -49,7 +49,7 @@
 		lifecycleState{"closing", false, false, false, false, []bool{true, true, true}},
 	},
 	{
-		"closing refuses the rest",
+		"closing rejects the rest",
 		[]LifecycleEvent{Started, Terminate, Close, Rejoin, EnterLameDuck, Terminate},
 		lifecycleState{"closing", false, false, false, false, []bool{true, true, true, false, false, false}},
 	},
--- a/internal/decision/pair_counters.go
+++ b/internal/decision/pair_counters.go
@@ -60,7 +60,7 @@
 }
 
 // observeReportAccepted notes that a counter owner accepted a report, though it does not know of all other
-// reports yet and tells no total: the slice stays as it is, and is given to nobody else.
+// reports yet and returns no total: the slice stays as it is, and is given to nobody else.
 func (c *customer) observeReportAccepted(now Seconds, e CounterReply) {
 	if e.Outcome == Failed && e.Holders > 0 && e.Name == c.counterName(c.cycle.number) {
 		c.pairs.ackedAt = now
@@ -81,8 +81,8 @@
 	}
 }
 
-// ownerAnswered reports whether a counter owner was reached, whether or not it told a total. An agent that
-// reaches none replies Failed too, without holders.
+// ownerAnswered reports whether a counter owner was reached, whether or not it returned a total. An agent
+// that reaches none replies Failed too, without holders.
 func ownerAnswered(e CounterReply) bool {
 	return e.Outcome == Succeeded || e.Outcome == Failed && e.Holders > 0
 }
--- a/internal/decision/pair_counters_test.go
+++ b/internal/decision/pair_counters_test.go
@@ -43,7 +43,7 @@
 	lostCalls    []lostCall
 }
 
-// lostCall is one that nobody answers: the agent tells so after it has tried two counter owners.
+// lostCall is one that nobody answers: the agent reports it after it has tried two counter owners.
 type lostCall struct {
 	at   float64
 	name string
@@ -264,17 +264,16 @@
 }
 
 // TestSlicesAddUpToTheQuota compares the slices after a calm while with the plain model: every slice is r +
-// (Q-R)/k, and together they are Q.
+// (Q-R)/k as at pinSlice, and together they are Q.
 func TestSlicesAddUpToTheQuota(t *testing.T) {
 	is := is.New(t)
 	plan := Plan{Rate: 200, Burst: 200, ValueWeight: 1}
 	w := newQuotaWorld(3, 7, plan, func(i int) float64 { return 5 + 6*float64(i) })
 	w.run(20)
-	sum, R := 0.0, 0.0
+	sum := 0.0
 	for _, n := range w.nodes {
 		c := n.g.customers["t"]
 		sum += c.bucket.slice
-		R += c.cycle.localRate
 		is.Equal(c.cycle.reporters, 7.0) // all of them hold a slice
 	}
 	is.True(math.Abs(sum-plan.Rate) < 0.1*plan.Rate)
@@ -285,7 +284,7 @@
 	w.nodes[0].partitioned = true
 	w.run(4)
 	if c := w.nodes[0].g.customers["t"]; w.nodes[0].g.effectiveSlice(c) > quietFraction*plan.Rate/7+1e-9 {
-		t.Errorf("cut off, it goes on with %.1f", w.nodes[0].g.effectiveSlice(c))
+		t.Errorf("partitioned, it goes on with %.1f", w.nodes[0].g.effectiveSlice(c))
 	}
 }
 
@@ -311,7 +310,7 @@
 	w.counters.SetMembers(w.now, []string{"k"}, "k", true)
 	w.run(4.5)
 	if served := float64(len(w.admittedAt)-from) / (6 * plan.Rate); served < 0.9 {
-		t.Errorf("%.2f of the quota ran while the keeper changed", served)
+		t.Errorf("%.2f of the quota ran while the counter owner changed", served)
 	}
 	if most := w.maxAdmitted(); most > maxAllowed(plan) {
 		t.Errorf("%d ran in five seconds, %d may", most, maxAllowed(plan))
@@ -372,7 +371,7 @@
 			}
 		}
 		if share := float64(refused) / float64(asked); share > c.most {
-			t.Errorf("%s for %.1f s: %d of %d refused", c.name, c.span, refused, asked)
+			t.Errorf("%s for %.1f s: %d of %d rejected", c.name, c.span, refused, asked)
 		}
 	}
 }
--- a/internal/decision/plans_test.go
+++ b/internal/decision/plans_test.go
@@ -112,7 +112,7 @@
 }
 
 // A change that reaches three gateways apart from each other. Slices never sum to more than the larger quota
-// while they differ, and to the new one from two cycles after the last has heard.
+// while they differ, and to the new one from two cycles after the last has received it.
 func TestTermsChangeReceivedAtDifferentTimes(t *testing.T) {
 	demands := map[string][]float64{"over": {90, 60, 30}, "between": {30, 25, 20}, "uneven": {100, 15, 22}}
 	for name, demand := range demands {
@@ -142,7 +142,10 @@
 						}
 						f.run(2*f.gateways[0].customers["c"].cycle.period+1, demand, nil)
 						if sum := f.slices(); math.Abs(sum-to) > 0.02*to {
-							t.Errorf("slices sum to %v two cycles after the last has heard, want %v", sum, to)
+							t.Errorf(
+								"slices sum to %v two cycles after the last has received it, want %v", sum,
+								to,
+							)
 						}
 						sent := f.sent
 						f.run(20, demand, nil)
@@ -159,8 +162,8 @@
 	}
 }
 
-// One gateway never hears. For three cycles slices stay under the larger quota; then either side is pinned to
-// its own.
+// One gateway never receives the change. For three cycles slices stay under the larger quota; then either
+// side is pinned to its own.
 func TestTermsChangeNeverReceivedAtOneGateway(t *testing.T) {
 	for _, to := range []float64{100, 30} {
 		oldTerms, newTerms := terms(60, 120), terms(to, 2*to)
@@ -235,7 +238,7 @@
 	// and what the other plan lets through while it holds.
 	for _, every := range []float64{0.1, 0.5, 1, 3} {
 		if got, most := sent(every, ceiling, small), 25.0*30+44+20+10*30; got > most {
-			t.Errorf("%v s with a ceiling and without in turn: %v sent, %v at most", every, got, most)
+			t.Errorf("%v s with a rate limit and without in turn: %v sent, %v at most", every, got, most)
 		}
 	}
 }
@@ -252,7 +255,7 @@
 	g.changeTerms(c, &Terms{Plan: plus, Tag: "plus"})
 	if c.bucket.tokens != 15 || c.limit.tokens < 15 || c.bucket.slice != 30 {
 		t.Errorf(
-			"level %v, ceiling %v, slice %v after the upgrade", c.bucket.tokens, c.limit.tokens,
+			"tokens %v, limit tokens %v, slice %v after the upgrade", c.bucket.tokens, c.limit.tokens,
 			c.bucket.slice,
 		)
 	}
@@ -275,14 +278,15 @@
 	g.refillLimit(c)
 	if c.bucket.tokens != -3 || c.limit.tokens != 0.75*6.5 { // three quarters of it are this gateway's own
 		t.Errorf(
-			"level %v, ceiling %v; the debt stays, the ceiling is the new one at once", c.bucket.tokens,
+			"tokens %v, limit tokens %v; the debt stays, the rate limit is the new one at once",
+			c.bucket.tokens,
 			c.limit.tokens,
 		)
 	}
 }
 
 // Thin customers: each request is a report of its own, and some are out as the change comes. Their use is
-// held by chance, so it is compared with that of a fleet that has been on the new terms all along.
+// limited by sampling, so it is compared with that of a fleet that has been on the new terms all along.
 func TestTermsChangeOfSparseCustomers(t *testing.T) {
 	const n, seconds = 48, 500
 	demand := make([]float64, n)
@@ -294,10 +298,10 @@
 		f.run(20, demand, nil)
 		always.run(20, demand, nil)
 		if !f.gateways[0].customers["c"].sparse.active {
-			t.Fatal("not thin")
+			t.Fatal("not sparse")
 		}
 		begun := f.sent
-		for i := range f.gateways { // heard over five seconds
+		for i := range f.gateways { // received over five seconds
 			f.changeTerms(i, terms(to, 2*to))
 			f.run(5.0/n, demand, nil)
 		}
@@ -381,7 +385,7 @@
 			c.bucket.tokens+c.bucket.slice+c.limit.tokens+c.sparse.admitRatio+c.sparse.demandShare,
 		) || c.bucket.slice < 0 {
 			t.Fatalf(
-				"level %v, slice %v, ceiling %v, ratio %v, share %v", c.bucket.tokens, c.bucket.slice,
+				"tokens %v, slice %v, limit tokens %v, ratio %v, share %v", c.bucket.tokens, c.bucket.slice,
 				c.limit.tokens, c.sparse.admitRatio, c.sparse.demandShare,
 			)
 		}
--- a/internal/decision/quota_grants.go
+++ b/internal/decision/quota_grants.go
@@ -73,7 +73,7 @@
 		c.bucket.slice = h.ownSlice
 	}
 	if c.sparse.active {
-		c.cycle.totalAt = math.Inf(-1) // the grant tells nothing of the other gateways
+		c.cycle.totalAt = math.Inf(-1) // the grant is no evidence of the other gateways
 		c.sparse.demandShare = 1 / c.gateways
 	}
 }
--- a/internal/decision/quota_grants_test.go
+++ b/internal/decision/quota_grants_test.go
@@ -60,7 +60,7 @@
 	return h.sent / seconds
 }
 
-// What is held goes before what the gateway computes, until its time; behind it the gateway has what it
+// A grant goes before what the gateway computes, until it expires; after that the gateway has what it
 // keeps. Released, it goes by its own again.
 func TestQuotaGrants(t *testing.T) {
 	for _, p := range []Plan{
@@ -78,7 +78,7 @@
 			lease Seconds
 			want  float64 // of the quota
 		}{
-			{QuotaGrant{}, 0, 0.25}, // nothing is held
+			{QuotaGrant{}, 0, 0.25}, // no grant
 			{QuotaGrant{Customer: "m", Rate: 0.9 * p.Rate, Keep: p.Rate / 16}, 60, 0.9},
 			{QuotaGrant{Customer: "m", Rate: 0.05 * p.Rate, Keep: p.Rate / 16}, 60, 0.05},
 			{QuotaGrant{Customer: "m", Rate: 0.9 * p.Rate, Keep: p.Rate / 16}, -1, 1.0 / 16},
@@ -99,7 +99,9 @@
 			h.run(3) // what the bucket holds, and the rate limit's
 			got := h.run(40)
 			if want := row.want * p.Rate; math.Abs(got-want) > 0.12*want+0.03 {
-				t.Errorf("%+v, held %+v for %v: %.2f a second, want %.2f", p, row.right, row.lease, got, want)
+				t.Errorf(
+					"%+v, granted %+v for %v: %.2f a second, want %.2f", p, row.right, row.lease, got, want,
+				)
 			}
 		}
 	}
@@ -121,7 +123,7 @@
 		t.Error(got)
 	}
 	if bad := fmt.Sprint(h.g.UnhealthyServers(h.now)); bad != "[]" {
-		t.Errorf("what others said is told as its own: %s", bad)
+		t.Errorf("what others reported is reported as its own: %s", bad)
 	}
 	other.errorRate = 0.6
 	if bad := fmt.Sprint(h.g.UnhealthyServers(h.now)); bad != "[s2]" {
--- a/internal/decision/rate_limit_test.go
+++ b/internal/decision/rate_limits_test.go
@@ -48,18 +48,18 @@
 	CounterReply
 }
 
-func newLimitedFleet(t *testing.T, seed uint64, doors int, p Plan) *limitedFleet {
+func newLimitedFleet(t *testing.T, seed uint64, gatewayCount int, p Plan) *limitedFleet {
 	c := &limitedFleet{
 		T: t, rng: rand.New(rand.NewPCG(seed, 1)), counter: packedCounter{}, sentUnits: map[string]float64{},
 		requests: map[uint64]Request{}, now: 100, limitTokens: p.LimitBurst,
 	}
 	c.settings = testSettings()
 	c.settings.Classes[1].Value = 5.0 / 3 // keyed; the safe one is value 1
-	c.settings.Gateways = doors
+	c.settings.Gateways = gatewayCount
 	c.settings.MaxUnits = 6
 	c.settings.CounterTimeout = 0.08
 	c.settings.Plans = []Plan{p}
-	for range doors {
+	for range gatewayCount {
 		c.gateways = append(c.gateways, nil)
 		c.start(len(c.gateways) - 1)
 	}
@@ -169,19 +169,19 @@
 	}
 }
 
-// A hard rate limit holds over all gateways while the customer asks up to eight times its quota, crowded to
-// one of them, the counter is silent for 14 s or slow, units are guesses, and gateways are killed and start
-// anew; though a plan from which nothing is forwarded over quota does not start from nothing.
+// A hard rate limit holds over all gateways while the customer asks up to eight times its quota, mostly
+// through one of them, the counter is silent for 14 s or slow, units are guesses, and gateways are killed and
+// start anew; though a plan from which nothing is forwarded over quota does not start from nothing.
 func TestRateLimitHoldsOverRestarts(t *testing.T) {
 	for seed := range uint64(60) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
-		doors := 2 + int(seed%3)
+		gatewayCount := 2 + int(seed%3)
 		p := Plan{Name: "multi", Rate: 3.5 + 2.6*rnd.Float64(), ValueWeight: 1.2, ExcessCost: 0.8}
 		p.Burst = max(24, p.Rate*(3.1+2.1*rnd.Float64()))
 		over := 1.8 + 0.5*rnd.Float64()
 		p.LimitRate, p.LimitBurst = over*p.Rate, over*p.Burst
 		p.LimitSlack = max(6, 0.1*p.LimitBurst)
-		c := newLimitedFleet(t, seed, doors, p)
+		c := newLimitedFleet(t, seed, gatewayCount, p)
 		c.maxReplyDelay = 0.02
 		for range 6 {
 			c.run(1+4*rnd.Float64(), p.Rate*(0.3+7.5*rnd.Float64()), rnd.Float64())
@@ -191,7 +191,7 @@
 			case 1:
 				c.maxReplyDelay = 0.09 * rnd.Float64()
 			case 2:
-				c.start(rnd.IntN(doors))
+				c.start(rnd.IntN(gatewayCount))
 			case 3:
 				c.start(0)
 				c.run(0.5, 8*p.Rate, 1)
@@ -202,7 +202,8 @@
 		c.run(14, 8*p.Rate, 0.5)
 		if c.minLimitTokens < -p.LimitSlack {
 			t.Errorf(
-				"seed %d: %d gateways: the store of the ceiling came down to %.1f, slack %.1f", seed, doors,
+				"seed %d: %d gateways: the bucket of the rate limit came down to %.1f, slack %.1f",
+				seed, gatewayCount,
 				c.minLimitTokens, p.LimitSlack,
 			)
 		}
@@ -231,28 +232,32 @@
 // rejected.
 func TestLargestRequestIsNotRejectedForEver(t *testing.T) {
 	p := Plan{Name: "small", Rate: 1.6, Burst: 12, ValueWeight: 1, ExcessCost: 1.2}
-	for doors := 2; doors <= 4; doors++ {
-		c := newLimitedFleet(t, uint64(doors), doors, p)
+	for gatewayCount := 2; gatewayCount <= 4; gatewayCount++ {
+		c := newLimitedFleet(t, uint64(gatewayCount), gatewayCount, p)
 		c.run(30, 4, 0)
 		c.largestUnits = 0
 		sent := c.totalUnits()
 		c.run(400, 1, 0.3)
 		if c.largestUnits < 6 {
-			t.Errorf("%d gateways: none larger than %v units", doors, c.largestUnits)
+			t.Errorf("%d gateways: none larger than %v units", gatewayCount, c.largestUnits)
 		}
 		inside := (c.totalUnits() - sent) / 400
 		if inside < 0.55 {
-			t.Errorf("%d gateways: %.2f units a second of 1 sent on, inside a quota of 1.6", doors, inside)
+			t.Errorf(
+				"%d gateways: %.2f units a second of 1 sent on, inside a quota of 1.6", gatewayCount, inside,
+			)
 		}
 		c.run(30, 6, 0.3)
 		sent = c.totalUnits()
 		if c.run(400, 6, 0.3); (c.totalUnits()-sent)/400 > 1.06*p.Rate {
-			t.Errorf("%d gateways: %.2f units a second of a quota of 1.6", doors, (c.totalUnits()-sent)/400)
+			t.Errorf(
+				"%d gateways: %.2f units a second of a quota of 1.6", gatewayCount, (c.totalUnits()-sent)/400,
+			)
 		}
 	}
 }
 
-// A customer that asks for more than its quota has more of its dear requests let through than of the others;
+// A customer that asks for more than its quota has more of its valuable requests admitted than of the others;
 // one that does not, all of both.
 func TestMoreValuableRequestsFirst(t *testing.T) {
 	p := Plan{Name: "multi", Rate: 5, Burst: 24, ValueWeight: 1, ExcessCost: 1}
@@ -393,7 +398,7 @@
 	}
 }
 
-// A server that has just started is not pushed over by all gateways together, though each hears of it at
+// A server that has just started is not overloaded by all gateways together, though each learns of it at
 // another time and servers are nearly full: in no 1.5 s is it sent three times what it can do then, at 0.18
 // of its capacity and warm after 17 s; and it is used.
 func TestWarmingServerIsNotOverloadedByAFewGateways(t *testing.T) {
@@ -433,11 +438,11 @@
 		{1, 0.68, 1.15},
 		{3, 0.9, 1.15},
 	} {
-		for doors := 2; doors <= 3; doors++ {
+		for gatewayCount := 2; gatewayCount <= 3; gatewayCount++ {
 			sent, plain := 0.0, 0.0
 			for seed := range uint64(4) {
 				p := Plan{Name: "small", Rate: 1.2, Burst: 12, ValueWeight: 0.88, ExcessCost: 1.2}
-				c := newLimitedFleet(t, seed, doors, p)
+				c := newLimitedFleet(t, seed, gatewayCount, p)
 				c.maxReplyDelay = 0.02
 				for range 100 {
 					// The busy one is asked another part of it each time.
@@ -447,10 +452,68 @@
 			}
 			if sent < tc.least*plain || sent > tc.most*plain {
 				t.Errorf(
-					"asked %.1f of the quota through %d: %.2f of what one store lets through", tc.asks, doors,
+					"asked %.1f of the quota through %d: %.2f of what one bucket admits",
+					tc.asks, gatewayCount,
 					sent/plain,
 				)
 			}
 		}
 	}
 }
+
+func TestRateLimitHoldsForOneGatewayAndAfterARestart(t *testing.T) {
+	g := startedGateway(
+		t, testSettings(), servingBackend("x"), servingBackend("y"), servingBackend("z"),
+	)
+	if len(actionsOf[Send](g.Handle(0, testRequest(1, "safe", "limited")))) != 0 {
+		t.Error("a gateway just started spent of a rate limit it cannot know")
+	}
+	units, id := 0.0, uint64(10)
+	for now := 0.0; now < 6; now += 0.01 {
+		id++
+		for range actionsOf[Send](g.Handle(now, testRequest(id, "safe", "limited"))) {
+			units++
+			g.Handle(now, AttemptEnded{
+				ID: id, Backend: g.requests[id].attempts[0].backend.ID, Outcome: Succeeded,
+				Answered: true, Duration: 0.01,
+			})
+		}
+	}
+	if units == 0 || units > 10*6+1 {
+		t.Errorf("%v units in 6 s, half of the rate limit is 60", units)
+	}
+}
+
+// A gateway with nothing left of its own part asks for the common one, and goes by the answer.
+func TestSharedPartOfARateLimitIsRequested(t *testing.T) {
+	for _, tc := range []struct {
+		reply CounterReply
+		sends int
+	}{
+		// The capacity is 20 * 0.925 / 4.
+		{CounterReply{Outcome: Succeeded, Total: 1}, 1},
+		{CounterReply{Outcome: Succeeded, Total: 100}, 0},
+		{CounterReply{Outcome: TimedOut}, 0},
+		{CounterReply{Outcome: Rejected}, 0},
+	} {
+		g := startedGateway(t, testSettings(), servingBackend("x"))
+		calls := actionsOf[CounterCall](g.Handle(0, testRequest(1, "safe", "limited")))
+		if len(calls) != 1 || calls[0].Add != 1 {
+			t.Fatalf("calls %v", calls)
+		}
+		tc.reply.Name = calls[0].Name
+		out := g.Handle(0.01, tc.reply)
+		if len(actionsOf[Send](out)) != tc.sends || len(actionsOf[Reject](out)) != 1-tc.sends {
+			t.Errorf("%+v: %v", tc.reply, out)
+		}
+	}
+}
+
+// 35% were rejected within 5 s though there was capacity (zdar-later).
+func TestRateLimitOfALateCustomerHasFilled(t *testing.T) {
+	g := startedGateway(t, testSettings(), servingBackend("x"))
+	r := testRequest(1, "safe", "limited")
+	if len(actionsOf[Send](g.Handle(30, r))) != 1 {
+		t.Error("rejected, though this gateway has spent nothing for 30 s")
+	}
+}
--- a/internal/decision/ratelimit/split_test.go
+++ b/internal/decision/ratelimit/split_test.go
@@ -91,7 +91,7 @@
 			f.admit(now, at, float64(1+rng.IntN(4)), rng.Float64()*GrantValidity)
 		}
 		if f.lowest < -s.Slack {
-			t.Errorf("seed %d: the store came down to %.1f, slack %.1f", seed, f.lowest, s.Slack)
+			t.Errorf("seed %d: the bucket came down to %.1f, slack %.1f", seed, f.lowest, s.Slack)
 		}
 		if f.sent < 0.7*rate*27 {
 			t.Errorf("seed %d: %.0f units let through of %.0f", seed, f.sent, rate*30)
@@ -120,7 +120,7 @@
 	}
 	if refused[true] > 0.12 || refused[false] < 0.2 {
 		t.Errorf(
-			"refused inside the quota: %.3f with a common part, %.3f without", refused[true], refused[false],
+			"rejected within the quota: %.3f with a shared part, %.3f without", refused[true], refused[false],
 		)
 	}
 }
--- /dev/null
+++ b/internal/decision/selection_test.go
@@ -0,0 +1,94 @@
+package decision
+
+import (
+	"fmt"
+	"testing"
+)
+
+func TestReachedLimitsDoNotSendWorkToEjectedBackends(t *testing.T) { // ic5a586: 39% no connection
+	g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
+	g.backends["x"].ejectedUntil = 100
+	sent := map[string]int{}
+	for i := uint64(0); i < 20; i++ {
+		for _, s := range actionsOf[Send](g.Handle(1, testRequest(i, "safe", "free"))) {
+			sent[s.Backend]++
+		}
+	}
+	if sent["x"] != 0 || sent["y"] != initialLimit/2 { // two gateways
+		t.Errorf("sent %v", sent)
+	}
+}
+
+func TestGatewaysWithoutEvidenceDoNotChooseAlike(t *testing.T) {
+	list, sent := []Backend{}, map[string]int{}
+	for i := range 20 {
+		b := servingBackend(fmt.Sprint("b", i))
+		if b.Size = 1; i < 10 {
+			b.Size = 2
+		}
+		list = append(list, b)
+	}
+	big := 0
+	for seed := range uint64(600) {
+		g := New(testSettings(), seed)
+		g.Handle(0, Start{})
+		g.Handle(0, Backends{Complete: true, List: list})
+		g.tick()
+		for _, s := range actionsOf[Send](g.Handle(0.1, testRequest(1, "safe", "free"))) {
+			if sent[s.Backend]++; g.backends[s.Backend].Size == 2 {
+				big++
+			}
+		}
+	}
+	if len(sent) != 20 || big < 350 || big > 450 {
+		t.Errorf(
+			"600 gateways sent to %d of 20 backends, %d to those of twice the size; want 400", len(sent), big,
+		)
+	}
+}
+
+func TestSubsetsCoverAllBackends(t *testing.T) {
+	gateways, list := newTestFleet(240, 60)
+	users := map[string]int{}
+	for _, g := range gateways {
+		if g.defaultPool.subsetSize != int(minSubset) {
+			t.Fatalf("reach %d at first", g.defaultPool.subsetSize)
+		}
+		for _, b := range g.defaultPool.order[:g.defaultPool.subsetSize] {
+			users[b.ID]++
+		}
+		before := g.defaultPool.order[0].ID
+		g.Handle(1, Backends{List: []Backend{servingBackend("new")}})
+		if g.defaultPool.order[0].ID != before && g.defaultPool.order[0].ID != "new" {
+			t.Error("a new backend moved the others")
+		}
+		g.defaultPool.sendRate = 200 // traffic has gathered here
+		if g.tick(); g.defaultPool.subsetSize != 61 {
+			t.Errorf("reach %d at 200 sends a second", g.defaultPool.subsetSize)
+		}
+	}
+	for _, b := range list {
+		if n := users[b.ID]; n < 3 || n > 30 { // 12 on average
+			t.Errorf("%s is used by %d gateways", b.ID, n)
+		}
+	}
+	few, list := newTestFleet(3, 10)
+	for _, g := range few {
+		if g.defaultPool.subsetSize != len(list) || g.defaultPool.gatewaysPerBackend != 1 {
+			t.Errorf(
+				"few gateways: reach %d, sharing %v", g.defaultPool.subsetSize,
+				g.defaultPool.gatewaysPerBackend,
+			)
+		}
+	}
+}
+
+func TestNoOutlierWhereAllAreUnhealthy(t *testing.T) {
+	g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
+	for _, b := range g.defaultPool.order {
+		b.ejectedUntil = 100
+	}
+	if len(actionsOf[Send](g.Handle(1, testRequest(1, "safe", "free")))) != 1 {
+		t.Error("nothing tried though all backends look alike")
+	}
+}
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -52,7 +52,7 @@
 	Secondary  bool    // another process reports this gateway to the counter
 }
 
-// Effect tells whether a class of requests may be executed twice.
+// Effect is whether a class of requests may be executed twice.
 type Effect int
 
 // The effects.
@@ -62,7 +62,7 @@
 	Idempotent                    // may be executed twice
 )
 
-// Scope tells which backends drop the repeats of a keyed request.
+// Scope is which backends drop the repeats of a keyed request.
 type Scope int
 
 // The scopes.
--- a/internal/decision/shared_bucket.go
+++ b/internal/decision/shared_bucket.go
@@ -1,7 +1,7 @@
 package decision
 
 const (
-	sharedBucketExpiry = 3.0 // cycles after which a total tells nothing of what was admitted since
+	sharedBucketExpiry = 3.0 // cycles after which a total is no evidence of what was admitted since
 	throttleSpan       = 0.5 // of a cycle's quota: a bucket that is overdrawn by it lets nothing through
 )
 
--- a/internal/decision/slow_attempts.go
+++ b/internal/decision/slow_attempts.go
@@ -46,7 +46,7 @@
 	return r.pool.retryBudget.Allows(g.now, false, len(g.queue) > 0)
 }
 
-// ExpectDisruption tells that something planned is under way: this process leaves, its settings were read
+// ExpectDisruption announces that something planned is under way: this process leaves, its settings were read
 // anew, or a configuration has just come into force. Requests that arrived before the given time are not
 // abandoned as slow.
 func (g *Gateway) ExpectDisruption(until Seconds) {
--- a/internal/decision/slow_attempts_test.go
+++ b/internal/decision/slow_attempts_test.go
@@ -72,7 +72,7 @@
 		while: func(g *Gateway) { g.ExpectDisruption(requestedAt + 0.6) },
 	},
 	{
-		name:   "planned, the end of it told after a later one",
+		name:   "planned, its end known after a later one",
 		others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		before: func(g *Gateway) {
 			g.ExpectDisruption(requestedAt + 0.01)
--- a/internal/decision/sparse.go
+++ b/internal/decision/sparse.go
@@ -10,9 +10,9 @@
 	maxCallWeight      = 0.15 // of a cycle's quota that one call may add
 	maxValidCycles     = 4.0  // for which a total that keeps saying the same is believed
 	excessCallExponent = 4.0  // of the call probability: calls that decide nothing give way so much sooner
-	// crowdedCallProbability is the call probability below which no second call is made for a request.
-	crowdedCallProbability = 0.6
-	amountTolerance        = 1e-6 // units: a total this near to what was added is of this gateway alone
+	// overloadedCallProbability is the call probability below which no second call is made for a request.
+	overloadedCallProbability = 0.6
+	amountTolerance           = 1e-6 // units: a total this near to what was added is of this gateway alone
 	// The multiple of the quota up to which the previous cycle is assumed to have been used, where its total
 	// is not known.
 	maxAssumedQuotas   = 2.0
@@ -167,7 +167,7 @@
 }
 
 // readSampledTotals takes a total. Where demand is above the quota and the previous cycle's total is not
-// known, it calls for that, or assumes it while the counter is crowded.
+// known, it calls for that, or assumes it while the counter is overloaded.
 func (g *Gateway) readSampledTotals(
 	c *customer, q counterQuery, total float64,
 ) (t sampledTotals, complete bool) {
@@ -191,7 +191,7 @@
 		t.previous = 0
 		return t, true
 	}
-	if g.counter.callProbability >= crowdedCallProbability || c.plan.ExcessCost <= 0 {
+	if g.counter.callProbability >= overloadedCallProbability || c.plan.ExcessCost <= 0 {
 		g.queryCounter(q.request, q.cycle-1, 0)
 		return t, false
 	}
--- a/internal/decision/suspects.go
+++ b/internal/decision/suspects.go
@@ -19,7 +19,7 @@
 	return names
 }
 
-// SetSuspects tells of servers that other gateways find unhealthy. One that has answered well here a moment
+// SetSuspects names servers that other gateways find unhealthy. One that has answered well here a moment
 // ago is not changed; another has to prove itself, and costs more than those that nobody suspects. Servers
 // that are not listed are ignored.
 func (g *Gateway) SetSuspects(_ Seconds, servers []string) {
