--- a/internal/standalone/node/fleet.go
+++ b/internal/standalone/node/fleet.go
@@ -102,14 +102,14 @@
 	// The record is the process's own: during an upgrade each of two processes keeps the leases that it holds itself.
 	folder := n.stateFolder(int64(os.Getpid()))
 	n.leases = leaseservice.Start(leaseservice.Options{
-		Fleet:  n.fleet,
-		Zone:   c.Settings.Zone,
-		Voters: c.Membership.Voters,
-		Dir:    c.State,
-		Log:    n.log,
-		Clock:  c.FaultInjection.Clock(),
-		Votes:  c.FaultInjection.Votes,
-		Keep:   func(r leaseservice.Record) error { return folder.Write(leaseRecord, r) },
+		Fleet:       n.fleet,
+		Zone:        c.Settings.Zone,
+		Voters:      c.Membership.Voters,
+		Dir:         c.State,
+		Log:         n.log,
+		ClockRate:   c.FaultInjection.Clock(),
+		WrapStore:   c.FaultInjection.Votes,
+		StoreRecord: func(r leaseservice.Record) error { return folder.Write(leaseRecord, r) },
 	})
 	n.closers = append(n.closers, func() { folder.Remove(leaseRecord, folder.Process()) })
 }
