--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter runs gateways on the bench's wire: batches on standard input, replies on standard output.
+// Command adapter runs gateways in the simulator: batches of events on standard input, replies with batches of actions
+// on standard output. It only wires package simprotocol.
 package main
 
 import (
--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -30,7 +30,7 @@
 		sent += len(actionsOf[Send](g.Handle(0, r)))
 	}
 	if sent != initialLimit/2/2 { // half of the bound of each of two gateways
-		t.Errorf("%d sent on, want %v", sent, initialLimit/2/2)
+		t.Errorf("%d forwarded, want %v", sent, initialLimit/2/2)
 	}
 }
 
@@ -41,12 +41,12 @@
 	}
 	g.defaultPool.latency = 2 // answers slow: the other gateway surely has its part out
 	if len(actionsOf[Reject](g.Handle(0.1, testRequest(2, "safe", "open")))) != 1 {
-		t.Error("sent on though the limit is most likely full")
+		t.Error("forwarded though the limit is most likely full")
 	}
 	g.defaultPool.latency = 0.01
 	g.Handle(5, testRequest(3, "safe", "open"))
 	if len(actionsOf[Reject](g.Handle(9, testRequest(4, "safe", "open")))) != 1 {
-		t.Error("a third attempt at once was sent on")
+		t.Error("a third attempt at once was forwarded")
 	}
 }
 
--- a/internal/decision/conformance/estimator_test.go
+++ b/internal/decision/conformance/estimator_test.go
@@ -3,28 +3,28 @@
 import "testing"
 
 func TestEstimator(t *testing.T) {
-	var o Estimator
-	if o.Conforming(false) != 1 || o.Conforming(true) != 1 {
+	var estimator Estimator
+	if estimator.Conforming(false) != 1 || estimator.Conforming(true) != 1 {
 		t.Error("knows something before anything was observed")
 	}
-	o.Observe(true, 0)
-	if got := o.Conforming(true); got != 0.5 {
+	estimator.Observe(true, 0)
+	if got := estimator.Conforming(true); got != 0.5 {
 		t.Errorf("one answer against the prior: %v", got)
 	}
 	for range 10 { // at one answer in two seconds: what is learned within the first rush
-		o.Observe(true, 0.2)
-		o.Observe(false, 0.9)
+		estimator.Observe(true, 0.2)
+		estimator.Observe(false, 0.9)
 	}
-	if got := o.Conforming(true); got < 0.2 || got > 0.35 {
+	if got := estimator.Conforming(true); got < 0.2 || got > 0.35 {
 		t.Errorf("repeats: %v", got)
 	}
-	if got := o.Conforming(false); got < 0.9 || got > 0.95 {
+	if got := estimator.Conforming(false); got < 0.9 || got > 0.95 {
 		t.Errorf("first tries: %v", got)
 	}
 	for range 40 {
-		o.Observe(true, 1)
+		estimator.Observe(true, 1)
 	}
-	if got := o.Conforming(true); got < 0.8 {
-		t.Errorf("still %v after forty that were inside", got)
+	if got := estimator.Conforming(true); got < 0.8 {
+		t.Errorf("still %v after forty that conformed", got)
 	}
 }
--- a/internal/decision/counter_cycles.go
+++ b/internal/decision/counter_cycles.go
@@ -23,6 +23,15 @@
 	minProcess    = 0.1 // share of a gateway at least that a process computes its demand by
 )
 
+// cycleStage is which calls of the counter were made in a cycle.
+type cycleStage int
+
+const (
+	stageNoCall   cycleStage = iota
+	stageReported            // the demand of the last cycle was added
+	stageReading             // the totals were asked for
+)
+
 // counterCycle is the state of one customer in the cycles of the shared counter: each gateway reports its
 // demand once a cycle, and reads the total of all gateways a moment later.
 type counterCycle struct {
@@ -32,7 +41,7 @@
 	startedAt Seconds
 	readAt    Seconds // when the totals are to be read; 0: not in this cycle
 	demand    float64 // units asked here in this cycle
-	calls     int     // made in this cycle
+	stage     cycleStage
 
 	localRate float64 // units a second asked here in the last cycle
 	totalRate float64 // units a second asked at all gateways, by the last valid total
@@ -98,7 +107,7 @@
 		g.closeCycle(c)
 	case c.cycle.readAt > 0 && g.now >= c.cycle.readAt:
 		c.cycle.readAt = 0
-		c.cycle.calls = 2
+		c.cycle.stage = stageReading
 		g.callCounter(c, c.cycle.number, 0)
 	}
 }
@@ -109,7 +118,7 @@
 	g.measureDemand(c)
 	c.cycle.number = c.cycle.numberAt(g.now)
 	c.cycle.readAt = 0
-	c.cycle.calls = 0
+	c.cycle.stage = stageNoCall
 	if g.settings.PairCounters {
 		g.reportDemand(c)
 		return
@@ -125,7 +134,7 @@
 	if !g.counterAvailable() {
 		return // the slice stays as it is
 	}
-	c.cycle.calls = 1
+	c.cycle.stage = stageReported
 	reporterUnit, rateUnit := c.packing()
 	// No number of gateways may spill over into the reporters.
 	maxRate := math.Floor((reporterUnit - 1) / c.gateways)
@@ -168,7 +177,7 @@
 		g.handleQueryReply(c, query, e)
 		return
 	}
-	current := c.cycle.calls > 0 && c.counterName(c.cycle.number) == e.Name
+	current := c.cycle.stage != stageNoCall && c.counterName(c.cycle.number) == e.Name
 	if c.sparse.active || !current || e.Outcome != Succeeded {
 		c.observeReportAccepted(g.now, e)
 		return
@@ -184,7 +193,7 @@
 func (g *Gateway) handlePackedTotal(c *customer, total float64) {
 	reporterUnit, rateUnit := c.packing()
 	reporters := math.Floor(total / reporterUnit)
-	if c.cycle.calls == 1 && reporters < c.gateways {
+	if c.cycle.stage == stageReported && reporters < c.gateways {
 		c.cycle.readAt = g.now + readDelay // others have yet to report
 		return
 	}
--- a/internal/decision/counter_cycles_test.go
+++ b/internal/decision/counter_cycles_test.go
@@ -140,7 +140,7 @@
 		}
 		sum := 0.0
 		for i, c := range all {
-			c.cycle.calls = 2 // the read
+			c.cycle.stage = stageReading
 			gateways[i].handleCounterReply(CounterReply{
 				Name: c.counterName(c.cycle.number), Outcome: Succeeded,
 				Total: counter[c.counterName(c.cycle.number)],
--- a/internal/decision/counter_health_test.go
+++ b/internal/decision/counter_health_test.go
@@ -163,6 +163,6 @@
 		t.Errorf("%d calls for 400 first requests where beyond costs", n)
 	}
 	if n := calls["earns"]; n > 60 {
-		t.Errorf("%d calls for 400 requests that are sent on in any case", n)
+		t.Errorf("%d calls for 400 requests that are forwarded in any case", n)
 	}
 }
--- a/internal/decision/customers.go
+++ b/internal/decision/customers.go
@@ -122,7 +122,7 @@
 	c.bucket.slice = part * c.quota
 	c.bucket.refilledAt = g.now
 	c.cycle.readAt = 0
-	c.cycle.calls = 0
+	c.cycle.stage = stageNoCall
 	c.sparse.cycleTotal = 0
 	c.cycle.holdUntil = g.now + termsChangeCycles*c.cycle.period
 	if c.sparse.active && c.sparse.admitRatio > 0 && c.cycle.totalRate > 0 {
--- a/internal/decision/handover_test.go
+++ b/internal/decision/handover_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// upgraded simulates three gateways of a customer for a while, then ten seconds more in which the first is
+// runUpgrade simulates three gateways of a customer for a while, then ten seconds more in which the first is
 // two processes, with the younger one joined by a function. It returns what was forwarded in these.
 func runUpgrade(
 	t *testing.T, plan Plan, demand float64, join func(f *customerFleet, old, young *Gateway),
@@ -64,12 +64,14 @@
 				}
 			})
 			strangers, _ := runUpgrade(t, tc.plan, tc.demand, func(f *customerFleet, old, young *Gateway) {})
-			t.Logf("sent on in 10 s: one process %.0f, a pair %.0f, two strangers %.0f", one, pair, strangers)
+			t.Logf(
+				"forwarded in 10 s: one process %.0f, a pair %.0f, two strangers %.0f", one, pair, strangers,
+			)
 			if pair > 1.1*one || pair < 0.85*one {
-				t.Errorf("the pair sent on %.0f, one process %.0f", pair, one)
+				t.Errorf("the pair forwarded %.0f, one process %.0f", pair, one)
 			}
 			if tc.name == "quota" && strangers < 1.1*one {
-				t.Errorf("strangers sent on %.0f, one process %.0f: the test cannot fail", strangers, one)
+				t.Errorf("strangers forwarded %.0f, one process %.0f: the test cannot fail", strangers, one)
 			}
 		})
 	}
@@ -155,6 +157,6 @@
 	}
 	here, there := old.customers["c"].bucket.tokens, g.customers["c"].bucket.tokens
 	if here != -4 || there != 0 {
-		t.Errorf("stores of %v here and %v at the newer process, want -4 and 0", here, there)
+		t.Errorf("buckets of %v here and %v at the newer process, want -4 and 0", here, there)
 	}
 }
--- a/internal/decision/helpers_test.go
+++ b/internal/decision/helpers_test.go
@@ -63,7 +63,7 @@
 	return all
 }
 
-// counter is a model of the counter service.
+// packedCounter is a model of the counter service.
 type packedCounter map[string]float64
 
 func (m packedCounter) add(c CounterCall) CounterReply {
@@ -71,7 +71,7 @@
 	return CounterReply{Name: c.Name, Outcome: Succeeded, Total: m[c.Name]}
 }
 
-// fleet starts n gateways that share m backends.
+// newTestFleet starts n gateways that share m backends.
 func newTestFleet(n, m int) (gateways []*Gateway, list []Backend) {
 	s := testSettings()
 	s.Gateways = n
@@ -88,7 +88,7 @@
 	return gateways, list
 }
 
-// simulate lets n gateways take a customer's requests in turn and returns the units forwarded.
+// runFleet lets n gateways take a customer's requests in turn and returns the units forwarded.
 func runFleet(
 	s Settings, plan string, n int, perSecond, seconds float64, reply func(CounterCall) CounterReply,
 ) (sent float64) {
--- a/internal/decision/pair_counters.go
+++ b/internal/decision/pair_counters.go
@@ -34,7 +34,7 @@
 	if c.quota <= 0 || c.sparse.active || !g.settings.HasCounter {
 		return
 	}
-	c.cycle.calls = 1
+	c.cycle.stage = stageReported
 	g.callCounter(c, c.cycle.number, max(presenceAmount, c.cycle.localRate))
 }
 
@@ -42,7 +42,7 @@
 // reads both counters.
 func (g *Gateway) handlePairReply(c *customer, e CounterReply) {
 	cycle := &c.cycle
-	if cycle.calls == 1 {
+	if cycle.stage == stageReported {
 		c.pairs.ackedAt = g.now
 		cycle.readAt = g.now + readDelay
 		return
--- a/internal/decision/pair_counters_test.go
+++ b/internal/decision/pair_counters_test.go
@@ -170,7 +170,7 @@
 	}
 }
 
-// most is the most that ran in any window of so long.
+// maxAdmitted is the most that ran in any window of so long.
 func (w *quotaWorld) maxAdmitted() (most int) {
 	first := 0
 	for i, at := range w.admittedAt {
--- a/internal/decision/plans_test.go
+++ b/internal/decision/plans_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// customer is some gateways around one counter, and one customer who asks at all of them. Each goes by the
-// terms that it has received.
+// customerFleet is some gateways around one counter, and one customer whose requests come through all of
+// them. Each gateway goes by the terms that it has received.
 type customerFleet struct {
 	t                *testing.T
 	gateways         []*Gateway
@@ -46,10 +46,10 @@
 	for _, a := range g.Handle(f.now, e) {
 		switch a := a.(type) {
 		case CounterCall:
-			if told := f.counter.add(a); f.counterSilent {
+			if reply := f.counter.add(a); f.counterSilent {
 				f.handle(g, CounterReply{Name: a.Name, Outcome: TimedOut})
 			} else {
-				f.handle(g, told)
+				f.handle(g, reply)
 			}
 		case Send:
 			f.sent++
@@ -63,7 +63,7 @@
 	}
 }
 
-// simulate lets time pass, with so many units a second asked at each gateway, and looks after each tick.
+// run lets time pass, with so many units a second asked at each gateway, and calls look after each tick.
 func (f *customerFleet) run(seconds float64, demand []float64, look func()) {
 	for end := f.now + seconds; f.now < end; f.now += tickInterval {
 		for i, g := range f.gateways {
--- a/internal/decision/quota_grants_test.go
+++ b/internal/decision/quota_grants_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// served drives one gateway for some seconds with requests of one customer, a hundred a second, and counts
-// what it forwards.
+// grantedGateway drives one gateway for some seconds with requests of one customer, a hundred a second, and
+// counts what it forwards.
 type grantedGateway struct {
 	g    *Gateway
 	now  Seconds
--- a/internal/decision/rate_limits_test.go
+++ b/internal/decision/rate_limits_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// campus is two to four gateways of one customer, with a counter, whose answers come late; or never, while it
-// is silent.
+// limitedFleet is two to four gateways of one customer, with a counter, whose answers come late; or never,
+// while it is silent.
 type limitedFleet struct {
 	*testing.T
 	rng            *rand.Rand
@@ -29,7 +29,7 @@
 	reference      referenceBucket // what one gateway that sees all would forward
 }
 
-// plain is one bucket that sees all.
+// referenceBucket is one bucket that sees all.
 type referenceBucket struct {
 	at           Seconds
 	tokens, sent float64
@@ -114,7 +114,7 @@
 	}
 }
 
-// all is what was forwarded, in units.
+// totalUnits is what was forwarded, in units.
 func (c *limitedFleet) totalUnits() (sum float64) {
 	for _, units := range c.sentUnits {
 		sum += units
@@ -122,7 +122,7 @@
 	return sum
 }
 
-// settled is what a request of a guessed size turns out to count: the same on average.
+// settledUnits is what a request of a guessed size turns out to count: the same on average.
 func (c *limitedFleet) settledUnits(guess float64) float64 {
 	if guess == 1 || guess == c.settings.MaxUnits {
 		return guess
@@ -130,7 +130,7 @@
 	return guess + float64(c.rng.IntN(3)-1)
 }
 
-// simulate has the customer ask so many units a second for a while: this part of it at one gateway, the rest
+// run has the customer ask so many units a second for a while: this part of it at one gateway, the rest
 // evenly.
 func (c *limitedFleet) run(span Seconds, units, crowd float64) {
 	p := c.settings.Plans[0]
@@ -244,7 +244,8 @@
 		inside := (c.totalUnits() - sent) / 400
 		if inside < 0.55 {
 			t.Errorf(
-				"%d gateways: %.2f units a second of 1 sent on, inside a quota of 1.6", gatewayCount, inside,
+				"%d gateways: %.2f units a second of 1 forwarded, within a quota of 1.6",
+				gatewayCount, inside,
 			)
 		}
 		c.run(30, 6, 0.3)
@@ -292,7 +293,7 @@
 		c.run(300, 30, 0.5)
 		// A gateway that is asked nothing in a cycle, by chance, keeps its even part.
 		if share := (c.totalUnits() - before) / (300 * p.Rate); share < 0.95 || share > 1.15 {
-			t.Errorf("seed %d: %.2f of the quota sent on", seed, share)
+			t.Errorf("seed %d: %.2f of the quota forwarded", seed, share)
 		}
 	}
 }
--- a/internal/decision/ratelimit/split_test.go
+++ b/internal/decision/ratelimit/split_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// fleet simulates a customer's requests over the gateways of a split and returns what was let through, and
-// how far the bucket that the rule is about came down at most: below minus the slack is a broken rule.
+// limitedFleet simulates a customer's requests over the gateways of a split and returns what was let through,
+// and how far the bucket that the rule is about came down at most: below minus the slack is a broken rule.
 type limitedFleet struct {
 	split                  Split
 	tokens, refilledAt     []float64
@@ -29,7 +29,7 @@
 	}
 }
 
-// ask has a request of some units come to a gateway; the answer of the counter and the send come late.
+// admit has a request of some units come to a gateway; the answer of the counter and the send come late.
 func (f *limitedFleet) admit(now float64, gateway int, units, late float64) {
 	f.tokens[gateway] = f.split.OwnTokens(f.tokens[gateway], now-f.refilledAt[gateway], 1)
 	f.refilledAt[gateway] = now
--- a/internal/decision/sparse.go
+++ b/internal/decision/sparse.go
@@ -211,7 +211,8 @@
 	}
 	c.cycle.totalRate = rate
 	c.cycle.totalAt = g.now
-	// The burst is used up by who was over the quota in the previous cycle, or near it.
+	// The burst is used up by who was over the quota in the previous cycle, or near it: up to 0.8 of the
+	// quota all of it is left, from 1.2 on nothing.
 	burst := c.plan.Burst * max(0, min(1, 3-2.5*t.previous/(quota*period)))
 	unrestricted := burst + quota*t.elapsed // units that all conform
 	switch {
--- a/internal/decision/sparse_test.go
+++ b/internal/decision/sparse_test.go
@@ -80,7 +80,7 @@
 	if sent := tries(
 		"unknown", 300, ConnectionRefused, 0,
 	); sent < 4 || sent > 7 { // 20 s at a quarter of a unit a second
-		t.Errorf("%d of 200 sent on in 20 s", sent)
+		t.Errorf("%d of 200 forwarded in 20 s", sent)
 	}
 }
 
@@ -107,14 +107,14 @@
 		return sent
 	}
 	if sent := try(1, Succeeded); sent != 1 {
-		t.Fatalf("%d sent on while the counter answers", sent)
+		t.Fatalf("%d forwarded while the counter answers", sent)
 	}
 	sent := 0
 	for i := range 100 {
 		sent += try(2+float64(i)*0.1, TimedOut)
 	}
 	if sent < 3 || sent > 10+2 { // the full quota and the burst are the most that any gateway may use
-		t.Errorf("%d of 100 sent on in 10 s", sent)
+		t.Errorf("%d of 100 forwarded in 10 s", sent)
 	}
 }
 
@@ -137,7 +137,7 @@
 		}
 	}
 	if sent != 7 {
-		t.Errorf("%d of 10 sent on at once, want a quarter of one and a half bursts of 20", sent)
+		t.Errorf("%d of 10 forwarded at once, want a quarter of one and a half bursts of 20", sent)
 	}
 }
 
@@ -151,7 +151,9 @@
 		if got := runFleet(
 			testSettings(), "rate", 200, tc.perSecond, 20, m.add,
 		); got < tc.least || got > tc.most {
-			t.Errorf("%v a second for 20 s: %v sent on, want %v to %v", tc.perSecond, got, tc.least, tc.most)
+			t.Errorf(
+				"%v a second for 20 s: %v forwarded, want %v to %v", tc.perSecond, got, tc.least, tc.most,
+			)
 		}
 	}
 }
@@ -160,7 +162,7 @@
 func TestUnknownSparseCustomerGetsTheEvenShare(t *testing.T) {
 	down := func(c CounterCall) CounterReply { return CounterReply{Name: c.Name, Outcome: TimedOut} }
 	if got := runFleet(testSettings(), "rate", 50, 40, 20, down); got < 40 || got > 50+10*20 {
-		t.Errorf("%v sent on without a counter, want one for each gateway and the quota at most", got)
+		t.Errorf("%v forwarded without a counter, want one for each gateway and the quota at most", got)
 	}
 }
 
@@ -272,6 +274,8 @@
 		again += submit(fmt.Sprint("new", i), true, CounterReply{Outcome: ConnectionRefused})
 	}
 	if first < 38 || again > 2 {
-		t.Errorf("of 40 each that were not asked about, %d first tries and %d repeats sent on", first, again)
+		t.Errorf(
+			"of 40 each that were not asked about, %d first requests and %d retries forwarded", first, again,
+		)
 	}
 }
