--- a/internal/cluster/configuration/canonical.go
+++ b/internal/cluster/configuration/canonical.go
@@ -16,9 +16,9 @@
 
 // canonicalBody is a body in the one form that all its spellings share. A body that can't be read is its own form.
 func canonicalBody(body []byte) []byte {
-	r := jsonReader{text: body}
-	out, err := r.canonical(make([]byte, 0, len(body)), 0)
-	if err != nil || r.end() != nil {
+	j := jsonReader{text: body}
+	out, err := j.canonical(make([]byte, 0, len(body)), 0)
+	if err != nil || j.end() != nil {
 		return body
 	}
 	return out
@@ -44,43 +44,43 @@
 }
 
 // canonical reads a value and appends its canonical form.
-func (r *jsonReader) canonical(out []byte, depth int) ([]byte, error) {
+func (j *jsonReader) canonical(out []byte, depth int) ([]byte, error) {
 	if depth > maxDepth {
-		return nil, r.fail("too deep")
+		return nil, j.fail("too deep")
 	}
-	switch r.next() {
+	switch j.next() {
 	case '{':
-		return r.canonicalObject(out, depth)
+		return j.canonicalObject(out, depth)
 	case '[':
 		out = append(out, '[')
-		err := r.array(func(int) (err error) {
-			out, err = r.canonical(out, depth+1)
+		err := j.array(func(int) (err error) {
+			out, err = j.canonical(out, depth+1)
 			out = append(out, ',')
 			return err
 		})
 		return append(out, ']'), err
 	case '"':
-		s, err := r.string()
+		s, err := j.string()
 		return quoted(out, s), err
 	case 't', 'f', 'n':
-		start := r.offset
-		_, err := r.value(depth)
-		return append(out, r.text[start:r.offset]...), err
+		start := j.offset
+		_, err := j.value(depth)
+		return append(out, j.text[start:j.offset]...), err
 	}
-	start := r.offset
-	_, err := r.number()
-	return canonicalNumber(out, string(r.text[start:r.offset])), err
+	start := j.offset
+	_, err := j.number()
+	return canonicalNumber(out, string(j.text[start:j.offset])), err
 }
 
 // canonicalObject sorts the members by their names.
-func (r *jsonReader) canonicalObject(out []byte, depth int) ([]byte, error) {
+func (j *jsonReader) canonicalObject(out []byte, depth int) ([]byte, error) {
 	type member struct {
 		name  string
 		value []byte
 	}
 	var members []member
-	err := r.object(func(name string) error {
-		value, err := r.canonical(nil, depth+1)
+	err := j.object(func(name string) error {
+		value, err := j.canonical(nil, depth+1)
 		if depth > 0 || name != "generation" {
 			members = append(members, member{name, value})
 		}
--- a/internal/cluster/configuration/golden_test.go
+++ b/internal/cluster/configuration/golden_test.go
@@ -94,12 +94,15 @@
 	Routes: {
 		`"authority":"A.example:80"`, `"authority":""`, `"pathPrefix":"/a/"`, `"pathPrefix":"/a"`, `"pathPrefix":"a/"`,
 		`"routeKind":"idempotent"`, `"routeKind":"mutating"`, `"routeKind":"other"`, `"deadlineMs":1000`, `"deadlineMs":0`,
-		`"deadlineMs":-1`, `"deadlineMs":"x"`, `"backend":"s1"`, `"backend":"s2"`, `"backend":7`, `"weighted":[{"backend":"s1","share":1}]`,
-		`"weighted":[{"backend":"s1","share":0}]`, `"weighted":[7]`, `"weighted":[{"share":1}]`, `"weighted":{}`, `"priority":1e999`,
+		`"deadlineMs":-1`, `"deadlineMs":"x"`, `"backend":"s1"`, `"backend":"s2"`, `"backend":7`,
+		`"weighted":[{"backend":"s1","share":1}]`,
+		`"weighted":[{"backend":"s1","share":0}]`, `"weighted":[7]`, `"weighted":[{"share":1}]`, `"weighted":{}`,
+		`"priority":1e999`,
 		`"public":1`, `"public":true`, `"maxTries":3`, `"targetMs":5`,
 	},
 	Tenants: {
-		`"apiKeys":["k1","k2"]`, `"apiKeys":[1]`, `"apiKeys":1`, `"ratePerS":5.5`, `"ratePerS":-1`, `"burst":null`, `"priority":2`,
+		`"apiKeys":["k1","k2"]`, `"apiKeys":[1]`, `"apiKeys":1`, `"ratePerS":5.5`, `"ratePerS":-1`, `"burst":null`,
+		`"priority":2`,
 	},
 	Services: {
 		`"healthPath":"/h"`,
--- a/internal/cluster/configuration/json_reader.go
+++ b/internal/cluster/configuration/json_reader.go
@@ -42,175 +42,175 @@
 	return interned
 }
 
-func (r *jsonReader) fail(problem string) error {
-	return &SyntaxError{Offset: r.offset, Problem: problem}
+func (j *jsonReader) fail(problem string) error {
+	return &SyntaxError{Offset: j.offset, Problem: problem}
 }
 
-func (r *jsonReader) skipSpace() {
-	for r.offset < len(r.text) && isSpace(r.text[r.offset]) {
-		r.offset++
+func (j *jsonReader) skipSpace() {
+	for j.offset < len(j.text) && isSpace(j.text[j.offset]) {
+		j.offset++
 	}
 }
 
 func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\n' || c == '\r' }
 
 // next is the next byte that is no space; 0 at the end.
-func (r *jsonReader) next() byte {
-	r.skipSpace()
-	if r.offset == len(r.text) {
+func (j *jsonReader) next() byte {
+	j.skipSpace()
+	if j.offset == len(j.text) {
 		return 0
 	}
-	return r.text[r.offset]
+	return j.text[j.offset]
 }
 
 // end fails if anything but space follows.
-func (r *jsonReader) end() error {
-	if r.skipSpace(); r.offset < len(r.text) {
-		return r.fail("more than one value")
+func (j *jsonReader) end() error {
+	if j.skipSpace(); j.offset < len(j.text) {
+		return j.fail("more than one value")
 	}
 	return nil
 }
 
 // object reads an object; member reads the value of each name.
-func (r *jsonReader) object(member func(name string) error) error {
-	if r.next() != '{' {
-		return r.fail("no object")
+func (j *jsonReader) object(member func(name string) error) error {
+	if j.next() != '{' {
+		return j.fail("no object")
 	}
-	r.offset++
+	j.offset++
 	for first := true; ; first = false {
-		if c := r.next(); c == '}' && first {
-			r.offset++
+		if c := j.next(); c == '}' && first {
+			j.offset++
 			return nil
 		} else if c != '"' {
-			return r.fail("no name")
+			return j.fail("no name")
 		}
-		name, err := r.string()
+		name, err := j.string()
 		if err != nil {
 			return err
 		}
-		if r.next() != ':' {
-			return r.fail("no colon")
+		if j.next() != ':' {
+			return j.fail("no colon")
 		}
-		r.offset++
-		r.skipSpace()
+		j.offset++
+		j.skipSpace()
 		if err := member(name); err != nil {
 			return err
 		}
-		switch r.next() {
+		switch j.next() {
 		case ',':
-			r.offset++
+			j.offset++
 		case '}':
-			r.offset++
+			j.offset++
 			return nil
 		default:
-			return r.fail("no comma and no end of the object")
+			return j.fail("no comma and no end of the object")
 		}
 	}
 }
 
 // array reads an array; element reads each value.
-func (r *jsonReader) array(element func(index int) error) error {
-	if r.next() != '[' {
-		return r.fail("no list")
+func (j *jsonReader) array(element func(index int) error) error {
+	if j.next() != '[' {
+		return j.fail("no list")
 	}
-	r.offset++
-	if r.next() == ']' {
-		r.offset++
+	j.offset++
+	if j.next() == ']' {
+		j.offset++
 		return nil
 	}
 	for index := 0; ; index++ {
-		r.skipSpace()
+		j.skipSpace()
 		if err := element(index); err != nil {
 			return err
 		}
-		switch r.next() {
+		switch j.next() {
 		case ',':
-			r.offset++
+			j.offset++
 		case ']':
-			r.offset++
+			j.offset++
 			return nil
 		default:
-			return r.fail("no comma and no end of the list")
+			return j.fail("no comma and no end of the list")
 		}
 	}
 }
 
 // value reads any value: a map[string]any, []any, string, float64 (infinite where it is too large), bool or nil.
-func (r *jsonReader) value(depth int) (any, error) {
+func (j *jsonReader) value(depth int) (any, error) {
 	if depth > maxDepth {
-		return nil, r.fail("too deep")
+		return nil, j.fail("too deep")
 	}
-	switch r.next() {
+	switch j.next() {
 	case '{':
 		m := make(map[string]any, 8)
-		return m, r.object(func(name string) (err error) {
+		return m, j.object(func(name string) (err error) {
 			if _, twice := m[name]; twice {
-				return r.fail(fmt.Sprintf("%.100q given twice", name))
+				return j.fail(fmt.Sprintf("%.100q given twice", name))
 			}
-			m[name], err = r.value(depth + 1)
+			m[name], err = j.value(depth + 1)
 			return err
 		})
 	case '[':
 		var list []any
-		err := r.array(func(int) error {
-			v, err := r.value(depth + 1)
+		err := j.array(func(int) error {
+			v, err := j.value(depth + 1)
 			list = append(list, v)
 			return err
 		})
 		return list, err
 	case '"':
-		return r.string()
+		return j.string()
 	case 't':
-		return true, r.literal("true")
+		return true, j.literal("true")
 	case 'f':
-		return false, r.literal("false")
+		return false, j.literal("false")
 	case 'n':
-		return nil, r.literal("null")
+		return nil, j.literal("null")
 	default:
-		return r.number()
+		return j.number()
 	}
 }
 
-func (r *jsonReader) literal(s string) error {
-	if len(r.text)-r.offset < len(s) || string(r.text[r.offset:r.offset+len(s)]) != s {
-		return r.fail("no value")
+func (j *jsonReader) literal(s string) error {
+	if len(j.text)-j.offset < len(s) || string(j.text[j.offset:j.offset+len(s)]) != s {
+		return j.fail("no value")
 	}
-	r.offset += len(s)
+	j.offset += len(s)
 	return nil
 }
 
-func (r *jsonReader) number() (float64, error) {
-	start := r.offset
-	r.skipOne("-")
-	if !r.skipOne("0") && !r.skipDigits() {
-		return 0, r.fail("no value")
+func (j *jsonReader) number() (float64, error) {
+	start := j.offset
+	j.skipOne("-")
+	if !j.skipOne("0") && !j.skipDigits() {
+		return 0, j.fail("no value")
 	}
-	if r.skipOne(".") && !r.skipDigits() {
-		return 0, r.fail("no digits behind the point")
+	if j.skipOne(".") && !j.skipDigits() {
+		return 0, j.fail("no digits behind the point")
 	}
-	if r.skipOne("eE") {
-		if r.skipOne("+-"); !r.skipDigits() {
-			return 0, r.fail("no digits in the exponent")
+	if j.skipOne("eE") {
+		if j.skipOne("+-"); !j.skipDigits() {
+			return 0, j.fail("no digits in the exponent")
 		}
 	}
-	f, _ := strconv.ParseFloat(string(r.text[start:r.offset]), 64) // it is a number; out of range it is infinite
+	f, _ := strconv.ParseFloat(string(j.text[start:j.offset]), 64) // it is a number; out of range it is infinite
 	return f, nil
 }
 
 // skipDigits skips decimal digits, and reports whether there was any.
-func (r *jsonReader) skipDigits() bool {
-	start := r.offset
-	for r.offset < len(r.text) && r.text[r.offset]-'0' <= 9 {
-		r.offset++
+func (j *jsonReader) skipDigits() bool {
+	start := j.offset
+	for j.offset < len(j.text) && j.text[j.offset]-'0' <= 9 {
+		j.offset++
 	}
-	return r.offset > start
+	return j.offset > start
 }
 
 // skipOne skips a byte if it is one of a set, and reports whether it was.
-func (r *jsonReader) skipOne(set string) bool {
-	for i := 0; r.offset < len(r.text) && i < len(set); i++ {
-		if r.text[r.offset] == set[i] {
-			r.offset++
+func (j *jsonReader) skipOne(set string) bool {
+	for i := 0; j.offset < len(j.text) && i < len(set); i++ {
+		if j.text[j.offset] == set[i] {
+			j.offset++
 			return true
 		}
 	}
@@ -218,18 +218,18 @@
 }
 
 // string reads a string, whose opening quote is next.
-func (r *jsonReader) string() (string, error) {
-	r.offset++
-	start := r.offset // of the bytes that are not in unescaped yet
+func (j *jsonReader) string() (string, error) {
+	j.offset++
+	start := j.offset // of the bytes that are not in unescaped yet
 	var unescaped []byte
 	for {
-		if r.offset == len(r.text) {
-			return "", r.fail("a string without an end")
+		if j.offset == len(j.text) {
+			return "", j.fail("a string without an end")
 		}
-		switch c := r.text[r.offset]; {
+		switch c := j.text[j.offset]; {
 		case c == '"':
-			raw := r.text[start:r.offset]
-			r.offset++
+			raw := j.text[start:j.offset]
+			j.offset++
 			if unescaped != nil {
 				raw = append(unescaped, raw...)
 			}
@@ -237,32 +237,32 @@
 				return s, nil
 			}
 			if !utf8.Valid(raw) {
-				return "", r.fail("a string that is not UTF-8")
+				return "", j.fail("a string that is not UTF-8")
 			}
 			return string(raw), nil
 		case c < ' ':
-			return "", r.fail("a control character in a string")
+			return "", j.fail("a control character in a string")
 		case c == '\\':
-			unescaped = append(unescaped, r.text[start:r.offset]...)
-			char, err := r.escape()
+			unescaped = append(unescaped, j.text[start:j.offset]...)
+			char, err := j.escape()
 			if err != nil {
 				return "", err
 			}
 			unescaped = utf8.AppendRune(unescaped, char)
-			start = r.offset
+			start = j.offset
 		default:
-			r.offset++
+			j.offset++
 		}
 	}
 }
 
 // escape reads what begins with a backslash. Half of a surrogate pair stands for nothing: it becomes U+FFFD.
-func (r *jsonReader) escape() (rune, error) {
-	if r.offset+1 >= len(r.text) {
-		return 0, r.fail("a string without an end")
+func (j *jsonReader) escape() (rune, error) {
+	if j.offset+1 >= len(j.text) {
+		return 0, j.fail("a string without an end")
 	}
-	c := r.text[r.offset+1]
-	r.offset += 2
+	c := j.text[j.offset+1]
+	j.offset += 2
 	switch c {
 	case '"', '\\', '/':
 		return rune(c), nil
@@ -277,25 +277,25 @@
 	case 't':
 		return '\t', nil
 	case 'u':
-		return r.unicodeEscape()
+		return j.unicodeEscape()
 	}
-	return 0, r.fail("an unknown escape")
+	return 0, j.fail("an unknown escape")
 }
 
 // unicodeEscape reads the digits behind \u, and the other half of a surrogate pair.
-func (r *jsonReader) unicodeEscape() (rune, error) {
-	char, ok := r.codeUnit(r.offset)
+func (j *jsonReader) unicodeEscape() (rune, error) {
+	char, ok := j.codeUnit(j.offset)
 	if !ok {
-		return 0, r.fail("no four digits behind \\u")
+		return 0, j.fail("no four digits behind \\u")
 	}
-	r.offset += hexDigits
+	j.offset += hexDigits
 	if !utf16.IsSurrogate(char) {
 		return char, nil
 	}
-	if r.offset+escapeBytes <= len(r.text) && r.text[r.offset] == '\\' && r.text[r.offset+1] == 'u' {
-		if low, ok := r.codeUnit(r.offset + 2); ok {
+	if j.offset+escapeBytes <= len(j.text) && j.text[j.offset] == '\\' && j.text[j.offset+1] == 'u' {
+		if low, ok := j.codeUnit(j.offset + 2); ok {
 			if both := utf16.DecodeRune(char, low); both != utf8.RuneError {
-				r.offset += escapeBytes
+				j.offset += escapeBytes
 				return both, nil
 			}
 		}
@@ -304,10 +304,10 @@
 }
 
 // codeUnit is the four hexadecimal digits at an offset.
-func (r *jsonReader) codeUnit(offset int) (rune, bool) {
-	if offset+hexDigits > len(r.text) {
+func (j *jsonReader) codeUnit(offset int) (rune, bool) {
+	if offset+hexDigits > len(j.text) {
 		return 0, false
 	}
-	unit, ok := parseHex(string(r.text[offset : offset+hexDigits]))
+	unit, ok := parseHex(string(j.text[offset : offset+hexDigits]))
 	return rune(unit), ok
 }
--- a/internal/control/storage/batch.go
+++ b/internal/control/storage/batch.go
@@ -33,10 +33,10 @@
 }
 
 // add appends the records of a batch.
-func (w *batchWriter) add(to *pebble.Batch, b Batch) error {
+func (bw *batchWriter) add(to *pebble.Batch, b Batch) error {
 	records := recordBatch{to: to}
 	if b.Acceptor != nil {
-		w.addAcceptor(&records, b.Acceptor)
+		bw.addAcceptor(&records, b.Acceptor)
 	}
 	for _, item := range b.Items {
 		records.set(itemKey(prefixItem, item.Key), item)
@@ -65,19 +65,19 @@
 
 // addAcceptor appends an acceptor, and its pending proposal only where that has changed: a first configuration may be
 // megabytes and must not be written again with each promise.
-func (w *batchWriter) addAcceptor(records *recordBatch, acceptor *consensus.Acceptor) {
-	if !w.versioned {
+func (bw *batchWriter) addAcceptor(records *recordBatch, acceptor *consensus.Acceptor) {
+	if !bw.versioned {
 		records.set(keyVersion, formatVersion)
-		w.versioned = true
+		bw.versioned = true
 	}
 	records.set(keyAcceptor, acceptor)
 	switch {
-	case acceptor.Pending == nil && w.pending != nil:
+	case acceptor.Pending == nil && bw.pending != nil:
 		records.delete(keyPending)
-	case acceptor.Pending != w.pending:
+	case acceptor.Pending != bw.pending:
 		records.set(keyPending, acceptor.Pending)
 	}
-	w.pending = acceptor.Pending
+	bw.pending = acceptor.Pending
 }
 
 // recordBatch encodes records into a database batch, and keeps its errors.
--- a/internal/control/storage/retrying_file.go
+++ b/internal/control/storage/retrying_file.go
@@ -15,29 +15,29 @@
 }
 
 // Write appends to the file.
-func (f *retryingFile) Write(b []byte) (int, error) {
+func (rf *retryingFile) Write(b []byte) (int, error) {
 	written := 0
-	err := f.fs.retry(func() error {
-		n, err := f.File.Write(b[written:])
+	err := rf.fs.retry(func() error {
+		n, err := rf.File.Write(b[written:])
 		written += n
 		return err
 	})
-	f.unsynced = append(f.unsynced, b[:written]...)
+	rf.unsynced = append(rf.unsynced, b[:written]...)
 	return written, err
 }
 
 // Sync has all that was written, and the file's name, on disk.
-func (f *retryingFile) Sync() error { return f.syncWith(f.File.Sync) }
+func (rf *retryingFile) Sync() error { return rf.syncWith(rf.File.Sync) }
 
 // SyncData is Sync without the file's metadata.
-func (f *retryingFile) SyncData() error { return f.syncWith(f.File.SyncData) }
+func (rf *retryingFile) SyncData() error { return rf.syncWith(rf.File.SyncData) }
 
 // syncWith syncs, and writes the unsynced bytes again before each further attempt.
-func (f *retryingFile) syncWith(sync func() error) error {
+func (rf *retryingFile) syncWith(sync func() error) error {
 	failed := false
-	err := f.fs.retry(func() error {
-		if failed && len(f.unsynced) > 0 {
-			if _, err := f.WriteAt(f.unsynced, f.synced); err != nil {
+	err := rf.fs.retry(func() error {
+		if failed && len(rf.unsynced) > 0 {
+			if _, err := rf.WriteAt(rf.unsynced, rf.synced); err != nil {
 				return err
 			}
 		}
@@ -47,27 +47,27 @@
 	if err != nil {
 		return err
 	}
-	if f.unsyncedIn != "" {
-		if err := f.fs.syncNames(f.unsyncedIn); err != nil {
+	if rf.unsyncedIn != "" {
+		if err := rf.fs.syncNames(rf.unsyncedIn); err != nil {
 			return err
 		}
-		f.unsyncedIn = ""
+		rf.unsyncedIn = ""
 	}
-	f.synced += int64(len(f.unsynced))
-	if f.unsynced = f.unsynced[:0]; cap(f.unsynced) > maxRetainedBytes {
-		f.unsynced = nil
+	rf.synced += int64(len(rf.unsynced))
+	if rf.unsynced = rf.unsynced[:0]; cap(rf.unsynced) > maxRetainedBytes {
+		rf.unsynced = nil
 	}
 	return nil
 }
 
 // SyncTo syncs nothing: the database then calls SyncData.
-func (f *retryingFile) SyncTo(int64) (bool, error) { return false, nil }
+func (rf *retryingFile) SyncTo(int64) (bool, error) { return false, nil }
 
 // Preallocate does nothing.
-func (f *retryingFile) Preallocate(int64, int64) error { return nil }
+func (rf *retryingFile) Preallocate(int64, int64) error { return nil }
 
 // Prefetch does nothing.
-func (f *retryingFile) Prefetch(int64, int64) error { return nil }
+func (rf *retryingFile) Prefetch(int64, int64) error { return nil }
 
 // retryingFolder is an open folder of retryingFS, which several goroutines may sync at a time.
 type retryingFolder struct {
@@ -77,14 +77,14 @@
 }
 
 // Sync has the names that were created in the folder on disk; one that is created meanwhile may be left out.
-func (f *retryingFolder) Sync() error {
-	before := f.fs.names(f.name)
-	if err := f.fs.retry(f.File.Sync); err != nil {
+func (rf *retryingFolder) Sync() error {
+	before := rf.fs.names(rf.name)
+	if err := rf.fs.retry(rf.File.Sync); err != nil {
 		return err
 	}
-	f.fs.setNamesSynced(f.name, before.created)
+	rf.fs.setNamesSynced(rf.name, before.created)
 	return nil
 }
 
 // SyncData is Sync.
-func (f *retryingFolder) SyncData() error { return f.Sync() }
+func (rf *retryingFolder) SyncData() error { return rf.Sync() }
--- a/internal/control/storage/size_test.go
+++ b/internal/control/storage/size_test.go
@@ -25,7 +25,7 @@
 	for _, name := range all {
 		s, err := fs.Stat(fs.PathJoin("d", name))
 		if err != nil {
-			continue // it has just gone
+			continue // it was just removed
 		}
 		bytes += s.Size()
 		files++
@@ -33,79 +33,100 @@
 	return bytes, files
 }
 
-// After thousands of changes of a hundred items, with instances of servers that come and go, a transfer that is
-// staged now and then, and restarts, the folder holds a small multiple of what stands, and some megabytes beside.
+// sizeWorkload draws changes of a hundred items, with instances of servers that come and go.
+type sizeWorkload struct {
+	rnd          *rand.Rand
+	body         []byte
+	encodedBytes map[configuration.Key]int // of the items as they are now
+	instances    uint64                    // so far
+}
+
+// The size of the workload.
+const (
+	workloadKeys         = 2000
+	workloadItems        = 100 // of a change
+	workloadInstances    = 300 // at a time
+	workloadNewInstances = 20  // of a change
+	instanceBytes        = 100 // about, of one record
+)
+
+// change is the change to an epoch.
+func (sw *sizeWorkload) change(is *is.I, epoch uint64) Batch {
+	is.Helper()
+	electorate := consensus.InitialElectorate([]string{"x", "y", "z"})
+	b := Batch{Acceptor: &consensus.Acceptor{Epoch: epoch, Electorate: electorate}, NoSync: true}
+	for range workloadItems {
+		key := configuration.Key{Kind: configuration.Tenants, Name: fmt.Sprint("tenant-", sw.rnd.IntN(workloadKeys))}
+		item := configuration.Item{Key: key, Version: epoch, Epoch: epoch}
+		if item.Deleted = sw.rnd.IntN(10) == 0; !item.Deleted {
+			item.Body = sw.body
+		}
+		encoded, err := cbor.Marshal(item)
+		is.NoErr(err)
+		sw.encodedBytes[key] = len(encoded) + len(itemKey(prefixItem, key))
+		b.Items = append(b.Items, item)
+	}
+	for range workloadNewInstances {
+		sw.instances++
+		b.Instances = append(b.Instances, registry.Instance{
+			ID:      fmt.Sprintf("server-%08d", sw.instances),
+			Address: "10.0.0.1:80",
+			Service: "service",
+			Zone:    "zone",
+		})
+		if sw.instances > workloadInstances {
+			b.DeleteInstances = append(b.DeleteInstances, fmt.Sprintf("server-%08d", sw.instances-workloadInstances))
+		}
+	}
+	return b
+}
+
+// After thousands of changes, a catch-up that is staged now and then, and restarts, the folder has a small multiple
+// of the bytes of the state, and some megabytes beside.
 func TestSizeOnDisk(t *testing.T) {
-	const changes, each, restarts, names = 5000, 100, 20, 2000
+	const restarts, changesPerRestart = 20, 250
 	is := is.New(t)
-	rnd := rand.New(rand.NewPCG(1, 9))
 	fs := vfs.NewMem()
-	live := map[configuration.Key]int{}
-	body := make([]byte, 300)
-	var most int64
-	var seq uint64
-	for life := range restarts {
-		v, s, err := Open(fs, "d", log.NewNopLogger())
+	workload := sizeWorkload{
+		rnd:          rand.New(rand.NewPCG(1, 9)),
+		body:         make([]byte, 300),
+		encodedBytes: map[configuration.Key]int{},
+	}
+	var maxBytes int64
+	for restart := range restarts {
+		store, state, err := Open(fs, "d", log.NewNopLogger())
 		is.NoErr(err)
-		is.Equal(len(s.Items), len(live))
-		is.Equal(len(s.StagedItems), 0)
-		for k := range changes / restarts {
-			epoch := uint64(life*changes/restarts + k + 1)
-			b := Batch{
-				Acceptor:   &consensus.Acceptor{Epoch: epoch, Electorate: consensus.InitialElectorate([]string{"x", "y", "z"})},
-				NoSync:     true,
-				ClearStage: k%50 == 49,
-			}
-			for range each {
-				i := configuration.Item{
-					Key:     configuration.Key{Kind: configuration.Tenants, Name: fmt.Sprint("tenant-", rnd.IntN(names))},
-					Version: epoch,
-					Epoch:   epoch,
-				}
-				if i.Deleted = rnd.IntN(10) == 0; !i.Deleted {
-					i.Body = body
-				}
-				enc, err := cbor.Marshal(i)
-				is.NoErr(err)
-				live[i.Key] = len(enc) + len(i.Key.Name) + 2
-				b.Items = append(b.Items, i)
-			}
-			if k%50 == 10 {
+		is.Equal(len(state.Items), len(workload.encodedBytes))
+		is.Equal(len(state.StagedItems), 0)
+		for n := range changesPerRestart {
+			epoch := uint64(restart*changesPerRestart + n + 1)
+			b := workload.change(is, epoch)
+			b.ClearStage = n%50 == 49
+			if n%50 == 10 {
 				b.Stage, b.StagedItems = &StageProgress{LastEpoch: epoch}, b.Items
 			}
-			for range 20 { // of 300 servers that stand, 20 go with each change
-				seq++
-				b.Instances = append(b.Instances, registry.Instance{
-					ID:      fmt.Sprintf("server-%08d", seq),
-					Address: "10.0.0.1:80",
-					Service: "service",
-					Zone:    "zone",
-				})
-				if seq > 300 {
-					b.DeleteInstances = append(b.DeleteInstances, fmt.Sprintf("server-%08d", seq-300))
-				}
-			}
-			t := v.Put(b)
-			if k%10 == 0 {
-				is.NoErr(v.Save(context.Background(), Batch{Members: 1}))
-				<-t.Done()
+			future := store.Put(b)
+			if n%10 == 0 {
+				is.NoErr(store.Save(context.Background(), Batch{Members: 1}))
+				<-future.Done()
 				bytes, _ := folderSize(is, fs)
-				most = max(most, bytes)
+				maxBytes = max(maxBytes, bytes)
 			}
 		}
-		is.NoErr(v.Close())
+		is.NoErr(store.Close())
 	}
-	stands := int64(300 * 100)
-	for _, n := range live {
-		stands += int64(n)
+	stateBytes := int64(workloadInstances * instanceBytes)
+	for _, n := range workload.encodedBytes {
+		stateBytes += int64(n)
 	}
 	bytes, files := folderSize(is, fs)
-	t.Logf("%d bytes stand; the folder holds %d in %d files at the end, %d at most on the way", stands, bytes, files, most)
-	is.True(most < 3*stands+4<<20)
+	t.Logf("%d bytes of state; the folder has %d in %d files at the end, %d at most on the way",
+		stateBytes, bytes, files, maxBytes)
+	is.True(maxBytes < 3*stateBytes+4<<20)
 	is.True(files < 40)
 }
 
-// What an item costs that was dropped: its name, its version and its epoch stay.
+// What a deleted item costs: its name, its version and its epoch stay.
 func TestTombstoneSize(t *testing.T) {
 	is := is.New(t)
 	i := configuration.Item{
@@ -119,15 +140,15 @@
 	all := len(b) + len(itemKey(prefixItem, i.Key))
 	t.Logf("%d bytes on disk", all)
 	is.True(all <= 64)
-	var book *configuration.Snapshot // and with all that it overtook
+	var snapshot *configuration.Snapshot // and with all that it superseded
 	for n := range 100 {
 		i.Version, i.Epoch = 1<<31+uint64(n), 1<<20+uint64(n)
-		book, _ = book.Merge([]configuration.Item{i})
+		snapshot, _ = snapshot.Merge([]configuration.Item{i})
 	}
-	old, _ := book.Get(i.Key)
+	old, _ := snapshot.Get(i.Key)
 	b, err = cbor.Marshal(old)
 	is.NoErr(err)
-	t.Logf("%d bytes on disk with the past that is kept", len(b)+len(itemKey(prefixItem, i.Key)))
+	t.Logf("%d bytes on disk with its history", len(b)+len(itemKey(prefixItem, i.Key)))
 	is.True(len(b) <= 400)
 
 	const many = 50_000
--- a/internal/control/storage/store_test.go
+++ b/internal/control/storage/store_test.go
@@ -20,8 +20,7 @@
 	"mulleinrouter/internal/cluster/registry"
 )
 
-// Whatever was acknowledged is there after a loss of power, and what was put later is there as a run of whole batches
-// from the front.
+// What was acknowledged is there after a loss of power, and of what was put later, a prefix of complete batches.
 func TestPowerLoss(t *testing.T) {
 	for seed := range uint64(6) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
@@ -29,35 +28,36 @@
 		want := []Batch{}
 		for range 4 {
 			is := is.New(t)
-			v, s, err := Open(fs, "d", log.NewNopLogger())
+			store, state, err := Open(fs, "d", log.NewNopLogger())
 			is.NoErr(err)
-			is.Equal(s.Empty, len(want) == 0)
-			n := countBatches(is, s, want)
+			is.Equal(state.Empty, len(want) == 0)
+			n := countBatches(is, state, want)
 			want = want[:n]
-			sure := n
+			acknowledged := n
 			for range 1 + rnd.IntN(60) {
 				b := randomBatch(rnd, len(want)+1)
 				want = append(want, b)
-				if ticket := v.Put(b); !b.NoSync && rnd.IntN(3) == 0 {
-					is.NoErr(ticket.Wait(t.Context()))
-					sure = len(want)
+				if future := store.Put(b); !b.NoSync && rnd.IntN(3) == 0 {
+					is.NoErr(future.Wait(t.Context()))
+					acknowledged = len(want)
 				}
 			}
 			crash := fs.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: rnd.IntN(2) * 50, RNG: rnd})
-			is.NoErr(v.Close())
+			is.NoErr(store.Close())
 			fs = crash
-			v, s, err = Open(fs, "d", log.NewNopLogger())
+			store, state, err = Open(fs, "d", log.NewNopLogger())
 			is.NoErr(err)
-			n = countBatches(is, s, want)
-			if n < sure {
-				t.Fatalf("seed %d: %d batches of %d that were acknowledged", seed, n, sure)
+			n = countBatches(is, state, want)
+			if n < acknowledged {
+				t.Fatalf("seed %d: %d batches of %d that were acknowledged", seed, n, acknowledged)
 			}
 			want = want[:n]
-			is.NoErr(v.Close())
+			is.NoErr(store.Close())
 		}
 	}
 }
 
+// randomBatch draws the nth batch.
 func randomBatch(rnd *rand.Rand, n int) Batch {
 	a := &consensus.Acceptor{Promised: consensus.Ballot{Round: uint64(n), Node: "a"}, Epoch: uint64(n)}
 	if n%2 == 0 {
@@ -87,40 +87,40 @@
 	return b
 }
 
-// countBatches finds how many of the batches make the state.
-func countBatches(is *is.I, s State, want []Batch) int {
+// countBatches checks that a state is what some first batches leave, and returns how many they are.
+func countBatches(is *is.I, state State, want []Batch) int {
 	is.Helper()
-	n := int(s.Acceptor.Epoch)
+	n := int(state.Acceptor.Epoch)
 	is.True(n <= len(want))
-	items, kept := map[string]uint64{}, map[string]uint64{}
+	items, instances := map[string]uint64{}, map[string]uint64{}
 	for _, b := range want[:n] {
-		for _, i := range b.Items {
-			items[i.Key.Name] = i.Version
+		for _, item := range b.Items {
+			items[item.Key.Name] = item.Version
 		}
-		for _, l := range b.Instances {
-			kept[l.ID] = l.Seq
+		for _, instance := range b.Instances {
+			instances[instance.ID] = instance.Seq
 		}
 		for _, id := range b.DeleteInstances {
-			delete(kept, id)
+			delete(instances, id)
 		}
 	}
-	is.Equal(len(s.Items), len(items))
-	for _, i := range s.Items {
-		is.Equal(items[i.Key.Name], i.Version)
+	is.Equal(len(state.Items), len(items))
+	for _, item := range state.Items {
+		is.Equal(items[item.Key.Name], item.Version)
 	}
-	is.Equal(len(s.Instances), len(kept))
-	for _, l := range s.Instances {
-		is.Equal(kept[l.ID], l.Seq)
+	is.Equal(len(state.Instances), len(instances))
+	for _, instance := range state.Instances {
+		is.Equal(instances[instance.ID], instance.Seq)
 	}
-	is.Equal(s.Empty, n == 0)
+	is.Equal(state.Empty, n == 0)
 	if n > 0 {
-		is.Equal(s.Acceptor.Electorate, want[n-1].Acceptor.Electorate)
-		is.Equal(s.Acceptor.Pending, want[n-1].Acceptor.Pending)
+		is.Equal(state.Acceptor.Electorate, want[n-1].Acceptor.Electorate)
+		is.Equal(state.Acceptor.Pending, want[n-1].Acceptor.Pending)
 	}
 	return n
 }
 
-// rejectingFS refuses writes and syncs while it is told to.
+// rejectingFS rejects writes and syncs while rejecting is set. A rejected write writes half.
 type rejectingFS struct {
 	vfs.FS
 	rejecting atomic.Bool
@@ -165,50 +165,50 @@
 	return f.File.Write(b)
 }
 
-// A disk that refuses fails those who wait, and takes all of it once it works again.
+// A disk that rejects writes fails those who wait for it, and has all that was put once it works again.
 func TestRejectingDisk(t *testing.T) {
 	is := is.New(t)
 	mem := vfs.NewCrashableMem()
 	fs := &rejectingFS{FS: mem, rejected: make(chan struct{}, 1)}
-	v, _, err := open(fs, "d", log.NewNopLogger(), time.Microsecond)
+	store, _, err := open(fs, "d", log.NewNopLogger(), time.Microsecond)
 	is.NoErr(err)
 	rnd := rand.New(rand.NewPCG(1, 1))
 	all := []Batch{randomBatch(rnd, 1)}
-	is.NoErr(v.Save(t.Context(), all[0]))
+	is.NoErr(store.Save(t.Context(), all[0]))
 	fs.rejecting.Store(true)
-	late, cancel := context.WithCancel(t.Context())
+	waiting, cancel := context.WithCancel(t.Context())
 	for n := 2; n < 6; n++ {
 		all = append(all, randomBatch(rnd, n))
 	}
 	all[len(all)-1].NoSync = false
 	var last *Future
 	for _, b := range all[1:] {
-		last = v.Put(b)
+		last = store.Put(b)
 	}
 	<-fs.rejected
 	cancel()
-	is.True(last.Wait(late) != nil)
+	is.True(last.Wait(waiting) != nil)
 	fs.rejecting.Store(false)
 	is.NoErr(last.Wait(t.Context()))
 	crash := mem.CrashClone(vfs.CrashCloneCfg{})
-	is.NoErr(v.Close())
-	is.True(v.Save(t.Context(), all[0]) != nil)
-	v, s, err := Open(crash, "d", log.NewNopLogger())
+	is.NoErr(store.Close())
+	is.True(store.Save(t.Context(), all[0]) != nil)
+	store, state, err := Open(crash, "d", log.NewNopLogger())
 	is.NoErr(err)
-	is.Equal(countBatches(is, s, all), len(all))
-	is.NoErr(v.Close())
+	is.Equal(countBatches(is, state, all), len(all))
+	is.NoErr(store.Close())
 }
 
-// A folder of version 2, whose voters never changed, is that of the first electorate.
+// A folder of format version 2, whose voters never changed, has the initial electorate.
 func TestOlderFormatVersion(t *testing.T) {
 	is := is.New(t)
 	fs := vfs.NewCrashableMem()
-	v, _, err := Open(fs, "d", log.NewNopLogger())
+	store, _, err := Open(fs, "d", log.NewNopLogger())
 	is.NoErr(err)
 	set := func(key []byte, value any) {
 		b, err := cbor.Marshal(value)
 		is.NoErr(err)
-		is.NoErr(v.db.Set(key, b, pebble.Sync))
+		is.NoErr(store.db.Set(key, b, pebble.Sync))
 	}
 	promised := consensus.Ballot{Round: 9, Node: "x/1"}
 	pending := consensus.Proposal{Ballot: promised, Epoch: 4, Items: []configuration.Item{{Version: 5}}}
@@ -219,31 +219,31 @@
 		Epoch    uint64           `cbor:"2,keyasint"`
 	}{promised, 3})
 	set(keyPending, pending)
-	is.NoErr(v.Close())
+	is.NoErr(store.Close())
 	want := consensus.Acceptor{
 		Promised:   promised,
 		Epoch:      3,
 		Electorate: consensus.InitialElectorate([]string{"x", "y", "z"}),
 		Pending:    &pending,
 	}
-	for range 2 { // as it was left, and as this version leaves it
-		v, s, err := Open(fs, "d", log.NewNopLogger())
+	for range 2 { // as version 2 left it, and as this version leaves it
+		store, state, err := Open(fs, "d", log.NewNopLogger())
 		is.NoErr(err)
-		is.True(!s.Empty)
-		is.Equal(s.Acceptor, want)
-		is.NoErr(v.Save(t.Context(), Batch{Acceptor: &s.Acceptor}))
-		is.NoErr(v.Close())
+		is.True(!state.Empty)
+		is.Equal(state.Acceptor, want)
+		is.NoErr(store.Save(t.Context(), Batch{Acceptor: &state.Acceptor}))
+		is.NoErr(store.Close())
 	}
-	v, _, err = Open(fs, "d", log.NewNopLogger())
+	store, _, err = Open(fs, "d", log.NewNopLogger())
 	is.NoErr(err)
-	b, closer, err := v.db.Get(keyVersion)
+	b, closer, err := store.db.Get(keyVersion)
 	is.NoErr(err)
 	var n int
 	is.NoErr(cbor.Unmarshal(b, &n))
 	is.Equal(n, formatVersion)
 	is.NoErr(closer.Close())
 	set(keyVersion, formatVersion+1)
-	is.NoErr(v.Close())
+	is.NoErr(store.Close())
 	_, _, err = Open(fs, "d", log.NewNopLogger())
 	is.True(err != nil)
 }
