--- a/internal/standalone/fleet/leaseservice/encoding_test.go
+++ b/internal/standalone/fleet/leaseservice/encoding_test.go
@@ -45,8 +45,16 @@
 			Body:   []byte("batch"),
 		}},
 		{"posted.cbor", exportResponse{Status: 200, Header: map[string][]string{"X-A": {"b"}}, Body: []byte("ok")}},
-		{"message_tell.cbor", revisionlog.Message{Kind: revisionlog.Announce, Token: 12, Entries: []revisionlog.Entry{full}}},
-		{"message_have.cbor", revisionlog.Message{Kind: revisionlog.Inventory, Token: 12, Entries: []revisionlog.Entry{brief}}},
+		{"message_tell.cbor", revisionlog.Message{
+			Kind:    revisionlog.Announce,
+			Token:   12,
+			Entries: []revisionlog.Entry{full},
+		}},
+		{"message_have.cbor", revisionlog.Message{
+			Kind:    revisionlog.Inventory,
+			Token:   12,
+			Entries: []revisionlog.Entry{brief},
+		}},
 		{"message_ask.cbor", revisionlog.Message{Kind: revisionlog.Query, Token: 12}},
 		{"announced.json", AnnouncerStatus{LastToken: 12, Holder: "n1", Rejected: 2, Entries: []revisionlog.Entry{brief}}},
 		{"record.json", revisionlog.Record{LastToken: 12, Entries: []revisionlog.Entry{full}}},
--- a/internal/standalone/fleet/leaseservice/errors.go
+++ b/internal/standalone/fleet/leaseservice/errors.go
@@ -23,7 +23,7 @@
 // CallError is an error with which the voters' leader answered an operator's call.
 type CallError struct{ Message string }
 
-func (e *CallError) Error() string { return e.Message }
+func (ce *CallError) Error() string { return ce.Message }
 
 // ExportError is the failure of an export at the ingress that holds RoleExport.
 type ExportError struct {
@@ -31,6 +31,6 @@
 	Message     string // of the lease holder
 }
 
-func (e *ExportError) Error() string {
-	return fmt.Sprintf("%s, which was to send it, could not: %s", e.LeaseHolder, e.Message)
+func (ee *ExportError) Error() string {
+	return fmt.Sprintf("%s, which was to send it, could not: %s", ee.LeaseHolder, ee.Message)
 }
--- a/internal/standalone/fleet/leaseservice/export.go
+++ b/internal/standalone/fleet/leaseservice/export.go
@@ -120,8 +120,8 @@
 type ExportTransport struct{ Service *Service }
 
 // RoundTrip hands a request to the lease holder, and returns the response of billing.
-func (t ExportTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	s := t.Service
+func (et ExportTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	s := et.Service
 	body, err := readBatch(r)
 	if err != nil {
 		return nil, err
--- a/internal/standalone/fleet/quorum/load_test.go
+++ b/internal/standalone/fleet/quorum/load_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// heldRoles counts the roles that somebody may act on, and checks that each has one holder.
-func (g *group) heldRoles(t *testing.T, roles int) (count int) {
+// assignedRoles counts the roles that somebody may act on, and checks that each has one holder.
+func (g *group) assignedRoles(t *testing.T, roles int) (count int) {
 	t.Helper()
 	for role := range roles {
 		holder := ""
@@ -140,7 +140,7 @@
 	}
 	g := newGroup(t, ingresses, roles)
 	g.run(12)
-	if got := g.heldRoles(t, roles); got != roles {
+	if got := g.assignedRoles(t, roles); got != roles {
 		t.Fatalf("%d roles are held, want %d", got, roles)
 	}
 
@@ -158,19 +158,19 @@
 
 	g.partitioned = true
 	g.run(10)
-	if got := g.heldRoles(t, roles); got != 0 {
+	if got := g.assignedRoles(t, roles); got != 0 {
 		t.Errorf("%d roles are held without any voter, want 0", got)
 	}
 
 	g.partitioned = false
 	began := g.now
 	const recoverySeconds = 20
-	for g.heldRoles(t, roles) < roles && g.now < began+recoverySeconds {
+	for g.assignedRoles(t, roles) < roles && g.now < began+recoverySeconds {
 		g.run(0.5)
 	}
 	t.Logf("after 10 s without voters all roles are held again after %.1f s", g.now-began)
 	if g.now >= began+recoverySeconds {
-		t.Errorf("%d roles are held again, want %d", g.heldRoles(t, roles), roles)
+		t.Errorf("%d roles are held again, want %d", g.assignedRoles(t, roles), roles)
 	}
 }
 
--- a/internal/standalone/fleet/quorum/messages.go
+++ b/internal/standalone/fleet/quorum/messages.go
@@ -26,10 +26,10 @@
 	LastIndex    uint64            `cbor:"6,keyasint,omitempty"` // of a hello: the last entry that the sender has
 	Bootstrapped bool              `cbor:"7,keyasint,omitempty"` // the sender's store knows its voters
 	Progress     PeerProgress      `cbor:"8,keyasint,omitempty"` // of the receiver, as the sender knows it
-	Match        map[uint64]uint64 `cbor:"9,keyasint,omitempty"` // of a leader: the index that each voter has acknowledged
+	Match        map[uint64]uint64 `cbor:"9,keyasint,omitempty"` // of a leader: the index that each voter acknowledged
 	Voters       map[uint64]string `cbor:"10,keyasint,omitempty"`
 	TokenBase    uint64            `cbor:"11,keyasint,omitempty"`
-	Waiting      bool              `cbor:"12,keyasint,omitempty"` // of a progress: the sender is in State Waiting itself
+	Waiting      bool              `cbor:"12,keyasint,omitempty"` // of a progress: the sender is Waiting itself
 }
 
 // Message is an encoded envelope to a voter.
--- a/internal/standalone/fleet/revisionlog/messages.go
+++ b/internal/standalone/fleet/revisionlog/messages.go
@@ -58,8 +58,8 @@
 }
 
 // FromLeaseHolder reports whether only the lease holder sends messages of the kind.
-func (k MessageKind) FromLeaseHolder() bool {
-	switch k {
+func (mk MessageKind) FromLeaseHolder() bool {
+	switch mk {
 	case Query, Announce, Reject, Fetch:
 		return true
 	default:
