--- a/internal/dataplane/attempt/dispatcher.go
+++ b/internal/dataplane/attempt/dispatcher.go
@@ -5,6 +5,7 @@
 	"fmt"
 
 	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/mutants"
 )
 
 // Dispatcher owns the decision module's gateway and the pending requests. H is the type of the requests' host. It is
@@ -105,7 +106,7 @@
 		d.effects = append(d.effects, IllegalStep[H]{q, err})
 		return d.effects
 	}
-	if finished && !mutated("ended-stays") {
+	if finished && !mutants.On("attempt/ended-stays") {
 		delete(d.pending, q.id)
 	}
 	d.handle(now, decision.AttemptEnded{
@@ -115,9 +116,9 @@
 		Outcome:      outcome,
 		Duration:     now - q.sentAt,
 		Answered:     finished,
-		BodyConsumed: q.machine.bodyConsumed && !mutated("spent-untold"),
+		BodyConsumed: q.machine.bodyConsumed && !mutants.On("attempt/spent-untold"),
 	})
-	if abandoned && !mutated("gone-untold") {
+	if abandoned && !mutants.On("attempt/gone-untold") {
 		d.effects = append(d.effects, Notify[H]{q, Decision{Kind: NoAnswer}})
 	}
 	return d.effects
@@ -132,7 +133,7 @@
 	if q.phase() != InFlight || q.machine.AtMostOnce || q.machine.bodyConsumed {
 		return false
 	}
-	return d.gateway.ShouldAbandon(now, q.id) || mutated("impatient-always")
+	return d.gateway.ShouldAbandon(now, q.id) || mutants.On("attempt/impatient-always")
 }
 
 // BodyUploaded reports that a request's streamed body has been written completely: the server's time counts from now
@@ -153,7 +154,7 @@
 	if finished {
 		delete(d.pending, q.id)
 	}
-	if !mutated("leaving-untold") {
+	if !mutants.On("attempt/leaving-untold") {
 		d.handle(now, decision.ClientGone{ID: q.id})
 	}
 	if finished {
@@ -211,7 +212,7 @@
 		d.gateway.BodyUploading(q.id)
 	}
 	deadline := q.deadline
-	if mutated("no-time-out") {
+	if mutants.On("attempt/no-time-out") {
 		deadline += 60
 	}
 	if a.Timeout > 0 {
@@ -242,7 +243,7 @@
 		return
 	}
 	final := Decision{Kind: Fail}
-	if mutated("fail-refuses") {
+	if mutants.On("attempt/fail-refuses") {
 		final.Kind = Reject
 	}
 	d.finish(q, q.machine.Fail(), final)
@@ -258,7 +259,7 @@
 	if d.finishNonIdempotent && q.machine.AtMostOnce && q.phase() == Abandoned {
 		return
 	}
-	if !mutated("cancel-lost") {
+	if !mutants.On("attempt/cancel-lost") {
 		d.effects = append(d.effects, CancelAttempt[H]{q, a.Attempt})
 	}
 }
--- a/internal/dataplane/attempt/gateway.go
+++ b/internal/dataplane/attempt/gateway.go
@@ -1,6 +1,9 @@
 package attempt
 
-import "mulleinrouter/internal/decision"
+import (
+	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/mutants"
+)
 
 // The methods below pass on to the gateway what concerns no single request.
 
@@ -52,7 +55,7 @@
 
 // ExpectDisruption announces a planned disruption that lasts until a time: see decision.Gateway.ExpectDisruption.
 func (d *Dispatcher[H]) ExpectDisruption(until decision.Seconds) {
-	if !mutated("planned-untold") {
+	if !mutants.On("attempt/planned-untold") {
 		d.gateway.ExpectDisruption(until)
 	}
 }
--- a/internal/dataplane/attempt/machine.go
+++ b/internal/dataplane/attempt/machine.go
@@ -4,6 +4,7 @@
 	"fmt"
 
 	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/mutants"
 )
 
 // Phase is a phase of a request's life cycle.
@@ -75,7 +76,7 @@
 		return false, fmt.Errorf("attempt ended while %v: %w", m.phase, ErrPhase)
 	}
 	m.mayHaveRun = m.mayHaveRun || !outcome.ProvesNotExecuted()
-	if m.phase == Abandoned && !mutated("deserted-waits") || outcome == decision.Succeeded {
+	if m.phase == Abandoned && !mutants.On("attempt/deserted-waits") || outcome == decision.Succeeded {
 		m.phase = Finished
 		return true, nil
 	}
@@ -112,7 +113,7 @@
 		m.phase = Finished
 		return true
 	case InFlight:
-		if mutated("left-is-over") {
+		if mutants.On("attempt/left-is-over") {
 			m.phase = Finished
 			return true
 		}
--- a/internal/dataplane/clientconn/body_progress.go
+++ b/internal/dataplane/clientconn/body_progress.go
@@ -1,6 +1,9 @@
 package clientconn
 
-import "mulleinrouter/internal/decision"
+import (
+	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/mutants"
+)
 
 const (
 	// bodyGracePeriod is for how long a body may be awaited before its rate counts.
@@ -45,8 +48,8 @@
 	if bp.Streamed {
 		maxStall = maxStreamedStall
 	}
-	if stall > maxStall && !mutated("stall-for-ever") {
+	if stall > maxStall && !mutants.On("clientconn/stall-for-ever") {
 		return true
 	}
-	return bp.waited+stall > bodyGracePeriod+float64(bp.received)/minBodyRate && !mutated("trickle-for-ever")
+	return bp.waited+stall > bodyGracePeriod+float64(bp.received)/minBodyRate && !mutants.On("clientconn/trickle-for-ever")
 }
--- a/internal/dataplane/clientconn/eviction.go
+++ b/internal/dataplane/clientconn/eviction.go
@@ -1,6 +1,9 @@
 package clientconn
 
-import "mulleinrouter/internal/decision"
+import (
+	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/mutants"
+)
 
 // Evictable reports whether the connection may be closed for want of room: it is unproductive, or it is idle and was
 // served before.
@@ -8,7 +11,7 @@
 	if m.closeCode != "" {
 		return false // it is being closed anyway
 	}
-	if m.state == Deciding && mutated("busy-spared") {
+	if m.state == Deciding && mutants.On("clientconn/busy-spared") {
 		return true
 	}
 	return m.unproductive(now) || m.state == Idle && !m.unused && !m.requestPending
--- a/internal/dataplane/clientconn/machine.go
+++ b/internal/dataplane/clientconn/machine.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/mutants"
 )
 
 // State is a state of a client's connection.
@@ -90,13 +91,13 @@
 		err = fmt.Errorf("%v while %v: %w", to, m.state, ErrStep)
 		m.closeCode = cmp.Or(m.closeCode, codeIllegalStep)
 	}
-	if to == Idle && !keepOpen && m.closeCode == "" && !mutated("drained-stays") {
+	if to == Idle && !keepOpen && m.closeCode == "" && !mutants.On("clientconn/drained-stays") {
 		m.closeCode = CodeDrain
 	}
 	if to == Idle && m.closeCode != "" && !m.ServesPending() {
 		return false, false, err
 	}
-	resumeReads = m.closeCode != "" && readsRequest(to) && !mutated("taken-is-cut")
+	resumeReads = m.closeCode != "" && readsRequest(to) && !mutants.On("clientconn/taken-is-cut")
 	m.unused = m.unused && (to == Idle || to == ReadingHead || to == ReadingBody)
 	if !m.unused {
 		m.since = now
@@ -116,7 +117,7 @@
 // ServesPending reports whether a request that has begun to arrive on the idle connection is served before the
 // connection is closed.
 func (m *Machine) ServesPending() bool {
-	return m.timeouts != nil && m.timeouts.ServePending && !m.closeAnnounced && !mutated("asked-dropped")
+	return m.timeouts != nil && m.timeouts.ServePending && !m.closeAnnounced && !mutants.On("clientconn/asked-dropped")
 }
 
 // SetRequestPending records that bytes of a request have arrived on the idle connection that nobody has read yet:
@@ -147,7 +148,7 @@
 	age, timeouts := now-m.since, cmp.Or(m.timeouts, &defaultTimeouts)
 	switch m.state {
 	case ReadingHead: // even if it was closed as unused when the first byte arrived
-		if age > timeouts.Head && !mutated("head-for-ever") {
+		if age > timeouts.Head && !mutants.On("clientconn/head-for-ever") {
 			return CodeSlowRequest
 		}
 	case ReadingBody, Uploading, Discarding:
@@ -179,6 +180,6 @@
 	if m.closeCode == "" && crowded {
 		m.closeCode = CodeEvicted
 	}
-	m.closeAnnounced = m.closeCode != "" && !mutated("last-kept") || !keepOpen
+	m.closeAnnounced = m.closeCode != "" && !mutants.On("clientconn/last-kept") || !keepOpen
 	return m.closeAnnounced
 }
--- a/internal/dataplane/http1/append.go
+++ b/internal/dataplane/http1/append.go
@@ -1,22 +1,36 @@
 package http1
 
-import (
-	"strconv"
-)
+import "strconv"
 
+// reasons are the reason phrases of status lines.
 var reasons = map[int]string{
-	200: "OK", 201: "Created", 202: "Accepted", 204: "No Content", 400: "Bad Request", 401: "Unauthorized", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict",
-	413: "Content Too Large", 417: "Expectation Failed", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
-	500: "Internal Server Error", 502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout",
+	200: "OK",
+	201: "Created",
+	202: "Accepted",
+	204: "No Content",
+	400: "Bad Request",
+	401: "Unauthorized",
+	404: "Not Found",
+	405: "Method Not Allowed",
+	408: "Request Timeout",
+	409: "Conflict",
+	413: "Content Too Large",
+	417: "Expectation Failed",
+	429: "Too Many Requests",
+	431: "Request Header Fields Too Large",
+	500: "Internal Server Error",
+	502: "Bad Gateway",
+	503: "Service Unavailable",
+	504: "Gateway Timeout",
 }
 
-// AppendHead begins an answer: the status line and the length of the body. Headers may follow; an
-// empty line ends them.
+// AppendHead begins an answer: the status line and the length of the body in bytes. Fields may follow; an empty line
+// ends them.
 func AppendHead(b []byte, status, length int) []byte {
 	return AppendLength(AppendStatus(b, status), length)
 }
 
-// AppendStatus is an answer's status line alone.
+// AppendStatus appends an answer's status line.
 func AppendStatus(b []byte, status int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -25,14 +39,15 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendLength adds the length of the body.
+// AppendLength appends the field that states the length of the body, in bytes.
 func AppendLength(b []byte, length int) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, int64(length), 10)
 	return append(b, "\r\n"...)
 }
 
-// AppendFraming tells how the end of a body is known: by its length, or, where that is -1, by its last chunk.
+// AppendFraming appends the field that states how the body ends: its length in bytes, or, where that is -1, that it is
+// chunked.
 func AppendFraming(b []byte, length int64) []byte {
 	if length < 0 {
 		return AppendField(b, "Transfer-Encoding", "chunked")
@@ -49,7 +64,7 @@
 	return AppendField(b, "Host", host)
 }
 
-// AppendField adds a header.
+// AppendField appends a field.
 func AppendField(b []byte, name, value string) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
@@ -57,7 +72,7 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendSeconds adds a header that states a span in seconds, to the millisecond.
+// AppendSeconds appends a field that states a duration in seconds, to the millisecond.
 func AppendSeconds(b []byte, name string, seconds float64) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
@@ -65,11 +80,15 @@
 	return append(b, "\r\n"...)
 }
 
-// ChunkRoom is what Chunk needs before a piece of a body, and ChunkEnd behind it, a last chunk without a trailer included.
-const ChunkPrefix, ChunkSuffix = 10, 7
+// ChunkPrefix is how many bytes FrameChunk needs before the content of a chunk, and ChunkSuffix after it, with a last
+// chunk without a trailer.
+const (
+	ChunkPrefix = 10
+	ChunkSuffix = 7
+)
 
-// Chunk makes one chunk, in place, of the n bytes that stand at ChunkRoom in b, so that a single write sends it. Without
-// bytes there is nothing to send: an empty chunk would be the last.
+// FrameChunk frames the n bytes at ChunkPrefix in b as one chunk, in place, so that a single write sends it. For no
+// bytes it returns nothing: an empty chunk would be the last.
 func FrameChunk(b []byte, n int) []byte {
 	if n == 0 {
 		return nil
--- a/internal/dataplane/http1/chunked.go
+++ b/internal/dataplane/http1/chunked.go
@@ -12,19 +12,28 @@
 	"strings"
 )
 
-// chunks reads a chunked body up to and with its trailer.
+// The framing of a chunked body may take so many bytes, and a multiple of its content: a chunk a byte is legal, lines
+// without end for no content are not.
+const (
+	maxChunkFraming    = 64 << 10
+	chunkFramingFactor = 16
+)
+
+// chunkedReader reads a chunked body up to its trailer, and that.
 type chunkedReader struct {
-	reader                     *Reader
-	remaining                  uint64
-	framingBytes, contentBytes int64 // bytes of framing and of content so far
-	begun                      bool
-	trailer                    textproto.MIMEHeader
-	err                        error
+	reader       *Reader
+	remaining    uint64 // bytes of the current chunk
+	framingBytes int64  // read so far
+	contentBytes int64  // read so far
+	begun        bool   // the first chunk has begun
+	trailer      textproto.MIMEHeader
+	err          error // that ended the body; io.EOF at its end
 }
 
+// Read reads content.
 func (c *chunkedReader) Read(p []byte) (int, error) {
 	if c.err == nil && c.remaining == 0 {
-		c.err = c.next()
+		c.err = c.nextChunk()
 	}
 	if c.err != nil {
 		return 0, c.err
@@ -39,31 +48,41 @@
 	return n, err
 }
 
-func (c *chunkedReader) next() error {
+// nextChunk reads up to the content of the next chunk. io.EOF: there is none, and the trailer was read.
+func (c *chunkedReader) nextChunk() error {
 	if c.begun {
-		if line, err := c.line(); err != nil || len(line) > 0 {
+		line, err := c.readLine()
+		if err != nil || len(line) > 0 {
 			return cmp.Or(err, ErrFraming)
 		}
 	}
 	c.begun = true
-	line, err := c.line()
+	line, err := c.readLine()
 	if err != nil {
 		return err
 	}
 	size, _, _ := bytes.Cut(line, []byte(";"))
-	if c.remaining, err = strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 32); err != nil {
+	c.remaining, err = strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 32)
+	if err != nil {
 		return fmt.Errorf("%w: chunk size %.20q", ErrFraming, size)
 	}
 	if c.remaining > 0 {
 		return nil
 	}
-	for room := MaxHead; ; { // the trailer is held: a peer could else send one without end
-		line, err := c.line()
+	return c.readTrailer()
+}
+
+// readTrailer reads the fields after the last chunk, and returns io.EOF. They are buffered, so that they are bounded: a
+// peer could else send them without end.
+func (c *chunkedReader) readTrailer() error {
+	for remaining := MaxHead; ; {
+		line, err := c.readLine()
 		if err != nil || len(line) == 0 {
 			return cmp.Or(err, io.EOF)
 		}
+		remaining -= len(line)
 		name, value, ok := strings.Cut(string(line), ":")
-		if room -= len(line); room < 0 || !ok || !validFieldName(name) || !validFieldValue(value) {
+		if remaining < 0 || !ok || !validFieldName(name) || !validFieldValue(value) {
 			return fmt.Errorf("%w: trailer %.40q", ErrFraming, line)
 		}
 		if c.trailer == nil {
@@ -73,8 +92,8 @@
 	}
 }
 
-// line reads a line of the framing. One longer than the buffer is no framing.
-func (c *chunkedReader) line() ([]byte, error) {
+// readLine reads a line of the framing. One longer than the buffer is no framing.
+func (c *chunkedReader) readLine() ([]byte, error) {
 	line, err := c.reader.buf.ReadSlice('\n')
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
@@ -84,12 +103,14 @@
 	case err != nil:
 		return nil, err
 	}
-	if c.framingBytes += int64(len(line)); c.framingBytes > maxChunkFraming+chunkFramingFactor*c.contentBytes {
+	c.framingBytes += int64(len(line))
+	if c.framingBytes > maxChunkFraming+chunkFramingFactor*c.contentBytes {
 		return nil, ErrBodyTooLarge
 	}
 	line, ok := bytes.CutSuffix(line, []byte("\r\n"))
 	if !ok || bytes.IndexByte(line, '\r') >= 0 {
-		return nil, ErrFraming // RFC 9112, 7.1: where a reader takes less for a line's end, another sees another message
+		// RFC 9112, 7.1: a reader that accepts another end of a line sees another message than one that does not.
+		return nil, ErrFraming
 	}
 	return line, nil
 }
--- a/internal/dataplane/ingress/serve_bench_test.go
+++ b/internal/dataplane/ingress/serve_bench_test.go
@@ -32,12 +32,13 @@
 func BenchmarkServe(b *testing.B) {
 	backend := listen(b)
 	go acceptEach(backend, answerRequests)
+	backendAddr := backend.Addr().String() // once: its allocations are not the server's
 	server, _ := newTestServer(decision.Settings{
 		Gateways:    1,
 		MaxAttempts: 1,
 		Classes:     []decision.Class{readClass},
 		Plans:       []decision.Plan{{Name: "plus", Rate: 1e9, Burst: 1e9, ValueWeight: 1}},
-	}, backend.Addr().String, 4, 8)
+	}, func() string { return backendAddr }, 4, 8)
 	listener := listen(b)
 	go server.Serve(listener)
 	client := dial(b, listener)
--- a/internal/dataplane/upstreamconn/idle_pool.go
+++ b/internal/dataplane/upstreamconn/idle_pool.go
@@ -1,6 +1,9 @@
 package upstreamconn
 
-import "mulleinrouter/internal/decision"
+import (
+	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/mutants"
+)
 
 // IdlePool keeps the idle connections to all servers, and counts the open ones. C is what the host has for a
 // connection.
@@ -35,7 +38,7 @@
 		return c, false
 	}
 	last := len(conns) - 1
-	if !mutated("taken-stays") {
+	if !mutants.On("upstreamconn/taken-stays") {
 		ip.set(server, conns[:last])
 	}
 	return conns[last], true
@@ -77,7 +80,7 @@
 
 // Put returns a connection to the pool.
 func (ip *IdlePool[C]) Put(server string, c C, now decision.Seconds) {
-	if mutated("put-twice") {
+	if mutants.On("upstreamconn/put-twice") {
 		ip.idle[server] = append(ip.idle[server], IdleConn[C]{c, now})
 	}
 	ip.idle[server] = append(ip.idle[server], IdleConn[C]{c, now})
@@ -85,7 +88,7 @@
 
 // Closed records that an open connection was closed, or that one that was reserved could not be opened.
 func (ip *IdlePool[C]) Closed() {
-	if !mutated("gone-uncounted") {
+	if !mutants.On("upstreamconn/gone-uncounted") {
 		ip.open--
 	}
 }
--- a/internal/dataplane/upstreamconn/machine.go
+++ b/internal/dataplane/upstreamconn/machine.go
@@ -4,6 +4,7 @@
 	"fmt"
 
 	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/mutants"
 )
 
 // State is a state of a connection.
@@ -68,7 +69,7 @@
 		return m.illegal("failed writing")
 	}
 	m.state = Ended
-	if mutated("unwritten-kept") {
+	if mutants.On("upstreamconn/unwritten-kept") {
 		m.state = Idle
 		return Verdict{Outcome: decision.ConnectionRefused, Reusable: true}
 	}
@@ -90,7 +91,7 @@
 		return m.illegal("answered early")
 	}
 	m.state = Ended
-	if mutated("early-kept") {
+	if mutants.On("upstreamconn/early-kept") {
 		m.state = Idle
 		return Verdict{Outcome: OutcomeOf(a), Reusable: true}
 	}
@@ -113,7 +114,7 @@
 		return false
 	}
 	m.foreignAnswers++
-	return m.foreignAnswers <= maxForeignAnswers || mutated("others-endless")
+	return m.foreignAnswers <= maxForeignAnswers || mutants.On("upstreamconn/others-endless")
 }
 
 // Answered is the end by an answer. With bytes behind it, it answers its request all the same, but the connection is
@@ -133,13 +134,13 @@
 // closeCode returns the log code for which the connection is closed after an answer; "": it is reusable.
 func (m *Machine) closeCode(a Answer, cancelled bool) string {
 	switch {
-	case a.TrailingBytes && !mutated("more-kept"):
+	case a.TrailingBytes && !mutants.On("upstreamconn/more-kept"):
 		return "upstream-bad-answer"
-	case m.foreignAnswers > 0 && !mutated("other-kept"):
+	case m.foreignAnswers > 0 && !mutants.On("upstreamconn/other-kept"):
 		return "upstream-bad-answer" // more of them may follow
-	case a.Close && !mutated("close-kept"):
+	case a.Close && !mutants.On("upstreamconn/close-kept"):
 		return "upstream-close"
-	case cancelled && !mutated("cancelled-kept"):
+	case cancelled && !mutants.On("upstreamconn/cancelled-kept"):
 		return "upstream-not-needed" // the cancellation may change its deadline at any time from now on
 	}
 	return ""
@@ -162,9 +163,9 @@
 	reusable := m.state == Streaming && !m.closeAfterStream
 	m.state = Ended
 	switch {
-	case !complete && !mutated("cut-kept"):
+	case !complete && !mutants.On("upstreamconn/cut-kept"):
 		return Verdict{Code: "upstream-stream-cut"}
-	case trailingBytes && !mutated("stream-more-kept"), !reusable:
+	case trailingBytes && !mutants.On("upstreamconn/stream-more-kept"), !reusable:
 		return Verdict{Code: "upstream-stream-ended"}
 	}
 	m.state = Idle
@@ -178,13 +179,13 @@
 	}
 	m.state = Ended
 	switch {
-	case mutated("reset-proves") && failure == ConnectionLost:
+	case mutants.On("upstreamconn/reset-proves") && failure == ConnectionLost:
 		return Verdict{Outcome: decision.ConnectionRefused, Code: "upstream-reset"}
-	case mutated("late-proves") && failure == TimedOut:
+	case mutants.On("upstreamconn/late-proves") && failure == TimedOut:
 		return Verdict{Outcome: decision.NotSent, Code: "upstream-timeout"}
-	case mutated("cancel-proves") && failure == Cancelled:
+	case mutants.On("upstreamconn/cancel-proves") && failure == Cancelled:
 		return Verdict{Outcome: decision.NotSent, Code: "upstream-cancelled"}
-	case mutated("spoilt-kept") && failure == Malformed:
+	case mutants.On("upstreamconn/spoilt-kept") && failure == Malformed:
 		m.state = Idle
 		return Verdict{Outcome: decision.Failed, Reusable: true}
 	}
--- a/internal/dataplane/upstreamconn/verdict.go
+++ b/internal/dataplane/upstreamconn/verdict.go
@@ -1,6 +1,9 @@
 package upstreamconn
 
-import "mulleinrouter/internal/decision"
+import (
+	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/mutants"
+)
 
 // Failure is how a connection failed.
 type Failure uint8
@@ -36,10 +39,10 @@
 	switch {
 	case a.Status == 200:
 		return decision.Succeeded
-	case (a.Status == 503 || a.Status == 504) && (a.NotProcessed || mutated("busy-unproven")):
+	case (a.Status == 503 || a.Status == 504) && (a.NotProcessed || mutants.On("upstreamconn/busy-unproven")):
 		return decision.Rejected
 	}
-	if mutated("error-proves") {
+	if mutants.On("upstreamconn/error-proves") {
 		return decision.Rejected
 	}
 	return decision.Failed
