--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -5,195 +5,196 @@
 	"slices"
 )
 
+const (
+	// A first attempt is given up as lost after this part of the latency target, and not before this many
+	// typical latencies.
+	lostAttemptFraction  = 0.3
+	lostAttemptLatencies = 10.0
+)
+
+// request is a client's request from its arrival until it is answered and no attempt of it is in flight.
 type request struct {
 	Request
-	class            *Class
-	pool             *pool // of the backends that it may go to
-	c                *customer
-	arrived, dueAt   Seconds
-	common           Seconds // the common part of the ceiling lets it through until then; 0: it does not
-	value            float64
-	attempts         []attempt
-	out              int // attempts
-	inside, answered bool
-	spare            bool    // beyond the quota, or too late to earn its worth: waits for nothing
-	aimAt            Seconds // an answer by then earns the whole worth
-}
+	class     *Class
+	pool      *backendPool // of the backends that it may go to
+	customer  *customer
+	arrivedAt Seconds
+	deadline  Seconds
+	targetAt  Seconds // an answer by then earns the full value
 
-type attempt struct {
-	b             *backend
-	sent          Seconds
-	ended, mayRun bool // mayRun: it may have run, or may yet
-	slow, late    bool // it has been counted as slow, or as failed, for the aim has passed
-}
+	value      float64
+	conforming bool // to its quota
+	// Over quota, or too late to earn its full value: it may use a part of the limits.
+	lowPriority      bool
+	sharedLimitUntil Seconds // until then the shared part of the rate limit admits it; 0: it does not
 
-// send starts the first attempt, or holds the request until a backend can take it.
-func (g *Gateway) send(r *request) {
-	switch b := g.pick(r); {
-	case b != nil:
-		g.start(r, b)
-	case g.now >= r.holdUntil():
-		// No later look would come in time (h440035: a client's last try with 40 ms left was lost).
-		g.refuse(r)
-	default:
-		g.held = append(g.held, r)
-	}
+	attempts []attempt
+	inFlight int // attempts
+	answered bool
 }
 
-// holdUntil is when a request that finds no backend is to be refused.
-func (r *request) holdUntil() Seconds {
-	wait := cmp.Or(r.class.MaxQueueTime, holdShare*r.class.LatencyTarget)
-	return min(r.arrived+wait, r.aimAt, r.dueAt-2*tickEvery)
+// attempt is one attempt of a request at a backend.
+type attempt struct {
+	backend         *backend
+	sentAt          Seconds
+	ended           bool
+	mayHaveExecuted bool // or may yet
+	countedSlow     bool // it has lowered the backend's limit
+	countedLate     bool // it is past the latency target and has counted as a failure
 }
 
-func (g *Gateway) start(r *request, b *backend) {
-	if c := r.c; len(r.attempts) == 0 && g.now > r.common {
-		if g.topUp(c); c.plan.LimitRate > 0 && c.ceiling < r.Units {
-			g.refuse(r)
-			return
-		}
-		c.ceiling = max(0, c.ceiling-r.Units)
-	}
-	timeout, rest, patience := 0.0, r.aimAt-g.now, g.patienceWith(r)
-	if r.class.Effect == Idempotent && r.class.LateValue == 0 && rest > 0 && rest+tickEvery <= r.dueAt-g.now {
-		timeout = rest + tickEvery // nothing is earned after the aim: free the backend
-		// Far beyond the usual time none will come (the connection fell silent): another can be in time.
-		early := max(silentShare*r.class.LatencyTarget, silentTimes*r.pool.lat)
-		if len(r.attempts) == 0 && 2*early < rest {
-			timeout = early
-		}
+// startAttempt sends a request to a backend, unless its hard rate limit rejects it.
+func (g *Gateway) startAttempt(r *request, b *backend) {
+	first := len(r.attempts) == 0
+	if first && !g.takeLimitTokens(r) {
+		g.reject(r)
+		return
 	}
+	slowAfter := g.slowAttemptTimeout(r)
+	timeout := g.attemptTimeout(r)
 	if timeout > 0 {
-		patience = 0
-	}
-	r.attempts = append(r.attempts, attempt{b: b, sent: g.now, mayRun: true})
-	r.out++
-	r.c.open++
-	b.out++
-	b.usedAt = g.now
-	if b.waiting == 0 {
-		b.waiting = g.now
-	}
-	if g.cold(b) < 1 {
-		b.tokens--
+		slowAfter = 0
 	}
-	r.pool.sentRate += 1 / sentSpan
-	if !b.good {
-		r.pool.trials--
+	r.attempts = append(r.attempts, attempt{backend: b, sentAt: g.now, mayHaveExecuted: true})
+	r.inFlight++
+	r.customer.inFlight++
+	g.countSent(b)
+	if first {
+		r.pool.retryBudget.ObserveFirstAttempt()
 	}
-	if len(r.attempts) == 1 {
-		r.pool.retries.First()
-	}
-	g.do(Send{r.ID, b.ID, timeout, !r.inside, patience})
+	g.emit(Send{ID: r.ID, Backend: b.ID, Timeout: timeout, OverQuota: !r.conforming, SlowAfter: slowAfter})
+}
+
+// attemptTimeout is when the next attempt of a request is to be given up; 0: when the client gives up.
+func (g *Gateway) attemptTimeout(r *request) Seconds {
+	rest := r.targetAt - g.now
+	if r.class.Effect != Idempotent || r.class.LateValue != 0 {
+		return 0
+	}
+	if rest <= 0 || rest+tickInterval > r.deadline-g.now {
+		return 0
+	}
+	// Long after the typical latency no answer will come, as the connection is dead: another attempt can be
+	// in time.
+	early := max(lostAttemptFraction*r.class.LatencyTarget, lostAttemptLatencies*r.pool.latency)
+	if len(r.attempts) == 0 && 2*early < rest {
+		return early
+	}
+	return rest + tickInterval // nothing is earned after the target: free the backend
 }
 
-// again decides what follows an attempt that was not served. What may have run is sent again if harmless.
-func (g *Gateway) again(r *request, proven, spent bool) {
-	late := g.now > r.aimAt && r.class.LateValue == 0 || r.dueAt-g.now <= 2*g.s.AnswerSlack
-	most := cmp.Or(r.class.MaxAttempts, g.s.MaxAttempts)
-	if (r.class.Effect == Idempotent || !r.mayHaveRun()) && !late && !spent && len(r.attempts) < most {
-		if b := g.pick(r); b != nil && r.pool.retries.Again(g.now, proven, len(g.held) > 0) {
-			g.start(r, b)
+// retryOrFail decides what follows an attempt that was not served. What may have been executed is sent again
+// only where that does no harm.
+func (g *Gateway) retryOrFail(r *request, provenNotExecuted, bodyConsumed bool) {
+	late := g.now > r.targetAt && r.class.LateValue == 0 || r.deadline-g.now <= 2*g.settings.AnswerSlack
+	maxAttempts := cmp.Or(r.class.MaxAttempts, g.settings.MaxAttempts)
+	safe := r.class.Effect == Idempotent || !r.mayHaveExecuted()
+	if safe && !late && !bodyConsumed && len(r.attempts) < maxAttempts {
+		b := g.selectBackend(r)
+		if b != nil && r.pool.retryBudget.Take(g.now, provenNotExecuted, len(g.queue) > 0) {
+			g.startAttempt(r, b)
 			return
 		}
 	}
-	g.giveUp(r)
+	g.failRequest(r)
 }
 
-func (r *request) mayHaveRun() bool {
-	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayRun })
+func (r *request) mayHaveExecuted() bool {
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayHaveExecuted })
 }
 
-// giveUp gives the final answer: a refusal only where a new try surely does no harm.
-func (g *Gateway) giveUp(r *request) {
-	if !r.mayHaveRun() || r.class.Effect == Idempotent || r.class.Effect == IdempotentByKey && r.class.Scope == ScopeAll {
-		g.refuse(r)
+// failRequest gives the final answer of a request that was not served: a rejection only where a retry by the
+// client surely does no harm.
+func (g *Gateway) failRequest(r *request) {
+	deduplicated := r.class.Effect == IdempotentByKey && r.class.Scope == ScopeAll
+	if !r.mayHaveExecuted() || r.class.Effect == Idempotent || deduplicated {
+		g.reject(r)
 		return
 	}
-	g.do(Fail{r.ID})
-	g.end(r)
+	g.emit(Fail{ID: r.ID})
+	g.finish(r)
 }
 
-func (g *Gateway) cancel(r *request) {
+func (g *Gateway) cancelAttempts(r *request) {
+	if !g.settings.MayCancel {
+		return
+	}
 	for i := range r.attempts {
-		if !r.attempts[i].ended && g.s.MayCancel {
-			g.do(Cancel{r.ID, i})
+		if !r.attempts[i].ended {
+			g.emit(Cancel{ID: r.ID, Attempt: i})
 		}
 	}
 }
 
-func (g *Gateway) ended(e AttemptEnded) {
+// handleDisconnect ends a request whose client has gone.
+func (g *Gateway) handleDisconnect(e ClientDisconnected) {
+	r := g.requests[e.ID]
+	if r == nil || r.answered {
+		return
+	}
+	g.finish(r)
+	g.cancelAttempts(r)
+}
+
+// handleAttemptEnded learns from the outcome of an attempt, and answers the request or retries it.
+func (g *Gateway) handleAttemptEnded(e AttemptEnded) {
 	r := g.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
 		return
 	}
 	a := &r.attempts[e.Attempt]
-	b, proven := a.b, e.Outcome.ProvesNotExecuted()
-	a.ended, a.mayRun = true, !proven
-	r.out--
-	r.c.open--
-	b.waiting = 0
-	if b.out--; b.out > 0 {
-		b.waiting = g.now
-	}
-	if e.Outcome == TimedOut || e.Outcome == Cancelled {
-		b.ghosts++ // whether work stops when nobody waits for it is not told
-	}
-	g.judge(b, r, a, e)
+	proven := e.Outcome.ProvesNotExecuted()
+	a.ended = true
+	a.mayHaveExecuted = !proven
+	r.inFlight--
+	r.customer.inFlight--
+	g.countEnded(a.backend, e.Outcome)
+	g.observeOutcome(a.backend, r, a, e)
 	if e.Outcome != Cancelled && e.Outcome != NotSent {
-		r.pool.retries.Ended(g.now, e.Outcome == Succeeded)
-	}
-	if e.Outcome == Succeeded && e.Units > 0 && r.inside && r.c.plan.Rate > 0 && !r.answered {
-		r.c.level -= e.Units - r.Units
+		r.pool.retryBudget.ObserveOutcome(g.now, e.Outcome == Succeeded)
 	}
+	g.settleUnits(r, e)
 	switch {
 	case r.answered:
 	case e.Answered || e.Outcome == Succeeded:
-		g.end(r)
-		g.cancel(r)
+		g.finish(r)
+		g.cancelAttempts(r)
 	default:
-		g.again(r, proven, e.BodyConsumed)
+		g.retryOrFail(r, proven, e.BodyConsumed)
 	}
-	if r.answered && r.out == 0 {
+	if r.answered && r.inFlight == 0 {
 		delete(g.requests, r.ID)
 	}
-	g.release()
+	g.dispatchQueued()
 }
 
-// release sends held requests on, and refuses those that have waited too long.
-func (g *Gateway) release() {
-	if len(g.held) == 0 {
+// settleUnits corrects the bucket by the units that a served request turned out to count.
+func (g *Gateway) settleUnits(r *request, e AttemptEnded) {
+	if e.Outcome != Succeeded || e.Units <= 0 || r.answered {
 		return
 	}
-	held := g.held
-	g.held = nil
-	// The dearest first; among equals the newest: what has waited long would be late anyway.
-	slices.SortStableFunc(held, func(a, b *request) int {
-		return cmp.Or(cmp.Compare(b.value, a.value), cmp.Compare(b.arrived, a.arrived))
-	})
-	for i, r := range held {
-		switch {
-		case r.answered:
-		case len(g.held) > 0 && g.now < r.holdUntil():
-			g.held = append(g.held, held[i]) // no room for a dearer one: none for this
-		default:
-			g.send(r)
-		}
+	if r.conforming && r.customer.plan.Rate > 0 {
+		r.customer.bucket.tokens -= e.Units - r.Units
 	}
 }
 
-// overdue counts an attempt as slow while it is out (i891194: unsafe ones told so only after five seconds).
-func (g *Gateway) overdue() {
-	g.open = slices.DeleteFunc(g.open, func(r *request) bool {
+// observeOverdueAttempts counts attempts as slow and as late while they are in flight, so that a backend that
+// answers nothing is found before its attempts end.
+func (g *Gateway) observeOverdueAttempts() {
+	g.unanswered = slices.DeleteFunc(g.unanswered, func(r *request) bool {
 		for i := range r.attempts {
 			a := &r.attempts[i]
-			if !a.ended && !a.slow && g.now-a.sent > slowAt*r.class.LatencyTarget {
-				a.slow = true
-				g.adapt(a.b, true)
+			if a.ended {
+				continue
+			}
+			age := g.now - a.sentAt
+			if !a.countedSlow && age > slowFraction*r.class.LatencyTarget {
+				a.countedSlow = true
+				g.adjustLimit(a.backend, true)
 			}
-			if !a.ended && !a.late && g.now-a.sent > r.class.LatencyTarget {
-				a.late = true
-				g.failed(a.b, false)
+			if !a.countedLate && age > r.class.LatencyTarget {
+				a.countedLate = true
+				g.recordFailure(a.backend, false)
 			}
 		}
 		return r.answered
