--- a/internal/dataplane/ingress/metering.go
+++ b/internal/dataplane/ingress/metering.go
@@ -11,7 +11,7 @@
 // Meter records forwarded requests for billing. Its methods return at once and are safe for concurrent use.
 type Meter interface {
 	// Sent records that the first attempt of a request is about to be sent. The number identifies it to Ended.
-	Sent(usage.Try) (seq uint64)
+	Sent(usage.Request) (seq uint64)
 	// Ended records what is known of its arrival at a backend once it has ended.
 	Ended(seq uint64, a usage.Arrival)
 }
@@ -30,14 +30,14 @@
 		return // a retry
 	}
 	m.meter = meter
-	m.seq = meter.Sent(usage.Try{
-		Member:   r.Customer,
-		Plan:     t.Plan,
-		Class:    r.Class,
-		Revision: t.Revision,
-		Units:    usage.ToMicro(r.Units),
-		Beyond:   overQuota,
-		Minute:   time.Now().Unix() / 60,
+	m.seq = meter.Sent(usage.Request{
+		Member:    r.Customer,
+		Plan:      t.Plan,
+		Class:     r.Class,
+		Revision:  t.Revision,
+		Units:     usage.ToMicro(r.Units),
+		OverQuota: overQuota,
+		Minute:    time.Now().Unix() / 60,
 	})
 }
 
--- a/internal/dataplane/ingress/server_test.go
+++ b/internal/dataplane/ingress/server_test.go
@@ -118,12 +118,12 @@
 	records []string
 }
 
-func (rm *recordingMeter) Sent(t usage.Try) uint64 {
+func (rm *recordingMeter) Sent(t usage.Request) uint64 {
 	rm.mu.Lock()
 	defer rm.mu.Unlock()
 	rm.seq++
 	quota := "inside"
-	if t.Beyond {
+	if t.OverQuota {
 		quota = "beyond"
 	}
 	rm.records = append(rm.records, fmt.Sprintf("sent %s %s %s %d %s", t.Member, t.Plan, t.Class, t.Units, quota))
--- a/internal/dataplane/upstreamconn/rules.go
+++ b/internal/dataplane/upstreamconn/rules.go
@@ -9,7 +9,13 @@
 // list of backends may have changed meanwhile, the client have disconnected, the deadline have passed. Left is the time
 // until the deadline.
 func MayBegin(serving, sameAddress, cancelled bool, left decision.Seconds) bool {
-	return (serving || mutants.On("upstreamconn/ready-draining")) && (sameAddress || mutants.On("upstreamconn/ready-moved")) && !cancelled && left > 0
+	switch {
+	case !serving && !mutants.On("upstreamconn/ready-draining"):
+		return false
+	case !sameAddress && !mutants.On("upstreamconn/ready-moved"):
+		return false
+	}
+	return !cancelled && left > 0
 }
 
 // MayRelease reports whether what was held back of a request, its last byte or the first of a streamed body, may be
--- a/internal/dataplane/usage/batch.go
+++ b/internal/dataplane/usage/batch.go
@@ -5,61 +5,67 @@
 	"math/rand/v2"
 )
 
-// Batch is what is sent to billing at once. Its number and its content belong together for ever: a batch that
-// is sent again, whatever happened meanwhile, is the same to the letter.
+// Batch is what is sent to billing at once. Its number and its content belong together for ever: a batch that is sent
+// again, whatever happened meanwhile, is byte for byte the same.
 type Batch struct {
 	Source string `json:"source"` // the ingress's store: a new one begins at number 1 under another name
 	Number uint64 `json:"number"` // from 1, without gaps
 	First  uint64 `json:"first_segment"`
 	Last   uint64 `json:"last_segment"`
 	Rows   []Row  `json:"rows"`
-	// What the rows cannot tell of: tries sent on while the disk was full, and records that could not be read.
+	// What the rows do not hold: requests forwarded while the disk was full, and records that could not be read.
 	Unmetered Sum `json:"unmetered"`
 	Damaged   int `json:"damaged_records"`
 }
 
-// Ack is what billing answers once it has a batch.
+// Ack is billing's acknowledgement of a batch.
 type Ack struct {
 	Source string `json:"source"`
 	Number uint64 `json:"number"`
 	Digest string `json:"digest"`
 }
 
-// Answer is what the billing endpoint's answer means for the batch.
-type Answer int
+// Reply is what the reply of the billing endpoint means for the batch.
+type Reply int
 
-// The answers.
+// The replies.
 const (
-	Acknowledged Answer = iota
-	Again               // not taken, or it is not known whether: the same batch is sent again
-	Conflicting         // another content is there under this number: somebody must look
-	Unacceptable        // it will not be taken as it is: somebody must look
+	Acknowledged Reply = iota
+	Retry              // not accepted, or it is not known whether: the same batch is sent again
+	Conflict           // there is other content under this number: an operator must look
+	Invalid            // it will not be accepted as it is: an operator must look
 )
 
-// Judge reads an answer by its status; 0: none came. Echoed: its body names this batch and its content.
-func Judge(status int, echoed bool) Answer {
+// InterpretStatus interprets a reply by its status; 0: there was none. Echoed: its body names this batch and its
+// content.
+func InterpretStatus(status int, echoed bool) Reply {
 	switch {
 	case status >= 200 && status < 300 && echoed:
 		return Acknowledged
 	case status == 409:
-		return Conflicting
+		return Conflict
 	case status == 400, status == 413, status == 422:
-		return Unacceptable
+		return Invalid
 	}
-	return Again // a 2xx without this batch's word is somebody else's
+	return Retry // also after a 2xx that does not name the batch: some other program sent it
 }
 
-// The waits before a batch is sent again, in seconds: doubled from the first to the most. What somebody must look
-// at is tried at the most: the endpoint may have been set right.
-const firstWait, mostWait = 1.0, 300.0
+// The delays before a batch is sent again, in seconds: doubled from the first to the maximum. What an operator must
+// look at is sent again after the maximum: the endpoint may have been corrected.
+const (
+	minRetryDelay = 1.0
+	maxRetryDelay = 300.0
+
+	maxDoublings = 20
+)
 
-// Wait is how long to wait before a batch is sent again, in seconds, after so many tries in a row that failed
-// (from 1) with the last answer. Advice is what the endpoint asked for, 0: nothing. A part by chance keeps
-// ingresses that failed together from coming back together.
-func Wait(tries int, answer Answer, advice float64, rng *rand.Rand) float64 {
-	wait := min(mostWait, firstWait*math.Exp2(float64(min(tries-1, 20))))
-	if answer == Conflicting || answer == Unacceptable {
-		wait = mostWait
+// RetryDelay returns the delay before a batch is sent again, in seconds, after so many failures in a row (from 1), of
+// which this is the last reply. Advice is what the endpoint asked for, in seconds; 0: nothing. The delay is
+// randomized, so that ingresses that failed together do not come back together.
+func RetryDelay(failures int, reply Reply, advice float64, rng *rand.Rand) float64 {
+	delay := min(maxRetryDelay, minRetryDelay*math.Exp2(float64(min(failures-1, maxDoublings))))
+	if reply == Conflict || reply == Invalid {
+		delay = maxRetryDelay
 	}
-	return max(min(advice, mostWait), wait*(0.5+0.5*rng.Float64()))
+	return max(min(advice, maxRetryDelay), delay*(0.5+0.5*rng.Float64()))
 }
--- a/internal/emulator/fakes/billing.go
+++ b/internal/emulator/fakes/billing.go
@@ -178,6 +178,6 @@
 	for _, row := range batch.Rows {
 		b.tally.Merge(usage.Tally{row.Key: row.Sum})
 	}
-	b.unmetered = b.unmetered.Plus(batch.Unmetered)
+	b.unmetered = b.unmetered.Add(batch.Unmetered)
 	return true
 }
--- a/internal/emulator/faulttest/duties.go
+++ b/internal/emulator/faulttest/duties.go
@@ -144,9 +144,9 @@
 	tally, unmetered, repeats, conflicts := p.w.billing.Billed()
 	known, unknown := tally.Total()
 	arrived := int64(len(p.w.arrived()))
-	f.Held = arrived > 0 && known.Tries <= arrived && arrived <= known.Tries+unknown.Tries+unmetered.Tries && conflicts == 0
-	f.Text = fmt.Sprintf("%d arrived, %d billed, %d listed apart, %d not recorded, %d batches came again, %d conflicts", arrived, known.Tries, unknown.Tries,
-		unmetered.Tries, repeats, conflicts)
+	f.Held = arrived > 0 && known.Requests <= arrived && arrived <= known.Requests+unknown.Requests+unmetered.Requests && conflicts == 0
+	f.Text = fmt.Sprintf("%d arrived, %d billed, %d listed apart, %d not recorded, %d batches came again, %d conflicts", arrived, known.Requests, unknown.Requests,
+		unmetered.Requests, repeats, conflicts)
 	return f
 }
 
--- a/internal/emulator/testcluster/report.go
+++ b/internal/emulator/testcluster/report.go
@@ -186,7 +186,7 @@
 					l.Unknown += units
 				default:
 					l.Billed += units
-					if k.Beyond {
+					if k.OverQuota {
 						l.Beyond += units
 					}
 				}
@@ -244,7 +244,7 @@
 	for _, l := range p.Lines {
 		wrong += l.Outcomes[Wrong]
 	}
-	return p.Covered && p.Conflicts == 0 && p.TwiceUnsafe == 0 && p.Nearest <= 1 && p.Unmetered.Tries == 0 && wrong == 0 && len(p.Problems) == 0
+	return p.Covered && p.Conflicts == 0 && p.TwiceUnsafe == 0 && p.Nearest <= 1 && p.Unmetered.Requests == 0 && wrong == 0 && len(p.Problems) == 0
 }
 
 // Write prints a report as tables.
@@ -258,8 +258,8 @@
 	}
 	t.Flush()
 	fmt.Fprintf(w, "\narrived whole at the quote servers  %.0f units in %d tries\n", p.Arrived, p.ArrivedTries)
-	fmt.Fprintf(w, "billed                              %.0f units in %d tries\n", p.Billed.InUnits(), p.Billed.Tries)
-	fmt.Fprintf(w, "not known whether they arrived      %.0f units in %d tries, listed apart\n", p.Unknown.InUnits(), p.Unknown.Tries)
+	fmt.Fprintf(w, "billed                              %.0f units in %d tries\n", p.Billed.InUnits(), p.Billed.Requests)
+	fmt.Fprintf(w, "not known whether they arrived      %.0f units in %d tries, listed apart\n", p.Unknown.InUnits(), p.Unknown.Requests)
 	verdict := "yes"
 	if !p.Covered {
 		verdict = "NO"
--- a/internal/standalone/cli/cli_test.go
+++ b/internal/standalone/cli/cli_test.go
@@ -135,8 +135,8 @@
 		t.Fatal(err)
 	}
 	for i := range 20 {
-		w.Ended(w.Sent(usage.Try{Member: fmt.Sprintf("%016x", i%2), Plan: []string{"basic", "plus"}[i%2], Class: "quote-read", Units: usage.ToMicro(1.5),
-			Beyond: i < 4, Minute: time.Now().Unix() / 60}), []usage.Arrival{usage.Whole, usage.Whole, usage.Whole, usage.Unknown, usage.Never}[i%5])
+		w.Ended(w.Sent(usage.Request{Member: fmt.Sprintf("%016x", i%2), Plan: []string{"basic", "plus"}[i%2], Class: "quote-read", Units: usage.ToMicro(1.5),
+			OverQuota: i < 4, Minute: time.Now().Unix() / 60}), []usage.Arrival{usage.Arrived, usage.Arrived, usage.Arrived, usage.ArrivalUnknown, usage.NotArrived}[i%5])
 	}
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
@@ -164,7 +164,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	data[usage.Size+12] ^= 1
+	data[usage.HeaderSize+12] ^= 1
 	if err := os.WriteFile(list[0].Path, data, 0o644); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standalone/cli/usage.go
+++ b/internal/standalone/cli/usage.go
@@ -75,7 +75,7 @@
 			fmt.Fprintf(p.out, "%d batches taken, nothing is left\n", batches)
 			return nil
 		default:
-			if tries++; tries >= 5 || answer != usage.Again {
+			if tries++; tries >= 5 || answer != usage.Retry {
 				return fmt.Errorf("%w after %d: %w", errNothing, batches, err)
 			}
 			select {
@@ -104,7 +104,7 @@
 		return err
 	}
 	units := func(s usage.Sum) string {
-		return fmt.Sprintf("%.6g units in %d tries", s.InUnits(), s.Tries)
+		return fmt.Sprintf("%.6g units in %d tries", s.InUnits(), s.Requests)
 	}
 	t := table(p.out)
 	fmt.Fprintf(t, "segments\t%d, with %d records\n", v.Segments, v.Records)
@@ -138,14 +138,14 @@
 	if err != nil {
 		return badFile{err}
 	}
-	var ledger usage.Ledger
+	var ledger usage.Replayer
 	all := usage.Tally{}
 	for _, s := range list {
 		h, data, err := usagesegment.Read(s.Path)
 		if err != nil {
 			return badFile{err}
 		}
-		t, _, err := ledger.Segment(h, data)
+		t, _, err := ledger.Replay(h, data)
 		if err != nil {
 			return badFile{fmt.Errorf("%s: %w", s.Path, err)}
 		}
@@ -159,7 +159,7 @@
 		t := table(p.out)
 		fmt.Fprintln(t, "minute\tmember\tplan\trevision\tclass\tbeyond\tunknown\ttries\tunits")
 		for _, r := range rows {
-			fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%v\t%v\t%d\t%.6g\n", minute(r.Minute), r.Member, r.Plan, r.Revision, r.Class, r.Beyond, r.Unknown, r.Tries, r.InUnits())
+			fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%v\t%v\t%d\t%.6g\n", minute(r.Minute), r.Member, r.Plan, r.Revision, r.Class, r.OverQuota, r.Unknown, r.Requests, r.InUnits())
 		}
 		return t.Flush()
 	}
@@ -176,12 +176,12 @@
 			l = &line{Name: name}
 			byName[name] = l
 		}
-		l.Tries += r.Tries
+		l.Tries += r.Requests
 		units := r.InUnits()
 		switch {
 		case r.Unknown:
 			l.Unknown += units
-		case r.Beyond:
+		case r.OverQuota:
 			l.Beyond += units
 		default:
 			l.Inside += units
--- a/internal/standalone/node/node_test.go
+++ b/internal/standalone/node/node_test.go
@@ -178,19 +178,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ledger, attempts := usage.Ledger{}, map[string]int64{}
+	ledger, attempts := usage.Replayer{}, map[string]int64{}
 	for _, segment := range segments {
 		header, data, err := usagesegment.Read(segment.Path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		tally, _, err := ledger.Segment(header, data)
+		tally, _, err := ledger.Replay(header, data)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, r := range tally.Rows() {
-			key := fmt.Sprintf("%s of %d, beyond %v, unknown %v", r.Plan, r.Revision, r.Beyond, r.Unknown)
-			attempts[key] += r.Tries
+			key := fmt.Sprintf("%s of %d, beyond %v, unknown %v", r.Plan, r.Revision, r.OverQuota, r.Unknown)
+			attempts[key] += r.Requests
 		}
 	}
 	return attempts
--- a/internal/standalone/usageexport/export.go
+++ b/internal/standalone/usageexport/export.go
@@ -58,7 +58,7 @@
 	Batch   uint64               `json:"batch"`   // the last one that was made
 	Segment uint64               `json:"segment"` // the last one read
 	Writer  uint64               `json:"writer"`
-	Pending map[uint64]usage.Try `json:"pending"` // out when that segment ended
+	Pending map[uint64]usage.Request `json:"pending"` // out when that segment ended
 }
 
 // Exporter sends the use of one folder.
@@ -139,8 +139,8 @@
 			tries, code, wait = 0, "", 0
 		case err != nil:
 			tries++
-			wait = time.Duration(usage.Wait(tries, answer, advice, e.rng) * float64(time.Second))
-			now := map[usage.Answer]string{usage.Conflicting: "usage-export-conflict", usage.Unacceptable: "usage-export-rejected"}[answer]
+			wait = time.Duration(usage.RetryDelay(tries, answer, advice, e.rng) * float64(time.Second))
+			now := map[usage.Reply]string{usage.Conflict: "usage-export-conflict", usage.Invalid: "usage-export-rejected"}[answer]
 			if now == "" {
 				now = "usage-export-failed"
 			}
@@ -165,23 +165,23 @@
 
 // Step sends the batch that is stored, or makes the next one and sends it. It tells whether one was sent and
 // acknowledged; false without an error means that there is nothing to send. Advice is in seconds, 0: none.
-func (e *Exporter) Step(ctx context.Context) (sent bool, answer usage.Answer, advice float64, err error) {
+func (e *Exporter) Step(ctx context.Context) (sent bool, answer usage.Reply, advice float64, err error) {
 	body, err := e.outbox()
 	if err != nil || body == nil {
-		return false, usage.Again, 0, err
+		return false, usage.Retry, 0, err
 	}
 	if err := e.at("before sending"); err != nil {
-		return false, usage.Again, 0, err
+		return false, usage.Retry, 0, err
 	}
 	answer, advice, err = e.send(ctx, body)
 	if err != nil {
 		return false, answer, advice, err
 	}
 	if err := e.at("before storing the acknowledgement"); err != nil {
-		return false, usage.Again, 0, err
+		return false, usage.Retry, 0, err
 	}
 	if err := e.acknowledged(body); err != nil {
-		return false, usage.Again, 0, err
+		return false, usage.Retry, 0, err
 	}
 	e.clear()
 	return true, usage.Acknowledged, 0, nil
@@ -241,7 +241,7 @@
 		return nil, c, fmt.Errorf("usage: %w", err)
 	}
 	b := &usage.Batch{Source: e.source, Number: c.Batch + 1}
-	ledger, tally := &usage.Ledger{Writer: c.Writer, Pending: c.Pending}, usage.Tally{}
+	ledger, tally := &usage.Replayer{Writer: c.Writer, Pending: c.Pending}, usage.Tally{}
 	for _, s := range list {
 		if s.Number <= c.Segment {
 			continue
@@ -253,7 +253,7 @@
 		if err != nil {
 			return nil, c, fmt.Errorf("usage: %w", err)
 		}
-		rows, report, err := ledger.Segment(header, data)
+		rows, report, err := ledger.Replay(header, data)
 		if err != nil {
 			return nil, c, fmt.Errorf("usage: %s: %w", s.Path, err)
 		}
@@ -262,7 +262,7 @@
 			b.Damaged += report.Damaged + min(report.Lost, 1)
 		}
 		tally.Merge(rows)
-		b.Unmetered = b.Unmetered.Plus(report.Missed)
+		b.Unmetered = b.Unmetered.Add(report.Unmetered)
 		if b.First == 0 {
 			b.First = s.Number
 		}
@@ -283,10 +283,10 @@
 
 // send posts a batch. Its number and digest are in the headers, too: an Idempotency-Key, which names the batch
 // wherever it goes, and the digest.
-func (e *Exporter) send(ctx context.Context, body []byte) (usage.Answer, float64, error) {
+func (e *Exporter) send(ctx context.Context, body []byte) (usage.Reply, float64, error) {
 	var b usage.Batch
 	if err := json.Unmarshal(body, &b); err != nil {
-		return usage.Unacceptable, 0, fmt.Errorf("usage: the stored batch: %w", err)
+		return usage.Invalid, 0, fmt.Errorf("usage: the stored batch: %w", err)
 	}
 	var packed bytes.Buffer
 	z := gzip.NewWriter(&packed)
@@ -294,7 +294,7 @@
 	z.Close()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, e.Endpoint, &packed)
 	if err != nil {
-		return usage.Unacceptable, 0, fmt.Errorf("usage: %w", err)
+		return usage.Invalid, 0, fmt.Errorf("usage: %w", err)
 	}
 	digest := Digest(body)
 	request.Header.Set("Content-Type", "application/json")
@@ -303,19 +303,19 @@
 	request.Header.Set("X-Content-SHA256", digest)
 	response, err := e.Client.Do(request)
 	if err != nil {
-		return usage.Again, 0, fmt.Errorf("%w: batch %d: %w", ErrTold, b.Number, err)
+		return usage.Retry, 0, fmt.Errorf("%w: batch %d: %w", ErrTold, b.Number, err)
 	}
 	defer response.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer))
 	if err != nil {
-		return usage.Again, 0, fmt.Errorf("%w: batch %d: %w", ErrTold, b.Number, err)
+		return usage.Retry, 0, fmt.Errorf("%w: batch %d: %w", ErrTold, b.Number, err)
 	}
 	if err := e.at("after sending"); err != nil {
-		return usage.Again, 0, err
+		return usage.Retry, 0, err
 	}
 	var ack usage.Ack
 	echoed := json.Unmarshal(text, &ack) == nil && ack == usage.Ack{Source: b.Source, Number: b.Number, Digest: digest}
-	answer := usage.Judge(response.StatusCode, echoed)
+	answer := usage.InterpretStatus(response.StatusCode, echoed)
 	if answer == usage.Acknowledged {
 		return answer, 0, nil
 	}
--- a/internal/standalone/usageexport/export_test.go
+++ b/internal/standalone/usageexport/export_test.go
@@ -45,11 +45,11 @@
 		t.Fatal(err)
 	}
 	for i := range tries {
-		try := usage.Try{Member: fmt.Sprintf("%016x", i%7), Plan: "plus", Class: "quote-read", Revision: uint64(i % 3),
-			Units: usage.ToMicro(1.25), Minute: time.Now().Unix()/60 - int64(i%4), Beyond: i%5 == 0}
-		w.Ended(w.Sent(try), usage.Whole)
+		try := usage.Request{Member: fmt.Sprintf("%016x", i%7), Plan: "plus", Class: "quote-read", Revision: uint64(i % 3),
+			Units: usage.ToMicro(1.25), Minute: time.Now().Unix()/60 - int64(i%4), OverQuota: i%5 == 0}
+		w.Ended(w.Sent(try), usage.Arrived)
 	}
-	w.Sent(usage.Try{Member: "00000000000000ff", Units: usage.ToMicro(2), Minute: time.Now().Unix() / 60})
+	w.Sent(usage.Request{Member: "00000000000000ff", Units: usage.ToMicro(2), Minute: time.Now().Unix() / 60})
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 				all(t, e)
 				tally, _, repeats, conflicts := b.Billed()
 				known, unknown := tally.Total()
-				if known != (usage.Sum{Tries: 80, Units: 100 * usage.Micro}) || unknown.Tries != 1 || conflicts != 0 {
+				if known != (usage.Sum{Requests: 80, Units: 100 * usage.Micro}) || unknown.Requests != 1 || conflicts != 0 {
 					t.Errorf("billed %+v, unknown %+v, %d repeats, %d conflicts", known, unknown, repeats, conflicts)
 				}
 				v, err := e.Verify()
@@ -136,7 +136,7 @@
 		}
 		return nil
 	})
-	if sent, answer, _, err := e.Step(ctx); sent || answer != usage.Again || !errors.Is(err, usageexport.ErrTold) {
+	if sent, answer, _, err := e.Step(ctx); sent || answer != usage.Retry || !errors.Is(err, usageexport.ErrTold) {
 		t.Errorf("a hanging endpoint: %v %v %v", sent, answer, err)
 	}
 	e.SetPoint(nil)
@@ -146,7 +146,7 @@
 	}
 	b.Stop()
 	record(t, dir, 10)
-	if sent, answer, _, err := e.Step(context.Background()); sent || answer != usage.Again || err == nil {
+	if sent, answer, _, err := e.Step(context.Background()); sent || answer != usage.Retry || err == nil {
 		t.Errorf("an endpoint that is gone: %v %v %v", sent, answer, err)
 	}
 }
@@ -160,7 +160,7 @@
 	e.Step(context.Background())
 	// Billing has the batch. Its copy here changes, as by a disk that loses a sync.
 	other := exporterOf(t, b, dir)
-	if sent, answer, _, err := other.Step(context.Background()); sent || answer != usage.Conflicting || err == nil {
+	if sent, answer, _, err := other.Step(context.Background()); sent || answer != usage.Conflict || err == nil {
 		t.Errorf("%v %v %v", sent, answer, err)
 	}
 }
@@ -191,13 +191,13 @@
 		"a segment is gone": {func(l []usagesegment.Info) { os.Remove(l[1].Path) }, "segments 2 to 2 are missing"},
 		"a bit is flipped": {func(l []usagesegment.Info) {
 			data, _ := os.ReadFile(l[1].Path)
-			data[usage.Size+20] ^= 1
+			data[usage.HeaderSize+20] ^= 1
 			os.WriteFile(l[1].Path, data, 0o644)
 		}, "1 records damaged"},
 		"a record is added": {func(l []usagesegment.Info) {
 			data, _ := os.ReadFile(l[0].Path)
 			more, _ := os.ReadFile(l[2].Path)
-			os.WriteFile(l[0].Path, append(data, more[usage.Size:]...), 0o644)
+			os.WriteFile(l[0].Path, append(data, more[usage.HeaderSize:]...), 0o644)
 		}, "batch 1 says otherwise than its segments 1 to 1"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -239,7 +239,7 @@
 	if len(list) != 0 {
 		t.Errorf("%v left", list)
 	}
-	if v, err := e.Verify(); err != nil || len(v.Problems) > 0 || v.Known.Tries != 10 {
+	if v, err := e.Verify(); err != nil || len(v.Problems) > 0 || v.Known.Requests != 10 {
 		t.Errorf("%+v %v", v, err)
 	}
 }
@@ -276,7 +276,7 @@
 	defer e.Close()
 	e.Run(ctx)
 	tally, _, _, _ := b.Billed()
-	if known, _ := tally.Total(); known.Tries != 10 {
+	if known, _ := tally.Total(); known.Requests != 10 {
 		t.Errorf("billed %+v", known)
 	}
 	got := []int{strings.Count(lines.String(), "usage-export-failed"), strings.Count(lines.String(), "usage-export-resumed")}
--- a/internal/standalone/usageexport/verify.go
+++ b/internal/standalone/usageexport/verify.go
@@ -34,7 +34,7 @@
 		return nil, fmt.Errorf("usage: %w", err)
 	}
 	rows := map[uint64]usage.Tally{} // by segment
-	ledger, last := &usage.Ledger{}, uint64(0)
+	ledger, last := &usage.Replayer{}, uint64(0)
 	for _, s := range list {
 		header, data, err := usagesegment.Read(s.Path)
 		if err != nil {
@@ -48,7 +48,7 @@
 			bad("segments %d to %d are missing", last+1, s.Number-1)
 		}
 		last = s.Number
-		t, report, err := ledger.Segment(header, data)
+		t, report, err := ledger.Replay(header, data)
 		if err != nil {
 			bad("%s: %v", s.Path, err)
 			continue
@@ -87,9 +87,9 @@
 			bad("batch %d says otherwise than its segments %d to %d", b.Number, b.First, b.Last)
 		}
 		known, unknown := said.Total()
-		v.Known = v.Known.Plus(known)
-		v.Unknown = v.Unknown.Plus(unknown)
-		v.Unmetered = v.Unmetered.Plus(b.Unmetered)
+		v.Known = v.Known.Add(known)
+		v.Unknown = v.Unknown.Add(unknown)
+		v.Unmetered = v.Unmetered.Add(b.Unmetered)
 		return nil
 	})
 	if err != nil {
@@ -98,7 +98,7 @@
 	for n, t := range rows {
 		if n > batched {
 			known, unknown := t.Total()
-			v.Waiting = v.Waiting.Plus(known).Plus(unknown)
+			v.Waiting = v.Waiting.Add(known).Add(unknown)
 		}
 	}
 	return v, nil
--- a/internal/standalone/usagesegment/golden_test.go
+++ b/internal/standalone/usagesegment/golden_test.go
@@ -34,10 +34,10 @@
 	}
 	defer w.Close()
 	w.run = goldenRun // drawn at random by open: the golden files have this one
-	copy(w.in.data, usage.AppendHeader(nil, usage.Header{Number: 1, Writer: w.run, Begun: goldenBegun}))
+	copy(w.in.data, usage.AppendHeader(nil, usage.Header{Number: 1, Writer: w.run, StartedAt: goldenBegun}))
 	var next int64
 	for i := range 4 {
-		var x usage.Try
+		var x usage.Request
 		goldentest.Fill(&x, &next)
 		if seq := w.Sent(x); i < 3 {
 			w.Ended(seq, usage.Arrival(i))
@@ -46,9 +46,9 @@
 	c.pass(2 * time.Minute)
 	w.look(false)
 	for range 3 {
-		var x usage.Try
+		var x usage.Request
 		goldentest.Fill(&x, &next)
-		w.Ended(w.Sent(x), usage.Whole)
+		w.Ended(w.Sent(x), usage.Arrived)
 	}
 	if sealedData, err = os.ReadFile(filepath.Join(dir, name(1, sealedEnd))); err != nil {
 		t.Fatal(err)
@@ -79,9 +79,9 @@
 		damaged int
 		lost    int
 	}{
-		{"sealed.seg.gz", usage.Header{Number: 1, Writer: goldenRun, Begun: goldenBegun, Sealed: goldenBegun + 120_000}, 7, 0, 0},
-		{"open.open.gz", usage.Header{Number: 2, Writer: goldenRun, Begun: goldenBegun + 120_000}, 6, 0, 0},
-		{"damaged.open.gz", usage.Header{Number: 2, Writer: goldenRun, Begun: goldenBegun + 120_000}, 5, 1, 9},
+		{"sealed.seg.gz", usage.Header{Number: 1, Writer: goldenRun, StartedAt: goldenBegun, SealedAt: goldenBegun + 120_000}, 7, 0, 0},
+		{"open.open.gz", usage.Header{Number: 2, Writer: goldenRun, StartedAt: goldenBegun + 120_000}, 6, 0, 0},
+		{"damaged.open.gz", usage.Header{Number: 2, Writer: goldenRun, StartedAt: goldenBegun + 120_000}, 5, 1, 9},
 	} {
 		t.Run(tc.file, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "segment")
--- a/internal/standalone/usagesegment/segment.go
+++ b/internal/standalone/usagesegment/segment.go
@@ -188,15 +188,15 @@
 	}
 	if err == nil {
 		path := filepath.Join(w.dir, name(w.number+1, openEnd))
-		head := usage.AppendHeader(nil, usage.Header{Number: w.number + 1, Writer: w.run, Begun: w.now().UnixMilli()})
+		head := usage.AppendHeader(nil, usage.Header{Number: w.number + 1, Writer: w.run, StartedAt: w.now().UnixMilli()})
 		copy(next.data, head)
 		if err = os.Rename(next.path, path); err == nil {
 			w.number++
 			next.path, next.used, next.begun = path, len(head), w.now()
 			w.in = next
-			if w.missed.Tries > 0 {
-				w.log.WithFields(logrus.Fields{"code": "usage-resumed", "tries": w.missed.Tries, "units": w.missed.InUnits()}).Warn("use is recorded again; so much was not")
-				w.append(&usage.Record{Kind: usage.Unmetered, Missed: w.missed})
+			if w.missed.Requests > 0 {
+				w.log.WithFields(logrus.Fields{"code": "usage-resumed", "tries": w.missed.Requests, "units": w.missed.InUnits()}).Warn("use is recorded again; so much was not")
+				w.append(&usage.Record{Kind: usage.Unmetered, Unmetered: w.missed})
 				w.missed = usage.Sum{}
 			}
 			late := w.late
@@ -210,14 +210,14 @@
 		next.Close()
 		os.Remove(next.path)
 	}
-	if w.in = nil; w.missed.Tries == 0 {
+	if w.in = nil; w.missed.Requests == 0 {
 		w.log.WithField("code", "usage-full").WithError(err).Error("no room to record use; service goes on, what is not recorded is counted")
 	}
 }
 
 // append writes a record to the segment, or to the next one. It tells whether there was one.
 func (w *Writer) append(r *usage.Record) bool {
-	w.buf = usage.Append(w.buf[:0], r)
+	w.buf = usage.AppendRecord(w.buf[:0], r)
 	need := 8 + len(w.buf)
 	if w.in != nil && w.in.used+need > size {
 		w.full = append(w.full, w.in)
@@ -225,7 +225,7 @@
 		w.poke()
 	}
 	f := w.in
-	if f == nil || len(w.buf) > usage.MostPayload {
+	if f == nil || len(w.buf) > usage.MaxPayload {
 		return false
 	}
 	copy(f.data[f.used+8:], w.buf)
@@ -248,12 +248,12 @@
 
 // Sent records that a try's first attempt is about to go out. The number names the try to Ended; 0: it could not
 // be recorded.
-func (w *Writer) Sent(try usage.Try) (seq uint64) {
+func (w *Writer) Sent(try usage.Request) (seq uint64) {
 	w.Lock()
 	defer w.Unlock()
 	w.seq++
-	if !w.append(&usage.Record{Kind: usage.Sent, Seq: w.seq, Try: try}) {
-		w.missed = w.missed.Plus(usage.Sum{Tries: 1, Units: try.Units})
+	if !w.append(&usage.Record{Kind: usage.Sent, Seq: w.seq, Request: try}) {
+		w.missed = w.missed.Add(usage.Sum{Requests: 1, Units: try.Units})
 		return 0
 	}
 	return w.seq
@@ -302,7 +302,7 @@
 	if w.in == nil && retry {
 		w.begin()
 	}
-	if w.in != nil && w.in.used > usage.Size && w.now().Sub(w.in.begun) >= w.rotate {
+	if w.in != nil && w.in.used > usage.HeaderSize && w.now().Sub(w.in.begun) >= w.rotate {
 		w.full = append(w.full, w.in)
 		w.begin()
 	}
@@ -390,8 +390,8 @@
 		return nil
 	}
 	w.closed = true
-	if w.missed.Tries > 0 {
-		w.log.WithFields(logrus.Fields{"code": "usage-unmetered", "tries": w.missed.Tries, "units": w.missed.InUnits()}).Error("so much use was sent on and is recorded nowhere but here")
+	if w.missed.Requests > 0 {
+		w.log.WithFields(logrus.Fields{"code": "usage-unmetered", "tries": w.missed.Requests, "units": w.missed.InUnits()}).Error("so much use was sent on and is recorded nowhere but here")
 	}
 	if w.in != nil {
 		w.full = append(w.full, w.in)
--- a/internal/standalone/usagesegment/segment_test.go
+++ b/internal/standalone/usagesegment/segment_test.go
@@ -22,8 +22,8 @@
 	"mulleinrouter/internal/dataplane/usage"
 )
 
-func try(units float64) usage.Try {
-	return usage.Try{Member: "00000000000000aa", Plan: "basic", Class: "quote-read", Revision: 1, Units: usage.ToMicro(units), Minute: 29_000_000}
+func try(units float64) usage.Request {
+	return usage.Request{Member: "00000000000000aa", Plan: "basic", Class: "quote-read", Revision: 1, Units: usage.ToMicro(units), Minute: 29_000_000}
 }
 
 type clock struct {
@@ -57,20 +57,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var ledger usage.Ledger
+	var ledger usage.Replayer
 	all := usage.Tally{}
 	for i, s := range list {
 		h, data, err := Read(s.Path)
 		if err != nil || h.Number != uint64(i+1) {
 			t.Fatalf("segment %d is number %d, %v", i+1, h.Number, err)
 		}
-		tally, report, err := ledger.Segment(h, data)
+		tally, report, err := ledger.Replay(h, data)
 		if err != nil || report.Damaged+report.Lost > 0 {
 			t.Fatalf("%s: %+v %v", s.Path, report, err)
 		}
 		all.Merge(tally)
-		missed.Tries += report.Missed.Tries
-		missed.Units += report.Missed.Units
+		missed.Requests += report.Unmetered.Requests
+		missed.Units += report.Unmetered.Units
 	}
 	known, unknown = all.Total()
 	return known, unknown, len(ledger.Pending), missed
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	known, unknown, out, _ := total(t, dir)
-	if known != (usage.Sum{Tries: 40_000, Units: 60_000 * usage.Micro}) || unknown.Tries != 40_000 || out != 1 {
+	if known != (usage.Sum{Requests: 40_000, Units: 60_000 * usage.Micro}) || unknown.Requests != 40_000 || out != 1 {
 		t.Errorf("known %+v, unknown %+v, %d out", known, unknown, out)
 	}
 	list, _ := List(dir)
@@ -151,23 +151,23 @@
 		if seq := w.Sent(try(2)); seq != 0 {
 			t.Fatalf("try %d recorded on a full disk", seq)
 		}
-		w.Ended(0, usage.Whole)
+		w.Ended(0, usage.Arrived)
 	}
-	w.Ended(before, usage.Whole) // its end waits for room
+	w.Ended(before, usage.Arrived) // its end waits for room
 	w.look(true)                 // still full
-	if m := w.Missed(); m != (usage.Sum{Tries: 10, Units: 20 * usage.Micro}) {
+	if m := w.Missed(); m != (usage.Sum{Requests: 10, Units: 20 * usage.Micro}) {
 		t.Errorf("missed %+v", m)
 	}
 	full = false
 	w.look(true)
-	w.Ended(w.Sent(try(3)), usage.Whole)
+	w.Ended(w.Sent(try(3)), usage.Arrived)
 	c.pass(20 * time.Minute)
 	w.look(false)
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
 	known, unknown, out, missed := total(t, dir)
-	if known.Units != 4*usage.Micro || unknown.Units != 0 || out != 0 || missed != (usage.Sum{Tries: 10, Units: 20 * usage.Micro}) {
+	if known.Units != 4*usage.Micro || unknown.Units != 0 || out != 0 || missed != (usage.Sum{Requests: 10, Units: 20 * usage.Micro}) {
 		t.Errorf("known %+v, unknown %+v, %d out, missed %+v", known, unknown, out, missed)
 	}
 	if n := strings.Count(lines.String(), "usage-full"); n != 1 || strings.Count(lines.String(), "usage-resumed") != 1 {
@@ -213,11 +213,11 @@
 	}
 	w.Close()
 	known, unknown, out, _ := total(t, dir)
-	if known.Tries < seen || known.Tries == 0 || seen == 0 || lines.Len() > 0 {
-		t.Errorf("%d tries were written, %d are there; %d unknown, %d out; log %s", seen, known.Tries, unknown.Tries, out, lines)
+	if known.Requests < seen || known.Requests == 0 || seen == 0 || lines.Len() > 0 {
+		t.Errorf("%d tries were written, %d are there; %d unknown, %d out; log %s", seen, known.Requests, unknown.Requests, out, lines)
 	}
-	if most := int64(rounds); unknown.Tries+int64(out) > most {
-		t.Errorf("%d tries without an end, each run had one out at the most", unknown.Tries+int64(out))
+	if most := int64(rounds); unknown.Requests+int64(out) > most {
+		t.Errorf("%d tries without an end, each run had one out at the most", unknown.Requests+int64(out))
 	}
 }
 
@@ -230,7 +230,7 @@
 		os.Exit(1)
 	}
 	for n := 1; n < 1_000_000; n++ {
-		w.Ended(w.Sent(try(1)), usage.Whole)
+		w.Ended(w.Sent(try(1)), usage.Arrived)
 		os.Stdout.WriteString(strconv.Itoa(n) + "\n")
 	}
 }
@@ -242,7 +242,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Ended(w.Sent(try(1)), usage.Whole)
+	w.Ended(w.Sent(try(1)), usage.Arrived)
 	w.Sent(try(2))
 	// What a power loss may leave: a frame without its payload, at the place of the next record.
 	copy(w.in.data[w.in.used:], []byte{40, 0, 0, 0, 1, 2, 3, 4})
@@ -252,7 +252,7 @@
 	}
 	w.Close()
 	known, unknown, out, _ := total(t, dir)
-	if diff := cmp.Diff([]int64{1, 1, 0}, []int64{known.Tries, unknown.Tries, int64(out)}); diff != "" || lines.Len() > 0 {
+	if diff := cmp.Diff([]int64{1, 1, 0}, []int64{known.Requests, unknown.Requests, int64(out)}); diff != "" || lines.Len() > 0 {
 		t.Errorf("%s\n%s", diff, lines)
 	}
 }
@@ -287,7 +287,7 @@
 			}
 		}()
 		t := try(1)
-		parallel(b, func() { w.Ended(w.Sent(t), usage.Whole) })
+		parallel(b, func() { w.Ended(w.Sent(t), usage.Arrived) })
 	})
 	b.Run("write", func(b *testing.B) { // an append-only file with one write a record
 		f, err := os.Create(filepath.Join(b.TempDir(), "log"))
@@ -301,9 +301,9 @@
 		parallel(b, func() {
 			mu.Lock()
 			defer mu.Unlock()
-			buf = usage.Append(append(buf[:0], 0, 0, 0, 0, 0, 0, 0, 0), &usage.Record{Kind: usage.Sent, Seq: 1, Try: t})
+			buf = usage.AppendRecord(append(buf[:0], 0, 0, 0, 0, 0, 0, 0, 0), &usage.Record{Kind: usage.Sent, Seq: 1, Request: t})
 			f.Write(buf)
-			buf = usage.Append(append(buf[:0], 0, 0, 0, 0, 0, 0, 0, 0), &usage.Record{Kind: usage.Ended, Seq: 1, Arrival: usage.Whole})
+			buf = usage.AppendRecord(append(buf[:0], 0, 0, 0, 0, 0, 0, 0, 0), &usage.Record{Kind: usage.Ended, Seq: 1, Arrival: usage.Arrived})
 			f.Write(buf)
 		})
 	})
@@ -319,12 +319,12 @@
 			db.Batch(func(tx *bbolt.Tx) error {
 				u := tx.Bucket([]byte("u"))
 				n, _ := u.NextSequence()
-				return u.Put([]byte(fmt.Sprintf("%016x", n)), usage.Append(nil, r))
+				return u.Put([]byte(fmt.Sprintf("%016x", n)), usage.AppendRecord(nil, r))
 			})
 		}
 		parallel(b, func() {
-			put(&usage.Record{Kind: usage.Sent, Seq: 1, Try: t})
-			put(&usage.Record{Kind: usage.Ended, Seq: 1, Arrival: usage.Whole})
+			put(&usage.Record{Kind: usage.Sent, Seq: 1, Request: t})
+			put(&usage.Record{Kind: usage.Ended, Seq: 1, Arrival: usage.Arrived})
 		})
 	})
 }
