--- a/internal/emulator/modelcheck/mutants_test.go
+++ b/internal/emulator/modelcheck/mutants_test.go
@@ -15,18 +15,43 @@
 	pkg  string
 	name string
 }{
-	{"upstreamconn", "ready-draining"}, {"upstreamconn", "held-goes"}, {"upstreamconn", "ready-moved"}, {"upstreamconn", "unwritten-kept"}, {"upstreamconn", "more-kept"},
-	{"upstreamconn", "close-kept"}, {"upstreamconn", "cancelled-kept"}, {"upstreamconn", "busy-unproven"}, {"upstreamconn", "error-proves"},
-	{"upstreamconn", "reset-proves"}, {"upstreamconn", "late-proves"}, {"upstreamconn", "cancel-proves"}, {"upstreamconn", "spoilt-kept"},
-	{"upstreamconn", "early-kept"}, {"attempt", "spent-untold"}, {"upstreamconn", "taken-stays"}, {"upstreamconn", "put-twice"}, {"upstreamconn", "gone-uncounted"},
-	{"attempt", "deserted-waits"}, {"attempt", "left-is-over"}, {"attempt", "ended-stays"}, {"attempt", "gone-untold"},
-	{"attempt", "fail-refuses"}, {"attempt", "cancel-lost"}, {"attempt", "no-time-out"}, {"attempt", "leaving-untold"},
-	{"upstreamconn", "other-kept"}, {"upstreamconn", "cut-kept"}, {"upstreamconn", "stream-more-kept"}, {"attempt", "planned-untold"}, {"attempt", "impatient-always"},
+	{"upstreamconn", "ready-draining"},
+	{"upstreamconn", "held-goes"},
+	{"upstreamconn", "ready-moved"},
+	{"upstreamconn", "unwritten-kept"},
+	{"upstreamconn", "more-kept"},
+	{"upstreamconn", "close-kept"},
+	{"upstreamconn", "cancelled-kept"},
+	{"upstreamconn", "busy-unproven"},
+	{"upstreamconn", "error-proves"},
+	{"upstreamconn", "reset-proves"},
+	{"upstreamconn", "late-proves"},
+	{"upstreamconn", "cancel-proves"},
+	{"upstreamconn", "spoilt-kept"},
+	{"upstreamconn", "early-kept"},
+	{"attempt", "spent-untold"},
+	{"upstreamconn", "taken-stays"},
+	{"upstreamconn", "put-twice"},
+	{"upstreamconn", "gone-uncounted"},
+	{"attempt", "deserted-waits"},
+	{"attempt", "left-is-over"},
+	{"attempt", "ended-stays"},
+	{"attempt", "gone-untold"},
+	{"attempt", "fail-refuses"},
+	{"attempt", "cancel-lost"},
+	{"attempt", "no-time-out"},
+	{"attempt", "leaving-untold"},
+	{"upstreamconn", "other-kept"},
+	{"upstreamconn", "cut-kept"},
+	{"upstreamconn", "stream-more-kept"},
+	{"attempt", "planned-untold"},
+	{"attempt", "impatient-always"},
 }
 
 // Every fault that is seeded in the clients' connections is found.
 func TestClientMutants(t *testing.T) {
-	for _, fault := range []string{"drained-stays", "taken-is-cut", "head-for-ever", "busy-spared", "stall-for-ever", "trickle-for-ever", "last-kept", "asked-dropped"} {
+	for _, fault := range []string{"drained-stays", "taken-is-cut", "head-for-ever", "busy-spared",
+		"stall-for-ever", "trickle-for-ever", "last-kept", "asked-dropped"} {
 		mutants.Seed(t, "clientconn/"+fault)
 		_, trace, violation := Clients(6)
 		if violation == nil {
@@ -55,7 +80,13 @@
 					shortest = f
 				}
 			}
-			t.Logf("%d events, %s: %q in %v", len(shortest.Events), shortest.Violation.Property, shortest.Events, shortest.Config)
+			t.Logf(
+				"%d events, %s: %q in %v",
+				len(shortest.Events),
+				shortest.Violation.Property,
+				shortest.Events,
+				shortest.Config,
+			)
 			mutants.Seed(t, "")
 			if violations, _ := Replay(shortest.Config, shortest.Events); len(violations) > 0 {
 				t.Errorf("its trace violates %v without it", violations)
@@ -72,8 +103,10 @@
 		events    string
 		want      string
 	}{
-		{"upstreamconn", "unnamed-kept", "send servers=1 odd", "last-byte c1, 503-unnamed c1, retries c1, time, last-byte c2, other-answer c2", "refusal-is-harmless"},
-		{"upstreamconn", "others-endless", "send servers=1 odd", "last-byte c1" + strings.Repeat(", other-answer c1", 9), "bounded"},
+		{"upstreamconn", "unnamed-kept", "send servers=1 odd",
+			"last-byte c1, 503-unnamed c1, retries c1, time, last-byte c2, other-answer c2", "refusal-is-harmless"},
+		{"upstreamconn", "others-endless", "send servers=1 odd", "last-byte c1" +
+			strings.Repeat(", other-answer c1", 9), "bounded"},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			c, err := ParseConfig(m.world)
