--- a/internal/control/connection_gate_test.go
+++ b/internal/control/connection_flood_test.go
@@ -61,13 +61,13 @@
 
 // Three thousand servers keep connections at a node that holds some hundreds. The operator is served in its time all the while, servers
 // that leave are too, the idlest connections go and none with a call in hand.
-func TestFlood(t *testing.T) {
+func TestConnectionFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCore(t, 3)
 		pass(2 * time.Second)
 		at := c.seeds[0]
-		most := c.nodes[at].gate.limit
-		c.True(most < 1000)
+		limit := c.nodes[at].connections.Stats().Limit
+		c.True(limit < 1000)
 		began := time.Now()
 		c.Equal(c.connect(at).call("PATCH", "/config", upsert([]string{service("s", 1)}, nil)), 200)
 
@@ -96,10 +96,11 @@
 		}
 		c.True(time.Since(began) < time.Second)
 		synctest.Wait()
-		held := c.nodes[at].gate.total() - c.nodes[at].gate.internal
-		c.True(held > most/2)
+		stats := c.nodes[at].connections.Stats()
+		open := stats.Total() - stats.Internal
+		c.True(open > limit/2)
 		for i, x := range servers {
-			c.Equal(x.up(), i >= len(servers)-held)
+			c.Equal(x.up(), i >= len(servers)-open)
 		}
 
 		// Servers wait for the disks while a thousand more come: none that waits is closed.
@@ -113,7 +114,7 @@
 			waiting.Go(func() { answers <- x.call("PUT", fmt.Sprint("/instances/i-", 1000+i), call1("draining", 2)) })
 		}
 		synctest.Wait()
-		c.Equal(c.nodes[at].gate.inFlight, cap(answers))
+		c.Equal(c.nodes[at].connections.Stats().InFlight, cap(answers))
 		for range 1000 {
 			c.connect(at)
 		}
@@ -125,7 +126,8 @@
 			c.Equal(<-answers, 200)
 		}
 		pass(6 * time.Second) // what is idle goes by itself
-		c.Equal(c.nodes[at].gate.total(), c.nodes[at].gate.internal)
+		stats = c.nodes[at].connections.Stats()
+		c.Equal(stats.Total(), stats.Internal)
 
 		// Calls whose bodies do not come take all that they may have. A server that leaves and an operator are served all the same, and what
 		// does not come is given up after a second.
@@ -146,7 +148,7 @@
 		c.Equal(c.connect(at).call("DELETE", "/instances/i-2501", ""), 200)
 		c.True(time.Since(began) < time.Second)
 		pass(heartbeatBodyTimeout)
-		c.Equal(c.nodes[at].gate.inFlight, 0)
+		c.Equal(c.nodes[at].connections.Stats().InFlight, 0)
 		c.True(!late.up())
 		c.end()
 	})
--- /dev/null
+++ b/internal/control/connlimit/gate.go
@@ -0,0 +1,153 @@
+package connlimit
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"sync"
+)
+
+// Gate applies the limit to real connections: it tracks each one's slot and closes the connections that are evicted.
+type Gate struct {
+	mu    sync.Mutex // guards slots and the fields of each tracked connection's slot
+	slots *slots
+}
+
+// NewGate makes a gate for a process that may open maxFDs file descriptors; 0: unknown, defaultFDs is assumed.
+func NewGate(maxFDs int) *Gate { return &Gate{slots: newSlots(maxFDs)} }
+
+// Stats counts the connections of a gate.
+type Stats struct {
+	InFlight int // of servers and operators, with a call in flight
+	Idle     int // of servers and operators, without one
+	Internal int // of agents and control nodes
+	Limit    int // of all together
+}
+
+// Total is the number of open connections.
+func (s Stats) Total() int { return s.InFlight + s.Idle + s.Internal }
+
+// Stats returns the counts of this moment.
+func (g *Gate) Stats() Stats {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return Stats{
+		InFlight: g.slots.inFlight,
+		Idle:     g.slots.idle.Len(),
+		Internal: g.slots.internal,
+		Limit:    g.slots.limit,
+	}
+}
+
+// Listen wraps the listener for the connections of servers and operators. The http.Server that serves it must use ConnState and
+// ConnContext of this gate.
+func (g *Gate) Listen(l net.Listener) net.Listener { return &listener{Listener: l, gate: g} }
+
+type listener struct {
+	net.Listener
+	gate *Gate
+}
+
+// trackedConn is a connection of a server or an operator.
+type trackedConn struct {
+	net.Conn
+	gate *Gate
+	slot slot
+}
+
+// Accept accepts every connection, and evicts the one that has been idle longest where the limit is reached.
+func (l *listener) Accept() (net.Conn, error) {
+	nc, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	c := &trackedConn{Conn: nc, gate: l.gate}
+	c.slot.close = c.Conn.Close
+	l.gate.mu.Lock()
+	evicted := l.gate.slots.add(&c.slot)
+	l.gate.mu.Unlock()
+	evicted.closeConn()
+	return c, nil
+}
+
+// closeConn closes the connection of a slot that was evicted. A call may be arriving on it at this moment: its client then retries
+// on another node. A nil slot is ignored.
+func (s *slot) closeConn() {
+	if s != nil {
+		_ = s.close()
+	}
+}
+
+func (c *trackedConn) Close() error {
+	c.gate.mu.Lock()
+	c.gate.slots.remove(&c.slot)
+	c.gate.mu.Unlock()
+	return c.Conn.Close()
+}
+
+// CloseWrite half-closes the connection; the HTTP server does so before it closes one on which more data may arrive.
+func (c *trackedConn) CloseWrite() error {
+	if nc, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return nc.CloseWrite()
+	}
+	return nil
+}
+
+// ConnState is the http.Server's callback of the same name.
+func (g *Gate) ConnState(nc net.Conn, state http.ConnState) {
+	c, ok := nc.(*trackedConn)
+	if !ok {
+		return
+	}
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	switch state {
+	case http.StateActive:
+		g.slots.touch(&c.slot)
+	case http.StateIdle:
+		g.slots.finishCall(&c.slot)
+	}
+}
+
+type connKey struct{}
+
+// ConnContext is the http.Server's callback of the same name: it lets BeginCall find the connection of a request.
+func (g *Gate) ConnContext(ctx context.Context, nc net.Conn) context.Context {
+	return context.WithValue(ctx, connKey{}, nc)
+}
+
+// BeginCall decides on a call whose header has been read. Requests that came over no tracked connection are admitted.
+func (g *Gate) BeginCall(r *http.Request, byOperator bool) Admission {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if c, ok := r.Context().Value(connKey{}).(*trackedConn); ok {
+		return g.slots.beginCall(&c.slot, byOperator)
+	}
+	return Admitted
+}
+
+// FinishCall frees the call's slot before its response is written.
+func (g *Gate) FinishCall(r *http.Request) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if c, ok := r.Context().Value(connKey{}).(*trackedConn); ok {
+		g.slots.finishCall(&c.slot)
+	}
+}
+
+// AcquireInternal takes a slot for an internal connection, and reports false where there is none. The caller that got one must call
+// ReleaseInternal once the connection is closed.
+func (g *Gate) AcquireInternal() bool {
+	g.mu.Lock()
+	evicted, ok := g.slots.addInternal()
+	g.mu.Unlock()
+	evicted.closeConn()
+	return ok
+}
+
+// ReleaseInternal gives back the slot of an internal connection.
+func (g *Gate) ReleaseInternal() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.slots.removeInternal()
+}
--- a/internal/control/endpoints.go
+++ b/internal/control/endpoints.go
@@ -16,6 +16,7 @@
 
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/registry"
+	"mulleinrouter/internal/control/connlimit"
 )
 
 const (
@@ -94,7 +95,7 @@
 		_, _ = w.Write(errorReply(http.StatusNotFound, "no such call").body)
 	})
 	return &http.Server{Handler: mux, ReadHeaderTimeout: 2 * time.Second, ReadTimeout: bodyTimeout, WriteTimeout: 2 * bodyTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: 8 << 10, ConnState: n.gate.state, ConnContext: withCaller, ErrorLog: stdlog.New(log.NewStdlibAdapter(n.log), "", 0)}
+		MaxHeaderBytes: 8 << 10, ConnState: n.connections.ConnState, ConnContext: n.connections.ConnContext, ErrorLog: stdlog.New(log.NewStdlibAdapter(n.log), "", 0)}
 }
 
 // callCounts is where a call is counted.
@@ -111,21 +112,21 @@
 	refuse := func(status int, message string) reply {
 		w.Header().Set("Connection", "close")
 		_ = reading.SetReadDeadline(time.Now())
-		n.gate.free(r)
+		n.connections.FinishCall(r)
 		return errorReply(status, message)
 	}
 	if r.ContentLength > c.maxBody {
 		return refuse(http.StatusRequestEntityTooLarge, "the body is too long")
 	}
 	within := heartbeatBodyTimeout
-	switch n.gate.begin(r, c.byOperator) {
-	case closed:
+	switch n.connections.BeginCall(r, c.byOperator) {
+	case connlimit.Evicted:
 		panic(http.ErrAbortHandler)
-	case refused:
+	case connlimit.Rejected:
 		return refuse(http.StatusServiceUnavailable, "too many calls are in hand")
-	case admittedIfPrompt:
+	case connlimit.AdmittedIfPrompt:
 		within = promptBodyTimeout
-	case admitted:
+	case connlimit.Admitted:
 	}
 	if c.maxBody > largeBodyBytes && (r.ContentLength > largeBodyBytes || r.ContentLength < 0) {
 		select {
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -48,7 +48,7 @@
 	r.Gauge("changes_waiting", "Changes of operators that wait to be proposed.", func() float64 { return float64(n.proposals.waiting()) })
 	r.CounterFamily("operator_calls_total", "Calls of operators that were answered, by status.", "status", n.operatorCalls.samples)
 	r.CounterFamily("server_calls_total", "Calls of servers that were answered, by status.", "status", n.serverCalls.samples)
-	r.GaugeFamily("connections", "Connections by kind.", "kind", n.gate.samples)
+	r.GaugeFamily("connections", "Connections by kind.", "kind", n.connectionSamples)
 	r.GaugeFamily("instances", "Server instances known, by phase.", "phase", func() []metrics.Sample { return metrics.InstanceSamples(n.store.Instances()) })
 	r.Gauge("ingresses", "Ingresses that hold a lease.", func() float64 { return float64(n.ingresses()) })
 	r.Gauge("counters", "Quota counters kept here.", func() float64 {
@@ -96,10 +96,13 @@
 	return newest - epoch
 }
 
-// samples counts the connections.
-func (d *connectionGate) samples() []metrics.Sample {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return []metrics.Sample{{Label: "in_call", Value: float64(d.inFlight)}, {Label: "idle", Value: float64(d.waiting.Len())},
-		{Label: "internal", Value: float64(d.internal)}, {Label: "limit", Value: float64(d.limit)}}
+// connectionSamples counts the connections by kind.
+func (n *Node) connectionSamples() []metrics.Sample {
+	s := n.connections.Stats()
+	return []metrics.Sample{
+		{Label: "in_call", Value: float64(s.InFlight)},
+		{Label: "idle", Value: float64(s.Idle)},
+		{Label: "internal", Value: float64(s.Internal)},
+		{Label: "limit", Value: float64(s.Limit)},
+	}
 }
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -22,6 +22,7 @@
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/cluster/transport"
+	"mulleinrouter/internal/control/connlimit"
 	"mulleinrouter/internal/control/storage"
 )
 
@@ -91,7 +92,7 @@
 	members                    atomic.Int64
 	zoneRanks                  atomic.Pointer[map[string]zoneRank] // of ingresses; swapped whole
 	lastMembers                atomic.Int64                        // members, as the disk had them
-	gate                       connectionGate
+	connections                *connlimit.Gate
 	ended                      chan struct{} // closed at the end
 	electorateState            electorateState
 	operatorCalls, serverCalls callCounts
@@ -119,7 +120,7 @@
 	n.proposals = newProposalQueue(n)
 	n.instances = newInstanceRegistry(n.store, s.HeartbeatInterval, n.uptime)
 	n.keeper.CounterTable = quota.New()
-	n.gate.connectionSlots = newConnectionSlots(s.Limits.MaxFDs)
+	n.connections = connlimit.NewGate(s.Limits.MaxFDs)
 	n.contact = newContact(n.self, func() time.Duration { return time.Since(n.started) }, n.replica.votersForContact)
 	told := func() []string {
 		voters, _ := n.replica.electorate()
@@ -162,7 +163,7 @@
 	server := n.server()
 	lame := n.linger
 	all.Go(func() {
-		if err := server.Serve(&listener{control, &n.gate}); !errors.Is(err, http.ErrServerClosed) {
+		if err := server.Serve(n.connections.Listen(control)); !errors.Is(err, http.ErrServerClosed) {
 			broken <- errors.Wrap(err, "control calls")
 		}
 	})
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -127,12 +127,12 @@
 			pause(ctx, 20*time.Millisecond) // out of descriptors, for one
 			continue
 		}
-		if !n.gate.admitInternal() {
+		if !n.connections.AcquireInternal() {
 			nc.Close()
 			continue
 		}
 		go func() {
-			defer n.gate.releaseInternal()
+			defer n.connections.ReleaseInternal()
 			n.serve(ctx, nc, all)
 		}()
 	}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -75,9 +75,8 @@
 	n.keeper.Lock()
 	s.QuotaCounters = n.keeper.Len()
 	n.keeper.Unlock()
-	n.gate.mu.Lock()
-	s.ConnectionsUsed, s.ConnectionLimit = n.gate.total(), n.gate.limit
-	n.gate.mu.Unlock()
+	connections := n.connections.Stats()
+	s.ConnectionsUsed, s.ConnectionLimit = connections.Total(), connections.Limit
 	return s
 }
 
