--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -12,6 +12,8 @@
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/registry"
 	"mulleinrouter/internal/cluster/transport"
+	"mulleinrouter/internal/control/instances"
+	"mulleinrouter/internal/control/mutant"
 	"mulleinrouter/internal/control/storage"
 )
 
@@ -34,7 +36,6 @@
 	maxFetchWaiters   = 4           // calls of one node that wait for a fetch from it
 	maxLag            = time.Second // that a snapshot may be newer elsewhere before nobody is to start with the one here
 	historyEntryBytes = 20          // what each version counts in an item's past
-	instanceBytes     = 64
 )
 
 // chosenChange is a change with the epoch it made.
@@ -61,7 +62,7 @@
 
 // load takes what was on disk.
 func (s *staging) load(from storage.State) {
-	if s.saved = from.Stage != nil; !s.saved || from.Stage.Top <= from.Acceptor.Epoch || mutated("begins-anew") {
+	if s.saved = from.Stage != nil; !s.saved || from.Stage.Top <= from.Acceptor.Epoch || mutant.Active("begins-anew") {
 		return
 	}
 	s.Stage, s.items = *from.Stage, map[configuration.Key]configuration.Item{}
@@ -98,7 +99,7 @@
 		return false
 	}
 	s.Base = s.First
-	return s.First == s.Top || mutated("mixes-epochs")
+	return s.First == s.Top || mutant.Active("mixes-epochs")
 }
 
 // nextCatchUpRequest is the question for the next piece.
@@ -117,12 +118,12 @@
 	e := electorateOf(i)
 	s := &v.staging
 	s.Base = max(s.Base, v.acceptor.Epoch)
-	if !e.Known() || len(e.Voters) > maxPeers || v.storage == nil || i.Epoch <= v.acceptor.Epoch || i.Epoch < s.Top && !mutated("older-source") || q.FromPosition != s.From || q.Epoch > s.Base || i.NextPosition != 0 && i.NextPosition <= q.FromPosition || !allKeysValid(i.Items) {
+	if !e.Known() || len(e.Voters) > maxPeers || v.storage == nil || i.Epoch <= v.acceptor.Epoch || i.Epoch < s.Top && !mutant.Active("older-source") || q.FromPosition != s.From || q.Epoch > s.Base || i.NextPosition != 0 && i.NextPosition <= q.FromPosition || !allKeysValid(i.Items) {
 		return v.acceptor.Epoch, false
 	}
 	s.moved = time.Now()
 	direct := s.Top == 0 && i.NextPosition == 0
-	if whole := s.add(i); whole || mutated("epoch-before-items") {
+	if whole := s.add(i); whole || mutant.Active("epoch-before-items") {
 		items := make([]configuration.Item, 0, len(s.items))
 		for _, it := range s.items {
 			items = append(items, it)
@@ -132,7 +133,7 @@
 		stage := s.Stage
 		s.saved = true
 		b := storage.Batch{Stage: &stage, Staged: i.Items, NoSync: true} // what is lost of it comes again
-		if mutated("position-without-items") {
+		if mutant.Active("position-without-items") {
 			b.Staged = nil
 		}
 		v.storage.Put(b)
@@ -167,7 +168,7 @@
 // itemsNewerThan is the items that were chosen behind an epoch, from a position on, in order of their positions. Recent spares it the way through
 // the whole snapshot.
 func itemsNewerThan(book *configuration.Snapshot, recent []chosenChange, epoch, from uint64) iter.Seq2[uint64, configuration.Item] {
-	if len(recent) == 0 || recent[0].epoch > epoch+1 && !(mutated("recent-off-by-one") && recent[0].epoch == epoch+2) {
+	if len(recent) == 0 || recent[0].epoch > epoch+1 && !(mutant.Active("recent-off-by-one") && recent[0].epoch == epoch+2) {
 		return func(yield func(uint64, configuration.Item) bool) {
 			for at, i := range book.From(from) {
 				if i.Epoch > epoch && !yield(at, i) {
@@ -334,8 +335,8 @@
 		if first == nil {
 			first = i
 		}
-		n.instances.merge(i.Instances)
-		n.instances.persistDepartures(n.storage.Load(), ids(i.Instances)...)
+		n.instances.Merge(i.Instances)
+		n.instances.PersistDepartures(n.storage.Load(), instances.IDs(i.Instances)...)
 		if !i.MoreInstances || len(i.Instances) == 0 || i.Instances[len(i.Instances)-1].ID <= q.AfterInstance {
 			return first
 		}
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -505,45 +505,6 @@
 	return total, bytes
 }
 
-// The instances kept on disk come in pages, each once: against the plain list.
-func TestLinePages(t *testing.T) {
-	is := is.New(t)
-	fs := vfs.NewMem()
-	vt, _, err := storage.Open(fs, "d", log.NewNopLogger())
-	is.NoErr(err)
-	defer vt.Close()
-	r := newInstanceRegistry(replication.NewStore(1), 1.5, func() float64 { return 1 })
-	var all []registry.Instance
-	var want []string
-	for n := range 3000 {
-		l := registry.Instance{ID: fmt.Sprint("server-", n), Address: "10.0.0.1:80", Service: "s", Zone: "z", Seq: 1, Phase: registry.Draining}
-		if n%4 == 0 {
-			l.Phase = registry.Serving
-		} else {
-			want = append(want, l.ID)
-		}
-		all = append(all, l)
-	}
-	r.merge(all)
-	r.persistDepartures(vt, ids(all)...)
-	slices.Sort(want)
-	var got []string
-	pages := 0
-	for more, behind := true, ""; more; pages++ {
-		var page []registry.Instance
-		page, more = r.persistedAfter(behind, minChunkBytes)
-		b, err := transport.Append(nil, &transport.Frame{CatchUpChunk: &transport.CatchUpChunk{Instances: page}})
-		is.NoErr(err)
-		is.True(len(b) <= minChunkBytes)
-		is.True(len(page) > 0)
-		got = append(got, ids(page)...)
-		behind = page[len(page)-1].ID
-	}
-	is.Equal(got, want)
-	is.True(pages > 2)
-	t.Logf("%d lines in %d pages", len(got), pages)
-}
-
 // slowable is three nodes, and others that are no seeds, whose links are all metered.
 func slowable(t *testing.T, others ...string) *core {
 	c := newCore(t, 3)
--- a/internal/control/departures.go
+++ b/internal/control/departures.go
@@ -6,6 +6,7 @@
 
 	"mulleinrouter/internal/cluster/registry"
 	"mulleinrouter/internal/cluster/transport"
+	"mulleinrouter/internal/control/instances"
 )
 
 const maxPersisted = 4096
@@ -16,16 +17,8 @@
 	if len(ls) > maxPersisted || disk == nil {
 		return false
 	}
-	n.instances.merge(ls)
-	return synced(n.instances.persistDepartures(disk, ids(ls)...), 0)
-}
-
-func ids(ls []registry.Instance) []string {
-	all := make([]string, len(ls))
-	for i, l := range ls {
-		all[i] = l.ID
-	}
-	return all
+	n.instances.Merge(ls)
+	return synced(n.instances.PersistDepartures(disk, instances.IDs(ls)...), 0)
 }
 
 // replicateDeparture has an instance that leaves put on enough disks: those of one control node more than may be lost, or of all there are.
@@ -44,7 +37,7 @@
 	})
 	if disk := n.storage.Load(); disk != nil {
 		others++
-		if t := n.instances.persistDepartures(disk, l.ID); t != nil {
+		if t := n.instances.PersistDepartures(disk, l.ID); t != nil {
 			go func() { results <- t.Wait(ctx) == nil }()
 		} else {
 			results <- true
@@ -64,7 +57,7 @@
 			return false
 		}
 		if got >= need {
-			n.instances.acknowledged(l)
+			n.instances.Acknowledge(l)
 			return true
 		}
 	}
--- a/internal/control/electorate.go
+++ b/internal/control/electorate.go
@@ -12,6 +12,7 @@
 
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/transport"
+	"mulleinrouter/internal/control/majority"
 )
 
 const (
@@ -147,7 +148,7 @@
 	if addr == n.self {
 		return 0
 	}
-	if age := n.contact.age(addr); age >= 0 {
+	if age := n.majority.Age(addr); age >= 0 {
 		return min(age, stands)
 	}
 	return stands
@@ -211,11 +212,11 @@
 	base, book := n.replica.base()
 	e := base.Electorate
 	stands := n.electorateAge(e)
-	term, held := n.contact.current()
+	term, held := n.majority.Current()
 	if !held || n.confirmed.Load() != term || book.Len() == 0 || stands < minElectorateAge || !e.Has(n.replica.asVoter()) || n.electorateState.tending.Load() {
 		return
 	}
-	living, _, _ := n.contact.living()
+	living, _, _ := n.majority.Reachable()
 	rank := time.Duration(slices.Index(living, n.self))
 	after := time.Duration(n.settings.Bounds.Contact*float64(time.Second)) + replacementDelay + rank*replacementRankDelay
 	var out string
@@ -320,7 +321,7 @@
 	for _, half := range [][]consensus.Voter{from.Voters, to} {
 		heard := 0
 		for _, v := range half {
-			if age := n.contact.age(v.At); v.At == n.self || age >= 0 && age <= contactTTL || slices.Contains(newcomers, v) {
+			if age := n.majority.Age(v.At); v.At == n.self || age >= 0 && age <= majority.TTL || slices.Contains(newcomers, v) {
 				heard++
 			}
 		}
--- a/internal/control/endpoints.go
+++ b/internal/control/endpoints.go
@@ -17,6 +17,7 @@
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/registry"
 	"mulleinrouter/internal/control/connlimit"
+	"mulleinrouter/internal/control/mutant"
 )
 
 const (
@@ -32,6 +33,8 @@
 	bodyTimeout          = 10 * time.Second
 	heartbeatBodyTimeout = time.Second            // its body: the server waits for the answer no longer
 	promptBodyTimeout    = 50 * time.Millisecond  // where room is short
+	startupGrace         = 2 * time.Second         // after the start: a call that comes before the first contact waits for it till then
+	startupWait          = 500 * time.Millisecond  // for which one call waits
 	slowCallThreshold    = 250 * time.Millisecond // an operator's call that takes so long is logged
 )
 
@@ -160,7 +163,7 @@
 	if took := time.Since(began); c.byOperator && took >= slowCallThreshold {
 		n.log.Log("msg", "slow answer", "call", c.pattern, "ms", took.Milliseconds(), "status", a.status)
 	}
-	if c.needsContact && !n.inContact() && !mutated("acknowledges-alone") {
+	if c.needsContact && !n.inContact() && !mutant.Active("acknowledges-alone") {
 		return noContactReply // the process may have stood still meanwhile
 	}
 	return a
@@ -169,7 +172,7 @@
 // awaitContact tells whether this node is in contact with a majority. Just after the start it waits a little for the first contact: all may
 // have started at once.
 func (n *Node) awaitContact(ctx context.Context) bool {
-	if n.inContact() || mutated("acknowledges-alone") {
+	if n.inContact() || mutant.Active("acknowledges-alone") {
 		return true
 	}
 	left := min(startupWait, startupGrace-time.Since(n.started))
@@ -179,7 +182,7 @@
 	t := time.NewTimer(left)
 	defer t.Stop()
 	select {
-	case <-n.contact.first:
+	case <-n.majority.FirstHeld():
 	case <-t.C:
 	case <-ctx.Done():
 	}
@@ -254,7 +257,7 @@
 	if err != nil {
 		return errorReply(http.StatusBadRequest, err.Error())
 	}
-	l, sure := n.instances.heartbeat(l)
+	l, sure := n.instances.Heartbeat(l)
 	if l.Phase < registry.Draining || sure {
 		return okReply
 	}
@@ -267,7 +270,7 @@
 	if id == "" || len(id) > maxIDLength {
 		return errorReply(http.StatusBadRequest, "no proper id")
 	}
-	l, sure := n.instances.departed(id)
+	l, sure := n.instances.Depart(id)
 	if sure {
 		return okReply
 	}
--- /dev/null
+++ b/internal/control/ingresslease/table.go
@@ -0,0 +1,149 @@
+package ingresslease
+
+import (
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"mulleinrouter/internal/cluster/transport"
+)
+
+const (
+	leaseDuration = 2 * time.Second
+	settleTime    = 1500 * time.Millisecond // after a term of contact begins: by then all holders have renewed their leases here
+	maxLeases     = 1 << 14
+
+	// MaxNameLength is the limit in bytes on the names by which nodes identify themselves and their zones.
+	MaxNameLength = 4096
+)
+
+// Table is the leases of the ingresses that subscribe to this node. The zero value is an empty table. It is safe for concurrent use.
+type Table struct {
+	mu      sync.Mutex       // guards leases and changed
+	leases  map[string]lease // by the ingress' node name
+	changed bool             // since the ranks were last computed
+
+	published  atomic.Int64
+	lowerBound atomic.Int64 // the count known before this term of contact
+	ranks      atomic.Pointer[map[string]zoneRank]
+}
+
+type lease struct {
+	incarnation uint64
+	renewedAt   time.Time
+	ready       bool
+	zone        string
+}
+
+// zoneRank is the position of an ingress among the ready ones of its zone.
+type zoneRank struct {
+	rank  int
+	peers int
+}
+
+// Renew renews the lease of a subscriber; ready: it takes requests.
+func (t *Table) Renew(hello *transport.Hello, ready bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.leases == nil {
+		t.leases = map[string]lease{}
+	}
+	old, ok := t.leases[hello.Node]
+	if !ok && (len(t.leases) >= maxLeases || len(hello.Node) > MaxNameLength) {
+		return
+	}
+	if !ok || old.ready != ready {
+		t.changed = true
+	}
+	t.leases[hello.Node] = lease{
+		incarnation: hello.Incarnation,
+		renewedAt:   time.Now(),
+		ready:       ready,
+		zone:        hello.Zone,
+	}
+}
+
+// countReady is the number of ready ingresses whose leases hold. Expired leases are dropped.
+func (t *Table) countReady(now time.Time) (count int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for node, l := range t.leases {
+		if now.Sub(l.renewedAt) > leaseDuration {
+			delete(t.leases, node)
+			t.changed = true
+		} else if l.ready {
+			count++
+		}
+	}
+	return count
+}
+
+// Restore sets the count that was stored on disk as the lower bound.
+func (t *Table) Restore(count int) { t.lowerBound.Store(int64(count)) }
+
+// BeginTerm makes the published count the lower bound for a new term of contact.
+func (t *Table) BeginTerm() {
+	if count := t.published.Load(); count > 0 {
+		t.lowerBound.Store(count)
+	}
+}
+
+// Count is the number of ready ingresses in a term of contact that began at termStart. Until all have had the time to renew their
+// leases here, it is not below the lower bound: parts of quotas that are too large cannot be taken back. 0: unknown.
+func (t *Table) Count(now, termStart time.Time) int64 {
+	count := int64(t.countReady(now))
+	switch elapsed := now.Sub(termStart); {
+	case elapsed < settleTime:
+		return t.lowerBound.Load()
+	case elapsed < settleTime+2*leaseDuration:
+		return max(count, t.lowerBound.Load())
+	}
+	return count
+}
+
+// Publish sets the count that Published returns, and tells whether it differs from before.
+func (t *Table) Publish(count int64) (changed bool) { return t.published.Swap(count) != count }
+
+// Published is the count that was published last.
+func (t *Table) Published() int64 { return t.published.Load() }
+
+// UpdateRanks computes the ranks anew if leases were granted, expired or became ready since.
+func (t *Table) UpdateRanks() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.changed {
+		return
+	}
+	t.changed = false
+	ranks := t.computeRanks()
+	t.ranks.Store(&ranks)
+}
+
+// computeRanks orders the ready ingresses of each zone by name, so that all control nodes agree. t.mu is held.
+func (t *Table) computeRanks() map[string]zoneRank {
+	zones := map[string][]string{}
+	for node, l := range t.leases {
+		if l.ready {
+			zones[l.zone] = append(zones[l.zone], node)
+		}
+	}
+	ranks := make(map[string]zoneRank, len(t.leases))
+	for _, nodes := range zones {
+		slices.Sort(nodes)
+		for i, node := range nodes {
+			ranks[node] = zoneRank{rank: i, peers: len(nodes)}
+		}
+	}
+	return ranks
+}
+
+// Rank is the position of an ingress in its zone as of the last UpdateRanks; 0 peers: unknown.
+func (t *Table) Rank(node string) (rank, peers int) {
+	ranks := t.ranks.Load()
+	if ranks == nil {
+		return 0, 0
+	}
+	r := (*ranks)[node]
+	return r.rank, r.peers
+}
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -5,6 +5,8 @@
 	"net/http"
 	"strconv"
 	"time"
+
+	"mulleinrouter/internal/control/majority"
 )
 
 const replaceBytes = 4 << 10
@@ -50,10 +52,10 @@
 		if s.Incarnation != 0 {
 			m.Heard = max(0, time.Since(s.LastHeard).Seconds())
 		}
-		if age := n.contact.age(addr).Seconds(); age >= 0 && (m.Heard < 0 || age < m.Heard) { // voters are asked too
+		if age := n.majority.Age(addr).Seconds(); age >= 0 && (m.Heard < 0 || age < m.Heard) { // voters are asked too
 			m.Heard = age
 		}
-		m.Up = x.client.Connected() && m.Heard >= 0 && m.Heard <= contactTTL.Seconds()
+		m.Up = x.client.Connected() && m.Heard >= 0 && m.Heard <= majority.TTL.Seconds()
 		m.Behind = epoch - min(epoch, s.Epoch)
 	}
 	return m
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -50,7 +50,7 @@
 	r.CounterFamily("server_calls_total", "Calls of servers that were answered, by status.", "status", n.serverCalls.samples)
 	r.GaugeFamily("connections", "Connections by kind.", "kind", n.connectionSamples)
 	r.GaugeFamily("instances", "Server instances known, by phase.", "phase", func() []metrics.Sample { return metrics.InstanceSamples(n.store.Instances()) })
-	r.Gauge("ingresses", "Ingresses that hold a lease.", func() float64 { return float64(n.ingresses()) })
+	r.Gauge("ingresses", "Ingresses that hold a lease.", func() float64 { return float64(n.ingressCount()) })
 	r.Gauge("counters", "Quota counters kept here.", func() float64 {
 		n.keeper.Lock()
 		defer n.keeper.Unlock()
@@ -79,7 +79,7 @@
 		if v == n.self {
 			continue
 		}
-		age := n.contact.age(v)
+		age := n.majority.Age(v)
 		if age < 0 {
 			return -1
 		}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -23,16 +23,18 @@
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/cluster/transport"
 	"mulleinrouter/internal/control/connlimit"
+	"mulleinrouter/internal/control/ingresslease"
+	"mulleinrouter/internal/control/instances"
+	"mulleinrouter/internal/control/majority"
 	"mulleinrouter/internal/control/storage"
 )
 
 const (
 	watchInterval   = 250 * time.Millisecond
-	leaseSettleTime = 1500 * time.Millisecond // after the start: by then all who hold a lease have renewed it here
-	orphanTimeout   = 200 * time.Millisecond  // after which an accepted change is finished by whoever has it
-	orphanRankDelay = 75 * time.Millisecond   // more for each voter before this one, so that they do not all do it
-	inquiryInterval = 200 * time.Millisecond  // while a vote is being recovered
-	maxPeers        = 40                      // control nodes
+	orphanTimeout   = 200 * time.Millisecond // after which an accepted change is finished by whoever has it
+	orphanRankDelay = 75 * time.Millisecond  // more for each voter before this one, so that they do not all do it
+	inquiryInterval = 200 * time.Millisecond // while a vote is being recovered
+	maxPeers        = 40                     // control nodes
 	shutdownLinger  = time.Second
 )
 
@@ -67,8 +69,8 @@
 	source      *replication.Source
 	replica     *replica
 	proposals   *proposalQueue
-	instances   *instanceRegistry
-	leases      leases
+	instances   *instances.Registry
+	ingresses   ingresslease.Table
 	storage     atomic.Pointer[storage.Store] // nil: the disk has not been read yet
 	largeBodies chan struct{}                 // room for large bodies
 
@@ -84,14 +86,12 @@
 
 	behind                     atomic.Bool // another node has had a newer snapshot for a while (see lags)
 	lagging                    lag         // watch's
-	contact                    *contact
-	confirmed                  atomic.Uint64 // the span of contact in which the snapshot here was found to be as new as that of more than half; 0: none
-	warm                       atomic.Bool   // the servers are known: its disk had them, or another node that has all has told them
-	lastInContact              atomic.Bool   // contact, as watch last found it
-	wakeWatch                  chan struct{} // something came that is not to wait for the next tick
-	members                    atomic.Int64
-	zoneRanks                  atomic.Pointer[map[string]zoneRank] // of ingresses; swapped whole
-	lastMembers                atomic.Int64                        // members, as the disk had them
+	majority                   *majority.Lease
+	leaseClock                 func() time.Duration // of majority; monotonic
+	confirmed                  atomic.Uint64        // the span of contact in which the snapshot here was found to be as new as that of more than half; 0: none
+	warm                       atomic.Bool          // the servers are known: its disk had them, or another node that has all has told them
+	lastInContact              atomic.Bool          // contact, as watch last found it
+	wakeWatch                  chan struct{}        // something came that is not to wait for the next tick
 	connections                *connlimit.Gate
 	ended                      chan struct{} // closed at the end
 	electorateState            electorateState
@@ -118,16 +118,17 @@
 	n.replica = &replica{self: n.self, store: n.store, isOwnBallot: func(b consensus.Ballot) bool { return strings.HasPrefix(b.Node, n.name+"/") },
 		drawDiskID: func() uint64 { return n.incarnation }, electorateChanged: n.notifyWatch}
 	n.proposals = newProposalQueue(n)
-	n.instances = newInstanceRegistry(n.store, s.HeartbeatInterval, n.uptime)
+	n.instances = instances.New(n.store, s.HeartbeatInterval, n.uptime)
 	n.keeper.CounterTable = quota.New()
 	n.connections = connlimit.NewGate(s.Limits.MaxFDs)
-	n.contact = newContact(n.self, func() time.Duration { return time.Since(n.started) }, n.replica.votersForContact)
+	n.leaseClock = func() time.Duration { return time.Since(n.started) }
+	n.majority = majority.NewLease(n.self, func() time.Duration { return n.leaseClock() }, n.replica.votersForContact)
 	told := func() []string {
 		voters, _ := n.replica.electorate()
 		return voters
 	}
-	n.source = &replication.Source{Store: n.store, Voters: told, Clock: n.clock, Ready: n.ready, Quorum: n.inContact, OnInstances: n.instances.merge, OnRenewal: n.leases.renewed,
-		Heartbeats: n.instances.heartbeatsSince, Rank: n.zoneRankOf, Members: n.ingresses}
+	n.source = &replication.Source{Store: n.store, Voters: told, Clock: n.clock, Ready: n.ready, Quorum: n.inContact, OnInstances: n.instances.Merge, OnRenewal: n.ingresses.Renew,
+		Heartbeats: n.instances.HeartbeatsSince, Rank: n.zoneRankOf, Members: n.ingressCount}
 	return n, nil
 }
 
@@ -238,7 +239,7 @@
 	if ctx.Err() != nil {
 		return v.Close()
 	}
-	n.instances.restore(s.Instances)
+	n.instances.Restore(s.Instances)
 	if slices.ContainsFunc(s.Instances, func(l registry.Instance) bool { return l.Phase == registry.Serving }) {
 		n.warm.Store(true)
 	}
@@ -247,7 +248,7 @@
 		bootstrap = n.settings.Seeds
 	}
 	n.replica.load(v, s, bootstrap)
-	n.lastMembers.Store(int64(s.Members))
+	n.ingresses.Restore(s.Members)
 	n.storage.Store(v)
 	n.notifyWatch()
 	_, votes := n.replica.electorate()
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -10,6 +10,7 @@
 	"slices"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -43,13 +44,14 @@
 // machine is one of them with its disk.
 type machine struct {
 	*Node
-	addr    string
-	fs      *vfs.MemFS
-	hang    *hanging
-	inner   *pipes
-	control *pipes
-	stop    context.CancelFunc
-	ended   chan error
+	addr      string
+	fs        *vfs.MemFS
+	hang      *hanging
+	inner     *pipes
+	control   *pipes
+	clockSkew atomic.Int64 // nanoseconds by which the clock of its majority lease is ahead
+	stop      context.CancelFunc
+	ended     chan error
 }
 
 // pipes is a listener for pipes.
@@ -145,6 +147,7 @@
 	})
 	c.NoErr(err)
 	m.linger = 0
+	m.leaseClock = func() time.Duration { return time.Since(m.started) + time.Duration(m.clockSkew.Load()) }
 	ctx, stop := context.WithCancel(context.Background())
 	m.stop = stop
 	c.mu.Lock()
--- a/internal/control/orders_mutants_test.go
+++ b/internal/control/orders_mutants_test.go
@@ -8,6 +8,7 @@
 
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/consensus"
+	"mulleinrouter/internal/control/mutant"
 )
 
 // The orders find what is seeded here, in the directory and in the ballots: in so many seeds, or in a scene.
@@ -17,12 +18,12 @@
 		of     *string
 		scene  string
 	}{
-		{"answers-before", &Mutant, ""},
-		{"answers-left", &Mutant, ""},
-		{"answers-others", &Mutant, "other found"},
-		{"learns-any", &Mutant, "word of another"},
-		{"refuses-unsure", &Mutant, "cut off"},
-		{"proposes-gone", &Mutant, "gone"},
+		{"answers-before", &mutant.Name, ""},
+		{"answers-left", &mutant.Name, ""},
+		{"answers-others", &mutant.Name, "other found"},
+		{"learns-any", &mutant.Name, "word of another"},
+		{"refuses-unsure", &mutant.Name, "cut off"},
+		{"proposes-gone", &mutant.Name, "gone"},
 		{"keeps-ballot", &consensus.Mutant, "late majority"},
 		{"stale-ballot", &consensus.Mutant, ""},
 		{"ignores-pending", &consensus.Mutant, ""},
--- a/internal/control/contact_test.go
+++ b/internal/control/partition_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"math/rand/v2"
 	"net"
 	"slices"
 	"strings"
@@ -21,78 +20,6 @@
 
 const touchWithin = 3 * time.Second // after a cut: contactMs of the sites
 
-// leaseModel plays a lease against a plain model: contact holds at an instant if a majority has answered questions put in the time before
-// it, and a span of it ends with any instant at which it did not. It returns what was wrong.
-func leaseModel(seed uint64) string {
-	rnd := rand.New(rand.NewPCG(seed, 1))
-	all := []string{"a", "b", "c", "d", "e"}
-	voters := all[:1+rnd.IntN(5)]
-	now := time.Duration(0)
-	c := newContact("a", func() time.Duration { return now }, func() []string { return voters })
-	answered := map[string]time.Duration{}
-	plain := func() bool {
-		n := 0
-		for _, v := range voters {
-			if at, ok := answered[v]; v == "a" || ok && now-at <= contactTTL {
-				n++
-			}
-		}
-		return 2*n > len(voters)
-	}
-	term, held := uint64(0), false
-	look := func() {
-		if now := plain(); now != held {
-			if held = now; held {
-				term++
-			}
-		}
-	}
-	type question struct {
-		to string
-		at time.Duration
-	}
-	var out []question
-	for range 400 {
-		switch rnd.IntN(5) {
-		case 0, 1:
-			out = append(out, question{all[1+rnd.IntN(4)], now})
-		case 2, 3:
-			if len(out) > 0 {
-				i := rnd.IntN(len(out))
-				q := out[i]
-				out = slices.Delete(out, i, i+1)
-				look()
-				c.answered(q.to, q.at)
-				answered[q.to] = max(answered[q.to], q.at)
-			}
-		case 4:
-			for left := rnd.IntN(100); left >= 0; left-- { // at times for long, as if it stood still
-				now += 10 * time.Millisecond
-				look()
-				if rnd.IntN(20) == 0 {
-					out = append(out, question{all[1+rnd.IntN(4)], now})
-				}
-			}
-		}
-		look()
-		if got, ok := c.current(); ok != held || ok && got != term {
-			return fmt.Sprintf("at %v: %v in span %d, and the model %v in %d", now, ok, got, held, term)
-		}
-		if living, _, _ := c.living(); held && 2*len(living) <= len(voters) {
-			return fmt.Sprintf("at %v: in contact with %v of %v", now, living, voters)
-		}
-	}
-	return ""
-}
-
-func TestContactAgainstAPlainModel(t *testing.T) {
-	for seed := range uint64(300) {
-		if wrong := leaseModel(seed); wrong != "" {
-			t.Fatalf("seed %d: %s", seed, wrong)
-		}
-	}
-}
-
 // gateway is a core with servers that call it, agents that listen to it, and whoever looks at all that it says.
 type gateway struct {
 	*core
@@ -411,15 +338,10 @@
 	n := g.nodes[who]
 	n.keeper.Lock() // watch and counters stand
 	pass(time.Millisecond)
-	var late atomicSkew
-	now := n.contact.now
-	n.contact.mu.Lock()
-	n.contact.now = func() time.Duration { return now() + late.get() }
-	n.contact.mu.Unlock()
-	late.add(20 * time.Second)
+	n.clockSkew.Store(int64(20 * time.Second))
 	g.lapse(who)
 	g.alone(who, 500) // the first that it says
-	if _, peers := n.zoneRankOf("edge-0"); peers != 0 || n.ingresses() != 0 || n.inContact() {
+	if _, peers := n.zoneRankOf("edge-0"); peers != 0 || n.ingressCount() != 0 || n.inContact() {
 		g.fail("it woke and counts as before")
 	}
 	n.keeper.Unlock()
@@ -441,24 +363,6 @@
 	g.whole()
 }
 
-// atomicSkew is by how much a clock has gone on.
-type atomicSkew struct {
-	mu sync.Mutex
-	by time.Duration
-}
-
-func (a *atomicSkew) add(d time.Duration) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.by += d
-}
-
-func (a *atomicSkew) get() time.Duration {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.by
-}
-
 func TestStoodStill(t *testing.T) {
 	for _, wrong := range watched(t, 9, stoodStill) {
 		t.Error(wrong)
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -12,6 +12,9 @@
 
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/transport"
+	"mulleinrouter/internal/control/ingresslease"
+	"mulleinrouter/internal/control/majority"
+	"mulleinrouter/internal/control/mutant"
 )
 
 // peer is another control node.
@@ -37,8 +40,8 @@
 		x := &peer{addr: a, fetcher: fetcher{room: make(chan struct{}, 1)}, client: &replication.Client{Addr: inner, Node: n.settings.Node, Class: replication.ClassControl, ControlAddr: n.self, Zone: n.settings.Zone, Incarnation: n.incarnation, Seed: n.incarnation,
 			Store: n.store, Clock: n.clock, MaxFrame: transport.MaxControlFrame, Ready: n.ready}}
 		x.client.Consume = func(f *transport.Update) {
-			n.instances.merge(f.Instances)
-			n.instances.remoteHeartbeats(f.Heartbeats)
+			n.instances.Merge(f.Instances)
+			n.instances.MergeRemoteHeartbeats(f.Heartbeats)
 			if f.Complete && f.Ready {
 				n.warm.Store(true)
 			}
@@ -84,12 +87,12 @@
 	if x == nil {
 		return nil
 	}
-	asked := n.contact.now()
+	asked := n.majority.Now()
 	r, err := x.client.Call(most, f)
 	if err != nil {
 		return nil
 	}
-	n.contact.answered(to, asked)
+	n.majority.RecordAnswer(to, asked)
 	return r
 }
 
@@ -99,7 +102,7 @@
 	for _, v := range voters {
 		if x := n.peer(v); x != nil && x.client.Connected() {
 			go func() {
-				if n.callPeer(v, contactTTL, &transport.Frame{Ping: &transport.Ping{}}) != nil && !n.lastInContact.Load() && n.inContact() { // not at any answer: the next look asks again at once
+				if n.callPeer(v, majority.TTL, &transport.Frame{Ping: &transport.Ping{}}) != nil && !n.lastInContact.Load() && n.inContact() { // not at any answer: the next look asks again at once
 					n.notifyWatch()
 				}
 			}()
@@ -151,7 +154,7 @@
 		conn.SetMaxFrame(transport.MaxControlFrame)
 		n.subscribeTo(ctx, all, []string{h.ControlAddr}) // one that is no voter takes calls of servers too: what it hears must come here
 		if x := n.peer(h.ControlAddr); x != nil {
-			if len(h.Zone) <= maxNameLength {
+			if len(h.Zone) <= ingresslease.MaxNameLength {
 				x.zone.Store(&h.Zone)
 			}
 			x.client.RetryNow() // it runs again, and what is dialled meanwhile may run out
@@ -170,7 +173,7 @@
 	}
 	n.keeper.Lock()
 	defer n.keeper.Unlock()
-	if term, ok := n.contact.current(); (!ok || term != n.keeper.term) && !mutated("keeps-counters-alone") {
+	if term, ok := n.majority.Current(); (!ok || term != n.keeper.term) && !mutant.Active("keeps-counters-alone") {
 		return &transport.Frame{CounterTotal: &transport.CounterTotal{}}
 	}
 	total := n.keeper.Add(n.uptime(), a)
@@ -201,7 +204,7 @@
 			n.fetch(from, p.Epoch)
 		}
 	case f.CatchUpRequest != nil:
-		answer.CatchUpChunk = n.replica.catchUpChunk(f.CatchUpRequest, n.instances.persistedAfter)
+		answer.CatchUpChunk = n.replica.catchUpChunk(f.CatchUpRequest, n.instances.PersistedAfter)
 	case f.PersistRequest != nil:
 		answer.PersistReply = &transport.PersistReply{OK: n.persistInstances(f.PersistRequest.Instances)}
 	default:
--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -13,6 +13,7 @@
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/transport"
+	"mulleinrouter/internal/control/mutant"
 )
 
 const (
@@ -46,7 +47,9 @@
 }
 
 // isAbandoned tells whether nobody waits for the answer any more.
-func (c *pendingChange) isAbandoned() bool { return c.abandoned.Load() && !mutated("proposes-gone") }
+func (c *pendingChange) isAbandoned() bool {
+	return c.abandoned.Load() && !mutant.Active("proposes-gone")
+}
 
 // proposalQueue has the changes and the readings of this node led to their end, one run after the other, by one goroutine. Calls that wait
 // together are chosen together.
@@ -175,7 +178,7 @@
 			}
 			if readers, some := d.takeReaders(); some {
 				more = true
-				term, held := d.n.contact.current()
+				term, held := d.n.majority.Current()
 				err := d.lead(ctx, nil)
 				if err != nil || !held {
 					term = 0
@@ -324,7 +327,7 @@
 		return b.Validate(items)
 	}
 	items, verdicts := consensus.ComposeProposal(book, all, maxBatchBytes, check)
-	if !a.Confirmed && !mutated("refuses-unsure") && slices.ContainsFunc(verdicts, func(v consensus.Verdict) bool { return v.Err != nil }) {
+	if !a.Confirmed && !mutant.Active("refuses-unsure") && slices.ContainsFunc(verdicts, func(v consensus.Verdict) bool { return v.Err != nil }) {
 		return d.proposer.RequireConfirmation(a.Attempt), calls
 	}
 	var left []*pendingChange
@@ -336,7 +339,7 @@
 		case v.AlreadyApplied:
 			c.answer(nil)
 		default:
-			if left = append(left, c); mutated("answers-before") || mutated("answers-left") && !v.Included {
+			if left = append(left, c); mutant.Active("answers-before") || mutant.Active("answers-left") && !v.Included {
 				c.answer(nil)
 			}
 			if v.Included {
@@ -371,7 +374,7 @@
 	d.n.eachPeer(func(x *peer) {
 		go x.client.Call(roundTimeout, &transport.Frame{Chosen: &transport.Chosen{Proposal: consensus.Proposal{Ballot: p.Ballot, Epoch: p.Epoch}}})
 	})
-	if p.Ballot == d.proposed && p.Epoch == d.proposedUpon+1 || mutated("answers-others") {
+	if p.Ballot == d.proposed && p.Epoch == d.proposedUpon+1 || mutant.Active("answers-others") {
 		for _, c := range d.included {
 			c.answer(nil)
 			c.abandoned.Store(true)
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -10,13 +10,14 @@
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/transport"
+	"mulleinrouter/internal/control/mutant"
 	"mulleinrouter/internal/control/storage"
 )
 
 const (
-	syncTimeout      = 500 * time.Millisecond // that an answer waits for the disk: the others are enough
-	maxNameLength    = 4096                   // bytes of what an ingress calls itself and its zone
-	maxRecentChanges = 256                    // changes that are kept to be told to who lacks them
+	syncTimeout = 500 * time.Millisecond // that an answer waits for the disk: the others are enough
+
+	maxRecentChanges = 256 // changes that are kept to be told to who lacks them
 )
 
 // replica is this node's copy of the configuration and, if it is one of those that choose, its vote. Items reach the store under its
@@ -144,7 +145,7 @@
 			v.apply(v.acceptor.Base().With(*f), f.Items)
 		}
 		r, changed := v.acceptor.Accept(p)
-		if mutated("accepts-behind") && r.Behind {
+		if mutant.Active("accepts-behind") && r.Behind {
 			r.OK = true
 		}
 		if changed {
@@ -178,7 +179,7 @@
 func (v *replica) learn(b consensus.Ballot, epoch uint64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if f := v.acceptor.Pending; f != nil && (f.Ballot == b || mutated("learns-any")) && f.Epoch == epoch {
+	if f := v.acceptor.Pending; f != nil && (f.Ballot == b || mutant.Active("learns-any")) && f.Epoch == epoch {
 		v.apply(v.acceptor.Base().With(*f), f.Items)
 	}
 	return v.acceptor.Epoch >= epoch
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -63,7 +63,7 @@
 	s := Status{
 		Node: n.settings.Node, Control: n.self, Incarnation: incarnationName(n.incarnation), UptimeSeconds: n.uptime(),
 		Ready: n.ready(), Why: n.readiness(), Epoch: epoch, Items: snapshot.Len(), Promised: promised, PendingEpoch: pending,
-		Voters: voters, Votes: votes, Sources: n.sourceStatus(), Ingresses: n.members.Load(), Instances: ServiceInstances{},
+		Voters: voters, Votes: votes, Sources: n.sourceStatus(), Ingresses: n.ingresses.Published(), Instances: ServiceInstances{},
 		InContact: n.inContact(), EpochsBehind: n.epochsBehind(), DiskStalled: disk != nil && disk.Stalled(syncTimeout),
 	}
 	for _, instance := range n.store.Instances() {
@@ -87,7 +87,7 @@
 		if state.Incarnation != 0 {
 			heard = time.Since(state.LastHeard).Seconds()
 		}
-		all = append(all, SourceStatus{ControlAddr: x.addr, HeardSecondsAgo: heard, AnsweredSecondsAgo: max(-1, n.contact.age(x.addr).Seconds()),
+		all = append(all, SourceStatus{ControlAddr: x.addr, HeardSecondsAgo: heard, AnsweredSecondsAgo: max(-1, n.majority.Age(x.addr).Seconds()),
 			Epoch: state.Epoch, Ready: state.Ready, Quorum: state.Quorum})
 	})
 	return all
@@ -96,7 +96,7 @@
 // readiness says why this node is ready, or what it waits for.
 func (n *Node) readiness() string {
 	voters, _ := n.replica.electorate()
-	term, held := n.contact.current()
+	term, held := n.majority.Current()
 	switch {
 	case n.ready():
 		return "it has all"
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -6,21 +6,21 @@
 	"sync"
 	"time"
 
+	"mulleinrouter/internal/control/mutant"
 	"mulleinrouter/internal/control/storage"
 )
 
 // inContact tells whether this node is in contact with a majority.
 func (n *Node) inContact() bool {
-	_, ok := n.contact.current()
-	return ok
+	return n.majority.Held()
 }
 
-// ingresses is how many hold a lease; 0: it is not known, as where there is no contact.
-func (n *Node) ingresses() int {
+// ingressCount is how many hold a lease; 0: it is not known, as where there is no contact.
+func (n *Node) ingressCount() int {
 	if !n.inContact() {
 		return 0
 	}
-	return int(n.members.Load())
+	return int(n.ingresses.Published())
 }
 
 // watch does what time alone brings on.
@@ -37,7 +37,7 @@
 		}
 		now := time.Now()
 		n.ping()
-		living, term, quorum := n.contact.living()
+		living, term, quorum := n.majority.Reachable()
 		if n.lastInContact.Swap(quorum) != quorum {
 			n.log.Log("msg", "quorum", "heard", quorum)
 			n.store.NotifySubscribers()
@@ -45,24 +45,19 @@
 		if term != last {
 			// Contact was lost, seen or not, and is there again: what was counted before is no ground to judge by.
 			last, since = term, now
-			if m := n.members.Load(); m > 0 {
-				n.lastMembers.Store(m)
-			}
-			n.instances.contactLost()
+			n.ingresses.BeginTerm()
+			n.instances.QuorumLost()
 		}
-		if due := n.instances.detectSilent(quorum || mutated("judges-alone")); len(due) > 0 {
+		if due := n.instances.DetectSilent(quorum || mutant.Active("judges-alone")); len(due) > 0 {
 			n.log.Log("msg", "instances judged", "count", len(due), "first", due[0].ID, "phase", due[0].Phase)
 		}
-		if members := n.ingressCount(now, since); quorum && n.members.Swap(members) != members {
+		if members := n.ingresses.Count(now, since); quorum && n.ingresses.Publish(members) {
 			n.log.Log("msg", "ingresses", "count", members)
 			if disk := n.storage.Load(); disk != nil && members > 0 {
 				disk.Put(storage.Batch{Members: int(members), NoSync: true})
 			}
 		}
-		if n.leases.takeChanged() {
-			all := n.leases.ranked()
-			n.zoneRanks.Store(&all)
-		}
+		n.ingresses.UpdateRanks()
 		n.updateKeeper(living, term, quorum)
 		if quorum && (n.confirmed.Load() != term || n.hasOrphan(now)) {
 			n.proposals.confirm()
@@ -71,8 +66,8 @@
 		n.updateLag(now)
 		n.maintainElectorate(ctx, all)
 		if round%4 == 0 {
-			n.instances.expire(n.storage.Load())
-			n.instances.flush(n.storage.Load())
+			n.instances.Expire(n.storage.Load())
+			n.instances.Flush(n.storage.Load())
 		}
 	}
 }
@@ -82,34 +77,19 @@
 	n.keeper.Lock()
 	defer n.keeper.Unlock()
 	me := n.config.InternalAddrOf(n.self)
-	if n.keeper.term != term && !mutated("serves-through-a-lapse") {
+	if n.keeper.term != term && !mutant.Active("serves-through-a-lapse") {
 		n.keeper.SetMembers(n.uptime(), nil, me, false)
 	}
 	n.keeper.term = term
-	n.keeper.SetMembers(n.uptime(), n.internalAddrs(living), me, quorum || mutated("keeps-counters-alone"))
-}
-
-// ingressCount is how many ingresses hold a lease. While they may not all have renewed it with a node that has just started, or has just come
-// into contact again, it is at least as many as were counted before: parts of quotas that are too large cannot be taken back. 0: it
-// is not known.
-func (n *Node) ingressCount(now, since time.Time) int64 {
-	count := int64(n.leases.count(now))
-	switch up := now.Sub(since); {
-	case up < leaseSettleTime:
-		return n.lastMembers.Load()
-	case up < leaseSettleTime+2*leaseDuration:
-		return max(count, n.lastMembers.Load())
-	}
-	return count
+	n.keeper.SetMembers(n.uptime(), n.internalAddrs(living), me, quorum || mutant.Active("keeps-counters-alone"))
 }
 
 // zoneRankOf is where an ingress stands in its zone; 0 peers: it is not known, as where there is no contact.
 func (n *Node) zoneRankOf(node string) (rank, peers int) {
-	if all := n.zoneRanks.Load(); all != nil && n.inContact() {
-		p := (*all)[node]
-		return p.rank, p.peers
+	if !n.inContact() {
+		return 0, 0
 	}
-	return 0, 0
+	return n.ingresses.Rank(node)
 }
 
 // notifyWatch has watch look now.
@@ -130,9 +110,9 @@
 // ready tells whether a newcomer may serve with what it gets here: the configuration is as new as any that was acknowledged when this
 // span of contact began, and servers have had the time to call.
 func (n *Node) ready() bool {
-	term, ok := n.contact.current()
-	if mutated("ready-alone") {
+	term, ok := n.majority.Current()
+	if mutant.Active("ready-alone") {
 		ok, term = true, n.confirmed.Load()
 	}
-	return ok && n.confirmed.Load() == term && (!n.behind.Load() || mutated("ready-behind")) && n.store.Snapshot().Len() > 0 && (n.warm.Load() || n.uptime() > 1.2*n.settings.HeartbeatInterval)
+	return ok && n.confirmed.Load() == term && (!n.behind.Load() || mutant.Active("ready-behind")) && n.store.Snapshot().Len() > 0 && (n.warm.Load() || n.uptime() > 1.2*n.settings.HeartbeatInterval)
 }
