--- a/cmd/control/members.go
+++ b/cmd/control/members.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"mulleinrouter/internal/cluster/command"
-	"mulleinrouter/internal/control"
+	"mulleinrouter/internal/control/httpapi"
 )
 
 const (
@@ -73,7 +73,7 @@
 		_, err = fmt.Println(string(b))
 		return err
 	}
-	var all control.Members
+	var all httpapi.Members
 	if err := json.Unmarshal(b, &all); err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 	if !all.Contact {
 		contact = "NOT in contact with a majority: this may be old"
 	}
-	fmt.Printf("epoch %d; these voters since epoch %d, for %.0f s as seen here; %d wanted; %s\n\n", all.Epoch, all.Since, all.Stands, all.Wanted, contact)
+	fmt.Printf("epoch %d; these voters since epoch %d, for %.0f s as seen here; %d wanted; %s\n\n", all.Epoch, all.SinceEpoch, all.AgeSeconds, all.Wanted, contact)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ROLE\tAT\tZONE\tSTATE\tBEHIND\tHEARD")
 	for _, v := range all.Voters {
@@ -93,20 +93,20 @@
 	return w.Flush()
 }
 
-func row(w io.Writer, role string, m control.Member) {
+func row(w io.Writer, role string, m httpapi.Member) {
 	state, heard := "silent", "never"
 	switch {
-	case m.Lost:
+	case m.DiskReplaced:
 		state = "new disk, being taken in"
 	case m.Self:
 		state = "answers"
 	case m.Up:
 		state = "up"
 	}
-	if m.Heard >= 0 {
-		heard = fmt.Sprintf("%.1f s ago", m.Heard)
+	if m.LastHeardSeconds >= 0 {
+		heard = fmt.Sprintf("%.1f s ago", m.LastHeardSeconds)
 	}
-	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", role, m.At, m.Zone, state, m.Behind, heard)
+	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", role, m.Addr, m.Zone, state, m.EpochsBehind, heard)
 }
 
 type replace struct {
@@ -116,7 +116,7 @@
 }
 
 func (r *replace) Run() error {
-	body, err := json.Marshal(control.Replacement{Out: r.Out, In: r.In})
+	body, err := json.Marshal(httpapi.Replacement{Out: r.Out, In: r.In})
 	if err != nil {
 		return err
 	}
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -1,13 +1,10 @@
 package control
 
 import (
-	"context"
 	"encoding/binary"
 	"fmt"
-	"maps"
 	"math/rand/v2"
 	"net"
-	"os"
 	"slices"
 	"sync"
 	"testing"
@@ -15,18 +12,15 @@
 	"time"
 
 	"github.com/cockroachdb/pebble/v2/vfs"
-	"github.com/go-kit/log"
-	"github.com/matryer/is"
 
-	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/consensus"
-	"mulleinrouter/internal/cluster/registry"
-	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/transport"
-	"mulleinrouter/internal/control/storage"
+	"mulleinrouter/internal/control/catchup"
+	"mulleinrouter/internal/control/replica"
+	"mulleinrouter/internal/control/replica/replicatest"
 )
 
-const frameBound = maxChunkBytes + 8<<10 // bytes: what a frame of a transfer holds at most, where no item is longer by itself
+const frameBound = replica.MaxChunkBytes + 8<<10 // bytes: what a frame of a transfer holds at most, where no item is longer by itself
 
 // meter is what went over the links, and how fast they are.
 type meter struct {
@@ -104,304 +98,44 @@
 	return bytes, longest
 }
 
-// history makes changes, one epoch after the other, and knows each whole that they made: the plain model.
-type history struct {
-	rnd     *rand.Rand
-	names   int // of items
-	size    int // bytes of a body
-	each    int // items in a change, at most
-	changes []consensus.Proposal
-}
-
-func (h *history) grow(n int) {
-	for range n {
-		e := uint64(len(h.changes) + 1)
-		p := consensus.Proposal{Epoch: e}
-		for k := range h.rnd.IntN(h.each + 1) { // none, now and then
-			name := fmt.Sprint("t", h.rnd.IntN(h.names))
-			if slices.ContainsFunc(p.Items, func(i configuration.Item) bool { return i.Key.Name == name }) {
-				continue
-			}
-			i := configuration.Item{Key: configuration.Key{Kind: configuration.Tenants, Name: name}, Version: e, Epoch: e}
-			if i.Deleted = (int(e)+k)%7 == 0; !i.Deleted {
-				i.Body = fmt.Appendf(nil, `{"generation":"%08x","x":"%0*d"}`, e, h.size, e)
-			}
-			p.Items = append(p.Items, i)
-		}
-		h.changes = append(h.changes, p)
-	}
-}
-
-// whole is the items after an epoch.
-func (h *history) whole(epoch uint64) map[configuration.Key]configuration.Item {
-	all := map[configuration.Key]configuration.Item{}
-	for _, p := range h.changes[:epoch] {
-		for _, i := range p.Items {
-			all[i.Key] = i
-		}
-	}
-	return all
-}
-
-// wrong tells what a voter has that its epoch's whole has not, or lacks of it; empty: nothing.
-func (h *history) wrong(v *replica) string {
-	epoch, book := v.snapshot()
-	want := h.whole(epoch)
-	past := map[configuration.Key][]uint64{} // versions of all changes, the newest first
-	for _, p := range slices.Backward(h.changes[:epoch]) {
-		for _, i := range p.Items {
-			past[i.Key] = append(past[i.Key], i.Version)
-		}
-	}
-	if book.Len() != len(want) {
-		return fmt.Sprintf("%d items at epoch %d, not %d", book.Len(), epoch, len(want))
-	}
-	for i := range book.All() {
-		if w := want[i.Key]; !w.SameContent(i) || w.Epoch != i.Epoch {
-			return fmt.Sprintf("at epoch %d: %v of epoch %d and version %d, not of %d and %d", epoch, i.Key, i.Epoch, i.Version, w.Epoch, w.Version)
-		}
-		var got []uint64
-		if i.History != nil {
-			for _, p := range *i.History {
-				got = append(got, p.Version)
-			}
-		}
-		if all := past[i.Key][1:]; !slices.Equal(got, all[:min(16, len(all))]) {
-			return fmt.Sprintf("at epoch %d: %v overtook %v, not %v", epoch, i.Key, got, all)
-		}
-	}
-	return ""
-}
-
-// bring has a voter know all changes up to an epoch, one by one.
-func (h *history) bring(v *replica, epoch uint64) {
-	at, _ := v.snapshot()
-	for _, p := range h.changes[at:epoch] {
-		v.choose(p)
-	}
-}
-
-func newVoter(is *is.I, fs vfs.FS, life uint64) *replica {
-	is.Helper()
-	vt, s, err := storage.Open(fs, "d", log.NewNopLogger())
-	is.NoErr(err)
-	v := &replica{self: "x", store: replication.NewStore(life)}
-	v.load(vt, s, []string{"x", "y", "z"})
-	return v
-}
-
-func none(string, int) ([]registry.Instance, bool) { return nil, false }
-
-// One step of a walk in which a voter catches up: sources go on, answers are lost, come late or twice and from any of them, and the
-// voter loses power. Whatever whole it has is one that there was, and it gets to the newest.
-func catchUpWalk(seed uint64) (wrong string, pieces int) {
-	rnd := rand.New(rand.NewPCG(seed, 7))
-	is := is.New(failing{&wrong})
-	h := &history{rnd: rnd, names: 40, size: 1 + rnd.IntN(200), each: 1 + rnd.IntN(6)}
-	fs := vfs.NewCrashableMem()
-	life := uint64(1)
-	x := newVoter(is, fs, life)
-	sources := []*replica{}
-	for range 3 {
-		life++
-		sources = append(sources, newVoter(is, vfs.NewMem(), life))
-	}
-	defer func() {
-		for _, v := range append(sources, x) {
-			v.storage.Close()
-		}
-	}()
-	h.grow(1 + rnd.IntN(40))
-	type answer struct {
-		q transport.CatchUpRequest
-		i transport.CatchUpChunk
-	}
-	var late []answer
-	had, seen := uint64(0), new(configuration.Snapshot)
-	check := func() bool {
-		epoch, book := x.snapshot()
-		if wrong == "" && (book != seen || epoch != had) {
-			seen = book
-			wrong = h.wrong(x)
-		}
-		if wrong == "" && epoch < had {
-			wrong = fmt.Sprintf("epoch %d after %d", epoch, had)
-		}
-		had = epoch
-		if r := x.accept(consensus.Proposal{Ballot: consensus.Ballot{Round: 1, Node: "y"}, Epoch: epoch + 2 + uint64(rnd.IntN(3))}, nil); wrong == "" && r != nil && r.OK {
-			wrong = "it accepts upon a whole that it lacks"
-		}
-		return wrong == ""
-	}
-	for step := 0; ; step++ {
-		calm := step > 150
-		s := sources[rnd.IntN(3)]
-		switch k := rnd.IntN(12); {
-		case !calm && k == 0:
-			h.grow(1 + rnd.IntN(10))
-		case k == 1:
-			at, _ := s.snapshot()
-			h.bring(s, at+uint64(rnd.IntN(len(h.changes)-int(at)+1)))
-		case !calm && k == 2: // a change that comes as it is chosen
-			if at, _ := x.snapshot(); int(at) < len(h.changes) {
-				x.choose(h.changes[at])
-			}
-		case !calm && k == 3:
-			if rnd.IntN(2) == 0 { // it is synced; else the disk's own goroutine may not have got to it
-				is.NoErr(x.storage.Save(context.Background(), storage.Batch{}))
-			}
-			crash := fs.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: 50, RNG: rnd})
-			x.storage.Close()
-			fs = crash
-			life++
-			x = newVoter(is, fs, life)
-			had = 0
-			late = nil
-		case !calm && k == 4 && len(late) > 0:
-			a := late[rnd.IntN(len(late))]
-			x.stageChunk(&a.q, &a.i)
-		default:
-			q := x.nextCatchUpRequest()
-			q.MaxBytes = 1 + rnd.IntN(1500)
-			i := s.catchUpChunk(q, none)
-			pieces++
-			size := 0
-			for _, it := range i.Items {
-				size += frameBytes(it)
-			}
-			if size > q.MaxBytes && len(i.Items) > 1 {
-				return fmt.Sprintf("a piece of %d bytes", size), pieces
-			}
-			if late = append(late, answer{*q, *i}); len(late) > 5 {
-				late = late[1:]
-			}
-			if calm || rnd.IntN(4) > 0 {
-				x.stageChunk(q, i)
-			}
-		}
-		if !check() {
-			return wrong, pieces
-		}
-		if calm {
-			for _, s := range sources {
-				h.bring(s, uint64(len(h.changes)))
-			}
-			if epoch, _ := x.snapshot(); int(epoch) == len(h.changes) {
-				return "", pieces
-			}
-			if step > 1000 {
-				return "it never gets there", pieces
-			}
-		}
-	}
-}
-
-// failing is a test that notes its first failure.
-type failing struct{ wrong *string }
-
-func (f failing) Fail()    { f.FailNow() }
-func (f failing) FailNow() { *f.wrong = "a step failed" }
-func (f failing) Log(args ...any) {
-	fmt.Fprintln(os.Stderr, args...)
-}
-
-// recentWrong asks a source, after so many changes, for what is behind each epoch, whole and from some positions on: against the plain list
-// of what is newer.
-func recentWrong(n int) string {
-	var wrong string
-	is := is.New(failing{&wrong})
-	rnd := rand.New(rand.NewPCG(uint64(n), 3))
-	h := &history{rnd: rnd, names: 5000, size: 1, each: 3}
-	v := newVoter(is, vfs.NewMem(), 1)
-	defer v.storage.Close()
-	h.grow(n)
-	h.bring(v, uint64(n))
-	_, book := v.snapshot()
-	whole := h.whole(uint64(n))
-	for e := range uint64(n) {
-		for _, from := range []uint64{0, rnd.Uint64()} {
-			got, want := map[configuration.Key]uint64{}, map[configuration.Key]uint64{}
-			last := from
-			for at, i := range itemsNewerThan(book, v.recent, e, from) {
-				if at < last {
-					return fmt.Sprintf("position %x after %x", at, last)
-				}
-				last = at
-				got[i.Key] = i.Epoch
-			}
-			for _, i := range whole {
-				if i.Epoch > e && i.Key.Position() >= from {
-					want[i.Key] = i.Epoch
-				}
-			}
-			if !maps.Equal(got, want) {
-				return fmt.Sprintf("%d changes, asked for what is behind %d: %d items, not %d", n, e, len(got), len(want))
-			}
-		}
-	}
-	return wrong
-}
-
-var boundaries = []int{1, 2, maxRecentChanges/2 - 1, maxRecentChanges / 2, maxRecentChanges/2 + 1, maxRecentChanges - 1, maxRecentChanges, maxRecentChanges + 1, maxRecentChanges + 2, 3 * maxRecentChanges / 2, 3*maxRecentChanges/2 + 1, 600}
-
-func TestRecent(t *testing.T) {
-	for _, n := range boundaries {
-		if wrong := recentWrong(n); wrong != "" {
-			t.Error(wrong)
-		}
-	}
-}
-
-func TestCatchUpWalks(t *testing.T) {
-	pieces := 0
-	for seed := range uint64(catchUpWalks) {
-		wrong, n := catchUpWalk(seed)
-		if wrong != "" {
-			t.Fatalf("seed %d: %s", seed, wrong)
-		}
-		pieces += n
-	}
-	t.Logf("%d walks, %d pieces", catchUpWalks, pieces)
-}
-
 // far cuts the third of three nodes off, and has so many changes chosen by the others meanwhile.
-func (c *core) far(h *history, n int) (behind *machine) {
+func (c *core) far(h *replicatest.History, n int) (behind *machine) {
 	c.Helper()
 	behind = c.nodes[c.seeds[2]]
 	c.cut(behind.addr, true)
-	h.grow(n)
+	h.Grow(n)
 	for _, a := range c.seeds[:2] {
-		h.bring(c.nodes[a].replica, uint64(len(h.changes)))
+		h.Apply(c.nodes[a].replica, h.Newest())
 	}
 	return behind
 }
 
 // arrives waits until a node has the newest snapshot, and returns how long it took. All the while it has nothing in between, promises and accepts
 // nothing upon what it lacks, tells nobody that it is ready and answers no reading with what it has.
-func (c *core) arrives(h *history, addr string, most time.Duration) time.Duration {
+func (c *core) arrives(h *replicatest.History, addr string, most time.Duration) time.Duration {
 	c.Helper()
 	m, began := c.nodes[addr], time.Now()
-	old, book := m.replica.snapshot()
+	old, book := m.replica.Snapshot()
 	for {
-		epoch, now := m.replica.snapshot()
-		if epoch == uint64(len(h.changes)) {
-			c.Equal(h.wrong(m.replica), "")
+		epoch, now := m.replica.Snapshot()
+		if epoch == h.Newest() {
+			c.Equal(h.Check(m.replica), "")
 			return time.Since(began)
 		}
 		if time.Since(began) > most {
-			c.t.Fatalf("epoch %d of %d after %v", epoch, len(h.changes), time.Since(began))
+			c.t.Fatalf("epoch %d of %d after %v", epoch, len(h.Changes), time.Since(began))
 		}
 		if epoch == old {
 			c.True(now == book) // nothing of what has come is seen
 		} else {
 			old, book = epoch, now
-			c.Equal(h.wrong(m.replica), "")
+			c.Equal(h.Check(m.replica), "")
 		}
-		p := consensus.Proposal{Ballot: consensus.Ballot{Round: 1, Node: "test"}, Epoch: uint64(len(h.changes)) + 1}
-		if promised, _ := m.replica.state(); promised.Round > 0 {
+		p := consensus.Proposal{Ballot: consensus.Ballot{Round: 1, Node: "test"}, Epoch: h.Newest() + 1}
+		if promised, _ := m.replica.Pending(); promised.Round > 0 {
 			p.Ballot = promised
 		}
-		if r := m.replica.accept(p, nil); r != nil {
+		if r := m.replica.Accept(p, nil); r != nil {
 			c.True(!r.OK)
 		}
 		if time.Since(began) > 3*time.Second {
@@ -413,12 +147,12 @@
 
 // Behind by a change, by as many as are kept by name and one more or less, and by thousands; over links that are fast and in pieces.
 func TestBehindBy(t *testing.T) {
-	for _, n := range []int{1, 2, maxRecentChanges / 2, maxRecentChanges - 1, maxRecentChanges, maxRecentChanges + 1, 5000} {
+	for _, n := range []int{1, 2, replica.MaxRecentChanges / 2, replica.MaxRecentChanges - 1, replica.MaxRecentChanges, replica.MaxRecentChanges + 1, 5000} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newCore(t, 3)
 				pass(2 * time.Second)
-				h := &history{rnd: rand.New(rand.NewPCG(uint64(n), 1)), names: 300, size: 300, each: 4}
+				h := &replicatest.History{Random: rand.New(rand.NewPCG(uint64(n), 1)), Names: 300, BodySize: 300, MaxItems: 4}
 				c.far(h, 20)
 				c.cut(c.seeds[2], false)
 				c.arrives(h, c.seeds[2], 5*time.Second)
@@ -434,7 +168,7 @@
 				}
 				c.Equal(c.patch(c.seeds[2], upsert([]string{service("s", 1)}, nil)), 200)
 				pass(time.Second)
-				c.Equal(c.nodes[c.seeds[0]].store.Epoch(), uint64(len(h.changes)+1))
+				c.Equal(c.nodes[c.seeds[0]].store.Epoch(), h.Newest()+1)
 				c.end()
 			})
 		})
@@ -454,9 +188,9 @@
 	const size = 20 << 20
 	synctest.Test(t, func(t *testing.T) {
 		c := slowable(t)
-		h := &history{rnd: rand.New(rand.NewPCG(9, 1)), names: size / 4096, size: 4096, each: 40}
+		h := &replicatest.History{Random: rand.New(rand.NewPCG(9, 1)), Names: size / 4096, BodySize: 4096, MaxItems: 40}
 		c.far(h, 500)
-		for _, i := range h.whole(uint64(len(h.changes))) {
+		for _, i := range h.ItemsAt(h.Newest()) {
 			total += len(i.Body)
 		}
 		c.links.reset()
@@ -464,14 +198,14 @@
 		c.cut(c.seeds[2], false)
 		began, cuts := time.Now(), 0
 		for m := c.nodes[c.seeds[2]]; ; {
-			from, _ := m.replica.snapshot()
+			from, _ := m.replica.Snapshot()
 			pass(7 * time.Second)
 			if m.store.Epoch() > from {
 				break
 			}
-			h.grow(1) // meanwhile
+			h.Grow(1) // meanwhile
 			for _, a := range c.seeds[:2] {
-				h.bring(c.nodes[a].replica, uint64(len(h.changes)))
+				h.Apply(c.nodes[a].replica, h.Newest())
 			}
 			switch cuts++; cuts {
 			case 2: // the instance is lost
@@ -490,7 +224,7 @@
 				m = c.start(c.seeds[2], disk, false)
 			}
 			if time.Since(began) > 5*time.Minute {
-				t.Fatalf("not there after %v: %+v", time.Since(began), m.replica.staging.Stage)
+				t.Fatalf("not there after %v: %+v", time.Since(began), m.replica.NextCatchUpRequest())
 			}
 		}
 		took := time.Since(began)
@@ -528,20 +262,20 @@
 func readyBehind(t *testing.T) (ready, behind time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		c := slowable(t)
-		h := &history{rnd: rand.New(rand.NewPCG(4, 1)), names: 2000, size: 1024, each: 2000}
-		h.grow(1)
+		h := &replicatest.History{Random: rand.New(rand.NewPCG(4, 1)), Names: 2000, BodySize: 1024, MaxItems: 2000}
+		h.Grow(1)
 		for _, a := range c.seeds {
-			h.bring(c.nodes[a].replica, 1)
+			h.Apply(c.nodes[a].replica, 1)
 		}
 		pass(5 * time.Second)
 		m := c.nodes[c.seeds[2]]
 		c.True(m.ready())
 		c.links.set(2e6 / 8)
-		h.grow(8)
+		h.Grow(8)
 		for _, a := range c.seeds[:2] {
-			h.bring(c.nodes[a].replica, uint64(len(h.changes)))
+			h.Apply(c.nodes[a].replica, h.Newest())
 		}
-		for began := time.Now(); m.store.Epoch() < uint64(len(h.changes)); pass(10 * time.Millisecond) {
+		for began := time.Now(); m.store.Epoch() < h.Newest(); pass(10 * time.Millisecond) {
 			if behind = time.Since(began); m.ready() {
 				ready = behind
 			}
@@ -555,7 +289,7 @@
 	return ready, behind
 }
 
-const readyBound = maxLag + transport.HeartbeatInterval + 2*watchInterval
+const readyBound = catchup.MaxLag + transport.HeartbeatInterval + 2*watchInterval
 
 func TestReadyBehind(t *testing.T) {
 	ready, behind := readyBehind(t)
@@ -571,10 +305,10 @@
 	late, took := 0, time.Duration(0)
 	synctest.Test(t, func(t *testing.T) {
 		c := slowable(t)
-		h := &history{rnd: rand.New(rand.NewPCG(6, 1)), names: 6000, size: 1024, each: 2000}
-		h.grow(8)
+		h := &replicatest.History{Random: rand.New(rand.NewPCG(6, 1)), Names: 6000, BodySize: 1024, MaxItems: 2000}
+		h.Grow(8)
 		for _, a := range c.seeds {
-			h.bring(c.nodes[a].replica, uint64(len(h.changes)))
+			h.Apply(c.nodes[a].replica, h.Newest())
 		}
 		c.kill(c.seeds[2])
 		pass(2 * time.Second)
@@ -583,7 +317,7 @@
 		began := time.Now()
 		m := c.start(c.seeds[2], vfs.NewCrashableMem(), false)
 		for n := 2; ; n++ {
-			if _, votes := m.replica.electorate(); votes {
+			if _, votes := m.replica.Voters(); votes {
 				took = time.Since(began)
 				break
 			}
@@ -615,13 +349,13 @@
 		for seed := range figureRuns {
 			synctest.Test(t, func(t *testing.T) {
 				c := slowable(t)
-				h := &history{rnd: rand.New(rand.NewPCG(uint64(seed), 2)), names: 4000, size: 350, each: 9}
-				h.each = 2000
-				h.grow(4) // the first configurations
-				h.each = 9
-				h.grow(596)
+				h := &replicatest.History{Random: rand.New(rand.NewPCG(uint64(seed), 2)), Names: 4000, BodySize: 350, MaxItems: 9}
+				h.MaxItems = 2000
+				h.Grow(4) // the first configurations
+				h.MaxItems = 9
+				h.Grow(596)
 				for _, a := range c.seeds {
-					h.bring(c.nodes[a].replica, uint64(len(h.changes)))
+					h.Apply(c.nodes[a].replica, h.Newest())
 				}
 				c.links.set(2e6 / 8)
 				var began time.Time
@@ -639,7 +373,7 @@
 					c.cut(c.seeds[2], false)
 				}
 				for m := c.nodes[c.seeds[2]]; ; pass(10 * time.Millisecond) {
-					if _, votes := m.replica.electorate(); votes && m.store.Epoch() >= uint64(len(h.changes)) && // a new disk is taken in by a change and its seal
+					if _, votes := m.replica.Voters(); votes && m.store.Epoch() >= h.Newest() && // a new disk is taken in by a change and its seal
 						m.ready() == c.nodes[c.seeds[0]].ready() {
 						break
 					}
@@ -651,7 +385,7 @@
 				n, longest := c.links.reset()
 				bytes = append(bytes, n)
 				c.True(longest <= frameBound)
-				c.Equal(h.wrong(c.nodes[c.seeds[2]].replica), "")
+				c.Equal(h.Check(c.nodes[c.seeds[2]].replica), "")
 				c.end()
 				pass(time.Second)
 			})
--- a/internal/control/connection_flood_test.go
+++ b/internal/control/connection_flood_test.go
@@ -10,6 +10,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"mulleinrouter/internal/control/httpapi"
 )
 
 // client is a connection of a server or an operator to the calls of a node.
@@ -141,13 +143,13 @@
 		_, err := fmt.Fprint(late, "PUT /instances/i-3000 HTTP/1.1\r\nHost: c\r\nContent-Length: 100\r\n\r\n")
 		c.NoErr(err)
 		c.Equal(late.answer(), 503) // at once, though its body does not come
-		c.True(time.Since(began) < promptBodyTimeout)
+		c.True(time.Since(began) < httpapi.PromptBodyTimeout)
 		c.Equal(c.connect(at).call("PATCH", "/config", upsert([]string{service("s", 10)}, nil)), 200)
-		pass(promptBodyTimeout)
+		pass(httpapi.PromptBodyTimeout)
 		c.Equal(c.connect(at).call("PUT", "/instances/i-2500", call1("draining", 3)), 200)
 		c.Equal(c.connect(at).call("DELETE", "/instances/i-2501", ""), 200)
 		c.True(time.Since(began) < time.Second)
-		pass(heartbeatBodyTimeout)
+		pass(httpapi.HeartbeatBodyTimeout)
 		c.Equal(c.nodes[at].connections.Stats().InFlight, 0)
 		c.True(!late.up())
 		c.end()
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,17 +1,25 @@
-// Package control implements a control node, the program that runs on each core machine.
+// Package control is a control node, the program that runs on each core machine.
 //
-// A control node accepts configuration changes from operators and has them chosen by a majority of the control nodes (package
-// consensus), accepts heartbeats from servers and decides which servers are silent, stores on disk whatever it acknowledges
-// (package storage), streams configuration and server instances to the agents (package replication), and keeps the quota
-// counters of the tenants that it owns (package quota).
+// A control node accepts configuration changes from operators and has them chosen by a majority of the voters, accepts heartbeats
+// from servers and detects which are silent, streams configuration and instances to the agents, and keeps the quota counters of the
+// tenants that it owns. This package wires the parts and owns their life cycle: node.go makes, starts and stops them, watch.go has
+// the periodic work, internal_server.go serves agents and other control nodes, counters.go the quota counters, view.go and
+// metrics.go what operators see. The parts, each with its own documentation, in the order in which a change of the configuration
+// meets them:
 //
-// The files by concern: node.go (life of the process), endpoints.go (HTTP calls of operators and servers), members.go (calls
-// about the electorate), proposals.go (the queue that leads changes to a decision), replica.go (this node's copy of the
-// configuration and its vote), catchup.go (transfer of what a node lacks), electorate.go (who votes, replacement of voters),
-// contact.go (the lease on a majority), instances.go and departures.go (servers), leases.go (ingresses), watch.go (the
-// periodic duties), peers.go (connections to other control nodes), connection_gate.go and connection_slots.go (limits on
-// connections).
+//	httpapi       HTTP calls of servers and operators
+//	connlimit     limits on connections
+//	majority      the lease on contact with a majority
+//	proposals     the queue that leads changes to a decision
+//	peers         connections to the other control nodes
+//	replica       this node's replica of the configuration, and its vote
+//	storage       its disk
+//	catchup       fetching of changes that the replica lacks
+//	electorate    who votes, and the replacement of voters
+//	instances     server instances, and the copies of their departures
+//	ingresslease  the leases of ingresses
+//	mutant        seeded faults
 //
-// It may import package cluster's folders and its own sub-packages, and nothing of the data plane. Its tests run whole
-// clusters in simulated time on simulated disks and links; those that seed faults need the build tag "mutants".
+// It may import package cluster's folders and the packages below it, and nothing of the data plane. Its tests run whole clusters in
+// simulated time on simulated disks and links; those that seed faults need the build tag "mutants".
 package control
--- /dev/null
+++ b/internal/control/electorate/changes.go
@@ -0,0 +1,230 @@
+package electorate
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"mulleinrouter/internal/cluster/consensus"
+	"mulleinrouter/internal/cluster/transport"
+	"mulleinrouter/internal/control/majority"
+	"mulleinrouter/internal/control/proposals"
+	"mulleinrouter/internal/control/replica"
+)
+
+const (
+	changeTimeout        = 2 * time.Second  // for a change of the electorate, from its proposal until a majority has it on disk
+	handoverTimeout      = time.Second      // for one at shutdown
+	replacementDelay     = 2 * time.Second  // beyond the bound on contact (contactMs): a voter that is silent for so long is replaced
+	replacementRankDelay = time.Second      // more, for each reachable voter before this one
+	minAge               = 10 * time.Second // of an electorate, before voters are replaced or added
+	maxProbes            = 5
+	probeInterval        = 50 * time.Millisecond
+	probeTimeout         = 2 * replica.SyncTimeout
+)
+
+// HandoverLimit is how long a shutdown waits for HandOver.
+const HandoverLimit = 2 * handoverTimeout
+
+// Maintain replaces a voter that has been silent for long, and enlarges an electorate that is too small. The first of the reachable
+// voters does it, and the others later if it does not; several at once do no harm. What it starts runs in wg.
+func (m *Manager) Maintain(ctx context.Context, wg *sync.WaitGroup) {
+	base, snapshot := m.options.Replica.Base()
+	e := base.Electorate
+	age := m.Age(e)
+	term, held := m.options.Lease.Current()
+	if !held || m.options.ConfirmedTerm() != term || snapshot.Len() == 0 || age < minAge {
+		return
+	}
+	if !e.Has(m.options.Replica.AsVoter()) || m.changing.Load() {
+		return
+	}
+	reachable, _, _ := m.options.Lease.Reachable()
+	rank := time.Duration(slices.Index(reachable, m.self))
+	contactBound := time.Duration(m.options.Settings.Bounds.Contact * float64(time.Second))
+	limit := contactBound + replacementDelay + rank*replacementRankDelay
+	silent := m.firstSilent(e, age, limit)
+	enlarge := silent == "" && len(e.Voters)+2 <= m.WantedVoters() && len(reachable) == len(e.Voters) && age > limit
+	if silent == "" && !enlarge {
+		return
+	}
+	successors := m.successors(e, silent)
+	if len(successors) == 0 || enlarge && len(successors) < 2 {
+		return
+	}
+	m.changing.Store(true)
+	wg.Go(func() {
+		defer m.changing.Store(false)
+		if enlarge {
+			m.enlarge(ctx, base, successors[:2])
+			return
+		}
+		m.replaceSilent(ctx, base, silent, successors, limit)
+	})
+}
+
+// firstSilent returns the first voter that has not answered for longer than limit; empty: none.
+func (m *Manager) firstSilent(e consensus.Electorate, age, limit time.Duration) string {
+	for _, v := range e.Voters {
+		if m.silentFor(v.At, age) > limit {
+			return v.At
+		}
+	}
+	return ""
+}
+
+// silentFor is how long a voter has not answered, and no longer than the age of the electorate.
+func (m *Manager) silentFor(addr string, electorateAge time.Duration) time.Duration {
+	if addr == m.self {
+		return 0
+	}
+	if age := m.options.Lease.Age(addr); age >= 0 {
+		return min(age, electorateAge)
+	}
+	return electorateAge
+}
+
+// replaceSilent replaces a voter by the first of the successors that can, as long as the voter stays silent.
+func (m *Manager) replaceSilent(
+	ctx context.Context, base consensus.Base, silent string, successors []Learner, limit time.Duration,
+) {
+	stillSilent := func() bool { return m.silentFor(silent, m.Age(base.Electorate)) > limit }
+	for _, successor := range successors {
+		if m.replace(ctx, base, silent, successor.Addr, changeTimeout, stillSilent) == nil {
+			return
+		}
+	}
+}
+
+// enlarge adds learners to the electorate.
+func (m *Manager) enlarge(ctx context.Context, base consensus.Base, learners []Learner) {
+	voters := slices.Clone(base.Electorate.Voters)
+	var added []consensus.Voter
+	for _, learner := range learners {
+		voter, err := m.probe(ctx, learner.Addr, base)
+		if err != nil {
+			return
+		}
+		voters, added = append(voters, voter), append(added, voter)
+	}
+	if err := m.change(ctx, base.Electorate, voters, changeTimeout, added...); err == nil {
+		m.log.Log("msg", "electorate enlarged", "voters", len(voters))
+	}
+}
+
+// Replace replaces one voter by a learner in one step, both given by their control addresses. Errors are of type *ChangeError.
+func (m *Manager) Replace(ctx context.Context, base consensus.Base, out, in string) error {
+	return m.replace(ctx, base, out, in, changeTimeout, nil)
+}
+
+// replace replaces a voter. Precondition, where there is one, must still hold once the learner has been probed.
+func (m *Manager) replace(
+	ctx context.Context, base consensus.Base, out, in string, timeout time.Duration, precondition func() bool,
+) error {
+	e := base.Electorate
+	if _, ok := e.At(out); !ok {
+		return &ChangeError{errors.Newf("%s is no voter", out)}
+	}
+	if _, ok := e.At(in); ok {
+		return &ChangeError{errors.Newf("%s is a voter already", in)}
+	}
+	voter, err := m.probe(ctx, in, base)
+	if err == nil && precondition != nil && !precondition() {
+		err = errors.Newf("%s is back", out)
+	}
+	if err == nil {
+		err = m.change(ctx, e, e.Replaced(out, voter), timeout, voter)
+	}
+	if err != nil {
+		m.log.Log("msg", "voter replacement failed", "out", out, "in", in, "err", err)
+		return &ChangeError{err}
+	}
+	m.log.Log("msg", "voter replaced", "out", out, "in", in)
+	return nil
+}
+
+// probe asks a control node for itself as a voter, which it answers once all of a base is on its disk. One that is a little behind is
+// asked again.
+func (m *Manager) probe(ctx context.Context, addr string, base consensus.Base) (voter consensus.Voter, err error) {
+	for range maxProbes {
+		if voter, err = m.probeOnce(addr, base); !errors.Is(err, errBehind) || ctx.Err() != nil {
+			break
+		}
+		pause(ctx, probeInterval)
+	}
+	return voter, err
+}
+
+func (m *Manager) probeOnce(addr string, base consensus.Base) (consensus.Voter, error) {
+	promise := m.readSynced(addr)
+	switch {
+	case promise == nil:
+		return consensus.Voter{}, errors.Newf("%s does not answer", addr)
+	case promise.Epoch < base.Epoch:
+		return consensus.Voter{}, errors.Wrapf(errBehind, "%s, by %d changes", addr, base.Epoch-promise.Epoch)
+	}
+	return consensus.Voter{At: addr, Disk: promise.Disk}, nil
+}
+
+// readSynced reads the state of a node's acceptor once it is on disk; nil: no answer.
+func (m *Manager) readSynced(addr string) *consensus.Promise {
+	request := &transport.Prepare{ReadOnly: true, Synced: true}
+	if addr == m.self {
+		return m.options.Replica.Prepare(request)
+	}
+	answer := m.options.Peers.Call(addr, probeTimeout, &transport.Frame{Prepare: request})
+	if answer == nil || answer.Promise == nil {
+		return nil
+	}
+	return &answer.Promise.Promise
+}
+
+// change has the electorate changed if majorities of the present and of the next one are in contact. Probed voters count as such.
+func (m *Manager) change(
+	ctx context.Context, from consensus.Electorate, to []consensus.Voter, timeout time.Duration, probed ...consensus.Voter,
+) error {
+	for _, voters := range [][]consensus.Voter{from.Voters, to} {
+		if reachable := m.countReachable(voters, probed); reachable < consensus.Majority(len(voters)) {
+			return errors.Newf("only %d of %d voters are in contact", reachable, len(voters))
+		}
+	}
+	if len(to) < len(from.Voters) {
+		return errors.New("fewer voters would bear fewer losses")
+	}
+	return m.options.Proposals.ChangeElectorate(ctx, proposals.ElectorateChange{From: from, To: to}, timeout)
+}
+
+func (m *Manager) countReachable(voters, probed []consensus.Voter) (count int) {
+	for _, v := range voters {
+		age := m.options.Lease.Age(v.At)
+		if v.At == m.self || age >= 0 && age <= majority.TTL || slices.Contains(probed, v) {
+			count++
+		}
+	}
+	return count
+}
+
+// HandOver has a learner take this node's place among the voters before it shuts down.
+func (m *Manager) HandOver(ctx context.Context) {
+	base, _ := m.options.Replica.Base()
+	if !base.Electorate.Has(m.options.Replica.AsVoter()) {
+		return
+	}
+	if !m.options.Lease.Held() {
+		m.log.Log("msg", "vote not handed over", "reason", "no contact with a majority")
+		return
+	}
+	began := time.Now()
+	for _, successor := range m.successors(base.Electorate, m.self) {
+		if time.Since(began) > handoverTimeout || ctx.Err() != nil {
+			break
+		}
+		if m.replace(ctx, base, m.self, successor.Addr, handoverTimeout, nil) == nil {
+			return
+		}
+	}
+	m.log.Log("msg", "vote not handed over", "reason", "no learner could take it")
+}
--- /dev/null
+++ b/internal/control/electorate/learners.go
@@ -0,0 +1,57 @@
+package electorate
+
+import (
+	"cmp"
+	"slices"
+
+	"mulleinrouter/internal/cluster/consensus"
+)
+
+// Learner is a connected control node outside the electorate, which may become a voter.
+type Learner struct {
+	Addr string // control address
+	Zone string // empty: unknown
+}
+
+// Learners returns the connected learners in the order of their addresses.
+func (m *Manager) Learners(e consensus.Electorate) (learners []Learner) {
+	for _, peer := range m.options.Peers.All() {
+		if _, isVoter := e.At(peer.Addr); isVoter || !peer.Connected() {
+			continue
+		}
+		learners = append(learners, Learner{Addr: peer.Addr, Zone: peer.Zone()})
+	}
+	slices.SortFunc(learners, func(a, b Learner) int { return cmp.Compare(a.Addr, b.Addr) })
+	return learners
+}
+
+// Zone is that of a control node; empty: unknown.
+func (m *Manager) Zone(addr string) string {
+	if addr == m.self {
+		return m.options.Settings.Zone
+	}
+	if peer := m.options.Peers.Find(addr); peer != nil {
+		return peer.Zone()
+	}
+	return ""
+}
+
+// successors returns the learners in the order in which they are to succeed a voter: those of its zone first, then those of the zones
+// with the fewest voters.
+func (m *Manager) successors(e consensus.Electorate, voter string) []Learner {
+	learners, votersInZone := m.Learners(e), map[string]int{}
+	for _, v := range e.Voters {
+		votersInZone[m.Zone(v.At)]++
+	}
+	home := m.Zone(voter)
+	slices.SortStableFunc(learners, func(a, b Learner) int {
+		if aHome, bHome := a.Zone == home, b.Zone == home; aHome != bHome {
+			if aHome {
+				return -1
+			}
+			return 1
+		}
+		return cmp.Compare(votersInZone[a.Zone], votersInZone[b.Zone])
+	})
+	return learners
+}
--- a/internal/control/electorate_test.go
+++ b/internal/control/electorate_test.go
@@ -15,6 +15,8 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 
 	"mulleinrouter/internal/cluster/consensus"
+	"mulleinrouter/internal/control/httpapi"
+	"mulleinrouter/internal/control/replica/replicatest"
 )
 
 const (
@@ -57,7 +59,7 @@
 	c.Helper()
 	var all []consensus.Electorate
 	for _, a := range slices.Sorted(maps.Keys(c.nodes)) {
-		base, _ := c.nodes[a].replica.base()
+		base, _ := c.nodes[a].replica.Base()
 		all = append(all, base.Electorate)
 		c.True(base.Electorate.Equal(all[0]))
 	}
@@ -71,11 +73,11 @@
 	for until := time.Now().Add(most); time.Now().Before(until); pass(100 * time.Millisecond) {
 		ok := true
 		for _, m := range c.nodes {
-			base, _ := m.replica.base()
+			base, _ := m.replica.Base()
 			got := slices.Sorted(slices.Values(base.Electorate.Addresses()))
 			ok = ok && slices.Equal(got, want)
 			if _, listed := base.Electorate.At(m.addr); listed {
-				_, votes := m.replica.electorate()
+				_, votes := m.replica.Voters()
 				ok = ok && votes
 			}
 		}
@@ -106,7 +108,7 @@
 		// The first comes back with its disk: it finds itself out, and relays. It steps in for the second, which does not come back.
 		c.start(x, disk, false)
 		pass(2 * time.Second)
-		c.True(!c.nodes[x].replica.votesNow())
+		c.True(!c.nodes[x].replica.IsVoter())
 		c.Equal(c.patch(x, upsert([]string{service("s", 6)}, nil)), 200)
 		c.settled(20*time.Second, x, z, fourth)
 		c.True(strings.Contains(c.all(), "00000006"))
@@ -126,12 +128,6 @@
 	})
 }
 
-// votesNow tells whether this node is in the electorate.
-func (v *replica) votesNow() bool {
-	_, votes := v.electorate()
-	return votes
-}
-
 // A short absence replaces nobody, and one that flaps is not replaced at each.
 func TestBlipReplacesNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -183,7 +179,7 @@
 		}
 		var learner string
 		for a, m := range c.nodes {
-			if !m.replica.votesNow() {
+			if !m.replica.IsVoter() {
 				learner = a
 			}
 		}
@@ -226,8 +222,8 @@
 			case 2: // it leaves
 				disks[x] = c.leave(x)
 			case 3: // an operator replaces it
-				base, _ := c.nodes[y].replica.base()
-				go c.nodes[y].replace(context.Background(), base, x, fourth, electorateChangeTimeout, nil)
+				base, _ := c.nodes[y].replica.Base()
+				go c.nodes[y].electorate.Replace(context.Background(), base, x, fourth)
 			}
 			order(y)
 			time.Sleep(time.Duration(rnd.IntN([]int{5, 50, 500, 12000}[rnd.IntN(4)])) * time.Millisecond)
@@ -274,7 +270,7 @@
 			c.Equal(len(c.voters()), 3)
 			for _, a := range c.voters() {
 				c.True(c.nodes[a] != nil)
-				c.True(c.nodes[a].replica.votesNow())
+				c.True(c.nodes[a].replica.IsVoter())
 			}
 			c.end()
 		})
@@ -286,7 +282,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCoreOf4(t)
 		x, y, z := c.seeds[0], c.seeds[1], c.seeds[2]
-		look := func(at string) (m Members) {
+		look := func(at string) (m httpapi.Members) {
 			status, text := c.ask(at, "GET", "/members", "")
 			c.Equal(status, 200)
 			c.NoErr(json.Unmarshal([]byte(text), &m))
@@ -296,7 +292,7 @@
 			m := look(at)
 			c.Equal(len(m.Voters), 3)
 			c.Equal(len(m.Learners), 1)
-			c.Equal(m.Learners[0].At, fourth)
+			c.Equal(m.Learners[0].Addr, fourth)
 			c.Equal(m.Learners[0].Zone, "z10.0.0.4")
 			c.True(m.Contact)
 			c.Equal(m.Wanted, 3)
@@ -316,8 +312,8 @@
 		c.Equal(text, "{}")
 		c.Equal(status, 200)
 		c.settled(2*time.Second, y, z, fourth)
-		c.Equal(look(x).Learners[0].At, x)
-		c.True(look(x).Since > 0)
+		c.Equal(look(x).Learners[0].Addr, x)
+		c.True(look(x).SinceEpoch > 0)
 
 		// One that lags is refused, and so is all without a majority.
 		c.lose(y)
@@ -338,12 +334,12 @@
 		for seed := range figureRuns {
 			synctest.Test(t, func(t *testing.T) {
 				c := slowable(t, fourth)
-				h := &history{rnd: rand.New(rand.NewPCG(uint64(seed), 5)), names: 4000, size: 350, each: 2000}
-				h.grow(4)
-				h.each = 9
-				h.grow(596)
+				h := &replicatest.History{Random: rand.New(rand.NewPCG(uint64(seed), 5)), Names: 4000, BodySize: 350, MaxItems: 2000}
+				h.Grow(4)
+				h.MaxItems = 9
+				h.Grow(596)
 				for a := range c.nodes {
-					h.bring(c.nodes[a].replica, uint64(len(h.changes)))
+					h.Apply(c.nodes[a].replica, h.Newest())
 				}
 				pass(12 * time.Second)
 				c.links.set(2e6 / 8)
@@ -387,11 +383,11 @@
 		pass(3 * time.Second)
 		c.nodes[x].hang.set(true)
 		m := c.nodes[y]
-		for until := time.Now().Add(10 * time.Second); !m.electorateState.tending.Load(); pass(10 * time.Millisecond) {
+		for until := time.Now().Add(10 * time.Second); !m.electorate.Changing(); pass(10 * time.Millisecond) {
 			c.True(time.Now().Before(until))
 		}
 		c.leave(y)
-		c.True(!m.electorateState.tending.Load())
+		c.True(!m.electorate.Changing())
 		c.end()
 	})
 }
--- /dev/null
+++ b/internal/control/httpapi/call.go
@@ -0,0 +1,168 @@
+package httpapi
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"os"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"mulleinrouter/internal/control/connlimit"
+	"mulleinrouter/internal/control/mutant"
+)
+
+const (
+	// StartupGrace is the time after the start in which a call that comes before the first contact waits for it.
+	StartupGrace = 2 * time.Second
+	// StartupWait is how long one call waits for the first contact.
+	StartupWait = 500 * time.Millisecond
+	// HeartbeatBodyTimeout is how long the body of a server's call may take: the server waits for its answer no longer.
+	HeartbeatBodyTimeout = time.Second
+	// PromptBodyTimeout is how long it may take while connections are short.
+	PromptBodyTimeout = 50 * time.Millisecond
+
+	bodyTimeout       = 10 * time.Second
+	largeBodyBytes    = 1 << 20                // of larger bodies, maxLargeBodies are read at once
+	slowCallThreshold = 250 * time.Millisecond // an operator's call that takes so long is logged
+)
+
+// call is a call in flight.
+type call struct {
+	*Server
+	endpoint   endpoint
+	w          http.ResponseWriter
+	r          *http.Request
+	controller *http.ResponseController
+}
+
+// serveCall admits a call, reads its body, has it handled and returns the answer.
+func (s *Server) serveCall(e endpoint, w http.ResponseWriter, r *http.Request) reply {
+	c := &call{Server: s, endpoint: e, w: w, r: r, controller: http.NewResponseController(w)}
+	bodyLimit, err := c.admit()
+	if err != nil {
+		return c.reject(err)
+	}
+	release, err := c.acquireLargeBody()
+	if err != nil {
+		return c.reject(err)
+	}
+	defer release()
+	body, err := c.readBody(bodyLimit)
+	if err != nil {
+		return c.reject(err)
+	}
+	return c.handle(body)
+}
+
+// reject answers a call whose body is not read to its end. The rest of it is not waited for: the connection is closed, and its slot is
+// free for others at once.
+func (c *call) reject(err error) reply {
+	c.w.Header().Set("Connection", "close")
+	_ = c.controller.SetReadDeadline(time.Now())
+	c.options.Connections.FinishCall(c.r)
+	return errorReply(err)
+}
+
+// admit decides by the header of a call. It returns how long the body of a server's call may take.
+func (c *call) admit() (bodyLimit time.Duration, err error) {
+	if c.r.ContentLength > c.endpoint.maxBody {
+		return 0, ErrBodyTooLong
+	}
+	switch c.options.Connections.BeginCall(c.r, c.endpoint.byOperator) {
+	case connlimit.Evicted:
+		panic(http.ErrAbortHandler)
+	case connlimit.Rejected:
+		return 0, ErrTooManyCalls
+	case connlimit.AdmittedIfPrompt:
+		return PromptBodyTimeout, nil
+	case connlimit.Admitted:
+	}
+	return HeartbeatBodyTimeout, nil
+}
+
+// acquireLargeBody waits until a large body may be read. The caller must call release when the call has been handled.
+func (c *call) acquireLargeBody() (release func(), err error) {
+	maybeLarge := c.r.ContentLength > largeBodyBytes || c.r.ContentLength < 0
+	if c.endpoint.maxBody <= largeBodyBytes || !maybeLarge {
+		return func() {}, nil
+	}
+	select {
+	case c.largeBodies <- struct{}{}:
+		return func() { <-c.largeBodies }, nil
+	case <-time.After(changeTimeout):
+		return nil, ErrTooManyLargeBodies
+	}
+}
+
+// readBody reads the body. That of a server's call must arrive in time; for an operator's, the deadline of the http.Server holds.
+func (c *call) readBody(timeout time.Duration) ([]byte, error) {
+	if !c.endpoint.byOperator {
+		_ = c.controller.SetReadDeadline(time.Now().Add(timeout)) // if it can't be set, the http.Server's holds
+	}
+	body, err := readAll(http.MaxBytesReader(c.w, c.r.Body, c.endpoint.maxBody), c.r.ContentLength)
+	var tooLong *http.MaxBytesError
+	switch {
+	case errors.As(err, &tooLong):
+		return nil, ErrBodyTooLong
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return nil, ErrBodyTimeout
+	case err != nil:
+		return nil, ErrBodyIncomplete
+	}
+	if !c.endpoint.byOperator {
+		_ = c.controller.SetReadDeadline(time.Now().Add(bodyTimeout)) // the call goes on
+	}
+	return body, nil
+}
+
+// readAll reads a body. Memory for a large one is allocated as it arrives, not by the length that its header claims.
+func readAll(body io.Reader, length int64) ([]byte, error) {
+	if length < 0 || length > largeBodyBytes {
+		return io.ReadAll(body)
+	}
+	text := make([]byte, length)
+	_, err := io.ReadFull(body, text)
+	return text, err
+}
+
+// handle calls the endpoint's handler, in contact with a majority if it needs that.
+func (c *call) handle(body []byte) reply {
+	if c.endpoint.needsContact && !c.awaitContact(c.r.Context()) {
+		return errorReply(ErrNoContact)
+	}
+	began := time.Now()
+	answer, err := c.endpoint.handle(c.Server, c.r, body)
+	if err != nil {
+		answer = errorReply(err)
+	}
+	if took := time.Since(began); c.endpoint.byOperator && took >= slowCallThreshold {
+		c.log.Log("msg", "slow operator call", "call", c.endpoint.pattern, "ms", took.Milliseconds(), "status", answer.status)
+	}
+	if c.endpoint.needsContact && !c.options.Lease.Held() && !mutant.Active("acknowledges-alone") {
+		return errorReply(ErrNoContact) // the process may have been suspended meanwhile
+	}
+	return answer
+}
+
+// awaitContact tells whether this node is in contact with a majority. Just after the start it waits a little for the first contact: all
+// nodes may have started at once.
+func (s *Server) awaitContact(ctx context.Context) bool {
+	lease := s.options.Lease
+	if lease.Held() || mutant.Active("acknowledges-alone") {
+		return true
+	}
+	left := min(StartupWait, StartupGrace-time.Since(s.options.Started))
+	if left <= 0 {
+		return false
+	}
+	timer := time.NewTimer(left)
+	defer timer.Stop()
+	select {
+	case <-lease.FirstHeld():
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+	return lease.Held()
+}
--- /dev/null
+++ b/internal/control/httpapi/errors.go
@@ -0,0 +1,105 @@
+package httpapi
+
+import (
+	"encoding/json"
+	"net/http"
+
+	"github.com/cockroachdb/errors"
+
+	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/control/electorate"
+)
+
+// Error is an error that is answered with a status of its own.
+type Error struct {
+	Status  int    // of HTTP
+	Message string // for the caller: short, one line
+}
+
+func (e *Error) Error() string { return e.Message }
+
+var (
+	// ErrNotFound means that there is no such call.
+	ErrNotFound = &Error{http.StatusNotFound, "no such call"}
+
+	// ErrNoContact means that this node has no majority lease: nothing that it knows or does may be relied upon.
+	ErrNoContact = &Error{http.StatusServiceUnavailable, "no contact with a majority of the control nodes"}
+
+	// ErrTooManyCalls means that too many calls are in flight.
+	ErrTooManyCalls = &Error{http.StatusServiceUnavailable, "too many calls are in hand"}
+
+	// ErrTooManyLargeBodies means that the body could not be read yet, for other large ones are being read.
+	ErrTooManyLargeBodies = &Error{http.StatusServiceUnavailable, "other large calls are being read"}
+
+	// ErrBodyTooLong means that the body is longer than the call allows.
+	ErrBodyTooLong = &Error{http.StatusRequestEntityTooLarge, "the body is too long"}
+
+	// ErrBodyTimeout means that the body did not arrive in time. It says nothing about its contents: the call may be retried.
+	ErrBodyTimeout = &Error{http.StatusRequestTimeout, "the body did not come in time"}
+
+	// ErrBodyIncomplete means that the connection ended before the body did.
+	ErrBodyIncomplete = &Error{http.StatusBadRequest, "the body did not come"}
+
+	// ErrNotPersisted means that a departure is not on enough disks yet.
+	ErrNotPersisted = &Error{http.StatusServiceUnavailable, "not on enough disks yet"}
+)
+
+// badRequest is the error of a call that is invalid by itself.
+func badRequest(message string) error { return &Error{http.StatusBadRequest, message} }
+
+// statusOf is the status that an error is answered with. An error of no known type means that the call has had no certain effect, and
+// may be retried, at another node as well.
+func statusOf(err error) int {
+	var own *Error
+	var rejection *configuration.Rejection
+	var change *electorate.ChangeError
+	switch {
+	case errors.As(err, &own):
+		return own.Status
+	case errors.As(err, &rejection):
+		return rejection.Status
+	case errors.As(err, &change):
+		return http.StatusConflict
+	}
+	return http.StatusServiceUnavailable
+}
+
+// messageOf is the text of an error for the caller.
+func messageOf(err error) string {
+	var rejection *configuration.Rejection
+	if errors.As(err, &rejection) {
+		return rejection.Text
+	}
+	return err.Error()
+}
+
+// errorBody is the body of an answer that is not 200.
+type errorBody struct {
+	Message string `json:"message"`
+}
+
+// reply is the answer to a call: a status and a body of JSON.
+type reply struct {
+	status int
+	body   []byte
+}
+
+var okReply = reply{http.StatusOK, []byte("{}")}
+
+// errorReply is the answer to a call that failed.
+func errorReply(err error) reply {
+	body, encodingErr := json.Marshal(errorBody{Message: messageOf(err)})
+	if encodingErr != nil {
+		panic(encodingErr) // a string can always be encoded
+	}
+	return reply{statusOf(err), body}
+}
+
+// jsonReply is an indented body.
+func jsonReply(body any) (reply, error) {
+	text, err := json.MarshalIndent(body, "", "  ")
+	if err != nil {
+		return reply{}, &Error{http.StatusInternalServerError, err.Error()}
+	}
+	return reply{http.StatusOK, text}, nil
+}
--- /dev/null
+++ b/internal/control/httpapi/instances.go
@@ -0,0 +1,118 @@
+package httpapi
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"net/netip"
+
+	"mulleinrouter/internal/cluster/registry"
+	"mulleinrouter/internal/cluster/replication"
+	"mulleinrouter/internal/control/instances"
+)
+
+const (
+	maxHeartbeatBytes  = 4 << 10
+	maxIDLength        = 256
+	maxCapacity        = 1 << 16
+	maxSlowStart       = 600.0 // seconds
+	millisecondsPerSec = 1000
+)
+
+// heartbeatBody is the body of PUT /instances/{id}.
+type heartbeatBody struct {
+	Address string `json:"address"` // IP address and port
+	Summary struct {
+		Backend    string `json:"backend"` // service
+		Generation string `json:"generation"`
+		Zone       string `json:"zone"`
+		Capacity   int    `json:"capacity"` // requests at once
+	} `json:"summary"`
+	Observed struct {
+		Phase       string  `json:"phase"` // "serving" or "draining"
+		CallSeq     uint64  `json:"callSeq"`
+		SlowStartMs float64 `json:"coldLeftMs"` // until the instance is warm, in milliseconds
+	} `json:"observed"`
+}
+
+// parseInstance reads and checks a server's heartbeat. Clock is the common clock of the control
+// nodes.
+func parseInstance(id string, body []byte, clock *replication.Clock) (registry.Instance, error) {
+	var none registry.Instance
+	if id == "" || len(id) > maxIDLength {
+		return none, badRequest("no proper id")
+	}
+	var b heartbeatBody
+	if err := json.Unmarshal(body, &b); err != nil {
+		return none, badRequest("the body cannot be read")
+	}
+	instance := registry.Instance{
+		ID:         id,
+		Service:    b.Summary.Backend,
+		Address:    b.Address,
+		Zone:       b.Summary.Zone,
+		Generation: b.Summary.Generation,
+		Capacity:   b.Summary.Capacity,
+		Seq:        b.Observed.CallSeq,
+	}
+	switch b.Observed.Phase {
+	case "serving":
+	case "draining":
+		instance.Phase = registry.Draining
+	default:
+		return none, badRequest("phase: neither serving nor draining")
+	}
+	serving := instance.Phase == registry.Serving
+	if _, err := netip.ParseAddrPort(instance.Address); err != nil && (instance.Address != "" || serving) {
+		return none, badRequest("address: not an IP address with a port")
+	}
+	if instance.Service == "" && serving {
+		return none, badRequest("backend: missing")
+	}
+	if instance.Capacity < 0 || instance.Capacity > maxCapacity {
+		return none, badRequest("capacity: out of bounds")
+	}
+	if slowStart := b.Observed.SlowStartMs / millisecondsPerSec; slowStart > 0 {
+		instance.ColdUntil = clock.Now() + min(slowStart, maxSlowStart)
+	}
+	if !instance.Valid() {
+		return none, badRequest("not a proper line")
+	}
+	return instance, nil
+}
+
+// putInstance records a heartbeat. That the server drains is acknowledged only once it can't be lost; agents hear of it at once.
+func (s *Server) putInstance(r *http.Request, body []byte) (reply, error) {
+	instance, err := parseInstance(r.PathValue("id"), body, s.options.Clock)
+	if err != nil {
+		return reply{}, err
+	}
+	instance, acknowledged := s.options.Instances.Heartbeat(instance)
+	if instance.Phase < registry.Draining || acknowledged {
+		return okReply, nil
+	}
+	return s.acknowledgeDeparture(r, instance)
+}
+
+// deleteInstance records that a server has ended.
+func (s *Server) deleteInstance(r *http.Request, _ []byte) (reply, error) {
+	id := r.PathValue("id")
+	if id == "" || len(id) > maxIDLength {
+		return reply{}, badRequest("no proper id")
+	}
+	instance, acknowledged := s.options.Instances.Depart(id)
+	if acknowledged {
+		return okReply, nil
+	}
+	return s.acknowledgeDeparture(r, instance)
+}
+
+// acknowledgeDeparture waits until a departing instance is on enough disks.
+func (s *Server) acknowledgeDeparture(r *http.Request, instance registry.Instance) (reply, error) {
+	ctx, cancel := context.WithTimeout(r.Context(), instances.DepartureTimeout)
+	defer cancel()
+	if !s.options.Departures.Replicate(ctx, instance) {
+		return reply{}, ErrNotPersisted
+	}
+	return okReply, nil
+}
--- /dev/null
+++ b/internal/control/httpapi/server.go
@@ -0,0 +1,143 @@
+package httpapi
+
+import (
+	"context"
+	stdlog "log"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/go-kit/log"
+
+	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/cluster/registry"
+	"mulleinrouter/internal/cluster/replication"
+	"mulleinrouter/internal/control/connlimit"
+	"mulleinrouter/internal/control/electorate"
+	"mulleinrouter/internal/control/instances"
+	"mulleinrouter/internal/control/majority"
+	"mulleinrouter/internal/control/replica"
+)
+
+const (
+	readHeaderTimeout = 2 * time.Second
+	idleTimeout       = 5 * time.Second
+	maxHeaderBytes    = 8 << 10
+	maxLargeBodies    = 2 // large bodies that are read or handled at once
+)
+
+// Proposals leads changes of the configuration to a decision (proposals.Queue).
+type Proposals interface {
+	Change(ctx context.Context, items []configuration.Item, timeout time.Duration) error
+	Read(timeout time.Duration) error
+}
+
+// Departures stores the departures of instances on enough disks (instances.Departures).
+type Departures interface {
+	Replicate(ctx context.Context, instance registry.Instance) bool
+}
+
+// Options is what a Server is made of.
+type Options struct {
+	Self        string // own control address
+	Instances   *instances.Registry
+	Departures  Departures
+	Proposals   Proposals
+	Replica     *replica.Replica
+	Electorate  *electorate.Manager
+	Lease       *majority.Lease
+	Connections *connlimit.Gate
+	Clock       *replication.Clock
+	Started     time.Time   // of this process
+	View        func() View // for GET /view
+	// Member is a control node as this one sees it, by its control address, beside a configuration of an epoch.
+	Member func(addr string, epoch uint64) Member
+	Log    log.Logger
+}
+
+// Server serves the calls of servers and operators.
+type Server struct {
+	options     Options
+	log         log.Logger
+	largeBodies chan struct{} // holds one value for each large body that is read or handled
+
+	// OperatorCalls and ServerCalls count the answers.
+	OperatorCalls CallCounts
+	ServerCalls   CallCounts
+}
+
+// New makes a server. HTTPServer serves its calls.
+func New(o Options) *Server {
+	return &Server{options: o, log: o.Log, largeBodies: make(chan struct{}, maxLargeBodies)}
+}
+
+// endpoint is a call that servers or operators make.
+type endpoint struct {
+	pattern      string // method and path
+	maxBody      int64  // bytes
+	byOperator   bool   // of an operator; else of a server
+	needsContact bool   // is answered only with a majority lease, held both when it comes and when it is answered
+	handle       func(*Server, *http.Request, []byte) (reply, error)
+}
+
+// endpoints is the table of all calls.
+var endpoints = []endpoint{
+	{pattern: "PUT /instances/{id}", maxBody: maxHeartbeatBytes, needsContact: true, handle: (*Server).putInstance},
+	{pattern: "DELETE /instances/{id}", maxBody: maxHeartbeatBytes, needsContact: true, handle: (*Server).deleteInstance},
+	{pattern: "PATCH /config", maxBody: maxPatchBytes, byOperator: true, needsContact: true, handle: (*Server).patchConfig},
+	{pattern: "GET /config", byOperator: true, needsContact: true, handle: (*Server).getConfig},
+	{pattern: "GET /view", byOperator: true, handle: (*Server).getView},
+	{pattern: "GET /members", byOperator: true, handle: (*Server).getMembers},
+	{
+		pattern:      "POST /members/replace",
+		maxBody:      maxReplaceBytes,
+		byOperator:   true,
+		needsContact: true,
+		handle:       (*Server).replaceMember,
+	},
+}
+
+// HTTPServer makes the http.Server of the calls.
+func (s *Server) HTTPServer() *http.Server {
+	return &http.Server{
+		Handler:           s.handler(),
+		ReadHeaderTimeout: readHeaderTimeout,
+		ReadTimeout:       bodyTimeout,
+		WriteTimeout:      2 * bodyTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnState:         s.options.Connections.ConnState,
+		ConnContext:       s.options.Connections.ConnContext,
+		ErrorLog:          stdlog.New(log.NewStdlibAdapter(s.log), "", 0),
+	}
+}
+
+func (s *Server) handler() http.Handler {
+	mux := http.NewServeMux()
+	for _, e := range endpoints {
+		mux.HandleFunc(e.pattern, func(w http.ResponseWriter, r *http.Request) {
+			answer := s.serveCall(e, w, r)
+			s.callCounts(e).add(answer.status)
+			h := w.Header()
+			h.Set("Content-Type", "application/json")
+			h.Set("Content-Length", strconv.Itoa(len(answer.body)))
+			w.WriteHeader(answer.status)
+			_, _ = w.Write(answer.body) // a caller that does not get it calls again
+		})
+	}
+	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
+		answer := errorReply(ErrNotFound)
+		w.Header().Set("Content-Type", "application/json")
+		w.WriteHeader(answer.status)
+		_, _ = w.Write(answer.body)
+	})
+	return mux
+}
+
+// callCounts is where the answers of an endpoint are counted.
+func (s *Server) callCounts(e endpoint) *CallCounts {
+	if e.byOperator {
+		return &s.OperatorCalls
+	}
+	return &s.ServerCalls
+}
--- /dev/null
+++ b/internal/control/internal_server.go
@@ -0,0 +1,117 @@
+package control
+
+import (
+	"context"
+	"net"
+	"sync"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"mulleinrouter/internal/cluster/replication"
+	"mulleinrouter/internal/cluster/transport"
+	"mulleinrouter/internal/control/ingresslease"
+)
+
+const acceptRetryInterval = 20 * time.Millisecond // after a failed accept: the process may be out of descriptors
+
+// serveInternal serves the connections of agents and control nodes until the listener is closed.
+func (n *Node) serveInternal(ctx context.Context, l net.Listener, wg *sync.WaitGroup) {
+	for {
+		nc, err := l.Accept()
+		if err != nil {
+			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
+				return
+			}
+			pause(ctx, acceptRetryInterval)
+			continue
+		}
+		if !n.connections.AcquireInternal() {
+			nc.Close()
+			continue
+		}
+		go func() {
+			defer n.connections.ReleaseInternal()
+			n.serveConn(ctx, nc, wg)
+		}()
+	}
+}
+
+// pause waits for a time or the end of the context.
+func pause(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	}
+}
+
+// serveConn serves one subscriber until its connection or the context ends.
+func (n *Node) serveConn(ctx context.Context, nc net.Conn, wg *sync.WaitGroup) {
+	conn := transport.NewConn(nc)
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	f, err := conn.Receive()
+	if err != nil || f.Hello == nil {
+		return
+	}
+	hello := f.Hello
+	switch hello.Class {
+	case replication.ClassControl:
+		conn.SetMaxFrame(transport.MaxControlFrame)
+		n.meetPeer(ctx, wg, hello)
+		handle := func(request *transport.Frame) *transport.Frame { return n.handlePeer(request, hello.ControlAddr) }
+		_ = n.source.Serve(conn, hello, handle)
+	case replication.ClassAgent, replication.ClassProxy:
+		_ = n.source.Serve(conn, hello, n.counters.handle)
+	}
+}
+
+// meetPeer subscribes to a control node that has subscribed here. A learner receives calls of servers too, so its updates are wanted.
+func (n *Node) meetPeer(ctx context.Context, wg *sync.WaitGroup, hello *transport.Hello) {
+	n.peers.Subscribe(ctx, wg, []string{hello.ControlAddr})
+	p := n.peers.Find(hello.ControlAddr)
+	if p == nil {
+		return
+	}
+	if len(hello.Zone) <= ingresslease.MaxNameLength {
+		p.SetZone(hello.Zone)
+	}
+	p.RetryNow() // it runs again, and a dial that began before may only time out
+}
+
+// handlePeer answers a call of another control node; nil: no answer. An empty frame answers that there is nothing to say.
+func (n *Node) handlePeer(request *transport.Frame, from string) *transport.Frame {
+	answer := &transport.Frame{}
+	switch {
+	case request.CounterAdd != nil:
+		return n.counters.handle(request)
+	case request.Ping != nil:
+		return answer
+	case request.Call == 0:
+		return nil // the calls below may all wait, and are never sent without a number
+	case request.Prepare != nil:
+		if promise := n.replica.Prepare(request.Prepare); promise != nil {
+			answer.Promise = &transport.Promise{Promise: *promise}
+		}
+	case request.Accept != nil:
+		proposal := request.Accept.Proposal
+		fetch := func() { n.fetcher.Fetch(from, proposal.Epoch-1) }
+		if accepted := n.replica.Accept(proposal, fetch); accepted != nil {
+			answer.Accepted = &transport.Accepted{Accepted: *accepted}
+		}
+	case request.Chosen != nil:
+		if p := request.Chosen.Proposal; !n.replica.Learn(p.Ballot, p.Epoch) {
+			n.fetcher.Fetch(from, p.Epoch)
+		}
+	case request.CatchUpRequest != nil:
+		answer.CatchUpChunk = n.replica.Chunk(request.CatchUpRequest, n.instances.PersistedAfter)
+	case request.PersistRequest != nil:
+		ok := n.departures.Persist(request.PersistRequest.Instances)
+		answer.PersistReply = &transport.PersistReply{OK: ok}
+	default:
+		return nil
+	}
+	return answer
+}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -6,6 +6,7 @@
 	"net"
 	"net/http"
 	"slices"
+	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -17,25 +18,27 @@
 
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/metrics"
-	"mulleinrouter/internal/cluster/quota"
 	"mulleinrouter/internal/cluster/registry"
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/cluster/transport"
+	"mulleinrouter/internal/control/catchup"
 	"mulleinrouter/internal/control/connlimit"
+	"mulleinrouter/internal/control/electorate"
+	"mulleinrouter/internal/control/httpapi"
 	"mulleinrouter/internal/control/ingresslease"
 	"mulleinrouter/internal/control/instances"
 	"mulleinrouter/internal/control/majority"
+	"mulleinrouter/internal/control/peers"
+	"mulleinrouter/internal/control/proposals"
+	"mulleinrouter/internal/control/replica"
 	"mulleinrouter/internal/control/storage"
 )
 
 const (
-	watchInterval   = 250 * time.Millisecond
-	orphanTimeout   = 200 * time.Millisecond // after which an accepted change is finished by whoever has it
-	orphanRankDelay = 75 * time.Millisecond  // more for each voter before this one, so that they do not all do it
-	inquiryInterval = 200 * time.Millisecond // while a vote is being recovered
-	maxPeers        = 40                     // control nodes
-	shutdownLinger  = time.Second
+	shutdownLinger = time.Second // from the end of the HTTP calls to that of all else: agents find other nodes meanwhile
+	listenTimeout  = 3 * time.Second
+	listenInterval = 100 * time.Millisecond
 )
 
 // program is the name of this program in logs, metrics and settings.
@@ -43,225 +46,358 @@
 
 // Config is what a node is made of.
 type Config struct {
-	Settings       *settings.Settings
-	Metrics        metrics.Endpoint // where figures are served; zero: nowhere
-	Log            log.Logger
-	FS             vfs.FS                                                    // nil: the machine's own
-	Incarnation    uint64                                                    // of this process, no other's; 0: drawn
-	Control        net.Listener                                              // nil: bound to the settings' address
-	Internal       net.Listener                                              // nil: bound to the settings' address
-	InternalAddrOf func(control string) string                               // nil: the settings'
-	Dial           func(ctx context.Context, inner string) (net.Conn, error) // nil: TCP
+	Settings *settings.Settings
+	Metrics  metrics.Endpoint // where metrics are served; zero: nowhere
+	Log      log.Logger
+	FS       vfs.FS       // nil: the machine's own
+	Control  net.Listener // for HTTP calls; nil: bound to the settings' address
+	Internal net.Listener // for agents and control nodes; nil: bound to the settings' address
+
+	// Incarnation is a number that no other process has had; 0: drawn.
+	Incarnation uint64
+	// InternalAddrOf returns the internal address that belongs to a control address; nil: as the settings say.
+	InternalAddrOf func(control string) string
+	// Dial connects to an internal address; nil: TCP.
+	Dial func(ctx context.Context, internal string) (net.Conn, error)
 }
 
-// Node is a control node. Of itself and others it speaks by control addresses.
+// Node is a control node. Nodes are named by their control addresses. It wires its parts together and owns their life cycle.
 type Node struct {
 	settings    *settings.Settings
 	config      Config
-	self        string
+	self        string // own control address
 	incarnation uint64
-	name        string // of this process, as no other has it: ballots bear it
+	name        string // of this process, and of no other: its ballots bear it
 	log         log.Logger
 	started     time.Time
+	ended       chan struct{} // closed at the end of Run
+	linger      time.Duration // shutdownLinger; tests set it before Run
+	leaseClock  func() time.Duration
 
 	store       *replication.Store
 	clock       *replication.Clock
 	source      *replication.Source
-	replica     *replica
-	proposals   *proposalQueue
+	disk        atomic.Pointer[storage.Store] // nil: it has not been read yet
+	connections *connlimit.Gate
+	majority    *majority.Lease
+	replica     *replica.Replica
+	peers       *peers.Set
+	fetcher     *catchup.Fetcher
+	proposals   *proposals.Queue
+	electorate  *electorate.Manager
 	instances   *instances.Registry
+	departures  *instances.Departures
 	ingresses   ingresslease.Table
-	storage     atomic.Pointer[storage.Store] // nil: the disk has not been read yet
-	largeBodies chan struct{}                 // room for large bodies
-
-	peers struct {
-		sync.Mutex
-		all []*peer
-	}
-	keeper struct {
-		sync.Mutex
-		*quota.CounterTable
-		term uint64 // the span of contact in which it was last told its duty
-	}
+	counters    *counterService
+	api         *httpapi.Server
 
-	behind                     atomic.Bool // another node has had a newer snapshot for a while (see lags)
-	lagging                    lag         // watch's
-	majority                   *majority.Lease
-	leaseClock                 func() time.Duration // of majority; monotonic
-	confirmed                  atomic.Uint64        // the span of contact in which the snapshot here was found to be as new as that of more than half; 0: none
-	warm                       atomic.Bool          // the servers are known: its disk had them, or another node that has all has told them
-	lastInContact              atomic.Bool          // contact, as watch last found it
-	wakeWatch                  chan struct{}        // something came that is not to wait for the next tick
-	connections                *connlimit.Gate
-	ended                      chan struct{} // closed at the end
-	electorateState            electorateState
-	operatorCalls, serverCalls callCounts
-	linger                     time.Duration // from the end of the control calls to that of all else
+	wakeWatch     chan struct{} // something happened that must not wait for the next tick
+	lastInContact atomic.Bool   // the majority lease was held when watch looked last
+	confirmedTerm atomic.Uint64 // of the majority lease, in which the snapshot here was confirmed as the newest; 0: none
+	lagging       atomic.Bool   // another node has had a newer snapshot for a while
+	warm          atomic.Bool   // the servers are known: the disk or another ready node had them
 }
 
 // New makes a node. It does nothing until Run.
 func New(c Config) (*Node, error) {
-	s := c.Settings
-	if err := s.Require(program); err != nil {
+	if err := c.Settings.Require(program); err != nil {
 		return nil, err
 	}
 	if c.Incarnation == 0 {
 		c.Incarnation = rand.Uint64() | 1
 	}
 	if c.InternalAddrOf == nil {
-		c.InternalAddrOf = s.InternalAddrOf
+		c.InternalAddrOf = c.Settings.InternalAddrOf
 	}
-	n := &Node{settings: s, config: c, self: s.ControlAddr, incarnation: c.Incarnation, log: log.With(c.Log, "part", program), started: time.Now(),
-		store: replication.NewStore(c.Incarnation), largeBodies: make(chan struct{}, 2), wakeWatch: make(chan struct{}, 1), ended: make(chan struct{}), linger: shutdownLinger}
-	n.clock = replication.NewClock(n.uptime)
-	n.name = s.Node + "/" + incarnationName(n.incarnation)
-	n.replica = &replica{self: n.self, store: n.store, isOwnBallot: func(b consensus.Ballot) bool { return strings.HasPrefix(b.Node, n.name+"/") },
-		drawDiskID: func() uint64 { return n.incarnation }, electorateChanged: n.notifyWatch}
-	n.proposals = newProposalQueue(n)
-	n.instances = instances.New(n.store, s.HeartbeatInterval, n.uptime)
-	n.keeper.CounterTable = quota.New()
-	n.connections = connlimit.NewGate(s.Limits.MaxFDs)
-	n.leaseClock = func() time.Duration { return time.Since(n.started) }
-	n.majority = majority.NewLease(n.self, func() time.Duration { return n.leaseClock() }, n.replica.votersForContact)
-	told := func() []string {
-		voters, _ := n.replica.electorate()
-		return voters
+	n := &Node{
+		settings:    c.Settings,
+		config:      c,
+		self:        c.Settings.ControlAddr,
+		incarnation: c.Incarnation,
+		name:        c.Settings.Node + "/" + incarnationName(c.Incarnation),
+		log:         log.With(c.Log, "part", program),
+		started:     time.Now(),
+		ended:       make(chan struct{}),
+		linger:      shutdownLinger,
+		store:       replication.NewStore(c.Incarnation),
+		connections: connlimit.NewGate(c.Settings.Limits.MaxFDs),
+		wakeWatch:   make(chan struct{}, 1),
 	}
-	n.source = &replication.Source{Store: n.store, Voters: told, Clock: n.clock, Ready: n.ready, Quorum: n.inContact, OnInstances: n.instances.Merge, OnRenewal: n.ingresses.Renew,
-		Heartbeats: n.instances.HeartbeatsSince, Rank: n.zoneRankOf, Members: n.ingressCount}
+	n.leaseClock = func() time.Duration { return time.Since(n.started) }
+	n.clock = replication.NewClock(n.uptime)
+	n.makeReplica()
+	n.makePeers()
+	n.makeInstances()
+	n.makeProposals()
+	n.makeServers()
 	return n, nil
 }
 
-// uptime is the seconds since the node was made, by the steady clock.
+func (n *Node) makeReplica() {
+	n.replica = replica.New(replica.Options{
+		Self:              n.self,
+		Store:             n.store,
+		IsOwnBallot:       func(b consensus.Ballot) bool { return strings.HasPrefix(b.Node, n.name+"/") },
+		DrawDiskID:        func() uint64 { return n.incarnation },
+		ElectorateChanged: n.notifyWatch,
+	})
+	n.majority = majority.NewLease(n.self, func() time.Duration { return n.leaseClock() }, n.replica.VotersForLease)
+}
+
+func (n *Node) makePeers() {
+	n.peers = peers.NewSet(peers.Options{
+		Self:           n.self,
+		Node:           n.settings.Node,
+		Zone:           n.settings.Zone,
+		Incarnation:    n.incarnation,
+		Store:          n.store,
+		Clock:          n.clock,
+		Lease:          n.majority,
+		Ready:          n.ready,
+		InternalAddrOf: n.config.InternalAddrOf,
+		Dial:           n.config.Dial,
+		OnUpdate:       n.mergeUpdate,
+		OnConnected:    n.notifyWatch,
+		Log:            n.log,
+	})
+	n.fetcher = catchup.NewFetcher(n.replica, n.peers)
+}
+
+func (n *Node) makeInstances() {
+	n.instances = instances.New(n.store, n.settings.HeartbeatInterval, n.uptime)
+	n.departures = &instances.Departures{
+		Registry: n.instances,
+		Settings: n.settings,
+		Replica:  n.replica,
+		Peers:    n.peers,
+		Disk:     n.disk.Load,
+	}
+}
+
+func (n *Node) makeProposals() {
+	n.proposals = proposals.New(proposals.Options{
+		Self:        n.self,
+		Name:        n.name,
+		Incarnation: n.incarnation,
+		Replica:     n.replica,
+		Peers:       n.peers,
+		Fetcher:     n.fetcher,
+		Lease:       n.majority,
+		OnConfirmed: func(term uint64) {
+			n.confirmedTerm.Store(term)
+			n.store.NotifySubscribers()
+		},
+		Closed: n.ended,
+		Log:    n.log,
+	})
+	n.electorate = electorate.New(electorate.Options{
+		Settings:       n.settings,
+		Replica:        n.replica,
+		Peers:          n.peers,
+		Proposals:      n.proposals,
+		Lease:          n.majority,
+		Started:        n.started,
+		ConfirmedTerm:  n.confirmedTerm.Load,
+		FetchInventory: n.fetchInventory,
+		DiskRead:       func() bool { return n.disk.Load() != nil },
+		Log:            n.log,
+	})
+}
+
+func (n *Node) makeServers() {
+	n.counters = newCounterService(
+		func() string { return n.config.InternalAddrOf(n.self) }, n.majority, n.uptime)
+	n.source = &replication.Source{
+		Store:       n.store,
+		Clock:       n.clock,
+		Ready:       n.ready,
+		Quorum:      n.majority.Held,
+		OnInstances: n.instances.Merge,
+		OnRenewal:   n.ingresses.Renew,
+		Heartbeats:  n.instances.HeartbeatsSince,
+		Rank:        n.zoneRank,
+		Members:     n.ingressCount,
+		Voters: func() []string {
+			voters, _ := n.replica.Voters()
+			return voters
+		},
+	}
+	n.api = httpapi.New(httpapi.Options{
+		Self:        n.self,
+		Instances:   n.instances,
+		Departures:  n.departures,
+		Proposals:   n.proposals,
+		Replica:     n.replica,
+		Electorate:  n.electorate,
+		Lease:       n.majority,
+		Connections: n.connections,
+		Clock:       n.clock,
+		Started:     n.started,
+		View:        n.view,
+		Member:      n.member,
+		Log:         n.log,
+	})
+}
+
+// uptime is the seconds since the node was made, by a monotonic clock.
 func (n *Node) uptime() float64 { return time.Since(n.started).Seconds() }
 
-// Run serves until the context ends, then finishes what is in hand and returns. It returns an error where it cannot serve.
+func incarnationName(incarnation uint64) string { return strconv.FormatUint(incarnation, 16) }
+
+// Run serves until the context ends, then shuts down gracefully and returns. It returns an error if it cannot serve.
 func (n *Node) Run(ctx context.Context) error {
 	defer close(n.ended)
-	control, inner, err := n.listen()
+	control, internal, err := n.listen()
 	if err != nil {
 		return err
 	}
-	// What serves others goes on for a second after the calls of servers and operators have ended: agents find the other nodes meanwhile.
+	// What serves other nodes outlives the HTTP calls by n.linger: agents find other control nodes meanwhile.
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
-	var all sync.WaitGroup
-	defer all.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	defer stop()
-	broken := make(chan error, 2)
-	n.subscribeTo(work, &all, n.settings.Seeds)
-	all.Go(func() { n.proposals.run(work) })
-	all.Go(func() { n.watch(work, &all) })
-	all.Go(func() { n.followElectorate(work, &all) })
-	all.Go(func() { n.serveInternal(work, inner, &all) })
-	all.Go(func() { n.serveMetrics(work) })
-	opened := make(chan struct{})
-	go func() { // the disk may hang: nobody waits for this to end
-		defer close(opened)
-		if err := n.open(work, &all); err != nil {
-			broken <- err
-		}
-	}()
-	server := n.server()
-	lame := n.linger
-	all.Go(func() {
+	failed := make(chan error, 2)
+	n.startWork(work, &wg, internal)
+	opened := n.openDisk(work, &wg, failed)
+	server := n.api.HTTPServer()
+	wg.Go(func() {
 		if err := server.Serve(n.connections.Listen(control)); !errors.Is(err, http.ErrServerClosed) {
-			broken <- errors.Wrap(err, "control calls")
+			failed <- errors.Wrap(err, "control calls")
 		}
 	})
 	n.log.Log("msg", "started", "node", n.settings.Node, "control", n.self, "incarnation", n.incarnation)
-	handed := make(chan struct{})
+	linger := n.linger
+	handedOver := make(chan struct{})
 	select {
-	case err = <-broken:
-		lame = 0
-		close(handed)
+	case err = <-failed:
+		linger = 0
+		close(handedOver)
 	case <-ctx.Done():
-		n.log.Log("msg", "told to end")
+		n.log.Log("msg", "shutting down")
 		go func() {
-			defer close(handed)
-			n.handOverVote(work)
+			defer close(handedOver)
+			n.electorate.HandOver(work)
 		}()
 		server.SetKeepAlivesEnabled(false)
 	}
-	last, cancel := context.WithTimeout(context.Background(), lame)
+	n.drain(server, linger, handedOver)
+	stop()
+	internal.Close()
+	waitFor(opened, linger)
+	if disk := n.disk.Load(); disk != nil {
+		err = errors.CombineErrors(err, disk.Close())
+	}
+	n.log.Log("msg", "stopped")
+	return err
+}
+
+// startWork starts what runs from the start of the node until work ends.
+func (n *Node) startWork(work context.Context, wg *sync.WaitGroup, internal net.Listener) {
+	n.peers.Subscribe(work, wg, n.settings.Seeds)
+	wg.Go(func() { n.proposals.Run(work) })
+	wg.Go(func() { n.watch(work, wg) })
+	wg.Go(func() { n.electorate.Follow(work, wg) })
+	wg.Go(func() { n.serveInternal(work, internal, wg) })
+	wg.Go(func() { n.serveMetrics(work) })
+}
+
+// openDisk reads the disk in the background: it may hang, and nothing waits for it. The channel is closed at its end.
+func (n *Node) openDisk(work context.Context, wg *sync.WaitGroup, failed chan<- error) <-chan struct{} {
+	opened := make(chan struct{})
+	go func() {
+		defer close(opened)
+		if err := n.open(work, wg); err != nil {
+			failed <- err
+		}
+	}()
+	return opened
+}
+
+// drain ends the HTTP calls within linger, and waits for the handover of the vote.
+func (n *Node) drain(server *http.Server, linger time.Duration, handedOver <-chan struct{}) {
+	ctx, cancel := context.WithTimeout(context.Background(), linger)
 	defer cancel()
-	if server.Shutdown(last) != nil {
+	if server.Shutdown(ctx) != nil {
 		server.Close()
 	}
-	<-last.Done()
-	select {
-	case <-handed:
-	case <-time.After(2 * handoverTimeout):
-	}
-	stop()
-	inner.Close()
+	<-ctx.Done()
+	waitFor(handedOver, electorate.HandoverLimit)
+}
+
+// waitFor waits until a channel is closed, for a time.
+func waitFor(closed <-chan struct{}, limit time.Duration) {
 	select {
-	case <-opened:
-	case <-time.After(lame):
-	}
-	if v := n.storage.Load(); v != nil {
-		err = errors.CombineErrors(err, v.Close())
+	case <-closed:
+	case <-time.After(limit):
 	}
-	n.log.Log("msg", "ended")
-	return err
 }
 
-func (n *Node) listen() (control, inner net.Listener, err error) {
+func (n *Node) listen() (control, internal net.Listener, err error) {
 	if control = n.config.Control; control == nil {
-		if control, err = bind(n.self); err != nil {
+		if control, err = listen(n.self); err != nil {
 			return nil, nil, err
 		}
 	}
-	if inner = n.config.Internal; inner == nil {
-		if inner, err = bind(n.settings.InternalAddr()); err != nil {
+	if internal = n.config.Internal; internal == nil {
+		if internal, err = listen(n.settings.InternalAddr()); err != nil {
 			control.Close()
 			return nil, nil, err
 		}
 	}
-	return control, inner, nil
+	return control, internal, nil
 }
 
-// bind listens on an address, also where the process before has it for a moment longer.
-func bind(addr string) (net.Listener, error) {
-	for until := time.Now().Add(3 * time.Second); ; time.Sleep(100 * time.Millisecond) {
+// listen listens on an address, which the process before may hold for a moment longer.
+func listen(addr string) (net.Listener, error) {
+	for deadline := time.Now().Add(listenTimeout); ; time.Sleep(listenInterval) {
 		l, err := transport.Listen(addr)
-		if err == nil || time.Now().After(until) {
+		if err == nil || time.Now().After(deadline) {
 			return l, errors.Wrapf(err, "listen on %s", addr)
 		}
 	}
 }
 
 // open reads the disk, and has this node join the others.
-func (n *Node) open(ctx context.Context, all *sync.WaitGroup) error {
-	v, s, err := storage.Open(n.config.FS, n.settings.DataPath, n.log)
+func (n *Node) open(ctx context.Context, wg *sync.WaitGroup) error {
+	disk, state, err := storage.Open(n.config.FS, n.settings.DataPath, n.log)
 	if err != nil {
 		return errors.Wrap(err, "the disk")
 	}
 	if ctx.Err() != nil {
-		return v.Close()
+		return disk.Close()
 	}
-	n.instances.Restore(s.Instances)
-	if slices.ContainsFunc(s.Instances, func(l registry.Instance) bool { return l.Phase == registry.Serving }) {
+	n.instances.Restore(state.Instances)
+	serving := func(i registry.Instance) bool { return i.Phase == registry.Serving }
+	if slices.ContainsFunc(state.Instances, serving) {
 		n.warm.Store(true)
 	}
 	var bootstrap []string
-	if s.Empty && n.settings.Bootstrap {
+	if state.Empty && n.settings.Bootstrap {
 		bootstrap = n.settings.Seeds
 	}
-	n.replica.load(v, s, bootstrap)
-	n.ingresses.Restore(s.Members)
-	n.storage.Store(v)
+	n.replica.Load(disk, state, bootstrap)
+	n.ingresses.Restore(state.Members)
+	n.disk.Store(disk)
 	n.notifyWatch()
-	_, votes := n.replica.electorate()
-	n.log.Log("msg", "disk read", "empty", s.Empty, "epoch", s.Acceptor.Epoch, "items", len(s.Items), "instances", len(s.Instances), "votes", votes)
-	n.join(ctx, all)
+	n.log.Log("msg", "storage opened", "empty", state.Empty, "epoch", state.Acceptor.Epoch, "items", len(state.Items),
+		"instances", len(state.Instances), "votes", n.replica.IsVoter())
+	n.electorate.Join(ctx, wg)
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-	case <-t.C:
+// mergeUpdate merges what a peer sends beside items.
+func (n *Node) mergeUpdate(update *transport.Update) {
+	n.instances.Merge(update.Instances)
+	n.instances.MergeRemoteHeartbeats(update.Heartbeats)
+	if update.Complete && update.Ready {
+		n.warm.Store(true)
 	}
 }
+
+// fetchInventory asks a peer for the electorate and the departing instances on its disk, and stores these here too.
+func (n *Node) fetchInventory(p *peers.Peer) *transport.CatchUpChunk {
+	return n.fetcher.FetchInventory(p, func(page []registry.Instance) {
+		n.instances.Merge(page)
+		n.instances.PersistDepartures(n.disk.Load(), instances.IDs(page)...)
+	})
+}
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -225,7 +225,7 @@
 // ask makes a call of a node.
 func (c *core) ask(addr, method, path, body string) (int, string) {
 	w := httptest.NewRecorder()
-	c.nodes[addr].server().Handler.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
+	c.nodes[addr].api.HTTPServer().Handler.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
 	return w.Code, w.Body.String()
 }
 
@@ -312,7 +312,7 @@
 		c.Equal(c.patch(c.seeds[0], upsert([]string{service("t", 2)}, nil)), 200)
 		c.start(c.seeds[1], vfs.NewCrashableMem(), false)
 		pass(4 * time.Second)
-		_, votes := c.nodes[c.seeds[1]].replica.electorate()
+		_, votes := c.nodes[c.seeds[1]].replica.Voters()
 		c.True(votes)
 		zero := c.kill(c.seeds[0])
 		c.Equal(c.patch(c.seeds[1], upsert([]string{service("u", 3)}, nil)), 200)
@@ -333,7 +333,7 @@
 		fourth := c.start("10.0.0.4:81", vfs.NewCrashableMem(), false)
 		pass(4 * time.Second)
 		c.Equal(c.all(), text)
-		voters, votes := fourth.replica.electorate()
+		voters, votes := fourth.replica.Voters()
 		c.Equal(voters, c.seeds)
 		c.True(!votes)
 		c.Equal(c.patch(fourth.addr, upsert([]string{service("v", 4)}, nil)), 200)
--- a/internal/control/norace_test.go
+++ b/internal/control/norace_test.go
@@ -5,7 +5,6 @@
 const orderSeeds, starveSeconds = 60, 3
 
 const (
-	catchUpWalks = 100
-	figureRuns   = 20
+	figureRuns = 20
 )
 const secondLosses = 80
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -195,7 +195,7 @@
 func (w *world) look() {
 	for _, a := range w.seeds {
 		if m := w.machine(a); m != nil {
-			_, book := m.replica.snapshot()
+			_, book := m.replica.Snapshot()
 			w.lock.Lock()
 			w.saw(book)
 			w.lock.Unlock()
@@ -356,7 +356,7 @@
 		defer cancel()
 	}
 	got := httptest.NewRecorder()
-	m.server().Handler.ServeHTTP(got, httptest.NewRequestWithContext(ctx, "PATCH", "/config", strings.NewReader(o.body(rnd))))
+	m.api.HTTPServer().Handler.ServeHTTP(got, httptest.NewRequestWithContext(ctx, "PATCH", "/config", strings.NewReader(o.body(rnd))))
 	w.look()
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -459,7 +459,7 @@
 	}
 	time.Sleep(4 * time.Second)
 	for _, a := range w.seeds {
-		if _, votes := w.nodes[a].replica.electorate(); !votes {
+		if _, votes := w.nodes[a].replica.Voters(); !votes {
 			w.lock.Lock()
 			w.fail("node %s has no vote four seconds after its trouble", a)
 			w.lock.Unlock()
@@ -473,7 +473,7 @@
 	if wrong := w.differ(); wrong != "" {
 		w.fail("%s", wrong)
 	}
-	_, book := w.nodes[w.seeds[0]].replica.snapshot()
+	_, book := w.nodes[w.seeds[0]].replica.Snapshot()
 	for v, what := range w.confirmed {
 		i, ok := book.Get(v.key)
 		if !ok || int(i.Version) < v.version || int(i.Version) == v.version && whatSays(i) != what {
@@ -582,7 +582,7 @@
 		c.nodes[c.seeds[2]].hang.set(true)
 		late, err := configuration.ReadPatch([]byte(upsert([]string{service("t", 2)}, nil)))
 		c.NoErr(err)
-		if err := c.nodes[c.seeds[0]].proposals.change(context.Background(), late, 50*time.Millisecond); err == nil {
+		if err := c.nodes[c.seeds[0]].proposals.Change(context.Background(), late, 50*time.Millisecond); err == nil {
 			return "taken without a majority"
 		}
 		pass(270 * time.Millisecond)
@@ -639,7 +639,7 @@
 				})
 			}
 			all.Wait()
-			_, book := c.nodes[c.seeds[round%3]].replica.snapshot()
+			_, book := c.nodes[c.seeds[round%3]].replica.Snapshot()
 			if i, _ := book.Get(configuration.Key{Kind: configuration.Routes, Name: "r"}); round > 0 && whatSays(i) != fmt.Sprintf("h%d s", taken-1) {
 				return fmt.Sprintf("round %d: confirmed to %d, and there is %v", round, taken-1, i)
 			}
@@ -660,8 +660,8 @@
 		items, err := configuration.ReadPatch([]byte(strings.Replace(upsert([]string{service("t", 2)}, nil), "130", "131", 1)))
 		c.NoErr(err)
 		for _, a := range c.seeds[1:] {
-			epoch, _ := c.nodes[a].replica.snapshot()
-			if a := c.nodes[a].replica.accept(consensus.Proposal{Ballot: consensus.Ballot{Round: 50, Node: "a"}, Epoch: epoch + 1, Items: items}, nil); a == nil || !a.OK {
+			epoch, _ := c.nodes[a].replica.Snapshot()
+			if a := c.nodes[a].replica.Accept(consensus.Proposal{Ballot: consensus.Ballot{Round: 50, Node: "a"}, Epoch: epoch + 1, Items: items}, nil); a == nil || !a.OK {
 				return "the other's is not accepted"
 			}
 		}
@@ -679,11 +679,11 @@
 		}
 		pass(10 * time.Millisecond) // until all know
 		v := c.nodes[c.seeds[2]].replica
-		epoch, _ := v.snapshot()
+		epoch, _ := v.Snapshot()
 		items, err := configuration.ReadPatch([]byte(upsert([]string{service("t", 2)}, nil)))
 		c.NoErr(err)
 		held := consensus.Proposal{Ballot: consensus.Ballot{Round: 50, Node: "a"}, Epoch: epoch + 1, Items: items}
-		if a := v.accept(held, nil); a == nil || !a.OK || v.learn(held.Ballot.Above("b"), held.Epoch) {
+		if a := v.Accept(held, nil); a == nil || !a.OK || v.Learn(held.Ballot.Above("b"), held.Epoch) {
 			return "it took its own for the other"
 		}
 		if status := c.patch(c.seeds[0], upsert([]string{service("u", 3)}, nil)); status != 200 {
@@ -701,7 +701,7 @@
 		order := upsert(nil, []string{route("r", "h", "t", 3)})
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 		defer cancel()
-		c.nodes[c.seeds[0]].server().Handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequestWithContext(ctx, "PATCH", "/config", strings.NewReader(order)))
+		c.nodes[c.seeds[0]].api.HTTPServer().Handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequestWithContext(ctx, "PATCH", "/config", strings.NewReader(order)))
 		pass(5 * time.Millisecond)
 		if status := c.patch(c.seeds[1], order); status != 400 {
 			return fmt.Sprint("elsewhere: ", status)
@@ -711,7 +711,7 @@
 		}
 		c.cut(c.seeds[0], false)
 		pass(3 * time.Second)
-		if _, book := c.nodes[c.seeds[1]].replica.snapshot(); strings.Contains(string(book.RenderJSON()), "authority") {
+		if _, book := c.nodes[c.seeds[1]].replica.Snapshot(); strings.Contains(string(book.RenderJSON()), "authority") {
 			return "refused, and in force"
 		}
 		return c.differ()
@@ -832,7 +832,7 @@
 		for err, want := range map[error]int{&net.OpError{Op: "read", Err: os.ErrDeadlineExceeded}: 408, io.ErrUnexpectedEOF: 400} {
 			got := httptest.NewRecorder()
 			body := io.MultiReader(strings.NewReader(`{"upsert":`), iotest.ErrReader(err))
-			c.nodes[c.seeds[0]].server().Handler.ServeHTTP(got, httptest.NewRequest("PATCH", "/config", body))
+			c.nodes[c.seeds[0]].api.HTTPServer().Handler.ServeHTTP(got, httptest.NewRequest("PATCH", "/config", body))
 			c.Equal(got.Code, want)
 		}
 		c.end()
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -16,6 +16,7 @@
 	"mulleinrouter/internal/cluster/registry"
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/transport"
+	"mulleinrouter/internal/control/httpapi"
 )
 
 const touchWithin = 3 * time.Second // after a cut: contactMs of the sites
@@ -310,7 +311,7 @@
 			g.run(3 * time.Second)
 			g.start(cut, g.kill(cut), false)
 			g.lapse(cut)
-			g.run(startupGrace) // until then calls are held for a moment
+			g.run(httpapi.StartupGrace) // until then calls are held for a moment
 			g.alone(cut, 1000)
 			g.run(4 * time.Second)
 			g.alone(cut, 1001)
@@ -336,16 +337,16 @@
 func stoodStill(g *gateway) {
 	who := g.seeds[1]
 	n := g.nodes[who]
-	n.keeper.Lock() // watch and counters stand
+	n.counters.mu.Lock() // watch and counters stand
 	pass(time.Millisecond)
 	n.clockSkew.Store(int64(20 * time.Second))
 	g.lapse(who)
 	g.alone(who, 500) // the first that it says
-	if _, peers := n.zoneRankOf("edge-0"); peers != 0 || n.ingressCount() != 0 || n.inContact() {
+	if _, peers := n.zoneRank("edge-0"); peers != 0 || n.ingressCount() != 0 || n.majority.Held() {
 		g.fail("it woke and counts as before")
 	}
-	n.keeper.Unlock()
-	if r := n.handleCounter(&transport.Frame{CounterAdd: &transport.CounterAdd{Name: "t0", Cycle: 1, Reporter: "edge-0", Amount: 2, Retention: 60}}); r.CounterTotal.OK {
+	n.counters.mu.Unlock()
+	if r := n.counters.handle(&transport.Frame{CounterAdd: &transport.CounterAdd{Name: "t0", Cycle: 1, Reporter: "edge-0", Amount: 2, Retention: 60}}); r.CounterTotal.OK {
 		g.fail("it woke and keeps a counter")
 	}
 	g.lapse()
@@ -354,7 +355,7 @@
 	// In contact again, its names may have been kept by another: they wait for the fence.
 	for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); pass(20 * time.Millisecond) {
 		for _, name := range []string{"t0", "t1", "t2", "t3"} {
-			if r := n.handleCounter(&transport.Frame{CounterAdd: &transport.CounterAdd{Name: name, Cycle: 1, Reporter: "edge-0", Amount: 2, Retention: 60}}); r.CounterTotal.OK {
+			if r := n.counters.handle(&transport.Frame{CounterAdd: &transport.CounterAdd{Name: name, Cycle: 1, Reporter: "edge-0", Amount: 2, Retention: 60}}); r.CounterTotal.OK {
 				g.fail("%v after it woke it keeps %s", time.Until(end), name)
 			}
 		}
@@ -380,7 +381,7 @@
 					began := time.Now()
 					status, _ := c.ask(a, "PUT", fmt.Sprint("/instances/i-", i), call1("serving", seq))
 					c.Equal(status, 200)
-					c.True(time.Since(began) <= startupWait)
+					c.True(time.Since(began) <= httpapi.StartupWait)
 				})
 			}
 			all.Wait()
--- /dev/null
+++ b/internal/control/proposals/compose.go
@@ -0,0 +1,119 @@
+package proposals
+
+import (
+	"slices"
+
+	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/cluster/consensus"
+	"mulleinrouter/internal/control/mutant"
+)
+
+const maxBatchBytes = 1 << 20 // of items in one proposal, about; the first change may be longer
+
+// ElectorateChange changes the electorate from the one that was evaluated to other voters.
+type ElectorateChange struct {
+	From consensus.Electorate
+	To   []consensus.Voter
+}
+
+// evaluate evaluates the change upon the present base: nil voters and no error mean that it has been made already.
+func (c *ElectorateChange) evaluate(base consensus.Base) ([]consensus.Voter, error) {
+	switch {
+	case slices.Equal(base.Electorate.Voters, c.To):
+		return nil, nil
+	case !base.Electorate.Equal(c.From):
+		return nil, ErrElectorateChanged
+	}
+	return c.To, nil
+}
+
+// compose chooses what to propose, and answers the changes that are decided without it. It returns those that are left.
+func (q *Queue) compose(action consensus.Action, changes []*pendingChange) (consensus.Action, []*pendingChange) {
+	base, snapshot := q.replica.Base()
+	changes = slices.DeleteFunc(changes, (*pendingChange).isAbandoned)
+	k := slices.IndexFunc(changes, func(c *pendingChange) bool { return c.electorateChange != nil })
+	if k >= 0 {
+		return q.composeElectorateChange(action, changes, changes[k], base)
+	}
+	items, verdicts := consensus.ComposeProposal(
+		snapshot, itemsForEpoch(changes, base.Epoch+1), maxBatchBytes, (*configuration.Snapshot).Validate)
+	rejects := slices.ContainsFunc(verdicts, func(v consensus.Verdict) bool { return v.Err != nil })
+	if rejects && !action.Confirmed && !mutant.Active("refuses-unsure") {
+		return q.proposer.RequireConfirmation(action.Attempt), changes
+	}
+	left := q.answerDecided(changes, verdicts)
+	next := q.proposer.Composed(action.Attempt, base, items, nil)
+	q.proposed, q.proposedEpoch = next.Proposal.Ballot, base.Epoch
+	return next, left
+}
+
+// itemsForEpoch returns copies of the items of each change, marked with the epoch that they would make.
+func itemsForEpoch(changes []*pendingChange, epoch uint64) [][]configuration.Item {
+	all := make([][]configuration.Item, len(changes))
+	for n, c := range changes {
+		all[n] = slices.Clone(c.items)
+		for i := range all[n] {
+			all[n][i].Epoch = epoch
+		}
+	}
+	return all
+}
+
+// answerDecided answers the changes that are rejected or applied already, notes those that go with the proposal, and returns all that
+// are undecided.
+func (q *Queue) answerDecided(changes []*pendingChange, verdicts []consensus.Verdict) (undecided []*pendingChange) {
+	q.included = nil
+	for n, verdict := range verdicts {
+		c := changes[n]
+		switch {
+		case verdict.Err != nil:
+			c.answer(verdict.Err)
+			continue
+		case verdict.AlreadyApplied:
+			c.answer(nil)
+			continue
+		}
+		undecided = append(undecided, c)
+		if mutant.Active("answers-before") || mutant.Active("answers-left") && !verdict.Included {
+			c.answer(nil)
+		}
+		if verdict.Included {
+			q.included = append(q.included, c)
+		}
+	}
+	return undecided
+}
+
+// composeElectorateChange proposes a change of the electorate by itself; changes that wait beside it come after.
+func (q *Queue) composeElectorateChange(
+	action consensus.Action, changes []*pendingChange, c *pendingChange, base consensus.Base,
+) (consensus.Action, []*pendingChange) {
+	if !action.Confirmed {
+		return q.proposer.RequireConfirmation(action.Attempt), changes
+	}
+	voters, err := c.electorateChange.evaluate(base)
+	if voters == nil {
+		c.answer(err)
+		c.abandoned.Store(true)
+		return q.compose(action, changes)
+	}
+	q.included = nil
+	return q.proposer.Composed(action.Attempt, base, nil, voters), changes
+}
+
+// apply applies a chosen change, answers those whose changes it includes, and notifies the other nodes.
+func (q *Queue) apply(action consensus.Action) consensus.Action {
+	p := action.Proposal
+	base := q.replica.Choose(p)
+	q.broadcastChosen(p)
+	if p.Ballot == q.proposed && p.Epoch == q.proposedEpoch+1 || mutant.Active("answers-others") {
+		for _, c := range q.included {
+			c.answer(nil)
+			c.abandoned.Store(true)
+		}
+	}
+	q.included = nil
+	q.chosen.Add(1)
+	q.log.Log("msg", "change chosen", "epoch", p.Epoch, "items", len(p.Items), "voters", len(p.Voters))
+	return q.proposer.Applied(action.Attempt, base)
+}
--- a/internal/control/race_test.go
+++ b/internal/control/race_test.go
@@ -5,7 +5,6 @@
 const orderSeeds, starveSeconds = 8, 1
 
 const (
-	catchUpWalks = 15
-	figureRuns   = 2
+	figureRuns = 2
 )
 const secondLosses = 12
--- /dev/null
+++ b/internal/control/replica/chunks.go
@@ -0,0 +1,156 @@
+package replica
+
+import (
+	"cmp"
+	"iter"
+	"slices"
+
+	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/cluster/consensus"
+	"mulleinrouter/internal/cluster/registry"
+	"mulleinrouter/internal/cluster/transport"
+	"mulleinrouter/internal/control/mutant"
+)
+
+const (
+	// MinChunkBytes is about the size of a chunk on a slow link: 0.3 s at 2 Mbit/s, so that a heartbeat or a vote behind it is not late.
+	MinChunkBytes = 64 << 10
+	// MaxChunkBytes is about the size of a chunk on a fast link; one item may be longer by itself.
+	MaxChunkBytes = 256 << 10
+	// MaxRecentChanges is how many chosen changes are remembered by key, so that a node that lacks only these gets them without a scan
+	// of the whole snapshot.
+	MaxRecentChanges = 256
+
+	historyEntryBytes = 20 // of a frame, for each version in an item's history
+)
+
+// chosenChange is a change with the epoch that it made.
+type chosenChange struct {
+	epoch uint64
+	keys  []configuration.Key
+}
+
+func keysOf(items []configuration.Item) []configuration.Key {
+	keys := make([]configuration.Key, len(items))
+	for n, item := range items {
+		keys[n] = item.Key
+	}
+	return keys
+}
+
+// PersistedInstances returns a page of the departing instances on this node's disk (see instances.Registry.PersistedAfter).
+type PersistedInstances func(after string, maxBytes int) (page []registry.Instance, more bool)
+
+// Chunk answers a node that lacks chosen changes, or whose disk is empty; nil: this node's disk has not been read yet.
+func (r *Replica) Chunk(request *transport.CatchUpRequest, persisted PersistedInstances) *transport.CatchUpChunk {
+	r.mu.Lock()
+	if r.disk == nil {
+		r.mu.Unlock()
+		return nil
+	}
+	chunk := &transport.CatchUpChunk{Epoch: r.acceptor.Epoch, Electorate: r.acceptor.Electorate}
+	snapshot, recent := r.store.Snapshot(), r.recent
+	r.mu.Unlock()
+	maxBytes := min(request.MaxBytes, MaxChunkBytes)
+	if maxBytes <= 0 {
+		maxBytes = MinChunkBytes
+	}
+	if request.EmptyDisk {
+		chunk.Instances, chunk.MoreInstances = persisted(request.AfterInstance, maxBytes)
+		return chunk
+	}
+	if chunk.Epoch > request.Epoch && chunk.Epoch >= request.NewestEpoch {
+		newer := itemsNewerThan(snapshot, recent, request.Epoch, request.FromPosition)
+		chunk.Items, chunk.NextPosition = firstItems(newer, maxBytes)
+	}
+	return chunk
+}
+
+// itemsNewerThan iterates over the items that were chosen after an epoch, by position, from one position on. If the recent changes
+// reach back to the epoch, only their keys are looked up; else the snapshot is scanned.
+func itemsNewerThan(
+	snapshot *configuration.Snapshot, recent []chosenChange, epoch, from uint64,
+) iter.Seq2[uint64, configuration.Item] {
+	if !reachBackTo(recent, epoch) {
+		return func(yield func(uint64, configuration.Item) bool) {
+			for position, item := range snapshot.From(from) {
+				if item.Epoch > epoch && !yield(position, item) {
+					return
+				}
+			}
+		}
+	}
+	keys := keysNewerThan(recent, epoch, from)
+	return func(yield func(uint64, configuration.Item) bool) {
+		for _, k := range keys {
+			if item, ok := snapshot.Get(k.key); ok && !yield(k.position, item) {
+				return
+			}
+		}
+	}
+}
+
+// reachBackTo tells whether the recent changes include all after an epoch.
+func reachBackTo(recent []chosenChange, epoch uint64) bool {
+	if len(recent) == 0 {
+		return false
+	}
+	oldest := recent[0].epoch
+	return oldest <= epoch+1 || mutant.Active("recent-off-by-one") && oldest == epoch+2
+}
+
+// positionedKey is a key with its position in the order of transfers.
+type positionedKey struct {
+	position uint64
+	key      configuration.Key
+}
+
+// keysNewerThan returns the keys of the changes after an epoch from one position on, each once, by position.
+func keysNewerThan(recent []chosenChange, epoch, from uint64) []positionedKey {
+	var keys []positionedKey
+	for _, change := range recent {
+		if change.epoch <= epoch {
+			continue
+		}
+		for _, key := range change.keys {
+			if position := key.Position(); position >= from {
+				keys = append(keys, positionedKey{position, key})
+			}
+		}
+	}
+	slices.SortFunc(keys, func(a, b positionedKey) int {
+		return cmp.Or(cmp.Compare(a.position, b.position), a.key.Compare(b.key))
+	})
+	return slices.Compact(keys)
+}
+
+// firstItems takes about maxBytes of items, and at least one; items that share a position are never separated. Next is the position
+// to continue from; 0: these were all.
+func firstItems(all iter.Seq2[uint64, configuration.Item], maxBytes int) (items []configuration.Item, next uint64) {
+	var last uint64
+	for position, item := range all {
+		maxBytes -= frameBytes(item)
+		if maxBytes < 0 && len(items) > 0 && position != last {
+			return items, last + 1
+		}
+		items, last = append(items, item), position
+	}
+	return items, 0
+}
+
+// frameBytes is about the size of an item in a frame, and not less.
+func frameBytes(item configuration.Item) int {
+	bytes := item.Size()
+	if item.History != nil {
+		bytes += historyEntryBytes * len(*item.History)
+	}
+	return bytes
+}
+
+// ElectorateOf returns the electorate of a chunk's snapshot; older versions sent only the voters' addresses.
+func ElectorateOf(chunk *transport.CatchUpChunk) consensus.Electorate {
+	if !chunk.Electorate.Known() {
+		return consensus.InitialElectorate(chunk.Voters)
+	}
+	return chunk.Electorate
+}
--- /dev/null
+++ b/internal/control/replica/chunks_test.go
@@ -0,0 +1,261 @@
+package replica
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"os"
+	"testing"
+
+	"github.com/cockroachdb/pebble/v2/vfs"
+	"github.com/go-kit/log"
+	"github.com/matryer/is"
+
+	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/cluster/consensus"
+	"mulleinrouter/internal/cluster/registry"
+	"mulleinrouter/internal/cluster/replication"
+	"mulleinrouter/internal/cluster/transport"
+	"mulleinrouter/internal/control/replica/replicatest"
+	"mulleinrouter/internal/control/storage"
+)
+
+const (
+	calmStep    = 150  // of a walk: from there on nothing is lost any more
+	maxSteps    = 1000 // by which the newest snapshot must have arrived
+	lateAnswers = 5    // that are kept to be delivered again
+)
+
+// openReplica makes a voter upon a disk.
+func openReplica(is *is.I, fs vfs.FS, incarnation uint64) *Replica {
+	is.Helper()
+	disk, state, err := storage.Open(fs, "d", log.NewNopLogger())
+	is.NoErr(err)
+	r := New(Options{Self: "x", Store: replication.NewStore(incarnation)})
+	r.Load(disk, state, []string{"x", "y", "z"})
+	return r
+}
+
+func noInstances(string, int) ([]registry.Instance, bool) { return nil, false }
+
+// failing is a test that records its first failure.
+type failing struct{ failure *string }
+
+func (f failing) Fail()    { f.FailNow() }
+func (f failing) FailNow() { *f.failure = "a step failed" }
+func (f failing) Log(args ...any) {
+	fmt.Fprintln(os.Stderr, args...)
+}
+
+// lateAnswer is a request with its answer, which may be delivered again.
+type lateAnswer struct {
+	request transport.CatchUpRequest
+	chunk   transport.CatchUpChunk
+}
+
+// transferWalk is a random walk in which a replica catches up with three sources.
+type transferWalk struct {
+	*is.I
+	random  *rand.Rand
+	history *replicatest.History
+
+	disk         *vfs.MemFS
+	incarnations uint64
+	replica      *Replica
+	sources      []*Replica
+	late         []lateAnswer
+
+	epoch    uint64 // of the replica, as last checked
+	snapshot *configuration.Snapshot
+	chunks   int
+	failure  string
+}
+
+// walkTransfer walks with a seed: sources move on, answers are lost, come late or twice and from any of them, and the replica loses
+// power. Whatever snapshot it has must be one that there was, and it must get to the newest. It returns the first failure; empty:
+// none; and the number of chunks.
+func walkTransfer(seed uint64) (failure string, chunks int) {
+	random := rand.New(rand.NewPCG(seed, 7))
+	w := &transferWalk{random: random, disk: vfs.NewCrashableMem(), incarnations: 1, snapshot: new(configuration.Snapshot)}
+	w.I = is.New(failing{&w.failure})
+	w.history = &replicatest.History{Random: random, Names: 40, BodySize: 1 + random.IntN(200), MaxItems: 1 + random.IntN(6)}
+	w.replica = openReplica(w.I, w.disk, w.incarnations)
+	for range 3 {
+		w.incarnations++
+		w.sources = append(w.sources, openReplica(w.I, vfs.NewMem(), w.incarnations))
+	}
+	defer func() {
+		for _, r := range append(w.sources, w.replica) {
+			r.disk.Close()
+		}
+	}()
+	w.history.Grow(1 + random.IntN(40))
+	for step := 0; ; step++ {
+		calm := step > calmStep
+		w.step(calm)
+		w.check()
+		if w.failure != "" {
+			return w.failure, w.chunks
+		}
+		if !calm {
+			continue
+		}
+		for _, source := range w.sources {
+			w.history.Apply(source, w.history.Newest())
+		}
+		if w.replica.Epoch() == w.history.Newest() {
+			return "", w.chunks
+		}
+		if step > maxSteps {
+			return "it never gets there", w.chunks
+		}
+	}
+}
+
+// step has one thing happen.
+func (w *transferWalk) step(calm bool) {
+	source := w.sources[w.random.IntN(3)]
+	switch action := w.random.IntN(12); {
+	case !calm && action == 0:
+		w.history.Grow(1 + w.random.IntN(10))
+	case action == 1:
+		at := source.Epoch()
+		w.history.Apply(source, at+uint64(w.random.IntN(len(w.history.Changes)-int(at)+1)))
+	case !calm && action == 2: // a change arrives as it is chosen
+		if at := w.replica.Epoch(); at < w.history.Newest() {
+			w.replica.Choose(w.history.Changes[at])
+		}
+	case !calm && action == 3:
+		w.losePower()
+	case !calm && action == 4 && len(w.late) > 0:
+		answer := w.late[w.random.IntN(len(w.late))]
+		w.replica.StageChunk(&answer.request, &answer.chunk)
+	default:
+		w.requestChunk(source, calm)
+	}
+}
+
+// losePower restarts the replica with what its disk kept.
+func (w *transferWalk) losePower() {
+	if w.random.IntN(2) == 0 { // all is synced; else the disk's own goroutine may not have got to it
+		w.NoErr(w.replica.disk.Save(context.Background(), storage.Batch{}))
+	}
+	crash := w.disk.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: 50, RNG: w.random})
+	w.replica.disk.Close()
+	w.disk = crash
+	w.incarnations++
+	w.replica = openReplica(w.I, w.disk, w.incarnations)
+	w.epoch = 0
+	w.late = nil
+}
+
+// requestChunk requests the next chunk from a source; its answer may be lost.
+func (w *transferWalk) requestChunk(source *Replica, calm bool) {
+	request := w.replica.NextCatchUpRequest()
+	request.MaxBytes = 1 + w.random.IntN(1500)
+	chunk := source.Chunk(request, noInstances)
+	w.chunks++
+	size := 0
+	for _, item := range chunk.Items {
+		size += frameBytes(item)
+	}
+	if size > request.MaxBytes && len(chunk.Items) > 1 {
+		w.failure = fmt.Sprintf("a chunk of %d bytes, where %d were requested", size, request.MaxBytes)
+		return
+	}
+	if w.late = append(w.late, lateAnswer{*request, *chunk}); len(w.late) > lateAnswers {
+		w.late = w.late[1:]
+	}
+	if calm || w.random.IntN(4) > 0 {
+		w.replica.StageChunk(request, chunk)
+	}
+}
+
+// check checks the snapshot against the model, and that nothing is accepted upon a snapshot that is not here.
+func (w *transferWalk) check() {
+	epoch, snapshot := w.replica.Snapshot()
+	if w.failure == "" && (snapshot != w.snapshot || epoch != w.epoch) {
+		w.snapshot = snapshot
+		w.failure = w.history.Check(w.replica)
+	}
+	if w.failure == "" && epoch < w.epoch {
+		w.failure = fmt.Sprintf("epoch %d after %d", epoch, w.epoch)
+	}
+	w.epoch = epoch
+	proposal := consensus.Proposal{
+		Ballot: consensus.Ballot{Round: 1, Node: "y"},
+		Epoch:  epoch + 2 + uint64(w.random.IntN(3)),
+	}
+	if accepted := w.replica.Accept(proposal, nil); w.failure == "" && accepted != nil && accepted.OK {
+		w.failure = "it accepts upon a snapshot that it lacks"
+	}
+}
+
+func TestTransferWalks(t *testing.T) {
+	chunks := 0
+	for seed := range uint64(transferWalks) {
+		failure, n := walkTransfer(seed)
+		if failure != "" {
+			t.Fatalf("seed %d: %s", seed, failure)
+		}
+		chunks += n
+	}
+	t.Logf("%d walks, %d chunks", transferWalks, chunks)
+}
+
+// checkNewerItems asks a replica, after a number of changes, for what is newer than each epoch, from the first position and from
+// another one, and compares it with a plain list. It returns the first difference; empty: none.
+func checkNewerItems(changes int) string {
+	var failure string
+	is := is.New(failing{&failure})
+	random := rand.New(rand.NewPCG(uint64(changes), 3))
+	h := &replicatest.History{Random: random, Names: 5000, BodySize: 1, MaxItems: 3}
+	r := openReplica(is, vfs.NewMem(), 1)
+	defer r.disk.Close()
+	h.Grow(changes)
+	h.Apply(r, uint64(changes))
+	_, snapshot := r.Snapshot()
+	items := h.ItemsAt(uint64(changes))
+	for epoch := range uint64(changes) {
+		for _, from := range []uint64{0, random.Uint64()} {
+			got, want := map[configuration.Key]uint64{}, map[configuration.Key]uint64{}
+			last := from
+			for position, item := range itemsNewerThan(snapshot, r.recent, epoch, from) {
+				if position < last {
+					return fmt.Sprintf("position %x after %x", position, last)
+				}
+				last = position
+				got[item.Key] = item.Epoch
+			}
+			for _, item := range items {
+				if item.Epoch > epoch && item.Key.Position() >= from {
+					want[item.Key] = item.Epoch
+				}
+			}
+			if !maps.Equal(got, want) {
+				return fmt.Sprintf("%d changes, newer than %d: got %d items, want %d", changes, epoch, len(got), len(want))
+			}
+		}
+	}
+	return failure
+}
+
+// changeCounts are those at which the recent changes just reach back far enough, and some more.
+var changeCounts = []int{
+	1, 2,
+	MaxRecentChanges/2 - 1, MaxRecentChanges / 2, MaxRecentChanges/2 + 1,
+	MaxRecentChanges - 1, MaxRecentChanges, MaxRecentChanges + 1, MaxRecentChanges + 2,
+	3 * MaxRecentChanges / 2, 3*MaxRecentChanges/2 + 1,
+	600,
+}
+
+func TestItemsNewerThan(t *testing.T) {
+	for _, changes := range changeCounts {
+		t.Run(fmt.Sprint(changes, " changes"), func(t *testing.T) {
+			if difference := checkNewerItems(changes); difference != "" {
+				t.Error(difference)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/control/replica/norace_test.go
@@ -0,0 +1,5 @@
+//go:build !race
+
+package replica
+
+const transferWalks = 100
--- /dev/null
+++ b/internal/control/view.go
@@ -0,0 +1,144 @@
+package control
+
+import (
+	"time"
+
+	"mulleinrouter/internal/control/httpapi"
+	"mulleinrouter/internal/control/majority"
+	"mulleinrouter/internal/control/replica"
+)
+
+// view is what this node knows, for GET /view.
+func (n *Node) view() httpapi.View {
+	epoch, snapshot := n.replica.Snapshot()
+	voters, votes := n.replica.Voters()
+	promised, pending := n.replica.Pending()
+	connections := n.connections.Stats()
+	return httpapi.View{
+		Node:            n.settings.Node,
+		Control:         n.self,
+		Incarnation:     incarnationName(n.incarnation),
+		UptimeSeconds:   n.uptime(),
+		Ready:           n.ready(),
+		Reason:          n.readiness(),
+		Epoch:           epoch,
+		Items:           snapshot.Len(),
+		Promised:        promised,
+		PendingEpoch:    pending,
+		Voters:          voters,
+		Votes:           votes,
+		Sources:         n.peerViews(),
+		Ingresses:       n.ingresses.Published(),
+		Instances:       n.countInstances(),
+		QuotaCounters:   n.counters.count(),
+		InContact:       n.majority.Held(),
+		EpochsBehind:    n.epochsBehind(),
+		DiskStalled:     n.diskStalled(),
+		ConnectionsUsed: connections.Total(),
+		ConnectionLimit: connections.Limit,
+	}
+}
+
+func (n *Node) countInstances() httpapi.InstanceCounts {
+	counts := httpapi.InstanceCounts{}
+	for _, instance := range n.store.Instances() {
+		if counts[instance.Service] == nil {
+			counts[instance.Service] = map[string]int{}
+		}
+		counts[instance.Service][instance.Phase.String()]++
+	}
+	return counts
+}
+
+func (n *Node) peerViews() (views []httpapi.PeerView) {
+	for _, p := range n.peers.All() {
+		state := p.State()
+		lastHeard := -1.0
+		if state.Incarnation != 0 {
+			lastHeard = time.Since(state.LastHeard).Seconds()
+		}
+		views = append(views, httpapi.PeerView{
+			ControlAddr:        p.Addr,
+			LastHeardSeconds:   lastHeard,
+			AnsweredSecondsAgo: max(-1, n.majority.Age(p.Addr).Seconds()),
+			Epoch:              state.Epoch,
+			Ready:              state.Ready,
+			Quorum:             state.Quorum,
+		})
+	}
+	return views
+}
+
+// readiness says why this node is ready, or what it waits for.
+func (n *Node) readiness() string {
+	voters, _ := n.replica.Voters()
+	term, held := n.majority.Current()
+	switch {
+	case n.ready():
+		return "it has all"
+	case n.disk.Load() == nil:
+		return "the disk has not been read yet"
+	case voters == nil:
+		return "the disk was lost, and nobody has told who votes"
+	case !held:
+		return "it does not hear more than half of the voters"
+	case n.confirmedTerm.Load() != term:
+		return "the configuration here is not known to be the newest"
+	case n.store.Snapshot().Len() == 0:
+		return "there is no configuration yet"
+	}
+	return "servers have not had the time to call"
+}
+
+// member is a control node as this one sees it beside a configuration of an epoch, for GET /members.
+func (n *Node) member(addr string, epoch uint64) httpapi.Member {
+	m := httpapi.Member{Addr: addr, Zone: n.electorate.Zone(addr), LastHeardSeconds: -1}
+	if addr == n.self {
+		m.Self, m.Up, m.LastHeardSeconds = true, true, 0
+		return m
+	}
+	p := n.peers.Find(addr)
+	if p == nil {
+		return m
+	}
+	state := p.State()
+	if state.Incarnation != 0 {
+		m.LastHeardSeconds = max(0, time.Since(state.LastHeard).Seconds())
+	}
+	// Voters are also pinged.
+	if age := n.majority.Age(addr).Seconds(); age >= 0 && (m.LastHeardSeconds < 0 || age < m.LastHeardSeconds) {
+		m.LastHeardSeconds = age
+	}
+	m.Up = p.Connected() && m.LastHeardSeconds >= 0 && m.LastHeardSeconds <= majority.TTL.Seconds()
+	m.EpochsBehind = epoch - min(epoch, state.Epoch)
+	return m
+}
+
+// epochsBehind is how many changes another control node is known to have that this one lacks.
+func (n *Node) epochsBehind() uint64 {
+	epoch := n.replica.Epoch()
+	return n.peers.NewestEpoch(epoch) - epoch
+}
+
+// diskStalled tells whether the disk has been at one write for long.
+func (n *Node) diskStalled() bool {
+	disk := n.disk.Load()
+	return disk != nil && disk.Stalled(replica.SyncTimeout)
+}
+
+// oldestAnswer is how long ago, in seconds, the voter answered that has been silent the longest; -1: one never did.
+func (n *Node) oldestAnswer() float64 {
+	oldest := 0.0
+	voters, _ := n.replica.Voters()
+	for _, voter := range voters {
+		if voter == n.self {
+			continue
+		}
+		age := n.majority.Age(voter)
+		if age < 0 {
+			return -1
+		}
+		oldest = max(oldest, age.Seconds())
+	}
+	return oldest
+}
