--- a/internal/control/catchup/fetcher.go
+++ b/internal/control/catchup/fetcher.go
@@ -56,8 +56,9 @@
 	return s
 }
 
-// Fetch gets chosen changes from a control node, up to an epoch at least if all goes well, and returns the epoch of the snapshot here
-// then. It fetches for fetchTimeout; while a sweep is under way, it waits for that and does not request the same chunks.
+// Fetch gets chosen changes from a control node, up to an epoch at least if all goes well, and returns the epoch
+// of the snapshot here then. It fetches for fetchTimeout; while a sweep is under way, it waits for that and does
+// not request the same chunks.
 func (f *Fetcher) Fetch(from string, epoch uint64) uint64 {
 	current := f.replica.Epoch()
 	p := f.peers.Find(from)
@@ -146,8 +147,9 @@
 	return false
 }
 
-// FetchInventory asks a peer for the electorate and for the departing instances on its disk, page by page; merge is called with each
-// page. It returns the first page, in which the electorate stands; nil: the peer does not answer.
+// FetchInventory asks a peer for the electorate and for the departing instances on its disk, page by page; merge
+// is called with each page. It returns the first page, in which the electorate stands; nil: the peer does not
+// answer.
 func (f *Fetcher) FetchInventory(p *peers.Peer, merge func([]registry.Instance)) (first *transport.CatchUpChunk) {
 	request := &transport.CatchUpRequest{EmptyDisk: true}
 	for {
--- a/internal/control/catchup_mutants_test.go
+++ b/internal/control/catchup_mutants_test.go
@@ -8,18 +8,18 @@
 	"mulleinrouter/internal/control/mutant"
 )
 
-func TestReadyBehindMutant(t *testing.T) {
+func TestLaggingMutant(t *testing.T) {
 	defer func() { mutant.Name = "" }()
 	mutant.Name = "ready-behind"
-	if ready, _ := readyBehind(t); ready <= readyBound {
+	if ready, _ := measureLagging(t); ready <= maxReadyWhileLagging {
 		t.Error("not found")
 	}
 }
 
-func TestBeginsAnewMutant(t *testing.T) {
+func TestTransferRestartMutant(t *testing.T) {
 	defer func() { mutant.Name = "" }()
 	mutant.Name = "begins-anew"
-	if total, bytes := slowLink(t); bytes < total*5/4 {
+	if total, bytes := catchUpOverSlowLink(t); bytes < total*5/4 {
 		t.Error("not found")
 	}
 }
--- a/internal/control/connlimit/gate.go
+++ b/internal/control/connlimit/gate.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Listen wraps the listener for the connections of servers and operators. The http.Server that serves it must use ConnState and
-// ConnContext of this gate.
+// Listen wraps the listener for the connections of servers and operators. The http.Server that serves it must
+// use ConnState and ConnContext of this gate.
 func (g *Gate) Listen(l net.Listener) net.Listener { return &listener{Listener: l, gate: g} }
 
 type listener struct {
@@ -70,8 +70,8 @@
 	return c, nil
 }
 
-// closeConn closes the connection of a slot that was evicted. A call may be arriving on it at this moment: its client then retries
-// on another node. A nil slot is ignored.
+// closeConn closes the connection of a slot that was evicted. A call may be arriving on it at this moment: its
+// client then retries on another node. A nil slot is ignored.
 func (s *slot) closeConn() {
 	if s != nil {
 		_ = s.close()
@@ -135,8 +135,8 @@
 	}
 }
 
-// AcquireInternal takes a slot for an internal connection, and reports false where there is none. The caller that got one must call
-// ReleaseInternal once the connection is closed.
+// AcquireInternal takes a slot for an internal connection, and reports false where there is none. The caller
+// that got one must call ReleaseInternal once the connection is closed.
 func (g *Gate) AcquireInternal() bool {
 	g.mu.Lock()
 	evicted, ok := g.slots.addInternal()
--- a/internal/control/connlimit/slots.go
+++ b/internal/control/connlimit/slots.go
@@ -5,17 +5,19 @@
 const (
 	reservedForNew       = 16 // slots that no call in flight may use: new connections are read there
 	reservedForOperators = 32 // further slots that only calls of operators may use
-	reservedForPrompt    = 64 // further slots that of servers' calls only those may use whose bodies have arrived: a departure may be among them
-	minSlots             = 256
-	minControlSlots      = 128 // slots that internal connections never use
-	reservedForFiles     = 200 // descriptors of files outside the data folder (the platform's rule)
-	reservedForNode      = 140 // descriptors of the data folder, peers, listeners, and sockets that are being closed
-	defaultFDs           = 1024
+	// Further slots that of servers' calls only those may use whose bodies have arrived: a departure may be among them.
+	reservedForPrompt = 64
+	minSlots          = 256
+	minControlSlots   = 128 // slots that internal connections never use
+	reservedForFiles  = 200 // descriptors of files outside the data folder (the platform's rule)
+	reservedForNode   = 140 // descriptors of the data folder, peers, listeners, and sockets that are being closed
+	defaultFDs        = 1024
 )
 
 // Admission is the decision on a call whose header has been read.
 type Admission int
 
+// The decisions on a call.
 const (
 	Admitted         Admission = iota
 	AdmittedIfPrompt           // admitted on condition that its body arrives at once
@@ -23,9 +25,10 @@
 	Evicted                    // its connection has been evicted meanwhile
 )
 
-// slots decides which connections a node keeps: those of servers and operators, and how many internal ones (of agents and control
-// nodes), which share its descriptors. A new connection of a server or operator is always accepted: at the limit, the one that has
-// been idle longest is evicted, never one with a call in flight. It does no I/O and needs no clock: time is the order of the calls.
+// slots decides which connections a node keeps: those of servers and operators, and how many internal ones (of
+// agents and control nodes), which share its descriptors. A new connection of a server or operator is always
+// accepted: at the limit, the one that has been idle longest is evicted, never one with a call in flight. It
+// does no I/O and needs no clock: time is the order of the calls.
 //
 // Invariants:
 //
@@ -60,7 +63,8 @@
 // total is the number of connections, internal ones included.
 func (s *slots) total() int { return s.internal + s.inFlight + s.idle.Len() }
 
-// evictIfFull removes the connection that has been idle longest if the limit is reached, and returns it to be closed; nil: none.
+// evictIfFull removes the connection that has been idle longest if the limit is reached, and returns it to be
+// closed; nil: none.
 func (s *slots) evictIfFull() (evicted *slot) {
 	if s.total() < s.limit {
 		return nil
--- a/internal/control/counters.go
+++ b/internal/control/counters.go
@@ -9,8 +9,8 @@
 	"mulleinrouter/internal/control/mutant"
 )
 
-// counterService keeps the quota counters that this node owns. It answers only in the term of the majority lease in which its
-// ownership was last evaluated: in another term, other nodes may have owned the counters meanwhile.
+// counterService keeps the quota counters that this node owns. It answers only in the term of the majority lease
+// in which its ownership was last evaluated: in another term, other nodes may have owned the counters meanwhile.
 type counterService struct {
 	addr   func() string // own internal address
 	lease  *majority.Lease
@@ -40,8 +40,8 @@
 	return &transport.Frame{CounterTotal: &total}
 }
 
-// update evaluates the ownership anew: the counters are divided among the reachable voters, given by their internal addresses. A new
-// term begins with a new handover fence.
+// update evaluates the ownership anew: the counters are divided among the reachable voters, given by their
+// internal addresses. A new term begins with a new handover fence.
 func (s *counterService) update(reachable []string, term uint64, held bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,11 +1,11 @@
 // Package control is a control node, the program that runs on each core machine.
 //
-// A control node accepts configuration changes from operators and has them chosen by a majority of the voters, accepts heartbeats
-// from servers and detects which are silent, streams configuration and instances to the agents, and keeps the quota counters of the
-// tenants that it owns. This package wires the parts and owns their life cycle: node.go makes, starts and stops them, watch.go has
-// the periodic work, internal_server.go serves agents and other control nodes, counters.go the quota counters, view.go and
-// metrics.go what operators see. The parts, each with its own documentation, in the order in which a change of the configuration
-// meets them:
+// A control node accepts configuration changes from operators and has them chosen by a majority of the voters,
+// accepts heartbeats from servers and detects which are silent, streams configuration and instances to the
+// agents, and keeps the quota counters of the tenants that it owns. This package wires the parts and owns their
+// life cycle: node.go makes, starts and stops them, watch.go has the periodic work, internal_server.go serves
+// agents and other control nodes, counters.go the quota counters, view.go and metrics.go what operators see. The
+// parts, each with its own documentation, in the order in which a change of the configuration meets them:
 //
 //	httpapi       HTTP calls of servers and operators
 //	connlimit     limits on connections
@@ -20,6 +20,7 @@
 //	ingresslease  the leases of ingresses
 //	mutant        seeded faults
 //
-// It may import package cluster's folders and the packages below it, and nothing of the data plane. Its tests run whole clusters in
-// simulated time on simulated disks and links; those that seed faults need the build tag "mutants".
+// It may import package cluster's folders and the packages below it, and nothing of the data plane. Its tests
+// run whole clusters in simulated time on simulated disks and links; those that seed faults need the build tag
+// "mutants".
 package control
--- a/internal/control/electorate/changes.go
+++ b/internal/control/electorate/changes.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	changeTimeout        = 2 * time.Second  // for a change of the electorate, from its proposal until a majority has it on disk
+	changeTimeout        = 2 * time.Second  // from a proposal until a majority has it on disk
 	handoverTimeout      = time.Second      // for one at shutdown
-	replacementDelay     = 2 * time.Second  // beyond the bound on contact (contactMs): a voter that is silent for so long is replaced
+	replacementDelay     = 2 * time.Second  // of a silent voter, beyond the bound on contact (contactMs)
 	replacementRankDelay = time.Second      // more, for each reachable voter before this one
 	minAge               = 10 * time.Second // of an electorate, before voters are replaced or added
 	maxProbes            = 5
@@ -29,8 +29,9 @@
 // HandoverLimit is how long a shutdown waits for HandOver.
 const HandoverLimit = 2 * handoverTimeout
 
-// Maintain replaces a voter that has been silent for long, and enlarges an electorate that is too small. The first of the reachable
-// voters does it, and the others later if it does not; several at once do no harm. What it starts runs in wg.
+// Maintain replaces a voter that has been silent for long, and enlarges an electorate that is too small. The
+// first of the reachable voters does it, and the others later if it does not; several at once do no harm. What
+// it starts runs in wg.
 func (m *Manager) Maintain(ctx context.Context, wg *sync.WaitGroup) {
 	base, snapshot := m.options.Replica.Base()
 	e := base.Electorate
@@ -115,7 +116,8 @@
 	}
 }
 
-// Replace replaces one voter by a learner in one step, both given by their control addresses. Errors are of type *ChangeError.
+// Replace replaces one voter by a learner in one step, both given by their control addresses. Errors are of type
+// *ChangeError.
 func (m *Manager) Replace(ctx context.Context, base consensus.Base, out, in string) error {
 	return m.replace(ctx, base, out, in, changeTimeout, nil)
 }
@@ -146,8 +148,8 @@
 	return nil
 }
 
-// probe asks a control node for itself as a voter, which it answers once all of a base is on its disk. One that is a little behind is
-// asked again.
+// probe asks a control node for itself as a voter, which it answers once all of a base is on its disk. One that
+// is a little behind is asked again.
 func (m *Manager) probe(ctx context.Context, addr string, base consensus.Base) (voter consensus.Voter, err error) {
 	for range maxProbes {
 		if voter, err = m.probeOnce(addr, base); !errors.Is(err, errBehind) || ctx.Err() != nil {
@@ -182,7 +184,8 @@
 	return &answer.Promise.Promise
 }
 
-// change has the electorate changed if majorities of the present and of the next one are in contact. Probed voters count as such.
+// change has the electorate changed if majorities of the present and of the next one are in contact. Probed
+// voters count as such.
 func (m *Manager) change(
 	ctx context.Context, from consensus.Electorate, to []consensus.Voter, timeout time.Duration, probed ...consensus.Voter,
 ) error {
--- a/internal/control/electorate/learners.go
+++ b/internal/control/electorate/learners.go
@@ -36,8 +36,8 @@
 	return ""
 }
 
-// successors returns the learners in the order in which they are to succeed a voter: those of its zone first, then those of the zones
-// with the fewest voters.
+// successors returns the learners in the order in which they are to succeed a voter: those of its zone first,
+// then those of the zones with the fewest voters.
 func (m *Manager) successors(e consensus.Electorate, voter string) []Learner {
 	learners, votersInZone := m.Learners(e), map[string]int{}
 	for _, v := range e.Voters {
--- a/internal/control/electorate/manager.go
+++ b/internal/control/electorate/manager.go
@@ -22,13 +22,14 @@
 
 // Options is what a Manager is made of.
 type Options struct {
-	Settings       *settings.Settings
-	Replica        *replica.Replica
-	Peers          *peers.Set
-	Proposals      *proposals.Queue
-	Lease          *majority.Lease
-	Started        time.Time                                 // of this process
-	ConfirmedTerm  func() uint64                             // term of the lease in which the snapshot here was confirmed as the newest; 0: none
+	Settings  *settings.Settings
+	Replica   *replica.Replica
+	Peers     *peers.Set
+	Proposals *proposals.Queue
+	Lease     *majority.Lease
+	Started   time.Time // of this process
+	// ConfirmedTerm is the term of the lease in which the snapshot here was confirmed as the newest; 0: none.
+	ConfirmedTerm  func() uint64
 	FetchInventory func(*peers.Peer) *transport.CatchUpChunk // asks a peer for the electorate; nil: no answer
 	DiskRead       func() bool                               // the disk has been read
 	Log            log.Logger
--- a/internal/control/httpapi/call.go
+++ b/internal/control/httpapi/call.go
@@ -56,8 +56,8 @@
 	return c.handle(body)
 }
 
-// reject answers a call whose body is not read to its end. The rest of it is not waited for: the connection is closed, and its slot is
-// free for others at once.
+// reject answers a call whose body is not read to its end. The rest of it is not waited for: the connection is
+// closed, and its slot is free for others at once.
 func (c *call) reject(err error) reply {
 	c.w.Header().Set("Connection", "close")
 	_ = c.controller.SetReadDeadline(time.Now())
@@ -96,7 +96,8 @@
 	}
 }
 
-// readBody reads the body. That of a server's call must arrive in time; for an operator's, the deadline of the http.Server holds.
+// readBody reads the body. That of a server's call must arrive in time; for an operator's, the deadline of the
+// http.Server holds.
 func (c *call) readBody(timeout time.Duration) ([]byte, error) {
 	if !c.endpoint.byOperator {
 		_ = c.controller.SetReadDeadline(time.Now().Add(timeout)) // if it can't be set, the http.Server's holds
@@ -146,8 +147,8 @@
 	return answer
 }
 
-// awaitContact tells whether this node is in contact with a majority. Just after the start it waits a little for the first contact: all
-// nodes may have started at once.
+// awaitContact tells whether this node is in contact with a majority. Just after the start it waits a little for
+// the first contact: all nodes may have started at once.
 func (s *Server) awaitContact(ctx context.Context) bool {
 	lease := s.options.Lease
 	if lease.Held() || mutant.Active("acknowledges-alone") {
--- a/internal/control/httpapi/errors.go
+++ b/internal/control/httpapi/errors.go
@@ -34,7 +34,8 @@
 	// ErrBodyTooLong means that the body is longer than the call allows.
 	ErrBodyTooLong = &Error{http.StatusRequestEntityTooLarge, "the body is too long"}
 
-	// ErrBodyTimeout means that the body did not arrive in time. It says nothing about its contents: the call may be retried.
+	// ErrBodyTimeout means that the body did not arrive in time. It says nothing about its contents: the call may
+	// be retried.
 	ErrBodyTimeout = &Error{http.StatusRequestTimeout, "the body did not come in time"}
 
 	// ErrBodyIncomplete means that the connection ended before the body did.
@@ -47,8 +48,8 @@
 // badRequest is the error of a call that is invalid by itself.
 func badRequest(message string) error { return &Error{http.StatusBadRequest, message} }
 
-// statusOf is the status that an error is answered with. An error of no known type means that the call has had no certain effect, and
-// may be retried, at another node as well.
+// statusOf is the status that an error is answered with. An error of no known type means that the call has had
+// no certain effect, and may be retried, at another node as well.
 func statusOf(err error) int {
 	var own *Error
 	var rejection *configuration.Rejection
--- a/internal/control/httpapi/instances.go
+++ b/internal/control/httpapi/instances.go
@@ -81,7 +81,8 @@
 	return instance, nil
 }
 
-// putInstance records a heartbeat. That the server drains is acknowledged only once it can't be lost; agents hear of it at once.
+// putInstance records a heartbeat. That the server drains is acknowledged only once it can't be lost; agents
+// hear of it at once.
 func (s *Server) putInstance(r *http.Request, body []byte) (reply, error) {
 	instance, err := parseInstance(r.PathValue("id"), body, s.options.Clock)
 	if err != nil {
--- a/internal/control/httpapi/server.go
+++ b/internal/control/httpapi/server.go
@@ -84,7 +84,13 @@
 var endpoints = []endpoint{
 	{pattern: "PUT /instances/{id}", maxBody: maxHeartbeatBytes, needsContact: true, handle: (*Server).putInstance},
 	{pattern: "DELETE /instances/{id}", maxBody: maxHeartbeatBytes, needsContact: true, handle: (*Server).deleteInstance},
-	{pattern: "PATCH /config", maxBody: maxPatchBytes, byOperator: true, needsContact: true, handle: (*Server).patchConfig},
+	{
+		pattern:      "PATCH /config",
+		maxBody:      maxPatchBytes,
+		byOperator:   true,
+		needsContact: true,
+		handle:       (*Server).patchConfig,
+	},
 	{pattern: "GET /config", byOperator: true, needsContact: true, handle: (*Server).getConfig},
 	{pattern: "GET /view", byOperator: true, handle: (*Server).getView},
 	{pattern: "GET /members", byOperator: true, handle: (*Server).getMembers},
--- a/internal/control/httpapi/view.go
+++ b/internal/control/httpapi/view.go
@@ -17,7 +17,7 @@
 	Epoch           uint64           `json:"epoch"` // of the configuration here
 	Items           int              `json:"items"` // of the configuration, deleted ones included
 	Promised        consensus.Ballot `json:"promised"`
-	PendingEpoch    uint64           `json:"pendingEpoch"` // of a change that is accepted here and not known to be chosen; 0: none
+	PendingEpoch    uint64           `json:"pendingEpoch"` // accepted here, not known to be chosen; 0: none
 	Voters          []string         `json:"voters"`       // control addresses
 	Votes           bool             `json:"votes"`        // this node is a voter
 	Sources         []PeerView       `json:"sources"`      // the other control nodes
@@ -38,7 +38,7 @@
 type PeerView struct {
 	ControlAddr        string  `json:"at"`
 	LastHeardSeconds   float64 `json:"heardSecondsAgo"`    // -1: never
-	AnsweredSecondsAgo float64 `json:"answeredSecondsAgo"` // when the newest answered request was sent; -1: none was answered
+	AnsweredSecondsAgo float64 `json:"answeredSecondsAgo"` // by when it was sent; -1: no request was
 	Epoch              uint64  `json:"epoch"`
 	Ready              bool    `json:"ready"`
 	Quorum             bool    `json:"quorum"`
--- a/internal/control/ingresslease/table.go
+++ b/internal/control/ingresslease/table.go
@@ -11,14 +11,15 @@
 
 const (
 	leaseDuration = 2 * time.Second
-	settleTime    = 1500 * time.Millisecond // after a term of contact begins: by then all holders have renewed their leases here
+	settleTime    = 1500 * time.Millisecond // of a term of contact, by which all holders have renewed here
 	maxLeases     = 1 << 14
 
 	// MaxNameLength is the limit in bytes on the names by which nodes identify themselves and their zones.
 	MaxNameLength = 4096
 )
 
-// Table is the leases of the ingresses that subscribe to this node. The zero value is an empty table. It is safe for concurrent use.
+// Table is the leases of the ingresses that subscribe to this node. The zero value is an empty table. It is safe
+// for concurrent use.
 type Table struct {
 	mu      sync.Mutex       // guards leases and changed
 	leases  map[string]lease // by the ingress' node name
@@ -89,8 +90,9 @@
 	}
 }
 
-// Count is the number of ready ingresses in a term of contact that began at termStart. Until all have had the time to renew their
-// leases here, it is not below the lower bound: parts of quotas that are too large cannot be taken back. 0: unknown.
+// Count is the number of ready ingresses in a term of contact that began at termStart. Until all have had the
+// time to renew their leases here, it is not below the lower bound: parts of quotas that are too large cannot be
+// taken back. 0: unknown.
 func (t *Table) Count(now, termStart time.Time) int64 {
 	count := int64(t.countReady(now))
 	switch elapsed := now.Sub(termStart); {
--- a/internal/control/instances/departures.go
+++ b/internal/control/instances/departures.go
@@ -18,7 +18,7 @@
 	DepartureTimeout = 800 * time.Millisecond
 
 	maxPersisted = 4096 // instances in one request
-	minCopies    = 2    // disks on which a departure must be before it is acknowledged, as long as there are as many voters
+	minCopies    = 2    // disks that must have a departure before it is acknowledged, if there are as many
 )
 
 // Departures stores the departures of instances on enough disks that no tolerated loss takes them all.
@@ -40,7 +40,8 @@
 	return replica.Synced(d.Registry.PersistDepartures(disk, IDs(instances)...), 0)
 }
 
-// Replicate stores a departing instance on the disks of voters, and returns true once it is on one more than may be lost, or on all.
+// Replicate stores a departing instance on the disks of voters, and returns true once it is on one more than may
+// be lost, or on all.
 func (d *Departures) Replicate(ctx context.Context, instance registry.Instance) bool {
 	voters, _ := d.Replica.Voters()
 	results, pending := d.requestCopies(ctx, instance, voters)
@@ -71,7 +72,8 @@
 	return required
 }
 
-// requestCopies has the voters, or all peers while the voters are unknown, and this node store an instance. Each sends one result.
+// requestCopies has the voters, or all peers while the voters are unknown, and this node store an instance. Each
+// sends one result.
 func (d *Departures) requestCopies(
 	ctx context.Context, instance registry.Instance, voters []string,
 ) (results <-chan bool, pending int) {
--- a/internal/control/instances/registry.go
+++ b/internal/control/instances/registry.go
@@ -19,8 +19,8 @@
 	overheadBytes = 64   // of an instance in a frame, beside its strings
 )
 
-// Registry is the server instances known to this node. The store holds of each instance what registry holds, and is told only of
-// differences.
+// Registry is the server instances known to this node. The store holds of each instance what registry holds, and
+// is told only of differences.
 type Registry struct {
 	store *replication.Store
 	now   func() registry.Seconds // since the process started
@@ -29,10 +29,11 @@
 	registry          *registry.Registry
 	acknowledgedPhase map[string]registry.Phase // by id: the phase that is known to be on enough disks
 	persisted         mapset.Set[string]        // ids that are on this node's disk, or queued for it
-	dirty             map[string]struct{}       // ids of instances that have changed since they were last queued for the disk
+	dirty             map[string]struct{}       // ids of instances changed since they were last queued for the disk
 }
 
-// New makes an empty registry. HeartbeatInterval is that of the servers, in seconds; now is the seconds since the process started.
+// New makes an empty registry. HeartbeatInterval is that of the servers, in seconds; now is the seconds since
+// the process started.
 func New(store *replication.Store, heartbeatInterval float64, now func() float64) *Registry {
 	return &Registry{
 		store:             store,
@@ -52,8 +53,8 @@
 	}
 }
 
-// Flush queues changed instances for the disk, without waiting: a node that restarts then knows the servers before their next
-// heartbeats. A nil store is ignored.
+// Flush queues changed instances for the disk, without waiting: a node that restarts then knows the servers
+// before their next heartbeats. A nil store is ignored.
 func (r *Registry) Flush(disk *storage.Store) {
 	if disk == nil {
 		return
@@ -76,8 +77,8 @@
 	}
 }
 
-// Heartbeat records a call of a server, and returns the instance as it stands now, and whether its phase is acknowledged: known to
-// be on enough disks.
+// Heartbeat records a call of a server, and returns the instance as it stands now, and whether its phase is
+// acknowledged: known to be on enough disks.
 func (r *Registry) Heartbeat(instance registry.Instance) (merged registry.Instance, acknowledged bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -116,8 +117,8 @@
 	}
 }
 
-// PersistDepartures queues those of the instances for the disk that drain or are gone, as they stand here. It returns nil if there
-// is none.
+// PersistDepartures queues those of the instances for the disk that drain or are gone, as they stand here. It
+// returns nil if there is none.
 func (r *Registry) PersistDepartures(disk *storage.Store, ids ...string) *storage.Ticket {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,8 +167,8 @@
 	}
 }
 
-// PersistedAfter returns a page of the departing instances on disk, as they stand now, in order of their ids: those with ids above
-// after, about maxBytes of them in a frame and at least one. More: others follow.
+// PersistedAfter returns a page of the departing instances on disk, as they stand now, in order of their ids:
+// those with ids above after, about maxBytes of them in a frame and at least one. More: others follow.
 func (r *Registry) PersistedAfter(after string, maxBytes int) (page []registry.Instance, more bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/control/internal_server.go
+++ b/internal/control/internal_server.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// meetPeer subscribes to a control node that has subscribed here. A learner receives calls of servers too, so its updates are wanted.
+// meetPeer subscribes to a control node that has subscribed here. A learner receives calls of servers too, so
+// its updates are wanted.
 func (n *Node) meetPeer(ctx context.Context, wg *sync.WaitGroup, hello *transport.Hello) {
 	n.peers.Subscribe(ctx, wg, []string{hello.ControlAddr})
 	p := n.peers.Find(hello.ControlAddr)
@@ -81,7 +82,8 @@
 	p.RetryNow() // it runs again, and a dial that began before may only time out
 }
 
-// handlePeer answers a call of another control node; nil: no answer. An empty frame answers that there is nothing to say.
+// handlePeer answers a call of another control node; nil: no answer. An empty frame answers that there is
+// nothing to say.
 func (n *Node) handlePeer(request *transport.Frame, from string) *transport.Frame {
 	answer := &transport.Frame{}
 	switch {
--- a/internal/control/majority/lease.go
+++ b/internal/control/majority/lease.go
@@ -11,9 +11,10 @@
 // TTL is how long an answered request shows that a voter is in contact, counted from when the request was sent.
 const TTL = 1500 * time.Millisecond
 
-// Lease is a lease on a majority of the voters. A voter counts for TTL from the moment at which this node sent the request that the
-// voter has answered since: so it shows that both directions work. Expiry is evaluated whenever the lease is read, so that a process
-// that was suspended finds the lease expired, whatever its buffers hold.
+// Lease is a lease on a majority of the voters. A voter counts for TTL from the moment at which this node sent
+// the request that the voter has answered since: so it shows that both directions work. Expiry is evaluated
+// whenever the lease is read, so that a process that was suspended finds the lease expired, whatever its buffers
+// hold.
 type Lease struct {
 	self   string
 	now    func() time.Duration
@@ -26,8 +27,8 @@
 	firstHeld    chan struct{}            // closed when the lease is held for the first time
 }
 
-// NewLease makes a lease that is not held. Now is a monotonic clock; voters returns the addresses of the electorate, nil if it is
-// unknown. Neither may block.
+// NewLease makes a lease that is not held. Now is a monotonic clock; voters returns the addresses of the
+// electorate, nil if it is unknown. Neither may block.
 func NewLease(self string, now func() time.Duration, voters func() []string) *Lease {
 	return &Lease{
 		self:         self,
@@ -41,8 +42,8 @@
 // Now reads the lease's clock, for RecordAnswer.
 func (l *Lease) Now() time.Duration { return l.now() }
 
-// RecordAnswer records that a node has answered a request that was sent at sentAt by the lease's clock. Between two answers the
-// lease may have expired unobserved, so it is evaluated before and after.
+// RecordAnswer records that a node has answered a request that was sent at sentAt by the lease's clock. Between
+// two answers the lease may have expired unobserved, so it is evaluated before and after.
 func (l *Lease) RecordAnswer(node string, sentAt time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,7 +80,8 @@
 	return ok && now-at <= TTL
 }
 
-// Current tells whether the lease is held now, and its term: the number of the uninterrupted span in which it is or was held.
+// Current tells whether the lease is held now, and its term: the number of the uninterrupted span in which it is
+// or was held.
 func (l *Lease) Current() (term uint64, held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,7 +100,8 @@
 // FirstHeld returns a channel that is closed when the lease is held for the first time.
 func (l *Lease) FirstHeld() <-chan struct{} { return l.firstHeld }
 
-// Reachable returns the voters in contact now, this node included if it is one, and the lease's term and whether it is held.
+// Reachable returns the voters in contact now, this node included if it is one, and the lease's term and whether
+// it is held.
 func (l *Lease) Reachable() (voters []string, term uint64, held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/control/majority/lease_test.go
+++ b/internal/control/majority/lease_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// walkLease drives a lease at random beside a reference model: the lease is held at an instant if a majority has answered requests
-// sent in the TTL before it, and a term ends with any instant at which it is not. It returns the first difference; empty: none.
+// walkLease drives a lease at random beside a reference model: the lease is held at an instant if a majority has
+// answered requests sent in the TTL before it, and a term ends with any instant at which it is not. It returns
+// the first difference; empty: none.
 func walkLease(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 1))
 	nodes := []string{"a", "b", "c", "d", "e"}
--- a/internal/control/metrics_test.go
+++ b/internal/control/metrics_test.go
@@ -12,10 +12,10 @@
 // The figures of a control node in contact, and of one that has lost its voters.
 func TestMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCore(t, 3)
-		pass(2 * time.Second)
-		c.Equal(c.patch(c.seeds[0], upsert([]string{service("s", 1)}, nil)), 200)
-		status, _ := c.ask(c.seeds[0], "PUT", "/instances/i-1", call1("serving", 1))
+		c := newCluster(t, 3)
+		advance(2 * time.Second)
+		c.Equal(c.patch(c.seeds[0], patchBody([]string{serviceJSON("s", 1)}, nil)), 200)
+		status, _ := c.call(c.seeds[0], "PUT", "/instances/i-1", heartbeatJSON("serving", 1))
 		c.Equal(status, 200)
 		n := c.nodes[c.seeds[0]].Node
 		r := metrics.NewRegistry(program)
@@ -33,16 +33,16 @@
 				t.Errorf("%q is missing in\n%s", line, calm)
 			}
 		}
-		c.lose(c.seeds[1])
-		c.lose(c.seeds[2])
-		pass(3 * time.Second)
-		c.Equal(c.patch(c.seeds[0], upsert([]string{service("s", 2)}, nil)), 503)
+		c.remove(c.seeds[1])
+		c.remove(c.seeds[2])
+		advance(3 * time.Second)
+		c.Equal(c.patch(c.seeds[0], patchBody([]string{serviceJSON("s", 2)}, nil)), 503)
 		alone := text()
 		c.True(strings.Contains(alone, "mulleinrouter_control_contact 0\n"))
 		c.True(strings.Contains(alone, "mulleinrouter_control_ready 0\n"))
 		c.True(strings.Contains(alone, `mulleinrouter_control_operator_calls_total{status="5xx"} 1`))
 		c.Equal(strings.Count(alone, "\nmulleinrouter_"), strings.Count(calm, "\nmulleinrouter_"))
 		t.Log("series:", strings.Count(calm, "\nmulleinrouter_"))
-		c.end()
+		c.stopAll()
 	})
 }
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -61,7 +61,8 @@
 	Dial func(ctx context.Context, internal string) (net.Conn, error)
 }
 
-// Node is a control node. Nodes are named by their control addresses. It wires its parts together and owns their life cycle.
+// Node is a control node. Nodes are named by their control addresses. It wires its parts together and owns their
+// life cycle.
 type Node struct {
 	settings    *settings.Settings
 	config      Config
--- a/internal/control/norace_test.go
+++ b/internal/control/norace_test.go
@@ -2,9 +2,10 @@
 
 package control
 
-const orderSeeds, starveSeconds = 60, 3
-
+// Sizes of random tests.
 const (
-	figureRuns = 20
+	operatorSeeds     = 60
+	starvationSeconds = 3
+	timingRuns        = 20
+	secondLossSeeds   = 80
 )
-const secondLosses = 80
--- /dev/null
+++ b/internal/control/operators_test.go
@@ -0,0 +1,846 @@
+package control
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"maps"
+	"math/rand/v2"
+	"net"
+	"net/http/httptest"
+	"os"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"testing/iotest"
+	"testing/synctest"
+	"time"
+
+	"github.com/cockroachdb/pebble/v2/vfs"
+
+	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/cluster/consensus"
+)
+
+// Random operators: up to eight at once send changes to three real nodes in simulated time, lose answers, and
+// send again at once, late, elsewhere and in other spellings, two contents under one version, invalid and old
+// ones. Nodes are partitioned, lose power and disks, and their disks stall. Beside them stands a plain model:
+// what was acknowledged, what was rejected, and what any replica ever had.
+
+// itemVersion is one version of an item with its content.
+type itemVersion struct {
+	key     configuration.Key
+	version int
+	content string // "dropped", the maxConns of a service, or the host and service of a route
+}
+
+type versionID struct {
+	key     configuration.Key
+	version int
+}
+
+func (s itemVersion) id() versionID { return versionID{s.key, s.version} }
+
+type operatorCall struct {
+	items        []itemVersion
+	defect       string // that makes it invalid upon any configuration; empty: none
+	acknowledged bool
+	rejected     bool
+	sending      bool
+}
+
+// maxHistory is how many overtaken versions an item's history holds (configuration.Item).
+const maxHistory = 16
+
+// isForgotten tells whether so many higher versions were applied that nothing is known of one any more.
+func (m *model) isForgotten(s itemVersion) bool {
+	higher := map[int]bool{}
+	for v := range m.overtaken {
+		if v.key == s.key && v.version > s.version {
+			higher[v.version] = true
+		}
+	}
+	for v := range m.seen {
+		if v.key == s.key && v.version > s.version {
+			higher[v.version] = true
+		}
+	}
+	for v := range m.acknowledged {
+		if v.key == s.key && v.version > s.version {
+			higher[v.version] = true
+		}
+	}
+	return len(higher) > maxHistory
+}
+
+// model is the plain model of the configuration.
+type model struct {
+	modelMu        sync.Mutex
+	calls          []*operatorCall
+	acknowledged   map[versionID]string
+	seen           map[versionID]string // on any replica, at any time
+	overtaken      map[versionID]bool   // that any replica had as overtaken
+	crashed        map[*testNode]bool
+	calmSince      time.Time // since when there has been no fault; zero: there is one
+	failure        string
+	counts         map[string]int
+	maxLatency     time.Duration
+	maxCalmLatency time.Duration
+}
+
+func (m *model) fail(format string, args ...any) {
+	if m.failure == "" {
+		m.failure = fmt.Sprintf(format, args...)
+	}
+}
+
+// observe records what a replica has: one version never has two contents.
+func (m *model) observe(snapshot *configuration.Snapshot) {
+	for i := range snapshot.All() {
+		s := itemVersion{i.Key, int(i.Version), contentOf(i)}
+		if old, ok := m.seen[s.id()]; ok && old != s.content {
+			m.fail("%v is stored as %q and as %q", s.id(), old, s.content)
+		}
+		m.seen[s.id()] = s.content
+		if i.History != nil {
+			for _, p := range *i.History {
+				m.overtaken[versionID{i.Key, int(p.Version)}] = true
+			}
+		}
+	}
+}
+
+func contentOf(i configuration.Item) string {
+	if i.Deleted {
+		return "dropped"
+	}
+	var b struct {
+		Authority, Backend string
+		MaxConns           float64
+	}
+	if err := json.Unmarshal(i.Body, &b); err != nil {
+		return err.Error()
+	}
+	if i.Key.Kind == configuration.Services {
+		return fmt.Sprint(b.MaxConns)
+	}
+	return b.Authority + " " + b.Backend
+}
+
+// recordAnswer records an answer to a call; before: the call's change had been acknowledged when it began.
+func (m *model) recordAnswer(c *operatorCall, before bool, status int, took time.Duration, calm bool) {
+	m.counts[fmt.Sprint(status)]++
+	m.maxLatency = max(m.maxLatency, took)
+	if took > time.Second {
+		m.fail("an answer after %v", took)
+	}
+	if calm {
+		m.maxCalmLatency = max(m.maxCalmLatency, took)
+		if status == 503 {
+			m.fail("no clear answer without a fault: %v", c.items)
+		}
+	}
+	switch {
+	case status == 200:
+		c.acknowledged = true
+		if c.defect != "" && !slices.ContainsFunc(c.items, m.isForgotten) || c.rejected {
+			m.fail("%v is acknowledged: %q, rejected before: %v", c.items, c.defect, c.rejected)
+		}
+		for _, s := range c.items {
+			old, twice := m.acknowledged[s.id()]
+			if stored, ok := m.seen[s.id()]; (ok && stored != s.content || twice && old != s.content) && !m.isForgotten(s) {
+				m.fail("%v is acknowledged as %q, and was as %q; stored: %q", s.id(), s.content, old, stored)
+			}
+			m.acknowledged[s.id()] = s.content
+		}
+	case status >= 400 && status < 500:
+		if before {
+			m.fail("%v was acknowledged, and is rejected with %d", c.items, status)
+		}
+		c.rejected = true
+	case status != 503:
+		m.fail("status %d", status)
+	}
+}
+
+// simulation is the nodes and the operators.
+type simulation struct {
+	*testCluster
+	model
+	faults *rand.Rand // draws the faults
+	seed   uint64
+	over   bool
+}
+
+func (s *simulation) stopped() bool {
+	s.modelMu.Lock()
+	defer s.modelMu.Unlock()
+	return s.over || s.failure != ""
+}
+
+// node returns a node as it is now; nil: it is down.
+func (s *simulation) node(addr string) *testNode {
+	s.testCluster.mu.Lock()
+	n := s.nodes[addr]
+	s.testCluster.mu.Unlock()
+	s.modelMu.Lock()
+	defer s.modelMu.Unlock()
+	if s.crashed[n] {
+		return nil
+	}
+	return n
+}
+
+// observeNodes records what the running nodes have.
+func (s *simulation) observeNodes() {
+	for _, a := range s.seeds {
+		if n := s.node(a); n != nil {
+			_, snapshot := n.replica.Snapshot()
+			s.modelMu.Lock()
+			s.observe(snapshot)
+			s.modelMu.Unlock()
+		}
+	}
+}
+
+// body encodes the call, in a random spelling.
+func (c *operatorCall) body(random *rand.Rand) string {
+	up, down := map[string][]string{}, map[string][]string{}
+	member := func(all ...string) string {
+		random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+		return "{" + strings.Join(all, []string{",", ", ", "\n,"}[random.IntN(3)]) + "}"
+	}
+	hex := func(v int) string {
+		return fmt.Sprintf([]string{`"generation":"%08x"`, `"generation":"%08X"`}[random.IntN(2)], v)
+	}
+	number := func(n any) string { return fmt.Sprint(n) + []string{"", "", ".0", "e0"}[random.IntN(4)] }
+	for n, s := range c.items {
+		section := s.key.Kind.String()
+		name := fmt.Sprintf("%q", s.key.Name)
+		switch {
+		case s.content == "dropped":
+			down[section] = append(down[section], member(`"name":`+name, hex(s.version)))
+		case s.key.Kind == configuration.Services:
+			up[section] = append(up[section], name+":"+member(`"healthPath":"/health"`, `"maxConns":`+number(s.content), `"protocol":"h1"`, hex(s.version)))
+		default:
+			host, to, _ := strings.Cut(s.content, " ")
+			deadline, kind := number(1000), "idempotent"
+			if n == 0 && c.defect == "no_timeout" {
+				deadline = number(0)
+			}
+			if n == 0 && c.defect == "kind" {
+				kind = "often"
+			}
+			up[section] = append(up[section], name+":"+member(`"authority":"`+host+`"`, `"pathPrefix":"/a/"`, `"routeKind":"`+kind+`"`, `"deadlineMs":`+deadline,
+				`"backend":"`+to+`"`, `"maxTries":`+number(2), hex(s.version)))
+		}
+	}
+	var ups, downs []string
+	for section, all := range up {
+		ups = append(ups, `"`+section+`":`+member(all...))
+	}
+	for section, all := range down {
+		downs = append(downs, `"`+section+`":[`+strings.Join(all, ",")+"]")
+	}
+	text := member(`"upsert":`+member(ups...), `"remove":`+member(downs...))
+	if c.defect == "cut_short" {
+		text = text[:random.IntN(len(text)-1)+1]
+	}
+	return text
+}
+
+// nextCall is the next call of an operator: a new one, or one that was sent before.
+func (s *simulation) nextCall(random *rand.Rand) *operatorCall {
+	s.modelMu.Lock()
+	defer s.modelMu.Unlock()
+	earlier := func(ok func(*operatorCall) bool) *operatorCall {
+		for range 8 {
+			if call := s.calls[max(0, len(s.calls)-1-random.IntN(40))]; ok(call) {
+				return call
+			}
+		}
+		return nil
+	}
+	// Sent again: one that was acknowledged, at any time before; or one without a clear answer.
+	if random.IntN(4) == 0 {
+		if call := earlier(func(call *operatorCall) bool { return !call.rejected && (call.acknowledged || !call.sending) }); call != nil {
+			return call
+		}
+	}
+	call := &operatorCall{}
+	high := len(s.calls) + 1
+	key := func(kind configuration.Kind, most int) configuration.Key {
+		return configuration.Key{Kind: kind, Name: fmt.Sprint("n", random.IntN(most))}
+	}
+	service := func() string { return fmt.Sprint("n", random.IntN(3)) }
+	toRoute := func(v int) itemVersion {
+		if random.IntN(4) == 0 {
+			return itemVersion{key(configuration.Routes, 4), v, "dropped"}
+		}
+		return itemVersion{key(configuration.Routes, 4), v, fmt.Sprintf("h%d %s", random.IntN(5), service())}
+	}
+	toService := func(v int) itemVersion {
+		if random.IntN(3) == 0 {
+			return itemVersion{key(configuration.Services, 3), v, "dropped"}
+		}
+		return itemVersion{key(configuration.Services, 3), v, fmt.Sprint(100 + random.IntN(50))}
+	}
+	v := high
+	switch random.IntN(12) {
+	case 0, 1: // the same version as another's, and mostly another content
+		if x := earlier(func(call *operatorCall) bool { return call.defect == "" && len(call.items) < 9 }); x != nil {
+			for _, s := range x.items {
+				if s.key.Kind == configuration.Services {
+					s.content = toService(0).content
+				} else {
+					s.content = toRoute(0).content
+				}
+				call.items = append(call.items, s)
+			}
+			break
+		}
+		fallthrough
+	case 2: // an old version that was never used, or was
+		v = max(1, high-random.IntN(30))
+		fallthrough
+	case 3, 4, 5, 6:
+		for range 1 + random.IntN(3) {
+			call.items = append(call.items, toRoute(v))
+		}
+	case 7, 8:
+		call.items = append(call.items, toService(v))
+	case 9: // all routes to another service, and the old one is removed
+		from, to := service(), service()
+		for n := range 4 {
+			call.items = append(call.items, itemVersion{configuration.Key{Kind: configuration.Routes, Name: fmt.Sprint("n", n)}, v, fmt.Sprintf("h%d %s", n, to)})
+		}
+		call.items = append(call.items, itemVersion{configuration.Key{Kind: configuration.Services, Name: to}, v, fmt.Sprint(100 + random.IntN(50))})
+		if from != to {
+			call.items = append(call.items, itemVersion{configuration.Key{Kind: configuration.Services, Name: from}, v, "dropped"})
+		}
+	case 10: // new services and routes to them
+		call.items = append(call.items, toService(v), toService(v), toRoute(v), toRoute(v))
+	case 11:
+		call.defect = []string{"cut_short", "no_timeout", "kind", "unknown_service"}[random.IntN(4)]
+		to := service()
+		if call.defect == "unknown_service" {
+			to = "nobody"
+		}
+		call.items = append(call.items, itemVersion{key(configuration.Routes, 4), v, "h0 " + to}, toRoute(v))
+	}
+	seen := map[configuration.Key]bool{}
+	call.items = slices.DeleteFunc(call.items, func(s itemVersion) bool {
+		twice := seen[s.key]
+		seen[s.key] = true
+		return twice
+	})
+	s.calls = append(s.calls, call)
+	return call
+}
+
+// send makes one call, and tells whether the answer was clear. If abandonAfter is not 0, the operator's
+// connection breaks after that time.
+func (w *simulation) send(random *rand.Rand, call *operatorCall, addr string, abandonAfter time.Duration) bool {
+	n := w.node(addr)
+	if n == nil {
+		return false
+	}
+	w.modelMu.Lock()
+	before := call.acknowledged
+	w.modelMu.Unlock()
+	began := time.Now()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	if abandonAfter > 0 {
+		ctx, cancel = context.WithTimeout(ctx, abandonAfter)
+		defer cancel()
+	}
+	got := httptest.NewRecorder()
+	n.api.HTTPServer().Handler.ServeHTTP(got, httptest.NewRequestWithContext(ctx, "PATCH", "/config", strings.NewReader(call.body(random))))
+	w.observeNodes()
+	w.modelMu.Lock()
+	defer w.modelMu.Unlock()
+	if w.crashed[n] || ctx.Err() != nil || random.IntN(10) == 0 {
+		w.counts["lost"]++
+		return false
+	}
+	w.recordAnswer(call, before, got.Code, time.Since(began), !w.calmSince.IsZero() && !began.Before(w.calmSince))
+	return got.Code != 503
+}
+
+// runOperator is one of the operators.
+func (s *simulation) runOperator(random *rand.Rand) {
+	for !s.stopped() {
+		call := s.nextCall(random)
+		s.modelMu.Lock()
+		call.sending = true
+		s.modelMu.Unlock()
+		for attempt := range 1 + random.IntN(8) {
+			addr := s.seeds[random.IntN(3)]
+			abandonAfter := time.Duration(0)
+			if random.IntN(5) == 0 {
+				abandonAfter = time.Duration(1 + random.Int64N(int64(300*time.Millisecond)))
+			}
+			if s.send(random, call, addr, abandonAfter) || s.stopped() {
+				break
+			}
+			pause := time.Duration(1+random.IntN(20)) * time.Millisecond
+			if random.IntN(4) == 0 {
+				pause *= time.Duration(1 + attempt*20)
+			}
+			time.Sleep(pause)
+		}
+		s.modelMu.Lock()
+		call.sending = false
+		s.modelMu.Unlock()
+		time.Sleep(time.Duration(random.IntN(200)) * time.Millisecond)
+	}
+}
+
+func (s *simulation) crashNode(addr string) *vfs.MemFS {
+	s.modelMu.Lock()
+	s.crashed[s.nodes[addr]] = true
+	s.modelMu.Unlock()
+	return s.crash(addr)
+}
+
+func randomDuration(random *rand.Rand, most time.Duration) time.Duration {
+	return time.Duration(random.Int64N(int64(most)))
+}
+
+// injectFault causes one fault, and ends it.
+func (s *simulation) injectFault() {
+	s.modelMu.Lock()
+	s.calmSince = time.Time{}
+	s.modelMu.Unlock()
+	random, a := s.faults, s.seeds[s.faults.IntN(3)]
+	switch random.IntN(6) {
+	case 0:
+		s.partition(a, true)
+		time.Sleep(randomDuration(random, 3*time.Second))
+		s.partition(a, false)
+	case 1: // loss of power
+		disk := s.crashNode(a)
+		time.Sleep(randomDuration(random, time.Second))
+		s.start(a, disk, false)
+	case 2: // loss of the disk
+		s.crashNode(a)
+		time.Sleep(randomDuration(random, time.Second))
+		s.start(a, vfs.NewCrashableMem(), false)
+	case 3: // loss of power everywhere
+		disks := map[string]*vfs.MemFS{}
+		for _, a := range s.seeds {
+			disks[a] = s.crashNode(a)
+			if random.IntN(2) == 0 {
+				time.Sleep(randomDuration(random, 5*time.Millisecond))
+			}
+		}
+		for _, a := range s.seeds {
+			s.start(a, disks[a], false)
+			time.Sleep(randomDuration(random, 100*time.Millisecond))
+		}
+	case 4, 5: // stalled disks, for less than it takes to give them up
+		for range 3 {
+			var stalled []*testNode
+			for _, a := range s.seeds {
+				if random.IntN(3) > 0 {
+					stalled = append(stalled, s.nodes[a])
+				}
+			}
+			for _, n := range stalled {
+				n.stallingDisk.setStalled(true)
+			}
+			time.Sleep(randomDuration(random, 600*time.Millisecond))
+			for _, n := range stalled {
+				n.stallingDisk.setStalled(false)
+			}
+			time.Sleep(randomDuration(random, 300*time.Millisecond))
+		}
+	}
+	time.Sleep(4 * time.Second)
+	for _, a := range s.seeds {
+		if _, votes := s.nodes[a].replica.Voters(); !votes {
+			s.modelMu.Lock()
+			s.fail("node %s does not vote four seconds after the fault", a)
+			s.modelMu.Unlock()
+		}
+	}
+}
+
+// checkFinalState reads the configuration back, and sends calls again.
+func (w *simulation) checkFinalState() {
+	w.observeNodes()
+	if difference := w.differences(); difference != "" {
+		w.fail("%s", difference)
+	}
+	_, snapshot := w.nodes[w.seeds[0]].replica.Snapshot()
+	for v, what := range w.acknowledged {
+		i, ok := snapshot.Get(v.key)
+		if !ok || int(i.Version) < v.version || int(i.Version) == v.version && contentOf(i) != what {
+			w.fail("%v was acknowledged as %q, and there is %v", v, what, i)
+		}
+	}
+	applied := func(o *operatorCall) bool {
+		return o.defect == "" && !slices.ContainsFunc(o.items, func(s itemVersion) bool { return w.seen[s.id()] != s.content })
+	}
+	only := map[itemVersion]bool{} // contents of calls that were not rejected
+	for _, o := range w.calls {
+		for _, s := range o.items {
+			only[s] = only[s] || !o.rejected && o.defect == ""
+		}
+	}
+	for v, what := range w.seen {
+		if !only[itemVersion{v.key, v.version, what}] {
+			w.fail("%v was rejected as %q, and was applied", v, what)
+		}
+	}
+	for _, o := range w.calls {
+		status := 0
+		if !o.acknowledged && !applied(o) && o.defect == "" || len(o.items) == 0 {
+			continue
+		}
+		if status, _ = w.call(w.seeds[w.faults.IntN(3)], "PATCH", "/config", o.body(w.faults)); o.defect == "" && status != 200 ||
+			o.defect != "" && status/100 != 4 && !slices.ContainsFunc(o.items, w.isForgotten) {
+			w.fail("%v, %q, acknowledged: %v, got %d in the end", o.items, o.defect, o.acknowledged, status)
+		}
+		w.counts["again"]++
+	}
+}
+
+// runOperators runs the simulation of a seed.
+func runOperators(t *testing.T, seed uint64) *model {
+	w := &simulation{seed: seed, faults: rand.New(rand.NewPCG(seed, 1))}
+	w.acknowledged, w.seen, w.overtaken, w.crashed, w.counts = map[versionID]string{}, map[versionID]string{}, map[versionID]bool{}, map[*testNode]bool{}, map[string]int{}
+	synctest.Test(t, func(t *testing.T) {
+		w.testCluster = newCluster(t, 3)
+		advance(2 * time.Second)
+		first := &operatorCall{}
+		for n := range 3 {
+			first.items = append(first.items, itemVersion{configuration.Key{Kind: configuration.Services, Name: fmt.Sprint("n", n)}, 1, "99"})
+		}
+		w.calls = append(w.calls, first)
+		w.modelMu.Lock()
+		w.calmSince = time.Now()
+		w.modelMu.Unlock()
+		var all sync.WaitGroup
+		for n := range 2 + seed%7 {
+			all.Go(func() { w.runOperator(rand.New(rand.NewPCG(seed, 2+n))) })
+		}
+		for range 3 {
+			time.Sleep(randomDuration(w.faults, 2*time.Second))
+			w.injectFault()
+			w.modelMu.Lock()
+			w.calmSince = time.Now()
+			w.modelMu.Unlock()
+		}
+		time.Sleep(2 * time.Second)
+		w.modelMu.Lock()
+		w.over = true
+		w.modelMu.Unlock()
+		all.Wait()
+		advance(3 * time.Second)
+		if w.failure == "" {
+			w.checkFinalState()
+		}
+		w.testCluster.stopAll()
+	})
+	return &w.model
+}
+
+func TestRandomOperators(t *testing.T) {
+	total := &model{counts: map[string]int{}}
+	var all sync.WaitGroup
+	const workers = 4
+	for worker := range uint64(workers) {
+		all.Go(func() {
+			for seed := worker; seed < operatorSeeds; seed += workers {
+				r := runOperators(t, seed)
+				total.modelMu.Lock()
+				if total.maxLatency, total.maxCalmLatency = max(total.maxLatency, r.maxLatency), max(total.maxCalmLatency, r.maxCalmLatency); r.failure != "" {
+					t.Errorf("seed %d: %s", seed, r.failure)
+				}
+				for k, n := range r.counts {
+					total.counts[k] += n
+				}
+				total.modelMu.Unlock()
+			}
+		})
+	}
+	all.Wait()
+	t.Logf("%d seeds: %v; slowest answer %v, without a fault %v", operatorSeeds, total.counts, total.maxLatency, total.maxCalmLatency)
+}
+
+// scenarios are things that the random seeds meet seldom. Each returns what went wrong; empty: nothing.
+var scenarios = map[string]func(*testCluster) string{
+	// The answer that completes a majority, that of the node's own disk, arrives when nobody waits for it any more;
+	// then another change comes to the node.
+	"late majority": func(c *testCluster) string {
+		if status := c.patch(c.seeds[0], patchBody([]string{serviceJSON("s", 1)}, nil)); status != 200 {
+			return fmt.Sprint("first: ", status)
+		}
+		advance(100 * time.Millisecond) // so that the round of watch that looks for orphaned changes comes last
+		c.nodes[c.seeds[0]].stallingDisk.setStalled(true)
+		c.nodes[c.seeds[2]].stallingDisk.setStalled(true)
+		late, err := configuration.ReadPatch([]byte(patchBody([]string{serviceJSON("t", 2)}, nil)))
+		c.NoErr(err)
+		if err := c.nodes[c.seeds[0]].proposals.Change(context.Background(), late, 50*time.Millisecond); err == nil {
+			return "acknowledged without a majority"
+		}
+		advance(270 * time.Millisecond)
+		c.nodes[c.seeds[0]].stallingDisk.setStalled(false)
+		c.nodes[c.seeds[2]].stallingDisk.setStalled(false)
+		advance(10 * time.Millisecond)
+		if status := c.patch(c.seeds[0], patchBody([]string{serviceJSON("u", 3)}, nil)); status != 200 {
+			return fmt.Sprint("another: ", status)
+		}
+		advance(2 * time.Second)
+		return c.differences()
+	},
+	// The node that was the last to have a change chosen is partitioned, and gets a change that was chosen since.
+	"partitioned node": func(c *testCluster) string {
+		if status := c.patch(c.seeds[0], patchBody([]string{serviceJSON("s", 1)}, nil)); status != 200 {
+			return fmt.Sprint("first: ", status)
+		}
+		c.partition(c.seeds[0], true)
+		acknowledged := patchBody(nil, []string{routeJSON("r", "h", "t", 3)})
+		for _, o := range []string{patchBody([]string{serviceJSON("t", 2)}, nil), acknowledged} {
+			if status := c.patch(c.seeds[1], o); status != 200 {
+				return fmt.Sprint("at the others: ", status)
+			}
+		}
+		if status := c.patch(c.seeds[0], acknowledged); status != 503 {
+			return fmt.Sprint("a chosen change, at the partitioned node: ", status)
+		}
+		c.partition(c.seeds[0], false)
+		advance(3 * time.Second)
+		if status := c.patch(c.seeds[0], acknowledged); status != 200 {
+			return fmt.Sprint("afterwards: ", status)
+		}
+		return c.differences()
+	},
+	// Two contents under one version at all nodes at once, again and again: one of them is acknowledged, and applied.
+	"concurrent changes": func(c *testCluster) string {
+		for round := range 150 {
+			var mu sync.Mutex
+			var all sync.WaitGroup
+			acknowledged := 0
+			for n := range 3 {
+				all.Go(func() {
+					status := c.patch(c.seeds[n], patchBody([]string{serviceJSON(fmt.Sprint("x", n), round+1)}, []string{routeJSON("r", fmt.Sprint("h", n), "s", round+1)}))
+					if round == 0 {
+						status = c.patch(c.seeds[n], patchBody([]string{serviceJSON("s", 1)}, nil))
+					}
+					mu.Lock()
+					defer mu.Unlock()
+					if status == 200 {
+						acknowledged = n + 1
+					} else if status != 409 {
+						acknowledged = -100
+					}
+				})
+			}
+			all.Wait()
+			_, snapshot := c.nodes[c.seeds[round%3]].replica.Snapshot()
+			if i, _ := snapshot.Get(configuration.Key{Kind: configuration.Routes, Name: "r"}); round > 0 && contentOf(i) != fmt.Sprintf("h%d s", acknowledged-1) {
+				return fmt.Sprintf("round %d: acknowledged to %d, and there is %v", round, acknowledged-1, i)
+			}
+		}
+		return c.differences()
+	},
+	// A node finds that another's change was chosen while its own one under the same version was in flight.
+	"foreign change chosen": func(c *testCluster) string {
+		if status := c.patch(c.seeds[0], patchBody([]string{serviceJSON("s", 1)}, nil)); status != 200 {
+			return fmt.Sprint("first: ", status)
+		}
+		advance(10 * time.Millisecond) // after a round of watch
+		c.partition(c.seeds[0], true)
+		var waiting sync.WaitGroup
+		status := 0
+		waiting.Go(func() { status = c.patch(c.seeds[0], patchBody([]string{serviceJSON("t", 2)}, nil)) })
+		advance(5 * time.Millisecond)
+		items, err := configuration.ReadPatch([]byte(strings.Replace(patchBody([]string{serviceJSON("t", 2)}, nil), "130", "131", 1)))
+		c.NoErr(err)
+		for _, a := range c.seeds[1:] {
+			epoch, _ := c.nodes[a].replica.Snapshot()
+			if a := c.nodes[a].replica.Accept(consensus.Proposal{Ballot: consensus.Ballot{Round: 50, Node: "a"}, Epoch: epoch + 1, Items: items}, nil); a == nil || !a.OK {
+				return "the foreign change is not accepted"
+			}
+		}
+		c.partition(c.seeds[0], false)
+		waiting.Wait()
+		if status != 409 {
+			return fmt.Sprint("under a version that was chosen: ", status)
+		}
+		return c.differences()
+	},
+	// A message says that a change is chosen, to a node that has accepted another one for the same epoch.
+	"chosen message for another change": func(c *testCluster) string {
+		if status := c.patch(c.seeds[0], patchBody([]string{serviceJSON("s", 1)}, nil)); status != 200 {
+			return fmt.Sprint("first: ", status)
+		}
+		advance(10 * time.Millisecond) // until all have learned it
+		v := c.nodes[c.seeds[2]].replica
+		epoch, _ := v.Snapshot()
+		items, err := configuration.ReadPatch([]byte(patchBody([]string{serviceJSON("t", 2)}, nil)))
+		c.NoErr(err)
+		pending := consensus.Proposal{Ballot: consensus.Ballot{Round: 50, Node: "a"}, Epoch: epoch + 1, Items: items}
+		if a := v.Accept(pending, nil); a == nil || !a.OK || v.Learn(pending.Ballot.Above("b"), pending.Epoch) {
+			return "it learned its own change for the other"
+		}
+		if status := c.patch(c.seeds[0], patchBody([]string{serviceJSON("u", 3)}, nil)); status != 200 {
+			return fmt.Sprint("another: ", status)
+		}
+		advance(2 * time.Second)
+		return c.differences()
+	},
+	// An operator's connection breaks, its change is rejected at another node, and what it lacked is chosen while
+	// the first node still has it queued.
+	"abandoned call": func(c *testCluster) string {
+		if status := c.patch(c.seeds[1], patchBody([]string{serviceJSON("s", 1)}, nil)); status != 200 {
+			return fmt.Sprint("first: ", status)
+		}
+		c.partition(c.seeds[0], true)
+		change := patchBody(nil, []string{routeJSON("r", "h", "t", 3)})
+		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
+		defer cancel()
+		c.nodes[c.seeds[0]].api.HTTPServer().Handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequestWithContext(ctx, "PATCH", "/config", strings.NewReader(change)))
+		advance(5 * time.Millisecond)
+		if status := c.patch(c.seeds[1], change); status != 400 {
+			return fmt.Sprint("elsewhere: ", status)
+		}
+		if status := c.patch(c.seeds[1], patchBody([]string{serviceJSON("t", 2)}, nil)); status != 200 {
+			return fmt.Sprint("the service: ", status)
+		}
+		c.partition(c.seeds[0], false)
+		advance(3 * time.Second)
+		if _, snapshot := c.nodes[c.seeds[1]].replica.Snapshot(); strings.Contains(string(snapshot.RenderJSON()), "authority") {
+			return "rejected, and applied"
+		}
+		return c.differences()
+	},
+}
+
+// differences returns how the configurations that the nodes return differ; empty: they do not.
+func (c *testCluster) differences() string {
+	text := ""
+	for _, a := range c.seeds {
+		status, read := c.call(a, "GET", "/config", "")
+		if status != 200 || text != "" && read != text {
+			return fmt.Sprintf("node %s gives back %d\n%s\nand another\n%s", a, status, read, text)
+		}
+		text = read
+	}
+	return ""
+}
+
+func runScenario(t *testing.T, scenario func(*testCluster) string) (failure string) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newCluster(t, 3)
+		advance(2 * time.Second)
+		failure = scenario(c)
+		for _, a := range c.seeds {
+			c.partition(a, false)
+		}
+		c.stopAll()
+	})
+	return failure
+}
+
+func TestScenarios(t *testing.T) {
+	for _, name := range slices.Sorted(maps.Keys(scenarios)) {
+		t.Run(name, func(t *testing.T) {
+			if failure := runScenario(t, scenarios[name]); failure != "" {
+				t.Error(failure)
+			}
+		})
+	}
+}
+
+// Three nodes outbid one another without a pause, on slow disks: every change and every read is answered, and soon.
+func TestProposersDoNotStarve(t *testing.T) {
+	for _, syncTime := range []time.Duration{0, 4 * time.Millisecond, 20 * time.Millisecond} {
+		for _, operatorsEach := range []int{1, 4} {
+			synctest.Test(t, func(t *testing.T) {
+				c := newCluster(t, 3)
+				advance(2 * time.Second)
+				c.Equal(c.patch(c.seeds[0], patchBody([]string{serviceJSON("s", 1)}, nil)), 200)
+				end := time.Now().Add(starvationSeconds * time.Second)
+				if syncTime == 0 {
+					end = time.Now().Add(starvationSeconds * time.Second / 8) // as many changes as in the other runs
+				}
+				var all sync.WaitGroup
+				for _, a := range c.seeds { // a sync waits for the next of these moments
+					all.Go(func() {
+						for m := c.nodes[a]; syncTime > 0 && time.Now().Before(end); {
+							m.stallingDisk.setStalled(true)
+							time.Sleep(syncTime)
+							m.stallingDisk.setStalled(false)
+							time.Sleep(100 * time.Microsecond)
+						}
+					})
+				}
+				var mu sync.Mutex
+				worst, count, unclear := map[string]time.Duration{}, map[string]int{}, 0
+				record := func(what string, began time.Time, status int) {
+					mu.Lock()
+					defer mu.Unlock()
+					worst[what], count[what] = max(worst[what], time.Since(began)), count[what]+1
+					if status != 200 {
+						unclear++
+					}
+				}
+				for n, a := range c.seeds {
+					operators := operatorsEach
+					if n == 2 {
+						operators = 1 // alone at its node, with many at the others
+					}
+					for k := range operators {
+						all.Go(func() {
+							for v := 1; time.Now().Before(end); v++ {
+								began := time.Now()
+								record(fmt.Sprint("changes at ", n), began, c.patch(a, patchBody([]string{serviceJSON(fmt.Sprintf("s%d-%d", n, k), v)}, nil)))
+								time.Sleep(time.Millisecond)
+							}
+						})
+					}
+					all.Go(func() {
+						for time.Now().Before(end) {
+							began := time.Now()
+							status, _ := c.call(a, "GET", "/config", "")
+							record("reads", began, status)
+							time.Sleep(50 * time.Millisecond)
+						}
+					})
+				}
+				all.Wait()
+				t.Logf("syncs of %v, %d operators at each of two nodes, one at the third: %v, at the worst %v, unclear: %d", syncTime, operatorsEach, count, worst, unclear)
+				if unclear > 0 {
+					t.Errorf("%d without a clear answer", unclear)
+				}
+				for what, w := range worst {
+					if w > 750*time.Millisecond {
+						t.Errorf("%s: %v", what, w)
+					}
+				}
+				c.stopAll()
+			})
+		}
+	}
+}
+
+// A body that stalls says nothing about its contents, so the call may be retried; one that ends short is rejected.
+func TestIncompleteBodies(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newCluster(t, 1)
+		advance(2 * time.Second)
+		for err, want := range map[error]int{&net.OpError{Op: "read", Err: os.ErrDeadlineExceeded}: 408, io.ErrUnexpectedEOF: 400} {
+			got := httptest.NewRecorder()
+			body := io.MultiReader(strings.NewReader(`{"upsert":`), iotest.ErrReader(err))
+			c.nodes[c.seeds[0]].api.HTTPServer().Handler.ServeHTTP(got, httptest.NewRequest("PATCH", "/config", body))
+			c.Equal(got.Code, want)
+		}
+		c.stopAll()
+	})
+}
--- a/internal/control/partition_mutants_test.go
+++ b/internal/control/partition_mutants_test.go
@@ -11,27 +11,27 @@
 // Each fault of contact that is seeded is found by what partition_test.go plays.
 func TestPartitionMutants(t *testing.T) {
 	defer func() { mutant.Name = "" }()
-	cut := func(t *testing.T) []string {
-		return watched(t, 3, func(g *gateway) { cutFor(g, g.seeds[0], ways["silent"]) })
+	partition := func(t *testing.T) []string {
+		return observe(t, 3, func(g *observedCluster) { partitionNode(g, g.seeds[0], partitionKinds["silent"]) })
 	}
-	wakes := func(t *testing.T) []string { return watched(t, 9, stoodStill) }
-	for _, m := range []struct {
+	suspension := func(t *testing.T) []string { return observe(t, 9, suspendNode) }
+	for _, test := range []struct {
 		name string
 		play func(*testing.T) []string
 	}{
-		{"acknowledges-alone", cut}, {"judges-alone", cut}, {"keeps-counters-alone", cut}, {"ready-alone", cut},
-		{"contact-as-last-looked", wakes}, {"serves-through-a-lapse", wakes},
+		{"acknowledges-alone", partition}, {"judges-alone", partition}, {"keeps-counters-alone", partition}, {"ready-alone", partition},
+		{"contact-as-last-looked", suspension}, {"serves-through-a-lapse", suspension},
 	} {
 		mutant.Name = ""
-		if wrong := m.play(t); len(wrong) > 0 {
-			t.Errorf("without a fault: %s", wrong[0])
+		if failures := test.play(t); len(failures) > 0 {
+			t.Errorf("without a fault: %s", failures[0])
 		}
-		mutant.Name = m.name
-		wrong := m.play(t)
-		if len(wrong) == 0 {
-			t.Errorf("%s: not found", m.name)
+		mutant.Name = test.name
+		failures := test.play(t)
+		if len(failures) == 0 {
+			t.Errorf("%s: not found", test.name)
 			continue
 		}
-		t.Logf("%s: %.160s", m.name, wrong[0])
+		t.Logf("%s: %.160s", test.name, failures[0])
 	}
 }
--- a/internal/control/peers/set.go
+++ b/internal/control/peers/set.go
@@ -31,7 +31,7 @@
 	InternalAddrOf func(controlAddr string) string                              // empty: unknown
 	Dial           func(ctx context.Context, internal string) (net.Conn, error) // nil: TCP
 	OnUpdate       func(*transport.Update)                                      // for what a peer sends beside items
-	OnConnected    func()                                                       // after a peer has answered on a new connection; must not block
+	OnConnected    func()                                                       // when a peer answers on a new connection; must not block
 	Log            log.Logger
 }
 
--- a/internal/control/proposals/compose.go
+++ b/internal/control/proposals/compose.go
@@ -59,8 +59,8 @@
 	return all
 }
 
-// answerDecided answers the changes that are rejected or applied already, notes those that go with the proposal, and returns all that
-// are undecided.
+// answerDecided answers the changes that are rejected or applied already, notes those that go with the proposal,
+// and returns all that are undecided.
 func (q *Queue) answerDecided(changes []*pendingChange, verdicts []consensus.Verdict) (undecided []*pendingChange) {
 	q.included = nil
 	for n, verdict := range verdicts {
--- a/internal/control/proposals/doc.go
+++ b/internal/control/proposals/doc.go
@@ -1,9 +1,12 @@
-// Package proposals queues changes of the configuration at the control node that received them, and leads them to a decision.
+// Package proposals queues changes of the configuration at the control node that received them, and leads them
+// to a decision.
 //
-// Queue runs a consensus.Proposer, one run after the other, in one goroutine: it carries out the proposer's actions (queue.go has
-// the queue, run.go a run, rounds.go the messages to voters, compose.go the choice of what to propose) and feeds it the answers.
-// Changes that wait together are proposed together. The goroutine owns the proposer and the fields that are marked as its own.
+// Queue runs a consensus.Proposer, one run after the other, in one goroutine: it carries out the proposer's
+// actions (queue.go has the queue, run.go a run, rounds.go the messages to voters, compose.go the choice of what
+// to propose) and feeds it the answers. Changes that wait together are proposed together. The goroutine owns the
+// proposer and the fields that are marked as its own.
 //
-// It imports package cluster's folders, control/replica and control/mutant; peers, fetching and the majority lease are seen through
-// interfaces. Its tests drive whole clusters in package control (orders_test.go); those that seed faults need the tag "mutants".
+// It imports package cluster's folders, control/replica and control/mutant; peers, fetching and the majority
+// lease are seen through interfaces. Its tests drive whole clusters in package control (orders_test.go); those
+// that seed faults need the tag "mutants".
 package proposals
--- a/internal/control/proposals/queue.go
+++ b/internal/control/proposals/queue.go
@@ -50,8 +50,10 @@
 	Peers       Peers
 	Fetcher     Fetcher
 	Lease       Lease
-	OnConfirmed func(term uint64) // after each read: in which term of the lease the snapshot here was confirmed as the newest; 0: it was not
-	Closed      <-chan struct{}   // closed when the node ends: late answers are dropped
+	// OnConfirmed is called after each read with the term of the lease in which the snapshot here was confirmed as
+	// the newest; 0: it was not.
+	OnConfirmed func(term uint64)
+	Closed      <-chan struct{} // closed when the node ends: late answers are dropped
 	Log         log.Logger
 }
 
@@ -114,15 +116,16 @@
 	}
 }
 
-// Change has items chosen, and waits for it as long as timeout. It returns nil once they are, a *configuration.Rejection, or
-// ErrNoMajority. Once the caller's context ends they are not proposed any more: the operator may have sent them to another node
-// and got an answer there, which a late proposal from here must not contradict.
+// Change has items chosen, and waits for it as long as timeout. It returns nil once they are, a
+// *configuration.Rejection, or ErrNoMajority. Once the caller's context ends they are not proposed any more: the
+// operator may have sent them to another node and got an answer there, which a late proposal from here must not
+// contradict.
 func (q *Queue) Change(ctx context.Context, items []configuration.Item, timeout time.Duration) error {
 	return q.submit(ctx, &pendingChange{items: items}, timeout)
 }
 
-// ChangeElectorate has the electorate changed. It returns nil once it is, and is on the disks of a majority of the new one; else
-// ErrElectorateChanged or ErrNoMajority.
+// ChangeElectorate has the electorate changed. It returns nil once it is, and is on the disks of a majority of
+// the new one; else ErrElectorateChanged or ErrNoMajority.
 func (q *Queue) ChangeElectorate(ctx context.Context, change ElectorateChange, timeout time.Duration) error {
 	return q.submit(ctx, &pendingChange{electorateChange: &change}, timeout)
 }
@@ -157,7 +160,8 @@
 	}
 }
 
-// RequestConfirmation has a read done without waiting for it: it completes what another proposer left, and confirms the snapshot.
+// RequestConfirmation has a read done without waiting for it: it completes what another proposer left, and
+// confirms the snapshot.
 func (q *Queue) RequestConfirmation() { q.enqueue(func() { q.confirmRequested = true }) }
 
 // enqueue calls add under the mutex, and wakes the goroutine.
--- a/internal/control/proposals/rounds.go
+++ b/internal/control/proposals/rounds.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// broadcastChosen notifies the other nodes that what they accepted under a ballot is chosen. The items are not sent again.
+// broadcastChosen notifies the other nodes that what they accepted under a ballot is chosen. The items are not
+// sent again.
 func (q *Queue) broadcastChosen(p consensus.Proposal) {
 	q.options.Peers.Broadcast(roundTimeout, func() *transport.Frame {
 		chosen := consensus.Proposal{Ballot: p.Ballot, Epoch: p.Epoch}
--- a/internal/control/proposals/run.go
+++ b/internal/control/proposals/run.go
@@ -71,8 +71,8 @@
 	return true
 }
 
-// perform carries out an action of the proposer. Either it is finished, and next is the following action, or answers must be awaited
-// for a time.
+// perform carries out an action of the proposer. Either it is finished, and next is the following action, or
+// answers must be awaited for a time.
 func (r *run) perform(action consensus.Action) (next consensus.Action, wait time.Duration, finished bool) {
 	switch action.Kind {
 	case consensus.Compose:
@@ -91,7 +91,9 @@
 }
 
 // await feeds answers to the proposer until one of them, or the end of the wait, leads to the next action.
-func (r *run) await(ctx context.Context, action consensus.Action, wait time.Duration) (next consensus.Action, err error) {
+func (r *run) await(
+	ctx context.Context, action consensus.Action, wait time.Duration,
+) (next consensus.Action, err error) {
 	r.timer.Reset(wait)
 	for next.Kind == consensus.None {
 		select {
@@ -114,8 +116,8 @@
 	return next, nil
 }
 
-// nextRound begins another round after a lost one. Changes that have been queued meanwhile join it: they will be validated upon a
-// snapshot that is newer than they are.
+// nextRound begins another round after a lost one. Changes that have been queued meanwhile join it: they will be
+// validated upon a snapshot that is newer than they are.
 func (r *run) nextRound(ctx context.Context, action consensus.Action) consensus.Action {
 	r.lostRounds++
 	r.waitForForeignRound(ctx)
@@ -130,8 +132,8 @@
 	return r.queue.proposer.Resumed(action.Attempt, base)
 }
 
-// waitForForeignRound waits a little while another node's round is under way: two proposers that outbid one another all the time
-// would both come to nothing. One that has lost rounds waits less than one that begins.
+// waitForForeignRound waits a little while another node's round is under way: two proposers that outbid one
+// another all the time would both come to nothing. One that has lost rounds waits less than one that begins.
 func (r *run) waitForForeignRound(ctx context.Context) {
 	q := r.queue
 	defer func() {
--- a/internal/control/race_test.go
+++ b/internal/control/race_test.go
@@ -2,9 +2,10 @@
 
 package control
 
-const orderSeeds, starveSeconds = 8, 1
-
+// Sizes of random tests under the race detector.
 const (
-	figureRuns = 2
+	operatorSeeds     = 8
+	starvationSeconds = 1
+	timingRuns        = 2
+	secondLossSeeds   = 12
 )
-const secondLosses = 12
--- a/internal/control/replica/chunks.go
+++ b/internal/control/replica/chunks.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	// MinChunkBytes is about the size of a chunk on a slow link: 0.3 s at 2 Mbit/s, so that a heartbeat or a vote behind it is not late.
+	// MinChunkBytes is about the size of a chunk on a slow link: 0.3 s at 2 Mbit/s, so that a heartbeat or a vote
+	// behind it is not late.
 	MinChunkBytes = 64 << 10
 	// MaxChunkBytes is about the size of a chunk on a fast link; one item may be longer by itself.
 	MaxChunkBytes = 256 << 10
-	// MaxRecentChanges is how many chosen changes are remembered by key, so that a node that lacks only these gets them without a scan
-	// of the whole snapshot.
+	// MaxRecentChanges is how many chosen changes are remembered by key, so that a node that lacks only these gets
+	// them without a scan of the whole snapshot.
 	MaxRecentChanges = 256
 
 	historyEntryBytes = 20 // of a frame, for each version in an item's history
@@ -38,7 +39,8 @@
 	return keys
 }
 
-// PersistedInstances returns a page of the departing instances on this node's disk (see instances.Registry.PersistedAfter).
+// PersistedInstances returns a page of the departing instances on this node's disk (see
+// instances.Registry.PersistedAfter).
 type PersistedInstances func(after string, maxBytes int) (page []registry.Instance, more bool)
 
 // Chunk answers a node that lacks chosen changes, or whose disk is empty; nil: this node's disk has not been read yet.
@@ -66,8 +68,8 @@
 	return chunk
 }
 
-// itemsNewerThan iterates over the items that were chosen after an epoch, by position, from one position on. If the recent changes
-// reach back to the epoch, only their keys are looked up; else the snapshot is scanned.
+// itemsNewerThan iterates over the items that were chosen after an epoch, by position, from one position on. If
+// the recent changes reach back to the epoch, only their keys are looked up; else the snapshot is scanned.
 func itemsNewerThan(
 	snapshot *configuration.Snapshot, recent []chosenChange, epoch, from uint64,
 ) iter.Seq2[uint64, configuration.Item] {
@@ -124,8 +126,8 @@
 	return slices.Compact(keys)
 }
 
-// firstItems takes about maxBytes of items, and at least one; items that share a position are never separated. Next is the position
-// to continue from; 0: these were all.
+// firstItems takes about maxBytes of items, and at least one; items that share a position are never separated.
+// Next is the position to continue from; 0: these were all.
 func firstItems(all iter.Seq2[uint64, configuration.Item], maxBytes int) (items []configuration.Item, next uint64) {
 	var last uint64
 	for position, item := range all {
--- a/internal/control/replica/chunks_test.go
+++ b/internal/control/replica/chunks_test.go
@@ -72,9 +72,9 @@
 	failure  string
 }
 
-// walkTransfer walks with a seed: sources move on, answers are lost, come late or twice and from any of them, and the replica loses
-// power. Whatever snapshot it has must be one that there was, and it must get to the newest. It returns the first failure; empty:
-// none; and the number of chunks.
+// walkTransfer walks with a seed: sources move on, answers are lost, come late or twice and from any of them,
+// and the replica loses power. Whatever snapshot it has must be one that there was, and it must get to the
+// newest. It returns the first failure; empty: none; and the number of chunks.
 func walkTransfer(seed uint64) (failure string, chunks int) {
 	random := rand.New(rand.NewPCG(seed, 7))
 	w := &transferWalk{random: random, disk: vfs.NewCrashableMem(), incarnations: 1, snapshot: new(configuration.Snapshot)}
@@ -204,8 +204,9 @@
 	t.Logf("%d walks, %d chunks", transferWalks, chunks)
 }
 
-// checkNewerItems asks a replica, after a number of changes, for what is newer than each epoch, from the first position and from
-// another one, and compares it with a plain list. It returns the first difference; empty: none.
+// checkNewerItems asks a replica, after a number of changes, for what is newer than each epoch, from the first
+// position and from another one, and compares it with a plain list. It returns the first difference; empty:
+// none.
 func checkNewerItems(changes int) string {
 	var failure string
 	is := is.New(failing{&failure})
--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -28,12 +28,13 @@
 	Self              string                      // own control address
 	Store             *replication.Store          // holds the items; only the replica changes them
 	IsOwnBallot       func(consensus.Ballot) bool // whether a ballot is of this process; nil: none is
-	DrawDiskID        func() uint64               // names a new disk; nil: the replica always starts with a bootstrap electorate
-	ElectorateChanged func()                      // called under the replica's mutex: it must not block; nil: nobody is notified
+	DrawDiskID        func() uint64               // names a new disk; may be nil if Load always gets a bootstrap electorate
+	ElectorateChanged func()                      // called under the replica's mutex, must not block; nil: not called
 }
 
-// Replica is this node's replica of the configuration and, if it is a voter, its vote. Items are merged into the store under its
-// mutex alone, so that the store's snapshot always is that of the acceptor's epoch. It is safe for concurrent use.
+// Replica is this node's replica of the configuration and, if it is a voter, its vote. Items are merged into the
+// store under its mutex alone, so that the store's snapshot always is that of the acceptor's epoch. It is safe
+// for concurrent use.
 type Replica struct {
 	self              string
 	store             *replication.Store
@@ -62,8 +63,8 @@
 	}
 }
 
-// Load takes over what was found on disk. On an empty disk, bootstrap is the first electorate of a system that starts; nil: this is a
-// new disk in a running system, and this node must be enrolled.
+// Load takes over what was found on disk. On an empty disk, bootstrap is the first electorate of a system that
+// starts; nil: this is a new disk in a running system, and this node must be enrolled.
 func (r *Replica) Load(disk *storage.Store, state storage.State, bootstrap []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,8 +96,8 @@
 	return r.disk != nil && !r.disk.Stalled(SyncTimeout) && r.acceptor.Electorate.Known()
 }
 
-// Synced waits until what a ticket stands for is on disk, for SyncTimeout and extra; it returns false after that. A nil ticket is
-// synced.
+// Synced waits until what a ticket stands for is on disk, for SyncTimeout and extra; it returns false after
+// that. A nil ticket is synced.
 func Synced(ticket *storage.Ticket, extra time.Duration) bool {
 	if ticket == nil {
 		return true
@@ -125,15 +126,16 @@
 	}
 }
 
-// ForeignRoundDone returns a channel that is closed once the change of another node that is under way here is chosen; nil: none is.
+// ForeignRoundDone returns a channel that is closed once the change of another node that is under way here is
+// chosen; nil: none is.
 func (r *Replica) ForeignRoundDone() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.foreignRound
 }
 
-// Prepare answers a prepare request or a read; nil: no answer. A node that is no voter answers too: the proposer counts only those
-// of voters.
+// Prepare answers a prepare request or a read; nil: no answer. A node that is no voter answers too: the proposer
+// counts only those of voters.
 func (r *Replica) Prepare(request *transport.Prepare) *consensus.Promise {
 	if request.ReadOnly {
 		return r.read(request.Synced)
@@ -171,8 +173,8 @@
 	return &promise
 }
 
-// Accept answers a proposal; nil: no answer. If the snapshot before it is missing here, fetch is called once to get it from the
-// proposer; it may be nil.
+// Accept answers a proposal; nil: no answer. If the snapshot before it is missing here, fetch is called once to
+// get it from the proposer; it may be nil.
 func (r *Replica) Accept(proposal consensus.Proposal, fetch func()) *consensus.Accepted {
 	if !allKeysValid(proposal.Items) {
 		return nil
@@ -195,7 +197,8 @@
 	if !r.canVote() {
 		return nil, nil
 	}
-	// A proposer that continues under the same ballot had the change before it chosen; the message about that may come later.
+	// A proposer that continues under the same ballot had the change before it chosen; the message about that may
+	// come later.
 	if p := r.acceptor.Pending; p != nil && p.Ballot == proposal.Ballot && p.Epoch+1 == proposal.Epoch {
 		r.apply(r.acceptor.Base().With(*p), p.Items)
 	}
@@ -210,7 +213,8 @@
 	return &accepted, r.ticket
 }
 
-// Choose applies a change that is chosen, and returns the base here. It has no effect unless the snapshot before it is here.
+// Choose applies a change that is chosen, and returns the base here. It has no effect unless the snapshot before
+// it is here.
 func (r *Replica) Choose(proposal consensus.Proposal) consensus.Base {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -220,8 +224,8 @@
 	return r.acceptor.Base()
 }
 
-// Learn applies the pending change if it is the one that was chosen under a ballot. It tells whether the snapshot of the epoch is
-// here now.
+// Learn applies the pending change if it is the one that was chosen under a ballot. It tells whether the
+// snapshot of the epoch is here now.
 func (r *Replica) Learn(ballot consensus.Ballot, epoch uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -231,9 +235,9 @@
 	return r.acceptor.Epoch >= epoch
 }
 
-// apply makes one change, or several at once, the newest of the snapshot, and discards what is staged for older ones. The sync of a
-// change of the electorate is waited for by later answers (ticket): a majority of the old electorate has it, but possibly nobody
-// else of the new one. r.mu is held.
+// apply makes one change, or several at once, the newest of the snapshot, and discards what is staged for older
+// ones. The sync of a change of the electorate is waited for by later answers (ticket): a majority of the old
+// electorate has it, but possibly nobody else of the new one. r.mu is held.
 func (r *Replica) apply(base consensus.Base, items []configuration.Item) {
 	if r.foreignRound != nil {
 		close(r.foreignRound)
@@ -274,8 +278,8 @@
 	}
 }
 
-// LearnElectorate takes over the electorate of another node's snapshot if none is known here and that snapshot is the one here. That
-// of any other snapshot comes with its chunks.
+// LearnElectorate takes over the electorate of another node's snapshot if none is known here and that snapshot
+// is the one here. That of any other snapshot comes with its chunks.
 func (r *Replica) LearnElectorate(chunk *transport.CatchUpChunk) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -316,7 +320,8 @@
 	return epoch
 }
 
-// Pending returns the highest ballot promised, and the epoch of the change that is accepted here and not known to be chosen; 0: none.
+// Pending returns the highest ballot promised, and the epoch of the change that is accepted here and not known
+// to be chosen; 0: none.
 func (r *Replica) Pending() (promised consensus.Ballot, epoch uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -326,7 +331,8 @@
 	return r.acceptor.Promised, epoch
 }
 
-// PendingFor is how long a change has been accepted here and not known to be chosen; 0: there is none, or this node is no voter.
+// PendingFor is how long a change has been accepted here and not known to be chosen; 0: there is none, or this
+// node is no voter.
 func (r *Replica) PendingFor(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -366,8 +372,8 @@
 	return self
 }
 
-// VotersForLease returns the voters as this node counts them for its majority lease: if it is listed with a disk that it has lost, it
-// does not count itself.
+// VotersForLease returns the voters as this node counts them for its majority lease: if it is listed with a disk
+// that it has lost, it does not count itself.
 func (r *Replica) VotersForLease() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/control/replica/staging.go
+++ b/internal/control/replica/staging.go
@@ -10,13 +10,15 @@
 	"mulleinrouter/internal/control/storage"
 )
 
-// A node that lacks chosen changes gets them from any other control node, in chunks. An item carries the epoch in which it was
-// chosen, so the snapshot of epoch E is that of epoch B with those items of E that are newer than B. The source keeps no state of a
-// transfer: each chunk is read from the snapshot that it has at that moment, from one position on. The chunks of one pass may thus
-// come from snapshots of several epochs, from First to Top, never decreasing; they are staged, and not visible. After a pass,
-// everything up to First is applied or staged, and the next pass asks only for what is newer than that. A pass whose chunks all come
-// from the snapshot of one epoch completes that snapshot, which is then applied at once. So it makes no difference which node sends
-// the next chunk, and a transfer continues where it was after a lost connection, with another source, and after a restart.
+// A node that lacks chosen changes gets them from any other control node, in chunks. An item carries the epoch
+// in which it was chosen, so the snapshot of epoch E is that of epoch B with those items of E that are newer
+// than B. The source keeps no state of a transfer: each chunk is read from the snapshot that it has at that
+// moment, from one position on. The chunks of one pass may thus come from snapshots of several epochs, from
+// First to Top, never decreasing; they are staged, and not visible. After a pass, everything up to First is
+// applied or staged, and the next pass asks only for what is newer than that. A pass whose chunks all come from
+// the snapshot of one epoch completes that snapshot, which is then applied at once. So it makes no difference
+// which node sends the next chunk, and a transfer continues where it was after a lost connection, with another
+// source, and after a restart.
 
 // staging is the chunks of a transfer that is not complete. Replica.mu guards it.
 type staging struct {
@@ -49,8 +51,8 @@
 	return saved
 }
 
-// add stages a chunk, and tells whether it completes the snapshot of the chunk's epoch. Items that were chosen later replace those
-// that were chosen earlier.
+// add stages a chunk, and tells whether it completes the snapshot of the chunk's epoch. Items that were chosen
+// later replace those that were chosen earlier.
 func (s *staging) add(chunk *transport.CatchUpChunk) (complete bool) {
 	if s.items == nil {
 		s.items = map[configuration.Key]configuration.Item{}
@@ -72,8 +74,8 @@
 	return s.First == s.Top || mutant.Active("mixes-epochs")
 }
 
-// follows tells whether a chunk continues the transfer: it answers the newest request, and comes from a snapshot that is not older
-// than those of the chunks before it.
+// follows tells whether a chunk continues the transfer: it answers the newest request, and comes from a snapshot
+// that is not older than those of the chunks before it.
 func (s *staging) follows(request *transport.CatchUpRequest, chunk *transport.CatchUpChunk) bool {
 	if chunk.Epoch < s.Top && !mutant.Active("older-source") {
 		return false
@@ -96,9 +98,12 @@
 	}
 }
 
-// StageChunk stages the answer to a request, and applies the snapshot if it is complete. It returns the epoch of the snapshot here,
-// and whether the chunk was of use: one that comes late, twice, or from an older snapshot than the chunks before it is not.
-func (r *Replica) StageChunk(request *transport.CatchUpRequest, chunk *transport.CatchUpChunk) (epoch uint64, used bool) {
+// StageChunk stages the answer to a request, and applies the snapshot if it is complete. It returns the epoch of
+// the snapshot here, and whether the chunk was of use: one that comes late, twice, or from an older snapshot
+// than the chunks before it is not.
+func (r *Replica) StageChunk(
+	request *transport.CatchUpRequest, chunk *transport.CatchUpChunk,
+) (epoch uint64, used bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	electorate := ElectorateOf(chunk)
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// pingVoter pings one voter. If contact is back with its answer, watch is notified; at other answers it is not, for its next round pings
-// again.
+// pingVoter pings one voter. If contact is back with its answer, watch is notified; at other answers it is not,
+// for its next round pings again.
 func (n *Node) pingVoter(voter string) {
 	answer := n.peers.Call(voter, majority.TTL, &transport.Frame{Ping: &transport.Ping{}})
 	if answer != nil && !n.lastInContact.Load() && n.majority.Held() {
@@ -141,7 +141,8 @@
 	return addrs
 }
 
-// hasOrphan tells whether a change that was accepted here has been pending for so long that its proposer must have failed.
+// hasOrphan tells whether a change that was accepted here has been pending for so long that its proposer must
+// have failed.
 func (n *Node) hasOrphan(now time.Time) bool {
 	voters, _ := n.replica.Voters()
 	rank := time.Duration(max(0, slices.Index(voters, n.self)))
@@ -164,8 +165,8 @@
 	return n.ingresses.Rank(node)
 }
 
-// ready tells whether an agent may serve with what it gets here: the configuration is as new as any that was acknowledged when this
-// term of contact began, and servers have had the time to call.
+// ready tells whether an agent may serve with what it gets here: the configuration is as new as any that was
+// acknowledged when this term of contact began, and servers have had the time to call.
 func (n *Node) ready() bool {
 	term, held := n.majority.Current()
 	if mutant.Active("ready-alone") {
