--- a/internal/control/catchup_mutants_test.go
+++ b/internal/control/catchup_mutants_test.go
@@ -5,21 +5,19 @@
 import (
 	"testing"
 
-	"mulleinrouter/internal/control/mutant"
+	"mulleinrouter/internal/mutants"
 )
 
 func TestLaggingMutant(t *testing.T) {
-	defer func() { mutant.Name = "" }()
-	mutant.Name = "ready-behind"
+	mutants.Seed(t, "control/ready-behind")
 	if ready, _ := measureLagging(t); ready <= maxReadyWhileLagging {
-		t.Error("not found")
+		t.Errorf("ready for %v while lagging, want more than %v", ready, maxReadyWhileLagging)
 	}
 }
 
 func TestTransferRestartMutant(t *testing.T) {
-	defer func() { mutant.Name = "" }()
-	mutant.Name = "begins-anew"
+	mutants.Seed(t, "replica/begins-anew")
 	if total, bytes := catchUpOverSlowLink(t); bytes < total*5/4 {
-		t.Error("not found")
+		t.Errorf("%d bytes transferred for %d, want more", bytes, total)
 	}
 }
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -38,7 +38,7 @@
 	remaining int    // of the frame
 }
 
-func (m *linkMeter) wrap(nc net.Conn) net.Conn { return &meteredConn{Conn: nc, meter: m} }
+func (m *linkMeter) wrap(conn net.Conn) net.Conn { return &meteredConn{Conn: conn, meter: m} }
 
 func (c *meteredConn) Write(b []byte) (int, error) {
 	done := 0
@@ -64,10 +64,11 @@
 	return time.Duration(float64(bytes) / m.rate * float64(time.Second))
 }
 
-func (m *linkMeter) setRate(rate float64) {
+// slowDown bounds the rate to 2 Mbit/s from now on.
+func (m *linkMeter) slowDown() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.rate = rate
+	m.rate = 2e6 / 8
 }
 
 func (c *meteredConn) count(b []byte) {
@@ -99,20 +100,19 @@
 }
 
 // fallBehind partitions the third of three nodes, and has a number of changes chosen by the others meanwhile.
-func (c *testCluster) fallBehind(h *replicatest.History, n int) (behind *testNode) {
+func (c *testCluster) fallBehind(h *replicatest.History, n int) {
 	c.Helper()
-	behind = c.nodes[c.seeds[2]]
+	behind := c.nodes[c.seeds[2]]
 	c.partition(behind.addr, true)
 	h.Grow(n)
 	for _, a := range c.seeds[:2] {
 		h.Apply(c.nodes[a].replica, h.Newest())
 	}
-	return behind
 }
 
 // awaitNewest waits until a node has the newest snapshot. Until then it must show complete snapshots alone,
 // accept nothing upon changes that it lacks, and not be ready.
-func (c *testCluster) awaitNewest(h *replicatest.History, addr string, limit time.Duration) time.Duration {
+func (c *testCluster) awaitNewest(h *replicatest.History, addr string, limit time.Duration) {
 	c.Helper()
 	m, began := c.nodes[addr], time.Now()
 	old, book := m.replica.Snapshot()
@@ -120,7 +120,7 @@
 		epoch, now := m.replica.Snapshot()
 		if epoch == h.Newest() {
 			c.Equal(h.Check(m.replica), "")
-			return time.Since(began)
+			return
 		}
 		if time.Since(began) > limit {
 			c.t.Fatalf("epoch %d of %d after %v", epoch, len(h.Changes), time.Since(began))
@@ -148,7 +148,8 @@
 // A node lacks one change, as many as are remembered by key and one more or less, or thousands; over fast links,
 // in chunks.
 func TestCatchUpAfterChanges(t *testing.T) {
-	for _, n := range []int{1, 2, replica.MaxRecentChanges / 2, replica.MaxRecentChanges - 1, replica.MaxRecentChanges, replica.MaxRecentChanges + 1, 5000} {
+	const recent = replica.MaxRecentChanges
+	for _, n := range []int{1, 2, recent / 2, recent - 1, recent, recent + 1, 5000} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t, 3)
@@ -195,7 +196,7 @@
 			total += len(i.Body)
 		}
 		c.meter.reset()
-		c.meter.setRate(2e6 / 8)
+		c.meter.slowDown()
 		c.partition(c.seeds[2], false)
 		began, cuts := time.Now(), 0
 		for m := c.nodes[c.seeds[2]]; ; {
@@ -271,7 +272,7 @@
 		advance(5 * time.Second)
 		m := c.nodes[c.seeds[2]]
 		c.True(m.ready())
-		c.meter.setRate(2e6 / 8)
+		c.meter.slowDown()
 		h.Grow(8)
 		for _, a := range c.seeds[:2] {
 			h.Apply(c.nodes[a].replica, h.Newest())
@@ -314,7 +315,7 @@
 		c.crash(c.seeds[2])
 		advance(2 * time.Second)
 		c.Equal(c.patch(c.seeds[0], patchBody([]string{serviceJSON("s", 1)}, nil)), 200)
-		c.meter.setRate(2e6 / 8)
+		c.meter.slowDown()
 		began := time.Now()
 		m := c.start(c.seeds[2], vfs.NewCrashableMem(), false)
 		for n := 2; ; n++ {
@@ -359,7 +360,7 @@
 				for _, a := range c.seeds {
 					h.Apply(c.nodes[a].replica, h.Newest())
 				}
-				c.meter.setRate(2e6 / 8)
+				c.meter.slowDown()
 				var began time.Time
 				if empty {
 					c.crash(c.seeds[2])
@@ -375,8 +376,9 @@
 					c.partition(c.seeds[2], false)
 				}
 				for m := c.nodes[c.seeds[2]]; ; advance(10 * time.Millisecond) {
-					if _, votes := m.replica.Voters(); votes && m.store.Epoch() >= h.Newest() && // a new disk is enrolled by a change of the electorate
-						m.ready() == c.nodes[c.seeds[0]].ready() {
+					// A new disk is enrolled by a change of the electorate, which makes a further epoch.
+					caughtUp := m.replica.IsVoter() && m.store.Epoch() >= h.Newest()
+					if caughtUp && m.ready() == c.nodes[c.seeds[0]].ready() {
 						break
 					}
 					if time.Since(began) > time.Minute {
@@ -394,6 +396,7 @@
 		}
 		slices.Sort(took)
 		slices.Sort(bytes)
-		t.Logf("empty disk %v: median %v, worst %v; bytes: median %d, worst %d; of %d", empty, took[timingRuns/2], took[timingRuns-1], bytes[timingRuns/2], bytes[timingRuns-1], timingRuns)
+		t.Logf("empty disk %v: median %v, worst %v; bytes: median %d, worst %d; of %d",
+			empty, took[timingRuns/2], took[timingRuns-1], bytes[timingRuns/2], bytes[timingRuns-1], timingRuns)
 	}
 }
--- a/internal/control/connection_flood_test.go
+++ b/internal/control/connection_flood_test.go
@@ -11,16 +11,18 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/cockroachdb/errors"
+
 	"mulleinrouter/internal/control/httpapi"
 )
 
-// client is a connection of a server or an operator to the calls of a node.
+// httpConn is a connection of a server or an operator to a node.
 type httpConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// connect connects to a node's calls, over a pipe.
+// connect connects to a node, over a pipe.
 func (c *testCluster) connect(addr string) *httpConn {
 	here, there := net.Pipe()
 	c.nodes[addr].control.conns <- there
@@ -29,7 +31,8 @@
 
 // call makes a call and returns its status; 0: the connection has ended.
 func (c *httpConn) call(method, path, body string) int {
-	if _, err := fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: c\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body); err != nil {
+	const request = "%s %s HTTP/1.1\r\nHost: c\r\nContent-Length: %d\r\n\r\n%s"
+	if _, err := fmt.Fprintf(c, request, method, path, len(body), body); err != nil {
 		return 0
 	}
 	return c.readStatus()
@@ -46,23 +49,18 @@
 	return r.StatusCode
 }
 
-// up tells whether a connection on which nothing is under way is still there.
+// isOpen tells whether a connection without a call in flight is still open.
 func (c *httpConn) isOpen() bool {
 	_ = c.SetReadDeadline(time.Now())
 	_, err := c.reader.ReadByte()
 	_ = c.SetReadDeadline(time.Time{})
-	var late net.Error
-	return err != nil && asTimeout(err, &late)
-}
-
-func asTimeout(err error, late *net.Error) bool {
-	var ok bool
-	*late, ok = err.(net.Error)
-	return ok && (*late).Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// Three thousand servers keep connections at a node that holds some hundreds. The operator is served in its time
-// all the while, servers that leave are too, the idlest connections go and none with a call in hand.
+// Three thousand servers keep connections to a node that may have some hundreds. Operators are served in time
+// all the while, and so are servers that depart; the connections that have been idle longest are evicted, and
+// none with a call in flight.
 func TestConnectionFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
@@ -105,7 +103,7 @@
 			c.Equal(x.isOpen(), i >= len(servers)-open)
 		}
 
-		// Servers wait for the disks while a thousand more come: none that waits is closed.
+		// Servers wait for the disks while a thousand more connect: none that waits is closed.
 		for _, a := range c.seeds {
 			c.nodes[a].stallingDisk.setStalled(true)
 		}
@@ -127,12 +125,12 @@
 		for range cap(answers) {
 			c.Equal(<-answers, 200)
 		}
-		advance(6 * time.Second) // what is idle goes by itself
+		advance(6 * time.Second) // idle connections are closed
 		stats = c.nodes[node].connections.Stats()
 		c.Equal(stats.Total(), stats.Internal)
 
-		// Calls whose bodies do not come take all that they may have. A server that leaves and an operator are served
-		// all the same, and what does not come is given up after a second.
+		// Calls whose bodies do not arrive take all slots that they may have. A departing server and an operator are
+		// served all the same, and calls without bodies are given up after a second.
 		began = time.Now()
 		for i := range 3000 {
 			x := c.connect(node)
--- a/internal/control/connlimit/gate.go
+++ b/internal/control/connlimit/gate.go
@@ -78,16 +78,16 @@
 	}
 }
 
-func (c *trackedConn) Close() error {
-	c.gate.mu.Lock()
-	c.gate.slots.remove(&c.slot)
-	c.gate.mu.Unlock()
-	return c.Conn.Close()
+func (t *trackedConn) Close() error {
+	t.gate.mu.Lock()
+	t.gate.slots.remove(&t.slot)
+	t.gate.mu.Unlock()
+	return t.Conn.Close()
 }
 
 // CloseWrite half-closes the connection; the HTTP server does so before it closes one on which more data may arrive.
-func (c *trackedConn) CloseWrite() error {
-	if nc, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+func (t *trackedConn) CloseWrite() error {
+	if nc, ok := t.Conn.(interface{ CloseWrite() error }); ok {
 		return nc.CloseWrite()
 	}
 	return nil
--- a/internal/control/counters.go
+++ b/internal/control/counters.go
@@ -6,7 +6,7 @@
 	"mulleinrouter/internal/cluster/quota"
 	"mulleinrouter/internal/cluster/transport"
 	"mulleinrouter/internal/control/majority"
-	"mulleinrouter/internal/control/mutant"
+	"mulleinrouter/internal/mutants"
 )
 
 // counterService keeps the quota counters that this node owns. It answers only in the term of the majority lease
@@ -22,39 +22,39 @@
 }
 
 func newCounterService(addr func() string, lease *majority.Lease, uptime func() float64) *counterService {
-	return &counterService{addr: addr, lease: lease, uptime: uptime, table: quota.New()}
+	return &counterService{addr: addr, lease: lease, uptime: uptime, table: quota.NewCounterTable()}
 }
 
 // handle answers a call that adds to a counter; nil: the frame is another one.
-func (s *counterService) handle(request *transport.Frame) *transport.Frame {
+func (c *counterService) handle(request *transport.Frame) *transport.Frame {
 	add := request.CounterAdd
 	if add == nil {
 		return nil
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if term, held := s.lease.Current(); (!held || term != s.term) && !mutant.Active("keeps-counters-alone") {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if term, held := c.lease.Current(); (!held || term != c.term) && !mutants.On("control/keeps-counters-alone") {
 		return &transport.Frame{CounterTotal: &transport.CounterTotal{}}
 	}
-	total := s.table.Add(s.uptime(), add)
+	total := c.table.Add(c.uptime(), add)
 	return &transport.Frame{CounterTotal: &total}
 }
 
 // update evaluates the ownership anew: the counters are divided among the reachable voters, given by their
 // internal addresses. A new term begins with a new handover fence.
-func (s *counterService) update(reachable []string, term uint64, held bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.term != term && !mutant.Active("serves-through-a-lapse") {
-		s.table.SetMembers(s.uptime(), nil, s.addr(), false)
+func (c *counterService) update(reachable []string, term uint64, held bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.term != term && !mutants.On("control/serves-through-a-lapse") {
+		c.table.SetMembers(c.uptime(), nil, c.addr(), false)
 	}
-	s.term = term
-	s.table.SetMembers(s.uptime(), reachable, s.addr(), held || mutant.Active("keeps-counters-alone"))
+	c.term = term
+	c.table.SetMembers(c.uptime(), reachable, c.addr(), held || mutants.On("control/keeps-counters-alone"))
 }
 
 // count is the number of counters kept.
-func (s *counterService) count() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.table.Len()
+func (c *counterService) count() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.table.Len()
 }
--- a/internal/control/electorate/changes.go
+++ b/internal/control/electorate/changes.go
@@ -40,7 +40,7 @@
 	if !held || m.options.ConfirmedTerm() != term || snapshot.Len() == 0 || age < minAge {
 		return
 	}
-	if !e.Has(m.options.Replica.AsVoter()) || m.changing.Load() {
+	if !e.Contains(m.options.Replica.AsVoter()) || m.changing.Load() {
 		return
 	}
 	reachable, _, _ := m.options.Lease.Reachable()
@@ -70,8 +70,8 @@
 // firstSilent returns the first voter that has not answered for longer than limit; empty: none.
 func (m *Manager) firstSilent(e consensus.Electorate, age, limit time.Duration) string {
 	for _, v := range e.Voters {
-		if m.silentFor(v.At, age) > limit {
-			return v.At
+		if m.silentFor(v.Addr, age) > limit {
+			return v.Addr
 		}
 	}
 	return ""
@@ -127,10 +127,10 @@
 	ctx context.Context, base consensus.Base, out, in string, timeout time.Duration, precondition func() bool,
 ) error {
 	e := base.Electorate
-	if _, ok := e.At(out); !ok {
+	if _, ok := e.VoterAt(out); !ok {
 		return &ChangeError{errors.Newf("%s is no voter", out)}
 	}
-	if _, ok := e.At(in); ok {
+	if _, ok := e.VoterAt(in); ok {
 		return &ChangeError{errors.Newf("%s is a voter already", in)}
 	}
 	voter, err := m.probe(ctx, in, base)
@@ -138,7 +138,7 @@
 		err = errors.Newf("%s is back", out)
 	}
 	if err == nil {
-		err = m.change(ctx, e, e.Replaced(out, voter), timeout, voter)
+		err = m.change(ctx, e, e.ReplaceVoter(out, voter), timeout, voter)
 	}
 	if err != nil {
 		m.log.Log("msg", "voter replacement failed", "out", out, "in", in, "err", err)
@@ -168,7 +168,7 @@
 	case promise.Epoch < base.Epoch:
 		return consensus.Voter{}, errors.Wrapf(errBehind, "%s, by %d changes", addr, base.Epoch-promise.Epoch)
 	}
-	return consensus.Voter{At: addr, Disk: promise.Disk}, nil
+	return consensus.Voter{Addr: addr, Disk: promise.Disk}, nil
 }
 
 // readSynced reads the state of a node's acceptor once it is on disk; nil: no answer.
@@ -202,8 +202,8 @@
 
 func (m *Manager) countReachable(voters, probed []consensus.Voter) (count int) {
 	for _, v := range voters {
-		age := m.options.Lease.Age(v.At)
-		if v.At == m.self || age >= 0 && age <= majority.TTL || slices.Contains(probed, v) {
+		age := m.options.Lease.Age(v.Addr)
+		if v.Addr == m.self || age >= 0 && age <= majority.TTL || slices.Contains(probed, v) {
 			count++
 		}
 	}
@@ -213,7 +213,7 @@
 // HandOver has a learner take this node's place among the voters before it shuts down.
 func (m *Manager) HandOver(ctx context.Context) {
 	base, _ := m.options.Replica.Base()
-	if !base.Electorate.Has(m.options.Replica.AsVoter()) {
+	if !base.Electorate.Contains(m.options.Replica.AsVoter()) {
 		return
 	}
 	if !m.options.Lease.Held() {
--- a/internal/control/electorate/errors.go
+++ b/internal/control/electorate/errors.go
@@ -9,7 +9,7 @@
 // majority decided in time. Its text, which operators see, is that of the cause.
 type ChangeError struct{ Cause error }
 
-func (e *ChangeError) Error() string { return e.Cause.Error() }
+func (c *ChangeError) Error() string { return c.Cause.Error() }
 
 // Unwrap returns the cause.
-func (e *ChangeError) Unwrap() error { return e.Cause }
+func (c *ChangeError) Unwrap() error { return c.Cause }
--- a/internal/control/electorate/learners.go
+++ b/internal/control/electorate/learners.go
@@ -16,7 +16,7 @@
 // Learners returns the connected learners in the order of their addresses.
 func (m *Manager) Learners(e consensus.Electorate) (learners []Learner) {
 	for _, peer := range m.options.Peers.All() {
-		if _, isVoter := e.At(peer.Addr); isVoter || !peer.Connected() {
+		if _, isVoter := e.VoterAt(peer.Addr); isVoter || !peer.Connected() {
 			continue
 		}
 		learners = append(learners, Learner{Addr: peer.Addr, Zone: peer.Zone()})
@@ -41,7 +41,7 @@
 func (m *Manager) successors(e consensus.Electorate, voter string) []Learner {
 	learners, votersInZone := m.Learners(e), map[string]int{}
 	for _, v := range e.Voters {
-		votersInZone[m.Zone(v.At)]++
+		votersInZone[m.Zone(v.Addr)]++
 	}
 	home := m.Zone(voter)
 	slices.SortStableFunc(learners, func(a, b Learner) int {
--- a/internal/control/electorate/manager.go
+++ b/internal/control/electorate/manager.go
@@ -99,11 +99,11 @@
 func (m *Manager) enroll(ctx context.Context) {
 	base, _ := m.options.Replica.Base()
 	self := m.options.Replica.AsVoter()
-	listed, ok := base.Electorate.At(self.At)
+	listed, ok := base.Electorate.VoterAt(self.Addr)
 	if !ok || listed == self {
 		return
 	}
-	change := proposals.ElectorateChange{From: base.Electorate, To: base.Electorate.Replaced(self.At, self)}
+	change := proposals.ElectorateChange{From: base.Electorate, To: base.Electorate.ReplaceVoter(self.Addr, self)}
 	if err := m.options.Proposals.ChangeElectorate(ctx, change, changeTimeout); err != nil {
 		m.log.Log("msg", "enrollment failed", "err", err)
 		return
--- a/internal/control/electorate_test.go
+++ b/internal/control/electorate_test.go
@@ -76,7 +76,7 @@
 			base, _ := m.replica.Base()
 			got := slices.Sorted(slices.Values(base.Electorate.Addresses()))
 			ok = ok && slices.Equal(got, want)
-			if _, listed := base.Electorate.At(m.addr); listed {
+			if _, listed := base.Electorate.VoterAt(m.addr); listed {
 				_, votes := m.replica.Voters()
 				ok = ok && votes
 			}
@@ -301,10 +301,14 @@
 		replace := func(at, out, in string) (int, string) {
 			return c.call(at, "POST", "/members/replace", fmt.Sprintf(`{"out":%q,"in":%q}`, out, in))
 		}
-		for _, r := range [][3]string{{fourthAddr, x, "no voter"}, {x, y, "voter already"}, {x, fifthAddr, "does not answer"}} {
-			status, text := replace(z, r[0], r[1])
+		for _, test := range []struct{ out, in, reason string }{
+			{out: fourthAddr, in: x, reason: "no voter"},
+			{out: x, in: y, reason: "voter already"},
+			{out: x, in: fifthAddr, reason: "does not answer"},
+		} {
+			status, text := replace(z, test.out, test.in)
 			c.Equal(status, 409)
-			c.True(strings.Contains(text, r[2]))
+			c.True(strings.Contains(text, test.reason))
 		}
 		status, _ := replace(z, "", "")
 		c.Equal(status, 400)
@@ -334,7 +338,8 @@
 		for seed := range timingRuns {
 			synctest.Test(t, func(t *testing.T) {
 				c := newMeteredCluster(t, fourthAddr)
-				h := &replicatest.History{Random: rand.New(rand.NewPCG(uint64(seed), 5)), Names: 4000, BodySize: 350, MaxItems: 2000}
+				random := rand.New(rand.NewPCG(uint64(seed), 5))
+				h := &replicatest.History{Random: random, Names: 4000, BodySize: 350, MaxItems: 2000}
 				h.Grow(4)
 				h.MaxItems = 9
 				h.Grow(596)
@@ -342,7 +347,7 @@
 					h.Apply(c.nodes[a].replica, h.Newest())
 				}
 				advance(12 * time.Second)
-				c.meter.setRate(2e6 / 8)
+				c.meter.slowDown()
 				c.meter.reset()
 				x, y, z := c.seeds[0], c.seeds[1], c.seeds[2]
 				began := time.Now()
@@ -370,7 +375,8 @@
 		}
 		slices.Sort(took)
 		slices.Sort(bytes)
-		t.Logf("%s: median %v, worst %v; bytes: median %d, worst %d; of %d", kind, took[timingRuns/2], took[timingRuns-1], bytes[timingRuns/2], bytes[timingRuns-1], timingRuns)
+		t.Logf("%s: median %v, worst %v; bytes: median %d, worst %d; of %d",
+			kind, took[timingRuns/2], took[timingRuns-1], bytes[timingRuns/2], bytes[timingRuns-1], timingRuns)
 	}
 }
 
--- a/internal/control/httpapi/call.go
+++ b/internal/control/httpapi/call.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 
 	"mulleinrouter/internal/control/connlimit"
-	"mulleinrouter/internal/control/mutant"
+	"mulleinrouter/internal/mutants"
 )
 
 const (
@@ -32,14 +32,14 @@
 type call struct {
 	*Server
 	endpoint   endpoint
-	w          http.ResponseWriter
-	r          *http.Request
+	response   http.ResponseWriter
+	request    *http.Request
 	controller *http.ResponseController
 }
 
 // serveCall admits a call, reads its body, has it handled and returns the answer.
 func (s *Server) serveCall(e endpoint, w http.ResponseWriter, r *http.Request) reply {
-	c := &call{Server: s, endpoint: e, w: w, r: r, controller: http.NewResponseController(w)}
+	c := &call{Server: s, endpoint: e, response: w, request: r, controller: http.NewResponseController(w)}
 	bodyLimit, err := c.admit()
 	if err != nil {
 		return c.reject(err)
@@ -59,18 +59,18 @@
 // reject answers a call whose body is not read to its end. The rest of it is not waited for: the connection is
 // closed, and its slot is free for others at once.
 func (c *call) reject(err error) reply {
-	c.w.Header().Set("Connection", "close")
+	c.response.Header().Set("Connection", "close")
 	_ = c.controller.SetReadDeadline(time.Now())
-	c.options.Connections.FinishCall(c.r)
+	c.options.Connections.FinishCall(c.request)
 	return errorReply(err)
 }
 
 // admit decides by the header of a call. It returns how long the body of a server's call may take.
 func (c *call) admit() (bodyLimit time.Duration, err error) {
-	if c.r.ContentLength > c.endpoint.maxBody {
+	if c.request.ContentLength > c.endpoint.maxBody {
 		return 0, ErrBodyTooLong
 	}
-	switch c.options.Connections.BeginCall(c.r, c.endpoint.byOperator) {
+	switch c.options.Connections.BeginCall(c.request, c.endpoint.byOperator) {
 	case connlimit.Evicted:
 		panic(http.ErrAbortHandler)
 	case connlimit.Rejected:
@@ -84,7 +84,7 @@
 
 // acquireLargeBody waits until a large body may be read. The caller must call release when the call has been handled.
 func (c *call) acquireLargeBody() (release func(), err error) {
-	maybeLarge := c.r.ContentLength > largeBodyBytes || c.r.ContentLength < 0
+	maybeLarge := c.request.ContentLength > largeBodyBytes || c.request.ContentLength < 0
 	if c.endpoint.maxBody <= largeBodyBytes || !maybeLarge {
 		return func() {}, nil
 	}
@@ -102,7 +102,7 @@
 	if !c.endpoint.byOperator {
 		_ = c.controller.SetReadDeadline(time.Now().Add(timeout)) // if it can't be set, the http.Server's holds
 	}
-	body, err := readAll(http.MaxBytesReader(c.w, c.r.Body, c.endpoint.maxBody), c.r.ContentLength)
+	body, err := readAll(http.MaxBytesReader(c.response, c.request.Body, c.endpoint.maxBody), c.request.ContentLength)
 	var tooLong *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLong):
@@ -130,18 +130,18 @@
 
 // handle calls the endpoint's handler, in contact with a majority if it needs that.
 func (c *call) handle(body []byte) reply {
-	if c.endpoint.needsContact && !c.awaitContact(c.r.Context()) {
+	if c.endpoint.needsContact && !c.awaitContact(c.request.Context()) {
 		return errorReply(ErrNoContact)
 	}
 	began := time.Now()
-	answer, err := c.endpoint.handle(c.Server, c.r, body)
+	answer, err := c.endpoint.handle(c.Server, c.request, body)
 	if err != nil {
 		answer = errorReply(err)
 	}
 	if took := time.Since(began); c.endpoint.byOperator && took >= slowCallThreshold {
 		c.log.Log("msg", "slow operator call", "call", c.endpoint.pattern, "ms", took.Milliseconds(), "status", answer.status)
 	}
-	if c.endpoint.needsContact && !c.options.Lease.Held() && !mutant.Active("acknowledges-alone") {
+	if c.endpoint.needsContact && !c.options.Lease.Held() && !mutants.On("httpapi/acknowledges-alone") {
 		return errorReply(ErrNoContact) // the process may have been suspended meanwhile
 	}
 	return answer
@@ -151,7 +151,7 @@
 // the first contact: all nodes may have started at once.
 func (s *Server) awaitContact(ctx context.Context) bool {
 	lease := s.options.Lease
-	if lease.Held() || mutant.Active("acknowledges-alone") {
+	if lease.Held() || mutants.On("httpapi/acknowledges-alone") {
 		return true
 	}
 	left := min(StartupWait, StartupGrace-time.Since(s.options.Started))
--- a/internal/control/httpapi/doc.go
+++ b/internal/control/httpapi/doc.go
@@ -7,5 +7,6 @@
 // instances.go to instances, members.go to electorate. view.go and members.go have the bodies that operators
 // get. The package keeps no state but the counts of answers.
 //
-// It imports package cluster's folders and control's packages. Its tests drive whole nodes in package control.
+// It imports package cluster's folders and control's packages. Its tests here are of bodies and errors; whole
+// nodes are tested in package control.
 package httpapi
--- a/internal/control/httpapi/errors.go
+++ b/internal/control/httpapi/errors.go
@@ -52,7 +52,7 @@
 // no certain effect, and may be retried, at another node as well.
 func statusOf(err error) int {
 	var own *Error
-	var rejection *configuration.Rejection
+	var rejection *configuration.RejectionError
 	var change *electorate.ChangeError
 	switch {
 	case errors.As(err, &own):
@@ -67,7 +67,7 @@
 
 // messageOf is the text of an error for the caller.
 func messageOf(err error) string {
-	var rejection *configuration.Rejection
+	var rejection *configuration.RejectionError
 	if errors.As(err, &rejection) {
 		return rejection.Text
 	}
--- a/internal/control/httpapi/members.go
+++ b/internal/control/httpapi/members.go
@@ -51,12 +51,12 @@
 		Learners:   []Member{},
 	}
 	for _, voter := range e.Voters {
-		m := s.options.Member(voter.At, base.Epoch)
+		m := s.options.Member(voter.Addr, base.Epoch)
 		m.Disk = strconv.FormatUint(voter.Disk, 16)
 		m.DiskReplaced = m.Self && voter != s.options.Replica.AsVoter()
 		members.Voters = append(members.Voters, m)
 	}
-	if _, listed := e.At(s.options.Self); !listed {
+	if _, listed := e.VoterAt(s.options.Self); !listed {
 		members.Learners = append(members.Learners, s.options.Member(s.options.Self, base.Epoch))
 	}
 	for _, learner := range s.options.Electorate.Learners(e) {
--- a/internal/control/instances/registry.go
+++ b/internal/control/instances/registry.go
@@ -119,7 +119,7 @@
 
 // PersistDepartures queues those of the instances for the disk that drain or are gone, as they stand here. It
 // returns nil if there is none.
-func (r *Registry) PersistDepartures(disk *storage.Store, ids ...string) *storage.Ticket {
+func (r *Registry) PersistDepartures(disk *storage.Store, ids ...string) *storage.Future {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var batch storage.Batch
--- a/internal/control/internal_server.go
+++ b/internal/control/internal_server.go
@@ -23,7 +23,10 @@
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			pause(ctx, acceptRetryInterval)
+			select {
+			case <-ctx.Done():
+			case <-time.After(acceptRetryInterval):
+			}
 			continue
 		}
 		if !n.connections.AcquireInternal() {
@@ -37,16 +40,6 @@
 	}
 }
 
-// pause waits for a time or the end of the context.
-func pause(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
-
 // serveConn serves one subscriber until its connection or the context ends.
 func (n *Node) serveConn(ctx context.Context, nc net.Conn, wg *sync.WaitGroup) {
 	conn := transport.NewConn(nc)
--- a/internal/control/majority/lease.go
+++ b/internal/control/majority/lease.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"mulleinrouter/internal/cluster/consensus"
-	"mulleinrouter/internal/control/mutant"
+	"mulleinrouter/internal/mutants"
 )
 
 // TTL is how long an answered request shows that a voter is in contact, counted from when the request was sent.
@@ -48,7 +48,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.evaluate()
-	if mutant.Active("contact-from-the-answer") {
+	if mutants.On("majority/contact-from-the-answer") {
 		sentAt = l.now()
 	}
 	if at, ok := l.lastAnswered[node]; !ok || sentAt > at {
@@ -85,7 +85,7 @@
 func (l *Lease) Current() (term uint64, held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !mutant.Active("contact-as-last-looked") {
+	if !mutants.On("majority/contact-as-last-looked") {
 		l.evaluate()
 	}
 	return l.term, l.held
--- a/internal/control/majority/lease_mutants_test.go
+++ b/internal/control/majority/lease_mutants_test.go
@@ -5,12 +5,11 @@
 import (
 	"testing"
 
-	"mulleinrouter/internal/control/mutant"
+	"mulleinrouter/internal/mutants"
 )
 
-// The reference model finds the seeded fault.
+// The reference model finds the seeded fault, and nothing without one.
 func TestLeaseMutants(t *testing.T) {
-	defer func() { mutant.Name = "" }()
 	find := func() string {
 		for seed := range uint64(300) {
 			if difference := walkLease(seed); difference != "" {
@@ -19,11 +18,12 @@
 		}
 		return ""
 	}
-	for _, mutant.Name = range []string{"", "contact-from-the-answer"} {
+	for _, fault := range []string{"", "majority/contact-from-the-answer"} {
+		mutants.Seed(t, fault)
 		difference := find()
-		if (difference != "") != (mutant.Name != "") {
-			t.Errorf("mutant %q: found %q", mutant.Name, difference)
+		if (difference != "") != (fault != "") {
+			t.Errorf("fault %q: found %q", fault, difference)
 		}
-		t.Logf("%q: %.160s", mutant.Name, difference)
+		t.Logf("%q: %.160s", fault, difference)
 	}
 }
--- a/internal/control/metrics_test.go
+++ b/internal/control/metrics_test.go
@@ -26,9 +26,17 @@
 			return b.String()
 		}
 		calm := text()
-		for _, line := range []string{"mulleinrouter_control_contact 1", "mulleinrouter_control_voter 1", "mulleinrouter_control_voters 3", "mulleinrouter_control_config_epoch 1",
-			"mulleinrouter_control_changes_chosen_total 1", `mulleinrouter_control_operator_calls_total{status="2xx"} 1`, `mulleinrouter_control_server_calls_total{status="2xx"} 1`,
-			`mulleinrouter_control_instances{phase="serving"} 1`, "mulleinrouter_control_disk_stalled 0"} {
+		for _, line := range []string{
+			"mulleinrouter_control_contact 1",
+			"mulleinrouter_control_voter 1",
+			"mulleinrouter_control_voters 3",
+			"mulleinrouter_control_config_epoch 1",
+			"mulleinrouter_control_changes_chosen_total 1",
+			`mulleinrouter_control_operator_calls_total{status="2xx"} 1`,
+			`mulleinrouter_control_server_calls_total{status="2xx"} 1`,
+			`mulleinrouter_control_instances{phase="serving"} 1`,
+			"mulleinrouter_control_disk_stalled 0",
+		} {
 			if !strings.Contains(calm, line+"\n") {
 				t.Errorf("%q is missing in\n%s", line, calm)
 			}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -7,7 +7,6 @@
 	"net/http"
 	"slices"
 	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -16,7 +15,6 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/go-kit/log"
 
-	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/metrics"
 	"mulleinrouter/internal/cluster/registry"
 	"mulleinrouter/internal/cluster/replication"
@@ -134,112 +132,6 @@
 	return n, nil
 }
 
-func (n *Node) makeReplica() {
-	n.replica = replica.New(replica.Options{
-		Self:              n.self,
-		Store:             n.store,
-		IsOwnBallot:       func(b consensus.Ballot) bool { return strings.HasPrefix(b.Node, n.name+"/") },
-		DrawDiskID:        func() uint64 { return n.incarnation },
-		ElectorateChanged: n.notifyWatch,
-	})
-	n.majority = majority.NewLease(n.self, func() time.Duration { return n.leaseClock() }, n.replica.VotersForLease)
-}
-
-func (n *Node) makePeers() {
-	n.peers = peers.NewSet(peers.Options{
-		Self:           n.self,
-		Node:           n.settings.Node,
-		Zone:           n.settings.Zone,
-		Incarnation:    n.incarnation,
-		Store:          n.store,
-		Clock:          n.clock,
-		Lease:          n.majority,
-		Ready:          n.ready,
-		InternalAddrOf: n.config.InternalAddrOf,
-		Dial:           n.config.Dial,
-		OnUpdate:       n.mergeUpdate,
-		OnConnected:    n.notifyWatch,
-		Log:            n.log,
-	})
-	n.fetcher = catchup.NewFetcher(n.replica, n.peers)
-}
-
-func (n *Node) makeInstances() {
-	n.instances = instances.New(n.store, n.settings.HeartbeatInterval, n.uptime)
-	n.departures = &instances.Departures{
-		Registry: n.instances,
-		Settings: n.settings,
-		Replica:  n.replica,
-		Peers:    n.peers,
-		Disk:     n.disk.Load,
-	}
-}
-
-func (n *Node) makeProposals() {
-	n.proposals = proposals.New(proposals.Options{
-		Self:        n.self,
-		Name:        n.name,
-		Incarnation: n.incarnation,
-		Replica:     n.replica,
-		Peers:       n.peers,
-		Fetcher:     n.fetcher,
-		Lease:       n.majority,
-		OnConfirmed: func(term uint64) {
-			n.confirmedTerm.Store(term)
-			n.store.NotifySubscribers()
-		},
-		Closed: n.ended,
-		Log:    n.log,
-	})
-	n.electorate = electorate.New(electorate.Options{
-		Settings:       n.settings,
-		Replica:        n.replica,
-		Peers:          n.peers,
-		Proposals:      n.proposals,
-		Lease:          n.majority,
-		Started:        n.started,
-		ConfirmedTerm:  n.confirmedTerm.Load,
-		FetchInventory: n.fetchInventory,
-		DiskRead:       func() bool { return n.disk.Load() != nil },
-		Log:            n.log,
-	})
-}
-
-func (n *Node) makeServers() {
-	n.counters = newCounterService(
-		func() string { return n.config.InternalAddrOf(n.self) }, n.majority, n.uptime)
-	n.source = &replication.Source{
-		Store:       n.store,
-		Clock:       n.clock,
-		Ready:       n.ready,
-		Quorum:      n.majority.Held,
-		OnInstances: n.instances.Merge,
-		OnRenewal:   n.ingresses.Renew,
-		Heartbeats:  n.instances.HeartbeatsSince,
-		Rank:        n.zoneRank,
-		Members:     n.ingressCount,
-		Voters: func() []string {
-			voters, _ := n.replica.Voters()
-			return voters
-		},
-	}
-	n.api = httpapi.New(httpapi.Options{
-		Self:        n.self,
-		Instances:   n.instances,
-		Departures:  n.departures,
-		Proposals:   n.proposals,
-		Replica:     n.replica,
-		Electorate:  n.electorate,
-		Lease:       n.majority,
-		Connections: n.connections,
-		Clock:       n.clock,
-		Started:     n.started,
-		View:        n.view,
-		Member:      n.member,
-		Log:         n.log,
-	})
-}
-
 // uptime is the seconds since the node was made, by a monotonic clock.
 func (n *Node) uptime() float64 { return time.Since(n.started).Seconds() }
 
@@ -385,20 +277,3 @@
 	n.electorate.Join(ctx, wg)
 	return nil
 }
-
-// mergeUpdate merges what a peer sends beside items.
-func (n *Node) mergeUpdate(update *transport.Update) {
-	n.instances.Merge(update.Instances)
-	n.instances.MergeRemoteHeartbeats(update.Heartbeats)
-	if update.Complete && update.Ready {
-		n.warm.Store(true)
-	}
-}
-
-// fetchInventory asks a peer for the electorate and the departing instances on its disk, and stores these here too.
-func (n *Node) fetchInventory(p *peers.Peer) *transport.CatchUpChunk {
-	return n.fetcher.FetchInventory(p, func(page []registry.Instance) {
-		n.instances.Merge(page)
-		n.instances.PersistDepartures(n.disk.Load(), instances.IDs(page)...)
-	})
-}
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -138,12 +138,30 @@
 
 func (c *testCluster) start(addr string, fs *vfs.MemFS, bootstrap bool) *testNode {
 	c.incarnations++
-	n := &testNode{addr: addr, fs: fs, stallingDisk: &stallingFS{FS: fs}, internal: newPipeListener(), control: newPipeListener(), ended: make(chan error, 1)}
+	n := &testNode{
+		addr:         addr,
+		fs:           fs,
+		stallingDisk: &stallingFS{FS: fs},
+		internal:     newPipeListener(),
+		control:      newPipeListener(),
+		ended:        make(chan error, 1),
+	}
 	var err error
 	host, _, _ := net.SplitHostPort(addr)
 	n.Node, err = New(Config{
-		Settings: &settings.Settings{Node: "core-" + host, Host: host, ControlAddr: addr, DataPath: "d", InnerFirst: 75, Seeds: c.seeds, HeartbeatInterval: 1.5, Bootstrap: bootstrap,
-			Zone: "z" + host, Tolerance: settings.Tolerance{Machines: 1}, Bounds: settings.Bounds{Contact: 5}},
+		Settings: &settings.Settings{
+			Node:              "core-" + host,
+			Host:              host,
+			Zone:              "z" + host,
+			ControlAddr:       addr,
+			DataPath:          "d",
+			InnerFirst:        75,
+			Seeds:             c.seeds,
+			HeartbeatInterval: 1.5,
+			Bootstrap:         bootstrap,
+			Tolerance:         settings.Tolerance{Machines: 1},
+			Bounds:            settings.Bounds{Contact: 5},
+		},
 		Log: log.NewNopLogger(), FS: n.stallingDisk, Incarnation: c.incarnations, Control: n.control, Internal: n.internal,
 		Dial: func(_ context.Context, inner string) (net.Conn, error) { return c.dial(addr, inner) },
 	})
@@ -163,7 +181,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, n := range c.nodes {
-		if n.settings.InternalAddrOf(n.addr) != inner || c.partitioned[n.addr] || c.partitioned[from] || c.links.severedBetween(from, n.addr) {
+		partitioned := c.partitioned[n.addr] || c.partitioned[from]
+		if n.settings.InternalAddrOf(n.addr) != inner || partitioned || c.links.severedBetween(from, n.addr) {
 			continue
 		}
 		here, there := net.Pipe()
@@ -237,12 +256,14 @@
 }
 
 func serviceJSON(name string, version int) string {
-	return fmt.Sprintf(`%q:{"healthPath":"/health","maxConns":130,"protocol":"h1","tlsMode":false,"generation":"%08x"}`, name, version)
+	const body = `%q:{"healthPath":"/health","maxConns":130,"protocol":"h1","tlsMode":false,"generation":"%08x"}`
+	return fmt.Sprintf(body, name, version)
 }
 
 func routeJSON(name, host, to string, version int) string {
-	return fmt.Sprintf(`%q:{"authority":%q,"pathPrefix":"/a/","routeKind":"idempotent","deadlineMs":1000,"targetMs":400,"priority":2,"backend":%q,"maxTries":2,"public":false,"generation":"%08x"}`,
-		name, host, to, version)
+	const body = `%q:{"authority":%q,"pathPrefix":"/a/","routeKind":"idempotent","deadlineMs":1000,"targetMs":400,` +
+		`"priority":2,"backend":%q,"maxTries":2,"public":false,"generation":"%08x"}`
+	return fmt.Sprintf(body, name, host, to, version)
 }
 
 func patchBody(services, routes []string) string {
@@ -250,7 +271,20 @@
 }
 
 func heartbeatJSON(phase string, seq int) string {
-	return fmt.Sprintf(`{"address":"10.1.0.9:80","summary":{"backend":"s","generation":"v1","zone":"z","capacity":2},"observed":{"phase":%q,"callSeq":%d,"coldLeftMs":0}}`, phase, seq)
+	const body = `{"address":"10.1.0.9:80","summary":{"backend":"s","generation":"v1","zone":"z","capacity":2},` +
+		`"observed":{"phase":%q,"callSeq":%d,"coldLeftMs":0}}`
+	return fmt.Sprintf(body, phase, seq)
+}
+
+// counterAdd is a call that adds to a quota counter; retention is in seconds.
+func counterAdd(name string, retention float64) *transport.Frame {
+	return &transport.Frame{CounterAdd: &transport.CounterAdd{
+		Name:      name,
+		Cycle:     1,
+		Reporter:  "edge-0",
+		Amount:    2,
+		Retention: retention,
+	}}
 }
 
 func (c *testCluster) patch(addr, body string) int {
@@ -482,8 +516,15 @@
 		var clients []*replication.Client
 		for i := range 5 {
 			for _, a := range c.seeds {
-				x := &replication.Client{Node: fmt.Sprint("edge-", i), Class: replication.ClassAgent, Incarnation: uint64(100 + i), Seed: 1, Store: replication.NewStore(uint64(100 + i)),
-					Clock: replication.NewClock(func() float64 { return 0 }), Ready: func() bool { return i < 4 }}
+				x := &replication.Client{
+					Node:        fmt.Sprint("edge-", i),
+					Class:       replication.ClassAgent,
+					Incarnation: uint64(100 + i),
+					Seed:        1,
+					Store:       replication.NewStore(uint64(100 + i)),
+					Clock:       replication.NewClock(func() float64 { return 0 }),
+					Ready:       func() bool { return i < 4 },
+				}
 				x.Dial = func(context.Context) (net.Conn, error) { return c.dial("", c.nodes[a].settings.InternalAddrOf(a)) }
 				clients = append(clients, x)
 				agents.Go(func() { x.Run(ctx) })
@@ -511,7 +552,7 @@
 		// Quota counters: one node answers for each, and none on the minority side of a partition.
 		owners := func() (n int) {
 			for _, x := range clients[:3] {
-				if r, err := x.Call(time.Second, &transport.Frame{CounterAdd: &transport.CounterAdd{Name: "t", Cycle: 1, Reporter: "edge-0", Amount: 2, Retention: 10}}); err == nil && r.CounterTotal.OK {
+				if r, err := x.Call(time.Second, counterAdd("t", 10)); err == nil && r.CounterTotal.OK {
 					c.Equal(*r.CounterTotal, transport.CounterTotal{OK: true, Sum: 2, Reporters: 1})
 					n++
 				}
--- a/internal/control/operators_mutants_test.go
+++ b/internal/control/operators_mutants_test.go
@@ -6,45 +6,42 @@
 	"sync"
 	"testing"
 
-	"mulleinrouter/internal/cluster/configuration"
-	"mulleinrouter/internal/cluster/consensus"
-	"mulleinrouter/internal/control/mutant"
+	"mulleinrouter/internal/mutants"
 )
 
 // The random operators or a scenario find each fault that is seeded in the queue, the ballots and the configuration.
 func TestOperatorMutants(t *testing.T) {
 	for _, test := range []struct {
-		mutant   string
-		name     *string // variable of the package that has the fault
-		scenario string  // empty: the random operators find it
+		fault    string
+		scenario string // empty: the random operators find it
 	}{
-		{"answers-before", &mutant.Name, ""},
-		{"answers-left", &mutant.Name, ""},
-		{"answers-others", &mutant.Name, "foreign change chosen"},
-		{"learns-any", &mutant.Name, "chosen message for another change"},
-		{"refuses-unsure", &mutant.Name, "partitioned node"},
-		{"proposes-gone", &mutant.Name, "abandoned call"},
-		{"keeps-ballot", &consensus.Mutant, "late majority"},
-		{"stale-ballot", &consensus.Mutant, ""},
-		{"ignores-pending", &consensus.Mutant, ""},
-		{"composes-blind", &consensus.Mutant, ""},
-		{"byte-for-byte", &configuration.Mutant, ""},
-		{"forgets-past", &configuration.Mutant, ""},
-		{"judges-overtaken", &configuration.Mutant, ""},
-		{"takes-contradiction", &configuration.Mutant, ""},
-		{"equal-wins", &configuration.Mutant, ""},
+		{fault: "proposals/answers-before"},
+		{fault: "proposals/answers-left"},
+		{fault: "proposals/answers-others", scenario: "foreign change chosen"},
+		{fault: "replica/learns-any", scenario: "chosen message for another change"},
+		{fault: "proposals/refuses-unsure", scenario: "partitioned node"},
+		{fault: "proposals/proposes-gone", scenario: "abandoned call"},
+		{fault: "consensus/keeps-ballot", scenario: "late majority"},
+		{fault: "consensus/stale-ballot"},
+		{fault: "consensus/ignores-pending"},
+		{fault: "consensus/composes-blind"},
+		{fault: "configuration/byte-for-byte"},
+		{fault: "configuration/forgets-past"},
+		{fault: "configuration/judges-overtaken"},
+		{fault: "configuration/takes-contradiction"},
+		{fault: "configuration/equal-wins"},
 	} {
-		*test.name = test.mutant
+		mutants.Seed(t, test.fault)
 		seed, failure := uint64(0), ""
 		if test.scenario != "" {
 			failure = runScenario(t, scenarios[test.scenario])
 		} else {
 			seed, failure = firstFailure(t, 200)
 		}
-		if *test.name = ""; failure == "" {
-			t.Errorf("%s: not found", test.mutant)
+		if failure == "" {
+			t.Errorf("%s: not found", test.fault)
 		}
-		t.Logf("%s: seed %d: %.300s", test.mutant, seed, failure)
+		t.Logf("%s: seed %d: %.300s", test.fault, seed, failure)
 	}
 }
 
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -43,6 +43,16 @@
 
 func (s itemVersion) id() versionID { return versionID{s.key, s.version} }
 
+func serviceKey(name string) configuration.Key {
+	return configuration.Key{Kind: configuration.Services, Name: name}
+}
+
+// routeKey is the key of the nth route of the random operators.
+func routeKey(n int) configuration.Key {
+	return configuration.Key{Kind: configuration.Routes, Name: fmt.Sprint("n", n)}
+}
+
+// operatorCall is a call of an operator, which may be sent many times.
 type operatorCall struct {
 	items        []itemVersion
 	defect       string // that makes it invalid upon any configuration; empty: none
@@ -182,9 +192,9 @@
 
 // node returns a node as it is now; nil: it is down.
 func (s *simulation) node(addr string) *testNode {
-	s.testCluster.mu.Lock()
+	s.mu.Lock()
 	n := s.nodes[addr]
-	s.testCluster.mu.Unlock()
+	s.mu.Unlock()
 	s.modelMu.Lock()
 	defer s.modelMu.Unlock()
 	if s.crashed[n] {
@@ -223,7 +233,8 @@
 		case s.content == "dropped":
 			down[section] = append(down[section], member(`"name":`+name, hex(s.version)))
 		case s.key.Kind == configuration.Services:
-			up[section] = append(up[section], name+":"+member(`"healthPath":"/health"`, `"maxConns":`+number(s.content), `"protocol":"h1"`, hex(s.version)))
+			up[section] = append(up[section], name+":"+member(
+				`"healthPath":"/health"`, `"maxConns":`+number(s.content), `"protocol":"h1"`, hex(s.version)))
 		default:
 			host, to, _ := strings.Cut(s.content, " ")
 			deadline, kind := number(1000), "idempotent"
@@ -233,7 +244,8 @@
 			if n == 0 && c.defect == "kind" {
 				kind = "often"
 			}
-			up[section] = append(up[section], name+":"+member(`"authority":"`+host+`"`, `"pathPrefix":"/a/"`, `"routeKind":"`+kind+`"`, `"deadlineMs":`+deadline,
+			up[section] = append(up[section], name+":"+member(
+				`"authority":"`+host+`"`, `"pathPrefix":"/a/"`, `"routeKind":"`+kind+`"`, `"deadlineMs":`+deadline,
 				`"backend":"`+to+`"`, `"maxTries":`+number(2), hex(s.version)))
 		}
 	}
@@ -265,7 +277,8 @@
 	}
 	// Sent again: one that was acknowledged, at any time before; or one without a clear answer.
 	if random.IntN(4) == 0 {
-		if call := earlier(func(call *operatorCall) bool { return !call.rejected && (call.acknowledged || !call.sending) }); call != nil {
+		repeatable := func(call *operatorCall) bool { return !call.rejected && (call.acknowledged || !call.sending) }
+		if call := earlier(repeatable); call != nil {
 			return call
 		}
 	}
@@ -314,11 +327,11 @@
 	case 9: // all routes to another service, and the old one is removed
 		from, to := service(), service()
 		for n := range 4 {
-			call.items = append(call.items, itemVersion{configuration.Key{Kind: configuration.Routes, Name: fmt.Sprint("n", n)}, v, fmt.Sprintf("h%d %s", n, to)})
+			call.items = append(call.items, itemVersion{routeKey(n), v, fmt.Sprintf("h%d %s", n, to)})
 		}
-		call.items = append(call.items, itemVersion{configuration.Key{Kind: configuration.Services, Name: to}, v, fmt.Sprint(100 + random.IntN(50))})
+		call.items = append(call.items, itemVersion{serviceKey(to), v, fmt.Sprint(100 + random.IntN(50))})
 		if from != to {
-			call.items = append(call.items, itemVersion{configuration.Key{Kind: configuration.Services, Name: from}, v, "dropped"})
+			call.items = append(call.items, itemVersion{serviceKey(from), v, "dropped"})
 		}
 	case 10: // new services and routes to them
 		call.items = append(call.items, toService(v), toService(v), toRoute(v), toRoute(v))
@@ -342,14 +355,14 @@
 
 // send makes one call, and tells whether the answer was clear. If abandonAfter is not 0, the operator's
 // connection breaks after that time.
-func (w *simulation) send(random *rand.Rand, call *operatorCall, addr string, abandonAfter time.Duration) bool {
-	n := w.node(addr)
+func (s *simulation) send(random *rand.Rand, call *operatorCall, addr string, abandonAfter time.Duration) bool {
+	n := s.node(addr)
 	if n == nil {
 		return false
 	}
-	w.modelMu.Lock()
+	s.modelMu.Lock()
 	before := call.acknowledged
-	w.modelMu.Unlock()
+	s.modelMu.Unlock()
 	began := time.Now()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -358,15 +371,16 @@
 		defer cancel()
 	}
 	got := httptest.NewRecorder()
-	n.api.HTTPServer().Handler.ServeHTTP(got, httptest.NewRequestWithContext(ctx, "PATCH", "/config", strings.NewReader(call.body(random))))
-	w.observeNodes()
-	w.modelMu.Lock()
-	defer w.modelMu.Unlock()
-	if w.crashed[n] || ctx.Err() != nil || random.IntN(10) == 0 {
-		w.counts["lost"]++
+	request := httptest.NewRequestWithContext(ctx, "PATCH", "/config", strings.NewReader(call.body(random)))
+	n.api.HTTPServer().Handler.ServeHTTP(got, request)
+	s.observeNodes()
+	s.modelMu.Lock()
+	defer s.modelMu.Unlock()
+	if s.crashed[n] || ctx.Err() != nil || random.IntN(10) == 0 {
+		s.counts["lost"]++
 		return false
 	}
-	w.recordAnswer(call, before, got.Code, time.Since(began), !w.calmSince.IsZero() && !began.Before(w.calmSince))
+	s.recordAnswer(call, before, got.Code, time.Since(began), !s.calmSince.IsZero() && !began.Before(s.calmSince))
 	return got.Code != 503
 }
 
@@ -470,83 +484,89 @@
 }
 
 // checkFinalState reads the configuration back, and sends calls again.
-func (w *simulation) checkFinalState() {
-	w.observeNodes()
-	if difference := w.differences(); difference != "" {
-		w.fail("%s", difference)
+func (s *simulation) checkFinalState() {
+	s.observeNodes()
+	if difference := s.differences(); difference != "" {
+		s.fail("%s", difference)
 	}
-	_, snapshot := w.nodes[w.seeds[0]].replica.Snapshot()
-	for v, what := range w.acknowledged {
+	_, snapshot := s.nodes[s.seeds[0]].replica.Snapshot()
+	for v, content := range s.acknowledged {
 		i, ok := snapshot.Get(v.key)
-		if !ok || int(i.Version) < v.version || int(i.Version) == v.version && contentOf(i) != what {
-			w.fail("%v was acknowledged as %q, and there is %v", v, what, i)
+		if !ok || int(i.Version) < v.version || int(i.Version) == v.version && contentOf(i) != content {
+			s.fail("%v was acknowledged as %q, and there is %v", v, content, i)
 		}
 	}
 	applied := func(o *operatorCall) bool {
-		return o.defect == "" && !slices.ContainsFunc(o.items, func(s itemVersion) bool { return w.seen[s.id()] != s.content })
+		missing := func(v itemVersion) bool { return s.seen[v.id()] != v.content }
+		return o.defect == "" && !slices.ContainsFunc(o.items, missing)
 	}
 	only := map[itemVersion]bool{} // contents of calls that were not rejected
-	for _, o := range w.calls {
-		for _, s := range o.items {
-			only[s] = only[s] || !o.rejected && o.defect == ""
+	for _, o := range s.calls {
+		for _, v := range o.items {
+			only[v] = only[v] || !o.rejected && o.defect == ""
 		}
 	}
-	for v, what := range w.seen {
-		if !only[itemVersion{v.key, v.version, what}] {
-			w.fail("%v was rejected as %q, and was applied", v, what)
+	for v, content := range s.seen {
+		if !only[itemVersion{v.key, v.version, content}] {
+			s.fail("%v was rejected as %q, and was applied", v, content)
 		}
 	}
-	for _, o := range w.calls {
+	for _, o := range s.calls {
 		status := 0
 		if !o.acknowledged && !applied(o) && o.defect == "" || len(o.items) == 0 {
 			continue
 		}
-		if status, _ = w.call(w.seeds[w.faults.IntN(3)], "PATCH", "/config", o.body(w.faults)); o.defect == "" && status != 200 ||
-			o.defect != "" && status/100 != 4 && !slices.ContainsFunc(o.items, w.isForgotten) {
-			w.fail("%v, %q, acknowledged: %v, got %d in the end", o.items, o.defect, o.acknowledged, status)
+		status, _ = s.call(s.seeds[s.faults.IntN(3)], "PATCH", "/config", o.body(s.faults))
+		if o.defect == "" && status != 200 ||
+			o.defect != "" && status/100 != 4 && !slices.ContainsFunc(o.items, s.isForgotten) {
+			s.fail("%v, %q, acknowledged: %v, got %d in the end", o.items, o.defect, o.acknowledged, status)
 		}
-		w.counts["again"]++
+		s.counts["again"]++
 	}
 }
 
 // runOperators runs the simulation of a seed.
 func runOperators(t *testing.T, seed uint64) *model {
-	w := &simulation{seed: seed, faults: rand.New(rand.NewPCG(seed, 1))}
-	w.acknowledged, w.seen, w.overtaken, w.crashed, w.counts = map[versionID]string{}, map[versionID]string{}, map[versionID]bool{}, map[*testNode]bool{}, map[string]int{}
+	s := &simulation{seed: seed, faults: rand.New(rand.NewPCG(seed, 1))}
+	s.acknowledged = map[versionID]string{}
+	s.seen = map[versionID]string{}
+	s.overtaken = map[versionID]bool{}
+	s.crashed = map[*testNode]bool{}
+	s.counts = map[string]int{}
 	synctest.Test(t, func(t *testing.T) {
-		w.testCluster = newCluster(t, 3)
+		s.testCluster = newCluster(t, 3)
 		advance(2 * time.Second)
 		first := &operatorCall{}
 		for n := range 3 {
-			first.items = append(first.items, itemVersion{configuration.Key{Kind: configuration.Services, Name: fmt.Sprint("n", n)}, 1, "99"})
+			first.items = append(first.items, itemVersion{serviceKey(fmt.Sprint("n", n)), 1, "99"})
 		}
-		w.calls = append(w.calls, first)
-		w.modelMu.Lock()
-		w.calmSince = time.Now()
-		w.modelMu.Unlock()
+		s.calls = append(s.calls, first)
+		s.modelMu.Lock()
+		s.calmSince = time.Now()
+		s.modelMu.Unlock()
 		var all sync.WaitGroup
 		for n := range 2 + seed%7 {
-			all.Go(func() { w.runOperator(rand.New(rand.NewPCG(seed, 2+n))) })
+			all.Go(func() { s.runOperator(rand.New(rand.NewPCG(seed, 2+n))) })
 		}
 		for range 3 {
-			time.Sleep(randomDuration(w.faults, 2*time.Second))
-			w.injectFault()
-			w.modelMu.Lock()
-			w.calmSince = time.Now()
-			w.modelMu.Unlock()
+			time.Sleep(randomDuration(s.faults, 2*time.Second))
+			s.injectFault()
+			s.modelMu.Lock()
+			s.calmSince = time.Now()
+			s.modelMu.Unlock()
 		}
 		time.Sleep(2 * time.Second)
-		w.modelMu.Lock()
-		w.over = true
-		w.modelMu.Unlock()
+		s.modelMu.Lock()
+		s.over = true
+		s.modelMu.Unlock()
 		all.Wait()
 		advance(3 * time.Second)
-		if w.failure == "" {
-			w.checkFinalState()
+		if s.failure == "" {
+			s.checkFinalState()
 		}
-		w.testCluster.stopAll()
+		s.stopAll()
 	})
-	return &w.model
+	return &s.model
 }
 
 func TestRandomOperators(t *testing.T) {
@@ -558,7 +578,9 @@
 			for seed := worker; seed < operatorSeeds; seed += workers {
 				r := runOperators(t, seed)
 				total.modelMu.Lock()
-				if total.maxLatency, total.maxCalmLatency = max(total.maxLatency, r.maxLatency), max(total.maxCalmLatency, r.maxCalmLatency); r.failure != "" {
+				total.maxLatency = max(total.maxLatency, r.maxLatency)
+				total.maxCalmLatency = max(total.maxCalmLatency, r.maxCalmLatency)
+				if r.failure != "" {
 					t.Errorf("seed %d: %s", seed, r.failure)
 				}
 				for k, n := range r.counts {
@@ -569,7 +591,8 @@
 		})
 	}
 	all.Wait()
-	t.Logf("%d seeds: %v; slowest answer %v, without a fault %v", operatorSeeds, total.counts, total.maxLatency, total.maxCalmLatency)
+	t.Logf("%d seeds: %v; slowest answer %v, without a fault %v",
+		operatorSeeds, total.counts, total.maxLatency, total.maxCalmLatency)
 }
 
 // scenarios are things that the random seeds meet seldom. Each returns what went wrong; empty: nothing.
@@ -628,7 +651,9 @@
 			acknowledged := 0
 			for n := range 3 {
 				all.Go(func() {
-					status := c.patch(c.seeds[n], patchBody([]string{serviceJSON(fmt.Sprint("x", n), round+1)}, []string{routeJSON("r", fmt.Sprint("h", n), "s", round+1)}))
+					services := []string{serviceJSON(fmt.Sprint("x", n), round+1)}
+					routes := []string{routeJSON("r", fmt.Sprint("h", n), "s", round+1)}
+					status := c.patch(c.seeds[n], patchBody(services, routes))
 					if round == 0 {
 						status = c.patch(c.seeds[n], patchBody([]string{serviceJSON("s", 1)}, nil))
 					}
@@ -643,8 +668,9 @@
 			}
 			all.Wait()
 			_, snapshot := c.nodes[c.seeds[round%3]].replica.Snapshot()
-			if i, _ := snapshot.Get(configuration.Key{Kind: configuration.Routes, Name: "r"}); round > 0 && contentOf(i) != fmt.Sprintf("h%d s", acknowledged-1) {
-				return fmt.Sprintf("round %d: acknowledged to %d, and there is %v", round, acknowledged-1, i)
+			item, _ := snapshot.Get(configuration.Key{Kind: configuration.Routes, Name: "r"})
+			if round > 0 && contentOf(item) != fmt.Sprintf("h%d s", acknowledged-1) {
+				return fmt.Sprintf("round %d: acknowledged to %d, and there is %v", round, acknowledged-1, item)
 			}
 		}
 		return c.differences()
@@ -660,11 +686,17 @@
 		status := 0
 		waiting.Go(func() { status = c.patch(c.seeds[0], patchBody([]string{serviceJSON("t", 2)}, nil)) })
 		advance(5 * time.Millisecond)
-		items, err := configuration.ReadPatch([]byte(strings.Replace(patchBody([]string{serviceJSON("t", 2)}, nil), "130", "131", 1)))
+		foreign := strings.Replace(patchBody([]string{serviceJSON("t", 2)}, nil), "130", "131", 1)
+		items, err := configuration.ReadPatch([]byte(foreign))
 		c.NoErr(err)
 		for _, a := range c.seeds[1:] {
 			epoch, _ := c.nodes[a].replica.Snapshot()
-			if a := c.nodes[a].replica.Accept(consensus.Proposal{Ballot: consensus.Ballot{Round: 50, Node: "a"}, Epoch: epoch + 1, Items: items}, nil); a == nil || !a.OK {
+			proposal := consensus.Proposal{
+				Ballot: consensus.Ballot{Round: 50, Node: "a"},
+				Epoch:  epoch + 1,
+				Items:  items,
+			}
+			if accepted := c.nodes[a].replica.Accept(proposal, nil); accepted == nil || !accepted.OK {
 				return "the foreign change is not accepted"
 			}
 		}
@@ -686,7 +718,7 @@
 		items, err := configuration.ReadPatch([]byte(patchBody([]string{serviceJSON("t", 2)}, nil)))
 		c.NoErr(err)
 		pending := consensus.Proposal{Ballot: consensus.Ballot{Round: 50, Node: "a"}, Epoch: epoch + 1, Items: items}
-		if a := v.Accept(pending, nil); a == nil || !a.OK || v.Learn(pending.Ballot.Above("b"), pending.Epoch) {
+		if a := v.Accept(pending, nil); a == nil || !a.OK || v.Learn(pending.Ballot.Next("b"), pending.Epoch) {
 			return "it learned its own change for the other"
 		}
 		if status := c.patch(c.seeds[0], patchBody([]string{serviceJSON("u", 3)}, nil)); status != 200 {
@@ -705,7 +737,8 @@
 		change := patchBody(nil, []string{routeJSON("r", "h", "t", 3)})
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 		defer cancel()
-		c.nodes[c.seeds[0]].api.HTTPServer().Handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequestWithContext(ctx, "PATCH", "/config", strings.NewReader(change)))
+		request := httptest.NewRequestWithContext(ctx, "PATCH", "/config", strings.NewReader(change))
+		c.nodes[c.seeds[0]].api.HTTPServer().Handler.ServeHTTP(httptest.NewRecorder(), request)
 		advance(5 * time.Millisecond)
 		if status := c.patch(c.seeds[1], change); status != 400 {
 			return fmt.Sprint("elsewhere: ", status)
@@ -715,7 +748,8 @@
 		}
 		c.partition(c.seeds[0], false)
 		advance(3 * time.Second)
-		if _, snapshot := c.nodes[c.seeds[1]].replica.Snapshot(); strings.Contains(string(snapshot.RenderJSON()), "authority") {
+		_, snapshot := c.nodes[c.seeds[1]].replica.Snapshot()
+		if strings.Contains(string(snapshot.RenderJSON()), "authority") {
 			return "rejected, and applied"
 		}
 		return c.differences()
@@ -800,7 +834,8 @@
 						all.Go(func() {
 							for v := 1; time.Now().Before(end); v++ {
 								began := time.Now()
-								record(fmt.Sprint("changes at ", n), began, c.patch(a, patchBody([]string{serviceJSON(fmt.Sprintf("s%d-%d", n, k), v)}, nil)))
+								change := patchBody([]string{serviceJSON(fmt.Sprintf("s%d-%d", n, k), v)}, nil)
+								record(fmt.Sprint("changes at ", n), began, c.patch(a, change))
 								time.Sleep(time.Millisecond)
 							}
 						})
@@ -815,7 +850,8 @@
 					})
 				}
 				all.Wait()
-				t.Logf("syncs of %v, %d operators at each of two nodes, one at the third: %v, at the worst %v, unclear: %d", syncTime, operatorsEach, count, worst, unclear)
+				t.Logf("syncs of %v, %d operators at each of two nodes, one at the third: %v, at the worst %v, unclear: %d",
+					syncTime, operatorsEach, count, worst, unclear)
 				if unclear > 0 {
 					t.Errorf("%d without a clear answer", unclear)
 				}
@@ -835,7 +871,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
 		advance(2 * time.Second)
-		for err, want := range map[error]int{&net.OpError{Op: "read", Err: os.ErrDeadlineExceeded}: 408, io.ErrUnexpectedEOF: 400} {
+		for err, want := range map[error]int{
+			&net.OpError{Op: "read", Err: os.ErrDeadlineExceeded}: 408,
+			io.ErrUnexpectedEOF: 400,
+		} {
 			got := httptest.NewRecorder()
 			body := io.MultiReader(strings.NewReader(`{"upsert":`), iotest.ErrReader(err))
 			c.nodes[c.seeds[0]].api.HTTPServer().Handler.ServeHTTP(got, httptest.NewRequest("PATCH", "/config", body))
--- a/internal/control/partition_mutants_test.go
+++ b/internal/control/partition_mutants_test.go
@@ -5,12 +5,11 @@
 import (
 	"testing"
 
-	"mulleinrouter/internal/control/mutant"
+	"mulleinrouter/internal/mutants"
 )
 
-// Each fault of contact that is seeded is found by what partition_test.go plays.
+// Each seeded fault in the handling of contact is found by a partition or a suspension.
 func TestPartitionMutants(t *testing.T) {
-	defer func() { mutant.Name = "" }()
 	partition := func(t *testing.T) []string {
 		return observe(t, 3, func(g *observedCluster) { partitionNode(g, g.seeds[0], partitionKinds["silent"]) })
 	}
@@ -19,14 +18,18 @@
 		name string
 		play func(*testing.T) []string
 	}{
-		{"acknowledges-alone", partition}, {"judges-alone", partition}, {"keeps-counters-alone", partition}, {"ready-alone", partition},
-		{"contact-as-last-looked", suspension}, {"serves-through-a-lapse", suspension},
+		{"httpapi/acknowledges-alone", partition},
+		{"control/judges-alone", partition},
+		{"control/keeps-counters-alone", partition},
+		{"control/ready-alone", partition},
+		{"majority/contact-as-last-looked", suspension},
+		{"control/serves-through-a-lapse", suspension},
 	} {
-		mutant.Name = ""
+		mutants.Seed(t, "")
 		if failures := test.play(t); len(failures) > 0 {
 			t.Errorf("without a fault: %s", failures[0])
 		}
-		mutant.Name = test.name
+		mutants.Seed(t, test.name)
 		failures := test.play(t)
 		if len(failures) == 0 {
 			t.Errorf("%s: not found", test.name)
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -51,9 +51,12 @@
 	g.mu.Unlock()
 	for i, home := range homes {
 		for attempt := range 3 {
-			if status, _ := g.call(g.seeds[(home+attempt)%3], "PUT", fmt.Sprint("/instances/i-", i), heartbeatJSON("serving", seq)); status == 200 {
+			addr, path := g.seeds[(home+attempt)%3], fmt.Sprint("/instances/i-", i)
+			status, _ := g.call(addr, "PUT", path, heartbeatJSON("serving", seq))
+			if status == 200 {
 				break
-			} else if status != 503 {
+			}
+			if status != 503 {
 				g.fail("a heartbeat got %d", status)
 			}
 		}
@@ -66,7 +69,7 @@
 		owners := []string{}
 		for n, a := range g.seeds {
 			x := g.agents[0][n]
-			r, err := x.Call(time.Second, &transport.Frame{CounterAdd: &transport.CounterAdd{Name: name, Cycle: 1, Reporter: "edge-0", Amount: 2, Retention: 60}})
+			r, err := x.Call(time.Second, counterAdd(name, 60))
 			if err == nil && r.CounterTotal != nil && r.CounterTotal.OK {
 				owners = append(owners, a)
 			}
@@ -92,7 +95,8 @@
 	outOfContact := g.outOfContact[node]
 	g.mu.Unlock()
 	if outOfContact && (f.Quorum || f.Ready || f.Members != 0 || f.ZonePeers != 0) {
-		g.fail("%s, out of contact, says quorum %v, ready %v, members %d, peers %d", node, f.Quorum, f.Ready, f.Members, f.ZonePeers)
+		g.fail("%s, out of contact, says quorum %v, ready %v, members %d, peers %d",
+			node, f.Quorum, f.Ready, f.Members, f.ZonePeers)
 	}
 }
 
@@ -111,9 +115,13 @@
 func (g *observedCluster) checkRejects(a string, version int) {
 	began := time.Now()
 	for _, x := range [][3]string{
-		{"PUT", "/instances/i-0", heartbeatJSON("serving", 1_000_000)}, {"PUT", "/instances/i-0", heartbeatJSON("draining", 1_000_001)}, {"DELETE", "/instances/i-1", ""},
-		{"PATCH", "/config", patchBody([]string{serviceJSON("s", version)}, nil)}, {"PATCH", "/config", patchBody(nil, []string{routeJSON("bad", "bad", "nobody", 1)})},
-		{"PATCH", "/config", "{"}, {"GET", "/config", ""},
+		{"PUT", "/instances/i-0", heartbeatJSON("serving", 1_000_000)},
+		{"PUT", "/instances/i-0", heartbeatJSON("draining", 1_000_001)},
+		{"DELETE", "/instances/i-1", ""},
+		{"PATCH", "/config", patchBody([]string{serviceJSON("s", version)}, nil)},
+		{"PATCH", "/config", patchBody(nil, []string{routeJSON("bad", "bad", "nobody", 1)})},
+		{"PATCH", "/config", "{"},
+		{"GET", "/config", ""},
 	} {
 		if status, text := g.call(a, x[0], x[1], x[2]); status != 503 {
 			g.fail("%s, out of contact, answers %s %s: %d %s", a, x[0], x[1], status, text)
@@ -144,7 +152,8 @@
 		for n, a := range g.seeds {
 			s := agent[n].State()
 			if !s.Quorum || !s.Ready || s.Members != len(g.agents) || s.ZonePeers != len(g.agents) {
-				g.fail("after recovery, agent %d gets from %s: quorum %v, ready %v, %d members, %d peers", i, a, s.Quorum, s.Ready, s.Members, s.ZonePeers)
+				g.fail("after recovery, agent %d gets from %s: quorum %v, ready %v, %d members, %d peers",
+					i, a, s.Quorum, s.Ready, s.Members, s.ZonePeers)
 			}
 			ranks[s.Rank]++
 		}
@@ -163,7 +172,8 @@
 		}
 	}
 	for _, a := range g.seeds {
-		if status := g.patch(a, patchBody([]string{serviceJSON("x-"+a, int(time.Since(g.began)/time.Second)+1)}, nil)); status != 200 {
+		version := int(time.Since(g.began)/time.Second) + 1
+		if status := g.patch(a, patchBody([]string{serviceJSON("x-"+a, version)}, nil)); status != 200 {
 			g.fail("after recovery, %s answers a change with %d", a, status)
 		}
 	}
@@ -173,14 +183,27 @@
 // it. It returns the failures.
 func observe(t *testing.T, servers int, disturb func(*observedCluster)) (failures []string) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &observedCluster{testCluster: newClusterOver(t, 3, &partitionableLinks{}), began: time.Now(), outOfContact: map[string]bool{}, counterAnswers: map[string]int{}}
+		g := &observedCluster{
+			testCluster:    newClusterOver(t, 3, &partitionableLinks{}),
+			began:          time.Now(),
+			outOfContact:   map[string]bool{},
+			counterAnswers: map[string]int{},
+		}
 		ctx, stop := context.WithCancel(context.Background())
 		var running sync.WaitGroup
 		for i := range 3 {
 			var all []*replication.Client
 			for _, a := range g.seeds {
-				x := &replication.Client{Node: fmt.Sprint("edge-", i), Class: replication.ClassAgent, Zone: "z", Incarnation: uint64(100 + i), Seed: 1, Store: replication.NewStore(uint64(100 + i)),
-					Clock: replication.NewClock(func() float64 { return time.Since(g.began).Seconds() }), Ready: func() bool { return true }}
+				x := &replication.Client{
+					Node:        fmt.Sprint("edge-", i),
+					Class:       replication.ClassAgent,
+					Zone:        "z",
+					Incarnation: uint64(100 + i),
+					Seed:        1,
+					Store:       replication.NewStore(uint64(100 + i)),
+					Clock:       replication.NewClock(func() float64 { return time.Since(g.began).Seconds() }),
+					Ready:       func() bool { return true },
+				}
 				inner := g.nodes[a].settings.InternalAddrOf(a)
 				x.Dial = func(context.Context) (net.Conn, error) { return g.dial("", inner) }
 				x.OnUpdate = func(f *transport.Update) { g.checkUpdate(a, f) }
@@ -247,11 +270,14 @@
 	both.Wait()
 	// The one without a clear answer may have been chosen: then, and only then, the other is rejected.
 	_, text := g.call(others[0], "GET", "/config", "")
-	if nodeStatus != 503 || othersStatus != 200 && !(othersStatus == 409 && strings.Contains(text, `"race":{"healthPath":"/health","maxConns":130,`)) {
+	nodesWon := strings.Contains(text, `"race":{"healthPath":"/health","maxConns":130,`)
+	othersClear := othersStatus == 200 || othersStatus == 409 && nodesWon
+	if nodeStatus != 503 || !othersClear {
 		g.fail("just partitioned: %d, and the others: %d", nodeStatus, othersStatus)
 	}
 	g.run(time.Second)
-	if status, _ := g.call(node, "PATCH", "/config", patchBody(nil, []string{routeJSON("bad", "bad", "nobody", 1)})); status != 503 {
+	invalid := patchBody(nil, []string{routeJSON("bad", "bad", "nobody", 1)})
+	if status, _ := g.call(node, "PATCH", "/config", invalid); status != 503 {
 		g.fail("partitioned for 2 s, an invalid change gets %d", status)
 	}
 	g.run(time.Second)
@@ -280,7 +306,8 @@
 	for _, kind := range []string{"silent", "out", "in", "reset"} {
 		for index := range 3 {
 			t.Run(fmt.Sprint(kind, "/", index), func(t *testing.T) {
-				for _, failure := range observe(t, 9, func(g *observedCluster) { partitionNode(g, g.seeds[index], partitionKinds[kind]) }) {
+				disturb := func(g *observedCluster) { partitionNode(g, g.seeds[index], partitionKinds[kind]) }
+				for _, failure := range observe(t, 9, disturb) {
 					t.Error(failure)
 				}
 			})
@@ -288,7 +315,8 @@
 	}
 	// So few that the silence of all is not taken for a partition of this node.
 	t.Run("three servers", func(t *testing.T) {
-		for _, failure := range observe(t, 3, func(g *observedCluster) { partitionNode(g, g.seeds[0], partitionKinds["silent"]) }) {
+		disturb := func(g *observedCluster) { partitionNode(g, g.seeds[0], partitionKinds["silent"]) }
+		for _, failure := range observe(t, 3, disturb) {
 			t.Error(failure)
 		}
 	})
@@ -347,7 +375,7 @@
 		g.fail("it resumed and counts as before")
 	}
 	n.counters.mu.Unlock()
-	if r := n.counters.handle(&transport.Frame{CounterAdd: &transport.CounterAdd{Name: "t0", Cycle: 1, Reporter: "edge-0", Amount: 2, Retention: 60}}); r.CounterTotal.OK {
+	if r := n.counters.handle(counterAdd("t0", 60)); r.CounterTotal.OK {
 		g.fail("it resumed and owns a counter")
 	}
 	g.expectNoContact()
@@ -356,7 +384,7 @@
 	// In contact again, its counters may have had another owner: they wait for the handover fence.
 	for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); advance(20 * time.Millisecond) {
 		for _, name := range []string{"t0", "t1", "t2", "t3"} {
-			if r := n.counters.handle(&transport.Frame{CounterAdd: &transport.CounterAdd{Name: name, Cycle: 1, Reporter: "edge-0", Amount: 2, Retention: 60}}); r.CounterTotal.OK {
+			if r := n.counters.handle(counterAdd(name, 60)); r.CounterTotal.OK {
 				g.fail("%v after it resumed it owns %s", time.Until(end), name)
 			}
 		}
--- a/internal/control/partitionable_links_test.go
+++ b/internal/control/partitionable_links_test.go
@@ -97,7 +97,7 @@
 	if e.buffered = nil; len(b) == 0 {
 		return nil
 	}
-	_ = e.Conn.SetWriteDeadline(time.Now().Add(time.Second))
+	_ = e.SetWriteDeadline(time.Now().Add(time.Second))
 	_, err := e.Conn.Write(b)
 	return err
 }
--- a/internal/control/peers/set.go
+++ b/internal/control/peers/set.go
@@ -30,9 +30,11 @@
 	Ready          func() bool                                                  // sent with each renewal
 	InternalAddrOf func(controlAddr string) string                              // empty: unknown
 	Dial           func(ctx context.Context, internal string) (net.Conn, error) // nil: TCP
-	OnUpdate       func(*transport.Update)                                      // for what a peer sends beside items
-	OnConnected    func()                                                       // when a peer answers on a new connection; must not block
-	Log            log.Logger
+	// OnUpdate merges what a peer sends beside items.
+	OnUpdate func(*transport.Update)
+	// OnConnected is called when a peer answers on a new connection; it must not block.
+	OnConnected func()
+	Log         log.Logger
 }
 
 // Set is the other control nodes that this one knows. It is safe for concurrent use.
--- a/internal/control/proposals/compose.go
+++ b/internal/control/proposals/compose.go
@@ -5,7 +5,7 @@
 
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/consensus"
-	"mulleinrouter/internal/control/mutant"
+	"mulleinrouter/internal/mutants"
 )
 
 const maxBatchBytes = 1 << 20 // of items in one proposal, about; the first change may be longer
@@ -17,14 +17,14 @@
 }
 
 // evaluate evaluates the change upon the present base: nil voters and no error mean that it has been made already.
-func (c *ElectorateChange) evaluate(base consensus.Base) ([]consensus.Voter, error) {
+func (e *ElectorateChange) evaluate(base consensus.Base) ([]consensus.Voter, error) {
 	switch {
-	case slices.Equal(base.Electorate.Voters, c.To):
+	case slices.Equal(base.Electorate.Voters, e.To):
 		return nil, nil
-	case !base.Electorate.Equal(c.From):
+	case !base.Electorate.Equal(e.From):
 		return nil, ErrElectorateChanged
 	}
-	return c.To, nil
+	return e.To, nil
 }
 
 // compose chooses what to propose, and answers the changes that are decided without it. It returns those that are left.
@@ -38,7 +38,7 @@
 	items, verdicts := consensus.ComposeProposal(
 		snapshot, itemsForEpoch(changes, base.Epoch+1), maxBatchBytes, (*configuration.Snapshot).Validate)
 	rejects := slices.ContainsFunc(verdicts, func(v consensus.Verdict) bool { return v.Err != nil })
-	if rejects && !action.Confirmed && !mutant.Active("refuses-unsure") {
+	if rejects && !action.Confirmed && !mutants.On("proposals/refuses-unsure") {
 		return q.proposer.RequireConfirmation(action.Attempt), changes
 	}
 	left := q.answerDecided(changes, verdicts)
@@ -74,7 +74,7 @@
 			continue
 		}
 		undecided = append(undecided, c)
-		if mutant.Active("answers-before") || mutant.Active("answers-left") && !verdict.Included {
+		if mutants.On("proposals/answers-before") || mutants.On("proposals/answers-left") && !verdict.Included {
 			c.answer(nil)
 		}
 		if verdict.Included {
@@ -106,7 +106,7 @@
 	p := action.Proposal
 	base := q.replica.Choose(p)
 	q.broadcastChosen(p)
-	if p.Ballot == q.proposed && p.Epoch == q.proposedEpoch+1 || mutant.Active("answers-others") {
+	if p.Ballot == q.proposed && p.Epoch == q.proposedEpoch+1 || mutants.On("proposals/answers-others") {
 		for _, c := range q.included {
 			c.answer(nil)
 			c.abandoned.Store(true)
--- a/internal/control/proposals/doc.go
+++ b/internal/control/proposals/doc.go
@@ -6,7 +6,7 @@
 // to propose) and feeds it the answers. Changes that wait together are proposed together. The goroutine owns the
 // proposer and the fields that are marked as its own.
 //
-// It imports package cluster's folders, control/replica and control/mutant; peers, fetching and the majority
-// lease are seen through interfaces. Its tests drive whole clusters in package control (orders_test.go); those
-// that seed faults need the tag "mutants".
+// It imports package cluster's folders, control/replica and package mutants; peers, fetching and the majority
+// lease are seen through interfaces. Most of its tests drive whole clusters in package control
+// (operators_test.go); those that seed faults need the tag "mutants".
 package proposals
--- a/internal/control/proposals/queue.go
+++ b/internal/control/proposals/queue.go
@@ -12,8 +12,8 @@
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/transport"
-	"mulleinrouter/internal/control/mutant"
 	"mulleinrouter/internal/control/replica"
+	"mulleinrouter/internal/mutants"
 )
 
 const (
@@ -62,21 +62,21 @@
 	items            []configuration.Item
 	electorateChange *ElectorateChange // instead of items; nil: none
 	deadline         time.Time
-	done             chan error // gets nil, a *configuration.Rejection or another error
+	done             chan error // gets nil, a *configuration.RejectionError or another error
 	abandoned        atomic.Bool
 }
 
 // answer ends the change with an error; only the first answer counts.
-func (c *pendingChange) answer(err error) {
+func (p *pendingChange) answer(err error) {
 	select {
-	case c.done <- err:
+	case p.done <- err:
 	default:
 	}
 }
 
 // isAbandoned tells whether nobody waits for the answer any more.
-func (c *pendingChange) isAbandoned() bool {
-	return c.abandoned.Load() && !mutant.Active("proposes-gone")
+func (p *pendingChange) isAbandoned() bool {
+	return p.abandoned.Load() && !mutants.On("proposals/proposes-gone")
 }
 
 // event is an answer to a request of a proposer, applied by the queue's goroutine.
@@ -117,7 +117,7 @@
 }
 
 // Change has items chosen, and waits for it as long as timeout. It returns nil once they are, a
-// *configuration.Rejection, or ErrNoMajority. Once the caller's context ends they are not proposed any more: the
+// *configuration.RejectionError, or ErrNoMajority. Once the caller's context ends they are not proposed any more: the
 // operator may have sent them to another node and got an answer there, which a late proposal from here must not
 // contradict.
 func (q *Queue) Change(ctx context.Context, items []configuration.Item, timeout time.Duration) error {
--- a/internal/control/proposals/rounds.go
+++ b/internal/control/proposals/rounds.go
@@ -33,7 +33,7 @@
 	} else if promise := q.prepare(voter, action, timeout); promise != nil {
 		return func(p *consensus.Proposer) consensus.Action { return p.Promised(action.Attempt, voter, *promise) }
 	}
-	return func(p *consensus.Proposer) consensus.Action { return p.Lost(action.Attempt, voter) }
+	return func(p *consensus.Proposer) consensus.Action { return p.NoReply(action.Attempt, voter) }
 }
 
 // accept asks a voter to accept a proposal; nil: no answer.
--- a/internal/control/replica/chunks.go
+++ b/internal/control/replica/chunks.go
@@ -9,7 +9,7 @@
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/registry"
 	"mulleinrouter/internal/cluster/transport"
-	"mulleinrouter/internal/control/mutant"
+	"mulleinrouter/internal/mutants"
 )
 
 const (
@@ -75,7 +75,7 @@
 ) iter.Seq2[uint64, configuration.Item] {
 	if !reachBackTo(recent, epoch) {
 		return func(yield func(uint64, configuration.Item) bool) {
-			for position, item := range snapshot.From(from) {
+			for position, item := range snapshot.ItemsFrom(from) {
 				if item.Epoch > epoch && !yield(position, item) {
 					return
 				}
@@ -98,7 +98,7 @@
 		return false
 	}
 	oldest := recent[0].epoch
-	return oldest <= epoch+1 || mutant.Active("recent-off-by-one") && oldest == epoch+2
+	return oldest <= epoch+1 || mutants.On("replica/recent-off-by-one") && oldest == epoch+2
 }
 
 // positionedKey is a key with its position in the order of transfers.
--- a/internal/control/replica/chunks_mutants_test.go
+++ b/internal/control/replica/chunks_mutants_test.go
@@ -5,15 +5,20 @@
 import (
 	"testing"
 
-	"mulleinrouter/internal/control/mutant"
+	"mulleinrouter/internal/mutants"
 )
 
 // Each fault of transfers that is seeded is found by the walks or by the plain list.
 func TestTransferMutants(t *testing.T) {
-	defer func() { mutant.Name = "" }()
-	for _, mutant.Name = range []string{
-		"mixes-epochs", "older-source", "epoch-before-items", "recent-off-by-one", "position-without-items", "accepts-behind",
+	for _, fault := range []string{
+		"replica/mixes-epochs",
+		"replica/older-source",
+		"replica/epoch-before-items",
+		"replica/recent-off-by-one",
+		"replica/position-without-items",
+		"replica/accepts-behind",
 	} {
+		mutants.Seed(t, fault)
 		seed, failure := uint64(0), ""
 		for _, changes := range changeCounts {
 			if failure == "" {
@@ -24,8 +29,8 @@
 			failure, _ = walkTransfer(seed)
 		}
 		if failure == "" {
-			t.Errorf("%s: not found", mutant.Name)
+			t.Errorf("%s: not found", fault)
 		}
-		t.Logf("%s: seed %d: %s", mutant.Name, seed-1, failure)
+		t.Logf("%s: seed %d: %s", fault, seed-1, failure)
 	}
 }
--- a/internal/control/replica/chunks_test.go
+++ b/internal/control/replica/chunks_test.go
@@ -77,9 +77,19 @@
 // newest. It returns the first failure; empty: none; and the number of chunks.
 func walkTransfer(seed uint64) (failure string, chunks int) {
 	random := rand.New(rand.NewPCG(seed, 7))
-	w := &transferWalk{random: random, disk: vfs.NewCrashableMem(), incarnations: 1, snapshot: new(configuration.Snapshot)}
+	w := &transferWalk{
+		random:       random,
+		disk:         vfs.NewCrashableMem(),
+		incarnations: 1,
+		snapshot:     new(configuration.Snapshot),
+	}
 	w.I = is.New(failing{&w.failure})
-	w.history = &replicatest.History{Random: random, Names: 40, BodySize: 1 + random.IntN(200), MaxItems: 1 + random.IntN(6)}
+	w.history = &replicatest.History{
+		Random:   random,
+		Names:    40,
+		BodySize: 1 + random.IntN(200),
+		MaxItems: 1 + random.IntN(6),
+	}
 	w.replica = openReplica(w.I, w.disk, w.incarnations)
 	for range 3 {
 		w.incarnations++
--- a/internal/control/replica/doc.go
+++ b/internal/control/replica/doc.go
@@ -5,7 +5,7 @@
 // other node in chunks, which are staged until they are a complete snapshot (staging.go, chunks.go). All of it
 // is guarded by one mutex; waiting for the disk is done outside of it. It starts no goroutine.
 //
-// It imports package cluster's folders, control/storage and control/mutant. chunks_test.go walks through
+// It imports package cluster's folders, control/storage and package mutants. chunks_test.go walks through
 // transfers with lost, late and repeated chunks and power losses, against the model of package replicatest;
 // whole nodes are tested in package control.
 package replica
--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -10,8 +10,8 @@
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/transport"
-	"mulleinrouter/internal/control/mutant"
 	"mulleinrouter/internal/control/storage"
+	"mulleinrouter/internal/mutants"
 )
 
 const (
@@ -28,7 +28,7 @@
 	Self              string                      // own control address
 	Store             *replication.Store          // holds the items; only the replica changes them
 	IsOwnBallot       func(consensus.Ballot) bool // whether a ballot is of this process; nil: none is
-	DrawDiskID        func() uint64               // names a new disk; may be nil if Load always gets a bootstrap electorate
+	DrawDiskID        func() uint64               // names a new disk; not called if Load gets a bootstrap electorate
 	ElectorateChanged func()                      // called under the replica's mutex, must not block; nil: not called
 }
 
@@ -45,7 +45,7 @@
 	mu           sync.Mutex     // guards the fields below
 	disk         *storage.Store // nil: it has not been read yet
 	acceptor     consensus.Acceptor
-	ticket       *storage.Ticket // of the acceptor's last change; nil: it is as it was found
+	ticket       *storage.Future // of the acceptor's last change; nil: it is as it was found
 	pendingAt    time.Time       // since when acceptor.Pending is pending
 	foreignRound chan struct{}   // closed once the pending change of another node is chosen; nil: there is none
 	recent       []chosenChange  // the last ones up to acceptor.Epoch, without a gap
@@ -69,7 +69,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.disk, r.acceptor = disk, state.Acceptor
-	r.acceptor.At = r.self
+	r.acceptor.Addr = r.self
 	r.staging.restore(state)
 	r.store.MergeItems(state.Items)
 	r.store.SetEpoch(r.acceptor.Epoch)
@@ -98,7 +98,7 @@
 
 // Synced waits until what a ticket stands for is on disk, for SyncTimeout and extra; it returns false after
 // that. A nil ticket is synced.
-func Synced(ticket *storage.Ticket, extra time.Duration) bool {
+func Synced(ticket *storage.Future, extra time.Duration) bool {
 	if ticket == nil {
 		return true
 	}
@@ -162,7 +162,7 @@
 func (r *Replica) read(sync bool) *consensus.Promise {
 	r.mu.Lock()
 	known, promise := r.acceptor.Electorate.Known(), r.acceptor.Read()
-	var ticket *storage.Ticket
+	var ticket *storage.Future
 	if known && sync {
 		ticket = r.disk.Put(storage.Batch{Acceptor: &r.acceptor})
 	}
@@ -191,7 +191,7 @@
 }
 
 // tryAccept has the acceptor answer a proposal, and returns the ticket to wait for before the answer is sent.
-func (r *Replica) tryAccept(proposal consensus.Proposal) (*consensus.Accepted, *storage.Ticket) {
+func (r *Replica) tryAccept(proposal consensus.Proposal) (*consensus.Accepted, *storage.Future) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.canVote() {
@@ -203,7 +203,7 @@
 		r.apply(r.acceptor.Base().With(*p), p.Items)
 	}
 	accepted, changed := r.acceptor.Accept(proposal)
-	if mutant.Active("accepts-behind") && accepted.Behind {
+	if mutants.On("replica/accepts-behind") && accepted.Behind {
 		accepted.OK = true
 	}
 	if changed {
@@ -229,7 +229,7 @@
 func (r *Replica) Learn(ballot consensus.Ballot, epoch uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if p := r.acceptor.Pending; p != nil && (p.Ballot == ballot || mutant.Active("learns-any")) && p.Epoch == epoch {
+	if p := r.acceptor.Pending; p != nil && (p.Ballot == ballot || mutants.On("replica/learns-any")) && p.Epoch == epoch {
 		r.apply(r.acceptor.Base().With(*p), p.Items)
 	}
 	return r.acceptor.Epoch >= epoch
@@ -336,7 +336,7 @@
 func (r *Replica) PendingFor(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.acceptor.Pending == nil || !r.acceptor.Votes() {
+	if r.acceptor.Pending == nil || !r.acceptor.IsVoter() {
 		return 0
 	}
 	return now.Sub(r.pendingAt)
@@ -363,7 +363,7 @@
 	if !r.acceptor.Electorate.Known() {
 		return nil, false
 	}
-	return r.acceptor.Electorate.Addresses(), r.acceptor.Votes()
+	return r.acceptor.Electorate.Addresses(), r.acceptor.IsVoter()
 }
 
 // IsVoter tells whether this node is a voter.
@@ -381,7 +381,7 @@
 		return nil
 	}
 	addrs := r.acceptor.Electorate.Addresses()
-	if k := slices.Index(addrs, r.self); k >= 0 && !r.acceptor.Votes() {
+	if k := slices.Index(addrs, r.self); k >= 0 && !r.acceptor.IsVoter() {
 		addrs[k] = ""
 	}
 	return addrs
--- a/internal/control/replica/staging.go
+++ b/internal/control/replica/staging.go
@@ -6,15 +6,15 @@
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/transport"
-	"mulleinrouter/internal/control/mutant"
 	"mulleinrouter/internal/control/storage"
+	"mulleinrouter/internal/mutants"
 )
 
 // A node that lacks chosen changes gets them from any other control node, in chunks. An item carries the epoch
 // in which it was chosen, so the snapshot of epoch E is that of epoch B with those items of E that are newer
 // than B. The source keeps no state of a transfer: each chunk is read from the snapshot that it has at that
 // moment, from one position on. The chunks of one pass may thus come from snapshots of several epochs, from
-// First to Top, never decreasing; they are staged, and not visible. After a pass, everything up to First is
+// First to Top, never decreasing; they are staged, and not visible. After a pass, everything up to FirstEpoch is
 // applied or staged, and the next pass asks only for what is newer than that. A pass whose chunks all come from
 // the snapshot of one epoch completes that snapshot, which is then applied at once. So it makes no difference
 // which node sends the next chunk, and a transfer continues where it was after a lost connection, with another
@@ -22,7 +22,7 @@
 
 // staging is the chunks of a transfer that is not complete. Replica.mu guards it.
 type staging struct {
-	storage.Stage
+	storage.StageProgress
 	items    map[configuration.Key]configuration.Item
 	saved    bool      // part of it is on disk
 	lastUsed time.Time // when the last useful chunk arrived
@@ -31,19 +31,19 @@
 // restore takes over what was on disk.
 func (s *staging) restore(from storage.State) {
 	s.saved = from.Stage != nil
-	if !s.saved || from.Stage.Top <= from.Acceptor.Epoch || mutant.Active("begins-anew") {
+	if !s.saved || from.Stage.LastEpoch <= from.Acceptor.Epoch || mutants.On("replica/begins-anew") {
 		return
 	}
-	s.Stage = *from.Stage
+	s.StageProgress = *from.Stage
 	s.items = map[configuration.Key]configuration.Item{}
-	for _, item := range from.Staged {
+	for _, item := range from.StagedItems {
 		s.items[item.Key] = item
 	}
 }
 
 // finish discards what is staged if the snapshot of an epoch is as new. It tells whether part of it is on disk.
 func (s *staging) finish(epoch uint64) (saved bool) {
-	if s.Top > epoch {
+	if s.LastEpoch > epoch {
 		return false
 	}
 	saved = s.saved
@@ -63,24 +63,24 @@
 			s.items[item.Key] = item
 		}
 	}
-	if s.From == 0 {
-		s.First = chunk.Epoch
+	if s.NextPosition == 0 {
+		s.FirstEpoch = chunk.Epoch
 	}
-	s.Top, s.From = chunk.Epoch, chunk.NextPosition
-	if s.From != 0 {
+	s.LastEpoch, s.NextPosition = chunk.Epoch, chunk.NextPosition
+	if s.NextPosition != 0 {
 		return false
 	}
-	s.Base = s.First
-	return s.First == s.Top || mutant.Active("mixes-epochs")
+	s.BaseEpoch = s.FirstEpoch
+	return s.FirstEpoch == s.LastEpoch || mutants.On("replica/mixes-epochs")
 }
 
 // follows tells whether a chunk continues the transfer: it answers the newest request, and comes from a snapshot
 // that is not older than those of the chunks before it.
 func (s *staging) follows(request *transport.CatchUpRequest, chunk *transport.CatchUpChunk) bool {
-	if chunk.Epoch < s.Top && !mutant.Active("older-source") {
+	if chunk.Epoch < s.LastEpoch && !mutants.On("replica/older-source") {
 		return false
 	}
-	if request.FromPosition != s.From || request.Epoch > s.Base {
+	if request.FromPosition != s.NextPosition || request.Epoch > s.BaseEpoch {
 		return false
 	}
 	return chunk.NextPosition == 0 || chunk.NextPosition > request.FromPosition
@@ -90,11 +90,11 @@
 func (r *Replica) NextCatchUpRequest() *transport.CatchUpRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.staging.Base = max(r.staging.Base, r.acceptor.Epoch)
+	r.staging.BaseEpoch = max(r.staging.BaseEpoch, r.acceptor.Epoch)
 	return &transport.CatchUpRequest{
-		Epoch:        r.staging.Base,
-		FromPosition: r.staging.From,
-		NewestEpoch:  r.staging.Top,
+		Epoch:        r.staging.BaseEpoch,
+		FromPosition: r.staging.NextPosition,
+		NewestEpoch:  r.staging.LastEpoch,
 	}
 }
 
@@ -108,14 +108,14 @@
 	defer r.mu.Unlock()
 	electorate := ElectorateOf(chunk)
 	s := &r.staging
-	s.Base = max(s.Base, r.acceptor.Epoch)
+	s.BaseEpoch = max(s.BaseEpoch, r.acceptor.Epoch)
 	valid := validElectorate(electorate) && allKeysValid(chunk.Items)
 	if !valid || r.disk == nil || chunk.Epoch <= r.acceptor.Epoch || !s.follows(request, chunk) {
 		return r.acceptor.Epoch, false
 	}
 	s.lastUsed = time.Now()
-	single := s.Top == 0 && chunk.NextPosition == 0 // one chunk is all: nothing need be staged on disk
-	if complete := s.add(chunk); complete || mutant.Active("epoch-before-items") {
+	single := s.LastEpoch == 0 && chunk.NextPosition == 0 // one chunk is all: nothing need be staged on disk
+	if complete := s.add(chunk); complete || mutants.On("replica/epoch-before-items") {
 		items := make([]configuration.Item, 0, len(s.items))
 		for _, item := range s.items {
 			items = append(items, item)
@@ -129,11 +129,11 @@
 
 // persistStage queues a staged chunk for the disk, without a sync: what is lost of it is requested again. r.mu is held.
 func (r *Replica) persistStage(chunk *transport.CatchUpChunk) {
-	stage := r.staging.Stage
+	stage := r.staging.StageProgress
 	r.staging.saved = true
-	batch := storage.Batch{Stage: &stage, Staged: chunk.Items, NoSync: true}
-	if mutant.Active("position-without-items") {
-		batch.Staged = nil
+	batch := storage.Batch{Stage: &stage, StagedItems: chunk.Items, NoSync: true}
+	if mutants.On("replica/position-without-items") {
+		batch.StagedItems = nil
 	}
 	r.disk.Put(batch)
 }
@@ -142,7 +142,7 @@
 func (r *Replica) Transferring() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.staging.Top != 0
+	return r.staging.LastEpoch != 0
 }
 
 // LastChunkAt is when the last useful chunk arrived; zero: none did.
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -55,7 +55,7 @@
 		state := p.State()
 		lastHeard := -1.0
 		if state.Incarnation != 0 {
-			lastHeard = time.Since(state.LastHeard).Seconds()
+			lastHeard = time.Since(state.LastUpdateAt).Seconds()
 		}
 		views = append(views, httpapi.PeerView{
 			ControlAddr:        p.Addr,
@@ -103,7 +103,7 @@
 	}
 	state := p.State()
 	if state.Incarnation != 0 {
-		m.LastHeardSeconds = max(0, time.Since(state.LastHeard).Seconds())
+		m.LastHeardSeconds = max(0, time.Since(state.LastUpdateAt).Seconds())
 	}
 	// Voters are also pinged.
 	if age := n.majority.Age(addr).Seconds(); age >= 0 && (m.LastHeardSeconds < 0 || age < m.LastHeardSeconds) {
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -9,8 +9,8 @@
 	"mulleinrouter/internal/cluster/transport"
 	"mulleinrouter/internal/control/catchup"
 	"mulleinrouter/internal/control/majority"
-	"mulleinrouter/internal/control/mutant"
 	"mulleinrouter/internal/control/storage"
+	"mulleinrouter/internal/mutants"
 )
 
 const (
@@ -77,7 +77,7 @@
 
 // detectSilent has the registry look for instances without heartbeats.
 func (w *watcher) detectSilent(held bool) {
-	changed := w.instances.DetectSilent(held || mutant.Active("judges-alone"))
+	changed := w.instances.DetectSilent(held || mutants.On("control/judges-alone"))
 	if len(changed) > 0 {
 		w.log.Log("msg", "instance phases changed", "count", len(changed), "first", changed[0].ID, "phase", changed[0].Phase)
 	}
@@ -169,13 +169,13 @@
 // acknowledged when this term of contact began, and servers have had the time to call.
 func (n *Node) ready() bool {
 	term, held := n.majority.Current()
-	if mutant.Active("ready-alone") {
+	if mutants.On("control/ready-alone") {
 		held, term = true, n.confirmedTerm.Load()
 	}
 	if !held || n.confirmedTerm.Load() != term {
 		return false
 	}
-	if n.lagging.Load() && !mutant.Active("ready-behind") {
+	if n.lagging.Load() && !mutants.On("control/ready-behind") {
 		return false
 	}
 	return n.store.Snapshot().Len() > 0 && n.serversKnown()
--- /dev/null
+++ b/internal/dataplane/ingress/parse.go
@@ -0,0 +1,175 @@
+package ingress
+
+import (
+	"math"
+	"strconv"
+	"strings"
+	"time"
+
+	"mulleinrouter/internal/dataplane/http1"
+	"mulleinrouter/internal/dataplane/upstream"
+	"mulleinrouter/internal/decision"
+)
+
+const (
+	pathPrefix                       = "/api/"
+	maxTimeout      decision.Seconds = 300 // no client of this service waits that long
+	defaultMaxUnits                  = 1e6 // of a request, where the settings name no limit
+	maxIDLength                      = 128 // bytes
+
+	// answerTransit is subtracted from the client's timeout: the answer still has to reach it.
+	answerTransit = 10 * time.Millisecond
+)
+
+// Header fields of the dialect in service, in textproto's canonical form: Get would allocate for any other.
+const (
+	keyID      = "X-Request-Id"
+	keyClass   = "X-Priority-Class"
+	keyPlan    = "X-Tier"
+	keyTimeout = "X-Timeout"
+	keyTerms   = "X-Call-Terms"
+	keyRetried = "X-Retried"
+)
+
+// newRequestError returns the error of a request that is not well-formed or names something unknown.
+func newRequestError(status int, code, text string) *RequestError {
+	return &RequestError{Status: status, Code: code, Text: text}
+}
+
+// parse translates a client's request in the dialect in service. The streamed body is added to the message by handle.
+func (s *Server) parse(r *http1.Request) (decision.Request, *upstream.Message, *RequestError) {
+	request, err := s.parseHead(r)
+	if err != nil {
+		return decision.Request{}, nil, err
+	}
+	if http1.HasForbiddenTrailer(r.Trailer, ingressFields) {
+		return decision.Request{}, nil,
+			newRequestError(400, "request-bad-trailer", "a trailer states what belongs in the head")
+	}
+	message := &upstream.Message{
+		Method:  r.Method,
+		Target:  r.Target,
+		ID:      r.Header.Get(keyID),
+		Body:    r.Body,
+		Trailer: r.Trailer,
+		Fields:  http1.AppendFields(nil, r.Header, ingressFields),
+	}
+	return request, message, nil
+}
+
+// parseHead parses the target and the fields that the ingress decides by.
+func (s *Server) parseHead(r *http1.Request) (request decision.Request, requestErr *RequestError) {
+	if request.Customer, requestErr = parseCustomer(r); requestErr != nil {
+		return request, requestErr
+	}
+	id := r.Header.Get(keyID)
+	if !http1.Visible(id) || len(id) > maxIDLength {
+		return request, newRequestError(400, "request-bad-id", "X-Request-ID is missing or not a word")
+	}
+	request.Class = r.Header.Get(keyClass)
+	if requestErr = s.checkMethod(r.Method, request.Class); requestErr != nil {
+		return request, requestErr
+	}
+	request.Plan = r.Header.Get(keyPlan)
+	if !(*s.plans.Load())[request.Plan] {
+		return request, newRequestError(400, "request-unknown-plan", "X-Tier names no plan")
+	}
+	timeout, ok := parseDecimal(r.Header.Get(keyTimeout))
+	if !ok || timeout <= 0 || timeout > maxTimeout {
+		return request, newRequestError(400, "request-bad-timeout", "X-Timeout is not a time in seconds")
+	}
+	request.TimeLeft = max(timeout/2, timeout-answerTransit.Seconds())
+	if !s.parseTerms(r.Header.Get(keyTerms), &request) {
+		return request, newRequestError(400, "request-bad-terms", "X-Call-Terms does not state units, spread and first")
+	}
+	request.Streamed = r.Streamed != nil
+	request.ClientRetry = r.Header.Get(keyRetried) == "1"
+	return request, nil
+}
+
+// parseCustomer parses the target, which ends in the customer, and checks that no field of the dialect is there twice.
+func parseCustomer(r *http1.Request) (customer string, requestErr *RequestError) {
+	path, _, _ := strings.Cut(r.Target, "?")
+	member, ok := strings.CutPrefix(path, pathPrefix)
+	if !ok || strings.Contains(member, "/") { // other programs would resolve a path with more elements in other ways
+		return "", newRequestError(404, "request-unknown-path", "no such path")
+	}
+	for _, key := range [...]string{keyID, keyClass, keyPlan, keyTimeout, keyTerms, keyRetried} {
+		if len(r.Header[key]) > 1 { // a program that uses the other value would decide otherwise
+			return "", newRequestError(400, "request-twice", key+" stands there twice")
+		}
+	}
+	customer = strings.ToLower(member) // one customer in two spellings would have two quotas
+	n, err := strconv.ParseUint(customer, 16, 64)
+	if err != nil || len(customer) != 16 || n >= 1<<33 {
+		return "", newRequestError(404, "request-unknown-customer", "the path does not end in a customer")
+	}
+	return customer, nil
+}
+
+// checkMethod checks that the class is known, and that the request's method is the class's.
+func (s *Server) checkMethod(method, class string) *RequestError {
+	want, known := (*s.methods.Load())[class]
+	if !known {
+		return newRequestError(400, "request-unknown-class", "X-Priority-Class names no class")
+	}
+	if method != want && (want != "GET" || method != "HEAD") {
+		e := newRequestError(405, "request-wrong-method", "this class goes by "+want)
+		e.Allow = want
+		return e
+	}
+	return nil
+}
+
+// parseTerms parses terms such as 'units=2,spread=3,first=1'. Unknown terms are ignored. What the settings do not
+// allow is an error: it would use up the quota of the customer that it names.
+func (s *Server) parseTerms(value string, r *decision.Request) (ok bool) {
+	var units, spread, first bool // whether the term was stated; twice is an error, for others might use the other value
+	for value != "" {
+		var term string
+		term, value, _ = strings.Cut(value, ",")
+		name, number, _ := strings.Cut(strings.TrimSpace(term), "=")
+		switch name {
+		case "units":
+			if units {
+				return false
+			}
+			r.Units, units = parseDecimal(number)
+			if r.Units <= 0 || r.Units > s.maxUnits {
+				return false
+			}
+		case "spread":
+			if spread {
+				return false
+			}
+			r.Gateways, spread = parseInt(number)
+			if spread = spread && r.Gateways > 0 && r.Gateways <= s.ingresses; !spread {
+				return false
+			}
+		case "first":
+			if first {
+				return false
+			}
+			r.FirstGateway, first = parseInt(number)
+			if first = first && r.FirstGateway < s.ingresses; !first {
+				return false
+			}
+		}
+	}
+	return units && spread && first
+}
+
+// parseInt parses a number of up to 31 bits without a sign.
+func parseInt(s string) (int, bool) {
+	n, err := strconv.ParseUint(s, 10, 31)
+	return int(n), err == nil
+}
+
+// parseDecimal parses a plain decimal number: no sign, exponent, infinity or other form of ParseFloat.
+func parseDecimal(s string) (float64, bool) {
+	if s == "" || strings.Trim(s, "0123456789.") != "" {
+		return 0, false
+	}
+	v, err := strconv.ParseFloat(s, 64)
+	return v, err == nil && !math.IsInf(v, 0)
+}
--- /dev/null
+++ b/internal/dataplane/ingress/server_test.go
@@ -0,0 +1,178 @@
+package ingress
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"mulleinrouter/internal/dataplane/clientconn"
+	"mulleinrouter/internal/dataplane/usage"
+	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/emulator/exchange"
+)
+
+// TestExchanges plays clients against a server with a limit of two connections.
+func TestExchanges(t *testing.T) {
+	exchange.Each(t, "testdata/*.txt", func(t *testing.T, script string) {
+		p := exchange.New(t, "server")
+		s, _ := newTestServer(decision.Settings{
+			Gateways:    1,
+			MaxAttempts: 1,
+			MayCancel:   true,
+			Classes:     []decision.Class{sendClass, readClass},
+			Plans:       []decision.Plan{plusPlan},
+		}, func() string { return p.Addr("server") }, 2, 2)
+		meter := &recordingMeter{}
+		s.Meter = meter
+		l := listen(t)
+		go s.Serve(l)
+		p.Target = l.Addr().String()
+		p.Hooks["metered"] = func(text string) string { // since the last time
+			if never := exchange.Until(func() bool { return meter.text() == text }); never != "" {
+				return meter.text()
+			}
+			meter.clear()
+			return text
+		}
+		addLifecycleHooks(p, s)
+		addConnectionHooks(p, s)
+		p.Play(script)
+	})
+}
+
+// until returns a hook that waits until a condition holds, which is asked under the server's mutex.
+func until(s *Server, holds func() bool) func(string) string {
+	return func(string) string {
+		return exchange.Until(func() bool {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			return holds()
+		})
+	}
+}
+
+// addLifecycleHooks adds the events of the process's life cycle.
+func addLifecycleHooks(p *exchange.Player, s *Server) {
+	p.Hooks["leave"] = func(string) string {
+		s.Shutdown()
+		return ""
+	}
+	p.Hooks["lameduck"] = func(string) string {
+		s.LameDuck()
+		return ""
+	}
+	p.Hooks["rejoin"] = func(string) string {
+		s.Rejoin()
+		return ""
+	}
+	p.Hooks["drain"] = func(string) string {
+		s.Drain(time.Minute, time.Minute)
+		return ""
+	}
+	p.Hooks["drain-begins"] = func(string) string {
+		go s.Drain(time.Minute, time.Minute)
+		return until(s, func() bool { return s.lifecycle.Phase() == decision.Closing })("")
+	}
+}
+
+// addConnectionHooks adds the sweep of timeouts, and questions for the connections' states.
+func addConnectionHooks(p *exchange.Player, s *Server) {
+	p.Hooks["sweep-later"] = func(later string) string {
+		d, _ := time.ParseDuration(later)
+		s.sweepAt(time.Now().Add(d))
+		return later
+	}
+	inState := func(state clientconn.State) func(string) string { // as many connections as the script says
+		return func(want string) string {
+			failure := until(s, func() bool {
+				n := 0
+				for c := range s.conns {
+					if c.machine.State() == state {
+						n++
+					}
+				}
+				return strconv.Itoa(n) == want
+			})("")
+			return want + failure
+		}
+	}
+	p.Hooks["idle"] = inState(clientconn.Idle)
+	p.Hooks["reading"] = inState(clientconn.ReadingHead)
+	p.Hooks["taking"] = inState(clientconn.Uploading)
+	p.Hooks["gone"] = until(s, func() bool { return len(s.conns) == 0 && len(s.ids) == 0 })
+	p.Hooks["waiting"] = until(s, func() bool { return s.waiting > 0 })
+	p.Hooks["open"] = func(string) string {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		return strconv.Itoa(len(s.conns))
+	}
+}
+
+// recordingMeter writes down what it records, in the words of testdata.
+type recordingMeter struct {
+	mu      sync.Mutex // guards what follows
+	seq     uint64
+	records []string
+}
+
+func (rm *recordingMeter) Sent(t usage.Try) uint64 {
+	rm.mu.Lock()
+	defer rm.mu.Unlock()
+	rm.seq++
+	quota := "inside"
+	if t.Beyond {
+		quota = "beyond"
+	}
+	rm.records = append(rm.records, fmt.Sprintf("sent %s %s %s %d %s", t.Member, t.Plan, t.Class, t.Units, quota))
+	return rm.seq
+}
+
+func (rm *recordingMeter) Ended(seq uint64, a usage.Arrival) {
+	rm.mu.Lock()
+	defer rm.mu.Unlock()
+	rm.records = append(rm.records, fmt.Sprintf("%d %v", seq, a))
+}
+
+func (rm *recordingMeter) text() string {
+	rm.mu.Lock()
+	defer rm.mu.Unlock()
+	return strings.Join(rm.records, "; ")
+}
+
+func (rm *recordingMeter) clear() {
+	rm.mu.Lock()
+	defer rm.mu.Unlock()
+	rm.records = nil
+}
+
+// A connection with unread bytes of a request is not evicted.
+func TestEvictionSparesPendingRequests(t *testing.T) {
+	l := listen(t)
+	s := &Server{base: time.Now(), conns: map[*conn]struct{}{}}
+	accept := func(sent string) *conn {
+		client := dial(t, l)
+		accepted, err := l.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { accepted.Close() })
+		client.Write([]byte(sent))
+		c := &conn{Conn: accepted, machine: clientconn.Accepted(-1)}
+		s.conns[c] = struct{}{}
+		return c
+	}
+	silent, pending := accept(""), accept("G")
+	if exchange.Until(pending.requestPending) != "" {
+		t.Fatal("the byte does not arrive")
+	}
+	if got := s.evictionCandidate(time.Now()); got != silent {
+		t.Errorf("candidate %p, want the silent connection %p", got, silent)
+	}
+	delete(s.conns, silent)
+	if got := s.evictionCandidate(time.Now()); got != nil {
+		t.Errorf("candidate %p, want none", got)
+	}
+}
--- a/internal/emulator/faulttest/actions.go
+++ b/internal/emulator/faulttest/actions.go
@@ -83,7 +83,8 @@
 	"keys":     (*action).keys,
 }
 
-// aboutNoNode are the actions that concern no node, even where none is named. Another one without a name is about the holder.
+// aboutNoNode are the actions that concern no node, even where none is named. Another one without a name is about the
+// holder.
 var aboutNoNode = []string{"link", "keys", "voters", "counter", "shift", "server"}
 
 // do does a step, and gives what undoes it.
@@ -292,7 +293,7 @@
 
 func (a *action) give() (undo func(), err error) {
 	return nil, a.each(func(n *node, _ int) error {
-		_, err := call(n.running().Mgmt, "GIVE "+leaseservice.Export+" "+n.name)
+		_, err := call(n.running().Mgmt, "GIVE "+leaseservice.RoleExport+" "+n.name)
 		return err
 	})
 }
--- a/internal/emulator/invariants/handling.go
+++ b/internal/emulator/invariants/handling.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// outcome is what a request's handling shows of the configuration that was in force: the service that ran it, or a refusal.
+// outcome is what a request's handling shows of the configuration that was in force: the service that ran it, or a
+// refusal.
 type outcome struct {
 	service string // empty: it was refused
 	status  int
@@ -17,14 +18,15 @@
 type whole []*Version
 
 // shows tells whether a request is handled so under a choice of versions.
-func (w whole) shows(t *Try, o outcome) bool {
+func (w whole) shows(t *Attempt, o outcome) bool {
 	var route *Route
 	var tenant *Tenant
 	for _, v := range w {
 		if v == nil || v.Dropped {
 			continue
 		}
-		if r := v.Route; r != nil && strings.HasPrefix(t.Target, r.Prefix) && (route == nil || len(r.Prefix) > len(route.Prefix)) {
+		if r := v.Route; r != nil && strings.HasPrefix(t.Target, r.Prefix) &&
+			(route == nil || len(r.Prefix) > len(route.Prefix)) {
 			route = r
 		}
 		if c := v.Tenant; c != nil {
@@ -45,7 +47,7 @@
 }
 
 // bearing is the items that may bear on a request: the routes at its place, and who ever held its key.
-func (j *judge) bearing(t *Try) (items []string) {
+func (j *checker) bearing(t *Attempt) (items []string) {
 	for item, vs := range j.items {
 		if slices.ContainsFunc(vs, func(v *Version) bool {
 			return v.Route != nil && v.Route.Host == t.Host && strings.HasPrefix(t.Target, v.Route.Prefix) ||
@@ -58,9 +60,14 @@
 	return items
 }
 
-// possible tells whether some choice of versions shows the outcome, where each item has a version that allow lets through; and which
-// number is the least that each item has in such a choice.
-func (j *judge) possible(t *Try, o outcome, items []string, allow func(item string, v *Version) bool) (least map[string]uint64, ok bool) {
+// possible tells whether some choice of versions shows the outcome, where each item has a version that allow lets
+// through; and which number is the least that each item has in such a choice.
+func (j *checker) possible(
+	t *Attempt,
+	o outcome,
+	items []string,
+	allow func(item string, v *Version) bool,
+) (least map[string]uint64, ok bool) {
 	least = map[string]uint64{}
 	choice := make(whole, len(items))
 	var try func(n int)
@@ -94,7 +101,7 @@
 
 // handling is one event that shows what was in force on a machine.
 type handling struct {
-	t  *Try
+	t  *Attempt
 	o  outcome
 	at Seconds // it was seen
 }
@@ -106,15 +113,15 @@
 	return fmt.Sprintf("%v, sent at %.3f s and refused with %d", h.t, h.t.Sent, h.o.status)
 }
 
-func (j *judge) handled() (hs []handling) {
+func (j *checker) handled() (hs []handling) {
 	for i := range j.Arrivals {
 		a := &j.Arrivals[i]
 		if t := j.tries[a.ID]; t != nil && a.ran() {
-			hs = append(hs, handling{t, outcome{service: a.Service}, a.Ran})
+			hs = append(hs, handling{t, outcome{service: a.Service}, a.Started})
 		}
 	}
-	for i := range j.Tries {
-		t := &j.Tries[i]
+	for i := range j.Attempts {
+		t := &j.Attempts[i]
 		if t.End == Answered && t.Seal == "" && (t.Status == 401 || t.Status == 403 || t.Status == 404) {
 			hs = append(hs, handling{t, outcome{status: t.Status}, t.Done})
 		}
@@ -130,7 +137,7 @@
 }
 
 // handlings judges ROUTE and CONFIG: late, back, and what must never be in force.
-func (j *judge) handlings() {
+func (j *checker) handlings() {
 	seen := map[string][]shown{} // by machine and item
 	for _, h := range j.handled() {
 		items := j.bearing(h.t)
@@ -142,18 +149,23 @@
 				j.add("CONFIG", h.at, "%v: only what was refused or is invalid allows it", h)
 			} else if h.o.service != "" {
 				j.add("ROUTE", h.at, "%v: no configuration that was sent allows it", h)
-			} else if in, _ := j.touched(h.t.Edge, h.t.Sent, h.at); in {
+			} else if in, _ := j.inContact(h.t.Edge, h.t.Sent, h.at); in {
 				j.add("CONFIG", h.at, "%v: no configuration that was sent says so", h)
 			}
 			continue
 		}
 		if floor, bound := j.due(h); bound {
-			if _, ok := j.possible(h.t, h.o, items, func(item string, v *Version) bool { return proper(item, v) && number(v) >= floor[item] }); !ok {
+			if _, ok := j.possible(
+				h.t,
+				h.o,
+				items,
+				func(item string, v *Version) bool { return proper(item, v) && number(v) >= floor[item] },
+			); !ok {
 				j.add("CONFIG", h.at, "%v: as only a version allows that was overtaken in time (%s)", h, floors(floor))
 			}
 		}
 		key := func(item string) string { return h.t.Edge + " " + item }
-		life := j.life(h.t.Edge, h.t.Sent)
+		life := j.processStart(h.t.Edge, h.t.Sent)
 		floor := map[string]uint64{}
 		for _, item := range items {
 			for _, s := range seen[key(item)] {
@@ -162,7 +174,12 @@
 				}
 			}
 		}
-		if _, ok := j.possible(h.t, h.o, items, func(item string, v *Version) bool { return proper(item, v) && number(v) >= floor[item] }); !ok {
+		if _, ok := j.possible(
+			h.t,
+			h.o,
+			items,
+			func(item string, v *Version) bool { return proper(item, v) && number(v) >= floor[item] },
+		); !ok {
 			j.add("CONFIG", h.at, "%v: the machine went back (%s)", h, floors(floor))
 		}
 		if h.o.service == "" {
@@ -184,8 +201,8 @@
 }
 
 // slack is what a machine that is slowed or was frozen has more of.
-func (j *judge) slack(machine string, at Seconds) Seconds {
-	for _, t := range j.Troubles {
+func (j *checker) slack(machine string, at Seconds) Seconds {
+	for _, t := range j.Faults {
 		if t.Machine == machine && t.From <= at && at <= t.To+j.Bounds.Contact {
 			return 8 * j.Bounds.RevertSlack
 		}
@@ -193,10 +210,10 @@
 	return j.Bounds.RevertSlack
 }
 
-// due is the least version that each item that bears on a request must have had on its machine; bound tells whether the machine is held
-// to it.
-func (j *judge) due(h handling) (floor map[string]uint64, bound bool) {
-	in, stretched := j.touched(h.t.Edge, h.t.Sent, h.at)
+// due is the least version that each item that bears on a request must have had on its machine; bound tells whether
+// the machine is held to it.
+func (j *checker) due(h handling) (floor map[string]uint64, bound bool) {
+	in, stretched := j.inContact(h.t.Edge, h.t.Sent, h.at)
 	late := j.Bounds.ConfigApply
 	if !in {
 		late += j.Bounds.MaxStretch
@@ -215,8 +232,9 @@
 	return floor, true
 }
 
-// proper tells whether every configuration that may be in force while a request is on its way has its route and its key.
-func (j *judge) proper(t *Try) bool {
+// proper tells whether every configuration that may be in force while a request is on its way has its route and its
+// key.
+func (j *checker) proper(t *Attempt) bool {
 	items := j.bearing(t)
 	floor := map[string]uint64{}
 	for _, item := range items {
--- a/internal/emulator/loopback/process.go
+++ b/internal/emulator/loopback/process.go
@@ -23,13 +23,14 @@
 	done    chan struct{} // closed once this life has ended
 	asked   bool          // this life was told to end
 	hold    bool          // it is not to be started again
-	lives   int
+	starts  int
 	cpu     time.Duration // of lives that ended
 	peak    int64         // bytes, the most of any life
 	running bool
 }
 
-// launcher starts processes from one thread that lives as long as they: the kernel ends them with it (Pdeathsig), however it dies.
+// launcher starts processes from one thread that lives as long as they: the kernel ends them with it (Pdeathsig),
+// however it dies.
 type launcher struct {
 	calls chan func()
 	over  sync.WaitGroup
@@ -75,8 +76,13 @@
 	}
 	cmd := exec.Command(filepath.Join(p.m.f.o.Bin, p.program), args...)
 	cmd.Dir = p.m.dir
-	cmd.Env = []string{"MULLEINROUTER_CONFIG=" + p.m.settingsPath(p.program), "PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), "LANG=C",
-		"GORACE=halt_on_error=1"} // for programs that have the race detector in them: a race ends the process
+	cmd.Env = []string{
+		"MULLEINROUTER_CONFIG=" + p.m.settingsPath(p.program),
+		"PATH=" + os.Getenv("PATH"),
+		"HOME=" + os.Getenv("HOME"),
+		"LANG=C",
+		"GORACE=halt_on_error=1",
+	} // for programs that have the race detector in them: a race ends the process
 	cmd.Stdout, cmd.Stderr = log, log
 	// A group of its own: an interrupt from the terminal is for us to pass on.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
@@ -84,9 +90,9 @@
 		return fmt.Errorf("%s on %s: %w", p.program, p.m.name, err)
 	}
 	p.cmd, p.done, p.asked, p.hold, p.running = cmd, make(chan struct{}), false, false, true
-	p.lives++
+	p.starts++
 	if !p.m.core {
-		p.m.f.ledger.life(p.m.name, p.m.f.now())
+		p.m.f.recorder.processStart(p.m.name, p.m.f.now())
 	}
 	go p.attend(cmd, p.done)
 	return nil
@@ -106,7 +112,7 @@
 	if asked || hold {
 		return
 	}
-	p.m.f.ledger.ownEnd(p.program+" on "+p.m.name, p.m.f.now(), fmt.Sprintf("%v: %s", err, p.logEnd()))
+	p.m.f.recorder.exit(p.program+" on "+p.m.name, p.m.f.now(), fmt.Sprintf("%v: %s", err, p.logEnd()))
 	select {
 	case <-p.m.f.ctx.Done():
 	case <-time.After(comeBack):
@@ -169,7 +175,7 @@
 		c, m := measured(p.cmd.Process.Pid)
 		cpu, peak = cpu+c, max(peak, m)
 	}
-	return cpu, peak, p.lives
+	return cpu, peak, p.starts
 }
 
 // measured reads from /proc what a process used: processor time, and the most memory that was resident.
--- a/internal/emulator/loopback/report.go
+++ b/internal/emulator/loopback/report.go
@@ -14,7 +14,7 @@
 
 // Report is what a play came to.
 type Report struct {
-	Breaches []invariants.Breach
+	Breaches []invariants.Violation
 	Rows     []Row
 	Used     []Used
 	Notes    []string
@@ -57,18 +57,18 @@
 
 // judge adds what needs the whole log.
 func (r *Report) judge(f *cluster) {
-	l := f.ledger.whole()
+	l := f.recorder.snapshot()
 	l.Bounds = f.o.Bounds
 	for _, m := range f.edge {
 		l.Edges = append(l.Edges, m.name)
 	}
-	r.Breaches = invariants.Judge(l)
+	r.Breaches = invariants.Check(l)
 	r.Arrivals, r.Probes = len(l.Arrivals), f.probes.Load()
 	r.AckP99 = part(f.ackTimes.list, 0.99)
-	r.Notes, r.Answers = f.ledger.notes, f.answers
+	r.Notes, r.Answers = f.recorder.notes, f.answers
 	rows := map[string]*Row{}
 	times := map[string][]float64{}
-	for _, t := range l.Tries {
+	for _, t := range l.Attempts {
 		if t.Probe || !t.Last {
 			continue
 		}
@@ -78,12 +78,12 @@
 			rows[t.Class] = row
 		}
 		row.Requests++
-		switch took := t.Done - t.Began; {
+		switch took := t.Done - t.FirstSent; {
 		case t.End != invariants.Answered:
 			row.Failed[t.End.String()]++
 		case t.Status/100 == 2:
 			row.Served++
-			if took <= t.Aim {
+			if took <= t.LatencyTarget {
 				row.InTime++
 			}
 			times[t.Class] = append(times[t.Class], took)
@@ -111,15 +111,31 @@
 		for _, how := range slices.Sorted(maps.Keys(row.Failed)) {
 			failed += fmt.Sprintf("%s %d ", how, row.Failed[how])
 		}
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%s\t%.0f\t%.0f\n", row.Class, row.Requests, row.Served, row.InTime, row.Refused, cmp.Or(failed, "-"),
-			1000*row.P50, 1000*row.P99)
+		fmt.Fprintf(
+			t,
+			"%s\t%d\t%d\t%d\t%d\t%s\t%.0f\t%.0f\n",
+			row.Class,
+			row.Requests,
+			row.Served,
+			row.InTime,
+			row.Refused,
+			cmp.Or(failed, "-"),
+			1000*row.P50,
+			1000*row.P99,
+		)
 	}
 	fmt.Fprintln(t, "\nprocess\tCPU ms\tpeak MB\tlives")
 	for _, u := range r.Used {
 		fmt.Fprintf(t, "%s\t%d\t%.1f\t%d\n", u.Process, u.CPU.Milliseconds(), float64(u.Peak)/(1<<20), u.Lives)
 	}
 	t.Flush()
-	fmt.Fprintf(w, "\n%d arrivals at servers, %d probes of health, operator's calls p99 %.0f ms\n", r.Arrivals, r.Probes, 1000*r.AckP99)
+	fmt.Fprintf(
+		w,
+		"\n%d arrivals at servers, %d probes of health, operator's calls p99 %.0f ms\n",
+		r.Arrivals,
+		r.Probes,
+		1000*r.AckP99,
+	)
 	for _, text := range slices.Sorted(maps.Keys(r.Answers)) {
 		fmt.Fprintf(w, "%d times an answer of the system's own: %s\n", r.Answers[text], text)
 	}
--- a/internal/emulator/modelcheck/events.go
+++ b/internal/emulator/modelcheck/events.go
@@ -17,12 +17,56 @@
 
 // alphabet is every kind of event, for the share of pairs that a run has covered. The names of events begin with these.
 var alphabet = []string{
-	"up", "server-breaks-upload", "leaves-upload", "early-200", "early-500", "early-503-not-processed",
-	"200", "200-and-close", "200-and-more", "500", "503-not-processed", "504-not-processed", "503", "interim", "spoilt",
-	"breaks", "breaks-early", "speaks-early", "last-byte", "time-out", "cancel-lands", "leaves", "retries",
-	"connects", "refuses-late", "drains", "gone", "address-taken", "refuses", "forgets", "list-again",
-	"timer", "time", "impatient", "other-answer", "503-unnamed", "200-long", "stream-whole", "stream-more", "stream-cut", "stream-left",
-	"goes-out", "breaks-in-send", "counted", "count-busy", "count-late", "count-no-number", "plan", "sigterm", "patience",
+	"up",
+	"server-breaks-upload",
+	"leaves-upload",
+	"early-200",
+	"early-500",
+	"early-503-not-processed",
+	"200",
+	"200-and-close",
+	"200-and-more",
+	"500",
+	"503-not-processed",
+	"504-not-processed",
+	"503",
+	"interim",
+	"spoilt",
+	"breaks",
+	"breaks-early",
+	"speaks-early",
+	"last-byte",
+	"time-out",
+	"cancel-lands",
+	"leaves",
+	"retries",
+	"connects",
+	"refuses-late",
+	"drains",
+	"gone",
+	"address-taken",
+	"refuses",
+	"forgets",
+	"list-again",
+	"timer",
+	"time",
+	"impatient",
+	"other-answer",
+	"503-unnamed",
+	"200-long",
+	"stream-whole",
+	"stream-more",
+	"stream-cut",
+	"stream-left",
+	"goes-out",
+	"breaks-in-send",
+	"counted",
+	"count-busy",
+	"count-late",
+	"count-no-number",
+	"plan",
+	"sigterm",
+	"patience",
 }
 
 // Events are those that may happen now, in a fixed order.
@@ -37,7 +81,8 @@
 			for _, e := range []struct {
 				name        string
 				whole, more bool
-			}{{"stream-whole", true, false}, {"stream-more", true, true}, {"stream-cut", false, false}, {"stream-left", false, false}} {
+			}{{"stream-whole", true, false}, {"stream-more", true, true}, {"stream-cut", false, false},
+				{"stream-left", false, false}} {
 				add(e.name+id, func(w *World) { w.streamed(w.clients[i], e.whole, e.more) })
 			}
 		}
@@ -45,7 +90,7 @@
 			add("leaves"+id, func(w *World) {
 				c := w.clients[i]
 				c.gone = true
-				w.do(w.desk.ClientGone(w.now, c.request))
+				w.do(w.dispatcher.ClientDisconnected(w.now, c.request))
 			})
 		}
 		if c.finished && !c.retried && (c.status == "refused" || c.gone) && !w.draining && len(w.clients) < 3 {
@@ -85,9 +130,9 @@
 		if !s.down {
 			add("refuses"+id, func(w *World) { w.servers[i].down = true })
 		}
-		if k, ok := w.shelf.Last(s.id); ok && !k.spoilt {
+		if k, ok := w.idlePool.Peek(s.id); ok && !k.spoilt {
 			add("forgets"+id, func(w *World) {
-				if k, ok := w.shelf.Last(w.servers[i].id); ok {
+				if k, ok := w.idlePool.Peek(w.servers[i].id); ok {
 					k.spoilt = true
 				}
 			})
@@ -105,24 +150,25 @@
 			name    string
 			outcome decision.Outcome
 			total   float64
-		}{{"counted", decision.Succeeded, 3}, {"count-busy", decision.Rejected, 0}, {"count-late", decision.TimedOut, 0}, {"count-no-number", decision.Failed, 0}} {
+		}{{"counted", decision.Succeeded, 3}, {"count-busy", decision.Rejected, 0}, {"count-late", decision.TimedOut, 0},
+			{"count-no-number", decision.Failed, 0}} {
 			add(a.name, func(w *World) {
 				name := w.counts[0]
 				w.counts = w.counts[1:]
 				w.sum += a.total
-				w.do(w.desk.Handle(w.now, decision.CounterReply{Name: name, Outcome: a.outcome, Total: w.sum}))
+				w.do(w.dispatcher.Handle(w.now, decision.CounterReply{Name: name, Outcome: a.outcome, Total: w.sum}))
 			})
 		}
 	}
 	add("plan", func(w *World) {
 		w.plan = 1 - w.plan
 		p := planTable[w.plan]
-		w.do(w.desk.Handle(w.now, decision.Terms{Customer: "m", Plan: p, Tag: p.Tag()}))
+		w.do(w.dispatcher.Handle(w.now, decision.Terms{Customer: "m", Plan: p, Tag: p.Tag()}))
 	})
 	if !w.draining {
 		add("sigterm", func(w *World) {
 			w.draining = true
-			w.desk.ExpectDisruption(math.Inf(1))
+			w.dispatcher.ExpectDisruption(math.Inf(1))
 		})
 	} else if !w.halted {
 		add("patience", func(w *World) { // every attempt that is out, or will be, is given up
@@ -166,7 +212,7 @@
 			w.goesOut(t)
 			if t.client.long {
 				t.stage = uploading
-				w.desk.ConsumeBody(t.client.request)
+				w.dispatcher.ConsumeBody(t.client.request)
 				return
 			}
 			w.written(t)
@@ -189,7 +235,13 @@
 		on("breaks-in-send", func(w *World, t *try, k *conn) {
 			k.spoilt = true
 			w.memory.Record(t.backend, w.now)
-			w.finish(t, k, k.FailedWriting(map[bool]upstreamconn.Failure{false: upstreamconn.ConnectionLost, true: upstreamconn.Cancelled}[t.cancelled]))
+			w.finish(
+				t,
+				k,
+				k.FailedWriting(
+					map[bool]upstreamconn.Failure{false: upstreamconn.ConnectionLost, true: upstreamconn.Cancelled}[t.cancelled],
+				),
+			)
 		})
 		return
 	}
@@ -207,12 +259,16 @@
 		name   string
 		answer upstreamconn.Answer
 	}{
-		{"200", upstreamconn.Answer{Status: 200}}, {"200-and-close", upstreamconn.Answer{Status: 200, Close: true}}, {"200-and-more", upstreamconn.Answer{Status: 200, More: true}},
-		{"500", upstreamconn.Answer{Status: 500}}, {"503-not-processed", upstreamconn.Answer{Status: 503, NotProcessed: true}},
-		{"504-not-processed", upstreamconn.Answer{Status: 504, NotProcessed: true}}, {"503", upstreamconn.Answer{Status: 503}},
+		{"200", upstreamconn.Answer{Status: 200}}, {"200-and-close", upstreamconn.Answer{Status: 200, Close: true}},
+		{"200-and-more", upstreamconn.Answer{Status: 200, TrailingBytes: true}},
+		{"500", upstreamconn.Answer{Status: 500}},
+		{"503-not-processed", upstreamconn.Answer{Status: 503, NotProcessed: true}},
+		{"504-not-processed", upstreamconn.Answer{Status: 504, NotProcessed: true}},
+		{"503", upstreamconn.Answer{Status: 503}},
 	} {
 		on(a.name, func(w *World, t *try, k *conn) {
-			k.spoilt = k.spoilt || a.answer.Close || a.answer.More || t.cancelled // a deadline that may be changed at any time
+			// a deadline that may be changed at any time
+			k.spoilt = k.spoilt || a.answer.Close || a.answer.TrailingBytes || t.cancelled
 			k.refused = a.answer.NotProcessed
 			if a.answer.NotProcessed {
 				t.client.mayRun-- // it never ran
@@ -259,7 +315,8 @@
 		w.finish(t, k, k.BeginStreaming(upstreamconn.Answer{Status: 200}, t.cancelled))
 	})
 	on("other-answer", func(w *World, t *try, k *conn) { // a copy of the answer before stands in this one's place
-		if k.refused && (k.unnamed || k.before == t.client) { // by its name, or for want of one, it cannot be told from this one's
+		// by its name, or for want of one, it cannot be told from this one's
+		if k.refused && (k.unnamed || k.before == t.client) {
 			k.spoilt = true
 			w.finish(t, k, k.Answered(upstreamconn.Answer{Status: 503, NotProcessed: true}, t.cancelled))
 			return
@@ -280,18 +337,25 @@
 	on("server-breaks-upload", func(w *World, t *try, k *conn) {
 		k.spoilt = true
 		w.memory.Record(t.backend, w.now)
-		w.finish(t, k, k.FailedWriting(map[bool]upstreamconn.Failure{false: upstreamconn.ConnectionLost, true: upstreamconn.Cancelled}[t.cancelled]))
+		w.finish(
+			t,
+			k,
+			k.FailedWriting(
+				map[bool]upstreamconn.Failure{false: upstreamconn.ConnectionLost, true: upstreamconn.Cancelled}[t.cancelled],
+			),
+		)
 	})
 	on("leaves-upload", func(w *World, t *try, k *conn) { // it stalls, or leaves: nobody waits for the answer
 		c := t.client
 		k.spoilt, c.gone, t.cancelled = true, true, true
-		w.do(w.desk.ClientGone(w.now, c.request))
+		w.do(w.dispatcher.ClientDisconnected(w.now, c.request))
 		w.finish(t, k, k.FailedWriting(upstreamconn.Cancelled))
 	})
 	for _, a := range []struct {
 		name   string
 		answer upstreamconn.Answer
-	}{{"early-200", upstreamconn.Answer{Status: 200}}, {"early-500", upstreamconn.Answer{Status: 500}}, {"early-503-not-processed", upstreamconn.Answer{Status: 503, NotProcessed: true}}} {
+	}{{"early-200", upstreamconn.Answer{Status: 200}}, {"early-500", upstreamconn.Answer{Status: 500}},
+		{"early-503-not-processed", upstreamconn.Answer{Status: 503, NotProcessed: true}}} {
 		on(a.name, func(w *World, t *try, k *conn) {
 			k.spoilt = true // half a request is on it
 			if !a.answer.NotProcessed {
--- a/internal/emulator/modelcheck/explore.go
+++ b/internal/emulator/modelcheck/explore.go
@@ -38,20 +38,26 @@
 
 // String is the trace as a text file that Replay reads.
 func (t *Trace) String() string {
-	return fmt.Sprintf("# %s: %s\nworld %v\n%s\n", t.Violation.Property, t.Violation.Text, t.Config, strings.Join(t.Events, "\n"))
+	return fmt.Sprintf(
+		"# %s: %s\nworld %v\n%s\n",
+		t.Violation.Property,
+		t.Violation.Text,
+		t.Config,
+		strings.Join(t.Events, "\n"),
+	)
 }
 
 // Configs are all the small worlds.
 func Configs() (all []Config) {
 	for _, servers := range []int{1, 2} {
 		for bits := range 8 {
-			base := Config{Servers: servers, Kept: bits&1 != 0, Thin: bits&2 != 0, Full: bits&4 != 0}
+			base := Config{Servers: servers, Kept: bits&1 != 0, Sparse: bits&2 != 0, Full: bits&4 != 0}
 			for _, send := range []bool{false, true} {
 				one := base
 				one.Send[0] = send
 				all = append(all, one)
 			}
-			if !base.Thin { // two requests at once: the connection and the desk are what they share
+			if !base.Sparse { // two requests at once: the connection and the desk are what they share
 				for _, pair := range [][2]bool{{false, true}, {true, true}} {
 					two := base
 					two.Two, two.Send = true, pair
@@ -165,11 +171,20 @@
 		}()
 	}
 	wg.Wait()
-	r := &Result{Orderings: x.orderings.Load(), Steps: x.steps.Load(), States: len(x.states), Pairs: len(x.pairs), AllPairs: len(alphabet) * len(alphabet)}
+	r := &Result{
+		Orderings: x.orderings.Load(),
+		Steps:     x.steps.Load(),
+		States:    len(x.states),
+		Pairs:     len(x.pairs),
+		AllPairs:  len(alphabet) * len(alphabet),
+	}
 	for _, t := range x.found {
 		r.Violations = append(r.Violations, Minimize(t))
 	}
-	slices.SortFunc(r.Violations, func(a, b *Trace) int { return strings.Compare(a.Violation.Property, b.Violation.Property) })
+	slices.SortFunc(
+		r.Violations,
+		func(a, b *Trace) int { return strings.Compare(a.Violation.Property, b.Violation.Property) },
+	)
 	return r
 }
 
--- a/internal/standalone/cli/serve.go
+++ b/internal/standalone/cli/serve.go
@@ -37,7 +37,7 @@
 
 	load, reload := config.Load, config.Reload
 	if s.Config != "" {
-		load = func(func(string) string) (*config.Config, error) { return config.File(s.Config) }
+		load = func(func(string) string) (*config.Config, error) { return config.LoadFile(s.Config) }
 		reload = load
 	}
 	c, err := load(os.Getenv)
@@ -45,7 +45,7 @@
 		return badFile{err}
 	}
 	if s.Rehearsal != "" {
-		if c.Rehearsed, err = faultinjection.Follow(s.Rehearsal); err != nil {
+		if c.FaultInjection, err = faultinjection.Follow(s.Rehearsal); err != nil {
 			return badFile{err}
 		}
 	}
@@ -82,7 +82,7 @@
 			err = fmt.Errorf("%s: %w", cmp.Or(os.Getenv("NODE_CONFIG"), "the configuration"), err)
 		}
 	}
-	n.Reloaded(err == nil)
+	n.CountReload(err == nil)
 	if err != nil {
 		logger.WithField("code", "process-reload-failed").WithError(err).Error("the configuration stays as it was")
 		return
@@ -156,7 +156,7 @@
 			return ""
 		})
 	} else {
-		read, err = config.File(c.File)
+		read, err = config.LoadFile(c.File)
 	}
 	if err != nil {
 		return badFile{err}
--- a/internal/standalone/plans/digest_test.go
+++ b/internal/standalone/plans/digest_test.go
@@ -6,8 +6,8 @@
 	"mulleinrouter/internal/decision"
 )
 
-// Ingresses of different versions compare digests and tags, so neither may follow a renamed field. The values are those of
-// version 76a3bb5.
+// Ingresses of different versions compare digests and tags, so neither may follow a renamed field. The values are
+// those of version 76a3bb5.
 func TestDigestAndTagsAsInEarlierVersions(t *testing.T) {
 	plus := decision.Plan{
 		Name: "plus", Rate: 10.25, Burst: 20, MaxInFlight: 3, ValueWeight: 2.5,
@@ -15,7 +15,7 @@
 	}
 	basic := decision.Plan{Name: "basic", Rate: 1, Burst: 2}
 	r := Revision{
-		Number: 7, Holds: 1764691200.5, Bookable: 12.5,
+		Number: 7, Holds: 1764691200.5, BookableRate: 12.5,
 		Plans:   []decision.Plan{plus, basic},
 		Members: map[string]string{"m1": "plus", "m2": "basic"},
 		Bookings: []Booking{
