--- a/internal/decision/handover_test.go
+++ b/internal/decision/handover_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// upgraded simulates three gateways of a customer for a while, then ten seconds more in which the first is
+// runUpgrade simulates three gateways of a customer for a while, then ten seconds more in which the first is
 // two processes, with the younger one joined by a function. It returns what was forwarded in these.
 func runUpgrade(
 	t *testing.T, plan Plan, demand float64, join func(f *customerFleet, old, young *Gateway),
@@ -32,7 +32,7 @@
 	return f.sent - before, f
 }
 
-// younger is a process that has just started and heard the list.
+// newProcess is a process that has just started and received the endpoint list.
 func newProcess(f *customerFleet, s Settings, seed uint64, list ...Backend) *Gateway {
 	g := New(s, seed)
 	g.Handle(f.now, Start{})
@@ -52,7 +52,7 @@
 		name   string
 		plan   Plan
 		demand float64
-	}{{"quota", quota, 90}, {"ceiling", hard, 90}, {"inside the quota", quota, 20}} {
+	}{{"quota", quota, 90}, {"rate limit", hard, 90}, {"within the quota", quota, 20}} {
 		t.Run(tc.name, func(t *testing.T) {
 			one, _ := runUpgrade(t, tc.plan, tc.demand, nil)
 			pair, _ := runUpgrade(t, tc.plan, tc.demand, func(f *customerFleet, old, young *Gateway) {
@@ -64,12 +64,14 @@
 				}
 			})
 			strangers, _ := runUpgrade(t, tc.plan, tc.demand, func(f *customerFleet, old, young *Gateway) {})
-			t.Logf("sent on in 10 s: one process %.0f, a pair %.0f, two strangers %.0f", one, pair, strangers)
+			t.Logf(
+				"forwarded in 10 s: one process %.0f, a pair %.0f, two strangers %.0f", one, pair, strangers,
+			)
 			if pair > 1.1*one || pair < 0.85*one {
-				t.Errorf("the pair sent on %.0f, one process %.0f", pair, one)
+				t.Errorf("the pair forwarded %.0f, one process %.0f", pair, one)
 			}
 			if tc.name == "quota" && strangers < 1.1*one {
-				t.Errorf("strangers sent on %.0f, one process %.0f: the test cannot fail", strangers, one)
+				t.Errorf("strangers forwarded %.0f, one process %.0f: the test cannot fail", strangers, one)
 			}
 		})
 	}
@@ -104,7 +106,7 @@
 		{"10 s later", 10, func(*Knowledge) {}, 1, begin + (40-begin)/math.E},
 		{"an hour later", 3600, func(*Knowledge) {}, 0, begin},
 		{"by a clock that went back", -60, func(*Knowledge) {}, 0, begin},
-		{"of an impossible store", 0, func(k *Knowledge) { k.Customers[0].Tokens = -1 }, 0, 40},
+		{"of an impossible bucket", 0, func(k *Knowledge) { k.Customers[0].Tokens = -1 }, 0, 40},
 		{
 			"of a server that is gone", 0,
 			func(k *Knowledge) { k.Backends[0].ID, k.Backends[1].ID = "gone", "left" }, 1, begin,
@@ -140,7 +142,7 @@
 	}
 }
 
-// A customer whose bucket is below nothing, as its requests turned out larger than guessed, has no full one
+// A customer whose bucket is overdrawn, as its requests turned out larger than guessed, has no full one
 // at the newer process.
 func TestOverdrawnBucketIsHandedOverEmpty(t *testing.T) {
 	plan := Plan{Name: "q", Rate: 30, Burst: 60, ValueWeight: 1, ExcessCost: 1}
@@ -155,6 +157,6 @@
 	}
 	here, there := old.customers["c"].bucket.tokens, g.customers["c"].bucket.tokens
 	if here != -4 || there != 0 {
-		t.Errorf("stores of %v here and %v at the newer process, want -4 and 0", here, there)
+		t.Errorf("buckets of %v here and %v at the newer process, want -4 and 0", here, there)
 	}
 }
--- a/internal/emulator/faulttest/customers.go
+++ b/internal/emulator/faulttest/customers.go
@@ -168,7 +168,7 @@
 				process.Mgmt,
 				"STATE -",
 			); err != nil || len(lines) == 0 || jsontext.Decode([]byte(lines[0]), &r) != nil ||
-				len(r.Warned) == 0 {
+				len(r.WarnedServers) == 0 {
 				continue
 			}
 			p.mu.Lock()
--- a/internal/standalone/state/golden_test.go
+++ b/internal/standalone/state/golden_test.go
@@ -24,10 +24,10 @@
 }
 
 func goldenRecords() (running, leaving handover.Record) {
-	running = handover.New(7, 1740000000.25).Turn(1740000000.75, nil).Own
+	running = handover.New(7, 1740000000.25).Heartbeat(1740000000.75, nil).Own
 	secondary := handover.New(8, 1740000001.25)
 	secondary.Leave()
-	return running, secondary.Turn(1740000001.5, []handover.Record{running}).Own
+	return running, secondary.Heartbeat(1740000001.5, []handover.Record{running}).Own
 }
 
 func goldenFleet() gossip.Record {
@@ -36,13 +36,13 @@
 		Members: []membership.Member{
 			{
 				Name: "n1", Addr: "10.0.0.4:7946", Zone: "a", Version: "v1",
-				Claim: membership.Claim{Boot: 12, Nonce: 1<<63 - 3},
-				Phase: membership.Serving, Number: 0,
+				Incarnation: membership.Incarnation{Boot: 12, Nonce: 1<<63 - 3},
+				Phase:       membership.Serving, Number: 0,
 			},
 			{
 				Name: "n2", Addr: "10.0.0.5:7946", Zone: "b", Version: "v2",
-				Claim: membership.Claim{Boot: 3, Nonce: 99},
-				Phase: membership.LameDuck, Number: 1,
+				Incarnation: membership.Incarnation{Boot: 3, Nonce: 99},
+				Phase:       membership.LameDuck, Number: 1,
 			},
 		},
 	}
