--- a/internal/decision/helpers_test.go
+++ b/internal/decision/helpers_test.go
@@ -66,9 +66,9 @@
 // packedCounter is a model of the counter service.
 type packedCounter map[string]float64
 
-func (m packedCounter) add(c CounterCall) CounterReply {
-	m[c.Name] += c.Add
-	return CounterReply{Name: c.Name, Outcome: Succeeded, Total: m[c.Name]}
+func (pc packedCounter) add(c CounterCall) CounterReply {
+	pc[c.Name] += c.Add
+	return CounterReply{Name: c.Name, Outcome: Succeeded, Total: pc[c.Name]}
 }
 
 // newTestFleet starts n gateways that share m backends.
--- a/internal/decision/quota_grants_test.go
+++ b/internal/decision/quota_grants_test.go
@@ -35,29 +35,31 @@
 	return h
 }
 
-func (h *grantedGateway) handle(e Event) {
-	for _, a := range h.g.Handle(h.now, e) {
+func (gg *grantedGateway) handle(e Event) {
+	for _, a := range gg.g.Handle(gg.now, e) {
 		if s, ok := a.(Send); ok {
-			h.sent++
-			h.handle(AttemptEnded{
+			gg.sent++
+			gg.handle(AttemptEnded{
 				ID: s.ID, Backend: s.Backend, Outcome: Succeeded, Duration: 0.001, Answered: true,
 			})
 		}
 	}
 }
 
-func (h *grantedGateway) run(seconds Seconds) float64 {
-	h.sent = 0
+func (gg *grantedGateway) run(seconds Seconds) float64 {
+	gg.sent = 0
 	for i := range int(seconds * 100) {
-		h.now += 0.01
-		h.id++
-		h.handle(Request{ID: h.id, Class: "c", Plan: "p", Customer: "m", TimeLeft: 2, Units: 1, Gateways: 4})
+		gg.now += 0.01
+		gg.id++
+		gg.handle(Request{
+			ID: gg.id, Class: "c", Plan: "p", Customer: "m", TimeLeft: 2, Units: 1, Gateways: 4,
+		})
 		if i%5 == 0 {
-			h.handle(Timer{"tick"})
-			h.g.ReapplyGrants(h.now)
+			gg.handle(Timer{"tick"})
+			gg.g.ReapplyGrants(gg.now)
 		}
 	}
-	return h.sent / seconds
+	return gg.sent / seconds
 }
 
 // A grant goes before what the gateway computes, until it expires; after that the gateway has what it
--- a/internal/decision/rate_limits_test.go
+++ b/internal/decision/rate_limits_test.go
@@ -35,10 +35,10 @@
 	tokens, sent float64
 }
 
-func (s *referenceBucket) admit(p Plan, now Seconds, units float64) {
-	s.tokens, s.at = min(p.Burst, s.tokens+p.Rate*(now-s.at)), now
-	if s.tokens >= units {
-		s.tokens, s.sent = s.tokens-units, s.sent+units
+func (rb *referenceBucket) admit(p Plan, now Seconds, units float64) {
+	rb.tokens, rb.at = min(p.Burst, rb.tokens+p.Rate*(now-rb.at)), now
+	if rb.tokens >= units {
+		rb.tokens, rb.sent = rb.tokens-units, rb.sent+units
 	}
 }
 
@@ -67,13 +67,13 @@
 }
 
 // start starts a gateway; one that runs is killed before.
-func (c *limitedFleet) start(i int) {
-	s := c.settings
+func (f *limitedFleet) start(i int) {
+	s := f.settings
 	s.Index = i
-	c.gateways[i] = New(s, c.rng.Uint64())
-	c.gateways[i].Handle(c.now, Start{})
-	c.gateways[i].Handle(
-		c.now,
+	f.gateways[i] = New(s, f.rng.Uint64())
+	f.gateways[i].Handle(f.now, Start{})
+	f.gateways[i].Handle(
+		f.now,
 		Backends{
 			Complete: true,
 			List:     []Backend{servingBackend("x"), servingBackend("y"), servingBackend("z")},
@@ -81,33 +81,33 @@
 	)
 }
 
-func (c *limitedFleet) perform(i int, actions []Action) {
+func (f *limitedFleet) perform(i int, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case CounterCall:
-			if c.counterSilent {
-				c.replies = append(
-					c.replies,
+			if f.counterSilent {
+				f.replies = append(
+					f.replies,
 					delayedReply{
-						c.now + c.settings.CounterTimeout, i, CounterReply{Name: a.Name, Outcome: TimedOut},
+						f.now + f.settings.CounterTimeout, i, CounterReply{Name: a.Name, Outcome: TimedOut},
 					},
 				)
 			} else {
-				c.replies = append(
-					c.replies, delayedReply{c.now + c.maxReplyDelay*c.rng.Float64(), i, c.counter.add(a)},
+				f.replies = append(
+					f.replies, delayedReply{f.now + f.maxReplyDelay*f.rng.Float64(), i, f.counter.add(a)},
 				)
 			}
 		case Send:
-			r := c.requests[a.ID]
-			c.sentUnits[r.Class] += r.Units
-			c.largestUnits = max(c.largestUnits, r.Units)
-			c.limitTokens -= r.Units
-			c.minLimitTokens = min(c.minLimitTokens, c.limitTokens)
-			c.perform(
+			r := f.requests[a.ID]
+			f.sentUnits[r.Class] += r.Units
+			f.largestUnits = max(f.largestUnits, r.Units)
+			f.limitTokens -= r.Units
+			f.minLimitTokens = min(f.minLimitTokens, f.limitTokens)
+			f.perform(
 				i,
-				c.gateways[i].Handle(c.now, AttemptEnded{
+				f.gateways[i].Handle(f.now, AttemptEnded{
 					ID: a.ID, Backend: a.Backend, Attempt: 0, Outcome: Succeeded, Duration: 0.01,
-					Answered: true, Units: c.settledUnits(r.Units),
+					Answered: true, Units: f.settledUnits(r.Units),
 				}),
 			)
 		}
@@ -115,56 +115,56 @@
 }
 
 // totalUnits is what was forwarded, in units.
-func (c *limitedFleet) totalUnits() (sum float64) {
-	for _, units := range c.sentUnits {
+func (f *limitedFleet) totalUnits() (sum float64) {
+	for _, units := range f.sentUnits {
 		sum += units
 	}
 	return sum
 }
 
 // settledUnits is what a request of a guessed size turns out to count: the same on average.
-func (c *limitedFleet) settledUnits(guess float64) float64 {
-	if guess == 1 || guess == c.settings.MaxUnits {
+func (f *limitedFleet) settledUnits(guess float64) float64 {
+	if guess == 1 || guess == f.settings.MaxUnits {
 		return guess
 	}
-	return guess + float64(c.rng.IntN(3)-1)
+	return guess + float64(f.rng.IntN(3)-1)
 }
 
 // run has the customer ask so many units a second for a while: this part of it at one gateway, the rest
 // evenly.
-func (c *limitedFleet) run(span Seconds, units, crowd float64) {
-	p := c.settings.Plans[0]
-	for until := c.now + span; c.now < until; {
-		before := c.now
-		c.now += 0.05
-		c.limitTokens = min(p.LimitBurst, c.limitTokens+p.LimitRate*(c.now-before))
-		due := c.replies
-		c.replies = nil
+func (f *limitedFleet) run(span Seconds, units, crowd float64) {
+	p := f.settings.Plans[0]
+	for until := f.now + span; f.now < until; {
+		before := f.now
+		f.now += 0.05
+		f.limitTokens = min(p.LimitBurst, f.limitTokens+p.LimitRate*(f.now-before))
+		due := f.replies
+		f.replies = nil
 		for _, d := range due {
-			if d.dueAt > c.now {
-				c.replies = append(c.replies, d)
+			if d.dueAt > f.now {
+				f.replies = append(f.replies, d)
 			} else {
-				c.perform(d.gateway, c.gateways[d.gateway].Handle(c.now, d.CounterReply))
+				f.perform(d.gateway, f.gateways[d.gateway].Handle(f.now, d.CounterReply))
 			}
 		}
-		for i, g := range c.gateways {
-			c.perform(i, g.Handle(c.now, Timer{"tick"}))
+		for i, g := range f.gateways {
+			f.perform(i, g.Handle(f.now, Timer{"tick"}))
 		}
-		for c.nextRequestAt = max(
-			c.nextRequestAt, before,
-		); c.nextRequestAt < c.now; c.nextRequestAt += 3.5 / units * c.rng.ExpFloat64() {
-			i := c.rng.IntN(len(c.gateways))
-			if c.rng.Float64() < crowd {
+		for f.nextRequestAt = max(
+			f.nextRequestAt, before,
+		); f.nextRequestAt < f.now; f.nextRequestAt += 3.5 / units * f.rng.ExpFloat64() {
+			i := f.rng.IntN(len(f.gateways))
+			if f.rng.Float64() < crowd {
 				i = 0
 			}
-			c.id++
+			f.id++
 			r := Request{
-				ID: c.id, Class: []string{"safe", "keyed"}[c.rng.IntN(2)], Plan: p.Name, Customer: "c",
-				TimeLeft: 6, Units: float64(1 + c.rng.IntN(6)), Gateways: len(c.gateways),
+				ID: f.id, Class: []string{"safe", "keyed"}[f.rng.IntN(2)], Plan: p.Name, Customer: "c",
+				TimeLeft: 6, Units: float64(1 + f.rng.IntN(6)), Gateways: len(f.gateways),
 			}
-			c.requests[r.ID] = r
-			c.reference.admit(p, c.now, r.Units)
-			c.perform(i, c.gateways[i].Handle(c.now, r))
+			f.requests[r.ID] = r
+			f.reference.admit(p, f.now, r.Units)
+			f.perform(i, f.gateways[i].Handle(f.now, r))
 		}
 	}
 }
