--- a/internal/standalone/node/fleetcalls.go
+++ b/internal/standalone/node/fleetcalls.go
@@ -37,7 +37,7 @@
 		}
 		return jsonAnswer(n.quotaSync.Report(arguments))
 	case "TURN": // whether this ingress may be restarted now
-		return n.fleet.Turn(), nil
+		return n.fleet.RestartAllowed(), nil
 	default:
 		return false, nil
 	}
@@ -75,9 +75,9 @@
 
 // Values of the gauge ingress.fleet_sure.
 var judgementGauge = map[string]int64{
-	membership.CutOff.String():  0,
-	membership.Thinned.String(): 1,
-	membership.Whole.String():   2,
+	membership.Partitioned.String(): 0,
+	membership.Majority.String():    1,
+	membership.Complete.String():    2,
 }
 
 // fleetStats are the statistics of INFO about the fleet.
@@ -85,11 +85,11 @@
 	report := n.fleet.Report(0)
 	return append(n.quotaSyncStats(),
 		mgmt.Gauge("ingress.fleet_view", int64(report.View)),
-		mgmt.Gauge("ingress.fleet_heard", int64(report.Heard)),
+		mgmt.Gauge("ingress.fleet_heard", int64(report.Alive)),
 		mgmt.Gauge("ingress.fleet_agreed", int64(report.Agreed)),
-		mgmt.Gauge("ingress.fleet_sure", judgementGauge[report.Judgement]),
-		mgmt.Count("ingress.fleet_stalls", int64(report.Stalls)),
-		mgmt.Count("ingress.fleet_refused", report.Refused),
+		mgmt.Gauge("ingress.fleet_sure", judgementGauge[report.Reachability]),
+		mgmt.Count("ingress.fleet_stalls", int64(report.Pauses)),
+		mgmt.Count("ingress.fleet_refused", report.Rejected),
 		mgmt.Count("ingress.fleet_packets_out", report.Traffic.PacketsOut),
 		mgmt.Count("ingress.fleet_bytes_out", report.Traffic.BytesOut))
 }
@@ -101,14 +101,14 @@
 	}
 	report := n.quotaSync.Report("-")
 	trusted := int64(0)
-	if report.Sound {
+	if report.CounterTrusted {
 		trusted = 1
 	}
 	return []string{
 		mgmt.Gauge("ingress.share_trusted", trusted),
-		mgmt.Gauge("ingress.share_given", int64(report.Given)),
-		mgmt.Gauge("ingress.share_taken", int64(report.Taken)),
-		mgmt.Gauge("ingress.share_warned", int64(len(report.Warned))),
-		mgmt.Count("ingress.share_refused", int64(report.Refused)),
+		mgmt.Gauge("ingress.share_given", int64(report.Lent)),
+		mgmt.Gauge("ingress.share_taken", int64(report.Borrowed)),
+		mgmt.Gauge("ingress.share_warned", int64(len(report.WarnedServers))),
+		mgmt.Count("ingress.share_refused", int64(report.Rejected)),
 	}
 }
