--- a/internal/decision/doc.go
+++ b/internal/decision/doc.go
@@ -19,8 +19,8 @@
 // The interface is in settings.go, events.go and actions.go. The decisions are by concern:
 //
 //   - gateway.go: the state of a gateway, events and ticks;
-//   - admission.go, arrival_rate.go: whether a request conforms to its quota, and what becomes of one that does
-//     not;
+//   - admission.go, arrival_rate.go: whether a request conforms to its quota, and what becomes of one that
+//     does not;
 //   - customers.go, plans.go: customers and their terms;
 //   - quota_bucket.go, rate_limits.go: this gateway's part of a quota and of a hard rate limit;
 //   - counter_cycles.go, counter_health.go: the counter that gateways share, and the pinned step;
