--- a/internal/decision/backends_test.go
+++ b/internal/decision/backends_test.go
@@ -54,24 +54,19 @@
 	g := startedGateway(t, testSettings(), servingBackend("kept"))
 	g.Handle(1, Backends{List: []Backend{servingBackend("busy")}})
 	g.Handle(1, Backends{List: []Backend{{ID: "kept", Zone: "a"}}})
-	if sent := actionsOf[Send](g.Handle(
-		1, testRequest(1, "unsafe", "free"),
-	)); len(sent) != 1 || sent[0].Backend != "busy" {
+	sent := actionsOf[Send](g.Handle(1, testRequest(1, "unsafe", "free")))
+	if len(sent) != 1 || sent[0].Backend != "busy" {
 		t.Fatalf("sent %v", sent)
 	}
 	g.Handle(2, Backends{List: []Backend{{ID: "busy", Zone: "a"}, servingBackend("kept")}})
 	for i := range 500 {
 		now := 2 + float64(i)
-		g.Handle(
-			now, Backends{
-				List: []Backend{servingBackend(fmt.Sprint("b", i)), {ID: fmt.Sprint("b", i-1), Zone: "a"}},
-			},
-		)
+		started, removed := servingBackend(fmt.Sprint("b", i)), Backend{ID: fmt.Sprint("b", i-1), Zone: "a"}
+		g.Handle(now, Backends{List: []Backend{started, removed}})
 		g.Handle(now, Timer{"tick"})
 	}
-	if n := len(
-		g.defaultPool.order,
-	); n > 3 || n != len(g.backends) || g.backends["kept"] == nil || g.backends["busy"] == nil {
+	n := len(g.defaultPool.order)
+	if n > 3 || n != len(g.backends) || g.backends["kept"] == nil || g.backends["busy"] == nil {
 		t.Errorf(
 			"%d backends in order, %d by id, want kept, the last one, and the one that owes an answer", n,
 			len(g.backends),
--- a/internal/decision/counter_health_test.go
+++ b/internal/decision/counter_health_test.go
@@ -117,11 +117,10 @@
 	for i := range 400 {
 		r := testRequest(uint64(i+1), "safe", "rate")
 		r.Customer, r.Gateways = fmt.Sprint("c", i), 200
-		for _, call := range actionsOf[CounterCall](
-			g.Handle(float64(i)*2, r),
-		) { // beyond the pause after unanswered calls
+		now := float64(i) * 2 // beyond the pause after unanswered calls
+		for _, call := range actionsOf[CounterCall](g.Handle(now, r)) {
 			calls[i >= 200]++
-			g.Handle(float64(i)*2, CounterReply{Name: call.Name, Outcome: Rejected})
+			g.Handle(now, CounterReply{Name: call.Name, Outcome: Rejected})
 		}
 	}
 	if calls[false] < 5 || calls[true] > 30 {
--- a/internal/decision/plans_test.go
+++ b/internal/decision/plans_test.go
@@ -381,9 +381,9 @@
 		r := testRequest(id, "safe", "free")
 		r.Gateways, r.Terms = 8, &Terms{Plan: p, Tag: p.Tag()}
 		handle(now, r)
-		if c := g.customers["c"]; math.IsNaN(
-			c.bucket.tokens+c.bucket.slice+c.limit.tokens+c.sparse.admitRatio+c.sparse.demandShare,
-		) || c.bucket.slice < 0 {
+		c := g.customers["c"]
+		sum := c.bucket.tokens + c.bucket.slice + c.limit.tokens + c.sparse.admitRatio + c.sparse.demandShare
+		if math.IsNaN(sum) || c.bucket.slice < 0 {
 			t.Fatalf(
 				"tokens %v, slice %v, limit tokens %v, ratio %v, share %v", c.bucket.tokens, c.bucket.slice,
 				c.limit.tokens, c.sparse.admitRatio, c.sparse.demandShare,
--- a/internal/decision/quota_grants_test.go
+++ b/internal/decision/quota_grants_test.go
@@ -119,10 +119,11 @@
 	other := h.g.backends["s2"]
 	other.healthy, other.recentAnswers, other.errorRate = true, 0.1, 0
 	h.g.SetSuspects(h.now, []string{"s1", "s2", "s3"})
-	if got := fmt.Sprint(
+	got := fmt.Sprint(
 		own.healthy, own.errorRate < suspectErrorRate, other.healthy, other.errorRate, len(h.g.backends),
-	); got != fmt.Sprint(true, true, false, suspectErrorRate, 2) {
-		t.Error(got)
+	)
+	if want := fmt.Sprint(true, true, false, suspectErrorRate, 2); got != want {
+		t.Errorf("got %s, want %s", got, want)
 	}
 	if bad := fmt.Sprint(h.g.UnhealthyServers(h.now)); bad != "[]" {
 		t.Errorf("what others reported is reported as its own: %s", bad)
--- a/internal/decision/rate_limits_test.go
+++ b/internal/decision/rate_limits_test.go
@@ -85,35 +85,35 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case CounterCall:
-			if f.counterSilent {
-				f.replies = append(
-					f.replies,
-					delayedReply{
-						f.now + f.settings.CounterTimeout, i, CounterReply{Name: a.Name, Outcome: TimedOut},
-					},
-				)
-			} else {
-				f.replies = append(
-					f.replies, delayedReply{f.now + f.maxReplyDelay*f.rng.Float64(), i, f.counter.add(a)},
-				)
-			}
+			f.replies = append(f.replies, f.reply(i, a))
 		case Send:
 			r := f.requests[a.ID]
 			f.sentUnits[r.Class] += r.Units
 			f.largestUnits = max(f.largestUnits, r.Units)
 			f.limitTokens -= r.Units
 			f.minLimitTokens = min(f.minLimitTokens, f.limitTokens)
-			f.perform(
-				i,
-				f.gateways[i].Handle(f.now, AttemptEnded{
-					ID: a.ID, Backend: a.Backend, Attempt: 0, Outcome: Succeeded, Duration: 0.01,
-					Answered: true, Units: f.settledUnits(r.Units),
-				}),
-			)
+			ended := AttemptEnded{
+				ID:       a.ID,
+				Backend:  a.Backend,
+				Outcome:  Succeeded,
+				Duration: 0.01,
+				Answered: true,
+				Units:    f.settledUnits(r.Units),
+			}
+			f.perform(i, f.gateways[i].Handle(f.now, ended))
 		}
 	}
 }
 
+// reply is the counter's reply to a gateway's call, after a delay, or a timeout.
+func (f *limitedFleet) reply(gateway int, call CounterCall) delayedReply {
+	if f.counterSilent {
+		timedOut := CounterReply{Name: call.Name, Outcome: TimedOut}
+		return delayedReply{f.now + f.settings.CounterTimeout, gateway, timedOut}
+	}
+	return delayedReply{f.now + f.maxReplyDelay*f.rng.Float64(), gateway, f.counter.add(call)}
+}
+
 // totalUnits is what was forwarded, in units.
 func (f *limitedFleet) totalUnits() (sum float64) {
 	for _, units := range f.sentUnits {
@@ -130,9 +130,9 @@
 	return guess + float64(f.rng.IntN(3)-1)
 }
 
-// run has the customer ask so many units a second for a while: this part of it at one gateway, the rest
-// evenly.
-func (f *limitedFleet) run(span Seconds, units, crowd float64) {
+// run has the customer ask so many units a second for a while: the given share of it through the first
+// gateway, the rest evenly.
+func (f *limitedFleet) run(span Seconds, units, firstShare float64) {
 	p := f.settings.Plans[0]
 	for until := f.now + span; f.now < until; {
 		before := f.now
@@ -150,48 +150,59 @@
 		for i, g := range f.gateways {
 			f.perform(i, g.Handle(f.now, Timer{"tick"}))
 		}
-		for f.nextRequestAt = max(
-			f.nextRequestAt, before,
-		); f.nextRequestAt < f.now; f.nextRequestAt += 3.5 / units * f.rng.ExpFloat64() {
-			i := f.rng.IntN(len(f.gateways))
-			if f.rng.Float64() < crowd {
-				i = 0
-			}
-			f.id++
-			r := Request{
-				ID: f.id, Class: []string{"safe", "keyed"}[f.rng.IntN(2)], Plan: p.Name, Customer: "c",
-				TimeLeft: 6, Units: float64(1 + f.rng.IntN(6)), Gateways: len(f.gateways),
-			}
-			f.requests[r.ID] = r
-			f.reference.admit(p, f.now, r.Units)
-			f.perform(i, f.gateways[i].Handle(f.now, r))
+		f.nextRequestAt = max(f.nextRequestAt, before)
+		for f.nextRequestAt < f.now {
+			f.request(p, firstShare)
+			f.nextRequestAt += 3.5 / units * f.rng.ExpFloat64()
 		}
 	}
 }
 
+// request has the customer send one request: with the given probability through the first gateway, else
+// through any.
+func (f *limitedFleet) request(p Plan, firstShare float64) {
+	i := f.rng.IntN(len(f.gateways))
+	if f.rng.Float64() < firstShare {
+		i = 0
+	}
+	f.id++
+	r := Request{
+		ID:       f.id,
+		Class:    []string{"safe", "keyed"}[f.rng.IntN(2)],
+		Plan:     p.Name,
+		Customer: "c",
+		TimeLeft: 6,
+		Units:    float64(1 + f.rng.IntN(6)),
+		Gateways: len(f.gateways),
+	}
+	f.requests[r.ID] = r
+	f.reference.admit(p, f.now, r.Units)
+	f.perform(i, f.gateways[i].Handle(f.now, r))
+}
+
 // A hard rate limit holds over all gateways while the customer asks up to eight times its quota, mostly
 // through one of them, the counter is silent for 14 s or slow, units are guesses, and gateways are killed and
 // start anew; though a plan from which nothing is forwarded over quota does not start from nothing.
 func TestRateLimitHoldsOverRestarts(t *testing.T) {
 	for seed := range uint64(60) {
-		rnd := rand.New(rand.NewPCG(seed, 2))
+		rng := rand.New(rand.NewPCG(seed, 2))
 		gatewayCount := 2 + int(seed%3)
-		p := Plan{Name: "multi", Rate: 3.5 + 2.6*rnd.Float64(), ValueWeight: 1.2, ExcessCost: 0.8}
-		p.Burst = max(24, p.Rate*(3.1+2.1*rnd.Float64()))
-		over := 1.8 + 0.5*rnd.Float64()
+		p := Plan{Name: "multi", Rate: 3.5 + 2.6*rng.Float64(), ValueWeight: 1.2, ExcessCost: 0.8}
+		p.Burst = max(24, p.Rate*(3.1+2.1*rng.Float64()))
+		over := 1.8 + 0.5*rng.Float64()
 		p.LimitRate, p.LimitBurst = over*p.Rate, over*p.Burst
 		p.LimitSlack = max(6, 0.1*p.LimitBurst)
 		c := newLimitedFleet(t, seed, gatewayCount, p)
 		c.maxReplyDelay = 0.02
 		for range 6 {
-			c.run(1+4*rnd.Float64(), p.Rate*(0.3+7.5*rnd.Float64()), rnd.Float64())
-			switch rnd.IntN(4) {
+			c.run(1+4*rng.Float64(), p.Rate*(0.3+7.5*rng.Float64()), rng.Float64())
+			switch rng.IntN(4) {
 			case 0:
 				c.counterSilent = !c.counterSilent
 			case 1:
-				c.maxReplyDelay = 0.09 * rnd.Float64()
+				c.maxReplyDelay = 0.09 * rng.Float64()
 			case 2:
-				c.start(rnd.IntN(gatewayCount))
+				c.start(rng.IntN(gatewayCount))
 			case 3:
 				c.start(0)
 				c.run(0.5, 8*p.Rate, 1)
--- a/internal/decision/sparse_test.go
+++ b/internal/decision/sparse_test.go
@@ -77,9 +77,8 @@
 	for i := range 10 {
 		tries(fmt.Sprint("heavy", i), 1+20*float64(i), Succeeded, 100)
 	}
-	if sent := tries(
-		"unknown", 300, ConnectionRefused, 0,
-	); sent < 4 || sent > 7 { // 20 s at a quarter of a unit a second
+	// 20 s at a quarter of a unit a second.
+	if sent := tries("unknown", 300, ConnectionRefused, 0); sent < 4 || sent > 7 {
 		t.Errorf("%d of 200 forwarded in 20 s", sent)
 	}
 }
@@ -147,10 +146,9 @@
 		{5, 5*20 - 1, 5 * 20},                   // half the quota: all is forwarded
 		{40, 0.6 * 10 * 20, 1.1*10*20 + 20 + 4}, // four times the quota: no more than it and the burst
 	} {
-		m := packedCounter{}
-		if got := runFleet(
-			testSettings(), "rate", 200, tc.perSecond, 20, m.add,
-		); got < tc.least || got > tc.most {
+		counter := packedCounter{}
+		got := runFleet(testSettings(), "rate", 200, tc.perSecond, 20, counter.add)
+		if got < tc.least || got > tc.most {
 			t.Errorf(
 				"%v a second for 20 s: %v forwarded, want %v to %v", tc.perSecond, got, tc.least, tc.most,
 			)
