--- a/internal/decision/quota_grants_test.go
+++ b/internal/decision/quota_grants_test.go
@@ -35,29 +35,31 @@
 	return h
 }
 
-func (h *grantedGateway) handle(e Event) {
-	for _, a := range h.g.Handle(h.now, e) {
+func (gg *grantedGateway) handle(e Event) {
+	for _, a := range gg.g.Handle(gg.now, e) {
 		if s, ok := a.(Send); ok {
-			h.sent++
-			h.handle(AttemptEnded{
+			gg.sent++
+			gg.handle(AttemptEnded{
 				ID: s.ID, Backend: s.Backend, Outcome: Succeeded, Duration: 0.001, Answered: true,
 			})
 		}
 	}
 }
 
-func (h *grantedGateway) run(seconds Seconds) float64 {
-	h.sent = 0
+func (gg *grantedGateway) run(seconds Seconds) float64 {
+	gg.sent = 0
 	for i := range int(seconds * 100) {
-		h.now += 0.01
-		h.id++
-		h.handle(Request{ID: h.id, Class: "c", Plan: "p", Customer: "m", TimeLeft: 2, Units: 1, Gateways: 4})
+		gg.now += 0.01
+		gg.id++
+		gg.handle(Request{
+			ID: gg.id, Class: "c", Plan: "p", Customer: "m", TimeLeft: 2, Units: 1, Gateways: 4,
+		})
 		if i%5 == 0 {
-			h.handle(Timer{"tick"})
-			h.g.ReapplyGrants(h.now)
+			gg.handle(Timer{"tick"})
+			gg.g.ReapplyGrants(gg.now)
 		}
 	}
-	return h.sent / seconds
+	return gg.sent / seconds
 }
 
 // A grant goes before what the gateway computes, until it expires; after that the gateway has what it
@@ -117,10 +119,11 @@
 	other := h.g.backends["s2"]
 	other.healthy, other.recentAnswers, other.errorRate = true, 0.1, 0
 	h.g.SetSuspects(h.now, []string{"s1", "s2", "s3"})
-	if got := fmt.Sprint(
+	got := fmt.Sprint(
 		own.healthy, own.errorRate < suspectErrorRate, other.healthy, other.errorRate, len(h.g.backends),
-	); got != fmt.Sprint(true, true, false, suspectErrorRate, 2) {
-		t.Error(got)
+	)
+	if want := fmt.Sprint(true, true, false, suspectErrorRate, 2); got != want {
+		t.Errorf("got %s, want %s", got, want)
 	}
 	if bad := fmt.Sprint(h.g.UnhealthyServers(h.now)); bad != "[]" {
 		t.Errorf("what others reported is reported as its own: %s", bad)
