--- a/internal/standalone/fleet/leaseservice/export.go
+++ b/internal/standalone/fleet/leaseservice/export.go
@@ -13,7 +13,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// RoleExport is the role of sending the usage of the whole fleet to billing: the lease holder posts the batches that
+// RoleExport is the role of sending the usage of all ingresses to billing: the lease holder posts the batches that
 // the ingresses hand to it. A batch stays with its ingress until billing has acknowledged it, and is the same bytes
 // each time it is sent.
 const RoleExport = "export"
@@ -168,7 +168,7 @@
 }
 
 // handleExport sends a batch of another ingress to billing, if this one holds RoleExport. The fencing token goes with
-// it: where this process is paused between the check and the request, billing rejects it. mu is held.
+// it: where this process is paused between the check and the request, billing rejects it. The caller holds s.mu.
 func (s *Service) handleExport(m message) {
 	var r exportRequest
 	if len(m.data) < callIDLength || cbor.Unmarshal(m.data[callIDLength:], &r) != nil {
--- a/internal/standalone/fleet/leaseservice/messages.go
+++ b/internal/standalone/fleet/leaseservice/messages.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// responseReceived handles a response of the leader. mu is held.
+// responseReceived handles a response of the leader. The caller holds s.mu.
 func (s *Service) responseReceived(r singleton.AcquireResponse) {
 	for _, status := range r.Grants {
 		s.roleStatus[status.Role] = status
@@ -94,7 +94,7 @@
 	s.stepHolder(singleton.ResponseReceived{Response: r})
 }
 
-// deliver sends what the voter wants sent. mu is held.
+// deliver sends what the voter wants sent. The caller holds s.mu.
 func (s *Service) deliver(output quorum.Output) {
 	for _, m := range output.Messages {
 		s.options.Fleet.Send(m.To, topicVote, m.Data)
--- a/internal/standalone/fleet/leaseservice/record.go
+++ b/internal/standalone/fleet/leaseservice/record.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// checkRecordStored notes a disk that hangs: storing the record does not return. mu is held.
+// checkRecordStored notes a disk that hangs: storing the record does not return. The caller holds s.mu.
 func (s *Service) checkRecordStored(now time.Duration) {
 	if s.options.StoreRecord == nil || s.recordFailed {
 		return
--- a/internal/standalone/fleet/leaseservice/roles.go
+++ b/internal/standalone/fleet/leaseservice/roles.go
@@ -79,7 +79,7 @@
 	s.acquireAll()
 }
 
-// acquireAll requests all roles. mu is held.
+// acquireAll requests all roles. The caller holds s.mu.
 func (s *Service) acquireAll() {
 	if s.drained || s.recordFailed {
 		return
@@ -89,7 +89,7 @@
 	}
 }
 
-// resignAll gives all roles up, and returns channels that close when their work has ended. mu is held.
+// resignAll gives all roles up, and returns channels that close when their work has ended. The caller holds s.mu.
 func (s *Service) resignAll() (ended []chan struct{}) {
 	for _, name := range s.roleNames() {
 		if r := s.roles[name]; r.cancel != nil {
@@ -101,10 +101,10 @@
 	return ended
 }
 
-// roleNames returns the names of the roles, sorted. mu is held.
+// roleNames returns the names of the roles, sorted. The caller holds s.mu.
 func (s *Service) roleNames() []string { return slices.Sorted(maps.Keys(s.roles)) }
 
-// stepHolder steps the lease holder and executes its actions. mu is held.
+// stepHolder steps the lease holder and executes its actions. The caller holds s.mu.
 func (s *Service) stepHolder(event singleton.LeaseHolderEvent) {
 	for _, action := range s.leaseHolder.Step(s.now(), event) {
 		switch action := action.(type) {
@@ -124,7 +124,7 @@
 	}
 }
 
-// sendRequest sends a request to all voters, of which the leader responds. mu is held.
+// sendRequest sends a request to all voters, of which the leader responds. The caller holds s.mu.
 func (s *Service) sendRequest(r singleton.AcquireRequest) {
 	data, err := cbor.Marshal(r)
 	if err != nil {
@@ -140,14 +140,14 @@
 	}
 }
 
-// stopWork ends the work of a role, if it runs. mu is held.
+// stopWork ends the work of a role, if it runs. The caller holds s.mu.
 func (s *Service) stopWork(name string) {
 	if r := s.roles[name]; r != nil {
 		r.stopWork()
 	}
 }
 
-// startWork runs the work of a role under a token, unless it still runs under an older one. mu is held.
+// startWork runs the work of a role under a token, unless it still runs under an older one. The caller holds s.mu.
 func (s *Service) startWork(name string, token uint64) {
 	r := s.roles[name]
 	if r == nil || r.cancel != nil || s.stopped {
--- a/internal/standalone/fleet/leaseservice/service.go
+++ b/internal/standalone/fleet/leaseservice/service.go
@@ -172,7 +172,7 @@
 	s.stepHolder(singleton.LeaseHolderTick{})
 }
 
-// logVoterStatus logs changes of the voter. mu is held.
+// logVoterStatus logs changes of the voter. The caller holds s.mu.
 func (s *Service) logVoterStatus() {
 	status := s.voter.Status()
 	present := voterStatus{status.State, status.Leader, fmt.Sprint(status.Voters)}
--- a/internal/standalone/fleet/quorum/boltstore/boltstore.go
+++ b/internal/standalone/fleet/quorum/boltstore/boltstore.go
@@ -87,7 +87,7 @@
 	return binary.BigEndian.Uint64(b[:])>>2 + 1, nil
 }
 
-// wrap adds the path to an error, and tells a full disk and a locked file from other failures.
+// wrap adds the path to an error, and marks a full disk and a locked file by the errors of package quorum.
 func (s *Store) wrap(operation string, err error) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG) {
 		return fmt.Errorf("%s: %s: %w: %w", s.Path, operation, quorum.ErrNoSpace, err)
--- a/internal/standalone/fleet/quorum/boltstore/boltstore_test.go
+++ b/internal/standalone/fleet/quorum/boltstore/boltstore_test.go
@@ -130,7 +130,7 @@
 			}
 		}
 		// One transaction may be rolled back with its meta page: what was acknowledged last is then missing, and the
-		// progress that the other voters know tells.
+		// other voters' knowledge of the progress shows it.
 		if want := lastEntry - 1 - lastTransactions; len(d.Entries) < want {
 			t.Errorf("corrupt at %d: got %d entries, want at least %d", at, len(d.Entries), want)
 		}
--- a/internal/standalone/fleet/quorum/bootstrap.go
+++ b/internal/standalone/fleet/quorum/bootstrap.go
@@ -11,7 +11,7 @@
 )
 
 // sendHello asks the other voters for this voter's progress, until a majority has responded. A voter that is not
-// bootstrapped tells the configured voters its id.
+// bootstrapped sends the configured voters its id.
 func (v *Voter) sendHello() {
 	if v.state == Voting || v.ticks%helloTicks != 0 {
 		return
--- a/internal/standalone/fleet/quorum/ready.go
+++ b/internal/standalone/fleet/quorum/ready.go
@@ -105,8 +105,8 @@
 	return false
 }
 
-// sendRaft sends a message of raft. A leader's heartbeats carry how far each voter is, so that each voter that heard
-// one knows, see PeerProgress.
+// sendRaft sends a message of raft. A leader's heartbeats carry how far each voter is, so that each voter that
+// received one knows, see PeerProgress.
 func (v *Voter) sendRaft(m *pb.Message) {
 	name := v.durable.VoterNames[m.GetTo()]
 	data, err := proto.Marshal(m)
--- a/internal/standalone/fleet/quorum/store.go
+++ b/internal/standalone/fleet/quorum/store.go
@@ -8,7 +8,8 @@
 // ErrNoSpace the store is as it was; after any other error its state is unknown, and the voter does not use it any
 // more.
 type Store interface {
-	// Open reads the state, and durably counts the start. ErrLocked, ErrNoSpace and ErrCorrupt are told apart.
+	// Open reads the state, and durably counts the start. Its errors are, or wrap, ErrLocked, ErrNoSpace or ErrCorrupt
+	// where they apply.
 	Open() (*Durable, error)
 	Save(Batch) error
 }
--- a/internal/standalone/fleet/quorum/voter.go
+++ b/internal/standalone/fleet/quorum/voter.go
@@ -248,7 +248,7 @@
 	v.output.Changed = true
 }
 
-// loseLeadership tells the manager that this voter does not lead any more, if it did.
+// loseLeadership notifies the manager that this voter does not lead any more, if it did.
 func (v *Voter) loseLeadership() {
 	if v.leading {
 		v.leading = false
