--- a/internal/standalone/node/fleet.go
+++ b/internal/standalone/node/fleet.go
@@ -29,7 +29,7 @@
 // whole.
 func (n *Node) stateFolder(process int64) *state.Folder {
 	folder := state.Open(n.config.State, n.config.Name, process)
-	folder.Disk = n.config.FaultInjection.Disk()
+	folder.FS = n.config.FaultInjection.FS()
 	return folder
 }
 
@@ -81,15 +81,15 @@
 func (n *Node) startQuotaSync(ctx context.Context) {
 	c, self := n.config, n.fleet.Self()
 	n.quotaSync = quotasync.New(quotasync.Options{
-		Fleet: n.fleet,
-		Clock: c.FaultInjection.Clock(),
-		Log:   n.log,
+		Gossip:    n.fleet,
+		ClockRate: c.FaultInjection.ClockRate(),
+		Log:       n.log,
 		Options: quotashare.Options{
-			Name:    c.Name,
-			Zone:    c.Settings.Zone,
-			Fleet:   max(1, c.Settings.Gateways),
-			Claim:   quotashare.Claim{Boot: self.Boot, Nonce: self.Nonce},
-			Counter: n.counter != nil,
+			Name:        c.Name,
+			Zone:        c.Settings.Zone,
+			Ingresses:   max(1, c.Settings.Gateways),
+			Incarnation: self.Incarnation,
+			HasCounter:  n.counter != nil,
 		},
 	})
 	n.engine.SetQuotaSharer(n.quotaSync)
@@ -107,8 +107,8 @@
 		Voters:      c.Membership.Voters,
 		Dir:         c.State,
 		Log:         n.log,
-		ClockRate:   c.FaultInjection.Clock(),
-		WrapStore:   c.FaultInjection.Votes,
+		ClockRate:   c.FaultInjection.ClockRate(),
+		WrapStore:   c.FaultInjection.VoteStore,
 		StoreRecord: func(r leaseservice.Record) error { return folder.Write(leaseRecord, r) },
 	})
 	n.closers = append(n.closers, func() { folder.Remove(leaseRecord, folder.Process()) })
@@ -143,9 +143,9 @@
 	}
 	switch n.server.Phase() {
 	case decision.Serving:
-		n.fleet.Phase(membership.Serving)
+		n.fleet.SetPhase(membership.Serving)
 	case decision.LameDuck:
-		n.fleet.Phase(membership.LameDuck)
+		n.fleet.SetPhase(membership.LameDuck)
 	}
 }
 
@@ -161,12 +161,12 @@
 	case n.newerProcess.Load():
 		n.fleet.Leave(true)
 	default:
-		n.fleet.Phase(membership.Leaving)
+		n.fleet.SetPhase(membership.Leaving)
 	}
 }
 
 // fleetStatus is what the readiness page says of the fleet.
 func (n *Node) fleetStatus() string {
-	judgement := n.fleet.Judgement()
-	return fmt.Sprintf("%v; heard=%d/%d", judgement.Sureness, judgement.Heard, judgement.Agreed)
+	reachability := n.fleet.Reachability()
+	return fmt.Sprintf("%v; heard=%d/%d", reachability.Level, reachability.Alive, reachability.Agreed)
 }
