--- a/internal/cluster/configuration/snapshot_test.go
+++ b/internal/cluster/configuration/snapshot_test.go
@@ -80,95 +80,130 @@
 	return rejection.Status, rejection.Text
 }
 
-func TestInvalidCallsAreRejected(t *testing.T) {
-	is := is.New(t)
-	first, err := ReadPatch([]byte(sample))
-	is.NoErr(err)
-	_, snapshot, err := (*Snapshot)(nil).Validate(first)
-	is.NoErr(err)
-	route := func(old, replacement string) string {
-		r := `"authority":"b.example","pathPrefix":"/b/","routeKind":"mutating",` +
-			`"deadlineMs":1,"backend":"s1","generation":"0000000b"`
-		return `{"upsert":{"routes":{"r-2":{` + strings.Replace(r, old, replacement, 1) + `}}}}`
-	}
-	up := func(sections string) string { return `{"upsert":{` + sections + `}}` }
-	for _, c := range []struct {
-		body   string
-		status int
-		text   string // part of it
-	}{
-		{route("", ""), 200, ""},
-		{route(`"backend":"s1"`, `"weighted":[{"backend":"s1","share":1},{"backend":"s2","share":0}]`), 200, ""},
+// routeCall is a call that sets a valid route, with one part of its body replaced.
+func routeCall(old, replacement string) string {
+	body := `"authority":"b.example","pathPrefix":"/b/","routeKind":"mutating",` +
+		`"deadlineMs":1,"backend":"s1","generation":"0000000b"`
+	return `{"upsert":{"routes":{"r-2":{` + strings.Replace(body, old, replacement, 1) + `}}}}`
+}
+
+// upsertCall is a call that sets the items of some sections.
+func upsertCall(sections string) string { return `{"upsert":{` + sections + `}}` }
+
+// callCase is a call after the sample's, and its answer.
+type callCase struct {
+	body   string
+	status int
+	text   string // part of it
+}
+
+// acceptedCalls are valid.
+func acceptedCalls() []callCase {
+	return []callCase{
+		{routeCall("", ""), 200, ""},
+		{routeCall(`"backend":"s1"`, `"weighted":[{"backend":"s1","share":1},{"backend":"s2","share":0}]`), 200, ""},
 		{`{}`, 200, ""},
 		{sample, 200, ""},
-		{up(`"customers":{"t\"1":{"apiKeys":["other"],"generation":"00000006"}}`), 200, ""}, // an older one
+		{upsertCall(`"customers":{"t\"1":{"apiKeys":["other"],"generation":"00000006"}}`), 200, ""}, // an older one
 		{
 			`{"upsert":{"services":{"s3":{"generation":"00000007"}}},` +
 				`"remove":{"services":[{"name":"s3","generation":"00000009"}]}}`,
 			200,
 			"",
 		},
-		{up(`"customers":{"t\"1":{"apiKeys":["other"],"generation":"00000007"}}`), 409, "says something else"},
+		{upsertCall(`"services":{"s":{"generation":"00000007"},"s":{"generation":"00000007"}}`), 200, ""},
+	}
+}
+
+// conflictingCalls are valid by themselves, and not upon the sample.
+func conflictingCalls() []callCase {
+	return []callCase{
+		{upsertCall(`"customers":{"t\"1":{"apiKeys":["other"],"generation":"00000007"}}`), 409, "says something else"},
 		{`{"remove":{"customers":[{"name":"t\"1","generation":"00000007"}]}}`, 409, "says something else"},
-		{route(`s1`, `nosuch`), 400, `routes "r-2": unknown service "nosuch"`},
+		{routeCall(`s1`, `nosuch`), 400, `routes "r-2": unknown service "nosuch"`},
 		{
-			route(`"backend":"s1"`, `"weighted":[{"backend":"s1","share":1},{"backend":"nosuch","share":0}]`),
+			routeCall(`"backend":"s1"`, `"weighted":[{"backend":"s1","share":1},{"backend":"nosuch","share":0}]`),
 			400,
 			`unknown service "nosuch"`,
 		},
 		{
-			route(`"backend":"s1"`, `"backend":"nosuch","weighted":[{"backend":"s1","share":1}]`),
+			routeCall(`"backend":"s1"`, `"backend":"nosuch","weighted":[{"backend":"s1","share":1}]`),
 			400,
 			`unknown service "nosuch"`,
 		},
 		{`{"remove":{"services":[{"name":"s2","generation":"00000009"}]}}`, 400, "routes name it"},
-		{route(`"b.example","pathPrefix":"/b/"`, `"A.example","pathPrefix":"/a/"`), 400, "the same host and prefix"},
-		{route(`"deadlineMs":1,`, ``), 400, "deadlineMs: must be above 0"},
-		{route(`"deadlineMs":1`, `"deadlineMs":0`), 400, "deadlineMs"},
-		{route(`"deadlineMs":1`, `"deadlineMs":-5`), 400, "deadlineMs"},
-		{route(`"deadlineMs":1`, `"deadlineMs":"1"`), 400, "deadlineMs: not a number"},
-		{route(`"deadlineMs":1`, `"deadlineMs":1e999`), 400, "deadlineMs: too large"},
-		{strings.Replace(route(`"deadlineMs":1`, `"deadlineMs":0`), "0000000b", "00000000", 1), 400, "deadlineMs"},
-		{route(`"/b/"`, `"b/"`), 400, "does not begin with a slash"},
-		{route(`"/b/"`, `"/b"`), 400, "does not end with a slash"},
-		{route(`"/b/"`, `""`), 400, "pathPrefix"},
-		{route(`"b.example"`, `""`), 400, "authority: empty"},
-		{route(`"b.example"`, `"`+strings.Repeat("h", 300)+`"`), 400, "authority: too long"},
-		{route(`mutating`, `other`), 400, "routeKind"},
-		{route(`"routeKind":"mutating",`, ``), 400, "routeKind"},
-		{route(`"backend":"s1",`, ``), 400, "backend: missing"},
-		{route(`"backend":"s1"`, `"weighted":[]`), 400, "weighted"},
-		{route(`"backend":"s1"`, `"weighted":[{"backend":"s1","share":0}]`), 400, "above 0"},
+		{routeCall(`"b.example","pathPrefix":"/b/"`, `"A.example","pathPrefix":"/a/"`), 400, "the same host and prefix"},
+	}
+}
+
+// callsWithInvalidRoutes set a route that is invalid by itself.
+func callsWithInvalidRoutes() []callCase {
+	return []callCase{
+		{routeCall(`"deadlineMs":1,`, ``), 400, "deadlineMs: must be above 0"},
+		{routeCall(`"deadlineMs":1`, `"deadlineMs":0`), 400, "deadlineMs"},
+		{routeCall(`"deadlineMs":1`, `"deadlineMs":-5`), 400, "deadlineMs"},
+		{routeCall(`"deadlineMs":1`, `"deadlineMs":"1"`), 400, "deadlineMs: not a number"},
+		{routeCall(`"deadlineMs":1`, `"deadlineMs":1e999`), 400, "deadlineMs: too large"},
+		{strings.Replace(routeCall(`"deadlineMs":1`, `"deadlineMs":0`), "0000000b", "00000000", 1), 400, "deadlineMs"},
+		{routeCall(`"/b/"`, `"b/"`), 400, "does not begin with a slash"},
+		{routeCall(`"/b/"`, `"/b"`), 400, "does not end with a slash"},
+		{routeCall(`"/b/"`, `""`), 400, "pathPrefix"},
+		{routeCall(`"b.example"`, `""`), 400, "authority: empty"},
+		{routeCall(`"b.example"`, `"`+strings.Repeat("h", 300)+`"`), 400, "authority: too long"},
+		{routeCall(`mutating`, `other`), 400, "routeKind"},
+		{routeCall(`"routeKind":"mutating",`, ``), 400, "routeKind"},
+		{routeCall(`"backend":"s1",`, ``), 400, "backend: missing"},
+		{routeCall(`"backend":"s1"`, `"weighted":[]`), 400, "weighted"},
+		{routeCall(`"backend":"s1"`, `"weighted":[{"backend":"s1","share":0}]`), 400, "above 0"},
 		{
-			route(`"backend":"s1"`, `"weighted":[{"backend":"s1","share":3},{"backend":"s2","share":-1}]`),
+			routeCall(`"backend":"s1"`, `"weighted":[{"backend":"s1","share":3},{"backend":"s2","share":-1}]`),
 			400,
 			"weighted.1.share: below 0",
 		},
-		{route(`"backend":"s1"`, `"weighted":[{"share":3}]`), 400, "weighted.0.backend: missing"},
-		{route(`"backend":"s1"`, `"weighted":[3]`), 400, "weighted.0: not an object"},
-		{route(`"backend":"s1"`, `"backend":"s1","public":1`), 400, "public"},
-		{route(`0000000b`, `b`), 400, "generation"},
-		{route(`"0000000b"`, `11`), 400, "generation"},
-		{route(`,"generation":"0000000b"`, ``), 400, "generation"},
-		{route(`"deadlineMs":1`, `"deadlineMs":1,"deadlineMs":2`), 400, "given twice"},
-		{up(`"customers":{"t":{"apiKeys":"k","generation":"00000007"}}`), 400, "apiKeys: not a list"},
-		{up(`"customers":{"t":{"apiKeys":[7],"generation":"00000007"}}`), 400, "apiKeys.0"},
-		{up(`"customers":{"t\r\nX: y":{"generation":"00000007"}}`), 400, "no name may have"},
-		{up(`"services":{"":{"generation":"00000007"}}`), 400, "name"},
-		{up(`"services":{"s":{"healthPath":"/a b","generation":"00000007"}}`), 400, "healthPath"},
-		{up(`"services":{"s":{"generation":"00000007"},"s":{"maxConns":1,"generation":"00000007"}}`), 400, "given twice"},
-		{up(`"services":{"s":{"generation":"00000007"},"s":{"maxConns":1,"generation":"00000008"}}`), 400, "given twice"},
-		{up(`"services":{"s":{"generation":"00000007"},"s":{"generation":"00000007"}}`), 200, ""},
+		{routeCall(`"backend":"s1"`, `"weighted":[{"share":3}]`), 400, "weighted.0.backend: missing"},
+		{routeCall(`"backend":"s1"`, `"weighted":[3]`), 400, "weighted.0: not an object"},
+		{routeCall(`"backend":"s1"`, `"backend":"s1","public":1`), 400, "public"},
+		{routeCall(`0000000b`, `b`), 400, "generation"},
+		{routeCall(`"0000000b"`, `11`), 400, "generation"},
+		{routeCall(`,"generation":"0000000b"`, ``), 400, "generation"},
+		{routeCall(`"deadlineMs":1`, `"deadlineMs":1,"deadlineMs":2`), 400, "given twice"},
+	}
+}
+
+// callsWithInvalidItems set another item that is invalid by itself.
+func callsWithInvalidItems() []callCase {
+	return []callCase{
+		{upsertCall(`"customers":{"t":{"apiKeys":"k","generation":"00000007"}}`), 400, "apiKeys: not a list"},
+		{upsertCall(`"customers":{"t":{"apiKeys":[7],"generation":"00000007"}}`), 400, "apiKeys.0"},
+		{upsertCall(`"customers":{"t\r\nX: y":{"generation":"00000007"}}`), 400, "no name may have"},
+		{upsertCall(`"services":{"":{"generation":"00000007"}}`), 400, "name"},
+		{upsertCall(`"services":{"s":{"healthPath":"/a b","generation":"00000007"}}`), 400, "healthPath"},
+		{
+			upsertCall(`"services":{"s":{"generation":"00000007"},"s":{"maxConns":1,"generation":"00000007"}}`),
+			400,
+			"given twice",
+		},
+		{
+			upsertCall(`"services":{"s":{"generation":"00000007"},"s":{"maxConns":1,"generation":"00000008"}}`),
+			400,
+			"given twice",
+		},
 		{
 			`{"upsert":{"services":{"s":{"generation":"00000007"}}},` +
 				`"remove":{"services":[{"name":"s","generation":"00000007"}]}}`,
 			400,
 			"given twice",
 		},
-		{up(`"limits":{"maxBodyBytes":-1,"generation":"0001ffff"}`), 400, "maxBodyBytes: below 0"},
-		{up(`"services":[]`), 400, "no object"},
-		{up(`"services":null`), 400, "no object"},
-		{up(`"others":{}`), 400, "unknown"},
+		{upsertCall(`"limits":{"maxBodyBytes":-1,"generation":"0001ffff"}`), 400, "maxBodyBytes: below 0"},
+	}
+}
+
+// callsWithInvalidSyntax can't be read.
+func callsWithInvalidSyntax() []callCase {
+	return []callCase{
+		{upsertCall(`"services":[]`), 400, "no object"},
+		{upsertCall(`"services":null`), 400, "no object"},
+		{upsertCall(`"others":{}`), 400, "unknown"},
 		{`{"remove":{"limits":[]}}`, 400, "unknown"},
 		{`{"remove":{"routes":[{"generation":"00000007"}]}}`, 400, "no name"},
 		{`{"remove":{"routes":{}}}`, 400, "no list"},
@@ -179,11 +214,33 @@
 		{`[]`, 400, "no object"},
 		{`{"upsert":{}`, 400, "no comma"},
 		{"{\"upsert\":{\"\xff\":{}}}", 400, "UTF-8"},
+	}
+}
+
+func TestInvalidCallsAreRejected(t *testing.T) {
+	is := is.New(t)
+	first, err := ReadPatch([]byte(sample))
+	is.NoErr(err)
+	_, snapshot, err := (*Snapshot)(nil).Validate(first)
+	is.NoErr(err)
+	for _, group := range []struct {
+		name  string
+		cases []callCase
+	}{
+		{"accepted", acceptedCalls()},
+		{"contradictions and references", conflictingCalls()},
+		{"routes", callsWithInvalidRoutes()},
+		{"other items", callsWithInvalidItems()},
+		{"syntax", callsWithInvalidSyntax()},
 	} {
-		status, text := statusOf(snapshot, c.body)
-		if status != c.status || !strings.Contains(text, c.text) || strings.Contains(text, "\n") {
-			t.Errorf("%s\n\t-> %d %q, want %d %q", c.body, status, text, c.status, c.text)
-		}
+		t.Run(group.name, func(t *testing.T) {
+			for _, c := range group.cases {
+				status, text := statusOf(snapshot, c.body)
+				if status != c.status || !strings.Contains(text, c.text) || strings.Contains(text, "\n") {
+					t.Errorf("%s\n\t-> %d %q, want %d %q", c.body, status, text, c.status, c.text)
+				}
+			}
+		})
 	}
 }
 
--- a/internal/cluster/transport/golden_test.go
+++ b/internal/cluster/transport/golden_test.go
@@ -6,6 +6,7 @@
 	"encoding/hex"
 	"os"
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 
@@ -24,21 +25,21 @@
 	frame *Frame
 }
 
-// goldenFrames has each type of message, with all of its fields set, and with none where that differs.
-func goldenFrames() []goldenFrame {
-	ballot := consensus.Ballot{Round: 1 << 33, Node: "10.0.0.1:7000/17"}
-	history := configuration.History{{Version: 6, Digest: 1<<64 - 1}, {Version: 2, Digest: 5}}
-	items := []configuration.Item{
+// Values in the golden frames.
+var (
+	goldenBallot  = consensus.Ballot{Round: 1 << 33, Node: "10.0.0.1:7000/17"}
+	goldenHistory = configuration.History{{Version: 6, Digest: 1<<64 - 1}, {Version: 2, Digest: 5}}
+	goldenItems   = []configuration.Item{
 		{
 			Key:     configuration.Key{Kind: configuration.Routes, Name: "route-1"},
 			Version: 7,
 			Body:    []byte(`{"a":"ü"}`),
 			Epoch:   4,
-			History: &history,
+			History: &goldenHistory,
 		},
 		{Key: configuration.Key{Kind: configuration.Limits}, Version: 1, Deleted: true},
 	}
-	instances := []registry.Instance{
+	goldenInstances = []registry.Instance{
 		{
 			ID: "server-1", Service: "s", Address: "10.1.0.1:80", Zone: "a", Generation: "g", Capacity: 3,
 			Phase: registry.Silent,
@@ -46,19 +47,27 @@
 		},
 		{ID: "server-2"},
 	}
-	voters := []consensus.Voter{{Addr: "10.0.0.1:7000"}, {Addr: "10.0.0.2:7000", Disk: 1<<64 - 2}}
-	proposal := consensus.Proposal{Ballot: ballot, Epoch: 5, Items: items, Voters: voters}
-	bare := consensus.Proposal{Ballot: ballot, Epoch: 5}
+	goldenVoters   = []consensus.Voter{{Addr: "10.0.0.1:7000"}, {Addr: "10.0.0.2:7000", Disk: 1<<64 - 2}}
+	goldenProposal = consensus.Proposal{Ballot: goldenBallot, Epoch: 5, Items: goldenItems, Voters: goldenVoters}
+	goldenBare     = consensus.Proposal{Ballot: goldenBallot, Epoch: 5}
+)
+
+// goldenFrames has each type of message, with all of its fields set, and with none where that differs.
+func goldenFrames() []goldenFrame {
+	return slices.Concat(goldenSubscriptionFrames(), goldenConsensusFrames(), goldenCatchUpFrames())
+}
+
+func goldenSubscriptionFrames() []goldenFrame {
 	return []goldenFrame{
 		{"empty", &Frame{}},
 		{"empty reply", &Frame{Call: 1 << 40}},
 		{"hello", &Frame{Hello: &Hello{
-			Node: "edge-1", Class: "control", Incarnation: 1<<64 - 1, SourceIncarnation: 5, Seq: 6, Instances: instances,
+			Node: "edge-1", Class: "control", Incarnation: 1<<64 - 1, SourceIncarnation: 5, Seq: 6, Instances: goldenInstances,
 			Epoch: 8, Zone: "a", ControlAddr: "10.0.0.3:7000", Digests: []byte{1, 2, 0xff},
 		}}},
 		{"bare hello", &Frame{Hello: &Hello{}}},
 		{"update", &Frame{Update: &Update{
-			Incarnation: 3, Seq: 4, Complete: true, Items: items, Instances: instances, Heartbeats: []Heartbeat{
+			Incarnation: 3, Seq: 4, Complete: true, Items: goldenItems, Instances: goldenInstances, Heartbeats: []Heartbeat{
 				{ID: "server-1", Seq: 10},
 				{},
 			},
@@ -74,33 +83,43 @@
 		{"bare counter add", &Frame{Call: 1, CounterAdd: &CounterAdd{}}},
 		{"counter total", &Frame{Call: 1, CounterTotal: &CounterTotal{OK: true, Sum: 1e9 + 0.5, Reporters: 3}}},
 		{"bare counter total", &Frame{Call: 1, CounterTotal: &CounterTotal{}}},
-		{"prepare", &Frame{Call: 2, Prepare: &Prepare{Ballot: ballot, ReadOnly: true, Synced: true}}},
+	}
+}
+
+func goldenConsensusFrames() []goldenFrame {
+	return []goldenFrame{
+		{"prepare", &Frame{Call: 2, Prepare: &Prepare{Ballot: goldenBallot, ReadOnly: true, Synced: true}}},
 		{"bare prepare", &Frame{Call: 2, Prepare: &Prepare{}}},
 		{"promise", &Frame{Call: 2, Promise: &Promise{
-			consensus.Promise{OK: true, Promised: ballot, Epoch: 4, Pending: &proposal, Disk: 1 << 63},
+			consensus.Promise{OK: true, Promised: goldenBallot, Epoch: 4, Pending: &goldenProposal, Disk: 1 << 63},
 		}}},
 		{"bare promise", &Frame{Call: 2, Promise: &Promise{}}},
-		{"accept", &Frame{Call: 3, Accept: &Accept{proposal}}},
-		{"bare accept", &Frame{Call: 3, Accept: &Accept{bare}}},
+		{"accept", &Frame{Call: 3, Accept: &Accept{goldenProposal}}},
+		{"bare accept", &Frame{Call: 3, Accept: &Accept{goldenBare}}},
 		{
 			"accepted",
-			&Frame{Call: 3, Accepted: &Accepted{consensus.Accepted{OK: true, Behind: true, Promised: ballot, Epoch: 4}}},
+			&Frame{Call: 3, Accepted: &Accepted{consensus.Accepted{OK: true, Behind: true, Promised: goldenBallot, Epoch: 4}}},
 		},
 		{"bare accepted", &Frame{Call: 3, Accepted: &Accepted{}}},
-		{"chosen", &Frame{Chosen: &Chosen{proposal}}},
-		{"bare chosen", &Frame{Call: 4, Chosen: &Chosen{bare}}},
+		{"chosen", &Frame{Chosen: &Chosen{goldenProposal}}},
+		{"bare chosen", &Frame{Call: 4, Chosen: &Chosen{goldenBare}}},
+	}
+}
+
+func goldenCatchUpFrames() []goldenFrame {
+	return []goldenFrame{
 		{"catch-up request", &Frame{Call: 5, CatchUpRequest: &CatchUpRequest{
 			Epoch: 1, EmptyDisk: true, FromPosition: 1<<64 - 1, NewestEpoch: 3, MaxBytes: 65536, AfterInstance: "server-1",
 		}}},
 		{"bare catch-up request", &Frame{Call: 5, CatchUpRequest: &CatchUpRequest{}}},
 		{"catch-up chunk", &Frame{Call: 5, CatchUpChunk: &CatchUpChunk{
-			NextPosition: 1 << 63, MoreInstances: true, Epoch: 3, Items: items, Voters: []string{
+			NextPosition: 1 << 63, MoreInstances: true, Epoch: 3, Items: goldenItems, Voters: []string{
 				"10.0.0.1:7000",
-			}, Instances: instances,
-			Electorate: consensus.Electorate{Since: 2, Voters: voters},
+			}, Instances: goldenInstances,
+			Electorate: consensus.Electorate{Since: 2, Voters: goldenVoters},
 		}}},
 		{"bare catch-up chunk", &Frame{Call: 5, CatchUpChunk: &CatchUpChunk{}}},
-		{"persist request", &Frame{Call: 6, PersistRequest: &PersistRequest{Instances: instances}}},
+		{"persist request", &Frame{Call: 6, PersistRequest: &PersistRequest{Instances: goldenInstances}}},
 		{"bare persist request", &Frame{Call: 6, PersistRequest: &PersistRequest{}}},
 		{"persist reply", &Frame{Call: 6, PersistReply: &PersistReply{OK: true}}},
 		{"bare persist reply", &Frame{Call: 6, PersistReply: &PersistReply{}}},
--- a/internal/control/storage/golden_test.go
+++ b/internal/control/storage/golden_test.go
@@ -25,42 +25,41 @@
 	batch Batch
 }
 
-// goldenSteps is the history that the landed version wrote: first start, promise, accepted change, chosen change with
-// a new electorate, instances, members, a staged catch-up, its end, and an accepted change that is not known to be
-// chosen.
-func goldenSteps() []goldenStep {
-	first := consensus.InitialElectorate([]string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"})
-	second := consensus.Electorate{Since: 2, Voters: []consensus.Voter{
+// Values in the golden history.
+var (
+	goldenFirst  = consensus.InitialElectorate([]string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"})
+	goldenSecond = consensus.Electorate{Since: 2, Voters: []consensus.Voter{
 		{Addr: "10.0.0.1:7000"}, {Addr: "10.0.0.2:7000", Disk: 1<<63 + 5}, {Addr: "10.0.0.4:7000", Disk: 77},
 	}}
-	route := configuration.Item{
+	goldenRoute = configuration.Item{
 		Key: configuration.Key{Kind: configuration.Routes, Name: "route-1"}, Version: 0x10,
-		Body: []byte(
-			`{"authority":"api.example","pathPrefix":"/v1/","deadlineMs":1500,"routeKind":"idempotent","backend":"s"}`,
-		), Epoch: 1,
+		Body: []byte(`{"authority":"api.example","pathPrefix":"/v1/","deadlineMs":1500,` +
+			`"routeKind":"idempotent","backend":"s"}`),
+		Epoch: 1,
 	}
-	tenant := configuration.Item{
+	goldenTenant = configuration.Item{
 		Key:     configuration.Key{Kind: configuration.Tenants, Name: "tenant ü"},
 		Version: 1<<32 - 1,
 		Deleted: true,
 		Epoch:   2,
 	}
-	history := configuration.History{{Version: 0x10, Digest: 1<<64 - 1}, {Version: 3, Digest: 4}}
-	changed := route
-	changed.Version, changed.Epoch, changed.History = 0x11, 2, &history
-	limits := configuration.Item{
+	goldenHistory = configuration.History{{Version: 0x10, Digest: 1<<64 - 1}, {Version: 3, Digest: 4}}
+	goldenChanged = configuration.Item{
+		Key: goldenRoute.Key, Version: 0x11, Body: goldenRoute.Body, Epoch: 2, History: &goldenHistory,
+	}
+	goldenLimits = configuration.Item{
 		Key:     configuration.Key{Kind: configuration.Limits},
 		Version: 1,
 		Body:    []byte(`{"maxBodyBytes":1048576}`),
 		Epoch:   2,
 	}
-	ballot := consensus.Ballot{Round: 300, Node: "10.0.0.1:7000/17"}
-	proposal := consensus.Proposal{Ballot: ballot, Epoch: 1, Items: []configuration.Item{route}}
-	electing := consensus.Proposal{
+	goldenBallot   = consensus.Ballot{Round: 300, Node: "10.0.0.1:7000/17"}
+	goldenProposal = consensus.Proposal{Ballot: goldenBallot, Epoch: 1, Items: []configuration.Item{goldenRoute}}
+	goldenElecting = consensus.Proposal{
 		Ballot: consensus.Ballot{Round: 301, Node: "10.0.0.2:7000/18"}, Epoch: 2,
-		Items: []configuration.Item{changed, tenant, limits}, Voters: second.Voters,
+		Items: []configuration.Item{goldenChanged, goldenTenant, goldenLimits}, Voters: goldenSecond.Voters,
 	}
-	left := consensus.Proposal{
+	goldenLeft = consensus.Proposal{
 		Ballot: consensus.Ballot{Round: 1 << 40, Node: "10.0.0.4:7000/19"}, Epoch: 3,
 		Items: []configuration.Item{
 			{
@@ -71,7 +70,7 @@
 			},
 		},
 	}
-	instances := []registry.Instance{
+	goldenInstances = []registry.Instance{
 		{
 			ID:         "server-1",
 			Service:    "s",
@@ -86,59 +85,96 @@
 		{ID: "server-2", Service: "s", Address: "10.1.0.2:80", Phase: registry.Gone, Seq: 1 << 33},
 		{ID: "server-3"},
 	}
+)
+
+// goldenSteps is the history that the landed version wrote: first start, promise, accepted change, chosen change with
+// a new electorate, instances, members, a staged catch-up, its end, and an accepted change that is not known to be
+// chosen.
+func goldenSteps() []goldenStep {
+	return append(goldenChanges(), goldenOtherState()...)
+}
+
+func goldenChanges() []goldenStep {
 	return []goldenStep{
-		{"first start", Batch{Acceptor: &consensus.Acceptor{Electorate: first}}},
-		{"promise", Batch{Acceptor: &consensus.Acceptor{Promised: ballot, Electorate: first}}},
-		{"accepted", Batch{Acceptor: &consensus.Acceptor{Promised: ballot, Electorate: first, Pending: &proposal}}},
+		{"first start", Batch{Acceptor: &consensus.Acceptor{Electorate: goldenFirst}}},
+		{"promise", Batch{Acceptor: &consensus.Acceptor{Promised: goldenBallot, Electorate: goldenFirst}}},
+		{
+			"accepted",
+			Batch{Acceptor: &consensus.Acceptor{Promised: goldenBallot, Electorate: goldenFirst, Pending: &goldenProposal}},
+		},
 		{
 			"accepted again",
-			Batch{Acceptor: &consensus.Acceptor{Promised: ballot, Electorate: first, Pending: &proposal}, NoSync: true},
+			Batch{
+				Acceptor: &consensus.Acceptor{Promised: goldenBallot, Electorate: goldenFirst, Pending: &goldenProposal},
+				NoSync:   true,
+			},
 		},
 		{
 			"chosen",
-			Batch{Acceptor: &consensus.Acceptor{Promised: ballot, Epoch: 1, Electorate: first}, Items: proposal.Items},
+			Batch{
+				Acceptor: &consensus.Acceptor{Promised: goldenBallot, Epoch: 1, Electorate: goldenFirst},
+				Items:    goldenProposal.Items,
+			},
 		},
 		{
 			"electorate accepted",
-			Batch{Acceptor: &consensus.Acceptor{Promised: electing.Ballot, Epoch: 1, Electorate: first, Pending: &electing}},
+			Batch{
+				Acceptor: &consensus.Acceptor{
+					Promised:   goldenElecting.Ballot,
+					Epoch:      1,
+					Electorate: goldenFirst,
+					Pending:    &goldenElecting,
+				},
+			},
 		},
 		{"electorate chosen", Batch{
 			Acceptor: &consensus.Acceptor{
-				Promised:   electing.Ballot,
+				Promised:   goldenElecting.Ballot,
 				Epoch:      2,
-				Electorate: second,
+				Electorate: goldenSecond,
 				Disk:       1<<63 + 5,
-			}, Items: electing.Items,
+			}, Items: goldenElecting.Items,
 		}},
-		{"instances", Batch{Instances: instances}},
+	}
+}
+
+func goldenOtherState() []goldenStep {
+	return []goldenStep{
+		{"instances", Batch{Instances: goldenInstances}},
 		{"members", Batch{Members: 12, NoSync: true}},
 		{"deleted instance", Batch{DeleteInstances: []string{"server-3", "server-4"}}},
 		{
 			"staged",
 			Batch{
 				Stage:       &StageProgress{BaseEpoch: 2, FirstEpoch: 3, LastEpoch: 5, NextPosition: 1 << 63},
-				StagedItems: []configuration.Item{route, tenant},
+				StagedItems: []configuration.Item{goldenRoute, goldenTenant},
 			},
 		},
 		{
 			"staged more",
 			Batch{
 				Stage:       &StageProgress{BaseEpoch: 2, FirstEpoch: 3, LastEpoch: 6, NextPosition: 1<<63 + 9},
-				StagedItems: []configuration.Item{changed},
+				StagedItems: []configuration.Item{goldenChanged},
 			},
 		},
-		{"stage cleared", Batch{ClearStage: true, Items: []configuration.Item{changed}}},
+		{"stage cleared", Batch{ClearStage: true, Items: []configuration.Item{goldenChanged}}},
 		{
 			"staged anew",
 			Batch{
 				ClearStage:  true,
 				Stage:       &StageProgress{BaseEpoch: 2, FirstEpoch: 8, LastEpoch: 8, NextPosition: 4},
-				StagedItems: []configuration.Item{limits},
+				StagedItems: []configuration.Item{goldenLimits},
 			},
 		},
 		{"accepted and not chosen", Batch{
-			Acceptor:  &consensus.Acceptor{Promised: left.Ballot, Epoch: 2, Electorate: second, Disk: 1<<63 + 5, Pending: &left},
-			Instances: instances[:1], DeleteInstances: []string{"server-2"}, Members: 13,
+			Acceptor: &consensus.Acceptor{
+				Promised:   goldenLeft.Ballot,
+				Epoch:      2,
+				Electorate: goldenSecond,
+				Disk:       1<<63 + 5,
+				Pending:    &goldenLeft,
+			},
+			Instances: goldenInstances[:1], DeleteInstances: []string{"server-2"}, Members: 13,
 		}},
 	}
 }
