--- a/internal/cluster/consensus/simulation_network_test.go
+++ b/internal/cluster/consensus/simulation_network_test.go
@@ -300,17 +300,17 @@
 func (s *simulation) settle() {
 	const maxRounds = 3000
 	for range maxRounds {
-		quiet := len(s.network) == 0
+		idle := len(s.network) == 0
 		for i, n := range s.nodes {
-			quiet = quiet && len(n.unsyncedReplies) == 0
+			idle = idle && len(n.unsyncedReplies) == 0
 			s.sync(i) // of all nodes, before any of them times out
 		}
 		for i, n := range s.nodes {
 			if !n.removed {
-				quiet = s.settleNode(i, n) && quiet
+				idle = s.settleNode(i, n) && idle
 			}
 		}
-		if quiet {
+		if idle {
 			return
 		}
 		if len(s.network) == 0 || s.rnd.IntN(8) == 0 {
@@ -324,10 +324,10 @@
 }
 
 // settleNode lets the timers of a node expire, and reports whether it has nothing to do.
-func (s *simulation) settleNode(i int, n *node) (quiet bool) {
+func (s *simulation) settleNode(i int, n *node) (idle bool) {
 	v, listed := n.Electorate.VoterAt(n.Addr)
 	replaced := listed && v.Disk != n.Disk
-	quiet = n.action.Kind == Done && !n.empty() && !replaced
+	idle = n.action.Kind == Done && !n.empty() && !replaced
 	switch {
 	case n.action.Kind == Backoff && s.rnd.IntN(4) == 0:
 		s.perform(i, n.proposer.Resumed(n.action.Attempt, n.Base()))
@@ -336,5 +336,5 @@
 	case n.action.Kind == Done && replaced && s.rnd.IntN(4) == 0:
 		s.enrollDisk(i)
 	}
-	return quiet
+	return idle
 }
--- a/internal/cluster/replication/changes.go
+++ b/internal/cluster/replication/changes.go
@@ -26,7 +26,7 @@
 }
 
 // ChangesSinceExcept is ChangesSince without what the other store is known to hold; nil: nothing.
-func (s *Store) ChangesSinceExcept(seq uint64, maxBytes int, held *MatchingBuckets) Changes {
+func (s *Store) ChangesSinceExcept(seq uint64, maxBytes int, known *MatchingBuckets) Changes {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	start, _ := slices.BinarySearchFunc(s.log, seq, func(c change, seq uint64) int {
@@ -39,7 +39,7 @@
 	snapshot, size := s.snapshot.Load(), 0
 	for _, c := range s.log[start:] {
 		entry := &s.slots[c.slot]
-		if entry.seq != c.seq || held.contains(entry.bucket, c.seq) {
+		if entry.seq != c.seq || known.contains(entry.bucket, c.seq) {
 			continue
 		}
 		var item configuration.Item
--- a/internal/cluster/retry/retry_test.go
+++ b/internal/cluster/retry/retry_test.go
@@ -34,12 +34,12 @@
 // TestListen binds an address that another listener holds: it fails when the attempts are used up or the context ends,
 // and succeeds once the address is free.
 func TestListen(t *testing.T) {
-	holder, err := transport.Listen("127.0.0.1:0")
+	blocker, err := transport.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer holder.Close()
-	addr := holder.Addr().String()
+	defer blocker.Close()
+	addr := blocker.Addr().String()
 	if _, err := Listen(t.Context(), addr, Policy{
 		Attempts: 3,
 		Interval: time.Millisecond,
@@ -59,7 +59,7 @@
 		}
 		bound <- err
 	}()
-	if err := holder.Close(); err != nil {
+	if err := blocker.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-bound; err != nil {
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -115,7 +115,7 @@
 func (c *testCluster) awaitNewest(h *replicatest.History, addr string, limit time.Duration) {
 	c.Helper()
 	m, began := c.nodes[addr], time.Now()
-	old, book := m.replica.Snapshot()
+	old, snapshot := m.replica.Snapshot()
 	for {
 		epoch, now := m.replica.Snapshot()
 		if epoch == h.Newest() {
@@ -126,9 +126,9 @@
 			c.t.Fatalf("epoch %d of %d after %v", epoch, len(h.Changes), time.Since(began))
 		}
 		if epoch == old {
-			c.True(now == book) // staged chunks are not visible
+			c.True(now == snapshot) // staged chunks are not visible
 		} else {
-			old, book = epoch, now
+			old, snapshot = epoch, now
 			c.Equal(h.Check(m.replica), "")
 		}
 		p := consensus.Proposal{Ballot: consensus.Ballot{Round: 1, Node: "test"}, Epoch: h.Newest() + 1}
--- a/internal/control/split_test.go
+++ b/internal/control/split_test.go
@@ -120,8 +120,8 @@
 						draining, _ := c.nodes[addr].store.Instance("i-0")
 						c.True(draining.Phase.String() == "draining" || draining.Phase.String() == "gone")
 						if round >= 1 {
-							gone, _ := c.nodes[addr].store.Instance("i-1")
-							c.Equal(gone.Phase.String(), "gone")
+							removed, _ := c.nodes[addr].store.Instance("i-1")
+							c.Equal(removed.Phase.String(), "gone")
 						}
 					}
 				}
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -53,13 +53,13 @@
 func (n *Node) peerViews() (views []httpapi.PeerView) {
 	for _, p := range n.peers.All() {
 		state := p.State()
-		lastHeard := -1.0
+		lastContact := -1.0
 		if state.Incarnation != 0 {
-			lastHeard = time.Since(state.LastUpdateAt).Seconds()
+			lastContact = time.Since(state.LastUpdateAt).Seconds()
 		}
 		views = append(views, httpapi.PeerView{
 			ControlAddr:        p.Addr,
-			LastHeardSeconds:   lastHeard,
+			LastHeardSeconds:   lastContact,
 			AnsweredSecondsAgo: max(-1, n.majority.Age(p.Addr).Seconds()),
 			Epoch:              state.Epoch,
 			Ready:              state.Ready,
--- a/internal/dataplane/ingress/relay_test.go
+++ b/internal/dataplane/ingress/relay_test.go
@@ -133,8 +133,8 @@
 			for id := range 2 {
 				checkLongAnswer(t, client, reader, id, size, chunked)
 			}
-			if grown := heapInUse() - before; grown > size/4 {
-				t.Errorf("the heap grew by %d bytes over two answers of %d, want %d at most", grown, size, size/4)
+			if growth := heapInUse() - before; growth > size/4 {
+				t.Errorf("the heap grew by %d bytes over two answers of %d, want %d at most", growth, size, size/4)
 			}
 		})
 	}
--- a/internal/dataplane/upstream/slow_attempt_test.go
+++ b/internal/dataplane/upstream/slow_attempt_test.go
@@ -90,8 +90,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			p := New(nil, Limits{}, nil)
 			p.Dialect.MinHoldIdle = tc.minHold
-			held := time.Duration(-1)
-			p.awaitReset = func(c *conn) { held = c.holdTime }
+			locked := time.Duration(-1)
+			p.awaitReset = func(c *conn) { locked = c.holdTime }
 			c := &conn{resetWait: resetWait, lastAnswer: p.now() - tc.idle}
 			for range tc.uses {
 				c.Begin()
@@ -99,8 +99,8 @@
 				c.Answered(upstreamconn.Answer{Status: 200}, false)
 			}
 			p.hold(c, tc.atMostOnce)
-			if held != tc.want {
-				t.Errorf("held for %v, want %v", held, tc.want)
+			if locked != tc.want {
+				t.Errorf("held for %v, want %v", locked, tc.want)
 			}
 		})
 	}
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -111,10 +111,10 @@
 // from the totals or, before these show a burst, from this gateway's own arrivals.
 func (g *Gateway) probablyWithinInFlightLimit(c *customer) float64 {
 	cycle := &c.cycle
-	others := min(cycle.localRate, quietFraction*c.quota/c.gateways) * (c.gateways - 1)
+	others := min(cycle.localRate, idleFraction*c.quota/c.gateways) * (c.gateways - 1)
 	if g.totalsValid(c) {
-		quiet := (c.gateways - cycle.reporters) * quietFraction * c.quota / c.gateways
-		others = cycle.totalRate - cycle.localRate + quiet
+		idleDemand := (c.gateways - cycle.reporters) * idleFraction * c.quota / c.gateways
+		others = cycle.totalRate - cycle.localRate + idleDemand
 	}
 	rate := max(others, c.arrivals.perSecond*(c.gateways-1))
 	return poissonBelow(c.plan.MaxInFlight-c.inFlight, rate*g.defaultPool.latency)
--- a/internal/decision/backends_test.go
+++ b/internal/decision/backends_test.go
@@ -82,19 +82,19 @@
 func TestReplacedBackendsAreUsedAtOnce(t *testing.T) {
 	gateways, list := newTestFleet(80, 60)
 	used, sent, id := map[string]int{}, 0, uint64(0)
-	news := Backends{}
+	update := Backends{}
 	for i := range list {
 		if i%5 < 3 {
 			list[i].Serving = false
-			news.List = append(
-				news.List, list[i],
+			update.List = append(
+				update.List, list[i],
 				Backend{ID: fmt.Sprint("new", i), Zone: "a", Serving: true, StartedAt: 90},
 			)
 		}
 	}
 	s := testSettings()
 	for _, g := range gateways {
-		g.Handle(100, news)
+		g.Handle(100, update)
 		for i := range 12 {
 			now := 100 + s.SlowStartTime/2 + float64(i)/4
 			id++
@@ -229,7 +229,7 @@
 // 130 gateways, one saved send each, pushed one over.
 func TestWarmingFleetIsSharedByManyGateways(t *testing.T) {
 	const n = 130
-	cold, all := 0, 0
+	warming, all := 0, 0
 	var gateways []*Gateway
 	for i := range n {
 		g := New(testSettings(), uint64(i))
@@ -247,7 +247,7 @@
 		g.Handle(now, Timer{"tick"})
 		for _, s := range actionsOf[Send](g.Handle(now, testRequest(uint64(i+1), "safe", "free"))) {
 			if all++; s.Backend == "cold" {
-				cold++
+				warming++
 			}
 			g.Handle(
 				now,
@@ -256,7 +256,7 @@
 		}
 	}
 	// A warm one gets about 70 in that second; the warming one bears 2.5 times 0.2 of what it can do warm.
-	if cold == 0 || cold > 35 || all < 600 {
-		t.Errorf("%d of %d to the cold backend", cold, all)
+	if warming == 0 || warming > 35 || all < 600 {
+		t.Errorf("%d of %d to the cold backend", warming, all)
 	}
 }
--- a/internal/decision/counter_cycles.go
+++ b/internal/decision/counter_cycles.go
@@ -17,7 +17,7 @@
 
 	// quietFraction is the part of the even share that is left to a gateway that asks for less and makes no
 	// calls.
-	quietFraction = 0.4
+	idleFraction  = 0.4
 	validCycles   = 2.5 // for which a total is believed
 	doubtFraction = 0.5 // less than this of the last total, by fewer reporters, is doubted once
 	minProcess    = 0.1 // share of a gateway at least that a process computes its demand by
@@ -82,7 +82,7 @@
 
 // grantable is what the given number of reporting gateways may grant together: quiet ones keep their part.
 func (c *customer) grantable(reporters float64) float64 {
-	return c.quota * (1 - quietFraction*(c.gateways-reporters)/c.gateways)
+	return c.quota * (1 - idleFraction*(c.gateways-reporters)/c.gateways)
 }
 
 func (c *customer) counterName(cycle int64) string {
@@ -127,7 +127,7 @@
 		return
 	}
 	even := c.quota / c.gateways
-	if c.cycle.localRate < quietFraction*even {
+	if c.cycle.localRate < idleFraction*even {
 		c.bucket.slice = even // quiet: it makes no calls, and others leave it quietFraction of this
 		return
 	}
--- a/internal/decision/counter_cycles_test.go
+++ b/internal/decision/counter_cycles_test.go
@@ -35,7 +35,7 @@
 				}
 			}
 			// Quiet gateways keep their part: it is never free for others.
-			want := 10 * (1 - quietFraction*(tc.gateways-reporters)/tc.gateways)
+			want := 10 * (1 - idleFraction*(tc.gateways-reporters)/tc.gateways)
 			if math.Abs(sum-want) > 1e-9 {
 				t.Errorf("slices sum to %v, want %v", sum, want)
 			}
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestQuietCustomersMakeNoCallsAndExpire(t *testing.T) {
+func TestIdleCustomersMakeNoCallsAndExpire(t *testing.T) {
 	g := startedGateway(t, testSettings(), servingBackend("x"))
 	g.Handle(0, testRequest(1, "safe", "rate"))
 	g.Handle(0.1, AttemptEnded{ID: 1, Backend: "x", Outcome: Succeeded, Answered: true, Duration: 0.1})
@@ -107,7 +107,7 @@
 		g.applyTotals(c, 8, 2)
 		sum += c.bucket.slice
 	}
-	if above := sum - 10; above < 0 || above > last-quietFraction*10/n+1e-9 {
+	if above := sum - 10; above < 0 || above > last-idleFraction*10/n+1e-9 {
 		t.Errorf("sum %v above the quota; the bound is the lost slice less the quiet part", above)
 	}
 }
--- a/internal/decision/pair_counters.go
+++ b/internal/decision/pair_counters.go
@@ -114,7 +114,7 @@
 // back to the part that others leave to those who do not report: one that is partitioned gets more careful.
 func (g *Gateway) effectiveSlice(c *customer) float64 {
 	if g.settings.PairCounters && g.now-c.pairs.ackedAt > reportExpiry && c.gateways > 1 {
-		return min(c.bucket.slice, quietFraction*c.quota/c.gateways)
+		return min(c.bucket.slice, idleFraction*c.quota/c.gateways)
 	}
 	return c.bucket.slice
 }
--- a/internal/decision/pair_counters_test.go
+++ b/internal/decision/pair_counters_test.go
@@ -101,15 +101,15 @@
 			targeted := w.lostTenant != "" && a.Customer == w.lostTenant
 			lost := n.partitioned || w.rng.Float64() < w.lostShare || targeted
 			if !lost {
-				holder := n.name
+				owner := n.name
 				if a.PerRequest {
-					holder += "#" + strconv.Itoa(n.incarnation)
+					owner += "#" + strconv.Itoa(n.incarnation)
 				}
 				w.id++
 				total := w.counters.Add(w.now, &quota.Report{
 					Name:       a.Customer,
 					Cycle:      a.Cycle,
-					Reporter:   holder,
+					Reporter:   owner,
 					Amount:     a.Add,
 					ReadOnly:   a.Add == 0,
 					PerRequest: a.PerRequest,
@@ -283,7 +283,7 @@
 	is.True(largest.rate >= 29) // the slice follows what is asked
 	w.nodes[0].partitioned = true
 	w.run(4)
-	if c := w.nodes[0].g.customers["t"]; w.nodes[0].g.effectiveSlice(c) > quietFraction*plan.Rate/7+1e-9 {
+	if c := w.nodes[0].g.customers["t"]; w.nodes[0].g.effectiveSlice(c) > idleFraction*plan.Rate/7+1e-9 {
 		t.Errorf("partitioned, it goes on with %.1f", w.nodes[0].g.effectiveSlice(c))
 	}
 }
--- a/internal/decision/ratelimit/split_test.go
+++ b/internal/decision/ratelimit/split_test.go
@@ -38,11 +38,11 @@
 		f.send(now, units)
 		return
 	}
-	name, room, _, ok := f.split.SharedSpan(now)
+	name, available, _, ok := f.split.SharedSpan(now)
 	if !ok {
 		return
 	}
-	if f.counter[name] += units; f.counter[name] > room {
+	if f.counter[name] += units; f.counter[name] > available {
 		return
 	}
 	f.send(now+late, units)
@@ -131,8 +131,8 @@
 		{Rate: 40, Burst: 60, Slack: 6, Gateways: 1, Counter: true},
 		{Rate: 40, Burst: 40 * GrantValidity, Slack: 6, Gateways: 8, Counter: true},
 	} {
-		if name, room, _, ok := s.SharedSpan(100); ok {
-			t.Errorf("%+v: %s, %v", s, name, room)
+		if name, available, _, ok := s.SharedSpan(100); ok {
+			t.Errorf("%+v: %s, %v", s, name, available)
 		}
 		if got := fmt.Sprint(s.OwnTokens(0, 1e6, 1)); got != fmt.Sprint((s.Burst+s.Slack)/s.Gateways) {
 			t.Errorf("%+v: own part %s", s, got)
--- a/internal/decision/sparse.go
+++ b/internal/decision/sparse.go
@@ -226,7 +226,7 @@
 	g.throttleOverdraft(c, lastRatio, unrestricted, t)
 	// Between two totals the ratio admits no more than this gateway's slice and burst. Its own demand is
 	// noise, so the share of a quiet gateway is added to it.
-	quiet := quietFraction * quota / c.gateways
-	own := (c.cycle.localRate*period+c.cycle.demand)/(period+max(0, g.now-c.cycle.startedAt)) + quiet
-	c.sparse.demandShare = min(1, own/(rate+quiet*c.gateways))
+	idleDemand := idleFraction * quota / c.gateways
+	own := (c.cycle.localRate*period+c.cycle.demand)/(period+max(0, g.now-c.cycle.startedAt)) + idleDemand
+	c.sparse.demandShare = min(1, own/(rate+idleDemand*c.gateways))
 }
--- a/internal/emulator/capacity/reckon.go
+++ b/internal/emulator/capacity/estimate.go
@@ -111,7 +111,7 @@
 )
 
 // reckon fills the rows at one size.
-func (p *Plan) reckon(run *costmodel.Run) ([]Row, error) {
+func (p *Plan) estimate(run *costmodel.Run) ([]Row, error) {
 	r := &reckoner{Plan: p, run: run}
 	r.ingress()
 	r.core()
@@ -185,7 +185,7 @@
 	tenants, servers := r.of("size.tenants")*r.of("agent.tenants"), r.of("size.servers")*r.of("agent.servers")
 	part := r.part()
 	shown := max(r.of("agent.servers"), r.of("proxy.servers"))
-	held := max(tenants, r.of("size.tenants")*r.of("proxy.tenants"), 1)
+	stored := max(tenants, r.of("size.tenants")*r.of("proxy.tenants"), 1)
 	lines := max(servers, r.of("size.servers")*r.of("proxy.servers"), 1)
 	calls := x.asked / r.of("counters.batch")
 
@@ -195,7 +195,7 @@
 	work.one("heartbeats to the proxy", "write.beat", heartbeats)
 	work.one("renewals of the proxy", "read.renew", heartbeats)
 	work.one("changes read", "read.tenant", x.changes*part*copies)
-	work.op("changes taken", "change.store", held, x.changes*part)
+	work.op("changes taken", "change.store", stored, x.changes*part)
 	work.one("changes to the proxy", "write.tenant", x.changes*part)
 	work.one("lines read", "read.line", x.lines*shown*copies)
 	work.op("lines taken", "change.line", lines, x.lines*shown)
@@ -208,8 +208,8 @@
 	side := &need{r: r}
 	side.one("heartbeats read", "read.beat", heartbeats)
 	side.one("changes read", "read.tenant", x.changes*part)
-	side.op("changes taken", "change.store", held, x.changes*part)
-	side.op("tables swapped", "change.with", held, x.changes*part)
+	side.op("changes taken", "change.store", stored, x.changes*part)
+	side.op("tables swapped", "change.with", stored, x.changes*part)
 	side.one("lines read", "read.line", x.lines*shown)
 	side.op("lines taken", "change.line", lines, x.lines*shown)
 	side.one(
@@ -255,7 +255,7 @@
 func (r *reckoner) core() {
 	x := r.pace()
 	ingresses, nodes := r.of("size.ingresses"), r.of("core.nodes_with_beats")
-	beats := r.of("size.servers") / r.of("size.beat_s") / nodes
+	serverHeartbeats := r.of("size.servers") / r.of("size.beat_s") / nodes
 	keepers := r.of("counters.nodes")
 	calls := ingresses * x.asked / keepers
 	subscribers := ingresses * r.of("news.sources") / r.of("news.source_nodes")
@@ -282,10 +282,10 @@
 	r.row("control", "memory", "B", r.of("limits.core.memory"), memory.terms)
 
 	work := &need{r: r}
-	work.op("beats taken, without HTTP", "registry.beat", lines, beats)
-	work.one("beats told to others", "write.heard", beats*r.of("core.told"))
-	work.one("beats of others read", "read.heard", beats*r.of("core.told"))
-	work.op("beats of others taken", "registry.heard", lines, beats*r.of("core.told"))
+	work.op("beats taken, without HTTP", "registry.beat", lines, serverHeartbeats)
+	work.one("beats told to others", "write.heard", serverHeartbeats*r.of("core.told"))
+	work.one("beats of others read", "read.heard", serverHeartbeats*r.of("core.told"))
+	work.op("beats of others taken", "registry.heard", lines, serverHeartbeats*r.of("core.told"))
 	work.one("heartbeats to agents", "write.beat", subscribers*heartbeats)
 	work.one("renewals of agents", "read.renew", subscribers*heartbeats)
 	work.one("changes to agents", "write.tenant", x.changes*part*sending)
@@ -303,8 +303,8 @@
 
 	segment := r.of("wire.segment")
 	wire := &need{r: r}
-	wire.add("beats of servers, a call and its answer", r.of("wire.beat_http")+2*segment, beats)
-	wire.add("beats told, both ways", r.each("wire.heard"), 2*beats*r.of("core.told"))
+	wire.add("beats of servers, a call and its answer", r.of("wire.beat_http")+2*segment, serverHeartbeats)
+	wire.add("beats told, both ways", r.each("wire.heard"), 2*serverHeartbeats*r.of("core.told"))
 	wire.add(
 		"heartbeats and renewals of agents",
 		r.each("wire.beat")+r.each("wire.renew")+2*segment,
@@ -381,13 +381,13 @@
 
 // Reckon reckons the needs at the size of the plan, and for each up to which part of that size it keeps its limit. It
 // errs where the run lacks a slope.
-func (p *Plan) Reckon(run *costmodel.Run) (*Report, error) {
-	rows, err := p.reckon(run)
+func (p *Plan) Estimate(run *costmodel.Run) (*Report, error) {
+	rows, err := p.estimate(run)
 	if err != nil {
 		return nil, err
 	}
 	need := func(times float64, n int) float64 {
-		at, _ := p.at(times).reckon(run)
+		at, _ := p.at(times).estimate(run)
 		return at[n].Need - at[n].Limit
 	}
 	for n := range rows {
--- a/internal/emulator/capacity/plan_test.go
+++ b/internal/emulator/capacity/plan_test.go
@@ -41,9 +41,9 @@
 	r := new(costmodel.Run)
 	for _, n := range names {
 		s := costmodel.Series{
-			Name:   n,
-			Points: []costmodel.Point{{N: 1, Y: 1}, {N: 2, Y: 2}, {N: 4, Y: 4}},
-			Held:   costmodel.Point{N: 8, Y: 8},
+			Name:    n,
+			Points:  []costmodel.Point{{N: 1, Y: 1}, {N: 2, Y: 2}, {N: 4, Y: 4}},
+			HeldOut: costmodel.Point{N: 8, Y: 8},
 		}
 		if err := s.Fit(); err != nil {
 			t.Fatal(err)
@@ -69,7 +69,7 @@
 	is.NoErr(err)
 	p, err := Read("tiny.conf", tiny)
 	is.NoErr(err)
-	r, err := p.Reckon(flat(t, run.Names()))
+	r, err := p.Estimate(flat(t, run.Names()))
 	is.NoErr(err)
 	near := func(got, want float64) { t.Helper(); is.True(math.Abs(got-want) < 1e-6*want) }
 	// All that there is, a byte each, and half of it more for the collector.
@@ -91,7 +91,7 @@
 	is.NoErr(r.Write(&out))
 	is.True(strings.Contains(out.String(), "binds first: "+order[0].Role))
 
-	_, err = p.Reckon(new(costmodel.Run))
+	_, err = p.Estimate(new(costmodel.Run))
 	is.True(err != nil && strings.Contains(err.Error(), "store.route"))
 }
 
@@ -126,7 +126,7 @@
 		is.NoErr(err)
 		p, err := Read(filepath.Base(file), string(text))
 		is.NoErr(err)
-		r, err := p.Reckon(run)
+		r, err := p.Estimate(run)
 		is.NoErr(err)
 		for _, x := range r.Rows {
 			is.True(x.Need >= 0 && !math.IsInf(x.Need, 0))
--- a/internal/emulator/costmodel/cluster.go
+++ b/internal/emulator/costmodel/cluster.go
@@ -146,7 +146,7 @@
 				&quota.Report{
 					Name:       tenantName(t),
 					Cycle:      3,
-					Reporter:   holder(h),
+					Reporter:   reporterName(h),
 					Amount:     1,
 					PerRequest: one,
 					Serial:     1,
@@ -158,16 +158,16 @@
 	return k
 }
 
-func holder(n int) string { return fmt.Sprintf("edge-muscat-hall-%d", n) }
+func reporterName(n int) string { return fmt.Sprintf("edge-muscat-hall-%d", n) }
 
 // changes are the processor time of one change, and of one look-up.
 func changes(m *meter) {
 	// smaller ones lie in the processor's caches, and are of another line
 	sizes := []int{10000, 20000, 40000, 80000, 200000}
-	routed, held := once(func(n int) *configuration.Snapshot { return merged(services(namedBy), routes(n, namedBy)) }),
+	routed, known := once(func(n int) *configuration.Snapshot { return merged(services(namedBy), routes(n, namedBy)) }),
 		once(func(n int) *configuration.Snapshot { return merged(tenants(n)) })
 	tabled := once(func(n int) *configuration.RoutingTable {
-		return configuration.NewRoutingTable().With(held(n), slices.Collect(held(n).All()))
+		return configuration.NewRoutingTable().With(known(n), slices.Collect(known(n).All()))
 	})
 	const ops = 400
 	// Each change is made beforehand, and is of another item far from the one before.
@@ -178,24 +178,24 @@
 		Series{Name: "change.check", What: "Check of one route's change", Of: "routes", Log: true},
 		ops,
 		func(n int) func(int) {
-			b, news := routed(n), next(n, func(i, version int) configuration.Item { return route(i, namedBy, version) })
-			return func(i int) { b.Validate(news[i]) }
+			b, frame := routed(n), next(n, func(i, version int) configuration.Item { return route(i, namedBy, version) })
+			return func(i int) { b.Validate(frame[i]) }
 		},
 		sizes...)
 	m.cpu(
 		Series{Name: "change.merge", What: "Merge of one tenant's change", Of: "tenants", Log: true},
 		ops,
 		func(n int) func(int) {
-			b, news := held(n), next(n, tenant)
-			return func(i int) { b, _ = b.Merge(news[i]) }
+			b, frame := known(n), next(n, tenant)
+			return func(i int) { b, _ = b.Merge(frame[i]) }
 		},
 		sizes...)
 	m.cpu(
 		Series{Name: "change.with", What: "With of a Table for one tenant's change", Of: "tenants", Log: true},
 		ops,
 		func(n int) func(int) {
-			b, t, news := held(n), tabled(n), next(n, tenant)
-			return func(i int) { t = t.With(b, news[i]) }
+			b, t, frame := known(n), tabled(n), next(n, tenant)
+			return func(i int) { t = t.With(b, frame[i]) }
 		},
 		sizes...)
 	m.cpu(
@@ -207,10 +207,10 @@
 		},
 		ops,
 		func(n int) func(int) {
-			s, news := replication.NewStore(1), next(n, tenant)
+			s, frame := replication.NewStore(1), next(n, tenant)
 			s.MergeItems(tenants(n))
 			return func(i int) {
-				s.MergeItems(news[i])
+				s.MergeItems(frame[i])
 				s.ChangesSince(s.Seq()-1, 64<<10)
 			}
 		},
@@ -226,13 +226,13 @@
 		func(n int) func(int) {
 			s := replication.NewStore(1)
 			s.MergeInstances(servers(n))
-			news := many(repeats*ops+1, func(i int) []registry.Instance {
+			frame := many(repeats*ops+1, func(i int) []registry.Instance {
 				l := server(i*7919%n, uint64(i)+2)
 				l.Phase = registry.Draining
 				return []registry.Instance{l}
 			})
 			return func(i int) {
-				s.MergeInstances(news[i])
+				s.MergeInstances(frame[i])
 				s.ChangesSince(s.Seq()-1, 64<<10)
 			}
 		},
@@ -332,9 +332,9 @@
 
 func snapshot(s *replication.Store, frame func([]byte)) {
 	var b []byte
-	for seq, whole := uint64(0), false; !whole; {
+	for seq, snapshot := uint64(0), false; !snapshot; {
 		changes := s.ChangesSince(seq, 64<<10)
-		seq, whole = changes.Seq, changes.Complete
+		seq, snapshot = changes.Seq, changes.Complete
 		f := &transport.Update{Incarnation: 1 << 60, Items: changes.Items, Instances: changes.Instances, Seq: seq}
 		b, _ = transport.Append(b[:0], &transport.Frame{Update: f})
 		frame(b)
@@ -342,7 +342,7 @@
 }
 
 // news is a feed with so many items, lines or beats.
-func news(n int, add func(f *transport.Update, i int)) *transport.Frame {
+func update(n int, add func(f *transport.Update, i int)) *transport.Frame {
 	f := &transport.Update{
 		Incarnation: 1 << 60,
 		Seq:         1 << 30,
@@ -366,26 +366,26 @@
 		frame          func(n int) []*transport.Frame
 	}{
 		{"tenant", "a feed with n tenants; a: a heartbeat", "tenants", func(n int) []*transport.Frame {
-			return []*transport.Frame{news(n, func(f *transport.Update, i int) { f.Items = append(f.Items, tenant(i, 7)) })}
+			return []*transport.Frame{update(n, func(f *transport.Update, i int) { f.Items = append(f.Items, tenant(i, 7)) })}
 		}},
 		{"route", "a feed with n routes", "routes", func(n int) []*transport.Frame {
-			return []*transport.Frame{news(n,
+			return []*transport.Frame{update(n,
 				func(f *transport.Update, i int) { f.Items = append(f.Items, route(i, namedBy, 7)) })}
 		}},
 		{"service", "a feed with n services", "services", func(n int) []*transport.Frame {
-			return []*transport.Frame{news(n, func(f *transport.Update, i int) { f.Items = append(f.Items, service(i, 7)) })}
+			return []*transport.Frame{update(n, func(f *transport.Update, i int) { f.Items = append(f.Items, service(i, 7)) })}
 		}},
 		{"line", "a feed with n lines", "servers", func(n int) []*transport.Frame {
-			return []*transport.Frame{news(n,
+			return []*transport.Frame{update(n,
 				func(f *transport.Update, i int) { f.Instances = append(f.Instances, server(i, 7)) })}
 		}},
 		{"heard", "a feed with n beats heard, between control nodes", "beats", func(n int) []*transport.Frame {
-			return []*transport.Frame{news(n, func(f *transport.Update, i int) {
+			return []*transport.Frame{update(n, func(f *transport.Update, i int) {
 				f.Heartbeats = append(f.Heartbeats, transport.Heartbeat{ID: server(i, 1).ID, Seq: 50_000})
 			})}
 		}},
 		{"beat", "n heartbeats of a source", "heartbeats", func(n int) []*transport.Frame {
-			return many(n, func(int) *transport.Frame { return news(0, nil) })
+			return many(n, func(int) *transport.Frame { return update(0, nil) })
 		}},
 		{"renew", "n renewals of a lease", "renewals", func(n int) []*transport.Frame {
 			return many(n, func(int) *transport.Frame {
@@ -399,7 +399,7 @@
 						CounterTotal: &transport.CounterTotal{OK: true, Sum: 87.125, Reporters: 40}}
 				}
 				return &transport.Frame{Call: uint64(1e6 + i),
-					CounterAdd: &transport.CounterAdd{Name: tenantName(i), Cycle: 86400, Reporter: holder(i%3300) + "#1z141z4",
+					CounterAdd: &transport.CounterAdd{Name: tenantName(i), Cycle: 86400, Reporter: reporterName(i%3300) + "#1z141z4",
 						Amount: 1, Retention: 3, PerRequest: true, Serial: uint64(1e6 + i)}}
 			})
 		}},
@@ -486,7 +486,7 @@
 					&quota.Report{
 						Name:       names[i*7919%n],
 						Cycle:      3,
-						Reporter:   holder0,
+						Reporter:   firstReporter,
 						Amount:     1,
 						PerRequest: true,
 						Serial:     uint64(i) + 2,
@@ -539,7 +539,7 @@
 	)
 }
 
-var holder0 = holder(0)
+var firstReporter = reporterName(0)
 
 func known(n int) (*registry.Registry, []registry.Instance) {
 	r, ls := registry.New(1.5), servers(n)
--- a/internal/emulator/costmodel/fit.go
+++ b/internal/emulator/costmodel/fit.go
@@ -27,7 +27,7 @@
 	Of        string     `json:"of"`   // what N counts
 	Log       bool       `json:"log,omitempty"`
 	Points    []Point    `json:"points"` // those of the fit
-	Held      Point      `json:"held"`   // held back from it
+	HeldOut   Point      `json:"held"`   // held back from it
 	A         float64    `json:"a"`
 	B         float64    `json:"b"`
 	Alloc     [2]float64 `json:"alloc,omitempty"` // the line of the bytes allocated, in N or log2(N) as the other
@@ -58,7 +58,7 @@
 	if len(s.Points) < 3 {
 		return errors.Errorf("%s: %d points, three are needed", s.Name, len(s.Points))
 	}
-	for _, p := range append(s.Points[:len(s.Points):len(s.Points)], s.Held) {
+	for _, p := range append(s.Points[:len(s.Points):len(s.Points)], s.HeldOut) {
 		if !(p.Y > 0) || math.IsInf(p.Y, 0) || !(p.N > 0) || math.IsInf(p.N, 0) {
 			return errors.Errorf("%s: %g at %g is no measurement", s.Name, p.Y, p.N)
 		}
@@ -73,8 +73,8 @@
 	for _, p := range s.Points {
 		s.Residuals = append(s.Residuals, (p.Y-s.A-s.B*s.x(p.N))/p.Y)
 	}
-	s.Predicted = s.A + s.B*s.x(s.Held.N)
-	s.Off = s.Predicted/s.Held.Y - 1
+	s.Predicted = s.A + s.B*s.x(s.HeldOut.N)
+	s.Off = s.Predicted/s.HeldOut.Y - 1
 	return nil
 }
 
--- a/internal/emulator/costmodel/gateway.go
+++ b/internal/emulator/costmodel/gateway.go
@@ -23,7 +23,7 @@
 }
 
 // newGate is a gateway before so many servers, in groups of so many, that has met so many tenants.
-func newGate(servers, group, tenants, doors int) *gate {
+func newGate(servers, group, tenants, gateways int) *gate {
 	x := &gate{
 		class: &decision.Class{
 			Name:          "r",
@@ -78,16 +78,16 @@
 				Plan:     decision.Plan{Name: tenantName(i), Rate: float64(10 + i%90), Burst: 50, ValueWeight: 1},
 			},
 		)
-		x.request(i, "g0", doors)
+		x.request(i, "g0", gateways)
 	}
 	return x
 }
 
 // request has the gateway decide a request of a tenant, answers its call of the counter if it makes one, and ends its
 // attempt.
-func (x *gate) request(tenant int, group string, doors int) {
+func (x *gate) request(tenant int, group string, gatewayCount int) {
 	x.id++
-	r := decision.Request{ID: x.id, Class: "r", Kind: x.class, Group: group, TimeLeft: 0.9, Units: 1, Gateways: doors}
+	r := decision.Request{ID: x.id, Class: "r", Kind: x.class, Group: group, TimeLeft: 0.9, Units: 1, Gateways: gatewayCount}
 	if len(x.terms) > 0 {
 		t := x.terms[tenant%len(x.terms)]
 		r.Customer, r.Terms = t.Customer, t
--- a/internal/emulator/costmodel/meter.go
+++ b/internal/emulator/costmodel/meter.go
@@ -86,7 +86,7 @@
 // add keeps a series once it is fitted.
 func (m *meter) add(s Series, points []Point) {
 	last := len(points) - 1
-	s.Points, s.Held = points[:last], points[last]
+	s.Points, s.HeldOut = points[:last], points[last]
 	if err := s.Fit(); err != nil {
 		if m.err == nil {
 			m.err = err
--- a/internal/emulator/costmodel/slopes_test.go
+++ b/internal/emulator/costmodel/slopes_test.go
@@ -39,12 +39,12 @@
 
 func TestFitAgainstPlain(t *testing.T) {
 	is := is.New(t)
-	odds := rand.New(rand.NewPCG(1, 9))
+	noise := rand.New(rand.NewPCG(1, 9))
 	for round := range 30 {
-		s := &Series{Name: "s", Log: round%2 == 1, Held: Point{N: 40, Y: 100}}
-		a, b := 5+10*odds.Float64(), odds.Float64()
+		s := &Series{Name: "s", Log: round%2 == 1, HeldOut: Point{N: 40, Y: 100}}
+		a, b := 5+10*noise.Float64(), noise.Float64()
 		for _, n := range []float64{2, 5, 9, 17, 30} {
-			s.Points = append(s.Points, Point{N: n, Y: (a + b*s.x(n)) * (1 + 0.2*(odds.Float64()-0.5))})
+			s.Points = append(s.Points, Point{N: n, Y: (a + b*s.x(n)) * (1 + 0.2*(noise.Float64()-0.5))})
 		}
 		is.NoErr(s.Fit())
 		pa, pb := plainFit(s)
@@ -59,8 +59,8 @@
 func TestFitOfAnExactLinePredicts(t *testing.T) {
 	is := is.New(t)
 	s := &Series{
-		Points: []Point{{N: 10, Y: 25, Alloc: 7}, {N: 100, Y: 205, Alloc: 7}, {N: 1e6, Y: 2000005, Alloc: 7}},
-		Held:   Point{N: 1e7, Y: 20000005},
+		Points:  []Point{{N: 10, Y: 25, Alloc: 7}, {N: 100, Y: 205, Alloc: 7}, {N: 1e6, Y: 2000005, Alloc: 7}},
+		HeldOut: Point{N: 1e7, Y: 20000005},
 	}
 	is.NoErr(s.Fit())
 	is.True(math.Abs(s.A-5) < 1e-6 && math.Abs(s.B-2) < 1e-9 && math.Abs(s.Off) < 1e-9 && s.Worst() < 1e-9)
@@ -70,12 +70,12 @@
 
 func TestFitRefusesWhatIsNoMeasurement(t *testing.T) {
 	is := is.New(t)
-	held := Point{N: 9, Y: 9}
+	predicted := Point{N: 9, Y: 9}
 	for _, s := range []Series{
-		{Points: []Point{{N: 1, Y: 1}, {N: 2, Y: 2}}, Held: held},
-		{Points: []Point{{N: 5, Y: 1}, {N: 5, Y: 2}, {N: 5, Y: 3}}, Held: held},
-		{Points: []Point{{N: 1, Y: 1}, {N: 2, Y: 0}, {N: 3, Y: 3}}, Held: held},
-		{Points: []Point{{N: 1, Y: 1}, {N: 2, Y: math.NaN()}, {N: 3, Y: 3}}, Held: held},
+		{Points: []Point{{N: 1, Y: 1}, {N: 2, Y: 2}}, HeldOut: predicted},
+		{Points: []Point{{N: 5, Y: 1}, {N: 5, Y: 2}, {N: 5, Y: 3}}, HeldOut: predicted},
+		{Points: []Point{{N: 1, Y: 1}, {N: 2, Y: 0}, {N: 3, Y: 3}}, HeldOut: predicted},
+		{Points: []Point{{N: 1, Y: 1}, {N: 2, Y: math.NaN()}, {N: 3, Y: 3}}, HeldOut: predicted},
 		{Points: []Point{{N: 1, Y: 1}, {N: 2, Y: 2}, {N: 3, Y: 3}}},
 	} {
 		is.True(s.Fit() != nil)
--- a/internal/emulator/costmodel/world.go
+++ b/internal/emulator/costmodel/world.go
@@ -14,10 +14,10 @@
 const perService = 20 // servers of a service, as in the size to design for
 
 func word(n int, letters int, salt uint64) string {
-	odds := rand.New(rand.NewPCG(uint64(n), salt))
+	noise := rand.New(rand.NewPCG(uint64(n), salt))
 	b := make([]byte, letters)
 	for i := range b {
-		b[i] = "abcdefghijklmnopqrstuvwxyz0123456789"[odds.IntN(36)]
+		b[i] = "abcdefghijklmnopqrstuvwxyz0123456789"[noise.IntN(36)]
 	}
 	return string(b)
 }
--- a/internal/emulator/exchange/exchange.go
+++ b/internal/emulator/exchange/exchange.go
@@ -42,12 +42,12 @@
 )
 
 // patience ends a test that hangs. No step's success depends on it.
-const patience = 20 * time.Second
+const stepTimeout = 20 * time.Second
 
 // Until waits until something is so, for hooks to return: nothing then, and a word that no script has
 // when it hangs.
 func Until(is func() bool) string {
-	for end := time.Now().Add(patience); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(stepTimeout); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			return "never"
 		}
@@ -167,7 +167,7 @@
 	if err != nil {
 		return "", err
 	}
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(stepTimeout))
 	var came string
 	switch verb {
 	case "accept":
@@ -293,7 +293,7 @@
 	var nc net.Conn
 	var err error
 	if l, ok := p.listeners[name]; ok {
-		l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+		l.(*net.TCPListener).SetDeadline(time.Now().Add(stepTimeout))
 		nc, err = l.Accept()
 	} else {
 		nc, err = net.Dial("tcp", p.Target)
--- a/internal/emulator/fakes/discovery.go
+++ b/internal/emulator/fakes/discovery.go
@@ -79,7 +79,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if r.URL.Query().Get("watch") == "" {
-		json.NewEncoder(w).Encode(d.whole())
+		json.NewEncoder(w).Encode(d.snapshot())
 		return
 	}
 	var from int64
@@ -88,15 +88,15 @@
 	for {
 		d.mu.Lock()
 		rev, moved, silent := d.rev, d.moved, d.silent
-		var news []discovery.List
+		var update []discovery.List
 		if from >= 0 && from <= rev {
-			news = d.changes[from:rev]
+			update = d.changes[from:rev]
 		}
 		d.mu.Unlock()
 		if from > rev { // another one's number
-			news = []discovery.List{d.whole()}
+			update = []discovery.List{d.snapshot()}
 		}
-		for _, l := range news {
+		for _, l := range update {
 			if !silent && json.NewEncoder(w).Encode(l) != nil {
 				return
 			}
@@ -119,7 +119,7 @@
 	}
 }
 
-func (d *Discovery) whole() discovery.List {
+func (d *Discovery) snapshot() discovery.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	l := discovery.List{Rev: d.rev, All: true, Targets: []discovery.Target{}}
--- a/internal/emulator/fakes/quotes.go
+++ b/internal/emulator/fakes/quotes.go
@@ -21,18 +21,18 @@
 
 // Quotes is a quote server: some cores, a queue before them, cold at first, and faults on demand.
 type Quotes struct {
-	Cores  int           // requests worked on at once
-	Queue  int           // that may wait
-	Work   time.Duration // of a request on a warm server
-	Cold   time.Duration // after its start it is slower: four times at first, evenly less
-	Keep   time.Duration // idle connections are closed after this; 0: 30 s
-	Salt   uint64        // makes its faults others than another server's
-	server *http.Server
-	addr   string
-	begun  time.Time
-	cores  chan struct{}
-	held   atomic.Int64
-	fault  atomic.Pointer[Faults]
+	Cores   int           // requests worked on at once
+	Queue   int           // that may wait
+	Work    time.Duration // of a request on a warm server
+	Warming time.Duration // after its start it is slower: four times at first, evenly less
+	Keep    time.Duration // idle connections are closed after this; 0: 30 s
+	Salt    uint64        // makes its faults others than another server's
+	server  *http.Server
+	addr    string
+	begun   time.Time
+	cores   chan struct{}
+	pending atomic.Int64
+	fault   atomic.Pointer[Faults]
 
 	mu      sync.Mutex
 	arrived map[string]Arrival // requests that arrived whole, by id
@@ -122,7 +122,7 @@
 		return draw < 0
 	}
 	switch {
-	case over(f.Turned) || q.held.Load() >= int64(max(1, q.Cores)+q.Queue):
+	case over(f.Turned) || q.pending.Load() >= int64(max(1, q.Cores)+q.Queue):
 		w.Header().Set("X-Not-Processed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -143,8 +143,8 @@
 		cut(w, "HTTP/1.1 2OO FINE\r\n\r\n")
 		return
 	}
-	q.held.Add(1)
-	defer q.held.Add(-1)
+	q.pending.Add(1)
+	defer q.pending.Add(-1)
 	if !q.work(r.Context()) {
 		return
 	}
@@ -175,8 +175,8 @@
 	}
 	defer func() { <-q.cores }()
 	d := q.Work
-	if age := time.Since(q.begun); age < q.Cold {
-		d = time.Duration(float64(d) * (4 - 3*float64(age)/float64(q.Cold)))
+	if age := time.Since(q.begun); age < q.Warming {
+		d = time.Duration(float64(d) * (4 - 3*float64(age)/float64(q.Warming)))
 	}
 	if d <= 0 {
 		return true
--- a/internal/emulator/faultnet/faultnet.go
+++ b/internal/emulator/faultnet/faultnet.go
@@ -120,14 +120,14 @@
 		c.Lost++
 		return nil
 	}
-	copies = append(copies, l.held(f))
+	copies = append(copies, l.delayed(f))
 	if f.Double > 0 && l.rng.Float64() < f.Double {
-		copies = append(copies, l.held(f))
+		copies = append(copies, l.delayed(f))
 	}
 	return copies
 }
 
-func (l *Links) held(f Fault) time.Duration {
+func (l *Links) delayed(f Fault) time.Duration {
 	d := f.Delay
 	if f.Jitter > 0 {
 		d += time.Duration(l.rng.Int64N(int64(f.Jitter)))
@@ -140,7 +140,7 @@
 
 // Piece tells by how much a piece of a stream is held. While the link is cut, wait is not nil: closed, it is asked
 // again.
-func (l *Links) Piece(from, to string, size int) (held time.Duration, wait <-chan struct{}) {
+func (l *Links) Transfer(from, to string, size int) (delay time.Duration, wait <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f := l.fault(from, to, Streams)
@@ -150,11 +150,11 @@
 	c := l.count(from, to, Streams)
 	c.Sent++
 	c.Bytes += int64(size)
-	held = l.held(f)
+	delay = l.delayed(f)
 	for n := 0; n < 8 && l.rng.Float64() < f.Loss; n++ {
-		held += retransmission
+		delay += retransmission
 	}
-	return held, nil
+	return delay, nil
 }
 
 func (l *Links) count(from, to string, p Proto) *Count {
--- a/internal/emulator/faultnet/memory.go
+++ b/internal/emulator/faultnet/memory.go
@@ -73,8 +73,8 @@
 	}
 	packet := append([]byte(nil), b...)
 	from := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(e.addr))
-	for _, held := range e.network.Links.Datagram(e.name, to.name, len(b)) {
-		time.AfterFunc(held, func() {
+	for _, delay := range e.network.Links.Datagram(e.name, to.name, len(b)) {
+		time.AfterFunc(delay, func() {
 			if to := e.network.end(a.Addr); to != nil {
 				select {
 				case to.packets <- &memberlist.Packet{Buf: packet, From: from, Timestamp: time.Now()}:
@@ -95,11 +95,11 @@
 	}
 	for _, way := range [][2]string{{e.name, to.name}, {to.name, e.name}} {
 		for open := false; !open; {
-			held, wait := e.network.Links.Piece(way[0], way[1], 0)
+			delay, wait := e.network.Links.Transfer(way[0], way[1], 0)
 			if open = wait == nil; open {
 				wait = make(chan struct{}) // only time ends it
 			}
-			next := time.After(held)
+			next := time.After(delay)
 			if !open {
 				next = nil
 			}
--- a/internal/emulator/faultnet/relay.go
+++ b/internal/emulator/faultnet/relay.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	pieceSize = 16 << 10
+	chunkSize = 16 << 10
 	dialMost  = 2 * time.Second
 )
 
@@ -109,12 +109,12 @@
 			continue // the end of a call before may be told as an error of the next read
 		}
 		packet := append([]byte(nil), buf[:n]...)
-		for _, held := range r.links.Datagram(r.caller(from), r.to, n) {
-			if held == 0 {
+		for _, delay := range r.links.Datagram(r.caller(from), r.to, n) {
+			if delay == 0 {
 				r.pass(packet)
 				continue
 			}
-			time.AfterFunc(held, func() { r.pass(packet) })
+			time.AfterFunc(delay, func() { r.pass(packet) })
 		}
 	}
 }
@@ -205,9 +205,9 @@
 // meanwhile is seen once the link carries again, as on a real one.
 func (r *Relay) wait(from, to string, size int) bool {
 	for {
-		held, wait := r.links.Piece(from, to, size)
+		delay, wait := r.links.Transfer(from, to, size)
 		if wait == nil {
-			time.Sleep(held)
+			time.Sleep(delay)
 			return true
 		}
 		select {
@@ -220,7 +220,7 @@
 
 // copy carries one way of a stream.
 func (r *Relay) copy(from, to string, in, out net.Conn) {
-	buf := make([]byte, pieceSize)
+	buf := make([]byte, chunkSize)
 	for {
 		n, err := in.Read(buf)
 		if n > 0 {
--- a/internal/emulator/faulttest/actions.go
+++ b/internal/emulator/faulttest/actions.go
@@ -92,7 +92,7 @@
 	p.say("done", s.Do+map[bool]string{true: " " + s.Word}[s.Word != ""], s.Of...)
 	a := &action{player: p, step: s, nodes: p.nodesOf(s.Of)}
 	if len(a.nodes) == 0 && !slices.Contains(aboutNoNode, s.Do) {
-		if h := p.holder(); h != nil {
+		if h := p.leaseHolder(); h != nil {
 			a.nodes = []*node{h}
 			p.say("done", "it is", h.name)
 		}
--- a/internal/emulator/faulttest/customers.go
+++ b/internal/emulator/faulttest/customers.go
@@ -139,11 +139,11 @@
 		}
 	}
 	quota := p.w.t.Quota * e.Within.Seconds()
-	f.Held = true
+	f.Passed = true
 	low, high := use[0]/quota, use[0]/quota
 	for _, u := range use {
 		low, high = min(low, u/quota), max(high, u/quota)
-		f.Held = f.Held && u <= e.Most*quota && u >= e.Least*quota
+		f.Passed = f.Passed && u <= e.Most*quota && u >= e.Least*quota
 	}
 	f.Text = fmt.Sprintf("%.2f to %.2f of the quota", low, high)
 	return f
@@ -194,8 +194,8 @@
 			first[w.member] = w.at.Sub(from)
 		}
 	}
-	if f.Held = len(first) == 0; f.Expect.Is == "some" {
-		f.Held = len(first) == len(of)
+	if f.Passed = len(first) == 0; f.Expect.Is == "some" {
+		f.Passed = len(first) == len(of)
 	}
 	for _, at := range first {
 		f.Times = append(f.Times, at)
--- a/internal/emulator/faulttest/file.go
+++ b/internal/emulator/faulttest/file.go
@@ -34,7 +34,7 @@
 	Customers int
 	Quota     float64 // of each, in units a second; it may use as much at once
 	Catalogue bool    // each member has a file of plans, and the holder of that duty announces its revisions
-	Quiet     bool    // no clients, and members are seldom looked at: for what the fleet itself costs
+	Idle      bool    // no clients, and members are seldom looked at: for what the fleet itself costs
 	Lasts     time.Duration
 	Steps     []Step // by time
 	Expect    []Expect
@@ -76,7 +76,7 @@
 	Ingresses int                `hcl:"ingresses"`
 	Interval  string             `hcl:"interval,optional"`
 	Sealed    bool               `hcl:"sealed,optional"`
-	Quiet     bool               `hcl:"quiet,optional"`
+	Idle      bool               `hcl:"quiet,optional"`
 	Voters    int                `hcl:"voters,optional"`
 	Clocks    map[string]float64 `hcl:"clocks,optional"`
 	Servers   int                `hcl:"servers,optional"`
@@ -229,7 +229,7 @@
 		Ingresses: w.Ingresses,
 		Interval:  w.Interval,
 		Sealed:    w.Sealed,
-		Quiet:     w.Quiet,
+		Idle:      w.Idle,
 		Voters:    w.Voters,
 	}
 	if w.Voters != 0 && w.Voters != 1 && w.Voters != 3 && w.Voters != 5 || w.Voters > w.Ingresses {
--- a/internal/emulator/faulttest/find.go
+++ b/internal/emulator/faulttest/find.go
@@ -20,7 +20,7 @@
 	from := p.begun.Add(e.After)
 	switch e.Kind {
 	case "state":
-		f.Held, f.Text = true, "by all"
+		f.Passed, f.Text = true, "by all"
 		for _, n := range p.nodesOf(by) {
 			if n.running() == nil || n.running().Stopped() {
 				continue
@@ -29,19 +29,19 @@
 				if m == n.name {
 					continue
 				}
-				at, ok := n.told(m, e.Is, from)
+				at, ok := n.reported(m, e.Is, from)
 				if !ok || at.After(from.Add(limit)) {
-					f.Held, f.Text = false, fmt.Sprintf("%s does not hold %s for %s in time", n.name, m, e.Is)
+					f.Passed, f.Text = false, fmt.Sprintf("%s does not hold %s for %s in time", n.name, m, e.Is)
 					continue
 				}
 				f.Times = append(f.Times, max(0, at.Sub(from)))
 			}
 		}
 		if len(f.Times) == 0 {
-			f.Held, f.Text = false, "nobody was there to say it"
+			f.Passed, f.Text = false, "nobody was there to say it"
 		}
 	case "never":
-		told, looked := 0, 0
+		reported, looked := 0, 0
 		for _, n := range p.nodesOf(by) {
 			n.mu.Lock()
 			changes := slices.Clone(n.changes)
@@ -50,38 +50,38 @@
 			for _, c := range changes {
 				if c.What == "state" && c.To == e.Is && slices.Contains(of, c.Name) && c.at.After(from) &&
 					c.at.Before(from.Add(e.Within)) {
-					told++
+					reported++
 					f.Text = fmt.Sprintf("%s told %s %s after %.1f s", n.name, c.Name, e.Is, c.at.Sub(from).Seconds())
 				}
 			}
 		}
-		if f.Held = told == 0 && looked > 0; f.Held {
+		if f.Passed = reported == 0 && looked > 0; f.Passed {
 			f.Text = fmt.Sprintf("by %d", looked)
 		} else {
-			f.Text = fmt.Sprintf("%d times; %s", told, f.Text)
+			f.Text = fmt.Sprintf("%d times; %s", reported, f.Text)
 		}
 	case "not":
-		f.Held, f.Text = false, "nothing was seen in that time"
+		f.Passed, f.Text = false, "nothing was seen in that time"
 		for _, m := range p.marks {
 			if m.at.Before(from) || m.at.After(from.Add(e.Within)) {
 				continue
 			}
-			if f.Held, f.Text = true, ""; len(m.judgements) == 0 {
+			if f.Passed, f.Text = true, ""; len(m.judgements) == 0 {
 				continue
 			}
 			for _, n := range of {
 				if m.judgements[n] == e.Is {
-					f.Held, f.Text = false, fmt.Sprintf("%s said so after %.1f s", n, m.at.Sub(from).Seconds())
+					f.Passed, f.Text = false, fmt.Sprintf("%s said so after %.1f s", n, m.at.Sub(from).Seconds())
 					return f
 				}
 			}
 		}
 	case "held":
-		f = p.findHeld(e, f, from, limit)
+		f = p.findTenures(e, f, from, limit)
 	case "fenced":
 		f = p.findFenced(f)
 	case "stale":
-		f.Held, f.Text = p.fenced > 0, fmt.Sprintf("%d refused", p.fenced)
+		f.Passed, f.Text = p.fenced > 0, fmt.Sprintf("%d refused", p.fenced)
 	case "billed":
 		f = p.findBilled(f)
 	case "one":
@@ -95,7 +95,7 @@
 	case "agree", "judgement":
 		f = p.watched(e, f)
 	case "answered":
-		f.Held = p.clients.unanswered == 0 && p.clients.served > 0
+		f.Passed = p.clients.unanswered == 0 && p.clients.served > 0
 		f.Text = fmt.Sprintf(
 			"%d of %d without an answer, %d served %s",
 			p.clients.unanswered,
@@ -104,10 +104,10 @@
 			p.clients.why,
 		)
 	case "refused":
-		f.Held, f.Text = true, ""
+		f.Passed, f.Text = true, ""
 		for _, n := range p.nodesOf(of) {
 			if r := n.report(); r == nil || r.Rejected == 0 {
-				f.Held = false
+				f.Passed = false
 				f.Text += n.name + " refused nothing "
 			} else {
 				f.Text += fmt.Sprintf("%s %d ", n.name, r.Rejected)
@@ -118,26 +118,26 @@
 }
 
 // told is when a member first held another for something, from a time on; it may have done so before.
-func (n *node) told(name, state string, from time.Time) (at time.Time, ok bool) {
+func (n *node) reported(name, state string, from time.Time) (at time.Time, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	held := ""
+	passed := ""
 	for _, c := range n.changes {
 		if c.Name != name || c.What != "state" {
 			continue
 		}
 		if c.at.Before(from) {
-			held = c.To
+			passed = c.To
 			continue
 		}
-		if held == state {
+		if passed == state {
 			return from, true
 		}
 		if c.To == state {
 			return c.at, true
 		}
 	}
-	return from, held == state
+	return from, passed == state
 }
 
 // mark is what the fleet was like at a moment.
@@ -167,7 +167,7 @@
 			}
 		}
 		if ok {
-			f.Held, f.Times, f.Text = true, []time.Duration{m.at.Sub(from)}, "once"
+			f.Passed, f.Times, f.Text = true, []time.Duration{m.at.Sub(from)}, "once"
 			return f
 		}
 		f.Text = fmt.Sprint("last ", m.judgements)
--- a/internal/emulator/faulttest/play.go
+++ b/internal/emulator/faulttest/play.go
@@ -28,10 +28,10 @@
 }
 
 const (
-	wholeMost = 60 * time.Second // for all ingresses to hear the whole fleet at first
-	lookEvery = 200 * time.Millisecond
+	maxJoinTime = 60 * time.Second // for all ingresses to hear the whole fleet at first
+	lookEvery   = 200 * time.Millisecond
 
-	quietEvery = 5 * time.Second
+	idleInterval = 5 * time.Second
 )
 
 // player is a rehearsal as it plays.
@@ -44,7 +44,7 @@
 	undo    sync.WaitGroup
 	clients *clients
 	marks   []mark
-	held    []holding
+	tenures []holding
 	number  uint64 // of the newest revision that was written
 	orders  []order
 	warned  []warning
@@ -140,8 +140,8 @@
 	stop := make(chan struct{})
 	var looking sync.WaitGroup
 	every := max(lookEvery, time.Duration(len(p.w.nodes))*10*time.Millisecond)
-	if p.w.t.Quiet {
-		every = quietEvery
+	if p.w.t.Idle {
+		every = idleInterval
 	}
 	for _, n := range p.w.nodes {
 		looking.Add(1)
@@ -159,8 +159,8 @@
 	}
 	defer looking.Wait()
 	begun := time.Now()
-	for !p.whole() {
-		if time.Since(begun) > time.Duration(float64(wholeMost)*p.Slack) {
+	for !p.awaitComplete() {
+		if time.Since(begun) > time.Duration(float64(maxJoinTime)*p.Slack) {
 			close(stop)
 			return errors.New("rehearsal: the ingresses do not hear the whole fleet")
 		}
@@ -171,9 +171,9 @@
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
-	p.report.Whole = time.Since(begun)
+	p.report.JoinTime = time.Since(begun)
 	p.begun = time.Now()
-	p.say("whole", fmt.Sprintf("all hear the whole fleet, %.1f s after the last start", p.report.Whole.Seconds()))
+	p.say("whole", fmt.Sprintf("all hear the whole fleet, %.1f s after the last start", p.report.JoinTime.Seconds()))
 	watching := make(chan struct{})
 	go func() {
 		defer close(watching)
@@ -186,11 +186,11 @@
 			}
 		}
 	}()
-	go p.watchDuties(stop)
+	go p.watchRoles(stop)
 	go p.watchOrder(stop)
 	go p.watchShared(stop)
 	load, out := &clients{}, &sync.WaitGroup{}
-	if !p.w.t.Quiet {
+	if !p.w.t.Idle {
 		load, out = p.w.load(stop)
 		p.w.customers(stop, out)
 	}
@@ -224,7 +224,7 @@
 }
 
 // whole tells whether every ingress says so.
-func (p *player) whole() bool {
+func (p *player) awaitComplete() bool {
 	for _, n := range p.w.nodes {
 		if r := n.report(); r == nil || r.Reachability != "whole" || r.Agreed != len(p.w.nodes) {
 			return false
--- a/internal/emulator/faulttest/report.go
+++ b/internal/emulator/faulttest/report.go
@@ -11,7 +11,7 @@
 // Finding is what came of an expectation.
 type Finding struct {
 	Expect Expect
-	Held   bool
+	Passed bool
 	Text   string
 	Times  []time.Duration // behind After: when each that was looked at had it
 }
@@ -19,7 +19,7 @@
 // Report is what came of a rehearsal.
 type Report struct {
 	Timeline *Timeline
-	Whole    time.Duration // until all heard the whole fleet
+	JoinTime time.Duration // until all heard the whole fleet
 	Findings []Finding
 	Sent     int
 	Served   int
@@ -33,7 +33,7 @@
 
 // Good tells whether all held.
 func (r *Report) Good() bool {
-	return len(r.Problems) == 0 && !slices.ContainsFunc(r.Findings, func(f Finding) bool { return !f.Held })
+	return len(r.Problems) == 0 && !slices.ContainsFunc(r.Findings, func(f Finding) bool { return !f.Passed })
 }
 
 // Write prints a table.
@@ -43,7 +43,7 @@
 		out,
 		"whole after %.1f s; %d requests, %d served; "+
 			"a member sends %.0f packets and %.0f bytes a second, and uses %.1f%% of a core\n",
-		r.Whole.Seconds(),
+		r.JoinTime.Seconds(),
 		r.Sent,
 		r.Served,
 		r.Cost.PacketsPerSecond,
@@ -62,13 +62,13 @@
 	type kind struct{ kind, is string }
 	sums, order := map[kind][]time.Duration{}, []kind{}
 	for i, f := range all[0].Findings {
-		held, text, times := 0, "", []time.Duration{}
+		passed, text, times := 0, "", []time.Duration{}
 		for _, r := range all {
 			g := r.Findings[i]
-			if times = append(times, g.Times...); g.Held {
-				held++
+			if times = append(times, g.Times...); g.Passed {
+				passed++
 			}
-			if text == "" || !g.Held {
+			if text == "" || !g.Passed {
 				text = g.Text
 			}
 		}
@@ -77,9 +77,9 @@
 			order = append(order, k)
 		}
 		sums[k] = append(sums[k], times...)
-		words := map[bool]string{true: "yes", false: "NO"}[held == len(all)]
+		words := map[bool]string{true: "yes", false: "NO"}[passed == len(all)]
 		if len(all) > 1 {
-			words = fmt.Sprintf("%d of %d", held, len(all))
+			words = fmt.Sprintf("%d of %d", passed, len(all))
 		}
 		fmt.Fprintf(
 			t,
--- a/internal/emulator/faulttest/duties.go
+++ b/internal/emulator/faulttest/roles.go
@@ -18,14 +18,14 @@
 
 // holding is who held the export at a moment, as the leader said.
 type holding struct {
-	at     time.Time
-	holder string
-	token  uint64
-	runs   bool // it did, as the rig knows
+	at      time.Time
+	ingress string
+	token   uint64
+	runs    bool // it did, as the rig knows
 }
 
 // watchDuties asks who holds the export, whoever answers.
-func (p *player) watchDuties(stop <-chan struct{}) {
+func (p *player) watchRoles(stop <-chan struct{}) {
 	for p.w.t.Voters > 0 {
 		for _, n := range p.w.nodes {
 			process := n.running()
@@ -43,15 +43,15 @@
 			h := holding{at: time.Now()}
 			for _, d := range t.Roles {
 				if d.Role == leaseservice.RoleExport {
-					h.holder, h.token = d.Holder, d.Token
+					h.ingress, h.token = d.Holder, d.Token
 				}
 			}
-			if nodes := p.nodesOf([]string{h.holder}); len(nodes) == 1 {
+			if nodes := p.nodesOf([]string{h.ingress}); len(nodes) == 1 {
 				process := nodes[0].running()
 				h.runs = process != nil && !process.Stopped()
 			}
 			p.mu.Lock()
-			p.held = append(p.held, h)
+			p.tenures = append(p.tenures, h)
 			p.mu.Unlock()
 			break
 		}
@@ -85,24 +85,24 @@
 }
 
 // holder is who holds the export now, as last heard; nil: nobody.
-func (p *player) holder() *node {
+func (p *player) leaseHolder() *node {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.held) == 0 {
+	if len(p.tenures) == 0 {
 		return nil
 	}
-	if nodes := p.nodesOf([]string{p.held[len(p.held)-1].holder}); len(nodes) == 1 {
+	if nodes := p.nodesOf([]string{p.tenures[len(p.tenures)-1].ingress}); len(nodes) == 1 {
 		return nodes[0]
 	}
 	return nil
 }
 
 // findHeld looks for a holder.
-func (p *player) findHeld(e Expect, f Finding, from time.Time, limit time.Duration) Finding {
+func (p *player) findTenures(e Expect, f Finding, from time.Time, limit time.Duration) Finding {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	before := uint64(0)
-	for _, h := range p.held {
+	for _, h := range p.tenures {
 		if h.at.Before(from) {
 			before = max(before, h.token)
 			continue
@@ -110,12 +110,12 @@
 		if h.at.After(from.Add(limit)) {
 			break
 		}
-		f.Text = fmt.Sprintf("last %q under %d", h.holder, h.token)
-		if h.holder == "" || !h.runs || e.Is == "again" && h.token <= before ||
-			len(e.Of) > 0 && !slices.Contains(e.Of, h.holder) {
+		f.Text = fmt.Sprintf("last %q under %d", h.ingress, h.token)
+		if h.ingress == "" || !h.runs || e.Is == "again" && h.token <= before ||
+			len(e.Of) > 0 && !slices.Contains(e.Of, h.ingress) {
 			continue
 		}
-		f.Held, f.Times, f.Text = true, []time.Duration{h.at.Sub(from)}, "by "+h.holder
+		f.Passed, f.Times, f.Text = true, []time.Duration{h.at.Sub(from)}, "by "+h.ingress
 		return f
 	}
 	return f
@@ -158,7 +158,7 @@
 	tally, unmetered, repeats, conflicts := p.w.billing.Billed()
 	known, unknown := tally.Total()
 	arrived := int64(len(p.w.arrived()))
-	f.Held = arrived > 0 && known.Requests <= arrived && arrived <= known.Requests+unknown.Requests+unmetered.Requests &&
+	f.Passed = arrived > 0 && known.Requests <= arrived && arrived <= known.Requests+unknown.Requests+unmetered.Requests &&
 		conflicts == 0
 	f.Text = fmt.Sprintf(
 		"%d arrived, %d billed, %d listed apart, %d not recorded, %d batches came again, %d conflicts",
@@ -175,9 +175,9 @@
 // findFenced looks at what billing took under tokens.
 func (p *player) findFenced(f Finding) Finding {
 	last, tokens := uint64(0), 0
-	f.Held = len(p.taken) > 0
+	f.Passed = len(p.taken) > 0
 	for _, t := range p.taken {
-		f.Held = f.Held && t.Token >= last
+		f.Passed = f.Passed && t.Token >= last
 		if t.Token != last {
 			tokens++
 		}
@@ -245,7 +245,7 @@
 			continue
 		}
 		if f.Text = o.text; o.same {
-			f.Held, f.Times, f.Text = true, []time.Duration{o.at.Sub(from)}, fmt.Sprintf("%d at all", o.number)
+			f.Passed, f.Times, f.Text = true, []time.Duration{o.at.Sub(from)}, fmt.Sprintf("%d at all", o.number)
 			return f
 		}
 	}
@@ -257,25 +257,25 @@
 // findOne reads what all processes logged of their duties: a token has one holder. What leaders tell is no proof: one
 // that stood still tells what it knew until it hears of its successor.
 func (p *player) findOne(f Finding) Finding {
-	f.Held = true
+	f.Passed = true
 	holders, tokens := map[string]string{}, 0
 	paths, _ := filepath.Glob(filepath.Join(p.Dir, "*.log"))
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			f.Held, f.Text = false, err.Error()
+			f.Passed, f.Text = false, err.Error()
 			return f
 		}
 		for _, m := range gained.FindAllStringSubmatch(string(text), -1) {
 			name, _, _ := strings.Cut(filepath.Base(path), ".") // of the member; its starts are one after another
 			if was := holders[m[2]]; was != "" && was != m[1]+" "+name {
-				f.Held, f.Text = false, fmt.Sprintf("token %s: %s, and %s %s", m[2], was, m[1], name)
+				f.Passed, f.Text = false, fmt.Sprintf("token %s: %s, and %s %s", m[2], was, m[1], name)
 			}
 			holders[m[2]] = m[1] + " " + name
 			tokens++
 		}
 	}
-	if f.Held = f.Held && tokens > 0; f.Held {
+	if f.Passed = f.Passed && tokens > 0; f.Passed {
 		f.Text = fmt.Sprintf("%d gains", tokens)
 	}
 	return f
--- a/internal/emulator/invariants/judge.go
+++ b/internal/emulator/invariants/checker.go
@@ -154,22 +154,22 @@
 }
 
 // tenantFits tells whether a server may be told this tenant.
-func (j *checker) tenantFits(t *Attempt, told string) bool {
+func (j *checker) tenantFits(t *Attempt, tenant string) bool {
 	if t.Key == "" {
-		return told == ""
+		return tenant == ""
 	}
-	held := false
+	known := false
 	for _, vs := range j.items {
 		for _, v := range vs {
 			if v.Tenant != nil && slices.Contains(v.Tenant.Keys, t.Key) {
-				held = true
-				if v.Tenant.Name == told {
+				known = true
+				if v.Tenant.Name == tenant {
 					return true
 				}
 			}
 		}
 	}
-	return !held && told == "" // on a public route; elsewhere ROUTE says it
+	return !known && tenant == "" // on a public route; elsewhere ROUTE says it
 }
 
 // inContact tells whether a machine that takes clients was in touch for a whole span; stretched, whether it was but
@@ -356,7 +356,7 @@
 		}
 	}
 	w := j.Bounds.RetryWindow
-	told := map[string]bool{}
+	reported := map[string]bool{}
 	slices.SortFunc(extras, func(a, b extra) int { return cmp.Compare(a.at, b.at) })
 	for _, last := range extras {
 		n := 0
@@ -375,8 +375,8 @@
 			}
 			requests = max(requests, in)
 		}
-		if most := j.Bounds.RetryRatio*float64(requests) + j.Bounds.RetrySlack; float64(n) > most && !told[last.service] {
-			told[last.service] = true
+		if most := j.Bounds.RetryRatio*float64(requests) + j.Bounds.RetrySlack; float64(n) > most && !reported[last.service] {
+			reported[last.service] = true
 			j.add(
 				"BUDGET",
 				last.at,
--- a/internal/emulator/invariants/handling.go
+++ b/internal/emulator/invariants/handling.go
@@ -15,10 +15,10 @@
 }
 
 // whole is a choice of one version for each item that bears on a request; nil: the item is not there.
-type whole []*Version
+type complete []*Version
 
 // shows tells whether a request is handled so under a choice of versions.
-func (w whole) shows(t *Attempt, o outcome) bool {
+func (w complete) shows(t *Attempt, o outcome) bool {
 	var route *Route
 	var tenant *Tenant
 	for _, v := range w {
@@ -69,7 +69,7 @@
 	allow func(item string, v *Version) bool,
 ) (least map[string]uint64, ok bool) {
 	least = map[string]uint64{}
-	choice := make(whole, len(items))
+	choice := make(complete, len(items))
 	var try func(n int)
 	try = func(n int) {
 		if n < len(items) {
@@ -165,11 +165,11 @@
 			}
 		}
 		key := func(item string) string { return h.t.Edge + " " + item }
-		life := j.processStart(h.t.Edge, h.t.Sent)
+		startedAt := j.processStart(h.t.Edge, h.t.Sent)
 		floor := map[string]uint64{}
 		for _, item := range items {
 			for _, s := range seen[key(item)] {
-				if s.at >= life && s.at+j.slack(h.t.Edge, h.t.Sent) < h.t.Sent {
+				if s.at >= startedAt && s.at+j.slack(h.t.Edge, h.t.Sent) < h.t.Sent {
 					floor[item] = max(floor[item], s.number)
 				}
 			}
@@ -186,7 +186,7 @@
 			continue // only what a server saw counts as seen
 		}
 		for item, n := range least {
-			if s := seen[key(item)]; n > 0 && (len(s) == 0 || s[len(s)-1].number < n || s[len(s)-1].at < life) {
+			if s := seen[key(item)]; n > 0 && (len(s) == 0 || s[len(s)-1].number < n || s[len(s)-1].at < startedAt) {
 				seen[key(item)] = append(s, shown{h.at, n})
 			}
 		}
--- a/internal/emulator/loopback/client.go
+++ b/internal/emulator/loopback/client.go
@@ -195,7 +195,7 @@
 	}
 	edge := o.probe
 	if edge == nil && k == nil {
-		edge = f.door(o.person, n)
+		edge = f.edgeAddress(o.person, n)
 	}
 	defer f.recorder.try(t)
 	if k == nil {
@@ -404,7 +404,7 @@
 }
 
 // door is the machine that a client's connection is handed to (PROTOCOL, "How clients arrive").
-func (f *cluster) door(p *clientUser, try int) *machine {
+func (f *cluster) edgeAddress(p *clientUser, try int) *machine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for far := range zones {
--- a/internal/emulator/loopback/faults.go
+++ b/internal/emulator/loopback/faults.go
@@ -402,12 +402,12 @@
 		f.oddities(oddity{route: r})
 	case 3:
 		if len(list) > 2 {
-			gone := list[len(list)-1]
+			removed := list[len(list)-1]
 			f.mu.Lock()
-			f.live[c] = slices.DeleteFunc(f.live[c], func(r *route) bool { return r == gone })
+			f.live[c] = slices.DeleteFunc(f.live[c], func(r *route) bool { return r == removed })
 			f.mu.Unlock()
-			f.oddities(oddity{route: gone})
-			f.operator.bring(item{section: "routes", name: gone.name})
+			f.oddities(oddity{route: removed})
+			f.operator.bring(item{section: "routes", name: removed.name})
 			return
 		}
 		fallthrough
--- a/internal/emulator/loopback/heartbeats.go
+++ b/internal/emulator/loopback/heartbeats.go
@@ -13,7 +13,7 @@
 )
 
 // beats tells the control nodes of it until it ends.
-func (s *server) beats() {
+func (s *server) sendHeartbeats() {
 	t := time.NewTicker(s.f.o.HeartbeatInterval)
 	defer t.Stop()
 	for {
@@ -66,10 +66,10 @@
 	var body io.Reader
 	if method == http.MethodPut {
 		seq := s.calls.Add(1)
-		cold := max(0, coldFor-time.Since(s.began))
+		slowStart := max(0, slowStartTime-time.Since(s.began))
 		text, _ := json.Marshal(map[string]any{"address": s.addr,
 			"summary":  map[string]any{"backend": s.service, "generation": s.generation, "zone": s.zone, "capacity": s.slots},
-			"observed": map[string]any{"phase": phase, "callSeq": seq, "coldLeftMs": cold.Milliseconds()}})
+			"observed": map[string]any{"phase": phase, "callSeq": seq, "coldLeftMs": slowStart.Milliseconds()}})
 		body = bytes.NewReader(text)
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, ackMost)
--- a/internal/emulator/loopback/loopback.go
+++ b/internal/emulator/loopback/loopback.go
@@ -204,11 +204,11 @@
 	}
 	world, over := context.WithCancel(context.Background())
 	f.world = world
-	var quiet context.CancelFunc
-	f.ctx, quiet = context.WithCancel(ctx)
+	var idle context.CancelFunc
+	f.ctx, idle = context.WithCancel(ctx)
 	f.launcher = newLauncher()
 	err = f.play()
-	quiet()
+	idle()
 	f.clients.Wait()
 	f.faults.Wait()
 	if err == nil {
@@ -229,7 +229,7 @@
 	for _, p := range f.users {
 		f.drop(p.idle)
 	}
-	r.judge(f)
+	r.evaluate(f)
 	return r, nil
 }
 
--- a/internal/emulator/loopback/operator.go
+++ b/internal/emulator/loopback/operator.go
@@ -261,12 +261,12 @@
 
 // readItems reads the answer to GET /config.
 func readItems(text []byte) (map[string]any, error) {
-	var whole map[string]any
-	if err := json.Unmarshal(text, &whole); err != nil {
+	var document map[string]any
+	if err := json.Unmarshal(text, &document); err != nil {
 		return nil, err
 	}
 	items := map[string]any{}
-	for section, v := range whole {
+	for section, v := range document {
 		if section == "limits" {
 			items["limits/"] = v
 			continue
--- a/internal/emulator/loopback/process.go
+++ b/internal/emulator/loopback/process.go
@@ -48,9 +48,9 @@
 }
 
 func (l *launcher) start(cmd *exec.Cmd) error {
-	told := make(chan error, 1)
-	l.calls <- func() { told <- cmd.Start() }
-	return <-told
+	expected := make(chan error, 1)
+	l.calls <- func() { expected <- cmd.Start() }
+	return <-expected
 }
 
 func (l *launcher) close() {
@@ -137,9 +137,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		gone := make(chan struct{})
-		close(gone)
-		return gone
+		stopped := make(chan struct{})
+		close(stopped)
+		return stopped
 	}
 	if p.running {
 		if asked { // Rusage would tell the memory of this process here, from before the child's exec
@@ -167,7 +167,7 @@
 }
 
 // usage is what all its lives used.
-func (p *process) usage() (cpu time.Duration, peak int64, lives int) {
+func (p *process) usage() (cpu time.Duration, peak int64, starts int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cpu, peak = p.cpu, p.peak
--- a/internal/emulator/loopback/report.go
+++ b/internal/emulator/loopback/report.go
@@ -40,7 +40,7 @@
 	Process string
 	CPU     time.Duration
 	Peak    int64 // bytes
-	Lives   int
+	Starts  int
 }
 
 // report is what can be told while the processes still run.
@@ -48,15 +48,15 @@
 	r := &Report{Dir: f.o.Dir, Open: f.open}
 	for _, m := range slices.Concat(f.core, f.edge) {
 		for _, p := range m.procs {
-			cpu, peak, lives := p.usage()
-			r.Used = append(r.Used, Used{p.program + " on " + m.name, cpu, peak, lives})
+			cpu, peak, starts := p.usage()
+			r.Used = append(r.Used, Used{p.program + " on " + m.name, cpu, peak, starts})
 		}
 	}
 	return r
 }
 
 // judge adds what needs the whole log.
-func (r *Report) judge(f *cluster) {
+func (r *Report) evaluate(f *cluster) {
 	l := f.recorder.snapshot()
 	l.Bounds = f.o.Bounds
 	for _, m := range f.edge {
@@ -126,7 +126,7 @@
 	}
 	fmt.Fprintln(t, "\nprocess\tCPU ms\tpeak MB\tlives")
 	for _, u := range r.Used {
-		fmt.Fprintf(t, "%s\t%d\t%.1f\t%d\n", u.Process, u.CPU.Milliseconds(), float64(u.Peak)/(1<<20), u.Lives)
+		fmt.Fprintf(t, "%s\t%d\t%.1f\t%d\n", u.Process, u.CPU.Milliseconds(), float64(u.Peak)/(1<<20), u.Starts)
 	}
 	t.Flush()
 	fmt.Fprintf(
--- a/internal/emulator/loopback/server.go
+++ b/internal/emulator/loopback/server.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	serverConns = 130                    // connections that a server takes; it resets more
-	serverQueue = 6                      // requests that wait for a slot
-	serverIdle  = 8 * time.Second        // then a server closes an idle connection
-	ackMost     = time.Second            // for the acknowledgement of a beat
-	ackBytes    = 4 << 10                // that it may hold
-	leaveMost   = 6 * time.Second        // for an acknowledgement of a leave; then the server ends without
-	coldFor     = 2 * time.Second        // slow after the start
-	behind      = 300 * time.Millisecond // that a server serves on beyond drainMs
-	surplusMost = 60 * time.Millisecond  // until a surplus answer comes
+	serverConns   = 130                    // connections that a server takes; it resets more
+	serverQueue   = 6                      // requests that wait for a slot
+	serverIdle    = 8 * time.Second        // then a server closes an idle connection
+	ackMost       = time.Second            // for the acknowledgement of a beat
+	ackBytes      = 4 << 10                // that it may hold
+	leaveMost     = 6 * time.Second        // for an acknowledgement of a leave; then the server ends without
+	slowStartTime = 2 * time.Second        // slow after the start
+	behind        = 300 * time.Millisecond // that a server serves on beyond drainMs
+	surplusMost   = 60 * time.Millisecond  // until a surplus answer comes
 )
 
 // misbehaviour is what goes wrong with one answer.
@@ -102,7 +102,7 @@
 	f.servers = append(f.servers, s)
 	f.mu.Unlock()
 	f.all.Go(s.accept)
-	f.all.Go(s.beats)
+	f.all.Go(s.sendHeartbeats)
 	return s, nil
 }
 
@@ -184,7 +184,7 @@
 	s.mishaps[what] = share
 }
 
-func (s *server) mishap() misbehaviour {
+func (s *server) answerFault() misbehaviour {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for what := lose; what <= surplus; what++ {
@@ -199,7 +199,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w := float64(s.work) * s.speed * (0.5 + s.rng.Float64())
-	if time.Since(s.began) < coldFor {
+	if time.Since(s.began) < slowStartTime {
 		w *= 1.7
 	}
 	return time.Duration(w), s.rng.IntN(5) == 0, s.rng.IntN(200) == 0, s.rng.IntN(400) == 0, 50 + s.rng.IntN(3000)
@@ -213,11 +213,11 @@
 
 // serve answers the requests of one connection, one after the other.
 func (s *server) serve(c net.Conn) {
-	requests, gone := make(chan asked), make(chan struct{})
+	requests, disconnected := make(chan asked), make(chan struct{})
 	over := make(chan struct{})
 	defer close(over)
 	s.f.all.Go(func() {
-		defer close(gone)
+		defer close(disconnected)
 		for in := bufio.NewReader(c); ; {
 			r, err := http.ReadRequest(in)
 			if err != nil {
@@ -239,18 +239,18 @@
 		select {
 		case r := <-requests:
 			c.SetReadDeadline(time.Time{})
-			if !s.answer(c, r, gone) {
+			if !s.answer(c, r, disconnected) {
 				return
 			}
 			c.SetReadDeadline(time.Now().Add(serverIdle))
-		case <-gone:
+		case <-disconnected:
 			return
 		}
 	}
 }
 
 // answer answers one request; more tells whether the connection goes on.
-func (s *server) answer(c net.Conn, r asked, gone <-chan struct{}) (more bool) {
+func (s *server) answer(c net.Conn, r asked, disconnected <-chan struct{}) (more bool) {
 	s.light()
 	now := s.f.now
 	id := r.Header.Get("X-Attempt-Id")
@@ -307,13 +307,13 @@
 		defer func() { <-s.sem }()
 	case <-deadline.C:
 		return turn(503, "X-Not-Executed: 1\r\n")
-	case <-gone:
+	case <-disconnected:
 		return false
 	case <-s.ctx.Done():
 		s.f.recorder.update(func() { a.Aborted = true })
 		return false
 	}
-	return s.run(c, r, a, deadline, gone)
+	return s.run(c, r, a, deadline, disconnected)
 }
 
 // run works on a request that has a slot, and answers it.
@@ -322,11 +322,11 @@
 	r asked,
 	a *invariants.Arrival,
 	deadline *time.Timer,
-	gone <-chan struct{},
+	disconnected <-chan struct{},
 ) (more bool) {
 	now := s.f.now
 	span, chunked, leave, failing, size := s.drawn()
-	what := s.mishap()
+	what := s.answerFault()
 	if what == reset {
 		span /= 2
 	}
@@ -338,7 +338,7 @@
 	case <-work.C:
 	case <-deadline.C:
 		status = 504
-	case <-gone:
+	case <-disconnected:
 		s.f.recorder.update(func() { a.End = now() })
 		return false
 	case <-s.ctx.Done():
--- a/internal/emulator/modelcheck/client.go
+++ b/internal/emulator/modelcheck/client.go
@@ -15,16 +15,16 @@
 	hears   bool // one that was not told to end is not ended over what has begun to come
 	crowded bool
 
-	next     bool // while a request is in hand, the first bytes of the next one have been read
-	cut      bool // its reads are cut short, and nobody has noticed yet
-	rest     bool // of a long body, something is not read
-	told     bool // that its answer is the last
-	ended    bool
-	endedIn  clientconn.State // where it was ended from outside
-	requests int
-	begun    decision.Seconds // when what is read now began, or its last piece came
-	waited   decision.Seconds // for the body, in all
-	got      int
+	next         bool // while a request is in hand, the first bytes of the next one have been read
+	cut          bool // its reads are cut short, and nobody has noticed yet
+	rest         bool // of a long body, something is not read
+	finalAnswers bool // that its answer is the last
+	ended        bool
+	endedIn      clientconn.State // where it was ended from outside
+	requests     int
+	begun        decision.Seconds // when what is read now began, or its last piece came
+	waited       decision.Seconds // for the body, in all
+	got          int
 
 	violation *Violation
 }
@@ -61,7 +61,7 @@
 	w.begun = w.now
 }
 
-func (w *clientWorld) piece(n int) {
+func (w *clientWorld) sendChunk(n int) {
 	w.waited += w.now - w.begun
 	w.got += n
 	w.machine.BodyReceived(w.now, n)
@@ -69,8 +69,8 @@
 
 // answer is what ingress does once a request has its answer.
 func (w *clientWorld) answer() {
-	w.told = w.machine.CloseAfterAnswer(w.crowded, w.keep)
-	if w.machine.CloseCode() != "" && !w.told {
+	w.finalAnswers = w.machine.CloseAfterAnswer(w.crowded, w.keep)
+	if w.machine.CloseCode() != "" && !w.finalAnswers {
 		w.violate("last-is-told", "it is being ended (%s), and its answer does not say so", w.machine.CloseCode())
 	}
 	w.enter(clientconn.Answering)
@@ -212,10 +212,10 @@
 	case "broken":
 		w.refuse()
 	case "piece", "byte":
-		w.piece(map[string]int{"piece": 256 << 10, "byte": 1}[event])
+		w.sendChunk(map[string]int{"piece": 256 << 10, "byte": 1}[event])
 		w.wait()
 	case "body-whole":
-		w.piece(1)
+		w.sendChunk(1)
 		w.enter(clientconn.Deciding)
 	case "upload":
 		if w.rest {
@@ -224,13 +224,13 @@
 	case "next":
 		w.next = true
 	case "up":
-		w.piece(1)
+		w.sendChunk(1)
 		w.rest = false
 		w.enter(clientconn.Deciding)
 	case "answer", "early-answer":
 		w.answer()
 	case "written":
-		if w.told {
+		if w.finalAnswers {
 			w.enter(clientconn.Lingering)
 			w.ended = true
 		} else if w.rest {
@@ -239,7 +239,7 @@
 			w.idle()
 		}
 	case "rest-read":
-		w.piece(1)
+		w.sendChunk(1)
 		w.rest = false
 		w.idle()
 	}
@@ -252,13 +252,13 @@
 	w.begun = w.now
 	on := w.enter(clientconn.Idle)
 	switch hears := w.machine.ServesPending(); {
-	case on && w.told:
+	case on && w.finalAnswers:
 		w.violate("last-is-last", "it goes on after its last answer")
 	case w.next && (on || hears):
 		w.next, w.cut = false, w.cut || !on
 		w.step("begins")
 	case !on:
-		if w.next && !w.told && w.hears {
+		if w.next && !w.finalAnswers && w.hears {
 			w.violate("read-is-taken", "a request has been read, its client was not told to go, and it is dropped")
 		}
 		w.ended = true
--- a/internal/emulator/modelcheck/connections.go
+++ b/internal/emulator/modelcheck/connections.go
@@ -41,8 +41,8 @@
 		}
 		return kept.Conn, 0, true
 	}
-	spare, end, room := w.idlePool.Reserve()
-	if !room {
+	spare, end, capacity := w.idlePool.Reserve()
+	if !capacity {
 		return nil, decision.NotSent, false
 	}
 	if end {
@@ -69,8 +69,8 @@
 // before it, so it is what counts as new to the server; what follows the first byte of a long body is not (PROTOCOL,
 // "Figures").
 func (w *World) goesOut(t *try) {
-	if s := w.server(t.backend); s != nil && (!s.listed || !s.serving) && w.now > s.told+grace+1e-9 {
-		w.violate("drained", "%s goes out to %s %.2f s after that was told to be drained", t.client.name, s.id, w.now-s.told)
+	if s := w.server(t.backend); s != nil && (!s.listed || !s.serving) && w.now > s.drainingSince+grace+1e-9 {
+		w.violate("drained", "%s goes out to %s %.2f s after that was told to be drained", t.client.name, s.id, w.now-s.drainingSince)
 	}
 }
 
@@ -102,7 +102,7 @@
 	} else {
 		w.release(k, v)
 	}
-	if life := t.client.request.Machine(); v.TryNextConnection && !life.BodyConsumed() {
+	if machine := t.client.request.Machine(); v.TryNextConnection && !machine.BodyConsumed() {
 		t.conn = nil
 		w.start(t)
 		return
@@ -128,9 +128,9 @@
 }
 
 // streamed is the end of a body that came as it was read: see link.Streamed.
-func (w *World) streamed(c *client, whole, more bool) {
+func (w *World) streamed(c *client, complete, more bool) {
 	k := c.stream
-	c.stream, k.spoilt = nil, k.spoilt || !whole || more
-	w.release(k, k.StreamEnded(whole, more))
+	c.stream, k.spoilt = nil, k.spoilt || !complete || more
+	w.release(k, k.StreamEnded(complete, more))
 	w.check()
 }
--- a/internal/emulator/modelcheck/events.go
+++ b/internal/emulator/modelcheck/events.go
@@ -79,21 +79,21 @@
 		}
 		if c.stream != nil {
 			for _, e := range []struct {
-				name        string
-				whole, more bool
+				name           string
+				complete, more bool
 			}{{"stream-whole", true, false}, {"stream-more", true, true}, {"stream-cut", false, false},
 				{"stream-left", false, false}} {
-				add(e.name+id, func(w *World) { w.streamed(w.clients[i], e.whole, e.more) })
+				add(e.name+id, func(w *World) { w.streamed(w.clients[i], e.complete, e.more) })
 			}
 		}
-		if !c.gone && !c.finished {
+		if !c.disconnected && !c.finished {
 			add("leaves"+id, func(w *World) {
 				c := w.clients[i]
-				c.gone = true
+				c.disconnected = true
 				w.do(w.dispatcher.ClientDisconnected(w.now, c.request))
 			})
 		}
-		if c.finished && !c.retried && (c.status == "refused" || c.gone) && !w.draining && len(w.clients) < 3 {
+		if c.finished && !c.retried && (c.status == "refused" || c.disconnected) && !w.draining && len(w.clients) < 3 {
 			add("retries"+id, func(w *World) {
 				c := w.clients[i]
 				c.retried = true
@@ -109,13 +109,13 @@
 		if s.serving {
 			add("drains"+id, func(w *World) {
 				s := w.servers[i]
-				s.serving, s.told = false, w.now
+				s.serving, s.drainingSince = false, w.now
 				w.list()
 			})
 		}
 		add("gone"+id, func(w *World) {
 			s := w.servers[i]
-			s.listed, s.serving, s.told = false, false, w.now
+			s.listed, s.serving, s.drainingSince = false, false, w.now
 			w.list()
 		})
 		if len(w.servers) < 4 {
@@ -249,8 +249,8 @@
 		w.uploadEvents(on)
 		return
 	}
-	if t.patience > 0 {
-		on("impatient", func(w *World, t *try, k *conn) { w.impatient(t, k) })
+	if t.slowAfter > 0 {
+		on("impatient", func(w *World, t *try, k *conn) { w.checkSlow(t, k) })
 	}
 	if w.config.Odd {
 		w.oddEvents(on)
@@ -278,11 +278,11 @@
 	}
 	on("interim", func(w *World, t *try, k *conn) {}) // passed over by the reader
 	for _, a := range []struct {
-		name    string
-		trouble upstreamconn.Failure
+		name        string
+		failureKind upstreamconn.Failure
 	}{{"spoilt", upstreamconn.Malformed}, {"breaks", upstreamconn.ConnectionLost}, {"time-out", upstreamconn.TimedOut}} {
 		on(a.name, func(w *World, t *try, k *conn) {
-			how := a.trouble
+			how := a.failureKind
 			if t.cancelled {
 				how = upstreamconn.Cancelled
 			}
@@ -347,7 +347,7 @@
 	})
 	on("leaves-upload", func(w *World, t *try, k *conn) { // it stalls, or leaves: nobody waits for the answer
 		c := t.client
-		k.spoilt, c.gone, t.cancelled = true, true, true
+		k.spoilt, c.disconnected, t.cancelled = true, true, true
 		w.do(w.dispatcher.ClientDisconnected(w.now, c.request))
 		w.finish(t, k, k.FailedWriting(upstreamconn.Cancelled))
 	})
--- a/internal/emulator/modelcheck/schedule.go
+++ b/internal/emulator/modelcheck/schedule.go
@@ -16,16 +16,16 @@
 		return
 	}
 	for _, c := range w.clients {
-		life := c.request.Machine()
-		if c.gone && c.try != nil && !c.try.cancelled {
+		machine := c.request.Machine()
+		if c.disconnected && c.try != nil && !c.try.cancelled {
 			w.violate("left-is-cancelled", "%s has left, and its attempt goes on", c.name)
 		}
-		if life.Phase() == attempt.Finished && c.told == 0 {
+		if machine.Phase() == attempt.Finished && c.finalAnswers == 0 {
 			w.violate("given-up-is-answered", "%s is over, and nobody was told", c.name)
 		}
-		if life.Phase() == attempt.Waiting && c.try != nil ||
-			(life.Phase() == attempt.InFlight || life.Phase() == attempt.Abandoned) && c.try == nil {
-			w.violate("legal", "%s is %v, attempt out: %v", c.name, life.Phase(), c.try != nil)
+		if machine.Phase() == attempt.Waiting && c.try != nil ||
+			(machine.Phase() == attempt.InFlight || machine.Phase() == attempt.Abandoned) && c.try == nil {
+			w.violate("legal", "%s is %v, attempt out: %v", c.name, machine.Phase(), c.try != nil)
 		}
 	}
 	if n := w.idlePool.Open(); n > w.idlePool.Max {
@@ -37,8 +37,8 @@
 func (w *World) Key() string {
 	var b strings.Builder
 	for _, c := range w.clients {
-		life := c.request.Machine()
-		fmt.Fprintf(&b, "%v%d%v%v%d", life.Phase(), life.Attempts(), c.gone, c.status, c.mayRun)
+		machine := c.request.Machine()
+		fmt.Fprintf(&b, "%v%d%v%v%d", machine.Phase(), machine.Attempts(), c.disconnected, c.status, c.mayRun)
 		if c.try != nil {
 			fmt.Fprintf(&b, "/%s%d%v", c.try.backend, c.try.stage, c.try.cancelled)
 		}
@@ -140,9 +140,9 @@
 
 // runOut ends an attempt whose time has run out, or that was given up.
 func (w *World) runOut(t *try) {
-	trouble := upstreamconn.TimedOut
+	failure := upstreamconn.TimedOut
 	if t.cancelled {
-		trouble = upstreamconn.Cancelled
+		failure = upstreamconn.Cancelled
 	}
 	if t.stage == dialing {
 		w.noConnection(t)
@@ -151,11 +151,11 @@
 	k := t.conn
 	k.spoilt = true
 	if t.stage == holding || t.stage == uploading || t.stage == sending {
-		if trouble == upstreamconn.TimedOut {
-			trouble = upstreamconn.ConnectionLost // the write's deadline
+		if failure == upstreamconn.TimedOut {
+			failure = upstreamconn.ConnectionLost // the write's deadline
 		}
-		w.finish(t, k, k.FailedWriting(trouble))
+		w.finish(t, k, k.FailedWriting(failure))
 		return
 	}
-	w.finish(t, k, k.FailedAwaiting(trouble))
+	w.finish(t, k, k.FailedAwaiting(failure))
 }
--- a/internal/emulator/modelcheck/world.go
+++ b/internal/emulator/modelcheck/world.go
@@ -50,11 +50,11 @@
 
 // server is a quote server, and what the list says of it.
 type server struct {
-	id, addr string
-	listed   bool
-	serving  bool
-	told     decision.Seconds // when it was told to drain, or gone
-	down     bool             // refuses connections
+	id, addr      string
+	listed        bool
+	serving       bool
+	drainingSince decision.Seconds // when it was told to drain, or gone
+	down          bool             // refuses connections
 }
 
 // conn is a connection to a server.
@@ -74,22 +74,22 @@
 
 // client is one request of a client.
 type client struct {
-	name     string
-	send     bool
-	request  *attempt.Request[*client]
-	at       decision.Seconds
-	gone     bool // left
-	answers  int
-	status   string
-	told     int // last words
-	try      *try
-	tries    int
-	mayRun   int // attempts that may have run, in truth
-	retried  bool
-	finished bool
-	long     bool
-	tried    map[string]bool // servers to which it was written whole
-	stream   *conn           // on which the body of its answer comes
+	name         string
+	send         bool
+	request      *attempt.Request[*client]
+	at           decision.Seconds
+	disconnected bool // left
+	answers      int
+	status       string
+	finalAnswers int // last words
+	try          *try
+	tries        int
+	mayRun       int // attempts that may have run, in truth
+	retried      bool
+	finished     bool
+	long         bool
+	tried        map[string]bool // servers to which it was written whole
+	stream       *conn           // on which the body of its answer comes
 }
 
 // stage is where an attempt is, between the steps of the pool.
@@ -111,7 +111,7 @@
 	conn      *conn
 	stage     stage
 	cancelled bool
-	patience  decision.Seconds // after it was written; 0: none
+	slowAfter decision.Seconds // after it was written; 0: none
 	writtenAt decision.Seconds
 	others    int // answers to other requests that came in its answer's place
 }
@@ -200,13 +200,13 @@
 }
 
 func (w *World) list() {
-	news := decision.Backends{Complete: true}
+	update := decision.Backends{Complete: true}
 	for _, s := range w.servers {
 		if s.listed {
-			news.List = append(news.List, decision.Backend{ID: s.id, Zone: "a", Serving: s.serving, Size: 1})
+			update.List = append(update.List, decision.Backend{ID: s.id, Zone: "a", Serving: s.serving, Size: 1})
 		}
 	}
-	w.do(w.dispatcher.Handle(w.now, news))
+	w.do(w.dispatcher.Handle(w.now, update))
 }
 
 func (w *World) server(id string) *server {
@@ -229,12 +229,12 @@
 func (w *World) ask(send, repeat bool) {
 	c := &client{name: fmt.Sprint("c", len(w.clients)+1), send: send, at: w.now, long: w.long, tried: map[string]bool{}}
 	w.clients = append(w.clients, c)
-	class, doors := "read", 1
+	class, gateways := "read", 1
 	if send {
 		class = "send"
 	}
 	if w.config.Sparse {
-		doors = 5
+		gateways = 5
 	}
 	r := decision.Request{
 		Class:       class,
@@ -242,7 +242,7 @@
 		Customer:    "m",
 		TimeLeft:    deadline,
 		Units:       1,
-		Gateways:    doors,
+		Gateways:    gateways,
 		ClientRetry: repeat,
 		Streamed:    w.long,
 	}
@@ -287,7 +287,7 @@
 		if c.try != nil {
 			w.violate("one-attempt-at-a-time", "%s has two attempts out", c.name)
 		}
-		if c.told > 0 {
+		if c.finalAnswers > 0 {
 			w.violate("one-answer", "%s is sent on after its last word", c.name)
 		}
 		if c.tries++; c.tries > 4 {
@@ -296,12 +296,12 @@
 		if d.Deadline > c.at+deadline+1e-9 {
 			w.violate("in-time", "%s may be out until %.2f s after it was taken", c.name, d.Deadline-c.at)
 		}
-		w.start(&try{client: c, backend: d.Backend, until: d.Deadline, patience: d.SlowAfter})
+		w.start(&try{client: c, backend: d.Backend, until: d.Deadline, slowAfter: d.SlowAfter})
 		return
 	}
-	c.told++
-	if c.told > 1 {
-		w.violate("one-answer", "%s has %d last words", c.name, c.told)
+	c.finalAnswers++
+	if c.finalAnswers > 1 {
+		w.violate("one-answer", "%s has %d last words", c.name, c.finalAnswers)
 	}
 	if c.try != nil {
 		w.violate("one-attempt-at-a-time", "%s hears %v with an attempt out", c.name, d.Kind)
@@ -315,7 +315,7 @@
 	case attempt.Fail:
 		w.answer(c, "failed")
 	case attempt.NoAnswer:
-		if !c.gone && !w.halted {
+		if !c.disconnected && !w.halted {
 			w.violate("one-answer", "%s waits, and is answered nothing", c.name)
 		}
 		c.status, c.finished = "gone", true
@@ -324,7 +324,7 @@
 
 func (w *World) answer(c *client, status string) {
 	c.finished = true
-	if c.gone {
+	if c.disconnected {
 		return
 	}
 	c.status = status
@@ -381,7 +381,7 @@
 	} else if s.addr != k.addr {
 		w.violate("nothing-new-to-the-gone", "%s begins at an address that is another server's", c.name)
 	}
-	if life := c.request.Machine(); life.BodyConsumed() {
+	if machine := c.request.Machine(); machine.BodyConsumed() {
 		w.violate("spent-is-spent", "%s begins again, and its body has gone", c.name)
 	}
 	if c.long ||
@@ -401,8 +401,8 @@
 }
 
 // impatient is the pool asking, once the patience with an attempt is out, whether to give it up.
-func (w *World) impatient(t *try, k *conn) {
-	for end := t.writtenAt + t.patience; t.client.try == t && w.now < end-1e-9 && len(w.Violations) == 0; {
+func (w *World) checkSlow(t *try, k *conn) {
+	for end := t.writtenAt + t.slowAfter; t.client.try == t && w.now < end-1e-9 && len(w.Violations) == 0; {
 		w.pass()
 	}
 	if t.client.try != t || t.cancelled || !w.dispatcher.ShouldAbandon(w.now, t.client.request) {
@@ -418,7 +418,7 @@
 	}
 	k.spoilt = true
 	w.finish(t, k, k.FailedAwaiting(upstreamconn.TimedOut))
-	if c.tries == before && !c.gone { // the other one may turn out to be down
+	if c.tries == before && !c.disconnected { // the other one may turn out to be down
 		w.violate("given-up-goes-on", "%s is given up by patience, and goes to no other server", c.name)
 	}
 }
@@ -429,14 +429,14 @@
 	c.try = nil
 	if o == decision.Succeeded {
 		w.answer(c, "served")
-		c.told++
+		c.finalAnswers++
 	}
-	if o == decision.Succeeded && c.told > 1 {
+	if o == decision.Succeeded && c.finalAnswers > 1 {
 		w.violate("one-answer", "%s is served after its last word", c.name)
 	}
-	gone := c.request.Machine()
-	if p := gone.Phase(); p == attempt.Abandoned && o == decision.Succeeded {
-		c.told-- // its host hears Gone, too: the answer went to nobody
+	disconnected := c.request.Machine()
+	if p := disconnected.Phase(); p == attempt.Abandoned && o == decision.Succeeded {
+		c.finalAnswers-- // its host hears Gone, too: the answer went to nobody
 	}
 	w.do(w.dispatcher.AttemptEnded(w.now, c.request, o))
 	w.check()
--- a/internal/emulator/testcluster/rig.go
+++ b/internal/emulator/testcluster/cluster.go
@@ -266,7 +266,7 @@
 	}
 	var all []event
 	if r.Changes {
-		all = append(all, event{0.30, r.change}, event{0.40, r.book})
+		all = append(all, event{0.30, r.change}, event{0.40, r.addBooking})
 	}
 	if r.Kill {
 		all = append(all, event{0.55, func() error { return r.kill(r.Ingresses - 1) }})
@@ -329,7 +329,7 @@
 }
 
 // book books allowance for some members of the plan basic, for a fifth of the run.
-func (r *Run) book() error {
+func (r *Run) addBooking() error {
 	n := 0
 	err := r.revise(func(next *plans.Revision) {
 		for i := 2; i < r.Members; i += 20 { // on basic, and stays
--- a/internal/emulator/testcluster/load.go
+++ b/internal/emulator/testcluster/load.go
@@ -100,10 +100,10 @@
 					continue // never sent: not among those that were asked
 				}
 				l.out.Add(1)
-				go func(id, door int) {
+				go func(id, ingress int) {
 					defer l.out.Done()
 					defer func() { <-places }()
-					l.send(fmt.Sprintf("r%07d", id), q, door)
+					l.send(fmt.Sprintf("r%07d", id), q, ingress)
 				}(id, rng.IntN(r.Ingresses))
 			}
 		}
@@ -130,10 +130,10 @@
 }
 
 // send asks one of the ingresses.
-func (l *load) send(id string, q *request, door int) {
+func (l *load) send(id string, q *request, ingress int) {
 	r := l.cluster
 	l.mu.Lock()
-	addr := r.nodes[door].Addr
+	addr := r.nodes[ingress].Addr
 	l.mu.Unlock()
 	method, class, body := "GET", "quote-read", ""
 	if q.unsafe {
--- a/internal/emulator/testcluster/report.go
+++ b/internal/emulator/testcluster/report.go
@@ -135,7 +135,7 @@
 			byMember[q.member] = append(byMember[q.member], id)
 		}
 	}
-	room := plus.LimitBurst + plus.LimitSlack + 0.15*plus.LimitRate
+	available := plus.LimitBurst + plus.LimitSlack + 0.15*plus.LimitRate
 	for _, ids := range byMember {
 		slices.SortFunc(ids, func(a, b string) int { return p.arrivals[a].First.Compare(p.arrivals[b].First) })
 		owed, last := 0.0, r.begun
@@ -143,7 +143,7 @@
 			at := p.arrivals[id].First
 			owed = math.Max(0, owed-plus.LimitRate*at.Sub(last).Seconds()) + p.requests[id].units
 			last = at
-			nearest = math.Max(nearest, owed/room)
+			nearest = math.Max(nearest, owed/available)
 		}
 	}
 	return nearest
