--- /dev/null
+++ b/internal/standalone/cli/faulttest.go
@@ -0,0 +1,139 @@
+package cli
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"io/fs"
+	"os"
+	"os/signal"
+	"path/filepath"
+	"sync"
+	"syscall"
+
+	"mulleinrouter/internal/emulator/faulttest"
+)
+
+// FaultTestCommand runs a fault test: a scenario of faults.
+//
+//nolint:lll // a tag cannot be broken into lines
+type FaultTestCommand struct {
+	File      string  `arg:"" name:"file" help:"A scenario: a file, or one of those that ship (deploy/faulttests) by its name, such as duty-holder."`
+	Ingresses int     `name:"ingresses" help:"So many ingresses instead of those that the file names."`
+	Seed      uint64  `name:"seed" help:"Another seed than the file's."`
+	Dir       string  `name:"dir" type:"path" help:"Folder for files and logs; it stays. Default: a temporary one."`
+	Events    string  `name:"events" type:"path" placeholder:"FILE" help:"What was done and seen, as JSON lines."`
+	Slack     float64 `name:"slack" default:"1" help:"Times the limits of what is expected, for a slow machine."`
+	Repeat    int     `name:"repeat" default:"1" help:"Play it so often, with seeds that follow each other, and tell medians and the worst over all."`
+	Parallel  int     `name:"beside" default:"1" help:"So many of them side by side."`
+}
+
+// readScenario reads a file, or a scenario that ships.
+func readScenario(name string) (*faulttest.Timeline, error) {
+	isName := filepath.Base(name) == name && filepath.Ext(name) == ""
+	if _, err := os.Stat(name); errors.Is(err, fs.ErrNotExist) && isName {
+		return faulttest.Shipped(name)
+	}
+	return faulttest.Read(name)
+}
+
+// Run runs the scenario, once or several times.
+func (ft *FaultTestCommand) Run(p *Program) error {
+	scenario, err := readScenario(ft.File)
+	if err != nil {
+		return fileError{err}
+	}
+	scenario.Ingresses, scenario.Seed = cmp.Or(ft.Ingresses, scenario.Ingresses), cmp.Or(ft.Seed, scenario.Seed)
+	program, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	options := faulttest.Options{Program: program, Dir: ft.Dir, Progress: p.out, Slack: ft.Slack}
+	if ft.Events != "" {
+		f, err := os.Create(ft.Events)
+		if err != nil {
+			return fileError{err}
+		}
+		defer f.Close()
+		options.Events = f
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	fmt.Fprintf(p.out, "%s: %d ingresses on loopback, %v\n", scenario.Name, scenario.Ingresses, scenario.Lasts)
+	if ft.Repeat > 1 {
+		return ft.runRepeatedly(ctx, p.out, scenario, options)
+	}
+	report, err := faulttest.Play(ctx, scenario, options)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintln(p.out)
+	report.Write(p.out)
+	if !report.Good() {
+		return errExpectation
+	}
+	return nil
+}
+
+// runRepeatedly runs a scenario with seeds that follow each other, several at once. A run that fails is reported
+// with its seed, and its files stay where a folder was named.
+func (ft *FaultTestCommand) runRepeatedly(
+	ctx context.Context, out io.Writer, scenario *faulttest.Timeline, options faulttest.Options,
+) error {
+	results := &scenarioResults{out: out}
+	options.Progress, options.Events = nil, nil
+	var running sync.WaitGroup
+	slots := make(chan struct{}, max(1, ft.Parallel))
+	for i := range ft.Repeat {
+		slots <- struct{}{}
+		running.Go(func() {
+			defer func() { <-slots }()
+			run, runOptions := *scenario, options
+			run.Seed = scenario.Seed + uint64(i)
+			if runOptions.Dir != "" {
+				runOptions.Dir = filepath.Join(runOptions.Dir, fmt.Sprint(run.Seed))
+			}
+			report, err := faulttest.Play(ctx, &run, runOptions)
+			results.add(run.Seed, runOptions.Dir, report, err)
+		})
+	}
+	running.Wait()
+	if len(results.reports) > 0 {
+		fmt.Fprintln(out)
+		faulttest.Table(out, results.reports)
+	}
+	fmt.Fprintf(out, "%d of %d held\n", ft.Repeat-results.failed, ft.Repeat)
+	if results.failed > 0 {
+		return errExpectation
+	}
+	return ctx.Err()
+}
+
+// scenarioResults are those of several runs of a scenario.
+type scenarioResults struct {
+	mu      sync.Mutex // guards the fields below
+	out     io.Writer  // for runs that fail
+	reports []*faulttest.Report
+	failed  int
+}
+
+// add adds the result of one run, and removes its folder if it succeeded.
+func (s *scenarioResults) add(seed uint64, dir string, report *faulttest.Report, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	switch {
+	case err != nil:
+		s.failed++
+		fmt.Fprintf(s.out, "seed %d: %v\n", seed, err)
+		return
+	case !report.Good():
+		s.failed++
+		fmt.Fprintf(s.out, "seed %d: not all held\n", seed)
+		report.Write(s.out)
+	case dir != "":
+		os.RemoveAll(dir)
+	}
+	s.reports = append(s.reports, report)
+}
--- /dev/null
+++ b/internal/standalone/cli/fleetleases.go
@@ -0,0 +1,131 @@
+package cli
+
+import (
+	"cmp"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+	"time"
+
+	"mulleinrouter/internal/standalone/fleet/leaseservice"
+	"mulleinrouter/internal/standalone/jsontext"
+)
+
+const voterChangeTimeout = 10 * time.Second // for the voters to agree on a change of themselves
+
+const callLeases = "DUTIES" // what is agreed on
+
+// askLeader makes a call about leases, which the ingress forwards to the leader of the voters.
+func (i *ingressFlags) askLeader(call string) (*leaseservice.Told, error) {
+	line, err := i.ask(call, errLeaseCall)
+	if err != nil {
+		return nil, err
+	}
+	answer := &leaseservice.Told{}
+	return answer, jsontext.Decode([]byte(line), answer)
+}
+
+// FleetLeasesCommand shows the leases of singleton roles.
+type FleetLeasesCommand struct{ ingressFlags }
+
+// Run asks, and prints tables.
+func (fl *FleetLeasesCommand) Run(p *Program) error {
+	return show(&fl.ingressFlags, p.out, callLeases, errLeaseCall, writeLeases)
+}
+
+func writeLeases(out io.Writer, answer *leaseservice.Told) error {
+	fmt.Fprintf(out, "%s leads in term %d; voters %s\n\n", answer.Leader, answer.Term, strings.Join(answer.Voters, " "))
+	t := newTable(out)
+	fmt.Fprintln(t, "duty\tholder\ttoken\twaiting")
+	for _, d := range answer.Duties {
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\n", d.Duty, cmp.Or(d.Holder, "nobody"), d.Token, strings.Join(d.Line, " "))
+	}
+	fmt.Fprintln(t, "\nduty\theld by\ttoken\tstart")
+	for _, h := range answer.Past {
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\n", h.Duty, h.Holder, h.Token, h.Start)
+	}
+	return t.Flush()
+}
+
+// FleetLeaseCommands are the commands about one lease.
+type FleetLeaseCommands struct {
+	Transfer FleetLeaseTransferCommand `cmd:"" name:"give" help:"Have its holder give a duty up, and a named ingress have it next."` //nolint:lll // a tag
+}
+
+// FleetLeaseTransferCommand transfers a lease.
+type FleetLeaseTransferCommand struct {
+	ingressFlags
+	Role string `arg:"" name:"duty" help:"Name of the duty."`
+	To   string `arg:"" name:"to" help:"Name of the ingress."`
+}
+
+// Run asks for the transfer.
+func (ft *FleetLeaseTransferCommand) Run(p *Program) error {
+	if _, err := ft.askLeader("GIVE " + ft.Role + " " + ft.To); err != nil {
+		return err
+	}
+	fmt.Fprintf(p.out, "%s goes to %s as soon as its holder has let go of it; fleet duties tells\n", ft.Role, ft.To)
+	return nil
+}
+
+// FleetVotersCommand shows or changes the voters.
+type FleetVotersCommand struct {
+	ingressFlags
+	Action string   `arg:"" name:"action" optional:"" enum:"list,add,remove,replace" default:"list" help:"list, add NAME, remove NAME, or replace OLD NEW."` //nolint:lll // a tag
+	Names  []string `arg:"" name:"names" optional:"" help:"Names of voters."`
+}
+
+// voterChange is one change of the voters, which change one at a time.
+type voterChange struct {
+	action string // add or remove
+	name   string
+}
+
+// changes are those that the arguments ask for. A replacement adds the new voter before it removes the old one.
+func (fv *FleetVotersCommand) changes() ([]voterChange, error) {
+	switch {
+	case fv.Action == "list" && len(fv.Names) == 0:
+		return nil, nil
+	case (fv.Action == "add" || fv.Action == "remove") && len(fv.Names) == 1:
+		return []voterChange{{fv.Action, fv.Names[0]}}, nil
+	case fv.Action == "replace" && len(fv.Names) == 2:
+		return []voterChange{{"add", fv.Names[1]}, {"remove", fv.Names[0]}}, nil
+	}
+	return nil, errVoterArguments
+}
+
+// Run makes the changes, each once the one before is agreed on, and prints the voters.
+func (fv *FleetVotersCommand) Run(p *Program) error {
+	changes, err := fv.changes()
+	if err != nil {
+		return err
+	}
+	for _, change := range changes {
+		if err := fv.apply(change); err != nil {
+			return err
+		}
+	}
+	answer, err := fv.askLeader(callLeases)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintln(p.out, strings.Join(answer.Voters, "\n"))
+	return nil
+}
+
+// apply makes one change and waits until it is agreed on.
+func (fv *FleetVotersCommand) apply(change voterChange) error {
+	if _, err := fv.askLeader("VOTERS " + change.action + " " + change.name); err != nil {
+		return err
+	}
+	for deadline := time.Now().Add(voterChangeTimeout); ; time.Sleep(pollInterval) {
+		answer, err := fv.askLeader(callLeases)
+		if err == nil && slices.Contains(answer.Voters, change.name) == (change.action == "add") {
+			return nil
+		}
+		if time.Now().After(deadline) {
+			return fmt.Errorf("%s %s is not agreed on after 10 s", change.action, change.name)
+		}
+	}
+}
--- /dev/null
+++ b/internal/standalone/cli/modelcheck.go
@@ -0,0 +1,100 @@
+package cli
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"runtime"
+	"time"
+
+	"mulleinrouter/internal/emulator/modelcheck"
+)
+
+// ModelCheckCommand are the commands of the model checker.
+type ModelCheckCommand struct {
+	States ModelCheckStatesCommand `cmd:"" name:"states" help:"Go through every order of a few events, and check the rules after each. Exit code 1 if one is broken."` //nolint:lll // a tag
+	Replay ModelCheckReplayCommand `cmd:"" name:"replay" help:"Play the trace of a violation again."`
+}
+
+// ModelCheckStatesCommand explores orderings of events.
+type ModelCheckStatesCommand struct {
+	Depth  int    `name:"depth" default:"4" help:"Every ordering of so many events."`
+	Random int    `name:"random" default:"200000" help:"Further orderings of five to eight events, drawn by chance."`
+	Seed   uint64 `name:"seed" default:"1" help:"For those."`
+	Out    string `name:"out" type:"path" placeholder:"DIR" help:"Folder for the traces of violations."`
+}
+
+const progressSteps = 10 // lines of progress that a run prints
+
+// Run explores, and prints what it found.
+func (ms *ModelCheckStatesCommand) Run(p *Program) error {
+	began, shown := time.Now(), 0
+	progress := func(done, all int, orderings int64) {
+		if step := done * progressSteps / all; step > shown {
+			shown = step
+			seconds := time.Since(began).Seconds()
+			fmt.Fprintf(p.err, "%3d%%  %d orderings, %.0f s\n", step*100/progressSteps, orderings, seconds)
+		}
+	}
+	r := modelcheck.Explore(modelcheck.Options{Depth: ms.Depth, Random: ms.Random, Seed: ms.Seed, Progress: progress})
+	writeExploration(p.out, r, time.Since(began))
+	for i, v := range r.Violations {
+		fmt.Fprintf(p.out, "\n%v", v)
+		if ms.Out == "" {
+			continue
+		}
+		if err := os.MkdirAll(ms.Out, 0o755); err != nil {
+			return err
+		}
+		name := fmt.Sprintf("%s-%d.txt", v.Violation.Property, i+1)
+		if err := os.WriteFile(filepath.Join(ms.Out, name), []byte(v.String()), 0o644); err != nil {
+			return err
+		}
+	}
+	if len(r.Violations) > 0 {
+		return errViolated
+	}
+	return nil
+}
+
+// writeExploration prints the statistics of a run.
+func writeExploration(out io.Writer, r *modelcheck.Result, took time.Duration) {
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	t := newTable(out)
+	fmt.Fprintf(t, "orderings\t%d, with %d steps\n", r.Orderings, r.Steps)
+	fmt.Fprintf(t, "kinds of states\t%d\n", r.States)
+	fmt.Fprintf(t, "pairs of events\t%d of %d, one right behind the other\n", r.Pairs, r.AllPairs)
+	fmt.Fprintf(t, "time\t%.1f s on %d cores\n", took.Seconds(), runtime.GOMAXPROCS(0))
+	fmt.Fprintf(t, "memory\t%d MB from the system\n", memory.Sys>>20)
+	fmt.Fprintf(t, "violations\t%d\n", len(r.Violations))
+	t.Flush()
+}
+
+// ModelCheckReplayCommand replays the trace of a violation.
+type ModelCheckReplayCommand struct {
+	File string `arg:"" name:"file" type:"path" help:"A trace, as model-check states writes them."`
+}
+
+// Run replays a trace.
+func (mr *ModelCheckReplayCommand) Run(p *Program) error {
+	f, err := os.Open(mr.File)
+	if err != nil {
+		return fileError{err}
+	}
+	defer f.Close()
+	trace, err := modelcheck.ReadTrace(f)
+	if err != nil {
+		return fileError{fmt.Errorf("%s: %w", mr.File, err)}
+	}
+	violations, happened := modelcheck.Replay(trace.Config, trace.Events)
+	fmt.Fprintf(p.out, "%d of %d events happened\n", len(happened), len(trace.Events))
+	for _, v := range violations {
+		fmt.Fprintf(p.out, "%s: %s\n", v.Property, v.Text)
+	}
+	if len(violations) > 0 {
+		return errViolated
+	}
+	return nil
+}
--- a/internal/standalone/cli/serve.go
+++ b/internal/standalone/cli/serve.go
@@ -1,15 +1,11 @@
 package cli
 
 import (
-	"bufio"
 	"cmp"
 	"fmt"
-	"io"
 	"os"
 	"os/signal"
-	"sync"
 	"syscall"
-	"time"
 
 	"github.com/sirupsen/logrus"
 
@@ -18,39 +14,45 @@
 	"mulleinrouter/internal/standalone/node"
 )
 
-const flushEvery = time.Second
+// ServeCommand serves clients.
+type ServeCommand struct {
+	Config string `name:"config" short:"c" type:"path" placeholder:"FILE" help:"Configuration of our own form (HCL), such as deploy/single.hcl."` //nolint:lll // a tag
 
-// Serve serves clients.
-type Serve struct {
-	Config string `short:"c" type:"path" placeholder:"FILE" help:"Configuration of our own form (HCL), such as deploy/single.hcl."`
-
-	Rehearsal string `hidden:"" type:"path"` // faults of a rehearsal, which starts processes so
+	Faults string `name:"rehearsal" hidden:"" type:"path"` // faults to inject: fault tests start processes so
 }
 
-// Run serves until SIGTERM or SIGINT.
-func (s *Serve) Run(p *Program) error {
-	// Signals count from the first moment: a restart may be planned before this one is up.
-	term := make(chan os.Signal, 1)
-	signal.Notify(term, syscall.SIGTERM, syscall.SIGINT)
-	hup := make(chan os.Signal, 1) // one that comes while another is carried out reads the newest file anyway
-	signal.Notify(hup, syscall.SIGHUP)
+// loadConfig reads a configuration, as the environment and the command line name it.
+type loadConfig func(getenv func(string) string) (*config.Config, error)
 
-	load, reload := config.Load, config.Reload
-	if s.Config != "" {
-		load = func(func(string) string) (*config.Config, error) { return config.LoadFile(s.Config) }
-		reload = load
+// loaders are how the configuration is read at the start and again at SIGHUP.
+func (s *ServeCommand) loaders() (load, reload loadConfig) {
+	if s.Config == "" {
+		return config.Load, config.Reload
 	}
+	load = func(func(string) string) (*config.Config, error) { return config.LoadFile(s.Config) }
+	return load, load
+}
+
+// Run serves until SIGTERM or SIGINT.
+func (s *ServeCommand) Run(p *Program) error {
+	// Signals count from the first moment: a restart may be planned before this process is up.
+	terminate := make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM, syscall.SIGINT)
+	hangUp := make(chan os.Signal, 1) // one that comes while another is carried out reads the newest file anyway
+	signal.Notify(hangUp, syscall.SIGHUP)
+
+	load, reload := s.loaders()
 	c, err := load(os.Getenv)
 	if err != nil {
-		return badFile{err}
+		return fileError{err}
 	}
-	if s.Rehearsal != "" {
-		if c.FaultInjection, err = faultinjection.Follow(s.Rehearsal); err != nil {
-			return badFile{err}
+	if s.Faults != "" {
+		if c.FaultInjection, err = faultinjection.Follow(s.Faults); err != nil {
+			return fileError{err}
 		}
 	}
 	node.Tune(&c.Limits)
-	out := newLog(p.err)
+	out := newBufferedLog(p.err)
 	defer out.Flush()
 	go out.run()
 	logger := newLogger(out, p.LogFormat, c.LogFormat)
@@ -60,22 +62,22 @@
 		return err
 	}
 	out.Flush()
-	go func() {
-		for range hup {
-			again(n, logger, reload)
+	go func() { // until the process exits
+		for range hangUp {
+			reloadNode(n, logger, reload)
 		}
 	}()
 
-	sig := <-term
-	logger.WithFields(logrus.Fields{"code": "process-stopping", "signal": sig.String()}).Info("handing over")
+	received := <-terminate
+	logger.WithFields(logrus.Fields{"code": "process-stopping", "signal": received.String()}).Info("shutting down")
 	out.Flush()
 	n.Drain()
-	logger.WithField("code", "process-stopped").Info("all is answered")
+	logger.WithField("code", "process-stopped").Info("all requests answered")
 	return nil
 }
 
-// again goes by the configuration as it is now. One that cannot be used changes nothing.
-func again(n *node.Node, logger *logrus.Logger, reload func(func(string) string) (*config.Config, error)) {
+// reloadNode applies the configuration as it is now. One that cannot be used changes nothing.
+func reloadNode(n *node.Node, logger *logrus.Logger, reload loadConfig) {
 	c, err := reload(os.Getenv)
 	if err == nil {
 		if err = n.Reload(c); err != nil {
@@ -84,118 +86,9 @@
 	}
 	n.CountReload(err == nil)
 	if err != nil {
-		logger.WithField("code", "process-reload-failed").WithError(err).Error("the configuration stays as it was")
+		logger.WithField("code", "process-reload-failed").WithError(err).Error("configuration rejected; unchanged")
 		return
 	}
-	logger.WithFields(logrus.Fields{"code": "process-reloaded", "discovery": c.Discovery, "counter": c.Counter}).Info("configuration read again")
-}
-
-// newLogger writes to out, in the first form that is named.
-func newLogger(out io.Writer, formats ...string) *logrus.Logger {
-	logger := logrus.New()
-	logger.SetOutput(out)
-	logger.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true})
-	for _, f := range formats {
-		if f == "json" {
-			logger.SetFormatter(&logrus.JSONFormatter{})
-		}
-		if f != "" {
-			break
-		}
-	}
-	return logger
-}
-
-// log gathers lines, so that not each costs a write.
-type log struct {
-	mu sync.Mutex
-	w  *bufio.Writer
-}
-
-func newLog(w io.Writer) *log { return &log{w: bufio.NewWriterSize(w, 32<<10)} }
-
-func (l *log) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.w.Write(p)
-}
-
-// Flush writes out what has gathered.
-func (l *log) Flush() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.w.Flush()
-}
-
-func (l *log) run() {
-	for range time.Tick(flushEvery) {
-		l.Flush()
-	}
-}
-
-// Check checks a file.
-type Check struct {
-	File string `arg:"" type:"path" help:"A configuration (.hcl, or .json as the platform gives it) or a catalogue of plans."`
-}
-
-// Run says what is in the file.
-func (c *Check) Run(p *Program) error {
-	kind, err := c.kind()
-	if err != nil {
-		return badFile{err}
-	}
-	if kind == "catalogue" {
-		return showCatalogue(p.out, c.File)
-	}
-	var read *config.Config
-	if kind == "json" {
-		read, err = config.Load(func(name string) string {
-			if name == "NODE_CONFIG" {
-				return c.File
-			}
-			return ""
-		})
-	} else {
-		read, err = config.LoadFile(c.File)
-	}
-	if err != nil {
-		return badFile{err}
-	}
-	s := read.Settings
-	servers := "from discovery at " + read.Discovery
-	if read.Static {
-		servers = fmt.Sprintf("%d written down", len(read.Known.Targets))
-	}
-	counter := read.Counter
-	switch {
-	case read.Embedded != "":
-		counter = "embedded, at " + read.Embedded
-	case counter == "":
-		counter = "none"
-	}
-	fmt.Fprintf(p.out, "%s: a configuration in order\n", c.File)
-	t := table(p.out)
-	for _, row := range [][2]string{
-		{"listens at", read.Listen}, {"ingress", fmt.Sprintf("%d of %d", s.Index+1, max(1, s.Gateways))}, {"quote servers", servers}, {"counter", counter},
-		{"classes", fmt.Sprint(len(s.Classes))}, {"plans", fmt.Sprint(len(s.Plans))}, {"catalogue", or(read.Catalogue, "none")},
-	} {
-		fmt.Fprintf(t, "%s\t%s\n", row[0], row[1])
-	}
-	if u := read.Usage; u != nil {
-		fmt.Fprintf(t, "use\trecorded in %s, told to %s\n", u.Dir, or(u.Endpoint, "nobody"))
-	} else {
-		fmt.Fprintf(t, "use\tnot recorded\n")
-	}
-	t.Flush()
-	if read.Catalogue != "" {
-		return showCatalogue(p.out, read.Catalogue)
-	}
-	return nil
-}
-
-func or(word, otherwise string) string {
-	if word == "" {
-		return otherwise
-	}
-	return word
+	logger.WithFields(logrus.Fields{"code": "process-reloaded", "discovery": c.Discovery, "counter": c.Counter}).
+		Info("configuration reloaded")
 }
