--- a/internal/cluster/transport/golden_test.go
+++ b/internal/cluster/transport/golden_test.go
@@ -14,7 +14,8 @@
 	"mulleinrouter/internal/cluster/registry"
 )
 
-// goldenFramesFile lists frames as the landed version 76a3bb5 encoded them: the name and the bytes in hexadecimal, a frame a line.
+// goldenFramesFile lists frames as the landed version 76a3bb5 encoded them: the name and the bytes in hexadecimal, a
+// frame a line.
 const goldenFramesFile = "testdata/frames-76a3bb5.txt"
 
 // goldenFrame is a frame of the recorded list, with its name there.
@@ -28,13 +29,20 @@
 	ballot := consensus.Ballot{Round: 1 << 33, Node: "10.0.0.1:7000/17"}
 	history := configuration.History{{Version: 6, Digest: 1<<64 - 1}, {Version: 2, Digest: 5}}
 	items := []configuration.Item{
-		{Key: configuration.Key{Kind: configuration.Routes, Name: "route-1"}, Version: 7, Body: []byte(`{"a":"ü"}`), Epoch: 4, History: &history},
+		{
+			Key:     configuration.Key{Kind: configuration.Routes, Name: "route-1"},
+			Version: 7,
+			Body:    []byte(`{"a":"ü"}`),
+			Epoch:   4,
+			History: &history,
+		},
 		{Key: configuration.Key{Kind: configuration.Limits}, Version: 1, Deleted: true},
 	}
 	instances := []registry.Instance{
 		{
-			ID: "server-1", Service: "s", Address: "10.1.0.1:80", Zone: "a", Generation: "g", Capacity: 3, Phase: registry.Silent, Seq: 9,
-			ColdUntil: 12.25,
+			ID: "server-1", Service: "s", Address: "10.1.0.1:80", Zone: "a", Generation: "g", Capacity: 3,
+			Phase: registry.Silent,
+			Seq:   9, ColdUntil: 12.25,
 		},
 		{ID: "server-2"},
 	}
@@ -45,12 +53,15 @@
 		{"empty", &Frame{}},
 		{"empty reply", &Frame{Call: 1 << 40}},
 		{"hello", &Frame{Hello: &Hello{
-			Node: "edge-1", Class: "control", Incarnation: 1<<64 - 1, SourceIncarnation: 5, Seq: 6, Instances: instances, Epoch: 8, Zone: "a",
-			ControlAddr: "10.0.0.3:7000", Digests: []byte{1, 2, 0xff},
+			Node: "edge-1", Class: "control", Incarnation: 1<<64 - 1, SourceIncarnation: 5, Seq: 6, Instances: instances,
+			Epoch: 8, Zone: "a", ControlAddr: "10.0.0.3:7000", Digests: []byte{1, 2, 0xff},
 		}}},
 		{"bare hello", &Frame{Hello: &Hello{}}},
 		{"update", &Frame{Update: &Update{
-			Incarnation: 3, Seq: 4, Complete: true, Items: items, Instances: instances, Heartbeats: []Heartbeat{{ID: "server-1", Seq: 10}, {}},
+			Incarnation: 3, Seq: 4, Complete: true, Items: items, Instances: instances, Heartbeats: []Heartbeat{
+				{ID: "server-1", Seq: 10},
+				{},
+			},
 			Members: 2, Clock: 1.5, Epoch: 9, Ready: true, Quorum: true, Rank: 1, ZonePeers: 2, LinkDelay: 0.001,
 			Voters: []string{"10.0.0.1:7000"}, MatchingBuckets: []byte{0x80},
 		}}},
@@ -71,7 +82,10 @@
 		{"bare promise", &Frame{Call: 2, Promise: &Promise{}}},
 		{"accept", &Frame{Call: 3, Accept: &Accept{proposal}}},
 		{"bare accept", &Frame{Call: 3, Accept: &Accept{bare}}},
-		{"accepted", &Frame{Call: 3, Accepted: &Accepted{consensus.Accepted{OK: true, Behind: true, Promised: ballot, Epoch: 4}}}},
+		{
+			"accepted",
+			&Frame{Call: 3, Accepted: &Accepted{consensus.Accepted{OK: true, Behind: true, Promised: ballot, Epoch: 4}}},
+		},
 		{"bare accepted", &Frame{Call: 3, Accepted: &Accepted{}}},
 		{"chosen", &Frame{Chosen: &Chosen{proposal}}},
 		{"bare chosen", &Frame{Call: 4, Chosen: &Chosen{bare}}},
@@ -80,7 +94,9 @@
 		}}},
 		{"bare catch-up request", &Frame{Call: 5, CatchUpRequest: &CatchUpRequest{}}},
 		{"catch-up chunk", &Frame{Call: 5, CatchUpChunk: &CatchUpChunk{
-			NextPosition: 1 << 63, MoreInstances: true, Epoch: 3, Items: items, Voters: []string{"10.0.0.1:7000"}, Instances: instances,
+			NextPosition: 1 << 63, MoreInstances: true, Epoch: 3, Items: items, Voters: []string{
+				"10.0.0.1:7000",
+			}, Instances: instances,
 			Electorate: consensus.Electorate{Since: 2, Voters: voters},
 		}}},
 		{"bare catch-up chunk", &Frame{Call: 5, CatchUpChunk: &CatchUpChunk{}}},
@@ -109,7 +125,8 @@
 	return recorded
 }
 
-// Each type of message is encoded, byte for byte, as the landed version did, and what that one sent is read as it was meant.
+// Each type of message is encoded, byte for byte, as the landed version did, and what that one sent is read as it was
+// meant.
 func TestGoldenFrames(t *testing.T) {
 	recorded := readGoldenFrames(t)
 	if got, want := len(recorded), len(goldenFrames()); got != want {
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -1,121 +1,157 @@
 package decision
 
-import (
-	"cmp"
-	"math"
-)
+import "cmp"
 
-func (g *Gateway) request(e Request) {
+// handleRequest admits a request or rejects it, or calls the counter to decide it by the reply.
+func (g *Gateway) handleRequest(e Request) {
 	if g.requests[e.ID] != nil {
 		return
 	}
-	class, terms := cmp.Or(e.Kind, g.classes[e.Class]), cmp.Or(e.Terms, g.plans[e.Plan])
-	if class == nil { // not in the settings: safe to refuse, never to repeat
+	r := g.newRequest(e)
+	g.requests[e.ID] = r
+	g.unanswered = append(g.unanswered, r)
+	c := r.customer
+	c.cycle.demand += e.Units
+	c.values.Observe(r.class.Value, e.Units)
+	c.arrivals.observe(g.now)
+	if g.querySparse(r) {
+		return
+	}
+	r.conforming = g.withinQuota(r)
+	g.admit(r)
+}
+
+func (g *Gateway) newRequest(e Request) *request {
+	class := cmp.Or(e.Kind, g.classes[e.Class])
+	if class == nil { // not in the settings: safe to reject, never to retry
 		class = &Class{LatencyTarget: e.TimeLeft, Value: 1}
 	}
+	terms := cmp.Or(e.Terms, g.plans[e.Plan])
 	if terms == nil { // not in the settings: no quota is known
 		terms = &Terms{Plan: Plan{ValueWeight: 1}, Tag: "x"}
 	}
-	c := g.customer(e, terms)
-	r := &request{Request: e, class: class, pool: g.group(e.Group), c: c, arrived: g.now}
-	r.dueAt = g.now + e.TimeLeft
-	r.aimAt = g.now + class.LatencyTarget - g.age(e, class)
-	g.requests[e.ID] = r
-	g.open = append(g.open, r)
-	c.demand += e.Units
-	c.mix.Observe(class.Value, e.Units)
-	c.fast = c.fast*math.Exp((c.fastAt-g.now)/fastSpan) + 1/fastSpan
-	c.fastAt = g.now
-	if c.thin && !g.evenPart(c) && g.s.HasCounter && g.now >= g.muted && e.TimeLeft > g.s.CounterTimeout+2*tickEvery {
-		if p := g.callChance(c, r); g.rng.Float64() < p {
-			g.ask(r, c.cycleAt(g.now), c.units(r)/p)
-			return
-		}
+	return &request{
+		Request:   e,
+		class:     class,
+		customer:  g.customerFor(e, terms),
+		pool:      g.poolFor(e.Group),
+		arrivedAt: g.now,
+		deadline:  g.now + e.TimeLeft,
+		targetAt:  g.now + class.LatencyTarget - g.elapsedAtClient(e, class),
 	}
-	r.inside = g.inside(r)
-	g.admit(r)
 }
 
-// age is how long ago the client first asked, told by the time a repeat has left: a part of what remains of
-// the deadline. It guards against work in vain, in an overload a quarter of all served (trebic-later).
-func (g *Gateway) age(e Request, class *Class) Seconds {
-	g.patience[class.Name] = max(g.patience[class.Name], e.TimeLeft)
+// elapsedAtClient is how long ago the client first sent a request that it retries, estimated from the time
+// that the retry has left, as a part of what remains of the deadline. It guards against work in vain: in an
+// overload, a quarter of all that was served came too late.
+func (g *Gateway) elapsedAtClient(e Request, class *Class) Seconds {
+	longest := max(g.maxTimeLeft[class.Name], e.TimeLeft)
+	g.maxTimeLeft[class.Name] = longest
 	if !e.ClientRetry {
 		return 0
 	}
-	return max(0, class.Deadline*(1-(e.TimeLeft+tickEvery)/g.patience[class.Name]))
+	return max(0, class.Deadline*(1-(e.TimeLeft+tickInterval)/longest))
 }
 
-// admit sends a request on, or refuses it, once it is known whether it is inside.
+// admit forwards a request, or rejects it, once it is known whether it conforms to its quota.
 func (g *Gateway) admit(r *request) {
-	plan := r.c.plan
+	plan := r.customer.plan
 	r.value = r.class.Value * plan.ValueWeight
-	if r.spare = !r.inside; g.now+r.pool.lat > r.aimAt {
-		r.value, r.spare = r.value*r.class.LateValue, true
-	}
-	if !r.inside {
-		if r.value *= plan.ExcessValue - plan.ExcessCost; r.value <= 0 {
-			g.refuse(r)
+	r.lowPriority = !r.conforming
+	if g.now+r.pool.latency > r.targetAt {
+		r.value *= r.class.LateValue
+		r.lowPriority = true
+	}
+	if !r.conforming {
+		r.value *= plan.ExcessValue - plan.ExcessCost
+		if r.value <= 0 {
+			g.reject(r)
 			return
 		}
 	}
-	if !g.common(r) {
-		g.send(r)
+	if !g.requestSharedLimit(r) {
+		g.dispatch(r)
 	}
 }
 
-// inside tells, without asking, whether the quota has room, as far as this gateway may use it.
-func (g *Gateway) inside(r *request) bool {
-	c, worth := r.c, r.c.plan.ExcessCost/(1+r.c.plan.ExcessCost) // the chance of being inside that pays
+// withinQuota decides, without a call of the counter, whether a request conforms to its quota, as far as this
+// gateway may use it.
+func (g *Gateway) withinQuota(r *request) bool {
+	c := r.customer
+	// The probability of conforming above which forwarding pays.
+	minProbability := c.plan.ExcessCost / (1 + c.plan.ExcessCost)
 	if limit := c.plan.MaxInFlight; limit > 0 {
-		if c.open >= limit || g.evenPart(c) {
-			return c.open < limit
+		if c.inFlight >= limit {
+			return false
+		}
+		if g.withinEvenShare(c) {
+			return true
 		}
-		if c.plan.Rate <= 0 && !c.thin {
-			// Exception: limits of two or three do not divide. Sent on is what is inside by chance, with the
-			// others' attempts by the totals or, before these tell of a burst, the own rate.
-			rest := min(c.r, quietShare*c.quota/c.doors) * (c.doors - 1)
-			if g.believed(c) {
-				rest = c.R - c.r + (c.doors-c.k)*quietShare*c.quota/c.doors
-			}
-			return chanceUnder(limit-c.open, max(rest, c.fast*(c.doors-1))*g.lat) > worth
+		if c.plan.Rate <= 0 && !c.sparse.active {
+			return g.probablyWithinInFlightLimit(c) > minProbability
 		}
 	}
 	if c.quota <= 0 {
 		return true
 	}
-	if c.thin && (g.believed(c) || g.silent > 0 && c.ratio > 0) && g.rng.Float64() >= c.ratio {
-		return false // a silent counter freezes the ratio
+	if c.sparse.active && !g.passesSampling(r, minProbability) {
+		return false
 	}
-	if c.thin && c.plan.ExcessCost > 0 && !g.believed(c) && g.odds.Conforming(r.ClientRetry) < worth {
+	return g.takeTokens(r)
+}
+
+// withinEvenShare reports whether one more attempt is within the even part of a limit on attempts in flight:
+// no sum of these passes the limit.
+func (g *Gateway) withinEvenShare(c *customer) bool {
+	return c.plan.Rate <= 0 && float64(c.inFlight+1)*c.gateways <= c.quota
+}
+
+// probablyWithinInFlightLimit is the probability that one more attempt is within a limit on attempts in
+// flight. A limit of two or three cannot be divided among gateways. The attempts of the others are estimated
+// from the totals or, before these show a burst, from this gateway's own arrivals.
+func (g *Gateway) probablyWithinInFlightLimit(c *customer) float64 {
+	y := &c.cycle
+	others := min(y.localRate, quietFraction*c.quota/c.gateways) * (c.gateways - 1)
+	if g.totalsValid(c) {
+		others = y.totalRate - y.localRate + (c.gateways-y.reporters)*quietFraction*c.quota/c.gateways
+	}
+	rate := max(others, c.arrivals.perSecond*(c.gateways-1))
+	return poissonBelow(c.plan.MaxInFlight-c.inFlight, rate*g.defaultPool.latency)
+}
+
+// passesSampling decides a request of a sparse customer by the last admit ratio or, where no total is valid,
+// by what became of other requests.
+func (g *Gateway) passesSampling(r *request, minProbability float64) bool {
+	c := r.customer
+	valid := g.totalsValid(c)
+	// While the counter does not answer, the ratio stays as it is.
+	frozen := g.counter.failures > 0 && c.sparse.admitRatio > 0
+	if (valid || frozen) && g.rng.Float64() >= c.sparse.admitRatio {
 		return false
 	}
-	g.fill(c)
-	g.restrain(c, r)
-	// A part of the store is for dearer requests: of one that is full it costs nothing.
-	if p := (c.level - keptForDear*c.most*c.mix.ShareAbove(r.class.Value)) / c.units(r); p < 1 {
-		return g.luck(c, r, p)
+	if valid || c.plan.ExcessCost <= 0 {
+		return true
 	}
-	c.level -= c.units(r)
-	return true
+	return g.conformance.Conforming(r.ClientRetry) >= minProbability
 }
 
-// refuse answers a request that may not have run.
-func (g *Gateway) refuse(r *request) {
-	wait := g.s.MaxRetryAfter
-	if c := r.c; c.plan.Rate > 0 && !r.inside && c.slice > 0 {
-		wait = min(wait, max(0, r.Units-c.level)/c.slice)
+// reject answers a request that may not have been executed.
+func (g *Gateway) reject(r *request) {
+	wait := g.settings.MaxRetryAfter
+	if c := r.customer; c.plan.Rate > 0 && !r.conforming && c.bucket.slice > 0 {
+		wait = min(wait, max(0, r.Units-c.bucket.tokens)/c.bucket.slice)
 	}
-	if !g.s.MayRetryAfter {
+	if !g.settings.MayRetryAfter {
 		wait = 0
 	}
-	g.do(Reject{r.ID, wait, !r.inside})
-	g.end(r)
+	g.emit(Reject{ID: r.ID, RetryAfter: wait, OverQuota: !r.conforming})
+	g.finish(r)
 }
 
-func (g *Gateway) end(r *request) {
+// finish marks a request as answered. It is forgotten once no attempt is in flight.
+func (g *Gateway) finish(r *request) {
 	r.answered = true
-	if r.out == 0 {
+	if r.inFlight == 0 {
 		delete(g.requests, r.ID)
 	}
 }
--- a/internal/standalone/cli/fleetleases.go
+++ b/internal/standalone/cli/fleetleases.go
@@ -17,12 +17,12 @@
 const callLeases = "DUTIES" // what is agreed on
 
 // askLeader makes a call about leases, which the ingress forwards to the leader of the voters.
-func (i *ingressFlags) askLeader(call string) (*leaseservice.Told, error) {
+func (i *ingressFlags) askLeader(call string) (*leaseservice.Status, error) {
 	line, err := i.ask(call, errLeaseCall)
 	if err != nil {
 		return nil, err
 	}
-	answer := &leaseservice.Told{}
+	answer := &leaseservice.Status{}
 	return answer, jsontext.Decode([]byte(line), answer)
 }
 
@@ -34,16 +34,16 @@
 	return show(&fl.ingressFlags, p.out, callLeases, errLeaseCall, writeLeases)
 }
 
-func writeLeases(out io.Writer, answer *leaseservice.Told) error {
+func writeLeases(out io.Writer, answer *leaseservice.Status) error {
 	fmt.Fprintf(out, "%s leads in term %d; voters %s\n\n", answer.Leader, answer.Term, strings.Join(answer.Voters, " "))
 	t := newTable(out)
 	fmt.Fprintln(t, "duty\tholder\ttoken\twaiting")
-	for _, d := range answer.Duties {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\n", d.Duty, cmp.Or(d.Holder, "nobody"), d.Token, strings.Join(d.Line, " "))
+	for _, d := range answer.Roles {
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\n", d.Role, cmp.Or(d.Holder, "nobody"), d.Token, strings.Join(d.Candidates, " "))
 	}
 	fmt.Fprintln(t, "\nduty\theld by\ttoken\tstart")
-	for _, h := range answer.Past {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\n", h.Duty, h.Holder, h.Token, h.Start)
+	for _, h := range answer.History {
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\n", h.Role, h.Holder, h.Token, h.Boot)
 	}
 	return t.Flush()
 }
--- a/internal/standalone/cli/fleetshared.go
+++ b/internal/standalone/cli/fleetshared.go
@@ -19,9 +19,9 @@
 	return show(&fp.ingressFlags, p.out, "CATALOGUE", errNotAnnounced, writeAnnounced)
 }
 
-func writeAnnounced(out io.Writer, a *leaseservice.Announced) error {
+func writeAnnounced(out io.Writer, a *leaseservice.AnnouncerStatus) error {
 	fmt.Fprintf(out, "%s announces; newest token taken %d, %d messages refused\n\n",
-		cmp.Or(a.Holder, "nobody"), a.Taken, a.Refused)
+		cmp.Or(a.Holder, "nobody"), a.LastToken, a.Rejected)
 	t := newTable(out)
 	fmt.Fprintln(t, "revision\ttoken\tdigest")
 	for _, e := range a.Entries {
--- a/internal/standalone/node/catalogue.go
+++ b/internal/standalone/node/catalogue.go
@@ -41,7 +41,7 @@
 // nothing has been announced yet, the first ones are those of this ingress's own file.
 func (n *Node) startAnnouncer(ctx context.Context, first []plans.Revision) {
 	folder, read := n.stateFolder(0), false
-	n.announcer, read = n.leases.Announce(ctx, leaseservice.Announcing{
+	n.announcer, read = n.leases.StartAnnouncer(ctx, leaseservice.AnnouncerOptions{
 		Check: func(text []byte) (uint64, string, error) {
 			r, err := parseRevision(text)
 			if err != nil {
@@ -49,14 +49,14 @@
 			}
 			return r.Number, r.Digest(), nil
 		},
-		Take: func(text []byte) {
+		Apply: func(text []byte) {
 			if r, err := parseRevision(text); err == nil { // Check has accepted it
 				n.commitRevision(r)
 			}
 		},
-		Living: n.fleet.Living,
-		Read:   func(r *revisionlog.Record) error { return folder.Read(revisionLogRecord, folder.Process(), r) },
-		Write:  func(r revisionlog.Record) error { return folder.Write(revisionLogRecord, r) },
+		LivePeers: n.fleet.Living,
+		Read:      func(r *revisionlog.Record) error { return folder.Read(revisionLogRecord, folder.Process(), r) },
+		Write:     func(r revisionlog.Record) error { return folder.Write(revisionLogRecord, r) },
 	})
 	if !read {
 		n.applyRevisions(first)
@@ -67,7 +67,7 @@
 // proposeRevisions submits revisions of this ingress's file to the holder of the catalogue's lease.
 func (n *Node) proposeRevisions(revisions []plans.Revision) {
 	for _, r := range revisions {
-		n.announcer.Offer(revisionlog.Entry{
+		n.announcer.Submit(revisionlog.Entry{
 			Number: r.Number,
 			Digest: r.Digest(),
 			Text:   catalogue.Format([]plans.Revision{r}),
--- a/internal/standalone/node/fleetcalls.go
+++ b/internal/standalone/node/fleetcalls.go
@@ -30,7 +30,7 @@
 		if n.announcer == nil {
 			return false, nil
 		}
-		return jsonAnswer(n.announcer.Report())
+		return jsonAnswer(n.announcer.Status())
 	case "STATE": // STATE [MEMBER]: what the ingresses share
 		if n.quotaSync == nil {
 			return false, nil
@@ -54,15 +54,15 @@
 
 // handleLeaseCall forwards a call about leases to the leader of the voters, and returns its answer.
 func (n *Node) handleLeaseCall(word string, arguments []string) (bool, []string) {
-	var answer *leaseservice.Told
+	var answer *leaseservice.Status
 	var err error
 	switch {
 	case word == "DUTIES" && len(arguments) == 0:
 		answer, err = n.leases.Status()
 	case word == "GIVE" && len(arguments) == 2:
-		answer, err = n.leases.Give(arguments[0], arguments[1])
+		answer, err = n.leases.Transfer(arguments[0], arguments[1])
 	case word == "VOTERS" && len(arguments) == 2 && (arguments[0] == "add" || arguments[0] == "remove"):
-		answer, err = n.leases.Change(arguments[1], arguments[0] == "add")
+		answer, err = n.leases.ChangeVoters(arguments[1], arguments[0] == "add")
 	default:
 		return false, nil
 	}
--- a/internal/standalone/node/node.go
+++ b/internal/standalone/node/node.go
@@ -48,7 +48,7 @@
 
 	fleet     *gossip.Fleet           // the other ingresses; nil: there is no membership
 	quotaSync *quotasync.Sharing      // shares quotas and verdicts on servers with them; nil: nothing is shared
-	leases    *leaseservice.Steward   // leases of singleton roles; nil: there are no voters
+	leases    *leaseservice.Service   // leases of singleton roles; nil: there are no voters
 	announcer *leaseservice.Announcer // orders catalogue revisions; nil: the catalogue's file alone counts
 
 	peers        *peerProcesses // other processes of this ingress; nil: there can be none
