--- a/cmd/mulleinrouter/norace_test.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build !race
-
-package main
-
-var buildFlags []string
--- a/cmd/mulleinrouter/upgrade_test.go
+++ b/cmd/mulleinrouter/upgrade_test.go
@@ -18,110 +18,156 @@
 	"mulleinrouter/internal/emulator/fakes"
 )
 
-// upgrades is how often TestUpgrade starts a newer process beside the running one. MULLEIN_UPGRADES asks for more.
-const upgrades = 3
+const (
+	defaultUpgrades = 3 // processes that TestUpgrade starts beside the running one; MULLEIN_UPGRADES asks for more
+	upgradeClients  = 8
+	closeEvery      = 7 // responses after which a client opens a new connection
+)
+
+// upgradeLoad is the load of TestUpgrade.
+type upgradeLoad struct {
+	t      *testing.T
+	addr   string
+	served atomic.Int64
+	lastID atomic.Int64
+	stop   atomic.Bool
+}
+
+// upgradeClient sends requests one after another, over a connection that it keeps for a while.
+type upgradeClient struct {
+	load *upgradeLoad
+	conn net.Conn // nil: none is open
+	r    *bufio.Reader
+}
+
+// run sends requests until the load stops, or one fails.
+func (u *upgradeClient) run() {
+	defer u.close()
+	for !u.load.stop.Load() {
+		if !u.send(u.load.lastID.Add(1)) {
+			return
+		}
+	}
+}
+
+// send sends one request; false: it failed. Where the server's close of an idle connection crosses a request, the
+// request is sent once more over a new connection: it was not read.
+func (u *upgradeClient) send(id int64) bool {
+	head := fmt.Sprintf("POST /api/0000000000000001 HTTP/1.1\r\nX-Request-ID: u%d\r\n"+
+		"X-Priority-Class: summary-send\r\nX-Tier: plus\r\nX-Timeout: 30\r\n"+
+		"X-Call-Terms: units=1,spread=1,first=0\r\nContent-Length: 0\r\n\r\n", id)
+	reused := u.conn != nil
+	for {
+		if !reused {
+			if err := u.dial(); err != nil {
+				u.load.t.Errorf("connect: %v", err)
+				return false
+			}
+		}
+		u.conn.SetDeadline(time.Now().Add(20 * time.Second)) // only a failure waits this long
+		io.WriteString(u.conn, head)
+		response, err := http.ReadResponse(u.r, nil)
+		if err != nil && reused {
+			u.conn.Close()
+			reused = false
+			continue
+		}
+		if err != nil || response.StatusCode != http.StatusOK {
+			u.load.t.Errorf("after %d served: response %v, error %v; want status 200", u.load.served.Load(), response, err)
+			return false
+		}
+		response.Body.Close()
+		if served := u.load.served.Add(1); response.Close || served%closeEvery == 0 {
+			u.close()
+		}
+		return true
+	}
+}
 
-// Under steady load, newer processes take over one after another: no answer is lost, none is doubled, no request runs
-// twice, and what was learned goes over.
+func (u *upgradeClient) dial() (err error) {
+	if u.conn, err = net.Dial("tcp4", u.load.addr); err != nil {
+		u.conn = nil
+		return err
+	}
+	u.r = bufio.NewReader(u.conn)
+	return nil
+}
+
+func (u *upgradeClient) close() {
+	if u.conn != nil {
+		u.conn.Close()
+		u.conn = nil
+	}
+}
+
+// freeAddress is an address that nobody listens at.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	return l.Addr().String()
+}
+
+// Under steady load, newer processes take over one after another: no response is lost or doubled, no request runs
+// twice, and what the older process knows is handed over.
 func TestUpgrade(t *testing.T) {
 	t.Parallel()
-	times := upgrades
-	fmt.Sscan(os.Getenv("MULLEIN_UPGRADES"), &times)
+	upgrades := defaultUpgrades
+	fmt.Sscan(os.Getenv("MULLEIN_UPGRADES"), &upgrades)
 	quotes := &fakes.Quotes{Cores: 8}
 	if err := quotes.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(quotes.Stop)
-	free, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	listen := free.Addr().String()
-	free.Close()
+	load := &upgradeLoad{t: t, addr: freeAddress(t)}
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
-	text := fmt.Sprintf(configuration, "127.0.0.1:1", "127.0.0.1:1", quotes.Addr())
-	text = strings.NewReplacer(`"listen":"127.0.0.1:0"`, fmt.Sprintf("%q:%q", "listen", listen), `"MayCount":true`, `"MayCount":false`,
-		`"Balancers":3`, `"Balancers":1`).Replace(text)
+	text := strings.NewReplacer(
+		`"listen":"127.0.0.1:0"`, fmt.Sprintf("%q:%q", "listen", load.addr),
+		`"MayCount":true`, `"MayCount":false`,
+		`"Balancers":3`, `"Balancers":1`,
+	).Replace(fmt.Sprintf(configuration, "127.0.0.1:1", "127.0.0.1:1", quotes.Addr()))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	begin := func() *running {
-		r := launch(t, "NODE_CONFIG="+path, "TMPDIR="+dir)
-		if line := r.until("code=process-started"); !strings.Contains(line, listen) {
-			t.Fatal(line)
+	start := func() *process {
+		p := startProcess(t, "NODE_CONFIG="+path, "TMPDIR="+dir)
+		if line := p.awaitLine("code=process-started"); !strings.Contains(line, load.addr) {
+			t.Fatalf("line %q, want the address %s in it", line, load.addr)
 		}
-		return r
+		return p
 	}
-	old := begin()
-	var served, id atomic.Int64
-	var stop atomic.Bool
+	older := start()
 	var clients sync.WaitGroup
-	for range 8 {
-		clients.Add(1)
-		go func() {
-			defer clients.Done()
-			var c net.Conn
-			var r *bufio.Reader
-			for !stop.Load() {
-				head := fmt.Sprintf("POST /api/0000000000000001 HTTP/1.1\r\nX-Request-ID: u%d\r\nX-Priority-Class: summary-send\r\nX-Tier: plus\r\n"+
-					"X-Timeout: 30\r\nX-Call-Terms: units=1,spread=1,first=0\r\nContent-Length: 0\r\n\r\n", id.Add(1))
-				for kept := c != nil; ; kept = false {
-					if !kept {
-						var err error
-						if c, err = net.Dial("tcp4", listen); err != nil {
-							t.Errorf("at the door: %v", err)
-							return
-						}
-						r = bufio.NewReader(c)
-					}
-					c.SetDeadline(time.Now().Add(20 * time.Second)) // only a failure waits this long
-					io.WriteString(c, head)
-					a, err := http.ReadResponse(r, nil)
-					if err != nil && kept {
-						c.Close() // the close of an idle connection crossed it: it is sent once more, unread as it was
-						continue
-					}
-					if err != nil || a.StatusCode != 200 {
-						t.Errorf("after %d served: %v, %v", served.Load(), a, err)
-						return
-					}
-					a.Body.Close()
-					if served.Add(1); a.Close || served.Load()%7 == 0 {
-						c.Close()
-						c = nil
-					}
-					break
-				}
-			}
-			if c != nil {
-				c.Close()
-			}
-		}()
+	for range upgradeClients {
+		clients.Go((&upgradeClient{load: load}).run)
 	}
-	for range times {
-		for begun := served.Load(); served.Load() < begun+50 && !t.Failed(); time.Sleep(time.Millisecond) {
+	for range upgrades {
+		for begun := load.served.Load(); load.served.Load() < begun+50 && !t.Failed(); time.Sleep(time.Millisecond) {
 		}
-		young := begin()
-		if line := young.until("code=process-learned"); !strings.Contains(line, "customers=1") {
-			t.Error(line)
+		newer := start()
+		if line := newer.awaitLine("code=process-learned"); !strings.Contains(line, "customers=1") {
+			t.Errorf("line %q, want customers=1 in it", line)
 		}
-		old.cmd.Process.Signal(syscall.SIGTERM)
-		if code := old.exit(); code != 0 {
-			t.Errorf("the older process exited with %d", code)
+		older.cmd.Process.Signal(syscall.SIGTERM)
+		if code := older.exitCode(); code != 0 {
+			t.Errorf("exit code of the older process %d, want 0", code)
 		}
-		old = young
+		older = newer
 	}
-	stop.Store(true)
+	load.stop.Store(true)
 	clients.Wait()
 	arrived := quotes.Arrived()
 	for id, a := range arrived {
 		if a.Times != 1 {
-			t.Errorf("%s arrived %d times", id, a.Times)
+			t.Errorf("%s arrived %d times, want once", id, a.Times)
 		}
 	}
-	if int64(len(arrived)) != served.Load() {
-		t.Errorf("%d answers to %d requests", served.Load(), len(arrived))
+	if served := load.served.Load(); int64(len(arrived)) != served {
+		t.Errorf("%d responses to %d requests", served, len(arrived))
 	}
-	t.Logf("%d upgrades under load, %d requests served", times, served.Load())
+	t.Logf("%d upgrades under load, %d requests served", upgrades, load.served.Load())
 }
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -89,8 +89,8 @@
 // exceptions are the imports that cross a layer all the same, with the reason.
 var exceptions = map[string]string{
 	"internal/emulator/faulttest imports deploy/faulttests":         "the timelines that ship",
-	"internal/standalone/cli imports internal/emulator/modelcheck":  "mulleinrouter audit states",
-	"internal/standalone/cli imports internal/emulator/faulttest":   "mulleinrouter rehearse",
+	"internal/standalone/cli imports internal/emulator/modelcheck":  "mulleinrouter model-check states",
+	"internal/standalone/cli imports internal/emulator/faulttest":   "mulleinrouter fault-test",
 	"internal/standalone/cli imports internal/emulator/testcluster": "mulleinrouter try",
 }
 
