--- a/internal/dataplane/engine/engine_test.go
+++ b/internal/dataplane/engine/engine_test.go
@@ -179,7 +179,7 @@
 		revision := func(n uint64, holds decision.Seconds, plan string) plans.Revision {
 			return plans.Revision{
 				Number:    n,
-				Holds:     holds,
+				EffectiveAt:     holds,
 				Authority: plans.AuthorityCatalogue,
 				Plans:     []decision.Plan{small, large},
 				Members:   map[string]string{member: plan},
--- a/internal/emulator/faulttest/world.go
+++ b/internal/emulator/faulttest/world.go
@@ -296,7 +296,7 @@
 	i := slices.Index(w.nodes, n)
 	r := plans.Revision{Number: number, Authority: plans.AuthorityHeader, Plans: []decision.Plan{{Name: "basic", Rate: 1000 + float64(i), Burst: 1000, ValueWeight: 1}}}
 	if number > 1 {
-		r.Holds = float64(time.Now().Add(time.Second).UnixMilli()) / 1000
+		r.EffectiveAt = float64(time.Now().Add(time.Second).UnixMilli()) / 1000
 	}
 	return catalogue.Save(n.plans(), []plans.Revision{r})
 }
--- a/internal/emulator/testcluster/rig.go
+++ b/internal/emulator/testcluster/rig.go
@@ -271,7 +271,7 @@
 	last := r.revisions[len(r.revisions)-1]
 	next := last
 	next.Number++
-	next.Holds = math.Round((float64(time.Now().UnixMilli())/1000+announced)*1000) / 1000
+	next.EffectiveAt = math.Round((float64(time.Now().UnixMilli())/1000+announced)*1000) / 1000
 	next.Members = map[string]string{}
 	for m, p := range last.Members {
 		next.Members[m] = p
@@ -311,7 +311,7 @@
 	n := 0
 	err := r.revise(func(next *plans.Revision) {
 		for i := 2; i < r.Members; i += 20 { // on basic, and stays
-			from := next.Holds + 0.05*r.Seconds
+			from := next.EffectiveAt + 0.05*r.Seconds
 			to := from + 0.2*r.Seconds
 			next.Bookings = append(next.Bookings, plans.Booking{ID: fmt.Sprint("results-", i), Member: member(i), From: from, To: to,
 				Units: math.Floor(basic.Rate * (to - from))})
--- a/internal/standalone/catalogue/catalogue.go
+++ b/internal/standalone/catalogue/catalogue.go
@@ -56,13 +56,13 @@
 		if next.Number <= last.Number {
 			return nil, fmt.Errorf("revision %d: %w: %d", next.Number, ErrStale, last.Number)
 		}
-		if next.Holds > 0 && next.Holds < last.Holds {
+		if next.EffectiveAt > 0 && next.EffectiveAt < last.EffectiveAt {
 			return nil, fmt.Errorf("revision %d: %w", next.Number, ErrEarlierStart)
 		}
 	}
 	inForce := 0
 	for i := range revisions {
-		if revisions[i].Holds <= now {
+		if revisions[i].EffectiveAt <= now {
 			inForce = i
 		}
 	}
--- a/internal/standalone/catalogue/catalogue_test.go
+++ b/internal/standalone/catalogue/catalogue_test.go
@@ -48,8 +48,8 @@
 		t.Fatal(err)
 	}
 	r := all[0]
-	if r.Number != 7 || r.Holds != 1796119200 || r.Authority != plans.AuthorityCatalogue {
-		t.Errorf("number %d, holds %v, authority %v; want 7, 1796119200, catalogue", r.Number, r.Holds, r.Authority)
+	if r.Number != 7 || r.EffectiveAt != 1796119200 || r.Authority != plans.AuthorityCatalogue {
+		t.Errorf("number %d, holds %v, authority %v; want 7, 1796119200, catalogue", r.Number, r.EffectiveAt, r.Authority)
 	}
 	if len(r.Plans) != 2 || r.Members["00000000000000cc"] != "plus" {
 		t.Errorf("plans %+v, members %v; want two plans, and plus for 00000000000000cc", r.Plans, r.Members)
@@ -111,7 +111,7 @@
 }
 
 func TestApply(t *testing.T) {
-	r := func(n uint64, holds float64) plans.Revision { return plans.Revision{Number: n, Holds: holds} }
+	r := func(n uint64, holds float64) plans.Revision { return plans.Revision{Number: n, EffectiveAt: holds} }
 	numbers := func(all []plans.Revision) (n []uint64) {
 		for _, r := range all {
 			n = append(n, r.Number)
--- a/internal/standalone/catalogue/format.go
+++ b/internal/standalone/catalogue/format.go
@@ -74,7 +74,7 @@
 		return nil, file.ErrorAt(r.path(), "the number of a revision is a whole number from 1 on, in quotes")
 	}
 	revision := &plans.Revision{Number: number, BookableRate: r.Bookable, Members: map[string]string{}}
-	if revision.Holds, err = file.Time(r.path()+".holds", r.Holds); err != nil {
+	if revision.EffectiveAt, err = file.Time(r.path()+".holds", r.Holds); err != nil {
 		return nil, err
 	}
 	if revision.Authority, err = r.authority(file); err != nil {
@@ -161,7 +161,7 @@
 func newRevisionForm(r plans.Revision) revisionForm {
 	form := revisionForm{
 		Number:    strconv.FormatUint(r.Number, 10),
-		Holds:     rfc3339(r.Holds),
+		Holds:     rfc3339(r.EffectiveAt),
 		Authority: r.Authority.String(),
 		Bookable:  r.BookableRate,
 		Members:   map[string][]string{},
--- a/internal/standalone/cli/bookings.go
+++ b/internal/standalone/cli/bookings.go
@@ -62,7 +62,7 @@
 // of their own.
 func successor(r plans.Revision) plans.Revision {
 	r.Number++
-	r.Holds = max(unixNow(), r.Holds)
+	r.EffectiveAt = max(unixNow(), r.EffectiveAt)
 	r.Members = maps.Clone(r.Members)
 	isOver := func(b plans.Booking) bool { return b.To < unixNow()-keepBookingSeconds }
 	r.Bookings = slices.DeleteFunc(slices.Clone(r.Bookings), isOver)
--- a/internal/standalone/cli/plans.go
+++ b/internal/standalone/cli/plans.go
@@ -63,7 +63,7 @@
 	}
 	now, inForce := unixNow(), -1
 	for i, r := range revisions {
-		if r.Holds <= now {
+		if r.EffectiveAt <= now {
 			inForce = i
 		}
 	}
@@ -83,7 +83,7 @@
 
 func showRevision(w io.Writer, r plans.Revision, state string) {
 	fmt.Fprintf(w, "\nrevision %d, %s, holds from: %s; plans are named by: %s; bookable: %g units a second; digest %s\n",
-		r.Number, state, formatTime(r.Holds), r.Authority, r.BookableRate, r.Digest())
+		r.Number, state, formatTime(r.EffectiveAt), r.Authority, r.BookableRate, r.Digest())
 	members := map[string]int{}
 	for _, plan := range r.Members {
 		members[plan]++
@@ -175,8 +175,8 @@
 			return err
 		}
 	}
-	if next.Holds == 0 || pa.Holds != "" {
-		if next.Holds, err = pa.time(); err != nil {
+	if next.EffectiveAt == 0 || pa.Holds != "" {
+		if next.EffectiveAt, err = pa.time(); err != nil {
 			return err
 		}
 	}
@@ -192,13 +192,14 @@
 	if err != nil {
 		return err
 	}
+	from := formatTime(next.EffectiveAt)
 	if !confirmed {
-		fmt.Fprintf(w, "revision %d would hold from %s; with --yes it is written\n", next.Number, formatTime(next.Holds))
+		fmt.Fprintf(w, "revision %d would hold from %s; with --yes it is written\n", next.Number, from)
 		return nil
 	}
 	if err := catalogue.Save(path, revisions); err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "revision %d holds from %s\n", next.Number, formatTime(next.Holds))
+	fmt.Fprintf(w, "revision %d holds from %s\n", next.Number, from)
 	return nil
 }
--- a/internal/standalone/config/hcl.go
+++ b/internal/standalone/config/hcl.go
@@ -93,8 +93,8 @@
 }
 
 type catalogueBlock struct {
-	File     string `hcl:"file"`
-	Announce bool   `hcl:"announce,optional"`
+	File        string `hcl:"file"`
+	RevisionLog bool   `hcl:"announce,optional"`
 }
 
 type usageBlock struct {
--- a/internal/standalone/config/hclpolicy.go
+++ b/internal/standalone/config/hclpolicy.go
@@ -153,8 +153,8 @@
 // folder of the file.
 func (h *hclForm) readCatalogueAndUsage(file *hclfile.File, c *Config) error {
 	if b := h.Catalogue; b != nil {
-		c.Catalogue, c.AnnounceRevisions = file.ResolvePath(b.File), b.Announce
-		if b.Announce && (c.Membership == nil || len(c.Membership.Voters) == 0 || c.State == "") {
+		c.Catalogue, c.UseRevisionLog = file.ResolvePath(b.File), b.RevisionLog
+		if b.RevisionLog && (c.Membership == nil || len(c.Membership.Voters) == 0 || c.State == "") {
 			return file.ErrorAt("catalogue.announce", "needs voters in the fleet's membership, and a state folder")
 		}
 	}
--- a/internal/standalone/fleet/leaseservice/announcer.go
+++ b/internal/standalone/fleet/leaseservice/announcer.go
@@ -19,26 +19,26 @@
 const RoleCatalogue = "catalogue"
 
 const (
-	topicAnnounce gossip.Topic = 9
-	announceInterval               = 250 * time.Millisecond
+	topicAnnounce    gossip.Topic = 9
+	announceInterval              = 250 * time.Millisecond
 )
 
 // Announcing says what an announcer does with revisions. Its functions are called from one goroutine.
 type AnnouncerOptions struct {
-	Check  func(text []byte) (number uint64, digest string, err error) // reads a revision that another ingress sent
-	Apply   func(text []byte)                                           // has one hold, in place of any other of its number
+	Check     func(text []byte) (number uint64, digest string, err error) // reads a revision that another ingress sent
+	Apply     func(text []byte)                                           // has one hold, in place of any other of its number
 	LivePeers func() []string
-	Read   func(*revisionlog.Record) error // fs.ErrNotExist: none was kept
-	Write  func(revisionlog.Record) error  // returns once it is on disk
+	Read      func(*revisionlog.Record) error // fs.ErrNotExist: none was kept
+	Write     func(revisionlog.Record) error  // returns once it is on disk
 }
 
 // Announcer takes and, while this ingress holds the duty, announces revisions.
 type Announcer struct {
 	AnnouncerOptions
-	service  *Service
-	inbox chan func(now singleton.Seconds) []revisionlog.Action
+	service *Service
+	inbox   chan func(now singleton.Seconds) []revisionlog.Action
 
-	mu   sync.Mutex // guards the book
+	mu  sync.Mutex // guards the book
 	log *revisionlog.Log
 
 	storeFailed bool // the last record could not be written
@@ -71,7 +71,9 @@
 
 // Offer tells of a revision in this ingress's own file.
 func (a *Announcer) Submit(e revisionlog.Entry) {
-	a.enqueue(func(now singleton.Seconds) []revisionlog.Action { return a.step(now, revisionlog.LocalRevision{Entry: e}) })
+	a.enqueue(func(now singleton.Seconds) []revisionlog.Action {
+		return a.step(now, revisionlog.LocalRevision{Entry: e})
+	})
 }
 
 // post has something happen in the announcer's goroutine. What comes faster than it is done is lost, as on the network.
@@ -86,7 +88,9 @@
 func (a *Announcer) announceRole(ctx context.Context, token func() (uint64, bool)) error {
 	held, ok := token()
 	if ok {
-		a.inbox <- func(now singleton.Seconds) []revisionlog.Action { return a.step(now, revisionlog.LeaseGained{Token: held}) }
+		a.inbox <- func(now singleton.Seconds) []revisionlog.Action {
+			return a.step(now, revisionlog.LeaseGained{Token: held})
+		}
 	}
 	<-ctx.Done()
 	a.inbox <- func(now singleton.Seconds) []revisionlog.Action { return a.step(now, revisionlog.LeaseLost{}) }
@@ -161,10 +165,10 @@
 
 // Announced is what an ingress tells of the catalogue.
 type AnnouncerStatus struct {
-	LastToken   uint64              `json:"taken"` // the newest token that it was told anything under
-	Holder  string              `json:"holder"`
-	Rejected int                 `json:"refused"`
-	Entries []revisionlog.Entry `json:"entries"` // without texts
+	LastToken uint64              `json:"taken"` // the newest token that it was told anything under
+	Holder    string              `json:"holder"`
+	Rejected  int                 `json:"refused"`
+	Entries   []revisionlog.Entry `json:"entries"` // without texts
 }
 
 // Report tells.
--- a/internal/standalone/fleet/leaseservice/calls.go
+++ b/internal/standalone/fleet/leaseservice/calls.go
@@ -18,26 +18,26 @@
 // call is an operator's, to whoever leads.
 type call struct {
 	Command string `cbor:"1,keyasint"` // status, give, add, remove
-	Role string `cbor:"2,keyasint,omitempty"`
-	Name string `cbor:"3,keyasint,omitempty"`
+	Role    string `cbor:"2,keyasint,omitempty"`
+	Name    string `cbor:"3,keyasint,omitempty"`
 }
 
 // Told is what the leader answers.
 type Status struct {
-	Error  string         `cbor:"1,keyasint,omitempty" json:"error,omitempty"`
-	Leader string         `cbor:"2,keyasint,omitempty" json:"leader,omitempty"`
-	Term   uint64         `cbor:"3,keyasint,omitempty" json:"term,omitempty"`
-	Voters []string       `cbor:"4,keyasint,omitempty" json:"voters,omitempty"`
-	Roles []RoleStatus   `cbor:"5,keyasint,omitempty" json:"duties,omitempty"`
-	History   []Tenure `cbor:"6,keyasint,omitempty" json:"history,omitempty"`
+	Error   string       `cbor:"1,keyasint,omitempty" json:"error,omitempty"`
+	Leader  string       `cbor:"2,keyasint,omitempty" json:"leader,omitempty"`
+	Term    uint64       `cbor:"3,keyasint,omitempty" json:"term,omitempty"`
+	Voters  []string     `cbor:"4,keyasint,omitempty" json:"voters,omitempty"`
+	Roles   []RoleStatus `cbor:"5,keyasint,omitempty" json:"duties,omitempty"`
+	History []Tenure     `cbor:"6,keyasint,omitempty" json:"history,omitempty"`
 }
 
 // DutyReport is one duty.
 type RoleStatus struct {
-	Role   string   `cbor:"1,keyasint" json:"duty"`
-	Holder string   `cbor:"2,keyasint" json:"holder"`
-	Token  uint64   `cbor:"3,keyasint" json:"token"`
-	Candidates   []string `cbor:"4,keyasint,omitempty" json:"line,omitempty"`
+	Role       string   `cbor:"1,keyasint" json:"duty"`
+	Holder     string   `cbor:"2,keyasint" json:"holder"`
+	Token      uint64   `cbor:"3,keyasint" json:"token"`
+	Candidates []string `cbor:"4,keyasint,omitempty" json:"line,omitempty"`
 }
 
 // HolderReport is one holder's time.
@@ -45,7 +45,7 @@
 	Role   string `cbor:"1,keyasint" json:"duty"`
 	Token  uint64 `cbor:"2,keyasint" json:"token"`
 	Holder string `cbor:"3,keyasint" json:"holder"`
-	Boot  uint64 `cbor:"4,keyasint" json:"start"`
+	Boot   uint64 `cbor:"4,keyasint" json:"start"`
 }
 
 // call answers an operator, where this voter leads: the others are silent. The mutex is held.
@@ -133,9 +133,9 @@
 }
 
 const (
-	maxBatchBytes  = 2 << 20 // bytes of a packed batch
+	maxBatchBytes    = 2 << 20 // bytes of a packed batch
 	maxResponseBytes = 64 << 10
-	exportTimeout   = 10 * time.Second
+	exportTimeout    = 10 * time.Second
 )
 
 var errNoLeaseHolder = errors.New("nobody is known to hold the export of use")
--- a/internal/standalone/fleet/leaseservice/steward.go
+++ b/internal/standalone/fleet/leaseservice/steward.go
@@ -24,21 +24,21 @@
 
 // Topics of messages between ingresses.
 const (
-	topicVote   gossip.Topic = 1 // among voters
-	topicAcquireRequest    gossip.Topic = 2 // duty.Ask
+	topicVote            gossip.Topic = 1 // among voters
+	topicAcquireRequest  gossip.Topic = 2 // duty.Ask
 	topicAcquireResponse gossip.Topic = 3 // duty.Answer
-	topicWake  gossip.Topic = 4
-	topicCall   gossip.Topic = 5 // operators' calls, to whoever leads
-	topicCallResponse   gossip.Topic = 6 // the answer
-	topicExport   gossip.Topic = 7 // a batch of use, to the holder of its export
-	topicExportResponse gossip.Topic = 8
+	topicWake            gossip.Topic = 4
+	topicCall            gossip.Topic = 5 // operators' calls, to whoever leads
+	topicCallResponse    gossip.Topic = 6 // the answer
+	topicExport          gossip.Topic = 7 // a batch of use, to the holder of its export
+	topicExportResponse  gossip.Topic = 8
 )
 
 const (
-	tickInterval      = 100 * time.Millisecond
+	tickInterval   = 100 * time.Millisecond
 	stallThreshold = time.Second
-	inboxSize = 1024 // messages that wait; more are lost, as on the network
-	callTimeout  = 800 * time.Millisecond
+	inboxSize      = 1024 // messages that wait; more are lost, as on the network
+	callTimeout    = 800 * time.Millisecond
 )
 
 // Fleet is what a steward needs of membership.
@@ -56,36 +56,36 @@
 	Dir    string   // where this ingress keeps its votes, if it is a voter
 	Log    *logrus.Logger
 
-	ClockRate float64                         // seconds of its clock a second: a rehearsal has it run fast or slow; 0: 1
-	WrapStore func(quorum.Store) quorum.Store // a rehearsal has it fail; nil: as it is
-	StoreRecord  func(Record) error              // replaces the record on disk, and returns once it is there
+	ClockRate   float64                         // seconds of its clock a second: a rehearsal has it run fast or slow; 0: 1
+	WrapStore   func(quorum.Store) quorum.Store // a rehearsal has it fail; nil: as it is
+	StoreRecord func(Record) error              // replaces the record on disk, and returns once it is there
 }
 
 // Steward is the one of an ingress.
 type Service struct {
-	options      Options
-	startedAt   time.Time
-	inbox     chan incoming
-	cancel context.CancelFunc
-	goroutines   sync.WaitGroup
+	options    Options
+	startedAt  time.Time
+	inbox      chan incoming
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 
-	mu      sync.Mutex // guards what follows
-	leaseHolder  *singleton.LeaseHolder
-	voter    *quorum.Voter // nil: no voter
-	store   *boltstore.Store
-	roles   map[string]*role
-	roleStatus   map[string]singleton.RoleStatus // the last answer
-	lastTick  time.Duration
-	identity    singleton.Identity
-	voterState   string
+	mu              sync.Mutex // guards what follows
+	leaseHolder     *singleton.LeaseHolder
+	voter           *quorum.Voter // nil: no voter
+	store           *boltstore.Store
+	roles           map[string]*role
+	roleStatus      map[string]singleton.RoleStatus // the last answer
+	lastTick        time.Duration
+	identity        singleton.Identity
+	voterState      string
 	billingEndpoint string
 
-	unreachableSince   time.Time  // since when billing is not reached; zero: it was, last
-	unreachable chan error // it was not for too long
+	unreachableSince time.Time  // since when billing is not reached; zero: it was, last
+	unreachable      chan error // it was not for too long
 
-	drained  bool          // operators have it do nothing
-	recordFailed bool          // its record cannot be written
-	recordCheckedAt   time.Duration // when it was last written, or found to be
+	drained         bool          // operators have it do nothing
+	recordFailed    bool          // its record cannot be written
+	recordCheckedAt time.Duration // when it was last written, or found to be
 
 	pendingCalls sync.Map // of calls and posts, by number
 }
--- a/internal/standalone/fleet/leaseservice/work.go
+++ b/internal/standalone/fleet/leaseservice/work.go
@@ -35,10 +35,10 @@
 }
 
 type role struct {
-	run     Work
-	preferredZone   string
-	cancel context.CancelFunc // nil: it does not run
-	ended  chan struct{}
+	run           Work
+	preferredZone string
+	cancel        context.CancelFunc // nil: it does not run
+	ended         chan struct{}
 }
 
 // take goes by a message.
--- a/internal/standalone/fleet/revisionlog/announce.go
+++ b/internal/standalone/fleet/revisionlog/announce.go
@@ -17,16 +17,16 @@
 
 // The times, in seconds, and the bounds.
 const (
-	gatherTimeout = 1.5 // a new holder announces nothing of its own before, unless all that live have answered
+	gatherTimeout  = 1.5 // a new holder announces nothing of its own before, unless all that live have answered
 	resendInterval = 1.0 // what is not confirmed is said again
 	queryInterval  = 5.0 // a member is asked what it has
 
 	// MostEntries are remembered: older ones, by number, are past.
 	MaxEntries = 16
 	// MostText is the longest revision, in bytes.
-	MaxTextBytes    = 1 << 20
-	maxMembers = 1024
-	maxNameLength    = 64
+	MaxTextBytes  = 1 << 20
+	maxMembers    = 1024
+	maxNameLength = 64
 )
 
 // Entry is a revision as it was announced.
@@ -39,8 +39,8 @@
 
 // Record is what an ingress keeps.
 type Record struct {
-	LastToken   uint64  `json:"Taken"` // the newest token that it was told anything under
-	Entries []Entry `json:"Entries"`
+	LastToken uint64  `json:"Taken"` // the newest token that it was told anything under
+	Entries   []Entry `json:"Entries"`
 }
 
 // Kind is what a message is.
@@ -48,20 +48,20 @@
 
 // The kinds.
 const (
-	Query    MessageKind = 1 // of the holder: what have you?
+	Query       MessageKind = 1 // of the holder: what have you?
 	Inventory   MessageKind = 2 // the answer: entries without text, as far as they are on disk
-	Announce   MessageKind = 3 // of the holder: these hold
-	Submit   MessageKind = 4 // to the holder: my own file has these
-	Reject MessageKind = 5 // of the holder: your file's revision has a number that stands for another
-	Fetch   MessageKind = 6 // of the holder: send me the text of these
-	FetchResult   MessageKind = 7 // the answer
+	Announce    MessageKind = 3 // of the holder: these hold
+	Submit      MessageKind = 4 // to the holder: my own file has these
+	Reject      MessageKind = 5 // of the holder: your file's revision has a number that stands for another
+	Fetch       MessageKind = 6 // of the holder: send me the text of these
+	FetchResult MessageKind = 7 // the answer
 )
 
 // Message is what ingresses say to each other.
 type Message struct {
-	Kind    MessageKind    `cbor:"1,keyasint"`
-	Token   uint64  `cbor:"2,keyasint,omitempty"` // of the holder; of Have: the newest that was taken
-	Entries []Entry `cbor:"3,keyasint,omitempty"`
+	Kind    MessageKind `cbor:"1,keyasint"`
+	Token   uint64      `cbor:"2,keyasint,omitempty"` // of the holder; of Have: the newest that was taken
+	Entries []Entry     `cbor:"3,keyasint,omitempty"`
 }
 
 // Event is what happens.
@@ -83,17 +83,17 @@
 	RecordStored struct{ Record Record }
 	// Tick lets time pass.
 	Tick struct {
-		LivePeers []string // the others, by name
+		LivePeers   []string // the others, by name
 		LeaseHolder string   // of the duty, as last heard; empty: nobody is known
 	}
 )
 
-func (LocalRevision) event() {}
-func (LeaseGained) event()  {}
-func (LeaseLost) event()    {}
-func (MessageReceived) event()   {}
+func (LocalRevision) event()   {}
+func (LeaseGained) event()     {}
+func (LeaseLost) event()       {}
+func (MessageReceived) event() {}
 func (RecordStored) event()    {}
-func (Tick) event()    {}
+func (Tick) event()            {}
 
 // Action is what is to be done.
 type Action interface{ action() }
@@ -113,36 +113,36 @@
 	ReportConflict struct{ Entry Entry }
 )
 
-func (Send) action()   {}
-func (Apply) action()   {}
-func (StoreRecord) action()   {}
+func (Send) action()           {}
+func (Apply) action()          {}
+func (StoreRecord) action()    {}
 func (ReportConflict) action() {}
 
 // member is what a holder knows of another.
 type peer struct {
-	entries    map[uint64]Entry // without text; nil: it has not said
-	nextQueryAt  Seconds
+	entries     map[uint64]Entry // without text; nil: it has not said
+	nextQueryAt Seconds
 	announcedAt map[uint64]Seconds
 }
 
 // Book is what one ingress knows. It is not safe for use by several goroutines.
 type Log struct {
-	entries       map[uint64]Entry
-	lastToken     uint64
-	stored      map[uint64]Entry // of these, those on disk; without text
-	storedToken uint64
-	nextStoreAt    Seconds
-	local       map[uint64]Entry // of the own file, not announced yet
+	entries      map[uint64]Entry
+	lastToken    uint64
+	stored       map[uint64]Entry // of these, those on disk; without text
+	storedToken  uint64
+	nextStoreAt  Seconds
+	local        map[uint64]Entry // of the own file, not announced yet
 	conflicts    map[uint64]string
-	nextSubmitAt    Seconds
+	nextSubmitAt Seconds
 	announcer    string // who last told anything as the holder
-	rejected   int    // messages under an older token, or that cannot be
+	rejected     int    // messages under an older token, or that cannot be
 
-	token   uint64 // held; 0: not
-	gainedAt   Seconds
+	token     uint64 // held; 0: not
+	gainedAt  Seconds
 	gathered  bool // it has gathered
-	peers map[string]*peer
-	livePeers  []string
+	peers     map[string]*peer
+	livePeers []string
 }
 
 // New returns what a process knows that begins, with what was kept.
@@ -299,7 +299,9 @@
 	}
 }
 
-func (b *Log) storeRecord() Action { return StoreRecord{Record{LastToken: b.lastToken, Entries: sortedByNumber(b.entries)}} }
+func (b *Log) storeRecord() Action {
+	return StoreRecord{Record{LastToken: b.lastToken, Entries: sortedByNumber(b.entries)}}
+}
 
 // isKept tells whether all is on disk.
 func (b *Log) isStored() bool {
--- a/internal/standalone/node/bench_test.go
+++ b/internal/standalone/node/bench_test.go
@@ -206,39 +206,45 @@
 	}
 }
 
+// runClients runs a function for each of some connections, and waits until all have ended.
+func runClients(b *testing.B, addr string, count int, run func(k int, c *client)) {
+	b.Helper()
+	var clients sync.WaitGroup
+	for k := range count {
+		clients.Go(func() {
+			c, err := newClient(addr)
+			if err != nil {
+				b.Error(err)
+				return
+			}
+			defer c.Close()
+			run(k, c)
+		})
+	}
+	clients.Wait()
+}
+
 // load sends b.N requests over some connections.
 func load(b *testing.B, addr, terms string) {
 	const conns = 128
 	var next, rejected atomic.Int64
-	var wg sync.WaitGroup
 	var before, after syscall.Rusage
 	b.ReportAllocs()
 	b.ResetTimer()
 	syscall.Getrusage(syscall.RUSAGE_SELF, &before)
-	for range conns {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			c, err := newClient(addr)
+	runClients(b, addr, conns, func(_ int, c *client) {
+		c.terms = terms
+		for n := next.Add(1); n <= int64(b.N); n = next.Add(1) {
+			served, err := c.send(n)
 			if err != nil {
 				b.Error(err)
 				return
 			}
-			defer c.Close()
-			c.terms = terms
-			for n := next.Add(1); n <= int64(b.N); n = next.Add(1) {
-				served, err := c.send(n)
-				if err != nil {
-					b.Error(err)
-					return
-				}
-				if !served {
-					rejected.Add(1)
-				}
+			if !served {
+				rejected.Add(1)
 			}
-		}()
-	}
-	wg.Wait()
+		}
+	})
 	syscall.Getrusage(syscall.RUSAGE_SELF, &after)
 	b.StopTimer()
 	if n := rejected.Load(); n > int64(b.N/100)+conns {
@@ -262,32 +268,20 @@
 			addr := bc.start(b, backend(b))
 			const conns = 4
 			took := make([][]time.Duration, conns)
-			var wg sync.WaitGroup
 			b.ResetTimer()
-			for k := range conns {
-				wg.Add(1)
-				go func() {
-					defer wg.Done()
-					c, err := newClient(addr)
-					if err != nil {
+			runClients(b, addr, conns, func(k int, c *client) {
+				ticker := time.NewTicker(conns * time.Second / 140)
+				defer ticker.Stop()
+				for n := k; n < b.N; n += conns {
+					<-ticker.C
+					began := time.Now()
+					if _, err := c.send(int64(n)); err != nil {
 						b.Error(err)
 						return
 					}
-					defer c.Close()
-					ticker := time.NewTicker(conns * time.Second / 140)
-					defer ticker.Stop()
-					for n := k; n < b.N; n += conns {
-						<-ticker.C
-						began := time.Now()
-						if _, err := c.send(int64(n)); err != nil {
-							b.Error(err)
-							return
-						}
-						took[k] = append(took[k], time.Since(began))
-					}
-				}()
-			}
-			wg.Wait()
+					took[k] = append(took[k], time.Since(began))
+				}
+			})
 			b.StopTimer()
 			all := slices.Concat(took...)
 			slices.Sort(all)
--- a/internal/standalone/node/catalogue.go
+++ b/internal/standalone/node/catalogue.go
@@ -21,7 +21,7 @@
 		return err
 	}
 	onChange := n.applyRevisions
-	if n.config.AnnounceRevisions {
+	if n.config.UseRevisionLog {
 		n.startAnnouncer(ctx, revisions)
 		onChange = n.proposeRevisions
 	} else {
@@ -122,7 +122,7 @@
 	})
 	switch {
 	case verdict == plans.VerdictPending || verdict == plans.VerdictLate:
-		entry.WithFields(logrus.Fields{"code": "plans-revised", "holds": r.Holds}).Info("new catalogue revision")
+		entry.WithFields(logrus.Fields{"code": "plans-revised", "holds": r.EffectiveAt}).Info("new catalogue revision")
 	case verdict == plans.VerdictConflict && n.announcer != nil:
 		entry.WithField("code", "plans-settled").
 			Warn("announced revision replaces a different one with the same number")
--- a/internal/standalone/node/fleet.go
+++ b/internal/standalone/node/fleet.go
@@ -149,10 +149,10 @@
 	}
 }
 
-// announceDeparture gives up leases at SIGTERM and tells the other ingresses that this one is leaving, before its
+// publishDeparture gives up leases at SIGTERM and tells the other ingresses that this one is leaving, before its
 // listener closes. Where a newer process of this ingress waits for the gossip address, it is released at once and
 // nothing is announced: to the others both processes are one member.
-func (n *Node) announceDeparture() {
+func (n *Node) publishDeparture() {
 	if n.leases != nil {
 		n.leases.Resign()
 	}
--- a/internal/standalone/node/reload.go
+++ b/internal/standalone/node/reload.go
@@ -76,7 +76,7 @@
 	}
 	n.updatePlans(func(now decision.Seconds) {
 		n.lastReloadRevision++
-		revision.Number, revision.Holds = n.lastReloadRevision, now
+		revision.Number, revision.EffectiveAt = n.lastReloadRevision, now
 		n.planState.Offer(revision, now)
 	})
 	n.log.WithFields(logrus.Fields{
--- a/internal/standalone/node/shutdown.go
+++ b/internal/standalone/node/shutdown.go
@@ -19,7 +19,7 @@
 // connections and waits until requests in flight have been answered, within the time that a planned restart allows.
 func (n *Node) Drain() {
 	n.server.Shutdown()
-	n.announceDeparture()
+	n.publishDeparture()
 	// A newer process may listen on the same address: new connections go there from now on, and those that are queued
 	// here are accepted before the listener closes, which would reset them.
 	if err := hotrestart.Steer(n.listener); err != nil {
--- a/internal/standalone/plans/diff.go
+++ b/internal/standalone/plans/diff.go
@@ -37,7 +37,7 @@
 // items are the parts of a revision, as text.
 func items(r *Revision) map[item]string {
 	texts := map[item]string{
-		{"setting", "holds"}:         fmt.Sprintf("%.3f", r.Holds),
+		{"setting", "holds"}:         fmt.Sprintf("%.3f", r.EffectiveAt),
 		{"setting", "authority"}:     r.Authority.String(),
 		{"setting", "bookable_rate"}: fmt.Sprint(r.BookableRate),
 	}
--- a/internal/standalone/plans/digest_test.go
+++ b/internal/standalone/plans/digest_test.go
@@ -15,7 +15,7 @@
 	}
 	basic := decision.Plan{Name: "basic", Rate: 1, Burst: 2}
 	r := Revision{
-		Number: 7, Holds: 1764691200.5, BookableRate: 12.5,
+		Number: 7, EffectiveAt: 1764691200.5, BookableRate: 12.5,
 		Plans:   []decision.Plan{plus, basic},
 		Members: map[string]string{"m1": "plus", "m2": "basic"},
 		Bookings: []Booking{
--- a/internal/standalone/plans/plans_test.go
+++ b/internal/standalone/plans/plans_test.go
@@ -25,7 +25,7 @@
 
 func revision(n uint64, holds decision.Seconds, change ...func(*Revision)) Revision {
 	r := Revision{
-		Number: n, Holds: holds, Authority: AuthorityCatalogue, BookableRate: 100,
+		Number: n, EffectiveAt: holds, Authority: AuthorityCatalogue, BookableRate: 100,
 		Plans:   []decision.Plan{basic(), plus()},
 		Members: map[string]string{anna: "basic", bert: "plus"},
 	}
--- a/internal/standalone/plans/revision.go
+++ b/internal/standalone/plans/revision.go
@@ -32,7 +32,7 @@
 // Revision is one complete state of the catalogue. The command line prints it as JSON under the names of its fields.
 type Revision struct {
 	Number       uint64           // from 1; of those whose time has come, the highest is in force
-	Holds        decision.Seconds // Unix time from which it takes effect; 0: as soon as it is received
+	EffectiveAt  decision.Seconds `json:"Holds"` // Unix time from which it counts; 0: as soon as it is received
 	Authority    Authority
 	BookableRate float64           `json:"Bookable"` // units a second that all bookings together may take at any instant
 	Plans        []decision.Plan   // in no particular order
@@ -59,7 +59,7 @@
 // Digest is a short hash of all that a revision says, its number included. Equal revisions have equal digests.
 func (r *Revision) Digest() string {
 	h := fnv.New64a()
-	fmt.Fprint(h, r.Number, r.Holds, r.Authority, r.BookableRate)
+	fmt.Fprint(h, r.Number, r.EffectiveAt, r.Authority, r.BookableRate)
 	byName := func(a, b decision.Plan) int { return cmp.Compare(a.Name, b.Name) }
 	for _, p := range slices.SortedFunc(slices.Values(r.Plans), byName) {
 		fmt.Fprint(h, "|", planDigestText(p))
--- a/internal/standalone/plans/state.go
+++ b/internal/standalone/plans/state.go
@@ -79,7 +79,7 @@
 		return VerdictQueueFull
 	}
 	s.known = slices.Insert(s.known, i, compile(r, digest))
-	if r.Holds <= now {
+	if r.EffectiveAt <= now {
 		return VerdictLate
 	}
 	return VerdictPending
@@ -97,7 +97,7 @@
 // with lower numbers, except for their plans.
 func (s *State) inForce(now decision.Seconds) *compiled {
 	for i := len(s.known) - 1; i >= 0; i-- {
-		if s.known[i].Holds <= now {
+		if s.known[i].EffectiveAt <= now {
 			s.retire(i)
 			return s.known[0]
 		}
@@ -212,7 +212,7 @@
 		}
 	}
 	for _, c := range s.known {
-		earlier(c.Holds)
+		earlier(c.EffectiveAt)
 	}
 	return next
 }
--- a/internal/standalone/plans/validate.go
+++ b/internal/standalone/plans/validate.go
@@ -48,7 +48,7 @@
 	if r.Number == 0 {
 		v.reject("the number must be 1 or more", "revision")
 	}
-	if !finite(r.Holds) {
+	if !finite(r.EffectiveAt) {
 		v.reject("not a time", "holds")
 	}
 	if !finite(r.BookableRate) {
