--- a/internal/standalone/cli/cli_test.go
+++ b/internal/standalone/cli/cli_test.go
@@ -137,7 +137,8 @@
 		{"plans apply DIR/next.hcl --to DIR/live.hcl --in 1h --yes", 0, []string{"basic"}},
 		{"plans show DIR/live.hcl", 0, []string{"revision 1, in force", "revision 2, announced"}},
 		{"plans show DIR/live.hcl --output json", 0, []string{
-			`"Number":2`, `"Holds":`, `"Authority":1`, `"Bookable":100`, `"Price":0`, `"CeilingDepth":30`, `"Members":{`, `"Bookings":null`,
+			`"Number":2`, `"Holds":`, `"Authority":1`, `"Bookable":100`,
+			`"Price":0`, `"CeilingDepth":30`, `"Members":{`, `"Bookings":null`,
 		}},
 		{"plans apply DIR/next.hcl --to DIR/live.hcl --in soon --yes", 1,
 			[]string{`--in: not a span such as 30s: "soon"`}},
--- a/internal/standalone/cli/modelcheck.go
+++ b/internal/standalone/cli/modelcheck.go
@@ -6,6 +6,7 @@
 	"os"
 	"path/filepath"
 	"runtime"
+	"sync"
 	"time"
 
 	"mulleinrouter/internal/emulator/modelcheck"
@@ -27,18 +28,36 @@
 
 const progressSteps = 10 // lines of progress that a run prints
 
+// explorationProgress prints the progress of a run, of which the model checker's goroutines report.
+type explorationProgress struct {
+	began time.Time
+
+	mu    sync.Mutex // guards the fields below
+	out   io.Writer
+	shown int // steps that have been printed
+}
+
+// report prints a line for each further step that is done.
+func (e *explorationProgress) report(done, all int, orderings int64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if step := done * progressSteps / all; step > e.shown {
+		e.shown = step
+		seconds := time.Since(e.began).Seconds()
+		fmt.Fprintf(e.out, "%3d%%  %d orderings, %.0f s\n", step*100/progressSteps, orderings, seconds)
+	}
+}
+
 // Run explores, and prints what it found.
 func (ms *ModelCheckStatesCommand) Run(p *Program) error {
-	began, shown := time.Now(), 0
-	progress := func(done, all int, orderings int64) {
-		if step := done * progressSteps / all; step > shown {
-			shown = step
-			seconds := time.Since(began).Seconds()
-			fmt.Fprintf(p.err, "%3d%%  %d orderings, %.0f s\n", step*100/progressSteps, orderings, seconds)
-		}
-	}
-	r := modelcheck.Explore(modelcheck.Options{Depth: ms.Depth, Random: ms.Random, Seed: ms.Seed, Progress: progress})
-	writeExploration(p.out, r, time.Since(began))
+	progress := &explorationProgress{began: time.Now(), out: p.err}
+	r := modelcheck.Explore(modelcheck.Options{
+		Depth:    ms.Depth,
+		Random:   ms.Random,
+		Seed:     ms.Seed,
+		Progress: progress.report,
+	})
+	writeExploration(p.out, r, time.Since(progress.began))
 	for i, v := range r.Violations {
 		fmt.Fprintf(p.out, "\n%v", v)
 		if ms.Out == "" {
--- a/internal/standalone/config/platform.go
+++ b/internal/standalone/config/platform.go
@@ -29,8 +29,9 @@
 	fileFirst                        // at a reload: the file is newer than the variables, which are as old as the process
 )
 
-// platformFile is the platform's form of a configuration.
-type platformFile struct {
+// platformFile is the platform's form of a configuration. It is an alias of a type without a name, for the decoder
+// puts a type's name into its errors, which operators read.
+type platformFile = struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
--- a/internal/standalone/settings/settings.go
+++ b/internal/standalone/settings/settings.go
@@ -11,7 +11,7 @@
 
 // object is the form of the settings object. The names of its fields are the keys: they follow the operators'
 // pages, not the decision module.
-type object struct {
+type object = struct {
 	Balancers, Me int
 	Zone          string
 	Classes       []classObject
@@ -30,13 +30,13 @@
 	}
 }
 
-type classObject struct {
+type classObject = struct {
 	Name                               string
 	Promise, Deadline, Gain, LateWorth float64
 	Effect, DedupScope                 string
 }
 
-type packageObject struct {
+type packageObject = struct {
 	Name                                          string
 	Refill, Burst, Pays, ExcessWorth, BeyondCosts float64
 	NeverOverRate, NeverOverDepth, HardSlack      float64
@@ -53,22 +53,22 @@
 	if err := jsontext.Decode(raw, &o); err != nil {
 		return decision.Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	if err := o.checkIngresses(); err != nil {
+	if err := checkIngresses(&o); err != nil {
 		return decision.Settings{}, err
 	}
-	s := o.settings()
+	s := newSettings(&o)
 	for _, c := range o.Classes {
-		s.Classes = append(s.Classes, c.class())
+		s.Classes = append(s.Classes, newClass(&c))
 	}
 	for _, p := range o.Packages {
-		s.Plans = append(s.Plans, p.plan())
+		s.Plans = append(s.Plans, newPlan(&p))
 	}
 	return s, nil
 }
 
 // checkIngresses returns an error for numbers of ingresses that cannot be true: they would silence this ingress, or
 // give several the same rank.
-func (o *object) checkIngresses() error {
+func checkIngresses(o *object) error {
 	if o.Balancers < 0 || o.Balancers > maxIngresses {
 		return &KeyError{"Balancers", fmt.Sprintf("%d is not from 0 to %d", o.Balancers, maxIngresses)}
 	}
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// settings are the decision module's, without classes and plans.
-func (o *object) settings() decision.Settings {
+// newSettings are the decision module's settings, without classes and plans.
+func newSettings(o *object) decision.Settings {
 	return decision.Settings{
 		Gateways:        o.Balancers,
 		Index:           o.Me,
@@ -116,7 +116,7 @@
 	"cell": decision.ScopeCell,
 }
 
-func (c classObject) class() decision.Class {
+func newClass(c *classObject) decision.Class {
 	return decision.Class{
 		Name:          c.Name,
 		LatencyTarget: c.Promise,
@@ -128,7 +128,7 @@
 	}
 }
 
-func (p packageObject) plan() decision.Plan {
+func newPlan(p *packageObject) decision.Plan {
 	return decision.Plan{
 		Name:        p.Name,
 		Rate:        p.Refill,
