--- a/internal/dataplane/engine/engine_test.go
+++ b/internal/dataplane/engine/engine_test.go
@@ -178,11 +178,11 @@
 		state := plans.NewState(settings().Plans)
 		revision := func(n uint64, holds decision.Seconds, plan string) plans.Revision {
 			return plans.Revision{
-				Number:    n,
-				EffectiveAt:     holds,
-				Authority: plans.AuthorityCatalogue,
-				Plans:     []decision.Plan{small, large},
-				Members:   map[string]string{member: plan},
+				Number:      n,
+				EffectiveAt: holds,
+				Authority:   plans.AuthorityCatalogue,
+				Plans:       []decision.Plan{small, large},
+				Members:     map[string]string{member: plan},
 			}
 		}
 		e.SetCatalogue(func(now decision.Seconds) Catalogue {
--- a/internal/standalone/node/node.go
+++ b/internal/standalone/node/node.go
@@ -24,7 +24,6 @@
 	"mulleinrouter/internal/standalone/fleet/quotasync"
 	"mulleinrouter/internal/standalone/hotrestart"
 	"mulleinrouter/internal/standalone/plans"
-	"mulleinrouter/internal/standalone/usagesegment"
 )
 
 // Node is one ingress.
@@ -37,7 +36,6 @@
 	counter    *counterclient.Client // nil: there is no shared counter
 	server     *ingress.Server
 	watcher    *discovery.Watcher
-	meter      *usagesegment.Writer // nil: usage is not recorded
 
 	cancel      context.CancelFunc // ends the tasks
 	tasks       sync.WaitGroup     // goroutines that end with the context
--- a/internal/standalone/node/usage.go
+++ b/internal/standalone/node/usage.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	n.meter, n.server.Meter = writer, writer
+	n.server.Meter = writer
 	n.closers = append(n.closers, func() {
 		if err := writer.Close(); err != nil {
 			n.log.WithField("code", "usage-bad-segment").WithError(err).
