--- a/internal/standalone/cli/cli_test.go
+++ b/internal/standalone/cli/cli_test.go
@@ -169,15 +169,15 @@
 		t.Fatal(err)
 	}
 	plans := []string{"basic", "plus"}
-	arrivals := []usage.Arrival{usage.Whole, usage.Whole, usage.Whole, usage.Unknown, usage.Never}
+	arrivals := []usage.Arrival{usage.Arrived, usage.Arrived, usage.Arrived, usage.ArrivalUnknown, usage.NotArrived}
 	for i := range 20 {
-		attempt := w.Sent(usage.Try{
-			Member: fmt.Sprintf("%016x", i%2),
-			Plan:   plans[i%2],
-			Class:  "quote-read",
-			Units:  usage.ToMicro(1.5),
-			Beyond: i < 4,
-			Minute: time.Now().Unix() / 60,
+		attempt := w.Sent(usage.Request{
+			Member:    fmt.Sprintf("%016x", i%2),
+			Plan:      plans[i%2],
+			Class:     "quote-read",
+			Units:     usage.ToMicro(1.5),
+			OverQuota: i < 4,
+			Minute:    time.Now().Unix() / 60,
 		})
 		w.Ended(attempt, arrivals[i%5])
 	}
@@ -211,7 +211,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	data[usage.Size+12] ^= 1
+	data[usage.HeaderSize+12] ^= 1
 	if err := os.WriteFile(segments[0].Path, data, 0o644); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standalone/cli/fleet.go
+++ b/internal/standalone/cli/fleet.go
@@ -78,18 +78,18 @@
 
 func writeMembers(out io.Writer, r *gossip.Report) error {
 	fmt.Fprintf(out, "fleet %s as %s sees it: %s for %s, %d of %d heard, view %d %s\n",
-		r.Fleet, r.Name, r.Judgement, formatSpan(r.For), r.Heard, r.Agreed, r.View, r.Digest)
+		r.Fleet, r.Name, r.Reachability, formatSpan(r.ForMillis), r.Alive, r.Agreed, r.View, r.Digest)
 	fmt.Fprintf(out, "%d stalls, %d refused, %d packets and %d bytes sent\n\n",
-		r.Stalls, r.Refused, r.Traffic.PacketsOut, r.Traffic.BytesOut)
+		r.Pauses, r.Rejected, r.Traffic.PacketsOut, r.Traffic.BytesOut)
 	t := newTable(out)
 	fmt.Fprintln(t, "member\tstate\tfor\tphase\tlink\theard\tzone\tstart\taddress\tversion")
 	for _, m := range r.Members {
 		heard := "never"
-		if m.Heard >= 0 {
-			heard = formatSpan(m.Heard) + " ago"
+		if m.LastContactMillis >= 0 {
+			heard = formatSpan(m.LastContactMillis) + " ago"
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n",
-			m.Name, m.State, formatSpan(m.For), m.Phase, m.Link, heard, m.Zone, m.Boot, m.Addr, m.Version)
+			m.Name, m.State, formatSpan(m.ForMillis), m.Phase, m.Link, heard, m.Zone, m.Boot, m.Addr, m.Version)
 	}
 	return t.Flush()
 }
--- a/internal/standalone/cli/fleetshared.go
+++ b/internal/standalone/cli/fleetshared.go
@@ -43,28 +43,28 @@
 }
 
 func writeShared(out io.Writer, r *quotasync.Report) error {
-	if r.Sound {
+	if r.CounterTrusted {
 		fmt.Fprint(out, "the counter is trusted: quotas go by its totals")
 	} else {
-		fmt.Fprintf(out, "the counter is not trusted (%s): quotas go by loans", cmp.Or(r.Why, "there is none"))
+		fmt.Fprintf(out, "the counter is not trusted (%s): quotas go by loans", cmp.Or(r.Reason, "there is none"))
 	}
 	fmt.Fprintf(out, "; %.4g units a second given, %.4g taken; %d words refused; warned of %d servers %s\n\n",
-		r.Given, r.Taken, r.Refused, len(r.Warned), strings.Join(r.Warned, " "))
+		r.Lent, r.Borrowed, r.Rejected, len(r.WarnedServers), strings.Join(r.WarnedServers, " "))
 	t := newTable(out)
 	fmt.Fprintln(t, "member\tquota\tright\tasked\tgiven\ttaken\tother doors\tsilent")
-	for _, m := range r.Members {
+	for _, m := range r.Customers {
 		fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%.4g\t%s\t%s\t%s\t%s\n",
-			m.Member, m.Quota, m.Right, m.Asked, formatParts(m.GivenTo), formatParts(m.TakenFrom),
-			strings.Join(m.DoorNames, " "), strings.Join(m.Silent, " "))
+			m.Customer, m.Quota, m.Grant, m.Demand, formatLoans(m.LentTo), formatLoans(m.BorrowedFrom),
+			strings.Join(m.Gateways, " "), strings.Join(m.Silent, " "))
 	}
 	return t.Flush()
 }
 
-// formatParts are the parts of a quota that other ingresses have, in one line.
-func formatParts(parts []quotashare.Part) string {
+// formatLoans are the rates of a quota that were lent or borrowed, by peer, in one line.
+func formatLoans(loans []quotashare.Loan) string {
 	var text string
-	for _, part := range parts {
-		text += fmt.Sprintf("%s %.4g ", part.Name, part.Rate)
+	for _, loan := range loans {
+		text += fmt.Sprintf("%s %.4g ", loan.Peer, loan.Rate)
 	}
 	return strings.TrimSpace(text)
 }
--- a/internal/standalone/cli/usage.go
+++ b/internal/standalone/cli/usage.go
@@ -81,7 +81,7 @@
 		case err == nil:
 			return batches, nil
 		default:
-			if attempts++; attempts >= maxExportAttempts || answer != usage.Again {
+			if attempts++; attempts >= maxExportAttempts || answer != usage.Retry {
 				return batches, fmt.Errorf("%w after %d: %w", errNoBatchTaken, batches, err)
 			}
 			delay := max(retryDelaySeconds*float64(attempts), min(advice, maxAdviceSeconds))
@@ -111,7 +111,7 @@
 		return err
 	}
 	units := func(s usage.Sum) string {
-		return fmt.Sprintf("%.6g units in %d tries", s.InUnits(), s.Tries)
+		return fmt.Sprintf("%.6g units in %d tries", s.InUnits(), s.Requests)
 	}
 	t := newTable(p.out)
 	fmt.Fprintf(t, "segments\t%d, with %d records\n", v.Segments, v.Records)
--- a/internal/standalone/cli/usageshow.go
+++ b/internal/standalone/cli/usageshow.go
@@ -48,14 +48,14 @@
 	if err != nil {
 		return nil, fileError{err}
 	}
-	var ledger usage.Ledger
+	var replayer usage.Replayer
 	all := usage.Tally{}
 	for _, s := range segments {
 		header, data, err := usagesegment.Read(s.Path)
 		if err != nil {
 			return nil, fileError{err}
 		}
-		tally, _, err := ledger.Segment(header, data)
+		tally, _, err := replayer.Replay(header, data)
 		if err != nil {
 			return nil, fileError{fmt.Errorf("%s: %w", s.Path, err)}
 		}
@@ -70,7 +70,7 @@
 	fmt.Fprintln(t, "minute\tmember\tplan\trevision\tclass\tbeyond\tunknown\ttries\tunits")
 	for _, r := range rows {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%v\t%v\t%d\t%.6g\n", formatMinute(r.Minute),
-			r.Member, r.Plan, r.Revision, r.Class, r.Beyond, r.Unknown, r.Tries, r.InUnits())
+			r.Member, r.Plan, r.Revision, r.Class, r.OverQuota, r.Unknown, r.Requests, r.InUnits())
 	}
 	return t.Flush()
 }
@@ -97,12 +97,12 @@
 			sum = &usageSum{Name: name}
 			byName[name] = sum
 		}
-		sum.Tries += r.Tries
+		sum.Tries += r.Requests
 		units := r.InUnits()
 		switch {
 		case r.Unknown:
 			sum.Unknown += units
-		case r.Beyond:
+		case r.OverQuota:
 			sum.Beyond += units
 		default:
 			sum.Inside += units
--- /dev/null
+++ b/internal/standalone/fleet/quotasync/service.go
@@ -0,0 +1,200 @@
+package quotasync
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/sirupsen/logrus"
+
+	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/standalone/fleet/gossip"
+	"mulleinrouter/internal/standalone/fleet/quotashare"
+)
+
+const (
+	quotaTopic gossip.Topic = 10
+
+	tickInterval = 100 * time.Millisecond
+	maxTickDelay = time.Second // a tick that is later shows that the process was suspended
+	queueLength  = 1024        // messages that wait to be applied; more are dropped, as on the network
+)
+
+// Gossip is what the service needs of the fleet's gossip.
+type Gossip interface {
+	Send(name string, topic gossip.Topic, data []byte)
+	Handle(topic gossip.Topic, take func(from string, data []byte))
+	AliveMembers() []string
+	MemberNames() map[int]string
+	Left() bool // this process left the fleet, or another one took its name
+}
+
+// Engine carries out the decisions and knows the health of servers.
+type Engine interface {
+	SetGrants(all []decision.QuotaGrant, lease decision.Seconds)
+	SetSuspects(servers []string)
+	UnhealthyServers() []string
+	PoolSize() (listed, avoided int)
+}
+
+// Options are those of a process.
+type Options struct {
+	quotashare.Options
+	Gossip    Gossip
+	ClockRate float64 // seconds of the service's clock in a second: 1, except in fault tests
+	Log       *logrus.Logger
+}
+
+// Service divides quotas for one ingress. It implements engine.QuotaSharer and is safe for concurrent use.
+type Service struct {
+	options   Options
+	startedAt time.Time
+	queue     chan quotashare.Received
+
+	mu        sync.Mutex // guards allocator
+	allocator *quotashare.Allocator
+}
+
+// New returns a service that receives messages, and sends nothing until Run.
+func New(o Options) *Service {
+	s := &Service{
+		options:   o,
+		startedAt: time.Now(),
+		queue:     make(chan quotashare.Received, queueLength),
+		allocator: quotashare.New(0, o.Options),
+	}
+	o.Gossip.Handle(quotaTopic, s.enqueue)
+	return s
+}
+
+// enqueue takes a message of another ingress without waiting. What can't be decoded is dropped.
+func (s *Service) enqueue(from string, data []byte) {
+	var m quotashare.Message
+	if cbor.Unmarshal(data, &m) != nil {
+		return
+	}
+	select {
+	case s.queue <- quotashare.Received{From: from, Message: m}:
+	default:
+	}
+}
+
+func (s *Service) now() quotashare.Seconds {
+	return time.Since(s.startedAt).Seconds() * s.options.ClockRate
+}
+
+// ObserveRequest reports a request of a customer: the index of its first gateway, their number, its quota in units a
+// second, and the request's units.
+func (s *Service) ObserveRequest(customer string, firstGateway, gateways int, quota, units float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.allocator.Step(s.now(), quotashare.Demand{
+		Customer:     customer,
+		FirstGateway: firstGateway,
+		Gateways:     gateways,
+		Quota:        quota,
+		Units:        units,
+	})
+}
+
+// ObserveCounterCall reports a call of the counter that starts. ttl is for how long the counter keeps the name.
+func (s *Service) ObserveCounterCall(name string, amount float64, ttl decision.Seconds) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.allocator.Step(s.now(), quotashare.CounterCall{Name: name, Amount: amount, TTL: ttl})
+}
+
+// ObserveCounterReply reports the outcome of a call, and returns the one that the decision module is to use: while the
+// counter is not trusted, a total counts as a failed call.
+func (s *Service) ObserveCounterReply(name string, outcome decision.Outcome, total float64) decision.Outcome {
+	succeeded := outcome == decision.Succeeded
+	answer := quotashare.CounterAnswer{
+		Name:     name,
+		Answered: succeeded || outcome == decision.Rejected || outcome == decision.Failed,
+		HasTotal: succeeded,
+		Total:    total,
+	}
+	s.mu.Lock()
+	actions := s.allocator.Step(s.now(), answer)
+	trusted, _ := s.allocator.CounterTrusted()
+	s.mu.Unlock()
+	s.execute(actions)
+	if !trusted && succeeded {
+		return decision.Failed
+	}
+	return outcome
+}
+
+// Run applies messages and ticks until the context ends.
+func (s *Service) Run(ctx context.Context, e Engine) {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	lastTick := time.Since(s.startedAt)
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case m := <-s.queue:
+			s.step(e, m)
+		case <-ticker.C:
+			now := time.Since(s.startedAt)
+			if now-lastTick > maxTickDelay {
+				s.step(e, quotashare.Paused{})
+			}
+			lastTick = now
+			s.tick(e)
+		}
+	}
+}
+
+func (s *Service) tick(e Engine) {
+	if s.options.Gossip.Left() {
+		s.step(e, quotashare.NameLost{})
+	}
+	servers, _ := e.PoolSize()
+	s.step(e, quotashare.Tick{
+		Ingresses:        s.options.Gossip.MemberNames(),
+		AlivePeers:       s.options.Gossip.AliveMembers(),
+		UnhealthyServers: e.UnhealthyServers(),
+		ServerCount:      servers,
+	})
+}
+
+// step applies an event and carries out its actions. The mutex is not held meanwhile: the engine calls back.
+func (s *Service) step(e Engine, event quotashare.Event) {
+	s.mu.Lock()
+	actions := s.allocator.Step(s.now(), event)
+	now := s.now()
+	s.mu.Unlock()
+	s.execute(actions)
+	for _, a := range actions {
+		switch a := a.(type) {
+		case quotashare.SetGrants:
+			e.SetGrants(a.Grants, a.Until-now)
+		case quotashare.WarnServers:
+			e.SetSuspects(a.Servers)
+			s.options.Log.WithFields(logrus.Fields{"code": "share-warned", "servers": a.Servers}).
+				Info("the servers that other ingresses find unhealthy have changed")
+		}
+	}
+}
+
+// execute carries out the actions that don't need the engine.
+func (s *Service) execute(actions []quotashare.Action) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case quotashare.SendMessage:
+			if data, err := cbor.Marshal(a.Message); err == nil {
+				s.options.Gossip.Send(a.To, quotaTopic, data)
+			}
+		case quotashare.CounterTrustChanged:
+			entry := s.options.Log.WithField("why", a.Reason)
+			if a.Trusted {
+				entry.WithField("code", "share-counter-trusted").Info("the counter is trusted again: quotas go by its totals")
+			} else {
+				entry.WithField("code", "share-counter-doubted").Warn("the counter is not trusted: quotas go by leased grants")
+			}
+		}
+	}
+}
--- a/internal/standalone/node/catalogue.go
+++ b/internal/standalone/node/catalogue.go
@@ -54,7 +54,7 @@
 				n.commitRevision(r)
 			}
 		},
-		LivePeers: n.fleet.Living,
+		LivePeers: n.fleet.AliveMembers,
 		Read:      func(r *revisionlog.Record) error { return folder.Read(revisionLogRecord, folder.Process(), r) },
 		Write:     func(r revisionlog.Record) error { return folder.Write(revisionLogRecord, r) },
 	})
