--- /dev/null
+++ b/internal/control/replica/chunks_mutants_test.go
@@ -0,0 +1,36 @@
+//go:build mutants
+
+package replica
+
+import (
+	"testing"
+
+	"mulleinrouter/internal/mutants"
+)
+
+// Each fault of transfers that is seeded is found by the walks or by the plain list.
+func TestTransferMutants(t *testing.T) {
+	for _, fault := range []string{
+		"replica/mixes-epochs",
+		"replica/older-source",
+		"replica/epoch-before-items",
+		"replica/recent-off-by-one",
+		"replica/position-without-items",
+		"replica/accepts-behind",
+	} {
+		mutants.Seed(t, fault)
+		seed, failure := uint64(0), ""
+		for _, changes := range changeCounts {
+			if failure == "" {
+				failure = checkNewerItems(changes)
+			}
+		}
+		for ; seed < 1500 && failure == ""; seed++ {
+			failure, _ = walkTransfer(seed)
+		}
+		if failure == "" {
+			t.Errorf("%s: not found", fault)
+		}
+		t.Logf("%s: seed %d: %s", fault, seed-1, failure)
+	}
+}
