--- a/internal/standalone/node/fleetcalls.go
+++ b/internal/standalone/node/fleetcalls.go
@@ -74,7 +74,7 @@
 }
 
 // Values of the gauge ingress.fleet_sure.
-var judgementGauge = map[string]int64{
+var reachabilityGauge = map[string]int64{
 	membership.Partitioned.String(): 0,
 	membership.Majority.String():    1,
 	membership.Complete.String():    2,
@@ -87,7 +87,7 @@
 		mgmt.Gauge("ingress.fleet_view", int64(report.View)),
 		mgmt.Gauge("ingress.fleet_heard", int64(report.Alive)),
 		mgmt.Gauge("ingress.fleet_agreed", int64(report.Agreed)),
-		mgmt.Gauge("ingress.fleet_sure", judgementGauge[report.Reachability]),
+		mgmt.Gauge("ingress.fleet_sure", reachabilityGauge[report.Reachability]),
 		mgmt.Count("ingress.fleet_stalls", int64(report.Pauses)),
 		mgmt.Count("ingress.fleet_refused", report.Rejected),
 		mgmt.Count("ingress.fleet_packets_out", report.Traffic.PacketsOut),
--- a/internal/standalone/node/node_test.go
+++ b/internal/standalone/node/node_test.go
@@ -178,13 +178,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ledger, attempts := usage.Replayer{}, map[string]int64{}
+	replayer, attempts := usage.Replayer{}, map[string]int64{}
 	for _, segment := range segments {
 		header, data, err := usagesegment.Read(segment.Path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		tally, _, err := ledger.Replay(header, data)
+		tally, _, err := replayer.Replay(header, data)
 		if err != nil {
 			t.Fatal(err)
 		}
