--- a/cmd/control/members.go
+++ b/cmd/control/members.go
@@ -12,56 +12,56 @@
 	"time"
 
 	"mulleinrouter/internal/cluster/command"
-	"mulleinrouter/internal/control"
+	"mulleinrouter/internal/control/httpapi"
 )
 
 const (
-	askMost    = 5 * time.Second
-	answerMost = 1 << 20 // bytes
+	requestTimeout   = 5 * time.Second
+	maxResponseBytes = 1 << 20 // bytes
 )
 
-// at says which control node is asked.
-type at struct {
-	File string `short:"c" help:"Settings file of a control node. Default: the one that ${variable} names." placeholder:"FILE"`
+// target is the control node that is called.
+type target struct {
+	File string `short:"c" placeholder:"FILE" help:"Settings file of a control node. Default: the one that ${variable} names."` //nolint:lll // a tag is one line
 	At   string `help:"Ask this control address instead of the one in the settings." placeholder:"HOST:PORT"`
 }
 
-// call calls a control node. A refusal is its message.
-func (a at) call(method, path string, body []byte) ([]byte, error) {
-	addr := a.At
+// call calls a control node, and returns the body of its response. The error of a rejected call is the node's message.
+func (t target) call(method, path string, body []byte) ([]byte, error) {
+	addr := t.At
 	if addr == "" {
-		p, err := command.Load(a.File, name)
+		p, err := command.Load(t.File, name)
 		if err != nil {
 			return nil, err
 		}
 		addr = p.ControlAddr
 	}
-	r, err := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(body))
+	request, err := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	answer, err := (&http.Client{Timeout: askMost}).Do(r)
+	response, err := (&http.Client{Timeout: requestTimeout}).Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(answer.Body, answerMost))
+	defer response.Body.Close()
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, err
 	}
-	if answer.StatusCode != http.StatusOK {
-		var no struct{ Message string }
-		if json.Unmarshal(b, &no) != nil || no.Message == "" {
-			no.Message = answer.Status
+	if response.StatusCode != http.StatusOK {
+		var rejection struct{ Message string }
+		if json.Unmarshal(responseBody, &rejection) != nil || rejection.Message == "" {
+			rejection.Message = response.Status
 		}
-		return nil, errors.New(no.Message)
+		return nil, errors.New(rejection.Message)
 	}
-	return b, nil
+	return responseBody, nil
 }
 
 type members struct {
-	at   `embed:""`
-	JSON bool `help:"As JSON."`
+	target `embed:""`
+	JSON   bool `help:"As JSON."`
 }
 
 func (m *members) Run() error {
@@ -73,7 +73,7 @@
 		_, err = fmt.Println(string(b))
 		return err
 	}
-	var all control.Members
+	var all httpapi.Members
 	if err := json.Unmarshal(b, &all); err != nil {
 		return err
 	}
@@ -81,42 +81,44 @@
 	if !all.Contact {
 		contact = "NOT in contact with a majority: this may be old"
 	}
-	fmt.Printf("epoch %d; these voters since epoch %d, for %.0f s as seen here; %d wanted; %s\n\n", all.Epoch, all.Since, all.Stands, all.Wanted, contact)
+	fmt.Printf("epoch %d; these voters since epoch %d, for %.0f s as seen here; %d wanted; %s\n\n",
+		all.Epoch, all.SinceEpoch, all.AgeSeconds, all.Wanted, contact)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ROLE\tAT\tZONE\tSTATE\tBEHIND\tHEARD")
 	for _, v := range all.Voters {
-		row(w, "voter", v)
+		writeMember(w, "voter", v)
 	}
 	for _, l := range all.Learners {
-		row(w, "learner", l)
+		writeMember(w, "learner", l)
 	}
 	return w.Flush()
 }
 
-func row(w io.Writer, role string, m control.Member) {
+// writeMember writes the row of a control node.
+func writeMember(w io.Writer, role string, m httpapi.Member) {
 	state, heard := "silent", "never"
 	switch {
-	case m.Lost:
+	case m.DiskReplaced:
 		state = "new disk, being taken in"
 	case m.Self:
 		state = "answers"
 	case m.Up:
 		state = "up"
 	}
-	if m.Heard >= 0 {
-		heard = fmt.Sprintf("%.1f s ago", m.Heard)
+	if m.LastHeardSeconds >= 0 {
+		heard = fmt.Sprintf("%.1f s ago", m.LastHeardSeconds)
 	}
-	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", role, m.At, m.Zone, state, m.Behind, heard)
+	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", role, m.Addr, m.Zone, state, m.EpochsBehind, heard)
 }
 
 type replace struct {
-	at  `embed:""`
-	Out string `arg:"" help:"Control address of the voter that goes."`
-	In  string `arg:"" help:"Control address of the learner that comes."`
+	target `embed:""`
+	Out    string `arg:"" help:"Control address of the voter that goes."`
+	In     string `arg:"" help:"Control address of the learner that comes."`
 }
 
 func (r *replace) Run() error {
-	body, err := json.Marshal(control.Replacement{Out: r.Out, In: r.In})
+	body, err := json.Marshal(httpapi.Replacement{Out: r.Out, In: r.In})
 	if err != nil {
 		return err
 	}
--- a/internal/decision/quota_grants_test.go
+++ b/internal/decision/quota_grants_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// served drives one gateway for some seconds with requests of one customer, a hundred a second, and counts
-// what it forwards.
+// grantedGateway drives one gateway for some seconds with requests of one customer, a hundred a second, and
+// counts what it forwards.
 type grantedGateway struct {
 	g    *Gateway
 	now  Seconds
@@ -35,32 +35,34 @@
 	return h
 }
 
-func (h *grantedGateway) handle(e Event) {
-	for _, a := range h.g.Handle(h.now, e) {
+func (gg *grantedGateway) handle(e Event) {
+	for _, a := range gg.g.Handle(gg.now, e) {
 		if s, ok := a.(Send); ok {
-			h.sent++
-			h.handle(AttemptEnded{
+			gg.sent++
+			gg.handle(AttemptEnded{
 				ID: s.ID, Backend: s.Backend, Outcome: Succeeded, Duration: 0.001, Answered: true,
 			})
 		}
 	}
 }
 
-func (h *grantedGateway) run(seconds Seconds) float64 {
-	h.sent = 0
+func (gg *grantedGateway) run(seconds Seconds) float64 {
+	gg.sent = 0
 	for i := range int(seconds * 100) {
-		h.now += 0.01
-		h.id++
-		h.handle(Request{ID: h.id, Class: "c", Plan: "p", Customer: "m", TimeLeft: 2, Units: 1, Gateways: 4})
+		gg.now += 0.01
+		gg.id++
+		gg.handle(Request{
+			ID: gg.id, Class: "c", Plan: "p", Customer: "m", TimeLeft: 2, Units: 1, Gateways: 4,
+		})
 		if i%5 == 0 {
-			h.handle(Timer{"tick"})
-			h.g.ReapplyGrants(h.now)
+			gg.handle(Timer{"tick"})
+			gg.g.ReapplyGrants(gg.now)
 		}
 	}
-	return h.sent / seconds
+	return gg.sent / seconds
 }
 
-// What is held goes before what the gateway computes, until its time; behind it the gateway has what it
+// A grant goes before what the gateway computes, until it expires; after that the gateway has what it
 // keeps. Released, it goes by its own again.
 func TestQuotaGrants(t *testing.T) {
 	for _, p := range []Plan{
@@ -78,7 +80,7 @@
 			lease Seconds
 			want  float64 // of the quota
 		}{
-			{QuotaGrant{}, 0, 0.25}, // nothing is held
+			{QuotaGrant{}, 0, 0.25}, // no grant
 			{QuotaGrant{Customer: "m", Rate: 0.9 * p.Rate, Keep: p.Rate / 16}, 60, 0.9},
 			{QuotaGrant{Customer: "m", Rate: 0.05 * p.Rate, Keep: p.Rate / 16}, 60, 0.05},
 			{QuotaGrant{Customer: "m", Rate: 0.9 * p.Rate, Keep: p.Rate / 16}, -1, 1.0 / 16},
@@ -99,7 +101,9 @@
 			h.run(3) // what the bucket holds, and the rate limit's
 			got := h.run(40)
 			if want := row.want * p.Rate; math.Abs(got-want) > 0.12*want+0.03 {
-				t.Errorf("%+v, held %+v for %v: %.2f a second, want %.2f", p, row.right, row.lease, got, want)
+				t.Errorf(
+					"%+v, granted %+v for %v: %.2f a second, want %.2f", p, row.right, row.lease, got, want,
+				)
 			}
 		}
 	}
@@ -115,13 +119,14 @@
 	other := h.g.backends["s2"]
 	other.healthy, other.recentAnswers, other.errorRate = true, 0.1, 0
 	h.g.SetSuspects(h.now, []string{"s1", "s2", "s3"})
-	if got := fmt.Sprint(
+	got := fmt.Sprint(
 		own.healthy, own.errorRate < suspectErrorRate, other.healthy, other.errorRate, len(h.g.backends),
-	); got != fmt.Sprint(true, true, false, suspectErrorRate, 2) {
-		t.Error(got)
+	)
+	if want := fmt.Sprint(true, true, false, suspectErrorRate, 2); got != want {
+		t.Errorf("got %s, want %s", got, want)
 	}
 	if bad := fmt.Sprint(h.g.UnhealthyServers(h.now)); bad != "[]" {
-		t.Errorf("what others said is told as its own: %s", bad)
+		t.Errorf("what others reported is reported as its own: %s", bad)
 	}
 	other.errorRate = 0.6
 	if bad := fmt.Sprint(h.g.UnhealthyServers(h.now)); bad != "[s2]" {
--- a/internal/decision/ratelimit/split_test.go
+++ b/internal/decision/ratelimit/split_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// fleet simulates a customer's requests over the gateways of a split and returns what was let through, and
-// how far the bucket that the rule is about came down at most: below minus the slack is a broken rule.
+// limitedFleet simulates a customer's requests over the gateways of a split and returns what was let through,
+// and how far the bucket that the rule is about came down at most: below minus the slack is a broken rule.
 type limitedFleet struct {
 	split                  Split
 	tokens, refilledAt     []float64
@@ -29,7 +29,7 @@
 	}
 }
 
-// ask has a request of some units come to a gateway; the answer of the counter and the send come late.
+// admit has a request of some units come to a gateway; the answer of the counter and the send come late.
 func (f *limitedFleet) admit(now float64, gateway int, units, late float64) {
 	f.tokens[gateway] = f.split.OwnTokens(f.tokens[gateway], now-f.refilledAt[gateway], 1)
 	f.refilledAt[gateway] = now
@@ -91,7 +91,7 @@
 			f.admit(now, at, float64(1+rng.IntN(4)), rng.Float64()*GrantValidity)
 		}
 		if f.lowest < -s.Slack {
-			t.Errorf("seed %d: the store came down to %.1f, slack %.1f", seed, f.lowest, s.Slack)
+			t.Errorf("seed %d: the bucket came down to %.1f, slack %.1f", seed, f.lowest, s.Slack)
 		}
 		if f.sent < 0.7*rate*27 {
 			t.Errorf("seed %d: %.0f units let through of %.0f", seed, f.sent, rate*30)
@@ -120,7 +120,7 @@
 	}
 	if refused[true] > 0.12 || refused[false] < 0.2 {
 		t.Errorf(
-			"refused inside the quota: %.3f with a common part, %.3f without", refused[true], refused[false],
+			"rejected within the quota: %.3f with a shared part, %.3f without", refused[true], refused[false],
 		)
 	}
 }
--- a/internal/standalone/fleet/gossip/instance.go
+++ b/internal/standalone/fleet/gossip/instance.go
@@ -1,11 +1,11 @@
 package gossip
 
 import (
+	"cmp"
+	"log"
+	"math"
 	"net"
-	"net/netip"
 	"strconv"
-	"strings"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -15,241 +15,131 @@
 	"mulleinrouter/internal/standalone/fleet/membership"
 )
 
-// NodeMeta is what this member says of itself.
-func (i *instance) NodeMeta(limit int) []byte {
-	if b := *i.fleet.meta.Load(); len(b) <= limit {
-		return b
-	}
-	return nil
-}
+// Parameters of the SWIM protocol.
+const (
+	gossipNodes            = 3
+	suspicionTimeout       = 2400 * time.Millisecond // for a suspected member to refute, about
+	minSuspicionMultiplier = 4
+	maxSuspicionMultiplier = 10
+	maxTimeoutMultiplier   = 2 // of the suspicion time-out, without confirmations
+	pushPullInterval       = 15 * time.Second
+	tcpTimeout             = 3 * time.Second
+	deadNodeReclaimTime    = time.Second
+	gossipToTheDeadTime    = 15 * time.Second
+)
 
-// NotifyMsg takes a message. The protocol waits meanwhile: it is only looked at.
-func (i *instance) NotifyMsg(b []byte) {
-	m := &message{}
-	if err := decode(b, m); err != nil || m.From == "" || len(m.From) > 64 {
-		i.fleet.meter.refused.Add(1)
-		return
-	}
-	if i.gone.Load() {
-		return
-	}
-	if m.Kind == load {
-		if take := i.fleet.takers[m.Topic].Load(); take != nil {
-			(*take)(m.From, m.Data)
-		}
-		return
-	}
-	select {
-	case i.fleet.words <- m:
-	default:
-		i.fleet.mu.Lock()
-		i.fleet.lost++
-		i.fleet.mu.Unlock()
-	}
+// instance is one run of the SWIM protocol. After a pause of the process another one is started.
+type instance struct {
+	fleet      *Fleet
+	memberlist *memberlist.Memberlist
+	transport  *transport
+	closed     atomic.Bool
 }
 
-// GetBroadcasts, LocalState and MergeRemoteState: what the fleet shares does not travel with the protocol.
-func (i *instance) GetBroadcasts(int, int) [][]byte   { return nil }
-func (i *instance) LocalState(bool) []byte            { return nil }
-func (i *instance) MergeRemoteState(_ []byte, _ bool) {}
-
-// NotifyJoin, NotifyUpdate and NotifyLeave are called with the protocol's mutex held: what they tell is taken note of.
-func (i *instance) NotifyJoin(n *memberlist.Node)   { i.tell(n, membership.Alive) }
-func (i *instance) NotifyUpdate(n *memberlist.Node) { i.tell(n, membership.Alive) }
-func (i *instance) NotifyLeave(n *memberlist.Node)  { i.tell(n, membership.Dead) }
-
-func (i *instance) tell(n *memberlist.Node, s membership.State) {
-	f := i.fleet
-	if i.gone.Load() || n.Name == f.o.Name {
+// startInstance starts the protocol. While an older process of this ingress has the address it fails, and is retried.
+func (f *Fleet) startInstance() {
+	inner, addr, err := f.newTransport()
+	if err != nil {
+		if f.protocolLog.fail(bindFailure) {
+			f.log.WithFields(logrus.Fields{"code": "fleet-address-taken", "listen": f.options.Listen}).WithError(err).
+				Warn("cannot listen at the fleet's address; it is retried")
+		}
 		return
 	}
-	t := membership.Told{State: s, Member: membership.Member{Name: n.Name, Addr: net.JoinHostPort(n.Addr.String(), strconv.Itoa(int(n.Port)))}}
-	var a about
-	if err := decode(n.Meta, &a); err != nil && s == membership.Alive {
-		f.meter.refused.Add(1)
+	i := &instance{fleet: f}
+	i.transport = wrapTransport(inner, &f.meter, func() bool { return i.closed.Load() || f.paused() })
+	host, port, err := net.SplitHostPort(addr)
+	if err != nil {
+		i.transport.Shutdown()
 		return
 	}
-	t.Member.Claim, t.Member.Zone, t.Member.Version, t.Member.Phase, t.Member.Number = claimOf(a.Claim), a.Zone, a.Version, a.Phase, a.Number
-	if s == membership.Dead && a.Phase == membership.Leaving {
-		t.State = membership.Left // it said so before
-	}
 	f.mu.Lock()
-	if len(f.pending) < 4*membership.MostMembers { // beyond, the next exchange of the whole state tells again
-		f.pending = append(f.pending, t)
-	}
+	f.view.SetAddr(addr)
 	f.mu.Unlock()
-	select {
-	case f.wake <- struct{}{}:
-	default:
-	}
-}
-
-// send sends a message as a datagram, which may be lost.
-func (i *instance) send(name, addr string, m *message) {
-	if to, err := udpAddr(addr); err == nil {
-		i.list.SendToAddress(memberlist.Address{Addr: to.String(), Name: name}, encode(m))
-	}
-}
-
-// Handle has messages of a topic taken. take must not wait: the protocol does meanwhile.
-func (f *Fleet) Handle(t Topic, take func(from string, data []byte)) { f.takers[t].Store(&take) }
-
-// Send sends a payload to a member: as a datagram, which may be lost, or where it is long by a stream, which may come late or not
-// at all. Beyond mostStreams at once it is lost.
-func (f *Fleet) Send(name string, t Topic, data []byte) {
-	i := f.inst.Load()
-	if i == nil {
+	if i.memberlist, err = memberlist.Create(f.protocolConfig(i, host, port)); err != nil {
+		i.transport.Shutdown()
+		f.log.WithField("code", "fleet-protocol").WithError(err).
+			Error("cannot start the membership protocol; it is retried")
 		return
 	}
+	f.protocolLog.resolve(bindFailure)
+	f.instance.Store(i)
 	f.mu.Lock()
-	addr := f.view.Addr(name)
+	f.nextJoinAt = time.Time{}
+	f.joined = false
+	f.exchangesDone = 0
 	f.mu.Unlock()
-	to, err := udpAddr(addr)
-	if err != nil {
-		return
-	}
-	m := &message{Kind: load, From: f.o.Name, Topic: t, Data: data}
-	if len(data) <= mostDatagram {
-		i.list.SendToAddress(memberlist.Address{Addr: to.String(), Name: name}, encode(m))
-		return
-	}
-	select {
-	case f.streams <- struct{}{}:
-	default:
-		return
-	}
-	go func() {
-		defer func() { <-f.streams }()
-		a, err := netip.ParseAddrPort(addr)
-		if err == nil {
-			i.list.SendReliable(&memberlist.Node{Name: name, Addr: a.Addr().AsSlice(), Port: a.Port()}, encode(m))
-		}
-	}()
+	f.step(membership.ProtocolRestarted{})
+	f.log.WithFields(logrus.Fields{
+		"code":  "fleet-started",
+		"fleet": f.options.Fleet,
+		"addr":  addr,
+		"bound": f.boundAddr(inner),
+		"boot":  f.Self().Boot,
+	}).Info("membership protocol started")
 }
 
-// answerRow tells a member whom this one hears.
-func (f *Fleet) answerRow(m *message) {
-	i := f.inst.Load()
-	if i == nil {
-		return
-	}
-	select {
-	case f.sending <- struct{}{}:
-	default:
-		return // more operators ask than there need be
-	}
-	f.mu.Lock()
-	answer := &message{Kind: row, From: f.o.Name, Ask: m.Ask, Row: f.row()}
-	f.mu.Unlock()
-	go func() {
-		defer func() { <-f.sending }()
-		for _, n := range i.list.Members() {
-			if n.Name == m.From {
-				i.list.SendReliable(n, encode(answer))
-				return
-			}
-		}
-	}()
+// protocolConfig is the configuration of an instance that others reach at host and port.
+func (f *Fleet) protocolConfig(i *instance, host, port string) *memberlist.Config {
+	c := memberlist.DefaultLANConfig()
+	c.Name = f.options.Name
+	c.Label = f.options.Fleet
+	c.Transport = i.transport
+	c.Keyring = f.keyring
+	c.AdvertiseAddr = host
+	c.AdvertisePort, _ = strconv.Atoi(port)
+	c.BindPort = c.AdvertisePort
+	c.ProbeInterval = f.options.Interval
+	c.ProbeTimeout = f.options.Interval * 2 / 5
+	c.GossipInterval = f.options.Interval / 4
+	c.GossipNodes = gossipNodes
+	c.SuspicionMult = suspicionMultiplier(f.options.Interval, f.options.Expect)
+	c.SuspicionMaxTimeoutMult = maxTimeoutMultiplier
+	c.PushPullInterval = pushPullInterval
+	c.TCPTimeout = tcpTimeout
+	c.DeadNodeReclaimTime = deadNodeReclaimTime
+	c.GossipToTheDeadTime = gossipToTheDeadTime
+	c.EnableCompression = false
+	c.Delegate = i
+	c.Events = i
+	c.Logger = log.New(f.protocolLog, "", 0)
+	return c
 }
 
-// row is whom this member hears. The mutex is held.
-func (f *Fleet) row() map[string]membership.Link {
-	all := map[string]membership.Link{}
-	for _, s := range f.view.Members(f.now()) {
-		if s.Name != f.o.Name {
-			all[s.Name] = s.Link
-		}
-	}
-	return all
+// suspicionMultiplier is memberlist's multiplier with which a suspected member has about suspicionTimeout to refute.
+// memberlist's own time-out grows with the logarithm of the fleet's size: in a small fleet with 30% of loss it declared
+// healthy members dead too soon.
+func suspicionMultiplier(interval time.Duration, fleetSize int) int {
+	scale := max(1, math.Log10(float64(max(1, fleetSize))))
+	multiplier := int(math.Round(suspicionTimeout.Seconds() / (interval.Seconds() * scale)))
+	return min(maxSuspicionMultiplier, max(minSuspicionMultiplier, multiplier))
 }
 
-// Links asks all members whom they hear. Those that do not answer have no row.
-func (f *Fleet) Links() map[string]map[string]membership.Link {
-	f.mu.Lock()
-	rows := map[string]map[string]membership.Link{f.o.Name: f.row()}
-	ask := uint64(time.Since(f.base)) // of this process, no two questions have one number
-	wait := make(chan *message, membership.MostMembers)
-	f.rows[ask] = wait
-	f.mu.Unlock()
-	defer func() {
-		f.mu.Lock()
-		delete(f.rows, ask)
-		f.mu.Unlock()
-	}()
-	i := f.inst.Load()
-	if i == nil {
-		return rows
+// newTransport returns the transport of an instance and the address at which others reach it.
+func (f *Fleet) newTransport() (memberlist.NodeAwareTransport, string, error) {
+	if f.options.Network != nil {
+		return f.options.Network()
 	}
-	wanted := 0
-	for _, n := range i.list.Members() {
-		if n.Name != f.o.Name {
-			wanted++
-			i.send(n.Name, n.Address(), &message{Kind: rowAsk, From: f.o.Name, Ask: ask})
-		}
-	}
-	for late := time.After(linksWait); len(rows) <= wanted; {
-		select {
-		case m := <-wait:
-			rows[m.From] = m.Row
-		case <-late:
-			return rows
-		}
+	s, err := listen(f.options.Listen, log.New(f.protocolLog, "", 0))
+	if err != nil {
+		return nil, "", err
 	}
-	return rows
-}
-
-// lines takes the protocol's log: refusals are counted, the rest is for debugging.
-type lines struct {
-	log     *logrus.Logger
-	refused *atomic.Int64
-
-	mu   sync.Mutex
-	told map[string]bool
-	at   time.Time
+	host, _, _ := net.SplitHostPort(f.options.Listen)
+	return s, cmp.Or(f.options.Advertise, s.boundAddr(host)), nil
 }
 
-// refusals are what the protocol says of packets and streams that it does not take.
-var refusals = []string{"Decrypt packet failed", "unacceptable label", "failed to receive", "not supported", "Failed to decode", "missing message type",
-	"invalid checksum", "truncated messages", "Received invalid msgType", "double packet label", "packet too short", "label header"}
-
-const refusedEvery = 10 * time.Second
-
-func (l *lines) Write(b []byte) (int, error) {
-	text := strings.TrimSpace(string(b))
-	for _, r := range refusals {
-		if !strings.Contains(text, r) {
-			continue
-		}
-		n := l.refused.Add(1)
-		l.mu.Lock()
-		due := time.Since(l.at) > refusedEvery
-		if due {
-			l.at = time.Now()
-		}
-		l.mu.Unlock()
-		if due {
-			l.log.WithFields(logrus.Fields{"code": "fleet-refused", "count": n, "why": text}).Warn("something came that is not of this fleet; it changes nothing")
-		}
-		return len(b), nil
+// boundAddr returns the address at which a transport listens; empty if it isn't one on sockets.
+func (f *Fleet) boundAddr(t memberlist.NodeAwareTransport) string {
+	if s, ok := t.(*sockets); ok {
+		return s.boundAddr(s.localAddr.IP.String())
 	}
-	l.log.WithField("code", "fleet-protocol").Debug(text)
-	return len(b), nil
+	return ""
 }
 
-// once tells whether a trouble is new; again forgets it.
-func (l *lines) once(what string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.told == nil {
-		l.told = map[string]bool{}
+// stopInstance ends the protocol without announcing it.
+func (f *Fleet) stopInstance() {
+	if i := f.instance.Swap(nil); i != nil {
+		i.closed.Store(true)
+		i.memberlist.Shutdown()
 	}
-	was := l.told[what]
-	l.told[what] = true
-	return !was
-}
-
-func (l *lines) again(what string) {
-	l.mu.Lock()
-	delete(l.told, what)
-	l.mu.Unlock()
 }
--- a/internal/standalone/fleet/membership/probing.go
+++ b/internal/standalone/fleet/membership/probing.go
@@ -4,153 +4,194 @@
 	"slices"
 )
 
-// question is one that is out.
-type question struct {
-	to    string
-	first uint64 // sequence number of its first try
-	last  bool   // to one that the protocol gave up
-	tried int
-	began Seconds // when it was first tried
-	next  Seconds
+// Durations of probing, in seconds, and counts.
+const (
+	probeInterval      = 0.5  // between the starts of two probes
+	probeRetryInterval = 0.25 // between two attempts of a probe
+	isolationDelay     = 0.8  // without a message of any member: probes are sent twice as often
+	rejoinInterval     = 2.0  // between two Rejoin actions
+
+	probeAttempts      = 3  // until a probe counts as missed
+	finalProbeAttempts = 14 // of the probe of a member that the protocol declared dead, two at each tick
+	deadProbePeriod    = 4  // every so many probes go to a dead member: it may be reachable, or reach this one
+	missedProbePeriod  = 2  // every so many go to a member whose last probe was missed
+)
+
+// probe is a pending probe of a member. Each attempt has a sequence number of its own, from firstSeq.
+type probe struct {
+	target        string
+	firstSeq      uint64
+	final         bool // the protocol declared the target dead
+	attempts      int
+	startedAt     Seconds // of the first attempt
+	nextAttemptAt Seconds
 }
 
-// tries are those that a question has.
-func (q question) tries() int {
-	if q.last {
-		return lastTries
+// maxAttempts is after how many attempts the probe is missed.
+func (p probe) maxAttempts() int {
+	if p.final {
+		return finalProbeAttempts
 	}
-	return tries
+	return probeAttempts
 }
 
-type result struct {
-	at       Seconds
-	answered bool
+// probeResult is a probe that ended.
+type probeResult struct {
+	at           Seconds
+	acknowledged bool
 }
 
-// ask says words: again to whom did not answer, and to the next in turn.
-func (v *View) ask(now Seconds) (actions []Action) {
-	v.asks = slices.DeleteFunc(v.asks, func(q question) bool {
-		p := v.peers[q.to]
-		if p == nil {
-			return true
-		}
-		if now < q.next || q.tried < q.tries() {
-			return false
-		}
-		if p.misses++; p.misses == 1 {
-			p.began = q.began
-		}
-		p.missed, p.missing = now, p.in < q.began
-		p.doubt = p.doubt && !q.last
-		if p.told == Alive {
-			v.results = append(v.results, result{now, false}) // that the dead do not answer proves nothing
+// sendProbes ends the probes that were missed, sends further attempts of those that are due, and starts the next one.
+func (v *View) sendProbes(now Seconds) (actions []Action) {
+	v.probes = slices.DeleteFunc(v.probes, func(q probe) bool { return v.endMissedProbe(now, q) })
+	for i := range v.probes {
+		q := &v.probes[i]
+		if now < q.nextAttemptAt {
+			continue
 		}
-		return true
-	})
-	for i := range v.asks {
-		if q := &v.asks[i]; now >= q.next {
-			actions = append(actions, v.try(now, q))
-			if q.last && q.tried < q.tries() {
-				actions = append(actions, v.try(now, q))
-			}
+		actions = append(actions, v.sendProbe(now, q))
+		if q.final && q.attempts < q.maxAttempts() {
+			actions = append(actions, v.sendProbe(now, q))
 		}
 	}
-	if now >= v.askAt {
-		v.askAt = max(v.askAt+askEvery, now)
-		name := ""
-		if v.contact > 0 && now > v.contact+hearNone {
-			// One that hears nobody: those that hear it have nothing but its questions to know that it lives.
-			v.askAt = now + askEvery/2
-			name = v.round()
-		} else {
-			name = v.turn()
-		}
-		if name != "" {
-			q := question{to: name, first: v.seq + 1}
-			actions = append(actions, v.try(now, &q))
-			v.asks = append(v.asks, q)
+	if now >= v.nextProbeAt {
+		if target := v.scheduleProbe(now); target != "" {
+			q := probe{target: target, firstSeq: v.seq + 1}
+			actions = append(actions, v.sendProbe(now, &q))
+			v.probes = append(v.probes, q)
 		}
 	}
-	if now >= v.rejoinAt {
-		v.rejoinAt = now + rejoinEvery
-		if p := v.lost(); p != nil {
-			v.rejoined = p.member.Name
-			actions = append(actions, Rejoin{p.member.Name, p.member.Addr})
+	if now >= v.nextRejoinAt {
+		v.nextRejoinAt = now + rejoinInterval
+		if p := v.nextLostMember(); p != nil {
+			v.lastRejoined = p.member.Name
+			actions = append(actions, Rejoin{Name: p.member.Name, Addr: p.member.Addr})
 		}
 	}
 	return actions
 }
 
-func (v *View) try(now Seconds, q *question) Action {
-	if q.tried++; q.tried == 1 {
-		q.began = now
+// endMissedProbe reports whether a probe is over, and counts it as missed.
+func (v *View) endMissedProbe(now Seconds, q probe) bool {
+	p := v.peers[q.target]
+	if p == nil {
+		return true
+	}
+	if now < q.nextAttemptAt || q.attempts < q.maxAttempts() {
+		return false
+	}
+	p.consecutiveMisses++
+	if p.consecutiveMisses == 1 {
+		p.firstMissProbedAt = q.startedAt
+	}
+	p.lastMiss = now
+	p.lastProbeMissed = p.lastContact < q.startedAt
+	p.finalProbePending = p.finalProbePending && !q.final
+	if p.protocolState == Alive { // a dead member that doesn't answer says nothing about the reachability
+		v.probeResults = append(v.probeResults, probeResult{at: now, acknowledged: false})
+	}
+	return true
+}
+
+// scheduleProbe picks the target of the next probe and sets when the one after it is due. Empty: nobody is to
+// be probed.
+func (v *View) scheduleProbe(now Seconds) (target string) {
+	v.nextProbeAt = max(v.nextProbeAt+probeInterval, now)
+	if v.lastContact > 0 && now > v.lastContact+isolationDelay {
+		// Members that still receive from this one know only by its probes that it is alive.
+		v.nextProbeAt = now + probeInterval/2
+		return v.nextRoundRobin()
 	}
-	q.next = now + tryEvery
-	if q.last && q.tried < q.tries() {
-		q.next = now // with the next tick: a death is not known later, and chance alone has it missed less
+	return v.nextTarget()
+}
+
+// sendProbe sends one attempt of a probe.
+func (v *View) sendProbe(now Seconds, q *probe) Action {
+	q.attempts++
+	if q.attempts == 1 {
+		q.startedAt = now
+	}
+	q.nextAttemptAt = now + probeRetryInterval
+	if q.final && q.attempts < q.maxAttempts() {
+		// With the next tick: many attempts make it unlikely that loss alone misses the probe, and a death is known no later.
+		q.nextAttemptAt = now
 	}
-	v.seq++
-	return Say{q.to, v.peers[q.to].member.Addr, Word{From: v.self.Name, Addr: v.self.Addr, Claim: v.self.Claim, Seq: v.seq}}
+	return SendMessage{To: q.target, Addr: v.peers[q.target].member.Addr, Message: v.newMessage()}
 }
 
-// round is whom to ask next where nobody answers: all, one after another.
-func (v *View) round() string {
-	all := v.names(func(p *peer) bool { return p.told != Left })
-	v.asked++
+// nextRoundRobin is the next target while no member answers: all that haven't left, one after another.
+func (v *View) nextRoundRobin() string {
+	all := v.sortedNames(func(p *peer) bool { return p.protocolState != Left })
+	v.probeTurns++
 	for i := range all {
-		if name := all[(v.asked+i)%len(all)]; !slices.ContainsFunc(v.asks, func(q question) bool { return q.to == name }) {
+		if name := all[(v.probeTurns+i)%len(all)]; !v.isProbed(name) {
 			return name
 		}
 	}
 	return ""
 }
 
-// turn is whom to ask next: all that are alive, in an order drawn for each round, now and then one that is dead, and more
-// often one that did not answer, so that a doubt does not outlast its cause by a round.
-func (v *View) turn() string {
-	v.asked++
-	for _, also := range []struct {
-		every int
-		is    func(*peer) bool
-	}{{deadEvery, func(p *peer) bool { return p.told == Dead }}, {doubtEvery, func(p *peer) bool { return p.told == Alive && p.missing }}} {
-		if v.asked%also.every != 0 {
+// nextTarget is the next target otherwise: all members that are alive, in a random order for each round. In
+// between come dead members and, more often, those whose last probe was missed, so that a suspicion is
+// settled within a round.
+func (v *View) nextTarget() string {
+	v.probeTurns++
+	for _, extra := range []struct {
+		period int
+		is     func(*peer) bool
+	}{
+		{deadProbePeriod, func(p *peer) bool { return p.protocolState == Dead }},
+		{missedProbePeriod, func(p *peer) bool { return p.protocolState == Alive && p.lastProbeMissed }},
+	} {
+		if v.probeTurns%extra.period != 0 {
 			continue
 		}
-		if some := v.names(also.is); len(some) > 0 {
-			return some[v.rng.IntN(len(some))]
+		if names := v.sortedNames(extra.is); len(names) > 0 {
+			return names[v.rng.IntN(len(names))]
 		}
 	}
-	for range 2 {
-		for len(v.order) > 0 {
-			name := v.order[0]
-			v.order = v.order[1:]
-			if p := v.peers[name]; p != nil && p.told == Alive && !slices.ContainsFunc(v.asks, func(q question) bool { return q.to == name }) {
+	isAlive := func(p *peer) bool { return p.protocolState == Alive }
+	for range 2 { // the rest of this round, then a new one
+		for len(v.probeOrder) > 0 {
+			name := v.probeOrder[0]
+			v.probeOrder = v.probeOrder[1:]
+			if p := v.peers[name]; p != nil && isAlive(p) && !v.isProbed(name) {
 				return name
 			}
 		}
-		v.order = v.names(func(p *peer) bool { return p.told == Alive })
-		v.rng.Shuffle(len(v.order), func(i, j int) { v.order[i], v.order[j] = v.order[j], v.order[i] })
+		v.probeOrder = v.sortedNames(isAlive)
+		v.rng.Shuffle(len(v.probeOrder), func(i, j int) {
+			v.probeOrder[i], v.probeOrder[j] = v.probeOrder[j], v.probeOrder[i]
+		})
 	}
 	return ""
 }
 
-// names are those of the peers of a kind, sorted: the order of a map would make chance of it.
-func (v *View) names(is func(*peer) bool) (all []string) {
+// isProbed reports whether a probe of a member is pending.
+func (v *View) isProbed(name string) bool {
+	return slices.ContainsFunc(v.probes, func(q probe) bool { return q.target == name })
+}
+
+// sortedNames returns the names of the peers of a kind. They are sorted: the order of a map would make runs
+// with the same seed differ.
+func (v *View) sortedNames(is func(*peer) bool) (names []string) {
 	for name, p := range v.peers {
 		if is(p) {
-			all = append(all, name)
+			names = append(names, name)
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
 
-// lost is the next of those that are dead and belong to the fleet, in turn.
-func (v *View) lost() *peer {
-	all := v.names(func(p *peer) bool { return p.told == Dead && p.agreed && p.member.Addr != "" })
-	if len(all) == 0 {
+// nextLostMember returns the next dead member of the agreed membership, in turn; nil if there is none.
+func (v *View) nextLostMember() *peer {
+	names := v.sortedNames(func(p *peer) bool {
+		return p.protocolState == Dead && p.agreed && p.member.Addr != ""
+	})
+	if len(names) == 0 {
 		return nil
 	}
-	i, _ := slices.BinarySearch(all, v.rejoined+"\x00")
-	return v.peers[all[i%len(all)]]
+	i, _ := slices.BinarySearch(names, v.lastRejoined+"\x00") // the first name behind the last one
+	return v.peers[names[i%len(names)]]
 }
--- a/internal/standalone/node/node.go
+++ b/internal/standalone/node/node.go
@@ -47,7 +47,7 @@
 	reloadsApplied, reloadsRejected atomic.Int64 // configuration files read at SIGHUP
 
 	fleet     *gossip.Fleet           // the other ingresses; nil: there is no membership
-	quotaSync *quotasync.Sharing      // shares quotas and verdicts on servers with them; nil: nothing is shared
+	quotaSync *quotasync.Service      // shares quotas and verdicts on servers with them; nil: nothing is shared
 	leases    *leaseservice.Service   // leases of singleton roles; nil: there are no voters
 	announcer *leaseservice.Announcer // orders catalogue revisions; nil: the catalogue's file alone counts
 
