--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -58,8 +58,8 @@
 			capacity.Amount(s.A, s.Unit),
 			capacity.Amount(s.B, s.Unit),
 			100*s.Worst(),
-			s.Held.N,
-			capacity.Amount(s.Held.Y, s.Unit),
+			s.HeldOut.N,
+			capacity.Amount(s.HeldOut.Y, s.Unit),
 			capacity.Amount(s.Predicted, s.Unit),
 			100*s.Off,
 		)
@@ -116,7 +116,7 @@
 	if err != nil {
 		return unusable{err}
 	}
-	report, err := p.Reckon(run)
+	report, err := p.Estimate(run)
 	if err != nil {
 		return unusable{err}
 	}
--- a/internal/emulator/capacity/estimate.go
+++ b/internal/emulator/capacity/estimate.go
@@ -379,7 +379,7 @@
 	r.row("all", "a change in force, calm, nothing waiting", "s", r.of("limits.change_s"), way.terms)
 }
 
-// Reckon reckons the needs at the size of the plan, and for each up to which part of that size it keeps its limit. It
+// Estimate reckons the needs at the size of the plan, and for each up to which part of that size it keeps its limit. It
 // errs where the run lacks a slope.
 func (p *Plan) Estimate(run *costmodel.Run) (*Report, error) {
 	rows, err := p.estimate(run)
--- a/internal/emulator/costmodel/gateway.go
+++ b/internal/emulator/costmodel/gateway.go
@@ -87,7 +87,8 @@
 // attempt.
 func (x *gate) request(tenant int, group string, gatewayCount int) {
 	x.id++
-	r := decision.Request{ID: x.id, Class: "r", Kind: x.class, Group: group, TimeLeft: 0.9, Units: 1, Gateways: gatewayCount}
+	r := decision.Request{ID: x.id, Class: "r", Kind: x.class, Group: group, TimeLeft: 0.9, Units: 1,
+		Gateways: gatewayCount}
 	if len(x.terms) > 0 {
 		t := x.terms[tenant%len(x.terms)]
 		r.Customer, r.Terms = t.Customer, t
--- a/internal/emulator/fakes/quotes.go
+++ b/internal/emulator/fakes/quotes.go
@@ -1,5 +1,5 @@
 // Package fakes has small servers that stand in for what an ingress meets, written from PROTOCOL: quote servers,
-// discovery with its watch, a billing endpoint. The counter is that of package counterd. They listen on loopback
+// discovery with its watch, a billing endpoint. The counter is that of package counterserver. They listen on loopback
 // only. Tests, measurements and `mulleinrouter try` use them.
 package fakes
 
--- a/internal/emulator/faultnet/faultnet.go
+++ b/internal/emulator/faultnet/faultnet.go
@@ -138,7 +138,7 @@
 	return d
 }
 
-// Piece tells by how much a piece of a stream is held. While the link is cut, wait is not nil: closed, it is asked
+// Transfer tells by how much a piece of a stream is held. While the link is cut, wait is not nil: closed, it is asked
 // again.
 func (l *Links) Transfer(from, to string, size int) (delay time.Duration, wait <-chan struct{}) {
 	l.mu.Lock()
--- a/internal/emulator/modelcheck/connections.go
+++ b/internal/emulator/modelcheck/connections.go
@@ -70,7 +70,8 @@
 // "Figures").
 func (w *World) goesOut(t *try) {
 	if s := w.server(t.backend); s != nil && (!s.listed || !s.serving) && w.now > s.drainingSince+grace+1e-9 {
-		w.violate("drained", "%s goes out to %s %.2f s after that was told to be drained", t.client.name, s.id, w.now-s.drainingSince)
+		w.violate("drained", "%s goes out to %s %.2f s after that was told to be drained", t.client.name, s.id,
+			w.now-s.drainingSince)
 	}
 }
 
--- a/internal/emulator/testcluster/report.go
+++ b/internal/emulator/testcluster/report.go
@@ -247,7 +247,8 @@
 	for _, l := range p.Lines {
 		wrong += l.Outcomes[Wrong]
 	}
-	return p.Covered && p.Conflicts == 0 && p.TwiceUnsafe == 0 && p.Nearest <= 1 && p.Unmetered.Requests == 0 && wrong == 0 &&
+	return p.Covered && p.Conflicts == 0 && p.TwiceUnsafe == 0 && p.Nearest <= 1 && p.Unmetered.Requests == 0 &&
+		wrong == 0 &&
 		len(p.Problems) == 0
 }
 
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -37,7 +37,8 @@
 
 // harmless lists what they may import besides each other: nothing here reads a clock, a file or a socket, or
 // starts a goroutine. rand/v2 is used with seeds that the host gives.
-var harmless = []string{"bytes", "cmp", "encoding/binary", "errors", "fmt", "hash/crc32", "hash/fnv", "iter", "maps", "math", "math/bits", "math/rand/v2",
+var harmless = []string{"bytes", "cmp", "encoding/binary", "errors", "fmt", "hash/crc32", "hash/fnv", "iter", "maps",
+	"math", "math/bits", "math/rand/v2",
 	"slices", "sort", "strconv", "strings", "unicode", "unicode/utf16", "unicode/utf8"}
 
 func TestDecisionsAreFreeOfInputAndOutput(t *testing.T) {
@@ -73,8 +74,8 @@
 	}
 }
 
-// allowed lists, for each folder at the first level of internal/, which others its packages may import. decision may be imported
-// by all but the programs of the control side.
+// allowed lists, for each folder at the first level of internal/, which others its packages may import. decision may
+// be imported by all but the programs of the control side.
 var allowed = map[string][]string{
 	"agent":      {"cluster"},
 	"cluster":    {"cluster", "mutants"},
--- a/internal/layers/packages_test.go
+++ b/internal/layers/packages_test.go
@@ -73,7 +73,9 @@
 	is.True(build != nil && list != nil)
 	commands := regexp.MustCompile(`\./cmd/\w+`).FindAllString(build[1], -1)
 	is.Equal(len(commands), 3)
-	command := exec.Command("go", append([]string{"list", "-deps", "-json=ImportPath,CgoFiles,CFiles,CXXFiles,FFiles,SwigFiles,CgoPkgConfig,CgoLDFLAGS"}, commands...)...)
+	command := exec.Command("go",
+		append([]string{"list", "-deps",
+			"-json=ImportPath,CgoFiles,CFiles,CXXFiles,FFiles,SwigFiles,CgoPkgConfig,CgoLDFLAGS"}, commands...)...)
 	command.Dir, command.Env = "../..", append(os.Environ(), "CGO_ENABLED=1")
 	out, err := command.Output()
 	is.NoErr(err)
@@ -99,6 +101,7 @@
 		}
 	}
 	// What a new dependency would call for is found.
-	found := systemPackages([]listed{{ImportPath: "x", CXXFiles: []string{"a.cc"}, CgoLDFLAGS: []string{"-lz", "-lm"}, CgoPkgConfig: []string{"libuv"}}}, false)
+	found := systemPackages([]listed{{ImportPath: "x", CXXFiles: []string{"a.cc"}, CgoLDFLAGS: []string{"-lz", "-lm"},
+		CgoPkgConfig: []string{"libuv"}}}, false)
 	is.Equal(len(found), 4) // g++, pkg-config, libuv's package and libz's
 }
--- a/internal/standalone/usageexport/export.go
+++ b/internal/standalone/usageexport/export.go
@@ -55,9 +55,9 @@
 
 // cursor is how far segments have been read into batches.
 type cursor struct {
-	Batch   uint64               `json:"batch"`   // the last one that was made
-	Segment uint64               `json:"segment"` // the last one read
-	Writer  uint64               `json:"writer"`
+	Batch   uint64                   `json:"batch"`   // the last one that was made
+	Segment uint64                   `json:"segment"` // the last one read
+	Writer  uint64                   `json:"writer"`
 	Pending map[uint64]usage.Request `json:"pending"` // out when that segment ended
 }
 
--- a/internal/standalone/usagesegment/segment_test.go
+++ b/internal/standalone/usagesegment/segment_test.go
@@ -154,7 +154,7 @@
 		w.Ended(0, usage.Arrived)
 	}
 	w.Ended(before, usage.Arrived) // its end waits for room
-	w.look(true)                 // still full
+	w.look(true)                   // still full
 	if m := w.Missed(); m != (usage.Sum{Requests: 10, Units: 20 * usage.Micro}) {
 		t.Errorf("missed %+v", m)
 	}
