--- a/internal/standalone/cli/usage.go
+++ b/internal/standalone/cli/usage.go
@@ -54,7 +54,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	logger := newLogger(p.err, p.LogFormat)
-	e := &usageexport.Exporter{Dir: c.Dir, Endpoint: c.To, Keep: keep, Log: logger}
+	e := &usageexport.Exporter{Dir: c.Dir, Endpoint: c.To, Retention: keep, Log: logger}
 	if err := opened(e); err != nil {
 		return err
 	}
@@ -112,8 +112,8 @@
 	fmt.Fprintf(t, "billed\t%s\n", units(v.Known))
 	fmt.Fprintf(t, "arrival not known\t%s, listed apart\n", units(v.Unknown))
 	fmt.Fprintf(t, "not recorded\t%s, for want of room\n", units(v.Unmetered))
-	fmt.Fprintf(t, "in no batch yet\t%s\n", units(v.Waiting))
-	fmt.Fprintf(t, "out\t%d tries\n", v.Out)
+	fmt.Fprintf(t, "in no batch yet\t%s\n", units(v.NotExported))
+	fmt.Fprintf(t, "out\t%d tries\n", v.InFlight)
 	t.Flush()
 	if len(v.Problems) > 0 {
 		return fmt.Errorf("%d problems: %s", len(v.Problems), strings.Join(v.Problems, "; "))
--- a/internal/standalone/node/usage.go
+++ b/internal/standalone/node/usage.go
@@ -63,7 +63,7 @@
 	dir, otherDir = usage.Dir, usage.Dir+secondaryDirSuffix
 	writer, err = usagesegment.Open(dir, usage.Rotate, n.log)
 	for range openDirAttempts {
-		if !errors.Is(err, usagesegment.ErrTaken) || n.peers == nil {
+		if !errors.Is(err, usagesegment.ErrLocked) || n.peers == nil {
 			break
 		}
 		dir, otherDir = otherDir, dir
@@ -77,7 +77,7 @@
 func (n *Node) startExporter(ctx context.Context, dir string) error {
 	exporter := n.newExporter(dir)
 	err := exporter.Open()
-	if errors.Is(err, usageexport.ErrTaken) {
+	if errors.Is(err, usageexport.ErrLocked) {
 		n.spawn(func() {
 			if n.openWhenUnlocked(ctx, exporter.Open) {
 				defer exporter.Close()
@@ -99,7 +99,7 @@
 	exporter := &usageexport.Exporter{
 		Dir:      dir,
 		Endpoint: n.config.Usage.Endpoint,
-		Keep:     n.config.Usage.Keep,
+		Retention:     n.config.Usage.Keep,
 		Log:      n.log,
 	}
 	if n.leases != nil {
@@ -119,7 +119,7 @@
 		if err == nil {
 			return true
 		}
-		if !errors.Is(err, usageexport.ErrTaken) && !errors.Is(err, usagesegment.ErrTaken) {
+		if !errors.Is(err, usageexport.ErrLocked) && !errors.Is(err, usagesegment.ErrLocked) {
 			n.log.WithField("code", "usage-bad-segment").WithError(err).
 				Error("cannot export the usage records of another process; the command usage export does it")
 			return false
--- a/internal/standalone/usageexport/export.go
+++ b/internal/standalone/usageexport/export.go
@@ -34,14 +34,14 @@
 )
 
 const (
-	storeName    = "export.db"
-	mostRows     = 20_000 // of a batch, by the segments that it ends with
-	mostAnswer   = 64 << 10
-	answerMost   = 30 * time.Second // for the endpoint to answer
-	lockMost     = time.Second      // for another exporter to go
-	lookEvery    = 2 * time.Second  // for segments that have been closed
-	keptBatches  = 10_000           // that were acknowledged, for verify and show
-	historyEvery = 256              // batches between looks at how many are kept
+	storeFile    = "export.db"
+	maxBatchRows     = 20_000 // of a batch, by the segments that it ends with
+	maxAnswerBytes   = 64 << 10
+	answerTimeout   = 30 * time.Second // for the endpoint to answer
+	lockTimeout     = time.Second      // for another exporter to go
+	pollInterval    = 2 * time.Second  // for segments that have been closed
+	maxSentBatches  = 10_000           // that were acknowledged, for verify and show
+	pruneInterval = 256              // batches between looks at how many are kept
 )
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
@@ -65,21 +65,21 @@
 type Exporter struct {
 	Dir      string
 	Endpoint string
-	Keep     time.Duration // segments stay for this long after they were acknowledged
+	Retention     time.Duration // segments stay for this long after they were acknowledged
 	Client   *http.Client  // nil: one with a time-out
 	Log      *logrus.Logger
 
 	db     *bbolt.DB
 	source string
 	rng    *rand.Rand
-	point  func(name string) error // called at places where a test kills the exporter; nil: none
+	testHook  func(name string) error // called at places where a test kills the exporter; nil: none
 }
 
 // Errors of exporting.
 var (
-	ErrTaken  = errors.New("another process exports this folder")
-	ErrTold   = errors.New("the endpoint did not take the batch")
-	errSource = errors.New("the store is that of another folder's records")
+	ErrLocked  = errors.New("another process exports this folder")
+	ErrNotAcknowledged   = errors.New("the endpoint did not take the batch")
+	errOtherSource = errors.New("the store is that of another folder's records")
 )
 
 // Open opens the store.
@@ -91,11 +91,11 @@
 	if e.source, err = usagesegment.Source(e.Dir); err != nil {
 		return fmt.Errorf("usage: %w", err)
 	}
-	e.db, err = bbolt.Open(filepath.Join(e.Dir, storeName), 0o644, &bbolt.Options{Timeout: lockMost})
+	e.db, err = bbolt.Open(filepath.Join(e.Dir, storeFile), 0o644, &bbolt.Options{Timeout: lockTimeout})
 	if errors.Is(err, bolterrors.ErrTimeout) {
-		return fmt.Errorf("usage: %s: %w", e.Dir, ErrTaken)
+		return fmt.Errorf("usage: %s: %w", e.Dir, ErrLocked)
 	} else if err != nil {
-		return fmt.Errorf("usage: %s: %w", storeName, err)
+		return fmt.Errorf("usage: %s: %w", storeFile, err)
 	}
 	err = e.db.Update(func(tx *bbolt.Tx) error {
 		state, err := tx.CreateBucketIfNotExists(bucketState)
@@ -106,16 +106,16 @@
 			return err
 		}
 		if was := state.Get([]byte("source")); was != nil && string(was) != e.source {
-			return fmt.Errorf("%w: %s, not %s", errSource, was, e.source)
+			return fmt.Errorf("%w: %s, not %s", errOtherSource, was, e.source)
 		}
 		return state.Put([]byte("source"), []byte(e.source))
 	})
 	if err != nil {
 		e.db.Close()
-		return fmt.Errorf("usage: %s: %w", storeName, err)
+		return fmt.Errorf("usage: %s: %w", storeFile, err)
 	}
 	if e.Client == nil {
-		e.Client = &http.Client{Timeout: answerMost}
+		e.Client = &http.Client{Timeout: answerTimeout}
 	}
 	e.rng = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return nil
@@ -127,7 +127,7 @@
 // Run exports until the context ends.
 func (e *Exporter) Run(ctx context.Context) {
 	for tries, code := 0, ""; ctx.Err() == nil; {
-		wait := lookEvery
+		wait := pollInterval
 		sent, answer, advice, err := e.Step(ctx)
 		switch {
 		case ctx.Err() != nil:
@@ -156,44 +156,44 @@
 	}
 }
 
-func (e *Exporter) at(name string) error {
-	if e.point == nil {
+func (e *Exporter) callTestHook(name string) error {
+	if e.testHook == nil {
 		return nil
 	}
-	return e.point(name)
+	return e.testHook(name)
 }
 
 // Step sends the batch that is stored, or makes the next one and sends it. It tells whether one was sent and
 // acknowledged; false without an error means that there is nothing to send. Advice is in seconds, 0: none.
 func (e *Exporter) Step(ctx context.Context) (sent bool, answer usage.Answer, advice float64, err error) {
-	body, err := e.outbox()
+	body, err := e.pendingBody()
 	if err != nil || body == nil {
 		return false, usage.Again, 0, err
 	}
-	if err := e.at("before sending"); err != nil {
+	if err := e.callTestHook("before sending"); err != nil {
 		return false, usage.Again, 0, err
 	}
 	answer, advice, err = e.send(ctx, body)
 	if err != nil {
 		return false, answer, advice, err
 	}
-	if err := e.at("before storing the acknowledgement"); err != nil {
+	if err := e.callTestHook("before storing the acknowledgement"); err != nil {
 		return false, usage.Again, 0, err
 	}
-	if err := e.acknowledged(body); err != nil {
+	if err := e.storeAcknowledgement(body); err != nil {
 		return false, usage.Again, 0, err
 	}
-	e.clear()
+	e.removeExported()
 	return true, usage.Acknowledged, 0, nil
 }
 
-// outbox is the batch to send: the one that is stored, or else the next one, stored first. Nil: there is none.
-func (e *Exporter) outbox() (body []byte, err error) {
-	c, err := e.load(&body)
+// pendingBody is the batch to send: the one that is stored, or else the next one, stored first. Nil: there is none.
+func (e *Exporter) pendingBody() (body []byte, err error) {
+	c, err := e.loadState(&body)
 	if err != nil || body != nil {
 		return body, err
 	}
-	b, next, err := e.next(c)
+	b, next, err := e.makeBatch(c)
 	if err != nil || b == nil {
 		return nil, err
 	}
@@ -209,7 +209,7 @@
 		if err := errors.Join(state.Put(keyOutbox, body), state.Put(keyCursor, text)); err != nil {
 			return err
 		}
-		return e.at("while storing the batch")
+		return e.callTestHook("while storing the batch")
 	})
 	if err != nil {
 		return nil, fmt.Errorf("usage: store a batch: %w", err)
@@ -217,7 +217,7 @@
 	return body, nil
 }
 
-func (e *Exporter) load(body *[]byte) (c cursor, err error) {
+func (e *Exporter) loadState(body *[]byte) (c cursor, err error) {
 	err = e.db.View(func(tx *bbolt.Tx) error {
 		state := tx.Bucket(bucketState)
 		if b := state.Get(keyOutbox); b != nil {
@@ -229,13 +229,13 @@
 		return nil
 	})
 	if err != nil {
-		err = fmt.Errorf("usage: %s: %w", storeName, err)
+		err = fmt.Errorf("usage: %s: %w", storeFile, err)
 	}
 	return c, err
 }
 
-// next makes a batch of the closed segments after the cursor. Nil: none has anything to tell.
-func (e *Exporter) next(c cursor) (*usage.Batch, cursor, error) {
+// makeBatch makes a batch of the closed segments after the cursor. Nil: none has anything to tell.
+func (e *Exporter) makeBatch(c cursor) (*usage.Batch, cursor, error) {
 	list, err := usagesegment.List(e.Dir)
 	if err != nil {
 		return nil, c, fmt.Errorf("usage: %w", err)
@@ -246,7 +246,7 @@
 		if s.Number <= c.Segment {
 			continue
 		}
-		if s.Open || len(tally) >= mostRows {
+		if s.Open || len(tally) >= maxBatchRows {
 			break
 		}
 		header, data, err := usagesegment.Read(s.Path)
@@ -303,14 +303,14 @@
 	request.Header.Set("X-Content-SHA256", digest)
 	response, err := e.Client.Do(request)
 	if err != nil {
-		return usage.Again, 0, fmt.Errorf("%w: batch %d: %w", ErrTold, b.Number, err)
+		return usage.Again, 0, fmt.Errorf("%w: batch %d: %w", ErrNotAcknowledged, b.Number, err)
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return usage.Again, 0, fmt.Errorf("%w: batch %d: %w", ErrTold, b.Number, err)
+		return usage.Again, 0, fmt.Errorf("%w: batch %d: %w", ErrNotAcknowledged, b.Number, err)
 	}
-	if err := e.at("after sending"); err != nil {
+	if err := e.callTestHook("after sending"); err != nil {
 		return usage.Again, 0, err
 	}
 	var ack usage.Ack
@@ -320,29 +320,29 @@
 		return answer, 0, nil
 	}
 	advice, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
-	return answer, max(0, advice), fmt.Errorf("%w: batch %d: status %d, acknowledged %v", ErrTold, b.Number, response.StatusCode, echoed)
+	return answer, max(0, advice), fmt.Errorf("%w: batch %d: status %d, acknowledged %v", ErrNotAcknowledged, b.Number, response.StatusCode, echoed)
 }
 
-// acknowledged moves the batch from the outbox to those that were sent.
-func (e *Exporter) acknowledged(body []byte) error {
+// storeAcknowledgement moves the batch from the outbox to those that were sent.
+func (e *Exporter) storeAcknowledgement(body []byte) error {
 	var b usage.Batch
 	if err := json.Unmarshal(body, &b); err != nil {
 		return err
 	}
 	err := e.db.Update(func(tx *bbolt.Tx) error {
 		sent := tx.Bucket(bucketSent)
-		if err := errors.Join(sent.Put(number(b.Number), body), tx.Bucket(bucketState).Delete(keyOutbox)); err != nil {
+		if err := errors.Join(sent.Put(batchKey(b.Number), body), tx.Bucket(bucketState).Delete(keyOutbox)); err != nil {
 			return err
 		}
-		if b.Number%historyEvery == 0 && b.Number > keptBatches {
+		if b.Number%pruneInterval == 0 && b.Number > maxSentBatches {
 			c := sent.Cursor()
-			for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) < b.Number-keptBatches; k, _ = c.Next() {
+			for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) < b.Number-maxSentBatches; k, _ = c.Next() {
 				if err := c.Delete(); err != nil {
 					return err
 				}
 			}
 		}
-		return e.at("while storing the acknowledgement")
+		return e.callTestHook("while storing the acknowledgement")
 	})
 	if err != nil {
 		return fmt.Errorf("usage: store an acknowledgement: %w", err)
@@ -350,12 +350,12 @@
 	return nil
 }
 
-func number(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+func batchKey(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// clear removes segments that were acknowledged long enough ago.
-func (e *Exporter) clear() {
+// removeExported removes segments that were acknowledged long enough ago.
+func (e *Exporter) removeExported() {
 	var body []byte
-	c, err := e.load(&body)
+	c, err := e.loadState(&body)
 	if err != nil || body != nil {
 		return
 	}
@@ -365,14 +365,14 @@
 	}
 	for _, s := range list {
 		info, err := os.Stat(s.Path)
-		if err == nil && !s.Open && s.Number <= c.Segment && time.Since(info.ModTime()) > e.Keep {
+		if err == nil && !s.Open && s.Number <= c.Segment && time.Since(info.ModTime()) > e.Retention {
 			os.Remove(s.Path)
 		}
 	}
 }
 
-// Sent calls with each batch that was acknowledged, in order of their numbers, and with the one that waits.
-func (e *Exporter) Sent(each func(b usage.Batch, digest string, acknowledged bool) error) error {
+// EachBatch calls with each batch that was acknowledged, in order of their numbers, and with the one that waits.
+func (e *Exporter) EachBatch(each func(b usage.Batch, digest string, acknowledged bool) error) error {
 	return e.db.View(func(tx *bbolt.Tx) error {
 		tell := func(body []byte, acknowledged bool) error {
 			var b usage.Batch
--- a/internal/standalone/usageexport/export_test.go
+++ b/internal/standalone/usageexport/export_test.go
@@ -27,7 +27,7 @@
 	return l, b
 }
 
-func billing(t *testing.T) *fakes.Billing {
+func startBilling(t *testing.T) *fakes.Billing {
 	b := &fakes.Billing{}
 	if err := b.Start(); err != nil {
 		t.Fatal(err)
@@ -36,8 +36,8 @@
 	return b
 }
 
-// record has one run of an ingress write so many tries that arrived, and leave one out, as a kill does.
-func record(t *testing.T, dir string, tries int) {
+// recordUsage has one run of an ingress write so many tries that arrived, and leave one out, as a kill does.
+func recordUsage(t *testing.T, dir string, tries int) {
 	t.Helper()
 	log, _ := logger()
 	w, err := usagesegment.Open(dir, time.Minute, log)
@@ -55,18 +55,18 @@
 	}
 }
 
-func exporter(t *testing.T, dir string, b *fakes.Billing) *usageexport.Exporter {
+func openExporter(t *testing.T, dir string, b *fakes.Billing) *usageexport.Exporter {
 	t.Helper()
 	log, _ := logger()
-	e := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Keep: time.Hour, Log: log}
+	e := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Retention: time.Hour, Log: log}
 	if err := e.Open(); err != nil {
 		t.Fatal(err)
 	}
 	return e
 }
 
-// all exports until nothing is left, passing over answers that are none.
-func all(t *testing.T, e *usageexport.Exporter) {
+// exportAll exports until nothing is left, passing over answers that are none.
+func exportAll(t *testing.T, e *usageexport.Exporter) {
 	t.Helper()
 	for range 100 {
 		sent, _, _, err := e.Step(context.Background())
@@ -80,19 +80,19 @@
 var errKilled = errors.New("killed")
 
 // The exporter is killed at every place, with every answer of the endpoint before and after: the bill is the same.
-func TestKilledAnywhereBilledOnce(t *testing.T) {
+func TestKilledExporterBillsOnce(t *testing.T) {
 	points := []string{"while storing the batch", "before sending", "after sending", "before storing the acknowledgement", "while storing the acknowledgement"}
 	faults := map[string]fakes.BillingFault{"fine": fakes.Fine, "fails": fakes.Fails, "loses": fakes.Loses, "babble": fakes.Babble, "slow": fakes.Slow}
 	for _, point := range points {
 		for name, fault := range faults {
 			t.Run(point+", "+name, func(t *testing.T) {
-				dir, b := t.TempDir(), billing(t)
+				dir, b := t.TempDir(), startBilling(t)
 				b.Next(fault)
-				record(t, dir, 50)
+				recordUsage(t, dir, 50)
 				kills := 0
 				for range 3 { // the place is come to again after each start
-					e := exporter(t, dir, b)
-					e.SetPoint(func(at string) error {
+					e := openExporter(t, dir, b)
+					e.SetTestHook(func(at string) error {
 						if at == point {
 							kills++
 							return errKilled
@@ -105,17 +105,17 @@
 				if kills == 0 {
 					t.Fatal("never came there")
 				}
-				record(t, dir, 30)
-				e := exporter(t, dir, b)
+				recordUsage(t, dir, 30)
+				e := openExporter(t, dir, b)
 				defer e.Close()
-				all(t, e)
+				exportAll(t, e)
 				tally, _, repeats, conflicts := b.Billed()
 				known, unknown := tally.Total()
 				if known != (usage.Sum{Tries: 80, Units: 100 * usage.Micro}) || unknown.Tries != 1 || conflicts != 0 {
 					t.Errorf("billed %+v, unknown %+v, %d repeats, %d conflicts", known, unknown, repeats, conflicts)
 				}
 				v, err := e.Verify()
-				if err != nil || len(v.Problems) > 0 || v.Known != known || v.Unknown != unknown || v.Out != 1 {
+				if err != nil || len(v.Problems) > 0 || v.Known != known || v.Unknown != unknown || v.InFlight != 1 {
 					t.Errorf("verify: %+v %v", v, err)
 				}
 			})
@@ -123,50 +123,50 @@
 	}
 }
 
-func TestEndpointThatHangsOrIsGone(t *testing.T) {
-	dir, b := t.TempDir(), billing(t)
-	record(t, dir, 10)
-	e := exporter(t, dir, b)
+func TestUnreachableEndpoint(t *testing.T) {
+	dir, b := t.TempDir(), startBilling(t)
+	recordUsage(t, dir, 10)
+	e := openExporter(t, dir, b)
 	defer e.Close()
 	b.Next(fakes.Hangs)
 	ctx, cancel := context.WithCancel(context.Background())
-	e.SetPoint(func(at string) error {
+	e.SetTestHook(func(at string) error {
 		if at == "before sending" {
 			time.AfterFunc(20*time.Millisecond, cancel) // the client's time is up
 		}
 		return nil
 	})
-	if sent, answer, _, err := e.Step(ctx); sent || answer != usage.Again || !errors.Is(err, usageexport.ErrTold) {
+	if sent, answer, _, err := e.Step(ctx); sent || answer != usage.Again || !errors.Is(err, usageexport.ErrNotAcknowledged) {
 		t.Errorf("a hanging endpoint: %v %v %v", sent, answer, err)
 	}
-	e.SetPoint(nil)
-	all(t, e)
+	e.SetTestHook(nil)
+	exportAll(t, e)
 	if tally, _, repeats, _ := b.Billed(); len(tally) == 0 || repeats != 0 {
 		t.Errorf("%d rows, %d repeats", len(tally), repeats)
 	}
 	b.Stop()
-	record(t, dir, 10)
+	recordUsage(t, dir, 10)
 	if sent, answer, _, err := e.Step(context.Background()); sent || answer != usage.Again || err == nil {
 		t.Errorf("an endpoint that is gone: %v %v %v", sent, answer, err)
 	}
 }
 
-func TestAnotherContentUnderANumberIsToldAndNotForced(t *testing.T) {
-	dir, b := t.TempDir(), billing(t)
-	record(t, dir, 10)
-	e := exporter(t, dir, b)
+func TestConflictingBatchIsReported(t *testing.T) {
+	dir, b := t.TempDir(), startBilling(t)
+	recordUsage(t, dir, 10)
+	e := openExporter(t, dir, b)
 	defer e.Close()
 	b.Next(fakes.Loses)
 	e.Step(context.Background())
 	// Billing has the batch. Its copy here changes, as by a disk that loses a sync.
-	other := exporterOf(t, b, dir)
+	other := openTwin(t, b, dir)
 	if sent, answer, _, err := other.Step(context.Background()); sent || answer != usage.Conflicting || err == nil {
 		t.Errorf("%v %v %v", sent, answer, err)
 	}
 }
 
-// exporterOf has a folder under the same name, with other records.
-func exporterOf(t *testing.T, b *fakes.Billing, dir string) *usageexport.Exporter {
+// openTwin has a folder under the same name, with other records.
+func openTwin(t *testing.T, b *fakes.Billing, dir string) *usageexport.Exporter {
 	t.Helper()
 	source, err := usagesegment.Source(dir)
 	if err != nil {
@@ -176,13 +176,13 @@
 	if err := os.WriteFile(twin+"/source", []byte(source), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	record(t, twin, 11)
-	e := exporter(t, twin, b)
+	recordUsage(t, twin, 11)
+	e := openExporter(t, twin, b)
 	t.Cleanup(func() { e.Close() })
 	return e
 }
 
-func TestVerifyFindsWhatIsWrong(t *testing.T) {
+func TestVerify(t *testing.T) {
 	for name, tc := range map[string]struct {
 		break_ func(list []usagesegment.Info)
 		want   string
@@ -201,12 +201,12 @@
 		}, "batch 1 says otherwise than its segments 1 to 1"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			dir, b := t.TempDir(), billing(t)
+			dir, b := t.TempDir(), startBilling(t)
 			e := (*usageexport.Exporter)(nil)
 			for range 3 {
-				record(t, dir, 20)
-				e = exporter(t, dir, b)
-				all(t, e)
+				recordUsage(t, dir, 20)
+				e = openExporter(t, dir, b)
+				exportAll(t, e)
 				e.Close()
 			}
 			list, err := usagesegment.List(dir)
@@ -214,7 +214,7 @@
 				t.Fatal(err)
 			}
 			tc.break_(list)
-			e = exporter(t, dir, b)
+			e = openExporter(t, dir, b)
 			defer e.Close()
 			v, err := e.Verify()
 			if err != nil || v.Batches != 3 || (tc.want == "") != (len(v.Problems) == 0) || !strings.Contains(strings.Join(v.Problems, "\n"), tc.want) {
@@ -224,17 +224,17 @@
 	}
 }
 
-func TestAcknowledgedSegmentsGoInTime(t *testing.T) {
-	dir, b := t.TempDir(), billing(t)
-	record(t, dir, 5)
-	record(t, dir, 5)
+func TestAcknowledgedSegmentsAreRemoved(t *testing.T) {
+	dir, b := t.TempDir(), startBilling(t)
+	recordUsage(t, dir, 5)
+	recordUsage(t, dir, 5)
 	log, _ := logger()
-	e := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Keep: 0, Log: log}
+	e := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Retention: 0, Log: log}
 	if err := e.Open(); err != nil {
 		t.Fatal(err)
 	}
 	defer e.Close()
-	all(t, e)
+	exportAll(t, e)
 	list, _ := usagesegment.List(dir)
 	if len(list) != 0 {
 		t.Errorf("%v left", list)
@@ -244,24 +244,24 @@
 	}
 }
 
-func TestOneExporterAtATime(t *testing.T) {
-	dir, b := t.TempDir(), billing(t)
-	record(t, dir, 1)
-	e := exporter(t, dir, b)
+func TestSecondExporterIsRejected(t *testing.T) {
+	dir, b := t.TempDir(), startBilling(t)
+	recordUsage(t, dir, 1)
+	e := openExporter(t, dir, b)
 	defer e.Close()
 	log, _ := logger()
-	if err := (&usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Log: log}).Open(); !errors.Is(err, usageexport.ErrTaken) {
+	if err := (&usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Log: log}).Open(); !errors.Is(err, usageexport.ErrLocked) {
 		t.Errorf("a second one: %v", err)
 	}
 }
 
 // Run keeps at it: one line for a trouble however often it repeats, one when it is over.
-func TestRunGoesOnThroughTrouble(t *testing.T) {
-	dir, b := t.TempDir(), billing(t)
-	record(t, dir, 10)
+func TestRunRetries(t *testing.T) {
+	dir, b := t.TempDir(), startBilling(t)
+	recordUsage(t, dir, 10)
 	log, lines := logger()
 	b.Next(fakes.Fails, fakes.Fails)
-	e := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Keep: time.Hour, Log: log}
+	e := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Retention: time.Hour, Log: log}
 	ctx, cancel := context.WithCancel(context.Background())
 	e.Client = &http.Client{Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
 		response, err := http.DefaultTransport.RoundTrip(r)
--- a/internal/standalone/usageexport/golden_test.go
+++ b/internal/standalone/usageexport/golden_test.go
@@ -70,7 +70,7 @@
 	}))
 	t.Cleanup(server.Close)
 	log, _ := logger()
-	e = &usageexport.Exporter{Dir: dir, Endpoint: server.URL, Keep: time.Hour, Log: log}
+	e = &usageexport.Exporter{Dir: dir, Endpoint: server.URL, Retention: time.Hour, Log: log}
 	if err := e.Open(); err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 		t.Errorf("bodies (-want +got):\n%s", diff)
 	}
 	var digests []string
-	err = e.Sent(func(_ usage.Batch, digest string, acknowledged bool) error {
+	err = e.EachBatch(func(_ usage.Batch, digest string, acknowledged bool) error {
 		digests = append(digests, fmt.Sprint(digest, " ", acknowledged))
 		return nil
 	})
--- a/internal/standalone/usageexport/point_test.go
+++ b/internal/standalone/usageexport/point_test.go
@@ -1,4 +1,4 @@
 package usageexport
 
-// SetPoint has a function called at the places where a test kills the exporter.
-func (e *Exporter) SetPoint(f func(name string) error) { e.point = f }
+// SetTestHook has a function called at the places where a test kills the exporter.
+func (e *Exporter) SetTestHook(f func(name string) error) { e.testHook = f }
--- a/internal/standalone/usageexport/verify.go
+++ b/internal/standalone/usageexport/verify.go
@@ -7,27 +7,27 @@
 	"mulleinrouter/internal/standalone/usagesegment"
 )
 
-// reachBack is how many segments earlier a try may have begun: none is open for longer than ten minutes, and
+// maxAttemptSegments is how many segments earlier a try may have begun: none is open for longer than ten minutes, and
 // segments are closed once a minute or so.
-const reachBack = 12
+const maxAttemptSegments = 12
 
-// Verdict is what a look at a folder's records and batches found.
-type Verdict struct {
+// Verification is what a look at a folder's records and batches found.
+type Verification struct {
 	Segments  int
 	Records   int
 	Batches   uint64
 	Known     usage.Sum // of all batches
 	Unknown   usage.Sum // listed apart: whether they arrived is not known
 	Unmetered usage.Sum
-	Waiting   usage.Sum // recorded, and in no batch yet
-	Out       int       // tries that are out, or whose end is in a segment that is still open
+	NotExported   usage.Sum // recorded, and in no batch yet
+	InFlight       int       // tries that are out, or whose end is in a segment that is still open
 	Problems  []string  // empty: all is in order
 }
 
 // Verify reads all segments that are there and all batches that are kept, and compares them: the numbers of the
 // batches have no gaps, and each batch whose segments are all still there says what these say.
-func (e *Exporter) Verify() (*Verdict, error) {
-	v := &Verdict{}
+func (e *Exporter) Verify() (*Verification, error) {
+	v := &Verification{}
 	bad := func(format string, args ...any) { v.Problems = append(v.Problems, fmt.Sprintf(format, args...)) }
 	list, err := usagesegment.List(e.Dir)
 	if err != nil {
@@ -60,9 +60,9 @@
 		v.Records += report.Records
 		rows[s.Number] = t
 	}
-	v.Out = len(ledger.Pending)
+	v.InFlight = len(ledger.Pending)
 	batched := uint64(0)
-	err = e.Sent(func(b usage.Batch, digest string, acknowledged bool) error {
+	err = e.EachBatch(func(b usage.Batch, digest string, acknowledged bool) error {
 		if b.Source != e.source {
 			bad("batch %d is from %s", b.Number, b.Source)
 		}
@@ -78,7 +78,7 @@
 			said[r.Key] = r.Sum
 		}
 		// A try may have begun some segments earlier: where one of these is gone, the batch cannot be compared.
-		for n := b.First - min(b.First-1, reachBack); n <= b.Last; n++ {
+		for n := b.First - min(b.First-1, maxAttemptSegments); n <= b.Last; n++ {
 			if whole = whole && rows[n] != nil; n >= b.First {
 				read.Merge(rows[n])
 			}
@@ -93,12 +93,12 @@
 		return nil
 	})
 	if err != nil {
-		return nil, fmt.Errorf("usage: %s: %w", storeName, err)
+		return nil, fmt.Errorf("usage: %s: %w", storeFile, err)
 	}
 	for n, t := range rows {
 		if n > batched {
 			known, unknown := t.Total()
-			v.Waiting = v.Waiting.Plus(known).Plus(unknown)
+			v.NotExported = v.NotExported.Plus(known).Plus(unknown)
 		}
 	}
 	return v, nil
--- /dev/null
+++ b/internal/standalone/usagesegment/bench_test.go
@@ -0,0 +1,92 @@
+package usagesegment
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"sync"
+	"testing"
+	"time"
+
+	"go.etcd.io/bbolt"
+
+	"mulleinrouter/internal/dataplane/usage"
+)
+
+// BenchmarkSent measures the records of one attempt, Sent and Ended, by this package and by two alternatives.
+func BenchmarkSent(b *testing.B) {
+	log, _ := logger()
+	parallel := func(b *testing.B, f func()) {
+		b.SetParallelism(1) // times GOMAXPROCS: four goroutines on four cores
+		b.ReportAllocs()
+		b.RunParallel(func(p *testing.PB) {
+			for p.Next() {
+				f()
+			}
+		})
+	}
+	b.Run("mapped", func(b *testing.B) {
+		w, err := Open(b.TempDir(), time.Minute, log)
+		if err != nil {
+			b.Fatal(err)
+		}
+		defer w.Close()
+		stop := make(chan struct{})
+		var running sync.WaitGroup
+		defer running.Wait()
+		defer close(stop)
+		running.Go(func() { // as Run does, without its ticks
+			for {
+				select {
+				case <-stop:
+					return
+				case <-w.wake:
+					w.maintain(false)
+				}
+			}
+		})
+		t := newTry(1)
+		parallel(b, func() { w.Ended(w.Sent(t), usage.Whole) })
+	})
+	b.Run("write", func(b *testing.B) { // an append-only file, a system call a record
+		f, err := os.Create(filepath.Join(b.TempDir(), "log"))
+		if err != nil {
+			b.Fatal(err)
+		}
+		defer f.Close()
+		var mu sync.Mutex
+		var buf []byte
+		t := newTry(1)
+		parallel(b, func() {
+			mu.Lock()
+			defer mu.Unlock()
+			for _, r := range []usage.Record{
+				{Kind: usage.Sent, Seq: 1, Try: t},
+				{Kind: usage.Ended, Seq: 1, Arrival: usage.Whole},
+			} {
+				buf = usage.Append(append(buf[:0], make([]byte, frameSize)...), &r)
+				f.Write(buf)
+			}
+		})
+	})
+	b.Run("bbolt", func(b *testing.B) { // batched transactions without a sync: what survives a kill
+		db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o644, &bbolt.Options{NoSync: true})
+		if err != nil {
+			b.Fatal(err)
+		}
+		defer db.Close()
+		db.Update(func(tx *bbolt.Tx) error { _, err := tx.CreateBucket([]byte("u")); return err })
+		t := newTry(1)
+		put := func(r *usage.Record) {
+			db.Batch(func(tx *bbolt.Tx) error {
+				u := tx.Bucket([]byte("u"))
+				n, _ := u.NextSequence()
+				return u.Put([]byte(fmt.Sprintf("%016x", n)), usage.Append(nil, r))
+			})
+		}
+		parallel(b, func() {
+			put(&usage.Record{Kind: usage.Sent, Seq: 1, Try: t})
+			put(&usage.Record{Kind: usage.Ended, Seq: 1, Arrival: usage.Whole})
+		})
+	})
+}
--- a/internal/standalone/usagesegment/golden_test.go
+++ b/internal/standalone/usagesegment/golden_test.go
@@ -19,11 +19,11 @@
 	goldenRun    = 0x1122334455667788
 )
 
-// writeGolden writes what the golden files hold: a sealed segment with four attempts, one of them without an end, and an
-// open one with three.
+// writeGolden writes what the golden files hold: a sealed segment with four attempts, one of them without an
+// end, and an open one with three.
 func writeGolden(t *testing.T, dir string) (sealedData, openData []byte) {
 	t.Helper()
-	c := &clock{at: time.UnixMilli(goldenBegun)}
+	c := &fakeClock{at: time.UnixMilli(goldenBegun)}
 	log, _ := logger()
 	if err := os.WriteFile(filepath.Join(dir, "source"), []byte("0123456789abcdef\n"), 0o644); err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 	}
 	defer w.Close()
 	w.run = goldenRun // drawn at random by open: the golden files have this one
-	copy(w.in.data, usage.AppendHeader(nil, usage.Header{Number: 1, Writer: w.run, Begun: goldenBegun}))
+	copy(w.current.data, usage.AppendHeader(nil, usage.Header{Number: 1, Writer: w.run, Begun: goldenBegun}))
 	var next int64
 	for i := range 4 {
 		var x usage.Try
@@ -43,17 +43,17 @@
 			w.Ended(seq, usage.Arrival(i))
 		}
 	}
-	c.pass(2 * time.Minute)
-	w.look(false)
+	c.advance(2 * time.Minute)
+	w.maintain(false)
 	for range 3 {
 		var x usage.Try
 		goldentest.Fill(&x, &next)
 		w.Ended(w.Sent(x), usage.Whole)
 	}
-	if sealedData, err = os.ReadFile(filepath.Join(dir, name(1, sealedEnd))); err != nil {
+	if sealedData, err = os.ReadFile(filepath.Join(dir, segmentName(1, sealedSuffix))); err != nil {
 		t.Fatal(err)
 	}
-	if openData, err = os.ReadFile(filepath.Join(dir, name(2, openEnd))); err != nil {
+	if openData, err = os.ReadFile(filepath.Join(dir, segmentName(2, openSuffix))); err != nil {
 		t.Fatal(err)
 	}
 	return sealedData, openData
@@ -72,6 +72,7 @@
 
 // TestGoldenSegmentsRead reads the segments of an earlier version.
 func TestGoldenSegmentsRead(t *testing.T) {
+	const secondBegun = goldenBegun + 120_000 // Unix ms
 	for _, tc := range []struct {
 		file    string
 		header  usage.Header
@@ -79,9 +80,9 @@
 		damaged int
 		lost    int
 	}{
-		{"sealed.seg.gz", usage.Header{Number: 1, Writer: goldenRun, Begun: goldenBegun, Sealed: goldenBegun + 120_000}, 7, 0, 0},
-		{"open.open.gz", usage.Header{Number: 2, Writer: goldenRun, Begun: goldenBegun + 120_000}, 6, 0, 0},
-		{"damaged.open.gz", usage.Header{Number: 2, Writer: goldenRun, Begun: goldenBegun + 120_000}, 5, 1, 9},
+		{"sealed.seg.gz", usage.Header{Number: 1, Writer: goldenRun, Begun: goldenBegun, Sealed: secondBegun}, 7, 0, 0},
+		{"open.open.gz", usage.Header{Number: 2, Writer: goldenRun, Begun: secondBegun}, 6, 0, 0},
+		{"damaged.open.gz", usage.Header{Number: 2, Writer: goldenRun, Begun: secondBegun}, 5, 1, 9},
 	} {
 		t.Run(tc.file, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "segment")
@@ -111,7 +112,7 @@
 	} {
 		t.Run(tc.open, func(t *testing.T) {
 			dir := t.TempDir()
-			path := filepath.Join(dir, name(2, openEnd))
+			path := filepath.Join(dir, segmentName(2, openSuffix))
 			if err := os.WriteFile(path, goldentest.Read(t, tc.open), 0o644); err != nil {
 				t.Fatal(err)
 			}
@@ -119,10 +120,10 @@
 			if err := os.Chtimes(path, modified, modified); err != nil {
 				t.Fatal(err)
 			}
-			if err := reclose(path, modified); err != nil {
+			if err := closeLeftOpen(path, modified); err != nil {
 				t.Fatal(err)
 			}
-			got, err := os.ReadFile(filepath.Join(dir, name(2, sealedEnd)))
+			got, err := os.ReadFile(filepath.Join(dir, segmentName(2, sealedSuffix)))
 			if err != nil {
 				t.Fatal(err)
 			}
--- /dev/null
+++ b/internal/standalone/usagesegment/run.go
@@ -0,0 +1,100 @@
+package usagesegment
+
+import (
+	"context"
+	"errors"
+	"os"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"mulleinrouter/internal/dataplane/usage"
+)
+
+const (
+	syncInterval  = 500 * time.Millisecond // what a power loss may cost
+	retryInterval = 5 * time.Second        // between attempts to go on after a full disk
+)
+
+// Run syncs, closes segments that are filled or old, and retries after a full disk, until the context ends.
+func (w *Writer) Run(ctx context.Context) {
+	ticker := time.NewTicker(syncInterval)
+	defer ticker.Stop()
+	lastRetry := w.now()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-w.wake:
+		case <-ticker.C:
+		}
+		retry := w.now().Sub(lastRetry) >= retryInterval
+		if retry {
+			lastRetry = w.now()
+		}
+		w.maintain(retry)
+	}
+}
+
+// maintain is one round of Run. The mutex is not held over syncs and closes of files.
+func (w *Writer) maintain(retry bool) {
+	filled, current, needsSpare, closed := w.rotateSegments(retry)
+	if closed {
+		return
+	}
+	for _, f := range filled {
+		if err := f.seal(w.now()); err != nil {
+			w.log.WithFields(logrus.Fields{"code": "usage-bad-segment", "file": f.path}).WithError(err).
+				Error("cannot close a segment; the next start retries")
+		}
+	}
+	if needsSpare {
+		w.addSpare()
+	}
+	if current == nil || len(filled) > 0 {
+		return
+	}
+	// Close doesn't wait for this sync: a file that it has closed is an error here, which doesn't matter.
+	if err := current.Sync(); err != nil && !errors.Is(err, os.ErrClosed) {
+		w.log.WithField("code", "usage-sync-failed").WithError(err).
+			Error("cannot sync usage records; a power loss may lose them")
+	}
+}
+
+// rotateSegments begins a new segment if there is none or the current one is old. It returns the segments to be sealed,
+// and the current one.
+func (w *Writer) rotateSegments(retry bool) (filled []*segmentFile, current *segmentFile, needsSpare, closed bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.closed {
+		return nil, nil, false, true
+	}
+	if w.current == nil && retry {
+		w.beginSegment()
+	}
+	if w.current != nil && w.current.used > usage.Size && w.now().Sub(w.current.startedAt) >= w.rotate {
+		w.filled = append(w.filled, w.current)
+		w.beginSegment()
+	}
+	filled = w.filled
+	w.filled = nil
+	needsSpare = w.current != nil && w.current.used >= preallocateAt && w.spare == nil
+	return filled, w.current, needsSpare, false
+}
+
+// addSpare preallocates the next segment. Without space for it beginSegment reports the error, once it matters.
+func (w *Writer) addSpare() {
+	spare, err := preallocate(w.dir, w.allocate)
+	if err != nil {
+		return
+	}
+	w.mu.Lock()
+	needed := w.spare == nil && !w.closed
+	if needed {
+		w.spare = spare
+	}
+	w.mu.Unlock()
+	if !needed {
+		spare.discard()
+	}
+}
--- a/internal/standalone/usagesegment/segment_test.go
+++ b/internal/standalone/usagesegment/segment_test.go
@@ -17,30 +17,36 @@
 
 	"github.com/google/go-cmp/cmp"
 	"github.com/sirupsen/logrus"
-	"go.etcd.io/bbolt"
 
 	"mulleinrouter/internal/dataplane/usage"
 )
 
-func try(units float64) usage.Try {
-	return usage.Try{Member: "00000000000000aa", Plan: "basic", Class: "quote-read", Revision: 1, Units: usage.ToMicro(units), Minute: 29_000_000}
+func newTry(units float64) usage.Try {
+	return usage.Try{
+		Member:   "00000000000000aa",
+		Plan:     "basic",
+		Class:    "quote-read",
+		Revision: 1,
+		Units:    usage.ToMicro(units),
+		Minute:   29_000_000,
+	}
 }
 
-type clock struct {
+type fakeClock struct {
 	sync.Mutex
 	at time.Time
 }
 
-func (c *clock) now() time.Time {
-	c.Lock()
-	defer c.Unlock()
-	return c.at
+func (fc *fakeClock) now() time.Time {
+	fc.Lock()
+	defer fc.Unlock()
+	return fc.at
 }
 
-func (c *clock) pass(d time.Duration) {
-	c.Lock()
-	defer c.Unlock()
-	c.at = c.at.Add(d)
+func (fc *fakeClock) advance(d time.Duration) {
+	fc.Lock()
+	defer fc.Unlock()
+	fc.at = fc.at.Add(d)
 }
 
 func logger() (*logrus.Logger, *bytes.Buffer) {
@@ -50,8 +56,8 @@
 	return l, b
 }
 
-// total replays all segments of a folder.
-func total(t *testing.T, dir string) (known, unknown usage.Sum, out int, missed usage.Sum) {
+// replay reads all segments of a folder.
+func replay(t *testing.T, dir string) (known, unknown usage.Sum, out int, missed usage.Sum) {
 	t.Helper()
 	list, err := List(dir)
 	if err != nil {
@@ -76,15 +82,15 @@
 	return known, unknown, len(ledger.Pending), missed
 }
 
-func TestSegmentsHoldWhatWasWritten(t *testing.T) {
-	dir, c := t.TempDir(), &clock{at: time.Unix(1_740_000_000, 0)}
+func TestSegmentsHoldAllRecords(t *testing.T) {
+	dir, c := t.TempDir(), &fakeClock{at: time.Unix(1_740_000_000, 0)}
 	log, lines := logger()
 	w, err := open(dir, time.Minute, log, c.now, allocate)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(dir, time.Minute, log); !errors.Is(err, ErrTaken) {
-		t.Errorf("a second writer: %v", err)
+	if _, err := Open(dir, time.Minute, log); !errors.Is(err, ErrLocked) {
+		t.Errorf("a second writer: got %v, want %v", err, ErrLocked)
 	}
 	var wg sync.WaitGroup
 	for range 4 {
@@ -92,82 +98,84 @@
 		go func() {
 			defer wg.Done()
 			for i := range 30_000 {
-				w.Ended(w.Sent(try(1.5)), usage.Arrival(i%3))
+				w.Ended(w.Sent(newTry(1.5)), usage.Arrival(i%3))
 			}
 		}()
 	}
 	wg.Wait()
-	w.Sent(try(1)) // out when it ends
-	c.pass(2 * time.Minute)
-	w.look(false) // closes what is full, and what is old
-	c.pass(2 * time.Minute)
-	w.look(false) // nothing in it: stays
+	w.Sent(newTry(1)) // in flight when the run ends
+	c.advance(2 * time.Minute)
+	w.maintain(false) // seals what is filled, and what is old
+	c.advance(2 * time.Minute)
+	w.maintain(false) // without records it stays
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	known, unknown, out, _ := total(t, dir)
+	known, unknown, out, _ := replay(t, dir)
 	if known != (usage.Sum{Tries: 40_000, Units: 60_000 * usage.Micro}) || unknown.Tries != 40_000 || out != 1 {
-		t.Errorf("known %+v, unknown %+v, %d out", known, unknown, out)
+		t.Errorf("got known %+v, unknown %+v, %d in flight", known, unknown, out)
 	}
 	list, _ := List(dir)
 	if len(list) < 3 {
-		t.Errorf("%d segments of %d bytes at most", len(list), size)
+		t.Errorf("%d segments of %d bytes at most", len(list), segmentSize)
 	}
 	for _, s := range list {
-		if info, err := os.Stat(s.Path); err != nil || s.Open || info.Size() > size {
+		if info, err := os.Stat(s.Path); err != nil || s.Open || info.Size() > segmentSize {
 			t.Errorf("%+v %v %v", s, info.Size(), err)
 		}
 	}
 	left, _ := filepath.Glob(filepath.Join(dir, "*"))
 	if len(left) != len(list)+2 || lines.Len() > 0 { // the lock and the source
-		t.Errorf("left behind: %v, log %s", left, lines)
+		t.Errorf("got %v in the folder, log %s; want %d segments, lock and source", left, lines, len(list))
 	}
-	// The next run goes on behind them, under the same name and another number of its own.
+	// The next run goes on after them, with the same source and another run number.
 	source, run := w.source, w.run
-	if w, err = open(dir, time.Minute, log, c.now, allocate); err != nil || w.source != source || w.run == run || w.number != uint64(len(list)+1) {
-		t.Errorf("source %s, segment %d: %v", w.source, w.number, err)
+	w, err = open(dir, time.Minute, log, c.now, allocate)
+	if err != nil || w.source != source || w.run == run || w.lastNumber != uint64(len(list)+1) {
+		t.Errorf("source %s, segment %d: %v", w.source, w.lastNumber, err)
 	}
 	w.Close()
 }
 
-func TestFullDiskStopsMeteringAndNothingElse(t *testing.T) {
-	dir, c, full := t.TempDir(), &clock{at: time.Unix(1_740_000_000, 0)}, false
+func TestFullDiskStopsMeteringOnly(t *testing.T) {
+	dir, c, full := t.TempDir(), &fakeClock{at: time.Unix(1_740_000_000, 0)}, false
 	log, lines := logger()
-	room := func(f *os.File, n int64) error {
+	allocateUnlessFull := func(f *os.File, n int64) error {
 		if full {
 			return syscall.ENOSPC
 		}
 		return allocate(f, n)
 	}
-	w, err := open(dir, time.Minute, log, c.now, room)
+	w, err := open(dir, time.Minute, log, c.now, allocateUnlessFull)
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := w.Sent(try(1))
+	before := w.Sent(newTry(1))
 	full = true
-	c.pass(2 * time.Minute)
-	w.look(false)
+	c.advance(2 * time.Minute)
+	w.maintain(false)
 	for range 10 {
-		if seq := w.Sent(try(2)); seq != 0 {
-			t.Fatalf("try %d recorded on a full disk", seq)
+		if seq := w.Sent(newTry(2)); seq != 0 {
+			t.Fatalf("attempt %d was recorded on a full disk", seq)
 		}
 		w.Ended(0, usage.Whole)
 	}
-	w.Ended(before, usage.Whole) // its end waits for room
-	w.look(true)                 // still full
+	w.Ended(before, usage.Whole) // its end waits for space
+	w.maintain(true)             // still full
 	if m := w.Missed(); m != (usage.Sum{Tries: 10, Units: 20 * usage.Micro}) {
-		t.Errorf("missed %+v", m)
+		t.Errorf("got missed %+v, want 10 attempts of 2 units", m)
 	}
 	full = false
-	w.look(true)
-	w.Ended(w.Sent(try(3)), usage.Whole)
-	c.pass(20 * time.Minute)
-	w.look(false)
+	w.maintain(true)
+	w.Ended(w.Sent(newTry(3)), usage.Whole)
+	c.advance(20 * time.Minute)
+	w.maintain(false)
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	known, unknown, out, missed := total(t, dir)
-	if known.Units != 4*usage.Micro || unknown.Units != 0 || out != 0 || missed != (usage.Sum{Tries: 10, Units: 20 * usage.Micro}) {
+	known, unknown, out, missed := replay(t, dir)
+	wantMissed := usage.Sum{Tries: 10, Units: 20 * usage.Micro}
+	if known.Units != 4*usage.Micro || unknown.Units != 0 || out != 0 || missed != wantMissed {
 		t.Errorf("known %+v, unknown %+v, %d out, missed %+v", known, unknown, out, missed)
 	}
 	if n := strings.Count(lines.String(), "usage-full"); n != 1 || strings.Count(lines.String(), "usage-resumed") != 1 {
@@ -175,18 +183,18 @@
 	}
 }
 
-// TestWriterThatIsKilled kills a process in the middle of writing, again and again: each record that it had
-// written is there, also those of the segment that was open.
-func TestWriterThatIsKilled(t *testing.T) {
+// TestKilledWriterLosesNoRecord kills a writing process again and again. Each record that it had written is there, also
+// those of the segment that was open.
+func TestKilledWriterLosesNoRecord(t *testing.T) {
 	if dir := os.Getenv("SEGMENT_TEST_DIR"); dir != "" {
-		write(dir)
+		writeUntilKilled(dir)
 		return
 	}
 	dir := t.TempDir()
 	seen := int64(0)
 	rounds := 12
 	for round := range rounds {
-		cmd := exec.Command(os.Args[0], "-test.run=^TestWriterThatIsKilled$")
+		cmd := exec.Command(os.Args[0], "-test.run=^TestKilledWriterLosesNoRecord$")
 		cmd.Env = append(os.Environ(), "SEGMENT_TEST_DIR="+dir)
 		out, err := cmd.StdoutPipe()
 		if err != nil {
@@ -212,17 +220,18 @@
 		t.Fatal(err)
 	}
 	w.Close()
-	known, unknown, out, _ := total(t, dir)
+	known, unknown, out, _ := replay(t, dir)
 	if known.Tries < seen || known.Tries == 0 || seen == 0 || lines.Len() > 0 {
-		t.Errorf("%d tries were written, %d are there; %d unknown, %d out; log %s", seen, known.Tries, unknown.Tries, out, lines)
+		t.Errorf("%d attempts were written, %d are there; %d unknown, %d in flight; log %s",
+			seen, known.Tries, unknown.Tries, out, lines)
 	}
 	if most := int64(rounds); unknown.Tries+int64(out) > most {
-		t.Errorf("%d tries without an end, each run had one out at the most", unknown.Tries+int64(out))
+		t.Errorf("got %d attempts without an end, want at most one a run (%d)", unknown.Tries+int64(out), most)
 	}
 }
 
-// write tells each try once it has been written whole, until it is killed.
-func write(dir string) {
+// writeUntilKilled prints the number of each attempt once its records are written, until the process is killed.
+func writeUntilKilled(dir string) {
 	log, _ := logger()
 	w, err := Open(dir, time.Minute, log)
 	if err != nil {
@@ -230,101 +239,29 @@
 		os.Exit(1)
 	}
 	for n := 1; n < 1_000_000; n++ {
-		w.Ended(w.Sent(try(1)), usage.Whole)
+		w.Ended(w.Sent(newTry(1)), usage.Whole)
 		os.Stdout.WriteString(strconv.Itoa(n) + "\n")
 	}
 }
 
-func TestSegmentLeftOpenWithHalfARecord(t *testing.T) {
+func TestPartialRecordIsTruncated(t *testing.T) {
 	dir := t.TempDir()
 	log, lines := logger()
 	w, err := Open(dir, time.Minute, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Ended(w.Sent(try(1)), usage.Whole)
-	w.Sent(try(2))
-	// What a power loss may leave: a frame without its payload, at the place of the next record.
-	copy(w.in.data[w.in.used:], []byte{40, 0, 0, 0, 1, 2, 3, 4})
-	w.lock.Close() // as when it is killed
+	w.Ended(w.Sent(newTry(1)), usage.Whole)
+	w.Sent(newTry(2))
+	// What a power loss may leave: a frame without its payload, at the offset of the next record.
+	copy(w.current.data[w.current.used:], []byte{40, 0, 0, 0, 1, 2, 3, 4})
+	w.lock.Close() // as if the process were killed
 	if w, err = Open(dir, time.Minute, log); err != nil {
 		t.Fatal(err)
 	}
 	w.Close()
-	known, unknown, out, _ := total(t, dir)
+	known, unknown, out, _ := replay(t, dir)
 	if diff := cmp.Diff([]int64{1, 1, 0}, []int64{known.Tries, unknown.Tries, int64(out)}); diff != "" || lines.Len() > 0 {
 		t.Errorf("%s\n%s", diff, lines)
 	}
 }
-
-func BenchmarkSent(b *testing.B) { // a try as it is metered: Sent and Ended
-	log, _ := logger()
-	parallel := func(b *testing.B, f func()) {
-		b.SetParallelism(1) // times GOMAXPROCS: four goroutines on four cores
-		b.ReportAllocs()
-		b.RunParallel(func(p *testing.PB) {
-			for p.Next() {
-				f()
-			}
-		})
-	}
-	b.Run("mapped", func(b *testing.B) {
-		w, err := Open(b.TempDir(), time.Minute, log)
-		if err != nil {
-			b.Fatal(err)
-		}
-		defer w.Close()
-		stop := make(chan struct{})
-		defer close(stop)
-		go func() { // as Run does, without its ticks
-			for {
-				select {
-				case <-stop:
-					return
-				case <-w.wake:
-					w.look(false)
-				}
-			}
-		}()
-		t := try(1)
-		parallel(b, func() { w.Ended(w.Sent(t), usage.Whole) })
-	})
-	b.Run("write", func(b *testing.B) { // an append-only file with one write a record
-		f, err := os.Create(filepath.Join(b.TempDir(), "log"))
-		if err != nil {
-			b.Fatal(err)
-		}
-		defer f.Close()
-		var mu sync.Mutex
-		var buf []byte
-		t := try(1)
-		parallel(b, func() {
-			mu.Lock()
-			defer mu.Unlock()
-			buf = usage.Append(append(buf[:0], 0, 0, 0, 0, 0, 0, 0, 0), &usage.Record{Kind: usage.Sent, Seq: 1, Try: t})
-			f.Write(buf)
-			buf = usage.Append(append(buf[:0], 0, 0, 0, 0, 0, 0, 0, 0), &usage.Record{Kind: usage.Ended, Seq: 1, Arrival: usage.Whole})
-			f.Write(buf)
-		})
-	})
-	b.Run("bbolt", func(b *testing.B) { // a transaction a record, gathered, without a sync: what a kill spares
-		db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o644, &bbolt.Options{NoSync: true})
-		if err != nil {
-			b.Fatal(err)
-		}
-		defer db.Close()
-		db.Update(func(tx *bbolt.Tx) error { _, err := tx.CreateBucket([]byte("u")); return err })
-		t := try(1)
-		put := func(r *usage.Record) {
-			db.Batch(func(tx *bbolt.Tx) error {
-				u := tx.Bucket([]byte("u"))
-				n, _ := u.NextSequence()
-				return u.Put([]byte(fmt.Sprintf("%016x", n)), usage.Append(nil, r))
-			})
-		}
-		parallel(b, func() {
-			put(&usage.Record{Kind: usage.Sent, Seq: 1, Try: t})
-			put(&usage.Record{Kind: usage.Ended, Seq: 1, Arrival: usage.Whole})
-		})
-	})
-}
--- /dev/null
+++ b/internal/standalone/usagesegment/writer.go
@@ -0,0 +1,248 @@
+package usagesegment
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"mulleinrouter/internal/dataplane/usage"
+)
+
+// maxLateRecords bounds the ends of attempts that wait for space. Further ones are lost: the arrival of their
+// attempts is billed as unknown.
+const maxLateRecords = 1 << 16
+
+// Writer writes the records of one run of an ingress. It is safe for concurrent use.
+type Writer struct {
+	dir      string
+	rotate   time.Duration // greatest age of a segment with records
+	log      *logrus.Logger
+	now      func() time.Time
+	allocate allocator
+	lock     *os.File      // locks the folder
+	source   string        // name of the folder's records
+	run      uint64        // number of this run, drawn at random
+	wake     chan struct{} // wakes Run: a segment is filled, or the next one is to be preallocated
+
+	mu         sync.Mutex // guards what follows
+	seq        uint64     // of the last attempt
+	lastNumber uint64     // of the newest segment
+	current    *segmentFile
+	spare      *segmentFile   // preallocated; nil: none
+	filled     []*segmentFile // to be sealed
+	missed     usage.Sum      // not recorded since the disk is full
+	late       []usage.Record // ends of recorded attempts since then, written once there is space
+	closed     bool
+	buffer     []byte
+}
+
+// Open locks a folder, which it creates if needed, and closes the segments that an earlier run left open. A
+// segment with records is closed once it is older than rotate. The error is ErrLocked or one of the file
+// system.
+func Open(dir string, rotate time.Duration, log *logrus.Logger) (*Writer, error) {
+	return open(dir, rotate, log, time.Now, allocate)
+}
+
+func open(
+	dir string, rotate time.Duration, log *logrus.Logger, now func() time.Time, allocate allocator,
+) (*Writer, error) {
+	w := &Writer{
+		dir:      dir,
+		rotate:   rotate,
+		log:      log,
+		now:      now,
+		allocate: allocate,
+		wake:     make(chan struct{}, 1),
+	}
+	if err := os.MkdirAll(dir, folderPerm); err != nil {
+		return nil, fmt.Errorf("usage: %w", err)
+	}
+	lock, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_CREATE|os.O_RDWR, filePerm)
+	if err != nil {
+		return nil, fmt.Errorf("usage: %w", err)
+	}
+	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		lock.Close()
+		return nil, fmt.Errorf("usage: %s: %w", dir, ErrLocked)
+	}
+	w.lock = lock
+	if err := w.start(); err != nil {
+		lock.Close()
+		return nil, fmt.Errorf("usage: %w", err)
+	}
+	return w, nil
+}
+
+// start closes what an earlier run left open, and begins the first segment.
+func (w *Writer) start() (err error) {
+	if w.source, err = Source(w.dir); err != nil {
+		return err
+	}
+	var b [8]byte
+	rand.Read(b[:])
+	w.run = binary.LittleEndian.Uint64(b[:])
+	segments, err := List(w.dir)
+	if err != nil {
+		return err
+	}
+	for _, s := range segments {
+		w.lastNumber = max(w.lastNumber, s.Number)
+		if !s.Open {
+			continue
+		}
+		if err := closeLeftOpen(s.Path, w.now()); err != nil {
+			w.log.WithFields(logrus.Fields{"code": "usage-bad-segment", "file": s.Path}).WithError(err).
+				Error("cannot close a segment that an earlier run left open; it stays as it is")
+		}
+	}
+	spares, _ := filepath.Glob(filepath.Join(w.dir, "*"+spareSuffix)) // the only error is that of the pattern
+	for _, path := range spares {
+		os.Remove(path)
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.beginSegment()
+	return nil
+}
+
+// beginSegment goes on in a new segment. Without space for one, recording stops. The mutex is held.
+func (w *Writer) beginSegment() {
+	next, err := w.nextSegment()
+	if err != nil {
+		w.current = nil
+		if w.missed.Tries == 0 {
+			w.log.WithField("code", "usage-full").WithError(err).
+				Error("no space to record usage; requests are served, unrecorded usage is counted")
+		}
+		return
+	}
+	w.current = next
+	if w.missed.Tries > 0 {
+		w.log.WithFields(logrus.Fields{"code": "usage-resumed", "tries": w.missed.Tries, "units": w.missed.InUnits()}).
+			Warn("usage is recorded again; some was not")
+		w.append(&usage.Record{Kind: usage.Unmetered, Missed: w.missed})
+		w.missed = usage.Sum{}
+	}
+	late := w.late
+	w.late = nil
+	for i := range late {
+		w.append(&late[i])
+	}
+}
+
+// nextSegment returns a segment with a header and the next number. The mutex is held.
+func (w *Writer) nextSegment() (next *segmentFile, err error) {
+	next = w.spare
+	w.spare = nil
+	if next == nil {
+		if next, err = preallocate(w.dir, w.allocate); err != nil {
+			return nil, err
+		}
+	}
+	number := w.lastNumber + 1
+	header := usage.AppendHeader(nil, usage.Header{Number: number, Writer: w.run, Begun: w.now().UnixMilli()})
+	copy(next.data, header)
+	path := filepath.Join(w.dir, segmentName(number, openSuffix))
+	if err := os.Rename(next.path, path); err != nil {
+		next.discard()
+		return nil, err
+	}
+	w.lastNumber = number
+	next.path = path
+	next.used = len(header)
+	next.startedAt = w.now()
+	return next, nil
+}
+
+// append writes a record to the current segment or the next one, and reports whether there was one. The mutex is held.
+func (w *Writer) append(r *usage.Record) bool {
+	w.buffer = usage.Append(w.buffer[:0], r)
+	if w.current != nil && !w.current.hasRoom(w.buffer) {
+		w.filled = append(w.filled, w.current)
+		w.beginSegment()
+		w.wakeUp()
+	}
+	if w.current == nil || len(w.buffer) > usage.MostPayload {
+		return false
+	}
+	if w.current.append(w.buffer) {
+		w.wakeUp()
+	}
+	return true
+}
+
+func (w *Writer) wakeUp() {
+	select {
+	case w.wake <- struct{}{}:
+	default:
+	}
+}
+
+// Sent records that the first copy of an attempt is about to be sent. The number identifies the attempt for
+// Ended; 0: it could not be recorded.
+func (w *Writer) Sent(try usage.Try) (seq uint64) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.seq++
+	if !w.append(&usage.Record{Kind: usage.Sent, Seq: w.seq, Try: try}) {
+		w.missed = w.missed.Plus(usage.Sum{Tries: 1, Units: try.Units})
+		return 0
+	}
+	return w.seq
+}
+
+// Ended records what is known of an attempt's arrival once it has ended.
+func (w *Writer) Ended(seq uint64, a usage.Arrival) {
+	if seq == 0 {
+		return
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	r := usage.Record{Kind: usage.Ended, Seq: seq, Arrival: a}
+	if !w.append(&r) && len(w.late) < maxLateRecords {
+		w.late = append(w.late, r)
+	}
+}
+
+// Missed returns what could not be recorded since the disk became full; zero while it isn't.
+func (w *Writer) Missed() usage.Sum {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.missed
+}
+
+// Close closes the current segment and unlocks the folder. Later records are counted as missed, and lost.
+func (w *Writer) Close() error {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.closed {
+		return nil
+	}
+	w.closed = true
+	if w.missed.Tries > 0 {
+		w.log.WithFields(logrus.Fields{"code": "usage-unmetered", "tries": w.missed.Tries, "units": w.missed.InUnits()}).
+			Error("some usage was not recorded, and is reported in this line only")
+	}
+	if w.current != nil {
+		w.filled = append(w.filled, w.current)
+		w.current = nil
+	}
+	var err error
+	for _, f := range w.filled {
+		err = errors.Join(err, f.seal(w.now()))
+	}
+	w.filled = nil
+	if w.spare != nil {
+		w.spare.discard()
+		w.spare = nil
+	}
+	return errors.Join(err, w.lock.Close())
+}
