--- a/internal/standalone/cli/usage.go
+++ b/internal/standalone/cli/usage.go
@@ -66,21 +66,21 @@
 	}
 	batches := 0
 	for tries := 0; ctx.Err() == nil; {
-		sent, answer, advice, err := e.Step(ctx)
+		result, err := e.Step(ctx)
 		switch {
-		case err == nil && sent:
+		case err == nil && result.Sent:
 			batches++
 			tries = 0
 		case err == nil:
 			fmt.Fprintf(p.out, "%d batches taken, nothing is left\n", batches)
 			return nil
 		default:
-			if tries++; tries >= 5 || answer != usage.Again {
+			if tries++; tries >= 5 || result.Answer != usage.Again {
 				return fmt.Errorf("%w after %d: %w", errNothing, batches, err)
 			}
 			select {
 			case <-ctx.Done():
-			case <-time.After(time.Duration(max(0.2*float64(tries), min(advice, 5)) * float64(time.Second))):
+			case <-time.After(time.Duration(max(0.2*float64(tries), min(result.RetryAfter, 5)) * float64(time.Second))):
 			}
 		}
 	}
--- a/internal/standalone/node/usage.go
+++ b/internal/standalone/node/usage.go
@@ -97,10 +97,10 @@
 // newExporter returns an exporter of a folder, not yet open.
 func (n *Node) newExporter(dir string) *usageexport.Exporter {
 	exporter := &usageexport.Exporter{
-		Dir:      dir,
-		Endpoint: n.config.Usage.Endpoint,
-		Retention:     n.config.Usage.Keep,
-		Log:      n.log,
+		Dir:       dir,
+		Endpoint:  n.config.Usage.Endpoint,
+		Retention: n.config.Usage.Keep,
+		Log:       n.log,
 	}
 	if n.leases != nil {
 		exporter.Client = &http.Client{
@@ -166,8 +166,8 @@
 	}
 	defer exporter.Close()
 	for ctx.Err() == nil {
-		sent, _, _, err := exporter.Step(ctx)
-		if err == nil && !sent {
+		result, err := exporter.Step(ctx)
+		if err == nil && !result.Sent {
 			n.log.WithFields(logrus.Fields{"code": "usage-inherited", "dir": dir}).
 				Info("usage records of another process of this ingress exported")
 			return
--- /dev/null
+++ b/internal/standalone/usageexport/batch.go
@@ -0,0 +1,96 @@
+package usageexport
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+
+	"github.com/sirupsen/logrus"
+
+	"mulleinrouter/internal/dataplane/usage"
+	"mulleinrouter/internal/standalone/usagesegment"
+)
+
+// maxBatchRows bounds a batch: no further segment is added to one with so many rows.
+const maxBatchRows = 20_000
+
+// pendingBody returns the body of the batch to send: the stored one, or else the next one, which it stores first. Nil:
+// there is none.
+func (e *Exporter) pendingBody() (body []byte, err error) {
+	body, c, err := e.loadState()
+	if err != nil || body != nil {
+		return body, err
+	}
+	b, next, err := e.makeBatch(c)
+	if err != nil || b == nil {
+		return nil, err
+	}
+	if body, err = json.Marshal(b); err != nil {
+		return nil, fmt.Errorf("usage: encode a batch: %w", err)
+	}
+	if err := e.storeBatch(body, next); err != nil {
+		return nil, err
+	}
+	return body, nil
+}
+
+// makeBatch makes a batch of the closed segments after the cursor, and returns the cursor after it. Nil: there is none.
+func (e *Exporter) makeBatch(c cursor) (*usage.Batch, cursor, error) {
+	segments, err := usagesegment.List(e.Dir)
+	if err != nil {
+		return nil, c, fmt.Errorf("usage: list segments: %w", err)
+	}
+	b := &usage.Batch{Source: e.source, Number: c.Batch + 1}
+	ledger := &usage.Ledger{Writer: c.Writer, Pending: c.Pending}
+	tally := usage.Tally{}
+	for _, s := range segments {
+		if s.Number <= c.Segment {
+			continue
+		}
+		if s.Open || len(tally) >= maxBatchRows {
+			break
+		}
+		if err := e.addSegment(b, ledger, tally, s); err != nil {
+			return nil, c, err
+		}
+	}
+	if b.First == 0 {
+		return nil, c, nil
+	}
+	b.Rows = tally.Rows()
+	return b, cursor{Batch: b.Number, Segment: b.Last, Writer: ledger.Writer, Pending: ledger.Pending}, nil
+}
+
+// addSegment adds the records of a segment to a batch.
+func (e *Exporter) addSegment(b *usage.Batch, ledger *usage.Ledger, tally usage.Tally, s usagesegment.Info) error {
+	header, data, err := usagesegment.Read(s.Path)
+	if err != nil {
+		return fmt.Errorf("usage: read a segment: %w", err)
+	}
+	rows, report, err := ledger.Segment(header, data)
+	if err != nil {
+		return fmt.Errorf("usage: %s: %w", s.Path, err)
+	}
+	if report.Damaged+report.Lost > 0 {
+		e.Log.WithFields(logrus.Fields{
+			"code":    "usage-damaged",
+			"file":    s.Path,
+			"records": report.Damaged,
+			"bytes":   report.Lost,
+		}).Error("usage records are damaged; the batch reports their number")
+		b.Damaged += report.Damaged + min(report.Lost, 1)
+	}
+	tally.Merge(rows)
+	b.Unmetered = b.Unmetered.Plus(report.Missed)
+	if b.First == 0 {
+		b.First = s.Number
+	}
+	b.Last = s.Number
+	return nil
+}
+
+// Digest returns the SHA-256 of a batch's body in hexadecimal.
+func Digest(body []byte) string {
+	sum := sha256.Sum256(body)
+	return hex.EncodeToString(sum[:])
+}
--- /dev/null
+++ b/internal/standalone/usageexport/exporter.go
@@ -0,0 +1,168 @@
+package usageexport
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"os"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"go.etcd.io/bbolt"
+
+	"mulleinrouter/internal/dataplane/usage"
+	"mulleinrouter/internal/standalone/usagesegment"
+)
+
+// pollInterval is how often Run looks for closed segments.
+const pollInterval = 2 * time.Second
+
+// Exporter sends the usage of one folder. Set the fields before Open.
+type Exporter struct {
+	Dir       string
+	Endpoint  string        // URL
+	Retention time.Duration // for which segments are kept after their last write, once they are acknowledged
+	Client    *http.Client  // nil: one with a time-out
+	Log       *logrus.Logger
+
+	db       *bbolt.DB
+	source   string
+	rng      *rand.Rand
+	testHook func(p hookPoint) error // may have the exporter fail as if killed; nil: none
+}
+
+// hookPoint is a point of the export at which a test may kill the exporter.
+type hookPoint string
+
+const (
+	whileStoringBatch            hookPoint = "while storing the batch"
+	beforeSending                hookPoint = "before sending"
+	afterSending                 hookPoint = "after sending"
+	beforeStoringAcknowledgement hookPoint = "before storing the acknowledgement"
+	whileStoringAcknowledgement  hookPoint = "while storing the acknowledgement"
+)
+
+func (e *Exporter) callTestHook(p hookPoint) error {
+	if e.testHook == nil {
+		return nil
+	}
+	return e.testHook(p)
+}
+
+// Open opens and locks the store. Errors are ErrLocked, ErrOtherSource, or those of the file system.
+func (e *Exporter) Open() error {
+	if _, err := os.Stat(e.Dir); err != nil {
+		return fmt.Errorf("usage: %w", err)
+	}
+	var err error
+	if e.source, err = usagesegment.Source(e.Dir); err != nil {
+		return fmt.Errorf("usage: %w", err)
+	}
+	if e.db, err = openStore(e.Dir, e.source); err != nil {
+		return err
+	}
+	if e.Client == nil {
+		e.Client = &http.Client{Timeout: answerTimeout}
+	}
+	e.rng = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	return nil
+}
+
+// Close closes the store.
+func (e *Exporter) Close() error { return e.db.Close() }
+
+// Run exports until the context ends.
+func (e *Exporter) Run(ctx context.Context) {
+	failures, code := 0, "" // in a row, and the code that was logged last
+	for ctx.Err() == nil {
+		wait := pollInterval
+		result, err := e.Step(ctx)
+		switch {
+		case ctx.Err() != nil:
+			return
+		case err != nil:
+			failures++
+			wait = time.Duration(usage.Wait(failures, result.Answer, result.RetryAfter, e.rng) * float64(time.Second))
+			if current := failureCode(result.Answer); current != code {
+				code = current
+				e.Log.WithFields(logrus.Fields{"code": code, "wait": wait.String()}).WithError(err).
+					Error("a batch of usage was not acknowledged; it is retried")
+			}
+		case result.Sent:
+			if failures > 0 {
+				e.Log.WithFields(logrus.Fields{"code": "usage-export-resumed", "tries": failures}).
+					Info("batches of usage are acknowledged again")
+			}
+			failures = 0
+			code = ""
+			wait = 0
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(wait):
+		}
+	}
+}
+
+// failureCode is the log code of a batch that was not acknowledged.
+func failureCode(a usage.Answer) string {
+	switch a {
+	case usage.Conflicting:
+		return "usage-export-conflict"
+	case usage.Unacceptable:
+		return "usage-export-rejected"
+	default:
+		return "usage-export-failed"
+	}
+}
+
+// Result is the outcome of a step.
+type Result struct {
+	Sent       bool // a batch was sent and acknowledged; false without an error: there is nothing to send
+	Answer     usage.Answer
+	RetryAfter float64 // s, as the endpoint asked; 0: it didn't
+}
+
+// Step sends the stored batch, or makes the next one and sends it. A batch that was not acknowledged is
+// ErrNotAcknowledged; other errors are those of the store and the segments.
+func (e *Exporter) Step(ctx context.Context) (Result, error) {
+	failed := Result{Answer: usage.Again}
+	body, err := e.pendingBody()
+	if err != nil || body == nil {
+		return failed, err
+	}
+	if err := e.callTestHook(beforeSending); err != nil {
+		return failed, err
+	}
+	if result, err := e.send(ctx, body); err != nil {
+		return result, err
+	}
+	if err := e.callTestHook(beforeStoringAcknowledgement); err != nil {
+		return failed, err
+	}
+	if err := e.storeAcknowledgement(body); err != nil {
+		return failed, err
+	}
+	e.removeExported()
+	return Result{Sent: true, Answer: usage.Acknowledged}, nil
+}
+
+// removeExported removes segments that were acknowledged, once Retention has passed. What can't be removed is retried
+// after the next batch.
+func (e *Exporter) removeExported() {
+	body, c, err := e.loadState()
+	if err != nil || body != nil {
+		return
+	}
+	segments, err := usagesegment.List(e.Dir)
+	if err != nil {
+		return
+	}
+	for _, s := range segments {
+		info, err := os.Stat(s.Path)
+		if err == nil && !s.Open && s.Number <= c.Segment && time.Since(info.ModTime()) > e.Retention {
+			os.Remove(s.Path)
+		}
+	}
+}
--- a/internal/standalone/usageexport/export_test.go
+++ b/internal/standalone/usageexport/exporter_test.go
@@ -36,7 +36,8 @@
 	return b
 }
 
-// recordUsage has one run of an ingress write so many tries that arrived, and leave one out, as a kill does.
+// recordUsage writes a run of an ingress with some attempts that arrived, and one in flight at its end, as
+// after a kill.
 func recordUsage(t *testing.T, dir string, tries int) {
 	t.Helper()
 	log, _ := logger()
@@ -45,8 +46,15 @@
 		t.Fatal(err)
 	}
 	for i := range tries {
-		try := usage.Try{Member: fmt.Sprintf("%016x", i%7), Plan: "plus", Class: "quote-read", Revision: uint64(i % 3),
-			Units: usage.ToMicro(1.25), Minute: time.Now().Unix()/60 - int64(i%4), Beyond: i%5 == 0}
+		try := usage.Try{
+			Member:   fmt.Sprintf("%016x", i%7),
+			Plan:     "plus",
+			Class:    "quote-read",
+			Revision: uint64(i % 3),
+			Units:    usage.ToMicro(1.25),
+			Minute:   time.Now().Unix()/60 - int64(i%4),
+			Beyond:   i%5 == 0,
+		}
 		w.Ended(w.Sent(try), usage.Whole)
 	}
 	w.Sent(usage.Try{Member: "00000000000000ff", Units: usage.ToMicro(2), Minute: time.Now().Unix() / 60})
@@ -65,34 +73,39 @@
 	return e
 }
 
-// exportAll exports until nothing is left, passing over answers that are none.
+// exportAll exports until nothing is left, whatever the endpoint answers meanwhile.
 func exportAll(t *testing.T, e *usageexport.Exporter) {
 	t.Helper()
 	for range 100 {
-		sent, _, _, err := e.Step(context.Background())
-		if err == nil && !sent {
+		result, err := e.Step(context.Background())
+		if err == nil && !result.Sent {
 			return
 		}
 	}
-	t.Fatal("it never comes to an end")
+	t.Fatal("the export doesn't end")
 }
 
 var errKilled = errors.New("killed")
 
-// The exporter is killed at every place, with every answer of the endpoint before and after: the bill is the same.
+// TestKilledExporterBillsOnce kills the exporter at each point, with each answer of the endpoint: the bill is the same.
 func TestKilledExporterBillsOnce(t *testing.T) {
-	points := []string{"while storing the batch", "before sending", "after sending", "before storing the acknowledgement", "while storing the acknowledgement"}
-	faults := map[string]fakes.BillingFault{"fine": fakes.Fine, "fails": fakes.Fails, "loses": fakes.Loses, "babble": fakes.Babble, "slow": fakes.Slow}
-	for _, point := range points {
+	faults := map[string]fakes.BillingFault{
+		"fine":   fakes.Fine,
+		"fails":  fakes.Fails,
+		"loses":  fakes.Loses,
+		"babble": fakes.Babble,
+		"slow":   fakes.Slow,
+	}
+	for _, point := range usageexport.HookPoints {
 		for name, fault := range faults {
-			t.Run(point+", "+name, func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, %s", point, name), func(t *testing.T) {
 				dir, b := t.TempDir(), startBilling(t)
 				b.Next(fault)
 				recordUsage(t, dir, 50)
 				kills := 0
-				for range 3 { // the place is come to again after each start
+				for range 3 { // the point is reached again after each start
 					e := openExporter(t, dir, b)
-					e.SetTestHook(func(at string) error {
+					e.SetTestHook(func(at usageexport.HookPoint) error {
 						if at == point {
 							kills++
 							return errKilled
@@ -103,7 +116,7 @@
 					e.Close()
 				}
 				if kills == 0 {
-					t.Fatal("never came there")
+					t.Fatal("the point was never reached")
 				}
 				recordUsage(t, dir, 30)
 				e := openExporter(t, dir, b)
@@ -130,24 +143,25 @@
 	defer e.Close()
 	b.Next(fakes.Hangs)
 	ctx, cancel := context.WithCancel(context.Background())
-	e.SetTestHook(func(at string) error {
-		if at == "before sending" {
-			time.AfterFunc(20*time.Millisecond, cancel) // the client's time is up
+	e.SetTestHook(func(at usageexport.HookPoint) error {
+		if at == usageexport.BeforeSending {
+			time.AfterFunc(20*time.Millisecond, cancel) // as if the client's time-out passed
 		}
 		return nil
 	})
-	if sent, answer, _, err := e.Step(ctx); sent || answer != usage.Again || !errors.Is(err, usageexport.ErrNotAcknowledged) {
-		t.Errorf("a hanging endpoint: %v %v %v", sent, answer, err)
+	want := usageexport.Result{Answer: usage.Again}
+	if got, err := e.Step(ctx); got != want || !errors.Is(err, usageexport.ErrNotAcknowledged) {
+		t.Errorf("a hanging endpoint: got %+v, %v; want %+v, %v", got, err, want, usageexport.ErrNotAcknowledged)
 	}
 	e.SetTestHook(nil)
 	exportAll(t, e)
 	if tally, _, repeats, _ := b.Billed(); len(tally) == 0 || repeats != 0 {
-		t.Errorf("%d rows, %d repeats", len(tally), repeats)
+		t.Errorf("got %d rows, %d repeats; want some, 0", len(tally), repeats)
 	}
 	b.Stop()
 	recordUsage(t, dir, 10)
-	if sent, answer, _, err := e.Step(context.Background()); sent || answer != usage.Again || err == nil {
-		t.Errorf("an endpoint that is gone: %v %v %v", sent, answer, err)
+	if got, err := e.Step(context.Background()); got != want || err == nil {
+		t.Errorf("an endpoint that is down: got %+v, %v; want %+v and an error", got, err, want)
 	}
 }
 
@@ -158,14 +172,15 @@
 	defer e.Close()
 	b.Next(fakes.Loses)
 	e.Step(context.Background())
-	// Billing has the batch. Its copy here changes, as by a disk that loses a sync.
+	// The endpoint has the batch. It changes here, as if the disk lost a sync.
 	other := openTwin(t, b, dir)
-	if sent, answer, _, err := other.Step(context.Background()); sent || answer != usage.Conflicting || err == nil {
-		t.Errorf("%v %v %v", sent, answer, err)
+	want := usageexport.Result{Answer: usage.Conflicting}
+	if got, err := other.Step(context.Background()); got != want || err == nil {
+		t.Errorf("got %+v, %v; want %+v and an error", got, err, want)
 	}
 }
 
-// openTwin has a folder under the same name, with other records.
+// openTwin opens a folder with the same source and other records.
 func openTwin(t *testing.T, b *fakes.Billing, dir string) *usageexport.Exporter {
 	t.Helper()
 	source, err := usagesegment.Source(dir)
@@ -184,7 +199,7 @@
 
 func TestVerify(t *testing.T) {
 	for name, tc := range map[string]struct {
-		break_ func(list []usagesegment.Info)
+		damage func(list []usagesegment.Info)
 		want   string
 	}{
 		"nothing":           {func([]usagesegment.Info) {}, ""},
@@ -213,12 +228,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			tc.break_(list)
+			tc.damage(list)
 			e = openExporter(t, dir, b)
 			defer e.Close()
 			v, err := e.Verify()
-			if err != nil || v.Batches != 3 || (tc.want == "") != (len(v.Problems) == 0) || !strings.Contains(strings.Join(v.Problems, "\n"), tc.want) {
-				t.Errorf("%+v %v", v, err)
+			if err != nil || v.Batches != 3 {
+				t.Fatalf("got %+v, %v; want 3 batches", v, err)
+			}
+			problems := strings.Join(v.Problems, "\n")
+			if (tc.want == "") != (problems == "") || !strings.Contains(problems, tc.want) {
+				t.Errorf("got problems %q, want %q", problems, tc.want)
 			}
 		})
 	}
@@ -237,7 +256,7 @@
 	exportAll(t, e)
 	list, _ := usagesegment.List(dir)
 	if len(list) != 0 {
-		t.Errorf("%v left", list)
+		t.Errorf("got segments %v, want none", list)
 	}
 	if v, err := e.Verify(); err != nil || len(v.Problems) > 0 || v.Known.Tries != 10 {
 		t.Errorf("%+v %v", v, err)
@@ -250,12 +269,13 @@
 	e := openExporter(t, dir, b)
 	defer e.Close()
 	log, _ := logger()
-	if err := (&usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Log: log}).Open(); !errors.Is(err, usageexport.ErrLocked) {
-		t.Errorf("a second one: %v", err)
+	second := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Log: log}
+	if err := second.Open(); !errors.Is(err, usageexport.ErrLocked) {
+		t.Errorf("a second exporter: got %v, want %v", err, usageexport.ErrLocked)
 	}
 }
 
-// Run keeps at it: one line for a trouble however often it repeats, one when it is over.
+// TestRunRetries: a failure is logged once however often it repeats, and once when it has ended.
 func TestRunRetries(t *testing.T) {
 	dir, b := t.TempDir(), startBilling(t)
 	recordUsage(t, dir, 10)
@@ -266,7 +286,7 @@
 	e.Client = &http.Client{Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
 		response, err := http.DefaultTransport.RoundTrip(r)
 		if err == nil && response.StatusCode == 200 {
-			time.AfterFunc(50*time.Millisecond, cancel) // it has all that there is
+			time.AfterFunc(50*time.Millisecond, cancel) // the endpoint has all batches
 		}
 		return response, err
 	})}
@@ -279,7 +299,10 @@
 	if known, _ := tally.Total(); known.Tries != 10 {
 		t.Errorf("billed %+v", known)
 	}
-	got := []int{strings.Count(lines.String(), "usage-export-failed"), strings.Count(lines.String(), "usage-export-resumed")}
+	got := []int{
+		strings.Count(lines.String(), "usage-export-failed"),
+		strings.Count(lines.String(), "usage-export-resumed"),
+	}
 	if diff := cmp.Diff([]int{1, 1}, got); diff != "" {
 		t.Errorf("%s\n%s", diff, lines)
 	}
--- a/internal/standalone/usageexport/golden_test.go
+++ b/internal/standalone/usageexport/golden_test.go
@@ -24,8 +24,8 @@
 
 var goldenSegments = []string{"usage-0000000000000001.seg", "usage-0000000000000002.seg"}
 
-// goldenDir lays out a folder as an earlier version left it: two segments, and the store if it is wanted. There, batch 1
-// is acknowledged and batch 2 waits.
+// goldenDir lays out a folder as an earlier version left it: two segments, and the store if it is wanted.
+// There, batch 1 is acknowledged and batch 2 waits.
 func goldenDir(t *testing.T, withStore bool) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -104,9 +104,9 @@
 func TestGoldenStoreRead(t *testing.T) {
 	e, bodies := goldenExporter(t, goldenDir(t, true), 1)
 	defer e.Close()
-	sent, _, _, err := e.Step(context.Background())
-	if err != nil || !sent {
-		t.Fatalf("got sent %v, %v", sent, err)
+	result, err := e.Step(context.Background())
+	if err != nil || !result.Sent {
+		t.Fatalf("got %+v, %v; want a batch sent", result, err)
 	}
 	if diff := cmp.Diff([]string{string(goldentest.Read(t, "batch-2.json"))}, *bodies); diff != "" {
 		t.Errorf("bodies (-want +got):\n%s", diff)
@@ -140,14 +140,14 @@
 		t.Fatal(err)
 	}
 	e, bodies := goldenExporter(t, dir, 1)
-	if sent, _, _, err := e.Step(context.Background()); err != nil || !sent {
-		t.Fatalf("batch 1: got sent %v, %v", sent, err)
+	if result, err := e.Step(context.Background()); err != nil || !result.Sent {
+		t.Fatalf("batch 1: got %+v, %v; want it sent", result, err)
 	}
 	if err := os.Rename(second+".later", second); err != nil {
 		t.Fatal(err)
 	}
-	if sent, _, _, err := e.Step(context.Background()); err == nil || sent {
-		t.Fatalf("batch 2: got sent %v, %v; want an error", sent, err)
+	if result, err := e.Step(context.Background()); err == nil || result.Sent {
+		t.Fatalf("batch 2: got %+v, %v; want an error", result, err)
 	}
 	if err := e.Close(); err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/standalone/usageexport/store.go
@@ -0,0 +1,167 @@
+package usageexport
+
+import (
+	"bytes"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"path/filepath"
+	"time"
+
+	jsoniter "github.com/json-iterator/go"
+	"go.etcd.io/bbolt"
+	bolterrors "go.etcd.io/bbolt/errors"
+
+	"mulleinrouter/internal/dataplane/usage"
+)
+
+const (
+	storeFile   = "export.db"
+	storePerm   = 0o644
+	lockTimeout = time.Second // for another exporter to end
+
+	maxSentBatches = 10_000 // acknowledged batches that are kept, for verification and operators
+	pruneInterval  = 256    // batches between two removals of older ones
+)
+
+var json = jsoniter.ConfigCompatibleWithStandardLibrary
+
+// Buckets and keys of the store.
+var (
+	bucketState = []byte("state")  // has the keys below
+	keySource   = []byte("source") // name of the folder's records
+	keyOutbox   = []byte("outbox") // body of the batch that is not acknowledged
+	keyCursor   = []byte("cursor") // JSON of cursor
+
+	bucketSent = []byte("sent") // bodies of acknowledged batches by number
+)
+
+// cursor is the position up to which records are in batches.
+type cursor struct {
+	Batch   uint64               `json:"batch"`   // number of the last batch
+	Segment uint64               `json:"segment"` // number of the last segment in it
+	Writer  uint64               `json:"writer"`  // run that wrote the segment
+	Pending map[uint64]usage.Try `json:"pending"` // attempts in flight at its end
+}
+
+// openStore opens the store of a folder, which belongs to a source.
+func openStore(dir, source string) (*bbolt.DB, error) {
+	db, err := bbolt.Open(filepath.Join(dir, storeFile), storePerm, &bbolt.Options{Timeout: lockTimeout})
+	if errors.Is(err, bolterrors.ErrTimeout) {
+		return nil, fmt.Errorf("usage: %s: %w", dir, ErrLocked)
+	}
+	if err != nil {
+		return nil, fmt.Errorf("usage: open %s: %w", storeFile, err)
+	}
+	err = db.Update(func(tx *bbolt.Tx) error {
+		state, err := tx.CreateBucketIfNotExists(bucketState)
+		if err != nil {
+			return err
+		}
+		if _, err = tx.CreateBucketIfNotExists(bucketSent); err != nil {
+			return err
+		}
+		if stored := state.Get(keySource); stored != nil && string(stored) != source {
+			return fmt.Errorf("%w: %s, not %s", ErrOtherSource, stored, source)
+		}
+		return state.Put(keySource, []byte(source))
+	})
+	if err != nil {
+		db.Close()
+		return nil, fmt.Errorf("usage: open %s: %w", storeFile, err)
+	}
+	return db, nil
+}
+
+// loadState returns the body of the batch that is not acknowledged, nil if there is none, and the cursor.
+func (e *Exporter) loadState() (body []byte, c cursor, err error) {
+	err = e.db.View(func(tx *bbolt.Tx) error {
+		state := tx.Bucket(bucketState)
+		if stored := state.Get(keyOutbox); stored != nil {
+			body = bytes.Clone(stored)
+		}
+		if text := state.Get(keyCursor); text != nil {
+			return json.Unmarshal(text, &c)
+		}
+		return nil
+	})
+	if err != nil {
+		return nil, c, fmt.Errorf("usage: read %s: %w", storeFile, err)
+	}
+	return body, c, nil
+}
+
+// storeBatch stores a batch that is to be sent, with the cursor after it.
+func (e *Exporter) storeBatch(body []byte, c cursor) error {
+	err := e.db.Update(func(tx *bbolt.Tx) error {
+		state := tx.Bucket(bucketState)
+		text, err := json.Marshal(c)
+		if err != nil {
+			return err
+		}
+		if err := errors.Join(state.Put(keyOutbox, body), state.Put(keyCursor, text)); err != nil {
+			return err
+		}
+		return e.callTestHook(whileStoringBatch)
+	})
+	if err != nil {
+		return fmt.Errorf("usage: store a batch: %w", err)
+	}
+	return nil
+}
+
+// storeAcknowledgement moves the batch from the outbox to the acknowledged ones, of which the oldest are removed.
+func (e *Exporter) storeAcknowledgement(body []byte) error {
+	var b usage.Batch
+	if err := json.Unmarshal(body, &b); err != nil {
+		return fmt.Errorf("usage: the stored batch: %w", err)
+	}
+	err := e.db.Update(func(tx *bbolt.Tx) error {
+		sent := tx.Bucket(bucketSent)
+		if err := errors.Join(sent.Put(batchKey(b.Number), body), tx.Bucket(bucketState).Delete(keyOutbox)); err != nil {
+			return err
+		}
+		if b.Number%pruneInterval == 0 && b.Number > maxSentBatches {
+			if err := removeBefore(sent, b.Number-maxSentBatches); err != nil {
+				return err
+			}
+		}
+		return e.callTestHook(whileStoringAcknowledgement)
+	})
+	if err != nil {
+		return fmt.Errorf("usage: store an acknowledgement: %w", err)
+	}
+	return nil
+}
+
+// removeBefore removes the batches below a number.
+func removeBefore(sent *bbolt.Bucket, number uint64) error {
+	c := sent.Cursor()
+	for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) < number; k, _ = c.Next() {
+		if err := c.Delete(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func batchKey(number uint64) []byte { return binary.BigEndian.AppendUint64(nil, number) }
+
+// EachBatch calls a function with the kept batches that were acknowledged, in the order of their numbers, and
+// with the one that isn't yet. The digest is that of the body.
+func (e *Exporter) EachBatch(each func(b usage.Batch, digest string, acknowledged bool) error) error {
+	return e.db.View(func(tx *bbolt.Tx) error {
+		call := func(body []byte, acknowledged bool) error {
+			var b usage.Batch
+			if err := json.Unmarshal(body, &b); err != nil {
+				return err
+			}
+			return each(b, Digest(body), acknowledged)
+		}
+		err := tx.Bucket(bucketSent).ForEach(func(_, body []byte) error { return call(body, true) })
+		if body := tx.Bucket(bucketState).Get(keyOutbox); err == nil && body != nil {
+			err = call(body, false)
+		}
+		return err
+	})
+}
--- a/internal/standalone/usageexport/verify.go
+++ b/internal/standalone/usageexport/verify.go
@@ -7,99 +7,127 @@
 	"mulleinrouter/internal/standalone/usagesegment"
 )
 
-// maxAttemptSegments is how many segments earlier a try may have begun: none is open for longer than ten minutes, and
-// segments are closed once a minute or so.
+// maxAttemptSegments is how many segments before its end an attempt may have begun: an attempt takes ten
+// minutes at most, and segments are closed about once a minute.
 const maxAttemptSegments = 12
 
-// Verification is what a look at a folder's records and batches found.
+// Verification is the outcome of Verify.
 type Verification struct {
-	Segments  int
-	Records   int
-	Batches   uint64
-	Known     usage.Sum // of all batches
-	Unknown   usage.Sum // listed apart: whether they arrived is not known
-	Unmetered usage.Sum
-	NotExported   usage.Sum // recorded, and in no batch yet
-	InFlight       int       // tries that are out, or whose end is in a segment that is still open
-	Problems  []string  // empty: all is in order
+	Segments    int
+	Records     int
+	Batches     uint64    // number of the last one
+	Known       usage.Sum // of all batches
+	Unknown     usage.Sum // of all batches: attempts of which it is not known whether they arrived
+	Unmetered   usage.Sum // of all batches
+	NotExported usage.Sum // recorded, and in no batch yet
+	InFlight    int       // attempts without an end, or with one in a segment that is open
+	Problems    []string  // empty: none
 }
 
-// Verify reads all segments that are there and all batches that are kept, and compares them: the numbers of the
-// batches have no gaps, and each batch whose segments are all still there says what these say.
+// verifier compares the segments and batches of a folder.
+type verifier struct {
+	Verification
+	source      string
+	rows        map[uint64]usage.Tally // by segment
+	lastSegment uint64                 // in a batch
+}
+
+// Verify reads all segments that are there and all batches that are kept, and compares them: the numbers have
+// no gaps, and each batch whose segments are all there has what they have.
 func (e *Exporter) Verify() (*Verification, error) {
-	v := &Verification{}
-	bad := func(format string, args ...any) { v.Problems = append(v.Problems, fmt.Sprintf(format, args...)) }
-	list, err := usagesegment.List(e.Dir)
+	v := &verifier{source: e.source, rows: map[uint64]usage.Tally{}}
+	segments, err := usagesegment.List(e.Dir)
+	if err != nil {
+		return nil, fmt.Errorf("usage: list segments: %w", err)
+	}
+	v.readSegments(segments)
+	err = e.EachBatch(func(b usage.Batch, _ string, _ bool) error {
+		v.checkBatch(b)
+		return nil
+	})
 	if err != nil {
-		return nil, fmt.Errorf("usage: %w", err)
+		return nil, fmt.Errorf("usage: read %s: %w", storeFile, err)
+	}
+	for number, tally := range v.rows {
+		if number > v.lastSegment {
+			known, unknown := tally.Total()
+			v.NotExported = v.NotExported.Plus(known).Plus(unknown)
+		}
 	}
-	rows := map[uint64]usage.Tally{} // by segment
+	return &v.Verification, nil
+}
+
+func (v *verifier) addProblem(format string, args ...any) {
+	v.Problems = append(v.Problems, fmt.Sprintf(format, args...))
+}
+
+func (v *verifier) readSegments(segments []usagesegment.Info) {
 	ledger, last := &usage.Ledger{}, uint64(0)
-	for _, s := range list {
+	for _, s := range segments {
 		header, data, err := usagesegment.Read(s.Path)
 		if err != nil {
-			bad("%v", err)
+			v.addProblem("%v", err)
 			continue
 		}
 		if header.Number != s.Number {
-			bad("%s says that it is segment %d", s.Path, header.Number)
+			v.addProblem("%s says that it is segment %d", s.Path, header.Number)
 		}
 		if last != 0 && s.Number != last+1 {
-			bad("segments %d to %d are missing", last+1, s.Number-1)
+			v.addProblem("segments %d to %d are missing", last+1, s.Number-1)
 		}
 		last = s.Number
-		t, report, err := ledger.Segment(header, data)
+		tally, report, err := ledger.Segment(header, data)
 		if err != nil {
-			bad("%s: %v", s.Path, err)
+			v.addProblem("%s: %v", s.Path, err)
 			continue
 		}
 		if report.Damaged > 0 || report.Lost > 0 {
-			bad("%s: %d records damaged, %d bytes after the last sound one", s.Path, report.Damaged, report.Lost)
+			v.addProblem("%s: %d records damaged, %d bytes after the last sound one", s.Path, report.Damaged, report.Lost)
 		}
 		v.Segments++
 		v.Records += report.Records
-		rows[s.Number] = t
+		v.rows[s.Number] = tally
 	}
 	v.InFlight = len(ledger.Pending)
-	batched := uint64(0)
-	err = e.EachBatch(func(b usage.Batch, digest string, acknowledged bool) error {
-		if b.Source != e.source {
-			bad("batch %d is from %s", b.Number, b.Source)
-		}
-		if v.Batches != 0 && b.Number != v.Batches+1 {
-			bad("batches %d to %d are missing", v.Batches+1, b.Number-1)
-		}
-		if batched != 0 && b.First != batched+1 {
-			bad("batch %d begins with segment %d, the one before ended with %d", b.Number, b.First, batched)
-		}
-		v.Batches, batched = b.Number, b.Last
-		said, read, whole := usage.Tally{}, usage.Tally{}, true
-		for _, r := range b.Rows {
-			said[r.Key] = r.Sum
-		}
-		// A try may have begun some segments earlier: where one of these is gone, the batch cannot be compared.
-		for n := b.First - min(b.First-1, maxAttemptSegments); n <= b.Last; n++ {
-			if whole = whole && rows[n] != nil; n >= b.First {
-				read.Merge(rows[n])
-			}
-		}
-		if whole && fmt.Sprint(said.Rows()) != fmt.Sprint(read.Rows()) {
-			bad("batch %d says otherwise than its segments %d to %d", b.Number, b.First, b.Last)
-		}
-		known, unknown := said.Total()
-		v.Known = v.Known.Plus(known)
-		v.Unknown = v.Unknown.Plus(unknown)
-		v.Unmetered = v.Unmetered.Plus(b.Unmetered)
-		return nil
-	})
-	if err != nil {
-		return nil, fmt.Errorf("usage: %s: %w", storeFile, err)
+}
+
+// checkBatch compares a batch with the one before it and with its segments.
+func (v *verifier) checkBatch(b usage.Batch) {
+	if b.Source != v.source {
+		v.addProblem("batch %d is from %s", b.Number, b.Source)
 	}
-	for n, t := range rows {
-		if n > batched {
-			known, unknown := t.Total()
-			v.NotExported = v.NotExported.Plus(known).Plus(unknown)
+	if v.Batches != 0 && b.Number != v.Batches+1 {
+		v.addProblem("batches %d to %d are missing", v.Batches+1, b.Number-1)
+	}
+	if v.lastSegment != 0 && b.First != v.lastSegment+1 {
+		v.addProblem("batch %d begins with segment %d, the one before ended with %d", b.Number, b.First, v.lastSegment)
+	}
+	v.Batches = b.Number
+	v.lastSegment = b.Last
+	batched := usage.Tally{}
+	for _, r := range b.Rows {
+		batched[r.Key] = r.Sum
+	}
+	recorded, complete := v.recorded(b)
+	if complete && fmt.Sprint(batched.Rows()) != fmt.Sprint(recorded.Rows()) {
+		v.addProblem("batch %d says otherwise than its segments %d to %d", b.Number, b.First, b.Last)
+	}
+	known, unknown := batched.Total()
+	v.Known = v.Known.Plus(known)
+	v.Unknown = v.Unknown.Plus(unknown)
+	v.Unmetered = v.Unmetered.Plus(b.Unmetered)
+}
+
+// recorded returns what the segments of a batch have. It is complete if they are all there, and so are the
+// segments before them in which its attempts may have begun.
+func (v *verifier) recorded(b usage.Batch) (tally usage.Tally, complete bool) {
+	tally = usage.Tally{}
+	complete = true
+	for number := b.First - min(b.First-1, maxAttemptSegments); number <= b.Last; number++ {
+		complete = complete && v.rows[number] != nil
+		if number >= b.First {
+			tally.Merge(v.rows[number])
 		}
 	}
-	return v, nil
+	return tally, complete
 }
--- a/internal/standalone/usagesegment/segmentfile.go
+++ b/internal/standalone/usagesegment/segmentfile.go
@@ -75,8 +75,8 @@
 	return before < preallocateAt && s.used >= preallocateAt
 }
 
-// hasRoom reports whether a record fits.
-func (s *segmentFile) hasRoom(payload []byte) bool {
+// fits reports whether there is space for a record.
+func (s *segmentFile) fits(payload []byte) bool {
 	return s.used+frameSize+len(payload) <= segmentSize
 }
 
--- a/internal/standalone/usagesegment/writer.go
+++ b/internal/standalone/usagesegment/writer.go
@@ -165,7 +165,7 @@
 // append writes a record to the current segment or the next one, and reports whether there was one. The mutex is held.
 func (w *Writer) append(r *usage.Record) bool {
 	w.buffer = usage.Append(w.buffer[:0], r)
-	if w.current != nil && !w.current.hasRoom(w.buffer) {
+	if w.current != nil && !w.current.fits(w.buffer) {
 		w.filled = append(w.filled, w.current)
 		w.beginSegment()
 		w.wakeUp()
