--- a/internal/standalone/usageexport/batch.go
+++ b/internal/standalone/usageexport/batch.go
@@ -41,7 +41,7 @@
 		return nil, c, fmt.Errorf("usage: list segments: %w", err)
 	}
 	b := &usage.Batch{Source: e.source, Number: c.Batch + 1}
-	ledger := &usage.Ledger{Writer: c.Writer, Pending: c.Pending}
+	replayer := &usage.Replayer{Writer: c.Writer, Pending: c.Pending}
 	tally := usage.Tally{}
 	for _, s := range segments {
 		if s.Number <= c.Segment {
@@ -50,7 +50,7 @@
 		if s.Open || len(tally) >= maxBatchRows {
 			break
 		}
-		if err := e.addSegment(b, ledger, tally, s); err != nil {
+		if err := e.addSegment(b, replayer, tally, s); err != nil {
 			return nil, c, err
 		}
 	}
@@ -58,16 +58,16 @@
 		return nil, c, nil
 	}
 	b.Rows = tally.Rows()
-	return b, cursor{Batch: b.Number, Segment: b.Last, Writer: ledger.Writer, Pending: ledger.Pending}, nil
+	return b, cursor{Batch: b.Number, Segment: b.Last, Writer: replayer.Writer, Pending: replayer.Pending}, nil
 }
 
 // addSegment adds the records of a segment to a batch.
-func (e *Exporter) addSegment(b *usage.Batch, ledger *usage.Ledger, tally usage.Tally, s usagesegment.Info) error {
+func (e *Exporter) addSegment(b *usage.Batch, replayer *usage.Replayer, tally usage.Tally, s usagesegment.Info) error {
 	header, data, err := usagesegment.Read(s.Path)
 	if err != nil {
 		return fmt.Errorf("usage: read a segment: %w", err)
 	}
-	rows, report, err := ledger.Segment(header, data)
+	rows, report, err := replayer.Replay(header, data)
 	if err != nil {
 		return fmt.Errorf("usage: %s: %w", s.Path, err)
 	}
@@ -81,7 +81,7 @@
 		b.Damaged += report.Damaged + min(report.Lost, 1)
 	}
 	tally.Merge(rows)
-	b.Unmetered = b.Unmetered.Plus(report.Missed)
+	b.Unmetered = b.Unmetered.Add(report.Unmetered)
 	if b.First == 0 {
 		b.First = s.Number
 	}
--- a/internal/standalone/usageexport/doc.go
+++ b/internal/standalone/usageexport/doc.go
@@ -4,7 +4,7 @@
 //
 // It imports package dataplane/usage for batches and package usagesegment for the records. Exporter owns the store, a
 // bbolt file in the folder of the segments, which it locks. A batch, the segment up to which records are in batches and
-// the attempts in flight at its end are stored in one transaction; an acknowledgement in another. So a killed process
+// the requests in flight at its end are stored in one transaction; an acknowledgement in another. So a killed process
 // goes on from a consistent state. Exporter.Run is the goroutine; its caller ends it by the context and waits for it.
 //
 // Tests: an exporter that is killed at each step against a fake endpoint with faults, beside the code; a store of an
--- a/internal/standalone/usageexport/exporter.go
+++ b/internal/standalone/usageexport/exporter.go
@@ -83,7 +83,7 @@
 			return
 		case err != nil:
 			failures++
-			wait = time.Duration(usage.Wait(failures, result.Answer, result.RetryAfter, e.rng) * float64(time.Second))
+			wait = time.Duration(usage.RetryDelay(failures, result.Answer, result.RetryAfter, e.rng) * float64(time.Second))
 			if current := failureCode(result.Answer); current != code {
 				code = current
 				e.Log.WithFields(logrus.Fields{"code": code, "wait": wait.String()}).WithError(err).
@@ -106,11 +106,11 @@
 }
 
 // failureCode is the log code of a batch that was not acknowledged.
-func failureCode(a usage.Answer) string {
+func failureCode(a usage.Reply) string {
 	switch a {
-	case usage.Conflicting:
+	case usage.Conflict:
 		return "usage-export-conflict"
-	case usage.Unacceptable:
+	case usage.Invalid:
 		return "usage-export-rejected"
 	default:
 		return "usage-export-failed"
@@ -120,14 +120,14 @@
 // Result is the outcome of a step.
 type Result struct {
 	Sent       bool // a batch was sent and acknowledged; false without an error: there is nothing to send
-	Answer     usage.Answer
+	Answer     usage.Reply
 	RetryAfter float64 // s, as the endpoint asked; 0: it didn't
 }
 
 // Step sends the stored batch, or makes the next one and sends it. A batch that was not acknowledged is
 // ErrNotAcknowledged; other errors are those of the store and the segments.
 func (e *Exporter) Step(ctx context.Context) (Result, error) {
-	failed := Result{Answer: usage.Again}
+	failed := Result{Answer: usage.Retry}
 	body, err := e.pendingBody()
 	if err != nil || body == nil {
 		return failed, err
--- a/internal/standalone/usageexport/exporter_test.go
+++ b/internal/standalone/usageexport/exporter_test.go
@@ -36,7 +36,7 @@
 	return b
 }
 
-// recordUsage writes a run of an ingress with some attempts that arrived, and one in flight at its end, as
+// recordUsage writes a run of an ingress with some requests that arrived, and one in flight at its end, as
 // after a kill.
 func recordUsage(t *testing.T, dir string, tries int) {
 	t.Helper()
@@ -46,18 +46,18 @@
 		t.Fatal(err)
 	}
 	for i := range tries {
-		try := usage.Try{
-			Member:   fmt.Sprintf("%016x", i%7),
-			Plan:     "plus",
-			Class:    "quote-read",
-			Revision: uint64(i % 3),
-			Units:    usage.ToMicro(1.25),
-			Minute:   time.Now().Unix()/60 - int64(i%4),
-			Beyond:   i%5 == 0,
+		request := usage.Request{
+			Member:    fmt.Sprintf("%016x", i%7),
+			Plan:      "plus",
+			Class:     "quote-read",
+			Revision:  uint64(i % 3),
+			Units:     usage.ToMicro(1.25),
+			Minute:    time.Now().Unix()/60 - int64(i%4),
+			OverQuota: i%5 == 0,
 		}
-		w.Ended(w.Sent(try), usage.Whole)
+		w.Ended(w.Sent(request), usage.Arrived)
 	}
-	w.Sent(usage.Try{Member: "00000000000000ff", Units: usage.ToMicro(2), Minute: time.Now().Unix() / 60})
+	w.Sent(usage.Request{Member: "00000000000000ff", Units: usage.ToMicro(2), Minute: time.Now().Unix() / 60})
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +124,7 @@
 				exportAll(t, e)
 				tally, _, repeats, conflicts := b.Billed()
 				known, unknown := tally.Total()
-				if known != (usage.Sum{Tries: 80, Units: 100 * usage.Micro}) || unknown.Tries != 1 || conflicts != 0 {
+				if known != (usage.Sum{Requests: 80, Units: 100 * usage.Micro}) || unknown.Requests != 1 || conflicts != 0 {
 					t.Errorf("billed %+v, unknown %+v, %d repeats, %d conflicts", known, unknown, repeats, conflicts)
 				}
 				v, err := e.Verify()
@@ -149,7 +149,7 @@
 		}
 		return nil
 	})
-	want := usageexport.Result{Answer: usage.Again}
+	want := usageexport.Result{Answer: usage.Retry}
 	if got, err := e.Step(ctx); got != want || !errors.Is(err, usageexport.ErrNotAcknowledged) {
 		t.Errorf("a hanging endpoint: got %+v, %v; want %+v, %v", got, err, want, usageexport.ErrNotAcknowledged)
 	}
@@ -174,7 +174,7 @@
 	e.Step(context.Background())
 	// The endpoint has the batch. It changes here, as if the disk lost a sync.
 	other := openTwin(t, b, dir)
-	want := usageexport.Result{Answer: usage.Conflicting}
+	want := usageexport.Result{Answer: usage.Conflict}
 	if got, err := other.Step(context.Background()); got != want || err == nil {
 		t.Errorf("got %+v, %v; want %+v and an error", got, err, want)
 	}
@@ -206,13 +206,13 @@
 		"a segment is gone": {func(l []usagesegment.Info) { os.Remove(l[1].Path) }, "segments 2 to 2 are missing"},
 		"a bit is flipped": {func(l []usagesegment.Info) {
 			data, _ := os.ReadFile(l[1].Path)
-			data[usage.Size+20] ^= 1
+			data[usage.HeaderSize+20] ^= 1
 			os.WriteFile(l[1].Path, data, 0o644)
 		}, "1 records damaged"},
 		"a record is added": {func(l []usagesegment.Info) {
 			data, _ := os.ReadFile(l[0].Path)
 			more, _ := os.ReadFile(l[2].Path)
-			os.WriteFile(l[0].Path, append(data, more[usage.Size:]...), 0o644)
+			os.WriteFile(l[0].Path, append(data, more[usage.HeaderSize:]...), 0o644)
 		}, "batch 1 says otherwise than its segments 1 to 1"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -258,7 +258,7 @@
 	if len(list) != 0 {
 		t.Errorf("got segments %v, want none", list)
 	}
-	if v, err := e.Verify(); err != nil || len(v.Problems) > 0 || v.Known.Tries != 10 {
+	if v, err := e.Verify(); err != nil || len(v.Problems) > 0 || v.Known.Requests != 10 {
 		t.Errorf("%+v %v", v, err)
 	}
 }
@@ -296,7 +296,7 @@
 	defer e.Close()
 	e.Run(ctx)
 	tally, _, _, _ := b.Billed()
-	if known, _ := tally.Total(); known.Tries != 10 {
+	if known, _ := tally.Total(); known.Requests != 10 {
 		t.Errorf("billed %+v", known)
 	}
 	got := []int{
--- a/internal/standalone/usageexport/send.go
+++ b/internal/standalone/usageexport/send.go
@@ -24,29 +24,29 @@
 func (e *Exporter) send(ctx context.Context, body []byte) (Result, error) {
 	var b usage.Batch
 	if err := json.Unmarshal(body, &b); err != nil {
-		return Result{Answer: usage.Unacceptable}, fmt.Errorf("usage: the stored batch: %w", err)
+		return Result{Answer: usage.Invalid}, fmt.Errorf("usage: the stored batch: %w", err)
 	}
 	digest := Digest(body)
 	request, err := e.newRequest(ctx, b, body, digest)
 	if err != nil {
-		return Result{Answer: usage.Unacceptable}, fmt.Errorf("usage: batch %d: %w", b.Number, err)
+		return Result{Answer: usage.Invalid}, fmt.Errorf("usage: batch %d: %w", b.Number, err)
 	}
 	response, err := e.Client.Do(request)
 	if err != nil {
-		return Result{Answer: usage.Again}, fmt.Errorf("%w: batch %d: %w", ErrNotAcknowledged, b.Number, err)
+		return Result{Answer: usage.Retry}, fmt.Errorf("%w: batch %d: %w", ErrNotAcknowledged, b.Number, err)
 	}
 	defer response.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return Result{Answer: usage.Again}, fmt.Errorf("%w: batch %d: %w", ErrNotAcknowledged, b.Number, err)
+		return Result{Answer: usage.Retry}, fmt.Errorf("%w: batch %d: %w", ErrNotAcknowledged, b.Number, err)
 	}
 	if err := e.callTestHook(afterSending); err != nil {
-		return Result{Answer: usage.Again}, err
+		return Result{Answer: usage.Retry}, err
 	}
 	var ack usage.Ack
 	want := usage.Ack{Source: b.Source, Number: b.Number, Digest: digest}
 	echoed := json.Unmarshal(text, &ack) == nil && ack == want
-	answer := usage.Judge(response.StatusCode, echoed)
+	answer := usage.InterpretStatus(response.StatusCode, echoed)
 	if answer == usage.Acknowledged {
 		return Result{Answer: answer}, nil
 	}
--- a/internal/standalone/usageexport/store.go
+++ b/internal/standalone/usageexport/store.go
@@ -38,10 +38,10 @@
 
 // cursor is the position up to which records are in batches.
 type cursor struct {
-	Batch   uint64               `json:"batch"`   // number of the last batch
-	Segment uint64               `json:"segment"` // number of the last segment in it
-	Writer  uint64               `json:"writer"`  // run that wrote the segment
-	Pending map[uint64]usage.Try `json:"pending"` // attempts in flight at its end
+	Batch   uint64                   `json:"batch"`   // number of the last batch
+	Segment uint64                   `json:"segment"` // number of the last segment in it
+	Writer  uint64                   `json:"writer"`  // run that wrote the segment
+	Pending map[uint64]usage.Request `json:"pending"` // requests in flight at its end
 }
 
 // openStore opens the store of a folder, which belongs to a source.
--- a/internal/standalone/usageexport/verify.go
+++ b/internal/standalone/usageexport/verify.go
@@ -7,9 +7,9 @@
 	"mulleinrouter/internal/standalone/usagesegment"
 )
 
-// maxAttemptSegments is how many segments before its end an attempt may have begun: an attempt takes ten
+// maxRequestSegments is how many segments before its end a request may have begun: a request takes ten
 // minutes at most, and segments are closed about once a minute.
-const maxAttemptSegments = 12
+const maxRequestSegments = 12
 
 // Verification is the outcome of Verify.
 type Verification struct {
@@ -17,10 +17,10 @@
 	Records     int
 	Batches     uint64    // number of the last one
 	Known       usage.Sum // of all batches
-	Unknown     usage.Sum // of all batches: attempts of which it is not known whether they arrived
+	Unknown     usage.Sum // of all batches: requests of which it is not known whether they arrived
 	Unmetered   usage.Sum // of all batches
 	NotExported usage.Sum // recorded, and in no batch yet
-	InFlight    int       // attempts without an end, or with one in a segment that is open
+	InFlight    int       // requests without an end, or with one in a segment that is open
 	Problems    []string  // empty: none
 }
 
@@ -51,7 +51,7 @@
 	for number, tally := range v.rows {
 		if number > v.lastSegment {
 			known, unknown := tally.Total()
-			v.NotExported = v.NotExported.Plus(known).Plus(unknown)
+			v.NotExported = v.NotExported.Add(known).Add(unknown)
 		}
 	}
 	return &v.Verification, nil
@@ -62,7 +62,7 @@
 }
 
 func (v *verifier) readSegments(segments []usagesegment.Info) {
-	ledger, last := &usage.Ledger{}, uint64(0)
+	replayer, last := &usage.Replayer{}, uint64(0)
 	for _, s := range segments {
 		header, data, err := usagesegment.Read(s.Path)
 		if err != nil {
@@ -76,7 +76,7 @@
 			v.addProblem("segments %d to %d are missing", last+1, s.Number-1)
 		}
 		last = s.Number
-		tally, report, err := ledger.Segment(header, data)
+		tally, report, err := replayer.Replay(header, data)
 		if err != nil {
 			v.addProblem("%s: %v", s.Path, err)
 			continue
@@ -88,7 +88,7 @@
 		v.Records += report.Records
 		v.rows[s.Number] = tally
 	}
-	v.InFlight = len(ledger.Pending)
+	v.InFlight = len(replayer.Pending)
 }
 
 // checkBatch compares a batch with the one before it and with its segments.
@@ -113,17 +113,17 @@
 		v.addProblem("batch %d says otherwise than its segments %d to %d", b.Number, b.First, b.Last)
 	}
 	known, unknown := batched.Total()
-	v.Known = v.Known.Plus(known)
-	v.Unknown = v.Unknown.Plus(unknown)
-	v.Unmetered = v.Unmetered.Plus(b.Unmetered)
+	v.Known = v.Known.Add(known)
+	v.Unknown = v.Unknown.Add(unknown)
+	v.Unmetered = v.Unmetered.Add(b.Unmetered)
 }
 
 // recorded returns what the segments of a batch have. It is complete if they are all there, and so are the
-// segments before them in which its attempts may have begun.
+// segments before them in which its requests may have begun.
 func (v *verifier) recorded(b usage.Batch) (tally usage.Tally, complete bool) {
 	tally = usage.Tally{}
 	complete = true
-	for number := b.First - min(b.First-1, maxAttemptSegments); number <= b.Last; number++ {
+	for number := b.First - min(b.First-1, maxRequestSegments); number <= b.Last; number++ {
 		complete = complete && v.rows[number] != nil
 		if number >= b.First {
 			tally.Merge(v.rows[number])
--- a/internal/standalone/usagesegment/bench_test.go
+++ b/internal/standalone/usagesegment/bench_test.go
@@ -13,7 +13,7 @@
 	"mulleinrouter/internal/dataplane/usage"
 )
 
-// BenchmarkSent measures the records of one attempt, Sent and Ended, by this package and by two alternatives.
+// BenchmarkSent measures the records of one request, Sent and Ended, by this package and by two alternatives.
 func BenchmarkSent(b *testing.B) {
 	log, _ := logger()
 	parallel := func(b *testing.B, f func()) {
@@ -46,7 +46,7 @@
 			}
 		})
 		t := newTry(1)
-		parallel(b, func() { w.Ended(w.Sent(t), usage.Whole) })
+		parallel(b, func() { w.Ended(w.Sent(t), usage.Arrived) })
 	})
 	b.Run("write", func(b *testing.B) { // an append-only file, a system call a record
 		f, err := os.Create(filepath.Join(b.TempDir(), "log"))
@@ -61,10 +61,10 @@
 			mu.Lock()
 			defer mu.Unlock()
 			for _, r := range []usage.Record{
-				{Kind: usage.Sent, Seq: 1, Try: t},
-				{Kind: usage.Ended, Seq: 1, Arrival: usage.Whole},
+				{Kind: usage.Sent, Seq: 1, Request: t},
+				{Kind: usage.Ended, Seq: 1, Arrival: usage.Arrived},
 			} {
-				buf = usage.Append(append(buf[:0], make([]byte, frameSize)...), &r)
+				buf = usage.AppendRecord(append(buf[:0], make([]byte, frameSize)...), &r)
 				f.Write(buf)
 			}
 		})
@@ -81,12 +81,12 @@
 			db.Batch(func(tx *bbolt.Tx) error {
 				u := tx.Bucket([]byte("u"))
 				n, _ := u.NextSequence()
-				return u.Put([]byte(fmt.Sprintf("%016x", n)), usage.Append(nil, r))
+				return u.Put([]byte(fmt.Sprintf("%016x", n)), usage.AppendRecord(nil, r))
 			})
 		}
 		parallel(b, func() {
-			put(&usage.Record{Kind: usage.Sent, Seq: 1, Try: t})
-			put(&usage.Record{Kind: usage.Ended, Seq: 1, Arrival: usage.Whole})
+			put(&usage.Record{Kind: usage.Sent, Seq: 1, Request: t})
+			put(&usage.Record{Kind: usage.Ended, Seq: 1, Arrival: usage.Arrived})
 		})
 	})
 }
--- a/internal/standalone/usagesegment/run.go
+++ b/internal/standalone/usagesegment/run.go
@@ -72,7 +72,7 @@
 	if w.current == nil && retry {
 		w.beginSegment()
 	}
-	if w.current != nil && w.current.used > usage.Size && w.now().Sub(w.current.startedAt) >= w.rotate {
+	if w.current != nil && w.current.used > usage.HeaderSize && w.now().Sub(w.current.startedAt) >= w.rotate {
 		w.filled = append(w.filled, w.current)
 		w.beginSegment()
 	}
--- a/internal/standalone/usagesegment/segment_test.go
+++ b/internal/standalone/usagesegment/segment_test.go
@@ -21,8 +21,8 @@
 	"mulleinrouter/internal/dataplane/usage"
 )
 
-func newTry(units float64) usage.Try {
-	return usage.Try{
+func newTry(units float64) usage.Request {
+	return usage.Request{
 		Member:   "00000000000000aa",
 		Plan:     "basic",
 		Class:    "quote-read",
@@ -63,23 +63,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var ledger usage.Ledger
+	var replayer usage.Replayer
 	all := usage.Tally{}
 	for i, s := range list {
 		h, data, err := Read(s.Path)
 		if err != nil || h.Number != uint64(i+1) {
 			t.Fatalf("segment %d is number %d, %v", i+1, h.Number, err)
 		}
-		tally, report, err := ledger.Segment(h, data)
+		tally, report, err := replayer.Replay(h, data)
 		if err != nil || report.Damaged+report.Lost > 0 {
 			t.Fatalf("%s: %+v %v", s.Path, report, err)
 		}
 		all.Merge(tally)
-		missed.Tries += report.Missed.Tries
-		missed.Units += report.Missed.Units
+		missed.Requests += report.Unmetered.Requests
+		missed.Units += report.Unmetered.Units
 	}
 	known, unknown = all.Total()
-	return known, unknown, len(ledger.Pending), missed
+	return known, unknown, len(replayer.Pending), missed
 }
 
 func TestSegmentsHoldAllRecords(t *testing.T) {
@@ -112,7 +112,7 @@
 		t.Fatal(err)
 	}
 	known, unknown, out, _ := replay(t, dir)
-	if known != (usage.Sum{Tries: 40_000, Units: 60_000 * usage.Micro}) || unknown.Tries != 40_000 || out != 1 {
+	if known != (usage.Sum{Requests: 40_000, Units: 60_000 * usage.Micro}) || unknown.Requests != 40_000 || out != 1 {
 		t.Errorf("got known %+v, unknown %+v, %d in flight", known, unknown, out)
 	}
 	list, _ := List(dir)
@@ -156,25 +156,25 @@
 	w.maintain(false)
 	for range 10 {
 		if seq := w.Sent(newTry(2)); seq != 0 {
-			t.Fatalf("attempt %d was recorded on a full disk", seq)
+			t.Fatalf("request %d was recorded on a full disk", seq)
 		}
-		w.Ended(0, usage.Whole)
+		w.Ended(0, usage.Arrived)
 	}
-	w.Ended(before, usage.Whole) // its end waits for space
-	w.maintain(true)             // still full
-	if m := w.Missed(); m != (usage.Sum{Tries: 10, Units: 20 * usage.Micro}) {
-		t.Errorf("got missed %+v, want 10 attempts of 2 units", m)
+	w.Ended(before, usage.Arrived) // its end waits for space
+	w.maintain(true)               // still full
+	if m := w.Missed(); m != (usage.Sum{Requests: 10, Units: 20 * usage.Micro}) {
+		t.Errorf("got missed %+v, want 10 requests of 2 units", m)
 	}
 	full = false
 	w.maintain(true)
-	w.Ended(w.Sent(newTry(3)), usage.Whole)
+	w.Ended(w.Sent(newTry(3)), usage.Arrived)
 	c.advance(20 * time.Minute)
 	w.maintain(false)
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
 	known, unknown, out, missed := replay(t, dir)
-	wantMissed := usage.Sum{Tries: 10, Units: 20 * usage.Micro}
+	wantMissed := usage.Sum{Requests: 10, Units: 20 * usage.Micro}
 	if known.Units != 4*usage.Micro || unknown.Units != 0 || out != 0 || missed != wantMissed {
 		t.Errorf("known %+v, unknown %+v, %d out, missed %+v", known, unknown, out, missed)
 	}
@@ -221,16 +221,16 @@
 	}
 	w.Close()
 	known, unknown, out, _ := replay(t, dir)
-	if known.Tries < seen || known.Tries == 0 || seen == 0 || lines.Len() > 0 {
-		t.Errorf("%d attempts were written, %d are there; %d unknown, %d in flight; log %s",
-			seen, known.Tries, unknown.Tries, out, lines)
+	if known.Requests < seen || known.Requests == 0 || seen == 0 || lines.Len() > 0 {
+		t.Errorf("%d requests were written, %d are there; %d unknown, %d in flight; log %s",
+			seen, known.Requests, unknown.Requests, out, lines)
 	}
-	if most := int64(rounds); unknown.Tries+int64(out) > most {
-		t.Errorf("got %d attempts without an end, want at most one a run (%d)", unknown.Tries+int64(out), most)
+	if most := int64(rounds); unknown.Requests+int64(out) > most {
+		t.Errorf("got %d requests without an end, want at most one a run (%d)", unknown.Requests+int64(out), most)
 	}
 }
 
-// writeUntilKilled prints the number of each attempt once its records are written, until the process is killed.
+// writeUntilKilled prints the number of each request once its records are written, until the process is killed.
 func writeUntilKilled(dir string) {
 	log, _ := logger()
 	w, err := Open(dir, time.Minute, log)
@@ -239,7 +239,7 @@
 		os.Exit(1)
 	}
 	for n := 1; n < 1_000_000; n++ {
-		w.Ended(w.Sent(newTry(1)), usage.Whole)
+		w.Ended(w.Sent(newTry(1)), usage.Arrived)
 		os.Stdout.WriteString(strconv.Itoa(n) + "\n")
 	}
 }
@@ -251,7 +251,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Ended(w.Sent(newTry(1)), usage.Whole)
+	w.Ended(w.Sent(newTry(1)), usage.Arrived)
 	w.Sent(newTry(2))
 	// What a power loss may leave: a frame without its payload, at the offset of the next record.
 	copy(w.current.data[w.current.used:], []byte{40, 0, 0, 0, 1, 2, 3, 4})
@@ -261,7 +261,7 @@
 	}
 	w.Close()
 	known, unknown, out, _ := replay(t, dir)
-	if diff := cmp.Diff([]int64{1, 1, 0}, []int64{known.Tries, unknown.Tries, int64(out)}); diff != "" || lines.Len() > 0 {
+	if diff := cmp.Diff([]int64{1, 1, 0}, []int64{known.Requests, unknown.Requests, int64(out)}); diff != "" || lines.Len() > 0 {
 		t.Errorf("%s\n%s", diff, lines)
 	}
 }
--- a/internal/standalone/usagesegment/segmentfile.go
+++ b/internal/standalone/usagesegment/segmentfile.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	segmentSize   = 4 << 20         // bytes: half an hour at 140 attempts a second
+	segmentSize   = 4 << 20         // bytes: half an hour at 140 requests a second
 	preallocateAt = segmentSize / 2 // used bytes at which the next segment is preallocated
 
 	frameSize    = 8  // bytes before a record's payload
--- a/internal/standalone/usagesegment/writer.go
+++ b/internal/standalone/usagesegment/writer.go
@@ -16,8 +16,8 @@
 	"mulleinrouter/internal/dataplane/usage"
 )
 
-// maxLateRecords bounds the ends of attempts that wait for space. Further ones are lost: the arrival of their
-// attempts is billed as unknown.
+// maxLateRecords bounds the ends of requests that wait for space. Further ones are lost: the arrival of their
+// requests is billed as unknown.
 const maxLateRecords = 1 << 16
 
 // Writer writes the records of one run of an ingress. It is safe for concurrent use.
@@ -33,13 +33,13 @@
 	wake     chan struct{} // wakes Run: a segment is filled, or the next one is to be preallocated
 
 	mu         sync.Mutex // guards what follows
-	seq        uint64     // of the last attempt
+	seq        uint64     // of the last request
 	lastNumber uint64     // of the newest segment
 	current    *segmentFile
 	spare      *segmentFile   // preallocated; nil: none
 	filled     []*segmentFile // to be sealed
 	missed     usage.Sum      // not recorded since the disk is full
-	late       []usage.Record // ends of recorded attempts since then, written once there is space
+	late       []usage.Record // ends of recorded requests since then, written once there is space
 	closed     bool
 	buffer     []byte
 }
@@ -118,17 +118,17 @@
 	next, err := w.nextSegment()
 	if err != nil {
 		w.current = nil
-		if w.missed.Tries == 0 {
+		if w.missed.Requests == 0 {
 			w.log.WithField("code", "usage-full").WithError(err).
 				Error("no space to record usage; requests are served, unrecorded usage is counted")
 		}
 		return
 	}
 	w.current = next
-	if w.missed.Tries > 0 {
-		w.log.WithFields(logrus.Fields{"code": "usage-resumed", "tries": w.missed.Tries, "units": w.missed.InUnits()}).
+	if w.missed.Requests > 0 {
+		w.log.WithFields(logrus.Fields{"code": "usage-resumed", "tries": w.missed.Requests, "units": w.missed.InUnits()}).
 			Warn("usage is recorded again; some was not")
-		w.append(&usage.Record{Kind: usage.Unmetered, Missed: w.missed})
+		w.append(&usage.Record{Kind: usage.Unmetered, Unmetered: w.missed})
 		w.missed = usage.Sum{}
 	}
 	late := w.late
@@ -148,7 +148,7 @@
 		}
 	}
 	number := w.lastNumber + 1
-	header := usage.AppendHeader(nil, usage.Header{Number: number, Writer: w.run, Begun: w.now().UnixMilli()})
+	header := usage.AppendHeader(nil, usage.Header{Number: number, Writer: w.run, StartedAt: w.now().UnixMilli()})
 	copy(next.data, header)
 	path := filepath.Join(w.dir, segmentName(number, openSuffix))
 	if err := os.Rename(next.path, path); err != nil {
@@ -164,13 +164,13 @@
 
 // append writes a record to the current segment or the next one, and reports whether there was one. The mutex is held.
 func (w *Writer) append(r *usage.Record) bool {
-	w.buffer = usage.Append(w.buffer[:0], r)
+	w.buffer = usage.AppendRecord(w.buffer[:0], r)
 	if w.current != nil && !w.current.fits(w.buffer) {
 		w.filled = append(w.filled, w.current)
 		w.beginSegment()
 		w.wakeUp()
 	}
-	if w.current == nil || len(w.buffer) > usage.MostPayload {
+	if w.current == nil || len(w.buffer) > usage.MaxPayload {
 		return false
 	}
 	if w.current.append(w.buffer) {
@@ -186,20 +186,20 @@
 	}
 }
 
-// Sent records that the first copy of an attempt is about to be sent. The number identifies the attempt for
+// Sent records that the first attempt of a request is about to be sent. The number identifies the request for
 // Ended; 0: it could not be recorded.
-func (w *Writer) Sent(try usage.Try) (seq uint64) {
+func (w *Writer) Sent(request usage.Request) (seq uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.seq++
-	if !w.append(&usage.Record{Kind: usage.Sent, Seq: w.seq, Try: try}) {
-		w.missed = w.missed.Plus(usage.Sum{Tries: 1, Units: try.Units})
+	if !w.append(&usage.Record{Kind: usage.Sent, Seq: w.seq, Request: request}) {
+		w.missed = w.missed.Add(usage.Sum{Requests: 1, Units: request.Units})
 		return 0
 	}
 	return w.seq
 }
 
-// Ended records what is known of an attempt's arrival once it has ended.
+// Ended records what is known of a request's arrival once it has ended.
 func (w *Writer) Ended(seq uint64, a usage.Arrival) {
 	if seq == 0 {
 		return
@@ -227,8 +227,8 @@
 		return nil
 	}
 	w.closed = true
-	if w.missed.Tries > 0 {
-		w.log.WithFields(logrus.Fields{"code": "usage-unmetered", "tries": w.missed.Tries, "units": w.missed.InUnits()}).
+	if w.missed.Requests > 0 {
+		w.log.WithFields(logrus.Fields{"code": "usage-unmetered", "tries": w.missed.Requests, "units": w.missed.InUnits()}).
 			Error("some usage was not recorded, and is reported in this line only")
 	}
 	if w.current != nil {
