--- a/internal/standalone/usagesegment/segment_test.go
+++ b/internal/standalone/usagesegment/segment_test.go
@@ -261,7 +261,8 @@
 	}
 	w.Close()
 	known, unknown, out, _ := replay(t, dir)
-	if diff := cmp.Diff([]int64{1, 1, 0}, []int64{known.Requests, unknown.Requests, int64(out)}); diff != "" || lines.Len() > 0 {
+	got := []int64{known.Requests, unknown.Requests, int64(out)}
+	if diff := cmp.Diff([]int64{1, 1, 0}, got); diff != "" || lines.Len() > 0 {
 		t.Errorf("%s\n%s", diff, lines)
 	}
 }
