--- a/internal/standalone/cli/usage.go
+++ b/internal/standalone/cli/usage.go
@@ -52,7 +52,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	logger := newLogger(p.err, p.LogFormat)
-	e := &usageexport.Exporter{Dir: ue.Dir, Endpoint: ue.To, Keep: keep, Log: logger}
+	e := &usageexport.Exporter{Dir: ue.Dir, Endpoint: ue.To, Retention: keep, Log: logger}
 	if err := openExporter(e); err != nil {
 		return err
 	}
@@ -73,18 +73,18 @@
 // exportAll exports until nothing is left, and returns the number of batches.
 func exportAll(ctx context.Context, e *usageexport.Exporter) (batches int, err error) {
 	for attempts := 0; ctx.Err() == nil; {
-		sent, answer, advice, err := e.Step(ctx)
+		result, err := e.Step(ctx)
 		switch {
-		case err == nil && sent:
+		case err == nil && result.Sent:
 			batches++
 			attempts = 0
 		case err == nil:
 			return batches, nil
 		default:
-			if attempts++; attempts >= maxExportAttempts || answer != usage.Retry {
+			if attempts++; attempts >= maxExportAttempts || result.Answer != usage.Retry {
 				return batches, fmt.Errorf("%w after %d: %w", errNoBatchTaken, batches, err)
 			}
-			delay := max(retryDelaySeconds*float64(attempts), min(advice, maxAdviceSeconds))
+			delay := max(retryDelaySeconds*float64(attempts), min(result.RetryAfter, maxAdviceSeconds))
 			select {
 			case <-ctx.Done():
 			case <-time.After(time.Duration(delay * float64(time.Second))):
@@ -119,8 +119,8 @@
 	fmt.Fprintf(t, "billed\t%s\n", units(v.Known))
 	fmt.Fprintf(t, "arrival not known\t%s, listed apart\n", units(v.Unknown))
 	fmt.Fprintf(t, "not recorded\t%s, for want of room\n", units(v.Unmetered))
-	fmt.Fprintf(t, "in no batch yet\t%s\n", units(v.Waiting))
-	fmt.Fprintf(t, "out\t%d tries\n", v.Out)
+	fmt.Fprintf(t, "in no batch yet\t%s\n", units(v.NotExported))
+	fmt.Fprintf(t, "out\t%d tries\n", v.InFlight)
 	t.Flush()
 	if len(v.Problems) > 0 {
 		return fmt.Errorf("%d problems: %s", len(v.Problems), strings.Join(v.Problems, "; "))
