--- a/internal/cluster/configuration/doc.go
+++ b/internal/cluster/configuration/doc.go
@@ -12,8 +12,9 @@
 // Errors are in errors.go; the texts of a RejectionError are part of the operators' API.
 //
 // The package does no I/O, reads no clock and starts no goroutine. Its values are immutable once they are shared, so
-// their readers need no lock. It imports nothing of this module.
+// their readers need no lock. Of this module it imports only mutants.
 //
 // Tests: snapshot_test.go compares snapshots, validation and routing with a plain model; trie_test.go,
-// canonical_test.go and positions_test.go hold the parts.
+// canonical_test.go and positions_test.go test the parts; golden_test.go pins digests, positions, texts and rendered
+// snapshots.
 package configuration
--- a/internal/cluster/consensus/doc.go
+++ b/internal/cluster/consensus/doc.go
@@ -12,7 +12,7 @@
 // (compose.go). Messages between nodes are in messages.go, the set of voters in electorate.go.
 //
 // The package does no I/O, reads no clock and starts no goroutine. Its types are state owned by the caller and are
-// not safe for concurrent use. It may import cluster/configuration.
+// not safe for concurrent use. It may import cluster/configuration and mutants.
 //
 // Tests: random_walk_test.go runs a simulation (simulation_test.go) with losses, restarts and changes of the
 // electorate; mutants_test.go seeds faults that these must find.
--- a/internal/cluster/transport/doc.go
+++ b/internal/cluster/transport/doc.go
@@ -16,5 +16,5 @@
 // consensus, quota and registry.
 //
 // Tests: transport_test.go, with frames that are broken at random; golden_test.go compares each type of message, byte
-// for byte, with what the version before the great renaming sent.
+// for byte, with what version 76a3bb5 sent.
 package transport
--- a/internal/control/storage/doc.go
+++ b/internal/control/storage/doc.go
@@ -12,9 +12,9 @@
 // Files: store.go (life cycle and commits), batch.go (what is written), state.go (what is read), records.go (keys and
 // encoding), options.go (database settings), retrying_fs.go and retrying_file.go (file system), errors.go.
 //
-// It may import cluster/configuration, cluster/consensus and cluster/registry, whose types it stores.
+// It may import cluster/configuration, cluster/consensus and cluster/registry, whose types it stores, and mutants.
 //
 // Tests: store_test.go cuts the power at random moments and has the disk reject writes; power_loss_test.go cuts the
 // power at each step and loses any names that are not synced; size_test.go bounds the folder's size; golden_test.go
-// compares records and folders with those of the version before the great renaming.
+// compares records and folders with what version 76a3bb5 wrote.
 package storage
--- a/internal/control/storage/store_test.go
+++ b/internal/control/storage/store_test.go
@@ -2,8 +2,10 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"math/rand/v2"
+	"strings"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -187,12 +189,12 @@
 	}
 	<-fs.rejected
 	cancel()
-	is.True(last.Wait(waiting) != nil)
+	is.True(errors.Is(last.Wait(waiting), context.Canceled))
 	fs.rejecting.Store(false)
 	is.NoErr(last.Wait(t.Context()))
 	crash := mem.CrashClone(vfs.CrashCloneCfg{})
 	is.NoErr(store.Close())
-	is.True(store.Save(t.Context(), all[0]) != nil)
+	is.True(errors.Is(store.Save(t.Context(), all[0]), ErrClosed))
 	store, state, err := Open(crash, "d", log.NewNopLogger())
 	is.NoErr(err)
 	is.Equal(countBatches(is, state, all), len(all))
@@ -245,5 +247,66 @@
 	set(keyVersion, formatVersion+1)
 	is.NoErr(store.Close())
 	_, _, err = Open(fs, "d", log.NewNopLogger())
-	is.True(err != nil)
+	is.True(errors.Is(err, ErrNewerFormat))
+}
+
+// Folders that can't be read are rejected with the error that says why.
+func TestRejectedFolders(t *testing.T) {
+	tests := []struct {
+		name   string
+		damage func(t *testing.T, fs vfs.FS)
+		want   error
+	}{
+		{"no manifest marker", removeManifestMarker, ErrManifestMarkerMissing},
+		{"unknown record", addUnknownRecord, ErrUnknownKey},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			fs := vfs.NewMem()
+			store, _, err := Open(fs, "d", log.NewNopLogger())
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := store.Save(t.Context(), Batch{Members: 1}); err != nil {
+				t.Fatal(err)
+			}
+			if err := store.Close(); err != nil {
+				t.Fatal(err)
+			}
+			test.damage(t, fs)
+			if _, _, err = Open(fs, "d", log.NewNopLogger()); !errors.Is(err, test.want) {
+				t.Errorf("got %v, want %v", err, test.want)
+			}
+		})
+	}
+}
+
+func removeManifestMarker(t *testing.T, fs vfs.FS) {
+	t.Helper()
+	names, err := fs.List("d")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range names {
+		if !strings.HasPrefix(name, "marker.manifest.") {
+			continue
+		}
+		if err := fs.Remove(fs.PathJoin("d", name)); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func addUnknownRecord(t *testing.T, fs vfs.FS) {
+	t.Helper()
+	store, _, err := Open(fs, "d", log.NewNopLogger())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := store.db.Set([]byte("?"), nil, pebble.Sync); err != nil {
+		t.Fatal(err)
+	}
+	if err := store.Close(); err != nil {
+		t.Fatal(err)
+	}
 }
