--- a/internal/standalone/node/peers_test.go
+++ b/internal/standalone/node/peers_test.go
@@ -60,8 +60,8 @@
 	step := func(p *peerProcesses) {
 		view := p.exchange(knowledge)
 		parts = append(parts, view.Own.Share)
-		if wantJunior := p == newer; view.Secondary != wantJunior && p.folder != nil && len(parts) < 4 {
-			t.Errorf("process %d: junior = %v, want %v", view.Own.Process, view.Secondary, wantJunior)
+		if wantSecondary := p == newer; view.Secondary != wantSecondary && p.folder != nil && len(parts) < 4 {
+			t.Errorf("process %d: secondary = %v, want %v", view.Own.Process, view.Secondary, wantSecondary)
 		}
 	}
 	step(newer)
@@ -140,6 +140,7 @@
 		t.Errorf("alone again: status %d, want 200", got)
 	}
 	if handover.LeaseDuration <= 2*handover.HeartbeatInterval {
-		t.Errorf("lease of %v s, heartbeat every %v s: one late heartbeat would end a lease", handover.LeaseDuration, handover.HeartbeatInterval)
+		t.Errorf("lease of %v s, heartbeat every %v s: one late heartbeat would end a lease",
+			handover.LeaseDuration, handover.HeartbeatInterval)
 	}
 }
