--- a/internal/emulator/faulttest/customers.go
+++ b/internal/emulator/faulttest/customers.go
@@ -57,9 +57,10 @@
 						default:
 							continue // the machine is behind: what is not asked is not served
 						}
+						requestID := fmt.Sprintf("c%d-%s-%d", c, n.name, id)
 						go func() {
 							defer func() { <-limit }()
-							w.ask(client, n, c, fmt.Sprintf("c%d-%s-%d", c, n.name, id))
+							w.ask(client, n, c, requestID)
 						}()
 					}
 				}
