--- /dev/null
+++ b/internal/standalone/usageexport/exporter_test.go
@@ -0,0 +1,313 @@
+package usageexport_test
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/sirupsen/logrus"
+
+	"mulleinrouter/internal/dataplane/usage"
+	"mulleinrouter/internal/emulator/fakes"
+	"mulleinrouter/internal/standalone/usageexport"
+	"mulleinrouter/internal/standalone/usagesegment"
+)
+
+func logger() (*logrus.Logger, *bytes.Buffer) {
+	b := &bytes.Buffer{}
+	l := logrus.New()
+	l.SetOutput(b)
+	return l, b
+}
+
+func startBilling(t *testing.T) *fakes.Billing {
+	b := &fakes.Billing{}
+	if err := b.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(b.Stop)
+	return b
+}
+
+// recordUsage writes a run of an ingress with some requests that arrived, and one in flight at its end, as
+// after a kill.
+func recordUsage(t *testing.T, dir string, tries int) {
+	t.Helper()
+	log, _ := logger()
+	w, err := usagesegment.Open(dir, time.Minute, log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range tries {
+		request := usage.Request{
+			Member:    fmt.Sprintf("%016x", i%7),
+			Plan:      "plus",
+			Class:     "quote-read",
+			Revision:  uint64(i % 3),
+			Units:     usage.ToMicro(1.25),
+			Minute:    time.Now().Unix()/60 - int64(i%4),
+			OverQuota: i%5 == 0,
+		}
+		w.Ended(w.Sent(request), usage.Arrived)
+	}
+	w.Sent(usage.Request{Member: "00000000000000ff", Units: usage.ToMicro(2), Minute: time.Now().Unix() / 60})
+	if err := w.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func openExporter(t *testing.T, dir string, b *fakes.Billing) *usageexport.Exporter {
+	t.Helper()
+	log, _ := logger()
+	e := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Retention: time.Hour, Log: log}
+	if err := e.Open(); err != nil {
+		t.Fatal(err)
+	}
+	return e
+}
+
+// exportAll exports until nothing is left, whatever the endpoint answers meanwhile.
+func exportAll(t *testing.T, e *usageexport.Exporter) {
+	t.Helper()
+	for range 100 {
+		result, err := e.Step(context.Background())
+		if err == nil && !result.Sent {
+			return
+		}
+	}
+	t.Fatal("the export doesn't end")
+}
+
+var errKilled = errors.New("killed")
+
+// TestKilledExporterBillsOnce kills the exporter at each point, with each answer of the endpoint: the bill is the same.
+func TestKilledExporterBillsOnce(t *testing.T) {
+	faults := map[string]fakes.BillingFault{
+		"fine":   fakes.Fine,
+		"fails":  fakes.Fails,
+		"loses":  fakes.Loses,
+		"babble": fakes.Babble,
+		"slow":   fakes.Slow,
+	}
+	for _, point := range usageexport.HookPoints {
+		for name, fault := range faults {
+			t.Run(fmt.Sprintf("%s, %s", point, name), func(t *testing.T) {
+				dir, b := t.TempDir(), startBilling(t)
+				b.Next(fault)
+				recordUsage(t, dir, 50)
+				kills := 0
+				for range 3 { // the point is reached again after each start
+					e := openExporter(t, dir, b)
+					e.SetTestHook(func(at usageexport.HookPoint) error {
+						if at == point {
+							kills++
+							return errKilled
+						}
+						return nil
+					})
+					e.Step(context.Background())
+					e.Close()
+				}
+				if kills == 0 {
+					t.Fatal("the point was never reached")
+				}
+				recordUsage(t, dir, 30)
+				e := openExporter(t, dir, b)
+				defer e.Close()
+				exportAll(t, e)
+				tally, _, repeats, conflicts := b.Billed()
+				known, unknown := tally.Total()
+				if known != (usage.Sum{Requests: 80, Units: 100 * usage.Micro}) || unknown.Requests != 1 || conflicts != 0 {
+					t.Errorf("billed %+v, unknown %+v, %d repeats, %d conflicts", known, unknown, repeats, conflicts)
+				}
+				v, err := e.Verify()
+				if err != nil || len(v.Problems) > 0 || v.Known != known || v.Unknown != unknown || v.InFlight != 1 {
+					t.Errorf("verify: %+v %v", v, err)
+				}
+			})
+		}
+	}
+}
+
+func TestUnreachableEndpoint(t *testing.T) {
+	dir, b := t.TempDir(), startBilling(t)
+	recordUsage(t, dir, 10)
+	e := openExporter(t, dir, b)
+	defer e.Close()
+	b.Next(fakes.Hangs)
+	ctx, cancel := context.WithCancel(context.Background())
+	e.SetTestHook(func(at usageexport.HookPoint) error {
+		if at == usageexport.BeforeSending {
+			time.AfterFunc(20*time.Millisecond, cancel) // as if the client's time-out passed
+		}
+		return nil
+	})
+	want := usageexport.Result{Answer: usage.Retry}
+	if got, err := e.Step(ctx); got != want || !errors.Is(err, usageexport.ErrNotAcknowledged) {
+		t.Errorf("a hanging endpoint: got %+v, %v; want %+v, %v", got, err, want, usageexport.ErrNotAcknowledged)
+	}
+	e.SetTestHook(nil)
+	exportAll(t, e)
+	if tally, _, repeats, _ := b.Billed(); len(tally) == 0 || repeats != 0 {
+		t.Errorf("got %d rows, %d repeats; want some, 0", len(tally), repeats)
+	}
+	b.Stop()
+	recordUsage(t, dir, 10)
+	if got, err := e.Step(context.Background()); got != want || err == nil {
+		t.Errorf("an endpoint that is down: got %+v, %v; want %+v and an error", got, err, want)
+	}
+}
+
+func TestConflictingBatchIsReported(t *testing.T) {
+	dir, b := t.TempDir(), startBilling(t)
+	recordUsage(t, dir, 10)
+	e := openExporter(t, dir, b)
+	defer e.Close()
+	b.Next(fakes.Loses)
+	e.Step(context.Background())
+	// The endpoint has the batch. It changes here, as if the disk lost a sync.
+	other := openTwin(t, b, dir)
+	want := usageexport.Result{Answer: usage.Conflict}
+	if got, err := other.Step(context.Background()); got != want || err == nil {
+		t.Errorf("got %+v, %v; want %+v and an error", got, err, want)
+	}
+}
+
+// openTwin opens a folder with the same source and other records.
+func openTwin(t *testing.T, b *fakes.Billing, dir string) *usageexport.Exporter {
+	t.Helper()
+	source, err := usagesegment.Source(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	twin := t.TempDir()
+	if err := os.WriteFile(twin+"/source", []byte(source), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	recordUsage(t, twin, 11)
+	e := openExporter(t, twin, b)
+	t.Cleanup(func() { e.Close() })
+	return e
+}
+
+func TestVerify(t *testing.T) {
+	for name, tc := range map[string]struct {
+		damage func(list []usagesegment.Info)
+		want   string
+	}{
+		"nothing":           {func([]usagesegment.Info) {}, ""},
+		"a segment is gone": {func(l []usagesegment.Info) { os.Remove(l[1].Path) }, "segments 2 to 2 are missing"},
+		"a bit is flipped": {func(l []usagesegment.Info) {
+			data, _ := os.ReadFile(l[1].Path)
+			data[usage.HeaderSize+20] ^= 1
+			os.WriteFile(l[1].Path, data, 0o644)
+		}, "1 records damaged"},
+		"a record is added": {func(l []usagesegment.Info) {
+			data, _ := os.ReadFile(l[0].Path)
+			more, _ := os.ReadFile(l[2].Path)
+			os.WriteFile(l[0].Path, append(data, more[usage.HeaderSize:]...), 0o644)
+		}, "batch 1 says otherwise than its segments 1 to 1"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			dir, b := t.TempDir(), startBilling(t)
+			e := (*usageexport.Exporter)(nil)
+			for range 3 {
+				recordUsage(t, dir, 20)
+				e = openExporter(t, dir, b)
+				exportAll(t, e)
+				e.Close()
+			}
+			list, err := usagesegment.List(dir)
+			if err != nil {
+				t.Fatal(err)
+			}
+			tc.damage(list)
+			e = openExporter(t, dir, b)
+			defer e.Close()
+			v, err := e.Verify()
+			if err != nil || v.Batches != 3 {
+				t.Fatalf("got %+v, %v; want 3 batches", v, err)
+			}
+			problems := strings.Join(v.Problems, "\n")
+			if (tc.want == "") != (problems == "") || !strings.Contains(problems, tc.want) {
+				t.Errorf("got problems %q, want %q", problems, tc.want)
+			}
+		})
+	}
+}
+
+func TestAcknowledgedSegmentsAreRemoved(t *testing.T) {
+	dir, b := t.TempDir(), startBilling(t)
+	recordUsage(t, dir, 5)
+	recordUsage(t, dir, 5)
+	log, _ := logger()
+	e := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Retention: 0, Log: log}
+	if err := e.Open(); err != nil {
+		t.Fatal(err)
+	}
+	defer e.Close()
+	exportAll(t, e)
+	list, _ := usagesegment.List(dir)
+	if len(list) != 0 {
+		t.Errorf("got segments %v, want none", list)
+	}
+	if v, err := e.Verify(); err != nil || len(v.Problems) > 0 || v.Known.Requests != 10 {
+		t.Errorf("%+v %v", v, err)
+	}
+}
+
+func TestSecondExporterIsRejected(t *testing.T) {
+	dir, b := t.TempDir(), startBilling(t)
+	recordUsage(t, dir, 1)
+	e := openExporter(t, dir, b)
+	defer e.Close()
+	log, _ := logger()
+	second := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Log: log}
+	if err := second.Open(); !errors.Is(err, usageexport.ErrLocked) {
+		t.Errorf("a second exporter: got %v, want %v", err, usageexport.ErrLocked)
+	}
+}
+
+// TestRunRetries: a failure is logged once however often it repeats, and once when it has ended.
+func TestRunRetries(t *testing.T) {
+	dir, b := t.TempDir(), startBilling(t)
+	recordUsage(t, dir, 10)
+	log, lines := logger()
+	b.Next(fakes.Fails, fakes.Fails)
+	e := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Retention: time.Hour, Log: log}
+	ctx, cancel := context.WithCancel(context.Background())
+	e.Client = &http.Client{Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
+		response, err := http.DefaultTransport.RoundTrip(r)
+		if err == nil && response.StatusCode == 200 {
+			time.AfterFunc(50*time.Millisecond, cancel) // the endpoint has all batches
+		}
+		return response, err
+	})}
+	if err := e.Open(); err != nil {
+		t.Fatal(err)
+	}
+	defer e.Close()
+	e.Run(ctx)
+	tally, _, _, _ := b.Billed()
+	if known, _ := tally.Total(); known.Requests != 10 {
+		t.Errorf("billed %+v", known)
+	}
+	got := []int{
+		strings.Count(lines.String(), "usage-export-failed"),
+		strings.Count(lines.String(), "usage-export-resumed"),
+	}
+	if diff := cmp.Diff([]int{1, 1}, got); diff != "" {
+		t.Errorf("%s\n%s", diff, lines)
+	}
+}
+
+type roundTrip func(*http.Request) (*http.Response, error)
+
+func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
