--- a/internal/control/instances/departures.go
+++ b/internal/control/instances/departures.go
@@ -88,8 +88,8 @@
 	}
 	if disk := d.Disk(); disk != nil {
 		pending++
-		if ticket := d.Registry.PersistDepartures(disk, instance.ID); ticket != nil {
-			go func() { copies <- ticket.Wait(ctx) == nil }()
+		if save := d.Registry.PersistDepartures(disk, instance.ID); save != nil {
+			go func() { copies <- save.Wait(ctx) == nil }()
 		} else {
 			copies <- true
 		}
--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -45,7 +45,7 @@
 	mu           sync.Mutex     // guards the fields below
 	disk         *storage.Store // nil: it has not been read yet
 	acceptor     consensus.Acceptor
-	ticket       *storage.Future // of the acceptor's last change; nil: it is as it was found
+	lastSave     *storage.Future // of the acceptor's last change; nil: it is as it was found
 	pendingAt    time.Time       // since when acceptor.Pending is pending
 	foreignRound chan struct{}   // closed once the pending change of another node is chosen; nil: there is none
 	recent       []chosenChange  // the last ones up to acceptor.Epoch, without a gap
@@ -88,7 +88,7 @@
 // persistAcceptor queues the acceptor for the disk. r.mu is held.
 func (r *Replica) persistAcceptor() {
 	r.pendingAt = time.Now()
-	r.ticket = r.disk.Put(storage.Batch{Acceptor: &r.acceptor})
+	r.lastSave = r.disk.Put(storage.Batch{Acceptor: &r.acceptor})
 }
 
 // canVote tells whether the electorate is known, the disk has been read and it is not known to stall. r.mu is held.
@@ -96,15 +96,15 @@
 	return r.disk != nil && !r.disk.Stalled(SyncTimeout) && r.acceptor.Electorate.Known()
 }
 
-// Synced waits until what a ticket stands for is on disk, for SyncTimeout and extra; it returns false after
-// that. A nil ticket is synced.
-func Synced(ticket *storage.Future, extra time.Duration) bool {
-	if ticket == nil {
+// Synced waits until what save holds is on disk, for SyncTimeout and extra; it returns false after
+// that. A nil save is synced.
+func Synced(save *storage.Future, extra time.Duration) bool {
+	if save == nil {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), SyncTimeout+extra)
 	defer cancel()
-	return ticket.Wait(ctx) == nil
+	return save.Wait(ctx) == nil
 }
 
 // TransferAllowance is how much longer than usual items take on their way, by their size.
@@ -150,9 +150,9 @@
 		r.persistAcceptor()
 		r.observeForeignRound(request.Ballot)
 	}
-	ticket := r.ticket
+	save := r.lastSave
 	r.mu.Unlock()
-	if promise.OK && !Synced(ticket, 0) {
+	if promise.OK && !Synced(save, 0) {
 		return nil
 	}
 	return &promise
@@ -162,12 +162,12 @@
 func (r *Replica) read(sync bool) *consensus.Promise {
 	r.mu.Lock()
 	known, promise := r.acceptor.Electorate.Known(), r.acceptor.Read()
-	var ticket *storage.Future
+	var save *storage.Future
 	if known && sync {
-		ticket = r.disk.Put(storage.Batch{Acceptor: &r.acceptor})
+		save = r.disk.Put(storage.Batch{Acceptor: &r.acceptor})
 	}
 	r.mu.Unlock()
-	if !known || !Synced(ticket, 0) {
+	if !known || !Synced(save, 0) {
 		return nil
 	}
 	return &promise
@@ -179,18 +179,18 @@
 	if !allKeysValid(proposal.Items) {
 		return nil
 	}
-	accepted, ticket := r.tryAccept(proposal)
+	accepted, save := r.tryAccept(proposal)
 	if accepted != nil && accepted.Behind && fetch != nil {
 		fetch()
-		accepted, ticket = r.tryAccept(proposal)
+		accepted, save = r.tryAccept(proposal)
 	}
-	if accepted == nil || accepted.OK && !Synced(ticket, TransferAllowance(proposal.Items)) {
+	if accepted == nil || accepted.OK && !Synced(save, TransferAllowance(proposal.Items)) {
 		return nil
 	}
 	return accepted
 }
 
-// tryAccept has the acceptor answer a proposal, and returns the ticket to wait for before the answer is sent.
+// tryAccept has the acceptor answer a proposal, and returns the save to wait for before the answer is sent.
 func (r *Replica) tryAccept(proposal consensus.Proposal) (*consensus.Accepted, *storage.Future) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -210,7 +210,7 @@
 		r.persistAcceptor()
 		r.observeForeignRound(proposal.Ballot)
 	}
-	return &accepted, r.ticket
+	return &accepted, r.lastSave
 }
 
 // Choose applies a change that is chosen, and returns the base here. It has no effect unless the snapshot before
@@ -236,7 +236,7 @@
 }
 
 // apply makes one change, or several at once, the newest of the snapshot, and discards what is staged for older
-// ones. The sync of a change of the electorate is waited for by later answers (ticket): a majority of the old
+// ones. The sync of a change of the electorate is waited for by later answers (lastSave): a majority of the old
 // electorate has it, but possibly nobody else of the new one. r.mu is held.
 func (r *Replica) apply(base consensus.Base, items []configuration.Item) {
 	if r.foreignRound != nil {
@@ -248,14 +248,14 @@
 	merged := r.store.MergeItems(items)
 	r.acceptor.Learn(base)
 	r.store.SetEpoch(base.Epoch)
-	ticket := r.disk.Put(storage.Batch{
+	save := r.disk.Put(storage.Batch{
 		Acceptor:   &r.acceptor,
 		Items:      merged,
 		ClearStage: r.staging.finish(base.Epoch),
 		NoSync:     !electorateChanged, // the accepted proposal is on a majority of the disks
 	})
 	if electorateChanged {
-		r.ticket = ticket
+		r.lastSave = save
 		r.notifyElectorateChanged()
 	}
 	r.rememberChange(changes, chosenChange{epoch: base.Epoch, keys: keysOf(merged)})
--- a/internal/dataplane/engine/counter.go
+++ b/internal/dataplane/engine/counter.go
@@ -38,7 +38,7 @@
 }
 
 // PairCounterReplied reports the result of a call of a counter of pairs: the sum, and how many gateways it is of.
-func (e *Engine) PairCounterReplied(name string, outcome decision.Outcome, total float64, holders int) {
+func (e *Engine) PairCounterReplied(name string, outcome decision.Outcome, total float64, reporters int) {
 	if s := e.sharer.Load(); s != nil {
 		outcome = (*s).ObserveCounterReply(name, outcome, total)
 	}
@@ -47,7 +47,7 @@
 		if outcome != decision.Succeeded {
 			e.counters.failedCounterCalls++
 		}
-		reply := decision.CounterReply{Name: name, Outcome: outcome, Total: total, Holders: holders}
+		reply := decision.CounterReply{Name: name, Outcome: outcome, Total: total, Reporters: reporters}
 		return e.dispatcher.Handle(now, reply)
 	})
 }
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -136,7 +136,7 @@
 	return g.conformance.Conforming(r.ClientRetry) >= minProbability
 }
 
-// reject answers a request that may not have been executed.
+// reject answers a request that is not executed, with advice on when to retry.
 func (g *Gateway) reject(r *request) {
 	wait := g.settings.MaxRetryAfter
 	if c := r.customer; c.plan.Rate > 0 && !r.conforming && c.bucket.slice > 0 {
--- a/internal/decision/events.go
+++ b/internal/decision/events.go
@@ -84,13 +84,13 @@
 	Units        float64 // actual units, where they are settled later; else 0
 }
 
-// CounterReply is the end of a CounterCall. Failed with Holders: the counter accepted the call, but returns
+// CounterReply is the end of a CounterCall. Failed with Reporters: the counter accepted the call, but returns
 // no total yet.
 type CounterReply struct {
-	Name    string
-	Outcome Outcome
-	Total   float64
-	Holders int // where counters are pairs: gateways that the total is from
+	Name      string
+	Outcome   Outcome
+	Total     float64
+	Reporters int // where counters are pairs: gateways that the total is from
 }
 
 func (Start) event()              {}
--- a/internal/decision/pair_counters.go
+++ b/internal/decision/pair_counters.go
@@ -47,7 +47,7 @@
 		cycle.readAt = g.now + readDelay
 		return
 	}
-	reporters := float64(e.Holders)
+	reporters := float64(e.Reporters)
 	if reporters < 1 || e.Total < cycle.localRate*demandTolerance-presenceAmount {
 		return // it has not counted this gateway: the slice stays as it is
 	}
@@ -62,7 +62,7 @@
 // observeReportAccepted notes that a counter owner accepted a report, though it does not know of all other
 // reports yet and returns no total: the slice stays as it is, and is given to nobody else.
 func (c *customer) observeReportAccepted(now Seconds, e CounterReply) {
-	if e.Outcome == Failed && e.Holders > 0 && e.Name == c.counterName(c.cycle.number) {
+	if e.Outcome == Failed && e.Reporters > 0 && e.Name == c.counterName(c.cycle.number) {
 		c.pairs.ackedAt = now
 	}
 }
@@ -82,9 +82,9 @@
 }
 
 // ownerAnswered reports whether a counter owner was reached, whether or not it returned a total. An agent
-// that reaches none replies Failed too, without holders.
+// that reaches none replies Failed too, without reporters.
 func ownerAnswered(e CounterReply) bool {
-	return e.Outcome == Succeeded || e.Outcome == Failed && e.Holders > 0
+	return e.Outcome == Succeeded || e.Outcome == Failed && e.Reporters > 0
 }
 
 // lastOwnerContact is when this gateway last knew that it is not partitioned from the counter owners.
--- a/internal/decision/pair_counters_test.go
+++ b/internal/decision/pair_counters_test.go
@@ -116,7 +116,7 @@
 					Serial:     w.id,
 					Retention:  a.Retention,
 				})
-				if c.Outcome, c.Holders = Failed, total.Reporters; total.OK {
+				if c.Outcome, c.Reporters = Failed, total.Reporters; total.OK {
 					c.Outcome, c.Total = Succeeded, total.Sum
 				}
 				defer w.handle(n, c)
--- a/internal/emulator/costmodel/gateway.go
+++ b/internal/emulator/costmodel/gateway.go
@@ -104,7 +104,7 @@
 			x.follow(
 				x.g.Handle(
 					x.now,
-					decision.CounterReply{Name: a.Name, Outcome: decision.Succeeded, Total: max(1, a.Add), Holders: 2},
+					decision.CounterReply{Name: a.Name, Outcome: decision.Succeeded, Total: max(1, a.Add), Reporters: 2},
 				),
 			)
 		case decision.Send:
