--- a/internal/emulator/faulttest/actions.go
+++ b/internal/emulator/faulttest/actions.go
@@ -158,6 +158,7 @@
 			}
 			n.away(false)
 		}
+		a.player.lookNow(a.nodes)
 	}, errors.Join(errs...)
 }
 
--- a/internal/emulator/faulttest/find.go
+++ b/internal/emulator/faulttest/find.go
@@ -178,6 +178,15 @@
 	return f
 }
 
+// lookNow has nodes looked at, and notes what the fleet is like. A process that was suspended reports that it is cut off
+// only until the first message arrives, which may be sooner than the next regular look.
+func (p *player) lookNow(nodes []*node) {
+	for _, n := range nodes {
+		n.look()
+	}
+	p.watch()
+}
+
 // watch notes what the fleet is like, every so often.
 func (p *player) watch() {
 	m := mark{at: time.Now(), agree: true, judgements: map[string]string{}}
@@ -193,5 +202,7 @@
 		}
 		m.agree = m.agree && r.Digest == digest
 	}
+	p.marksMu.Lock()
+	defer p.marksMu.Unlock()
 	p.marks = append(p.marks, m)
 }
--- a/internal/emulator/faulttest/play.go
+++ b/internal/emulator/faulttest/play.go
@@ -43,6 +43,7 @@
 	report  *Report
 	undo    sync.WaitGroup
 	clients *clients
+	marksMu sync.Mutex // guards marks while the scenario is played
 	marks   []mark
 	tenures []holding
 	number  uint64 // of the newest revision that was written
