--- a/internal/emulator/faulttest/find.go
+++ b/internal/emulator/faulttest/find.go
@@ -178,8 +178,8 @@
 	return f
 }
 
-// lookNow has nodes looked at, and notes what the fleet is like. A process that was suspended reports that it is cut off
-// only until the first message arrives, which may be sooner than the next regular look.
+// lookNow has nodes looked at, and notes what the fleet is like. A process that was suspended reports that it is cut
+// off only until the first message arrives, which may be sooner than the next regular look.
 func (p *player) lookNow(nodes []*node) {
 	for _, n := range nodes {
 		n.look()
