--- a/internal/emulator/modelcheck/checker.go
+++ b/internal/emulator/modelcheck/checker.go
@@ -51,16 +51,16 @@
 func Configs() (all []Config) {
 	for _, servers := range []int{1, 2} {
 		for bits := range 8 {
-			base := Config{Servers: servers, Kept: bits&1 != 0, Sparse: bits&2 != 0, Full: bits&4 != 0}
+			base := Config{Servers: servers, IdleConnection: bits&1 != 0, Sparse: bits&2 != 0, OneConnection: bits&4 != 0}
 			for _, send := range []bool{false, true} {
 				one := base
-				one.Send[0] = send
+				one.AtMostOnce[0] = send
 				all = append(all, one)
 			}
 			if !base.Sparse { // two requests at once: the connection and the desk are what they share
 				for _, pair := range [][2]bool{{false, true}, {true, true}} {
 					two := base
-					two.Two, two.Send = true, pair
+					two.TwoRequests, two.AtMostOnce = true, pair
 					all = append(all, two)
 				}
 			}
@@ -69,19 +69,19 @@
 	for _, servers := range []int{1, 2} { // a body goes up as it comes
 		for _, send := range []bool{false, true} {
 			for _, kept := range []bool{false, true} {
-				all = append(all, Config{Servers: servers, Send: [2]bool{send}, Kept: kept, Long: true})
+				all = append(all, Config{Servers: servers, AtMostOnce: [2]bool{send}, IdleConnection: kept, StreamedBody: true})
 			}
 		}
 	}
 	for _, servers := range []int{1, 2} { // what nobody asked for comes, and what is long
 		for _, send := range []bool{false, true} {
-			all = append(all, Config{Servers: servers, Send: [2]bool{send}, Kept: true, Odd: true})
+			all = append(all, Config{Servers: servers, AtMostOnce: [2]bool{send}, IdleConnection: true, OddServers: true})
 		}
 	}
-	all = append(all, Config{Servers: 1, Two: true, Send: [2]bool{false, true}, Full: true, Odd: true})
+	all = append(all, Config{Servers: 1, TwoRequests: true, AtMostOnce: [2]bool{false, true}, OneConnection: true, OddServers: true})
 	for _, servers := range []int{1, 2} { // while a connection comes up, the list may change and the client leave
 		for _, send := range []bool{false, true} {
-			all = append(all, Config{Servers: servers, Send: [2]bool{send}, Dials: true})
+			all = append(all, Config{Servers: servers, AtMostOnce: [2]bool{send}, SlowDials: true})
 		}
 	}
 	return all
@@ -95,18 +95,18 @@
 
 // play runs an ordering given by choices among the events that may happen, as far as it goes. It returns the world, the
 // names of what happened, and how many events might have happened last.
-func play(c Config, choices []int) (w *World, names []string, more int) {
-	w = New(c)
-	w.check()
+func play(c Config, choices []int) (w *world, names []string, more int) {
+	w = newWorld(c)
+	w.checkInvariants()
 	for _, choice := range choices {
-		events := w.Events()
-		if choice >= len(events) || len(w.Violations) > 0 {
+		events := w.events()
+		if choice >= len(events) || len(w.violations) > 0 {
 			return w, names, 0
 		}
 		names = append(names, events[choice].name)
 		w.step(events[choice])
 	}
-	return w, names, len(w.Events())
+	return w, names, len(w.events())
 }
 
 // explorer gathers what its workers find.
@@ -145,16 +145,16 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			l := &local{states: map[string]struct{}{}, pairs: map[[2]string]struct{}{}}
+			l := &coverage{states: map[string]struct{}{}, pairs: map[[2]string]struct{}{}}
 			for {
 				n := int(next.Add(1)) - 1
 				if n >= len(jobs) {
 					break
 				}
 				if j := jobs[n]; j.first >= 0 {
-					x.deeper(l, j.config, []int{j.first}, o.Depth)
+					x.exploreFrom(l, j.config, []int{j.first}, o.Depth)
 				} else {
-					x.random(l, j.config, o.Random/len(o.Configs)+1, j.seed)
+					x.exploreRandom(l, j.config, o.Random/len(o.Configs)+1, j.seed)
 				}
 				if d := done.Add(1); o.Progress != nil {
 					o.Progress(int(d), len(jobs), x.orderings.Load())
@@ -179,7 +179,7 @@
 		AllPairs:  len(alphabet) * len(alphabet),
 	}
 	for _, t := range x.found {
-		r.Violations = append(r.Violations, Minimize(t))
+		r.Violations = append(r.Violations, minimize(t))
 	}
 	slices.SortFunc(
 		r.Violations,
@@ -188,54 +188,54 @@
 	return r
 }
 
-// local is what one worker has seen.
-type local struct {
+// coverage is what one worker has seen.
+type coverage struct {
 	states map[string]struct{}
 	pairs  map[[2]string]struct{}
 }
 
-// deeper goes through all orderings that begin with some choices.
-func (x *explorer) deeper(l *local, c Config, choices []int, depth int) {
+// exploreFrom goes through all orderings that begin with some choices.
+func (x *explorer) exploreFrom(l *coverage, c Config, choices []int, depth int) {
 	w, names, more := play(c, choices)
-	x.look(l, c, w, names)
-	if len(choices) >= depth || len(w.Violations) > 0 {
+	x.record(l, c, w, names)
+	if len(choices) >= depth || len(w.violations) > 0 {
 		return
 	}
 	for choice := range more {
-		x.deeper(l, c, append(choices[:len(choices):len(choices)], choice), depth)
+		x.exploreFrom(l, c, append(choices[:len(choices):len(choices)], choice), depth)
 	}
 }
 
-// random goes through orderings drawn by chance.
-func (x *explorer) random(l *local, c Config, many int, seed uint64) {
+// exploreRandom goes through orderings drawn by chance.
+func (x *explorer) exploreRandom(l *coverage, c Config, many int, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for range many {
-		w := New(c)
+		w := newWorld(c)
 		var names []string
 		for range 5 + rng.IntN(4) {
-			events := w.Events()
+			events := w.events()
 			e := events[rng.IntN(len(events))]
 			names = append(names, e.name)
-			if w.step(e); len(w.Violations) > 0 {
+			if w.step(e); len(w.violations) > 0 {
 				break
 			}
 		}
-		x.look(l, c, w, names)
+		x.record(l, c, w, names)
 	}
 }
 
-// look counts an ordering, lets its world come to its end, and takes note of what is violated.
-func (x *explorer) look(l *local, c Config, w *World, names []string) {
+// record counts an ordering, lets its world come to its end, and takes note of what is violated.
+func (x *explorer) record(l *coverage, c Config, w *world, names []string) {
 	x.orderings.Add(1)
 	x.steps.Add(int64(w.steps))
-	l.states[w.Key()] = struct{}{}
+	l.states[w.stateKey()] = struct{}{}
 	if n := len(names); n >= 2 {
 		l.pairs[[2]string{kindOf(names[n-2]), kindOf(names[n-1])}] = struct{}{}
 	}
-	if len(w.Violations) == 0 {
+	if len(w.violations) == 0 {
 		w.settle()
 	}
-	for _, v := range w.Violations {
+	for _, v := range w.violations {
 		x.mu.Lock()
 		if was := x.found[v.Property]; was == nil || len(names) < len(was.Events) {
 			x.found[v.Property] = &Trace{c, slices.Clone(names), v}
@@ -247,22 +247,22 @@
 // Replay plays a trace's events by name, leaves out those that may not happen, and lets the world come to its end. It
 // tells what is violated and which events happened.
 func Replay(c Config, names []string) (violations []Violation, happened []string) {
-	w := New(c)
+	w := newWorld(c)
 	for _, name := range names {
 		if e, ok := w.find(name); ok {
 			w.step(e)
 			happened = append(happened, name)
 		}
-		if len(w.Violations) > 0 {
-			return w.Violations, happened
+		if len(w.violations) > 0 {
+			return w.violations, happened
 		}
 	}
 	w.settle()
-	return w.Violations, happened
+	return w.violations, happened
 }
 
-// Minimize shortens a trace for as long as it violates the same property.
-func Minimize(t *Trace) *Trace {
+// minimize shortens a trace for as long as it violates the same property.
+func minimize(t *Trace) *Trace {
 	violates := func(events []string) (Violation, []string, bool) {
 		found, happened := Replay(t.Config, events)
 		i := slices.IndexFunc(found, func(v Violation) bool { return v.Property == t.Violation.Property })
--- a/internal/emulator/modelcheck/explore_test.go
+++ b/internal/emulator/modelcheck/checker_test.go
@@ -37,7 +37,7 @@
 	var look func(c Config, choices []int, depth int)
 	look = func(c Config, choices []int, depth int) {
 		w, _, _ := play(c, choices)
-		for i, e := range w.Events() {
+		for i, e := range w.events() {
 			kind := kindOf(e.name)
 			if !slices.Contains(alphabet, kind) {
 				t.Fatalf("%q is not in the alphabet", e.name)
@@ -87,7 +87,7 @@
 
 func TestTraceReadsAsWritten(t *testing.T) {
 	want := &Trace{
-		Config:    Config{Send: [2]bool{true, false}, Two: true, Servers: 2, Kept: true},
+		Config:    Config{AtMostOnce: [2]bool{true, false}, TwoRequests: true, Servers: 2, IdleConnection: true},
 		Events:    []string{"leaves c1", "cancel-lands c1"},
 		Violation: Violation{"one-answer", "c1 has 2: last words"},
 	}
@@ -116,7 +116,7 @@
 
 // No order of six events on a client's connection violates a property.
 func TestClientOrders(t *testing.T) {
-	orders, trace, violation := Clients(6)
+	orders, trace, violation := ExploreClientConnections(6)
 	if violation != nil {
 		t.Errorf("%s: %s: %s", violation.Property, violation.Text, strings.Join(trace, ", "))
 	}
--- a/internal/emulator/modelcheck/events.go
+++ b/internal/emulator/modelcheck/events.go
@@ -12,7 +12,7 @@
 // event is one thing that may happen in a state.
 type event struct {
 	name string
-	do   func(w *World)
+	do   func(w *world)
 }
 
 // alphabet is every kind of event, for the share of pairs that a run has covered. The names of events begin with these.
@@ -69,12 +69,12 @@
 	"patience",
 }
 
-// Events are those that may happen now, in a fixed order.
-func (w *World) Events() (all []event) {
-	add := func(name string, do func(w *World)) { all = append(all, event{name, do}) }
+// events are those that may happen now, in a fixed order.
+func (w *world) events() (all []event) {
+	add := func(name string, do func(w *world)) { all = append(all, event{name, do}) }
 	for i, c := range w.clients {
 		id := fmt.Sprintf(" %s", c.name)
-		if t := c.try; t != nil && t.conn != nil {
+		if t := c.attempt; t != nil && t.conn != nil {
 			w.attemptEvents(id, i, t, add)
 		}
 		if c.stream != nil {
@@ -83,21 +83,21 @@
 				complete, more bool
 			}{{"stream-whole", true, false}, {"stream-more", true, true}, {"stream-cut", false, false},
 				{"stream-left", false, false}} {
-				add(e.name+id, func(w *World) { w.streamed(w.clients[i], e.complete, e.more) })
+				add(e.name+id, func(w *world) { w.streamEnded(w.clients[i], e.complete, e.more) })
 			}
 		}
 		if !c.disconnected && !c.finished {
-			add("leaves"+id, func(w *World) {
+			add("leaves"+id, func(w *world) {
 				c := w.clients[i]
 				c.disconnected = true
-				w.do(w.dispatcher.ClientDisconnected(w.now, c.request))
+				w.apply(w.dispatcher.ClientDisconnected(w.now, c.request))
 			})
 		}
 		if c.finished && !c.retried && (c.status == "refused" || c.disconnected) && !w.draining && len(w.clients) < 3 {
-			add("retries"+id, func(w *World) {
+			add("retries"+id, func(w *world) {
 				c := w.clients[i]
 				c.retried = true
-				w.ask(c.send, true)
+				w.submit(c.atMostOnce, true)
 			})
 		}
 	}
@@ -107,75 +107,75 @@
 		}
 		id := " " + s.id
 		if s.serving {
-			add("drains"+id, func(w *World) {
+			add("drains"+id, func(w *world) {
 				s := w.servers[i]
 				s.serving, s.drainingSince = false, w.now
-				w.list()
+				w.updateBackends()
 			})
 		}
-		add("gone"+id, func(w *World) {
+		add("gone"+id, func(w *world) {
 			s := w.servers[i]
 			s.listed, s.serving, s.drainingSince = false, false, w.now
-			w.list()
+			w.updateBackends()
 		})
 		if len(w.servers) < 4 {
-			add("address-taken"+id, func(w *World) { // a new server stands where this one did, and this one elsewhere
+			add("address-taken"+id, func(w *world) { // a new server stands where this one did, and this one elsewhere
 				s := w.servers[i]
-				other := &server{id: fmt.Sprint("n", len(w.servers)), addr: s.addr, listed: true, serving: true}
-				s.addr += "'"
+				other := &server{id: fmt.Sprint("n", len(w.servers)), address: s.address, listed: true, serving: true}
+				s.address += "'"
 				w.servers = append(w.servers, other)
-				w.list()
+				w.updateBackends()
 			})
 		}
 		if !s.down {
-			add("refuses"+id, func(w *World) { w.servers[i].down = true })
+			add("refuses"+id, func(w *world) { w.servers[i].down = true })
 		}
-		if k, ok := w.idlePool.Peek(s.id); ok && !k.spoilt {
-			add("forgets"+id, func(w *World) {
+		if k, ok := w.idlePool.Peek(s.id); ok && !k.unusable {
+			add("forgets"+id, func(w *world) {
 				if k, ok := w.idlePool.Peek(w.servers[i].id); ok {
-					k.spoilt = true
+					k.unusable = true
 				}
 			})
 		}
 	}
-	add("list-again", func(w *World) { w.list() }) // SIGHUP: discovery told whole once more
-	add("timer", func(w *World) { w.pass() })
-	add("time", func(w *World) {
-		for end := w.now + 0.3; w.now < end && len(w.Violations) == 0; {
-			w.pass()
+	add("list-again", func(w *world) { w.updateBackends() }) // SIGHUP: discovery told whole once more
+	add("timer", func(w *world) { w.advance() })
+	add("time", func(w *world) {
+		for end := w.now + 0.3; w.now < end && len(w.violations) == 0; {
+			w.advance()
 		}
 	})
-	if len(w.counts) > 0 {
+	if len(w.counterCalls) > 0 {
 		for _, a := range []struct {
 			name    string
 			outcome decision.Outcome
 			total   float64
 		}{{"counted", decision.Succeeded, 3}, {"count-busy", decision.Rejected, 0}, {"count-late", decision.TimedOut, 0},
 			{"count-no-number", decision.Failed, 0}} {
-			add(a.name, func(w *World) {
-				name := w.counts[0]
-				w.counts = w.counts[1:]
-				w.sum += a.total
-				w.do(w.dispatcher.Handle(w.now, decision.CounterReply{Name: name, Outcome: a.outcome, Total: w.sum}))
+			add(a.name, func(w *world) {
+				name := w.counterCalls[0]
+				w.counterCalls = w.counterCalls[1:]
+				w.counterTotal += a.total
+				w.apply(w.dispatcher.Handle(w.now, decision.CounterReply{Name: name, Outcome: a.outcome, Total: w.counterTotal}))
 			})
 		}
 	}
-	add("plan", func(w *World) {
-		w.plan = 1 - w.plan
-		p := planTable[w.plan]
-		w.do(w.dispatcher.Handle(w.now, decision.Terms{Customer: "m", Plan: p, Tag: p.Tag()}))
+	add("plan", func(w *world) {
+		w.planIndex = 1 - w.planIndex
+		p := plans[w.planIndex]
+		w.apply(w.dispatcher.Handle(w.now, decision.Terms{Customer: "m", Plan: p, Tag: p.Tag()}))
 	})
 	if !w.draining {
-		add("sigterm", func(w *World) {
+		add("sigterm", func(w *world) {
 			w.draining = true
 			w.dispatcher.ExpectDisruption(math.Inf(1))
 		})
-	} else if !w.halted {
-		add("patience", func(w *World) { // every attempt that is out, or will be, is given up
-			w.halted = true
+	} else if !w.attemptsAborted {
+		add("patience", func(w *world) { // every attempt that is out, or will be, is given up
+			w.attemptsAborted = true
 			for _, c := range w.clients {
-				if c.try != nil {
-					c.try.cancelled = true
+				if c.attempt != nil {
+					c.attempt.cancelled = true
 				}
 			}
 		})
@@ -184,58 +184,58 @@
 }
 
 // attemptEvents are what may become of an attempt that is out.
-func (w *World) attemptEvents(id string, i int, t *try, add func(string, func(*World))) {
-	on := func(name string, do func(w *World, t *try, k *conn)) {
-		add(name+id, func(w *World) {
-			t := w.clients[i].try
+func (w *world) attemptEvents(id string, i int, t *pendingAttempt, add func(string, func(*world))) {
+	on := func(name string, do func(w *world, t *pendingAttempt, k *connection)) {
+		add(name+id, func(w *world) {
+			t := w.clients[i].attempt
 			do(w, t, t.conn)
 		})
 	}
 	if t.stage == dialing {
-		on("connects", func(w *World, t *try, k *conn) { w.begin(t, k) })
-		on("refuses-late", func(w *World, t *try, k *conn) { w.noConnection(t) })
+		on("connects", func(w *world, t *pendingAttempt, k *connection) { w.beginAttempt(t, k) })
+		on("refuses-late", func(w *world, t *pendingAttempt, k *connection) { w.dialFailed(t) })
 		if t.cancelled {
-			on("cancel-lands", func(w *World, t *try, k *conn) { w.noConnection(t) })
+			on("cancel-lands", func(w *world, t *pendingAttempt, k *connection) { w.dialFailed(t) })
 		}
 		return
 	}
 	if t.cancelled {
-		on("cancel-lands", func(w *World, t *try, k *conn) { w.runOut(t) })
+		on("cancel-lands", func(w *world, t *pendingAttempt, k *connection) { w.expireAttempt(t) })
 	}
 	if t.stage == holding {
-		on("last-byte", func(w *World, t *try, k *conn) {
+		on("last-byte", func(w *world, t *pendingAttempt, k *connection) {
 			if _, serving := w.lookup(t.backend); !upstreamconn.MayRelease(serving, t.cancelled) {
-				k.spoilt = true // half a request is on it
-				w.finish(t, k, k.FailedWriting(upstreamconn.Cancelled))
+				k.unusable = true // half a request is on it
+				w.applyVerdict(t, k, k.FailedWriting(upstreamconn.Cancelled))
 				return
 			}
-			w.goesOut(t)
-			if t.client.long {
+			w.checkDrainedServer(t)
+			if t.client.streamed {
 				t.stage = uploading
 				w.dispatcher.ConsumeBody(t.client.request)
 				return
 			}
-			w.written(t)
+			w.requestWritten(t)
 		})
 		for _, name := range []string{"breaks-early", "speaks-early"} {
-			on(name, func(w *World, t *try, k *conn) {
-				k.spoilt = true
+			on(name, func(w *world, t *pendingAttempt, k *connection) {
+				k.unusable = true
 				how := upstreamconn.ConnectionLost
 				if t.cancelled {
 					how = upstreamconn.Cancelled
 				}
-				w.memory.Record(t.backend, w.now)
-				w.finish(t, k, k.FailedWriting(how))
+				w.lossHistory.Record(t.backend, w.now)
+				w.applyVerdict(t, k, k.FailedWriting(how))
 			})
 		}
 		return
 	}
 	if t.stage == sending { // one write: it has gone out whole, or broke before its last byte
-		on("goes-out", func(w *World, t *try, k *conn) { w.written(t) })
-		on("breaks-in-send", func(w *World, t *try, k *conn) {
-			k.spoilt = true
-			w.memory.Record(t.backend, w.now)
-			w.finish(
+		on("goes-out", func(w *world, t *pendingAttempt, k *connection) { w.requestWritten(t) })
+		on("breaks-in-send", func(w *world, t *pendingAttempt, k *connection) {
+			k.unusable = true
+			w.lossHistory.Record(t.backend, w.now)
+			w.applyVerdict(
 				t,
 				k,
 				k.FailedWriting(
@@ -250,9 +250,9 @@
 		return
 	}
 	if t.slowAfter > 0 {
-		on("impatient", func(w *World, t *try, k *conn) { w.checkSlow(t, k) })
+		on("impatient", func(w *world, t *pendingAttempt, k *connection) { w.checkSlow(t, k) })
 	}
-	if w.config.Odd {
+	if w.config.OddServers {
 		w.oddEvents(on)
 	}
 	for _, a := range []struct {
@@ -266,78 +266,78 @@
 		{"504-not-processed", upstreamconn.Answer{Status: 504, NotProcessed: true}},
 		{"503", upstreamconn.Answer{Status: 503}},
 	} {
-		on(a.name, func(w *World, t *try, k *conn) {
+		on(a.name, func(w *world, t *pendingAttempt, k *connection) {
 			// a deadline that may be changed at any time
-			k.spoilt = k.spoilt || a.answer.Close || a.answer.TrailingBytes || t.cancelled
-			k.refused = a.answer.NotProcessed
+			k.unusable = k.unusable || a.answer.Close || a.answer.TrailingBytes || t.cancelled
+			k.notProcessed = a.answer.NotProcessed
 			if a.answer.NotProcessed {
-				t.client.mayRun-- // it never ran
+				t.client.possibleExecutions-- // it never ran
 			}
-			w.finish(t, k, k.Answered(a.answer, t.cancelled))
+			w.applyVerdict(t, k, k.Answered(a.answer, t.cancelled))
 		})
 	}
-	on("interim", func(w *World, t *try, k *conn) {}) // passed over by the reader
+	on("interim", func(w *world, t *pendingAttempt, k *connection) {}) // passed over by the reader
 	for _, a := range []struct {
 		name        string
 		failureKind upstreamconn.Failure
 	}{{"spoilt", upstreamconn.Malformed}, {"breaks", upstreamconn.ConnectionLost}, {"time-out", upstreamconn.TimedOut}} {
-		on(a.name, func(w *World, t *try, k *conn) {
+		on(a.name, func(w *world, t *pendingAttempt, k *connection) {
 			how := a.failureKind
 			if t.cancelled {
 				how = upstreamconn.Cancelled
 			}
 			if how == upstreamconn.TimedOut { // until then timers run, and others' time runs out
-				for t.client.try == t && w.now < t.until-1e-9 && len(w.Violations) == 0 {
-					w.pass()
+				for t.client.attempt == t && w.now < t.deadline-1e-9 && len(w.violations) == 0 {
+					w.advance()
 				}
-				if t.client.try != t {
+				if t.client.attempt != t {
 					return
 				}
 			}
 			if how == upstreamconn.ConnectionLost {
-				w.memory.Record(t.backend, w.now)
+				w.lossHistory.Record(t.backend, w.now)
 			}
-			k.spoilt = true
-			w.finish(t, k, k.FailedAwaiting(how))
+			k.unusable = true
+			w.applyVerdict(t, k, k.FailedAwaiting(how))
 		})
 	}
 }
 
 // oddEvents are what servers send beside what is asked for, and answers that are read as they come.
-func (w *World) oddEvents(on func(string, func(w *World, t *try, k *conn))) {
-	on("503-unnamed", func(w *World, t *try, k *conn) {
-		k.unnamed, k.refused, k.spoilt = true, true, k.spoilt || t.cancelled
-		t.client.mayRun--
-		w.finish(t, k, k.Answered(upstreamconn.Answer{Status: 503, NotProcessed: true}, t.cancelled))
+func (w *world) oddEvents(on func(string, func(w *world, t *pendingAttempt, k *connection))) {
+	on("503-unnamed", func(w *world, t *pendingAttempt, k *connection) {
+		k.unidentified, k.notProcessed, k.unusable = true, true, k.unusable || t.cancelled
+		t.client.possibleExecutions--
+		w.applyVerdict(t, k, k.Answered(upstreamconn.Answer{Status: 503, NotProcessed: true}, t.cancelled))
 	})
-	on("200-long", func(w *World, t *try, k *conn) {
-		k.refused, k.spoilt = false, k.spoilt || t.cancelled
-		w.finish(t, k, k.BeginStreaming(upstreamconn.Answer{Status: 200}, t.cancelled))
+	on("200-long", func(w *world, t *pendingAttempt, k *connection) {
+		k.notProcessed, k.unusable = false, k.unusable || t.cancelled
+		w.applyVerdict(t, k, k.BeginStreaming(upstreamconn.Answer{Status: 200}, t.cancelled))
 	})
-	on("other-answer", func(w *World, t *try, k *conn) { // a copy of the answer before stands in this one's place
+	on("other-answer", func(w *world, t *pendingAttempt, k *connection) { // a copy of the answer before stands in this one's place
 		// by its name, or for want of one, it cannot be told from this one's
-		if k.refused && (k.unnamed || k.before == t.client) {
-			k.spoilt = true
-			w.finish(t, k, k.Answered(upstreamconn.Answer{Status: 503, NotProcessed: true}, t.cancelled))
+		if k.notProcessed && (k.unidentified || k.previousClient == t.client) {
+			k.unusable = true
+			w.applyVerdict(t, k, k.Answered(upstreamconn.Answer{Status: 503, NotProcessed: true}, t.cancelled))
 			return
 		}
-		k.spoilt = true
-		if t.others++; t.others > 8 {
-			w.violate("bounded", "%s has passed over %d answers to others", t.client.name, t.others)
+		k.unusable = true
+		if t.foreignAnswers++; t.foreignAnswers > 8 {
+			w.violate("bounded", "%s has passed over %d answers to others", t.client.name, t.foreignAnswers)
 		}
 		if !k.ForeignAnswer() {
-			w.finish(t, k, k.FailedAwaiting(upstreamconn.Malformed))
+			w.applyVerdict(t, k, k.FailedAwaiting(upstreamconn.Malformed))
 		}
 	})
 }
 
 // uploadEvents are what may become of a body that goes up.
-func (w *World) uploadEvents(on func(string, func(w *World, t *try, k *conn))) {
-	on("up", func(w *World, t *try, k *conn) { w.written(t) })
-	on("server-breaks-upload", func(w *World, t *try, k *conn) {
-		k.spoilt = true
-		w.memory.Record(t.backend, w.now)
-		w.finish(
+func (w *world) uploadEvents(on func(string, func(w *world, t *pendingAttempt, k *connection))) {
+	on("up", func(w *world, t *pendingAttempt, k *connection) { w.requestWritten(t) })
+	on("server-breaks-upload", func(w *world, t *pendingAttempt, k *connection) {
+		k.unusable = true
+		w.lossHistory.Record(t.backend, w.now)
+		w.applyVerdict(
 			t,
 			k,
 			k.FailedWriting(
@@ -345,44 +345,44 @@
 			),
 		)
 	})
-	on("leaves-upload", func(w *World, t *try, k *conn) { // it stalls, or leaves: nobody waits for the answer
+	on("leaves-upload", func(w *world, t *pendingAttempt, k *connection) { // it stalls, or leaves: nobody waits for the answer
 		c := t.client
-		k.spoilt, c.disconnected, t.cancelled = true, true, true
-		w.do(w.dispatcher.ClientDisconnected(w.now, c.request))
-		w.finish(t, k, k.FailedWriting(upstreamconn.Cancelled))
+		k.unusable, c.disconnected, t.cancelled = true, true, true
+		w.apply(w.dispatcher.ClientDisconnected(w.now, c.request))
+		w.applyVerdict(t, k, k.FailedWriting(upstreamconn.Cancelled))
 	})
 	for _, a := range []struct {
 		name   string
 		answer upstreamconn.Answer
 	}{{"early-200", upstreamconn.Answer{Status: 200}}, {"early-500", upstreamconn.Answer{Status: 500}},
 		{"early-503-not-processed", upstreamconn.Answer{Status: 503, NotProcessed: true}}} {
-		on(a.name, func(w *World, t *try, k *conn) {
-			k.spoilt = true // half a request is on it
+		on(a.name, func(w *world, t *pendingAttempt, k *connection) {
+			k.unusable = true // half a request is on it
 			if !a.answer.NotProcessed {
-				t.client.mayRun++ // who answers may have read enough to run it
+				t.client.possibleExecutions++ // who answers may have read enough to run it
 			}
-			w.finish(t, k, k.AnsweredEarly(a.answer))
+			w.applyVerdict(t, k, k.AnsweredEarly(a.answer))
 		})
 	}
 }
 
 // step lets one event happen. Attempts of a world that is halted are given up as they begin.
-func (w *World) step(e event) {
+func (w *world) step(e event) {
 	w.steps++
 	e.do(w)
-	if w.halted {
+	if w.attemptsAborted {
 		for _, c := range w.clients {
-			if c.try != nil {
-				c.try.cancelled = true
+			if c.attempt != nil {
+				c.attempt.cancelled = true
 			}
 		}
 	}
-	w.check()
+	w.checkInvariants()
 }
 
 // find is the event of a name, if it may happen now.
-func (w *World) find(name string) (event, bool) {
-	all := w.Events()
+func (w *world) find(name string) (event, bool) {
+	all := w.events()
 	if i := slices.IndexFunc(all, func(e event) bool { return e.name == name }); i >= 0 {
 		return all[i], true
 	}
--- a/internal/emulator/modelcheck/mutants_test.go
+++ b/internal/emulator/modelcheck/mutants_test.go
@@ -53,7 +53,7 @@
 	for _, fault := range []string{"drained-stays", "taken-is-cut", "head-for-ever", "busy-spared",
 		"stall-for-ever", "trickle-for-ever", "last-kept", "asked-dropped"} {
 		mutants.Seed(t, "clientconn/"+fault)
-		_, trace, violation := Clients(6)
+		_, trace, violation := ExploreClientConnections(6)
 		if violation == nil {
 			t.Errorf("%s lives: a property is missing", fault)
 			continue
@@ -128,7 +128,7 @@
 
 // A long body whose first bytes leave after the news of a drain is found, though one that had begun before may go on.
 func TestLongBodyAfterDrain(t *testing.T) {
-	c := Config{Servers: 1, Kept: true, Long: true}
+	c := Config{Servers: 1, IdleConnection: true, StreamedBody: true}
 	late, begun := []string{"drains s1", "time", "last-byte c1"}, []string{"last-byte c1", "drains s1", "time", "up c1"}
 	for _, row := range []struct {
 		mutant string
--- a/internal/emulator/modelcheck/schedule.go
+++ b/internal/emulator/modelcheck/schedule.go
@@ -10,22 +10,22 @@
 	"mulleinrouter/internal/decision"
 )
 
-// check looks at what must hold between events.
-func (w *World) check() {
-	if w.busy {
+// checkInvariants looks at what must hold between events.
+func (w *world) checkInvariants() {
+	if w.applying {
 		return
 	}
 	for _, c := range w.clients {
 		machine := c.request.Machine()
-		if c.disconnected && c.try != nil && !c.try.cancelled {
+		if c.disconnected && c.attempt != nil && !c.attempt.cancelled {
 			w.violate("left-is-cancelled", "%s has left, and its attempt goes on", c.name)
 		}
-		if machine.Phase() == attempt.Finished && c.finalAnswers == 0 {
+		if machine.Phase() == attempt.Finished && c.finalDecisions == 0 {
 			w.violate("given-up-is-answered", "%s is over, and nobody was told", c.name)
 		}
-		if machine.Phase() == attempt.Waiting && c.try != nil ||
-			(machine.Phase() == attempt.InFlight || machine.Phase() == attempt.Abandoned) && c.try == nil {
-			w.violate("legal", "%s is %v, attempt out: %v", c.name, machine.Phase(), c.try != nil)
+		if machine.Phase() == attempt.Waiting && c.attempt != nil ||
+			(machine.Phase() == attempt.InFlight || machine.Phase() == attempt.Abandoned) && c.attempt == nil {
+			w.violate("legal", "%s is %v, attempt out: %v", c.name, machine.Phase(), c.attempt != nil)
 		}
 	}
 	if n := w.idlePool.Open(); n > w.idlePool.Max {
@@ -33,14 +33,14 @@
 	}
 }
 
-// Key is the state in a word, as far as the properties depend on it: for counting states.
-func (w *World) Key() string {
+// stateKey is the state in a word, as far as the properties depend on it: for counting states.
+func (w *world) stateKey() string {
 	var b strings.Builder
 	for _, c := range w.clients {
 		machine := c.request.Machine()
-		fmt.Fprintf(&b, "%v%d%v%v%d", machine.Phase(), machine.Attempts(), c.disconnected, c.status, c.mayRun)
-		if c.try != nil {
-			fmt.Fprintf(&b, "/%s%d%v", c.try.backend, c.try.stage, c.try.cancelled)
+		fmt.Fprintf(&b, "%v%d%v%v%d", machine.Phase(), machine.Attempts(), c.disconnected, c.status, c.possibleExecutions)
+		if c.attempt != nil {
+			fmt.Fprintf(&b, "/%s%d%v", c.attempt.backend, c.attempt.stage, c.attempt.cancelled)
 		}
 		if c.stream != nil {
 			b.WriteByte('~')
@@ -48,34 +48,34 @@
 		b.WriteByte(' ')
 	}
 	for _, s := range w.servers {
-		fmt.Fprintf(&b, "%s%v%v%v%d ", s.addr, s.listed, s.serving, s.down, w.idlePool.Idle(s.id))
+		fmt.Fprintf(&b, "%s%v%v%v%d ", s.address, s.listed, s.serving, s.down, w.idlePool.Idle(s.id))
 	}
-	fmt.Fprintf(&b, "%d%v%v%d", len(w.counts), w.draining, w.halted, w.plan)
+	fmt.Fprintf(&b, "%d%v%v%d", len(w.counterCalls), w.draining, w.attemptsAborted, w.planIndex)
 	return b.String()
 }
 
 // settle lets the world come to its end without further events: timers and counters run, attempts that are out end
 // when their time runs out or they were cancelled.
-func (w *World) settle() {
-	for end := w.now + deadline + 1; w.now < end && len(w.Violations) == 0; {
+func (w *world) settle() {
+	for end := w.now + requestDeadline + 1; w.now < end && len(w.violations) == 0; {
 		for _, c := range w.clients {
-			if t := c.try; t != nil && t.cancelled {
-				w.runOut(t)
+			if t := c.attempt; t != nil && t.cancelled {
+				w.expireAttempt(t)
 			}
 			if c.stream != nil {
-				w.streamed(c, true, false)
+				w.streamEnded(c, true, false)
 			}
 		}
-		w.pass()
+		w.advance()
 	}
-	if len(w.Violations) > 0 {
+	if len(w.violations) > 0 {
 		return
 	}
 	for _, c := range w.clients {
 		if !c.finished {
 			w.violate("in-time", "%s has no answer long after its deadline", c.name)
 		}
-		if c.try != nil {
+		if c.attempt != nil {
 			w.violate("nothing-left", "%s still has an attempt out", c.name)
 		}
 	}
@@ -98,32 +98,32 @@
 	}
 }
 
-// pass lets time go on to whatever is due next.
-func (w *World) pass() {
+// advance lets time go on to whatever is due next.
+func (w *world) advance() {
 	for _, c := range w.clients {
-		if t := c.try; t != nil && w.now >= t.until-1e-9 {
-			w.runOut(t)
+		if t := c.attempt; t != nil && w.now >= t.deadline-1e-9 {
+			w.expireAttempt(t)
 		}
 	}
-	w.next()
+	w.advanceToNextTimer()
 }
 
-// next goes to the next timer, or end of an attempt's time, whichever comes first.
-func (w *World) next() {
-	at := w.now + tick
+// advanceToNextTimer goes to the advanceToNextTimer timer, or end of an attempt's time, whichever comes first.
+func (w *world) advanceToNextTimer() {
+	at := w.now + clockStep
 	for _, s := range w.timers {
 		at = min(at, max(w.now, s.At))
 	}
 	for _, c := range w.clients {
-		if t := c.try; t != nil && t.until > w.now {
-			at = min(at, t.until)
+		if t := c.attempt; t != nil && t.deadline > w.now {
+			at = min(at, t.deadline)
 		}
 	}
 	w.now = at
-	for _, name := range w.counts {
-		w.do(w.dispatcher.Handle(w.now, decision.CounterReply{Name: name, Outcome: decision.TimedOut}))
+	for _, name := range w.counterCalls {
+		w.apply(w.dispatcher.Handle(w.now, decision.CounterReply{Name: name, Outcome: decision.TimedOut}))
 	}
-	w.counts = nil
+	w.counterCalls = nil
 	due := w.timers[:0:0]
 	w.timers = slices.DeleteFunc(w.timers, func(s decision.SetTimer) bool {
 		if s.At <= w.now {
@@ -133,29 +133,29 @@
 		return false
 	})
 	for _, s := range due {
-		w.do(w.dispatcher.Handle(w.now, decision.Timer{Token: s.Token}))
+		w.apply(w.dispatcher.Handle(w.now, decision.Timer{Token: s.Token}))
 	}
-	w.check()
+	w.checkInvariants()
 }
 
-// runOut ends an attempt whose time has run out, or that was given up.
-func (w *World) runOut(t *try) {
+// expireAttempt ends an attempt whose time has run out, or that was given up.
+func (w *world) expireAttempt(pending *pendingAttempt) {
 	failure := upstreamconn.TimedOut
-	if t.cancelled {
+	if pending.cancelled {
 		failure = upstreamconn.Cancelled
 	}
-	if t.stage == dialing {
-		w.noConnection(t)
+	if pending.stage == dialing {
+		w.dialFailed(pending)
 		return
 	}
-	k := t.conn
-	k.spoilt = true
-	if t.stage == holding || t.stage == uploading || t.stage == sending {
+	conn := pending.conn
+	conn.unusable = true
+	if pending.stage == holding || pending.stage == uploading || pending.stage == sending {
 		if failure == upstreamconn.TimedOut {
 			failure = upstreamconn.ConnectionLost // the write's deadline
 		}
-		w.finish(t, k, k.FailedWriting(failure))
+		w.applyVerdict(pending, conn, conn.FailedWriting(failure))
 		return
 	}
-	w.finish(t, k, k.FailedAwaiting(failure))
+	w.applyVerdict(pending, conn, conn.FailedAwaiting(failure))
 }
