--- /dev/null
+++ b/internal/emulator/modelcheck/client.go
@@ -0,0 +1,175 @@
+package modelcheck
+
+import (
+	"fmt"
+
+	"mulleinrouter/internal/dataplane/attempt"
+	"mulleinrouter/internal/decision"
+)
+
+// The status of a request that is over, as its client sees it.
+const (
+	statusServed       = "served"
+	statusRejected     = "refused"
+	statusFailed       = "failed"
+	statusDisconnected = "gone"
+)
+
+// client is a client with its one request. A client that sends its request again is another one.
+type client struct {
+	name         string
+	request      *attempt.Request[*client]
+	atMostOnce   bool // whether the request is non-idempotent
+	streamed     bool // whether its body goes up as it comes
+	submittedAt  decision.Seconds
+	attempt      *pendingAttempt // nil: none is in flight
+	attempts     int
+	writtenTo    map[string]bool // servers to which the request was written completely
+	stream       *connection     // from which the body of the answer is read; nil: none is
+	disconnected bool
+	retried      bool // whether it has sent its request again
+
+	finished       bool
+	status         string
+	answers        int
+	finalDecisions int
+
+	possibleExecutions int // attempts that a server may have run
+}
+
+// clientRequest is what a client asks for.
+type clientRequest struct {
+	atMostOnce bool
+	streamed   bool
+	retry      bool // whether it was sent before
+}
+
+// submitRequest has a new client send a request.
+func (w *world) submitRequest(r clientRequest) {
+	c := &client{
+		name:        fmt.Sprint("c", len(w.clients)+1),
+		atMostOnce:  r.atMostOnce,
+		streamed:    r.streamed,
+		submittedAt: w.now,
+		writtenTo:   map[string]bool{},
+	}
+	w.clients = append(w.clients, c)
+	class, gateways := classRead, 1
+	if r.atMostOnce {
+		class = classSend
+	}
+	if w.config.Sparse {
+		gateways = 5
+	}
+	var effects []attempt.Effect
+	c.request, effects = w.dispatcher.Submit(w.now, decision.Request{
+		Class:       class,
+		Plan:        plans[w.planIndex].Name,
+		Customer:    customer,
+		TimeLeft:    requestDeadline,
+		Units:       1,
+		Gateways:    gateways,
+		ClientRetry: r.retry,
+		Streamed:    r.streamed,
+	}, c)
+	w.apply(effects)
+}
+
+// apply carries out effects as the engine, the ingress and the pool do together. What carrying one out leads to waits
+// for those before it: the engine delivers all decisions on an event under its mutex.
+func (w *world) apply(effects []attempt.Effect) {
+	w.effects = append(w.effects, effects...)
+	if w.applying {
+		return
+	}
+	w.applying = true
+	defer func() { w.applying = false }()
+	for len(w.effects) > 0 {
+		effect := w.effects[0]
+		w.effects = w.effects[1:]
+		switch effect := effect.(type) {
+		case attempt.Notify[*client]:
+			w.deliver(effect.Request.Host, effect.Decision)
+		case attempt.CancelAttempt[*client]:
+			if c := effect.Request.Host; c.attempt != nil && c.attempts == effect.Attempt+1 {
+				c.attempt.cancelled = true
+			}
+		case attempt.Timer:
+			w.timers = append(w.timers, effect.SetTimer)
+		case attempt.CounterCall:
+			w.counterCalls = append(w.counterCalls, effect.Name)
+		case attempt.IllegalStep[*client]:
+			w.checkLegal(effect.Err)
+		}
+	}
+}
+
+// deliver is a client's connection receiving a decision.
+func (w *world) deliver(c *client, d attempt.Decision) {
+	if d.Kind == attempt.Send {
+		w.deliverSend(c, d)
+		return
+	}
+	c.finalDecisions++
+	if c.finalDecisions > 1 {
+		w.violate(propertyOneAnswer, "%s has %d last words", c.name, c.finalDecisions)
+	}
+	if c.attempt != nil {
+		w.violate(propertyOneAttempt, "%s hears %v with an attempt out", c.name, d.Kind)
+	}
+	switch d.Kind {
+	case attempt.Reject:
+		if c.atMostOnce && c.possibleExecutions > 0 {
+			w.violate(
+				propertyHarmlessRejection,
+				"%s must not run twice, may have run, and was refused",
+				c.name,
+			)
+		}
+		w.answerClient(c, statusRejected)
+	case attempt.Fail:
+		w.answerClient(c, statusFailed)
+	case attempt.NoAnswer:
+		if !c.disconnected && !w.attemptsAborted {
+			w.violate(propertyOneAnswer, "%s waits, and is answered nothing", c.name)
+		}
+		c.status, c.finished = statusDisconnected, true
+	}
+}
+
+// deliverSend starts an attempt.
+func (w *world) deliverSend(c *client, d attempt.Decision) {
+	if c.attempt != nil {
+		w.violate(propertyOneAttempt, "%s has two attempts out", c.name)
+	}
+	if c.finalDecisions > 0 {
+		w.violate(propertyOneAnswer, "%s is sent on after its last word", c.name)
+	}
+	if c.attempts++; c.attempts > maxAttempts {
+		w.violate(propertyMaxAttempts, "%s has %d", c.name, c.attempts)
+	}
+	if d.Deadline > c.submittedAt+requestDeadline+tolerance {
+		w.violate(
+			propertyInTime,
+			"%s may be out until %.2f s after it was taken",
+			c.name,
+			d.Deadline-c.submittedAt,
+		)
+	}
+	w.startAttempt(&pendingAttempt{client: c, backend: d.Backend, deadline: d.Deadline, slowAfter: d.SlowAfter})
+}
+
+// answerClient answers a request, unless its client has disconnected.
+func (w *world) answerClient(c *client, status string) {
+	c.finished = true
+	if c.disconnected {
+		return
+	}
+	c.status = status
+	if c.answers++; c.answers > 1 {
+		w.violate(propertyOneAnswer, "%s has %d answers", c.name, c.answers)
+	}
+	if late := w.now - c.submittedAt - requestDeadline; late > answerSlack+tolerance {
+		w.violate(propertyInTime, "%s is answered %.2f s after its deadline", c.name, late)
+	}
+}
--- a/internal/emulator/modelcheck/config.go
+++ b/internal/emulator/modelcheck/config.go
@@ -2,69 +2,181 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 )
 
-// Config is the small world that an exploration begins in.
+// Config is the world that an exploration begins in. The zero value has no server, and is of no use.
 type Config struct {
-	AtMostOnce     [2]bool // the class of each request: may not run twice
-	TwoRequests    bool    // two requests at once
+	AtMostOnce     [2]bool // whether each request is non-idempotent
+	TwoRequests    bool    // whether two requests are submitted at once
 	Servers        int     // 1 or 2
 	IdleConnection bool    // a connection to the first server has been used before
-	Sparse         bool    // the member's requests ask the counter
-	OneConnection  bool    // one connection at the most
-	SlowDials      bool    // new connections take their time to come up
+	Sparse         bool    // the customer's slice is so small that its requests ask the quota counter
+	OneConnection  bool    // the pool opens one connection at most
+	SlowDials      bool    // events may happen while a connection is being opened
 	StreamedBody   bool    // the first request's body goes up as it comes
-	// servers send what nobody asked for, and long answers; a request that is not held takes its time to go out
+	// OddServers send answers to other requests, answers that name no request, and streamed ones. A request whose last
+	// byte is not held back takes its time to go out.
 	OddServers bool
 }
 
-// String is a config in words, as traces have it.
+// The words of a config, as traces have them.
+const (
+	wordRead       = "read"
+	wordSend       = "send"
+	wordSecond     = "and-" // before the class of the second request
+	wordServers    = "servers="
+	wordIdle       = "kept"
+	wordSparse     = "thin"
+	wordOneConn    = "full"
+	wordSlowDials  = "dials"
+	wordStreamed   = "long"
+	wordOddServers = "odd"
+)
+
+// configFlag is a word of a config that stands for one of its flags.
+type configFlag struct {
+	word string
+	set  *bool
+}
+
+// flags returns the words for the flags of a config, in the order in which String has them.
+func (c *Config) flags() []configFlag {
+	return []configFlag{
+		{wordIdle, &c.IdleConnection},
+		{wordSparse, &c.Sparse},
+		{wordOneConn, &c.OneConnection},
+		{wordSlowDials, &c.SlowDials},
+		{wordStreamed, &c.StreamedBody},
+		{wordOddServers, &c.OddServers},
+	}
+}
+
+func classWord(atMostOnce bool) string {
+	if atMostOnce {
+		return wordSend
+	}
+	return wordRead
+}
+
+// String returns a config's words, as traces have them.
 func (c Config) String() string {
-	words := []string{map[bool]string{false: "read", true: "send"}[c.AtMostOnce[0]]}
+	words := []string{classWord(c.AtMostOnce[0])}
 	if c.TwoRequests {
-		words = append(words, "and-"+map[bool]string{false: "read", true: "send"}[c.AtMostOnce[1]])
+		words = append(words, wordSecond+classWord(c.AtMostOnce[1]))
 	}
-	words = append(words, fmt.Sprintf("servers=%d", c.Servers))
-	for _, f := range []struct {
-		is   bool
-		word string
-	}{{c.IdleConnection, "kept"}, {c.Sparse, "thin"}, {c.OneConnection, "full"}, {c.SlowDials, "dials"}, {c.StreamedBody, "long"}, {c.OddServers, "odd"}} {
-		if f.is {
-			words = append(words, f.word)
+	words = append(words, fmt.Sprint(wordServers, c.Servers))
+	for _, flag := range c.flags() {
+		if *flag.set {
+			words = append(words, flag.word)
 		}
 	}
 	return strings.Join(words, " ")
 }
 
-// ParseConfig reads a config's words.
-func ParseConfig(text string) (c Config, err error) {
+// ParseConfig reads a config's words. Its errors are UnknownWordError and ErrServerCount.
+func ParseConfig(text string) (Config, error) {
+	var c Config
+	flags := c.flags()
 	for i, word := range strings.Fields(text) {
+		flag := slices.IndexFunc(flags, func(f configFlag) bool { return f.word == word })
 		switch {
-		case i == 0 && (word == "read" || word == "send"):
-			c.AtMostOnce[0] = word == "send"
-		case word == "and-read" || word == "and-send":
-			c.TwoRequests, c.AtMostOnce[1] = true, word == "and-send"
-		case word == "servers=1" || word == "servers=2":
-			c.Servers = int(word[len(word)-1] - '0')
-		case word == "kept":
-			c.IdleConnection = true
-		case word == "thin":
-			c.Sparse = true
-		case word == "full":
-			c.OneConnection = true
-		case word == "dials":
-			c.SlowDials = true
-		case word == "long":
-			c.StreamedBody = true
-		case word == "odd":
-			c.OddServers = true
+		case i == 0 && (word == wordRead || word == wordSend):
+			c.AtMostOnce[0] = word == wordSend
+		case word == wordSecond+wordRead || word == wordSecond+wordSend:
+			c.TwoRequests = true
+			c.AtMostOnce[1] = word == wordSecond+wordSend
+		case word == wordServers+"1":
+			c.Servers = 1
+		case word == wordServers+"2":
+			c.Servers = 2
+		case flag >= 0:
+			*flags[flag].set = true
 		default:
-			return c, fmt.Errorf("no world has %q", word)
+			return c, UnknownWordError{word}
 		}
 	}
 	if c.Servers == 0 {
-		return c, fmt.Errorf("a world needs servers=1 or servers=2")
+		return c, ErrServerCount
 	}
 	return c, nil
 }
+
+// Configs returns the worlds that are explored by default.
+func Configs() []Config {
+	var all []Config
+	for _, servers := range serverCounts {
+		all = append(all, basicConfigs(servers)...)
+	}
+	for _, servers := range serverCounts {
+		for _, atMostOnce := range bothWays {
+			for _, idle := range bothWays {
+				c := oneRequest(servers, atMostOnce)
+				c.IdleConnection, c.StreamedBody = idle, true
+				all = append(all, c)
+			}
+		}
+	}
+	for _, servers := range serverCounts {
+		for _, atMostOnce := range bothWays {
+			c := oneRequest(servers, atMostOnce)
+			c.IdleConnection, c.OddServers = true, true
+			all = append(all, c)
+		}
+	}
+	all = append(all, Config{
+		Servers:       1,
+		TwoRequests:   true,
+		AtMostOnce:    [2]bool{false, true},
+		OneConnection: true,
+		OddServers:    true,
+	})
+	for _, servers := range serverCounts {
+		for _, atMostOnce := range bothWays {
+			c := oneRequest(servers, atMostOnce)
+			c.SlowDials = true
+			all = append(all, c)
+		}
+	}
+	return all
+}
+
+var (
+	serverCounts = []int{1, 2}
+	bothWays     = []bool{false, true}
+)
+
+func oneRequest(servers int, atMostOnce bool) Config {
+	return Config{Servers: servers, AtMostOnce: [2]bool{atMostOnce}}
+}
+
+// basicConfigs returns the worlds of one or two requests with each combination of IdleConnection, Sparse and
+// OneConnection. Two requests at once share the pool and the dispatcher, whatever the customer's slice: they are not
+// combined with Sparse.
+func basicConfigs(servers int) []Config {
+	var all []Config
+	for bits := range 8 {
+		base := Config{
+			Servers:        servers,
+			IdleConnection: bits&1 != 0,
+			Sparse:         bits&2 != 0,
+			OneConnection:  bits&4 != 0,
+		}
+		for _, atMostOnce := range bothWays {
+			c := base
+			c.AtMostOnce[0] = atMostOnce
+			all = append(all, c)
+		}
+		if base.Sparse {
+			continue
+		}
+		for _, atMostOnce := range [][2]bool{{false, true}, {true, true}} {
+			c := base
+			c.TwoRequests = true
+			c.AtMostOnce = atMostOnce
+			all = append(all, c)
+		}
+	}
+	return all
+}
--- /dev/null
+++ b/internal/emulator/modelcheck/explorer.go
@@ -0,0 +1,162 @@
+package modelcheck
+
+import (
+	"math/rand/v2"
+	"runtime"
+	"slices"
+	"sync"
+	"sync/atomic"
+)
+
+// Orderings that are drawn at random have so many events.
+const (
+	minRandomEvents = 5
+	maxRandomEvents = 8
+)
+
+// job is the part of an exploration that one worker does at a time.
+type job struct {
+	config Config
+	random bool
+	seed   uint64 // of a random job
+	first  int    // choice with which the orderings begin, unless they are random
+}
+
+// coverage is what was seen.
+type coverage struct {
+	states map[string]struct{}
+	pairs  map[[2]string]struct{} // kinds of events of which the second came right behind the first
+}
+
+func newCoverage() *coverage {
+	return &coverage{states: map[string]struct{}{}, pairs: map[[2]string]struct{}{}}
+}
+
+func (c *coverage) add(other *coverage) {
+	for state := range other.states {
+		c.states[state] = struct{}{}
+	}
+	for pair := range other.pairs {
+		c.pairs[pair] = struct{}{}
+	}
+}
+
+// explorer owns the workers of an exploration, and gathers what they find.
+type explorer struct {
+	options   Options
+	jobs      []job
+	started   atomic.Int64 // jobs
+	done      atomic.Int64 // jobs
+	orderings atomic.Int64
+	steps     atomic.Int64
+
+	mu         sync.Mutex // guards the fields below
+	coverage   *coverage
+	violations map[string]*Trace // the shortest trace by property
+}
+
+func newExplorer(options Options) *explorer {
+	ex := &explorer{options: options, coverage: newCoverage(), violations: map[string]*Trace{}}
+	for i, config := range options.Configs {
+		_, _, choices := play(config, nil)
+		for first := range choices {
+			ex.jobs = append(ex.jobs, job{config: config, first: first})
+		}
+		if options.Random > 0 {
+			seed := options.Seed*1000 + uint64(i)
+			ex.jobs = append(ex.jobs, job{config: config, random: true, seed: seed})
+		}
+	}
+	return ex
+}
+
+// run does all jobs, and returns when the workers have ended.
+func (ex *explorer) run() {
+	var workers sync.WaitGroup
+	for range runtime.GOMAXPROCS(0) {
+		workers.Go(ex.work)
+	}
+	workers.Wait()
+}
+
+// work does jobs until none is left.
+func (ex *explorer) work() {
+	seen := newCoverage()
+	for {
+		next := int(ex.started.Add(1)) - 1
+		if next >= len(ex.jobs) {
+			break
+		}
+		ex.explore(ex.jobs[next], seen)
+		done := ex.done.Add(1)
+		if ex.options.Progress != nil {
+			ex.options.Progress(int(done), len(ex.jobs), ex.orderings.Load())
+		}
+	}
+	ex.mu.Lock()
+	defer ex.mu.Unlock()
+	ex.coverage.add(seen)
+}
+
+func (ex *explorer) explore(j job, seen *coverage) {
+	if j.random {
+		ex.exploreRandom(j, seen)
+		return
+	}
+	ex.exploreFrom(j.config, []int{j.first}, seen)
+}
+
+// exploreFrom plays all orderings that begin with some choices.
+func (ex *explorer) exploreFrom(config Config, choices []int, seen *coverage) {
+	w, names, next := play(config, choices)
+	ex.record(w, names, seen)
+	if len(choices) >= ex.options.Depth || len(w.violations) > 0 {
+		return
+	}
+	for choice := range next {
+		ex.exploreFrom(config, append(slices.Clip(choices), choice), seen)
+	}
+}
+
+// exploreRandom plays the share of the random orderings that falls to a world.
+func (ex *explorer) exploreRandom(j job, seen *coverage) {
+	rng := rand.New(rand.NewPCG(j.seed, 1))
+	for range ex.options.Random/len(ex.options.Configs) + 1 {
+		w := newWorld(j.config)
+		var names []string
+		for range minRandomEvents + rng.IntN(maxRandomEvents-minRandomEvents+1) {
+			events := w.events()
+			e := events[rng.IntN(len(events))]
+			names = append(names, e.name)
+			w.step(e)
+			if len(w.violations) > 0 {
+				break
+			}
+		}
+		ex.record(w, names, seen)
+	}
+}
+
+// record counts an ordering, lets its world come to its end, and keeps the shortest trace for each violated property.
+func (ex *explorer) record(w *world, names []string, seen *coverage) {
+	ex.orderings.Add(1)
+	ex.steps.Add(int64(w.steps))
+	seen.states[w.stateKey()] = struct{}{}
+	if n := len(names); n >= 2 {
+		seen.pairs[[2]string{kindOf(names[n-2]), kindOf(names[n-1])}] = struct{}{}
+	}
+	if len(w.violations) == 0 {
+		w.settle()
+	}
+	if len(w.violations) == 0 {
+		return
+	}
+	ex.mu.Lock()
+	defer ex.mu.Unlock()
+	for _, v := range w.violations {
+		shortest := ex.violations[v.Property]
+		if shortest == nil || len(names) < len(shortest.Events) {
+			ex.violations[v.Property] = &Trace{Config: w.config, Events: slices.Clone(names), Violation: v}
+		}
+	}
+}
