--- a/internal/emulator/modelcheck/alphabet.go
+++ b/internal/emulator/modelcheck/alphabet.go
@@ -2,24 +2,24 @@
 
 import "strings"
 
-// The kinds of events. The name of an event is its kind, and the client or server that it befalls. They stand in
-// traces.
+// The kinds of events. The name of an event is its kind and the client or server that it is about. Traces hold these
+// names.
 const (
-	// What befalls an attempt whose connection is being opened.
+	// Attempts whose connection is being opened.
 	eventConnects    = "connects"     // the connection is up
 	eventDialFails   = "refuses-late" // the server refuses it after all
 	eventCancelLands = "cancel-lands" // the attempt, here or later, notices that it was cancelled
 
-	// What befalls an attempt whose last byte is being held back.
-	eventLastByte      = "last-byte"    // it goes out, if it still may
+	// Attempts whose last byte is delayed until their server is known to be serving.
+	eventLastByte      = "last-byte"    // it is sent, if it still may be
 	eventBreaksHolding = "breaks-early" // the server closes the connection
 	eventSpeaksHolding = "speaks-early" // the server sends something
 
-	// What befalls an attempt that is being written in one go.
+	// Attempts that are being written in a single write.
 	eventWritten       = "goes-out"
 	eventBreaksWriting = "breaks-in-send"
 
-	// What befalls an attempt whose body goes up as it comes from the client.
+	// Attempts whose body is uploaded while the client sends it.
 	eventUploaded          = "up"
 	eventUploadBreaks      = "server-breaks-upload"
 	eventUploadAbandoned   = "leaves-upload" // the client stalls or disconnects
@@ -27,11 +27,11 @@
 	eventEarlyError        = "early-500"
 	eventEarlyNotProcessed = "early-503-not-processed"
 
-	// What befalls an attempt that awaits its answer.
+	// Attempts that await their answer.
 	eventOK                  = "200"
 	eventOKClose             = "200-and-close"
 	eventOKTrailingBytes     = "200-and-more"
-	eventOKStreamed          = "200-long" // the body of the answer is read as it comes
+	eventOKStreamed          = "200-long" // the body of the answer is streamed
 	eventError               = "500"
 	eventNotProcessed        = "503-not-processed"
 	eventTimeoutNotProcessed = "504-not-processed"
@@ -42,19 +42,19 @@
 	eventMalformed           = "spoilt"
 	eventBreaksAwaiting      = "breaks"
 	eventTimesOut            = "time-out"
-	eventSlowAttempt         = "impatient" // it has taken as long as a slow attempt
+	eventSlowAttempt         = "impatient" // its slow-attempt timeout has passed
 
-	// What befalls the body of an answer that is read as it comes.
+	// Answers whose body is streamed.
 	eventStreamComplete      = "stream-whole"
 	eventStreamTrailingBytes = "stream-more"
 	eventStreamCut           = "stream-cut"  // the server ends it early
 	eventStreamLeft          = "stream-left" // the client disconnects
 
-	// What clients do.
+	// Clients.
 	eventDisconnects = "leaves"
 	eventRetries     = "retries"
 
-	// What befalls servers.
+	// Servers and their list.
 	eventDrains       = "drains"
 	eventRemoved      = "gone"
 	eventAddressTaken = "address-taken" // a new server has this one's address, and this one another
@@ -66,13 +66,13 @@
 	eventTimer = "timer" // the next one is due
 	eventTime  = "time"  // a while passes
 
-	// What the quota counter answers.
+	// Answers of the quota counter.
 	eventCounted           = "counted"
 	eventCounterBusy       = "count-busy"
 	eventCounterLate       = "count-late"
 	eventCounterUnreadable = "count-no-number"
 
-	// What befalls the process.
+	// The process and its configuration.
 	eventPlanChanges = "plan"
 	eventShutdown    = "sigterm"
 	eventDrainEnds   = "patience" // attempts are not waited for any longer
--- a/internal/emulator/modelcheck/attempt.go
+++ b/internal/emulator/modelcheck/attempt.go
@@ -12,8 +12,8 @@
 const (
 	stageDialing   attemptStage = iota // its connection is being opened
 	stageHolding                       // all but the last byte is written; of a streamed request, the head alone
-	stageUploading                     // its body goes up
-	stageWriting                       // it goes out in one write that is not over
+	stageUploading                     // its body is being uploaded
+	stageWriting                       // a single write of it is not complete
 	stageAwaiting                      // it is written completely
 )
 
@@ -22,15 +22,15 @@
 	client         *client
 	backend        string
 	deadline       decision.Seconds
-	conn           *connection // nil until one was taken or is being opened
+	conn           *connection // nil until one is reserved or being opened
 	stage          attemptStage
 	cancelled      bool
-	slowAfter      decision.Seconds // from writtenAt, when it is to be asked whether it is slow; 0: never
+	slowAfter      decision.Seconds // after writtenAt, when the pool asks whether to abandon it; 0: never
 	writtenAt      decision.Seconds
 	foreignAnswers int // answers to other requests that were passed over
 }
 
-// failure returns how an attempt sees a failure: it cannot tell one from its cancellation.
+// failure returns how an attempt perceives a failure: a cancellation hides any other cause.
 func (pa *pendingAttempt) failure(f upstreamconn.Failure) upstreamconn.Failure {
 	if pa.cancelled {
 		return upstreamconn.Cancelled
@@ -130,7 +130,7 @@
 	}
 }
 
-// requestWritten is the last byte of a request going out: from now on the server may run it.
+// requestWritten records that the last byte of a request was sent: from now on the server may run it.
 func (w *world) requestWritten(pending *pendingAttempt) {
 	c, conn := pending.client, pending.conn
 	w.checkLegal(conn.Written())
--- a/internal/emulator/modelcheck/attempt_events.go
+++ b/internal/emulator/modelcheck/attempt_events.go
@@ -4,7 +4,7 @@
 	"mulleinrouter/internal/dataplane/upstreamconn"
 )
 
-// maxForeignAnswers is how many answers to other requests a connection may pass over before it is given up.
+// maxForeignAnswers is how many answers to other requests a connection may skip before it is closed.
 const maxForeignAnswers = 8
 
 // answerEvent is an answer that a server may give.
@@ -74,7 +74,7 @@
 	}
 }
 
-// releaseLastByte sends what was held back of a request, if the server is still listed and the attempt not cancelled.
+// releaseLastByte sends the delayed part of a request, if the server is still listed and the attempt not cancelled.
 func (w *world) releaseLastByte(pending *pendingAttempt) {
 	conn := pending.conn
 	if _, serving := w.lookup(pending.backend); !upstreamconn.MayRelease(serving, pending.cancelled) {
@@ -188,7 +188,7 @@
 	w.failAwaiting(pending, failure)
 }
 
-// timeOut lets time pass until the attempt's deadline: timers run, and other attempts time out. Nothing is left to do
+// timeOut lets time pass until the attempt's deadline: timers run, and other attempts time out. It does nothing more
 // if the attempt ends meanwhile. One that is cancelled does not wait.
 func (w *world) timeOut(pending *pendingAttempt) {
 	failure := pending.failure(upstreamconn.TimedOut)
@@ -217,7 +217,7 @@
 	w.applyVerdict(pending, conn, conn.Answered(notProcessedAnswer, pending.cancelled))
 }
 
-// answerBegins is the head of an answer whose body is read as it comes.
+// answerBegins is the head of an answer whose body is streamed.
 func (w *world) answerBegins(pending *pendingAttempt) {
 	conn := pending.conn
 	conn.notProcessed = false
@@ -229,14 +229,19 @@
 func (w *world) foreignAnswer(pending *pendingAttempt) {
 	conn := pending.conn
 	conn.unusable = true
-	// it cannot be told from this request's answer if it names no request, or one of the same client
+	// it looks like this request's answer if it names no request, or one of the same client
 	indistinguishable := conn.unidentified || conn.previousClient == pending.client
 	if conn.notProcessed && indistinguishable {
 		w.applyVerdict(pending, conn, conn.Answered(notProcessedAnswer, pending.cancelled))
 		return
 	}
 	if pending.foreignAnswers++; pending.foreignAnswers > maxForeignAnswers {
-		w.violate(propertyBounded, "%s has passed over %d answers to others", pending.client.name, pending.foreignAnswers)
+		w.violate(
+			propertyBounded,
+			"%s has passed over %d answers to others",
+			pending.client.name,
+			pending.foreignAnswers,
+		)
 	}
 	if !conn.ForeignAnswer() {
 		w.applyVerdict(pending, conn, conn.FailedAwaiting(upstreamconn.Malformed))
--- a/internal/emulator/modelcheck/checker.go
+++ b/internal/emulator/modelcheck/checker.go
@@ -56,7 +56,7 @@
 	return r
 }
 
-// play plays an ordering, given by choices among the events that may happen, as far as it goes. It returns the world,
+// play plays an ordering, given by choices among the events that may happen, as far as possible. It returns the world,
 // the names of what happened, and how many events may happen next.
 func play(config Config, choices []int) (w *world, names []string, next int) {
 	w = newWorld(config)
@@ -72,7 +72,7 @@
 	return w, names, len(w.events())
 }
 
-// Replay plays the events of these names, leaves out those that may not happen, and lets the world come to its end. It
+// Replay plays the events of these names, leaves out those that may not happen, and lets the world settle. It
 // returns the violations, and the events that happened.
 func Replay(config Config, names []string) (violations []Violation, happened []string) {
 	w := newWorld(config)
--- a/internal/emulator/modelcheck/client.go
+++ b/internal/emulator/modelcheck/client.go
@@ -20,7 +20,7 @@
 	name         string
 	request      *attempt.Request[*client]
 	atMostOnce   bool // whether the request is non-idempotent
-	streamed     bool // whether its body goes up as it comes
+	streamed     bool // whether its body is uploaded while the client sends it
 	submittedAt  decision.Seconds
 	attempt      *pendingAttempt // nil: none is in flight
 	attempts     int
@@ -37,7 +37,7 @@
 	possibleExecutions int // attempts that a server may have run
 }
 
-// clientRequest is what a client asks for.
+// clientRequest describes a request.
 type clientRequest struct {
 	atMostOnce bool
 	streamed   bool
--- a/internal/emulator/modelcheck/client_connection.go
+++ b/internal/emulator/modelcheck/client_connection.go
@@ -3,30 +3,70 @@
 import (
 	"fmt"
 
-	clientconn "mulleinrouter/internal/dataplane/clientconn"
+	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/decision"
 )
 
-// clientConnection is one client's connection, and the few steps of the ingress between those of its machine.
-type clientConnection struct {
-	machine       clientconn.Machine
-	now           decision.Seconds
-	keepOpen      bool // connections stay open
-	servesPending bool // one that was not told to end is not ended over what has begun to come
-	crowded       bool
+// The properties of clients' connections.
+const (
+	// propertyRequestKept: once a request has begun to arrive, its connection is not closed, unless for its slowness.
+	propertyRequestKept = "taken-is-taken"
+	// propertyRequestAnswered: once a request has arrived, its connection is not closed before it is answered.
+	propertyRequestAnswered = "taken-is-answered"
+	// propertyPendingServed: a request that has begun to arrive while the one before was answered is served, if its
+	// client was not notified that the answer was the last.
+	propertyPendingServed = "read-is-taken"
+	// propertyCloseAnnounced: the answer on a connection that is being closed says that it is the last.
+	propertyCloseAnnounced = "last-is-told"
+	// propertyCloseFollows: a connection closes after an answer that says that it is the last.
+	propertyCloseFollows = "last-is-last"
+	// propertyDrainCloses: a connection that is idle during a drain is being closed.
+	propertyDrainCloses = "drained-ends"
+	// propertyIdleCloses: a connection that is idle for too long is closed.
+	propertyIdleCloses = "silent-ends"
+	// propertySlowHeadCloses: so is one on which a head takes too long,
+	propertySlowHeadCloses = "slow-ends"
+	// propertyStallCloses: one on which nothing arrives of a body that is buffered,
+	propertyStallCloses = "stall-ends"
+	// propertySlowBodyCloses: one on which a body arrives at too low a rate,
+	propertySlowBodyCloses = "trickle-ends"
+	// propertyStuckAnswerCloses: and one whose client does not read its answer.
+	propertyStuckAnswerCloses = "stuck-ends"
+)
 
-	nextReceived     bool // while a request is in hand, the first bytes of the next one have been read
-	readsInterrupted bool // its reads are cut short, and nobody has noticed yet
-	bodyUnread       bool // of a long body, something is not read
-	lastAnswer       bool // that its answer is the last
-	closed           bool
-	closedIn         clientconn.State // where it was ended from outside
+// Bounds of the properties on slow clients, which exceed the timeouts of clientconn by more than the interval of its
+// sweep.
+const (
+	// maxWait is for how long a connection may be idle, a head take, or a body stall, in seconds.
+	maxWait = 3
+	// bodyGracePeriod is the time that a body may take in any case, in seconds.
+	bodyGracePeriod = 2.5
+	// minBodyRate is the rate at which it must arrive from then on, in bytes a second.
+	minBodyRate = 32 << 10
+)
+
+// sweepInterval is how often timeouts are checked, in seconds.
+const sweepInterval = 0.25
+
+// clientConnection is one client's connection: its machine, and the few steps that the ingress takes in between. It
+// holds no pointer to what changes, so that copies are independent.
+type clientConnection struct {
+	machine          clientconn.Machine
+	now              decision.Seconds
+	keepOpen         bool // false during a drain
+	mustServePending bool // whether propertyPendingServed applies
+	crowded          bool // connections are short
 	requests         int
-	waitingSince     decision.Seconds // when what is read now began, or its last piece came
-	bodyWait         decision.Seconds // for the body, in all
+	nextReceived     bool // while a request is pending, the first bytes of the next one have arrived
+	readsInterrupted bool // its reads were interrupted, and the reader has not noticed yet
+	bodyUnread       bool // a part of a streamed body has not been read
+	lastAnswer       bool // the answer says that it is the last
+	closed           bool
+	interruptedIn    clientconn.State // in which it was closed from outside
+	waitingSince     decision.Seconds // for what is being read, or its next chunk
+	bodyWait         decision.Seconds // total, for the chunks of the body that have arrived
 	bodyBytes        int
-
-	violation *Violation
+	violation        *Violation // the first
 }
 
 func (cc *clientConnection) violate(property, format string, args ...any) {
@@ -35,23 +75,33 @@
 	}
 }
 
-func (cc *clientConnection) enter(to clientconn.State) (on bool) {
-	on, freed, err := cc.machine.Enter(to, cc.now, cc.keepOpen)
+// enter moves the machine to a state, and reports whether the connection stays open.
+func (cc *clientConnection) enter(to clientconn.State) (open bool) {
+	open, resumeReads, err := cc.machine.Enter(to, cc.now, cc.keepOpen)
 	if err != nil {
-		cc.violate("legal", "%v", err)
+		cc.violate(propertyLegal, "%v", err)
 	}
-	if freed {
+	if resumeReads {
 		cc.readsInterrupted = false
 	}
-	if cc.readsInterrupted && (to == clientconn.ReadingHead || to == clientconn.ReadingBody || to == clientconn.Uploading) {
-		cc.violate("taken-is-taken", "a request has begun, and its reads are cut")
+	reads := to == clientconn.ReadingHead || to == clientconn.ReadingBody || to == clientconn.Uploading
+	if reads && cc.readsInterrupted {
+		cc.violate(propertyRequestKept, "a request has begun, and its reads are cut")
+	}
+	return open
+}
+
+// beginRequest reads the first byte of a request.
+func (cc *clientConnection) beginRequest() {
+	if cc.requests++; cc.requests > 1 {
+		cc.waitingSince = cc.now
 	}
-	return on
+	cc.enter(clientconn.ReadingHead)
 }
 
-// beginBody begins a body, or goes on with it.
-func (cc *clientConnection) beginBody(to clientconn.State) {
-	cc.enter(to)
+// beginBody begins or resumes reading a body.
+func (cc *clientConnection) beginBody(state clientconn.State) {
+	cc.enter(state)
 	cc.bodyWait, cc.bodyBytes = 0, 0
 	cc.awaitBody()
 }
@@ -61,236 +111,164 @@
 	cc.waitingSince = cc.now
 }
 
-func (cc *clientConnection) receiveBody(n int) {
+func (cc *clientConnection) receiveBody(bytes int) {
 	cc.bodyWait += cc.now - cc.waitingSince
-	cc.bodyBytes += n
-	cc.machine.BodyReceived(cc.now, n)
+	cc.bodyBytes += bytes
+	cc.machine.BodyReceived(cc.now, bytes)
 }
 
-// answer is what ingress does once a request has its answer.
+// receiveLastByte reads the end of a body.
+func (cc *clientConnection) receiveLastByte() {
+	cc.receiveBody(1)
+	cc.bodyUnread = false
+}
+
+// answer is what ingress does once the answer to a request is known.
 func (cc *clientConnection) answer() {
 	cc.lastAnswer = cc.machine.CloseAfterAnswer(cc.crowded, cc.keepOpen)
-	if cc.machine.CloseCode() != "" && !cc.lastAnswer {
-		cc.violate("last-is-told", "it is being ended (%s), and its answer does not say so", cc.machine.CloseCode())
+	if code := cc.machine.CloseCode(); code != "" && !cc.lastAnswer {
+		cc.violate(propertyCloseAnnounced, "it is being ended (%s), and its answer does not say so", code)
 	}
 	cc.enter(clientconn.Answering)
 }
 
-// rejectRequest answers what does not come to its end, or is broken.
+// answered is the answer having been written completely.
+func (cc *clientConnection) answered() {
+	switch {
+	case cc.lastAnswer:
+		cc.enter(clientconn.Lingering)
+		cc.closed = true
+	case cc.bodyUnread:
+		cc.beginBody(clientconn.Discarding)
+	default:
+		cc.becomeIdle()
+	}
+}
+
+// becomeIdle awaits the next request, or reads it if it has begun to arrive.
+func (cc *clientConnection) becomeIdle() {
+	cc.waitingSince = cc.now
+	open := cc.enter(clientconn.Idle)
+	switch {
+	case open && cc.lastAnswer:
+		cc.violate(propertyCloseFollows, "it goes on after its last answer")
+	case cc.nextReceived && (open || cc.machine.ServesPending()):
+		cc.nextReceived = false
+		cc.readsInterrupted = cc.readsInterrupted || !open
+		cc.beginRequest()
+	case !open:
+		if cc.nextReceived && !cc.lastAnswer && cc.mustServePending {
+			cc.violate(
+				propertyPendingServed,
+				"a request has been read, its client was not told to go, and it is dropped",
+			)
+		}
+		cc.closed = true
+	}
+}
+
+// rejectRequest answers a request that is malformed or too slow, and closes the connection.
 func (cc *clientConnection) rejectRequest() {
 	cc.enter(clientconn.Answering)
 	cc.enter(clientconn.Lingering)
 	cc.closed = true
 }
 
-// readInterrupted is a read that was cut short.
-func (cc *clientConnection) readInterrupted() {
-	if code := cc.machine.CloseCode(); cc.machine.State() == clientconn.Idle {
+// noticeInterrupt is what the reader does when its read was interrupted.
+func (cc *clientConnection) noticeInterrupt() {
+	code, state := cc.machine.CloseCode(), cc.machine.State()
+	switch {
+	case state == clientconn.Idle:
 		cc.closed = true
-	} else if code == clientconn.CodeEvicted && cc.closedIn == cc.machine.State() {
-		cc.closed = true // slow as it is, it made room: nothing was taken yet
-	} else if code != clientconn.CodeSlowRequest {
-		cc.violate("taken-is-taken", "a request that was coming in was ended as %s", code)
-	} else if cc.machine.State() == clientconn.Discarding {
+	case code == clientconn.CodeEvicted && cc.interruptedIn == state:
+		cc.closed = true // evicted for its slowness, before its request was accepted
+	case code != clientconn.CodeSlowRequest:
+		cc.violate(propertyRequestKept, "a request that was coming in was ended as %s", code)
+	case state == clientconn.Discarding:
 		cc.closed = true
-	} else {
+	default:
 		cc.rejectRequest()
 	}
 }
 
-// close ends it from outside.
-func (cc *clientConnection) close(code string) {
-	if st := cc.machine.State(); st == clientconn.Deciding {
-		cc.violate("taken-is-answered", "ended as %s while %v", code, st)
+// closeFor closes the connection from outside, for the reason that a log code names.
+func (cc *clientConnection) closeFor(code string) {
+	state := cc.machine.State()
+	if state == clientconn.Deciding {
+		cc.violate(propertyRequestAnswered, "ended as %s while %v", code, state)
 	}
-	cc.closedIn = cc.machine.State()
-	c := cc.machine.Close(code)
-	cc.readsInterrupted = cc.readsInterrupted || c.Reads
+	cc.interruptedIn = state
+	interrupt := cc.machine.Close(code)
+	cc.readsInterrupted = cc.readsInterrupted || interrupt.Reads
 	if cc.machine.State() == clientconn.Answering {
-		if !c.Writes {
-			cc.violate("stuck-ends", "an answer that nobody reads is written for ever")
+		if !interrupt.Writes {
+			cc.violate(propertyStuckAnswerCloses, "an answer that nobody reads is written for ever")
 		}
 		cc.closed = true
 	}
 }
 
-// advance lets time go by, with the sweeps in it.
-func (cc *clientConnection) advance(seconds decision.Seconds) {
+// evict closes the connection in favour of another one, if it may be evicted.
+func (cc *clientConnection) evict() {
+	if cc.machine.Evictable(cc.now) {
+		cc.closeFor(clientconn.CodeEvicted)
+	}
+}
+
+// drain is the process beginning to drain.
+func (cc *clientConnection) drain() {
+	cc.keepOpen = false
+	if cc.machine.ClosesOnDrain() {
+		cc.closeFor(clientconn.CodeDrain)
+	}
+}
+
+// passTime lets time pass, with the sweeps that check timeouts.
+func (cc *clientConnection) passTime(seconds decision.Seconds) {
 	for end := cc.now + seconds; cc.now < end && !cc.closed; {
-		if cc.readsInterrupted { // a read that is cut short does not take its time
-			cc.readInterrupted()
+		if cc.readsInterrupted { // an interrupted read returns at once
+			cc.noticeInterrupt()
 			return
 		}
-		cc.now += 0.25
+		cc.now += sweepInterval
 		if code := cc.machine.TimeoutCode(cc.now); code != "" {
-			cc.close(code)
+			cc.closeFor(code)
 		}
 	}
 	if cc.readsInterrupted && !cc.closed {
-		cc.readInterrupted()
+		cc.noticeInterrupt()
 	}
-	if cc.closed {
-		return
+	if !cc.closed {
+		cc.checkWait()
 	}
-	switch still := cc.now - cc.waitingSince; cc.machine.State() {
+}
+
+// checkWait checks that the connection is not kept open for a client that is too slow.
+func (cc *clientConnection) checkWait() {
+	wait := cc.now - cc.waitingSince
+	switch state := cc.machine.State(); state {
 	case clientconn.Idle:
-		if still > 3 {
-			cc.violate("silent-ends", "idle for %.1f s", still)
+		if wait > maxWait {
+			cc.violate(propertyIdleCloses, "idle for %.1f s", wait)
 		}
 	case clientconn.ReadingHead:
-		if still > 3 {
-			cc.violate("slow-ends", "a head comes for %.1f s", still)
+		if wait > maxWait {
+			cc.violate(propertySlowHeadCloses, "a head comes for %.1f s", wait)
 		}
 	case clientconn.ReadingBody, clientconn.Uploading, clientconn.Discarding:
-		if still > 3 && cc.machine.State() == clientconn.ReadingBody {
-			cc.violate("stall-ends", "nothing came of a body for %.1f s", still)
-		}
-		if cc.bodyWait+still > 2.5+float64(cc.bodyBytes)/(32<<10) {
-			cc.violate("trickle-ends", "%d bytes in %.1f s", cc.bodyBytes, cc.bodyWait+still)
-		}
-	}
-}
-
-// events are those that may happen now, in a fixed order.
-func (cc *clientConnection) events() (all []string) {
-	if cc.closed {
-		return nil
-	}
-	all = []string{"second", "while", "room"}
-	if cc.keepOpen {
-		all = append(all, "drain")
-	}
-	if !cc.crowded {
-		all = append(all, "crowd")
-	}
-	if cc.readsInterrupted {
-		all = append(all, "cut-noticed")
-	}
-	return append(all, map[clientconn.State][]string{
-		clientconn.Idle:        {"begins"},
-		clientconn.ReadingHead: {"no-body", "body", "long-body", "broken"},
-		clientconn.ReadingBody: {"piece", "byte", "body-whole", "broken"},
-		clientconn.Deciding:    {"answer", "upload", "next"},
-		clientconn.Uploading:   {"piece", "byte", "up", "early-answer", "broken"},
-		clientconn.Answering:   {"written", "next"},
-		clientconn.Discarding:  {"piece", "byte", "rest-read"},
-	}[cc.machine.State()]...)
-}
-
-func (cc *clientConnection) step(event string) {
-	switch event {
-	case "second":
-		cc.advance(1)
-	case "while":
-		cc.advance(4)
-	case "room":
-		if cc.machine.Evictable(cc.now) {
-			cc.close(clientconn.CodeEvicted)
+		if wait > maxWait && state == clientconn.ReadingBody {
+			cc.violate(propertyStallCloses, "nothing came of a body for %.1f s", wait)
 		}
-	case "drain":
-		cc.keepOpen = false
-		if cc.machine.ClosesOnDrain() {
-			cc.close(clientconn.CodeDrain)
+		if cc.bodyWait+wait > bodyGracePeriod+float64(cc.bodyBytes)/minBodyRate {
+			cc.violate(propertySlowBodyCloses, "%d bytes in %.1f s", cc.bodyBytes, cc.bodyWait+wait)
 		}
-	case "crowd":
-		cc.crowded = true
-	case "cut-noticed":
-		cc.readInterrupted()
-	case "begins": // where its reads are cut, the first byte came before anybody noticed
-		if cc.requests++; cc.requests > 1 {
-			cc.waitingSince = cc.now
-		}
-		cc.enter(clientconn.ReadingHead)
-	case "no-body":
-		cc.enter(clientconn.Deciding)
-	case "body":
-		cc.beginBody(clientconn.ReadingBody)
-	case "long-body":
-		cc.bodyUnread = true
-		cc.enter(clientconn.ReadingBody)
-		cc.enter(clientconn.Deciding)
-	case "broken":
-		cc.rejectRequest()
-	case "piece", "byte":
-		cc.receiveBody(map[string]int{"piece": 256 << 10, "byte": 1}[event])
-		cc.awaitBody()
-	case "body-whole":
-		cc.receiveBody(1)
-		cc.enter(clientconn.Deciding)
-	case "upload":
-		if cc.bodyUnread {
-			cc.beginBody(clientconn.Uploading)
-		}
-	case "next":
-		cc.nextReceived = true
-	case "up":
-		cc.receiveBody(1)
-		cc.bodyUnread = false
-		cc.enter(clientconn.Deciding)
-	case "answer", "early-answer":
-		cc.answer()
-	case "written":
-		if cc.lastAnswer {
-			cc.enter(clientconn.Lingering)
-			cc.closed = true
-		} else if cc.bodyUnread {
-			cc.beginBody(clientconn.Discarding)
-		} else {
-			cc.becomeIdle()
-		}
-	case "rest-read":
-		cc.receiveBody(1)
-		cc.bodyUnread = false
-		cc.becomeIdle()
-	}
-	if !cc.closed && !cc.keepOpen && cc.machine.State() == clientconn.Idle && cc.machine.CloseCode() == "" {
-		cc.violate("drained-ends", "idle in a drain, and nothing ends it")
 	}
 }
 
-func (cc *clientConnection) becomeIdle() {
-	cc.waitingSince = cc.now
-	on := cc.enter(clientconn.Idle)
-	switch hears := cc.machine.ServesPending(); {
-	case on && cc.lastAnswer:
-		cc.violate("last-is-last", "it goes on after its last answer")
-	case cc.nextReceived && (on || hears):
-		cc.nextReceived, cc.readsInterrupted = false, cc.readsInterrupted || !on
-		cc.step("begins")
-	case !on:
-		if cc.nextReceived && !cc.lastAnswer && cc.servesPending {
-			cc.violate("read-is-taken", "a request has been read, its client was not told to go, and it is dropped")
-		}
-		cc.closed = true
-	}
-}
-
-// ExploreClientConnections drives the machine of a client's connection, as it is in service and where it hears what has begun to come,
-// through every order of so many events. It returns how many orders there were, and the shortest one that violates a
-// property, with what it violates; nil: none does.
-func ExploreClientConnections(depth int) (orders int, trace []string, violation *Violation) {
-	type run struct {
-		world clientConnection
-		trace []string
-	}
-	hears := clientConnection{machine: clientconn.Accepted(0), keepOpen: true, servesPending: true}
-	hears.machine.SetTimeouts(&clientconn.Timeouts{FirstByte: 2, Idle: 2, Head: 2.5, ServePending: true})
-	level := []run{{world: clientConnection{machine: clientconn.Accepted(0), keepOpen: true}}, {world: hears}}
-	for range depth {
-		var next []run
-		for _, r := range level {
-			for _, e := range r.world.events() {
-				w := r.world // a copy: the machine points to nothing that changes
-				w.step(e)
-				trace := append(r.trace[:len(r.trace):len(r.trace)], e)
-				if w.violation != nil {
-					return orders, trace, w.violation
-				}
-				orders++
-				next = append(next, run{w, trace})
-			}
-		}
-		level = next
+// checkDrain checks that an idle connection does not survive a drain.
+func (cc *clientConnection) checkDrain() {
+	open := !cc.closed && cc.machine.CloseCode() == ""
+	if open && !cc.keepOpen && cc.machine.State() == clientconn.Idle {
+		cc.violate(propertyDrainCloses, "idle in a drain, and nothing ends it")
 	}
-	return orders, nil, nil
 }
--- a/internal/emulator/modelcheck/config.go
+++ b/internal/emulator/modelcheck/config.go
@@ -12,16 +12,16 @@
 	TwoRequests    bool    // whether two requests are submitted at once
 	Servers        int     // 1 or 2
 	IdleConnection bool    // a connection to the first server has been used before
-	Sparse         bool    // the customer's slice is so small that its requests ask the quota counter
+	Sparse         bool    // the customer's slice is so small that requests are admitted by the quota counter
 	OneConnection  bool    // the pool opens one connection at most
 	SlowDials      bool    // events may happen while a connection is being opened
-	StreamedBody   bool    // the first request's body goes up as it comes
+	StreamedBody   bool    // the first request's body is uploaded while the client sends it
 	// OddServers send answers to other requests, answers that name no request, and streamed ones. A request whose last
-	// byte is not held back takes its time to go out.
+	// byte is not delayed is written in a step of its own.
 	OddServers bool
 }
 
-// The words of a config, as traces have them.
+// The text form of a config, in traces.
 const (
 	wordRead       = "read"
 	wordSend       = "send"
@@ -35,13 +35,13 @@
 	wordOddServers = "odd"
 )
 
-// configFlag is a word of a config that stands for one of its flags.
+// configFlag is the text form of one flag of a config.
 type configFlag struct {
-	word string
+	name string
 	set  *bool
 }
 
-// flags returns the words for the flags of a config, in the order in which String has them.
+// flags returns the flags of a config, in the order of its text form.
 func (c *Config) flags() []configFlag {
 	return []configFlag{
 		{wordIdle, &c.IdleConnection},
@@ -53,34 +53,34 @@
 	}
 }
 
-func classWord(atMostOnce bool) string {
+func className(atMostOnce bool) string {
 	if atMostOnce {
 		return wordSend
 	}
 	return wordRead
 }
 
-// String returns a config's words, as traces have them.
+// String returns the text form of a config, which ParseConfig reads.
 func (c Config) String() string {
-	words := []string{classWord(c.AtMostOnce[0])}
+	words := []string{className(c.AtMostOnce[0])}
 	if c.TwoRequests {
-		words = append(words, wordSecond+classWord(c.AtMostOnce[1]))
+		words = append(words, wordSecond+className(c.AtMostOnce[1]))
 	}
 	words = append(words, fmt.Sprint(wordServers, c.Servers))
 	for _, flag := range c.flags() {
 		if *flag.set {
-			words = append(words, flag.word)
+			words = append(words, flag.name)
 		}
 	}
 	return strings.Join(words, " ")
 }
 
-// ParseConfig reads a config's words. Its errors are UnknownWordError and ErrServerCount.
+// ParseConfig reads the text form of a config. Its errors are UnknownWordError and ErrServerCount.
 func ParseConfig(text string) (Config, error) {
 	var c Config
 	flags := c.flags()
 	for i, word := range strings.Fields(text) {
-		flag := slices.IndexFunc(flags, func(f configFlag) bool { return f.word == word })
+		flag := slices.IndexFunc(flags, func(f configFlag) bool { return f.name == word })
 		switch {
 		case i == 0 && (word == wordRead || word == wordSend):
 			c.AtMostOnce[0] = word == wordSend
@@ -94,7 +94,7 @@
 		case flag >= 0:
 			*flags[flag].set = true
 		default:
-			return c, UnknownWordError{word}
+			return c, UnknownConditionError{word}
 		}
 	}
 	if c.Servers == 0 {
--- a/internal/emulator/modelcheck/connection.go
+++ b/internal/emulator/modelcheck/connection.go
@@ -5,8 +5,8 @@
 	"mulleinrouter/internal/decision"
 )
 
-// maxIdleTaken is how many idle connections may be taken for one attempt. More than a pool can hold means that it does
-// not let go of them.
+// maxIdleTaken is how many idle connections may be taken for one attempt. More than a pool can contain means that it
+// does not remove what it returns.
 const maxIdleTaken = 9
 
 // connection is a connection to a server.
@@ -97,7 +97,7 @@
 }
 
 // applyVerdict does what the pool does at the end of an attempt on a connection: the connection is reused, closed or
-// goes on streaming the answer; the attempt goes on over another connection, or ends.
+// continues to stream the answer; the attempt continues over another connection, or ends.
 func (w *world) applyVerdict(pending *pendingAttempt, conn *connection, v upstreamconn.Verdict) {
 	w.checkLegal(v.Err)
 	conn.current = nil
@@ -131,7 +131,7 @@
 	w.idlePool.Put(conn.server.id, conn, w.now)
 }
 
-// streamEnded is the end of an answer's body that was read as it came.
+// streamEnded is the end of an answer's body that was streamed.
 func (w *world) streamEnded(c *client, complete, trailingBytes bool) {
 	conn := c.stream
 	c.stream = nil
--- a/internal/emulator/modelcheck/doc.go
+++ b/internal/emulator/modelcheck/doc.go
@@ -11,5 +11,5 @@
 // dataplane packages that it explores; only internal/standalone/cli imports it. Each world belongs to one worker of
 // an exploration; the explorer owns the workers, and what they have found, under its mutex. The tests are here; in
 // builds with the tag mutants they must find each fault that is seeded in the code that serves. testdata holds the
-// traces of violations that were found and mended.
+// traces of violations that were found and fixed.
 package modelcheck
--- a/internal/emulator/modelcheck/events.go
+++ b/internal/emulator/modelcheck/events.go
@@ -22,7 +22,7 @@
 	apply func()
 }
 
-// about returns an event that befalls one client or server.
+// about returns an event about one client or server.
 func about(subject, kind string, apply func()) event { return event{kind + " " + subject, apply} }
 
 // events returns those that may happen now, in a fixed order: an ordering is a sequence of choices among them.
@@ -69,7 +69,7 @@
 	return event{}, false
 }
 
-// clientEvents returns what may befall a client and its attempt, and what it may do.
+// clientEvents returns the events about a client, its attempt and its answer.
 func (w *world) clientEvents(c *client) []event {
 	var events []event
 	if c.attempt != nil && c.attempt.conn != nil {
@@ -114,7 +114,7 @@
 	}
 }
 
-// serverEvents returns what may befall a server that is listed.
+// serverEvents returns the events about a server that is listed.
 func (w *world) serverEvents(s *server) []event {
 	var events []event
 	if s.serving {
--- a/internal/emulator/modelcheck/explorer.go
+++ b/internal/emulator/modelcheck/explorer.go
@@ -79,7 +79,7 @@
 	workers.Wait()
 }
 
-// work does jobs until none is left.
+// work does jobs until all are started.
 func (ex *explorer) work() {
 	seen := newCoverage()
 	for {
@@ -137,7 +137,7 @@
 	}
 }
 
-// record counts an ordering, lets its world come to its end, and keeps the shortest trace for each violated property.
+// record counts an ordering, lets its world settle, and stores the shortest trace for each violated property.
 func (ex *explorer) record(w *world, names []string, seen *coverage) {
 	ex.orderings.Add(1)
 	ex.steps.Add(int64(w.steps))
--- a/internal/emulator/modelcheck/mutants_test.go
+++ b/internal/emulator/modelcheck/mutants_test.go
@@ -10,7 +10,7 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// faults are seeded in the code that serves; a violation of a property must be found for each.
+// faults are those that are seeded in the code that serves and that Explore must find.
 var faults = []struct {
 	pkg  string
 	name string
@@ -48,21 +48,30 @@
 	{"attempt", "impatient-always"},
 }
 
-// Every fault that is seeded in the clients' connections is found.
+// TestClientMutants checks that every fault that is seeded in the clients' connections is found.
 func TestClientMutants(t *testing.T) {
-	for _, fault := range []string{"drained-stays", "taken-is-cut", "head-for-ever", "busy-spared",
-		"stall-for-ever", "trickle-for-ever", "last-kept", "asked-dropped"} {
-		mutants.Seed(t, "clientconn/"+fault)
-		_, trace, violation := ExploreClientConnections(6)
-		if violation == nil {
-			t.Errorf("%s lives: a property is missing", fault)
-			continue
-		}
-		t.Logf("%s: %s, %s: %s", fault, violation.Property, violation.Text, strings.Join(trace, ", "))
+	for _, fault := range []string{
+		"drained-stays",
+		"taken-is-cut",
+		"head-for-ever",
+		"busy-spared",
+		"stall-for-ever",
+		"trickle-for-ever",
+		"last-kept",
+		"asked-dropped",
+	} {
+		t.Run(fault, func(t *testing.T) {
+			mutants.Seed(t, "clientconn/"+fault)
+			result := ExploreClientConnections(6)
+			if result.Violation == nil {
+				t.Fatal("it is not found: a property is missing")
+			}
+			t.Logf("%+v: %s", *result.Violation, strings.Join(result.Trace, ", "))
+		})
 	}
 }
 
-// Every fault that is seeded is found, with a short trace that violates nothing in the code as it is.
+// TestMutants checks that every fault that is seeded is found, with a short trace that violates nothing without it.
 func TestMutants(t *testing.T) {
 	for _, m := range faults {
 		t.Run(m.name, func(t *testing.T) {
@@ -72,76 +81,88 @@
 				found = Explore(Options{Depth: depth, Random: 20_000 * (depth - 1), Seed: 1}).Violations
 			}
 			if len(found) == 0 {
-				t.Fatal("it lives: a property is missing")
+				t.Fatal("it is not found: a property is missing")
 			}
-			shortest := found[0]
-			for _, f := range found {
-				if len(f.Events) < len(shortest.Events) {
-					shortest = f
-				}
-			}
-			t.Logf(
-				"%d events, %s: %q in %v",
-				len(shortest.Events),
-				shortest.Violation.Property,
-				shortest.Events,
-				shortest.Config,
-			)
+			shortest := slices.MinFunc(found, func(a, b *Trace) int { return len(a.Events) - len(b.Events) })
+			t.Logf("%d events: %v", len(shortest.Events), shortest)
 			mutants.Seed(t, "")
 			if violations, _ := Replay(shortest.Config, shortest.Events); len(violations) > 0 {
-				t.Errorf("its trace violates %v without it", violations)
+				t.Errorf("its trace violates %v without it, want nothing", violations)
 			}
 		})
 	}
 }
 
-// Seeded faults that only a longer order shows, and no property without them.
+// TestMutantsFarOff checks that faults that only a longer ordering shows violate their property, and that the ordering
+// violates none without them.
 func TestMutantsFarOff(t *testing.T) {
-	for _, m := range []struct {
+	for _, tc := range []struct {
 		pkg, name string
 		world     string
-		events    string
+		events    []string
 		want      string
 	}{
-		{"upstreamconn", "unnamed-kept", "send servers=1 odd",
-			"last-byte c1, 503-unnamed c1, retries c1, time, last-byte c2, other-answer c2", "refusal-is-harmless"},
-		{"upstreamconn", "others-endless", "send servers=1 odd", "last-byte c1" +
-			strings.Repeat(", other-answer c1", 9), "bounded"},
+		{
+			pkg:   "upstreamconn",
+			name:  "unnamed-kept",
+			world: "send servers=1 odd",
+			events: []string{
+				"last-byte c1", "503-unnamed c1", "retries c1", "time", "last-byte c2", "other-answer c2",
+			},
+			want: propertyHarmlessRejection,
+		},
+		{
+			pkg:    "upstreamconn",
+			name:   "others-endless",
+			world:  "send servers=1 odd",
+			events: append([]string{"last-byte c1"}, slices.Repeat([]string{"other-answer c1"}, 9)...),
+			want:   propertyBounded,
+		},
 	} {
-		t.Run(m.name, func(t *testing.T) {
-			c, err := ParseConfig(m.world)
+		t.Run(tc.name, func(t *testing.T) {
+			config, err := ParseConfig(tc.world)
 			if err != nil {
 				t.Fatal(err)
 			}
-			events := strings.Split(m.events, ", ")
-			for _, fault := range []string{m.pkg + "/" + m.name, ""} {
-				mutants.Seed(t, fault)
-				violations, happened := Replay(c, events)
-				found := slices.ContainsFunc(violations, func(v Violation) bool { return v.Property == m.want })
-				if found != (fault != "") || fault == "" && len(violations) > 0 {
-					t.Errorf("with %q seeded, %q violates %v, want %s", fault, happened, violations, m.want)
-				}
+			mutants.Seed(t, tc.pkg+"/"+tc.name)
+			violations, happened := Replay(config, tc.events)
+			if !slices.ContainsFunc(violations, func(v Violation) bool { return v.Property == tc.want }) {
+				t.Errorf("%q violates %v, want %s", happened, violations, tc.want)
+			}
+			mutants.Seed(t, "")
+			if violations, happened := Replay(config, tc.events); len(violations) > 0 {
+				t.Errorf("%q violates %v without the fault, want nothing", happened, violations)
 			}
 		})
 	}
 }
 
-// A long body whose first bytes leave after the news of a drain is found, though one that had begun before may go on.
+// TestLongBodyAfterDrain checks that a streamed body whose first bytes go out after a drain is known is found, while
+// one that has begun before may go on.
 func TestLongBodyAfterDrain(t *testing.T) {
-	c := Config{Servers: 1, IdleConnection: true, StreamedBody: true}
-	late, begun := []string{"drains s1", "time", "last-byte c1"}, []string{"last-byte c1", "drains s1", "time", "up c1"}
-	for _, row := range []struct {
+	config := Config{Servers: 1, IdleConnection: true, StreamedBody: true}
+	late := []string{"drains s1", "time", "last-byte c1"}
+	begun := []string{"last-byte c1", "drains s1", "time", "up c1"}
+	for _, tc := range []struct {
+		name   string
 		mutant string
 		events []string
-		want   string
-	}{{"upstreamconn/held-goes", late, "drained"}, {"", late, ""}, {"upstreamconn/held-goes", begun, ""}, {"", begun, ""}} {
-		mutants.Seed(t, row.mutant)
-		got := ""
-		if found, _ := Replay(c, row.events); len(found) > 0 {
-			got = found[0].Property
-		}
-		if got != row.want {
-			t.Errorf("%q with %q seeded violates %q, want %q", row.events, row.mutant, got, row.want)
-		}
+		want   string // the first property that is violated
+	}{
+		{"late with the fault", "upstreamconn/held-goes", late, propertyDraining},
+		{"late", "", late, ""},
+		{"begun with the fault", "upstreamconn/held-goes", begun, ""},
+		{"begun", "", begun, ""},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			mutants.Seed(t, tc.mutant)
+			got := ""
+			if violations, _ := Replay(config, tc.events); len(violations) > 0 {
+				got = violations[0].Property
+			}
+			if got != tc.want {
+				t.Errorf("got violation %q, want %q", got, tc.want)
+			}
+		})
 	}
 }
--- a/internal/emulator/modelcheck/properties.go
+++ b/internal/emulator/modelcheck/properties.go
@@ -9,9 +9,9 @@
 // Violation is a property that does not hold.
 type Violation struct{ Property, Text string }
 
-// The properties of requests, attempts and connections to servers. Their names stand in traces.
+// The properties of requests, attempts and connections to servers. Traces hold their names.
 const (
-	// propertyLegal: no state machine is asked for a transition that it does not have.
+	// propertyLegal: no state machine receives an event for which its state has no transition.
 	propertyLegal = "legal"
 	// propertyOneAnswer: a client gets one answer, and its request one final decision.
 	propertyOneAnswer = "one-answer"
@@ -33,13 +33,13 @@
 	// propertyAbandonedOnPurpose: a slow attempt is not abandoned during a shutdown, nor if its request is
 	// non-idempotent.
 	propertyAbandonedOnPurpose = "planned-is-kept"
-	// propertyAbandonedResumes: a request whose slow attempt was abandoned goes on to another server.
+	// propertyAbandonedResumes: a request whose slow attempt was abandoned is sent to another server.
 	propertyAbandonedResumes = "given-up-goes-on"
 	// propertyDisconnectCancels: the attempt of a client that disconnected is cancelled.
 	propertyDisconnectCancels = "left-is-cancelled"
-	// propertyDraining: no request goes out to a server that is known to drain.
+	// propertyDraining: no request is sent to a server that is known to drain.
 	propertyDraining = "drained"
-	// propertyRemoved: no request goes out to a server that has left the endpoint list, nor to its old address.
+	// propertyRemoved: no request is sent to a server that was removed from the endpoint list, nor to its old address.
 	propertyRemoved = "nothing-new-to-the-gone"
 	// propertyExclusive: a connection carries one request at a time.
 	propertyExclusive = "one-request-on-a-connection"
--- a/internal/emulator/modelcheck/schedule.go
+++ b/internal/emulator/modelcheck/schedule.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// clockStep is by how much the clock goes on at most, in seconds.
+	// clockStep is by how much the clock advances at most, in seconds.
 	clockStep = 0.05
 	// settleTime is how long after their deadline requests have been answered, in seconds.
 	settleTime = 1
 )
 
-// settle lets the world come to its end without further events: timers fire, calls to the counter time out, attempts
+// settle lets the world run to completion without further events: timers fire, calls to the counter time out, attempts
 // end at their deadline or when they were cancelled.
 func (w *world) settle() {
 	for end := w.now + requestDeadline + settleTime; w.now < end && len(w.violations) == 0; {
@@ -48,7 +48,7 @@
 	return inFlight()
 }
 
-// advance ends the attempts whose deadline has passed, and goes on to what is due next.
+// advance ends the attempts whose deadline has passed, and advances the clock to what is due next.
 func (w *world) advance() {
 	for _, c := range w.clients {
 		if c.attempt != nil && w.now >= c.attempt.deadline-tolerance {
--- a/internal/emulator/modelcheck/trace.go
+++ b/internal/emulator/modelcheck/trace.go
@@ -65,7 +65,7 @@
 	return t, nil
 }
 
-// minimize leaves events out of a trace for as long as it violates the same property.
+// minimize removes events from a trace for as long as it violates the same property.
 func minimize(t *Trace) *Trace {
 	shortest := t
 	for {
--- a/internal/emulator/modelcheck/world.go
+++ b/internal/emulator/modelcheck/world.go
@@ -23,11 +23,15 @@
 )
 
 const (
-	customer    = "m"
-	classRead   = "read" // idempotent
-	classSend   = "send" // non-idempotent
-	idleBefore  = 2.0    // seconds for which the connection of Config.IdleConnection has been idle: it is held
-	worldBegins = 1000.0 // seconds on the world's clock
+	customer  = "m"
+	classRead = "read" // idempotent
+	classSend = "send" // non-idempotent
+
+	// worldBegins is the time on the world's clock, in seconds.
+	worldBegins = 1000.0
+	// idleBefore is for how long the connection of Config.IdleConnection has been idle, in seconds: so long that the
+	// last byte of the next request on it is delayed.
+	idleBefore = 2.0
 )
 
 // world is one run: a state, and the violations that it has come to.
