--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -45,8 +45,8 @@
 	}
 	r, err := costmodel.Measure(part, func(s *costmodel.Series) {
 		logger.Log("msg", "slope measured", "name", s.Name)
-		of := s.Of
-		if s.Log {
+		of := s.SizeUnit
+		if s.Logarithmic {
 			of = "log2 " + of
 		}
 		fmt.Fprintf(
@@ -55,13 +55,13 @@
 			s.Name,
 			of,
 			len(s.Points),
-			capacity.Amount(s.A, s.Unit),
-			capacity.Amount(s.B, s.Unit),
-			100*s.Worst(),
-			s.HeldOut.N,
-			capacity.Amount(s.HeldOut.Y, s.Unit),
+			capacity.Amount(s.Intercept, s.Unit),
+			capacity.Amount(s.Slope, s.Unit),
+			100*s.MaxResidual(),
+			s.Holdout.Size,
+			capacity.Amount(s.Holdout.Cost, s.Unit),
 			capacity.Amount(s.Predicted, s.Unit),
-			100*s.Off,
+			100*s.PredictionError,
 		)
 	})
 	if err != nil {
@@ -104,7 +104,7 @@
 	if err != nil {
 		return unusable{err}
 	}
-	run, err := capacity.Stored()
+	run, err := capacity.StoredRun()
 	if c.Slopes != "" {
 		var f *os.File
 		if f, err = os.Open(c.Slopes); err != nil {
--- a/internal/emulator/capacity/plan_test.go
+++ b/internal/emulator/capacity/plan_test.go
@@ -42,8 +42,8 @@
 	for _, n := range names {
 		s := costmodel.Series{
 			Name:    n,
-			Points:  []costmodel.Point{{N: 1, Y: 1}, {N: 2, Y: 2}, {N: 4, Y: 4}},
-			HeldOut: costmodel.Point{N: 8, Y: 8},
+			Points:  []costmodel.Point{{Size: 1, Cost: 1}, {Size: 2, Cost: 2}, {Size: 4, Cost: 4}},
+			Holdout: costmodel.Point{Size: 8, Cost: 8},
 		}
 		if err := s.Fit(); err != nil {
 			t.Fatal(err)
@@ -53,19 +53,19 @@
 	return r
 }
 
-func find(t *testing.T, r *Report, role, what string) Row {
-	for _, x := range r.Rows {
-		if x.Role == role && strings.HasPrefix(x.What, what) {
+func find(t *testing.T, r *Report, role, what string) Requirement {
+	for _, x := range r.Requirements {
+		if x.Role == role && strings.HasPrefix(x.Description, what) {
 			return x
 		}
 	}
 	t.Fatal("no row", role, what)
-	return Row{}
+	return Requirement{}
 }
 
 func TestTinyPlan(t *testing.T) {
 	is := is.New(t)
-	run, err := Stored()
+	run, err := StoredRun()
 	is.NoErr(err)
 	p, err := Read("tiny.conf", tiny)
 	is.NoErr(err)
@@ -76,7 +76,7 @@
 	memory := find(t, r, "agent", "memory")
 	near(memory.Need, 1.5*(20+1000+10+100))
 	near(memory.Margin(), 1e6/1695)
-	near(memory.Reach, 1e6/1695) // it grows with the size, all of it
+	near(memory.MaxScale, 1e6/1695) // it grows with the size, all of it
 	// Three sources: two heartbeats and two renewals a second of each, and one change a second, told by each: a byte and
 	// a segment.
 	bytes := find(t, r, "agent", "bytes")
@@ -85,7 +85,7 @@
 	// The first that binds is the one that is reached at the smallest part of the size, and more of it never helps.
 	order := r.Order()
 	for i := 1; i < len(order); i++ {
-		is.True(order[i-1].Reach <= order[i].Reach)
+		is.True(order[i-1].MaxScale <= order[i].MaxScale)
 	}
 	var out strings.Builder
 	is.NoErr(r.Write(&out))
@@ -117,7 +117,7 @@
 // tells.
 func TestShippedPlans(t *testing.T) {
 	is := is.New(t)
-	run, err := Stored()
+	run, err := StoredRun()
 	is.NoErr(err)
 	files, _ := filepath.Glob("../../../deploy/plans/*.conf")
 	is.True(len(files) >= 2)
@@ -128,7 +128,7 @@
 		is.NoErr(err)
 		r, err := p.Estimate(run)
 		is.NoErr(err)
-		for _, x := range r.Rows {
+		for _, x := range r.Requirements {
 			is.True(x.Need >= 0 && !math.IsInf(x.Need, 0))
 		}
 		is.Equal(r.Fits(), p.Name == "two-years-cut.conf")
--- a/internal/emulator/capacity/report.go
+++ b/internal/emulator/capacity/report.go
@@ -14,28 +14,30 @@
 
 // Report is what was reckoned.
 type Report struct {
-	Plan *Plan
-	Run  *costmodel.Run
-	Rows []Row
+	Plan         *Plan
+	Run          *costmodel.Run
+	Requirements []Requirement
 }
 
 // Fits tells whether every need keeps its limit.
 func (r *Report) Fits() bool {
-	return !slices.ContainsFunc(r.Rows, func(x Row) bool { return x.Need > x.Limit })
+	return !slices.ContainsFunc(r.Requirements, func(x Requirement) bool { return x.Need > x.Limit })
 }
 
 // Order is the rows in the order in which their limits are reached as the size grows; of those over it at any size,
 // the worst first.
-func (r *Report) Order() []Row {
-	rows := slices.Clone(r.Rows)
+func (r *Report) Order() []Requirement {
+	rows := slices.Clone(r.Requirements)
 	slices.SortStableFunc(
 		rows,
-		func(a, b Row) int { return cmp.Or(cmp.Compare(a.Reach, b.Reach), cmp.Compare(a.Margin(), b.Margin())) },
+		func(a, b Requirement) int {
+			return cmp.Or(cmp.Compare(a.MaxScale, b.MaxScale), cmp.Compare(a.Margin(), b.Margin()))
+		},
 	)
 	return rows
 }
 
-const termsShown = 4
+const maxTermsShown = 4
 
 // Write writes the report for reading.
 func (r *Report) Write(w io.Writer) error {
@@ -50,24 +52,24 @@
 	)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "role\twhat\tneed\tlimit\tmargin\tkept up to\tof")
-	for i := range r.Rows {
-		x := &r.Rows[i]
+	for i := range r.Requirements {
+		x := &r.Requirements[i]
 		var terms []string
-		for _, term := range x.Terms[:min(termsShown, len(x.Terms))] {
-			terms = append(terms, fmt.Sprintf("%s %s x %s", term.What, Amount(term.Each, unitOf(x.Unit)), count(term.Number)))
+		for _, term := range x.Terms[:min(maxTermsShown, len(x.Terms))] {
+			terms = append(terms, fmt.Sprintf("%s %s x %s", term.Description, Amount(term.UnitCost, unitOf(x.Unit)), formatCount(term.Count)))
 		}
-		if left := len(x.Terms) - termsShown; left > 0 {
+		if left := len(x.Terms) - maxTermsShown; left > 0 {
 			terms = append(terms, fmt.Sprintf("%d more", left))
 		}
 		fmt.Fprintf(
 			t,
 			"%s\t%s\t%s\t%s\t%s\t%s\t%s\n",
 			x.Role,
-			x.What,
-			figure(x.Need, x.Unit),
-			figure(x.Limit, x.Unit),
-			margin(x.Margin()),
-			part(x.Reach),
+			x.Description,
+			formatValue(x.Need, x.Unit),
+			formatValue(x.Limit, x.Unit),
+			formatMargin(x.Margin()),
+			formatScale(x.MaxScale),
 			strings.Join(terms, ", "),
 		)
 	}
@@ -76,20 +78,20 @@
 	}
 	first := r.Order()[0]
 	switch {
-	case first.Reach == 0:
-		_, err := fmt.Fprintf(w, "\nbinds first: %s, %s: over its limit at any number of machines\n", first.Role, first.What)
+	case first.MaxScale == 0:
+		_, err := fmt.Fprintf(w, "\nbinds first: %s, %s: over its limit at any number of machines\n", first.Role, first.Description)
 		return err
 	case r.Fits():
 		_, err := fmt.Fprintf(
 			w,
 			"\nfits; binds first: %s, %s, at %s of this size\n",
 			first.Role,
-			first.What,
-			part(first.Reach),
+			first.Description,
+			formatScale(first.MaxScale),
 		)
 		return err
 	}
-	_, err := fmt.Fprintf(w, "\nbinds first: %s, %s, at %s of this size\n", first.Role, first.What, part(first.Reach))
+	_, err := fmt.Fprintf(w, "\nbinds first: %s, %s, at %s of this size\n", first.Role, first.Description, formatScale(first.MaxScale))
 	return err
 }
 
@@ -100,21 +102,21 @@
 	return strings.TrimSuffix(unit, "/s")
 }
 
-func figure(v float64, unit string) string {
+func formatValue(v float64, unit string) string {
 	switch unit {
 	case "core":
 		return fmt.Sprintf("%.3g%% of a core", 100*v)
 	case "":
-		return count(v)
+		return formatCount(v)
 	case "s":
 		return Amount(v, "s")
 	}
 	return Amount(v, unit)
 }
 
-func count(v float64) string { return strings.TrimSpace(Amount(v, "")) }
+func formatCount(v float64) string { return strings.TrimSpace(Amount(v, "")) }
 
-func margin(v float64) string {
+func formatMargin(v float64) string {
 	switch {
 	case math.IsInf(v, 0):
 		return "-"
@@ -124,7 +126,7 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
-func part(v float64) string {
+func formatScale(v float64) string {
 	switch {
 	case v == 0:
 		return "no size"
@@ -132,7 +134,7 @@
 		return "any size"
 	}
 	if v >= 1 {
-		return fmt.Sprintf("%s times", count(v))
+		return fmt.Sprintf("%s times", formatCount(v))
 	}
 	return fmt.Sprintf("%.3g%%", 100*v)
 }
--- a/internal/emulator/costmodel/fit.go
+++ b/internal/emulator/costmodel/fit.go
@@ -14,31 +14,31 @@
 
 // Point is what was measured at one size.
 type Point struct {
-	N     float64 `json:"n"`
-	Y     float64 `json:"y"`               // in the unit of the series
-	Alloc float64 `json:"alloc,omitempty"` // bytes allocated by one operation, where the unit is seconds
+	Size       float64 `json:"n"`
+	Cost       float64 `json:"y"`               // in the unit of the series
+	AllocBytes float64 `json:"alloc,omitempty"` // bytes allocated by one operation, where the unit is seconds
 }
 
 // Series is one cost by one size, and the line through it: Y = A + B*N, or A + B*log2(N) where Log is set.
 type Series struct {
-	Name      string     `json:"name"`
-	What      string     `json:"what"`
-	Unit      string     `json:"unit"` // "B" or "s"
-	Of        string     `json:"of"`   // what N counts
-	Log       bool       `json:"log,omitempty"`
-	Points    []Point    `json:"points"` // those of the fit
-	HeldOut   Point      `json:"held"`   // held back from it
-	A         float64    `json:"a"`
-	B         float64    `json:"b"`
-	Alloc     [2]float64 `json:"alloc,omitempty"` // the line of the bytes allocated, in N or log2(N) as the other
-	Residuals []float64  `json:"residuals"`       // of the points, each as a share of what was measured
-	Predicted float64    `json:"predicted"`       // at Held.N
-	Off       float64    `json:"off"`             // of Predicted, as a share of Held.Y
+	Name            string     `json:"name"`
+	Description     string     `json:"what"`
+	Unit            string     `json:"unit"` // "B" or "s"
+	SizeUnit        string     `json:"of"`   // what N counts
+	Logarithmic     bool       `json:"log,omitempty"`
+	Points          []Point    `json:"points"` // those of the fit
+	Holdout         Point      `json:"held"`   // held back from it
+	Intercept       float64    `json:"a"`
+	Slope           float64    `json:"b"`
+	AllocLine       [2]float64 `json:"alloc,omitempty"` // the line of the bytes allocated, in N or log2(N) as the other
+	Residuals       []float64  `json:"residuals"`       // of the points, each as a share of what was measured
+	Predicted       float64    `json:"predicted"`       // at Held.N
+	PredictionError float64    `json:"off"`             // of Predicted, as a share of Held.Y
 }
 
-// x is a size as the line takes it.
-func (s *Series) x(n float64) float64 {
-	if s.Log {
+// scaled is a size as the line takes it.
+func (s *Series) scaled(n float64) float64 {
+	if s.Logarithmic {
 		return math.Log2(max(1, n))
 	}
 	return n
@@ -46,8 +46,8 @@
 
 // At is the cost at a size, by the line, and the bytes allocated. Neither is below 0.
 func (s *Series) At(n float64) (cost, alloc float64) {
-	x := s.x(n)
-	return max(0, s.A+s.B*x), max(0, s.Alloc[0]+s.Alloc[1]*x)
+	x := s.scaled(n)
+	return max(0, s.Intercept+s.Slope*x), max(0, s.AllocLine[0]+s.AllocLine[1]*x)
 }
 
 // Fit lays the line through the points and predicts the one held back. The sizes span orders of magnitude, so what is
@@ -58,32 +58,32 @@
 	if len(s.Points) < 3 {
 		return errors.Errorf("%s: %d points, three are needed", s.Name, len(s.Points))
 	}
-	for _, p := range append(s.Points[:len(s.Points):len(s.Points)], s.HeldOut) {
-		if !(p.Y > 0) || math.IsInf(p.Y, 0) || !(p.N > 0) || math.IsInf(p.N, 0) {
-			return errors.Errorf("%s: %g at %g is no measurement", s.Name, p.Y, p.N)
+	for _, p := range append(s.Points[:len(s.Points):len(s.Points)], s.Holdout) {
+		if !(p.Cost > 0) || math.IsInf(p.Cost, 0) || !(p.Size > 0) || math.IsInf(p.Size, 0) {
+			return errors.Errorf("%s: %g at %g is no measurement", s.Name, p.Cost, p.Size)
 		}
 	}
 	var ok bool
-	if s.A, s.B, ok = s.line(func(p Point) float64 { return p.Y }); !ok {
+	if s.Intercept, s.Slope, ok = s.fitLine(func(p Point) float64 { return p.Cost }); !ok {
 		return errors.Errorf("%s: all points are at one size", s.Name)
 	}
-	a, b, _ := s.line(func(p Point) float64 { return p.Alloc })
-	s.Alloc = [2]float64{a, b}
+	a, b, _ := s.fitLine(func(p Point) float64 { return p.AllocBytes })
+	s.AllocLine = [2]float64{a, b}
 	s.Residuals = s.Residuals[:0]
 	for _, p := range s.Points {
-		s.Residuals = append(s.Residuals, (p.Y-s.A-s.B*s.x(p.N))/p.Y)
+		s.Residuals = append(s.Residuals, (p.Cost-s.Intercept-s.Slope*s.scaled(p.Size))/p.Cost)
 	}
-	s.Predicted = s.A + s.B*s.x(s.HeldOut.N)
-	s.Off = s.Predicted/s.HeldOut.Y - 1
+	s.Predicted = s.Intercept + s.Slope*s.scaled(s.Holdout.Size)
+	s.PredictionError = s.Predicted/s.Holdout.Cost - 1
 	return nil
 }
 
-// line is the least squares line through one of the figures of the points, each weighed by the inverse square of its
+// fitLine is the least squares fitLine through one of the figures of the points, each weighed by the inverse square of its
 // cost.
-func (s *Series) line(of func(Point) float64) (a, b float64, ok bool) {
+func (s *Series) fitLine(of func(Point) float64) (a, b float64, ok bool) {
 	var w, wx, wy, wxx, wxy float64
 	for _, p := range s.Points {
-		x, y, weight := s.x(p.N), of(p), 1/(p.Y*p.Y)
+		x, y, weight := s.scaled(p.Size), of(p), 1/(p.Cost*p.Cost)
 		w, wx, wy, wxx, wxy = w+weight, wx+weight*x, wy+weight*y, wxx+weight*x*x, wxy+weight*x*y
 	}
 	det := w*wxx - wx*wx
@@ -94,8 +94,8 @@
 	return (wy - b*wx) / w, b, true
 }
 
-// Worst is the largest residual, without its sign.
-func (s *Series) Worst() (worst float64) {
+// MaxResidual is the largest residual, without its sign.
+func (s *Series) MaxResidual() (worst float64) {
 	for _, r := range s.Residuals {
 		worst = max(worst, math.Abs(r))
 	}
--- a/internal/emulator/costmodel/gateway.go
+++ b/internal/emulator/costmodel/gateway.go
@@ -9,22 +9,22 @@
 	"mulleinrouter/internal/decision"
 )
 
-// ingressesMost is the number of ingresses that a gateway here is one of.
-const ingressesMost = 3300
+// designIngresses is the number of ingresses that a gateway here is one of.
+const designIngresses = 3300
 
-// gate is a gateway of the proxy as proxy sets it up, with a clock that only moves as told.
-type gate struct {
-	g     *decision.Gateway
-	now   float64
-	id    uint64
-	class *decision.Class
-	terms []*decision.Terms
-	acts  int
+// gatewayHarness is a gateway of the proxy as proxy sets it up, with a clock that only moves as told.
+type gatewayHarness struct {
+	gateway     *decision.Gateway
+	now         float64
+	lastRequest uint64
+	class       *decision.Class
+	terms       []*decision.Terms
+	acts        int
 }
 
-// newGate is a gateway before so many servers, in groups of so many, that has met so many tenants.
-func newGate(servers, group, tenants, gateways int) *gate {
-	x := &gate{
+// newGatewayHarness is a gateway before so many servers, in groups of so many, that has met so many tenants.
+func newGatewayHarness(servers, group, tenants, gateways int) *gatewayHarness {
+	x := &gatewayHarness{
 		class: &decision.Class{
 			Name:          "r",
 			LatencyTarget: 0.4,
@@ -36,9 +36,9 @@
 			Effect:        decision.Idempotent,
 		},
 	}
-	x.g = decision.New(
+	x.gateway = decision.New(
 		decision.Settings{
-			Gateways:        ingressesMost,
+			Gateways:        designIngresses,
 			Index:           1,
 			Zone:            "region-hall-1",
 			AnswerSlack:     0.02,
@@ -61,13 +61,13 @@
 		},
 		1,
 	)
-	x.g.Handle(0, decision.Start{})
+	x.gateway.Handle(0, decision.Start{})
 	list := make([]decision.Backend, servers)
 	for i := range list {
-		s := server(i, 1)
+		s := instance(i, 1)
 		list[i] = decision.Backend{ID: s.ID, Group: fmt.Sprint("g", i/group), Kind: "k", Zone: s.Zone, Serving: true, Size: 3}
 	}
-	x.g.Handle(0, decision.Backends{List: list})
+	x.gateway.Handle(0, decision.Backends{List: list})
 	x.now = 20
 	for i := range tenants {
 		x.terms = append(
@@ -85,31 +85,31 @@
 
 // request has the gateway decide a request of a tenant, answers its call of the counter if it makes one, and ends its
 // attempt.
-func (x *gate) request(tenant int, group string, gatewayCount int) {
-	x.id++
-	r := decision.Request{ID: x.id, Class: "r", Kind: x.class, Group: group, TimeLeft: 0.9, Units: 1,
+func (x *gatewayHarness) request(tenant int, group string, gatewayCount int) {
+	x.lastRequest++
+	r := decision.Request{ID: x.lastRequest, Class: "r", Kind: x.class, Group: group, TimeLeft: 0.9, Units: 1,
 		Gateways: gatewayCount}
 	if len(x.terms) > 0 {
 		t := x.terms[tenant%len(x.terms)]
 		r.Customer, r.Terms = t.Customer, t
 	}
-	x.follow(x.g.Handle(x.now, r))
+	x.follow(x.gateway.Handle(x.now, r))
 }
 
-func (x *gate) follow(actions []decision.Action) {
+func (x *gatewayHarness) follow(actions []decision.Action) {
 	x.acts += len(actions)
 	for _, a := range actions {
 		switch a := a.(type) {
 		case decision.CounterCall:
 			x.follow(
-				x.g.Handle(
+				x.gateway.Handle(
 					x.now,
 					decision.CounterReply{Name: a.Name, Outcome: decision.Succeeded, Total: max(1, a.Add), Reporters: 2},
 				),
 			)
 		case decision.Send:
 			x.follow(
-				x.g.Handle(
+				x.gateway.Handle(
 					x.now,
 					decision.AttemptEnded{ID: a.ID, Attempt: 1, Backend: a.Backend, Outcome: decision.Succeeded, Duration: 0.01},
 				),
@@ -118,50 +118,50 @@
 	}
 }
 
-func (x *gate) tick() {
+func (x *gatewayHarness) tick() {
 	x.now += 0.05
-	x.follow(x.g.Handle(x.now, decision.Timer{Token: "tick"}))
+	x.follow(x.gateway.Handle(x.now, decision.Timer{Token: "tick"}))
 }
 
-// gateways are the proxy's decisions. Requests come at the pace of one ingress of the size to design for; ticks are
+// measureGateway are the proxy's decisions. Requests come at the pace of one ingress of the size to design for; ticks are
 // not counted with them.
-func gateways(m *meter) {
-	m.memory(
+func measureGateway(m *meter) {
+	m.measureMemory(
 		Series{
-			Name: "gateway.server",
-			What: "live heap of a Gateway by the servers it knows, in groups of 20",
-			Of:   "servers",
+			Name:        "gateway.server",
+			Description: "live heap of a Gateway by the servers it knows, in groups of 20",
+			SizeUnit:    "servers",
 		},
 		nil,
-		func(_ any, n int) any { return newGate(n, perService, 0, 1) },
+		func(_ any, n int) any { return newGatewayHarness(n, serversPerService, 0, 1) },
 		500,
 		2000,
 		8000,
 		20000,
 		50000,
 	)
-	m.memory(
+	m.measureMemory(
 		Series{
-			Name: "gateway.tenant",
-			What: "live heap of a Gateway by the tenants that asked within the minute, terms with it",
-			Of:   "tenants",
+			Name:        "gateway.tenant",
+			Description: "live heap of a Gateway by the tenants that asked within the minute, terms with it",
+			SizeUnit:    "tenants",
 		},
 		nil,
-		func(_ any, n int) any { return newGate(20, perService, n, ingressesMost) },
+		func(_ any, n int) any { return newGatewayHarness(20, serversPerService, n, designIngresses) },
 		500,
 		2000,
 		8000,
 		20000,
 		50000,
 	)
-	m.requests(
+	m.measureRequests(
 		Series{
-			Name: "request.servers",
-			What: "one request decided and ended, 400 a second to one group",
-			Of:   "servers of the group",
+			Name:        "request.servers",
+			Description: "one request decided and ended, 400 a second to one group",
+			SizeUnit:    "servers of the group",
 		},
-		func(n int) *gate {
-			return newGate(n, n, 100, 1)
+		func(n int) *gatewayHarness {
+			return newGatewayHarness(n, n, 100, 1)
 		},
 		20,
 		100,
@@ -169,15 +169,15 @@
 		1000,
 		2000,
 	)
-	m.requests(
+	m.measureRequests(
 		Series{
-			Name: "request.tenants",
-			What: "one request decided and ended, its counter asked and told",
-			Of:   "tenants",
-			Log:  true,
+			Name:        "request.tenants",
+			Description: "one request decided and ended, its counter asked and told",
+			SizeUnit:    "tenants",
+			Logarithmic: true,
 		},
-		func(n int) *gate {
-			return newGate(20, perService, n, ingressesMost)
+		func(n int) *gatewayHarness {
+			return newGatewayHarness(20, serversPerService, n, designIngresses)
 		},
 		2000,
 		5000,
@@ -187,11 +187,11 @@
 	)
 	// Sizes at which what a tick walks is not in the processor's caches: fifty milliseconds of other work lie between
 	// two ticks.
-	m.cpu(
-		Series{Name: "tick.servers", What: "one tick of a Gateway (20 a second), no request", Of: "servers"},
+	m.measureTime(
+		Series{Name: "tick.servers", Description: "one tick of a Gateway (20 a second), no request", SizeUnit: "servers"},
 		50,
 		func(n int) func(int) {
-			x := newGate(n, perService, 0, 1)
+			x := newGatewayHarness(n, serversPerService, 0, 1)
 			return func(int) { x.tick() }
 		},
 		16000,
@@ -200,15 +200,15 @@
 		120000,
 		200000,
 	)
-	m.cpu(
+	m.measureTime(
 		Series{
-			Name: "tick.thin",
-			What: "one tick of a Gateway, tenants whose requests are reports of their own",
-			Of:   "tenants",
+			Name:        "tick.thin",
+			Description: "one tick of a Gateway, tenants whose requests are reports of their own",
+			SizeUnit:    "tenants",
 		},
 		20,
 		func(n int) func(int) {
-			x := newGate(20, perService, n, ingressesMost)
+			x := newGatewayHarness(20, serversPerService, n, designIngresses)
 			return func(int) { x.tick() }
 		},
 		10000,
@@ -217,15 +217,15 @@
 		60000,
 		100000,
 	)
-	m.cpu(
+	m.measureTime(
 		Series{
-			Name: "tick.sliced",
-			What: "one tick of a Gateway, tenants that report and read each second, the codec and the way not counted",
-			Of:   "tenants",
+			Name:        "tick.sliced",
+			Description: "one tick of a Gateway, tenants that report and read each second, the codec and the way not counted",
+			SizeUnit:    "tenants",
 		},
 		20,
 		func(n int) func(int) {
-			x := newGate(20, perService, n, 2)
+			x := newGatewayHarness(20, serversPerService, n, 2)
 			return func(int) { x.tick() }
 		},
 		10000,
@@ -236,18 +236,18 @@
 	)
 }
 
-// requests measures the processor time of a request. Twenty are decided between two ticks, which are not counted.
-func (m *meter) requests(s Series, newGate func(n int) *gate, sizes ...int) {
+// measureRequests measures the processor time of a request. Twenty are decided between two ticks, which are not counted.
+func (m *meter) measureRequests(s Series, newGate func(n int) *gatewayHarness, sizes ...int) {
 	const block, warm, blocks = 20, 100, 60
 	s.Unit = "s"
 	gateways := 1
-	if s.Of == "tenants" {
-		gateways = ingressesMost
+	if s.SizeUnit == "tenants" {
+		gateways = designIngresses
 	}
-	var gates []*gate
+	var gates []*gatewayHarness
 	var points []Point
 	tenant := 0
-	run := func(x *gate) {
+	run := func(x *gatewayHarness) {
 		for range block {
 			tenant += 7919
 			x.request(tenant, "g0", gateways)
@@ -259,26 +259,26 @@
 			x.tick()
 			run(x)
 		}
-		gates, points = append(gates, x), append(points, Point{N: float64(n), Y: math.Inf(1), Alloc: math.Inf(1)})
+		gates, points = append(gates, x), append(points, Point{Size: float64(n), Cost: math.Inf(1), AllocBytes: math.Inf(1)})
 	}
 	runtime.GC()
-	for range repeats {
+	for range repetitions {
 		for i, x := range gates {
 			p := &points[i]
 			gc, sum := debug.SetGCPercent(-1), 0.0
 			for range blocks {
 				x.tick()
-				at := used()
+				at := processorTime()
 				run(x)
-				sum += used() - at
+				sum += processorTime() - at
 			}
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
 			run(x)
 			runtime.ReadMemStats(&after)
 			debug.SetGCPercent(gc)
-			p.Y, p.Alloc = min(p.Y, sum/(block*blocks)), min(p.Alloc, float64(after.TotalAlloc-before.TotalAlloc)/block)
+			p.Cost, p.AllocBytes = min(p.Cost, sum/(block*blocks)), min(p.AllocBytes, float64(after.TotalAlloc-before.TotalAlloc)/block)
 		}
 	}
-	m.add(s, points)
+	m.addSeries(s, points)
 }
--- a/internal/emulator/costmodel/slopes_test.go
+++ b/internal/emulator/costmodel/slopes_test.go
@@ -13,20 +13,20 @@
 func plainFit(s *Series) (a, b float64) {
 	sum := func(a, b float64) (sum float64) {
 		for _, p := range s.Points {
-			x := p.N
-			if s.Log {
-				x = math.Log2(p.N)
+			x := p.Size
+			if s.Logarithmic {
+				x = math.Log2(p.Size)
 			}
-			off := (p.Y - a - b*x) / p.Y
+			off := (p.Cost - a - b*x) / p.Cost
 			sum += off * off
 		}
 		return sum
 	}
-	a, b = s.Points[0].Y, 0
+	a, b = s.Points[0].Cost, 0
 	for step := 1.0; step > 1e-13; step *= 0.7 {
 		for better := true; better; {
 			better = false
-			for _, to := range [][2]float64{{step * s.Points[0].Y, 0}, {-step * s.Points[0].Y, 0}, {0, step}, {0, -step},
+			for _, to := range [][2]float64{{step * s.Points[0].Cost, 0}, {-step * s.Points[0].Cost, 0}, {0, step}, {0, -step},
 				{step, -step}, {-step, step}} {
 				if sum(a+to[0], b+to[1]) < sum(a, b) {
 					a, b, better = a+to[0], b+to[1], true
@@ -41,42 +41,42 @@
 	is := is.New(t)
 	noise := rand.New(rand.NewPCG(1, 9))
 	for round := range 30 {
-		s := &Series{Name: "s", Log: round%2 == 1, HeldOut: Point{N: 40, Y: 100}}
+		s := &Series{Name: "s", Logarithmic: round%2 == 1, Holdout: Point{Size: 40, Cost: 100}}
 		a, b := 5+10*noise.Float64(), noise.Float64()
 		for _, n := range []float64{2, 5, 9, 17, 30} {
-			s.Points = append(s.Points, Point{N: n, Y: (a + b*s.x(n)) * (1 + 0.2*(noise.Float64()-0.5))})
+			s.Points = append(s.Points, Point{Size: n, Cost: (a + b*s.scaled(n)) * (1 + 0.2*(noise.Float64()-0.5))})
 		}
 		is.NoErr(s.Fit())
 		pa, pb := plainFit(s)
-		is.True(math.Abs(s.A-pa) < 1e-3 && math.Abs(s.B-pb) < 1e-3)
+		is.True(math.Abs(s.Intercept-pa) < 1e-3 && math.Abs(s.Slope-pb) < 1e-3)
 		for i, p := range s.Points {
-			is.True(math.Abs(s.A+s.B*s.x(p.N)-p.Y*(1-s.Residuals[i])) < 1e-9)
+			is.True(math.Abs(s.Intercept+s.Slope*s.scaled(p.Size)-p.Cost*(1-s.Residuals[i])) < 1e-9)
 		}
-		is.True(math.Abs(s.Predicted-100*(1+s.Off)) < 1e-9)
+		is.True(math.Abs(s.Predicted-100*(1+s.PredictionError)) < 1e-9)
 	}
 }
 
 func TestFitOfAnExactLinePredicts(t *testing.T) {
 	is := is.New(t)
 	s := &Series{
-		Points:  []Point{{N: 10, Y: 25, Alloc: 7}, {N: 100, Y: 205, Alloc: 7}, {N: 1e6, Y: 2000005, Alloc: 7}},
-		HeldOut: Point{N: 1e7, Y: 20000005},
+		Points:  []Point{{Size: 10, Cost: 25, AllocBytes: 7}, {Size: 100, Cost: 205, AllocBytes: 7}, {Size: 1e6, Cost: 2000005, AllocBytes: 7}},
+		Holdout: Point{Size: 1e7, Cost: 20000005},
 	}
 	is.NoErr(s.Fit())
-	is.True(math.Abs(s.A-5) < 1e-6 && math.Abs(s.B-2) < 1e-9 && math.Abs(s.Off) < 1e-9 && s.Worst() < 1e-9)
+	is.True(math.Abs(s.Intercept-5) < 1e-6 && math.Abs(s.Slope-2) < 1e-9 && math.Abs(s.PredictionError) < 1e-9 && s.MaxResidual() < 1e-9)
 	cost, alloc := s.At(1000)
 	is.True(math.Abs(cost-2005) < 1e-3 && math.Abs(alloc-7) < 1e-6)
 }
 
 func TestFitRefusesWhatIsNoMeasurement(t *testing.T) {
 	is := is.New(t)
-	predicted := Point{N: 9, Y: 9}
+	predicted := Point{Size: 9, Cost: 9}
 	for _, s := range []Series{
-		{Points: []Point{{N: 1, Y: 1}, {N: 2, Y: 2}}, HeldOut: predicted},
-		{Points: []Point{{N: 5, Y: 1}, {N: 5, Y: 2}, {N: 5, Y: 3}}, HeldOut: predicted},
-		{Points: []Point{{N: 1, Y: 1}, {N: 2, Y: 0}, {N: 3, Y: 3}}, HeldOut: predicted},
-		{Points: []Point{{N: 1, Y: 1}, {N: 2, Y: math.NaN()}, {N: 3, Y: 3}}, HeldOut: predicted},
-		{Points: []Point{{N: 1, Y: 1}, {N: 2, Y: 2}, {N: 3, Y: 3}}},
+		{Points: []Point{{Size: 1, Cost: 1}, {Size: 2, Cost: 2}}, Holdout: predicted},
+		{Points: []Point{{Size: 5, Cost: 1}, {Size: 5, Cost: 2}, {Size: 5, Cost: 3}}, Holdout: predicted},
+		{Points: []Point{{Size: 1, Cost: 1}, {Size: 2, Cost: 0}, {Size: 3, Cost: 3}}, Holdout: predicted},
+		{Points: []Point{{Size: 1, Cost: 1}, {Size: 2, Cost: math.NaN()}, {Size: 3, Cost: 3}}, Holdout: predicted},
+		{Points: []Point{{Size: 1, Cost: 1}, {Size: 2, Cost: 2}, {Size: 3, Cost: 3}}},
 	} {
 		is.True(s.Fit() != nil)
 	}
@@ -95,7 +95,7 @@
 	is.NoErr(err)
 	is.Equal(again.Names(), r.Names())
 	for i := range r.Series {
-		is.Equal(again.Series[i].B, r.Series[i].B)
+		is.Equal(again.Series[i].Slope, r.Series[i].Slope)
 		is.True(len(r.Series[i].Points) >= 4)
 	}
 	_, err = Read(bytes.NewBufferString("{}\n{\"name\":\"x\"}"))
--- a/internal/emulator/costmodel/world.go
+++ b/internal/emulator/costmodel/world.go
@@ -11,9 +11,9 @@
 // Generators of what a system of some size holds. They are seeded by the number of the thing alone, so that equal
 // numbers give equal things in any run. Bodies are laid out as the operators send them (one key a tenant).
 
-const perService = 20 // servers of a service, as in the size to design for
+const serversPerService = 20 // servers of a service, as in the size to design for
 
-func word(n int, letters int, salt uint64) string {
+func randomName(n int, letters int, salt uint64) string {
 	noise := rand.New(rand.NewPCG(uint64(n), salt))
 	b := make([]byte, letters)
 	for i := range b {
@@ -32,11 +32,11 @@
 	}
 }
 
-func serviceName(n int) string { return word(n, 7, 1) }
-func tenantName(n int) string  { return word(n, 7, 2) }
-func tenantKey(n int) string   { return word(n, 20, 3) }
-func host(n int) string        { return word(n/3, 6, 4) + ".example" }
-func prefix(n int) string      { return fmt.Sprintf("/%s/%d/", word(n, 7, 5), n) }
+func serviceName(n int) string { return randomName(n, 7, 1) }
+func tenantName(n int) string  { return randomName(n, 7, 2) }
+func tenantKey(n int) string   { return randomName(n, 20, 3) }
+func hostName(n int) string    { return randomName(n/3, 6, 4) + ".example" }
+func pathPrefix(n int) string  { return fmt.Sprintf("/%s/%d/", randomName(n, 7, 5), n) }
 
 func tenant(n, version int) configuration.Item {
 	return item(configuration.Tenants, tenantName(n), version, `{"apiKeys":["%s"],"priority":%d,"ratePerS":%d,"burst":%d`,
@@ -55,20 +55,20 @@
 func route(n, services, version int) configuration.Item {
 	return item(
 		configuration.Routes,
-		"r-"+word(n, 7, 6),
+		"r-"+randomName(n, 7, 6),
 		version,
 		`{"authority":"%s","pathPrefix":"%s","routeKind":"idempotent","deadlineMs":1000,`+
 			`"targetMs":400,"priority":2,"backend":"%s","maxTries":2,"public":false`,
-		host(n),
-		prefix(n),
+		hostName(n),
+		pathPrefix(n),
 		serviceName(n%services),
 	)
 }
 
-func server(n int, seq uint64) registry.Instance {
+func instance(n int, seq uint64) registry.Instance {
 	return registry.Instance{
-		ID:         "i-" + word(n, 8, 7),
-		Service:    serviceName(n / perService),
+		ID:         "i-" + randomName(n, 8, 7),
+		Service:    serviceName(n / serversPerService),
 		Address:    fmt.Sprintf("10.%d.%d.%d:8080", n>>16, n>>8&255, n&255),
 		Zone:       fmt.Sprintf("region-hall-%d", n%25),
 		Generation: "v1",
@@ -77,7 +77,7 @@
 	}
 }
 
-func many[T any](n int, one func(i int) T) []T {
+func generate[T any](n int, one func(i int) T) []T {
 	out := make([]T, n)
 	for i := range out {
 		out[i] = one(i)
@@ -86,23 +86,23 @@
 }
 
 func tenants(n int) []configuration.Item {
-	return many(n, func(i int) configuration.Item { return tenant(i, 1) })
+	return generate(n, func(i int) configuration.Item { return tenant(i, 1) })
 }
 
 func services(n int) []configuration.Item {
-	return many(n, func(i int) configuration.Item { return service(i, 1) })
+	return generate(n, func(i int) configuration.Item { return service(i, 1) })
 }
 
 func routes(n, of int) []configuration.Item {
-	return many(n, func(i int) configuration.Item { return route(i, of, 1) })
+	return generate(n, func(i int) configuration.Item { return route(i, of, 1) })
 }
 
-func servers(n int) []registry.Instance {
-	return many(n, func(i int) registry.Instance { return server(i, 1) })
+func instances(n int) []registry.Instance {
+	return generate(n, func(i int) registry.Instance { return instance(i, 1) })
 }
 
-// merged is a book of these items.
-func merged(items ...[]configuration.Item) (b *configuration.Snapshot) {
+// snapshotOf is a book of these items.
+func snapshotOf(items ...[]configuration.Item) (b *configuration.Snapshot) {
 	for _, some := range items {
 		b, _ = b.Merge(some)
 	}
