--- /dev/null
+++ b/internal/emulator/capacity/control.go
@@ -0,0 +1,158 @@
+package capacity
+
+import (
+	"mulleinrouter/internal/cluster/quota"
+	"mulleinrouter/internal/cluster/registry"
+)
+
+// controlLoad is what one control node serves.
+type controlLoad struct {
+	heartbeats         float64 // of servers, a second
+	remoteHeartbeats   float64 // replicated to other control nodes, a second; as many are received
+	counterCalls       float64 // a second
+	activeCounters     float64 // of tenants within idleTimeout
+	subscribers        float64 // agents with a subscription here
+	updatedSubscribers float64 // those of them to whom this node sends the updates, not only heartbeats
+	instances          float64 // in the registry
+	// changes and instanceUpdates are updates a second, as each updated subscriber gets them.
+	changes         float64
+	instanceUpdates float64
+}
+
+func (e *estimator) controlLoad() controlLoad {
+	rates := e.ingressRates()
+	ingresses, owners := e.value("size.ingresses"), e.value("counters.nodes")
+	heartbeats := e.value("size.servers") / e.value("size.beat_s") / e.value("core.nodes_with_beats")
+	calls := ingresses * rates.counterCalls / owners
+	subscribers := ingresses * e.value("news.sources") / e.value("news.source_nodes")
+	return controlLoad{
+		heartbeats:         heartbeats,
+		remoteHeartbeats:   heartbeats * e.value("core.told"),
+		counterCalls:       calls,
+		activeCounters:     min(e.value("size.tenants")/owners, calls*idleTimeout),
+		subscribers:        subscribers,
+		updatedSubscribers: subscribers * e.value("news.copies") / e.value("news.sources"),
+		instances:          e.value("size.servers") * e.value("core.servers"),
+		changes:            rates.changes,
+		instanceUpdates:    rates.instances,
+	}
+}
+
+// controlRequirements adds the requirements of one control node.
+func (e *estimator) controlRequirements() {
+	load := e.controlLoad()
+	e.controlMemory(load)
+	e.controlProcessor(load)
+	e.controlBytes(load)
+	e.controlBounds(load)
+	e.uncollectedTombstones()
+}
+
+func (e *estimator) controlMemory(load controlLoad) {
+	d := e.newDemand()
+	for _, kind := range configurationKinds {
+		d.addState("core", kind.name, kind.storeSeries)
+	}
+	d.add("servers", e.unitCost("store.line")+e.unitCost("registry.line"), load.instances)
+	d.add("counters, by tenant", e.unitCost("tally.name"), load.activeCounters)
+	d.add("counters, by further holder", e.unitCost("tally.holder.each"), load.counterCalls*e.value("counters.keep_s"))
+	d.add("tombstones", e.unitCost("store.tombstone"), e.deletionsPerDay()*e.value("news.tombstone_days"))
+	d.addGarbage(e.value("core.gc_percent"))
+	d.add("fixed", e.value("core.fixed_bytes"), 1)
+	e.require(Control, "memory", Bytes, e.value("limits.core.memory"), d.terms)
+}
+
+// deletionsPerDay is how many changes delete an item, each of which leaves a tombstone.
+func (e *estimator) deletionsPerDay() float64 {
+	return e.value("size.changes_per_day") * e.value("news.dropped")
+}
+
+func (e *estimator) controlProcessor(load controlLoad) {
+	d := e.newDemand()
+	d.addOperations("beats taken, without HTTP", "registry.beat", load.instances, load.heartbeats)
+	d.addFrames("beats told to others", "write.heard", load.remoteHeartbeats)
+	d.addFrames("beats of others read", "read.heard", load.remoteHeartbeats)
+	d.addOperations("beats of others taken", "registry.heard", load.instances, load.remoteHeartbeats)
+	d.addFrames("heartbeats to agents", "write.beat", load.subscribers*heartbeatsPerSecond)
+	d.addFrames("renewals of agents", "read.renew", load.subscribers*heartbeatsPerSecond)
+	d.addFrames("changes to agents", "write.tenant", load.changes*load.updatedSubscribers)
+	d.addFrames("frames of changes to agents", "write.beat", load.changes*load.updatedSubscribers)
+	d.addFrames("lines to agents", "write.line", load.instanceUpdates*load.updatedSubscribers)
+	e.addChanges(d)
+	counters := max(1, e.value("size.tenants")/e.value("counters.nodes"))
+	d.addOperations("counter calls kept", "tally.add", counters, load.counterCalls)
+	d.addFrames("counter calls: written", "write.count", load.counterCalls/2)
+	d.addFrames("counter calls: read", "read.count", load.counterCalls/2)
+	d.addCollector(e.value("core.gc_percent"))
+	e.require(Control, "processor, without system calls and HTTP", Cores, e.value("limits.core.cpu"), d.terms)
+}
+
+// addChanges adds the processor time of changes of the configuration from their check to the disk.
+func (e *estimator) addChanges(d *demand) {
+	const (
+		itemsPerSave   = 1
+		savesPerChange = 2 // the accepted proposal, and the chosen items
+	)
+	changes := e.changesPerSecond()
+	tenants := e.value("size.tenants") * e.value("core.tenants")
+	d.addOperations("changes checked", "change.check", max(1, e.value("size.routes")), changes)
+	d.addOperations("changes kept", "change.store", max(1, tenants), changes)
+	d.addOperations("changes chosen", "ballot.change", e.value("core.voters"), changes)
+	d.addOperations("changes to disk", "vault.save", itemsPerSave, savesPerChange*changes)
+}
+
+func (e *estimator) controlBytes(load controlLoad) {
+	segment := e.value("wire.segment")
+	heartbeat := e.unitCost("wire.beat")
+	d := e.newDemand()
+	d.add("beats of servers, a call and its answer", e.value("wire.beat_http")+2*segment, load.heartbeats)
+	d.add("beats told, both ways", e.unitCost("wire.heard"), 2*load.remoteHeartbeats)
+	d.add(
+		"heartbeats and renewals of agents",
+		heartbeat+e.unitCost("wire.renew")+2*segment,
+		load.subscribers*heartbeatsPerSecond,
+	)
+	d.add(
+		"changes to agents",
+		e.unitCost("wire.tenant")+heartbeat+segment,
+		load.changes*load.updatedSubscribers,
+	)
+	d.add("lines to agents", e.unitCost("wire.line")+segment, load.instanceUpdates*load.updatedSubscribers)
+	d.add("counter calls", e.counterCallBytes()+2*segment/e.value("counters.batch"), load.counterCalls)
+	e.require(Control, "bytes a second", BytesPerSecond, e.value("limits.core.bytes_per_s"), d.terms)
+}
+
+// controlBounds adds the bounds that are in the code of a control node. The names in the descriptions are those that
+// the code had when the first report was printed.
+func (e *estimator) controlBounds(load controlLoad) {
+	counters := e.newDemand()
+	counters.terms = []Term{{Description: "tenants of the minute", UnitCost: 1, Count: load.activeCounters}}
+	e.require(Control, "tenants' counters of one keeper (tally.Names)", Items, quota.MaxNames, counters.terms)
+
+	instances := e.newDemand()
+	instances.terms = []Term{{Description: "servers", UnitCost: 1, Count: load.instances}}
+	e.require(Control, "lines of one registry (lines.MostLines)", Items, registry.MaxInstances, instances.terms)
+
+	first := e.newDemand()
+	for _, kind := range configurationKinds {
+		first.add(kind.name, e.unitCost(kind.wireSeries), e.value("size."+kind.name))
+	}
+	e.require(
+		Control,
+		"the first call, one frame between voters (trunk.MaxWhole)",
+		Bytes,
+		e.value("wire.first_call"),
+		first.terms,
+	)
+}
+
+// uncollectedTombstones adds the memory of all tombstones at the end of the plan, if they are never collected.
+func (e *estimator) uncollectedTombstones() {
+	d := e.newDemand()
+	unitCost := e.unitCost("store.tombstone") * (1 + e.value("core.gc_percent")/100)
+	d.add("tombstones", unitCost, e.deletionsPerDay()*e.value("size.days"))
+	if e.value("news.tombstone_days") != 0 {
+		return
+	}
+	e.require(Control, "tombstones after all days, in each copy", Bytes, e.value("limits.core.memory"), d.terms)
+}
--- /dev/null
+++ b/internal/emulator/capacity/format.go
@@ -0,0 +1,89 @@
+package capacity
+
+import (
+	"fmt"
+	"math"
+	"strings"
+)
+
+// prefix is a prefix of a unit and its factor.
+type prefix struct {
+	factor float64
+	symbol string
+}
+
+var (
+	largePrefixes = []prefix{{1e9, "G"}, {1e6, "M"}, {1e3, "k"}, {1, ""}}
+	timePrefixes  = []prefix{{1, ""}, {1e-3, "m"}, {1e-6, "µ"}, {1e-9, "n"}}
+)
+
+const (
+	significantDigits = 3
+	// rounding is where a value rounds up to the next prefix, or to the next digit before the point.
+	rounding = 0.9995
+)
+
+// Amount formats a value with three digits and the prefix of its unit. Seconds ("s") get the prefixes below 1, other
+// units those above.
+func Amount(value float64, unit string) string {
+	prefixes := largePrefixes
+	if unit == "s" {
+		prefixes = timePrefixes
+	}
+	chosen := prefixes[len(prefixes)-1]
+	for _, p := range prefixes {
+		if math.Abs(value) >= p.factor*rounding {
+			chosen = p
+			break
+		}
+	}
+	digits := significantDigits
+	if scaled := math.Abs(value) / chosen.factor; scaled >= 100*rounding {
+		digits = max(significantDigits, int(math.Log10(scaled))+1) // never as an exponent
+	}
+	return fmt.Sprintf("%.*g %s%s", digits, value/chosen.factor, chosen.symbol, unit)
+}
+
+// formatNeed formats a need or a limit.
+func formatNeed(value float64, unit Unit) string {
+	switch unit {
+	case Cores:
+		return fmt.Sprintf("%.3g%% of a core", 100*value)
+	case Items:
+		return formatCount(value)
+	}
+	return Amount(value, string(unit))
+}
+
+// formatTerm formats a term of a requirement: the cost of one thing times their count.
+func formatTerm(term Term, unit Unit) string {
+	unitOfCost := strings.TrimSuffix(string(unit), "/s")
+	if unit == Cores {
+		unitOfCost = string(Seconds)
+	}
+	return fmt.Sprintf("%s %s x %s", term.Description, Amount(term.UnitCost, unitOfCost), formatCount(term.Count))
+}
+
+func formatCount(value float64) string { return strings.TrimSpace(Amount(value, "")) }
+
+func formatMargin(margin float64) string {
+	switch {
+	case math.IsInf(margin, 0):
+		return "-"
+	case margin < 1:
+		return fmt.Sprintf("OVER, %.3g times", 1/margin)
+	}
+	return fmt.Sprintf("%.3g", margin)
+}
+
+func formatScale(scale float64) string {
+	switch {
+	case scale == 0:
+		return "no size"
+	case math.IsInf(scale, 0):
+		return "any size"
+	case scale >= 1:
+		return fmt.Sprintf("%s times", formatCount(scale))
+	}
+	return fmt.Sprintf("%.3g%%", 100*scale)
+}
--- /dev/null
+++ b/internal/emulator/capacity/ingress.go
@@ -0,0 +1,136 @@
+package capacity
+
+import "slices"
+
+// ingressRequirements adds the requirements of the agent and the proxy of one ingress, and of both together where they
+// share a limit.
+func (e *estimator) ingressRequirements() {
+	e.ingressMemory()
+	e.ingressProcessor()
+	e.agentBytes()
+	e.snapshotTime()
+}
+
+func (e *estimator) ingressMemory() {
+	limit := e.value("limits.ingress.memory")
+	agent := e.require(Agent, "memory", Bytes, limit, e.agentMemory())
+	proxy := e.require(Proxy, "memory for control", Bytes, limit, e.proxyMemory())
+	e.require(Ingress, "memory for control", Bytes, limit, slices.Concat(agent.Terms, proxy.Terms))
+}
+
+func (e *estimator) agentMemory() []Term {
+	d := e.newDemand()
+	for _, kind := range stateKinds {
+		d.addState("agent", kind.name, kind.storeSeries)
+	}
+	d.addGarbage(e.value("agent.gc_percent"))
+	d.add("fixed", e.value("agent.fixed_bytes"), 1)
+	return d.terms
+}
+
+func (e *estimator) proxyMemory() []Term {
+	d := e.newDemand()
+	for _, kind := range stateKinds {
+		series := []string{kind.storeSeries}
+		if kind.proxySeries != "" {
+			series = append(series, kind.proxySeries)
+		}
+		d.addState("proxy", kind.name, series...)
+	}
+	d.add("tenants within the minute", e.unitCost("gateway.tenant"), e.activeTenants())
+	d.addGarbage(e.value("proxy.gc_percent"))
+	d.add("fixed", e.value("proxy.fixed_bytes"), 1)
+	return d.terms
+}
+
+func (e *estimator) ingressProcessor() {
+	limit := e.value("limits.ingress.cpu")
+	agent := e.agentProcessor()
+	e.require(Agent, "processor, without system calls", Cores, limit, agent)
+	proxy := e.proxyProcessor()
+	e.require(Proxy, "processor for control", Cores, limit, proxy)
+	e.require(Ingress, "processor for control", Cores, limit, slices.Concat(agent, proxy))
+}
+
+// storedTenants is how many tenants the larger of the stores of agent and proxy has, 1 at least.
+func (e *estimator) storedTenants() float64 {
+	tenants := e.value("size.tenants")
+	return max(tenants*e.value("agent.tenants"), tenants*e.value("proxy.tenants"), 1)
+}
+
+// storedInstances is how many instances the larger of the stores of agent and proxy has, 1 at least.
+func (e *estimator) storedInstances() float64 {
+	servers := e.value("size.servers")
+	return max(servers*e.value("agent.servers"), servers*e.value("proxy.servers"), 1)
+}
+
+func (e *estimator) agentProcessor() []Term {
+	rates, sources, copies := e.ingressRates(), e.value("news.sources"), e.value("news.copies")
+	tenants, instances := e.storedTenants(), e.storedInstances()
+	d := e.newDemand()
+	d.addFrames("heartbeats read", "read.beat", sources*heartbeatsPerSecond)
+	d.addFrames("renewals written", "write.renew", sources*heartbeatsPerSecond)
+	d.addFrames("heartbeats to the proxy", "write.beat", heartbeatsPerSecond)
+	d.addFrames("renewals of the proxy", "read.renew", heartbeatsPerSecond)
+	d.addFrames("changes read", "read.tenant", rates.changes*copies)
+	d.addOperations("changes taken", "change.store", tenants, rates.changes)
+	d.addFrames("changes to the proxy", "write.tenant", rates.changes)
+	d.addFrames("lines read", "read.line", rates.instances*copies)
+	d.addOperations("lines taken", "change.line", instances, rates.instances)
+	d.addFrames("lines to the proxy", "write.line", rates.instances)
+	d.addFrames("counter calls carried: written", "write.count", rates.counterCalls)
+	d.addFrames("counter calls carried: read", "read.count", rates.counterCalls)
+	d.addCollector(e.value("agent.gc_percent"))
+	return d.terms
+}
+
+func (e *estimator) proxyProcessor() []Term {
+	rates, ticks := e.ingressRates(), e.value("proxy.ticks_per_s")
+	tenants, instances := e.storedTenants(), e.storedInstances()
+	servers := ticks * e.value("size.servers") * e.value("proxy.servers")
+	d := e.newDemand()
+	d.addFrames("heartbeats read", "read.beat", heartbeatsPerSecond)
+	d.addFrames("changes read", "read.tenant", rates.changes)
+	d.addOperations("changes taken", "change.store", tenants, rates.changes)
+	d.addOperations("tables swapped", "change.with", tenants, rates.changes)
+	d.addFrames("lines read", "read.line", rates.instances)
+	d.addOperations("lines taken", "change.line", instances, rates.instances)
+	d.addFrames("ticks, by servers known", "tick.servers", servers)
+	d.addFrames("ticks, by tenants of the minute", "tick.thin", ticks*e.activeTenants())
+	d.addFrames("ticks, by tenants with a slice", "tick.sliced", ticks*e.value("counters.tenants_sliced"))
+	d.addFrames("counter calls: written", "write.count", rates.counterCalls/2)
+	d.addFrames("counter calls: read", "read.count", rates.counterCalls/2)
+	d.addCollector(e.value("proxy.gc_percent"))
+	return d.terms
+}
+
+// agentBytes adds the bytes a second of the agent's connections to control nodes, with the headers of their segments.
+func (e *estimator) agentBytes() {
+	rates, sources, copies := e.ingressRates(), e.value("news.sources"), e.value("news.copies")
+	segment := e.value("wire.segment")
+	d := e.newDemand()
+	d.add("heartbeats", e.unitCost("wire.beat")+segment, sources*heartbeatsPerSecond)
+	d.add("renewals", e.unitCost("wire.renew")+segment, sources*heartbeatsPerSecond)
+	d.add("changes", e.unitCost("wire.tenant")+segment, rates.changes*copies)
+	d.add("lines", e.unitCost("wire.line")+segment, rates.instances*copies)
+	d.add("counter calls", e.counterCallBytes(), rates.counterCalls)
+	d.add("segments of counter calls", 2*segment, rates.counterCalls/e.value("counters.batch"))
+	d.add(
+		"look-ups of what is not held, in those calls",
+		e.unitCost("wire.tenant"),
+		rates.requests*e.value("news.lookups"),
+	)
+	e.require(Agent, "bytes a second, core side", BytesPerSecond, e.value("limits.ingress.bytes_per_s"), d.terms)
+}
+
+// snapshotTime adds the time in which a joining ingress receives its snapshot, at its limit of bytes a second.
+func (e *estimator) snapshotTime() {
+	copies, bytesPerSecond := e.value("news.copies"), e.value("limits.ingress.bytes_per_s")
+	d := e.newDemand()
+	for _, kind := range stateKinds {
+		items := e.value("news.start") * e.value("size."+kind.name)
+		share := max(e.value("agent."+kind.name), e.value("proxy."+kind.name))
+		d.add(kind.name, e.unitCost(kind.wireSeries)*copies/bytesPerSecond, items*share)
+	}
+	e.require(Agent, "a newcomer's snapshot at its bytes a second", Seconds, e.value("limits.start_s"), d.terms)
+}
--- a/internal/emulator/capacity/plan_test.go
+++ b/internal/emulator/capacity/plan_test.go
@@ -1,18 +1,17 @@
 package capacity
 
 import (
+	"errors"
 	"math"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
-	"github.com/matryer/is"
-
 	"mulleinrouter/internal/emulator/costmodel"
 )
 
-// tiny is a small plan that gives what must be given.
+// tiny is a small plan of the required values alone.
 const tiny = `size.ingresses=10
 size.servers=100
 size.services=10
@@ -36,101 +35,168 @@
 limits.change_s=7
 `
 
-// flat are slopes of which each says the same: one a thing, and nothing beside.
-func flat(t *testing.T, names []string) *costmodel.Run {
-	r := new(costmodel.Run)
-	for _, n := range names {
-		s := costmodel.Series{
-			Name:    n,
+// unitRun returns a run in which each series costs 1 for each thing, and nothing beside.
+func unitRun(t *testing.T, names []string) *costmodel.Run {
+	t.Helper()
+	run := new(costmodel.Run)
+	for _, name := range names {
+		series := costmodel.Series{
+			Name:    name,
 			Points:  []costmodel.Point{{Size: 1, Cost: 1}, {Size: 2, Cost: 2}, {Size: 4, Cost: 4}},
 			Holdout: costmodel.Point{Size: 8, Cost: 8},
 		}
-		if err := s.Fit(); err != nil {
+		if err := series.Fit(); err != nil {
 			t.Fatal(err)
 		}
-		r.Series = append(r.Series, s)
+		run.Series = append(run.Series, series)
 	}
-	return r
+	return run
 }
 
-func find(t *testing.T, r *Report, role, what string) Requirement {
-	for _, x := range r.Requirements {
-		if x.Role == role && strings.HasPrefix(x.Description, what) {
-			return x
+func storedRunOf(t *testing.T) *costmodel.Run {
+	t.Helper()
+	run, err := StoredRun()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return run
+}
+
+func readPlan(t *testing.T, file, text string) *Plan {
+	t.Helper()
+	p, err := Read(file, text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return p
+}
+
+func estimateOf(t *testing.T, p *Plan, run *costmodel.Run) *Report {
+	t.Helper()
+	report, err := p.Estimate(run)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return report
+}
+
+// find returns the requirement of a role whose description begins with a prefix.
+func find(t *testing.T, report *Report, role Role, prefix string) Requirement {
+	t.Helper()
+	for _, r := range report.Requirements {
+		if r.Role == role && strings.HasPrefix(r.Description, prefix) {
+			return r
 		}
 	}
-	t.Fatal("no row", role, what)
+	t.Fatalf("no requirement of %s that begins with %q", role, prefix)
 	return Requirement{}
 }
 
 func TestTinyPlan(t *testing.T) {
-	is := is.New(t)
-	run, err := StoredRun()
-	is.NoErr(err)
-	p, err := Read("tiny.conf", tiny)
-	is.NoErr(err)
-	r, err := p.Estimate(flat(t, run.Names()))
-	is.NoErr(err)
-	near := func(got, want float64) { t.Helper(); is.True(math.Abs(got-want) < 1e-6*want) }
-	// All that there is, a byte each, and half of it more for the collector.
-	memory := find(t, r, "agent", "memory")
-	near(memory.Need, 1.5*(20+1000+10+100))
-	near(memory.Margin(), 1e6/1695)
-	near(memory.MaxScale, 1e6/1695) // it grows with the size, all of it
-	// Three sources: two heartbeats and two renewals a second of each, and one change a second, told by each: a byte and
-	// a segment.
-	bytes := find(t, r, "agent", "bytes")
-	near(bytes.Need, 67*(6+6+3))
-	near(find(t, r, "control", "lines").Need, 100)
-	// The first that binds is the one that is reached at the smallest part of the size, and more of it never helps.
-	order := r.Order()
-	for i := 1; i < len(order); i++ {
-		is.True(order[i-1].MaxScale <= order[i].MaxScale)
+	p := readPlan(t, "tiny.conf", tiny)
+	report := estimateOf(t, p, unitRun(t, storedRunOf(t).Names()))
+	memory := find(t, report, Agent, "memory")
+	for _, c := range []struct {
+		name      string
+		got, want float64
+	}{
+		// All items and instances, a byte each, and half of it more until it is collected.
+		{"memory of the agent", memory.Need, 1.5 * (20 + 1000 + 10 + 100)},
+		{"margin of the memory", memory.Margin(), 1e6 / 1695},
+		{"scale of the memory, all of which grows with the size", memory.MaxScale, 1e6 / 1695},
+		// Three sources: two heartbeats and two renewals a second of each, and one change a second, sent by each: a
+		// byte and a segment.
+		{"bytes of the agent", find(t, report, Agent, "bytes").Need, 67 * (6 + 6 + 3)},
+		{"instances of a registry", find(t, report, Control, "lines").Need, 100},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if !(math.Abs(c.got-c.want) < 1e-6*c.want) {
+				t.Errorf("got %g, want %g", c.got, c.want)
+			}
+		})
+	}
+}
+
+// TestReportOrder checks that the requirement that binds first is the one whose limit is reached at the smallest size.
+func TestReportOrder(t *testing.T) {
+	report := estimateOf(t, readPlan(t, "tiny.conf", tiny), unitRun(t, storedRunOf(t).Names()))
+	order := report.Order()
+	for n := 1; n < len(order); n++ {
+		if order[n-1].MaxScale > order[n].MaxScale {
+			t.Errorf("%q at %g is before %q at %g",
+				order[n-1].Description, order[n-1].MaxScale, order[n].Description, order[n].MaxScale)
+		}
 	}
 	var out strings.Builder
-	is.NoErr(r.Write(&out))
-	is.True(strings.Contains(out.String(), "binds first: "+order[0].Role))
+	if err := report.Write(&out); err != nil {
+		t.Fatal(err)
+	}
+	if want := "binds first: " + string(order[0].Role); !strings.Contains(out.String(), want) {
+		t.Errorf("%q is not in the report:\n%s", want, out.String())
+	}
+}
 
-	_, err = p.Estimate(new(costmodel.Run))
-	is.True(err != nil && strings.Contains(err.Error(), "store.route"))
+func TestEstimateNamesTheMissingSeries(t *testing.T) {
+	_, err := readPlan(t, "tiny.conf", tiny).Estimate(new(costmodel.Run))
+	var missing *MissingSeriesError
+	if !errors.As(err, &missing) {
+		t.Fatalf("got %v, want a MissingSeriesError", err)
+	}
+	if want := "store.route"; missing.Series != want || !strings.Contains(err.Error(), want) {
+		t.Errorf("got %v of %q, want it to name %q", err, missing.Series, want)
+	}
 }
 
-func TestFaultsAreNamed(t *testing.T) {
-	is := is.New(t)
+func TestReadNamesEachError(t *testing.T) {
 	_, err := Read(
 		"x.conf",
 		"size.ingresses=0\nsize.serfers=3\nproxy.tenants=2\nlimits.change_s=soon\nsize.zones=3\nsize.zones=4\nwhat\n"+
 			strings.Join(strings.Split(tiny, "\n")[1:9], "\n"),
 	)
-	is.True(err != nil)
-	for _, want := range []string{"x.conf:1: size.ingresses: below 1", "x.conf:2: size.serfers: no such figure",
+	if err == nil {
+		t.Fatal("got no error")
+	}
+	for _, want := range []string{
+		"x.conf:1: size.ingresses: below 1",
+		"x.conf:2: size.serfers: no such figure",
 		"x.conf:3: proxy.tenants: above 1",
-		"x.conf:4: limits.change_s: not a number", "x.conf:6: size.zones: given on line 5", "x.conf:7: no \"=\"",
-		"limits.core.cpu: missing"} {
-		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%q is not in %v", want, err)
-		}
+		"x.conf:4: limits.change_s: not a number",
+		"x.conf:6: size.zones: given on line 5",
+		"x.conf:7: no \"=\"",
+		"limits.core.cpu: missing",
+	} {
+		t.Run(want, func(t *testing.T) {
+			if !strings.Contains(err.Error(), want) {
+				t.Errorf("got %v, want %q in it", err, want)
+			}
+		})
 	}
 }
 
-// TestShippedPlans: the files that ship are read, and what they say of today's mechanisms is what docs/CAPACITY.md
-// tells.
+// TestShippedPlans checks that the files in deploy/plans are read, and that what they say of today's mechanisms is what
+// docs/CAPACITY.md states.
 func TestShippedPlans(t *testing.T) {
-	is := is.New(t)
-	run, err := StoredRun()
-	is.NoErr(err)
-	files, _ := filepath.Glob("../../../deploy/plans/*.conf")
-	is.True(len(files) >= 2)
+	run := storedRunOf(t)
+	files, err := filepath.Glob("../../../deploy/plans/*.conf")
+	if err != nil || len(files) < 2 {
+		t.Fatalf("got the plans %v and the error %v, want two at least", files, err)
+	}
 	for _, file := range files {
-		text, err := os.ReadFile(file)
-		is.NoErr(err)
-		p, err := Read(filepath.Base(file), string(text))
-		is.NoErr(err)
-		r, err := p.Estimate(run)
-		is.NoErr(err)
-		for _, x := range r.Requirements {
-			is.True(x.Need >= 0 && !math.IsInf(x.Need, 0))
-		}
-		is.Equal(r.Fits(), p.Name == "two-years-cut.conf")
+		t.Run(filepath.Base(file), func(t *testing.T) {
+			text, err := os.ReadFile(file)
+			if err != nil {
+				t.Fatal(err)
+			}
+			p := readPlan(t, filepath.Base(file), string(text))
+			report := estimateOf(t, p, run)
+			for _, r := range report.Requirements {
+				if !(r.Need >= 0 && !math.IsInf(r.Need, 0)) {
+					t.Errorf("%s, %s: got the need %g", r.Role, r.Description, r.Need)
+				}
+			}
+			if got, want := report.Fits(), p.Name == "two-years-cut.conf"; got != want {
+				t.Errorf("fits: got %v, want %v", got, want)
+			}
+		})
 	}
 }
--- a/internal/emulator/capacity/report.go
+++ b/internal/emulator/capacity/report.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"fmt"
 	"io"
-	"math"
 	"slices"
 	"strings"
 	"text/tabwriter"
@@ -12,36 +11,35 @@
 	"mulleinrouter/internal/emulator/costmodel"
 )
 
-// Report is what was reckoned.
+// Report is the estimate of a plan.
 type Report struct {
 	Plan         *Plan
 	Run          *costmodel.Run
 	Requirements []Requirement
 }
 
-// Fits tells whether every need keeps its limit.
+// Fits tells whether every need is within its limit.
 func (r *Report) Fits() bool {
-	return !slices.ContainsFunc(r.Requirements, func(x Requirement) bool { return x.Need > x.Limit })
+	return !slices.ContainsFunc(r.Requirements, func(one Requirement) bool { return one.exceeds() })
 }
 
-// Order is the rows in the order in which their limits are reached as the size grows; of those over it at any size,
-// the worst first.
+// Order returns the requirements in the order in which their limits are reached as the size grows; of those above their
+// limit at any size, the worst first.
 func (r *Report) Order() []Requirement {
-	rows := slices.Clone(r.Requirements)
-	slices.SortStableFunc(
-		rows,
-		func(a, b Requirement) int {
-			return cmp.Or(cmp.Compare(a.MaxScale, b.MaxScale), cmp.Compare(a.Margin(), b.Margin()))
-		},
-	)
-	return rows
+	ordered := slices.Clone(r.Requirements)
+	slices.SortStableFunc(ordered, func(a, b Requirement) int {
+		return cmp.Or(cmp.Compare(a.MaxScale, b.MaxScale), cmp.Compare(a.Margin(), b.Margin()))
+	})
+	return ordered
 }
 
+// maxTermsShown bounds the terms of a requirement that are written out.
 const maxTermsShown = 4
 
-// Write writes the report for reading.
+// Write writes the report as text: a table of the requirements, and which limit binds first. It returns errors of the
+// writer.
 func (r *Report) Write(w io.Writer) error {
-	fmt.Fprintf(
+	_, err := fmt.Fprintf(
 		w,
 		"%s, by slopes of %s (%s, %s, %s)\n\n",
 		r.Plan.Name,
@@ -50,91 +48,56 @@
 		r.Run.Go,
 		r.Run.Processor,
 	)
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "role\twhat\tneed\tlimit\tmargin\tkept up to\tof")
-	for i := range r.Requirements {
-		x := &r.Requirements[i]
-		var terms []string
-		for _, term := range x.Terms[:min(maxTermsShown, len(x.Terms))] {
-			terms = append(terms, fmt.Sprintf("%s %s x %s", term.Description, Amount(term.UnitCost, unitOf(x.Unit)), formatCount(term.Count)))
-		}
-		if left := len(x.Terms) - maxTermsShown; left > 0 {
-			terms = append(terms, fmt.Sprintf("%d more", left))
-		}
-		fmt.Fprintf(
-			t,
-			"%s\t%s\t%s\t%s\t%s\t%s\t%s\n",
-			x.Role,
-			x.Description,
-			formatValue(x.Need, x.Unit),
-			formatValue(x.Limit, x.Unit),
-			formatMargin(x.Margin()),
-			formatScale(x.MaxScale),
-			strings.Join(terms, ", "),
-		)
-	}
-	if err := t.Flush(); err != nil {
+	if err != nil {
 		return err
 	}
-	first := r.Order()[0]
-	switch {
-	case first.MaxScale == 0:
-		_, err := fmt.Fprintf(w, "\nbinds first: %s, %s: over its limit at any number of machines\n", first.Role, first.Description)
-		return err
-	case r.Fits():
-		_, err := fmt.Fprintf(
-			w,
-			"\nfits; binds first: %s, %s, at %s of this size\n",
-			first.Role,
-			first.Description,
-			formatScale(first.MaxScale),
-		)
+	if err := r.writeTable(w); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(w, "\nbinds first: %s, %s, at %s of this size\n", first.Role, first.Description, formatScale(first.MaxScale))
+	_, err = fmt.Fprintf(w, "\n%s\n", r.conclusion())
 	return err
 }
 
-func unitOf(unit string) string {
-	if unit == "core" {
-		return "s"
+func (r *Report) writeTable(w io.Writer) error {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "role\twhat\tneed\tlimit\tmargin\tkept up to\tof")
+	for n := range r.Requirements {
+		fmt.Fprintln(table, strings.Join(r.Requirements[n].columns(), "\t"))
 	}
-	return strings.TrimSuffix(unit, "/s")
+	return table.Flush()
 }
 
-func formatValue(v float64, unit string) string {
-	switch unit {
-	case "core":
-		return fmt.Sprintf("%.3g%% of a core", 100*v)
-	case "":
-		return formatCount(v)
-	case "s":
-		return Amount(v, "s")
+// columns returns the columns of a requirement in the report's table.
+func (r *Requirement) columns() []string {
+	shown := min(maxTermsShown, len(r.Terms))
+	var terms []string
+	for _, term := range r.Terms[:shown] {
+		terms = append(terms, formatTerm(term, r.Unit))
 	}
-	return Amount(v, unit)
-}
-
-func formatCount(v float64) string { return strings.TrimSpace(Amount(v, "")) }
-
-func formatMargin(v float64) string {
-	switch {
-	case math.IsInf(v, 0):
-		return "-"
-	case v < 1:
-		return fmt.Sprintf("OVER, %.3g times", 1/v)
+	if rest := len(r.Terms) - shown; rest > 0 {
+		terms = append(terms, fmt.Sprintf("%d more", rest))
+	}
+	return []string{
+		string(r.Role),
+		r.Description,
+		formatNeed(r.Need, r.Unit),
+		formatNeed(r.Limit, r.Unit),
+		formatMargin(r.Margin()),
+		formatScale(r.MaxScale),
+		strings.Join(terms, ", "),
 	}
-	return fmt.Sprintf("%.3g", v)
 }
 
-func formatScale(v float64) string {
-	switch {
-	case v == 0:
-		return "no size"
-	case math.IsInf(v, 0):
-		return "any size"
+// conclusion says which limit binds first.
+func (r *Report) conclusion() string {
+	first := r.Order()[0]
+	binding := fmt.Sprintf("binds first: %s, %s", first.Role, first.Description)
+	if first.MaxScale == 0 {
+		return binding + ": over its limit at any number of machines"
 	}
-	if v >= 1 {
-		return fmt.Sprintf("%s times", formatCount(v))
+	binding += fmt.Sprintf(", at %s of this size", formatScale(first.MaxScale))
+	if r.Fits() {
+		return "fits; " + binding
 	}
-	return fmt.Sprintf("%.3g%%", 100*v)
+	return binding
 }
--- a/internal/emulator/costmodel/fit.go
+++ b/internal/emulator/costmodel/fit.go
@@ -21,19 +21,19 @@
 
 // Series is one cost by one size, and the line through it: Y = A + B*N, or A + B*log2(N) where Log is set.
 type Series struct {
-	Name            string     `json:"name"`
-	Description     string     `json:"what"`
-	Unit            string     `json:"unit"` // "B" or "s"
-	SizeUnit        string     `json:"of"`   // what N counts
-	Logarithmic     bool       `json:"log,omitempty"`
-	Points          []Point    `json:"points"` // those of the fit
-	Holdout         Point      `json:"held"`   // held back from it
-	Intercept       float64    `json:"a"`
-	Slope           float64    `json:"b"`
-	AllocLine       [2]float64 `json:"alloc,omitempty"` // the line of the bytes allocated, in N or log2(N) as the other
-	Residuals       []float64  `json:"residuals"`       // of the points, each as a share of what was measured
-	Predicted       float64    `json:"predicted"`       // at Held.N
-	PredictionError float64    `json:"off"`             // of Predicted, as a share of Held.Y
+	Name            string    `json:"name"`
+	Description     string    `json:"what"`
+	Unit            string    `json:"unit"` // "B" or "s"
+	SizeUnit        string    `json:"of"`   // what N counts
+	Logarithmic     bool      `json:"log,omitempty"`
+	Points          []Point   `json:"points"` // those of the fit
+	Holdout         Point     `json:"held"`   // held back from it
+	Intercept       float64   `json:"a"`
+	Slope           float64   `json:"b"`
+	AllocLine       Line      `json:"alloc,omitempty"` // the line of the bytes allocated, in N or log2(N) as the other
+	Residuals       []float64 `json:"residuals"`       // of the points, each as a share of what was measured
+	Predicted       float64   `json:"predicted"`       // at Held.N
+	PredictionError float64   `json:"off"`             // of Predicted, as a share of Held.Y
 }
 
 // scaled is a size as the line takes it.
@@ -47,7 +47,7 @@
 // At is the cost at a size, by the line, and the bytes allocated. Neither is below 0.
 func (s *Series) At(n float64) (cost, alloc float64) {
 	x := s.scaled(n)
-	return max(0, s.Intercept+s.Slope*x), max(0, s.AllocLine[0]+s.AllocLine[1]*x)
+	return max(0, s.Intercept+s.Slope*x), max(0, s.AllocLine.Intercept()+s.AllocLine.Slope()*x)
 }
 
 // Fit lays the line through the points and predicts the one held back. The sizes span orders of magnitude, so what is
@@ -68,7 +68,7 @@
 		return errors.Errorf("%s: all points are at one size", s.Name)
 	}
 	a, b, _ := s.fitLine(func(p Point) float64 { return p.AllocBytes })
-	s.AllocLine = [2]float64{a, b}
+	s.AllocLine = Line{a, b}
 	s.Residuals = s.Residuals[:0]
 	for _, p := range s.Points {
 		s.Residuals = append(s.Residuals, (p.Cost-s.Intercept-s.Slope*s.scaled(p.Size))/p.Cost)
@@ -157,3 +157,12 @@
 		r.Series = append(r.Series, s)
 	}
 }
+
+// Line is the intercept and the slope of a straight line.
+type Line [2]float64
+
+// Intercept is the value at 0.
+func (l Line) Intercept() float64 { return l[0] }
+
+// Slope is the growth by 1.
+func (l Line) Slope() float64 { return l[1] }
