--- /dev/null
+++ b/internal/emulator/costmodel/changes.go
@@ -0,0 +1,221 @@
+package costmodel
+
+import (
+	"slices"
+
+	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/cluster/registry"
+	"mulleinrouter/internal/cluster/replication"
+)
+
+// changeSizes are above those at which the state fits into the processor's caches, which follow another line.
+var changeSizes = []int{10000, 20000, 40000, 80000, 200000}
+
+const (
+	changeOperations = 400
+	lookupOperations = 100_000
+	// maxLookupKeys bounds the keys that a look-up benchmark makes beforehand.
+	maxLookupKeys = 1 << 16
+	// maxChunk is the bytes of one chunk of changes to a subscriber.
+	maxChunk = 64 << 10
+)
+
+// changeFixtures are the immutable states that several series of changes and look-ups share, by their size.
+type changeFixtures struct {
+	routes  func(n int) *configuration.Snapshot // with their services
+	tenants func(n int) *configuration.Snapshot
+	tables  func(n int) *configuration.RoutingTable // of the tenants
+}
+
+func newChangeFixtures() *changeFixtures {
+	tenantSnapshot := memoize(func(n int) *configuration.Snapshot { return snapshotOf(tenants(n)) })
+	return &changeFixtures{
+		routes: memoize(func(n int) *configuration.Snapshot {
+			return snapshotOf(services(referredServices), routes(n, referredServices))
+		}),
+		tenants: tenantSnapshot,
+		tables: memoize(func(n int) *configuration.RoutingTable {
+			snapshot := tenantSnapshot(n)
+			return configuration.NewRoutingTable().With(snapshot, slices.Collect(snapshot.All()))
+		}),
+	}
+}
+
+// memoize returns a function that builds the value of each size once.
+func memoize[T any](build func(n int) T) func(n int) T {
+	built := map[int]T{}
+	return func(n int) T {
+		if _, ok := built[n]; !ok {
+			built[n] = build(n)
+		}
+		return built[n]
+	}
+}
+
+// changesOf returns the changes of a benchmark, each of another item.
+func changesOf(n int, change func(i, version int) configuration.Item) [][]configuration.Item {
+	return generate(repetitions*changeOperations+1, func(i int) []configuration.Item {
+		return []configuration.Item{change(i*stride%n, i+2)}
+	})
+}
+
+// measureChanges takes the series of the processor time of one change, and of one look-up. "Table" and "line" in their
+// descriptions are earlier names of RoutingTable and of an instance.
+func measureChanges(m *meter) {
+	fixtures := newChangeFixtures()
+	measureValidate(m, fixtures)
+	measureMerge(m, fixtures)
+	measureRoutingTableChange(m, fixtures)
+	measureStoreChange(m)
+	measureInstanceChange(m)
+	measureRouteLookup(m, fixtures)
+	measureTenantLookup(m, fixtures)
+}
+
+func measureValidate(m *meter, fixtures *changeFixtures) {
+	m.measureTime(timeBenchmark{
+		series: Series{
+			Name:        "change.check",
+			Description: "Check of one route's change",
+			SizeUnit:    "routes",
+			Logarithmic: true,
+		},
+		sizes:      changeSizes,
+		operations: changeOperations,
+		prepare: func(n int) func(int) {
+			snapshot := fixtures.routes(n)
+			changes := changesOf(n, func(i, version int) configuration.Item {
+				return route(i, referredServices, version)
+			})
+			return func(i int) { snapshot.Validate(changes[i]) }
+		},
+	})
+}
+
+func measureMerge(m *meter, fixtures *changeFixtures) {
+	m.measureTime(timeBenchmark{
+		series: Series{
+			Name:        "change.merge",
+			Description: "Merge of one tenant's change",
+			SizeUnit:    "tenants",
+			Logarithmic: true,
+		},
+		sizes:      changeSizes,
+		operations: changeOperations,
+		prepare: func(n int) func(int) {
+			snapshot, changes := fixtures.tenants(n), changesOf(n, tenant)
+			return func(i int) { snapshot, _ = snapshot.Merge(changes[i]) }
+		},
+	})
+}
+
+func measureRoutingTableChange(m *meter, fixtures *changeFixtures) {
+	m.measureTime(timeBenchmark{
+		series: Series{
+			Name:        "change.with",
+			Description: "With of a Table for one tenant's change",
+			SizeUnit:    "tenants",
+			Logarithmic: true,
+		},
+		sizes:      changeSizes,
+		operations: changeOperations,
+		prepare: func(n int) func(int) {
+			snapshot, table, changes := fixtures.tenants(n), fixtures.tables(n), changesOf(n, tenant)
+			return func(i int) { table = table.With(snapshot, changes[i]) }
+		},
+	})
+}
+
+func measureStoreChange(m *meter) {
+	m.measureTime(timeBenchmark{
+		series: Series{
+			Name:        "change.store",
+			Description: "MergeItems of a Store for one tenant's change, and Since for a subscriber",
+			SizeUnit:    "tenants",
+			Logarithmic: true,
+		},
+		sizes:      changeSizes,
+		operations: changeOperations,
+		prepare: func(n int) func(int) {
+			store, changes := storeOf(tenants(n)), changesOf(n, tenant)
+			return func(i int) {
+				store.MergeItems(changes[i])
+				store.ChangesSince(store.Seq()-1, maxChunk)
+			}
+		},
+	})
+}
+
+func measureInstanceChange(m *meter) {
+	m.measureTime(timeBenchmark{
+		series: Series{
+			Name:        "change.line",
+			Description: "MergeLines of a Store for one line's change, and Since for a subscriber",
+			SizeUnit:    "servers",
+			Logarithmic: true,
+		},
+		sizes:      changeSizes,
+		operations: changeOperations,
+		prepare: func(n int) func(int) {
+			store := replication.NewStore(1)
+			store.MergeInstances(instances(n))
+			changes := generate(repetitions*changeOperations+1, func(i int) []registry.Instance {
+				changed := instance(i*stride%n, uint64(i)+2)
+				changed.Phase = registry.Draining
+				return []registry.Instance{changed}
+			})
+			return func(i int) {
+				store.MergeInstances(changes[i])
+				store.ChangesSince(store.Seq()-1, maxChunk)
+			}
+		},
+	})
+}
+
+// routeKey is what a route is looked up by.
+type routeKey struct{ host, path string }
+
+func measureRouteLookup(m *meter, fixtures *changeFixtures) {
+	m.measureTime(timeBenchmark{
+		series: Series{
+			Name:        "lookup.route",
+			Description: "Table.Route, routes spread over hosts of three",
+			SizeUnit:    "routes",
+			Logarithmic: true,
+		},
+		sizes:      changeSizes,
+		operations: lookupOperations,
+		prepare: func(n int) func(int) {
+			table := configuration.NewRoutingTable().With(fixtures.routes(n), nil) // finds routes in the snapshot
+			return lookups(
+				n,
+				func(i int) routeKey { return routeKey{host: hostName(i), path: pathPrefix(i) + "2f"} },
+				func(key routeKey) { table.Route(key.host, key.path) },
+			)
+		},
+	})
+}
+
+func measureTenantLookup(m *meter, fixtures *changeFixtures) {
+	m.measureTime(timeBenchmark{
+		series: Series{
+			Name:        "lookup.tenant",
+			Description: "Table.Tenant by key",
+			SizeUnit:    "tenants",
+			Logarithmic: true,
+		},
+		sizes:      changeSizes,
+		operations: lookupOperations,
+		prepare: func(n int) func(int) {
+			table := fixtures.tables(n)
+			return lookups(n, tenantKey, func(key string) { table.Tenant(key) })
+		},
+	})
+}
+
+// lookups returns an operation that looks up one key after the other, in an order that helps no cache. The keys are
+// made beforehand.
+func lookups[Key any](n int, keyOf func(i int) Key, lookUp func(Key)) func(int) {
+	keys := generate(min(n, maxLookupKeys), func(i int) Key { return keyOf(i * stride % n) })
+	return func(i int) { lookUp(keys[i%len(keys)]) }
+}
--- /dev/null
+++ b/internal/emulator/costmodel/frames.go
@@ -0,0 +1,186 @@
+package costmodel
+
+import (
+	"mulleinrouter/internal/cluster/transport"
+)
+
+// incarnation is that of the sources here; its encoding is as long as a real one's.
+const incarnation = 1 << 60
+
+// clockReading is a time in seconds as control nodes send it, with microseconds.
+const clockReading = 86400.123456
+
+// frameOperations is how often a batch of frames is encoded or decoded in one measurement.
+const frameOperations = 200
+
+var (
+	frameByteSizes = []int{1, 4, 16, 64, 256}
+	frameTimeSizes = []int{10, 40, 80, 160, 300}
+)
+
+// frameKind is a kind of frame between the processes, with n of something in one frame or in n of them.
+type frameKind struct {
+	name        string // as in the names of its series
+	description string
+	sizeUnit    string
+	frames      func(n int) []*transport.Frame
+}
+
+var frameKinds = []frameKind{
+	{"tenant", "a feed with n tenants; a: a heartbeat", "tenants", tenantUpdate},
+	{"route", "a feed with n routes", "routes", routeUpdate},
+	{"service", "a feed with n services", "services", serviceUpdate},
+	{"line", "a feed with n lines", "servers", instanceUpdate},
+	{"heard", "a feed with n beats heard, between control nodes", "beats", heartbeatUpdate},
+	{"beat", "n heartbeats of a source", "heartbeats", heartbeatsOfSource},
+	{"renew", "n renewals of a lease", "renewals", leaseRenewals},
+	{"count", "n pairs of Add and Total", "calls", counterCalls},
+}
+
+// measureFrames takes the series of the frames: their bytes, and the time to encode and to decode them.
+func measureFrames(m *meter) {
+	for _, kind := range frameKinds {
+		measureFrameBytes(m, kind)
+		measureEncoding(m, kind)
+		measureDecoding(m, kind)
+	}
+}
+
+func measureFrameBytes(m *meter, kind frameKind) {
+	series := Series{
+		Name:        "wire." + kind.name,
+		Description: "bytes of " + kind.description,
+		SizeUnit:    kind.sizeUnit,
+	}
+	m.measureBytes(series, frameByteSizes, func(n int) int { return len(encodeFrames(nil, kind.frames(n))) })
+}
+
+func measureEncoding(m *meter, kind frameKind) {
+	m.measureTime(timeBenchmark{
+		series: Series{
+			Name:        "write." + kind.name,
+			Description: "encoding " + kind.description,
+			SizeUnit:    kind.sizeUnit,
+		},
+		sizes:      frameTimeSizes,
+		operations: frameOperations,
+		prepare: func(n int) func(int) {
+			frames := kind.frames(n)
+			var encoded []byte
+			return func(int) { encoded = encodeFrames(encoded[:0], frames) }
+		},
+	})
+}
+
+func measureDecoding(m *meter, kind frameKind) {
+	m.measureTime(timeBenchmark{
+		series: Series{
+			Name:        "read." + kind.name,
+			Description: "decoding " + kind.description,
+			SizeUnit:    kind.sizeUnit,
+		},
+		sizes:      frameTimeSizes,
+		operations: frameOperations,
+		prepare: func(n int) func(int) {
+			encoded := encodeFrames(nil, kind.frames(n))
+			return func(int) { decodeFrames(encoded, func(*transport.Frame) {}) }
+		},
+	})
+}
+
+// encodeFrames appends the encoding of frames.
+func encodeFrames(encoded []byte, frames []*transport.Frame) []byte {
+	for _, frame := range frames {
+		encoded, _ = transport.Append(encoded, frame)
+	}
+	return encoded
+}
+
+// newUpdate returns an update without content, which is a heartbeat of its source.
+func newUpdate() *transport.Update {
+	return &transport.Update{
+		Incarnation: incarnation,
+		Seq:         1 << 30,
+		Complete:    true,
+		Members:     designIngresses,
+		Clock:       clockReading,
+		Epoch:       1 << 20,
+		Ready:       true,
+		Quorum:      true,
+	}
+}
+
+// updateFrame returns one frame with an update to which add was called n times.
+func updateFrame(n int, add func(update *transport.Update, i int)) []*transport.Frame {
+	update := newUpdate()
+	for i := range n {
+		add(update, i)
+	}
+	return []*transport.Frame{{Update: update}}
+}
+
+// updatedVersion is the version of items, and the sequence number of instances, in updates.
+const updatedVersion = 7
+
+func tenantUpdate(n int) []*transport.Frame {
+	return updateFrame(n, func(update *transport.Update, i int) {
+		update.Items = append(update.Items, tenant(i, updatedVersion))
+	})
+}
+
+func routeUpdate(n int) []*transport.Frame {
+	return updateFrame(n, func(update *transport.Update, i int) {
+		update.Items = append(update.Items, route(i, referredServices, updatedVersion))
+	})
+}
+
+func serviceUpdate(n int) []*transport.Frame {
+	return updateFrame(n, func(update *transport.Update, i int) {
+		update.Items = append(update.Items, service(i, updatedVersion))
+	})
+}
+
+func instanceUpdate(n int) []*transport.Frame {
+	return updateFrame(n, func(update *transport.Update, i int) {
+		update.Instances = append(update.Instances, instance(i, updatedVersion))
+	})
+}
+
+func heartbeatUpdate(n int) []*transport.Frame {
+	return updateFrame(n, func(update *transport.Update, i int) {
+		received := transport.Heartbeat{ID: instance(i, 1).ID, Seq: 50_000}
+		update.Heartbeats = append(update.Heartbeats, received)
+	})
+}
+
+func heartbeatsOfSource(n int) []*transport.Frame {
+	return generate(n, func(int) *transport.Frame { return &transport.Frame{Update: newUpdate()} })
+}
+
+func leaseRenewals(n int) []*transport.Frame {
+	return generate(n, func(int) *transport.Frame {
+		return &transport.Frame{Renewal: &transport.Renewal{Clock: clockReading, Ready: true}}
+	})
+}
+
+// counterCalls returns n calls to a counter's owner, each followed by its answer.
+func counterCalls(n int) []*transport.Frame {
+	const firstCall = 1_000_000
+	return generate(2*n, func(i int) *transport.Frame {
+		call := uint64(firstCall + i)
+		if i%2 == 1 {
+			total := &transport.CounterTotal{OK: true, Sum: 87.125, Reporters: 40}
+			return &transport.Frame{Call: call, CounterTotal: total}
+		}
+		add := &transport.CounterAdd{
+			Name:       tenantName(i),
+			Cycle:      86400,
+			Reporter:   reporterName(i%designIngresses) + "#1z141z4",
+			Amount:     1,
+			Retention:  counterRetention,
+			PerRequest: true,
+			Serial:     call,
+		}
+		return &transport.Frame{Call: call, CounterAdd: add}
+	})
+}
--- /dev/null
+++ b/internal/emulator/costmodel/gateway_harness.go
@@ -0,0 +1,164 @@
+package costmodel
+
+import (
+	"fmt"
+
+	"mulleinrouter/internal/decision"
+)
+
+// designIngresses is the number of ingresses of the size to design for (docs/CAPACITY.md).
+const designIngresses = 3300
+
+const (
+	// harnessStart is the simulated time in seconds of the first request, when all servers have warmed up.
+	harnessStart = 20
+	tickInterval = 0.05 // seconds, as in proxy
+	harnessGroup = "g0"
+	harnessClass = "r"
+)
+
+// gatewaySize is what a gateway knows.
+type gatewaySize struct {
+	servers         int
+	serversPerGroup int
+	tenants         int // each has sent a request
+	gateways        int // that share the quota of each tenant
+}
+
+// gatewayHarness is a decision.Gateway with the settings of proxy, under simulated time, whose servers and counters
+// answer at once.
+type gatewayHarness struct {
+	gateway     *decision.Gateway
+	now         float64 // seconds
+	lastRequest uint64  // ID
+	gateways    int
+	class       *decision.Class
+	terms       []*decision.Terms // of the tenants
+}
+
+func newGatewayHarness(size gatewaySize) *gatewayHarness {
+	gh := &gatewayHarness{
+		gateway:  decision.New(harnessSettings(), 1),
+		gateways: size.gateways,
+		class: &decision.Class{
+			Name:          harnessClass,
+			LatencyTarget: 0.4,
+			Deadline:      1,
+			Value:         1,
+			LateValue:     0.5,
+			MaxAttempts:   2,
+			MaxQueueTime:  0.088,
+			Effect:        decision.Idempotent,
+		},
+	}
+	gh.gateway.Handle(0, decision.Start{})
+	gh.gateway.Handle(0, decision.Backends{List: generate(size.servers, func(i int) decision.Backend {
+		return harnessBackend(i, size.serversPerGroup)
+	})})
+	gh.now = harnessStart
+	for tenant := range size.tenants {
+		gh.terms = append(gh.terms, harnessTerms(tenant))
+		gh.request(tenant)
+	}
+	return gh
+}
+
+// harnessSettings are those that proxy gives.
+func harnessSettings() decision.Settings {
+	return decision.Settings{
+		Gateways:        designIngresses,
+		Index:           1,
+		Zone:            "region-hall-1",
+		AnswerSlack:     0.02,
+		SlowStartShare:  0.5,
+		SlowStartTime:   3,
+		MaxAttempts:     2,
+		MayCancel:       true,
+		MayRetryAfter:   true,
+		MaxRetryAfter:   0.5,
+		ConnectTimeout:  0.25,
+		Keepalive:       8,
+		HasCounter:      true,
+		CounterTimeout:  0.35,
+		CapacityInSlots: true,
+		RemoteZoneCost:  1.25,
+		PairCounters:    true,
+		CounterCycle:    1,
+		RetryShare:      0.16,
+		RetrySlack:      48,
+	}
+}
+
+func harnessBackend(n, serversPerGroup int) decision.Backend {
+	one := instance(n, 1)
+	return decision.Backend{
+		ID:      one.ID,
+		Group:   fmt.Sprint("g", n/serversPerGroup),
+		Kind:    "k",
+		Zone:    one.Zone,
+		Serving: true,
+		Size:    3,
+	}
+}
+
+func harnessTerms(tenant int) *decision.Terms {
+	return &decision.Terms{
+		Customer: tenantName(tenant),
+		Tag:      "7",
+		Plan: decision.Plan{
+			Name:        tenantName(tenant),
+			Rate:        float64(10 + tenant%90),
+			Burst:       50,
+			ValueWeight: 1,
+		},
+	}
+}
+
+// request lets the gateway decide a request of a tenant, and answers what it does: its call to a counter, if it makes
+// one, and its attempt.
+func (gh *gatewayHarness) request(tenant int) {
+	gh.lastRequest++
+	request := decision.Request{
+		ID:       gh.lastRequest,
+		Class:    harnessClass,
+		Kind:     gh.class,
+		Group:    harnessGroup,
+		TimeLeft: 0.9,
+		Units:    1,
+		Gateways: gh.gateways,
+	}
+	if len(gh.terms) > 0 {
+		terms := gh.terms[tenant%len(gh.terms)]
+		request.Customer, request.Terms = terms.Customer, terms
+	}
+	gh.perform(gh.gateway.Handle(gh.now, request))
+}
+
+// perform answers the actions of the gateway, and those that follow.
+func (gh *gatewayHarness) perform(actions []decision.Action) {
+	for _, action := range actions {
+		switch action := action.(type) {
+		case decision.CounterCall:
+			gh.perform(gh.gateway.Handle(gh.now, decision.CounterReply{
+				Name:      action.Name,
+				Outcome:   decision.Succeeded,
+				Total:     max(1, action.Add),
+				Reporters: 2,
+			}))
+		case decision.Send:
+			gh.perform(gh.gateway.Handle(gh.now, decision.AttemptEnded{
+				ID:       action.ID,
+				Attempt:  1,
+				Backend:  action.Backend,
+				Outcome:  decision.Succeeded,
+				Duration: 0.01,
+			}))
+		}
+	}
+}
+
+// tick moves the time on by one interval.
+func (gh *gatewayHarness) tick() {
+	gh.now += tickInterval
+	gh.perform(gh.gateway.Handle(gh.now, decision.Timer{Token: "tick"}))
+}
--- a/internal/emulator/costmodel/meter.go
+++ b/internal/emulator/costmodel/meter.go
@@ -2,95 +2,106 @@
 
 import (
 	"bufio"
-	"math"
 	"os"
 	"runtime"
 	"runtime/debug"
-	"slices"
 	"strings"
-	"syscall"
 	"time"
 )
 
-// meter measures in this process. Nothing else may run in it meanwhile.
+// meter measures in this process and collects the series. Nothing else may run in the process meanwhile.
 type meter struct {
-	divisor int // sizes are so many times smaller, and operations fewer
+	divisor int // of sizes and of the number of operations
 	report  func(*Series)
 	series  []Series
-	err     error
+	err     error // the first
 }
 
-// maxUncollectedBytes is how many bytes may be allocated while the collector is off, until it is called between two
-// measurements.
-const maxUncollectedBytes = 256 << 20
-
-// repetitions is how often an operation is measured at each size; the least counts, for what disturbs only ever adds.
-const repetitions = 9
-
-// minOperations is how many operations are measured at once at least, where so many are prepared: the clock shows
-// microseconds, and one may take less.
-const minOperations = 32
+// preparationGCPercent is the collector's target while the state to be measured is made. Measurements call the
+// collector themselves.
+const preparationGCPercent = 400
+
+// measurements are taken in this order, which is that of the series in a run.
+var measurements = []func(*meter){
+	measureStateMemory,
+	measureChanges,
+	measureSnapshots,
+	measureFrames,
+	measureHeartbeats,
+	measureCounters,
+	measureGateway,
+	measureConsensus,
+	measureDisk,
+	measureCollector,
+}
 
-// Measure takes all series, and tells of each as it is known. With a part above 1 sizes are so many times
-// smaller: to see that it works. Errors name a series that could not be measured.
+// Measure takes all series, and calls report with each as soon as it is fitted; report may be nil. Sizes are divided by
+// divisor; above 1 the run shows only that everything works, and its figures are not for planning. The error is the
+// first that a series met, often a FitError; the run then holds the other series.
 func Measure(divisor int, report func(*Series)) (*Run, error) {
 	m := &meter{divisor: max(1, divisor), report: report}
-	// The machines run one thread at a time; with more, idle processors would join the collector and be counted.
+	// What is measured runs on one thread; with more, idle processors would help the collector and be counted.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	defer debug.SetGCPercent(debug.SetGCPercent(400)) // for making what is measured: measurements collect by themselves
+	defer debug.SetGCPercent(debug.SetGCPercent(preparationGCPercent))
 	command := "emulator slopes"
 	if m.divisor > 1 {
 		command += " --quick"
 	}
-	r := &Run{
+	run := &Run{
 		Date:      time.Now().UTC().Format(time.DateOnly),
 		Go:        runtime.Version(),
 		Processor: processorName(),
 		Cores:     runtime.NumCPU(),
 		Command:   command,
 	}
-	for _, part := range []func(*meter){measureStateMemory, measureChanges, measureSnapshots, measureFrames, measureHeartbeatsAndCounters, measureGateway, measureConsensus, measureCollector} {
-		part(m)
+	for _, measure := range measurements {
+		measure(m)
 	}
-	r.Series = m.series
-	return r, m.err
+	run.Series = m.series
+	return run, m.err
 }
 
-// processorName is the name of the machine's processorName.
+// processorName returns the model name of the machine's processor, or "unknown".
 func processorName() string {
-	f, err := os.Open("/proc/cpuinfo")
+	const unknown = "unknown"
+	file, err := os.Open("/proc/cpuinfo")
 	if err != nil {
-		return "unknown"
+		return unknown
 	}
-	defer f.Close()
-	for s := bufio.NewScanner(f); s.Scan(); {
-		if name, ok := strings.CutPrefix(s.Text(), "model name"); ok {
+	defer file.Close()
+	for lines := bufio.NewScanner(file); lines.Scan(); {
+		name, found := strings.CutPrefix(lines.Text(), "model name")
+		if found {
 			return strings.TrimSpace(strings.TrimPrefix(strings.TrimSpace(name), ":"))
 		}
 	}
-	return "unknown"
+	return unknown
 }
 
-// sizes are the sizes of a measurement, the one that is held back last.
-func (m *meter) sizes(of ...int) []int {
+// The smallest size that division leaves, and by how much it grows to the next: sizes must differ to be fitted.
+const (
+	minDividedSize  = 20
+	dividedSizeStep = 3
+)
+
+// sizes divides the sizes of a series. The last is the one of the holdout.
+func (m *meter) sizes(planned []int) []int {
 	if m.divisor == 1 {
-		return of
+		return planned
 	}
-	small := make([]int, len(of))
-	for i, n := range of {
-		small[i] = max(3*i+20, n/m.divisor)
+	divided := make([]int, len(planned))
+	for n, size := range planned {
+		divided[n] = max(minDividedSize+dividedSizeStep*n, size/m.divisor)
 	}
-	return small
+	return divided
 }
 
-// addSeries keeps a series once it is fitted.
+// addSeries fits a series to its points, of which the last is the holdout, and keeps it.
 func (m *meter) addSeries(s Series, points []Point) {
 	last := len(points) - 1
 	s.Points, s.Holdout = points[:last], points[last]
 	if err := s.Fit(); err != nil {
-		if m.err == nil {
-			m.err = err
-		}
+		m.fail(err)
 		return
 	}
 	m.series = append(m.series, s)
@@ -99,116 +110,19 @@
 	}
 }
 
-// liveHeap is the heap that is in use, in bytes.
-func liveHeap() float64 {
-	runtime.GC()
-	runtime.GC() // what finalizers and pools held goes with the second
-	var s runtime.MemStats
-	runtime.ReadMemStats(&s)
-	return float64(s.HeapAlloc)
-}
-
-// measureMemory measures the live heap of what build makes upon a base, which is not counted.
-func (m *meter) measureMemory(s Series, base func(n int) any, build func(base any, n int) any, sizes ...int) {
-	s.Unit = "B"
-	var points []Point
-	for _, n := range m.sizes(sizes...) {
-		var below any
-		if base != nil {
-			below = base(n)
-		}
-		before := liveHeap()
-		x := build(below, n)
-		points = append(points, Point{Size: float64(n), Cost: liveHeap() - before})
-		runtime.KeepAlive(below)
-		runtime.KeepAlive(x)
-	}
-	m.addSeries(s, points)
-}
-
-// processorTime is the processor time that this process has taken, of its own and of the system for it, in seconds.
-func processorTime() float64 {
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
-		return math.NaN()
+// fail keeps the first error.
+func (m *meter) fail(err error) {
+	if m.err == nil {
+		m.err = err
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano()).Seconds()
-}
-
-// operation is an operation that is measured several times, and the least that was found.
-type operation struct {
-	run      func(i int) // i never repeats
-	perRound int         // that are measured at once
-	next     int
-	best     Point
 }
 
-// measure measures the processor time of one operation, and the bytes that it allocates. The collector is off meanwhile;
-// what it costs for these bytes is a series of its own.
-func (t *operation) measure() {
-	defer debug.SetGCPercent(debug.SetGCPercent(-1))
-	if t.next == 0 {
-		t.run(0) // caches and pools are filled
-		t.next++
-		t.best = Point{Size: t.best.Size, Cost: math.Inf(1), AllocBytes: math.Inf(1)}
-	}
-	var before, after runtime.MemStats
-	runtime.ReadMemStats(&before)
-	at := processorTime()
-	for range t.perRound {
-		t.run(t.next)
-		t.next++
-	}
-	took := (processorTime() - at) / float64(t.perRound)
-	runtime.ReadMemStats(&after)
-	t.best.Cost = min(t.best.Cost, took)
-	t.best.AllocBytes = min(t.best.AllocBytes, float64(after.TotalAlloc-before.TotalAlloc)/float64(t.perRound))
-}
-
-// measureTime measures the processor time of an operation at several sizes, in rounds: what disturbs for a while does not
-// disturb one size alone. prepare gives the operation.
-func (m *meter) measureTime(s Series, ops int, prepare func(n int) func(i int), sizes ...int) {
-	s.Unit = "s"
-	var tasks []*operation
-	for _, n := range m.sizes(sizes...) {
-		tasks = append(tasks, &operation{run: prepare(n), perRound: min(ops, max(minOperations, ops/m.divisor)), best: Point{Size: float64(n)}})
-	}
-	m.addSeries(s, measureInRounds(tasks))
-}
-
-func measureInRounds(tasks []*operation) (points []Point) {
-	runtime.GC()
-	litter := 0.0
-	for range repetitions {
-		for _, t := range tasks {
-			t.measure()
-			if litter += t.best.AllocBytes * float64(t.perRound); litter > maxUncollectedBytes {
-				runtime.GC()
-				litter = 0
-			}
-		}
-	}
-	for _, t := range tasks {
-		points = append(points, t.best)
-	}
-	return points
-}
-
-// measureBytes measures how long something is.
-func (m *meter) measureBytes(s Series, size func(n int) int, sizes ...int) {
-	s.Unit = "B"
+// measureBytes takes a series of encoded lengths. They are the same at each run, so their sizes are not divided.
+func (m *meter) measureBytes(s Series, sizes []int, length func(size int) int) {
+	s.Unit = Bytes
 	var points []Point
-	for _, n := range sizes {
-		points = append(points, Point{Size: float64(n), Cost: float64(size(n))})
+	for _, size := range sizes {
+		points = append(points, Point{Size: float64(size), Cost: float64(length(size))})
 	}
 	m.addSeries(s, points)
 }
-
-// Names are the names of all series of a run.
-func (r *Run) Names() (names []string) {
-	for i := range r.Series {
-		names = append(names, r.Series[i].Name)
-	}
-	slices.Sort(names)
-	return names
-}
--- /dev/null
+++ b/internal/emulator/costmodel/snapshots.go
@@ -0,0 +1,128 @@
+package costmodel
+
+import (
+	"bufio"
+	"bytes"
+
+	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/cluster/replication"
+	"mulleinrouter/internal/cluster/transport"
+)
+
+var snapshotSizes = []int{10000, 20000, 40000, 60000, 100000}
+
+// measureSnapshots takes the series of the processor time to send, receive, parse and print the complete state. A
+// "newcomer" in their descriptions is a subscriber without state.
+func measureSnapshots(m *meter) {
+	measureSnapshotSource(m)
+	measureSnapshotClient(m)
+	measurePatch(m)
+	measureRender(m)
+}
+
+func measureSnapshotSource(m *meter) {
+	m.measureTime(timeBenchmark{
+		series: Series{
+			Name:        "newcomer.source",
+			Description: "Since and encoding of all items for a newcomer, in frames of 64 KB",
+			SizeUnit:    "tenants",
+		},
+		sizes:      snapshotSizes,
+		operations: 1,
+		prepare: func(n int) func(int) {
+			store := storeOf(tenants(n))
+			return func(int) { encodeSnapshot(store, func([]byte) {}) }
+		},
+	})
+}
+
+func measureSnapshotClient(m *meter) {
+	m.measureTime(timeBenchmark{
+		series: Series{
+			Name:        "newcomer.take",
+			Description: "decoding and merging of all items by the newcomer",
+			SizeUnit:    "tenants",
+		},
+		sizes:      snapshotSizes,
+		operations: 1,
+		prepare: func(n int) func(int) {
+			var encoded []byte
+			encodeSnapshot(storeOf(tenants(n)), func(frame []byte) { encoded = append(encoded, frame...) })
+			return func(int) {
+				store := replication.NewStore(2)
+				decodeFrames(encoded, func(frame *transport.Frame) { store.MergeItems(frame.Update.Items) })
+			}
+		},
+	})
+}
+
+func measurePatch(m *meter) {
+	m.measureTime(timeBenchmark{
+		series: Series{
+			Name:        "patch.read",
+			Description: "ReadPatch and Check of an operator's first call",
+			SizeUnit:    "tenants",
+		},
+		sizes:      snapshotSizes,
+		operations: 1,
+		prepare: func(n int) func(int) {
+			body := []byte(`{"upsert":`)
+			body = append(body, snapshotOf(tenants(n)).RenderJSON()...)
+			body = append(body, `,"remove":{}}`...)
+			return func(int) {
+				items, _ := configuration.ReadPatch(body)
+				(*configuration.Snapshot)(nil).Validate(items)
+			}
+		},
+	})
+}
+
+func measureRender(m *meter) {
+	m.measureTime(timeBenchmark{
+		series: Series{
+			Name:        "render",
+			Description: "Render of a Book for GET /config",
+			SizeUnit:    "tenants",
+		},
+		sizes:      snapshotSizes,
+		operations: 1,
+		prepare: func(n int) func(int) {
+			snapshot := snapshotOf(tenants(n))
+			return func(int) { snapshot.RenderJSON() }
+		},
+	})
+}
+
+// encodeSnapshot encodes all that a store has as a subscriber without state gets it, and calls send with each frame.
+// The frame's bytes are overwritten by the next.
+func encodeSnapshot(store *replication.Store, send func(frame []byte)) {
+	var encoded []byte
+	seq := uint64(0)
+	for {
+		changes := store.ChangesSince(seq, maxChunk)
+		seq = changes.Seq
+		update := &transport.Update{
+			Incarnation: incarnation,
+			Items:       changes.Items,
+			Instances:   changes.Instances,
+			Seq:         seq,
+		}
+		encoded, _ = transport.Append(encoded[:0], &transport.Frame{Update: update})
+		send(encoded)
+		if changes.Complete {
+			return
+		}
+	}
+}
+
+// decodeFrames decodes frames until they end, and calls receive with each.
+func decodeFrames(encoded []byte, receive func(*transport.Frame)) {
+	reader := bufio.NewReader(bytes.NewReader(encoded))
+	for {
+		frame, err := transport.Read(reader, transport.MaxFrame)
+		if err != nil {
+			return
+		}
+		receive(frame)
+	}
+}
--- /dev/null
+++ b/internal/emulator/costmodel/state_memory.go
@@ -0,0 +1,235 @@
+package costmodel
+
+import (
+	"slices"
+
+	"mulleinrouter/internal/cluster/configuration"
+	"mulleinrouter/internal/cluster/quota"
+	"mulleinrouter/internal/cluster/registry"
+	"mulleinrouter/internal/cluster/replication"
+)
+
+// referredServices is how many services the routes refer to where the number of routes is what grows.
+const referredServices = 1000
+
+// heartbeatTimeout is that of the registries here, in seconds.
+const heartbeatTimeout = 1.5
+
+// itemKind is a kind of item of the configuration.
+type itemKind struct {
+	name    string // as in the names of its series
+	needed  func() *configuration.Snapshot
+	items   func(n int) []configuration.Item
+	indexed bool // configuration.RoutingTable has an index of its own; it finds routes in the snapshot
+}
+
+var itemKinds = []itemKind{
+	{
+		name:   "route",
+		needed: func() *configuration.Snapshot { return snapshotOf(services(referredServices)) },
+		items:  func(n int) []configuration.Item { return routes(n, referredServices) },
+	},
+	{
+		name:    "tenant",
+		needed:  func() *configuration.Snapshot { return nil },
+		items:   tenants,
+		indexed: true,
+	},
+	{
+		name:    "service",
+		needed:  func() *configuration.Snapshot { return nil },
+		items:   services,
+		indexed: true,
+	},
+}
+
+var itemMemorySizes = []int{2000, 8000, 24000, 60000, 150000}
+
+// measureStateMemory takes the series of the live heap of what a process holds. "Book", "Table", "feed", "lines",
+// "tally.Keeper" in their descriptions are earlier names of Snapshot, RoutingTable, replication, registry and
+// quota.CounterTable.
+func measureStateMemory(m *meter) {
+	for _, kind := range itemKinds {
+		measureSnapshotMemory(m, kind)
+		if kind.indexed {
+			measureRoutingTableMemory(m, kind)
+		}
+		measureStoreMemory(m, kind)
+	}
+	measureTombstoneMemory(m)
+	measureInstanceMemory(m)
+	measureRegistryMemory(m)
+	measureCounterMemory(m)
+}
+
+func measureSnapshotMemory(m *meter, kind itemKind) {
+	measureHeap(m, heapBenchmark[*configuration.Snapshot]{
+		series: Series{
+			Name:        "book." + kind.name,
+			Description: "live heap of a Book by its " + kind.name + "s",
+			SizeUnit:    kind.name + "s",
+		},
+		sizes: itemMemorySizes,
+		base:  func(int) *configuration.Snapshot { return kind.needed() },
+		build: func(needed *configuration.Snapshot, n int) any {
+			snapshot, _ := needed.Merge(kind.items(n))
+			return snapshot
+		},
+	})
+}
+
+func measureRoutingTableMemory(m *meter, kind itemKind) {
+	measureHeap(m, heapBenchmark[*configuration.Snapshot]{
+		series: Series{
+			Name:        "table." + kind.name,
+			Description: "live heap of a Table beside its Book",
+			SizeUnit:    kind.name + "s",
+		},
+		sizes: itemMemorySizes,
+		base:  func(n int) *configuration.Snapshot { return snapshotOf(kind.items(n)) },
+		build: func(snapshot *configuration.Snapshot, _ int) any {
+			return configuration.NewRoutingTable().With(snapshot, slices.Collect(snapshot.All()))
+		},
+	})
+}
+
+func measureStoreMemory(m *meter, kind itemKind) {
+	measureHeap(m, heapBenchmark[noBase]{
+		series: Series{
+			Name:        "store." + kind.name,
+			Description: "live heap of a feed.Store, its Book with it",
+			SizeUnit:    kind.name + "s",
+		},
+		sizes: itemMemorySizes,
+		build: func(_ noBase, n int) any { return storeOf(kind.items(n)) },
+	})
+}
+
+// storeOf returns a store with items.
+func storeOf(items []configuration.Item) *replication.Store {
+	store := replication.NewStore(1)
+	store.MergeItems(items)
+	return store
+}
+
+func measureTombstoneMemory(m *meter) {
+	measureHeap(m, heapBenchmark[noBase]{
+		series: Series{
+			Name:        "store.tombstone",
+			Description: "live heap of a feed.Store by dropped tenants",
+			SizeUnit:    "dropped items",
+		},
+		sizes: itemMemorySizes,
+		build: func(_ noBase, n int) any { return storeOf(generate(n, tombstone)) },
+	})
+}
+
+func tombstone(n int) configuration.Item {
+	return configuration.Item{
+		Key:     configuration.Key{Kind: configuration.Tenants, Name: tenantName(n)},
+		Version: 2,
+		Deleted: true,
+		Epoch:   1,
+	}
+}
+
+var instanceMemorySizes = []int{2000, 8000, 24000, 60000, 200000}
+
+func measureInstanceMemory(m *meter) {
+	measureHeap(m, heapBenchmark[noBase]{
+		series: Series{
+			Name:        "store.line",
+			Description: "live heap of a feed.Store by its lines",
+			SizeUnit:    "servers",
+		},
+		sizes: instanceMemorySizes,
+		build: func(_ noBase, n int) any {
+			store := replication.NewStore(1)
+			store.MergeInstances(instances(n))
+			return store
+		},
+	})
+}
+
+func measureRegistryMemory(m *meter) {
+	measureHeap(m, heapBenchmark[[]registry.Instance]{
+		series: Series{
+			Name:        "registry.line",
+			Description: "live heap of a lines.Registry, beside the strings of its lines",
+			SizeUnit:    "servers",
+		},
+		sizes: instanceMemorySizes,
+		base:  instances,
+		build: func(all []registry.Instance, _ int) any { return registryOf(all) },
+	})
+}
+
+// registryOf returns a registry that has received a heartbeat of each instance.
+func registryOf(all []registry.Instance) *registry.Registry {
+	r := registry.New(heartbeatTimeout)
+	for _, one := range all {
+		r.RecordHeartbeat(1, one)
+	}
+	return r
+}
+
+func measureCounterMemory(m *meter) {
+	measureHeap(m, heapBenchmark[noBase]{
+		series: Series{
+			Name:        "tally.name",
+			Description: "live heap of a tally.Keeper, one holder a tenant, each call a report of its own",
+			SizeUnit:    "tenants",
+		},
+		sizes: []int{1000, 4000, 16000, 50000, 100000},
+		build: func(_ noBase, n int) any { return counterTable(n, 1, true) },
+	})
+	const names = 10
+	reporterSizes := []int{1000, 3000, 10000, 20000, 33000}
+	measureHeap(m, heapBenchmark[noBase]{
+		series: Series{
+			Name:        "tally.holder",
+			Description: "live heap of a tally.Keeper by the holders of one tenant, reports by cycle",
+			SizeUnit:    "holders",
+		},
+		sizes: reporterSizes,
+		build: func(_ noBase, n int) any { return counterTable(names, n/names, false) },
+	})
+	measureHeap(m, heapBenchmark[noBase]{
+		series: Series{
+			Name:        "tally.holder.each",
+			Description: "the same, each call a report of its own",
+			SizeUnit:    "holders",
+		},
+		sizes: reporterSizes,
+		build: func(_ noBase, n int) any { return counterTable(names, n/names, true) },
+	})
+}
+
+const (
+	// counterTime is the time, in seconds, and the cycle of all reports but those that a benchmark moves on.
+	counterTime = 3
+	// counterRetention is for how many cycles a reporter is remembered.
+	counterRetention = 3
+)
+
+// counterTable returns a table that owns its counters and has a report of each reporter of each. With perRequest, each
+// call is a report of its own instead of the sum of a cycle.
+func counterTable(names, reporters int, perRequest bool) *quota.CounterTable {
+	const self = "a"
+	table := quota.NewCounterTable()
+	table.SetMembers(0, []string{self}, self, true)
+	for name := range names {
+		for reporter := range reporters {
+			table.Add(counterTime, &quota.Report{
+				Name:       tenantName(name),
+				Cycle:      counterTime,
+				Reporter:   reporterName(reporter),
+				Amount:     1,
+				PerRequest: perRequest,
+				Serial:     1,
+				Retention:  counterRetention,
+			})
+		}
+	}
+	return table
+}
