--- a/internal/control/electorate/changes.go
+++ b/internal/control/electorate/changes.go
@@ -9,6 +9,7 @@
 	"github.com/cockroachdb/errors"
 
 	"mulleinrouter/internal/cluster/consensus"
+	"mulleinrouter/internal/cluster/retry"
 	"mulleinrouter/internal/cluster/transport"
 	"mulleinrouter/internal/control/majority"
 	"mulleinrouter/internal/control/proposals"
@@ -155,7 +156,7 @@
 		if voter, err = m.probeOnce(addr, base); !errors.Is(err, errBehind) || ctx.Err() != nil {
 			break
 		}
-		pause(ctx, probeInterval)
+		retry.Sleep(ctx, probeInterval)
 	}
 	return voter, err
 }
--- a/internal/control/electorate/manager.go
+++ b/internal/control/electorate/manager.go
@@ -9,6 +9,7 @@
 	"github.com/go-kit/log"
 
 	"mulleinrouter/internal/cluster/consensus"
+	"mulleinrouter/internal/cluster/retry"
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/cluster/transport"
 	"mulleinrouter/internal/control/majority"
@@ -57,7 +58,7 @@
 
 // Join learns the electorate from the other nodes if the disk had none, and subscribes to the voters.
 func (m *Manager) Join(ctx context.Context, wg *sync.WaitGroup) {
-	for ; ctx.Err() == nil; pause(ctx, pollInterval) {
+	for ; ctx.Err() == nil; retry.Sleep(ctx, pollInterval) {
 		if base, _ := m.options.Replica.Base(); base.Electorate.Known() {
 			break
 		}
@@ -85,7 +86,7 @@
 
 // Follow subscribes to new voters and enrolls this node where necessary, until the context ends.
 func (m *Manager) Follow(ctx context.Context, wg *sync.WaitGroup) {
-	for ; ctx.Err() == nil; pause(ctx, pollInterval) {
+	for ; ctx.Err() == nil; retry.Sleep(ctx, pollInterval) {
 		if !m.options.DiskRead() {
 			continue
 		}
@@ -126,13 +127,3 @@
 
 // WantedVoters is how many voters tolerate the configured losses.
 func (m *Manager) WantedVoters() int { return 2*m.options.Settings.Tolerance.Machines + 1 }
-
-// pause waits for a time or the end of the context.
-func pause(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -18,8 +18,8 @@
 	"mulleinrouter/internal/cluster/metrics"
 	"mulleinrouter/internal/cluster/registry"
 	"mulleinrouter/internal/cluster/replication"
+	"mulleinrouter/internal/cluster/retry"
 	"mulleinrouter/internal/cluster/settings"
-	"mulleinrouter/internal/cluster/transport"
 	"mulleinrouter/internal/control/catchup"
 	"mulleinrouter/internal/control/connlimit"
 	"mulleinrouter/internal/control/electorate"
@@ -33,11 +33,11 @@
 	"mulleinrouter/internal/control/storage"
 )
 
-const (
-	shutdownLinger = time.Second // from the end of the HTTP calls to that of all else: agents find other nodes meanwhile
-	listenTimeout  = 3 * time.Second
-	listenInterval = 100 * time.Millisecond
-)
+// shutdownLinger is the time from the end of the HTTP calls to that of all else: agents find other nodes meanwhile.
+const shutdownLinger = time.Second
+
+// bindPolicy covers the 3 s for which the process before may still hold an address.
+var bindPolicy = retry.Policy{Attempts: 31, Interval: 100 * time.Millisecond}
 
 // program is the name of this program in logs, metrics and settings.
 const program = "control"
@@ -242,12 +242,8 @@
 
 // listen listens on an address, which the process before may hold for a moment longer.
 func listen(addr string) (net.Listener, error) {
-	for deadline := time.Now().Add(listenTimeout); ; time.Sleep(listenInterval) {
-		l, err := transport.Listen(addr)
-		if err == nil || time.Now().After(deadline) {
-			return l, errors.Wrapf(err, "listen on %s", addr)
-		}
-	}
+	listener, err := retry.Listen(context.Background(), addr, bindPolicy)
+	return listener, errors.Wrapf(err, "listen on %s", addr)
 }
 
 // open reads the disk, and has this node join the others.
