--- a/internal/emulator/capacity/parameters.go
+++ b/internal/emulator/capacity/parameters.go
@@ -9,12 +9,12 @@
 	min, max  float64
 }
 
-func required(min float64) parameter {
-	return parameter{required: true, min: min, max: math.MaxFloat64}
+func required(minimum float64) parameter {
+	return parameter{required: true, min: minimum, max: math.MaxFloat64}
 }
 
-func optional(byDefault, min float64) parameter {
-	return parameter{byDefault: byDefault, min: min, max: math.MaxFloat64}
+func optional(byDefault, minimum float64) parameter {
+	return parameter{byDefault: byDefault, min: minimum, max: math.MaxFloat64}
 }
 
 // fraction is optional, from 0 to 1.
@@ -22,8 +22,8 @@
 	return parameter{byDefault: byDefault, max: 1}
 }
 
-func bounded(byDefault, min, max float64) parameter {
-	return parameter{byDefault: byDefault, min: min, max: max}
+func bounded(byDefault, minimum, maximum float64) parameter {
+	return parameter{byDefault: byDefault, min: minimum, max: maximum}
 }
 
 // maxVoters bounds the voters of a plan.
