--- a/internal/emulator/capacity/control.go
+++ b/internal/emulator/capacity/control.go
@@ -91,7 +91,7 @@
 func (e *estimator) addChanges(d *demand) {
 	const (
 		itemsPerSave   = 1
-		savesPerChange = 2 // the accepted proposal, and the chosen items
+		savesPerChange = 2 // the two syncs of a change
 	)
 	changes := e.changesPerSecond()
 	tenants := e.value("size.tenants") * e.value("core.tenants")
--- a/internal/emulator/capacity/format.go
+++ b/internal/emulator/capacity/format.go
@@ -23,11 +23,11 @@
 	rounding = 0.9995
 )
 
-// Amount formats a value with three digits and the prefix of its unit. Seconds ("s") get the prefixes below 1, other
-// units those above.
+// Amount formats a value with three digits and the prefix of its unit. Seconds get the prefixes below 1, other units
+// those above.
 func Amount(value float64, unit string) string {
 	prefixes := largePrefixes
-	if unit == "s" {
+	if unit == string(Seconds) {
 		prefixes = timePrefixes
 	}
 	chosen := prefixes[len(prefixes)-1]
--- a/internal/emulator/costmodel/gateway_harness.go
+++ b/internal/emulator/costmodel/gateway_harness.go
@@ -10,9 +10,9 @@
 const designIngresses = 3300
 
 const (
-	// harnessStart is the simulated time in seconds of the first request, when all servers have warmed up.
+	// harnessStart is the simulated time in seconds of the first request, long after the slow start.
 	harnessStart = 20
-	tickInterval = 0.05 // seconds, as in proxy
+	tickInterval = 0.05 // seconds, that of decision.Gateway
 	harnessGroup = "g0"
 	harnessClass = "r"
 )
--- a/internal/emulator/costmodel/state_memory.go
+++ b/internal/emulator/costmodel/state_memory.go
@@ -12,8 +12,8 @@
 // referredServices is how many services the routes refer to where the number of routes is what grows.
 const referredServices = 1000
 
-// heartbeatTimeout is that of the registries here, in seconds.
-const heartbeatTimeout = 1.5
+// heartbeatInterval is that of the servers in the registries here, in seconds.
+const heartbeatInterval = 1.5
 
 // itemKind is a kind of item of the configuration.
 type itemKind struct {
@@ -166,7 +166,7 @@
 
 // registryOf returns a registry that has received a heartbeat of each instance.
 func registryOf(all []registry.Instance) *registry.Registry {
-	r := registry.New(heartbeatTimeout)
+	r := registry.New(heartbeatInterval)
 	for _, one := range all {
 		r.RecordHeartbeat(1, one)
 	}
