--- /dev/null
+++ b/internal/emulator/testcluster/doc.go
@@ -0,0 +1,19 @@
+// Package testcluster runs several ingresses as processes on loopback among fakes, under the load of many members. In a
+// run it can change plans, book allowance, kill an ingress and kill exporters; at the end it compares what was billed
+// with what the fake quote servers counted. Its Process also serves the fault tests.
+//
+//   - options.go: Options, the plans and the members;
+//   - cluster.go: Run, from the start of all fakes and processes to their end;
+//   - ingress.go: the configuration and the start of ingresses and exporters;
+//   - events.go: what happens to the cluster while there is load;
+//   - load.go: the members' requests;
+//   - evaluation.go: comparison of what clients, quote servers and billing observed;
+//   - report.go: Report, its verdict and its text;
+//   - process.go: Process, a process of the program and the lines of its log;
+//   - errors.go: the errors of the package.
+//
+// It imports emulator/fakes, the counter server, the catalogue and the records of use, and is imported by the program's
+// subcommands and by emulator/faulttest. A Run owns its processes, fakes, files and goroutines and has ended all of
+// them when it returns; a Process belongs to the caller of Launch. The tests beside it cover the parts without
+// processes; the subcommand try runs a complete cluster.
+package testcluster
--- /dev/null
+++ b/internal/emulator/testcluster/errors.go
@@ -0,0 +1,46 @@
+package testcluster
+
+import (
+	"errors"
+	"fmt"
+	"path/filepath"
+	"strings"
+)
+
+var (
+	// ErrInvalidOptions is returned by Run for options that describe no cluster or no load.
+	ErrInvalidOptions = errors.New("rig: one ingress, two members, some seconds and some load at least")
+
+	// ErrNoProcessorTime is returned by Process.CPU if the kernel's statistics of the process are incomplete.
+	ErrNoProcessorTime = errors.New("rig: no processor time is told")
+)
+
+// ExitError says that a process ended before it was ready.
+type ExitError struct {
+	Program string // its path
+	Args    []string
+	Log     []byte // what it logged
+}
+
+func (e *ExitError) Error() string {
+	return fmt.Sprintf("rig: %s %s ended at once: %s", filepath.Base(e.Program), strings.Join(e.Args, " "), e.Log)
+}
+
+// NotReadyError says that a process did not log that it is ready within readyTimeout.
+type NotReadyError struct {
+	Args []string
+	Code string // of the log line that was expected
+}
+
+func (n *NotReadyError) Error() string {
+	return fmt.Sprintf("rig: %s: no line with %s in %v", strings.Join(n.Args, " "), n.Code, readyTimeout)
+}
+
+// NotTerminatedError says that a process did not end within quitTimeout after SIGTERM.
+type NotTerminatedError struct {
+	PID int
+}
+
+func (n *NotTerminatedError) Error() string {
+	return fmt.Sprintf("rig: process %d does not end", n.PID)
+}
--- /dev/null
+++ b/internal/emulator/testcluster/events.go
@@ -0,0 +1,180 @@
+package testcluster
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+	"time"
+
+	"mulleinrouter/internal/emulator/fakes"
+	"mulleinrouter/internal/standalone/catalogue"
+	"mulleinrouter/internal/standalone/plans"
+)
+
+const (
+	// revisionLead is how long before it is in force a revision is announced, in seconds.
+	revisionLead = 1.5
+
+	// restartDelay is how long a killed ingress is away.
+	restartDelay = time.Second
+
+	// maxCrashDelay bounds the random delay between the faults of billing and the kill of an exporter.
+	maxCrashDelay = time.Second
+)
+
+// When events happen and how long bookings last, as fractions of the run.
+const (
+	changeAt        = 0.30
+	bookingAt       = 0.40
+	killAt          = 0.55
+	crashFrom       = 0.25
+	crashSpan       = 0.5
+	bookingDelay    = 0.05
+	bookingDuration = 0.2
+)
+
+type event struct {
+	at  float64 // a fraction of the run
+	run func() error
+}
+
+// events returns the events of a run in order of time.
+func (c *cluster) events() []event {
+	var all []event
+	if c.Changes {
+		all = append(all, event{changeAt, c.changePlans}, event{bookingAt, c.addBookings})
+	}
+	if c.Kill {
+		all = append(all, event{killAt, func() error { return c.restartIngress(c.Ingresses - 1) }})
+	}
+	for n := range c.Crashes {
+		at := crashFrom + crashSpan*float64(n)/float64(max(1, c.Crashes))
+		all = append(all, event{at, func() error { return c.crashExporter(0) }})
+	}
+	slices.SortStableFunc(all, func(a, b event) int { return int(1000 * (a.at - b.at)) })
+	return all
+}
+
+// runEvents runs the events at their times.
+func (c *cluster) runEvents(ctx context.Context) error {
+	for _, e := range c.events() {
+		at := c.begun.Add(time.Duration(e.at * c.Seconds * float64(time.Second)))
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(max(0, time.Until(at))):
+		}
+		if err := e.run(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// revise saves a further revision of the catalogue, which is in force revisionLead from now on.
+func (c *cluster) revise(change func(*plans.Revision)) error {
+	last := c.revisions[len(c.revisions)-1]
+	next := last
+	next.Number++
+	next.EffectiveAt = math.Round((float64(time.Now().UnixMilli())/1000+revisionLead)*1000) / 1000
+	next.Members = maps.Clone(last.Members)
+	next.Bookings = slices.Clone(last.Bookings)
+	change(&next)
+	if problems := next.Validate(); len(problems) > 0 {
+		return fmt.Errorf("rig: revision %d: %w", next.Number, problems[0])
+	}
+	c.revisions = append(c.revisions, next)
+	return catalogue.Save(c.cataloguePath(), c.revisions)
+}
+
+// changePlans moves some members of either plan to the other one.
+func (c *cluster) changePlans() error {
+	toPlus, toBasic := 0, 0
+	err := c.revise(func(next *plans.Revision) {
+		for i := range c.Members {
+			if !changesPlan(i) {
+				continue
+			}
+			next.Members[memberName(i)] = otherPlan(i).Name
+			if otherPlan(i) == &plus {
+				toPlus++
+			} else {
+				toBasic++
+			}
+		}
+	})
+	effectiveAt := time.Now().Add(time.Duration(revisionLead * float64(time.Second)))
+	c.changedAt.Store(&effectiveAt)
+	c.progress("revision 2 announced: %d members go to plus, %d to basic, in %.1f s", toPlus, toBasic, revisionLead)
+	return err
+}
+
+// changedBy reports whether the change of plans is in force at a time.
+func (c *cluster) changedBy(now time.Time) bool {
+	at := c.changedAt.Load()
+	return at != nil && now.After(*at)
+}
+
+// addBookings books as much again for some members of the plan basic, for a fifth of the run.
+func (c *cluster) addBookings() error {
+	booked := 0
+	duration := bookingDuration * c.Seconds
+	err := c.revise(func(next *plans.Revision) {
+		from := next.EffectiveAt + bookingDelay*c.Seconds
+		to := from + duration
+		for i := range c.Members {
+			if !books(i) {
+				continue
+			}
+			next.Bookings = append(next.Bookings, plans.Booking{
+				ID:     fmt.Sprint("results-", i),
+				Member: memberName(i),
+				From:   from,
+				To:     to,
+				Units:  math.Floor(basic.Rate * (to - from)),
+			})
+			booked++
+		}
+	})
+	c.progress("revision 3 announced: %d members have booked as much again for %.0f s", booked, duration)
+	return err
+}
+
+// restartIngress kills an ingress with attempts in flight, and starts it again after restartDelay.
+func (c *cluster) restartIngress(i int) error {
+	c.ingresses[i].Kill()
+	c.progress("ingress %d killed", i)
+	time.Sleep(restartDelay)
+	p, err := c.startIngress(i)
+	if err != nil {
+		return err
+	}
+	c.mu.Lock()
+	c.ingresses[i] = p
+	c.mu.Unlock()
+	c.progress("ingress %d is back", i)
+	return nil
+}
+
+// ingressAddr returns the address of an ingress's present process.
+func (c *cluster) ingressAddr(i int) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.ingresses[i].Addr
+}
+
+// crashExporter kills an exporter and starts it again. With faults, billing accepts a batch before that and loses its
+// answer, so that the exporter is likely to be killed while it waits for another answer.
+func (c *cluster) crashExporter(i int) error {
+	if c.Faults {
+		c.billing.Next(fakes.Loses, fakes.Fails)
+	}
+	time.Sleep(time.Duration(c.rng.Float64() * float64(maxCrashDelay)))
+	c.exporters[i].Kill()
+	c.progress("exporter %d killed", i)
+	p, err := c.startExporter(i)
+	c.exporters[i] = p
+	return err
+}
--- a/internal/emulator/testcluster/load.go
+++ b/internal/emulator/testcluster/load.go
@@ -11,164 +11,186 @@
 	"time"
 )
 
-// Outcome is what a client saw.
-type Outcome int
+// outcome is how a request ended for its client.
+type outcome int
 
-// The outcomes.
 const (
-	Served  Outcome = iota // 200
-	Refused                // 429 or 503
-	Failed                 // 502 or 504
-	Wrong                  // any other answer
-	Lost                   // none: the connection broke, or the client's time was up
+	served   outcome = iota // 200
+	rejected                // 429 or 503
+	failed                  // 502 or 504
+	wrong                   // any other answer
+	lost                    // no answer: the connection ended, or the client's timeout passed
+	outcomes                // how many there are
 )
 
-var outcomes = [...]string{"served", "refused", "failed", "wrong", "lost"}
-
-func (o Outcome) String() string { return outcomes[o] }
-
-// request is one that a client sent.
+// request is a request that a client sent.
 type request struct {
-	member  int
-	units   float64
-	unsafe  bool
-	at      time.Time
-	took    time.Duration
-	outcome Outcome
-	advice  bool
+	member     int
+	units      float64
+	atMostOnce bool
+	sentAt     time.Time
+	latency    time.Duration
+	outcome    outcome
+	retryAfter bool // the answer has Retry-After
 }
 
-// load sends the members' requests, at times that do not wait for answers.
+// load sends the members' requests. Their times do not depend on the answers (an open loop).
 type load struct {
-	cluster *Run
+	cluster *cluster
 	client  *http.Client
-	factors []float64 // of a member: asked, in times its quota
-	mu      sync.Mutex
-	all     map[string]*request
-	out     sync.WaitGroup
+	factors []float64  // of each member: what it requests, as a multiple of its quota
+	rng     *rand.Rand // only of the goroutine that runs the load
+	lastID  int
+
+	slots    chan struct{} // one element for each request in flight
+	inFlight sync.WaitGroup
+
+	mu       sync.Mutex // guards requests
+	requests map[string]*request
 }
 
-// mostOut bounds the requests that are out at once: were the ingresses to hang, the rig must not.
-const mostOut = 4000
-
-func newLoad(r *Run) *load {
-	l := &load{cluster: r, all: map[string]*request{}, client: &http.Client{
-		Timeout: clientMost,
-		Transport: &http.Transport{MaxIdleConnsPerHost: 256, MaxConnsPerHost: 400, IdleConnTimeout: time.Second,
-			DisableCompression: true},
-	}}
-	for i := range r.Members {
-		// Near their quotas: from 0.6 to 1.4 times the average, and every fourth far beyond.
-		f := r.Load * (0.6 + 0.8*r.rng.Float64())
+const (
+	// maxInFlight bounds the requests in flight, so that the run goes on if the ingresses hang.
+	maxInFlight = 4000
+
+	clientTimeout = 3 * time.Second
+	sendInterval  = 2 * time.Millisecond
+
+	// meanUnits is the mean of the units of a request: 1 to maxUnits.
+	meanUnits = 1.5
+
+	// One request in so many must not run twice.
+	atMostOnceEvery = 5
+)
+
+func newLoad(c *cluster) *load {
+	transport := &http.Transport{
+		MaxIdleConnsPerHost: 256,
+		MaxConnsPerHost:     400,
+		IdleConnTimeout:     time.Second,
+		DisableCompression:  true,
+	}
+	l := &load{
+		cluster:  c,
+		client:   &http.Client{Timeout: clientTimeout, Transport: transport},
+		rng:      rand.New(rand.NewPCG(c.Seed, 2)),
+		slots:    make(chan struct{}, maxInFlight),
+		requests: map[string]*request{},
+	}
+	for i := range c.Members {
+		factor := c.Load * (0.6 + 0.8*c.rng.Float64()) // near the quota: 0.6 to 1.4 times the average
 		if heavy(i) {
-			f = r.Load * 2
+			factor = c.Load * heavyFactor
 		}
-		l.factors = append(l.factors, f)
+		l.factors = append(l.factors, factor)
 	}
 	return l
 }
 
-// heavy tells whether a member asks for twice the average.
-func heavy(i int) bool { return i%8 >= 6 }
-
-// run sends until the run's time is up, and waits for the answers.
+// run sends requests until the time is up or the context ends, and waits for the answers.
 func (l *load) run(ctx context.Context) {
-	r := l.cluster
-	rng := rand.New(rand.NewPCG(r.Seed, 2))
-	end := r.begun.Add(time.Duration(r.Seconds * float64(time.Second)))
-	next := make([]time.Time, r.Members)
+	c := l.cluster
+	defer l.client.CloseIdleConnections()
+	defer l.inFlight.Wait()
+	end := c.end()
+	next := make([]time.Time, c.Members)
 	for i := range next {
-		next[i] = r.begun.Add(time.Duration(rng.Float64() * float64(time.Second)))
+		next[i] = c.begun.Add(time.Duration(l.rng.Float64() * float64(time.Second)))
 	}
-	places := make(chan struct{}, mostOut)
-	ticker := time.NewTicker(2 * time.Millisecond)
+	ticker := time.NewTicker(sendInterval)
 	defer ticker.Stop()
-	id := 0
 	for now := range ticker.C {
 		if now.After(end) || ctx.Err() != nil {
-			break
+			return
 		}
 		for i := range next {
 			for next[i].Before(now) {
-				id++
-				q := &request{member: i, units: float64(1 + rng.IntN(mostUnits)), unsafe: rng.IntN(5) == 0}
-				rate := l.factors[i] * l.quota(i, now) / 1.5 // requests a second: units are 1.5 on average
-				next[i] = next[i].Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
-				select {
-				case places <- struct{}{}:
-				default:
-					continue // never sent: not among those that were asked
-				}
-				l.out.Add(1)
-				go func(id, ingress int) {
-					defer l.out.Done()
-					defer func() { <-places }()
-					l.send(fmt.Sprintf("r%07d", id), q, ingress)
-				}(id, rng.IntN(r.Ingresses))
+				next[i] = next[i].Add(l.sendNext(i, now))
 			}
 		}
 	}
-	l.out.Wait()
-	l.client.CloseIdleConnections()
 }
 
-// quota is what a member may ask by the plan that it is on at a time, in units a second.
-func (l *load) quota(i int, now time.Time) float64 {
-	r := l.cluster
-	plan := []string{"basic", "plus"}[i%2]
-	if !r.changedBy(now) || i%5 != 0 {
-		return rateOf(plan)
+// sendNext sends a member's next request, unless too many are in flight, and returns the time until the one after it.
+// A request that is not sent does not count.
+func (l *load) sendNext(member int, now time.Time) time.Duration {
+	l.lastID++
+	id := fmt.Sprintf("r%07d", l.lastID)
+	q := &request{member: member}
+	q.units = float64(1 + l.rng.IntN(maxUnits))
+	q.atMostOnce = l.rng.IntN(atMostOnceEvery) == 0
+	rate := l.factors[member] * l.quota(member, now) / meanUnits // requests a second
+	interval := time.Duration(l.rng.ExpFloat64() / rate * float64(time.Second))
+	select {
+	case l.slots <- struct{}{}:
+	default:
+		return interval
 	}
-	return rateOf([]string{"plus", "basic"}[i%2])
+	ingress := l.rng.IntN(l.cluster.Ingresses)
+	l.inFlight.Go(func() {
+		defer func() { <-l.slots }()
+		l.send(id, q, ingress)
+	})
+	return interval
 }
 
-func rateOf(plan string) float64 {
-	if plan == "plus" {
-		return plus.Rate
+// quota returns the rate of a member's plan at a time, in units a second.
+func (l *load) quota(member int, now time.Time) float64 {
+	if l.cluster.changedBy(now) && changesPlan(member) {
+		return otherPlan(member).Rate
 	}
-	return basic.Rate
+	return firstPlan(member).Rate
 }
 
-// send asks one of the ingresses.
+// send sends a request to an ingress and records how it ended.
 func (l *load) send(id string, q *request, ingress int) {
-	r := l.cluster
-	l.mu.Lock()
-	addr := r.nodes[ingress].Addr
-	l.mu.Unlock()
-	method, class, body := "GET", "quote-read", ""
-	if q.unsafe {
-		method, class, body = "POST", "summary-send", "a summary"
-	}
-	ask, err := http.NewRequest(method, "http://"+addr+"/api/"+member(q.member), strings.NewReader(body))
-	if err != nil {
-		panic(err) // of our own making
-	}
-	for name, value := range map[string]string{
-		"X-Request-ID": id, "X-Priority-Class": class, "X-Tier": "basic", "X-Timeout": "1.5",
-		"X-Call-Terms": fmt.Sprintf("units=%g,spread=%d,first=0", q.units, r.Ingresses),
-	} {
-		ask.Header.Set(name, value)
-	}
-	q.at = time.Now()
-	answer, err := l.client.Do(ask)
+	message := l.newRequest(id, q, ingress)
+	q.sentAt = time.Now()
+	answer, err := l.client.Do(message)
 	if err == nil {
 		_, err = io.Copy(io.Discard, answer.Body)
 		answer.Body.Close()
 	}
-	q.took = time.Since(q.at)
-	switch {
-	case err != nil:
-		q.outcome = Lost
-	case answer.StatusCode == 200:
-		q.outcome = Served
-	case answer.StatusCode == 503 || answer.StatusCode == 429:
-		q.outcome, q.advice = Refused, answer.Header.Get("Retry-After") != ""
-	case answer.StatusCode == 502 || answer.StatusCode == 504:
-		q.outcome = Failed
-	default:
-		q.outcome = Wrong
+	q.latency = time.Since(q.sentAt)
+	if err != nil {
+		q.outcome = lost
+	} else {
+		q.outcome = outcomeOf(answer.StatusCode)
+		q.retryAfter = q.outcome == rejected && answer.Header.Get("Retry-After") != ""
 	}
 	l.mu.Lock()
-	l.all[id] = q
+	l.requests[id] = q
 	l.mu.Unlock()
 }
+
+// newRequest builds the HTTP request.
+func (l *load) newRequest(id string, q *request, ingress int) *http.Request {
+	method, class, body := http.MethodGet, "quote-read", ""
+	if q.atMostOnce {
+		method, class, body = http.MethodPost, "summary-send", "a summary"
+	}
+	url := "http://" + l.cluster.ingressAddr(ingress) + "/api/" + memberName(q.member)
+	message, err := http.NewRequest(method, url, strings.NewReader(body))
+	if err != nil {
+		panic(err) // the method and the URL are ours
+	}
+	message.Header.Set("X-Request-ID", id)
+	message.Header.Set("X-Priority-Class", class)
+	message.Header.Set("X-Tier", "basic")
+	message.Header.Set("X-Timeout", "1.5")
+	message.Header.Set("X-Call-Terms", fmt.Sprintf("units=%g,spread=%d,first=0", q.units, l.cluster.Ingresses))
+	return message
+}
+
+// outcomeOf returns the outcome of a request that was answered with a status.
+func outcomeOf(status int) outcome {
+	switch status {
+	case http.StatusOK:
+		return served
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
+		return rejected
+	case http.StatusBadGateway, http.StatusGatewayTimeout:
+		return failed
+	}
+	return wrong
+}
--- /dev/null
+++ b/internal/emulator/testcluster/options.go
@@ -0,0 +1,114 @@
+package testcluster
+
+import (
+	"fmt"
+	"io"
+
+	"mulleinrouter/internal/decision"
+)
+
+// Options are the settings of a run.
+type Options struct {
+	Program   string    // path of the program that runs as ingress and as exporter
+	Dir       string    // for configuration, logs and records; empty: a temporary folder that is removed
+	Ingresses int       // at least 1
+	Members   int       // at least 2; half on either plan
+	Seconds   float64   // of load
+	Load      float64   // what members request on average, as a multiple of their quotas
+	Changes   bool      // change plans and book allowance in the middle of the run
+	Kill      bool      // kill an ingress and start it again
+	Crashes   int       // how often an exporter is killed and started again
+	Faults    bool      // quote servers and billing fail now and then
+	Seed      uint64    // of everything that is drawn at random
+	Progress  io.Writer // gets a line for each event; nil: none
+}
+
+func (o *Options) validate() error {
+	if o.Ingresses < 1 || o.Members < 2 || o.Seconds <= 0 || o.Load <= 0 {
+		return ErrInvalidOptions
+	}
+	return nil
+}
+
+// The plans of a run. With three ingresses and requests of at most maxUnits, a quota slice of either has room for some
+// requests in each cycle.
+var (
+	basic = decision.Plan{Name: "basic", Rate: 10, Burst: 20, ValueWeight: 1, ExcessCost: 0.5}
+	plus  = decision.Plan{Name: "plus", Rate: 30, Burst: 60, ValueWeight: 2, ExcessValue: 0.3,
+		LimitRate: 45, LimitBurst: 90, LimitSlack: 9}
+)
+
+// The groups of members that change plans in a run with Options.Changes.
+const (
+	basicToPlus = "basic to plus"
+	plusToBasic = "plus to basic"
+)
+
+const (
+	// firstMember is the number in the name of member 0.
+	firstMember = 0x1000
+
+	// Every so many members, one changes its plan.
+	changeEvery = 5
+
+	// Every so many members, beginning with firstBooked, one books allowance. They are on the plan basic and stay.
+	bookingEvery = 20
+	firstBooked  = 2
+
+	// Of each heavyPeriod members, those from heavyFrom on request heavyFactor times the average.
+	heavyPeriod = 8
+	heavyFrom   = 6
+	heavyFactor = 2
+)
+
+// memberName returns the name of a member by its number.
+func memberName(i int) string { return fmt.Sprintf("%016x", firstMember+i) }
+
+// memberNumber returns the number of a member by its name; negative: no member has it.
+func memberNumber(name string) int {
+	var n int
+	if _, err := fmt.Sscanf(name, "%x", &n); err != nil {
+		return -1
+	}
+	return n - firstMember
+}
+
+// firstPlan returns the plan that a member is on when a run begins.
+func firstPlan(i int) *decision.Plan {
+	if i%2 == 0 {
+		return &basic
+	}
+	return &plus
+}
+
+// otherPlan returns the plan that a member changes to, if it does.
+func otherPlan(i int) *decision.Plan { return firstPlan(i + 1) }
+
+// changesPlan reports whether a member changes its plan in a run with Options.Changes.
+func changesPlan(i int) bool { return i%changeEvery == 0 }
+
+// books reports whether a member books allowance in a run with Options.Changes.
+func books(i int) bool { return i%bookingEvery == firstBooked }
+
+// heavy reports whether a member requests far more than its quota.
+func heavy(i int) bool { return i%heavyPeriod >= heavyFrom }
+
+// groups returns the names of the groups that members are counted in.
+func (o *Options) groups() []string {
+	names := []string{basic.Name, plus.Name}
+	if o.Changes {
+		names = append(names, basicToPlus, plusToBasic)
+	}
+	return names
+}
+
+// groupOf returns the group that a member is counted in: its plan, or the change of its plan.
+func (o *Options) groupOf(i int) string {
+	if !o.Changes || !changesPlan(i) {
+		return firstPlan(i).Name
+	}
+	if firstPlan(i) == &basic {
+		return basicToPlus
+	}
+	return plusToBasic
+}
--- a/internal/emulator/testcluster/process.go
+++ b/internal/emulator/testcluster/process.go
@@ -4,9 +4,9 @@
 	"bufio"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"sync"
@@ -17,24 +17,29 @@
 )
 
 const (
-	readyMost = 20 * time.Second
-	quitMost  = 20 * time.Second
+	// readyTimeout bounds the wait for the log line by which a process says that it is ready.
+	readyTimeout = 20 * time.Second
+
+	// quitTimeout bounds the wait for a process to end after SIGTERM.
+	quitTimeout = 20 * time.Second
 )
 
-// Process is one of the program's that the rig has started.
+// Process is a process of the program. A goroutine of its own copies its log to a file until the process has ended;
+// Kill and Quit wait for that.
 type Process struct {
-	Addr, Mgmt string // it listens at, if its first line tells
+	Addr, Mgmt string // the addresses that it listens at, if its first line has them
 
 	cmd  *exec.Cmd
-	done chan struct{}
-	once sync.Once
+	done chan struct{} // closed once the process has ended and its log is complete
+	kill sync.Once
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards what follows
 	stopped bool
-	waits   map[string]chan string // for a line with a code
+	waiters map[string]chan string // by the code of the log line that they wait for
 }
 
-// Launch starts a process, and waits for a line of its log with a code. The log goes to a file.
+// Launch starts a process and waits for a line of its log with a code. The log is appended to a file. It returns an
+// ExitError or a NotReadyError if there is no such line.
 func Launch(logPath, code, program string, args ...string) (*Process, error) {
 	cmd := exec.Command(program, append([]string{"--log-format", "text"}, args...)...)
 	pipe, err := cmd.StderrPipe()
@@ -49,32 +54,35 @@
 		file.Close()
 		return nil, fmt.Errorf("rig: %w", err)
 	}
-	p := &Process{cmd: cmd, done: make(chan struct{}), waits: map[string]chan string{}}
-	up := p.Await(code)
-	go func() {
-		defer close(p.done)
-		defer file.Close()
-		for lines := bufio.NewScanner(pipe); lines.Scan(); {
-			fmt.Fprintln(file, lines.Text())
-			p.line(lines.Text())
-		}
-		cmd.Wait()
-	}()
+	p := &Process{cmd: cmd, done: make(chan struct{}), waiters: map[string]chan string{}}
+	ready := p.awaitLine(code)
+	go p.copyLog(pipe, file)
 	select {
-	case line := <-up:
-		p.Addr, p.Mgmt = field(line, "listen"), field(line, "mgmt")
+	case line := <-ready:
+		p.Addr, p.Mgmt = logField(line, "listen"), logField(line, "mgmt")
 		return p, nil
 	case <-p.done:
 		text, _ := os.ReadFile(logPath)
-		return nil, fmt.Errorf("rig: %s %s ended at once: %s", filepath.Base(program), strings.Join(args, " "), text)
-	case <-time.After(readyMost):
+		return nil, &ExitError{Program: program, Args: args, Log: text}
+	case <-time.After(readyTimeout):
 		p.Kill()
-		return nil, fmt.Errorf("rig: %s: no line with %s in %v", strings.Join(args, " "), code, readyMost)
+		return nil, &NotReadyError{Args: args, Code: code}
+	}
+}
+
+// copyLog copies the log to a file and notifies waiters, until the process has ended.
+func (p *Process) copyLog(log io.Reader, file *os.File) {
+	defer close(p.done)
+	defer file.Close()
+	for lines := bufio.NewScanner(log); lines.Scan(); {
+		fmt.Fprintln(file, lines.Text())
+		p.notify(lines.Text())
 	}
+	p.cmd.Wait() // the tests look at the log, not at the exit status
 }
 
-// field is a quoted field of a log line.
-func field(line, name string) string {
+// logField returns the value of a field of a log line, without quotes; empty: the line does not have it.
+func logField(line, name string) string {
 	_, rest, _ := strings.Cut(line, " "+name+"=")
 	if inner, ok := strings.CutPrefix(rest, `"`); ok {
 		rest, _, _ = strings.Cut(inner, `"`)
@@ -84,39 +92,37 @@
 	return rest
 }
 
-// Await gives the next line with a code.
-func (p *Process) Await(code string) <-chan string {
+// awaitLine returns a channel that gets the next log line with a code. There is one waiter for a code: the last one.
+func (p *Process) awaitLine(code string) <-chan string {
 	c := make(chan string, 1)
 	p.mu.Lock()
-	p.waits[code] = c
+	p.waiters[code] = c
 	p.mu.Unlock()
 	return c
 }
 
-func (p *Process) line(text string) {
-	_, rest, _ := strings.Cut(text, " code=")
+// notify hands a log line to the waiter for its code.
+func (p *Process) notify(line string) {
+	_, rest, _ := strings.Cut(line, " code=")
 	code, _, _ := strings.Cut(rest, " ")
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c := p.waits[code]; c != nil {
-		delete(p.waits, code)
-		c <- text
+	if c := p.waiters[code]; c != nil {
+		delete(p.waiters, code)
+		c <- line
 	}
 }
 
-// Done is closed once it has ended.
-func (p *Process) Done() <-chan struct{} { return p.done }
-
-// Kill ends it at once, and waits for that.
+// Kill kills the process and waits until it has ended. It may be called more than once, and on nil.
 func (p *Process) Kill() {
 	if p == nil {
 		return
 	}
-	p.once.Do(func() { p.cmd.Process.Kill() })
+	p.kill.Do(func() { p.cmd.Process.Kill() })
 	<-p.done
 }
 
-// Signal sends it a signal.
+// Signal sends a signal. It is no error if the process has ended.
 func (p *Process) Signal(s os.Signal) error {
 	if err := p.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return fmt.Errorf("rig: %w", err)
@@ -124,27 +130,28 @@
 	return nil
 }
 
-// Stop has it stand still; Continue lets it go on.
-func (p *Process) Stop() error { return p.standing(true, syscall.SIGSTOP) }
+// Stop suspends the process until Continue.
+func (p *Process) Stop() error { return p.setStopped(true, syscall.SIGSTOP) }
 
-// Continue lets it go on after Stop.
-func (p *Process) Continue() error { return p.standing(false, syscall.SIGCONT) }
+// Continue resumes the process after Stop.
+func (p *Process) Continue() error { return p.setStopped(false, syscall.SIGCONT) }
 
-func (p *Process) standing(is bool, s os.Signal) error {
+func (p *Process) setStopped(stopped bool, signal os.Signal) error {
 	p.mu.Lock()
-	p.stopped = is
+	p.stopped = stopped
 	p.mu.Unlock()
-	return p.Signal(s)
+	return p.Signal(signal)
 }
 
-// Stopped tells whether it stands still.
+// Stopped reports whether the process is suspended by Stop.
 func (p *Process) Stopped() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stopped
 }
 
-// Fill has its disk be full, or no more: no file of its grows. It is the limit of a file's size, set from outside.
+// Fill simulates a full disk for the process, or ends that: no file of the process grows. It sets the limit of a file's
+// size from outside.
 func (p *Process) Fill(full bool) error {
 	limit := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
 	if full {
@@ -156,35 +163,43 @@
 	return nil
 }
 
-// CPU is the processor time that it has used.
+// The fields of /proc/PID/stat after the name, and their unit (proc(5); the unit is USER_HZ, 100 on Linux).
+const (
+	statUserTime  = 11
+	statFieldsMin = statUserTime + 2 // the system time follows
+	clockTick     = 10 * time.Millisecond
+)
+
+// CPU returns the processor time that the process has used, of user and system.
 func (p *Process) CPU() (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
 		return 0, fmt.Errorf("rig: %w", err)
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // the name before it may hold blanks
-	words := strings.Fields(rest)
-	if len(words) < 13 {
-		return 0, errors.New("rig: no processor time is told")
+	_, rest, _ := strings.Cut(string(text), ") ") // the name before it may contain blanks
+	fields := strings.Fields(rest)
+	if len(fields) < statFieldsMin {
+		return 0, ErrNoProcessorTime
 	}
 	var ticks time.Duration
-	for _, w := range words[11:13] { // utime and stime, in hundredths of a second
-		n, err := strconv.ParseInt(w, 10, 64)
+	for _, field := range fields[statUserTime:statFieldsMin] {
+		n, err := strconv.ParseInt(field, 10, 64)
 		if err != nil {
 			return 0, fmt.Errorf("rig: %w", err)
 		}
 		ticks += time.Duration(n)
 	}
-	return ticks * 10 * time.Millisecond, nil
+	return ticks * clockTick, nil
 }
 
-// Quit ends it as a planned restart does.
+// Quit sends SIGTERM, as a planned restart does, and waits until the process has ended. It returns a
+// NotTerminatedError if it has not within quitTimeout.
 func (p *Process) Quit() error {
 	p.Signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
 		return nil
-	case <-time.After(quitMost):
-		return fmt.Errorf("rig: process %d does not end", p.cmd.Process.Pid)
+	case <-time.After(quitTimeout):
+		return &NotTerminatedError{PID: p.cmd.Process.Pid}
 	}
 }
--- a/internal/standalone/cli/try.go
+++ b/internal/standalone/cli/try.go
@@ -45,7 +45,7 @@
 	defer stop()
 	fmt.Fprintf(p.out, "%d ingresses, 3 stand-in quote servers, discovery, a counter and billing on loopback; "+
 		"%d members for %g s\n", t.Ingresses, t.Members, t.Seconds)
-	report, err := testcluster.Play(ctx, testcluster.Options{
+	report, err := testcluster.Run(ctx, testcluster.Options{
 		Program:   program,
 		Dir:       t.Dir,
 		Ingresses: t.Ingresses,
@@ -64,7 +64,7 @@
 	}
 	fmt.Fprintln(p.out)
 	report.Write(p.out)
-	if !report.Good() {
+	if !report.Passed() {
 		return errRunNotAsPlanned
 	}
 	return nil
