--- a/cmd/emulator/days.go
+++ b/cmd/emulator/days.go
@@ -10,7 +10,7 @@
 	"mulleinrouter/internal/emulator/scenario"
 )
 
-type drawDays struct {
+type daysCommand struct {
 	Dir   string  `arg:"" help:"Folder for the files, one a day." type:"existingdir"`
 	First uint64  `help:"Seed of the first day." default:"1"`
 	Count uint64  `help:"How many days." default:"24"`
@@ -19,15 +19,16 @@
 	Any   bool    `help:"Draw from every kind of trouble, not those of the core alone."`
 }
 
-func (c *drawDays) Run() error {
-	for seed := c.First; seed < c.First+c.Count; seed++ {
-		draw := scenario.Draw
-		if c.Any {
-			draw = scenario.DrawAny
-		}
-		d := draw(seed, c.One, c.Zero)
-		name := filepath.Join(c.Dir, d.Name+".toml")
-		if err := os.WriteFile(name, []byte(d.String()), 0o644); err != nil {
+// Run writes a scenario file for each seed and prints the files' names.
+func (d *daysCommand) Run() error {
+	draw := scenario.Draw
+	if d.Any {
+		draw = scenario.DrawAny
+	}
+	for seed := d.First; seed < d.First+d.Count; seed++ {
+		day := draw(seed, d.One, d.Zero)
+		name := filepath.Join(d.Dir, day.Name+".toml")
+		if err := os.WriteFile(name, []byte(day.String()), 0o644); err != nil {
 			return errors.Wrap(err, "write a day")
 		}
 		fmt.Println(name)
--- a/cmd/emulator/try.go
+++ b/cmd/emulator/try.go
@@ -14,8 +14,16 @@
 	"mulleinrouter/internal/emulator/loopback"
 )
 
-// tryCmd plays the three programs on this box, with stand-ins around them.
-type tryCmd struct {
+const (
+	// trafficDelay is how long after the machines the traffic begins, at least.
+	trafficDelay = 8 * time.Second
+
+	// With --brisk, the machines get less time.
+	briskTrafficDelay      = 3 * time.Second
+	briskHeartbeatInterval = 500 * time.Millisecond
+)
+
+type tryCommand struct {
 	Core   int           `default:"3" help:"Control nodes."`
 	Edge   int           `default:"3" help:"Edge machines, each with a proxy and an agent."`
 	For    time.Duration `default:"30s" help:"How long there is traffic."`
@@ -27,35 +35,28 @@
 	List   bool          `help:"List the faults, and do nothing else."`
 }
 
-func (c *tryCmd) Run(logger log.Logger) error {
-	if c.List {
-		names, help := loopback.Names()
-		for n, name := range names {
-			fmt.Printf("%-14s %s\n", name, help[n])
-		}
+// Run runs the cluster, checks the invariants and prints the report. The folder of the logs stays if that fails.
+func (t *tryCommand) Run(logger log.Logger) error {
+	if t.List {
+		listFaults()
 		return nil
 	}
-	schedule, err := loopback.Schedule(c.Faults, c.For, c.Seed)
+	schedule, err := loopback.Schedule(t.Faults, t.For, t.Seed)
 	if err != nil {
-		return unusable{err}
+		return unusableFileError{err}
 	}
 	dir, err := os.MkdirTemp("", "emulator-try-")
 	if err != nil {
 		return err
 	}
-	o := loopback.Options{Core: c.Core, Edge: c.Edge, For: c.For, Faults: schedule, Seed: c.Seed, Bin: c.Bin, Load: c.Load,
-		Open: 8 * time.Second, Dir: dir}
-	if c.Brisk {
-		o.Open = 3 * time.Second
-		o.Bounds = loopback.FastBounds()
-		o.HeartbeatInterval = 500 * time.Millisecond
-	}
-	for _, x := range schedule {
-		logger.Log("msg", "fault planned", "at", x.At, "name", x.Name, "target", x.Target)
+	for _, fault := range schedule {
+		logger.Log("msg", "fault planned", "at", fault.At, "name", fault.Name, "target", fault.Target)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	report, err := loopback.Play(ctx, o)
+	options := t.options(dir)
+	options.Faults = schedule
+	report, err := loopback.Play(ctx, options)
 	if err != nil {
 		return fmt.Errorf("%w\nlogs are in %s", err, dir)
 	}
@@ -69,3 +70,30 @@
 	}
 	return os.RemoveAll(dir)
 }
+
+// options returns the cluster's options but for the faults.
+func (t *tryCommand) options(dir string) loopback.Options {
+	o := loopback.Options{
+		Core: t.Core,
+		Edge: t.Edge,
+		For:  t.For,
+		Seed: t.Seed,
+		Bin:  t.Bin,
+		Load: t.Load,
+		Open: trafficDelay,
+		Dir:  dir,
+	}
+	if t.Brisk {
+		o.Open = briskTrafficDelay
+		o.Bounds = loopback.FastBounds()
+		o.HeartbeatInterval = briskHeartbeatInterval
+	}
+	return o
+}
+
+func listFaults() {
+	names, help := loopback.Names()
+	for n, name := range names {
+		fmt.Printf("%-14s %s\n", name, help[n])
+	}
+}
