--- /dev/null
+++ b/internal/emulator/faultnet/links.go
@@ -0,0 +1,195 @@
+package faultnet
+
+import (
+	"math/rand/v2"
+	"sync"
+	"time"
+)
+
+// Proto is the protocol that a fault is about.
+type Proto uint8
+
+// The protocols. Both is only for Links.Set.
+const (
+	Datagrams Proto = iota
+	Streams
+	Both
+)
+
+// Any stands for every node in the name of a link.
+const Any = "*"
+
+const (
+	// retransmissionDelay is the delay of a chunk of a stream by the loss of a packet.
+	retransmissionDelay = 200 * time.Millisecond
+	// maxRetransmissions is how often one chunk is retransmitted at most.
+	maxRetransmissions = 8
+	// reorderDelay is the delay of a datagram that others overtake.
+	reorderDelay = 30 * time.Millisecond
+)
+
+// link is one direction between two nodes.
+type link struct {
+	from, to string
+	protocol Proto
+}
+
+// Links is the table of links and their faults. It is safe for concurrent use.
+type Links struct {
+	mu      sync.Mutex // guards the fields below
+	rng     *rand.Rand
+	faults  map[link]Fault
+	changed chan struct{} // closed with the next change of faults
+	counts  map[link]*Count
+}
+
+// Count is what was sent over a link: datagrams and chunks, those that were lost, and bytes.
+type Count struct{ Sent, Lost, Bytes int64 }
+
+// NewLinks returns a table without faults. The seed determines what is lost, and which delays are drawn.
+func NewLinks(seed uint64) *Links {
+	return &Links{
+		rng:     rand.New(rand.NewPCG(seed, 3)),
+		faults:  map[link]Fault{},
+		changed: make(chan struct{}),
+		counts:  map[link]*Count{},
+	}
+}
+
+// Set replaces the fault of a link; the zero Fault heals it. from or to may be Any: the fault of a link by its own name
+// has precedence.
+func (l *Links) Set(from, to string, protocol Proto, fault Fault) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, one := range []Proto{Datagrams, Streams} {
+		if protocol != one && protocol != Both {
+			continue
+		}
+		if fault == (Fault{}) {
+			delete(l.faults, link{from, to, one})
+		} else {
+			l.faults[link{from, to, one}] = fault
+		}
+	}
+	l.notifyChange()
+}
+
+// Heal removes all faults.
+func (l *Links) Heal() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	clear(l.faults)
+	l.notifyChange()
+}
+
+// notifyChange wakes up the streams that wait at a cut link. The mutex is held.
+func (l *Links) notifyChange() {
+	close(l.changed)
+	l.changed = make(chan struct{})
+}
+
+// Total returns the sum over all links.
+func (l *Links) Total() (total Count) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, c := range l.counts {
+		total.Sent += c.Sent
+		total.Lost += c.Lost
+		total.Bytes += c.Bytes
+	}
+	return total
+}
+
+// Datagram sends a datagram over a link, and returns the delay of each copy that arrives; none: it is lost.
+func (l *Links) Datagram(from, to string, size int) (copies []time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	fault := l.fault(link{from, to, Datagrams})
+	count := l.count(link{from, to, Datagrams}, size)
+	if fault.losesAll(size) || l.rng.Float64() < fault.Loss {
+		count.Lost++
+		return nil
+	}
+	copies = append(copies, l.delay(fault))
+	if fault.Double > 0 && l.rng.Float64() < fault.Double {
+		copies = append(copies, l.delay(fault))
+	}
+	return copies
+}
+
+// Transfer sends a chunk of a stream over a link, and returns its delay. If the link is cut, it sends nothing, and
+// returns a channel that is closed when the caller is to try again.
+func (l *Links) Transfer(from, to string, size int) (delay time.Duration, retry <-chan struct{}) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	fault := l.fault(link{from, to, Streams})
+	if fault.Cut {
+		return 0, l.changed
+	}
+	l.count(link{from, to, Streams}, size)
+	delay = l.delay(fault)
+	for n := 0; n < maxRetransmissions && l.rng.Float64() < fault.Loss; n++ {
+		delay += retransmissionDelay
+	}
+	return delay, nil
+}
+
+// fault returns the fault of a link. The mutex is held.
+func (l *Links) fault(of link) Fault {
+	for _, name := range []link{
+		of,
+		{of.from, Any, of.protocol},
+		{Any, of.to, of.protocol},
+		{Any, Any, of.protocol},
+	} {
+		if f, ok := l.faults[name]; ok {
+			return f
+		}
+	}
+	return Fault{}
+}
+
+// delay draws the delay of one datagram or chunk. The mutex is held.
+func (l *Links) delay(f Fault) time.Duration {
+	delay := f.Delay
+	if f.Jitter > 0 {
+		delay += time.Duration(l.rng.Int64N(int64(f.Jitter)))
+	}
+	if f.Reorder > 0 && l.rng.Float64() < f.Reorder {
+		delay += reorderDelay
+	}
+	return delay
+}
+
+// count counts a datagram or chunk, and returns the link's counters. The mutex is held.
+func (l *Links) count(of link, size int) *Count {
+	if l.counts[of] == nil {
+		l.counts[of] = &Count{}
+	}
+	count := l.counts[of]
+	count.Sent++
+	count.Bytes += int64(size)
+	return count
+}
+
+// await transfers a chunk, and returns after its delay; while the link is cut, it waits. It returns false at once when
+// stop receives or is closed.
+func await[T any](l *Links, from, to string, size int, stop <-chan T) bool {
+	for {
+		delay, retry := l.Transfer(from, to, size)
+		if retry == nil && delay == 0 {
+			return true
+		}
+		var arrived <-chan time.Time
+		if retry == nil {
+			arrived = time.After(delay)
+		}
+		select {
+		case <-arrived:
+			return true
+		case <-retry:
+		case <-stop:
+			return false
+		}
+	}
+}
--- a/internal/emulator/faultnet/relay.go
+++ b/internal/emulator/faultnet/relay.go
@@ -1,246 +1,157 @@
 package faultnet
 
 import (
+	"context"
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"sync"
 	"time"
 )
 
 const (
-	chunkSize = 16 << 10
-	dialMost  = 2 * time.Second
+	maxDatagram = 64 << 10 // bytes
+	// portAttempts is how many ports are tried: one that is free for streams may be taken for datagrams.
+	portAttempts = 20
+	// acceptRetryInterval is the pause after an accept that failed, so that an error that stays does not busy the CPU.
+	acceptRetryInterval = 10 * time.Millisecond
 )
 
-// Relay stands before one end: what others say to the end comes here first, datagrams and streams at one port, and
-// goes on as the links between caller and end allow.
+// Relay is a proxy before one node: datagrams and streams to the node arrive at the relay, on one port, and are
+// forwarded as the links between caller and node allow.
 type Relay struct {
-	to     string
-	links  *Links
-	caller func(net.Addr) string // who calls, by the address that the call comes from
-
-	streams net.Listener
-	packets net.PacketConn // nil: streams alone
-	mu      sync.Mutex
-	target  string // where the end listens; empty: nowhere
-	as      net.IP // streams go on from this address; nil: any
-	open    map[net.Conn]bool
-	done    chan struct{} // closed with the relay
-	once    sync.Once
+	node     string
+	links    *Links
+	caller   func(net.Addr) string // returns the node that an address belongs to
+	listener net.Listener
+	packets  net.PacketConn // nil: it forwards streams alone
+
+	cancel     context.CancelFunc // ends the forwarding
+	forwarders sync.WaitGroup
+
+	mu       sync.Mutex // guards the fields below
+	target   string     // address of the node; "": it is not listening
+	sourceIP net.IP     // of the streams to the node; nil: any
+	conns    map[net.Conn]bool
+	closed   bool
 }
 
-// NewRelay listens on loopback for an end. caller tells who calls by source address.
-func NewRelay(to string, links *Links, datagrams bool, caller func(net.Addr) string) (*Relay, error) {
-	r := &Relay{to: to, links: links, caller: caller, open: map[net.Conn]bool{}, done: make(chan struct{})}
-	for range 20 { // the port drawn for streams may be taken for datagrams
-		l, err := net.Listen("tcp4", "127.0.0.1:0")
+// NewRelay listens on loopback for a node, and forwards nothing before Target. caller returns the name of the node that
+// an address belongs to; several goroutines call it. The error is ErrNoPort or one of package net.
+func NewRelay(node string, links *Links, datagrams bool, caller func(net.Addr) string) (*Relay, error) {
+	r := &Relay{node: node, links: links, caller: caller, conns: map[net.Conn]bool{}}
+	if err := r.listen(datagrams); err != nil {
+		return nil, err
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	r.cancel = cancel
+	r.forwarders.Go(func() { r.acceptStreams(ctx) })
+	if datagrams {
+		r.forwarders.Go(r.receiveDatagrams)
+	}
+	return r, nil
+}
+
+func (r *Relay) listen(datagrams bool) error {
+	for range portAttempts {
+		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
-			return nil, fmt.Errorf("faultnet: %w", err)
+			return fmt.Errorf("faultnet: %w", err)
 		}
-		r.streams = l
 		if !datagrams {
-			break
+			r.listener = listener
+			return nil
 		}
-		if r.packets, err = net.ListenPacket("udp4", l.Addr().String()); err == nil {
-			break
+		packets, err := net.ListenPacket("udp4", listener.Addr().String())
+		if err == nil {
+			r.listener, r.packets = listener, packets
+			return nil
 		}
-		l.Close()
-	}
-	if datagrams && r.packets == nil {
-		return nil, errors.New("faultnet: no port is free for datagrams and streams")
-	}
-	go r.accept()
-	if datagrams {
-		go r.receive()
+		listener.Close()
 	}
-	return r, nil
+	return ErrNoPort
 }
 
-// Addr is where others reach the end.
-func (r *Relay) Addr() string { return r.streams.Addr().String() }
+// Addr returns the address at which others reach the node.
+func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Target tells where the end listens from now on.
+// Target sets the address at which the node listens from now on; "": it does not.
 func (r *Relay) Target(addr string) {
 	r.mu.Lock()
+	defer r.mu.Unlock()
 	r.target = addr
-	r.mu.Unlock()
 }
 
-// As has streams go on from an address, as the caller's own: ends may go by it.
+// As sets the IP address from which streams are forwarded, for nodes that tell callers apart by it.
 func (r *Relay) As(ip string) {
 	r.mu.Lock()
-	r.as = net.ParseIP(ip)
-	r.mu.Unlock()
+	defer r.mu.Unlock()
+	r.sourceIP = net.ParseIP(ip)
 }
 
-// Drop ends the streams that go over it now: their end has gone.
+// Drop closes all open streams, as if their node had gone down.
 func (r *Relay) Drop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for c := range r.open {
-		c.Close()
-	}
+	r.closeStreams()
 }
 
-// Close ends all that goes over it.
+// Close closes all open streams, and waits until nothing is forwarded any more.
 func (r *Relay) Close() {
-	r.streams.Close()
+	r.cancel()
+	r.listener.Close()
 	if r.packets != nil {
 		r.packets.Close()
 	}
 	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.once.Do(func() { close(r.done) })
-	for c := range r.open {
-		c.Close()
+	r.closed = true
+	r.closeStreams()
+	r.mu.Unlock()
+	r.forwarders.Wait()
+}
+
+// closeStreams closes the connections of all streams. The mutex is held.
+func (r *Relay) closeStreams() {
+	for conn := range r.conns {
+		conn.Close()
 	}
 }
 
-func (r *Relay) receive() {
-	buf := make([]byte, 64<<10)
+// receiveDatagrams forwards datagrams until the relay closes. Those that are still delayed then are lost.
+func (r *Relay) receiveDatagrams() {
+	buffer := make([]byte, maxDatagram)
 	for {
-		n, from, err := r.packets.ReadFrom(buf)
+		n, from, err := r.packets.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // the end of a call before may be told as an error of the next read
+			continue // the system may report that an earlier datagram was not received as an error of the next read
 		}
-		packet := append([]byte(nil), buf[:n]...)
-		for _, delay := range r.links.Datagram(r.caller(from), r.to, n) {
+		datagram := append([]byte(nil), buffer[:n]...)
+		for _, delay := range r.links.Datagram(r.caller(from), r.node, n) {
 			if delay == 0 {
-				r.pass(packet)
+				r.forwardDatagram(datagram)
 				continue
 			}
-			time.AfterFunc(delay, func() { r.pass(packet) })
-		}
-	}
-}
-
-func (r *Relay) pass(packet []byte) {
-	r.mu.Lock()
-	target := r.target
-	r.mu.Unlock()
-	if a, err := net.ResolveUDPAddr("udp4", target); err == nil && target != "" {
-		r.packets.WriteTo(packet, a)
-	}
-}
-
-func (r *Relay) accept() {
-	for {
-		c, err := r.streams.Accept()
-		if errors.Is(err, net.ErrClosed) {
-			return
+			time.AfterFunc(delay, func() { r.forwardDatagram(datagram) })
 		}
-		if err != nil {
-			time.Sleep(10 * time.Millisecond) // guards against spinning on an error that stays
-			continue
-		}
-		go r.carry(c)
-	}
-}
-
-func (r *Relay) keep(c net.Conn) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	select {
-	case <-r.done:
-		c.Close()
-		return false
-	default:
 	}
-	r.open[c] = true
-	return true
 }
 
-func (r *Relay) drop(c net.Conn) {
-	c.Close()
-	r.mu.Lock()
-	delete(r.open, c)
-	r.mu.Unlock()
-}
-
-// carry is the life of one stream. Where the link is cut, it is open and carries nothing.
-func (r *Relay) carry(c net.Conn) {
-	if !r.keep(c) {
-		return
-	}
-	defer r.drop(c)
-	from := r.caller(c.RemoteAddr())
-	r.mu.Lock()
-	target, as := r.target, r.as
-	r.mu.Unlock()
+func (r *Relay) forwardDatagram(datagram []byte) {
+	target, _ := r.destination()
 	if target == "" {
 		return
 	}
-	if !r.wait(from, r.to, 0) { // a handshake needs both ways
-		return
-	}
-	if !r.wait(r.to, from, 0) {
-		return
-	}
-	d := net.Dialer{Timeout: dialMost}
-	if as != nil {
-		d.LocalAddr = &net.TCPAddr{IP: as}
-	}
-	out, err := d.Dial("tcp4", target)
-	if err != nil || !r.keep(out) {
-		return
-	}
-	defer r.drop(out)
-	done := make(chan struct{}, 2)
-	one := func(from, to string, in, out net.Conn) {
-		r.copy(from, to, in, out)
-		done <- struct{}{}
-	}
-	go one(from, r.to, c, out)
-	go one(r.to, from, out, c)
-	<-done
-	<-done
-}
-
-// wait holds a piece of a stream until its link carries something; false: the relay ended. That a caller gave up
-// meanwhile is seen once the link carries again, as on a real one.
-func (r *Relay) wait(from, to string, size int) bool {
-	for {
-		delay, wait := r.links.Transfer(from, to, size)
-		if wait == nil {
-			time.Sleep(delay)
-			return true
-		}
-		select {
-		case <-wait:
-		case <-r.done:
-			return false
-		}
+	if addr, err := net.ResolveUDPAddr("udp4", target); err == nil {
+		r.packets.WriteTo(datagram, addr)
 	}
 }
 
-// copy carries one way of a stream.
-func (r *Relay) copy(from, to string, in, out net.Conn) {
-	buf := make([]byte, chunkSize)
-	for {
-		n, err := in.Read(buf)
-		if n > 0 {
-			if !r.wait(from, to, n) {
-				return
-			}
-			if _, werr := out.Write(buf[:n]); werr != nil {
-				in.Close()
-				return
-			}
-		}
-		if errors.Is(err, io.EOF) {
-			if t, ok := out.(*net.TCPConn); ok {
-				t.CloseWrite()
-			}
-			return
-		}
-		if err != nil {
-			out.Close()
-			return
-		}
-	}
+// destination returns the address of the node, and the IP address from which streams to it are to come.
+func (r *Relay) destination() (target string, sourceIP net.IP) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.target, r.sourceIP
 }
