--- /dev/null
+++ b/internal/emulator/scenario/day.go
@@ -0,0 +1,64 @@
+package scenario
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// Seconds are counted from the start of traffic.
+type Seconds = float64
+
+// Fault is one entry of a day: a fault, or planned work.
+type Fault struct {
+	At     Seconds
+	Kind   string
+	Fields []string // each a TOML assignment: name = value
+}
+
+func (f Fault) String() string {
+	fields := strings.Join(append([]string{""}, f.Fields...), ", ")
+	return fmt.Sprintf("  { at = %.2f, kind = %q%s },", f.At, f.Kind, fields)
+}
+
+// Day is the content of a day's file. Its traffic is that of the deployment.
+type Day struct {
+	Name    string
+	Seed    uint64
+	One     float64 // value less price that scores 1
+	Zero    float64 // value less price that scores 0
+	Closing string  // the last fault, as a TOML table; "": none
+	Plan    []Fault // planned work
+	Faults  []Fault
+}
+
+// String returns the day's file, in TOML.
+func (d Day) String() string {
+	var file strings.Builder
+	fmt.Fprintf(&file, "name = %q\n", d.Name)
+	fmt.Fprintf(&file, "slot = \"trouble\"\n")
+	fmt.Fprintf(&file, "seed = %d\n", d.Seed)
+	fmt.Fprintf(&file, "one = %g\n", d.One)
+	fmt.Fprintf(&file, "zero = %g\n", d.Zero)
+	if d.Closing != "" {
+		fmt.Fprintf(&file, "closing = %s\n", d.Closing)
+	}
+	writeFaults(&file, "plan", d.Plan)
+	writeFaults(&file, "faults", d.Faults)
+	return file.String()
+}
+
+func writeFaults(file *strings.Builder, name string, faults []Fault) {
+	fmt.Fprintf(file, "%s = [\n", name)
+	for _, fault := range faults {
+		fmt.Fprintln(file, fault)
+	}
+	fmt.Fprintln(file, "]")
+}
+
+// sortByTime sorts a day's entries by their time in milliseconds; those of the same one keep their order.
+func sortByTime(faults []Fault) {
+	slices.SortStableFunc(faults, func(a, b Fault) int { return milliseconds(a.At) - milliseconds(b.At) })
+}
+
+func milliseconds(s Seconds) int { return int(1000 * s) }
