--- a/internal/standalone/counterclient/client_test.go
+++ b/internal/standalone/counterclient/client_test.go
@@ -10,10 +10,9 @@
 	"testing"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/emulator/exchange"
+	"mulleinrouter/internal/standalone/logtest"
 )
 
 // outcomeNames are the outcomes in the scripts of testdata.
@@ -26,13 +25,6 @@
 	decision.ConnectionRefused: "refused",
 }
 
-// discardLog returns a logger that writes nowhere.
-func discardLog() *logrus.Logger {
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	return log
-}
-
 // TestExchanges plays the calls and replies of one pipeline.
 func TestExchanges(t *testing.T) {
 	exchange.Each(t, "testdata/*.txt", func(t *testing.T, script string) {
@@ -41,7 +33,7 @@
 		onReply := func(name string, outcome decision.Outcome, total float64) {
 			replies <- fmt.Sprintf("%s %s %v", name, outcomeNames[outcome], total)
 		}
-		c := newClient(p.Addr("counter"), time.Minute, onReply, discardLog(), 1)
+		c := newClient(p.Addr("counter"), time.Minute, onReply, logtest.Discard(), 1)
 		defer c.Close()
 		pipe := c.pipelines[0]
 		p.Hooks["run"] = func(string) string {
@@ -105,7 +97,7 @@
 	}
 	defer l.Close()
 	onReply := func(string, decision.Outcome, float64) {}
-	c := newClient(l.Addr().String(), time.Minute, onReply, discardLog(), 1)
+	c := newClient(l.Addr().String(), time.Minute, onReply, logtest.Discard(), 1)
 	defer c.Close()
 	go c.pipelines[0].run()
 	begun := time.Now()
--- a/internal/standalone/discovery/discovery_test.go
+++ b/internal/standalone/discovery/discovery_test.go
@@ -4,24 +4,15 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"strings"
 	"testing"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/emulator/exchange"
+	"mulleinrouter/internal/standalone/logtest"
 )
 
-// discardLog returns a logger that writes nowhere.
-func discardLog() *logrus.Logger {
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	return log
-}
-
 // TestExchanges plays discovery's side: the updates that the decision module gets, and what the directory then holds.
 func TestExchanges(t *testing.T) {
 	exchange.Each(t, "testdata/*.txt", func(t *testing.T, script string) {
@@ -30,7 +21,7 @@
 		w := &Watcher{
 			Addr:         p.Addr("discovery"),
 			Directory:    &Directory{},
-			Log:          discardLog(),
+			Log:          logtest.Discard(),
 			OnUpdate:     func(b decision.Backends) { updates <- b },
 			replyTimeout: time.Minute,
 			watchTimeout: time.Minute,
@@ -75,7 +66,7 @@
 // as far as they have a meaning.
 func TestUnusualLists(t *testing.T) {
 	updates := 0
-	w := &Watcher{Directory: &Directory{}, Log: discardLog(), OnUpdate: func(decision.Backends) { updates++ }}
+	w := &Watcher{Directory: &Directory{}, Log: logtest.Discard(), OnUpdate: func(decision.Backends) { updates++ }}
 	const active = `{"uid":"s-1","endpoint":"h:1","state":"active"}`
 	hundreds := make([]string, 600)
 	for i := range hundreds {
--- a/internal/standalone/discovery/fuzz_test.go
+++ b/internal/standalone/discovery/fuzz_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/standalone/logtest"
 )
 
 // FuzzLists: whatever comes as a list, a malformed one changes nothing, only active servers are sent requests, and
@@ -23,7 +24,7 @@
 	} {
 		f.Add([]byte(s), []byte(s))
 	}
-	log := discardLog()
+	log := logtest.Discard()
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		g := decision.New(decision.Settings{
 			Gateways: 80, SlowStartTime: 18, SlowStartShare: 0.2, MaxAttempts: 4,
--- a/internal/standalone/discovery/watcher_test.go
+++ b/internal/standalone/discovery/watcher_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/standalone/logtest"
 )
 
 // TestRestoredListIsWatchedAtOnce: an ingress of a large fleet that starts with a list from before opens its watch
@@ -22,7 +23,7 @@
 		w := &Watcher{
 			Addr:         "discovery:1",
 			Directory:    &Directory{},
-			Log:          discardLog(),
+			Log:          logtest.Discard(),
 			FleetSize:    300,
 			Seed:         7,
 			OnUpdate:     func(decision.Backends) {},
@@ -116,7 +117,7 @@
 			w := &Watcher{
 				Addr:      "discovery:1",
 				Directory: &Directory{},
-				Log:       discardLog(),
+				Log:       logtest.Discard(),
 				FleetSize: 300,
 				Seed:      seed,
 				dial: func(context.Context, string, string) (net.Conn, error) {
--- a/internal/standalone/fleet/leaseservice/encoding_test.go
+++ b/internal/standalone/fleet/leaseservice/encoding_test.go
@@ -1,16 +1,13 @@
 package leaseservice
 
 import (
-	"bytes"
-	"os"
 	"path/filepath"
-	"reflect"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
-	"github.com/google/go-cmp/cmp"
 
 	"mulleinrouter/internal/standalone/fleet/revisionlog"
+	"mulleinrouter/internal/standalone/goldentest"
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
@@ -66,24 +63,7 @@
 			if filepath.Ext(test.file) == ".json" {
 				encode, decode = jsontext.Encode, jsontext.Decode
 			}
-			landed, err := os.ReadFile(filepath.Join("testdata", "landed", test.file))
-			if err != nil {
-				t.Fatal(err)
-			}
-			written, err := encode(test.value)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if !bytes.Equal(written, landed) {
-				t.Errorf("encoded %q, want %q", written, landed)
-			}
-			decoded := reflect.New(reflect.TypeOf(test.value))
-			if err := decode(landed, decoded.Interface()); err != nil {
-				t.Fatal(err)
-			}
-			if diff := cmp.Diff(test.value, decoded.Elem().Interface()); diff != "" {
-				t.Errorf("decoded (-want +got):\n%s", diff)
-			}
+			goldentest.CheckEncoding(t, "landed/"+test.file, test.value, encode, decode)
 		})
 	}
 }
--- a/internal/standalone/fleet/quorum/bootstrap.go
+++ b/internal/standalone/fleet/quorum/bootstrap.go
@@ -7,6 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 	pb "go.etcd.io/raft/v3/raftpb"
 
+	"mulleinrouter/internal/mutants"
 	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
@@ -43,7 +44,7 @@
 			confirmed++
 		}
 	}
-	if 2*confirmed > len(voters) || mutated("vote-untold") {
+	if 2*confirmed > len(voters) || mutants.On("quorum/vote-untold") {
 		v.state, v.output.Changed = Voting, true
 	}
 }
--- a/internal/standalone/fleet/quorum/doc.go
+++ b/internal/standalone/fleet/quorum/doc.go
@@ -9,6 +9,6 @@
 // added again. A voter whose store was rolled back to an older copy learns so from the others' progress and retires.
 //
 // The package imports raft, CBOR and package singleton, whose table it replicates. Package boltstore implements
-// Store. Tests: simulated fleets with faults (sim_test.go), load with real stores (load_test.go) and the format of
-// messages (encoding_test.go); builds with the tag mutants seed faults.
+// Store. Tests: simulated fleets with faults (simulation_test.go), load with real stores (load_test.go) and the format
+// of messages (encoding_test.go); builds with the tag mutants seed faults, see package mutants.
 package quorum
--- a/internal/standalone/fleet/quorum/encoding_test.go
+++ b/internal/standalone/fleet/quorum/encoding_test.go
@@ -1,16 +1,12 @@
 package quorum
 
 import (
-	"bytes"
-	"os"
-	"path/filepath"
-	"reflect"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
-	"github.com/google/go-cmp/cmp"
 
 	"mulleinrouter/internal/standalone/fleet/singleton"
+	"mulleinrouter/internal/standalone/goldentest"
 )
 
 // TestEncodingOfLandedVersion holds the format of messages between voters and of snapshots still: the files under
@@ -39,24 +35,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.file, func(t *testing.T) {
-			landed, err := os.ReadFile(filepath.Join("testdata", "landed", test.file+".cbor"))
-			if err != nil {
-				t.Fatal(err)
-			}
-			written, err := cbor.Marshal(test.value)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if !bytes.Equal(written, landed) {
-				t.Errorf("encoded %x, want %x", written, landed)
-			}
-			decoded := reflect.New(reflect.TypeOf(test.value))
-			if err := strictDecoding.Unmarshal(landed, decoded.Interface()); err != nil {
-				t.Fatal(err)
-			}
-			if diff := cmp.Diff(test.value, decoded.Elem().Interface()); diff != "" {
-				t.Errorf("decoded (-want +got):\n%s", diff)
-			}
+			goldentest.CheckEncoding(t, "landed/"+test.file+".cbor", test.value, cbor.Marshal, strictDecoding.Unmarshal)
 		})
 	}
 }
--- a/internal/standalone/fleet/quorum/mutants_test.go
+++ b/internal/standalone/fleet/quorum/mutants_test.go
@@ -6,37 +6,36 @@
 	"testing"
 	"testing/cryptotest"
 
-	"mulleinrouter/internal/standalone/fleet/singleton"
+	"mulleinrouter/internal/mutants"
 )
 
 // Simulations find every fault that is seeded in the voters, in package singleton or in the receiver of effects, and
 // none without.
 func TestMutants(t *testing.T) {
-	defer func() { Mutant, singleton.Mutant = "", "" }()
 	const seeds, seedsWithoutFault = 100, 20
 	tests := []struct {
-		variable *string
-		mutant   string
+		pkg   string
+		fault string
 	}{
-		{&Mutant, ""},
-		{&Mutant, "unfenced"},
-		{&Mutant, "vote-unkept"},
-		{&Mutant, "entries-unkept"},
-		{&singleton.Mutant, "token-again"},
-		{&singleton.Mutant, "leader-forgets"},
-		{&singleton.Mutant, "renewal-unagreed"},
-		{&singleton.Mutant, "expires-early"},
-		{&singleton.Mutant, "expires-unseen"},
-		{&singleton.Mutant, "acts-on"},
+		{"", ""},
+		{"quorum", "unfenced"},
+		{"quorum", "vote-unkept"},
+		{"quorum", "entries-unkept"},
+		{"singleton", "token-again"},
+		{"singleton", "leader-forgets"},
+		{"singleton", "renewal-unagreed"},
+		{"singleton", "expires-early"},
+		{"singleton", "expires-unseen"},
+		{"singleton", "acts-on"},
 	}
 	for _, test := range tests {
-		t.Run(test.mutant, func(t *testing.T) {
+		t.Run(test.fault, func(t *testing.T) {
 			cryptotest.SetGlobalRandom(t, 1)
-			*test.variable = test.mutant
-			defer func() { *test.variable = "" }()
 			maxSeeds, found := uint64(seeds), ""
-			if test.mutant == "" {
+			if test.fault == "" {
 				maxSeeds = seedsWithoutFault
+			} else {
+				mutants.Seed(t, test.pkg+"/"+test.fault)
 			}
 			seed := uint64(0)
 			for ; seed < maxSeeds && found == ""; seed++ {
@@ -44,7 +43,7 @@
 					found = s.problems[0]
 				}
 			}
-			if (found == "") != (test.mutant == "") {
+			if (found == "") != (test.fault == "") {
 				t.Errorf("%d runs found %q", seed, found)
 			}
 			t.Logf("seed %d: %s", seed-1, found)
@@ -53,9 +52,9 @@
 }
 
 func TestRolledBackStoreMutant(t *testing.T) {
-	defer func() { Mutant = "" }()
 	cryptotest.SetGlobalRandom(t, 1)
-	if Mutant = "gone-back-votes"; checkRolledBackStore() == nil {
+	mutants.Seed(t, "quorum/gone-back-votes")
+	if checkRolledBackStore() == nil {
 		t.Error("mutant gone-back-votes was not found")
 	}
 }
--- a/internal/standalone/fleet/quorum/ready.go
+++ b/internal/standalone/fleet/quorum/ready.go
@@ -8,6 +8,7 @@
 	"go.etcd.io/raft/v3/tracker"
 	"google.golang.org/protobuf/proto"
 
+	"mulleinrouter/internal/mutants"
 	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
@@ -85,10 +86,10 @@
 // the store is unknown, and the voter retires.
 func (v *Voter) save(b Batch) bool {
 	b.Peers = v.durable.Peers
-	if mutated("vote-unkept") {
+	if mutants.On("quorum/vote-unkept") {
 		b.HardState = nil
 	}
-	if mutated("entries-unkept") {
+	if mutants.On("quorum/entries-unkept") {
 		b.Entries = nil
 	}
 	err := v.store.Save(b)
--- a/internal/standalone/fleet/quorum/receive.go
+++ b/internal/standalone/fleet/quorum/receive.go
@@ -7,6 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
+
+	"mulleinrouter/internal/mutants"
 )
 
 // send adds a message to the output.
@@ -80,7 +82,7 @@
 	}
 	last, _ := v.raftStorage.LastIndex()
 	rolledBack := e.Progress.Index > last || e.Progress.Boot > v.durable.Boot
-	if rolledBack && !mutated("gone-back-votes") {
+	if rolledBack && !mutants.On("quorum/gone-back-votes") {
 		v.retire(fmt.Sprintf("its store was rolled back: %s saw it at entry %d of boot %d, it is at entry %d of boot %d",
 			e.Name, e.Progress.Index, e.Progress.Boot, last, v.durable.Boot))
 		return
--- a/internal/standalone/fleet/quorum/simulation_test.go
+++ b/internal/standalone/fleet/quorum/simulation_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/anishathalye/porcupine"
 
+	"mulleinrouter/internal/mutants"
 	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
@@ -305,7 +306,7 @@
 
 // receiveEffect is the service that receives the role's effects: it rejects older tokens.
 func (s *simulation) receiveEffect(token uint64) {
-	if token < s.acceptedToken && !mutated("unfenced") {
+	if token < s.acceptedToken && !mutants.On("quorum/unfenced") {
 		s.rejected++
 		return
 	}
--- a/internal/standalone/fleet/revisionlog/announcer.go
+++ b/internal/standalone/fleet/revisionlog/announcer.go
@@ -1,5 +1,7 @@
 package revisionlog
 
+import "mulleinrouter/internal/mutants"
+
 // peer is what a lease holder knows of another ingress.
 type peer struct {
 	entries     map[uint64]Entry // of its last inventory; nil: none was received
@@ -9,7 +11,7 @@
 
 // leaseGained starts a new lease holder: it gathers the inventories of its peers before it announces anything.
 func (l *Log) leaseGained(now Seconds, token uint64) []Action {
-	l.token, l.gainedAt, l.gathered = token, now, mutated("ungathered")
+	l.token, l.gainedAt, l.gathered = token, now, mutants.On("revisionlog/ungathered")
 	clear(l.peers)
 	if l.lastToken >= token {
 		return nil
@@ -85,7 +87,7 @@
 		present, known := l.entries[e.Number]
 		switch {
 		case known && present.Digest == e.Digest:
-		case known && !mutated("number-again") || !known && !l.fits(e.Number):
+		case known && !mutants.On("revisionlog/number-again") || !known && !l.fits(e.Number):
 			reject := Message{Kind: Reject, Token: l.token, Entries: []Entry{e.withoutText()}}
 			actions = append(actions, Send{from, reject})
 		case l.gathered && e.validText():
--- a/internal/standalone/fleet/revisionlog/doc.go
+++ b/internal/standalone/fleet/revisionlog/doc.go
@@ -7,6 +7,6 @@
 //
 // Log is the state of one ingress, with and without the lease. It does no I/O, reads no clock and starts no
 // goroutine: Step takes an event and the time and returns actions; package leaseservice owns a Log and executes them.
-// The package imports the standard library alone. Its tests are here: simulated fleets and a dialogue; builds with
-// the tag mutants seed faults.
+// Beside the standard library the package imports package mutants alone. Its tests are here: simulated fleets and a
+// dialogue; builds with the tag mutants seed faults, see package mutants.
 package revisionlog
--- a/internal/standalone/fleet/revisionlog/mutants_test.go
+++ b/internal/standalone/fleet/revisionlog/mutants_test.go
@@ -2,22 +2,29 @@
 
 package revisionlog
 
-import "testing"
+import (
+	"testing"
+
+	"mulleinrouter/internal/mutants"
+)
 
 // Simulations, or the dialogue, find each seeded fault.
 func TestMutants(t *testing.T) {
-	defer func() { Mutant = "" }()
-	for _, Mutant = range []string{"older-taken", "unkept-confirmed", "number-again", "ungathered"} {
-		found := ""
-		if err := checkSuccession(); err != nil {
-			found = err.Error()
-		}
-		for seed := uint64(0); seed < 300 && found == ""; seed++ {
-			found = simulate(seed)
-		}
-		if found == "" {
-			t.Errorf("mutant %s was not found", Mutant)
-		}
-		t.Logf("%s: %s", Mutant, found)
+	const seeds = 300
+	for _, fault := range []string{"older-taken", "unkept-confirmed", "number-again", "ungathered"} {
+		t.Run(fault, func(t *testing.T) {
+			mutants.Seed(t, "revisionlog/"+fault)
+			found := ""
+			if err := checkSuccession(); err != nil {
+				found = err.Error()
+			}
+			for seed := uint64(0); seed < seeds && found == ""; seed++ {
+				found = simulate(seed)
+			}
+			if found == "" {
+				t.Error("the fault is not found: a property is missing")
+			}
+			t.Log(found)
+		})
 	}
 }
--- a/internal/standalone/fleet/revisionlog/subscriber.go
+++ b/internal/standalone/fleet/revisionlog/subscriber.go
@@ -1,5 +1,7 @@
 package revisionlog
 
+import "mulleinrouter/internal/mutants"
+
 // messageReceived handles a message of another ingress.
 func (l *Log) messageReceived(now Seconds, from string, m Message) []Action {
 	if len(m.Entries) > MaxEntries {
@@ -21,7 +23,7 @@
 // leaseHolderMessage handles a message of the lease holder. One whose token is older has lost the lease without
 // knowing: the response tells it the newer token.
 func (l *Log) leaseHolderMessage(from string, m Message) (actions []Action) {
-	if m.Token < l.lastToken && !mutated("older-taken") {
+	if m.Token < l.lastToken && !mutants.On("revisionlog/older-taken") {
 		l.rejected++
 		return []Action{Send{from, Message{Kind: Inventory, Token: l.lastToken}}}
 	}
@@ -79,7 +81,7 @@
 // inventory lists the entries on disk. It confirms them: the lease holder does not send them again.
 func (l *Log) inventory(to string) Action {
 	listed := l.stored
-	if mutated("unkept-confirmed") {
+	if mutants.On("revisionlog/unkept-confirmed") {
 		listed = l.entries
 	}
 	var entries []Entry
--- a/internal/standalone/fleet/singleton/doc.go
+++ b/internal/standalone/fleet/singleton/doc.go
@@ -7,9 +7,10 @@
 // one; the lease only keeps rejections rare.
 //
 // The package does no I/O, reads no clock and starts no goroutine: its users step it with events, and carry out the
-// actions that it returns. None of its types is safe for concurrent use. It imports the standard library alone.
-// Package quorum replicates the table and drives the manager, package leaseservice drives the holder.
+// actions that it returns. None of its types is safe for concurrent use. Beside the standard library it imports
+// package mutants alone. Package quorum replicates the table and drives the manager, package leaseservice drives the
+// holder.
 //
 // Its tests are here (tables and short dialogues) and in package quorum (simulated fleets with faults). Builds with
-// the tag mutants seed faults, see Mutant.
+// the tag mutants seed faults, see package mutants.
 package singleton
--- a/internal/standalone/fleet/singleton/encoding_test.go
+++ b/internal/standalone/fleet/singleton/encoding_test.go
@@ -1,14 +1,11 @@
 package singleton
 
 import (
-	"bytes"
-	"os"
-	"path/filepath"
-	"reflect"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
-	"github.com/google/go-cmp/cmp"
+
+	"mulleinrouter/internal/standalone/goldentest"
 )
 
 // TestEncodingOfLandedVersion holds the wire and disk formats still: the files under testdata/landed were written by
@@ -42,24 +39,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.file, func(t *testing.T) {
-			landed, err := os.ReadFile(filepath.Join("testdata", "landed", test.file+".cbor"))
-			if err != nil {
-				t.Fatal(err)
-			}
-			written, err := cbor.Marshal(test.value)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if !bytes.Equal(written, landed) {
-				t.Errorf("encoded %x, want %x", written, landed)
-			}
-			decoded := reflect.New(reflect.TypeOf(test.value))
-			if err := cbor.Unmarshal(landed, decoded.Interface()); err != nil {
-				t.Fatal(err)
-			}
-			if diff := cmp.Diff(test.value, decoded.Elem().Interface()); diff != "" {
-				t.Errorf("decoded (-want +got):\n%s", diff)
-			}
+			goldentest.CheckEncoding(t, "landed/"+test.file+".cbor", test.value, cbor.Marshal, cbor.Unmarshal)
 		})
 	}
 }
--- a/internal/standalone/fleet/singleton/lease_holder.go
+++ b/internal/standalone/fleet/singleton/lease_holder.go
@@ -3,6 +3,8 @@
 import (
 	"maps"
 	"slices"
+
+	"mulleinrouter/internal/mutants"
 )
 
 // LeaseHolderEvent is an event of the LeaseHolder.
@@ -103,7 +105,7 @@
 	if lease == nil || lease.token == 0 || !lease.acting {
 		return 0, false
 	}
-	if now >= lease.expiresAt-SafetyMargin && !mutated("acts-on") {
+	if now >= lease.expiresAt-SafetyMargin && !mutants.On("singleton/acts-on") {
 		return 0, false
 	}
 	return lease.token, true
@@ -165,7 +167,7 @@
 // stallDetected ends all leases. Responses to requests that were sent before the pause may still arrive and are
 // ignored.
 func (lh *LeaseHolder) stallDetected(now Seconds) {
-	if mutated("woken-acts") {
+	if mutants.On("singleton/woken-acts") {
 		return
 	}
 	clear(lh.requestSentAt)
@@ -182,7 +184,7 @@
 		return nil // answered already, or sent before a pause of this process
 	}
 	delete(lh.requestSentAt, r.ID)
-	if mutated("lease-from-answer") {
+	if mutants.On("singleton/lease-from-answer") {
 		sentAt = now
 	}
 	for _, status := range r.Grants {
@@ -203,7 +205,7 @@
 		lease.token, lease.expiresAt = status.Token, 0
 		lh.nextRequestAt = now
 		return nil
-	case status.IsHolder && mutated("grant-is-lease") && status.Token > lease.token:
+	case status.IsHolder && mutants.On("singleton/grant-is-lease") && status.Token > lease.token:
 		lease.token, lease.expiresAt, lease.acting = status.Token, sentAt+LeaseDuration, true
 		return []LeaseHolderAction{LeaseGained{status.Role, lease.token}}
 	case status.Confirmed && status.Token == lease.token && !lease.releasing:
--- a/internal/standalone/fleet/singleton/lease_manager.go
+++ b/internal/standalone/fleet/singleton/lease_manager.go
@@ -2,6 +2,8 @@
 
 import (
 	"slices"
+
+	"mulleinrouter/internal/mutants"
 )
 
 // ManagerEvent is an event of the LeaseManager.
@@ -138,7 +140,7 @@
 	clear(lm.candidates)
 	clear(lm.grantProposedAt)
 	lm.pending = nil
-	if mutated("leader-forgets") {
+	if mutants.On("singleton/leader-forgets") {
 		return
 	}
 	for role := range lm.table.Leases {
@@ -171,7 +173,7 @@
 			lm.enqueue(now, r, wanted)
 		}
 	}
-	if pending.renewalsLeft > 0 && !mutated("renewal-unagreed") {
+	if pending.renewalsLeft > 0 && !mutants.On("singleton/renewal-unagreed") {
 		lm.pending = append(lm.pending, pending)
 		return actions
 	}
@@ -202,7 +204,7 @@
 			status.IsHolder = true
 			// Confirmed means that the lease was renewed after the request. A grant that the sender learns of by this response
 			// is not confirmed: its lease counts from a request that names the token.
-			status.Confirmed = wanted.Token == lease.Token || mutated("grant-is-lease")
+			status.Confirmed = wanted.Token == lease.Token || mutants.On("singleton/grant-is-lease")
 			next, transferred := lm.transferTo[wanted.Role]
 			status.StepDown = transferred && next != r.From.Name
 		}
@@ -289,7 +291,7 @@
 // expireLeases proposes the expiry of leases that were not renewed in time.
 func (lm *LeaseManager) expireLeases(now Seconds) (actions []ManagerAction) {
 	wait := Seconds(expireAfter)
-	if mutated("expires-early") {
+	if mutants.On("singleton/expires-early") {
 		wait = LeaseDuration / 2
 	}
 	for _, role := range lm.table.Roles() {
--- a/internal/standalone/fleet/singleton/lease_table.go
+++ b/internal/standalone/fleet/singleton/lease_table.go
@@ -3,6 +3,8 @@
 import (
 	"maps"
 	"slices"
+
+	"mulleinrouter/internal/mutants"
 )
 
 // Lease is the state of one role.
@@ -43,7 +45,7 @@
 	if !known && (c.Kind != Grant || len(lt.Leases) >= MaxRoles) {
 		return false
 	}
-	if lease.Token != c.Token && !mutated("token-unchecked") {
+	if lease.Token != c.Token && !mutants.On("singleton/token-unchecked") {
 		return false // the proposer knew an older state
 	}
 	switch c.Kind {
@@ -62,7 +64,7 @@
 	case Expire:
 		// A leader that was paused finds a lease past its end, and the holder's renewals behind it in its inbox: these go
 		// to the log first and are confirmed. An expiry that was decided before them must not take effect after them.
-		if !lease.assigned() || lease.RenewedIndex != c.RenewedIndex && !mutated("expires-unseen") {
+		if !lease.assigned() || lease.RenewedIndex != c.RenewedIndex && !mutants.On("singleton/expires-unseen") {
 			return false
 		}
 		lease.Holder = Identity{}
@@ -75,11 +77,11 @@
 
 // grant gives a free role to c.To under a new token.
 func (lt *LeaseTable) grant(lease Lease, c Command, index uint64) bool {
-	if lease.assigned() && !mutated("held-granted") || c.To.Name == "" || len(c.To.Name) > maxNameLength {
+	if lease.assigned() && !mutants.On("singleton/held-granted") || c.To.Name == "" || len(c.To.Name) > maxNameLength {
 		return false
 	}
 	lt.LastToken++
-	if mutated("token-again") {
+	if mutants.On("singleton/token-again") {
 		lt.LastToken--
 	}
 	lt.Leases[c.Role] = Lease{Holder: c.To, Token: lt.LastToken, RenewedIndex: index}
--- a/internal/standalone/fleet/singleton/mutants_test.go
+++ b/internal/standalone/fleet/singleton/mutants_test.go
@@ -5,13 +5,14 @@
 import (
 	"errors"
 	"testing"
+
+	"mulleinrouter/internal/mutants"
 )
 
 // Faults that the simulated fleets of package quorum cannot tell apart, as two guards stand behind each other, are
 // found by the dialogues of each part.
 func TestMutants(t *testing.T) {
-	defer func() { Mutant = "" }()
-	mutants := []string{
+	for _, fault := range []string{
 		"token-unchecked",
 		"held-granted",
 		"token-again",
@@ -19,12 +20,14 @@
 		"woken-acts",
 		"acts-on",
 		"expires-unseen",
-	}
-	for _, Mutant = range mutants {
-		err := errors.Join(checkLeaseTable(), checkLeaseHolder())
-		if err == nil {
-			t.Errorf("mutant %s was not found", Mutant)
-		}
-		t.Logf("%s: %v", Mutant, err)
+	} {
+		t.Run(fault, func(t *testing.T) {
+			mutants.Seed(t, "singleton/"+fault)
+			err := errors.Join(checkLeaseTable(), checkLeaseHolder())
+			if err == nil {
+				t.Error("the fault is not found: a property is missing")
+			}
+			t.Log(err)
+		})
 	}
 }
--- a/internal/standalone/node/bench_test.go
+++ b/internal/standalone/node/bench_test.go
@@ -19,6 +19,7 @@
 	"time"
 
 	"mulleinrouter/internal/standalone/config"
+	"mulleinrouter/internal/standalone/logtest"
 )
 
 // backend answers each request with 200 and a short body. It reads no more of one than it must.
@@ -113,7 +114,7 @@
 		b.Fatal(err)
 	}
 	c.Limits = config.Limits{MemoryMB: 192, Sockets: 4096}
-	n, err := Start(c, discardLog())
+	n, err := Start(c, logtest.Discard())
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/standalone/node/node_test.go
+++ b/internal/standalone/node/node_test.go
@@ -15,6 +15,7 @@
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/emulator/fakes"
 	"mulleinrouter/internal/standalone/config"
+	"mulleinrouter/internal/standalone/logtest"
 	"mulleinrouter/internal/standalone/usagesegment"
 )
 
@@ -57,7 +58,7 @@
 		t.Fatal(err)
 	}
 	c.Limits = config.Limits{MemoryMB: 192, Sockets: 1024}
-	log, logged := discardLog(), make(logCodes, 1000)
+	log, logged := logtest.Discard(), make(logCodes, 1000)
 	log.AddHook(logged)
 	n, err := Start(c, log)
 	if err != nil {
@@ -278,7 +279,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if n, err := Start(c, discardLog()); err == nil || !strings.HasPrefix(err.Error(), tc.want) {
+			if n, err := Start(c, logtest.Discard()); err == nil || !strings.HasPrefix(err.Error(), tc.want) {
 				t.Errorf("Start() = %v, %v; want an error that begins with %q", n, err, tc.want)
 			}
 		})
--- a/internal/standalone/node/peers_test.go
+++ b/internal/standalone/node/peers_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"io"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -9,25 +8,18 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/handover"
+	"mulleinrouter/internal/standalone/logtest"
 )
 
-// discardLog returns a logger that writes nowhere.
-func discardLog() *logrus.Logger {
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	return log
-}
-
 // An older process and a newer one, through an upgrade: what was learned is handed over once, their parts never add
 // up to more than one, and the newer one takes over the part that the older one leaves.
 func TestPeerProcessesThroughAnUpgrade(t *testing.T) {
 	dir := t.TempDir()
 	newPeer := func(process int64) *peerProcesses {
-		return newPeerProcesses(dir, "n1", "10.0.0.4:80", process, discardLog())
+		return newPeerProcesses(dir, "n1", "10.0.0.4:80", process, logtest.Discard())
 	}
 	older, handedOver := newPeer(1), 0
 	knowledge := func() decision.Knowledge {
@@ -83,7 +75,7 @@
 		{"no address", "/", "nonsense"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if got := newPeerProcesses(tc.dir, "n1", tc.listen, 1, discardLog()); got != nil {
+			if got := newPeerProcesses(tc.dir, "n1", tc.listen, 1, logtest.Discard()); got != nil {
 				t.Errorf("newPeerProcesses(%q, %q) = %+v, want nil", tc.dir, tc.listen, got)
 			}
 		})
@@ -93,10 +85,10 @@
 // A folder that cannot be used, and files that are damaged, cost one log line and nothing else.
 func TestPeerProcessesWithDamagedFolder(t *testing.T) {
 	dir := t.TempDir()
-	log, logged := discardLog(), make(logCodes, 100)
+	log, logged := logtest.Discard(), make(logCodes, 100)
 	log.AddHook(logged)
 	first := newPeerProcesses(dir, "n1", "10.0.0.4:80", 1, log)
-	second := newPeerProcesses(dir, "n1", "10.0.0.4:80", 2, discardLog())
+	second := newPeerProcesses(dir, "n1", "10.0.0.4:80", 2, logtest.Discard())
 	second.exchange(nil)
 	files, err := os.ReadDir(dir)
 	if err != nil || len(files) != 1 {
