--- a/internal/dataplane/attempt/effects.go
+++ b/internal/dataplane/attempt/effects.go
@@ -26,8 +26,8 @@
 	Deadline   decision.Seconds // of a Send: when to give the attempt up, in the decision module's time
 	RetryAfter decision.Seconds // of a Reject; 0: no advice
 	OverQuota  bool             // of a Send or a Reject: the request exceeds its quota
-	// SlowAfter is, of a Send, how long after the request was written Dispatcher.ShouldAbandon is first asked whether to
-	// give the attempt up; 0: never.
+	// SlowAfter is, of a Send, how long after the request was written Dispatcher.ShouldAbandon is first asked whether
+	// to give the attempt up; 0: never.
 	SlowAfter decision.Seconds
 }
 
--- a/internal/dataplane/backoff/doc.go
+++ b/internal/dataplane/backoff/doc.go
@@ -1,5 +1,5 @@
-// Package backoff decides how long an ingress waits before it calls a service again that the whole fleet
-// shares.
+// Package backoff decides how long an ingress waits before it calls a service again that all ingresses of a fleet
+// share.
 //
 // What breaks for one ingress breaks for all at the same moment: a shared service restarts, or a release
 // kills most of them. Called again by all after the same short time, a service that handles calls in turn has
@@ -10,5 +10,5 @@
 // take.
 //
 // The package does no I/O, reads no clock and draws no random numbers; it imports decision for its unit of
-// time. Who calls a service owns a Window for it. Its tests stand beside it.
+// time. The caller of a service owns a Window for it. Its tests are beside it.
 package backoff
--- a/internal/dataplane/clientconn/body_progress.go
+++ b/internal/dataplane/clientconn/body_progress.go
@@ -51,5 +51,6 @@
 	if stall > maxStall && !mutants.On("clientconn/stall-for-ever") {
 		return true
 	}
-	return bp.waited+stall > bodyGracePeriod+float64(bp.received)/minBodyRate && !mutants.On("clientconn/trickle-for-ever")
+	maxWait := bodyGracePeriod + float64(bp.received)/minBodyRate
+	return bp.waited+stall > maxWait && !mutants.On("clientconn/trickle-for-ever")
 }
--- a/internal/dataplane/clientconn/machine.go
+++ b/internal/dataplane/clientconn/machine.go
@@ -63,7 +63,7 @@
 	unused         bool             // no complete request has arrived
 	requestPending bool             // idle, but bytes of a request have arrived
 	closeCode      string           // why it is being closed from this side; "": it is not
-	closeAnnounced bool             // the client was told that the last answer was the last
+	closeAnnounced bool             // the last answer said that it was the last (Connection: close)
 	progress       BodyProgress
 	timeouts       *Timeouts // nil: defaultTimeouts
 }
@@ -127,7 +127,7 @@
 // RequestPending reports whether bytes of a request are known to have arrived on the idle connection.
 func (m *Machine) RequestPending() bool { return m.requestPending }
 
-// Interrupt is which operations on a connection are to be interrupted, so that whoever waits for them returns.
+// Interrupt is which operations on a connection are to be interrupted, so that the goroutines blocked in them return.
 type Interrupt struct{ Reads, Writes bool }
 
 // Close closes the connection from this side. What is interrupted depends on the state: a submitted request is still
@@ -174,8 +174,8 @@
 // ClosesOnDrain reports whether a drain closes the connection at once: it is idle, and is not being closed.
 func (m *Machine) ClosesOnDrain() bool { return m.state == Idle && m.closeCode == "" }
 
-// CloseAfterAnswer reports whether the next answer is the last on the connection. When the server is crowded it is: the
-// client is told so and connects elsewhere, while a connection closed when idle might cross its next request.
+// CloseAfterAnswer reports whether the next answer is the last on the connection. It is when the server is crowded: the
+// answer says so and the client connects elsewhere, while a connection closed when idle might cross its next request.
 func (m *Machine) CloseAfterAnswer(crowded, keepOpen bool) bool {
 	if m.closeCode == "" && crowded {
 		m.closeCode = CodeEvicted
--- a/internal/dataplane/clientconn/timeouts.go
+++ b/internal/dataplane/clientconn/timeouts.go
@@ -23,7 +23,7 @@
 	Head      decision.Seconds // for the head of a request
 
 	// ServePending: a request whose first bytes have arrived on an idle connection is served before the connection is
-	// closed, unless its client was told that it would be closed.
+	// closed, unless the last answer announced the close.
 	ServePending bool
 }
 
--- a/internal/dataplane/engine/counter.go
+++ b/internal/dataplane/engine/counter.go
@@ -12,20 +12,20 @@
 	Add(name string, amount float64, keep decision.Seconds)
 }
 
-// PairCounter is a Counter of pairs (decision.Settings.PairCounter): it gets the whole call, and its result goes to
-// Engine.PairCounterReplied.
+// PairCounter is a Counter of pairs (decision.Settings.PairCounter): it gets the call with all its fields, and its
+// result goes to Engine.PairCounterReplied.
 type PairCounter interface{ Call(decision.CounterCall) }
 
 // QuotaSharer observes requests and calls of the counter, for ingresses that share quotas among themselves. Its methods
 // must not block and must not call the engine.
 type QuotaSharer interface {
-	// ObserveRequest observes a request: its customer, the first of the customer's gateways and their number, its quota in
-	// units per second and its size in units.
+	// ObserveRequest observes a request: its customer, the first of the customer's gateways and their number, its quota
+	// in units per second and its size in units.
 	ObserveRequest(customer string, first, gateways int, quota, units float64)
 	// ObserveCounterCall observes a call of the counter as it is made.
 	ObserveCounterCall(name string, amount float64, keep decision.Seconds)
-	// ObserveCounterReply observes its result, and returns the outcome that the decision module gets: an impossible total
-	// is none.
+	// ObserveCounterReply observes its result, and returns the outcome that the decision module gets: an impossible
+	// total is none.
 	ObserveCounterReply(name string, outcome decision.Outcome, total float64) decision.Outcome
 }
 
--- a/internal/dataplane/engine/decision.go
+++ b/internal/dataplane/engine/decision.go
@@ -25,8 +25,8 @@
 	Deadline   time.Time        // of a Send: when to give the attempt up
 	OverQuota  bool             // of a Send or a Reject: the request exceeds its quota
 	RetryAfter decision.Seconds // of a Reject; 0: no advice
-	// SlowAfter is, of a Send, how long after the request was written Ticket.ShouldAbandon is first asked whether to give
-	// the attempt up; 0: never.
+	// SlowAfter is, of a Send, how long after the request was written Ticket.ShouldAbandon is first asked whether to
+	// give the attempt up; 0: never.
 	SlowAfter time.Duration
 }
 
--- a/internal/dataplane/engine/engine_test.go
+++ b/internal/dataplane/engine/engine_test.go
@@ -103,7 +103,8 @@
 				t.Errorf("decisions (-want +got):\n%s", diff)
 			}
 			if e.dispatcher.Pending() != 0 || len(ticket.decisions) != 0 {
-				t.Errorf("%d requests and %d decisions pending, want none", e.dispatcher.Pending(), len(ticket.decisions))
+				t.Errorf("%d requests and %d decisions pending, want none",
+					e.dispatcher.Pending(), len(ticket.decisions))
 			}
 		})
 	}
--- a/internal/dataplane/http1/reader.go
+++ b/internal/dataplane/http1/reader.go
@@ -119,8 +119,8 @@
 	return s != "" && strings.IndexFunc(s, func(c rune) bool { return c < 'A' || c > 'Z' }) < 0
 }
 
-// Visible reports whether a text is one word of visible ASCII characters: it can be forwarded without ending a line
-// or a word of it.
+// Visible reports whether a text is not empty and has visible ASCII characters only: no space and no line end, so it
+// can be forwarded as one element of a start line or as one field value.
 func Visible(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 0x7f {
--- a/internal/dataplane/ingress/parse.go
+++ b/internal/dataplane/ingress/parse.go
@@ -124,7 +124,8 @@
 // parseTerms parses terms such as 'units=2,spread=3,first=1'. Unknown terms are ignored. What the settings do not
 // allow is an error: it would use up the quota of the customer that it names.
 func (s *Server) parseTerms(value string, r *decision.Request) (ok bool) {
-	var units, spread, first bool // whether the term was stated; twice is an error, for others might use the other value
+	// Whether the term was stated; twice is an error, for others might use the other value.
+	var units, spread, first bool
 	for value != "" {
 		var term string
 		term, value, _ = strings.Cut(value, ",")
--- a/internal/dataplane/ingress/serve_bench_test.go
+++ b/internal/dataplane/ingress/serve_bench_test.go
@@ -28,7 +28,7 @@
 }
 
 // BenchmarkServe sends requests one after another over one connection of a client, through engine and pool, to a
-// backend on loopback. Its allocations are those of the whole path of a request.
+// backend on loopback. Its allocations are those of the complete path of a request.
 func BenchmarkServe(b *testing.B) {
 	backend := listen(b)
 	go acceptEach(backend, answerRequests)
--- a/internal/dataplane/upstream/errors.go
+++ b/internal/dataplane/upstream/errors.go
@@ -12,7 +12,8 @@
 
 // Errors of writing a request.
 var (
-	// errConnectionEnded: the server reset or closed the connection, or sent something, before the request was complete.
+	// errConnectionEnded: the server reset or closed the connection, or sent something, before the request was
+	// complete.
 	errConnectionEnded = errors.New("connection ended before the request was complete")
 	// errDraining: the server was found to be draining while a part of the request was held back.
 	errDraining = errors.New("server draining")
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxIdleShare is the part of the servers' keep-alive for which a connection is kept idle: a request that is written
-	// to a connection as the server closes it is lost.
+	// maxIdleShare is the part of the servers' keep-alive for which a connection is kept idle: a request that is
+	// written to a connection as the server closes it is lost.
 	maxIdleShare  = 0.6
 	sweepInterval = time.Second
 )
--- a/internal/dataplane/upstream/pool_test.go
+++ b/internal/dataplane/upstream/pool_test.go
@@ -121,7 +121,8 @@
 		lookups++
 		return l.Addr().String(), lookups <= 2 // before the dial, for its address, and after it
 	}, Limits{Connections: 1, ConnectTimeout: time.Minute, Keepalive: time.Minute}, discardLog())
-	got := pool.Do(context.Background(), "s-1", &Message{Method: "GET", Target: "/", ID: "1"}, time.Now().Add(time.Minute))
+	request := &Message{Method: "GET", Target: "/", ID: "1"}
+	got := pool.Do(context.Background(), "s-1", request, time.Now().Add(time.Minute))
 	if diff := cmp.Diff(Result{Outcome: decision.NotSent}, got); diff != "" {
 		t.Errorf("result (-want +got):\n%s", diff)
 	}
--- a/internal/dataplane/usage/replayer.go
+++ b/internal/dataplane/usage/replayer.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// maxMinutesInFlight is after how many minutes a request without a recorded end counts as one of unknown arrival: no
-	// client waits for more than five, so its end was lost, to a full disk for example.
+	// maxMinutesInFlight is after how many minutes a request without a recorded end counts as one of unknown arrival:
+	// no client waits for more than five, so its end was lost, to a full disk for example.
 	maxMinutesInFlight = 10
 
 	msPerMinute = 60_000
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -30,7 +30,7 @@
 	Keepalive      Seconds // for the host: a backend closes connections that are idle for this long
 
 	HasCounter      bool    // there is a counter service
-	CounterCallCost float64 // share of the whole result that one call for each request costs
+	CounterCallCost float64 // fraction of the total value that one call for each request costs
 	CounterTimeout  Seconds // a call unanswered for this long has timed out
 	SettledLater    bool    // units are guesses, settled by the first good answer
 	MaxUnits        float64 // that one request counts
--- a/internal/decision/sparse_partition.go
+++ b/internal/decision/sparse_partition.go
@@ -1,13 +1,13 @@
 package decision
 
 // What a gateway admits for a sparse customer, where counters are pairs, while no counter owner replies.
-// Those who reach the counter owner share the whole quota, so what all partitioned gateways admit beside them
-// must stay within the tolerance of the quota's rule, a part of which is a number of requests.
+// The gateways that reach the counter owner share the complete quota, so what all partitioned gateways admit beside
+// them must stay within the tolerance of the quota's rule, a part of which is a number of requests.
 
 const (
 	// Seconds without a reply of any counter owner for which a gateway goes by its share of the quota.
 	sparseGraceBase     = 0.4
-	sparseGraceRequests = 8.0 // requests that the whole quota admits in the rest of the grace period
+	sparseGraceRequests = 8.0 // requests that the complete quota admits in the rest of the grace period
 	sparseBurstShare    = 0.4 // of the burst: buckets of all partitioned gateways together
 	sparseSpareRequests = 8.0 // requests beyond it in these buckets, where each holds less than one
 	partitionedShare    = 0.1 // of its even part, for a gateway that is partitioned
--- a/internal/standalone/catalogue/catalogue.go
+++ b/internal/standalone/catalogue/catalogue.go
@@ -30,7 +30,7 @@
 	return Parse(path, text)
 }
 
-// Save replaces a catalogue as a whole: whoever reads it meanwhile sees the old one or the new one.
+// Save replaces a catalogue atomically: a concurrent reader gets the old one or the new one.
 func Save(path string, revisions []plans.Revision) error {
 	temp, err := os.CreateTemp(filepath.Dir(path), ".catalogue-*")
 	if err != nil {
--- a/internal/standalone/catalogue/catalogue_test.go
+++ b/internal/standalone/catalogue/catalogue_test.go
@@ -49,7 +49,8 @@
 	}
 	r := all[0]
 	if r.Number != 7 || r.EffectiveAt != 1796119200 || r.Authority != plans.AuthorityCatalogue {
-		t.Errorf("number %d, holds %v, authority %v; want 7, 1796119200, catalogue", r.Number, r.EffectiveAt, r.Authority)
+		t.Errorf("number %d, holds %v, authority %v; want 7, 1796119200, catalogue",
+			r.Number, r.EffectiveAt, r.Authority)
 	}
 	if len(r.Plans) != 2 || r.Members["00000000000000cc"] != "plus" {
 		t.Errorf("plans %+v, members %v; want two plans, and plus for 00000000000000cc", r.Plans, r.Members)
@@ -58,7 +59,10 @@
 		t.Errorf("booking %+v, want 30050 units over 300.5 s", b)
 	}
 	second := r
-	second.Number, second.Authority, second.Members, second.Bookings = 8, plans.AuthorityHeader, map[string]string{}, nil
+	second.Number = 8
+	second.Authority = plans.AuthorityHeader
+	second.Members = map[string]string{}
+	second.Bookings = nil
 	again, err := Parse("again.hcl", Format([]plans.Revision{r, second}))
 	if err != nil {
 		t.Fatal(err)
@@ -135,7 +139,11 @@
 func TestWatcher(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plans.hcl")
 	write := func(text string) {
-		if err := errors.Join(os.WriteFile(path+".new", []byte(text), 0o644), os.Rename(path+".new", path)); err != nil {
+		t.Helper()
+		if err := os.WriteFile(path+".new", []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.Rename(path+".new", path); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/standalone/cli/bookings.go
+++ b/internal/standalone/cli/bookings.go
@@ -17,14 +17,14 @@
 // BookingCommands are the commands about bookings. They change the catalogue that ingresses watch, by a revision of
 // its own.
 type BookingCommands struct {
-	Add    BookingAddCommand    `cmd:"" name:"add" help:"Book units for a member and a span. Refused with what would fit if there is no room."` //nolint:lll // a tag
+	Add    BookingAddCommand    `cmd:"" name:"add" help:"${bookingsAdd}"`
 	List   BookingListCommand   `cmd:"" name:"list" help:"List the bookings of a catalogue's last revision."`
-	Cancel BookingCancelCommand `cmd:"" name:"cancel" help:"Cancel a booking. What it would still have allowed is free again."` //nolint:lll // a tag
+	Cancel BookingCancelCommand `cmd:"" name:"cancel" help:"${bookingsCancel}"`
 }
 
 // BookingAddCommand adds a booking.
 type BookingAddCommand struct {
-	Catalogue string  `name:"catalogue" required:"" type:"path" placeholder:"FILE" help:"The catalogue that ingresses watch."` //nolint:lll // a tag
+	Catalogue string  `name:"catalogue" required:"" type:"path" placeholder:"FILE" help:"${watchedCatalogue}"`
 	Member    string  `name:"member" required:"" help:"The member, 16 hexadecimal digits."`
 	From      string  `name:"from" required:"" placeholder:"TIME" help:"When it begins, such as 2026-12-01T10:00:00Z."`
 	For       string  `name:"for" required:"" placeholder:"SPAN" help:"How long it runs, such as 5m."`
@@ -105,7 +105,7 @@
 // BookingCancelCommand cancels a booking.
 type BookingCancelCommand struct {
 	ID        string `arg:"" name:"id" help:"The booking's name."`
-	Catalogue string `name:"catalogue" required:"" type:"path" placeholder:"FILE" help:"The catalogue that ingresses watch."` //nolint:lll // a tag
+	Catalogue string `name:"catalogue" required:"" type:"path" placeholder:"FILE" help:"${watchedCatalogue}"`
 }
 
 // Run adds a revision without the booking.
--- a/internal/standalone/cli/check.go
+++ b/internal/standalone/cli/check.go
@@ -12,7 +12,7 @@
 
 // CheckCommand checks a file.
 type CheckCommand struct {
-	File string `arg:"" name:"file" type:"path" help:"A configuration (.hcl, or .json as the platform gives it) or a catalogue of plans."` //nolint:lll // a tag
+	File string `arg:"" name:"file" type:"path" help:"${checkFile}"`
 }
 
 // fileKind is what a file can be.
--- a/internal/standalone/cli/cli.go
+++ b/internal/standalone/cli/cli.go
@@ -30,20 +30,18 @@
 )
 
 // Program is the command line as a whole. Hidden commands are earlier names of others, which scripts may use.
-//
-//nolint:lll // a tag cannot be broken into lines
 type Program struct {
-	LogFormat string `name:"log-format" enum:"text,json,," default:"" placeholder:"FORMAT" help:"Form of the log: text or json. Default: what the configuration says, or text."`
+	LogFormat string `name:"log-format" enum:"text,json,," default:"" placeholder:"FORMAT" help:"${logFormat}"`
 
-	Serve      ServeCommand      `cmd:"" name:"serve" default:"withargs" help:"Serve clients (the default). Without -c, the configuration is that of NODE_CONFIG, as the platform gives it."`
-	Check      CheckCommand      `cmd:"" name:"check" help:"Check a configuration or a catalogue of plans, and say what is in it."`
+	Serve      ServeCommand      `cmd:"" name:"serve" default:"withargs" help:"${serve}"`
+	Check      CheckCommand      `cmd:"" name:"check" help:"${check}"`
 	Plans      PlansCommands     `cmd:"" name:"plans" help:"Show, compare and change catalogues of plans."`
-	Bookings   BookingCommands   `cmd:"" name:"book" help:"Book allowance ahead for a member, list bookings, cancel one."`
+	Bookings   BookingCommands   `cmd:"" name:"book" help:"${bookings}"`
 	Usage      UsageCommands     `cmd:"" name:"usage" help:"Show, check and export records of use."`
 	Fleet      FleetCommands     `cmd:"" name:"fleet" help:"Show what an ingress knows of the others of its fleet."`
-	ModelCheck ModelCheckCommand `cmd:"" name:"model-check" help:"Look for violations of the rules in the code as it is."`
-	Try        TryCommand        `cmd:"" name:"try" help:"Run three ingresses among stand-ins on this machine, change a plan midway, and show what was served and billed."`
-	FaultTest  FaultTestCommand  `cmd:"" name:"fault-test" help:"Play a scenario of faults on ingresses that it starts on this machine, and check what is expected of them."`
+	ModelCheck ModelCheckCommand `cmd:"" name:"model-check" help:"${modelCheck}"`
+	Try        TryCommand        `cmd:"" name:"try" help:"${try}"`
+	FaultTest  FaultTestCommand  `cmd:"" name:"fault-test" help:"${faultTest}"`
 	Version    VersionCommand    `cmd:"" name:"version" help:"Say which version this is."`
 
 	Audit    ModelCheckCommand `cmd:"" name:"audit" hidden:"" help:"Earlier name of model-check."`
@@ -59,6 +57,7 @@
 	parser, err := kong.New(p,
 		kong.Name(programName),
 		kong.Description(description),
+		helpTexts,
 		kong.Writers(out, errOut), kong.UsageOnError(),
 		kong.Exit(func(c int) { code, exited = c, true }),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: helpWidth}),
--- a/internal/standalone/cli/errors.go
+++ b/internal/standalone/cli/errors.go
@@ -30,8 +30,9 @@
 	errNoBatchTaken    = errors.New("no batch was taken")
 
 	// Of calls that an ingress rejects, by what its configuration lacks.
-	errNoMembership  = errors.New("it does not know of other ingresses: its file has no membership in fleet")
-	errNotAnnounced  = errors.New("its file does not say announce in catalogue: revisions hold as its own file has them")
+	errNoMembership = errors.New("it does not know of other ingresses: its file has no membership in fleet")
+	errNotAnnounced = errors.New("its file does not say announce in catalogue: " +
+		"revisions hold as its own file has them")
 	errNothingShared = errors.New("its file does not say share in membership")
 	errLeaseCall     = errors.New("refused: it knows of no voters, no voter that leads answers, " +
 		"or what is asked cannot be (its log tells)")
--- a/internal/standalone/cli/faulttest.go
+++ b/internal/standalone/cli/faulttest.go
@@ -17,16 +17,14 @@
 )
 
 // FaultTestCommand runs a fault test: a scenario of faults.
-//
-//nolint:lll // a tag cannot be broken into lines
 type FaultTestCommand struct {
-	File      string  `arg:"" name:"file" help:"A scenario: a file, or one of those that ship (deploy/faulttests) by its name, such as duty-holder."`
+	File      string  `arg:"" name:"file" help:"${faultTestFile}"`
 	Ingresses int     `name:"ingresses" help:"So many ingresses instead of those that the file names."`
 	Seed      uint64  `name:"seed" help:"Another seed than the file's."`
 	Dir       string  `name:"dir" type:"path" help:"Folder for files and logs; it stays. Default: a temporary one."`
 	Events    string  `name:"events" type:"path" placeholder:"FILE" help:"What was done and seen, as JSON lines."`
 	Slack     float64 `name:"slack" default:"1" help:"Times the limits of what is expected, for a slow machine."`
-	Repeat    int     `name:"repeat" default:"1" help:"Play it so often, with seeds that follow each other, and tell medians and the worst over all."`
+	Repeat    int     `name:"repeat" default:"1" help:"${faultTestRepeat}"`
 	Parallel  int     `name:"beside" default:"1" help:"So many of them side by side."`
 }
 
--- a/internal/standalone/cli/fleet.go
+++ b/internal/standalone/cli/fleet.go
@@ -23,22 +23,20 @@
 )
 
 // FleetCommands are the commands about the other ingresses, asked of one at its management address.
-//
-//nolint:lll // a tag cannot be broken into lines
 type FleetCommands struct {
-	Members FleetMembersCommand `cmd:"" name:"members" help:"Show the members, what state they are in, and how much of the fleet is heard."`
+	Members FleetMembersCommand `cmd:"" name:"members" help:"${fleetMembers}"`
 	Links   FleetLinksCommand   `cmd:"" name:"links" help:"Show who hears whom, as a matrix."`
-	Leases  FleetLeasesCommand  `cmd:"" name:"duties" help:"Show who holds which duty, who waits for it, and who held it before."`
-	Plans   FleetPlansCommand   `cmd:"" name:"plans" help:"Show which revisions of the catalogue were announced, and by whom."`
+	Leases  FleetLeasesCommand  `cmd:"" name:"duties" help:"${fleetLeases}"`
+	Plans   FleetPlansCommand   `cmd:"" name:"plans" help:"${fleetPlans}"`
 	Lease   FleetLeaseCommands  `cmd:"" name:"duty" help:"Hand a duty to another ingress."`
-	Voters  FleetVotersCommand  `cmd:"" name:"voters" help:"Show, add, remove or replace those that agree on who holds a duty."`
-	State   FleetStateCommand   `cmd:"" name:"state" help:"Show what an ingress shares with the others: who has how much of a member's quota, and which servers are warned of."`
-	Turn    FleetTurnCommand    `cmd:"" name:"turn" help:"Wait until this ingress may be restarted: the whole fleet is heard, and nobody else is starting, drained or leaving."`
+	Voters  FleetVotersCommand  `cmd:"" name:"voters" help:"${fleetVoters}"`
+	State   FleetStateCommand   `cmd:"" name:"state" help:"${fleetState}"`
+	Turn    FleetTurnCommand    `cmd:"" name:"turn" help:"${fleetTurn}"`
 }
 
 // ingressFlags say which ingress is asked, and how its answer is printed.
 type ingressFlags struct {
-	Mgmt string `name:"mgmt" required:"" placeholder:"HOST:PORT" help:"Management address of the ingress that is asked."`
+	Mgmt string `name:"mgmt" required:"" placeholder:"HOST:PORT" help:"${ingressMgmt}"`
 	outputFlag
 }
 
--- a/internal/standalone/cli/fleetleases.go
+++ b/internal/standalone/cli/fleetleases.go
@@ -50,7 +50,7 @@
 
 // FleetLeaseCommands are the commands about one lease.
 type FleetLeaseCommands struct {
-	Transfer FleetLeaseTransferCommand `cmd:"" name:"give" help:"Have its holder give a duty up, and a named ingress have it next."` //nolint:lll // a tag
+	Transfer FleetLeaseTransferCommand `cmd:"" name:"give" help:"${fleetLeaseTransfer}"`
 }
 
 // FleetLeaseTransferCommand transfers a lease.
@@ -72,7 +72,7 @@
 // FleetVotersCommand shows or changes the voters.
 type FleetVotersCommand struct {
 	ingressFlags
-	Action string   `arg:"" name:"action" optional:"" enum:"list,add,remove,replace" default:"list" help:"list, add NAME, remove NAME, or replace OLD NEW."` //nolint:lll // a tag
+	Action string   `arg:"" name:"action" optional:"" enum:"${voterActions}" default:"list" help:"${voterAction}"`
 	Names  []string `arg:"" name:"names" optional:"" help:"Names of voters."`
 }
 
--- /dev/null
+++ b/internal/standalone/cli/help.go
@@ -0,0 +1,52 @@
+package cli
+
+import "github.com/alecthomas/kong"
+
+// helpTexts are the texts that don't fit on one line with the rest of their tag, which names them as ${key}. The key of
+// a help text is the path of commands and the field's name, except where it is too long or several commands share it.
+var helpTexts = kong.Vars{
+	"bookingsAdd":      "Book units for a member and a span. Refused with what would fit if there is no room.",
+	"bookingsCancel":   "Cancel a booking. What it would still have allowed is free again.",
+	"watchedCatalogue": "The catalogue that ingresses watch.",
+	"checkFile":        "A configuration (.hcl, or .json as the platform gives it) or a catalogue of plans.",
+	"logFormat":        "Form of the log: text or json. Default: what the configuration says, or text.",
+	"serve": "Serve clients (the default). Without -c, the configuration is that of NODE_CONFIG, as the " +
+		"platform gives it.",
+	"check":      "Check a configuration or a catalogue of plans, and say what is in it.",
+	"bookings":   "Book allowance ahead for a member, list bookings, cancel one.",
+	"modelCheck": "Look for violations of the rules in the code as it is.",
+	"try": "Run three ingresses among stand-ins on this machine, change a plan midway, and show what " +
+		"was served and billed.",
+	"faultTest": "Play a scenario of faults on ingresses that it starts on this machine, and check what is " +
+		"expected of them.",
+	"faultTestFile": "A scenario: a file, or one of those that ship (deploy/faulttests) by its name, such as " +
+		"duty-holder.",
+	"faultTestRepeat": "Play it so often, with seeds that follow each other, and tell medians and the worst over " +
+		"all.",
+	"fleetMembers": "Show the members, what state they are in, and how much of the fleet is heard.",
+	"fleetLeases":  "Show who holds which duty, who waits for it, and who held it before.",
+	"fleetPlans":   "Show which revisions of the catalogue were announced, and by whom.",
+	"fleetVoters":  "Show, add, remove or replace those that agree on who holds a duty.",
+	"fleetState": "Show what an ingress shares with the others: who has how much of a member's quota, and " +
+		"which servers are warned of.",
+	"fleetTurn": "Wait until this ingress may be restarted: the whole fleet is heard, and nobody else is " +
+		"starting, drained or leaving.",
+	"ingressMgmt":        "Management address of the ingress that is asked.",
+	"fleetLeaseTransfer": "Have its holder give a duty up, and a named ingress have it next.",
+	"voterActions":       "list,add,remove,replace",
+	"voterAction":        "list, add NAME, remove NAME, or replace OLD NEW.",
+	"modelCheckStates": "Go through every order of a few events, and check the rules after each. Exit code 1 if one " +
+		"is broken.",
+	"plansDiff": "Show what differs from one catalogue's last revision to another's. Exit code 1 if anything " +
+		"does.",
+	"plansApply": "Add the last revision of one catalogue to another, which ingresses watch.",
+	"plansStartIn": "How long from now on it holds, such as 30s: time for all ingresses to hear of it. 0 for at " +
+		"once.",
+	"plansApplyTo":    "The catalogue that ingresses watch. It is made if it is not there.",
+	"serveConfig":     "Configuration of our own form (HCL), such as deploy/single.hcl.",
+	"tryLease":        "Show a duty instead: whoever exports the use of all is killed, and another goes on.",
+	"tryDir":          "Folder for logs, records and the catalogue; it stays. Default: a temporary one.",
+	"usageVerify":     "Check segments and batches, and that they say the same. Exit code 1 if they do not.",
+	"usageExportKeep": "Segments that were acknowledged stay for this long.",
+	"usageShowBy":     "What to add up by: member, plan, class, minute, or all rows one by one.",
+}
--- a/internal/standalone/cli/log.go
+++ b/internal/standalone/cli/log.go
@@ -54,7 +54,7 @@
 	b.writer.Flush()
 }
 
-// run flushes at intervals, as long as the process lives.
+// run flushes at intervals until the process ends.
 func (b *bufferedLog) run() {
 	for range time.Tick(logFlushInterval) {
 		b.Flush()
--- a/internal/standalone/cli/modelcheck.go
+++ b/internal/standalone/cli/modelcheck.go
@@ -14,7 +14,7 @@
 
 // ModelCheckCommand are the commands of the model checker.
 type ModelCheckCommand struct {
-	States ModelCheckStatesCommand `cmd:"" name:"states" help:"Go through every order of a few events, and check the rules after each. Exit code 1 if one is broken."` //nolint:lll // a tag
+	States ModelCheckStatesCommand `cmd:"" name:"states" help:"${modelCheckStates}"`
 	Replay ModelCheckReplayCommand `cmd:"" name:"replay" help:"Play the trace of a violation again."`
 }
 
--- a/internal/standalone/cli/plans.go
+++ b/internal/standalone/cli/plans.go
@@ -15,8 +15,8 @@
 // PlansCommands are the commands about catalogues.
 type PlansCommands struct {
 	Show  PlansShowCommand  `cmd:"" name:"show" help:"Show the revisions of a catalogue."`
-	Diff  PlansDiffCommand  `cmd:"" name:"diff" help:"Show what differs from one catalogue's last revision to another's. Exit code 1 if anything does."` //nolint:lll // a tag
-	Apply PlansApplyCommand `cmd:"" name:"apply" help:"Add the last revision of one catalogue to another, which ingresses watch."`                       //nolint:lll // a tag
+	Diff  PlansDiffCommand  `cmd:"" name:"diff" help:"${plansDiff}"`
+	Apply PlansApplyCommand `cmd:"" name:"apply" help:"${plansApply}"`
 }
 
 // PlansShowCommand shows a catalogue.
@@ -82,8 +82,9 @@
 }
 
 func showRevision(w io.Writer, r plans.Revision, state string) {
-	fmt.Fprintf(w, "\nrevision %d, %s, holds from: %s; plans are named by: %s; bookable: %g units a second; digest %s\n",
-		r.Number, state, formatTime(r.EffectiveAt), r.Authority, r.BookableRate, r.Digest())
+	fmt.Fprintf(w, "\nrevision %d, %s, holds from: %s; plans are named by: %s; ",
+		r.Number, state, formatTime(r.EffectiveAt), r.Authority)
+	fmt.Fprintf(w, "bookable: %g units a second; digest %s\n", r.BookableRate, r.Digest())
 	members := map[string]int{}
 	for _, plan := range r.Members {
 		members[plan]++
@@ -132,7 +133,7 @@
 // startFlags say from when a change takes effect.
 type startFlags struct {
 	Holds string `name:"holds" placeholder:"TIME" help:"From when it holds, such as 2026-12-01T10:00:00Z."`
-	In    string `name:"in" placeholder:"SPAN" default:"5s" help:"How long from now on it holds, such as 30s: time for all ingresses to hear of it. 0 for at once."` //nolint:lll // a tag
+	In    string `name:"in" placeholder:"SPAN" default:"5s" help:"${plansStartIn}"`
 }
 
 func (s *startFlags) time() (decision.Seconds, error) {
@@ -158,7 +159,7 @@
 // PlansApplyCommand adds a revision to a catalogue.
 type PlansApplyCommand struct {
 	File string `arg:"" name:"file" type:"path" help:"The catalogue with the new revision as its last."`
-	To   string `name:"to" required:"" type:"path" placeholder:"FILE" help:"The catalogue that ingresses watch. It is made if it is not there."` //nolint:lll // a tag
+	To   string `name:"to" required:"" type:"path" placeholder:"FILE" help:"${plansApplyTo}"`
 	startFlags
 	Yes bool `name:"yes" help:"Change it. Without this, only what would change is shown."`
 }
--- a/internal/standalone/cli/serve.go
+++ b/internal/standalone/cli/serve.go
@@ -16,7 +16,7 @@
 
 // ServeCommand serves clients.
 type ServeCommand struct {
-	Config string `name:"config" short:"c" type:"path" placeholder:"FILE" help:"Configuration of our own form (HCL), such as deploy/single.hcl."` //nolint:lll // a tag
+	Config string `name:"config" short:"c" type:"path" placeholder:"FILE" help:"${serveConfig}"`
 
 	Faults string `name:"rehearsal" hidden:"" type:"path"` // faults to inject: fault tests start processes so
 }
--- a/internal/standalone/cli/try.go
+++ b/internal/standalone/cli/try.go
@@ -19,9 +19,9 @@
 	Kill      bool    `name:"kill" help:"Kill an ingress in the middle, and start it again."`
 	Crashes   int     `name:"crashes" help:"So many times an exporter is killed."`
 	Faults    bool    `name:"faults" help:"Quote servers and billing do wrong now and then."`
-	Lease     bool    `name:"duty" help:"Show a duty instead: whoever exports the use of all is killed, and another goes on."` //nolint:lll // a tag
+	Lease     bool    `name:"duty" help:"${tryLease}"`
 	Seed      uint64  `name:"seed" default:"1" help:"For random numbers."`
-	Dir       string  `name:"dir" type:"path" help:"Folder for logs, records and the catalogue; it stays. Default: a temporary one."` //nolint:lll // a tag
+	Dir       string  `name:"dir" type:"path" help:"${tryDir}"`
 }
 
 // leaseScenario is the fault test of the flag --duty.
--- a/internal/standalone/cli/usage.go
+++ b/internal/standalone/cli/usage.go
@@ -17,7 +17,7 @@
 // UsageCommands are the commands about usage records.
 type UsageCommands struct {
 	Export UsageExportCommand `cmd:"" name:"export" help:"Send what is recorded and not yet acknowledged to billing."`
-	Verify UsageVerifyCommand `cmd:"" name:"verify" help:"Check segments and batches, and that they say the same. Exit code 1 if they do not."` //nolint:lll // a tag
+	Verify UsageVerifyCommand `cmd:"" name:"verify" help:"${usageVerify}"`
 	Show   UsageShowCommand   `cmd:"" name:"show" help:"Show what is recorded."`
 }
 
@@ -40,7 +40,7 @@
 	Dir    string `arg:"" name:"dir" type:"path" help:"Folder of the records."`
 	To     string `name:"to" required:"" placeholder:"URL" help:"Billing's endpoint."`
 	Follow bool   `name:"follow" help:"Go on with what is recorded from now on, until SIGTERM."`
-	Keep   string `name:"keep" default:"168h" placeholder:"SPAN" help:"Segments that were acknowledged stay for this long."` //nolint:lll // a tag
+	Keep   string `name:"keep" default:"168h" placeholder:"SPAN" help:"${usageExportKeep}"`
 }
 
 // Run exports what is there, and with --follow what comes.
--- a/internal/standalone/cli/usageshow.go
+++ b/internal/standalone/cli/usageshow.go
@@ -15,7 +15,7 @@
 // UsageShowCommand shows records.
 type UsageShowCommand struct {
 	Dir string `arg:"" name:"dir" type:"path" help:"Folder of the records."`
-	By  string `name:"by" enum:"member,plan,class,minute,all" default:"plan" help:"What to add up by: member, plan, class, minute, or all rows one by one."` //nolint:lll // a tag
+	By  string `name:"by" enum:"member,plan,class,minute,all" default:"plan" help:"${usageShowBy}"`
 	outputFlag
 }
 
--- a/internal/standalone/config/config_test.go
+++ b/internal/standalone/config/config_test.go
@@ -35,8 +35,10 @@
 				{UID: "s", Endpoint: "h:1", Zone: "a", Model: "m", State: "leaving", Capacity: 2, BootMs: 1500}}},
 			Settings: decision.Settings{
 				Gateways: 3, Index: 1, HasCounter: true, CounterTimeout: 0.03,
-				Classes: []decision.Class{{Name: "c", LatencyTarget: 1, Deadline: 3, Value: 2, Effect: decision.Idempotent}},
-				Plans:   []decision.Plan{{Name: "p", Rate: 4, Burst: 5, ValueWeight: 1.2}},
+				Classes: []decision.Class{
+					{Name: "c", LatencyTarget: 1, Deadline: 3, Value: 2, Effect: decision.Idempotent},
+				},
+				Plans: []decision.Plan{{Name: "p", Rate: 4, Burst: 5, ValueWeight: 1.2}},
 			},
 		}
 		change(c)
--- a/internal/standalone/config/fuzz_test.go
+++ b/internal/standalone/config/fuzz_test.go
@@ -49,8 +49,8 @@
 // FuzzConfig: a configuration is rejected, or an ingress can run on it.
 func FuzzConfig(f *testing.F) {
 	for _, s := range []string{
-		`{"name":"n3","listen":"h:1","discovery":"h:2","seed":"8c1f","limits":{"cores":1,"memory_mb":64,"sockets":384},` +
-			`"counter":"h:3",` +
+		`{"name":"n3","listen":"h:1","discovery":"h:2","seed":"8c1f",` +
+			`"limits":{"cores":1,"memory_mb":64,"sockets":384},"counter":"h:3",` +
 			`"settings":{"Balancers":80,"Me":3,` +
 			`"Classes":[{"Name":"c","Promise":1,"Deadline":3,"Gain":2,"Effect":"pure"}],` +
 			`"Packages":[{"Name":"p","Refill":3,"Burst":15,"Pays":1,"BeyondCosts":1,` +
--- a/internal/standalone/config/hcl_test.go
+++ b/internal/standalone/config/hcl_test.go
@@ -150,7 +150,8 @@
 		{"unknown key", "log_format =", "log_from =",
 			line("log_format") + `:1: Unsupported argument: An argument named "log_from" is not expected here.`},
 		{"unknown block", "limits {", "limit {",
-			line("limits") + `:1: Unsupported block type: Blocks of type "limit" are not expected here. Did you mean "limits"?`},
+			line("limits") +
+				`:1: Unsupported block type: Blocks of type "limit" are not expected here. Did you mean "limits"?`},
 		{"listen", `"127.0.0.1:8080"`, `"8080"`, line("listen") + `:1: listen: not host:port: "8080"`},
 		{"log format", `"text"`, `"xml"`, line("log_format") + `:1: log_format: "xml" is neither "text" nor "json"`},
 		{"limits", "sockets   = 1024", "sockets   = -1", line("sockets") + `:3: limits.sockets: below zero`},
@@ -163,7 +164,8 @@
 		{"server twice", `"quotes-2"`, `"quotes-1"`,
 			line(`server "quotes-1"`) + `:1: server.quotes-1: a server needs a name of its own`},
 		{"class", `repeat     = "never"`, `repeat     = "no"`,
-			line(`repeat     = "never"`) + `:3: class.summary-send.repeat: "no" is neither "safe" (may run twice) nor "never"`},
+			line(`repeat     = "never"`) +
+				`:3: class.summary-send.repeat: "no" is neither "safe" (may run twice) nor "never"`},
 		{"deadline", `deadline   = "2s"`, `deadline   = "2ms"`,
 			line(`deadline   = "2s"`) + `:3: class.quote-read.deadline: before the aim`},
 		{"ceiling", "ceiling_rate  = 40", "ceiling_rate  = 4",
--- a/internal/standalone/config/platform.go
+++ b/internal/standalone/config/platform.go
@@ -25,8 +25,10 @@
 type precedence int
 
 const (
-	variablesFirst precedence = iota // at the start
-	fileFirst                        // at a reload: the file is newer than the variables, which are as old as the process
+	// variablesFirst is right at the start.
+	variablesFirst precedence = iota
+	// fileFirst is right at a reload: the file is newer than the variables, which are as old as the process.
+	fileFirst
 )
 
 // platformFile is the platform's form of a configuration. It is an alias of a type without a name, for the decoder
--- a/internal/standalone/counterclient/pipeline.go
+++ b/internal/standalone/counterclient/pipeline.go
@@ -120,8 +120,8 @@
 			c := p.use(conn)
 			go func() {
 				p.remove(c, p.readReplies(c))
-				// Without a reply it counts as one that could not connect: a counter that ends each connection at once must not
-				// be dialled thousands of times a second.
+				// Without a reply it counts as one that could not connect: a counter that ends each connection at once
+				// must not be dialled thousands of times a second.
 				if !c.replied {
 					time.Sleep(reconnectDelay)
 				}
--- a/internal/standalone/discovery/fuzz_test.go
+++ b/internal/standalone/discovery/fuzz_test.go
@@ -41,7 +41,8 @@
 				t.Fatalf("error %v, and the list changed", err)
 			}
 			now, id, decisions := 2+10*float64(i), uint64(i+1), 0
-			actions := g.Handle(now, decision.Request{ID: id, Class: "c", Plan: "p", Customer: "c", TimeLeft: 3, Units: 1})
+			request := decision.Request{ID: id, Class: "c", Plan: "p", Customer: "c", TimeLeft: 3, Units: 1}
+			actions := g.Handle(now, request)
 			for end := now + 3; now < end; now += 0.05 { // queued, it is sent or rejected in time
 				for _, a := range append(actions, g.Handle(now, decision.Timer{Token: "tick"})...) {
 					switch a := a.(type) {
--- a/internal/standalone/discovery/watcher.go
+++ b/internal/standalone/discovery/watcher.go
@@ -18,8 +18,8 @@
 	dialTimeout    = time.Second
 	silenceTimeout = 3 * time.Second // an empty line comes every 2 s: without one the watch is dead
 
-	// silentSpread is over how many seconds a fleet whose watches fell silent together opens them again. A change that a
-	// silent watch misses counts as received 6 s after the watch fell silent, and 3 s have passed by then.
+	// silentSpread is over how many seconds a fleet whose watches fell silent together opens them again. A change that
+	// a silent watch misses counts as received 6 s after the watch fell silent, and 3 s have passed by then.
 	silentSpread = 2.0
 
 	maxListBytes = 4 << 20
@@ -117,8 +117,8 @@
 // reconnectDelay is the time until the next connection, after one that ended with an error.
 func (w *Watcher) reconnectDelay(code string, err error, rng *rand.Rand) decision.Seconds {
 	if code == codeSilent {
-		// A watch that fell silent is opened again while its changes may still be late. A call that timed out has waited
-		// long enough, and has lost its place in discovery's queue.
+		// A watch that fell silent is opened again while its changes may still be late. A call that timed out has
+		// waited long enough, and has lost its place in discovery's queue.
 		if errors.Is(err, errWatchSilent) {
 			return rng.Float64() * min(w.backoff.Now(), silentSpread)
 		}
--- a/internal/standalone/fleet/gossip/golden_test.go
+++ b/internal/standalone/fleet/gossip/golden_test.go
@@ -24,12 +24,17 @@
 			From: "n1", Addr: "10.0.0.4:7946", Incarnation: self, Seq: 300, AckedSeq: 299, KnownIncarnation: other,
 		}), false},
 		{"links-request.cbor", &message{Kind: linksRequest, From: "n1", QueryID: 70000}, false},
-		{"links-response.cbor", &message{Kind: linksResponse, From: "n2", QueryID: 70000, Links: map[string]membership.Link{
-			"n1": membership.LinkInboundOnly,
-			"n3": membership.LinkDown,
-			"n4": membership.LinkBidirectional,
-			"n5": membership.LinkUnknown,
-		}}, true},
+		{"links-response.cbor", &message{
+			Kind:    linksResponse,
+			From:    "n2",
+			QueryID: 70000,
+			Links: map[string]membership.Link{
+				"n1": membership.LinkInboundOnly,
+				"n3": membership.LinkDown,
+				"n4": membership.LinkBidirectional,
+				"n5": membership.LinkUnknown,
+			},
+		}, true},
 		{"payload.cbor", &message{Kind: payload, From: "n1", Topic: 10, Data: []byte{1, 2, 3, 255}}, false},
 	} {
 		t.Run(tc.file, func(t *testing.T) {
--- a/internal/standalone/fleet/keyring/keyring_test.go
+++ b/internal/standalone/fleet/keyring/keyring_test.go
@@ -30,7 +30,8 @@
 			}
 			keys, err := Read(path)
 			if tc.err != "" {
-				if !errors.Is(err, ErrKeys) || !strings.Contains(err.Error(), tc.err) || strings.Contains(err.Error(), "secret") {
+				if !errors.Is(err, ErrKeys) || !strings.Contains(err.Error(), tc.err) ||
+					strings.Contains(err.Error(), "secret") {
 					t.Errorf("got %v, want %q without the key", err, tc.err)
 				}
 				return
--- a/internal/standalone/fleet/leaseservice/encoding_test.go
+++ b/internal/standalone/fleet/leaseservice/encoding_test.go
@@ -53,7 +53,12 @@
 			Entries: []revisionlog.Entry{brief},
 		}},
 		{"message_ask.cbor", revisionlog.Message{Kind: revisionlog.Query, Token: 12}},
-		{"announced.json", AnnouncerStatus{LastToken: 12, Holder: "n1", Rejected: 2, Entries: []revisionlog.Entry{brief}}},
+		{"announced.json", AnnouncerStatus{
+			LastToken: 12,
+			Holder:    "n1",
+			Rejected:  2,
+			Entries:   []revisionlog.Entry{brief},
+		}},
 		{"record.json", revisionlog.Record{LastToken: 12, Entries: []revisionlog.Entry{full}}},
 		{"duty_record.json", Record{Name: "n1", Boot: 3, Tokens: map[string]uint64{"export": 12}}},
 	}
--- a/internal/standalone/fleet/leaseservice/messages.go
+++ b/internal/standalone/fleet/leaseservice/messages.go
@@ -76,7 +76,7 @@
 			s.responseReceived(r)
 		}
 	case topicWake:
-		s.stepHolder(singleton.WakeReceived{})
+		s.stepLeaseHolder(singleton.WakeReceived{})
 	case topicCall:
 		s.handleCall(m)
 	case topicExport:
@@ -91,7 +91,7 @@
 	for _, status := range r.Grants {
 		s.roleStatus[status.Role] = status
 	}
-	s.stepHolder(singleton.ResponseReceived{Response: r})
+	s.stepLeaseHolder(singleton.ResponseReceived{Response: r})
 }
 
 // deliver sends what the voter wants sent. The caller holds s.mu.
@@ -111,7 +111,7 @@
 	}
 	for _, name := range output.Wake {
 		if name == self {
-			s.stepHolder(singleton.WakeReceived{})
+			s.stepLeaseHolder(singleton.WakeReceived{})
 			continue
 		}
 		s.options.Fleet.Send(name, topicWake, wakePayload)
--- a/internal/standalone/fleet/leaseservice/roles.go
+++ b/internal/standalone/fleet/leaseservice/roles.go
@@ -85,7 +85,7 @@
 		return
 	}
 	for _, name := range s.roleNames() {
-		s.stepHolder(singleton.Acquire{Role: name, PreferredZone: s.roles[name].preferredZone})
+		s.stepLeaseHolder(singleton.Acquire{Role: name, PreferredZone: s.roles[name].preferredZone})
 	}
 }
 
@@ -96,7 +96,7 @@
 			r.cancel()
 			ended = append(ended, r.ended)
 		}
-		s.stepHolder(singleton.Resign{Role: name})
+		s.stepLeaseHolder(singleton.Resign{Role: name})
 	}
 	return ended
 }
@@ -104,8 +104,8 @@
 // roleNames returns the names of the roles, sorted. The caller holds s.mu.
 func (s *Service) roleNames() []string { return slices.Sorted(maps.Keys(s.roles)) }
 
-// stepHolder steps the lease holder and executes its actions. The caller holds s.mu.
-func (s *Service) stepHolder(event singleton.LeaseHolderEvent) {
+// stepLeaseHolder steps the lease holder and executes its actions. The caller holds s.mu.
+func (s *Service) stepLeaseHolder(event singleton.LeaseHolderEvent) {
 	for _, action := range s.leaseHolder.Step(s.now(), event) {
 		switch action := action.(type) {
 		case singleton.SendRequest:
@@ -174,7 +174,7 @@
 	r.cancel = nil
 	close(r.ended)
 	if stopped {
-		s.stepHolder(singleton.SteppedDown{Role: name})
+		s.stepLeaseHolder(singleton.SteppedDown{Role: name})
 		if present, ok := s.leaseHolder.FencingToken(s.now(), name); ok && present != token {
 			s.startWork(name, present) // the lease was gained again while the work ended
 		}
@@ -182,7 +182,7 @@
 	}
 	s.log("duty-resigned").WithField("duty", name).WithError(err).
 		Error("work of a singleton role failed; another ingress may take the role")
-	s.stepHolder(singleton.Resign{Role: name})
+	s.stepLeaseHolder(singleton.Resign{Role: name})
 	r.reacquire = time.AfterFunc(reacquireDelay, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/internal/standalone/fleet/leaseservice/service.go
+++ b/internal/standalone/fleet/leaseservice/service.go
@@ -156,7 +156,7 @@
 	defer s.mu.Unlock()
 	now := time.Since(s.startedAt)
 	if now-s.lastTick > stallThreshold {
-		s.stepHolder(singleton.StallDetected{})
+		s.stepLeaseHolder(singleton.StallDetected{})
 	}
 	s.lastTick = now
 	if identity := identityOf(s.options.Fleet.Self()); identity != s.identity {
@@ -169,7 +169,7 @@
 		s.logVoterStatus()
 	}
 	s.checkRecordStored(now)
-	s.stepHolder(singleton.LeaseHolderTick{})
+	s.stepLeaseHolder(singleton.LeaseHolderTick{})
 }
 
 // logVoterStatus logs changes of the voter. The caller holds s.mu.
--- a/internal/standalone/fleet/membership/probing.go
+++ b/internal/standalone/fleet/membership/probing.go
@@ -113,7 +113,8 @@
 	}
 	q.nextAttemptAt = now + probeRetryInterval
 	if q.final && q.attempts < q.maxAttempts() {
-		// With the next tick: many attempts make it unlikely that loss alone misses the probe, and a death is known no later.
+		// With the next tick: many attempts make it unlikely that loss alone misses the probe, and a death is known no
+		// later.
 		q.nextAttemptAt = now
 	}
 	return SendMessage{To: q.target, Addr: v.peers[q.target].member.Addr, Message: v.newMessage()}
--- a/internal/standalone/fleet/membership/types.go
+++ b/internal/standalone/fleet/membership/types.go
@@ -107,9 +107,8 @@
 // ReachabilityLevel is how much of the fleet an ingress can reach.
 type ReachabilityLevel uint8
 
-// The levels. Actions for the whole fleet are allowed at Majority and Complete only. Two parts of a
-// partitioned fleet are never both at one of these levels, as each of them reaches more than half of the last
-// agreed membership.
+// The levels. Actions on all ingresses are allowed at Majority and Complete only. Two parts of a partitioned fleet
+// are never both at one of these levels, as each of them reaches more than half of the last agreed membership.
 const (
 	Partitioned ReachabilityLevel = iota // at most half of the last agreed membership is reached, or nothing is known
 	Majority                             // more than half of it, but not all
--- a/internal/standalone/fleet/membership/walk_test.go
+++ b/internal/standalone/fleet/membership/walk_test.go
@@ -239,7 +239,9 @@
 	}
 	w.checkReachability(r, alive, agreed)
 	v := w.view
-	if len(v.changes) > maxChanges || len(v.probes) > maxWalkProbes+len(w.names) || len(v.probeResults) > maxWalkResults {
+	if len(v.changes) > maxChanges ||
+		len(v.probes) > maxWalkProbes+len(w.names) ||
+		len(v.probeResults) > maxWalkResults {
 		w.Fatalf("%d changes, %d probes, %d results are kept", len(v.changes), len(v.probes), len(v.probeResults))
 	}
 }
--- a/internal/standalone/fleet/quorum/encoding_test.go
+++ b/internal/standalone/fleet/quorum/encoding_test.go
@@ -17,13 +17,32 @@
 		file  string
 		value any
 	}{
-		{"envelope_raft", envelope{Kind: kindRaft, From: 11, Name: "n1", Boot: 2, RaftMessage: []byte{1, 2, 3},
-			Match: map[uint64]uint64{12: 34}}},
+		{"envelope_raft", envelope{
+			Kind:        kindRaft,
+			From:        11,
+			Name:        "n1",
+			Boot:        2,
+			RaftMessage: []byte{1, 2, 3},
+			Match:       map[uint64]uint64{12: 34},
+		}},
 		{"envelope_hello", envelope{Kind: kindHello, From: 11, Name: "n1", Boot: 2, LastIndex: 5, Bootstrapped: true}},
-		{"envelope_known", envelope{Kind: kindProgress, From: 11, Name: "n1", Boot: 2,
-			Progress: PeerProgress{Boot: 3, Index: 4}, Bootstrapped: true, Waiting: true}},
-		{"envelope_form", envelope{Kind: kindBootstrap, From: 11, Name: "n1", Boot: 2, Voters: map[uint64]string{11: "n1"},
-			TokenBase: 1 << 40}},
+		{"envelope_known", envelope{
+			Kind:         kindProgress,
+			From:         11,
+			Name:         "n1",
+			Boot:         2,
+			Progress:     PeerProgress{Boot: 3, Index: 4},
+			Bootstrapped: true,
+			Waiting:      true,
+		}},
+		{"envelope_form", envelope{
+			Kind:      kindBootstrap,
+			From:      11,
+			Name:      "n1",
+			Boot:      2,
+			Voters:    map[uint64]string{11: "n1"},
+			TokenBase: 1 << 40,
+		}},
 		{"snapshot", snapshot{
 			Table: &singleton.LeaseTable{
 				LastToken: 12,
--- a/internal/standalone/fleet/quorum/load_test.go
+++ b/internal/standalone/fleet/quorum/load_test.go
@@ -52,7 +52,7 @@
 		name := ingressName(i)
 		g.holders[name] = singleton.NewLeaseHolder(singleton.Identity{Name: name, Boot: 1, Nonce: 1}, "a")
 		for role := range roles {
-			g.stepHolder(name, singleton.Acquire{Role: roleName(role)})
+			g.stepLeaseHolder(name, singleton.Acquire{Role: roleName(role)})
 		}
 	}
 	return g
@@ -81,14 +81,14 @@
 		})
 	}
 	for _, reply := range output.Replies {
-		g.stepHolder(reply.To.Name, singleton.ResponseReceived{Response: reply.Response})
+		g.stepLeaseHolder(reply.To.Name, singleton.ResponseReceived{Response: reply.Response})
 	}
 	for _, ingress := range output.Wake {
-		g.stepHolder(ingress, singleton.WakeReceived{})
+		g.stepLeaseHolder(ingress, singleton.WakeReceived{})
 	}
 }
 
-func (g *group) stepHolder(name string, event singleton.LeaseHolderEvent) {
+func (g *group) stepLeaseHolder(name string, event singleton.LeaseHolderEvent) {
 	for _, action := range g.holders[name].Step(g.now, event) {
 		send, ok := action.(singleton.SendRequest)
 		if !ok || g.partitioned {
@@ -107,7 +107,7 @@
 			g.stepVoter(name, func(v *quorum.Voter) quorum.Output { return v.Tick(g.now) })
 		}
 		for i := range len(g.holders) {
-			g.stepHolder(ingressName(i), singleton.LeaseHolderTick{})
+			g.stepLeaseHolder(ingressName(i), singleton.LeaseHolderTick{})
 		}
 	}
 }
--- a/internal/standalone/fleet/quorum/receive.go
+++ b/internal/standalone/fleet/quorum/receive.go
@@ -83,8 +83,10 @@
 	last, _ := v.raftStorage.LastIndex()
 	rolledBack := e.Progress.Index > last || e.Progress.Boot > v.durable.Boot
 	if rolledBack && !mutants.On("quorum/gone-back-votes") {
-		v.retire(fmt.Sprintf("its store was rolled back: %s saw it at entry %d of boot %d, it is at entry %d of boot %d",
-			e.Name, e.Progress.Index, e.Progress.Boot, last, v.durable.Boot))
+		v.retire(fmt.Sprintf(
+			"its store was rolled back: %s saw it at entry %d of boot %d, it is at entry %d of boot %d",
+			e.Name, e.Progress.Index, e.Progress.Boot, last, v.durable.Boot,
+		))
 		return
 	}
 	v.confirmedBy[e.From] = true
--- a/internal/standalone/fleet/quorum/simulation_faults_test.go
+++ b/internal/standalone/fleet/quorum/simulation_faults_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// pauseHolders pauses whoever may act.
+// pauseHolders pauses the machines that may act.
 func (s *simulation) pauseHolders() {
 	for _, m := range s.machines {
 		if _, ok := m.leaseHolder.FencingToken(s.clock(m), simulatedRole); ok && m.up {
--- a/internal/standalone/fleet/quorum/simulation_test.go
+++ b/internal/standalone/fleet/quorum/simulation_test.go
@@ -158,7 +158,7 @@
 	}
 	self := singleton.Identity{Name: m.name, Boot: m.incarnation, Nonce: m.incarnation}
 	m.leaseHolder = singleton.NewLeaseHolder(self, "a")
-	s.stepHolder(m, singleton.Acquire{Role: simulatedRole})
+	s.stepLeaseHolder(m, singleton.Acquire{Role: simulatedRole})
 }
 
 func (s *simulation) stop(m *machine) { m.up, m.voter = false, nil }
@@ -185,7 +185,7 @@
 func (s *simulation) tick(m *machine) {
 	s.act(m) // after a pause the role's work may go on before the lease holder does
 	if s.clock(m)-m.lastTick > stallThreshold {
-		s.stepHolder(m, singleton.StallDetected{})
+		s.stepLeaseHolder(m, singleton.StallDetected{})
 	}
 	m.lastTick = s.clock(m)
 	paused := m.paused
@@ -197,7 +197,7 @@
 		m.voter.Reopen(s.clock(m))
 		s.handleOutput(m, m.voter.Tick(s.clock(m)))
 	}
-	s.stepHolder(m, singleton.LeaseHolderTick{})
+	s.stepLeaseHolder(m, singleton.LeaseHolderTick{})
 	s.act(m)
 }
 
@@ -235,12 +235,12 @@
 	}
 	for _, reply := range output.Replies {
 		if to := s.machine(reply.To.Name); to != nil {
-			s.send(m, to, func() { s.stepHolder(to, singleton.ResponseReceived{Response: reply.Response}) })
+			s.send(m, to, func() { s.stepLeaseHolder(to, singleton.ResponseReceived{Response: reply.Response}) })
 		}
 	}
 	for _, name := range output.Wake {
 		if to := s.machine(name); to != nil {
-			s.send(m, to, func() { s.stepHolder(to, singleton.WakeReceived{}) })
+			s.send(m, to, func() { s.stepLeaseHolder(to, singleton.WakeReceived{}) })
 		}
 	}
 	if m.voter != nil && m.voter.appliedIndex > 0 && m.voter.state != Unformed {
@@ -259,8 +259,8 @@
 	s.handleOutput(m, output)
 }
 
-// stepHolder steps a machine's lease holder and executes its actions.
-func (s *simulation) stepHolder(m *machine, event singleton.LeaseHolderEvent) {
+// stepLeaseHolder steps a machine's lease holder and executes its actions.
+func (s *simulation) stepLeaseHolder(m *machine, event singleton.LeaseHolderEvent) {
 	if e, ok := event.(singleton.ResponseReceived); ok {
 		s.recordConfirmations(m, e.Response)
 	}
@@ -271,7 +271,7 @@
 		case singleton.StepDown:
 			incarnation := m.incarnation
 			s.after(0.05, func() {
-				s.deliver(m, incarnation, func() { s.stepHolder(m, singleton.SteppedDown(action)) })
+				s.deliver(m, incarnation, func() { s.stepLeaseHolder(m, singleton.SteppedDown(action)) })
 			})
 		}
 	}
--- a/internal/standalone/fleet/quotashare/counterhealth.go
+++ b/internal/standalone/fleet/quotashare/counterhealth.go
@@ -15,7 +15,7 @@
 	maxUnansweredCalls = 4     // in a row
 	answerTimeout      = 1.0   // s since the last answer
 	answersToTrust     = 3     // in a row, before the counter is trusted again
-	initialDistrust    = 8.0   // s after an impossible total, longer than a counter cycle; doubled with each further one
+	initialDistrust    = 8.0   // s after an impossible total, more than a counter cycle; doubled with each further one
 	maxDistrust        = 64.0  // s
 	distrustResetAfter = 120.0 // s without an impossible total until the next one counts as the first
 
@@ -122,7 +122,8 @@
 		return nil
 	}
 	ch.distrust(now)
-	return ch.setTrusted(false, fmt.Sprintf("%s has %.7g, at least %.7g were added", answer.Name, answer.Total, minTotal))
+	reason := fmt.Sprintf("%s has %.7g, at least %.7g were added", answer.Name, answer.Total, minTotal)
+	return ch.setTrusted(false, reason)
 }
 
 // distrust sets for how long an impossible total counts. The time grows with each one: where parts of a fleet use
--- a/internal/standalone/fleet/quotashare/golden_test.go
+++ b/internal/standalone/fleet/quotashare/golden_test.go
@@ -22,7 +22,13 @@
 		UnhealthyServers: []string{"s1", "s2"},
 		ServerCount:      9,
 		Customers: []CustomerReport{
-			{Customer: "m1", Rate: 12.5, Lent: 3.25, Totals: []CounterTotal{{"m1/17", 40.125}, {"m1/18", 2}}, UsesGrants: true},
+			{
+				Customer:   "m1",
+				Rate:       12.5,
+				Lent:       3.25,
+				Totals:     []CounterTotal{{"m1/17", 40.125}, {"m1/18", 2}},
+				UsesGrants: true,
+			},
 			{Customer: "m2"},
 		},
 	}
--- a/internal/standalone/fleet/quotashare/simulation_test.go
+++ b/internal/standalone/fleet/quotashare/simulation_test.go
@@ -299,7 +299,8 @@
 		}
 		s.maxQuotaFraction = max(s.maxQuotaFraction, granted/simulatedQuota)
 		if granted > simulatedQuota*(1+quotaTolerance) && s.violation == "" {
-			s.violation = fmt.Sprintf("%.1f s: gateways of %s have %.3f of its quota", s.now, name, granted/simulatedQuota)
+			s.violation = fmt.Sprintf("%.1f s: gateways of %s have %.3f of its quota",
+				s.now, name, granted/simulatedQuota)
 		}
 		if s.now > s.withoutCounterSince+settleTime {
 			s.demandSum += min(demand, simulatedQuota)
@@ -425,8 +426,9 @@
 				trustedAfter := runOutage(s, tc.fault)
 				unused := s.unused / max(1, s.demandSum)
 				messages := float64(s.messages) / s.now / float64(size.ingresses)
-				t.Logf("at most %.3f of a quota, %4.1f%% of the demand not granted, counter trusted %.1f s after its return, "+
-					"%.0f messages a second and ingress", s.maxQuotaFraction, 100*unused, trustedAfter, messages)
+				t.Logf("at most %.3f of a quota, %4.1f%% of the demand not granted, "+
+					"counter trusted %.1f s after its return, %.0f messages a second and ingress",
+					s.maxQuotaFraction, 100*unused, trustedAfter, messages)
 				if s.violation != "" || unused > tc.maxUnused || s.demandSum == 0 || trustedAfter == 0 {
 					t.Errorf("violation %q, unused %.3f (want at most %.3f), trusted after %.1f s",
 						s.violation, unused, tc.maxUnused, trustedAfter)
--- a/internal/standalone/fleet/quotashare/votes.go
+++ b/internal/standalone/fleet/quotashare/votes.go
@@ -47,8 +47,8 @@
 	ballots, voters, zones := a.countVotes(now)
 	for _, server := range sortedKeys(ballots) {
 		b := ballots[server]
-		// A zone that is partitioned finds all servers elsewhere unhealthy. Where there are several zones, the votes of one
-		// don't count for the others.
+		// A zone that is partitioned finds all servers elsewhere unhealthy. Where there are several zones, the votes of
+		// one don't count for the others.
 		zonesSuffice := len(zones) < 2 || b.zones[a.options.Zone] || len(b.zones) > 1
 		if b.votes >= min(minVotes, max(2, voters)) && zonesSuffice {
 			servers = append(servers, server)
--- a/internal/standalone/fleet/quotasync/report.go
+++ b/internal/standalone/fleet/quotasync/report.go
@@ -4,13 +4,14 @@
 
 // Report is the state of shared quotas, as operators see it in JSON.
 type Report struct {
-	CounterTrusted bool                `json:"sound"`
-	Reason         string              `json:"why,omitempty"` // why the counter is not trusted, or was not the last time
-	Rejected       int                 `json:"refused"`       // messages that changed nothing
-	Lent           float64             `json:"given"`         // units a second to others
-	Borrowed       float64             `json:"taken"`         // units a second from others
-	WarnedServers  []string            `json:"warned,omitempty"`
-	Customers      []quotashare.Status `json:"members,omitempty"`
+	CounterTrusted bool `json:"sound"`
+	// Reason is why the counter is not trusted, or was not the last time.
+	Reason        string              `json:"why,omitempty"`
+	Rejected      int                 `json:"refused"` // messages that changed nothing
+	Lent          float64             `json:"given"`   // units a second to others
+	Borrowed      float64             `json:"taken"`   // units a second from others
+	WarnedServers []string            `json:"warned,omitempty"`
+	Customers     []quotashare.Status `json:"members,omitempty"`
 }
 
 // Report returns the state with the details of one customer; empty: of all.
--- a/internal/standalone/fleet/quotasync/service.go
+++ b/internal/standalone/fleet/quotasync/service.go
@@ -180,6 +180,15 @@
 	}
 }
 
+func (s *Service) logCounterTrust(change quotashare.CounterTrustChanged) {
+	entry := s.options.Log.WithField("why", change.Reason)
+	if change.Trusted {
+		entry.WithField("code", "share-counter-trusted").Info("the counter is trusted again: quotas go by its totals")
+		return
+	}
+	entry.WithField("code", "share-counter-doubted").Warn("the counter is not trusted: quotas go by leased grants")
+}
+
 // execute carries out the actions that don't need the engine.
 func (s *Service) execute(actions []quotashare.Action) {
 	for _, a := range actions {
@@ -189,12 +198,7 @@
 				s.options.Gossip.Send(a.To, quotaTopic, data)
 			}
 		case quotashare.CounterTrustChanged:
-			entry := s.options.Log.WithField("why", a.Reason)
-			if a.Trusted {
-				entry.WithField("code", "share-counter-trusted").Info("the counter is trusted again: quotas go by its totals")
-			} else {
-				entry.WithField("code", "share-counter-doubted").Warn("the counter is not trusted: quotas go by leased grants")
-			}
+			s.logCounterTrust(a)
 		}
 	}
 }
--- a/internal/standalone/fleet/singleton/lease_manager.go
+++ b/internal/standalone/fleet/singleton/lease_manager.go
@@ -202,8 +202,8 @@
 		status := RoleStatus{Role: wanted.Role, Token: lease.Token, Holder: lease.Holder.Name}
 		if lease.Holder == r.From {
 			status.IsHolder = true
-			// Confirmed means that the lease was renewed after the request. A grant that the sender learns of by this response
-			// is not confirmed: its lease counts from a request that names the token.
+			// Confirmed means that the lease was renewed after the request. A grant that the sender learns of by this
+			// response is not confirmed: its lease counts from a request that names the token.
 			status.Confirmed = wanted.Token == lease.Token || mutants.On("singleton/grant-is-lease")
 			next, transferred := lm.transferTo[wanted.Role]
 			status.StepDown = transferred && next != r.From.Name
--- a/internal/standalone/fleet/singleton/lease_table.go
+++ b/internal/standalone/fleet/singleton/lease_table.go
@@ -62,8 +62,9 @@
 		}
 		lease.Holder = Identity{}
 	case Expire:
-		// A leader that was paused finds a lease past its end, and the holder's renewals behind it in its inbox: these go
-		// to the log first and are confirmed. An expiry that was decided before them must not take effect after them.
+		// A leader that was paused finds a lease past its end, and the holder's renewals behind it in its inbox: these
+		// go to the log first and are confirmed. An expiry that was decided before them must not take effect after
+		// them.
 		if !lease.assigned() || lease.RenewedIndex != c.RenewedIndex && !mutants.On("singleton/expires-unseen") {
 			return false
 		}
--- a/internal/standalone/node/bench_test.go
+++ b/internal/standalone/node/bench_test.go
@@ -151,9 +151,8 @@
 		{"of two", pair, func(b *testing.B, to string) string {
 			return ingressAt(b, to, "fleet {\n  ingresses = 2\n  number = 0\n}\n")
 		}},
-		{"shared", pair, func(b *testing.B, to string) string { // with 400 members whose quota it could grant to the other
-			return ingressAt(b, to, sharedFleet)
-		}},
+		// With 400 members whose quota it could grant to the other.
+		{"shared", pair, func(b *testing.B, to string) string { return ingressAt(b, to, sharedFleet) }},
 		{"metered", alone, func(b *testing.B, to string) string {
 			return ingressAt(b, to, fmt.Sprintf("usage {\n  dir = %q\n}\n", b.TempDir()))
 		}},
--- a/internal/standalone/node/doc.go
+++ b/internal/standalone/node/doc.go
@@ -2,8 +2,8 @@
 // shutdown.
 //
 // It wires the engine round the decision module, the servers of clients and of the management address, discovery,
-// the quota counter, the catalogue of plans, usage records and the fleet; each of these lives in a package of its
-// own, and decisions stay in theirs. It may import every package of dataplane and standalone, and no emulator.
+// the quota counter, the catalogue of plans, usage records and the fleet; each of these has a package of its own,
+// and decisions stay in theirs. It may import every package of dataplane and standalone, and no emulator.
 //
 // A Node owns everything that Start opens: goroutines run under its context and are waited for, resources are
 // closed in the reverse order of their opening. The files by concern: node.go (start), shutdown.go (drain and
--- a/internal/standalone/node/usage.go
+++ b/internal/standalone/node/usage.go
@@ -42,7 +42,7 @@
 	})
 	n.spawn(func() { writer.Run(ctx) })
 	if n.config.Usage.Endpoint != "" {
-		if n.leases != nil { // the holder of the export lease sends for the whole fleet
+		if n.leases != nil { // the holder of the export lease sends for all ingresses
 			n.leases.AddExport(n.config.Usage.Endpoint)
 		}
 		if err := n.startExporter(ctx, dir); err != nil {
--- a/internal/standalone/plans/plans_test.go
+++ b/internal/standalone/plans/plans_test.go
@@ -47,9 +47,11 @@
 			[]string{"plan: a revision needs one plan at least"}},
 		{"plan twice", func(r *Revision) { r.Plans = append(r.Plans, basic()) },
 			[]string{"plan.basic: a plan needs a name of its own, one word"}},
-		{"below zero", func(r *Revision) { r.Plans[0].Rate = -1 }, []string{"plan.basic.rate: must be a number, 0 or more"}},
+		{"below zero", func(r *Revision) { r.Plans[0].Rate = -1 },
+			[]string{"plan.basic.rate: must be a number, 0 or more"}},
 		{"no burst", func(r *Revision) { r.Plans[0].Burst = 0 },
-			[]string{"plan.basic.burst: a rate needs a burst above 0: a store that holds nothing lets nothing through"}},
+			[]string{"plan.basic.burst: a rate needs a burst above 0: " +
+				"a store that holds nothing lets nothing through"}},
 		{"rate limit below the rate", func(r *Revision) { r.Plans[1].LimitRate = 9 },
 			[]string{"plan.plus.ceiling_rate: below the plan's rate of 10"}},
 		{"rate limit without burst", func(r *Revision) { r.Plans[1].LimitBurst = 0 },
@@ -58,8 +60,9 @@
 			[]string{"members." + bert + `: is on plan "plus", which this revision does not have`}},
 		{"not a member", func(r *Revision) { r.Members = map[string]string{"Anna": "basic"} },
 			[]string{"members.Anna: a member is 16 lower-case hexadecimal digits, below 2^33"}},
-		{"booking of an unlisted member", func(r *Revision) { r.Bookings = []Booking{{"b", "00000000000000cc", 10, 20, 5}} },
-			[]string{"booking.b.member: is not among the members that this revision lists"}},
+		{"booking of an unlisted member", func(r *Revision) {
+			r.Bookings = []Booking{{"b", "00000000000000cc", 10, 20, 5}}
+		}, []string{"booking.b.member: is not among the members that this revision lists"}},
 		{"booking that ends before it begins", func(r *Revision) { r.Bookings = []Booking{{"b", anna, 20, 10, 5}} },
 			[]string{"booking.b.to: must end after it begins"}},
 		{"bookings under one name", func(r *Revision) {
@@ -285,7 +288,11 @@
 	if diff := cmp.Diff([]float64{10}, rates(s, anna, "plus", 3)); diff != "" {
 		t.Errorf("the header must win (-want +got):\n%s", diff)
 	}
-	s.Offer(revision(3, 0, func(r *Revision) { r.Authority, r.Plans, r.Members = AuthorityHeader, r.Plans[:1], nil }), 4)
+	s.Offer(revision(3, 0, func(r *Revision) {
+		r.Authority = AuthorityHeader
+		r.Plans = r.Plans[:1]
+		r.Members = nil
+	}), 4)
 	if diff := cmp.Diff([]float64{10}, rates(s, anna, "plus", 5)); diff != "" {
 		t.Errorf("clients that still name a removed plan must be served by it (-want +got):\n%s", diff)
 	}
--- a/internal/standalone/plans/revision.go
+++ b/internal/standalone/plans/revision.go
@@ -31,10 +31,11 @@
 
 // Revision is one complete state of the catalogue. The command line prints it as JSON under the names of its fields.
 type Revision struct {
-	Number       uint64           // from 1; of those whose time has come, the highest is in force
-	EffectiveAt  decision.Seconds `json:"Holds"` // Unix time from which it counts; 0: as soon as it is received
-	Authority    Authority
-	BookableRate float64           `json:"Bookable"` // units a second that all bookings together may take at any instant
+	Number      uint64           // from 1; of those whose time has come, the highest is in force
+	EffectiveAt decision.Seconds `json:"Holds"` // Unix time from which it counts; 0: as soon as it is received
+	Authority   Authority
+	// BookableRate is how many units a second all bookings together may take at any instant.
+	BookableRate float64           `json:"Bookable"`
 	Plans        []decision.Plan   // in no particular order
 	Members      map[string]string // plan by member
 	Bookings     []Booking
--- a/internal/standalone/plans/validate.go
+++ b/internal/standalone/plans/validate.go
@@ -146,8 +146,9 @@
 			continue
 		}
 		if e := CheckCapacity(before, b, p.LimitRate-p.Rate); e != nil {
-			v.reject(fmt.Sprintf("with plan %q, at most %.0f units in this span stay under its ceiling", p.Name, e.Units),
-				"booking", b.ID, "units")
+			reason := fmt.Sprintf("with plan %q, at most %.0f units in this span stay under its ceiling",
+				p.Name, e.Units)
+			v.reject(reason, "booking", b.ID, "units")
 		}
 	}
 }
--- a/internal/standalone/simprotocol/host_test.go
+++ b/internal/standalone/simprotocol/host_test.go
@@ -27,7 +27,8 @@
 	got := serve(t, fmt.Sprintf(start, 3),
 		`{"Ts":2,"frame":2,"groups":[{"I":3,"events":[`+
 			`["SUBMIT",3903435346448836,"read","p","91f03b7c55d20a64",2,1,1,0,0],["NEWS",1]]}]}`,
-		`{"Ts":2.1,"frame":3,"groups":[{"I":3,"events":[["COMPLETED",3903435346448836,0,"done",0.1,0,"b1",true,0,null],`+
+		`{"Ts":2.1,"frame":3,"groups":[{"I":3,"events":[`+
+			`["COMPLETED",3903435346448836,0,"done",0.1,0,"b1",true,0,null],`+
 			`["SUM","done","old/1",5,0.1],["STATUS_BACK","done",0.1,"b1",{"queue":1}],["CLIENT_GONE",7]]}]}`,
 		`{"Ts":2.2,"frame":4,"groups":[]}`)
 	want := []string{
@@ -57,7 +58,8 @@
 
 func TestStoppedInstanceIsSilent(t *testing.T) {
 	got := serve(t, fmt.Sprintf(start, 1),
-		`{"Ts":2,"frame":2,"groups":[{"I":1,"events":[["STOP"],["FIRED","tick"],["SUBMIT",1,"read","p","k",2,1,1,0,0]]}]}`)
+		`{"Ts":2,"frame":2,"groups":[{"I":1,"events":[`+
+			`["STOP"],["FIRED","tick"],["SUBMIT",1,"read","p","k",2,1,1,0,0]]}]}`)
 	if got[1] != `{"frame":2,"groups":[]}` {
 		t.Errorf("got %s", got[1])
 	}
@@ -68,7 +70,8 @@
 		{"not JSON", `hello`, "batch 1: not a batch"},
 		{"an array", `[1]`, "batch 1: not a batch"},
 		{"no clock", `{"frame":1}`, "batch 1: not a batch: no Ts"},
-		{"event not an array", `{"Ts":1,"groups":[{"I":0,"events":[{}]}]}`, "batch 1: instance 0 event 0: not a message"},
+		{"event not an array", `{"Ts":1,"groups":[{"I":0,"events":[{}]}]}`,
+			"batch 1: instance 0 event 0: not a message"},
 		{"no name", `{"Ts":1,"groups":[{"I":0,"events":[[5]]}]}`, "message without a name"},
 		{"wrong type", `{"Ts":1,"groups":[{"I":0,"events":[["SUBMIT","x"]]}]}`, "SUBMIT: value 1"},
 		{"no settings", `{"Ts":1,"groups":[{"I":0,"events":[["CONFIGURE",1]]}]}`, "CONFIGURE: no settings"},
--- a/internal/standalone/state/golden_test.go
+++ b/internal/standalone/state/golden_test.go
@@ -61,20 +61,40 @@
 		got     any
 	}{
 		{
-			name: "knowledge", file: "ingress-623ac362.7.knowledge",
-			ingress: "n1 10.0.0.4:80", process: 7, kind: "knowledge", want: goldenKnowledge(), got: &decision.Knowledge{},
+			name:    "knowledge",
+			file:    "ingress-623ac362.7.knowledge",
+			ingress: "n1 10.0.0.4:80",
+			process: 7,
+			kind:    "knowledge",
+			want:    goldenKnowledge(),
+			got:     &decision.Knowledge{},
 		},
 		{
-			name: "record of a process", file: "ingress-623ac362.7.record",
-			ingress: "n1 10.0.0.4:80", process: 7, kind: "record", want: running, got: &handover.Record{},
+			name:    "record of a process",
+			file:    "ingress-623ac362.7.record",
+			ingress: "n1 10.0.0.4:80",
+			process: 7,
+			kind:    "record",
+			want:    running,
+			got:     &handover.Record{},
 		},
 		{
-			name: "record of a leaving process", file: "ingress-623ac362.8.record",
-			ingress: "n1 10.0.0.4:80", process: 8, kind: "record", want: leaving, got: &handover.Record{},
+			name:    "record of a leaving process",
+			file:    "ingress-623ac362.8.record",
+			ingress: "n1 10.0.0.4:80",
+			process: 8,
+			kind:    "record",
+			want:    leaving,
+			got:     &handover.Record{},
 		},
 		{
-			name: "record of the fleet", file: "ingress-7d8ebb0f.0.fleet",
-			ingress: "n1", process: 0, kind: "fleet", want: goldenFleet(), got: &gossip.Record{},
+			name:    "record of the fleet",
+			file:    "ingress-7d8ebb0f.0.fleet",
+			ingress: "n1",
+			process: 0,
+			kind:    "fleet",
+			want:    goldenFleet(),
+			got:     &gossip.Record{},
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/standalone/usageexport/exporter.go
+++ b/internal/standalone/usageexport/exporter.go
@@ -83,7 +83,8 @@
 			return
 		case err != nil:
 			failures++
-			wait = time.Duration(usage.RetryDelay(failures, result.Answer, result.RetryAfter, e.rng) * float64(time.Second))
+			delay := usage.RetryDelay(failures, result.Answer, result.RetryAfter, e.rng)
+			wait = time.Duration(delay * float64(time.Second))
 			if current := failureCode(result.Answer); current != code {
 				code = current
 				e.Log.WithFields(logrus.Fields{"code": code, "wait": wait.String()}).WithError(err).
--- a/internal/standalone/usageexport/exporter_test.go
+++ b/internal/standalone/usageexport/exporter_test.go
@@ -124,7 +124,8 @@
 				exportAll(t, e)
 				tally, _, repeats, conflicts := b.Billed()
 				known, unknown := tally.Total()
-				if known != (usage.Sum{Requests: 80, Units: 100 * usage.Micro}) || unknown.Requests != 1 || conflicts != 0 {
+				wantKnown := usage.Sum{Requests: 80, Units: 100 * usage.Micro}
+				if known != wantKnown || unknown.Requests != 1 || conflicts != 0 {
 					t.Errorf("billed %+v, unknown %+v, %d repeats, %d conflicts", known, unknown, repeats, conflicts)
 				}
 				v, err := e.Verify()
--- a/internal/standalone/usageexport/send.go
+++ b/internal/standalone/usageexport/send.go
@@ -51,7 +51,8 @@
 		return Result{Answer: answer}, nil
 	}
 	retryAfter, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
-	err = fmt.Errorf("%w: batch %d: status %d, acknowledged %v", ErrNotAcknowledged, b.Number, response.StatusCode, echoed)
+	err = fmt.Errorf("%w: batch %d: status %d, acknowledged %v",
+		ErrNotAcknowledged, b.Number, response.StatusCode, echoed)
 	return Result{Answer: answer, RetryAfter: max(0, retryAfter)}, err
 }
 
--- a/internal/standalone/usageexport/store.go
+++ b/internal/standalone/usageexport/store.go
@@ -118,7 +118,11 @@
 	}
 	err := e.db.Update(func(tx *bbolt.Tx) error {
 		sent := tx.Bucket(bucketSent)
-		if err := errors.Join(sent.Put(batchKey(b.Number), body), tx.Bucket(bucketState).Delete(keyOutbox)); err != nil {
+		err := errors.Join(
+			sent.Put(batchKey(b.Number), body),
+			tx.Bucket(bucketState).Delete(keyOutbox),
+		)
+		if err != nil {
 			return err
 		}
 		if b.Number%pruneInterval == 0 && b.Number > maxSentBatches {
--- a/internal/standalone/usageexport/verify.go
+++ b/internal/standalone/usageexport/verify.go
@@ -82,7 +82,8 @@
 			continue
 		}
 		if report.Damaged > 0 || report.Lost > 0 {
-			v.addProblem("%s: %d records damaged, %d bytes after the last sound one", s.Path, report.Damaged, report.Lost)
+			v.addProblem("%s: %d records damaged, %d bytes after the last sound one",
+				s.Path, report.Damaged, report.Lost)
 		}
 		v.Segments++
 		v.Records += report.Records
--- a/internal/standalone/usagesegment/golden_test.go
+++ b/internal/standalone/usagesegment/golden_test.go
@@ -73,6 +73,8 @@
 // TestGoldenSegmentsRead reads the segments of an earlier version.
 func TestGoldenSegmentsRead(t *testing.T) {
 	const secondBegun = goldenBegun + 120_000 // Unix ms
+	sealed := usage.Header{Number: 1, Writer: goldenRun, StartedAt: goldenBegun, SealedAt: secondBegun}
+	open := usage.Header{Number: 2, Writer: goldenRun, StartedAt: secondBegun}
 	for _, tc := range []struct {
 		file    string
 		header  usage.Header
@@ -80,9 +82,9 @@
 		damaged int
 		lost    int
 	}{
-		{"sealed.seg.gz", usage.Header{Number: 1, Writer: goldenRun, StartedAt: goldenBegun, SealedAt: secondBegun}, 7, 0, 0},
-		{"open.open.gz", usage.Header{Number: 2, Writer: goldenRun, StartedAt: secondBegun}, 6, 0, 0},
-		{"damaged.open.gz", usage.Header{Number: 2, Writer: goldenRun, StartedAt: secondBegun}, 5, 1, 9},
+		{"sealed.seg.gz", sealed, 7, 0, 0},
+		{"open.open.gz", open, 6, 0, 0},
+		{"damaged.open.gz", open, 5, 1, 9},
 	} {
 		t.Run(tc.file, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "segment")
@@ -98,7 +100,8 @@
 			}
 			report, err := usage.Scan(data, func(usage.Record) {})
 			if err != nil || report.Records != tc.records || report.Damaged != tc.damaged || report.Lost != tc.lost {
-				t.Errorf("got %+v, %v; want %d records, %d damaged, %d bytes lost", report, err, tc.records, tc.damaged, tc.lost)
+				t.Errorf("got %+v, %v; want %d records, %d damaged, %d bytes lost",
+					report, err, tc.records, tc.damaged, tc.lost)
 			}
 		})
 	}
--- a/internal/standalone/usagesegment/writer.go
+++ b/internal/standalone/usagesegment/writer.go
@@ -126,8 +126,7 @@
 	}
 	w.current = next
 	if w.missed.Requests > 0 {
-		w.log.WithFields(logrus.Fields{"code": "usage-resumed", "tries": w.missed.Requests, "units": w.missed.InUnits()}).
-			Warn("usage is recorded again; some was not")
+		w.logMissed("usage-resumed").Warn("usage is recorded again; some was not")
 		w.append(&usage.Record{Kind: usage.Unmetered, Unmetered: w.missed})
 		w.missed = usage.Sum{}
 	}
@@ -219,6 +218,15 @@
 	return w.missed
 }
 
+// logMissed returns an entry of the log with what was not recorded. w.mu must be held.
+func (w *Writer) logMissed(code string) *logrus.Entry {
+	return w.log.WithFields(logrus.Fields{
+		"code":  code,
+		"tries": w.missed.Requests,
+		"units": w.missed.InUnits(),
+	})
+}
+
 // Close closes the current segment and unlocks the folder. Later records are counted as missed, and lost.
 func (w *Writer) Close() error {
 	w.mu.Lock()
@@ -228,8 +236,7 @@
 	}
 	w.closed = true
 	if w.missed.Requests > 0 {
-		w.log.WithFields(logrus.Fields{"code": "usage-unmetered", "tries": w.missed.Requests, "units": w.missed.InUnits()}).
-			Error("some usage was not recorded, and is reported in this line only")
+		w.logMissed("usage-unmetered").Error("some usage was not recorded, and is reported in this line only")
 	}
 	if w.current != nil {
 		w.filled = append(w.filled, w.current)
