--- a/internal/standalone/cli/doc.go
+++ b/internal/standalone/cli/doc.go
@@ -6,6 +6,6 @@
 // The commands fault-test, model-check and try run parts of the emulator, the only ones that standalone imports.
 //
 // The files: cli.go (the program and its exit codes), help.go (help texts), errors.go, output.go (tables, JSON,
-// times), a file for each group of commands, and log.go (the log of a serving process). Tests are beside it, and of whole processes in
-// cmd/mulleinrouter.
+// times), a file for each group of commands, and log.go (the log of a serving process). Tests are beside it; those of
+// processes are in cmd/mulleinrouter.
 package cli
--- a/internal/standalone/counterclient/client.go
+++ b/internal/standalone/counterclient/client.go
@@ -1,6 +1,7 @@
 package counterclient
 
 import (
+	"context"
 	"hash/fnv"
 	"io"
 	"sync"
@@ -25,7 +26,10 @@
 	onReply   ReplyFunc
 	log       *logrus.Logger
 	pipelines []*pipeline
-	closed    chan struct{}
+
+	ctx        context.Context // ends with Close
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup // checkPipelines, and of each pipeline run and readers; Close waits for them
 
 	mu      sync.Mutex    // guards the fields below
 	addr    string        // host:port
@@ -36,9 +40,9 @@
 func New(addr string, timeout time.Duration, onReply ReplyFunc, log *logrus.Logger) *Client {
 	c := newClient(addr, timeout, onReply, log, pipelineCount)
 	for _, p := range c.pipelines {
-		go p.run()
+		c.goroutines.Go(p.run)
 	}
-	go c.checkPipelines()
+	c.goroutines.Go(c.checkPipelines)
 	return c
 }
 
@@ -50,8 +54,8 @@
 		timeout: timeout,
 		onReply: onReply,
 		log:     log,
-		closed:  make(chan struct{}),
 	}
+	c.ctx, c.cancel = context.WithCancel(context.Background())
 	for range pipelines {
 		c.pipelines = append(c.pipelines, &pipeline{client: c})
 	}
@@ -82,7 +86,7 @@
 	defer ticker.Stop()
 	for {
 		select {
-		case <-c.closed:
+		case <-c.ctx.Done():
 			return
 		case now := <-ticker.C:
 			for _, p := range c.pipelines {
@@ -92,13 +96,14 @@
 	}
 }
 
-// Close ends the connections, and with them the goroutines of the client, without waiting for either. Calls in
-// flight are reported as reset: they may have been added.
+// Close ends the connections and the goroutines of the client, and waits for them. Calls in flight have been reported
+// as reset by then: they may have been added. It must not be called from onReply.
 func (c *Client) Close() {
-	close(c.closed)
+	c.cancel()
 	for _, p := range c.pipelines {
 		p.close()
 	}
+	c.goroutines.Wait()
 }
 
 // Add adds an amount to a name, which the counter keeps for some seconds. It does not wait for the reply.
--- a/internal/standalone/counterclient/client_test.go
+++ b/internal/standalone/counterclient/client_test.go
@@ -37,7 +37,7 @@
 		defer c.Close()
 		pipe := c.pipelines[0]
 		p.Hooks["run"] = func(string) string {
-			go pipe.run()
+			c.goroutines.Go(pipe.run)
 			return ""
 		}
 		p.Hooks["up"] = func(string) string { // the pipeline has noticed its connection
@@ -99,7 +99,7 @@
 	onReply := func(string, decision.Outcome, float64) {}
 	c := newClient(l.Addr().String(), time.Minute, onReply, logtest.Discard(), 1)
 	defer c.Close()
-	go c.pipelines[0].run()
+	c.goroutines.Go(c.pipelines[0].run)
 	begun := time.Now()
 	const times = 4
 	for range times {
@@ -114,6 +114,44 @@
 	}
 }
 
+// Close ends everything that the client started: the calls in flight are reported as reset before it returns, and none
+// later.
+func TestCloseWaitsForPendingCalls(t *testing.T) {
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	outcomes := make(chan decision.Outcome, 100)
+	onReply := func(_ string, outcome decision.Outcome, _ float64) { outcomes <- outcome }
+	c := New(l.Addr().String(), time.Minute, onReply, logtest.Discard())
+	for range pipelineCount {
+		conn, err := l.Accept() // which never replies
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+	}
+	for { // until the pipeline has noticed its connection
+		c.Add("name", 1, 10)
+		if len(outcomes) == 0 {
+			break
+		}
+		if got := <-outcomes; got != decision.ConnectionRefused {
+			t.Fatalf("outcome before the connection is up: got %v, want %v", got, decision.ConnectionRefused)
+		}
+	}
+	c.Close()
+	select {
+	case got := <-outcomes:
+		if got != decision.ConnectionReset {
+			t.Errorf("outcome of the call in flight: got %v, want %v", got, decision.ConnectionReset)
+		}
+	default:
+		t.Error("the call in flight is not reported when Close returns")
+	}
+}
+
 // FuzzReadReply: whatever the counter sends is a reply or an error; a total is a number, and never read from more
 // lines than a reply has.
 func FuzzReadReply(f *testing.F) {
--- a/internal/standalone/counterclient/pipeline.go
+++ b/internal/standalone/counterclient/pipeline.go
@@ -111,25 +111,18 @@
 
 // run keeps one connection up, at the present address, until the client is closed.
 func (p *pipeline) run() {
+	dialer := net.Dialer{Timeout: dialTimeout}
 	for {
 		addr, changed := p.client.address()
 		ended := make(chan struct{})
-		if conn, err := net.DialTimeout("tcp", addr, dialTimeout); err != nil {
+		if conn, err := dialer.DialContext(p.client.ctx, "tcp", addr); err != nil {
 			time.AfterFunc(reconnectDelay, func() { close(ended) })
 		} else {
 			c := p.use(conn)
-			go func() {
-				p.remove(c, p.readReplies(c))
-				// Without a reply it counts as one that could not connect: a counter that ends each connection at once
-				// must not be dialled thousands of times a second.
-				if !c.replied {
-					time.Sleep(reconnectDelay)
-				}
-				close(ended)
-			}()
+			p.client.goroutines.Go(func() { p.serve(c, ended) })
 		}
 		select {
-		case <-p.client.closed:
+		case <-p.client.ctx.Done():
 			return
 		case <-ended:
 		case <-changed: // the next connection comes up beside this one
@@ -137,6 +130,21 @@
 	}
 }
 
+// serve reads the replies on a connection until it ends, and then closes ended, once the next one may be opened.
+func (p *pipeline) serve(c *connection, ended chan<- struct{}) {
+	defer close(ended)
+	p.remove(c, p.readReplies(c))
+	if c.replied {
+		return
+	}
+	// Without a reply it counts as one that could not connect: a counter that ends each connection at once must not be
+	// dialled thousands of times a second.
+	select {
+	case <-p.client.ctx.Done():
+	case <-time.After(reconnectDelay):
+	}
+}
+
 // use puts a new connection into use, and retires the one before it.
 func (p *pipeline) use(conn net.Conn) *connection {
 	p.mu.Lock()
@@ -152,10 +160,8 @@
 		}
 	}
 	p.connections = append(p.connections, c)
-	select {
-	case <-p.client.closed: // meanwhile
+	if p.client.ctx.Err() != nil { // it was closed meanwhile
 		c.end("counter-closed")
-	default:
 	}
 	return c
 }
--- a/internal/standalone/counterserver/server_test.go
+++ b/internal/standalone/counterserver/server_test.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/counterclient"
+	"mulleinrouter/internal/standalone/logtest"
 )
 
 // The store agrees with one that looks through all names at each call.
@@ -122,8 +122,7 @@
 		total   float64
 	}
 	replies := make(chan reply, 10)
-	log := logrus.New()
-	log.SetOutput(io.Discard)
+	log := logtest.Discard()
 	onReply := func(name string, outcome decision.Outcome, total float64) { replies <- reply{name, outcome, total} }
 	c := counterclient.New(addr, 10*time.Second, onReply, log)
 	defer c.Close()
--- a/internal/standalone/fleet/gossip/testfleet_test.go
+++ b/internal/standalone/fleet/gossip/testfleet_test.go
@@ -4,16 +4,15 @@
 
 import (
 	"fmt"
-	"io"
 	"os"
 	"testing"
 	"time"
 
 	"github.com/hashicorp/memberlist"
-	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/emulator/faultnet"
 	"mulleinrouter/internal/standalone/fleet/membership"
+	"mulleinrouter/internal/standalone/logtest"
 )
 
 const (
@@ -53,8 +52,7 @@
 }
 
 func (tf *testFleet) start(i int, p membership.Phase, with ...func(*Options)) {
-	log := logrus.New()
-	log.SetOutput(io.Discard)
+	log := logtest.Discard()
 	o := Options{
 		Fleet:  "test",
 		Name:   memberName(i),
--- a/internal/standalone/fleet/leaseservice/service_test.go
+++ b/internal/standalone/fleet/leaseservice/service_test.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/standalone/fleet/gossip"
 	"mulleinrouter/internal/standalone/fleet/membership"
+	"mulleinrouter/internal/standalone/logtest"
 )
 
 // testTimeout bounds what a test waits for. A lease takes an election of about a second.
@@ -37,8 +37,7 @@
 // startService starts a service that is the only voter.
 func startService(t *testing.T, change func(*Options)) *Service {
 	t.Helper()
-	log := logrus.New()
-	log.SetOutput(io.Discard)
+	log := logtest.Discard()
 	o := Options{Fleet: fakeFleet{"n1"}, Voters: []string{"n1"}, Dir: t.TempDir(), Log: log}
 	if change != nil {
 		change(&o)
--- a/internal/standalone/mgmt/server_test.go
+++ b/internal/standalone/mgmt/server_test.go
@@ -10,7 +10,8 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-	"github.com/sirupsen/logrus"
+
+	"mulleinrouter/internal/standalone/logtest"
 )
 
 const testTimeout = 10 * time.Second // only a failure waits this long
@@ -22,8 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	log := logrus.New()
-	log.SetOutput(io.Discard)
+	log := logtest.Discard()
 	s := &Server{Log: log, Handler: answerTestCall}
 	go s.Serve(l)
 	t.Cleanup(func() { l.Close() })
