--- a/internal/standalone/fleet/gossip/fleet.go
+++ b/internal/standalone/fleet/gossip/fleet.go
@@ -57,7 +57,7 @@
 	streams        chan struct{} // has an element for each payload being sent by a stream
 
 	cancel     context.CancelFunc
-	goroutines sync.WaitGroup
+	goroutines sync.WaitGroup // writeRecords, the runner, and the shutdown of instances that a pause ended
 	leaveOnce  sync.Once
 }
 
--- a/internal/standalone/fleet/gossip/run.go
+++ b/internal/standalone/fleet/gossip/run.go
@@ -175,7 +175,7 @@
 		Warn("this process was suspended; the membership protocol restarts")
 	if i := f.instance.Swap(nil); i != nil {
 		i.closed.Store(true)
-		go i.memberlist.Shutdown()
+		f.goroutines.Go(func() { i.memberlist.Shutdown() })
 	}
 	f.mu.Lock()
 	f.pauses++
--- a/internal/standalone/fleet/gossip/transport.go
+++ b/internal/standalone/fleet/gossip/transport.go
@@ -32,8 +32,11 @@
 	closed   func() bool
 	packets  chan *memberlist.Packet
 	streams  chan net.Conn
-	done     chan struct{} // closed by Shutdown, which ends forward
+	stopping chan struct{}  // closed as Shutdown begins: what arrives is discarded from then on
+	done     chan struct{}  // closed once the inner transport is down, which ends forward
+	tasks    sync.WaitGroup // forward; Shutdown waits for it
 	stopOnce sync.Once
+	stopErr  error // of the inner transport's Shutdown
 }
 
 // wrapTransport returns a transport on top of another one. Shutdown ends both.
@@ -44,13 +47,14 @@
 		closed:             closed,
 		packets:            make(chan *memberlist.Packet, packetQueueLength),
 		streams:            make(chan net.Conn),
+		stopping:           make(chan struct{}),
 		done:               make(chan struct{}),
 	}
-	go t.forward()
+	t.tasks.Go(t.forward)
 	return t
 }
 
-// forward passes on what the inner transport receives.
+// forward passes on what the inner transport receives, until that is down.
 func (t *transport) forward() {
 	for {
 		select {
@@ -63,15 +67,13 @@
 			}
 			select {
 			case t.packets <- p:
-			case <-t.done:
-				return
+			case <-t.stopping:
 			}
 		case c := <-t.NodeAwareTransport.StreamCh():
 			select {
 			case t.streams <- &stream{Conn: c, transport: t}:
-			case <-t.done:
+			case <-t.stopping:
 				c.Close()
-				return
 			}
 		case <-t.done:
 			return
@@ -117,10 +119,16 @@
 	return &stream{Conn: c, transport: t}, nil
 }
 
-// Shutdown implements memberlist.Transport.
+// Shutdown implements memberlist.Transport. The inner transport waits for its listeners, which may hold a packet or a
+// stream that they have received, so forward takes these until it is down.
 func (t *transport) Shutdown() error {
-	t.stopOnce.Do(func() { close(t.done) })
-	return t.NodeAwareTransport.Shutdown()
+	t.stopOnce.Do(func() {
+		close(t.stopping)
+		t.stopErr = t.NodeAwareTransport.Shutdown()
+		close(t.done)
+		t.tasks.Wait()
+	})
+	return t.stopErr
 }
 
 // stream is a connection between members whose bytes are counted.
