--- a/internal/standalone/fleet/quorum/boltstore/landed_test.go
+++ b/internal/standalone/fleet/quorum/boltstore/landed_test.go
@@ -1,19 +1,17 @@
 package boltstore
 
 import (
-	"compress/gzip"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
-	"go.etcd.io/bbolt"
 	pb "go.etcd.io/raft/v3/raftpb"
 
 	"mulleinrouter/internal/standalone/fleet/quorum"
 	"mulleinrouter/internal/standalone/fleet/singleton"
+	"mulleinrouter/internal/standalone/goldentest"
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
@@ -21,21 +19,8 @@
 // state.
 func landedStore(t *testing.T) *Store {
 	t.Helper()
-	packed, err := os.Open(filepath.Join("testdata", "landed", "voter.db.gz"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer packed.Close()
-	unpacked, err := gzip.NewReader(packed)
-	if err != nil {
-		t.Fatal(err)
-	}
-	raw, err := io.ReadAll(unpacked)
-	if err != nil {
-		t.Fatal(err)
-	}
 	s := &Store{Path: filepath.Join(t.TempDir(), "votes.db")}
-	if err := os.WriteFile(s.Path, raw, 0o600); err != nil {
+	if err := os.WriteFile(s.Path, goldentest.Read(t, "landed/voter.db.gz"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { s.Close() })
@@ -44,36 +29,19 @@
 
 func readLandedJSON(t *testing.T, name string, into any) {
 	t.Helper()
-	raw, err := os.ReadFile(filepath.Join("testdata", "landed", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := jsontext.Decode(raw, into); err != nil {
+	if err := jsontext.Decode(goldentest.Read(t, "landed/"+name), into); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// dump returns all values of a file by bucket and key, in hexadecimal.
-func dump(t *testing.T, path string) map[string]string {
+// hexContent returns all values of a file by bucket and key, in hexadecimal.
+func hexContent(t *testing.T, path string) map[string]string {
 	t.Helper()
-	db, err := bbolt.Open(path, 0o600, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer db.Close()
-	all := map[string]string{}
-	err = db.View(func(tx *bbolt.Tx) error {
-		return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
-			return b.ForEach(func(k, v []byte) error {
-				all[fmt.Sprintf("%s/%x", name, k)] = fmt.Sprintf("%x", v)
-				return nil
-			})
-		})
-	})
-	if err != nil {
-		t.Fatal(err)
+	values := goldentest.BoltContent(t, path)
+	for key, value := range values {
+		values[key] = fmt.Sprintf("%x", value)
 	}
-	return all
+	return values
 }
 
 // A voter that opens the landed version's file has the table, term and log that the landed version had.
@@ -157,7 +125,7 @@
 	s.Close()
 	var want map[string]string
 	readLandedJSON(t, "saved.json", &want)
-	if diff := cmp.Diff(want, dump(t, s.Path)); diff != "" {
+	if diff := cmp.Diff(want, hexContent(t, s.Path)); diff != "" {
 		t.Errorf("saved values (-want +got):\n%s", diff)
 	}
 }
--- /dev/null
+++ b/internal/standalone/goldentest/bolt.go
@@ -0,0 +1,32 @@
+package goldentest
+
+import (
+	"fmt"
+	"testing"
+
+	"go.etcd.io/bbolt"
+)
+
+// BoltContent returns all values of a bbolt file, by bucket and key (in hexadecimal) with a slash between them. The
+// file must not be open.
+func BoltContent(t *testing.T, path string) map[string]string {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	values := map[string]string{}
+	err = db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
+			return b.ForEach(func(key, value []byte) error {
+				values[fmt.Sprintf("%s/%x", name, key)] = string(value)
+				return nil
+			})
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return values
+}
--- a/internal/standalone/node/bench_test.go
+++ b/internal/standalone/node/bench_test.go
@@ -22,14 +22,15 @@
 	"mulleinrouter/internal/standalone/logtest"
 )
 
-// backend answers each request with 200 and a short body. It reads no more of one than it must.
-func backend(b *testing.B) string {
+// serveEach accepts connections on loopback until the benchmark ends, and serves and closes each in a goroutine of its
+// own. It returns its address.
+func serveEach(b *testing.B, serve func(net.Conn)) string {
+	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { l.Close() })
-	answer := []byte("HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nquote 123.45")
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -38,56 +39,55 @@
 			}
 			go func() {
 				defer c.Close()
-				r := bufio.NewReader(c)
-				for {
-					for {
-						line, err := r.ReadSlice('\n')
-						if err != nil {
-							return
-						}
-						if len(line) <= 2 {
-							break
-						}
-					}
-					if _, err := c.Write(answer); err != nil {
-						return
-					}
-				}
+				serve(c)
 			}()
 		}
 	}()
 	return l.Addr().String()
 }
 
-// relay moves bytes both ways and looks at none.
-func relay(b *testing.B, to string) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		b.Fatal(err)
-	}
-	b.Cleanup(func() { l.Close() })
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
+// backend answers each request with 200 and a short body. It reads no more of one than it must.
+func backend(b *testing.B) string {
+	b.Helper()
+	answer := []byte("HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nquote 123.45")
+	return serveEach(b, func(c net.Conn) {
+		r := bufio.NewReader(c)
+		for readHead(r) == nil {
+			if _, err := c.Write(answer); err != nil {
 				return
 			}
-			go func() {
-				defer c.Close()
-				out, err := net.Dial("tcp", to)
-				if err != nil {
-					return
-				}
-				defer out.Close()
-				go func() {
-					io.Copy(out, c)
-					out.Close()
-				}()
-				io.Copy(c, out)
-			}()
 		}
-	}()
-	return l.Addr().String()
+	})
+}
+
+// readHead reads the lines of a request up to the empty one.
+func readHead(r *bufio.Reader) error {
+	for {
+		line, err := r.ReadSlice('\n')
+		if err != nil {
+			return err
+		}
+		if len(line) <= len("\r\n") {
+			return nil
+		}
+	}
+}
+
+// relay moves bytes both ways and looks at none.
+func relay(b *testing.B, to string) string {
+	b.Helper()
+	return serveEach(b, func(c net.Conn) {
+		out, err := net.Dial("tcp", to)
+		if err != nil {
+			return
+		}
+		defer out.Close()
+		go func() {
+			io.Copy(out, c)
+			out.Close()
+		}()
+		io.Copy(c, out)
+	})
 }
 
 // ingressAt starts an ingress in front of a backend, with more text in its configuration.
--- a/internal/standalone/usageexport/golden_test.go
+++ b/internal/standalone/usageexport/golden_test.go
@@ -1,7 +1,6 @@
 package usageexport_test
 
 import (
-	"bytes"
 	"compress/gzip"
 	"context"
 	"fmt"
@@ -14,7 +13,6 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-	"go.etcd.io/bbolt"
 
 	"mulleinrouter/internal/dataplane/usage"
 	"mulleinrouter/internal/standalone/goldentest"
@@ -77,29 +75,6 @@
 	return e, bodies
 }
 
-// storeContent returns all keys and values of a store.
-func storeContent(t *testing.T, path string) map[string]string {
-	t.Helper()
-	db, err := bbolt.Open(path, 0o644, &bbolt.Options{ReadOnly: true})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer db.Close()
-	all := map[string]string{}
-	err = db.View(func(tx *bbolt.Tx) error {
-		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
-			return b.ForEach(func(k, v []byte) error {
-				all[fmt.Sprintf("%s/%x", bucket, k)] = string(bytes.Clone(v))
-				return nil
-			})
-		})
-	})
-	if err != nil {
-		t.Fatal(err)
-	}
-	return all
-}
-
 // TestGoldenStoreRead goes on from the store of an earlier version: the batch that waits is sent with the same bytes.
 func TestGoldenStoreRead(t *testing.T) {
 	e, bodies := goldenExporter(t, goldenDir(t, true), 1)
@@ -156,8 +131,8 @@
 	if diff := cmp.Diff(wantBodies, *bodies); diff != "" {
 		t.Errorf("bodies (-want +got):\n%s", diff)
 	}
-	want := storeContent(t, filepath.Join(goldenDir(t, true), "export.db"))
-	if diff := cmp.Diff(want, storeContent(t, filepath.Join(dir, "export.db"))); diff != "" {
+	want := goldentest.BoltContent(t, filepath.Join(goldenDir(t, true), "export.db"))
+	if diff := cmp.Diff(want, goldentest.BoltContent(t, filepath.Join(dir, "export.db"))); diff != "" {
 		t.Errorf("store (-want +got):\n%s", diff)
 	}
 }
