--- a/internal/standalone/fleet/gossip/doc.go
+++ b/internal/standalone/fleet/gossip/doc.go
@@ -6,9 +6,9 @@
 // It imports membership and keyring. Fleet owns the view under its mutex. The goroutine of runner.run owns the
 // instances of the protocol; a second one writes the record to disk. Fleet.Stop ends both and waits for them. An
 // instance owns its transport, whose Shutdown ends and waits for the goroutine that passes on what arrives. Calls of
-// memberlist that may block on the network (joining, sending by a stream, spreading new metadata) run in goroutines
-// that nothing waits for: each ends when the instance is shut down or its time-out passes, as memberlist takes no
-// context.
+// memberlist that may block on the network (joining, sending by a stream) run in goroutines that Fleet.Stop waits for
+// too (Fleet.spawn): memberlist takes no context, but the shutdown of an instance ends its dials and closes the streams
+// that it dialled.
 //
 // Record is stored as JSON, messages are CBOR with numbered keys, reports are JSON: their tags must not change.
 //
--- a/internal/standalone/fleet/gossip/fleet.go
+++ b/internal/standalone/fleet/gossip/fleet.go
@@ -20,8 +20,10 @@
 const (
 	messageQueueLength = 256 // messages that wait to be applied; more are dropped
 	leaveTimeout       = 300 * time.Millisecond
-	updateTimeout      = time.Second // for new metadata to be sent
 	maxTopics          = 256
+
+	// updateTimeout is for new metadata to be sent, for which nothing waits: memberlist queues it before it waits.
+	updateTimeout = time.Nanosecond
 )
 
 // Fleet is this ingress among the others of its fleet. It is safe for concurrent use.
@@ -48,6 +50,7 @@
 	nextJoinAt     time.Time
 	joined         bool // this instance has exchanged the complete state with a member
 	exchangesDone  int  // of the complete state, after the first
+	stopped        bool // no goroutine is started any more
 
 	updatesReady   chan struct{} // pendingUpdates is not empty
 	messages       chan *message
@@ -57,7 +60,7 @@
 	streams        chan struct{} // has an element for each payload being sent by a stream
 
 	cancel     context.CancelFunc
-	goroutines sync.WaitGroup // writeRecords, the runner, and the shutdown of instances that a pause ended
+	goroutines sync.WaitGroup // writeRecords, the runner, and what spawn started
 	leaveOnce  sync.Once
 }
 
@@ -144,7 +147,7 @@
 // broadcastMetadata sends the others what this member says of itself.
 func (f *Fleet) broadcastMetadata() {
 	if i := f.instance.Load(); i != nil {
-		go i.memberlist.UpdateNode(updateTimeout)
+		f.spawn(func() { i.memberlist.UpdateNode(updateTimeout) })
 	}
 }
 
@@ -180,10 +183,23 @@
 
 // Stop ends all goroutines and waits for them.
 func (f *Fleet) Stop() {
+	f.mu.Lock()
+	f.stopped = true
+	f.mu.Unlock()
 	f.cancel()
 	f.goroutines.Wait()
 }
 
+// spawn runs a call of memberlist that may block on the network, unless the fleet is stopped. The call ends with its
+// time-out or, at once, with the instance that it is of.
+func (f *Fleet) spawn(call func()) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if !f.stopped {
+		f.goroutines.Go(call)
+	}
+}
+
 // Reload reads the key file again. If it can't be used the keys stay as they are; the error is keyring.ErrKeys.
 func (f *Fleet) Reload() error {
 	if f.keyring == nil {
--- a/internal/standalone/fleet/gossip/join.go
+++ b/internal/standalone/fleet/gossip/join.go
@@ -37,10 +37,11 @@
 	case !due:
 	case isolated:
 		addrs := f.joinAddrs(known)
-		go f.join(i, addrs)
+		f.spawn(func() { f.join(i, addrs) })
 	default:
 		if members := i.memberlist.Members(); len(members) > 1 {
-			go i.memberlist.Join([]string{members[rand.IntN(len(members))].Address()})
+			addr := members[rand.IntN(len(members))].Address()
+			f.spawn(func() { i.memberlist.Join([]string{addr}) })
 		}
 	}
 }
@@ -72,6 +73,9 @@
 		f.protocolLog.resolve(joinFailure)
 		return
 	}
+	if i.closed.Load() {
+		return // the instance was shut down meanwhile
+	}
 	if f.protocolLog.fail(joinFailure) {
 		f.log.WithField("code", "fleet-alone").WithError(err).Warn("no address of the fleet answers; they are retried")
 	}
--- a/internal/standalone/fleet/gossip/links.go
+++ b/internal/standalone/fleet/gossip/links.go
@@ -84,7 +84,7 @@
 	f.mu.Lock()
 	response := &message{Kind: linksResponse, From: f.options.Name, QueryID: request.QueryID, Links: f.ownLinks()}
 	f.mu.Unlock()
-	go func() {
+	f.spawn(func() {
 		defer func() { <-f.linksResponses }()
 		for _, n := range i.memberlist.Members() {
 			if n.Name == request.From {
@@ -92,7 +92,7 @@
 				return
 			}
 		}
-	}()
+	})
 }
 
 // receiveLinks gives a response to the query that waits for it.
--- a/internal/standalone/fleet/gossip/payload.go
+++ b/internal/standalone/fleet/gossip/payload.go
@@ -42,11 +42,11 @@
 	default:
 		return
 	}
-	go func() {
+	f.spawn(func() {
 		defer func() { <-f.streams }()
 		node := &memberlist.Node{Name: name, Addr: receiver.Addr().AsSlice(), Port: receiver.Port()}
 		i.memberlist.SendReliable(node, encode(m))
-	}()
+	})
 }
 
 // send sends a message as a datagram, which may be lost.
--- a/internal/standalone/fleet/gossip/run.go
+++ b/internal/standalone/fleet/gossip/run.go
@@ -100,7 +100,7 @@
 		}
 	case membership.Rejoin:
 		if i := f.instance.Load(); i != nil {
-			go i.memberlist.Join([]string{a.Addr})
+			f.spawn(func() { i.memberlist.Join([]string{a.Addr}) })
 		}
 	case membership.NameConflict:
 		f.log.WithFields(logrus.Fields{"code": "fleet-name-twice", "boot": a.Winner.Boot}).
@@ -175,7 +175,7 @@
 		Warn("this process was suspended; the membership protocol restarts")
 	if i := f.instance.Swap(nil); i != nil {
 		i.closed.Store(true)
-		f.goroutines.Go(func() { i.memberlist.Shutdown() })
+		f.goroutines.Go(func() { i.memberlist.Shutdown() }) // also while the fleet is being stopped
 	}
 	f.mu.Lock()
 	f.pauses++
--- a/internal/standalone/fleet/gossip/sockets.go
+++ b/internal/standalone/fleet/gossip/sockets.go
@@ -1,6 +1,7 @@
 package gossip
 
 import (
+	"context"
 	"fmt"
 	"log"
 	"net"
@@ -19,6 +20,9 @@
 type sockets struct {
 	*memberlist.NetTransport
 	localAddr net.TCPAddr
+
+	ctx    context.Context // of dials; ends with Shutdown
+	cancel context.CancelFunc
 }
 
 // listen binds an address for datagrams and streams. Port 0 draws one that is free for both.
@@ -39,7 +43,9 @@
 	for range attempts {
 		var inner *memberlist.NetTransport
 		if inner, err = memberlist.NewNetTransport(config); err == nil {
-			return &sockets{NetTransport: inner, localAddr: net.TCPAddr{IP: net.ParseIP(host)}}, nil
+			s := &sockets{NetTransport: inner, localAddr: net.TCPAddr{IP: net.ParseIP(host)}}
+			s.ctx, s.cancel = context.WithCancel(context.Background())
+			return s, nil
 		}
 	}
 	return nil, fmt.Errorf("gossip: listen at %s: %w", addr, err)
@@ -56,7 +62,13 @@
 	if !s.localAddr.IP.IsUnspecified() {
 		d.LocalAddr = &s.localAddr
 	}
-	return d.Dial("tcp", a.Addr)
+	return d.DialContext(s.ctx, "tcp", a.Addr)
+}
+
+// Shutdown implements memberlist.Transport. It ends the dials that are in progress, too.
+func (s *sockets) Shutdown() error {
+	s.cancel()
+	return s.NetTransport.Shutdown()
 }
 
 // boundAddr returns the address at which it listens.
--- a/internal/standalone/fleet/gossip/transport.go
+++ b/internal/standalone/fleet/gossip/transport.go
@@ -37,6 +37,9 @@
 	tasks    sync.WaitGroup // forward; Shutdown waits for it
 	stopOnce sync.Once
 	stopErr  error // of the inner transport's Shutdown
+
+	mu      sync.Mutex           // guards what follows
+	dialled map[*stream]struct{} // open streams that this side dialled; nil: Shutdown has closed them
 }
 
 // wrapTransport returns a transport on top of another one. Shutdown ends both.
@@ -49,6 +52,7 @@
 		streams:            make(chan net.Conn),
 		stopping:           make(chan struct{}),
 		done:               make(chan struct{}),
+		dialled:            map[*stream]struct{}{},
 	}
 	t.tasks.Go(t.forward)
 	return t
@@ -116,14 +120,24 @@
 	if err != nil {
 		return nil, err
 	}
-	return &stream{Conn: c, transport: t}, nil
+	s := &stream{Conn: c, transport: t}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.dialled == nil {
+		c.Close()
+		return nil, errTransportClosed
+	}
+	t.dialled[s] = struct{}{}
+	return s, nil
 }
 
-// Shutdown implements memberlist.Transport. The inner transport waits for its listeners, which may hold a packet or a
-// stream that they have received, so forward takes these until it is down.
+// Shutdown implements memberlist.Transport. It ends what waits for a stream that this side dialled. The inner transport
+// waits for its listeners, which may hold a packet or a stream that they have received, so forward takes these until it
+// is down.
 func (t *transport) Shutdown() error {
 	t.stopOnce.Do(func() {
 		close(t.stopping)
+		t.closeDialled()
 		t.stopErr = t.NodeAwareTransport.Shutdown()
 		close(t.done)
 		t.tasks.Wait()
@@ -131,6 +145,16 @@
 	return t.stopErr
 }
 
+// closeDialled closes the streams that this side dialled, and has later ones closed at once.
+func (t *transport) closeDialled() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for s := range t.dialled {
+		s.Conn.Close()
+	}
+	t.dialled = nil
+}
+
 // stream is a connection between members whose bytes are counted.
 type stream struct {
 	net.Conn
@@ -150,3 +174,11 @@
 	s.transport.meter.bytesIn.Add(int64(n))
 	return n, err
 }
+
+// Close implements net.Conn.
+func (s *stream) Close() error {
+	s.transport.mu.Lock()
+	delete(s.transport.dialled, s)
+	s.transport.mu.Unlock()
+	return s.Conn.Close()
+}
