--- a/internal/standalone/counterserver/server.go
+++ b/internal/standalone/counterserver/server.go
@@ -26,6 +26,8 @@
 	byHost map[string]int // connections by the caller's address
 	closed bool
 
+	goroutines sync.WaitGroup // one for each connection; Close waits for them
+
 	fault atomic.Pointer[Fault]
 	calls atomic.Int64
 }
@@ -82,23 +84,17 @@
 			continue
 		}
 		host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-		if !s.register(c, host) {
+		if !s.admit(c, host) {
 			if t, ok := c.(*net.TCPConn); ok {
 				t.SetLinger(0) // resets it
 			}
 			c.Close()
-			continue
 		}
-		go func() {
-			defer s.unregister(c, host)
-			defer c.Close()
-			s.serve(c)
-		}()
 	}
 }
 
-// register admits a connection; false: the server is closed, or the host has too many.
-func (s *Server) register(c net.Conn, host string) bool {
+// admit has a connection served; false: the server is closed, or the host has too many.
+func (s *Server) admit(c net.Conn, host string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || s.byHost[host] >= maxConnsPerHost {
@@ -106,6 +102,11 @@
 	}
 	s.conns[c] = struct{}{}
 	s.byHost[host]++
+	s.goroutines.Go(func() {
+		defer s.unregister(c, host)
+		defer c.Close()
+		s.serve(c)
+	})
 	return true
 }
 
@@ -118,8 +119,13 @@
 	}
 }
 
-// Close ends all connections, and those that come later.
+// Close ends all connections and waits for the goroutines that serve them. Those that come later are reset.
 func (s *Server) Close() {
+	s.closeConnections()
+	s.goroutines.Wait()
+}
+
+func (s *Server) closeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
