--- a/internal/dataplane/ingress/eviction.go
+++ b/internal/dataplane/ingress/eviction.go
@@ -78,6 +78,13 @@
 	return pending
 }
 
+// startSweep starts sweep. The mutex orders it before Drain waits, or after.
+func (s *Server) startSweep() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.sweeping.Go(s.sweep)
+}
+
 // sweep closes connections that exceed a timeout, until the server's context ends.
 func (s *Server) sweep() {
 	ticker := time.NewTicker(sweepInterval)
--- a/internal/dataplane/ingress/lifecycle.go
+++ b/internal/dataplane/ingress/lifecycle.go
@@ -61,6 +61,7 @@
 		s.awaitConns(grace)
 	}
 	s.cancel()
+	s.sweeping.Wait()
 }
 
 // awaitConns reports whether all connections have ended within a timeout.
--- a/internal/dataplane/ingress/server.go
+++ b/internal/dataplane/ingress/server.go
@@ -41,8 +41,9 @@
 	maxUnits  float64         // of a request
 	maxConns  int             // at once
 	base      time.Time       // the times of the state machines are seconds since then
-	ctx       context.Context // of the attempts
+	ctx       context.Context // of the attempts, and of sweep
 	cancel    context.CancelFunc
+	sweeping  sync.WaitGroup // sweep; Drain waits for it
 	stats     classStats
 	totals    totals
 
@@ -111,7 +112,7 @@
 
 // Serve accepts connections until the listener closes.
 func (s *Server) Serve(l net.Listener) {
-	go s.sweep()
+	s.startSweep()
 	for {
 		nc, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
