--- a/internal/decision/backends_test.go
+++ b/internal/decision/backends_test.go
@@ -107,14 +107,14 @@
 			}
 		}
 	}
-	fresh, most := 0, 0
+	toNew, maxToOne := 0, 0
 	for id, n := range used {
-		if most = max(most, n); len(id) > 3 && id[:3] == "new" {
-			fresh += n
+		if maxToOne = max(maxToOne, n); len(id) > 3 && id[:3] == "new" {
+			toNew += n
 		}
 	}
-	if sent < 12*80*95/100 || fresh < sent/3 || most > 6*sent/60 {
-		t.Errorf("%d of %d sent at once, %d to the new ones, %d to one of them", sent, 12*80, fresh, most)
+	if sent < 12*80*95/100 || toNew < sent/3 || maxToOne > 6*sent/60 {
+		t.Errorf("%d of %d sent at once, %d to the new ones, %d to one of them", sent, 12*80, toNew, maxToOne)
 	}
 }
 
@@ -151,7 +151,7 @@
 	for i := range 60 {
 		list = append(list, servingBackend(fmt.Sprint("b", i)))
 	}
-	g, id, most := startedGateway(t, s, list...), uint64(0), 0
+	g, id, maxEntries := startedGateway(t, s, list...), uint64(0), 0
 	for step := range 3 * 3600 {
 		now := float64(step)
 		if step%5 == 0 {
@@ -180,14 +180,14 @@
 			}
 		}
 		if step > 600 {
-			most = max(
-				most, len(g.backends)+len(g.defaultPool.order), len(g.customers)+len(g.customerList),
+			maxEntries = max(
+				maxEntries, len(g.backends)+len(g.defaultPool.order), len(g.customers)+len(g.customerList),
 				len(g.requests)+len(g.unanswered)+len(g.queue),
 			)
 		}
 	}
-	if most > 2*(60+36*14) || len(g.defaultPool.kindLatencies) > 2 {
-		t.Errorf("%d entries at the most, %d kinds", most, len(g.defaultPool.kindLatencies))
+	if maxEntries > 2*(60+36*14) || len(g.defaultPool.kindLatencies) > 2 {
+		t.Errorf("%d entries at the most, %d kinds", maxEntries, len(g.defaultPool.kindLatencies))
 	}
 }
 
--- a/internal/decision/handover_test.go
+++ b/internal/decision/handover_test.go
@@ -93,8 +93,8 @@
 	before := old.customers["c"].bucket.tokens
 	old.backends["x"].limit, old.backends["x"].latency = 40, 0.5
 	k := old.HandOver(f.now)
-	fresh := func() *Gateway { return newProcess(f, testSettings(), 2, servingBackend("x")) }
-	begin := fresh().backends["x"].limit
+	startProcess := func() *Gateway { return newProcess(f, testSettings(), 2, servingBackend("x")) }
+	begin := startProcess().backends["x"].limit
 	approx := cmpopts.EquateApprox(0, 1e-6)
 	for _, tc := range []struct {
 		name             string
@@ -114,7 +114,7 @@
 		{"infinite", 0, infiniteKnowledge, 1, maxLimit},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			g, changed := fresh(), k
+			g, changed := startProcess(), k
 			changed.Customers = append([]CustomerKnowledge(nil), k.Customers...)
 			changed.Backends = append([]BackendKnowledge(nil), k.Backends...)
 			for i, b := range changed.Backends {
--- a/internal/decision/pair_counters_test.go
+++ b/internal/decision/pair_counters_test.go
@@ -171,15 +171,15 @@
 }
 
 // maxAdmitted is the most that ran in any window of so long.
-func (w *quotaWorld) maxAdmitted() (most int) {
+func (w *quotaWorld) maxAdmitted() (maximum int) {
 	first := 0
 	for i, at := range w.admittedAt {
 		for w.admittedAt[first] <= at-ruleWindow {
 			first++
 		}
-		most = max(most, i-first+1)
+		maximum = max(maximum, i-first+1)
 	}
-	return most
+	return maximum
 }
 
 // ruleWindow is the window of the rule QUOTA, in seconds.
@@ -208,12 +208,12 @@
 // stays within the rule, and a tenant within its quota is hardly rejected.
 func TestQuotaHoldsOverAllGateways(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		nodes int
-		plan  Plan
-		calm  float64 // share of the quota asked before the rush
-		least float64 // of the calm requests that are let through
-		lost  float64
+		name      string
+		nodes     int
+		plan      Plan
+		calm      float64 // share of the quota asked before the rush
+		minServed float64 // of the calm requests that are let through
+		lost      float64
 	}{
 		{"large", 11, Plan{Rate: 122, Burst: 122, ValueWeight: 1}, 0.62, 0.99, 0},
 		{"small", 11, Plan{Rate: 18, Burst: 18, ValueWeight: 1}, 0.62, 0.93, 0},
@@ -233,7 +233,7 @@
 				w.lostShare = c.lost
 				w.run(8) // it begins from nothing
 				served, asked := w.servedDuring(20)
-				if served < c.least {
+				if served < c.minServed {
 					t.Errorf("seed %d: %.3f of %d calm requests let through", seed, served, asked)
 				}
 				for _, n := range w.nodes {
@@ -255,8 +255,8 @@
 				}
 				w.run(5)
 				is.True(len(w.admittedAt) > 0)
-				if most := w.maxAdmitted(); most > maxAllowed(c.plan) {
-					t.Errorf("seed %d: %d ran in five seconds, %d may", seed, most, maxAllowed(c.plan))
+				if admitted := w.maxAdmitted(); admitted > maxAllowed(c.plan) {
+					t.Errorf("seed %d: %d ran in five seconds, %d may", seed, admitted, maxAllowed(c.plan))
 				}
 			}
 		})
@@ -312,8 +312,8 @@
 	if served := float64(len(w.admittedAt)-from) / (6 * plan.Rate); served < 0.9 {
 		t.Errorf("%.2f of the quota ran while the counter owner changed", served)
 	}
-	if most := w.maxAdmitted(); most > maxAllowed(plan) {
-		t.Errorf("%d ran in five seconds, %d may", most, maxAllowed(plan))
+	if admitted := w.maxAdmitted(); admitted > maxAllowed(plan) {
+		t.Errorf("%d ran in five seconds, %d may", admitted, maxAllowed(plan))
 	}
 }
 
@@ -323,10 +323,10 @@
 // late for 1.5, 2.5 and 0.5 s had reports left out for a second more, and then the buckets cut at once.)
 func TestLateCounterOwnerCostsNothingWithinTheQuota(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		span  float64
-		stall bool
-		most  float64 // share of all that is rejected
+		name        string
+		span        float64
+		stall       bool
+		maxRejected float64 // share of all that is rejected
 	}{
 		{
 			"late", 0.3, false, 0.001,
@@ -370,7 +370,7 @@
 				asked, refused = asked+n.requests, refused+n.rejections
 			}
 		}
-		if share := float64(refused) / float64(asked); share > c.most {
+		if share := float64(refused) / float64(asked); share > c.maxRejected {
 			t.Errorf("%s for %.1f s: %d of %d rejected", c.name, c.span, refused, asked)
 		}
 	}
@@ -403,10 +403,10 @@
 					n.partitioned = false
 				}
 				w.run(4)
-				if most := w.maxAdmitted(); most > maxAllowed(plan) {
+				if admitted := w.maxAdmitted(); admitted > maxAllowed(plan) {
 					t.Errorf(
 						"%d gateways, one of %d cut, a rush %.1f s later: %d ran in five seconds, %d may",
-						nodes, part, gap, most, maxAllowed(plan),
+						nodes, part, gap, admitted, maxAllowed(plan),
 					)
 				}
 			}
--- a/internal/decision/plans_test.go
+++ b/internal/decision/plans_test.go
@@ -137,8 +137,8 @@
 							f.run(tickInterval, demand, func() { worst = max(worst, f.slices()) })
 						}
 						f.counterSilent = false
-						if most := max(60, to) * 1.03; worst > most {
-							t.Errorf("slices summed to %v, %v at most wanted", worst, most)
+						if limit := max(60, to) * 1.03; worst > limit {
+							t.Errorf("slices summed to %v, %v at most wanted", worst, limit)
 						}
 						f.run(2*f.gateways[0].customers["c"].cycle.period+1, demand, nil)
 						if sum := f.slices(); math.Abs(sum-to) > 0.02*to {
@@ -149,8 +149,8 @@
 						}
 						sent := f.sent
 						f.run(20, demand, nil)
-						least := min(to, demand[0]+demand[1]+demand[2])
-						if used := (f.sent - sent) / 20; used > 1.02*to || used < 0.95*least {
+						usable := min(to, demand[0]+demand[1]+demand[2])
+						if used := (f.sent - sent) / 20; used > 1.02*to || used < 0.95*usable {
 							t.Errorf(
 								"%v units a second used, of a quota of %v and %v asked for", used, to, demand,
 							)
@@ -237,8 +237,8 @@
 	// Between a plan with a rate limit and one without, what passes is under the rate limit's rate and depth
 	// and what the other plan lets through while it holds.
 	for _, every := range []float64{0.1, 0.5, 1, 3} {
-		if got, most := sent(every, ceiling, small), 25.0*30+44+20+10*30; got > most {
-			t.Errorf("%v s with a rate limit and without in turn: %v sent, %v at most", every, got, most)
+		if got, limit := sent(every, ceiling, small), 25.0*30+44+20+10*30; got > limit {
+			t.Errorf("%v s with a rate limit and without in turn: %v sent, %v at most", every, got, limit)
 		}
 	}
 }
@@ -305,8 +305,8 @@
 			f.changeTerms(i, terms(to, 2*to))
 			f.run(5.0/n, demand, nil)
 		}
-		if most := 5*(10+to) + 2*max(10, to); f.sent-begun > most {
-			t.Errorf("to %v: %v sent while gateways differ, %v at most", to, f.sent-begun, most)
+		if limit := 5*(10+to) + 2*max(10, to); f.sent-begun > limit {
+			t.Errorf("to %v: %v sent while gateways differ, %v at most", to, f.sent-begun, limit)
 		}
 		f.run(2*f.gateways[0].customers["c"].cycle.period, demand, nil)
 		sent, control := f.sent, always.sent
--- a/internal/decision/rate_limits_test.go
+++ b/internal/decision/rate_limits_test.go
@@ -273,13 +273,13 @@
 // one that does not, all of both.
 func TestMoreValuableRequestsFirst(t *testing.T) {
 	p := Plan{Name: "multi", Rate: 5, Burst: 24, ValueWeight: 1, ExcessCost: 1}
-	for _, tc := range []struct{ units, least, most float64 }{{15, 1.3, 2}, {2, 0.9, 1.1}} {
+	for _, tc := range []struct{ units, minRatio, maxRatio float64 }{{15, 1.3, 2}, {2, 0.9, 1.1}} {
 		c := newLimitedFleet(t, 1, 3, p)
 		c.maxReplyDelay = 0.01
 		c.run(20, tc.units, 0.2)
 		clear(c.sentUnits)
 		c.run(2000, tc.units, 0.2)
-		if ratio := c.sentUnits["keyed"] / c.sentUnits["safe"]; ratio < tc.least || ratio > tc.most {
+		if ratio := c.sentUnits["keyed"] / c.sentUnits["safe"]; ratio < tc.minRatio || ratio > tc.maxRatio {
 			t.Errorf("%v units a second: %.2f times as much of the dearer", tc.units, ratio)
 		}
 	}
@@ -444,29 +444,29 @@
 // bucket that sees all, over 1,000 s in which the busy gateway's part changes every 10 s: a customer within
 // its quota gets most of what that would let through, one that asks more gets the quota, and never much more.
 func TestTinyQuotasAgainstOneBucket(t *testing.T) {
-	for _, tc := range []struct{ asks, least, most float64 }{
+	for _, tc := range []struct{ demand, minRatio, maxRatio float64 }{
 		{0.3, 0.72, 1.1},
 		{0.7, 0.7, 1.1},
 		{1, 0.68, 1.15},
 		{3, 0.9, 1.15},
 	} {
 		for gatewayCount := 2; gatewayCount <= 3; gatewayCount++ {
-			sent, plain := 0.0, 0.0
+			sent, oneBucket := 0.0, 0.0
 			for seed := range uint64(4) {
 				p := Plan{Name: "small", Rate: 1.2, Burst: 12, ValueWeight: 0.88, ExcessCost: 1.2}
 				c := newLimitedFleet(t, seed, gatewayCount, p)
 				c.maxReplyDelay = 0.02
 				for range 100 {
 					// The busy one is asked another part of it each time.
-					c.run(10, tc.asks*p.Rate, c.rng.Float64())
+					c.run(10, tc.demand*p.Rate, c.rng.Float64())
 				}
-				sent, plain = sent+c.totalUnits(), plain+c.reference.sent
+				sent, oneBucket = sent+c.totalUnits(), oneBucket+c.reference.sent
 			}
-			if sent < tc.least*plain || sent > tc.most*plain {
+			if sent < tc.minRatio*oneBucket || sent > tc.maxRatio*oneBucket {
 				t.Errorf(
 					"asked %.1f of the quota through %d: %.2f of what one bucket admits",
-					tc.asks, gatewayCount,
-					sent/plain,
+					tc.demand, gatewayCount,
+					sent/oneBucket,
 				)
 			}
 		}
--- a/internal/decision/retry/budget_test.go
+++ b/internal/decision/retry/budget_test.go
@@ -9,11 +9,11 @@
 // attempts are at most a tenth of the first ones once it fails, and what is proven is free while it is well.
 func TestRetryStorm(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		bad    float64 // share of the attempts that fail
-		proven bool
-		most   float64 // further attempts by first ones
-		least  float64
+		name     string
+		bad      float64 // share of the attempts that fail
+		proven   bool
+		maxShare float64 // further attempts by first ones
+		minShare float64
 	}{
 		{"well", 0.02, true, 0.05, 0.015},
 		{"one of four is down", 0.25, true, 0.5, 0.25},
@@ -52,8 +52,8 @@
 					}
 				}
 			}
-			if part := furthers / firsts; part > tc.most || part < tc.least {
-				t.Errorf("%.3f further attempts for a first one, want %.3f to %.3f", part, tc.least, tc.most)
+			if part := furthers / firsts; part > tc.maxShare || part < tc.minShare {
+				t.Errorf("%.3f further attempts for a first one, want %.3f to %.3f", part, tc.minShare, tc.maxShare)
 			}
 		})
 	}
--- a/internal/decision/sparse_partition.go
+++ b/internal/decision/sparse_partition.go
@@ -1,8 +1,9 @@
 package decision
 
 // What a gateway admits for a sparse customer, where counters are pairs, while no counter owner replies.
-// The gateways that reach the counter owner share the complete quota, so what all partitioned gateways admit beside
-// them must stay within the tolerance of the quota's rule, a part of which is a number of requests.
+// The gateways that reach the counter owner share the complete quota, so what all partitioned gateways
+// admit beside them must stay within the tolerance of the quota's rule, a part of which is a number of
+// requests.
 
 const (
 	// Seconds without a reply of any counter owner for which a gateway goes by its share of the quota.
--- a/internal/decision/sparse_test.go
+++ b/internal/decision/sparse_test.go
@@ -142,15 +142,16 @@
 
 // Later big-1: slices below one request.
 func TestSparseCustomerKeepsItsQuotaOver200Gateways(t *testing.T) {
-	for _, tc := range []struct{ perSecond, least, most float64 }{
+	for _, tc := range []struct{ perSecond, minForwarded, maxForwarded float64 }{
 		{5, 5*20 - 1, 5 * 20},                   // half the quota: all is forwarded
 		{40, 0.6 * 10 * 20, 1.1*10*20 + 20 + 4}, // four times the quota: no more than it and the burst
 	} {
 		counter := packedCounter{}
 		got := runFleet(testSettings(), "rate", 200, tc.perSecond, 20, counter.add)
-		if got < tc.least || got > tc.most {
+		if got < tc.minForwarded || got > tc.maxForwarded {
 			t.Errorf(
-				"%v a second for 20 s: %v forwarded, want %v to %v", tc.perSecond, got, tc.least, tc.most,
+				"%v a second for 20 s: %v forwarded, want %v to %v",
+				tc.perSecond, got, tc.minForwarded, tc.maxForwarded,
 			)
 		}
 	}
--- a/internal/standalone/counterserver/server_test.go
+++ b/internal/standalone/counterserver/server_test.go
@@ -26,18 +26,18 @@
 		until int64
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	s, plain, now, rejected := NewStore(20), map[string]*number{}, int64(0), 0
+	s, model, now, rejected := NewStore(20), map[string]*number{}, int64(0), 0
 	for range 20_000 {
 		now += rng.Int64N(40)
 		name, amount, keep := fmt.Sprint(rng.IntN(40)), float64(rng.IntN(200)-50)/4, rng.Int64N(900)
-		for n, p := range plain {
+		for n, p := range model {
 			if p.until <= now {
-				delete(plain, n)
+				delete(model, n)
 			}
 		}
 		got, ok := s.Add(now, name, amount, keep)
-		p := plain[name]
-		if p == nil && len(plain) >= 20 {
+		p := model[name]
+		if p == nil && len(model) >= 20 {
 			if rejected++; ok {
 				t.Fatalf("%s added to a full store", name)
 			}
@@ -45,11 +45,11 @@
 		}
 		if p == nil {
 			p = &number{until: now + max(1, keep)}
-			plain[name] = p
+			model[name] = p
 		}
 		p.total += amount
-		if !ok || math.Abs(got-p.total) > 1e-6*math.Abs(p.total) || s.Len() != len(plain) {
-			t.Fatalf("%s: %v, want %v; %d names, want %d", name, got, p.total, s.Len(), len(plain))
+		if !ok || math.Abs(got-p.total) > 1e-6*math.Abs(p.total) || s.Len() != len(model) {
+			t.Fatalf("%s: %v, want %v; %d names, want %d", name, got, p.total, s.Len(), len(model))
 		}
 	}
 	if rejected == 0 {
--- a/internal/standalone/usagesegment/segment_test.go
+++ b/internal/standalone/usagesegment/segment_test.go
@@ -225,8 +225,9 @@
 		t.Errorf("%d requests were written, %d are there; %d unknown, %d in flight; log %s",
 			seen, known.Requests, unknown.Requests, out, lines)
 	}
-	if most := int64(rounds); unknown.Requests+int64(out) > most {
-		t.Errorf("got %d requests without an end, want at most one a run (%d)", unknown.Requests+int64(out), most)
+	if maxWithoutEnd := int64(rounds); unknown.Requests+int64(out) > maxWithoutEnd {
+		t.Errorf("got %d requests without an end, want at most one a run (%d)",
+			unknown.Requests+int64(out), maxWithoutEnd)
 	}
 }
 
