--- a/internal/standalone/fleet/quorum/mutants_test.go
+++ b/internal/standalone/fleet/quorum/mutants_test.go
@@ -51,6 +51,14 @@
 	}
 }
 
+func TestWaitsForConfirmationMutant(t *testing.T) {
+	cryptotest.SetGlobalRandom(t, 1)
+	mutants.Seed(t, "quorum/vote-untold")
+	if checkWaitsForConfirmation() == nil {
+		t.Error("mutant vote-untold was not found")
+	}
+}
+
 func TestRolledBackStoreMutant(t *testing.T) {
 	cryptotest.SetGlobalRandom(t, 1)
 	mutants.Seed(t, "quorum/gone-back-votes")
--- a/internal/standalone/fleet/quorum/voter_test.go
+++ b/internal/standalone/fleet/quorum/voter_test.go
@@ -7,6 +7,8 @@
 	"strconv"
 	"testing"
 	"testing/cryptotest"
+
+	"github.com/fxamacker/cbor/v2"
 )
 
 // recoverySeconds is the time without faults at the end of a run, within which the role is held again.
@@ -91,3 +93,52 @@
 	}
 	return nil
 }
+
+// A voter that was started again does not vote before a majority, itself included, has said that it has not seen it
+// further than it is.
+func TestWaitsForConfirmation(t *testing.T) {
+	cryptotest.SetGlobalRandom(t, 1)
+	if err := checkWaitsForConfirmation(); err != nil {
+		t.Error(err)
+	}
+}
+
+func checkWaitsForConfirmation() error {
+	s := newSimulation(3)
+	s.run(6, false)
+	m := s.machines[0]
+	voter, err := Open(m.name, nil, m.store, 0)
+	if err != nil {
+		return err
+	}
+	now := 0.0
+	for range 10 * helloTicks {
+		now += TickInterval
+		voter.Tick(now)
+	}
+	if voter.state != Waiting {
+		return fmt.Errorf("voter that nobody has confirmed is %s, want %s", voter.state, Waiting)
+	}
+	for id, name := range voter.durable.VoterNames {
+		if id == voter.durable.ID {
+			continue
+		}
+		data, err := cbor.Marshal(envelope{
+			Kind:         kindProgress,
+			From:         id,
+			Name:         name,
+			Boot:         voter.durable.Peers[id].Boot,
+			Bootstrapped: true,
+		})
+		if err != nil {
+			return err
+		}
+		if _, err := voter.Receive(now, data); err != nil {
+			return err
+		}
+	}
+	if voter.state != Voting {
+		return fmt.Errorf("voter that all others have confirmed is %s, want %s", voter.state, Voting)
+	}
+	return nil
+}
--- a/internal/standalone/fleet/singleton/lease_manager_test.go
+++ b/internal/standalone/fleet/singleton/lease_manager_test.go
@@ -1,6 +1,7 @@
 package singleton
 
 import (
+	"fmt"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
@@ -65,3 +66,31 @@
 		t.Errorf("after the transfer the lease is %+v, want holder %v and token 2", got, n2)
 	}
 }
+
+// checkGrantResponse returns an error unless the response to a request that does not name the token of its grant says
+// that the lease is not confirmed: a lease counts from a request that names its token. The tests of seeded faults
+// expect an error.
+func checkGrantResponse() error {
+	d := newManagerDialogue()
+	d.step(0, LeadershipGained{})
+	for now := 0.1; now < 1; now += 0.1 {
+		d.request(now, n1, "a", 0, RoleRequest{})
+		d.step(now, ManagerTick{})
+	}
+	request := AcquireRequest{From: n1, ID: 9, Roles: []RoleRequest{{Role: "d"}}}
+	actions := d.manager.Step(1, RequestReceived{request})
+	want := []ManagerAction{Reply{To: n1, Response: AcquireResponse{
+		ID:     9,
+		Grants: []RoleStatus{{Role: "d", Token: 1, Holder: "n1", IsHolder: true}},
+	}}}
+	if diff := cmp.Diff(want, actions); diff != "" {
+		return fmt.Errorf("response to a request without the token of its grant (-want +got):\n%s", diff)
+	}
+	return nil
+}
+
+func TestGrantResponse(t *testing.T) {
+	if err := checkGrantResponse(); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/standalone/fleet/singleton/mutants_test.go
+++ b/internal/standalone/fleet/singleton/mutants_test.go
@@ -31,3 +31,10 @@
 		})
 	}
 }
+
+func TestGrantResponseMutant(t *testing.T) {
+	mutants.Seed(t, "singleton/grant-is-lease")
+	if checkGrantResponse() == nil {
+		t.Error("mutant grant-is-lease was not found")
+	}
+}
