--- a/internal/standalone/fleet/leaseservice/encoding_test.go
+++ b/internal/standalone/fleet/leaseservice/encoding_test.go
@@ -1,16 +1,13 @@
 package leaseservice
 
 import (
-	"bytes"
-	"os"
 	"path/filepath"
-	"reflect"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
-	"github.com/google/go-cmp/cmp"
 
 	"mulleinrouter/internal/standalone/fleet/revisionlog"
+	"mulleinrouter/internal/standalone/goldentest"
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
@@ -56,7 +53,12 @@
 			Entries: []revisionlog.Entry{brief},
 		}},
 		{"message_ask.cbor", revisionlog.Message{Kind: revisionlog.Query, Token: 12}},
-		{"announced.json", AnnouncerStatus{LastToken: 12, Holder: "n1", Rejected: 2, Entries: []revisionlog.Entry{brief}}},
+		{"announced.json", AnnouncerStatus{
+			LastToken: 12,
+			Holder:    "n1",
+			Rejected:  2,
+			Entries:   []revisionlog.Entry{brief},
+		}},
 		{"record.json", revisionlog.Record{LastToken: 12, Entries: []revisionlog.Entry{full}}},
 		{"duty_record.json", Record{Name: "n1", Boot: 3, Tokens: map[string]uint64{"export": 12}}},
 	}
@@ -66,24 +68,7 @@
 			if filepath.Ext(test.file) == ".json" {
 				encode, decode = jsontext.Encode, jsontext.Decode
 			}
-			landed, err := os.ReadFile(filepath.Join("testdata", "landed", test.file))
-			if err != nil {
-				t.Fatal(err)
-			}
-			written, err := encode(test.value)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if !bytes.Equal(written, landed) {
-				t.Errorf("encoded %q, want %q", written, landed)
-			}
-			decoded := reflect.New(reflect.TypeOf(test.value))
-			if err := decode(landed, decoded.Interface()); err != nil {
-				t.Fatal(err)
-			}
-			if diff := cmp.Diff(test.value, decoded.Elem().Interface()); diff != "" {
-				t.Errorf("decoded (-want +got):\n%s", diff)
-			}
+			goldentest.CheckEncoding(t, "landed/"+test.file, test.value, encode, decode)
 		})
 	}
 }
