--- a/internal/emulator/modelcheck/attempt.go
+++ b/internal/emulator/modelcheck/attempt.go
@@ -209,6 +209,6 @@
 			c.finalDecisions-- // NoAnswer follows: the answer went to nobody
 		}
 	}
-	w.apply(w.dispatcher.AttemptEnded(w.now, c.request, outcome))
+	w.applyEffects(w.dispatcher.AttemptEnded(w.now, c.request, outcome))
 	w.checkInvariants()
 }
--- a/internal/emulator/modelcheck/attempt_events.go
+++ b/internal/emulator/modelcheck/attempt_events.go
@@ -49,18 +49,18 @@
 	if !pending.cancelled {
 		return events
 	}
-	cancelLands := about(pending.client.name, eventCancelLands, func() { w.expireAttempt(pending) })
+	cancelLands := eventAbout(pending.client.name, eventCancelLands, func() { w.expireAttempt(pending) })
 	return append([]event{cancelLands}, events...)
 }
 
 func (w *world) dialingEvents(pending *pendingAttempt) []event {
 	name := pending.client.name
 	events := []event{
-		about(name, eventConnects, func() { w.beginAttempt(pending, pending.conn) }),
-		about(name, eventDialFails, func() { w.dialFailed(pending) }),
+		eventAbout(name, eventConnects, func() { w.beginAttempt(pending, pending.conn) }),
+		eventAbout(name, eventDialFails, func() { w.dialFailed(pending) }),
 	}
 	if pending.cancelled {
-		events = append(events, about(name, eventCancelLands, func() { w.dialFailed(pending) }))
+		events = append(events, eventAbout(name, eventCancelLands, func() { w.dialFailed(pending) }))
 	}
 	return events
 }
@@ -68,9 +68,9 @@
 func (w *world) holdingEvents(pending *pendingAttempt) []event {
 	name := pending.client.name
 	return []event{
-		about(name, eventLastByte, func() { w.releaseLastByte(pending) }),
-		about(name, eventBreaksHolding, func() { w.failWriting(pending) }),
-		about(name, eventSpeaksHolding, func() { w.failWriting(pending) }),
+		eventAbout(name, eventLastByte, func() { w.releaseLastByte(pending) }),
+		eventAbout(name, eventBreaksHolding, func() { w.failWriting(pending) }),
+		eventAbout(name, eventSpeaksHolding, func() { w.failWriting(pending) }),
 	}
 }
 
@@ -103,20 +103,20 @@
 func (w *world) writingEvents(pending *pendingAttempt) []event {
 	name := pending.client.name
 	return []event{
-		about(name, eventWritten, func() { w.requestWritten(pending) }),
-		about(name, eventBreaksWriting, func() { w.failWriting(pending) }),
+		eventAbout(name, eventWritten, func() { w.requestWritten(pending) }),
+		eventAbout(name, eventBreaksWriting, func() { w.failWriting(pending) }),
 	}
 }
 
 func (w *world) uploadingEvents(pending *pendingAttempt) []event {
 	name := pending.client.name
 	events := []event{
-		about(name, eventUploaded, func() { w.requestWritten(pending) }),
-		about(name, eventUploadBreaks, func() { w.failWriting(pending) }),
-		about(name, eventUploadAbandoned, func() { w.abandonUpload(pending) }),
+		eventAbout(name, eventUploaded, func() { w.requestWritten(pending) }),
+		eventAbout(name, eventUploadBreaks, func() { w.failWriting(pending) }),
+		eventAbout(name, eventUploadAbandoned, func() { w.abandonUpload(pending) }),
 	}
 	for _, e := range earlyAnswerEvents {
-		events = append(events, about(name, e.kind, func() { w.answeredEarly(pending, e.answer) }))
+		events = append(events, eventAbout(name, e.kind, func() { w.answeredEarly(pending, e.answer) }))
 	}
 	return events
 }
@@ -142,22 +142,22 @@
 	name := pending.client.name
 	var events []event
 	if pending.slowAfter > 0 {
-		events = append(events, about(name, eventSlowAttempt, func() { w.checkSlow(pending) }))
+		events = append(events, eventAbout(name, eventSlowAttempt, func() { w.checkSlow(pending) }))
 	}
 	if w.config.OddServers {
 		events = append(events, w.oddAnswerEvents(pending)...)
 	}
 	for _, e := range answerEvents {
-		events = append(events, about(name, e.kind, func() { w.answered(pending, e.answer) }))
+		events = append(events, eventAbout(name, e.kind, func() { w.answered(pending, e.answer) }))
 	}
 	return append(
 		events,
-		about(name, eventInterim, func() {}), // the reader passes over it
-		about(name, eventMalformed, func() {
+		eventAbout(name, eventInterim, func() {}), // the reader passes over it
+		eventAbout(name, eventMalformed, func() {
 			w.failAwaiting(pending, pending.failure(upstreamconn.Malformed))
 		}),
-		about(name, eventBreaksAwaiting, func() { w.loseAwaiting(pending) }),
-		about(name, eventTimesOut, func() { w.timeOut(pending) }),
+		eventAbout(name, eventBreaksAwaiting, func() { w.loseAwaiting(pending) }),
+		eventAbout(name, eventTimesOut, func() { w.timeOut(pending) }),
 	)
 }
 
@@ -202,9 +202,9 @@
 func (w *world) oddAnswerEvents(pending *pendingAttempt) []event {
 	name := pending.client.name
 	return []event{
-		about(name, eventUnidentified, func() { w.answeredUnidentified(pending) }),
-		about(name, eventOKStreamed, func() { w.answerBegins(pending) }),
-		about(name, eventForeignAnswer, func() { w.foreignAnswer(pending) }),
+		eventAbout(name, eventUnidentified, func() { w.answeredUnidentified(pending) }),
+		eventAbout(name, eventOKStreamed, func() { w.answerBegins(pending) }),
+		eventAbout(name, eventForeignAnswer, func() { w.foreignAnswer(pending) }),
 	}
 }
 
--- a/internal/emulator/modelcheck/client.go
+++ b/internal/emulator/modelcheck/client.go
@@ -54,16 +54,13 @@
 		writtenTo:   map[string]bool{},
 	}
 	w.clients = append(w.clients, c)
-	class, gateways := classRead, 1
-	if r.atMostOnce {
-		class = classSend
-	}
+	gateways := 1
 	if w.config.Sparse {
 		gateways = 5
 	}
 	var effects []attempt.Effect
 	c.request, effects = w.dispatcher.Submit(w.now, decision.Request{
-		Class:       class,
+		Class:       className(r.atMostOnce),
 		Plan:        plans[w.planIndex].Name,
 		Customer:    customer,
 		TimeLeft:    requestDeadline,
@@ -72,12 +69,12 @@
 		ClientRetry: r.retry,
 		Streamed:    r.streamed,
 	}, c)
-	w.apply(effects)
+	w.applyEffects(effects)
 }
 
-// apply carries out effects as the engine, the ingress and the pool do together. What carrying one out leads to waits
-// for those before it: the engine delivers all decisions on an event under its mutex.
-func (w *world) apply(effects []attempt.Effect) {
+// applyEffects carries out effects as the engine, the ingress and the pool do together. What carrying one out leads to
+// waits for those before it: the engine delivers all decisions on an event under its mutex.
+func (w *world) applyEffects(effects []attempt.Effect) {
 	w.effects = append(w.effects, effects...)
 	if w.applying {
 		return
--- a/internal/emulator/modelcheck/config.go
+++ b/internal/emulator/modelcheck/config.go
@@ -23,16 +23,14 @@
 
 // The text form of a config, in traces.
 const (
-	wordRead       = "read"
-	wordSend       = "send"
-	wordSecond     = "and-" // before the class of the second request
-	wordServers    = "servers="
-	wordIdle       = "kept"
-	wordSparse     = "thin"
-	wordOneConn    = "full"
-	wordSlowDials  = "dials"
-	wordStreamed   = "long"
-	wordOddServers = "odd"
+	secondRequestPrefix     = "and-" // before the class of the second request
+	serversPrefix           = "servers="
+	conditionIdleConnection = "kept"
+	conditionSparse         = "thin"
+	conditionOneConnection  = "full"
+	conditionSlowDials      = "dials"
+	conditionStreamedBody   = "long"
+	conditionOddServers     = "odd"
 )
 
 // configFlag is the text form of one flag of a config.
@@ -44,57 +42,58 @@
 // flags returns the flags of a config, in the order of its text form.
 func (c *Config) flags() []configFlag {
 	return []configFlag{
-		{wordIdle, &c.IdleConnection},
-		{wordSparse, &c.Sparse},
-		{wordOneConn, &c.OneConnection},
-		{wordSlowDials, &c.SlowDials},
-		{wordStreamed, &c.StreamedBody},
-		{wordOddServers, &c.OddServers},
+		{conditionIdleConnection, &c.IdleConnection},
+		{conditionSparse, &c.Sparse},
+		{conditionOneConnection, &c.OneConnection},
+		{conditionSlowDials, &c.SlowDials},
+		{conditionStreamedBody, &c.StreamedBody},
+		{conditionOddServers, &c.OddServers},
 	}
 }
 
+// className returns the class of a request.
 func className(atMostOnce bool) string {
 	if atMostOnce {
-		return wordSend
+		return classSend
 	}
-	return wordRead
+	return classRead
 }
 
 // String returns the text form of a config, which ParseConfig reads.
 func (c Config) String() string {
-	words := []string{className(c.AtMostOnce[0])}
+	conditions := []string{className(c.AtMostOnce[0])}
 	if c.TwoRequests {
-		words = append(words, wordSecond+className(c.AtMostOnce[1]))
+		conditions = append(conditions, secondRequestPrefix+className(c.AtMostOnce[1]))
 	}
-	words = append(words, fmt.Sprint(wordServers, c.Servers))
+	conditions = append(conditions, fmt.Sprint(serversPrefix, c.Servers))
 	for _, flag := range c.flags() {
 		if *flag.set {
-			words = append(words, flag.name)
+			conditions = append(conditions, flag.name)
 		}
 	}
-	return strings.Join(words, " ")
+	return strings.Join(conditions, " ")
 }
 
-// ParseConfig reads the text form of a config. Its errors are UnknownWordError and ErrServerCount.
+// ParseConfig reads the text form of a config. Its errors are UnknownConditionError and ErrServerCount.
 func ParseConfig(text string) (Config, error) {
 	var c Config
 	flags := c.flags()
-	for i, word := range strings.Fields(text) {
-		flag := slices.IndexFunc(flags, func(f configFlag) bool { return f.name == word })
+	for i, condition := range strings.Fields(text) {
+		flag := slices.IndexFunc(flags, func(f configFlag) bool { return f.name == condition })
 		switch {
-		case i == 0 && (word == wordRead || word == wordSend):
-			c.AtMostOnce[0] = word == wordSend
-		case word == wordSecond+wordRead || word == wordSecond+wordSend:
+		case i == 0 && (condition == classRead || condition == classSend):
+			c.AtMostOnce[0] = condition == classSend
+		case condition == secondRequestPrefix+classRead || condition == secondRequestPrefix+classSend:
 			c.TwoRequests = true
-			c.AtMostOnce[1] = word == wordSecond+wordSend
-		case word == wordServers+"1":
+			c.AtMostOnce[1] = condition == secondRequestPrefix+classSend
+		case condition == serversPrefix+"1":
 			c.Servers = 1
-		case word == wordServers+"2":
+		case condition == serversPrefix+"2":
 			c.Servers = 2
 		case flag >= 0:
 			*flags[flag].set = true
 		default:
-			return c, UnknownConditionError{word}
+			return c, UnknownConditionError{condition}
 		}
 	}
 	if c.Servers == 0 {
--- a/internal/emulator/modelcheck/doc.go
+++ b/internal/emulator/modelcheck/doc.go
@@ -5,7 +5,8 @@
 // LossHistory, and clientconn.Machine. Explore puts a small world around the first five: clients, quote servers, an
 // endpoint list, a quota counter and a clock. ExploreClientConnections drives the last one alone. The goroutines of
 // ingress and upstream are replaced by the few steps that they take between two decisions, so that an ordering of
-// events always plays alike.
+// events plays alike each time. One thing may differ: which of the connections that are idle since the same time
+// IdlePool evicts, as it iterates over a map.
 //
 // The package does no I/O, and no clock but the world's own is read. Of this module it imports decision and the
 // dataplane packages that it explores; only internal/standalone/cli imports it. Each world belongs to one worker of
--- a/internal/emulator/modelcheck/events.go
+++ b/internal/emulator/modelcheck/events.go
@@ -22,8 +22,8 @@
 	apply func()
 }
 
-// about returns an event about one client or server.
-func about(subject, kind string, apply func()) event { return event{kind + " " + subject, apply} }
+// eventAbout returns an event eventAbout one client or server.
+func eventAbout(subject, kind string, apply func()) event { return event{kind + " " + subject, apply} }
 
 // events returns those that may happen now, in a fixed order: an ordering is a sequence of choices among them.
 func (w *world) events() []event {
@@ -79,10 +79,10 @@
 		events = append(events, w.streamEvents(c)...)
 	}
 	if !c.disconnected && !c.finished {
-		events = append(events, about(c.name, eventDisconnects, func() { w.disconnect(c) }))
+		events = append(events, eventAbout(c.name, eventDisconnects, func() { w.disconnect(c) }))
 	}
 	if w.mayRetry(c) {
-		events = append(events, about(c.name, eventRetries, func() {
+		events = append(events, eventAbout(c.name, eventRetries, func() {
 			c.retried = true
 			w.submitRequest(clientRequest{atMostOnce: c.atMostOnce, retry: true})
 		}))
@@ -101,16 +101,16 @@
 
 func (w *world) disconnect(c *client) {
 	c.disconnected = true
-	w.apply(w.dispatcher.ClientDisconnected(w.now, c.request))
+	w.applyEffects(w.dispatcher.ClientDisconnected(w.now, c.request))
 }
 
 // streamEvents returns the ends that a streamed answer may have.
 func (w *world) streamEvents(c *client) []event {
 	return []event{
-		about(c.name, eventStreamComplete, func() { w.streamEnded(c, true, false) }),
-		about(c.name, eventStreamTrailingBytes, func() { w.streamEnded(c, true, true) }),
-		about(c.name, eventStreamCut, func() { w.streamEnded(c, false, false) }),
-		about(c.name, eventStreamLeft, func() { w.streamEnded(c, false, false) }),
+		eventAbout(c.name, eventStreamComplete, func() { w.streamEnded(c, true, false) }),
+		eventAbout(c.name, eventStreamTrailingBytes, func() { w.streamEnded(c, true, true) }),
+		eventAbout(c.name, eventStreamCut, func() { w.streamEnded(c, false, false) }),
+		eventAbout(c.name, eventStreamLeft, func() { w.streamEnded(c, false, false) }),
 	}
 }
 
@@ -118,23 +118,23 @@
 func (w *world) serverEvents(s *server) []event {
 	var events []event
 	if s.serving {
-		events = append(events, about(s.id, eventDrains, func() {
+		events = append(events, eventAbout(s.id, eventDrains, func() {
 			s.serving, s.drainingSince = false, w.now
 			w.updateBackends()
 		}))
 	}
-	events = append(events, about(s.id, eventRemoved, func() {
+	events = append(events, eventAbout(s.id, eventRemoved, func() {
 		s.listed, s.serving, s.drainingSince = false, false, w.now
 		w.updateBackends()
 	}))
 	if len(w.servers) < maxServers {
-		events = append(events, about(s.id, eventAddressTaken, func() { w.takeAddress(s) }))
+		events = append(events, eventAbout(s.id, eventAddressTaken, func() { w.takeAddress(s) }))
 	}
 	if !s.down {
-		events = append(events, about(s.id, eventRefuses, func() { s.down = true }))
+		events = append(events, eventAbout(s.id, eventRefuses, func() { s.down = true }))
 	}
 	if conn, ok := w.idlePool.Peek(s.id); ok && !conn.unusable {
-		events = append(events, about(s.id, eventForgets, func() { conn.unusable = true }))
+		events = append(events, eventAbout(s.id, eventForgets, func() { conn.unusable = true }))
 	}
 	return events
 }
@@ -168,7 +168,7 @@
 			w.counterCalls = w.counterCalls[1:]
 			w.counterTotal += r.units
 			reply := decision.CounterReply{Name: name, Outcome: r.outcome, Total: w.counterTotal}
-			w.apply(w.dispatcher.Handle(w.now, reply))
+			w.applyEffects(w.dispatcher.Handle(w.now, reply))
 		}})
 	}
 	return events
@@ -178,7 +178,7 @@
 func (w *world) changePlan() {
 	w.planIndex = 1 - w.planIndex
 	plan := plans[w.planIndex]
-	w.apply(w.dispatcher.Handle(w.now, decision.Terms{Customer: customer, Plan: plan, Tag: plan.Tag()}))
+	w.applyEffects(w.dispatcher.Handle(w.now, decision.Terms{Customer: customer, Plan: plan, Tag: plan.Tag()}))
 }
 
 // shutDown begins the drain of the process.
--- a/internal/emulator/modelcheck/schedule.go
+++ b/internal/emulator/modelcheck/schedule.go
@@ -58,11 +58,11 @@
 	w.now = w.nextDue()
 	for _, name := range w.counterCalls {
 		reply := decision.CounterReply{Name: name, Outcome: decision.TimedOut}
-		w.apply(w.dispatcher.Handle(w.now, reply))
+		w.applyEffects(w.dispatcher.Handle(w.now, reply))
 	}
 	w.counterCalls = nil
 	for _, timer := range w.takeDueTimers() {
-		w.apply(w.dispatcher.Handle(w.now, decision.Timer{Token: timer.Token}))
+		w.applyEffects(w.dispatcher.Handle(w.now, decision.Timer{Token: timer.Token}))
 	}
 	w.checkInvariants()
 }
--- a/internal/emulator/modelcheck/server.go
+++ b/internal/emulator/modelcheck/server.go
@@ -20,7 +20,7 @@
 			update.List = append(update.List, decision.Backend{ID: s.id, Zone: "a", Serving: s.serving, Size: 1})
 		}
 	}
-	w.apply(w.dispatcher.Handle(w.now, update))
+	w.applyEffects(w.dispatcher.Handle(w.now, update))
 }
 
 // server returns the server of an ID, listed or not; nil: there never was one.
--- a/internal/emulator/modelcheck/trace.go
+++ b/internal/emulator/modelcheck/trace.go
@@ -45,8 +45,8 @@
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		if words, ok := strings.CutPrefix(line, tracePrefixWorld); ok {
-			config, err := ParseConfig(words)
+		if conditions, ok := strings.CutPrefix(line, tracePrefixWorld); ok {
+			config, err := ParseConfig(conditions)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/emulator/modelcheck/world.go
+++ b/internal/emulator/modelcheck/world.go
@@ -76,7 +76,7 @@
 		dispatcher: attempt.NewDispatcher[*client](decision.New(settings, 1), &settings),
 		idlePool:   upstreamconn.NewIdlePool[*connection](limit),
 	}
-	w.apply(w.dispatcher.Handle(w.now, decision.Start{}))
+	w.applyEffects(w.dispatcher.Handle(w.now, decision.Start{}))
 	for i := range config.Servers {
 		w.servers = append(w.servers, &server{
 			id:      fmt.Sprint("s", i+1),
