--- a/cmd/emulator/try.go
+++ b/cmd/emulator/try.go
@@ -35,7 +35,7 @@
 		}
 		return nil
 	}
-	schedule, err := loopback.Schedule(c.Faults, c.For, c.Seed)
+	schedule, err := loopback.ParseSchedule(c.Faults, c.For, c.Seed)
 	if err != nil {
 		return unusable{err}
 	}
@@ -43,10 +43,10 @@
 	if err != nil {
 		return err
 	}
-	o := loopback.Options{Core: c.Core, Edge: c.Edge, For: c.For, Faults: schedule, Seed: c.Seed, Bin: c.Bin, Load: c.Load,
-		Open: 8 * time.Second, Dir: dir}
+	o := loopback.Options{CoreMachines: c.Core, EdgeMachines: c.Edge, TrafficTime: c.For, Faults: schedule, Seed: c.Seed, ProgramsDir: c.Bin, Load: c.Load,
+		WarmUp: 8 * time.Second, Dir: dir}
 	if c.Brisk {
-		o.Open = 3 * time.Second
+		o.WarmUp = 3 * time.Second
 		o.Bounds = loopback.FastBounds()
 		o.HeartbeatInterval = 500 * time.Millisecond
 	}
@@ -55,7 +55,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	report, err := loopback.Play(ctx, o)
+	report, err := loopback.Run(ctx, o)
 	if err != nil {
 		return fmt.Errorf("%w\nlogs are in %s", err, dir)
 	}
@@ -64,7 +64,7 @@
 		return err
 	}
 	fmt.Print(text.String())
-	if n := len(report.Breaches); n > 0 {
+	if n := len(report.Violations); n > 0 {
 		return fmt.Errorf("%d instances of broken rules", n)
 	}
 	return os.RemoveAll(dir)
--- a/internal/emulator/loopback/client.go
+++ b/internal/emulator/loopback/client.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	connectMost = time.Second // for a new connection to come up
-	repeats     = 2           // further tries of a client
-	atOnceMost  = 1500        // requests of all clients that are out
-	keepMost    = 14 * time.Second
+	maxConnectTime = time.Second // for a new connection to come up
+	maxRetries     = 2           // further tries of a client
+	maxInFlight  = 1500        // requests of all clients that are out
+	maxIdleTime    = 14 * time.Second
 )
 
 // clientUser is a client: it stands in a zone, and may keep a connection.
@@ -36,24 +36,24 @@
 	zone   int
 
 	mu   sync.Mutex
-	idle *kept
+	idle *clientConn
 }
 
-// kept is a connection between two requests.
-type kept struct {
-	c    *net.TCPConn
-	in   *bufio.Reader
+// clientConn is a connection between two requests.
+type clientConn struct {
+	conn    *net.TCPConn
+	reader   *bufio.Reader
 	edge *machine
-	till time.Time
-	last *invariants.Attempt
+	idleUntil time.Time
+	lastAttempt *invariants.Attempt
 }
 
-// extra looks for bytes behind the last answer, and whether the connection has been closed.
-func (k *kept) extra() (surplus, closed bool) {
-	if k.in.Buffered() > 0 {
+// pendingInput looks for bytes behind the last answer, and whether the connection has been closed.
+func (k *clientConn) pendingInput() (surplus, closed bool) {
+	if k.reader.Buffered() > 0 {
 		return true, false
 	}
-	raw, err := k.c.SyscallConn()
+	raw, err := k.conn.SyscallConn()
 	if err != nil {
 		return false, true
 	}
@@ -66,102 +66,102 @@
 	return surplus, closed
 }
 
-// drop closes a kept connection, and says what came on it.
-func (f *cluster) drop(k *kept) {
+// closeConn closes a kept connection, and says what came on it.
+func (cl *cluster) closeConn(k *clientConn) {
 	if k == nil {
 		return
 	}
-	if surplus, _ := k.extra(); surplus {
-		f.recorder.update(func() { k.last.Surplus = true })
+	if surplus, _ := k.pendingInput(); surplus {
+		cl.recorder.update(func() { k.lastAttempt.Surplus = true })
 	}
-	k.c.Close()
+	k.conn.Close()
 }
 
-// order is a request of a client, over all its tries.
-type order struct {
-	class  *class
+// clientRequest is a request of a client, over all its tries.
+type clientRequest struct {
+	class  *requestClass
 	route  *route
 	key    string
-	person *clientUser
-	probe  *machine // it goes there, and once only
-	pooled bool
-	began  time.Time
+	user *clientUser
+	canaryEdge  *machine // it goes there, and once only
+	keepAlive bool
+	startedAt  time.Time
 }
 
-// classes' arrivals: each is a Poisson stream.
-func (f *cluster) stream(c *class, rng *rand.Rand) {
+// classes' arrivals: each is a Poisson sendClass.
+func (cl *cluster) sendClass(c *requestClass, rng *rand.Rand) {
 	next := time.Now()
 	for {
-		rate := c.rate * f.o.Load
-		hot := f.hot.Load()
+		rate := c.rate * cl.options.Load
+		hot := cl.hotTenant.Load()
 		if hot != nil {
-			rate *= 1 + hot.weight*(hotTimes-1)
+			rate *= 1 + hot.weight*(hotFactor-1)
 		}
 		next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		if wait := time.Until(next); wait > 0 {
-			f.pause(wait)
+			cl.sleep(wait)
 		} else {
 			next = time.Now() // we cannot keep up; do not catch up either
 		}
-		if f.ctx.Err() != nil {
+		if cl.traffic.Err() != nil {
 			return
 		}
-		t := f.drawTenant(rng, hot)
-		routes := f.liveRoutes(c)
+		t := cl.drawTenant(rng, hot)
+		routes := cl.liveRoutes(c)
 		r := routes[rng.IntN(len(routes))]
-		key := t.key(rng)
-		o := &order{
+		key := t.drawKey(rng)
+		o := &clientRequest{
 			class:  c,
 			route:  r,
 			key:    key,
-			person: f.users[rng.IntN(len(f.users))],
-			pooled: rng.IntN(2) == 0,
-			began:  time.Now(),
+			user: cl.users[rng.IntN(len(cl.users))],
+			keepAlive: rng.IntN(2) == 0,
+			startedAt:  time.Now(),
 		}
 		if r.public && rng.IntN(2) == 0 {
 			o.key = ""
 		}
 		seed := rng.Uint64()
-		if f.out.Add(1) > atOnceMost {
-			f.out.Add(-1)
-			f.recorder.note("clients are overloaded: a request was not sent")
+		if cl.inFlight.Add(1) > maxInFlight {
+			cl.inFlight.Add(-1)
+			cl.recorder.notef("clients are overloaded: a request was not sent")
 			continue
 		}
-		f.clients.Go(func() {
-			defer f.out.Add(-1)
-			f.order(o, rand.New(rand.NewPCG(seed, 1)))
+		cl.clients.Go(func() {
+			defer cl.inFlight.Add(-1)
+			cl.sendWithRetries(o, rand.New(rand.NewPCG(seed, 1)))
 		})
 	}
 }
 
-// order carries out a request with its tries, as PROTOCOL says under "Answers".
-func (f *cluster) order(o *order, rng *rand.Rand) {
+// sendWithRetries carries out a request with its tries, as PROTOCOL says under "Answers".
+func (cl *cluster) sendWithRetries(o *clientRequest, rng *rand.Rand) {
 	c := o.class
 	backoff := 30 * time.Millisecond
 	for n := 0; ; n++ {
-		left := c.deadline - time.Since(o.began)
-		t, advice := f.try(o, n, left, rng)
-		left = c.deadline - time.Since(o.began)
+		left := c.deadline - time.Since(o.startedAt)
+		t, advice := cl.attempt(o, n, left, rng)
+		left = c.deadline - time.Since(o.startedAt)
 		promise := t.End == invariants.Answered && (t.Status == 408 || t.Status == 421 || t.Status == 429 || t.Status == 503)
 		final := t.End == invariants.Answered &&
 			(t.Status/100 == 2 || slices.Contains([]int{400, 401, 403, 404, 413, 431}, t.Status))
-		again := !final && (!c.once || promise || t.End == invariants.NotConnected)
+		again := !final && (!c.atMostOnce || promise || t.End == invariants.NotConnected)
 		wait := backoff + time.Duration(rng.Int64N(int64(backoff)))
 		backoff *= 2
 		if advice > 0 {
 			wait = min(advice, left/3)
 		}
-		if !again || o.probe != nil || n == repeats || left-wait < 20*time.Millisecond || f.world.Err() != nil {
-			f.recorder.update(func() { t.Last = true })
+		if !again || o.canaryEdge != nil || n == maxRetries || left-wait < 20*time.Millisecond || cl.lifetime.Err() != nil {
+			cl.recorder.update(func() { t.Last = true })
 			return
 		}
-		f.pause(wait)
+		cl.sleep(wait)
 	}
 }
 
-// try makes one try; advice is what Retry-After says.
-func (f *cluster) try(
-	o *order,
+// attempt makes one attempt; advice is what Retry-After says.
+func (cl *cluster) attempt(
+	o *clientRequest,
 	n int,
 	left time.Duration,
 	rng *rand.Rand,
@@ -170,44 +170,44 @@
 	t = &invariants.Attempt{
 		ID:            fmt.Sprintf("%016x", rng.Uint64()),
 		Class:         c.name,
-		AtMostOnce:    c.once,
-		Probe:         o.probe != nil,
+		AtMostOnce:    c.atMostOnce,
+		Probe:         o.canaryEdge != nil,
 		Method:        http.MethodGet,
 		Host:          o.route.host,
 		Target:        fmt.Sprintf("%s%x", o.route.prefix, rng.Uint32N(1<<20)),
 		Key:           o.key,
 		TimeLeft:      left.Seconds(),
-		FirstSent:     f.at(o.began),
-		LatencyTarget: c.aim.Seconds(),
+		FirstSent:     cl.sinceStart(o.startedAt),
+		LatencyTarget: c.latencyTarget.Seconds(),
 	}
 	if rng.IntN(4) == 0 {
 		t.Target += "?q=" + strconv.Itoa(rng.IntN(100))
 	}
 	var text []byte
-	if c.once {
+	if c.atMostOnce {
 		t.Method = http.MethodPost
-		text = pattern(t.ID, rng.IntN(3000))
+		text = uniqueBody(t.ID, rng.IntN(3000))
 	}
-	t.Body = sum(text)
-	var k *kept
-	if o.pooled && n == 0 && o.probe == nil {
-		k = f.pooledOf(o.person)
+	t.Body = checksum(text)
+	var k *clientConn
+	if o.keepAlive && n == 0 && o.canaryEdge == nil {
+		k = cl.takeIdleConn(o.user)
 	}
-	edge := o.probe
+	edge := o.canaryEdge
 	if edge == nil && k == nil {
-		edge = f.edgeAddress(o.person, n)
+		edge = cl.chooseEdge(o.user, n)
 	}
-	defer f.recorder.try(t)
+	defer cl.recorder.attempt(t)
 	if k == nil {
 		t.Edge = edge.name
-		conn, err := net.DialTimeout("tcp4", edge.at(f.ports.front), min(connectMost, left))
+		conn, err := net.DialTimeout("tcp4", edge.address(cl.ports.front), min(maxConnectTime, left))
 		if err != nil {
-			t.Sent, t.Done, t.End = f.now(), f.now(), invariants.NotConnected
+			t.Sent, t.Done, t.End = cl.now(), cl.now(), invariants.NotConnected
 			return t, 0
 		}
-		k = &kept{c: conn.(*net.TCPConn), in: bufio.NewReader(conn), edge: edge}
+		k = &clientConn{conn: conn.(*net.TCPConn), reader: bufio.NewReader(conn), edge: edge}
 	}
-	t.Edge, k.last = k.edge.name, t
+	t.Edge, k.lastAttempt = k.edge.name, t
 	var b bytes.Buffer
 	fmt.Fprintf(
 		&b,
@@ -225,87 +225,87 @@
 		t.ClaimedTenant = "somebody"
 		b.WriteString("X-Tenant: somebody\r\nx-target-instance: i-0\r\n")
 	}
-	closing := !o.pooled || o.probe != nil
+	closing := !o.keepAlive || o.canaryEdge != nil
 	if closing && rng.IntN(2) == 0 {
 		b.WriteString("Connection: close\r\n")
 	}
 	switch {
 	case text != nil && rng.IntN(3) == 0:
 		b.WriteString("Transfer-Encoding: chunked\r\n\r\n")
-		b.Write(chunks(text))
+		b.Write(encodeChunks(text))
 	case text != nil:
 		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n", len(text))
 		b.Write(text)
 	default:
 		b.WriteString("\r\n")
 	}
-	k.c.SetDeadline(time.Now().Add(left))
-	_, err := k.c.Write(b.Bytes())
-	t.Sent = f.now()
+	k.conn.SetDeadline(time.Now().Add(left))
+	_, err := k.conn.Write(b.Bytes())
+	t.Sent = cl.now()
 	if err == nil {
-		advice, err = f.read(k, t)
+		advice, err = cl.readResponse(k, t)
 	} else {
-		t.End = failed(err)
+		t.End = endingOf(err)
 	}
-	if t.End == invariants.Truncated && t.Status == 0 && f.unread(k.c, err) {
+	if t.End == invariants.Truncated && t.Status == 0 && cl.closedUnread(k.conn, err) {
 		t.End = invariants.NotConnected
 	}
-	t.Done = f.now()
-	if err != nil || t.End != invariants.Answered || closing || k.till.IsZero() {
+	t.Done = cl.now()
+	if err != nil || t.End != invariants.Answered || closing || k.idleUntil.IsZero() {
 		if err == nil && t.End == invariants.Answered {
-			f.drop(k)
+			cl.closeConn(k)
 		} else {
-			k.c.Close()
+			k.conn.Close()
 		}
 		return t, advice
 	}
-	o.person.mu.Lock()
-	old := o.person.idle
-	o.person.idle = k
-	o.person.mu.Unlock()
-	f.drop(old)
+	o.user.mu.Lock()
+	old := o.user.idle
+	o.user.idle = k
+	o.user.mu.Unlock()
+	cl.closeConn(old)
 	return t, advice
 }
 
-// failed is how a try ended whose connection failed.
-func failed(err error) invariants.Ending {
+// endingOf is how a try ended whose connection endingOf.
+func endingOf(err error) invariants.Ending {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return invariants.TimedOut
 	}
 	return invariants.Truncated
 }
 
-// unread tells whether the machine closed the connection without having read the request: its kernel resets such a
+// closedUnread tells whether the machine closed the connection without having read the request: its kernel resets such a
 // connection. It may say so only after the end of the stream.
-func (f *cluster) unread(c *net.TCPConn, err error) bool {
+func (cl *cluster) closedUnread(c *net.TCPConn, err error) bool {
 	if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		return true
 	}
-	f.pause(5 * time.Millisecond)
+	cl.sleep(5 * time.Millisecond)
 	c.SetWriteDeadline(time.Now().Add(time.Second))
 	_, err = c.Write([]byte("\r\n"))
 	return err != nil
 }
 
-// own notes an answer of the system's own.
-func (f *cluster) own(status int, text []byte) {
+// countOwnAnswer notes an answer of the system's countOwnAnswer.
+func (cl *cluster) countOwnAnswer(status int, text []byte) {
 	line, _, _ := strings.Cut(string(text), "\n")
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.answers[fmt.Sprintf("%d %.100s", status, line)]++
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.ownAnswers[fmt.Sprintf("%d %.100s", status, line)]++
 }
 
-// read reads an answer. The connection may be kept until k.till; zero: it may not.
-func (f *cluster) read(k *kept, t *invariants.Attempt) (advice time.Duration, err error) {
-	k.till = time.Time{}
-	if _, err := k.in.Peek(1); err != nil {
-		t.End = failed(err)
+// readResponse reads an answer. The connection may be kept until k.till; zero: it may not.
+func (cl *cluster) readResponse(k *clientConn, t *invariants.Attempt) (advice time.Duration, err error) {
+	k.idleUntil = time.Time{}
+	if _, err := k.reader.Peek(1); err != nil {
+		t.End = endingOf(err)
 		return 0, err
 	}
-	r, err := http.ReadResponse(k.in, &http.Request{Method: t.Method})
+	r, err := http.ReadResponse(k.reader, &http.Request{Method: t.Method})
 	if err != nil {
 		ended := errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)
-		if t.End = failed(err); t.End == invariants.Truncated && !ended {
+		if t.End = endingOf(err); t.End == invariants.Truncated && !ended {
 			t.End = invariants.Malformed
 		}
 		return 0, err
@@ -314,12 +314,12 @@
 	t.AnswerID, t.Seal = r.Header.Get("X-Attempt-Id"), r.Header.Get("X-Server-Seal")
 	text, err := io.ReadAll(r.Body)
 	if err != nil {
-		t.End = failed(err)
+		t.End = endingOf(err)
 		return 0, err
 	}
-	t.Sum = sum(text)
+	t.Sum = checksum(text)
 	if t.Seal == "" && !t.Probe {
-		f.own(t.Status, text)
+		cl.countOwnAnswer(t.Status, text)
 	}
 	if s := r.Header.Get("Retry-After"); s != "" {
 		if v, err := strconv.ParseFloat(s, 64); err == nil && v > 0 {
@@ -329,7 +329,7 @@
 	if r.Close {
 		return advice, nil
 	}
-	span := keepMost
+	span := maxIdleTime
 	if _, rest, ok := strings.Cut(r.Header.Get("Keep-Alive"), "timeout="); ok {
 		digits, _, _ := strings.Cut(rest, ",")
 		if s, err := strconv.ParseFloat(strings.TrimSpace(digits), 64); err == nil {
@@ -337,13 +337,13 @@
 		}
 	}
 	if span > 0 {
-		k.till = time.Now().Add(span)
+		k.idleUntil = time.Now().Add(span)
 	}
 	return advice, nil
 }
 
-// pooledOf is the connection that a client keeps, if it may still be used.
-func (f *cluster) pooledOf(p *clientUser) *kept {
+// takeIdleConn is the connection that a client keeps, if it may still be used.
+func (cl *cluster) takeIdleConn(p *clientUser) *clientConn {
 	p.mu.Lock()
 	k := p.idle
 	p.idle = nil
@@ -351,50 +351,50 @@
 	if k == nil {
 		return nil
 	}
-	if surplus, closed := k.extra(); surplus || closed || time.Now().After(k.till) {
-		f.drop(k)
+	if surplus, closed := k.pendingInput(); surplus || closed || time.Now().After(k.idleUntil) {
+		cl.closeConn(k)
 		return nil
 	}
 	return k
 }
 
-// entry is what the platform knows of a machine that takes clients.
-type entry struct {
-	misses int
-	in     bool
+// edgeHealth is what the platform knows of a machine that takes clients.
+type edgeHealth struct {
+	failures int
+	inRotation     bool
 }
 
-// watch asks each machine every second whether it is ready, as the platform does.
-func (f *cluster) watch() {
+// watchReadiness asks each machine every second whether it is ready, as the platform does.
+func (cl *cluster) watchReadiness() {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	for {
 		var all sync.WaitGroup
-		for n, m := range f.edge {
+		for n, m := range cl.edge {
 			all.Go(func() {
-				ready := f.ready(m, time.Second)
-				f.mu.Lock()
-				defer f.mu.Unlock()
-				e := &f.entries[n]
+				ready := cl.ready(m, time.Second)
+				cl.mu.Lock()
+				defer cl.mu.Unlock()
+				e := &cl.edgeHealth[n]
 				if ready {
-					*e = entry{in: true}
-				} else if e.misses++; e.misses >= 2 {
-					e.in = false
+					*e = edgeHealth{inRotation: true}
+				} else if e.failures++; e.failures >= 2 {
+					e.inRotation = false
 				}
 			})
 		}
 		all.Wait()
 		select {
-		case <-f.world.Done():
+		case <-cl.lifetime.Done():
 			return
 		case <-t.C:
 		}
 	}
 }
 
-func (f *cluster) ready(m *machine, wait time.Duration) bool {
-	c := &http.Client{Timeout: wait, Transport: f.control.Transport}
-	r, err := c.Get("http://" + m.at(f.ports.ready) + "/readiness")
+func (cl *cluster) ready(m *machine, wait time.Duration) bool {
+	c := &http.Client{Timeout: wait, Transport: cl.httpClient.Transport}
+	r, err := c.Get("http://" + m.address(cl.ports.ready) + "/readiness")
 	if err != nil {
 		return false
 	}
@@ -404,15 +404,15 @@
 }
 
 // door is the machine that a client's connection is handed to (PROTOCOL, "How clients arrive").
-func (f *cluster) edgeAddress(p *clientUser, try int) *machine {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (cl *cluster) chooseEdge(p *clientUser, try int) *machine {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	for far := range zones {
 		var all, in []*machine
-		for n, m := range f.edge {
+		for n, m := range cl.edge {
 			if m.zone == (p.zone+far)%zones {
 				all = append(all, m)
-				if f.entries[n].in {
+				if cl.edgeHealth[n].inRotation {
 					in = append(in, m)
 				}
 			}
@@ -425,23 +425,23 @@
 		}
 		return in[(p.number*7+try)%len(in)]
 	}
-	return f.edge[(p.number+try)%len(f.edge)] // none is in
+	return cl.edge[(p.number+try)%len(cl.edge)] // none is in
 }
 
-// span is times in seconds that are looked through at the end.
-type span struct {
+// latencies is times in seconds that are looked through at the end.
+type latencies struct {
 	mu   sync.Mutex
-	list []float64
+	values []float64
 }
 
-func (s *span) add(v float64) {
+func (s *latencies) add(v float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.list = append(s.list, v)
+	s.values = append(s.values, v)
 }
 
-// part is the value that this part of a list is at or below; NaN where there is none.
-func part(list []float64, of float64) float64 {
+// quantile is the value that this quantile of a list is at or below; NaN where there is none.
+func quantile(list []float64, of float64) float64 {
 	if len(list) == 0 {
 		return math.NaN()
 	}
--- a/internal/emulator/loopback/deployment.go
+++ b/internal/emulator/loopback/deployment.go
@@ -11,25 +11,25 @@
 	"time"
 )
 
-// kind is a service.
-type kind struct {
-	slots, many int
-	work        time.Duration
+// serviceSpec is a service.
+type serviceSpec struct {
+	slots, instances int
+	meanWork        time.Duration
 }
 
-// class is a kind of requests.
-type class struct {
+// requestClass is a kind of requests.
+type requestClass struct {
 	name          string
-	once          bool
+	atMostOnce          bool
 	rate          float64 // a second
-	service, also string
-	aim, deadline time.Duration
+	service, alternate string
+	latencyTarget, deadline time.Duration
 }
 
 // route is a route that clients ask.
 type route struct {
 	name, host, prefix string
-	class              *class
+	class              *requestClass
 	public             bool
 }
 
@@ -43,14 +43,14 @@
 	keys []string
 }
 
-func (t *tenant) key(rng *rand.Rand) string {
+func (t *tenant) drawKey(rng *rand.Rand) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.keys[rng.IntN(len(t.keys))]
 }
 
-// build lays out machines, services, classes, routes and tenants.
-func (f *cluster) build() error {
+// layOut lays out machines, services, classes, routes and tenants.
+func (cl *cluster) layOut() error {
 	var ips []string
 	add := func(name string, core bool, n int, programs ...string) *machine {
 		host := n/zones + 1
@@ -58,83 +58,83 @@
 			host += 100
 		}
 		m := &machine{
-			f:    f,
+			cluster:    cl,
 			name: fmt.Sprintf("%s-%d", name, n+1),
 			ip:   fmt.Sprintf("127.1.%d.%d", n%zones, host),
 			zone: n % zones,
 			core: core,
 		}
-		m.dir = filepath.Join(f.o.Dir, m.name)
+		m.dir = filepath.Join(cl.options.Dir, m.name)
 		for _, p := range programs {
-			m.procs = append(m.procs, &process{m: m, program: p})
+			m.processes = append(m.processes, &process{machine: m, program: p})
 		}
 		ips = append(ips, m.ip)
 		return m
 	}
-	for n := range f.o.Core {
-		f.core = append(f.core, add("core", true, n, coreProgram))
+	for n := range cl.options.CoreMachines {
+		cl.core = append(cl.core, add("core", true, n, coreProgram))
 	}
-	for n := range f.o.Edge {
-		f.edge = append(f.edge, add("edge", false, n, agentProgram, proxyProgram))
+	for n := range cl.options.EdgeMachines {
+		cl.edge = append(cl.edge, add("edge", false, n, agentProgram, proxyProgram))
 	}
-	f.entries = make([]entry, len(f.edge))
+	cl.edgeHealth = make([]edgeHealth, len(cl.edge))
 	var err error
 	// Other plays may run on this box: the ports are drawn by chance, not by the seed.
-	if f.ports, err = drawPorts(
+	if cl.ports, err = drawPorts(
 		rand.New(rand.NewPCG(uint64(os.Getpid()), uint64(time.Now().UnixNano()))),
 		ips,
 	); err != nil {
 		return err
 	}
-	for _, m := range slices.Concat(f.core, f.edge) {
+	for _, m := range slices.Concat(cl.core, cl.edge) {
 		if err := os.MkdirAll(m.dir, 0o700); err != nil {
 			return err
 		}
 		if m.core {
-			if err := os.MkdirAll(m.disk(), 0o700); err != nil {
+			if err := os.MkdirAll(m.diskPath(), 0o700); err != nil {
 				return err
 			}
 		}
-		if err := cmp.Or(m.settle(true), m.layLinks()); err != nil {
+		if err := cmp.Or(m.writeSettings(true), m.writeLinks()); err != nil {
 			return err
 		}
 	}
-	word := func(kind string) string { return fmt.Sprintf("%s%04x", kind, f.rng.Uint32N(1<<16)) }
+	word := func(kind string) string { return fmt.Sprintf("%s%04x", kind, cl.rng.Uint32N(1<<16)) }
 	a, b, c := word("look"), word("note"), word("file")
-	f.services = map[string]kind{
+	cl.services = map[string]serviceSpec{
 		a: {3, 5, 40 * time.Millisecond},
 		b: {3, 4, 50 * time.Millisecond},
 		c: {3, 4, 30 * time.Millisecond},
 	}
-	f.classes = []*class{
-		{name: "read", rate: 70, service: a, also: c, aim: 400 * time.Millisecond, deadline: 2000 * time.Millisecond},
+	cl.classes = []*requestClass{
+		{name: "read", rate: 70, service: a, alternate: c, latencyTarget: 400 * time.Millisecond, deadline: 2000 * time.Millisecond},
 		{
 			name:     "set",
-			once:     true,
+			atMostOnce:     true,
 			rate:     30,
 			service:  b,
-			also:     a,
-			aim:      500 * time.Millisecond,
+			alternate:     a,
+			latencyTarget:      500 * time.Millisecond,
 			deadline: 2500 * time.Millisecond,
 		},
 		{
 			name:     "file",
-			once:     true,
+			atMostOnce:     true,
 			rate:     20,
 			service:  c,
-			also:     a,
-			aim:      300 * time.Millisecond,
+			alternate:     a,
+			latencyTarget:      300 * time.Millisecond,
 			deadline: 1800 * time.Millisecond,
 		},
 	}
 	rate, weights := 0.0, 0.0
-	for _, c := range f.classes {
+	for _, c := range cl.classes {
 		rate += c.rate
 		for n := range 2 {
-			f.live[c] = append(
-				f.live[c],
+			cl.live[c] = append(
+				cl.live[c],
 				&route{name: word("r-"), host: word("h") + ".example", prefix: "/" + word("p") + "/", class: c,
-					public: n == 1 && c.once},
+					public: n == 1 && c.atMostOnce},
 			)
 		}
 	}
@@ -144,12 +144,12 @@
 	for n := range tenantCount {
 		w := 1 / float64(n+1) / weights
 		t := &tenant{name: word("t"), weight: w, keys: []string{word("k") + word("x"), word("k") + word("y")}}
-		t.rate = float64(int(1.6*w*rate*f.o.Load) + 3)
+		t.rate = float64(int(1.6*w*rate*cl.options.Load) + 3)
 		t.burst = t.rate
-		f.tenants = append(f.tenants, t)
+		cl.tenants = append(cl.tenants, t)
 	}
 	for n := range clientCount {
-		f.users = append(f.users, &clientUser{number: n, zone: f.rng.IntN(zones)})
+		cl.users = append(cl.users, &clientUser{number: n, zone: cl.rng.IntN(zones)})
 	}
 	return nil
 }
@@ -160,13 +160,13 @@
 		"pathPrefix": r.prefix,
 		"routeKind":  "idempotent",
 		"deadlineMs": r.class.deadline.Milliseconds(),
-		"targetMs":   r.class.aim.Milliseconds(),
+		"targetMs":   r.class.latencyTarget.Milliseconds(),
 		"priority":   1,
 		"maxTries":   2,
 		"public":     r.public,
 		"backend":    service,
 	}
-	if r.class.once {
+	if r.class.atMostOnce {
 		b["routeKind"] = "mutating"
 	}
 	return b
@@ -186,18 +186,18 @@
 	}
 }
 
-// first is the items of the operator's first call.
-func (f *cluster) first() (items []item) {
-	for name := range f.services {
+// initialItems is the items of the operator's initialItems call.
+func (cl *cluster) initialItems() (items []item) {
+	for name := range cl.services {
 		items = append(items, item{section: "services", name: name,
-			body: body{"healthPath": healthPath, "maxConns": serverConns, "protocol": "h1", "tlsMode": false}})
+			body: body{"healthPath": healthPath, "maxConns": maxServerConns, "protocol": "h1", "tlsMode": false}})
 	}
-	for _, c := range f.classes {
-		for _, r := range f.live[c] {
+	for _, c := range cl.classes {
+		for _, r := range cl.live[c] {
 			items = append(items, r.item(c.service))
 		}
 	}
-	for _, t := range f.tenants {
+	for _, t := range cl.tenants {
 		items = append(items, t.item())
 	}
 	return append(items, item{section: "limits",
--- a/internal/emulator/loopback/faults.go
+++ b/internal/emulator/loopback/faults.go
@@ -22,12 +22,12 @@
 }
 
 const (
-	frozenFor = 4 * time.Second
-	cutFor    = 8 * time.Second
-	darkFor   = 3 * time.Second
-	oddFor    = 2 * time.Second // servers answer wrongly
-	hotFor    = 6 * time.Second
-	oddShare  = 0.15 // of a server's answers
+	suspendTime = 4 * time.Second
+	partitionTime    = 8 * time.Second
+	unresponsiveTime   = 3 * time.Second
+	badResponseTime    = 2 * time.Second // servers answer wrongly
+	hotTime    = 6 * time.Second
+	badResponseRate  = 0.15 // of a server's answers
 )
 
 // faultKind is a fault by its name.
@@ -42,82 +42,82 @@
 	faults = map[string]faultKind{
 		"kill-proxy": {
 			"a proxy is killed",
-			func(f *cluster, n int) { m := f.edgeOf(n); m.crash([]*process{m.proc(proxyProgram)}, nil) },
+			func(f *cluster, n int) { m := f.edgeOf(n); m.crash([]*process{m.process(proxyProgram)}, nil) },
 		},
 		"kill-agent": {
 			"an agent is killed",
-			func(f *cluster, n int) { m := f.edgeOf(n); m.crash([]*process{m.proc(agentProgram)}, nil) },
+			func(f *cluster, n int) { m := f.edgeOf(n); m.crash([]*process{m.process(agentProgram)}, nil) },
 		},
 		"kill-edge": {
 			"a proxy and its agent are killed",
-			func(f *cluster, n int) { m := f.edgeOf(n); m.crash(m.procs, nil) },
+			func(f *cluster, n int) { m := f.edgeOf(n); m.crash(m.processes, nil) },
 		},
-		"kill-core": {"a core node is killed", func(f *cluster, n int) { m := f.coreOf(n); m.crash(m.procs, nil) }},
+		"kill-core": {"a core node is killed", func(f *cluster, n int) { m := f.coreOf(n); m.crash(m.processes, nil) }},
 		"kill-all-core": {"all core nodes are killed at once", func(f *cluster, n int) {
 			f.blackout(nil)
 		}},
 		"wipe-core": {"a core node loses its disk right after it has acknowledged a change", func(f *cluster, n int) {
-			f.change(f.classes[0])
-			m := f.acker.Load()
-			m.crash(m.procs, m.wipe)
+			f.changeRoute(f.classes[0])
+			m := f.lastAcknowledger.Load()
+			m.crash(m.processes, m.wipeDisk)
 		}},
 		"blackout": {
 			"all core nodes are killed right after a change is acknowledged, and the one that did so loses its disk",
 			func(f *cluster, n int) {
-				f.change(f.classes[0])
-				f.blackout(f.acker.Load())
+				f.changeRoute(f.classes[0])
+				f.blackout(f.lastAcknowledger.Load())
 			},
 		},
 		"roll-core": {"core nodes get SIGTERM one after the other", func(f *cluster, n int) {
 			for _, m := range f.core {
-				m.roll()
-				f.hold(2 * time.Second)
+				m.restart()
+				f.sleepInTraffic(2 * time.Second)
 			}
 		}},
 		"roll-edge": {"edge machines get SIGTERM one after the other", func(f *cluster, n int) {
 			for _, m := range f.edge {
-				m.roll()
-				f.hold(2 * time.Second)
+				m.restart()
+				f.sleepInTraffic(2 * time.Second)
 			}
 		}},
-		"roll-one": {"an edge machine gets SIGTERM", func(f *cluster, n int) { f.edgeOf(n).roll() }},
+		"roll-one": {"an edge machine gets SIGTERM", func(f *cluster, n int) { f.edgeOf(n).restart() }},
 		"cut-core": {"a core node is cut off from the others for 8 s, and asked all along", func(f *cluster, n int) {
 			m := f.coreOf(n)
-			m.cutOff(f.otherCore(m), bothWays)
+			m.partition(f.otherCore(m), bothWays)
 		}},
 		"cut-one-way": {"what a core node sends to the others does not arrive for 8 s", func(f *cluster, n int) {
 			m := f.coreOf(n)
-			m.cutOff(f.otherCore(m), outward)
+			m.partition(f.otherCore(m), outward)
 		}},
 		"cut-deaf": {"a core node is sent nothing by the others for 8 s", func(f *cluster, n int) {
 			m := f.coreOf(n)
-			m.cutOff(f.otherCore(m), inward)
+			m.partition(f.otherCore(m), inward)
 		}},
 		"cut-all": {
 			"a core node is cut off from the others and from all agents for 8 s; an edge machine is restarted meanwhile",
 			func(f *cluster, n int) {
 				m := f.coreOf(n)
-				f.faults.Go(func() {
-					if f.hold(cutFor / 4) {
-						f.edgeOf(n).roll()
+				f.faultRuns.Go(func() {
+					if f.sleepInTraffic(partitionTime / 4) {
+						f.edgeOf(n).restart()
 					}
 				})
-				m.cutOff(append(f.otherCore(m), f.edge...), bothWays)
+				m.partition(append(f.otherCore(m), f.edge...), bothWays)
 			},
 		},
 		"cut-restart": {
 			"a core node is cut off for 8 s and killed in the midst of it, and then the others are, one after the other",
 			func(f *cluster, n int) {
 				m := f.coreOf(n)
-				f.faults.Go(func() {
-					if f.hold(cutFor / 2) {
-						m.crash(m.procs, nil)
+				f.faultRuns.Go(func() {
+					if f.sleepInTraffic(partitionTime / 2) {
+						m.crash(m.processes, nil)
 					}
 				})
-				m.cutOff(f.otherCore(m), bothWays)
+				m.partition(f.otherCore(m), bothWays)
 				for _, o := range f.otherCore(m) {
-					if f.hold(time.Duration(f.o.Bounds.CatchUp * float64(time.Second))) {
-						o.crash(o.procs, nil)
+					if f.sleepInTraffic(time.Duration(f.options.Bounds.CatchUp * float64(time.Second))) {
+						o.crash(o.processes, nil)
 					}
 				}
 			},
@@ -125,69 +125,69 @@
 		"cut-edge": {"an edge machine is cut off from all core nodes for 3 s", func(f *cluster, n int) {
 			m := f.edgeOf(n)
 			over := f.recorder.beginFault(invariants.Fault{Machine: m.name, From: f.now()})
-			heal := f.sever(m, f.core, bothWays)
-			f.hold(darkFor)
+			heal := f.cutLinks(m, f.core, bothWays)
+			f.sleepInTraffic(unresponsiveTime)
 			heal()
 			over(f.now())
 		}},
 		"retire-core": {"a core node goes for good", func(f *cluster, n int) { f.coreOf(n).retire() }},
-		"freeze-core": {"a core node stands still for 4 s", func(f *cluster, n int) { f.coreOf(n).freeze(frozenFor) }},
+		"freeze-core": {"a core node stands still for 4 s", func(f *cluster, n int) { f.coreOf(n).suspend(suspendTime) }},
 		"crash": {"a server crashes, and another comes", func(f *cluster, n int) {
 			if s := f.serverOf(n); s != nil {
 				s.crash()
-				f.hold(time.Second)
-				f.replace(s, "127.0.0.1:0")
+				f.sleepInTraffic(time.Second)
+				f.startLike(s, "127.0.0.1:0")
 			}
 		}},
 		"reuse": {"a server crashes, and its address goes to one of another service", func(f *cluster, n int) {
 			if s := f.serverOf(n); s != nil {
 				s.crash()
-				f.hold(time.Duration(f.o.Bounds.ReuseAfter*float64(time.Second)) + 50*time.Millisecond)
+				f.sleepInTraffic(time.Duration(f.options.Bounds.ReuseAfter*float64(time.Second)) + 50*time.Millisecond)
 				for _, name := range f.serviceNames() {
 					if name != s.service {
-						f.replace(&server{service: name, zone: s.zone, generation: s.generation}, s.addr)
+						f.startLike(&server{service: name, zone: s.zone, generation: s.generation}, s.addr)
 						break
 					}
 				}
-				f.replace(s, "127.0.0.1:0")
+				f.startLike(s, "127.0.0.1:0")
 			}
 		}},
 		"dark": {"a server neither reads nor answers for 3 s", func(f *cluster, n int) {
 			if s := f.serverOf(n); s != nil {
-				s.darken(darkFor)
+				s.blackHole(unresponsiveTime)
 			}
 		}},
 		"release": {"the servers of a service are replaced, new ones first", func(f *cluster, n int) {
 			names := f.serviceNames()
 			for _, s := range f.serversOf(names[n%len(names)]) {
-				f.replace(&server{service: s.service, zone: s.zone, generation: "v2"}, "127.0.0.1:0")
-				if !f.hold(200 * time.Millisecond) {
+				f.startLike(&server{service: s.service, zone: s.zone, generation: "v2"}, "127.0.0.1:0")
+				if !f.sleepInTraffic(200 * time.Millisecond) {
 					return
 				}
-				f.faults.Go(s.leave)
-				f.hold(300 * time.Millisecond)
+				f.faultRuns.Go(s.depart)
+				f.sleepInTraffic(300 * time.Millisecond)
 			}
 		}},
 		"scale-in": {"a server leaves in order", func(f *cluster, n int) {
 			if s := f.serverOf(n); s != nil {
-				s.leave()
+				s.depart()
 			}
 		}},
-		"lose":    {"answers are lost after their requests ran", spoils(lose)},
-		"reset":   {"connections are reset while their requests run", spoils(reset)},
-		"garble":  {"servers send bytes that are no answer", spoils(garble)},
-		"cut":     {"answers end in the middle", spoils(cut)},
-		"surplus": {"answers come a second time, late", spoils(surplus)},
+		"lose":    {"answers are lost after their requests ran", badResponses(loseResponse)},
+		"reset":   {"connections are reset while their requests run", badResponses(resetConn)},
+		"garble":  {"servers send bytes that are no answer", badResponses(garbleResponse)},
+		"cut":     {"answers end in the middle", badResponses(truncateResponse)},
+		"surplus": {"answers come a second time, late", badResponses(repeatResponse)},
 		"config": {"the configuration changes a few times", func(f *cluster, n int) {
 			for range 4 {
-				f.change(f.classes[f.intn(len(f.classes))])
-				if !f.hold(300 * time.Millisecond) {
+				f.changeRoute(f.classes[f.intn(len(f.classes))])
+				if !f.sleepInTraffic(300 * time.Millisecond) {
 					return
 				}
 			}
 		}},
-		"race":    {"two operators change a route at once, under one version", func(f *cluster, n int) { f.race() }},
-		"invalid": {"invalid configurations are sent", func(f *cluster, n int) { f.invalid() }},
+		"race":    {"two operators change a route at once, under one version", func(f *cluster, n int) { f.raceOperators() }},
+		"invalid": {"invalid configurations are sent", func(f *cluster, n int) { f.sendInvalid() }},
 		"revoke": {"a key is taken away, and another given", func(f *cluster, n int) {
 			t := f.tenants[n%len(f.tenants)]
 			t.mu.Lock()
@@ -200,20 +200,20 @@
 			t.mu.Unlock()
 			i := t.item()
 			i.body["apiKeys"] = full
-			if f.operator.bring(i) != 200 {
+			if f.operator.submit(i) != 200 {
 				return
 			}
 			r := f.liveRoutes(f.classes[0])[0]
-			f.oddities(oddity{r, old}, oddity{r, fresh})
-			f.hold(time.Duration(f.o.Bounds.ConfigApply * float64(time.Second)))
+			f.addCanaries(oddity{r, old}, oddity{r, fresh})
+			f.sleepInTraffic(time.Duration(f.options.Bounds.ConfigApply * float64(time.Second)))
 			t.mu.Lock()
 			t.keys = full
 			t.mu.Unlock()
 		}},
 		"hot": {"a tenant sends eight times its usual, for 6 s", func(f *cluster, n int) {
-			f.hot.Store(f.tenants[n%2])
-			f.hold(hotFor)
-			f.hot.Store(nil)
+			f.hotTenant.Store(f.tenants[n%2])
+			f.sleepInTraffic(hotTime)
+			f.hotTenant.Store(nil)
 		}},
 	}
 }
@@ -230,10 +230,10 @@
 	return names, help
 }
 
-// Schedule reads a schedule: the name of a file with lines "SECONDS NAME [TARGET]", where # begins what says nothing,
+// ParseSchedule reads a schedule: the name of a file with lines "SECONDS NAME [TARGET]", where # begins what says nothing,
 // or names joined by commas (any: one by chance), which get times between a tenth and seven tenths of the play, and
 // targets, by the seed.
-func Schedule(text string, span time.Duration, seed uint64) ([]Fault, error) {
+func ParseSchedule(text string, span time.Duration, seed uint64) ([]Fault, error) {
 	if text == "" {
 		return nil, nil
 	}
@@ -283,26 +283,26 @@
 	return list, nil
 }
 
-func (f *cluster) edgeOf(n int) *machine { return f.edge[n%len(f.edge)] }
-func (f *cluster) coreOf(n int) *machine { return f.core[n%len(f.core)] }
+func (cl *cluster) edgeOf(n int) *machine { return cl.edge[n%len(cl.edge)] }
+func (cl *cluster) coreOf(n int) *machine { return cl.core[n%len(cl.core)] }
 
 // otherCore is the core nodes but one.
-func (f *cluster) otherCore(m *machine) []*machine {
-	return slices.DeleteFunc(slices.Clone(f.core), func(o *machine) bool { return o == m })
+func (cl *cluster) otherCore(m *machine) []*machine {
+	return slices.DeleteFunc(slices.Clone(cl.core), func(o *machine) bool { return o == m })
 }
 
-func (f *cluster) serviceNames() (names []string) {
-	for _, c := range f.classes {
+func (cl *cluster) serviceNames() (names []string) {
+	for _, c := range cl.classes {
 		names = append(names, c.service)
 	}
 	return names
 }
 
 // serversOf is the servers of a service that serve; of all services where none is named.
-func (f *cluster) serversOf(service string) (list []*server) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, s := range f.servers {
+func (cl *cluster) serversOf(service string) (list []*server) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	for _, s := range cl.servers {
 		if (service == "" || s.service == service) && s.ctx.Err() == nil && !s.draining.Load() {
 			list = append(list, s)
 		}
@@ -310,68 +310,68 @@
 	return list
 }
 
-func (f *cluster) serverOf(n int) *server {
-	list := f.serversOf("")
+func (cl *cluster) serverOf(n int) *server {
+	list := cl.serversOf("")
 	if len(list) == 0 {
 		return nil
 	}
 	return list[n%len(list)]
 }
 
-// replace starts a server like another one.
-func (f *cluster) replace(s *server, addr string) {
-	if _, err := f.serve(s.service, s.zone, addr, s.generation); err != nil {
-		f.recorder.note("a server was not started: %v", err)
+// startLike starts a server like another one.
+func (cl *cluster) startLike(s *server, addr string) {
+	if _, err := cl.startServer(s.service, s.zone, addr, s.generation); err != nil {
+		cl.recorder.notef("a server was not started: %v", err)
 	}
 }
 
-func spoils(what misbehaviour) func(f *cluster, n int) {
+func badResponses(what responseFault) func(f *cluster, n int) {
 	return func(f *cluster, _ int) {
 		list := f.serversOf("")
 		for _, s := range list {
-			s.spoil(what, oddShare)
+			s.setFaultRate(what, badResponseRate)
 		}
-		f.hold(oddFor)
+		f.sleepInTraffic(badResponseTime)
 		for _, s := range list {
-			s.spoil(what, 0)
+			s.setFaultRate(what, 0)
 		}
 	}
 }
 
-// wipe empties a machine's disk, where the system is to bear that: one disk at a time, counting until the machine has
+// wipeDisk empties a machine's disk, where the system is to bear that: one disk at a time, counting until the machine has
 // caught up.
-func (m *machine) wipe() {
-	f := m.f
+func (m *machine) wipeDisk() {
+	f := m.cluster
 	f.mu.Lock()
 	bearable := len(f.core) >= 3 &&
-		(f.diskLost == nil || f.diskLost == m || f.now() > f.diskLostAt+f.o.Bounds.CatchUp+comeBack.Seconds())
+		(f.diskLost == nil || f.diskLost == m || f.now() > f.diskLostAt+f.options.Bounds.CatchUp+restartDelay.Seconds())
 	if bearable {
 		f.diskLost, f.diskLostAt = m, f.now()
 	}
 	f.mu.Unlock()
 	if !bearable {
-		f.recorder.note("the disk of %s stays: the loss of another is not over", m.name)
+		f.recorder.notef("the disk of %s stays: the loss of another is not over", m.name)
 		return
 	}
-	if err := os.RemoveAll(m.disk()); err != nil {
-		f.recorder.note("%s: %v", m.name, err)
+	if err := os.RemoveAll(m.diskPath()); err != nil {
+		f.recorder.notef("%s: %v", m.name, err)
 	}
-	if err := os.MkdirAll(m.disk(), 0o700); err != nil {
-		f.recorder.note("%s: %v", m.name, err)
+	if err := os.MkdirAll(m.diskPath(), 0o700); err != nil {
+		f.recorder.notef("%s: %v", m.name, err)
 	}
 }
 
 // blackout kills all core nodes, wipes one disk (nil: none), and starts them again.
-func (f *cluster) blackout(wiped *machine) {
-	over := f.recorder.beginFault(invariants.Fault{Machine: "core", Core: true, Majority: true, From: f.now()})
-	f.recorder.update(func() { f.recorder.log.Closing = f.now() })
+func (cl *cluster) blackout(wiped *machine) {
+	over := cl.recorder.beginFault(invariants.Fault{Machine: "core", Core: true, Majority: true, From: cl.now()})
+	cl.recorder.update(func() { cl.recorder.log.Closing = cl.now() })
 	var dead, back sync.WaitGroup
-	dead.Add(len(f.core))
-	for _, m := range f.core {
+	dead.Add(len(cl.core))
+	for _, m := range cl.core {
 		back.Go(func() {
-			m.crash(m.procs, func() {
+			m.crash(m.processes, func() {
 				if m == wiped {
-					m.wipe()
+					m.wipeDisk()
 				}
 				dead.Done()
 				dead.Wait()
@@ -379,85 +379,85 @@
 		})
 	}
 	back.Wait()
-	over(f.now())
+	over(cl.now())
 }
 
-// change makes one change by chance: it moves a route and back, splits one, adds one, drops one that was added, or
+// changeRoute makes one changeRoute by chance: it moves a route and back, splits one, adds one, drops one that was added, or
 // changes its times.
-func (f *cluster) change(c *class) {
-	list := f.liveRoutes(c)
-	r := list[f.intn(2)] // of the first ones
-	switch f.intn(5) {
+func (cl *cluster) changeRoute(c *requestClass) {
+	list := cl.liveRoutes(c)
+	r := list[cl.intn(2)] // of the first ones
+	switch cl.intn(5) {
 	case 0:
-		f.operator.bring(r.item(c.also))
-		f.oddities(oddity{route: r})
+		cl.operator.submit(r.item(c.alternate))
+		cl.addCanaries(oddity{route: r})
 	case 1:
-		f.operator.bring(r.item(c.service))
-		f.oddities(oddity{route: r})
+		cl.operator.submit(r.item(c.service))
+		cl.addCanaries(oddity{route: r})
 	case 2:
 		i := r.item(c.service)
 		delete(i.body, "backend")
-		i.body["weighted"] = []body{{"backend": c.service, "share": 60}, {"backend": c.also, "share": 40}}
-		f.operator.bring(i)
-		f.oddities(oddity{route: r})
+		i.body["weighted"] = []body{{"backend": c.service, "share": 60}, {"backend": c.alternate, "share": 40}}
+		cl.operator.submit(i)
+		cl.addCanaries(oddity{route: r})
 	case 3:
 		if len(list) > 2 {
 			removed := list[len(list)-1]
-			f.mu.Lock()
-			f.live[c] = slices.DeleteFunc(f.live[c], func(r *route) bool { return r == removed })
-			f.mu.Unlock()
-			f.oddities(oddity{route: removed})
-			f.operator.bring(item{section: "routes", name: removed.name})
+			cl.mu.Lock()
+			cl.live[c] = slices.DeleteFunc(cl.live[c], func(r *route) bool { return r == removed })
+			cl.mu.Unlock()
+			cl.addCanaries(oddity{route: removed})
+			cl.operator.submit(item{section: "routes", name: removed.name})
 			return
 		}
 		fallthrough
 	default:
-		n := f.intn(1 << 16)
+		n := cl.intn(1 << 16)
 		fresh := &route{name: fmt.Sprintf("r-n%04x", n), host: fmt.Sprintf("n%04x.example", n), prefix: "/added/", class: c}
-		f.oddities(oddity{route: fresh})
-		if f.operator.bring(fresh.item(c.service)) == 200 {
-			f.faults.Go(func() {
-				if f.hold(time.Duration(f.o.Bounds.ConfigApply * float64(time.Second))) {
-					f.mu.Lock()
-					f.live[c] = append(f.live[c], fresh)
-					f.mu.Unlock()
+		cl.addCanaries(oddity{route: fresh})
+		if cl.operator.submit(fresh.item(c.service)) == 200 {
+			cl.faultRuns.Go(func() {
+				if cl.sleepInTraffic(time.Duration(cl.options.Bounds.ConfigApply * float64(time.Second))) {
+					cl.mu.Lock()
+					cl.live[c] = append(cl.live[c], fresh)
+					cl.mu.Unlock()
 				}
 			})
 		}
 	}
 }
 
-// race has two operators change a route at the same time, under one version, at two nodes.
-func (f *cluster) race() {
-	c := f.classes[0]
-	r := f.liveRoutes(c)[0]
-	number := f.operator.next()
-	f.oddities(oddity{route: r})
+// raceOperators has two operators change a route at the same time, under one version, at two nodes.
+func (cl *cluster) raceOperators() {
+	c := cl.classes[0]
+	r := cl.liveRoutes(c)[0]
+	number := cl.operator.nextVersion()
+	cl.addCanaries(oddity{route: r})
 	var both sync.WaitGroup
-	for n, service := range []string{c.service, c.also} {
-		both.Go(func() { f.operator.send(n, true, stated(r.item(service), number)) })
+	for n, service := range []string{c.service, c.alternate} {
+		both.Go(func() { cl.operator.send(n, true, withVersion(r.item(service), number)) })
 	}
 	both.Wait()
 }
 
-// invalid sends configurations that are invalid; each has a route in it that would work, if any part took effect.
-func (f *cluster) invalid() {
-	c := f.classes[0]
-	r := f.liveRoutes(c)[0]
+// sendInvalid sends configurations that are sendInvalid; each has a route in it that would work, if any part took effect.
+func (cl *cluster) sendInvalid() {
+	c := cl.classes[0]
+	r := cl.liveRoutes(c)[0]
 	for n, spoil := range []func(body){
 		func(b body) { b["backend"] = "nosuch" }, func(b body) { b["deadlineMs"] = 0 },
 		func(b body) { b["pathPrefix"] = "bare/" },
 		func(b body) { b["authority"] = "" }, func(b body) { b["routeKind"] = "odd" },
 		func(b body) { b["authority"], b["pathPrefix"] = r.host, r.prefix },
 	} {
-		tag := fmt.Sprintf("%d%04x", n, f.intn(1<<16))
+		tag := fmt.Sprintf("%d%04x", n, cl.intn(1<<16))
 		canary := &route{name: "r-c" + tag, host: "c" + tag + ".example", prefix: "/canary/", class: c}
 		bad := (&route{name: "r-b" + tag, host: "b" + tag + ".example", prefix: "/bad/", class: c}).item(c.service)
 		spoil(bad.body)
-		number := f.operator.next()
-		f.oddities(oddity{route: canary})
-		f.operator.send(f.intn(len(f.core)), false, stated(canary.item(c.service), number), stated(bad, number))
-		if !f.hold(100 * time.Millisecond) {
+		number := cl.operator.nextVersion()
+		cl.addCanaries(oddity{route: canary})
+		cl.operator.send(cl.intn(len(cl.core)), false, withVersion(canary.item(c.service), number), withVersion(bad, number))
+		if !cl.sleepInTraffic(100 * time.Millisecond) {
 			return
 		}
 	}
--- a/internal/emulator/loopback/heartbeats.go
+++ b/internal/emulator/loopback/heartbeats.go
@@ -14,11 +14,11 @@
 
 // beats tells the control nodes of it until it ends.
 func (s *server) sendHeartbeats() {
-	t := time.NewTicker(s.f.o.HeartbeatInterval)
+	t := time.NewTicker(s.cluster.options.HeartbeatInterval)
 	defer t.Stop()
 	for {
-		if !s.dark.Load() && !s.draining.Load() {
-			s.tell(http.MethodPut, "serving", ackMost)
+		if !s.unresponsive.Load() && !s.draining.Load() {
+			s.notify(http.MethodPut, "serving", heartbeatTimeout)
 		}
 		select {
 		case <-s.ctx.Done():
@@ -28,66 +28,66 @@
 	}
 }
 
-// tell calls the control nodes until one acknowledges, for a span; it may ask each a few times.
-func (s *server) tell(method, phase string, most time.Duration) (acked bool) {
+// notify calls the control nodes until one acknowledges, for a span; it may ask each a few times.
+func (s *server) notify(method, phase string, most time.Duration) (acked bool) {
 	until := time.Now().Add(most)
 	s.mu.Lock()
-	first := s.target
-	at := s.rng.IntN(len(s.f.core))
+	first := s.heartbeatTarget
+	at := s.rng.IntN(len(s.cluster.core))
 	s.mu.Unlock()
 	for n := 0; ; n++ {
-		addr := s.f.core[(at+n)%len(s.f.core)].at(s.f.ports.control)
+		addr := s.cluster.core[(at+n)%len(s.cluster.core)].address(s.cluster.ports.control)
 		if n == 0 && first != "" {
 			addr = first
 		}
-		by, target, ok := s.call(addr, method, phase)
+		by, target, ok := s.callControl(addr, method, phase)
 		s.mu.Lock()
 		if ok {
-			s.target = target
+			s.heartbeatTarget = target
 		} else if addr == first {
-			s.target = ""
+			s.heartbeatTarget = ""
 		}
 		s.mu.Unlock()
 		if ok {
 			if phase != "serving" {
-				s.f.recorder.departure(invariants.Departure{Instance: s.id, At: s.f.now(), By: by})
+				s.cluster.recorder.departure(invariants.Departure{Instance: s.id, At: s.cluster.now(), By: by})
 			}
 			return true
 		}
 		if time.Now().After(until) || s.ctx.Err() != nil {
 			return false
 		}
-		s.f.pause(50 * time.Millisecond)
+		s.cluster.sleep(50 * time.Millisecond)
 	}
 }
 
-// call makes one call; by names the machine that acknowledged.
-func (s *server) call(addr, method, phase string) (by, target string, ok bool) {
+// callControl makes one callControl; by names the machine that acknowledged.
+func (s *server) callControl(addr, method, phase string) (by, target string, ok bool) {
 	var body io.Reader
 	if method == http.MethodPut {
-		seq := s.calls.Add(1)
-		slowStart := max(0, slowStartTime-time.Since(s.began))
+		seq := s.callSeq.Add(1)
+		slowStart := max(0, slowStartTime-time.Since(s.startedAt))
 		text, _ := json.Marshal(map[string]any{"address": s.addr,
 			"summary":  map[string]any{"backend": s.service, "generation": s.generation, "zone": s.zone, "capacity": s.slots},
 			"observed": map[string]any{"phase": phase, "callSeq": seq, "coldLeftMs": slowStart.Milliseconds()}})
 		body = bytes.NewReader(text)
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, ackMost)
+	ctx, cancel := context.WithTimeout(s.ctx, heartbeatTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/instances/"+s.id, body)
 	if err != nil {
 		panic(err) // we have composed it
 	}
 	r.Header.Set("Content-Type", "application/json")
-	answer, err := s.f.control.Do(r)
+	answer, err := s.cluster.httpClient.Do(r)
 	if err != nil {
 		return "", "", false
 	}
 	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, ackBytes+1))
-	if err != nil || len(text) > ackBytes || answer.StatusCode/100 != 2 {
+	text, err := io.ReadAll(io.LimitReader(answer.Body, maxAckBytes+1))
+	if err != nil || len(text) > maxAckBytes || answer.StatusCode/100 != 2 {
 		if answer.StatusCode/100 == 4 {
-			s.f.recorder.note("%s %s of %s got %d: %.100s", method, phase, s.id, answer.StatusCode, text)
+			s.cluster.recorder.notef("%s %s of %s got %d: %.100s", method, phase, s.id, answer.StatusCode, text)
 		}
 		return "", "", false
 	}
@@ -96,17 +96,17 @@
 	}
 	json.Unmarshal(text, &said) // an empty or another body names none
 	host, _, _ := strings.Cut(answer.Request.URL.Host, ":")
-	return s.f.nameOf(host), said.BeatTarget, true
+	return s.cluster.machineName(host), said.BeatTarget, true
 }
 
-// leave has it end in order: it says so, serves on, says that it is gone, and ends.
-func (s *server) leave() {
+// depart has it end in order: it says so, serves on, says that it is gone, and ends.
+func (s *server) depart() {
 	s.draining.Store(true)
-	if s.tell(http.MethodPut, "draining", leaveMost) {
-		s.f.hold(time.Duration(s.f.o.Bounds.Drain*float64(time.Second)) + behind)
-		s.tell(http.MethodDelete, "gone", leaveMost)
+	if s.notify(http.MethodPut, "draining", departureTimeout) {
+		s.cluster.sleepInTraffic(time.Duration(s.cluster.options.Bounds.Drain*float64(time.Second)) + drainMargin)
+		s.notify(http.MethodDelete, "gone", departureTimeout)
 	} else {
-		s.f.recorder.note("%s: no acknowledgement of its leave", s.id)
+		s.cluster.recorder.notef("%s: no acknowledgement of its leave", s.id)
 	}
-	s.end()
+	s.stop()
 }
--- a/internal/emulator/loopback/loopback.go
+++ b/internal/emulator/loopback/loopback.go
@@ -25,25 +25,25 @@
 	clientCount = 60
 	tenantCount = 6
 	healthPath  = "/health"
-	hotTimes    = 8
+	hotFactor    = 8
 
 	startTimeout  = 25 * time.Second // for the machines to be ready
-	probeInterval = 80 * time.Millisecond
+	canaryInterval = 80 * time.Millisecond
 )
 
 func zoneName(z int) string { return fmt.Sprintf("hall-%c", 'a'+z) }
 
 // Options is what is played.
 type Options struct {
-	Core, Edge        int           // machines
-	For               time.Duration // of traffic
+	CoreMachines, EdgeMachines        int           // machines
+	TrafficTime               time.Duration // of traffic
 	Faults            []Fault
 	Seed              uint64
-	Bin               string          // folder of the three programs
+	ProgramsDir               string          // folder of the three programs
 	Load              float64         // of the usual 120 requests a second; 0: 1
 	Bounds            settings.Bounds // zero: Usual
 	HeartbeatInterval time.Duration   // of servers; 0: 1.5 s
-	Open              time.Duration   // traffic begins this long after the machines do, at least
+	WarmUp              time.Duration   // traffic begins this long after the machines do, at least
 	Dir               string          // folder for settings, disks and logs
 }
 
@@ -82,42 +82,42 @@
 
 // cluster is one play.
 type cluster struct {
-	o        Options
+	options        Options
 	launcher *launcher
-	cutting  bool // there are faults that cut links
+	linkFaults  bool // there are faults that cut links
 	ports    ports
 	core     []*machine
 	edge     []*machine
 	recorder recorder
-	base     time.Time
-	open     invariants.Seconds // when traffic began
+	startedAt     time.Time
+	trafficStart     invariants.Seconds // when traffic began
 
-	world context.Context // ends when all is over
-	ctx   context.Context // ends with the traffic
-	all   sync.WaitGroup  // of world
+	lifetime context.Context // ends when all is over
+	traffic   context.Context // ends with the traffic
+	background   sync.WaitGroup  // of world
 
-	control  *http.Client // for calls of servers, the operator and the platform
+	httpClient  *http.Client // for calls of servers, the operator and the platform
 	operator *operator
-	services map[string]kind
-	classes  []*class
+	services map[string]serviceSpec
+	classes  []*requestClass
 	tenants  []*tenant
 	users    []*clientUser
 	clients  sync.WaitGroup
-	faults   sync.WaitGroup
+	faultRuns   sync.WaitGroup
 	serial   atomic.Int64
-	out      atomic.Int64
-	probes   atomic.Int64 // of health, at servers
-	hot      atomic.Pointer[tenant]
-	acker    atomic.Pointer[machine] // that acknowledged a change last
-	ackTimes span
+	inFlight      atomic.Int64
+	healthChecks   atomic.Int64 // of health, at servers
+	hotTenant      atomic.Pointer[tenant]
+	lastAcknowledger    atomic.Pointer[machine] // that acknowledged a change last
+	changeLatencies latencies
 
 	mu         sync.Mutex
 	rng        *rand.Rand
 	servers    []*server
-	entries    []entry
-	live       map[*class][]*route
-	odd        []oddity       // what probes ask for
-	answers    map[string]int // of the system's own
+	edgeHealth    []edgeHealth
+	live       map[*requestClass][]*route
+	canaries        []oddity       // what probes ask for
+	ownAnswers    map[string]int // of the system's own
 	diskLost   *machine       // whose disk was lost last
 	diskLostAt invariants.Seconds
 }
@@ -128,21 +128,21 @@
 	key   string
 }
 
-func (f *cluster) now() invariants.Seconds           { return time.Since(f.base).Seconds() }
-func (f *cluster) at(t time.Time) invariants.Seconds { return t.Sub(f.base).Seconds() }
-func (f *cluster) grace() time.Duration {
-	return time.Duration(f.o.Bounds.Grace * float64(time.Second))
+func (cl *cluster) now() invariants.Seconds           { return time.Since(cl.startedAt).Seconds() }
+func (cl *cluster) sinceStart(t time.Time) invariants.Seconds { return t.Sub(cl.startedAt).Seconds() }
+func (cl *cluster) gracePeriod() time.Duration {
+	return time.Duration(cl.options.Bounds.Grace * float64(time.Second))
 }
-func (f *cluster) intn(n int) int { f.mu.Lock(); defer f.mu.Unlock(); return f.rng.IntN(n) }
-func (f *cluster) liveRoutes(c *class) []*route {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return slices.Clone(f.live[c])
+func (cl *cluster) intn(n int) int { cl.mu.Lock(); defer cl.mu.Unlock(); return cl.rng.IntN(n) }
+func (cl *cluster) liveRoutes(c *requestClass) []*route {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return slices.Clone(cl.live[c])
 }
-func (f *cluster) pause(d time.Duration)            { wait(f.world, d) }
-func (f *cluster) hold(d time.Duration) (more bool) { wait(f.ctx, d); return f.ctx.Err() == nil }
+func (cl *cluster) sleep(d time.Duration)            { sleepContext(cl.lifetime, d) }
+func (cl *cluster) sleepInTraffic(d time.Duration) (more bool) { sleepContext(cl.traffic, d); return cl.traffic.Err() == nil }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleepContext(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -151,9 +151,9 @@
 	}
 }
 
-// nameOf is the machine with an address.
-func (f *cluster) nameOf(ip string) string {
-	for _, m := range slices.Concat(f.core, f.edge) {
+// machineName is the machine with an address.
+func (cl *cluster) machineName(ip string) string {
+	for _, m := range slices.Concat(cl.core, cl.edge) {
 		if m.ip == ip {
 			return m.name
 		}
@@ -161,9 +161,9 @@
 	return ip
 }
 
-// Play plays, and judges what was seen. An error tells that it could not be played at all, or that ctx ended. Nothing
+// Run plays, and judges what was seen. An error tells that it could not be played at all, or that ctx ended. Nothing
 // that it started is left when it returns.
-func Play(ctx context.Context, o Options) (*Report, error) {
+func Run(ctx context.Context, o Options) (*Report, error) {
 	if o.Load == 0 {
 		o.Load = 1
 	}
@@ -173,44 +173,44 @@
 	if o.Bounds == (settings.Bounds{}) {
 		o.Bounds = DefaultBounds()
 	}
-	if o.Core < 1 || o.Edge < 1 || o.Core > 50 || o.Edge > 50 {
+	if o.CoreMachines < 1 || o.EdgeMachines < 1 || o.CoreMachines > 50 || o.EdgeMachines > 50 {
 		return nil, errors.New("between 1 and 50 core machines, and as many edge machines")
 	}
-	bin, err := filepath.Abs(o.Bin) // processes start in folders of their own
+	bin, err := filepath.Abs(o.ProgramsDir) // processes start in folders of their own
 	if err != nil {
 		return nil, err
 	}
-	o.Bin = bin
+	o.ProgramsDir = bin
 	f := &cluster{
-		o:       o,
-		base:    time.Now(),
+		options:       o,
+		startedAt:    time.Now(),
 		rng:     rand.New(rand.NewPCG(o.Seed, 0)),
-		live:    map[*class][]*route{},
-		answers: map[string]int{},
+		live:    map[*requestClass][]*route{},
+		ownAnswers: map[string]int{},
 	}
 	f.recorder.log.Closing = invariants.Never
-	f.cutting = slices.ContainsFunc(o.Faults, func(x Fault) bool { return strings.HasPrefix(x.Name, "cut-") })
+	f.linkFaults = slices.ContainsFunc(o.Faults, func(x Fault) bool { return strings.HasPrefix(x.Name, "cut-") })
 	transport := &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second, DisableCompression: true}
 	defer transport.CloseIdleConnections()
-	f.control = &http.Client{Transport: transport, CheckRedirect: func(_ *http.Request, via []*http.Request) error {
+	f.httpClient = &http.Client{Transport: transport, CheckRedirect: func(_ *http.Request, via []*http.Request) error {
 		if len(via) > 2 {
 			return http.ErrUseLastResponse
 		}
 		return nil
 	}}
-	f.operator = &operator{f: f, rng: rand.New(rand.NewPCG(o.Seed, 1)), number: 6, items: map[string]item{}}
-	if err := f.build(); err != nil {
+	f.operator = &operator{cluster: f, rng: rand.New(rand.NewPCG(o.Seed, 1)), lastVersion: 6, sent: map[string]item{}}
+	if err := f.layOut(); err != nil {
 		return nil, err
 	}
 	world, over := context.WithCancel(context.Background())
-	f.world = world
+	f.lifetime = world
 	var idle context.CancelFunc
-	f.ctx, idle = context.WithCancel(ctx)
+	f.traffic, idle = context.WithCancel(ctx)
 	f.launcher = newLauncher()
-	err = f.play()
+	err = f.run()
 	idle()
 	f.clients.Wait()
-	f.faults.Wait()
+	f.faultRuns.Wait()
 	if err == nil {
 		err = ctx.Err()
 	}
@@ -219,94 +219,94 @@
 		f.operator.readBack()
 		r = f.report()
 	}
-	f.end()
+	f.stopProcesses()
 	over()
-	f.all.Wait()
+	f.background.Wait()
 	f.launcher.close()
 	if err != nil {
 		return nil, err
 	}
 	for _, p := range f.users {
-		f.drop(p.idle)
+		f.closeConn(p.idle)
 	}
 	r.evaluate(f)
 	return r, nil
 }
 
-// play starts all, has the traffic and the faults run, and returns when their time is over.
-func (f *cluster) play() error {
+// run starts all, has the traffic and the faults run, and returns when their time is over.
+func (cl *cluster) run() error {
 	started := map[string]func(invariants.Seconds){}
-	for _, m := range slices.Concat(f.core, f.edge) {
-		started[m.name] = f.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, Planned: true})
-		if err := m.begin(); err != nil {
+	for _, m := range slices.Concat(cl.core, cl.edge) {
+		started[m.name] = cl.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, Planned: true})
+		if err := m.start(); err != nil {
 			return err
 		}
 	}
-	f.all.Go(f.watch)
-	for name, kind := range f.services {
-		for n := range kind.many {
-			if _, err := f.station(name, n); err != nil {
+	cl.background.Go(cl.watchReadiness)
+	for name, kind := range cl.services {
+		for n := range kind.instances {
+			if _, err := cl.startInitialServer(name, n); err != nil {
 				return err
 			}
 		}
 	}
-	if status := f.operator.bring(f.first()...); status != 200 {
+	if status := cl.operator.submit(cl.initialItems()...); status != 200 {
 		return fmt.Errorf(
 			"the first configuration was not taken: %d, %s\n%s",
 			status,
-			strings.Join(f.recorder.notes, "; "),
-			f.logs(),
+			strings.Join(cl.recorder.notes, "; "),
+			cl.processLogs(),
 		)
 	}
-	for _, m := range slices.Concat(f.core, f.edge) {
-		if err := m.settle(false); err != nil {
+	for _, m := range slices.Concat(cl.core, cl.edge) {
+		if err := m.writeSettings(false); err != nil {
 			return err
 		}
 	}
-	if err := f.await(); err != nil {
+	if err := cl.awaitServing(); err != nil {
 		return err
 	}
-	f.hold(f.o.Open - time.Since(f.base))
-	f.open = f.now()
+	cl.sleepInTraffic(cl.options.WarmUp - time.Since(cl.startedAt))
+	cl.trafficStart = cl.now()
 	for _, over := range started {
-		over(f.open)
+		over(cl.trafficStart)
 	}
-	for n, c := range f.classes {
-		f.clients.Go(func() { f.stream(c, rand.New(rand.NewPCG(f.o.Seed, uint64(n+2)))) })
+	for n, c := range cl.classes {
+		cl.clients.Go(func() { cl.sendClass(c, rand.New(rand.NewPCG(cl.options.Seed, uint64(n+2)))) })
 	}
-	f.clients.Go(f.ask)
-	for _, x := range f.o.Faults {
-		f.faults.Go(func() {
-			if f.hold(x.At) {
-				f.recorder.note("%.1f s: %s", f.now()-f.open, x.Name)
-				faults[x.Name].play(f, x.Target)
+	cl.clients.Go(cl.sendCanaries)
+	for _, x := range cl.options.Faults {
+		cl.faultRuns.Go(func() {
+			if cl.sleepInTraffic(x.At) {
+				cl.recorder.notef("%.1f s: %s", cl.now()-cl.trafficStart, x.Name)
+				faults[x.Name].play(cl, x.Target)
 			}
 		})
 	}
-	f.hold(f.o.For)
+	cl.sleepInTraffic(cl.options.TrafficTime)
 	return nil
 }
 
-// station opens the nth server of a service.
-func (f *cluster) station(service string, n int) (*server, error) {
-	return f.serve(service, zoneName(n%zones), "127.0.0.1:0", "v1")
+// startInitialServer opens the nth server of a service.
+func (cl *cluster) startInitialServer(service string, n int) (*server, error) {
+	return cl.startServer(service, zoneName(n%zones), "127.0.0.1:0", "v1")
 }
 
-// await waits until every machine is ready and serves each route.
-func (f *cluster) await() error {
+// awaitServing waits until every machine is ready and serves each route.
+func (cl *cluster) awaitServing() error {
 	until := time.Now().Add(startTimeout)
-	rng := rand.New(rand.NewPCG(f.o.Seed, 99))
-	for _, m := range f.edge {
-		for !f.ready(m, time.Second) {
-			if time.Now().After(until) || !f.hold(30*time.Millisecond) {
-				return fmt.Errorf("%s was not ready in %v\n%s", m.name, startTimeout, f.logs())
+	rng := rand.New(rand.NewPCG(cl.options.Seed, 99))
+	for _, m := range cl.edge {
+		for !cl.ready(m, time.Second) {
+			if time.Now().After(until) || !cl.sleepInTraffic(30*time.Millisecond) {
+				return fmt.Errorf("%s was not ready in %v\n%s", m.name, startTimeout, cl.processLogs())
 			}
 		}
-		for _, c := range f.classes {
-			for _, r := range f.live[c] {
+		for _, c := range cl.classes {
+			for _, r := range cl.live[c] {
 				for {
-					t, _ := f.try(
-						&order{class: c, route: r, key: f.tenants[0].key(rng), person: f.users[0], probe: m, began: time.Now()},
+					t, _ := cl.attempt(
+						&clientRequest{class: c, route: r, key: cl.tenants[0].drawKey(rng), user: cl.users[0], canaryEdge: m, startedAt: time.Now()},
 						0,
 						c.deadline,
 						rng,
@@ -314,7 +314,7 @@
 					if t.Status == 200 {
 						break
 					}
-					if time.Now().After(until) || !f.hold(30*time.Millisecond) {
+					if time.Now().After(until) || !cl.sleepInTraffic(30*time.Millisecond) {
 						return fmt.Errorf(
 							"%s did not serve %s in %v: %v, %d\n%s",
 							m.name,
@@ -322,7 +322,7 @@
 							startTimeout,
 							t.End,
 							t.Status,
-							f.logs(),
+							cl.processLogs(),
 						)
 					}
 				}
@@ -332,77 +332,77 @@
 	return nil
 }
 
-// logs is the end of each process's log.
-func (f *cluster) logs() string {
+// processLogs is the end of each process's log.
+func (cl *cluster) processLogs() string {
 	var b strings.Builder
-	for _, m := range slices.Concat(f.core, f.edge) {
-		for _, p := range m.procs {
-			fmt.Fprintf(&b, "--- %s on %s\n%s\n", p.program, m.name, p.logEnd())
+	for _, m := range slices.Concat(cl.core, cl.edge) {
+		for _, p := range m.processes {
+			fmt.Fprintf(&b, "--- %s on %s\n%s\n", p.program, m.name, p.logTail())
 		}
 	}
 	return b.String()
 }
 
-// ask asks each machine in turn for what was changed lately, or was never there.
-func (f *cluster) ask() {
-	rng := rand.New(rand.NewPCG(f.o.Seed, 98))
-	never := &route{name: "never", host: "nowhere.example", prefix: "/never/", class: f.classes[0]}
-	for n := 0; f.hold(probeInterval); n++ {
-		m := f.edge[n%len(f.edge)]
-		f.mu.Lock()
+// sendCanaries asks each machine in turn for what was changed lately, or was never there.
+func (cl *cluster) sendCanaries() {
+	rng := rand.New(rand.NewPCG(cl.options.Seed, 98))
+	never := &route{name: "never", host: "nowhere.example", prefix: "/never/", class: cl.classes[0]}
+	for n := 0; cl.sleepInTraffic(canaryInterval); n++ {
+		m := cl.edge[n%len(cl.edge)]
+		cl.mu.Lock()
 		odd := oddity{route: never}
-		if len(f.odd) > 0 && rng.IntN(5) > 0 {
-			odd = f.odd[len(f.odd)-1-rng.IntN(min(len(f.odd), 6))]
+		if len(cl.canaries) > 0 && rng.IntN(5) > 0 {
+			odd = cl.canaries[len(cl.canaries)-1-rng.IntN(min(len(cl.canaries), 6))]
 		}
-		f.mu.Unlock()
+		cl.mu.Unlock()
 		if odd.key == "" {
-			odd.key = f.tenants[0].key(rng)
+			odd.key = cl.tenants[0].drawKey(rng)
 		}
 		seed := rng.Uint64()
-		f.clients.Go(func() {
-			f.order(
-				&order{class: odd.route.class, route: odd.route, key: odd.key, person: f.users[0], probe: m, began: time.Now()},
+		cl.clients.Go(func() {
+			cl.sendWithRetries(
+				&clientRequest{class: odd.route.class, route: odd.route, key: odd.key, user: cl.users[0], canaryEdge: m, startedAt: time.Now()},
 				rand.New(rand.NewPCG(seed, 2)),
 			)
 		})
 	}
 }
 
-func (f *cluster) oddities(odd ...oddity) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.odd = append(f.odd, odd...)
+func (cl *cluster) addCanaries(odd ...oddity) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.canaries = append(cl.canaries, odd...)
 }
 
-func (f *cluster) drawTenant(rng *rand.Rand, hot *tenant) *tenant {
+func (cl *cluster) drawTenant(rng *rand.Rand, hot *tenant) *tenant {
 	all := 1.0
 	if hot != nil {
-		all += hot.weight * (hotTimes - 1)
+		all += hot.weight * (hotFactor - 1)
 	}
 	at := rng.Float64() * all
-	for _, t := range f.tenants {
+	for _, t := range cl.tenants {
 		w := t.weight
 		if t == hot {
-			w *= hotTimes
+			w *= hotFactor
 		}
 		if at -= w; at < 0 {
 			return t
 		}
 	}
-	return f.tenants[0]
+	return cl.tenants[0]
 }
 
-// end ends all processes.
-func (f *cluster) end() {
+// stopProcesses ends all processes.
+func (cl *cluster) stopProcesses() {
 	var all sync.WaitGroup
-	for _, m := range slices.Concat(f.edge, f.core) {
-		for _, p := range m.procs {
+	for _, m := range slices.Concat(cl.edge, cl.core) {
+		for _, p := range m.processes {
 			all.Go(func() {
 				p.mu.Lock()
-				p.hold = true
+				p.noRestart = true
 				p.mu.Unlock()
-				if f.ctx.Err() != nil && p.quit(f.grace()) {
-					f.recorder.note("%s on %s did not end within the grace after SIGTERM", p.program, m.name)
+				if cl.traffic.Err() != nil && p.terminate(cl.gracePeriod()) {
+					cl.recorder.notef("%s on %s did not end within the grace after SIGTERM", p.program, m.name)
 				}
 			})
 		}
--- a/internal/emulator/loopback/loopback_test.go
+++ b/internal/emulator/loopback/loopback_test.go
@@ -59,20 +59,20 @@
 			if c.name == "second-loss" {
 				core = 4
 			}
-			r, err := Play(
+			r, err := Run(
 				t.Context(),
-				Options{Core: core, Edge: 3, For: c.span, Faults: c.faults, Seed: 5, Bin: bin, Bounds: FastBounds(), Load: 0.6,
-					Open: 3 * time.Second, HeartbeatInterval: 500 * time.Millisecond, Dir: t.TempDir()},
+				Options{CoreMachines: core, EdgeMachines: 3, TrafficTime: c.span, Faults: c.faults, Seed: 5, ProgramsDir: bin, Bounds: FastBounds(), Load: 0.6,
+					WarmUp: 3 * time.Second, HeartbeatInterval: 500 * time.Millisecond, Dir: t.TempDir()},
 			)
 			if err != nil {
 				t.Fatal(err)
 			}
 			served, all := 0, 0
-			for _, row := range r.Rows {
+			for _, row := range r.Classes {
 				served, all = served+row.Served, all+row.Requests
 			}
 			unanswered := slices.ContainsFunc(r.Notes, func(n string) bool { return strings.Contains(n, "never acknowledged") })
-			if len(r.Breaches) > 0 || float64(served) < c.served*float64(all) || all < 100 || r.AckP99 > 3 || unanswered {
+			if len(r.Violations) > 0 || float64(served) < c.served*float64(all) || all < 100 || r.ChangeP99 > 3 || unanswered {
 				var text strings.Builder
 				r.Write(&text)
 				t.Error(text.String())
@@ -83,16 +83,16 @@
 
 func TestSchedules(t *testing.T) {
 	is := is.New(t)
-	list, err := Schedule("config,kill-core", 10*time.Second, 3)
+	list, err := ParseSchedule("config,kill-core", 10*time.Second, 3)
 	is.NoErr(err)
-	again, _ := Schedule("config,kill-core", 10*time.Second, 3)
+	again, _ := ParseSchedule("config,kill-core", 10*time.Second, 3)
 	is.Equal(list, again)
 	is.True(len(list) == 2 && list[0].At <= list[1].At && list[1].At < 7*time.Second)
-	_, err = Schedule("config,kill-cores", 10*time.Second, 3)
+	_, err = ParseSchedule("config,kill-cores", 10*time.Second, 3)
 	is.Equal(err.Error(), `"kill-cores" is neither a file nor the name of a fault`)
-	list, err = Schedule("testdata/two.txt", 10*time.Second, 3)
+	list, err = ParseSchedule("testdata/two.txt", 10*time.Second, 3)
 	is.NoErr(err)
 	is.Equal(list, []Fault{{500 * time.Millisecond, "hot", 0}, {2 * time.Second, "kill-proxy", 1}})
-	_, err = Schedule("testdata/wrong.txt", 10*time.Second, 3)
+	_, err = ParseSchedule("testdata/wrong.txt", 10*time.Second, 3)
 	is.Equal(err.Error(), `testdata/wrong.txt:2: no fault is named "kill-proxies"`)
 }
--- a/internal/emulator/loopback/machine.go
+++ b/internal/emulator/loopback/machine.go
@@ -27,10 +27,10 @@
 )
 
 const (
-	comeBack  = 300 * time.Millisecond // after which a process that ended is started again
-	innerMany = 4                      // inner ports
-	logMost   = 400                    // bytes of a log's end that are shown
-	askEach   = 120 * time.Millisecond // a node that is cut off
+	restartDelay  = 300 * time.Millisecond // after which a process that ended is started again
+	innerPorts = 4                      // inner ports
+	maxLogTail   = 400                    // bytes of a log's end that are shown
+	queryInterval   = 120 * time.Millisecond // a node that is cut off
 )
 
 // ports are those of the day: the same on all machines.
@@ -39,13 +39,13 @@
 // machine is one of the simulated machines: an address of loopback, a folder for settings and logs, one for the disk,
 // and processes.
 type machine struct {
-	f        *cluster
+	cluster        *cluster
 	name, ip string
 	zone     int
 	core     bool
 	dir      string
-	procs    []*process
-	settling sync.Mutex // one change of what runs at a time
+	processes    []*process
+	lifecycle sync.Mutex // one change of what runs at a time
 	links    []string   // that are cut, under the floor's mu
 }
 
@@ -65,7 +65,7 @@
 		at := 10000 + rng.IntN(20000)
 		p := ports{front: at, ready: at + 1, control: at + 2, inner: at + 3}
 		ok := true
-		for n := 0; ok && n < 3+innerMany; n++ {
+		for n := 0; ok && n < 3+innerPorts; n++ {
 			ok = free(at + n)
 		}
 		if ok {
@@ -75,20 +75,20 @@
 	return ports{}, errors.New("no ports are free on all machines")
 }
 
-func (m *machine) at(port int) string { return net.JoinHostPort(m.ip, strconv.Itoa(port)) }
+func (m *machine) address(port int) string { return net.JoinHostPort(m.ip, strconv.Itoa(port)) }
 
 func (m *machine) settingsPath(program string) string { return filepath.Join(m.dir, program+".conf") }
 
-func (m *machine) disk() string { return filepath.Join(m.dir, "disk") }
+func (m *machine) diskPath() string { return filepath.Join(m.dir, "disk") }
 
-// settle writes the settings files of the machine's processes.
-func (m *machine) settle(bootstrap bool) error {
-	f, b := m.f, m.f.o.Bounds
+// writeSettings writes the settings files of the machine's processes.
+func (m *machine) writeSettings(bootstrap bool) error {
+	f, b := m.cluster, m.cluster.options.Bounds
 	var seeds []string
 	for _, c := range f.core[:min(3, len(f.core))] {
-		seeds = append(seeds, c.at(f.ports.control))
+		seeds = append(seeds, c.address(f.ports.control))
 	}
-	for _, p := range m.procs {
+	for _, p := range m.processes {
 		var s strings.Builder
 		line := func(key string, value any) { fmt.Fprintf(&s, "%s=%v\n", key, value) }
 		class, serving := "edge", "edge"
@@ -112,21 +112,21 @@
 		line("self.limits.maxFds", 4100)
 		line("self.limits.linkMbps", 1000)
 		if m.core {
-			line("self.dataPath", m.disk())
+			line("self.dataPath", m.diskPath())
 			line("self.limits.diskMb", 256)
-			line("network.bind.controlAddr", m.at(f.ports.control))
+			line("network.bind.controlAddr", m.address(f.ports.control))
 		} else if p.program == proxyProgram {
-			line("network.bind.frontAddr", m.at(f.ports.front))
-			line("network.bind.readyAddr", m.at(f.ports.ready))
+			line("network.bind.frontAddr", m.address(f.ports.front))
+			line("network.bind.readyAddr", m.address(f.ports.ready))
 		}
-		line("network.innerPortRange", fmt.Sprintf("%d,%d", f.ports.inner, f.ports.inner+innerMany-1))
+		line("network.innerPortRange", fmt.Sprintf("%d,%d", f.ports.inner, f.ports.inner+innerPorts-1))
 		line("network.seedNodes", strings.Join(seeds, ","))
 		for z := range zones {
 			line("network.zones."+zoneName(z), "floor")
 		}
 		line("platform.discoverySource", "self_register")
 		line("platform.entryKind", "vip")
-		line("platform.beatMs", f.o.HeartbeatInterval.Milliseconds())
+		line("platform.beatMs", f.options.HeartbeatInterval.Milliseconds())
 		line("platform.configMode", "parts")
 		line("terms.clauses", "base,drain,config,cost,retry,recover,tenants,quota")
 		line("terms.tolerance.machineLosses", min(1, (len(f.core)-1)/2))
@@ -159,23 +159,23 @@
 
 func (m *machine) linksPath() string { return filepath.Join(m.dir, "links") }
 
-// way is which direction of a link is cut, seen from the machine that is named first.
-type way int
+// direction is which direction of a link is cut, seen from the machine that is named first.
+type direction int
 
 const (
-	bothWays way = iota
+	bothWays direction = iota
 	outward      // what it sends
 	inward       // what it is sent
 )
 
-// sever cuts the links between a machine and others, and returns what makes them whole again. A process obeys for the
+// cutLinks cuts the links between a machine and others, and returns what makes them whole again. A process obeys for the
 // connections that it opened, so both ends are told.
-func (f *cluster) sever(m *machine, others []*machine, w way) (heal func()) {
-	words := func(far *machine, w way) string { return [...]string{"both ", "to ", "from "}[w] + far.ip }
-	back := [...]way{bothWays, inward, outward}[w]
+func (cl *cluster) cutLinks(m *machine, others []*machine, w direction) (heal func()) {
+	words := func(far *machine, w direction) string { return [...]string{"both ", "to ", "from "}[w] + far.ip }
+	back := [...]direction{bothWays, inward, outward}[w]
 	set := func(add bool) {
-		f.mu.Lock()
-		defer f.mu.Unlock()
+		cl.mu.Lock()
+		defer cl.mu.Unlock()
 		for _, o := range others {
 			for _, end := range []struct {
 				at   *machine
@@ -189,8 +189,8 @@
 			}
 		}
 		for _, at := range append([]*machine{m}, others...) {
-			if err := at.layLinks(); err != nil {
-				f.recorder.note("%s: %v", at.name, err)
+			if err := at.writeLinks(); err != nil {
+				cl.recorder.notef("%s: %v", at.name, err)
 			}
 		}
 	}
@@ -198,8 +198,8 @@
 	return func() { set(false) }
 }
 
-// layLinks writes what a machine's links are.
-func (m *machine) layLinks() error {
+// writeLinks writes what a machine's links are.
+func (m *machine) writeLinks() error {
 	path := m.linksPath()
 	if err := os.WriteFile(path+".new", []byte(strings.Join(m.links, "\n")+"\n"), 0o600); err != nil {
 		return err
@@ -207,9 +207,9 @@
 	return os.Rename(path+".new", path)
 }
 
-// proc is the machine's process of a program.
-func (m *machine) proc(program string) *process {
-	for _, p := range m.procs {
+// process is the machine's process of a program.
+func (m *machine) process(program string) *process {
+	for _, p := range m.processes {
 		if p.program == program {
 			return p
 		}
@@ -217,9 +217,9 @@
 	panic("floor: " + m.name + " runs no " + program)
 }
 
-// begin starts all that runs on a machine.
-func (m *machine) begin() error {
-	for _, p := range m.procs {
+// start starts all that runs on a machine.
+func (m *machine) start() error {
+	for _, p := range m.processes {
 		if err := p.start(); err != nil {
 			return err
 		}
@@ -230,77 +230,77 @@
 // crash kills processes of a machine and starts them again, after what is to be done while they are gone. It counts
 // as trouble till then.
 func (m *machine) crash(procs []*process, meanwhile func()) {
-	m.settling.Lock()
-	defer m.settling.Unlock()
-	over := m.f.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, From: m.f.now()})
+	m.lifecycle.Lock()
+	defer m.lifecycle.Unlock()
+	over := m.cluster.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, From: m.cluster.now()})
 	for _, p := range procs {
 		p.kill()
 	}
 	if meanwhile != nil {
 		meanwhile()
 	}
-	m.f.pause(comeBack)
+	m.cluster.sleep(restartDelay)
 	for _, p := range procs {
 		p.start()
 	}
-	over(m.f.now())
+	over(m.cluster.now())
 }
 
-// roll ends all that runs on a machine with SIGTERM, and starts it again.
-func (m *machine) roll() {
-	m.settling.Lock()
-	defer m.settling.Unlock()
-	over := m.f.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, Planned: true, From: m.f.now()})
+// restart ends all that runs on a machine with SIGTERM, and starts it again.
+func (m *machine) restart() {
+	m.lifecycle.Lock()
+	defer m.lifecycle.Unlock()
+	over := m.cluster.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, Planned: true, From: m.cluster.now()})
 	if !m.core {
-		m.f.recorder.termination(m.name, m.f.now())
+		m.cluster.recorder.termination(m.name, m.cluster.now())
 	}
 	var all sync.WaitGroup
-	for _, p := range m.procs {
+	for _, p := range m.processes {
 		all.Go(func() {
-			if p.quit(m.f.grace()) {
-				m.f.recorder.note("%s on %s did not end within the grace after SIGTERM", p.program, m.name)
+			if p.terminate(m.cluster.gracePeriod()) {
+				m.cluster.recorder.notef("%s on %s did not end within the grace after SIGTERM", p.program, m.name)
 			}
 		})
 	}
 	all.Wait()
-	m.f.pause(comeBack)
-	for _, p := range m.procs {
+	m.cluster.sleep(restartDelay)
+	for _, p := range m.processes {
 		p.start()
 	}
-	over(m.f.now())
+	over(m.cluster.now())
 }
 
-// freeze stops the machine's processes for a while.
-func (m *machine) freeze(span time.Duration) {
-	m.settling.Lock()
-	defer m.settling.Unlock()
-	over := m.f.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, From: m.f.now()})
-	for _, p := range m.procs {
+// suspend stops the machine's processes for a while.
+func (m *machine) suspend(span time.Duration) {
+	m.lifecycle.Lock()
+	defer m.lifecycle.Unlock()
+	over := m.cluster.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, From: m.cluster.now()})
+	for _, p := range m.processes {
 		p.signal(unix.SIGSTOP, false)
 	}
-	m.f.hold(span)
-	for _, p := range m.procs {
+	m.cluster.sleepInTraffic(span)
+	for _, p := range m.processes {
 		p.signal(unix.SIGCONT, false)
 	}
-	over(m.f.now())
+	over(m.cluster.now())
 }
 
-// cutOff partitions a core node from others for cutFor. From some time on it must say nothing as if it were current:
+// partition partitions a core node from others for cutFor. From some time on it must say nothing as if it were current:
 // it is asked all along, as servers and operators ask, and what it answers is judged. Meanwhile changes are ordered
 // at all nodes.
-func (m *machine) cutOff(others []*machine, w way) {
-	f := m.f
+func (m *machine) partition(others []*machine, w direction) {
+	f := m.cluster
 	over := f.recorder.beginFault(invariants.Fault{Machine: m.name, Core: true, From: f.now()})
-	heal := f.sever(m, others, w)
+	heal := f.cutLinks(m, others, w)
 	c := invariants.Partition{Machine: m.name, From: f.now()}
-	until := time.Now().Add(cutFor)
+	until := time.Now().Add(partitionTime)
 	answers := map[int]int{}
 	for n := 0; time.Now().Before(until); n++ {
-		answers[m.ask(n)]++
+		answers[m.queryPartitioned(n)]++
 		if n%4 == 0 {
-			f.change(f.classes[f.intn(len(f.classes))])
+			f.changeRoute(f.classes[f.intn(len(f.classes))])
 		}
-		if !f.hold(askEach) {
+		if !f.sleepInTraffic(queryInterval) {
 			break
 		}
 	}
@@ -308,34 +308,34 @@
 	f.recorder.update(func() { f.recorder.log.Partitions = append(f.recorder.log.Partitions, c) })
 	heal()
 	over(f.now())
-	f.recorder.note("%s, cut off, answered (by status; 0: no acknowledgement): %v", m.name, answers)
+	f.recorder.notef("%s, cut off, answered (by status; 0: no acknowledgement): %v", m.name, answers)
 }
 
-// ask asks a core node what it may say only in contact with a majority, each thing in turn, and returns the status;
+// queryPartitioned asks a core node what it may say only in contact with a majority, each thing in turn, and returns the status;
 // 0: none.
-func (m *machine) ask(n int) int {
-	f := m.f
+func (m *machine) queryPartitioned(n int) int {
+	f := m.cluster
 	said := invariants.ControlAnswer{Machine: m.name, Began: f.now()}
 	switch n % 4 {
 	case 0:
 		said.Call = "configuration read"
-		said.Status, _ = f.operator.call(http.MethodGet, m, nil, callMost)
+		said.Status, _ = f.operator.call(http.MethodGet, m, nil, callTimeout)
 	case 1:
 		said.Call = "order that stands"
 		i := f.tenants[0].item()
 		f.operator.mu.Lock()
-		if known, ok := f.operator.items[i.key()]; ok {
+		if known, ok := f.operator.sent[i.key()]; ok {
 			i = known
 		}
 		f.operator.mu.Unlock()
-		said.Status, _ = f.operator.call(http.MethodPatch, m, patch([]item{i}), callMost)
+		said.Status, _ = f.operator.call(http.MethodPatch, m, encodePatch([]item{i}), callTimeout)
 	case 2:
 		said.Call = "order that cannot be read"
-		said.Status, _ = f.operator.call(http.MethodPatch, m, []byte("{"), callMost)
+		said.Status, _ = f.operator.call(http.MethodPatch, m, []byte("{"), callTimeout)
 	case 3:
 		said.Call = "beat"
 		if s := f.serverOf(n); s != nil {
-			if _, _, ok := s.call(m.at(f.ports.control), http.MethodPut, "serving"); ok {
+			if _, _, ok := s.callControl(m.address(f.ports.control), http.MethodPut, "serving"); ok {
 				said.Status = http.StatusOK
 			}
 		}
@@ -347,10 +347,10 @@
 
 // retire ends what runs on a machine for good.
 func (m *machine) retire() {
-	m.settling.Lock()
-	defer m.settling.Unlock()
-	m.f.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, From: m.f.now()})(m.f.now())
-	for _, p := range m.procs {
+	m.lifecycle.Lock()
+	defer m.lifecycle.Unlock()
+	m.cluster.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, From: m.cluster.now()})(m.cluster.now())
+	for _, p := range m.processes {
 		p.kill()
 	}
 }
--- a/internal/emulator/loopback/operator.go
+++ b/internal/emulator/loopback/operator.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	callMost   = time.Second // for an answer to the operator; with one more for each MB
-	pauseFirst = 100 * time.Millisecond
-	pauseMost  = time.Second
-	patchMost  = 20 * time.Second // then a call is given up
-	readMost   = 8 * time.Second  // for the whole configuration to be read back from one node
+	callTimeout   = time.Second // for an answer to the operator; with one more for each MB
+	minBackoff = 100 * time.Millisecond
+	maxBackoff  = time.Second
+	patchTimeout  = 20 * time.Second // then a call is given up
+	readBackTimeout   = 8 * time.Second  // for the whole configuration to be read back from one node
 )
 
 // body is the body of an item.
@@ -43,22 +43,22 @@
 
 // operator holds what the operator means to be in force.
 type operator struct {
-	f *cluster
+	cluster *cluster
 
 	mu     sync.Mutex
 	rng    *rand.Rand
-	number uint64
-	items  map[string]item // as sent last
+	lastVersion uint64
+	sent  map[string]item // as sent last
 }
 
-func (o *operator) next() uint64 {
+func (o *operator) nextVersion() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.number += 1 + o.rng.Uint64N(3)
-	return o.number
+	o.lastVersion += 1 + o.rng.Uint64N(3)
+	return o.lastVersion
 }
 
-func (o *operator) pick(n int) int {
+func (o *operator) intn(n int) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.rng.IntN(n)
@@ -66,8 +66,8 @@
 
 func version(n uint64) string { return fmt.Sprintf("%08x", n) }
 
-// stated gives an item its version.
-func stated(i item, number uint64) item {
+// withVersion gives an item its version.
+func withVersion(i item, number uint64) item {
 	i.number = number
 	if i.body != nil {
 		i.body = maps.Clone(i.body)
@@ -76,8 +76,8 @@
 	return i
 }
 
-// patch is the body of a call.
-func patch(items []item) []byte {
+// encodePatch is the body of a call.
+func encodePatch(items []item) []byte {
 	upsert, remove := body{}, map[string][]body{"routes": {}}
 	for _, i := range items {
 		switch {
@@ -99,8 +99,8 @@
 	return text
 }
 
-// seen is an item as the rules want it.
-func seen(i item, valid bool, at invariants.Seconds) *invariants.Version {
+// recordedVersion is an item as the rules want it.
+func recordedVersion(i item, valid bool, at invariants.Seconds) *invariants.Version {
 	v := &invariants.Version{
 		Item:    i.key(),
 		Number:  i.number,
@@ -144,16 +144,16 @@
 // send brings items, at node first and, where that fails, at the others, until there is a clear answer; status 0:
 // there was none.
 func (o *operator) send(first int, valid bool, items ...item) (status int) {
-	f := o.f
+	f := o.cluster
 	var versions []*invariants.Version
 	for _, i := range items {
-		v := seen(i, valid, f.now())
+		v := recordedVersion(i, valid, f.now())
 		versions = append(versions, v)
 		f.recorder.version(v)
 	}
-	text := patch(items)
-	wait := callMost + time.Duration(len(text))*time.Microsecond
-	pause, until, odd := pauseFirst, time.Now().Add(patchMost), 0
+	text := encodePatch(items)
+	wait := callTimeout + time.Duration(len(text))*time.Microsecond
+	pause, until, odd := minBackoff, time.Now().Add(patchTimeout), 0
 	for n := first; ; n++ {
 		began := f.now()
 		got, said := o.call(http.MethodPatch, f.core[n%len(f.core)], text, wait)
@@ -164,8 +164,8 @@
 					v.Acked = f.now()
 				}
 			})
-			f.acker.Store(f.core[n%len(f.core)])
-			f.ackTimes.add(f.now() - began)
+			f.lastAcknowledger.Store(f.core[n%len(f.core)])
+			f.changeLatencies.add(f.now() - began)
 			return got
 		case got == 400 || got == 409 || got == 412 || got == 413 || got == 422,
 			got/100 == 4 && got != 408 && got != 429 && odd == 2:
@@ -175,14 +175,14 @@
 				}
 			})
 			if valid {
-				f.recorder.note("a valid call got %d from %s: %.200s", got, f.core[n%len(f.core)].name, said)
+				f.recorder.notef("a valid call got %d from %s: %.200s", got, f.core[n%len(f.core)].name, said)
 			}
 			return got
 		case got/100 == 4:
 			odd++
 		}
-		if time.Now().After(until) || f.ctx.Err() != nil {
-			f.recorder.note(
+		if time.Now().After(until) || f.traffic.Err() != nil {
+			f.recorder.notef(
 				"a call of %d items was never acknowledged, the %dth answer was %d: %.200s",
 				len(items),
 				n-first+1,
@@ -191,21 +191,21 @@
 			)
 			return 0
 		}
-		f.pause(pause)
-		pause = min(2*pause, pauseMost)
+		f.sleep(pause)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
 // call makes one call. Status 0: there was no answer, and said tells why.
 func (o *operator) call(method string, m *machine, text []byte, wait time.Duration) (status int, said []byte) {
-	ctx, cancel := context.WithTimeout(o.f.world, wait)
+	ctx, cancel := context.WithTimeout(o.cluster.lifetime, wait)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+m.at(o.f.ports.control)+"/config", bytes.NewReader(text))
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+m.address(o.cluster.ports.control)+"/config", bytes.NewReader(text))
 	if err != nil {
 		panic(err) // we have composed it
 	}
 	r.Header.Set("Content-Type", "application/json")
-	answer, err := o.f.control.Do(r)
+	answer, err := o.cluster.httpClient.Do(r)
 	if err != nil {
 		return 0, []byte(err.Error())
 	}
@@ -217,42 +217,42 @@
 	return answer.StatusCode, said
 }
 
-// bring sends items under versions of their own, and keeps them in mind.
-func (o *operator) bring(items ...item) (status int) {
-	number := o.next()
+// submit sends items under versions of their own, and keeps them in mind.
+func (o *operator) submit(items ...item) (status int) {
+	number := o.nextVersion()
 	for n := range items {
-		items[n] = stated(items[n], number)
+		items[n] = withVersion(items[n], number)
 	}
 	o.mu.Lock()
 	for _, i := range items {
-		o.items[i.key()] = i
+		o.sent[i.key()] = i
 	}
 	o.mu.Unlock()
-	return o.send(o.pick(len(o.f.core)), true, items...)
+	return o.send(o.intn(len(o.cluster.core)), true, items...)
 }
 
 // readBack reads the configuration from each control node, as the operator does when the day ends.
 func (o *operator) readBack() {
 	var all sync.WaitGroup
-	for _, m := range o.f.core {
+	for _, m := range o.cluster.core {
 		all.Go(func() {
-			until := time.Now().Add(readMost)
-			for pause := pauseFirst; ; pause = min(2*pause, pauseMost) {
-				began := o.f.now()
-				if status, text := o.call(http.MethodGet, m, nil, 2*callMost); status == 200 {
+			until := time.Now().Add(readBackTimeout)
+			for pause := minBackoff; ; pause = min(2*pause, maxBackoff) {
+				began := o.cluster.now()
+				if status, text := o.call(http.MethodGet, m, nil, 2*callTimeout); status == 200 {
 					items, err := readItems(text)
 					if err != nil {
-						o.f.recorder.note("%s: GET /config cannot be read: %v", m.name, err)
+						o.cluster.recorder.notef("%s: GET /config cannot be read: %v", m.name, err)
 						return
 					}
-					o.f.recorder.read(invariants.ConfigRead{Machine: m.name, At: began, Items: items})
+					o.cluster.recorder.configRead(invariants.ConfigRead{Machine: m.name, At: began, Items: items})
 					return
 				}
 				if time.Now().After(until) {
-					o.f.recorder.note("%s: GET /config has no answer", m.name)
+					o.cluster.recorder.notef("%s: GET /config has no answer", m.name)
 					return
 				}
-				o.f.pause(pause)
+				o.cluster.sleep(pause)
 			}
 		})
 	}
--- a/internal/emulator/loopback/process.go
+++ b/internal/emulator/loopback/process.go
@@ -15,17 +15,17 @@
 
 // process is one program on a machine, over all its lives.
 type process struct {
-	m       *machine
+	machine       *machine
 	program string
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
 	done    chan struct{} // closed once this life has ended
-	asked   bool          // this life was told to end
-	hold    bool          // it is not to be started again
+	stopRequested   bool          // this life was told to end
+	noRestart    bool          // it is not to be started again
 	starts  int
 	cpu     time.Duration // of lives that ended
-	peak    int64         // bytes, the most of any life
+	peakMemory    int64         // bytes, the most of any life
 	running bool
 }
 
@@ -71,13 +71,13 @@
 	}
 	defer log.Close()
 	args := []string{"serve"}
-	if p.m.f.cutting && p.program != proxyProgram {
-		args = append(args, "--links", p.m.linksPath())
+	if p.machine.cluster.linkFaults && p.program != proxyProgram {
+		args = append(args, "--links", p.machine.linksPath())
 	}
-	cmd := exec.Command(filepath.Join(p.m.f.o.Bin, p.program), args...)
-	cmd.Dir = p.m.dir
+	cmd := exec.Command(filepath.Join(p.machine.cluster.options.ProgramsDir, p.program), args...)
+	cmd.Dir = p.machine.dir
 	cmd.Env = []string{
-		"MULLEINROUTER_CONFIG=" + p.m.settingsPath(p.program),
+		"MULLEINROUTER_CONFIG=" + p.machine.settingsPath(p.program),
 		"PATH=" + os.Getenv("PATH"),
 		"HOME=" + os.Getenv("HOME"),
 		"LANG=C",
@@ -86,42 +86,42 @@
 	cmd.Stdout, cmd.Stderr = log, log
 	// A group of its own: an interrupt from the terminal is for us to pass on.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	if err := p.m.f.launcher.start(cmd); err != nil {
-		return fmt.Errorf("%s on %s: %w", p.program, p.m.name, err)
+	if err := p.machine.cluster.launcher.start(cmd); err != nil {
+		return fmt.Errorf("%s on %s: %w", p.program, p.machine.name, err)
 	}
-	p.cmd, p.done, p.asked, p.hold, p.running = cmd, make(chan struct{}), false, false, true
+	p.cmd, p.done, p.stopRequested, p.noRestart, p.running = cmd, make(chan struct{}), false, false, true
 	p.starts++
-	if !p.m.core {
-		p.m.f.recorder.processStart(p.m.name, p.m.f.now())
+	if !p.machine.core {
+		p.machine.cluster.recorder.processStart(p.machine.name, p.machine.cluster.now())
 	}
-	go p.attend(cmd, p.done)
+	go p.supervise(cmd, p.done)
 	return nil
 }
 
-func (p *process) logPath() string { return filepath.Join(p.m.dir, p.program+".log") }
+func (p *process) logPath() string { return filepath.Join(p.machine.dir, p.program+".log") }
 
-// attend waits for the end of one life.
-func (p *process) attend(cmd *exec.Cmd, done chan struct{}) {
+// supervise waits for the end of one life.
+func (p *process) supervise(cmd *exec.Cmd, done chan struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
 	p.running = false
 	p.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
-	asked, hold := p.asked, p.hold
+	asked, hold := p.stopRequested, p.noRestart
 	p.mu.Unlock()
 	close(done)
 	if asked || hold {
 		return
 	}
-	p.m.f.recorder.exit(p.program+" on "+p.m.name, p.m.f.now(), fmt.Sprintf("%v: %s", err, p.logEnd()))
+	p.machine.cluster.recorder.exit(p.program+" on "+p.machine.name, p.machine.cluster.now(), fmt.Sprintf("%v: %s", err, p.logTail()))
 	select {
-	case <-p.m.f.ctx.Done():
-	case <-time.After(comeBack):
+	case <-p.machine.cluster.traffic.Done():
+	case <-time.After(restartDelay):
 		p.start()
 	}
 }
 
-// logEnd is the end of its log.
-func (p *process) logEnd() string {
+// logTail is the end of its log.
+func (p *process) logTail() string {
 	text, _ := os.ReadFile(p.logPath())
 	if at := strings.Index(string(text), "DATA RACE"); at >= 0 {
 		return string(text[max(0, at-30):min(len(text), at+4000)])
@@ -129,7 +129,7 @@
 	if at := strings.LastIndex(string(text), "panic:"); at >= 0 {
 		return string(text[at:min(len(text), at+2000)])
 	}
-	return strings.TrimSpace(string(text[max(0, len(text)-logMost):]))
+	return strings.TrimSpace(string(text[max(0, len(text)-maxLogTail):]))
 }
 
 // signal sends a signal to the life that runs; asked says that its end is wanted.
@@ -143,10 +143,10 @@
 	}
 	if p.running {
 		if asked { // Rusage would tell the memory of this process here, from before the child's exec
-			_, peak := measured(p.cmd.Process.Pid)
-			p.peak = max(p.peak, peak)
+			_, peak := readUsage(p.cmd.Process.Pid)
+			p.peakMemory = max(p.peakMemory, peak)
 		}
-		p.asked = p.asked || asked
+		p.stopRequested = p.stopRequested || asked
 		p.cmd.Process.Signal(s)
 	}
 	return p.done
@@ -154,8 +154,8 @@
 
 func (p *process) kill() { <-p.signal(syscall.SIGKILL, true) }
 
-// quit sends SIGTERM, and SIGKILL after the grace, as the platform does; late tells that it came to that.
-func (p *process) quit(grace time.Duration) (late bool) {
+// terminate sends SIGTERM, and SIGKILL after the grace, as the platform does; late tells that it came to that.
+func (p *process) terminate(grace time.Duration) (late bool) {
 	done := p.signal(syscall.SIGTERM, true)
 	select {
 	case <-done:
@@ -170,16 +170,16 @@
 func (p *process) usage() (cpu time.Duration, peak int64, starts int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	cpu, peak = p.cpu, p.peak
+	cpu, peak = p.cpu, p.peakMemory
 	if p.running {
-		c, m := measured(p.cmd.Process.Pid)
+		c, m := readUsage(p.cmd.Process.Pid)
 		cpu, peak = cpu+c, max(peak, m)
 	}
 	return cpu, peak, p.starts
 }
 
-// measured reads from /proc what a process used: processor time, and the most memory that was resident.
-func measured(pid int) (cpu time.Duration, peak int64) {
+// readUsage reads from /proc what a process used: processor time, and the most memory that was resident.
+func readUsage(pid int) (cpu time.Duration, peak int64) {
 	dir := "/proc/" + strconv.Itoa(pid)
 	if b, err := os.ReadFile(dir + "/stat"); err == nil {
 		_, rest, _ := strings.Cut(string(b), ") ")
--- a/internal/emulator/loopback/recorder.go
+++ b/internal/emulator/loopback/recorder.go
@@ -28,7 +28,7 @@
 func (b *recorder) arrival(a *invariants.Arrival) {
 	b.update(func() { b.arrivals = append(b.arrivals, a) })
 }
-func (b *recorder) try(t *invariants.Attempt) {
+func (b *recorder) attempt(t *invariants.Attempt) {
 	b.update(func() { b.attempts = append(b.attempts, t) })
 }
 func (b *recorder) version(v *invariants.Version) {
@@ -37,7 +37,7 @@
 func (b *recorder) departure(l invariants.Departure) {
 	b.update(func() { b.log.Departures = append(b.log.Departures, l) })
 }
-func (b *recorder) read(r invariants.ConfigRead) {
+func (b *recorder) configRead(r invariants.ConfigRead) {
 	b.update(func() { b.log.ConfigReads = append(b.log.ConfigReads, r) })
 }
 func (b *recorder) processStart(machine string, at invariants.Seconds) {
@@ -63,7 +63,7 @@
 	b.update(func() { b.log.Exits = append(b.log.Exits, invariants.Exit{Process: process, At: at, Text: text}) })
 }
 
-func (b *recorder) note(format string, args ...any) {
+func (b *recorder) notef(format string, args ...any) {
 	b.update(func() { b.notes = append(b.notes, fmt.Sprintf(format, args...)) })
 }
 
--- a/internal/emulator/loopback/server.go
+++ b/internal/emulator/loopback/server.go
@@ -19,103 +19,103 @@
 )
 
 const (
-	serverConns   = 130                    // connections that a server takes; it resets more
-	serverQueue   = 6                      // requests that wait for a slot
-	serverIdle    = 8 * time.Second        // then a server closes an idle connection
-	ackMost       = time.Second            // for the acknowledgement of a beat
-	ackBytes      = 4 << 10                // that it may hold
-	leaveMost     = 6 * time.Second        // for an acknowledgement of a leave; then the server ends without
+	maxServerConns   = 130                    // connections that a server takes; it resets more
+	maxServerQueue   = 6                      // requests that wait for a slot
+	serverIdleTimeout    = 8 * time.Second        // then a server closes an idle connection
+	heartbeatTimeout       = time.Second            // for the acknowledgement of a beat
+	maxAckBytes      = 4 << 10                // that it may hold
+	departureTimeout     = 6 * time.Second        // for an acknowledgement of a leave; then the server ends without
 	slowStartTime = 2 * time.Second        // slow after the start
-	behind        = 300 * time.Millisecond // that a server serves on beyond drainMs
-	surplusMost   = 60 * time.Millisecond  // until a surplus answer comes
+	drainMargin        = 300 * time.Millisecond // that a server serves on beyond drainMs
+	maxRepeatDelay   = 60 * time.Millisecond  // until a surplus answer comes
 )
 
-// misbehaviour is what goes wrong with one answer.
-type misbehaviour int
+// responseFault is what goes wrong with one answer.
+type responseFault int
 
 const (
-	none    misbehaviour = iota
-	lose                 // the request runs, and the connection ends without its answer
-	reset                // the same with a reset, while it runs
-	garble               // bytes that are no answer
-	cut                  // the answer ends in the middle
-	surplus              // the answer comes a second time, later
+	noFault    responseFault = iota
+	loseResponse                 // the request runs, and the connection ends without its answer
+	resetConn                // the same with a reset, while it runs
+	garbleResponse               // bytes that are no answer
+	truncateResponse                  // the answer ends in the middle
+	repeatResponse              // the answer comes a second time, later
 )
 
 // server is one life of a stand-in server.
 type server struct {
-	f              *cluster
+	cluster              *cluster
 	id, service    string
 	generation     string
 	zone           string
 	slots          int
-	work           time.Duration // mean
-	speed          float64
+	meanWork           time.Duration // mean
+	slowness          float64
 	addr           string
-	ln             net.Listener
-	began          time.Time
+	listener             net.Listener
+	startedAt          time.Time
 	ctx            context.Context // ends with it
-	end            context.CancelFunc
-	sem            chan struct{}
-	waiting        atomic.Int32
-	draining, dark atomic.Bool
-	bright         chan struct{} // closed once it is no longer dark; replaced under mu
-	calls          atomic.Uint64 // callSeq
+	stop            context.CancelFunc
+	workSlots            chan struct{}
+	queued        atomic.Int32
+	draining, unresponsive atomic.Bool
+	resumed         chan struct{} // closed once it is no longer dark; replaced under mu
+	callSeq          atomic.Uint64 // callSeq
 
 	mu      sync.Mutex
 	rng     *rand.Rand
 	conns   map[net.Conn]struct{}
-	target  string // beatTarget
-	mishaps map[misbehaviour]float64
-	left    bool
+	heartbeatTarget  string // beatTarget
+	faultRates map[responseFault]float64
+	closed    bool
 }
 
-// serve starts a server of a service at an address (host:0 draws the port), and has it register. It returns at once.
-func (f *cluster) serve(service, zone, addr, generation string) (*server, error) {
+// startServer starts a server of a service at an address (host:0 draws the port), and has it register. It returns at once.
+func (cl *cluster) startServer(service, zone, addr, generation string) (*server, error) {
 	ln, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return nil, err
 	}
-	n := f.serial.Add(1)
-	rng := rand.New(rand.NewPCG(f.o.Seed, uint64(n)))
-	kind := f.services[service]
+	n := cl.serial.Add(1)
+	rng := rand.New(rand.NewPCG(cl.options.Seed, uint64(n)))
+	kind := cl.services[service]
 	s := &server{
-		f:          f,
+		cluster:          cl,
 		id:         fmt.Sprintf("i-%06x%02x", rng.Uint32N(1<<24), n),
 		service:    service,
 		generation: generation,
 		zone:       zone,
 		slots:      kind.slots,
-		work:       kind.work,
-		speed:      0.8 + 0.4*rng.Float64(),
+		meanWork:       kind.meanWork,
+		slowness:      0.8 + 0.4*rng.Float64(),
 		addr:       ln.Addr().String(),
-		ln:         ln,
-		began:      time.Now(),
+		listener:         ln,
+		startedAt:      time.Now(),
 		rng:        rng,
 		conns:      map[net.Conn]struct{}{},
-		mishaps:    map[misbehaviour]float64{},
-		bright:     make(chan struct{}),
-		sem:        make(chan struct{}, kind.slots),
+		faultRates:    map[responseFault]float64{},
+		resumed:     make(chan struct{}),
+		workSlots:        make(chan struct{}, kind.slots),
 	}
-	s.ctx, s.end = context.WithCancel(f.world)
-	f.mu.Lock()
-	f.servers = append(f.servers, s)
-	f.mu.Unlock()
-	f.all.Go(s.accept)
-	f.all.Go(s.sendHeartbeats)
+	s.ctx, s.stop = context.WithCancel(cl.lifetime)
+	cl.mu.Lock()
+	cl.servers = append(cl.servers, s)
+	cl.mu.Unlock()
+	cl.background.Go(s.accept)
+	cl.background.Go(s.sendHeartbeats)
 	return s, nil
 }
 
 func (s *server) accept() {
-	stop := context.AfterFunc(s.ctx, s.shut)
+	stop := context.AfterFunc(s.ctx, s.closeAll)
 	defer stop()
 	for {
-		c, err := s.ln.Accept()
+		c, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		over := len(s.conns) >= serverConns || s.left
+		over := len(s.conns) >= maxServerConns || s.closed
 		if !over {
 			s.conns[c] = struct{}{}
 		}
@@ -125,48 +125,48 @@
 			c.Close()
 			continue
 		}
-		s.f.all.Go(func() {
+		s.cluster.background.Go(func() {
 			defer func() {
 				s.mu.Lock()
 				delete(s.conns, c)
 				s.mu.Unlock()
 				c.Close()
 			}()
-			s.serve(c)
+			s.serveConn(c)
 		})
 	}
 }
 
-// shut closes all at once.
-func (s *server) shut() {
-	s.ln.Close()
+// closeAll closes all at once.
+func (s *server) closeAll() {
+	s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.left = true
+	s.closed = true
 	for c := range s.conns {
 		c.Close()
 	}
 }
 
 // crash ends it without a word.
-func (s *server) crash() { s.end() }
+func (s *server) crash() { s.stop() }
 
-// darken has it neither read nor answer nor beat, for a span.
-func (s *server) darken(span time.Duration) {
-	s.dark.Store(true)
-	s.f.hold(span)
+// blackHole has it neither read nor answer nor beat, for a span.
+func (s *server) blackHole(span time.Duration) {
+	s.unresponsive.Store(true)
+	s.cluster.sleepInTraffic(span)
 	s.mu.Lock()
-	close(s.bright)
-	s.bright = make(chan struct{})
+	close(s.resumed)
+	s.resumed = make(chan struct{})
 	s.mu.Unlock()
-	s.dark.Store(false)
+	s.unresponsive.Store(false)
 }
 
-// light waits while it is dark.
-func (s *server) light() {
-	for s.dark.Load() {
+// awaitResponsive waits while it is dark.
+func (s *server) awaitResponsive() {
+	for s.unresponsive.Load() {
 		s.mu.Lock()
-		bright := s.bright
+		bright := s.resumed
 		s.mu.Unlock()
 		select {
 		case <-bright:
@@ -177,46 +177,46 @@
 	}
 }
 
-// spoil has a share of its answers go wrong from now on; 0: none.
-func (s *server) spoil(what misbehaviour, share float64) {
+// setFaultRate has a share of its answers go wrong from now on; 0: none.
+func (s *server) setFaultRate(what responseFault, share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mishaps[what] = share
+	s.faultRates[what] = share
 }
 
-func (s *server) answerFault() misbehaviour {
+func (s *server) drawFault() responseFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for what := lose; what <= surplus; what++ {
-		if share := s.mishaps[what]; share > 0 && s.rng.Float64() < share {
+	for what := loseResponse; what <= repeatResponse; what++ {
+		if share := s.faultRates[what]; share > 0 && s.rng.Float64() < share {
 			return what
 		}
 	}
-	return none
+	return noFault
 }
 
-func (s *server) drawn() (work time.Duration, chunked, leave, failing bool, size int) {
+func (s *server) drawWork() (work time.Duration, chunked, leave, failing bool, size int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := float64(s.work) * s.speed * (0.5 + s.rng.Float64())
-	if time.Since(s.began) < slowStartTime {
+	w := float64(s.meanWork) * s.slowness * (0.5 + s.rng.Float64())
+	if time.Since(s.startedAt) < slowStartTime {
 		w *= 1.7
 	}
 	return time.Duration(w), s.rng.IntN(5) == 0, s.rng.IntN(200) == 0, s.rng.IntN(400) == 0, 50 + s.rng.IntN(3000)
 }
 
-// asked is a request that was read whole.
-type asked struct {
+// serverRequest is a request that was read whole.
+type serverRequest struct {
 	*http.Request
 	body []byte
 }
 
-// serve answers the requests of one connection, one after the other.
-func (s *server) serve(c net.Conn) {
-	requests, disconnected := make(chan asked), make(chan struct{})
+// serveConn answers the requests of one connection, one after the other.
+func (s *server) serveConn(c net.Conn) {
+	requests, disconnected := make(chan serverRequest), make(chan struct{})
 	over := make(chan struct{})
 	defer close(over)
-	s.f.all.Go(func() {
+	s.cluster.background.Go(func() {
 		defer close(disconnected)
 		for in := bufio.NewReader(c); ; {
 			r, err := http.ReadRequest(in)
@@ -228,31 +228,31 @@
 				return
 			}
 			select {
-			case requests <- asked{r, body}:
+			case requests <- serverRequest{r, body}:
 			case <-over:
 				return
 			}
 		}
 	})
-	c.SetReadDeadline(time.Now().Add(serverIdle))
+	c.SetReadDeadline(time.Now().Add(serverIdleTimeout))
 	for {
 		select {
 		case r := <-requests:
 			c.SetReadDeadline(time.Time{})
-			if !s.answer(c, r, disconnected) {
+			if !s.handle(c, r, disconnected) {
 				return
 			}
-			c.SetReadDeadline(time.Now().Add(serverIdle))
+			c.SetReadDeadline(time.Now().Add(serverIdleTimeout))
 		case <-disconnected:
 			return
 		}
 	}
 }
 
-// answer answers one request; more tells whether the connection goes on.
-func (s *server) answer(c net.Conn, r asked, disconnected <-chan struct{}) (more bool) {
-	s.light()
-	now := s.f.now
+// handle answers one request; more tells whether the connection goes on.
+func (s *server) handle(c net.Conn, r serverRequest, disconnected <-chan struct{}) (more bool) {
+	s.awaitResponsive()
+	now := s.cluster.now
 	id := r.Header.Get("X-Attempt-Id")
 	a := &invariants.Arrival{
 		ID:       id,
@@ -264,124 +264,124 @@
 		Method:   r.Method,
 		Host:     r.Host,
 		Target:   r.RequestURI,
-		Body:     sum(r.body),
+		Body:     checksum(r.body),
 		Tenant:   r.Header.Get("X-Tenant"),
 		Expected: r.Header.Get("X-Target-Instance"),
 	}
 	if id == "" && r.Method == http.MethodGet && r.URL.Path == healthPath {
-		s.f.probes.Add(1)
+		s.cluster.healthChecks.Add(1)
 		status := 200
 		if s.draining.Load() {
 			status = 503
 		}
-		return s.write(c, status, "", "X-Instance-Id: "+s.id+"\r\n", nil, r.Close, false)
+		return s.writeResponse(c, status, "", "X-Instance-Id: "+s.id+"\r\n", nil, r.Close, false)
 	}
-	s.f.recorder.arrival(a)
+	s.cluster.recorder.arrival(a)
 	turn := func(status int, fields string) bool {
-		s.f.recorder.update(func() { a.Status, a.End = status, now() })
-		return s.write(c, status, id, fields, []byte("not run\n"), r.Close, false)
+		s.cluster.recorder.update(func() { a.Status, a.End = status, now() })
+		return s.writeResponse(c, status, id, fields, []byte("not run\n"), r.Close, false)
 	}
 	if a.Expected != "" && a.Expected != s.id {
 		return turn(421, "X-Instance-Id: "+s.id+"\r\n")
 	}
 	if r.Header.Get("Authorization") != "" {
-		s.f.recorder.note("a server was shown a key, by %s", id)
+		s.cluster.recorder.notef("a server was shown a key, by %s", id)
 	}
 	if id == "" {
 		return turn(400, "X-Not-Executed: 1\r\n")
 	}
 	left, err := strconv.ParseFloat(r.Header.Get("X-Time-Left-Ms"), 64)
 	if err != nil {
-		s.f.recorder.note("X-Time-Left-Ms %q, by %s", r.Header.Get("X-Time-Left-Ms"), id)
+		s.cluster.recorder.notef("X-Time-Left-Ms %q, by %s", r.Header.Get("X-Time-Left-Ms"), id)
 		left = 1000
 	}
 	deadline := time.NewTimer(time.Duration(left * float64(time.Millisecond)))
 	defer deadline.Stop()
-	if s.waiting.Add(1) > serverQueue+int32(s.slots) {
-		s.waiting.Add(-1)
+	if s.queued.Add(1) > maxServerQueue+int32(s.slots) {
+		s.queued.Add(-1)
 		return turn(503, "X-Not-Executed: 1\r\n")
 	}
-	defer s.waiting.Add(-1)
+	defer s.queued.Add(-1)
 	select {
-	case s.sem <- struct{}{}:
-		defer func() { <-s.sem }()
+	case s.workSlots <- struct{}{}:
+		defer func() { <-s.workSlots }()
 	case <-deadline.C:
 		return turn(503, "X-Not-Executed: 1\r\n")
 	case <-disconnected:
 		return false
 	case <-s.ctx.Done():
-		s.f.recorder.update(func() { a.Aborted = true })
+		s.cluster.recorder.update(func() { a.Aborted = true })
 		return false
 	}
-	return s.run(c, r, a, deadline, disconnected)
+	return s.execute(c, r, a, deadline, disconnected)
 }
 
-// run works on a request that has a slot, and answers it.
-func (s *server) run(
+// execute works on a request that has a slot, and answers it.
+func (s *server) execute(
 	c net.Conn,
-	r asked,
+	r serverRequest,
 	a *invariants.Arrival,
 	deadline *time.Timer,
 	disconnected <-chan struct{},
 ) (more bool) {
-	now := s.f.now
-	span, chunked, leave, failing, size := s.drawn()
-	what := s.answerFault()
-	if what == reset {
+	now := s.cluster.now
+	span, chunked, leave, failing, size := s.drawWork()
+	what := s.drawFault()
+	if what == resetConn {
 		span /= 2
 	}
 	work := time.NewTimer(span)
 	defer work.Stop()
-	s.f.recorder.update(func() { a.Started, a.End = now(), invariants.Never })
+	s.cluster.recorder.update(func() { a.Started, a.End = now(), invariants.Never })
 	status := 200
 	select {
 	case <-work.C:
 	case <-deadline.C:
 		status = 504
 	case <-disconnected:
-		s.f.recorder.update(func() { a.End = now() })
+		s.cluster.recorder.update(func() { a.End = now() })
 		return false
 	case <-s.ctx.Done():
-		s.f.recorder.update(func() { a.End, a.Aborted = now(), true })
+		s.cluster.recorder.update(func() { a.End, a.Aborted = now(), true })
 		return false
 	}
-	s.light()
+	s.awaitResponsive()
 	if failing {
 		status = 500
 	}
-	seal := fmt.Sprintf("%s.%x.%d", s.id, s.f.serial.Add(1), status)
-	body := pattern(seal, size)
-	s.f.recorder.update(func() {
-		a.End, a.Status, a.Seal, a.Sum = now(), status, seal, sum(body)
-		a.Aborted = what != none && what != surplus
+	seal := fmt.Sprintf("%s.%x.%d", s.id, s.cluster.serial.Add(1), status)
+	body := uniqueBody(seal, size)
+	s.cluster.recorder.update(func() {
+		a.End, a.Status, a.Seal, a.Sum = now(), status, seal, checksum(body)
+		a.Aborted = what != noFault && what != repeatResponse
 	})
 	fields := "X-Server-Seal: " + seal + "\r\n"
 	leave = leave || s.draining.Load() || r.Close
 	switch what {
-	case lose:
+	case loseResponse:
 		return false
-	case reset:
+	case resetConn:
 		c.(*net.TCPConn).SetLinger(0)
 		return false
-	case garble:
+	case garbleResponse:
 		c.Write([]byte("\x00\x01 out of order \r\n\r\n" + seal))
 		return false
-	case cut:
+	case truncateResponse:
 		var b bytes.Buffer
 		s.compose(&b, status, a.ID, fields, body, false, chunked)
 		c.Write(b.Bytes()[:b.Len()-size/2-5])
 		return false
-	case surplus:
-		if s.write(c, status, a.ID, fields, body, false, chunked) {
+	case repeatResponse:
+		if s.writeResponse(c, status, a.ID, fields, body, false, chunked) {
 			s.mu.Lock()
-			span := time.Duration(s.rng.Int64N(int64(surplusMost)))
+			span := time.Duration(s.rng.Int64N(int64(maxRepeatDelay)))
 			s.mu.Unlock()
-			s.f.pause(span)
-			return s.write(c, status, a.ID, fields, body, false, chunked)
+			s.cluster.sleep(span)
+			return s.writeResponse(c, status, a.ID, fields, body, false, chunked)
 		}
 		return false
 	}
-	return s.write(c, status, a.ID, fields, body, leave, chunked)
+	return s.writeResponse(c, status, a.ID, fields, body, leave, chunked)
 }
 
 // compose lays out an answer.
@@ -394,7 +394,7 @@
 	if leave {
 		b.WriteString("Connection: close\r\n")
 	} else {
-		fmt.Fprintf(b, "Keep-Alive: timeout=%d\r\n", int(serverIdle.Seconds()))
+		fmt.Fprintf(b, "Keep-Alive: timeout=%d\r\n", int(serverIdleTimeout.Seconds()))
 	}
 	if !chunked {
 		fmt.Fprintf(b, "Content-Length: %d\r\n\r\n", len(body))
@@ -402,10 +402,10 @@
 		return
 	}
 	b.WriteString("Transfer-Encoding: chunked\r\n\r\n")
-	b.Write(chunks(body))
+	b.Write(encodeChunks(body))
 }
 
-func (s *server) write(c net.Conn, status int, id, fields string, body []byte, leave, chunked bool) (more bool) {
+func (s *server) writeResponse(c net.Conn, status int, id, fields string, body []byte, leave, chunked bool) (more bool) {
 	var b bytes.Buffer
 	s.compose(&b, status, id, fields, body, leave, chunked)
 	c.SetWriteDeadline(time.Now().Add(5 * time.Second))
@@ -413,8 +413,8 @@
 	return err == nil && !leave
 }
 
-// chunks is a body in chunks.
-func chunks(body []byte) []byte {
+// encodeChunks is a body in encodeChunks.
+func encodeChunks(body []byte) []byte {
 	var b bytes.Buffer
 	for part := range slicesOf(body, 700) {
 		fmt.Fprintf(&b, "%x\r\n%s\r\n", len(part), part)
@@ -435,12 +435,12 @@
 	}
 }
 
-// pattern is a body that is like no other.
-func pattern(seal string, size int) []byte {
+// uniqueBody is a body that is like no other.
+func uniqueBody(seal string, size int) []byte {
 	return bytes.Repeat([]byte(seal+"/"), size/(len(seal)+1)+1)[:size]
 }
 
-func sum(b []byte) uint64 {
+func checksum(b []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(b)
 	return h.Sum64()
