--- a/cmd/emulator/try.go
+++ b/cmd/emulator/try.go
@@ -29,9 +29,8 @@
 
 func (c *tryCmd) Run(logger log.Logger) error {
 	if c.List {
-		names, help := loopback.Names()
-		for n, name := range names {
-			fmt.Printf("%-14s %s\n", name, help[n])
+		for _, kind := range loopback.FaultKinds() {
+			fmt.Printf("%-14s %s\n", kind.Name, kind.Help)
 		}
 		return nil
 	}
--- a/internal/emulator/loopback/deployment.go
+++ b/internal/emulator/loopback/deployment.go
@@ -6,40 +6,55 @@
 	"math/rand/v2"
 	"os"
 	"path/filepath"
-	"slices"
 	"sync"
 	"time"
 )
 
-// serviceSpec is a service.
+const (
+	zones       = 3
+	clientCount = 60
+	tenantCount = 6
+
+	coreHostOffset = 100 // of the last byte of core nodes' addresses
+)
+
+func zoneName(z int) string { return fmt.Sprintf("hall-%c", 'a'+z) }
+
+// serviceSpec is what servers of a service have in common.
 type serviceSpec struct {
-	slots, instances int
-	meanWork        time.Duration
+	slots     int // requests that a server executes at a time
+	instances int
+	meanWork  time.Duration // of a request
 }
 
 // requestClass is a kind of requests.
 type requestClass struct {
 	name          string
-	atMostOnce          bool
-	rate          float64 // a second
-	service, alternate string
-	latencyTarget, deadline time.Duration
+	atMostOnce    bool
+	rate          float64 // a second, at load 1
+	service       string
+	alternate     string // service that configuration changes move routes to
+	latencyTarget time.Duration
+	deadline      time.Duration
 }
 
-// route is a route that clients ask.
+// route is a route that clients send requests to.
 type route struct {
-	name, host, prefix string
-	class              *requestClass
-	public             bool
+	name   string
+	host   string
+	prefix string
+	class  *requestClass
+	public bool // served without a key too
 }
 
-// tenant is one that clients ask for.
+// tenant is a customer whose keys clients use.
 type tenant struct {
-	name        string
-	weight      float64
-	rate, burst float64
+	name   string
+	weight float64 // part of all requests; 1 over all tenants
+	rate   float64 // quota in requests a second
+	burst  float64 // requests
 
-	mu   sync.Mutex
+	mu   sync.Mutex // guards keys
 	keys []string
 }
 
@@ -49,157 +64,167 @@
 	return t.keys[rng.IntN(len(t.keys))]
 }
 
-// layOut lays out machines, services, classes, routes and tenants.
+// layOut creates machines with their folders, services, classes, routes, tenants and users. It draws from the
+// cluster's random numbers, so the order of its steps is part of what a seed means.
 func (cl *cluster) layOut() error {
-	var ips []string
-	add := func(name string, core bool, n int, programs ...string) *machine {
-		host := n/zones + 1
-		if core {
-			host += 100
-		}
-		m := &machine{
-			cluster:    cl,
-			name: fmt.Sprintf("%s-%d", name, n+1),
-			ip:   fmt.Sprintf("127.1.%d.%d", n%zones, host),
-			zone: n % zones,
-			core: core,
-		}
-		m.dir = filepath.Join(cl.options.Dir, m.name)
-		for _, p := range programs {
-			m.processes = append(m.processes, &process{machine: m, program: p})
-		}
-		ips = append(ips, m.ip)
-		return m
+	if err := cl.layOutMachines(); err != nil {
+		return err
 	}
+	cl.layOutClasses()
+	cl.layOutRoutes()
+	cl.layOutTenants()
+	for n := range clientCount {
+		cl.users = append(cl.users, &clientUser{number: n, zone: cl.rng.IntN(zones)})
+	}
+	return nil
+}
+
+func (cl *cluster) layOutMachines() error {
 	for n := range cl.options.CoreMachines {
-		cl.core = append(cl.core, add("core", true, n, coreProgram))
+		cl.core = append(cl.core, cl.newCoreMachine(n))
 	}
 	for n := range cl.options.EdgeMachines {
-		cl.edge = append(cl.edge, add("edge", false, n, agentProgram, proxyProgram))
+		cl.edge = append(cl.edge, cl.newEdgeMachine(n))
 	}
 	cl.edgeHealth = make([]edgeHealth, len(cl.edge))
+	var ips []string
+	for _, m := range cl.machines() {
+		ips = append(ips, m.ip)
+	}
 	var err error
-	// Other plays may run on this box: the ports are drawn by chance, not by the seed.
-	if cl.ports, err = drawPorts(
-		rand.New(rand.NewPCG(uint64(os.Getpid()), uint64(time.Now().UnixNano()))),
-		ips,
-	); err != nil {
+	// Other runs may go on on this machine: the ports are drawn by chance, not by the seed.
+	chance := rand.New(rand.NewPCG(uint64(os.Getpid()), uint64(time.Now().UnixNano())))
+	if cl.ports, err = drawPorts(chance, ips); err != nil {
 		return err
 	}
-	for _, m := range slices.Concat(cl.core, cl.edge) {
-		if err := os.MkdirAll(m.dir, 0o700); err != nil {
+	for _, m := range cl.machines() {
+		if err := m.createFiles(); err != nil {
 			return err
 		}
-		if m.core {
-			if err := os.MkdirAll(m.diskPath(), 0o700); err != nil {
-				return err
-			}
-		}
-		if err := cmp.Or(m.writeSettings(true), m.writeLinks()); err != nil {
+	}
+	return nil
+}
+
+func (cl *cluster) newCoreMachine(n int) *machine {
+	m := cl.newMachine("core", n, coreHostOffset, coreProgram)
+	m.core = true
+	return m
+}
+
+func (cl *cluster) newEdgeMachine(n int) *machine {
+	return cl.newMachine("edge", n, 0, agentProgram, proxyProgram)
+}
+
+// newMachine returns the nth machine of a kind, from 0. Machines of a kind go round the zones.
+func (cl *cluster) newMachine(kind string, n, hostOffset int, programs ...string) *machine {
+	zone := n % zones
+	m := &machine{
+		cluster: cl,
+		name:    fmt.Sprintf("%s-%d", kind, n+1),
+		ip:      fmt.Sprintf("127.1.%d.%d", zone, n/zones+1+hostOffset),
+		zone:    zone,
+	}
+	m.dir = filepath.Join(cl.options.Dir, m.name)
+	for _, p := range programs {
+		m.processes = append(m.processes, &process{machine: m, program: p})
+	}
+	return m
+}
+
+// createFiles creates a machine's folders and the files that its processes read.
+func (m *machine) createFiles() error {
+	if err := os.MkdirAll(m.dir, 0o700); err != nil {
+		return err
+	}
+	if m.core {
+		if err := os.MkdirAll(m.diskPath(), 0o700); err != nil {
 			return err
 		}
 	}
-	word := func(kind string) string { return fmt.Sprintf("%s%04x", kind, cl.rng.Uint32N(1<<16)) }
-	a, b, c := word("look"), word("note"), word("file")
+	return cmp.Or(m.writeSettings(true), m.writeLinks())
+}
+
+// drawName draws a name that no two seeds are likely to share.
+func (cl *cluster) drawName(prefix string) string {
+	return fmt.Sprintf("%s%04x", prefix, cl.rng.Uint32N(1<<16))
+}
+
+func (cl *cluster) layOutClasses() {
+	lookup := cl.drawName("look")
+	notes := cl.drawName("note")
+	files := cl.drawName("file")
 	cl.services = map[string]serviceSpec{
-		a: {3, 5, 40 * time.Millisecond},
-		b: {3, 4, 50 * time.Millisecond},
-		c: {3, 4, 30 * time.Millisecond},
+		lookup: {slots: 3, instances: 5, meanWork: 40 * time.Millisecond},
+		notes:  {slots: 3, instances: 4, meanWork: 50 * time.Millisecond},
+		files:  {slots: 3, instances: 4, meanWork: 30 * time.Millisecond},
 	}
 	cl.classes = []*requestClass{
-		{name: "read", rate: 70, service: a, alternate: c, latencyTarget: 400 * time.Millisecond, deadline: 2000 * time.Millisecond},
 		{
-			name:     "set",
-			atMostOnce:     true,
-			rate:     30,
-			service:  b,
-			alternate:     a,
-			latencyTarget:      500 * time.Millisecond,
-			deadline: 2500 * time.Millisecond,
+			name:          "read",
+			rate:          70,
+			service:       lookup,
+			alternate:     files,
+			latencyTarget: 400 * time.Millisecond,
+			deadline:      2000 * time.Millisecond,
+		},
+		{
+			name:          "set",
+			atMostOnce:    true,
+			rate:          30,
+			service:       notes,
+			alternate:     lookup,
+			latencyTarget: 500 * time.Millisecond,
+			deadline:      2500 * time.Millisecond,
 		},
 		{
-			name:     "file",
-			atMostOnce:     true,
-			rate:     20,
-			service:  c,
-			alternate:     a,
-			latencyTarget:      300 * time.Millisecond,
-			deadline: 1800 * time.Millisecond,
+			name:          "file",
+			atMostOnce:    true,
+			rate:          20,
+			service:       files,
+			alternate:     lookup,
+			latencyTarget: 300 * time.Millisecond,
+			deadline:      1800 * time.Millisecond,
 		},
 	}
-	rate, weights := 0.0, 0.0
+}
+
+// layOutRoutes gives each class two routes.
+func (cl *cluster) layOutRoutes() {
 	for _, c := range cl.classes {
-		rate += c.rate
 		for n := range 2 {
-			cl.live[c] = append(
-				cl.live[c],
-				&route{name: word("r-"), host: word("h") + ".example", prefix: "/" + word("p") + "/", class: c,
-					public: n == 1 && c.atMostOnce},
-			)
+			r := &route{
+				name:   cl.drawName("r-"),
+				host:   cl.drawName("h") + ".example",
+				prefix: "/" + cl.drawName("p") + "/",
+				class:  c,
+				public: n == 1 && c.atMostOnce,
+			}
+			cl.live[c] = append(cl.live[c], r)
 		}
 	}
+}
+
+// layOutTenants creates tenants of falling weight, each with a quota above what it usually sends.
+func (cl *cluster) layOutTenants() {
+	rate, weights := 0.0, 0.0
+	for _, c := range cl.classes {
+		rate += c.rate
+	}
 	for n := range tenantCount {
 		weights += 1 / float64(n+1)
 	}
 	for n := range tenantCount {
-		w := 1 / float64(n+1) / weights
-		t := &tenant{name: word("t"), weight: w, keys: []string{word("k") + word("x"), word("k") + word("y")}}
-		t.rate = float64(int(1.6*w*rate*cl.options.Load) + 3)
+		weight := 1 / float64(n+1) / weights
+		t := &tenant{
+			name:   cl.drawName("t"),
+			weight: weight,
+			keys: []string{
+				cl.drawName("k") + cl.drawName("x"),
+				cl.drawName("k") + cl.drawName("y"),
+			},
+		}
+		t.rate = float64(int(1.6*weight*rate*cl.options.Load) + 3)
 		t.burst = t.rate
 		cl.tenants = append(cl.tenants, t)
 	}
-	for n := range clientCount {
-		cl.users = append(cl.users, &clientUser{number: n, zone: cl.rng.IntN(zones)})
-	}
-	return nil
-}
-
-func (r *route) body(service string) body {
-	b := body{
-		"authority":  r.host,
-		"pathPrefix": r.prefix,
-		"routeKind":  "idempotent",
-		"deadlineMs": r.class.deadline.Milliseconds(),
-		"targetMs":   r.class.latencyTarget.Milliseconds(),
-		"priority":   1,
-		"maxTries":   2,
-		"public":     r.public,
-		"backend":    service,
-	}
-	if r.class.atMostOnce {
-		b["routeKind"] = "mutating"
-	}
-	return b
-}
-
-func (r *route) item(service string) item {
-	return item{section: "routes", name: r.name, body: r.body(service)}
-}
-
-func (t *tenant) item() item {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return item{
-		section: "customers",
-		name:    t.name,
-		body:    body{"apiKeys": slices.Clone(t.keys), "priority": 0, "ratePerS": t.rate, "burst": t.burst},
-	}
-}
-
-// initialItems is the items of the operator's initialItems call.
-func (cl *cluster) initialItems() (items []item) {
-	for name := range cl.services {
-		items = append(items, item{section: "services", name: name,
-			body: body{"healthPath": healthPath, "maxConns": maxServerConns, "protocol": "h1", "tlsMode": false}})
-	}
-	for _, c := range cl.classes {
-		for _, r := range cl.live[c] {
-			items = append(items, r.item(c.service))
-		}
-	}
-	for _, t := range cl.tenants {
-		items = append(items, t.item())
-	}
-	return append(items, item{section: "limits",
-		body: body{"maxHeaderBytes": 16384, "maxBodyBytes": 64 << 20, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000}})
 }
--- /dev/null
+++ b/internal/emulator/loopback/errors.go
@@ -0,0 +1,47 @@
+package loopback
+
+import (
+	"errors"
+	"fmt"
+	"time"
+)
+
+// ErrMachineCount is returned for options with no machine of a kind, or too many for the loopback addresses.
+var ErrMachineCount = errors.New("between 1 and 50 core machines, and as many edge machines")
+
+// ErrNoFreePorts is returned when no run of ports was found that is free on the addresses of all machines.
+var ErrNoFreePorts = errors.New("no ports are free on all machines")
+
+// StartupError is returned when the cluster does not serve its first configuration in time.
+type StartupError struct {
+	Problem string // what was waited for, and what came instead
+	Logs    string // the end of each process's log
+}
+
+func (e *StartupError) Error() string { return e.Problem + "\n" + e.Logs }
+
+// notReady is the error of an edge machine that does not become ready.
+func notReady(m *machine, logs string) error {
+	return &StartupError{Problem: fmt.Sprintf("%s was not ready in %v", m.name, startTimeout), Logs: logs}
+}
+
+// ScheduleError is returned for a line of a schedule file that cannot be used.
+type ScheduleError struct {
+	File    string
+	Line    int // from 1
+	Problem string
+}
+
+func (e *ScheduleError) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Problem) }
+
+// UnknownFaultError is returned for a schedule on the command line that names no fault and no file.
+type UnknownFaultError struct {
+	Name string
+}
+
+func (e *UnknownFaultError) Error() string {
+	return fmt.Sprintf("%q is neither a file nor the name of a fault", e.Name)
+}
+
+// startTimeout bounds the wait for all machines to be ready and to serve each route.
+const startTimeout = 25 * time.Second
--- a/internal/emulator/loopback/heartbeats.go
+++ b/internal/emulator/loopback/heartbeats.go
@@ -12,13 +12,55 @@
 	"mulleinrouter/internal/emulator/invariants"
 )
 
-// beats tells the control nodes of it until it ends.
+const (
+	heartbeatTimeout = time.Second            // for an acknowledgement
+	departureTimeout = 6 * time.Second        // for an acknowledgement of a departure; then the server ends without
+	drainMargin      = 300 * time.Millisecond // that a server serves beyond the bound of a drain
+	notifyInterval   = 50 * time.Millisecond  // between two calls to control nodes
+	maxAckBytes      = 4 << 10                // of an acknowledgement
+)
+
+// phase is the state of a server, as PROTOCOL.md names it.
+type phase string
+
+const (
+	phaseServing  phase = "serving"
+	phaseDraining phase = "draining"
+	phaseRemoved  phase = "gone"
+)
+
+// heartbeat is the body of PUT /instances/ID.
+type heartbeat struct {
+	Address  string           `json:"address"`
+	Observed observedState    `json:"observed"`
+	Summary  instanceMetadata `json:"summary"`
+}
+
+type observedState struct {
+	CallSeq         uint64 `json:"callSeq"`
+	SlowStartLeftMs int64  `json:"coldLeftMs"`
+	Phase           phase  `json:"phase"`
+}
+
+type instanceMetadata struct {
+	Backend    string `json:"backend"`
+	Capacity   int    `json:"capacity"` // requests at a time
+	Generation string `json:"generation"`
+	Zone       string `json:"zone"`
+}
+
+// acknowledgement is the body of the answer to a heartbeat.
+type acknowledgement struct {
+	HeartbeatTarget string `json:"beatTarget"` // address for the next heartbeat; empty: any control node
+}
+
+// sendHeartbeats sends heartbeats to the control nodes until the server ends.
 func (s *server) sendHeartbeats() {
 	t := time.NewTicker(s.cluster.options.HeartbeatInterval)
 	defer t.Stop()
 	for {
 		if !s.unresponsive.Load() && !s.draining.Load() {
-			s.notify(http.MethodPut, "serving", heartbeatTimeout)
+			s.notify(http.MethodPut, phaseServing, heartbeatTimeout)
 		}
 		select {
 		case <-s.ctx.Done():
@@ -28,58 +70,65 @@
 	}
 }
 
-// notify calls the control nodes until one acknowledges, for a span; it may ask each a few times.
-func (s *server) notify(method, phase string, most time.Duration) (acked bool) {
-	until := time.Now().Add(most)
+// notify calls the control nodes in turn until one acknowledges, or the timeout is over.
+func (s *server) notify(method string, p phase, timeout time.Duration) (acknowledged bool) {
+	cl := s.cluster
+	until := time.Now().Add(timeout)
 	s.mu.Lock()
-	first := s.heartbeatTarget
-	at := s.rng.IntN(len(s.cluster.core))
+	preferred := s.heartbeatTarget
+	first := s.rng.IntN(len(cl.core))
 	s.mu.Unlock()
 	for n := 0; ; n++ {
-		addr := s.cluster.core[(at+n)%len(s.cluster.core)].address(s.cluster.ports.control)
-		if n == 0 && first != "" {
-			addr = first
+		addr := cl.coreAt(first + n).address(cl.ports.control)
+		if n == 0 && preferred != "" {
+			addr = preferred
 		}
-		by, target, ok := s.callControl(addr, method, phase)
-		s.mu.Lock()
+		node, target, ok := s.callControl(addr, method, p)
 		if ok {
-			s.heartbeatTarget = target
-		} else if addr == first {
-			s.heartbeatTarget = ""
-		}
-		s.mu.Unlock()
-		if ok {
-			if phase != "serving" {
-				s.cluster.recorder.departure(invariants.Departure{Instance: s.id, At: s.cluster.now(), By: by})
+			s.setHeartbeatTarget(target)
+			if p != phaseServing {
+				cl.recorder.departure(invariants.Departure{Instance: s.id, At: cl.now(), By: node})
 			}
 			return true
 		}
+		if addr == preferred {
+			s.setHeartbeatTarget("")
+		}
 		if time.Now().After(until) || s.ctx.Err() != nil {
 			return false
 		}
-		s.cluster.sleep(50 * time.Millisecond)
+		cl.sleep(notifyInterval)
 	}
 }
 
-// callControl makes one callControl; by names the machine that acknowledged.
-func (s *server) callControl(addr, method, phase string) (by, target string, ok bool) {
+func (s *server) setHeartbeatTarget(addr string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.heartbeatTarget = addr
+}
+
+// heartbeatTo sends one heartbeat to one control node.
+func (s *server) heartbeatTo(node *machine) (acknowledged bool) {
+	_, _, ok := s.callControl(node.address(s.cluster.ports.control), http.MethodPut, phaseServing)
+	return ok
+}
+
+// callControl makes one call to a control node. The call may be redirected: node names the machine that acknowledged.
+func (s *server) callControl(addr, method string, p phase) (node, target string, ok bool) {
+	cl := s.cluster
 	var body io.Reader
 	if method == http.MethodPut {
-		seq := s.callSeq.Add(1)
-		slowStart := max(0, slowStartTime-time.Since(s.startedAt))
-		text, _ := json.Marshal(map[string]any{"address": s.addr,
-			"summary":  map[string]any{"backend": s.service, "generation": s.generation, "zone": s.zone, "capacity": s.slots},
-			"observed": map[string]any{"phase": phase, "callSeq": seq, "coldLeftMs": slowStart.Milliseconds()}})
+		text, _ := json.Marshal(s.newHeartbeat(p))
 		body = bytes.NewReader(text)
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, heartbeatTimeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/instances/"+s.id, body)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/instances/"+s.id, body)
 	if err != nil {
 		panic(err) // we have composed it
 	}
-	r.Header.Set("Content-Type", "application/json")
-	answer, err := s.cluster.httpClient.Do(r)
+	request.Header.Set("Content-Type", "application/json")
+	answer, err := cl.httpClient.Do(request)
 	if err != nil {
 		return "", "", false
 	}
@@ -87,26 +136,43 @@
 	text, err := io.ReadAll(io.LimitReader(answer.Body, maxAckBytes+1))
 	if err != nil || len(text) > maxAckBytes || answer.StatusCode/100 != 2 {
 		if answer.StatusCode/100 == 4 {
-			s.cluster.recorder.notef("%s %s of %s got %d: %.100s", method, phase, s.id, answer.StatusCode, text)
+			cl.recorder.notef("%s %s of %s got %d: %.100s", method, p, s.id, answer.StatusCode, text)
 		}
 		return "", "", false
 	}
-	var said struct {
-		BeatTarget string `json:"beatTarget"`
-	}
-	json.Unmarshal(text, &said) // an empty or another body names none
+	var acknowledged acknowledgement
+	json.Unmarshal(text, &acknowledged) // an empty or another body names no target
 	host, _, _ := strings.Cut(answer.Request.URL.Host, ":")
-	return s.cluster.machineName(host), said.BeatTarget, true
+	return cl.machineName(host), acknowledged.HeartbeatTarget, true
+}
+
+// newHeartbeat returns a heartbeat with the next sequence number.
+func (s *server) newHeartbeat(p phase) heartbeat {
+	slowStartLeft := max(0, slowStartTime-time.Since(s.startedAt))
+	return heartbeat{
+		Address: s.addr,
+		Observed: observedState{
+			CallSeq:         s.callSeq.Add(1),
+			SlowStartLeftMs: slowStartLeft.Milliseconds(),
+			Phase:           p,
+		},
+		Summary: instanceMetadata{
+			Backend:    s.service,
+			Capacity:   s.slots,
+			Generation: s.generation,
+			Zone:       s.zone,
+		},
+	}
 }
 
-// depart has it end in order: it says so, serves on, says that it is gone, and ends.
+// depart shuts the server down gracefully: it announces that it drains, serves on, deregisters, and ends.
 func (s *server) depart() {
+	defer s.stop()
 	s.draining.Store(true)
-	if s.notify(http.MethodPut, "draining", departureTimeout) {
-		s.cluster.sleepInTraffic(time.Duration(s.cluster.options.Bounds.Drain*float64(time.Second)) + drainMargin)
-		s.notify(http.MethodDelete, "gone", departureTimeout)
-	} else {
+	if !s.notify(http.MethodPut, phaseDraining, departureTimeout) {
 		s.cluster.recorder.notef("%s: no acknowledgement of its leave", s.id)
+		return
 	}
-	s.stop()
+	s.cluster.sleepInTraffic(seconds(s.cluster.options.Bounds.Drain) + drainMargin)
+	s.notify(http.MethodDelete, phaseRemoved, departureTimeout)
 }
--- /dev/null
+++ b/internal/emulator/loopback/launcher.go
@@ -0,0 +1,37 @@
+package loopback
+
+import (
+	"os/exec"
+	"runtime"
+	"sync"
+)
+
+// launcher starts processes from one thread that lives as long as they do: the kernel kills them when that thread ends
+// (Pdeathsig), so none outlives this process, however it ends.
+type launcher struct {
+	calls   chan func()
+	stopped sync.WaitGroup
+}
+
+func newLauncher() *launcher {
+	l := &launcher{calls: make(chan func())}
+	l.stopped.Go(func() {
+		runtime.LockOSThread()
+		for call := range l.calls {
+			call()
+		}
+	})
+	return l
+}
+
+func (l *launcher) start(cmd *exec.Cmd) error {
+	started := make(chan error, 1)
+	l.calls <- func() { started <- cmd.Start() }
+	return <-started
+}
+
+// close ends the thread; it is called once all processes have ended.
+func (l *launcher) close() {
+	close(l.calls)
+	l.stopped.Wait()
+}
--- a/internal/emulator/loopback/loopback_test.go
+++ b/internal/emulator/loopback/loopback_test.go
@@ -9,13 +9,15 @@
 	"time"
 
 	"github.com/matryer/is"
+
+	"mulleinrouter/internal/race"
 )
 
 // programs builds the three programs.
 func programs(t *testing.T) string {
 	bin := t.TempDir()
 	args := []string{"build", "-o", bin + string(filepath.Separator)}
-	if raceDetector {
+	if race.Enabled {
 		args = append(args, "-race")
 	}
 	root := "mulleinrouter/cmd/"
--- /dev/null
+++ b/internal/emulator/loopback/machinefaults.go
@@ -0,0 +1,130 @@
+package loopback
+
+import (
+	"os"
+	"slices"
+	"sync"
+	"time"
+
+	"mulleinrouter/internal/emulator/invariants"
+)
+
+const (
+	suspendTime  = 4 * time.Second
+	rollInterval = 2 * time.Second // between two machines
+
+	// minCoreForWipe is how many core nodes there have to be for the system to bear the loss of a disk.
+	minCoreForWipe = 3
+)
+
+func (cl *cluster) edgeAt(n int) *machine { return cl.edge[n%len(cl.edge)] }
+func (cl *cluster) coreAt(n int) *machine { return cl.core[n%len(cl.core)] }
+
+// otherCore returns the core nodes but one.
+func (cl *cluster) otherCore(m *machine) []*machine {
+	return slices.DeleteFunc(slices.Clone(cl.core), func(o *machine) bool { return o == m })
+}
+
+func killProxy(cl *cluster, target int) {
+	m := cl.edgeAt(target)
+	m.crash([]*process{m.process(proxyProgram)}, nil)
+}
+
+func killAgent(cl *cluster, target int) {
+	m := cl.edgeAt(target)
+	m.crash([]*process{m.process(agentProgram)}, nil)
+}
+
+func killEdge(cl *cluster, target int) {
+	m := cl.edgeAt(target)
+	m.crash(m.processes, nil)
+}
+
+func killCore(cl *cluster, target int) {
+	m := cl.coreAt(target)
+	m.crash(m.processes, nil)
+}
+
+func killAllCore(cl *cluster, _ int) { cl.blackout(nil) }
+
+func wipeCore(cl *cluster, _ int) {
+	cl.changeRoute(cl.classes[0])
+	m := cl.lastAcknowledger.Load()
+	m.crash(m.processes, m.wipeDisk)
+}
+
+func killAllCoreAndWipe(cl *cluster, _ int) {
+	cl.changeRoute(cl.classes[0])
+	cl.blackout(cl.lastAcknowledger.Load())
+}
+
+func rollCore(cl *cluster, _ int) { cl.roll(cl.core) }
+
+func rollEdge(cl *cluster, _ int) { cl.roll(cl.edge) }
+
+// roll restarts machines one after the other.
+func (cl *cluster) roll(machines []*machine) {
+	for _, m := range machines {
+		m.restart()
+		cl.sleepInTraffic(rollInterval)
+	}
+}
+
+func restartEdge(cl *cluster, target int) { cl.edgeAt(target).restart() }
+
+func retireCore(cl *cluster, target int) { cl.coreAt(target).retire() }
+
+func suspendCore(cl *cluster, target int) { cl.coreAt(target).suspend(suspendTime) }
+
+// wipeDisk empties a machine's disk, if the system has to bear that: it bears the loss of one disk at a time, which
+// lasts until the machine has caught up.
+func (m *machine) wipeDisk() {
+	recorder := &m.cluster.recorder
+	if !m.cluster.beginDiskLoss(m) {
+		recorder.notef("the disk of %s stays: the loss of another is not over", m.name)
+		return
+	}
+	if err := os.RemoveAll(m.diskPath()); err != nil {
+		recorder.notef("%s: %v", m.name, err)
+	}
+	if err := os.MkdirAll(m.diskPath(), 0o700); err != nil {
+		recorder.notef("%s: %v", m.name, err)
+	}
+}
+
+// beginDiskLoss tells whether a machine may lose its disk now, and records that it does.
+func (cl *cluster) beginDiskLoss(m *machine) (bearable bool) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	if len(cl.core) < minCoreForWipe {
+		return false
+	}
+	caughtUp := cl.diskLostAt + cl.options.Bounds.CatchUp + restartDelay.Seconds()
+	if cl.diskLost != nil && cl.diskLost != m && cl.now() <= caughtUp {
+		return false
+	}
+	cl.diskLost = m
+	cl.diskLostAt = cl.now()
+	return true
+}
+
+// blackout kills all core nodes, wipes one disk (nil: none) once all are dead, and starts them again.
+func (cl *cluster) blackout(wiped *machine) {
+	over := cl.recorder.beginFault(invariants.Fault{Machine: "core", Core: true, Majority: true, From: cl.now()})
+	cl.recorder.update(func() { cl.recorder.log.Closing = cl.now() })
+	var dead, back sync.WaitGroup
+	dead.Add(len(cl.core))
+	for _, m := range cl.core {
+		back.Go(func() {
+			m.crash(m.processes, func() {
+				if m == wiped {
+					m.wipeDisk()
+				}
+				dead.Done()
+				dead.Wait()
+			})
+		})
+	}
+	back.Wait()
+	over(cl.now())
+}
--- a/internal/emulator/loopback/process.go
+++ b/internal/emulator/loopback/process.go
@@ -5,64 +5,42 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"runtime"
-	"strconv"
 	"strings"
 	"sync"
 	"syscall"
 	"time"
 )
 
-// process is one program on a machine, over all its lives.
+// Parts of a process's log that are shown, in bytes.
+const (
+	maxLogTail  = 400
+	maxRaceText = 4000 // behind the first line of a race report
+	raceLead    = 30   // before it
+	maxPanic    = 2000
+)
+
+// process is one program on a machine, over all its incarnations.
 type process struct {
-	machine       *machine
+	machine *machine
 	program string
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	done    chan struct{} // closed once this life has ended
-	stopRequested   bool          // this life was told to end
-	noRestart    bool          // it is not to be started again
-	starts  int
-	cpu     time.Duration // of lives that ended
-	peakMemory    int64         // bytes, the most of any life
-	running bool
-}
-
-// launcher starts processes from one thread that lives as long as they: the kernel ends them with it (Pdeathsig),
-// however it dies.
-type launcher struct {
-	calls chan func()
-	over  sync.WaitGroup
-}
-
-func newLauncher() *launcher {
-	l := &launcher{calls: make(chan func())}
-	l.over.Go(func() {
-		runtime.LockOSThread()
-		for call := range l.calls {
-			call()
-		}
-	})
-	return l
-}
-
-func (l *launcher) start(cmd *exec.Cmd) error {
-	expected := make(chan error, 1)
-	l.calls <- func() { expected <- cmd.Start() }
-	return <-expected
-}
-
-func (l *launcher) close() {
-	close(l.calls)
-	l.over.Wait()
+	mu            sync.Mutex    // guards the fields below
+	cmd           *exec.Cmd     // of the latest incarnation
+	done          chan struct{} // closed once this incarnation has ended
+	stopRequested bool          // this incarnation was asked to end
+	noRestart     bool          // it is not to be started again
+	running       bool
+	starts        int
+	cpu           time.Duration // of incarnations that ended
+	peakMemory    int64         // bytes, the maximum over ended incarnations
 }
 
-// start starts a process that is not running. It is started again when it ends by itself.
+// start starts a process that is not running and may still be started. It is started again when it ends by itself.
 func (p *process) start() error {
+	cl := p.machine.cluster
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.running {
+	if p.running || p.noRestart {
 		return nil
 	}
 	log, err := os.OpenFile(p.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -70,92 +48,112 @@
 		return err
 	}
 	defer log.Close()
+	cmd := p.command(log)
+	if err := cl.launcher.start(cmd); err != nil {
+		return fmt.Errorf("%s on %s: %w", p.program, p.machine.name, err)
+	}
+	done := make(chan struct{})
+	p.cmd = cmd
+	p.done = done
+	p.stopRequested = false
+	p.running = true
+	p.starts++
+	if !p.machine.core {
+		cl.recorder.processStart(p.machine.name, cl.now())
+	}
+	cl.background.Go(func() { p.supervise(cmd, done) })
+	return nil
+}
+
+// command returns the command of one incarnation.
+func (p *process) command(log *os.File) *exec.Cmd {
+	cl := p.machine.cluster
 	args := []string{"serve"}
-	if p.machine.cluster.linkFaults && p.program != proxyProgram {
+	if cl.linkFaults && p.program != proxyProgram {
 		args = append(args, "--links", p.machine.linksPath())
 	}
-	cmd := exec.Command(filepath.Join(p.machine.cluster.options.ProgramsDir, p.program), args...)
+	cmd := exec.Command(filepath.Join(cl.options.ProgramsDir, p.program), args...)
 	cmd.Dir = p.machine.dir
 	cmd.Env = []string{
 		"MULLEINROUTER_CONFIG=" + p.machine.settingsPath(p.program),
 		"PATH=" + os.Getenv("PATH"),
 		"HOME=" + os.Getenv("HOME"),
 		"LANG=C",
-		"GORACE=halt_on_error=1",
-	} // for programs that have the race detector in them: a race ends the process
-	cmd.Stdout, cmd.Stderr = log, log
-	// A group of its own: an interrupt from the terminal is for us to pass on.
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	if err := p.machine.cluster.launcher.start(cmd); err != nil {
-		return fmt.Errorf("%s on %s: %w", p.program, p.machine.name, err)
+		"GORACE=halt_on_error=1", // in programs that are built with the race detector, a race ends the process
 	}
-	p.cmd, p.done, p.stopRequested, p.noRestart, p.running = cmd, make(chan struct{}), false, false, true
-	p.starts++
-	if !p.machine.core {
-		p.machine.cluster.recorder.processStart(p.machine.name, p.machine.cluster.now())
-	}
-	go p.supervise(cmd, p.done)
-	return nil
+	cmd.Stdout = log
+	cmd.Stderr = log
+	// A process group of its own: an interrupt from the terminal is for us to pass on.
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	return cmd
 }
 
 func (p *process) logPath() string { return filepath.Join(p.machine.dir, p.program+".log") }
 
-// supervise waits for the end of one life.
-func (p *process) supervise(cmd *exec.Cmd, done chan struct{}) {
+func (p *process) String() string { return p.program + " on " + p.machine.name }
+
+// supervise waits for the end of one incarnation, and starts the next one if it ended by itself.
+func (p *process) supervise(cmd *exec.Cmd, done chan<- struct{}) {
+	cl := p.machine.cluster
 	err := cmd.Wait()
 	p.mu.Lock()
 	p.running = false
 	p.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
-	asked, hold := p.stopRequested, p.noRestart
+	expected := p.stopRequested || p.noRestart
 	p.mu.Unlock()
 	close(done)
-	if asked || hold {
+	if expected {
 		return
 	}
-	p.machine.cluster.recorder.exit(p.program+" on "+p.machine.name, p.machine.cluster.now(), fmt.Sprintf("%v: %s", err, p.logTail()))
-	select {
-	case <-p.machine.cluster.traffic.Done():
-	case <-time.After(restartDelay):
+	cl.recorder.exit(p.String(), cl.now(), fmt.Sprintf("%v: %s", err, p.logTail()))
+	if cl.sleepInTraffic(restartDelay) {
 		p.start()
 	}
 }
 
-// logTail is the end of its log.
+// logTail returns the end of the process's log, or the report of a race or a panic in it.
 func (p *process) logTail() string {
-	text, _ := os.ReadFile(p.logPath())
-	if at := strings.Index(string(text), "DATA RACE"); at >= 0 {
-		return string(text[max(0, at-30):min(len(text), at+4000)])
+	content, _ := os.ReadFile(p.logPath())
+	text := string(content)
+	if at := strings.Index(text, "DATA RACE"); at >= 0 {
+		return text[max(0, at-raceLead):min(len(text), at+maxRaceText)]
 	}
-	if at := strings.LastIndex(string(text), "panic:"); at >= 0 {
-		return string(text[at:min(len(text), at+2000)])
+	if at := strings.LastIndex(text, "panic:"); at >= 0 {
+		return text[at:min(len(text), at+maxPanic)]
 	}
-	return strings.TrimSpace(string(text[max(0, len(text)-maxLogTail):]))
+	return strings.TrimSpace(text[max(0, len(text)-maxLogTail):])
 }
 
-// signal sends a signal to the life that runs; asked says that its end is wanted.
-func (p *process) signal(s syscall.Signal, asked bool) (done <-chan struct{}) {
+// signal sends a signal to the incarnation that runs; stop says that the signal is to end it.
+func (p *process) signal(s syscall.Signal, stop bool) (done <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		stopped := make(chan struct{})
-		close(stopped)
-		return stopped
+		ended := make(chan struct{})
+		close(ended)
+		return ended
 	}
 	if p.running {
-		if asked { // Rusage would tell the memory of this process here, from before the child's exec
-			_, peak := readUsage(p.cmd.Process.Pid)
-			p.peakMemory = max(p.peakMemory, peak)
+		if stop { // the child's Rusage would state the memory of this process, from before the exec
+			p.peakMemory = max(p.peakMemory, readUsage(p.cmd.Process.Pid).peakMemory)
 		}
-		p.stopRequested = p.stopRequested || asked
+		p.stopRequested = p.stopRequested || stop
 		p.cmd.Process.Signal(s)
 	}
 	return p.done
 }
 
+// preventRestart has the process stay down once it ends.
+func (p *process) preventRestart() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.noRestart = true
+}
+
 func (p *process) kill() { <-p.signal(syscall.SIGKILL, true) }
 
-// terminate sends SIGTERM, and SIGKILL after the grace, as the platform does; late tells that it came to that.
-func (p *process) terminate(grace time.Duration) (late bool) {
+// terminate sends SIGTERM, and SIGKILL after the grace period, as the platform does; killed tells that it came to that.
+func (p *process) terminate(grace time.Duration) (killed bool) {
 	done := p.signal(syscall.SIGTERM, true)
 	select {
 	case <-done:
@@ -166,35 +164,20 @@
 	return false
 }
 
-// usage is what all its lives used.
-func (p *process) usage() (cpu time.Duration, peak int64, starts int) {
+// noteKilled notes that the process had to be killed after the grace period.
+func (p *process) noteKilled() {
+	p.machine.cluster.recorder.notef("%v did not end within the grace after SIGTERM", p)
+}
+
+// usage returns what all incarnations used.
+func (p *process) usage() ProcessUsage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	cpu, peak = p.cpu, p.peakMemory
+	total := ProcessUsage{Process: p.String(), CPU: p.cpu, PeakMemory: p.peakMemory, Starts: p.starts}
 	if p.running {
-		c, m := readUsage(p.cmd.Process.Pid)
-		cpu, peak = cpu+c, max(peak, m)
-	}
-	return cpu, peak, p.starts
-}
-
-// readUsage reads from /proc what a process used: processor time, and the most memory that was resident.
-func readUsage(pid int) (cpu time.Duration, peak int64) {
-	dir := "/proc/" + strconv.Itoa(pid)
-	if b, err := os.ReadFile(dir + "/stat"); err == nil {
-		_, rest, _ := strings.Cut(string(b), ") ")
-		if f := strings.Fields(rest); len(f) > 12 {
-			user, _ := strconv.ParseInt(f[11], 10, 64)
-			system, _ := strconv.ParseInt(f[12], 10, 64)
-			cpu = time.Duration(user+system) * (time.Second / 100) // the kernel counts in hundredths
-		}
-	}
-	if b, err := os.ReadFile(dir + "/status"); err == nil {
-		_, rest, _ := strings.Cut(string(b), "VmHWM:")
-		if f := strings.Fields(rest); len(f) > 0 {
-			kb, _ := strconv.ParseInt(f[0], 10, 64)
-			peak = kb * 1024
-		}
+		current := readUsage(p.cmd.Process.Pid)
+		total.CPU += current.cpu
+		total.PeakMemory = max(total.PeakMemory, current.peakMemory)
 	}
-	return cpu, peak
+	return total
 }
--- a/internal/emulator/loopback/recorder.go
+++ b/internal/emulator/loopback/recorder.go
@@ -7,82 +7,98 @@
 	"mulleinrouter/internal/emulator/invariants"
 )
 
-// recorder collects what is seen, from all goroutines.
+// recorder collects what is observed, from all goroutines. An entry may change until the run is over, under the
+// recorder's lock only (update).
 type recorder struct {
-	mu       sync.Mutex
+	mu       sync.Mutex // guards the fields below and the entries that they point to
 	log      invariants.Log
 	attempts []*invariants.Attempt
 	arrivals []*invariants.Arrival
 	versions []*invariants.Version
 	faults   []*invariants.Fault
-	notes    []string
+	notes    []string // for people
 }
 
-// update runs what changes an entry.
-func (b *recorder) update(change func()) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// update calls a function that changes an entry.
+func (r *recorder) update(change func()) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	change()
 }
 
-func (b *recorder) arrival(a *invariants.Arrival) {
-	b.update(func() { b.arrivals = append(b.arrivals, a) })
+func (r *recorder) arrival(a *invariants.Arrival) {
+	r.update(func() { r.arrivals = append(r.arrivals, a) })
 }
-func (b *recorder) attempt(t *invariants.Attempt) {
-	b.update(func() { b.attempts = append(b.attempts, t) })
+
+func (r *recorder) attempt(t *invariants.Attempt) {
+	r.update(func() { r.attempts = append(r.attempts, t) })
+}
+
+func (r *recorder) version(v *invariants.Version) {
+	r.update(func() { r.versions = append(r.versions, v) })
+}
+
+func (r *recorder) departure(d invariants.Departure) {
+	r.update(func() { r.log.Departures = append(r.log.Departures, d) })
 }
-func (b *recorder) version(v *invariants.Version) {
-	b.update(func() { b.versions = append(b.versions, v) })
+
+func (r *recorder) configRead(read invariants.ConfigRead) {
+	r.update(func() { r.log.ConfigReads = append(r.log.ConfigReads, read) })
 }
-func (b *recorder) departure(l invariants.Departure) {
-	b.update(func() { b.log.Departures = append(b.log.Departures, l) })
+
+func (r *recorder) partition(p invariants.Partition) {
+	r.update(func() { r.log.Partitions = append(r.log.Partitions, p) })
 }
-func (b *recorder) configRead(r invariants.ConfigRead) {
-	b.update(func() { b.log.ConfigReads = append(b.log.ConfigReads, r) })
+
+func (r *recorder) controlAnswer(a invariants.ControlAnswer) {
+	r.update(func() { r.log.ControlAnswers = append(r.log.ControlAnswers, a) })
 }
-func (b *recorder) processStart(machine string, at invariants.Seconds) {
-	b.update(func() {
-		b.log.ProcessStarts = append(b.log.ProcessStarts, invariants.ProcessStart{Machine: machine, At: at})
-	})
+
+func (r *recorder) processStart(machine string, at invariants.Seconds) {
+	start := invariants.ProcessStart{Machine: machine, At: at}
+	r.update(func() { r.log.ProcessStarts = append(r.log.ProcessStarts, start) })
 }
-func (b *recorder) termination(machine string, at invariants.Seconds) {
-	b.update(func() {
-		b.log.Terminations = append(b.log.Terminations, invariants.Termination{Machine: machine, At: at})
-	})
+
+func (r *recorder) termination(machine string, at invariants.Seconds) {
+	termination := invariants.Termination{Machine: machine, At: at}
+	r.update(func() { r.log.Terminations = append(r.log.Terminations, termination) })
 }
 
-// beginFault notes beginFault that lasts until over is called, for ever if it is not.
-func (b *recorder) beginFault(t invariants.Fault) (over func(invariants.Seconds)) {
-	t.To = invariants.Never
-	b.update(func() { b.faults = append(b.faults, &t) })
-	return func(at invariants.Seconds) { b.update(func() { t.To = at }) }
+// beginFault records a fault that lasts until over is called; for ever if it is not.
+func (r *recorder) beginFault(f invariants.Fault) (over func(invariants.Seconds)) {
+	f.To = invariants.Never
+	r.update(func() { r.faults = append(r.faults, &f) })
+	return func(at invariants.Seconds) { r.update(func() { f.To = at }) }
 }
 
-// exit notes that a process ended by itself. RULES bears that in some times of trouble; here it never passes.
-func (b *recorder) exit(process string, at invariants.Seconds, text string) {
-	b.update(func() { b.log.Exits = append(b.log.Exits, invariants.Exit{Process: process, At: at, Text: text}) })
+// exit records that a process ended by itself. The operators' RULES.md allows that in some faults; here it always
+// violates a rule.
+func (r *recorder) exit(process string, at invariants.Seconds, text string) {
+	exit := invariants.Exit{Process: process, At: at, Text: text}
+	r.update(func() { r.log.Exits = append(r.log.Exits, exit) })
 }
 
-func (b *recorder) notef(format string, args ...any) {
-	b.update(func() { b.notes = append(b.notes, fmt.Sprintf(format, args...)) })
+// notef adds a note for people to the report.
+func (r *recorder) notef(format string, args ...any) {
+	r.update(func() { r.notes = append(r.notes, fmt.Sprintf(format, args...)) })
 }
 
-// snapshot is a copy of all that is in the book.
-func (b *recorder) snapshot() *invariants.Log {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	l := b.log
-	for _, t := range b.attempts {
+// snapshot returns a copy of all entries.
+func (r *recorder) snapshot() *invariants.Log {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	l := r.log
+	for _, t := range r.attempts {
 		l.Attempts = append(l.Attempts, *t)
 	}
-	for _, a := range b.arrivals {
+	for _, a := range r.arrivals {
 		l.Arrivals = append(l.Arrivals, *a)
 	}
-	for _, v := range b.versions {
+	for _, v := range r.versions {
 		l.Versions = append(l.Versions, *v)
 	}
-	for _, t := range b.faults {
-		l.Faults = append(l.Faults, *t)
+	for _, f := range r.faults {
+		l.Faults = append(l.Faults, *f)
 	}
 	return &l
 }
--- a/internal/emulator/loopback/report.go
+++ b/internal/emulator/loopback/report.go
@@ -3,165 +3,117 @@
 import (
 	"cmp"
 	"fmt"
-	"io"
-	"maps"
 	"slices"
-	"text/tabwriter"
 	"time"
 
 	"mulleinrouter/internal/emulator/invariants"
 )
 
-// Report is what a play came to.
+// Report is the result of a run.
 type Report struct {
-	Violations []invariants.Violation
-	Classes     []ClassResult
-	Processes     []ProcessUsage
-	Notes    []string
-	Dir      string             // settings, disks and logs
-	TrafficStart     invariants.Seconds // when the traffic began; the times of Breaches count from the start of the play
-	ChangeP99   invariants.Seconds // of the operator's calls
-	HealthChecks   int64              // of health, at servers
-	Arrivals int                // at servers
-	OwnAnswers  map[string]int     // of the system's own, by status and text: of each try, not only the last
+	Violations   []invariants.Violation
+	Classes      []ClassResult // the class with the most requests first
+	Processes    []ProcessUsage
+	Notes        []string
+	Dir          string             // settings, disks and logs
+	TrafficStart invariants.Seconds // since the start of the run, as are the times of Violations
+	ChangeP99    invariants.Seconds // from a call of the operator to its acknowledgement
+	HealthChecks int64              // that servers received
+	Arrivals     int                // requests that servers received, other than health checks
+	OwnAnswers   map[string]int     // answers that no server gave, by status and text: of all attempts
 }
 
-// ClassResult is a class of requests. A request counts once, by how its last try ended.
+// ClassResult counts the requests of one class. A request counts once, by how its last attempt ended.
 type ClassResult struct {
-	Class                    string
-	Requests, Served, InTime int
-	Refused                  int                // by a promise
-	Failed                   map[string]int     // by how
-	P50, P99                 invariants.Seconds // of the served
+	Class    string
+	Requests int
+	Served   int
+	InTime   int                // served within the latency target
+	Rejected int                // answered with a proof that they were not executed
+	Failed   map[string]int     // the others, by status or ending
+	P50      invariants.Seconds // latency of the served
+	P99      invariants.Seconds // latency of the served
 }
 
-// ProcessUsage is what a process used over all its lives.
+// ProcessUsage is what a process used over all its incarnations.
 type ProcessUsage struct {
-	Process string
-	CPU     time.Duration
-	PeakMemory    int64 // bytes
-	Starts  int
+	Process    string
+	CPU        time.Duration
+	PeakMemory int64 // bytes
+	Starts     int
 }
 
-// report is what can be told while the processes still run.
-func (cl *cluster) report() *Report {
+// usageReport returns the part of the report that needs the processes to run.
+func (cl *cluster) usageReport() *Report {
 	r := &Report{Dir: cl.options.Dir, TrafficStart: cl.trafficStart}
-	for _, m := range slices.Concat(cl.core, cl.edge) {
+	for _, m := range cl.machines() {
 		for _, p := range m.processes {
-			cpu, peak, starts := p.usage()
-			r.Processes = append(r.Processes, ProcessUsage{p.program + " on " + m.name, cpu, peak, starts})
+			r.Processes = append(r.Processes, p.usage())
 		}
 	}
 	return r
 }
 
-// judge adds what needs the whole log.
-func (r *Report) evaluate(f *cluster) {
-	l := f.recorder.snapshot()
-	l.Bounds = f.options.Bounds
-	for _, m := range f.edge {
+// evaluate adds the part of the report that needs the complete log: all goroutines of the run have ended.
+func (r *Report) evaluate(cl *cluster) {
+	l := cl.recorder.snapshot()
+	l.Bounds = cl.options.Bounds
+	for _, m := range cl.edge {
 		l.Edges = append(l.Edges, m.name)
 	}
 	r.Violations = invariants.Check(l)
-	r.Arrivals, r.HealthChecks = len(l.Arrivals), f.healthChecks.Load()
-	r.ChangeP99 = quantile(f.changeLatencies.values, 0.99)
-	r.Notes, r.OwnAnswers = f.recorder.notes, f.ownAnswers
-	rows := map[string]*ClassResult{}
-	times := map[string][]float64{}
-	for _, t := range l.Attempts {
+	r.Arrivals = len(l.Arrivals)
+	r.HealthChecks = cl.healthChecks.Load()
+	r.ChangeP99 = quantile(cl.changeLatencies.values, 0.99)
+	r.Notes = cl.recorder.notes
+	r.OwnAnswers = cl.ownAnswers
+	r.Classes = countByClass(l.Attempts)
+}
+
+// countByClass counts the requests that ended, without canaries.
+func countByClass(attempts []invariants.Attempt) []ClassResult {
+	results := map[string]*ClassResult{}
+	served := map[string][]float64{}
+	for n := range attempts {
+		t := &attempts[n]
 		if t.Probe || !t.Last {
 			continue
 		}
-		row := rows[t.Class]
-		if row == nil {
-			row = &ClassResult{Class: t.Class, Failed: map[string]int{}}
-			rows[t.Class] = row
-		}
-		row.Requests++
-		switch took := t.Done - t.FirstSent; {
-		case t.End != invariants.Answered:
-			row.Failed[t.End.String()]++
-		case t.Status/100 == 2:
-			row.Served++
-			if took <= t.LatencyTarget {
-				row.InTime++
-			}
-			times[t.Class] = append(times[t.Class], took)
-		case t.Status == 429 || t.Status == 503 || t.Status == 408 || t.Status == 421:
-			row.Refused++
-		default:
-			row.Failed[fmt.Sprint(t.Status)]++
+		result := results[t.Class]
+		if result == nil {
+			result = &ClassResult{Class: t.Class, Failed: map[string]int{}}
+			results[t.Class] = result
 		}
-	}
-	for name, row := range rows {
-		row.P50, row.P99 = quantile(times[name], 0.5), quantile(times[name], 0.99)
-		r.Classes = append(r.Classes, *row)
-	}
-	slices.SortFunc(r.Classes, func(a, b ClassResult) int { return cmp.Compare(b.Requests, a.Requests) })
-}
-
-const maxShown = 5 // breaches of one rule
-
-// Write writes it for people.
-func (r *Report) Write(w io.Writer) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "class\trequests\tserved\tin time\trefused\tfailed\tp50 ms\tp99 ms")
-	for _, row := range r.Classes {
-		failed := ""
-		for _, how := range slices.Sorted(maps.Keys(row.Failed)) {
-			failed += fmt.Sprintf("%s %d ", how, row.Failed[how])
+		if result.count(t) {
+			served[t.Class] = append(served[t.Class], t.Done-t.FirstSent)
 		}
-		fmt.Fprintf(
-			t,
-			"%s\t%d\t%d\t%d\t%d\t%s\t%.0f\t%.0f\n",
-			row.Class,
-			row.Requests,
-			row.Served,
-			row.InTime,
-			row.Refused,
-			cmp.Or(failed, "-"),
-			1000*row.P50,
-			1000*row.P99,
-		)
-	}
-	fmt.Fprintln(t, "\nprocess\tCPU ms\tpeak MB\tlives")
-	for _, u := range r.Processes {
-		fmt.Fprintf(t, "%s\t%d\t%.1f\t%d\n", u.Process, u.CPU.Milliseconds(), float64(u.PeakMemory)/(1<<20), u.Starts)
 	}
-	t.Flush()
-	fmt.Fprintf(
-		w,
-		"\n%d arrivals at servers, %d probes of health, operator's calls p99 %.0f ms\n",
-		r.Arrivals,
-		r.HealthChecks,
-		1000*r.ChangeP99,
-	)
-	for _, text := range slices.Sorted(maps.Keys(r.OwnAnswers)) {
-		fmt.Fprintf(w, "%d times an answer of the system's own: %s\n", r.OwnAnswers[text], text)
+	var list []ClassResult
+	for name, result := range results {
+		result.P50 = quantile(served[name], 0.5)
+		result.P99 = quantile(served[name], 0.99)
+		list = append(list, *result)
 	}
-	for _, n := range r.Notes {
-		fmt.Fprintln(w, "note:", n)
-	}
-	return r.WriteViolations(w)
+	slices.SortFunc(list, func(a, b ClassResult) int { return cmp.Compare(b.Requests, a.Requests) })
+	return list
 }
 
-// WriteViolations writes the rules that were broken, the first instances of each.
-func (r *Report) WriteViolations(w io.Writer) error {
-	if len(r.Violations) == 0 {
-		_, err := fmt.Fprintln(w, "rules broken: none")
-		return err
-	}
-	n := map[string]int{}
-	for _, b := range r.Violations {
-		n[b.Rule]++
-	}
-	fmt.Fprintln(w, "rules broken:")
-	shown := map[string]int{}
-	for _, b := range r.Violations {
-		if shown[b.Rule]++; shown[b.Rule] <= maxShown {
-			fmt.Fprintf(w, "  %s (%d) at %.2f s: %s\n", b.Rule, n[b.Rule], b.At-r.TrafficStart, b.Text)
+// count counts a request by its last attempt, and tells whether it was served.
+func (c *ClassResult) count(t *invariants.Attempt) (served bool) {
+	c.Requests++
+	switch {
+	case t.End != invariants.Answered:
+		c.Failed[t.End.String()]++
+	case t.Status/100 == 2:
+		c.Served++
+		if t.Done-t.FirstSent <= t.LatencyTarget {
+			c.InTime++
 		}
+		return true
+	case isRejected(t):
+		c.Rejected++
+	default:
+		c.Failed[fmt.Sprint(t.Status)]++
 	}
-	_, err := fmt.Fprintln(w, "logs are in", r.Dir)
-	return err
+	return false
 }
