--- a/cmd/emulator/try.go
+++ b/cmd/emulator/try.go
@@ -14,8 +14,16 @@
 	"mulleinrouter/internal/emulator/loopback"
 )
 
-// tryCmd plays the three programs on this box, with stand-ins around them.
-type tryCmd struct {
+const (
+	// trafficDelay is how long after the machines the traffic begins, at least.
+	trafficDelay = 8 * time.Second
+
+	// With --brisk, the machines get less time.
+	briskTrafficDelay      = 3 * time.Second
+	briskHeartbeatInterval = 500 * time.Millisecond
+)
+
+type tryCommand struct {
 	Core   int           `default:"3" help:"Control nodes."`
 	Edge   int           `default:"3" help:"Edge machines, each with a proxy and an agent."`
 	For    time.Duration `default:"30s" help:"How long there is traffic."`
@@ -27,34 +35,28 @@
 	List   bool          `help:"List the faults, and do nothing else."`
 }
 
-func (c *tryCmd) Run(logger log.Logger) error {
-	if c.List {
-		for _, kind := range loopback.FaultKinds() {
-			fmt.Printf("%-14s %s\n", kind.Name, kind.Help)
-		}
+// Run runs the cluster, checks the invariants and prints the report. The folder of the logs stays if that fails.
+func (t *tryCommand) Run(logger log.Logger) error {
+	if t.List {
+		listFaults()
 		return nil
 	}
-	schedule, err := loopback.ParseSchedule(c.Faults, c.For, c.Seed)
+	schedule, err := loopback.ParseSchedule(t.Faults, t.For, t.Seed)
 	if err != nil {
-		return unusable{err}
+		return unusableFileError{err}
 	}
 	dir, err := os.MkdirTemp("", "emulator-try-")
 	if err != nil {
 		return err
 	}
-	o := loopback.Options{CoreMachines: c.Core, EdgeMachines: c.Edge, TrafficTime: c.For, Faults: schedule, Seed: c.Seed, ProgramsDir: c.Bin, Load: c.Load,
-		WarmUp: 8 * time.Second, Dir: dir}
-	if c.Brisk {
-		o.WarmUp = 3 * time.Second
-		o.Bounds = loopback.FastBounds()
-		o.HeartbeatInterval = 500 * time.Millisecond
-	}
-	for _, x := range schedule {
-		logger.Log("msg", "fault planned", "at", x.At, "name", x.Name, "target", x.Target)
+	for _, fault := range schedule {
+		logger.Log("msg", "fault planned", "at", fault.At, "name", fault.Name, "target", fault.Target)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	report, err := loopback.Run(ctx, o)
+	options := t.options(dir)
+	options.Faults = schedule
+	report, err := loopback.Run(ctx, options)
 	if err != nil {
 		return fmt.Errorf("%w\nlogs are in %s", err, dir)
 	}
@@ -68,3 +70,29 @@
 	}
 	return os.RemoveAll(dir)
 }
+
+// options returns the cluster's options but for the faults.
+func (t *tryCommand) options(dir string) loopback.Options {
+	o := loopback.Options{
+		CoreMachines: t.Core,
+		EdgeMachines: t.Edge,
+		TrafficTime:  t.For,
+		Seed:         t.Seed,
+		ProgramsDir:  t.Bin,
+		Load:         t.Load,
+		WarmUp:       trafficDelay,
+		Dir:          dir,
+	}
+	if t.Brisk {
+		o.WarmUp = briskTrafficDelay
+		o.Bounds = loopback.FastBounds()
+		o.HeartbeatInterval = briskHeartbeatInterval
+	}
+	return o
+}
+
+func listFaults() {
+	for _, kind := range loopback.FaultKinds() {
+		fmt.Printf("%-14s %s\n", kind.Name, kind.Help)
+	}
+}
--- a/internal/emulator/costmodel/meter.go
+++ b/internal/emulator/costmodel/meter.go
@@ -2,213 +2,127 @@
 
 import (
 	"bufio"
-	"math"
 	"os"
 	"runtime"
 	"runtime/debug"
-	"slices"
 	"strings"
-	"syscall"
 	"time"
 )
 
-// meter measures in this process. Nothing else may run in it meanwhile.
+// meter measures in this process and collects the series. Nothing else may run in the process meanwhile.
 type meter struct {
-	part int // sizes are so many times smaller, and operations fewer
-	tell func(*Series)
-	out  []Series
-	err  error
+	divisor int // of sizes and of the number of operations
+	report  func(*Series)
+	series  []Series
+	err     error // the first
 }
 
-// litterMost is how many bytes may be allocated while the collector is off, until it is called between two
-// measurements.
-const litterMost = 256 << 20
-
-// repeats is how often an operation is measured at each size; the least counts, for what disturbs only ever adds.
-const repeats = 9
-
-// leastOps is how many operations are measured at once at least, where so many are prepared: the clock shows
-// microseconds, and one may take less.
-const leastOps = 32
+// preparationGCPercent is the collector's target while the state to be measured is made. Measurements call the
+// collector themselves.
+const preparationGCPercent = 400
+
+// measurements are taken in this order, which is that of the series in a run.
+var measurements = []func(*meter){
+	measureStateMemory,
+	measureChanges,
+	measureSnapshots,
+	measureFrames,
+	measureHeartbeats,
+	measureCounters,
+	measureGateway,
+	measureConsensus,
+	measureDisk,
+	measureCollector,
+}
 
-// Measure takes all series, and tells of each as it is known. With a part above 1 sizes are so many times
-// smaller: to see that it works. Errors name a series that could not be measured.
-func Measure(part int, tell func(*Series)) (*Run, error) {
-	m := &meter{part: max(1, part), tell: tell}
-	// The machines run one thread at a time; with more, idle processors would join the collector and be counted.
+// Measure takes all series, and calls report with each as soon as it is fitted; report may be nil. Sizes are divided by
+// divisor; above 1 the run shows only that everything works, and its figures are not for planning. The error is the
+// first that a series met, often a FitError; the run then holds the other series.
+func Measure(divisor int, report func(*Series)) (*Run, error) {
+	m := &meter{divisor: max(1, divisor), report: report}
+	// What is measured runs on one thread; with more, idle processors would help the collector and be counted.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	defer debug.SetGCPercent(debug.SetGCPercent(400)) // for making what is measured: measurements collect by themselves
+	defer debug.SetGCPercent(debug.SetGCPercent(preparationGCPercent))
 	command := "emulator slopes"
-	if m.part > 1 {
+	if m.divisor > 1 {
 		command += " --quick"
 	}
-	r := &Run{
+	run := &Run{
 		Date:      time.Now().UTC().Format(time.DateOnly),
 		Go:        runtime.Version(),
-		Processor: processor(),
+		Processor: processorName(),
 		Cores:     runtime.NumCPU(),
 		Command:   command,
 	}
-	for _, part := range []func(*meter){memories, changes, newcomers, words, counters, gateways, choices, collections} {
-		part(m)
+	for _, measure := range measurements {
+		measure(m)
 	}
-	r.Series = m.out
-	return r, m.err
+	run.Series = m.series
+	return run, m.err
 }
 
-// processor is the name of the machine's processor.
-func processor() string {
-	f, err := os.Open("/proc/cpuinfo")
+// processorName returns the model name of the machine's processor, or "unknown".
+func processorName() string {
+	const unknown = "unknown"
+	file, err := os.Open("/proc/cpuinfo")
 	if err != nil {
-		return "unknown"
+		return unknown
 	}
-	defer f.Close()
-	for s := bufio.NewScanner(f); s.Scan(); {
-		if name, ok := strings.CutPrefix(s.Text(), "model name"); ok {
+	defer file.Close()
+	for lines := bufio.NewScanner(file); lines.Scan(); {
+		name, found := strings.CutPrefix(lines.Text(), "model name")
+		if found {
 			return strings.TrimSpace(strings.TrimPrefix(strings.TrimSpace(name), ":"))
 		}
 	}
-	return "unknown"
+	return unknown
 }
 
-// sizes are the sizes of a measurement, the one that is held back last.
-func (m *meter) sizes(of ...int) []int {
-	if m.part == 1 {
-		return of
+// The smallest size that division leaves, and by how much it grows to the next: sizes must differ to be fitted.
+const (
+	minDividedSize  = 20
+	dividedSizeStep = 3
+)
+
+// sizes divides the sizes of a series. The last is the one of the holdout.
+func (m *meter) sizes(planned []int) []int {
+	if m.divisor == 1 {
+		return planned
 	}
-	small := make([]int, len(of))
-	for i, n := range of {
-		small[i] = max(3*i+20, n/m.part)
+	divided := make([]int, len(planned))
+	for n, size := range planned {
+		divided[n] = max(minDividedSize+dividedSizeStep*n, size/m.divisor)
 	}
-	return small
+	return divided
 }
 
-// add keeps a series once it is fitted.
-func (m *meter) add(s Series, points []Point) {
+// addSeries fits a series to its points, of which the last is the holdout, and keeps it.
+func (m *meter) addSeries(s Series, points []Point) {
 	last := len(points) - 1
-	s.Points, s.HeldOut = points[:last], points[last]
+	s.Points, s.Holdout = points[:last], points[last]
 	if err := s.Fit(); err != nil {
-		if m.err == nil {
-			m.err = err
-		}
+		m.fail(err)
 		return
 	}
-	m.out = append(m.out, s)
-	if m.tell != nil {
-		m.tell(&s)
-	}
-}
-
-// live is the heap that is in use, in bytes.
-func live() float64 {
-	runtime.GC()
-	runtime.GC() // what finalizers and pools held goes with the second
-	var s runtime.MemStats
-	runtime.ReadMemStats(&s)
-	return float64(s.HeapAlloc)
-}
-
-// memory measures the live heap of what build makes upon a base, which is not counted.
-func (m *meter) memory(s Series, base func(n int) any, build func(base any, n int) any, sizes ...int) {
-	s.Unit = "B"
-	var points []Point
-	for _, n := range m.sizes(sizes...) {
-		var below any
-		if base != nil {
-			below = base(n)
-		}
-		before := live()
-		x := build(below, n)
-		points = append(points, Point{N: float64(n), Y: live() - before})
-		runtime.KeepAlive(below)
-		runtime.KeepAlive(x)
-	}
-	m.add(s, points)
-}
-
-// used is the processor time that this process has taken, of its own and of the system for it, in seconds.
-func used() float64 {
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
-		return math.NaN()
-	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano()).Seconds()
-}
-
-// task is an operation that is measured several times, and the least that was found.
-type task struct {
-	do   func(i int) // i never repeats
-	ops  int         // that are measured at once
-	next int
-	best Point
-}
-
-// once measures the processor time of one operation, and the bytes that it allocates. The collector is off meanwhile;
-// what it costs for these bytes is a series of its own.
-func (t *task) once() {
-	defer debug.SetGCPercent(debug.SetGCPercent(-1))
-	if t.next == 0 {
-		t.do(0) // caches and pools are filled
-		t.next++
-		t.best = Point{N: t.best.N, Y: math.Inf(1), Alloc: math.Inf(1)}
-	}
-	var before, after runtime.MemStats
-	runtime.ReadMemStats(&before)
-	at := used()
-	for range t.ops {
-		t.do(t.next)
-		t.next++
+	m.series = append(m.series, s)
+	if m.report != nil {
+		m.report(&s)
 	}
-	took := (used() - at) / float64(t.ops)
-	runtime.ReadMemStats(&after)
-	t.best.Y = min(t.best.Y, took)
-	t.best.Alloc = min(t.best.Alloc, float64(after.TotalAlloc-before.TotalAlloc)/float64(t.ops))
 }
 
-// cpu measures the processor time of an operation at several sizes, in rounds: what disturbs for a while does not
-// disturb one size alone. prepare gives the operation.
-func (m *meter) cpu(s Series, ops int, prepare func(n int) func(i int), sizes ...int) {
-	s.Unit = "s"
-	var tasks []*task
-	for _, n := range m.sizes(sizes...) {
-		tasks = append(tasks, &task{do: prepare(n), ops: min(ops, max(leastOps, ops/m.part)), best: Point{N: float64(n)}})
+// fail keeps the first error.
+func (m *meter) fail(err error) {
+	if m.err == nil {
+		m.err = err
 	}
-	m.add(s, rounds(tasks))
 }
 
-func rounds(tasks []*task) (points []Point) {
-	runtime.GC()
-	litter := 0.0
-	for range repeats {
-		for _, t := range tasks {
-			t.once()
-			if litter += t.best.Alloc * float64(t.ops); litter > litterMost {
-				runtime.GC()
-				litter = 0
-			}
-		}
-	}
-	for _, t := range tasks {
-		points = append(points, t.best)
-	}
-	return points
-}
-
-// bytes measures how long something is.
-func (m *meter) bytes(s Series, size func(n int) int, sizes ...int) {
-	s.Unit = "B"
+// measureBytes takes a series of encoded lengths. They are the same at each run, so their sizes are not divided.
+func (m *meter) measureBytes(s Series, sizes []int, length func(size int) int) {
+	s.Unit = Bytes
 	var points []Point
-	for _, n := range sizes {
-		points = append(points, Point{N: float64(n), Y: float64(size(n))})
-	}
-	m.add(s, points)
-}
-
-// Names are the names of all series of a run.
-func (r *Run) Names() (names []string) {
-	for i := range r.Series {
-		names = append(names, r.Series[i].Name)
+	for _, size := range sizes {
+		points = append(points, Point{Size: float64(size), Cost: float64(length(size))})
 	}
-	slices.Sort(names)
-	return names
+	m.addSeries(s, points)
 }
--- a/internal/standalone/cli/try.go
+++ b/internal/standalone/cli/try.go
@@ -19,9 +19,9 @@
 	Kill      bool    `name:"kill" help:"Kill an ingress in the middle, and start it again."`
 	Crashes   int     `name:"crashes" help:"So many times an exporter is killed."`
 	Faults    bool    `name:"faults" help:"Quote servers and billing do wrong now and then."`
-	Lease     bool    `name:"duty" help:"Show a duty instead: whoever exports the use of all is killed, and another goes on."` //nolint:lll // a tag
+	Lease     bool    `name:"duty" help:"${tryLease}"`
 	Seed      uint64  `name:"seed" default:"1" help:"For random numbers."`
-	Dir       string  `name:"dir" type:"path" help:"Folder for logs, records and the catalogue; it stays. Default: a temporary one."` //nolint:lll // a tag
+	Dir       string  `name:"dir" type:"path" help:"${tryDir}"`
 }
 
 // leaseScenario is the fault test of the flag --duty.
@@ -45,7 +45,7 @@
 	defer stop()
 	fmt.Fprintf(p.out, "%d ingresses, 3 stand-in quote servers, discovery, a counter and billing on loopback; "+
 		"%d members for %g s\n", t.Ingresses, t.Members, t.Seconds)
-	report, err := testcluster.Play(ctx, testcluster.Options{
+	report, err := testcluster.Run(ctx, testcluster.Options{
 		Program:   program,
 		Dir:       t.Dir,
 		Ingresses: t.Ingresses,
@@ -64,7 +64,7 @@
 	}
 	fmt.Fprintln(p.out)
 	report.Write(p.out)
-	if !report.Good() {
+	if !report.Passed() {
 		return errRunNotAsPlanned
 	}
 	return nil
--- a/internal/standalone/fleet/gossip/transport.go
+++ b/internal/standalone/fleet/gossip/transport.go
@@ -32,8 +32,14 @@
 	closed   func() bool
 	packets  chan *memberlist.Packet
 	streams  chan net.Conn
-	done     chan struct{} // closed by Shutdown, which ends forward
+	stopping chan struct{}  // closed as Shutdown begins: what arrives is discarded from then on
+	done     chan struct{}  // closed once the inner transport is down, which ends forward
+	tasks    sync.WaitGroup // forward; Shutdown waits for it
 	stopOnce sync.Once
+	stopErr  error // of the inner transport's Shutdown
+
+	mu      sync.Mutex           // guards what follows
+	dialled map[*stream]struct{} // open streams that this side dialled; nil: Shutdown has closed them
 }
 
 // wrapTransport returns a transport on top of another one. Shutdown ends both.
@@ -44,13 +50,15 @@
 		closed:             closed,
 		packets:            make(chan *memberlist.Packet, packetQueueLength),
 		streams:            make(chan net.Conn),
+		stopping:           make(chan struct{}),
 		done:               make(chan struct{}),
+		dialled:            map[*stream]struct{}{},
 	}
-	go t.forward()
+	t.tasks.Go(t.forward)
 	return t
 }
 
-// forward passes on what the inner transport receives.
+// forward passes on what the inner transport receives, until that is down.
 func (t *transport) forward() {
 	for {
 		select {
@@ -63,15 +71,13 @@
 			}
 			select {
 			case t.packets <- p:
-			case <-t.done:
-				return
+			case <-t.stopping:
 			}
 		case c := <-t.NodeAwareTransport.StreamCh():
 			select {
 			case t.streams <- &stream{Conn: c, transport: t}:
-			case <-t.done:
+			case <-t.stopping:
 				c.Close()
-				return
 			}
 		case <-t.done:
 			return
@@ -114,13 +120,39 @@
 	if err != nil {
 		return nil, err
 	}
-	return &stream{Conn: c, transport: t}, nil
+	s := &stream{Conn: c, transport: t}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.dialled == nil {
+		c.Close()
+		return nil, errTransportClosed
+	}
+	t.dialled[s] = struct{}{}
+	return s, nil
 }
 
-// Shutdown implements memberlist.Transport.
+// Shutdown implements memberlist.Transport. It ends what waits for a stream that this side dialled. The inner transport
+// waits for its listeners, which may hold a packet or a stream that they have received, so forward takes these until it
+// is down.
 func (t *transport) Shutdown() error {
-	t.stopOnce.Do(func() { close(t.done) })
-	return t.NodeAwareTransport.Shutdown()
+	t.stopOnce.Do(func() {
+		close(t.stopping)
+		t.closeDialled()
+		t.stopErr = t.NodeAwareTransport.Shutdown()
+		close(t.done)
+		t.tasks.Wait()
+	})
+	return t.stopErr
+}
+
+// closeDialled closes the streams that this side dialled, and has later ones closed at once.
+func (t *transport) closeDialled() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for s := range t.dialled {
+		s.Conn.Close()
+	}
+	t.dialled = nil
 }
 
 // stream is a connection between members whose bytes are counted.
@@ -142,3 +174,11 @@
 	s.transport.meter.bytesIn.Add(int64(n))
 	return n, err
 }
+
+// Close implements net.Conn.
+func (s *stream) Close() error {
+	s.transport.mu.Lock()
+	delete(s.transport.dialled, s)
+	s.transport.mu.Unlock()
+	return s.Conn.Close()
+}
