--- a/internal/emulator/loopback/client.go
+++ b/internal/emulator/loopback/client.go
@@ -3,6 +3,7 @@
 import (
 	"math/rand/v2"
 	"net/http"
+	"slices"
 	"sync"
 	"time"
 
@@ -66,34 +67,33 @@
 	return !c.class.atMostOnce || isRejected(t) || t.End == invariants.NotConnected
 }
 
-// isFinal tells whether an attempt was answered with a status that a retry cannot change.
+// finalStatuses are answers, besides success, that a retry cannot change.
+var finalStatuses = []int{
+	http.StatusBadRequest,
+	http.StatusUnauthorized,
+	http.StatusForbidden,
+	http.StatusNotFound,
+	http.StatusRequestEntityTooLarge,
+	http.StatusRequestHeaderFieldsTooLarge,
+}
+
+// rejectionStatuses are answers that prove that an attempt was not executed.
+var rejectionStatuses = []int{
+	http.StatusRequestTimeout,
+	http.StatusMisdirectedRequest,
+	http.StatusTooManyRequests,
+	http.StatusServiceUnavailable,
+}
+
+// isFinal tells whether an attempt was answered with success or one of the finalStatuses.
 func isFinal(t *invariants.Attempt) bool {
 	if t.End != invariants.Answered {
 		return false
 	}
-	switch t.Status {
-	case http.StatusBadRequest,
-		http.StatusUnauthorized,
-		http.StatusForbidden,
-		http.StatusNotFound,
-		http.StatusRequestEntityTooLarge,
-		http.StatusRequestHeaderFieldsTooLarge:
-		return true
-	}
-	return t.Status/100 == 2
+	return t.Status/100 == 2 || slices.Contains(finalStatuses, t.Status)
 }
 
-// isRejected tells whether an attempt was answered with a status that proves that it was not executed.
+// isRejected tells whether an attempt was answered with one of the rejectionStatuses.
 func isRejected(t *invariants.Attempt) bool {
-	if t.End != invariants.Answered {
-		return false
-	}
-	switch t.Status {
-	case http.StatusRequestTimeout,
-		http.StatusMisdirectedRequest,
-		http.StatusTooManyRequests,
-		http.StatusServiceUnavailable:
-		return true
-	}
-	return false
+	return t.End == invariants.Answered && slices.Contains(rejectionStatuses, t.Status)
 }
--- a/internal/emulator/loopback/errors.go
+++ b/internal/emulator/loopback/errors.go
@@ -18,7 +18,7 @@
 	Logs    string // the end of each process's log
 }
 
-func (e *StartupError) Error() string { return e.Problem + "\n" + e.Logs }
+func (se *StartupError) Error() string { return se.Problem + "\n" + se.Logs }
 
 // notReady is the error of an edge machine that does not become ready.
 func notReady(m *machine, logs string) error {
@@ -32,15 +32,17 @@
 	Problem string
 }
 
-func (e *ScheduleError) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Problem) }
+func (se *ScheduleError) Error() string {
+	return fmt.Sprintf("%s:%d: %s", se.File, se.Line, se.Problem)
+}
 
 // UnknownFaultError is returned for a schedule on the command line that names no fault and no file.
 type UnknownFaultError struct {
 	Name string
 }
 
-func (e *UnknownFaultError) Error() string {
-	return fmt.Sprintf("%q is neither a file nor the name of a fault", e.Name)
+func (ue *UnknownFaultError) Error() string {
+	return fmt.Sprintf("%q is neither a file nor the name of a fault", ue.Name)
 }
 
 // startTimeout bounds the wait for all machines to be ready and to serve each route.
--- a/internal/emulator/loopback/items.go
+++ b/internal/emulator/loopback/items.go
@@ -79,27 +79,27 @@
 	MaxHeaderBytes  int    `json:"maxHeaderBytes"`
 }
 
-func (b routeBody) withGeneration(generation string) itemBody {
-	b.Generation = generation
-	return b
+func (rb routeBody) withGeneration(generation string) itemBody {
+	rb.Generation = generation
+	return rb
 }
 
-func (b tenantBody) withGeneration(generation string) itemBody {
-	b.Generation = generation
-	return b
+func (tb tenantBody) withGeneration(generation string) itemBody {
+	tb.Generation = generation
+	return tb
 }
 
-func (b serviceBody) withGeneration(generation string) itemBody {
-	b.Generation = generation
-	return b
+func (sb serviceBody) withGeneration(generation string) itemBody {
+	sb.Generation = generation
+	return sb
 }
 
-func (b limitsBody) withGeneration(generation string) itemBody {
-	b.Generation = generation
-	return b
+func (lb limitsBody) withGeneration(generation string) itemBody {
+	lb.Generation = generation
+	return lb
 }
 
-// key names an item in the whole configuration.
+// key names an item among those of all sections.
 func (i item) key() string {
 	if i.section == limitsSection {
 		return limitsSection + "/"
--- a/internal/emulator/loopback/launcher.go
+++ b/internal/emulator/loopback/launcher.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// launcher starts processes from one thread that lives as long as they do: the kernel kills them when that thread ends
-// (Pdeathsig), so none outlives this process, however it ends.
+// launcher starts processes from one thread that exists as long as they do: the kernel kills them when that thread
+// ends (Pdeathsig), so none is left behind, however this process ends.
 type launcher struct {
 	calls   chan func()
 	stopped sync.WaitGroup
--- a/internal/emulator/loopback/machine.go
+++ b/internal/emulator/loopback/machine.go
@@ -108,7 +108,7 @@
 	for _, p := range m.processes {
 		all.Go(func() {
 			if p.terminate(cl.gracePeriod()) {
-				p.noteKilled()
+				p.recordKilled()
 			}
 		})
 	}
--- a/internal/emulator/loopback/operator.go
+++ b/internal/emulator/loopback/operator.go
@@ -6,6 +6,7 @@
 	"io"
 	"math/rand/v2"
 	"net/http"
+	"slices"
 	"sync"
 	"time"
 
@@ -23,7 +24,7 @@
 
 	initialVersion = 6 // no version is at or below it
 
-	// maxUnclear is how many answers of 4xx that do not say what is wrong with a call are passed over.
+	// maxUnclear is how many answers of 4xx that do not clearly reject a change are passed over.
 	maxUnclear = 2
 )
 
@@ -85,7 +86,7 @@
 	items    []item
 	valid    bool // it has to be accepted
 	versions []*invariants.Version
-	unclear  int // answers of 4xx so far that do not say what is wrong
+	unclear  int // answers of 4xx so far that did not reject it
 }
 
 // send brings items, at one node first and, where that fails, at the others, until there is a clear answer; status 0:
@@ -123,14 +124,19 @@
 	}
 }
 
-// isRejection tells whether a status rejects a change for good. Other statuses of 4xx do so once they are repeated.
+// rejectedChangeStatuses are answers that reject a change for good.
+var rejectedChangeStatuses = []int{
+	http.StatusBadRequest,
+	http.StatusConflict,
+	http.StatusPreconditionFailed,
+	http.StatusRequestEntityTooLarge,
+	http.StatusUnprocessableEntity,
+}
+
+// isRejection tells whether a status rejects the change: one of the rejectedChangeStatuses, or another of 4xx that is
+// not retryable, once there have been maxUnclear of 4xx before.
 func (c *change) isRejection(status int) bool {
-	switch status {
-	case http.StatusBadRequest,
-		http.StatusConflict,
-		http.StatusPreconditionFailed,
-		http.StatusRequestEntityTooLarge,
-		http.StatusUnprocessableEntity:
+	if slices.Contains(rejectedChangeStatuses, status) {
 		return true
 	}
 	if status/100 != 4 {
--- a/internal/emulator/loopback/partition.go
+++ b/internal/emulator/loopback/partition.go
@@ -48,11 +48,11 @@
 	line    string
 }
 
-func (e linkEnd) cut() { e.machine.links = append(e.machine.links, e.line) }
+func (le linkEnd) cut() { le.machine.links = append(le.machine.links, le.line) }
 
-func (e linkEnd) restore() {
-	if i := slices.Index(e.machine.links, e.line); i >= 0 {
-		e.machine.links = slices.Delete(e.machine.links, i, i+1)
+func (le linkEnd) restore() {
+	if i := slices.Index(le.machine.links, le.line); i >= 0 {
+		le.machine.links = slices.Delete(le.machine.links, i, i+1)
 	}
 }
 
--- a/internal/emulator/loopback/process.go
+++ b/internal/emulator/loopback/process.go
@@ -164,8 +164,8 @@
 	return false
 }
 
-// noteKilled notes that the process had to be killed after the grace period.
-func (p *process) noteKilled() {
+// recordKilled notes that the process had to be killed after the grace period.
+func (p *process) recordKilled() {
 	p.machine.cluster.recorder.notef("%v did not end within the grace after SIGTERM", p)
 }
 
--- a/internal/emulator/loopback/recorder.go
+++ b/internal/emulator/loopback/recorder.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"sync"
 
 	"mulleinrouter/internal/emulator/invariants"
@@ -83,6 +84,13 @@
 	r.update(func() { r.notes = append(r.notes, fmt.Sprintf(format, args...)) })
 }
 
+// allNotes returns a copy of the notes so far.
+func (r *recorder) allNotes() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.notes)
+}
+
 // snapshot returns a copy of all entries.
 func (r *recorder) snapshot() *invariants.Log {
 	r.mu.Lock()
--- a/internal/emulator/loopback/report.go
+++ b/internal/emulator/loopback/report.go
@@ -65,7 +65,7 @@
 	r.Arrivals = len(l.Arrivals)
 	r.HealthChecks = cl.healthChecks.Load()
 	r.ChangeP99 = quantile(cl.changeLatencies.values, 0.99)
-	r.Notes = cl.recorder.notes
+	r.Notes = cl.recorder.allNotes()
 	r.OwnAnswers = cl.ownAnswers
 	r.Classes = countByClass(l.Attempts)
 }
--- a/internal/emulator/loopback/run.go
+++ b/internal/emulator/loopback/run.go
@@ -84,7 +84,7 @@
 		return err
 	}
 	if status := cl.operator.submit(cl.initialItems()...); status != http.StatusOK {
-		notes := strings.Join(cl.recorder.notes, "; ")
+		notes := strings.Join(cl.recorder.allNotes(), "; ")
 		return &StartupError{
 			Problem: fmt.Sprintf("the first configuration was not taken: %d, %s", status, notes),
 			Logs:    cl.processLogs(),
@@ -122,7 +122,7 @@
 func (cl *cluster) startInitialServers() error {
 	for name, spec := range cl.services {
 		for n := range spec.instances {
-			if _, err := cl.startServer(name, zoneName(n%zones), anyPort, "v1"); err != nil {
+			if err := cl.startServer(name, zoneName(n%zones), anyPort, "v1"); err != nil {
 				return err
 			}
 		}
@@ -177,7 +177,7 @@
 			all.Go(func() {
 				p.preventRestart()
 				if cl.traffic.Err() != nil && p.terminate(cl.gracePeriod()) {
-					p.noteKilled()
+					p.recordKilled()
 				}
 			})
 		}
--- a/internal/emulator/loopback/server.go
+++ b/internal/emulator/loopback/server.go
@@ -61,10 +61,10 @@
 
 // startServer starts a server of a service at an address (host:0 draws the port), and has it register. It returns at
 // once.
-func (cl *cluster) startServer(service, zone, addr, generation string) (*server, error) {
+func (cl *cluster) startServer(service, zone, addr, generation string) error {
 	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
-		return nil, err
+		return err
 	}
 	serial := cl.serial.Add(1)
 	rng := cl.randStream(uint64(serial))
@@ -93,7 +93,7 @@
 	cl.mu.Unlock()
 	cl.background.Go(s.accept)
 	cl.background.Go(s.sendHeartbeats)
-	return s, nil
+	return nil
 }
 
 // accept takes connections until the server ends.
--- a/internal/emulator/loopback/serverfaults.go
+++ b/internal/emulator/loopback/serverfaults.go
@@ -45,7 +45,7 @@
 
 // replaceServer starts a server as a fault does it: a failure is noted.
 func (cl *cluster) replaceServer(service, zone, addr, generation string) {
-	if _, err := cl.startServer(service, zone, addr, generation); err != nil {
+	if err := cl.startServer(service, zone, addr, generation); err != nil {
 		cl.recorder.notef("a server was not started: %v", err)
 	}
 }
