--- a/internal/emulator/loopback/errors.go
+++ b/internal/emulator/loopback/errors.go
@@ -3,13 +3,12 @@
 import (
 	"errors"
 	"fmt"
-	"time"
 )
 
 // ErrMachineCount is returned for options with no machine of a kind, or too many for the loopback addresses.
 var ErrMachineCount = errors.New("between 1 and 50 core machines, and as many edge machines")
 
-// ErrNoFreePorts is returned when no run of ports was found that is free on the addresses of all machines.
+// ErrNoFreePorts is returned when no consecutive ports were found that are free on the addresses of all machines.
 var ErrNoFreePorts = errors.New("no ports are free on all machines")
 
 // StartupError is returned when the cluster does not serve its first configuration in time.
@@ -44,6 +43,3 @@
 func (ue *UnknownFaultError) Error() string {
 	return fmt.Sprintf("%q is neither a file nor the name of a fault", ue.Name)
 }
-
-// startTimeout bounds the wait for all machines to be ready and to serve each route.
-const startTimeout = 25 * time.Second
--- a/internal/emulator/loopback/loopback_test.go
+++ b/internal/emulator/loopback/loopback_test.go
@@ -176,3 +176,22 @@
 		is.Equal(wrong.Line, 2)
 	})
 }
+
+func TestRunRejectsMachineCounts(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		core, edge int
+	}{
+		{"no core", 0, 3},
+		{"no edge", 3, 0},
+		{"too many core", 51, 3},
+		{"too many edge", 3, 51},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Run(t.Context(), Options{CoreMachines: c.core, EdgeMachines: c.edge, Dir: t.TempDir()})
+			if !errors.Is(err, ErrMachineCount) {
+				t.Errorf("got %v, want %v", err, ErrMachineCount)
+			}
+		})
+	}
+}
--- a/internal/emulator/loopback/machine.go
+++ b/internal/emulator/loopback/machine.go
@@ -47,7 +47,7 @@
 			return p
 		}
 	}
-	panic("floor: " + m.name + " runs no " + program)
+	panic("loopback: " + m.name + " runs no " + program)
 }
 
 // beginFault records a fault of the machine that begins now.
--- a/internal/emulator/loopback/run.go
+++ b/internal/emulator/loopback/run.go
@@ -13,8 +13,10 @@
 	"mulleinrouter/internal/emulator/invariants"
 )
 
-// readinessRetry is the pause between two looks at a machine that is not serving yet.
-const readinessRetry = 30 * time.Millisecond
+const (
+	startTimeout   = 25 * time.Second      // for all machines to be ready and to serve each route
+	readinessRetry = 30 * time.Millisecond // between two checks of a machine that does not serve yet
+)
 
 // Run runs a cluster with its traffic and faults, and checks what was observed. It returns an error when the run could
 // not take place, or when ctx ended. All processes and goroutines that it started have ended when it returns.
