--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -2,7 +2,7 @@
 
 import "mulleinrouter/internal/cluster/metrics"
 
-// registerMetrics registers the agent's metrics (docs/operate/figures.md).
+// registerMetrics registers the agent's metrics (docs/operate/metrics.md).
 func (a *Agent) registerMetrics(r *metrics.Registry) {
 	r.Flag("ready", "Whether what is here is enough for the proxy to serve.", a.ready.Load)
 	r.Flag("quorum", "Whether a majority of the control nodes is heard.", func() bool { return a.view().quorum })
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -342,8 +342,8 @@
 	}
 }
 
-// The times in docs/design/worst-days.md: a node that lacks 1,000 changes, and one whose disk is empty after a
-// day of 600, over links of 2 Mbit/s each way. Times are simulated; bytes are all that went over the links
+// The times in docs/design/control-plane-faults.md: a node that lacks 1,000 changes, and one whose disk is empty after
+// a day of 600, over links of 2 Mbit/s each way. Times are simulated; bytes are all that went over the links
 // meanwhile, heartbeats included.
 func TestCatchUpTimes(t *testing.T) {
 	for _, empty := range []bool{false, true} {
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -13,7 +13,7 @@
 	r.Serve(ctx, n.config.Metrics, n.settings.Host, n.log)
 }
 
-// registerMetrics registers the node's metrics (docs/operate/figures.md).
+// registerMetrics registers the node's metrics (docs/operate/metrics.md).
 func (n *Node) registerMetrics(r *metrics.Registry) {
 	n.registerElectorateMetrics(r)
 	n.registerConfigurationMetrics(r)
--- a/internal/emulator/invariants/contact.go
+++ b/internal/emulator/invariants/contact.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// maxContactAge is for how long a control node may answer by its last contact with a majority (design/worst-days.md,
-// part 1), with half a second for scheduling on a loaded host.
+// maxContactAge is for how long a control node may answer by its last contact with a majority
+// (docs/design/control-plane-faults.md, part 1), with half a second for scheduling on a loaded host.
 const maxContactAge Seconds = 2.0
 
 // checkContact checks CONTACT: a control node without a majority answers nothing as if it were current, neither yes
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -6,7 +6,7 @@
 	"mulleinrouter/internal/decision"
 )
 
-// registerMetrics registers the proxy's metrics (docs/operate/figures.md).
+// registerMetrics registers the proxy's metrics (docs/operate/metrics.md).
 func (p *Proxy) registerMetrics(r *metrics.Registry) {
 	p.registerControlMetrics(r)
 	p.registerTrafficMetrics(r)
