--- a/cmd/emulator/slopes.go
+++ b/cmd/emulator/slopes.go
@@ -46,21 +46,21 @@
 
 // writeSeries prints a row of the table.
 func writeSeries(w io.Writer, s *costmodel.Series) {
-	of := s.Of
-	if s.Log {
+	of := s.SizeUnit
+	if s.Logarithmic {
 		of = "log2 " + of
 	}
 	fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%.1f%%\t%g\t%s\t%s\t%+.1f%%\n",
 		s.Name,
 		of,
 		len(s.Points),
-		capacity.Amount(s.A, s.Unit),
-		capacity.Amount(s.B, s.Unit),
-		100*s.Worst(),
-		s.HeldOut.N,
-		capacity.Amount(s.HeldOut.Y, s.Unit),
+		capacity.Amount(s.Intercept, s.Unit),
+		capacity.Amount(s.Slope, s.Unit),
+		100*s.MaxResidual(),
+		s.Holdout.Size,
+		capacity.Amount(s.Holdout.Cost, s.Unit),
 		capacity.Amount(s.Predicted, s.Unit),
-		100*s.Off,
+		100*s.PredictionError,
 	)
 }
 
