--- a/cmd/mulleinrouter/faulttest_test.go
+++ b/cmd/mulleinrouter/faulttest_test.go
@@ -51,7 +51,7 @@
 	var text strings.Builder
 	report.Write(&text)
 	t.Log("\n" + text.String())
-	if !report.Good() {
+	if !report.Passed() {
 		t.Error("not all that was expected held")
 	}
 	for _, log := range readLogs(t, dir) {
--- a/internal/emulator/faulttest/actions.go
+++ b/internal/emulator/faulttest/actions.go
@@ -17,24 +17,24 @@
 	"mulleinrouter/internal/standalone/fleet/leaseservice"
 )
 
-// happen does the steps at their times.
-func (p *player) happen(ctx context.Context) error {
-	for _, s := range p.w.t.Steps {
-		if err := p.until(ctx, s.At); err != nil {
+// runSteps does the steps at their times.
+func (p *player) runSteps(ctx context.Context) error {
+	for _, s := range p.env.scenario.Steps {
+		if err := p.sleepUntil(ctx, s.At); err != nil {
 			return err
 		}
-		undo, err := p.do(s)
+		undo, err := p.carryOut(s)
 		if err != nil {
 			return err
 		}
-		if undo == nil || s.For == 0 {
+		if undo == nil || s.Duration == 0 {
 			continue
 		}
-		p.undo.Add(1)
+		p.undoing.Add(1)
 		go func() {
-			defer p.undo.Done()
-			if p.until(ctx, s.At+s.For) == nil {
-				p.say("undone", s.Do+" is over", s.Of...)
+			defer p.undoing.Done()
+			if p.sleepUntil(ctx, s.At+s.Duration) == nil {
+				p.logEvent("undone", s.Action+" is over", s.Members...)
 				undo()
 			}
 		}()
@@ -44,7 +44,7 @@
 
 // nodesOf are the members with these names.
 func (p *player) nodesOf(names []string) (all []*node) {
-	for _, n := range p.w.nodes {
+	for _, n := range p.env.nodes {
 		if slices.Contains(names, n.name) {
 			all = append(all, n)
 		}
@@ -83,21 +83,21 @@
 	"keys":     (*action).keys,
 }
 
-// aboutNoNode are the actions that concern no node, even where none is named. Another one without a name is about the
+// actionsWithoutNodes are the actions that concern no node, even where none is named. Another one without a name is about the
 // holder.
-var aboutNoNode = []string{"link", "keys", "voters", "counter", "shift", "server"}
+var actionsWithoutNodes = []string{"link", "keys", "voters", "counter", "shift", "server"}
 
-// do does a step, and gives what undoes it.
-func (p *player) do(s Step) (undo func(), err error) {
-	p.say("done", s.Do+map[bool]string{true: " " + s.Word}[s.Word != ""], s.Of...)
-	a := &action{player: p, step: s, nodes: p.nodesOf(s.Of)}
-	if len(a.nodes) == 0 && !slices.Contains(aboutNoNode, s.Do) {
+// carryOut does a step, and gives what undoes it.
+func (p *player) carryOut(s Step) (undo func(), err error) {
+	p.logEvent("done", s.Action+map[bool]string{true: " " + s.Argument}[s.Argument != ""], s.Members...)
+	a := &action{player: p, step: s, nodes: p.nodesOf(s.Members)}
+	if len(a.nodes) == 0 && !slices.Contains(actionsWithoutNodes, s.Action) {
 		if h := p.leaseHolder(); h != nil {
 			a.nodes = []*node{h}
-			p.say("done", "it is", h.name)
+			p.logEvent("done", "it is", h.name)
 		}
 	}
-	carryOut, known := actions[s.Do]
+	carryOut, known := actions[s.Action]
 	if !known {
 		return nil, nil // the file was checked: it is one that another part of the player sees to
 	}
@@ -111,9 +111,9 @@
 	var errs []error
 	for _, n := range a.nodes {
 		out.Go(func() {
-			if err := do(n, slices.Index(a.player.w.nodes, n)); err != nil {
+			if err := do(n, slices.Index(a.player.env.nodes, n)); err != nil {
 				mu.Lock()
-				errs = append(errs, fmt.Errorf("%s %s: %w", a.step.Do, n.name, err))
+				errs = append(errs, fmt.Errorf("%s %s: %w", a.step.Action, n.name, err))
 				mu.Unlock()
 			}
 		})
@@ -126,27 +126,27 @@
 func (a *action) running(do func(*testcluster.Process) error) {
 	for _, n := range a.nodes {
 		if process := n.running(); process != nil {
-			a.player.problem(do(process))
+			a.player.reportProblem(do(process))
 		}
 	}
 }
 
-func (a *action) away(away bool) {
+func (a *action) setAbsent(away bool) {
 	for _, n := range a.nodes {
-		n.away(away)
+		n.setAbsent(away)
 	}
 }
 
 func (a *action) link() (undo func(), err error) {
-	a.player.set(a.step.Link, false)
-	return func() { a.player.set(a.step.Link, true) }, nil
+	a.player.setLinks(a.step.LinkFault, false)
+	return func() { a.player.setLinks(a.step.LinkFault, true) }, nil
 }
 
 // stop stops processes, not each in its own time but together.
 func (a *action) stop() (undo func(), err error) {
 	var errs []error
 	for _, n := range a.nodes {
-		n.away(true)
+		n.setAbsent(true)
 		if process := n.running(); process != nil {
 			errs = append(errs, process.Stop())
 		}
@@ -154,19 +154,19 @@
 	return func() {
 		for _, n := range a.nodes {
 			if process := n.running(); process != nil {
-				a.player.problem(process.Continue())
+				a.player.reportProblem(process.Continue())
 			}
-			n.away(false)
+			n.setAbsent(false)
 		}
-		a.player.lookNow(a.nodes)
+		a.player.pollNow(a.nodes)
 	}, errors.Join(errs...)
 }
 
 func (a *action) kill() (undo func(), err error) {
-	a.away(true)
+	a.setAbsent(true)
 	return nil, a.each(func(n *node, _ int) error {
 		process := n.running()
-		n.run(nil)
+		n.setProcess(nil)
 		process.Kill()
 		return nil
 	})
@@ -178,43 +178,43 @@
 		if n.running() != nil {
 			return nil // of whoever it was that was killed
 		}
-		switch a.step.Word {
+		switch a.step.Argument {
 		case "empty":
-			if err := errors.Join(os.RemoveAll(n.folder), os.MkdirAll(n.folder, 0o755)); err != nil {
+			if err := errors.Join(os.RemoveAll(n.dir), os.MkdirAll(n.dir, 0o755)); err != nil {
 				return err
 			}
 		case "saved":
-			if err := copyFolder(n.folder, n.saved); err != nil {
+			if err := copyDir(n.dir, n.savedDir); err != nil {
 				return err
 			}
 		}
-		process, err := a.player.w.launch(i, false)
+		process, err := a.player.env.launch(i, false)
 		if err != nil {
 			return err
 		}
-		n.run(process)
-		n.away(false)
+		n.setProcess(process)
+		n.setAbsent(false)
 		return nil
 	})
 }
 
 func (a *action) twin() (undo func(), err error) {
 	return nil, a.each(func(n *node, i int) (err error) {
-		n.twin, err = a.player.w.launch(i, true)
+		n.twin, err = a.player.env.launch(i, true)
 		return err
 	})
 }
 
 func (a *action) save() (undo func(), err error) {
-	return nil, a.each(func(n *node, _ int) error { return copyFolder(n.saved, n.folder) })
+	return nil, a.each(func(n *node, _ int) error { return copyDir(n.savedDir, n.dir) })
 }
 
 func (a *action) term() (undo func(), err error) {
-	a.away(true)
+	a.setAbsent(true)
 	return nil, a.each(func(n *node, _ int) error {
 		process := n.running()
 		err := process.Quit()
-		n.run(nil)
+		n.setProcess(nil)
 		return err
 	})
 }
@@ -222,27 +222,29 @@
 // upgrade starts a process beside another, and ends one of the two.
 func (a *action) upgrade() (undo func(), err error) {
 	return nil, a.each(func(n *node, i int) error {
-		young, err := a.player.w.launch(i, false)
+		young, err := a.player.env.launch(i, false)
 		if err != nil {
 			return err
 		}
 		time.Sleep(time.Second) // until its yes has been heard, as the operators do
 		old := n.running()
-		switch a.step.Word {
+		switch a.step.Argument {
 		case "young":
 			young.Kill()
 			return nil
 		case "old":
-			n.run(young)
+			n.setProcess(young)
 			old.Kill()
 			return nil
 		}
-		n.run(young)
+		n.setProcess(young)
 		return old.Quit()
 	})
 }
 
-func (a *action) voters() (undo func(), err error) { return nil, a.player.change(a.step.Word) }
+func (a *action) voters() (undo func(), err error) {
+	return nil, a.player.changeVoters(a.step.Argument)
+}
 
 func (a *action) lameDuck() (undo func(), err error) {
 	err = a.each(func(n *node, _ int) error { _, err := call(n.running().Mgmt, "LAMEDUCK"); return err })
@@ -259,32 +261,34 @@
 }
 
 func (a *action) disk() (undo func(), err error) {
-	err = a.each(func(n *node, _ int) error { return n.fails(a.player.w.t, diskFails[a.step.Word]) })
+	err = a.each(func(n *node, _ int) error { return n.writeFaults(a.player.env.scenario, diskFaults[a.step.Argument]) })
 	return func() {
 		for _, n := range a.nodes {
-			a.player.problem(n.fails(a.player.w.t, nil))
+			a.player.reportProblem(n.writeFaults(a.player.env.scenario, nil))
 		}
 	}, err
 }
 
 func (a *action) revise() (undo func(), err error) {
 	a.player.mu.Lock()
-	a.player.number++
-	number := a.player.number + 1 // the first is there from the start
+	a.player.revision++
+	number := a.player.revision + 1 // the first is there from the start
 	a.player.mu.Unlock()
-	return nil, a.each(func(n *node, _ int) error { return a.player.w.revise(n, number) })
+	return nil, a.each(func(n *node, _ int) error { return a.player.env.writeRevision(n, number) })
 }
 
-func (a *action) counter() (undo func(), err error) { return nil, a.player.w.setCounter(a.step.Word) }
+func (a *action) counter() (undo func(), err error) {
+	return nil, a.player.env.setCounter(a.step.Argument)
+}
 
 func (a *action) server() (undo func(), err error) {
-	i, _ := strconv.Atoi(a.step.Word) // checked with the file
-	a.player.w.quotes[i-1].Set(&fakes.Faults{Error: 1})
-	return func() { a.player.w.quotes[i-1].Set(nil) }, nil
+	i, _ := strconv.Atoi(a.step.Argument) // checked with the file
+	a.player.env.quoteServers[i-1].Set(&fakes.Faults{Error: 1})
+	return func() { a.player.env.quoteServers[i-1].Set(nil) }, nil
 }
 
 func (a *action) shift() (undo func(), err error) {
-	a.player.w.shift.Add(1)
+	a.player.env.busyShift.Add(1)
 	return nil, nil
 }
 
@@ -300,13 +304,13 @@
 }
 
 func (a *action) rubbish() (undo func(), err error) {
-	return nil, a.each(func(n *node, _ int) error { return a.player.w.rubbish(n) })
+	return nil, a.each(func(n *node, _ int) error { return a.player.env.sendGarbage(n) })
 }
 
 // keys adds a key to the fleet's, turns their order, or drops all but the first.
 func (a *action) keys() (undo func(), err error) {
-	w := a.player.w
-	switch a.step.Word {
+	w := a.player.env
+	switch a.step.Argument {
 	case "add":
 		w.keys = append(w.keys, newKey())
 	case "turn":
@@ -317,8 +321,8 @@
 	return nil, w.writeKeys()
 }
 
-// set gives links their fault, or heals them.
-func (p *player) set(l Link, heal bool) {
+// setLinks gives links their fault, or heals them.
+func (p *player) setLinks(l LinkFault, heal bool) {
 	f := l.Fault
 	if heal {
 		f = faultnet.Fault{}
@@ -328,9 +332,9 @@
 			if from == to && from != "*" {
 				continue
 			}
-			p.w.links.Set(from, to, l.Proto, f)
-			if l.Both {
-				p.w.links.Set(to, from, l.Proto, f)
+			p.env.links.Set(from, to, l.Protocol, f)
+			if l.Bidirectional {
+				p.env.links.Set(to, from, l.Protocol, f)
 			}
 		}
 	}
--- a/internal/emulator/faulttest/customers.go
+++ b/internal/emulator/faulttest/customers.go
@@ -15,15 +15,15 @@
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
-// asks is what a customer asks for, in times its quota, and how much of that comes through its busy ingress.
+// customerLoad is what a customer customerLoad for, in times its quota, and how much of that comes through its busyPart ingress.
 const (
-	asks = 1.2
-	busy = 0.85
+	customerLoad = 1.2
+	busyPart     = 0.85
 )
 
-// customers send requests: each through all ingresses, for the most part through one, which a shift moves on.
-func (w *world) customers(stop <-chan struct{}, out *sync.WaitGroup) {
-	if w.t.Customers == 0 {
+// startCustomers send requests: each through all ingresses, for the most part through one, which a shift moves on.
+func (w *environment) startCustomers(stop <-chan struct{}, out *sync.WaitGroup) {
+	if w.scenario.Customers == 0 {
 		return
 	}
 	client := &http.Client{
@@ -31,7 +31,7 @@
 		Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Second},
 	}
 	limit := make(chan struct{}, 512) // requests out at once
-	for c := range w.t.Customers {
+	for c := range w.scenario.Customers {
 		for i, n := range w.nodes {
 			out.Add(1)
 			go func() {
@@ -43,12 +43,12 @@
 						return
 					case <-time.After(20 * time.Millisecond):
 					}
-					part := (1 - busy) / float64(max(1, len(w.nodes)-1))
-					if (c+int(w.shift.Load()))%len(w.nodes) == i {
-						part = busy
+					part := (1 - busyPart) / float64(max(1, len(w.nodes)-1))
+					if (c+int(w.busyShift.Load()))%len(w.nodes) == i {
+						part = busyPart
 					}
 					now := time.Now()
-					owed = min(20, owed+now.Sub(last).Seconds()*asks*part*w.t.Quota)
+					owed = min(20, owed+now.Sub(last).Seconds()*customerLoad*part*w.scenario.Quota)
 					last = now
 					for ; owed >= 1; owed-- {
 						id++
@@ -60,7 +60,7 @@
 						requestID := fmt.Sprintf("c%d-%s-%d", c, n.name, id)
 						go func() {
 							defer func() { <-limit }()
-							w.ask(client, n, c, requestID)
+							w.sendRequest(client, n, c, requestID)
 						}()
 					}
 				}
@@ -69,11 +69,11 @@
 	}
 }
 
-// ask sends one request of a customer.
-func (w *world) ask(client *http.Client, n *node, customer int, id string) {
+// sendRequest sends one request of a customer.
+func (w *environment) sendRequest(client *http.Client, n *node, customer int, id string) {
 	ctx, done := context.WithTimeout(context.Background(), 2*time.Second)
 	defer done()
-	req, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("http://%s/api/%016x", n.listen, 0x100+customer), nil)
+	req, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("http://%s/api/%016x", n.clientAddr, 0x100+customer), nil)
 	if err != nil {
 		return
 	}
@@ -88,7 +88,7 @@
 }
 
 // setCounter has the counter be gone, back as it was, back empty, or another one for each second ingress.
-func (w *world) setCounter(word string) error {
+func (w *environment) setCounter(word string) error {
 	another := func() (string, error) {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
@@ -96,10 +96,10 @@
 		}
 		c := counterserver.New(1)
 		go c.Serve(l)
-		w.others, w.otherL = append(w.others, c), append(w.otherL, l)
+		w.extraCounters, w.extraListeners = append(w.extraCounters, c), append(w.extraListeners, l)
 		return l.Addr().String(), nil
 	}
-	first := w.counterL.Addr().String()
+	first := w.counterListener.Addr().String()
 	switch word {
 	case "gone":
 		first = ""
@@ -117,8 +117,8 @@
 		}
 	}
 	for i, n := range w.nodes {
-		n.counts.Target([]string{first, second}[i%2])
-		n.counts.Drop()
+		n.counterRelay.Target([]string{first, second}[i%2])
+		n.counterRelay.Drop()
 	}
 	return nil
 }
@@ -126,9 +126,9 @@
 // findUse counts what arrived of each customer at the quote servers in a time, against its quota and what it may use
 // at once.
 func (p *player) findUse(f Finding, from time.Time) Finding {
-	e := f.Expect
-	use := make([]float64, p.w.t.Customers)
-	for id, a := range p.w.arrived() {
+	e := f.Expectation
+	use := make([]float64, p.env.scenario.Customers)
+	for id, a := range p.env.arrived() {
 		var c int
 		if _, err := fmt.Sscanf(
 			id,
@@ -139,12 +139,12 @@
 			use[c]++
 		}
 	}
-	quota := p.w.t.Quota * e.Within.Seconds()
+	quota := p.env.scenario.Quota * e.Within.Seconds()
 	f.Passed = true
 	low, high := use[0]/quota, use[0]/quota
 	for _, u := range use {
 		low, high = min(low, u/quota), max(high, u/quota)
-		f.Passed = f.Passed && u <= e.Most*quota && u >= e.Least*quota
+		f.Passed = f.Passed && u <= e.Max*quota && u >= e.Min*quota
 	}
 	f.Text = fmt.Sprintf("%.2f to %.2f of the quota", low, high)
 	return f
@@ -158,8 +158,8 @@
 
 // watchShared asks all for what others warn them of.
 func (p *player) watchShared(stop <-chan struct{}) {
-	for p.w.t.Share {
-		for _, n := range p.w.nodes {
+	for p.env.scenario.ShareQuotas {
+		for _, n := range p.env.nodes {
 			process := n.running()
 			if process == nil || process.Stopped() {
 				continue
@@ -173,13 +173,13 @@
 				continue
 			}
 			p.mu.Lock()
-			p.warned = append(p.warned, warning{time.Now(), n.name})
+			p.warnings = append(p.warnings, warning{time.Now(), n.name})
 			p.mu.Unlock()
 		}
 		select {
 		case <-stop:
 			return
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
@@ -189,13 +189,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	first := map[string]time.Duration{}
-	for _, w := range p.warned {
+	for _, w := range p.warnings {
 		if _, known := first[w.member]; !known && slices.Contains(of, w.member) && w.at.After(from) &&
 			w.at.Before(from.Add(limit)) {
 			first[w.member] = w.at.Sub(from)
 		}
 	}
-	if f.Passed = len(first) == 0; f.Expect.Is == "some" {
+	if f.Passed = len(first) == 0; f.Expectation.Value == "some" {
 		f.Passed = len(first) == len(of)
 	}
 	for _, at := range first {
--- a/internal/emulator/faulttest/file.go
+++ b/internal/emulator/faulttest/file.go
@@ -18,59 +18,59 @@
 	"mulleinrouter/internal/standalone/vfs"
 )
 
-// Timeline is a rehearsal as its file has it.
-type Timeline struct {
+// Scenario is a rehearsal as its file has it.
+type Scenario struct {
 	Name      string
 	Seed      uint64
 	Ingresses int
 	Interval  string // of probes, as the ingresses' own files have it
-	Sealed    bool   // the fleet has a key
+	Encrypted bool   // the fleet has a key
 	// the first so many agree on duties, and use is exported by the one that holds that; 0: there are none
-	Voters  int
-	Clocks  map[string]float64 // of members whose clocks run fast or slow: their seconds in one
-	Servers int                // quote servers, quotes, quotes2 and so on to links; 0: one
-	Share   bool               // quotas and judgements are shared
+	Voters       int
+	ClockRates   map[string]float64 // of members whose clocks run fast or slow: their seconds in one
+	QuoteServers int                // quote servers, quotes, quotes2 and so on to links; 0: one
+	ShareQuotas  bool               // quotas and judgements are shared
 	// that ask for 1.2 times their quota, for the most part at one ingress; 0: one without a quota that matters
-	Customers int
-	Quota     float64 // of each, in units a second; it may use as much at once
-	Catalogue bool    // each member has a file of plans, and the holder of that duty announces its revisions
-	Idle      bool    // no clients, and members are seldom looked at: for what the fleet itself costs
-	Lasts     time.Duration
-	Steps     []Step // by time
-	Expect    []Expect
+	Customers    int
+	Quota        float64 // of each, in units a second; it may use as much at once
+	Catalogue    bool    // each member has a file of plans, and the holder of that duty announces its revisions
+	Idle         bool    // no clients, and members are seldom looked at: for what the fleet itself costs
+	Duration     time.Duration
+	Steps        []Step // by time
+	Expectations []Expectation
 }
 
 // Step is something that is done at a time, counted from when all ingresses hear the whole fleet.
 type Step struct {
-	At  time.Duration
-	Do  string
-	Of  []string      // members
-	For time.Duration // then it is undone; 0: it stays
+	At       time.Duration
+	Action   string
+	Members  []string      // members
+	Duration time.Duration // then it is undone; 0: it stays
 	// folder of a start, kind of rubbish, key, how a disk fails, who dies in an upgrade, a change of voters
-	Word string
-	Link Link
+	Argument  string
+	LinkFault LinkFault
 }
 
-// Link is a fault of the links from some members to others.
-type Link struct {
-	From, To []string
-	Both     bool // and back
-	Proto    faultnet.Proto
-	Fault    faultnet.Fault
+// LinkFault is a fault of the links from some members to others.
+type LinkFault struct {
+	From, To      []string
+	Bidirectional bool // and back
+	Protocol      faultnet.Proto
+	Fault         faultnet.Fault
 }
 
-// Expect is a property.
-type Expect struct {
-	Kind   string
-	Of, By []string // whom it is about, and who says it; empty: all
-	Is     string
-	After  time.Duration
-	Most   float64 // of use: of the quota, in that time
-	Least  float64
-	Within time.Duration // until then it must have become so; of never and answered: the time it is about
+// Expectation is a property.
+type Expectation struct {
+	Kind               string
+	Members, Observers []string // whom it is about, and who says it; empty: all
+	Value              string
+	After              time.Duration
+	Max                float64 // of use: of the quota, in that time
+	Min                float64
+	Within             time.Duration // until then it must have become so; of never and answered: the time it is about
 }
 
-type file struct {
+type scenarioFile struct {
 	Name      string             `hcl:"name"`
 	Seed      uint64             `hcl:"seed,optional"`
 	Ingresses int                `hcl:"ingresses"`
@@ -143,12 +143,12 @@
 }
 
 const (
-	mostIngresses = 120
-	mostLasts     = time.Hour
+	maxIngresses = 120
+	maxDuration  = time.Hour
 )
 
-// diskFails are the ways in which a disk fails, below the stores of a process.
-var diskFails = map[string]map[vfs.Op]vfs.Fault{
+// diskFaults are the ways in which a disk fails, below the stores of a process.
+var diskFaults = map[string]map[vfs.Op]vfs.Fault{
 	"write":  {vfs.Write: {Err: "EIO"}},
 	"torn":   {vfs.Write: {Err: "EIO", Torn: true}},
 	"full":   {vfs.Write: {Err: "ENOSPC", Torn: true}},
@@ -156,8 +156,8 @@
 	"rename": {vfs.Rename: {Err: "EIO"}},
 }
 
-// stands are ends that are no members: what an ingress says to them goes over links, too.
-var stands = []string{
+// standIns are ends that are no members: what an ingress says to them goes over links, too.
+var standIns = []string{
 	"discovery",
 	"counter",
 	"billing",
@@ -169,11 +169,11 @@
 	"quotes6",
 }
 
-// quotesAt is the place of the first quote server among them.
-const quotesAt = 3
+// firstQuoteServer is the place of the first quote server among them.
+const firstQuoteServer = 3
 
-// kinds are the properties, and which words is may have.
-var kinds = map[string][]string{
+// expectationValues are the properties, and which words is may have.
+var expectationValues = map[string][]string{
 	// by each of by, each of of is told to be so, at least once from after on
 	"state":     {"alive", "dead", "left"},
 	"never":     {"dead"},                        // by none of by, any of of is told to be so, from after on
@@ -199,7 +199,7 @@
 }
 
 // Read reads a timeline. Errors name file, line and column.
-func Read(path string) (*Timeline, error) {
+func Read(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("rehearsal: %w", err)
@@ -208,7 +208,7 @@
 }
 
 // Shipped reads one of those that ship, by its name.
-func Shipped(name string) (*Timeline, error) {
+func Shipped(name string) (*Scenario, error) {
 	text, err := faulttests.Files.ReadFile(name + ".hcl")
 	if err != nil {
 		return nil, fmt.Errorf("rehearsal: no timeline %q ships, and no file has this name", name)
@@ -217,33 +217,33 @@
 }
 
 // Parse reads the text of one.
-func Parse(name string, text []byte) (*Timeline, error) {
-	var w file
+func Parse(name string, text []byte) (*Scenario, error) {
+	var w scenarioFile
 	f, err := hclfile.Parse(name, text, &w)
 	if err != nil {
 		return nil, err
 	}
-	t := &Timeline{
+	t := &Scenario{
 		Name:      w.Name,
 		Seed:      w.Seed,
 		Ingresses: w.Ingresses,
 		Interval:  w.Interval,
-		Sealed:    w.Sealed,
+		Encrypted: w.Sealed,
 		Idle:      w.Idle,
 		Voters:    w.Voters,
 	}
 	if w.Voters != 0 && w.Voters != 1 && w.Voters != 3 && w.Voters != 5 || w.Voters > w.Ingresses {
 		return nil, f.ErrorAt("voters", "0, 1, 3 or 5 of the ingresses")
 	}
-	if w.Ingresses < 1 || w.Ingresses > mostIngresses {
-		return nil, f.ErrorAt("ingresses", fmt.Sprintf("must be from 1 to %d", mostIngresses))
+	if w.Ingresses < 1 || w.Ingresses > maxIngresses {
+		return nil, f.ErrorAt("ingresses", fmt.Sprintf("must be from 1 to %d", maxIngresses))
 	}
 	if t.Catalogue = w.Catalogue; t.Catalogue && t.Voters == 0 {
 		return nil, f.ErrorAt("catalogue", "what is announced needs voters")
 	}
-	t.Share, t.Customers, t.Quota, t.Servers = w.Share, w.Customers, w.Quota, w.Servers
-	if t.Servers < 0 || t.Servers > len(stands)-quotesAt {
-		return nil, f.ErrorAt("servers", fmt.Sprintf("up to %d", len(stands)-quotesAt))
+	t.ShareQuotas, t.Customers, t.Quota, t.QuoteServers = w.Share, w.Customers, w.Quota, w.Servers
+	if t.QuoteServers < 0 || t.QuoteServers > len(standIns)-firstQuoteServer {
+		return nil, f.ErrorAt("servers", fmt.Sprintf("up to %d", len(standIns)-firstQuoteServer))
 	}
 	if t.Customers < 0 || t.Customers > 100 || t.Customers > 0 && !(t.Quota >= 1 && t.Quota <= 1000) {
 		return nil, f.ErrorAt("customers", "up to 100, with a quota from 1 to 1000 units a second")
@@ -251,11 +251,11 @@
 	if _, err := f.Duration("interval", w.Interval, 0); err != nil {
 		return nil, err
 	}
-	if t.Lasts, err = f.Duration("lasts", w.Lasts, 0); err != nil {
+	if t.Duration, err = f.Duration("lasts", w.Lasts, 0); err != nil {
 		return nil, err
 	}
-	if t.Lasts <= 0 || t.Lasts > mostLasts {
-		return nil, f.ErrorAt("lasts", fmt.Sprintf("must be more than 0 and at most %v", mostLasts))
+	if t.Duration <= 0 || t.Duration > maxDuration {
+		return nil, f.ErrorAt("lasts", fmt.Sprintf("must be more than 0 and at most %v", maxDuration))
 	}
 	for _, b := range w.Steps {
 		if err := t.step(f, b); err != nil {
@@ -267,7 +267,7 @@
 			return nil, f.ErrorAt("clocks", "seconds of a member's clock in one, from 0.5 to 2, by its name")
 		}
 	}
-	t.Clocks = w.Clocks
+	t.ClockRates = w.Clocks
 	slices.SortStableFunc(t.Steps, func(a, b Step) int { return int(a.At - b.At) })
 	if len(w.Expect) == 0 {
 		return nil, f.ErrorAt("expect", "nothing is expected: a rehearsal that cannot fail shows nothing")
@@ -281,7 +281,7 @@
 }
 
 // Names are those of the members.
-func (t *Timeline) Names() (all []string) {
+func (t *Scenario) Names() (all []string) {
 	for i := range t.Ingresses {
 		all = append(all, fmt.Sprint("n", i+1))
 	}
@@ -289,7 +289,7 @@
 }
 
 // members checks names, and spells "all" and ranges such as "n1-n3" out.
-func (t *Timeline) members(f *hclfile.File, path string, words []string, also ...string) (all []string, err error) {
+func (t *Scenario) members(f *hclfile.File, path string, words []string, also ...string) (all []string, err error) {
 	names := t.Names()
 	for _, w := range words {
 		first, last, isRange := strings.Cut(w, "-")
@@ -308,21 +308,21 @@
 	return all, nil
 }
 
-func (t *Timeline) step(f *hclfile.File, b stepBlock) error {
+func (t *Scenario) step(f *hclfile.File, b stepBlock) error {
 	at := "at." + b.At
 	if strings.Contains(b.At, ".") {
 		at = "at" // the path has dots of its own
 	}
-	s := Step{Word: b.Folder}
+	s := Step{Argument: b.Folder}
 	when, err := f.Duration(at, b.At, 0)
 	if err != nil {
 		return err
 	}
-	if when > t.Lasts {
-		return f.ErrorAt(at, fmt.Sprintf("%v is past the end, %v", when, t.Lasts))
+	if when > t.Duration {
+		return f.ErrorAt(at, fmt.Sprintf("%v is past the end, %v", when, t.Duration))
 	}
 	s.At = when
-	if s.For, err = f.Duration(at+".for", b.For, 0); err != nil {
+	if s.Duration, err = f.Duration(at+".for", b.For, 0); err != nil {
 		return err
 	}
 	for _, of := range []*[]string{&b.Stop, &b.Kill, &b.Disk, &b.Fill, &b.Revise, &b.Upgrade} { // whoever it is then
@@ -341,35 +341,35 @@
 		if d.of == nil {
 			continue
 		}
-		if s.Of, err = t.members(f, at+"."+d.do, d.of); err != nil {
+		if s.Members, err = t.members(f, at+"."+d.do, d.of); err != nil {
 			return err
 		}
-		s.Do = d.do
+		s.Action = d.do
 		done++
 	}
 	if b.Keys != "" {
-		if !t.Sealed || !slices.Contains([]string{"add", "turn", "drop"}, b.Keys) {
+		if !t.Encrypted || !slices.Contains([]string{"add", "turn", "drop"}, b.Keys) {
 			return f.ErrorAt(at+".keys", "of a sealed fleet a key is one of add, turn and drop")
 		}
-		s.Do, s.Word = "keys", b.Keys
+		s.Action, s.Argument = "keys", b.Keys
 		done++
 	}
 	if b.Counter != "" {
 		if !slices.Contains([]string{"gone", "back", "empty", "split"}, b.Counter) {
 			return f.ErrorAt(at+".counter", "one of gone, back, empty and split")
 		}
-		s.Do, s.Word = "counter", b.Counter
+		s.Action, s.Argument = "counter", b.Counter
 		done++
 	}
 	if b.Server != 0 {
-		if b.Server < 1 || b.Server > max(1, t.Servers) {
+		if b.Server < 1 || b.Server > max(1, t.QuoteServers) {
 			return f.ErrorAt(at+".server", "the number of one of the quote servers")
 		}
-		s.Do, s.Word = "server", strconv.Itoa(b.Server)
+		s.Action, s.Argument = "server", strconv.Itoa(b.Server)
 		done++
 	}
 	if b.Shift {
-		s.Do = "shift"
+		s.Action = "shift"
 		done++
 	}
 	if b.Voters != "" {
@@ -377,55 +377,55 @@
 		if t.Voters == 0 || !slices.Contains(t.Names(), name) || verb != "add" && verb != "remove" {
 			return f.ErrorAt(at+".voters", "it is add or remove and the name of a member, where there are voters")
 		}
-		s.Do, s.Word = "voters", b.Voters
+		s.Action, s.Argument = "voters", b.Voters
 		done++
 	}
 	if b.Link != nil {
-		if s.Link, err = t.link(f, at+".link", b.Link); err != nil {
+		if s.LinkFault, err = t.link(f, at+".link", b.Link); err != nil {
 			return err
 		}
-		s.Do = "link"
+		s.Action = "link"
 		done++
 	}
 	if done != 1 {
 		return f.ErrorAt(at, "one thing is done in each at")
 	}
-	if _, known := diskFails[b.Fails]; known != (s.Do == "disk") {
+	if _, known := diskFaults[b.Fails]; known != (s.Action == "disk") {
 		return f.ErrorAt(at+".fails", "of a disk, it is one of write, torn, full, sync and rename")
 	}
-	if s.Do == "revise" && !t.Catalogue {
+	if s.Action == "revise" && !t.Catalogue {
 		return f.ErrorAt(at+".revise", "there is no catalogue")
 	}
-	if s.Do == "disk" {
-		s.Word = b.Fails
+	if s.Action == "disk" {
+		s.Argument = b.Fails
 	}
-	if b.Dies != "" && (s.Do != "upgrade" || b.Dies != "old" && b.Dies != "young") {
+	if b.Dies != "" && (s.Action != "upgrade" || b.Dies != "old" && b.Dies != "young") {
 		return f.ErrorAt(at+".dies", "of an upgrade, either the old process dies or the young one")
 	}
-	if s.Do == "upgrade" {
-		s.Word = b.Dies
+	if s.Action == "upgrade" {
+		s.Argument = b.Dies
 	}
-	if b.Folder != "" && (s.Do != "start" || !slices.Contains([]string{"kept", "empty", "saved"}, b.Folder)) {
+	if b.Folder != "" && (s.Action != "start" || !slices.Contains([]string{"kept", "empty", "saved"}, b.Folder)) {
 		return f.ErrorAt(at+".folder", "of a start, the folder is one of kept, empty and saved")
 	}
-	if s.For > 0 && !slices.Contains([]string{"stop", "link", "fill", "lameduck", "disk", "server"}, s.Do) {
+	if s.Duration > 0 && !slices.Contains([]string{"stop", "link", "fill", "lameduck", "disk", "server"}, s.Action) {
 		return f.ErrorAt(at+".for", "what is undone is a stop, a link, a fill, a disk, a server or a lameduck")
 	}
 	t.Steps = append(t.Steps, s)
 	return nil
 }
 
-func (t *Timeline) link(f *hclfile.File, at string, b *linkBlock) (l Link, err error) {
-	l = Link{
-		Both:  b.Both,
-		Fault: faultnet.Fault{Loss: b.Loss, Double: b.Double, Reorder: b.Reorder, Cut: b.Cut, Longest: b.Longest},
+func (t *Scenario) link(f *hclfile.File, at string, b *linkBlock) (l LinkFault, err error) {
+	l = LinkFault{
+		Bidirectional: b.Both,
+		Fault:         faultnet.Fault{Loss: b.Loss, Double: b.Double, Reorder: b.Reorder, Cut: b.Cut, Longest: b.Longest},
 	}
 	for _, e := range []struct {
 		key   string
 		words []string
 		into  *[]string
 	}{{"from", b.From, &l.From}, {"to", b.To, &l.To}} {
-		if *e.into, err = t.members(f, at+"."+e.key, e.words, stands...); err != nil {
+		if *e.into, err = t.members(f, at+"."+e.key, e.words, standIns...); err != nil {
 			return l, err
 		}
 		if e.words == nil {
@@ -446,46 +446,46 @@
 	}
 	switch b.Protocol {
 	case "":
-		l.Proto = faultnet.Both
+		l.Protocol = faultnet.Both
 	case "datagrams":
-		l.Proto = faultnet.Datagrams
+		l.Protocol = faultnet.Datagrams
 	case "streams":
-		l.Proto = faultnet.Streams
+		l.Protocol = faultnet.Streams
 	default:
 		return l, f.ErrorAt(at+".protocol", fmt.Sprintf("%q is neither \"datagrams\" nor \"streams\"", b.Protocol))
 	}
 	return l, nil
 }
 
-func (t *Timeline) expect(f *hclfile.File, b expectBlock) error {
+func (t *Scenario) expect(f *hclfile.File, b expectBlock) error {
 	at := "expect." + b.Kind
-	words, ok := kinds[b.Kind]
+	words, ok := expectationValues[b.Kind]
 	if !ok {
 		return f.ErrorAt(at, fmt.Sprintf("nothing is called %q", b.Kind))
 	}
 	if !slices.Contains(words, b.Is) && (words != nil || b.Is != "") {
 		return f.ErrorAt(at+".is", fmt.Sprintf("must be one of %q", words))
 	}
-	e := Expect{Kind: b.Kind, Is: b.Is, Most: b.Most, Least: b.Least}
+	e := Expectation{Kind: b.Kind, Value: b.Is, Max: b.Most, Min: b.Least}
 	if b.Kind == "use" && (t.Customers == 0 || !(b.Most > 0 && b.Least >= 0)) {
 		return f.ErrorAt(at, "use of customers' quotas needs customers, and most, a part of the quota")
 	}
 	var err error
-	if e.Of, err = t.members(f, at+".of", b.Of); err != nil {
+	if e.Members, err = t.members(f, at+".of", b.Of); err != nil {
 		return err
 	}
-	if e.By, err = t.members(f, at+".by", b.By); err != nil {
+	if e.Observers, err = t.members(f, at+".by", b.By); err != nil {
 		return err
 	}
 	if e.After, err = f.Duration(at+".after", b.After, 0); err != nil {
 		return err
 	}
-	if e.Within, err = f.Duration(at+".within", b.Within, t.Lasts-e.After); err != nil {
+	if e.Within, err = f.Duration(at+".within", b.Within, t.Duration-e.After); err != nil {
 		return err
 	}
-	if e.After+e.Within > t.Lasts || e.Within <= 0 {
-		return f.ErrorAt(at, fmt.Sprintf("it ends past the end, %v", t.Lasts))
+	if e.After+e.Within > t.Duration || e.Within <= 0 {
+		return f.ErrorAt(at, fmt.Sprintf("it ends past the end, %v", t.Duration))
 	}
-	t.Expect = append(t.Expect, e)
+	t.Expectations = append(t.Expectations, e)
 	return nil
 }
--- a/internal/emulator/faulttest/file_test.go
+++ b/internal/emulator/faulttest/file_test.go
@@ -38,22 +38,22 @@
 }
 expect "answered" {}
 `))
-	want := &Timeline{
+	want := &Scenario{
 		Name:      "x",
 		Ingresses: 3,
-		Lasts:     10 * time.Second,
+		Duration:  10 * time.Second,
 		Steps: []Step{
-			{At: time.Second, Do: "kill", Of: []string{"n2"}},
+			{At: time.Second, Action: "kill", Members: []string{"n2"}},
 			{
-				At:  2 * time.Second,
-				Do:  "link",
-				For: time.Second,
-				Link: Link{From: []string{"n1", "n2", "counter"}, To: []string{"n3"}, Both: true, Proto: faultnet.Both,
+				At:       2 * time.Second,
+				Action:   "link",
+				Duration: time.Second,
+				LinkFault: LinkFault{From: []string{"n1", "n2", "counter"}, To: []string{"n3"}, Bidirectional: true, Protocol: faultnet.Both,
 					Fault: faultnet.Fault{Loss: 0.5, Delay: 5 * time.Millisecond}},
 			},
 		},
-		Expect: []Expect{
-			{Kind: "state", Of: []string{"n2"}, Is: "dead", After: time.Second, Within: 5 * time.Second},
+		Expectations: []Expectation{
+			{Kind: "state", Members: []string{"n2"}, Value: "dead", After: time.Second, Within: 5 * time.Second},
 			{Kind: "answered", Within: 10 * time.Second},
 		},
 	}
--- a/internal/emulator/faulttest/find.go
+++ b/internal/emulator/faulttest/find.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// find looks for an expectation in what was seen.
-func (p *player) find(e Expect) Finding {
-	f := Finding{Expect: e}
+// evaluate looks for an expectation in what was seen.
+func (p *player) evaluate(e Expectation) Finding {
+	f := Finding{Expectation: e}
 	limit := time.Duration(float64(e.Within) * p.Slack)
-	of, by := e.Of, e.By
+	of, by := e.Members, e.Observers
 	if len(of) == 0 {
-		of = p.w.t.Names()
+		of = p.env.scenario.Names()
 	}
 	if len(by) == 0 {
-		by = p.w.t.Names()
+		by = p.env.scenario.Names()
 	}
-	from := p.begun.Add(e.After)
+	from := p.startedAt.Add(e.After)
 	switch e.Kind {
 	case "state":
 		f.Passed, f.Text = true, "by all"
@@ -29,9 +29,9 @@
 				if m == n.name {
 					continue
 				}
-				at, ok := n.reported(m, e.Is, from)
+				at, ok := n.reported(m, e.Value, from)
 				if !ok || at.After(from.Add(limit)) {
-					f.Passed, f.Text = false, fmt.Sprintf("%s does not hold %s for %s in time", n.name, m, e.Is)
+					f.Passed, f.Text = false, fmt.Sprintf("%s does not hold %s for %s in time", n.name, m, e.Value)
 					continue
 				}
 				f.Times = append(f.Times, max(0, at.Sub(from)))
@@ -48,10 +48,10 @@
 			n.mu.Unlock()
 			looked++
 			for _, c := range changes {
-				if c.What == "state" && c.To == e.Is && slices.Contains(of, c.Name) && c.at.After(from) &&
+				if c.What == "state" && c.To == e.Value && slices.Contains(of, c.Name) && c.at.After(from) &&
 					c.at.Before(from.Add(e.Within)) {
 					reported++
-					f.Text = fmt.Sprintf("%s told %s %s after %.1f s", n.name, c.Name, e.Is, c.at.Sub(from).Seconds())
+					f.Text = fmt.Sprintf("%s told %s %s after %.1f s", n.name, c.Name, e.Value, c.at.Sub(from).Seconds())
 				}
 			}
 		}
@@ -62,30 +62,30 @@
 		}
 	case "not":
 		f.Passed, f.Text = false, "nothing was seen in that time"
-		for _, m := range p.marks {
+		for _, m := range p.observations {
 			if m.at.Before(from) || m.at.After(from.Add(e.Within)) {
 				continue
 			}
-			if f.Passed, f.Text = true, ""; len(m.judgements) == 0 {
+			if f.Passed, f.Text = true, ""; len(m.reachability) == 0 {
 				continue
 			}
 			for _, n := range of {
-				if m.judgements[n] == e.Is {
+				if m.reachability[n] == e.Value {
 					f.Passed, f.Text = false, fmt.Sprintf("%s said so after %.1f s", n, m.at.Sub(from).Seconds())
 					return f
 				}
 			}
 		}
 	case "held":
-		f = p.findTenures(e, f, from, limit)
+		f = p.findTenure(e, f, from, limit)
 	case "fenced":
 		f = p.findFenced(f)
 	case "stale":
-		f.Passed, f.Text = p.fenced > 0, fmt.Sprintf("%d refused", p.fenced)
+		f.Passed, f.Text = p.rejectedBatches > 0, fmt.Sprintf("%d refused", p.rejectedBatches)
 	case "billed":
 		f = p.findBilled(f)
 	case "one":
-		f = p.findOne(f)
+		f = p.findTokenHolders(f)
 	case "warned":
 		f = p.findWarned(f, of, from, limit)
 	case "use":
@@ -93,15 +93,15 @@
 	case "announced":
 		f = p.findAnnounced(f, from, limit)
 	case "agree", "judgement":
-		f = p.watched(e, f)
+		f = p.findReachability(e, f)
 	case "answered":
-		f.Passed = p.clients.unanswered == 0 && p.clients.served > 0
+		f.Passed = p.requests.unanswered == 0 && p.requests.served > 0
 		f.Text = fmt.Sprintf(
 			"%d of %d without an answer, %d served %s",
-			p.clients.unanswered,
-			p.clients.sent,
-			p.clients.served,
-			p.clients.why,
+			p.requests.unanswered,
+			p.requests.sent,
+			p.requests.served,
+			p.requests.lastError,
 		)
 	case "refused":
 		f.Passed, f.Text = true, ""
@@ -140,29 +140,29 @@
 	return from, passed == state
 }
 
-// mark is what the fleet was like at a moment.
-type mark struct {
-	at         time.Time
-	agree      bool
-	judgements map[string]string
+// observation is what the fleet was like at a moment.
+type observation struct {
+	at           time.Time
+	agree        bool
+	reachability map[string]string
 }
 
-// watched looks for the first moment from which on something is so until its limit, or once at all for a judgement.
-func (p *player) watched(e Expect, f Finding) Finding {
-	from, limit := p.begun.Add(e.After), time.Duration(float64(e.Within)*p.Slack)
-	for _, m := range p.marks {
+// findReachability looks for the first moment from which on something is so until its limit, or once at all for a judgement.
+func (p *player) findReachability(e Expectation, f Finding) Finding {
+	from, limit := p.startedAt.Add(e.After), time.Duration(float64(e.Within)*p.Slack)
+	for _, m := range p.observations {
 		if m.at.Before(from) || m.at.After(from.Add(limit)) {
 			continue
 		}
 		ok := m.agree
 		if e.Kind == "judgement" {
 			ok = true
-			for _, n := range e.Of {
-				ok = ok && m.judgements[n] == e.Is
+			for _, n := range e.Members {
+				ok = ok && m.reachability[n] == e.Value
 			}
-			if len(e.Of) == 0 {
-				for _, j := range m.judgements {
-					ok = ok && j == e.Is
+			if len(e.Members) == 0 {
+				for _, j := range m.reachability {
+					ok = ok && j == e.Value
 				}
 			}
 		}
@@ -170,7 +170,7 @@
 			f.Passed, f.Times, f.Text = true, []time.Duration{m.at.Sub(from)}, "once"
 			return f
 		}
-		f.Text = fmt.Sprint("last ", m.judgements)
+		f.Text = fmt.Sprint("last ", m.reachability)
 	}
 	if f.Text == "" {
 		f.Text = "nothing was seen in that time"
@@ -178,31 +178,31 @@
 	return f
 }
 
-// lookNow has nodes looked at, and notes what the fleet is like. A process that was suspended reports that it is cut
+// pollNow has nodes looked at, and notes what the fleet is like. A process that was suspended reports that it is cut
 // off only until the first message arrives, which may be sooner than the next regular look.
-func (p *player) lookNow(nodes []*node) {
+func (p *player) pollNow(nodes []*node) {
 	for _, n := range nodes {
-		n.look()
+		n.poll()
 	}
-	p.watch()
+	p.observe()
 }
 
-// watch notes what the fleet is like, every so often.
-func (p *player) watch() {
-	m := mark{at: time.Now(), agree: true, judgements: map[string]string{}}
+// observe notes what the fleet is like, every so often.
+func (p *player) observe() {
+	m := observation{at: time.Now(), agree: true, reachability: map[string]string{}}
 	digest := ""
-	for _, n := range p.w.nodes {
+	for _, n := range p.env.nodes {
 		r := n.report()
 		if r == nil {
 			continue
 		}
-		m.judgements[n.name] = r.Reachability
+		m.reachability[n.name] = r.Reachability
 		if digest == "" {
 			digest = r.Digest
 		}
 		m.agree = m.agree && r.Digest == digest
 	}
-	p.marksMu.Lock()
-	defer p.marksMu.Unlock()
-	p.marks = append(p.marks, m)
+	p.observationsMu.Lock()
+	defer p.observationsMu.Unlock()
+	p.observations = append(p.observations, m)
 }
--- a/internal/emulator/faulttest/nodes.go
+++ b/internal/emulator/faulttest/nodes.go
@@ -17,71 +17,71 @@
 
 // node is one member: its place, and the process that runs there.
 type node struct {
-	name, ip string
-	listen   string // for clients
-	bound    string // for the fleet
-	gate     *faultnet.Relay
-	counter  string // relays to the stand-ins
-	list     string
-	bill     string
-	counts   *faultnet.Relay // before the counter
-	folder   string
-	saved    string
-
-	mu      sync.Mutex
-	process *testcluster.Process // nil: none runs
-	twin    *testcluster.Process
-	starts  int
-	off     []span // when nothing could be expected of it
-	view    uint64
-	latest  *gossip.Report
-	changes []seen
+	name, ip     string
+	clientAddr   string // for clients
+	gossipAddr   string // for the fleet
+	relay        *faultnet.Relay
+	counter      string // relays to the stand-ins
+	discovery    string
+	billing      string
+	counterRelay *faultnet.Relay // before the counter
+	dir          string
+	savedDir     string
+
+	mu       sync.Mutex
+	process  *testcluster.Process // nil: none runs
+	twin     *testcluster.Process
+	starts   int
+	absences []absence // when nothing could be expected of it
+	lastView uint64
+	latest   *gossip.Report
+	changes  []stateChange
 }
 
-// seen is a change of a view as a member told it.
-type seen struct {
+// stateChange is a change of a view as a member told it.
+type stateChange struct {
 	at time.Time
 	gossip.ChangeReport
 }
 
 // launch starts a member's process.
-func (w *world) launch(i int, twin bool) (*testcluster.Process, error) {
+func (w *environment) launch(i int, twin bool) (*testcluster.Process, error) {
 	n := w.nodes[i]
-	path, err := w.config(n, i, twin)
+	path, err := w.writeConfig(n, i, twin)
 	if err != nil {
 		return nil, err
 	}
 	n.mu.Lock()
 	n.starts++
-	log := fmt.Sprintf("%s.%d.log", n.folder, n.starts)
+	log := fmt.Sprintf("%s.%d.log", n.dir, n.starts)
 	n.mu.Unlock()
-	if err := n.fails(w.t, nil); err != nil { // its machine has a sound disk again
+	if err := n.writeFaults(w.scenario, nil); err != nil { // its machine has a sound disk again
 		return nil, err
 	}
-	return testcluster.Launch(log, "process-started", w.program, "serve", "-c", path, "--rehearsal", n.faults())
+	return testcluster.Launch(log, "process-started", w.program, "serve", "-c", path, "--rehearsal", n.faultsFile())
 }
 
-func (n *node) faults() string { return n.folder + ".faults.json" }
+func (n *node) faultsFile() string { return n.dir + ".faults.json" }
 
-// fails has the disk below a member's process fail from now on, or no more.
-func (n *node) fails(t *Timeline, all map[vfs.Op]vfs.Fault) error {
-	text, err := jsontext.Encode(faultinjection.Plan{ClockRate: t.Clocks[n.name], Faults: all})
+// writeFaults has the disk below a member's process fail from now on, or no more.
+func (n *node) writeFaults(t *Scenario, all map[vfs.Op]vfs.Fault) error {
+	text, err := jsontext.Encode(faultinjection.Plan{ClockRate: t.ClockRates[n.name], Faults: all})
 	if err != nil {
 		return err
 	}
-	return vfs.Replace(vfs.OS{}, n.faults(), text, 0o644)
+	return vfs.Replace(vfs.OS{}, n.faultsFile(), text, 0o644)
 }
 
-// plans is a member's own file of the catalogue. It stays where the folder of its state is lost.
-func (n *node) plans() string { return n.folder + ".plans.hcl" }
+// plansFile is a member's own file of the catalogue. It stays where the folder of its state is lost.
+func (n *node) plansFile() string { return n.dir + ".plans.hcl" }
 
-// usage is where a member records use: it stays where the folder of its state is lost.
-func (n *node) usage() string { return n.folder + ".usage" }
+// usageDir is where a member records use: it stays where the folder of its state is lost.
+func (n *node) usageDir() string { return n.dir + ".usage" }
 
-// run has a process be the member's.
-func (n *node) run(p *testcluster.Process) {
+// setProcess has a process be the member's.
+func (n *node) setProcess(p *testcluster.Process) {
 	n.mu.Lock()
-	n.process, n.view = p, 0
+	n.process, n.lastView = p, 0
 	n.mu.Unlock()
 }
 
@@ -91,37 +91,37 @@
 	return n.process
 }
 
-// away notes that nothing is to be expected of a member from now on, or that it is again.
-func (n *node) away(is bool) {
+// setAbsent notes that nothing is to be expected of a member from now on, or that it is again.
+func (n *node) setAbsent(is bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	switch last := len(n.off) - 1; {
+	switch last := len(n.absences) - 1; {
 	case is:
-		n.off = append(n.off, span{from: now})
-	case last >= 0 && n.off[last].to.IsZero():
-		n.off[last].to = now
+		n.absences = append(n.absences, absence{from: now})
+	case last >= 0 && n.absences[last].to.IsZero():
+		n.absences[last].to = now
 	}
 }
 
-// wasOff tells whether a member was away at a time, or was so shortly before.
-func (n *node) wasOff(at time.Time, grace time.Duration) bool {
+// wasAbsent tells whether a member was away at a time, or was so shortly before.
+func (n *node) wasAbsent(at time.Time, grace time.Duration) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return slices.ContainsFunc(n.off, func(s span) bool {
+	return slices.ContainsFunc(n.absences, func(s absence) bool {
 		return at.After(s.from) && (s.to.IsZero() || at.Before(s.to.Add(grace)))
 	})
 }
 
 // call asks a management address.
-func call(addr, line string) ([]string, error) { return mgmt.Call(addr, line, callMost) }
+func call(addr, line string) ([]string, error) { return mgmt.Call(addr, line, callTimeout) }
 
-const callMost = 2 * time.Second
+const callTimeout = 2 * time.Second
 
-// look asks a member for its view, and keeps what changed.
-func (n *node) look() {
+// poll asks a member for its view, and keeps what changed.
+func (n *node) poll() {
 	n.mu.Lock()
-	p, after := n.process, n.view
+	p, after := n.process, n.lastView
 	n.mu.Unlock()
 	if p == nil || p.Stopped() {
 		return
@@ -140,9 +140,9 @@
 	if n.process != p {
 		return
 	}
-	n.latest, n.view = r, r.View
+	n.latest, n.lastView = r, r.View
 	for _, c := range r.Changes {
-		n.changes = append(n.changes, seen{now.Add(-time.Duration(c.AgoMillis) * time.Millisecond), c})
+		n.changes = append(n.changes, stateChange{now.Add(-time.Duration(c.AgoMillis) * time.Millisecond), c})
 	}
 }
 
--- a/internal/emulator/faulttest/play.go
+++ b/internal/emulator/faulttest/play.go
@@ -28,8 +28,8 @@
 }
 
 const (
-	maxJoinTime = 60 * time.Second // for all ingresses to hear the whole fleet at first
-	lookEvery   = 200 * time.Millisecond
+	maxJoinTime  = 60 * time.Second // for all ingresses to hear the whole fleet at first
+	pollInterval = 200 * time.Millisecond
 
 	idleInterval = 5 * time.Second
 )
@@ -37,20 +37,20 @@
 // player is a rehearsal as it plays.
 type player struct {
 	Options
-	w       *world
-	begun   time.Time
-	mu      sync.Mutex
-	report  *Report
-	undo    sync.WaitGroup
-	clients *clients
-	marksMu sync.Mutex // guards marks while the scenario is played
-	marks   []mark
-	tenures []holding
-	number  uint64 // of the newest revision that was written
-	orders  []order
-	warned  []warning
-	taken   []fakes.Taken
-	fenced  int
+	env             *environment
+	startedAt       time.Time
+	mu              sync.Mutex
+	report          *Report
+	undoing         sync.WaitGroup
+	requests        *requestCounts
+	observationsMu  sync.Mutex // guards marks while the scenario is played
+	observations    []observation
+	tenures         []tenure
+	revision        uint64 // of the newest revision that was written
+	catalogueViews  []catalogueView
+	warnings        []warning
+	takenBatches    []fakes.Taken
+	rejectedBatches int
 }
 
 type event struct {
@@ -60,29 +60,29 @@
 	Of   []string `json:"of,omitempty"`
 }
 
-func (p *player) say(kind, what string, of ...string) {
+func (p *player) logEvent(kind, what string, of ...string) {
 	at := 0.0
-	if !p.begun.IsZero() {
-		at = time.Since(p.begun).Seconds()
+	if !p.startedAt.IsZero() {
+		at = time.Since(p.startedAt).Seconds()
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.Progress != nil {
-		fmt.Fprintf(p.Progress, "%6.1f s  %s %s\n", at, what, join(of))
+		fmt.Fprintf(p.Progress, "%6.1f s  %s %s\n", at, what, formatMembers(of))
 	}
 	if p.Events != nil {
 		jsontext.NewEncoder(p.Events).Encode(event{at, kind, what, of})
 	}
 }
 
-func join(of []string) string {
+func formatMembers(of []string) string {
 	if len(of) > 6 {
 		return fmt.Sprintf("%s ... %s (%d)", of[0], of[len(of)-1], len(of))
 	}
 	return fmt.Sprint(of)
 }
 
-func (p *player) problem(err error) {
+func (p *player) reportProblem(err error) {
 	if err != nil {
 		p.mu.Lock()
 		p.report.Problems = append(p.report.Problems, err.Error())
@@ -91,7 +91,7 @@
 }
 
 // Play plays a timeline. All that it starts has ended when it returns, also where the context ends first.
-func Play(ctx context.Context, t *Timeline, o Options) (*Report, error) {
+func Play(ctx context.Context, t *Scenario, o Options) (*Report, error) {
 	if o.Dir == "" {
 		dir, err := os.MkdirTemp("", "rehearsal-")
 		if err != nil {
@@ -107,28 +107,28 @@
 	if err != nil {
 		return nil, fmt.Errorf("rehearsal: %w", err)
 	}
-	w, err := newWorld(t, o.Program, dir)
+	w, err := newEnvironment(t, o.Program, dir)
 	defer w.close()
 	if err != nil {
 		return nil, err
 	}
-	p := &player{Options: o, w: w, report: &Report{Timeline: t}}
+	p := &player{Options: o, env: w, report: &Report{Timeline: t}}
 	return p.report, p.play(ctx)
 }
 
 func (p *player) play(ctx context.Context) error {
 	var starting sync.WaitGroup
-	failed := make(chan error, len(p.w.nodes))
-	for i, n := range p.w.nodes {
+	failed := make(chan error, len(p.env.nodes))
+	for i, n := range p.env.nodes {
 		starting.Add(1)
 		go func() {
 			defer starting.Done()
-			process, err := p.w.launch(i, false)
+			process, err := p.env.launch(i, false)
 			if err != nil {
 				failed <- err
 				return
 			}
-			n.run(process)
+			n.setProcess(process)
 		}()
 	}
 	starting.Wait()
@@ -137,19 +137,19 @@
 		return err
 	default:
 	}
-	p.say("begun", fmt.Sprintf("%d ingresses run", len(p.w.nodes)))
+	p.logEvent("begun", fmt.Sprintf("%d ingresses run", len(p.env.nodes)))
 	stop := make(chan struct{})
 	var looking sync.WaitGroup
-	every := max(lookEvery, time.Duration(len(p.w.nodes))*10*time.Millisecond)
-	if p.w.t.Idle {
+	every := max(pollInterval, time.Duration(len(p.env.nodes))*10*time.Millisecond)
+	if p.env.scenario.Idle {
 		every = idleInterval
 	}
-	for _, n := range p.w.nodes {
+	for _, n := range p.env.nodes {
 		looking.Add(1)
 		go func() {
 			defer looking.Done()
 			for {
-				n.look()
+				n.poll()
 				select {
 				case <-stop:
 					return
@@ -173,38 +173,38 @@
 		}
 	}
 	p.report.JoinTime = time.Since(begun)
-	p.begun = time.Now()
-	p.say("whole", fmt.Sprintf("all hear the whole fleet, %.1f s after the last start", p.report.JoinTime.Seconds()))
+	p.startedAt = time.Now()
+	p.logEvent("whole", fmt.Sprintf("all hear the whole fleet, %.1f s after the last start", p.report.JoinTime.Seconds()))
 	watching := make(chan struct{})
 	go func() {
 		defer close(watching)
 		for {
-			p.watch()
+			p.observe()
 			select {
 			case <-stop:
 				return
-			case <-time.After(lookEvery / 2):
+			case <-time.After(pollInterval / 2):
 			}
 		}
 	}()
 	go p.watchRoles(stop)
-	go p.watchOrder(stop)
+	go p.watchCatalogue(stop)
 	go p.watchShared(stop)
-	load, out := &clients{}, &sync.WaitGroup{}
-	if !p.w.t.Idle {
-		load, out = p.w.load(stop)
-		p.w.customers(stop, out)
+	load, out := &requestCounts{}, &sync.WaitGroup{}
+	if !p.env.scenario.Idle {
+		load, out = p.env.startClients(stop)
+		p.env.startCustomers(stop, out)
 	}
-	p.clients = load
-	before := p.spent()
-	err := p.happen(ctx)
+	p.requests = load
+	before := p.sampleUsage()
+	err := p.runSteps(ctx)
 	if err == nil {
-		err = p.until(ctx, p.w.t.Lasts)
+		err = p.sleepUntil(ctx, p.env.scenario.Duration)
 	}
-	p.undo.Wait()
-	p.cost(before)
-	for _, n := range p.w.nodes {
-		n.look()
+	p.undoing.Wait()
+	p.computeCost(before)
+	for _, n := range p.env.nodes {
+		n.poll()
 	}
 	close(stop)
 	out.Wait()
@@ -213,61 +213,61 @@
 		return err
 	}
 	p.report.Sent, p.report.Served = load.sent, load.served
-	if p.w.t.Voters > 0 {
-		p.problem(p.bill(ctx))
+	if p.env.scenario.Voters > 0 {
+		p.reportProblem(p.settleBilling(ctx))
 	}
-	for _, e := range p.w.t.Expect {
-		f := p.find(e)
+	for _, e := range p.env.scenario.Expectations {
+		f := p.evaluate(e)
 		p.report.Findings = append(p.report.Findings, f)
-		p.say("expected", fmt.Sprintf("%s %s: %s", e.Kind, e.Is, f.Text), e.Of...)
+		p.logEvent("expected", fmt.Sprintf("%s %s: %s", e.Kind, e.Value, f.Text), e.Members...)
 	}
 	return nil
 }
 
 // whole tells whether every ingress says so.
 func (p *player) awaitComplete() bool {
-	for _, n := range p.w.nodes {
-		if r := n.report(); r == nil || r.Reachability != "whole" || r.Agreed != len(p.w.nodes) {
+	for _, n := range p.env.nodes {
+		if r := n.report(); r == nil || r.Reachability != "whole" || r.Agreed != len(p.env.nodes) {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *player) until(ctx context.Context, at time.Duration) error {
+func (p *player) sleepUntil(ctx context.Context, at time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(time.Until(p.begun.Add(at))):
+	case <-time.After(time.Until(p.startedAt.Add(at))):
 		return nil
 	}
 }
 
-// spending is what a process has spent since its start.
-type spending struct {
+// usageSample is what a process has spent since its start.
+type usageSample struct {
 	process *testcluster.Process
 	traffic gossip.Traffic
 	cpu     time.Duration
 }
 
-func (p *player) spent() (all []spending) {
-	for _, n := range p.w.nodes {
+func (p *player) sampleUsage() (all []usageSample) {
+	for _, n := range p.env.nodes {
 		r, process := n.report(), n.running()
 		if r == nil || process == nil {
 			continue
 		}
 		if cpu, err := process.CPU(); err == nil {
-			all = append(all, spending{process, r.Traffic, cpu})
+			all = append(all, usageSample{process, r.Traffic, cpu})
 		}
 	}
 	return all
 }
 
-// cost is told of the processes that ran all the time.
-func (p *player) cost(before []spending) {
-	seconds, n, c := time.Since(p.begun).Seconds(), 0.0, Cost{}
-	for _, a := range p.spent() {
-		i := slices.IndexFunc(before, func(b spending) bool { return b.process == a.process })
+// computeCost is told of the processes that ran all the time.
+func (p *player) computeCost(before []usageSample) {
+	seconds, n, c := time.Since(p.startedAt).Seconds(), 0.0, Cost{}
+	for _, a := range p.sampleUsage() {
+		i := slices.IndexFunc(before, func(b usageSample) bool { return b.process == a.process })
 		if i < 0 {
 			continue
 		}
--- a/internal/emulator/faulttest/report.go
+++ b/internal/emulator/faulttest/report.go
@@ -10,15 +10,15 @@
 
 // Finding is what came of an expectation.
 type Finding struct {
-	Expect Expect
-	Passed bool
-	Text   string
-	Times  []time.Duration // behind After: when each that was looked at had it
+	Expectation Expectation
+	Passed      bool
+	Text        string
+	Times       []time.Duration // behind After: when each that was looked at had it
 }
 
 // Report is what came of a rehearsal.
 type Report struct {
-	Timeline *Timeline
+	Timeline *Scenario
 	JoinTime time.Duration // until all heard the whole fleet
 	Findings []Finding
 	Sent     int
@@ -31,14 +31,14 @@
 // those that ran all the time.
 type Cost struct{ PacketsPerSecond, BytesPerSecond, CPU float64 }
 
-// Good tells whether all held.
-func (r *Report) Good() bool {
+// Passed tells whether all held.
+func (r *Report) Passed() bool {
 	return len(r.Problems) == 0 && !slices.ContainsFunc(r.Findings, func(f Finding) bool { return !f.Passed })
 }
 
 // Write prints a table.
 func (r *Report) Write(out io.Writer) {
-	Table(out, []*Report{r})
+	WriteTable(out, []*Report{r})
 	fmt.Fprintf(
 		out,
 		"whole after %.1f s; %d requests, %d served; "+
@@ -55,8 +55,8 @@
 	}
 }
 
-// Table prints what came of one timeline played once or often, and, over all that is expected of one kind, its times.
-func Table(out io.Writer, all []*Report) {
+// WriteTable prints what came of one timeline played once or often, and, over all that is expected of one kind, its times.
+func WriteTable(out io.Writer, all []*Report) {
 	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(t, "expected\tof\tby\theld\tmedian\tp99\tworst\tlimit\tseen\n")
 	type kind struct{ kind, is string }
@@ -72,7 +72,7 @@
 				text = g.Text
 			}
 		}
-		k := kind{f.Expect.Kind, f.Expect.Is}
+		k := kind{f.Expectation.Kind, f.Expectation.Value}
 		if _, known := sums[k]; !known {
 			order = append(order, k)
 		}
@@ -84,13 +84,13 @@
 		fmt.Fprintf(
 			t,
 			"%s %s\t%s\t%s\t%s\t%s\t%.0f s\t%s\n",
-			f.Expect.Kind,
-			f.Expect.Is,
-			short(f.Expect.Of),
-			short(f.Expect.By),
+			f.Expectation.Kind,
+			f.Expectation.Value,
+			formatNames(f.Expectation.Members),
+			formatNames(f.Expectation.Observers),
 			words,
 			quantiles(times),
-			f.Expect.Within.Seconds(),
+			f.Expectation.Within.Seconds(),
 			text,
 		)
 	}
@@ -112,7 +112,7 @@
 	return fmt.Sprintf("%.1f s\t%.1f s\t%.1f s", times[n/2].Seconds(), times[(n*99-1)/100].Seconds(), times[n-1].Seconds())
 }
 
-func short(names []string) string {
+func formatNames(names []string) string {
 	switch {
 	case len(names) == 0:
 		return "all"
--- a/internal/emulator/faulttest/roles.go
+++ b/internal/emulator/faulttest/roles.go
@@ -16,18 +16,18 @@
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
-// holding is who held the export at a moment, as the leader said.
-type holding struct {
+// tenure is who held the export at a moment, as the leader said.
+type tenure struct {
 	at      time.Time
 	ingress string
 	token   uint64
-	runs    bool // it did, as the rig knows
+	running bool // it did, as the rig knows
 }
 
 // watchDuties asks who holds the export, whoever answers.
 func (p *player) watchRoles(stop <-chan struct{}) {
-	for p.w.t.Voters > 0 {
-		for _, n := range p.w.nodes {
+	for p.env.scenario.Voters > 0 {
+		for _, n := range p.env.nodes {
 			process := n.running()
 			if process == nil || process.Stopped() {
 				continue
@@ -40,7 +40,7 @@
 			if jsontext.Decode([]byte(lines[0]), &t) != nil {
 				continue
 			}
-			h := holding{at: time.Now()}
+			h := tenure{at: time.Now()}
 			for _, d := range t.Roles {
 				if d.Role == leaseservice.RoleExport {
 					h.ingress, h.token = d.Holder, d.Token
@@ -48,7 +48,7 @@
 			}
 			if nodes := p.nodesOf([]string{h.ingress}); len(nodes) == 1 {
 				process := nodes[0].running()
-				h.runs = process != nil && !process.Stopped()
+				h.running = process != nil && !process.Stopped()
 			}
 			p.mu.Lock()
 			p.tenures = append(p.tenures, h)
@@ -58,14 +58,14 @@
 		select {
 		case <-stop:
 			return
-		case <-time.After(lookEvery / 2):
+		case <-time.After(pollInterval / 2):
 		}
 	}
 }
 
-// change adds a voter or removes one, by the command of operators, at any member that answers.
-func (p *player) change(words string) (err error) {
-	for _, n := range p.w.nodes {
+// changeVoters adds a voter or removes one, by the command of operators, at any member that answers.
+func (p *player) changeVoters(words string) (err error) {
+	for _, n := range p.env.nodes {
 		process := n.running()
 		if process == nil || process.Stopped() {
 			continue
@@ -76,7 +76,7 @@
 			append(
 				[]string{"fleet", "voters", "--mgmt", process.Mgmt},
 				strings.Fields(words)...)...).CombinedOutput(); err == nil {
-			p.say("done", "voters are "+strings.Join(strings.Fields(string(out)), " "))
+			p.logEvent("done", "voters are "+strings.Join(strings.Fields(string(out)), " "))
 			return nil
 		}
 		err = fmt.Errorf("voters %s at %s: %w: %s", words, n.name, err, out)
@@ -98,7 +98,7 @@
 }
 
 // findHeld looks for a holder.
-func (p *player) findTenures(e Expect, f Finding, from time.Time, limit time.Duration) Finding {
+func (p *player) findTenure(e Expectation, f Finding, from time.Time, limit time.Duration) Finding {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	before := uint64(0)
@@ -111,8 +111,8 @@
 			break
 		}
 		f.Text = fmt.Sprintf("last %q under %d", h.ingress, h.token)
-		if h.ingress == "" || !h.runs || e.Is == "again" && h.token <= before ||
-			len(e.Of) > 0 && !slices.Contains(e.Of, h.ingress) {
+		if h.ingress == "" || !h.running || e.Value == "again" && h.token <= before ||
+			len(e.Members) > 0 && !slices.Contains(e.Members, h.ingress) {
 			continue
 		}
 		f.Passed, f.Times, f.Text = true, []time.Duration{h.at.Sub(from)}, "by "+h.ingress
@@ -121,19 +121,19 @@
 	return f
 }
 
-// bill ends all processes as a planned restart does, has what is left exported by command, and notes what was billed.
-func (p *player) bill(ctx context.Context) error {
+// settleBilling ends all processes as a planned restart does, has what is left exported by command, and notes what was billed.
+func (p *player) settleBilling(ctx context.Context) error {
 	var errs []error
-	for _, n := range p.w.nodes {
+	for _, n := range p.env.nodes {
 		if process := n.running(); process != nil {
 			errs = append(errs, process.Quit())
-			n.run(nil)
+			n.setProcess(nil)
 		}
 	}
-	p.taken, p.fenced = p.w.billing.Fenced() // before the rest comes, which no holder sends
-	for _, n := range p.w.nodes {
+	p.takenBatches, p.rejectedBatches = p.env.billing.Fenced() // before the rest comes, which no holder sends
+	for _, n := range p.env.nodes {
 		// the second is that of a process beside an older one
-		for _, dir := range []string{n.usage(), n.usage() + ".beside"} {
+		for _, dir := range []string{n.usageDir(), n.usageDir() + ".beside"} {
 			if _, err := os.Stat(dir); err != nil {
 				continue
 			}
@@ -144,7 +144,7 @@
 				"export",
 				dir,
 				"--to",
-				p.w.billing.URL(),
+				p.env.billing.URL(),
 			).CombinedOutput(); err != nil {
 				errs = append(errs, fmt.Errorf("the last export of %s: %w: %s", n.name, err, out))
 			}
@@ -155,9 +155,9 @@
 
 // findBilled compares the bill with what arrived.
 func (p *player) findBilled(f Finding) Finding {
-	tally, unmetered, repeats, conflicts := p.w.billing.Billed()
+	tally, unmetered, repeats, conflicts := p.env.billing.Billed()
 	known, unknown := tally.Total()
-	arrived := int64(len(p.w.arrived()))
+	arrived := int64(len(p.env.arrived()))
 	f.Passed = arrived > 0 && known.Requests <= arrived && arrived <= known.Requests+unknown.Requests+unmetered.Requests &&
 		conflicts == 0
 	f.Text = fmt.Sprintf(
@@ -175,35 +175,35 @@
 // findFenced looks at what billing took under tokens.
 func (p *player) findFenced(f Finding) Finding {
 	last, tokens := uint64(0), 0
-	f.Passed = len(p.taken) > 0
-	for _, t := range p.taken {
+	f.Passed = len(p.takenBatches) > 0
+	for _, t := range p.takenBatches {
 		f.Passed = f.Passed && t.Token >= last
 		if t.Token != last {
 			tokens++
 		}
 		last = t.Token
 	}
-	f.Text = fmt.Sprintf("%d batches under %d tokens, %d refused as an older holder's", len(p.taken), tokens, p.fenced)
+	f.Text = fmt.Sprintf("%d batches under %d tokens, %d refused as an older holder's", len(p.takenBatches), tokens, p.rejectedBatches)
 	return f
 }
 
-// order is what the members hold for the catalogue at a moment.
-type order struct {
-	at     time.Time
-	number uint64 // the newest that had been written by then
-	same   bool   // all that run hold it, and one content for each number
-	text   string
+// catalogueView is what the members hold for the catalogue at a moment.
+type catalogueView struct {
+	at         time.Time
+	number     uint64 // the newest that had been written by then
+	consistent bool   // all that run hold it, and one content for each number
+	text       string
 }
 
-// watchOrder asks all for what was announced.
-func (p *player) watchOrder(stop <-chan struct{}) {
-	for p.w.t.Catalogue {
-		o := order{at: time.Now(), same: true}
+// watchCatalogue asks all for what was announced.
+func (p *player) watchCatalogue(stop <-chan struct{}) {
+	for p.env.scenario.Catalogue {
+		o := catalogueView{at: time.Now(), consistent: true}
 		p.mu.Lock()
-		o.number = p.number + 1
+		o.number = p.revision + 1
 		p.mu.Unlock()
 		digests := map[uint64]string{}
-		for _, n := range p.w.nodes {
+		for _, n := range p.env.nodes {
 			process := n.running()
 			if process == nil || process.Stopped() {
 				continue
@@ -211,27 +211,27 @@
 			var a leaseservice.AnnouncerStatus
 			lines, err := call(process.Mgmt, "CATALOGUE")
 			if err != nil || len(lines) == 0 || jsontext.Decode([]byte(lines[0]), &a) != nil {
-				o.same, o.text = false, n.name+" does not answer"
+				o.consistent, o.text = false, n.name+" does not answer"
 				continue
 			}
 			newest := uint64(0)
 			for _, e := range a.Entries {
 				if newest = e.Number; digests[e.Number] != "" && digests[e.Number] != e.Digest {
-					o.same, o.text = false, fmt.Sprintf("%s has another content of %d", n.name, e.Number)
+					o.consistent, o.text = false, fmt.Sprintf("%s has another content of %d", n.name, e.Number)
 				}
 				digests[e.Number] = e.Digest
 			}
 			if newest < o.number {
-				o.same, o.text = false, fmt.Sprintf("%s has %d, %d was written", n.name, newest, o.number)
+				o.consistent, o.text = false, fmt.Sprintf("%s has %d, %d was written", n.name, newest, o.number)
 			}
 		}
 		p.mu.Lock()
-		p.orders = append(p.orders, o)
+		p.catalogueViews = append(p.catalogueViews, o)
 		p.mu.Unlock()
 		select {
 		case <-stop:
 			return
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
@@ -240,11 +240,11 @@
 func (p *player) findAnnounced(f Finding, from time.Time, limit time.Duration) Finding {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, o := range p.orders {
+	for _, o := range p.catalogueViews {
 		if o.at.Before(from) || o.at.After(from.Add(limit)) {
 			continue
 		}
-		if f.Text = o.text; o.same {
+		if f.Text = o.text; o.consistent {
 			f.Passed, f.Times, f.Text = true, []time.Duration{o.at.Sub(from)}, fmt.Sprintf("%d at all", o.number)
 			return f
 		}
@@ -252,11 +252,11 @@
 	return f
 }
 
-var gained = regexp.MustCompile(`code=duty-gained duty=(\S+) token=(\d+)`)
+var roleGained = regexp.MustCompile(`code=duty-gained duty=(\S+) token=(\d+)`)
 
-// findOne reads what all processes logged of their duties: a token has one holder. What leaders tell is no proof: one
+// findTokenHolders reads what all processes logged of their duties: a token has one holder. What leaders tell is no proof: one
 // that stood still tells what it knew until it hears of its successor.
-func (p *player) findOne(f Finding) Finding {
+func (p *player) findTokenHolders(f Finding) Finding {
 	f.Passed = true
 	holders, tokens := map[string]string{}, 0
 	paths, _ := filepath.Glob(filepath.Join(p.Dir, "*.log"))
@@ -266,7 +266,7 @@
 			f.Passed, f.Text = false, err.Error()
 			return f
 		}
-		for _, m := range gained.FindAllStringSubmatch(string(text), -1) {
+		for _, m := range roleGained.FindAllStringSubmatch(string(text), -1) {
 			name, _, _ := strings.Cut(filepath.Base(path), ".") // of the member; its starts are one after another
 			if was := holders[m[2]]; was != "" && was != m[1]+" "+name {
 				f.Passed, f.Text = false, fmt.Sprintf("token %s: %s, and %s %s", m[2], was, m[1], name)
--- a/internal/emulator/faulttest/world.go
+++ b/internal/emulator/faulttest/world.go
@@ -27,91 +27,91 @@
 	"mulleinrouter/internal/standalone/plans"
 )
 
-// world is what a rehearsal plays in.
-type world struct {
-	t       *Timeline
-	program string
-	dir     string
-	links   *faultnet.Links
-	network string // first three numbers of the members' addresses
+// environment is what a rehearsal plays in.
+type environment struct {
+	scenario      *Scenario
+	program       string
+	dir           string
+	links         *faultnet.Links
+	addressPrefix string // first three numbers of the members' addresses
 
-	billing  *fakes.Billing
-	quotes   []*fakes.Quotes
-	counter  *counterserver.Server
-	counterL net.Listener
-	others   []*counterserver.Server // counters in place of the first, or beside it
-	otherL   []net.Listener
-	shift    atomic.Int64 // by how many ingresses the customers' busy ones have moved
-	nodes    []*node
-	keys     []string
+	billing         *fakes.Billing
+	quoteServers    []*fakes.Quotes
+	counter         *counterserver.Server
+	counterListener net.Listener
+	extraCounters   []*counterserver.Server // counters in place of the first, or beside it
+	extraListeners  []net.Listener
+	busyShift       atomic.Int64 // by how many ingresses the customers' busy ones have moved
+	nodes           []*node
+	keys            []string
 
-	mu    sync.Mutex
-	byIP  map[string]string // member by the address that it calls from
-	relay []*faultnet.Relay
-	lists []*fakes.Discovery
+	mu          sync.Mutex
+	memberByIP  map[string]string // member by the address that it calls from
+	relays      []*faultnet.Relay
+	directories []*fakes.Discovery
 }
 
-type span struct{ from, to time.Time } // to is zero: not over yet
+type absence struct{ from, to time.Time } // to is zero: not over yet
 
-var worlds atomic.Int64
+var environments atomic.Int64
 
-// newWorld has the stand-ins up and the files written.
-func newWorld(t *Timeline, program, dir string) (w *world, err error) {
-	w = &world{t: t, program: program, dir: dir, links: faultnet.NewLinks(t.Seed), byIP: map[string]string{}}
+// newEnvironment has the stand-ins up and the files written.
+func newEnvironment(t *Scenario, program, dir string) (w *environment, err error) {
+	w = &environment{scenario: t, program: program, dir: dir, links: faultnet.NewLinks(t.Seed), memberByIP: map[string]string{}}
 	// Of this rehearsal alone, but for rare chance: a port that one lets go of must not be another's member.
-	n := os.Getpid() + 1009*int(worlds.Add(1))
-	w.network = fmt.Sprintf("127.%d.%d", 64+n/200%64, 1+n%200)
-	for i := range max(1, t.Servers) {
+	n := os.Getpid() + 1009*int(environments.Add(1))
+	w.addressPrefix = fmt.Sprintf("127.%d.%d", 64+n/200%64, 1+n%200)
+	for i := range max(1, t.QuoteServers) {
 		q := &fakes.Quotes{Cores: 16, Queue: 64, Work: 2 * time.Millisecond, Salt: uint64(i)}
 		if err := q.Start(); err != nil {
 			return w, err
 		}
-		w.quotes = append(w.quotes, q)
+		w.quoteServers = append(w.quoteServers, q)
 	}
 	w.billing = &fakes.Billing{}
 	if err := w.billing.Start(); err != nil {
 		return w, err
 	}
-	if w.counterL, err = net.Listen("tcp4", "127.0.0.1:0"); err != nil {
+	if w.counterListener, err = net.Listen("tcp4", "127.0.0.1:0"); err != nil {
 		return w, fmt.Errorf("rehearsal: %w", err)
 	}
 	w.counter = counterserver.New(1)
-	go w.counter.Serve(w.counterL)
-	if t.Sealed {
+	go w.counter.Serve(w.counterListener)
+	if t.Encrypted {
 		w.keys = []string{newKey()}
 	}
 	for i, name := range t.Names() {
-		n := &node{name: name, ip: fmt.Sprintf("%s.%d", w.network, i+1), folder: filepath.Join(dir, name)}
-		n.saved = n.folder + ".saved"
+		n := &node{name: name, ip: fmt.Sprintf("%s.%d", w.addressPrefix, i+1), dir: filepath.Join(dir, name)}
+		n.savedDir = n.dir + ".saved"
 		w.mu.Lock()
-		w.byIP[n.ip] = name
+		w.memberByIP[n.ip] = name
 		w.mu.Unlock()
 		w.nodes = append(w.nodes, n)
-		if err := os.MkdirAll(n.folder, 0o755); err != nil {
+		if err := os.MkdirAll(n.dir, 0o755); err != nil {
 			return w, fmt.Errorf("rehearsal: %w", err)
 		}
 		if t.Catalogue {
-			if err := w.revise(n, 1); err != nil {
+			if err := w.writeRevision(n, 1); err != nil {
 				return w, err
 			}
 		}
-		for _, a := range []*string{&n.listen, &n.bound} {
-			if *a, err = free(n.ip); err != nil {
+		for _, a := range []*string{&n.clientAddr, &n.gossipAddr} {
+			if *a, err = freeAddr(n.ip); err != nil {
 				return w, err
 			}
 		}
-		if n.gate, err = w.before(name, true, func(a net.Addr) string { return w.caller(a) }, n.bound); err != nil {
+		if n.relay, err = w.addRelay(name, true, func(a net.Addr) string { return w.caller(a) }, n.gossipAddr); err != nil {
 			return w, err
 		}
-		if err := w.stands(n); err != nil {
+		if err := w.startFakes(n); err != nil {
 			return w, err
 		}
 	}
 	return w, w.writeKeys()
 }
 
-// free draws a port of an address that no other process has. Nothing else binds there.
-func free(ip string) (string, error) {
+// freeAddr draws a port of an address that no other process has. Nothing else binds there.
+func freeAddr(ip string) (string, error) {
 	l, err := net.Listen("tcp4", ip+":0")
 	if err != nil {
 		return "", fmt.Errorf("rehearsal: %w", err)
@@ -126,15 +126,15 @@
 	return base64.StdEncoding.EncodeToString(key[:])
 }
 
-func (w *world) caller(a net.Addr) string {
+func (w *environment) caller(a net.Addr) string {
 	host, _, _ := net.SplitHostPort(a.String())
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return cmp.Or(w.byIP[host], "stranger")
+	return cmp.Or(w.memberByIP[host], "stranger")
 }
 
-// before puts a relay before an end.
-func (w *world) before(
+// addRelay puts a relay addRelay an end.
+func (w *environment) addRelay(
 	to string,
 	datagrams bool,
 	caller func(net.Addr) string,
@@ -145,20 +145,20 @@
 		return nil, err
 	}
 	r.Target(target)
-	w.relay = append(w.relay, r)
+	w.relays = append(w.relays, r)
 	return r, nil
 }
 
-// stands puts a member's own relays before the stand-ins: at these, the listener tells who calls.
-func (w *world) stands(n *node) error {
+// startFakes puts a member's own relays before the stand-ins: at these, the listener tells who calls.
+func (w *environment) startFakes(n *node) error {
 	me := func(net.Addr) string { return n.name }
 	d := &fakes.Discovery{}
 	if err := d.Start(); err != nil {
 		return err
 	}
-	w.lists = append(w.lists, d)
-	for i, q := range w.quotes {
-		r, err := w.before(stands[quotesAt+i], false, me, q.Addr())
+	w.directories = append(w.directories, d)
+	for i, q := range w.quoteServers {
+		r, err := w.addRelay(standIns[firstQuoteServer+i], false, me, q.Addr())
 		if err != nil {
 			return err
 		}
@@ -174,30 +174,30 @@
 			},
 		)
 	}
-	list, err := w.before("discovery", false, me, d.Addr())
+	list, err := w.addRelay("discovery", false, me, d.Addr())
 	if err != nil {
 		return err
 	}
-	counter, err := w.before("counter", false, me, w.counterL.Addr().String())
+	counter, err := w.addRelay("counter", false, me, w.counterListener.Addr().String())
 	if err != nil {
 		return err
 	}
-	bill, err := w.before("billing", false, me, w.billing.Addr())
+	bill, err := w.addRelay("billing", false, me, w.billing.Addr())
 	if err != nil {
 		return err
 	}
 	for _, r := range []*faultnet.Relay{list, counter} {
 		r.As(n.ip) // the counter bounds the connections of an address
 	}
-	n.list, n.counter, n.bill = list.Addr(), counter.Addr(), bill.Addr()
-	n.counts = counter
+	n.discovery, n.counter, n.billing = list.Addr(), counter.Addr(), bill.Addr()
+	n.counterRelay = counter
 	return nil
 }
 
-func (w *world) keyFile() string { return filepath.Join(w.dir, "fleet.key") }
+func (w *environment) keyFile() string { return filepath.Join(w.dir, "fleet.key") }
 
-func (w *world) writeKeys() error {
-	if !w.t.Sealed {
+func (w *environment) writeKeys() error {
+	if !w.scenario.Encrypted {
 		return nil
 	}
 	if err := os.WriteFile(w.keyFile(), []byte(strings.Join(w.keys, "\n")+"\n"), 0o600); err != nil {
@@ -206,68 +206,68 @@
 	return nil
 }
 
-// config writes a member's own file. Each start has a management address of its own.
-func (w *world) config(n *node, i int, twin bool) (string, error) {
+// writeConfig writes a member's own file. Each start has a management address of its own.
+func (w *environment) writeConfig(n *node, i int, twin bool) (string, error) {
 	var join []string
 	for _, o := range w.nodes[:min(3, len(w.nodes))] {
-		join = append(join, fmt.Sprintf("%q", o.gate.Addr()))
+		join = append(join, fmt.Sprintf("%q", o.relay.Addr()))
 	}
-	listen, bound, gate, folder := n.listen, n.bound, n.gate.Addr(), n.folder
+	listen, bound, gate, folder := n.clientAddr, n.gossipAddr, n.relay.Addr(), n.dir
 	if twin { // another machine with the same name: its own addresses, an empty folder
-		folder = n.folder + ".twin"
+		folder = n.dir + ".twin"
 		if err := os.MkdirAll(folder, 0o755); err != nil {
 			return "", fmt.Errorf("rehearsal: %w", err)
 		}
-		ip := fmt.Sprintf("%s.%d", w.network, 200+i)
+		ip := fmt.Sprintf("%s.%d", w.addressPrefix, 200+i)
 		w.mu.Lock()
-		w.byIP[ip] = n.name
+		w.memberByIP[ip] = n.name
 		w.mu.Unlock()
 		var err error
-		if listen, err = free(ip); err != nil {
+		if listen, err = freeAddr(ip); err != nil {
 			return "", err
 		}
-		if bound, err = free(ip); err != nil {
+		if bound, err = freeAddr(ip); err != nil {
 			return "", err
 		}
-		r, err := w.before(n.name, true, func(a net.Addr) string { return w.caller(a) }, bound)
+		r, err := w.addRelay(n.name, true, func(a net.Addr) string { return w.caller(a) }, bound)
 		if err != nil {
 			return "", err
 		}
 		gate = r.Addr()
 	}
 	keys := ""
-	if w.t.Sealed {
+	if w.scenario.Encrypted {
 		keys = fmt.Sprintf("key_file = %q", w.keyFile())
 	}
 	voters, use, plan := "", "", "plan \"basic\" {\n  rate  = 1000\n  burst = 1000\n  price = 1\n}\n"
-	if w.t.Voters > 0 {
+	if w.scenario.Voters > 0 {
 		var names []string
-		for _, name := range w.t.Names()[:w.t.Voters] {
+		for _, name := range w.scenario.Names()[:w.scenario.Voters] {
 			names = append(names, fmt.Sprintf("%q", name))
 		}
 		voters = fmt.Sprintf("voters = [%s]", strings.Join(names, ", "))
 		use = fmt.Sprintf(
 			"usage {\n  dir = %q\n  rotate = \"1s\"\n  endpoint = %q\n}\n",
-			n.usage(),
-			"http://"+n.bill+"/v1/batches",
+			n.usageDir(),
+			"http://"+n.billing+"/v1/batches",
 		)
-		if err := os.MkdirAll(n.usage(), 0o755); err != nil {
+		if err := os.MkdirAll(n.usageDir(), 0o755); err != nil {
 			return "", fmt.Errorf("rehearsal: %w", err)
 		}
 	}
 	share := ""
-	if w.t.Share {
+	if w.scenario.ShareQuotas {
 		share = "share = true"
 	}
-	if w.t.Customers > 0 {
+	if w.scenario.Customers > 0 {
 		plan += fmt.Sprintf(
 			"plan \"customer\" {\n  rate         = %g\n  burst        = %g\n  price        = 1\n  beyond_costs = 1\n}\n",
-			w.t.Quota,
-			w.t.Quota,
+			w.scenario.Quota,
+			w.scenario.Quota,
 		)
 	}
-	if w.t.Catalogue {
-		plan = fmt.Sprintf("catalogue {\n  file     = %q\n  announce = true\n}\n", n.plans())
+	if w.scenario.Catalogue {
+		plan = fmt.Sprintf("catalogue {\n  file     = %q\n  announce = true\n}\n", n.plansFile())
 	}
 	text := fmt.Sprintf(`
 name      = %q
@@ -306,17 +306,17 @@
   repeat   = "safe"
 }
 `,
-		n.name, listen, folder, n.list, len(w.nodes), i, w.network, bound,
-		gate, strings.Join(join, ", "), cmp.Or(w.t.Interval, "300ms"), keys, voters, share, use, plan, n.counter)
-	path := n.folder + map[bool]string{false: ".hcl", true: ".twin.hcl"}[twin]
+		n.name, listen, folder, n.discovery, len(w.nodes), i, w.addressPrefix, bound,
+		gate, strings.Join(join, ", "), cmp.Or(w.scenario.Interval, "300ms"), keys, voters, share, use, plan, n.counter)
+	path := n.dir + map[bool]string{false: ".hcl", true: ".twin.hcl"}[twin]
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		return "", fmt.Errorf("rehearsal: %w", err)
 	}
 	return path, nil
 }
 
-// revise writes a revision into a member's file: under one number, each member's has another content.
-func (w *world) revise(n *node, number uint64) error {
+// writeRevision writes a revision into a member's file: under one number, each member's has another content.
+func (w *environment) writeRevision(n *node, number uint64) error {
 	i := slices.Index(w.nodes, n)
 	r := plans.Revision{
 		Number:    number,
@@ -326,12 +326,12 @@
 	if number > 1 {
 		r.EffectiveAt = float64(time.Now().Add(time.Second).UnixMilli()) / 1000
 	}
-	return catalogue.Save(n.plans(), []plans.Revision{r})
+	return catalogue.Save(n.plansFile(), []plans.Revision{r})
 }
 
-// rubbish sends a member what is not of its fleet.
-func (w *world) rubbish(n *node) error {
-	c, err := net.Dial("udp4", n.bound)
+// sendGarbage sends a member what is not of its fleet.
+func (w *environment) sendGarbage(n *node) error {
+	c, err := net.Dial("udp4", n.gossipAddr)
 	if err != nil {
 		return fmt.Errorf("rehearsal: %w", err)
 	}
@@ -344,7 +344,7 @@
 		}
 		c.Write(b)
 	}
-	s, err := net.Dial("tcp4", n.bound)
+	s, err := net.Dial("tcp4", n.gossipAddr)
 	if err != nil {
 		return fmt.Errorf("rehearsal: %w", err)
 	}
@@ -353,15 +353,15 @@
 	return nil
 }
 
-// clients send a request to each member now and then.
-type clients struct {
+// requestCounts send a request to each member now and then.
+type requestCounts struct {
 	mu                       sync.Mutex
 	sent, served, unanswered int
-	why                      string
+	lastError                string
 }
 
-func (w *world) load(stop <-chan struct{}) (*clients, *sync.WaitGroup) {
-	all, out := &clients{}, &sync.WaitGroup{}
+func (w *environment) startClients(stop <-chan struct{}) (*requestCounts, *sync.WaitGroup) {
+	all, out := &requestCounts{}, &sync.WaitGroup{}
 	for _, n := range w.nodes {
 		out.Add(1)
 		go func() {
@@ -379,7 +379,7 @@
 					continue
 				}
 				begun := time.Now()
-				req, _ := http.NewRequest("GET", "http://"+n.listen+"/api/0000000000000001", nil)
+				req, _ := http.NewRequest("GET", "http://"+n.clientAddr+"/api/0000000000000001", nil)
 				for k, v := range map[string]string{"X-Request-ID": fmt.Sprint(n.name, "-", id), "X-Priority-Class": "quote-read",
 					"X-Tier":    "basic",
 					"X-Timeout": "2.000", "X-Call-Terms": "units=1,spread=1,first=0"} {
@@ -394,9 +394,9 @@
 					if a.StatusCode == 200 {
 						all.served++
 					}
-				case !n.wasOff(begun, time.Second) && !n.wasOff(time.Now(), 0):
+				case !n.wasAbsent(begun, time.Second) && !n.wasAbsent(time.Now(), 0):
 					all.unanswered++
-					all.why = fmt.Sprintf("%s: %v", n.name, err)
+					all.lastError = fmt.Sprintf("%s: %v", n.name, err)
 				}
 				all.mu.Unlock()
 			}
@@ -406,16 +406,16 @@
 }
 
 // arrived is what arrived at all quote servers.
-func (w *world) arrived() map[string]fakes.Arrival {
+func (w *environment) arrived() map[string]fakes.Arrival {
 	all := map[string]fakes.Arrival{}
-	for _, q := range w.quotes {
+	for _, q := range w.quoteServers {
 		maps.Copy(all, q.Arrived())
 	}
 	return all
 }
 
 // close ends all that was started.
-func (w *world) close() {
+func (w *environment) close() {
 	var ending sync.WaitGroup
 	for _, n := range w.nodes {
 		n.mu.Lock()
@@ -429,30 +429,30 @@
 		}
 	}
 	ending.Wait()
-	for _, r := range w.relay {
+	for _, r := range w.relays {
 		r.Close()
 	}
-	for _, d := range w.lists {
+	for _, d := range w.directories {
 		d.Stop()
 	}
-	for _, q := range w.quotes {
+	for _, q := range w.quoteServers {
 		q.Stop()
 	}
 	if w.billing != nil {
 		w.billing.Stop()
 	}
 	if w.counter != nil {
-		w.counterL.Close()
+		w.counterListener.Close()
 		w.counter.Close()
-		for i, c := range w.others {
-			w.otherL[i].Close()
+		for i, c := range w.extraCounters {
+			w.extraListeners[i].Close()
 			c.Close()
 		}
 	}
 }
 
-// copyFolder replaces a folder by a copy of another.
-func copyFolder(to, from string) error {
+// copyDir replaces a folder by a copy of another.
+func copyDir(to, from string) error {
 	if err := errors.Join(os.RemoveAll(to), os.CopyFS(to, os.DirFS(from))); err != nil {
 		return fmt.Errorf("rehearsal: %w", err)
 	}
--- a/internal/standalone/cli/faulttest.go
+++ b/internal/standalone/cli/faulttest.go
@@ -31,7 +31,7 @@
 }
 
 // readScenario reads a file, or a scenario that ships.
-func readScenario(name string) (*faulttest.Timeline, error) {
+func readScenario(name string) (*faulttest.Scenario, error) {
 	isName := filepath.Base(name) == name && filepath.Ext(name) == ""
 	if _, err := os.Stat(name); errors.Is(err, fs.ErrNotExist) && isName {
 		return faulttest.Shipped(name)
@@ -61,7 +61,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	fmt.Fprintf(p.out, "%s: %d ingresses on loopback, %v\n", scenario.Name, scenario.Ingresses, scenario.Lasts)
+	fmt.Fprintf(p.out, "%s: %d ingresses on loopback, %v\n", scenario.Name, scenario.Ingresses, scenario.Duration)
 	if ft.Repeat > 1 {
 		return ft.runRepeatedly(ctx, p.out, scenario, options)
 	}
@@ -71,7 +71,7 @@
 	}
 	fmt.Fprintln(p.out)
 	report.Write(p.out)
-	if !report.Good() {
+	if !report.Passed() {
 		return errExpectation
 	}
 	return nil
@@ -80,7 +80,7 @@
 // runRepeatedly runs a scenario with seeds that follow each other, several at once. A run that fails is reported
 // with its seed, and its files stay where a folder was named.
 func (ft *FaultTestCommand) runRepeatedly(
-	ctx context.Context, out io.Writer, scenario *faulttest.Timeline, options faulttest.Options,
+	ctx context.Context, out io.Writer, scenario *faulttest.Scenario, options faulttest.Options,
 ) error {
 	results := &scenarioResults{out: out}
 	options.Progress, options.Events = nil, nil
@@ -102,7 +102,7 @@
 	running.Wait()
 	if len(results.reports) > 0 {
 		fmt.Fprintln(out)
-		faulttest.Table(out, results.reports)
+		faulttest.WriteTable(out, results.reports)
 	}
 	fmt.Fprintf(out, "%d of %d held\n", ft.Repeat-results.failed, ft.Repeat)
 	if results.failed > 0 {
@@ -128,7 +128,7 @@
 		s.failed++
 		fmt.Fprintf(s.out, "seed %d: %v\n", seed, err)
 		return
-	case !report.Good():
+	case !report.Passed():
 		s.failed++
 		fmt.Fprintf(s.out, "seed %d: not all held\n", seed)
 		report.Write(s.out)
