--- a/cmd/mulleinrouter/upgrade_test.go
+++ b/cmd/mulleinrouter/upgrade_test.go
@@ -117,7 +117,7 @@
 	t.Parallel()
 	upgrades := defaultUpgrades
 	fmt.Sscan(os.Getenv("MULLEIN_UPGRADES"), &upgrades)
-	quotes := &fakes.Quotes{Cores: 8}
+	quotes := &fakes.QuoteServer{Cores: 8}
 	if err := quotes.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/exchange/exchange.go
+++ b/internal/emulator/exchange/exchange.go
@@ -60,25 +60,25 @@
 	Target string // address that clients connect to
 	Hooks  map[string]func(text string) string
 
-	t         testing.TB
-	lets      map[string]string
-	listeners map[string]net.Listener
-	conns     map[string]*conn
+	test          testing.TB
+	substitutions map[string]string
+	listeners     map[string]net.Listener
+	conns         map[string]*conn
 }
 
 type conn struct {
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
 // New returns a player with listeners on free ports of the loopback.
 func New(t testing.TB, listeners ...string) *Player {
 	p := &Player{
-		t:         t,
-		lets:      map[string]string{},
-		Hooks:     map[string]func(string) string{},
-		listeners: map[string]net.Listener{},
-		conns:     map[string]*conn{},
+		test:          t,
+		substitutions: map[string]string{},
+		Hooks:         map[string]func(string) string{},
+		listeners:     map[string]net.Listener{},
+		conns:         map[string]*conn{},
 	}
 	for _, name := range listeners {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -112,10 +112,10 @@
 
 // Play plays one script, and compares what came with what is written there.
 func (p *Player) Play(script string) {
-	p.t.Helper()
+	p.test.Helper()
 	raw, err := os.ReadFile(script)
 	if err != nil {
-		p.t.Fatal(err)
+		p.test.Fatal(err)
 	}
 	var want, got []string
 	for _, line := range strings.Split(string(raw), "\n") {
@@ -123,7 +123,7 @@
 			continue
 		}
 		want = append(want, line)
-		step, err := p.step(line)
+		step, err := p.playStep(line)
 		if err != nil {
 			step = fmt.Sprintf("%s: %v", line, err)
 		}
@@ -132,12 +132,12 @@
 		}
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		p.t.Fatalf("%s (-recorded +now):\n%s", script, diff)
+		p.test.Fatalf("%s (-recorded +now):\n%s", script, diff)
 	}
 }
 
-// step does what a line says and returns the line as it should have been.
-func (p *Player) step(line string) (string, error) {
+// playStep does what a line says and returns the line as it should have been.
+func (p *Player) playStep(line string) (string, error) {
 	name, verb, _ := strings.Cut(line, " ")
 	if hook, ok := strings.CutPrefix(name, "@"); ok {
 		if p.Hooks[hook] == nil {
@@ -147,10 +147,10 @@
 	}
 	verb, text, _ := strings.Cut(verb, " ")
 	if name == "let" {
-		p.lets[verb] = text
+		p.substitutions[verb] = text
 		return line, nil
 	}
-	for key, value := range p.lets {
+	for key, value := range p.substitutions {
 		text = strings.ReplaceAll(text, "{"+key+"}", value)
 	}
 	for other := range p.listeners {
@@ -179,30 +179,30 @@
 		_, err = io.WriteString(c, plain)
 		return line, err
 	case "takes":
-		came, err = c.request(plain)
+		came, err = c.readRequest(plain)
 		plain, _ = strings.CutPrefix(plain, "head ")
 	case "chunk":
 		_, err = fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(plain)+1, plain)
 		return line, err
 	case "sends":
-		from, to := span(plain)
+		from, to := parseSpan(plain)
 		_, err = c.Write(Body(from, to-from))
 		return line, err
 	case "gets":
-		from, to := span(plain)
+		from, to := parseSpan(plain)
 		b := make([]byte, to-from)
-		if _, err = io.ReadFull(c.r, b); err != nil || !bytes.Equal(b, Body(from, to-from)) {
+		if _, err = io.ReadFull(c.reader, b); err != nil || !bytes.Equal(b, Body(from, to-from)) {
 			return "", fmt.Errorf("not these bytes: %w", err)
 		}
 		return line, nil
 	case "whole", "chunks":
-		from, to := span(plain + " 0")
-		b, err := io.ReadAll(httputil.NewChunkedReader(c.r))
+		from, to := parseSpan(plain + " 0")
+		b, err := io.ReadAll(httputil.NewChunkedReader(c.reader))
 		if err != nil || !bytes.Equal(b, Body(from, to)) {
 			return "", fmt.Errorf("not these bytes: %w", err)
 		}
 		if verb == "whole" {
-			_, err = c.r.ReadString('\n') // the empty line behind the last chunk
+			_, err = c.reader.ReadString('\n') // the empty line behind the last chunk
 		}
 		return line, err
 	case "close", "reset":
@@ -212,7 +212,7 @@
 		}
 		return line, c.Close()
 	case "eof":
-		rest, err := io.ReadAll(c.r)
+		rest, err := io.ReadAll(c.reader)
 		if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() || len(rest) > 0 {
 			return "", fmt.Errorf("not ended, but %q: %w", rest, err)
 		}
@@ -221,7 +221,7 @@
 	case "<":
 		for i, want := range strings.Split(plain, "\r\n") {
 			var part string
-			part, err = c.r.ReadString('\n')
+			part, err = c.reader.ReadString('\n')
 			part = strings.TrimRight(part, "\r\n")
 			if start, prefix := strings.CutSuffix(want, "*"); prefix && strings.HasPrefix(part, start) {
 				part = want
@@ -235,7 +235,7 @@
 		}
 	case "<<":
 		b := make([]byte, len(plain))
-		_, err = io.ReadFull(c.r, b)
+		_, err = io.ReadFull(c.reader, b)
 		came = string(b)
 	default:
 		return "", fmt.Errorf("no verb %q", verb)
@@ -255,17 +255,17 @@
 	return b
 }
 
-// span reads "N K", the end of a span and its beginning.
-func span(text string) (from, to int) {
+// parseSpan reads "N K", the end of a parseSpan and its beginning.
+func parseSpan(text string) (from, to int) {
 	end, begin, _ := strings.Cut(text, " ")
 	to, _ = strconv.Atoi(end)
 	from, _ = strconv.Atoi(begin)
 	return from, to
 }
 
-// request reads one request. It returns as much of the first line as was asked for.
-func (c *conn) request(want string) (came string, err error) {
-	r := textproto.NewReader(c.r)
+// readRequest reads one readRequest. It returns as much of the first line as was asked for.
+func (c *conn) readRequest(want string) (came string, err error) {
+	r := textproto.NewReader(c.reader)
 	if came, err = r.ReadLine(); err != nil {
 		return came, err
 	}
@@ -280,7 +280,7 @@
 		return came, nil
 	}
 	length, _ := strconv.ParseInt(head.Get("Content-Length"), 10, 64)
-	if _, err = io.CopyN(io.Discard, c.r, length); strings.HasPrefix(came, want) {
+	if _, err = io.CopyN(io.Discard, c.reader, length); strings.HasPrefix(came, want) {
 		came = want
 	}
 	return came, err
@@ -302,7 +302,7 @@
 		return nil, err
 	}
 	if old := p.conns[name]; old != nil {
-		p.t.Cleanup(func() { old.Close() }) // stays open: only further steps go elsewhere
+		p.test.Cleanup(func() { old.Close() }) // stays open: only further steps go elsewhere
 	}
 	p.conns[name] = &conn{nc, bufio.NewReader(nc)}
 	return p.conns[name], nil
--- a/internal/emulator/fakes/billing.go
+++ b/internal/emulator/fakes/billing.go
@@ -21,17 +21,17 @@
 	server *http.Server
 	addr   string
 
-	mu        sync.Mutex
-	batches   map[string]string // digest by source and number
-	tally     usage.Tally
-	unmetered usage.Sum
-	repeats   int
-	conflicts int
-	token     uint64 // the highest fencing token that came
-	fenced    int    // batches with an older one, which were refused
-	unfenced  bool   // a fault: older ones are taken
-	taken     []Taken
-	wrong     []BillingFault // for the next calls, in order
+	mu            sync.Mutex
+	batches       map[string]string // digest by source and number
+	tally         usage.Tally
+	unmetered     usage.Sum
+	repeats       int
+	conflicts     int
+	highestToken  uint64 // the highest fencing token that came
+	rejected      int    // batches with an older one, which were refused
+	unfenced      bool   // a fault: older ones are taken
+	accepted      []AcceptedBatch
+	pendingFaults []BillingFault // for the next calls, in order
 }
 
 // BillingFault is what it does wrong with one call.
@@ -39,12 +39,12 @@
 
 // The faults.
 const (
-	Fine   BillingFault = iota
-	Fails               // answers 500 and takes nothing
-	Loses               // takes the batch, and the answer is lost
-	Hangs               // takes nothing and does not answer
-	Babble              // takes nothing and answers 200 with something else
-	Slow                // takes nothing, answers 429 with Retry-After
+	NoFault      BillingFault = iota
+	FailCall                  // answers 500 and takes nothing
+	LoseReply                 // takes the batch, and the answer is lost
+	NoReply                   // takes nothing and does not answer
+	InvalidReply              // takes nothing and answers 200 with something else
+	RateLimited               // takes nothing, answers 429 with Retry-After
 )
 
 // Start has it listen.
@@ -68,10 +68,10 @@
 // Stop ends it, connections and all.
 func (b *Billing) Stop() { b.server.Close() }
 
-// Next has it do wrong with the next calls, in order.
-func (b *Billing) Next(faults ...BillingFault) {
+// InjectFaults has it do wrong with the next calls, in order.
+func (b *Billing) InjectFaults(faults ...BillingFault) {
 	b.mu.Lock()
-	b.wrong = append(b.wrong, faults...)
+	b.pendingFaults = append(b.pendingFaults, faults...)
 	b.mu.Unlock()
 }
 
@@ -99,71 +99,71 @@
 		return
 	}
 	b.mu.Lock()
-	fault := Fine
-	if len(b.wrong) > 0 {
-		fault, b.wrong = b.wrong[0], b.wrong[1:]
+	fault := NoFault
+	if len(b.pendingFaults) > 0 {
+		fault, b.pendingFaults = b.pendingFaults[0], b.pendingFaults[1:]
 	}
 	b.mu.Unlock()
 	switch fault {
-	case Fails:
+	case FailCall:
 		http.Error(w, "not now", http.StatusInternalServerError)
 		return
-	case Hangs:
+	case NoReply:
 		<-r.Context().Done()
 		return
-	case Babble:
+	case InvalidReply:
 		fmt.Fprintln(w, `{"welcome":true}`)
 		return
-	case Slow:
+	case RateLimited:
 		w.Header().Set("Retry-After", "2")
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	if word := r.Header.Get(leaseservice.FencingTokenHeader); word != "" && !b.fence(word, batch) {
+	if word := r.Header.Get(leaseservice.FencingTokenHeader); word != "" && !b.checkFencingToken(word, batch) {
 		http.Error(w, "an older holder's", http.StatusPreconditionFailed)
 		return
 	}
-	if !b.take(&batch, usageexport.Digest(body)) {
+	if !b.record(&batch, usageexport.Digest(body)) {
 		http.Error(w, "another batch has this number", http.StatusConflict)
 		return
 	}
-	if fault == Loses {
-		cut(w, "")
+	if fault == LoseReply {
+		abortConnection(w, "")
 		return
 	}
 	json.NewEncoder(w).Encode(usage.Ack{Source: batch.Source, Number: batch.Number, Digest: usageexport.Digest(body)})
 }
 
-// Taken is a batch as it came under a token.
-type Taken struct {
+// AcceptedBatch is a batch as it came under a token.
+type AcceptedBatch struct {
 	Token  uint64
 	Source string
 	Number uint64
 }
 
-// fence tells whether a batch's token is as new as any before.
-func (b *Billing) fence(word string, batch usage.Batch) bool {
+// checkFencingToken tells whether a batch's token is as new as any before.
+func (b *Billing) checkFencingToken(word string, batch usage.Batch) bool {
 	token, err := strconv.ParseUint(word, 10, 64)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if err != nil || token < b.token && !b.unfenced {
-		b.fenced++
+	if err != nil || token < b.highestToken && !b.unfenced {
+		b.rejected++
 		return false
 	}
-	b.token = max(b.token, token)
-	b.taken = append(b.taken, Taken{token, batch.Source, batch.Number})
+	b.highestToken = max(b.highestToken, token)
+	b.accepted = append(b.accepted, AcceptedBatch{token, batch.Source, batch.Number})
 	return true
 }
 
 // Fenced is what came under tokens, in order, and how many batches were refused for an older one.
-func (b *Billing) Fenced() (taken []Taken, refused int) {
+func (b *Billing) Fenced() (taken []AcceptedBatch, refused int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return slices.Clone(b.taken), b.fenced
+	return slices.Clone(b.accepted), b.rejected
 }
 
-// take counts a batch, once. It tells whether it is the one that its number stands for.
-func (b *Billing) take(batch *usage.Batch, digest string) bool {
+// record counts a batch, once. It tells whether it is the one that its number stands for.
+func (b *Billing) record(batch *usage.Batch, digest string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	key := fmt.Sprintf("%s-%d", batch.Source, batch.Number)
--- a/internal/emulator/fakes/discovery.go
+++ b/internal/emulator/fakes/discovery.go
@@ -14,19 +14,19 @@
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
-const lineEvery = 2 * time.Second // an empty line of a watch, while nothing changes
+const keepAliveInterval = 2 * time.Second // an empty line of a watch, while nothing changes
 
 // Discovery tells the list of quote servers: whole, and by watch.
 type Discovery struct {
 	server *http.Server
 	addr   string
 
-	mu      sync.Mutex
-	rev     int64
-	targets map[string]discovery.Target
-	changes []discovery.List // one for each revision, from 1
-	moved   chan struct{}    // closed with the next change
-	silent  bool
+	mu       sync.Mutex
+	revision int64
+	targets  map[string]discovery.Target
+	changes  []discovery.List // one for each revision, from 1
+	changed  chan struct{}    // closed with the next change
+	silent   bool
 }
 
 // Start has it listen.
@@ -35,7 +35,7 @@
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
-	d.addr, d.targets, d.moved = l.Addr().String(), map[string]discovery.Target{}, make(chan struct{})
+	d.addr, d.targets, d.changed = l.Addr().String(), map[string]discovery.Target{}, make(chan struct{})
 	d.server = &http.Server{Handler: d}
 	go d.server.Serve(l)
 	return nil
@@ -54,8 +54,8 @@
 	d.mu.Unlock()
 }
 
-// Tell changes entries of the list. State left takes one away.
-func (d *Discovery) Tell(targets ...discovery.Target) {
+// Update changes entries of the list. State left takes one away.
+func (d *Discovery) Update(targets ...discovery.Target) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, t := range targets {
@@ -65,10 +65,10 @@
 			d.targets[t.UID] = t
 		}
 	}
-	d.rev++
-	d.changes = append(d.changes, discovery.List{Rev: d.rev, Targets: targets})
-	close(d.moved)
-	d.moved = make(chan struct{})
+	d.revision++
+	d.changes = append(d.changes, discovery.List{Rev: d.revision, Targets: targets})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // ServeHTTP answers for the list.
@@ -87,7 +87,7 @@
 	out := http.NewResponseController(w)
 	for {
 		d.mu.Lock()
-		rev, moved, silent := d.rev, d.moved, d.silent
+		rev, moved, silent := d.revision, d.changed, d.silent
 		var update []discovery.List
 		if from >= 0 && from <= rev {
 			update = d.changes[from:rev]
@@ -111,7 +111,7 @@
 		case <-r.Context().Done():
 			return
 		case <-moved:
-		case <-time.After(lineEvery):
+		case <-time.After(keepAliveInterval):
 			if !silent {
 				fmt.Fprintln(w)
 			}
@@ -122,7 +122,7 @@
 func (d *Discovery) snapshot() discovery.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := discovery.List{Rev: d.rev, All: true, Targets: []discovery.Target{}}
+	l := discovery.List{Rev: d.revision, All: true, Targets: []discovery.Target{}}
 	for _, t := range d.targets {
 		l.Targets = append(l.Targets, t)
 	}
--- a/internal/emulator/fakes/quotes.go
+++ b/internal/emulator/fakes/quotes.go
@@ -19,20 +19,20 @@
 // loopback is where stand-ins listen.
 const loopback = "127.0.0.1:0"
 
-// Quotes is a quote server: some cores, a queue before them, cold at first, and faults on demand.
-type Quotes struct {
-	Cores   int           // requests worked on at once
-	Queue   int           // that may wait
-	Work    time.Duration // of a request on a warm server
-	Warming time.Duration // after its start it is slower: four times at first, evenly less
-	Keep    time.Duration // idle connections are closed after this; 0: 30 s
-	Salt    uint64        // makes its faults others than another server's
-	server  *http.Server
-	addr    string
-	begun   time.Time
-	cores   chan struct{}
-	pending atomic.Int64
-	fault   atomic.Pointer[Faults]
+// QuoteServer is a quote server: some cores, a queue before them, cold at first, and faults on demand.
+type QuoteServer struct {
+	Cores       int           // requests worked on at once
+	Queue       int           // that may wait
+	ServiceTime time.Duration // of a request on a warm server
+	SlowStart   time.Duration // after its start it is slower: four times at first, evenly less
+	IdleTimeout time.Duration // idle connections are closed after this; 0: 30 s
+	Salt        uint64        // makes its faults others than another server's
+	server      *http.Server
+	addr        string
+	startedAt   time.Time
+	cores       chan struct{}
+	pending     atomic.Int64
+	faults      atomic.Pointer[Faults]
 
 	mu      sync.Mutex
 	arrived map[string]Arrival // requests that arrived whole, by id
@@ -48,55 +48,55 @@
 
 // Faults are shares of requests, by chance but the same for the same id at the same server.
 type Faults struct {
-	Error  float64 // answered 500, having run
-	Turned float64 // answered 503 with X-Not-Processed
-	Cut    float64 // the connection ends after the request has arrived
-	Hang   float64 // no answer until the other side gives up
-	Spoilt float64 // an answer that is none
+	Error     float64 // answered 500, having run
+	Reject    float64 // answered 503 with X-Not-Processed
+	Cut       float64 // the connection ends after the request has arrived
+	Hang      float64 // no answer until the other side gives up
+	Malformed float64 // an answer that is none
 }
 
 // Start has it listen.
-func (q *Quotes) Start() error {
+func (q *QuoteServer) Start() error {
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return fmt.Errorf("quote server: %w", err)
 	}
-	q.addr, q.begun = l.Addr().String(), time.Now()
+	q.addr, q.startedAt = l.Addr().String(), time.Now()
 	q.cores = make(chan struct{}, max(1, q.Cores))
 	q.arrived, q.served = map[string]Arrival{}, map[string]int{}
-	if q.Keep == 0 {
-		q.Keep = 30 * time.Second
+	if q.IdleTimeout == 0 {
+		q.IdleTimeout = 30 * time.Second
 	}
-	q.server = &http.Server{Handler: q, IdleTimeout: q.Keep, MaxHeaderBytes: 64 << 10}
+	q.server = &http.Server{Handler: q, IdleTimeout: q.IdleTimeout, MaxHeaderBytes: 64 << 10}
 	go q.server.Serve(l)
 	return nil
 }
 
 // Addr is where it listens.
-func (q *Quotes) Addr() string { return q.addr }
+func (q *QuoteServer) Addr() string { return q.addr }
 
-// Set makes it do wrong from now on; nil: no more.
-func (q *Quotes) Set(f *Faults) { q.fault.Store(f) }
+// SetFaults makes it do wrong from now on; nil: no more.
+func (q *QuoteServer) SetFaults(f *Faults) { q.faults.Store(f) }
 
 // Stop ends it at once, connections and all.
-func (q *Quotes) Stop() { q.server.Close() }
+func (q *QuoteServer) Stop() { q.server.Close() }
 
 // Arrived is a copy of what has arrived whole, by id.
-func (q *Quotes) Arrived() map[string]Arrival {
+func (q *QuoteServer) Arrived() map[string]Arrival {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return maps.Clone(q.arrived)
 }
 
 // Served is a copy of how often each id has been answered 200.
-func (q *Quotes) Served() map[string]int {
+func (q *QuoteServer) Served() map[string]int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return maps.Clone(q.served)
 }
 
 // ServeHTTP is the life of a request at a quote server.
-func (q *Quotes) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (q *QuoteServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, 1<<20)); err != nil {
 		return // cut short: it has not arrived
 	}
@@ -112,17 +112,17 @@
 	}
 	q.arrived[id] = a
 	q.mu.Unlock()
-	f := q.fault.Load()
+	f := q.faults.Load()
 	if f == nil {
 		f = &Faults{}
 	}
-	draw := q.draw(id)
+	draw := q.sample(id)
 	over := func(share float64) bool {
 		draw -= share
 		return draw < 0
 	}
 	switch {
-	case over(f.Turned) || q.pending.Load() >= int64(max(1, q.Cores)+q.Queue):
+	case over(f.Reject) || q.pending.Load() >= int64(max(1, q.Cores)+q.Queue):
 		w.Header().Set("X-Not-Processed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -134,18 +134,18 @@
 	q.mu.Unlock()
 	switch {
 	case over(f.Cut):
-		cut(w, "")
+		abortConnection(w, "")
 		return
 	case over(f.Hang):
 		<-r.Context().Done()
 		return
-	case over(f.Spoilt):
-		cut(w, "HTTP/1.1 2OO FINE\r\n\r\n")
+	case over(f.Malformed):
+		abortConnection(w, "HTTP/1.1 2OO FINE\r\n\r\n")
 		return
 	}
 	q.pending.Add(1)
 	defer q.pending.Add(-1)
-	if !q.work(r.Context()) {
+	if !q.serve(r.Context()) {
 		return
 	}
 	if over(f.Error) {
@@ -159,24 +159,24 @@
 	fmt.Fprintf(w, "quote for %s at %s\n", id, r.URL.Path)
 }
 
-// draw is a number from 0 to 1 by an id and this server: the same whenever it is asked again.
-func (q *Quotes) draw(id string) float64 {
+// sample is a number from 0 to 1 by an id and this server: the same whenever it is asked again.
+func (q *QuoteServer) sample(id string) float64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d/%s/%d", q.Salt, id, q.Salt)
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
 
-// work waits for a core and uses it. It tells whether the work came to its end.
-func (q *Quotes) work(ctx context.Context) bool {
+// serve waits for a core and uses it. It tells whether the serve came to its end.
+func (q *QuoteServer) serve(ctx context.Context) bool {
 	select {
 	case q.cores <- struct{}{}:
 	case <-ctx.Done():
 		return false
 	}
 	defer func() { <-q.cores }()
-	d := q.Work
-	if age := time.Since(q.begun); age < q.Warming {
-		d = time.Duration(float64(d) * (4 - 3*float64(age)/float64(q.Warming)))
+	d := q.ServiceTime
+	if age := time.Since(q.startedAt); age < q.SlowStart {
+		d = time.Duration(float64(d) * (4 - 3*float64(age)/float64(q.SlowStart)))
 	}
 	if d <= 0 {
 		return true
@@ -191,8 +191,8 @@
 	}
 }
 
-// cut ends the connection of a request, after some bytes.
-func cut(w http.ResponseWriter, text string) {
+// abortConnection ends the connection of a request, after some bytes.
+func abortConnection(w http.ResponseWriter, text string) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
--- a/internal/emulator/faulttest/actions.go
+++ b/internal/emulator/faulttest/actions.go
@@ -283,8 +283,8 @@
 
 func (a *action) server() (undo func(), err error) {
 	i, _ := strconv.Atoi(a.step.Argument) // checked with the file
-	a.player.env.quoteServers[i-1].Set(&fakes.Faults{Error: 1})
-	return func() { a.player.env.quoteServers[i-1].Set(nil) }, nil
+	a.player.env.quoteServers[i-1].SetFaults(&fakes.Faults{Error: 1})
+	return func() { a.player.env.quoteServers[i-1].SetFaults(nil) }, nil
 }
 
 func (a *action) shift() (undo func(), err error) {
--- a/internal/emulator/faulttest/world.go
+++ b/internal/emulator/faulttest/environment.go
@@ -36,7 +36,7 @@
 	addressPrefix string // first three numbers of the members' addresses
 
 	billing         *fakes.Billing
-	quoteServers    []*fakes.Quotes
+	quoteServers    []*fakes.QuoteServer
 	counter         *counterserver.Server
 	counterListener net.Listener
 	extraCounters   []*counterserver.Server // counters in place of the first, or beside it
@@ -62,7 +62,7 @@
 	n := os.Getpid() + 1009*int(environments.Add(1))
 	w.addressPrefix = fmt.Sprintf("127.%d.%d", 64+n/200%64, 1+n%200)
 	for i := range max(1, t.QuoteServers) {
-		q := &fakes.Quotes{Cores: 16, Queue: 64, Work: 2 * time.Millisecond, Salt: uint64(i)}
+		q := &fakes.QuoteServer{Cores: 16, Queue: 64, ServiceTime: 2 * time.Millisecond, Salt: uint64(i)}
 		if err := q.Start(); err != nil {
 			return w, err
 		}
@@ -163,7 +163,7 @@
 			return err
 		}
 		r.As(n.ip)
-		d.Tell(
+		d.Update(
 			discovery.Target{
 				UID:      fmt.Sprint("quotes-", i+1),
 				Endpoint: r.Addr(),
--- a/internal/emulator/faulttest/play.go
+++ b/internal/emulator/faulttest/player.go
@@ -49,7 +49,7 @@
 	revision        uint64 // of the newest revision that was written
 	catalogueViews  []catalogueView
 	warnings        []warning
-	takenBatches    []fakes.Taken
+	takenBatches    []fakes.AcceptedBatch
 	rejectedBatches int
 }
 
--- a/internal/emulator/testcluster/cluster.go
+++ b/internal/emulator/testcluster/cluster.go
@@ -61,7 +61,7 @@
 type Run struct {
 	Options
 	rng       *rand.Rand
-	quotes    []*fakes.Quotes
+	quotes    []*fakes.QuoteServer
 	directory *fakes.Discovery
 	counter   *counterserver.Server
 	listener  net.Listener
@@ -130,19 +130,19 @@
 		return err
 	}
 	for i := range 3 {
-		q := &fakes.Quotes{Cores: 16, Queue: 64, Work: 2 * time.Millisecond, Salt: r.Seed + uint64(i)}
+		q := &fakes.QuoteServer{Cores: 16, Queue: 64, ServiceTime: 2 * time.Millisecond, Salt: r.Seed + uint64(i)}
 		kind, size := "a", 1.0
 		if i == 2 {
-			q.Work, kind, size = 4*time.Millisecond, "b", 0.5
+			q.ServiceTime, kind, size = 4*time.Millisecond, "b", 0.5
 		}
 		if err := q.Start(); err != nil {
 			return err
 		}
 		if r.Faults {
-			q.Set(&fakes.Faults{Error: 0.002, Turned: 0.01, Cut: 0.002, Spoilt: 0.001})
+			q.SetFaults(&fakes.Faults{Error: 0.002, Reject: 0.01, Cut: 0.002, Malformed: 0.001})
 		}
 		r.quotes = append(r.quotes, q)
-		r.directory.Tell(
+		r.directory.Update(
 			discovery.Target{
 				UID:      fmt.Sprint("quotes-", i+1),
 				Endpoint: q.Addr(),
@@ -367,7 +367,7 @@
 // again.
 func (r *Run) crash(i int) error {
 	if r.Faults {
-		r.billing.Next(fakes.Loses, fakes.Fails)
+		r.billing.InjectFaults(fakes.LoseReply, fakes.FailCall)
 	}
 	time.Sleep(time.Duration(r.rng.Float64() * float64(time.Second)))
 	r.exporters[i].Kill()
--- a/internal/standalone/node/node_test.go
+++ b/internal/standalone/node/node_test.go
@@ -45,9 +45,9 @@
 }
 
 // startNode starts a node with one fake quote server, from hclConfig and more text.
-func startNode(t *testing.T, text string) (*Node, *fakes.Quotes, logCodes) {
+func startNode(t *testing.T, text string) (*Node, *fakes.QuoteServer, logCodes) {
 	t.Helper()
-	quotes := &fakes.Quotes{Cores: 8}
+	quotes := &fakes.QuoteServer{Cores: 8}
 	if err := quotes.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -203,7 +203,7 @@
 	if diff := cmp.Diff([]int{200, 200, 503, 400}, statuses); diff != "" {
 		t.Errorf("statuses before (-want +got):\n%s", diff)
 	}
-	other := &fakes.Quotes{Cores: 1}
+	other := &fakes.QuoteServer{Cores: 1}
 	if err := other.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standalone/usageexport/exporter_test.go
+++ b/internal/standalone/usageexport/exporter_test.go
@@ -90,17 +90,17 @@
 // TestKilledExporterBillsOnce kills the exporter at each point, with each answer of the endpoint: the bill is the same.
 func TestKilledExporterBillsOnce(t *testing.T) {
 	faults := map[string]fakes.BillingFault{
-		"fine":   fakes.Fine,
-		"fails":  fakes.Fails,
-		"loses":  fakes.Loses,
-		"babble": fakes.Babble,
-		"slow":   fakes.Slow,
+		"fine":   fakes.NoFault,
+		"fails":  fakes.FailCall,
+		"loses":  fakes.LoseReply,
+		"babble": fakes.InvalidReply,
+		"slow":   fakes.RateLimited,
 	}
 	for _, point := range usageexport.HookPoints {
 		for name, fault := range faults {
 			t.Run(fmt.Sprintf("%s, %s", point, name), func(t *testing.T) {
 				dir, b := t.TempDir(), startBilling(t)
-				b.Next(fault)
+				b.InjectFaults(fault)
 				recordUsage(t, dir, 50)
 				kills := 0
 				for range 3 { // the point is reached again after each start
@@ -141,7 +141,7 @@
 	recordUsage(t, dir, 10)
 	e := openExporter(t, dir, b)
 	defer e.Close()
-	b.Next(fakes.Hangs)
+	b.InjectFaults(fakes.NoReply)
 	ctx, cancel := context.WithCancel(context.Background())
 	e.SetTestHook(func(at usageexport.HookPoint) error {
 		if at == usageexport.BeforeSending {
@@ -170,7 +170,7 @@
 	recordUsage(t, dir, 10)
 	e := openExporter(t, dir, b)
 	defer e.Close()
-	b.Next(fakes.Loses)
+	b.InjectFaults(fakes.LoseReply)
 	e.Step(context.Background())
 	// The endpoint has the batch. It changes here, as if the disk lost a sync.
 	other := openTwin(t, b, dir)
@@ -280,7 +280,7 @@
 	dir, b := t.TempDir(), startBilling(t)
 	recordUsage(t, dir, 10)
 	log, lines := logger()
-	b.Next(fakes.Fails, fakes.Fails)
+	b.InjectFaults(fakes.FailCall, fakes.FailCall)
 	e := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Retention: time.Hour, Log: log}
 	ctx, cancel := context.WithCancel(context.Background())
 	e.Client = &http.Client{Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
