--- a/internal/emulator/fakes/billing.go
+++ b/internal/emulator/fakes/billing.go
@@ -4,7 +4,6 @@
 	"compress/gzip"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"slices"
 	"strconv"
@@ -15,115 +14,108 @@
 	"mulleinrouter/internal/standalone/usageexport"
 )
 
-// Billing takes batches of use, each once: one that comes again is known by its source and number, and must be the
-// same to the letter.
+const (
+	maxBatchBytes = 64 << 20 // of a batch after decompression
+
+	digestHeader = "X-Content-SHA256"
+
+	retryAfterSeconds = "2" // of RateLimited
+)
+
+// Billing accepts batches of usage records, each once. A batch that is sent again is recognised by its source and
+// number, and must have the same digest.
 type Billing struct {
-	server *http.Server
-	addr   string
-
-	mu            sync.Mutex
-	batches       map[string]string // digest by source and number
-	tally         usage.Tally
-	unmetered     usage.Sum
-	repeats       int
-	conflicts     int
-	highestToken  uint64 // the highest fencing token that came
-	rejected      int    // batches with an older one, which were refused
-	unfenced      bool   // a fault: older ones are taken
+	httpServer
+
+	mu            sync.Mutex        // guards the fields below
+	digests       map[string]string // by source and number of the batch
+	totals        BillingTotals
+	highestToken  uint64 // of the fencing tokens received so far
 	accepted      []AcceptedBatch
+	rejected      int            // batches under an older fencing token
 	pendingFaults []BillingFault // for the next calls, in order
 }
 
-// BillingFault is what it does wrong with one call.
+// BillingTotals are the sums over all batches that billing has accepted.
+type BillingTotals struct {
+	Tally     usage.Tally
+	Unmetered usage.Sum // used without a record of whose use it was
+	Repeats   int       // batches that were sent again
+	Conflicts int       // of these, how many had another digest than at first
+}
+
+// AcceptedBatch is a batch that was accepted under a fencing token.
+type AcceptedBatch struct {
+	Token  uint64
+	Source string
+	Number uint64
+}
+
+// BillingFault is a fault that Billing injects into one call.
 type BillingFault int
 
-// The faults.
+// The faults of a call.
 const (
 	NoFault      BillingFault = iota
-	FailCall                  // answers 500 and takes nothing
-	LoseReply                 // takes the batch, and the answer is lost
-	NoReply                   // takes nothing and does not answer
-	InvalidReply              // takes nothing and answers 200 with something else
-	RateLimited               // takes nothing, answers 429 with Retry-After
+	FailCall                  // answers 500 and does not accept the batch
+	LoseReply                 // accepts the batch, and closes the connection without a response
+	NoReply                   // does not accept the batch and never answers
+	InvalidReply              // does not accept the batch and answers 200 with another body
+	RateLimited               // does not accept the batch and answers 429 with Retry-After
 )
 
-// Start has it listen.
+// Start listens on loopback. It returns a *ListenError.
 func (b *Billing) Start() error {
-	l, err := net.Listen("tcp", loopback)
-	if err != nil {
-		return fmt.Errorf("billing: %w", err)
-	}
-	b.addr, b.batches, b.tally = l.Addr().String(), map[string]string{}, usage.Tally{}
-	b.server = &http.Server{Handler: b}
-	go b.server.Serve(l)
-	return nil
+	b.digests = map[string]string{}
+	b.totals.Tally = usage.Tally{}
+	return b.start("billing", &http.Server{Handler: b})
 }
 
-// Addr is where it listens.
-func (b *Billing) Addr() string { return b.addr }
-
-// URL is where batches go.
+// URL is where batches are posted.
 func (b *Billing) URL() string { return "http://" + b.addr + "/v1/batches" }
 
-// Stop ends it, connections and all.
-func (b *Billing) Stop() { b.server.Close() }
-
-// InjectFaults has it do wrong with the next calls, in order.
+// InjectFaults adds faults for the next calls, one each, in order.
 func (b *Billing) InjectFaults(faults ...BillingFault) {
 	b.mu.Lock()
+	defer b.mu.Unlock()
 	b.pendingFaults = append(b.pendingFaults, faults...)
-	b.mu.Unlock()
 }
 
-// Billed is what it has taken: the rows of all batches, what was not metered, how many batches came again, and
-// how many came again as something else.
-func (b *Billing) Billed() (tally usage.Tally, unmetered usage.Sum, repeats, conflicts int) {
+// Totals returns the sums over the batches accepted so far.
+func (b *Billing) Totals() BillingTotals {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	tally = usage.Tally{}
-	tally.Merge(b.tally)
-	return tally, b.unmetered, b.repeats, b.conflicts
+	totals := b.totals
+	totals.Tally = usage.Tally{}
+	totals.Tally.Merge(b.totals.Tally)
+	return totals
 }
 
-// ServeHTTP takes a batch.
+// Fenced returns the batches accepted under fencing tokens, in order of arrival, and how many were rejected because
+// they came under an older token.
+func (b *Billing) Fenced() (accepted []AcceptedBatch, rejected int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return slices.Clone(b.accepted), b.rejected
+}
+
+// ServeHTTP accepts or rejects a batch.
 func (b *Billing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	z, err := gzip.NewReader(r.Body)
+	batch, digest, err := readBatch(r)
 	if err != nil {
-		http.Error(w, "not gzip", http.StatusBadRequest)
-		return
-	}
-	body, err := io.ReadAll(io.LimitReader(z, 64<<20))
-	var batch usage.Batch
-	if err != nil || json.Unmarshal(body, &batch) != nil || usageexport.Digest(body) != r.Header.Get("X-Content-SHA256") {
-		http.Error(w, "not a batch", http.StatusBadRequest)
+		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	b.mu.Lock()
-	fault := NoFault
-	if len(b.pendingFaults) > 0 {
-		fault, b.pendingFaults = b.pendingFaults[0], b.pendingFaults[1:]
-	}
-	b.mu.Unlock()
-	switch fault {
-	case FailCall:
-		http.Error(w, "not now", http.StatusInternalServerError)
-		return
-	case NoReply:
-		<-r.Context().Done()
-		return
-	case InvalidReply:
-		fmt.Fprintln(w, `{"welcome":true}`)
-		return
-	case RateLimited:
-		w.Header().Set("Retry-After", "2")
-		w.WriteHeader(http.StatusTooManyRequests)
+	fault := b.nextFault()
+	if injectBillingFault(w, r, fault) {
 		return
 	}
-	if word := r.Header.Get(leaseservice.FencingTokenHeader); word != "" && !b.checkFencingToken(word, batch) {
+	token := r.Header.Get(leaseservice.FencingTokenHeader)
+	if token != "" && !b.checkFencingToken(token, batch) {
 		http.Error(w, "an older holder's", http.StatusPreconditionFailed)
 		return
 	}
-	if !b.record(&batch, usageexport.Digest(body)) {
+	if !b.record(batch, digest) {
 		http.Error(w, "another batch has this number", http.StatusConflict)
 		return
 	}
@@ -131,53 +123,93 @@
 		abortConnection(w, "")
 		return
 	}
-	json.NewEncoder(w).Encode(usage.Ack{Source: batch.Source, Number: batch.Number, Digest: usageexport.Digest(body)})
+	json.NewEncoder(w).Encode(usage.Ack{Source: batch.Source, Number: batch.Number, Digest: digest})
 }
 
-// AcceptedBatch is a batch as it came under a token.
-type AcceptedBatch struct {
-	Token  uint64
-	Source string
-	Number uint64
+// readBatch reads the batch of a request and checks its digest. Its errors are errNotGzip and errNotBatch.
+func readBatch(r *http.Request) (batch *usage.Batch, digest string, err error) {
+	uncompressed, err := gzip.NewReader(r.Body)
+	if err != nil {
+		return nil, "", errNotGzip
+	}
+	body, err := io.ReadAll(io.LimitReader(uncompressed, maxBatchBytes))
+	if err != nil {
+		return nil, "", errNotBatch
+	}
+	batch = &usage.Batch{}
+	if json.Unmarshal(body, batch) != nil {
+		return nil, "", errNotBatch
+	}
+	digest = usageexport.Digest(body)
+	if digest != r.Header.Get(digestHeader) {
+		return nil, "", errNotBatch
+	}
+	return batch, digest, nil
 }
 
-// checkFencingToken tells whether a batch's token is as new as any before.
-func (b *Billing) checkFencingToken(word string, batch usage.Batch) bool {
-	token, err := strconv.ParseUint(word, 10, 64)
+// nextFault takes the next pending fault.
+func (b *Billing) nextFault() BillingFault {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if err != nil || token < b.highestToken && !b.unfenced {
-		b.rejected++
+	if len(b.pendingFaults) == 0 {
+		return NoFault
+	}
+	fault := b.pendingFaults[0]
+	b.pendingFaults = b.pendingFaults[1:]
+	return fault
+}
+
+// injectBillingFault answers a call in place of billing, if the fault is one that keeps the batch from being
+// accepted.
+func injectBillingFault(w http.ResponseWriter, r *http.Request, fault BillingFault) (answered bool) {
+	switch fault {
+	case FailCall:
+		http.Error(w, "not now", http.StatusInternalServerError)
+	case NoReply:
+		<-r.Context().Done()
+	case InvalidReply:
+		fmt.Fprintln(w, `{"welcome":true}`)
+	case RateLimited:
+		w.Header().Set("Retry-After", retryAfterSeconds)
+		w.WriteHeader(http.StatusTooManyRequests)
+	default:
 		return false
 	}
-	b.highestToken = max(b.highestToken, token)
-	b.accepted = append(b.accepted, AcceptedBatch{token, batch.Source, batch.Number})
 	return true
 }
 
-// Fenced is what came under tokens, in order, and how many batches were refused for an older one.
-func (b *Billing) Fenced() (taken []AcceptedBatch, refused int) {
+// checkFencingToken reports whether a batch's fencing token is at least as new as all before it, and notes the batch
+// if so.
+func (b *Billing) checkFencingToken(header string, batch *usage.Batch) bool {
+	token, err := strconv.ParseUint(header, 10, 64)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return slices.Clone(b.accepted), b.rejected
+	if err != nil || token < b.highestToken {
+		b.rejected++
+		return false
+	}
+	b.highestToken = token
+	b.accepted = append(b.accepted, AcceptedBatch{Token: token, Source: batch.Source, Number: batch.Number})
+	return true
 }
 
-// record counts a batch, once. It tells whether it is the one that its number stands for.
+// record adds a batch to the totals unless it was added before. It reports whether no other batch has its source and
+// number.
 func (b *Billing) record(batch *usage.Batch, digest string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	key := fmt.Sprintf("%s-%d", batch.Source, batch.Number)
-	if was, ok := b.batches[key]; ok {
-		b.repeats++
-		if was != digest {
-			b.conflicts++
+	if recorded, ok := b.digests[key]; ok {
+		b.totals.Repeats++
+		if recorded != digest {
+			b.totals.Conflicts++
 		}
-		return was == digest
+		return recorded == digest
 	}
-	b.batches[key] = digest
+	b.digests[key] = digest
 	for _, row := range batch.Rows {
-		b.tally.Merge(usage.Tally{row.Key: row.Sum})
+		b.totals.Tally.Merge(usage.Tally{row.Key: row.Sum})
 	}
-	b.unmetered = b.unmetered.Add(batch.Unmetered)
+	b.totals.Unmetered = b.totals.Unmetered.Add(batch.Unmetered)
 	return true
 }
--- a/internal/emulator/fakes/discovery.go
+++ b/internal/emulator/fakes/discovery.go
@@ -2,64 +2,51 @@
 
 import (
 	"fmt"
-	"net"
 	"net/http"
 	"sync"
 	"time"
 
-	jsoniter "github.com/json-iterator/go"
-
 	"mulleinrouter/internal/standalone/discovery"
 )
 
-var json = jsoniter.ConfigCompatibleWithStandardLibrary
+// keepAliveInterval is how often a watch receives an empty line while nothing changes.
+const keepAliveInterval = 2 * time.Second
 
-const keepAliveInterval = 2 * time.Second // an empty line of a watch, while nothing changes
+// stateLeft removes an endpoint from the list.
+const stateLeft = "left"
 
-// Discovery tells the list of quote servers: whole, and by watch.
+// Discovery serves the list of quote servers: as a snapshot, and as a watch that streams each change.
 type Discovery struct {
-	server *http.Server
-	addr   string
+	httpServer
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards the fields below
 	revision int64
-	targets  map[string]discovery.Target
-	changes  []discovery.List // one for each revision, from 1
-	changed  chan struct{}    // closed with the next change
+	targets  map[string]discovery.Target // by UID
+	changes  []discovery.List            // one for each revision, from 1
+	changed  chan struct{}               // closed with the next change, and replaced
 	silent   bool
 }
 
-// Start has it listen.
+// Start listens on loopback. It returns a *ListenError.
 func (d *Discovery) Start() error {
-	l, err := net.Listen("tcp", loopback)
-	if err != nil {
-		return fmt.Errorf("discovery: %w", err)
-	}
-	d.addr, d.targets, d.changed = l.Addr().String(), map[string]discovery.Target{}, make(chan struct{})
-	d.server = &http.Server{Handler: d}
-	go d.server.Serve(l)
-	return nil
+	d.targets = map[string]discovery.Target{}
+	d.changed = make(chan struct{})
+	return d.start("discovery", &http.Server{Handler: d})
 }
 
-// Addr is where it listens.
-func (d *Discovery) Addr() string { return d.addr }
-
-// Stop ends it, connections and all.
-func (d *Discovery) Stop() { d.server.Close() }
-
-// SetSilent has it say nothing more, on any connection, or speak again.
-func (d *Discovery) SetSilent(is bool) {
+// SetSilent stops sending on all watches, which stay open, or resumes it.
+func (d *Discovery) SetSilent(silent bool) {
 	d.mu.Lock()
-	d.silent = is
-	d.mu.Unlock()
+	defer d.mu.Unlock()
+	d.silent = silent
 }
 
-// Update changes entries of the list. State left takes one away.
+// Update adds or changes entries of the list. An entry in state "left" is removed.
 func (d *Discovery) Update(targets ...discovery.Target) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, t := range targets {
-		if t.State == "left" {
+		if t.State == stateLeft {
 			delete(d.targets, t.UID)
 		} else {
 			d.targets[t.UID] = t
@@ -71,46 +58,43 @@
 	d.changed = make(chan struct{})
 }
 
-// ServeHTTP answers for the list.
+// ServeHTTP answers with a snapshot of the list, or with a watch where the query has watch.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/v1/endpoints" {
 		http.NotFound(w, r)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	if r.URL.Query().Get("watch") == "" {
+	query := r.URL.Query()
+	if query.Get("watch") == "" {
 		json.NewEncoder(w).Encode(d.snapshot())
 		return
 	}
 	var from int64
-	fmt.Sscan(r.URL.Query().Get("from"), &from)
-	out := http.NewResponseController(w)
+	fmt.Sscan(query.Get("from"), &from)
+	d.serveWatch(w, r, from)
+}
+
+// serveWatch streams the changes after a revision, a line of JSON each, until the client disconnects.
+func (d *Discovery) serveWatch(w http.ResponseWriter, r *http.Request, from int64) {
+	flusher := http.NewResponseController(w)
 	for {
-		d.mu.Lock()
-		rev, moved, silent := d.revision, d.changed, d.silent
-		var update []discovery.List
-		if from >= 0 && from <= rev {
-			update = d.changes[from:rev]
-		}
-		d.mu.Unlock()
-		if from > rev { // another one's number
-			update = []discovery.List{d.snapshot()}
-		}
-		for _, l := range update {
-			if !silent && json.NewEncoder(w).Encode(l) != nil {
-				return
-			}
-		}
+		updates, next, changed, silent := d.changesSince(from)
 		if !silent {
-			from = rev
+			for _, update := range updates {
+				if json.NewEncoder(w).Encode(update) != nil {
+					return
+				}
+			}
+			from = next
 		}
-		if out.Flush() != nil {
+		if flusher.Flush() != nil {
 			return
 		}
 		select {
 		case <-r.Context().Done():
 			return
-		case <-moved:
+		case <-changed:
 		case <-time.After(keepAliveInterval):
 			if !silent {
 				fmt.Fprintln(w)
@@ -119,12 +103,33 @@
 	}
 }
 
+// changesSince returns the changes after a revision, the revision that they lead to, and a channel that is closed
+// with the next change. A revision newer than the list's is another server's: the update is then a snapshot.
+func (d *Discovery) changesSince(from int64) (
+	updates []discovery.List, revision int64, changed <-chan struct{}, silent bool,
+) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	switch {
+	case from > d.revision:
+		updates = []discovery.List{d.snapshotLocked()}
+	case from >= 0:
+		updates = d.changes[from:d.revision]
+	}
+	return updates, d.revision, d.changed, d.silent
+}
+
 func (d *Discovery) snapshot() discovery.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := discovery.List{Rev: d.revision, All: true, Targets: []discovery.Target{}}
+	return d.snapshotLocked()
+}
+
+// snapshotLocked needs mu.
+func (d *Discovery) snapshotLocked() discovery.List {
+	list := discovery.List{Rev: d.revision, All: true, Targets: []discovery.Target{}}
 	for _, t := range d.targets {
-		l.Targets = append(l.Targets, t)
+		list.Targets = append(list.Targets, t)
 	}
-	return l
+	return list
 }
--- a/internal/emulator/faulttest/lease_holder.go
+++ b/internal/emulator/faulttest/lease_holder.go
@@ -155,19 +155,19 @@
 
 // findBilled compares the bill with what arrived.
 func (p *player) findBilled(f Finding) Finding {
-	tally, unmetered, repeats, conflicts := p.env.billing.Billed()
-	known, unknown := tally.Total()
+	totals := p.env.billing.Totals()
+	known, unknown := totals.Tally.Total()
 	arrived := int64(len(p.env.arrived()))
-	f.Passed = arrived > 0 && known.Requests <= arrived && arrived <= known.Requests+unknown.Requests+unmetered.Requests &&
-		conflicts == 0
+	f.Passed = arrived > 0 && known.Requests <= arrived && arrived <= known.Requests+unknown.Requests+totals.Unmetered.Requests &&
+		totals.Conflicts == 0
 	f.Text = fmt.Sprintf(
 		"%d arrived, %d billed, %d listed apart, %d not recorded, %d batches came again, %d conflicts",
 		arrived,
 		known.Requests,
 		unknown.Requests,
-		unmetered.Requests,
-		repeats,
-		conflicts,
+		totals.Unmetered.Requests,
+		totals.Repeats,
+		totals.Conflicts,
 	)
 	return f
 }
--- a/internal/emulator/testcluster/report.go
+++ b/internal/emulator/testcluster/report.go
@@ -151,9 +151,10 @@
 
 // bill compares the bill with what arrived, member by member.
 func (r *Run) bill(p *Report) {
-	tally, unmetered, repeats, conflicts := r.billing.Billed()
+	totals := r.billing.Totals()
+	tally := totals.Tally
 	p.Billed, p.Unknown = tally.Total()
-	p.Unmetered, p.Repeats, p.Conflicts = unmetered, repeats, conflicts
+	p.Unmetered, p.Repeats, p.Conflicts = totals.Unmetered, totals.Repeats, totals.Conflicts
 	arrived := map[string]int64{}
 	for id := range p.arrivals {
 		if q := p.requests[id]; q != nil {
--- a/internal/standalone/usageexport/exporter_test.go
+++ b/internal/standalone/usageexport/exporter_test.go
@@ -122,10 +122,12 @@
 				e := openExporter(t, dir, b)
 				defer e.Close()
 				exportAll(t, e)
-				tally, _, repeats, conflicts := b.Billed()
-				known, unknown := tally.Total()
-				if known != (usage.Sum{Requests: 80, Units: 100 * usage.Micro}) || unknown.Requests != 1 || conflicts != 0 {
-					t.Errorf("billed %+v, unknown %+v, %d repeats, %d conflicts", known, unknown, repeats, conflicts)
+				totals := b.Totals()
+				known, unknown := totals.Tally.Total()
+				want := usage.Sum{Requests: 80, Units: 100 * usage.Micro}
+				if known != want || unknown.Requests != 1 || totals.Conflicts != 0 {
+					t.Errorf("billed %+v, unknown %+v, %d repeats, %d conflicts; want %+v, 1 request, any, 0",
+						known, unknown, totals.Repeats, totals.Conflicts, want)
 				}
 				v, err := e.Verify()
 				if err != nil || len(v.Problems) > 0 || v.Known != known || v.Unknown != unknown || v.InFlight != 1 {
@@ -155,8 +157,8 @@
 	}
 	e.SetTestHook(nil)
 	exportAll(t, e)
-	if tally, _, repeats, _ := b.Billed(); len(tally) == 0 || repeats != 0 {
-		t.Errorf("got %d rows, %d repeats; want some, 0", len(tally), repeats)
+	if totals := b.Totals(); len(totals.Tally) == 0 || totals.Repeats != 0 {
+		t.Errorf("got %d rows, %d repeats; want some, 0", len(totals.Tally), totals.Repeats)
 	}
 	b.Stop()
 	recordUsage(t, dir, 10)
@@ -295,8 +297,7 @@
 	}
 	defer e.Close()
 	e.Run(ctx)
-	tally, _, _, _ := b.Billed()
-	if known, _ := tally.Total(); known.Requests != 10 {
+	if known, _ := b.Totals().Tally.Total(); known.Requests != 10 {
 		t.Errorf("billed %+v", known)
 	}
 	got := []int{
