--- a/internal/emulator/exchange/step.go
+++ b/internal/emulator/exchange/step.go
@@ -38,7 +38,7 @@
 
 // verbs play a step on a connection, and return the line as it should have been recorded.
 var verbs = map[string]func(p *Player, c *conn, s step) (string, error){
-	"accept": func(_ *Player, _ *conn, s step) (string, error) { return s.line, nil },
+	"accept": (*Player).acceptConn,
 	">":      (*Player).writeLine,
 	">>":     (*Player).writeText,
 	"<":      (*Player).readLines,
@@ -102,6 +102,9 @@
 	return expanded, nil
 }
 
+// acceptConn has nothing left to do: playLine has accepted the connection.
+func (p *Player) acceptConn(_ *conn, s step) (string, error) { return s.line, nil }
+
 func (p *Player) writeLine(c *conn, s step) (string, error) {
 	_, err := io.WriteString(c, s.text+lineEnd)
 	return s.line, err
--- a/internal/emulator/faulttest/actions.go
+++ b/internal/emulator/faulttest/actions.go
@@ -1,12 +1,13 @@
 package faulttest
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"os"
+	"os/exec"
 	"slices"
 	"strconv"
+	"strings"
 	"sync"
 	"syscall"
 	"time"
@@ -17,154 +18,138 @@
 	"mulleinrouter/internal/standalone/fleet/leaseservice"
 )
 
-// runSteps does the steps at their times.
-func (p *player) runSteps(ctx context.Context) error {
-	for _, s := range p.env.scenario.Steps {
-		if err := p.sleepUntil(ctx, s.At); err != nil {
-			return err
-		}
-		undo, err := p.carryOut(s)
-		if err != nil {
-			return err
-		}
-		if undo == nil || s.Duration == 0 {
-			continue
-		}
-		p.undoing.Add(1)
-		go func() {
-			defer p.undoing.Done()
-			if p.sleepUntil(ctx, s.At+s.Duration) == nil {
-				p.logEvent("undone", s.Action+" is over", s.Members...)
-				undo()
-			}
-		}()
-	}
-	return nil
-}
+// upgradeOverlap is how long both processes of an upgrade run: until health checks have seen the new one, as operators
+// wait for.
+const upgradeOverlap = time.Second
 
-// nodesOf are the members with these names.
-func (p *player) nodesOf(names []string) (all []*node) {
-	for _, n := range p.env.nodes {
-		if slices.Contains(names, n.name) {
-			all = append(all, n)
-		}
-	}
-	return all
-}
-
-// action is one step of a timeline as it is carried out.
+// action is a step as it is carried out.
 type action struct {
 	player *player
 	step   Step
 	nodes  []*node // that it is about
 }
 
-// actions are what a step may do, by its name. Undo, where there is one, ends what the step began.
-var actions = map[string]func(*action) (undo func(), err error){
-	"link":     (*action).link,
-	"stop":     (*action).stop,
-	"kill":     (*action).kill,
-	"start":    (*action).start,
-	"twin":     (*action).twin,
-	"save":     (*action).save,
-	"term":     (*action).term,
-	"upgrade":  (*action).upgrade,
-	"voters":   (*action).voters,
-	"lameduck": (*action).lameDuck,
-	"fill":     (*action).fill,
-	"disk":     (*action).disk,
-	"revise":   (*action).revise,
-	"counter":  (*action).counter,
-	"server":   (*action).server,
-	"shift":    (*action).shift,
-	"reload":   (*action).reload,
-	"give":     (*action).give,
-	"rubbish":  (*action).rubbish,
-	"keys":     (*action).keys,
-}
-
-// actionsWithoutNodes are the actions that concern no node, even where none is named. Another one without a name is about the
-// holder.
-var actionsWithoutNodes = []string{"link", "keys", "voters", "counter", "shift", "server"}
-
-// carryOut does a step, and gives what undoes it.
-func (p *player) carryOut(s Step) (undo func(), err error) {
-	p.logEvent("done", s.Action+map[bool]string{true: " " + s.Argument}[s.Argument != ""], s.Members...)
-	a := &action{player: p, step: s, nodes: p.nodesOf(s.Members)}
-	if len(a.nodes) == 0 && !slices.Contains(actionsWithoutNodes, s.Action) {
-		if h := p.leaseHolder(); h != nil {
-			a.nodes = []*node{h}
-			p.logEvent("done", "it is", h.name)
-		}
+// actions carry out a step. undo, where it is not nil, ends what the step began.
+var actions = map[Action]func(*action) (undo func(), err error){
+	ActionLink:     (*action).setLinkFault,
+	ActionStop:     (*action).stop,
+	ActionKill:     (*action).kill,
+	ActionStart:    (*action).start,
+	ActionTwin:     (*action).startTwin,
+	ActionSave:     (*action).saveDir,
+	ActionTerm:     (*action).terminate,
+	ActionUpgrade:  (*action).upgrade,
+	ActionVoters:   (*action).changeVoters,
+	ActionLameDuck: (*action).lameDuck,
+	ActionFill:     (*action).fillDisk,
+	ActionDisk:     (*action).failDisk,
+	ActionRevise:   (*action).writeRevision,
+	ActionCounter:  (*action).setCounter,
+	ActionServer:   (*action).failQuoteServer,
+	ActionShift:    (*action).shiftCustomers,
+	ActionReload:   (*action).reload,
+	ActionGive:     (*action).transferLease,
+	ActionRubbish:  (*action).sendGarbage,
+	ActionKeys:     (*action).changeKeys,
+}
+
+// actionsWithoutNodes concern no node. Any other action that names none is about the lease holder.
+var actionsWithoutNodes = []Action{
+	ActionLink, ActionKeys, ActionVoters, ActionCounter, ActionServer, ActionShift,
+}
+
+// carryOut carries out a step, and returns what undoes it.
+func (p *player) carryOut(step Step) (undo func(), err error) {
+	what := string(step.Action)
+	if step.Argument != "" {
+		what += " " + step.Argument
 	}
-	carryOut, known := actions[s.Action]
-	if !known {
-		return nil, nil // the file was checked: it is one that another part of the player sees to
+	p.log.add(eventDone, what, step.Members...)
+	a := &action{player: p, step: step, nodes: p.nodesOf(step.Members)}
+	if len(a.nodes) == 0 && !slices.Contains(actionsWithoutNodes, step.Action) {
+		if holder := p.leaseHolder(); holder != nil {
+			a.nodes = []*node{holder}
+			p.log.add(eventDone, "it is", holder.name)
+		}
 	}
-	return carryOut(a)
+	return actions[step.Action](a)
 }
 
-// each does something with each node, at the same time, and joins what went wrong.
-func (a *action) each(do func(n *node, i int) error) error {
-	var out sync.WaitGroup
-	var mu sync.Mutex
-	var errs []error
-	for _, n := range a.nodes {
-		out.Go(func() {
-			if err := do(n, slices.Index(a.player.env.nodes, n)); err != nil {
-				mu.Lock()
-				errs = append(errs, fmt.Errorf("%s %s: %w", a.step.Action, n.name, err))
-				mu.Unlock()
+// forEach calls a function with each node and its index in the environment, side by side, and joins the errors.
+func (a *action) forEach(call func(n *node, i int) error) error {
+	var calls sync.WaitGroup
+	errs := make([]error, len(a.nodes))
+	for k, n := range a.nodes {
+		calls.Go(func() {
+			if err := call(n, slices.Index(a.player.env.nodes, n)); err != nil {
+				errs[k] = fmt.Errorf("%s %s: %w", a.step.Action, n.name, err)
 			}
 		})
 	}
-	out.Wait()
+	calls.Wait()
 	return errors.Join(errs...)
 }
 
-// running does something with the process of each node that runs one; what goes wrong is noted.
-func (a *action) running(do func(*testcluster.Process) error) {
+// forEachProcess calls a function with the process of each node that runs one. Errors become problems of the report.
+func (a *action) forEachProcess(call func(*testcluster.Process) error) {
 	for _, n := range a.nodes {
 		if process := n.running(); process != nil {
-			a.player.reportProblem(do(process))
+			a.player.reportProblem(call(process))
 		}
 	}
 }
 
-func (a *action) setAbsent(away bool) {
+func (a *action) beginAbsence() {
 	for _, n := range a.nodes {
-		n.setAbsent(away)
+		n.beginAbsence()
 	}
 }
 
-func (a *action) link() (undo func(), err error) {
-	a.player.setLinks(a.step.LinkFault, false)
-	return func() { a.player.setLinks(a.step.LinkFault, true) }, nil
+func (a *action) setLinkFault() (undo func(), err error) {
+	a.player.env.setLinks(a.step.LinkFault, a.step.LinkFault.Fault)
+	return func() { a.player.env.setLinks(a.step.LinkFault, faultnet.Fault{}) }, nil
+}
+
+// setLinks gives the links of a link fault a fault; the zero fault heals them.
+func (e *environment) setLinks(l LinkFault, fault faultnet.Fault) {
+	for _, from := range l.From {
+		for _, to := range l.To {
+			if from == to && from != faultnet.Any {
+				continue
+			}
+			e.links.Set(from, to, l.Protocol, fault)
+			if l.Bidirectional {
+				e.links.Set(to, from, l.Protocol, fault)
+			}
+		}
+	}
 }
 
-// stop stops processes, not each in its own time but together.
+// stop suspends processes, one directly after another: they must not notice each other's absence first.
 func (a *action) stop() (undo func(), err error) {
 	var errs []error
 	for _, n := range a.nodes {
-		n.setAbsent(true)
+		n.beginAbsence()
 		if process := n.running(); process != nil {
 			errs = append(errs, process.Stop())
 		}
 	}
-	return func() {
-		for _, n := range a.nodes {
-			if process := n.running(); process != nil {
-				a.player.reportProblem(process.Continue())
-			}
-			n.setAbsent(false)
+	return a.resume, errors.Join(errs...)
+}
+
+func (a *action) resume() {
+	for _, n := range a.nodes {
+		if process := n.running(); process != nil {
+			a.player.reportProblem(process.Continue())
 		}
-		a.player.pollNow(a.nodes)
-	}, errors.Join(errs...)
+		n.endAbsence()
+	}
+	a.player.pollNow(a.nodes)
 }
 
 func (a *action) kill() (undo func(), err error) {
-	a.setAbsent(true)
-	return nil, a.each(func(n *node, _ int) error {
+	a.beginAbsence()
+	return nil, a.forEach(func(n *node, _ int) error {
 		process := n.running()
 		n.setProcess(nil)
 		process.Kill()
@@ -172,170 +157,180 @@
 	})
 }
 
-// start starts those that do not run: with the folder they had, an empty one, or the one that was saved.
+// start starts the nodes that do not run: with the folder they had, an empty one, or the one that was saved. Nodes
+// that do run are those of which the lease holder was killed in an earlier step, or not.
 func (a *action) start() (undo func(), err error) {
-	return nil, a.each(func(n *node, i int) error {
+	return nil, a.forEach(func(n *node, i int) error {
 		if n.running() != nil {
-			return nil // of whoever it was that was killed
+			return nil
 		}
-		switch a.step.Argument {
-		case "empty":
-			if err := errors.Join(os.RemoveAll(n.dir), os.MkdirAll(n.dir, 0o755)); err != nil {
-				return err
-			}
-		case "saved":
-			if err := copyDir(n.dir, n.savedDir); err != nil {
-				return err
-			}
+		if err := n.restoreDir(a.step.Argument); err != nil {
+			return err
 		}
 		process, err := a.player.env.launch(i, false)
 		if err != nil {
 			return err
 		}
 		n.setProcess(process)
-		n.setAbsent(false)
+		n.endAbsence()
 		return nil
 	})
 }
 
-func (a *action) twin() (undo func(), err error) {
-	return nil, a.each(func(n *node, i int) (err error) {
-		n.twin, err = a.player.env.launch(i, true)
+// restoreDir prepares a node's folder for a start.
+func (n *node) restoreDir(folder string) error {
+	switch folder {
+	case folderEmpty:
+		return errors.Join(os.RemoveAll(n.dir), os.MkdirAll(n.dir, 0o755))
+	case folderSaved:
+		return copyDir(n.dir, n.savedDir)
+	default:
+		return nil
+	}
+}
+
+func (a *action) startTwin() (undo func(), err error) {
+	return nil, a.forEach(func(n *node, i int) error {
+		process, err := a.player.env.launch(i, true)
+		n.setTwin(process)
 		return err
 	})
 }
 
-func (a *action) save() (undo func(), err error) {
-	return nil, a.each(func(n *node, _ int) error { return copyDir(n.savedDir, n.dir) })
+func (a *action) saveDir() (undo func(), err error) {
+	return nil, a.forEach(func(n *node, _ int) error { return copyDir(n.savedDir, n.dir) })
 }
 
-func (a *action) term() (undo func(), err error) {
-	a.setAbsent(true)
-	return nil, a.each(func(n *node, _ int) error {
-		process := n.running()
-		err := process.Quit()
+func (a *action) terminate() (undo func(), err error) {
+	a.beginAbsence()
+	return nil, a.forEach(func(n *node, _ int) error {
+		err := n.running().Quit()
 		n.setProcess(nil)
 		return err
 	})
 }
 
-// upgrade starts a process beside another, and ends one of the two.
+// upgrade starts a new process beside the old one, and ends one of the two.
 func (a *action) upgrade() (undo func(), err error) {
-	return nil, a.each(func(n *node, i int) error {
+	return nil, a.forEach(func(n *node, i int) error {
 		young, err := a.player.env.launch(i, false)
 		if err != nil {
 			return err
 		}
-		time.Sleep(time.Second) // until its yes has been heard, as the operators do
+		time.Sleep(upgradeOverlap)
 		old := n.running()
 		switch a.step.Argument {
-		case "young":
+		case diesYoung:
 			young.Kill()
 			return nil
-		case "old":
+		case diesOld:
 			n.setProcess(young)
 			old.Kill()
 			return nil
+		default:
+			n.setProcess(young)
+			return old.Quit()
 		}
-		n.setProcess(young)
-		return old.Quit()
 	})
 }
 
-func (a *action) voters() (undo func(), err error) {
-	return nil, a.player.changeVoters(a.step.Argument)
+// changeVoters adds or removes a voter by the operators' command, at the first member that accepts it.
+func (a *action) changeVoters() (undo func(), err error) {
+	change := strings.Fields(a.step.Argument)
+	for _, n := range a.player.env.nodes {
+		process := n.responsive()
+		if process == nil {
+			continue
+		}
+		args := append([]string{"fleet", "voters", "--mgmt", process.Mgmt}, change...)
+		var output []byte
+		output, err = exec.Command(a.player.options.Program, args...).CombinedOutput()
+		if err == nil {
+			a.player.log.add(eventDone, "voters are "+strings.Join(strings.Fields(string(output)), " "))
+			return nil, nil
+		}
+		err = fmt.Errorf("voters %s at %s: %w: %s", a.step.Argument, n.name, err, output)
+	}
+	return nil, err
 }
 
 func (a *action) lameDuck() (undo func(), err error) {
-	err = a.each(func(n *node, _ int) error { _, err := call(n.running().Mgmt, "LAMEDUCK"); return err })
-	return func() {
-		a.running(func(process *testcluster.Process) error { _, err := call(process.Mgmt, "REJOIN"); return err })
-	}, err
+	err = a.forEach(func(n *node, _ int) error {
+		_, err := call(n.running(), callLameDuck)
+		return err
+	})
+	return a.rejoin, err
 }
 
-func (a *action) fill() (undo func(), err error) {
-	err = a.each(func(n *node, _ int) error { return n.running().Fill(true) })
-	return func() {
-		a.running(func(process *testcluster.Process) error { return process.Fill(false) })
-	}, err
+func (a *action) rejoin() {
+	a.forEachProcess(func(process *testcluster.Process) error {
+		_, err := call(process, callRejoin)
+		return err
+	})
 }
 
-func (a *action) disk() (undo func(), err error) {
-	err = a.each(func(n *node, _ int) error { return n.writeFaults(a.player.env.scenario, diskFaults[a.step.Argument]) })
-	return func() {
-		for _, n := range a.nodes {
-			a.player.reportProblem(n.writeFaults(a.player.env.scenario, nil))
-		}
-	}, err
+func (a *action) fillDisk() (undo func(), err error) {
+	err = a.forEach(func(n *node, _ int) error { return n.running().Fill(true) })
+	return a.emptyDisk, err
+}
+
+func (a *action) emptyDisk() {
+	a.forEachProcess(func(process *testcluster.Process) error { return process.Fill(false) })
 }
 
-func (a *action) revise() (undo func(), err error) {
-	a.player.mu.Lock()
-	a.player.revision++
-	number := a.player.revision + 1 // the first is there from the start
-	a.player.mu.Unlock()
-	return nil, a.each(func(n *node, _ int) error { return a.player.env.writeRevision(n, number) })
+func (a *action) failDisk() (undo func(), err error) {
+	err = a.forEach(func(n *node, _ int) error {
+		return n.writeFaults(a.player.env.scenario, diskFaults[a.step.Argument])
+	})
+	return a.repairDisk, err
+}
+
+func (a *action) repairDisk() {
+	for _, n := range a.nodes {
+		a.player.reportProblem(n.writeFaults(a.player.env.scenario, nil))
+	}
 }
 
-func (a *action) counter() (undo func(), err error) {
+func (a *action) writeRevision() (undo func(), err error) {
+	number := a.player.nextRevision()
+	return nil, a.forEach(func(n *node, _ int) error { return a.player.env.writeRevision(n, number) })
+}
+
+func (a *action) setCounter() (undo func(), err error) {
 	return nil, a.player.env.setCounter(a.step.Argument)
 }
 
-func (a *action) server() (undo func(), err error) {
-	i, _ := strconv.Atoi(a.step.Argument) // checked with the file
-	a.player.env.quoteServers[i-1].SetFaults(&fakes.Faults{Error: 1})
-	return func() { a.player.env.quoteServers[i-1].SetFaults(nil) }, nil
+// failQuoteServer has a quote server answer every request with an error.
+func (a *action) failQuoteServer() (undo func(), err error) {
+	number, err := strconv.Atoi(a.step.Argument)
+	if err != nil {
+		return nil, err
+	}
+	server := a.player.env.quoteServers[number-1]
+	server.SetFaults(&fakes.Faults{Error: 1})
+	return func() { server.SetFaults(nil) }, nil
 }
 
-func (a *action) shift() (undo func(), err error) {
+func (a *action) shiftCustomers() (undo func(), err error) {
 	a.player.env.busyShift.Add(1)
 	return nil, nil
 }
 
 func (a *action) reload() (undo func(), err error) {
-	return nil, a.each(func(n *node, _ int) error { return n.running().Signal(syscall.SIGHUP) })
+	return nil, a.forEach(func(n *node, _ int) error { return n.running().Signal(syscall.SIGHUP) })
 }
 
-func (a *action) give() (undo func(), err error) {
-	return nil, a.each(func(n *node, _ int) error {
-		_, err := call(n.running().Mgmt, "GIVE "+leaseservice.RoleExport+" "+n.name)
+func (a *action) transferLease() (undo func(), err error) {
+	return nil, a.forEach(func(n *node, _ int) error {
+		_, err := call(n.running(), callTransfer+leaseservice.RoleExport+" "+n.name)
 		return err
 	})
 }
 
-func (a *action) rubbish() (undo func(), err error) {
-	return nil, a.each(func(n *node, _ int) error { return a.player.env.sendGarbage(n) })
-}
-
-// keys adds a key to the fleet's, turns their order, or drops all but the first.
-func (a *action) keys() (undo func(), err error) {
-	w := a.player.env
-	switch a.step.Argument {
-	case "add":
-		w.keys = append(w.keys, newKey())
-	case "turn":
-		slices.Reverse(w.keys)
-	case "drop":
-		w.keys = w.keys[:1]
-	}
-	return nil, w.writeKeys()
+func (a *action) sendGarbage() (undo func(), err error) {
+	return nil, a.forEach(func(n *node, _ int) error { return n.sendGarbage() })
 }
 
-// setLinks gives links their fault, or heals them.
-func (p *player) setLinks(l LinkFault, heal bool) {
-	f := l.Fault
-	if heal {
-		f = faultnet.Fault{}
-	}
-	for _, from := range l.From {
-		for _, to := range l.To {
-			if from == to && from != "*" {
-				continue
-			}
-			p.env.links.Set(from, to, l.Protocol, f)
-			if l.Bidirectional {
-				p.env.links.Set(to, from, l.Protocol, f)
-			}
-		}
-	}
+func (a *action) changeKeys() (undo func(), err error) {
+	return nil, a.player.env.changeGossipKeys(a.step.Argument)
 }
--- /dev/null
+++ b/internal/emulator/faulttest/clients.go
@@ -0,0 +1,110 @@
+package faulttest
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"sync"
+	"time"
+)
+
+const (
+	clientInterval = 200 * time.Millisecond // between the requests of a client
+	clientTimeout  = 4 * time.Second
+	absenceGrace   = time.Second // after an absence, in which a request may stay unanswered
+
+	basicTenant = 1 // whose plan's quota is never used up
+)
+
+// requestCounts are those of the requests of all clients.
+type requestCounts struct {
+	mu         sync.Mutex // guards the fields below
+	sent       int
+	served     int // answered 200
+	unanswered int // without a response from an ingress that ran
+	lastError  string
+}
+
+// quoteRequest describes a request to an ingress.
+type quoteRequest struct {
+	id      string
+	tenant  int
+	tier    string // name of the plan
+	timeout string // in the form of its header: seconds
+	spread  int    // of the call's terms: ingresses among which the customer's requests are spread
+}
+
+// roundTrip sends the request to an ingress and returns the status of the response. The client's timeout bounds it, and
+// the end of the fault test does not: a request that was begun is not to be counted as unanswered.
+func (q quoteRequest) roundTrip(client *http.Client, addr string) (status int, err error) {
+	url := fmt.Sprintf("http://%s/api/%016x", addr, q.tenant)
+	request, err := http.NewRequest(http.MethodGet, url, nil)
+	if err != nil {
+		return 0, err
+	}
+	request.Header.Set("X-Request-ID", q.id)
+	request.Header.Set("X-Priority-Class", "quote-read")
+	request.Header.Set("X-Tier", q.tier)
+	request.Header.Set("X-Timeout", q.timeout)
+	request.Header.Set("X-Call-Terms", fmt.Sprintf("units=1,spread=%d,first=0", q.spread))
+	response, err := client.Do(request)
+	if err != nil {
+		return 0, err
+	}
+	response.Body.Close()
+	return response.StatusCode, nil
+}
+
+// startClients sends a request to each member every so often until the context ends.
+func (e *environment) startClients(ctx context.Context, running *sync.WaitGroup) *requestCounts {
+	counts := &requestCounts{}
+	for _, n := range e.nodes {
+		running.Go(func() { n.runClient(ctx, counts) })
+	}
+	return counts
+}
+
+func (n *node) runClient(ctx context.Context, counts *requestCounts) {
+	// One connection a request: a process that ends closes no idle one that the client would use again.
+	client := &http.Client{Timeout: clientTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	for number := 0; sleep(ctx, clientInterval); number++ {
+		if n.responsive() != nil {
+			n.sendClientRequest(client, number, counts)
+		}
+	}
+}
+
+// sendClientRequest sends one request and counts its outcome.
+func (n *node) sendClientRequest(client *http.Client, number int, counts *requestCounts) {
+	sentAt := time.Now()
+	description := quoteRequest{
+		id:      fmt.Sprint(n.name, "-", number),
+		tenant:  basicTenant,
+		tier:    "basic",
+		timeout: "2.000",
+		spread:  1,
+	}
+	status, err := description.roundTrip(client, n.clientAddr)
+	counts.mu.Lock()
+	defer counts.mu.Unlock()
+	counts.sent++
+	switch {
+	case err == nil:
+		if status == http.StatusOK {
+			counts.served++
+		}
+	case !n.wasAbsent(sentAt, absenceGrace) && !n.wasAbsent(time.Now(), 0):
+		counts.unanswered++
+		counts.lastError = fmt.Sprintf("%s: %v", n.name, err)
+	}
+}
+
+// sleep waits, and reports false if the context ended first.
+func sleep(ctx context.Context, duration time.Duration) bool {
+	select {
+	case <-ctx.Done():
+		return false
+	case <-time.After(duration):
+		return true
+	}
+}
--- a/internal/emulator/faulttest/customers.go
+++ b/internal/emulator/faulttest/customers.go
@@ -3,204 +3,106 @@
 import (
 	"context"
 	"fmt"
-	"net"
 	"net/http"
-	"slices"
-	"strings"
 	"sync"
 	"time"
-
-	"mulleinrouter/internal/standalone/counterserver"
-	"mulleinrouter/internal/standalone/fleet/quotasync"
-	"mulleinrouter/internal/standalone/jsontext"
 )
 
-// customerLoad is what a customer customerLoad for, in times its quota, and how much of that comes through its busyPart ingress.
 const (
-	customerLoad = 1.2
-	busyPart     = 0.85
+	customerLoad = 1.2  // requests of a customer, in times its quota
+	busyPart     = 0.85 // part of them that goes through its busy ingress
+
+	customerInterval = 20 * time.Millisecond // between looks at how many requests are due
+	maxDueRequests   = 20                    // more are not sent later
+
+	maxCustomerRequests    = 512 // in flight at once
+	customerRequestTimeout = 2 * time.Second
+	maxIdlePerIngress      = 64
+	idleConnTimeout        = time.Second
+
+	firstCustomerTenant = 0x100
 )
 
-// startCustomers send requests: each through all ingresses, for the most part through one, which a shift moves on.
-func (w *environment) startCustomers(stop <-chan struct{}, out *sync.WaitGroup) {
-	if w.scenario.Customers == 0 {
-		return
-	}
-	client := &http.Client{
-		Timeout:   4 * time.Second,
-		Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Second},
-	}
-	limit := make(chan struct{}, 512) // requests out at once
-	for c := range w.scenario.Customers {
-		for i, n := range w.nodes {
-			out.Add(1)
-			go func() {
-				defer out.Done()
-				owed, last := 0.0, time.Now()
-				for id := 0; ; {
-					select {
-					case <-stop:
-						return
-					case <-time.After(20 * time.Millisecond):
-					}
-					part := (1 - busyPart) / float64(max(1, len(w.nodes)-1))
-					if (c+int(w.busyShift.Load()))%len(w.nodes) == i {
-						part = busyPart
-					}
-					now := time.Now()
-					owed = min(20, owed+now.Sub(last).Seconds()*customerLoad*part*w.scenario.Quota)
-					last = now
-					for ; owed >= 1; owed-- {
-						id++
-						select {
-						case limit <- struct{}{}:
-						default:
-							continue // the machine is behind: what is not asked is not served
-						}
-						requestID := fmt.Sprintf("c%d-%s-%d", c, n.name, id)
-						go func() {
-							defer func() { <-limit }()
-							w.sendRequest(client, n, c, requestID)
-						}()
-					}
-				}
-			}()
-		}
-	}
+// customerClient sends the requests of all customers.
+type customerClient struct {
+	env      *environment
+	http     *http.Client
+	inFlight chan struct{} // has an element for each request
+	running  *sync.WaitGroup
 }
 
-// sendRequest sends one request of a customer.
-func (w *environment) sendRequest(client *http.Client, n *node, customer int, id string) {
-	ctx, done := context.WithTimeout(context.Background(), 2*time.Second)
-	defer done()
-	req, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("http://%s/api/%016x", n.clientAddr, 0x100+customer), nil)
-	if err != nil {
+// startCustomers sends the customers' requests until the context ends: each customer's through all ingresses, for the
+// most part through its busy one, which ActionShift moves.
+func (e *environment) startCustomers(ctx context.Context, running *sync.WaitGroup) {
+	if e.scenario.Customers == 0 {
 		return
 	}
-	for k, v := range map[string]string{"X-Request-ID": id, "X-Priority-Class": "quote-read", "X-Tier": "customer",
-		"X-Timeout":    "1.000",
-		"X-Call-Terms": fmt.Sprintf("units=1,spread=%d,first=0", len(w.nodes))} {
-		req.Header.Set(k, v)
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdlePerIngress, IdleConnTimeout: idleConnTimeout}
+	client := &customerClient{
+		env:      e,
+		http:     &http.Client{Timeout: customerRequestTimeout, Transport: transport},
+		inFlight: make(chan struct{}, maxCustomerRequests),
+		running:  running,
 	}
-	if a, err := client.Do(req); err == nil {
-		a.Body.Close()
+	for customer := range e.scenario.Customers {
+		for i := range e.nodes {
+			running.Go(func() { client.run(ctx, customer, i) })
+		}
 	}
 }
 
-// setCounter has the counter be gone, back as it was, back empty, or another one for each second ingress.
-func (w *environment) setCounter(word string) error {
-	another := func() (string, error) {
-		l, err := net.Listen("tcp4", "127.0.0.1:0")
-		if err != nil {
-			return "", fmt.Errorf("rehearsal: %w", err)
-		}
-		c := counterserver.New(1)
-		go c.Serve(l)
-		w.extraCounters, w.extraListeners = append(w.extraCounters, c), append(w.extraListeners, l)
-		return l.Addr().String(), nil
-	}
-	first := w.counterListener.Addr().String()
-	switch word {
-	case "gone":
-		first = ""
-	case "empty":
-		var err error
-		if first, err = another(); err != nil {
-			return err
-		}
-	}
-	second := first
-	if word == "split" {
-		var err error
-		if second, err = another(); err != nil {
-			return err
+// run sends what one customer asks of one ingress.
+func (c *customerClient) run(ctx context.Context, customer, ingress int) {
+	n := c.env.nodes[ingress]
+	due, last := 0.0, time.Now()
+	for number := 0; sleep(ctx, customerInterval); {
+		now := time.Now()
+		rate := customerLoad * c.part(customer, ingress) * c.env.scenario.Quota
+		due = min(maxDueRequests, due+now.Sub(last).Seconds()*rate)
+		last = now
+		for ; due >= 1; due-- {
+			number++
+			c.send(n, customer, fmt.Sprintf("c%d-%s-%d", customer, n.name, number))
 		}
 	}
-	for i, n := range w.nodes {
-		n.counterRelay.Target([]string{first, second}[i%2])
-		n.counterRelay.Drop()
-	}
-	return nil
 }
 
-// findUse counts what arrived of each customer at the quote servers in a time, against its quota and what it may use
-// at once.
-func (p *player) findUse(f Finding, from time.Time) Finding {
-	e := f.Expectation
-	use := make([]float64, p.env.scenario.Customers)
-	for id, a := range p.env.arrived() {
-		var c int
-		if _, err := fmt.Sscanf(
-			id,
-			"c%d-",
-			&c,
-		); err == nil && strings.HasPrefix(id, "c") && c < len(use) && a.First.After(from) &&
-			a.First.Before(from.Add(e.Within)) {
-			use[c]++
-		}
-	}
-	quota := p.env.scenario.Quota * e.Within.Seconds()
-	f.Passed = true
-	low, high := use[0]/quota, use[0]/quota
-	for _, u := range use {
-		low, high = min(low, u/quota), max(high, u/quota)
-		f.Passed = f.Passed && u <= e.Max*quota && u >= e.Min*quota
+// part is the part of a customer's requests that goes through an ingress.
+func (c *customerClient) part(customer, ingress int) float64 {
+	ingresses := len(c.env.nodes)
+	if (customer+int(c.env.busyShift.Load()))%ingresses == ingress {
+		return busyPart
 	}
-	f.Text = fmt.Sprintf("%.2f to %.2f of the quota", low, high)
-	return f
+	return (1 - busyPart) / float64(max(1, ingresses-1))
 }
 
-// warning is that a member was warned of servers at a moment.
-type warning struct {
-	at     time.Time
-	member string
+// send sends a request without waiting for the response. A request beyond the limit of those in flight is dropped:
+// the machine is too slow, and a request that was not sent need not be served.
+func (c *customerClient) send(n *node, customer int, id string) {
+	select {
+	case c.inFlight <- struct{}{}:
+	default:
+		return
+	}
+	c.running.Go(func() {
+		defer func() { <-c.inFlight }()
+		c.roundTrip(n, customer, id)
+	})
 }
 
-// watchShared asks all for what others warn them of.
-func (p *player) watchShared(stop <-chan struct{}) {
-	for p.env.scenario.ShareQuotas {
-		for _, n := range p.env.nodes {
-			process := n.running()
-			if process == nil || process.Stopped() {
-				continue
-			}
-			var r quotasync.Report
-			if lines, err := call(
-				process.Mgmt,
-				"STATE -",
-			); err != nil || len(lines) == 0 || jsontext.Decode([]byte(lines[0]), &r) != nil ||
-				len(r.WarnedServers) == 0 {
-				continue
-			}
-			p.mu.Lock()
-			p.warnings = append(p.warnings, warning{time.Now(), n.name})
-			p.mu.Unlock()
-		}
-		select {
-		case <-stop:
-			return
-		case <-time.After(pollInterval):
-		}
-	}
+func (c *customerClient) roundTrip(n *node, customer int, id string) {
+	request := quoteRequest{
+		id:      id,
+		tenant:  firstCustomerTenant + customer,
+		tier:    "customer",
+		timeout: "1.000",
+		spread:  len(c.env.nodes),
+	}
+	request.roundTrip(c.http, n.clientAddr) // what is expected of customers is seen at the quote servers
 }
 
-// findWarned looks for who was warned.
-func (p *player) findWarned(f Finding, of []string, from time.Time, limit time.Duration) Finding {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	first := map[string]time.Duration{}
-	for _, w := range p.warnings {
-		if _, known := first[w.member]; !known && slices.Contains(of, w.member) && w.at.After(from) &&
-			w.at.Before(from.Add(limit)) {
-			first[w.member] = w.at.Sub(from)
-		}
-	}
-	if f.Passed = len(first) == 0; f.Expectation.Value == "some" {
-		f.Passed = len(first) == len(of)
-	}
-	for _, at := range first {
-		f.Times = append(f.Times, at)
-	}
-	f.Text = fmt.Sprintf("%d of %d were", len(first), len(of))
-	return f
+// customerOf returns which customer sent the request with an ID; false: none did.
+func customerOf(id string) (customer int, ok bool) {
+	_, err := fmt.Sscanf(id, "c%d-", &customer)
+	return customer, err == nil
 }
--- /dev/null
+++ b/internal/emulator/faulttest/doc.go
@@ -0,0 +1,14 @@
+// Package faulttest runs fault tests: scenarios of faults on real processes of the built program. It starts ingresses
+// on loopback, each with an address of its own, relays what they send to each other and to their fakes over links
+// whose faults it controls by direction and by pair, suspends, kills and upgrades processes, fills disks and restores
+// folders as a scenario file says, and evaluates what the file expects.
+//
+// Read, Shipped and Parse make a Scenario of a file (scenario_file.go, parse_step.go); Play runs it (player.go) in an
+// environment of relays and fakes (environment.go) and returns a Report.
+//
+// The package may import the emulator's faultnet, fakes and testcluster, the types that the management calls of an
+// ingress answer with, and deploy/faulttests, where the scenarios that ship lie. Only the command fault-test and tests
+// import it. Play owns all that it starts: processes, relays, fakes and goroutines have ended when it returns.
+//
+// Tests: those of the file format are beside the code; cmd/mulleinrouter runs scenarios on processes (TestFaultTests).
+package faulttest
--- a/internal/emulator/faulttest/evaluate.go
+++ b/internal/emulator/faulttest/evaluate.go
@@ -6,203 +6,251 @@
 	"time"
 )
 
-// evaluate looks for an expectation in what was seen.
-func (p *player) evaluate(e Expectation) Finding {
-	f := Finding{Expectation: e}
-	limit := time.Duration(float64(e.Within) * p.Slack)
-	of, by := e.Members, e.Observers
-	if len(of) == 0 {
-		of = p.env.scenario.Names()
-	}
-	if len(by) == 0 {
-		by = p.env.scenario.Names()
-	}
-	from := p.startedAt.Add(e.After)
-	switch e.Kind {
-	case "state":
-		f.Passed, f.Text = true, "by all"
-		for _, n := range p.nodesOf(by) {
-			if n.running() == nil || n.running().Stopped() {
-				continue
-			}
-			for _, m := range of {
-				if m == n.name {
-					continue
-				}
-				at, ok := n.reported(m, e.Value, from)
-				if !ok || at.After(from.Add(limit)) {
-					f.Passed, f.Text = false, fmt.Sprintf("%s does not hold %s for %s in time", n.name, m, e.Value)
-					continue
-				}
-				f.Times = append(f.Times, max(0, at.Sub(from)))
-			}
-		}
-		if len(f.Times) == 0 {
-			f.Passed, f.Text = false, "nobody was there to say it"
-		}
-	case "never":
-		reported, looked := 0, 0
-		for _, n := range p.nodesOf(by) {
-			n.mu.Lock()
-			changes := slices.Clone(n.changes)
-			n.mu.Unlock()
-			looked++
-			for _, c := range changes {
-				if c.What == "state" && c.To == e.Value && slices.Contains(of, c.Name) && c.at.After(from) &&
-					c.at.Before(from.Add(e.Within)) {
-					reported++
-					f.Text = fmt.Sprintf("%s told %s %s after %.1f s", n.name, c.Name, e.Value, c.at.Sub(from).Seconds())
-				}
-			}
-		}
-		if f.Passed = reported == 0 && looked > 0; f.Passed {
-			f.Text = fmt.Sprintf("by %d", looked)
-		} else {
-			f.Text = fmt.Sprintf("%d times; %s", reported, f.Text)
+const nothingObserved = "nothing was seen in that time"
+
+// evaluation is an expectation as it is evaluated after the scenario has ended.
+type evaluation struct {
+	player      *player
+	expectation Expectation
+	members     []string // that it is about, all where it names none
+	observers   []string // all where it names none
+	from        time.Time
+	limit       time.Duration // with slack
+}
+
+// evaluators find out whether an expectation was met. They leave Finding.Expectation empty.
+var evaluators = map[ExpectationKind]func(*evaluation) Finding{
+	ExpectState:           (*evaluation).evaluateState,
+	ExpectNever:           (*evaluation).evaluateNever,
+	ExpectAgree:           (*evaluation).evaluateAgree,
+	ExpectReachability:    (*evaluation).evaluateReachability,
+	ExpectNotReachability: (*evaluation).evaluateNotReachability,
+	ExpectAnswered:        (*evaluation).evaluateAnswered,
+	ExpectLease:           (*evaluation).evaluateLease,
+	ExpectFencing:         (*evaluation).evaluateFencing,
+	ExpectUsage:           (*evaluation).evaluateUsage,
+	ExpectUniqueTokens:    (*evaluation).evaluateUniqueTokens,
+	ExpectWarned:          (*evaluation).evaluateWarned,
+	ExpectStaleRejected:   (*evaluation).evaluateStaleRejected,
+	ExpectBilled:          (*evaluation).evaluateBilled,
+	ExpectAnnounced:       (*evaluation).evaluateAnnounced,
+	ExpectGarbageRejected: (*evaluation).evaluateGarbageRejected,
+}
+
+// evaluate finds out whether an expectation was met. Nothing is observed any more when it is called.
+func (p *player) evaluate(expectation Expectation) Finding {
+	e := &evaluation{
+		player:      p,
+		expectation: expectation,
+		members:     expectation.Members,
+		observers:   expectation.Observers,
+		from:        p.startedAt.Add(expectation.After),
+		limit:       p.withSlack(expectation.Within),
+	}
+	if len(e.members) == 0 {
+		e.members = p.env.scenario.Names()
+	}
+	if len(e.observers) == 0 {
+		e.observers = p.env.scenario.Names()
+	}
+	finding := evaluators[expectation.Kind](e)
+	finding.Expectation = expectation
+	return finding
+}
+
+// deadline is until when the expectation must have become true.
+func (e *evaluation) deadline() time.Time { return e.from.Add(e.limit) }
+
+// end is when the time ends that an expectation of what must never be is about.
+func (e *evaluation) end() time.Time { return e.from.Add(e.expectation.Within) }
+
+func (e *evaluation) evaluateState() (f Finding) {
+	f.Passed, f.Text = true, "by all"
+	for _, n := range e.player.nodesOf(e.observers) {
+		if n.responsive() == nil {
+			continue
 		}
-	case "not":
-		f.Passed, f.Text = false, "nothing was seen in that time"
-		for _, m := range p.observations {
-			if m.at.Before(from) || m.at.After(from.Add(e.Within)) {
-				continue
-			}
-			if f.Passed, f.Text = true, ""; len(m.reachability) == 0 {
+		for _, member := range e.members {
+			if member == n.name {
 				continue
 			}
-			for _, n := range of {
-				if m.reachability[n] == e.Value {
-					f.Passed, f.Text = false, fmt.Sprintf("%s said so after %.1f s", n, m.at.Sub(from).Seconds())
-					return f
-				}
-			}
-		}
-	case "held":
-		f = p.findTenure(e, f, from, limit)
-	case "fenced":
-		f = p.findFenced(f)
-	case "stale":
-		f.Passed, f.Text = p.rejectedBatches > 0, fmt.Sprintf("%d refused", p.rejectedBatches)
-	case "billed":
-		f = p.findBilled(f)
-	case "one":
-		f = p.findTokenHolders(f)
-	case "warned":
-		f = p.findWarned(f, of, from, limit)
-	case "use":
-		f = p.findUse(f, from)
-	case "announced":
-		f = p.findAnnounced(f, from, limit)
-	case "agree", "judgement":
-		f = p.findReachability(e, f)
-	case "answered":
-		f.Passed = p.requests.unanswered == 0 && p.requests.served > 0
-		f.Text = fmt.Sprintf(
-			"%d of %d without an answer, %d served %s",
-			p.requests.unanswered,
-			p.requests.sent,
-			p.requests.served,
-			p.requests.lastError,
-		)
-	case "refused":
-		f.Passed, f.Text = true, ""
-		for _, n := range p.nodesOf(of) {
-			if r := n.report(); r == nil || r.Rejected == 0 {
+			at, reported := n.reported(member, e.expectation.Value, e.from)
+			if !reported || at.After(e.deadline()) {
 				f.Passed = false
-				f.Text += n.name + " refused nothing "
-			} else {
-				f.Text += fmt.Sprintf("%s %d ", n.name, r.Rejected)
+				f.Text = fmt.Sprintf("%s does not hold %s for %s in time", n.name, member, e.expectation.Value)
+				continue
 			}
+			f.Times = append(f.Times, max(0, at.Sub(e.from)))
 		}
 	}
+	if len(f.Times) == 0 {
+		f.Passed, f.Text = false, "nobody was there to say it"
+	}
 	return f
 }
 
-// told is when a member first held another for something, from a time on; it may have done so before.
-func (n *node) reported(name, state string, from time.Time) (at time.Time, ok bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	passed := ""
-	for _, c := range n.changes {
-		if c.Name != name || c.What != "state" {
+// reported returns when a node first reported another in a state, from a time on; that time if it had before.
+func (n *node) reported(member, state string, from time.Time) (at time.Time, ok bool) {
+	before := ""
+	for _, change := range n.stateChanges() {
+		if change.Name != member {
 			continue
 		}
-		if c.at.Before(from) {
-			passed = c.To
+		if change.at.Before(from) {
+			before = change.To
 			continue
 		}
-		if passed == state {
+		if before == state {
 			return from, true
 		}
-		if c.To == state {
-			return c.at, true
+		if change.To == state {
+			return change.at, true
 		}
 	}
-	return from, passed == state
+	return from, before == state
 }
 
-// observation is what the fleet was like at a moment.
-type observation struct {
-	at           time.Time
-	agree        bool
-	reachability map[string]string
+func (e *evaluation) evaluateNever() (f Finding) {
+	reports, observers := 0, e.player.nodesOf(e.observers)
+	for _, n := range observers {
+		for _, change := range n.stateChanges() {
+			isInTime := change.at.After(e.from) && change.at.Before(e.end())
+			if !isInTime || change.To != e.expectation.Value || !slices.Contains(e.members, change.Name) {
+				continue
+			}
+			reports++
+			seconds := change.at.Sub(e.from).Seconds()
+			f.Text = fmt.Sprintf("%s told %s %s after %.1f s", n.name, change.Name, change.To, seconds)
+		}
+	}
+	f.Passed = reports == 0 && len(observers) > 0
+	if f.Passed {
+		f.Text = fmt.Sprintf("by %d", len(observers))
+	} else {
+		f.Text = fmt.Sprintf("%d times; %s", reports, f.Text)
+	}
+	return f
 }
 
-// findReachability looks for the first moment from which on something is so until its limit, or once at all for a judgement.
-func (p *player) findReachability(e Expectation, f Finding) Finding {
-	from, limit := p.startedAt.Add(e.After), time.Duration(float64(e.Within)*p.Slack)
-	for _, m := range p.observations {
-		if m.at.Before(from) || m.at.After(from.Add(limit)) {
+func (e *evaluation) evaluateNotReachability() (f Finding) {
+	f.Text = nothingObserved
+	for _, o := range e.player.observations {
+		if o.at.Before(e.from) || o.at.After(e.end()) {
 			continue
 		}
-		ok := m.agree
-		if e.Kind == "judgement" {
-			ok = true
-			for _, n := range e.Members {
-				ok = ok && m.reachability[n] == e.Value
+		f.Passed, f.Text = true, ""
+		for _, member := range e.members {
+			if o.reachability[member] == e.expectation.Value {
+				return Finding{Text: fmt.Sprintf("%s said so after %.1f s", member, o.at.Sub(e.from).Seconds())}
+			}
+		}
+	}
+	return f
+}
+
+func (e *evaluation) evaluateAgree() Finding {
+	return e.findObservation(func(o observation) bool { return o.agree })
+}
+
+func (e *evaluation) evaluateReachability() Finding {
+	return e.findObservation(func(o observation) bool {
+		for _, member := range e.expectation.Members {
+			if o.reachability[member] != e.expectation.Value {
+				return false
 			}
-			if len(e.Members) == 0 {
-				for _, j := range m.reachability {
-					ok = ok && j == e.Value
-				}
+		}
+		if len(e.expectation.Members) > 0 {
+			return true
+		}
+		for _, reachability := range o.reachability {
+			if reachability != e.expectation.Value {
+				return false
 			}
 		}
-		if ok {
-			f.Passed, f.Times, f.Text = true, []time.Duration{m.at.Sub(from)}, "once"
-			return f
+		return true
+	})
+}
+
+// findObservation looks for the first observation within the limit that is as expected.
+func (e *evaluation) findObservation(isExpected func(observation) bool) (f Finding) {
+	for _, o := range e.player.observations {
+		if o.at.Before(e.from) || o.at.After(e.deadline()) {
+			continue
 		}
-		f.Text = fmt.Sprint("last ", m.reachability)
+		if isExpected(o) {
+			return Finding{Passed: true, Times: []time.Duration{o.at.Sub(e.from)}, Text: "once"}
+		}
+		f.Text = fmt.Sprint("last ", o.reachability)
 	}
 	if f.Text == "" {
-		f.Text = "nothing was seen in that time"
+		f.Text = nothingObserved
 	}
 	return f
 }
 
-// pollNow has nodes looked at, and notes what the fleet is like. A process that was suspended reports that it is cut
-// off only until the first message arrives, which may be sooner than the next regular look.
-func (p *player) pollNow(nodes []*node) {
-	for _, n := range nodes {
-		n.poll()
+func (e *evaluation) evaluateAnswered() Finding {
+	requests := e.player.requests
+	return Finding{
+		Passed: requests.unanswered == 0 && requests.served > 0,
+		Text: fmt.Sprintf(
+			"%d of %d without an answer, %d served %s",
+			requests.unanswered,
+			requests.sent,
+			requests.served,
+			requests.lastError,
+		),
 	}
-	p.observe()
 }
 
-// observe notes what the fleet is like, every so often.
-func (p *player) observe() {
-	m := observation{at: time.Now(), agree: true, reachability: map[string]string{}}
-	digest := ""
-	for _, n := range p.env.nodes {
-		r := n.report()
-		if r == nil {
+func (e *evaluation) evaluateGarbageRejected() (f Finding) {
+	f.Passed = true
+	for _, n := range e.player.nodesOf(e.members) {
+		report := n.report()
+		if report == nil || report.Rejected == 0 {
+			f.Passed = false
+			f.Text += n.name + " refused nothing "
 			continue
 		}
-		m.reachability[n.name] = r.Reachability
-		if digest == "" {
-			digest = r.Digest
+		f.Text += fmt.Sprintf("%s %d ", n.name, report.Rejected)
+	}
+	return f
+}
+
+// evaluateUsage compares what arrived of each customer at the quote servers with its quota.
+func (e *evaluation) evaluateUsage() (f Finding) {
+	usage := make([]float64, e.player.env.scenario.Customers)
+	for id, arrival := range e.player.env.arrived() {
+		customer, ok := customerOf(id)
+		isInTime := arrival.First.After(e.from) && arrival.First.Before(e.end())
+		if ok && customer < len(usage) && isInTime {
+			usage[customer]++
 		}
-		m.agree = m.agree && r.Digest == digest
 	}
-	p.observationsMu.Lock()
-	defer p.observationsMu.Unlock()
-	p.observations = append(p.observations, m)
+	quota := e.player.env.scenario.Quota * e.expectation.Within.Seconds()
+	f.Passed = true
+	for _, used := range usage {
+		f.Passed = f.Passed && used <= e.expectation.Max*quota && used >= e.expectation.Min*quota
+	}
+	f.Text = fmt.Sprintf("%.2f to %.2f of the quota", slices.Min(usage)/quota, slices.Max(usage)/quota)
+	return f
+}
+
+func (e *evaluation) evaluateWarned() (f Finding) {
+	first := map[string]time.Duration{} // by member
+	for _, w := range e.player.warnings {
+		_, known := first[w.member]
+		isInTime := w.at.After(e.from) && w.at.Before(e.deadline())
+		if !known && isInTime && slices.Contains(e.members, w.member) {
+			first[w.member] = w.at.Sub(e.from)
+		}
+	}
+	f.Passed = len(first) == 0
+	if e.expectation.Value == warnedSome {
+		f.Passed = len(first) == len(e.members)
+	}
+	for _, after := range first {
+		f.Times = append(f.Times, after)
+	}
+	f.Text = fmt.Sprintf("%d of %d were", len(first), len(e.members))
+	return f
 }
--- a/internal/emulator/faulttest/node.go
+++ b/internal/emulator/faulttest/node.go
@@ -15,138 +15,194 @@
 	"mulleinrouter/internal/standalone/vfs"
 )
 
-// node is one member: its place, and the process that runs there.
+const (
+	callTimeout = 2 * time.Second // of a management call
+
+	// processStarted is the code of the log line with which a process says that it serves.
+	processStarted = "process-started"
+)
+
+// Management calls of an ingress.
+const (
+	callFleet     = "FLEET "    // followed by the number of the last view: the view and its changes since
+	callLeases    = "DUTIES"    // the leases of singleton roles
+	callCatalogue = "CATALOGUE" // the announced revisions
+	callState     = "STATE -"   // shared quotas and verdicts
+	callTransfer  = "GIVE "     // followed by a role and the member that shall hold its lease
+	callLameDuck  = "LAMEDUCK"  // enter lame-duck mode
+	callRejoin    = "REJOIN"    // end that
+)
+
+// node is one member: its addresses, its files and the process that runs there.
 type node struct {
-	name, ip     string
-	clientAddr   string // for clients
-	gossipAddr   string // for the fleet
-	relay        *faultnet.Relay
-	counter      string // relays to the stand-ins
-	discovery    string
-	billing      string
-	counterRelay *faultnet.Relay // before the counter
-	dir          string
-	savedDir     string
-
-	mu       sync.Mutex
+	name, ip      string
+	clientAddr    string // where its process listens for clients
+	gossipAddr    string // where it listens for other members
+	relay         *faultnet.Relay
+	counterRelay  *faultnet.Relay
+	discoveryAddr string // of the relay before the fake
+	billingAddr   string // of the relay before the fake
+	dir           string // of its state
+	savedDir      string // copy of dir, by a step that saves it
+
+	mu       sync.Mutex           // guards the fields below
 	process  *testcluster.Process // nil: none runs
-	twin     *testcluster.Process
+	twin     *testcluster.Process // nil: there is none
 	starts   int
-	absences []absence // when nothing could be expected of it
-	lastView uint64
-	latest   *gossip.Report
+	absences []absence
+	lastView uint64         // number of the view that was polled last
+	latest   *gossip.Report // nil: none yet
 	changes  []stateChange
 }
 
-// stateChange is a change of a view as a member told it.
+// absence is a time in which nothing can be expected of a member. It lasts if to is zero.
+type absence struct{ from, to time.Time }
+
+// stateChange is a change of a member's view, with the time of the change.
 type stateChange struct {
 	at time.Time
 	gossip.ChangeReport
 }
 
-// launch starts a member's process.
-func (w *environment) launch(i int, twin bool) (*testcluster.Process, error) {
-	n := w.nodes[i]
-	path, err := w.writeConfig(n, i, twin)
+// launch starts a process of the member with this index, or a twin's, with a working disk.
+func (e *environment) launch(i int, twin bool) (*testcluster.Process, error) {
+	n := e.nodes[i]
+	path, err := e.writeConfig(n, i, twin)
 	if err != nil {
 		return nil, err
 	}
-	n.mu.Lock()
-	n.starts++
-	log := fmt.Sprintf("%s.%d.log", n.dir, n.starts)
-	n.mu.Unlock()
-	if err := n.writeFaults(w.scenario, nil); err != nil { // its machine has a sound disk again
+	if err := n.writeFaults(e.scenario, nil); err != nil {
 		return nil, err
 	}
-	return testcluster.Launch(log, "process-started", w.program, "serve", "-c", path, "--rehearsal", n.faultsFile())
+	return testcluster.Launch(
+		n.nextLogFile(), processStarted, e.program, "serve", "-c", path, "--rehearsal", n.faultsFile())
+}
+
+// nextLogFile names the log of a process that is about to start.
+func (n *node) nextLogFile() string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.starts++
+	return fmt.Sprintf("%s.%d.log", n.dir, n.starts)
 }
 
 func (n *node) faultsFile() string { return n.dir + ".faults.json" }
 
-// writeFaults has the disk below a member's process fail from now on, or no more.
-func (n *node) writeFaults(t *Scenario, all map[vfs.Op]vfs.Fault) error {
-	text, err := jsontext.Encode(faultinjection.Plan{ClockRate: t.ClockRates[n.name], Faults: all})
+// writeFaults sets the faults of the disk below a member's process, which it reads while it runs.
+func (n *node) writeFaults(scenario *Scenario, faults map[vfs.Op]vfs.Fault) error {
+	text, err := jsontext.Encode(faultinjection.Plan{ClockRate: scenario.ClockRates[n.name], Faults: faults})
 	if err != nil {
 		return err
 	}
 	return vfs.Replace(vfs.OS{}, n.faultsFile(), text, 0o644)
 }
 
-// plansFile is a member's own file of the catalogue. It stays where the folder of its state is lost.
+// plansFile is the member's file of the catalogue. It stays where the folder of its state is lost.
 func (n *node) plansFile() string { return n.dir + ".plans.hcl" }
 
-// usageDir is where a member records use: it stays where the folder of its state is lost.
+// usageDir is where a member records usage. It stays where the folder of its state is lost.
 func (n *node) usageDir() string { return n.dir + ".usage" }
 
-// setProcess has a process be the member's.
-func (n *node) setProcess(p *testcluster.Process) {
+// setProcess makes a process the member's; nil: none runs.
+func (n *node) setProcess(process *testcluster.Process) {
 	n.mu.Lock()
-	n.process, n.lastView = p, 0
-	n.mu.Unlock()
+	defer n.mu.Unlock()
+	n.process = process
+	n.lastView = 0
 }
 
+func (n *node) setTwin(process *testcluster.Process) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.twin = process
+}
+
+// running returns the member's process, which may be suspended; nil: none runs.
 func (n *node) running() *testcluster.Process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.process
 }
 
-// setAbsent notes that nothing is to be expected of a member from now on, or that it is again.
-func (n *node) setAbsent(is bool) {
+// responsive returns the member's process if it runs and is not suspended, else nil.
+func (n *node) responsive() *testcluster.Process {
+	process := n.running()
+	if process == nil || process.Stopped() {
+		return nil
+	}
+	return process
+}
+
+// beginAbsence notes that nothing can be expected of the member from now on.
+func (n *node) beginAbsence() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	now := time.Now()
-	switch last := len(n.absences) - 1; {
-	case is:
-		n.absences = append(n.absences, absence{from: now})
-	case last >= 0 && n.absences[last].to.IsZero():
-		n.absences[last].to = now
+	n.absences = append(n.absences, absence{from: time.Now()})
+}
+
+// endAbsence notes that the member is expected to serve again.
+func (n *node) endAbsence() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if last := len(n.absences) - 1; last >= 0 && n.absences[last].to.IsZero() {
+		n.absences[last].to = time.Now()
 	}
 }
 
-// wasAbsent tells whether a member was away at a time, or was so shortly before.
+// wasAbsent reports whether a member was absent at a time, or had been until a grace period before it.
 func (n *node) wasAbsent(at time.Time, grace time.Duration) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return slices.ContainsFunc(n.absences, func(s absence) bool {
-		return at.After(s.from) && (s.to.IsZero() || at.Before(s.to.Add(grace)))
+	return slices.ContainsFunc(n.absences, func(a absence) bool {
+		return at.After(a.from) && (a.to.IsZero() || at.Before(a.to.Add(grace)))
 	})
 }
 
-// call asks a management address.
-func call(addr, line string) ([]string, error) { return mgmt.Call(addr, line, callTimeout) }
+// call sends a line to a process's management address and returns the lines of the reply.
+func call(process *testcluster.Process, line string) ([]string, error) {
+	return mgmt.Call(process.Mgmt, line, callTimeout)
+}
 
-const callTimeout = 2 * time.Second
+// query makes a management call whose reply is a line of JSON.
+func query[Reply any](process *testcluster.Process, line string) (reply Reply, err error) {
+	lines, err := call(process, line)
+	if err != nil {
+		return reply, err
+	}
+	if len(lines) == 0 {
+		return reply, errEmptyReply
+	}
+	err = jsontext.Decode([]byte(lines[0]), &reply)
+	return reply, err
+}
 
-// poll asks a member for its view, and keeps what changed.
+// poll asks a member for its view, and notes what changed since the last poll.
 func (n *node) poll() {
 	n.mu.Lock()
-	p, after := n.process, n.lastView
+	process, after := n.process, n.lastView
 	n.mu.Unlock()
-	if p == nil || p.Stopped() {
+	if process == nil || process.Stopped() {
 		return
 	}
-	lines, err := call(p.Mgmt, fmt.Sprint("FLEET ", after))
-	if err != nil || len(lines) == 0 {
-		return
-	}
-	r := &gossip.Report{}
-	if jsontext.Decode([]byte(lines[0]), r) != nil {
+	report, err := query[gossip.Report](process, fmt.Sprint(callFleet, after))
+	if err != nil {
 		return
 	}
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.process != p {
+	if n.process != process {
 		return
 	}
-	n.latest, n.lastView = r, r.View
-	for _, c := range r.Changes {
-		n.changes = append(n.changes, stateChange{now.Add(-time.Duration(c.AgoMillis) * time.Millisecond), c})
+	n.latest = &report
+	n.lastView = report.View
+	for _, change := range report.Changes {
+		age := time.Duration(change.AgoMillis) * time.Millisecond
+		n.changes = append(n.changes, stateChange{at: now.Add(-age), ChangeReport: change})
 	}
 }
 
-// report is a member's last one; nil: it does not run.
+// report returns a member's latest view; nil: its process does not run or is suspended, or was not polled yet.
 func (n *node) report() *gossip.Report {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -155,3 +211,15 @@
 	}
 	return n.latest
 }
+
+// stateChanges returns the changes of the members' states that the member reported.
+func (n *node) stateChanges() (changes []stateChange) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, change := range n.changes {
+		if change.What == "state" {
+			changes = append(changes, change)
+		}
+	}
+	return changes
+}
--- a/internal/emulator/faulttest/player.go
+++ b/internal/emulator/faulttest/player.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -13,270 +12,278 @@
 	"time"
 
 	"mulleinrouter/internal/emulator/fakes"
-	"mulleinrouter/internal/emulator/testcluster"
-	"mulleinrouter/internal/standalone/fleet/gossip"
-	"mulleinrouter/internal/standalone/jsontext"
 )
 
-// Options say how to play.
+// Options are how a scenario is run.
 type Options struct {
-	Program  string
+	Program  string    // path of the built program
 	Dir      string    // for files and logs; empty: a temporary one that is removed
-	Progress io.Writer // nil: none
-	Events   io.Writer // JSON lines of what was done and what was seen; nil: none
-	Slack    float64   // times the limits of what is expected, for slow machines; 0: 1
+	Progress io.Writer // lines of text; nil: none
+	Events   io.Writer // lines of JSON, of what was done and seen; nil: none
+	Slack    float64   // factor on the time limits of expectations, for slow machines; 0: 1
 }
 
 const (
-	maxJoinTime  = 60 * time.Second // for all ingresses to hear the whole fleet at first
-	pollInterval = 200 * time.Millisecond
+	maxJoinTime      = 60 * time.Second // for all ingresses to receive the complete membership after the start
+	joinPollInterval = 50 * time.Millisecond
 
-	idleInterval = 5 * time.Second
+	pollInterval    = 200 * time.Millisecond
+	pollPerNode     = 10 * time.Millisecond // at the least, for fleets so large that polling would load the machine
+	idlePoll        = 5 * time.Second       // of an idle scenario
+	observeInterval = pollInterval / 2
 )
 
-// player is a rehearsal as it plays.
+// player runs a scenario.
 type player struct {
-	Options
-	env             *environment
-	startedAt       time.Time
-	mu              sync.Mutex
-	report          *Report
-	undoing         sync.WaitGroup
-	requests        *requestCounts
-	observationsMu  sync.Mutex // guards marks while the scenario is played
-	observations    []observation
-	tenures         []tenure
-	revision        uint64 // of the newest revision that was written
-	catalogueViews  []catalogueView
-	warnings        []warning
-	takenBatches    []fakes.AcceptedBatch
+	options   Options
+	env       *environment
+	log       *eventLog
+	startedAt time.Time // when all ingresses had received the complete membership
+	undoing   sync.WaitGroup
+	requests  *requestCounts
+
+	// Set by settleBilling: the batches that billing accepted under fencing tokens, and how many it rejected.
+	acceptedBatches []fakes.AcceptedBatch
 	rejectedBatches int
-}
 
-type event struct {
-	At   float64  `json:"at"` // s
-	Kind string   `json:"kind"`
-	What string   `json:"what"`
-	Of   []string `json:"of,omitempty"`
+	mu             sync.Mutex // guards the fields below while background goroutines run
+	report         *Report
+	observations   []observation
+	tenures        []tenure
+	revision       uint64 // number of the newest catalogue revision that was written
+	catalogueViews []catalogueView
+	warnings       []warning
 }
 
-func (p *player) logEvent(kind, what string, of ...string) {
-	at := 0.0
-	if !p.startedAt.IsZero() {
-		at = time.Since(p.startedAt).Seconds()
+// Play runs a scenario. All that it starts has ended when it returns, also if the context ends first. The report tells
+// whether the expectations were met; an error means that the scenario could not be run to its end.
+func Play(ctx context.Context, scenario *Scenario, options Options) (*Report, error) {
+	options.Slack = cmp.Or(options.Slack, 1)
+	dir, remove, err := makeDir(options.Dir)
+	defer remove()
+	if err != nil {
+		return nil, err
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.Progress != nil {
-		fmt.Fprintf(p.Progress, "%6.1f s  %s %s\n", at, what, formatMembers(of))
+	options.Dir = dir
+	env, err := newEnvironment(scenario, options.Program, dir)
+	defer env.close()
+	if err != nil {
+		return nil, err
 	}
-	if p.Events != nil {
-		jsontext.NewEncoder(p.Events).Encode(event{at, kind, what, of})
+	p := &player{
+		options:  options,
+		env:      env,
+		log:      &eventLog{progress: options.Progress, events: options.Events},
+		requests: &requestCounts{},
+		report:   &Report{Scenario: scenario},
+		revision: firstRevision,
 	}
+	return p.report, p.run(ctx)
 }
 
-func formatMembers(of []string) string {
-	if len(of) > 6 {
-		return fmt.Sprintf("%s ... %s (%d)", of[0], of[len(of)-1], len(of))
+// makeDir makes the folder for files and logs and returns its absolute path. An empty name stands for a temporary
+// folder, which remove removes.
+func makeDir(name string) (dir string, remove func(), err error) {
+	remove = func() {}
+	if name == "" {
+		if name, err = os.MkdirTemp("", "rehearsal-"); err != nil {
+			return "", remove, wrapSetup(err)
+		}
+		remove = func() { os.RemoveAll(name) }
+	} else if err = os.MkdirAll(name, 0o755); err != nil {
+		return "", remove, wrapSetup(err)
 	}
-	return fmt.Sprint(of)
+	dir, err = filepath.Abs(name)
+	return dir, remove, wrapSetup(err)
 }
 
-func (p *player) reportProblem(err error) {
-	if err != nil {
-		p.mu.Lock()
-		p.report.Problems = append(p.report.Problems, err.Error())
-		p.mu.Unlock()
+// run starts the ingresses, carries out the steps and evaluates the expectations.
+func (p *player) run(ctx context.Context) error {
+	if err := p.startIngresses(); err != nil {
+		return err
 	}
-}
-
-// Play plays a timeline. All that it starts has ended when it returns, also where the context ends first.
-func Play(ctx context.Context, t *Scenario, o Options) (*Report, error) {
-	if o.Dir == "" {
-		dir, err := os.MkdirTemp("", "rehearsal-")
-		if err != nil {
-			return nil, fmt.Errorf("rehearsal: %w", err)
-		}
-		defer os.RemoveAll(dir)
-		o.Dir = dir
-	} else if err := os.MkdirAll(o.Dir, 0o755); err != nil {
-		return nil, fmt.Errorf("rehearsal: %w", err)
+	p.log.add(eventBegun, fmt.Sprintf("%d ingresses run", len(p.env.nodes)))
+	if err := p.runSteps(ctx); err != nil {
+		return err
 	}
-	o.Slack = cmp.Or(o.Slack, 1)
-	dir, err := filepath.Abs(o.Dir)
-	if err != nil {
-		return nil, fmt.Errorf("rehearsal: %w", err)
+	p.report.Sent, p.report.Served = p.requests.sent, p.requests.served
+	if p.env.scenario.Voters > 0 {
+		p.reportProblem(p.settleBilling(ctx))
 	}
-	w, err := newEnvironment(t, o.Program, dir)
-	defer w.close()
-	if err != nil {
-		return nil, err
+	for _, expectation := range p.env.scenario.Expectations {
+		finding := p.evaluate(expectation)
+		p.report.Findings = append(p.report.Findings, finding)
+		what := fmt.Sprintf("%s %s: %s", expectation.Kind, expectation.Value, finding.Text)
+		p.log.add(eventExpected, what, expectation.Members...)
 	}
-	p := &player{Options: o, env: w, report: &Report{Timeline: t}}
-	return p.report, p.play(ctx)
+	return nil
 }
 
-func (p *player) play(ctx context.Context) error {
+// startIngresses starts all processes side by side, and returns the first error of a member, in their order.
+func (p *player) startIngresses() error {
 	var starting sync.WaitGroup
-	failed := make(chan error, len(p.env.nodes))
+	errs := make([]error, len(p.env.nodes))
 	for i, n := range p.env.nodes {
-		starting.Add(1)
-		go func() {
-			defer starting.Done()
+		starting.Go(func() {
 			process, err := p.env.launch(i, false)
 			if err != nil {
-				failed <- err
+				errs[i] = err
 				return
 			}
 			n.setProcess(process)
-		}()
+		})
 	}
 	starting.Wait()
-	select {
-	case err := <-failed:
+	return cmp.Or(errs...)
+}
+
+// runSteps awaits the complete membership and carries out the steps, while members are polled and clients send
+// requests. The goroutines of that have ended when it returns.
+func (p *player) runSteps(ctx context.Context) error {
+	background, stop := context.WithCancel(ctx)
+	var running sync.WaitGroup
+	defer running.Wait()
+	defer stop()
+	p.startPolling(background, &running)
+	if err := p.awaitComplete(ctx); err != nil {
 		return err
-	default:
-	}
-	p.logEvent("begun", fmt.Sprintf("%d ingresses run", len(p.env.nodes)))
-	stop := make(chan struct{})
-	var looking sync.WaitGroup
-	every := max(pollInterval, time.Duration(len(p.env.nodes))*10*time.Millisecond)
-	if p.env.scenario.Idle {
-		every = idleInterval
-	}
-	for _, n := range p.env.nodes {
-		looking.Add(1)
-		go func() {
-			defer looking.Done()
-			for {
-				n.poll()
-				select {
-				case <-stop:
-					return
-				case <-time.After(every):
-				}
-			}
-		}()
-	}
-	defer looking.Wait()
-	begun := time.Now()
-	for !p.awaitComplete() {
-		if time.Since(begun) > time.Duration(float64(maxJoinTime)*p.Slack) {
-			close(stop)
-			return errors.New("rehearsal: the ingresses do not hear the whole fleet")
-		}
-		select {
-		case <-ctx.Done():
-			close(stop)
-			return ctx.Err()
-		case <-time.After(50 * time.Millisecond):
-		}
 	}
-	p.report.JoinTime = time.Since(begun)
-	p.startedAt = time.Now()
-	p.logEvent("whole", fmt.Sprintf("all hear the whole fleet, %.1f s after the last start", p.report.JoinTime.Seconds()))
-	watching := make(chan struct{})
-	go func() {
-		defer close(watching)
-		for {
-			p.observe()
-			select {
-			case <-stop:
-				return
-			case <-time.After(pollInterval / 2):
-			}
-		}
-	}()
-	go p.watchRoles(stop)
-	go p.watchCatalogue(stop)
-	go p.watchShared(stop)
-	load, out := &requestCounts{}, &sync.WaitGroup{}
+	p.startObserving(background, &running)
 	if !p.env.scenario.Idle {
-		load, out = p.env.startClients(stop)
-		p.env.startCustomers(stop, out)
+		p.requests = p.env.startClients(background, &running)
+		p.env.startCustomers(background, &running)
 	}
-	p.requests = load
 	before := p.sampleUsage()
-	err := p.runSteps(ctx)
-	if err == nil {
-		err = p.sleepUntil(ctx, p.env.scenario.Duration)
-	}
-	p.undoing.Wait()
+	err := p.carryOutSteps(ctx)
 	p.computeCost(before)
 	for _, n := range p.env.nodes {
 		n.poll()
 	}
-	close(stop)
-	out.Wait()
-	<-watching
-	if err != nil {
-		return err
+	return err
+}
+
+// startPolling polls each member's view until the context ends.
+func (p *player) startPolling(ctx context.Context, running *sync.WaitGroup) {
+	interval := max(pollInterval, time.Duration(len(p.env.nodes))*pollPerNode)
+	if p.env.scenario.Idle {
+		interval = idlePoll
+	}
+	for _, n := range p.env.nodes {
+		running.Go(func() { every(ctx, interval, n.poll) })
 	}
-	p.report.Sent, p.report.Served = load.sent, load.served
+}
+
+// startObserving records what the fleet reports, as far as the scenario has it, until the context ends.
+func (p *player) startObserving(ctx context.Context, running *sync.WaitGroup) {
+	running.Go(func() { every(ctx, observeInterval, p.observe) })
 	if p.env.scenario.Voters > 0 {
-		p.reportProblem(p.settleBilling(ctx))
+		running.Go(func() { every(ctx, observeInterval, p.observeTenure) })
 	}
-	for _, e := range p.env.scenario.Expectations {
-		f := p.evaluate(e)
-		p.report.Findings = append(p.report.Findings, f)
-		p.logEvent("expected", fmt.Sprintf("%s %s: %s", e.Kind, e.Value, f.Text), e.Members...)
+	if p.env.scenario.Catalogue {
+		running.Go(func() { every(ctx, pollInterval, p.observeCatalogue) })
 	}
+	if p.env.scenario.ShareQuotas {
+		running.Go(func() { every(ctx, pollInterval, p.observeWarnings) })
+	}
+}
+
+// every calls a function, and again an interval after it has returned, until the context ends.
+func every(ctx context.Context, interval time.Duration, call func()) {
+	for {
+		call()
+		if !sleep(ctx, interval) {
+			return
+		}
+	}
+}
+
+// awaitComplete waits until all ingresses have received the complete membership. That is the scenario's start.
+func (p *player) awaitComplete(ctx context.Context) error {
+	launchedAt := time.Now()
+	limit := p.withSlack(maxJoinTime)
+	for !p.isComplete() {
+		if time.Since(launchedAt) > limit {
+			return ErrNotComplete
+		}
+		if !sleep(ctx, joinPollInterval) {
+			return ctx.Err()
+		}
+	}
+	p.report.JoinTime = time.Since(launchedAt)
+	p.startedAt = time.Now()
+	p.log.startedAt = p.startedAt
+	seconds := p.report.JoinTime.Seconds()
+	p.log.add(eventComplete, fmt.Sprintf("all hear the whole fleet, %.1f s after the last start", seconds))
 	return nil
 }
 
-// whole tells whether every ingress says so.
-func (p *player) awaitComplete() bool {
+// isComplete reports whether every ingress reports that all are members and can be reached.
+func (p *player) isComplete() bool {
 	for _, n := range p.env.nodes {
-		if r := n.report(); r == nil || r.Reachability != "whole" || r.Agreed != len(p.env.nodes) {
+		report := n.report()
+		if report == nil || report.Reachability != reachabilityComplete || report.Agreed != len(p.env.nodes) {
 			return false
 		}
 	}
 	return true
 }
 
+// carryOutSteps carries out the steps at their times, and returns at the scenario's end, when all that is to be undone
+// has been.
+func (p *player) carryOutSteps(ctx context.Context) error {
+	defer p.undoing.Wait()
+	for _, step := range p.env.scenario.Steps {
+		if err := p.sleepUntil(ctx, step.At); err != nil {
+			return err
+		}
+		undo, err := p.carryOut(step)
+		if err != nil {
+			return err
+		}
+		if undo != nil && step.Duration != 0 {
+			p.undoing.Go(func() { p.undoAfter(ctx, step, undo) })
+		}
+	}
+	return p.sleepUntil(ctx, p.env.scenario.Duration)
+}
+
+func (p *player) undoAfter(ctx context.Context, step Step, undo func()) {
+	if p.sleepUntil(ctx, step.At+step.Duration) != nil {
+		return
+	}
+	p.log.add(eventUndone, string(step.Action)+" is over", step.Members...)
+	undo()
+}
+
+// sleepUntil waits for a time after the scenario's start. It returns the context's error if that ends first.
 func (p *player) sleepUntil(ctx context.Context, at time.Duration) error {
-	select {
-	case <-ctx.Done():
+	if !sleep(ctx, time.Until(p.startedAt.Add(at))) {
 		return ctx.Err()
-	case <-time.After(time.Until(p.startedAt.Add(at))):
-		return nil
 	}
+	return nil
 }
 
-// usageSample is what a process has spent since its start.
-type usageSample struct {
-	process *testcluster.Process
-	traffic gossip.Traffic
-	cpu     time.Duration
+// withSlack is a time limit on this machine.
+func (p *player) withSlack(limit time.Duration) time.Duration {
+	return time.Duration(float64(limit) * p.options.Slack)
 }
 
-func (p *player) sampleUsage() (all []usageSample) {
-	for _, n := range p.env.nodes {
-		r, process := n.report(), n.running()
-		if r == nil || process == nil {
-			continue
-		}
-		if cpu, err := process.CPU(); err == nil {
-			all = append(all, usageSample{process, r.Traffic, cpu})
-		}
+// reportProblem notes what went wrong in the fault test itself.
+func (p *player) reportProblem(err error) {
+	if err == nil {
+		return
 	}
-	return all
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.report.Problems = append(p.report.Problems, err.Error())
 }
 
-// computeCost is told of the processes that ran all the time.
-func (p *player) computeCost(before []usageSample) {
-	seconds, n, c := time.Since(p.startedAt).Seconds(), 0.0, Cost{}
-	for _, a := range p.sampleUsage() {
-		i := slices.IndexFunc(before, func(b usageSample) bool { return b.process == a.process })
-		if i < 0 {
-			continue
+// nodesOf returns the members with these names.
+func (p *player) nodesOf(names []string) (nodes []*node) {
+	for _, n := range p.env.nodes {
+		if slices.Contains(names, n.name) {
+			nodes = append(nodes, n)
 		}
-		n++
-		c.PacketsPerSecond += float64(a.traffic.PacketsOut-before[i].traffic.PacketsOut) / seconds
-		c.BytesPerSecond += float64(a.traffic.BytesOut-before[i].traffic.BytesOut) / seconds
-		c.CPU += (a.cpu - before[i].cpu).Seconds() / seconds
-	}
-	if n > 0 {
-		p.report.Cost = Cost{c.PacketsPerSecond / n, c.BytesPerSecond / n, c.CPU / n}
 	}
+	return nodes
 }
--- a/internal/emulator/faulttest/report.go
+++ b/internal/emulator/faulttest/report.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// Finding is what came of an expectation.
+// maxListedNames is how many members a row of the table names; of more, the first.
+const maxListedNames = 3
+
+// Finding is the result of an expectation.
 type Finding struct {
 	Expectation Expectation
 	Passed      bool
 	Text        string
-	Times       []time.Duration // behind After: when each that was looked at had it
+	Times       []time.Duration // from After until it became true, for each member or observer that was looked at
 }
 
-// Report is what came of a rehearsal.
+// Report is the result of a scenario.
 type Report struct {
-	Timeline *Scenario
-	JoinTime time.Duration // until all heard the whole fleet
+	Scenario *Scenario
+	JoinTime time.Duration // until all ingresses had received the complete membership
 	Findings []Finding
-	Sent     int
-	Served   int
-	Problems []string // what went wrong in the rig itself
+	Sent     int      // requests of clients
+	Served   int      // of them, answered 200
+	Problems []string // what went wrong in the fault test itself
 	Cost     Cost
 }
 
-// Cost is what a member sent to others, and the part of a core that its process used for all it did, on average over
-// those that ran all the time.
-type Cost struct{ PacketsPerSecond, BytesPerSecond, CPU float64 }
-
-// Passed tells whether all held.
+// Passed reports whether all expectations were met and nothing went wrong in the fault test itself.
 func (r *Report) Passed() bool {
-	return len(r.Problems) == 0 && !slices.ContainsFunc(r.Findings, func(f Finding) bool { return !f.Passed })
+	hasFailed := slices.ContainsFunc(r.Findings, func(f Finding) bool { return !f.Passed })
+	return len(r.Problems) == 0 && !hasFailed
 }
 
-// Write prints a table.
+// Write prints the table of the findings, the requests, the cost and the problems.
 func (r *Report) Write(out io.Writer) {
 	WriteTable(out, []*Report{r})
 	fmt.Fprintf(
@@ -50,74 +50,112 @@
 		r.Cost.BytesPerSecond,
 		100*r.Cost.CPU,
 	)
-	for _, p := range r.Problems {
-		fmt.Fprintln(out, "problem:", p)
+	for _, problem := range r.Problems {
+		fmt.Fprintln(out, "problem:", problem)
 	}
 }
 
-// WriteTable prints what came of one timeline played once or often, and, over all that is expected of one kind, its times.
-func WriteTable(out io.Writer, all []*Report) {
-	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(t, "expected\tof\tby\theld\tmedian\tp99\tworst\tlimit\tseen\n")
-	type kind struct{ kind, is string }
-	sums, order := map[kind][]time.Duration{}, []kind{}
-	for i, f := range all[0].Findings {
-		passed, text, times := 0, "", []time.Duration{}
-		for _, r := range all {
-			g := r.Findings[i]
-			if times = append(times, g.Times...); g.Passed {
-				passed++
-			}
-			if text == "" || !g.Passed {
-				text = g.Text
-			}
-		}
-		k := kind{f.Expectation.Kind, f.Expectation.Value}
-		if _, known := sums[k]; !known {
-			order = append(order, k)
+// expectedProperty is what the table sums times up by.
+type expectedProperty struct {
+	kind  ExpectationKind
+	value string
+}
+
+// WriteTable prints the findings of one scenario that was run once or several times, a row for each expectation. Rows
+// at the end have the times of all expectations of the same property.
+func WriteTable(out io.Writer, reports []*Report) {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	defer table.Flush()
+	fmt.Fprintf(table, "expected\tof\tby\theld\tmedian\tp99\tworst\tlimit\tseen\n")
+	times := map[expectedProperty][]time.Duration{}
+	var properties []expectedProperty // in the order of the expectations
+	for i, finding := range reports[0].Findings {
+		row := newTableRow(finding.Expectation, reports, i)
+		row.write(table)
+		property := expectedProperty{finding.Expectation.Kind, finding.Expectation.Value}
+		if _, known := times[property]; !known {
+			properties = append(properties, property)
 		}
-		sums[k] = append(sums[k], times...)
-		words := map[bool]string{true: "yes", false: "NO"}[passed == len(all)]
-		if len(all) > 1 {
-			words = fmt.Sprintf("%d of %d", passed, len(all))
+		times[property] = append(times[property], row.times...)
+	}
+	for _, property := range properties {
+		if all := times[property]; len(all) > 1 {
+			fmt.Fprintf(table, "all %s %s\t\t\t%d times\t%s\t\t\n",
+				property.kind, property.value, len(all), formatQuantiles(all))
 		}
-		fmt.Fprintf(
-			t,
-			"%s %s\t%s\t%s\t%s\t%s\t%.0f s\t%s\n",
-			f.Expectation.Kind,
-			f.Expectation.Value,
-			formatNames(f.Expectation.Members),
-			formatNames(f.Expectation.Observers),
-			words,
-			quantiles(times),
-			f.Expectation.Within.Seconds(),
-			text,
-		)
 	}
-	for _, k := range order {
-		if n := len(sums[k]); n > 1 {
-			fmt.Fprintf(t, "all %s %s\t\t\t%d times\t%s\t\t\n", k.kind, k.is, n, quantiles(sums[k]))
+}
+
+// tableRow is what the runs of a scenario found of one expectation.
+type tableRow struct {
+	expectation Expectation
+	runs        int
+	passed      int
+	text        string // of the last run that failed, else of the first
+	times       []time.Duration
+}
+
+// newTableRow collects the findings with an index.
+func newTableRow(expectation Expectation, reports []*Report, index int) tableRow {
+	row := tableRow{expectation: expectation, runs: len(reports)}
+	for _, report := range reports {
+		finding := report.Findings[index]
+		row.times = append(row.times, finding.Times...)
+		if finding.Passed {
+			row.passed++
 		}
+		if row.text == "" || !finding.Passed {
+			row.text = finding.Text
+		}
+	}
+	return row
+}
+
+func (t tableRow) write(out io.Writer) {
+	fmt.Fprintf(
+		out,
+		"%s %s\t%s\t%s\t%s\t%s\t%.0f s\t%s\n",
+		t.expectation.Kind,
+		t.expectation.Value,
+		formatNames(t.expectation.Members),
+		formatNames(t.expectation.Observers),
+		t.verdict(),
+		formatQuantiles(t.times),
+		t.expectation.Within.Seconds(),
+		t.text,
+	)
+}
+
+// verdict is how often the expectation was met; of one run, whether.
+func (t tableRow) verdict() string {
+	switch {
+	case t.runs > 1:
+		return fmt.Sprintf("%d of %d", t.passed, t.runs)
+	case t.passed == 1:
+		return "yes"
+	default:
+		return "NO"
 	}
-	t.Flush()
 }
 
-// quantiles are the median, the 99th percentile and the worst, as three columns.
-func quantiles(times []time.Duration) string {
+// formatQuantiles are the median, the 99th percentile and the maximum, as three columns.
+func formatQuantiles(times []time.Duration) string {
 	if len(times) == 0 {
 		return "\t\t"
 	}
-	times = slices.Sorted(slices.Values(times))
-	n := len(times)
-	return fmt.Sprintf("%.1f s\t%.1f s\t%.1f s", times[n/2].Seconds(), times[(n*99-1)/100].Seconds(), times[n-1].Seconds())
+	sorted := slices.Sorted(slices.Values(times))
+	n := len(sorted)
+	median, p99, worst := sorted[n/2], sorted[(n*99-1)/100], sorted[n-1]
+	return fmt.Sprintf("%.1f s\t%.1f s\t%.1f s", median.Seconds(), p99.Seconds(), worst.Seconds())
 }
 
 func formatNames(names []string) string {
 	switch {
 	case len(names) == 0:
 		return "all"
-	case len(names) > 3:
+	case len(names) > maxListedNames:
 		return fmt.Sprintf("%s ... (%d)", names[0], len(names))
+	default:
+		return fmt.Sprint(names)
 	}
-	return fmt.Sprint(names)
 }
