--- a/internal/emulator/exchange/doc.go
+++ b/internal/emulator/exchange/doc.go
@@ -22,6 +22,7 @@
 // TEXT may contain Go escapes, and {NAME} for the address of a listener. A name that is no listener is a
 // client, which connects with its first step.
 //
-// Tests: it has none of its own; those of dataplane/ingress, dataplane/upstream, standalone/discovery,
-// standalone/counterclient and cmd/mulleinrouter play their scripts (testdata/*.txt) with it.
+// Tests: player_test.go plays a script that has each verb (testdata/each-verb.txt) and what differs from a script;
+// those of dataplane/ingress, dataplane/upstream, standalone/discovery, standalone/counterclient and
+// cmd/mulleinrouter play scripts of their own.
 package exchange
--- a/internal/emulator/fakes/doc.go
+++ b/internal/emulator/fakes/doc.go
@@ -7,6 +7,6 @@
 // the types of the messages that it answers (usage, usageexport, discovery, leaseservice). Each fake owns its state,
 // which lasts from Start to Stop, is guarded by its mutex, and is handed out in copies.
 //
-// Tests: it has none of its own; those of usageexport, discovery, node and cli, and the fault tests of
-// emulator/faulttest, check the ingress against these servers.
+// Tests: those of the fakes are beside the code; those of usageexport, discovery, node and cli, and the fault tests of
+// emulator/faulttest, check the ingress against them.
 package fakes
--- a/internal/emulator/faulttest/doc.go
+++ b/internal/emulator/faulttest/doc.go
@@ -10,5 +10,6 @@
 // ingress answer with, and deploy/faulttests, where the scenarios that ship lie. Only the command fault-test and tests
 // import it. Play owns all that it starts: processes, relays, fakes and goroutines have ended when it returns.
 //
-// Tests: those of the file format are beside the code; cmd/mulleinrouter runs scenarios on processes (TestFaultTests).
+// Tests: those of the file format, the configuration, the evaluators and the report are beside the code;
+// cmd/mulleinrouter runs scenarios on processes (TestFaultTests).
 package faulttest
--- /dev/null
+++ b/internal/emulator/faulttest/testdata/roles.hcl
@@ -0,0 +1,45 @@
+
+name      = "n1"
+listen    = "127.64.1.1:1"
+mgmt      = "127.0.0.1:0"
+state     = "/dir/n1"
+discovery = "127.0.0.1:2"
+
+fleet {
+  ingresses = 2
+  number    = 1
+  zone      = "a"
+  membership {
+    fleet     = "rehearsal 127.64.1"
+    listen    = "127.64.1.1:4"
+    advertise = "127.0.0.1:5"
+    join      = ["127.0.0.1:5", "127.0.0.1:6"]
+    interval  = "300ms"
+    key_file = "/dir/fleet.key"
+    voters = ["n1", "n2", "n3"]
+    
+  }
+}
+
+usage {
+  dir = "/dir/n1.usage"
+  rotate = "1s"
+  endpoint = "http://127.0.0.1:7/v1/batches"
+}
+
+
+catalogue {
+  file     = "/dir/n1.plans.hcl"
+  announce = true
+}
+
+
+counter {
+  address = "127.0.0.1:3"
+}
+
+class "quote-read" {
+  aim      = "500ms"
+  deadline = "2s"
+  repeat   = "safe"
+}
