--- a/cmd/emulator/plan.go
+++ b/cmd/emulator/plan.go
@@ -43,7 +43,7 @@
 // costModel reads the run of slopes that was given, or the one in the program.
 func (p *planCommand) costModel() (*costmodel.Run, error) {
 	if p.Slopes == "" {
-		run, err := capacity.Stored()
+		run, err := capacity.StoredRun()
 		if err != nil {
 			return nil, unusableFileError{err}
 		}
--- a/internal/emulator/capacity/report.go
+++ b/internal/emulator/capacity/report.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"fmt"
 	"io"
-	"math"
 	"slices"
 	"strings"
 	"text/tabwriter"
@@ -12,34 +11,35 @@
 	"mulleinrouter/internal/emulator/costmodel"
 )
 
-// Report is what was reckoned.
+// Report is the estimate of a plan.
 type Report struct {
-	Plan *Plan
-	Run  *costmodel.Run
-	Rows []Row
+	Plan         *Plan
+	Run          *costmodel.Run
+	Requirements []Requirement
 }
 
-// Fits tells whether every need keeps its limit.
+// Fits tells whether every need is within its limit.
 func (r *Report) Fits() bool {
-	return !slices.ContainsFunc(r.Rows, func(x Row) bool { return x.Need > x.Limit })
+	return !slices.ContainsFunc(r.Requirements, func(one Requirement) bool { return one.exceeds() })
 }
 
-// Order is the rows in the order in which their limits are reached as the size grows; of those over it at any size,
-// the worst first.
-func (r *Report) Order() []Row {
-	rows := slices.Clone(r.Rows)
-	slices.SortStableFunc(
-		rows,
-		func(a, b Row) int { return cmp.Or(cmp.Compare(a.Reach, b.Reach), cmp.Compare(a.Margin(), b.Margin())) },
-	)
-	return rows
+// Order returns the requirements in the order in which their limits are reached as the size grows; of those above their
+// limit at any size, the worst first.
+func (r *Report) Order() []Requirement {
+	ordered := slices.Clone(r.Requirements)
+	slices.SortStableFunc(ordered, func(a, b Requirement) int {
+		return cmp.Or(cmp.Compare(a.MaxScale, b.MaxScale), cmp.Compare(a.Margin(), b.Margin()))
+	})
+	return ordered
 }
 
-const termsShown = 4
+// maxTermsShown bounds the terms of a requirement that are written out.
+const maxTermsShown = 4
 
-// Write writes the report for reading.
+// Write writes the report as text: a table of the requirements, and which limit binds first. It returns errors of the
+// writer.
 func (r *Report) Write(w io.Writer) error {
-	fmt.Fprintf(
+	_, err := fmt.Fprintf(
 		w,
 		"%s, by slopes of %s (%s, %s, %s)\n\n",
 		r.Plan.Name,
@@ -48,91 +48,56 @@
 		r.Run.Go,
 		r.Run.Processor,
 	)
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "role\twhat\tneed\tlimit\tmargin\tkept up to\tof")
-	for i := range r.Rows {
-		x := &r.Rows[i]
-		var terms []string
-		for _, term := range x.Terms[:min(termsShown, len(x.Terms))] {
-			terms = append(terms, fmt.Sprintf("%s %s x %s", term.What, Amount(term.Each, unitOf(x.Unit)), count(term.Number)))
-		}
-		if left := len(x.Terms) - termsShown; left > 0 {
-			terms = append(terms, fmt.Sprintf("%d more", left))
-		}
-		fmt.Fprintf(
-			t,
-			"%s\t%s\t%s\t%s\t%s\t%s\t%s\n",
-			x.Role,
-			x.What,
-			figure(x.Need, x.Unit),
-			figure(x.Limit, x.Unit),
-			margin(x.Margin()),
-			part(x.Reach),
-			strings.Join(terms, ", "),
-		)
-	}
-	if err := t.Flush(); err != nil {
+	if err != nil {
 		return err
 	}
-	first := r.Order()[0]
-	switch {
-	case first.Reach == 0:
-		_, err := fmt.Fprintf(w, "\nbinds first: %s, %s: over its limit at any number of machines\n", first.Role, first.What)
-		return err
-	case r.Fits():
-		_, err := fmt.Fprintf(
-			w,
-			"\nfits; binds first: %s, %s, at %s of this size\n",
-			first.Role,
-			first.What,
-			part(first.Reach),
-		)
+	if err := r.writeTable(w); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(w, "\nbinds first: %s, %s, at %s of this size\n", first.Role, first.What, part(first.Reach))
+	_, err = fmt.Fprintf(w, "\n%s\n", r.conclusion())
 	return err
 }
 
-func unitOf(unit string) string {
-	if unit == "core" {
-		return "s"
+func (r *Report) writeTable(w io.Writer) error {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "role\twhat\tneed\tlimit\tmargin\tkept up to\tof")
+	for n := range r.Requirements {
+		fmt.Fprintln(table, strings.Join(r.Requirements[n].columns(), "\t"))
 	}
-	return strings.TrimSuffix(unit, "/s")
+	return table.Flush()
 }
 
-func figure(v float64, unit string) string {
-	switch unit {
-	case "core":
-		return fmt.Sprintf("%.3g%% of a core", 100*v)
-	case "":
-		return count(v)
-	case "s":
-		return Amount(v, "s")
+// columns returns the columns of a requirement in the report's table.
+func (r *Requirement) columns() []string {
+	shown := min(maxTermsShown, len(r.Terms))
+	var terms []string
+	for _, term := range r.Terms[:shown] {
+		terms = append(terms, formatTerm(term, r.Unit))
 	}
-	return Amount(v, unit)
-}
-
-func count(v float64) string { return strings.TrimSpace(Amount(v, "")) }
-
-func margin(v float64) string {
-	switch {
-	case math.IsInf(v, 0):
-		return "-"
-	case v < 1:
-		return fmt.Sprintf("OVER, %.3g times", 1/v)
+	if rest := len(r.Terms) - shown; rest > 0 {
+		terms = append(terms, fmt.Sprintf("%d more", rest))
+	}
+	return []string{
+		string(r.Role),
+		r.Description,
+		formatNeed(r.Need, r.Unit),
+		formatNeed(r.Limit, r.Unit),
+		formatMargin(r.Margin()),
+		formatScale(r.MaxScale),
+		strings.Join(terms, ", "),
 	}
-	return fmt.Sprintf("%.3g", v)
 }
 
-func part(v float64) string {
-	switch {
-	case v == 0:
-		return "no size"
-	case math.IsInf(v, 0):
-		return "any size"
+// conclusion says which limit binds first.
+func (r *Report) conclusion() string {
+	first := r.Order()[0]
+	binding := fmt.Sprintf("binds first: %s, %s", first.Role, first.Description)
+	if first.MaxScale == 0 {
+		return binding + ": over its limit at any number of machines"
 	}
-	if v >= 1 {
-		return fmt.Sprintf("%s times", count(v))
+	binding += fmt.Sprintf(", at %s of this size", formatScale(first.MaxScale))
+	if r.Fits() {
+		return "fits; " + binding
 	}
-	return fmt.Sprintf("%.3g%%", 100*v)
+	return binding
 }
