--- a/internal/emulator/faulttest/leases.go
+++ b/internal/emulator/faulttest/leases.go
@@ -103,7 +103,7 @@
 var roleGained = regexp.MustCompile(`code=duty-gained duty=(\S+) token=(\d+)`)
 
 // evaluateUniqueTokens reads which leases all processes logged: each token must have one holder. What leaders report is
-// no proof: one that was suspended reports what it knew until it hears of its successor.
+// no proof: one that was suspended reports what it knew until it learns of its successor.
 func (e *evaluation) evaluateUniqueTokens() (f Finding) {
 	f.Passed = true
 	holders, gains := map[string]string{}, 0
