--- a/internal/standalone/usageexport/exporter_test.go
+++ b/internal/standalone/usageexport/exporter_test.go
@@ -124,10 +124,10 @@
 				exportAll(t, e)
 				totals := b.Totals()
 				known, unknown := totals.Tally.Total()
-				want := usage.Sum{Requests: 80, Units: 100 * usage.Micro}
-				if known != want || unknown.Requests != 1 || totals.Conflicts != 0 {
+				wantKnown := usage.Sum{Requests: 80, Units: 100 * usage.Micro}
+				if known != wantKnown || unknown.Requests != 1 || totals.Conflicts != 0 {
 					t.Errorf("billed %+v, unknown %+v, %d repeats, %d conflicts; want %+v, 1 request, any, 0",
-						known, unknown, totals.Repeats, totals.Conflicts, want)
+						known, unknown, totals.Repeats, totals.Conflicts, wantKnown)
 				}
 				v, err := e.Verify()
 				if err != nil || len(v.Problems) > 0 || v.Known != known || v.Unknown != unknown || v.InFlight != 1 {
