--- /dev/null
+++ b/internal/emulator/faulttest/environment.go
@@ -0,0 +1,305 @@
+package faulttest
+
+import (
+	"cmp"
+	"crypto/rand"
+	"encoding/base64"
+	"errors"
+	"fmt"
+	"maps"
+	"net"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"mulleinrouter/internal/emulator/fakes"
+	"mulleinrouter/internal/emulator/faultnet"
+	"mulleinrouter/internal/emulator/testcluster"
+	"mulleinrouter/internal/standalone/discovery"
+)
+
+const (
+	quoteServerCores       = 16
+	quoteServerQueue       = 64
+	quoteServerServiceTime = 2 * time.Millisecond
+
+	gossipKeyBytes = 32
+)
+
+// environment is what a fault test runs in: the members with their relays, and the fakes.
+type environment struct {
+	scenario      *Scenario
+	program       string
+	dir           string
+	links         *faultnet.Links
+	addressPrefix string // first three numbers of the members' addresses
+	nodes         []*node
+	gossipKeys    []string // the first one encrypts
+
+	billing       *fakes.Billing
+	quoteServers  []*fakes.QuoteServer
+	directories   []*fakes.Discovery
+	counter       *counter
+	extraCounters []*counter   // in place of the first, or beside it
+	busyShift     atomic.Int64 // by how many ingresses the customers have moved
+
+	mu         sync.Mutex        // guards the fields below: twins are added while relays serve
+	memberByIP map[string]string // by the address that it calls from
+	relays     []*faultnet.Relay
+}
+
+// environments counts those of this process.
+var environments atomic.Int64
+
+// newEnvironment starts the fakes and the relays, and writes the files that all members read. The environment must be
+// closed after an error, too.
+func newEnvironment(scenario *Scenario, program, dir string) (*environment, error) {
+	e := &environment{
+		scenario:      scenario,
+		program:       program,
+		dir:           dir,
+		links:         faultnet.NewLinks(scenario.Seed),
+		addressPrefix: newAddressPrefix(),
+		memberByIP:    map[string]string{},
+	}
+	if err := e.startSharedFakes(); err != nil {
+		return e, err
+	}
+	if scenario.Encrypted {
+		e.gossipKeys = []string{newGossipKey()}
+	}
+	for i, name := range scenario.Names() {
+		if err := e.addNode(name, fmt.Sprintf("%s.%d", e.addressPrefix, i+1)); err != nil {
+			return e, err
+		}
+	}
+	return e, e.writeGossipKeys()
+}
+
+// newAddressPrefix picks a network of the loopback that, except for rare chance, no other fault test uses: a port that
+// one of its members closes must not become another one's.
+func newAddressPrefix() string {
+	n := os.Getpid() + 1009*int(environments.Add(1))
+	return fmt.Sprintf("127.%d.%d", 64+n/200%64, 1+n%200)
+}
+
+// startSharedFakes starts those that are one for all members.
+func (e *environment) startSharedFakes() (err error) {
+	for i := range max(1, e.scenario.QuoteServers) {
+		server := &fakes.QuoteServer{
+			Cores:       quoteServerCores,
+			Queue:       quoteServerQueue,
+			ServiceTime: quoteServerServiceTime,
+			Salt:        uint64(i),
+		}
+		if err := server.Start(); err != nil {
+			return err
+		}
+		e.quoteServers = append(e.quoteServers, server)
+	}
+	billing := &fakes.Billing{}
+	if err := billing.Start(); err != nil {
+		return err
+	}
+	e.billing = billing
+	e.counter, err = startCounter()
+	return err
+}
+
+// addNode adds a member: its folder, its addresses and its relays.
+func (e *environment) addNode(name, ip string) (err error) {
+	n := &node{name: name, ip: ip, dir: filepath.Join(e.dir, name)}
+	n.savedDir = n.dir + ".saved"
+	e.setMember(ip, name)
+	e.nodes = append(e.nodes, n)
+	if err := os.MkdirAll(n.dir, 0o755); err != nil {
+		return wrapSetup(err)
+	}
+	if e.scenario.Catalogue {
+		if err := e.writeRevision(n, firstRevision); err != nil {
+			return err
+		}
+	}
+	if n.clientAddr, err = freeAddr(ip); err != nil {
+		return err
+	}
+	if n.gossipAddr, err = freeAddr(ip); err != nil {
+		return err
+	}
+	if n.relay, err = e.addGossipRelay(name, n.gossipAddr); err != nil {
+		return err
+	}
+	return e.addFakeRelays(n)
+}
+
+// freeAddr returns an address with a port that no process listens at. Nothing else listens at this host.
+func freeAddr(ip string) (string, error) {
+	l, err := net.Listen("tcp4", ip+":0")
+	if err != nil {
+		return "", wrapSetup(err)
+	}
+	defer l.Close()
+	return l.Addr().String(), nil
+}
+
+func (e *environment) setMember(ip, name string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.memberByIP[ip] = name
+}
+
+// memberAt returns which member calls from an address.
+func (e *environment) memberAt(addr net.Addr) string {
+	host, _, _ := net.SplitHostPort(addr.String())
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return cmp.Or(e.memberByIP[host], "stranger")
+}
+
+// addGossipRelay adds a relay before a member's gossip address, for datagrams and streams.
+func (e *environment) addGossipRelay(member, target string) (*faultnet.Relay, error) {
+	return e.addRelay(member, true, e.memberAt, target)
+}
+
+// addRelay adds a relay before a target, which is the end of its links. caller names their other ends.
+func (e *environment) addRelay(
+	end string, datagrams bool, caller func(net.Addr) string, target string,
+) (*faultnet.Relay, error) {
+	relay, err := faultnet.NewRelay(end, e.links, datagrams, caller)
+	if err != nil {
+		return nil, err
+	}
+	relay.Target(target)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.relays = append(e.relays, relay)
+	return relay, nil
+}
+
+// addFakeRelays adds a member's own relays before the fakes: all that arrives at them comes from this member.
+func (e *environment) addFakeRelays(n *node) error {
+	caller := func(net.Addr) string { return n.name }
+	directory := &fakes.Discovery{}
+	if err := directory.Start(); err != nil {
+		return err
+	}
+	e.directories = append(e.directories, directory)
+	for i, server := range e.quoteServers {
+		relay, err := e.addRelay(fakeQuoteServers[i], false, caller, server.Addr())
+		if err != nil {
+			return err
+		}
+		relay.As(n.ip)
+		directory.Update(discovery.Target{
+			UID:      fmt.Sprint("quotes-", i+1),
+			Endpoint: relay.Addr(),
+			Zone:     "a",
+			Model:    "a",
+			State:    "active",
+			Capacity: 1,
+		})
+	}
+	discoveryRelay, err := e.addRelay(fakeDiscovery, false, caller, directory.Addr())
+	if err != nil {
+		return err
+	}
+	discoveryRelay.As(n.ip)
+	n.discoveryAddr = discoveryRelay.Addr()
+	if n.counterRelay, err = e.addRelay(fakeCounter, false, caller, e.counter.addr()); err != nil {
+		return err
+	}
+	n.counterRelay.As(n.ip) // the counter limits the connections of an address
+	billingRelay, err := e.addRelay(fakeBilling, false, caller, e.billing.Addr())
+	if err != nil {
+		return err
+	}
+	n.billingAddr = billingRelay.Addr()
+	return nil
+}
+
+// newGossipKey returns a random key in the form of key files.
+func newGossipKey() string {
+	var key [gossipKeyBytes]byte
+	rand.Read(key[:])
+	return base64.StdEncoding.EncodeToString(key[:])
+}
+
+func (e *environment) gossipKeyFile() string { return filepath.Join(e.dir, "fleet.key") }
+
+// writeGossipKeys writes the key file, where the fleet has one.
+func (e *environment) writeGossipKeys() error {
+	if !e.scenario.Encrypted {
+		return nil
+	}
+	text := strings.Join(e.gossipKeys, "\n") + "\n"
+	return wrapSetup(os.WriteFile(e.gossipKeyFile(), []byte(text), 0o600))
+}
+
+// changeGossipKeys carries out a step's change of the keys.
+func (e *environment) changeGossipKeys(change string) error {
+	switch change {
+	case keysAdd:
+		e.gossipKeys = append(e.gossipKeys, newGossipKey())
+	case keysTurn:
+		slices.Reverse(e.gossipKeys)
+	case keysDrop:
+		e.gossipKeys = e.gossipKeys[:1]
+	}
+	return e.writeGossipKeys()
+}
+
+// arrived returns the requests that arrived at all quote servers, by ID.
+func (e *environment) arrived() map[string]fakes.Arrival {
+	all := map[string]fakes.Arrival{}
+	for _, server := range e.quoteServers {
+		maps.Copy(all, server.Arrived())
+	}
+	return all
+}
+
+// close ends all that was started, and waits for it.
+func (e *environment) close() {
+	e.killProcesses()
+	for _, relay := range e.relays {
+		relay.Close()
+	}
+	for _, directory := range e.directories {
+		directory.Stop()
+	}
+	for _, server := range e.quoteServers {
+		server.Stop()
+	}
+	if e.billing != nil {
+		e.billing.Stop()
+	}
+	if e.counter != nil {
+		e.counter.stop()
+	}
+	for _, c := range e.extraCounters {
+		c.stop()
+	}
+}
+
+func (e *environment) killProcesses() {
+	var killing sync.WaitGroup
+	for _, n := range e.nodes {
+		n.mu.Lock()
+		processes := []*testcluster.Process{n.process, n.twin}
+		n.mu.Unlock()
+		for _, process := range processes {
+			if process != nil {
+				killing.Go(process.Kill)
+			}
+		}
+	}
+	killing.Wait()
+}
+
+// copyDir replaces a folder by a copy of another.
+func copyDir(to, from string) error {
+	return wrapSetup(errors.Join(os.RemoveAll(to), os.CopyFS(to, os.DirFS(from))))
+}
--- a/internal/emulator/testcluster/cluster.go
+++ b/internal/emulator/testcluster/cluster.go
@@ -30,7 +30,7 @@
 
 	directory   *fakes.Discovery
 	billing     *fakes.Billing
-	quotes      []*fakes.Quotes
+	quotes      []*fakes.QuoteServer
 	counter     *counterserver.Server
 	listener    net.Listener // the counter's
 	counterDone chan struct{}
@@ -135,19 +135,19 @@
 
 func (c *cluster) startQuotes() error {
 	for i := range quoteServers {
-		q := &fakes.Quotes{Cores: 16, Queue: 64, Work: quoteWork, Salt: c.Seed + uint64(i)}
+		q := &fakes.QuoteServer{Cores: 16, Queue: 64, ServiceTime: quoteWork, Salt: c.Seed + uint64(i)}
 		model, capacity := "a", 1.0
 		if i == quoteServers-1 {
-			q.Work, model, capacity = 2*quoteWork, "b", 0.5
+			q.ServiceTime, model, capacity = 2*quoteWork, "b", 0.5
 		}
 		if err := q.Start(); err != nil {
 			return err
 		}
 		if c.Faults {
-			q.Set(&fakes.Faults{Error: 0.002, Turned: 0.01, Cut: 0.002, Spoilt: 0.001})
+			q.SetFaults(&fakes.Faults{Error: 0.002, Reject: 0.01, Cut: 0.002, Malformed: 0.001})
 		}
 		c.quotes = append(c.quotes, q)
-		c.directory.Tell(discovery.Target{
+		c.directory.Update(discovery.Target{
 			UID:      fmt.Sprint("quotes-", i+1),
 			Endpoint: q.Addr(),
 			Zone:     "a",
--- a/internal/emulator/testcluster/events.go
+++ b/internal/emulator/testcluster/events.go
@@ -169,7 +169,7 @@
 // answer, so that the exporter is likely to be killed while it waits for another answer.
 func (c *cluster) crashExporter(i int) error {
 	if c.Faults {
-		c.billing.Next(fakes.Loses, fakes.Fails)
+		c.billing.InjectFaults(fakes.LoseReply, fakes.FailCall)
 	}
 	time.Sleep(time.Duration(c.rng.Float64() * float64(maxCrashDelay)))
 	c.exporters[i].Kill()
--- a/internal/standalone/usageexport/exporter_test.go
+++ b/internal/standalone/usageexport/exporter_test.go
@@ -90,17 +90,17 @@
 // TestKilledExporterBillsOnce kills the exporter at each point, with each answer of the endpoint: the bill is the same.
 func TestKilledExporterBillsOnce(t *testing.T) {
 	faults := map[string]fakes.BillingFault{
-		"fine":   fakes.Fine,
-		"fails":  fakes.Fails,
-		"loses":  fakes.Loses,
-		"babble": fakes.Babble,
-		"slow":   fakes.Slow,
+		"fine":   fakes.NoFault,
+		"fails":  fakes.FailCall,
+		"loses":  fakes.LoseReply,
+		"babble": fakes.InvalidReply,
+		"slow":   fakes.RateLimited,
 	}
 	for _, point := range usageexport.HookPoints {
 		for name, fault := range faults {
 			t.Run(fmt.Sprintf("%s, %s", point, name), func(t *testing.T) {
 				dir, b := t.TempDir(), startBilling(t)
-				b.Next(fault)
+				b.InjectFaults(fault)
 				recordUsage(t, dir, 50)
 				kills := 0
 				for range 3 { // the point is reached again after each start
@@ -122,11 +122,12 @@
 				e := openExporter(t, dir, b)
 				defer e.Close()
 				exportAll(t, e)
-				tally, _, repeats, conflicts := b.Billed()
-				known, unknown := tally.Total()
+				totals := b.Totals()
+				known, unknown := totals.Tally.Total()
 				wantKnown := usage.Sum{Requests: 80, Units: 100 * usage.Micro}
-				if known != wantKnown || unknown.Requests != 1 || conflicts != 0 {
-					t.Errorf("billed %+v, unknown %+v, %d repeats, %d conflicts", known, unknown, repeats, conflicts)
+				if known != wantKnown || unknown.Requests != 1 || totals.Conflicts != 0 {
+					t.Errorf("billed %+v, unknown %+v, %d repeats, %d conflicts; want %+v, 1 request, any, 0",
+						known, unknown, totals.Repeats, totals.Conflicts, wantKnown)
 				}
 				v, err := e.Verify()
 				if err != nil || len(v.Problems) > 0 || v.Known != known || v.Unknown != unknown || v.InFlight != 1 {
@@ -142,7 +143,7 @@
 	recordUsage(t, dir, 10)
 	e := openExporter(t, dir, b)
 	defer e.Close()
-	b.Next(fakes.Hangs)
+	b.InjectFaults(fakes.NoReply)
 	ctx, cancel := context.WithCancel(context.Background())
 	e.SetTestHook(func(at usageexport.HookPoint) error {
 		if at == usageexport.BeforeSending {
@@ -156,8 +157,8 @@
 	}
 	e.SetTestHook(nil)
 	exportAll(t, e)
-	if tally, _, repeats, _ := b.Billed(); len(tally) == 0 || repeats != 0 {
-		t.Errorf("got %d rows, %d repeats; want some, 0", len(tally), repeats)
+	if totals := b.Totals(); len(totals.Tally) == 0 || totals.Repeats != 0 {
+		t.Errorf("got %d rows, %d repeats; want some, 0", len(totals.Tally), totals.Repeats)
 	}
 	b.Stop()
 	recordUsage(t, dir, 10)
@@ -171,7 +172,7 @@
 	recordUsage(t, dir, 10)
 	e := openExporter(t, dir, b)
 	defer e.Close()
-	b.Next(fakes.Loses)
+	b.InjectFaults(fakes.LoseReply)
 	e.Step(context.Background())
 	// The endpoint has the batch. It changes here, as if the disk lost a sync.
 	other := openTwin(t, b, dir)
@@ -281,7 +282,7 @@
 	dir, b := t.TempDir(), startBilling(t)
 	recordUsage(t, dir, 10)
 	log, lines := logger()
-	b.Next(fakes.Fails, fakes.Fails)
+	b.InjectFaults(fakes.FailCall, fakes.FailCall)
 	e := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Retention: time.Hour, Log: log}
 	ctx, cancel := context.WithCancel(context.Background())
 	e.Client = &http.Client{Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
@@ -296,8 +297,7 @@
 	}
 	defer e.Close()
 	e.Run(ctx)
-	tally, _, _, _ := b.Billed()
-	if known, _ := tally.Total(); known.Requests != 10 {
+	if known, _ := b.Totals().Tally.Total(); known.Requests != 10 {
 		t.Errorf("billed %+v", known)
 	}
 	got := []int{
