--- a/cmd/mulleinrouter/main_test.go
+++ b/cmd/mulleinrouter/main_test.go
@@ -57,7 +57,8 @@
 		if text == "moved" {
 			text = fmt.Sprintf(configuration, player.Addr("discovery2"), player.Addr("counter2"), player.Addr("server"))
 		}
-		if err := errors.Join(os.WriteFile(path+".new", []byte(text), 0o600), os.Rename(path+".new", path)); err != nil {
+		if err := errors.Join(os.WriteFile(path+".new", []byte(text), 0o600),
+			os.Rename(path+".new", path)); err != nil {
 			return err.Error()
 		}
 		return word
--- a/cmd/mulleinrouter/oncall_test.go
+++ b/cmd/mulleinrouter/oncall_test.go
@@ -14,7 +14,8 @@
 
 // The on-call page lists the codes that the program can log: no more and no fewer.
 func TestOnCallPage(t *testing.T) {
-	const code = `(?:process|request|attempt|client|upstream|counter|discovery|plans|usage|mgmt|state|fleet|duty|share)` +
+	const code = `(?:process|request|attempt|client|upstream|counter|discovery|` +
+		`plans|usage|mgmt|state|fleet|duty|share)` +
 		`-[a-z-]+`
 	var inSource []string
 	for _, root := range []string{".", "../../internal"} {
--- a/cmd/mulleinrouter/upgrade_test.go
+++ b/cmd/mulleinrouter/upgrade_test.go
@@ -73,7 +73,8 @@
 			continue
 		}
 		if err != nil || response.StatusCode != http.StatusOK {
-			u.load.t.Errorf("after %d served: response %v, error %v; want status 200", u.load.served.Load(), response, err)
+			u.load.t.Errorf("after %d served: response %v, error %v; want status 200", u.load.served.Load(),
+				response, err)
 			return false
 		}
 		response.Body.Close()
--- a/internal/cluster/configuration/canonical_test.go
+++ b/internal/cluster/configuration/canonical_test.go
@@ -81,7 +81,8 @@
 		}
 		return "[" + strings.Join(parts, ",") + "]"
 	case k < 6:
-		n := []string{"0", "1", "-1", "10", "105", "0.5", "1e3", "9007199254740993", "9007199254740992", "-2.50"}[r.IntN(10)]
+		n := []string{"0", "1", "-1", "10", "105", "0.5", "1e3", "9007199254740993", "9007199254740992",
+			"-2.50"}[r.IntN(10)]
 		if !strings.Contains(n, "e") {
 			switch how.IntN(4) {
 			case 0:
--- a/internal/cluster/configuration/entities.go
+++ b/internal/cluster/configuration/entities.go
@@ -18,12 +18,13 @@
 
 // Route is what a route's item says.
 type Route struct {
-	Name          string
-	Host          string            // in lower case, without a port
-	Prefix        string            // of the path; begins and ends with a slash
-	Mutating      bool              // not idempotent: at most one execution for each attempt of a client
-	Deadline      float64           // seconds that a request may take at most
-	LatencyTarget float64           // seconds within which an answer has its full value; the deadline where none is given
+	Name     string
+	Host     string  // in lower case, without a port
+	Prefix   string  // of the path; begins and ends with a slash
+	Mutating bool    // not idempotent: at most one execution for each attempt of a client
+	Deadline float64 // seconds that a request may take at most
+	// LatencyTarget is the time in seconds within which an answer has its full value; the deadline where none is given.
+	LatencyTarget float64
 	Priority      int               // 0 is the highest
 	MaxAttempts   int               // servers that one attempt of a client may be sent to; at least 1
 	Public        bool              // no key is needed
--- a/internal/cluster/configuration/golden_test.go
+++ b/internal/cluster/configuration/golden_test.go
@@ -18,7 +18,8 @@
 
 // goldenBodies are bodies whose digests are recorded.
 var goldenBodies = []string{
-	`{}`, `{"a":1,"b":[1.50,-0,2e3,true,null],"generation":"0000000a"}`, `{ "b" : "\u00e9\n" , "a" : {"generation":"1"} }`,
+	`{}`, `{"a":1,"b":[1.50,-0,2e3,true,null],"generation":"0000000a"}`,
+	`{ "b" : "\u00e9\n" , "a" : {"generation":"1"} }`,
 	`{"a":1e99999999999}`, `{"a":9007199254740993}`, `{"torn`, `[]`, `{"a":"😀\"\\"}`,
 }
 
@@ -93,7 +94,8 @@
 var goldenFields = map[Kind][]string{
 	Routes: {
 		`"authority":"A.example:80"`, `"authority":""`, `"pathPrefix":"/a/"`, `"pathPrefix":"/a"`, `"pathPrefix":"a/"`,
-		`"routeKind":"idempotent"`, `"routeKind":"mutating"`, `"routeKind":"other"`, `"deadlineMs":1000`, `"deadlineMs":0`,
+		`"routeKind":"idempotent"`, `"routeKind":"mutating"`, `"routeKind":"other"`, `"deadlineMs":1000`,
+		`"deadlineMs":0`,
 		`"deadlineMs":-1`, `"deadlineMs":"x"`, `"backend":"s1"`, `"backend":"s2"`, `"backend":7`,
 		`"weighted":[{"backend":"s1","share":1}]`,
 		`"weighted":[{"backend":"s1","share":0}]`, `"weighted":[7]`, `"weighted":[{"share":1}]`, `"weighted":{}`,
--- a/internal/cluster/configuration/item.go
+++ b/internal/cluster/configuration/item.go
@@ -86,8 +86,8 @@
 	Version uint64 `cbor:"2,keyasint"`
 	Deleted bool   `cbor:"3,keyasint,omitempty"`
 
-	// Body is the JSON object as the operator sent it, without insignificant space; none where the item is deleted. It is
-	// never changed in place.
+	// Body is the JSON object as the operator sent it, without insignificant space; none where the item is deleted. It
+	// is never changed in place.
 	Body []byte `cbor:"4,keyasint,omitempty"`
 	// Epoch is that of the change with which the item was chosen; 0: it is not chosen yet.
 	Epoch uint64 `cbor:"5,keyasint,omitempty"`
--- a/internal/cluster/configuration/positions_test.go
+++ b/internal/cluster/configuration/positions_test.go
@@ -30,7 +30,8 @@
 		if n == 0 {
 			at = 0
 		}
-		first, _ := slices.BinarySearchFunc(want, at, func(k Key, at uint64) int { return cmp.Compare(k.Position(), at) })
+		first, _ := slices.BinarySearchFunc(want, at,
+			func(k Key, at uint64) int { return cmp.Compare(k.Position(), at) })
 		var got []Key
 		limit := rnd.IntN(40)
 		if n == 0 {
--- a/internal/cluster/configuration/snapshot_test.go
+++ b/internal/cluster/configuration/snapshot_test.go
@@ -132,7 +132,8 @@
 			`unknown service "nosuch"`,
 		},
 		{`{"remove":{"services":[{"name":"s2","generation":"00000009"}]}}`, 400, "routes name it"},
-		{routeCall(`"b.example","pathPrefix":"/b/"`, `"A.example","pathPrefix":"/a/"`), 400, "the same host and prefix"},
+		{routeCall(`"b.example","pathPrefix":"/b/"`, `"A.example","pathPrefix":"/a/"`), 400,
+			"the same host and prefix"},
 	}
 }
 
@@ -401,7 +402,8 @@
 			snapshot, changed = snapshot.Merge([]Item{{Key: Key{kind, name}, Version: 10, Deleted: true}})
 			table = table.With(snapshot, changed)
 		}
-		is.True(table.Route("a", "/") == nil && table.Tenant("k") == nil && !table.HasTenants() && table.RouteCount() == 0)
+		is.True(table.Route("a", "/") == nil && table.Tenant("k") == nil && !table.HasTenants() &&
+			table.RouteCount() == 0)
 		is.Equal(snapshot.routesByKey.size+snapshot.serviceReferences.size+table.keys.size+table.tenants.size, 0)
 	}
 }
--- a/internal/cluster/consensus/acceptor.go
+++ b/internal/cluster/consensus/acceptor.go
@@ -9,12 +9,15 @@
 // electorate has an acceptor too, and answers from it: whether an answer counts is decided by the proposer, which
 // compares the voter's address and disk with the electorate.
 type Acceptor struct {
-	Promised   Ballot     `cbor:"1,keyasint"`
-	Epoch      uint64     `cbor:"2,keyasint"`           // of the newest snapshot that is known here to be chosen
-	Electorate Electorate `cbor:"3,keyasint,omitempty"` // of that snapshot: it chooses the next change; empty: not known
-	Disk       uint64     `cbor:"4,keyasint,omitempty"` // random, drawn at the first write; 0: at the first start of all
-	Addr       string     `cbor:"-"`                    // own address, host:port
-	Pending    *Proposal  `cbor:"-"`                    // accepted upon that snapshot, not known to be chosen; immutable
+	Promised Ballot `cbor:"1,keyasint"`
+	Epoch    uint64 `cbor:"2,keyasint"` // of the newest snapshot that is known here to be chosen
+	// Electorate is that of the snapshot, which chooses the next change; empty: not known.
+	Electorate Electorate `cbor:"3,keyasint,omitempty"`
+	// Disk is a random number, drawn at the first write; 0: at the first start of all.
+	Disk uint64 `cbor:"4,keyasint,omitempty"`
+	Addr string `cbor:"-"` // own address, host:port
+	// Pending was accepted upon that snapshot and is not known to be chosen; immutable.
+	Pending *Proposal `cbor:"-"`
 }
 
 // Self is the voter that this node is, if it is one.
--- a/internal/cluster/consensus/action.go
+++ b/internal/cluster/consensus/action.go
@@ -13,8 +13,8 @@
 	Read
 	// Fetch asks to catch up from Source, to Epoch at least: Fetched.
 	Fetch
-	// Compose asks what is to be proposed upon the snapshot that is chosen here: Composed, or RequireConfirmation unless
-	// Confirmed is set, which means that no newer snapshot was acknowledged before the run began.
+	// Compose asks what is to be proposed upon the snapshot that is chosen here: Composed, or RequireConfirmation
+	// unless Confirmed is set, which means that no newer snapshot was acknowledged before the run began.
 	Compose
 	// Accept asks to send Proposal to the voters To: Accepted, NoReply.
 	Accept
--- a/internal/cluster/consensus/proposer.go
+++ b/internal/cluster/consensus/proposer.go
@@ -26,7 +26,8 @@
 	highestSeen Ballot // of any node
 	base        Base   // the snapshot that is chosen here
 
-	// needsSeal means that the electorate was changed, and that a majority of the new one may not have that on disk yet.
+	// needsSeal means that the electorate was changed, and that a majority of the new one may not have that on disk
+	// yet.
 	needsSeal bool
 	// confirmed means that nothing newer than the base was acknowledged before this run began.
 	confirmed bool
--- a/internal/cluster/consensus/round.go
+++ b/internal/cluster/consensus/round.go
@@ -19,11 +19,12 @@
 
 // round is what one round of a proposer has found.
 type round struct {
-	query        ActionKind // Prepare or Read: what the answers are to
-	newestEpoch  uint64     // the highest epoch known to be chosen, of all who answered, whether their votes count or not
-	newestSource string     // address of the node that has it
-	noMajority   bool       // too many have rejected
-	pending      *Proposal  // of those whose votes count: of the highest epoch, under the highest ballot
+	query ActionKind // Prepare or Read: what the answers are to
+	// newestEpoch is the highest epoch known to be chosen, of all who answered, whether their votes count or not.
+	newestEpoch  uint64
+	newestSource string    // address of the node that has it
+	noMajority   bool      // too many have rejected
+	pending      *Proposal // of those whose votes count: of the highest epoch, under the highest ballot
 }
 
 // startRound begins a round with Prepare or Read.
--- a/internal/cluster/settings/settings_test.go
+++ b/internal/cluster/settings/settings_test.go
@@ -96,7 +96,8 @@
 		{"self.zone=north", "=north", `node.conf:8: no key: "=north"`},
 		{"self.zone=north", "self.hostIp=10.9.0.8", `node.conf:8: self.hostIp: given on line 6 already`},
 		{
-			"self.nodeName=edge-7\nself.role=board\nself.machineClass=edge\nself.serving=edge,control\nself.hostIp=10.9.0.7",
+			"self.nodeName=edge-7\nself.role=board\nself.machineClass=edge\nself.serving=edge,control\n" +
+				"self.hostIp=10.9.0.7",
 			"\nself.bootstrap=no",
 			`node.conf:3: self.bootstrap: neither true nor false: "no"; ` +
 				`node.conf: self.nodeName: missing; node.conf: self.hostIp: missing`,
--- a/internal/cluster/transport/conn.go
+++ b/internal/cluster/transport/conn.go
@@ -19,8 +19,9 @@
 )
 
 const (
-	readBufferBytes   = 1 << 10   // most of a long frame is read past the buffer
-	maxRetainedBuffer = 4 << 10   // bytes; larger ones are dropped after use: a control node has thousands of connections
+	readBufferBytes = 1 << 10 // most of a long frame is read past the buffer
+	// maxRetainedBuffer in bytes; larger ones are dropped after use: a control node has thousands of connections.
+	maxRetainedBuffer = 4 << 10
 	maxWriteBytes     = 64 << 10  // of one write
 	maxQueuedBytes    = 256 << 10 // of the queue: beyond it, callers of Send wait for the peer to read
 )
--- a/internal/cluster/transport/errors.go
+++ b/internal/cluster/transport/errors.go
@@ -3,7 +3,8 @@
 import "github.com/pkg/errors"
 
 var (
-	// ErrFrame marks bytes that are no frame: too long, empty, or not decodable. Their connection can't be used any more.
+	// ErrFrame marks bytes that are no frame: too long, empty, or not decodable. Their connection can't be used any
+	// more.
 	ErrFrame = errors.New("not a frame")
 
 	// ErrClosed is returned for frames and calls on a connection that has ended.
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -69,7 +69,8 @@
 	Rank int `cbor:"12,keyasint,omitempty"`
 	// ZonePeers is how many ingresses its zone has, with it; 0: it has no rank.
 	ZonePeers int `cbor:"13,keyasint,omitempty"`
-	// LinkDelay is how long packets queue at the link of the source's machine, in seconds; 0: not known. To a proxy alone.
+	// LinkDelay is how long packets queue at the link of the source's machine, in seconds; 0: not known. To a proxy
+	// alone.
 	LinkDelay float64 `cbor:"15,keyasint,omitempty"`
 	// Voters are the control addresses of the electorate, as the source knows it; none: unchanged.
 	Voters []string `cbor:"14,keyasint,omitempty"`
--- a/internal/cluster/transport/golden_test.go
+++ b/internal/cluster/transport/golden_test.go
@@ -62,12 +62,14 @@
 		{"empty", &Frame{}},
 		{"empty reply", &Frame{Call: 1 << 40}},
 		{"hello", &Frame{Hello: &Hello{
-			Node: "edge-1", Class: "control", Incarnation: 1<<64 - 1, SourceIncarnation: 5, Seq: 6, Instances: goldenInstances,
-			Epoch: 8, Zone: "a", ControlAddr: "10.0.0.3:7000", Digests: []byte{1, 2, 0xff},
+			Node: "edge-1", Class: "control", Incarnation: 1<<64 - 1, SourceIncarnation: 5, Seq: 6,
+			Instances: goldenInstances,
+			Epoch:     8, Zone: "a", ControlAddr: "10.0.0.3:7000", Digests: []byte{1, 2, 0xff},
 		}}},
 		{"bare hello", &Frame{Hello: &Hello{}}},
 		{"update", &Frame{Update: &Update{
-			Incarnation: 3, Seq: 4, Complete: true, Items: goldenItems, Instances: goldenInstances, Heartbeats: []Heartbeat{
+			Incarnation: 3, Seq: 4, Complete: true, Items: goldenItems, Instances: goldenInstances,
+			Heartbeats: []Heartbeat{
 				{ID: "server-1", Seq: 10},
 				{},
 			},
@@ -78,7 +80,8 @@
 		{"renewal", &Frame{Renewal: &Renewal{Clock: 17.125, Ready: true}}},
 		{"bare renewal", &Frame{Renewal: &Renewal{}}},
 		{"counter add", &Frame{Call: 1, CounterAdd: &CounterAdd{
-			Name: "t/1", Cycle: -3, Reporter: "edge-1", Amount: 2.5, ReadOnly: true, Retention: 60, PerRequest: true, Serial: 8,
+			Name: "t/1", Cycle: -3, Reporter: "edge-1", Amount: 2.5, ReadOnly: true, Retention: 60, PerRequest: true,
+			Serial: 8,
 		}}},
 		{"bare counter add", &Frame{Call: 1, CounterAdd: &CounterAdd{}}},
 		{"counter total", &Frame{Call: 1, CounterTotal: &CounterTotal{OK: true, Sum: 1e9 + 0.5, Reporters: 3}}},
@@ -98,7 +101,9 @@
 		{"bare accept", &Frame{Call: 3, Accept: &Accept{goldenBare}}},
 		{
 			"accepted",
-			&Frame{Call: 3, Accepted: &Accepted{consensus.Accepted{OK: true, Behind: true, Promised: goldenBallot, Epoch: 4}}},
+			&Frame{Call: 3, Accepted: &Accepted{
+				consensus.Accepted{OK: true, Behind: true, Promised: goldenBallot, Epoch: 4},
+			}},
 		},
 		{"bare accepted", &Frame{Call: 3, Accepted: &Accepted{}}},
 		{"chosen", &Frame{Chosen: &Chosen{goldenProposal}}},
@@ -109,7 +114,8 @@
 func goldenCatchUpFrames() []goldenFrame {
 	return []goldenFrame{
 		{"catch-up request", &Frame{Call: 5, CatchUpRequest: &CatchUpRequest{
-			Epoch: 1, EmptyDisk: true, FromPosition: 1<<64 - 1, NewestEpoch: 3, MaxBytes: 65536, AfterInstance: "server-1",
+			Epoch: 1, EmptyDisk: true, FromPosition: 1<<64 - 1, NewestEpoch: 3, MaxBytes: 65536,
+			AfterInstance: "server-1",
 		}}},
 		{"bare catch-up request", &Frame{Call: 5, CatchUpRequest: &CatchUpRequest{}}},
 		{"catch-up chunk", &Frame{Call: 5, CatchUpChunk: &CatchUpChunk{
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -31,7 +31,8 @@
 	frames = []*Frame{
 		{Hello: &Hello{Node: "n", Class: "agent", Incarnation: 1<<64 - 1, Instances: instances}},
 		{Update: &Update{
-			Incarnation: 2, Seq: 3, Complete: true, Clock: 1.25, Items: items, Heartbeats: []Heartbeat{{ID: "i", Seq: 4}},
+			Incarnation: 2, Seq: 3, Complete: true, Clock: 1.25, Items: items,
+			Heartbeats: []Heartbeat{{ID: "i", Seq: 4}},
 		}},
 		{Call: 5, Promise: &Promise{consensus.Promise{OK: true, Promised: ballot, Epoch: 3, Pending: &change}}},
 		{Call: 6, Accept: &Accept{change}},
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -154,7 +154,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t, 3)
 				advance(2 * time.Second)
-				h := &replicatest.History{Random: rand.New(rand.NewPCG(uint64(n), 1)), Names: 300, BodySize: 300, MaxItems: 4}
+				h := &replicatest.History{Random: rand.New(rand.NewPCG(uint64(n), 1)), Names: 300, BodySize: 300,
+					MaxItems: 4}
 				c.fallBehind(h, 20)
 				c.partition(c.seeds[2], false)
 				c.awaitNewest(h, c.seeds[2], 5*time.Second)
@@ -233,7 +234,8 @@
 		c.awaitNewest(h, c.seeds[2], 30*time.Second)
 		var longest int
 		bytes, longest = c.meter.reset()
-		t.Logf("%d bytes of bodies, %d over the links, longest frame %d, %v, %d cuts", total, bytes, longest, took, cuts)
+		t.Logf("%d bytes of bodies, %d over the links, longest frame %d, %v, %d cuts", total, bytes, longest, took,
+			cuts)
 		c.True(longest <= frameBound)
 		c.stopAll()
 		advance(time.Second) // what was in flight ends
@@ -325,7 +327,8 @@
 			}
 			c.True(time.Since(began) < 2*time.Minute)
 			asked := time.Now()
-			if c.patch(c.seeds[n%2], patchBody([]string{serviceJSON("s", n)}, nil)) != 200 || time.Since(asked) > time.Second {
+			if c.patch(c.seeds[n%2], patchBody([]string{serviceJSON("s", n)}, nil)) != 200 ||
+				time.Since(asked) > time.Second {
 				late++
 			}
 			advance(300 * time.Millisecond)
@@ -352,7 +355,8 @@
 		for seed := range timingRuns {
 			synctest.Test(t, func(t *testing.T) {
 				c := newMeteredCluster(t)
-				h := &replicatest.History{Random: rand.New(rand.NewPCG(uint64(seed), 2)), Names: 4000, BodySize: 350, MaxItems: 9}
+				h := &replicatest.History{Random: rand.New(rand.NewPCG(uint64(seed), 2)), Names: 4000, BodySize: 350,
+					MaxItems: 9}
 				h.MaxItems = 2000
 				h.Grow(4) // the initial configuration
 				h.MaxItems = 9
--- a/internal/control/connection_flood_test.go
+++ b/internal/control/connection_flood_test.go
@@ -111,7 +111,9 @@
 		answers := make(chan int, 200)
 		for i := range cap(answers) {
 			x := c.connect(node)
-			waiting.Go(func() { answers <- x.call("PUT", fmt.Sprint("/instances/i-", 1000+i), heartbeatJSON("draining", 2)) })
+			waiting.Go(func() {
+				answers <- x.call("PUT", fmt.Sprint("/instances/i-", 1000+i), heartbeatJSON("draining", 2))
+			})
 		}
 		synctest.Wait()
 		c.Equal(c.nodes[node].connections.Stats().InFlight, cap(answers))
--- a/internal/control/connlimit/slots_test.go
+++ b/internal/control/connlimit/slots_test.go
@@ -142,7 +142,8 @@
 		t.Run(fmt.Sprintf("%d descriptors", test.maxFDs), func(t *testing.T) {
 			got := newSlots(test.maxFDs)
 			if got.limit != test.limit || got.internalLimit != test.internalLimit {
-				t.Errorf("got limits %d and %d, want %d and %d", got.limit, got.internalLimit, test.limit, test.internalLimit)
+				t.Errorf("got limits %d and %d, want %d and %d", got.limit, got.internalLimit, test.limit,
+					test.internalLimit)
 			}
 		})
 	}
--- a/internal/control/electorate/changes.go
+++ b/internal/control/electorate/changes.go
@@ -188,7 +188,8 @@
 // change has the electorate changed if majorities of the present and of the next one are in contact. Probed
 // voters count as such.
 func (m *Manager) change(
-	ctx context.Context, from consensus.Electorate, to []consensus.Voter, timeout time.Duration, probed ...consensus.Voter,
+	ctx context.Context, from consensus.Electorate, to []consensus.Voter, timeout time.Duration,
+	probed ...consensus.Voter,
 ) error {
 	for _, voters := range [][]consensus.Voter{from.Voters, to} {
 		if reachable := m.countReachable(voters, probed); reachable < consensus.Majority(len(voters)) {
--- a/internal/control/electorate_test.go
+++ b/internal/control/electorate_test.go
@@ -171,7 +171,8 @@
 		for round := range 4 {
 			a := slices.Sorted(maps.Keys(c.nodes))[round]
 			disk := c.shutDown(a)
-			c.Equal(c.patch(slices.Sorted(maps.Keys(c.nodes))[0], patchBody([]string{serviceJSON("s", 10+round)}, nil)), 200)
+			c.Equal(c.patch(slices.Sorted(maps.Keys(c.nodes))[0],
+				patchBody([]string{serviceJSON("s", 10+round)}, nil)), 200)
 			advance(time.Second)
 			c.True(!slices.Contains(c.voters(), a))
 			c.start(a, disk, false)
--- a/internal/control/httpapi/bodies_test.go
+++ b/internal/control/httpapi/bodies_test.go
@@ -22,7 +22,8 @@
 			View{Sources: []PeerView{{}}},
 			`{"node":"","control":"","incarnation":"","upSeconds":0,"ready":false,"why":"","epoch":0,"items":0,` +
 				`"promised":{"Round":0,"Node":""},"pendingEpoch":0,"voters":null,"votes":false,` +
-				`"sources":[{"at":"","heardSecondsAgo":0,"answeredSecondsAgo":0,"epoch":0,"ready":false,"quorum":false}],` +
+				`"sources":[{"at":"","heardSecondsAgo":0,"answeredSecondsAgo":0,"epoch":0,` +
+				`"ready":false,"quorum":false}],` +
 				`"members":0,"instances":null,"countersKept":0,"contact":false,"epochsBehind":0,"diskStalled":false,` +
 				`"connections":0,"connectionLimit":0}`,
 		},
--- a/internal/control/httpapi/members.go
+++ b/internal/control/httpapi/members.go
@@ -23,12 +23,13 @@
 type Member struct {
 	Addr             string  `json:"at"` // control address
 	Zone             string  `json:"zone,omitempty"`
-	Disk             string  `json:"disk,omitempty"`        // of a voter: the disk that holds its vote, in hexadecimal
-	LastHeardSeconds float64 `json:"heardSecondsAgo"`       // -1: never
-	EpochsBehind     uint64  `json:"behind"`                // the node that answers
-	Up               bool    `json:"up"`                    // it is connected and has been heard recently
-	DiskReplaced     bool    `json:"otherDisk,omitempty"`   // the node that answers is listed with a disk that it has lost
-	Self             bool    `json:"thisControl,omitempty"` // the node that answers
+	Disk             string  `json:"disk,omitempty"`  // of a voter: the disk that holds its vote, in hexadecimal
+	LastHeardSeconds float64 `json:"heardSecondsAgo"` // -1: never
+	EpochsBehind     uint64  `json:"behind"`          // the node that answers
+	Up               bool    `json:"up"`              // it is connected and has been heard recently
+	// DiskReplaced tells that the node that answers is listed with a disk that it has lost.
+	DiskReplaced bool `json:"otherDisk,omitempty"`
+	Self         bool `json:"thisControl,omitempty"` // the node that answers
 }
 
 // Replacement is the body of POST /members/replace. Both are control addresses.
--- a/internal/control/httpapi/server.go
+++ b/internal/control/httpapi/server.go
@@ -83,7 +83,8 @@
 // endpoints is the table of all calls.
 var endpoints = []endpoint{
 	{pattern: "PUT /instances/{id}", maxBody: maxHeartbeatBytes, needsContact: true, handle: (*Server).putInstance},
-	{pattern: "DELETE /instances/{id}", maxBody: maxHeartbeatBytes, needsContact: true, handle: (*Server).deleteInstance},
+	{pattern: "DELETE /instances/{id}", maxBody: maxHeartbeatBytes, needsContact: true,
+		handle: (*Server).deleteInstance},
 	{
 		pattern:      "PATCH /config",
 		maxBody:      maxPatchBytes,
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -92,9 +92,10 @@
 
 	wakeWatch     chan struct{} // something happened that must not wait for the next tick
 	lastInContact atomic.Bool   // the majority lease was held when watch looked last
-	confirmedTerm atomic.Uint64 // of the majority lease, in which the snapshot here was confirmed as the newest; 0: none
-	lagging       atomic.Bool   // another node has had a newer snapshot for a while
-	warm          atomic.Bool   // the servers are known: the disk or another ready node had them
+	// confirmedTerm is the term of the majority lease in which the snapshot here was confirmed as the newest; 0: none.
+	confirmedTerm atomic.Uint64
+	lagging       atomic.Bool // another node has had a newer snapshot for a while
+	warm          atomic.Bool // the servers are known: the disk or another ready node had them
 }
 
 // New makes a node. It does nothing until Run.
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -162,8 +162,9 @@
 			Tolerance:         settings.Tolerance{Machines: 1},
 			Bounds:            settings.Bounds{Contact: 5},
 		},
-		Log: log.NewNopLogger(), FS: n.stallingDisk, Incarnation: c.incarnations, Control: n.control, Internal: n.internal,
-		Dial: func(_ context.Context, inner string) (net.Conn, error) { return c.dial(addr, inner) },
+		Log: log.NewNopLogger(), FS: n.stallingDisk, Incarnation: c.incarnations, Control: n.control,
+		Internal: n.internal,
+		Dial:     func(_ context.Context, inner string) (net.Conn, error) { return c.dial(addr, inner) },
 	})
 	c.NoErr(err)
 	n.linger = 0
@@ -316,7 +317,8 @@
 		c.Equal(c.patch(c.seeds[0], first), 200)
 		c.Equal(c.patch(c.seeds[1], first), 200) // again, at another node
 		for i, a := range c.seeds {
-			c.Equal(c.patch(a, patchBody(nil, []string{routeJSON(fmt.Sprint("n", i), fmt.Sprint("n", i), "s", 1)})), 200)
+			c.Equal(c.patch(a, patchBody(nil, []string{routeJSON(fmt.Sprint("n", i), fmt.Sprint("n", i), "s", 1)})),
+				200)
 		}
 		c.Equal(c.patch(c.seeds[2], patchBody(nil, []string{routeJSON("bad", "bad", "nobody", 1)})), 400)
 
@@ -328,7 +330,10 @@
 			for k := range 6 {
 				got.Go(func() {
 					name, host := fmt.Sprintf("x%d-%d", round, k), fmt.Sprint("x", round)
-					if status := c.patch(c.seeds[k%3], patchBody(nil, []string{routeJSON(name, host, "s", 1)})); status == 200 {
+					if status := c.patch(
+						c.seeds[k%3],
+						patchBody(nil, []string{routeJSON(name, host, "s", 1)}),
+					); status == 200 {
 						mu.Lock()
 						applied++
 						mu.Unlock()
@@ -401,7 +406,9 @@
 			}
 			advance(800 * time.Millisecond)
 			for _, a := range c.seeds {
-				if i, _ := c.nodes[a].store.Snapshot().Get(configuration.Key{Kind: configuration.Services, Name: "s"}); a != at {
+				if i, _ := c.nodes[a].store.Snapshot().Get(
+					configuration.Key{Kind: configuration.Services, Name: "s"},
+				); a != at {
 					c.Equal(i.Version, uint64(version))
 				}
 			}
@@ -487,7 +494,8 @@
 			c.Equal(phase(a, "i-2"), "draining")
 			c.Equal(phase(a, "i-5"), "serving") // known from the disks, before any heartbeat
 		}
-		// Heartbeats make the others known again; a late one revives no instance. All nodes detect the same silent instances.
+		// Heartbeats make the others known again; a late one revives no instance. All nodes detect the same silent
+		// instances.
 		for round := range 8 {
 			for i := range 5 {
 				c.Equal(put(c.seeds[(i+round)%3], fmt.Sprint("i-", i+5), "serving", 10+round), 200)
@@ -525,7 +533,9 @@
 					Clock:       replication.NewClock(func() float64 { return 0 }),
 					Ready:       func() bool { return i < 4 },
 				}
-				x.Dial = func(context.Context) (net.Conn, error) { return c.dial("", c.nodes[a].settings.InternalAddrOf(a)) }
+				x.Dial = func(context.Context) (net.Conn, error) {
+					return c.dial("", c.nodes[a].settings.InternalAddrOf(a))
+				}
 				clients = append(clients, x)
 				agents.Go(func() { x.Run(ctx) })
 			}
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -160,7 +160,8 @@
 		}
 		for _, s := range c.items {
 			old, twice := m.acknowledged[s.id()]
-			if stored, ok := m.seen[s.id()]; (ok && stored != s.content || twice && old != s.content) && !m.isForgotten(s) {
+			if stored, ok := m.seen[s.id()]; (ok && stored != s.content || twice && old != s.content) &&
+				!m.isForgotten(s) {
 				m.fail("%v is acknowledged as %q, and was as %q; stored: %q", s.id(), s.content, old, stored)
 			}
 			m.acknowledged[s.id()] = s.content
@@ -850,7 +851,8 @@
 					})
 				}
 				all.Wait()
-				t.Logf("syncs of %v, %d operators at each of two nodes, one at the third: %v, at the worst %v, unclear: %d",
+				t.Logf("syncs of %v, %d operators at each of two nodes, one at the third: %v, "+
+					"at the worst %v, unclear: %d",
 					syncTime, operatorsEach, count, worst, unclear)
 				if unclear > 0 {
 					t.Errorf("%d without a clear answer", unclear)
--- a/internal/control/replica/chunks_test.go
+++ b/internal/control/replica/chunks_test.go
@@ -245,7 +245,8 @@
 				}
 			}
 			if !maps.Equal(got, want) {
-				return fmt.Sprintf("%d changes, newer than %d: got %d items, want %d", changes, epoch, len(got), len(want))
+				return fmt.Sprintf("%d changes, newer than %d: got %d items, want %d", changes, epoch, len(got),
+					len(want))
 			}
 		}
 	}
--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -229,7 +229,8 @@
 func (r *Replica) Learn(ballot consensus.Ballot, epoch uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if p := r.acceptor.Pending; p != nil && (p.Ballot == ballot || mutants.On("replica/learns-any")) && p.Epoch == epoch {
+	if p := r.acceptor.Pending; p != nil && (p.Ballot == ballot || mutants.On("replica/learns-any")) &&
+		p.Epoch == epoch {
 		r.apply(r.acceptor.Base().With(*p), p.Items)
 	}
 	return r.acceptor.Epoch >= epoch
--- a/internal/control/split_test.go
+++ b/internal/control/split_test.go
@@ -18,7 +18,8 @@
 		status, text := c.call(addr, "GET", "/config", "")
 		switch {
 		case status == 503:
-		case status != 200 || acknowledged > 0 && !strings.Contains(text, fmt.Sprintf(`"generation":"%08x"`, acknowledged)):
+		case status != 200 || acknowledged > 0 &&
+			!strings.Contains(text, fmt.Sprintf(`"generation":"%08x"`, acknowledged)):
 			c.Fail()
 		default:
 			answered++
--- a/internal/control/storage/future.go
+++ b/internal/control/storage/future.go
@@ -8,8 +8,10 @@
 
 // Future is the pending commit of one or more batches.
 type Future struct {
-	batches []Batch // until the commit; guarded by Store.mu while it is the store's open one, then the writing goroutine's
-	sync    bool    // one of them is to be synced
+	// batches are kept until the commit; guarded by Store.mu while it is the store's open one, then the writing
+	// goroutine's.
+	batches []Batch
+	sync    bool // one of them is to be synced
 	done    chan struct{}
 	err     error // once done is closed
 }
--- a/internal/control/storage/golden_test.go
+++ b/internal/control/storage/golden_test.go
@@ -100,13 +100,15 @@
 		{"promise", Batch{Acceptor: &consensus.Acceptor{Promised: goldenBallot, Electorate: goldenFirst}}},
 		{
 			"accepted",
-			Batch{Acceptor: &consensus.Acceptor{Promised: goldenBallot, Electorate: goldenFirst, Pending: &goldenProposal}},
+			Batch{Acceptor: &consensus.Acceptor{Promised: goldenBallot, Electorate: goldenFirst,
+				Pending: &goldenProposal}},
 		},
 		{
 			"accepted again",
 			Batch{
-				Acceptor: &consensus.Acceptor{Promised: goldenBallot, Electorate: goldenFirst, Pending: &goldenProposal},
-				NoSync:   true,
+				Acceptor: &consensus.Acceptor{Promised: goldenBallot, Electorate: goldenFirst,
+					Pending: &goldenProposal},
+				NoSync: true,
 			},
 		},
 		{
--- a/internal/control/storage/options.go
+++ b/internal/control/storage/options.go
@@ -45,8 +45,8 @@
 	for i := range options.TargetFileSizes {
 		options.TargetFileSizes[i] = tableBytes
 	}
-	// The usual scheduler wakes up ten times a second. With one compaction at a time, the end of each is occasion enough
-	// to look for the next.
+	// The usual scheduler wakes up ten times a second. With one compaction at a time, the end of each is occasion
+	// enough to look for the next.
 	options.Experimental.CompactionScheduler = pebble.NewConcurrencyLimitSchedulerWithNoPeriodicGrantingForTest()
 	return options
 }
--- a/internal/control/storage/retrying_fs.go
+++ b/internal/control/storage/retrying_fs.go
@@ -22,9 +22,10 @@
 // and removes the old one with no sync between, and could find neither.
 type retryingFS struct {
 	vfs.FS
-	retryEvery    time.Duration
-	stop          chan struct{} // closed: nothing is attempted again
-	onStateChange func(error)   // called with the first error when the disk begins to fail, with nil when it works again
+	retryEvery time.Duration
+	stop       chan struct{} // closed: nothing is attempted again
+	// onStateChange is called with the first error when the disk begins to fail, with nil when it works again.
+	onStateChange func(error)
 
 	mu      sync.Mutex // guards the fields below
 	failing bool
--- a/internal/control/storage/state.go
+++ b/internal/control/storage/state.go
@@ -11,7 +11,8 @@
 
 // State is what a folder holds when it is opened.
 type State struct {
-	// Empty means that no electorate was ever known here: this node's vote must not count until it is listed in one again.
+	// Empty means that no electorate was ever known here: this node's vote must not count until it is listed in one
+	// again.
 	Empty       bool
 	Acceptor    consensus.Acceptor   // with Pending, the accepted proposal that is not known to be chosen
 	Items       []configuration.Item // chosen, in the order of their keys
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -79,7 +79,8 @@
 func (w *watcher) detectSilent(held bool) {
 	changed := w.instances.DetectSilent(held || mutants.On("control/judges-alone"))
 	if len(changed) > 0 {
-		w.log.Log("msg", "instance phases changed", "count", len(changed), "first", changed[0].ID, "phase", changed[0].Phase)
+		w.log.Log("msg", "instance phases changed", "count", len(changed), "first", changed[0].ID,
+			"phase", changed[0].Phase)
 	}
 }
 
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -61,7 +61,8 @@
 			}
 			for _, i := range file.Imports {
 				name, _ := strconv.Unquote(i.Path.Value)
-				if !slices.Contains(harmless, name) && !slices.Contains(pure, strings.TrimPrefix(name, "mulleinrouter/")) {
+				if !slices.Contains(harmless, name) &&
+					!slices.Contains(pure, strings.TrimPrefix(name, "mulleinrouter/")) {
 					t.Errorf("%s imports %s", path, name)
 				}
 			}
--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -101,7 +101,8 @@
 		},
 		"behind an interim": {"HTTP/1.1 100 Continue\r\n\r\n" + own + "Content-Length: 2\r\n\r\nhi", "hi"},
 		"behind another's": {
-			strings.Replace(own, "{id}", "i-other", 1) + "Content-Length: 1\r\n\r\nx" + own + "Content-Length: 2\r\n\r\nhi",
+			strings.Replace(own, "{id}", "i-other", 1) + "Content-Length: 1\r\n\r\nx" + own +
+				"Content-Length: 2\r\n\r\nhi",
 			"hi",
 		},
 		"without a body":       {own + "Content-Length: 0\r\n\r\n", ""},
@@ -138,7 +139,8 @@
 					case !success && complete && !reset: // a reset may overtake the last bytes
 						t.Errorf("complete answer: the client got %d, %v, want a success", status, err)
 					case err == nil && status != 200 && status != 502:
-						t.Errorf("cut after %d bytes, reset %v: it may have run, and the client got %d, want 200 or 502",
+						t.Errorf("cut after %d bytes, reset %v: it may have run, and the client got %d, "+
+							"want 200 or 502",
 							cut, reset, status)
 					}
 				}
--- a/internal/proxy/translator_test.go
+++ b/internal/proxy/translator_test.go
@@ -211,7 +211,8 @@
 					}
 					id := q.Header.Get("X-Attempt-Id")
 					answer := func(id, body string) string {
-						return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + id + "\r\nX-Server-Seal: x\r\nContent-Length: 1\r\n\r\n" + body
+						return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + id +
+							"\r\nX-Server-Seal: x\r\nContent-Length: 1\r\n\r\n" + body
 					}
 					if id == "second" {
 						nc.Write([]byte(answer("first", "1"))) // the surplus one, late
