--- a/internal/cluster/configuration/errors.go
+++ b/internal/cluster/configuration/errors.go
@@ -11,7 +11,7 @@
 	statusConflict = 409
 )
 
-// RejectionError is why an operator's call has no effect: no part of it does. Its text is the whole answer.
+// RejectionError is why an operator's call has no effect: no part of it does. Its text is the body of the answer.
 type RejectionError struct {
 	Status int    // 400: the call is invalid; 409: another call has set something else under the same version
 	Text   string // for the operator: short, one line
--- a/internal/cluster/configuration/positions.go
+++ b/internal/cluster/configuration/positions.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// from walks the slots in turn, from a position on; all: the whole node is after it.
+// from walks the slots in turn, from a position on; all tells that every entry of the node is after it.
 func (n *node[K, V]) from(shift uint, position uint64, all bool, yield func(K, V) bool) bool {
 	if n == nil {
 		return true
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -20,7 +20,7 @@
 	Zone        string
 	Region      string
 	LossCounted bool   // the machine is one of those whose loss the tolerance counts
-	Bootstrap   bool   // the whole system starts for the first time, with empty disks
+	Bootstrap   bool   // this is the first start of the system, with empty disks
 	DataPath    string // folder on the machine's disk; empty: it has none
 	Limits      Limits
 
--- a/internal/control/httpapi/members.go
+++ b/internal/control/httpapi/members.go
@@ -26,7 +26,7 @@
 	Disk             string  `json:"disk,omitempty"`  // of a voter: the disk that holds its vote, in hexadecimal
 	LastHeardSeconds float64 `json:"heardSecondsAgo"` // -1: never
 	EpochsBehind     uint64  `json:"behind"`          // the node that answers
-	Up               bool    `json:"up"`              // it is connected and has been heard recently
+	Up               bool    `json:"up"`              // it is connected and has answered recently
 	// DiskReplaced tells that the node that answers is listed with a disk that it has lost.
 	DiskReplaced bool `json:"otherDisk,omitempty"`
 	Self         bool `json:"thisControl,omitempty"` // the node that answers
--- a/internal/control/instances/registry.go
+++ b/internal/control/instances/registry.go
@@ -19,8 +19,8 @@
 	overheadBytes = 64   // of an instance in a frame, beside its strings
 )
 
-// Registry is the server instances known to this node. The store holds of each instance what registry holds, and
-// is told only of differences.
+// Registry is the server instances known to this node. The store holds of each instance what the registry holds;
+// only differences are written to it.
 type Registry struct {
 	store *replication.Store
 	now   func() registry.Seconds // since the process started
--- a/internal/control/proposals/run.go
+++ b/internal/control/proposals/run.go
@@ -11,7 +11,7 @@
 const (
 	backgroundRunTimeout = time.Second           // for a run without an operator's deadline
 	foreignRoundWait     = 40 * time.Millisecond // that a round waits for another node's round, on average
-	firstRoundFactor     = 2                     // times as long, before the first round: who has lost some goes first
+	firstRoundFactor     = 2                     // times as long, before the first round: a proposer that has lost some goes first
 	maxWaitDivisor       = 4
 )
 
--- a/internal/control/storage/retrying_fs.go
+++ b/internal/control/storage/retrying_fs.go
@@ -154,8 +154,8 @@
 	return file, nil
 }
 
-// ReuseForWrite creates a new file: after a loss of power, bytes of an old one behind the new ones would have to be
-// told apart.
+// ReuseForWrite creates a new file: after a loss of power, bytes of an old one behind the new ones could not be
+// distinguished from them.
 func (r *retryingFS) ReuseForWrite(old, name string, category vfs.DiskWriteCategory) (vfs.File, error) {
 	if err := r.Remove(old); err != nil {
 		return nil, err
--- a/internal/proxy/translator.go
+++ b/internal/proxy/translator.go
@@ -132,7 +132,7 @@
 		return 0, &ingress.RequestError{Status: http.StatusBadRequest, Code: code, Text: text}
 	}
 	for _, key := range [...]string{headerAttemptID, headerTimeLeft, headerAuthorization, headerHost} {
-		if len(r.Header[key]) > 1 { // whoever counts the other one decides otherwise
+		if len(r.Header[key]) > 1 { // a server that reads the other one would decide differently
 			return fail("request-twice", key+" stands there twice")
 		}
 	}
