--- a/internal/emulator/loopback/loopback_test.go
+++ b/internal/emulator/loopback/loopback_test.go
@@ -81,9 +81,9 @@
 	},
 }
 
-// TestPlays runs short timelines on real processes. Each takes its own time, no more: what it waits for, it waits for
-// as a condition.
-func TestPlays(t *testing.T) {
+// TestTimelines runs short timelines on real processes. Each takes its own time, no more: what it waits for, it waits
+// for as a condition.
+func TestTimelines(t *testing.T) {
 	programs := buildPrograms(t)
 	for _, c := range timelines {
 		t.Run(c.name, func(t *testing.T) {
