--- a/cmd/emulator/try.go
+++ b/cmd/emulator/try.go
@@ -41,7 +41,7 @@
 		listFaults()
 		return nil
 	}
-	schedule, err := loopback.Schedule(t.Faults, t.For, t.Seed)
+	schedule, err := loopback.ParseSchedule(t.Faults, t.For, t.Seed)
 	if err != nil {
 		return unusableFileError{err}
 	}
@@ -56,7 +56,7 @@
 	defer stop()
 	options := t.options(dir)
 	options.Faults = schedule
-	report, err := loopback.Play(ctx, options)
+	report, err := loopback.Run(ctx, options)
 	if err != nil {
 		return fmt.Errorf("%w\nlogs are in %s", err, dir)
 	}
@@ -65,7 +65,7 @@
 		return err
 	}
 	fmt.Print(text.String())
-	if n := len(report.Breaches); n > 0 {
+	if n := len(report.Violations); n > 0 {
 		return fmt.Errorf("%d instances of broken rules", n)
 	}
 	return os.RemoveAll(dir)
@@ -74,17 +74,17 @@
 // options returns the cluster's options but for the faults.
 func (t *tryCommand) options(dir string) loopback.Options {
 	o := loopback.Options{
-		Core: t.Core,
-		Edge: t.Edge,
-		For:  t.For,
-		Seed: t.Seed,
-		Bin:  t.Bin,
-		Load: t.Load,
-		Open: trafficDelay,
-		Dir:  dir,
+		CoreMachines: t.Core,
+		EdgeMachines: t.Edge,
+		TrafficTime:  t.For,
+		Seed:         t.Seed,
+		ProgramsDir:  t.Bin,
+		Load:         t.Load,
+		WarmUp:       trafficDelay,
+		Dir:          dir,
 	}
 	if t.Brisk {
-		o.Open = briskTrafficDelay
+		o.WarmUp = briskTrafficDelay
 		o.Bounds = loopback.FastBounds()
 		o.HeartbeatInterval = briskHeartbeatInterval
 	}
@@ -92,8 +92,7 @@
 }
 
 func listFaults() {
-	names, help := loopback.Names()
-	for n, name := range names {
-		fmt.Printf("%-14s %s\n", name, help[n])
+	for _, kind := range loopback.FaultKinds() {
+		fmt.Printf("%-14s %s\n", kind.Name, kind.Help)
 	}
 }
--- a/cmd/mulleinrouter/upgrade_test.go
+++ b/cmd/mulleinrouter/upgrade_test.go
@@ -73,7 +73,8 @@
 			continue
 		}
 		if err != nil || response.StatusCode != http.StatusOK {
-			u.load.t.Errorf("after %d served: response %v, error %v; want status 200", u.load.served.Load(), response, err)
+			u.load.t.Errorf("after %d served: response %v, error %v; want status 200", u.load.served.Load(),
+				response, err)
 			return false
 		}
 		response.Body.Close()
@@ -117,7 +118,7 @@
 	t.Parallel()
 	upgrades := defaultUpgrades
 	fmt.Sscan(os.Getenv("MULLEIN_UPGRADES"), &upgrades)
-	quotes := &fakes.Quotes{Cores: 8}
+	quotes := &fakes.QuoteServer{Cores: 8}
 	if err := quotes.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/loopback/machine.go
+++ b/internal/emulator/loopback/machine.go
@@ -1,16 +1,9 @@
 package loopback
 
 import (
-	"errors"
-	"fmt"
-	"math/rand/v2"
 	"net"
-	"net/http"
-	"os"
 	"path/filepath"
-	"slices"
 	"strconv"
-	"strings"
 	"sync"
 	"time"
 
@@ -26,200 +19,51 @@
 	coreProgram  = "control"
 )
 
-const (
-	comeBack  = 300 * time.Millisecond // after which a process that ended is started again
-	innerMany = 4                      // inner ports
-	logMost   = 400                    // bytes of a log's end that are shown
-	askEach   = 120 * time.Millisecond // a node that is cut off
-)
+// restartDelay is the time after which a process that ended is started again.
+const restartDelay = 300 * time.Millisecond
 
-// ports are those of the day: the same on all machines.
-type ports struct{ front, ready, control, inner int }
-
-// machine is one of the simulated machines: an address of loopback, a folder for settings and logs, one for the disk,
-// and processes.
+// machine is one of the simulated machines: a loopback address, a folder for settings and logs, one for the disk, and
+// processes.
 type machine struct {
-	f        *cluster
-	name, ip string
-	zone     int
-	core     bool
-	dir      string
-	procs    []*process
-	settling sync.Mutex // one change of what runs at a time
-	links    []string   // that are cut, under the floor's mu
-}
-
-// drawPorts finds ports that are free on all machines. They lie below those that the kernel gives to connections.
-func drawPorts(rng *rand.Rand, ips []string) (ports, error) {
-	free := func(port int) bool {
-		for _, ip := range ips {
-			l, err := net.Listen("tcp4", net.JoinHostPort(ip, strconv.Itoa(port)))
-			if err != nil {
-				return false
-			}
-			l.Close()
-		}
-		return true
-	}
-	for range 200 {
-		at := 10000 + rng.IntN(20000)
-		p := ports{front: at, ready: at + 1, control: at + 2, inner: at + 3}
-		ok := true
-		for n := 0; ok && n < 3+innerMany; n++ {
-			ok = free(at + n)
-		}
-		if ok {
-			return p, nil
-		}
-	}
-	return ports{}, errors.New("no ports are free on all machines")
+	cluster   *cluster
+	name      string
+	ip        string
+	zone      int
+	core      bool
+	dir       string
+	processes []*process
+	lifecycle sync.Mutex // held by the one fault at a time that stops and starts processes
+	links     []string   // that are cut; guarded by the cluster's mu
 }
 
-func (m *machine) at(port int) string { return net.JoinHostPort(m.ip, strconv.Itoa(port)) }
-
-func (m *machine) settingsPath(program string) string { return filepath.Join(m.dir, program+".conf") }
+func (m *machine) address(port int) string { return net.JoinHostPort(m.ip, strconv.Itoa(port)) }
 
-func (m *machine) disk() string { return filepath.Join(m.dir, "disk") }
+func (m *machine) diskPath() string { return filepath.Join(m.dir, "disk") }
 
-// settle writes the settings files of the machine's processes.
-func (m *machine) settle(bootstrap bool) error {
-	f, b := m.f, m.f.o.Bounds
-	var seeds []string
-	for _, c := range f.core[:min(3, len(f.core))] {
-		seeds = append(seeds, c.at(f.ports.control))
-	}
-	for _, p := range m.procs {
-		var s strings.Builder
-		line := func(key string, value any) { fmt.Fprintf(&s, "%s=%v\n", key, value) }
-		class, serving := "edge", "edge"
-		if m.core {
-			class, serving = "core", "control"
-		} else if p.program == agentProgram {
-			serving = ""
-		}
-		line("self.nodeName", m.name)
-		line("self.role", p.program)
-		line("self.machineClass", class)
-		line("self.serving", serving)
-		line("self.hostIp", m.ip)
-		line("self.zone", zoneName(m.zone))
-		line("self.region", "floor")
-		line("self.lossCounted", m.core)
-		line("self.bootstrap", bootstrap)
-		line("self.limits.cpuFraction", 0.4)
-		line("self.limits.coreCount", 1)
-		line("self.limits.memoryMb", 284)
-		line("self.limits.maxFds", 4100)
-		line("self.limits.linkMbps", 1000)
-		if m.core {
-			line("self.dataPath", m.disk())
-			line("self.limits.diskMb", 256)
-			line("network.bind.controlAddr", m.at(f.ports.control))
-		} else if p.program == proxyProgram {
-			line("network.bind.frontAddr", m.at(f.ports.front))
-			line("network.bind.readyAddr", m.at(f.ports.ready))
-		}
-		line("network.innerPortRange", fmt.Sprintf("%d,%d", f.ports.inner, f.ports.inner+innerMany-1))
-		line("network.seedNodes", strings.Join(seeds, ","))
-		for z := range zones {
-			line("network.zones."+zoneName(z), "floor")
-		}
-		line("platform.discoverySource", "self_register")
-		line("platform.entryKind", "vip")
-		line("platform.beatMs", f.o.HeartbeatInterval.Milliseconds())
-		line("platform.configMode", "parts")
-		line("terms.clauses", "base,drain,config,cost,retry,recover,tenants,quota")
-		line("terms.tolerance.machineLosses", min(1, (len(f.core)-1)/2))
-		for _, set := range []struct {
-			key   string
-			value float64
-		}{
-			{"seedLagS", b.SeedLag}, {"reuseAfterS", b.ReuseAfter}, {"contactMs", 1000 * b.Contact}, {"ackMs", 1000 * b.Ack},
-			{"catchUpS", b.CatchUp},
-			{"drainMs", 1000 * b.Drain}, {"graceS", b.Grace}, {"lossSlackMs", 1000 * b.LossSlack},
-			{"configApplyMs", 1000 * b.ConfigApply},
-			{"revertSlackMs", 1000 * b.RevertSlack}, {"stretchMaxMs", 1000 * b.MaxStretch}, {"revokeMs", 1000 * b.Revoke},
-			{"retryRatio", b.RetryRatio}, {"retryWindowS", b.RetryWindow}, {"retrySlack", b.RetrySlack},
-			{"quotaWindowS", b.QuotaWindow},
-			{"quotaExcess", b.QuotaExcess}, {"quotaSlack", b.QuotaSlack}, {"recoveryS", b.Recovery},
-		} {
-			line("terms.bounds."+set.key, set.value)
-		}
-		line("terms.bounds.revokeGlobal", b.RevokeGlobal)
-		path := m.settingsPath(p.program)
-		if err := os.WriteFile(path+".new", []byte(s.String()), 0o600); err != nil {
-			return err
-		}
-		if err := os.Rename(path+".new", path); err != nil { // whoever reads it meanwhile sees a whole one
-			return err
-		}
-	}
-	return nil
-}
-
-func (m *machine) linksPath() string { return filepath.Join(m.dir, "links") }
-
-// way is which direction of a link is cut, seen from the machine that is named first.
-type way int
-
-const (
-	bothWays way = iota
-	outward      // what it sends
-	inward       // what it is sent
-)
-
-// sever cuts the links between a machine and others, and returns what makes them whole again. A process obeys for the
-// connections that it opened, so both ends are told.
-func (f *cluster) sever(m *machine, others []*machine, w way) (heal func()) {
-	words := func(far *machine, w way) string { return [...]string{"both ", "to ", "from "}[w] + far.ip }
-	back := [...]way{bothWays, inward, outward}[w]
-	set := func(add bool) {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		for _, o := range others {
-			for _, end := range []struct {
-				at   *machine
-				line string
-			}{{m, words(o, w)}, {o, words(m, back)}} {
-				if i := slices.Index(end.at.links, end.line); add {
-					end.at.links = append(end.at.links, end.line)
-				} else if i >= 0 {
-					end.at.links = slices.Delete(end.at.links, i, i+1)
-				}
-			}
-		}
-		for _, at := range append([]*machine{m}, others...) {
-			if err := at.layLinks(); err != nil {
-				f.recorder.note("%s: %v", at.name, err)
-			}
-		}
-	}
-	set(true)
-	return func() { set(false) }
-}
-
-// layLinks writes what a machine's links are.
-func (m *machine) layLinks() error {
-	path := m.linksPath()
-	if err := os.WriteFile(path+".new", []byte(strings.Join(m.links, "\n")+"\n"), 0o600); err != nil {
-		return err
-	}
-	return os.Rename(path+".new", path)
-}
-
-// proc is the machine's process of a program.
-func (m *machine) proc(program string) *process {
-	for _, p := range m.procs {
+// process returns the machine's process of a program.
+func (m *machine) process(program string) *process {
+	for _, p := range m.processes {
 		if p.program == program {
 			return p
 		}
 	}
-	panic("floor: " + m.name + " runs no " + program)
+	panic("loopback: " + m.name + " runs no " + program)
+}
+
+// beginFault records a fault of the machine that begins now.
+func (m *machine) beginFault(planned bool) (over func(invariants.Seconds)) {
+	cl := m.cluster
+	return cl.recorder.beginFault(invariants.Fault{
+		Machine: m.name,
+		Core:    m.core,
+		Planned: planned,
+		From:    cl.now(),
+	})
 }
 
-// begin starts all that runs on a machine.
-func (m *machine) begin() error {
-	for _, p := range m.procs {
+// start starts all processes of a machine.
+func (m *machine) start() error {
+	for _, p := range m.processes {
 		if err := p.start(); err != nil {
 			return err
 		}
@@ -227,130 +71,74 @@
 	return nil
 }
 
-// crash kills processes of a machine and starts them again, after what is to be done while they are gone. It counts
-// as trouble till then.
-func (m *machine) crash(procs []*process, meanwhile func()) {
-	m.settling.Lock()
-	defer m.settling.Unlock()
-	over := m.f.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, From: m.f.now()})
-	for _, p := range procs {
+// startAgain starts processes that were ended by a fault, after restartDelay.
+func (m *machine) startAgain(processes []*process) {
+	m.cluster.sleep(restartDelay)
+	for _, p := range processes {
+		p.start()
+	}
+}
+
+// crash kills processes of a machine, calls meanwhile (nil: nothing) while they are gone, and starts them again. The
+// machine counts as faulty until then.
+func (m *machine) crash(processes []*process, meanwhile func()) {
+	m.lifecycle.Lock()
+	defer m.lifecycle.Unlock()
+	over := m.beginFault(false)
+	for _, p := range processes {
 		p.kill()
 	}
 	if meanwhile != nil {
 		meanwhile()
 	}
-	m.f.pause(comeBack)
-	for _, p := range procs {
-		p.start()
-	}
-	over(m.f.now())
+	m.startAgain(processes)
+	over(m.cluster.now())
 }
 
-// roll ends all that runs on a machine with SIGTERM, and starts it again.
-func (m *machine) roll() {
-	m.settling.Lock()
-	defer m.settling.Unlock()
-	over := m.f.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, Planned: true, From: m.f.now()})
+// restart ends all processes of a machine with SIGTERM, and starts them again.
+func (m *machine) restart() {
+	m.lifecycle.Lock()
+	defer m.lifecycle.Unlock()
+	cl := m.cluster
+	over := m.beginFault(true)
 	if !m.core {
-		m.f.recorder.termination(m.name, m.f.now())
+		cl.recorder.termination(m.name, cl.now())
 	}
 	var all sync.WaitGroup
-	for _, p := range m.procs {
+	for _, p := range m.processes {
 		all.Go(func() {
-			if p.quit(m.f.grace()) {
-				m.f.recorder.note("%s on %s did not end within the grace after SIGTERM", p.program, m.name)
+			if p.terminate(cl.gracePeriod()) {
+				p.recordKilled()
 			}
 		})
 	}
 	all.Wait()
-	m.f.pause(comeBack)
-	for _, p := range m.procs {
-		p.start()
-	}
-	over(m.f.now())
+	m.startAgain(m.processes)
+	over(cl.now())
 }
 
-// freeze stops the machine's processes for a while.
-func (m *machine) freeze(span time.Duration) {
-	m.settling.Lock()
-	defer m.settling.Unlock()
-	over := m.f.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, From: m.f.now()})
-	for _, p := range m.procs {
+// suspend stops the machine's processes for a while.
+func (m *machine) suspend(d time.Duration) {
+	m.lifecycle.Lock()
+	defer m.lifecycle.Unlock()
+	over := m.beginFault(false)
+	for _, p := range m.processes {
 		p.signal(unix.SIGSTOP, false)
 	}
-	m.f.hold(span)
-	for _, p := range m.procs {
+	m.cluster.sleepInTraffic(d)
+	for _, p := range m.processes {
 		p.signal(unix.SIGCONT, false)
 	}
-	over(m.f.now())
-}
-
-// cutOff partitions a core node from others for cutFor. From some time on it must say nothing as if it were current:
-// it is asked all along, as servers and operators ask, and what it answers is judged. Meanwhile changes are ordered
-// at all nodes.
-func (m *machine) cutOff(others []*machine, w way) {
-	f := m.f
-	over := f.recorder.beginFault(invariants.Fault{Machine: m.name, Core: true, From: f.now()})
-	heal := f.sever(m, others, w)
-	c := invariants.Partition{Machine: m.name, From: f.now()}
-	until := time.Now().Add(cutFor)
-	answers := map[int]int{}
-	for n := 0; time.Now().Before(until); n++ {
-		answers[m.ask(n)]++
-		if n%4 == 0 {
-			f.change(f.classes[f.intn(len(f.classes))])
-		}
-		if !f.hold(askEach) {
-			break
-		}
-	}
-	c.To = f.now()
-	f.recorder.update(func() { f.recorder.log.Partitions = append(f.recorder.log.Partitions, c) })
-	heal()
-	over(f.now())
-	f.recorder.note("%s, cut off, answered (by status; 0: no acknowledgement): %v", m.name, answers)
-}
-
-// ask asks a core node what it may say only in contact with a majority, each thing in turn, and returns the status;
-// 0: none.
-func (m *machine) ask(n int) int {
-	f := m.f
-	said := invariants.ControlAnswer{Machine: m.name, Began: f.now()}
-	switch n % 4 {
-	case 0:
-		said.Call = "configuration read"
-		said.Status, _ = f.operator.call(http.MethodGet, m, nil, callMost)
-	case 1:
-		said.Call = "order that stands"
-		i := f.tenants[0].item()
-		f.operator.mu.Lock()
-		if known, ok := f.operator.items[i.key()]; ok {
-			i = known
-		}
-		f.operator.mu.Unlock()
-		said.Status, _ = f.operator.call(http.MethodPatch, m, patch([]item{i}), callMost)
-	case 2:
-		said.Call = "order that cannot be read"
-		said.Status, _ = f.operator.call(http.MethodPatch, m, []byte("{"), callMost)
-	case 3:
-		said.Call = "beat"
-		if s := f.serverOf(n); s != nil {
-			if _, _, ok := s.call(m.at(f.ports.control), http.MethodPut, "serving"); ok {
-				said.Status = http.StatusOK
-			}
-		}
-	}
-	said.Done = f.now()
-	f.recorder.update(func() { f.recorder.log.ControlAnswers = append(f.recorder.log.ControlAnswers, said) })
-	return said.Status
+	over(m.cluster.now())
 }
 
-// retire ends what runs on a machine for good.
+// retire ends the processes of a machine for good.
 func (m *machine) retire() {
-	m.settling.Lock()
-	defer m.settling.Unlock()
-	m.f.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, From: m.f.now()})(m.f.now())
-	for _, p := range m.procs {
+	m.lifecycle.Lock()
+	defer m.lifecycle.Unlock()
+	over := m.beginFault(false)
+	over(m.cluster.now())
+	for _, p := range m.processes {
 		p.kill()
 	}
 }
--- a/internal/emulator/testcluster/evaluation.go
+++ b/internal/emulator/testcluster/evaluation.go
@@ -129,12 +129,12 @@
 
 // checkBill compares the bill with what arrived, member by member.
 func (e *evaluation) checkBill() {
-	bill, unmetered, repeats, conflicts := e.cluster.billing.Billed()
-	e.report.Billed, e.report.Unknown = bill.Total()
-	e.report.Unmetered = unmetered
-	e.report.RepeatedBatches, e.report.ConflictingBatches = repeats, conflicts
+	totals := e.cluster.billing.Totals()
+	e.report.Billed, e.report.Unknown = totals.Tally.Total()
+	e.report.Unmetered = totals.Unmetered
+	e.report.RepeatedBatches, e.report.ConflictingBatches = totals.Repeats, totals.Conflicts
 	known, unknown := map[string]int64{}, map[string]int64{}
-	for key, sum := range bill {
+	for key, sum := range totals.Tally {
 		if key.Unknown {
 			unknown[key.Member] += sum.Units
 		} else {
