--- a/internal/emulator/faultnet/fault.go
+++ b/internal/emulator/faultnet/fault.go
@@ -11,25 +11,25 @@
 	Delay time.Duration
 	// Jitter is the upper limit of a further delay, which is uniformly distributed.
 	Jitter time.Duration
-	// Double is the share of the datagrams that arrives twice, from 0 to 1.
-	Double float64
+	// Duplicate is the share of the datagrams that arrives twice, from 0 to 1.
+	Duplicate float64
 	// Reorder is the share of the datagrams and chunks that is delayed so long that others overtake it, from 0 to 1.
 	Reorder float64
 	// Cut stops all: datagrams are lost, streams stay open and carry nothing.
 	Cut bool
-	// Longest is the size of the longest datagram that is not lost, in bytes, as on a path with a small MTU; 0: no
+	// MaxSize is the size of the longest datagram that is not lost, in bytes, as on a path with a small MTU; 0: no
 	// limit.
-	Longest int
+	MaxSize int
 }
 
 // Validate returns a ShareError or ErrNegative if a field is out of its range.
 func (f Fault) Validate() error {
-	for name, share := range map[string]float64{"loss": f.Loss, "double": f.Double, "reorder": f.Reorder} {
+	for name, share := range map[string]float64{"loss": f.Loss, "double": f.Duplicate, "reorder": f.Reorder} {
 		if !(share >= 0 && share <= 1) { // nor NaN
 			return ShareError{name}
 		}
 	}
-	if f.Delay < 0 || f.Jitter < 0 || f.Longest < 0 {
+	if f.Delay < 0 || f.Jitter < 0 || f.MaxSize < 0 {
 		return ErrNegative
 	}
 	return nil
@@ -37,5 +37,5 @@
 
 // losesAll reports whether a datagram of this size is lost in any case.
 func (f Fault) losesAll(size int) bool {
-	return f.Cut || f.Longest > 0 && size > f.Longest
+	return f.Cut || f.MaxSize > 0 && size > f.MaxSize
 }
--- a/internal/emulator/faultnet/links.go
+++ b/internal/emulator/faultnet/links.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Proto is the protocol that a fault is about.
-type Proto uint8
+// Protocol is the protocol that a fault is about.
+type Protocol uint8
 
-// The protocols. Both is only for Links.Set.
+// The protocols. AllProtocols is only for Links.Set.
 const (
-	Datagrams Proto = iota
+	Datagrams Protocol = iota
 	Streams
-	Both
+	AllProtocols
 )
 
-// Any stands for every node in the name of a link.
-const Any = "*"
+// AnyNode stands for every node in the name of a link.
+const AnyNode = "*"
 
 const (
 	// retransmissionDelay is the delay of a chunk of a stream by the loss of a packet.
@@ -31,7 +31,7 @@
 // link is one direction between two nodes.
 type link struct {
 	from, to string
-	protocol Proto
+	protocol Protocol
 }
 
 // Links is the table of links and their faults. It is safe for concurrent use.
@@ -56,13 +56,13 @@
 	}
 }
 
-// Set replaces the fault of a link; the zero Fault heals it. from or to may be Any: the fault of a link by its own name
-// has precedence.
-func (l *Links) Set(from, to string, protocol Proto, fault Fault) {
+// Set replaces the fault of a link; the zero Fault heals it. from or to may be AnyNode: the fault of a link by its own
+// name has precedence.
+func (l *Links) Set(from, to string, protocol Protocol, fault Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, one := range []Proto{Datagrams, Streams} {
-		if protocol != one && protocol != Both {
+	for _, one := range []Protocol{Datagrams, Streams} {
+		if protocol != one && protocol != AllProtocols {
 			continue
 		}
 		if fault == (Fault{}) {
@@ -111,7 +111,7 @@
 		return nil
 	}
 	copies = append(copies, l.delay(fault))
-	if fault.Double > 0 && l.rng.Float64() < fault.Double {
+	if fault.Duplicate > 0 && l.rng.Float64() < fault.Duplicate {
 		copies = append(copies, l.delay(fault))
 	}
 	return copies
@@ -138,9 +138,9 @@
 func (l *Links) fault(of link) Fault {
 	for _, name := range []link{
 		of,
-		{of.from, Any, of.protocol},
-		{Any, of.to, of.protocol},
-		{Any, Any, of.protocol},
+		{of.from, AnyNode, of.protocol},
+		{AnyNode, of.to, of.protocol},
+		{AnyNode, AnyNode, of.protocol},
 	} {
 		if f, ok := l.faults[name]; ok {
 			return f
--- a/internal/emulator/faultnet/relay.go
+++ b/internal/emulator/faultnet/relay.go
@@ -36,8 +36,8 @@
 	closed   bool
 }
 
-// NewRelay listens on loopback for a node, and forwards nothing before Target. caller returns the name of the node that
-// an address belongs to; several goroutines call it. The error is ErrNoPort or one of package net.
+// NewRelay listens on loopback for a node, and forwards nothing before SetTarget. caller returns the name of the node
+// that an address belongs to; several goroutines call it. The error is ErrNoPort or one of package net.
 func NewRelay(node string, links *Links, datagrams bool, caller func(net.Addr) string) (*Relay, error) {
 	r := &Relay{node: node, links: links, caller: caller, conns: map[net.Conn]bool{}}
 	if err := r.listen(datagrams); err != nil {
@@ -75,25 +75,25 @@
 // Addr returns the address at which others reach the node.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Target sets the address at which the node listens from now on; "": it does not.
-func (r *Relay) Target(addr string) {
+// SetTarget sets the address at which the node listens from now on; "": it does not.
+func (r *Relay) SetTarget(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = addr
 }
 
-// As sets the IP address from which streams are forwarded, for nodes that tell callers apart by it.
-func (r *Relay) As(ip string) {
+// SetSourceIP sets the IP address from which streams are forwarded, for nodes that tell callers apart by it.
+func (r *Relay) SetSourceIP(ip string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sourceIP = net.ParseIP(ip)
 }
 
-// Drop closes all open streams, as if their node had gone down.
-func (r *Relay) Drop() {
+// CloseStreams closes all open streams, as if their node had gone down.
+func (r *Relay) CloseStreams() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.closeStreams()
+	r.closeConns()
 }
 
 // Close closes all open streams, and waits until nothing is forwarded any more.
@@ -105,13 +105,13 @@
 	}
 	r.mu.Lock()
 	r.closed = true
-	r.closeStreams()
+	r.closeConns()
 	r.mu.Unlock()
 	r.forwarders.Wait()
 }
 
-// closeStreams closes the connections of all streams. The mutex is held.
-func (r *Relay) closeStreams() {
+// closeConns closes the connections of all streams. The mutex is held.
+func (r *Relay) closeConns() {
 	for conn := range r.conns {
 		conn.Close()
 	}
--- a/internal/emulator/faultnet/relay_test.go
+++ b/internal/emulator/faultnet/relay_test.go
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(relay.Close)
-	relay.Target(target)
+	relay.SetTarget(target)
 	return relay
 }
 
@@ -139,11 +139,11 @@
 	if got := arrivals("complete"); got != 1 {
 		t.Errorf("without a fault: got %d arrivals, want 1", got)
 	}
-	links.Set("a", Any, Datagrams, Fault{Longest: 3})
+	links.Set("a", AnyNode, Datagrams, Fault{MaxSize: 3})
 	if got := arrivals("too long"); got != 0 {
 		t.Errorf("with a limit of their size: got %d arrivals, want 0", got)
 	}
-	links.Set("a", "b", Datagrams, Fault{Double: 1})
+	links.Set("a", "b", Datagrams, Fault{Duplicate: 1})
 	for range 2 {
 		if copies := links.Datagram("a", "b", 9); len(copies) != 2 {
 			t.Errorf("got %d copies of a doubled datagram, want 2", len(copies))
@@ -158,13 +158,13 @@
 		want  error
 	}{
 		{"zero", Fault{}, nil},
-		{"bounds", Fault{Loss: 1, Double: 1, Reorder: 1, Longest: 1}, nil},
+		{"bounds", Fault{Loss: 1, Duplicate: 1, Reorder: 1, MaxSize: 1}, nil},
 		{"loss", Fault{Loss: 1.1}, ShareError{"loss"}},
-		{"double", Fault{Double: -0.1}, ShareError{"double"}},
+		{"double", Fault{Duplicate: -0.1}, ShareError{"double"}},
 		{"reorder", Fault{Reorder: 2}, ShareError{"reorder"}},
 		{"delay", Fault{Delay: -1}, ErrNegative},
 		{"jitter", Fault{Jitter: -1}, ErrNegative},
-		{"longest", Fault{Longest: -1}, ErrNegative},
+		{"longest", Fault{MaxSize: -1}, ErrNegative},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := tc.fault.Validate(); !errors.Is(got, tc.want) {
--- a/internal/emulator/faulttest/actions.go
+++ b/internal/emulator/faulttest/actions.go
@@ -114,7 +114,7 @@
 func (e *environment) setLinks(l LinkFault, fault faultnet.Fault) {
 	for _, from := range l.From {
 		for _, to := range l.To {
-			if from == to && from != faultnet.Any {
+			if from == to && from != faultnet.AnyNode {
 				continue
 			}
 			e.links.Set(from, to, l.Protocol, fault)
--- a/internal/emulator/faulttest/counter.go
+++ b/internal/emulator/faulttest/counter.go
@@ -46,8 +46,8 @@
 		}
 	}
 	for i, n := range e.nodes {
-		n.counterRelay.Target([]string{first, second}[i%2])
-		n.counterRelay.Drop()
+		n.counterRelay.SetTarget([]string{first, second}[i%2])
+		n.counterRelay.CloseStreams()
 	}
 	return nil
 }
--- a/internal/emulator/faulttest/environment.go
+++ b/internal/emulator/faulttest/environment.go
@@ -173,7 +173,7 @@
 	if err != nil {
 		return nil, err
 	}
-	relay.Target(target)
+	relay.SetTarget(target)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.relays = append(e.relays, relay)
@@ -193,7 +193,7 @@
 		if err != nil {
 			return err
 		}
-		relay.As(n.ip)
+		relay.SetSourceIP(n.ip)
 		directory.Update(discovery.Target{
 			UID:      fmt.Sprint("quotes-", i+1),
 			Endpoint: relay.Addr(),
@@ -207,12 +207,12 @@
 	if err != nil {
 		return err
 	}
-	discoveryRelay.As(n.ip)
+	discoveryRelay.SetSourceIP(n.ip)
 	n.discoveryAddr = discoveryRelay.Addr()
 	if n.counterRelay, err = e.addRelay(fakeCounter, false, caller, e.counter.addr()); err != nil {
 		return err
 	}
-	n.counterRelay.As(n.ip) // the counter limits the connections of an address
+	n.counterRelay.SetSourceIP(n.ip) // the counter limits the connections of an address
 	billingRelay, err := e.addRelay(fakeBilling, false, caller, e.billing.Addr())
 	if err != nil {
 		return err
--- a/internal/emulator/faulttest/parse_step.go
+++ b/internal/emulator/faulttest/parse_step.go
@@ -303,7 +303,7 @@
 	}
 	switch block.Protocol {
 	case "":
-		l.Protocol = faultnet.Both
+		l.Protocol = faultnet.AllProtocols
 	case "datagrams":
 		l.Protocol = faultnet.Datagrams
 	case "streams":
@@ -317,18 +317,18 @@
 
 func parseLinkEnds(scenario *Scenario, file *hclfile.File, path string, words []string) ([]string, error) {
 	if words == nil {
-		return []string{faultnet.Any}, nil
+		return []string{faultnet.AnyNode}, nil
 	}
 	return scenario.parseMembers(file, path, words, fakeNames()...)
 }
 
 func parseFault(file *hclfile.File, path string, block *linkBlock) (fault faultnet.Fault, err error) {
 	fault = faultnet.Fault{
-		Loss:    block.Loss,
-		Double:  block.Double,
-		Reorder: block.Reorder,
-		Cut:     block.Cut,
-		Longest: block.Longest,
+		Loss:      block.Loss,
+		Duplicate: block.Double,
+		Reorder:   block.Reorder,
+		Cut:       block.Cut,
+		MaxSize:   block.Longest,
 	}
 	if fault.Delay, err = file.Duration(path+".delay", block.Delay, 0); err != nil {
 		return fault, err
--- a/internal/emulator/faulttest/scenario.go
+++ b/internal/emulator/faulttest/scenario.go
@@ -108,7 +108,7 @@
 type LinkFault struct {
 	From, To      []string
 	Bidirectional bool // the links back have the same fault
-	Protocol      faultnet.Proto
+	Protocol      faultnet.Protocol
 	Fault         faultnet.Fault
 }
 
--- a/internal/emulator/faulttest/scenario_file_test.go
+++ b/internal/emulator/faulttest/scenario_file_test.go
@@ -53,7 +53,7 @@
 					From:          []string{"n1", "n2", "counter"},
 					To:            []string{"n3"},
 					Bidirectional: true,
-					Protocol:      faultnet.Both,
+					Protocol:      faultnet.AllProtocols,
 					Fault:         faultnet.Fault{Loss: 0.5, Delay: 5 * time.Millisecond},
 				},
 			},
--- a/internal/standalone/fleet/gossip/fleet_test.go
+++ b/internal/standalone/fleet/gossip/fleet_test.go
@@ -55,30 +55,30 @@
 	}{
 		{
 			name:     "30% of all messages lost",
-			fault:    func(l *faultnet.Links) { l.Set("*", "*", faultnet.Both, faultnet.Fault{Loss: 0.3}) },
+			fault:    func(l *faultnet.Links) { l.Set("*", "*", faultnet.AllProtocols, faultnet.Fault{Loss: 0.3}) },
 			excluded: noMember,
 			duration: longDuration(2*time.Minute, 10*time.Minute),
 		},
 		{
 			name: "60% lost at one member",
 			fault: func(l *faultnet.Links) {
-				l.Set("*", memberName(4), faultnet.Both, faultnet.Fault{Loss: 0.6})
-				l.Set(memberName(4), "*", faultnet.Both, faultnet.Fault{Loss: 0.6})
+				l.Set("*", memberName(4), faultnet.AllProtocols, faultnet.Fault{Loss: 0.6})
+				l.Set(memberName(4), "*", faultnet.AllProtocols, faultnet.Fault{Loss: 0.6})
 			},
 			excluded: only(4),
 			duration: 30 * time.Second,
 		},
 		{
 			name:     "one link cut in one direction",
-			fault:    func(l *faultnet.Links) { l.Set(memberName(1), memberName(2), faultnet.Both, cut) },
+			fault:    func(l *faultnet.Links) { l.Set(memberName(1), memberName(2), faultnet.AllProtocols, cut) },
 			excluded: noMember,
 			duration: longDuration(30*time.Second, 5*time.Minute),
 		},
 		{
 			name: "one link cut in both directions",
 			fault: func(l *faultnet.Links) {
-				l.Set(memberName(1), memberName(2), faultnet.Both, cut)
-				l.Set(memberName(2), memberName(1), faultnet.Both, cut)
+				l.Set(memberName(1), memberName(2), faultnet.AllProtocols, cut)
+				l.Set(memberName(2), memberName(1), faultnet.AllProtocols, cut)
 			},
 			excluded: noMember,
 			duration: longDuration(30*time.Second, 5*time.Minute),
@@ -87,7 +87,7 @@
 			name: "a ring of links cut in one direction",
 			fault: func(l *faultnet.Links) {
 				for i := range n {
-					l.Set(memberName(i), memberName((i+1)%n), faultnet.Both, cut)
+					l.Set(memberName(i), memberName((i+1)%n), faultnet.AllProtocols, cut)
 				}
 			},
 			excluded: noMember,
@@ -105,7 +105,7 @@
 		{
 			name: "only small packets pass",
 			fault: func(l *faultnet.Links) {
-				l.Set(memberName(1), memberName(2), faultnet.Both, faultnet.Fault{Longest: 200})
+				l.Set(memberName(1), memberName(2), faultnet.AllProtocols, faultnet.Fault{MaxSize: 200})
 			},
 			excluded: noMember,
 			duration: 20 * time.Second,
@@ -113,11 +113,11 @@
 		{
 			name: "duplicated, reordered and late",
 			fault: func(l *faultnet.Links) {
-				l.Set("*", "*", faultnet.Both, faultnet.Fault{
-					Double:  0.3,
-					Reorder: 0.3,
-					Delay:   20 * time.Millisecond,
-					Jitter:  40 * time.Millisecond,
+				l.Set("*", "*", faultnet.AllProtocols, faultnet.Fault{
+					Duplicate: 0.3,
+					Reorder:   0.3,
+					Delay:     20 * time.Millisecond,
+					Jitter:    40 * time.Millisecond,
 				})
 			},
 			excluded: noMember,
--- a/internal/standalone/fleet/gossip/testfleet_test.go
+++ b/internal/standalone/fleet/gossip/testfleet_test.go
@@ -163,7 +163,7 @@
 	for i := range tf.members {
 		for j := range tf.members {
 			if isCut(i, j) {
-				tf.network.Links.Set(memberName(i), memberName(j), faultnet.Both, faultnet.Fault{Cut: true})
+				tf.network.Links.Set(memberName(i), memberName(j), faultnet.AllProtocols, faultnet.Fault{Cut: true})
 			}
 		}
 	}
