--- a/internal/cluster/registry/instance.go
+++ b/internal/cluster/registry/instance.go
@@ -38,15 +38,15 @@
 
 // Instance is one incarnation of a server.
 type Instance struct {
-	ID         string  `cbor:"1,keyasint"`
-	Service    string  `cbor:"2,keyasint,omitempty"`
-	Address    string  `cbor:"3,keyasint,omitempty"`
-	Zone       string  `cbor:"4,keyasint,omitempty"`
-	Generation string  `cbor:"5,keyasint,omitempty"`
-	Capacity   int     `cbor:"6,keyasint,omitempty"` // requests at a time
-	Phase      Phase   `cbor:"7,keyasint,omitempty"`
-	Seq        uint64  `cbor:"8,keyasint,omitempty"` // number of the server's call that reported this
-	ColdUntil  Seconds `cbor:"9,keyasint,omitempty"` // end of its slow start, on the common clock; 0: it is warm
+	ID             string  `cbor:"1,keyasint"`
+	Service        string  `cbor:"2,keyasint,omitempty"`
+	Address        string  `cbor:"3,keyasint,omitempty"`
+	Zone           string  `cbor:"4,keyasint,omitempty"`
+	Generation     string  `cbor:"5,keyasint,omitempty"`
+	Capacity       int     `cbor:"6,keyasint,omitempty"` // requests at a time
+	Phase          Phase   `cbor:"7,keyasint,omitempty"`
+	Seq            uint64  `cbor:"8,keyasint,omitempty"` // number of the server's call that reported this
+	SlowStartUntil Seconds `cbor:"9,keyasint,omitempty"` // end of its slow start, on the common clock; 0: none
 }
 
 // Supersedes reports whether an instance takes the place of another version with the same ID: Gone always, else the
@@ -61,7 +61,7 @@
 // DiffersFrom reports whether an instance differs from another version in what matters to a process that sends
 // requests. A further heartbeat that reports the same does not.
 func (i Instance) DiffersFrom(old Instance) bool {
-	i.Seq, i.ColdUntil = old.Seq, old.ColdUntil
+	i.Seq, i.SlowStartUntil = old.Seq, old.SlowStartUntil
 	return i != old
 }
 
@@ -73,7 +73,7 @@
 		}
 	}
 	return i.ID != "" && i.Capacity >= 0 && i.Capacity <= maxCapacity && i.Phase <= Gone &&
-		!math.IsNaN(i.ColdUntil) && !math.IsInf(i.ColdUntil, 0)
+		!math.IsNaN(i.SlowStartUntil) && !math.IsInf(i.SlowStartUntil, 0)
 }
 
 // Heartbeat is a call of a server, as control nodes exchange it.
--- a/internal/cluster/replication/digests_test.go
+++ b/internal/cluster/replication/digests_test.go
@@ -32,7 +32,7 @@
 		put(itemBucket(item.Key), fmt.Sprint(item.Key), item)
 	}
 	for _, instance := range changes.Instances {
-		instance.Seq, instance.ColdUntil = 0, 0
+		instance.Seq, instance.SlowStartUntil = 0, 0
 		put(instanceBucket(instance.ID), instance.ID, instance)
 	}
 	return all
--- a/internal/cluster/transport/golden_test.go
+++ b/internal/cluster/transport/golden_test.go
@@ -43,7 +43,7 @@
 		{
 			ID: "server-1", Service: "s", Address: "10.1.0.1:80", Zone: "a", Generation: "g", Capacity: 3,
 			Phase: registry.Silent,
-			Seq:   9, ColdUntil: 12.25,
+			Seq:   9, SlowStartUntil: 12.25,
 		},
 		{ID: "server-2"},
 	}
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -27,7 +27,7 @@
 		Key: configuration.Key{Kind: configuration.Routes, Name: "r"}, Version: 7, Body: []byte(`{}`),
 	}}
 	change := consensus.Proposal{Ballot: ballot, Epoch: 4, Items: items}
-	instances := []registry.Instance{{ID: "i", Phase: registry.Draining, ColdUntil: 2.5}}
+	instances := []registry.Instance{{ID: "i", Phase: registry.Draining, SlowStartUntil: 2.5}}
 	frames = []*Frame{
 		{Hello: &Hello{Node: "n", Class: "agent", Incarnation: 1<<64 - 1, Instances: instances}},
 		{Update: &Update{
--- a/internal/control/httpapi/bodies_test.go
+++ b/internal/control/httpapi/bodies_test.go
@@ -66,10 +66,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if left := got.ColdUntil - clock.Now(); math.Abs(left-1.5) > 1e-6 {
+	if left := got.SlowStartUntil - clock.Now(); math.Abs(left-1.5) > 1e-6 {
 		t.Errorf("got %v s of slow start, want 1.5", left)
 	}
-	if got.ColdUntil = 0; got != want {
+	if got.SlowStartUntil = 0; got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	for _, test := range []struct{ name, id, body, want string }{
--- a/internal/control/httpapi/instances.go
+++ b/internal/control/httpapi/instances.go
@@ -31,12 +31,12 @@
 	Observed struct {
 		Phase       string  `json:"phase"` // "serving" or "draining"
 		CallSeq     uint64  `json:"callSeq"`
-		SlowStartMs float64 `json:"coldLeftMs"` // until the instance is warm, in milliseconds
+		SlowStartMs float64 `json:"coldLeftMs"` // until its slow start ends, in milliseconds
 	} `json:"observed"`
 }
 
-// parseInstance reads and checks a server's heartbeat. Clock is the common clock of the control
-// nodes.
+// parseInstance reads and checks a server's heartbeat. Clock is the common clock of the control nodes. "Call" in the
+// names of this protocol is a heartbeat or a DELETE of a server; calls of operators are named as such.
 func parseInstance(id string, body []byte, clock *replication.Clock) (registry.Instance, error) {
 	var none registry.Instance
 	if id == "" || len(id) > maxIDLength {
@@ -73,7 +73,7 @@
 		return none, badRequest("capacity: out of bounds")
 	}
 	if slowStart := b.Observed.SlowStartMs / millisecondsPerSec; slowStart > 0 {
-		instance.ColdUntil = clock.Now() + min(slowStart, maxSlowStart)
+		instance.SlowStartUntil = clock.Now() + min(slowStart, maxSlowStart)
 	}
 	if !instance.Valid() {
 		return none, badRequest("not a proper line")
--- a/internal/proxy/control_feed.go
+++ b/internal/proxy/control_feed.go
@@ -175,8 +175,8 @@
 			Serving: instance.Phase == registry.Serving,
 			Size:    float64(instance.Capacity),
 		}
-		if instance.ColdUntil > 0 && !math.IsInf(instance.ColdUntil, 0) {
-			backend.StartedAt = instance.ColdUntil - slowStartTime
+		if instance.SlowStartUntil > 0 && !math.IsInf(instance.SlowStartUntil, 0) {
+			backend.StartedAt = instance.SlowStartUntil - slowStartTime
 		}
 		list = append(list, backend)
 	}
