--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -11,7 +11,7 @@
 //	httpapi       HTTP calls of servers and operators
 //	connlimit     limits on connections
 //	majority      the lease on contact with a majority
-//	proposals     the queue that leads changes to a decision
+//	proposals     the queue that has changes chosen by the voters
 //	peers         connections to the other control nodes
 //	replica       this node's replica of the configuration, and its vote
 //	storage       its disk
--- a/internal/control/httpapi/call.go
+++ b/internal/control/httpapi/call.go
@@ -40,7 +40,7 @@
 // serveCall admits a call, reads its body, has it handled and returns the answer.
 func (s *Server) serveCall(e endpoint, w http.ResponseWriter, r *http.Request) reply {
 	c := &call{Server: s, endpoint: e, response: w, request: r, controller: http.NewResponseController(w)}
-	bodyLimit, err := c.admit()
+	readTimeout, err := c.admit()
 	if err != nil {
 		return c.reject(err)
 	}
@@ -49,7 +49,7 @@
 		return c.reject(err)
 	}
 	defer release()
-	body, err := c.readBody(bodyLimit)
+	body, err := c.readBody(readTimeout)
 	if err != nil {
 		return c.reject(err)
 	}
@@ -65,8 +65,8 @@
 	return errorReply(err)
 }
 
-// admit decides by the header of a call. It returns how long the body of a server's call may take.
-func (c *call) admit() (bodyLimit time.Duration, err error) {
+// admit admits or rejects a call by its header. It returns how long reading the body of a server's call may take.
+func (c *call) admit() (readTimeout time.Duration, err error) {
 	if c.request.ContentLength > c.endpoint.maxBody {
 		return 0, ErrBodyTooLong
 	}
--- a/internal/control/httpapi/config.go
+++ b/internal/control/httpapi/config.go
@@ -14,7 +14,7 @@
 	shortPatch     = 100                    // items
 )
 
-// patchConfig has the items of a patch chosen.
+// patchConfig has the items of a patch chosen by the voters. It answers 200 once they are on a majority of disks.
 func (s *Server) patchConfig(r *http.Request, body []byte) (reply, error) {
 	items, err := configuration.ReadPatch(body)
 	if err != nil {
--- a/internal/control/httpapi/server.go
+++ b/internal/control/httpapi/server.go
@@ -26,7 +26,7 @@
 	maxLargeBodies    = 2 // large bodies that are read or handled at once
 )
 
-// Proposals leads changes of the configuration to a decision (proposals.Queue).
+// Proposals has changes of the configuration chosen by the voters (proposals.Queue).
 type Proposals interface {
 	Change(ctx context.Context, items []configuration.Item, timeout time.Duration) error
 	Read(timeout time.Duration) error
--- a/internal/control/proposals/doc.go
+++ b/internal/control/proposals/doc.go
@@ -1,5 +1,5 @@
-// Package proposals queues changes of the configuration at the control node that received them, and leads them
-// to a decision.
+// Package proposals queues changes of the configuration at the control node that received them, and has them chosen by
+// the voters. There is no leader: several nodes may do so at once, and the ballots of package consensus order them.
 //
 // Queue runs a consensus.Proposer, one run after the other, in one goroutine: it carries out the proposer's
 // actions (queue.go has the queue, run.go a run, rounds.go the messages to voters, compose.go the choice of what
--- a/internal/control/proposals/queue.go
+++ b/internal/control/proposals/queue.go
@@ -82,14 +82,15 @@
 // event is an answer to a request of a proposer, applied by the queue's goroutine.
 type event func(*consensus.Proposer) consensus.Action
 
-// Queue leads changes and reads to their ends.
+// Queue runs changes and reads through consensus, one run after the other. No node is a leader: each runs the changes
+// that it received, and competes with the others by ballots.
 type Queue struct {
 	options Options
 	log     log.Logger
 	replica *replica.Replica
 	events  chan event
 	wake    chan struct{}
-	chosen  atomic.Int64 // changes that this node led to a decision
+	chosen  atomic.Int64 // proposals of this node that were chosen, or that it completed for another
 
 	mu               sync.Mutex // guards the fields below
 	changes          []*pendingChange
@@ -182,7 +183,7 @@
 	return len(q.changes)
 }
 
-// Chosen is the number of changes that this node led to a decision.
+// Chosen is the number of proposals that this node had chosen, those that it completed for another included.
 func (q *Queue) Chosen() int64 { return q.chosen.Load() }
 
 // takeChanges removes up to limit changes from the queue, and drops abandoned ones.
@@ -208,7 +209,7 @@
 	return readers, requested
 }
 
-// Run leads what is submitted until the context ends.
+// Run has what is submitted chosen, until the context ends.
 func (q *Queue) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -222,28 +223,28 @@
 		case <-q.wake:
 		}
 		for more := true; more && ctx.Err() == nil; {
-			more = q.leadNext(ctx)
+			more = q.runPending(ctx)
 		}
 	}
 }
 
-// leadNext leads the changes that wait, and then the reads. It returns false if there was nothing to lead.
-func (q *Queue) leadNext(ctx context.Context) (more bool) {
+// runPending runs the changes that wait, and then the reads. It returns false if there were none.
+func (q *Queue) runPending(ctx context.Context) (more bool) {
 	if changes := q.takeChanges(maxBatchCalls); len(changes) > 0 {
 		more = true
-		_ = q.lead(ctx, changes) // those that wait have been answered
+		_ = q.runProposer(ctx, changes) // those that wait have been answered
 	}
 	if readers, requested := q.takeReaders(); requested {
 		more = true
-		q.leadRead(ctx, readers)
+		q.runRead(ctx, readers)
 	}
 	return more
 }
 
-// leadRead confirms the snapshot, and answers the reads.
-func (q *Queue) leadRead(ctx context.Context, readers []chan error) {
+// runRead confirms the snapshot by a read of the voters, and answers the calls of Read.
+func (q *Queue) runRead(ctx context.Context, readers []chan error) {
 	term, held := q.options.Lease.Current()
-	err := q.lead(ctx, nil)
+	err := q.runProposer(ctx, nil)
 	if err != nil || !held {
 		term = 0
 	}
--- a/internal/control/proposals/run.go
+++ b/internal/control/proposals/run.go
@@ -25,8 +25,8 @@
 	lostRounds int
 }
 
-// lead leads one run to its end: of changes, or of a read if there are none.
-func (q *Queue) lead(ctx context.Context, changes []*pendingChange) error {
+// runProposer runs the proposer once, until it is done or given up: with changes, or as a read if there are none.
+func (q *Queue) runProposer(ctx context.Context, changes []*pendingChange) error {
 	if !q.ensureProposer() {
 		for _, c := range changes {
 			c.answer(ErrNoMajority)
@@ -90,7 +90,7 @@
 	return consensus.Action{}, wait, false
 }
 
-// await feeds answers to the proposer until one of them, or the end of the wait, leads to the next action.
+// await feeds answers to the proposer until one of them, or the end of the wait, results in the next action.
 func (r *run) await(
 	ctx context.Context, action consensus.Action, wait time.Duration,
 ) (next consensus.Action, err error) {
