--- a/internal/standalone/fleet/leaseservice/announcer.go
+++ b/internal/standalone/fleet/leaseservice/announcer.go
@@ -115,7 +115,7 @@
 		case <-ticker.C:
 			a.handle(revisionlog.Tick{
 				LivePeers:   a.options.LivePeers(),
-				LeaseHolder: a.service.LeaseHolder(RoleCatalogue),
+				LeaseHolder: a.service.RoleHolder(RoleCatalogue),
 			})
 		}
 	}
@@ -215,7 +215,7 @@
 	entries, lastToken := a.log.Entries()
 	status := AnnouncerStatus{LastToken: lastToken, Rejected: a.log.Rejected()}
 	a.mu.Unlock()
-	status.Holder = a.service.LeaseHolder(RoleCatalogue)
+	status.Holder = a.service.RoleHolder(RoleCatalogue)
 	for _, e := range entries {
 		e.Text = nil
 		status.Entries = append(status.Entries, e)
--- a/internal/standalone/fleet/leaseservice/export.go
+++ b/internal/standalone/fleet/leaseservice/export.go
@@ -126,7 +126,7 @@
 	if err != nil {
 		return nil, err
 	}
-	leaseHolder := s.LeaseHolder(RoleExport)
+	leaseHolder := s.RoleHolder(RoleExport)
 	if leaseHolder == "" {
 		return nil, errNoLeaseHolder
 	}
--- a/internal/standalone/fleet/leaseservice/messages.go
+++ b/internal/standalone/fleet/leaseservice/messages.go
@@ -88,7 +88,7 @@
 
 // responseReceived handles a response of the leader. The caller holds s.mu.
 func (s *Service) responseReceived(r singleton.AcquireResponse) {
-	for _, status := range r.Grants {
+	for _, status := range r.Statuses {
 		s.roleStatus[status.Role] = status
 	}
 	s.stepLeaseHolder(singleton.ResponseReceived{Response: r})
--- a/internal/standalone/fleet/leaseservice/roles.go
+++ b/internal/standalone/fleet/leaseservice/roles.go
@@ -15,8 +15,8 @@
 const (
 	// reacquireDelay is after how long an ingress whose work of a role failed requests the role again.
 	reacquireDelay = 10 * time.Second
-	// workEndTimeout is how long Resign waits for the work of a role. Work that goes on has its token rejected before
-	// long.
+	// workEndTimeout is how long Resign waits for the work of a role. Work that goes on after that can do no harm: its
+	// token is not valid here any more, and receivers reject it once they have seen a newer one.
 	workEndTimeout = time.Second
 )
 
@@ -56,11 +56,12 @@
 	s.acquireAll()
 }
 
-// Resign gives all roles up, until Rejoin. It waits for their work to end, and the voters were sent one request to
-// release them.
+// Resign gives all roles up, until Rejoin. It first sends the voters one request to release them, so that another
+// ingress may be granted them at once, and then waits for the work of each to end, for workEndTimeout at most. No token
+// of theirs is valid from the start of Resign.
 func (s *Service) Resign() {
 	s.mu.Lock()
-	s.drained = true
+	s.resigned = true
 	ended := s.resignAll()
 	s.mu.Unlock()
 	for _, e := range ended {
@@ -75,13 +76,13 @@
 func (s *Service) Rejoin() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drained = false
+	s.resigned = false
 	s.acquireAll()
 }
 
 // acquireAll requests all roles. The caller holds s.mu.
 func (s *Service) acquireAll() {
-	if s.drained || s.recordFailed {
+	if s.resigned || s.recordFailed {
 		return
 	}
 	for _, name := range s.roleNames() {
--- a/internal/standalone/fleet/leaseservice/service.go
+++ b/internal/standalone/fleet/leaseservice/service.go
@@ -49,7 +49,7 @@
 	roles       map[string]*role
 	roleStatus  map[string]singleton.RoleStatus // by role, of the last response
 	lastTick    time.Duration                   // since startedAt
-	drained     bool                            // no role is requested, see Resign
+	resigned    bool                            // no role is requested, see Resign
 	stopped     bool
 
 	recordFailed    bool          // the record cannot be stored: no role is requested
@@ -195,8 +195,8 @@
 	return s.leaseHolder.FencingToken(s.now(), role)
 }
 
-// LeaseHolder returns the name of the ingress that holds a role, as far as is known here; empty: none.
-func (s *Service) LeaseHolder(role string) string {
+// RoleHolder returns the name of the ingress that holds a role, as far as is known here; empty: none.
+func (s *Service) RoleHolder(role string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.roleStatus[role].Holder
--- a/internal/standalone/fleet/quorum/ready.go
+++ b/internal/standalone/fleet/quorum/ready.go
@@ -12,7 +12,7 @@
 	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
-// handleReady does what raft wants, in its order: store, then send, then apply.
+// handleReady carries out raft's Ready in the order that it requires: store, then send, then apply.
 func (v *Voter) handleReady(now singleton.Seconds) {
 	for v.node != nil && v.node.HasReady() {
 		ready := v.node.Ready()
@@ -39,7 +39,8 @@
 	}
 }
 
-// storeReady makes durable what raft wants stored. It reports false where the voter must not go on.
+// storeReady makes the entries, the hard state and the snapshot of a Ready durable. It reports false where the voter
+// must not go on.
 func (v *Voter) storeReady(ready raft.Ready) bool {
 	batch := Batch{Entries: ready.Entries}
 	if !raft.IsEmptyHardState(ready.HardState) {
--- a/internal/standalone/fleet/quorum/simulation_checks_test.go
+++ b/internal/standalone/fleet/quorum/simulation_checks_test.go
@@ -69,7 +69,7 @@
 func (s *simulation) recordConfirmations(m *machine, r singleton.AcquireResponse) {
 	key := requestKey(m, r.ID)
 	sentAt, waiting := s.requestSentAt[key]
-	for _, status := range r.Grants {
+	for _, status := range r.Statuses {
 		if !waiting || !status.Confirmed {
 			continue
 		}
--- a/internal/standalone/fleet/quorum/voter.go
+++ b/internal/standalone/fleet/quorum/voter.go
@@ -208,7 +208,7 @@
 	return v.step(now, func() { v.stepManager(now, singleton.Transfer{Role: role, To: to}) })
 }
 
-// step runs do, and then what raft wants of it. raft panics where a log was rolled back: the voter retires.
+// step runs do, and then handles raft's Ready. raft panics where a log was rolled back: the voter retires.
 func (v *Voter) step(now singleton.Seconds, do func()) (output Output) {
 	v.output, v.steppedAt = Output{}, now
 	defer func() {
--- a/internal/standalone/fleet/singleton/encoding_test.go
+++ b/internal/standalone/fleet/singleton/encoding_test.go
@@ -22,7 +22,7 @@
 			{Role: "export", Release: true},
 		}}},
 		{"acquire_request_minimal", AcquireRequest{From: holder, ID: 1, Roles: []RoleRequest{{Role: "export"}}}},
-		{"acquire_response", AcquireResponse{ID: 9, Grants: []RoleStatus{
+		{"acquire_response", AcquireResponse{ID: 9, Statuses: []RoleStatus{
 			{Role: "export", Token: 8, Confirmed: true, StepDown: true, Holder: "n1", IsHolder: true},
 			{Role: "catalogue"},
 		}}},
--- a/internal/standalone/fleet/singleton/lease_holder.go
+++ b/internal/standalone/fleet/singleton/lease_holder.go
@@ -37,7 +37,7 @@
 func (StallDetected) leaseHolderEvent()    {}
 func (LeaseHolderTick) leaseHolderEvent()  {}
 
-// LeaseHolderAction is what the LeaseHolder wants done.
+// LeaseHolderAction is what the user of a LeaseHolder is to do.
 type LeaseHolderAction interface{ leaseHolderAction() }
 
 // Actions of the LeaseHolder.
@@ -74,7 +74,8 @@
 	resigned      bool    // it is not requested again
 }
 
-// LeaseHolder is the part of each ingress: it requests roles and renews its leases.
+// LeaseHolder is the part of each ingress, of those that hold no role too: it requests roles and renews its leases. The
+// holder of a role is the ingress whose LeaseHolder has its lease.
 type LeaseHolder struct {
 	self          Identity
 	zone          string
@@ -187,7 +188,7 @@
 	if mutants.On("singleton/lease-from-answer") {
 		sentAt = now
 	}
-	for _, status := range r.Grants {
+	for _, status := range r.Statuses {
 		if lease := lh.roles[status.Role]; lease != nil {
 			actions = append(actions, lh.applyStatus(now, sentAt, lease, status)...)
 		}
--- a/internal/standalone/fleet/singleton/lease_holder_test.go
+++ b/internal/standalone/fleet/singleton/lease_holder_test.go
@@ -12,7 +12,7 @@
 	holder := NewLeaseHolder(n1, "a")
 	respond := func(now Seconds, id, token uint64, confirmed bool) {
 		status := RoleStatus{Role: "d", Token: token, Confirmed: confirmed, IsHolder: true, Holder: "n1"}
-		holder.Step(now, ResponseReceived{AcquireResponse{ID: id, Grants: []RoleStatus{status}}})
+		holder.Step(now, ResponseReceived{AcquireResponse{ID: id, Statuses: []RoleStatus{status}}})
 	}
 	checkActing := func(now Seconds, when string, want bool) error {
 		if _, got := holder.FencingToken(now, "d"); got != want {
--- a/internal/standalone/fleet/singleton/lease_manager.go
+++ b/internal/standalone/fleet/singleton/lease_manager.go
@@ -35,7 +35,7 @@
 func (CommandApplied) managerEvent()   {}
 func (ManagerTick) managerEvent()      {}
 
-// ManagerAction is what the LeaseManager wants done.
+// ManagerAction is what the user of a LeaseManager is to do.
 type ManagerAction interface{ managerAction() }
 
 // Actions of the LeaseManager.
@@ -155,22 +155,22 @@
 		return nil
 	}
 	pending := pendingRequest{request: r, receivedAt: now}
-	for _, wanted := range r.Roles {
-		lease := lm.table.Leases[wanted.Role]
-		holds := lease.Holder == r.From && lease.Token == wanted.Token && wanted.Token != 0
-		command := Command{Role: wanted.Role, Token: wanted.Token, To: r.From}
+	for _, requested := range r.Roles {
+		lease := lm.table.Leases[requested.Role]
+		holds := lease.Holder == r.From && lease.Token == requested.Token && requested.Token != 0
+		command := Command{Role: requested.Role, Token: requested.Token, To: r.From}
 		switch {
-		case holds && wanted.Release:
+		case holds && requested.Release:
 			command.Kind = Release
 			actions = append(actions, Propose{command})
-		case wanted.Release:
-			lm.candidates[wanted.Role] = removeCandidate(lm.candidates[wanted.Role], r.From)
+		case requested.Release:
+			lm.candidates[requested.Role] = removeCandidate(lm.candidates[requested.Role], r.From)
 		case holds:
 			command.Kind = Renew
 			actions = append(actions, Propose{command})
 			pending.renewalsLeft++
 		case lease.Holder != r.From: // else it does not know of its grant yet, and its next request confirms the lease
-			lm.enqueue(now, r, wanted)
+			lm.enqueue(now, r, requested)
 		}
 	}
 	if pending.renewalsLeft > 0 && !mutants.On("singleton/renewal-unagreed") {
@@ -181,8 +181,8 @@
 }
 
 // enqueue makes the sender of a request a candidate for a role.
-func (lm *LeaseManager) enqueue(now Seconds, r AcquireRequest, wanted RoleRequest) {
-	role := wanted.Role
+func (lm *LeaseManager) enqueue(now Seconds, r AcquireRequest, requested RoleRequest) {
+	role := requested.Role
 	if role == "" || len(role) > maxNameLength {
 		return
 	}
@@ -191,24 +191,24 @@
 	}
 	added := candidate{identity: r.From, zone: r.Zone, load: r.Load, requestedAt: now}
 	lm.candidates[role] = upsertCandidate(lm.candidates[role], added)
-	lm.preferredZone[role] = wanted.PreferredZone
+	lm.preferredZone[role] = requested.PreferredZone
 }
 
 // response answers a request from the table as it is now.
 func (lm *LeaseManager) response(r AcquireRequest) Reply {
 	reply := Reply{To: r.From, Response: AcquireResponse{ID: r.ID}}
-	for _, wanted := range r.Roles {
-		lease := lm.table.Leases[wanted.Role]
-		status := RoleStatus{Role: wanted.Role, Token: lease.Token, Holder: lease.Holder.Name}
+	for _, requested := range r.Roles {
+		lease := lm.table.Leases[requested.Role]
+		status := RoleStatus{Role: requested.Role, Token: lease.Token, Holder: lease.Holder.Name}
 		if lease.Holder == r.From {
 			status.IsHolder = true
 			// Confirmed means that the lease was renewed after the request. A grant that the sender learns of by this
 			// response is not confirmed: its lease counts from a request that names the token.
-			status.Confirmed = wanted.Token == lease.Token || mutants.On("singleton/grant-is-lease")
-			next, transferred := lm.transferTo[wanted.Role]
+			status.Confirmed = requested.Token == lease.Token || mutants.On("singleton/grant-is-lease")
+			next, transferred := lm.transferTo[requested.Role]
 			status.StepDown = transferred && next != r.From.Name
 		}
-		reply.Response.Grants = append(reply.Response.Grants, status)
+		reply.Response.Statuses = append(reply.Response.Statuses, status)
 	}
 	return reply
 }
--- a/internal/standalone/fleet/singleton/lease_manager_test.go
+++ b/internal/standalone/fleet/singleton/lease_manager_test.go
@@ -80,8 +80,8 @@
 	request := AcquireRequest{From: n1, ID: 9, Roles: []RoleRequest{{Role: "d"}}}
 	actions := d.manager.Step(1, RequestReceived{request})
 	want := []ManagerAction{Reply{To: n1, Response: AcquireResponse{
-		ID:     9,
-		Grants: []RoleStatus{{Role: "d", Token: 1, Holder: "n1", IsHolder: true}},
+		ID:       9,
+		Statuses: []RoleStatus{{Role: "d", Token: 1, Holder: "n1", IsHolder: true}},
 	}}}
 	if diff := cmp.Diff(want, actions); diff != "" {
 		return fmt.Errorf("response to a request without the token of its grant (-want +got):\n%s", diff)
--- a/internal/standalone/fleet/singleton/messages.go
+++ b/internal/standalone/fleet/singleton/messages.go
@@ -17,10 +17,10 @@
 	PreferredZone string `cbor:"4,keyasint,omitempty"` // of the role's holder
 }
 
-// AcquireResponse is the leader's response to an AcquireRequest.
+// AcquireResponse is the leader's response to an AcquireRequest: the status of each role that it names, granted or not.
 type AcquireResponse struct {
-	ID     uint64       `cbor:"1,keyasint"` // of the request
-	Grants []RoleStatus `cbor:"2,keyasint"`
+	ID       uint64       `cbor:"1,keyasint"` // of the request
+	Statuses []RoleStatus `cbor:"2,keyasint"`
 }
 
 // RoleStatus is one role of a response.
