--- a/internal/control/proposals/run.go
+++ b/internal/control/proposals/run.go
@@ -9,10 +9,14 @@
 )
 
 const (
-	backgroundRunTimeout = time.Second           // for a run without an operator's deadline
-	foreignRoundWait     = 40 * time.Millisecond // that a round waits for another node's round, on average
-	firstRoundFactor     = 2                     // times as long, before the first round: a proposer that has lost some goes first
-	maxWaitDivisor       = 4
+	// backgroundRunTimeout is the time for a run without an operator's deadline.
+	backgroundRunTimeout = time.Second
+	// foreignRoundWait is how long a round waits for another node's round, on average.
+	foreignRoundWait = 40 * time.Millisecond
+	// firstRoundFactor is how many times as long the first round waits, so that a proposer that has lost some goes first.
+	firstRoundFactor = 2
+	// maxWaitDivisor bounds how much less a proposer waits that has lost rounds.
+	maxWaitDivisor = 4
 )
 
 // run is one run of the proposer, from its start until it is done or given up.
--- a/internal/standalone/fleet/leaseservice/doc.go
+++ b/internal/standalone/fleet/leaseservice/doc.go
@@ -10,8 +10,8 @@
 // A role is handed over in one of four ways. By Resign (SIGTERM, LAMEDUCK) the holder releases it at once. By an
 // operator's transfer the leader's next response tells the holder to step down; its work ends, and only then it
 // releases. Work that fails resigns the role for reacquireDelay. A holder that is silent is expired by the leader, once
-// its lease has ended even by a clock that runs slow by singleton.MaxClockDrift. In each case the leader then grants the
-// role, under a new fencing token, to the first candidate.
+// its lease has ended even by a clock that runs slow by singleton.MaxClockDrift. In each case the leader then grants
+// the role, under a new fencing token, to the first candidate.
 //
 // The package imports the other packages of the fleet and no other of standalone. encoding_test.go holds the formats
 // of its messages and records; what the processes do together is tested by fault tests (cmd/mulleinrouter,
