--- a/internal/cluster/registry/registry.go
+++ b/internal/cluster/registry/registry.go
@@ -22,22 +22,22 @@
 // Registry is the failure detector of a control node. Every method takes the time, which never goes back, and its cost
 // depends on what changes, not on the number of instances. Calls must be serialized.
 type Registry struct {
-	heartbeatInterval Seconds
-	entries           map[string]*entry
-	phases            [Gone + 1]queue // by phase, the one longest without a call (or longest in that phase) first
-	heartbeats        queue           // instances with heartbeats received here, the oldest heartbeat first
-	lastNumber        uint64          // of the heartbeats received here
+	heartbeatInterval   Seconds
+	entries             map[string]*entry
+	phases              [Gone + 1]queue // by phase, the one longest without a call (or longest in that phase) first
+	heartbeats          queue           // instances with heartbeats received here, the oldest heartbeat first
+	lastHeartbeatNumber uint64          // of the heartbeats received here
 
 	hasQuorum   bool
 	quorumSince Seconds // of a quorum without interruption
 	lastCheck   Seconds // the last DetectSilent
 	checked     bool    // there was one
 
-	overdue        int     // serving instances that have timed out: the first so many of their queue
-	cursor         *entry  // the first serving instance that is not overdue
-	massTimeout    bool    // more than half timed out together: nobody is judged
-	callsResumed   bool    // calls have come since the mass timeout began
-	callsResumedAt Seconds // the first of them
+	overdue         int     // serving instances that have timed out: the first so many of their queue
+	firstNotOverdue *entry  // the first serving instance that is not overdue
+	massTimeout     bool    // more than half timed out together: nobody is judged
+	callsResumed    bool    // calls have come since the mass timeout began
+	callsResumedAt  Seconds // the first of them
 }
 
 // New makes a registry of servers that call once in so many seconds.
@@ -216,16 +216,16 @@
 	if e.heartbeatNumber != 0 {
 		r.heartbeats.remove(e)
 	}
-	r.lastNumber++
-	e.heartbeatNumber = r.lastNumber
+	r.lastHeartbeatNumber++
+	e.heartbeatNumber = r.lastHeartbeatNumber
 	r.heartbeats.push(e)
 }
 
 // enqueue puts an entry into the queue of its phase.
 func (r *Registry) enqueue(e *entry) {
 	r.phases[e.instance.Phase].push(e)
-	if e.instance.Phase == Serving && r.cursor == nil {
-		r.cursor = e
+	if e.instance.Phase == Serving && r.firstNotOverdue == nil {
+		r.firstNotOverdue = e
 	}
 }
 
@@ -235,8 +235,8 @@
 		e.overdue = false
 		r.overdue--
 	}
-	if r.cursor == e {
-		r.cursor = e.phaseLinks.next
+	if r.firstNotOverdue == e {
+		r.firstNotOverdue = e.phaseLinks.next
 	}
 	r.phases[e.instance.Phase].remove(e)
 }
--- a/internal/cluster/registry/silence.go
+++ b/internal/cluster/registry/silence.go
@@ -39,12 +39,12 @@
 	return detected
 }
 
-// countOverdue moves the cursor over the serving instances that have timed out.
+// countOverdue counts the serving instances that have timed out, and moves firstNotOverdue behind them.
 func (r *Registry) countOverdue(now, timeout Seconds) {
-	for r.cursor != nil && now-r.cursor.lastSeenAt >= timeout {
-		r.cursor.overdue = true
+	for r.firstNotOverdue != nil && now-r.firstNotOverdue.lastSeenAt >= timeout {
+		r.firstNotOverdue.overdue = true
 		r.overdue++
-		r.cursor = r.cursor.phaseLinks.next
+		r.firstNotOverdue = r.firstNotOverdue.phaseLinks.next
 	}
 }
 
--- a/internal/cluster/replication/feed.go
+++ b/internal/cluster/replication/feed.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	batchDelay        = 2 * time.Millisecond   // changes that come closer together go in one update
-	heartbeatInterval = 400 * time.Millisecond // the least time between two updates that carry heartbeats
-	maxHeartbeats     = 2048                   // heartbeats in one update
+	batchDelay             = 2 * time.Millisecond   // changes that come closer together go in one update
+	heartbeatBatchInterval = 400 * time.Millisecond // the least time between two updates that carry heartbeats
+	maxHeartbeats          = 2048                   // heartbeats in one update
 )
 
 // feed is the sending side of one subscription: what the subscriber has been sent so far.
@@ -48,7 +48,7 @@
 
 // run sends updates until the connection ends. It wakes up for changes and each half second.
 func (f *feed) run() {
-	timer := time.NewTimer(transport.HeartbeatInterval)
+	timer := time.NewTimer(transport.KeepaliveInterval)
 	defer timer.Stop()
 	for {
 		changed := f.source.Store.Changed()
@@ -69,7 +69,7 @@
 		if more {
 			continue
 		}
-		if !wait(timer, transport.HeartbeatInterval, changed, f.conn.Done()) {
+		if !wait(timer, transport.KeepaliveInterval, changed, f.conn.Done()) {
 			return
 		}
 		if left := batchDelay - time.Since(builtAt); left > 0 && !wait(timer, left, nil, f.conn.Done()) {
@@ -113,7 +113,7 @@
 	}
 	builtAt = time.Now()
 	more = !update.Complete
-	if f.sendsHeartbeats && builtAt.Sub(f.lastHeartbeatsAt) >= heartbeatInterval {
+	if f.sendsHeartbeats && builtAt.Sub(f.lastHeartbeatsAt) >= heartbeatBatchInterval {
 		update.Heartbeats, f.heartbeatNumber = s.Heartbeats(f.heartbeatNumber)
 		if len(update.Heartbeats) < maxHeartbeats {
 			f.lastHeartbeatsAt = builtAt
--- a/internal/cluster/replication/source.go
+++ b/internal/cluster/replication/source.go
@@ -45,9 +45,9 @@
 	cache chunkCache
 }
 
-// Serve sends a subscriber what it lacks, changes as they come and a heartbeat each half second, and takes its frames
-// until the connection ends; it returns the cause. Calls, and other frames that are no matter of the subscription, go
-// to handle (see transport.Conn.Run); with a nil handle they are ignored.
+// Serve sends a subscriber what it lacks, changes as they come and an empty update each half second, and takes its
+// frames until the connection ends; it returns the cause. Calls, and other frames that are no matter of the
+// subscription, go to handle (see transport.Conn.Run); with a nil handle they are ignored.
 func (s *Source) Serve(
 	conn *transport.Conn, hello *transport.Hello, handle func(*transport.Frame) *transport.Frame,
 ) error {
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -33,7 +33,7 @@
 	Zones       map[string]string // region of each zone
 
 	HeartbeatInterval float64         // between two calls of a server
-	Clauses           map[string]bool // parts of the rules that are in force
+	Clauses           map[string]bool // names of the clauses of the operators' RULES in force
 	Tolerance         Tolerance
 	Bounds            Bounds
 }
--- a/internal/cluster/transport/conn.go
+++ b/internal/cluster/transport/conn.go
@@ -13,7 +13,7 @@
 
 // Times of a connection.
 const (
-	HeartbeatInterval = 500 * time.Millisecond  // each side sends something at least this often
+	KeepaliveInterval = 500 * time.Millisecond  // each side sends something at least this often
 	IdleTimeout       = 2 * time.Second         // without a byte received for this long, a connection ends
 	WriteTimeout      = 1500 * time.Millisecond // a single write that takes longer ends the connection
 )
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -51,7 +51,7 @@
 	Digests []byte `cbor:"20,keyasint,omitempty"`
 }
 
-// Update is changes of a source; without any, it is a heartbeat.
+// Update is changes of a source; without any, it keeps the connection alive.
 type Update struct {
 	Incarnation uint64               `cbor:"1,keyasint"`           // of the source
 	Seq         uint64               `cbor:"2,keyasint"`           // of the last change that is in it
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -293,7 +293,7 @@
 	return ready, behind
 }
 
-const maxReadyWhileLagging = catchup.MaxLag + transport.HeartbeatInterval + 2*watchInterval
+const maxReadyWhileLagging = catchup.MaxLag + transport.KeepaliveInterval + 2*watchInterval
 
 func TestNotReadyWhileLagging(t *testing.T) {
 	ready, behind := measureLagging(t)
