--- a/internal/cluster/consensus/doc.go
+++ b/internal/cluster/consensus/doc.go
@@ -7,7 +7,7 @@
 // are therefore never both chosen: each is validated against the snapshot that it builds on. The set of voters is
 // part of the configuration, see Electorate.
 //
-// Acceptor is the state of a voter (acceptor.go), Proposer the state machine that leads a change (proposer.go,
+// Acceptor is the state of a voter (acceptor.go), Proposer the state machine that has one chosen (proposer.go,
 // round.go, with its requests to the caller in action.go), ComposeProposal the choice of what goes into one
 // (compose.go). Messages between nodes are in messages.go, the set of voters in electorate.go.
 //
--- a/internal/control/instances/registry.go
+++ b/internal/control/instances/registry.go
@@ -19,14 +19,14 @@
 	overheadBytes = 64   // of an instance in a frame, beside its strings
 )
 
-// Registry is the server instances known to this node. The store holds of each instance what the registry holds;
-// only differences are written to it.
+// Registry is the server instances known to this node, with the failure detector (a registry.Registry) that judges
+// them. The store holds of each instance what the detector holds; only differences are written to it.
 type Registry struct {
 	store *replication.Store
 	now   func() registry.Seconds // since the process started
 
 	mu                sync.Mutex // guards the fields below
-	registry          *registry.Registry
+	detector          *registry.Registry
 	acknowledgedPhase map[string]registry.Phase // by id: the phase that is known to be on enough disks
 	persisted         mapset.Set[string]        // ids that are on this node's disk, or queued for it
 	dirty             map[string]struct{}       // ids of instances changed since they were last queued for the disk
@@ -38,7 +38,7 @@
 	return &Registry{
 		store:             store,
 		now:               now,
-		registry:          registry.New(heartbeatInterval),
+		detector:          registry.New(heartbeatInterval),
 		acknowledgedPhase: map[string]registry.Phase{},
 		persisted:         mapset.NewThreadUnsafeSet[string](),
 		dirty:             map[string]struct{}{},
@@ -63,7 +63,7 @@
 	defer r.mu.Unlock()
 	var batch storage.Batch
 	for id := range r.dirty {
-		if instance, ok := r.registry.Get(id); ok {
+		if instance, ok := r.detector.Get(id); ok {
 			batch.Instances = append(batch.Instances, instance)
 			r.persisted.Add(id)
 		}
@@ -82,14 +82,14 @@
 func (r *Registry) Heartbeat(instance registry.Instance) (merged registry.Instance, acknowledged bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if old, ok := r.registry.Get(instance.ID); ok && instance.Address == "" {
+	if old, ok := r.detector.Get(instance.ID); ok && instance.Address == "" {
 		instance.Service = old.Service
 		instance.Address = old.Address
 		instance.Zone = old.Zone
 		instance.Generation = old.Generation
 		instance.Capacity = old.Capacity
 	}
-	merged, changed := r.registry.RecordHeartbeat(r.now(), instance)
+	merged, changed := r.detector.RecordHeartbeat(r.now(), instance)
 	if changed {
 		r.publish(merged)
 	}
@@ -101,7 +101,7 @@
 func (r *Registry) Depart(id string) (merged registry.Instance, acknowledged bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	merged, changed := r.registry.RecordDeparture(r.now(), id)
+	merged, changed := r.detector.RecordDeparture(r.now(), id)
 	if changed {
 		r.publish(merged)
 	}
@@ -112,7 +112,7 @@
 func (r *Registry) Acknowledge(instance registry.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, ok := r.registry.Get(instance.ID); ok {
+	if _, ok := r.detector.Get(instance.ID); ok {
 		r.acknowledgedPhase[instance.ID] = max(r.acknowledgedPhase[instance.ID], instance.Phase)
 	}
 }
@@ -124,7 +124,7 @@
 	defer r.mu.Unlock()
 	var batch storage.Batch
 	for _, id := range ids {
-		if instance, ok := r.registry.Get(id); ok && instance.Phase >= registry.Draining {
+		if instance, ok := r.detector.Get(id); ok && instance.Phase >= registry.Draining {
 			batch.Instances = append(batch.Instances, instance)
 			r.persisted.Add(id)
 		}
@@ -139,7 +139,7 @@
 func (r *Registry) Merge(instances []registry.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.publish(r.registry.Merge(r.now(), instances)...)
+	r.publish(r.detector.Merge(r.now(), instances)...)
 }
 
 // MergeRemoteHeartbeats merges heartbeats that another control node received.
@@ -150,7 +150,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, h := range heartbeats {
-		if instance, changed := r.registry.RecordRemoteHeartbeat(r.now(), h.ID, h.Seq); changed {
+		if instance, changed := r.detector.RecordRemoteHeartbeat(r.now(), h.ID, h.Seq); changed {
 			r.publish(instance)
 		}
 	}
@@ -176,7 +176,7 @@
 		if id <= after {
 			continue
 		}
-		if instance, ok := r.registry.Get(id); ok && instance.Phase >= registry.Draining {
+		if instance, ok := r.detector.Get(id); ok && instance.Phase >= registry.Draining {
 			page = append(page, instance)
 		}
 	}
@@ -199,14 +199,14 @@
 func (r *Registry) HeartbeatsSince(since uint64) ([]transport.Heartbeat, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.registry.HeartbeatsSince(since, maxHeartbeats)
+	return r.detector.HeartbeatsSince(since, maxHeartbeats)
 }
 
 // QuorumLost records that contact with a majority was lost, though it may be back: silence until now is no evidence.
 func (r *Registry) QuorumLost() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.registry.SetQuorum(r.now(), false)
+	r.detector.SetQuorum(r.now(), false)
 }
 
 // DetectSilent returns the instances that have become silent or gone by now.
@@ -214,8 +214,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	r.registry.SetQuorum(now, quorum)
-	changed := r.registry.DetectSilent(now)
+	r.detector.SetQuorum(now, quorum)
+	changed := r.detector.DetectSilent(now)
 	r.publish(changed...)
 	return changed
 }
@@ -224,7 +224,7 @@
 func (r *Registry) Expire(disk *storage.Store) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	expired := r.registry.Expire(r.now())
+	expired := r.detector.Expire(r.now())
 	if len(expired) == 0 {
 		return
 	}
--- a/internal/dataplane/attempt/dispatcher.go
+++ b/internal/dataplane/attempt/dispatcher.go
@@ -127,8 +127,8 @@
 // ConsumeBody records that a part of a request's body has been read that cannot be read again.
 func (d *Dispatcher[H]) ConsumeBody(q *Request[H]) { q.machine.ConsumeBody() }
 
-// ShouldAbandon reports whether the attempt in flight, which is slow, is to be given up. One that could not be made
-// again is not.
+// ShouldAbandon reports whether the attempt in flight, which is slow, is to be given up for another; the phase
+// Abandoned has nothing to do with it. One that could not be made again is not.
 func (d *Dispatcher[H]) ShouldAbandon(now decision.Seconds, q *Request[H]) bool {
 	if q.phase() != InFlight || q.machine.AtMostOnce || q.machine.bodyConsumed {
 		return false
@@ -253,7 +253,7 @@
 // once is finished for a client that has disconnected, where the settings say so.
 func (d *Dispatcher[H]) cancel(a decision.Cancel) {
 	q := d.pending[a.ID]
-	if q == nil || !q.machine.MayHaveRun() || a.Attempt != q.lastAttempt() {
+	if q == nil || !q.machine.MayHaveExecuted() || a.Attempt != q.lastAttempt() {
 		return
 	}
 	if d.finishNonIdempotent && q.machine.AtMostOnce && q.phase() == Abandoned {
--- a/internal/dataplane/attempt/errors.go
+++ b/internal/dataplane/attempt/errors.go
@@ -9,8 +9,8 @@
 	ErrPhase = errors.New("not in this phase")
 	// ErrTooManyAttempts is an attempt beyond Machine.MaxAttempts.
 	ErrTooManyAttempts = errors.New("attempt limit reached")
-	// ErrMayHaveRun is a retry of a request that may have run and must run at most once.
-	ErrMayHaveRun = errors.New("may have run and must run at most once")
+	// ErrMayHaveExecuted is a retry of a request that may have run and must run at most once.
+	ErrMayHaveExecuted = errors.New("may have run and must run at most once")
 	// ErrBodyConsumed is a retry of a request whose body cannot be read again.
 	ErrBodyConsumed = errors.New("body already consumed")
 	// ErrUnsafeReject is a rejection, which invites the client to retry, of a request that may have run and must run at
--- a/internal/dataplane/attempt/machine.go
+++ b/internal/dataplane/attempt/machine.go
@@ -14,7 +14,7 @@
 const (
 	Waiting   Phase = iota // the decision module has it; no attempt is in flight
 	InFlight               // an attempt is in flight, or has been decided on
-	Abandoned              // the client has disconnected, and an attempt is still in flight
+	Abandoned              // the client has abandoned it, and an attempt is still in flight
 	Finished               // the final decision has been made
 )
 
@@ -28,10 +28,10 @@
 	NoClientRetry bool // a retry by its client might run too: once it may have run, it is not rejected
 	MaxAttempts   int  // 0: one
 
-	phase        Phase
-	attempts     int
-	mayHaveRun   bool // an attempt that has ended may have run, or may yet
-	bodyConsumed bool // a part of its body has been read that cannot be read again
+	phase           Phase
+	attempts        int
+	mayHaveExecuted bool // an attempt that has ended may have run, or may yet
+	bodyConsumed    bool // a part of its body has been read that cannot be read again
 }
 
 // Phase returns the phase.
@@ -40,9 +40,9 @@
 // Attempts returns the number of attempts that have been decided on.
 func (m *Machine) Attempts() int { return m.attempts }
 
-// MayHaveRun reports whether an attempt may have run, or may yet, as far as is known.
-func (m *Machine) MayHaveRun() bool {
-	return m.mayHaveRun || m.phase == InFlight || m.phase == Abandoned
+// MayHaveExecuted reports whether a server may have executed an attempt, or may yet, as far as is known.
+func (m *Machine) MayHaveExecuted() bool {
+	return m.mayHaveExecuted || m.phase == InFlight || m.phase == Abandoned
 }
 
 // ConsumeBody records that a part of the body has been read that cannot be read again: the attempt in flight is the
@@ -61,8 +61,8 @@
 		return fmt.Errorf("send after %d attempts: %w", m.attempts, ErrTooManyAttempts)
 	case m.bodyConsumed:
 		return fmt.Errorf("send: %w", ErrBodyConsumed)
-	case m.AtMostOnce && m.mayHaveRun:
-		return fmt.Errorf("send: %w", ErrMayHaveRun)
+	case m.AtMostOnce && m.mayHaveExecuted:
+		return fmt.Errorf("send: %w", ErrMayHaveExecuted)
 	}
 	m.phase = InFlight
 	m.attempts++
@@ -75,7 +75,7 @@
 	if m.phase != InFlight && m.phase != Abandoned {
 		return false, fmt.Errorf("attempt ended while %v: %w", m.phase, ErrPhase)
 	}
-	m.mayHaveRun = m.mayHaveRun || !outcome.ProvesNotExecuted()
+	m.mayHaveExecuted = m.mayHaveExecuted || !outcome.ProvesNotExecuted()
 	if m.phase == Abandoned && !mutants.On("attempt/deserted-waits") || outcome == decision.Succeeded {
 		m.phase = Finished
 		return true, nil
@@ -89,7 +89,7 @@
 	if m.phase != Waiting {
 		return fmt.Errorf("reject while %v: %w", m.phase, ErrPhase)
 	}
-	if m.NoClientRetry && m.mayHaveRun {
+	if m.NoClientRetry && m.mayHaveExecuted {
 		return ErrUnsafeReject
 	}
 	m.phase = Finished
--- a/internal/dataplane/upstream/answer.go
+++ b/internal/dataplane/upstream/answer.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// newAnswer returns what the state machine needs of an answer. Its status stands for the meaning.
+// newAnswer returns what the state machine of the connection needs of an answer: see upstreamconn.Answer.
 func newAnswer(head *http1.Response, meaning AnswerMeaning) upstreamconn.Answer {
 	a := upstreamconn.Answer{Status: head.Status, NotProcessed: meaning == NotExecuted, Close: head.Close}
 	switch meaning {
--- a/internal/dataplane/upstreamconn/verdict.go
+++ b/internal/dataplane/upstreamconn/verdict.go
@@ -16,10 +16,12 @@
 	Malformed                     // what the server sent is no answer in the protocol
 )
 
-// Answer is what the head of a server's answer says.
+// Answer is what the head of a server's answer says, in the protocol of the ingress in service. Package upstream
+// translates other dialects to it (upstream.AnswerMeaning): a Status of 200 stands for any answer that serves the
+// request, and 503 with NotProcessed for any proof that nothing was executed.
 type Answer struct {
 	Status        int
-	NotProcessed  bool // X-Not-Processed: 1
+	NotProcessed  bool // X-Not-Processed: 1; of the system X-Not-Executed, or 421
 	Close         bool // the server closes the connection with it
 	TrailingBytes bool // bytes followed it that answer nothing
 }
