--- a/internal/emulator/modelcheck/config.go
+++ b/internal/emulator/modelcheck/config.go
@@ -2,69 +2,180 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 )
 
-// Config is the small world that an exploration begins in.
+// Config is the world that an exploration begins in. The zero value has no server, and is of no use.
 type Config struct {
-	Send    [2]bool // the class of each request: may not run twice
-	Two     bool    // two requests at once
-	Servers int     // 1 or 2
-	Kept    bool    // a connection to the first server has been used before
-	Sparse  bool    // the member's requests ask the counter
-	Full    bool    // one connection at the most
-	Dials   bool    // new connections take their time to come up
-	Long    bool    // the first request's body goes up as it comes
-	// servers send what nobody asked for, and long answers; a request that is not held takes its time to go out
-	Odd bool
+	AtMostOnce     [2]bool // whether each request is non-idempotent
+	TwoRequests    bool    // whether two requests are submitted at once
+	Servers        int     // 1 or 2
+	IdleConnection bool    // a connection to the first server has been used before
+	Sparse         bool    // the customer's slice is so small that requests are admitted by the quota counter
+	OneConnection  bool    // the pool opens one connection at most
+	SlowDials      bool    // events may happen while a connection is being opened
+	StreamedBody   bool    // the first request's body is uploaded while the client sends it
+	// OddServers send answers to other requests, answers that name no request, and streamed ones. A request whose last
+	// byte is not delayed is written in a step of its own.
+	OddServers bool
 }
 
-// String is a config in words, as traces have it.
+// The text form of a config, in traces.
+const (
+	secondRequestPrefix     = "and-" // before the class of the second request
+	serversPrefix           = "servers="
+	conditionIdleConnection = "kept"
+	conditionSparse         = "thin"
+	conditionOneConnection  = "full"
+	conditionSlowDials      = "dials"
+	conditionStreamedBody   = "long"
+	conditionOddServers     = "odd"
+)
+
+// configFlag is the text form of one flag of a config.
+type configFlag struct {
+	name string
+	set  *bool
+}
+
+// flags returns the flags of a config, in the order of its text form.
+func (c *Config) flags() []configFlag {
+	return []configFlag{
+		{conditionIdleConnection, &c.IdleConnection},
+		{conditionSparse, &c.Sparse},
+		{conditionOneConnection, &c.OneConnection},
+		{conditionSlowDials, &c.SlowDials},
+		{conditionStreamedBody, &c.StreamedBody},
+		{conditionOddServers, &c.OddServers},
+	}
+}
+
+// className returns the class of a request.
+func className(atMostOnce bool) string {
+	if atMostOnce {
+		return classSend
+	}
+	return classRead
+}
+
+// String returns the text form of a config, which ParseConfig reads.
 func (c Config) String() string {
-	words := []string{map[bool]string{false: "read", true: "send"}[c.Send[0]]}
-	if c.Two {
-		words = append(words, "and-"+map[bool]string{false: "read", true: "send"}[c.Send[1]])
+	conditions := []string{className(c.AtMostOnce[0])}
+	if c.TwoRequests {
+		conditions = append(conditions, secondRequestPrefix+className(c.AtMostOnce[1]))
 	}
-	words = append(words, fmt.Sprintf("servers=%d", c.Servers))
-	for _, f := range []struct {
-		is   bool
-		word string
-	}{{c.Kept, "kept"}, {c.Sparse, "thin"}, {c.Full, "full"}, {c.Dials, "dials"}, {c.Long, "long"}, {c.Odd, "odd"}} {
-		if f.is {
-			words = append(words, f.word)
+	conditions = append(conditions, fmt.Sprint(serversPrefix, c.Servers))
+	for _, flag := range c.flags() {
+		if *flag.set {
+			conditions = append(conditions, flag.name)
 		}
 	}
-	return strings.Join(words, " ")
+	return strings.Join(conditions, " ")
 }
 
-// ParseConfig reads a config's words.
-func ParseConfig(text string) (c Config, err error) {
-	for i, word := range strings.Fields(text) {
+// ParseConfig reads the text form of a config. Its errors are UnknownConditionError and ErrServerCount.
+func ParseConfig(text string) (Config, error) {
+	var c Config
+	flags := c.flags()
+	for i, condition := range strings.Fields(text) {
+		flag := slices.IndexFunc(flags, func(f configFlag) bool { return f.name == condition })
 		switch {
-		case i == 0 && (word == "read" || word == "send"):
-			c.Send[0] = word == "send"
-		case word == "and-read" || word == "and-send":
-			c.Two, c.Send[1] = true, word == "and-send"
-		case word == "servers=1" || word == "servers=2":
-			c.Servers = int(word[len(word)-1] - '0')
-		case word == "kept":
-			c.Kept = true
-		case word == "thin":
-			c.Sparse = true
-		case word == "full":
-			c.Full = true
-		case word == "dials":
-			c.Dials = true
-		case word == "long":
-			c.Long = true
-		case word == "odd":
-			c.Odd = true
+		case i == 0 && (condition == classRead || condition == classSend):
+			c.AtMostOnce[0] = condition == classSend
+		case condition == secondRequestPrefix+classRead || condition == secondRequestPrefix+classSend:
+			c.TwoRequests = true
+			c.AtMostOnce[1] = condition == secondRequestPrefix+classSend
+		case condition == serversPrefix+"1":
+			c.Servers = 1
+		case condition == serversPrefix+"2":
+			c.Servers = 2
+		case flag >= 0:
+			*flags[flag].set = true
 		default:
-			return c, fmt.Errorf("no world has %q", word)
+			return c, UnknownConditionError{condition}
 		}
 	}
 	if c.Servers == 0 {
-		return c, fmt.Errorf("a world needs servers=1 or servers=2")
+		return c, ErrServerCount
 	}
 	return c, nil
 }
+
+// Configs returns the worlds that are explored by default.
+func Configs() []Config {
+	var all []Config
+	for _, servers := range serverCounts {
+		all = append(all, basicConfigs(servers)...)
+	}
+	for _, servers := range serverCounts {
+		for _, atMostOnce := range bothWays {
+			for _, idle := range bothWays {
+				c := oneRequest(servers, atMostOnce)
+				c.IdleConnection, c.StreamedBody = idle, true
+				all = append(all, c)
+			}
+		}
+	}
+	for _, servers := range serverCounts {
+		for _, atMostOnce := range bothWays {
+			c := oneRequest(servers, atMostOnce)
+			c.IdleConnection, c.OddServers = true, true
+			all = append(all, c)
+		}
+	}
+	all = append(all, Config{
+		Servers:       1,
+		TwoRequests:   true,
+		AtMostOnce:    [2]bool{false, true},
+		OneConnection: true,
+		OddServers:    true,
+	})
+	for _, servers := range serverCounts {
+		for _, atMostOnce := range bothWays {
+			c := oneRequest(servers, atMostOnce)
+			c.SlowDials = true
+			all = append(all, c)
+		}
+	}
+	return all
+}
+
+var (
+	serverCounts = []int{1, 2}
+	bothWays     = []bool{false, true}
+)
+
+func oneRequest(servers int, atMostOnce bool) Config {
+	return Config{Servers: servers, AtMostOnce: [2]bool{atMostOnce}}
+}
+
+// basicConfigs returns the worlds of one or two requests with each combination of IdleConnection, Sparse and
+// OneConnection. Two requests at once share the pool and the dispatcher, whatever the customer's slice: they are not
+// combined with Sparse.
+func basicConfigs(servers int) []Config {
+	var all []Config
+	for bits := range 8 {
+		base := Config{
+			Servers:        servers,
+			IdleConnection: bits&1 != 0,
+			Sparse:         bits&2 != 0,
+			OneConnection:  bits&4 != 0,
+		}
+		for _, atMostOnce := range bothWays {
+			c := base
+			c.AtMostOnce[0] = atMostOnce
+			all = append(all, c)
+		}
+		if base.Sparse {
+			continue
+		}
+		for _, atMostOnce := range [][2]bool{{false, true}, {true, true}} {
+			c := base
+			c.TwoRequests = true
+			c.AtMostOnce = atMostOnce
+			all = append(all, c)
+		}
+	}
+	return all
+}
