--- a/cmd/control/members.go
+++ b/cmd/control/members.go
@@ -105,8 +105,8 @@
 	case m.Up:
 		state = "up"
 	}
-	if m.LastHeardSeconds >= 0 {
-		heard = fmt.Sprintf("%.1f s ago", m.LastHeardSeconds)
+	if m.LastContactSeconds >= 0 {
+		heard = fmt.Sprintf("%.1f s ago", m.LastContactSeconds)
 	}
 	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", role, m.Addr, m.Zone, state, m.EpochsBehind, heard)
 }
--- a/internal/control/httpapi/members.go
+++ b/internal/control/httpapi/members.go
@@ -21,12 +21,12 @@
 
 // Member is a control node as another sees it.
 type Member struct {
-	Addr             string  `json:"at"` // control address
-	Zone             string  `json:"zone,omitempty"`
-	Disk             string  `json:"disk,omitempty"`  // of a voter: the disk that holds its vote, in hexadecimal
-	LastHeardSeconds float64 `json:"heardSecondsAgo"` // -1: never
-	EpochsBehind     uint64  `json:"behind"`          // the node that answers
-	Up               bool    `json:"up"`              // it is connected and has answered recently
+	Addr               string  `json:"at"` // control address
+	Zone               string  `json:"zone,omitempty"`
+	Disk               string  `json:"disk,omitempty"`  // of a voter: the disk that holds its vote, in hexadecimal
+	LastContactSeconds float64 `json:"heardSecondsAgo"` // since its last update, or its answer to a ping; -1: never
+	EpochsBehind       uint64  `json:"behind"`          // the node that answers
+	Up                 bool    `json:"up"`              // it is connected and has answered recently
 	// DiskReplaced tells that the node that answers is listed with a disk that it has lost.
 	DiskReplaced bool `json:"otherDisk,omitempty"`
 	Self         bool `json:"thisControl,omitempty"` // the node that answers
--- a/internal/control/httpapi/view.go
+++ b/internal/control/httpapi/view.go
@@ -37,7 +37,7 @@
 // PeerView is another control node as this one sees it.
 type PeerView struct {
 	ControlAddr        string  `json:"at"`
-	LastHeardSeconds   float64 `json:"heardSecondsAgo"`    // -1: never
+	LastContactSeconds float64 `json:"heardSecondsAgo"`    // since its last update; -1: never
 	AnsweredSecondsAgo float64 `json:"answeredSecondsAgo"` // by when it was sent; -1: no request was
 	Epoch              uint64  `json:"epoch"`
 	Ready              bool    `json:"ready"`
--- a/internal/control/proposals/run.go
+++ b/internal/control/proposals/run.go
@@ -13,7 +13,7 @@
 	backgroundRunTimeout = time.Second
 	// foreignRoundWait is how long a round waits for another node's round, on average.
 	foreignRoundWait = 40 * time.Millisecond
-	// firstRoundFactor is how many times as long the first round waits, so that a proposer that has lost some goes first.
+	// firstRoundFactor is how many times as long the first round waits: a proposer that has lost some goes first.
 	firstRoundFactor = 2
 	// maxWaitDivisor bounds how much less a proposer waits that has lost rounds.
 	maxWaitDivisor = 4
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -59,7 +59,7 @@
 		}
 		views = append(views, httpapi.PeerView{
 			ControlAddr:        p.Addr,
-			LastHeardSeconds:   lastContact,
+			LastContactSeconds: lastContact,
 			AnsweredSecondsAgo: max(-1, n.majority.Age(p.Addr).Seconds()),
 			Epoch:              state.Epoch,
 			Ready:              state.Ready,
@@ -92,9 +92,9 @@
 
 // member is a control node as this one sees it beside a configuration of an epoch, for GET /members.
 func (n *Node) member(addr string, epoch uint64) httpapi.Member {
-	m := httpapi.Member{Addr: addr, Zone: n.electorate.Zone(addr), LastHeardSeconds: -1}
+	m := httpapi.Member{Addr: addr, Zone: n.electorate.Zone(addr), LastContactSeconds: -1}
 	if addr == n.self {
-		m.Self, m.Up, m.LastHeardSeconds = true, true, 0
+		m.Self, m.Up, m.LastContactSeconds = true, true, 0
 		return m
 	}
 	p := n.peers.Find(addr)
@@ -103,13 +103,13 @@
 	}
 	state := p.State()
 	if state.Incarnation != 0 {
-		m.LastHeardSeconds = max(0, time.Since(state.LastUpdateAt).Seconds())
+		m.LastContactSeconds = max(0, time.Since(state.LastUpdateAt).Seconds())
 	}
 	// Voters are also pinged.
-	if age := n.majority.Age(addr).Seconds(); age >= 0 && (m.LastHeardSeconds < 0 || age < m.LastHeardSeconds) {
-		m.LastHeardSeconds = age
+	if age := n.majority.Age(addr).Seconds(); age >= 0 && (m.LastContactSeconds < 0 || age < m.LastContactSeconds) {
+		m.LastContactSeconds = age
 	}
-	m.Up = p.Connected() && m.LastHeardSeconds >= 0 && m.LastHeardSeconds <= majority.TTL.Seconds()
+	m.Up = p.Connected() && m.LastContactSeconds >= 0 && m.LastContactSeconds <= majority.TTL.Seconds()
 	m.EpochsBehind = epoch - min(epoch, state.Epoch)
 	return m
 }
