--- a/internal/control/proposals/run.go
+++ b/internal/control/proposals/run.go
@@ -9,10 +9,14 @@
 )
 
 const (
-	backgroundRunTimeout = time.Second           // for a run without an operator's deadline
-	foreignRoundWait     = 40 * time.Millisecond // that a round waits for another node's round, on average
-	firstRoundFactor     = 2                     // times as long, before the first round: a proposer that has lost some goes first
-	maxWaitDivisor       = 4
+	// backgroundRunTimeout is the time for a run without an operator's deadline.
+	backgroundRunTimeout = time.Second
+	// foreignRoundWait is how long a round waits for another node's round, on average.
+	foreignRoundWait = 40 * time.Millisecond
+	// firstRoundFactor is how many times as long the first round waits: a proposer that has lost some goes first.
+	firstRoundFactor = 2
+	// maxWaitDivisor bounds how much less a proposer waits that has lost rounds.
+	maxWaitDivisor = 4
 )
 
 // run is one run of the proposer, from its start until it is done or given up.
@@ -25,8 +29,8 @@
 	lostRounds int
 }
 
-// lead leads one run to its end: of changes, or of a read if there are none.
-func (q *Queue) lead(ctx context.Context, changes []*pendingChange) error {
+// runProposer runs the proposer once, until it is done or given up: with changes, or as a read if there are none.
+func (q *Queue) runProposer(ctx context.Context, changes []*pendingChange) error {
 	if !q.ensureProposer() {
 		for _, c := range changes {
 			c.answer(ErrNoMajority)
@@ -90,7 +94,7 @@
 	return consensus.Action{}, wait, false
 }
 
-// await feeds answers to the proposer until one of them, or the end of the wait, leads to the next action.
+// await feeds answers to the proposer until one of them, or the end of the wait, results in the next action.
 func (r *run) await(
 	ctx context.Context, action consensus.Action, wait time.Duration,
 ) (next consensus.Action, err error) {
