--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -5,8 +5,9 @@
 //   - exchange: recorded exchanges of bytes, played over sockets;
 //   - fakes: fakes of the quote servers, the service discovery and billing;
 //   - faultnet: a network with fault injection;
+//   - procstat: what a process has used, by /proc;
 //   - testcluster: several ingresses as processes among fakes, under load;
-//   - faulttest: fault tests of a fleet of ingresses by scripted timelines;
+//   - faulttest: fault tests of a fleet of ingresses by scripted scenarios;
 //   - modelcheck: exhaustive search over the request and connection state machines.
 //
 // For the system:
--- /dev/null
+++ b/internal/emulator/procstat/errors.go
@@ -0,0 +1,6 @@
+package procstat
+
+import "errors"
+
+// ErrIncomplete is returned if the kernel's statistics of a process lack the value.
+var ErrIncomplete = errors.New("the statistics of the process are incomplete")
--- a/internal/emulator/testcluster/errors.go
+++ b/internal/emulator/testcluster/errors.go
@@ -7,13 +7,8 @@
 	"strings"
 )
 
-var (
-	// ErrInvalidOptions is returned by Run for options that describe no cluster or no load.
-	ErrInvalidOptions = errors.New("rig: one ingress, two members, some seconds and some load at least")
-
-	// ErrNoProcessorTime is returned by Process.CPU if the kernel's statistics of the process are incomplete.
-	ErrNoProcessorTime = errors.New("rig: no processor time is told")
-)
+// ErrInvalidOptions is returned by Run for options that describe no cluster or no load.
+var ErrInvalidOptions = errors.New("rig: one ingress, two members, some seconds and some load at least")
 
 // ExitError says that a process ended before it was ready.
 type ExitError struct {
--- a/internal/emulator/testcluster/process.go
+++ b/internal/emulator/testcluster/process.go
@@ -7,13 +7,14 @@
 	"io"
 	"os"
 	"os/exec"
-	"strconv"
 	"strings"
 	"sync"
 	"syscall"
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"mulleinrouter/internal/emulator/procstat"
 )
 
 const (
@@ -163,33 +164,13 @@
 	return nil
 }
 
-// The fields of /proc/PID/stat after the name, and their unit (proc(5); the unit is USER_HZ, 100 on Linux).
-const (
-	statUserTime  = 11
-	statFieldsMin = statUserTime + 2 // the system time follows
-	clockTick     = 10 * time.Millisecond
-)
-
 // CPU returns the processor time that the process has used, of user and system.
 func (p *Process) CPU() (time.Duration, error) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
+	cpu, err := procstat.CPU(p.cmd.Process.Pid)
 	if err != nil {
 		return 0, fmt.Errorf("rig: %w", err)
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // the name before it may contain blanks
-	fields := strings.Fields(rest)
-	if len(fields) < statFieldsMin {
-		return 0, ErrNoProcessorTime
-	}
-	var ticks time.Duration
-	for _, field := range fields[statUserTime:statFieldsMin] {
-		n, err := strconv.ParseInt(field, 10, 64)
-		if err != nil {
-			return 0, fmt.Errorf("rig: %w", err)
-		}
-		ticks += time.Duration(n)
-	}
-	return ticks * clockTick, nil
+	return cpu, nil
 }
 
 // Quit sends SIGTERM, as a planned restart does, and waits until the process has ended. It returns a
