--- a/internal/proxy/control_feed.go
+++ b/internal/proxy/control_feed.go
@@ -150,6 +150,22 @@
 // service that it lacks then does not exist, as far as that can be known.
 func (cf *controlFeed) upToDate() bool { return cf.complete.Load() && cf.contactAge() < contactTTL }
 
+// awaitConfiguration waits until the configuration here is complete, for so many seconds at most, and returns for how
+// long it waited. Once there has been a complete configuration it does not wait.
+func (cf *controlFeed) awaitConfiguration(limit decision.Seconds) (waited decision.Seconds) {
+	if cf.complete.Load() {
+		return 0
+	}
+	begin := time.Now()
+	timer := time.NewTimer(time.Duration(limit * float64(time.Second)))
+	defer timer.Stop()
+	select {
+	case <-cf.ready:
+	case <-timer.C:
+	}
+	return time.Since(begin).Seconds()
+}
+
 // contactAge returns the time since the agent was in contact with a majority of the control nodes.
 func (cf *controlFeed) contactAge() time.Duration {
 	return time.Since(cf.startedAt) - time.Duration(cf.quorumAt.Load())
--- a/internal/proxy/translator.go
+++ b/internal/proxy/translator.go
@@ -27,6 +27,12 @@
 	// unknownRetryAfter is the time until a client should ask again whose route or key is not known here, perhaps not
 	// yet.
 	unknownRetryAfter = decision.Seconds(0.3)
+
+	// A request that comes before the first complete configuration waits for this share of the time that its client
+	// waits, and for so many seconds at most: after a loss of all machines the configuration comes within that, and a
+	// client that is rejected comes back only after unknownRetryAfter.
+	startWaitShare = 1.0 / 3
+	maxStartWait   = 0.4
 )
 
 // Timeouts of clients' connections in seconds, where the configuration has none.
@@ -91,6 +97,7 @@
 	if invalid != nil {
 		return decision.Request{}, nil, invalid
 	}
+	waited := t.control.awaitConfiguration(min(maxStartWait, startWaitShare*left))
 	destination, unknown := t.resolve(r)
 	if unknown != nil {
 		return decision.Request{}, nil, unknown
@@ -106,6 +113,7 @@
 		Streamed:   r.Streamed != nil,
 	}
 	request.ClientRetry = left < route.Deadline-clientRetryMargin
+	request.TimeLeft -= waited
 	request.TimeLeft = max(request.TimeLeft/2, request.TimeLeft-replyAllowance)
 	message := &upstream.Message{
 		Method:     r.Method,
--- a/internal/proxy/translator_test.go
+++ b/internal/proxy/translator_test.go
@@ -2,17 +2,22 @@
 
 import (
 	"bufio"
+	"math"
 	"math/rand/v2"
 	"net"
+	"net/http"
 	"net/textproto"
+	"strconv"
 	"strings"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"github.com/matryer/is"
 
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/dataplane/http1"
+	"mulleinrouter/internal/dataplane/ingress"
 	"mulleinrouter/internal/dataplane/upstream"
 	"mulleinrouter/internal/decision"
 )
@@ -95,7 +100,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			request, m, bad := newTestTranslator(t, !c.stale, !c.early).parse(requestHead(t, c.text))
+			var request decision.Request
+			var m *upstream.Message
+			var bad *ingress.RequestError
+			synctest.Test(t, func(t *testing.T) { // in fake time: a request may wait
+				request, m, bad = newTestTranslator(t, !c.stale, !c.early).parse(requestHead(t, c.text))
+			})
 			if c.status != 0 {
 				is.True(bad != nil)
 				is.Equal(bad.Status, c.status)
@@ -121,6 +131,49 @@
 	}
 }
 
+// TestRequestsWaitForTheFirstConfiguration checks that a request that comes before the configuration is complete is
+// served if it becomes so within a third of the time that its client waits, with the rest of that time, and rejected if
+// not; and that requests do not wait any more once there was a configuration.
+func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
+	for name, c := range map[string]struct {
+		leftMs, completeAfterMs, wantWaitMs int
+		served                              bool
+	}{
+		"there from the start":        {leftMs: 900, completeAfterMs: 0, wantWaitMs: 0, served: true},
+		"while it waits":              {leftMs: 900, completeAfterMs: 70, wantWaitMs: 70, served: true},
+		"later":                       {leftMs: 900, completeAfterMs: 310, wantWaitMs: 300},
+		"later, and little time left": {leftMs: 90, completeAfterMs: 40, wantWaitMs: 30},
+		"later, and much time left":   {leftMs: 60_000, completeAfterMs: 500, wantWaitMs: 400},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				is := is.New(t)
+				translator := newTestTranslator(t, true, c.completeAfterMs == 0)
+				time.AfterFunc(time.Duration(c.completeAfterMs)*time.Millisecond, func() {
+					translator.control.complete.Store(true)
+					close(translator.control.ready)
+				})
+				head := "GET /a/x HTTP/1.1\nHost: one.example\nX-Attempt-Id: i1\nAuthorization: Token k1\nX-Time-Left-Ms: "
+				begin := time.Now()
+				request, _, rejected := translator.parse(requestHead(t, head+strconv.Itoa(c.leftMs)))
+				is.Equal(time.Since(begin), time.Duration(c.wantWaitMs)*time.Millisecond)
+				is.Equal(rejected == nil, c.served)
+				if c.served {
+					want := float64(c.leftMs-c.wantWaitMs)/1000 - replyAllowance
+					is.True(math.Abs(request.TimeLeft-want) < 1e-9)
+				} else {
+					is.Equal(rejected.Status, http.StatusServiceUnavailable)
+					is.True(rejected.RetryAfter > 0)
+				}
+				time.Sleep(time.Second) // in fake time, until the configuration is there
+				begin = time.Now()
+				translator.parse(requestHead(t, head+strconv.Itoa(c.leftMs)))
+				is.Equal(time.Since(begin), time.Duration(0))
+			})
+		})
+	}
+}
+
 func tenantField(name string) []string {
 	if name == "" {
 		return nil
