--- a/internal/proxy/shedding.go
+++ b/internal/proxy/shedding.go
@@ -62,6 +62,24 @@
 	s.delay, s.observedAt = delay, now
 }
 
+// standingDelay returns the delay of the link where a queue stands there, as far as is known; else 0.
+func (s *shedder) standingDelay(now time.Time) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.delay <= shedDelay || now.Sub(s.observedAt) > linkDelayTTL {
+		return 0
+	}
+	return s.delay
+}
+
+// nothingEstablished tells that no connection was established while the address was open for a while: whatever the load
+// and the last known delay, the queue at the link is longer than that.
+func (s *shedder) nothingEstablished() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.share = max(minShare, s.share*blockDecrease)
+}
+
 // admitted returns the share of new connections to admit now. Call it about every shedInterval.
 func (s *shedder) admitted(now time.Time) float64 {
 	s.mu.Lock()
--- a/internal/proxy/shedding_listener.go
+++ b/internal/proxy/shedding_listener.go
@@ -5,6 +5,7 @@
 	"errors"
 	"net"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"github.com/go-kit/log"
@@ -13,10 +14,19 @@
 )
 
 const (
-	// openPeriod is for how long the address is open at a time while the machine sheds load: much longer than a
-	// connection takes to be established, because those that are pending as it closes have sent their request for
-	// nothing. The admitted share says for how long it is closed.
-	openPeriod = 40 * time.Millisecond
+	// minOpenPeriod is for how long the address is open at a time while the machine sheds load, at least: much longer
+	// than a connection takes to be established where no queue stands at the link, because those that are pending as the
+	// address closes have sent their request for nothing.
+	minOpenPeriod = 40 * time.Millisecond
+	// shedCycle is the time in which the address is opened and closed once: the admitted share of it is the open period,
+	// unless that is shorter than minOpenPeriod. The longer the open period is, the fewer connections are pending as it
+	// ends; the longer the closed period is, the longer clients meet no machine.
+	shedCycle = 400 * time.Millisecond
+	// fruitlessPause is for how long the address stays closed, at least, after an open period in which no connection was
+	// established: a queue at the link is longer than the open period, and would have all be reset as the address closes.
+	fruitlessPause = 400 * time.Millisecond
+	// maxDrainPause bounds for how long the address stays closed while a queue stands at the link: it drains meanwhile.
+	maxDrainPause = 5 * time.Second
 	// reopenInterval is the time between two attempts to bind the address again.
 	reopenInterval = 10 * time.Millisecond
 )
@@ -28,6 +38,8 @@
 	shedder *shedder
 	log     log.Logger
 
+	accepted atomic.Int64 // connections, since the start
+
 	mu      sync.Mutex    // guards the fields below
 	current net.Listener  // nil: the address is closed for the moment
 	changed chan struct{} // closed when current changes
@@ -65,6 +77,9 @@
 			continue
 		}
 		conn, err := current.Accept()
+		if err == nil {
+			sl.accepted.Add(1)
+		}
 		if err == nil || !errors.Is(err, net.ErrClosed) {
 			return conn, err
 		}
@@ -124,13 +139,37 @@
 			}
 			continue
 		}
-		closedPeriod := time.Duration(float64(openPeriod) * (1/share - 1))
-		if !retry.Sleep(ctx, openPeriod) || !sl.suspend() || !retry.Sleep(ctx, closedPeriod) || !sl.resume(ctx) {
+		before := sl.accepted.Load()
+		open := openPeriod(share)
+		if !retry.Sleep(ctx, open) {
+			return
+		}
+		established := sl.accepted.Load() > before
+		if !established {
+			sl.shedder.nothingEstablished()
+		}
+		closed := closedPeriod(share, open, established, sl.shedder.standingDelay(time.Now()))
+		if !sl.suspend() || !retry.Sleep(ctx, closed) || !sl.resume(ctx) {
 			return
 		}
 	}
 }
 
+// openPeriod returns for how long the address is open at a time for a share of new connections to be admitted.
+func openPeriod(share float64) time.Duration {
+	return max(minOpenPeriod, time.Duration(share*float64(shedCycle)))
+}
+
+// closedPeriod returns for how long the address is closed after an open period, in which connections were established
+// or not, while a queue of some delay stands at the link (0: none).
+func closedPeriod(share float64, open time.Duration, established bool, delay time.Duration) time.Duration {
+	closed := time.Duration(float64(open) * (1/share - 1))
+	if !established {
+		closed = max(closed, fruitlessPause)
+	}
+	return max(closed, min(delay, maxDrainPause))
+}
+
 // suspend closes the address for a while; false: the listener is closed.
 func (sl *sheddingListener) suspend() bool {
 	sl.mu.Lock()
