--- a/internal/cluster/replication/client.go
+++ b/internal/cluster/replication/client.go
@@ -110,7 +110,8 @@
 
 // Run keeps the subscription until the context ends. Just after the start, after a lost connection and after RetryNow
 // it connects eagerly (see dialEagerly). Then the backoff grows from 100 ms to a second, with jitter, so that clients
-// that lost their sources together do not return together.
+// that lost their sources together do not return together. To the agent on the same machine it stays at localBackoff
+// while other sources would be connected to eagerly.
 func (c *Client) Run(ctx context.Context) {
 	random := rand.New(rand.NewPCG(c.Seed, c.Incarnation))
 	first := initialBackoff
@@ -131,7 +132,9 @@
 		case <-attempt.Done():
 			backoff, eagerUntil = first, time.Now().Add(eagerPeriod)
 		case <-timer.C:
-			backoff = min(2*backoff, maxBackoff)
+			if c.Class != ClassProxy || time.Now().After(eagerUntil) {
+				backoff = min(2*backoff, maxBackoff)
+			}
 		}
 		timer.Stop()
 		cancel()
--- a/internal/cluster/replication/dial_test.go
+++ b/internal/cluster/replication/dial_test.go
@@ -93,3 +93,46 @@
 		})
 	}
 }
+
+// TestReconnectsToReturningAgent has the agent beside a proxy refuse connections for some time from the proxy's start
+// on: it is connected to within localBackoff of its return, and after the eager period with the usual backoff.
+func TestReconnectsToReturningAgent(t *testing.T) {
+	for name, c := range map[string]struct{ down, within time.Duration }{
+		"at once":                    {0, 0},
+		"started a little later":     {30 * time.Millisecond, localBackoff},
+		"killed, and back":           {520 * time.Millisecond, localBackoff},
+		"nearly too long":            {2900 * time.Millisecond, localBackoff},
+		"longer than the eager time": {20 * time.Second, maxBackoff},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				is := is.New(t)
+				source := &fakeSource{}
+				source.restart(1)
+				begin := time.Now()
+				agent := &unreachableHost{source: source, refuses: begin, back: begin.Add(c.down)}
+				client := &Client{
+					Node:        "n",
+					Class:       ClassProxy,
+					Incarnation: 7,
+					Store:       NewStore(7),
+					Clock:       NewClock(func() float64 { return 0 }),
+					Dial:        agent.dial,
+				}
+				ctx, cancel := context.WithCancel(t.Context())
+				var all sync.WaitGroup
+				all.Go(func() { client.Run(ctx) })
+				for !client.Connected() {
+					time.Sleep(time.Millisecond)
+					synctest.Wait()
+				}
+				is.True(time.Since(agent.back) <= c.within+2*time.Millisecond)
+				is.True(agent.begun.Load() <= 1+int64(2*eagerPeriod/localBackoff)+int64(2*c.down/maxBackoff)+10)
+				cancel()
+				all.Wait()
+				source.disconnect()
+				synctest.Wait()
+			})
+		})
+	}
+}
