--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -5,7 +5,7 @@
 import (
 	"context"
 	"fmt"
-	"strings"
+	"io"
 
 	"github.com/alecthomas/kong"
 
@@ -15,7 +15,7 @@
 )
 
 const (
-	name        = "agent"
+	name        = command.Agent
 	description = "The agent on an edge machine: it keeps the link to the control nodes and feeds the proxy beside it."
 )
 
@@ -31,7 +31,8 @@
 	Check check `cmd:"" help:"Check a settings file, and say what is in it that matters here."`
 	Show  show  `cmd:"" help:"Ask the agent that runs on this machine what it knows."`
 
-	Version kong.VersionFlag `help:"Say which version this is."`
+	Version     command.VersionCommand `cmd:"" help:"Say which version this is, with its commit and Go's."`
+	VersionFlag kong.VersionFlag       `name:"version" help:"Say which version this is."`
 }
 
 type serve struct {
@@ -62,23 +63,16 @@
 
 func limitMemory(*settings.Settings) int64 { return memoryLimit }
 
-type check struct{ command.SettingsArgument }
+type check struct{ command.CheckCommand }
 
-func (c *check) Run() error { return command.Check(c.File, name, describe) }
+func (c *check) Run(out io.Writer) error { return c.Check(out, name) }
 
-// describe returns what matters to an agent in its settings.
-func describe(s *settings.Settings) string {
-	var text strings.Builder
-	fmt.Fprintf(&text, "node %s in %s, proxy at %s\n", s.Node, s.Zone, s.AgentAddr())
-	for _, seed := range s.Seeds {
-		fmt.Fprintf(&text, "control node at %s\n", s.InternalAddrOf(seed))
-	}
-	return text.String()
+type show struct {
+	command.SettingsArgument
+	command.OutputFlag
 }
 
-type show struct{ command.SettingsArgument }
-
-func (s *show) Run() error {
+func (s *show) Run(out io.Writer) error {
 	loaded, err := command.Load(s.File, name)
 	if err != nil {
 		return err
@@ -87,10 +81,13 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("incarnation %x, ready %t, quorum %t\n", report.Incarnation, report.Ready, report.Quorum)
-	fmt.Printf("%d ingresses, epoch %d, common clock %.3f s\n", report.Members, report.Epoch, report.Clock)
-	fmt.Printf("%d items, %d servers known, %d serving\n", report.Items, report.Instances, report.Serving)
-	return nil
+	return s.Print(out, report, func(out io.Writer) error {
+		fmt.Fprintf(out, "incarnation %x, ready %t, quorum %t\n", report.Incarnation, report.Ready, report.Quorum)
+		fmt.Fprintf(out, "%d ingresses, epoch %d, common clock %.3f s\n", report.Members, report.Epoch, report.Clock)
+		_, err := fmt.Fprintf(out, "%d items, %d servers known, %d serving\n",
+			report.Items, report.Instances, report.Serving)
+		return err
+	})
 }
 
 func main() {
--- a/cmd/control/main.go
+++ b/cmd/control/main.go
@@ -5,10 +5,9 @@
 
 import (
 	"context"
-	"fmt"
+	"io"
 	"net"
 	"os/signal"
-	"strings"
 	"syscall"
 	"time"
 
@@ -18,10 +17,11 @@
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/cluster/transport"
 	"mulleinrouter/internal/control"
+	"mulleinrouter/internal/control/operatorcommand"
 )
 
 const (
-	name        = "control"
+	name        = command.Control
 	description = "The control node on a core machine: it takes the configuration and the beats of servers, " +
 		"and feeds the agents."
 )
@@ -30,10 +30,11 @@
 	Serve serve `cmd:"" default:"withargs" help:"Serve as a control node (the default)."`
 	Check check `cmd:"" help:"Check a settings file, and say what is in it that matters here."`
 
-	Members members `cmd:"" help:"Say which control nodes are voters, which are learners, and how far behind they are."`
-	Replace replace `cmd:"" help:"Have a learner take the place of a voter."`
+	Members operatorcommand.Members `cmd:"" help:"Say which control nodes are voters or learners, and how far behind they are."`
+	Replace operatorcommand.Replace `cmd:"" help:"Have a learner take the place of a voter."`
 
-	Version kong.VersionFlag `help:"Say which version this is."`
+	Version     command.VersionCommand `cmd:"" help:"Say which version this is, with its commit and Go's."`
+	VersionFlag kong.VersionFlag       `name:"version" help:"Say which version this is."`
 }
 
 const (
@@ -81,20 +82,9 @@
 	return max(minMemoryLimit, int64(s.Limits.MemoryMB)<<20/2)
 }
 
-type check struct{ command.SettingsArgument }
+type check struct{ command.CheckCommand }
 
-func (c *check) Run() error { return command.Check(c.File, name, describe) }
-
-// describe returns what matters to a control node in its settings.
-func describe(s *settings.Settings) string {
-	var text strings.Builder
-	fmt.Fprintf(&text, "node %s in %s, control at %s, inner at %s, disk at %s, bootstrap %t\n",
-		s.Node, s.Zone, s.ControlAddr, s.InternalAddr(), s.DataPath, s.Bootstrap)
-	for _, seed := range s.Seeds {
-		fmt.Fprintf(&text, "control node at %s\n", seed)
-	}
-	return text.String()
-}
+func (c *check) Run(out io.Writer) error { return c.Check(out, name) }
 
 func main() {
 	command.Main(name, description, new(program), func(options command.ServeOptions) error {
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -5,7 +5,7 @@
 	"context"
 	"crypto/rand"
 	"encoding/binary"
-	"fmt"
+	"io"
 	"os"
 	"os/signal"
 	"syscall"
@@ -18,7 +18,7 @@
 )
 
 const (
-	name        = "proxy"
+	name        = command.Proxy
 	description = "The proxy of an edge machine: it serves clients, with what the agent beside it knows."
 )
 
@@ -26,7 +26,8 @@
 	Serve serve `cmd:"" default:"withargs" help:"Serve clients until SIGTERM (the default)."`
 	Check check `cmd:"" help:"Check a settings file, and say what is in it that matters here."`
 
-	Version kong.VersionFlag `help:"Say which version this is."`
+	Version     command.VersionCommand `cmd:"" help:"Say which version this is, with its commit and Go's."`
+	VersionFlag kong.VersionFlag       `name:"version" help:"Say which version this is."`
 }
 
 type serve struct {
@@ -58,15 +59,9 @@
 	return binary.LittleEndian.Uint64(random[:]) | 1
 }
 
-type check struct{ command.SettingsArgument }
+type check struct{ command.CheckCommand }
 
-func (c *check) Run() error { return command.Check(c.File, name, describe) }
-
-// describe returns what matters to a proxy in its settings.
-func describe(s *settings.Settings) string {
-	return fmt.Sprintf("node %s in %s, clients at %s, readiness at %s, agent at %s\n",
-		s.Node, s.Zone, s.FrontAddr, s.ReadyAddr, s.AgentAddr())
-}
+func (c *check) Run(out io.Writer) error { return c.Check(out, name) }
 
 func main() {
 	command.Main(name, description, new(program), func(options command.ServeOptions) error {
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -14,14 +14,15 @@
 
 // Report is what a running agent reports of itself.
 type Report struct {
-	Incarnation   uint64
-	Ready, Quorum bool
-	Members       int
-	Epoch         uint64
-	Clock         float64 // the common clock, in seconds
-	Items         int     // of the configuration, with deleted ones
-	Instances     int     // of servers, with silent and gone ones
-	Serving       int     // instances that take requests
+	Incarnation uint64  `json:"incarnation"`
+	Ready       bool    `json:"ready"`
+	Quorum      bool    `json:"quorum"`
+	Members     int     `json:"members"` // ingresses that hold a lease
+	Epoch       uint64  `json:"epoch"`
+	Clock       float64 `json:"clock"`     // the common clock, in seconds
+	Items       int     `json:"items"`     // of the configuration, with deleted ones
+	Instances   int     `json:"instances"` // of servers, with silent and gone ones
+	Serving     int     `json:"serving"`   // instances that take requests
 }
 
 // Ask has the agent at that address report what it knows, within about two seconds. Where none answers the error wraps
--- a/internal/cluster/command/command_test.go
+++ b/internal/cluster/command/command_test.go
@@ -6,6 +6,8 @@
 	"io/fs"
 	"os"
 	"path/filepath"
+	"runtime/debug"
+	"slices"
 	"strings"
 	"testing"
 
@@ -77,3 +79,34 @@
 		t.Errorf("a missing file: got %v, want %v", err, fs.ErrNotExist)
 	}
 }
+
+func TestPrograms(t *testing.T) {
+	for _, c := range []struct {
+		role, class string
+		want        []string
+	}{
+		{"agent", "edge", []string{Agent}},
+		{"", "edge", []string{Proxy, Agent}},
+		{"", "core", []string{Control}},
+		{"other", "", nil},
+	} {
+		if got := Programs(&settings.Settings{Role: c.role, Class: c.class}); !slices.Equal(got, c.want) {
+			t.Errorf("role %q, class %q: got %v, want %v", c.role, c.class, got, c.want)
+		}
+	}
+}
+
+func TestBuildInfo(t *testing.T) {
+	build := &debug.BuildInfo{GoVersion: "go1.26.8", Main: debug.Module{Version: "v1.2.3"}}
+	if got, want := newBuildInfo("proxy", build).String(), "proxy unknown, go1.26.8"; got != want {
+		t.Errorf("outside of a repository: got %q, want %q", got, want)
+	}
+	build.Settings = []debug.BuildSetting{
+		{Key: "vcs.revision", Value: "0123456789abcdef"}, {Key: "vcs.modified", Value: "true"},
+	}
+	got := newBuildInfo("proxy", build)
+	want := BuildInfo{Program: "proxy", Version: "v1.2.3", Commit: "0123456789ab", Modified: true, GoVersion: "go1.26.8"}
+	if got != want || got.String() != "proxy 0123456789ab+changes, go1.26.8" {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+}
--- a/internal/cluster/command/main.go
+++ b/internal/cluster/command/main.go
@@ -2,8 +2,8 @@
 
 import (
 	"fmt"
+	"io"
 	"os"
-	"runtime/debug"
 
 	"github.com/alecthomas/kong"
 
@@ -18,8 +18,12 @@
 
 const exitCodesHelp = "\n\nExit codes: 0 done, 1 failed, 2 wrong command line, 3 a settings file that cannot be used."
 
-// Main runs a program: its commands as kong parses them, each with a Run that returns an error. The two forms "serve"
-// and "serve --metrics PORT/PATH" call serve at once. Main does not return.
+// HelpTexts are what the help texts of this package's flags refer to. A program passes them to kong.
+var HelpTexts = kong.Vars{"variable": settings.EnvVariable}
+
+// Main runs a program: its commands as kong parses them, each with a Run that returns an error and may ask for the
+// io.Writer of its output. The two forms "serve" and "serve --metrics PORT/PATH" call serve at once. Main does not
+// return.
 func Main(program, description string, commands any, serve func(ServeOptions) error) {
 	// These are the platform's own calls, on machines with little memory: kong would use half a megabyte for good.
 	if options, ok := parsePlatformCall(os.Args[1:]); ok {
@@ -28,7 +32,9 @@
 	parser := kong.Must(commands,
 		kong.Name(program),
 		kong.Description(description+exitCodesHelp),
-		kong.Vars{"version": version(program), "variable": settings.EnvVariable},
+		kong.Vars{"version": ReadBuildInfo(program).String()},
+		HelpTexts,
+		kong.BindTo(os.Stdout, (*io.Writer)(nil)),
 		kong.UsageOnError(),
 	)
 	command, err := parser.Parse(os.Args[1:])
@@ -58,24 +64,3 @@
 	}
 	os.Exit(exitCode(err))
 }
-
-// revisionLength is how many digits of a revision are printed.
-const revisionLength = 12
-
-// version returns the program's name, the revision that it was built from, and the version of Go.
-func version(program string) string {
-	info, ok := debug.ReadBuildInfo()
-	if !ok {
-		return program + " unknown"
-	}
-	revision, changed := "unknown", ""
-	for _, setting := range info.Settings {
-		switch {
-		case setting.Key == "vcs.revision":
-			revision = setting.Value[:min(revisionLength, len(setting.Value))]
-		case setting.Key == "vcs.modified" && setting.Value == "true":
-			changed = "+changes"
-		}
-	}
-	return fmt.Sprintf("%s %s%s, %s", program, revision, changed, info.GoVersion)
-}
--- /dev/null
+++ b/internal/cluster/command/output.go
@@ -0,0 +1,36 @@
+package command
+
+import (
+	"encoding/json"
+	"io"
+	"text/tabwriter"
+)
+
+// Forms of output.
+const (
+	outputTable = "table"
+	outputJSON  = "json"
+)
+
+const columnGap = 2 // spaces between the columns of a table
+
+// OutputFlag is the flag of each command that prints a listing, for operators as a table or for scripts as JSON.
+type OutputFlag struct {
+	Output string `name:"output" enum:"table,json" default:"table" help:"Form: table or json."`
+}
+
+// JSON tells whether JSON is asked for.
+func (of OutputFlag) JSON() bool { return of.Output == outputJSON }
+
+// Print writes a value as one line of JSON, or has table write it.
+func (of OutputFlag) Print(out io.Writer, value any, table func(io.Writer) error) error {
+	if of.JSON() {
+		return json.NewEncoder(out).Encode(value)
+	}
+	return table(out)
+}
+
+// NewTable returns a writer that aligns columns separated by tabs, until it is flushed.
+func NewTable(out io.Writer) *tabwriter.Writer {
+	return tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
+}
--- a/internal/cluster/command/settings.go
+++ b/internal/cluster/command/settings.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"os"
 	"runtime"
 	"runtime/debug"
@@ -51,16 +50,6 @@
 	return s, nil
 }
 
-// Check loads a settings file for a program, and prints what describe returns of it.
-func Check(file, program string, describe func(*settings.Settings) string) error {
-	s, err := Load(file, program)
-	if err != nil {
-		return err
-	}
-	_, err = fmt.Print(describe(s))
-	return err
-}
-
 // Memory says how a program uses memory, which is scarce on the machines of the system.
 type Memory struct {
 	// GCPercent is the growth of the heap that starts a collection; 0: Go's default.
--- a/internal/control/electorate_test.go
+++ b/internal/control/electorate_test.go
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 
 	"mulleinrouter/internal/cluster/consensus"
-	"mulleinrouter/internal/control/httpapi"
+	"mulleinrouter/internal/control/operatorapi"
 	"mulleinrouter/internal/control/replica/replicatest"
 )
 
@@ -283,7 +283,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterWithLearner(t)
 		x, y, z := c.seeds[0], c.seeds[1], c.seeds[2]
-		members := func(at string) (m httpapi.Members) {
+		members := func(at string) (m operatorapi.Members) {
 			status, text := c.call(at, "GET", "/members", "")
 			c.Equal(status, 200)
 			c.NoErr(json.Unmarshal([]byte(text), &m))
--- a/internal/control/httpapi/bodies_test.go
+++ b/internal/control/httpapi/bodies_test.go
@@ -8,6 +8,7 @@
 
 	"mulleinrouter/internal/cluster/registry"
 	"mulleinrouter/internal/cluster/replication"
+	"mulleinrouter/internal/control/operatorapi"
 )
 
 // The keys of the bodies that operators get are those of the operators' pages, in this order.
@@ -29,13 +30,16 @@
 		},
 		{
 			"members",
-			Members{Voters: []Member{{}}, Learners: []Member{{Zone: "z", Disk: "d", DiskReplaced: true, Self: true}}},
+			operatorapi.Members{
+				Voters:   []operatorapi.Member{{}},
+				Learners: []operatorapi.Member{{Zone: "z", Disk: "d", DiskReplaced: true, Self: true}},
+			},
 			`{"epoch":0,"sinceEpoch":0,"standsSeconds":0,"wanted":0,"contact":false,` +
 				`"voters":[{"at":"","heardSecondsAgo":0,"behind":0,"up":false}],` +
 				`"learners":[{"at":"","zone":"z","disk":"d","heardSecondsAgo":0,"behind":0,"up":false,` +
 				`"otherDisk":true,"thisControl":true}]}`,
 		},
-		{"replacement", Replacement{Out: "a", In: "b"}, `{"out":"a","in":"b"}`},
+		{"replacement", operatorapi.Replacement{Out: "a", In: "b"}, `{"out":"a","in":"b"}`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			got, err := json.Marshal(test.body)
--- a/internal/control/httpapi/doc.go
+++ b/internal/control/httpapi/doc.go
@@ -4,8 +4,8 @@
 // server.go has the table of the endpoints, call.go what happens to a call before and after its handler (limits
 // on connections and bodies, contact with a majority), errors.go the status that an error is answered with. A
 // handler parses its body and hands typed values to the packages that do the work: config.go to proposals,
-// instances.go to instances, members.go to electorate. view.go and members.go have the bodies that operators
-// get. The package keeps no state but the counts of answers.
+// instances.go to instances, members.go to electorate. view.go has a body that operators get; those that they call with
+// a client of ours are in operatorapi. The package keeps no state but the counts of answers.
 //
 // It imports package cluster's folders and control's packages. Its tests here are of bodies and errors; whole
 // nodes are tested in package control.
--- a/internal/control/httpapi/server.go
+++ b/internal/control/httpapi/server.go
@@ -16,6 +16,7 @@
 	"mulleinrouter/internal/control/electorate"
 	"mulleinrouter/internal/control/instances"
 	"mulleinrouter/internal/control/majority"
+	"mulleinrouter/internal/control/operatorapi"
 	"mulleinrouter/internal/control/replica"
 )
 
@@ -51,7 +52,7 @@
 	Started     time.Time   // of this process
 	View        func() View // for GET /view
 	// Member is a control node as this one sees it, by its control address, beside a configuration of an epoch.
-	Member func(addr string, epoch uint64) Member
+	Member func(addr string, epoch uint64) operatorapi.Member
 	Log    log.Logger
 }
 
--- /dev/null
+++ b/internal/control/operatorapi/client.go
@@ -0,0 +1,63 @@
+package operatorapi
+
+import (
+	"bytes"
+	"encoding/json"
+	"io"
+	"net/http"
+	"time"
+)
+
+const (
+	requestTimeout   = 5 * time.Second
+	maxResponseBytes = 1 << 20
+)
+
+// Client calls one control node.
+type Client struct {
+	Addr string // control address of the node, host:port
+}
+
+// Members asks for the voters and learners, and returns the body as the node sent it: a newer node may send more than
+// Members has. Errors are *RejectedError, or those of the connection.
+func (c Client) Members() ([]byte, error) { return c.call(http.MethodGet, "/members", nil) }
+
+// Replace has a learner take the place of a voter. It returns once the change is chosen. Errors are those of Members.
+func (c Client) Replace(r Replacement) error {
+	body, err := json.Marshal(r)
+	if err != nil {
+		return err
+	}
+	_, err = c.call(http.MethodPost, "/members/replace", body)
+	return err
+}
+
+// call makes a call, and returns the body of its response.
+func (c Client) call(method, path string, body []byte) ([]byte, error) {
+	request, err := http.NewRequest(method, "http://"+c.Addr+path, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	response, err := (&http.Client{Timeout: requestTimeout}).Do(request)
+	if err != nil {
+		return nil, err
+	}
+	defer response.Body.Close()
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	if err != nil {
+		return nil, err
+	}
+	if response.StatusCode != http.StatusOK {
+		return nil, rejection(response, responseBody)
+	}
+	return responseBody, nil
+}
+
+// rejection returns the error of a response whose status is not 200.
+func rejection(response *http.Response, body []byte) *RejectedError {
+	var sent struct{ Message string }
+	if json.Unmarshal(body, &sent) != nil || sent.Message == "" {
+		sent.Message = response.Status
+	}
+	return &RejectedError{Status: response.StatusCode, Message: sent.Message}
+}
--- /dev/null
+++ b/internal/control/operatorcommand/operatorcommand_test.go
@@ -0,0 +1,95 @@
+package operatorcommand
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/alecthomas/kong"
+
+	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/control/operatorapi"
+)
+
+// membersBody is what a control node answers; its last key is one that these programs do not know.
+const membersBody = `{"epoch":3,"sinceEpoch":2,"standsSeconds":9.2,"wanted":3,"contact":true,` +
+	`"voters":[{"at":"10.0.0.1:80","zone":"z1","heardSecondsAgo":0,"behind":0,"up":true,"thisControl":true},` +
+	`{"at":"10.0.0.2:80","zone":"z2","heardSecondsAgo":4.1,"behind":0,"up":false}],` +
+	`"learners":[{"at":"10.0.0.3:80","zone":"z3","heardSecondsAgo":-1,"behind":7,"up":true}],"newer":1}`
+
+const membersTable = `epoch 3; these voters since epoch 2, for 9 s as seen here; 3 wanted; in contact with a majority
+
+ROLE     AT           ZONE  STATE    BEHIND  HEARD
+voter    10.0.0.1:80  z1    answers  0       0.0 s ago
+voter    10.0.0.2:80  z2    silent   0       4.1 s ago
+learner  10.0.0.3:80  z3    up       7       never
+`
+
+// newControlNode serves the two calls, and rejects the replacement of any voter but 10.0.0.2:80.
+func newControlNode(t *testing.T) (addr string) {
+	t.Helper()
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /members", func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, membersBody) })
+	mux.HandleFunc("POST /members/replace", func(w http.ResponseWriter, r *http.Request) {
+		if body, _ := io.ReadAll(r.Body); string(body) != `{"out":"10.0.0.2:80","in":"10.0.0.3:80"}` {
+			w.WriteHeader(http.StatusConflict)
+			io.WriteString(w, `{"message":"is no voter"}`)
+		}
+	})
+	server := httptest.NewServer(mux)
+	t.Cleanup(server.Close)
+	return server.Listener.Addr().String()
+}
+
+// run runs a command line, in which ADDR stands for the control node's address.
+func run(t *testing.T, addr, line string) (string, error) {
+	t.Helper()
+	var commands struct {
+		Members Members `cmd:""`
+		Replace Replace `cmd:""`
+	}
+	var out bytes.Buffer
+	parser := kong.Must(&commands, command.HelpTexts, kong.BindTo(&out, (*io.Writer)(nil)))
+	parsed, err := parser.Parse(strings.Fields(strings.ReplaceAll(line, "ADDR", addr)))
+	if err != nil {
+		t.Fatalf("%s: %v", line, err)
+	}
+	err = parsed.Run()
+	return out.String(), err
+}
+
+func TestCommands(t *testing.T) {
+	addr := newControlNode(t)
+	for _, test := range []struct{ line, want, wantErr string }{
+		{"members --at ADDR", membersTable, ""},
+		{"members --at ADDR --output json", membersBody + "\n", ""},
+		{"members --at ADDR --json", membersBody + "\n", ""},
+		{"replace --at ADDR 10.0.0.2:80 10.0.0.3:80", "10.0.0.3:80 votes in the place of 10.0.0.2:80\n", ""},
+		{"replace --at ADDR 10.0.0.9:80 10.0.0.3:80", "", "is no voter"},
+	} {
+		got, err := run(t, addr, test.line)
+		if got != test.want {
+			t.Errorf("%s: output\n%s\nwant\n%s", test.line, got, test.want)
+		}
+		var rejected *operatorapi.RejectedError
+		switch {
+		case test.wantErr == "" && err != nil:
+			t.Errorf("%s: %v", test.line, err)
+		case test.wantErr != "" && (!errors.As(err, &rejected) || rejected.Message != test.wantErr):
+			t.Errorf("%s: error %v, want a RejectedError %q", test.line, err, test.wantErr)
+		}
+	}
+}
+
+// Settings that cannot be used have an error of their own: it decides the exit code.
+func TestUnusableSettings(t *testing.T) {
+	var unusable *command.SettingsError
+	if _, err := run(t, "", "members -c "+filepath.Join(t.TempDir(), "none")); !errors.As(err, &unusable) {
+		t.Errorf("error %v, want a SettingsError", err)
+	}
+}
--- /dev/null
+++ b/internal/control/operatorcommand/target.go
@@ -0,0 +1,24 @@
+package operatorcommand
+
+import (
+	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/control/operatorapi"
+)
+
+// Target is the control node that is called.
+type Target struct {
+	File string `short:"c" placeholder:"FILE" help:"Settings file of a control node. Default: the one that ${variable} names."` //nolint:lll // a tag is one line
+	At   string `help:"Ask this control address instead of the one in the settings." placeholder:"HOST:PORT"`
+}
+
+// client returns a client of the control node. Errors are *command.SettingsError.
+func (t Target) client() (operatorapi.Client, error) {
+	if t.At != "" {
+		return operatorapi.Client{Addr: t.At}, nil
+	}
+	s, err := command.Load(t.File, command.Control)
+	if err != nil {
+		return operatorapi.Client{}, err
+	}
+	return operatorapi.Client{Addr: s.ControlAddr}, nil
+}
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -5,6 +5,7 @@
 
 	"mulleinrouter/internal/control/httpapi"
 	"mulleinrouter/internal/control/majority"
+	"mulleinrouter/internal/control/operatorapi"
 	"mulleinrouter/internal/control/replica"
 )
 
@@ -91,8 +92,8 @@
 }
 
 // member is a control node as this one sees it beside a configuration of an epoch, for GET /members.
-func (n *Node) member(addr string, epoch uint64) httpapi.Member {
-	m := httpapi.Member{Addr: addr, Zone: n.electorate.Zone(addr), LastContactSeconds: -1}
+func (n *Node) member(addr string, epoch uint64) operatorapi.Member {
+	m := operatorapi.Member{Addr: addr, Zone: n.electorate.Zone(addr), LastContactSeconds: -1}
 	if addr == n.self {
 		m.Self, m.Up, m.LastContactSeconds = true, true, 0
 		return m
