--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -94,6 +94,10 @@
 	"internal/standalone/cli imports internal/emulator/modelcheck":  "mulleinrouter model-check states",
 	"internal/standalone/cli imports internal/emulator/faulttest":   "mulleinrouter fault-test",
 	"internal/standalone/cli imports internal/emulator/testcluster": "mulleinrouter try",
+
+	"internal/standalone/cli imports internal/cluster/command":         "mulleinrouter version, --output",
+	"internal/standalone/cli imports internal/cluster/settings":        "mulleinrouter check, of a settings file",
+	"internal/standalone/cli imports internal/control/operatorcommand": "mulleinrouter members, replace",
 }
 
 func TestLayers(t *testing.T) {
--- a/internal/standalone/catalogue/format.go
+++ b/internal/standalone/catalogue/format.go
@@ -132,19 +132,21 @@
 	return bookings, nil
 }
 
-// validate returns the first thing that is wrong with a revision, at its place in the file.
+// validate returns what is wrong with a revision, each at its place in the file; nil: nothing.
 func (r *revisionForm) validate(file *hclfile.File, revision *plans.Revision) error {
-	problems := revision.Validate()
-	if len(problems) == 0 {
-		return nil
+	var found []*hclfile.Error
+	for _, problem := range revision.Validate() {
+		path := r.path()
+		if problem.Path != "revision" {
+			path += "." + problem.Path
+		}
+		found = append(found, file.ErrorAt(path, problem.Text))
 	}
-	path := r.path()
-	if problems[0].Path != "revision" {
-		path += "." + problems[0].Path
+	if len(found) == 0 {
+		return nil
 	}
-	err := file.ErrorAt(path, problems[0].Text)
-	err.More = len(problems) - 1
-	return err
+	found[0].Others = found[1:]
+	return found[0]
 }
 
 // Format writes revisions as a catalogue's text.
--- a/internal/standalone/cli/bookings.go
+++ b/internal/standalone/cli/bookings.go
@@ -8,6 +8,7 @@
 	"strconv"
 	"time"
 
+	"mulleinrouter/internal/cluster/command"
 	"mulleinrouter/internal/standalone/plans"
 )
 
@@ -72,7 +73,7 @@
 // BookingListCommand lists bookings.
 type BookingListCommand struct {
 	Catalogue string `name:"catalogue" required:"" type:"path" placeholder:"FILE" help:"The catalogue."`
-	outputFlag
+	command.OutputFlag
 }
 
 // Run prints the bookings.
@@ -81,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	if bl.Output == outputJSON {
+	if bl.JSON() {
 		return writeJSON(p.out, r.Bookings)
 	}
 	writeBookings(p.out, r.Bookings)
@@ -93,7 +94,7 @@
 	if len(bookings) == 0 {
 		return
 	}
-	t := newTable(w)
+	t := command.NewTable(w)
 	fmt.Fprintln(t, "  booking\tmember\tfrom\tto\tunits\ta second")
 	for _, b := range bookings {
 		from, to := formatTime(b.From), formatTime(b.To)
--- a/internal/standalone/cli/check.go
+++ b/internal/standalone/cli/check.go
@@ -1,66 +1,144 @@
 package cli
 
 import (
-	"cmp"
+	"errors"
 	"fmt"
+	"io"
 	"os"
+	"path/filepath"
 	"regexp"
 	"strings"
 
+	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/standalone/config"
+	"mulleinrouter/internal/standalone/plans"
 )
 
-// CheckCommand checks a file.
+// CheckCommand checks a file of either program.
 type CheckCommand struct {
-	File string `arg:"" name:"file" type:"path" help:"${checkFile}"`
+	File    string `arg:"" name:"file" type:"path" help:"${checkFile}"`
+	Program string `name:"program" enum:"proxy,agent,control," default:"" placeholder:"NAME" help:"${checkProgram}"`
+	command.OutputFlag
 }
 
 // fileKind is what a file can be.
-type fileKind int
+type fileKind string
 
 const (
-	kindPlatform  fileKind = iota // a configuration in the platform's form
-	kindHCL                       // a configuration in our own form
-	kindCatalogue                 // a catalogue of plans
+	kindPlatform  fileKind = "platform"  // a configuration of the ingress in service, in the platform's form
+	kindHCL       fileKind = "hcl"       // a configuration of the ingress in service, in our own form
+	kindCatalogue fileKind = "catalogue" // a catalogue of plans
+	kindSettings  fileKind = "settings"  // a settings file of the system
 )
 
-var revisionBlock = regexp.MustCompile(`(?m)^\s*revision\s+"`)
+var (
+	revisionBlock = regexp.MustCompile(`(?m)^\s*revision\s+"`)
+	// settingLine is a line a.b=value. In HCL, the name of an attribute has no dot.
+	settingLine = regexp.MustCompile(`(?m)^\s*[\w-]+(\.[\w-]+)+\s*=`)
+)
 
 // kind recognizes a file by its content.
 func (c *CheckCommand) kind() (fileKind, error) {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
-		return 0, err
+		return "", err
 	}
 	switch {
 	case strings.HasPrefix(strings.TrimSpace(string(text)), "{"):
 		return kindPlatform, nil
 	case revisionBlock.Match(text):
 		return kindCatalogue, nil
+	case settingLine.Match(text):
+		return kindSettings, nil
 	}
 	return kindHCL, nil
 }
 
-// Run prints what is in the file.
+// checkReport is what is in a file, as JSON.
+type checkReport struct {
+	File     string    `json:"file"`
+	Kind     fileKind  `json:"kind,omitempty"` // empty: the file cannot be read
+	Valid    bool      `json:"valid"`
+	Problems []problem `json:"problems,omitempty"` // empty: none
+
+	Ingress   *ingressSummary   `json:"ingress,omitempty"`   // of a configuration
+	Revisions []plans.Revision  `json:"revisions,omitempty"` // of a catalogue, or of the one that a configuration names
+	Programs  []command.Summary `json:"programs,omitempty"`  // that a settings file is for
+}
+
+// Run prints what is in the file, or what is wrong with it.
 func (c *CheckCommand) Run(p *Program) error {
-	kind, err := c.kind()
+	report, err := c.check()
 	if err != nil {
-		return fileError{err}
+		report.Problems = newProblems(c.File, err)
 	}
-	if kind == kindCatalogue {
-		return showCatalogue(p.out, c.File)
+	report.Valid = err == nil
+	if c.JSON() {
+		if encodeErr := writeJSON(p.out, report); encodeErr != nil {
+			return encodeErr
+		}
+	} else if printErr := c.print(p.out, report); printErr != nil {
+		return printErr
 	}
-	checked, err := c.load(kind)
 	if err != nil {
 		return fileError{err}
 	}
-	c.show(p, checked)
-	if checked.Catalogue != "" {
-		return showCatalogue(p.out, checked.Catalogue)
-	}
 	return nil
 }
 
+// check reads the file. With an error, the report has what was read before it.
+func (c *CheckCommand) check() (report checkReport, err error) {
+	report.File = c.File
+	if report.Kind, err = c.kind(); err != nil {
+		return report, err
+	}
+	switch report.Kind {
+	case kindSettings:
+		report.Programs, err = c.readSettings()
+	case kindCatalogue:
+		report.Revisions, err = loadCatalogue(c.File)
+	default:
+		var checked *config.Config
+		if checked, err = c.load(report.Kind); err != nil {
+			return report, err
+		}
+		report.Ingress = newIngressSummary(checked)
+		if checked.Catalogue != "" {
+			report.Revisions, err = loadCatalogue(checked.Catalogue)
+		}
+	}
+	return report, err
+}
+
+// readSettings reads a settings file for the programs that it is for, or for the one that the command line names.
+// Errors are settings.SettingErrors with all that any of them lacks, or those of reading the file.
+func (c *CheckCommand) readSettings() (summaries []command.Summary, err error) {
+	s, err := settings.Load(c.File)
+	if err != nil {
+		return nil, err
+	}
+	programs := command.Programs(s)
+	if c.Program != "" {
+		programs = []string{c.Program}
+	}
+	var lacking settings.SettingErrors
+	for _, program := range programs {
+		var errs settings.SettingErrors
+		if err := s.Require(program); errors.As(err, &errs) {
+			lacking = append(lacking, errs...)
+		}
+		summaries = append(summaries, command.Summarize(s, program))
+	}
+	for n := range lacking {
+		lacking[n].File = filepath.Base(c.File) // as in those of settings.Load
+	}
+	if len(lacking) > 0 {
+		return nil, lacking
+	}
+	return summaries, nil
+}
+
 func (c *CheckCommand) load(kind fileKind) (*config.Config, error) {
 	if kind == kindHCL {
 		return config.LoadFile(c.File)
@@ -73,34 +151,29 @@
 	})
 }
 
-// show prints a configuration.
-func (c *CheckCommand) show(p *Program, checked *config.Config) {
-	s := checked.Settings
-	servers := "from discovery at " + checked.Discovery
-	if checked.Static {
-		servers = fmt.Sprintf("%d written down", len(checked.Known.Targets))
-	}
-	counter := cmp.Or(checked.Counter, "none")
-	if checked.Embedded != "" {
-		counter = "embedded, at " + checked.Embedded
-	}
-	usage := "not recorded"
-	if u := checked.Usage; u != nil {
-		usage = fmt.Sprintf("recorded in %s, told to %s", u.Dir, cmp.Or(u.Endpoint, "nobody"))
-	}
-	fmt.Fprintf(p.out, "%s: a configuration in order\n", c.File)
-	t := newTable(p.out)
-	for _, row := range []struct{ label, value string }{
-		{"listens at", checked.Listen},
-		{"ingress", fmt.Sprintf("%d of %d", s.Index+1, max(1, s.Gateways))},
-		{"quote servers", servers},
-		{"counter", counter},
-		{"classes", fmt.Sprint(len(s.Classes))},
-		{"plans", fmt.Sprint(len(s.Plans))},
-		{"catalogue", cmp.Or(checked.Catalogue, "none")},
-		{"use", usage},
-	} {
-		fmt.Fprintf(t, "%s\t%s\n", row.label, row.value)
-	}
-	t.Flush()
+// print prints a report for operators. A problem that is alone is the error of the command, and not listed.
+func (c *CheckCommand) print(out io.Writer, report checkReport) error {
+	if report.Ingress != nil {
+		fmt.Fprintf(out, "%s: a configuration in order\n", c.File)
+		if err := report.Ingress.writeTable(out); err != nil {
+			return err
+		}
+	}
+	if len(report.Problems) > 1 {
+		for _, problem := range report.Problems {
+			fmt.Fprintln(out, problem)
+		}
+	}
+	switch {
+	case len(report.Problems) > 0:
+		return nil
+	case report.Kind == kindSettings:
+		fmt.Fprintf(out, "%s: settings in order\n", c.File)
+		return command.PrintSummaries(out, command.OutputFlag{}, report.Programs...)
+	case report.Ingress != nil && report.Ingress.Catalogue != "":
+		writeCatalogue(out, report.Ingress.Catalogue, report.Revisions)
+	case report.Kind == kindCatalogue:
+		writeCatalogue(out, c.File, report.Revisions)
+	}
+	return nil
 }
--- a/internal/standalone/cli/cli.go
+++ b/internal/standalone/cli/cli.go
@@ -1,15 +1,13 @@
 package cli
 
 import (
-	"errors"
 	"fmt"
 	"io"
-	"runtime/debug"
-	"strings"
 
 	"github.com/alecthomas/kong"
 
-	"mulleinrouter/internal/standalone/hclfile"
+	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/control/operatorcommand"
 )
 
 // Exit codes. Scripts may tell them apart.
@@ -42,7 +40,12 @@
 	ModelCheck ModelCheckCommand `cmd:"" name:"model-check" help:"${modelCheck}"`
 	Try        TryCommand        `cmd:"" name:"try" help:"${try}"`
 	FaultTest  FaultTestCommand  `cmd:"" name:"fault-test" help:"${faultTest}"`
-	Version    VersionCommand    `cmd:"" name:"version" help:"Say which version this is."`
+
+	Members operatorcommand.Members `cmd:"" name:"members" help:"${members}"`
+	Replace operatorcommand.Replace `cmd:"" name:"replace" help:"${replace}"`
+
+	Completion CompletionCommand      `cmd:"" name:"completion" help:"${completion}"`
+	Version    command.VersionCommand `cmd:"" name:"version" help:"${version}"`
 
 	Audit    ModelCheckCommand `cmd:"" name:"audit" hidden:"" help:"Earlier name of model-check."`
 	Rehearse FaultTestCommand  `cmd:"" name:"rehearse" hidden:"" help:"Earlier name of fault-test."`
@@ -57,7 +60,8 @@
 	parser, err := kong.New(p,
 		kong.Name(programName),
 		kong.Description(description),
-		helpTexts,
+		helpTexts, command.HelpTexts,
+		kong.BindTo(out, (*io.Writer)(nil)),
 		kong.Writers(out, errOut), kong.UsageOnError(),
 		kong.Exit(func(c int) { code, exited = c, true }),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: helpWidth}),
@@ -66,7 +70,7 @@
 		fmt.Fprintf(errOut, "%s: %v\n", programName, err)
 		return ExitFailure
 	}
-	command, err := parser.Parse(args)
+	parsed, err := parser.Parse(args)
 	if exited {
 		return code // help was asked for
 	}
@@ -75,44 +79,9 @@
 		fmt.Fprintf(errOut, "%s --help tells what there is.\n", programName)
 		return ExitUsage
 	}
-	if err := command.Run(p); err != nil {
+	if err := parsed.Run(p); err != nil {
 		fmt.Fprintf(errOut, "%s: %s\n", programName, oneLine(err))
 		return exitCode(err)
 	}
 	return ExitOK
 }
-
-// exitCode is the exit code for a command's error.
-func exitCode(err error) int {
-	var place *hclfile.Error
-	var file fileError
-	if errors.As(err, &place) || errors.As(err, &file) {
-		return ExitBadFile
-	}
-	return ExitFailure
-}
-
-// oneLine is the text of an error, or of several that were joined, on one line.
-func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
-
-// VersionCommand says which version this is.
-type VersionCommand struct{}
-
-// Run prints what the build knows of itself.
-func (*VersionCommand) Run(p *Program) error {
-	info, ok := debug.ReadBuildInfo()
-	if !ok {
-		return errNoBuildInfo
-	}
-	revision, changed := "unknown", ""
-	for _, s := range info.Settings {
-		switch {
-		case s.Key == "vcs.revision":
-			revision = s.Value[:min(12, len(s.Value))]
-		case s.Key == "vcs.modified" && s.Value == "true":
-			changed = " with changes"
-		}
-	}
-	fmt.Fprintf(p.out, "%s %s%s, %s\n", programName, revision, changed, info.GoVersion)
-	return nil
-}
--- /dev/null
+++ b/internal/standalone/cli/completion/bash.go
@@ -0,0 +1,107 @@
+package completion
+
+import (
+	"strconv"
+	"strings"
+)
+
+// bashScript writes the script for bash, 3.2 or newer. Where it has no word to offer, readline completes file names.
+func bashScript(program string, commands []command) string {
+	var s script
+	function := functionName(program)
+	s.line("# bash completion of %s. Load it with: source <(%s completion bash)", program, program)
+	s.line("%s() {", function)
+	s.line(`    local current=${COMP_WORDS[COMP_CWORD]} previous=${COMP_WORDS[COMP_CWORD-1]}`)
+	s.line(`    local command='' word index arguments=0 candidates=''`)
+	s.line(`    COMPREPLY=()`)
+	s.line(`    # readline splits --flag=value into three words.`)
+	s.line(`    if [[ $current == '=' ]]; then`)
+	s.line(`        current=''`)
+	s.line(`    elif [[ $previous == '=' ]]; then`)
+	s.line(`        previous=${COMP_WORDS[COMP_CWORD-2]}`)
+	s.line(`    fi`)
+	s.line(`    for ((index = 1; index < COMP_CWORD; index++)); do`)
+	s.line(`        word=${COMP_WORDS[index]}`)
+	s.line(`        [[ ${COMP_WORDS[index+1]} == '=' ]] && ((index += 1))`)
+	s.walk(commands, "((index += 1))")
+	s.line(`    done`)
+	s.bashValues(commands)
+	s.bashWords(commands)
+	s.line(`    COMPREPLY=($(compgen -W "$candidates" -- "$current"))`)
+	s.line("}")
+	s.line("complete -o default -F %s %s", function, program)
+	return s.text.String()
+}
+
+// bashValues writes what completes the value of a flag.
+func (s *script) bashValues(commands []command) {
+	s.line(`    case "${command}:${previous}" in`)
+	for _, c := range commands {
+		for _, f := range c.flags {
+			if f.value.kind == oneOf {
+				keys := flagKeys(command{path: c.path, flags: []flag{f}}, takesValue)
+				s.line(`        %s) COMPREPLY=($(compgen -W %s -- "$current")); return ;;`,
+					keys, quote(strings.Join(f.value.words, " ")))
+			}
+		}
+		if keys := flagKeys(c, ofKind(fileName)); keys != "" {
+			s.line("        %s) return ;;", keys)
+		}
+		if keys := flagKeys(c, ofKind(anyValue)); keys != "" {
+			s.line("        %s) compopt +o default 2>/dev/null; return ;;", keys)
+		}
+	}
+	s.line(`    esac`)
+}
+
+// bashWords writes what can follow each command: flags after a dash, else commands below it or values of its
+// arguments.
+func (s *script) bashWords(commands []command) {
+	s.line(`    if [[ $current == -* ]]; then`)
+	s.line(`        case $command in`)
+	for _, c := range commands {
+		var words []string
+		for _, f := range c.flags {
+			words = append(words, f.words()...)
+		}
+		s.line("            %s) candidates=%s ;;", quote(c.path), quote(strings.Join(words, " ")))
+	}
+	s.line(`        esac`)
+	s.line(`    else`)
+	s.line(`        case "${command}:${arguments}" in`)
+	for _, c := range commands {
+		for _, choice := range choices(c) {
+			s.line("            %s) candidates=%s ;;", choice.key, quote(strings.Join(choice.words, " ")))
+		}
+	}
+	s.line(`        esac`)
+	s.line(`    fi`)
+}
+
+// choice is the words that can follow a command after a number of arguments.
+type choice struct {
+	key   string // COMMAND:ARGUMENTS, a pattern of the shell
+	words []string
+}
+
+// choices returns what can follow a command that is no flag.
+func choices(c command) (all []choice) {
+	if len(c.subcommands) > 0 {
+		var words []string
+		for _, below := range c.subcommands {
+			words = append(words, below.word)
+		}
+		all = append(all, choice{quote(c.path + ":0"), words})
+	}
+	for n, a := range c.arguments {
+		if a.value.kind != oneOf {
+			continue
+		}
+		key := quote(c.path+":") + strconv.Itoa(n)
+		if a.repeated {
+			key = quote(c.path+":") + "*"
+		}
+		all = append(all, choice{key, a.value.words})
+	}
+	return all
+}
--- a/internal/standalone/cli/errors.go
+++ b/internal/standalone/cli/errors.go
@@ -3,8 +3,26 @@
 import (
 	"errors"
 	"os"
+	"strings"
+
+	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/standalone/hclfile"
 )
 
+// exitCode is the exit code for a command's error.
+func exitCode(err error) int {
+	var place *hclfile.Error
+	var file fileError
+	var settings *command.SettingsError
+	if errors.As(err, &place) || errors.As(err, &file) || errors.As(err, &settings) {
+		return ExitBadFile
+	}
+	return ExitFailure
+}
+
+// oneLine is the text of an error, or of several that were joined, on one line.
+func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
+
 // fileError marks an error as one of a file that cannot be used: the program exits with ExitBadFile.
 type fileError struct{ error }
 
@@ -20,8 +38,6 @@
 
 // Errors of commands. Each is the last line that the program writes.
 var (
-	errNoBuildInfo = errors.New("the build says nothing of itself")
-
 	// Of commands whose findings are their error.
 	errViolated        = errors.New("a rule is broken")
 	errExpectation     = errors.New("not all that was expected held")
--- a/internal/standalone/cli/fleetleases.go
+++ b/internal/standalone/cli/fleetleases.go
@@ -8,6 +8,7 @@
 	"strings"
 	"time"
 
+	"mulleinrouter/internal/cluster/command"
 	"mulleinrouter/internal/standalone/fleet/leaseservice"
 	"mulleinrouter/internal/standalone/jsontext"
 )
@@ -36,7 +37,7 @@
 
 func writeLeases(out io.Writer, answer *leaseservice.Status) error {
 	fmt.Fprintf(out, "%s leads in term %d; voters %s\n\n", answer.Leader, answer.Term, strings.Join(answer.Voters, " "))
-	t := newTable(out)
+	t := command.NewTable(out)
 	fmt.Fprintln(t, "duty\tholder\ttoken\twaiting")
 	for _, d := range answer.Roles {
 		fmt.Fprintf(t, "%s\t%s\t%d\t%s\n", d.Role, cmp.Or(d.Holder, "nobody"), d.Token, strings.Join(d.Candidates, " "))
@@ -76,6 +77,11 @@
 	Names  []string `arg:"" name:"names" optional:"" help:"Names of voters."`
 }
 
+// votersReport is the voters as JSON.
+type votersReport struct {
+	Voters []string `json:"voters"` // their names
+}
+
 // voterChange is one change of the voters, which change one at a time.
 type voterChange struct {
 	action string // add or remove
@@ -110,8 +116,10 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(p.out, strings.Join(answer.Voters, "\n"))
-	return nil
+	return fv.Print(p.out, votersReport{answer.Voters}, func(out io.Writer) error {
+		_, err := fmt.Fprintln(out, strings.Join(answer.Voters, "\n"))
+		return err
+	})
 }
 
 // apply makes one change and waits until it is agreed on.
--- a/internal/standalone/cli/help.go
+++ b/internal/standalone/cli/help.go
@@ -1,6 +1,12 @@
 package cli
 
-import "github.com/alecthomas/kong"
+import (
+	"strings"
+
+	"github.com/alecthomas/kong"
+
+	"mulleinrouter/internal/standalone/cli/completion"
+)
 
 // helpTexts are the texts that don't fit on one line with the rest of their tag, which names them as ${key}. The key of
 // a help text is the path of commands and the field's name, except where it is too long or several commands share it.
@@ -8,11 +14,20 @@
 	"bookingsAdd":      "Book units for a member and a span. Refused with what would fit if there is no room.",
 	"bookingsCancel":   "Cancel a booking. What it would still have allowed is free again.",
 	"watchedCatalogue": "The catalogue that ingresses watch.",
-	"checkFile":        "A configuration (.hcl, or .json as the platform gives it) or a catalogue of plans.",
-	"logFormat":        "Form of the log: text or json. Default: what the configuration says, or text.",
+	"checkFile": "A configuration (.hcl, or .json as the platform gives it), a catalogue of plans, or a settings " +
+		"file of the system.",
+	"checkProgram": "Program that a settings file is for: proxy, agent or control. Default: those of its role or " +
+		"its class of machine.",
+	"shells":    strings.Join(completion.Shells, ","),
+	"logFormat": "Form of the log: text or json. Default: what the configuration says, or text.",
 	"serve": "Serve clients (the default). Without -c, the configuration is that of NODE_CONFIG, as the " +
 		"platform gives it.",
-	"check":      "Check a configuration or a catalogue of plans, and say what is in it.",
+	"check": "Check a file of either program, and say what is in it. Each error is reported with its file, line and " +
+		"column or key.",
+	"members":    "Show which control nodes are voters, which are learners, and how far behind they are.",
+	"replace":    "Have a learner take the place of a voter.",
+	"completion": "Print a script that completes this command line in a shell.",
+	"version":    "Say which version this is, with its commit and Go's.",
 	"bookings":   "Book allowance ahead for a member, list bookings, cancel one.",
 	"modelCheck": "Look for violations of the rules in the code as it is.",
 	"try": "Run three ingresses among stand-ins on this machine, change a plan midway, and show what " +
--- /dev/null
+++ b/internal/standalone/cli/ingresssummary.go
@@ -0,0 +1,82 @@
+package cli
+
+import (
+	"cmp"
+	"fmt"
+	"io"
+	"strconv"
+
+	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/standalone/config"
+)
+
+// ingressSummary is what matters in a configuration of the ingress in service. Addresses are host:port; those that it
+// does not have are empty.
+type ingressSummary struct {
+	Listen    string `json:"listen"`
+	Number    int    `json:"number"`    // among the ingresses, from 1
+	Ingresses int    `json:"ingresses"` // 1 or more
+	Discovery string `json:"discovery,omitempty"`
+	Static    bool   `json:"static"`  // the servers are written down
+	Servers   int    `json:"servers"` // written down
+	Counter   string `json:"counter,omitempty"`
+	Embedded  string `json:"embeddedCounter,omitempty"` // address that the embedded counter listens on
+	Classes   int    `json:"classes"`
+	Plans     int    `json:"plans"`
+	Catalogue string `json:"catalogue,omitempty"` // path
+	// UsageDir is the folder of the usage records; empty: use is not recorded.
+	UsageDir      string `json:"usageDir,omitempty"`
+	UsageEndpoint string `json:"usageEndpoint,omitempty"` // URL that use is exported to; empty: none
+}
+
+func newIngressSummary(c *config.Config) *ingressSummary {
+	s := &ingressSummary{
+		Listen:    c.Listen,
+		Number:    c.Settings.Index + 1,
+		Ingresses: max(1, c.Settings.Gateways),
+		Discovery: c.Discovery,
+		Static:    c.Static,
+		Counter:   c.Counter,
+		Embedded:  c.Embedded,
+		Classes:   len(c.Settings.Classes),
+		Plans:     len(c.Settings.Plans),
+		Catalogue: c.Catalogue,
+	}
+	if c.Static {
+		s.Servers = len(c.Known.Targets)
+	}
+	if c.Usage != nil {
+		s.UsageDir, s.UsageEndpoint = c.Usage.Dir, c.Usage.Endpoint
+	}
+	return s
+}
+
+// writeTable writes the summary for operators.
+func (is *ingressSummary) writeTable(out io.Writer) error {
+	servers := "from discovery at " + is.Discovery
+	if is.Static {
+		servers = fmt.Sprintf("%d written down", is.Servers)
+	}
+	counter := cmp.Or(is.Counter, "none")
+	if is.Embedded != "" {
+		counter = "embedded, at " + is.Embedded
+	}
+	usage := "not recorded"
+	if is.UsageDir != "" {
+		usage = fmt.Sprintf("recorded in %s, told to %s", is.UsageDir, cmp.Or(is.UsageEndpoint, "nobody"))
+	}
+	table := command.NewTable(out)
+	for _, row := range []struct{ label, value string }{
+		{"listens at", is.Listen},
+		{"ingress", fmt.Sprintf("%d of %d", is.Number, is.Ingresses)},
+		{"quote servers", servers},
+		{"counter", counter},
+		{"classes", strconv.Itoa(is.Classes)},
+		{"plans", strconv.Itoa(is.Plans)},
+		{"catalogue", cmp.Or(is.Catalogue, "none")},
+		{"use", usage},
+	} {
+		fmt.Fprintf(table, "%s\t%s\n", row.label, row.value)
+	}
+	return table.Flush()
+}
--- a/internal/standalone/cli/output.go
+++ b/internal/standalone/cli/output.go
@@ -2,7 +2,6 @@
 
 import (
 	"io"
-	"text/tabwriter"
 	"time"
 
 	"mulleinrouter/internal/decision"
@@ -10,22 +9,11 @@
 )
 
 const (
-	outputTable = "table"
-	outputJSON  = "json"
-
-	columnGap = 2 // spaces
+	outputJSON = "json" // of the log
 
 	millisecondsPerSecond = 1000
 )
 
-// outputFlag is the flag of commands that print a table or JSON.
-type outputFlag struct {
-	Output string `name:"output" enum:"table,json" default:"table" help:"Form: table or json."`
-}
-
-// newTable returns a writer that aligns columns separated by tabs, until it is flushed.
-func newTable(w io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(w, 0, 0, columnGap, ' ', 0) }
-
 // writeJSON writes a value as one line of JSON.
 func writeJSON(w io.Writer, v any) error { return jsontext.NewEncoder(w).Encode(v) }
 
--- a/internal/standalone/cli/plans.go
+++ b/internal/standalone/cli/plans.go
@@ -7,6 +7,7 @@
 	"os"
 	"time"
 
+	"mulleinrouter/internal/cluster/command"
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/catalogue"
 	"mulleinrouter/internal/standalone/plans"
@@ -22,12 +23,12 @@
 // PlansShowCommand shows a catalogue.
 type PlansShowCommand struct {
 	File string `arg:"" name:"file" type:"path" help:"The catalogue."`
-	outputFlag
+	command.OutputFlag
 }
 
 // Run prints the catalogue.
 func (ps *PlansShowCommand) Run(p *Program) error {
-	if ps.Output != outputJSON {
+	if !ps.JSON() {
 		return showCatalogue(p.out, ps.File)
 	}
 	revisions, err := loadCatalogue(ps.File)
@@ -61,6 +62,12 @@
 	if err != nil {
 		return err
 	}
+	writeCatalogue(w, path, revisions)
+	return nil
+}
+
+// writeCatalogue prints the revisions of a catalogue as tables.
+func writeCatalogue(w io.Writer, path string, revisions []plans.Revision) {
 	now, inForce := unixNow(), -1
 	for i, r := range revisions {
 		if r.EffectiveAt <= now {
@@ -78,7 +85,6 @@
 		}
 		showRevision(w, r, state)
 	}
-	return nil
 }
 
 func showRevision(w io.Writer, r plans.Revision, state string) {
@@ -89,7 +95,7 @@
 	for _, plan := range r.Members {
 		members[plan]++
 	}
-	t := newTable(w)
+	t := command.NewTable(w)
 	fmt.Fprintln(t, "  plan\tmembers\tfigures")
 	for _, plan := range r.Plans {
 		fmt.Fprintf(t, "  %s\t%d\t%s\n", plan.Name, members[plan.Name], plans.FormatPlan(plan))
@@ -102,6 +108,15 @@
 type PlansDiffCommand struct {
 	From string `arg:"" name:"from" type:"path" help:"The older catalogue."`
 	To   string `arg:"" name:"to" type:"path" help:"The newer catalogue."`
+	command.OutputFlag
+}
+
+// planChange is a difference as JSON.
+type planChange struct {
+	What string `json:"what"` // plan, member, booking or setting
+	Name string `json:"name"`
+	From string `json:"from"` // empty: not there
+	To   string `json:"to"`   // empty: not there
 }
 
 // Run prints the differences.
@@ -115,15 +130,29 @@
 		return err
 	}
 	changes := plans.Diff(from, to)
-	writeChanges(p.out, changes)
+	if err := pd.print(p.out, changes); err != nil {
+		return err
+	}
 	if len(changes) > 0 {
 		return errDiffer
 	}
 	return nil
 }
 
+// print prints differences as a table, or as an array of JSON.
+func (pd *PlansDiffCommand) print(out io.Writer, changes []plans.Change) error {
+	rows := make([]planChange, 0, len(changes))
+	for _, c := range changes {
+		rows = append(rows, planChange(c))
+	}
+	return pd.Print(out, rows, func(out io.Writer) error {
+		writeChanges(out, changes)
+		return nil
+	})
+}
+
 func writeChanges(w io.Writer, changes []plans.Change) {
-	t := newTable(w)
+	t := command.NewTable(w)
 	for _, c := range changes {
 		fmt.Fprintf(t, "%s\t%s\t%s\t->\t%s\n", c.What, c.Name, cmp.Or(c.From, "(none)"), cmp.Or(c.To, "(none)"))
 	}
--- a/internal/standalone/cli/usage.go
+++ b/internal/standalone/cli/usage.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"os/signal"
 	"strings"
 	"syscall"
@@ -10,6 +11,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"mulleinrouter/internal/cluster/command"
 	"mulleinrouter/internal/dataplane/usage"
 	"mulleinrouter/internal/standalone/usageexport"
 )
@@ -97,6 +99,7 @@
 // UsageVerifyCommand verifies records.
 type UsageVerifyCommand struct {
 	Dir string `arg:"" name:"dir" type:"path" help:"Folder of the records. No exporter may be at it meanwhile."`
+	command.OutputFlag
 }
 
 // Run verifies segments and batches.
@@ -110,21 +113,15 @@
 	if err != nil {
 		return err
 	}
-	units := func(s usage.Sum) string {
-		return fmt.Sprintf("%.6g units in %d tries", s.InUnits(), s.Requests)
+	writeTable := func(out io.Writer) error { return writeVerification(out, v) }
+	if err := uv.Print(p.out, newVerificationReport(v), writeTable); err != nil {
+		return err
 	}
-	t := newTable(p.out)
-	fmt.Fprintf(t, "segments\t%d, with %d records\n", v.Segments, v.Records)
-	fmt.Fprintf(t, "batches\t%d\n", v.Batches)
-	fmt.Fprintf(t, "billed\t%s\n", units(v.Known))
-	fmt.Fprintf(t, "arrival not known\t%s, listed apart\n", units(v.Unknown))
-	fmt.Fprintf(t, "not recorded\t%s, for want of room\n", units(v.Unmetered))
-	fmt.Fprintf(t, "in no batch yet\t%s\n", units(v.NotExported))
-	fmt.Fprintf(t, "out\t%d tries\n", v.InFlight)
-	t.Flush()
 	if len(v.Problems) > 0 {
 		return fmt.Errorf("%d problems: %s", len(v.Problems), strings.Join(v.Problems, "; "))
 	}
-	fmt.Fprintln(p.out, "all is in order")
+	if !uv.JSON() {
+		fmt.Fprintln(p.out, "all is in order")
+	}
 	return nil
 }
--- a/internal/standalone/cli/usageshow.go
+++ b/internal/standalone/cli/usageshow.go
@@ -8,6 +8,7 @@
 	"slices"
 	"time"
 
+	"mulleinrouter/internal/cluster/command"
 	"mulleinrouter/internal/dataplane/usage"
 	"mulleinrouter/internal/standalone/usagesegment"
 )
@@ -16,7 +17,7 @@
 type UsageShowCommand struct {
 	Dir string `arg:"" name:"dir" type:"path" help:"Folder of the records."`
 	By  string `name:"by" enum:"member,plan,class,minute,all" default:"plan" help:"${usageShowBy}"`
-	outputFlag
+	command.OutputFlag
 }
 
 // Run shows what the segments say, those included that are still written to.
@@ -25,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	asJSON := us.Output == outputJSON
+	asJSON := us.JSON()
 	switch {
 	case asJSON && (us.By == "all" || us.By == "plan"):
 		return writeJSON(p.out, rows)
@@ -66,7 +67,7 @@
 
 // writeUsageRows prints all rows.
 func writeUsageRows(out io.Writer, rows []usage.Row) error {
-	t := newTable(out)
+	t := command.NewTable(out)
 	fmt.Fprintln(t, "minute\tmember\tplan\trevision\tclass\tbeyond\tunknown\ttries\tunits")
 	for _, r := range rows {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%v\t%v\t%d\t%.6g\n", formatMinute(r.Minute),
@@ -75,11 +76,13 @@
 	return t.Flush()
 }
 
-// usageSum is what rows of one name add up to, in units. The command prints it as JSON under the names of its fields.
+// usageSum is what rows of one name add up to, in units.
 type usageSum struct {
-	Name                    string
-	Tries                   int64
-	Inside, Beyond, Unknown float64
+	Name    string  `json:"Name"`
+	Tries   int64   `json:"Tries"`
+	Inside  float64 `json:"Inside"`
+	Beyond  float64 `json:"Beyond"`
+	Unknown float64 `json:"Unknown"`
 }
 
 // sumUsage adds rows up by member, plan, class or minute, in order of their names.
@@ -114,7 +117,7 @@
 
 // writeUsageSums prints sums as a table.
 func writeUsageSums(out io.Writer, by string, sums []*usageSum) error {
-	t := newTable(out)
+	t := command.NewTable(out)
 	fmt.Fprintf(t, "%s\ttries\tunits inside\tbeyond quota\tarrival unknown\n", by)
 	for _, sum := range sums {
 		fmt.Fprintf(t, "%s\t%d\t%.6g\t%.6g\t%.6g\n", sum.Name, sum.Tries, sum.Inside, sum.Beyond, sum.Unknown)
--- /dev/null
+++ b/internal/standalone/cli/usageverify.go
@@ -0,0 +1,60 @@
+package cli
+
+import (
+	"fmt"
+	"io"
+
+	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/dataplane/usage"
+	"mulleinrouter/internal/standalone/usageexport"
+)
+
+// verificationReport is what usage verify found, as JSON.
+type verificationReport struct {
+	Segments       int        `json:"segments"`
+	Records        int        `json:"records"`
+	Batches        uint64     `json:"batches"`
+	Billed         usageTotal `json:"billed"`
+	ArrivalUnknown usageTotal `json:"arrivalUnknown"` // listed apart
+	NotRecorded    usageTotal `json:"notRecorded"`    // for want of room
+	NotExported    usageTotal `json:"notExported"`    // in no batch yet
+	InFlight       int        `json:"inFlight"`       // tries without an end
+	Problems       []string   `json:"problems"`       // empty: all is in order
+}
+
+// usageTotal is what tries add up to.
+type usageTotal struct {
+	Units float64 `json:"units"`
+	Tries int64   `json:"tries"`
+}
+
+func newVerificationReport(v *usageexport.Verification) verificationReport {
+	sum := func(s usage.Sum) usageTotal { return usageTotal{Units: s.InUnits(), Tries: s.Requests} }
+	return verificationReport{
+		Segments:       v.Segments,
+		Records:        v.Records,
+		Batches:        v.Batches,
+		Billed:         sum(v.Known),
+		ArrivalUnknown: sum(v.Unknown),
+		NotRecorded:    sum(v.Unmetered),
+		NotExported:    sum(v.NotExported),
+		InFlight:       v.InFlight,
+		Problems:       append([]string{}, v.Problems...),
+	}
+}
+
+// writeVerification writes what was found as a table, without its problems.
+func writeVerification(out io.Writer, v *usageexport.Verification) error {
+	units := func(s usage.Sum) string {
+		return fmt.Sprintf("%.6g units in %d tries", s.InUnits(), s.Requests)
+	}
+	t := command.NewTable(out)
+	fmt.Fprintf(t, "segments\t%d, with %d records\n", v.Segments, v.Records)
+	fmt.Fprintf(t, "batches\t%d\n", v.Batches)
+	fmt.Fprintf(t, "billed\t%s\n", units(v.Known))
+	fmt.Fprintf(t, "arrival not known\t%s, listed apart\n", units(v.Unknown))
+	fmt.Fprintf(t, "not recorded\t%s, for want of room\n", units(v.Unmetered))
+	fmt.Fprintf(t, "in no batch yet\t%s\n", units(v.NotExported))
+	fmt.Fprintf(t, "out\t%d tries\n", v.InFlight)
+	return t.Flush()
+}
--- a/internal/standalone/hclfile/hclfile.go
+++ b/internal/standalone/hclfile/hclfile.go
@@ -27,14 +27,14 @@
 func Parse(name string, text []byte, into any) (*File, error) {
 	parsed, diagnostics := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
 	if diagnostics.HasErrors() {
-		return nil, firstError(name, diagnostics)
+		return nil, newError(name, diagnostics)
 	}
 	body := parsed.Body.(*hclsyntax.Body)
 	if diagnostics = findHugeNumbers(body); diagnostics.HasErrors() {
-		return nil, firstError(name, diagnostics)
+		return nil, newError(name, diagnostics)
 	}
 	if diagnostics = gohcl.DecodeBody(parsed.Body, nil, into); diagnostics.HasErrors() {
-		return nil, firstError(name, diagnostics)
+		return nil, newError(name, diagnostics)
 	}
 	return &File{Name: name, body: body}, nil
 }
