--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -11,11 +11,12 @@
 
 	"mulleinrouter/internal/agent"
 	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/cluster/settings"
 )
 
 const (
-	name        = command.Agent
+	name        = commandline.Agent
 	description = "The agent on an edge machine: it keeps the link to the control nodes and feeds the proxy beside it."
 )
 
@@ -31,12 +32,12 @@
 	Check check `cmd:"" help:"Check a settings file, and say what is in it that matters here."`
 	Show  show  `cmd:"" help:"Ask the agent that runs on this machine what it knows."`
 
-	Version     command.VersionCommand `cmd:"" help:"Say which version this is, with its commit and Go's."`
-	VersionFlag kong.VersionFlag       `name:"version" help:"Say which version this is."`
+	Version     commandline.VersionCommand `cmd:"" help:"Say which version this is, with its commit and Go's."`
+	VersionFlag kong.VersionFlag           `name:"version" help:"Say which version this is."`
 }
 
 type serve struct {
-	command.SettingsArgument
+	commandline.SettingsArgument
 	command.ServeOptions
 	command.LinkFaultsFlag
 }
@@ -63,17 +64,17 @@
 
 func limitMemory(*settings.Settings) int64 { return memoryLimit }
 
-type check struct{ command.CheckCommand }
+type check struct{ commandline.CheckCommand }
 
 func (c *check) Run(out io.Writer) error { return c.Check(out, name) }
 
 type show struct {
-	command.SettingsArgument
-	command.OutputFlag
+	commandline.SettingsArgument
+	commandline.OutputFlag
 }
 
 func (s *show) Run(out io.Writer) error {
-	loaded, err := command.Load(s.File, name)
+	loaded, err := commandline.Load(s.File, name)
 	if err != nil {
 		return err
 	}
--- a/cmd/control/main.go
+++ b/cmd/control/main.go
@@ -14,6 +14,7 @@
 	"github.com/alecthomas/kong"
 
 	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/cluster/transport"
 	"mulleinrouter/internal/control"
@@ -21,7 +22,7 @@
 )
 
 const (
-	name        = command.Control
+	name        = commandline.Control
 	description = "The control node on a core machine: it takes the configuration and the beats of servers, " +
 		"and feeds the agents."
 )
@@ -33,8 +34,8 @@
 	Members operatorcommand.Members `cmd:"" help:"Say which control nodes vote, which learn, and how far behind they are."`
 	Replace operatorcommand.Replace `cmd:"" help:"Have a learner take the place of a voter."`
 
-	Version     command.VersionCommand `cmd:"" help:"Say which version this is, with its commit and Go's."`
-	VersionFlag kong.VersionFlag       `name:"version" help:"Say which version this is."`
+	Version     commandline.VersionCommand `cmd:"" help:"Say which version this is, with its commit and Go's."`
+	VersionFlag kong.VersionFlag           `name:"version" help:"Say which version this is."`
 }
 
 const (
@@ -44,7 +45,7 @@
 )
 
 type serve struct {
-	command.SettingsFlag
+	commandline.SettingsFlag
 	command.ServeOptions
 	command.LinkFaultsFlag
 }
@@ -82,7 +83,7 @@
 	return max(minMemoryLimit, int64(s.Limits.MemoryMB)<<20/2)
 }
 
-type check struct{ command.CheckCommand }
+type check struct{ commandline.CheckCommand }
 
 func (c *check) Run(out io.Writer) error { return c.Check(out, name) }
 
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -13,12 +13,13 @@
 	"github.com/alecthomas/kong"
 
 	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/proxy"
 )
 
 const (
-	name        = command.Proxy
+	name        = commandline.Proxy
 	description = "The proxy of an edge machine: it serves clients, with what the agent beside it knows."
 )
 
@@ -26,12 +27,12 @@
 	Serve serve `cmd:"" default:"withargs" help:"Serve clients until SIGTERM (the default)."`
 	Check check `cmd:"" help:"Check a settings file, and say what is in it that matters here."`
 
-	Version     command.VersionCommand `cmd:"" help:"Say which version this is, with its commit and Go's."`
-	VersionFlag kong.VersionFlag       `name:"version" help:"Say which version this is."`
+	Version     commandline.VersionCommand `cmd:"" help:"Say which version this is, with its commit and Go's."`
+	VersionFlag kong.VersionFlag           `name:"version" help:"Say which version this is."`
 }
 
 type serve struct {
-	command.SettingsFlag
+	commandline.SettingsFlag
 	command.ServeOptions
 }
 
@@ -59,7 +60,7 @@
 	return binary.LittleEndian.Uint64(random[:]) | 1
 }
 
-type check struct{ command.CheckCommand }
+type check struct{ commandline.CheckCommand }
 
 func (c *check) Run(out io.Writer) error { return c.Check(out, name) }
 
--- a/internal/cluster/command/main.go
+++ b/internal/cluster/command/main.go
@@ -7,8 +7,8 @@
 
 	"github.com/alecthomas/kong"
 
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/cluster/metrics"
-	"mulleinrouter/internal/cluster/settings"
 )
 
 // ServeOptions are the options of "serve" that all programs have.
@@ -18,9 +18,6 @@
 
 const exitCodesHelp = "\n\nExit codes: 0 done, 1 failed, 2 wrong command line, 3 a settings file that cannot be used."
 
-// HelpTexts are what the help texts of this package's flags refer to. A program passes them to kong.
-var HelpTexts = kong.Vars{"variable": settings.EnvVariable}
-
 // Main runs a program: its commands as kong parses them, each with a Run that returns an error and may ask for the
 // io.Writer of its output. The two forms "serve" and "serve --metrics PORT/PATH" call serve at once. Main does not
 // return.
@@ -32,8 +29,8 @@
 	parser := kong.Must(commands,
 		kong.Name(program),
 		kong.Description(description+exitCodesHelp),
-		kong.Vars{"version": ReadBuildInfo(program).String()},
-		HelpTexts,
+		kong.Vars{"version": commandline.ReadBuildInfo(program).String()},
+		commandline.HelpTexts,
 		kong.BindTo(os.Stdout, (*io.Writer)(nil)),
 		kong.UsageOnError(),
 	)
--- a/internal/cluster/command/settings.go
+++ b/internal/cluster/command/settings.go
@@ -8,21 +8,11 @@
 
 	"github.com/go-kit/log"
 
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/cluster/linkfaults"
 	"mulleinrouter/internal/cluster/settings"
 )
 
-// SettingsArgument is the settings file as the argument of a command. The help is set to the name of the environment
-// variable by Main.
-type SettingsArgument struct {
-	File string `arg:"" optional:"" help:"Settings file. Default: the one that ${variable} names."`
-}
-
-// SettingsFlag is the settings file as a flag of a command.
-type SettingsFlag struct {
-	File string `name:"file" short:"c" help:"Settings file. Default: the one that ${variable} names." placeholder:"FILE"`
-}
-
 // LinkFaultsFlag is the file of package linkfaults as a flag of a command.
 type LinkFaultsFlag struct {
 	LinkFaults string `name:"links" hidden:"" help:"For fault tests: a file of hosts to partition from."`
@@ -38,18 +28,6 @@
 	return injector.Dialer(dial), nil
 }
 
-// Load reads a settings file for a program; empty: the one that settings.EnvVariable names. Errors are *SettingsError.
-func Load(file, program string) (*settings.Settings, error) {
-	s, err := settings.Load(file)
-	if err == nil {
-		err = s.Require(program)
-	}
-	if err != nil {
-		return nil, &SettingsError{Err: err}
-	}
-	return s, nil
-}
-
 // Memory says how a program uses memory, which is scarce on the machines of the system.
 type Memory struct {
 	// GCPercent is the growth of the heap that starts a collection; 0: Go's default.
@@ -65,7 +43,7 @@
 		debug.SetGCPercent(memory.GCPercent)
 	}
 	runtime.GOMAXPROCS(1)
-	s, err := Load(file, program)
+	s, err := commandline.Load(file, program)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cluster/command/output.go
+++ b/internal/cluster/commandline/output.go
@@ -1,4 +1,4 @@
-package command
+package commandline
 
 import (
 	"encoding/json"
--- /dev/null
+++ b/internal/cluster/commandline/settings.go
@@ -0,0 +1,33 @@
+package commandline
+
+import (
+	"github.com/alecthomas/kong"
+
+	"mulleinrouter/internal/cluster/settings"
+)
+
+// HelpTexts are what the help texts of this package's flags refer to. A program passes them to kong.
+var HelpTexts = kong.Vars{"variable": settings.EnvVariable}
+
+// SettingsArgument is the settings file as the argument of a command. HelpTexts has the name of the
+// environment variable.
+type SettingsArgument struct {
+	File string `arg:"" optional:"" help:"Settings file. Default: the one that ${variable} names."`
+}
+
+// SettingsFlag is the settings file as a flag of a command.
+type SettingsFlag struct {
+	File string `name:"file" short:"c" help:"Settings file. Default: the one that ${variable} names." placeholder:"FILE"`
+}
+
+// Load reads a settings file for a program; empty: the one that settings.EnvVariable names. Errors are *SettingsError.
+func Load(file, program string) (*settings.Settings, error) {
+	s, err := settings.Load(file)
+	if err == nil {
+		err = s.Require(program)
+	}
+	if err != nil {
+		return nil, &SettingsError{Err: err}
+	}
+	return s, nil
+}
--- a/internal/control/operatorcommand/members.go
+++ b/internal/control/operatorcommand/members.go
@@ -5,14 +5,14 @@
 	"fmt"
 	"io"
 
-	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/control/operatorapi"
 )
 
 // Members prints which control nodes are voters, which are learners, and how far behind they are.
 type Members struct {
 	Target `embed:""`
-	command.OutputFlag
+	commandline.OutputFlag
 	AsJSON bool `name:"json" hidden:"" help:"Earlier form of --output json."`
 }
 
@@ -45,7 +45,7 @@
 	}
 	fmt.Fprintf(out, "epoch %d; these voters since epoch %d, for %.0f s as seen here; %d wanted; %s\n\n",
 		members.Epoch, members.SinceEpoch, members.AgeSeconds, members.Wanted, contact)
-	table := command.NewTable(out)
+	table := commandline.NewTable(out)
 	fmt.Fprintln(table, "ROLE\tAT\tZONE\tSTATE\tBEHIND\tHEARD")
 	for _, voter := range members.Voters {
 		writeMember(table, "voter", voter)
--- a/internal/control/operatorcommand/operatorcommand_test.go
+++ b/internal/control/operatorcommand/operatorcommand_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/control/operatorapi"
 )
 
@@ -54,7 +54,7 @@
 		Replace Replace `cmd:""`
 	}
 	var out bytes.Buffer
-	parser := kong.Must(&commands, command.HelpTexts, kong.BindTo(&out, (*io.Writer)(nil)))
+	parser := kong.Must(&commands, commandline.HelpTexts, kong.BindTo(&out, (*io.Writer)(nil)))
 	parsed, err := parser.Parse(strings.Fields(strings.ReplaceAll(line, "ADDR", addr)))
 	if err != nil {
 		t.Fatalf("%s: %v", line, err)
@@ -88,7 +88,7 @@
 
 // Settings that cannot be used have an error of their own: it decides the exit code.
 func TestUnusableSettings(t *testing.T) {
-	var unusable *command.SettingsError
+	var unusable *commandline.SettingsError
 	if _, err := run(t, "", "members -c "+filepath.Join(t.TempDir(), "none")); !errors.As(err, &unusable) {
 		t.Errorf("error %v, want a SettingsError", err)
 	}
--- a/internal/control/operatorcommand/target.go
+++ b/internal/control/operatorcommand/target.go
@@ -1,7 +1,7 @@
 package operatorcommand
 
 import (
-	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/control/operatorapi"
 )
 
@@ -11,12 +11,12 @@
 	At   string `help:"Ask this control address instead of the one in the settings." placeholder:"HOST:PORT"`
 }
 
-// client returns a client of the control node. Errors are *command.SettingsError.
+// client returns a client of the control node. Errors are *commandline.SettingsError.
 func (t Target) client() (operatorapi.Client, error) {
 	if t.At != "" {
 		return operatorapi.Client{Addr: t.At}, nil
 	}
-	s, err := command.Load(t.File, command.Control)
+	s, err := commandline.Load(t.File, commandline.Control)
 	if err != nil {
 		return operatorapi.Client{}, err
 	}
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -95,7 +95,7 @@
 	"internal/standalone/cli imports internal/emulator/faulttest":   "mulleinrouter fault-test",
 	"internal/standalone/cli imports internal/emulator/testcluster": "mulleinrouter try",
 
-	"internal/standalone/cli imports internal/cluster/command":         "mulleinrouter version, --output",
+	"internal/standalone/cli imports internal/cluster/commandline":     "mulleinrouter version, --output",
 	"internal/standalone/cli imports internal/cluster/settings":        "mulleinrouter check, of a settings file",
 	"internal/standalone/cli imports internal/control/operatorcommand": "mulleinrouter members, replace",
 }
--- a/internal/standalone/cli/bookings.go
+++ b/internal/standalone/cli/bookings.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/standalone/plans"
 )
 
@@ -73,7 +73,7 @@
 // BookingListCommand lists bookings.
 type BookingListCommand struct {
 	Catalogue string `name:"catalogue" required:"" type:"path" placeholder:"FILE" help:"The catalogue."`
-	command.OutputFlag
+	commandline.OutputFlag
 }
 
 // Run prints the bookings.
@@ -94,7 +94,7 @@
 	if len(bookings) == 0 {
 		return
 	}
-	t := command.NewTable(w)
+	t := commandline.NewTable(w)
 	fmt.Fprintln(t, "  booking\tmember\tfrom\tto\tunits\ta second")
 	for _, b := range bookings {
 		from, to := formatTime(b.From), formatTime(b.To)
--- a/internal/standalone/cli/check.go
+++ b/internal/standalone/cli/check.go
@@ -9,7 +9,7 @@
 	"regexp"
 	"strings"
 
-	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/standalone/config"
 	"mulleinrouter/internal/standalone/plans"
@@ -19,7 +19,7 @@
 type CheckCommand struct {
 	File    string `arg:"" name:"file" type:"path" help:"${checkFile}"`
 	Program string `name:"program" enum:"proxy,agent,control," default:"" placeholder:"NAME" help:"${checkProgram}"`
-	command.OutputFlag
+	commandline.OutputFlag
 }
 
 // fileKind is what a file can be.
@@ -62,9 +62,9 @@
 	Valid    bool      `json:"valid"`
 	Problems []problem `json:"problems,omitempty"` // empty: none
 
-	Ingress   *ingressSummary   `json:"ingress,omitempty"`   // of a configuration
-	Revisions []plans.Revision  `json:"revisions,omitempty"` // of a catalogue, or of the one that a configuration names
-	Programs  []command.Summary `json:"programs,omitempty"`  // that a settings file is for
+	Ingress   *ingressSummary       `json:"ingress,omitempty"`   // of a configuration
+	Revisions []plans.Revision      `json:"revisions,omitempty"` // of a catalogue, or of that of a configuration
+	Programs  []commandline.Summary `json:"programs,omitempty"`  // that a settings file is for
 }
 
 // Run prints what is in the file, or what is wrong with it.
@@ -113,12 +113,12 @@
 
 // readSettings reads a settings file for the programs that it is for, or for the one that the command line names.
 // Errors are settings.SettingErrors with all that any of them lacks, or those of reading the file.
-func (c *CheckCommand) readSettings() (summaries []command.Summary, err error) {
+func (c *CheckCommand) readSettings() (summaries []commandline.Summary, err error) {
 	s, err := settings.Load(c.File)
 	if err != nil {
 		return nil, err
 	}
-	programs := command.Programs(s)
+	programs := commandline.Programs(s)
 	if c.Program != "" {
 		programs = []string{c.Program}
 	}
@@ -128,7 +128,7 @@
 		if err := s.Require(program); errors.As(err, &errs) {
 			lacking = append(lacking, errs...)
 		}
-		summaries = append(summaries, command.Summarize(s, program))
+		summaries = append(summaries, commandline.Summarize(s, program))
 	}
 	for n := range lacking {
 		lacking[n].File = filepath.Base(c.File) // as in those of settings.Load
@@ -169,7 +169,7 @@
 		return nil
 	case report.Kind == kindSettings:
 		fmt.Fprintf(out, "%s: settings in order\n", c.File)
-		return command.PrintSummaries(out, command.OutputFlag{}, report.Programs...)
+		return commandline.PrintSummaries(out, commandline.OutputFlag{}, report.Programs...)
 	case report.Ingress != nil && report.Ingress.Catalogue != "":
 		writeCatalogue(out, report.Ingress.Catalogue, report.Revisions)
 	case report.Kind == kindCatalogue:
--- a/internal/standalone/cli/cli.go
+++ b/internal/standalone/cli/cli.go
@@ -6,7 +6,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/control/operatorcommand"
 )
 
@@ -22,8 +22,9 @@
 	programName = "mulleinrouter"
 	helpWidth   = 100 // columns
 
-	description = "The ingress of a quote service: decides for each request whether it is inside its member's quota, " +
-		"sends it to a quote server or refuses it, and answers once.\n\n" +
+	description = "The command line for people, and the ingress in service: it decides for each request whether it is " +
+		"inside its member's quota, sends it to a quote server or rejects it, and answers once. Control nodes, " +
+		"agents and proxies are programs of their own; check, members and replace are for them too.\n\n" +
 		"Exit codes: 0 done, 1 failed, 2 wrong command line, 3 a file that cannot be used."
 )
 
@@ -44,8 +45,8 @@
 	Members operatorcommand.Members `cmd:"" name:"members" help:"${members}"`
 	Replace operatorcommand.Replace `cmd:"" name:"replace" help:"${replace}"`
 
-	Completion CompletionCommand      `cmd:"" name:"completion" help:"${completion}"`
-	Version    command.VersionCommand `cmd:"" name:"version" help:"${version}"`
+	Completion CompletionCommand          `cmd:"" name:"completion" help:"${completion}"`
+	Version    commandline.VersionCommand `cmd:"" name:"version" help:"${version}"`
 
 	Audit    ModelCheckCommand `cmd:"" name:"audit" hidden:"" help:"Earlier name of model-check."`
 	Rehearse FaultTestCommand  `cmd:"" name:"rehearse" hidden:"" help:"Earlier name of fault-test."`
@@ -56,11 +57,14 @@
 // Main runs the command line and returns the exit code.
 func Main(args []string, out, errOut io.Writer) int {
 	p := &Program{out: out, err: errOut}
+	if len(args) == 0 { // the platform's own call, on machines with little memory: kong would keep some of it for good
+		return p.finish(p.Serve.Run(p))
+	}
 	code, exited := ExitOK, false
 	parser, err := kong.New(p,
 		kong.Name(programName),
 		kong.Description(description),
-		helpTexts, command.HelpTexts,
+		helpTexts, commandline.HelpTexts,
 		kong.BindTo(out, (*io.Writer)(nil)),
 		kong.Writers(out, errOut), kong.UsageOnError(),
 		kong.Exit(func(c int) { code, exited = c, true }),
@@ -79,9 +83,14 @@
 		fmt.Fprintf(errOut, "%s --help tells what there is.\n", programName)
 		return ExitUsage
 	}
-	if err := parsed.Run(p); err != nil {
-		fmt.Fprintf(errOut, "%s: %s\n", programName, oneLine(err))
-		return exitCode(err)
+	return p.finish(parsed.Run(p))
+}
+
+// finish reports the error of a command, if there is one, and returns the exit code.
+func (p *Program) finish(err error) int {
+	if err == nil {
+		return ExitOK
 	}
-	return ExitOK
+	fmt.Fprintf(p.err, "%s: %s\n", programName, oneLine(err))
+	return exitCode(err)
 }
--- a/internal/standalone/cli/errors.go
+++ b/internal/standalone/cli/errors.go
@@ -5,7 +5,7 @@
 	"os"
 	"strings"
 
-	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/standalone/hclfile"
 )
 
@@ -13,7 +13,7 @@
 func exitCode(err error) int {
 	var place *hclfile.Error
 	var file fileError
-	var settings *command.SettingsError
+	var settings *commandline.SettingsError
 	if errors.As(err, &place) || errors.As(err, &file) || errors.As(err, &settings) {
 		return ExitBadFile
 	}
--- a/internal/standalone/cli/fleet.go
+++ b/internal/standalone/cli/fleet.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/standalone/fleet/gossip"
 	"mulleinrouter/internal/standalone/jsontext"
 	"mulleinrouter/internal/standalone/mgmt"
@@ -38,7 +38,7 @@
 // ingressFlags say which ingress is asked, and how its answer is printed.
 type ingressFlags struct {
 	Mgmt string `name:"mgmt" required:"" placeholder:"HOST:PORT" help:"${ingressMgmt}"`
-	command.OutputFlag
+	commandline.OutputFlag
 }
 
 // ask makes a call that is answered by one line. If the ingress rejects it, the error is rejected.
@@ -80,7 +80,7 @@
 		r.Fleet, r.Name, r.Reachability, formatSpan(r.ForMillis), r.Alive, r.Agreed, r.View, r.Digest)
 	fmt.Fprintf(out, "%d stalls, %d refused, %d packets and %d bytes sent\n\n",
 		r.Pauses, r.Rejected, r.Traffic.PacketsOut, r.Traffic.BytesOut)
-	t := command.NewTable(out)
+	t := commandline.NewTable(out)
 	fmt.Fprintln(t, "member\tstate\tfor\tphase\tlink\theard\tzone\tstart\taddress\tversion")
 	for _, m := range r.Members {
 		heard := "never"
@@ -112,7 +112,7 @@
 
 func writeLinks(out io.Writer, l *links) error {
 	names := l.names()
-	t := command.NewTable(out)
+	t := commandline.NewTable(out)
 	fmt.Fprintf(t, "from \\ to\t%s\n", strings.Join(names, "\t"))
 	for _, from := range names {
 		fmt.Fprint(t, from)
--- a/internal/standalone/cli/fleetleases.go
+++ b/internal/standalone/cli/fleetleases.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/standalone/fleet/leaseservice"
 	"mulleinrouter/internal/standalone/jsontext"
 )
@@ -37,7 +37,7 @@
 
 func writeLeases(out io.Writer, answer *leaseservice.Status) error {
 	fmt.Fprintf(out, "%s leads in term %d; voters %s\n\n", answer.Leader, answer.Term, strings.Join(answer.Voters, " "))
-	t := command.NewTable(out)
+	t := commandline.NewTable(out)
 	fmt.Fprintln(t, "duty\tholder\ttoken\twaiting")
 	for _, d := range answer.Roles {
 		fmt.Fprintf(t, "%s\t%s\t%d\t%s\n", d.Role, cmp.Or(d.Holder, "nobody"), d.Token, strings.Join(d.Candidates, " "))
--- a/internal/standalone/cli/fleetshared.go
+++ b/internal/standalone/cli/fleetshared.go
@@ -6,7 +6,7 @@
 	"io"
 	"strings"
 
-	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/standalone/fleet/leaseservice"
 	"mulleinrouter/internal/standalone/fleet/quotashare"
 	"mulleinrouter/internal/standalone/fleet/quotasync"
@@ -23,7 +23,7 @@
 func writeAnnounced(out io.Writer, a *leaseservice.AnnouncerStatus) error {
 	fmt.Fprintf(out, "%s announces; newest token taken %d, %d messages refused\n\n",
 		cmp.Or(a.Holder, "nobody"), a.LastToken, a.Rejected)
-	t := command.NewTable(out)
+	t := commandline.NewTable(out)
 	fmt.Fprintln(t, "revision\ttoken\tdigest")
 	for _, e := range a.Entries {
 		fmt.Fprintf(t, "%d\t%d\t%s\n", e.Number, e.Token, e.Digest)
@@ -51,7 +51,7 @@
 	}
 	fmt.Fprintf(out, "; %.4g units a second given, %.4g taken; %d words refused; warned of %d servers %s\n\n",
 		r.Lent, r.Borrowed, r.Rejected, len(r.WarnedServers), strings.Join(r.WarnedServers, " "))
-	t := command.NewTable(out)
+	t := commandline.NewTable(out)
 	fmt.Fprintln(t, "member\tquota\tright\tasked\tgiven\ttaken\tother doors\tsilent")
 	for _, m := range r.Customers {
 		fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%.4g\t%s\t%s\t%s\t%s\n",
--- a/internal/standalone/cli/ingresssummary.go
+++ b/internal/standalone/cli/ingresssummary.go
@@ -6,7 +6,7 @@
 	"io"
 	"strconv"
 
-	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/standalone/config"
 )
 
@@ -65,7 +65,7 @@
 	if is.UsageDir != "" {
 		usage = fmt.Sprintf("recorded in %s, told to %s", is.UsageDir, cmp.Or(is.UsageEndpoint, "nobody"))
 	}
-	table := command.NewTable(out)
+	table := commandline.NewTable(out)
 	for _, row := range []struct{ label, value string }{
 		{"listens at", is.Listen},
 		{"ingress", fmt.Sprintf("%d of %d", is.Number, is.Ingresses)},
--- a/internal/standalone/cli/modelcheck.go
+++ b/internal/standalone/cli/modelcheck.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/emulator/modelcheck"
 )
 
@@ -82,7 +82,7 @@
 func writeExploration(out io.Writer, r *modelcheck.Result, took time.Duration) {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	t := command.NewTable(out)
+	t := commandline.NewTable(out)
 	fmt.Fprintf(t, "orderings\t%d, with %d steps\n", r.Orderings, r.Steps)
 	fmt.Fprintf(t, "kinds of states\t%d\n", r.States)
 	fmt.Fprintf(t, "pairs of events\t%d of %d, one right behind the other\n", r.Pairs, r.AllPairs)
--- a/internal/standalone/cli/plans.go
+++ b/internal/standalone/cli/plans.go
@@ -7,7 +7,7 @@
 	"os"
 	"time"
 
-	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/catalogue"
 	"mulleinrouter/internal/standalone/plans"
@@ -23,7 +23,7 @@
 // PlansShowCommand shows a catalogue.
 type PlansShowCommand struct {
 	File string `arg:"" name:"file" type:"path" help:"The catalogue."`
-	command.OutputFlag
+	commandline.OutputFlag
 }
 
 // Run prints the catalogue.
@@ -95,7 +95,7 @@
 	for _, plan := range r.Members {
 		members[plan]++
 	}
-	t := command.NewTable(w)
+	t := commandline.NewTable(w)
 	fmt.Fprintln(t, "  plan\tmembers\tfigures")
 	for _, plan := range r.Plans {
 		fmt.Fprintf(t, "  %s\t%d\t%s\n", plan.Name, members[plan.Name], plans.FormatPlan(plan))
@@ -108,7 +108,7 @@
 type PlansDiffCommand struct {
 	From string `arg:"" name:"from" type:"path" help:"The older catalogue."`
 	To   string `arg:"" name:"to" type:"path" help:"The newer catalogue."`
-	command.OutputFlag
+	commandline.OutputFlag
 }
 
 // planChange is a difference as JSON.
@@ -152,7 +152,7 @@
 }
 
 func writeChanges(w io.Writer, changes []plans.Change) {
-	t := command.NewTable(w)
+	t := commandline.NewTable(w)
 	for _, c := range changes {
 		fmt.Fprintf(t, "%s\t%s\t%s\t->\t%s\n", c.What, c.Name, cmp.Or(c.From, "(none)"), cmp.Or(c.To, "(none)"))
 	}
--- a/internal/standalone/cli/usage.go
+++ b/internal/standalone/cli/usage.go
@@ -11,7 +11,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/dataplane/usage"
 	"mulleinrouter/internal/standalone/usageexport"
 )
@@ -99,7 +99,7 @@
 // UsageVerifyCommand verifies records.
 type UsageVerifyCommand struct {
 	Dir string `arg:"" name:"dir" type:"path" help:"Folder of the records. No exporter may be at it meanwhile."`
-	command.OutputFlag
+	commandline.OutputFlag
 }
 
 // Run verifies segments and batches.
--- a/internal/standalone/cli/usageshow.go
+++ b/internal/standalone/cli/usageshow.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/dataplane/usage"
 	"mulleinrouter/internal/standalone/usagesegment"
 )
@@ -17,7 +17,7 @@
 type UsageShowCommand struct {
 	Dir string `arg:"" name:"dir" type:"path" help:"Folder of the records."`
 	By  string `name:"by" enum:"member,plan,class,minute,all" default:"plan" help:"${usageShowBy}"`
-	command.OutputFlag
+	commandline.OutputFlag
 }
 
 // Run shows what the segments say, those included that are still written to.
@@ -67,7 +67,7 @@
 
 // writeUsageRows prints all rows.
 func writeUsageRows(out io.Writer, rows []usage.Row) error {
-	t := command.NewTable(out)
+	t := commandline.NewTable(out)
 	fmt.Fprintln(t, "minute\tmember\tplan\trevision\tclass\tbeyond\tunknown\ttries\tunits")
 	for _, r := range rows {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%v\t%v\t%d\t%.6g\n", formatMinute(r.Minute),
@@ -117,7 +117,7 @@
 
 // writeUsageSums prints sums as a table.
 func writeUsageSums(out io.Writer, by string, sums []*usageSum) error {
-	t := command.NewTable(out)
+	t := commandline.NewTable(out)
 	fmt.Fprintf(t, "%s\ttries\tunits inside\tbeyond quota\tarrival unknown\n", by)
 	for _, sum := range sums {
 		fmt.Fprintf(t, "%s\t%d\t%.6g\t%.6g\t%.6g\n", sum.Name, sum.Tries, sum.Inside, sum.Beyond, sum.Unknown)
--- a/internal/standalone/cli/usageverify.go
+++ b/internal/standalone/cli/usageverify.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"io"
 
-	"mulleinrouter/internal/cluster/command"
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/dataplane/usage"
 	"mulleinrouter/internal/standalone/usageexport"
 )
@@ -48,7 +48,7 @@
 	units := func(s usage.Sum) string {
 		return fmt.Sprintf("%.6g units in %d tries", s.InUnits(), s.Requests)
 	}
-	t := command.NewTable(out)
+	t := commandline.NewTable(out)
 	fmt.Fprintf(t, "segments\t%d, with %d records\n", v.Segments, v.Records)
 	fmt.Fprintf(t, "batches\t%d\n", v.Batches)
 	fmt.Fprintf(t, "billed\t%s\n", units(v.Known))
