--- a/internal/layers/packages_test.go
+++ b/internal/layers/packages_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"os"
 	"os/exec"
+	"path"
 	"regexp"
 	"slices"
 	"strings"
@@ -105,3 +106,49 @@
 		CgoPkgConfig: []string{"libuv"}}}, false)
 	is.Equal(len(found), 4) // g++, pkg-config, libuv's package and libz's
 }
+
+// TestNodePackages compares the folders that deploy/balancer.toml lists as the ingress's with the packages of its
+// build. Those of the policy's files count too.
+func TestNodePackages(t *testing.T) {
+	deploy, err := os.ReadFile("../../deploy/balancer.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var folders []string
+	for _, list := range regexp.MustCompile(`(?m)^(node|policy) = \[(.*)\]$`).FindAllStringSubmatch(string(deploy), -1) {
+		for _, name := range regexp.MustCompile(`"([^"]+)"`).FindAllStringSubmatch(list[2], -1) {
+			folder := name[1]
+			if strings.HasSuffix(folder, ".go") {
+				folder = path.Dir(folder)
+			}
+			folders = append(folders, folder)
+		}
+	}
+	command := exec.Command("go", "list", "-deps", "./cmd/mulleinrouter")
+	command.Dir = "../.."
+	out, err := command.Output()
+	if err != nil {
+		t.Fatal(err)
+	}
+	needed := map[string]bool{} // by folder: it has a package of the build
+	for line := range strings.Lines(string(out)) {
+		name, own := strings.CutPrefix(strings.TrimSpace(line), "mulleinrouter/")
+		if !own {
+			continue
+		}
+		listed := false
+		for _, folder := range folders {
+			if name == folder || strings.HasPrefix(name, folder+"/") {
+				needed[folder], listed = true, true
+			}
+		}
+		if !listed {
+			t.Errorf("the ingress's build needs %s, which deploy/balancer.toml does not list", name)
+		}
+	}
+	for _, folder := range folders {
+		if !needed[folder] {
+			t.Errorf("deploy/balancer.toml lists %s, which the ingress's build does not need", folder)
+		}
+	}
+}
