--- a/internal/cluster/command/command_test.go
+++ b/internal/cluster/command/command_test.go
@@ -3,12 +3,9 @@
 import (
 	"errors"
 	"fmt"
-	"io/fs"
-	"os"
-	"path/filepath"
-	"strings"
 	"testing"
 
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/cluster/metrics"
 	"mulleinrouter/internal/cluster/settings"
 )
@@ -46,8 +43,8 @@
 	}{
 		"done":                     {nil, 0},
 		"failed":                   {errors.New("failed"), 1},
-		"unusable settings":        {&SettingsError{Err: settings.ErrNoFile}, 3},
-		"wrapped unusable setting": {fmt.Errorf("start: %w", &SettingsError{Err: settings.ErrNoFile}), 3},
+		"unusable settings":        {&commandline.SettingsError{Err: settings.ErrNoFile}, 3},
+		"wrapped unusable setting": {fmt.Errorf("start: %w", &commandline.SettingsError{Err: settings.ErrNoFile}), 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := exitCode(c.err); got != c.want {
@@ -56,24 +53,3 @@
 		})
 	}
 }
-
-func TestLoad(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "node.conf")
-	text := strings.Join([]string{
-		"self.nodeName=a", "self.hostIp=10.0.0.1", "self.zone=z", "network.innerPortRange=7000,7001",
-		"network.seedNodes=10.0.0.2:80",
-	}, "\n")
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if s, err := Load(path, "agent"); err != nil || s.Node != "a" {
-		t.Errorf("got %v, %v, want the settings of node a", s, err)
-	}
-	var incomplete settings.SettingErrors
-	if _, err := Load(path, "control"); exitCode(err) != exitSettings || !errors.As(err, &incomplete) {
-		t.Errorf("a control node without a disk: got %v, want SettingErrors", err)
-	}
-	if _, err := Load(path+"x", "agent"); exitCode(err) != exitSettings || !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("a missing file: got %v, want %v", err, fs.ErrNotExist)
-	}
-}
