--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -51,10 +51,10 @@
 	if err != nil {
 		return err
 	}
+	watcher := settings.NewWatcher(s.File, loaded)
 	return agent.Run(agent.Options{
-		File:     s.File,
-		Settings: loaded,
-		Log:      command.NewLogger(),
+		Settings: watcher,
+		Log:      command.NewLogger(loaded, watcher),
 		Dial:     dial,
 		Metrics:  s.Metrics,
 	})
--- a/cmd/control/main.go
+++ b/cmd/control/main.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	config := control.Config{Settings: loaded, Metrics: s.Metrics, Log: command.NewLogger()}
+	config := control.Config{Settings: loaded, Metrics: s.Metrics, Log: command.NewLogger(loaded, loaded.Log.Level)}
 	if s.LinkFaults != "" {
 		faults, cancel := context.WithCancel(context.Background())
 		defer cancel()
--- a/cmd/mulleinrouter/main_test.go
+++ b/cmd/mulleinrouter/main_test.go
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	p := startProcess(t, "NODE_CONFIG="+path, "TMPDIR="+t.TempDir())
-	listen := regexp.MustCompile(`listen="([^"]+)"`).FindStringSubmatch(p.awaitLine("code=process-started"))
+	listen := regexp.MustCompile(` listen=(\S+)`).FindStringSubmatch(p.awaitLine("code=process-started"))
 	if listen == nil {
 		t.Fatalf("no address in %q", p.unread)
 	}
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -43,7 +43,8 @@
 	defer stop()
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	p := proxy.New(settings.NewWatcher(s.File, loaded), newIncarnation(), command.NewLogger())
+	watcher := settings.NewWatcher(s.File, loaded)
+	p := proxy.New(watcher, newIncarnation(), command.NewLogger(loaded, watcher))
 	p.ServeMetrics(s.Metrics)
 	return p.Run(ctx, hangups)
 }
--- a/deploy/single.hcl
+++ b/deploy/single.hcl
@@ -8,7 +8,8 @@
 
 name       = "single"
 listen     = "127.0.0.1:8080"
-log_format = "text"
+log_level  = "info"   # debug, info, warn or error; a change is in force at SIGHUP
+log_format = "logfmt" # or json; from the next start
 
 limits {
   cores     = 1
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -2,13 +2,12 @@
 
 import (
 	"context"
+	"log/slog"
 	"net"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/go-kit/log"
-
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/cluster/transport"
@@ -25,7 +24,7 @@
 // Agent is a running agent.
 type Agent struct {
 	incarnation uint64
-	log         log.Logger
+	log         *slog.Logger
 	store       *replication.Store
 	clock       *replication.Clock
 	source      *replication.Source // of the proxies
@@ -54,10 +53,10 @@
 }
 
 // New makes an agent of a process with that incarnation, which no other process has had.
-func New(incarnation uint64, logger log.Logger) *Agent {
+func New(incarnation uint64, logger *slog.Logger) *Agent {
 	a := &Agent{
 		incarnation:  incarnation,
-		log:          log.With(logger, "part", program),
+		log:          logger.With("part", program),
 		store:        replication.NewStore(incarnation),
 		startedAt:    time.Now(),
 		lastProxy:    make(chan struct{}, 1),
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -11,7 +11,6 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/go-kit/log"
 	"github.com/matryer/is"
 
 	"mulleinrouter/internal/cluster/configuration"
@@ -20,6 +19,7 @@
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/cluster/transport"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // fakeCore is the control nodes that run, by address. A node that is down takes no connection.
@@ -116,7 +116,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		core := &fakeCore{nodes: map[string]*fakeNode{}}
-		a := New(7, log.NewNopLogger())
+		a := New(7, logtest.Discard())
 		a.dial = core.dial
 		ctx, cancel := context.WithCancel(t.Context())
 		p := &settings.Settings{
@@ -263,7 +263,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		core := &fakeCore{nodes: map[string]*fakeNode{}, voters: []string{"10.0.0.1:80", "10.0.0.3:80", "10.0.0.4:80"}}
-		a := New(7, log.NewNopLogger())
+		a := New(7, logtest.Discard())
 		a.dial = core.dial
 		ctx, cancel := context.WithCancel(t.Context())
 		pass := func(d time.Duration) { time.Sleep(d); synctest.Wait() }
--- a/internal/agent/metrics_test.go
+++ b/internal/agent/metrics_test.go
@@ -5,18 +5,18 @@
 	"testing"
 	"time"
 
-	"github.com/go-kit/log"
 	"github.com/matryer/is"
 
 	"mulleinrouter/internal/cluster/metrics"
 	"mulleinrouter/internal/cluster/registry"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // TestMetrics checks that an agent without sources and one that knows servers have the same series, however many there
 // are.
 func TestMetrics(t *testing.T) {
 	is := is.New(t)
-	a := New(7, log.NewNopLogger())
+	a := New(7, logtest.Discard())
 	r := metrics.NewRegistry(program)
 	a.registerMetrics(r)
 	text := func() string {
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"log/slog"
 	"math/rand/v2"
 	"net"
 	"os"
@@ -10,8 +11,6 @@
 	"syscall"
 	"time"
 
-	"github.com/go-kit/log"
-
 	"mulleinrouter/internal/cluster/metrics"
 	"mulleinrouter/internal/cluster/retry"
 	"mulleinrouter/internal/cluster/settings"
@@ -29,9 +28,8 @@
 
 // Options says how an agent runs.
 type Options struct {
-	File     string             // of the settings, as settings.Load takes it
-	Settings *settings.Settings // read from it
-	Log      log.Logger
+	Settings *settings.Watcher // no other goroutine rereads them
+	Log      *slog.Logger
 	Dial     func(ctx context.Context, addr string) (net.Conn, error) // to control nodes; usually Dial
 	Metrics  metrics.Endpoint                                         // where metrics are served; zero: nowhere
 }
@@ -41,7 +39,8 @@
 func Run(o Options) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	listener, err := retry.Listen(context.Background(), o.Settings.AgentAddr(), bindPolicy)
+	s := o.Settings.Current()
+	listener, err := retry.Listen(context.Background(), s.AgentAddr(), bindPolicy)
 	if err != nil {
 		return fmt.Errorf("listen for the proxy: %w", err)
 	}
@@ -51,15 +50,15 @@
 	defer a.tasks.Wait()
 	defer listener.Close()
 	defer cancel()
-	a.Follow(ctx, o.Settings)
+	a.Follow(ctx, s)
 	a.tasks.Go(func() { a.Serve(listener) })
 	a.tasks.Go(func() {
-		server := metrics.Server{Program: program, Endpoint: o.Metrics, Host: o.Settings.Host, Log: a.log}
+		server := metrics.Server{Program: program, Endpoint: o.Metrics, Host: s.Host, Log: a.log}
 		server.Serve(ctx, a.registerMetrics)
 	})
-	a.log.Log("msg", "started", "node", o.Settings.Node, "at", o.Settings.AgentAddr(), "incarnation", a.incarnation)
-	a.loop(ctx, settings.NewWatcher(o.File, o.Settings), signals)
-	a.log.Log("msg", "stopped")
+	a.log.Info("started", "node", s.Node, "at", s.AgentAddr(), "incarnation", a.incarnation)
+	a.loop(ctx, o.Settings, signals)
+	a.log.Info("stopped")
 	return nil
 }
 
@@ -84,10 +83,10 @@
 			a.expireInstances(&expiry)
 		}
 		if err != nil {
-			a.log.Log("msg", "settings rejected", "err", err)
+			a.log.Error("settings rejected", "err", err)
 		}
 		if changed {
-			a.log.Log("msg", "settings changed")
+			a.log.Info("settings changed")
 			a.Follow(ctx, s)
 		}
 	}
@@ -114,7 +113,7 @@
 
 // shutDown waits until no proxy is connected any more, for a second less than the grace (in seconds) at most.
 func (a *Agent) shutDown(grace float64) {
-	a.log.Log("msg", "shutting down", "proxies", a.proxies.Load())
+	a.log.Info("shutting down", "proxies", a.proxies.Load())
 	timer := time.NewTimer(max(0, time.Duration(grace*float64(time.Second))-graceReserve))
 	defer timer.Stop()
 	for a.proxies.Load() > 0 {
--- a/internal/agent/sources.go
+++ b/internal/agent/sources.go
@@ -7,8 +7,6 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/go-kit/log"
-
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/cluster/transport"
@@ -82,7 +80,7 @@
 	}
 	for _, addr := range voters {
 		if len(next) < maxSources && !containsSource(next, addr) {
-			a.log.Log("msg", "voter discovered", "source", addr)
+			a.log.Info("voter discovered", "source", addr)
 			src := a.subscribe(a.subscriptions.ctx, addr, s)
 			src.fromVoters.Store(true)
 			next = append(next, src)
@@ -111,7 +109,7 @@
 func (a *Agent) subscribe(ctx context.Context, addr string, s *settings.Settings) *source {
 	src := &source{addr: addr}
 	ctx, src.stop = context.WithCancel(ctx)
-	logger := log.With(a.log, "source", addr)
+	logger := a.log.With("source", addr)
 	src.client = &replication.Client{
 		Addr:         addr,
 		Node:         s.Node,
@@ -128,10 +126,10 @@
 		OnUpdate:     func(update *transport.Update) { a.observeUpdate(src, update) },
 		OnConnection: func(up bool, err error) {
 			if up {
-				logger.Log("msg", "source connected")
+				logger.Info("source connected")
 				a.retryOthers(src)
 			} else {
-				logger.Log("msg", "source disconnected", "err", err)
+				logger.Warn("source disconnected", "err", err)
 			}
 		},
 	}
@@ -149,7 +147,7 @@
 	}
 	view := a.view()
 	if !a.ready.Load() && view.sufficient && a.ready.CompareAndSwap(false, true) {
-		a.log.Log("msg", "ready", "items", a.store.Snapshot().Len(), "epoch", a.store.Epoch())
+		a.log.Info("ready", "items", a.store.Snapshot().Len(), "epoch", a.store.Epoch())
 		a.store.NotifySubscribers()
 	}
 	if view.voters != nil {
--- a/internal/cluster/command/doc.go
+++ b/internal/cluster/command/doc.go
@@ -5,6 +5,6 @@
 //   - settings.go: the settings file on the command line, and the program's start;
 //   - errors.go: which errors end a program with which exit code.
 //
-// It imports settings, metrics and linkfaults, and nothing else of the project. The programs themselves are in cmd,
-// which only wires; the tests of package emulator/loopback run them as processes.
+// It imports settings, metrics, linkfaults and logging, and nothing else of the project. The programs themselves are in
+// cmd, which only wires; the tests of package emulator/loopback run them as processes.
 package command
--- a/internal/cluster/command/settings.go
+++ b/internal/cluster/command/settings.go
@@ -3,14 +3,14 @@
 import (
 	"context"
 	"fmt"
+	"log/slog"
 	"os"
 	"runtime"
 	"runtime/debug"
 
-	"github.com/go-kit/log"
-
 	"mulleinrouter/internal/cluster/linkfaults"
 	"mulleinrouter/internal/cluster/settings"
+	"mulleinrouter/internal/logging"
 )
 
 // SettingsArgument is the settings file as the argument of a command. The help is set to the name of the environment
@@ -84,5 +84,8 @@
 	return s, nil
 }
 
-// NewLogger returns the logger of a program: logfmt on standard error.
-func NewLogger() log.Logger { return log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)) }
+// NewLogger returns the logger of a program, on standard error: in the format of the settings, with the given level,
+// which a program takes from a settings.Watcher if it reads its settings again while it runs.
+func NewLogger(s *settings.Settings, level slog.Leveler) *slog.Logger {
+	return logging.New(os.Stderr, s.Log.Format, level)
+}
--- a/internal/cluster/metrics/metrics_test.go
+++ b/internal/cluster/metrics/metrics_test.go
@@ -11,10 +11,10 @@
 	"strings"
 	"testing"
 
-	"github.com/go-kit/log"
 	"github.com/matryer/is"
 
 	"mulleinrouter/internal/cluster/transport"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 func TestParseEndpoint(t *testing.T) {
@@ -68,7 +68,7 @@
 		Program:  "agent",
 		Endpoint: Endpoint{Port: port, Path: "/metrics"},
 		Host:     "127.0.0.1",
-		Log:      log.NewNopLogger(),
+		Log:      logtest.Discard(),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
--- a/internal/cluster/settings/decode.go
+++ b/internal/cluster/settings/decode.go
@@ -3,6 +3,8 @@
 import (
 	"net/netip"
 	"strconv"
+
+	"mulleinrouter/internal/logging"
 )
 
 // Defaults of settings that may be missing, in seconds unless a comment gives another unit.
@@ -59,6 +61,7 @@
 		Clauses:           map[string]bool{},
 		Tolerance:         r.tolerance(),
 		Bounds:            r.bounds(),
+		Log:               r.log(),
 	}
 	for _, clause := range r.list("terms.clauses") {
 		s.Clauses[clause] = true
@@ -116,6 +119,17 @@
 	}
 }
 
+func (r *reader) log() (s logging.Settings) {
+	var err error
+	if s.Level, err = logging.ParseLevel(r.text("log.level")); err != nil {
+		r.fail("log.level", err.Error())
+	}
+	if s.Format, err = logging.ParseFormat(r.text("log.format")); err != nil {
+		r.fail("log.format", err.Error())
+	}
+	return s
+}
+
 // checkHost checks that the machine's address is an IPv4 address.
 func (r *reader) checkHost() {
 	host, ok := r.given("self.hostIp")
--- a/internal/cluster/settings/doc.go
+++ b/internal/cluster/settings/doc.go
@@ -7,6 +7,6 @@
 //   - watch.go: Load, and the Watcher of a file that may change;
 //   - errors.go: what can be wrong.
 //
-// Settings are immutable. A Watcher is used by one goroutine; any may ask for its Current settings. The package imports
-// nothing of the project. Its tests stand beside it.
+// Settings are immutable. A Watcher is used by one goroutine; any may ask for its Current settings. Of the
+// project the package imports logging alone. Its tests stand beside it.
 package settings
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -5,6 +5,8 @@
 	"net"
 	"net/netip"
 	"strconv"
+
+	"mulleinrouter/internal/logging"
 )
 
 // loopbackHost is where a proxy reaches the agent beside it.
@@ -36,6 +38,8 @@
 	Clauses           map[string]bool // names of the clauses of the operators' RULES in force
 	Tolerance         Tolerance
 	Bounds            Bounds
+
+	Log logging.Settings // zero: level info, in logfmt
 }
 
 // Limits is what the process may use.
--- a/internal/cluster/settings/settings_test.go
+++ b/internal/cluster/settings/settings_test.go
@@ -1,6 +1,7 @@
 package settings
 
 import (
+	"log/slog"
 	"os"
 	"path/filepath"
 	"strings"
@@ -8,6 +9,8 @@
 	"time"
 
 	"github.com/matryer/is"
+
+	"mulleinrouter/internal/logging"
 )
 
 const example = `# one of ours
@@ -34,6 +37,8 @@
 terms.bounds.drainMs=2750
 terms.bounds.graceS=7.5
 terms.bounds.revokeGlobal=true
+log.level=warn
+log.format=json
 `
 
 func TestDecode(t *testing.T) {
@@ -47,6 +52,7 @@
 	is.Equal(s.Zones, map[string]string{"north": "r1", "south.b": "r2"})
 	is.Equal(s.Clauses, map[string]bool{"base": true, "quota": true})
 	is.Equal(s.Tolerance, Tolerance{Machines: 2})
+	is.Equal(s.Log, logging.Settings{Level: slog.LevelWarn, Format: logging.JSON})
 	is.Equal(s.Limits, Limits{CPUFraction: 0.25, Cores: 1, MaxFDs: 900})
 	is.Equal([]bool{s.LossCounted, s.Bootstrap, s.Bounds.RevokeGlobal}, []bool{true, false, true})
 	is.Equal([]float64{
@@ -89,6 +95,8 @@
 			"7000,7003", "7003,7000",
 			`node.conf:15: network.innerPortRange: not two ports, the first and the last: "7003,7000"`,
 		},
+		{"log.level=warn", "log.level=warning", `node.conf:25: log.level: neither debug, info, warn nor error: "warning"`},
+		{"log.format=json", "log.format=xml", `node.conf:26: log.format: neither logfmt nor json: "xml"`},
 		{"7000,7003", "7000", `node.conf:15: network.innerPortRange: not two ports, the first and the last: "7000"`},
 		{"7000,7003", "", `node.conf:15: network.innerPortRange: empty: ""`},
 		{"self.zone=north", "self.zon=north", `node.conf: self.zone: missing`},
@@ -144,11 +152,17 @@
 	expect(false, "south", "", w.Reread)
 	expect(true, "north", "", w.Reload)
 	write(example+"torn", -time.Hour) // the time of day jumped
-	expect(false, "north", `node.conf:25: no "=": "torn"`, w.Reread)
+	expect(false, "north", `node.conf:27: no "=": "torn"`, w.Reread)
 	expect(false, "north", "", w.Reread) // reported once
-	expect(false, "north", `node.conf:25: no "=": "torn"`, w.Reload)
+	expect(false, "north", `node.conf:27: no "=": "torn"`, w.Reload)
 	write(in("east")+"\n\n\n\n", 0) // as long as the torn one, at the same time
 	expect(true, "east", "", w.Reread)
+	is.Equal(w.Level(), slog.LevelWarn)
+	write(strings.Replace(example, "level=warn", "level=debug", 1), time.Second)
+	expect(true, "north", "", w.Reload)
+	is.Equal(w.Level(), slog.LevelDebug) // loggers that have the watcher as their level follow
+	write(in("east"), time.Second)
+	expect(true, "east", "", w.Reload)
 	is.NoErr(os.Remove(path))
 	_, s, err := w.Reread()
 	is.True(err != nil && s.Zone == "east")
--- a/internal/cluster/settings/watch.go
+++ b/internal/cluster/settings/watch.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"io"
+	"log/slog"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -78,6 +79,10 @@
 // Current returns the settings in force.
 func (w *Watcher) Current() *Settings { return w.current.Load() }
 
+// Level returns the level of the log in force. It makes the Watcher a slog.Leveler: a logger that has it as its level
+// follows the file.
+func (w *Watcher) Level() slog.Level { return w.Current().Log.Level }
+
 // Reread checks whether the file has changed, by its size and time, and if so loads it. Call it every few seconds:
 // files change without a signal too. Changed reports whether the settings differ from those before. A broken file is
 // rejected as a whole: then the settings stay in force, and the same error is returned once.
--- a/internal/control/electorate/changes.go
+++ b/internal/control/electorate/changes.go
@@ -113,7 +113,7 @@
 		voters, added = append(voters, voter), append(added, voter)
 	}
 	if err := m.change(ctx, base.Electorate, voters, changeTimeout, added...); err == nil {
-		m.log.Log("msg", "electorate enlarged", "voters", len(voters))
+		m.log.Info("electorate enlarged", "voters", len(voters))
 	}
 }
 
@@ -142,10 +142,10 @@
 		err = m.change(ctx, e, e.ReplaceVoter(out, voter), timeout, voter)
 	}
 	if err != nil {
-		m.log.Log("msg", "voter replacement failed", "out", out, "in", in, "err", err)
+		m.log.Error("voter replacement failed", "out", out, "in", in, "err", err)
 		return &ChangeError{err}
 	}
-	m.log.Log("msg", "voter replaced", "out", out, "in", in)
+	m.log.Info("voter replaced", "out", out, "in", in)
 	return nil
 }
 
@@ -219,7 +219,7 @@
 		return
 	}
 	if !m.options.Lease.Held() {
-		m.log.Log("msg", "vote not handed over", "reason", "no contact with a majority")
+		m.log.Warn("vote not handed over", "reason", "no contact with a majority")
 		return
 	}
 	began := time.Now()
@@ -231,5 +231,5 @@
 			return
 		}
 	}
-	m.log.Log("msg", "vote not handed over", "reason", "no learner could take it")
+	m.log.Warn("vote not handed over", "reason", "no learner could take it")
 }
--- a/internal/control/electorate/manager.go
+++ b/internal/control/electorate/manager.go
@@ -2,12 +2,11 @@
 
 import (
 	"context"
+	"log/slog"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/go-kit/log"
-
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/retry"
 	"mulleinrouter/internal/cluster/settings"
@@ -33,14 +32,14 @@
 	ConfirmedTerm  func() uint64
 	FetchInventory func(*peers.Peer) *transport.CatchUpChunk // asks a peer for the electorate; nil: no answer
 	DiskRead       func() bool                               // the disk has been read
-	Log            log.Logger
+	Log            *slog.Logger
 }
 
 // Manager decides on the voters as far as this node has a part in it. It is safe for concurrent use.
 type Manager struct {
 	options  Options
 	self     string
-	log      log.Logger
+	log      *slog.Logger
 	changing atomic.Bool // a replacement or an enlargement is under way here
 
 	mu          sync.Mutex // guards the fields below
@@ -67,7 +66,7 @@
 	voters, isVoter := m.options.Replica.Voters()
 	m.options.Peers.Subscribe(ctx, wg, voters)
 	if !isVoter {
-		m.log.Log("msg", "running as learner", "voters", len(voters))
+		m.log.Info("running as learner", "voters", len(voters))
 	}
 }
 
@@ -106,11 +105,11 @@
 	}
 	change := proposals.ElectorateChange{From: base.Electorate, To: base.Electorate.ReplaceVoter(self.Addr, self)}
 	if err := m.options.Proposals.ChangeElectorate(ctx, change, changeTimeout); err != nil {
-		m.log.Log("msg", "enrollment failed", "err", err)
+		m.log.Warn("enrollment failed", "err", err)
 		return
 	}
 	base, _ = m.options.Replica.Base()
-	m.log.Log("msg", "vote recovered", "epoch", base.Epoch)
+	m.log.Info("vote recovered", "epoch", base.Epoch)
 }
 
 // Age is how long the electorate has been what it is, as seen by this process.
--- a/internal/control/httpapi/call.go
+++ b/internal/control/httpapi/call.go
@@ -139,7 +139,7 @@
 		answer = errorReply(err)
 	}
 	if took := time.Since(began); c.endpoint.byOperator && took >= slowCallThreshold {
-		c.log.Log("msg", "slow operator call", "call", c.endpoint.pattern, "ms", took.Milliseconds(),
+		c.log.Warn("slow operator call", "call", c.endpoint.pattern, "ms", took.Milliseconds(),
 			"status", answer.status)
 	}
 	if c.endpoint.needsContact && !c.options.Lease.Held() && !mutants.On("httpapi/acknowledges-alone") {
--- a/internal/control/httpapi/server.go
+++ b/internal/control/httpapi/server.go
@@ -2,13 +2,11 @@
 
 import (
 	"context"
-	stdlog "log"
+	"log/slog"
 	"net/http"
 	"strconv"
 	"time"
 
-	"github.com/go-kit/log"
-
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/registry"
 	"mulleinrouter/internal/cluster/replication"
@@ -52,13 +50,13 @@
 	View        func() View // for GET /view
 	// Member is a control node as this one sees it, by its control address, beside a configuration of an epoch.
 	Member func(addr string, epoch uint64) Member
-	Log    log.Logger
+	Log    *slog.Logger
 }
 
 // Server serves the calls of servers and operators.
 type Server struct {
 	options     Options
-	log         log.Logger
+	log         *slog.Logger
 	largeBodies chan struct{} // holds one value for each large body that is read or handled
 
 	// OperatorCalls and ServerCalls count the answers.
@@ -115,7 +113,7 @@
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnState:         s.options.Connections.ConnState,
 		ConnContext:       s.options.Connections.ConnContext,
-		ErrorLog:          stdlog.New(log.NewStdlibAdapter(s.log), "", 0),
+		ErrorLog:          slog.NewLogLogger(s.log.Handler(), slog.LevelWarn),
 	}
 }
 
--- a/internal/control/instances/registry_test.go
+++ b/internal/control/instances/registry_test.go
@@ -6,13 +6,13 @@
 	"testing"
 
 	"github.com/cockroachdb/pebble/v2/vfs"
-	"github.com/go-kit/log"
 	"github.com/matryer/is"
 
 	"mulleinrouter/internal/cluster/registry"
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/transport"
 	"mulleinrouter/internal/control/storage"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 const pageBytes = 64 << 10
@@ -21,7 +21,7 @@
 // than it may be.
 func TestPersistedInstancesComeInPages(t *testing.T) {
 	is := is.New(t)
-	disk, _, err := storage.Open(vfs.NewMem(), "d", log.NewNopLogger())
+	disk, _, err := storage.Open(vfs.NewMem(), "d", logtest.Discard())
 	is.NoErr(err)
 	t.Cleanup(func() { is.NoErr(disk.Close()) })
 	r := New(replication.NewStore(1), 1.5, func() float64 { return 1 })
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"log/slog"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -13,7 +14,6 @@
 
 	"github.com/cockroachdb/errors"
 	"github.com/cockroachdb/pebble/v2/vfs"
-	"github.com/go-kit/log"
 
 	"mulleinrouter/internal/cluster/metrics"
 	"mulleinrouter/internal/cluster/registry"
@@ -46,7 +46,7 @@
 type Config struct {
 	Settings *settings.Settings
 	Metrics  metrics.Endpoint // where metrics are served; zero: nowhere
-	Log      log.Logger
+	Log      *slog.Logger
 	FS       vfs.FS       // nil: the machine's own
 	Control  net.Listener // for HTTP calls; nil: bound to the settings' address
 	Internal net.Listener // for agents and control nodes; nil: bound to the settings' address
@@ -67,7 +67,7 @@
 	self        string // own control address
 	incarnation uint64
 	name        string // of this process, and of no other: its ballots bear it
-	log         log.Logger
+	log         *slog.Logger
 	started     time.Time
 	ended       chan struct{} // closed at the end of Run
 	linger      time.Duration // shutdownLinger; tests set it before Run
@@ -115,7 +115,7 @@
 		self:        c.Settings.ControlAddr,
 		incarnation: c.Incarnation,
 		name:        c.Settings.Node + "/" + incarnationName(c.Incarnation),
-		log:         log.With(c.Log, "part", program),
+		log:         c.Log.With("part", program),
 		started:     time.Now(),
 		ended:       make(chan struct{}),
 		linger:      shutdownLinger,
@@ -159,7 +159,7 @@
 			failed <- errors.Wrap(err, "control calls")
 		}
 	})
-	n.log.Log("msg", "started", "node", n.settings.Node, "control", n.self, "incarnation", n.incarnation)
+	n.log.Info("started", "node", n.settings.Node, "control", n.self, "incarnation", n.incarnation)
 	linger := n.linger
 	handedOver := make(chan struct{})
 	select {
@@ -167,7 +167,7 @@
 		linger = 0
 		close(handedOver)
 	case <-ctx.Done():
-		n.log.Log("msg", "shutting down")
+		n.log.Info("shutting down")
 		go func() {
 			defer close(handedOver)
 			n.electorate.HandOver(work)
@@ -181,7 +181,7 @@
 	if disk := n.disk.Load(); disk != nil {
 		err = errors.CombineErrors(err, disk.Close())
 	}
-	n.log.Log("msg", "stopped")
+	n.log.Info("stopped")
 	return err
 }
 
@@ -269,7 +269,7 @@
 	n.ingresses.Restore(state.Members)
 	n.disk.Store(disk)
 	n.notifyWatch()
-	n.log.Log("msg", "storage opened", "empty", state.Empty, "epoch", state.Acceptor.Epoch, "items", len(state.Items),
+	n.log.Info("storage opened", "empty", state.Empty, "epoch", state.Acceptor.Epoch, "items", len(state.Items),
 		"instances", len(state.Instances), "votes", n.replica.IsVoter())
 	n.electorate.Join(ctx, wg)
 	return nil
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -16,7 +16,6 @@
 	"time"
 
 	"github.com/cockroachdb/pebble/v2/vfs"
-	"github.com/go-kit/log"
 	"github.com/matryer/is"
 
 	"mulleinrouter/internal/cluster/configuration"
@@ -24,6 +23,7 @@
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/cluster/transport"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // testCluster is a few control nodes in simulated time, over pipes, on disks in memory.
@@ -162,7 +162,7 @@
 			Tolerance:         settings.Tolerance{Machines: 1},
 			Bounds:            settings.Bounds{Contact: 5},
 		},
-		Log: log.NewNopLogger(), FS: n.stallingDisk, Incarnation: c.incarnations, Control: n.control,
+		Log: logtest.Discard(), FS: n.stallingDisk, Incarnation: c.incarnations, Control: n.control,
 		Internal: n.internal,
 		Dial:     func(_ context.Context, inner string) (net.Conn, error) { return c.dial(addr, inner) },
 	})
--- a/internal/control/peers/set.go
+++ b/internal/control/peers/set.go
@@ -2,14 +2,13 @@
 
 import (
 	"context"
+	"log/slog"
 	"net"
 	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/go-kit/log"
-
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/transport"
 	"mulleinrouter/internal/control/majority"
@@ -34,7 +33,7 @@
 	OnUpdate func(*transport.Update)
 	// OnConnected is called when a peer answers on a new connection; it must not block.
 	OnConnected func()
-	Log         log.Logger
+	Log         *slog.Logger
 }
 
 // Set is the other control nodes that this one knows. It is safe for concurrent use.
@@ -92,10 +91,10 @@
 	}
 	client.OnConnection = func(up bool, err error) {
 		if up {
-			o.Log.Log("msg", "peer connected", "peer", addr)
+			o.Log.Info("peer connected", "peer", addr)
 			o.OnConnected()
 		} else {
-			o.Log.Log("msg", "peer disconnected", "peer", addr, "err", err)
+			o.Log.Warn("peer disconnected", "peer", addr, "err", err)
 		}
 	}
 	if o.Dial != nil {
--- a/internal/control/proposals/compose.go
+++ b/internal/control/proposals/compose.go
@@ -114,6 +114,6 @@
 	}
 	q.included = nil
 	q.chosen.Add(1)
-	q.log.Log("msg", "change chosen", "epoch", p.Epoch, "items", len(p.Items), "voters", len(p.Voters))
+	q.log.Info("change chosen", "epoch", p.Epoch, "items", len(p.Items), "voters", len(p.Voters))
 	return q.proposer.Applied(action.Attempt, base)
 }
--- a/internal/control/proposals/queue.go
+++ b/internal/control/proposals/queue.go
@@ -2,13 +2,12 @@
 
 import (
 	"context"
+	"log/slog"
 	"math/rand/v2"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/go-kit/log"
-
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/transport"
@@ -54,7 +53,7 @@
 	// the newest; 0: it was not.
 	OnConfirmed func(term uint64)
 	Closed      <-chan struct{} // closed when the node ends: late answers are dropped
-	Log         log.Logger
+	Log         *slog.Logger
 }
 
 // pendingChange is a change that waits for a decision.
@@ -86,7 +85,7 @@
 // that it received, and competes with the others by ballots.
 type Queue struct {
 	options Options
-	log     log.Logger
+	log     *slog.Logger
 	replica *replica.Replica
 	events  chan event
 	wake    chan struct{}
--- a/internal/control/replica/chunks_test.go
+++ b/internal/control/replica/chunks_test.go
@@ -9,7 +9,6 @@
 	"testing"
 
 	"github.com/cockroachdb/pebble/v2/vfs"
-	"github.com/go-kit/log"
 	"github.com/matryer/is"
 
 	"mulleinrouter/internal/cluster/configuration"
@@ -19,6 +18,7 @@
 	"mulleinrouter/internal/cluster/transport"
 	"mulleinrouter/internal/control/replica/replicatest"
 	"mulleinrouter/internal/control/storage"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 const (
@@ -30,7 +30,7 @@
 // openReplica makes a voter upon a disk.
 func openReplica(is *is.I, fs vfs.FS, incarnation uint64) *Replica {
 	is.Helper()
-	disk, state, err := storage.Open(fs, "d", log.NewNopLogger())
+	disk, state, err := storage.Open(fs, "d", logtest.Discard())
 	is.NoErr(err)
 	r := New(Options{Self: "x", Store: replication.NewStore(incarnation)})
 	r.Load(disk, state, []string{"x", "y", "z"})
--- a/internal/control/storage/golden_test.go
+++ b/internal/control/storage/golden_test.go
@@ -9,11 +9,11 @@
 
 	"github.com/cockroachdb/pebble/v2"
 	"github.com/cockroachdb/pebble/v2/vfs"
-	"github.com/go-kit/log"
 
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/registry"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // goldenDir holds data that the landed version 76a3bb5 wrote: folders, and the records in them as it listed them.
@@ -201,7 +201,7 @@
 // openGolden opens a store of its own in memory.
 func openGolden(t *testing.T) *Store {
 	t.Helper()
-	store, _, err := Open(vfs.NewMem(), "d", log.NewNopLogger())
+	store, _, err := Open(vfs.NewMem(), "d", logtest.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -286,7 +286,7 @@
 				t.Fatal(err)
 			}
 			for _, opened := range []string{"as the landed version left it", "as this version left it"} {
-				store, state, err := Open(nil, dir, log.NewNopLogger())
+				store, state, err := Open(nil, dir, logtest.Discard())
 				if err != nil {
 					t.Fatalf("%s: %v", opened, err)
 				}
--- a/internal/control/storage/power_loss_test.go
+++ b/internal/control/storage/power_loss_test.go
@@ -11,9 +11,9 @@
 	"sync"
 	"testing"
 
-	"github.com/go-kit/log"
 	"github.com/matryer/is"
 
+	"mulleinrouter/internal/logging/logtest"
 	"mulleinrouter/internal/race"
 )
 
@@ -73,7 +73,7 @@
 		defer mu.Unlock()
 		acknowledged = len(r.want)
 	}
-	store, state, err := Open(fs, "d", log.NewNopLogger())
+	store, state, err := Open(fs, "d", logtest.Discard())
 	if err != nil {
 		return nil, fmt.Sprintf("%v: %v", err, fileSizes(files))
 	}
@@ -140,7 +140,7 @@
 			err = panicError{fmt.Sprint(r)}
 		}
 	}()
-	store, state, err := Open(newMemoryFolder(files), "d", log.NewNopLogger())
+	store, state, err := Open(newMemoryFolder(files), "d", logtest.Discard())
 	if err != nil {
 		return 0, err
 	}
@@ -172,7 +172,7 @@
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(2, 5))
 	fs := newPowerLossFS(nil)
-	store, _, err := Open(fs, "d", log.NewNopLogger())
+	store, _, err := Open(fs, "d", logtest.Discard())
 	is.NoErr(err)
 	var want []Batch
 	for range 120 {
--- a/internal/control/storage/size_test.go
+++ b/internal/control/storage/size_test.go
@@ -9,13 +9,13 @@
 
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/fxamacker/cbor/v2"
-	"github.com/go-kit/log"
 	"github.com/matryer/is"
 
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/registry"
 	"mulleinrouter/internal/cluster/replication"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 func folderSize(is *is.I, fs vfs.FS) (bytes int64, files int) {
@@ -94,7 +94,7 @@
 	}
 	var maxBytes int64
 	for restart := range restarts {
-		store, state, err := Open(fs, "d", log.NewNopLogger())
+		store, state, err := Open(fs, "d", logtest.Discard())
 		is.NoErr(err)
 		is.Equal(len(state.Items), len(workload.encodedBytes))
 		is.Equal(len(state.StagedItems), 0)
--- a/internal/control/storage/store_test.go
+++ b/internal/control/storage/store_test.go
@@ -14,12 +14,12 @@
 	"github.com/cockroachdb/pebble/v2"
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/fxamacker/cbor/v2"
-	"github.com/go-kit/log"
 	"github.com/matryer/is"
 
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/registry"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // What was acknowledged is there after a loss of power, and of what was put later, a prefix of complete batches.
@@ -30,7 +30,7 @@
 		want := []Batch{}
 		for range 4 {
 			is := is.New(t)
-			store, state, err := Open(fs, "d", log.NewNopLogger())
+			store, state, err := Open(fs, "d", logtest.Discard())
 			is.NoErr(err)
 			is.Equal(state.Empty, len(want) == 0)
 			n := countBatches(is, state, want)
@@ -47,7 +47,7 @@
 			crash := fs.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: rnd.IntN(2) * 50, RNG: rnd})
 			is.NoErr(store.Close())
 			fs = crash
-			store, state, err = Open(fs, "d", log.NewNopLogger())
+			store, state, err = Open(fs, "d", logtest.Discard())
 			is.NoErr(err)
 			n = countBatches(is, state, want)
 			if n < acknowledged {
@@ -172,7 +172,7 @@
 	is := is.New(t)
 	mem := vfs.NewCrashableMem()
 	fs := &rejectingFS{FS: mem, rejected: make(chan struct{}, 1)}
-	store, _, err := open(fs, "d", log.NewNopLogger(), time.Microsecond)
+	store, _, err := open(fs, "d", logtest.Discard(), time.Microsecond)
 	is.NoErr(err)
 	rnd := rand.New(rand.NewPCG(1, 1))
 	all := []Batch{randomBatch(rnd, 1)}
@@ -195,7 +195,7 @@
 	crash := mem.CrashClone(vfs.CrashCloneCfg{})
 	is.NoErr(store.Close())
 	is.True(errors.Is(store.Save(t.Context(), all[0]), ErrClosed))
-	store, state, err := Open(crash, "d", log.NewNopLogger())
+	store, state, err := Open(crash, "d", logtest.Discard())
 	is.NoErr(err)
 	is.Equal(countBatches(is, state, all), len(all))
 	is.NoErr(store.Close())
@@ -205,7 +205,7 @@
 func TestOlderFormatVersion(t *testing.T) {
 	is := is.New(t)
 	fs := vfs.NewCrashableMem()
-	store, _, err := Open(fs, "d", log.NewNopLogger())
+	store, _, err := Open(fs, "d", logtest.Discard())
 	is.NoErr(err)
 	set := func(key []byte, value any) {
 		b, err := cbor.Marshal(value)
@@ -229,14 +229,14 @@
 		Pending:    &pending,
 	}
 	for range 2 { // as version 2 left it, and as this version leaves it
-		store, state, err := Open(fs, "d", log.NewNopLogger())
+		store, state, err := Open(fs, "d", logtest.Discard())
 		is.NoErr(err)
 		is.True(!state.Empty)
 		is.Equal(state.Acceptor, want)
 		is.NoErr(store.Save(t.Context(), Batch{Acceptor: &state.Acceptor}))
 		is.NoErr(store.Close())
 	}
-	store, _, err = Open(fs, "d", log.NewNopLogger())
+	store, _, err = Open(fs, "d", logtest.Discard())
 	is.NoErr(err)
 	b, closer, err := store.db.Get(keyVersion)
 	is.NoErr(err)
@@ -246,7 +246,7 @@
 	is.NoErr(closer.Close())
 	set(keyVersion, formatVersion+1)
 	is.NoErr(store.Close())
-	_, _, err = Open(fs, "d", log.NewNopLogger())
+	_, _, err = Open(fs, "d", logtest.Discard())
 	is.True(errors.Is(err, ErrNewerFormat))
 }
 
@@ -263,7 +263,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			fs := vfs.NewMem()
-			store, _, err := Open(fs, "d", log.NewNopLogger())
+			store, _, err := Open(fs, "d", logtest.Discard())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -274,7 +274,7 @@
 				t.Fatal(err)
 			}
 			test.damage(t, fs)
-			if _, _, err = Open(fs, "d", log.NewNopLogger()); !errors.Is(err, test.want) {
+			if _, _, err = Open(fs, "d", logtest.Discard()); !errors.Is(err, test.want) {
 				t.Errorf("got %v, want %v", err, test.want)
 			}
 		})
@@ -299,7 +299,7 @@
 
 func addUnknownRecord(t *testing.T, fs vfs.FS) {
 	t.Helper()
-	store, _, err := Open(fs, "d", log.NewNopLogger())
+	store, _, err := Open(fs, "d", logtest.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -55,7 +55,7 @@
 	w.ping()
 	reachable, term, held := w.majority.Reachable()
 	if w.lastInContact.Swap(held) != held {
-		w.log.Log("msg", "majority contact changed", "inContact", held)
+		w.log.Warn("majority contact changed", "inContact", held)
 		w.store.NotifySubscribers()
 	}
 	if term != w.term {
@@ -79,7 +79,7 @@
 func (w *watcher) detectSilent(held bool) {
 	changed := w.instances.DetectSilent(held || mutants.On("control/judges-alone"))
 	if len(changed) > 0 {
-		w.log.Log("msg", "instance phases changed", "count", len(changed), "first", changed[0].ID,
+		w.log.Info("instance phases changed", "count", len(changed), "first", changed[0].ID,
 			"phase", changed[0].Phase)
 	}
 }
@@ -88,7 +88,7 @@
 func (w *watcher) countIngresses(now time.Time, held bool) {
 	count := w.ingresses.Count(now, w.termStart)
 	if held && w.ingresses.Publish(count) {
-		w.log.Log("msg", "ingress count changed", "count", count)
+		w.log.Info("ingress count changed", "count", count)
 		if disk := w.disk.Load(); disk != nil && count > 0 {
 			disk.Put(storage.Batch{Members: int(count), NoSync: true})
 		}
@@ -101,7 +101,7 @@
 	epoch := w.replica.Epoch()
 	lagging := w.lag.Update(now, epoch, w.peers)
 	if w.lagging.Swap(lagging) != lagging {
-		w.log.Log("msg", "lag changed", "lagging", lagging, "epoch", epoch, "newestEpoch", w.lag.NewestEpoch())
+		w.log.Warn("lag changed", "lagging", lagging, "epoch", epoch, "newestEpoch", w.lag.NewestEpoch())
 		w.store.NotifySubscribers()
 	}
 }
--- a/internal/dataplane/engine/counters.go
+++ b/internal/dataplane/engine/counters.go
@@ -1,7 +1,7 @@
 package engine
 
 import (
-	"github.com/sirupsen/logrus"
+	"log/slog"
 
 	"mulleinrouter/internal/decision"
 )
@@ -34,14 +34,9 @@
 }
 
 // log writes the counts as one line.
-func (c *counters) log(log *logrus.Logger) {
-	log.WithFields(logrus.Fields{
-		"code":       "engine-counts",
-		"sent":       c.decided[Send],
-		"refused":    c.decided[Reject],
-		"failed":     c.decided[Fail],
-		"gone":       c.decided[NoAnswer],
-		"calls":      c.counterCalls,
-		"unanswered": c.failedCounterCalls,
-	}).Info("decisions counted")
+func (c *counters) log(log *slog.Logger) {
+	log.Info("decisions counted",
+		"code", "engine-counts", "sent", c.decided[Send], "refused", c.decided[Reject], "failed", c.decided[Fail],
+		"gone", c.decided[NoAnswer], "calls", c.counterCalls, "unanswered", c.failedCounterCalls,
+	)
 }
--- a/internal/dataplane/engine/effects.go
+++ b/internal/dataplane/engine/effects.go
@@ -53,8 +53,9 @@
 			e.callCounter(a.CounterCall)
 		case attempt.IllegalStep[*Ticket]:
 			if e.Log != nil {
-				e.Log.WithField("code", "attempt-illegal").WithError(a.Err).
-					Error("illegal transition of a request, a safe one taken")
+				e.Log.Error("illegal transition of a request, a safe one taken",
+					"code", "attempt-illegal", "error", a.Err,
+				)
 			}
 		}
 	}
--- a/internal/dataplane/engine/engine.go
+++ b/internal/dataplane/engine/engine.go
@@ -1,20 +1,19 @@
 package engine
 
 import (
+	"log/slog"
 	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/dataplane/attempt"
 	"mulleinrouter/internal/decision"
 )
 
 // Engine owns the dispatcher, with the gateway and the pending requests.
 type Engine struct {
-	Log *logrus.Logger // of counts and of illegal steps; nil: none. It is set before Start.
+	Log *slog.Logger // of counts and of illegal steps; nil: none. It is set before Start.
 
 	clock     *Clock
 	counter   Counter                     // nil: none
--- a/internal/dataplane/ingress/conn.go
+++ b/internal/dataplane/ingress/conn.go
@@ -1,13 +1,13 @@
 package ingress
 
 import (
+	"context"
 	"errors"
 	"io"
+	"log/slog"
 	"net"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/http1"
@@ -54,8 +54,7 @@
 	defer s.mu.Unlock()
 	open, resumeReads, err := c.machine.Enter(state, s.seconds(time.Now()), s.lifecycle.KeepOpen())
 	if err != nil {
-		s.log.WithField("code", "client-illegal").WithError(err).
-			Error("illegal transition of a client connection, closing it")
+		s.log.Error("illegal transition of a client connection, closing it", "code", "client-illegal", "error", err)
 	}
 	if resumeReads {
 		c.SetReadDeadline(time.Time{})
@@ -136,12 +135,15 @@
 	if code == "" {
 		code = disconnectCode(err)
 	}
-	fields := logrus.Fields{"code": code, "from": c.RemoteAddr().String(), "requests": requests}
-	entry := c.server.log.WithFields(fields)
-	if err != nil && !errors.Is(err, io.EOF) {
-		entry = entry.WithError(err)
+	if errors.Is(err, io.EOF) {
+		err = nil // the client closed, as the code says
+	}
+	log := c.server.log
+	if log.Enabled(context.Background(), slog.LevelInfo) {
+		log.Info("client connection ended",
+			"code", code, "from", c.RemoteAddr().String(), "requests", requests, "error", err,
+		)
 	}
-	entry.Info("client connection ended")
 }
 
 // remove removes a connection that has ended, and returns the log code for which it was closed from this side.
--- a/internal/dataplane/ingress/fixture_test.go
+++ b/internal/dataplane/ingress/fixture_test.go
@@ -1,16 +1,14 @@
 package ingress
 
 import (
-	"io"
 	"net"
 	"testing"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/upstream"
 	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // Classes and plans of the tests.
@@ -27,8 +25,7 @@
 func newTestServer(settings decision.Settings, backendAddr func() string, upstreamConns, clientConns int) (
 	*Server, *upstream.Pool,
 ) {
-	log := logrus.New()
-	log.SetOutput(io.Discard)
+	log := logtest.Discard()
 	e := engine.New(decision.New(settings, 1), &settings, engine.NewClock())
 	e.Start(nil)
 	e.SetBackends(decision.Backends{
--- a/internal/dataplane/ingress/lifecycle.go
+++ b/internal/dataplane/ingress/lifecycle.go
@@ -3,8 +3,6 @@
 import (
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/decision"
@@ -46,8 +44,7 @@
 		}
 	}
 	if after := s.lifecycle.Phase(); after != before {
-		fields := logrus.Fields{"code": "process-phase", "phase": after.String(), "was": before.String()}
-		s.log.WithFields(fields).Info("process phase changed")
+		s.log.Info("process phase changed", "code", "process-phase", "phase", after.String(), "was", before.String())
 	}
 	return effective
 }
--- a/internal/dataplane/ingress/pending_request.go
+++ b/internal/dataplane/ingress/pending_request.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/http1"
@@ -35,7 +33,7 @@
 // rejectRequest answers a request that is not submitted.
 func (c *conn) rejectRequest(r *http1.Request, e *RequestError) (code string, err error) {
 	s := c.server
-	s.log.WithFields(logrus.Fields{"code": e.Code, "status": e.Status}).Warn("bad request")
+	s.log.Warn("bad request", "code", e.Code, "status", e.Status)
 	if class := r.Header.Get(keyClass); class != "" {
 		s.stats.of(class).countAnswer(e.Status)
 	}
--- a/internal/dataplane/ingress/server.go
+++ b/internal/dataplane/ingress/server.go
@@ -4,13 +4,12 @@
 	"cmp"
 	"context"
 	"errors"
+	"log/slog"
 	"net"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/http1"
@@ -34,7 +33,7 @@
 	dialect   Dialect
 	engine    *engine.Engine
 	pool      *upstream.Pool
-	log       *logrus.Logger
+	log       *slog.Logger
 	methods   atomic.Pointer[map[string]string] // by class
 	plans     atomic.Pointer[map[string]bool]
 	ingresses int             // of the fleet
@@ -57,7 +56,7 @@
 
 // New returns a server for what the settings name, with a limit of connections at once.
 func New(
-	settings *decision.Settings, e *engine.Engine, p *upstream.Pool, maxConns int, log *logrus.Logger,
+	settings *decision.Settings, e *engine.Engine, p *upstream.Pool, maxConns int, log *slog.Logger,
 ) *Server {
 	s := &Server{
 		engine:    e,
@@ -120,7 +119,7 @@
 		}
 		if err != nil {
 			// Descriptors run short, or the network fails for a while: no reason to give up all clients.
-			s.log.WithField("code", "process-accept-failed").WithError(err).Warn("connection not accepted")
+			s.log.Warn("connection not accepted", "code", "process-accept-failed", "error", err)
 			time.Sleep(acceptPause)
 			continue
 		}
--- a/internal/dataplane/upstream/acquire.go
+++ b/internal/dataplane/upstream/acquire.go
@@ -7,8 +7,6 @@
 	"net"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/dataplane/upstreamconn"
 	"mulleinrouter/internal/decision"
@@ -89,8 +87,7 @@
 			// Reported as a refused connection, it would count against a server that is healthy.
 			code, err = "upstream-not-needed", fmt.Errorf("%w: %w", errNotNeeded, err)
 		}
-		p.log.WithFields(logrus.Fields{"code": code, "backend": backend}).WithError(err).
-			Info("upstream connection ended")
+		p.log.Info("upstream connection ended", "code", code, "backend", backend, "error", err)
 		return nil, err
 	}
 	c := &conn{
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -2,13 +2,12 @@
 
 import (
 	"context"
+	"log/slog"
 	"net"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/dataplane/traffic"
 	"mulleinrouter/internal/dataplane/upstreamconn"
 	"mulleinrouter/internal/decision"
@@ -40,7 +39,7 @@
 
 	lookup     Lookup
 	limits     Limits
-	log        *logrus.Logger
+	log        *slog.Logger
 	dial       func(ctx context.Context, network, addr string) (net.Conn, error)
 	awaitReset func(*conn) // waits for conn.holdTime, until a reset by the server would have arrived
 	base       time.Time   // the times of the state machines are seconds since then
@@ -52,7 +51,7 @@
 }
 
 // New returns an empty pool.
-func New(lookup Lookup, limits Limits, log *logrus.Logger) *Pool {
+func New(lookup Lookup, limits Limits, log *slog.Logger) *Pool {
 	dialer := net.Dialer{Timeout: limits.ConnectTimeout, KeepAlive: -1}
 	return &Pool{
 		lookup:     lookup,
@@ -101,11 +100,7 @@
 	c.Drop()
 	c.Close()
 	p.forget()
-	entry := p.log.WithFields(logrus.Fields{"code": code, "backend": c.backend, "uses": c.Uses()})
-	if err != nil {
-		entry = entry.WithError(err)
-	}
-	entry.Info("upstream connection ended")
+	p.log.Info("upstream connection ended", "code", code, "backend", c.backend, "uses", c.Uses(), "error", err)
 }
 
 // recordLoss records that a connection ended while it was idle, or as a request was written to it.
--- a/internal/dataplane/upstream/pool_test.go
+++ b/internal/dataplane/upstream/pool_test.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/emulator/exchange"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // outcomeNames are the outcomes as the recorded exchanges of testdata name them.
@@ -29,20 +29,13 @@
 	decision.NotSent:           "Skipped",
 }
 
-// discardLog returns a log that writes nothing.
-func discardLog() *logrus.Logger {
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	return log
-}
-
 // TestOutcomes plays every row of the protocol's table of outcomes, and what keeps connections reusable.
 func TestOutcomes(t *testing.T) {
 	exchange.Each(t, "testdata/*.txt", func(t *testing.T, script string) {
 		p := exchange.New(t, "server", "other")
 		addr, serving := p.Addr("server"), true
 		pool := New(func(string) (string, bool) { return addr, serving },
-			Limits{Connections: 1, ConnectTimeout: time.Minute, Keepalive: time.Minute}, discardLog())
+			Limits{Connections: 1, ConnectTimeout: time.Minute, Keepalive: time.Minute}, logtest.Discard())
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		results := make(chan Result, 1)
@@ -120,7 +113,7 @@
 	pool := New(func(string) (string, bool) {
 		lookups++
 		return l.Addr().String(), lookups <= 2 // before the dial, for its address, and after it
-	}, Limits{Connections: 1, ConnectTimeout: time.Minute, Keepalive: time.Minute}, discardLog())
+	}, Limits{Connections: 1, ConnectTimeout: time.Minute, Keepalive: time.Minute}, logtest.Discard())
 	request := &Message{Method: "GET", Target: "/", ID: "1"}
 	got := pool.Do(context.Background(), "s-1", request, time.Now().Add(time.Minute))
 	if diff := cmp.Diff(Result{Outcome: decision.NotSent}, got); diff != "" {
@@ -148,7 +141,7 @@
 		{"connection refused", time.Minute, false, decision.ConnectionRefused},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			pool := New(func(string) (string, bool) { return "h:1", true }, Limits{Connections: 1}, discardLog())
+			pool := New(func(string) (string, bool) { return "h:1", true }, Limits{Connections: 1}, logtest.Discard())
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			pool.dial = func(dialCtx context.Context, _, _ string) (net.Conn, error) {
@@ -180,7 +173,7 @@
 	}
 	defer l.Close()
 	pool := New(func(string) (string, bool) { return l.Addr().String(), true },
-		Limits{Connections: 1, ConnectTimeout: time.Minute}, discardLog())
+		Limits{Connections: 1, ConnectTimeout: time.Minute}, logtest.Discard())
 	dial := pool.dial
 	pool.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		nc, err := dial(ctx, network, addr)
--- a/internal/emulator/testcluster/process.go
+++ b/internal/emulator/testcluster/process.go
@@ -42,7 +42,7 @@
 // Launch starts a process and waits for a line of its log with a code. The log is appended to a file. It returns an
 // ExitError or a NotReadyError if there is no such line.
 func Launch(logPath, code, program string, args ...string) (*Process, error) {
-	cmd := exec.Command(program, append([]string{"--log-format", "text"}, args...)...)
+	cmd := exec.Command(program, append([]string{"--log-format", "logfmt"}, args...)...)
 	pipe, err := cmd.StderrPipe()
 	if err != nil {
 		return nil, fmt.Errorf("rig: %w", err)
--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -20,6 +20,7 @@
 	"mulleinrouter/internal/dataplane/upstream"
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/emulator/exchange"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // startProxy starts a proxy whose one server is the function given: it is called with each connection, which ends when
@@ -63,9 +64,9 @@
 	e.Start(nil)
 	e.SetBackends(decision.Backends{List: []decision.Backend{{ID: "i-2", Group: "s2", Serving: true, Size: 9}}})
 	pool := upstream.New(func(string) (string, bool) { return back.Addr().String(), true },
-		upstream.Limits{Connections: 99, ConnectTimeout: time.Second, Keepalive: time.Minute}, discardLogger())
+		upstream.Limits{Connections: 99, ConnectTimeout: time.Second, Keepalive: time.Minute}, logtest.Discard())
 	pool.Dialect = upstream.Dialect{AppendHead: appendRequestHead, Meaning: classifyAnswer, IDField: headerAttemptID}
-	server = ingress.New(s, e, pool, 99, discardLogger())
+	server = ingress.New(s, e, pool, 99, logtest.Discard())
 	server.SetDialect(translator.dialect())
 	server.Started()
 	go server.Serve(client)
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -4,12 +4,12 @@
 	"strings"
 	"testing"
 
-	"github.com/go-kit/log"
 	"github.com/matryer/is"
 
 	"mulleinrouter/internal/cluster/metrics"
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // TestMetrics checks the metrics of a proxy, and how they follow what it knows of servers.
@@ -22,7 +22,7 @@
 		InnerFirst: 7000,
 		Limits:     settings.Limits{MaxFDs: 1000},
 	}
-	p := New(settings.NewWatcher("", s), 5, log.NewNopLogger())
+	p := New(settings.NewWatcher("", s), 5, logtest.Discard())
 	r := metrics.NewRegistry(program)
 	p.registerMetrics(r)
 	text := func() string {
--- a/internal/proxy/planned_test.go
+++ b/internal/proxy/planned_test.go
@@ -8,7 +8,6 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/go-kit/log"
 	"github.com/matryer/is"
 
 	"mulleinrouter/internal/cluster/configuration"
@@ -18,6 +17,7 @@
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/ingress"
 	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // TestPlannedDisruptionsKeepAttempts has a server become silent while another is free. Usually the request goes on to
@@ -55,7 +55,7 @@
 				s := &decision.Settings{Gateways: 1, MaxAttempts: 2, MayCancel: true, CapacityInSlots: true}
 				feed := &controlFeed{
 					shedder:   newShedder(0),
-					log:       log.NewNopLogger(),
+					log:       logtest.Discard(),
 					startedAt: time.Now(),
 					store:     replication.NewStore(1),
 					ready:     make(chan struct{}),
@@ -67,7 +67,7 @@
 				feed.engine.SetBackends(decision.Backends{
 					List: []decision.Backend{{ID: "a", Serving: true, Size: 9}, {ID: "b", Serving: true, Size: 9}},
 				})
-				p := &Proxy{log: feed.log, control: feed, ingress: ingress.New(s, feed.engine, nil, 9, discardLogger())}
+				p := &Proxy{log: feed.log, control: feed, ingress: ingress.New(s, feed.engine, nil, 9, logtest.Discard())}
 				hangups := make(chan os.Signal)
 				forwarded := p.forwardHangups(ctx, hangups)
 				go func() {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -2,13 +2,10 @@
 
 import (
 	"hash/fnv"
-	"io"
+	"log/slog"
 	"math/rand/v2"
 	"time"
 
-	"github.com/go-kit/log"
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/cluster/metrics"
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/settings"
@@ -58,7 +55,7 @@
 type Proxy struct {
 	settings   *settings.Settings // at the start
 	watcher    *settings.Watcher
-	log        log.Logger
+	log        *slog.Logger
 	control    *controlFeed
 	translator *translator
 	pool       *upstream.Pool
@@ -68,9 +65,9 @@
 
 // New returns a proxy for the settings that are watched. The incarnation is a number that no other process of this
 // machine has had.
-func New(watcher *settings.Watcher, incarnation uint64, logger log.Logger) *Proxy {
+func New(watcher *settings.Watcher, incarnation uint64, logger *slog.Logger) *Proxy {
 	s := watcher.Current()
-	p := &Proxy{settings: s, watcher: watcher, log: log.With(logger, "part", program)}
+	p := &Proxy{settings: s, watcher: watcher, log: logger.With("part", program)}
 	p.control = newControlFeed(watcher, incarnation, p.log)
 	startedAt := p.control.startedAt
 	clock := replication.NewClock(func() float64 { return time.Since(startedAt).Seconds() })
@@ -100,7 +97,7 @@
 // connectDataPlane connects the decision module, the engine, the pool of connections to servers and the clients'
 // server.
 func (p *Proxy) connectDataPlane(seed, incarnation uint64, clock *replication.Clock) {
-	logger := discardLogger()
+	logger := slog.New(slog.DiscardHandler) // to log each connection would cost too much processor time here
 	decisions := p.decisionSettings(seed)
 	p.control.engine = engine.New(decision.New(*decisions, seed^incarnation), decisions, engine.NewClockOf(clock.Now))
 	p.translator = newTranslator(p.control, newSplitter(rand.New(rand.NewPCG(seed, incarnation))))
@@ -147,14 +144,6 @@
 	}
 }
 
-// discardLogger returns the logger of the data plane: to log each connection would cost too much processor time here.
-func discardLogger() *logrus.Logger {
-	logger := logrus.New()
-	logger.SetOutput(io.Discard)
-	logger.SetLevel(logrus.ErrorLevel)
-	return logger
-}
-
 // Ready reports whether this proxy takes new clients.
 func (p *Proxy) Ready() bool { return p.ingress.Phase() == decision.Serving }
 
--- a/internal/proxy/shedding_listener.go
+++ b/internal/proxy/shedding_listener.go
@@ -3,12 +3,11 @@
 import (
 	"context"
 	"errors"
+	"log/slog"
 	"net"
 	"sync"
 	"time"
 
-	"github.com/go-kit/log"
-
 	"mulleinrouter/internal/cluster/retry"
 )
 
@@ -26,7 +25,7 @@
 type sheddingListener struct {
 	listen  func() (net.Listener, error)
 	shedder *shedder
-	log     log.Logger
+	log     *slog.Logger
 
 	mu      sync.Mutex    // guards the fields below
 	current net.Listener  // nil: the address is closed for the moment
@@ -36,7 +35,7 @@
 
 // newSheddingListener binds the address at once. Run must run for load to be shed.
 func newSheddingListener(
-	listen func() (net.Listener, error), s *shedder, logger log.Logger,
+	listen func() (net.Listener, error), s *shedder, logger *slog.Logger,
 ) (*sheddingListener, error) {
 	first, err := listen()
 	if err != nil {
@@ -116,7 +115,7 @@
 		share := sl.shedder.admitted(time.Now())
 		if now := share < 1; now != shedding {
 			shedding = now
-			sl.log.Log("msg", "shedding", "on", shedding)
+			sl.log.Info("shedding", "on", shedding)
 		}
 		if !shedding {
 			if !retry.Sleep(ctx, shedInterval) {
@@ -151,7 +150,7 @@
 		if err == nil {
 			return sl.setCurrent(next)
 		}
-		sl.log.Log("msg", "listener not reopened", "err", err)
+		sl.log.Error("listener not reopened", "err", err)
 		if !retry.Sleep(ctx, reopenInterval) {
 			return false
 		}
--- a/internal/proxy/shedding_test.go
+++ b/internal/proxy/shedding_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"github.com/go-kit/log"
 	"github.com/matryer/is"
 
 	"mulleinrouter/internal/dataplane/traffic"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // overloadedLink is a model of a machine's link in one direction: what is offered waits in one queue, and a request
@@ -121,7 +121,7 @@
 		}
 		return net.Listen("tcp4", address)
 	}
-	listener, err := newSheddingListener(listen, newShedder(0), log.NewNopLogger())
+	listener, err := newSheddingListener(listen, newShedder(0), logtest.Discard())
 	is.NoErr(err)
 	var accepted atomic.Int64
 	var conns sync.Map
--- a/internal/proxy/translator_test.go
+++ b/internal/proxy/translator_test.go
@@ -15,6 +15,7 @@
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/dataplane/upstream"
 	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // testConfig is a complete configuration of three routes, two tenants and two services.
@@ -226,7 +227,7 @@
 		Connections:    9,
 		ConnectTimeout: time.Second,
 		Keepalive:      time.Minute,
-	}, discardLogger())
+	}, logtest.Discard())
 	p.Dialect = upstream.Dialect{AppendHead: appendRequestHead, Meaning: classifyAnswer, IDField: headerAttemptID}
 	for _, id := range []string{"first", "second", "third"} {
 		r := p.Do(t.Context(), "i-1", &upstream.Message{
--- a/internal/standalone/catalogue/catalogue_test.go
+++ b/internal/standalone/catalogue/catalogue_test.go
@@ -1,7 +1,6 @@
 package catalogue
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"os"
@@ -10,8 +9,8 @@
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
-	"github.com/sirupsen/logrus"
 
+	"mulleinrouter/internal/logging/logtest"
 	"mulleinrouter/internal/standalone/plans"
 )
 
@@ -148,11 +147,8 @@
 		}
 	}
 	write(good)
-	lines, received := &bytes.Buffer{}, make(chan uint64, 100)
-	log := logrus.New()
-	log.SetOutput(lines)
-	logged := make(chan struct{}, 100)
-	log.AddHook(logHook(logged))
+	received := make(chan uint64, 100)
+	log, lines := logtest.Record()
 	onChange := func(all []plans.Revision) { received <- all[len(all)-1].Number }
 	w := &Watcher{Path: path, Log: log, OnChange: onChange}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -167,12 +163,12 @@
 	}
 	await(7)
 	write("nonsense")
-	<-logged
+	lines.Await("plans-bad-catalogue")
 	write("nonsense")
 	write(strings.Replace(good, `"7"`, `"8"`, 1))
 	await(8)
 	os.Remove(path)
-	<-logged
+	lines.Await("plans-bad-catalogue")
 	write(strings.Replace(good, `"7"`, `"9"`, 1))
 	await(9)
 	cancel()
@@ -185,16 +181,6 @@
 	}
 }
 
-// logHook receives a value for each log line.
-type logHook chan struct{}
-
-func (logHook) Levels() []logrus.Level { return logrus.AllLevels }
-
-func (l logHook) Fire(*logrus.Entry) error {
-	l <- struct{}{}
-	return nil
-}
-
 // FuzzParse: a catalogue is rejected with one line that names the place, or is valid and stays the same when it is
 // written and read again.
 func FuzzParse(f *testing.F) {
--- a/internal/standalone/catalogue/watcher.go
+++ b/internal/standalone/catalogue/watcher.go
@@ -3,10 +3,10 @@
 import (
 	"context"
 	"fmt"
+	"log/slog"
 	"path/filepath"
 
 	"github.com/fsnotify/fsnotify"
-	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/standalone/plans"
 )
@@ -15,7 +15,7 @@
 type Watcher struct {
 	Path     string
 	OnChange func([]plans.Revision) // receives each valid catalogue, from the goroutine of Run
-	Log      *logrus.Logger
+	Log      *slog.Logger
 
 	lastError error // nil: the last reading succeeded
 }
@@ -42,8 +42,9 @@
 				w.Read()
 			}
 		case err := <-watcher.Errors:
-			w.Log.WithField("code", "plans-watch-failed").WithError(err).
-				Warn("catalogue change may have been missed; reading the file again")
+			w.Log.Warn("catalogue change may have been missed; reading the file again",
+				"code", "plans-watch-failed", "error", err,
+			)
 			w.Read()
 		}
 	}
@@ -55,7 +56,7 @@
 	if err != nil {
 		// An editor that saves in steps must not fill the log.
 		if w.lastError == nil || w.lastError.Error() != err.Error() {
-			w.Log.WithField("code", "plans-bad-catalogue").WithError(err).Error("catalogue invalid; plans unchanged")
+			w.Log.Error("catalogue invalid; plans unchanged", "code", "plans-bad-catalogue", "error", err)
 		}
 		w.lastError = err
 		return
--- a/internal/standalone/cli/cli.go
+++ b/internal/standalone/cli/cli.go
@@ -31,7 +31,8 @@
 
 // Program is the command line as a whole. Hidden commands are earlier names of others, which scripts may use.
 type Program struct {
-	LogFormat string `name:"log-format" enum:"text,json,," default:"" placeholder:"FORMAT" help:"${logFormat}"`
+	LogLevel  string `name:"log-level" enum:"debug,info,warn,error,," default:"" placeholder:"LEVEL" help:"${logLevel}"`
+	LogFormat string `name:"log-format" enum:"logfmt,json,text,," default:"" placeholder:"FORMAT" help:"${logFormat}"`
 
 	Serve      ServeCommand      `cmd:"" name:"serve" default:"withargs" help:"${serve}"`
 	Check      CheckCommand      `cmd:"" name:"check" help:"${check}"`
--- a/internal/standalone/cli/cli_test.go
+++ b/internal/standalone/cli/cli_test.go
@@ -9,10 +9,9 @@
 	"testing"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/dataplane/usage"
 	"mulleinrouter/internal/emulator/fakes"
+	"mulleinrouter/internal/logging/logtest"
 	"mulleinrouter/internal/standalone/usagesegment"
 )
 
@@ -82,6 +81,7 @@
 		{"book add --help", 0, []string{"--units", "spread evenly over the span"}},
 		{"nonsense", ExitUsage, []string{"nonsense"}},
 		{"serve --log-format xml", ExitUsage, []string{"--log-format"}},
+		{"serve --log-level loud", ExitUsage, []string{"--log-level"}},
 		{"check", ExitUsage, []string{"<file>"}},
 		{"version", 0, []string{"mulleinrouter ", "go1."}},
 		{"serve -c DIR/none.hcl", ExitBadFile, []string{"mulleinrouter: configuration: open DIR/none.hcl"}},
@@ -164,9 +164,7 @@
 
 func TestUsage(t *testing.T) {
 	dir := t.TempDir()
-	log := logrus.New()
-	log.SetOutput(&bytes.Buffer{})
-	w, err := usagesegment.Open(dir, time.Minute, log)
+	w, err := usagesegment.Open(dir, time.Minute, logtest.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standalone/cli/help.go
+++ b/internal/standalone/cli/help.go
@@ -9,7 +9,9 @@
 	"bookingsCancel":   "Cancel a booking. What it would still have allowed is free again.",
 	"watchedCatalogue": "The catalogue that ingresses watch.",
 	"checkFile":        "A configuration (.hcl, or .json as the platform gives it) or a catalogue of plans.",
-	"logFormat":        "Form of the log: text or json. Default: what the configuration says, or text.",
+	"logLevel": "Least severe level of the log: debug, info, warn or error. Default: what the configuration says, " +
+		"or info.",
+	"logFormat": "Form of the log: logfmt or json. Default: what the configuration says, or logfmt.",
 	"serve": "Serve clients (the default). Without -c, the configuration is that of NODE_CONFIG, as the " +
 		"platform gives it.",
 	"check":      "Check a configuration or a catalogue of plans, and say what is in it.",
--- a/internal/standalone/cli/log.go
+++ b/internal/standalone/cli/log.go
@@ -3,10 +3,11 @@
 import (
 	"bufio"
 	"io"
+	"log/slog"
 	"sync"
 	"time"
 
-	"github.com/sirupsen/logrus"
+	"mulleinrouter/internal/logging"
 )
 
 const (
@@ -14,20 +15,21 @@
 	logFlushInterval = time.Second
 )
 
-// newLogger returns a logger that writes to out, in the first form that is named: text or json; none: text.
-func newLogger(out io.Writer, formats ...string) *logrus.Logger {
-	logger := logrus.New()
-	logger.SetOutput(out)
-	logger.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true})
-	for _, format := range formats {
-		if format == outputJSON {
-			logger.SetFormatter(&logrus.JSONFormatter{})
-		}
-		if format != "" {
-			break
-		}
+// logSettings returns how this command logs: what the flags say, and where they say nothing what a file does.
+func (p *Program) logSettings(file logging.Settings) logging.Settings {
+	if p.LogLevel != "" {
+		file.Level, _ = logging.ParseLevel(p.LogLevel) // the command line's parser knows the names
 	}
-	return logger
+	if p.LogFormat != "" {
+		file.Format, _ = logging.ParseFormat(p.LogFormat) // as above
+	}
+	return file
+}
+
+// newLogger returns the logger of a command that reads no configuration.
+func (p *Program) newLogger() *slog.Logger {
+	s := p.logSettings(logging.Settings{})
+	return logging.New(p.err, s.Format, s.Level)
 }
 
 // bufferedLog gathers log lines, so that not each costs a write.
--- a/internal/standalone/cli/serve.go
+++ b/internal/standalone/cli/serve.go
@@ -3,12 +3,12 @@
 import (
 	"cmp"
 	"fmt"
+	"log/slog"
 	"os"
 	"os/signal"
 	"syscall"
 
-	"github.com/sirupsen/logrus"
-
+	"mulleinrouter/internal/logging"
 	"mulleinrouter/internal/standalone/config"
 	"mulleinrouter/internal/standalone/faultinjection"
 	"mulleinrouter/internal/standalone/node"
@@ -55,7 +55,10 @@
 	out := newBufferedLog(p.err)
 	defer out.Flush()
 	go out.run()
-	logger := newLogger(out, p.LogFormat, c.LogFormat)
+	logs := p.logSettings(c.Log)
+	var level slog.LevelVar
+	level.Set(logs.Level)
+	logger := logging.New(out, logs.Format, &level)
 
 	n, err := node.Start(c, logger)
 	if err != nil {
@@ -64,20 +67,21 @@
 	out.Flush()
 	go func() { // until the process exits
 		for range hangUp {
-			reloadNode(n, logger, reload)
+			reloadNode(n, logger, reload, func(c *config.Config) { level.Set(p.logSettings(c.Log).Level) })
 		}
 	}()
 
 	received := <-terminate
-	logger.WithFields(logrus.Fields{"code": "process-stopping", "signal": received.String()}).Info("shutting down")
+	logger.Info("shutting down", "code", "process-stopping", "signal", received.String())
 	out.Flush()
 	n.Drain()
-	logger.WithField("code", "process-stopped").Info("all requests answered")
+	logger.Info("all requests answered", "code", "process-stopped")
 	return nil
 }
 
-// reloadNode applies the configuration as it is now. One that cannot be used changes nothing.
-func reloadNode(n *node.Node, logger *logrus.Logger, reload loadConfig) {
+// reloadNode applies the configuration as it is now, and calls applied with it before it logs that. One that cannot be
+// used changes nothing.
+func reloadNode(n *node.Node, logger *slog.Logger, reload loadConfig, applied func(*config.Config)) {
 	c, err := reload(os.Getenv)
 	if err == nil {
 		if err = n.Reload(c); err != nil {
@@ -86,9 +90,11 @@
 	}
 	n.CountReload(err == nil)
 	if err != nil {
-		logger.WithField("code", "process-reload-failed").WithError(err).Error("configuration rejected; unchanged")
+		logger.Error("configuration rejected; unchanged", "code", "process-reload-failed", "error", err)
 		return
 	}
-	logger.WithFields(logrus.Fields{"code": "process-reloaded", "discovery": c.Discovery, "counter": c.Counter}).
-		Info("configuration reloaded")
+	applied(c)
+	logger.Info("configuration reloaded",
+		"code", "process-reloaded", "discovery", c.Discovery, "counter", c.Counter,
+	)
 }
--- a/internal/standalone/cli/usage.go
+++ b/internal/standalone/cli/usage.go
@@ -8,8 +8,6 @@
 	"syscall"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/dataplane/usage"
 	"mulleinrouter/internal/standalone/usageexport"
 )
@@ -51,14 +49,14 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	logger := newLogger(p.err, p.LogFormat)
+	logger := p.newLogger()
 	e := &usageexport.Exporter{Dir: ue.Dir, Endpoint: ue.To, Retention: keep, Log: logger}
 	if err := openExporter(e); err != nil {
 		return err
 	}
 	defer e.Close()
 	if ue.Follow {
-		logger.WithFields(logrus.Fields{"code": "usage-export-started", "dir": ue.Dir, "to": ue.To}).Info("exporting")
+		logger.Info("exporting", "code", "usage-export-started", "dir", ue.Dir, "to", ue.To)
 		e.Run(ctx)
 		return nil
 	}
@@ -101,7 +99,7 @@
 
 // Run verifies segments and batches.
 func (uv *UsageVerifyCommand) Run(p *Program) error {
-	e := &usageexport.Exporter{Dir: uv.Dir, Log: newLogger(p.err, p.LogFormat)}
+	e := &usageexport.Exporter{Dir: uv.Dir, Log: p.newLogger()}
 	if err := openExporter(e); err != nil {
 		return err
 	}
--- a/internal/standalone/config/config.go
+++ b/internal/standalone/config/config.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/logging"
 	"mulleinrouter/internal/standalone/discovery"
 	"mulleinrouter/internal/standalone/faultinjection"
 )
@@ -25,12 +26,12 @@
 	SettingsRaw []byte
 
 	// Only our own file names these: the platform gives no place for them.
-	Static         bool   // Known is the complete list: there is no discovery
-	Embedded       string // address where this ingress serves a counter of its own; empty: none
-	Catalogue      string // file of plans that change in service; empty: none
-	UseRevisionLog bool   // revisions of the catalogue take effect once the lease holder has announced them
-	Usage          *Usage // nil: usage is not recorded
-	LogFormat      string // text or json; empty: text
+	Static         bool             // Known is the complete list: there is no discovery
+	Embedded       string           // address where this ingress serves a counter of its own; empty: none
+	Catalogue      string           // file of plans that change in service; empty: none
+	UseRevisionLog bool             // revisions of the catalogue take effect once the lease holder has announced them
+	Usage          *Usage           // nil: usage is not recorded
+	Log            logging.Settings // zero: info, in logfmt
 
 	Membership *Membership // nil: ingresses do not know of each other
 
--- a/internal/standalone/config/hcl.go
+++ b/internal/standalone/config/hcl.go
@@ -6,6 +6,7 @@
 	"net"
 	"os"
 
+	"mulleinrouter/internal/logging"
 	"mulleinrouter/internal/standalone/discovery"
 	"mulleinrouter/internal/standalone/hclfile"
 )
@@ -17,7 +18,8 @@
 	Mgmt      string          `hcl:"mgmt,optional"`
 	State     string          `hcl:"state,optional"`
 	Discovery string          `hcl:"discovery,optional"`
-	Log       string          `hcl:"log_format,optional"`
+	LogLevel  string          `hcl:"log_level,optional"`
+	LogFormat string          `hcl:"log_format,optional"`
 	Limits    *limitsBlock    `hcl:"limits,block"`
 	Fleet     *fleetBlock     `hcl:"fleet,block"`
 	Counter   *counterBlock   `hcl:"counter,block"`
@@ -127,7 +129,6 @@
 		Name:      cmp.Or(form.Name, defaultName),
 		Listen:    form.Listen,
 		Discovery: form.Discovery,
-		LogFormat: form.Log,
 	}
 	for _, read := range []func(*hclfile.File, *Config) error{
 		form.readProcess,
@@ -170,12 +171,23 @@
 		}
 		c.State = h.State
 	}
-	if h.Log != "" && h.Log != "text" && h.Log != "json" {
-		return file.ErrorAt("log_format", fmt.Sprintf("%q is neither \"text\" nor \"json\"", h.Log))
+	if err := h.readLog(file, c); err != nil {
+		return err
 	}
 	return h.readLimits(file, c)
 }
 
+// readLog reads how the process logs.
+func (h *hclForm) readLog(file *hclfile.File, c *Config) (err error) {
+	if c.Log.Level, err = logging.ParseLevel(h.LogLevel); err != nil {
+		return file.ErrorAt("log_level", fmt.Sprintf("%v: %q", err, h.LogLevel))
+	}
+	if c.Log.Format, err = logging.ParseFormat(h.LogFormat); err != nil {
+		return file.ErrorAt("log_format", fmt.Sprintf("%v: %q", err, h.LogFormat))
+	}
+	return nil
+}
+
 func (h *hclForm) readLimits(file *hclfile.File, c *Config) error {
 	l := h.Limits
 	if l == nil {
--- a/internal/standalone/config/hcl_test.go
+++ b/internal/standalone/config/hcl_test.go
@@ -153,7 +153,8 @@
 			line("limits") +
 				`:1: Unsupported block type: Blocks of type "limit" are not expected here. Did you mean "limits"?`},
 		{"listen", `"127.0.0.1:8080"`, `"8080"`, line("listen") + `:1: listen: not host:port: "8080"`},
-		{"log format", `"text"`, `"xml"`, line("log_format") + `:1: log_format: "xml" is neither "text" nor "json"`},
+		{"log format", `"logfmt"`, `"xml"`, line("log_format") + `:1: log_format: neither logfmt nor json: "xml"`},
+		{"log level", `"info"`, `"loud"`, line("log_level") + `:1: log_level: neither debug, info, warn nor error: "loud"`},
 		{"limits", "sockets   = 1024", "sockets   = -1", line("sockets") + `:3: limits.sockets: below zero`},
 		{"attempts", "max_attempts    = 4", "max_attempts    = 5",
 			line("max_attempts") + `:3: rules.max_attempts: must be from 1 to 4`},
--- a/internal/standalone/counterclient/client.go
+++ b/internal/standalone/counterclient/client.go
@@ -4,11 +4,10 @@
 	"context"
 	"hash/fnv"
 	"io"
+	"log/slog"
 	"sync"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/decision"
 )
 
@@ -24,7 +23,7 @@
 type Client struct {
 	timeout   time.Duration
 	onReply   ReplyFunc
-	log       *logrus.Logger
+	log       *slog.Logger
 	pipelines []*pipeline
 
 	ctx        context.Context // ends with Close
@@ -37,7 +36,7 @@
 }
 
 // New returns a client that gives each call up after a timeout. It calls onReply once for each call.
-func New(addr string, timeout time.Duration, onReply ReplyFunc, log *logrus.Logger) *Client {
+func New(addr string, timeout time.Duration, onReply ReplyFunc, log *slog.Logger) *Client {
 	c := newClient(addr, timeout, onReply, log, pipelineCount)
 	for _, p := range c.pipelines {
 		c.goroutines.Go(p.run)
@@ -47,7 +46,7 @@
 }
 
 // newClient leaves it to the caller to run the pipelines and to check them.
-func newClient(addr string, timeout time.Duration, onReply ReplyFunc, log *logrus.Logger, pipelines int) *Client {
+func newClient(addr string, timeout time.Duration, onReply ReplyFunc, log *slog.Logger, pipelines int) *Client {
 	c := &Client{
 		addr:    addr,
 		changed: make(chan struct{}),
--- a/internal/standalone/counterclient/client_test.go
+++ b/internal/standalone/counterclient/client_test.go
@@ -12,7 +12,7 @@
 
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/emulator/exchange"
-	"mulleinrouter/internal/standalone/logtest"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // outcomeNames are the outcomes in the scripts of testdata.
--- a/internal/standalone/counterclient/pipeline.go
+++ b/internal/standalone/counterclient/pipeline.go
@@ -11,8 +11,6 @@
 	"sync"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/decision"
 )
 
@@ -204,7 +202,7 @@
 	c.calls = nil
 	code := cmp.Or(c.closeCause, endCode(err))
 	p.mu.Unlock()
-	p.client.log.WithFields(logrus.Fields{"code": code, "lost": len(lost)}).Info("counter connection ended")
+	p.client.log.Info("counter connection ended", "code", code, "lost", len(lost))
 	for _, pending := range lost {
 		p.client.onReply(pending.name, decision.ConnectionReset, 0)
 	}
--- a/internal/standalone/counterserver/server_test.go
+++ b/internal/standalone/counterserver/server_test.go
@@ -15,8 +15,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/logging/logtest"
 	"mulleinrouter/internal/standalone/counterclient"
-	"mulleinrouter/internal/standalone/logtest"
 )
 
 // The store agrees with one that looks through all names at each call.
--- a/internal/standalone/discovery/connection.go
+++ b/internal/standalone/discovery/connection.go
@@ -11,8 +11,6 @@
 	"strconv"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/standalone/jsontext"
 )
@@ -116,7 +114,6 @@
 	}
 	w.rev = l.Rev
 	w.OnUpdate(w.Directory.apply(&l))
-	w.Log.WithFields(logrus.Fields{"code": "discovery-list", "rev": l.Rev, "changed": len(l.Targets)}).
-		Info("endpoint list changed")
+	w.Log.Info("endpoint list changed", "code", "discovery-list", "rev", l.Rev, "changed", len(l.Targets))
 	return nil
 }
--- a/internal/standalone/discovery/discovery_test.go
+++ b/internal/standalone/discovery/discovery_test.go
@@ -10,7 +10,7 @@
 
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/emulator/exchange"
-	"mulleinrouter/internal/standalone/logtest"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // TestExchanges plays discovery's side: the updates that the decision module gets, and what the directory then holds.
--- a/internal/standalone/discovery/fuzz_test.go
+++ b/internal/standalone/discovery/fuzz_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"mulleinrouter/internal/decision"
-	"mulleinrouter/internal/standalone/logtest"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // FuzzLists: whatever comes as a list, a malformed one changes nothing, only active servers are sent requests, and
--- a/internal/standalone/discovery/watcher.go
+++ b/internal/standalone/discovery/watcher.go
@@ -3,13 +3,12 @@
 import (
 	"context"
 	"errors"
+	"log/slog"
 	"math/rand/v2"
 	"net"
 	"sync"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/dataplane/backoff"
 	"mulleinrouter/internal/decision"
 )
@@ -32,7 +31,7 @@
 	Addr      string // host:port of discovery
 	Directory *Directory
 	OnUpdate  func(decision.Backends) // called from the goroutine of Run, and of RestoreList
-	Log       *logrus.Logger
+	Log       *slog.Logger
 	FleetSize int    // ingresses that ask the same discovery: they must not ask in step
 	Seed      uint64 // of random delays
 
@@ -109,8 +108,7 @@
 		code = "discovery-moved"
 	}
 	wait := w.reconnectDelay(code, err, rng)
-	w.Log.WithFields(logrus.Fields{"code": code, "rev": w.rev, "wait": wait}).WithError(err).
-		Info("discovery connection ended")
+	w.Log.Info("discovery connection ended", "code", code, "rev", w.rev, "wait", wait, "error", err)
 	sleep(connCtx, wait) // not at all if the address has changed
 }
 
--- a/internal/standalone/discovery/watcher_test.go
+++ b/internal/standalone/discovery/watcher_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"mulleinrouter/internal/decision"
-	"mulleinrouter/internal/standalone/logtest"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // TestRestoredListIsWatchedAtOnce: an ingress of a large fleet that starts with a list from before opens its watch
--- a/internal/standalone/fleet/gossip/fleet.go
+++ b/internal/standalone/fleet/gossip/fleet.go
@@ -6,12 +6,12 @@
 	"crypto/rand"
 	"encoding/binary"
 	"fmt"
+	"log/slog"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/hashicorp/memberlist"
-	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/standalone/fleet/keyring"
 	"mulleinrouter/internal/standalone/fleet/membership"
@@ -29,7 +29,7 @@
 // Fleet is this ingress among the others of its fleet. It is safe for concurrent use.
 type Fleet struct {
 	options     Options
-	log         *logrus.Logger
+	log         *slog.Logger
 	startedAt   time.Time
 	nonce       uint64 // of this process's incarnations
 	meter       meter
--- a/internal/standalone/fleet/gossip/instance.go
+++ b/internal/standalone/fleet/gossip/instance.go
@@ -10,7 +10,6 @@
 	"time"
 
 	"github.com/hashicorp/memberlist"
-	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/standalone/fleet/membership"
 )
@@ -41,8 +40,9 @@
 	inner, addr, err := f.newTransport()
 	if err != nil {
 		if f.protocolLog.fail(bindFailure) {
-			f.log.WithFields(logrus.Fields{"code": "fleet-address-taken", "listen": f.options.Listen}).WithError(err).
-				Warn("cannot listen at the fleet's address; it is retried")
+			f.log.Warn("cannot listen at the fleet's address; it is retried",
+				"code", "fleet-address-taken", "listen", f.options.Listen, "error", err,
+			)
 		}
 		return
 	}
@@ -58,8 +58,7 @@
 	f.mu.Unlock()
 	if i.memberlist, err = memberlist.Create(f.protocolConfig(i, host, port)); err != nil {
 		i.transport.Shutdown()
-		f.log.WithField("code", "fleet-protocol").WithError(err).
-			Error("cannot start the membership protocol; it is retried")
+		f.log.Error("cannot start the membership protocol; it is retried", "code", "fleet-protocol", "error", err)
 		return
 	}
 	f.protocolLog.resolve(bindFailure)
@@ -70,13 +69,10 @@
 	f.exchangesDone = 0
 	f.mu.Unlock()
 	f.step(membership.ProtocolRestarted{})
-	f.log.WithFields(logrus.Fields{
-		"code":  "fleet-started",
-		"fleet": f.options.Fleet,
-		"addr":  addr,
-		"bound": f.boundAddr(inner),
-		"boot":  f.Self().Boot,
-	}).Info("membership protocol started")
+	f.log.Info("membership protocol started",
+		"code", "fleet-started", "fleet", f.options.Fleet, "addr", addr, "bound", f.boundAddr(inner),
+		"boot", f.Self().Boot,
+	)
 }
 
 // protocolConfig is the configuration of an instance that others reach at host and port.
--- a/internal/standalone/fleet/gossip/join.go
+++ b/internal/standalone/fleet/gossip/join.go
@@ -77,6 +77,6 @@
 		return // the instance was shut down meanwhile
 	}
 	if f.protocolLog.fail(joinFailure) {
-		f.log.WithField("code", "fleet-alone").WithError(err).Warn("no address of the fleet answers; they are retried")
+		f.log.Warn("no address of the fleet answers; they are retried", "code", "fleet-alone", "error", err)
 	}
 }
--- a/internal/standalone/fleet/gossip/options.go
+++ b/internal/standalone/fleet/gossip/options.go
@@ -1,10 +1,10 @@
 package gossip
 
 import (
+	"log/slog"
 	"time"
 
 	"github.com/hashicorp/memberlist"
-	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/standalone/fleet/membership"
 )
@@ -27,7 +27,7 @@
 	Number    int           // index of this one among them, from 0
 	Seed      uint64        // of random choices
 	Store     Store         // nil: nothing is stored
-	Log       *logrus.Logger
+	Log       *slog.Logger
 
 	// Network returns the transport of an instance and the address at which others reach it; nil: sockets.
 	Network func() (memberlist.NodeAwareTransport, string, error)
--- a/internal/standalone/fleet/gossip/protocollog.go
+++ b/internal/standalone/fleet/gossip/protocollog.go
@@ -2,13 +2,12 @@
 
 import (
 	"io"
+	"log/slog"
 	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"github.com/sirupsen/logrus"
 )
 
 // rejectionLogInterval is the least time between two log lines about rejected packets.
@@ -34,7 +33,7 @@
 // protocolLog takes memberlist's log: rejections are counted, the rest is for debugging. It also remembers
 // which failures were logged, for those that are retried until they succeed.
 type protocolLog struct {
-	log      *logrus.Logger
+	log      *slog.Logger
 	rejected *atomic.Int64
 
 	mu           sync.Mutex // guards what follows
@@ -56,13 +55,14 @@
 func (pl *protocolLog) Write(b []byte) (int, error) {
 	text := strings.TrimSpace(string(b))
 	if !slices.ContainsFunc(rejectionTexts, func(part string) bool { return strings.Contains(text, part) }) {
-		pl.log.WithField("code", "fleet-protocol").Debug(text)
+		pl.log.Debug("message of the membership protocol's library", "code", "fleet-protocol", "text", text)
 		return len(b), nil
 	}
 	count := pl.rejected.Add(1)
 	if pl.isRejectionDue() {
-		pl.log.WithFields(logrus.Fields{"code": "fleet-refused", "count": count, "why": text}).
-			Warn("rejected a packet or stream that is not of this fleet")
+		pl.log.Warn("rejected a packet or stream that is not of this fleet",
+			"code", "fleet-refused", "count", count, "why", text,
+		)
 	}
 	return len(b), nil
 }
--- a/internal/standalone/fleet/gossip/record.go
+++ b/internal/standalone/fleet/gossip/record.go
@@ -23,8 +23,9 @@
 		return Record{Boot: uint64(time.Now().Unix())}
 	}
 	if err := f.options.Store.Read(&r); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		f.log.WithField("code", "fleet-record-unusable").WithError(err).
-			Warn("the membership record cannot be read; peers are asked for the boot count")
+		f.log.Warn("the membership record cannot be read; peers are asked for the boot count",
+			"code", "fleet-record-unusable", "error", err,
+		)
 		return Record{}
 	}
 	return r
@@ -89,14 +90,15 @@
 	r.writing = false
 	if result.err != nil {
 		if !r.writeFailed {
-			log.WithField("code", "fleet-disk").WithError(result.err).
-				Error("the membership record cannot be written; an incarnation that is not on disk is not announced")
+			log.Error("the membership record cannot be written; an incarnation that is not on disk is not announced",
+				"code", "fleet-disk", "error", result.err,
+			)
 		}
 		r.writeFailed = true
 		return
 	}
 	if r.writeFailed {
-		log.WithField("code", "fleet-disk-usable").Info("the membership record can be written again")
+		log.Info("the membership record can be written again", "code", "fleet-disk-usable")
 	}
 	r.writeFailed = false
 	if r.pendingBoot != nil && result.boot == *r.pendingBoot {
--- a/internal/standalone/fleet/gossip/run.go
+++ b/internal/standalone/fleet/gossip/run.go
@@ -4,8 +4,6 @@
 	"context"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/standalone/fleet/membership"
 )
 
@@ -85,8 +83,9 @@
 	f := r.fleet
 	switch a := a.(type) {
 	case membership.RaiseIncarnation:
-		f.log.WithFields(logrus.Fields{"code": "fleet-count-raised", "boot": a.Boot}).
-			Warn("peers know a later incarnation under this name; the boot count is raised")
+		f.log.Warn("peers know a later incarnation under this name; the boot count is raised",
+			"code", "fleet-count-raised", "boot", a.Boot,
+		)
 		if f.options.Store == nil {
 			r.activateIncarnation(a.Boot)
 		} else {
@@ -103,8 +102,9 @@
 			f.spawn(func() { i.memberlist.Join([]string{a.Addr}) })
 		}
 	case membership.NameConflict:
-		f.log.WithFields(logrus.Fields{"code": "fleet-name-twice", "boot": a.Winner.Boot}).
-			Error("another process has this ingress's name; this one leaves the fleet and goes on serving")
+		f.log.Error("another process has this ingress's name; this one leaves the fleet and goes on serving",
+			"code", "fleet-name-twice", "boot", a.Winner.Boot,
+		)
 		f.mu.Lock()
 		f.left = true
 		f.mu.Unlock()
@@ -116,24 +116,17 @@
 
 func (f *Fleet) logChange(a membership.ViewChanged) {
 	c := a.Change
-	entry := f.log.WithFields(logrus.Fields{"view": c.View, "member": c.Name})
+	log := f.log.With("view", c.View, "member", c.Name)
 	if a.Reachability {
 		r := f.Reachability()
-		entry.WithFields(logrus.Fields{
-			"code":      "fleet-judgement",
-			"judgement": c.What,
-			"heard":     r.Alive,
-			"agreed":    r.Agreed,
-		}).Warn("the reachability of the fleet has changed")
+		log.Warn("the reachability of the fleet has changed",
+			"code", "fleet-judgement", "judgement", c.What, "heard", r.Alive, "agreed", r.Agreed,
+		)
 		return
 	}
-	entry.WithFields(logrus.Fields{
-		"code":   "fleet-member",
-		"change": c.What,
-		"state":  c.To.String(),
-		"was":    c.From.String(),
-		"boot":   c.Boot,
-	}).Info("the view of a member has changed")
+	log.Info("the view of a member has changed",
+		"code", "fleet-member", "change", c.What, "state", c.To.String(), "was", c.From.String(), "boot", c.Boot,
+	)
 }
 
 // applyUpdates gives the protocol's updates to the view.
@@ -171,8 +164,9 @@
 
 // restartAfterPause discards the protocol's instance: its timers expired while others could not answer.
 func (f *Fleet) restartAfterPause(delay time.Duration) {
-	f.log.WithFields(logrus.Fields{"code": "fleet-stalled", "for": delay.Seconds()}).
-		Warn("this process was suspended; the membership protocol restarts")
+	f.log.Warn("this process was suspended; the membership protocol restarts",
+		"code", "fleet-stalled", "for", delay.Seconds(),
+	)
 	if i := f.instance.Swap(nil); i != nil {
 		i.closed.Store(true)
 		f.goroutines.Go(func() { i.memberlist.Shutdown() }) // also while the fleet is being stopped
--- a/internal/standalone/fleet/gossip/stop_test.go
+++ b/internal/standalone/fleet/gossip/stop_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"mulleinrouter/internal/standalone/logtest"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // TestStopEndsPendingJoin: a member that accepts a stream and never answers does not keep Stop waiting for the
--- a/internal/standalone/fleet/gossip/testfleet_test.go
+++ b/internal/standalone/fleet/gossip/testfleet_test.go
@@ -11,8 +11,8 @@
 	"github.com/hashicorp/memberlist"
 
 	"mulleinrouter/internal/emulator/faultnet"
+	"mulleinrouter/internal/logging/logtest"
 	"mulleinrouter/internal/standalone/fleet/membership"
-	"mulleinrouter/internal/standalone/logtest"
 )
 
 const (
--- a/internal/standalone/fleet/leaseservice/record.go
+++ b/internal/standalone/fleet/leaseservice/record.go
@@ -57,8 +57,8 @@
 	switch {
 	case err != nil && !s.recordFailed:
 		s.recordFailed = true
-		s.log("duty-no-room").WithError(err).
-			Error("lease record cannot be stored; singleton roles are resigned until it can")
+		s.log("duty-no-room").
+			Error("lease record cannot be stored; singleton roles are resigned until it can", "error", err)
 		s.resignAll()
 	case err == nil && s.recordFailed:
 		s.recordFailed = false
--- a/internal/standalone/fleet/leaseservice/roles.go
+++ b/internal/standalone/fleet/leaseservice/roles.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
-	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/standalone/fleet/singleton"
 )
@@ -112,12 +111,10 @@
 		case singleton.SendRequest:
 			s.sendRequest(action.Request)
 		case singleton.LeaseGained:
-			s.log("duty-gained").WithFields(logrus.Fields{"duty": action.Role, "token": action.Token}).
-				Info("lease of a singleton role gained")
+			s.log("duty-gained").Info("lease of a singleton role gained", "duty", action.Role, "token", action.Token)
 			s.startWork(action.Role, action.Token)
 		case singleton.LeaseLost:
-			s.log("duty-lost").WithFields(logrus.Fields{"duty": action.Role, "token": action.Token}).
-				Warn("lease of a singleton role lost")
+			s.log("duty-lost").Warn("lease of a singleton role lost", "duty", action.Role, "token", action.Token)
 			s.stopWork(action.Role)
 		case singleton.StepDown:
 			s.stopWork(action.Role)
@@ -181,8 +178,9 @@
 		}
 		return
 	}
-	s.log("duty-resigned").WithField("duty", name).WithError(err).
-		Error("work of a singleton role failed; another ingress may take the role")
+	s.log("duty-resigned").Error("work of a singleton role failed; another ingress may take the role",
+		"duty", name, "error", err,
+	)
 	s.stepLeaseHolder(singleton.Resign{Role: name})
 	r.reacquire = time.AfterFunc(reacquireDelay, func() {
 		s.mu.Lock()
--- a/internal/standalone/fleet/leaseservice/service.go
+++ b/internal/standalone/fleet/leaseservice/service.go
@@ -4,13 +4,12 @@
 	"cmp"
 	"context"
 	"fmt"
+	"log/slog"
 	"path/filepath"
 	"slices"
 	"sync"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/standalone/fleet/membership"
 	"mulleinrouter/internal/standalone/fleet/quorum"
 	"mulleinrouter/internal/standalone/fleet/quorum/boltstore"
@@ -98,7 +97,7 @@
 	tokenBase := uint64(time.Now().Unix()) << tokenBaseShift
 	voter, err := quorum.Open(name, s.options.Voters, store, tokenBase)
 	if err != nil {
-		s.log("duty-voter-unusable").WithError(err).Error("voter disabled: its store cannot be opened")
+		s.log("duty-voter-unusable").Error("voter disabled: its store cannot be opened", "error", err)
 	}
 	s.voter = voter
 }
@@ -130,7 +129,8 @@
 
 func (s *Service) self() string { return s.options.Fleet.Self().Name }
 
-func (s *Service) log(code string) *logrus.Entry { return s.options.Log.WithField("code", code) }
+// log returns a logger whose lines have a code.
+func (s *Service) log(code string) *slog.Logger { return s.options.Log.With("code", code) }
 
 // run handles messages and ticks until the service is stopped.
 func (s *Service) run() {
@@ -180,12 +180,9 @@
 		return
 	}
 	s.voterStatus = present
-	s.log("duty-voter").WithFields(logrus.Fields{
-		"state":  string(present.state),
-		"leader": present.leader,
-		"voters": present.voters,
-		"why":    status.Reason,
-	}).Info("voter state changed")
+	s.log("duty-voter").Info("voter state changed",
+		"state", string(present.state), "leader", present.leader, "voters", present.voters, "why", status.Reason,
+	)
 }
 
 // FencingToken returns the token under which this ingress may act on a role now; ok is false where it may not.
--- a/internal/standalone/fleet/leaseservice/service_test.go
+++ b/internal/standalone/fleet/leaseservice/service_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"mulleinrouter/internal/logging/logtest"
 	"mulleinrouter/internal/standalone/fleet/gossip"
 	"mulleinrouter/internal/standalone/fleet/membership"
-	"mulleinrouter/internal/standalone/logtest"
 )
 
 // testTimeout bounds what a test waits for. A lease takes an election of about a second.
--- a/internal/standalone/fleet/quotasync/service.go
+++ b/internal/standalone/fleet/quotasync/service.go
@@ -2,11 +2,11 @@
 
 import (
 	"context"
+	"log/slog"
 	"sync"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
-	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/fleet/gossip"
@@ -43,7 +43,7 @@
 	quotashare.Options
 	Gossip    Gossip
 	ClockRate float64 // seconds of the service's clock in a second: 1, except in fault tests
-	Log       *logrus.Logger
+	Log       *slog.Logger
 }
 
 // Service divides quotas for one ingress. It implements engine.QuotaSharer and is safe for concurrent use.
@@ -174,19 +174,20 @@
 			e.SetGrants(a.Grants, a.Until-now)
 		case quotashare.WarnServers:
 			e.SetSuspects(a.Servers)
-			s.options.Log.WithFields(logrus.Fields{"code": "share-warned", "servers": a.Servers}).
-				Info("the servers that other ingresses find unhealthy have changed")
+			s.options.Log.Info("the servers that other ingresses find unhealthy have changed",
+				"code", "share-warned", "servers", a.Servers,
+			)
 		}
 	}
 }
 
 func (s *Service) logCounterTrust(change quotashare.CounterTrustChanged) {
-	entry := s.options.Log.WithField("why", change.Reason)
+	log := s.options.Log.With("why", change.Reason)
 	if change.Trusted {
-		entry.WithField("code", "share-counter-trusted").Info("the counter is trusted again: quotas go by its totals")
+		log.Info("the counter is trusted again: quotas go by its totals", "code", "share-counter-trusted")
 		return
 	}
-	entry.WithField("code", "share-counter-doubted").Warn("the counter is not trusted: quotas go by leased grants")
+	log.Warn("the counter is not trusted: quotas go by leased grants", "code", "share-counter-doubted")
 }
 
 // execute carries out the actions that don't need the engine.
--- a/internal/standalone/mgmt/server.go
+++ b/internal/standalone/mgmt/server.go
@@ -5,12 +5,11 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"net"
 	"strings"
 	"sync"
 	"time"
-
-	"github.com/sirupsen/logrus"
 )
 
 const (
@@ -41,7 +40,7 @@
 // Server serves one management address.
 type Server struct {
 	Handler Handler
-	Log     *logrus.Logger
+	Log     *slog.Logger
 
 	mu      sync.Mutex             // guards waiting
 	waiting map[net.Conn]time.Time // callers without an answer, by when they connected
@@ -58,7 +57,7 @@
 			return nil
 		}
 		if err != nil {
-			s.Log.WithField("code", "mgmt-accept-failed").WithError(err).Warn("management connection not accepted")
+			s.Log.Warn("management connection not accepted", "code", "mgmt-accept-failed", "error", err)
 			time.Sleep(acceptRetry)
 			continue
 		}
@@ -103,7 +102,7 @@
 	case errors.Is(err, errTooLong), errors.Is(err, errEmpty):
 		code = "mgmt-bad-call"
 	case err != nil:
-		s.Log.WithFields(logrus.Fields{"code": endCode(err), "from": from}).Info("management connection ended")
+		s.Log.Info("management connection ended", "code", endCode(err), "from", from)
 		return
 	default:
 		var ok bool
@@ -111,11 +110,10 @@
 			status = ack
 		}
 	}
-	entry := s.Log.WithFields(logrus.Fields{"code": code, "call": word, "from": from, "answer": status})
-	if err := writeAnswer(c, status, lines); err != nil {
-		entry = entry.WithError(err)
-	}
-	entry.Info("management connection ended")
+	err = writeAnswer(c, status, lines)
+	s.Log.Info("management connection ended",
+		"code", code, "call", word, "from", from, "answer", status, "error", err,
+	)
 }
 
 // writeAnswer writes an answer and ends the connection's sending side.
--- a/internal/standalone/mgmt/server_test.go
+++ b/internal/standalone/mgmt/server_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"mulleinrouter/internal/standalone/logtest"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 const testTimeout = 10 * time.Second // only a failure waits this long
--- a/internal/standalone/node/bench_test.go
+++ b/internal/standalone/node/bench_test.go
@@ -18,8 +18,8 @@
 	"testing"
 	"time"
 
+	"mulleinrouter/internal/logging/logtest"
 	"mulleinrouter/internal/standalone/config"
-	"mulleinrouter/internal/standalone/logtest"
 )
 
 // serveEach accepts connections on loopback until the benchmark ends, and serves and closes each in a goroutine of its
--- a/internal/standalone/node/catalogue.go
+++ b/internal/standalone/node/catalogue.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/catalogue"
@@ -30,8 +28,9 @@
 	watcher := &catalogue.Watcher{Path: n.config.Catalogue, OnChange: onChange, Log: n.log}
 	n.spawn(func() {
 		if err := watcher.Run(ctx); err != nil {
-			n.log.WithField("code", "plans-watch-failed").WithError(err).
-				Error("catalogue not watched; changes apply after a restart")
+			n.log.Error("catalogue not watched; changes apply after a restart",
+				"code", "plans-watch-failed", "error", err,
+			)
 		}
 	})
 	return nil
@@ -117,19 +116,19 @@
 	if verdict == plans.VerdictDuplicate {
 		return
 	}
-	entry := n.log.WithFields(logrus.Fields{
-		"revision": r.Number, "digest": r.Digest(), "verdict": verdict.String(), "in_force": n.planState.InForce(now),
-	})
+	log := n.log.With(
+		"revision", r.Number, "digest", r.Digest(), "verdict", verdict.String(), "in_force", n.planState.InForce(now),
+	)
 	switch {
 	case verdict == plans.VerdictPending || verdict == plans.VerdictLate:
-		entry.WithFields(logrus.Fields{"code": "plans-revised", "holds": r.EffectiveAt}).Info("new catalogue revision")
+		log.Info("new catalogue revision", "code", "plans-revised", "holds", r.EffectiveAt)
 	case verdict == plans.VerdictConflict && n.announcer != nil:
-		entry.WithField("code", "plans-settled").
-			Warn("announced revision replaces a different one with the same number")
+		log.Warn("announced revision replaces a different one with the same number", "code", "plans-settled")
 	case verdict == plans.VerdictConflict:
-		entry.WithField("code", "plans-conflict").
-			Error("two revisions have the same number; the one with the higher digest takes effect at all ingresses")
+		log.Error("two revisions have the same number; the one with the higher digest takes effect at all ingresses",
+			"code", "plans-conflict",
+		)
 	default:
-		entry.WithField("code", "plans-passed-over").Warn("revision ignored")
+		log.Warn("revision ignored", "code", "plans-passed-over")
 	}
 }
--- a/internal/standalone/node/node.go
+++ b/internal/standalone/node/node.go
@@ -3,14 +3,13 @@
 import (
 	"context"
 	"fmt"
+	"log/slog"
 	"net"
 	"os"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/ingress"
 	"mulleinrouter/internal/dataplane/upstream"
@@ -29,7 +28,7 @@
 // Node is one ingress.
 type Node struct {
 	config     *config.Config
-	log        *logrus.Logger
+	log        *slog.Logger
 	listener   net.Listener
 	management net.Listener // nil: there is no management address
 	engine     *engine.Engine
@@ -60,7 +59,7 @@
 
 // Start returns a node that listens and serves. Limits that the configuration leaves at zero must have been set by
 // Tune.
-func Start(c *config.Config, log *logrus.Logger) (*Node, error) {
+func Start(c *config.Config, log *slog.Logger) (*Node, error) {
 	n := &Node{config: c, log: log}
 	var ctx context.Context
 	ctx, n.cancel = context.WithCancel(context.Background())
@@ -92,8 +91,9 @@
 	directory := n.newWatcher()
 	if knowledge != nil {
 		customers, backends := n.engine.Restore(*knowledge)
-		n.log.WithFields(logrus.Fields{"code": "process-learned", "customers": customers, "servers": backends}).
-			Info("state of the older process restored")
+		n.log.Info("state of the older process restored",
+			"code", "process-learned", "customers", customers, "servers", backends,
+		)
 	}
 	if n.peers != nil {
 		n.spawn(func() { n.runPeerHeartbeats(ctx) })
@@ -126,9 +126,7 @@
 	n.acceptLoops.Go(func() { n.server.Serve(n.listener) })
 	n.server.Started()
 	n.publishPhase()
-	n.log.WithFields(logrus.Fields{
-		"code": "process-started", "name": c.Name, "listen": n.Addr(), "mgmt": n.MgmtAddr(),
-	}).Info("serving")
+	n.log.Info("serving", "code", "process-started", "name", c.Name, "listen", n.Addr(), "mgmt", n.MgmtAddr())
 	return nil
 }
 
--- a/internal/standalone/node/node_test.go
+++ b/internal/standalone/node/node_test.go
@@ -9,44 +9,19 @@
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
-	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/dataplane/usage"
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/emulator/fakes"
+	"mulleinrouter/internal/logging/logtest"
 	"mulleinrouter/internal/standalone/config"
-	"mulleinrouter/internal/standalone/logtest"
 	"mulleinrouter/internal/standalone/usagesegment"
 )
 
 const member = "00000000000000aa"
 
-// logCodes are the codes of log lines, for tests that wait for one.
-type logCodes chan string
-
-func (logCodes) Levels() []logrus.Level { return logrus.AllLevels }
-
-func (l logCodes) Fire(e *logrus.Entry) error {
-	if code, ok := e.Data["code"].(string); ok {
-		select {
-		case l <- code:
-		default:
-		}
-	}
-	return nil
-}
-
-// await waits until a code is logged.
-func (l logCodes) await(code string) {
-	for c := range l {
-		if c == code {
-			return
-		}
-	}
-}
-
 // startNode starts a node with one fake quote server, from hclConfig and more text.
-func startNode(t *testing.T, text string) (*Node, *fakes.QuoteServer, logCodes) {
+func startNode(t *testing.T, text string) (*Node, *fakes.QuoteServer, *logtest.Recorder) {
 	t.Helper()
 	quotes := &fakes.QuoteServer{Cores: 8}
 	if err := quotes.Start(); err != nil {
@@ -58,8 +33,7 @@
 		t.Fatal(err)
 	}
 	c.Limits = config.Limits{MemoryMB: 192, Sockets: 1024}
-	log, logged := logtest.Discard(), make(logCodes, 1000)
-	log.AddHook(logged)
+	log, logged := logtest.Record()
 	n, err := Start(c, log)
 	if err != nil {
 		t.Fatal(err)
@@ -155,9 +129,9 @@
 	write(1, "basic")
 	n, _, logged := startNode(t, fmt.Sprintf("catalogue {\n  file = %q\n}\nusage {\n  dir = %q\n}\n", path, usageDir))
 	got := requests(t, n, "plus", 4) // the catalogue wins over the plan that the client names
-	logged.await("process-started")
+	logged.Await("process-started")
 	write(2, "plus")
-	logged.await("plans-revised")
+	logged.Await("plans-revised")
 	got = append(got, requests(t, n, "basic", 3)...)
 	if diff := cmp.Diff([]int{200, 200, 503, 503, 200, 200, 200}, got); diff != "" {
 		t.Errorf("statuses (-want +got):\n%s", diff)
--- a/internal/standalone/node/peers.go
+++ b/internal/standalone/node/peers.go
@@ -4,11 +4,10 @@
 	"context"
 	"errors"
 	"io/fs"
+	"log/slog"
 	"net"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/handover"
 	"mulleinrouter/internal/standalone/state"
@@ -32,7 +31,7 @@
 type peerProcesses struct {
 	folder *state.Folder
 	member *handover.Member
-	log    *logrus.Logger
+	log    *slog.Logger
 
 	handedOver  map[int64]bool // newer processes that have been given this one's knowledge
 	failed      bool           // something could not be written or read in this exchange
@@ -42,7 +41,7 @@
 
 // newPeerProcesses makes this process known to others of the same ingress. It returns nil where there is no state
 // folder, or where no second process could listen on the address.
-func newPeerProcesses(dir, name, listen string, process int64, log *logrus.Logger) *peerProcesses {
+func newPeerProcesses(dir, name, listen string, process int64, log *slog.Logger) *peerProcesses {
 	if _, port, err := net.SplitHostPort(listen); dir == "" || err != nil || port == "0" {
 		return nil
 	}
@@ -88,8 +87,9 @@
 	}
 	if p.failed = true; !p.reported {
 		p.reported = true
-		p.log.WithField("code", "state-unusable").WithError(err).
-			Warn("cannot exchange state with other processes of this ingress")
+		p.log.Warn("cannot exchange state with other processes of this ingress",
+			"code", "state-unusable", "error", err,
+		)
 	}
 }
 
@@ -109,12 +109,13 @@
 	p.reportFailure(p.folder.Write(peerRecord, view.Own))
 	if p.reported && !p.failed {
 		p.reported = false
-		p.log.WithField("code", "state-usable").Info("state exchanged with other processes of this ingress again")
+		p.log.Info("state exchanged with other processes of this ingress again", "code", "state-usable")
 	}
 	if overlapping := !view.Alone; overlapping != p.overlapping {
 		p.overlapping = overlapping
-		p.log.WithFields(logrus.Fields{"code": "process-overlap", "together": overlapping, "part": view.Own.Share}).
-			Info("another process of this ingress started or ended")
+		p.log.Info("another process of this ingress started or ended",
+			"code", "process-overlap", "together", overlapping, "part", view.Own.Share,
+		)
 	}
 	return view
 }
--- a/internal/standalone/node/peers_test.go
+++ b/internal/standalone/node/peers_test.go
@@ -10,8 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/logging/logtest"
 	"mulleinrouter/internal/standalone/handover"
-	"mulleinrouter/internal/standalone/logtest"
 )
 
 // An older process and a newer one, through an upgrade: what was learned is handed over once, their parts never add
@@ -85,8 +85,7 @@
 // A folder that cannot be used, and files that are damaged, cost one log line and nothing else.
 func TestPeerProcessesWithDamagedFolder(t *testing.T) {
 	dir := t.TempDir()
-	log, logged := logtest.Discard(), make(logCodes, 100)
-	log.AddHook(logged)
+	log, logged := logtest.Record()
 	first := newPeerProcesses(dir, "n1", "10.0.0.4:80", 1, log)
 	second := newPeerProcesses(dir, "n1", "10.0.0.4:80", 2, logtest.Discard())
 	second.exchange(nil)
@@ -106,11 +105,7 @@
 		t.Fatal(err)
 	}
 	first.exchange(nil)
-	var codes []string
-	for len(logged) > 0 {
-		codes = append(codes, <-logged)
-	}
-	if diff := cmp.Diff([]string{"state-unusable"}, codes); diff != "" {
+	if diff := cmp.Diff([]string{"state-unusable"}, logged.Codes()); diff != "" {
 		t.Errorf("log codes (-want +got):\n%s", diff)
 	}
 }
--- a/internal/standalone/node/reload.go
+++ b/internal/standalone/node/reload.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"slices"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/config"
 	"mulleinrouter/internal/standalone/plans"
@@ -79,12 +77,10 @@
 		revision.Number, revision.EffectiveAt = n.lastReloadRevision, now
 		n.planState.Offer(revision, now)
 	})
-	n.log.WithFields(logrus.Fields{
-		"code":     "plans-revised",
-		"revision": revision.Number,
-		"digest":   revision.Digest(),
-		"verdict":  plans.VerdictLate.String(),
-	}).Info("plans of the settings changed")
+	n.log.Info("plans of the settings changed",
+		"code", "plans-revised", "revision", revision.Number, "digest", revision.Digest(),
+		"verdict", plans.VerdictLate.String(),
+	)
 	n.config.Settings.Plans = c.Settings.Plans
 	return nil
 }
@@ -99,7 +95,7 @@
 	n.engine.Reconfigure(next.Classes, next.MaxAttempts)
 	n.server.SetClasses(next.Classes)
 	current.Classes, current.MaxAttempts = slices.Clone(next.Classes), next.MaxAttempts
-	n.log.WithFields(logrus.Fields{
-		"code": "process-retuned", "classes": len(next.Classes), "attempts": next.MaxAttempts,
-	}).Info("classes of the settings changed")
+	n.log.Info("classes of the settings changed",
+		"code", "process-retuned", "classes", len(next.Classes), "attempts", next.MaxAttempts,
+	)
 }
--- a/internal/standalone/node/shutdown.go
+++ b/internal/standalone/node/shutdown.go
@@ -23,8 +23,9 @@
 	// A newer process may listen on the same address: new connections go there from now on, and those that are queued
 	// here are accepted before the listener closes, which would reset them.
 	if err := hotrestart.Steer(n.listener); err != nil {
-		n.log.WithField("code", "process-not-steered").WithError(err).
-			Warn("cannot redirect new connections; they arrive here until the listener closes")
+		n.log.Warn("cannot redirect new connections; they arrive here until the listener closes",
+			"code", "process-not-steered", "error", err,
+		)
 	}
 	time.Sleep(acceptAfterSignal)
 	n.draining.Store(true)
--- a/internal/standalone/node/usage.go
+++ b/internal/standalone/node/usage.go
@@ -7,8 +7,6 @@
 	"slices"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/standalone/fleet/leaseservice"
 	"mulleinrouter/internal/standalone/usageexport"
 	"mulleinrouter/internal/standalone/usagesegment"
@@ -36,8 +34,9 @@
 	n.server.Meter = writer
 	n.closers = append(n.closers, func() {
 		if err := writer.Close(); err != nil {
-			n.log.WithField("code", "usage-bad-segment").WithError(err).
-				Error("cannot close the last usage segment; the next start closes it")
+			n.log.Error("cannot close the last usage segment; the next start closes it",
+				"code", "usage-bad-segment", "error", err,
+			)
 		}
 	})
 	n.spawn(func() { writer.Run(ctx) })
@@ -120,8 +119,9 @@
 			return true
 		}
 		if !errors.Is(err, usageexport.ErrLocked) && !errors.Is(err, usagesegment.ErrLocked) {
-			n.log.WithField("code", "usage-bad-segment").WithError(err).
-				Error("cannot export the usage records of another process; the command usage export does it")
+			n.log.Error("cannot export the usage records of another process; the command usage export does it",
+				"code", "usage-bad-segment", "error", err,
+			)
 			return false
 		}
 		select {
@@ -168,8 +168,9 @@
 	for ctx.Err() == nil {
 		result, err := exporter.Step(ctx)
 		if err == nil && !result.Sent {
-			n.log.WithFields(logrus.Fields{"code": "usage-inherited", "dir": dir}).
-				Info("usage records of another process of this ingress exported")
+			n.log.Info("usage records of another process of this ingress exported",
+				"code", "usage-inherited", "dir", dir,
+			)
 			return
 		}
 		if err != nil {
--- a/internal/standalone/usageexport/batch.go
+++ b/internal/standalone/usageexport/batch.go
@@ -5,8 +5,6 @@
 	"encoding/hex"
 	"fmt"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/dataplane/usage"
 	"mulleinrouter/internal/standalone/usagesegment"
 )
@@ -72,12 +70,9 @@
 		return fmt.Errorf("usage: %s: %w", s.Path, err)
 	}
 	if report.Damaged+report.Lost > 0 {
-		e.Log.WithFields(logrus.Fields{
-			"code":    "usage-damaged",
-			"file":    s.Path,
-			"records": report.Damaged,
-			"bytes":   report.Lost,
-		}).Error("usage records are damaged; the batch reports their number")
+		e.Log.Error("usage records are damaged; the batch reports their number",
+			"code", "usage-damaged", "file", s.Path, "records", report.Damaged, "bytes", report.Lost,
+		)
 		b.Damaged += report.Damaged + min(report.Lost, 1)
 	}
 	tally.Merge(rows)
--- a/internal/standalone/usageexport/exporter.go
+++ b/internal/standalone/usageexport/exporter.go
@@ -3,12 +3,12 @@
 import (
 	"context"
 	"fmt"
+	"log/slog"
 	"math/rand/v2"
 	"net/http"
 	"os"
 	"time"
 
-	"github.com/sirupsen/logrus"
 	"go.etcd.io/bbolt"
 
 	"mulleinrouter/internal/dataplane/usage"
@@ -24,7 +24,7 @@
 	Endpoint  string        // URL
 	Retention time.Duration // for which segments are kept after their last write, once they are acknowledged
 	Client    *http.Client  // nil: one with a time-out
-	Log       *logrus.Logger
+	Log       *slog.Logger
 
 	db       *bbolt.DB
 	source   string
@@ -87,13 +87,13 @@
 			wait = time.Duration(delay * float64(time.Second))
 			if current := failureCode(result.Answer); current != code {
 				code = current
-				e.Log.WithFields(logrus.Fields{"code": code, "wait": wait.String()}).WithError(err).
-					Error("a batch of usage was not acknowledged; it is retried")
+				e.Log.Error("a batch of usage was not acknowledged; it is retried",
+					"code", code, "wait", wait.String(), "error", err,
+				)
 			}
 		case result.Sent:
 			if failures > 0 {
-				e.Log.WithFields(logrus.Fields{"code": "usage-export-resumed", "tries": failures}).
-					Info("batches of usage are acknowledged again")
+				e.Log.Info("batches of usage are acknowledged again", "code", "usage-export-resumed", "tries", failures)
 			}
 			failures = 0
 			code = ""
--- a/internal/standalone/usageexport/exporter_test.go
+++ b/internal/standalone/usageexport/exporter_test.go
@@ -1,7 +1,6 @@
 package usageexport_test
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"fmt"
@@ -11,21 +10,14 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/dataplane/usage"
 	"mulleinrouter/internal/emulator/fakes"
+	"mulleinrouter/internal/logging/logtest"
 	"mulleinrouter/internal/standalone/usageexport"
 	"mulleinrouter/internal/standalone/usagesegment"
 )
 
-func logger() (*logrus.Logger, *bytes.Buffer) {
-	b := &bytes.Buffer{}
-	l := logrus.New()
-	l.SetOutput(b)
-	return l, b
-}
-
 func startBilling(t *testing.T) *fakes.Billing {
 	b := &fakes.Billing{}
 	if err := b.Start(); err != nil {
@@ -39,7 +31,7 @@
 // after a kill.
 func recordUsage(t *testing.T, dir string, tries int) {
 	t.Helper()
-	log, _ := logger()
+	log := logtest.Discard()
 	w, err := usagesegment.Open(dir, time.Minute, log)
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +56,7 @@
 
 func openExporter(t *testing.T, dir string, b *fakes.Billing) *usageexport.Exporter {
 	t.Helper()
-	log, _ := logger()
+	log := logtest.Discard()
 	e := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Retention: time.Hour, Log: log}
 	if err := e.Open(); err != nil {
 		t.Fatal(err)
@@ -248,7 +240,7 @@
 	dir, b := t.TempDir(), startBilling(t)
 	recordUsage(t, dir, 5)
 	recordUsage(t, dir, 5)
-	log, _ := logger()
+	log := logtest.Discard()
 	e := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Retention: 0, Log: log}
 	if err := e.Open(); err != nil {
 		t.Fatal(err)
@@ -269,7 +261,7 @@
 	recordUsage(t, dir, 1)
 	e := openExporter(t, dir, b)
 	defer e.Close()
-	log, _ := logger()
+	log := logtest.Discard()
 	second := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Log: log}
 	if err := second.Open(); !errors.Is(err, usageexport.ErrLocked) {
 		t.Errorf("a second exporter: got %v, want %v", err, usageexport.ErrLocked)
@@ -280,15 +272,16 @@
 func TestRunRetries(t *testing.T) {
 	dir, b := t.TempDir(), startBilling(t)
 	recordUsage(t, dir, 10)
-	log, lines := logger()
+	log, lines := logtest.Record()
 	b.InjectFaults(fakes.FailCall, fakes.FailCall)
 	e := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Retention: time.Hour, Log: log}
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	// Run goes on for a moment after the endpoint has all batches: it must log nothing more.
-	log.AddHook(&codeHook{code: "usage-export-resumed", call: func() {
+	go func() {
+		lines.Await("usage-export-resumed")
 		time.AfterFunc(50*time.Millisecond, cancel)
-	}})
+	}()
 	if err := e.Open(); err != nil {
 		t.Fatal(err)
 	}
@@ -305,18 +298,3 @@
 		t.Errorf("%s\n%s", diff, lines)
 	}
 }
-
-// codeHook calls a function with each log entry of a code.
-type codeHook struct {
-	code string
-	call func()
-}
-
-func (h *codeHook) Levels() []logrus.Level { return logrus.AllLevels }
-
-func (h *codeHook) Fire(entry *logrus.Entry) error {
-	if entry.Data["code"] == h.code {
-		h.call()
-	}
-	return nil
-}
--- a/internal/standalone/usageexport/golden_test.go
+++ b/internal/standalone/usageexport/golden_test.go
@@ -15,6 +15,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"mulleinrouter/internal/dataplane/usage"
+	"mulleinrouter/internal/logging/logtest"
 	"mulleinrouter/internal/standalone/goldentest"
 	"mulleinrouter/internal/standalone/jsontext"
 	"mulleinrouter/internal/standalone/usageexport"
@@ -67,7 +68,7 @@
 		fmt.Fprintf(w, `{"source":%q,"number":%d,"digest":%q}`, b.Source, b.Number, usageexport.Digest(body))
 	}))
 	t.Cleanup(server.Close)
-	log, _ := logger()
+	log := logtest.Discard()
 	e = &usageexport.Exporter{Dir: dir, Endpoint: server.URL, Retention: time.Hour, Log: log}
 	if err := e.Open(); err != nil {
 		t.Fatal(err)
--- a/internal/standalone/usagesegment/bench_test.go
+++ b/internal/standalone/usagesegment/bench_test.go
@@ -11,11 +11,12 @@
 	"go.etcd.io/bbolt"
 
 	"mulleinrouter/internal/dataplane/usage"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // BenchmarkSent measures the records of one request, Sent and Ended, by this package and by two alternatives.
 func BenchmarkSent(b *testing.B) {
-	log, _ := logger()
+	log := logtest.Discard()
 	parallel := func(b *testing.B, f func()) {
 		b.SetParallelism(1) // times GOMAXPROCS: four goroutines on four cores
 		b.ReportAllocs()
--- a/internal/standalone/usagesegment/golden_test.go
+++ b/internal/standalone/usagesegment/golden_test.go
@@ -10,6 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"mulleinrouter/internal/dataplane/usage"
+	"mulleinrouter/internal/logging/logtest"
 	"mulleinrouter/internal/standalone/goldentest"
 )
 
@@ -24,7 +25,7 @@
 func writeGolden(t *testing.T, dir string) (sealedData, openData []byte) {
 	t.Helper()
 	c := &fakeClock{at: time.UnixMilli(goldenBegun)}
-	log, _ := logger()
+	log := logtest.Discard()
 	if err := os.WriteFile(filepath.Join(dir, "source"), []byte("0123456789abcdef\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standalone/usagesegment/run.go
+++ b/internal/standalone/usagesegment/run.go
@@ -6,8 +6,6 @@
 	"os"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/dataplane/usage"
 )
 
@@ -44,8 +42,9 @@
 	}
 	for _, f := range filled {
 		if err := f.seal(w.now()); err != nil {
-			w.log.WithFields(logrus.Fields{"code": "usage-bad-segment", "file": f.path}).WithError(err).
-				Error("cannot close a segment; the next start retries")
+			w.log.Error("cannot close a segment; the next start retries",
+				"code", "usage-bad-segment", "file", f.path, "error", err,
+			)
 		}
 	}
 	if needsSpare {
@@ -56,8 +55,9 @@
 	}
 	// Close doesn't wait for this sync: a file that it has closed is an error here, which doesn't matter.
 	if err := current.Sync(); err != nil && !errors.Is(err, os.ErrClosed) {
-		w.log.WithField("code", "usage-sync-failed").WithError(err).
-			Error("cannot sync usage records; a power loss may lose them")
+		w.log.Error("cannot sync usage records; a power loss may lose them",
+			"code", "usage-sync-failed", "error", err,
+		)
 	}
 }
 
--- a/internal/standalone/usagesegment/segment_test.go
+++ b/internal/standalone/usagesegment/segment_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"bytes"
 	"errors"
 	"fmt"
 	"os"
@@ -16,9 +15,9 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/dataplane/usage"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 func newTry(units float64) usage.Request {
@@ -49,13 +48,6 @@
 	fc.at = fc.at.Add(d)
 }
 
-func logger() (*logrus.Logger, *bytes.Buffer) {
-	b := &bytes.Buffer{}
-	l := logrus.New()
-	l.SetOutput(b)
-	return l, b
-}
-
 // replay reads all segments of a folder.
 func replay(t *testing.T, dir string) (known, unknown usage.Sum, out int, missed usage.Sum) {
 	t.Helper()
@@ -84,7 +76,7 @@
 
 func TestSegmentsHoldAllRecords(t *testing.T) {
 	dir, c := t.TempDir(), &fakeClock{at: time.Unix(1_740_000_000, 0)}
-	log, lines := logger()
+	log, lines := logtest.Record()
 	w, err := open(dir, time.Minute, log, c.now, allocate)
 	if err != nil {
 		t.Fatal(err)
@@ -139,7 +131,7 @@
 
 func TestFullDiskStopsMeteringOnly(t *testing.T) {
 	dir, c, full := t.TempDir(), &fakeClock{at: time.Unix(1_740_000_000, 0)}, false
-	log, lines := logger()
+	log, lines := logtest.Record()
 	allocateUnlessFull := func(f *os.File, n int64) error {
 		if full {
 			return syscall.ENOSPC
@@ -214,7 +206,7 @@
 		cmd.Wait()
 		seen += last
 	}
-	log, lines := logger()
+	log, lines := logtest.Record()
 	w, err := Open(dir, time.Minute, log)
 	if err != nil {
 		t.Fatal(err)
@@ -233,7 +225,7 @@
 
 // writeUntilKilled prints the number of each request once its records are written, until the process is killed.
 func writeUntilKilled(dir string) {
-	log, _ := logger()
+	log := logtest.Discard()
 	w, err := Open(dir, time.Minute, log)
 	if err != nil {
 		fmt.Println(err)
@@ -247,7 +239,7 @@
 
 func TestPartialRecordIsTruncated(t *testing.T) {
 	dir := t.TempDir()
-	log, lines := logger()
+	log, lines := logtest.Record()
 	w, err := Open(dir, time.Minute, log)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standalone/usagesegment/writer.go
+++ b/internal/standalone/usagesegment/writer.go
@@ -5,14 +5,13 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
+	"log/slog"
 	"os"
 	"path/filepath"
 	"sync"
 	"syscall"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/dataplane/usage"
 )
 
@@ -24,7 +23,7 @@
 type Writer struct {
 	dir      string
 	rotate   time.Duration // greatest age of a segment with records
-	log      *logrus.Logger
+	log      *slog.Logger
 	now      func() time.Time
 	allocate allocator
 	lock     *os.File      // locks the folder
@@ -47,12 +46,12 @@
 // Open locks a folder, which it creates if needed, and closes the segments that an earlier run left open. A
 // segment with records is closed once it is older than rotate. The error is ErrLocked or one of the file
 // system.
-func Open(dir string, rotate time.Duration, log *logrus.Logger) (*Writer, error) {
+func Open(dir string, rotate time.Duration, log *slog.Logger) (*Writer, error) {
 	return open(dir, rotate, log, time.Now, allocate)
 }
 
 func open(
-	dir string, rotate time.Duration, log *logrus.Logger, now func() time.Time, allocate allocator,
+	dir string, rotate time.Duration, log *slog.Logger, now func() time.Time, allocate allocator,
 ) (*Writer, error) {
 	w := &Writer{
 		dir:      dir,
@@ -99,8 +98,9 @@
 			continue
 		}
 		if err := closeLeftOpen(s.Path, w.now()); err != nil {
-			w.log.WithFields(logrus.Fields{"code": "usage-bad-segment", "file": s.Path}).WithError(err).
-				Error("cannot close a segment that an earlier run left open; it stays as it is")
+			w.log.Error("cannot close a segment that an earlier run left open; it stays as it is",
+				"code", "usage-bad-segment", "file", s.Path, "error", err,
+			)
 		}
 	}
 	spares, _ := filepath.Glob(filepath.Join(w.dir, "*"+spareSuffix)) // the only error is that of the pattern
@@ -119,8 +119,9 @@
 	if err != nil {
 		w.current = nil
 		if w.missed.Requests == 0 {
-			w.log.WithField("code", "usage-full").WithError(err).
-				Error("no space to record usage; requests are served, unrecorded usage is counted")
+			w.log.Error("no space to record usage; requests are served, unrecorded usage is counted",
+				"code", "usage-full", "error", err,
+			)
 		}
 		return
 	}
@@ -218,13 +219,9 @@
 	return w.missed
 }
 
-// logMissed returns an entry of the log with what was not recorded. w.mu must be held.
-func (w *Writer) logMissed(code string) *logrus.Entry {
-	return w.log.WithFields(logrus.Fields{
-		"code":  code,
-		"tries": w.missed.Requests,
-		"units": w.missed.InUnits(),
-	})
+// logMissed returns a logger whose lines say what was not recorded. w.mu must be held.
+func (w *Writer) logMissed(code string) *slog.Logger {
+	return w.log.With("code", code, "tries", w.missed.Requests, "units", w.missed.InUnits())
 }
 
 // Close closes the current segment and unlocks the folder. Later records are counted as missed, and lost.
