--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -2,10 +2,10 @@
 
 import (
 	"fmt"
-	"log/slog"
 	"os"
 
 	"github.com/alecthomas/kong"
+	"github.com/go-kit/log"
 	"github.com/pkg/errors"
 
 	"mulleinrouter/internal/logging"
@@ -27,13 +27,13 @@
 }
 
 func main() {
-	logger := logging.New(os.Stderr, logging.Logfmt, slog.LevelInfo).With("part", "emulator")
+	logger := log.With(logging.New(os.Stderr, logging.Logfmt, logging.LevelInfo), "part", "emulator")
 	var p program
 	parser := kong.Must(
 		&p,
 		kong.Name("emulator"),
 		kong.UsageOnError(),
-		kong.Bind(logger),
+		kong.BindTo(logger, (*log.Logger)(nil)),
 		kong.Description("The test desk: what the roles of the system cost by size.\n\n"+
 			"Exit codes: 0 done, and the plan fits; 1 failed, 2 wrong command line, "+
 			"3 a file that cannot be used, 4 the plan does not fit."),
--- a/cmd/emulator/slopes.go
+++ b/cmd/emulator/slopes.go
@@ -3,11 +3,12 @@
 import (
 	"fmt"
 	"io"
-	"log/slog"
 	"os"
 	"path/filepath"
 	"text/tabwriter"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 	"github.com/pkg/errors"
 
 	"mulleinrouter/internal/emulator/capacity"
@@ -23,7 +24,7 @@
 const quickDivisor = 10
 
 // Run measures the cost model, prints it as a table and stores it if that is asked for.
-func (s *slopesCommand) Run(logger *slog.Logger) error {
+func (s *slopesCommand) Run(logger log.Logger) error {
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "slope\tof\tpoints\ta\tb\tworst residual\theld back\tmeasured\tpredicted\toff")
 	divisor := 1
@@ -31,7 +32,7 @@
 		divisor = quickDivisor
 	}
 	run, err := costmodel.Measure(divisor, func(series *costmodel.Series) {
-		logger.Info("slope measured", "name", series.Name)
+		level.Info(logger).Log("msg", "slope measured", "name", series.Name)
 		writeSeries(t, series)
 	})
 	if err != nil {
--- a/cmd/emulator/try.go
+++ b/cmd/emulator/try.go
@@ -3,13 +3,15 @@
 import (
 	"context"
 	"fmt"
-	"log/slog"
 	"os"
 	"os/signal"
 	"strings"
 	"syscall"
 	"time"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/emulator/loopback"
 )
 
@@ -35,7 +37,7 @@
 }
 
 // Run runs the cluster, checks the invariants and prints the report. The folder of the logs stays if that fails.
-func (t *tryCommand) Run(logger *slog.Logger) error {
+func (t *tryCommand) Run(logger log.Logger) error {
 	if t.List {
 		listFaults()
 		return nil
@@ -49,7 +51,7 @@
 		return err
 	}
 	for _, fault := range schedule {
-		logger.Info("fault planned", "at", fault.At, "name", fault.Name, "target", fault.Target)
+		level.Info(logger).Log("msg", "fault planned", "at", fault.At, "name", fault.Name, "target", fault.Target)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -2,12 +2,13 @@
 
 import (
 	"context"
-	"log/slog"
 	"net"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"github.com/go-kit/log"
+
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/cluster/transport"
@@ -24,7 +25,7 @@
 // Agent is a running agent.
 type Agent struct {
 	incarnation uint64
-	log         *slog.Logger
+	log         log.Logger
 	store       *replication.Store
 	clock       *replication.Clock
 	source      *replication.Source // of the proxies
@@ -53,10 +54,10 @@
 }
 
 // New makes an agent of a process with that incarnation, which no other process has had.
-func New(incarnation uint64, logger *slog.Logger) *Agent {
+func New(incarnation uint64, logger log.Logger) *Agent {
 	a := &Agent{
 		incarnation:  incarnation,
-		log:          logger.With("part", program),
+		log:          log.With(logger, "part", program),
 		store:        replication.NewStore(incarnation),
 		startedAt:    time.Now(),
 		lastProxy:    make(chan struct{}, 1),
--- a/internal/agent/proxies.go
+++ b/internal/agent/proxies.go
@@ -3,6 +3,8 @@
 import (
 	"net"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/transport"
 )
@@ -59,11 +61,11 @@
 // serveProxy sends a proxy updates, and forwards its counter calls, until it disconnects.
 func (a *Agent) serveProxy(conn *transport.Conn, hello *transport.Hello) {
 	a.proxies.Add(1)
-	a.log.Info("proxy connected", "node", hello.Node)
+	level.Info(a.log).Log("msg", "proxy connected", "node", hello.Node)
 	err := a.source.Serve(conn, hello, func(call *transport.Frame) *transport.Frame {
 		return a.handleCounterCall(conn, call)
 	})
-	a.log.Info("proxy disconnected", "node", hello.Node, "err", err)
+	level.Info(a.log).Log("msg", "proxy disconnected", "node", hello.Node, "err", err)
 	if a.proxies.Add(-1) == 0 {
 		select {
 		case a.lastProxy <- struct{}{}:
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"log/slog"
 	"math/rand/v2"
 	"net"
 	"os"
@@ -11,6 +10,9 @@
 	"syscall"
 	"time"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/cluster/metrics"
 	"mulleinrouter/internal/cluster/retry"
 	"mulleinrouter/internal/cluster/settings"
@@ -29,7 +31,7 @@
 // Options says how an agent runs.
 type Options struct {
 	Settings *settings.Watcher // no other goroutine rereads them
-	Log      *slog.Logger
+	Log      log.Logger
 	Dial     func(ctx context.Context, addr string) (net.Conn, error) // to control nodes; usually Dial
 	Metrics  metrics.Endpoint                                         // where metrics are served; zero: nowhere
 }
@@ -56,9 +58,9 @@
 		server := metrics.Server{Program: program, Endpoint: o.Metrics, Host: s.Host, Log: a.log}
 		server.Serve(ctx, a.registerMetrics)
 	})
-	a.log.Info("started", "node", s.Node, "at", s.AgentAddr(), "incarnation", a.incarnation)
+	level.Info(a.log).Log("msg", "started", "node", s.Node, "at", s.AgentAddr(), "incarnation", a.incarnation)
 	a.loop(ctx, o.Settings, signals)
-	a.log.Info("stopped")
+	level.Info(a.log).Log("msg", "stopped")
 	return nil
 }
 
@@ -83,10 +85,10 @@
 			a.expireInstances(&expiry)
 		}
 		if err != nil {
-			a.log.Error("settings rejected", "err", err)
+			level.Error(a.log).Log("msg", "settings rejected", "err", err)
 		}
 		if changed {
-			a.log.Info("settings changed")
+			level.Info(a.log).Log("msg", "settings changed")
 			a.Follow(ctx, s)
 		}
 	}
@@ -113,7 +115,7 @@
 
 // shutDown waits until no proxy is connected any more, for a second less than the grace (in seconds) at most.
 func (a *Agent) shutDown(grace float64) {
-	a.log.Info("shutting down", "proxies", a.proxies.Load())
+	level.Info(a.log).Log("msg", "shutting down", "proxies", a.proxies.Load())
 	timer := time.NewTimer(max(0, time.Duration(grace*float64(time.Second))-graceReserve))
 	defer timer.Stop()
 	for a.proxies.Load() > 0 {
--- a/internal/agent/sources.go
+++ b/internal/agent/sources.go
@@ -7,6 +7,9 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/cluster/transport"
@@ -80,7 +83,7 @@
 	}
 	for _, addr := range voters {
 		if len(next) < maxSources && !containsSource(next, addr) {
-			a.log.Info("voter discovered", "source", addr)
+			level.Info(a.log).Log("msg", "voter discovered", "source", addr)
 			src := a.subscribe(a.subscriptions.ctx, addr, s)
 			src.fromVoters.Store(true)
 			next = append(next, src)
@@ -109,7 +112,7 @@
 func (a *Agent) subscribe(ctx context.Context, addr string, s *settings.Settings) *source {
 	src := &source{addr: addr}
 	ctx, src.stop = context.WithCancel(ctx)
-	logger := a.log.With("source", addr)
+	logger := log.With(a.log, "source", addr)
 	src.client = &replication.Client{
 		Addr:         addr,
 		Node:         s.Node,
@@ -126,10 +129,10 @@
 		OnUpdate:     func(update *transport.Update) { a.observeUpdate(src, update) },
 		OnConnection: func(up bool, err error) {
 			if up {
-				logger.Info("source connected")
+				level.Info(logger).Log("msg", "source connected")
 				a.retryOthers(src)
 			} else {
-				logger.Warn("source disconnected", "err", err)
+				level.Warn(logger).Log("msg", "source disconnected", "err", err)
 			}
 		},
 	}
@@ -147,7 +150,7 @@
 	}
 	view := a.view()
 	if !a.ready.Load() && view.sufficient && a.ready.CompareAndSwap(false, true) {
-		a.log.Info("ready", "items", a.store.Snapshot().Len(), "epoch", a.store.Epoch())
+		level.Info(a.log).Log("msg", "ready", "items", a.store.Snapshot().Len(), "epoch", a.store.Epoch())
 		a.store.NotifySubscribers()
 	}
 	if view.voters != nil {
--- a/internal/cluster/command/settings.go
+++ b/internal/cluster/command/settings.go
@@ -3,11 +3,12 @@
 import (
 	"context"
 	"fmt"
-	"log/slog"
 	"os"
 	"runtime"
 	"runtime/debug"
 
+	"github.com/go-kit/log"
+
 	"mulleinrouter/internal/cluster/linkfaults"
 	"mulleinrouter/internal/cluster/settings"
 	"mulleinrouter/internal/logging"
@@ -86,6 +87,6 @@
 
 // NewLogger returns the logger of a program, on standard error: in the format of the settings, with the given level,
 // which a program takes from a settings.Watcher if it reads its settings again while it runs.
-func NewLogger(s *settings.Settings, level slog.Leveler) *slog.Logger {
-	return logging.New(os.Stderr, s.Log.Format, level)
+func NewLogger(s *settings.Settings, leveler logging.Leveler) log.Logger {
+	return logging.New(os.Stderr, s.Log.Format, leveler)
 }
--- a/internal/cluster/metrics/registry.go
+++ b/internal/cluster/metrics/registry.go
@@ -3,11 +3,12 @@
 import (
 	"context"
 	"io"
-	"log/slog"
 	"net/http"
 	"runtime"
 	"time"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/common/expfmt"
 
@@ -131,7 +132,7 @@
 	Program  string   // control, agent or proxy
 	Endpoint Endpoint // the zero value: nowhere
 	Host     string   // the machine's IP address
-	Log      *slog.Logger
+	Log      log.Logger
 }
 
 // Serve serves the metrics that register adds, besides those of all programs, until the context ends.
@@ -143,7 +144,7 @@
 
 // Serve serves the metrics at the endpoint on that host until the context ends. A port that stays in use leaves the
 // process without metrics, which is logged, and has no other effect.
-func (r *Registry) Serve(ctx context.Context, endpoint Endpoint, host string, logger *slog.Logger) {
+func (r *Registry) Serve(ctx context.Context, endpoint Endpoint, host string, logger log.Logger) {
 	if !endpoint.Enabled() {
 		return
 	}
@@ -151,7 +152,7 @@
 	listener, err := retry.Listen(ctx, address, bindPolicy)
 	if err != nil {
 		if ctx.Err() == nil {
-			logger.Warn("metrics not served", "address", address, "err", err)
+			level.Warn(logger).Log("msg", "metrics not served", "address", address, "err", err)
 		}
 		return
 	}
--- a/internal/cluster/settings/watch.go
+++ b/internal/cluster/settings/watch.go
@@ -4,12 +4,13 @@
 	"context"
 	"fmt"
 	"io"
-	"log/slog"
 	"os"
 	"path/filepath"
 	"reflect"
 	"sync/atomic"
 	"time"
+
+	"mulleinrouter/internal/logging"
 )
 
 // EnvVariable is the environment variable that holds the path of the settings file.
@@ -79,9 +80,9 @@
 // Current returns the settings in force.
 func (w *Watcher) Current() *Settings { return w.current.Load() }
 
-// Level returns the level of the log in force. It makes the Watcher a slog.Leveler: a logger that has it as its level
+// Level returns the level of the log in force. It makes the Watcher a logging.Leveler: a logger that has it as such
 // follows the file.
-func (w *Watcher) Level() slog.Level { return w.Current().Log.Level }
+func (w *Watcher) Level() logging.Level { return w.Current().Log.Level }
 
 // Reread checks whether the file has changed, by its size and time, and if so loads it. Call it every few seconds:
 // files change without a signal too. Changed reports whether the settings differ from those before. A broken file is
--- a/internal/control/electorate/changes.go
+++ b/internal/control/electorate/changes.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/cockroachdb/errors"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/retry"
@@ -113,7 +114,7 @@
 		voters, added = append(voters, voter), append(added, voter)
 	}
 	if err := m.change(ctx, base.Electorate, voters, changeTimeout, added...); err == nil {
-		m.log.Info("electorate enlarged", "voters", len(voters))
+		level.Info(m.log).Log("msg", "electorate enlarged", "voters", len(voters))
 	}
 }
 
@@ -142,10 +143,10 @@
 		err = m.change(ctx, e, e.ReplaceVoter(out, voter), timeout, voter)
 	}
 	if err != nil {
-		m.log.Error("voter replacement failed", "out", out, "in", in, "err", err)
+		level.Error(m.log).Log("msg", "voter replacement failed", "out", out, "in", in, "err", err)
 		return &ChangeError{err}
 	}
-	m.log.Info("voter replaced", "out", out, "in", in)
+	level.Info(m.log).Log("msg", "voter replaced", "out", out, "in", in)
 	return nil
 }
 
@@ -219,7 +220,7 @@
 		return
 	}
 	if !m.options.Lease.Held() {
-		m.log.Warn("vote not handed over", "reason", "no contact with a majority")
+		level.Warn(m.log).Log("msg", "vote not handed over", "reason", "no contact with a majority")
 		return
 	}
 	began := time.Now()
@@ -231,5 +232,5 @@
 			return
 		}
 	}
-	m.log.Warn("vote not handed over", "reason", "no learner could take it")
+	level.Warn(m.log).Log("msg", "vote not handed over", "reason", "no learner could take it")
 }
--- a/internal/control/electorate/manager.go
+++ b/internal/control/electorate/manager.go
@@ -2,11 +2,13 @@
 
 import (
 	"context"
-	"log/slog"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/retry"
 	"mulleinrouter/internal/cluster/settings"
@@ -32,14 +34,14 @@
 	ConfirmedTerm  func() uint64
 	FetchInventory func(*peers.Peer) *transport.CatchUpChunk // asks a peer for the electorate; nil: no answer
 	DiskRead       func() bool                               // the disk has been read
-	Log            *slog.Logger
+	Log            log.Logger
 }
 
 // Manager decides on the voters as far as this node has a part in it. It is safe for concurrent use.
 type Manager struct {
 	options  Options
 	self     string
-	log      *slog.Logger
+	log      log.Logger
 	changing atomic.Bool // a replacement or an enlargement is under way here
 
 	mu          sync.Mutex // guards the fields below
@@ -66,7 +68,7 @@
 	voters, isVoter := m.options.Replica.Voters()
 	m.options.Peers.Subscribe(ctx, wg, voters)
 	if !isVoter {
-		m.log.Info("running as learner", "voters", len(voters))
+		level.Info(m.log).Log("msg", "running as learner", "voters", len(voters))
 	}
 }
 
@@ -105,11 +107,11 @@
 	}
 	change := proposals.ElectorateChange{From: base.Electorate, To: base.Electorate.ReplaceVoter(self.Addr, self)}
 	if err := m.options.Proposals.ChangeElectorate(ctx, change, changeTimeout); err != nil {
-		m.log.Warn("enrollment failed", "err", err)
+		level.Warn(m.log).Log("msg", "enrollment failed", "err", err)
 		return
 	}
 	base, _ = m.options.Replica.Base()
-	m.log.Info("vote recovered", "epoch", base.Epoch)
+	level.Info(m.log).Log("msg", "vote recovered", "epoch", base.Epoch)
 }
 
 // Age is how long the electorate has been what it is, as seen by this process.
--- a/internal/control/httpapi/call.go
+++ b/internal/control/httpapi/call.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/cockroachdb/errors"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/control/connlimit"
 	"mulleinrouter/internal/mutants"
@@ -139,7 +140,7 @@
 		answer = errorReply(err)
 	}
 	if took := time.Since(began); c.endpoint.byOperator && took >= slowCallThreshold {
-		c.log.Warn("slow operator call", "call", c.endpoint.pattern, "ms", took.Milliseconds(),
+		level.Warn(c.log).Log("msg", "slow operator call", "call", c.endpoint.pattern, "ms", took.Milliseconds(),
 			"status", answer.status)
 	}
 	if c.endpoint.needsContact && !c.options.Lease.Held() && !mutants.On("httpapi/acknowledges-alone") {
--- a/internal/control/httpapi/server.go
+++ b/internal/control/httpapi/server.go
@@ -2,11 +2,15 @@
 
 import (
 	"context"
-	"log/slog"
+	stdlog "log"
 	"net/http"
 	"strconv"
+	"strings"
 	"time"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/registry"
 	"mulleinrouter/internal/cluster/replication"
@@ -50,13 +54,13 @@
 	View        func() View // for GET /view
 	// Member is a control node as this one sees it, by its control address, beside a configuration of an epoch.
 	Member func(addr string, epoch uint64) Member
-	Log    *slog.Logger
+	Log    log.Logger
 }
 
 // Server serves the calls of servers and operators.
 type Server struct {
 	options     Options
-	log         *slog.Logger
+	log         log.Logger
 	largeBodies chan struct{} // holds one value for each large body that is read or handled
 
 	// OperatorCalls and ServerCalls count the answers.
@@ -113,10 +117,20 @@
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnState:         s.options.Connections.ConnState,
 		ConnContext:       s.options.Connections.ConnContext,
-		ErrorLog:          slog.NewLogLogger(s.log.Handler(), slog.LevelWarn),
+		ErrorLog:          stdlog.New(serverLog{s.log}, "", 0),
 	}
 }
 
+// serverLog takes the log of an http.Server. The adapter of the log's library would take a part of a line that ends
+// with a port for the name of a file.
+type serverLog struct{ log log.Logger }
+
+// Write logs a line.
+func (l serverLog) Write(line []byte) (int, error) {
+	level.Warn(l.log).Log("msg", strings.TrimSpace(string(line)))
+	return len(line), nil
+}
+
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
 	for _, e := range endpoints {
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"log/slog"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -14,6 +13,8 @@
 
 	"github.com/cockroachdb/errors"
 	"github.com/cockroachdb/pebble/v2/vfs"
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/cluster/metrics"
 	"mulleinrouter/internal/cluster/registry"
@@ -46,7 +47,7 @@
 type Config struct {
 	Settings *settings.Settings
 	Metrics  metrics.Endpoint // where metrics are served; zero: nowhere
-	Log      *slog.Logger
+	Log      log.Logger
 	FS       vfs.FS       // nil: the machine's own
 	Control  net.Listener // for HTTP calls; nil: bound to the settings' address
 	Internal net.Listener // for agents and control nodes; nil: bound to the settings' address
@@ -67,7 +68,7 @@
 	self        string // own control address
 	incarnation uint64
 	name        string // of this process, and of no other: its ballots bear it
-	log         *slog.Logger
+	log         log.Logger
 	started     time.Time
 	ended       chan struct{} // closed at the end of Run
 	linger      time.Duration // shutdownLinger; tests set it before Run
@@ -115,7 +116,7 @@
 		self:        c.Settings.ControlAddr,
 		incarnation: c.Incarnation,
 		name:        c.Settings.Node + "/" + incarnationName(c.Incarnation),
-		log:         c.Log.With("part", program),
+		log:         log.With(c.Log, "part", program),
 		started:     time.Now(),
 		ended:       make(chan struct{}),
 		linger:      shutdownLinger,
@@ -159,7 +160,7 @@
 			failed <- errors.Wrap(err, "control calls")
 		}
 	})
-	n.log.Info("started", "node", n.settings.Node, "control", n.self, "incarnation", n.incarnation)
+	level.Info(n.log).Log("msg", "started", "node", n.settings.Node, "control", n.self, "incarnation", n.incarnation)
 	linger := n.linger
 	handedOver := make(chan struct{})
 	select {
@@ -167,7 +168,7 @@
 		linger = 0
 		close(handedOver)
 	case <-ctx.Done():
-		n.log.Info("shutting down")
+		level.Info(n.log).Log("msg", "shutting down")
 		go func() {
 			defer close(handedOver)
 			n.electorate.HandOver(work)
@@ -181,7 +182,7 @@
 	if disk := n.disk.Load(); disk != nil {
 		err = errors.CombineErrors(err, disk.Close())
 	}
-	n.log.Info("stopped")
+	level.Info(n.log).Log("msg", "stopped")
 	return err
 }
 
@@ -269,7 +270,8 @@
 	n.ingresses.Restore(state.Members)
 	n.disk.Store(disk)
 	n.notifyWatch()
-	n.log.Info("storage opened", "empty", state.Empty, "epoch", state.Acceptor.Epoch, "items", len(state.Items),
+	level.Info(n.log).Log(
+		"msg", "storage opened", "empty", state.Empty, "epoch", state.Acceptor.Epoch, "items", len(state.Items),
 		"instances", len(state.Instances), "votes", n.replica.IsVoter())
 	n.electorate.Join(ctx, wg)
 	return nil
--- a/internal/control/peers/set.go
+++ b/internal/control/peers/set.go
@@ -2,13 +2,15 @@
 
 import (
 	"context"
-	"log/slog"
 	"net"
 	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/transport"
 	"mulleinrouter/internal/control/majority"
@@ -33,7 +35,7 @@
 	OnUpdate func(*transport.Update)
 	// OnConnected is called when a peer answers on a new connection; it must not block.
 	OnConnected func()
-	Log         *slog.Logger
+	Log         log.Logger
 }
 
 // Set is the other control nodes that this one knows. It is safe for concurrent use.
@@ -91,10 +93,10 @@
 	}
 	client.OnConnection = func(up bool, err error) {
 		if up {
-			o.Log.Info("peer connected", "peer", addr)
+			level.Info(o.Log).Log("msg", "peer connected", "peer", addr)
 			o.OnConnected()
 		} else {
-			o.Log.Warn("peer disconnected", "peer", addr, "err", err)
+			level.Warn(o.Log).Log("msg", "peer disconnected", "peer", addr, "err", err)
 		}
 	}
 	if o.Dial != nil {
--- a/internal/control/proposals/compose.go
+++ b/internal/control/proposals/compose.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/mutants"
@@ -114,6 +116,6 @@
 	}
 	q.included = nil
 	q.chosen.Add(1)
-	q.log.Info("change chosen", "epoch", p.Epoch, "items", len(p.Items), "voters", len(p.Voters))
+	level.Info(q.log).Log("msg", "change chosen", "epoch", p.Epoch, "items", len(p.Items), "voters", len(p.Voters))
 	return q.proposer.Applied(action.Attempt, base)
 }
--- a/internal/control/proposals/queue.go
+++ b/internal/control/proposals/queue.go
@@ -2,12 +2,13 @@
 
 import (
 	"context"
-	"log/slog"
 	"math/rand/v2"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"github.com/go-kit/log"
+
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/transport"
@@ -53,7 +54,7 @@
 	// the newest; 0: it was not.
 	OnConfirmed func(term uint64)
 	Closed      <-chan struct{} // closed when the node ends: late answers are dropped
-	Log         *slog.Logger
+	Log         log.Logger
 }
 
 // pendingChange is a change that waits for a decision.
@@ -85,7 +86,7 @@
 // that it received, and competes with the others by ballots.
 type Queue struct {
 	options Options
-	log     *slog.Logger
+	log     log.Logger
 	replica *replica.Replica
 	events  chan event
 	wake    chan struct{}
--- a/internal/control/storage/options.go
+++ b/internal/control/storage/options.go
@@ -1,12 +1,12 @@
 package storage
 
 import (
-	"log/slog"
-
 	"github.com/cockroachdb/errors"
 	"github.com/cockroachdb/pebble/v2"
 	"github.com/cockroachdb/pebble/v2/sstable"
 	"github.com/cockroachdb/pebble/v2/vfs"
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 )
 
 // Sizes of the database, in bytes. They are small: all that is stored is in the node's memory too, and is read at its
@@ -24,7 +24,7 @@
 )
 
 // databaseOptions are the options of the database. It takes a reference to the cache.
-func databaseOptions(fs vfs.FS, cache *pebble.Cache, logger *slog.Logger) *pebble.Options {
+func databaseOptions(fs vfs.FS, cache *pebble.Cache, logger log.Logger) *pebble.Options {
 	options := &pebble.Options{
 		FS:                          fs,
 		Cache:                       cache,
@@ -53,12 +53,12 @@
 }
 
 // databaseLogger logs the errors of the database and drops its information.
-type databaseLogger struct{ log *slog.Logger }
+type databaseLogger struct{ log log.Logger }
 
 func (databaseLogger) Infof(string, ...any) {}
 
 func (d databaseLogger) Errorf(format string, args ...any) {
-	d.log.Error("store failed", "err", errors.Newf(format, args...))
+	level.Error(d.log).Log("msg", "store failed", "err", errors.Newf(format, args...))
 }
 
 // Fatalf panics. Failures of the disk are retried below the database (see retryingFS), so what is fatal to it is a
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"log/slog"
 	"strings"
 	"sync"
 	"time"
@@ -10,6 +9,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/cockroachdb/pebble/v2"
 	"github.com/cockroachdb/pebble/v2/vfs"
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 )
 
 const (
@@ -21,7 +22,7 @@
 type Store struct {
 	db  *pebble.DB
 	fs  *retryingFS
-	log *slog.Logger
+	log log.Logger
 
 	writer batchWriter   // the writing goroutine's
 	wake   chan struct{} // has room for one; closed by Close
@@ -36,11 +37,11 @@
 // Open opens a folder, creating it if there is none, and reads its state. It waits as long as the disk takes, also
 // while the disk rejects what is asked of it. A nil fs is the machine's own. Its errors wrap
 // ErrManifestMarkerMissing, ErrNewerFormat, ErrUnknownKey, or are those of the database.
-func Open(fs vfs.FS, dir string, logger *slog.Logger) (*Store, State, error) {
+func Open(fs vfs.FS, dir string, logger log.Logger) (*Store, State, error) {
 	return open(fs, dir, logger, retryInterval)
 }
 
-func open(fs vfs.FS, dir string, logger *slog.Logger, retryEvery time.Duration) (*Store, State, error) {
+func open(fs vfs.FS, dir string, logger log.Logger, retryEvery time.Duration) (*Store, State, error) {
 	if fs == nil {
 		fs = vfs.Default
 	}
@@ -137,7 +138,7 @@
 		}
 		err := s.commit(future)
 		if err != nil {
-			s.log.Error("batch not saved", "err", err)
+			level.Error(s.log).Log("msg", "batch not saved", "err", err)
 		}
 		future.resolve(err)
 	}
@@ -203,8 +204,8 @@
 // logDiskState logs that the disk rejects what is asked of it, or, with nil, that it works again.
 func (s *Store) logDiskState(err error) {
 	if err != nil {
-		s.log.Error("disk failing, retrying", "err", err)
+		level.Error(s.log).Log("msg", "disk failing, retrying", "err", err)
 	} else {
-		s.log.Info("disk recovered")
+		level.Info(s.log).Log("msg", "disk recovered")
 	}
 }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -6,6 +6,8 @@
 	"sync"
 	"time"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/cluster/transport"
 	"mulleinrouter/internal/control/catchup"
 	"mulleinrouter/internal/control/majority"
@@ -55,7 +57,7 @@
 	w.ping()
 	reachable, term, held := w.majority.Reachable()
 	if w.lastInContact.Swap(held) != held {
-		w.log.Warn("majority contact changed", "inContact", held)
+		level.Warn(w.log).Log("msg", "majority contact changed", "inContact", held)
 		w.store.NotifySubscribers()
 	}
 	if term != w.term {
@@ -79,7 +81,7 @@
 func (w *watcher) detectSilent(held bool) {
 	changed := w.instances.DetectSilent(held || mutants.On("control/judges-alone"))
 	if len(changed) > 0 {
-		w.log.Info("instance phases changed", "count", len(changed), "first", changed[0].ID,
+		level.Info(w.log).Log("msg", "instance phases changed", "count", len(changed), "first", changed[0].ID,
 			"phase", changed[0].Phase)
 	}
 }
@@ -88,7 +90,7 @@
 func (w *watcher) countIngresses(now time.Time, held bool) {
 	count := w.ingresses.Count(now, w.termStart)
 	if held && w.ingresses.Publish(count) {
-		w.log.Info("ingress count changed", "count", count)
+		level.Info(w.log).Log("msg", "ingress count changed", "count", count)
 		if disk := w.disk.Load(); disk != nil && count > 0 {
 			disk.Put(storage.Batch{Members: int(count), NoSync: true})
 		}
@@ -101,7 +103,7 @@
 	epoch := w.replica.Epoch()
 	lagging := w.lag.Update(now, epoch, w.peers)
 	if w.lagging.Swap(lagging) != lagging {
-		w.log.Warn("lag changed", "lagging", lagging, "epoch", epoch, "newestEpoch", w.lag.NewestEpoch())
+		level.Warn(w.log).Log("msg", "lag changed", "lagging", lagging, "epoch", epoch, "newestEpoch", w.lag.NewestEpoch())
 		w.store.NotifySubscribers()
 	}
 }
--- a/internal/dataplane/engine/counters.go
+++ b/internal/dataplane/engine/counters.go
@@ -1,7 +1,8 @@
 package engine
 
 import (
-	"log/slog"
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/decision"
 )
@@ -34,8 +35,8 @@
 }
 
 // log writes the counts as one line.
-func (c *counters) log(log *slog.Logger) {
-	log.Info("decisions counted",
+func (c *counters) log(logger log.Logger) {
+	level.Info(logger).Log("msg", "decisions counted",
 		"code", "engine-counts", "sent", c.decided[Send], "refused", c.decided[Reject], "failed", c.decided[Fail],
 		"gone", c.decided[NoAnswer], "calls", c.counterCalls, "unanswered", c.failedCounterCalls,
 	)
--- a/internal/dataplane/engine/effects.go
+++ b/internal/dataplane/engine/effects.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/dataplane/attempt"
 	"mulleinrouter/internal/decision"
 )
@@ -53,7 +55,7 @@
 			e.callCounter(a.CounterCall)
 		case attempt.IllegalStep[*Ticket]:
 			if e.Log != nil {
-				e.Log.Error("illegal transition of a request, a safe one taken",
+				level.Error(e.Log).Log("msg", "illegal transition of a request, a safe one taken",
 					"code", "attempt-illegal", "error", a.Err,
 				)
 			}
--- a/internal/dataplane/engine/engine.go
+++ b/internal/dataplane/engine/engine.go
@@ -1,19 +1,20 @@
 package engine
 
 import (
-	"log/slog"
 	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"github.com/go-kit/log"
+
 	"mulleinrouter/internal/dataplane/attempt"
 	"mulleinrouter/internal/decision"
 )
 
 // Engine owns the dispatcher, with the gateway and the pending requests.
 type Engine struct {
-	Log *slog.Logger // of counts and of illegal steps; nil: none. It is set before Start.
+	Log log.Logger // of counts and of illegal steps; nil: none. It is set before Start.
 
 	clock     *Clock
 	counter   Counter                     // nil: none
--- a/internal/dataplane/ingress/conn.go
+++ b/internal/dataplane/ingress/conn.go
@@ -1,13 +1,13 @@
 package ingress
 
 import (
-	"context"
 	"errors"
 	"io"
-	"log/slog"
 	"net"
 	"time"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/http1"
@@ -54,7 +54,9 @@
 	defer s.mu.Unlock()
 	open, resumeReads, err := c.machine.Enter(state, s.seconds(time.Now()), s.lifecycle.KeepOpen())
 	if err != nil {
-		s.log.Error("illegal transition of a client connection, closing it", "code", "client-illegal", "error", err)
+		level.Error(s.log).Log("msg", "illegal transition of a client connection, closing it",
+			"code", "client-illegal", "error", err,
+		)
 	}
 	if resumeReads {
 		c.SetReadDeadline(time.Time{})
@@ -138,12 +140,9 @@
 	if errors.Is(err, io.EOF) {
 		err = nil // the client closed, as the code says
 	}
-	log := c.server.log
-	if log.Enabled(context.Background(), slog.LevelInfo) {
-		log.Info("client connection ended",
-			"code", code, "from", c.RemoteAddr().String(), "requests", requests, "error", err,
-		)
-	}
+	level.Info(c.server.log).Log("msg", "client connection ended",
+		"code", code, "from", c.RemoteAddr(), "requests", requests, "error", err, // formatted only if they are written
+	)
 }
 
 // remove removes a connection that has ended, and returns the log code for which it was closed from this side.
--- a/internal/dataplane/ingress/lifecycle.go
+++ b/internal/dataplane/ingress/lifecycle.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/decision"
@@ -44,7 +46,9 @@
 		}
 	}
 	if after := s.lifecycle.Phase(); after != before {
-		s.log.Info("process phase changed", "code", "process-phase", "phase", after.String(), "was", before.String())
+		level.Info(s.log).Log("msg", "process phase changed",
+			"code", "process-phase", "phase", after.String(), "was", before.String(),
+		)
 	}
 	return effective
 }
--- a/internal/dataplane/ingress/pending_request.go
+++ b/internal/dataplane/ingress/pending_request.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/http1"
@@ -33,7 +35,7 @@
 // rejectRequest answers a request that is not submitted.
 func (c *conn) rejectRequest(r *http1.Request, e *RequestError) (code string, err error) {
 	s := c.server
-	s.log.Warn("bad request", "code", e.Code, "status", e.Status)
+	level.Warn(s.log).Log("msg", "bad request", "code", e.Code, "status", e.Status)
 	if class := r.Header.Get(keyClass); class != "" {
 		s.stats.of(class).countAnswer(e.Status)
 	}
--- a/internal/dataplane/ingress/server.go
+++ b/internal/dataplane/ingress/server.go
@@ -4,12 +4,14 @@
 	"cmp"
 	"context"
 	"errors"
-	"log/slog"
 	"net"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/http1"
@@ -33,7 +35,7 @@
 	dialect   Dialect
 	engine    *engine.Engine
 	pool      *upstream.Pool
-	log       *slog.Logger
+	log       log.Logger
 	methods   atomic.Pointer[map[string]string] // by class
 	plans     atomic.Pointer[map[string]bool]
 	ingresses int             // of the fleet
@@ -56,12 +58,12 @@
 
 // New returns a server for what the settings name, with a limit of connections at once.
 func New(
-	settings *decision.Settings, e *engine.Engine, p *upstream.Pool, maxConns int, log *slog.Logger,
+	settings *decision.Settings, e *engine.Engine, p *upstream.Pool, maxConns int, logger log.Logger,
 ) *Server {
 	s := &Server{
 		engine:    e,
 		pool:      p,
-		log:       log,
+		log:       logger,
 		ingresses: max(1, settings.Gateways),
 		maxUnits:  cmp.Or(settings.MaxUnits, defaultMaxUnits),
 		maxConns:  maxConns,
@@ -119,7 +121,7 @@
 		}
 		if err != nil {
 			// Descriptors run short, or the network fails for a while: no reason to give up all clients.
-			s.log.Warn("connection not accepted", "code", "process-accept-failed", "error", err)
+			level.Warn(s.log).Log("msg", "connection not accepted", "code", "process-accept-failed", "error", err)
 			time.Sleep(acceptPause)
 			continue
 		}
--- a/internal/dataplane/upstream/acquire.go
+++ b/internal/dataplane/upstream/acquire.go
@@ -7,6 +7,8 @@
 	"net"
 	"time"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/dataplane/upstreamconn"
 	"mulleinrouter/internal/decision"
@@ -87,7 +89,7 @@
 			// Reported as a refused connection, it would count against a server that is healthy.
 			code, err = "upstream-not-needed", fmt.Errorf("%w: %w", errNotNeeded, err)
 		}
-		p.log.Info("upstream connection ended", "code", code, "backend", backend, "error", err)
+		level.Info(p.log).Log("msg", "upstream connection ended", "code", code, "backend", backend, "error", err)
 		return nil, err
 	}
 	c := &conn{
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -2,12 +2,14 @@
 
 import (
 	"context"
-	"log/slog"
 	"net"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/dataplane/traffic"
 	"mulleinrouter/internal/dataplane/upstreamconn"
 	"mulleinrouter/internal/decision"
@@ -39,7 +41,7 @@
 
 	lookup     Lookup
 	limits     Limits
-	log        *slog.Logger
+	log        log.Logger
 	dial       func(ctx context.Context, network, addr string) (net.Conn, error)
 	awaitReset func(*conn) // waits for conn.holdTime, until a reset by the server would have arrived
 	base       time.Time   // the times of the state machines are seconds since then
@@ -51,12 +53,12 @@
 }
 
 // New returns an empty pool.
-func New(lookup Lookup, limits Limits, log *slog.Logger) *Pool {
+func New(lookup Lookup, limits Limits, logger log.Logger) *Pool {
 	dialer := net.Dialer{Timeout: limits.ConnectTimeout, KeepAlive: -1}
 	return &Pool{
 		lookup:     lookup,
 		limits:     limits,
-		log:        log,
+		log:        logger,
 		dial:       dialer.DialContext,
 		awaitReset: func(c *conn) { time.Sleep(c.holdTime) },
 		base:       time.Now(),
@@ -100,7 +102,9 @@
 	c.Drop()
 	c.Close()
 	p.forget()
-	p.log.Info("upstream connection ended", "code", code, "backend", c.backend, "uses", c.Uses(), "error", err)
+	level.Info(p.log).Log("msg", "upstream connection ended",
+		"code", code, "backend", c.backend, "uses", c.Uses(), "error", err,
+	)
 }
 
 // recordLoss records that a connection ended while it was idle, or as a request was written to it.
--- a/internal/emulator/costmodel/disk.go
+++ b/internal/emulator/costmodel/disk.go
@@ -2,9 +2,9 @@
 
 import (
 	"context"
-	"log/slog"
 
 	"github.com/cockroachdb/pebble/v2/vfs"
+	"github.com/go-kit/log"
 
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/consensus"
@@ -23,7 +23,7 @@
 		sizes:      []int{1, 4, 16, 64, 256},
 		operations: 100,
 		prepare: func(n int) func(int) {
-			store, _, err := storage.Open(vfs.NewMem(), "data", slog.New(slog.DiscardHandler))
+			store, _, err := storage.Open(vfs.NewMem(), "data", log.NewNopLogger())
 			if err != nil {
 				m.fail(err)
 				return func(int) {}
--- a/internal/logging/logtest/logtest.go
+++ b/internal/logging/logtest/logtest.go
@@ -2,16 +2,17 @@
 package logtest
 
 import (
-	"log/slog"
 	"regexp"
 	"strings"
 	"sync"
 
+	"github.com/go-kit/log"
+
 	"mulleinrouter/internal/logging"
 )
 
 // Discard returns a logger that writes nothing.
-func Discard() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func Discard() log.Logger { return log.NewNopLogger() }
 
 // maxPendingCodes is how many codes a Recorder keeps for Await; further ones are dropped.
 const maxPendingCodes = 1000
@@ -26,9 +27,9 @@
 }
 
 // Record returns a logger in logfmt that writes lines of all levels to a recorder.
-func Record() (*slog.Logger, *Recorder) {
+func Record() (log.Logger, *Recorder) {
 	r := &Recorder{codes: make(chan string, maxPendingCodes)}
-	return logging.New(r, logging.Logfmt, slog.LevelDebug), r
+	return logging.New(r, logging.Logfmt, logging.LevelDebug), r
 }
 
 // Write records a line.
--- a/internal/proxy/control_feed.go
+++ b/internal/proxy/control_feed.go
@@ -1,12 +1,14 @@
 package proxy
 
 import (
-	"log/slog"
 	"math"
 	"strconv"
 	"sync/atomic"
 	"time"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/registry"
 	"mulleinrouter/internal/cluster/replication"
@@ -32,7 +34,7 @@
 // controlFeed is what the proxy gets from the agent beside it: the configuration, the servers, the number of ingresses,
 // and the counters of quotas.
 type controlFeed struct {
-	log  *slog.Logger
+	log  log.Logger
 	node string
 	// process is the reporter of PerRequest reports: a process that starts anew must not be taken for the one before
 	// it.
@@ -60,7 +62,7 @@
 }
 
 // newControlFeed makes the feed of a process with that incarnation; the caller sets agent and engine.
-func newControlFeed(watcher *settings.Watcher, incarnation uint64, logger *slog.Logger) *controlFeed {
+func newControlFeed(watcher *settings.Watcher, incarnation uint64, logger log.Logger) *controlFeed {
 	s := watcher.Current()
 	cf := &controlFeed{
 		log:       logger,
@@ -86,7 +88,9 @@
 	if len(update.Items) > 0 {
 		cf.engine.ExpectDisruption(cf.disruptionWindow())
 		cf.table.Store(cf.table.Load().With(cf.store.Snapshot(), update.Items))
-		cf.log.Info("configuration in force", "epoch", newestEpoch(update.Items), "items", len(update.Items))
+		level.Info(cf.log).Log("msg", "configuration in force",
+			"epoch", newestEpoch(update.Items), "items", len(update.Items),
+		)
 	}
 	if len(update.Instances) > 0 {
 		cf.engine.SetBackends(decision.Backends{List: cf.backends(update.Instances)})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -2,10 +2,11 @@
 
 import (
 	"hash/fnv"
-	"log/slog"
 	"math/rand/v2"
 	"time"
 
+	"github.com/go-kit/log"
+
 	"mulleinrouter/internal/cluster/metrics"
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/settings"
@@ -55,7 +56,7 @@
 type Proxy struct {
 	settings   *settings.Settings // at the start
 	watcher    *settings.Watcher
-	log        *slog.Logger
+	log        log.Logger
 	control    *controlFeed
 	translator *translator
 	pool       *upstream.Pool
@@ -65,9 +66,9 @@
 
 // New returns a proxy for the settings that are watched. The incarnation is a number that no other process of this
 // machine has had.
-func New(watcher *settings.Watcher, incarnation uint64, logger *slog.Logger) *Proxy {
+func New(watcher *settings.Watcher, incarnation uint64, logger log.Logger) *Proxy {
 	s := watcher.Current()
-	p := &Proxy{settings: s, watcher: watcher, log: logger.With("part", program)}
+	p := &Proxy{settings: s, watcher: watcher, log: log.With(logger, "part", program)}
 	p.control = newControlFeed(watcher, incarnation, p.log)
 	startedAt := p.control.startedAt
 	clock := replication.NewClock(func() float64 { return time.Since(startedAt).Seconds() })
@@ -97,7 +98,7 @@
 // connectDataPlane connects the decision module, the engine, the pool of connections to servers and the clients'
 // server.
 func (p *Proxy) connectDataPlane(seed, incarnation uint64, clock *replication.Clock) {
-	logger := slog.New(slog.DiscardHandler) // to log each connection would cost too much processor time here
+	logger := log.NewNopLogger() // to log each connection would cost too much processor time here
 	decisions := p.decisionSettings(seed)
 	p.control.engine = engine.New(decision.New(*decisions, seed^incarnation), decisions, engine.NewClockOf(clock.Now))
 	p.translator = newTranslator(p.control, newSplitter(rand.New(rand.NewPCG(seed, incarnation))))
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -9,6 +9,8 @@
 	"sync"
 	"time"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/cluster/metrics"
 )
 
@@ -51,11 +53,11 @@
 	} {
 		tasks.Go(task)
 	}
-	p.log.Info("waiting for the agent", "front", p.settings.FrontAddr, "agent", p.settings.AgentAddr())
+	level.Info(p.log).Log("msg", "waiting for the agent", "front", p.settings.FrontAddr, "agent", p.settings.AgentAddr())
 	select {
 	case <-p.control.ready:
 		p.ingress.Started()
-		p.log.Info("serving", "routes", p.control.table.Load().RouteCount())
+		level.Info(p.log).Log("msg", "serving", "routes", p.control.table.Load().RouteCount())
 		<-ctx.Done()
 	case <-ctx.Done():
 	}
@@ -65,13 +67,13 @@
 
 // shutDown hands the clients over and finishes their requests, within the grace.
 func (p *Proxy) shutDown(front net.Listener) {
-	p.log.Info("shutting down")
+	level.Info(p.log).Log("msg", "shutting down")
 	p.beginShutdown()
 	serve, finish := shutdownTimes(time.Duration(p.watcher.Current().Bounds.Grace * float64(time.Second)))
 	time.Sleep(serve)
 	front.Close()
 	p.ingress.Drain(finish, drainRest)
-	p.log.Info("stopped")
+	level.Info(p.log).Log("msg", "stopped")
 }
 
 // shutdownTimes returns for how long a proxy that shuts down serves on as before, and then finishes its requests before
@@ -113,9 +115,9 @@
 func (p *Proxy) logReload(changed bool, err error) {
 	switch {
 	case err != nil:
-		p.log.Error("settings rejected", "err", err)
+		level.Error(p.log).Log("msg", "settings rejected", "err", err)
 	case changed:
-		p.log.Info("settings changed")
+		level.Info(p.log).Log("msg", "settings changed")
 	}
 }
 
--- a/internal/proxy/shedding_listener.go
+++ b/internal/proxy/shedding_listener.go
@@ -3,11 +3,13 @@
 import (
 	"context"
 	"errors"
-	"log/slog"
 	"net"
 	"sync"
 	"time"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/cluster/retry"
 )
 
@@ -25,7 +27,7 @@
 type sheddingListener struct {
 	listen  func() (net.Listener, error)
 	shedder *shedder
-	log     *slog.Logger
+	log     log.Logger
 
 	mu      sync.Mutex    // guards the fields below
 	current net.Listener  // nil: the address is closed for the moment
@@ -35,7 +37,7 @@
 
 // newSheddingListener binds the address at once. Run must run for load to be shed.
 func newSheddingListener(
-	listen func() (net.Listener, error), s *shedder, logger *slog.Logger,
+	listen func() (net.Listener, error), s *shedder, logger log.Logger,
 ) (*sheddingListener, error) {
 	first, err := listen()
 	if err != nil {
@@ -115,7 +117,7 @@
 		share := sl.shedder.admitted(time.Now())
 		if now := share < 1; now != shedding {
 			shedding = now
-			sl.log.Info("shedding", "on", shedding)
+			level.Info(sl.log).Log("msg", "shedding", "on", shedding)
 		}
 		if !shedding {
 			if !retry.Sleep(ctx, shedInterval) {
@@ -150,7 +152,7 @@
 		if err == nil {
 			return sl.setCurrent(next)
 		}
-		sl.log.Error("listener not reopened", "err", err)
+		level.Error(sl.log).Log("msg", "listener not reopened", "err", err)
 		if !retry.Sleep(ctx, reopenInterval) {
 			return false
 		}
--- a/internal/standalone/catalogue/watcher.go
+++ b/internal/standalone/catalogue/watcher.go
@@ -3,10 +3,11 @@
 import (
 	"context"
 	"fmt"
-	"log/slog"
 	"path/filepath"
 
 	"github.com/fsnotify/fsnotify"
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/standalone/plans"
 )
@@ -15,7 +16,7 @@
 type Watcher struct {
 	Path     string
 	OnChange func([]plans.Revision) // receives each valid catalogue, from the goroutine of Run
-	Log      *slog.Logger
+	Log      log.Logger
 
 	lastError error // nil: the last reading succeeded
 }
@@ -42,7 +43,7 @@
 				w.Read()
 			}
 		case err := <-watcher.Errors:
-			w.Log.Warn("catalogue change may have been missed; reading the file again",
+			level.Warn(w.Log).Log("msg", "catalogue change may have been missed; reading the file again",
 				"code", "plans-watch-failed", "error", err,
 			)
 			w.Read()
@@ -56,7 +57,7 @@
 	if err != nil {
 		// An editor that saves in steps must not fill the log.
 		if w.lastError == nil || w.lastError.Error() != err.Error() {
-			w.Log.Error("catalogue invalid; plans unchanged", "code", "plans-bad-catalogue", "error", err)
+			level.Error(w.Log).Log("msg", "catalogue invalid; plans unchanged", "code", "plans-bad-catalogue", "error", err)
 		}
 		w.lastError = err
 		return
--- a/internal/standalone/cli/log.go
+++ b/internal/standalone/cli/log.go
@@ -3,10 +3,11 @@
 import (
 	"bufio"
 	"io"
-	"log/slog"
 	"sync"
 	"time"
 
+	"github.com/go-kit/log"
+
 	"mulleinrouter/internal/logging"
 )
 
@@ -27,7 +28,7 @@
 }
 
 // newLogger returns the logger of a command that reads no configuration.
-func (p *Program) newLogger() *slog.Logger {
+func (p *Program) newLogger() log.Logger {
 	s := p.logSettings(logging.Settings{})
 	return logging.New(p.err, s.Format, s.Level)
 }
--- a/internal/standalone/cli/serve.go
+++ b/internal/standalone/cli/serve.go
@@ -3,11 +3,13 @@
 import (
 	"cmp"
 	"fmt"
-	"log/slog"
 	"os"
 	"os/signal"
 	"syscall"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/logging"
 	"mulleinrouter/internal/standalone/config"
 	"mulleinrouter/internal/standalone/faultinjection"
@@ -56,9 +58,9 @@
 	defer out.Flush()
 	go out.run()
 	logs := p.logSettings(c.Log)
-	var level slog.LevelVar
-	level.Set(logs.Level)
-	logger := logging.New(out, logs.Format, &level)
+	var inForce logging.LevelVar
+	inForce.Set(logs.Level)
+	logger := logging.New(out, logs.Format, &inForce)
 
 	n, err := node.Start(c, logger)
 	if err != nil {
@@ -67,21 +69,21 @@
 	out.Flush()
 	go func() { // until the process exits
 		for range hangUp {
-			reloadNode(n, logger, reload, func(c *config.Config) { level.Set(p.logSettings(c.Log).Level) })
+			reloadNode(n, logger, reload, func(c *config.Config) { inForce.Set(p.logSettings(c.Log).Level) })
 		}
 	}()
 
 	received := <-terminate
-	logger.Info("shutting down", "code", "process-stopping", "signal", received.String())
+	level.Info(logger).Log("msg", "shutting down", "code", "process-stopping", "signal", received.String())
 	out.Flush()
 	n.Drain()
-	logger.Info("all requests answered", "code", "process-stopped")
+	level.Info(logger).Log("msg", "all requests answered", "code", "process-stopped")
 	return nil
 }
 
 // reloadNode applies the configuration as it is now, and calls applied with it before it logs that. One that cannot be
 // used changes nothing.
-func reloadNode(n *node.Node, logger *slog.Logger, reload loadConfig, applied func(*config.Config)) {
+func reloadNode(n *node.Node, logger log.Logger, reload loadConfig, applied func(*config.Config)) {
 	c, err := reload(os.Getenv)
 	if err == nil {
 		if err = n.Reload(c); err != nil {
@@ -90,11 +92,11 @@
 	}
 	n.CountReload(err == nil)
 	if err != nil {
-		logger.Error("configuration rejected; unchanged", "code", "process-reload-failed", "error", err)
+		level.Error(logger).Log("msg", "configuration rejected; unchanged", "code", "process-reload-failed", "error", err)
 		return
 	}
 	applied(c)
-	logger.Info("configuration reloaded",
+	level.Info(logger).Log("msg", "configuration reloaded",
 		"code", "process-reloaded", "discovery", c.Discovery, "counter", c.Counter,
 	)
 }
--- a/internal/standalone/cli/usage.go
+++ b/internal/standalone/cli/usage.go
@@ -8,6 +8,8 @@
 	"syscall"
 	"time"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/dataplane/usage"
 	"mulleinrouter/internal/standalone/usageexport"
 )
@@ -56,7 +58,7 @@
 	}
 	defer e.Close()
 	if ue.Follow {
-		logger.Info("exporting", "code", "usage-export-started", "dir", ue.Dir, "to", ue.To)
+		level.Info(logger).Log("msg", "exporting", "code", "usage-export-started", "dir", ue.Dir, "to", ue.To)
 		e.Run(ctx)
 		return nil
 	}
--- a/internal/standalone/counterclient/client.go
+++ b/internal/standalone/counterclient/client.go
@@ -4,10 +4,11 @@
 	"context"
 	"hash/fnv"
 	"io"
-	"log/slog"
 	"sync"
 	"time"
 
+	"github.com/go-kit/log"
+
 	"mulleinrouter/internal/decision"
 )
 
@@ -23,7 +24,7 @@
 type Client struct {
 	timeout   time.Duration
 	onReply   ReplyFunc
-	log       *slog.Logger
+	log       log.Logger
 	pipelines []*pipeline
 
 	ctx        context.Context // ends with Close
@@ -36,8 +37,8 @@
 }
 
 // New returns a client that gives each call up after a timeout. It calls onReply once for each call.
-func New(addr string, timeout time.Duration, onReply ReplyFunc, log *slog.Logger) *Client {
-	c := newClient(addr, timeout, onReply, log, pipelineCount)
+func New(addr string, timeout time.Duration, onReply ReplyFunc, logger log.Logger) *Client {
+	c := newClient(addr, timeout, onReply, logger, pipelineCount)
 	for _, p := range c.pipelines {
 		c.goroutines.Go(p.run)
 	}
@@ -46,13 +47,13 @@
 }
 
 // newClient leaves it to the caller to run the pipelines and to check them.
-func newClient(addr string, timeout time.Duration, onReply ReplyFunc, log *slog.Logger, pipelines int) *Client {
+func newClient(addr string, timeout time.Duration, onReply ReplyFunc, logger log.Logger, pipelines int) *Client {
 	c := &Client{
 		addr:    addr,
 		changed: make(chan struct{}),
 		timeout: timeout,
 		onReply: onReply,
-		log:     log,
+		log:     logger,
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	for range pipelines {
--- a/internal/standalone/counterclient/pipeline.go
+++ b/internal/standalone/counterclient/pipeline.go
@@ -11,6 +11,8 @@
 	"sync"
 	"time"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/decision"
 )
 
@@ -202,7 +204,7 @@
 	c.calls = nil
 	code := cmp.Or(c.closeCause, endCode(err))
 	p.mu.Unlock()
-	p.client.log.Info("counter connection ended", "code", code, "lost", len(lost))
+	level.Info(p.client.log).Log("msg", "counter connection ended", "code", code, "lost", len(lost))
 	for _, pending := range lost {
 		p.client.onReply(pending.name, decision.ConnectionReset, 0)
 	}
--- a/internal/standalone/discovery/connection.go
+++ b/internal/standalone/discovery/connection.go
@@ -11,6 +11,8 @@
 	"strconv"
 	"time"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/standalone/jsontext"
 )
@@ -114,6 +116,8 @@
 	}
 	w.rev = l.Rev
 	w.OnUpdate(w.Directory.apply(&l))
-	w.Log.Info("endpoint list changed", "code", "discovery-list", "rev", l.Rev, "changed", len(l.Targets))
+	level.Info(w.Log).Log("msg", "endpoint list changed",
+		"code", "discovery-list", "rev", l.Rev, "changed", len(l.Targets),
+	)
 	return nil
 }
--- a/internal/standalone/discovery/watcher.go
+++ b/internal/standalone/discovery/watcher.go
@@ -3,12 +3,14 @@
 import (
 	"context"
 	"errors"
-	"log/slog"
 	"math/rand/v2"
 	"net"
 	"sync"
 	"time"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/dataplane/backoff"
 	"mulleinrouter/internal/decision"
 )
@@ -31,7 +33,7 @@
 	Addr      string // host:port of discovery
 	Directory *Directory
 	OnUpdate  func(decision.Backends) // called from the goroutine of Run, and of RestoreList
-	Log       *slog.Logger
+	Log       log.Logger
 	FleetSize int    // ingresses that ask the same discovery: they must not ask in step
 	Seed      uint64 // of random delays
 
@@ -108,7 +110,7 @@
 		code = "discovery-moved"
 	}
 	wait := w.reconnectDelay(code, err, rng)
-	w.Log.Info("discovery connection ended", "code", code, "rev", w.rev, "wait", wait, "error", err)
+	level.Info(w.Log).Log("msg", "discovery connection ended", "code", code, "rev", w.rev, "wait", wait, "error", err)
 	sleep(connCtx, wait) // not at all if the address has changed
 }
 
--- a/internal/standalone/fleet/gossip/fleet.go
+++ b/internal/standalone/fleet/gossip/fleet.go
@@ -6,11 +6,11 @@
 	"crypto/rand"
 	"encoding/binary"
 	"fmt"
-	"log/slog"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"github.com/go-kit/log"
 	"github.com/hashicorp/memberlist"
 
 	"mulleinrouter/internal/standalone/fleet/keyring"
@@ -29,7 +29,7 @@
 // Fleet is this ingress among the others of its fleet. It is safe for concurrent use.
 type Fleet struct {
 	options     Options
-	log         *slog.Logger
+	log         log.Logger
 	startedAt   time.Time
 	nonce       uint64 // of this process's incarnations
 	meter       meter
--- a/internal/standalone/fleet/gossip/instance.go
+++ b/internal/standalone/fleet/gossip/instance.go
@@ -9,6 +9,7 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/go-kit/log/level"
 	"github.com/hashicorp/memberlist"
 
 	"mulleinrouter/internal/standalone/fleet/membership"
@@ -40,7 +41,7 @@
 	inner, addr, err := f.newTransport()
 	if err != nil {
 		if f.protocolLog.fail(bindFailure) {
-			f.log.Warn("cannot listen at the fleet's address; it is retried",
+			level.Warn(f.log).Log("msg", "cannot listen at the fleet's address; it is retried",
 				"code", "fleet-address-taken", "listen", f.options.Listen, "error", err,
 			)
 		}
@@ -58,7 +59,9 @@
 	f.mu.Unlock()
 	if i.memberlist, err = memberlist.Create(f.protocolConfig(i, host, port)); err != nil {
 		i.transport.Shutdown()
-		f.log.Error("cannot start the membership protocol; it is retried", "code", "fleet-protocol", "error", err)
+		level.Error(f.log).Log("msg", "cannot start the membership protocol; it is retried",
+			"code", "fleet-protocol", "error", err,
+		)
 		return
 	}
 	f.protocolLog.resolve(bindFailure)
@@ -69,7 +72,7 @@
 	f.exchangesDone = 0
 	f.mu.Unlock()
 	f.step(membership.ProtocolRestarted{})
-	f.log.Info("membership protocol started",
+	level.Info(f.log).Log("msg", "membership protocol started",
 		"code", "fleet-started", "fleet", f.options.Fleet, "addr", addr, "bound", f.boundAddr(inner),
 		"boot", f.Self().Boot,
 	)
--- a/internal/standalone/fleet/gossip/join.go
+++ b/internal/standalone/fleet/gossip/join.go
@@ -4,6 +4,8 @@
 	"math/rand/v2"
 	"time"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/standalone/fleet/membership"
 )
 
@@ -77,6 +79,6 @@
 		return // the instance was shut down meanwhile
 	}
 	if f.protocolLog.fail(joinFailure) {
-		f.log.Warn("no address of the fleet answers; they are retried", "code", "fleet-alone", "error", err)
+		level.Warn(f.log).Log("msg", "no address of the fleet answers; they are retried", "code", "fleet-alone", "error", err)
 	}
 }
--- a/internal/standalone/fleet/gossip/options.go
+++ b/internal/standalone/fleet/gossip/options.go
@@ -1,9 +1,9 @@
 package gossip
 
 import (
-	"log/slog"
 	"time"
 
+	"github.com/go-kit/log"
 	"github.com/hashicorp/memberlist"
 
 	"mulleinrouter/internal/standalone/fleet/membership"
@@ -27,7 +27,7 @@
 	Number    int           // index of this one among them, from 0
 	Seed      uint64        // of random choices
 	Store     Store         // nil: nothing is stored
-	Log       *slog.Logger
+	Log       log.Logger
 
 	// Network returns the transport of an instance and the address at which others reach it; nil: sockets.
 	Network func() (memberlist.NodeAwareTransport, string, error)
--- a/internal/standalone/fleet/gossip/protocollog.go
+++ b/internal/standalone/fleet/gossip/protocollog.go
@@ -2,12 +2,14 @@
 
 import (
 	"io"
-	"log/slog"
 	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 )
 
 // rejectionLogInterval is the least time between two log lines about rejected packets.
@@ -33,7 +35,7 @@
 // protocolLog takes memberlist's log: rejections are counted, the rest is for debugging. It also remembers
 // which failures were logged, for those that are retried until they succeed.
 type protocolLog struct {
-	log      *slog.Logger
+	log      log.Logger
 	rejected *atomic.Int64
 
 	mu           sync.Mutex // guards what follows
@@ -55,12 +57,12 @@
 func (pl *protocolLog) Write(b []byte) (int, error) {
 	text := strings.TrimSpace(string(b))
 	if !slices.ContainsFunc(rejectionTexts, func(part string) bool { return strings.Contains(text, part) }) {
-		pl.log.Debug("message of the membership protocol's library", "code", "fleet-protocol", "text", text)
+		level.Debug(pl.log).Log("msg", "message of the membership protocol's library", "code", "fleet-protocol", "text", text)
 		return len(b), nil
 	}
 	count := pl.rejected.Add(1)
 	if pl.isRejectionDue() {
-		pl.log.Warn("rejected a packet or stream that is not of this fleet",
+		level.Warn(pl.log).Log("msg", "rejected a packet or stream that is not of this fleet",
 			"code", "fleet-refused", "count", count, "why", text,
 		)
 	}
--- a/internal/standalone/fleet/gossip/record.go
+++ b/internal/standalone/fleet/gossip/record.go
@@ -6,6 +6,8 @@
 	"io/fs"
 	"time"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/standalone/fleet/membership"
 )
 
@@ -23,7 +25,7 @@
 		return Record{Boot: uint64(time.Now().Unix())}
 	}
 	if err := f.options.Store.Read(&r); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		f.log.Warn("the membership record cannot be read; peers are asked for the boot count",
+		level.Warn(f.log).Log("msg", "the membership record cannot be read; peers are asked for the boot count",
 			"code", "fleet-record-unusable", "error", err,
 		)
 		return Record{}
@@ -86,11 +88,12 @@
 
 // recordWritten applies the outcome of writing the record.
 func (r *runner) recordWritten(result writeResult) {
-	log := r.fleet.log
+	logger := r.fleet.log
 	r.writing = false
 	if result.err != nil {
 		if !r.writeFailed {
-			log.Error("the membership record cannot be written; an incarnation that is not on disk is not announced",
+			level.Error(logger).Log(
+				"msg", "the membership record cannot be written; an incarnation that is not on disk is not announced",
 				"code", "fleet-disk", "error", result.err,
 			)
 		}
@@ -98,7 +101,7 @@
 		return
 	}
 	if r.writeFailed {
-		log.Info("the membership record can be written again", "code", "fleet-disk-usable")
+		level.Info(logger).Log("msg", "the membership record can be written again", "code", "fleet-disk-usable")
 	}
 	r.writeFailed = false
 	if r.pendingBoot != nil && result.boot == *r.pendingBoot {
--- a/internal/standalone/fleet/gossip/run.go
+++ b/internal/standalone/fleet/gossip/run.go
@@ -4,6 +4,9 @@
 	"context"
 	"time"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/standalone/fleet/membership"
 )
 
@@ -83,7 +86,7 @@
 	f := r.fleet
 	switch a := a.(type) {
 	case membership.RaiseIncarnation:
-		f.log.Warn("peers know a later incarnation under this name; the boot count is raised",
+		level.Warn(f.log).Log("msg", "peers know a later incarnation under this name; the boot count is raised",
 			"code", "fleet-count-raised", "boot", a.Boot,
 		)
 		if f.options.Store == nil {
@@ -102,7 +105,8 @@
 			f.spawn(func() { i.memberlist.Join([]string{a.Addr}) })
 		}
 	case membership.NameConflict:
-		f.log.Error("another process has this ingress's name; this one leaves the fleet and goes on serving",
+		level.Error(f.log).Log(
+			"msg", "another process has this ingress's name; this one leaves the fleet and goes on serving",
 			"code", "fleet-name-twice", "boot", a.Winner.Boot,
 		)
 		f.mu.Lock()
@@ -116,15 +120,15 @@
 
 func (f *Fleet) logChange(a membership.ViewChanged) {
 	c := a.Change
-	log := f.log.With("view", c.View, "member", c.Name)
+	logger := log.With(f.log, "view", c.View, "member", c.Name)
 	if a.Reachability {
 		r := f.Reachability()
-		log.Warn("the reachability of the fleet has changed",
+		level.Warn(logger).Log("msg", "the reachability of the fleet has changed",
 			"code", "fleet-judgement", "judgement", c.What, "heard", r.Alive, "agreed", r.Agreed,
 		)
 		return
 	}
-	log.Info("the view of a member has changed",
+	level.Info(logger).Log("msg", "the view of a member has changed",
 		"code", "fleet-member", "change", c.What, "state", c.To.String(), "was", c.From.String(), "boot", c.Boot,
 	)
 }
@@ -164,7 +168,7 @@
 
 // restartAfterPause discards the protocol's instance: its timers expired while others could not answer.
 func (f *Fleet) restartAfterPause(delay time.Duration) {
-	f.log.Warn("this process was suspended; the membership protocol restarts",
+	level.Warn(f.log).Log("msg", "this process was suspended; the membership protocol restarts",
 		"code", "fleet-stalled", "for", delay.Seconds(),
 	)
 	if i := f.instance.Swap(nil); i != nil {
--- a/internal/standalone/fleet/leaseservice/announcer.go
+++ b/internal/standalone/fleet/leaseservice/announcer.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/standalone/fleet/revisionlog"
 )
@@ -48,8 +49,10 @@
 func (s *Service) StartAnnouncer(ctx context.Context, o AnnouncerOptions) (a *Announcer, restored bool) {
 	var r revisionlog.Record
 	if err := o.Read(&r); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		s.log("duty-record-unusable").
-			Warn("stored catalogue revisions cannot be read; the lease holder sends them again", "error", err)
+		level.Warn(s.log("duty-record-unusable")).Log(
+			"msg", "stored catalogue revisions cannot be read; the lease holder sends them again",
+			"error", err,
+		)
 		r = revisionlog.Record{}
 	}
 	a = &Announcer{
@@ -145,10 +148,10 @@
 		}
 		number, digest, err := a.options.Check(e.Text)
 		if err != nil || number != e.Number || digest != e.Digest {
-			a.service.log("duty-announcement-bad").
-				Warn("announced revision rejected: it does not match its number or digest",
-					"from", m.From, "revision", e.Number, "error", err,
-				)
+			level.Warn(a.service.log("duty-announcement-bad")).Log(
+				"msg", "announced revision rejected: it does not match its number or digest",
+				"from", m.From, "revision", e.Number, "error", err,
+			)
 			return false
 		}
 	}
@@ -161,17 +164,17 @@
 		a.send(action)
 	case revisionlog.Apply:
 		a.options.Apply(action.Entry.Text)
-		a.service.log("duty-announced").Info("catalogue revision announced",
+		level.Info(a.service.log("duty-announced")).Log("msg", "catalogue revision announced",
 			"revision", action.Entry.Number, "digest", action.Entry.Digest, "token", action.Entry.Token,
 		)
 	case revisionlog.StoreRecord:
 		a.store(action.Record)
 	case revisionlog.ReportConflict:
-		a.service.log("duty-revision-turned").
-			Error("revision of this ingress's file not announced: its number stands for another content; "+
+		level.Error(a.service.log("duty-revision-turned")).Log(
+			"msg", "revision of this ingress's file not announced: its number stands for another content; "+
 				"give it a higher one",
-				"revision", action.Entry.Number, "digest", action.Entry.Digest,
-			)
+			"revision", action.Entry.Number, "digest", action.Entry.Digest,
+		)
 	}
 }
 
@@ -194,10 +197,10 @@
 	if err == nil {
 		a.handle(revisionlog.RecordStored{Record: r})
 	} else if !failedBefore {
-		a.service.log("duty-no-room").
-			Error("announced catalogue revisions apply but cannot be stored; they are not confirmed until they are",
-				"error", err,
-			)
+		level.Error(a.service.log("duty-no-room")).Log(
+			"msg", "announced catalogue revisions apply but cannot be stored; they are not confirmed until they are",
+			"error", err,
+		)
 	}
 	a.writeFailed = err != nil
 }
--- a/internal/standalone/fleet/leaseservice/options.go
+++ b/internal/standalone/fleet/leaseservice/options.go
@@ -1,7 +1,7 @@
 package leaseservice
 
 import (
-	"log/slog"
+	"github.com/go-kit/log"
 
 	"mulleinrouter/internal/standalone/fleet/gossip"
 	"mulleinrouter/internal/standalone/fleet/membership"
@@ -22,7 +22,7 @@
 	Zone   string
 	Voters []string // names
 	Dir    string   // folder of the voter's store, if this ingress is a voter
-	Log    *slog.Logger
+	Log    log.Logger
 
 	// StoreRecord replaces the record on disk, and returns once it is durable. While it fails, or does not return, the
 	// service holds no role. Nil: none is stored.
--- a/internal/standalone/fleet/leaseservice/record.go
+++ b/internal/standalone/fleet/leaseservice/record.go
@@ -2,6 +2,8 @@
 
 import (
 	"time"
+
+	"github.com/go-kit/log/level"
 )
 
 const (
@@ -57,12 +59,14 @@
 	switch {
 	case err != nil && !s.recordFailed:
 		s.recordFailed = true
-		s.log("duty-no-room").
-			Error("lease record cannot be stored; singleton roles are resigned until it can", "error", err)
+		level.Error(s.log("duty-no-room")).Log(
+			"msg", "lease record cannot be stored; singleton roles are resigned until it can",
+			"error", err,
+		)
 		s.resignAll()
 	case err == nil && s.recordFailed:
 		s.recordFailed = false
-		s.log("duty-room").Info("lease record can be stored again")
+		level.Info(s.log("duty-room")).Log("msg", "lease record can be stored again")
 		s.acquireAll()
 	}
 }
@@ -76,6 +80,8 @@
 		return
 	}
 	s.recordFailed = true
-	s.log("duty-no-room").Error("lease record not stored in time; singleton roles are resigned until it is")
+	level.Error(s.log("duty-no-room")).Log(
+		"msg", "lease record not stored in time; singleton roles are resigned until it is",
+	)
 	s.resignAll()
 }
--- a/internal/standalone/fleet/leaseservice/roles.go
+++ b/internal/standalone/fleet/leaseservice/roles.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/standalone/fleet/singleton"
 )
@@ -111,10 +112,14 @@
 		case singleton.SendRequest:
 			s.sendRequest(action.Request)
 		case singleton.LeaseGained:
-			s.log("duty-gained").Info("lease of a singleton role gained", "duty", action.Role, "token", action.Token)
+			level.Info(s.log("duty-gained")).Log("msg", "lease of a singleton role gained",
+				"duty", action.Role, "token", action.Token,
+			)
 			s.startWork(action.Role, action.Token)
 		case singleton.LeaseLost:
-			s.log("duty-lost").Warn("lease of a singleton role lost", "duty", action.Role, "token", action.Token)
+			level.Warn(s.log("duty-lost")).Log("msg", "lease of a singleton role lost",
+				"duty", action.Role, "token", action.Token,
+			)
 			s.stopWork(action.Role)
 		case singleton.StepDown:
 			s.stopWork(action.Role)
@@ -178,7 +183,7 @@
 		}
 		return
 	}
-	s.log("duty-resigned").Error("work of a singleton role failed; another ingress may take the role",
+	level.Error(s.log("duty-resigned")).Log("msg", "work of a singleton role failed; another ingress may take the role",
 		"duty", name, "error", err,
 	)
 	s.stepLeaseHolder(singleton.Resign{Role: name})
--- a/internal/standalone/fleet/leaseservice/service.go
+++ b/internal/standalone/fleet/leaseservice/service.go
@@ -4,12 +4,14 @@
 	"cmp"
 	"context"
 	"fmt"
-	"log/slog"
 	"path/filepath"
 	"slices"
 	"sync"
 	"time"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/standalone/fleet/membership"
 	"mulleinrouter/internal/standalone/fleet/quorum"
 	"mulleinrouter/internal/standalone/fleet/quorum/boltstore"
@@ -97,7 +99,7 @@
 	tokenBase := uint64(time.Now().Unix()) << tokenBaseShift
 	voter, err := quorum.Open(name, s.options.Voters, store, tokenBase)
 	if err != nil {
-		s.log("duty-voter-unusable").Error("voter disabled: its store cannot be opened", "error", err)
+		level.Error(s.log("duty-voter-unusable")).Log("msg", "voter disabled: its store cannot be opened", "error", err)
 	}
 	s.voter = voter
 }
@@ -130,7 +132,7 @@
 func (s *Service) self() string { return s.options.Fleet.Self().Name }
 
 // log returns a logger whose lines have a code.
-func (s *Service) log(code string) *slog.Logger { return s.options.Log.With("code", code) }
+func (s *Service) log(code string) log.Logger { return log.With(s.options.Log, "code", code) }
 
 // run handles messages and ticks until the service is stopped.
 func (s *Service) run() {
@@ -180,7 +182,7 @@
 		return
 	}
 	s.voterStatus = present
-	s.log("duty-voter").Info("voter state changed",
+	level.Info(s.log("duty-voter")).Log("msg", "voter state changed",
 		"state", string(present.state), "leader", present.leader, "voters", present.voters, "why", status.Reason,
 	)
 }
--- a/internal/standalone/fleet/quotasync/service.go
+++ b/internal/standalone/fleet/quotasync/service.go
@@ -2,11 +2,12 @@
 
 import (
 	"context"
-	"log/slog"
 	"sync"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/fleet/gossip"
@@ -43,7 +44,7 @@
 	quotashare.Options
 	Gossip    Gossip
 	ClockRate float64 // seconds of the service's clock in a second: 1, except in fault tests
-	Log       *slog.Logger
+	Log       log.Logger
 }
 
 // Service divides quotas for one ingress. It implements engine.QuotaSharer and is safe for concurrent use.
@@ -174,7 +175,7 @@
 			e.SetGrants(a.Grants, a.Until-now)
 		case quotashare.WarnServers:
 			e.SetSuspects(a.Servers)
-			s.options.Log.Info("the servers that other ingresses find unhealthy have changed",
+			level.Info(s.options.Log).Log("msg", "the servers that other ingresses find unhealthy have changed",
 				"code", "share-warned", "servers", a.Servers,
 			)
 		}
@@ -182,12 +183,16 @@
 }
 
 func (s *Service) logCounterTrust(change quotashare.CounterTrustChanged) {
-	log := s.options.Log.With("why", change.Reason)
+	logger := log.With(s.options.Log, "why", change.Reason)
 	if change.Trusted {
-		log.Info("the counter is trusted again: quotas go by its totals", "code", "share-counter-trusted")
+		level.Info(logger).Log("msg", "the counter is trusted again: quotas go by its totals",
+			"code", "share-counter-trusted",
+		)
 		return
 	}
-	log.Warn("the counter is not trusted: quotas go by leased grants", "code", "share-counter-doubted")
+	level.Warn(logger).Log("msg", "the counter is not trusted: quotas go by leased grants",
+		"code", "share-counter-doubted",
+	)
 }
 
 // execute carries out the actions that don't need the engine.
--- a/internal/standalone/mgmt/server.go
+++ b/internal/standalone/mgmt/server.go
@@ -5,11 +5,13 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"strings"
 	"sync"
 	"time"
+
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 )
 
 const (
@@ -40,7 +42,7 @@
 // Server serves one management address.
 type Server struct {
 	Handler Handler
-	Log     *slog.Logger
+	Log     log.Logger
 
 	mu      sync.Mutex             // guards waiting
 	waiting map[net.Conn]time.Time // callers without an answer, by when they connected
@@ -57,7 +59,7 @@
 			return nil
 		}
 		if err != nil {
-			s.Log.Warn("management connection not accepted", "code", "mgmt-accept-failed", "error", err)
+			level.Warn(s.Log).Log("msg", "management connection not accepted", "code", "mgmt-accept-failed", "error", err)
 			time.Sleep(acceptRetry)
 			continue
 		}
@@ -102,7 +104,7 @@
 	case errors.Is(err, errTooLong), errors.Is(err, errEmpty):
 		code = "mgmt-bad-call"
 	case err != nil:
-		s.Log.Info("management connection ended", "code", endCode(err), "from", from)
+		level.Info(s.Log).Log("msg", "management connection ended", "code", endCode(err), "from", from)
 		return
 	default:
 		var ok bool
@@ -111,7 +113,7 @@
 		}
 	}
 	err = writeAnswer(c, status, lines)
-	s.Log.Info("management connection ended",
+	level.Info(s.Log).Log("msg", "management connection ended",
 		"code", code, "call", word, "from", from, "answer", status, "error", err,
 	)
 }
--- a/internal/standalone/node/catalogue.go
+++ b/internal/standalone/node/catalogue.go
@@ -3,6 +3,9 @@
 import (
 	"context"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/catalogue"
@@ -28,7 +31,7 @@
 	watcher := &catalogue.Watcher{Path: n.config.Catalogue, OnChange: onChange, Log: n.log}
 	n.spawn(func() {
 		if err := watcher.Run(ctx); err != nil {
-			n.log.Error("catalogue not watched; changes apply after a restart",
+			level.Error(n.log).Log("msg", "catalogue not watched; changes apply after a restart",
 				"code", "plans-watch-failed", "error", err,
 			)
 		}
@@ -116,19 +119,22 @@
 	if verdict == plans.VerdictDuplicate {
 		return
 	}
-	log := n.log.With(
+	logger := log.With(n.log,
 		"revision", r.Number, "digest", r.Digest(), "verdict", verdict.String(), "in_force", n.planState.InForce(now),
 	)
 	switch {
 	case verdict == plans.VerdictPending || verdict == plans.VerdictLate:
-		log.Info("new catalogue revision", "code", "plans-revised", "holds", r.EffectiveAt)
+		level.Info(logger).Log("msg", "new catalogue revision", "code", "plans-revised", "holds", r.EffectiveAt)
 	case verdict == plans.VerdictConflict && n.announcer != nil:
-		log.Warn("announced revision replaces a different one with the same number", "code", "plans-settled")
+		level.Warn(logger).Log("msg", "announced revision replaces a different one with the same number",
+			"code", "plans-settled",
+		)
 	case verdict == plans.VerdictConflict:
-		log.Error("two revisions have the same number; the one with the higher digest takes effect at all ingresses",
+		level.Error(logger).Log(
+			"msg", "two revisions have the same number; the one with the higher digest takes effect at all ingresses",
 			"code", "plans-conflict",
 		)
 	default:
-		log.Warn("revision ignored", "code", "plans-passed-over")
+		level.Warn(logger).Log("msg", "revision ignored", "code", "plans-passed-over")
 	}
 }
--- a/internal/standalone/node/node.go
+++ b/internal/standalone/node/node.go
@@ -3,13 +3,15 @@
 import (
 	"context"
 	"fmt"
-	"log/slog"
 	"net"
 	"os"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/ingress"
 	"mulleinrouter/internal/dataplane/upstream"
@@ -28,7 +30,7 @@
 // Node is one ingress.
 type Node struct {
 	config     *config.Config
-	log        *slog.Logger
+	log        log.Logger
 	listener   net.Listener
 	management net.Listener // nil: there is no management address
 	engine     *engine.Engine
@@ -59,8 +61,8 @@
 
 // Start returns a node that listens and serves. Limits that the configuration leaves at zero must have been set by
 // Tune.
-func Start(c *config.Config, log *slog.Logger) (*Node, error) {
-	n := &Node{config: c, log: log}
+func Start(c *config.Config, logger log.Logger) (*Node, error) {
+	n := &Node{config: c, log: logger}
 	var ctx context.Context
 	ctx, n.cancel = context.WithCancel(context.Background())
 	if err := n.start(ctx); err != nil {
@@ -91,7 +93,7 @@
 	directory := n.newWatcher()
 	if knowledge != nil {
 		customers, backends := n.engine.Restore(*knowledge)
-		n.log.Info("state of the older process restored",
+		level.Info(n.log).Log("msg", "state of the older process restored",
 			"code", "process-learned", "customers", customers, "servers", backends,
 		)
 	}
@@ -126,7 +128,9 @@
 	n.acceptLoops.Go(func() { n.server.Serve(n.listener) })
 	n.server.Started()
 	n.publishPhase()
-	n.log.Info("serving", "code", "process-started", "name", c.Name, "listen", n.Addr(), "mgmt", n.MgmtAddr())
+	level.Info(n.log).Log("msg", "serving",
+		"code", "process-started", "name", c.Name, "listen", n.Addr(), "mgmt", n.MgmtAddr(),
+	)
 	return nil
 }
 
--- a/internal/standalone/node/peers.go
+++ b/internal/standalone/node/peers.go
@@ -4,10 +4,12 @@
 	"context"
 	"errors"
 	"io/fs"
-	"log/slog"
 	"net"
 	"time"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/handover"
 	"mulleinrouter/internal/standalone/state"
@@ -31,7 +33,7 @@
 type peerProcesses struct {
 	folder *state.Folder
 	member *handover.Member
-	log    *slog.Logger
+	log    log.Logger
 
 	handedOver  map[int64]bool // newer processes that have been given this one's knowledge
 	failed      bool           // something could not be written or read in this exchange
@@ -41,14 +43,14 @@
 
 // newPeerProcesses makes this process known to others of the same ingress. It returns nil where there is no state
 // folder, or where no second process could listen on the address.
-func newPeerProcesses(dir, name, listen string, process int64, log *slog.Logger) *peerProcesses {
+func newPeerProcesses(dir, name, listen string, process int64, logger log.Logger) *peerProcesses {
 	if _, port, err := net.SplitHostPort(listen); dir == "" || err != nil || port == "0" {
 		return nil
 	}
 	return &peerProcesses{
 		folder:     state.Open(dir, name+" "+listen, process),
 		member:     handover.New(process, unixNow()),
-		log:        log,
+		log:        logger,
 		handedOver: map[int64]bool{},
 	}
 }
@@ -87,7 +89,7 @@
 	}
 	if p.failed = true; !p.reported {
 		p.reported = true
-		p.log.Warn("cannot exchange state with other processes of this ingress",
+		level.Warn(p.log).Log("msg", "cannot exchange state with other processes of this ingress",
 			"code", "state-unusable", "error", err,
 		)
 	}
@@ -109,11 +111,11 @@
 	p.reportFailure(p.folder.Write(peerRecord, view.Own))
 	if p.reported && !p.failed {
 		p.reported = false
-		p.log.Info("state exchanged with other processes of this ingress again", "code", "state-usable")
+		level.Info(p.log).Log("msg", "state exchanged with other processes of this ingress again", "code", "state-usable")
 	}
 	if overlapping := !view.Alone; overlapping != p.overlapping {
 		p.overlapping = overlapping
-		p.log.Info("another process of this ingress started or ended",
+		level.Info(p.log).Log("msg", "another process of this ingress started or ended",
 			"code", "process-overlap", "together", overlapping, "part", view.Own.Share,
 		)
 	}
--- a/internal/standalone/node/reload.go
+++ b/internal/standalone/node/reload.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"slices"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/standalone/config"
 	"mulleinrouter/internal/standalone/plans"
@@ -77,7 +79,7 @@
 		revision.Number, revision.EffectiveAt = n.lastReloadRevision, now
 		n.planState.Offer(revision, now)
 	})
-	n.log.Info("plans of the settings changed",
+	level.Info(n.log).Log("msg", "plans of the settings changed",
 		"code", "plans-revised", "revision", revision.Number, "digest", revision.Digest(),
 		"verdict", plans.VerdictLate.String(),
 	)
@@ -95,7 +97,7 @@
 	n.engine.Reconfigure(next.Classes, next.MaxAttempts)
 	n.server.SetClasses(next.Classes)
 	current.Classes, current.MaxAttempts = slices.Clone(next.Classes), next.MaxAttempts
-	n.log.Info("classes of the settings changed",
+	level.Info(n.log).Log("msg", "classes of the settings changed",
 		"code", "process-retuned", "classes", len(next.Classes), "attempts", next.MaxAttempts,
 	)
 }
--- a/internal/standalone/node/shutdown.go
+++ b/internal/standalone/node/shutdown.go
@@ -4,6 +4,8 @@
 	"slices"
 	"time"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/standalone/hotrestart"
 )
 
@@ -23,7 +25,7 @@
 	// A newer process may listen on the same address: new connections go there from now on, and those that are queued
 	// here are accepted before the listener closes, which would reset them.
 	if err := hotrestart.Steer(n.listener); err != nil {
-		n.log.Warn("cannot redirect new connections; they arrive here until the listener closes",
+		level.Warn(n.log).Log("msg", "cannot redirect new connections; they arrive here until the listener closes",
 			"code", "process-not-steered", "error", err,
 		)
 	}
--- a/internal/standalone/node/usage.go
+++ b/internal/standalone/node/usage.go
@@ -7,6 +7,8 @@
 	"slices"
 	"time"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/standalone/fleet/leaseservice"
 	"mulleinrouter/internal/standalone/usageexport"
 	"mulleinrouter/internal/standalone/usagesegment"
@@ -34,7 +36,7 @@
 	n.server.Meter = writer
 	n.closers = append(n.closers, func() {
 		if err := writer.Close(); err != nil {
-			n.log.Error("cannot close the last usage segment; the next start closes it",
+			level.Error(n.log).Log("msg", "cannot close the last usage segment; the next start closes it",
 				"code", "usage-bad-segment", "error", err,
 			)
 		}
@@ -119,7 +121,7 @@
 			return true
 		}
 		if !errors.Is(err, usageexport.ErrLocked) && !errors.Is(err, usagesegment.ErrLocked) {
-			n.log.Error("cannot export the usage records of another process; the command usage export does it",
+			level.Error(n.log).Log("msg", "cannot export the usage records of another process; the command usage export does it",
 				"code", "usage-bad-segment", "error", err,
 			)
 			return false
@@ -168,7 +170,7 @@
 	for ctx.Err() == nil {
 		result, err := exporter.Step(ctx)
 		if err == nil && !result.Sent {
-			n.log.Info("usage records of another process of this ingress exported",
+			level.Info(n.log).Log("msg", "usage records of another process of this ingress exported",
 				"code", "usage-inherited", "dir", dir,
 			)
 			return
--- a/internal/standalone/usageexport/batch.go
+++ b/internal/standalone/usageexport/batch.go
@@ -5,6 +5,8 @@
 	"encoding/hex"
 	"fmt"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/dataplane/usage"
 	"mulleinrouter/internal/standalone/usagesegment"
 )
@@ -70,7 +72,7 @@
 		return fmt.Errorf("usage: %s: %w", s.Path, err)
 	}
 	if report.Damaged+report.Lost > 0 {
-		e.Log.Error("usage records are damaged; the batch reports their number",
+		level.Error(e.Log).Log("msg", "usage records are damaged; the batch reports their number",
 			"code", "usage-damaged", "file", s.Path, "records", report.Damaged, "bytes", report.Lost,
 		)
 		b.Damaged += report.Damaged + min(report.Lost, 1)
--- a/internal/standalone/usageexport/exporter.go
+++ b/internal/standalone/usageexport/exporter.go
@@ -3,12 +3,13 @@
 import (
 	"context"
 	"fmt"
-	"log/slog"
 	"math/rand/v2"
 	"net/http"
 	"os"
 	"time"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 	"go.etcd.io/bbolt"
 
 	"mulleinrouter/internal/dataplane/usage"
@@ -24,7 +25,7 @@
 	Endpoint  string        // URL
 	Retention time.Duration // for which segments are kept after their last write, once they are acknowledged
 	Client    *http.Client  // nil: one with a time-out
-	Log       *slog.Logger
+	Log       log.Logger
 
 	db       *bbolt.DB
 	source   string
@@ -87,13 +88,15 @@
 			wait = time.Duration(delay * float64(time.Second))
 			if current := failureCode(result.Answer); current != code {
 				code = current
-				e.Log.Error("a batch of usage was not acknowledged; it is retried",
+				level.Error(e.Log).Log("msg", "a batch of usage was not acknowledged; it is retried",
 					"code", code, "wait", wait.String(), "error", err,
 				)
 			}
 		case result.Sent:
 			if failures > 0 {
-				e.Log.Info("batches of usage are acknowledged again", "code", "usage-export-resumed", "tries", failures)
+				level.Info(e.Log).Log("msg", "batches of usage are acknowledged again",
+					"code", "usage-export-resumed", "tries", failures,
+				)
 			}
 			failures = 0
 			code = ""
--- a/internal/standalone/usagesegment/run.go
+++ b/internal/standalone/usagesegment/run.go
@@ -6,6 +6,8 @@
 	"os"
 	"time"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/dataplane/usage"
 )
 
@@ -42,7 +44,7 @@
 	}
 	for _, f := range filled {
 		if err := f.seal(w.now()); err != nil {
-			w.log.Error("cannot close a segment; the next start retries",
+			level.Error(w.log).Log("msg", "cannot close a segment; the next start retries",
 				"code", "usage-bad-segment", "file", f.path, "error", err,
 			)
 		}
@@ -55,7 +57,7 @@
 	}
 	// Close doesn't wait for this sync: a file that it has closed is an error here, which doesn't matter.
 	if err := current.Sync(); err != nil && !errors.Is(err, os.ErrClosed) {
-		w.log.Error("cannot sync usage records; a power loss may lose them",
+		level.Error(w.log).Log("msg", "cannot sync usage records; a power loss may lose them",
 			"code", "usage-sync-failed", "error", err,
 		)
 	}
--- a/internal/standalone/usagesegment/writer.go
+++ b/internal/standalone/usagesegment/writer.go
@@ -5,13 +5,15 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"log/slog"
 	"os"
 	"path/filepath"
 	"sync"
 	"syscall"
 	"time"
 
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/dataplane/usage"
 )
 
@@ -23,7 +25,7 @@
 type Writer struct {
 	dir      string
 	rotate   time.Duration // greatest age of a segment with records
-	log      *slog.Logger
+	log      log.Logger
 	now      func() time.Time
 	allocate allocator
 	lock     *os.File      // locks the folder
@@ -46,17 +48,17 @@
 // Open locks a folder, which it creates if needed, and closes the segments that an earlier run left open. A
 // segment with records is closed once it is older than rotate. The error is ErrLocked or one of the file
 // system.
-func Open(dir string, rotate time.Duration, log *slog.Logger) (*Writer, error) {
-	return open(dir, rotate, log, time.Now, allocate)
+func Open(dir string, rotate time.Duration, logger log.Logger) (*Writer, error) {
+	return open(dir, rotate, logger, time.Now, allocate)
 }
 
 func open(
-	dir string, rotate time.Duration, log *slog.Logger, now func() time.Time, allocate allocator,
+	dir string, rotate time.Duration, logger log.Logger, now func() time.Time, allocate allocator,
 ) (*Writer, error) {
 	w := &Writer{
 		dir:      dir,
 		rotate:   rotate,
-		log:      log,
+		log:      logger,
 		now:      now,
 		allocate: allocate,
 		wake:     make(chan struct{}, 1),
@@ -98,7 +100,7 @@
 			continue
 		}
 		if err := closeLeftOpen(s.Path, w.now()); err != nil {
-			w.log.Error("cannot close a segment that an earlier run left open; it stays as it is",
+			level.Error(w.log).Log("msg", "cannot close a segment that an earlier run left open; it stays as it is",
 				"code", "usage-bad-segment", "file", s.Path, "error", err,
 			)
 		}
@@ -119,7 +121,7 @@
 	if err != nil {
 		w.current = nil
 		if w.missed.Requests == 0 {
-			w.log.Error("no space to record usage; requests are served, unrecorded usage is counted",
+			level.Error(w.log).Log("msg", "no space to record usage; requests are served, unrecorded usage is counted",
 				"code", "usage-full", "error", err,
 			)
 		}
@@ -127,7 +129,7 @@
 	}
 	w.current = next
 	if w.missed.Requests > 0 {
-		w.logMissed("usage-resumed").Warn("usage is recorded again; some was not")
+		level.Warn(w.logMissed("usage-resumed")).Log("msg", "usage is recorded again; some was not")
 		w.append(&usage.Record{Kind: usage.Unmetered, Unmetered: w.missed})
 		w.missed = usage.Sum{}
 	}
@@ -220,8 +222,8 @@
 }
 
 // logMissed returns a logger whose lines say what was not recorded. w.mu must be held.
-func (w *Writer) logMissed(code string) *slog.Logger {
-	return w.log.With("code", code, "tries", w.missed.Requests, "units", w.missed.InUnits())
+func (w *Writer) logMissed(code string) log.Logger {
+	return log.With(w.log, "code", code, "tries", w.missed.Requests, "units", w.missed.InUnits())
 }
 
 // Close closes the current segment and unlocks the folder. Later records are counted as missed, and lost.
@@ -233,7 +235,9 @@
 	}
 	w.closed = true
 	if w.missed.Requests > 0 {
-		w.logMissed("usage-unmetered").Error("some usage was not recorded, and is reported in this line only")
+		level.Error(w.logMissed("usage-unmetered")).Log(
+			"msg", "some usage was not recorded, and is reported in this line only",
+		)
 	}
 	if w.current != nil {
 		w.filled = append(w.filled, w.current)
