--- a/internal/standalone/cli/output.go
+++ b/internal/standalone/cli/output.go
@@ -8,11 +8,7 @@
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
-const (
-	outputJSON = "json" // of the log
-
-	millisecondsPerSecond = 1000
-)
+const millisecondsPerSecond = 1000
 
 // writeJSON writes a value as one line of JSON.
 func writeJSON(w io.Writer, v any) error { return jsontext.NewEncoder(w).Encode(v) }
