--- a/cmd/emulator/try.go
+++ b/cmd/emulator/try.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/emulator/loopback"
 )
@@ -50,7 +51,7 @@
 		return err
 	}
 	for _, fault := range schedule {
-		logger.Log("msg", "fault planned", "at", fault.At, "name", fault.Name, "target", fault.Target)
+		level.Info(logger).Log("msg", "fault planned", "at", fault.At, "name", fault.Name, "target", fault.Target)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -14,6 +14,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/cluster/metrics"
 	"mulleinrouter/internal/cluster/registry"
@@ -159,7 +160,7 @@
 			failed <- errors.Wrap(err, "control calls")
 		}
 	})
-	n.log.Log("msg", "started", "node", n.settings.Node, "control", n.self, "incarnation", n.incarnation)
+	level.Info(n.log).Log("msg", "started", "node", n.settings.Node, "control", n.self, "incarnation", n.incarnation)
 	linger := n.linger
 	handedOver := make(chan struct{})
 	select {
@@ -167,7 +168,7 @@
 		linger = 0
 		close(handedOver)
 	case <-ctx.Done():
-		n.log.Log("msg", "shutting down")
+		level.Info(n.log).Log("msg", "shutting down")
 		go func() {
 			defer close(handedOver)
 			n.electorate.HandOver(work)
@@ -181,7 +182,7 @@
 	if disk := n.disk.Load(); disk != nil {
 		err = errors.CombineErrors(err, disk.Close())
 	}
-	n.log.Log("msg", "stopped")
+	level.Info(n.log).Log("msg", "stopped")
 	return err
 }
 
@@ -269,7 +270,8 @@
 	n.ingresses.Restore(state.Members)
 	n.disk.Store(disk)
 	n.notifyWatch()
-	n.log.Log("msg", "storage opened", "empty", state.Empty, "epoch", state.Acceptor.Epoch, "items", len(state.Items),
+	level.Info(n.log).Log(
+		"msg", "storage opened", "empty", state.Empty, "epoch", state.Acceptor.Epoch, "items", len(state.Items),
 		"instances", len(state.Instances), "votes", n.replica.IsVoter())
 	n.electorate.Join(ctx, wg)
 	return nil
--- a/internal/dataplane/ingress/pending_request.go
+++ b/internal/dataplane/ingress/pending_request.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"github.com/sirupsen/logrus"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/engine"
@@ -35,7 +35,7 @@
 // rejectRequest answers a request that is not submitted.
 func (c *conn) rejectRequest(r *http1.Request, e *RequestError) (code string, err error) {
 	s := c.server
-	s.log.WithFields(logrus.Fields{"code": e.Code, "status": e.Status}).Warn("bad request")
+	level.Warn(s.log).Log("msg", "bad request", "code", e.Code, "status", e.Status)
 	if class := r.Header.Get(keyClass); class != "" {
 		s.stats.of(class).countAnswer(e.Status)
 	}
--- a/internal/proxy/control_feed.go
+++ b/internal/proxy/control_feed.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/registry"
@@ -83,7 +84,9 @@
 	if len(update.Items) > 0 {
 		cf.engine.ExpectDisruption(cf.disruptionWindow())
 		cf.table.Store(cf.table.Load().With(cf.store.Snapshot(), update.Items))
-		cf.log.Log("msg", "configuration in force", "epoch", newestEpoch(update.Items), "items", len(update.Items))
+		level.Info(cf.log).Log("msg", "configuration in force",
+			"epoch", newestEpoch(update.Items), "items", len(update.Items),
+		)
 	}
 	if len(update.Instances) > 0 {
 		cf.engine.SetBackends(decision.Backends{List: cf.backends(update.Instances)})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -2,12 +2,10 @@
 
 import (
 	"hash/fnv"
-	"io"
 	"math/rand/v2"
 	"time"
 
 	"github.com/go-kit/log"
-	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/cluster/metrics"
 	"mulleinrouter/internal/cluster/replication"
@@ -100,7 +98,7 @@
 // connectDataPlane connects the decision module, the engine, the pool of connections to servers and the clients'
 // server.
 func (p *Proxy) connectDataPlane(seed, incarnation uint64, clock *replication.Clock) {
-	logger := discardLogger()
+	logger := log.NewNopLogger() // to log each connection would cost too much processor time here
 	decisions := p.decisionSettings(seed)
 	p.control.engine = engine.New(decision.New(*decisions, seed^incarnation), decisions, engine.NewClockOf(clock.Now))
 	p.translator = newTranslator(p.control, newSplitter(rand.New(rand.NewPCG(seed, incarnation))))
@@ -152,14 +150,6 @@
 	}
 }
 
-// discardLogger returns the logger of the data plane: to log each connection would cost too much processor time here.
-func discardLogger() *logrus.Logger {
-	logger := logrus.New()
-	logger.SetOutput(io.Discard)
-	logger.SetLevel(logrus.ErrorLevel)
-	return logger
-}
-
 // Ready reports whether this proxy takes new clients.
 func (p *Proxy) Ready() bool { return p.ingress.Phase() == decision.Serving }
 
--- a/internal/proxy/translator_test.go
+++ b/internal/proxy/translator_test.go
@@ -20,6 +20,7 @@
 	"mulleinrouter/internal/dataplane/ingress"
 	"mulleinrouter/internal/dataplane/upstream"
 	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // testConfig is a complete configuration of three routes, two tenants and two services.
@@ -279,7 +280,7 @@
 		Connections:    9,
 		ConnectTimeout: time.Second,
 		Keepalive:      time.Minute,
-	}, discardLogger())
+	}, logtest.Discard())
 	p.Dialect = upstream.Dialect{AppendHead: appendRequestHead, Meaning: classifyAnswer, IDField: headerAttemptID}
 	for _, id := range []string{"first", "second", "third"} {
 		r := p.Do(t.Context(), "i-1", &upstream.Message{
--- a/internal/standalone/fleet/gossip/record.go
+++ b/internal/standalone/fleet/gossip/record.go
@@ -6,6 +6,8 @@
 	"io/fs"
 	"time"
 
+	"github.com/go-kit/log/level"
+
 	"mulleinrouter/internal/standalone/fleet/membership"
 )
 
@@ -23,8 +25,9 @@
 		return Record{Boot: uint64(time.Now().Unix())}
 	}
 	if err := f.options.Store.Read(&r); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		f.log.WithField("code", "fleet-record-unusable").WithError(err).
-			Warn("the membership record cannot be read; peers are asked for the boot count")
+		level.Warn(f.log).Log("msg", "the membership record cannot be read; peers are asked for the boot count",
+			"code", "fleet-record-unusable", "error", err,
+		)
 		return Record{}
 	}
 	return r
@@ -85,18 +88,20 @@
 
 // recordWritten applies the outcome of writing the record.
 func (r *runner) recordWritten(result writeResult) {
-	log := r.fleet.log
+	logger := r.fleet.log
 	r.writing = false
 	if result.err != nil {
 		if !r.writeFailed {
-			log.WithField("code", "fleet-disk").WithError(result.err).
-				Error("the membership record cannot be written; an incarnation that is not on disk is not announced")
+			level.Error(logger).Log(
+				"msg", "the membership record cannot be written; an incarnation that is not on disk is not announced",
+				"code", "fleet-disk", "error", result.err,
+			)
 		}
 		r.writeFailed = true
 		return
 	}
 	if r.writeFailed {
-		log.WithField("code", "fleet-disk-usable").Info("the membership record can be written again")
+		level.Info(logger).Log("msg", "the membership record can be written again", "code", "fleet-disk-usable")
 	}
 	r.writeFailed = false
 	if r.pendingBoot != nil && result.boot == *r.pendingBoot {
--- a/internal/standalone/fleet/leaseservice/service.go
+++ b/internal/standalone/fleet/leaseservice/service.go
@@ -9,7 +9,8 @@
 	"sync"
 	"time"
 
-	"github.com/sirupsen/logrus"
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/standalone/fleet/membership"
 	"mulleinrouter/internal/standalone/fleet/quorum"
@@ -98,7 +99,7 @@
 	tokenBase := uint64(time.Now().Unix()) << tokenBaseShift
 	voter, err := quorum.Open(name, s.options.Voters, store, tokenBase)
 	if err != nil {
-		s.log("duty-voter-unusable").WithError(err).Error("voter disabled: its store cannot be opened")
+		level.Error(s.log("duty-voter-unusable")).Log("msg", "voter disabled: its store cannot be opened", "error", err)
 	}
 	s.voter = voter
 }
@@ -130,7 +131,8 @@
 
 func (s *Service) self() string { return s.options.Fleet.Self().Name }
 
-func (s *Service) log(code string) *logrus.Entry { return s.options.Log.WithField("code", code) }
+// log returns a logger whose lines have a code.
+func (s *Service) log(code string) log.Logger { return log.With(s.options.Log, "code", code) }
 
 // run handles messages and ticks until the service is stopped.
 func (s *Service) run() {
@@ -180,12 +182,9 @@
 		return
 	}
 	s.voterStatus = present
-	s.log("duty-voter").WithFields(logrus.Fields{
-		"state":  string(present.state),
-		"leader": present.leader,
-		"voters": present.voters,
-		"why":    status.Reason,
-	}).Info("voter state changed")
+	level.Info(s.log("duty-voter")).Log("msg", "voter state changed",
+		"state", string(present.state), "leader", present.leader, "voters", present.voters, "why", status.Reason,
+	)
 }
 
 // FencingToken returns the token under which this ingress may act on a role now; ok is false where it may not.
--- a/internal/standalone/fleet/leaseservice/service_test.go
+++ b/internal/standalone/fleet/leaseservice/service_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"mulleinrouter/internal/logging/logtest"
 	"mulleinrouter/internal/standalone/fleet/gossip"
 	"mulleinrouter/internal/standalone/fleet/membership"
-	"mulleinrouter/internal/standalone/logtest"
 )
 
 // testTimeout bounds what a test waits for. A lease takes an election of about a second.
@@ -37,8 +37,8 @@
 // startService starts a service that is the only voter.
 func startService(t *testing.T, change func(*Options)) *Service {
 	t.Helper()
-	log := logtest.Discard()
-	o := Options{Fleet: fakeFleet{"n1"}, Voters: []string{"n1"}, Dir: t.TempDir(), Log: log}
+	logger := logtest.Discard()
+	o := Options{Fleet: fakeFleet{"n1"}, Voters: []string{"n1"}, Dir: t.TempDir(), Log: logger}
 	if change != nil {
 		change(&o)
 	}
--- a/internal/standalone/node/catalogue.go
+++ b/internal/standalone/node/catalogue.go
@@ -3,7 +3,8 @@
 import (
 	"context"
 
-	"github.com/sirupsen/logrus"
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/decision"
@@ -30,8 +31,9 @@
 	watcher := &catalogue.Watcher{Path: n.config.Catalogue, OnChange: onChange, Log: n.log}
 	n.spawn(func() {
 		if err := watcher.Run(ctx); err != nil {
-			n.log.WithField("code", "plans-watch-failed").WithError(err).
-				Error("catalogue not watched; changes apply after a restart")
+			level.Error(n.log).Log("msg", "catalogue not watched; changes apply after a restart",
+				"code", "plans-watch-failed", "error", err,
+			)
 		}
 	})
 	return nil
@@ -117,19 +119,22 @@
 	if verdict == plans.VerdictDuplicate {
 		return
 	}
-	entry := n.log.WithFields(logrus.Fields{
-		"revision": r.Number, "digest": r.Digest(), "verdict": verdict.String(), "in_force": n.planState.InForce(now),
-	})
+	logger := log.With(n.log,
+		"revision", r.Number, "digest", r.Digest(), "verdict", verdict.String(), "in_force", n.planState.InForce(now),
+	)
 	switch {
 	case verdict == plans.VerdictPending || verdict == plans.VerdictLate:
-		entry.WithFields(logrus.Fields{"code": "plans-revised", "holds": r.EffectiveAt}).Info("new catalogue revision")
+		level.Info(logger).Log("msg", "new catalogue revision", "code", "plans-revised", "holds", r.EffectiveAt)
 	case verdict == plans.VerdictConflict && n.announcer != nil:
-		entry.WithField("code", "plans-settled").
-			Warn("announced revision replaces a different one with the same number")
+		level.Warn(logger).Log("msg", "announced revision replaces a different one with the same number",
+			"code", "plans-settled",
+		)
 	case verdict == plans.VerdictConflict:
-		entry.WithField("code", "plans-conflict").
-			Error("two revisions have the same number; the one with the higher digest takes effect at all ingresses")
+		level.Error(logger).Log(
+			"msg", "two revisions have the same number; the one with the higher digest takes effect at all ingresses",
+			"code", "plans-conflict",
+		)
 	default:
-		entry.WithField("code", "plans-passed-over").Warn("revision ignored")
+		level.Warn(logger).Log("msg", "revision ignored", "code", "plans-passed-over")
 	}
 }
