--- a/internal/proxy/shedding.go
+++ b/internal/proxy/shedding.go
@@ -20,11 +20,14 @@
 	blockedDelay = time.Second            // with that delay nothing that is admitted now would be answered in time
 	shedDecrease = 0.85                   // of the admitted share, for each step under too much load
 	// of the admitted share, for each step in which everything is late already
-	blockDecrease   = 0.6
-	shedIncrease    = 1.02                    // of the admitted share, for each step with capacity left
-	minShare        = 0.03                    // or nothing would show that there is capacity again
-	maxSteps        = 10.0                    // that are made up for at once, where admitted was not called meanwhile
-	linkDelayTTL    = 1200 * time.Millisecond // for which an observed delay is valid
+	blockDecrease = 0.6
+	shedIncrease  = 1.02                    // of the admitted share, for each step with capacity left
+	minShare      = 0.03                    // or nothing would show that there is capacity again
+	maxSteps      = 10.0                    // that are made up for at once, where admitted was not called meanwhile
+	linkDelayTTL  = 1200 * time.Millisecond // for which an observed delay is valid
+	// freshDelay is for how long a small delay shows that no queue stands: updates come about every 400 ms, and those
+	// that would tell of a queue are in it.
+	freshDelay      = 600 * time.Millisecond
 	bytesPerMegabit = 1e6 / 8
 )
 
@@ -72,11 +75,15 @@
 	return s.delay
 }
 
-// nothingEstablished tells that no connection was established while the address was open for a while: whatever the load
-// and the last known delay, the queue at the link is longer than that.
-func (s *shedder) nothingEstablished() {
+// nothingEstablished tells that no connection was established while the address was open for a while: whatever the
+// load, the queue at the link is longer than that, unless an update has just come through without delay. Then no client
+// came, and a machine that nobody uses must open again.
+func (s *shedder) nothingEstablished(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	if s.delay <= shedDelay && now.Sub(s.observedAt) <= freshDelay {
+		return
+	}
 	s.share = max(minShare, s.share*blockDecrease)
 }
 
--- a/internal/proxy/shedding_flood_test.go
+++ b/internal/proxy/shedding_flood_test.go
@@ -108,7 +108,7 @@
 		fl.open = false
 		established := fl.accepted > fl.acceptedAt
 		if !established {
-			fl.shedder.nothingEstablished()
+			fl.shedder.nothingEstablished(fl.at())
 		}
 		fl.changesAt = fl.now + closedPeriod(share, fl.openTime, established, fl.shedder.standingDelay(fl.at()))
 	}
@@ -189,7 +189,7 @@
 }
 
 // TestStandingDelay checks that a delay counts while it is fresh and more than a burst, and that periods in which no
-// connection was established lower the share whatever is known of load and delay.
+// connection was established lower the share unless an update has just come without delay.
 func TestStandingDelay(t *testing.T) {
 	now, s := time.Unix(1000, 0), newShedder(2)
 	expect := func(want time.Duration) {
@@ -206,9 +206,33 @@
 	now = now.Add(linkDelayTTL + 1)
 	expect(0)
 	for _, want := range []float64{blockDecrease, blockDecrease * blockDecrease} {
-		s.nothingEstablished()
+		s.nothingEstablished(now)
 		if got := s.admitted(now); got != want {
 			t.Errorf("admitted share %v, want %v", got, want)
 		}
 	}
 }
+
+// TestUnusedMachineOpensAgain checks that a machine which shed load admits all again once its link is free, also where
+// no client comes meanwhile.
+func TestUnusedMachineOpensAgain(t *testing.T) {
+	now, s := time.Unix(1000, 0), newShedder(2)
+	s.admitted(now)
+	s.observe(now, 2*blockedDelay, true)
+	now = now.Add(time.Second)
+	share := s.admitted(now)
+	if share > 0.1 {
+		t.Fatalf("admitted share %v after a second of a queue", share)
+	}
+	for end := now.Add(30 * time.Second); now.Before(end) && share < 1; {
+		open := openPeriod(share)
+		now = now.Add(open)
+		s.observe(now, time.Millisecond, true)
+		s.nothingEstablished(now)
+		now = now.Add(closedPeriod(share, open, false, s.standingDelay(now)))
+		share = s.admitted(now)
+	}
+	if share < 1 {
+		t.Errorf("admitted share %v half a minute after the queue has gone", share)
+	}
+}
--- a/internal/proxy/shedding_listener.go
+++ b/internal/proxy/shedding_listener.go
@@ -145,11 +145,12 @@
 		if !retry.Sleep(ctx, open) {
 			return
 		}
+		now := time.Now()
 		established := sl.accepted.Load() > before
 		if !established {
-			sl.shedder.nothingEstablished()
+			sl.shedder.nothingEstablished(now)
 		}
-		closed := closedPeriod(share, open, established, sl.shedder.standingDelay(time.Now()))
+		closed := closedPeriod(share, open, established, sl.shedder.standingDelay(now))
 		if !sl.suspend() || !retry.Sleep(ctx, closed) || !sl.resume(ctx) {
 			return
 		}
