--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -53,6 +53,23 @@
 	return max(0, class.Deadline*(1-(e.TimeLeft+tickInterval)/longest))
 }
 
+// lowestValueWindow is how long a value counts as the lowest, in seconds.
+const lowestValueWindow = 10.0
+
+// lowestValue is the lowest value of a group's recent requests that conformed and were not late. A late
+// request that is worth more keeps its priority: an urgent kind with a short latency target is late before a
+// less urgent one, which would then take its place.
+type lowestValue struct {
+	value      float64
+	observedAt Seconds
+}
+
+func (lv *lowestValue) observe(now Seconds, value float64) {
+	if value <= lv.value || now-lv.observedAt > lowestValueWindow {
+		*lv = lowestValue{value: value, observedAt: now}
+	}
+}
+
 // admit forwards a request, or rejects it, once it is known whether it conforms to its quota.
 func (g *Gateway) admit(r *request) {
 	plan := r.customer.plan
@@ -60,7 +77,9 @@
 	r.lowPriority = !r.conforming
 	if g.now+r.pool.latency > r.targetAt {
 		r.value *= r.class.LateValue
-		r.lowPriority = true
+		r.lowPriority = r.lowPriority || r.value <= r.pool.lowestValue.value
+	} else if r.conforming {
+		r.pool.lowestValue.observe(g.now, r.value)
 	}
 	if !r.conforming {
 		r.value *= plan.ExcessValue - plan.ExcessCost
@@ -70,7 +89,7 @@
 		}
 	}
 	if !g.requestSharedLimit(r) {
-		g.dispatch(r)
+		g.dispatchArrival(r)
 	}
 }
 
--- a/internal/decision/backend_pools.go
+++ b/internal/decision/backend_pools.go
@@ -47,6 +47,8 @@
 	retryBudget        retry.Budget
 	sendRate           float64 // attempts a second
 	lastUsedAt         Seconds // when a request last was for it
+	waiting            waitingValues
+	lowestValue        lowestValue
 }
 
 // poolFor returns the pool of a group of backends. It creates one that is not known.
@@ -60,6 +62,7 @@
 			meanSize:      1,
 			retryBudget:   g.newRetryBudget(),
 			trialTokens:   minSubset,
+			lowestValue:   lowestValue{value: math.Inf(1)},
 		}
 		g.poolsByGroup[name] = p
 		g.pools = append(g.pools, p)
