--- a/internal/decision/queue.go
+++ b/internal/decision/queue.go
@@ -30,6 +30,11 @@
 	return w.usual
 }
 
+// holdsUp reports whether a request stays in the queue without a look for a backend: one as valuable that
+// finds capacity wherever this one does waits, or this one earns nothing any more. The latter leaves capacity
+// to what may yet arrive, and takes what there is at its deadline.
+func (w *waitingValues) holdsUp(r *request) bool { return r.value <= w.before(r) }
+
 // dispatch starts the first attempt of a request, or queues it until a backend can take it. No request goes
 // before a more valuable one of its group that waits.
 func (g *Gateway) dispatch(r *request) {
@@ -87,8 +92,8 @@
 	for _, r := range waiting {
 		switch {
 		case r.answered:
-		case r.value <= r.pool.waiting.before(r) && g.now < r.queueDeadline():
-			g.enqueue(r) // there was no capacity for a more valuable one of its group
+		case r.pool.waiting.holdsUp(r) && g.now < r.queueDeadline():
+			g.enqueue(r)
 		default:
 			g.dispatch(r)
 		}
--- a/internal/decision/queue_test.go
+++ b/internal/decision/queue_test.go
@@ -52,3 +52,23 @@
 		t.Error("not a repeat: its client is in a hurry, no more")
 	}
 }
+
+// A late request that earns nothing any more leaves free capacity to others until its deadline in the queue.
+func TestQueuedRequestWithoutValueWaitsForItsDeadline(t *testing.T) {
+	s := testSettings()
+	s.Classes[0].LateValue = 0
+	g := startedGateway(t, s, servingBackend("x"))
+	g.defaultPool.latency = 2 // too late from the start
+	g.backends["x"].limit = 2 // one for late ones
+	g.Handle(1, testRequest(1, "safe", "free"))
+	if out := g.Handle(1, testRequest(2, "safe", "free")); len(out) != 0 {
+		t.Fatalf("not queued: %v", out)
+	}
+	g.backends["x"].limit = 12
+	if sent := actionsOf[Send](runTicks(g, 1.05, 1.35)); len(sent) != 0 {
+		t.Errorf("sent %v before the deadline", sent)
+	}
+	if sent := actionsOf[Send](runTicks(g, 1.4, 1.5)); len(sent) != 1 || sent[0].ID != 2 {
+		t.Errorf("sent %v at the deadline, want 2", sent)
+	}
+}
