--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -7,6 +7,8 @@
 	"github.com/alecthomas/kong"
 	"github.com/go-kit/log"
 	"github.com/pkg/errors"
+
+	"mulleinrouter/internal/logging"
 )
 
 // Exit codes.
@@ -25,7 +27,7 @@
 }
 
 func main() {
-	logger := log.With(log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)), "part", "emulator")
+	logger := log.With(logging.New(os.Stderr, logging.Logfmt, logging.LevelInfo), "part", "emulator")
 	var p program
 	parser := kong.Must(
 		&p,
--- a/internal/cluster/command/doc.go
+++ b/internal/cluster/command/doc.go
@@ -5,7 +5,7 @@
 //   - settings.go: the file of link faults, and the program's start;
 //   - errors.go: which errors end a program with which exit code.
 //
-// What mulleinrouter has too is in package commandline. This one imports it, settings, metrics and linkfaults, and
-// nothing else of the project. The programs themselves are in cmd, which only wires; the tests of package
+// What mulleinrouter has too is in package commandline. This one imports it, settings, metrics, linkfaults and logging,
+// and nothing else of the project. The programs themselves are in cmd, which only wires; the tests of package
 // emulator/loopback run them as processes.
 package command
--- a/internal/cluster/command/settings.go
+++ b/internal/cluster/command/settings.go
@@ -11,6 +11,7 @@
 	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/cluster/linkfaults"
 	"mulleinrouter/internal/cluster/settings"
+	"mulleinrouter/internal/logging"
 )
 
 // LinkFaultsFlag is the file of package linkfaults as a flag of a command.
@@ -51,5 +52,8 @@
 	return s, nil
 }
 
-// NewLogger returns the logger of a program: logfmt on standard error.
-func NewLogger() log.Logger { return log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)) }
+// NewLogger returns the logger of a program, on standard error: in the format of the settings, with the given level,
+// which a program takes from a settings.Watcher if it reads its settings again while it runs.
+func NewLogger(s *settings.Settings, leveler logging.Leveler) log.Logger {
+	return logging.New(os.Stderr, s.Log.Format, leveler)
+}
--- a/internal/control/peers/set.go
+++ b/internal/control/peers/set.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/cluster/replication"
 	"mulleinrouter/internal/cluster/transport"
@@ -92,10 +93,10 @@
 	}
 	client.OnConnection = func(up bool, err error) {
 		if up {
-			o.Log.Log("msg", "peer connected", "peer", addr)
+			level.Info(o.Log).Log("msg", "peer connected", "peer", addr)
 			o.OnConnected()
 		} else {
-			o.Log.Log("msg", "peer disconnected", "peer", addr, "err", err)
+			level.Warn(o.Log).Log("msg", "peer disconnected", "peer", addr, "err", err)
 		}
 	}
 	if o.Dial != nil {
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -10,6 +10,7 @@
 	"github.com/cockroachdb/pebble/v2"
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 )
 
 const (
@@ -137,7 +138,7 @@
 		}
 		err := s.commit(future)
 		if err != nil {
-			s.log.Log("msg", "batch not saved", "err", err)
+			level.Error(s.log).Log("msg", "batch not saved", "err", err)
 		}
 		future.resolve(err)
 	}
@@ -203,8 +204,8 @@
 // logDiskState logs that the disk rejects what is asked of it, or, with nil, that it works again.
 func (s *Store) logDiskState(err error) {
 	if err != nil {
-		s.log.Log("msg", "disk failing, retrying", "err", err)
+		level.Error(s.log).Log("msg", "disk failing, retrying", "err", err)
 	} else {
-		s.log.Log("msg", "disk recovered")
+		level.Info(s.log).Log("msg", "disk recovered")
 	}
 }
--- a/internal/dataplane/engine/engine.go
+++ b/internal/dataplane/engine/engine.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/sirupsen/logrus"
+	"github.com/go-kit/log"
 
 	"mulleinrouter/internal/dataplane/attempt"
 	"mulleinrouter/internal/decision"
@@ -14,7 +14,7 @@
 
 // Engine owns the dispatcher, with the gateway and the pending requests.
 type Engine struct {
-	Log *logrus.Logger // of counts and of illegal steps; nil: none. It is set before Start.
+	Log log.Logger // of counts and of illegal steps; nil: none. It is set before Start.
 
 	clock     *Clock
 	counter   Counter                     // nil: none
--- a/internal/dataplane/ingress/lifecycle.go
+++ b/internal/dataplane/ingress/lifecycle.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/sirupsen/logrus"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/http1"
@@ -46,8 +46,9 @@
 		}
 	}
 	if after := s.lifecycle.Phase(); after != before {
-		fields := logrus.Fields{"code": "process-phase", "phase": after.String(), "was": before.String()}
-		s.log.WithFields(fields).Info("process phase changed")
+		level.Info(s.log).Log("msg", "process phase changed",
+			"code", "process-phase", "phase", after.String(), "was", before.String(),
+		)
 	}
 	return effective
 }
--- a/internal/standalone/cli/help.go
+++ b/internal/standalone/cli/help.go
@@ -18,8 +18,10 @@
 		"file of the system.",
 	"checkProgram": "Program that a settings file is for: proxy, agent or control. Default: those of its role or " +
 		"its class of machine.",
-	"shells":    strings.Join(completion.Shells, ","),
-	"logFormat": "Form of the log: text or json. Default: what the configuration says, or text.",
+	"shells": strings.Join(completion.Shells, ","),
+	"logLevel": "Least severe level of the log: debug, info, warn or error. Default: what the configuration says, " +
+		"or info.",
+	"logFormat": "Form of the log: logfmt or json. Default: what the configuration says, or logfmt.",
 	"serve": "Serve clients (the default). Without -c, the configuration is that of NODE_CONFIG, as the " +
 		"platform gives it.",
 	"check": "Check a file of either program, and say what is in it. Each error is reported with its file, line and " +
--- a/internal/standalone/cli/serve.go
+++ b/internal/standalone/cli/serve.go
@@ -7,8 +7,10 @@
 	"os/signal"
 	"syscall"
 
-	"github.com/sirupsen/logrus"
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 
+	"mulleinrouter/internal/logging"
 	"mulleinrouter/internal/standalone/config"
 	"mulleinrouter/internal/standalone/faultinjection"
 	"mulleinrouter/internal/standalone/node"
@@ -55,7 +57,10 @@
 	out := newBufferedLog(p.err)
 	defer out.Flush()
 	go out.run()
-	logger := newLogger(out, p.LogFormat, c.LogFormat)
+	logs := p.logSettings(c.Log)
+	var inForce logging.LevelVar
+	inForce.Set(logs.Level)
+	logger := logging.New(out, logs.Format, &inForce)
 
 	n, err := node.Start(c, logger)
 	if err != nil {
@@ -64,20 +69,21 @@
 	out.Flush()
 	go func() { // until the process exits
 		for range hangUp {
-			reloadNode(n, logger, reload)
+			reloadNode(n, logger, reload, func(c *config.Config) { inForce.Set(p.logSettings(c.Log).Level) })
 		}
 	}()
 
 	received := <-terminate
-	logger.WithFields(logrus.Fields{"code": "process-stopping", "signal": received.String()}).Info("shutting down")
+	level.Info(logger).Log("msg", "shutting down", "code", "process-stopping", "signal", received.String())
 	out.Flush()
 	n.Drain()
-	logger.WithField("code", "process-stopped").Info("all requests answered")
+	level.Info(logger).Log("msg", "all requests answered", "code", "process-stopped")
 	return nil
 }
 
-// reloadNode applies the configuration as it is now. One that cannot be used changes nothing.
-func reloadNode(n *node.Node, logger *logrus.Logger, reload loadConfig) {
+// reloadNode applies the configuration as it is now, and calls applied with it before it logs that. One that cannot be
+// used changes nothing.
+func reloadNode(n *node.Node, logger log.Logger, reload loadConfig, applied func(*config.Config)) {
 	c, err := reload(os.Getenv)
 	if err == nil {
 		if err = n.Reload(c); err != nil {
@@ -86,9 +92,11 @@
 	}
 	n.CountReload(err == nil)
 	if err != nil {
-		logger.WithField("code", "process-reload-failed").WithError(err).Error("configuration rejected; unchanged")
+		level.Error(logger).Log("msg", "configuration rejected; unchanged", "code", "process-reload-failed", "error", err)
 		return
 	}
-	logger.WithFields(logrus.Fields{"code": "process-reloaded", "discovery": c.Discovery, "counter": c.Counter}).
-		Info("configuration reloaded")
+	applied(c)
+	level.Info(logger).Log("msg", "configuration reloaded",
+		"code", "process-reloaded", "discovery", c.Discovery, "counter", c.Counter,
+	)
 }
--- a/internal/standalone/counterclient/pipeline.go
+++ b/internal/standalone/counterclient/pipeline.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"github.com/sirupsen/logrus"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/decision"
 )
@@ -204,7 +204,7 @@
 	c.calls = nil
 	code := cmp.Or(c.closeCause, endCode(err))
 	p.mu.Unlock()
-	p.client.log.WithFields(logrus.Fields{"code": code, "lost": len(lost)}).Info("counter connection ended")
+	level.Info(p.client.log).Log("msg", "counter connection ended", "code", code, "lost", len(lost))
 	for _, pending := range lost {
 		p.client.onReply(pending.name, decision.ConnectionReset, 0)
 	}
--- a/internal/standalone/mgmt/server.go
+++ b/internal/standalone/mgmt/server.go
@@ -10,7 +10,8 @@
 	"sync"
 	"time"
 
-	"github.com/sirupsen/logrus"
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 )
 
 const (
@@ -41,7 +42,7 @@
 // Server serves one management address.
 type Server struct {
 	Handler Handler
-	Log     *logrus.Logger
+	Log     log.Logger
 
 	mu      sync.Mutex             // guards waiting
 	waiting map[net.Conn]time.Time // callers without an answer, by when they connected
@@ -58,7 +59,7 @@
 			return nil
 		}
 		if err != nil {
-			s.Log.WithField("code", "mgmt-accept-failed").WithError(err).Warn("management connection not accepted")
+			level.Warn(s.Log).Log("msg", "management connection not accepted", "code", "mgmt-accept-failed", "error", err)
 			time.Sleep(acceptRetry)
 			continue
 		}
@@ -103,7 +104,7 @@
 	case errors.Is(err, errTooLong), errors.Is(err, errEmpty):
 		code = "mgmt-bad-call"
 	case err != nil:
-		s.Log.WithFields(logrus.Fields{"code": endCode(err), "from": from}).Info("management connection ended")
+		level.Info(s.Log).Log("msg", "management connection ended", "code", endCode(err), "from", from)
 		return
 	default:
 		var ok bool
@@ -111,11 +112,10 @@
 			status = ack
 		}
 	}
-	entry := s.Log.WithFields(logrus.Fields{"code": code, "call": word, "from": from, "answer": status})
-	if err := writeAnswer(c, status, lines); err != nil {
-		entry = entry.WithError(err)
-	}
-	entry.Info("management connection ended")
+	err = writeAnswer(c, status, lines)
+	level.Info(s.Log).Log("msg", "management connection ended",
+		"code", code, "call", word, "from", from, "answer", status, "error", err,
+	)
 }
 
 // writeAnswer writes an answer and ends the connection's sending side.
--- a/internal/standalone/node/node.go
+++ b/internal/standalone/node/node.go
@@ -9,7 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/sirupsen/logrus"
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/dataplane/engine"
 	"mulleinrouter/internal/dataplane/ingress"
@@ -29,7 +30,7 @@
 // Node is one ingress.
 type Node struct {
 	config     *config.Config
-	log        *logrus.Logger
+	log        log.Logger
 	listener   net.Listener
 	management net.Listener // nil: there is no management address
 	engine     *engine.Engine
@@ -60,8 +61,8 @@
 
 // Start returns a node that listens and serves. Limits that the configuration leaves at zero must have been set by
 // Tune.
-func Start(c *config.Config, log *logrus.Logger) (*Node, error) {
-	n := &Node{config: c, log: log}
+func Start(c *config.Config, logger log.Logger) (*Node, error) {
+	n := &Node{config: c, log: logger}
 	var ctx context.Context
 	ctx, n.cancel = context.WithCancel(context.Background())
 	if err := n.start(ctx); err != nil {
@@ -92,8 +93,9 @@
 	directory := n.newWatcher()
 	if knowledge != nil {
 		customers, backends := n.engine.Restore(*knowledge)
-		n.log.WithFields(logrus.Fields{"code": "process-learned", "customers": customers, "servers": backends}).
-			Info("state of the older process restored")
+		level.Info(n.log).Log("msg", "state of the older process restored",
+			"code", "process-learned", "customers", customers, "servers", backends,
+		)
 	}
 	if n.peers != nil {
 		n.spawn(func() { n.runPeerHeartbeats(ctx) })
@@ -126,9 +128,9 @@
 	n.acceptLoops.Go(func() { n.server.Serve(n.listener) })
 	n.server.Started()
 	n.publishPhase()
-	n.log.WithFields(logrus.Fields{
-		"code": "process-started", "name": c.Name, "listen": n.Addr(), "mgmt": n.MgmtAddr(),
-	}).Info("serving")
+	level.Info(n.log).Log("msg", "serving",
+		"code", "process-started", "name", c.Name, "listen", n.Addr(), "mgmt", n.MgmtAddr(),
+	)
 	return nil
 }
 
