--- a/cmd/mulleinrouter/main_test.go
+++ b/cmd/mulleinrouter/main_test.go
@@ -140,10 +140,11 @@
 	}
 }
 
-// The demonstration, with an ingress and an exporter killed: the bill is what the fakes counted.
-func TestTry(t *testing.T) {
+// The demonstration of the ingress in service, with an ingress and an exporter killed: the bill is what the fakes
+// counted.
+func TestTryIngress(t *testing.T) {
 	t.Parallel()
-	arguments := []string{"try", "--seconds", "4", "--members", "20", "--kill", "--crashes", "1", "--faults"}
+	arguments := []string{"try", "--ingress", "--seconds", "4", "--members", "20", "--kill", "--crashes", "1", "--faults"}
 	const want = "the bill is right for each member   yes"
 	out, err := exec.Command(program, arguments...).CombinedOutput()
 	if err != nil || !strings.Contains(string(out), want) {
--- a/cmd/mulleinrouter/process_test.go
+++ b/cmd/mulleinrouter/process_test.go
@@ -13,7 +13,8 @@
 	"mulleinrouter/internal/race"
 )
 
-// program is the path of the program that TestMain builds, with the race detector in it if these tests have it.
+// program is the path of the program that TestMain builds, with the race detector in it if these tests have it. Beside
+// it are those of the complete gateway, for try.
 var program string
 
 func TestMain(m *testing.M) {
@@ -24,10 +25,11 @@
 		}
 		defer os.RemoveAll(dir)
 		program = filepath.Join(dir, "mulleinrouter")
-		arguments := []string{"build", "-o", program}
+		arguments := []string{"build", "-o", dir + string(filepath.Separator)}
 		if race.Enabled {
 			arguments = append(arguments, "-race")
 		}
+		arguments = append(arguments, ".", "../proxy", "../agent", "../control")
 		if out, err := exec.Command("go", arguments...).CombinedOutput(); err != nil {
 			fmt.Fprintf(os.Stderr, "%s%v\n", out, err)
 			return 1
--- /dev/null
+++ b/cmd/mulleinrouter/try_test.go
@@ -0,0 +1,149 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"io"
+	"net/http"
+	"os"
+	"os/exec"
+	"regexp"
+	"strings"
+	"syscall"
+	"testing"
+)
+
+// tryCommand returns a command of mulleinrouter try whose temporary folders are made in dir.
+func tryCommand(t *testing.T, dir string, arguments ...string) *exec.Cmd {
+	t.Helper()
+	command := exec.CommandContext(t.Context(), program, append([]string{"try"}, arguments...)...)
+	command.Env = append(os.Environ(), "TMPDIR="+dir)
+	return command
+}
+
+// checkEmpty fails a test if a folder is not empty.
+func checkEmpty(t *testing.T, dir string) {
+	t.Helper()
+	entries, err := os.ReadDir(dir)
+	if err != nil || len(entries) > 0 {
+		t.Errorf("folders left behind: %v, error %v", entries, err)
+	}
+}
+
+// A short run of the complete gateway. Its rules have limits of time, which TestTimelines of package loopback checks;
+// here a broken one must be reported, in the text and by the exit code.
+func TestTry(t *testing.T) {
+	t.Parallel()
+	dir := t.TempDir()
+	command := tryCommand(t, dir, "--for", "4s", "--load", "0.4")
+	var out, errOut bytes.Buffer
+	command.Stdout, command.Stderr = &out, &errOut
+	err := command.Run()
+	kept := strings.Contains(out.String(), "rules broken: none")
+	if code := command.ProcessState.ExitCode(); (code == 0) != kept || code > 1 {
+		t.Fatalf("exit code %d, error %v, rules kept %v\n%s%s", code, err, kept, out.String(), errOut.String())
+	}
+	for _, want := range []string{
+		`(?m)^class +requests`,
+		`(?m)^read +\d+ +[1-9]`, // some were served
+		`(?m)^control on core-3 .* 1$`,
+		`(?m)^proxy on edge-2 .* [2-9]$`, // it was killed, and started again
+		`(?m)^served .*█.* a second$`,
+		`(?m)^rejected `,
+		`(?m)^failed `,
+		`1\.3 s: the configuration changes a few times`,
+		`2\.7 s: a proxy is killed`,
+	} {
+		if !regexp.MustCompile(want).MatchString(out.String()) {
+			t.Errorf("want %s in the output:\n%s", want, out.String())
+		}
+	}
+	for _, want := range []string{"starting the processes\n", "2.7 s: a proxy is killed\n", "checking what"} {
+		if strings.Count(errOut.String(), want) != 1 || strings.Contains(errOut.String(), "\x1b") {
+			t.Errorf("want %q once in plain lines:\n%s", want, errOut.String())
+		}
+	}
+	if kept {
+		checkEmpty(t, dir)
+	}
+}
+
+// With --serve, what is printed can be used, and SIGTERM ends all processes and removes the folder.
+func TestTryServe(t *testing.T) {
+	t.Parallel()
+	dir := t.TempDir()
+	command := tryCommand(t, dir, "--serve", "--core", "1", "--edge", "1")
+	var errOut bytes.Buffer
+	command.Stderr = &errOut
+	stdout, err := command.StdoutPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := command.Start(); err != nil {
+		t.Fatal(err)
+	}
+	var text strings.Builder
+	for lines := bufio.NewScanner(stdout); lines.Scan(); {
+		text.WriteString(lines.Text() + "\n")
+		if strings.HasPrefix(lines.Text(), "Ctrl-C ends it") {
+			break
+		}
+	}
+	printed := text.String()
+	checkPrintedCalls(t, printed)
+	pids := regexp.MustCompile(`(?m)^(?:core|edge)-1 +\w+ +(\d+) `).FindAllStringSubmatch(printed, -1)
+	if len(pids) != 3 {
+		t.Errorf("got %d processes, want 3", len(pids))
+	}
+	if err := command.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Error(err)
+	}
+	io.Copy(io.Discard, stdout)
+	if err := command.Wait(); err != nil {
+		t.Errorf("after SIGTERM: %v\n%s%s", err, printed, errOut.String())
+	}
+	for _, pid := range pids {
+		if _, err := os.Stat("/proc/" + pid[1]); err == nil {
+			t.Errorf("process %s is left behind", pid[1])
+		}
+	}
+	checkEmpty(t, dir)
+}
+
+// checkPrintedCalls makes the printed request of a client, and reads the configuration and a proxy's metrics.
+func checkPrintedCalls(t *testing.T, printed string) {
+	t.Helper()
+	request := regexp.MustCompile(`(?m)^curl (http://\S+/) (-H .*)$`).FindStringSubmatch(printed)
+	configURL := regexp.MustCompile(`(?m)^curl (http://\S+/config)$`).FindStringSubmatch(printed)
+	metricsURL := regexp.MustCompile(`(?m)^edge-1 +proxy .* (http://\S+/metrics)$`).FindStringSubmatch(printed)
+	if request == nil || configURL == nil || metricsURL == nil {
+		t.Errorf("commands or addresses are missing:\n%s", printed)
+		return
+	}
+	header := http.Header{}
+	for _, field := range regexp.MustCompile(`-H '([^:]+): ([^']+)'`).FindAllStringSubmatch(request[2], -1) {
+		header.Set(field[1], field[2])
+	}
+	for _, c := range []struct{ name, url, want string }{
+		{"client", request[1], "served by"},
+		{"operator", configURL[1], header.Get("Host")},
+		{"metrics", metricsURL[1], "mulleinrouter_proxy_requests_total"},
+	} {
+		r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, c.url, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		r.Host = header.Get("Host")
+		r.Header = header
+		answer, err := http.DefaultClient.Do(r)
+		if err != nil {
+			t.Errorf("%s: %v", c.name, err)
+			continue
+		}
+		body, err := io.ReadAll(answer.Body)
+		answer.Body.Close()
+		if err != nil || answer.StatusCode != http.StatusOK || !strings.Contains(string(body), c.want) {
+			t.Errorf("%s: got %d %q, error %v; want %q", c.name, answer.StatusCode, body, err, c.want)
+		}
+	}
+}
--- a/internal/emulator/loopback/client.go
+++ b/internal/emulator/loopback/client.go
@@ -50,6 +50,7 @@
 		exhausted := n == maxRetries || left-wait < minTimeLeft
 		if !request.mayRetry(t) || exhausted || cl.lifetime.Err() != nil {
 			cl.recorder.update(func() { t.Last = true })
+			cl.countOutcome(t)
 			return
 		}
 		cl.sleep(wait)
--- a/internal/emulator/loopback/cluster.go
+++ b/internal/emulator/loopback/cluster.go
@@ -35,6 +35,7 @@
 	options      Options
 	launcher     *launcher
 	linkFaults   bool // the schedule has faults that cut links
+	serving      bool // for people: see Serve
 	ports        ports
 	core         []*machine
 	edge         []*machine
@@ -61,6 +62,8 @@
 	hotTenant        atomic.Pointer[tenant]
 	lastAcknowledger atomic.Pointer[machine] // the core node that acknowledged a change last
 	changeLatencies  latencies
+	finished         [Failed + 1]atomic.Int64 // requests of clients, by Outcome
+	lastFault        atomic.Pointer[Fault]    // that was injected
 
 	mu         sync.Mutex // guards the fields below and the links of all machines
 	rng        *rand.Rand
--- a/internal/emulator/loopback/deployment.go
+++ b/internal/emulator/loopback/deployment.go
@@ -94,7 +94,7 @@
 	var err error
 	// Other runs may go on on this machine: the ports are drawn by chance, not by the seed.
 	chance := rand.New(rand.NewPCG(uint64(os.Getpid()), uint64(time.Now().UnixNano())))
-	if cl.ports, err = drawPorts(chance, ips); err != nil {
+	if cl.ports, err = choosePorts(cl.options.FirstPort, chance, ips); err != nil {
 		return err
 	}
 	for _, m := range cl.machines() {
--- a/internal/emulator/loopback/errors.go
+++ b/internal/emulator/loopback/errors.go
@@ -11,6 +11,15 @@
 // ErrNoFreePorts is returned when no consecutive ports were found that are free on the addresses of all machines.
 var ErrNoFreePorts = errors.New("no ports are free on all machines")
 
+// PortsInUseError is returned for Options.FirstPort when one of the ports from there on is not free.
+type PortsInUseError struct {
+	First, Last int
+}
+
+func (pe *PortsInUseError) Error() string {
+	return fmt.Sprintf("the ports %d to %d are not all free on the addresses of all machines", pe.First, pe.Last)
+}
+
 // StartupError is returned when the cluster does not serve its first configuration in time.
 type StartupError struct {
 	Problem string // what was waited for, and what came instead
--- a/internal/emulator/loopback/faults.go
+++ b/internal/emulator/loopback/faults.go
@@ -95,5 +95,6 @@
 		return
 	}
 	cl.recorder.notef("%.1f s: %s", cl.now()-cl.trafficStart, scheduled.Name)
+	cl.lastFault.Store(&scheduled)
 	faults[scheduled.Name].inject(cl, scheduled.Target)
 }
--- a/internal/emulator/loopback/options.go
+++ b/internal/emulator/loopback/options.go
@@ -24,6 +24,9 @@
 	HeartbeatInterval          time.Duration   // of servers; 0: 1.5 s
 	WarmUp                     time.Duration   // traffic begins at the earliest this long after the start
 	Dir                        string          // folder for settings, disks and logs
+	FirstPort                  int             // of the ports of all machines; 0: free ones are drawn
+	Metrics                    bool            // the processes serve metrics
+	Progress                   func(Progress)  // receives what the run does, call after call; nil: nobody does
 }
 
 // complete checks the options and fills in the defaults.
--- a/internal/emulator/loopback/ports.go
+++ b/internal/emulator/loopback/ports.go
@@ -7,7 +7,9 @@
 )
 
 const (
-	innerPorts   = 4     // ports of a machine for calls between the programs
+	innerPorts   = 4 // ports of a machine for calls between the programs
+	metricsPorts = 2 // a machine runs two programs at most
+	allPorts     = 3 + innerPorts + metricsPorts
 	minPort      = 10000 // the ports lie below those that the kernel gives to connections
 	portSpan     = 20000
 	portAttempts = 200
@@ -21,15 +23,33 @@
 	ready   int // for the platform
 	control int // for servers and operators
 	inner   int // the first of innerPorts
+	metrics int // the first of metricsPorts
+}
+
+// portsFrom returns consecutive ports.
+func portsFrom(first int) ports {
+	p := ports{front: first, ready: first + 1, control: first + 2, inner: first + 3}
+	p.metrics = p.inner + innerPorts
+	return p
+}
+
+// choosePorts returns the ports from first on, or for 0 any that are free on the addresses of all machines.
+func choosePorts(first int, rng *rand.Rand, ips []string) (ports, error) {
+	if first == 0 {
+		return drawPorts(rng, ips)
+	}
+	if !allFree(ips, first, first+allPorts) {
+		return ports{}, &PortsInUseError{First: first, Last: first + allPorts - 1}
+	}
+	return portsFrom(first), nil
 }
 
 // drawPorts finds consecutive ports that are free on the addresses of all machines.
 func drawPorts(rng *rand.Rand, ips []string) (ports, error) {
 	for range portAttempts {
 		first := minPort + rng.IntN(portSpan)
-		p := ports{front: first, ready: first + 1, control: first + 2, inner: first + 3}
-		if allFree(ips, first, p.inner+innerPorts) {
-			return p, nil
+		if allFree(ips, first, first+allPorts) {
+			return portsFrom(first), nil
 		}
 	}
 	return ports{}, ErrNoFreePorts
--- a/internal/emulator/loopback/process.go
+++ b/internal/emulator/loopback/process.go
@@ -5,6 +5,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"syscall"
@@ -19,6 +20,8 @@
 	maxPanic    = 2000
 )
 
+const metricsPath = "/metrics"
+
 // process is one program on a machine, over all its incarnations.
 type process struct {
 	machine *machine
@@ -72,6 +75,9 @@
 	if cl.linkFaults && p.program != proxyProgram {
 		args = append(args, "--links", p.machine.linksPath())
 	}
+	if cl.options.Metrics {
+		args = append(args, "--metrics", fmt.Sprintf("%d%s", p.metricsPort(), metricsPath))
+	}
 	cmd := exec.Command(filepath.Join(cl.options.ProgramsDir, p.program), args...)
 	cmd.Dir = p.machine.dir
 	cmd.Env = []string{
@@ -88,6 +94,11 @@
 	return cmd
 }
 
+// metricsPort is where the process serves metrics, if it does.
+func (p *process) metricsPort() int {
+	return p.machine.cluster.ports.metrics + slices.Index(p.machine.processes, p)
+}
+
 func (p *process) logPath() string { return filepath.Join(p.machine.dir, p.program+".log") }
 
 func (p *process) String() string { return p.program + " on " + p.machine.name }
--- a/internal/emulator/loopback/recorder.go
+++ b/internal/emulator/loopback/recorder.go
@@ -18,6 +18,8 @@
 	versions []*invariants.Version
 	faults   []*invariants.Fault
 	notes    []string // for people
+
+	discarding bool // new entries are dropped, for a cluster that serves for as long as it likes
 }
 
 // update calls a function that changes an entry.
@@ -27,12 +29,24 @@
 	change()
 }
 
+// add calls a function that adds an entry, unless entries are dropped.
+func (r *recorder) add(change func()) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.discarding {
+		change()
+	}
+}
+
+// discard drops all that is added from now on.
+func (r *recorder) discard() { r.update(func() { r.discarding = true }) }
+
 func (r *recorder) arrival(a *invariants.Arrival) {
-	r.update(func() { r.arrivals = append(r.arrivals, a) })
+	r.add(func() { r.arrivals = append(r.arrivals, a) })
 }
 
 func (r *recorder) attempt(t *invariants.Attempt) {
-	r.update(func() { r.attempts = append(r.attempts, t) })
+	r.add(func() { r.attempts = append(r.attempts, t) })
 }
 
 func (r *recorder) version(v *invariants.Version) {
@@ -57,7 +71,7 @@
 
 func (r *recorder) processStart(machine string, at invariants.Seconds) {
 	start := invariants.ProcessStart{Machine: machine, At: at}
-	r.update(func() { r.log.ProcessStarts = append(r.log.ProcessStarts, start) })
+	r.add(func() { r.log.ProcessStarts = append(r.log.ProcessStarts, start) })
 }
 
 func (r *recorder) termination(machine string, at invariants.Seconds) {
@@ -76,12 +90,12 @@
 // violates a rule.
 func (r *recorder) exit(process string, at invariants.Seconds, text string) {
 	exit := invariants.Exit{Process: process, At: at, Text: text}
-	r.update(func() { r.log.Exits = append(r.log.Exits, exit) })
+	r.add(func() { r.log.Exits = append(r.log.Exits, exit) })
 }
 
 // notef adds a note for people to the report.
 func (r *recorder) notef(format string, args ...any) {
-	r.update(func() { r.notes = append(r.notes, fmt.Sprintf(format, args...)) })
+	r.add(func() { r.notes = append(r.notes, fmt.Sprintf(format, args...)) })
 }
 
 // allNotes returns a copy of the notes so far.
--- a/internal/emulator/loopback/report.go
+++ b/internal/emulator/loopback/report.go
@@ -9,10 +9,27 @@
 	"mulleinrouter/internal/emulator/invariants"
 )
 
+// Outcome is how a request ended for its client, over all its attempts.
+type Outcome int
+
+// Outcomes of requests.
+const (
+	Served   Outcome = iota
+	Rejected         // answered with a proof that it was not executed
+	Failed           // all others
+)
+
+// FinishedRequest is a request of a client that ended.
+type FinishedRequest struct {
+	Outcome Outcome
+	At      invariants.Seconds // since the traffic began
+}
+
 // Report is the result of a run.
 type Report struct {
 	Violations   []invariants.Violation
 	Classes      []ClassResult // the class with the most requests first
+	Requests     []FinishedRequest
 	Processes    []ProcessUsage
 	Notes        []string
 	Dir          string             // settings, disks and logs
@@ -68,6 +85,31 @@
 	r.Notes = cl.recorder.allNotes()
 	r.OwnAnswers = cl.ownAnswers
 	r.Classes = countByClass(l.Attempts)
+	r.Requests = finishedRequests(l.Attempts, r.TrafficStart)
+}
+
+// endsRequest tells whether an attempt was the last one of a request that is not a canary.
+func endsRequest(t *invariants.Attempt) bool { return t.Last && !t.Probe }
+
+// outcomeOf returns how a request ended, by its last attempt.
+func outcomeOf(t *invariants.Attempt) Outcome {
+	switch {
+	case t.End == invariants.Answered && t.Status/100 == 2:
+		return Served
+	case isRejected(t):
+		return Rejected
+	}
+	return Failed
+}
+
+// finishedRequests returns the requests that ended, without canaries.
+func finishedRequests(attempts []invariants.Attempt, trafficStart invariants.Seconds) (list []FinishedRequest) {
+	for n := range attempts {
+		if t := &attempts[n]; endsRequest(t) {
+			list = append(list, FinishedRequest{Outcome: outcomeOf(t), At: t.Done - trafficStart})
+		}
+	}
+	return list
 }
 
 // countByClass counts the requests that ended, without canaries.
@@ -76,7 +118,7 @@
 	served := map[string][]float64{}
 	for n := range attempts {
 		t := &attempts[n]
-		if t.Probe || !t.Last {
+		if !endsRequest(t) {
 			continue
 		}
 		result := results[t.Class]
@@ -101,17 +143,17 @@
 // count counts a request by its last attempt, and tells whether it was served.
 func (c *ClassResult) count(t *invariants.Attempt) (served bool) {
 	c.Requests++
-	switch {
-	case t.End != invariants.Answered:
-		c.Failed[t.End.String()]++
-	case t.Status/100 == 2:
+	switch outcome := outcomeOf(t); {
+	case outcome == Served:
 		c.Served++
 		if t.Done-t.FirstSent <= t.LatencyTarget {
 			c.InTime++
 		}
 		return true
-	case isRejected(t):
+	case outcome == Rejected:
 		c.Rejected++
+	case t.End != invariants.Answered:
+		c.Failed[t.End.String()]++
 	default:
 		c.Failed[fmt.Sprint(t.Status)]++
 	}
--- a/internal/emulator/loopback/reporttext.go
+++ b/internal/emulator/loopback/reporttext.go
@@ -14,12 +14,7 @@
 
 // Write writes the report for people.
 func (r *Report) Write(w io.Writer) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	r.writeClasses(t)
-	r.writeProcesses(t)
-	t.Flush()
-	fmt.Fprintf(w, "\n%d arrivals at servers, %d probes of health, operator's calls p99 %.0f ms\n",
-		r.Arrivals, r.HealthChecks, 1000*r.ChangeP99)
+	r.WriteTables(w)
 	for _, text := range slices.Sorted(maps.Keys(r.OwnAnswers)) {
 		fmt.Fprintf(w, "%d times an answer of the system's own: %s\n", r.OwnAnswers[text], text)
 	}
@@ -29,6 +24,16 @@
 	return r.WriteViolations(w)
 }
 
+// WriteTables writes the results of the classes and what the processes used.
+func (r *Report) WriteTables(w io.Writer) {
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	r.writeClasses(t)
+	r.writeProcesses(t)
+	t.Flush()
+	fmt.Fprintf(w, "\n%d arrivals at servers, %d probes of health, operator's calls p99 %.0f ms\n",
+		r.Arrivals, r.HealthChecks, 1000*r.ChangeP99)
+}
+
 func (r *Report) writeClasses(w io.Writer) {
 	fmt.Fprintln(w, "class\trequests\tserved\tin time\trefused\tfailed\tp50 ms\tp99 ms")
 	for _, c := range r.Classes {
--- a/internal/emulator/loopback/run.go
+++ b/internal/emulator/loopback/run.go
@@ -25,25 +25,39 @@
 	if err != nil {
 		return nil, err
 	}
-	transport := &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second, DisableCompression: true}
+	transport := newTransport()
 	defer transport.CloseIdleConnections()
 	cl := newCluster(o, transport)
 	if err := cl.layOut(); err != nil {
 		return nil, err
 	}
-	r, err := cl.run(ctx)
+	var r *Report
+	err = cl.run(ctx, func() {
+		cl.runTraffic()
+		cl.report(Stopping)
+	}, func() {
+		cl.operator.readBack()
+		r = cl.usageReport()
+	})
 	if err != nil {
 		return nil, err
 	}
 	for _, u := range cl.users {
 		cl.closeConn(u.idle)
 	}
+	cl.report(Checking)
 	r.evaluate(cl)
 	return r, nil
 }
 
-// run owns the contexts and goroutines of the cluster: it starts them, and has ended them when it returns.
-func (cl *cluster) run(ctx context.Context) (*Report, error) {
+// newTransport returns the transport of the calls of servers, the operator and the platform.
+func newTransport() *http.Transport {
+	return &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second, DisableCompression: true}
+}
+
+// run owns the contexts and goroutines of the cluster: it starts them, and has ended them when it returns. Once the
+// cluster serves, it calls work, during which there is traffic, and then afterwards, before the processes end.
+func (cl *cluster) run(ctx context.Context, work, afterwards func()) error {
 	var endLifetime, endTraffic context.CancelFunc
 	cl.lifetime, endLifetime = context.WithCancel(context.Background())
 	cl.traffic, endTraffic = context.WithCancel(ctx)
@@ -55,7 +69,7 @@
 
 	err := cl.start()
 	if err == nil {
-		cl.runTraffic()
+		work()
 	}
 	endTraffic()
 	cl.clients.Wait()
@@ -63,16 +77,16 @@
 	if err == nil {
 		err = ctx.Err()
 	}
-	if err != nil {
-		return nil, err
+	if err == nil {
+		afterwards()
 	}
-	cl.operator.readBack()
-	return cl.usageReport(), nil
+	return err
 }
 
 // start starts processes, servers and the platform, and returns once the first configuration is served everywhere and
 // the warm-up is over. Until then each machine counts as under a planned fault.
 func (cl *cluster) start() error {
+	cl.report(Starting)
 	var started []func(invariants.Seconds)
 	for _, m := range cl.machines() {
 		over := cl.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, Planned: true})
@@ -100,6 +114,7 @@
 	if err := cl.awaitServing(); err != nil {
 		return err
 	}
+	cl.report(WarmingUp)
 	cl.sleepInTraffic(cl.options.WarmUp - time.Since(cl.startedAt))
 	cl.trafficStart = cl.now()
 	for _, over := range started {
@@ -117,7 +132,7 @@
 	for _, scheduled := range cl.options.Faults {
 		cl.faultRuns.Go(func() { cl.inject(scheduled) })
 	}
-	cl.sleepInTraffic(cl.options.TrafficTime)
+	cl.awaitTrafficEnd()
 }
 
 // startInitialServers starts the servers of all services, spread over the zones.
--- a/internal/emulator/loopback/serverconn.go
+++ b/internal/emulator/loopback/serverconn.go
@@ -185,11 +185,14 @@
 		return false
 	}
 	s.awaitResponsive()
-	if w.failing {
+	if w.failing && !s.cluster.serving {
 		status = http.StatusInternalServerError
 	}
 	seal := fmt.Sprintf("%s.%x.%d", s.id, s.cluster.serial.Add(1), status)
 	body := uniqueBody(seal, w.bodySize)
+	if s.cluster.serving {
+		body = s.plainBody(e)
+	}
 	s.cluster.recorder.update(func() {
 		a := e.arrival
 		a.End = s.cluster.now()
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -26,6 +26,7 @@
 	"internal/decision/conformance",
 	"internal/decision/ratelimit",
 	"internal/decision/retry",
+	"internal/emulator/timechart",
 	"internal/mutants",
 	"internal/standalone/fleet/membership",
 	"internal/standalone/fleet/quotashare",
@@ -93,7 +94,9 @@
 	"internal/emulator/faulttest imports deploy/faulttests":         "the timelines that ship",
 	"internal/standalone/cli imports internal/emulator/modelcheck":  "mulleinrouter model-check states",
 	"internal/standalone/cli imports internal/emulator/faulttest":   "mulleinrouter fault-test",
-	"internal/standalone/cli imports internal/emulator/testcluster": "mulleinrouter try",
+	"internal/standalone/cli imports internal/emulator/testcluster": "mulleinrouter try --ingress",
+	"internal/standalone/cli imports internal/emulator/loopback":    "mulleinrouter try",
+	"internal/standalone/cli imports internal/emulator/timechart":   "mulleinrouter try",
 }
 
 func TestLayers(t *testing.T) {
--- a/internal/standalone/cli/errors.go
+++ b/internal/standalone/cli/errors.go
@@ -29,6 +29,12 @@
 	errDiffer          = errors.New("they differ")
 	errNoBatchTaken    = errors.New("no batch was taken")
 
+	// Of try.
+	errServeIngress = errors.New("--serve is for the complete gateway: it does not go with --ingress")
+	errNoMachines   = errors.New("--core and --edge: at least 1")
+	errNoTraffic    = errors.New("--for: not a span such as 18s")
+	errInterrupted  = errors.New("interrupted")
+
 	// Of calls that an ingress rejects, by what its configuration lacks.
 	errNoMembership = errors.New("it does not know of other ingresses: its file has no membership in fleet")
 	errNotAnnounced = errors.New("its file does not say announce in catalogue: " +
--- a/internal/standalone/cli/help.go
+++ b/internal/standalone/cli/help.go
@@ -15,8 +15,22 @@
 	"check":      "Check a configuration or a catalogue of plans, and say what is in it.",
 	"bookings":   "Book allowance ahead for a member, list bookings, cancel one.",
 	"modelCheck": "Look for violations of the rules in the code as it is.",
-	"try": "Run three ingresses among stand-ins on this machine, change a plan midway, and show what " +
-		"was served and billed.",
+	"try": "Run the complete gateway on this machine with stand-in servers and clients, change its " +
+		"configuration and kill a proxy midway, and show what was served.",
+	"tryIngress": "Run ingresses in service instead, among stand-ins of their own, change a plan midway, and show " +
+		"what was served and billed.",
+	"tryServe": "Leave the gateway running without clients and faults, with its addresses printed, until Ctrl-C.",
+	"tryLoad": "What clients ask for: in parts of 120 requests a second, with --ingress in times the members' " +
+		"quotas.",
+	"tryFor":  "How long clients send requests.",
+	"tryEdge": "Edge machines, each with a proxy and an agent.",
+	"tryBin": "Folder of the programs proxy, agent and control. Default: where this program is, or else they are " +
+		"built, in a checkout.",
+	"tryPort": "The first of nine ports of each machine, that for clients. Default: free ones.",
+	"trySchedule": "Faults to inject in place of the usual ones: a file of lines \"SECONDS NAME [TARGET]\", names " +
+		"joined by commas (emulator try --list), or none.",
+	"tryKill":   "Kill an ingress in the middle, and start it again.",
+	"tryFaults": "Quote servers and billing do wrong now and then.",
 	"faultTest": "Play a scenario of faults on ingresses that it starts on this machine, and check what is " +
 		"expected of them.",
 	"faultTestFile": "A scenario: a file, or one of those that ship (deploy/faulttests) by its name, such as " +
@@ -45,7 +59,7 @@
 	"plansApplyTo":    "The catalogue that ingresses watch. It is made if it is not there.",
 	"serveConfig":     "Configuration of our own form (HCL), such as deploy/single.hcl.",
 	"tryLease":        "Show a duty instead: whoever exports the use of all is killed, and another goes on.",
-	"tryDir":          "Folder for logs, records and the catalogue; it stays. Default: a temporary one.",
+	"tryDir":          "Folder for logs and data; it stays. Default: a temporary one.",
 	"usageVerify":     "Check segments and batches, and that they say the same. Exit code 1 if they do not.",
 	"usageExportKeep": "Segments that were acknowledged stay for this long.",
 	"usageShowBy":     "What to add up by: member, plan, class, minute, or all rows one by one.",
--- a/internal/standalone/cli/try.go
+++ b/internal/standalone/cli/try.go
@@ -6,35 +6,79 @@
 	"os"
 	"os/signal"
 	"syscall"
+	"time"
 
-	"mulleinrouter/internal/emulator/testcluster"
+	"github.com/alecthomas/kong"
 )
 
-// TryCommand is what a newcomer runs first: ingresses and fakes on this machine.
+// Groups of flags of TryCommand. Those of no group go with everything.
+const (
+	gatewayGroup  = "Without --ingress"
+	scheduleGroup = "Without --ingress and --serve"
+	ingressGroup  = "With --ingress"
+)
+
+// TryCommand is what a newcomer runs first: the complete gateway with stand-ins on this machine, or with --ingress
+// ingresses in service.
 type TryCommand struct {
-	Seconds   float64 `name:"seconds" default:"8" help:"For how long requests are sent."`
-	Members   int     `name:"members" default:"40" help:"Members, half on either plan."`
-	Ingresses int     `name:"ingresses" default:"3" help:"Ingresses, each a process."`
-	Load      float64 `name:"load" default:"0.9" help:"What members ask for, in times their quotas."`
-	Kill      bool    `name:"kill" help:"Kill an ingress in the middle, and start it again."`
-	Crashes   int     `name:"crashes" help:"So many times an exporter is killed."`
-	Faults    bool    `name:"faults" help:"Quote servers and billing do wrong now and then."`
-	Lease     bool    `name:"duty" help:"${tryLease}"`
-	Seed      uint64  `name:"seed" default:"1" help:"For random numbers."`
-	Dir       string  `name:"dir" type:"path" help:"${tryDir}"`
+	Ingress bool    `name:"ingress" help:"${tryIngress}"`
+	Serve   bool    `name:"serve" help:"${tryServe}"`
+	Load    float64 `name:"load" default:"0.9" help:"${tryLoad}"`
+	Seed    uint64  `name:"seed" default:"1" help:"For random numbers."`
+	Dir     string  `name:"dir" type:"path" help:"${tryDir}"`
+
+	tryGatewayFlags
+	tryScheduleFlags
+	tryIngressFlags
+}
+
+// tryGatewayFlags are the flags of the complete gateway.
+type tryGatewayFlags struct {
+	Core     int    `name:"core" default:"3" group:"Without --ingress" help:"Control nodes."`
+	Edge     int    `name:"edge" default:"3" group:"Without --ingress" help:"${tryEdge}"`
+	Programs string `name:"bin" type:"existingdir" group:"Without --ingress" help:"${tryBin}"`
+	Port     int    `name:"port" group:"Without --ingress" help:"${tryPort}"`
 }
 
-// leaseScenario is the fault test of the flag --duty.
-const leaseScenario = "try-holder"
+// tryScheduleFlags are those flags of the complete gateway that do not go with --serve.
+type tryScheduleFlags struct {
+	For      time.Duration `name:"for" default:"18s" group:"Without --ingress and --serve" help:"${tryFor}"`
+	Schedule string        `name:"schedule" group:"Without --ingress and --serve" help:"${trySchedule}"`
+}
 
-// Run runs the ingresses, and prints what was served and billed.
-func (t *TryCommand) Run(p *Program) error {
-	if t.Lease {
-		return (&FaultTestCommand{File: leaseScenario, Dir: t.Dir, Slack: 1, Repeat: 1}).Run(p)
+// Validate checks that the flags go together. kong calls it.
+func (t *TryCommand) Validate(parsed *kong.Context) error {
+	for _, element := range parsed.Path {
+		if element.Flag == nil || element.Flag.Group == nil {
+			continue
+		}
+		group, name := element.Flag.Group.Key, element.Flag.Name
+		switch {
+		case group == ingressGroup && !t.Ingress:
+			return fmt.Errorf("--%s is for the ingress in service: it goes with --ingress", name)
+		case (group == gatewayGroup || group == scheduleGroup) && t.Ingress:
+			return fmt.Errorf("--%s is for the complete gateway: it does not go with --ingress", name)
+		case group == scheduleGroup && t.Serve:
+			return fmt.Errorf("--%s does not go with --serve: there are no clients and no faults then", name)
+		}
+	}
+	switch {
+	case t.Ingress && t.Serve:
+		return errServeIngress
+	case min(t.Core, t.Edge) < 1:
+		return errNoMachines
+	case t.For <= 0:
+		return errNoTraffic
+	case t.Port < 0 || t.Port > maxFirstPort:
+		return fmt.Errorf("--port: between 1 and %d, or 0 for any: %d", maxFirstPort, t.Port)
 	}
-	program, err := os.Executable()
-	if err != nil {
-		return err
+	return nil
+}
+
+// Run runs what the flags ask for until it is over, or until SIGTERM or SIGINT.
+func (t *TryCommand) Run(p *Program) error {
+	if t.Ingress && t.Lease {
+		return t.runLease(p)
 	}
 	if t.Dir != "" {
 		if err := os.MkdirAll(t.Dir, 0o755); err != nil {
@@ -43,29 +87,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	fmt.Fprintf(p.out, "%d ingresses, 3 stand-in quote servers, discovery, a counter and billing on loopback; "+
-		"%d members for %g s\n", t.Ingresses, t.Members, t.Seconds)
-	report, err := testcluster.Run(ctx, testcluster.Options{
-		Program:   program,
-		Dir:       t.Dir,
-		Ingresses: t.Ingresses,
-		Members:   t.Members,
-		Seconds:   t.Seconds,
-		Load:      t.Load,
-		Changes:   true,
-		Kill:      t.Kill,
-		Crashes:   t.Crashes,
-		Faults:    t.Faults,
-		Seed:      t.Seed,
-		Progress:  p.out,
-	})
-	if err != nil {
-		return err
+	if t.Ingress {
+		return t.runIngresses(ctx, p)
 	}
-	fmt.Fprintln(p.out)
-	report.Write(p.out)
-	if !report.Passed() {
-		return errRunNotAsPlanned
-	}
-	return nil
+	return t.runGateway(ctx, p)
 }
--- /dev/null
+++ b/internal/standalone/cli/trygateway.go
@@ -0,0 +1,187 @@
+package cli
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"time"
+
+	"mulleinrouter/internal/emulator/loopback"
+	"mulleinrouter/internal/emulator/timechart"
+)
+
+const (
+	// trafficDelay is how long after the machines' start the clients begin, at least.
+	trafficDelay = 6 * time.Second
+
+	// maxFirstPort leaves room for the other ports of a machine.
+	maxFirstPort = 65000
+
+	noSchedule = "none" // of --schedule: no faults
+)
+
+// runGateway runs the complete gateway. Its folder of settings, disks and logs stays if it was named, or if something
+// went wrong.
+func (t *TryCommand) runGateway(ctx context.Context, p *Program) error {
+	schedule, err := t.schedule()
+	if err != nil {
+		return fileError{err}
+	}
+	programs, err := findPrograms(ctx, t.Programs, p.err)
+	if err != nil {
+		return err
+	}
+	defer programs.remove()
+	dir := t.Dir
+	if dir == "" {
+		if dir, err = os.MkdirTemp("", "mulleinrouter-try-"); err != nil {
+			return err
+		}
+	}
+	options := t.options(programs.dir, dir, schedule)
+	if t.Serve {
+		err = t.serveGateway(ctx, p, options)
+	} else {
+		err = t.playGateway(ctx, p, options)
+	}
+	switch {
+	case ctx.Err() != nil && !t.Serve:
+		err = errInterrupted
+	case err != nil:
+		return fmt.Errorf("%w\nlogs are in %s", err, dir)
+	}
+	if t.Dir == "" {
+		err = errors.Join(err, os.RemoveAll(dir))
+	}
+	return err
+}
+
+// schedule returns the faults to inject: without --schedule a change of the configuration and a proxy that is killed.
+func (t *TryCommand) schedule() ([]loopback.Fault, error) {
+	switch t.Schedule {
+	case noSchedule:
+		return nil, nil
+	case "":
+		return []loopback.Fault{
+			{At: t.For / 3, Name: "config"},
+			{At: 2 * t.For / 3, Name: "kill-proxy", Target: 1},
+		}, nil
+	}
+	return loopback.ParseSchedule(t.Schedule, t.For, t.Seed)
+}
+
+func (t *TryCommand) options(programsDir, dir string, schedule []loopback.Fault) loopback.Options {
+	return loopback.Options{
+		CoreMachines: t.Core,
+		EdgeMachines: t.Edge,
+		TrafficTime:  t.For,
+		Faults:       schedule,
+		Seed:         t.Seed,
+		ProgramsDir:  programsDir,
+		Load:         t.Load,
+		WarmUp:       trafficDelay,
+		Dir:          dir,
+		FirstPort:    t.Port,
+		Metrics:      true,
+	}
+}
+
+// playGateway runs the gateway with clients and faults, and prints what was served.
+func (t *TryCommand) playGateway(ctx context.Context, p *Program, options loopback.Options) error {
+	fmt.Fprintf(p.out, "%d control nodes and %d edge machines as processes, stand-in servers and clients, on loopback; "+
+		"requests for %v\n", t.Core, t.Edge, t.For)
+	progress := newProgressPrinter(p.err, t.For)
+	options.Progress = progress.print
+	report, err := loopback.Run(ctx, options)
+	progress.close()
+	if err != nil {
+		return err
+	}
+	fmt.Fprintln(p.out)
+	report.WriteTables(p.out)
+	fmt.Fprintf(p.out, "\n%v\n", resultChart(report, options))
+	if err := report.WriteViolations(p.out); err != nil {
+		return err
+	}
+	if len(report.Violations) > 0 {
+		return errViolated
+	}
+	return nil
+}
+
+// resultChart returns the chart of a run's requests and faults.
+func resultChart(report *loopback.Report, options loopback.Options) timechart.Chart {
+	rows := []timechart.Row{
+		loopback.Served:   {Label: "served"},
+		loopback.Rejected: {Label: "rejected"},
+		loopback.Failed:   {Label: "failed"},
+	}
+	for _, r := range report.Requests {
+		rows[r.Outcome].Times = append(rows[r.Outcome].Times, r.At)
+	}
+	chart := timechart.Chart{Span: options.TrafficTime.Seconds(), Rows: rows}
+	for _, fault := range options.Faults {
+		chart.Marks = append(chart.Marks, timechart.Mark{At: fault.At.Seconds(), Label: describeFault(fault.Name)})
+	}
+	return chart
+}
+
+// describeFault returns what a fault does, in a few words.
+func describeFault(name string) string {
+	for _, kind := range loopback.FaultKinds() {
+		if kind.Name == name {
+			return kind.Help
+		}
+	}
+	return name
+}
+
+// serveGateway runs the gateway until ctx ends.
+func (t *TryCommand) serveGateway(ctx context.Context, p *Program, options loopback.Options) error {
+	options.Faults = nil
+	progress := newProgressPrinter(p.err, 0)
+	options.Progress = progress.print
+	err := loopback.Serve(ctx, options, func(e loopback.Endpoints) {
+		progress.close()
+		writeEndpoints(p.out, e)
+	})
+	progress.close()
+	return err
+}
+
+// writeEndpoints prints the addresses of a gateway that serves, and commands to begin with.
+func writeEndpoints(w io.Writer, e loopback.Endpoints) {
+	var control, clients string
+	t := newTable(w)
+	fmt.Fprintln(t, "machine\tprocess\tpid\tserves\tmetrics")
+	for _, m := range e.Machines {
+		for _, process := range m.Processes {
+			serves := ""
+			switch {
+			case m.Control != "":
+				serves = "operators: http://" + m.Control
+				control = cmp.Or(control, m.Control)
+			case process.Program == "proxy":
+				serves = "clients: http://" + m.Clients
+				clients = cmp.Or(clients, m.Clients)
+			}
+			fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\n", m.Name, process.Program, process.PID, serves, process.Metrics)
+		}
+	}
+	t.Flush()
+	x := e.Example
+	fmt.Fprintf(w, "\nThe configuration, from any control node; a change of it; a request of a client, to any proxy:\n\n")
+	fmt.Fprintf(w, "curl http://%s/config\n", control)
+	fmt.Fprintf(w, "curl -X PATCH http://%s/config -d '%s'\n", control, examplePatch)
+	fmt.Fprintf(w, "curl http://%s%s -H 'Host: %s' -H 'Authorization: Token %s' -H 'X-Attempt-Id: 1' "+
+		"-H 'X-Time-Left-Ms: %d'\n", clients, x.Path, x.Host, x.Key, x.Timeout.Milliseconds())
+	fmt.Fprintln(w, "\nA service that you add gets two stand-in servers. docs/START.md goes on from here.")
+	fmt.Fprintln(w, "Ctrl-C ends it.")
+}
+
+// examplePatch adds a service. Its generation is above that of what the gateway starts with.
+const examplePatch = `{"upsert":{"services":{"hello":` +
+	`{"healthPath":"/health","maxConns":100,"protocol":"h1","tlsMode":false,"generation":"00000100"}}}}`
--- /dev/null
+++ b/internal/standalone/cli/tryprograms.go
@@ -0,0 +1,137 @@
+package cli
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"syscall"
+	"time"
+)
+
+// rolePrograms are the programs of the complete gateway, as their files are named and as folders below cmd.
+var rolePrograms = []string{"proxy", "agent", "control"}
+
+// buildGrace is how long a build has to end once it is interrupted.
+const buildGrace = 5 * time.Second
+
+// moduleLine is the line of go.mod that names this module.
+var moduleLine = regexp.MustCompile(`(?m)^module mulleinrouter$`)
+
+// noProgramsError is returned where the programs of the complete gateway are neither found nor can be built.
+type noProgramsError struct {
+	beside string // folder of this program
+	reason error  // why they can't be built
+}
+
+func (ne *noProgramsError) Error() string {
+	return fmt.Sprintf("%s are not all in %s, beside this program, and cannot be built here: %v. "+
+		"Run it in a checkout of mulleinrouter, or name their folder with --bin",
+		strings.Join(rolePrograms, ", "), ne.beside, ne.reason)
+}
+
+func (ne *noProgramsError) Unwrap() error { return ne.reason }
+
+var (
+	errNoModule  = errors.New("the working directory is not in a checkout of mulleinrouter")
+	errNoToolset = errors.New("there is no go command")
+)
+
+// programs is a folder with the programs of the complete gateway.
+type programs struct {
+	dir   string
+	built bool // for this run alone
+}
+
+// remove removes the folder if it was built for this run.
+func (pr programs) remove() {
+	if pr.built {
+		os.RemoveAll(pr.dir)
+	}
+}
+
+// findPrograms returns the folder with the programs: the given one, that of this program, or else a temporary one where
+// it builds them.
+func findPrograms(ctx context.Context, given string, progress io.Writer) (programs, error) {
+	if given != "" {
+		if missing := missingProgram(given); missing != nil {
+			return programs{}, fileError{missing}
+		}
+		return programs{dir: given}, nil
+	}
+	self, err := os.Executable()
+	if err != nil {
+		return programs{}, err
+	}
+	beside := filepath.Dir(self)
+	if missingProgram(beside) == nil {
+		return programs{dir: beside}, nil
+	}
+	root, err := moduleRoot()
+	if err != nil {
+		return programs{}, &noProgramsError{beside: beside, reason: err}
+	}
+	goCommand, err := exec.LookPath("go")
+	if err != nil {
+		return programs{}, &noProgramsError{beside: beside, reason: errNoToolset}
+	}
+	return buildPrograms(ctx, goCommand, root, progress)
+}
+
+// missingProgram returns an error for a folder that lacks one of the programs.
+func missingProgram(dir string) error {
+	for _, name := range rolePrograms {
+		if _, err := exec.LookPath(filepath.Join(dir, name)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// moduleRoot returns the root of the checkout that the working directory is in.
+func moduleRoot() (string, error) {
+	dir, err := os.Getwd()
+	if err != nil {
+		return "", err
+	}
+	for {
+		text, err := os.ReadFile(filepath.Join(dir, "go.mod"))
+		if err == nil && moduleLine.Match(text) {
+			return dir, nil
+		}
+		parent := filepath.Dir(dir)
+		if err == nil || parent == dir {
+			return "", errNoModule
+		}
+		dir = parent
+	}
+}
+
+// buildPrograms builds the programs in a temporary folder.
+func buildPrograms(ctx context.Context, goCommand, root string, progress io.Writer) (programs, error) {
+	dir, err := os.MkdirTemp("", "mulleinrouter-bin-")
+	if err != nil {
+		return programs{}, err
+	}
+	built := programs{dir: dir, built: true}
+	arguments := []string{"build", "-o", dir + string(filepath.Separator)}
+	for _, name := range rolePrograms {
+		arguments = append(arguments, "./cmd/"+name)
+	}
+	fmt.Fprintf(progress, "building %s\n", strings.Join(rolePrograms, ", "))
+	command := exec.CommandContext(ctx, goCommand, arguments...)
+	command.Dir = root
+	command.Stderr = progress
+	command.Cancel = func() error { return command.Process.Signal(syscall.SIGINT) }
+	command.WaitDelay = buildGrace
+	if err := command.Run(); err != nil {
+		built.remove()
+		return programs{}, fmt.Errorf("go build: %w", err)
+	}
+	return built, nil
+}
