--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -97,6 +97,10 @@
 	"internal/standalone/cli imports internal/emulator/testcluster": "mulleinrouter try --ingress",
 	"internal/standalone/cli imports internal/emulator/loopback":    "mulleinrouter try",
 	"internal/standalone/cli imports internal/emulator/timechart":   "mulleinrouter try",
+
+	"internal/standalone/cli imports internal/cluster/commandline":     "mulleinrouter version, --output",
+	"internal/standalone/cli imports internal/cluster/settings":        "mulleinrouter check, of a settings file",
+	"internal/standalone/cli imports internal/control/operatorcommand": "mulleinrouter members, replace",
 }
 
 func TestLayers(t *testing.T) {
--- a/internal/standalone/cli/trygateway.go
+++ b/internal/standalone/cli/trygateway.go
@@ -9,6 +9,7 @@
 	"os"
 	"time"
 
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/emulator/loopback"
 	"mulleinrouter/internal/emulator/timechart"
 )
@@ -155,7 +156,7 @@
 // writeEndpoints prints the addresses of a gateway that serves, and commands to begin with.
 func writeEndpoints(w io.Writer, e loopback.Endpoints) {
 	var control, clients string
-	t := newTable(w)
+	t := commandline.NewTable(w)
 	fmt.Fprintln(t, "machine\tprocess\tpid\tserves\tmetrics")
 	for _, m := range e.Machines {
 		for _, process := range m.Processes {
