--- a/deploy/faulttests/try-holder.hcl
+++ b/deploy/faulttests/try-holder.hcl
@@ -1,4 +1,4 @@
-# What `mulleinrouter try --duty` shows: whoever sends use to billing for all is killed, and another goes on; each request is billed once.
+# What `mulleinrouter try --ingress --duty` shows: whoever sends use to billing for all is killed, and another goes on; each request is billed once.
 name      = "a holder is killed"
 seed      = 15
 ingresses = 3
--- a/internal/emulator/loopback/serve.go
+++ b/internal/emulator/loopback/serve.go
@@ -14,6 +14,8 @@
 	addedInstances = 2 // servers of a service that an operator added, each in a zone of its own
 	addedSlots     = 3
 	addedMeanWork  = 20 * time.Millisecond
+
+	exampleTenant = 1 // the requests at the start use up some of the quota of the first one
 )
 
 // Endpoints are the addresses of a cluster that serves, and an example of a request.
@@ -77,7 +79,7 @@
 	e := Endpoints{Example: ExampleRequest{
 		Host:    r.host,
 		Path:    r.prefix,
-		Key:     cl.tenants[0].keys[0],
+		Key:     cl.tenants[exampleTenant].keys[0],
 		Timeout: r.class.deadline,
 	}}
 	for _, m := range cl.machines() {
