--- a/internal/dataplane/ingress/conn.go
+++ b/internal/dataplane/ingress/conn.go
@@ -6,7 +6,7 @@
 	"net"
 	"time"
 
-	"github.com/sirupsen/logrus"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/dataplane/clientconn"
 	"mulleinrouter/internal/dataplane/engine"
@@ -54,8 +54,9 @@
 	defer s.mu.Unlock()
 	open, resumeReads, err := c.machine.Enter(state, s.seconds(time.Now()), s.lifecycle.KeepOpen())
 	if err != nil {
-		s.log.WithField("code", "client-illegal").WithError(err).
-			Error("illegal transition of a client connection, closing it")
+		level.Error(s.log).Log("msg", "illegal transition of a client connection, closing it",
+			"code", "client-illegal", "error", err,
+		)
 	}
 	if resumeReads {
 		c.SetReadDeadline(time.Time{})
@@ -136,12 +137,12 @@
 	if code == "" {
 		code = disconnectCode(err)
 	}
-	fields := logrus.Fields{"code": code, "from": c.RemoteAddr().String(), "requests": requests}
-	entry := c.server.log.WithFields(fields)
-	if err != nil && !errors.Is(err, io.EOF) {
-		entry = entry.WithError(err)
+	if errors.Is(err, io.EOF) {
+		err = nil // the client closed, as the code says
 	}
-	entry.Info("client connection ended")
+	level.Info(c.server.log).Log("msg", "client connection ended",
+		"code", code, "from", c.RemoteAddr(), "requests", requests, "error", err, // formatted only if they are written
+	)
 }
 
 // remove removes a connection that has ended, and returns the log code for which it was closed from this side.
--- a/internal/standalone/cli/usage.go
+++ b/internal/standalone/cli/usage.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"github.com/sirupsen/logrus"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/dataplane/usage"
@@ -53,14 +53,14 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	logger := newLogger(p.err, p.LogFormat)
+	logger := p.newLogger()
 	e := &usageexport.Exporter{Dir: ue.Dir, Endpoint: ue.To, Retention: keep, Log: logger}
 	if err := openExporter(e); err != nil {
 		return err
 	}
 	defer e.Close()
 	if ue.Follow {
-		logger.WithFields(logrus.Fields{"code": "usage-export-started", "dir": ue.Dir, "to": ue.To}).Info("exporting")
+		level.Info(logger).Log("msg", "exporting", "code", "usage-export-started", "dir", ue.Dir, "to", ue.To)
 		e.Run(ctx)
 		return nil
 	}
@@ -104,7 +104,7 @@
 
 // Run verifies segments and batches.
 func (uv *UsageVerifyCommand) Run(p *Program) error {
-	e := &usageexport.Exporter{Dir: uv.Dir, Log: newLogger(p.err, p.LogFormat)}
+	e := &usageexport.Exporter{Dir: uv.Dir, Log: p.newLogger()}
 	if err := openExporter(e); err != nil {
 		return err
 	}
--- a/internal/standalone/counterserver/server_test.go
+++ b/internal/standalone/counterserver/server_test.go
@@ -15,8 +15,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"mulleinrouter/internal/decision"
+	"mulleinrouter/internal/logging/logtest"
 	"mulleinrouter/internal/standalone/counterclient"
-	"mulleinrouter/internal/standalone/logtest"
 )
 
 // The store agrees with one that looks through all names at each call.
@@ -122,9 +122,9 @@
 		total   float64
 	}
 	replies := make(chan reply, 10)
-	log := logtest.Discard()
+	logger := logtest.Discard()
 	onReply := func(name string, outcome decision.Outcome, total float64) { replies <- reply{name, outcome, total} }
-	c := counterclient.New(addr, 10*time.Second, onReply, log)
+	c := counterclient.New(addr, 10*time.Second, onReply, logger)
 	defer c.Close()
 	add := func(want reply) {
 		t.Helper()
--- a/internal/standalone/fleet/gossip/instance.go
+++ b/internal/standalone/fleet/gossip/instance.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/go-kit/log/level"
 	"github.com/hashicorp/memberlist"
-	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/standalone/fleet/membership"
 )
@@ -41,8 +41,9 @@
 	inner, addr, err := f.newTransport()
 	if err != nil {
 		if f.protocolLog.fail(bindFailure) {
-			f.log.WithFields(logrus.Fields{"code": "fleet-address-taken", "listen": f.options.Listen}).WithError(err).
-				Warn("cannot listen at the fleet's address; it is retried")
+			level.Warn(f.log).Log("msg", "cannot listen at the fleet's address; it is retried",
+				"code", "fleet-address-taken", "listen", f.options.Listen, "error", err,
+			)
 		}
 		return
 	}
@@ -58,8 +59,9 @@
 	f.mu.Unlock()
 	if i.memberlist, err = memberlist.Create(f.protocolConfig(i, host, port)); err != nil {
 		i.transport.Shutdown()
-		f.log.WithField("code", "fleet-protocol").WithError(err).
-			Error("cannot start the membership protocol; it is retried")
+		level.Error(f.log).Log("msg", "cannot start the membership protocol; it is retried",
+			"code", "fleet-protocol", "error", err,
+		)
 		return
 	}
 	f.protocolLog.resolve(bindFailure)
@@ -70,13 +72,10 @@
 	f.exchangesDone = 0
 	f.mu.Unlock()
 	f.step(membership.ProtocolRestarted{})
-	f.log.WithFields(logrus.Fields{
-		"code":  "fleet-started",
-		"fleet": f.options.Fleet,
-		"addr":  addr,
-		"bound": f.boundAddr(inner),
-		"boot":  f.Self().Boot,
-	}).Info("membership protocol started")
+	level.Info(f.log).Log("msg", "membership protocol started",
+		"code", "fleet-started", "fleet", f.options.Fleet, "addr", addr, "bound", f.boundAddr(inner),
+		"boot", f.Self().Boot,
+	)
 }
 
 // protocolConfig is the configuration of an instance that others reach at host and port.
