--- a/internal/standalone/hclfile/errors.go
+++ b/internal/standalone/hclfile/errors.go
@@ -1,6 +1,7 @@
 package hclfile
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 	"strings"
@@ -24,23 +25,37 @@
 	return text
 }
 
-// newError makes one error of what the library found.
+// newError makes one error of what the library found, in the order of the file: the library checks keys in the order of
+// a map.
 func newError(name string, diagnostics hcl.Diagnostics) *Error {
-	var found []*hcl.Diagnostic
+	var found []rankedError
 	for _, d := range diagnostics {
 		if d.Severity == hcl.DiagError {
-			found = append(found, d)
+			found = append(found, rankedError{rank(d), fromDiagnostic(name, d)})
 		}
 	}
 	// A misspelt key is found twice, as an unknown one and as a missing one: the former names the place.
-	slices.SortStableFunc(found, func(a, b *hcl.Diagnostic) int { return rank(a) - rank(b) })
-	e := fromDiagnostic(name, found[0])
-	for _, d := range found[1:] {
-		e.Others = append(e.Others, fromDiagnostic(name, d))
+	slices.SortStableFunc(found, func(a, b rankedError) int {
+		return cmp.Or(
+			cmp.Compare(a.rank, b.rank),
+			cmp.Compare(a.err.Line, b.err.Line),
+			cmp.Compare(a.err.Column, b.err.Column),
+			cmp.Compare(a.err.Text, b.err.Text),
+		)
+	})
+	e := found[0].err
+	for _, other := range found[1:] {
+		e.Others = append(e.Others, other.err)
 	}
 	return e
 }
 
+// rankedError is an error with the rank of its diagnostic.
+type rankedError struct {
+	rank int
+	err  *Error
+}
+
 // fromDiagnostic makes an error of one thing that the library found. The library's texts may run over several lines; an
 // Error has one.
 func fromDiagnostic(name string, d *hcl.Diagnostic) *Error {
