--- a/internal/cluster/replication/feed.go
+++ b/internal/cluster/replication/feed.go
@@ -27,6 +27,7 @@
 
 	sendsHeartbeats  bool
 	heartbeatNumber  uint64 // heartbeats up to this one were sent
+	batchBegan       uint64 // heartbeatNumber before the last batch that had any: it may not have arrived
 	lastHeartbeatsAt time.Time
 }
 
@@ -40,7 +41,8 @@
 	f.matchingBits = f.matching.Bits()
 	f.sendsHeartbeats = hello.Class == ClassControl && s.Heartbeats != nil
 	if f.sendsHeartbeats {
-		_, f.heartbeatNumber = s.Heartbeats(0) // what was received before is out of date by now
+		f.heartbeatNumber = s.resumeHeartbeats(hello.Node)
+		f.batchBegan = f.heartbeatNumber
 	}
 	f.initial = f.seq == 0 && f.matching == nil && hello.Class != ClassControl
 	return f
@@ -114,7 +116,10 @@
 	builtAt = time.Now()
 	more = !update.Complete
 	if f.sendsHeartbeats && builtAt.Sub(f.lastHeartbeatsAt) >= heartbeatBatchInterval {
-		update.Heartbeats, f.heartbeatNumber = s.Heartbeats(f.heartbeatNumber)
+		since := f.heartbeatNumber
+		if update.Heartbeats, f.heartbeatNumber = s.Heartbeats(since); len(update.Heartbeats) > 0 {
+			f.batchBegan = since
+		}
 		if len(update.Heartbeats) < maxHeartbeats {
 			f.lastHeartbeatsAt = builtAt
 		} else {
--- a/internal/cluster/replication/source.go
+++ b/internal/cluster/replication/source.go
@@ -42,7 +42,8 @@
 	// registry.Registry.HeartbeatsSince). It is sent to control nodes; nil: nothing is.
 	Heartbeats func(since uint64) (heartbeats []transport.Heartbeat, last uint64)
 
-	cache chunkCache
+	cache   chunkCache
+	resumes heartbeatResumes
 }
 
 // Serve sends a subscriber what it lacks, changes as they come and an empty update each half second, and takes its
@@ -70,7 +71,9 @@
 			return nil
 		})
 	}()
-	newFeed(s, conn, hello).run()
+	feed := newFeed(s, conn, hello)
+	feed.run()
+	feed.recordHeartbeats()
 	conn.Close()
 	return <-ended
 }
--- /dev/null
+++ b/internal/control/machines_test.go
@@ -0,0 +1,321 @@
+package control
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"net"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/cockroachdb/pebble/v2/vfs"
+
+	"mulleinrouter/internal/cluster/replication"
+	"mulleinrouter/internal/cluster/settings"
+	"mulleinrouter/internal/cluster/transport"
+)
+
+// Times of a processor share that is a quota: the process stands still for most of each period.
+const (
+	quotaPeriod = 100 * time.Millisecond
+	quotaPause  = 80 * time.Millisecond
+	// ackBound is for how long an operator waits for an acknowledgement.
+	ackBound = time.Second
+	// counterBound is for how long an agent waits for a counter's owner (package agent, counterTimeout), and as much
+	// more as a counter's answer may come late without harm: the second owner that is asked.
+	counterBound = 320 * time.Millisecond
+)
+
+// startAgent starts an agent with its subscriptions to all nodes. It runs until its entry of stopAgents is called or
+// the context ends.
+func (g *observedCluster) startAgent(ctx context.Context, running *sync.WaitGroup, i int) {
+	ctx, g.stopAgents[i] = context.WithCancel(ctx)
+	g.agentsStarted++
+	incarnation := 99 + g.agentsStarted
+	g.agents[i] = nil
+	for _, a := range g.seeds {
+		inner := (&settings.Settings{InnerFirst: 75}).InternalAddrOf(a)
+		x := &replication.Client{
+			Node:        fmt.Sprint("edge-", i),
+			Class:       replication.ClassAgent,
+			Zone:        "z",
+			Incarnation: incarnation,
+			Seed:        1,
+			Store:       replication.NewStore(incarnation),
+			Clock:       replication.NewClock(func() float64 { return time.Since(g.began).Seconds() }),
+			Ready:       func() bool { return true },
+		}
+		x.Dial = func(context.Context) (net.Conn, error) { return g.dial("", inner) }
+		x.OnUpdate = func(f *transport.Update) { g.checkUpdate(a, f) }
+		x.OnConnection = func(up bool, _ error) {
+			if !up {
+				g.agentsLost.Add(1)
+			}
+		}
+		g.agents[i] = append(g.agents[i], x)
+		running.Go(func() { x.Run(ctx) })
+	}
+}
+
+// live lets time pass, with a heartbeat of every server as often as servers call, and checks.
+func (g *observedCluster) live(d time.Duration) {
+	for end := time.Now().Add(d); time.Now().Before(end); {
+		if !time.Now().Before(g.heartbeatsDue) {
+			g.heartbeatsDue = time.Now().Add(1500 * time.Millisecond)
+			g.sendHeartbeats()
+		}
+		g.checkInvariants()
+		advance(min(50*time.Millisecond, time.Until(end)))
+	}
+}
+
+// terms returns the term of each node's majority lease, and 0 where it is not held.
+func (g *observedCluster) terms() map[string]uint64 {
+	terms := map[string]uint64{}
+	for _, a := range g.seeds {
+		if term, held := g.nodes[a].majority.Current(); held {
+			terms[a] = term
+		}
+	}
+	return terms
+}
+
+// checkChange checks that a change is acknowledged within the time that an operator waits.
+func (g *observedCluster) checkChange(addr string, version int) {
+	began := time.Now()
+	status := g.patch(addr, patchBody([]string{serviceJSON("s", version)}, nil))
+	if took := time.Since(began); status != 200 || took > ackBound {
+		g.fail("%s answers a change with %d after %v", addr, status, took)
+	}
+}
+
+// checkReads asks every node for the configuration, and returns how many answer. None may show an older version of the
+// service than was acknowledged.
+func (g *observedCluster) checkReads(acknowledged int) (answered int) {
+	for _, a := range g.seeds {
+		status, text := g.call(a, "GET", "/config", "")
+		if status == 503 {
+			continue
+		}
+		answered++
+		_, text, _ = strings.Cut(text, `"s":{`)
+		_, text, _ = strings.Cut(text, `"generation":"`)
+		version, err := strconv.ParseInt(text[:min(8, len(text))], 16, 64)
+		if status != 200 || err != nil || int(version) < acknowledged {
+			g.fail("%s answers a read with %d, version %d (%v), want %d or newer", a, status, version, err, acknowledged)
+		}
+	}
+	return answered
+}
+
+// standStill has processes stand still for quotaPause in each quotaPeriod from now on; "" stands for the agents. An
+// offset says where in its period a process is.
+func (g *observedCluster) standStill(processes []string, offset func(process string) time.Duration) {
+	began := time.Now()
+	g.links.standstills.set(func(process string) time.Duration {
+		if !slices.Contains(processes, process) {
+			return 0
+		}
+		return quotaPause - (time.Since(began)+offset(process))%quotaPeriod
+	})
+}
+
+// underQuota has processes stand still for 80 ms of each 100, for twelve seconds. Nothing is concluded from it: no
+// lease lapses, no connection ends, no server is silent, changes are acknowledged in time, and counters keep their owners.
+func underQuota(g *observedCluster, processes []string, offset func(string) time.Duration) {
+	before, lost := g.terms(), g.agentsLost.Load()
+	version := 1000
+	late, calls := 0, 0
+	g.standStill(processes, offset)
+	for end := time.Now().Add(12 * time.Second); time.Now().Before(end); {
+		version++
+		g.checkChange(g.seeds[version%3], version)
+		g.live(400 * time.Millisecond)
+		for n := range g.seeds {
+			began := time.Now()
+			_, err := g.agents[0][n].Call(time.Second, counterAdd("t0", 60))
+			if calls++; err != nil || time.Since(began) > counterBound {
+				late++
+			}
+		}
+		if terms := g.terms(); !maps.Equal(terms, before) {
+			g.fail("the terms of the majority leases were %v, and are %v", before, terms)
+			before = terms
+		}
+		for i, agent := range g.agents {
+			for n, a := range g.seeds {
+				if s := agent[n].State(); !s.Quorum || !s.Ready || s.Members != len(g.agents) {
+					g.fail("agent %d gets from %s: quorum %v, ready %v, %d members", i, a, s.Quorum, s.Ready, s.Members)
+				}
+			}
+		}
+	}
+	g.links.standstills.set(nil)
+	if late > 0 {
+		g.fail("%d of %d counter calls took more than %v", late, calls, counterBound)
+	}
+	if ended := g.agentsLost.Load() - lost; ended > 0 {
+		g.fail("%d connections of agents ended", ended)
+	}
+	g.live(time.Second)
+	g.checkRecovered()
+}
+
+func TestProcessorQuota(t *testing.T) {
+	aligned := func(string) time.Duration { return 0 }
+	for name, c := range map[string]struct {
+		paused func(seeds []string) []string
+		offset func(process string) time.Duration
+	}{
+		"one node":   {func(seeds []string) []string { return seeds[:1] }, aligned},
+		"all nodes":  {slices.Clone[[]string], aligned},
+		"all agents": {func([]string) []string { return []string{""} }, aligned},
+		"everything": {func(seeds []string) []string { return append(slices.Clone(seeds), "") }, aligned},
+		"everything, one after the other": {
+			func(seeds []string) []string { return append(slices.Clone(seeds), "") },
+			func(process string) time.Duration {
+				return time.Duration(lastDigit(process)) * 23 * time.Millisecond
+			},
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			links := &partitionableLinks{standstills: new(standstills)}
+			for _, failure := range observeOver(t, 9, links, func(g *observedCluster) {
+				underQuota(g, c.paused(g.seeds), c.offset)
+			}) {
+				t.Error(failure)
+			}
+		})
+	}
+}
+
+// lastDigit is the number of a node, by its address; 0: of the agents.
+func lastDigit(process string) byte {
+	if process == "" {
+		return 0
+	}
+	return process[len("10.0.0.")] - '0'
+}
+
+// resetBursts resets the connections of some control nodes, to each other, to the others and to all agents, again and
+// again. The leases outlive it, and nothing that is acknowledged is lost.
+func resetBursts(g *observedCluster, nodes []string, gap time.Duration) {
+	version := 2000
+	acknowledged := 0
+	for range 12 {
+		for _, a := range nodes {
+			g.resetConnections(a)
+		}
+		g.live(gap)
+		for _, a := range g.seeds {
+			version++
+			if g.patch(a, patchBody([]string{serviceJSON("s", version)}, nil)) == 200 {
+				acknowledged = version
+			}
+		}
+		if g.checkReads(acknowledged) == 0 {
+			g.fail("no node answers a read between two resets")
+		}
+	}
+	if acknowledged == 0 {
+		g.fail("no change was acknowledged between two resets")
+	}
+	g.live(contactBound)
+	g.checkRecovered()
+}
+
+// resetConnections ends all connections of a node.
+func (c *testCluster) resetConnections(addr string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	n := c.nodes[addr]
+	n.internal.mu.Lock()
+	defer n.internal.mu.Unlock()
+	for _, nc := range n.internal.dialed {
+		nc.Close()
+	}
+	n.internal.dialed = nil
+}
+
+func TestBurstsOfResets(t *testing.T) {
+	for _, gap := range []time.Duration{100 * time.Millisecond, 400 * time.Millisecond} {
+		for count := 1; count <= 3; count += 2 {
+			t.Run(fmt.Sprint(count, " nodes each ", gap), func(t *testing.T) {
+				for _, failure := range observe(t, 9, func(g *observedCluster) {
+					before := g.terms()
+					resetBursts(g, g.seeds[:count], gap)
+					if terms := g.terms(); !maps.Equal(terms, before) {
+						g.fail("the terms of the majority leases were %v, and are %v", before, terms)
+					}
+				}) {
+					t.Error(failure)
+				}
+			})
+		}
+	}
+}
+
+// killTogether kills processes at one moment: control nodes, whose machines lose power too, and agents. What was
+// acknowledged just before is there when they are back, and meanwhile a minority acknowledges nothing.
+func killTogether(g *observedCluster, nodes []string, agents []int) {
+	for round := range 3 {
+		version := 3000 + 10*round
+		g.checkChange(nodes[round%len(nodes)], version)
+		disks := map[string]*vfs.MemFS{}
+		for _, a := range nodes {
+			disks[a] = g.remove(a)
+		}
+		for _, i := range agents {
+			g.stopAgents[i]()
+		}
+		up := slices.DeleteFunc(slices.Clone(g.seeds), func(a string) bool { return slices.Contains(nodes, a) })
+		advance(2 * time.Second)
+		for _, a := range up {
+			if 2*len(up) < len(g.seeds) {
+				g.checkRejects(a, version+1)
+				continue
+			}
+			status := g.patch(a, patchBody([]string{serviceJSON("s", version+1)}, nil))
+			if status != 200 {
+				g.fail("%s answers a change with %d, with %d of %d nodes", a, status, len(up), len(g.seeds))
+			}
+		}
+		for _, a := range nodes {
+			g.start(a, disks[a], false)
+		}
+		for _, i := range agents {
+			g.restartAgent(i)
+		}
+		g.live(contactBound)
+		if answered := g.checkReads(version); answered != 3 {
+			g.fail("round %d: %d nodes answer a read", round, answered)
+		}
+		g.live(4 * time.Second)
+		g.checkRecovered()
+	}
+}
+
+func TestProcessesKilledTogether(t *testing.T) {
+	for _, c := range []struct {
+		nodes  int
+		agents []int
+	}{
+		{nodes: 1, agents: []int{0, 1}},
+		{nodes: 2},
+		{nodes: 2, agents: []int{0, 1, 2}},
+		{nodes: 3},
+		{nodes: 3, agents: []int{0, 1, 2}},
+	} {
+		t.Run(fmt.Sprint(c.nodes, " nodes, ", len(c.agents), " agents"), func(t *testing.T) {
+			for _, failure := range observe(t, 9, func(g *observedCluster) {
+				killTogether(g, g.seeds[:c.nodes], c.agents)
+			}) {
+				t.Error(failure)
+			}
+		})
+	}
+}
--- a/internal/control/majority/lease.go
+++ b/internal/control/majority/lease.go
@@ -76,8 +76,12 @@
 }
 
 func (l *Lease) inContact(node string, now time.Duration) bool {
+	ttl := TTL
+	if mutants.On("majority/lease-of-one-round") {
+		ttl = 250 * time.Millisecond
+	}
 	at, ok := l.lastAnswered[node]
-	return ok && now-at <= TTL
+	return ok && now-at <= ttl
 }
 
 // Current tells whether the lease is held now, and its term: the number of the uninterrupted span in which it is
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -3,10 +3,10 @@
 import (
 	"context"
 	"fmt"
-	"net"
 	"slices"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -31,8 +31,13 @@
 	homeNodes      []int // by server: the node that it calls first
 	heartbeats     int
 	agents         [][]*replication.Client // by agent and node
-	outOfContact   map[string]bool         // nodes that are to say nothing
-	counterAnswers map[string]int          // by counter name
+	stopAgents     []context.CancelFunc    // by agent
+	agentsStarted  uint64
+	heartbeatsDue  time.Time       // of live
+	agentsLost     atomic.Int64    // connections of agents that have ended
+	restartAgent   func(i int)     // after it was stopped
+	outOfContact   map[string]bool // nodes that are to say nothing
+	counterAnswers map[string]int  // by counter name
 }
 
 func (g *observedCluster) fail(format string, args ...any) {
@@ -182,35 +187,27 @@
 // observe starts a cluster with a number of servers, undisturbed for eight seconds, and has something done to
 // it. It returns the failures.
 func observe(t *testing.T, servers int, disturb func(*observedCluster)) (failures []string) {
+	return observeOver(t, servers, &partitionableLinks{}, disturb)
+}
+
+// observeOver is observe over the given links.
+func observeOver(
+	t *testing.T, servers int, links *partitionableLinks, disturb func(*observedCluster),
+) (failures []string) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &observedCluster{
-			testCluster:    newClusterOver(t, 3, &partitionableLinks{}),
+			testCluster:    newClusterOver(t, 3, links),
 			began:          time.Now(),
 			outOfContact:   map[string]bool{},
 			counterAnswers: map[string]int{},
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		var running sync.WaitGroup
+		g.restartAgent = func(i int) { g.startAgent(ctx, &running, i) }
 		for i := range 3 {
-			var all []*replication.Client
-			for _, a := range g.seeds {
-				x := &replication.Client{
-					Node:        fmt.Sprint("edge-", i),
-					Class:       replication.ClassAgent,
-					Zone:        "z",
-					Incarnation: uint64(100 + i),
-					Seed:        1,
-					Store:       replication.NewStore(uint64(100 + i)),
-					Clock:       replication.NewClock(func() float64 { return time.Since(g.began).Seconds() }),
-					Ready:       func() bool { return true },
-				}
-				inner := g.nodes[a].settings.InternalAddrOf(a)
-				x.Dial = func(context.Context) (net.Conn, error) { return g.dial("", inner) }
-				x.OnUpdate = func(f *transport.Update) { g.checkUpdate(a, f) }
-				all = append(all, x)
-				running.Go(func() { x.Run(ctx) })
-			}
-			g.agents = append(g.agents, all)
+			g.agents = append(g.agents, nil)
+			g.stopAgents = append(g.stopAgents, nil)
+			g.startAgent(ctx, &running, i)
 		}
 		for i := range servers {
 			g.homeNodes = append(g.homeNodes, i%3)
--- /dev/null
+++ b/internal/control/standstills_test.go
@@ -0,0 +1,98 @@
+package control
+
+import (
+	"bytes"
+	"net"
+	"sync"
+	"time"
+
+	"mulleinrouter/internal/cluster/transport"
+)
+
+// standstills says when processes stand still: they read and write nothing meanwhile, and what arrives waits.
+type standstills struct {
+	mu       sync.Mutex
+	stillFor func(process string) time.Duration // from now; nil: none stands still
+}
+
+// set sets for how long, from any moment, a process stands still; nil: none does.
+func (s *standstills) set(stillFor func(process string) time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.stillFor = stillFor
+}
+
+// await returns once a process runs.
+func (s *standstills) await(process string) {
+	if s == nil {
+		return
+	}
+	s.mu.Lock()
+	stillFor := s.stillFor
+	s.mu.Unlock()
+	if stillFor == nil {
+		return
+	}
+	if left := stillFor(process); left > 0 {
+		time.Sleep(left)
+	}
+}
+
+// bufferedConn is a process's end of a connection whose writes don't wait for the reader, as over TCP, and go out while
+// the process runs.
+type bufferedConn struct {
+	net.Conn
+	process    string
+	standstill *standstills
+
+	mu      sync.Mutex
+	queue   [][]byte
+	writing bool // a goroutine writes what is queued
+	closed  bool
+}
+
+// buffer returns a process's end of a connection, buffered.
+func (s *standstills) buffer(process string, nc net.Conn) *bufferedConn {
+	return &bufferedConn{Conn: nc, process: process, standstill: s}
+}
+
+func (b *bufferedConn) Write(data []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.closed {
+		return 0, net.ErrClosed
+	}
+	b.queue = append(b.queue, bytes.Clone(data))
+	if !b.writing {
+		b.writing = true
+		go b.writeQueued()
+	}
+	return len(data), nil
+}
+
+// writeQueued writes what is queued, until nothing is left or the connection has ended.
+func (b *bufferedConn) writeQueued() {
+	for {
+		b.standstill.await(b.process)
+		b.mu.Lock()
+		if b.closed || len(b.queue) == 0 {
+			b.writing = false
+			b.mu.Unlock()
+			return
+		}
+		data := b.queue[0]
+		b.queue = b.queue[1:]
+		b.mu.Unlock()
+		_ = b.SetWriteDeadline(time.Now().Add(transport.WriteTimeout))
+		if _, err := b.Conn.Write(data); err != nil {
+			b.Close()
+		}
+	}
+}
+
+func (b *bufferedConn) Close() error {
+	b.mu.Lock()
+	b.closed = true
+	b.mu.Unlock()
+	return b.Conn.Close()
+}
