--- a/internal/cluster/replication/heartbeat_resume.go
+++ b/internal/cluster/replication/heartbeat_resume.go
@@ -42,8 +42,8 @@
 	return number
 }
 
-// recordHeartbeats remembers where a subscription has ended. Its last batch may not have arrived: it is sent again, which
-// changes nothing where it has.
+// recordHeartbeats remembers where a subscription has ended. Its last batch may not have arrived: it is sent again,
+// which changes nothing where it has.
 func (f *feed) recordHeartbeats() {
 	if !f.sendsHeartbeats {
 		return
--- a/internal/control/machines_test.go
+++ b/internal/control/machines_test.go
@@ -125,7 +125,8 @@
 }
 
 // underQuota has processes stand still for 80 ms of each 100, for twelve seconds. Nothing is concluded from it: no
-// lease lapses, no connection ends, no server is silent, changes are acknowledged in time, and counters keep their owners.
+// lease lapses, no connection ends, no server is silent, changes are acknowledged in time, and counters keep their
+// owners.
 func underQuota(g *observedCluster, processes []string, offset func(string) time.Duration) {
 	before, lost := g.terms(), g.agentsLost.Load()
 	version := 1000
--- a/internal/dataplane/http1/response.go
+++ b/internal/dataplane/http1/response.go
@@ -24,10 +24,6 @@
 // Large reports whether an answer's body may be longer than MaxBufferedBody: it is to be streamed.
 func (r *Response) Large() bool { return r.chunked || r.untilClose || r.length > MaxBufferedBody }
 
-// EndsWithConnection reports whether an answer's body ends with the connection: one that was truncated looks like a
-// complete one (RFC 9112, section 8).
-func (r *Response) EndsWithConnection() bool { return r.untilClose }
-
 // Response reads the head of the next final answer. Bodiless: it is one to HEAD, without the body whose length it
 // states.
 func (rd *Reader) Response(bodiless bool) (*Response, error) {
--- a/internal/dataplane/upstream/pool_test.go
+++ b/internal/dataplane/upstream/pool_test.go
@@ -83,6 +83,19 @@
 			}
 			return strings.TrimSpace(outcomeNames[r.Outcome] + " " + string(body))
 		}
+		var streamed Result
+		p.Hooks["streams"] = func(string) string { // the head of an answer has been read
+			streamed = <-results
+			return outcomeNames[streamed.Outcome]
+		}
+		p.Hooks["rest"] = func(string) string { // of that answer
+			body, err := io.ReadAll(streamed.Stream)
+			streamed.Stream.Close()
+			if err != nil {
+				return "cut off"
+			}
+			return "complete " + string(body)
+		}
 		p.Hooks["cancel"] = func(string) string {
 			cancel()
 			return ""
--- a/internal/proxy/server_protocol.go
+++ b/internal/proxy/server_protocol.go
@@ -33,7 +33,8 @@
 
 // classifyAnswer returns what a server's answer means (PROTOCOL, "Servers" and "Answers"): only X-Not-Executed, or 421,
 // proves that the request was not executed, and an answer with another ID belongs to another request, whatever it is.
-// One that only the end of the connection delimits may have been truncated.
+// One that only the end of the connection delimits is complete where that is a close, and cut off where it is a reset
+// (RFC 9112, section 8; RULES, MIXED).
 func classifyAnswer(m *upstream.Message, answer *http1.Response) upstream.AnswerMeaning {
 	switch id := answer.Header.Get(headerAttemptID); {
 	case len(answer.Header[headerAttemptID]) > 1:
@@ -44,8 +45,6 @@
 		return upstream.NotExecuted
 	case promisesNotExecuted(answer.Status):
 		return upstream.Broken
-	case answer.EndsWithConnection():
-		return upstream.Broken
 	case answer.Status >= http.StatusInternalServerError:
 		return upstream.Failed
 	case id == "":
