--- a/internal/dataplane/upstream/attempt.go
+++ b/internal/dataplane/upstream/attempt.go
@@ -109,8 +109,8 @@
 		return attemptEnd{}, true
 	}
 	if answered {
-		if a, readErr := p.read(c, m); readErr == nil {
-			return attemptEnd{verdict: c.AnsweredEarly(a.Answer), head: a.head, body: a.body}, false
+		if end, ok := p.earlyAnswer(c, m, err); ok {
+			return end, false
 		}
 	}
 	failure := failureUploading(ctx, err)
@@ -126,6 +126,11 @@
 	if complete {
 		return attemptEnd{}, true
 	}
+	if errors.Is(err, errEarlyAnswer) {
+		if end, ok := p.earlyAnswer(c, m, err); ok {
+			return end, false
+		}
+	}
 	failure := upstreamconn.ConnectionLost
 	if ctx.Err() != nil || errors.Is(err, errDraining) {
 		failure = upstreamconn.Cancelled // nothing has run, and the server is not to blame
@@ -135,6 +140,21 @@
 	return attemptEnd{verdict: c.FailedWriting(failure), err: err}, false
 }
 
+// earlyAnswer reads an answer that began to arrive before the request was complete; cause is why the write ended. Not
+// ok: it is none to this request. While a part of the request was held back, bytes of an earlier answer may have been left
+// on a connection that was used before: there only the request's ID tells that an answer is its own.
+func (p *Pool) earlyAnswer(c *conn, m *Message, cause error) (end attemptEnd, ok bool) {
+	held := errors.Is(cause, errEarlyAnswer)
+	if held {
+		c.SetReadDeadline(time.Now().Add(earlyAnswerWait))
+	}
+	a, err := p.read(c, m)
+	if err != nil || held && c.Uses() > 1 && a.head.Header.Get(p.Dialect.IDField) != m.ID {
+		return attemptEnd{}, false
+	}
+	return attemptEnd{verdict: c.AnsweredEarly(a.Answer), head: a.head, body: a.body}, true
+}
+
 // awaitAnswer reads the answer to a request that was written completely.
 func (p *Pool) awaitAnswer(ctx context.Context, c *conn, m *Message) attemptEnd {
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(pastDeadline) })
--- a/internal/dataplane/upstream/conn.go
+++ b/internal/dataplane/upstream/conn.go
@@ -14,6 +14,9 @@
 // pastDeadline is a deadline that has passed: it interrupts what is read or written.
 var pastDeadline = time.Unix(1, 0)
 
+// codeUnexpectedBytes is the log code of a connection on which the server sent something that no request awaited.
+const codeUnexpectedBytes = "upstream-bad-answer"
+
 // conn is one connection to a backend.
 type conn struct {
 	net.Conn
@@ -26,12 +29,18 @@
 	holdTime        time.Duration    // for how long a part of the current request is held back
 	lastAnswer      decision.Seconds // when the server last answered
 	sawUnidentified bool             // an answer without an ID has arrived
+	unread          []byte           // what stale has taken from the connection: Read returns it first
 	traffic         *traffic.Counter
 }
 
 // Read reads from the server, and counts the bytes.
-func (c *conn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
+func (c *conn) Read(b []byte) (n int, err error) {
+	if len(c.unread) > 0 {
+		n = copy(b, c.unread)
+		c.unread = c.unread[n:]
+	} else {
+		n, err = c.Conn.Read(b)
+	}
 	c.traffic.Read(n)
 	return n, err
 }
@@ -49,6 +58,9 @@
 	if c.addr != addr {
 		return "upstream-moved"
 	}
+	if len(c.unread) > 0 {
+		return codeUnexpectedBytes
+	}
 	err := c.raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		n, err := syscall.Read(int(fd), b[:])
@@ -56,7 +68,8 @@
 		case n == 0 && err == nil:
 			code = "upstream-ended"
 		case n > 0:
-			code = "upstream-bad-answer"
+			code = codeUnexpectedBytes
+			c.unread = append(c.unread, b[0])
 		case err != syscall.EAGAIN && err != syscall.EINTR:
 			code = "upstream-reset-idle"
 		}
--- a/internal/dataplane/upstream/errors.go
+++ b/internal/dataplane/upstream/errors.go
@@ -15,6 +15,8 @@
 	// errConnectionEnded: the server reset or closed the connection, or sent something, before the request was
 	// complete.
 	errConnectionEnded = errors.New("connection ended before the request was complete")
+	// errEarlyAnswer: the server sent something while a part of the request was held back. It may be the answer.
+	errEarlyAnswer = errors.New("answer before the request was complete")
 	// errDraining: the server was found to be draining while a part of the request was held back.
 	errDraining = errors.New("server draining")
 	// errClientUpload: the client did not send the body to its end.
--- a/internal/dataplane/upstream/pool_test.go
+++ b/internal/dataplane/upstream/pool_test.go
@@ -13,6 +13,7 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/sirupsen/logrus"
 
+	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/emulator/exchange"
 )
@@ -36,6 +37,19 @@
 	return log
 }
 
+// meaningWithID is the meaning of an answer in a dialect whose answers carry the ID of their request.
+func meaningWithID(m *Message, a *http1.Response) AnswerMeaning {
+	switch id := a.Header.Get("X-Request-Id"); {
+	case id != "" && id != m.ID:
+		return Foreign
+	case a.Header.Get("X-Not-Processed") != "":
+		return NotExecuted
+	case a.Status == 200:
+		return Served
+	}
+	return Failed
+}
+
 // TestOutcomes plays every row of the protocol's table of outcomes, and what keeps connections reusable.
 func TestOutcomes(t *testing.T) {
 	exchange.Each(t, "testdata/*.txt", func(t *testing.T, script string) {
@@ -62,10 +76,18 @@
 			(<-dialed).SetReadDeadline(pastDeadline)
 			return ""
 		}
+		p.Hooks["ids"] = func(string) string { // answers carry the ID of their request
+			pool.Dialect = Dialect{IDField: "X-Request-Id", Meaning: meaningWithID}
+			return ""
+		}
 		p.Hooks["hold"] = func(string) string { // the last byte, until the server has closed the connection
 			pool.awaitReset = func(c *conn) { exchange.Until(func() bool { return c.stale(addr) != "" }) }
 			return ""
 		}
+		p.Hooks["no-hold"] = func(string) string {
+			pool.awaitReset = func(*conn) {}
+			return ""
+		}
 		p.Hooks["ended"] = func(string) string { // the close of the idle connection by the server has arrived
 			return exchange.Until(func() bool {
 				pool.mu.Lock()
--- a/internal/dataplane/upstream/upload.go
+++ b/internal/dataplane/upstream/upload.go
@@ -51,7 +51,7 @@
 		if errors.Is(err, errDraining) {
 			return false, err
 		}
-		return false, fmt.Errorf("%w: %w", errServerUpload, err)
+		return errors.Is(err, errEarlyAnswer), fmt.Errorf("%w: %w", errServerUpload, err)
 	}
 	uploaded := make(chan error, 1)
 	go func() { uploaded <- copyUpload(c, m.Upload) }()
--- a/internal/dataplane/upstream/write.go
+++ b/internal/dataplane/upstream/write.go
@@ -62,7 +62,10 @@
 
 // mayRelease returns why what was held back of a request must not be written; nil: it may.
 func (p *Pool) mayRelease(ctx context.Context, c *conn) error {
-	if code := c.stale(c.addr); code != "" || ctx.Err() != nil {
+	switch code := c.stale(c.addr); {
+	case code == codeUnexpectedBytes && ctx.Err() == nil && p.Dialect.IDField != "":
+		return errEarlyAnswer // its ID says whose it is
+	case code != "" || ctx.Err() != nil:
 		return fmt.Errorf("%w: %s", errConnectionEnded, code)
 	}
 	if _, serving := p.lookup(c.backend); !upstreamconn.MayRelease(serving, ctx.Err() != nil) {
