--- a/internal/control/machines_mutants_test.go
+++ b/internal/control/machines_mutants_test.go
@@ -9,10 +9,10 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Each seeded fault in what is concluded from standstills, resets and kills is found by them.
+// Each seeded fault in what is concluded from pauses, resets and kills is found by them.
 func TestMachineMutants(t *testing.T) {
 	quota := func(t *testing.T) []string {
-		return observeOver(t, 9, &partitionableLinks{standstills: new(standstills)}, func(g *observedCluster) {
+		return observeOver(t, 9, &partitionableLinks{pauses: new(processPauses)}, func(g *observedCluster) {
 			underQuota(g, append([]string{""}, g.seeds...), func(string) time.Duration { return 0 })
 		})
 	}
--- a/internal/control/machines_test.go
+++ b/internal/control/machines_test.go
@@ -19,7 +19,7 @@
 	"mulleinrouter/internal/cluster/transport"
 )
 
-// Times of a processor share that is a quota: the process stands still for most of each period.
+// Times of a processor share that is a quota: the process is paused for most of each period.
 const (
 	quotaPeriod = 100 * time.Millisecond
 	quotaPause  = 80 * time.Millisecond
@@ -112,11 +112,11 @@
 	return answered
 }
 
-// standStill has processes stand still for quotaPause in each quotaPeriod from now on; "" stands for the agents. An
+// pauseProcesses pauses processes for quotaPause in each quotaPeriod from now on; "" stands for the agents. An
 // offset says where in its period a process is.
-func (g *observedCluster) standStill(processes []string, offset func(process string) time.Duration) {
+func (g *observedCluster) pauseProcesses(processes []string, offset func(process string) time.Duration) {
 	began := time.Now()
-	g.links.standstills.set(func(process string) time.Duration {
+	g.links.pauses.set(func(process string) time.Duration {
 		if !slices.Contains(processes, process) {
 			return 0
 		}
@@ -124,14 +124,14 @@
 	})
 }
 
-// underQuota has processes stand still for 80 ms of each 100, for twelve seconds. Nothing is concluded from it: no
+// underQuota pauses processes for 80 ms of each 100, for twelve seconds. Nothing is concluded from it: no
 // lease lapses, no connection ends, no server is silent, changes are acknowledged in time, and counters keep their
 // owners.
 func underQuota(g *observedCluster, processes []string, offset func(string) time.Duration) {
 	before, lost := g.terms(), g.agentsLost.Load()
 	version := 1000
 	late, calls := 0, 0
-	g.standStill(processes, offset)
+	g.pauseProcesses(processes, offset)
 	for end := time.Now().Add(12 * time.Second); time.Now().Before(end); {
 		version++
 		g.checkChange(g.seeds[version%3], version)
@@ -155,7 +155,7 @@
 			}
 		}
 	}
-	g.links.standstills.set(nil)
+	g.links.pauses.set(nil)
 	if late > 0 {
 		g.fail("%d of %d counter calls took more than %v", late, calls, counterBound)
 	}
@@ -184,7 +184,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			links := &partitionableLinks{standstills: new(standstills)}
+			links := &partitionableLinks{pauses: new(processPauses)}
 			for _, failure := range observeOver(t, 9, links, func(g *observedCluster) {
 				underQuota(g, c.paused(g.seeds), c.offset)
 			}) {
--- a/internal/control/partitionable_links_test.go
+++ b/internal/control/partitionable_links_test.go
@@ -9,10 +9,10 @@
 // partitionableLinks is links that can be severed without an error, in each direction by itself. What is sent
 // then waits and is delivered once the link is restored, as over TCP; so is the end of a connection.
 type partitionableLinks struct {
-	mu          sync.Mutex
-	severed     map[[2]string]bool // from, to
-	ends        []*linkEnd
-	standstills *standstills // of the processes at both ends; nil: there are none
+	mu      sync.Mutex
+	severed map[[2]string]bool // from, to
+	ends    []*linkEnd
+	pauses  *processPauses // of the processes at both ends; nil: there are none
 }
 
 // linkEnd is one end of a connection.
@@ -34,8 +34,8 @@
 func (l *partitionableLinks) wrap(from, to string, here, there net.Conn) (net.Conn, net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.standstills != nil {
-		here, there = l.standstills.buffer(from, here), l.standstills.buffer(to, there)
+	if l.pauses != nil {
+		here, there = l.pauses.buffer(from, here), l.pauses.buffer(to, there)
 	}
 	a := &linkEnd{Conn: here, links: l, direction: [2]string{from, to}}
 	b := &linkEnd{Conn: there, links: l, direction: [2]string{to, from}}
@@ -125,7 +125,7 @@
 		return 0, net.ErrClosed
 	}
 	n, err := e.Conn.Read(b)
-	e.links.standstills.await(e.direction[0])
+	e.links.pauses.await(e.direction[0])
 	if e.isClosed() {
 		return 0, net.ErrClosed
 	}
--- a/internal/control/standstills_test.go
+++ b/internal/control/process_pauses_test.go
@@ -9,31 +9,31 @@
 	"mulleinrouter/internal/cluster/transport"
 )
 
-// standstills says when processes stand still: they read and write nothing meanwhile, and what arrives waits.
-type standstills struct {
-	mu       sync.Mutex
-	stillFor func(process string) time.Duration // from now; nil: none stands still
+// processPauses says when processes are paused: they read and write nothing meanwhile, and what arrives waits.
+type processPauses struct {
+	mu        sync.Mutex
+	pausedFor func(process string) time.Duration // from now; nil: none is
 }
 
-// set sets for how long, from any moment, a process stands still; nil: none does.
-func (s *standstills) set(stillFor func(process string) time.Duration) {
+// set sets for how long, from any moment, a process is paused; nil: none is.
+func (s *processPauses) set(pausedFor func(process string) time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stillFor = stillFor
+	s.pausedFor = pausedFor
 }
 
 // await returns once a process runs.
-func (s *standstills) await(process string) {
+func (s *processPauses) await(process string) {
 	if s == nil {
 		return
 	}
 	s.mu.Lock()
-	stillFor := s.stillFor
+	pausedFor := s.pausedFor
 	s.mu.Unlock()
-	if stillFor == nil {
+	if pausedFor == nil {
 		return
 	}
-	if left := stillFor(process); left > 0 {
+	if left := pausedFor(process); left > 0 {
 		time.Sleep(left)
 	}
 }
@@ -42,8 +42,8 @@
 // the process runs.
 type bufferedConn struct {
 	net.Conn
-	process    string
-	standstill *standstills
+	process string
+	pauses  *processPauses
 
 	mu      sync.Mutex
 	queue   [][]byte
@@ -52,8 +52,8 @@
 }
 
 // buffer returns a process's end of a connection, buffered.
-func (s *standstills) buffer(process string, nc net.Conn) *bufferedConn {
-	return &bufferedConn{Conn: nc, process: process, standstill: s}
+func (s *processPauses) buffer(process string, nc net.Conn) *bufferedConn {
+	return &bufferedConn{Conn: nc, process: process, pauses: s}
 }
 
 func (b *bufferedConn) Write(data []byte) (int, error) {
@@ -73,7 +73,7 @@
 // writeQueued writes what is queued, until nothing is left or the connection has ended.
 func (b *bufferedConn) writeQueued() {
 	for {
-		b.standstill.await(b.process)
+		b.pauses.await(b.process)
 		b.mu.Lock()
 		if b.closed || len(b.queue) == 0 {
 			b.writing = false
--- a/internal/dataplane/upstream/attempt.go
+++ b/internal/dataplane/upstream/attempt.go
@@ -141,15 +141,15 @@
 }
 
 // earlyAnswer reads an answer that began to arrive before the request was complete; cause is why the write ended. Not
-// ok: it is none to this request. While a part of the request was held back, bytes of an earlier answer may have been left
+// ok: it is none to this request. While a part of the request is held back, bytes of an earlier answer may still arrive
 // on a connection that was used before: there only the request's ID tells that an answer is its own.
 func (p *Pool) earlyAnswer(c *conn, m *Message, cause error) (end attemptEnd, ok bool) {
-	held := errors.Is(cause, errEarlyAnswer)
-	if held {
+	beforeRelease := errors.Is(cause, errEarlyAnswer)
+	if beforeRelease {
 		c.SetReadDeadline(time.Now().Add(earlyAnswerWait))
 	}
 	a, err := p.read(c, m)
-	if err != nil || held && c.Uses() > 1 && a.head.Header.Get(p.Dialect.IDField) != m.ID {
+	if err != nil || beforeRelease && c.Uses() > 1 && a.head.Header.Get(p.Dialect.IDField) != m.ID {
 		return attemptEnd{}, false
 	}
 	return attemptEnd{verdict: c.AnsweredEarly(a.Answer), head: a.head, body: a.body}, true
