--- a/cmd/emulator/slopes.go
+++ b/cmd/emulator/slopes.go
@@ -8,6 +8,7 @@
 	"text/tabwriter"
 
 	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 	"github.com/pkg/errors"
 
 	"mulleinrouter/internal/emulator/capacity"
@@ -31,7 +32,7 @@
 		divisor = quickDivisor
 	}
 	run, err := costmodel.Measure(divisor, func(series *costmodel.Series) {
-		logger.Log("msg", "slope measured", "name", series.Name)
+		level.Info(logger).Log("msg", "slope measured", "name", series.Name)
 		writeSeries(t, series)
 	})
 	if err != nil {
--- a/internal/cluster/metrics/registry.go
+++ b/internal/cluster/metrics/registry.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/common/expfmt"
 
@@ -151,7 +152,7 @@
 	listener, err := retry.Listen(ctx, address, bindPolicy)
 	if err != nil {
 		if ctx.Err() == nil {
-			logger.Log("msg", "metrics not served", "address", address, "err", err)
+			level.Warn(logger).Log("msg", "metrics not served", "address", address, "err", err)
 		}
 		return
 	}
--- a/internal/control/electorate/manager.go
+++ b/internal/control/electorate/manager.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/cluster/consensus"
 	"mulleinrouter/internal/cluster/retry"
@@ -67,7 +68,7 @@
 	voters, isVoter := m.options.Replica.Voters()
 	m.options.Peers.Subscribe(ctx, wg, voters)
 	if !isVoter {
-		m.log.Log("msg", "running as learner", "voters", len(voters))
+		level.Info(m.log).Log("msg", "running as learner", "voters", len(voters))
 	}
 }
 
@@ -106,11 +107,11 @@
 	}
 	change := proposals.ElectorateChange{From: base.Electorate, To: base.Electorate.ReplaceVoter(self.Addr, self)}
 	if err := m.options.Proposals.ChangeElectorate(ctx, change, changeTimeout); err != nil {
-		m.log.Log("msg", "enrollment failed", "err", err)
+		level.Warn(m.log).Log("msg", "enrollment failed", "err", err)
 		return
 	}
 	base, _ = m.options.Replica.Base()
-	m.log.Log("msg", "vote recovered", "epoch", base.Epoch)
+	level.Info(m.log).Log("msg", "vote recovered", "epoch", base.Epoch)
 }
 
 // Age is how long the electorate has been what it is, as seen by this process.
--- a/internal/control/httpapi/server.go
+++ b/internal/control/httpapi/server.go
@@ -5,9 +5,11 @@
 	stdlog "log"
 	"net/http"
 	"strconv"
+	"strings"
 	"time"
 
 	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/cluster/configuration"
 	"mulleinrouter/internal/cluster/registry"
@@ -16,6 +18,7 @@
 	"mulleinrouter/internal/control/electorate"
 	"mulleinrouter/internal/control/instances"
 	"mulleinrouter/internal/control/majority"
+	"mulleinrouter/internal/control/operatorapi"
 	"mulleinrouter/internal/control/replica"
 )
 
@@ -51,7 +54,7 @@
 	Started     time.Time   // of this process
 	View        func() View // for GET /view
 	// Member is a control node as this one sees it, by its control address, beside a configuration of an epoch.
-	Member func(addr string, epoch uint64) Member
+	Member func(addr string, epoch uint64) operatorapi.Member
 	Log    log.Logger
 }
 
@@ -115,10 +118,20 @@
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnState:         s.options.Connections.ConnState,
 		ConnContext:       s.options.Connections.ConnContext,
-		ErrorLog:          stdlog.New(log.NewStdlibAdapter(s.log), "", 0),
+		ErrorLog:          stdlog.New(serverLog{s.log}, "", 0),
 	}
 }
 
+// serverLog takes the log of an http.Server. The adapter of the log's library would take a part of a line that ends
+// with a port for the name of a file.
+type serverLog struct{ log log.Logger }
+
+// Write logs a line.
+func (l serverLog) Write(line []byte) (int, error) {
+	level.Warn(l.log).Log("msg", strings.TrimSpace(string(line)))
+	return len(line), nil
+}
+
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
 	for _, e := range endpoints {
--- a/internal/control/storage/options.go
+++ b/internal/control/storage/options.go
@@ -6,6 +6,7 @@
 	"github.com/cockroachdb/pebble/v2/sstable"
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 )
 
 // Sizes of the database, in bytes. They are small: all that is stored is in the node's memory too, and is read at its
@@ -52,12 +53,12 @@
 }
 
 // databaseLogger logs the errors of the database and drops its information.
-type databaseLogger struct{ log.Logger }
+type databaseLogger struct{ log log.Logger }
 
 func (databaseLogger) Infof(string, ...any) {}
 
 func (d databaseLogger) Errorf(format string, args ...any) {
-	d.Log("msg", "store failed", "err", errors.Newf(format, args...))
+	level.Error(d.log).Log("msg", "store failed", "err", errors.Newf(format, args...))
 }
 
 // Fatalf panics. Failures of the disk are retried below the database (see retryingFS), so what is fatal to it is a
--- a/internal/dataplane/upstream/acquire.go
+++ b/internal/dataplane/upstream/acquire.go
@@ -7,7 +7,7 @@
 	"net"
 	"time"
 
-	"github.com/sirupsen/logrus"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/dataplane/upstreamconn"
@@ -89,8 +89,7 @@
 			// Reported as a refused connection, it would count against a server that is healthy.
 			code, err = "upstream-not-needed", fmt.Errorf("%w: %w", errNotNeeded, err)
 		}
-		p.log.WithFields(logrus.Fields{"code": code, "backend": backend}).WithError(err).
-			Info("upstream connection ended")
+		level.Info(p.log).Log("msg", "upstream connection ended", "code", code, "backend", backend, "error", err)
 		return nil, err
 	}
 	c := &conn{
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -7,7 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/sirupsen/logrus"
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/dataplane/traffic"
 	"mulleinrouter/internal/dataplane/upstreamconn"
@@ -40,7 +41,7 @@
 
 	lookup     Lookup
 	limits     Limits
-	log        *logrus.Logger
+	log        log.Logger
 	dial       func(ctx context.Context, network, addr string) (net.Conn, error)
 	awaitReset func(*conn) // waits for conn.holdTime, until a reset by the server would have arrived
 	base       time.Time   // the times of the state machines are seconds since then
@@ -52,12 +53,12 @@
 }
 
 // New returns an empty pool.
-func New(lookup Lookup, limits Limits, log *logrus.Logger) *Pool {
+func New(lookup Lookup, limits Limits, logger log.Logger) *Pool {
 	dialer := net.Dialer{Timeout: limits.ConnectTimeout, KeepAlive: -1}
 	return &Pool{
 		lookup:     lookup,
 		limits:     limits,
-		log:        log,
+		log:        logger,
 		dial:       dialer.DialContext,
 		awaitReset: func(c *conn) { time.Sleep(c.holdTime) },
 		base:       time.Now(),
@@ -101,11 +102,9 @@
 	c.Drop()
 	c.Close()
 	p.forget()
-	entry := p.log.WithFields(logrus.Fields{"code": code, "backend": c.backend, "uses": c.Uses()})
-	if err != nil {
-		entry = entry.WithError(err)
-	}
-	entry.Info("upstream connection ended")
+	level.Info(p.log).Log("msg", "upstream connection ended",
+		"code", code, "backend", c.backend, "uses", c.Uses(), "error", err,
+	)
 }
 
 // recordLoss records that a connection ended while it was idle, or as a request was written to it.
--- a/internal/dataplane/upstream/pool_test.go
+++ b/internal/dataplane/upstream/pool_test.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/emulator/exchange"
+	"mulleinrouter/internal/logging/logtest"
 )
 
 // outcomeNames are the outcomes as the recorded exchanges of testdata name them.
@@ -30,13 +30,6 @@
 	decision.NotSent:           "Skipped",
 }
 
-// discardLog returns a log that writes nothing.
-func discardLog() *logrus.Logger {
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	return log
-}
-
 // meaningWithID is the meaning of an answer in a dialect whose answers carry the ID of their request.
 func meaningWithID(m *Message, a *http1.Response) AnswerMeaning {
 	switch id := a.Header.Get("X-Request-Id"); {
@@ -56,7 +49,7 @@
 		p := exchange.New(t, "server", "other")
 		addr, serving := p.Addr("server"), true
 		pool := New(func(string) (string, bool) { return addr, serving },
-			Limits{Connections: 1, ConnectTimeout: time.Minute, Keepalive: time.Minute}, discardLog())
+			Limits{Connections: 1, ConnectTimeout: time.Minute, Keepalive: time.Minute}, logtest.Discard())
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		results := make(chan Result, 1)
@@ -155,7 +148,7 @@
 	pool := New(func(string) (string, bool) {
 		lookups++
 		return l.Addr().String(), lookups <= 2 // before the dial, for its address, and after it
-	}, Limits{Connections: 1, ConnectTimeout: time.Minute, Keepalive: time.Minute}, discardLog())
+	}, Limits{Connections: 1, ConnectTimeout: time.Minute, Keepalive: time.Minute}, logtest.Discard())
 	request := &Message{Method: "GET", Target: "/", ID: "1"}
 	got := pool.Do(context.Background(), "s-1", request, time.Now().Add(time.Minute))
 	if diff := cmp.Diff(Result{Outcome: decision.NotSent}, got); diff != "" {
@@ -183,7 +176,7 @@
 		{"connection refused", time.Minute, false, decision.ConnectionRefused},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			pool := New(func(string) (string, bool) { return "h:1", true }, Limits{Connections: 1}, discardLog())
+			pool := New(func(string) (string, bool) { return "h:1", true }, Limits{Connections: 1}, logtest.Discard())
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			pool.dial = func(dialCtx context.Context, _, _ string) (net.Conn, error) {
@@ -215,7 +208,7 @@
 	}
 	defer l.Close()
 	pool := New(func(string) (string, bool) { return l.Addr().String(), true },
-		Limits{Connections: 1, ConnectTimeout: time.Minute}, discardLog())
+		Limits{Connections: 1, ConnectTimeout: time.Minute}, logtest.Discard())
 	dial := pool.dial
 	pool.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		nc, err := dial(ctx, network, addr)
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -79,13 +79,14 @@
 // be imported by all but the programs of the control side.
 var allowed = map[string][]string{
 	"agent":      {"cluster"},
-	"cluster":    {"cluster", "mutants"},
+	"cluster":    {"cluster", "logging", "mutants"},
 	"control":    {"cluster", "control", "mutants"},
 	"dataplane":  {"dataplane", "decision", "mutants"},
 	"decision":   {"decision"},
 	"emulator":   {"cluster", "control", "dataplane", "emulator", "standalone", "decision"},
+	"logging":    {"logging"},
 	"proxy":      {"cluster", "dataplane", "decision"},
-	"standalone": {"dataplane", "standalone", "decision", "mutants"},
+	"standalone": {"dataplane", "standalone", "decision", "logging", "mutants"},
 }
 
 // exceptions are the imports that cross a layer all the same, with the reason.
@@ -94,6 +95,10 @@
 	"internal/standalone/cli imports internal/emulator/modelcheck":  "mulleinrouter model-check states",
 	"internal/standalone/cli imports internal/emulator/faulttest":   "mulleinrouter fault-test",
 	"internal/standalone/cli imports internal/emulator/testcluster": "mulleinrouter try",
+
+	"internal/standalone/cli imports internal/cluster/commandline":     "mulleinrouter version, --output",
+	"internal/standalone/cli imports internal/cluster/settings":        "mulleinrouter check, of a settings file",
+	"internal/standalone/cli imports internal/control/operatorcommand": "mulleinrouter members, replace",
 }
 
 func TestLayers(t *testing.T) {
--- a/internal/proxy/shedding_listener.go
+++ b/internal/proxy/shedding_listener.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/cluster/retry"
 )
@@ -116,7 +117,7 @@
 		share := sl.shedder.admitted(time.Now())
 		if now := share < 1; now != shedding {
 			shedding = now
-			sl.log.Log("msg", "shedding", "on", shedding)
+			level.Info(sl.log).Log("msg", "shedding", "on", shedding)
 		}
 		if !shedding {
 			if !retry.Sleep(ctx, shedInterval) {
@@ -151,7 +152,7 @@
 		if err == nil {
 			return sl.setCurrent(next)
 		}
-		sl.log.Log("msg", "listener not reopened", "err", err)
+		level.Error(sl.log).Log("msg", "listener not reopened", "err", err)
 		if !retry.Sleep(ctx, reopenInterval) {
 			return false
 		}
--- a/internal/standalone/cli/cli_test.go
+++ b/internal/standalone/cli/cli_test.go
@@ -9,10 +9,9 @@
 	"testing"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"mulleinrouter/internal/dataplane/usage"
 	"mulleinrouter/internal/emulator/fakes"
+	"mulleinrouter/internal/logging/logtest"
 	"mulleinrouter/internal/standalone/usagesegment"
 )
 
@@ -82,8 +81,14 @@
 		{"book add --help", 0, []string{"--units", "spread evenly over the span"}},
 		{"nonsense", ExitUsage, []string{"nonsense"}},
 		{"serve --log-format xml", ExitUsage, []string{"--log-format"}},
+		{"serve --log-level loud", ExitUsage, []string{"--log-level"}},
 		{"check", ExitUsage, []string{"<file>"}},
-		{"version", 0, []string{"mulleinrouter ", "go1."}},
+		{"version", 0, []string{"mulleinrouter ", "go1.", "version "}},
+		{"version --output json", 0, []string{`{"program":"mulleinrouter","version":"`, `"commit":"`, `"go":"go1.`}},
+		{"completion bash", 0, []string{"complete -o default -F _mulleinrouter mulleinrouter", "'plans show:--output'"}},
+		{"completion sh", ExitUsage, []string{"bash"}},
+		{"members --at 127.0.0.1:1", ExitFailure, []string{"connection refused"}},
+		{"replace -c DIR/none a b", ExitBadFile, []string{"no such file"}},
 		{"serve -c DIR/none.hcl", ExitBadFile, []string{"mulleinrouter: configuration: open DIR/none.hcl"}},
 		{"check ../../../deploy/single.hcl", 0,
 			[]string{"a configuration in order", "2 written down", "use            not recorded"}},
@@ -135,6 +140,8 @@
 		{"plans diff DIR/live.hcl DIR/next.hcl", 1,
 			[]string{"plan", "rate=4 burst=8", "rate=5 burst=8", "they differ"}},
 		{"plans diff DIR/new.hcl DIR/new.hcl", 0, nil},
+		{"plans diff DIR/live.hcl DIR/next.hcl --output json", 1,
+			[]string{`[{"what":"plan","name":"basic","from":"rate=4 burst=8`}},
 		{"plans apply DIR/next.hcl --to DIR/live.hcl --in 1h --yes", 0, []string{"basic"}},
 		{"plans show DIR/live.hcl", 0, []string{"revision 1, in force", "revision 2, announced"}},
 		{"plans show DIR/live.hcl --output json", 0, []string{
@@ -164,9 +171,7 @@
 
 func TestUsage(t *testing.T) {
 	dir := t.TempDir()
-	log := logrus.New()
-	log.SetOutput(&bytes.Buffer{})
-	w, err := usagesegment.Open(dir, time.Minute, log)
+	w, err := usagesegment.Open(dir, time.Minute, logtest.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -197,6 +202,7 @@
 		{"usage show DIR --by all", 0, []string{"quote-read"}},
 		{"usage verify DIR", 0,
 			[]string{"batches           0", "in no batch yet   24 units in 16 tries", "all is in order"}},
+		{"usage verify DIR --output json", 0, []string{`"notExported":{"units":24,"tries":16}`, `"problems":[]`}},
 		{"usage export DIR --to " + billing.URL(), 0, []string{"1 batches taken, nothing is left"}},
 		{"usage export DIR --to " + billing.URL(), 0, []string{"0 batches taken"}},
 		{"usage verify DIR", 0, []string{
--- a/internal/standalone/cli/usage.go
+++ b/internal/standalone/cli/usage.go
@@ -3,13 +3,15 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"os/signal"
 	"strings"
 	"syscall"
 	"time"
 
-	"github.com/sirupsen/logrus"
+	"github.com/go-kit/log/level"
 
+	"mulleinrouter/internal/cluster/commandline"
 	"mulleinrouter/internal/dataplane/usage"
 	"mulleinrouter/internal/standalone/usageexport"
 )
@@ -51,14 +53,14 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	logger := newLogger(p.err, p.LogFormat)
+	logger := p.newLogger()
 	e := &usageexport.Exporter{Dir: ue.Dir, Endpoint: ue.To, Retention: keep, Log: logger}
 	if err := openExporter(e); err != nil {
 		return err
 	}
 	defer e.Close()
 	if ue.Follow {
-		logger.WithFields(logrus.Fields{"code": "usage-export-started", "dir": ue.Dir, "to": ue.To}).Info("exporting")
+		level.Info(logger).Log("msg", "exporting", "code", "usage-export-started", "dir", ue.Dir, "to", ue.To)
 		e.Run(ctx)
 		return nil
 	}
@@ -97,11 +99,12 @@
 // UsageVerifyCommand verifies records.
 type UsageVerifyCommand struct {
 	Dir string `arg:"" name:"dir" type:"path" help:"Folder of the records. No exporter may be at it meanwhile."`
+	commandline.OutputFlag
 }
 
 // Run verifies segments and batches.
 func (uv *UsageVerifyCommand) Run(p *Program) error {
-	e := &usageexport.Exporter{Dir: uv.Dir, Log: newLogger(p.err, p.LogFormat)}
+	e := &usageexport.Exporter{Dir: uv.Dir, Log: p.newLogger()}
 	if err := openExporter(e); err != nil {
 		return err
 	}
@@ -110,21 +113,15 @@
 	if err != nil {
 		return err
 	}
-	units := func(s usage.Sum) string {
-		return fmt.Sprintf("%.6g units in %d tries", s.InUnits(), s.Requests)
+	writeTable := func(out io.Writer) error { return writeVerification(out, v) }
+	if err := uv.Print(p.out, newVerificationReport(v), writeTable); err != nil {
+		return err
 	}
-	t := newTable(p.out)
-	fmt.Fprintf(t, "segments\t%d, with %d records\n", v.Segments, v.Records)
-	fmt.Fprintf(t, "batches\t%d\n", v.Batches)
-	fmt.Fprintf(t, "billed\t%s\n", units(v.Known))
-	fmt.Fprintf(t, "arrival not known\t%s, listed apart\n", units(v.Unknown))
-	fmt.Fprintf(t, "not recorded\t%s, for want of room\n", units(v.Unmetered))
-	fmt.Fprintf(t, "in no batch yet\t%s\n", units(v.NotExported))
-	fmt.Fprintf(t, "out\t%d tries\n", v.InFlight)
-	t.Flush()
 	if len(v.Problems) > 0 {
 		return fmt.Errorf("%d problems: %s", len(v.Problems), strings.Join(v.Problems, "; "))
 	}
-	fmt.Fprintln(p.out, "all is in order")
+	if !uv.JSON() {
+		fmt.Fprintln(p.out, "all is in order")
+	}
 	return nil
 }
--- a/internal/standalone/discovery/connection.go
+++ b/internal/standalone/discovery/connection.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"time"
 
-	"github.com/sirupsen/logrus"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/standalone/jsontext"
@@ -116,7 +116,8 @@
 	}
 	w.rev = l.Rev
 	w.OnUpdate(w.Directory.apply(&l))
-	w.Log.WithFields(logrus.Fields{"code": "discovery-list", "rev": l.Rev, "changed": len(l.Targets)}).
-		Info("endpoint list changed")
+	level.Info(w.Log).Log("msg", "endpoint list changed",
+		"code", "discovery-list", "rev", l.Rev, "changed", len(l.Targets),
+	)
 	return nil
 }
--- a/internal/standalone/fleet/gossip/fleet.go
+++ b/internal/standalone/fleet/gossip/fleet.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/go-kit/log"
 	"github.com/hashicorp/memberlist"
-	"github.com/sirupsen/logrus"
 
 	"mulleinrouter/internal/standalone/fleet/keyring"
 	"mulleinrouter/internal/standalone/fleet/membership"
@@ -29,7 +29,7 @@
 // Fleet is this ingress among the others of its fleet. It is safe for concurrent use.
 type Fleet struct {
 	options     Options
-	log         *logrus.Logger
+	log         log.Logger
 	startedAt   time.Time
 	nonce       uint64 // of this process's incarnations
 	meter       meter
--- a/internal/standalone/fleet/leaseservice/roles.go
+++ b/internal/standalone/fleet/leaseservice/roles.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
-	"github.com/sirupsen/logrus"
+	"github.com/go-kit/log/level"
 
 	"mulleinrouter/internal/standalone/fleet/singleton"
 )
@@ -112,12 +112,14 @@
 		case singleton.SendRequest:
 			s.sendRequest(action.Request)
 		case singleton.LeaseGained:
-			s.log("duty-gained").WithFields(logrus.Fields{"duty": action.Role, "token": action.Token}).
-				Info("lease of a singleton role gained")
+			level.Info(s.log("duty-gained")).Log("msg", "lease of a singleton role gained",
+				"duty", action.Role, "token", action.Token,
+			)
 			s.startWork(action.Role, action.Token)
 		case singleton.LeaseLost:
-			s.log("duty-lost").WithFields(logrus.Fields{"duty": action.Role, "token": action.Token}).
-				Warn("lease of a singleton role lost")
+			level.Warn(s.log("duty-lost")).Log("msg", "lease of a singleton role lost",
+				"duty", action.Role, "token", action.Token,
+			)
 			s.stopWork(action.Role)
 		case singleton.StepDown:
 			s.stopWork(action.Role)
@@ -181,8 +183,9 @@
 		}
 		return
 	}
-	s.log("duty-resigned").WithField("duty", name).WithError(err).
-		Error("work of a singleton role failed; another ingress may take the role")
+	level.Error(s.log("duty-resigned")).Log("msg", "work of a singleton role failed; another ingress may take the role",
+		"duty", name, "error", err,
+	)
 	s.stepLeaseHolder(singleton.Resign{Role: name})
 	r.reacquire = time.AfterFunc(reacquireDelay, func() {
 		s.mu.Lock()
