--- a/internal/decision/backend_pools.go
+++ b/internal/decision/backend_pools.go
@@ -35,6 +35,7 @@
 type backendPool struct {
 	name               string
 	order              []*backend          // in this gateway's own order of use
+	homeBackends       int                 // those with home slots: the first of the order
 	latency            Seconds             // typical, over the group
 	kindLatencies      map[string]*float64 // the same by kind of backend
 	meanSize           float64             // of the available backends
@@ -46,6 +47,8 @@
 	retryBudget        retry.Budget
 	sendRate           float64 // attempts a second
 	lastUsedAt         Seconds // when a request last was for it
+	waiting            waitingValues
+	lowestValue        lowestValue
 }
 
 // poolFor returns the pool of a group of backends. It creates one that is not known.
@@ -59,6 +62,7 @@
 			meanSize:      1,
 			retryBudget:   g.newRetryBudget(),
 			trialTokens:   minSubset,
+			lowestValue:   lowestValue{value: math.Inf(1)},
 		}
 		g.poolsByGroup[name] = p
 		g.pools = append(g.pools, p)
@@ -154,6 +158,7 @@
 	serving := float64(max(1, p.serving))
 	fair := minGatewaysPerBackend * serving / gateways
 	size := min(serving, math.Ceil(max(minSubset, fair, subsetContactInterval*p.sendRate)))
+	size = max(size, float64(p.homeBackends))
 	p.subsetSize = int(size)
 	p.gatewaysPerBackend = max(1, gateways*size/serving/minGatewaysPerBackend)
 }
