--- a/internal/control/partitionable_links_test.go
+++ b/internal/control/partitionable_links_test.go
@@ -12,6 +12,7 @@
 	mu      sync.Mutex
 	severed map[[2]string]bool // from, to
 	ends    []*linkEnd
+	pauses  *processPauses // of the processes at both ends; nil: there are none
 }
 
 // linkEnd is one end of a connection.
@@ -33,6 +34,9 @@
 func (l *partitionableLinks) wrap(from, to string, here, there net.Conn) (net.Conn, net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
+	if l.pauses != nil {
+		here, there = l.pauses.buffer(from, here), l.pauses.buffer(to, there)
+	}
 	a := &linkEnd{Conn: here, links: l, direction: [2]string{from, to}}
 	b := &linkEnd{Conn: there, links: l, direction: [2]string{to, from}}
 	l.ends = append(l.ends, a, b)
@@ -121,6 +125,7 @@
 		return 0, net.ErrClosed
 	}
 	n, err := e.Conn.Read(b)
+	e.links.pauses.await(e.direction[0])
 	if e.isClosed() {
 		return 0, net.ErrClosed
 	}
--- a/internal/dataplane/upstream/pool_test.go
+++ b/internal/dataplane/upstream/pool_test.go
@@ -12,6 +12,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"mulleinrouter/internal/dataplane/http1"
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/emulator/exchange"
 	"mulleinrouter/internal/logging/logtest"
@@ -29,6 +30,19 @@
 	decision.NotSent:           "Skipped",
 }
 
+// meaningWithID is the meaning of an answer in a dialect whose answers carry the ID of their request.
+func meaningWithID(m *Message, a *http1.Response) AnswerMeaning {
+	switch id := a.Header.Get("X-Request-Id"); {
+	case id != "" && id != m.ID:
+		return Foreign
+	case a.Header.Get("X-Not-Processed") != "":
+		return NotExecuted
+	case a.Status == 200:
+		return Served
+	}
+	return Failed
+}
+
 // TestOutcomes plays every row of the protocol's table of outcomes, and what keeps connections reusable.
 func TestOutcomes(t *testing.T) {
 	exchange.Each(t, "testdata/*.txt", func(t *testing.T, script string) {
@@ -55,10 +69,18 @@
 			(<-dialed).SetReadDeadline(pastDeadline)
 			return ""
 		}
+		p.Hooks["ids"] = func(string) string { // answers carry the ID of their request
+			pool.Dialect = Dialect{IDField: "X-Request-Id", Meaning: meaningWithID}
+			return ""
+		}
 		p.Hooks["hold"] = func(string) string { // the last byte, until the server has closed the connection
 			pool.awaitReset = func(c *conn) { exchange.Until(func() bool { return c.stale(addr) != "" }) }
 			return ""
 		}
+		p.Hooks["no-hold"] = func(string) string {
+			pool.awaitReset = func(*conn) {}
+			return ""
+		}
 		p.Hooks["ended"] = func(string) string { // the close of the idle connection by the server has arrived
 			return exchange.Until(func() bool {
 				pool.mu.Lock()
@@ -76,6 +98,19 @@
 			}
 			return strings.TrimSpace(outcomeNames[r.Outcome] + " " + string(body))
 		}
+		var streamed Result
+		p.Hooks["streams"] = func(string) string { // the head of an answer has been read
+			streamed = <-results
+			return outcomeNames[streamed.Outcome]
+		}
+		p.Hooks["rest"] = func(string) string { // of that answer
+			body, err := io.ReadAll(streamed.Stream)
+			streamed.Stream.Close()
+			if err != nil {
+				return "cut off"
+			}
+			return "complete " + string(body)
+		}
 		p.Hooks["cancel"] = func(string) string {
 			cancel()
 			return ""
