--- a/internal/standalone/plans/plans_test.go
+++ b/internal/standalone/plans/plans_test.go
@@ -72,6 +72,11 @@
 			r.Bookings = []Booking{{"b1", anna, 10, 20, 600}, {"b2", anna, 15, 25, 500}, {"b3", anna, 30, 40, 1}}
 		}, []string{"booking.b2.units: at Unix time 15 only 40 units a second are left; " +
 			"400 units would fit in this span, the whole from Unix time 20 on"}},
+		{"negative bookable rate without bookings", func(r *Revision) { r.BookableRate = -1 },
+			[]string{"bookable_rate: must be a number of units a second, 0 or more"}},
+		{"negative bookable rate with a booking", func(r *Revision) {
+			r.BookableRate, r.Bookings = -1, []Booking{{"b", anna, 10, 20, 5}}
+		}, []string{"bookable_rate: must be a number of units a second, 0 or more"}},
 		{"booking beyond the rate limit", func(r *Revision) { r.Bookings = []Booking{{"b", bert, 10, 20, 101}} },
 			[]string{`booking.b.units: with plan "plus", at most 100 units in this span stay under its ceiling`}},
 	} {
--- a/internal/standalone/plans/validate.go
+++ b/internal/standalone/plans/validate.go
@@ -26,11 +26,13 @@
 	v.checkSettings()
 	v.checkPlans()
 	v.checkMembers()
-	// What the bookings add up to is looked at only if each is valid by itself.
+	// What the bookings add up to is looked at only if each is valid by itself, and against a valid rate only.
 	before := len(v.errors)
 	v.checkBookings()
 	if bookingsValid := len(v.errors) == before; bookingsValid {
-		v.checkCapacity()
+		if finite(r.BookableRate) {
+			v.checkCapacity()
+		}
 		if r.Authority == AuthorityCatalogue {
 			v.checkRateLimits()
 		}
@@ -123,7 +125,7 @@
 	}
 }
 
-// checkCapacity holds all bookings together under the bookable rate.
+// checkCapacity holds all bookings together under the bookable rate, which must be finite.
 func (v *validation) checkCapacity() {
 	bookings, rate := v.revision.Bookings, v.revision.BookableRate
 	if !exceedTogether(bookings, rate) {
