--- a/internal/dataplane/upstreamconn/idle_pool.go
+++ b/internal/dataplane/upstreamconn/idle_pool.go
@@ -1,6 +1,8 @@
 package upstreamconn
 
 import (
+	"cmp"
+
 	"mulleinrouter/internal/decision"
 	"mulleinrouter/internal/mutants"
 )
@@ -68,11 +70,15 @@
 	return evicted, evict, true
 }
 
-// longestIdle returns the server to which a connection has been idle for longest; "": none is idle.
+// longestIdle returns the server to which a connection has been idle for longest, and of several the first in the order
+// of their names; "": none is idle.
 func (ip *IdlePool[C]) longestIdle() (longest string) {
+	var longestSince decision.Seconds
 	for server, conns := range ip.idle {
-		if longest == "" || conns[0].IdleSince < ip.idle[longest][0].IdleSince {
-			longest = server
+		since := conns[0].IdleSince
+		order := cmp.Or(cmp.Compare(since, longestSince), cmp.Compare(server, longest))
+		if longest == "" || order < 0 {
+			longest, longestSince = server, since
 		}
 	}
 	return longest
--- a/internal/dataplane/upstreamconn/idle_pool_test.go
+++ b/internal/dataplane/upstreamconn/idle_pool_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"testing"
 )
 
@@ -96,3 +97,20 @@
 		t.Errorf("full %d times, %d evictions, want some of each", full, evictions)
 	}
 }
+
+// Connections that have been idle for equally long are evicted in the order of their servers' names.
+func TestIdlePoolEvictsTiesByServer(t *testing.T) {
+	servers := []string{"s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7"}
+	p := NewIdlePool[string](len(servers))
+	for _, server := range slices.Backward(servers) {
+		p.Reserve()
+		p.Put(server, server, 1)
+	}
+	for _, want := range servers {
+		evicted, evict, ok := p.Reserve()
+		p.Closed()
+		if evicted != want || !evict || !ok {
+			t.Fatalf("got %q evicted (%v, %v), want %q", evicted, evict, ok, want)
+		}
+	}
+}
