--- a/internal/standalone/mgmt/server.go
+++ b/internal/standalone/mgmt/server.go
@@ -43,15 +43,24 @@
 	Handler Handler
 	Log     *logrus.Logger
 
-	mu      sync.Mutex             // guards waiting
-	waiting map[net.Conn]time.Time // callers without an answer, by when they connected
+	mu      sync.Mutex             // guards what follows
+	open    map[net.Conn]struct{}  // all connections
+	waiting map[net.Conn]time.Time // those that are not evicted, by when they connected
+	closing bool                   // no caller is read from any more
 }
 
-// Serve accepts callers until the listener closes.
+// past is a deadline that ends a read at once.
+var past = time.Unix(1, 0)
+
+// Serve accepts callers until the listener closes. It then cuts off those whose call is incomplete, has the others
+// answered, and returns when all connections have ended.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
-	s.waiting = map[net.Conn]time.Time{}
+	s.open, s.waiting, s.closing = map[net.Conn]struct{}{}, map[net.Conn]time.Time{}, false
 	s.mu.Unlock()
+	var callers sync.WaitGroup
+	defer callers.Wait()
+	defer s.endReading()
 	for {
 		c, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -63,11 +72,11 @@
 			continue
 		}
 		s.admit(c)
-		go s.serve(c)
+		callers.Go(func() { s.serve(c) })
 	}
 }
 
-// admit registers a caller. Beyond MaxCallers, the one that came first is cut off.
+// admit registers a caller, which has CallTimeout for its call. Beyond MaxCallers, the one that came first is cut off.
 func (s *Server) admit(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,15 +87,37 @@
 				first = other
 			}
 		}
-		first.SetReadDeadline(time.Unix(1, 0)) // in the past: its read ends
+		first.SetReadDeadline(past)
 		delete(s.waiting, first)
 	}
-	s.waiting[c] = time.Now()
+	now := time.Now()
+	s.open[c], s.waiting[c] = struct{}{}, now
+	c.SetReadDeadline(now.Add(CallTimeout))
+}
+
+// endReading ends the reads of all connections, the present ones and those to come.
+func (s *Server) endReading() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closing = true
+	for c := range s.open {
+		c.SetReadDeadline(past)
+	}
+}
+
+// limitReading limits how long a connection is read from, after its answer.
+func (s *Server) limitReading(c net.Conn, timeout time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.closing {
+		c.SetReadDeadline(time.Now().Add(timeout))
+	}
 }
 
 func (s *Server) remove(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	delete(s.open, c)
 	delete(s.waiting, c)
 }
 
@@ -94,7 +125,6 @@
 func (s *Server) serve(c net.Conn) {
 	defer c.Close()
 	defer s.remove(c)
-	c.SetReadDeadline(time.Now().Add(CallTimeout))
 	word, arguments, err := readCall(bufio.NewReaderSize(c, MaxCallBytes+2))
 	from := c.RemoteAddr().String()
 	status, code := nak, "mgmt-answered"
@@ -112,14 +142,14 @@
 		}
 	}
 	entry := s.Log.WithFields(logrus.Fields{"code": code, "call": word, "from": from, "answer": status})
-	if err := writeAnswer(c, status, lines); err != nil {
+	if err := s.writeAnswer(c, status, lines); err != nil {
 		entry = entry.WithError(err)
 	}
 	entry.Info("management connection ended")
 }
 
 // writeAnswer writes an answer and ends the connection's sending side.
-func writeAnswer(c net.Conn, status string, lines []string) error {
+func (s *Server) writeAnswer(c net.Conn, status string, lines []string) error {
 	var answer strings.Builder
 	for _, line := range append([]string{status}, lines...) {
 		answer.WriteString(line)
@@ -132,7 +162,7 @@
 	// Closing with unread bytes of a call that is too long would reset the connection, and the answer might be lost.
 	if tc, ok := c.(*net.TCPConn); ok {
 		tc.CloseWrite()
-		c.SetReadDeadline(time.Now().Add(answerTimeout))
+		s.limitReading(c, answerTimeout)
 		io.CopyN(io.Discard, c, maxUnreadBytes)
 	}
 	return nil
--- a/internal/standalone/mgmt/server_test.go
+++ b/internal/standalone/mgmt/server_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 
@@ -25,8 +26,12 @@
 	}
 	log := logtest.Discard()
 	s := &Server{Log: log, Handler: answerTestCall}
-	go s.Serve(l)
-	t.Cleanup(func() { l.Close() })
+	var served sync.WaitGroup
+	served.Go(func() { s.Serve(l) })
+	t.Cleanup(func() {
+		l.Close()
+		served.Wait()
+	})
 	return l.Addr().String()
 }
 
