--- a/internal/cluster/retry/retry.go
+++ b/internal/cluster/retry/retry.go
@@ -15,14 +15,17 @@
 }
 
 // Sleep waits for a time; false: the context ended before.
-func Sleep(ctx context.Context, d time.Duration) bool {
-	timer := time.NewTimer(d)
+func Sleep(ctx context.Context, d time.Duration) bool { return !AwaitClosed(ctx.Done(), d) }
+
+// AwaitClosed waits until a channel is closed; false: it was not within the limit.
+func AwaitClosed(channel <-chan struct{}, limit time.Duration) bool {
+	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
-	case <-ctx.Done():
-		return false
-	case <-timer.C:
+	case <-channel:
 		return true
+	case <-timer.C:
+		return false
 	}
 }
 
--- a/internal/cluster/retry/retry_test.go
+++ b/internal/cluster/retry/retry_test.go
@@ -31,6 +31,28 @@
 	}
 }
 
+func TestAwaitClosed(t *testing.T) {
+	for name, c := range map[string]struct {
+		closesAfter time.Duration
+		want        bool
+	}{
+		"the channel closes": {closesAfter: time.Millisecond, want: true},
+		"the time passes":    {closesAfter: time.Minute, want: false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				channel := make(chan struct{})
+				time.AfterFunc(c.closesAfter, func() { close(channel) })
+				start := time.Now()
+				got := AwaitClosed(channel, time.Second)
+				if waited := time.Since(start); got != c.want || waited != min(c.closesAfter, time.Second) {
+					t.Errorf("got %t after %v, want %t after %v", got, waited, c.want, min(c.closesAfter, time.Second))
+				}
+			})
+		})
+	}
+}
+
 // TestListen binds an address that another listener holds: it fails when the attempts are used up or the context ends,
 // and succeeds once the address is free.
 func TestListen(t *testing.T) {
--- a/internal/control/internal_server.go
+++ b/internal/control/internal_server.go
@@ -9,6 +9,7 @@
 	"github.com/cockroachdb/errors"
 
 	"mulleinrouter/internal/cluster/replication"
+	"mulleinrouter/internal/cluster/retry"
 	"mulleinrouter/internal/cluster/transport"
 	"mulleinrouter/internal/control/ingresslease"
 )
@@ -23,10 +24,7 @@
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			select {
-			case <-ctx.Done():
-			case <-time.After(acceptRetryInterval):
-			}
+			retry.Sleep(ctx, acceptRetryInterval)
 			continue
 		}
 		if !n.connections.AcquireInternal() {
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -177,7 +177,7 @@
 	n.drain(server, linger, handedOver)
 	stop()
 	internal.Close()
-	waitFor(opened, linger)
+	retry.AwaitClosed(opened, linger)
 	if disk := n.disk.Load(); disk != nil {
 		err = errors.CombineErrors(err, disk.Close())
 	}
@@ -215,15 +215,7 @@
 		server.Close()
 	}
 	<-ctx.Done()
-	waitFor(handedOver, electorate.HandoverLimit)
-}
-
-// waitFor waits until a channel is closed, for a time.
-func waitFor(closed <-chan struct{}, limit time.Duration) {
-	select {
-	case <-closed:
-	case <-time.After(limit):
-	}
+	retry.AwaitClosed(handedOver, electorate.HandoverLimit)
 }
 
 func (n *Node) listen() (control, internal net.Listener, err error) {
--- a/internal/control/storage/doc.go
+++ b/internal/control/storage/doc.go
@@ -12,7 +12,8 @@
 // Files: store.go (life cycle and commits), batch.go (what is written), state.go (what is read), records.go (keys and
 // encoding), options.go (database settings), retrying_fs.go and retrying_file.go (file system), errors.go.
 //
-// It may import cluster/configuration, cluster/consensus and cluster/registry, whose types it stores, and mutants.
+// It may import cluster/configuration, cluster/consensus and cluster/registry, whose types it stores, cluster/retry and
+// mutants.
 //
 // Tests: store_test.go cuts the power at random moments and has the disk reject writes; power_loss_test.go cuts the
 // power at each step and loses any names that are not synced; size_test.go bounds the folder's size; golden_test.go
--- a/internal/control/storage/retrying_fs.go
+++ b/internal/control/storage/retrying_fs.go
@@ -8,6 +8,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/cockroachdb/pebble/v2/vfs"
 
+	"mulleinrouter/internal/cluster/retry"
 	"mulleinrouter/internal/mutants"
 )
 
@@ -53,11 +54,7 @@
 		if !transient {
 			return err
 		}
-		timer := time.NewTimer(r.retryEvery)
-		select {
-		case <-timer.C:
-		case <-r.stop:
-			timer.Stop()
+		if retry.AwaitClosed(r.stop, r.retryEvery) {
 			return err
 		}
 	}
