--- a/internal/emulator/capacity/control.go
+++ b/internal/emulator/capacity/control.go
@@ -21,18 +21,18 @@
 
 func (e *estimator) controlLoad() controlLoad {
 	rates := e.ingressRates()
-	ingresses, owners := e.value("size.ingresses"), e.value("counters.nodes")
-	heartbeats := e.value("size.servers") / e.value("size.beat_s") / e.value("core.nodes_with_beats")
+	ingresses, owners := e.Size.Ingresses, e.Counters.Owners
+	heartbeats := e.Size.State.Servers / e.Size.HeartbeatInterval / e.Control.HeartbeatNodes
 	calls := ingresses * rates.counterCalls / owners
-	subscribers := ingresses * e.value("news.sources") / e.value("news.source_nodes")
+	subscribers := ingresses * e.Updates.Sources / e.Updates.SourceNodes
 	return controlLoad{
 		heartbeats:         heartbeats,
-		remoteHeartbeats:   heartbeats * e.value("core.told"),
+		remoteHeartbeats:   heartbeats * e.Control.HeartbeatReplicas,
 		counterCalls:       calls,
-		activeCounters:     min(e.value("size.tenants")/owners, calls*idleTimeout),
+		activeCounters:     min(e.Size.State.Tenants/owners, calls*idleTimeout),
 		subscribers:        subscribers,
-		updatedSubscribers: subscribers * e.value("news.copies") / e.value("news.sources"),
-		instances:          e.value("size.servers") * e.value("core.servers"),
+		updatedSubscribers: subscribers * e.Updates.Copies / e.Updates.Sources,
+		instances:          e.Size.State.Servers * e.Control.Shares.Servers,
 		changes:            rates.changes,
 		instanceUpdates:    rates.instances,
 	}
@@ -51,20 +51,20 @@
 func (e *estimator) controlMemory(load controlLoad) {
 	d := e.newDemand()
 	for _, kind := range configurationKinds {
-		d.addState("core", kind.name, kind.storeSeries)
+		d.addState(&e.Control.Process, kind, kind.storeSeries)
 	}
 	d.add("servers", e.unitCost("store.line")+e.unitCost("registry.line"), load.instances)
 	d.add("counters, by tenant", e.unitCost("tally.name"), load.activeCounters)
-	d.add("counters, by further holder", e.unitCost("tally.holder.each"), load.counterCalls*e.value("counters.keep_s"))
-	d.add("tombstones", e.unitCost("store.tombstone"), e.deletionsPerDay()*e.value("news.tombstone_days"))
-	d.addGarbage(e.value("core.gc_percent"))
-	d.add("fixed", e.value("core.fixed_bytes"), 1)
-	e.require(Control, "memory", Bytes, e.value("limits.core.memory"), d.terms)
+	d.add("counters, by further holder", e.unitCost("tally.holder.each"), load.counterCalls*e.Counters.Retention)
+	d.add("tombstones", e.unitCost("store.tombstone"), e.deletionsPerDay()*e.Updates.TombstoneDays)
+	d.addGarbage(e.Control.GCPercent)
+	d.add("fixed", e.Control.FixedBytes, 1)
+	e.require(Control, "memory", Bytes, e.Limits.Control.Memory, d.terms)
 }
 
 // deletionsPerDay is how many changes delete an item, each of which leaves a tombstone.
 func (e *estimator) deletionsPerDay() float64 {
-	return e.value("size.changes_per_day") * e.value("news.dropped")
+	return e.Size.ChangesPerDay * e.Updates.DeletionShare
 }
 
 func (e *estimator) controlProcessor(load controlLoad) {
@@ -79,12 +79,12 @@
 	d.addFrames("frames of changes to agents", "write.beat", load.changes*load.updatedSubscribers)
 	d.addFrames("lines to agents", "write.line", load.instanceUpdates*load.updatedSubscribers)
 	e.addChanges(d)
-	counters := max(1, e.value("size.tenants")/e.value("counters.nodes"))
+	counters := max(1, e.Size.State.Tenants/e.Counters.Owners)
 	d.addOperations("counter calls kept", "tally.add", counters, load.counterCalls)
 	d.addFrames("counter calls: written", "write.count", load.counterCalls/2)
 	d.addFrames("counter calls: read", "read.count", load.counterCalls/2)
-	d.addCollector(e.value("core.gc_percent"))
-	e.require(Control, "processor, without system calls and HTTP", Cores, e.value("limits.core.cpu"), d.terms)
+	d.addCollector(e.Control.GCPercent)
+	e.require(Control, "processor, without system calls and HTTP", Cores, e.Limits.Control.Cores, d.terms)
 }
 
 // addChanges adds the processor time of changes of the configuration from their check to the disk.
@@ -94,18 +94,18 @@
 		savesPerChange = 2 // the two syncs of a change
 	)
 	changes := e.changesPerSecond()
-	tenants := e.value("size.tenants") * e.value("core.tenants")
-	d.addOperations("changes checked", "change.check", max(1, e.value("size.routes")), changes)
+	tenants := e.Size.State.Tenants * e.Control.Shares.Tenants
+	d.addOperations("changes checked", "change.check", max(1, e.Size.State.Routes), changes)
 	d.addOperations("changes kept", "change.store", max(1, tenants), changes)
-	d.addOperations("changes chosen", "ballot.change", e.value("core.voters"), changes)
+	d.addOperations("changes chosen", "ballot.change", e.Control.Voters, changes)
 	d.addOperations("changes to disk", "vault.save", itemsPerSave, savesPerChange*changes)
 }
 
 func (e *estimator) controlBytes(load controlLoad) {
-	segment := e.value("wire.segment")
+	segment := e.Network.SegmentBytes
 	heartbeat := e.unitCost("wire.beat")
 	d := e.newDemand()
-	d.add("beats of servers, a call and its answer", e.value("wire.beat_http")+2*segment, load.heartbeats)
+	d.add("beats of servers, a call and its answer", e.Network.HeartbeatBytes+2*segment, load.heartbeats)
 	d.add("beats told, both ways", e.unitCost("wire.heard"), 2*load.remoteHeartbeats)
 	d.add(
 		"heartbeats and renewals of agents",
@@ -118,8 +118,8 @@
 		load.changes*load.updatedSubscribers,
 	)
 	d.add("lines to agents", e.unitCost("wire.line")+segment, load.instanceUpdates*load.updatedSubscribers)
-	d.add("counter calls", e.counterCallBytes()+2*segment/e.value("counters.batch"), load.counterCalls)
-	e.require(Control, "bytes a second", BytesPerSecond, e.value("limits.core.bytes_per_s"), d.terms)
+	d.add("counter calls", e.counterCallBytes()+2*segment/e.Counters.CallsPerFrame, load.counterCalls)
+	e.require(Control, "bytes a second", BytesPerSecond, e.Limits.Control.BytesPerSecond, d.terms)
 }
 
 // controlBounds adds the bounds that are in the code of a control node. The names in the descriptions are those that
@@ -135,13 +135,13 @@
 
 	first := e.newDemand()
 	for _, kind := range configurationKinds {
-		first.add(kind.name, e.unitCost(kind.wireSeries), e.value("size."+kind.name))
+		first.add(kind.name, e.unitCost(kind.wireSeries), kind.of(&e.Size.State))
 	}
 	e.require(
 		Control,
 		"the first call, one frame between voters (trunk.MaxWhole)",
 		Bytes,
-		e.value("wire.first_call"),
+		e.Network.MaxFirstCallBytes,
 		first.terms,
 	)
 }
@@ -149,10 +149,10 @@
 // uncollectedTombstones adds the memory of all tombstones at the end of the plan, if they are never collected.
 func (e *estimator) uncollectedTombstones() {
 	d := e.newDemand()
-	unitCost := e.unitCost("store.tombstone") * (1 + e.value("core.gc_percent")/100)
-	d.add("tombstones", unitCost, e.deletionsPerDay()*e.value("size.days"))
-	if e.value("news.tombstone_days") != 0 {
+	unitCost := e.unitCost("store.tombstone") * (1 + e.Control.GCPercent/100)
+	d.add("tombstones", unitCost, e.deletionsPerDay()*e.Size.Days)
+	if e.Updates.TombstoneDays != 0 {
 		return
 	}
-	e.require(Control, "tombstones after all days, in each copy", Bytes, e.value("limits.core.memory"), d.terms)
+	e.require(Control, "tombstones after all days, in each copy", Bytes, e.Limits.Control.Memory, d.terms)
 }
--- a/internal/emulator/capacity/demand.go
+++ b/internal/emulator/capacity/demand.go
@@ -42,13 +42,12 @@
 	}
 }
 
-// addState adds the memory for what a process ("agent", "proxy", "core") holds of one kind of state: each item costs
-// the sum of the series.
-func (d *demand) addState(process, kind string, series ...string) {
+// addState adds the memory for what a process holds of one kind of state: each item costs the sum of the series.
+func (d *demand) addState(process *Process, kind stateKind, series ...string) {
 	e := d.estimator
 	unitCost := 0.0
 	for _, name := range series {
 		unitCost += e.unitCost(name)
 	}
-	d.add(kind, unitCost, e.value("size."+kind)*e.value(process+"."+kind))
+	d.add(kind.name, unitCost, kind.of(&e.Size.State)*kind.of(&process.Shares))
 }
--- a/internal/emulator/capacity/doc.go
+++ b/internal/emulator/capacity/doc.go
@@ -2,7 +2,7 @@
 // second and latency. It multiplies unit costs from a run of package costmodel by the counts of a plan, and finds for
 // each requirement up to which part of the planned size its limit is kept.
 //
-//   - plan.go and parameters.go: the plan, a file of settings with the size, which role holds which state, and limits;
+//   - plan.go: the plan, its size, which role holds which state, and limits; read.go and parameters.go: its file;
 //   - slopes.go: the run of the cost model that is part of the program;
 //   - requirement.go: one requirement, the sum of its terms beside its limit;
 //   - estimator.go and demand.go: sums of terms from measured costs; rates.go: events a second;
--- a/internal/emulator/capacity/estimator.go
+++ b/internal/emulator/capacity/estimator.go
@@ -44,7 +44,7 @@
 // counterCallBytes returns the bytes of a call to a counter and of its answer: the plan's, or as measured where it
 // gives none.
 func (e *estimator) counterCallBytes() float64 {
-	if planned := e.value("counters.call_bytes"); planned != 0 {
+	if planned := e.Counters.CallBytes; planned != 0 {
 		return planned
 	}
 	return e.unitCost("wire.count")
--- a/internal/emulator/capacity/ingress.go
+++ b/internal/emulator/capacity/ingress.go
@@ -12,7 +12,7 @@
 }
 
 func (e *estimator) ingressMemory() {
-	limit := e.value("limits.ingress.memory")
+	limit := e.Limits.Ingress.Memory
 	agent := e.require(Agent, "memory", Bytes, limit, e.agentMemory())
 	proxy := e.require(Proxy, "memory for control", Bytes, limit, e.proxyMemory())
 	e.require(Ingress, "memory for control", Bytes, limit, slices.Concat(agent.Terms, proxy.Terms))
@@ -21,10 +21,10 @@
 func (e *estimator) agentMemory() []Term {
 	d := e.newDemand()
 	for _, kind := range stateKinds {
-		d.addState("agent", kind.name, kind.storeSeries)
+		d.addState(&e.Agent, kind, kind.storeSeries)
 	}
-	d.addGarbage(e.value("agent.gc_percent"))
-	d.add("fixed", e.value("agent.fixed_bytes"), 1)
+	d.addGarbage(e.Agent.GCPercent)
+	d.add("fixed", e.Agent.FixedBytes, 1)
 	return d.terms
 }
 
@@ -35,16 +35,16 @@
 		if kind.proxySeries != "" {
 			series = append(series, kind.proxySeries)
 		}
-		d.addState("proxy", kind.name, series...)
+		d.addState(&e.Proxy.Process, kind, series...)
 	}
 	d.add("tenants within the minute", e.unitCost("gateway.tenant"), e.activeTenants())
-	d.addGarbage(e.value("proxy.gc_percent"))
-	d.add("fixed", e.value("proxy.fixed_bytes"), 1)
+	d.addGarbage(e.Proxy.GCPercent)
+	d.add("fixed", e.Proxy.FixedBytes, 1)
 	return d.terms
 }
 
 func (e *estimator) ingressProcessor() {
-	limit := e.value("limits.ingress.cpu")
+	limit := e.Limits.Ingress.Cores
 	agent := e.agentProcessor()
 	e.require(Agent, "processor, without system calls", Cores, limit, agent)
 	proxy := e.proxyProcessor()
@@ -54,18 +54,18 @@
 
 // storedTenants is how many tenants the larger of the stores of agent and proxy has, 1 at least.
 func (e *estimator) storedTenants() float64 {
-	tenants := e.value("size.tenants")
-	return max(tenants*e.value("agent.tenants"), tenants*e.value("proxy.tenants"), 1)
+	tenants := e.Size.State.Tenants
+	return max(tenants*e.Agent.Shares.Tenants, tenants*e.Proxy.Shares.Tenants, 1)
 }
 
 // storedInstances is how many instances the larger of the stores of agent and proxy has, 1 at least.
 func (e *estimator) storedInstances() float64 {
-	servers := e.value("size.servers")
-	return max(servers*e.value("agent.servers"), servers*e.value("proxy.servers"), 1)
+	servers := e.Size.State.Servers
+	return max(servers*e.Agent.Shares.Servers, servers*e.Proxy.Shares.Servers, 1)
 }
 
 func (e *estimator) agentProcessor() []Term {
-	rates, sources, copies := e.ingressRates(), e.value("news.sources"), e.value("news.copies")
+	rates, sources, copies := e.ingressRates(), e.Updates.Sources, e.Updates.Copies
 	tenants, instances := e.storedTenants(), e.storedInstances()
 	d := e.newDemand()
 	d.addFrames("heartbeats read", "read.beat", sources*heartbeatsPerSecond)
@@ -80,14 +80,14 @@
 	d.addFrames("lines to the proxy", "write.line", rates.instances)
 	d.addFrames("counter calls carried: written", "write.count", rates.counterCalls)
 	d.addFrames("counter calls carried: read", "read.count", rates.counterCalls)
-	d.addCollector(e.value("agent.gc_percent"))
+	d.addCollector(e.Agent.GCPercent)
 	return d.terms
 }
 
 func (e *estimator) proxyProcessor() []Term {
-	rates, ticks := e.ingressRates(), e.value("proxy.ticks_per_s")
+	rates, ticks := e.ingressRates(), e.Proxy.TicksPerSecond
 	tenants, instances := e.storedTenants(), e.storedInstances()
-	servers := ticks * e.value("size.servers") * e.value("proxy.servers")
+	servers := ticks * e.Size.State.Servers * e.Proxy.Shares.Servers
 	d := e.newDemand()
 	d.addFrames("heartbeats read", "read.beat", heartbeatsPerSecond)
 	d.addFrames("changes read", "read.tenant", rates.changes)
@@ -97,40 +97,40 @@
 	d.addOperations("lines taken", "change.line", instances, rates.instances)
 	d.addFrames("ticks, by servers known", "tick.servers", servers)
 	d.addFrames("ticks, by tenants of the minute", "tick.thin", ticks*e.activeTenants())
-	d.addFrames("ticks, by tenants with a slice", "tick.sliced", ticks*e.value("counters.tenants_sliced"))
+	d.addFrames("ticks, by tenants with a slice", "tick.sliced", ticks*e.Counters.SlicedTenants)
 	d.addFrames("counter calls: written", "write.count", rates.counterCalls/2)
 	d.addFrames("counter calls: read", "read.count", rates.counterCalls/2)
-	d.addCollector(e.value("proxy.gc_percent"))
+	d.addCollector(e.Proxy.GCPercent)
 	return d.terms
 }
 
 // agentBytes adds the bytes a second of the agent's connections to control nodes, with the headers of their segments.
 func (e *estimator) agentBytes() {
-	rates, sources, copies := e.ingressRates(), e.value("news.sources"), e.value("news.copies")
-	segment := e.value("wire.segment")
+	rates, sources, copies := e.ingressRates(), e.Updates.Sources, e.Updates.Copies
+	segment := e.Network.SegmentBytes
 	d := e.newDemand()
 	d.add("heartbeats", e.unitCost("wire.beat")+segment, sources*heartbeatsPerSecond)
 	d.add("renewals", e.unitCost("wire.renew")+segment, sources*heartbeatsPerSecond)
 	d.add("changes", e.unitCost("wire.tenant")+segment, rates.changes*copies)
 	d.add("lines", e.unitCost("wire.line")+segment, rates.instances*copies)
 	d.add("counter calls", e.counterCallBytes(), rates.counterCalls)
-	d.add("segments of counter calls", 2*segment, rates.counterCalls/e.value("counters.batch"))
+	d.add("segments of counter calls", 2*segment, rates.counterCalls/e.Counters.CallsPerFrame)
 	d.add(
 		"look-ups of what is not held, in those calls",
 		e.unitCost("wire.tenant"),
-		rates.requests*e.value("news.lookups"),
+		rates.requests*e.Updates.LookupShare,
 	)
-	e.require(Agent, "bytes a second, core side", BytesPerSecond, e.value("limits.ingress.bytes_per_s"), d.terms)
+	e.require(Agent, "bytes a second, core side", BytesPerSecond, e.Limits.Ingress.BytesPerSecond, d.terms)
 }
 
 // snapshotTime adds the time in which a joining ingress receives its snapshot, at its limit of bytes a second.
 func (e *estimator) snapshotTime() {
-	copies, bytesPerSecond := e.value("news.copies"), e.value("limits.ingress.bytes_per_s")
+	copies, bytesPerSecond := e.Updates.Copies, e.Limits.Ingress.BytesPerSecond
 	d := e.newDemand()
 	for _, kind := range stateKinds {
-		items := e.value("news.start") * e.value("size."+kind.name)
-		share := max(e.value("agent."+kind.name), e.value("proxy."+kind.name))
+		items := e.Updates.InitialShare * kind.of(&e.Size.State)
+		share := max(kind.of(&e.Agent.Shares), kind.of(&e.Proxy.Shares))
 		d.add(kind.name, e.unitCost(kind.wireSeries)*copies/bytesPerSecond, items*share)
 	}
-	e.require(Agent, "a newcomer's snapshot at its bytes a second", Seconds, e.value("limits.start_s"), d.terms)
+	e.require(Agent, "a newcomer's snapshot at its bytes a second", Seconds, e.Limits.StartTime, d.terms)
 }
--- a/internal/emulator/capacity/rates.go
+++ b/internal/emulator/capacity/rates.go
@@ -24,33 +24,33 @@
 }
 
 func (e *estimator) ingressRates() ingressRates {
-	requests := e.value("size.requests_per_s") / e.value("size.ingresses")
-	sliced := e.value("counters.tenants_sliced")
+	requests := e.Size.RequestsPerSecond / e.Size.Ingresses
+	sliced := e.Counters.SlicedTenants
 	return ingressRates{
 		requests:     requests,
-		counterCalls: requests*e.value("counters.asked") + callsPerSlice*sliced,
+		counterCalls: requests*e.Counters.RequestShare + callsPerSlice*sliced,
 		changes:      e.changesPerSecond() * e.changeShare(),
-		instances:    e.instanceUpdatesPerSecond() * max(e.value("agent.servers"), e.value("proxy.servers")),
+		instances:    e.instanceUpdatesPerSecond() * max(e.Agent.Shares.Servers, e.Proxy.Shares.Servers),
 	}
 }
 
 // changesPerSecond is the rate of changes of the configuration in the busiest minutes.
 func (e *estimator) changesPerSecond() float64 {
-	return e.value("size.changes_per_day") / secondsPerDay * e.value("news.peak")
+	return e.Size.ChangesPerDay / secondsPerDay * e.Updates.Peak
 }
 
 // instanceUpdatesPerSecond is the rate of updates of the registry in the busiest minutes.
 func (e *estimator) instanceUpdatesPerSecond() float64 {
-	ofRestarts := e.value("size.restarts_per_day") * e.value("news.lines_a_restart")
-	ofFailures := updatesPerFailure * e.value("size.failures_per_day")
-	return (ofRestarts + ofFailures) / secondsPerDay * e.value("news.peak")
+	ofRestarts := e.Size.RestartsPerDay * e.Updates.InstancesPerRestart
+	ofFailures := updatesPerFailure * e.Size.FailuresPerDay
+	return (ofRestarts + ofFailures) / secondsPerDay * e.Updates.Peak
 }
 
 // changeShare is the part of the changes of the configuration that reaches an ingress.
 func (e *estimator) changeShare() float64 {
 	share := 0.0
 	for _, kind := range configurationKinds {
-		share = max(share, e.value("agent."+kind.name), e.value("proxy."+kind.name))
+		share = max(share, kind.of(&e.Agent.Shares), kind.of(&e.Proxy.Shares))
 	}
 	return share
 }
@@ -58,22 +58,46 @@
 // activeTenants is how many tenants an ingress has had requests of within idleTimeout.
 func (e *estimator) activeTenants() float64 {
 	requests := e.ingressRates().requests
-	return min(requests*idleTimeout*e.value("proxy.tenants_a_request"), e.value("size.tenants"))
+	return min(requests*idleTimeout*e.Proxy.TenantsPerRequest, e.Size.State.Tenants)
 }
 
-// stateKind is a kind of state: its name in the paths of a plan, and the series of its costs.
+// stateKind is a kind of state: its name in the report, its figure, and the series of its costs.
 type stateKind struct {
 	name        string
+	of          func(*StateFigures) float64
 	storeSeries string // memory in a replication.Store
 	proxySeries string // memory of the proxy beside its Store; empty where there is none
 	wireSeries  string // bytes in a frame
 }
 
 var (
-	routeKind   = stateKind{name: "routes", storeSeries: "store.route", wireSeries: "wire.route"}
-	tenantKind  = stateKind{"tenants", "store.tenant", "table.tenant", "wire.tenant"}
-	serviceKind = stateKind{"services", "store.service", "table.service", "wire.service"}
-	serverKind  = stateKind{"servers", "store.line", "gateway.server", "wire.line"}
+	routeKind = stateKind{
+		name:        "routes",
+		of:          func(f *StateFigures) float64 { return f.Routes },
+		storeSeries: "store.route",
+		wireSeries:  "wire.route",
+	}
+	tenantKind = stateKind{
+		name:        "tenants",
+		of:          func(f *StateFigures) float64 { return f.Tenants },
+		storeSeries: "store.tenant",
+		proxySeries: "table.tenant",
+		wireSeries:  "wire.tenant",
+	}
+	serviceKind = stateKind{
+		name:        "services",
+		of:          func(f *StateFigures) float64 { return f.Services },
+		storeSeries: "store.service",
+		proxySeries: "table.service",
+		wireSeries:  "wire.service",
+	}
+	serverKind = stateKind{
+		name:        "servers",
+		of:          func(f *StateFigures) float64 { return f.Servers },
+		storeSeries: "store.line",
+		proxySeries: "gateway.server",
+		wireSeries:  "wire.line",
+	}
 
 	// configurationKinds are the kinds of items of the configuration.
 	configurationKinds = []stateKind{routeKind, tenantKind, serviceKind}
