--- a/internal/emulator/costmodel/frames.go
+++ b/internal/emulator/costmodel/frames.go
@@ -56,35 +56,33 @@
 }
 
 func measureEncoding(m *meter, kind frameKind) {
-	m.measureTime(timeBenchmark{
-		series: Series{
-			Name:        "write." + kind.name,
-			Description: "encoding " + kind.description,
-			SizeUnit:    kind.sizeUnit,
-		},
-		sizes:      frameTimeSizes,
-		operations: frameOperations,
-		prepare: func(n int) func(int) {
-			frames := kind.frames(n)
-			var encoded []byte
-			return func(int) { encoded = encodeFrames(encoded[:0], frames) }
-		},
+	measureFrameTime(m, "write.", "encoding ", kind, func(frames []*transport.Frame) func(int) {
+		var encoded []byte
+		return func(int) { encoded = encodeFrames(encoded[:0], frames) }
 	})
 }
 
 func measureDecoding(m *meter, kind frameKind) {
+	measureFrameTime(m, "read.", "decoding ", kind, func(frames []*transport.Frame) func(int) {
+		encoded := encodeFrames(nil, frames)
+		return func(int) { decodeFrames(encoded, func(*transport.Frame) {}) }
+	})
+}
+
+// measureFrameTime takes a series of the processor time of an operation on frames of a kind. The prefixes go before the
+// name of the kind and before its description.
+func measureFrameTime(
+	m *meter, namePrefix, descriptionPrefix string, kind frameKind, operation func([]*transport.Frame) func(int),
+) {
 	m.measureTime(timeBenchmark{
 		series: Series{
-			Name:        "read." + kind.name,
-			Description: "decoding " + kind.description,
+			Name:        namePrefix + kind.name,
+			Description: descriptionPrefix + kind.description,
 			SizeUnit:    kind.sizeUnit,
 		},
 		sizes:      frameTimeSizes,
 		operations: frameOperations,
-		prepare: func(n int) func(int) {
-			encoded := encodeFrames(nil, kind.frames(n))
-			return func(int) { decodeFrames(encoded, func(*transport.Frame) {}) }
-		},
+		prepare:    func(n int) func(int) { return operation(kind.frames(n)) },
 	})
 }
 
