--- a/cmd/emulator/days.go
+++ b/cmd/emulator/days.go
@@ -14,9 +14,9 @@
 	Dir   string  `arg:"" help:"Folder for the files, one a day." type:"existingdir"`
 	First uint64  `help:"Seed of the first day." default:"1"`
 	Count uint64  `help:"How many days." default:"24"`
-	One   float64 `help:"Worth less prices that counts as a score of 1." default:"0.925"`
-	Zero  float64 `help:"Worth less prices that counts as a score of 0." default:"0.575"`
-	Any   bool    `help:"Draw from every kind of trouble, not those of the core alone."`
+	One   float64 `help:"Value less costs that counts as a score of 1." default:"0.925"`
+	Zero  float64 `help:"Value less costs that counts as a score of 0." default:"0.575"`
+	Any   bool    `help:"Draw from every kind of fault, not those of the control plane alone."`
 }
 
 // Run writes a scenario file for each seed and prints the files' names.
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -20,8 +20,8 @@
 type program struct {
 	Slopes slopesCommand `cmd:"" help:"Measure what each part costs by the size of what it knows."`
 	Plan   planCommand   `cmd:"" help:"Estimate what each role needs at a size, and which limit binds first."`
-	Days   daysCommand   `cmd:"" help:"Draw days of trouble for the core, as files for the bench."`
-	Try    tryCommand    `cmd:"" help:"Play the three programs on this box, with faults, and judge what was seen."`
+	Days   daysCommand   `cmd:"" help:"Draw scenarios of a day with faults of the control plane, as files for the bench."`
+	Try    tryCommand    `cmd:"" help:"Run the three programs on this machine, with faults, and check what was observed."`
 }
 
 func main() {
@@ -32,7 +32,7 @@
 		kong.Name("emulator"),
 		kong.UsageOnError(),
 		kong.BindTo(logger, (*log.Logger)(nil)),
-		kong.Description("The test desk: what the roles of the system cost by size.\n\n"+
+		kong.Description("Measures, estimates and tests the system on one machine.\n\n"+
 			"Exit codes: 0 done, and the plan fits; 1 failed, 2 wrong command line, "+
 			"3 a file that cannot be used, 4 the plan does not fit."),
 	)
--- a/cmd/emulator/plan.go
+++ b/cmd/emulator/plan.go
@@ -9,7 +9,7 @@
 )
 
 type planCommand struct {
-	File   string `arg:"" help:"The size, its limits and what is known where: lines a.b=value." type:"existingfile"`
+	File   string `arg:"" help:"Size, limits and which process holds what: lines a.b=value." type:"existingfile"`
 	Slopes string `help:"A run of slopes of your own. Default: the one that came with the program." type:"existingfile"`
 }
 
--- a/cmd/emulator/slopes.go
+++ b/cmd/emulator/slopes.go
@@ -25,7 +25,7 @@
 // Run measures the cost model, prints it as a table and stores it if that is asked for.
 func (s *slopesCommand) Run(logger log.Logger) error {
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "slope\tof\tpoints\ta\tb\tworst residual\theld back\tmeasured\tpredicted\toff")
+	fmt.Fprintln(t, "slope\tof\tpoints\ta\tb\tworst residual\tholdout\tmeasured\tpredicted\toff")
 	divisor := 1
 	if s.Quick {
 		divisor = quickDivisor
--- a/internal/emulator/capacity/control.go
+++ b/internal/emulator/capacity/control.go
@@ -55,7 +55,7 @@
 	}
 	d.add("servers", e.unitCost("store.line")+e.unitCost("registry.line"), load.instances)
 	d.add("counters, by tenant", e.unitCost("tally.name"), load.activeCounters)
-	d.add("counters, by further holder", e.unitCost("tally.holder.each"), load.counterCalls*e.Counters.Retention)
+	d.add("counters, by further reporter", e.unitCost("tally.holder.each"), load.counterCalls*e.Counters.Retention)
 	d.add("tombstones", e.unitCost("store.tombstone"), e.deletionsPerDay()*e.Updates.TombstoneDays)
 	d.addGarbage(e.Control.GCPercent)
 	d.add("fixed", e.Control.FixedBytes, 1)
@@ -69,18 +69,18 @@
 
 func (e *estimator) controlProcessor(load controlLoad) {
 	d := e.newDemand()
-	d.addOperations("beats taken, without HTTP", "registry.beat", load.instances, load.heartbeats)
-	d.addFrames("beats told to others", "write.heard", load.remoteHeartbeats)
-	d.addFrames("beats of others read", "read.heard", load.remoteHeartbeats)
-	d.addOperations("beats of others taken", "registry.heard", load.instances, load.remoteHeartbeats)
+	d.addOperations("heartbeats received, without HTTP", "registry.beat", load.instances, load.heartbeats)
+	d.addFrames("heartbeats replicated: written", "write.heard", load.remoteHeartbeats)
+	d.addFrames("heartbeats replicated: read", "read.heard", load.remoteHeartbeats)
+	d.addOperations("heartbeats replicated: applied", "registry.heard", load.instances, load.remoteHeartbeats)
 	d.addFrames("heartbeats to agents", "write.beat", load.subscribers*heartbeatsPerSecond)
 	d.addFrames("renewals of agents", "read.renew", load.subscribers*heartbeatsPerSecond)
 	d.addFrames("changes to agents", "write.tenant", load.changes*load.updatedSubscribers)
 	d.addFrames("frames of changes to agents", "write.beat", load.changes*load.updatedSubscribers)
-	d.addFrames("lines to agents", "write.line", load.instanceUpdates*load.updatedSubscribers)
+	d.addFrames("instances to agents", "write.line", load.instanceUpdates*load.updatedSubscribers)
 	e.addChanges(d)
 	counters := max(1, e.Size.State.Tenants/e.Counters.Owners)
-	d.addOperations("counter calls kept", "tally.add", counters, load.counterCalls)
+	d.addOperations("counter calls applied", "tally.add", counters, load.counterCalls)
 	d.addFrames("counter calls: written", "write.count", load.counterCalls/2)
 	d.addFrames("counter calls: read", "read.count", load.counterCalls/2)
 	d.addCollector(e.Control.GCPercent)
@@ -95,8 +95,8 @@
 	)
 	changes := e.changesPerSecond()
 	tenants := e.Size.State.Tenants * e.Control.Shares.Tenants
-	d.addOperations("changes checked", "change.check", max(1, e.Size.State.Routes), changes)
-	d.addOperations("changes kept", "change.store", max(1, tenants), changes)
+	d.addOperations("changes validated", "change.check", max(1, e.Size.State.Routes), changes)
+	d.addOperations("changes stored", "change.store", max(1, tenants), changes)
 	d.addOperations("changes chosen", "ballot.change", e.Control.Voters, changes)
 	d.addOperations("changes to disk", "vault.save", itemsPerSave, savesPerChange*changes)
 }
@@ -105,8 +105,8 @@
 	segment := e.Network.SegmentBytes
 	heartbeat := e.unitCost("wire.beat")
 	d := e.newDemand()
-	d.add("beats of servers, a call and its answer", e.Network.HeartbeatBytes+2*segment, load.heartbeats)
-	d.add("beats told, both ways", e.unitCost("wire.heard"), 2*load.remoteHeartbeats)
+	d.add("heartbeats of servers, request and response", e.Network.HeartbeatBytes+2*segment, load.heartbeats)
+	d.add("heartbeats replicated, both ways", e.unitCost("wire.heard"), 2*load.remoteHeartbeats)
 	d.add(
 		"heartbeats and renewals of agents",
 		heartbeat+e.unitCost("wire.renew")+2*segment,
@@ -117,21 +117,20 @@
 		e.unitCost("wire.tenant")+heartbeat+segment,
 		load.changes*load.updatedSubscribers,
 	)
-	d.add("lines to agents", e.unitCost("wire.line")+segment, load.instanceUpdates*load.updatedSubscribers)
+	d.add("instances to agents", e.unitCost("wire.line")+segment, load.instanceUpdates*load.updatedSubscribers)
 	d.add("counter calls", e.counterCallBytes()+2*segment/e.Counters.CallsPerFrame, load.counterCalls)
 	e.require(Control, "bytes a second", BytesPerSecond, e.Limits.Control.BytesPerSecond, d.terms)
 }
 
-// controlBounds adds the bounds that are in the code of a control node. The names in the descriptions are those that
-// the code had when the first report was printed.
+// controlBounds adds the bounds that are in the code of a control node, each named in its description.
 func (e *estimator) controlBounds(load controlLoad) {
 	counters := e.newDemand()
-	counters.terms = []Term{{Description: "tenants of the minute", UnitCost: 1, Count: load.activeCounters}}
-	e.require(Control, "tenants' counters of one keeper (tally.Names)", Items, quota.MaxNames, counters.terms)
+	counters.terms = []Term{{Description: "active tenants", UnitCost: 1, Count: load.activeCounters}}
+	e.require(Control, "tenants' counters of one owner (quota.MaxNames)", Items, quota.MaxNames, counters.terms)
 
 	instances := e.newDemand()
 	instances.terms = []Term{{Description: "servers", UnitCost: 1, Count: load.instances}}
-	e.require(Control, "lines of one registry (lines.MostLines)", Items, registry.MaxInstances, instances.terms)
+	e.require(Control, "instances of one registry (registry.MaxInstances)", Items, registry.MaxInstances, instances.terms)
 
 	first := e.newDemand()
 	for _, kind := range configurationKinds {
@@ -139,7 +138,7 @@
 	}
 	e.require(
 		Control,
-		"the first call, one frame between voters (trunk.MaxWhole)",
+		"the first call, one frame between voters (transport.MaxControlFrame)",
 		Bytes,
 		e.Network.MaxFirstCallBytes,
 		first.terms,
@@ -154,5 +153,5 @@
 	if e.Updates.TombstoneDays != 0 {
 		return
 	}
-	e.require(Control, "tombstones after all days, in each copy", Bytes, e.Limits.Control.Memory, d.terms)
+	e.require(Control, "tombstones after all days, in each replica", Bytes, e.Limits.Control.Memory, d.terms)
 }
--- a/internal/emulator/capacity/ingress.go
+++ b/internal/emulator/capacity/ingress.go
@@ -37,7 +37,7 @@
 		}
 		d.addState(&e.Proxy.Process, kind, series...)
 	}
-	d.add("tenants within the minute", e.unitCost("gateway.tenant"), e.activeTenants())
+	d.add("active tenants", e.unitCost("gateway.tenant"), e.activeTenants())
 	d.addGarbage(e.Proxy.GCPercent)
 	d.add("fixed", e.Proxy.FixedBytes, 1)
 	return d.terms
@@ -73,13 +73,13 @@
 	d.addFrames("heartbeats to the proxy", "write.beat", heartbeatsPerSecond)
 	d.addFrames("renewals of the proxy", "read.renew", heartbeatsPerSecond)
 	d.addFrames("changes read", "read.tenant", rates.changes*copies)
-	d.addOperations("changes taken", "change.store", tenants, rates.changes)
+	d.addOperations("changes applied", "change.store", tenants, rates.changes)
 	d.addFrames("changes to the proxy", "write.tenant", rates.changes)
-	d.addFrames("lines read", "read.line", rates.instances*copies)
-	d.addOperations("lines taken", "change.line", instances, rates.instances)
-	d.addFrames("lines to the proxy", "write.line", rates.instances)
-	d.addFrames("counter calls carried: written", "write.count", rates.counterCalls)
-	d.addFrames("counter calls carried: read", "read.count", rates.counterCalls)
+	d.addFrames("instances read", "read.line", rates.instances*copies)
+	d.addOperations("instances applied", "change.line", instances, rates.instances)
+	d.addFrames("instances to the proxy", "write.line", rates.instances)
+	d.addFrames("counter calls forwarded: written", "write.count", rates.counterCalls)
+	d.addFrames("counter calls forwarded: read", "read.count", rates.counterCalls)
 	d.addCollector(e.Agent.GCPercent)
 	return d.terms
 }
@@ -91,12 +91,12 @@
 	d := e.newDemand()
 	d.addFrames("heartbeats read", "read.beat", heartbeatsPerSecond)
 	d.addFrames("changes read", "read.tenant", rates.changes)
-	d.addOperations("changes taken", "change.store", tenants, rates.changes)
-	d.addOperations("tables swapped", "change.with", tenants, rates.changes)
-	d.addFrames("lines read", "read.line", rates.instances)
-	d.addOperations("lines taken", "change.line", instances, rates.instances)
+	d.addOperations("changes applied", "change.store", tenants, rates.changes)
+	d.addOperations("routing tables updated", "change.with", tenants, rates.changes)
+	d.addFrames("instances read", "read.line", rates.instances)
+	d.addOperations("instances applied", "change.line", instances, rates.instances)
 	d.addFrames("ticks, by servers known", "tick.servers", servers)
-	d.addFrames("ticks, by tenants of the minute", "tick.thin", ticks*e.activeTenants())
+	d.addFrames("ticks, by active tenants", "tick.thin", ticks*e.activeTenants())
 	d.addFrames("ticks, by tenants with a slice", "tick.sliced", ticks*e.Counters.SlicedTenants)
 	d.addFrames("counter calls: written", "write.count", rates.counterCalls/2)
 	d.addFrames("counter calls: read", "read.count", rates.counterCalls/2)
@@ -112,15 +112,15 @@
 	d.add("heartbeats", e.unitCost("wire.beat")+segment, sources*heartbeatsPerSecond)
 	d.add("renewals", e.unitCost("wire.renew")+segment, sources*heartbeatsPerSecond)
 	d.add("changes", e.unitCost("wire.tenant")+segment, rates.changes*copies)
-	d.add("lines", e.unitCost("wire.line")+segment, rates.instances*copies)
+	d.add("instances", e.unitCost("wire.line")+segment, rates.instances*copies)
 	d.add("counter calls", e.counterCallBytes(), rates.counterCalls)
 	d.add("segments of counter calls", 2*segment, rates.counterCalls/e.Counters.CallsPerFrame)
 	d.add(
-		"look-ups of what is not held, in those calls",
+		"look-ups of what is not stored, in those calls",
 		e.unitCost("wire.tenant"),
 		rates.requests*e.Updates.LookupShare,
 	)
-	e.require(Agent, "bytes a second, core side", BytesPerSecond, e.Limits.Ingress.BytesPerSecond, d.terms)
+	e.require(Agent, "bytes a second, to control nodes", BytesPerSecond, e.Limits.Ingress.BytesPerSecond, d.terms)
 }
 
 // snapshotTime adds the time in which a joining ingress receives its snapshot, at its limit of bytes a second.
@@ -132,5 +132,5 @@
 		share := max(kind.of(&e.Agent.Shares), kind.of(&e.Proxy.Shares))
 		d.add(kind.name, e.unitCost(kind.wireSeries)*copies/bytesPerSecond, items*share)
 	}
-	e.require(Agent, "a newcomer's snapshot at its bytes a second", Seconds, e.Limits.StartTime, d.terms)
+	e.require(Agent, "a joining ingress's snapshot at its bytes a second", Seconds, e.Limits.StartTime, d.terms)
 }
--- a/internal/emulator/capacity/latency.go
+++ b/internal/emulator/capacity/latency.go
@@ -13,7 +13,7 @@
 	servers := e.Size.State.Servers * e.Proxy.Shares.Servers
 	d := e.newDemand()
 	d.add("servers known", e.unitCost("tick.servers")/speed, servers)
-	d.add("tenants of the minute", e.unitCost("tick.thin")/speed, e.activeTenants())
+	d.add("active tenants", e.unitCost("tick.thin")/speed, e.activeTenants())
 	d.add("tenants with a slice", e.unitCost("tick.sliced")/speed, e.Counters.SlicedTenants)
 	e.require(Proxy, "a tick, in which no request is decided", Seconds, e.Limits.AddedLatency, d.terms)
 }
@@ -46,5 +46,5 @@
 	d.add("syncs", e.Control.SyncTime, syncs)
 	d.add("to the sources and the agents", roundTrip/2, hops)
 	d.add("frames to all subscribers of a node", frame/max(minCores, e.Limits.Control.Cores), subscribers)
-	e.require(System, "a change in force, calm, nothing waiting", Seconds, e.Limits.ChangeTime, d.terms)
+	e.require(System, "a change in force, nothing queued", Seconds, e.Limits.ChangeTime, d.terms)
 }
--- a/internal/emulator/capacity/plan_test.go
+++ b/internal/emulator/capacity/plan_test.go
@@ -107,7 +107,7 @@
 		// Three sources: two heartbeats and two renewals a second of each, and one change a second, sent by each: a
 		// byte and a segment.
 		{"bytes of the agent", find(t, report, Agent, "bytes").Need, 67 * (6 + 6 + 3)},
-		{"instances of a registry", find(t, report, Control, "lines").Need, 100},
+		{"instances of a registry", find(t, report, Control, "instances").Need, 100},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if !(math.Abs(c.got-c.want) < 1e-6*c.want) {
--- a/internal/emulator/costmodel/changes.go
+++ b/internal/emulator/costmodel/changes.go
@@ -59,8 +59,7 @@
 	})
 }
 
-// measureChanges takes the series of the processor time of one change, and of one look-up. "Table" and "line" in their
-// descriptions are earlier names of RoutingTable and of an instance.
+// measureChanges takes the series of the processor time of one change, and of one look-up.
 func measureChanges(m *meter) {
 	fixtures := newChangeFixtures()
 	measureValidate(m, fixtures)
@@ -76,7 +75,7 @@
 	m.measureTime(timeBenchmark{
 		series: Series{
 			Name:        "change.check",
-			Description: "Check of one route's change",
+			Description: "Snapshot.Validate for one route's change",
 			SizeUnit:    "routes",
 			Logarithmic: true,
 		},
@@ -96,7 +95,7 @@
 	m.measureTime(timeBenchmark{
 		series: Series{
 			Name:        "change.merge",
-			Description: "Merge of one tenant's change",
+			Description: "Snapshot.Merge for one tenant's change",
 			SizeUnit:    "tenants",
 			Logarithmic: true,
 		},
@@ -113,7 +112,7 @@
 	m.measureTime(timeBenchmark{
 		series: Series{
 			Name:        "change.with",
-			Description: "With of a Table for one tenant's change",
+			Description: "RoutingTable.With for one tenant's change",
 			SizeUnit:    "tenants",
 			Logarithmic: true,
 		},
@@ -130,7 +129,7 @@
 	m.measureTime(timeBenchmark{
 		series: Series{
 			Name:        "change.store",
-			Description: "MergeItems of a Store for one tenant's change, and Since for a subscriber",
+			Description: "MergeItems of a Store for one tenant's change, and ChangesSince for a subscriber",
 			SizeUnit:    "tenants",
 			Logarithmic: true,
 		},
@@ -150,7 +149,7 @@
 	m.measureTime(timeBenchmark{
 		series: Series{
 			Name:        "change.line",
-			Description: "MergeLines of a Store for one line's change, and Since for a subscriber",
+			Description: "MergeInstances of a Store for one instance's change, and ChangesSince for a subscriber",
 			SizeUnit:    "servers",
 			Logarithmic: true,
 		},
@@ -179,7 +178,7 @@
 	m.measureTime(timeBenchmark{
 		series: Series{
 			Name:        "lookup.route",
-			Description: "Table.Route, routes spread over hosts of three",
+			Description: "RoutingTable.Route, routes spread over hosts of three",
 			SizeUnit:    "routes",
 			Logarithmic: true,
 		},
@@ -200,7 +199,7 @@
 	m.measureTime(timeBenchmark{
 		series: Series{
 			Name:        "lookup.tenant",
-			Description: "Table.Tenant by key",
+			Description: "RoutingTable.Tenant by key",
 			SizeUnit:    "tenants",
 			Logarithmic: true,
 		},
--- a/internal/emulator/costmodel/counters.go
+++ b/internal/emulator/costmodel/counters.go
@@ -6,8 +6,7 @@
 	"mulleinrouter/internal/cluster/quota"
 )
 
-// measureCounters takes the series of the processor time of a counter's owner. "Keeper" and "holder" in their
-// descriptions are earlier names of quota.CounterTable and of a reporter.
+// measureCounters takes the series of the processor time of a counter's owner.
 func measureCounters(m *meter) {
 	measureCounterAdd(m)
 	measureCounterTotal(m)
@@ -18,7 +17,7 @@
 	m.measureTime(timeBenchmark{
 		series: Series{
 			Name:        "tally.add",
-			Description: "Add of a Keeper, a call that is a report of its own, and its answer",
+			Description: "CounterTable.Add, a call that is a report of its own, and its answer",
 			SizeUnit:    "tenants",
 			Logarithmic: true,
 		},
@@ -45,8 +44,8 @@
 	m.measureTime(timeBenchmark{
 		series: Series{
 			Name:        "tally.total",
-			Description: "first read of a cycle by a Keeper, which goes through all holders of the tenant",
-			SizeUnit:    "holders",
+			Description: "first read of a cycle by a CounterTable, which goes through all reporters of the tenant",
+			SizeUnit:    "reporters",
 		},
 		sizes:      []int{30, 100, 300, 1000, 3300},
 		operations: 50,
--- a/internal/emulator/costmodel/disk.go
+++ b/internal/emulator/costmodel/disk.go
@@ -11,13 +11,12 @@
 	"mulleinrouter/internal/control/storage"
 )
 
-// measureDisk takes the series of the processor time to save a change, with a file system in memory. "Vault" in its
-// description is an earlier name of storage.Store.
+// measureDisk takes the series of the processor time to save a change, with a file system in memory.
 func measureDisk(m *meter) {
 	m.measureTime(timeBenchmark{
 		series: Series{
 			Name:        "vault.save",
-			Description: "a batch in a Vault on a disk in memory, one sync",
+			Description: "a batch in a storage.Store on a disk in memory, one sync",
 			SizeUnit:    "items",
 		},
 		sizes:      []int{1, 4, 16, 64, 256},
--- a/internal/emulator/costmodel/frames.go
+++ b/internal/emulator/costmodel/frames.go
@@ -27,11 +27,11 @@
 }
 
 var frameKinds = []frameKind{
-	{"tenant", "a feed with n tenants; a: a heartbeat", "tenants", tenantUpdate},
-	{"route", "a feed with n routes", "routes", routeUpdate},
-	{"service", "a feed with n services", "services", serviceUpdate},
-	{"line", "a feed with n lines", "servers", instanceUpdate},
-	{"heard", "a feed with n beats heard, between control nodes", "beats", heartbeatUpdate},
+	{"tenant", "an update with n tenants; a: a heartbeat", "tenants", tenantUpdate},
+	{"route", "an update with n routes", "routes", routeUpdate},
+	{"service", "an update with n services", "services", serviceUpdate},
+	{"line", "an update with n instances", "servers", instanceUpdate},
+	{"heard", "an update with n replicated heartbeats, between control nodes", "heartbeats", heartbeatUpdate},
 	{"beat", "n heartbeats of a source", "heartbeats", heartbeatsOfSource},
 	{"renew", "n renewals of a lease", "renewals", leaseRenewals},
 	{"count", "n pairs of Add and Total", "calls", counterCalls},
--- a/internal/emulator/costmodel/gateway.go
+++ b/internal/emulator/costmodel/gateway.go
@@ -29,7 +29,7 @@
 	measureHeap(m, heapBenchmark[noBase]{
 		series: Series{
 			Name:        "gateway.tenant",
-			Description: "live heap of a Gateway by the tenants that asked within the minute, terms with it",
+			Description: "live heap of a Gateway by the active tenants, with their quota terms",
 			SizeUnit:    "tenants",
 		},
 		sizes: gatewayMemorySizes,
@@ -138,7 +138,7 @@
 var requestsByTenants = requestBenchmark{
 	series: Series{
 		Name:        "request.tenants",
-		Description: "one request decided and ended, its counter asked and told",
+		Description: "one request decided and ended, its counter read and added to",
 		SizeUnit:    "tenants",
 		Logarithmic: true,
 	},
--- a/internal/emulator/costmodel/heartbeats.go
+++ b/internal/emulator/costmodel/heartbeats.go
@@ -20,12 +20,12 @@
 var heartbeatBenchmarks = []heartbeatBenchmark{
 	{
 		name:        "registry.beat",
-		description: "Beat of a Registry, the call that says the same again",
+		description: "Registry.RecordHeartbeat, the call that says the same again",
 		record:      func(r *registry.Registry, now float64, one registry.Instance) { r.RecordHeartbeat(now, one) },
 	},
 	{
 		name:        "registry.heard",
-		description: "Heard of a Registry, a beat that another node heard",
+		description: "Registry.RecordRemoteHeartbeat, a heartbeat that another node received",
 		record: func(r *registry.Registry, now float64, one registry.Instance) {
 			r.RecordRemoteHeartbeat(now, one.ID, one.Seq)
 		},
--- a/internal/emulator/costmodel/snapshots.go
+++ b/internal/emulator/costmodel/snapshots.go
@@ -11,8 +11,7 @@
 
 var snapshotSizes = []int{10000, 20000, 40000, 60000, 100000}
 
-// measureSnapshots takes the series of the processor time to send, receive, parse and print the complete state. A
-// "newcomer" in their descriptions is a subscriber without state.
+// measureSnapshots takes the series of the processor time to send, receive, parse and print the complete state.
 func measureSnapshots(m *meter) {
 	measureSnapshotSource(m)
 	measureSnapshotClient(m)
@@ -24,7 +23,7 @@
 	m.measureTime(timeBenchmark{
 		series: Series{
 			Name:        "newcomer.source",
-			Description: "Since and encoding of all items for a newcomer, in frames of 64 KB",
+			Description: "ChangesSince and encoding of all items for a subscriber without state, in frames of 64 KB",
 			SizeUnit:    "tenants",
 		},
 		sizes:      snapshotSizes,
@@ -40,7 +39,7 @@
 	m.measureTime(timeBenchmark{
 		series: Series{
 			Name:        "newcomer.take",
-			Description: "decoding and merging of all items by the newcomer",
+			Description: "decoding and merging of all items by that subscriber",
 			SizeUnit:    "tenants",
 		},
 		sizes:      snapshotSizes,
@@ -60,7 +59,7 @@
 	m.measureTime(timeBenchmark{
 		series: Series{
 			Name:        "patch.read",
-			Description: "ReadPatch and Check of an operator's first call",
+			Description: "ReadPatch and Validate of an operator's first call",
 			SizeUnit:    "tenants",
 		},
 		sizes:      snapshotSizes,
@@ -81,7 +80,7 @@
 	m.measureTime(timeBenchmark{
 		series: Series{
 			Name:        "render",
-			Description: "Render of a Book for GET /config",
+			Description: "Snapshot.RenderJSON for GET /config",
 			SizeUnit:    "tenants",
 		},
 		sizes:      snapshotSizes,
--- a/internal/emulator/costmodel/state_memory.go
+++ b/internal/emulator/costmodel/state_memory.go
@@ -45,9 +45,7 @@
 
 var itemMemorySizes = []int{2000, 8000, 24000, 60000, 150000}
 
-// measureStateMemory takes the series of the live heap of what a process holds. "Book", "Table", "feed", "lines",
-// "tally.Keeper" in their descriptions are earlier names of Snapshot, RoutingTable, replication, registry and
-// quota.CounterTable.
+// measureStateMemory takes the series of the live heap of what a process holds.
 func measureStateMemory(m *meter) {
 	for _, kind := range itemKinds {
 		measureSnapshotMemory(m, kind)
@@ -66,7 +64,7 @@
 	measureHeap(m, heapBenchmark[*configuration.Snapshot]{
 		series: Series{
 			Name:        "book." + kind.name,
-			Description: "live heap of a Book by its " + kind.name + "s",
+			Description: "live heap of a Snapshot by its " + kind.name + "s",
 			SizeUnit:    kind.name + "s",
 		},
 		sizes: itemMemorySizes,
@@ -82,7 +80,7 @@
 	measureHeap(m, heapBenchmark[*configuration.Snapshot]{
 		series: Series{
 			Name:        "table." + kind.name,
-			Description: "live heap of a Table beside its Book",
+			Description: "live heap of a RoutingTable beside its Snapshot",
 			SizeUnit:    kind.name + "s",
 		},
 		sizes: itemMemorySizes,
@@ -97,7 +95,7 @@
 	measureHeap(m, heapBenchmark[noBase]{
 		series: Series{
 			Name:        "store." + kind.name,
-			Description: "live heap of a feed.Store, its Book with it",
+			Description: "live heap of a replication.Store, its Snapshot with it",
 			SizeUnit:    kind.name + "s",
 		},
 		sizes: itemMemorySizes,
@@ -116,8 +114,8 @@
 	measureHeap(m, heapBenchmark[noBase]{
 		series: Series{
 			Name:        "store.tombstone",
-			Description: "live heap of a feed.Store by dropped tenants",
-			SizeUnit:    "dropped items",
+			Description: "live heap of a replication.Store by deleted tenants",
+			SizeUnit:    "deleted items",
 		},
 		sizes: itemMemorySizes,
 		build: func(_ noBase, n int) any { return storeOf(generate(n, tombstone)) },
@@ -139,7 +137,7 @@
 	measureHeap(m, heapBenchmark[noBase]{
 		series: Series{
 			Name:        "store.line",
-			Description: "live heap of a feed.Store by its lines",
+			Description: "live heap of a replication.Store by its instances",
 			SizeUnit:    "servers",
 		},
 		sizes: instanceMemorySizes,
@@ -155,7 +153,7 @@
 	measureHeap(m, heapBenchmark[[]registry.Instance]{
 		series: Series{
 			Name:        "registry.line",
-			Description: "live heap of a lines.Registry, beside the strings of its lines",
+			Description: "live heap of a registry.Registry, beside the strings of its instances",
 			SizeUnit:    "servers",
 		},
 		sizes: instanceMemorySizes,
@@ -177,7 +175,7 @@
 	measureHeap(m, heapBenchmark[noBase]{
 		series: Series{
 			Name:        "tally.name",
-			Description: "live heap of a tally.Keeper, one holder a tenant, each call a report of its own",
+			Description: "live heap of a quota.CounterTable, one reporter a tenant, each call a report of its own",
 			SizeUnit:    "tenants",
 		},
 		sizes: []int{1000, 4000, 16000, 50000, 100000},
@@ -188,8 +186,8 @@
 	measureHeap(m, heapBenchmark[noBase]{
 		series: Series{
 			Name:        "tally.holder",
-			Description: "live heap of a tally.Keeper by the holders of one tenant, reports by cycle",
-			SizeUnit:    "holders",
+			Description: "live heap of a quota.CounterTable by the reporters of one tenant, reports by cycle",
+			SizeUnit:    "reporters",
 		},
 		sizes: reporterSizes,
 		build: func(_ noBase, n int) any { return counterTable(names, n/names, false) },
@@ -198,7 +196,7 @@
 		series: Series{
 			Name:        "tally.holder.each",
 			Description: "the same, each call a report of its own",
-			SizeUnit:    "holders",
+			SizeUnit:    "reporters",
 		},
 		sizes: reporterSizes,
 		build: func(_ noBase, n int) any { return counterTable(names, n/names, true) },
