--- a/internal/standalone/fleet/leaseservice/doc.go
+++ b/internal/standalone/fleet/leaseservice/doc.go
@@ -3,9 +3,10 @@
 //
 // Packages singleton, quorum and revisionlog decide; this package is the clock, the messages and the disk around
 // them. Service owns the voter, its store, the lease holder and all goroutines of the package; Stop ends them and
-// waits. Messages travel as payloads of gossip, under a topic for each kind. Two roles are defined here: RoleExport
-// sends the usage of all ingresses to billing, RoleCatalogue announces revisions of the catalogue. Log codes, log keys
-// and JSON say "duty" for a role: operators know these names from the first version.
+// waits. The voter, whose steps wait for the disk, has a goroutine of its own, so that a slow disk holds up neither the
+// check of a token nor the end of a lease. Messages travel as payloads of gossip, under a topic for each kind. Two
+// roles are defined here: RoleExport sends the usage of all ingresses to billing, RoleCatalogue announces revisions of
+// the catalogue. Log codes, log keys and JSON say "duty" for a role: operators know these names from the first version.
 //
 // A role is handed over in one of four ways. By Resign (SIGTERM, LAMEDUCK) the holder releases it at once. By an
 // operator's transfer the leader's next response tells the holder to step down; its work ends, and only then it
--- a/internal/standalone/fleet/leaseservice/export.go
+++ b/internal/standalone/fleet/leaseservice/export.go
@@ -168,14 +168,16 @@
 }
 
 // handleExport sends a batch of another ingress to billing, if this one holds RoleExport. The fencing token goes with
-// it: where this process is paused between the check and the request, billing rejects it. The caller holds s.mu.
+// it: where this process is paused between the check and the request, billing rejects it.
 func (s *Service) handleExport(m message) {
 	var r exportRequest
 	if len(m.data) < callIDLength || cbor.Unmarshal(m.data[callIDLength:], &r) != nil {
 		return
 	}
+	s.mu.Lock()
 	token, holds := s.leaseHolder.FencingToken(s.now(), RoleExport)
 	leaseLeft := s.leaseHolder.ExpiresAt(RoleExport) - s.now()
+	s.mu.Unlock()
 	endpoint := s.billing.getEndpoint() // of this ingress: what others hand over goes nowhere else
 	s.workers.Go(func() {
 		if !holds {
--- a/internal/standalone/fleet/leaseservice/messages.go
+++ b/internal/standalone/fleet/leaseservice/messages.go
@@ -6,7 +6,6 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"mulleinrouter/internal/standalone/fleet/gossip"
-	"mulleinrouter/internal/standalone/fleet/quorum"
 	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
@@ -55,20 +54,13 @@
 
 // handleMessage handles a message. One that cannot be decoded is dropped.
 func (s *Service) handleMessage(m message) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
 	switch m.topic {
 	case topicVote:
-		if s.voter == nil {
-			return
-		}
-		if output, err := s.voter.Receive(s.now(), m.data); err == nil {
-			s.deliver(output)
-		}
+		s.onVoter(func() { s.voterMessageReceived(m) })
 	case topicAcquireRequest:
 		var r singleton.AcquireRequest
-		if s.voter != nil && cbor.Unmarshal(m.data, &r) == nil && r.From.Name == m.from {
-			s.deliver(s.voter.HandleRequest(s.now(), r))
+		if cbor.Unmarshal(m.data, &r) == nil && r.From.Name == m.from {
+			s.onVoter(func() { s.requestReceived(r) })
 		}
 	case topicAcquireResponse:
 		var r singleton.AcquireResponse
@@ -76,9 +68,9 @@
 			s.responseReceived(r)
 		}
 	case topicWake:
-		s.stepLeaseHolder(singleton.WakeReceived{})
+		s.wakeReceived()
 	case topicCall:
-		s.handleCall(m)
+		s.onVoter(func() { s.handleCall(m) })
 	case topicExport:
 		s.handleExport(m)
 	case topicCallResponse, topicExportResponse:
@@ -86,34 +78,19 @@
 	}
 }
 
-// responseReceived handles a response of the leader. The caller holds s.mu.
+// responseReceived handles a response of the leader.
 func (s *Service) responseReceived(r singleton.AcquireResponse) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, status := range r.Statuses {
 		s.roleStatus[status.Role] = status
 	}
 	s.stepLeaseHolder(singleton.ResponseReceived{Response: r})
 }
 
-// deliver sends what the voter wants sent. The caller holds s.mu.
-func (s *Service) deliver(output quorum.Output) {
-	for _, m := range output.Messages {
-		s.options.Fleet.Send(m.To, topicVote, m.Data)
-	}
-	self := s.self()
-	for _, reply := range output.Replies {
-		if reply.To.Name == self {
-			s.responseReceived(reply.Response)
-			continue
-		}
-		if data, err := cbor.Marshal(reply.Response); err == nil {
-			s.options.Fleet.Send(reply.To.Name, topicAcquireResponse, data)
-		}
-	}
-	for _, name := range output.Wake {
-		if name == self {
-			s.stepLeaseHolder(singleton.WakeReceived{})
-			continue
-		}
-		s.options.Fleet.Send(name, topicWake, wakePayload)
-	}
+// wakeReceived handles the leader's wish for the next request.
+func (s *Service) wakeReceived() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.stepLeaseHolder(singleton.WakeReceived{})
 }
--- a/internal/standalone/fleet/leaseservice/operator.go
+++ b/internal/standalone/fleet/leaseservice/operator.go
@@ -95,10 +95,10 @@
 	return status, nil
 }
 
-// handleCall handles an operator's call where this voter leads. The caller holds s.mu.
+// handleCall handles an operator's call where this voter leads. It is called by the goroutine of runVoter.
 func (s *Service) handleCall(m message) {
 	var r callRequest
-	if s.voter == nil || len(m.data) < callIDLength || cbor.Unmarshal(m.data[callIDLength:], &r) != nil {
+	if len(m.data) < callIDLength || cbor.Unmarshal(m.data[callIDLength:], &r) != nil {
 		return
 	}
 	if !s.voter.Status().Leading {
@@ -122,7 +122,7 @@
 	}
 }
 
-// voterTable returns what this voter knows of the agreed state. The caller holds s.mu.
+// voterTable returns what this voter knows of the agreed state. It is called by the goroutine of runVoter.
 func (s *Service) voterTable() Status {
 	voter, table := s.voter.Status(), s.voter.Table()
 	status := Status{Leader: voter.Leader, Term: voter.Term, Voters: voter.Voters}
--- a/internal/standalone/fleet/leaseservice/roles.go
+++ b/internal/standalone/fleet/leaseservice/roles.go
@@ -15,7 +15,7 @@
 const (
 	// reacquireDelay is after how long an ingress whose work of a role failed requests the role again.
 	reacquireDelay = 10 * time.Second
-	// workEndTimeout is how long Resign waits for the work of a role. Work that goes on after that can do no harm: its
+	// workEndTimeout is how long Resign waits for the work of the roles. Work that goes on after that can do no harm: its
 	// token is not valid here any more, and receivers reject it once they have seen a newer one.
 	workEndTimeout = time.Second
 )
@@ -57,17 +57,19 @@
 }
 
 // Resign gives all roles up, until Rejoin. It first sends the voters one request to release them, so that another
-// ingress may be granted them at once, and then waits for the work of each to end, for workEndTimeout at most. No token
-// of theirs is valid from the start of Resign.
+// ingress may be granted them at once, and then waits, for workEndTimeout at most, until their work has ended and a
+// voter of this process has passed the request on. No token of theirs is valid from the start of Resign.
 func (s *Service) Resign() {
 	s.mu.Lock()
 	s.resigned = true
 	ended := s.resignAll()
 	s.mu.Unlock()
-	for _, e := range ended {
+	timeout := time.After(workEndTimeout)
+	for _, e := range append(ended, s.voterCaughtUp()) {
 		select {
 		case <-e:
-		case <-time.After(workEndTimeout):
+		case <-timeout:
+			return
 		}
 	}
 }
@@ -91,7 +93,7 @@
 }
 
 // resignAll gives all roles up, and returns channels that close when their work has ended. The caller holds s.mu.
-func (s *Service) resignAll() (ended []chan struct{}) {
+func (s *Service) resignAll() (ended []<-chan struct{}) {
 	for _, name := range s.roleNames() {
 		if r := s.roles[name]; r.cancel != nil {
 			r.cancel()
@@ -133,11 +135,11 @@
 	}
 	self := s.self()
 	for _, voter := range s.options.Voters {
-		if voter != self {
-			s.options.Fleet.Send(voter, topicAcquireRequest, data)
-		} else if s.voter != nil {
-			s.deliver(s.voter.HandleRequest(s.now(), r))
+		if voter == self {
+			s.onVoter(func() { s.requestReceived(r) })
+			continue
 		}
+		s.options.Fleet.Send(voter, topicAcquireRequest, data)
 	}
 }
 
--- a/internal/standalone/fleet/leaseservice/service.go
+++ b/internal/standalone/fleet/leaseservice/service.go
@@ -29,7 +29,6 @@
 type Service struct {
 	options   Options
 	startedAt time.Time
-	store     *boltstore.Store // nil: no voter
 	inbox     chan message
 	calls     pendingCalls
 	billing   billingState
@@ -39,13 +38,20 @@
 	goroutines sync.WaitGroup // run, storeRecords, announcers
 	workers    sync.WaitGroup // work of roles, exports
 
-	// mu guards what follows. It is held while the voter stores a batch, as nothing may be sent, and no lease be acted
-	// on, before the batch is durable; and while messages are sent, which does not block.
+	// The voter belongs to the goroutine of runVoter, which alone uses voter and voterStatus, and holds no lock while
+	// the voter waits for its disk. Others reach it by onVoter. Without a voter the pointers are nil.
+	voter          *quorum.Voter
+	voterStatus    voterStatus // as last logged
+	store          *boltstore.Store
+	voterSteps     chan func()
+	stopVoter      context.CancelFunc
+	voterGoroutine sync.WaitGroup
+
+	// mu guards what follows. It is held while messages are sent, which does not block, and never while the voter or
+	// storeRecords waits for the disk.
 	mu          sync.Mutex
 	leaseHolder *singleton.LeaseHolder
 	identity    singleton.Identity
-	voter       *quorum.Voter // nil: no voter
-	voterStatus voterStatus   // as last logged
 	roles       map[string]*role
 	roleStatus  map[string]singleton.RoleStatus // by role, of the last response
 	lastTick    time.Duration                   // since startedAt
@@ -71,11 +77,14 @@
 		startedAt:   time.Now(),
 		inbox:       make(chan message, inboxSize),
 		billing:     billingState{unreachable: make(chan error, 1)},
+		voterSteps:  make(chan func(), inboxSize),
 		leaseHolder: singleton.NewLeaseHolder(identityOf(self), o.Zone),
 		roles:       map[string]*role{},
 		roleStatus:  map[string]singleton.RoleStatus{},
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
+	var voterContext context.Context
+	voterContext, s.stopVoter = context.WithCancel(context.Background())
 	if slices.Contains(o.Voters, self.Name) {
 		s.openVoter(self.Name)
 	}
@@ -83,6 +92,9 @@
 		o.Fleet.Handle(topic, func(from string, data []byte) { s.enqueue(message{topic, from, data}) })
 	}
 	s.goroutines.Go(s.run)
+	if s.voter != nil {
+		s.voterGoroutine.Go(func() { s.runVoter(voterContext) })
+	}
 	if o.StoreRecord != nil {
 		s.goroutines.Go(s.storeRecords)
 	}
@@ -103,7 +115,8 @@
 	s.voter = voter
 }
 
-// Stop ends the service, the work of all roles included, and waits.
+// Stop ends the service, the work of all roles included, and waits. The voter ends last: it handles what the others
+// send it as they end.
 func (s *Service) Stop() {
 	s.cancel()
 	s.goroutines.Wait()
@@ -114,6 +127,8 @@
 	}
 	s.mu.Unlock()
 	s.workers.Wait()
+	s.stopVoter()
+	s.voterGoroutine.Wait()
 	if s.store != nil {
 		s.store.Close()
 	}
@@ -132,7 +147,7 @@
 
 func (s *Service) log(code string) *logrus.Entry { return s.options.Log.WithField("code", code) }
 
-// run handles messages and ticks until the service is stopped.
+// run handles messages and ticks of the lease holder until the service is stopped.
 func (s *Service) run() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -163,16 +178,11 @@
 		s.leaseHolder.SetIdentity(identity)
 		s.identity = identity
 	}
-	if s.voter != nil {
-		s.voter.Reopen(s.now())
-		s.deliver(s.voter.Tick(s.now()))
-		s.logVoterStatus()
-	}
 	s.checkRecordStored(now)
 	s.stepLeaseHolder(singleton.LeaseHolderTick{})
 }
 
-// logVoterStatus logs changes of the voter. The caller holds s.mu.
+// logVoterStatus logs changes of the voter. It is called by the goroutine of runVoter.
 func (s *Service) logVoterStatus() {
 	status := s.voter.Status()
 	present := voterStatus{status.State, status.Leader, fmt.Sprint(status.Voters)}
