--- a/internal/emulator/capacity/parameters.go
+++ b/internal/emulator/capacity/parameters.go
@@ -1,6 +1,9 @@
 package capacity
 
-import "math"
+import (
+	"maps"
+	"math"
+)
 
 // parameter is one value of a plan's file: its field, its bounds, and its default unless it is required.
 type parameter struct {
@@ -32,6 +35,22 @@
 
 // parameters are all values that a plan's file may give, by their paths. docs/operate/emulator.md explains each.
 func (p *Plan) parameters() map[string]parameter {
+	all := map[string]parameter{}
+	for _, part := range []map[string]parameter{
+		p.sizeParameters(),
+		p.processParameters(),
+		p.updateParameters(),
+		p.counterParameters(),
+		p.controlParameters(),
+		p.networkParameters(),
+		p.limitParameters(),
+	} {
+		maps.Copy(all, part)
+	}
+	return all
+}
+
+func (p *Plan) sizeParameters() map[string]parameter {
 	return map[string]parameter{
 		"size.ingresses":        required(&p.Size.Ingresses, 1),
 		"size.servers":          required(&p.Size.State.Servers, 0),
@@ -47,7 +66,11 @@
 		"size.restarts_per_day": required(&p.Size.RestartsPerDay, 0),
 		"size.beat_s":           optional(&p.Size.HeartbeatInterval, 1.5, 0.01),
 		"size.days":             optional(&p.Size.Days, 730, 0),
+	}
+}
 
+func (p *Plan) processParameters() map[string]parameter {
+	return map[string]parameter{
 		"agent.routes":            fraction(&p.Agent.Shares.Routes, 1),
 		"agent.tenants":           fraction(&p.Agent.Shares.Tenants, 1),
 		"agent.services":          fraction(&p.Agent.Shares.Services, 1),
@@ -63,7 +86,11 @@
 		"agent.gc_percent":        optional(&p.Agent.GCPercent, 50, 1),
 		"agent.fixed_bytes":       optional(&p.Agent.FixedBytes, 0, 0),
 		"proxy.fixed_bytes":       optional(&p.Proxy.FixedBytes, 0, 0),
+	}
+}
 
+func (p *Plan) updateParameters() map[string]parameter {
+	return map[string]parameter{
 		"news.sources":         optional(&p.Updates.Sources, 3, 1),
 		"news.copies":          optional(&p.Updates.Copies, 3, 1),
 		"news.source_nodes":    optional(&p.Updates.SourceNodes, 3, 1),
@@ -73,14 +100,22 @@
 		"news.start":           fraction(&p.Updates.InitialShare, 1),
 		"news.lookups":         fraction(&p.Updates.LookupShare, 0),
 		"news.tombstone_days":  optional(&p.Updates.TombstoneDays, 0, 0),
+	}
+}
 
+func (p *Plan) counterParameters() map[string]parameter {
+	return map[string]parameter{
 		"counters.asked":          fraction(&p.Counters.RequestShare, 1),
 		"counters.batch":          optional(&p.Counters.CallsPerFrame, 1, 1),
 		"counters.call_bytes":     optional(&p.Counters.CallBytes, 0, 0),
 		"counters.nodes":          optional(&p.Counters.Owners, 3, 1),
 		"counters.tenants_sliced": optional(&p.Counters.SlicedTenants, 0, 0),
 		"counters.keep_s":         optional(&p.Counters.Retention, 3, 0),
+	}
+}
 
+func (p *Plan) controlParameters() map[string]parameter {
+	return map[string]parameter{
 		"core.nodes_with_beats": optional(&p.Control.HeartbeatNodes, 3, 1),
 		"core.told":             optional(&p.Control.HeartbeatReplicas, 2, 0),
 		"core.routes":           fraction(&p.Control.Shares.Routes, 1),
@@ -92,11 +127,19 @@
 		"core.rtt_s":            optional(&p.Control.RoundTrip, 0.1, 0),
 		"core.sync_s":           optional(&p.Control.SyncTime, 0.005, 0),
 		"core.fixed_bytes":      optional(&p.Control.FixedBytes, 0, 0),
+	}
+}
 
+func (p *Plan) networkParameters() map[string]parameter {
+	return map[string]parameter{
 		"wire.segment":    optional(&p.Network.SegmentBytes, 66, 0),
 		"wire.first_call": optional(&p.Network.MaxFirstCallBytes, 32<<20, 1),
 		"wire.beat_http":  optional(&p.Network.HeartbeatBytes, 600, 0),
+	}
+}
 
+func (p *Plan) limitParameters() map[string]parameter {
+	return map[string]parameter{
 		"limits.ingress.memory":      required(&p.Limits.Ingress.Memory, 1),
 		"limits.ingress.cpu":         required(&p.Limits.Ingress.Cores, 0),
 		"limits.ingress.bytes_per_s": required(&p.Limits.Ingress.BytesPerSecond, 1),
