--- a/internal/emulator/faulttest/billing.go
+++ b/internal/emulator/faulttest/billing.go
@@ -54,7 +54,7 @@
 	covered := known.Requests <= arrived && arrived <= atMost
 	f.Passed = arrived > 0 && covered && totals.Conflicts == 0
 	f.Text = fmt.Sprintf(
-		"%d arrived, %d billed, %d listed apart, %d not recorded, %d batches came again, %d conflicts",
+		"%d received, %d billed, %d unknown, %d not recorded, %d batches received again, %d conflicts",
 		arrived,
 		known.Requests,
 		unknown.Requests,
--- a/internal/emulator/faulttest/errors.go
+++ b/internal/emulator/faulttest/errors.go
@@ -7,7 +7,7 @@
 
 var (
 	// ErrNotComplete means that not every ingress received the membership of all others in time after the start.
-	ErrNotComplete = errors.New("rehearsal: the ingresses do not hear the whole fleet")
+	ErrNotComplete = errors.New("faulttest: the ingresses do not reach the complete membership")
 
 	// errEmptyReply means that a management call answered without a line.
 	errEmptyReply = errors.New("empty reply")
@@ -17,14 +17,14 @@
 type UnknownScenarioError struct{ Name string }
 
 func (u *UnknownScenarioError) Error() string {
-	return fmt.Sprintf("rehearsal: no timeline %q ships, and no file has this name", u.Name)
+	return fmt.Sprintf("faulttest: no timeline %q ships, and no file has this name", u.Name)
 }
 
 // SetupError means that the machine did not let the fault test do something: open a file or a port, write a folder.
 // It says nothing about the program under test.
 type SetupError struct{ Err error }
 
-func (s *SetupError) Error() string { return "rehearsal: " + s.Err.Error() }
+func (s *SetupError) Error() string { return "faulttest: " + s.Err.Error() }
 
 // Unwrap returns the error of the operating system.
 func (s *SetupError) Unwrap() error { return s.Err }
--- a/internal/emulator/faulttest/player.go
+++ b/internal/emulator/faulttest/player.go
@@ -86,7 +86,7 @@
 func makeDir(name string) (dir string, remove func(), err error) {
 	remove = func() {}
 	if name == "" {
-		if name, err = os.MkdirTemp("", "rehearsal-"); err != nil {
+		if name, err = os.MkdirTemp("", "faulttest-"); err != nil {
 			return "", remove, wrapSetup(err)
 		}
 		remove = func() { os.RemoveAll(name) }
@@ -213,7 +213,7 @@
 	p.startedAt = time.Now()
 	p.log.startedAt = p.startedAt
 	seconds := p.report.JoinTime.Seconds()
-	p.log.add(eventComplete, fmt.Sprintf("all hear the whole fleet, %.1f s after the last start", seconds))
+	p.log.add(eventComplete, fmt.Sprintf("membership complete, %.1f s after the last start", seconds))
 	return nil
 }
 
--- a/internal/emulator/faulttest/report.go
+++ b/internal/emulator/faulttest/report.go
@@ -41,7 +41,7 @@
 	WriteTable(out, []*Report{r})
 	fmt.Fprintf(
 		out,
-		"whole after %.1f s; %d requests, %d served; "+
+		"membership complete after %.1f s; %d requests, %d served; "+
 			"a member sends %.0f packets and %.0f bytes a second, and uses %.1f%% of a core\n",
 		r.JoinTime.Seconds(),
 		r.Sent,
@@ -66,7 +66,7 @@
 func WriteTable(out io.Writer, reports []*Report) {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer table.Flush()
-	fmt.Fprintf(table, "expected\tof\tby\theld\tmedian\tp99\tworst\tlimit\tseen\n")
+	fmt.Fprintf(table, "expected\tof\tby\tpassed\tmedian\tp99\tmax\tlimit\tobserved\n")
 	times := map[expectedProperty][]time.Duration{}
 	var properties []expectedProperty // in the order of the expectations
 	for i, finding := range reports[0].Findings {
--- a/internal/emulator/faulttest/report_test.go
+++ b/internal/emulator/faulttest/report_test.go
@@ -29,13 +29,13 @@
 		{
 			name:    "passed",
 			reports: []*Report{testReport(true, "by all", time.Second)},
-			want: "expected    of          by   held  median  p99    worst  limit  seen\n" +
-				"state dead  n1 ... (4)  all  yes   1.0 s   1.0 s  1.0 s  5 s    by all\n",
+			want: "expected    of          by   passed  median  p99    max    limit  observed\n" +
+				"state dead  n1 ... (4)  all  yes     1.0 s   1.0 s  1.0 s  5 s    by all\n",
 		},
 		{
 			name:    "failed",
 			reports: []*Report{testReport(false, "not in time")},
-			want: "expected    of          by   held  median  p99  worst  limit  seen\n" +
+			want: "expected    of          by   passed  median  p99  max  limit  observed\n" +
 				"state dead  n1 ... (4)  all  NO                        5 s    not in time\n",
 		},
 		{
@@ -45,7 +45,7 @@
 				testReport(false, "not in time", 3*time.Second),
 				testReport(true, "by all", 2*time.Second),
 			},
-			want: "expected        of          by   held     median  p99    worst  limit  seen\n" +
+			want: "expected        of          by   passed   median  p99    max    limit  observed\n" +
 				"state dead      n1 ... (4)  all  2 of 3   2.0 s   3.0 s  3.0 s  5 s    not in time\n" +
 				"all state dead                   3 times  2.0 s   3.0 s  3.0 s         \n",
 		},
--- a/internal/emulator/testcluster/cluster.go
+++ b/internal/emulator/testcluster/cluster.go
@@ -116,7 +116,7 @@
 		return nil
 	}
 	if c.Dir, err = os.MkdirTemp("", "mulleinrouter-"); err != nil {
-		return fmt.Errorf("rig: %w", err)
+		return fmt.Errorf("testcluster: %w", err)
 	}
 	c.removeDir = true
 	return nil
@@ -161,7 +161,7 @@
 
 func (c *cluster) startCounter() (err error) {
 	if c.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-		return fmt.Errorf("rig: counter: %w", err)
+		return fmt.Errorf("testcluster: counter: %w", err)
 	}
 	c.counter = counterserver.New(2)
 	c.counterDone = make(chan struct{})
@@ -204,7 +204,7 @@
 	for i := range c.Ingresses {
 		out, err := c.runUsage(ctx, "export", c.usagePath(i), "--to", c.billing.URL())
 		if err != nil {
-			return nil, fmt.Errorf("rig: the last export of ingress %d: %w: %s", i, err, out)
+			return nil, fmt.Errorf("testcluster: the last export of ingress %d: %w: %s", i, err, out)
 		}
 		if out, err := c.runUsage(ctx, "verify", c.usagePath(i)); err != nil {
 			e.problem("ingress %d: usage verify: %v: %s", i, err, out)
--- a/internal/emulator/testcluster/errors.go
+++ b/internal/emulator/testcluster/errors.go
@@ -8,7 +8,7 @@
 )
 
 // ErrInvalidOptions is returned by Run for options that describe no cluster or no load.
-var ErrInvalidOptions = errors.New("rig: one ingress, two members, some seconds and some load at least")
+var ErrInvalidOptions = errors.New("testcluster: one ingress, two members, some seconds and some load at least")
 
 // ExitError says that a process ended before it was ready.
 type ExitError struct {
@@ -18,7 +18,7 @@
 }
 
 func (e *ExitError) Error() string {
-	return fmt.Sprintf("rig: %s %s ended at once: %s", filepath.Base(e.Program), strings.Join(e.Args, " "), e.Log)
+	return fmt.Sprintf("testcluster: %s %s ended at once: %s", filepath.Base(e.Program), strings.Join(e.Args, " "), e.Log)
 }
 
 // NotReadyError says that a process did not log that it is ready within readyTimeout.
@@ -28,7 +28,7 @@
 }
 
 func (n *NotReadyError) Error() string {
-	return fmt.Sprintf("rig: %s: no line with %s in %v", strings.Join(n.Args, " "), n.Code, readyTimeout)
+	return fmt.Sprintf("testcluster: %s: no line with %s in %v", strings.Join(n.Args, " "), n.Code, readyTimeout)
 }
 
 // NotTerminatedError says that a process did not end within quitTimeout after SIGTERM.
@@ -37,5 +37,5 @@
 }
 
 func (n *NotTerminatedError) Error() string {
-	return fmt.Sprintf("rig: process %d does not end", n.PID)
+	return fmt.Sprintf("testcluster: process %d does not end", n.PID)
 }
--- a/internal/emulator/testcluster/events.go
+++ b/internal/emulator/testcluster/events.go
@@ -83,7 +83,7 @@
 	next.Bookings = slices.Clone(last.Bookings)
 	change(&next)
 	if problems := next.Validate(); len(problems) > 0 {
-		return fmt.Errorf("rig: revision %d: %w", next.Number, problems[0])
+		return fmt.Errorf("testcluster: revision %d: %w", next.Number, problems[0])
 	}
 	c.revisions = append(c.revisions, next)
 	return catalogue.Save(c.cataloguePath(), c.revisions)
--- a/internal/emulator/testcluster/ingress.go
+++ b/internal/emulator/testcluster/ingress.go
@@ -80,7 +80,7 @@
 	text := fmt.Sprintf(ingressConfig,
 		i, c.directory.Addr(), c.Ingresses, i, c.listener.Addr(), maxUnits, i, rotateEvery)
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-		return nil, fmt.Errorf("rig: %w", err)
+		return nil, fmt.Errorf("testcluster: %w", err)
 	}
 	log := filepath.Join(c.Dir, fmt.Sprintf("ingress-%d.log", i))
 	return Launch(log, "process-started", c.Program, "serve", "-c", path)
--- a/internal/emulator/testcluster/process.go
+++ b/internal/emulator/testcluster/process.go
@@ -45,15 +45,15 @@
 	cmd := exec.Command(program, append([]string{"--log-format", "text"}, args...)...)
 	pipe, err := cmd.StderrPipe()
 	if err != nil {
-		return nil, fmt.Errorf("rig: %w", err)
+		return nil, fmt.Errorf("testcluster: %w", err)
 	}
 	file, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, fmt.Errorf("rig: %w", err)
+		return nil, fmt.Errorf("testcluster: %w", err)
 	}
 	if err := cmd.Start(); err != nil {
 		file.Close()
-		return nil, fmt.Errorf("rig: %w", err)
+		return nil, fmt.Errorf("testcluster: %w", err)
 	}
 	p := &Process{cmd: cmd, done: make(chan struct{}), waiters: map[string]chan string{}}
 	ready := p.awaitLine(code)
@@ -126,7 +126,7 @@
 // Signal sends a signal. It is no error if the process has ended.
 func (p *Process) Signal(s os.Signal) error {
 	if err := p.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		return fmt.Errorf("rig: %w", err)
+		return fmt.Errorf("testcluster: %w", err)
 	}
 	return nil
 }
@@ -159,7 +159,7 @@
 		limit.Cur = 0
 	}
 	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil); err != nil {
-		return fmt.Errorf("rig: %w", err)
+		return fmt.Errorf("testcluster: %w", err)
 	}
 	return nil
 }
@@ -168,7 +168,7 @@
 func (p *Process) CPU() (time.Duration, error) {
 	cpu, err := procstat.CPU(p.cmd.Process.Pid)
 	if err != nil {
-		return 0, fmt.Errorf("rig: %w", err)
+		return 0, fmt.Errorf("testcluster: %w", err)
 	}
 	return cpu, nil
 }
--- a/internal/emulator/testcluster/process_test.go
+++ b/internal/emulator/testcluster/process_test.go
@@ -62,7 +62,7 @@
 	if !errors.As(err, &exit) {
 		t.Fatalf("Launch: got %v, want an ExitError", err)
 	}
-	want := "rig: program serve -c file ended at once: no such file\n"
+	want := "testcluster: program serve -c file ended at once: no such file\n"
 	if err.Error() != want {
 		t.Errorf("Launch: got %q, want %q", err, want)
 	}
@@ -73,8 +73,11 @@
 		err  error
 		want string
 	}{
-		{&NotReadyError{Args: []string{"serve", "-c"}, Code: "started"}, "rig: serve -c: no line with started in 20s"},
-		{&NotTerminatedError{PID: 7}, "rig: process 7 does not end"},
+		{
+			&NotReadyError{Args: []string{"serve", "-c"}, Code: "started"},
+			"testcluster: serve -c: no line with started in 20s",
+		},
+		{&NotTerminatedError{PID: 7}, "testcluster: process 7 does not end"},
 	} {
 		t.Run(fmt.Sprintf("%T", test.err), func(t *testing.T) {
 			if got := test.err.Error(); got != test.want {
--- a/internal/emulator/testcluster/report.go
+++ b/internal/emulator/testcluster/report.go
@@ -75,8 +75,8 @@
 func (r *Report) writeGroups(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	defer t.Flush()
-	fmt.Fprintln(t, "plan\tmembers\tasked\tserved\trefused\twith advice\tfailed\tlost\tp50\tp99\t"+
-		"units arrived\tbilled\tbeyond quota\tunknown\t")
+	fmt.Fprintln(t, "plan\tmembers\trequests\tserved\trejected\tRetry-After\tfailed\tlost\tp50\tp99\t"+
+		"units arrived\tbilled\tover quota\tunknown\t")
 	for _, g := range r.Groups {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t%.0f\t%.0f\t%.0f\t%.0f\t\n",
 			g.Name,
@@ -98,22 +98,22 @@
 }
 
 func (r *Report) writeTotals(w io.Writer) {
-	fmt.Fprintf(w, "arrived whole at the quote servers  %.0f units in %d tries\n", r.ArrivedUnits, r.ArrivedRequests)
-	fmt.Fprintf(w, "billed                              %.0f units in %d tries\n",
+	fmt.Fprintf(w, "received by the quote servers       %.0f units in %d requests\n", r.ArrivedUnits, r.ArrivedRequests)
+	fmt.Fprintf(w, "billed                              %.0f units in %d requests\n",
 		r.Billed.InUnits(), r.Billed.Requests)
-	fmt.Fprintf(w, "not known whether they arrived      %.0f units in %d tries, listed apart\n",
+	fmt.Fprintf(w, "unknown whether received            %.0f units in %d requests, listed separately\n",
 		r.Unknown.InUnits(), r.Unknown.Requests)
 	verdict := "yes"
 	if !r.BillMatches {
 		verdict = "NO"
 	}
 	fmt.Fprintf(w, "the bill is right for each member   %s\n", verdict)
-	fmt.Fprintf(w, "batches that came again             %d, as something else %d\n",
+	fmt.Fprintf(w, "batches received again              %d, with other content %d\n",
 		r.RepeatedBatches, r.ConflictingBatches)
 	fmt.Fprintf(w, "summary-sends that may have run twice  %d\n", r.ExecutedTwice)
-	fmt.Fprintf(w, "nearest to a ceiling                %.2f (1 is at it)\n", r.PeakLimitUse)
+	fmt.Fprintf(w, "peak use of a rate limit            %.2f (1 is at it)\n", r.PeakLimitUse)
 	if r.MovedUse > 0 {
-		fmt.Fprintf(w, "used of the quota, by members who ask for twice of it  "+
-			"%.3f moved to basic, from two cycles on; %.3f on it all along\n", r.MovedUse, r.SteadyUse)
+		fmt.Fprintf(w, "quota used by members who request twice as much  "+
+			"%.3f moved to basic, after two cycles; %.3f on basic all the time\n", r.MovedUse, r.SteadyUse)
 	}
 }
