--- a/internal/emulator/faulttest/environment.go
+++ b/internal/emulator/faulttest/environment.go
@@ -6,6 +6,7 @@
 	"encoding/base64"
 	"errors"
 	"fmt"
+	"io/fs"
 	"maps"
 	"net"
 	"os"
@@ -299,7 +300,20 @@
 	killing.Wait()
 }
 
-// copyDir replaces a folder by a copy of another.
-func copyDir(to, from string) error {
-	return wrapSetup(errors.Join(os.RemoveAll(to), os.CopyFS(to, os.DirFS(from))))
+// maxCopies is how often a copy of a folder begins at most.
+const maxCopies = 10
+
+// copyDir replaces a folder by a copy of another one, in which a process may be writing.
+func copyDir(to, from string) error { return wrapSetup(copyFS(to, os.DirFS(from))) }
+
+// copyFS replaces a folder by a copy of a file system. Where a file is renamed or removed between the moment at which
+// it is listed and that at which it is read, the copy begins again.
+func copyFS(to string, from fs.FS) (err error) {
+	for range maxCopies {
+		err = errors.Join(os.RemoveAll(to), os.CopyFS(to, from))
+		if !errors.Is(err, fs.ErrNotExist) {
+			break
+		}
+	}
+	return err
 }
