--- a/internal/standalone/mgmt/server_test.go
+++ b/internal/standalone/mgmt/server_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 
@@ -23,10 +24,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	logger := logtest.Discard()
-	s := &Server{Log: logger, Handler: answerTestCall}
-	go s.Serve(l)
-	t.Cleanup(func() { l.Close() })
+	log := logtest.Discard()
+	s := &Server{Log: log, Handler: answerTestCall}
+	var served sync.WaitGroup
+	served.Go(func() { s.Serve(l) })
+	t.Cleanup(func() {
+		l.Close()
+		served.Wait()
+	})
 	return l.Addr().String()
 }
 
