--- a/cmd/control/main.go
+++ b/cmd/control/main.go
@@ -31,7 +31,7 @@
 	Serve serve `cmd:"" default:"withargs" help:"Serve as a control node (the default)."`
 	Check check `cmd:"" help:"Check a settings file, and say what is in it that matters here."`
 
-	Members operatorcommand.Members `cmd:"" help:"Say which control nodes vote, which learn, and how far behind they are."`
+	Members operatorcommand.Members `cmd:"" help:"Say which control nodes vote, which learn, and how far behind they are."` //nolint:lll // a tag is one line
 	Replace operatorcommand.Replace `cmd:"" help:"Have a learner take the place of a voter."`
 
 	Version     commandline.VersionCommand `cmd:"" help:"Say which version this is, with its commit and Go's."`
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -22,8 +22,9 @@
 type program struct {
 	Slopes slopesCommand `cmd:"" help:"Measure what each part costs by the size of what it knows."`
 	Plan   planCommand   `cmd:"" help:"Estimate what each role needs at a size, and which limit binds first."`
-	Days   daysCommand   `cmd:"" help:"Draw scenarios of a day with faults of the control plane, as files for the bench."`
-	Try    tryCommand    `cmd:"" help:"Run the three programs on this machine, with faults, and check what was observed."`
+
+	Days daysCommand `cmd:"" help:"Draw scenarios of a day with faults of the control plane, as files for the bench."`
+	Try  tryCommand  `cmd:"" help:"Run the three programs on this machine, with faults, and check what was observed."`
 }
 
 func main() {
--- a/cmd/mulleinrouter/main_test.go
+++ b/cmd/mulleinrouter/main_test.go
@@ -144,7 +144,9 @@
 // counted.
 func TestTryIngress(t *testing.T) {
 	t.Parallel()
-	arguments := []string{"try", "--ingress", "--seconds", "4", "--members", "20", "--kill", "--crashes", "1", "--faults"}
+	arguments := []string{
+		"try", "--ingress", "--seconds", "4", "--members", "20", "--kill", "--crashes", "1", "--faults",
+	}
 	const want = "the bill is right for each member   yes"
 	out, err := exec.Command(program, arguments...).CombinedOutput()
 	if err != nil || !strings.Contains(string(out), want) {
--- a/cmd/mulleinrouter/try_test.go
+++ b/cmd/mulleinrouter/try_test.go
@@ -158,7 +158,8 @@
 		}
 		text, err := io.ReadAll(answer.Body)
 		answer.Body.Close()
-		rejected := answer.StatusCode == http.StatusTooManyRequests || answer.StatusCode == http.StatusServiceUnavailable
+		rejected := answer.StatusCode == http.StatusTooManyRequests ||
+			answer.StatusCode == http.StatusServiceUnavailable
 		if err != nil || !rejected {
 			return answer.StatusCode, string(text), err
 		}
--- a/internal/cluster/commandline/check.go
+++ b/internal/cluster/commandline/check.go
@@ -63,7 +63,7 @@
 	InnerAddr   string   `json:"innerAddr,omitempty"`   // control: for the system's other processes
 	DataPath    string   `json:"dataPath,omitempty"`    // control: the folder on the machine's disk
 	Bootstrap   bool     `json:"bootstrap,omitempty"`   // control: this is the first start of the system
-	Seeds       []string `json:"seeds,omitempty"`       // agent: inner addresses of control nodes; control: control ones
+	Seeds       []string `json:"seeds,omitempty"`       // agent: control nodes' inner addresses; control: control ones
 }
 
 // Summarize returns what matters to a program in its settings.
--- a/internal/cluster/commandline/commandline_test.go
+++ b/internal/cluster/commandline/commandline_test.go
@@ -61,7 +61,9 @@
 		{Key: "vcs.revision", Value: "0123456789abcdef"}, {Key: "vcs.modified", Value: "true"},
 	}
 	got := newBuildInfo("proxy", build)
-	want := BuildInfo{Program: "proxy", Version: "v1.2.3", Commit: "0123456789ab", Modified: true, GoVersion: "go1.26.8"}
+	want := BuildInfo{
+		Program: "proxy", Version: "v1.2.3", Commit: "0123456789ab", Modified: true, GoVersion: "go1.26.8",
+	}
 	if got != want || got.String() != "proxy 0123456789ab+changes, go1.26.8" {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
--- a/internal/cluster/commandline/settings.go
+++ b/internal/cluster/commandline/settings.go
@@ -17,7 +17,7 @@
 
 // SettingsFlag is the settings file as a flag of a command.
 type SettingsFlag struct {
-	File string `name:"file" short:"c" help:"Settings file. Default: the one that ${variable} names." placeholder:"FILE"`
+	File string `short:"c" help:"Settings file. Default: the one that ${variable} names." placeholder:"FILE"`
 }
 
 // Load reads a settings file for a program; empty: the one that settings.EnvVariable names. Errors are *SettingsError.
--- a/internal/cluster/configuration/canonical_test.go
+++ b/internal/cluster/configuration/canonical_test.go
@@ -160,7 +160,8 @@
 	first := `{"upsert":{"services":{"s":{"healthPath":"/h","maxConns":130,"protocol":"h1","generation":"0000000a"}},
 		"routes":{"r":{"authority":"a","pathPrefix":"/","routeKind":"mutating","deadlineMs":1000,
 			"weighted":[{"backend":"s","share":90}],"generation":"0000000a"}}}}`
-	again := ` {"remove":{},"upsert":{"routes":{"r":{"generation":"0000000A","weighted":[{"share":9e1,"backend":"\u0073"}],
+	again := ` {"remove":{},"upsert":{"routes":{"r":{"generation":"0000000A",
+		"weighted":[{"share":9e1,"backend":"\u0073"}],
 		"deadlineMs":1000.0,"routeKind":"mutating","pathPrefix":"\/","authority":"a"}},"services":{"s":{"maxConns":13e1,
 		"generation":"0000000A","protocol":"h1","healthPath":"/h"}}}}`
 	items, err := ReadPatch([]byte(first))
--- a/internal/cluster/replication/heartbeat_resume.go
+++ b/internal/cluster/replication/heartbeat_resume.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// heartbeatResumeTime is for how long after a connection has ended its subscriber may go on with the heartbeats that
-	// it had not been sent. Later, they are out of date.
+	// heartbeatResumeTime is for how long after a connection has ended its subscriber may go on with the heartbeats
+	// that it had not been sent. Later, they are out of date.
 	heartbeatResumeTime = transport.IdleTimeout
 	maxHeartbeatResumes = 64 // subscribers that are remembered
 )
@@ -35,7 +35,8 @@
 	s.resumes.mu.Lock()
 	position, found := s.resumes.positions[node]
 	s.resumes.mu.Unlock()
-	if found && time.Since(position.endedAt) <= heartbeatResumeTime && !mutants.On("replication/heartbeats-not-resumed") {
+	recent := found && time.Since(position.endedAt) <= heartbeatResumeTime
+	if recent && !mutants.On("replication/heartbeats-not-resumed") {
 		return position.number
 	}
 	_, number = s.Heartbeats(0)
--- a/internal/cluster/settings/settings_test.go
+++ b/internal/cluster/settings/settings_test.go
@@ -94,7 +94,10 @@
 			"7000,7003", "7003,7000",
 			`node.conf:15: network.innerPortRange: not two ports, the first and the last: "7003,7000"`,
 		},
-		{"log.level=warn", "log.level=warning", `node.conf:25: log.level: neither debug, info, warn nor error: "warning"`},
+		{
+			"log.level=warn", "log.level=warning",
+			`node.conf:25: log.level: neither debug, info, warn nor error: "warning"`,
+		},
 		{"log.format=json", "log.format=xml", `node.conf:26: log.format: neither logfmt nor json: "xml"`},
 		{"7000,7003", "7000", `node.conf:15: network.innerPortRange: not two ports, the first and the last: "7000"`},
 		{"7000,7003", "", `node.conf:15: network.innerPortRange: empty: ""`},
--- a/internal/control/httpapi/server.go
+++ b/internal/control/httpapi/server.go
@@ -127,8 +127,8 @@
 type serverLog struct{ log log.Logger }
 
 // Write logs a line.
-func (l serverLog) Write(line []byte) (int, error) {
-	level.Warn(l.log).Log("msg", strings.TrimSpace(string(line)))
+func (sl serverLog) Write(line []byte) (int, error) {
+	level.Warn(sl.log).Log("msg", strings.TrimSpace(string(line)))
 	return len(line), nil
 }
 
--- a/internal/control/machines_test.go
+++ b/internal/control/machines_test.go
@@ -106,7 +106,8 @@
 		_, text, _ = strings.Cut(text, `"generation":"`)
 		version, err := strconv.ParseInt(text[:min(8, len(text))], 16, 64)
 		if status != 200 || err != nil || int(version) < acknowledged {
-			g.fail("%s answers a read with %d, version %d (%v), want %d or newer", a, status, version, err, acknowledged)
+			g.fail("%s answers a read with %d, version %d (%v), want %d or newer",
+				a, status, version, err, acknowledged)
 		}
 	}
 	return answered
--- a/internal/control/replica/chunks.go
+++ b/internal/control/replica/chunks.go
@@ -19,7 +19,7 @@
 	// MaxChunkBytes is about the size of a chunk on a fast link; one item may be longer by itself.
 	MaxChunkBytes = 256 << 10
 	// MaxRecentChanges is how many chosen changes are remembered by key, so that a node that lacks only these gets
-	// them without a scan of the whole snapshot.
+	// them without a scan of the complete snapshot.
 	MaxRecentChanges = 256
 
 	historyEntryBytes = 20 // of a frame, for each version in an item's history
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -103,7 +103,9 @@
 	epoch := w.replica.Epoch()
 	lagging := w.lag.Update(now, epoch, w.peers)
 	if w.lagging.Swap(lagging) != lagging {
-		level.Warn(w.log).Log("msg", "lag changed", "lagging", lagging, "epoch", epoch, "newestEpoch", w.lag.NewestEpoch())
+		level.Warn(w.log).Log("msg", "lag changed",
+			"lagging", lagging, "epoch", epoch, "newestEpoch", w.lag.NewestEpoch(),
+		)
 		w.store.NotifySubscribers()
 	}
 }
--- a/internal/decision/priorities_test.go
+++ b/internal/decision/priorities_test.go
@@ -53,7 +53,7 @@
 	x.limit = 1 // no room for a second attempt
 	g.Handle(1, testRequest(1, "safe", "free"))
 	g.Handle(1, testRequest(2, "dear", "free"))
-	x.limit = 12 // room, found by whoever comes before the next tick
+	x.limit = 12 // capacity is free; the next arrival finds it before the tick does
 	out := g.Handle(1.01, testRequest(3, "safe", "free"))
 	if sent := actionsOf[Send](out); len(sent) != 2 || sent[0].ID != 2 || sent[1].ID != 3 {
 		t.Errorf("sent %v, want 2 and then 3", sent)
--- a/internal/emulator/capacity/control.go
+++ b/internal/emulator/capacity/control.go
@@ -130,7 +130,8 @@
 
 	instances := e.newDemand()
 	instances.terms = []Term{{Description: "servers", UnitCost: 1, Count: load.instances}}
-	e.require(Control, "instances of one registry (registry.MaxInstances)", Items, registry.MaxInstances, instances.terms)
+	e.require(Control, "instances of one registry (registry.MaxInstances)", Items,
+		registry.MaxInstances, instances.terms)
 
 	first := e.newDemand()
 	for _, kind := range configurationKinds {
--- a/internal/emulator/testcluster/errors.go
+++ b/internal/emulator/testcluster/errors.go
@@ -18,7 +18,8 @@
 }
 
 func (e *ExitError) Error() string {
-	return fmt.Sprintf("testcluster: %s %s ended at once: %s", filepath.Base(e.Program), strings.Join(e.Args, " "), e.Log)
+	return fmt.Sprintf("testcluster: %s %s ended at once: %s",
+		filepath.Base(e.Program), strings.Join(e.Args, " "), e.Log)
 }
 
 // NotReadyError says that a process did not log that it is ready within readyTimeout.
--- a/internal/emulator/timechart/chart.go
+++ b/internal/emulator/timechart/chart.go
@@ -12,19 +12,19 @@
 	DefaultColumns = 60
 
 	empty = '.' // a column without events
-	pin   = '^' // points from a mark to its column
+	pin   = '^' // points from an annotation to its column
 	stem  = '|' // leads from a pin down to its label
 )
 
 // bars are the heights of a column with events, the lowest first.
 var bars = []rune("▁▂▃▄▅▆▇█")
 
-// Chart shows how often events took place. The zero value is a chart without rows and marks.
+// Chart shows how often events took place. The zero value is a chart without rows and annotations.
 type Chart struct {
-	Span    float64 // seconds from the left edge, which is 0, to the right one; none is drawn unless it is above 0
-	Columns int     // of the bars; 0: DefaultColumns
-	Rows    []Row
-	Marks   []Mark
+	Span        float64 // seconds from the left edge, which is 0, to the right one; none is drawn unless it is above 0
+	Columns     int     // of the bars; 0: DefaultColumns
+	Rows        []Row
+	Annotations []Annotation
 }
 
 // Row is one kind of events. Its bars are relative to its own highest, which is written beside them.
@@ -33,8 +33,8 @@
 	Times []float64 // seconds, in any order; one beyond an edge counts in the column there
 }
 
-// Mark is a label at one time, in seconds. One beyond an edge is not shown.
-type Mark struct {
+// Annotation is a label at one time, in seconds. One beyond an edge is not shown.
+type Annotation struct {
 	At    float64
 	Label string
 }
@@ -52,7 +52,7 @@
 		b.WriteString(c.drawRow(r))
 	}
 	indent := strings.Repeat(" ", c.labelWidth())
-	for _, line := range append([]string{c.drawAxis()}, c.drawMarks()...) {
+	for _, line := range append([]string{c.drawAxis()}, c.drawAnnotations()...) {
 		b.WriteString(strings.TrimRight(indent+line, " ") + "\n")
 	}
 	return b.String()
@@ -102,29 +102,30 @@
 	return left + strings.Repeat(" ", max(1, c.Columns-len(left)-len(right))) + right
 }
 
-// drawMarks draws the pins of all marks in one line, and below it a line for each label, the last one first, so that no
-// stem crosses a label.
-func (c Chart) drawMarks() []string {
-	marks := slices.Clone(c.Marks)
-	marks = slices.DeleteFunc(marks, func(m Mark) bool { return m.At < 0 || m.At > c.Span })
-	if len(marks) == 0 {
+// drawAnnotations draws the pins of all annotations in one line, and below it a line for each label, the last one
+// first, so that no stem crosses a label.
+func (c Chart) drawAnnotations() []string {
+	annotations := slices.Clone(c.Annotations)
+	annotations = slices.DeleteFunc(annotations, func(a Annotation) bool { return a.At < 0 || a.At > c.Span })
+	if len(annotations) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(marks, func(a, b Mark) int { return c.column(a.At) - c.column(b.At) })
-	lines := []string{c.drawAt(marks, pin)}
-	for n := len(marks) - 1; n >= 0; n-- {
-		column := c.column(marks[n].At)
-		stems := []rune(fmt.Sprintf("%-*s", column, c.drawAt(marks[:n], stem)))
-		lines = append(lines, string(stems[:column])+fmt.Sprintf("%.1f s: %s", marks[n].At, marks[n].Label))
+	slices.SortStableFunc(annotations, func(a, b Annotation) int { return c.column(a.At) - c.column(b.At) })
+	lines := []string{c.drawAt(annotations, pin)}
+	for n := len(annotations) - 1; n >= 0; n-- {
+		column := c.column(annotations[n].At)
+		stems := []rune(fmt.Sprintf("%-*s", column, c.drawAt(annotations[:n], stem)))
+		label := fmt.Sprintf("%.1f s: %s", annotations[n].At, annotations[n].Label)
+		lines = append(lines, string(stems[:column])+label)
 	}
 	return lines
 }
 
-// drawAt draws a sign at the column of each mark.
-func (c Chart) drawAt(marks []Mark, sign rune) string {
+// drawAt draws a sign at the column of each annotation.
+func (c Chart) drawAt(annotations []Annotation, sign rune) string {
 	line := []rune(strings.Repeat(" ", c.Columns))
-	for _, m := range marks {
-		line[c.column(m.At)] = sign
+	for _, a := range annotations {
+		line[c.column(a.At)] = sign
 	}
 	return string(line)
 }
--- a/internal/emulator/timechart/chart_test.go
+++ b/internal/emulator/timechart/chart_test.go
@@ -24,7 +24,7 @@
 	}{
 		{"the zero value", Chart{}, nil},
 		{"no time", Chart{Span: math.NaN(), Rows: []Row{{Label: "served"}}}, nil},
-		{"no rows and marks", Chart{Span: 5, Columns: 10}, []string{"0 s    5 s"}},
+		{"no rows and annotations", Chart{Span: 5, Columns: 10}, []string{"0 s    5 s"}},
 		{
 			"an empty row", Chart{Span: 5, Columns: 10, Rows: []Row{{Label: "failed"}}},
 			[]string{
@@ -53,10 +53,10 @@
 			},
 		},
 		{
-			"marks in any order, two in a column, one beyond the edge",
+			"annotations in any order, two in a column, one beyond the edge",
 			Chart{
 				Span: 10, Columns: 10, Rows: []Row{{Label: "r", Times: []float64{3}}},
-				Marks: []Mark{{7, "kill"}, {2, "config"}, {11, "late"}, {7.1, "again"}},
+				Annotations: []Annotation{{7, "kill"}, {2, "config"}, {11, "late"}, {7.1, "again"}},
 			},
 			[]string{
 				"r  ...█......  1, at most 1 a second",
@@ -68,8 +68,8 @@
 			},
 		},
 		{
-			"a mark at the right edge, and no labels of rows",
-			Chart{Span: 4, Columns: 4, Marks: []Mark{{4, "end"}}},
+			"an annotation at the right edge, and no labels of rows",
+			Chart{Span: 4, Columns: 4, Annotations: []Annotation{{4, "end"}}},
 			[]string{"0 s 4 s", "   ^", "   4.0 s: end"},
 		},
 	} {
--- a/internal/layers/packages_test.go
+++ b/internal/layers/packages_test.go
@@ -115,7 +115,8 @@
 		t.Fatal(err)
 	}
 	var folders []string
-	for _, list := range regexp.MustCompile(`(?m)^(node|policy) = \[(.*)\]$`).FindAllStringSubmatch(string(deploy), -1) {
+	lists := regexp.MustCompile(`(?m)^(node|policy) = \[(.*)\]$`)
+	for _, list := range lists.FindAllStringSubmatch(string(deploy), -1) {
 		for _, name := range regexp.MustCompile(`"([^"]+)"`).FindAllStringSubmatch(list[2], -1) {
 			folder := name[1]
 			if strings.HasSuffix(folder, ".go") {
--- a/internal/logging/level.go
+++ b/internal/logging/level.go
@@ -61,7 +61,7 @@
 type LevelVar struct{ level atomic.Int64 }
 
 // Level returns the level that was set last.
-func (v *LevelVar) Level() Level { return Level(v.level.Load()) }
+func (lv *LevelVar) Level() Level { return Level(lv.level.Load()) }
 
 // Set has loggers use that level from now on.
-func (v *LevelVar) Set(l Level) { v.level.Store(int64(l)) }
+func (lv *LevelVar) Set(l Level) { lv.level.Store(int64(l)) }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -48,9 +48,9 @@
 }
 
 // Log implements log.Logger.
-func (f *levelFilter) Log(keyvals ...any) error {
-	inForce := min(max(f.leveler.Level(), LevelDebug), LevelError)
-	return f.filters[inForce-LevelDebug].Log(keyvals...)
+func (lf *levelFilter) Log(keyvals ...any) error {
+	inForce := min(max(lf.leveler.Level(), LevelDebug), LevelError)
+	return lf.filters[inForce-LevelDebug].Log(keyvals...)
 }
 
 var timestamp = log.TimestampFormat(time.Now, timeLayout)
--- a/internal/proxy/planned_test.go
+++ b/internal/proxy/planned_test.go
@@ -67,7 +67,10 @@
 				feed.engine.SetBackends(decision.Backends{
 					List: []decision.Backend{{ID: "a", Serving: true, Size: 9}, {ID: "b", Serving: true, Size: 9}},
 				})
-				p := &Proxy{log: feed.log, control: feed, ingress: ingress.New(s, feed.engine, nil, 9, logtest.Discard())}
+				p := &Proxy{
+					log: feed.log, control: feed,
+					ingress: ingress.New(s, feed.engine, nil, 9, logtest.Discard()),
+				}
 				hangups := make(chan os.Signal)
 				forwarded := p.forwardHangups(ctx, hangups)
 				go func() {
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -53,7 +53,9 @@
 	} {
 		tasks.Go(task)
 	}
-	level.Info(p.log).Log("msg", "waiting for the agent", "front", p.settings.FrontAddr, "agent", p.settings.AgentAddr())
+	level.Info(p.log).Log("msg", "waiting for the agent",
+		"front", p.settings.FrontAddr, "agent", p.settings.AgentAddr(),
+	)
 	select {
 	case <-p.control.ready:
 		p.ingress.Started()
--- a/internal/proxy/shedding_flood_test.go
+++ b/internal/proxy/shedding_flood_test.go
@@ -172,13 +172,16 @@
 		delay        time.Duration
 		open, closed time.Duration
 	}{
-		"half":                     {share: 0.5, established: true, open: 200 * ms, closed: 200 * ms},
-		"little":                   {share: 0.04, established: true, open: 40 * ms, closed: 960 * ms},
-		"most":                     {share: 0.8, established: true, open: 320 * ms, closed: 80 * ms},
-		"most, and no connection":  {share: 0.8, open: 320 * ms, closed: 400 * ms},
-		"most, and a queue stands": {share: 0.8, established: true, delay: time.Second, open: 320 * ms, closed: time.Second},
-		"the queue is very long":   {share: 0.8, delay: time.Minute, open: 320 * ms, closed: 5 * time.Second},
-		"little, and a short one":  {share: 0.04, established: true, delay: 200 * ms, open: 40 * ms, closed: 960 * ms},
+		"half":                    {share: 0.5, established: true, open: 200 * ms, closed: 200 * ms},
+		"little":                  {share: 0.04, established: true, open: 40 * ms, closed: 960 * ms},
+		"most":                    {share: 0.8, established: true, open: 320 * ms, closed: 80 * ms},
+		"most, and no connection": {share: 0.8, open: 320 * ms, closed: 400 * ms},
+		"most, and a queue stands": {
+			share: 0.8, established: true, delay: time.Second,
+			open: 320 * ms, closed: time.Second,
+		},
+		"the queue is very long":  {share: 0.8, delay: time.Minute, open: 320 * ms, closed: 5 * time.Second},
+		"little, and a short one": {share: 0.04, established: true, delay: 200 * ms, open: 40 * ms, closed: 960 * ms},
 	} {
 		open := openPeriod(c.share)
 		closed := closedPeriod(c.share, open, c.established, c.delay)
--- a/internal/proxy/shedding_listener.go
+++ b/internal/proxy/shedding_listener.go
@@ -16,15 +16,16 @@
 
 const (
 	// minOpenPeriod is for how long the address is open at a time while the machine sheds load, at least: much longer
-	// than a connection takes to be established where no queue stands at the link, because those that are pending as the
-	// address closes have sent their request for nothing.
+	// than a connection takes to be established where no queue stands at the link, because those that are pending as
+	// the address closes have sent their request for nothing.
 	minOpenPeriod = 40 * time.Millisecond
-	// shedCycle is the time in which the address is opened and closed once: the admitted share of it is the open period,
-	// unless that is shorter than minOpenPeriod. The longer the open period is, the fewer connections are pending as it
-	// ends; the longer the closed period is, the longer clients meet no machine.
+	// shedCycle is the time in which the address is opened and closed once: the admitted share of it is the open
+	// period, unless that is shorter than minOpenPeriod. The longer the open period is, the fewer connections are
+	// pending as it ends; the longer the closed period is, the longer clients meet no machine.
 	shedCycle = 400 * time.Millisecond
-	// fruitlessPause is for how long the address stays closed, at least, after an open period in which no connection was
-	// established: a queue at the link is longer than the open period, and would have all be reset as the address closes.
+	// fruitlessPause is for how long the address stays closed, at least, after an open period in which no connection
+	// was established: a queue at the link is longer than the open period, and would have all be reset as the address
+	// closes.
 	fruitlessPause = 400 * time.Millisecond
 	// maxDrainPause bounds for how long the address stays closed while a queue stands at the link: it drains meanwhile.
 	maxDrainPause = 5 * time.Second
--- a/internal/proxy/translator_test.go
+++ b/internal/proxy/translator_test.go
@@ -154,7 +154,8 @@
 					translator.control.complete.Store(true)
 					close(translator.control.ready)
 				})
-				head := "GET /a/x HTTP/1.1\nHost: one.example\nX-Attempt-Id: i1\nAuthorization: Token k1\nX-Time-Left-Ms: "
+				head := "GET /a/x HTTP/1.1\nHost: one.example\nX-Attempt-Id: i1\n" +
+					"Authorization: Token k1\nX-Time-Left-Ms: "
 				begin := time.Now()
 				request, _, rejected := translator.parse(requestHead(t, head+strconv.Itoa(c.leftMs)))
 				is.Equal(time.Since(begin), time.Duration(c.wantWaitMs)*time.Millisecond)
@@ -220,7 +221,8 @@
 		"200 OK\nX-Attempt-Id: i1\nX-Attempt-Id: i2\nX-Server-Seal: s":    upstream.Broken,
 		"503 Full\nX-Attempt-Id: i1\nX-Attempt-Id: i2\nX-Not-Executed: 1": upstream.Broken,
 	} {
-		// Without a length the end of the connection delimits it. It means the same: a reset cuts it off (package upstream).
+		// Without a length the end of the connection delimits it. It means the same: a reset cuts it off
+		// (package upstream).
 		for _, unbounded := range []bool{false, true} {
 			end := "\r\nContent-Length: 0\r\n\r\n"
 			if unbounded {
--- a/internal/standalone/catalogue/watcher.go
+++ b/internal/standalone/catalogue/watcher.go
@@ -57,7 +57,9 @@
 	if err != nil {
 		// An editor that saves in steps must not fill the log.
 		if w.lastError == nil || w.lastError.Error() != err.Error() {
-			level.Error(w.Log).Log("msg", "catalogue invalid; plans unchanged", "code", "plans-bad-catalogue", "error", err)
+			level.Error(w.Log).Log("msg", "catalogue invalid; plans unchanged",
+				"code", "plans-bad-catalogue", "error", err,
+			)
 		}
 		w.lastError = err
 		return
--- a/internal/standalone/cli/cli.go
+++ b/internal/standalone/cli/cli.go
@@ -22,8 +22,8 @@
 	programName = "mulleinrouter"
 	helpWidth   = 100 // columns
 
-	description = "The command line for people, and the ingress in service: it decides for each request whether it is " +
-		"inside its member's quota, sends it to a quote server or rejects it, and answers once. Control nodes, " +
+	description = "The command line for people, and the ingress in service: it decides for each request whether it " +
+		"is inside its member's quota, sends it to a quote server or rejects it, and answers once. Control nodes, " +
 		"agents and proxies are programs of their own; check, members and replace are for them too.\n\n" +
 		"Exit codes: 0 done, 1 failed, 2 wrong command line, 3 a file that cannot be used."
 )
--- a/internal/standalone/cli/cli_test.go
+++ b/internal/standalone/cli/cli_test.go
@@ -85,7 +85,10 @@
 		{"check", ExitUsage, []string{"<file>"}},
 		{"version", 0, []string{"mulleinrouter ", "go1.", "version "}},
 		{"version --output json", 0, []string{`{"program":"mulleinrouter","version":"`, `"commit":"`, `"go":"go1.`}},
-		{"completion bash", 0, []string{"complete -o default -F _mulleinrouter mulleinrouter", "'plans show:--output'"}},
+		{
+			"completion bash", 0,
+			[]string{"complete -o default -F _mulleinrouter mulleinrouter", "'plans show:--output'"},
+		},
 		{"completion sh", ExitUsage, []string{"bash"}},
 		{"members --at 127.0.0.1:1", ExitFailure, []string{"connection refused"}},
 		{"replace -c DIR/none a b", ExitBadFile, []string{"no such file"}},
--- a/internal/standalone/cli/completion/bash.go
+++ b/internal/standalone/cli/completion/bash.go
@@ -26,7 +26,7 @@
 	s.walk(commands, "((index += 1))")
 	s.line(`    done`)
 	s.bashValues(commands)
-	s.bashWords(commands)
+	s.bashCandidates(commands)
 	s.line(`    COMPREPLY=($(compgen -W "$candidates" -- "$current"))`)
 	s.line("}")
 	s.line("complete -o default -F %s %s", function, program)
@@ -41,7 +41,7 @@
 			if f.value.kind == oneOf {
 				keys := flagKeys(command{path: c.path, flags: []flag{f}}, takesValue)
 				s.line(`        %s) COMPREPLY=($(compgen -W %s -- "$current")); return ;;`,
-					keys, quote(strings.Join(f.value.words, " ")))
+					keys, quote(strings.Join(f.value.enum, " ")))
 			}
 		}
 		if keys := flagKeys(c, ofKind(fileName)); keys != "" {
@@ -54,44 +54,44 @@
 	s.line(`    esac`)
 }
 
-// bashWords writes what can follow each command: flags after a dash, else commands below it or values of its
+// bashCandidates writes what can follow each command: flags after a dash, else commands below it or values of its
 // arguments.
-func (s *script) bashWords(commands []command) {
+func (s *script) bashCandidates(commands []command) {
 	s.line(`    if [[ $current == -* ]]; then`)
 	s.line(`        case $command in`)
 	for _, c := range commands {
-		var words []string
+		var forms []string
 		for _, f := range c.flags {
-			words = append(words, f.words()...)
+			forms = append(forms, f.forms()...)
 		}
-		s.line("            %s) candidates=%s ;;", quote(c.path), quote(strings.Join(words, " ")))
+		s.line("            %s) candidates=%s ;;", quote(c.path), quote(strings.Join(forms, " ")))
 	}
 	s.line(`        esac`)
 	s.line(`    else`)
 	s.line(`        case "${command}:${arguments}" in`)
 	for _, c := range commands {
 		for _, choice := range choices(c) {
-			s.line("            %s) candidates=%s ;;", choice.key, quote(strings.Join(choice.words, " ")))
+			s.line("            %s) candidates=%s ;;", choice.key, quote(strings.Join(choice.candidates, " ")))
 		}
 	}
 	s.line(`        esac`)
 	s.line(`    fi`)
 }
 
-// choice is the words that can follow a command after a number of arguments.
+// choice is what can follow a command after a number of arguments.
 type choice struct {
-	key   string // COMMAND:ARGUMENTS, a pattern of the shell
-	words []string
+	key        string // COMMAND:ARGUMENTS, a pattern of the shell
+	candidates []string
 }
 
 // choices returns what can follow a command that is no flag.
 func choices(c command) (all []choice) {
 	if len(c.subcommands) > 0 {
-		var words []string
+		var names []string
 		for _, below := range c.subcommands {
-			words = append(words, below.word)
+			names = append(names, below.word)
 		}
-		all = append(all, choice{quote(c.path + ":0"), words})
+		all = append(all, choice{quote(c.path + ":0"), names})
 	}
 	for n, a := range c.arguments {
 		if a.value.kind != oneOf {
@@ -101,7 +101,7 @@
 		if a.repeated {
 			key = quote(c.path+":") + "*"
 		}
-		all = append(all, choice{key, a.value.words})
+		all = append(all, choice{key, a.value.enum})
 	}
 	return all
 }
--- a/internal/standalone/cli/completion/completion_test.go
+++ b/internal/standalone/cli/completion/completion_test.go
@@ -49,12 +49,12 @@
 // summary is the model of a command in one line, for comparison.
 func summary(c command) string {
 	var parts []string
-	describe := func(v value) string { return strconv.Itoa(int(v.kind)) + strings.Join(v.words, ",") }
+	describe := func(v value) string { return strconv.Itoa(int(v.kind)) + strings.Join(v.enum, ",") }
 	for _, below := range c.subcommands {
 		parts = append(parts, below.word+"("+below.help+")")
 	}
 	for _, f := range c.flags {
-		parts = append(parts, strings.Join(f.words(), "/")+"="+describe(f.value))
+		parts = append(parts, strings.Join(f.forms(), "/")+"="+describe(f.value))
 	}
 	for _, a := range c.arguments {
 		parts = append(parts, "<"+describe(a.value)+" "+strconv.FormatBool(a.repeated)+">")
@@ -82,7 +82,8 @@
 
 func TestFirstSentence(t *testing.T) {
 	for help, want := range map[string]string{
-		"": "", "Show them.": "Show them", "Form: a or b. Default: a.": "Form: a or b", "From 1.5 s\non.": "From 1.5 s on",
+		"": "", "Show them.": "Show them",
+		"Form: a or b. Default: a.": "Form: a or b", "From 1.5 s\non.": "From 1.5 s on",
 	} {
 		if got := firstSentence(help); got != want {
 			t.Errorf("%q: got %q, want %q", help, got, want)
@@ -102,7 +103,8 @@
 		"zsh": {
 			"#compdef my-program\n", "'plans:show') command='plans show' ;;",
 			"'plans show:--output'|'plans show:-o') compadd -- table json; return ;;",
-			`'serve') candidates=('--config:It'\''s a file' '-c:It'\''s a file'`, "'voters:'0) candidates=('list' 'add') ;;",
+			`'serve') candidates=('--config:It'\''s a file' '-c:It'\''s a file'`,
+			"'voters:'0) candidates=('list' 'add') ;;",
 		},
 		"fish": {
 			"case 'plans:show'\n                set command 'plans show'",
--- a/internal/standalone/cli/completion/fish.go
+++ b/internal/standalone/cli/completion/fish.go
@@ -52,7 +52,7 @@
 		}
 		switch f.value.kind {
 		case oneOf:
-			options += " -x -a " + quote(strings.Join(f.value.words, " "))
+			options += " -x -a " + quote(strings.Join(f.value.enum, " "))
 		case fileName:
 			options += " -r -F"
 		case anyValue:
@@ -67,7 +67,7 @@
 	}
 	for _, choice := range choices(c) {
 		pattern := strings.ReplaceAll(choice.key, "'", "")
-		for _, word := range choice.words {
+		for _, word := range choice.candidates {
 			s.line("complete -c %s -f -n %s -a %s -d %s", program,
 				quote("string match -q -- "+quoteInner(pattern)+" ("+function+")"), quote(word), quote(help[word]))
 		}
--- a/internal/standalone/cli/completion/model.go
+++ b/internal/standalone/cli/completion/model.go
@@ -49,8 +49,8 @@
 	value value
 }
 
-// words returns the forms of the flag, such as --output and -o.
-func (f flag) words() []string {
+// forms returns the forms of the flag, such as --output and -o.
+func (f flag) forms() []string {
 	if f.short == "" {
 		return []string{"--" + f.name}
 	}
@@ -65,8 +65,8 @@
 
 // value is what a flag or an argument can be.
 type value struct {
-	kind  valueKind
-	words []string // of oneOf
+	kind valueKind
+	enum []string // the possible values, of oneOf
 }
 
 // valueKind is how a value is completed.
@@ -76,7 +76,7 @@
 	noValue  valueKind = iota // a switch: the next word is not its value
 	anyValue                  // nothing is known of it
 	fileName
-	oneOf // one of the value's words
+	oneOf // one of the values in enum
 )
 
 // newCommands returns all commands that are not hidden, each after the one above it.
@@ -115,7 +115,9 @@
 		if f.Short != 0 {
 			short = string(f.Short)
 		}
-		visible = append(visible, flag{name: f.Name, short: short, help: firstSentence(f.Help), value: newValue(f.Value)})
+		visible = append(visible, flag{
+			name: f.Name, short: short, help: firstSentence(f.Help), value: newValue(f.Value),
+		})
 	}
 	return visible
 }
@@ -123,8 +125,8 @@
 // newValue returns what a flag or an argument can be.
 func newValue(v *kong.Value) value {
 	isEmpty := func(word string) bool { return word == "" }
-	if words := slices.DeleteFunc(v.EnumSlice(), isEmpty); len(words) > 0 {
-		return value{kind: oneOf, words: words}
+	if enum := slices.DeleteFunc(v.EnumSlice(), isEmpty); len(enum) > 0 {
+		return value{kind: oneOf, enum: enum}
 	}
 	placeholder := ""
 	if v.Flag != nil {
--- a/internal/standalone/cli/completion/script.go
+++ b/internal/standalone/cli/completion/script.go
@@ -40,7 +40,7 @@
 		if !matches(f.value) {
 			continue
 		}
-		for _, word := range f.words() {
+		for _, word := range f.forms() {
 			keys = append(keys, quote(c.path+":"+word))
 		}
 	}
--- a/internal/standalone/cli/completion/zsh.go
+++ b/internal/standalone/cli/completion/zsh.go
@@ -20,7 +20,7 @@
 	s.line(`        compset -P 1 '*='`)
 	s.line(`    fi`)
 	s.zshValues(commands)
-	s.zshWords(commands)
+	s.zshCandidates(commands)
 	s.line(`    if ((${#candidates})); then _describe %s candidates; else _files; fi`, quote(program))
 	s.line("}")
 	s.line(`if [[ $funcstack[1] == %s ]]; then %s "$@"; else compdef %s %s; fi`, function, function, function, program)
@@ -34,7 +34,7 @@
 		for _, f := range c.flags {
 			if f.value.kind == oneOf {
 				keys := flagKeys(command{path: c.path, flags: []flag{f}}, takesValue)
-				s.line("        %s) compadd -- %s; return ;;", keys, strings.Join(f.value.words, " "))
+				s.line("        %s) compadd -- %s; return ;;", keys, strings.Join(f.value.enum, " "))
 			}
 		}
 		if keys := flagKeys(c, ofKind(fileName)); keys != "" {
@@ -47,14 +47,14 @@
 	s.line(`    esac`)
 }
 
-// zshWords writes what can follow each command, with what it means.
-func (s *script) zshWords(commands []command) {
+// zshCandidates writes what can follow each command, with what it means.
+func (s *script) zshCandidates(commands []command) {
 	s.line(`    if [[ $PREFIX == -* ]]; then`)
 	s.line(`        case $command in`)
 	for _, c := range commands {
 		var described []string
 		for _, f := range c.flags {
-			for _, word := range f.words() {
+			for _, word := range f.forms() {
 				described = append(described, zshCandidate(word, f.help))
 			}
 		}
@@ -70,7 +70,7 @@
 		}
 		for _, choice := range choices(c) {
 			var described []string
-			for _, word := range choice.words {
+			for _, word := range choice.candidates {
 				described = append(described, zshCandidate(word, help[word]))
 			}
 			s.line("            %s) candidates=(%s) ;;", choice.key, strings.Join(described, " "))
--- a/internal/standalone/cli/serve.go
+++ b/internal/standalone/cli/serve.go
@@ -92,7 +92,9 @@
 	}
 	n.CountReload(err == nil)
 	if err != nil {
-		level.Error(logger).Log("msg", "configuration rejected; unchanged", "code", "process-reload-failed", "error", err)
+		level.Error(logger).Log("msg", "configuration rejected; unchanged",
+			"code", "process-reload-failed", "error", err,
+		)
 		return
 	}
 	applied(c)
--- a/internal/standalone/cli/try_test.go
+++ b/internal/standalone/cli/try_test.go
@@ -31,7 +31,10 @@
 		{"try --for 0s", ExitUsage, []string{"--for: not a span"}},
 		{"try --core 0", ExitUsage, []string{"--core and --edge: at least 1"}},
 		{"try --port 65001", ExitUsage, []string{"--port: between 1 and 65000"}},
-		{"try --schedule kill-proxies", ExitBadFile, []string{`"kill-proxies" is neither a file nor the name of a fault`}},
+		{
+			"try --schedule kill-proxies", ExitBadFile,
+			[]string{`"kill-proxies" is neither a file nor the name of a fault`},
+		},
 		{"try --schedule DIR/wrong.txt", ExitBadFile, []string{`DIR/wrong.txt:1: no fault is named "kill-proxies"`}},
 		{"try --bin DIR", ExitBadFile, []string{`"DIR/proxy"`, "no such file"}},
 	})
--- a/internal/standalone/cli/trygateway.go
+++ b/internal/standalone/cli/trygateway.go
@@ -92,8 +92,8 @@
 
 // playGateway runs the gateway with clients and faults, and prints what was served.
 func (t *TryCommand) playGateway(ctx context.Context, p *Program, options loopback.Options) error {
-	fmt.Fprintf(p.out, "%d control nodes and %d edge machines as processes, stand-in servers and clients, on loopback; "+
-		"requests for %v\n", t.Core, t.Edge, t.For)
+	fmt.Fprintf(p.out, "%d control nodes and %d edge machines as processes, stand-in servers and clients, "+
+		"on loopback; requests for %v\n", t.Core, t.Edge, t.For)
 	progress := newProgressPrinter(p.err, t.For)
 	options.Progress = progress.print
 	report, err := loopback.Run(ctx, options)
@@ -125,7 +125,9 @@
 	}
 	chart := timechart.Chart{Span: options.TrafficTime.Seconds(), Rows: rows}
 	for _, fault := range options.Faults {
-		chart.Marks = append(chart.Marks, timechart.Mark{At: fault.At.Seconds(), Label: describeFault(fault.Name)})
+		chart.Annotations = append(chart.Annotations, timechart.Annotation{
+			At: fault.At.Seconds(), Label: describeFault(fault.Name),
+		})
 	}
 	return chart
 }
@@ -174,7 +176,8 @@
 	}
 	t.Flush()
 	x := e.Example
-	fmt.Fprintf(w, "\nThe configuration, from any control node; a change of it; a request of a client, to any proxy:\n\n")
+	fmt.Fprint(w, "\nThe configuration, from any control node; a change of it; "+
+		"a request of a client, to any proxy:\n\n")
 	fmt.Fprintf(w, "curl http://%s/config\n", control)
 	fmt.Fprintf(w, "curl -X PATCH http://%s/config -d '%s'\n", control, examplePatch)
 	fmt.Fprintf(w, "curl http://%s%s -H 'Host: %s' -H 'Authorization: Token %s' -H 'X-Attempt-Id: 1' "+
--- a/internal/standalone/fleet/gossip/join.go
+++ b/internal/standalone/fleet/gossip/join.go
@@ -79,6 +79,8 @@
 		return // the instance was shut down meanwhile
 	}
 	if f.protocolLog.fail(joinFailure) {
-		level.Warn(f.log).Log("msg", "no address of the fleet answers; they are retried", "code", "fleet-alone", "error", err)
+		level.Warn(f.log).Log("msg", "no address of the fleet answers; they are retried",
+			"code", "fleet-alone", "error", err,
+		)
 	}
 }
--- a/internal/standalone/fleet/gossip/protocollog.go
+++ b/internal/standalone/fleet/gossip/protocollog.go
@@ -57,7 +57,9 @@
 func (pl *protocolLog) Write(b []byte) (int, error) {
 	text := strings.TrimSpace(string(b))
 	if !slices.ContainsFunc(rejectionTexts, func(part string) bool { return strings.Contains(text, part) }) {
-		level.Debug(pl.log).Log("msg", "message of the membership protocol's library", "code", "fleet-protocol", "text", text)
+		level.Debug(pl.log).Log("msg", "message of the membership protocol's library",
+			"code", "fleet-protocol", "text", text,
+		)
 		return len(b), nil
 	}
 	count := pl.rejected.Add(1)
--- a/internal/standalone/fleet/leaseservice/roles.go
+++ b/internal/standalone/fleet/leaseservice/roles.go
@@ -15,8 +15,8 @@
 const (
 	// reacquireDelay is after how long an ingress whose work of a role failed requests the role again.
 	reacquireDelay = 10 * time.Second
-	// workEndTimeout is how long Resign waits for the work of the roles. Work that goes on after that can do no harm: its
-	// token is not valid here any more, and receivers reject it once they have seen a newer one.
+	// workEndTimeout is how long Resign waits for the work of the roles. Work that goes on after that can do no harm:
+	// its token is not valid here any more, and receivers reject it once they have seen a newer one.
 	workEndTimeout = time.Second
 )
 
--- a/internal/standalone/mgmt/server.go
+++ b/internal/standalone/mgmt/server.go
@@ -68,7 +68,9 @@
 			return nil
 		}
 		if err != nil {
-			level.Warn(s.Log).Log("msg", "management connection not accepted", "code", "mgmt-accept-failed", "error", err)
+			level.Warn(s.Log).Log("msg", "management connection not accepted",
+				"code", "mgmt-accept-failed", "error", err,
+			)
 			time.Sleep(acceptRetry)
 			continue
 		}
--- a/internal/standalone/node/peers.go
+++ b/internal/standalone/node/peers.go
@@ -111,7 +111,9 @@
 	p.reportFailure(p.folder.Write(peerRecord, view.Own))
 	if p.reported && !p.failed {
 		p.reported = false
-		level.Info(p.log).Log("msg", "state exchanged with other processes of this ingress again", "code", "state-usable")
+		level.Info(p.log).Log("msg", "state exchanged with other processes of this ingress again",
+			"code", "state-usable",
+		)
 	}
 	if overlapping := !view.Alone; overlapping != p.overlapping {
 		p.overlapping = overlapping
--- a/internal/standalone/node/usage.go
+++ b/internal/standalone/node/usage.go
@@ -121,7 +121,8 @@
 			return true
 		}
 		if !errors.Is(err, usageexport.ErrLocked) && !errors.Is(err, usagesegment.ErrLocked) {
-			level.Error(n.log).Log("msg", "cannot export the usage records of another process; the command usage export does it",
+			level.Error(n.log).Log(
+				"msg", "cannot export the usage records of another process; the command usage export does it",
 				"code", "usage-bad-segment", "error", err,
 			)
 			return false
