--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -148,6 +148,7 @@
 // A node lacks one change, as many as are remembered by key and one more or less, or thousands; over fast links,
 // in chunks.
 func TestCatchUpAfterChanges(t *testing.T) {
+	t.Parallel()
 	const recent = replica.MaxRecentChanges
 	for _, n := range []int{1, 2, recent / 2, recent - 1, recent, recent + 1, 5000} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -181,6 +182,7 @@
 // Twenty megabytes over a link of 2 Mbit/s, while changes go on: in chunks of bounded size, continued after
 // partitions, from another source and after a loss of power. Each byte is transferred about once.
 func TestCatchUpOverSlowLink(t *testing.T) {
+	t.Parallel()
 	if total, bytes := catchUpOverSlowLink(t); bytes >= total*5/4 {
 		t.Error("chunks were transferred again")
 	}
@@ -296,6 +298,7 @@
 const maxReadyWhileLagging = catchup.MaxLag + transport.KeepaliveInterval + 2*watchInterval
 
 func TestNotReadyWhileLagging(t *testing.T) {
+	t.Parallel()
 	ready, behind := measureLagging(t)
 	t.Logf("behind for %v, ready for %v of it", behind, ready)
 	if ready > maxReadyWhileLagging || behind < 2*maxReadyWhileLagging {
@@ -306,6 +309,7 @@
 // A node with an empty disk gets some megabytes over a slow link while changes go on at the others: none of
 // these is rejected or takes over a second, and the node votes again once it has the snapshot.
 func TestRecoveryOverSlowLink(t *testing.T) {
+	t.Parallel()
 	late, took := 0, time.Duration(0)
 	synctest.Test(t, func(t *testing.T) {
 		c := newMeteredCluster(t)
@@ -349,6 +353,7 @@
 // a day of 600, over links of 2 Mbit/s each way. Times are simulated; bytes are all that went over the links
 // meanwhile, heartbeats included.
 func TestCatchUpTimes(t *testing.T) {
+	t.Parallel()
 	for _, empty := range []bool{false, true} {
 		var took []time.Duration
 		var bytes []int
--- a/internal/control/electorate_test.go
+++ b/internal/control/electorate_test.go
@@ -199,6 +199,7 @@
 // A second loss at any moment around a recovery or a replacement, of power or of one more disk within the
 // tolerance, or of all at once: what was acknowledged survives, and changes go on.
 func TestSecondLossDuringReplacement(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(secondLossSeeds) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 3))
@@ -333,6 +334,7 @@
 
 // Times and bytes of replacing a voter and of enrolling an empty disk, at 2 Mbit/s with a configuration of about 1 MB.
 func TestReplacementTimes(t *testing.T) {
+	t.Parallel()
 	for _, kind := range []string{"replace", "hand over", "silent", "new disk"} {
 		var took []time.Duration
 		var bytes []int
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -571,6 +571,7 @@
 }
 
 func TestRandomOperators(t *testing.T) {
+	t.Parallel()
 	total := &model{counts: map[string]int{}}
 	var all sync.WaitGroup
 	const workers = 4
@@ -795,6 +796,7 @@
 
 // Three nodes outbid one another without a pause, on slow disks: every change and every read is answered, and soon.
 func TestProposersDoNotStarve(t *testing.T) {
+	t.Parallel()
 	for _, syncTime := range []time.Duration{0, 4 * time.Millisecond, 20 * time.Millisecond} {
 		for _, operatorsEach := range []int{1, 4} {
 			synctest.Test(t, func(t *testing.T) {
