--- a/internal/control/machines_mutants_test.go
+++ b/internal/control/machines_mutants_test.go
@@ -17,7 +17,7 @@
 		})
 	}
 	resets := func(t *testing.T) []string {
-		return observe(t, 9, func(g *observedCluster) { resetBursts(g, g.seeds[:1], 400*time.Millisecond) })
+		return observe(t, 9, func(g *observedCluster) { resetBursts(g, g.seeds[:1], 300*time.Millisecond) })
 	}
 	kills := func(t *testing.T) []string {
 		return observe(t, 9, func(g *observedCluster) { killTogether(g, g.seeds[:2], nil) })
--- a/internal/control/machines_test.go
+++ b/internal/control/machines_test.go
@@ -203,12 +203,15 @@
 	return process[len("10.0.0.")] - '0'
 }
 
+// resetSpan is for how long connections are reset: longer than a server may be without a heartbeat.
+const resetSpan = 7 * time.Second
+
 // resetBursts resets the connections of some control nodes, to each other, to the others and to all agents, again and
-// again. The leases outlive it, and nothing that is acknowledged is lost.
+// again for resetSpan. The leases outlive it, and nothing that is acknowledged is lost.
 func resetBursts(g *observedCluster, nodes []string, gap time.Duration) {
 	version := 2000
 	acknowledged := 0
-	for range 12 {
+	for end := time.Now().Add(resetSpan); time.Now().Before(end); {
 		for _, a := range nodes {
 			g.resetConnections(a)
 		}
