--- a/internal/standalone/fleet/leaseservice/voter.go
+++ b/internal/standalone/fleet/leaseservice/voter.go
@@ -19,19 +19,26 @@
 	for {
 		select {
 		case <-ctx.Done():
-			for range len(s.voterSteps) {
-				step := <-s.voterSteps
-				step()
-			}
+			s.runWaitingSteps()
 			return
 		case step := <-s.voterSteps:
 			step()
 		case <-ticker.C:
+			s.runWaitingSteps()
 			s.tickVoter()
 		}
 	}
 }
 
+// runWaitingSteps executes the steps that wait. A tick comes after them: where the disk has held up the voter, the
+// renewals that wait show that their ingresses are not silent.
+func (s *Service) runWaitingSteps() {
+	for range len(s.voterSteps) {
+		step := <-s.voterSteps
+		step()
+	}
+}
+
 // onVoter hands a step to the goroutine of runVoter. It is dropped if too many wait, as on the network, or if this
 // ingress is no voter.
 func (s *Service) onVoter(step func()) {
