--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -1,8 +1,9 @@
-// Command emulator is the toolbox's test desk: it measures what the roles of the system cost by size, and reckons from these slopes what
-// they need at a size that is planned.
+// Command emulator is the toolbox's test desk: it measures what the roles of the system cost by size, and reckons
+// from these slopes what they need at a size that is planned.
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -26,7 +27,7 @@
 
 type program struct {
 	Slopes measure  `cmd:"" help:"Measure what each part costs by the size of what it knows."`
-	Plan   reckon   `cmd:"" help:"Reckon what each role needs at a size, from stored slopes, and say which limit binds first."`
+	Plan   reckon   `cmd:"" help:"Estimate what each role needs at a size, and which limit binds first."`
 	Days   drawDays `cmd:"" help:"Draw days of trouble for the core, as files for the bench."`
 	Try    tryCmd   `cmd:"" help:"Play the three programs on this box, with faults, and judge what was seen."`
 }
@@ -49,8 +50,20 @@
 		if s.Log {
 			of = "log2 " + of
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%.1f%%\t%g\t%s\t%s\t%+.1f%%\n", s.Name, of, len(s.Points), capacity.Amount(s.A, s.Unit), capacity.Amount(s.B, s.Unit),
-			100*s.Worst(), s.Held.N, capacity.Amount(s.Held.Y, s.Unit), capacity.Amount(s.Predicted, s.Unit), 100*s.Off)
+		fmt.Fprintf(
+			t,
+			"%s\t%s\t%d\t%s\t%s\t%.1f%%\t%g\t%s\t%s\t%+.1f%%\n",
+			s.Name,
+			of,
+			len(s.Points),
+			capacity.Amount(s.A, s.Unit),
+			capacity.Amount(s.B, s.Unit),
+			100*s.Worst(),
+			s.Held.N,
+			capacity.Amount(s.Held.Y, s.Unit),
+			capacity.Amount(s.Predicted, s.Unit),
+			100*s.Off,
+		)
 	})
 	if err != nil {
 		return err
@@ -123,8 +136,15 @@
 func main() {
 	logger := log.With(log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)), "part", "emulator")
 	var p program
-	parser := kong.Must(&p, kong.Name("emulator"), kong.UsageOnError(), kong.BindTo(logger, (*log.Logger)(nil)), kong.Description("The test desk: what the roles of the system cost by size.\n\n"+
-		"Exit codes: 0 done, and the plan fits; 1 failed, 2 wrong command line, 3 a file that cannot be used, 4 the plan does not fit."))
+	parser := kong.Must(
+		&p,
+		kong.Name("emulator"),
+		kong.UsageOnError(),
+		kong.BindTo(logger, (*log.Logger)(nil)),
+		kong.Description("The test desk: what the roles of the system cost by size.\n\n"+
+			"Exit codes: 0 done, and the plan fits; 1 failed, 2 wrong command line, "+
+			"3 a file that cannot be used, 4 the plan does not fit."),
+	)
 	called, err := parser.Parse(os.Args[1:])
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "emulator: %v\n", err)
@@ -132,7 +152,7 @@
 	}
 	if err := called.Run(); err != nil {
 		fmt.Fprintf(os.Stderr, "emulator: %v\n", err)
-		if _, ok := err.(unusable); ok {
+		if bad := (unusable{}); errors.As(err, &bad) {
 			os.Exit(badFile)
 		}
 		os.Exit(failed)
--- a/cmd/emulator/try.go
+++ b/cmd/emulator/try.go
@@ -19,7 +19,7 @@
 	Core   int           `default:"3" help:"Control nodes."`
 	Edge   int           `default:"3" help:"Edge machines, each with a proxy and an agent."`
 	For    time.Duration `default:"30s" help:"How long there is traffic."`
-	Faults string        `help:"A file of lines \"SECONDS NAME [TARGET]\", or names of faults joined by commas, which come when the seed says."`
+	Faults string        `help:"A file of lines \"SECONDS NAME [TARGET]\", or fault names joined by commas."`
 	Seed   uint64        `default:"1" help:"Of all that is drawn."`
 	Bin    string        `default:"target" type:"existingdir" help:"Folder of proxy, agent and control."`
 	Load   float64       `default:"1" help:"Of the usual 120 requests a second."`
--- a/internal/emulator/capacity/reckon.go
+++ b/internal/emulator/capacity/reckon.go
@@ -84,8 +84,8 @@
 	n.alloc += max(0, s.Alloc[1]) * often
 }
 
-// collector adds what the collector costs for all that is allocated: each time the heap has grown by so many percent, it goes
-// through what lives, so by each byte it costs the same however much lives.
+// collector adds what the collector costs for all that is allocated: each time the heap has grown by so many percent,
+// it goes through what lives, so by each byte it costs the same however much lives.
 func (n *need) collector(percent float64) {
 	n.add("collector, a byte allocated", n.r.each("gc.cycle")*100/percent, n.alloc)
 }
@@ -126,7 +126,9 @@
 	x.requests = r.of("size.requests_per_s") / r.of("size.ingresses")
 	x.asked = x.requests*r.of("counters.asked") + pairs*r.of("counters.tenants_sliced")
 	x.changes = r.of("size.changes_per_day") / day * r.of("news.peak")
-	x.lines = (r.of("size.restarts_per_day")*r.of("news.lines_a_restart") + 2*r.of("size.failures_per_day")) / day * r.of("news.peak")
+	x.lines = (r.of("size.restarts_per_day")*r.of("news.lines_a_restart") + 2*r.of("size.failures_per_day")) / day * r.of(
+		"news.peak",
+	)
 	return x
 }
 
@@ -147,11 +149,11 @@
 	n.add(name, each, r.of("size."+name)*r.of(who+"."+name))
 }
 
-func grown(terms []Term, percent float64) []Term {
+// increase raises every term by a percentage, in place.
+func increase(terms []Term, percent float64) {
 	for i := range terms {
 		terms[i].Each *= 1 + percent/100
 	}
-	return terms
 }
 
 func (r *reckoner) ingress() {
@@ -164,7 +166,7 @@
 	r.known(agent, "agent", "tenants", "store.tenant")
 	r.known(agent, "agent", "services", "store.service")
 	r.known(agent, "agent", "servers", "store.line")
-	grown(agent.terms, r.of("agent.gc_percent"))
+	increase(agent.terms, r.of("agent.gc_percent"))
 	agent.add("fixed", r.of("agent.fixed_bytes"), 1)
 	r.row("agent", "memory", "B", memory, agent.terms)
 
@@ -174,7 +176,7 @@
 	r.known(proxy, "proxy", "services", "store.service", "table.service")
 	r.known(proxy, "proxy", "servers", "store.line", "gateway.server")
 	proxy.add("tenants within the minute", r.each("gateway.tenant"), asking)
-	grown(proxy.terms, r.of("proxy.gc_percent"))
+	increase(proxy.terms, r.of("proxy.gc_percent"))
 	proxy.add("fixed", r.of("proxy.fixed_bytes"), 1)
 	r.row("proxy", "memory for control", "B", memory, proxy.terms)
 	r.row("agent and proxy", "memory for control", "B", memory, append(slices.Clone(agent.terms), proxy.terms...))
@@ -210,7 +212,11 @@
 	side.op("tables swapped", "change.with", held, x.changes*part)
 	side.one("lines read", "read.line", x.lines*shown)
 	side.op("lines taken", "change.line", lines, x.lines*shown)
-	side.one("ticks, by servers known", "tick.servers", r.of("proxy.ticks_per_s")*r.of("size.servers")*r.of("proxy.servers"))
+	side.one(
+		"ticks, by servers known",
+		"tick.servers",
+		r.of("proxy.ticks_per_s")*r.of("size.servers")*r.of("proxy.servers"),
+	)
 	side.one("ticks, by tenants of the minute", "tick.thin", r.of("proxy.ticks_per_s")*asking)
 	side.one("ticks, by tenants with a slice", "tick.sliced", r.of("proxy.ticks_per_s")*r.of("counters.tenants_sliced"))
 	side.one("counter calls: written", "write.count", x.asked/2)
@@ -235,8 +241,13 @@
 	r.row("agent", "bytes a second, core side", "B/s", bytes, wire.terms)
 
 	start := &need{r: r}
-	for _, k := range []struct{ name, series string }{{"routes", "wire.route"}, {"tenants", "wire.tenant"}, {"services", "wire.service"}, {"servers", "wire.line"}} {
-		start.add(k.name, r.each(k.series)*copies/bytes, r.of("news.start")*r.of("size."+k.name)*max(r.of("agent."+k.name), r.of("proxy."+k.name)))
+	for _, k := range []struct{ name, series string }{{"routes", "wire.route"}, {"tenants", "wire.tenant"},
+		{"services", "wire.service"}, {"servers", "wire.line"}} {
+		start.add(
+			k.name,
+			r.each(k.series)*copies/bytes,
+			r.of("news.start")*r.of("size."+k.name)*max(r.of("agent."+k.name), r.of("proxy."+k.name)),
+		)
 	}
 	r.row("agent", "a newcomer's snapshot at its bytes a second", "s", r.of("limits.start_s"), start.terms)
 }
@@ -254,14 +265,19 @@
 	shown := max(r.of("agent.servers"), r.of("proxy.servers"))
 
 	memory := &need{r: r}
-	for _, k := range []struct{ name, series string }{{"routes", "store.route"}, {"tenants", "store.tenant"}, {"services", "store.service"}} {
+	for _, k := range []struct{ name, series string }{{"routes", "store.route"}, {"tenants", "store.tenant"},
+		{"services", "store.service"}} {
 		memory.add(k.name, r.each(k.series), r.of("size."+k.name)*r.of("core."+k.name))
 	}
 	memory.add("servers", r.each("store.line")+r.each("registry.line"), lines)
 	memory.add("counters, by tenant", r.each("tally.name"), min(r.of("size.tenants")/keepers, calls*60))
 	memory.add("counters, by further holder", r.each("tally.holder.each"), calls*r.of("counters.keep_s"))
-	memory.add("tombstones", r.each("store.tombstone"), r.of("size.changes_per_day")*r.of("news.dropped")*r.of("news.tombstone_days"))
-	grown(memory.terms, r.of("core.gc_percent"))
+	memory.add(
+		"tombstones",
+		r.each("store.tombstone"),
+		r.of("size.changes_per_day")*r.of("news.dropped")*r.of("news.tombstone_days"),
+	)
+	increase(memory.terms, r.of("core.gc_percent"))
 	memory.add("fixed", r.of("core.fixed_bytes"), 1)
 	r.row("control", "memory", "B", r.of("limits.core.memory"), memory.terms)
 
@@ -289,7 +305,11 @@
 	wire := &need{r: r}
 	wire.add("beats of servers, a call and its answer", r.of("wire.beat_http")+2*segment, beats)
 	wire.add("beats told, both ways", r.each("wire.heard"), 2*beats*r.of("core.told"))
-	wire.add("heartbeats and renewals of agents", r.each("wire.beat")+r.each("wire.renew")+2*segment, subscribers*heartbeats)
+	wire.add(
+		"heartbeats and renewals of agents",
+		r.each("wire.beat")+r.each("wire.renew")+2*segment,
+		subscribers*heartbeats,
+	)
 	wire.add("changes to agents", r.each("wire.tenant")+r.each("wire.beat")+segment, x.changes*part*sending)
 	wire.add("lines to agents", r.each("wire.line")+segment, x.lines*shown*sending)
 	call := r.of("counters.call_bytes")
@@ -299,15 +319,32 @@
 	wire.add("counter calls", call+2*segment/r.of("counters.batch"), calls)
 	r.row("control", "bytes a second", "B/s", r.of("limits.core.bytes_per_s"), wire.terms)
 
-	r.row("control", "tenants' counters of one keeper (tally.Names)", "", 1<<17, []Term{{"tenants of the minute", 1, min(r.of("size.tenants")/keepers, calls*60)}})
+	r.row(
+		"control",
+		"tenants' counters of one keeper (tally.Names)",
+		"",
+		1<<17,
+		[]Term{{"tenants of the minute", 1, min(r.of("size.tenants")/keepers, calls*60)}},
+	)
 	r.row("control", "lines of one registry (lines.MostLines)", "", 1<<19, []Term{{"servers", 1, lines}})
 	first := &need{r: r}
-	for _, k := range []struct{ name, series string }{{"routes", "wire.route"}, {"tenants", "wire.tenant"}, {"services", "wire.service"}} {
+	for _, k := range []struct{ name, series string }{{"routes", "wire.route"}, {"tenants", "wire.tenant"},
+		{"services", "wire.service"}} {
 		first.add(k.name, r.each(k.series), r.of("size."+k.name))
 	}
-	r.row("control", "the first call, one frame between voters (trunk.MaxWhole)", "B", r.of("wire.first_call"), first.terms)
+	r.row(
+		"control",
+		"the first call, one frame between voters (trunk.MaxWhole)",
+		"B",
+		r.of("wire.first_call"),
+		first.terms,
+	)
 	grave := &need{r: r}
-	grave.add("tombstones", r.each("store.tombstone")*(1+r.of("core.gc_percent")/100), r.of("size.changes_per_day")*r.of("news.dropped")*r.of("size.days"))
+	grave.add(
+		"tombstones",
+		r.each("store.tombstone")*(1+r.of("core.gc_percent")/100),
+		r.of("size.changes_per_day")*r.of("news.dropped")*r.of("size.days"),
+	)
 	if r.of("news.tombstone_days") == 0 { // they are never collected
 		r.row("control", "tombstones after all days, in each copy", "B", r.of("limits.core.memory"), grave.terms)
 	}
@@ -334,12 +371,16 @@
 	way.add("rounds of the voters", r.of("core.rtt_s"), 2)
 	way.add("syncs", r.of("core.sync_s"), 2)
 	way.add("to the sources and the agents", r.of("core.rtt_s")/2, 2)
-	way.add("frames to all subscribers of a node", (r.each("write.beat")+r.each("write.tenant"))/max(1e-3, r.of("limits.core.cpu")), subscribers)
+	way.add(
+		"frames to all subscribers of a node",
+		(r.each("write.beat")+r.each("write.tenant"))/max(1e-3, r.of("limits.core.cpu")),
+		subscribers,
+	)
 	r.row("all", "a change in force, calm, nothing waiting", "s", r.of("limits.change_s"), way.terms)
 }
 
-// Reckon reckons the needs at the size of the plan, and for each up to which part of that size it keeps its limit. It errs where the run
-// lacks a slope.
+// Reckon reckons the needs at the size of the plan, and for each up to which part of that size it keeps its limit. It
+// errs where the run lacks a slope.
 func (p *Plan) Reckon(run *costmodel.Run) (*Report, error) {
 	rows, err := p.reckon(run)
 	if err != nil {
--- a/internal/emulator/capacity/report.go
+++ b/internal/emulator/capacity/report.go
@@ -24,10 +24,14 @@
 	return !slices.ContainsFunc(r.Rows, func(x Row) bool { return x.Need > x.Limit })
 }
 
-// Order is the rows in the order in which their limits are reached as the size grows; of those over it at any size, the worst first.
+// Order is the rows in the order in which their limits are reached as the size grows; of those over it at any size,
+// the worst first.
 func (r *Report) Order() []Row {
 	rows := slices.Clone(r.Rows)
-	slices.SortStableFunc(rows, func(a, b Row) int { return cmp.Or(cmp.Compare(a.Reach, b.Reach), cmp.Compare(a.Margin(), b.Margin())) })
+	slices.SortStableFunc(
+		rows,
+		func(a, b Row) int { return cmp.Or(cmp.Compare(a.Reach, b.Reach), cmp.Compare(a.Margin(), b.Margin())) },
+	)
 	return rows
 }
 
@@ -35,7 +39,15 @@
 
 // Write writes the report for reading.
 func (r *Report) Write(w io.Writer) error {
-	fmt.Fprintf(w, "%s, by slopes of %s (%s, %s, %s)\n\n", r.Plan.Name, r.Run.Date, r.Run.Command, r.Run.Go, r.Run.Processor)
+	fmt.Fprintf(
+		w,
+		"%s, by slopes of %s (%s, %s, %s)\n\n",
+		r.Plan.Name,
+		r.Run.Date,
+		r.Run.Command,
+		r.Run.Go,
+		r.Run.Processor,
+	)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "role\twhat\tneed\tlimit\tmargin\tkept up to\tof")
 	for i := range r.Rows {
@@ -47,8 +59,17 @@
 		if left := len(x.Terms) - termsShown; left > 0 {
 			terms = append(terms, fmt.Sprintf("%d more", left))
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", x.Role, x.What, figure(x.Need, x.Unit), figure(x.Limit, x.Unit), margin(x.Margin()), part(x.Reach),
-			strings.Join(terms, ", "))
+		fmt.Fprintf(
+			t,
+			"%s\t%s\t%s\t%s\t%s\t%s\t%s\n",
+			x.Role,
+			x.What,
+			figure(x.Need, x.Unit),
+			figure(x.Limit, x.Unit),
+			margin(x.Margin()),
+			part(x.Reach),
+			strings.Join(terms, ", "),
+		)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -59,7 +80,13 @@
 		_, err := fmt.Fprintf(w, "\nbinds first: %s, %s: over its limit at any number of machines\n", first.Role, first.What)
 		return err
 	case r.Fits():
-		_, err := fmt.Fprintf(w, "\nfits; binds first: %s, %s, at %s of this size\n", first.Role, first.What, part(first.Reach))
+		_, err := fmt.Fprintf(
+			w,
+			"\nfits; binds first: %s, %s, at %s of this size\n",
+			first.Role,
+			first.What,
+			part(first.Reach),
+		)
 		return err
 	}
 	_, err := fmt.Fprintf(w, "\nbinds first: %s, %s, at %s of this size\n", first.Role, first.What, part(first.Reach))
--- a/internal/emulator/costmodel/fit.go
+++ b/internal/emulator/costmodel/fit.go
@@ -1,6 +1,6 @@
-// Package costmodel measures what the roles of the system cost by the size of what they know: live heap in bytes, processor time of this
-// process in seconds, bytes on the wire. Each measurement is taken at several sizes, a line is laid through all but one of them,
-// and the one that was held back is predicted.
+// Package costmodel measures what the roles of the system cost by the size of what they know: live heap in bytes,
+// processor time of this process in seconds, bytes on the wire. Each measurement is taken at several sizes, a line is
+// laid through all but one of them, and the one that was held back is predicted.
 package costmodel
 
 import (
@@ -50,9 +50,10 @@
 	return max(0, s.A+s.B*x), max(0, s.Alloc[0]+s.Alloc[1]*x)
 }
 
-// Fit lays the line through the points and predicts the one held back. The sizes span orders of magnitude, so what is made least
-// is the sum of squares of the errors as shares of what was measured: else the largest size alone would decide. Errors name what
-// lacks: there must be three points at two sizes or more, and all that was measured must be finite and above 0.
+// Fit lays the line through the points and predicts the one held back. The sizes span orders of magnitude, so what is
+// made least is the sum of squares of the errors as shares of what was measured: else the largest size alone would
+// decide. Errors name what lacks: there must be three points at two sizes or more, and all that was measured must be
+// finite and above 0.
 func (s *Series) Fit() error {
 	if len(s.Points) < 3 {
 		return errors.Errorf("%s: %d points, three are needed", s.Name, len(s.Points))
@@ -77,7 +78,8 @@
 	return nil
 }
 
-// line is the least squares line through one of the figures of the points, each weighed by the inverse square of its cost.
+// line is the least squares line through one of the figures of the points, each weighed by the inverse square of its
+// cost.
 func (s *Series) line(of func(Point) float64) (a, b float64, ok bool) {
 	var w, wx, wy, wxx, wxy float64
 	for _, p := range s.Points {
--- a/internal/emulator/costmodel/meter.go
+++ b/internal/emulator/costmodel/meter.go
@@ -20,13 +20,15 @@
 	err  error
 }
 
-// litterMost is how many bytes may be allocated while the collector is off, until it is called between two measurements.
+// litterMost is how many bytes may be allocated while the collector is off, until it is called between two
+// measurements.
 const litterMost = 256 << 20
 
 // repeats is how often an operation is measured at each size; the least counts, for what disturbs only ever adds.
 const repeats = 9
 
-// leastOps is how many operations are measured at once at least, where so many are prepared: the clock shows microseconds, and one may take less.
+// leastOps is how many operations are measured at once at least, where so many are prepared: the clock shows
+// microseconds, and one may take less.
 const leastOps = 32
 
 // Measure takes all series, and tells of each as it is known. With a part above 1 sizes are so many times
@@ -40,7 +42,13 @@
 	if m.part > 1 {
 		command += " --quick"
 	}
-	r := &Run{Date: time.Now().UTC().Format(time.DateOnly), Go: runtime.Version(), Processor: processor(), Cores: runtime.NumCPU(), Command: command}
+	r := &Run{
+		Date:      time.Now().UTC().Format(time.DateOnly),
+		Go:        runtime.Version(),
+		Processor: processor(),
+		Cores:     runtime.NumCPU(),
+		Command:   command,
+	}
 	for _, part := range []func(*meter){memories, changes, newcomers, words, counters, gateways, choices, collections} {
 		part(m)
 	}
@@ -135,8 +143,8 @@
 	best Point
 }
 
-// once measures the processor time of one operation, and the bytes that it allocates. The collector is off meanwhile; what it costs for
-// these bytes is a series of its own.
+// once measures the processor time of one operation, and the bytes that it allocates. The collector is off meanwhile;
+// what it costs for these bytes is a series of its own.
 func (t *task) once() {
 	defer debug.SetGCPercent(debug.SetGCPercent(-1))
 	if t.next == 0 {
@@ -157,8 +165,8 @@
 	t.best.Alloc = min(t.best.Alloc, float64(after.TotalAlloc-before.TotalAlloc)/float64(t.ops))
 }
 
-// cpu measures the processor time of an operation at several sizes, in rounds: what disturbs for a while does not disturb one size
-// alone. prepare gives the operation.
+// cpu measures the processor time of an operation at several sizes, in rounds: what disturbs for a while does not
+// disturb one size alone. prepare gives the operation.
 func (m *meter) cpu(s Series, ops int, prepare func(n int) func(i int), sizes ...int) {
 	s.Unit = "s"
 	var tasks []*task
--- a/internal/emulator/faultnet/faultnet.go
+++ b/internal/emulator/faultnet/faultnet.go
@@ -12,7 +12,8 @@
 
 // Fault is what a link does to what goes one way on it. The zero value does nothing.
 type Fault struct {
-	Loss    float64       // part of the datagrams that is lost; of streams, part of the pieces that comes late (a retransmission)
+	// part of the datagrams that is lost; of streams, part of the pieces that comes late (a retransmission)
+	Loss    float64
 	Delay   time.Duration // of all
 	Jitter  time.Duration // more, evenly drawn
 	Double  float64       // part of the datagrams that comes twice
@@ -71,7 +72,12 @@
 
 // NewLinks returns a table without faults. Chance comes from the seed.
 func NewLinks(seed uint64) *Links {
-	return &Links{rng: rand.New(rand.NewPCG(seed, 3)), faults: map[link]Fault{}, changed: make(chan struct{}), counts: map[link]*Count{}}
+	return &Links{
+		rng:     rand.New(rand.NewPCG(seed, 3)),
+		faults:  map[link]Fault{},
+		changed: make(chan struct{}),
+		counts:  map[link]*Count{},
+	}
 }
 
 // Set gives a link its fault; the zero Fault heals it. from or to may be Any: a link of its own name wins over these.
@@ -132,7 +138,8 @@
 	return d
 }
 
-// Piece tells by how much a piece of a stream is held. While the link is cut, wait is not nil: closed, it is asked again.
+// Piece tells by how much a piece of a stream is held. While the link is cut, wait is not nil: closed, it is asked
+// again.
 func (l *Links) Piece(from, to string, size int) (held time.Duration, wait <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/emulator/faultnet/faultnet_test.go
+++ b/internal/emulator/faultnet/faultnet_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A relay carries as its links allow, each way for itself; a stream over a cut stays open and goes on once it is healed.
+// A relay carries as its links allow, each way for itself; a stream over a cut stays open and goes on once it is
+// healed.
 func TestRelay(t *testing.T) {
 	end, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/emulator/faultnet/memory.go
+++ b/internal/emulator/faultnet/memory.go
@@ -41,7 +41,13 @@
 
 // Listen has an end at an address, in place of one that was there.
 func (m *Memory) Listen(name, addr string) *End {
-	e := &End{network: m, name: name, addr: addr, packets: make(chan *memberlist.Packet, 1024), streams: make(chan net.Conn)}
+	e := &End{
+		network: m,
+		name:    name,
+		addr:    addr,
+		packets: make(chan *memberlist.Packet, 1024),
+		streams: make(chan net.Conn),
+	}
 	m.mu.Lock()
 	m.ends[addr] = e
 	m.mu.Unlock()
--- a/internal/emulator/faultnet/relay.go
+++ b/internal/emulator/faultnet/relay.go
@@ -14,8 +14,8 @@
 	dialMost  = 2 * time.Second
 )
 
-// Relay stands before one end: what others say to the end comes here first, datagrams and streams at one port, and goes on
-// as the links between caller and end allow.
+// Relay stands before one end: what others say to the end comes here first, datagrams and streams at one port, and
+// goes on as the links between caller and end allow.
 type Relay struct {
 	to     string
 	links  *Links
@@ -201,8 +201,8 @@
 	<-done
 }
 
-// wait holds a piece of a stream until its link carries something; false: the relay ended. That a caller gave up meanwhile is
-// seen once the link carries again, as on a real one.
+// wait holds a piece of a stream until its link carries something; false: the relay ended. That a caller gave up
+// meanwhile is seen once the link carries again, as on a real one.
 func (r *Relay) wait(from, to string, size int) bool {
 	for {
 		held, wait := r.links.Piece(from, to, size)
--- a/internal/emulator/faulttest/actions.go
+++ b/internal/emulator/faulttest/actions.go
@@ -83,7 +83,8 @@
 	"keys":     (*action).keys,
 }
 
-// aboutNoNode are the actions that concern no node, even where none is named. Another one without a name is about the holder.
+// aboutNoNode are the actions that concern no node, even where none is named. Another one without a name is about the
+// holder.
 var aboutNoNode = []string{"link", "keys", "voters", "counter", "shift", "server"}
 
 // do does a step, and gives what undoes it.
--- a/internal/emulator/faulttest/customers.go
+++ b/internal/emulator/faulttest/customers.go
@@ -26,7 +26,10 @@
 	if w.t.Customers == 0 {
 		return
 	}
-	client := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Second}}
+	client := &http.Client{
+		Timeout:   4 * time.Second,
+		Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Second},
+	}
 	limit := make(chan struct{}, 512) // requests out at once
 	for c := range w.t.Customers {
 		for i, n := range w.nodes {
@@ -73,7 +76,8 @@
 	if err != nil {
 		return
 	}
-	for k, v := range map[string]string{"X-Request-ID": id, "X-Priority-Class": "quote-read", "X-Tier": "customer", "X-Timeout": "1.000",
+	for k, v := range map[string]string{"X-Request-ID": id, "X-Priority-Class": "quote-read", "X-Tier": "customer",
+		"X-Timeout":    "1.000",
 		"X-Call-Terms": fmt.Sprintf("units=1,spread=%d,first=0", len(w.nodes))} {
 		req.Header.Set(k, v)
 	}
@@ -118,13 +122,19 @@
 	return nil
 }
 
-// findUse counts what arrived of each customer at the quote servers in a time, against its quota and what it may use at once.
+// findUse counts what arrived of each customer at the quote servers in a time, against its quota and what it may use
+// at once.
 func (p *player) findUse(f Finding, from time.Time) Finding {
 	e := f.Expect
 	use := make([]float64, p.w.t.Customers)
 	for id, a := range p.w.arrived() {
 		var c int
-		if _, err := fmt.Sscanf(id, "c%d-", &c); err == nil && strings.HasPrefix(id, "c") && c < len(use) && a.First.After(from) && a.First.Before(from.Add(e.Within)) {
+		if _, err := fmt.Sscanf(
+			id,
+			"c%d-",
+			&c,
+		); err == nil && strings.HasPrefix(id, "c") && c < len(use) && a.First.After(from) &&
+			a.First.Before(from.Add(e.Within)) {
 			use[c]++
 		}
 	}
@@ -154,7 +164,11 @@
 				continue
 			}
 			var r quotasync.Report
-			if lines, err := call(process.Mgmt, "STATE -"); err != nil || len(lines) == 0 || jsontext.Decode([]byte(lines[0]), &r) != nil || len(r.Warned) == 0 {
+			if lines, err := call(
+				process.Mgmt,
+				"STATE -",
+			); err != nil || len(lines) == 0 || jsontext.Decode([]byte(lines[0]), &r) != nil ||
+				len(r.Warned) == 0 {
 				continue
 			}
 			p.mu.Lock()
@@ -175,7 +189,8 @@
 	defer p.mu.Unlock()
 	first := map[string]time.Duration{}
 	for _, w := range p.warned {
-		if _, known := first[w.member]; !known && slices.Contains(of, w.member) && w.at.After(from) && w.at.Before(from.Add(limit)) {
+		if _, known := first[w.member]; !known && slices.Contains(of, w.member) && w.at.After(from) &&
+			w.at.Before(from.Add(limit)) {
 			first[w.member] = w.at.Sub(from)
 		}
 	}
--- a/internal/emulator/faulttest/duties.go
+++ b/internal/emulator/faulttest/duties.go
@@ -71,7 +71,11 @@
 			continue
 		}
 		var out []byte
-		if out, err = exec.Command(p.Program, append([]string{"fleet", "voters", "--mgmt", process.Mgmt}, strings.Fields(words)...)...).CombinedOutput(); err == nil {
+		if out, err = exec.Command(
+			p.Program,
+			append(
+				[]string{"fleet", "voters", "--mgmt", process.Mgmt},
+				strings.Fields(words)...)...).CombinedOutput(); err == nil {
 			p.say("done", "voters are "+strings.Join(strings.Fields(string(out)), " "))
 			return nil
 		}
@@ -107,7 +111,8 @@
 			break
 		}
 		f.Text = fmt.Sprintf("last %q under %d", h.holder, h.token)
-		if h.holder == "" || !h.runs || e.Is == "again" && h.token <= before || len(e.Of) > 0 && !slices.Contains(e.Of, h.holder) {
+		if h.holder == "" || !h.runs || e.Is == "again" && h.token <= before ||
+			len(e.Of) > 0 && !slices.Contains(e.Of, h.holder) {
 			continue
 		}
 		f.Held, f.Times, f.Text = true, []time.Duration{h.at.Sub(from)}, "by "+h.holder
@@ -127,11 +132,20 @@
 	}
 	p.taken, p.fenced = p.w.billing.Fenced() // before the rest comes, which no holder sends
 	for _, n := range p.w.nodes {
-		for _, dir := range []string{n.usage(), n.usage() + ".beside"} { // the second is that of a process beside an older one
+		// the second is that of a process beside an older one
+		for _, dir := range []string{n.usage(), n.usage() + ".beside"} {
 			if _, err := os.Stat(dir); err != nil {
 				continue
 			}
-			if out, err := exec.CommandContext(ctx, p.Program, "usage", "export", dir, "--to", p.w.billing.URL()).CombinedOutput(); err != nil {
+			if out, err := exec.CommandContext(
+				ctx,
+				p.Program,
+				"usage",
+				"export",
+				dir,
+				"--to",
+				p.w.billing.URL(),
+			).CombinedOutput(); err != nil {
 				errs = append(errs, fmt.Errorf("the last export of %s: %w: %s", n.name, err, out))
 			}
 		}
@@ -144,9 +158,17 @@
 	tally, unmetered, repeats, conflicts := p.w.billing.Billed()
 	known, unknown := tally.Total()
 	arrived := int64(len(p.w.arrived()))
-	f.Held = arrived > 0 && known.Tries <= arrived && arrived <= known.Tries+unknown.Tries+unmetered.Tries && conflicts == 0
-	f.Text = fmt.Sprintf("%d arrived, %d billed, %d listed apart, %d not recorded, %d batches came again, %d conflicts", arrived, known.Tries, unknown.Tries,
-		unmetered.Tries, repeats, conflicts)
+	f.Held = arrived > 0 && known.Tries <= arrived && arrived <= known.Tries+unknown.Tries+unmetered.Tries &&
+		conflicts == 0
+	f.Text = fmt.Sprintf(
+		"%d arrived, %d billed, %d listed apart, %d not recorded, %d batches came again, %d conflicts",
+		arrived,
+		known.Tries,
+		unknown.Tries,
+		unmetered.Tries,
+		repeats,
+		conflicts,
+	)
 	return f
 }
 
@@ -232,8 +254,8 @@
 
 var gained = regexp.MustCompile(`code=duty-gained duty=(\S+) token=(\d+)`)
 
-// findOne reads what all processes logged of their duties: a token has one holder. What leaders tell is no proof: one that stood still
-// tells what it knew until it hears of its successor.
+// findOne reads what all processes logged of their duties: a token has one holder. What leaders tell is no proof: one
+// that stood still tells what it knew until it hears of its successor.
 func (p *player) findOne(f Finding) Finding {
 	f.Held = true
 	holders, tokens := map[string]string{}, 0
--- a/internal/emulator/faulttest/file.go
+++ b/internal/emulator/faulttest/file.go
@@ -1,6 +1,7 @@
-// Package faulttest plays timelines of faults on real processes: it starts ingresses of the built program on loopback, each
-// with an address of its own, carries what they say to each other and to their stand-ins over links that it controls by
-// direction and by pair, stops, kills, fills disks and restores folders as a file says, and checks what the file expects.
+// Package faulttest plays timelines of faults on real processes: it starts ingresses of the built program on
+// loopback, each with an address of its own, carries what they say to each other and to their stand-ins over links
+// that it controls by direction and by pair, stops, kills, fills disks and restores folders as a file says, and
+// checks what the file expects.
 package faulttest
 
 import (
@@ -22,16 +23,18 @@
 	Name      string
 	Seed      uint64
 	Ingresses int
-	Interval  string             // of probes, as the ingresses' own files have it
-	Sealed    bool               // the fleet has a key
-	Voters    int                // the first so many agree on duties, and use is exported by the one that holds that; 0: there are none
-	Clocks    map[string]float64 // of members whose clocks run fast or slow: their seconds in one
-	Servers   int                // quote servers, quotes, quotes2 and so on to links; 0: one
-	Share     bool               // quotas and judgements are shared
-	Customers int                // that ask for 1.2 times their quota, for the most part at one ingress; 0: one without a quota that matters
-	Quota     float64            // of each, in units a second; it may use as much at once
-	Catalogue bool               // each member has a file of plans, and the holder of that duty announces its revisions
-	Quiet     bool               // no clients, and members are seldom looked at: for what the fleet itself costs
+	Interval  string // of probes, as the ingresses' own files have it
+	Sealed    bool   // the fleet has a key
+	// the first so many agree on duties, and use is exported by the one that holds that; 0: there are none
+	Voters  int
+	Clocks  map[string]float64 // of members whose clocks run fast or slow: their seconds in one
+	Servers int                // quote servers, quotes, quotes2 and so on to links; 0: one
+	Share   bool               // quotas and judgements are shared
+	// that ask for 1.2 times their quota, for the most part at one ingress; 0: one without a quota that matters
+	Customers int
+	Quota     float64 // of each, in units a second; it may use as much at once
+	Catalogue bool    // each member has a file of plans, and the holder of that duty announces its revisions
+	Quiet     bool    // no clients, and members are seldom looked at: for what the fleet itself costs
 	Lasts     time.Duration
 	Steps     []Step // by time
 	Expect    []Expect
@@ -39,11 +42,12 @@
 
 // Step is something that is done at a time, counted from when all ingresses hear the whole fleet.
 type Step struct {
-	At   time.Duration
-	Do   string
-	Of   []string      // members
-	For  time.Duration // then it is undone; 0: it stays
-	Word string        // folder of a start, kind of rubbish, key, how a disk fails, who dies in an upgrade, a change of voters
+	At  time.Duration
+	Do  string
+	Of  []string      // members
+	For time.Duration // then it is undone; 0: it stays
+	// folder of a start, kind of rubbish, key, how a disk fails, who dies in an upgrade, a change of voters
+	Word string
 	Link Link
 }
 
@@ -153,28 +157,45 @@
 }
 
 // stands are ends that are no members: what an ingress says to them goes over links, too.
-var stands = []string{"discovery", "counter", "billing", "quotes", "quotes2", "quotes3", "quotes4", "quotes5", "quotes6"}
+var stands = []string{
+	"discovery",
+	"counter",
+	"billing",
+	"quotes",
+	"quotes2",
+	"quotes3",
+	"quotes4",
+	"quotes5",
+	"quotes6",
+}
 
 // quotesAt is the place of the first quote server among them.
 const quotesAt = 3
 
 // kinds are the properties, and which words is may have.
 var kinds = map[string][]string{
-	"state":     {"alive", "dead", "left"},       // by each of by, each of of is told to be so, at least once from after on
+	// by each of by, each of of is told to be so, at least once from after on
+	"state":     {"alive", "dead", "left"},
 	"never":     {"dead"},                        // by none of by, any of of is told to be so, from after on
 	"agree":     nil,                             // all that run hold one view, with themselves in it
 	"judgement": {"whole", "thinned", "cut-off"}, // each of of says so at one moment
 	"not":       {"whole", "thinned", "cut-off"}, // none of of ever says so, from after on
-	"answered":  nil,                             // every request that a running ingress took was answered, and some were served
-	"held":      {"again", "any"},                // one of of that runs holds the export of use; again: under a newer token than before after
-	"fenced":    nil,                             // billing took batches, and their tokens only grew
-	"use":       nil,                             // of each customer, what arrived from after on is from least to most of its quota
-	"one":       nil,                             // each token had one holder, by the logs of all processes
-	"warned":    {"some", "none"},                // each of of was warned of a server by others at one moment; none ever was
-	"stale":     nil,                             // billing refused something as an older holder's
-	"billed":    nil,                             // each request that arrived at a quote server is billed once, or listed apart where its ingress was killed
-	"announced": nil,                             // all that run hold one content for each revision, the newest that was written among them
-	"refused":   nil,                             // packets that are not of the fleet were counted
+	// every request that a running ingress took was answered, and some were served
+	"answered": nil,
+	// one of of that runs holds the export of use; again: under a newer token than before after
+	"held":   {"again", "any"},
+	"fenced": nil, // billing took batches, and their tokens only grew
+	// of each customer, what arrived from after on is from least to most of its quota
+	"use": nil,
+	"one": nil, // each token had one holder, by the logs of all processes
+	// each of of was warned of a server by others at one moment; none ever was
+	"warned": {"some", "none"},
+	"stale":  nil, // billing refused something as an older holder's
+	// each request that arrived at a quote server is billed once, or listed apart where its ingress was killed
+	"billed": nil,
+	// all that run hold one content for each revision, the newest that was written among them
+	"announced": nil,
+	"refused":   nil, // packets that are not of the fleet were counted
 }
 
 // Read reads a timeline. Errors name file, line and column.
@@ -202,7 +223,15 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &Timeline{Name: w.Name, Seed: w.Seed, Ingresses: w.Ingresses, Interval: w.Interval, Sealed: w.Sealed, Quiet: w.Quiet, Voters: w.Voters}
+	t := &Timeline{
+		Name:      w.Name,
+		Seed:      w.Seed,
+		Ingresses: w.Ingresses,
+		Interval:  w.Interval,
+		Sealed:    w.Sealed,
+		Quiet:     w.Quiet,
+		Voters:    w.Voters,
+	}
 	if w.Voters != 0 && w.Voters != 1 && w.Voters != 3 && w.Voters != 5 || w.Voters > w.Ingresses {
 		return nil, f.ErrorAt("voters", "0, 1, 3 or 5 of the ingresses")
 	}
@@ -305,8 +334,10 @@
 	for _, d := range []struct {
 		do string
 		of []string
-	}{{"stop", b.Stop}, {"kill", b.Kill}, {"start", b.Start}, {"twin", b.Twin}, {"save", b.Save}, {"term", b.Term}, {"upgrade", b.Upgrade}, {"lameduck", b.LameDuck},
-		{"fill", b.Fill}, {"reload", b.Reload}, {"rubbish", b.Rubbish}, {"give", b.Give}, {"disk", b.Disk}, {"revise", b.Revise}} {
+	}{{"stop", b.Stop}, {"kill", b.Kill}, {"start", b.Start}, {"twin", b.Twin}, {"save", b.Save}, {"term", b.Term},
+		{"upgrade", b.Upgrade}, {"lameduck", b.LameDuck},
+		{"fill", b.Fill}, {"reload", b.Reload}, {"rubbish", b.Rubbish}, {"give", b.Give}, {"disk", b.Disk},
+		{"revise", b.Revise}} {
 		if d.of == nil {
 			continue
 		}
@@ -385,7 +416,10 @@
 }
 
 func (t *Timeline) link(f *hclfile.File, at string, b *linkBlock) (l Link, err error) {
-	l = Link{Both: b.Both, Fault: faultnet.Fault{Loss: b.Loss, Double: b.Double, Reorder: b.Reorder, Cut: b.Cut, Longest: b.Longest}}
+	l = Link{
+		Both:  b.Both,
+		Fault: faultnet.Fault{Loss: b.Loss, Double: b.Double, Reorder: b.Reorder, Cut: b.Cut, Longest: b.Longest},
+	}
 	for _, e := range []struct {
 		key   string
 		words []string
--- a/internal/emulator/faulttest/find.go
+++ b/internal/emulator/faulttest/find.go
@@ -48,7 +48,8 @@
 			n.mu.Unlock()
 			looked++
 			for _, c := range changes {
-				if c.What == "state" && c.To == e.Is && slices.Contains(of, c.Name) && c.at.After(from) && c.at.Before(from.Add(e.Within)) {
+				if c.What == "state" && c.To == e.Is && slices.Contains(of, c.Name) && c.at.After(from) &&
+					c.at.Before(from.Add(e.Within)) {
 					told++
 					f.Text = fmt.Sprintf("%s told %s %s after %.1f s", n.name, c.Name, e.Is, c.at.Sub(from).Seconds())
 				}
@@ -95,7 +96,13 @@
 		f = p.watched(e, f)
 	case "answered":
 		f.Held = p.clients.unanswered == 0 && p.clients.served > 0
-		f.Text = fmt.Sprintf("%d of %d without an answer, %d served %s", p.clients.unanswered, p.clients.sent, p.clients.served, p.clients.why)
+		f.Text = fmt.Sprintf(
+			"%d of %d without an answer, %d served %s",
+			p.clients.unanswered,
+			p.clients.sent,
+			p.clients.served,
+			p.clients.why,
+		)
 	case "refused":
 		f.Held, f.Text = true, ""
 		for _, n := range p.nodesOf(of) {
--- a/internal/emulator/faulttest/report.go
+++ b/internal/emulator/faulttest/report.go
@@ -27,8 +27,8 @@
 	Cost     Cost
 }
 
-// Cost is what a member sent to others, and the part of a core that its process used for all it did, on average over those
-// that ran all the time.
+// Cost is what a member sent to others, and the part of a core that its process used for all it did, on average over
+// those that ran all the time.
 type Cost struct{ PacketsPerSecond, BytesPerSecond, CPU float64 }
 
 // Good tells whether all held.
@@ -39,8 +39,17 @@
 // Write prints a table.
 func (r *Report) Write(out io.Writer) {
 	Table(out, []*Report{r})
-	fmt.Fprintf(out, "whole after %.1f s; %d requests, %d served; a member sends %.0f packets and %.0f bytes a second, and uses %.1f%% of a core\n",
-		r.Whole.Seconds(), r.Sent, r.Served, r.Cost.PacketsPerSecond, r.Cost.BytesPerSecond, 100*r.Cost.CPU)
+	fmt.Fprintf(
+		out,
+		"whole after %.1f s; %d requests, %d served; "+
+			"a member sends %.0f packets and %.0f bytes a second, and uses %.1f%% of a core\n",
+		r.Whole.Seconds(),
+		r.Sent,
+		r.Served,
+		r.Cost.PacketsPerSecond,
+		r.Cost.BytesPerSecond,
+		100*r.Cost.CPU,
+	)
 	for _, p := range r.Problems {
 		fmt.Fprintln(out, "problem:", p)
 	}
@@ -72,8 +81,18 @@
 		if len(all) > 1 {
 			words = fmt.Sprintf("%d of %d", held, len(all))
 		}
-		fmt.Fprintf(t, "%s %s\t%s\t%s\t%s\t%s\t%.0f s\t%s\n", f.Expect.Kind, f.Expect.Is, short(f.Expect.Of), short(f.Expect.By), words, quantiles(times),
-			f.Expect.Within.Seconds(), text)
+		fmt.Fprintf(
+			t,
+			"%s %s\t%s\t%s\t%s\t%s\t%.0f s\t%s\n",
+			f.Expect.Kind,
+			f.Expect.Is,
+			short(f.Expect.Of),
+			short(f.Expect.By),
+			words,
+			quantiles(times),
+			f.Expect.Within.Seconds(),
+			text,
+		)
 	}
 	for _, k := range order {
 		if n := len(sums[k]); n > 1 {
--- a/internal/emulator/invariants/log.go
+++ b/internal/emulator/invariants/log.go
@@ -1,5 +1,6 @@
-// Package invariants judges a play of the system by what its clients, servers and operator saw on their sockets, as RULES.md says, by a slow and
-// plain reading of it. It does no I/O, reads no clock, and shares no code with what it judges but the names of the rules' figures.
+// Package invariants judges a play of the system by what its clients, servers and operator saw on their sockets, as
+// RULES.md says, by a slow and plain reading of it. It does no I/O, reads no clock, and shares no code with what it
+// judges but the names of the rules' figures.
 package invariants
 
 import (
--- a/internal/emulator/loopback/client.go
+++ b/internal/emulator/loopback/client.go
@@ -110,7 +110,14 @@
 		routes := f.liveRoutes(c)
 		r := routes[rng.IntN(len(routes))]
 		key := t.key(rng)
-		o := &order{class: c, route: r, key: key, person: f.users[rng.IntN(len(f.users))], pooled: rng.IntN(2) == 0, began: time.Now()}
+		o := &order{
+			class:  c,
+			route:  r,
+			key:    key,
+			person: f.users[rng.IntN(len(f.users))],
+			pooled: rng.IntN(2) == 0,
+			began:  time.Now(),
+		}
 		if r.public && rng.IntN(2) == 0 {
 			o.key = ""
 		}
@@ -136,7 +143,8 @@
 		t, advice := f.try(o, n, left, rng)
 		left = c.deadline - time.Since(o.began)
 		promise := t.End == invariants.Answered && (t.Status == 408 || t.Status == 421 || t.Status == 429 || t.Status == 503)
-		final := t.End == invariants.Answered && (t.Status/100 == 2 || slices.Contains([]int{400, 401, 403, 404, 413, 431}, t.Status))
+		final := t.End == invariants.Answered &&
+			(t.Status/100 == 2 || slices.Contains([]int{400, 401, 403, 404, 413, 431}, t.Status))
 		again := !final && (!c.once || promise || t.End == invariants.NotConnected)
 		wait := backoff + time.Duration(rng.Int64N(int64(backoff)))
 		backoff *= 2
@@ -152,11 +160,26 @@
 }
 
 // try makes one try; advice is what Retry-After says.
-func (f *cluster) try(o *order, n int, left time.Duration, rng *rand.Rand) (t *invariants.Attempt, advice time.Duration) {
+func (f *cluster) try(
+	o *order,
+	n int,
+	left time.Duration,
+	rng *rand.Rand,
+) (t *invariants.Attempt, advice time.Duration) {
 	c := o.class
-	t = &invariants.Attempt{ID: fmt.Sprintf("%016x", rng.Uint64()), Class: c.name, AtMostOnce: c.once, Probe: o.probe != nil, Method: http.MethodGet,
-		Host: o.route.host, Target: fmt.Sprintf("%s%x", o.route.prefix, rng.Uint32N(1<<20)), Key: o.key, TimeLeft: left.Seconds(),
-		FirstSent: f.at(o.began), LatencyTarget: c.aim.Seconds()}
+	t = &invariants.Attempt{
+		ID:            fmt.Sprintf("%016x", rng.Uint64()),
+		Class:         c.name,
+		AtMostOnce:    c.once,
+		Probe:         o.probe != nil,
+		Method:        http.MethodGet,
+		Host:          o.route.host,
+		Target:        fmt.Sprintf("%s%x", o.route.prefix, rng.Uint32N(1<<20)),
+		Key:           o.key,
+		TimeLeft:      left.Seconds(),
+		FirstSent:     f.at(o.began),
+		LatencyTarget: c.aim.Seconds(),
+	}
 	if rng.IntN(4) == 0 {
 		t.Target += "?q=" + strconv.Itoa(rng.IntN(100))
 	}
@@ -186,8 +209,15 @@
 	}
 	t.Edge, k.last = k.edge.name, t
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Attempt-Id: %s\r\nX-Time-Left-Ms: %d\r\n", t.Method, t.Target, t.Host, t.ID,
-		left.Milliseconds())
+	fmt.Fprintf(
+		&b,
+		"%s %s HTTP/1.1\r\nHost: %s\r\nX-Attempt-Id: %s\r\nX-Time-Left-Ms: %d\r\n",
+		t.Method,
+		t.Target,
+		t.Host,
+		t.ID,
+		left.Milliseconds(),
+	)
 	if o.key != "" {
 		fmt.Fprintf(&b, "Authorization: Token %s\r\n", o.key)
 	}
@@ -245,8 +275,8 @@
 	return invariants.Truncated
 }
 
-// unread tells whether the machine closed the connection without having read the request: its kernel resets such a connection. It may
-// say so only after the end of the stream.
+// unread tells whether the machine closed the connection without having read the request: its kernel resets such a
+// connection. It may say so only after the end of the stream.
 func (f *cluster) unread(c *net.TCPConn, err error) bool {
 	if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		return true
--- a/internal/emulator/loopback/deployment.go
+++ b/internal/emulator/loopback/deployment.go
@@ -57,7 +57,13 @@
 		if core {
 			host += 100
 		}
-		m := &machine{f: f, name: fmt.Sprintf("%s-%d", name, n+1), ip: fmt.Sprintf("127.1.%d.%d", n%zones, host), zone: n % zones, core: core}
+		m := &machine{
+			f:    f,
+			name: fmt.Sprintf("%s-%d", name, n+1),
+			ip:   fmt.Sprintf("127.1.%d.%d", n%zones, host),
+			zone: n % zones,
+			core: core,
+		}
 		m.dir = filepath.Join(f.o.Dir, m.name)
 		for _, p := range programs {
 			m.procs = append(m.procs, &process{m: m, program: p})
@@ -74,7 +80,10 @@
 	f.entries = make([]entry, len(f.edge))
 	var err error
 	// Other plays may run on this box: the ports are drawn by chance, not by the seed.
-	if f.ports, err = drawPorts(rand.New(rand.NewPCG(uint64(os.Getpid()), uint64(time.Now().UnixNano()))), ips); err != nil {
+	if f.ports, err = drawPorts(
+		rand.New(rand.NewPCG(uint64(os.Getpid()), uint64(time.Now().UnixNano()))),
+		ips,
+	); err != nil {
 		return err
 	}
 	for _, m := range slices.Concat(f.core, f.edge) {
@@ -92,18 +101,41 @@
 	}
 	word := func(kind string) string { return fmt.Sprintf("%s%04x", kind, f.rng.Uint32N(1<<16)) }
 	a, b, c := word("look"), word("note"), word("file")
-	f.services = map[string]kind{a: {3, 5, 40 * time.Millisecond}, b: {3, 4, 50 * time.Millisecond}, c: {3, 4, 30 * time.Millisecond}}
+	f.services = map[string]kind{
+		a: {3, 5, 40 * time.Millisecond},
+		b: {3, 4, 50 * time.Millisecond},
+		c: {3, 4, 30 * time.Millisecond},
+	}
 	f.classes = []*class{
 		{name: "read", rate: 70, service: a, also: c, aim: 400 * time.Millisecond, deadline: 2000 * time.Millisecond},
-		{name: "set", once: true, rate: 30, service: b, also: a, aim: 500 * time.Millisecond, deadline: 2500 * time.Millisecond},
-		{name: "file", once: true, rate: 20, service: c, also: a, aim: 300 * time.Millisecond, deadline: 1800 * time.Millisecond},
+		{
+			name:     "set",
+			once:     true,
+			rate:     30,
+			service:  b,
+			also:     a,
+			aim:      500 * time.Millisecond,
+			deadline: 2500 * time.Millisecond,
+		},
+		{
+			name:     "file",
+			once:     true,
+			rate:     20,
+			service:  c,
+			also:     a,
+			aim:      300 * time.Millisecond,
+			deadline: 1800 * time.Millisecond,
+		},
 	}
 	rate, weights := 0.0, 0.0
 	for _, c := range f.classes {
 		rate += c.rate
 		for n := range 2 {
-			f.live[c] = append(f.live[c], &route{name: word("r-"), host: word("h") + ".example", prefix: "/" + word("p") + "/", class: c,
-				public: n == 1 && c.once})
+			f.live[c] = append(
+				f.live[c],
+				&route{name: word("r-"), host: word("h") + ".example", prefix: "/" + word("p") + "/", class: c,
+					public: n == 1 && c.once},
+			)
 		}
 	}
 	for n := range tenantCount {
@@ -123,8 +155,17 @@
 }
 
 func (r *route) body(service string) body {
-	b := body{"authority": r.host, "pathPrefix": r.prefix, "routeKind": "idempotent", "deadlineMs": r.class.deadline.Milliseconds(),
-		"targetMs": r.class.aim.Milliseconds(), "priority": 1, "maxTries": 2, "public": r.public, "backend": service}
+	b := body{
+		"authority":  r.host,
+		"pathPrefix": r.prefix,
+		"routeKind":  "idempotent",
+		"deadlineMs": r.class.deadline.Milliseconds(),
+		"targetMs":   r.class.aim.Milliseconds(),
+		"priority":   1,
+		"maxTries":   2,
+		"public":     r.public,
+		"backend":    service,
+	}
 	if r.class.once {
 		b["routeKind"] = "mutating"
 	}
@@ -138,7 +179,11 @@
 func (t *tenant) item() item {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return item{section: "customers", name: t.name, body: body{"apiKeys": slices.Clone(t.keys), "priority": 0, "ratePerS": t.rate, "burst": t.burst}}
+	return item{
+		section: "customers",
+		name:    t.name,
+		body:    body{"apiKeys": slices.Clone(t.keys), "priority": 0, "ratePerS": t.rate, "burst": t.burst},
+	}
 }
 
 // first is the items of the operator's first call.
--- a/internal/emulator/loopback/faults.go
+++ b/internal/emulator/loopback/faults.go
@@ -40,10 +40,19 @@
 
 func init() {
 	faults = map[string]faultKind{
-		"kill-proxy": {"a proxy is killed", func(f *cluster, n int) { m := f.edgeOf(n); m.crash([]*process{m.proc(proxyProgram)}, nil) }},
-		"kill-agent": {"an agent is killed", func(f *cluster, n int) { m := f.edgeOf(n); m.crash([]*process{m.proc(agentProgram)}, nil) }},
-		"kill-edge":  {"a proxy and its agent are killed", func(f *cluster, n int) { m := f.edgeOf(n); m.crash(m.procs, nil) }},
-		"kill-core":  {"a core node is killed", func(f *cluster, n int) { m := f.coreOf(n); m.crash(m.procs, nil) }},
+		"kill-proxy": {
+			"a proxy is killed",
+			func(f *cluster, n int) { m := f.edgeOf(n); m.crash([]*process{m.proc(proxyProgram)}, nil) },
+		},
+		"kill-agent": {
+			"an agent is killed",
+			func(f *cluster, n int) { m := f.edgeOf(n); m.crash([]*process{m.proc(agentProgram)}, nil) },
+		},
+		"kill-edge": {
+			"a proxy and its agent are killed",
+			func(f *cluster, n int) { m := f.edgeOf(n); m.crash(m.procs, nil) },
+		},
+		"kill-core": {"a core node is killed", func(f *cluster, n int) { m := f.coreOf(n); m.crash(m.procs, nil) }},
 		"kill-all-core": {"all core nodes are killed at once", func(f *cluster, n int) {
 			f.blackout(nil)
 		}},
@@ -52,10 +61,13 @@
 			m := f.acker.Load()
 			m.crash(m.procs, m.wipe)
 		}},
-		"blackout": {"all core nodes are killed right after a change is acknowledged, and the one that did so loses its disk", func(f *cluster, n int) {
-			f.change(f.classes[0])
-			f.blackout(f.acker.Load())
-		}},
+		"blackout": {
+			"all core nodes are killed right after a change is acknowledged, and the one that did so loses its disk",
+			func(f *cluster, n int) {
+				f.change(f.classes[0])
+				f.blackout(f.acker.Load())
+			},
+		},
 		"roll-core": {"core nodes get SIGTERM one after the other", func(f *cluster, n int) {
 			for _, m := range f.core {
 				m.roll()
@@ -71,39 +83,45 @@
 		"roll-one": {"an edge machine gets SIGTERM", func(f *cluster, n int) { f.edgeOf(n).roll() }},
 		"cut-core": {"a core node is cut off from the others for 8 s, and asked all along", func(f *cluster, n int) {
 			m := f.coreOf(n)
-			m.cutOff(f.otherCore(m), bothWays, cutFor)
+			m.cutOff(f.otherCore(m), bothWays)
 		}},
 		"cut-one-way": {"what a core node sends to the others does not arrive for 8 s", func(f *cluster, n int) {
 			m := f.coreOf(n)
-			m.cutOff(f.otherCore(m), outward, cutFor)
+			m.cutOff(f.otherCore(m), outward)
 		}},
 		"cut-deaf": {"a core node is sent nothing by the others for 8 s", func(f *cluster, n int) {
 			m := f.coreOf(n)
-			m.cutOff(f.otherCore(m), inward, cutFor)
-		}},
-		"cut-all": {"a core node is cut off from the others and from all agents for 8 s; an edge machine is restarted meanwhile", func(f *cluster, n int) {
-			m := f.coreOf(n)
-			f.faults.Go(func() {
-				if f.hold(cutFor / 4) {
-					f.edgeOf(n).roll()
-				}
-			})
-			m.cutOff(append(f.otherCore(m), f.edge...), bothWays, cutFor)
+			m.cutOff(f.otherCore(m), inward)
 		}},
-		"cut-restart": {"a core node is cut off for 8 s and killed in the midst of it, and then the others are, one after the other", func(f *cluster, n int) {
-			m := f.coreOf(n)
-			f.faults.Go(func() {
-				if f.hold(cutFor / 2) {
-					m.crash(m.procs, nil)
-				}
-			})
-			m.cutOff(f.otherCore(m), bothWays, cutFor)
-			for _, o := range f.otherCore(m) {
-				if f.hold(time.Duration(f.o.Bounds.CatchUp * float64(time.Second))) {
-					o.crash(o.procs, nil)
+		"cut-all": {
+			"a core node is cut off from the others and from all agents for 8 s; an edge machine is restarted meanwhile",
+			func(f *cluster, n int) {
+				m := f.coreOf(n)
+				f.faults.Go(func() {
+					if f.hold(cutFor / 4) {
+						f.edgeOf(n).roll()
+					}
+				})
+				m.cutOff(append(f.otherCore(m), f.edge...), bothWays)
+			},
+		},
+		"cut-restart": {
+			"a core node is cut off for 8 s and killed in the midst of it, and then the others are, one after the other",
+			func(f *cluster, n int) {
+				m := f.coreOf(n)
+				f.faults.Go(func() {
+					if f.hold(cutFor / 2) {
+						m.crash(m.procs, nil)
+					}
+				})
+				m.cutOff(f.otherCore(m), bothWays)
+				for _, o := range f.otherCore(m) {
+					if f.hold(time.Duration(f.o.Bounds.CatchUp * float64(time.Second))) {
+						o.crash(o.procs, nil)
+					}
 				}
-			}
-		}},
+			},
+		},
 		"cut-edge": {"an edge machine is cut off from all core nodes for 3 s", func(f *cluster, n int) {
 			m := f.edgeOf(n)
 			over := f.recorder.beginFault(invariants.Fault{Machine: m.name, From: f.now()})
@@ -212,8 +230,9 @@
 	return names, help
 }
 
-// Schedule reads a schedule: the name of a file with lines "SECONDS NAME [TARGET]", where # begins what says nothing, or names joined by
-// commas (any: one by chance), which get times between a tenth and seven tenths of the play, and targets, by the seed.
+// Schedule reads a schedule: the name of a file with lines "SECONDS NAME [TARGET]", where # begins what says nothing,
+// or names joined by commas (any: one by chance), which get times between a tenth and seven tenths of the play, and
+// targets, by the seed.
 func Schedule(text string, span time.Duration, seed uint64) ([]Fault, error) {
 	if text == "" {
 		return nil, nil
@@ -255,7 +274,10 @@
 		if _, ok := faults[name]; !ok {
 			return nil, fmt.Errorf("%q is neither a file nor the name of a fault", name)
 		}
-		list = append(list, Fault{At: time.Duration((0.1 + 0.6*rng.Float64()) * float64(span)), Name: name, Target: rng.IntN(1 << 10)})
+		list = append(
+			list,
+			Fault{At: time.Duration((0.1 + 0.6*rng.Float64()) * float64(span)), Name: name, Target: rng.IntN(1 << 10)},
+		)
 	}
 	slices.SortStableFunc(list, func(a, b Fault) int { return int(a.At - b.At) })
 	return list, nil
@@ -316,11 +338,13 @@
 	}
 }
 
-// wipe empties a machine's disk, where the system is to bear that: one disk at a time, counting until the machine has caught up.
+// wipe empties a machine's disk, where the system is to bear that: one disk at a time, counting until the machine has
+// caught up.
 func (m *machine) wipe() {
 	f := m.f
 	f.mu.Lock()
-	bearable := len(f.core) >= 3 && (f.diskLost == nil || f.diskLost == m || f.now() > f.diskLostAt+f.o.Bounds.CatchUp+comeBack.Seconds())
+	bearable := len(f.core) >= 3 &&
+		(f.diskLost == nil || f.diskLost == m || f.now() > f.diskLostAt+f.o.Bounds.CatchUp+comeBack.Seconds())
 	if bearable {
 		f.diskLost, f.diskLostAt = m, f.now()
 	}
@@ -358,7 +382,8 @@
 	over(f.now())
 }
 
-// change makes one change by chance: it moves a route and back, splits one, adds one, drops one that was added, or changes its times.
+// change makes one change by chance: it moves a route and back, splits one, adds one, drops one that was added, or
+// changes its times.
 func (f *cluster) change(c *class) {
 	list := f.liveRoutes(c)
 	r := list[f.intn(2)] // of the first ones
@@ -420,7 +445,8 @@
 	c := f.classes[0]
 	r := f.liveRoutes(c)[0]
 	for n, spoil := range []func(body){
-		func(b body) { b["backend"] = "nosuch" }, func(b body) { b["deadlineMs"] = 0 }, func(b body) { b["pathPrefix"] = "bare/" },
+		func(b body) { b["backend"] = "nosuch" }, func(b body) { b["deadlineMs"] = 0 },
+		func(b body) { b["pathPrefix"] = "bare/" },
 		func(b body) { b["authority"] = "" }, func(b body) { b["routeKind"] = "odd" },
 		func(b body) { b["authority"], b["pathPrefix"] = r.host, r.prefix },
 	} {
--- a/internal/emulator/loopback/machine.go
+++ b/internal/emulator/loopback/machine.go
@@ -36,7 +36,8 @@
 // ports are those of the day: the same on all machines.
 type ports struct{ front, ready, control, inner int }
 
-// machine is one of the simulated machines: an address of loopback, a folder for settings and logs, one for the disk, and processes.
+// machine is one of the simulated machines: an address of loopback, a folder for settings and logs, one for the disk,
+// and processes.
 type machine struct {
 	f        *cluster
 	name, ip string
@@ -133,10 +134,13 @@
 			key   string
 			value float64
 		}{
-			{"seedLagS", b.SeedLag}, {"reuseAfterS", b.ReuseAfter}, {"contactMs", 1000 * b.Contact}, {"ackMs", 1000 * b.Ack}, {"catchUpS", b.CatchUp},
-			{"drainMs", 1000 * b.Drain}, {"graceS", b.Grace}, {"lossSlackMs", 1000 * b.LossSlack}, {"configApplyMs", 1000 * b.ConfigApply},
+			{"seedLagS", b.SeedLag}, {"reuseAfterS", b.ReuseAfter}, {"contactMs", 1000 * b.Contact}, {"ackMs", 1000 * b.Ack},
+			{"catchUpS", b.CatchUp},
+			{"drainMs", 1000 * b.Drain}, {"graceS", b.Grace}, {"lossSlackMs", 1000 * b.LossSlack},
+			{"configApplyMs", 1000 * b.ConfigApply},
 			{"revertSlackMs", 1000 * b.RevertSlack}, {"stretchMaxMs", 1000 * b.MaxStretch}, {"revokeMs", 1000 * b.Revoke},
-			{"retryRatio", b.RetryRatio}, {"retryWindowS", b.RetryWindow}, {"retrySlack", b.RetrySlack}, {"quotaWindowS", b.QuotaWindow},
+			{"retryRatio", b.RetryRatio}, {"retryWindowS", b.RetryWindow}, {"retrySlack", b.RetrySlack},
+			{"quotaWindowS", b.QuotaWindow},
 			{"quotaExcess", b.QuotaExcess}, {"quotaSlack", b.QuotaSlack}, {"recoveryS", b.Recovery},
 		} {
 			line("terms.bounds."+set.key, set.value)
@@ -164,8 +168,8 @@
 	inward       // what it is sent
 )
 
-// sever cuts the links between a machine and others, and returns what makes them whole again. A process obeys for the connections that
-// it opened, so both ends are told.
+// sever cuts the links between a machine and others, and returns what makes them whole again. A process obeys for the
+// connections that it opened, so both ends are told.
 func (f *cluster) sever(m *machine, others []*machine, w way) (heal func()) {
 	words := func(far *machine, w way) string { return [...]string{"both ", "to ", "from "}[w] + far.ip }
 	back := [...]way{bothWays, inward, outward}[w]
@@ -223,7 +227,8 @@
 	return nil
 }
 
-// crash kills processes of a machine and starts them again, after what is to be done while they are gone. It counts as trouble till then.
+// crash kills processes of a machine and starts them again, after what is to be done while they are gone. It counts
+// as trouble till then.
 func (m *machine) crash(procs []*process, meanwhile func()) {
 	m.settling.Lock()
 	defer m.settling.Unlock()
@@ -280,14 +285,15 @@
 	over(m.f.now())
 }
 
-// cutOff cuts a core node off from others for a while. From some time on it must say nothing as if it were current: it is asked all along, as
-// servers and operators ask, and what it answers is judged. Meanwhile changes are ordered at all nodes.
-func (m *machine) cutOff(others []*machine, w way, span time.Duration) {
+// cutOff partitions a core node from others for cutFor. From some time on it must say nothing as if it were current:
+// it is asked all along, as servers and operators ask, and what it answers is judged. Meanwhile changes are ordered
+// at all nodes.
+func (m *machine) cutOff(others []*machine, w way) {
 	f := m.f
 	over := f.recorder.beginFault(invariants.Fault{Machine: m.name, Core: true, From: f.now()})
 	heal := f.sever(m, others, w)
 	c := invariants.Partition{Machine: m.name, From: f.now()}
-	until := time.Now().Add(span)
+	until := time.Now().Add(cutFor)
 	answers := map[int]int{}
 	for n := 0; time.Now().Before(until); n++ {
 		answers[m.ask(n)]++
@@ -305,7 +311,8 @@
 	f.recorder.note("%s, cut off, answered (by status; 0: no acknowledgement): %v", m.name, answers)
 }
 
-// ask asks a core node what it may say only in contact with a majority, each thing in turn, and returns the status; 0: none.
+// ask asks a core node what it may say only in contact with a majority, each thing in turn, and returns the status;
+// 0: none.
 func (m *machine) ask(n int) int {
 	f := m.f
 	said := invariants.ControlAnswer{Machine: m.name, Began: f.now()}
--- a/internal/emulator/loopback/operator.go
+++ b/internal/emulator/loopback/operator.go
@@ -101,7 +101,14 @@
 
 // seen is an item as the rules want it.
 func seen(i item, valid bool, at invariants.Seconds) *invariants.Version {
-	v := &invariants.Version{Item: i.key(), Number: i.number, Dropped: i.body == nil, Valid: valid, Sent: at, Acked: invariants.Never}
+	v := &invariants.Version{
+		Item:    i.key(),
+		Number:  i.number,
+		Dropped: i.body == nil,
+		Valid:   valid,
+		Sent:    at,
+		Acked:   invariants.Never,
+	}
 	if i.body == nil {
 		return v
 	}
@@ -109,7 +116,11 @@
 	json.Unmarshal(text, &v.Body)
 	switch i.section {
 	case "routes":
-		r := &invariants.Route{Host: i.body["authority"].(string), Prefix: i.body["pathPrefix"].(string), Public: i.body["public"].(bool)}
+		r := &invariants.Route{
+			Host:   i.body["authority"].(string),
+			Prefix: i.body["pathPrefix"].(string),
+			Public: i.body["public"].(bool),
+		}
 		if s, ok := i.body["backend"].(string); ok {
 			r.Services = []string{s}
 		}
@@ -120,13 +131,18 @@
 		}
 		v.Route = r
 	case "customers":
-		v.Tenant = &invariants.Tenant{Name: i.name, Keys: slices.Clone(i.body["apiKeys"].([]string)), Rate: i.body["ratePerS"].(float64),
-			Burst: i.body["burst"].(float64)}
+		v.Tenant = &invariants.Tenant{
+			Name:  i.name,
+			Keys:  slices.Clone(i.body["apiKeys"].([]string)),
+			Rate:  i.body["ratePerS"].(float64),
+			Burst: i.body["burst"].(float64),
+		}
 	}
 	return v
 }
 
-// send brings items, at node first and, where that fails, at the others, until there is a clear answer; status 0: there was none.
+// send brings items, at node first and, where that fails, at the others, until there is a clear answer; status 0:
+// there was none.
 func (o *operator) send(first int, valid bool, items ...item) (status int) {
 	f := o.f
 	var versions []*invariants.Version
@@ -151,7 +167,8 @@
 			f.acker.Store(f.core[n%len(f.core)])
 			f.ackTimes.add(f.now() - began)
 			return got
-		case got == 400 || got == 409 || got == 412 || got == 413 || got == 422, got/100 == 4 && got != 408 && got != 429 && odd == 2:
+		case got == 400 || got == 409 || got == 412 || got == 413 || got == 422,
+			got/100 == 4 && got != 408 && got != 429 && odd == 2:
 			f.recorder.update(func() {
 				for _, v := range versions {
 					v.Refused = true
@@ -165,7 +182,13 @@
 			odd++
 		}
 		if time.Now().After(until) || f.ctx.Err() != nil {
-			f.recorder.note("a call of %d items was never acknowledged, the %dth answer was %d: %.200s", len(items), n-first+1, got, said)
+			f.recorder.note(
+				"a call of %d items was never acknowledged, the %dth answer was %d: %.200s",
+				len(items),
+				n-first+1,
+				got,
+				said,
+			)
 			return 0
 		}
 		f.pause(pause)
--- a/internal/emulator/loopback/process.go
+++ b/internal/emulator/loopback/process.go
@@ -29,7 +29,8 @@
 	running bool
 }
 
-// launcher starts processes from one thread that lives as long as they: the kernel ends them with it (Pdeathsig), however it dies.
+// launcher starts processes from one thread that lives as long as they: the kernel ends them with it (Pdeathsig),
+// however it dies.
 type launcher struct {
 	calls chan func()
 	over  sync.WaitGroup
@@ -75,8 +76,13 @@
 	}
 	cmd := exec.Command(filepath.Join(p.m.f.o.Bin, p.program), args...)
 	cmd.Dir = p.m.dir
-	cmd.Env = []string{"MULLEINROUTER_CONFIG=" + p.m.settingsPath(p.program), "PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), "LANG=C",
-		"GORACE=halt_on_error=1"} // for programs that have the race detector in them: a race ends the process
+	cmd.Env = []string{
+		"MULLEINROUTER_CONFIG=" + p.m.settingsPath(p.program),
+		"PATH=" + os.Getenv("PATH"),
+		"HOME=" + os.Getenv("HOME"),
+		"LANG=C",
+		"GORACE=halt_on_error=1",
+	} // for programs that have the race detector in them: a race ends the process
 	cmd.Stdout, cmd.Stderr = log, log
 	// A group of its own: an interrupt from the terminal is for us to pass on.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
--- a/internal/emulator/loopback/report.go
+++ b/internal/emulator/loopback/report.go
@@ -111,15 +111,31 @@
 		for _, how := range slices.Sorted(maps.Keys(row.Failed)) {
 			failed += fmt.Sprintf("%s %d ", how, row.Failed[how])
 		}
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%s\t%.0f\t%.0f\n", row.Class, row.Requests, row.Served, row.InTime, row.Refused, cmp.Or(failed, "-"),
-			1000*row.P50, 1000*row.P99)
+		fmt.Fprintf(
+			t,
+			"%s\t%d\t%d\t%d\t%d\t%s\t%.0f\t%.0f\n",
+			row.Class,
+			row.Requests,
+			row.Served,
+			row.InTime,
+			row.Refused,
+			cmp.Or(failed, "-"),
+			1000*row.P50,
+			1000*row.P99,
+		)
 	}
 	fmt.Fprintln(t, "\nprocess\tCPU ms\tpeak MB\tlives")
 	for _, u := range r.Used {
 		fmt.Fprintf(t, "%s\t%d\t%.1f\t%d\n", u.Process, u.CPU.Milliseconds(), float64(u.Peak)/(1<<20), u.Lives)
 	}
 	t.Flush()
-	fmt.Fprintf(w, "\n%d arrivals at servers, %d probes of health, operator's calls p99 %.0f ms\n", r.Arrivals, r.Probes, 1000*r.AckP99)
+	fmt.Fprintf(
+		w,
+		"\n%d arrivals at servers, %d probes of health, operator's calls p99 %.0f ms\n",
+		r.Arrivals,
+		r.Probes,
+		1000*r.AckP99,
+	)
 	for _, text := range slices.Sorted(maps.Keys(r.Answers)) {
 		fmt.Fprintf(w, "%d times an answer of the system's own: %s\n", r.Answers[text], text)
 	}
--- a/internal/emulator/loopback/server.go
+++ b/internal/emulator/loopback/server.go
@@ -79,9 +79,24 @@
 	n := f.serial.Add(1)
 	rng := rand.New(rand.NewPCG(f.o.Seed, uint64(n)))
 	kind := f.services[service]
-	s := &server{f: f, id: fmt.Sprintf("i-%06x%02x", rng.Uint32N(1<<24), n), service: service, generation: generation, zone: zone, slots: kind.slots,
-		work: kind.work, speed: 0.8 + 0.4*rng.Float64(), addr: ln.Addr().String(), ln: ln, began: time.Now(), rng: rng,
-		conns: map[net.Conn]struct{}{}, mishaps: map[misbehaviour]float64{}, bright: make(chan struct{}), sem: make(chan struct{}, kind.slots)}
+	s := &server{
+		f:          f,
+		id:         fmt.Sprintf("i-%06x%02x", rng.Uint32N(1<<24), n),
+		service:    service,
+		generation: generation,
+		zone:       zone,
+		slots:      kind.slots,
+		work:       kind.work,
+		speed:      0.8 + 0.4*rng.Float64(),
+		addr:       ln.Addr().String(),
+		ln:         ln,
+		began:      time.Now(),
+		rng:        rng,
+		conns:      map[net.Conn]struct{}{},
+		mishaps:    map[misbehaviour]float64{},
+		bright:     make(chan struct{}),
+		sem:        make(chan struct{}, kind.slots),
+	}
 	s.ctx, s.end = context.WithCancel(f.world)
 	f.mu.Lock()
 	f.servers = append(f.servers, s)
@@ -239,8 +254,20 @@
 	s.light()
 	now := s.f.now
 	id := r.Header.Get("X-Attempt-Id")
-	a := &invariants.Arrival{ID: id, Instance: s.id, Service: s.service, At: now(), Started: invariants.Never, End: now(), Method: r.Method, Host: r.Host,
-		Target: r.RequestURI, Body: sum(r.body), Tenant: r.Header.Get("X-Tenant"), Expected: r.Header.Get("X-Target-Instance")}
+	a := &invariants.Arrival{
+		ID:       id,
+		Instance: s.id,
+		Service:  s.service,
+		At:       now(),
+		Started:  invariants.Never,
+		End:      now(),
+		Method:   r.Method,
+		Host:     r.Host,
+		Target:   r.RequestURI,
+		Body:     sum(r.body),
+		Tenant:   r.Header.Get("X-Tenant"),
+		Expected: r.Header.Get("X-Target-Instance"),
+	}
 	if id == "" && r.Method == http.MethodGet && r.URL.Path == healthPath {
 		s.f.probes.Add(1)
 		status := 200
@@ -290,7 +317,13 @@
 }
 
 // run works on a request that has a slot, and answers it.
-func (s *server) run(c net.Conn, r asked, a *invariants.Arrival, deadline *time.Timer, gone <-chan struct{}) (more bool) {
+func (s *server) run(
+	c net.Conn,
+	r asked,
+	a *invariants.Arrival,
+	deadline *time.Timer,
+	gone <-chan struct{},
+) (more bool) {
 	now := s.f.now
 	span, chunked, leave, failing, size := s.drawn()
 	what := s.mishap()
--- a/internal/emulator/modelcheck/client.go
+++ b/internal/emulator/modelcheck/client.go
@@ -265,8 +265,9 @@
 	}
 }
 
-// Clients drives the machine of a client's connection, as it is in service and where it hears what has begun to come, through every order of
-// so many events. It returns how many orders there were, and the shortest one that violates a property, with what it violates; nil: none does.
+// Clients drives the machine of a client's connection, as it is in service and where it hears what has begun to come,
+// through every order of so many events. It returns how many orders there were, and the shortest one that violates a
+// property, with what it violates; nil: none does.
 func Clients(depth int) (orders int, trace []string, violation *Violation) {
 	type run struct {
 		world clientWorld
--- a/internal/emulator/modelcheck/connections.go
+++ b/internal/emulator/modelcheck/connections.go
@@ -65,8 +65,9 @@
 	w.idlePool.Closed()
 }
 
-// goesOut is what was held back of a request going out: its last byte, or the first of a long body. Nothing has run before
-// it, so it is what counts as new to the server; what follows the first byte of a long body is not (PROTOCOL, "Figures").
+// goesOut is what was held back of a request going out: its last byte, or the first of a long body. Nothing has run
+// before it, so it is what counts as new to the server; what follows the first byte of a long body is not (PROTOCOL,
+// "Figures").
 func (w *World) goesOut(t *try) {
 	if s := w.server(t.backend); s != nil && (!s.listed || !s.serving) && w.now > s.told+grace+1e-9 {
 		w.violate("drained", "%s goes out to %s %.2f s after that was told to be drained", t.client.name, s.id, w.now-s.told)
--- a/internal/emulator/modelcheck/explore.go
+++ b/internal/emulator/modelcheck/explore.go
@@ -38,7 +38,13 @@
 
 // String is the trace as a text file that Replay reads.
 func (t *Trace) String() string {
-	return fmt.Sprintf("# %s: %s\nworld %v\n%s\n", t.Violation.Property, t.Violation.Text, t.Config, strings.Join(t.Events, "\n"))
+	return fmt.Sprintf(
+		"# %s: %s\nworld %v\n%s\n",
+		t.Violation.Property,
+		t.Violation.Text,
+		t.Config,
+		strings.Join(t.Events, "\n"),
+	)
 }
 
 // Configs are all the small worlds.
@@ -165,11 +171,20 @@
 		}()
 	}
 	wg.Wait()
-	r := &Result{Orderings: x.orderings.Load(), Steps: x.steps.Load(), States: len(x.states), Pairs: len(x.pairs), AllPairs: len(alphabet) * len(alphabet)}
+	r := &Result{
+		Orderings: x.orderings.Load(),
+		Steps:     x.steps.Load(),
+		States:    len(x.states),
+		Pairs:     len(x.pairs),
+		AllPairs:  len(alphabet) * len(alphabet),
+	}
 	for _, t := range x.found {
 		r.Violations = append(r.Violations, Minimize(t))
 	}
-	slices.SortFunc(r.Violations, func(a, b *Trace) int { return strings.Compare(a.Violation.Property, b.Violation.Property) })
+	slices.SortFunc(
+		r.Violations,
+		func(a, b *Trace) int { return strings.Compare(a.Violation.Property, b.Violation.Property) },
+	)
 	return r
 }
 
--- a/internal/emulator/testcluster/load.go
+++ b/internal/emulator/testcluster/load.go
@@ -40,7 +40,7 @@
 
 // load sends the members' requests, at times that do not wait for answers.
 type load struct {
-	run_    *Run
+	cluster *Run
 	client  *http.Client
 	factors []float64 // of a member: asked, in times its quota
 	mu      sync.Mutex
@@ -52,7 +52,7 @@
 const mostOut = 4000
 
 func newLoad(r *Run) *load {
-	l := &load{run_: r, all: map[string]*request{}, client: &http.Client{
+	l := &load{cluster: r, all: map[string]*request{}, client: &http.Client{
 		Timeout: clientMost,
 		Transport: &http.Transport{MaxIdleConnsPerHost: 256, MaxConnsPerHost: 400, IdleConnTimeout: time.Second,
 			DisableCompression: true},
@@ -73,7 +73,7 @@
 
 // run sends until the run's time is up, and waits for the answers.
 func (l *load) run(ctx context.Context) {
-	r := l.run_
+	r := l.cluster
 	rng := rand.New(rand.NewPCG(r.Seed, 2))
 	end := r.begun.Add(time.Duration(r.Seconds * float64(time.Second)))
 	next := make([]time.Time, r.Members)
@@ -114,7 +114,7 @@
 
 // quota is what a member may ask by the plan that it is on at a time, in units a second.
 func (l *load) quota(i int, now time.Time) float64 {
-	r := l.run_
+	r := l.cluster
 	plan := []string{"basic", "plus"}[i%2]
 	if !r.changedBy(now) || i%5 != 0 {
 		return rateOf(plan)
@@ -131,7 +131,7 @@
 
 // send asks one of the ingresses.
 func (l *load) send(id string, q *request, door int) {
-	r := l.run_
+	r := l.cluster
 	l.mu.Lock()
 	addr := r.nodes[door].Addr
 	l.mu.Unlock()
--- a/internal/emulator/testcluster/report.go
+++ b/internal/emulator/testcluster/report.go
@@ -173,7 +173,10 @@
 		m := member(i)
 		if known[m] > arrived[m] || arrived[m] > known[m]+unknown[m] {
 			p.Covered = false
-			p.Problems = append(p.Problems, fmt.Sprintf("%s: %d micro-units arrived, %d billed, %d unknown", m, arrived[m], known[m], unknown[m]))
+			p.Problems = append(
+				p.Problems,
+				fmt.Sprintf("%s: %d micro-units arrived, %d billed, %d unknown", m, arrived[m], known[m], unknown[m]),
+			)
 		}
 	}
 	for n := range p.Lines {
@@ -244,22 +247,47 @@
 	for _, l := range p.Lines {
 		wrong += l.Outcomes[Wrong]
 	}
-	return p.Covered && p.Conflicts == 0 && p.TwiceUnsafe == 0 && p.Nearest <= 1 && p.Unmetered.Tries == 0 && wrong == 0 && len(p.Problems) == 0
+	return p.Covered && p.Conflicts == 0 && p.TwiceUnsafe == 0 && p.Nearest <= 1 && p.Unmetered.Tries == 0 && wrong == 0 &&
+		len(p.Problems) == 0
 }
 
 // Write prints a report as tables.
 func (p *Report) Write(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "plan\tmembers\tasked\tserved\trefused\twith advice\tfailed\tlost\tp50\tp99\tunits arrived\tbilled\tbeyond quota\tunknown\t")
+	fmt.Fprintln(
+		t,
+		"plan\tmembers\tasked\tserved\trefused\twith advice\tfailed\tlost\tp50\tp99\t"+
+			"units arrived\tbilled\tbeyond quota\tunknown\t",
+	)
 	for _, l := range p.Lines {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t%.0f\t%.0f\t%.0f\t%.0f\t\n", l.Name, l.Members, l.Asked, l.Outcomes[Served],
-			l.Outcomes[Refused], l.Advice, l.Outcomes[Failed], l.Outcomes[Lost], l.P50.Round(100*time.Microsecond), l.P99.Round(100*time.Microsecond),
-			l.Arrived, l.Billed, l.Beyond, l.Unknown)
+		fmt.Fprintf(
+			t,
+			"%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t%.0f\t%.0f\t%.0f\t%.0f\t\n",
+			l.Name,
+			l.Members,
+			l.Asked,
+			l.Outcomes[Served],
+			l.Outcomes[Refused],
+			l.Advice,
+			l.Outcomes[Failed],
+			l.Outcomes[Lost],
+			l.P50.Round(100*time.Microsecond),
+			l.P99.Round(100*time.Microsecond),
+			l.Arrived,
+			l.Billed,
+			l.Beyond,
+			l.Unknown,
+		)
 	}
 	t.Flush()
 	fmt.Fprintf(w, "\narrived whole at the quote servers  %.0f units in %d tries\n", p.Arrived, p.ArrivedTries)
 	fmt.Fprintf(w, "billed                              %.0f units in %d tries\n", p.Billed.InUnits(), p.Billed.Tries)
-	fmt.Fprintf(w, "not known whether they arrived      %.0f units in %d tries, listed apart\n", p.Unknown.InUnits(), p.Unknown.Tries)
+	fmt.Fprintf(
+		w,
+		"not known whether they arrived      %.0f units in %d tries, listed apart\n",
+		p.Unknown.InUnits(),
+		p.Unknown.Tries,
+	)
 	verdict := "yes"
 	if !p.Covered {
 		verdict = "NO"
@@ -269,7 +297,13 @@
 	fmt.Fprintf(w, "summary-sends that may have run twice  %d\n", p.TwiceUnsafe)
 	fmt.Fprintf(w, "nearest to a ceiling                %.2f (1 is at it)\n", p.Nearest)
 	if p.Used > 0 {
-		fmt.Fprintf(w, "used of the quota, by members who ask for twice of it  %.3f moved to basic, from two cycles on; %.3f on it all along\n", p.Used, p.UsedAlways)
+		fmt.Fprintf(
+			w,
+			"used of the quota, by members who ask for twice of it  "+
+				"%.3f moved to basic, from two cycles on; %.3f on it all along\n",
+			p.Used,
+			p.UsedAlways,
+		)
 	}
 	if len(p.Problems) > 0 {
 		fmt.Fprintln(w, "\nproblems:\n  "+strings.Join(p.Problems, "\n  "))
