--- a/internal/cluster/configuration/canonical.go
+++ b/internal/cluster/configuration/canonical.go
@@ -10,21 +10,22 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Two bodies have the same content where they are one JSON value (RFC 8259): the order of members, space, and the
-// spelling of numbers and strings are the sender's, and a client may well encode a call anew before it sends it
-// again. The generation at the top is left out: it is the item's version, which has spellings of its own.
+// Two bodies have the same content if they are the same JSON value (RFC 8259). The order of members, the white space,
+// and the spelling of numbers and strings may differ, because a client may encode a call again before it repeats it.
+// The generation at the top level is left out: it is the item's version, which can be spelled in several ways.
 
-// canonicalBody is a body in the one form that all its spellings share. A body that can't be read is its own form.
+// canonicalBody returns the canonical form of a body, which all of its spellings share. A body that cannot be parsed is
+// returned unchanged.
 func canonicalBody(body []byte) []byte {
 	j := jsonReader{text: body}
-	out, err := j.canonical(make([]byte, 0, len(body)), 0)
+	out, err := j.appendCanonical(make([]byte, 0, len(body)), 0)
 	if err != nil || j.end() != nil {
 		return body
 	}
 	return out
 }
 
-// digest is a hash of an item's content. It is stored, so it must not change.
+// digest returns a hash of the item's content. Digests are stored in histories, so the hash must not change.
 func (i Item) digest() uint64 {
 	h := fnv.New64a()
 	if i.Deleted {
@@ -35,7 +36,7 @@
 	return h.Sum64()
 }
 
-// equalBodies reports whether two bodies are one value.
+// equalBodies reports whether two bodies are the same JSON value.
 func equalBodies(a, b []byte) bool {
 	if bytes.Equal(a, b) {
 		return true
@@ -43,25 +44,25 @@
 	return bytes.Equal(canonicalBody(a), canonicalBody(b)) && !mutants.On("configuration/byte-for-byte")
 }
 
-// canonical reads a value and appends its canonical form.
-func (j *jsonReader) canonical(out []byte, depth int) ([]byte, error) {
+// appendCanonical reads a value and appends its canonical form.
+func (j *jsonReader) appendCanonical(out []byte, depth int) ([]byte, error) {
 	if depth > maxDepth {
 		return nil, j.fail("too deep")
 	}
 	switch j.next() {
 	case '{':
-		return j.canonicalObject(out, depth)
+		return j.appendCanonicalObject(out, depth)
 	case '[':
 		out = append(out, '[')
 		err := j.array(func(int) (err error) {
-			out, err = j.canonical(out, depth+1)
+			out, err = j.appendCanonical(out, depth+1)
 			out = append(out, ',')
 			return err
 		})
 		return append(out, ']'), err
 	case '"':
 		s, err := j.string()
-		return quoted(out, s), err
+		return appendQuoted(out, s), err
 	case 't', 'f', 'n':
 		start := j.offset
 		_, err := j.value(depth)
@@ -69,18 +70,18 @@
 	}
 	start := j.offset
 	_, err := j.number()
-	return canonicalNumber(out, string(j.text[start:j.offset])), err
+	return appendCanonicalNumber(out, string(j.text[start:j.offset])), err
 }
 
-// canonicalObject sorts the members by their names.
-func (j *jsonReader) canonicalObject(out []byte, depth int) ([]byte, error) {
+// appendCanonicalObject reads an object and appends it with its members sorted by name.
+func (j *jsonReader) appendCanonicalObject(out []byte, depth int) ([]byte, error) {
 	type member struct {
 		name  string
 		value []byte
 	}
 	var members []member
 	err := j.object(func(name string) error {
-		value, err := j.canonical(nil, depth+1)
+		value, err := j.appendCanonical(nil, depth+1)
 		if depth > 0 || name != "generation" {
 			members = append(members, member{name, value})
 		}
@@ -89,20 +90,20 @@
 	slices.SortFunc(members, func(a, b member) int { return strings.Compare(a.name, b.name) })
 	out = append(out, '{')
 	for _, m := range members {
-		out = append(quoted(out, m.name), ':')
+		out = append(appendQuoted(out, m.name), ':')
 		out = append(append(out, m.value...), ',')
 	}
 	return append(out, '}'), err
 }
 
-// canonicalNumber appends a number as an integer without trailing zeros and a power of ten. Nothing is lost, as it
-// would be in binary fractions: two numbers have the same form only if they are equal.
-func canonicalNumber(out []byte, number string) []byte {
+// appendCanonicalNumber appends a number as an integer without trailing zeros and a power of ten. This loses no
+// precision, as binary fractions would, so two numbers have the same form only if they are equal.
+func appendCanonicalNumber(out []byte, number string) []byte {
 	digits, exponent := number, 0
 	if e := strings.IndexAny(number, "eE"); e >= 0 {
 		parsed, err := strconv.ParseInt(number[e+1:], 10, 32)
 		if err != nil {
-			return append(out, number...) // beyond any use: its own form
+			return append(out, number...) // the exponent exceeds 32 bits: the number stays as spelled
 		}
 		digits, exponent = number[:e], int(parsed)
 	}
--- a/internal/cluster/configuration/canonical_test.go
+++ b/internal/cluster/configuration/canonical_test.go
@@ -13,7 +13,8 @@
 	"github.com/matryer/is"
 )
 
-// value is what the standard library reads, with numbers as exact fractions.
+// value returns a body as the standard library decodes it, with numbers as exact fractions and without the top-level
+// generation.
 func value(t *testing.T, body string) any {
 	t.Helper()
 	d := json.NewDecoder(strings.NewReader(body))
@@ -49,7 +50,7 @@
 	return v
 }
 
-// spell writes a random value drawn from r, in a random spelling drawn from how.
+// spell returns a random value as JSON. r determines the value, and how determines its spelling.
 func spell(r, how *rand.Rand, depth int) string {
 	space := func() string { return []string{"", "", " ", "\n\t"}[how.IntN(4)] }
 	text := func(s string) string {
@@ -117,7 +118,7 @@
 		{`{"a":1e999}`, `{"a":2e999}`, false},
 		{`{"a":1e99999999999}`, `{"a":1e99999999999}`, true},
 		{`{"a":9007199254740993}`, `{"a":9007199254740992}`, false},
-		{`{"a":{"generation":"1"}}`, `{"a":{"generation":"2"}}`, false}, // only the item's own is its version
+		{`{"a":{"generation":"1"}}`, `{"a":{"generation":"2"}}`, false}, // only the top-level one is the version
 		{`{"a":null}`, `{}`, false},
 		{`{"a":"1"}`, `{"a":1}`, false},
 		{`{"a":"b\",\"c"}`, `{"a":"b","c":""}`, false},
@@ -125,7 +126,7 @@
 	} {
 		is.Equal(item(c.a).SameContent(item(c.b)), c.same)
 		is.Equal(item(c.a).digest() == item(c.b).digest(), c.same)
-		is.True(bytes.Equal(canonicalBody(canonicalBody([]byte(c.a))), canonicalBody([]byte(c.a)))) // it has one form
+		is.True(bytes.Equal(canonicalBody(canonicalBody([]byte(c.a))), canonicalBody([]byte(c.a)))) // it is stable
 	}
 	different := 0
 	for seed := range uint64(5000) {
@@ -147,14 +148,15 @@
 	is.True(different > 1000)
 }
 
-// hasUniqueNames reports whether no object in a body has a name twice.
+// hasUniqueNames reports whether the names in each object of a body are unique.
 func hasUniqueNames(body string) bool {
 	r := jsonReader{text: []byte(body)}
 	_, err := r.value(0)
 	return err == nil
 }
 
-// A call that succeeded succeeds again in any spelling, and another one under its version is rejected.
+// A client that repeats a successful call may spell it differently: the repeated call succeeds, and a call with other
+// content under the same version is rejected.
 func TestRepeatedCallInAnotherSpelling(t *testing.T) {
 	is := is.New(t)
 	first := `{"upsert":{"services":{"s":{"healthPath":"/h","maxConns":130,"protocol":"h1","generation":"0000000a"}},
--- a/internal/cluster/configuration/claims.go
+++ b/internal/cluster/configuration/claims.go
@@ -1,10 +1,10 @@
 package configuration
 
-// claim is a list of those who claim one thing, in the order of their precedence: the first has it, and once it gives
-// it up the next one does. Claims are immutable.
+// claim is a list of the routes or tenants that claim one key, in order of precedence: the first one has the key, and
+// when it withdraws its claim the next one takes over. Claims are immutable.
 type claim[T any] struct {
-	by   *T
-	next *claim[T]
+	entity *T
+	next   *claim[T]
 }
 
 type claimant[T any] interface {
@@ -12,33 +12,33 @@
 	takesPrecedenceOver(*T) bool
 }
 
-func withClaimant[T any, P claimant[T]](c *claim[T], by P) *claim[T] {
-	if c == nil || by.takesPrecedenceOver(c.by) {
-		return &claim[T]{by, c}
+func withClaimant[T any, P claimant[T]](c *claim[T], entity P) *claim[T] {
+	if c == nil || entity.takesPrecedenceOver(c.entity) {
+		return &claim[T]{entity, c}
 	}
-	return &claim[T]{c.by, withClaimant(c.next, by)}
+	return &claim[T]{c.entity, withClaimant(c.next, entity)}
 }
 
-func (c *claim[T]) without(by *T) *claim[T] {
+func (c *claim[T]) without(entity *T) *claim[T] {
 	switch {
 	case c == nil:
 		return nil
-	case c.by == by:
+	case c.entity == entity:
 		return c.next
 	}
-	return &claim[T]{c.by, c.next.without(by)}
+	return &claim[T]{c.entity, c.next.without(entity)}
 }
 
 // addClaim adds a claim on a key to an index.
-func addClaim[K hashed, T any, P claimant[T]](index trie[K, *claim[T]], e *edit, key K, by P) trie[K, *claim[T]] {
+func addClaim[K hashed, T any, P claimant[T]](index trie[K, *claim[T]], e *edit, key K, entity P) trie[K, *claim[T]] {
 	c, _ := index.get(key)
-	return index.with(e, key, withClaimant(c, by))
+	return index.with(e, key, withClaimant(c, entity))
 }
 
 // removeClaim removes a claim on a key from an index.
-func removeClaim[K hashed, T any](index trie[K, *claim[T]], e *edit, key K, by *T) trie[K, *claim[T]] {
+func removeClaim[K hashed, T any](index trie[K, *claim[T]], e *edit, key K, entity *T) trie[K, *claim[T]] {
 	c, _ := index.get(key)
-	if c = c.without(by); c != nil {
+	if c = c.without(entity); c != nil {
 		return index.with(e, key, c)
 	}
 	return index.without(e, key)
--- a/internal/cluster/configuration/entities.go
+++ b/internal/cluster/configuration/entities.go
@@ -5,68 +5,68 @@
 	"strings"
 )
 
-// Bounds of one item: far above what is of use, so that no single item can fill a machine.
+// Limits on one item. They are far above practical needs, and keep a single item from filling a machine's memory.
 const (
-	MaxNameBytes     = 256     // of a name
-	MaxHostBytes     = 255     // of a host
-	MaxPrefixBytes   = 1024    // of a path's prefix, and so of the part of a request's path that is compared
-	MaxKeyBytes      = 1024    // of a tenant's key
-	MaxKeys          = 10_000  // of a tenant
-	MaxSplitServices = 1000    // of a route
-	MaxBodyBytes     = 1 << 20 // of an item's body
+	MaxNameBytes     = 256     // bytes in a name
+	MaxHostBytes     = 255     // bytes in a host
+	MaxPrefixBytes   = 1024    // bytes in a path prefix; no more of a request's path is compared
+	MaxKeyBytes      = 1024    // bytes in an API key
+	MaxKeys          = 10_000  // API keys of one tenant
+	MaxSplitServices = 1000    // weighted services of one route
+	MaxBodyBytes     = 1 << 20 // bytes in an item's body
 )
 
-// Route is what a route's item says.
+// Route is the decoded body of a route item.
 type Route struct {
 	Name     string
-	Host     string  // in lower case, without a port
-	Prefix   string  // of the path; begins and ends with a slash
+	Host     string  // lower case, without a port
+	Prefix   string  // path prefix; begins and ends with a slash
 	Mutating bool    // not idempotent: at most one execution for each attempt of a client
-	Deadline float64 // seconds that a request may take at most
-	// LatencyTarget is the time in seconds within which an answer has its full value; the deadline where none is given.
+	Deadline float64 // longest time that a request may take, in seconds
+	// LatencyTarget is the time in seconds within which an answer has its full value. It defaults to Deadline.
 	LatencyTarget float64
 	Priority      int               // 0 is the highest
 	MaxAttempts   int               // servers that one attempt of a client may be sent to; at least 1
-	Public        bool              // no key is needed
-	Service       string            // where Split is empty
+	Public        bool              // requests need no API key
+	Service       string            // used if Split is empty
 	Split         []WeightedService // takes precedence over Service
 	Version       uint64
 	Epoch         uint64
 }
 
-// WeightedService is a service with its part of a route's requests.
+// WeightedService is a service and its share of a route's requests.
 type WeightedService struct {
 	Service string
-	Weight  float64 // relative to the sum of all weights of the route
+	Weight  float64 // relative to the sum of the route's weights
 }
 
-// Tenant is what a tenant's item says.
+// Tenant is the decoded body of a tenant item.
 type Tenant struct {
 	Name     string
 	Keys     []string
 	Priority int     // takes precedence over the route's; 0 is the highest
-	Rate     float64 // requests a second over all ingresses; 0: no limit
-	Burst    float64 // requests beyond the rate
+	Rate     float64 // requests per second over all ingresses; 0: no limit
+	Burst    float64 // requests allowed beyond the rate
 	Version  uint64
 	Epoch    uint64
 }
 
-// Service is what a service's item says.
+// Service is the decoded body of a service item.
 type Service struct {
 	Name           string
-	Health         string // path of its servers' health check; empty: none is known
-	MaxConnections int    // that one of its servers takes from all callers together; 0: not known
+	Health         string // path of the servers' health check; empty: unknown
+	MaxConnections int    // connections per server, over all callers; 0: unknown
 	Version        uint64
 }
 
-// ClientLimits is what a client may send and how long it may take. 0: no limit is set.
+// ClientLimits limits the size and the duration of clients' requests. A limit of 0 means that none is set.
 type ClientLimits struct {
 	HeaderBytes, BodyBytes int
 	HeaderTime, IdleTime   float64 // seconds
 }
 
-// HostOf is the host of an authority or of a Host header, in the form in which routes have it: in lower case, without
-// the port.
+// HostOf returns the host of an authority or of a Host header in the form that routes use: lower case, without the
+// port.
 func HostOf(authority string) string {
 	if i := strings.LastIndexByte(authority, ':'); i > strings.LastIndexByte(authority, ']') {
 		authority = authority[:i]
@@ -74,14 +74,14 @@
 	return strings.ToLower(authority)
 }
 
-// routeKey is what a route matches. No two routes of a valid snapshot have the same.
+// routeKey is the host and the path prefix that a route matches. It is unique among the routes of a valid snapshot.
 type routeKey struct{ host, prefix string }
 
 func (r routeKey) hash() uint64 { return mix(hashString(hashHost(r.host), r.prefix)) }
 
 func (r *Route) key() routeKey { return routeKey{r.Host, r.Prefix} }
 
-// eachService goes through the services that a route names, a service as often as it is named.
+// eachService calls yield for each service that a route names, once for each mention.
 func (r *Route) eachService(yield func(service string)) {
 	if r.Service != "" {
 		yield(r.Service)
@@ -91,13 +91,15 @@
 	}
 }
 
-// takesPrecedenceOver reports which of two routes has a key that both claim, while the update of the one that gave it
-// up is still on its way: that of the higher epoch, then of the higher version, then the first by name.
+// takesPrecedenceOver reports whether a route wins over another one that claims the same key. Two routes claim the same
+// key while the update of the one that released it has not arrived yet. The higher epoch wins, then the higher version,
+// then the name that sorts first.
 func (r *Route) takesPrecedenceOver(o *Route) bool {
 	return comparePrecedence(r.Epoch, o.Epoch, r.Version, o.Version, r.Name, o.Name)
 }
 
-// takesPrecedenceOver reports which of two tenants has an API key that both claim, as for routes.
+// takesPrecedenceOver reports whether a tenant wins over another one that claims the same API key, by the rules for
+// routes.
 func (t *Tenant) takesPrecedenceOver(o *Tenant) bool {
 	return comparePrecedence(t.Epoch, o.Epoch, t.Version, o.Version, t.Name, o.Name)
 }
--- a/internal/cluster/configuration/errors.go
+++ b/internal/cluster/configuration/errors.go
@@ -11,10 +11,11 @@
 	statusConflict = 409
 )
 
-// RejectionError is why an operator's call has no effect: no part of it does. Its text is the body of the answer.
+// RejectionError is the reason why an operator's call is rejected. No part of the call takes effect. Its text is the
+// body of the answer.
 type RejectionError struct {
 	Status int    // 400: the call is invalid; 409: another call has set something else under the same version
-	Text   string // for the operator: short, one line
+	Text   string // one short line for the operator
 }
 
 func (r *RejectionError) Error() string { return r.Text }
@@ -23,15 +24,15 @@
 	return &RejectionError{Status: statusInvalid, Text: fmt.Sprintf(format, args...)}
 }
 
-// FieldError is a field of an item's body that can't be read.
+// FieldError is an invalid field of an item's body.
 type FieldError struct {
-	Path    string // names and list indexes, separated by points
+	Path    string // names and list indexes, separated by dots
 	Problem string
 }
 
 func (f *FieldError) Error() string { return f.Path + ": " + f.Problem }
 
-// SyntaxError is text that is not JSON, or breaks a limit of its reader.
+// SyntaxError is text that is not JSON or exceeds a limit of the reader.
 type SyntaxError struct {
 	Offset  int // bytes from the start
 	Problem string
@@ -39,7 +40,7 @@
 
 func (s *SyntaxError) Error() string { return fmt.Sprintf("byte %d: %s", s.Offset, s.Problem) }
 
-// What may be wrong with an item as a whole.
+// Errors of an item as a whole.
 var (
 	errLimitsNamed    = errors.New("the limits have no name")
 	errLimitsDeleted  = errors.New("cannot be dropped")
--- a/internal/cluster/configuration/field_reader.go
+++ b/internal/cluster/configuration/field_reader.go
@@ -5,17 +5,18 @@
 	"math"
 )
 
-// maxSeconds is the longest time that a field may set: longer ones are taken for it.
+// maxSeconds is the longest time that a field can set, in seconds. It is about 32 years, which a time.Duration can
+// hold. Longer times are reduced to it.
 const maxSeconds = 1e9
 
-// fieldReader reads the fields of a JSON object, and keeps the first error. A field that is null is not given.
+// fieldReader reads the fields of a JSON object and keeps the first error. A null field counts as absent.
 type fieldReader struct {
-	path   string // of the object, with a point behind it; empty for the body itself
+	path   string // path of the object, with a trailing dot; empty for the body itself
 	fields map[string]any
 	err    error // a *FieldError
 }
 
-// openBody reads the body of an item of a kind that is not deleted.
+// openBody parses the body of an item, which must be of the given kind and not deleted.
 func openBody(i Item, kind Kind) (*fieldReader, error) {
 	switch err := i.Key.checkName(); {
 	case err != nil:
@@ -47,7 +48,7 @@
 	}
 }
 
-// element is the reader of an object in a list.
+// element returns a reader of an object in a list.
 func (f *fieldReader) element(list string, index int, v any) *fieldReader {
 	fields, ok := v.(map[string]any)
 	element := &fieldReader{path: fmt.Sprintf("%s%s.%d.", f.path, list, index), fields: fields}
@@ -87,13 +88,13 @@
 	return number
 }
 
-// amount is a number that is not below 0 and may have a fraction.
+// amount reads a number that is at least 0 and may have a fraction.
 func (f *fieldReader) amount(name string) float64 { return f.number(name, 0) }
 
-// seconds is a time that is given in milliseconds.
+// seconds reads a time in milliseconds and returns it in seconds.
 func (f *fieldReader) seconds(name string) float64 { return min(f.number(name, 0)/1000, maxSeconds) }
 
-// integer is a number without its fraction, within 32 bits.
+// integer reads a number, drops its fraction, and limits it to the range of 32 bits.
 func (f *fieldReader) integer(name string, minimum float64) int {
 	return int(min(max(f.number(name, minimum), math.MinInt32), math.MaxInt32))
 }
--- a/internal/cluster/configuration/golden_test.go
+++ b/internal/cluster/configuration/golden_test.go
@@ -12,8 +12,9 @@
 	"testing"
 )
 
-// goldenFile lists digests, positions, rendered snapshots and texts of rejections as the landed version 76a3bb5 made
-// them. Digests are on disk, positions on the wire, and the others are the operators' API.
+// goldenFile lists digests, positions, rendered snapshots and texts of rejections as commit 76a3bb5 produced them. They
+// must not change: digests are stored on disk, positions are sent on the wire, and the others are part of the
+// operators' API.
 const goldenFile = "testdata/golden-76a3bb5.txt"
 
 // goldenBodies are bodies whose digests are recorded.
@@ -23,7 +24,7 @@
 	`{"a":1e99999999999}`, `{"a":9007199254740993}`, `{"torn`, `[]`, `{"a":"😀\"\\"}`,
 }
 
-// goldenCalls is how many random calls are made.
+// goldenCalls is the number of random calls.
 const goldenCalls = 5000
 
 func TestGolden(t *testing.T) {
@@ -42,7 +43,7 @@
 	}
 }
 
-// goldenText is what is recorded.
+// goldenText returns the text that is compared with goldenFile.
 func goldenText() string {
 	var out strings.Builder
 	for _, body := range goldenBodies {
@@ -90,7 +91,7 @@
 	return fmt.Sprint(rejection.Status, " ", rejection.Text)
 }
 
-// goldenFields are values of fields, valid and not, by the field's name.
+// goldenFields lists valid and invalid fields of items by kind.
 var goldenFields = map[Kind][]string{
 	Routes: {
 		`"authority":"A.example:80"`, `"authority":""`, `"pathPrefix":"/a/"`, `"pathPrefix":"/a"`, `"pathPrefix":"a/"`,
@@ -117,7 +118,7 @@
 	Limits: {`"maxBodyBytes":5`, `"maxHeaderBytes":-5`, `"headerTimeoutMs":1e99`, `"idleTimeoutMs":"x"`},
 }
 
-// goldenCall draws a call: some are damaged, and most of the others are rejected.
+// goldenCall returns a random call. Some calls are malformed, and most of the others are rejected.
 func goldenCall(rnd *rand.Rand) string {
 	generation := fmt.Sprintf(`"generation":"%08x"`, 1+rnd.IntN(6))
 	name := fmt.Sprintf("s%d", 1+rnd.IntN(3))
--- a/internal/cluster/configuration/history.go
+++ b/internal/cluster/configuration/history.go
@@ -7,32 +7,32 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// History is what is kept of acknowledged versions of an item that a higher one has superseded, whether they came
-// before or after it: enough to tell a call that is sent again from another one under the same version. The highest
-// version comes first. It is never changed in place.
+// History lists acknowledged versions of an item that a higher version has superseded, the highest first. A superseded
+// version may have arrived before or after the higher one. The history makes it possible to tell a repeated call from a
+// different call under the same version. It is never modified in place.
 type History []HistoricVersion
 
 // HistoricVersion is one superseded version.
 type HistoricVersion struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
-	Digest  uint64 // of the item's content, see Item.digest
+	Digest  uint64 // hash of the item's content, see Item.digest
 }
 
-// maxHistory is how many versions of an item are kept, the highest. A client that sends again after as many other
-// changes of one item has waited for minutes.
+// maxHistory is the number of superseded versions that are kept of an item; the lowest ones are dropped. A client that
+// repeats a call only after this many other changes of the item has waited for minutes.
 const maxHistory = 16
 
-// find is where a version is in the history, or would be inserted.
+// find returns the index of a version in the history, or the index at which it would be inserted.
 func (h History) find(version uint64) (index int, found bool) {
 	return slices.BinarySearchFunc(h, version, func(v HistoricVersion, version uint64) int {
 		return cmp.Compare(version, v.Version)
 	})
 }
 
-// lookupHistory is the digest of a superseded version, if it is found. Where it is not, isNew tells whether it never
-// came: the history would still have it otherwise. A version that is neither found nor new is too old, and nothing is
-// known about it.
+// lookupHistory returns the digest of a superseded version if the history has it. If not, isNew reports whether the
+// version has never arrived, because otherwise the history would still have it. A version that is neither found nor new
+// is too old, and nothing is known about it.
 func (i Item) lookupHistory(version uint64) (digest uint64, found, isNew bool) {
 	if i.History == nil || mutants.On("configuration/forgets-past") {
 		return 0, false, !mutants.On("configuration/forgets-past")
@@ -45,7 +45,7 @@
 	return 0, false, n < maxHistory
 }
 
-// with is the history with one more version.
+// with returns the history with the version of an item added.
 func (h *History) with(i Item) *History {
 	var history History
 	if h != nil {
@@ -57,7 +57,7 @@
 	return &history
 }
 
-// differsFrom reports whether a history has something that another one lacks or contradicts.
+// differsFrom reports whether a history is not nil and differs from another one.
 func (h *History) differsFrom(o *History) bool {
 	return h != nil && (o == nil || !slices.Equal(*h, *o))
 }
--- a/internal/cluster/configuration/item.go
+++ b/internal/cluster/configuration/item.go
@@ -9,10 +9,10 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Kind is a kind of items.
+// Kind is the kind of an item.
 type Kind uint8
 
-// The kinds. Limits is a single item, whose name is empty.
+// The kinds of items. There is a single item of the kind Limits, and its name is empty.
 const (
 	Routes Kind = iota + 1
 	Tenants
@@ -20,10 +20,10 @@
 	Limits
 )
 
-// sections are the kinds by the names that the operators' calls have for them.
+// sections maps the section names in operators' calls to kinds.
 var sections = map[string]Kind{"routes": Routes, "customers": Tenants, "services": Services, "limits": Limits}
 
-// String is the kind's name in the operators' calls.
+// String returns the kind's name in operators' calls.
 func (k Kind) String() string {
 	for name, kind := range sections {
 		if kind == k {
@@ -33,13 +33,13 @@
 	return "unknown"
 }
 
-// Key names an item.
+// Key identifies an item.
 type Key struct {
 	Kind Kind   `cbor:"1,keyasint"`
 	Name string `cbor:"2,keyasint,omitempty"`
 }
 
-// maxKeyNameBytes bounds the names in keys from other processes: above what any operator's call may have.
+// maxKeyNameBytes bounds the names in keys from other processes, in bytes. It is above the limit for operators' calls.
 const maxKeyNameBytes = 4096
 
 // Compare orders keys by kind, then by name.
@@ -47,12 +47,12 @@
 	return cmp.Or(cmp.Compare(k.Kind, o.Kind), cmp.Compare(k.Name, o.Name))
 }
 
-// Valid reports whether a key from another process can be one at all.
+// Valid reports whether a key from another process has a known kind and a name within the bounds.
 func (k Key) Valid() bool {
 	return k.Kind >= Routes && k.Kind <= Limits && len(k.Name) <= maxKeyNameBytes
 }
 
-// String is how messages to the operator name an item.
+// String returns the name of an item in messages to the operator.
 func (k Key) String() string {
 	if k.Kind == Limits && k.Name == "" {
 		return "limits"
@@ -60,8 +60,8 @@
 	return fmt.Sprintf("%s %.80q", k.Kind, k.Name)
 }
 
-// checkName reports what is wrong with the name of an item. Control characters are rejected: the names of tenants go
-// into headers.
+// checkName returns an error if the name of an item is invalid. Control characters are rejected, because the names of
+// tenants are sent in headers.
 func (k Key) checkName() error {
 	switch {
 	case k.Kind == Limits && k.Name != "":
@@ -80,28 +80,28 @@
 
 func isControl(c rune) bool { return c < ' ' || c == 0x7f }
 
-// Item is one version of an item.
+// Item is one version of a configuration item.
 type Item struct {
 	Key     Key    `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
 	Deleted bool   `cbor:"3,keyasint,omitempty"`
 
-	// Body is the JSON object as the operator sent it, without insignificant space; none where the item is deleted. It
-	// is never changed in place.
+	// Body is the JSON object as the operator sent it, without insignificant space. A deleted item has none. It is
+	// never modified in place.
 	Body []byte `cbor:"4,keyasint,omitempty"`
-	// Epoch is that of the change with which the item was chosen; 0: it is not chosen yet.
+	// Epoch is the epoch of the change in which this version was chosen; 0: it is not chosen yet.
 	Epoch uint64 `cbor:"5,keyasint,omitempty"`
-	// History is the versions that this one superseded; nil: none, or it is not merged yet.
+	// History lists the versions that this one superseded; nil: none, or the item is not merged yet.
 	History *History `cbor:"6,keyasint,omitempty"`
 }
 
-// itemOverhead is about how many bytes an item's encoding has beside its name and its body.
+// itemOverhead is the approximate number of bytes in an item's encoding in addition to its name and its body.
 const itemOverhead = 64
 
-// Size is about how many bytes the item's encoding has, without its history.
+// Size returns the approximate length of the item's encoding in bytes, without its history.
 func (i Item) Size() int { return itemOverhead + len(i.Key.Name) + len(i.Body) }
 
-// NewerThan reports whether an item replaces another one of its key: only a higher version does.
+// NewerThan reports whether an item replaces another one with the same key. Only a higher version does.
 func (i Item) NewerThan(old Item) bool {
 	return i.Version > old.Version || i.Version == old.Version && mutants.On("configuration/equal-wins")
 }
@@ -111,8 +111,8 @@
 	return i.Key == o.Key && i.Version == o.Version && i.Deleted == o.Deleted && equalBodies(i.Body, o.Body)
 }
 
-// contradicts reports whether an item has other content than the current one has, or is known to have had, under the
-// same version.
+// contradicts reports whether the content of an item differs from that which the current item has, or is known to have
+// had, under the same version.
 func (i Item) contradicts(current Item) bool {
 	if i.Version == current.Version {
 		return !i.SameContent(current)
--- a/internal/cluster/configuration/json_reader.go
+++ b/internal/cluster/configuration/json_reader.go
@@ -7,24 +7,26 @@
 	"unicode/utf8"
 )
 
-// jsonReader reads JSON (RFC 8259) strictly and in one pass: an operator's call is read completely or not at all, and
-// its bytes are kept beside what was read. A name that is given twice in one object is rejected, since readers differ
-// on which of the two counts. Its errors are *SyntaxError, or those of the functions that it calls.
+// jsonReader reads JSON (RFC 8259) strictly and in one pass. An operator's call is read completely or not at all, and
+// the bytes of an item's body are kept in addition to the parsed value. A name that occurs twice in one object is
+// rejected, because JSON readers differ on which of the two counts. Errors are *SyntaxError, or those of the functions
+// that it calls.
 type jsonReader struct {
 	text   []byte
 	offset int
 }
 
-// maxDepth is how deep arrays and objects may be nested: real bodies need four levels.
+// maxDepth is the deepest nesting of arrays and objects, in levels. It bounds the recursion; real bodies need four
+// levels.
 const maxDepth = 64
 
-// escapeBytes is the length of \uXXXX, of which hexDigits are digits.
+// Lengths in bytes: escapeBytes is that of a \uXXXX escape, and hexDigits that of its digits.
 const (
 	escapeBytes = 6
 	hexDigits   = 4
 )
 
-// knownStrings are names and values that most bodies have: they are not allocated anew for each item.
+// knownStrings holds names and values that occur in most bodies, so that they are not allocated for each item.
 var knownStrings = internStrings(
 	"authority", "pathPrefix", "routeKind", "deadlineMs", "targetMs", "priority", "maxTries",
 	"public", "backend", "weighted", "share",
@@ -54,7 +56,7 @@
 
 func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\n' || c == '\r' }
 
-// next is the next byte that is no space; 0 at the end.
+// next skips space and returns the byte that follows, without consuming it; 0 at the end.
 func (j *jsonReader) next() byte {
 	j.skipSpace()
 	if j.offset == len(j.text) {
@@ -71,7 +73,7 @@
 	return nil
 }
 
-// object reads an object; member reads the value of each name.
+// object reads an object and calls member to read the value of each name.
 func (j *jsonReader) object(member func(name string) error) error {
 	if j.next() != '{' {
 		return j.fail("no object")
@@ -108,7 +110,7 @@
 	}
 }
 
-// array reads an array; element reads each value.
+// array reads an array and calls element to read each value.
 func (j *jsonReader) array(element func(index int) error) error {
 	if j.next() != '[' {
 		return j.fail("no list")
@@ -135,7 +137,7 @@
 	}
 }
 
-// value reads any value: a map[string]any, []any, string, float64 (infinite where it is too large), bool or nil.
+// value reads any value as a map[string]any, []any, string, float64 (infinite if it is too large), bool or nil.
 func (j *jsonReader) value(depth int) (any, error) {
 	if depth > maxDepth {
 		return nil, j.fail("too deep")
@@ -193,7 +195,8 @@
 			return 0, j.fail("no digits in the exponent")
 		}
 	}
-	f, _ := strconv.ParseFloat(string(j.text[start:j.offset]), 64) // it is a number; out of range it is infinite
+	// The syntax is valid, so the only possible error is a number out of range, which becomes infinite.
+	f, _ := strconv.ParseFloat(string(j.text[start:j.offset]), 64)
 	return f, nil
 }
 
@@ -217,10 +220,10 @@
 	return false
 }
 
-// string reads a string, whose opening quote is next.
+// string reads a string. The next byte must be its opening quote.
 func (j *jsonReader) string() (string, error) {
 	j.offset++
-	start := j.offset // of the bytes that are not in unescaped yet
+	start := j.offset // start of the bytes that are not yet copied to unescaped
 	var unescaped []byte
 	for {
 		if j.offset == len(j.text) {
@@ -256,7 +259,7 @@
 	}
 }
 
-// escape reads what begins with a backslash. Half of a surrogate pair stands for nothing: it becomes U+FFFD.
+// escape reads an escape sequence. Half of a surrogate pair encodes no character and becomes U+FFFD.
 func (j *jsonReader) escape() (rune, error) {
 	if j.offset+1 >= len(j.text) {
 		return 0, j.fail("a string without an end")
@@ -282,7 +285,7 @@
 	return 0, j.fail("an unknown escape")
 }
 
-// unicodeEscape reads the digits behind \u, and the other half of a surrogate pair.
+// unicodeEscape reads the digits after \u and, if they are half of a surrogate pair, the other half.
 func (j *jsonReader) unicodeEscape() (rune, error) {
 	char, ok := j.codeUnit(j.offset)
 	if !ok {
@@ -303,7 +306,7 @@
 	return utf8.RuneError, nil
 }
 
-// codeUnit is the four hexadecimal digits at an offset.
+// codeUnit returns the UTF-16 code unit that the four hexadecimal digits at an offset encode.
 func (j *jsonReader) codeUnit(offset int) (rune, bool) {
 	if offset+hexDigits > len(j.text) {
 		return 0, false
--- a/internal/cluster/configuration/json_text.go
+++ b/internal/cluster/configuration/json_text.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// parseHex reads a number of hexadecimal digits and nothing else.
+// parseHex parses a text that consists of hexadecimal digits alone.
 func parseHex(s string) (n uint64, ok bool) {
 	for i := 0; i < len(s); i++ {
 		switch c := s[i]; {
@@ -17,8 +17,9 @@
 	return n, s != ""
 }
 
-// compacted is a copy of valid JSON without the space outside of its strings, of exactly the length that it needs.
-func compacted(text []byte) []byte {
+// compactJSON returns a copy of valid JSON without the space outside of its strings, in a slice of exactly the needed
+// length.
+func compactJSON(text []byte) []byte {
 	n := 0
 	significantBytes(text, func(byte) { n++ })
 	out := make([]byte, 0, n)
@@ -29,7 +30,7 @@
 	return out
 }
 
-// significantBytes goes through valid JSON without the space outside of its strings.
+// significantBytes calls yield for each byte of valid JSON, except for the space outside of its strings.
 func significantBytes(text []byte, yield func(byte)) {
 	inString := false
 	for i := 0; i < len(text); i++ {
@@ -39,7 +40,7 @@
 		}
 		yield(c)
 		switch c {
-		case '\\': // only in a string
+		case '\\': // occurs only in a string
 			i++
 			yield(text[i])
 		case '"':
@@ -48,8 +49,8 @@
 	}
 }
 
-// quoted appends a string as JSON.
-func quoted(out []byte, s string) []byte {
+// appendQuoted appends a text as a JSON string.
+func appendQuoted(out []byte, s string) []byte {
 	out = append(out, '"')
 	for i := 0; i < len(s); i++ {
 		switch c := s[i]; {
--- a/internal/cluster/configuration/model_test.go
+++ b/internal/cluster/configuration/model_test.go
@@ -12,7 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// model is the slow plain model of a snapshot: all items in a map, everything else found by going through them.
+// model is a slow, plain model of a snapshot. It keeps all items in a map, and finds everything else by iterating over
+// them.
 type model map[Key]Item
 
 func (m model) merge(items []Item) {
@@ -23,7 +24,7 @@
 	}
 }
 
-// modelHistory is the plain model of what is superseded: of each key the highest versions, the highest first.
+// modelHistory is a plain model of the histories: the highest superseded versions of each key, the highest first.
 type modelHistory map[Key][]Item
 
 func (h modelHistory) has(i Item) (Item, bool) {
@@ -34,7 +35,7 @@
 	return h[i.Key][n], true
 }
 
-// with adds one version, and reports whether it is new.
+// with adds one version, and reports whether it is new and high enough to be kept.
 func (h modelHistory) with(i Item) bool {
 	if _, ok := h.has(i); ok {
 		return false
@@ -64,14 +65,14 @@
 	return list
 }
 
-// check is the status of a call, which the model merges where that is 200.
+// check returns the status of a call. The model merges the items if the status is 200.
 func (m model) check(items []Item, history modelHistory) int {
 	for _, i := range items {
-		if _, err := readItem(i); err != nil {
+		if _, err := parseItem(i); err != nil {
 			return 400
 		}
 	}
-	next, left, late := maps.Clone(m), maps.Clone(history), []Item(nil)
+	next, superseded, late := maps.Clone(m), maps.Clone(history), []Item(nil)
 	for _, i := range items {
 		old, ok := m[i.Key]
 		switch {
@@ -81,12 +82,12 @@
 				return 409
 			}
 		case old.Version < i.Version:
-			left.with(old)
+			superseded.with(old)
 		default:
-			if left.with(i) {
+			if superseded.with(i) {
 				late = append(late, i)
 			}
-			if was, ok := left.has(i); ok && !was.SameContent(i) {
+			if was, ok := superseded.has(i); ok && !was.SameContent(i) {
 				return 409
 			}
 		}
@@ -119,7 +120,7 @@
 		}
 	}
 	maps.Copy(m, next)
-	maps.Copy(history, left)
+	maps.Copy(history, superseded)
 	return 200
 }
 
@@ -130,7 +131,7 @@
 		"services":  map[string]json.RawMessage{},
 	}
 	for k, i := range m {
-		if _, err := readItem(i); err != nil || i.Deleted {
+		if _, err := parseItem(i); err != nil || i.Deleted {
 			continue
 		}
 		if k.Kind == Limits {
@@ -143,14 +144,14 @@
 	return string(b)
 }
 
-// What random routes and tenants claim.
+// Hosts, path prefixes and API keys that random routes and tenants claim.
 var (
 	hosts = []string{"a", "b", "c"}
 	paths = []string{"/", "/x/", "/x/y/", "/x/y/z/", "/q/"}
 	keys  = []string{"k0", "k1", "k2", "k3", "k4"}
 )
 
-// route is the name of the route of a request.
+// route returns the name of the route of a request.
 func (m model) route(host, path string) string {
 	best := &Route{}
 	for _, r := range m.routes() {
@@ -175,8 +176,8 @@
 	return best.Name
 }
 
-// randomItem draws an item from a small set, so that items often conflict. One version of an item mostly has one
-// content.
+// randomItem returns a random item from a small set, so that items often conflict. Most items of the same version have
+// the same content.
 func randomItem(r *rand.Rand, above int) Item {
 	i := Item{Key: Key{Kind: Routes + Kind(r.IntN(4))}, Version: uint64(above + 1 + r.IntN(12))}
 	content := rand.New(rand.NewPCG(i.Version, uint64(r.IntN(4)/3)))
@@ -207,7 +208,7 @@
 	return i
 }
 
-// requireMatch fails the test where a snapshot or a routing table differ from the model.
+// requireMatch fails the test if a snapshot or a routing table differs from the model.
 func requireMatch(t *testing.T, m model, b *Snapshot, table *RoutingTable) {
 	t.Helper()
 	is := is.New(t)
--- a/internal/cluster/configuration/parse.go
+++ b/internal/cluster/configuration/parse.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// ParseRoute reads the body of a route that is not deleted. Unknown fields are ignored. Errors are short texts that
-// begin with the field.
+// ParseRoute parses the body of a route that is not deleted. Unknown fields are ignored. Errors are short texts; one
+// about a field begins with the path of the field.
 func ParseRoute(i Item) (Route, error) {
 	f, err := openBody(i, Routes)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return route, f.err
 }
 
-// mutating reads the kind of a route.
+// mutating reads the kind of a route and reports whether it is mutating.
 func (f *fieldReader) mutating() bool {
 	switch kind := f.text("routeKind", MaxNameBytes); kind {
 	case "idempotent":
@@ -52,7 +52,7 @@
 	}
 }
 
-// split reads the weighted services of a route, which must have some unless it has a service.
+// split reads the weighted services of a route. They may be missing only if the route names a single service.
 func (f *fieldReader) split(service string) (split []WeightedService) {
 	list, given := f.list("weighted", MaxSplitServices)
 	f.require(given || service != "", "backend", "missing, and so is weighted")
@@ -72,7 +72,7 @@
 	return split
 }
 
-// ParseTenant reads the body of a tenant, as ParseRoute does that of a route.
+// ParseTenant parses the body of a tenant, by the rules of ParseRoute.
 func ParseTenant(i Item) (Tenant, error) {
 	f, err := openBody(i, Tenants)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return tenant, f.err
 }
 
-// ParseService reads the body of a service, as ParseRoute does that of a route.
+// ParseService parses the body of a service, by the rules of ParseRoute.
 func ParseService(i Item) (Service, error) {
 	f, err := openBody(i, Services)
 	if err != nil {
@@ -114,13 +114,13 @@
 	return service, f.err
 }
 
-// isHealthPath reports whether a path may go into the request line of a health check as it is. It may be empty.
+// isHealthPath reports whether a path can be put unchanged into the request line of a health check. It may be empty.
 func isHealthPath(path string) bool {
 	notInPath := func(c rune) bool { return c <= ' ' || c >= 0x7f }
 	return path == "" || path[0] == '/' && !strings.ContainsFunc(path, notInPath)
 }
 
-// ParseClientLimits reads the body of the limits, as ParseRoute does that of a route.
+// ParseClientLimits parses the body of the limits, by the rules of ParseRoute.
 func ParseClientLimits(i Item) (ClientLimits, error) {
 	f, err := openBody(i, Limits)
 	if err != nil {
--- a/internal/cluster/configuration/patch.go
+++ b/internal/cluster/configuration/patch.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// MaxItems is how many items one call may have.
+// MaxItems is the largest number of items in one call.
 const MaxItems = 4 << 20
 
-// versionDigits is the length of a generation: a version in hexadecimal digits.
+// versionDigits is the length of a generation, which is a version in hexadecimal digits.
 const versionDigits = 8
 
-// ReadPatch reads the body of PATCH /config: the items of upsert as they were sent, and those of remove as deleted
-// ones. Whether their bodies make sense is for Snapshot.Validate to tell.
+// ReadPatch parses the body of PATCH /config. It returns the items of upsert as they were sent, and those of remove as
+// deleted items. It does not check what their bodies say; Snapshot.Validate does.
 //
-// Errors are *RejectionError with status 400: the body can't be read completely, has a section that there is none of,
-// or says two things about one item. An item that is both set and removed, under different versions, is no error: the
-// higher version wins. The result doesn't refer to the body.
+// Errors are *RejectionError with status 400: the body cannot be parsed completely, has an unknown section, or makes
+// contradictory statements about an item. An item that is both set and removed under different versions is not an
+// error, because the higher version wins. The result does not refer to the body.
 func ReadPatch(body []byte) ([]Item, error) {
 	p := patchReader{jsonReader: jsonReader{text: body}, seen: map[Key]int{}}
 	given := map[string]bool{}
@@ -43,7 +43,7 @@
 type patchReader struct {
 	jsonReader
 	items []Item
-	seen  map[Key]int // index in items of the last item of a key
+	seen  map[Key]int // index in items of the last item with each key
 }
 
 func (p *patchReader) upsert() error {
@@ -72,7 +72,7 @@
 	if !ok {
 		return fmt.Errorf("%v: not an object", k)
 	}
-	return p.add(Item{Key: k, Body: compacted(p.text[start:p.offset])}, fields["generation"])
+	return p.add(Item{Key: k, Body: compactJSON(p.text[start:p.offset])}, fields["generation"])
 }
 
 func (p *patchReader) remove() error {
@@ -98,7 +98,7 @@
 	})
 }
 
-// add appends an item, with the version that its generation is.
+// add appends an item whose version is the given generation.
 func (p *patchReader) add(i Item, generation any) error {
 	digits, _ := generation.(string)
 	version, ok := parseHex(digits)
--- a/internal/cluster/configuration/positions.go
+++ b/internal/cluster/configuration/positions.go
@@ -5,8 +5,9 @@
 	"math/bits"
 )
 
-// trieOrder is where a hash stands in a walk that takes the slots of each node in turn: its digits, the lowest first.
-// That order does not depend on what else is in the trie, so a position means the same in every snapshot.
+// trieOrder returns the position of a hash in a walk that visits the slots of each node in ascending order: its digits,
+// the lowest first. That order does not depend on the other keys in the trie, so a position means the same in every
+// snapshot.
 func trieOrder(h uint64) uint64 {
 	var order uint64
 	for shift := uint(0); shift < hashBits; shift += levelBits {
@@ -18,12 +19,12 @@
 	return order
 }
 
-// Position is where a key stands in the order of ItemsFrom, in any snapshot.
+// Position returns the position of a key in the order of ItemsFrom, which is the same in every snapshot.
 func (k Key) Position() uint64 { return trieOrder(k.hash()) }
 
-// ItemsFrom goes through the items at a position or after it, deleted ones included, in the order of their positions.
-// What follows an item can be had with ItemsFrom(position+1), in this snapshot or a later one, here or on another
-// machine. Keys that share a position, which hardly ever occurs, come one after the other in no order.
+// ItemsFrom iterates over the items at or after a position, deleted ones included, in the order of their positions.
+// ItemsFrom(position+1) continues after an item, in this snapshot or a later one, on this machine or another. Keys that
+// share a position, which is very rare, follow one another in no particular order.
 func (s *Snapshot) ItemsFrom(position uint64) iter.Seq2[uint64, Item] {
 	return func(yield func(uint64, Item) bool) {
 		if s != nil {
@@ -32,7 +33,8 @@
 	}
 }
 
-// from walks the slots in turn, from a position on; all tells that every entry of the node is after it.
+// from visits the slots in ascending order, beginning at a position. all means that every entry of the node is after
+// it.
 func (n *node[K, V]) from(shift uint, position uint64, all bool, yield func(K, V) bool) bool {
 	if n == nil {
 		return true
--- a/internal/cluster/configuration/positions_test.go
+++ b/internal/cluster/configuration/positions_test.go
@@ -10,7 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// Positions order the items of any snapshot alike, and a walk may begin at each of them: against a sorted list.
+// The order of positions is the same in every snapshot, and a walk may begin at any of them. The test compares walks
+// with a sorted list of the keys.
 func TestItemsFrom(t *testing.T) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(3, 1))
@@ -45,20 +46,21 @@
 		}
 		is.Equal(got, append([]Key(nil), want[first:min(len(want), first+max(1, limit))]...))
 	}
-	// In lists too, where whole hashes collide, each is found from its position on.
-	var crowd trie[crowded, int]
-	for k := range crowded(60) {
-		crowd = crowd.with(new(edit), k, int(k))
+	// Keys whose entire hashes collide are kept in a list. A walk visits them if their position is not before its
+	// start.
+	var collisions trie[collidingKey, int]
+	for k := range collidingKey(60) {
+		collisions = collisions.with(new(edit), k, int(k))
 	}
 	for _, at := range []uint64{0, 1, 2, 3, 6, 7} {
 		count := 0
-		crowd.root.from(0, at, false, func(k crowded, _ int) bool {
+		collisions.root.from(0, at, false, func(k collidingKey, _ int) bool {
 			is.True(trieOrder(k.hash()) >= at)
 			count++
 			return true
 		})
 		wanted := 0
-		for k := range crowded(60) {
+		for k := range collidingKey(60) {
 			if trieOrder(k.hash()) >= at {
 				wanted++
 			}
--- a/internal/cluster/configuration/render.go
+++ b/internal/cluster/configuration/render.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// RenderJSON is the answer to GET /config: all items that are in force, their bodies as they were sent, in the layout
+// RenderJSON returns the answer to GET /config: all items in force, with their bodies as they were sent, in the layout
 // of an operator's upsert and sorted by name.
 func (s *Snapshot) RenderJSON() []byte {
-	const reserve = 64 // bytes, for the names of the sections
+	const reserve = 64 // bytes for the names of the sections
 	var inForce [Limits + 1][]*entry
 	size := reserve
 	if s != nil {
@@ -36,12 +36,12 @@
 // renderSection appends the items of one kind.
 func renderSection(out []byte, kind Kind, entries []*entry) []byte {
 	slices.SortFunc(entries, func(a, b *entry) int { return strings.Compare(a.Key.Name, b.Key.Name) })
-	out = append(quoted(out, kind.String()), ":{"...)
+	out = append(appendQuoted(out, kind.String()), ":{"...)
 	for n, e := range entries {
 		if n > 0 {
 			out = append(out, ',')
 		}
-		out = append(quoted(out, e.Key.Name), ':')
+		out = append(appendQuoted(out, e.Key.Name), ':')
 		out = append(out, e.Body...)
 	}
 	return append(out, '}')
--- a/internal/cluster/configuration/snapshot.go
+++ b/internal/cluster/configuration/snapshot.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// Snapshot is a set of items, one of each key, with deleted ones as tombstones. It is immutable: Merge and Validate
-// make new ones that share what is unchanged, at a cost that grows with the number of changes and not with the size.
-// The nil and the zero Snapshot are empty.
+// Snapshot is a set of items, one for each key, with deleted ones as tombstones. It is immutable: Merge and Validate
+// return new snapshots that share what is unchanged, at a cost that grows with the number of changes and not with the
+// size of the set. The nil and the zero Snapshot are empty.
 type Snapshot struct {
 	items             trie[Key, *entry]
-	routesByKey       trie[routeKey, *claim[Route]] // more than one claim only while updates are on their way
-	serviceReferences trie[stringKey, int]          // how often routes name a service
-	routes            int                           // that are in force
+	routesByKey       trie[routeKey, *claim[Route]] // several claims on a key only until all updates have arrived
+	serviceReferences trie[stringKey, int]          // number of mentions of a service in routes
+	routes            int                           // number of routes in force
 }
 
-// entry is an item, and what was read from its body. Only routes are kept in that form: the snapshot needs it, and a
-// RoutingTable has that of the others.
+// entry is an item and its parsed body. Only routes are kept parsed, because the snapshot indexes them; a RoutingTable
+// has the parsed form of the other kinds.
 type entry struct {
 	Item
 	route   *Route
-	inForce bool // it is not deleted and can be read
+	inForce bool // the item is not deleted and its body is valid
 }
 
-// readItem reads an item. The entry is of use even where there is an error.
-func readItem(i Item) (*entry, error) {
+// parseItem parses an item. The entry is usable even if there is an error.
+func parseItem(i Item) (*entry, error) {
 	e := &entry{Item: i}
 	if err := i.Key.checkName(); err != nil {
 		return e, err
@@ -53,7 +53,7 @@
 	return e, err
 }
 
-// Get is the item of a key, deleted or not.
+// Get returns the item of a key, deleted or not.
 func (s *Snapshot) Get(k Key) (Item, bool) {
 	if e := s.entry(k); e != nil {
 		return e.Item, true
@@ -61,7 +61,7 @@
 	return Item{}, false
 }
 
-// Len is the number of items, deleted ones included.
+// Len returns the number of items, deleted ones included.
 func (s *Snapshot) Len() int {
 	if s == nil {
 		return 0
@@ -69,7 +69,7 @@
 	return s.items.size
 }
 
-// All goes through the items, deleted ones included, in an order that depends on the set alone.
+// All iterates over the items, deleted ones included, in an order that depends on the set alone.
 func (s *Snapshot) All() iter.Seq[Item] {
 	return func(yield func(Item) bool) {
 		if s != nil {
@@ -92,77 +92,78 @@
 	return e != nil && e.inForce
 }
 
-// Merge is the snapshot with items, and those of them that changed it. For each key the highest version wins; an
-// equal or lower one has no effect. Items may come in any order, and through states that are invalid as a whole: the
-// result is the same. Where two routes match the same requests, the one of the higher epoch is in force, then that of
-// the higher version, then the first by name. An item that can't be read is kept and passed on, but is never in
-// force.
+// Merge returns the snapshot with the items merged, and those of them that changed it. For each key the highest version
+// wins; an equal or lower one has no effect. Items may come in any order, and intermediate snapshots may be invalid as
+// a whole: the final result is the same. If several routes match the same requests, the one with the highest epoch is
+// in force, then the one with the highest version, then the one whose name sorts first. An item that cannot be parsed
+// is kept and passed on, but is never in force.
 func (s *Snapshot) Merge(items []Item) (next *Snapshot, changed []Item) { return s.merge(items, nil) }
 
-// merge is Merge. entries is what was read from the items already, if they come from an operator. Then items that are
-// superseded and new join the history of the current ones, which are among the changed items for it.
+// merge implements Merge. entries are the parsed items if they come from an operator, and nil otherwise. With entries,
+// a superseded item that is new joins the history of the current item, which then counts as changed.
 func (s *Snapshot) merge(items []Item, entries []*entry) (*Snapshot, []Item) {
 	next, e, changed := Snapshot{}, new(edit), []Item(nil)
 	if s != nil {
 		next = *s
 	}
 	for n, i := range items {
-		var read *entry
+		var parsed *entry
 		if entries != nil {
-			read = entries[n]
+			parsed = entries[n]
 		}
 		old := next.entry(i.Key)
-		if now := mergeItem(old, i, read); now != nil {
-			next.set(e, old, now)
-			changed = append(changed, now.Item)
+		if merged := mergeItem(old, i, parsed); merged != nil {
+			next.set(e, old, merged)
+			changed = append(changed, merged.Item)
 		}
 	}
 	if len(changed) == 0 {
 		return s, nil
 	}
-	changed = slices.DeleteFunc(changed, func(i Item) bool { // superseded by another one of them
-		now := next.entry(i.Key)
-		return i.Version != now.Version || i.History != now.History
+	changed = slices.DeleteFunc(changed, func(i Item) bool { // superseded by another of the items
+		current := next.entry(i.Key)
+		return i.Version != current.Version || i.History != current.History
 	})
 	return &next, changed
 }
 
-// mergeItem is the entry in place of an old one, which may be nil, after an item is merged; nil: it is unchanged.
-// read is what was read from the item, if it comes from an operator.
-func mergeItem(old *entry, i Item, read *entry) *entry {
+// mergeItem merges an item into the entry of its key, old, which may be nil. It returns the new entry, or nil if
+// nothing changes. parsed is the parsed item if it comes from an operator, and nil otherwise.
+func mergeItem(old *entry, i Item, parsed *entry) *entry {
 	switch {
 	case old == nil || i.NewerThan(old.Item):
 		if old != nil && i.History == nil {
 			i.History = old.History.with(old.Item)
 		}
-		if read == nil {
-			read, _ = readItem(i)
+		if parsed == nil {
+			parsed, _ = parseItem(i)
 		}
-		read.History = i.History
-		return read
-	case read != nil && i.Version < old.Version:
+		parsed.History = i.History
+		return parsed
+	case parsed != nil && i.Version < old.Version:
 		if _, _, isNew := old.lookupHistory(i.Version); !isNew {
 			return nil
 		}
 		current := old.Item
 		current.History, current.Epoch = current.History.with(i), i.Epoch
-		now, _ := readItem(current)
-		return now
-	case i.Version == old.Version && i.Epoch >= old.Epoch && i.History.differsFrom(old.History): // it has grown
-		now, _ := readItem(i)
-		return now
+		updated, _ := parseItem(current)
+		return updated
+	case i.Version == old.Version && i.Epoch >= old.Epoch && i.History.differsFrom(old.History):
+		// The history has grown.
+		updated, _ := parseItem(i)
+		return updated
 	}
 	return nil
 }
 
-// set puts an entry in place of an old one, which may be nil.
-func (s *Snapshot) set(e *edit, old, now *entry) {
+// set replaces old, which may be nil, by an updated entry.
+func (s *Snapshot) set(e *edit, old, updated *entry) {
 	if old != nil && old.route != nil {
 		s.removeRoute(e, old.route)
 	}
-	s.items = s.items.with(e, now.Key, now)
-	if now.route != nil {
-		s.addRoute(e, now.route)
+	s.items = s.items.with(e, updated.Key, updated)
+	if updated.route != nil {
+		s.addRoute(e, updated.route)
 	}
 }
 
--- a/internal/cluster/configuration/snapshot_test.go
+++ b/internal/cluster/configuration/snapshot_test.go
@@ -64,7 +64,7 @@
 	is.Equal(testing.AllocsPerRun(10, func() { table.Route("a.example:80", "/a/b/c/d"); table.Tenant("k1") }), 0.0)
 }
 
-// statusOf is the status that a call gets on top of a snapshot.
+// statusOf returns the status and the text of the answer to a call after a snapshot.
 func statusOf(b *Snapshot, body string) (int, string) {
 	items, err := ReadPatch([]byte(body))
 	if err == nil {
@@ -80,31 +80,31 @@
 	return rejection.Status, rejection.Text
 }
 
-// routeCall is a call that sets a valid route, with one part of its body replaced.
+// routeCall returns a call that sets a valid route, with one part of its body replaced.
 func routeCall(old, replacement string) string {
 	body := `"authority":"b.example","pathPrefix":"/b/","routeKind":"mutating",` +
 		`"deadlineMs":1,"backend":"s1","generation":"0000000b"`
 	return `{"upsert":{"routes":{"r-2":{` + strings.Replace(body, old, replacement, 1) + `}}}}`
 }
 
-// upsertCall is a call that sets the items of some sections.
+// upsertCall returns a call that sets the items of some sections.
 func upsertCall(sections string) string { return `{"upsert":{` + sections + `}}` }
 
-// callCase is a call after the sample's, and its answer.
+// callCase is a call after the sample, and the expected answer.
 type callCase struct {
 	body   string
 	status int
-	text   string // part of it
+	text   string // part of the answer's text
 }
 
-// acceptedCalls are valid.
+// acceptedCalls returns valid calls.
 func acceptedCalls() []callCase {
 	return []callCase{
 		{routeCall("", ""), 200, ""},
 		{routeCall(`"backend":"s1"`, `"weighted":[{"backend":"s1","share":1},{"backend":"s2","share":0}]`), 200, ""},
 		{`{}`, 200, ""},
 		{sample, 200, ""},
-		{upsertCall(`"customers":{"t\"1":{"apiKeys":["other"],"generation":"00000006"}}`), 200, ""}, // an older one
+		{upsertCall(`"customers":{"t\"1":{"apiKeys":["other"],"generation":"00000006"}}`), 200, ""}, // an older version
 		{
 			`{"upsert":{"services":{"s3":{"generation":"00000007"}}},` +
 				`"remove":{"services":[{"name":"s3","generation":"00000009"}]}}`,
@@ -115,7 +115,7 @@
 	}
 }
 
-// conflictingCalls are valid by themselves, and not upon the sample.
+// conflictingCalls returns calls that are valid by themselves but conflict with the sample.
 func conflictingCalls() []callCase {
 	return []callCase{
 		{upsertCall(`"customers":{"t\"1":{"apiKeys":["other"],"generation":"00000007"}}`), 409, "says something else"},
@@ -137,7 +137,7 @@
 	}
 }
 
-// callsWithInvalidRoutes set a route that is invalid by itself.
+// callsWithInvalidRoutes returns calls that set a route that is invalid by itself.
 func callsWithInvalidRoutes() []callCase {
 	return []callCase{
 		{routeCall(`"deadlineMs":1,`, ``), 400, "deadlineMs: must be above 0"},
@@ -171,7 +171,7 @@
 	}
 }
 
-// callsWithInvalidItems set another item that is invalid by itself.
+// callsWithInvalidItems returns calls that set an item of another kind that is invalid by itself.
 func callsWithInvalidItems() []callCase {
 	return []callCase{
 		{upsertCall(`"customers":{"t":{"apiKeys":"k","generation":"00000007"}}`), 400, "apiKeys: not a list"},
@@ -199,7 +199,7 @@
 	}
 }
 
-// callsWithInvalidSyntax can't be read.
+// callsWithInvalidSyntax returns calls that cannot be parsed.
 func callsWithInvalidSyntax() []callCase {
 	return []callCase{
 		{upsertCall(`"services":[]`), 400, "no object"},
@@ -245,7 +245,8 @@
 	}
 }
 
-// The standard library is the slow model of the reader: what either takes, the other does too, and reads the same.
+// The JSON reader must accept the same texts as the standard library, apart from its stricter rules on duplicate names,
+// UTF-8 and depth, and must return the same values.
 func TestMutatedBodiesMatchStandardLibrary(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
 	fragments := []string{
@@ -271,10 +272,10 @@
 				!strings.Contains(err.Error(), "deep") {
 				t.Fatalf("%s\n\tstandard library: %v, here: %v", b, wrong, err)
 			}
-		} else if wrong == nil { // out of range, a number is well only here
+		} else if wrong == nil { // only the standard library rejects numbers out of range
 			var compact bytes.Buffer
 			_ = json.Compact(&compact, b)
-			if x, y := fmt.Sprint(got), fmt.Sprint(want); x != y || !bytes.Equal(compacted(b), compact.Bytes()) {
+			if x, y := fmt.Sprint(got), fmt.Sprint(want); x != y || !bytes.Equal(compactJSON(b), compact.Bytes()) {
 				t.Fatalf("%s\n\tstandard library: %s\n\there: %s", b, y, x)
 			}
 			same++
@@ -300,7 +301,7 @@
 			}
 			slices.SortFunc(items, func(a, b Item) int { return a.Key.Compare(b.Key) })
 			sameKey := func(a, b Item) bool { return a.Key == b.Key }
-			items = slices.CompactFunc(items, sameKey) // as ReadPatch does
+			items = slices.CompactFunc(items, sameKey) // one item per key, as ReadPatch returns them
 			status := m.check(items, history)
 			changed, next, err := b.Validate(items)
 			if err != nil {
@@ -329,7 +330,7 @@
 			statuses[status]++
 		}
 	}
-	is.True(min(statuses[200], statuses[400], statuses[409]) > 20) // each status is common
+	is.True(min(statuses[200], statuses[400], statuses[409]) > 20) // each status occurs often
 }
 
 func TestMergeConvergesInAnyOrder(t *testing.T) {
@@ -337,7 +338,7 @@
 	r := rand.New(rand.NewPCG(7, 8))
 	for range 40 {
 		content := map[string]Item{}
-		for range 60 { // one version of a key has one content, and was chosen at one epoch
+		for range 60 { // each version of a key has a single content and epoch
 			i := randomItem(r, r.IntN(9))
 			i.Epoch = uint64(r.IntN(4))
 			content[fmt.Sprint(i.Key, i.Version)] = i
@@ -375,7 +376,7 @@
 		return Item{Key: Key{kind, name}, Version: version, Epoch: epoch, Body: []byte(
 			`{"authority":"a","pathPrefix":"/","routeKind":"mutating","deadlineMs":1,"backend":"s","apiKeys":["k"]}`)}
 	}
-	// The first has the highest epoch, the second the higher version, and the others follow by name.
+	// b has the highest epoch, d has a higher version than c, c has a higher epoch than a and e, and a sorts before e.
 	winners := []string{"b", "d", "c", "a"}
 	for kind := Routes; kind <= Tenants; kind++ {
 		items := []Item{
@@ -408,7 +409,7 @@
 	}
 }
 
-// manyItems is a configuration of a service, tenants and as many routes, up to a limit.
+// manyItems returns a configuration of one service, a number of tenants, and as many routes up to a limit.
 func manyItems(tenants int) []Item {
 	const maxRoutes, routesPerHost = 45_000, 9
 	items := []Item{{Key: Key{Services, "s"}, Version: 1, Body: []byte(`{"maxConns":9}`)}}
--- a/internal/cluster/configuration/trie.go
+++ b/internal/cluster/configuration/trie.go
@@ -2,12 +2,12 @@
 
 import "math/bits"
 
-// The items and the indexes over them are kept in hash tries: persistent maps of which a copy with one change shares
-// all but the few nodes on the path to it. So a change costs the same at any size, and readers of an older copy are
-// not disturbed. Hashes are not seeded: copies of one content are walked alike on all machines. Keys that share a
-// whole hash end in a plain list.
+// The items and their indexes are kept in hash tries. These are persistent maps: a copy with one change shares all
+// nodes except the few on the path to the change. Therefore a change costs the same at any size, and readers of an
+// older copy are not disturbed. Hashes are not seeded, so copies with the same content are walked in the same order on
+// all machines. Keys with equal hashes are kept in a plain list.
 
-// hashed is a type of keys.
+// hashed is the constraint of key types.
 type hashed interface {
 	comparable
 	hash() uint64
@@ -20,15 +20,16 @@
 
 func (k Key) hash() uint64 { return mix(hashString(hashByte(fnvBasis, byte(k.Kind)), k.Name)) }
 
-// Parameters of FNV-1a with 64 bits. It grows byte by byte, so that all prefixes of a path are hashed in one pass;
-// mix spreads what it leaves in the low bits. The hashes of keys are on the wire, as positions, and must not change.
+// Parameters of the 64-bit FNV-1a hash. It is computed byte by byte, so all prefixes of a path are hashed in one pass.
+// It leaves the differences between similar keys in the low bits, and mix spreads them over all bits. The hashes of
+// keys are sent on the wire as positions and must not change.
 const (
 	fnvBasis = 14695981039346656037
 	fnvPrime = 1099511628211
 )
 
-// hostEnd separates a host from a path's prefix in a hash.
-const hostEnd = 0xff
+// hostSeparator separates a host from a path prefix in a hash.
+const hostSeparator = 0xff
 
 func hashByte(h uint64, c byte) uint64 { return (h ^ uint64(c)) * fnvPrime }
 
@@ -39,7 +40,7 @@
 	return h
 }
 
-func hashHost(host string) uint64 { return hashByte(hashString(fnvBasis, host), hostEnd) }
+func hashHost(host string) uint64 { return hashByte(hashString(fnvBasis, host), hostSeparator) }
 
 // mix is the finalizer of MurmurHash3.
 func mix(h uint64) uint64 {
@@ -48,11 +49,11 @@
 	return h ^ h>>33
 }
 
-// edit marks the nodes that one batch of changes has made: nobody else has them yet, so the batch may change them in
-// place.
+// edit identifies the nodes that one batch of changes has created. They are not shared yet, so the batch may modify
+// them in place.
 type edit struct{ _ byte }
 
-// trie is the map. The zero one is empty. Reading it needs no lock.
+// trie is a persistent map. The zero value is empty. Readers need no lock.
 type trie[K hashed, V any] struct {
 	root *node[K, V]
 	size int
@@ -63,9 +64,9 @@
 	value V
 }
 
-// node has pairs and child nodes in slots, which are five bits of the hash a level; pairSlots and childSlots are the
-// sets of slots in use. Pairs are never changed in place, children only by the edit that owns the node. After the
-// last bits of the hash a node is a list of pairs.
+// node holds pairs and child nodes in slots, which are selected by five bits of the hash per level; pairSlots and
+// childSlots are the sets of slots in use. Pairs are never modified in place, and children only by the edit that owns
+// the node. A node after the last bits of the hash is a list of pairs.
 type node[K hashed, V any] struct {
 	owner      *edit
 	pairSlots  uint32
@@ -75,8 +76,8 @@
 }
 
 const (
-	levelBits = 5
-	hashBits  = 64
+	levelBits = 5  // bits of the hash per level
+	hashBits  = 64 // bits of the hash
 )
 
 func bitAt(h uint64, shift uint) uint32 { return 1 << (h >> shift & (1<<levelBits - 1)) }
@@ -110,7 +111,7 @@
 	return v, false
 }
 
-// with is the map with this value under the key.
+// with returns the map with a value under a key.
 func (t trie[K, V]) with(e *edit, k K, v V) trie[K, V] {
 	root, grew := t.root.put(e, 0, k.hash(), k, v)
 	if grew {
@@ -119,7 +120,7 @@
 	return trie[K, V]{root, t.size}
 }
 
-// without is the map without the key.
+// without returns the map without a key.
 func (t trie[K, V]) without(e *edit, k K) trie[K, V] {
 	h := k.hash()
 	if _, ok := t.find(h, k); !ok {
@@ -128,7 +129,7 @@
 	return trie[K, V]{t.root.remove(e, 0, h, k), t.size - 1}
 }
 
-// all walks the map, in the order of the hashes.
+// all walks the map, in an order that the hashes of its keys determine.
 func (t trie[K, V]) all(yield func(K, V) bool) { t.root.walk(yield) }
 
 func (n *node[K, V]) walk(yield func(K, V) bool) bool {
@@ -164,7 +165,7 @@
 	return -1
 }
 
-// owned is the node, or a copy of it, that the edit may change.
+// owned returns a node that the edit may modify: this one if the edit owns it, otherwise a copy.
 func (n *node[K, V]) owned(e *edit) *node[K, V] {
 	if n == nil {
 		return &node[K, V]{owner: e}
@@ -210,7 +211,7 @@
 	return n, true
 }
 
-// remove removes a key that is there. The result is nil if nothing is left.
+// remove removes a key that is present. The result is nil if nothing is left.
 func (n *node[K, V]) remove(e *edit, shift uint, h uint64, k K) *node[K, V] {
 	n = n.owned(e)
 	if shift >= hashBits {
@@ -223,7 +224,7 @@
 		switch {
 		case child == nil:
 			n.children, n.childSlots = removed(n.children, at), n.childSlots&^bit
-		case len(child.children) == 0 && len(child.pairs) == 1: // it needs no node
+		case len(child.children) == 0 && len(child.pairs) == 1: // a single pair needs no child node
 			n.children, n.childSlots = removed(n.children, at), n.childSlots&^bit
 			n.pairs, n.pairSlots = inserted(n.pairs, rank(n.pairSlots, bit), child.pairs[0]), n.pairSlots|bit
 		default:
@@ -236,7 +237,7 @@
 	return n
 }
 
-// The functions below copy, to slices of exactly the length that is needed.
+// The functions below return copies, in slices of exactly the needed length.
 
 func inserted[T any](s []T, at int, x T) []T {
 	c := make([]T, len(s)+1)
--- a/internal/cluster/configuration/validate.go
+++ b/internal/cluster/configuration/validate.go
@@ -2,20 +2,20 @@
 
 import "mulleinrouter/internal/mutants"
 
-// Validate validates items against the snapshot: next is the snapshot with them, changed are those that change it.
-// Only what the items touch is looked at: the snapshot itself is taken for valid.
+// Validate validates items against the snapshot. next is the snapshot with the items merged, and changed are the items
+// that change it. Only what the items affect is checked, because the snapshot itself is assumed to be valid.
 //
-// Errors are *RejectionError. With status 400: an item is invalid by itself, even one that is superseded; a route
-// names a service that is not in force; two routes match the same requests. With status 409: an item has other
-// content than the current one has, or had before, under the same version.
+// Errors are *RejectionError. The status is 400 if an item is invalid by itself, even a superseded one, if a route
+// names a service that is not in force, or if two routes match the same requests. It is 409 if the content of an item
+// differs from that which the current item has, or had before, under the same version.
 //
-// An item that was acknowledged once is never validated again against the services and routes that are in force now.
-// One that is superseded and comes for the first time is, as if it took effect; then it joins the history of the
-// current item, which is a change too.
+// An item that was once acknowledged is not validated again against the services and routes that are in force now. A
+// superseded item that arrives for the first time is validated as if it took effect. It then joins the history of the
+// current item, which counts as a change.
 func (s *Snapshot) Validate(items []Item) (changed []Item, next *Snapshot, err error) {
 	entries := make([]*entry, len(items))
 	for n, i := range items {
-		if entries[n], err = readItem(i); err != nil {
+		if entries[n], err = parseItem(i); err != nil {
 			return nil, nil, invalid("%v: %v", i.Key, err)
 		}
 	}
@@ -32,7 +32,7 @@
 	return changed, next, nil
 }
 
-// checkContradictions rejects items that have other content than is known of their versions.
+// checkContradictions rejects items whose content differs from the known content of their versions.
 func (s *Snapshot) checkContradictions(items []Item) error {
 	for _, i := range items {
 		if i.contradicts(s.entry(i.Key).Item) && !mutants.On("configuration/takes-contradiction") {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// checkSuperseded rejects routes that are superseded, come for the first time, and could not be in force.
+// checkSuperseded rejects superseded routes that arrive for the first time and could not be in force.
 func (s *Snapshot) checkSuperseded(before *Snapshot, entries []*entry) error {
 	for _, e := range entries {
 		old := before.entry(e.Key)
@@ -65,13 +65,13 @@
 // checkReferences rejects changes that leave a route without its service, and routes that could not be in force.
 func (s *Snapshot) checkReferences(changed []Item) error {
 	for _, i := range changed {
-		switch now := s.entry(i.Key); {
+		switch updated := s.entry(i.Key); {
 		case i.Key.Kind == Services && i.Deleted:
 			if n, _ := s.serviceReferences.get(stringKey(i.Key.Name)); n > 0 {
 				return invalid("%v: dropped, but routes name it", i.Key)
 			}
-		case now.route != nil:
-			if err := s.checkRoute(now.route); err != nil {
+		case updated.route != nil:
+			if err := s.checkRoute(updated.route); err != nil {
 				return err
 			}
 		}
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// checkRoute rejects a route that could not be in force: a service that it names is not, or another route matches the
-// same requests.
+// checkRoute rejects a route that could not be in force because a service that it names is not in force or because
+// another route matches the same requests.
 func (s *Snapshot) checkRoute(r *Route) (err error) {
 	r.eachService(func(service string) {
 		if err == nil && !s.hasService(service) {
@@ -91,8 +91,8 @@
 		return err
 	}
 	for c, _ := s.routesByKey.get(r.key()); c != nil; c = c.next {
-		if c.by.Name != r.Name {
-			return invalid("routes %.80q and %.80q: the same host and prefix", c.by.Name, r.Name)
+		if c.entity.Name != r.Name {
+			return invalid("routes %.80q and %.80q: the same host and prefix", c.entity.Name, r.Name)
 		}
 	}
 	return nil
