--- a/internal/cluster/quota/counter.go
+++ b/internal/cluster/quota/counter.go
@@ -2,42 +2,42 @@
 
 import "math"
 
-// counter is the counter of one name. It stands in the list of its CounterTable by last use.
+// counter is the counter of one name. It is linked into the list of its CounterTable, which is ordered by last use.
 type counter struct {
 	name         string
 	newer, older *counter
-	usedAt       float64
-	retention    float64 // seconds
+	usedAt       float64 // time of the last use, in seconds
+	retention    float64 // time for which the counter is kept after its last use, in seconds
 	reporters    map[string]*reporter
 	cached       cachedTotal
 }
 
-// cachedTotal is the last total of a counter, for one cycle. It is valid until the first late reporter no longer
-// counts.
+// cachedTotal caches the total of a counter for one cycle. It is valid until the first of the late reporters stops
+// counting.
 type cachedTotal struct {
 	cycle     int64
 	sum       float64
 	reporters int
-	validTo   float64
+	validTo   float64 // time in seconds
 }
 
 // contribution is what a reporter adds to the total of a cycle.
 type contribution struct {
 	amount  float64
 	counts  bool
-	validTo float64 // until when it counts so
+	validTo float64 // end of the time for which this holds, in seconds
 }
 
-// reporter is what a reporter reported for its newest cycle, and for the one before.
+// reporter holds the reports of one reporter for its newest cycle and for the one before.
 type reporter struct {
-	reportedAt            float64
+	reportedAt            float64 // time of the last report for the newest cycle, in seconds
 	cycle, earlierCycle   int64
-	amount, earlierAmount float64
-	hasEarlier            bool     // earlierCycle is a cycle
-	serials               *serials // of PerRequest reports; nil: none came
+	amount, earlierAmount float64  // requests
+	hasEarlier            bool     // earlierCycle and earlierAmount are set
+	serials               *serials // serials of PerRequest reports; nil: none received
 }
 
-// add takes a report, and corrects the cached total by the difference.
+// add applies a report, and corrects the cached total by the difference.
 func (c *counter) add(now float64, report *Report) {
 	r := c.reporters[report.Reporter]
 	if r == nil {
@@ -65,14 +65,14 @@
 	}
 }
 
-// update takes a report of this reporter. One for a cycle before the two that are kept is ignored: nobody reads that
-// cycle any more.
+// update applies a report to its reporter. A report for a cycle older than the two that are kept is ignored, because no
+// reporter reads that cycle any more.
 func (r *reporter) update(now float64, report *Report) {
 	if report.PerRequest {
 		if r.serials == nil {
 			r.serials = &serials{}
 		}
-		if !r.serials.first(report.Serial) {
+		if !r.serials.record(report.Serial) {
 			return
 		}
 	}
@@ -94,8 +94,8 @@
 	}
 }
 
-// contribution returns what a reporter adds to the total of a cycle. One that has not reported for it counts with its
-// last report for LateReportRetention, unless its reports count by request.
+// contribution returns what a reporter adds to the total of a cycle. A reporter that has not reported for the cycle
+// counts with its last report for LateReportRetention, unless its reports count by request.
 func (r *reporter) contribution(now float64, cycle int64) contribution {
 	switch {
 	case r.cycle == cycle:
@@ -109,7 +109,8 @@
 	return contribution{amount: r.amount, counts: now < validTo, validTo: validTo}
 }
 
-// total sums a cycle. The total of the newest cycle is cached, because many reporters ask for it.
+// total returns the sum of a cycle and the number of its reporters. The total of the newest cycle is cached, because
+// many reporters ask for it.
 func (c *counter) total(now float64, cycle int64) (sum float64, reporters int) {
 	if now < c.cached.validTo && cycle == c.cached.cycle {
 		return c.cached.sum, c.cached.reporters
@@ -132,7 +133,7 @@
 	return sum, reporters
 }
 
-// evict drops the reporter that reported longest ago.
+// evict drops the reporter with the oldest last report.
 func (c *counter) evict() {
 	oldest, at := "", math.Inf(1)
 	for name, r := range c.reporters {
--- a/internal/cluster/quota/counter_table.go
+++ b/internal/cluster/quota/counter_table.go
@@ -5,47 +5,49 @@
 	"slices"
 )
 
-// Times in seconds, and bounds.
+// Times, in seconds, and limits.
 const (
-	// HandoverFence is the time for which a node has owned a counter before it answers for it: by then the owner before
-	// has stopped, and all reporters have reported here.
+	// HandoverFence is the time for which a node must have owned a counter before it answers for it. By then the
+	// previous owner has stopped answering, and all reporters have reported to the new one.
 	HandoverFence = 2.0
 	// LateReportRetention is the time for which a late reporter counts with its last report.
 	LateReportRetention = 3.0
 	// MaxRetention is the longest time for which a cycle is kept.
 	MaxRetention = 600.0
-	// MaxNames bounds the counters of one node; the one used longest ago is dropped for a new one.
+	// MaxNames bounds the counters of one node. A new counter replaces the least recently used one.
 	MaxNames = 1 << 17
-	// MaxReporters bounds the reporters of one counter; the one that reported longest ago is dropped for a new one.
+	// MaxReporters bounds the reporters of one counter. A new reporter replaces the one with the oldest last report.
 	MaxReporters = 8192
 )
 
 const (
 	maxNameLength  = 1024 // bytes
-	maxViews       = 32
-	expiredPerCall = 4 // counters that one call of Add forgets at most
+	maxViews       = 32   // views that are kept; beyond them all answers are suspended
+	expiredPerCall = 4    // largest number of counters that one call of Add removes
 )
 
-// CounterTable keeps the counters of one control node. Time never goes back. Calls must be serialized.
+// CounterTable holds the counters of one control node. The times passed to its methods must not decrease. Calls must be
+// serialized.
 type CounterTable struct {
-	views    []view // the current one last; those before it that the fence still needs
+	views    []view // views in effect during the last HandoverFence, the current one last
 	counters map[string]*counter
-	newest   *counter // by last use
-	oldest   *counter
+	newest   *counter // most recently used
+	oldest   *counter // least recently used
 }
 
-// view is the membership that the counters are distributed over from a time on.
+// view is the membership over which the counters are distributed from a point in time on.
 type view struct {
-	from float64
-	live []string // sorted; empty: nobody answers
+	from float64  // time in seconds
+	live []string // sorted; empty: no counter is answered
 	self string
 }
 
-// NewCounterTable makes a table that answers for no counter yet.
+// NewCounterTable returns a table that answers for no counter yet.
 func NewCounterTable() *CounterTable { return &CounterTable{counters: map[string]*counter{}} }
 
-// SetMembers sets which control nodes the counters are distributed over from now on: the live ones, of which this is
-// one, and whether they are a majority. It may be called at any rate; only a difference counts.
+// SetMembers sets the control nodes over which the counters are distributed from now on. live are the live ones,
+// including self, the name of this node, and quorum says whether they are a majority. It may be called at any rate; a
+// call that changes nothing has no effect.
 func (ct *CounterTable) SetMembers(now float64, live []string, self string, quorum bool) {
 	next := view{from: now, self: self}
 	if quorum && slices.Contains(live, self) {
@@ -59,50 +61,51 @@
 		}
 	}
 	if len(ct.views) == maxViews {
-		// The membership flaps: nothing is answered until it has been stable for a fence.
+		// The membership changes too often: no counter is answered until it has been stable for HandoverFence.
 		ct.views = append(ct.views[:0], view{from: now, self: self})
 	}
 	ct.views = append(ct.views, next)
 	ct.trimViews(now)
 }
 
-// trimViews drops the views that ended before the fence.
+// trimViews removes the views that ended before the last HandoverFence.
 func (ct *CounterTable) trimViews(now float64) {
 	for len(ct.views) > 1 && ct.views[1].from <= now-HandoverFence {
 		ct.views = slices.Delete(ct.views, 0, 1)
 	}
 }
 
-// owns reports whether this node owns a counter now, and whether it has for as long as the fence.
-func (ct *CounterTable) owns(now float64, name string) (owned, sure bool) {
+// owns reports whether this node owns a counter now, and whether that is confirmed because it has owned the counter for
+// the whole HandoverFence.
+func (ct *CounterTable) owns(now float64, name string) (owned, confirmed bool) {
 	ct.trimViews(now)
-	sure = len(ct.views) > 0 && ct.views[0].from <= now-HandoverFence
+	confirmed = len(ct.views) > 0 && ct.views[0].from <= now-HandoverFence
 	for _, v := range ct.views {
 		owned = len(v.live) > 0 && Owner(name, v.live) == v.self
-		sure = sure && owned
+		confirmed = confirmed && owned
 	}
-	return owned, sure
+	return owned, confirmed
 }
 
-// Add takes a report, or answers a question, at a time in seconds.
+// Add processes a report or a read-only query, at a time in seconds.
 //
-// An owner takes reports as soon as it owns the counter, so that it has all of them once it is sure to be the only
-// owner; until then it answers without OK. Each reporter counts with what it reported for the cycle, or, where it has
-// not reported yet, with its last report if that is younger than LateReportRetention. PerRequest reports count for
-// their own cycle alone; the serials of one reporter rise, and far fewer than serialWindow of them are in flight at
-// once (a process that starts anew reports under another name, or continues above). A counter is kept for Retention
-// after its last use, LateReportRetention at least. Cycles must not be longer than HandoverFence, or a new owner would
-// answer before all reporters have reported to it.
+// An owner accepts reports as soon as it owns the counter, so that it has all of them once its ownership is confirmed;
+// until then it answers without OK. Each reporter counts with its report for the cycle or, if it has not reported yet,
+// with its last report if that is younger than LateReportRetention. PerRequest reports count for their own cycle alone.
+// The serials of one reporter must rise, and far fewer than serialWindow of them may be in flight at once; a restarted
+// process reports under another name or continues above its last serial. A counter is kept for Retention after its last
+// use, and at least for LateReportRetention. Cycles must not be longer than HandoverFence, because otherwise a new
+// owner would answer before all reporters have reported to it.
 func (ct *CounterTable) Add(now float64, report *Report) Total {
 	ct.expire(now)
-	owned, sure := ct.owns(now, report.Name)
+	owned, confirmed := ct.owns(now, report.Name)
 	if !owned || !report.valid() {
 		return Total{}
 	}
 	c := ct.counters[report.Name]
 	if c == nil {
 		if report.ReadOnly {
-			return Total{OK: sure}
+			return Total{OK: confirmed}
 		}
 		c = ct.newCounter(report.Name)
 	} else {
@@ -117,16 +120,16 @@
 		c.add(now, report)
 	}
 	switch {
-	case !sure && report.ReadOnly:
+	case !confirmed && report.ReadOnly:
 		return Total{}
-	case !sure:
+	case !confirmed:
 		return Total{Reporters: 1}
 	}
 	sum, reporters := c.total(now, report.Cycle)
 	return Total{OK: true, Sum: sum, Reporters: reporters}
 }
 
-// newCounter makes a counter, in the place of the one that was used longest ago where there are too many.
+// newCounter creates a counter. If there are too many, it replaces the least recently used one.
 func (ct *CounterTable) newCounter(name string) *counter {
 	if len(ct.counters) >= MaxNames {
 		ct.drop(ct.oldest)
@@ -141,7 +144,7 @@
 	return c
 }
 
-// expire forgets counters that have not been used for their retention; a few at a time.
+// expire removes counters that have not been used for their retention, at most expiredPerCall in one call.
 func (ct *CounterTable) expire(now float64) {
 	for range expiredPerCall {
 		c := ct.oldest
@@ -152,13 +155,13 @@
 	}
 }
 
-// drop forgets a counter.
+// drop removes a counter from the table.
 func (ct *CounterTable) drop(c *counter) {
 	ct.unlink(c)
 	delete(ct.counters, c.name)
 }
 
-// link makes a counter the newest of the list.
+// link inserts a counter into the list as the most recently used one.
 func (ct *CounterTable) link(c *counter) {
 	c.older, c.newer = ct.newest, nil
 	if ct.newest != nil {
@@ -169,7 +172,7 @@
 	ct.newest = c
 }
 
-// unlink takes a counter out of the list.
+// unlink removes a counter from the list.
 func (ct *CounterTable) unlink(c *counter) {
 	if c.older != nil {
 		c.older.newer = c.newer
@@ -184,5 +187,5 @@
 	c.older, c.newer = nil, nil
 }
 
-// Len counts the counters that are kept.
+// Len returns the number of counters.
 func (ct *CounterTable) Len() int { return len(ct.counters) }
--- a/internal/cluster/quota/counter_table_test.go
+++ b/internal/cluster/quota/counter_table_test.go
@@ -17,7 +17,7 @@
 	serial   uint64
 }
 
-// modelTotal sums a cycle from all reports that ever came for a counter.
+// modelTotal sums a cycle from all reports that were received for a counter.
 func modelTotal(
 	reports []receivedReport, now float64, cycle int64, perRequest bool,
 ) (sum float64, reporters int) {
@@ -72,8 +72,8 @@
 			for range 800 {
 				now += random.Float64() * 0.2
 				name := fmt.Sprint("tenant-", random.IntN(2))
-				// Most report in time, some a cycle late, some repeat a report, some only ever read or are absent for a
-				// while.
+				// Most reports are in time, some are a cycle late, and some are repeated. Some reporters only read, or
+				// are absent for a while.
 				report := receivedReport{
 					at:       now,
 					cycle:    int64(now/2) - int64(random.IntN(10)/9),
@@ -85,7 +85,7 @@
 				}
 				id := name + report.reporter
 				if serial[id]++; random.IntN(5) == 0 && serial[id] > 1 {
-					serial[id]-- // a report whose answer was lost
+					serial[id]-- // repeated, because the answer was lost
 				}
 				report.serial = serial[id]
 				readOnly := random.IntN(2) == 0
@@ -114,9 +114,9 @@
 	}
 }
 
-// TestNeverTwoOwners has the nodes see at different times which nodes are live, and each for itself whether it has a
-// quorum. While a partitioned node notices so before the fence of the other has passed, there is never a moment at
-// which two answer; and the one that answers has the reports of all.
+// TestNeverTwoOwners lets the nodes learn at different times which nodes are live, and each node decides for itself
+// whether it has a quorum. As long as a partitioned node notices the partition before the fence of the other node has
+// passed, two nodes never answer at the same time. TestHandoverFence checks that the node that answers has all reports.
 func TestNeverTwoOwners(t *testing.T) {
 	names := []string{"a:1", "b:1", "c:1"}
 	for seed := range uint64(60) {
@@ -126,7 +126,7 @@
 		for _, n := range names {
 			tables[n] = NewCounterTable()
 		}
-		partitioned, noticesAt := "", map[string]float64{} // which node is partitioned, and when each notices
+		partitioned, noticesAt := "", map[string]float64{} // the partitioned node, and when each node notices
 		answered, lastChange := 0, 0.0
 		for now := 0.0; now < 60; now += 0.1 {
 			if random.IntN(60) == 0 && now-lastChange > HandoverFence {
@@ -184,7 +184,7 @@
 	}
 	is.True(!add(5, "x", 7).OK) // a owns it
 	table.SetMembers(6, []string{"b"}, "b", true)
-	is.True(!add(6.5, "x", 7).OK) // not sure yet, but the report of x is kept
+	is.True(!add(6.5, "x", 7).OK) // not confirmed yet, but the report of x is kept
 	total := add(8, "y", 5)
 	is.True(total.OK)
 	is.Equal(total.Sum, 12.0)
--- a/internal/cluster/quota/messages.go
+++ b/internal/cluster/quota/messages.go
@@ -2,22 +2,22 @@
 
 import "math"
 
-// Report is what a reporter sends to the owner of a counter, or a question for the counter's sum.
+// Report is a report to the owner of a counter, or a read-only query for the counter's sum.
 //
-// One reporter reports once to a cycle: a report that comes again from the same reporter for the same cycle replaces
-// the one before. With PerRequest each report counts by itself, and Serial tells repeated ones apart.
+// A reporter reports once per cycle: a further report from the same reporter for the same cycle replaces the earlier
+// one. With PerRequest each report counts by itself, and Serial identifies repeated ones.
 type Report struct {
-	Name       string  `cbor:"1,keyasint"` // of the counter: a tenant and its terms
+	Name       string  `cbor:"1,keyasint"` // name of the counter: a tenant and its terms
 	Cycle      int64   `cbor:"2,keyasint"`
-	Reporter   string  `cbor:"3,keyasint"`           // the ingress that reports; with PerRequest its process
+	Reporter   string  `cbor:"3,keyasint"`           // ingress that reports; with PerRequest its process
 	Amount     float64 `cbor:"4,keyasint,omitempty"` // requests
-	ReadOnly   bool    `cbor:"5,keyasint,omitempty"` // a question: nothing is added
+	ReadOnly   bool    `cbor:"5,keyasint,omitempty"` // query: nothing is added
 	Retention  float64 `cbor:"6,keyasint,omitempty"` // seconds for which the cycle is kept
 	PerRequest bool    `cbor:"7,keyasint,omitempty"`
-	Serial     uint64  `cbor:"8,keyasint,omitempty"` // of a PerRequest report; rises for each reporter
+	Serial     uint64  `cbor:"8,keyasint,omitempty"` // number of a PerRequest report; rises for each reporter
 }
 
-// valid reports whether a report from another process is within the bounds of one.
+// valid reports whether a report from another process is within the limits.
 func (r *Report) valid() bool {
 	if len(r.Name) > maxNameLength || len(r.Reporter) > maxNameLength {
 		return false
@@ -30,8 +30,8 @@
 
 // Total is the owner's answer to a Report.
 //
-// Without OK this node is not the owner of the counter, or, where Reporters is above 0, it has taken the report and
-// does not know yet whether it has the reports of all others.
+// Without OK, this node does not own the counter or, if Reporters is above 0, it has accepted the report but may not
+// have the reports of all other reporters yet.
 type Total struct {
 	OK        bool    `cbor:"1,keyasint,omitempty"`
 	Sum       float64 `cbor:"2,keyasint,omitempty"` // requests, over all reporters
--- a/internal/cluster/quota/serials.go
+++ b/internal/cluster/quota/serials.go
@@ -1,20 +1,20 @@
 package quota
 
-// serialBlocks is how many blocks of 64 serials each are remembered.
+// serialBlocks is the number of remembered blocks of 64 serials each.
 const serialBlocks = 8
 
-// serialWindow is how many of the latest serials are remembered.
+// serialWindow is the number of the latest serials that are remembered.
 const serialWindow = serialBlocks * 64
 
-// serials are those of the reports of a reporter that came: a ring of bits, one for each serial of the window that ends
-// at highest.
+// serials records which serials of a reporter have been received: a ring of bits, one for each serial of the window
+// that ends at highest.
 type serials struct {
 	highest uint64
 	seen    [serialBlocks]uint64
 }
 
-// first reports whether a serial comes for the first time. One before the window counts as repeated.
-func (s *serials) first(serial uint64) bool {
+// record records a serial and reports whether it is new. A serial before the window counts as repeated.
+func (s *serials) record(serial uint64) bool {
 	if serial > s.highest {
 		s.advance(serial)
 	} else if s.highest-serial >= serialWindow {
@@ -29,7 +29,7 @@
 	return true
 }
 
-// advance moves the window up to a higher serial; the serials that are new in it have not come.
+// advance moves the window up to a higher serial. The serials that enter the window count as not received.
 func (s *serials) advance(serial uint64) {
 	if serial-s.highest >= serialWindow {
 		s.seen = [serialBlocks]uint64{}
--- a/internal/cluster/registry/doc.go
+++ b/internal/cluster/registry/doc.go
@@ -1,14 +1,14 @@
-// Package registry is the model of server instances: an Instance is one incarnation of a server, and the Registry is
-// the failure detector by which a control node decides which instances have timed out.
+// Package registry models server instances. An Instance is one incarnation of a server, and a Registry is the failure
+// detector by which a control node decides which instances have timed out.
 //
-// Instances merge, so two replicas agree once they have exchanged what they know, in whatever order.
+// Instances merge in any order, so two replicas agree once they have exchanged what they know.
 //
 //   - instance.go: Instance, its phases, and how two versions of one merge;
-//   - registry.go: the Registry and its bounds; heartbeats and departures of servers, and what other processes know;
-//   - silence.go: which instances have timed out, and when a silent or gone one is forgotten;
-//   - queue.go: the entries of a Registry and the queues that they stand in.
+//   - registry.go: the Registry and its limits; heartbeats and departures of servers, and merging with other processes;
+//   - silence.go: detection of instances that have timed out, and expiry of silent and gone ones;
+//   - queue.go: the entries of a Registry and the queues that contain them.
 //
-// The package does no I/O, reads no clock and starts no goroutine; it imports nothing of the project. A Registry
-// belongs to its caller, who serializes the calls (package control: its instance registry). The tests beside it compare
-// it with a model.
+// The package does no I/O, reads no clock and starts no goroutine; it imports nothing of the project. The caller must
+// serialize the calls to a Registry, as the instance registry of package control does. The tests compare it with a
+// model.
 package registry
--- a/internal/cluster/registry/instance.go
+++ b/internal/cluster/registry/instance.go
@@ -5,19 +5,19 @@
 	"math"
 )
 
-// Seconds is a time on the common clock of the control nodes (replication.Clock), or a span of it.
+// Seconds is a time on the common clock of the control nodes (replication.Clock) or a duration, in seconds.
 type Seconds = float64
 
-// Phase is the state of an instance: as its server reported it, or as a control node detected it.
+// Phase is the state of an instance, as its server reported it or as a control node detected it.
 type Phase uint8
 
-// The phases, in the order in which they win at one call. Gone wins over all: an incarnation that has ended never
-// returns.
+// The phases, in ascending precedence among versions with the same Seq. Gone takes precedence at any Seq, because an
+// incarnation that has ended never returns.
 const (
 	Serving  Phase = iota
 	Silent         // its heartbeats have timed out; any later call of the server overrides this
-	Draining       // it takes no new requests
-	Gone           // it has ended
+	Draining       // accepts no new requests
+	Gone           // has ended
 )
 
 // phases are the names of the phases on the wire and in metrics.
@@ -31,9 +31,10 @@
 	return "unknown"
 }
 
+// Limits on an instance that another process sends.
 const (
-	maxNameLength = 512 // bytes
-	maxCapacity   = 1 << 20
+	maxNameLength = 512     // bytes
+	maxCapacity   = 1 << 20 // concurrent requests
 )
 
 // Instance is one incarnation of a server.
@@ -43,14 +44,14 @@
 	Address        string  `cbor:"3,keyasint,omitempty"`
 	Zone           string  `cbor:"4,keyasint,omitempty"`
 	Generation     string  `cbor:"5,keyasint,omitempty"`
-	Capacity       int     `cbor:"6,keyasint,omitempty"` // requests at a time
+	Capacity       int     `cbor:"6,keyasint,omitempty"` // concurrent requests
 	Phase          Phase   `cbor:"7,keyasint,omitempty"`
 	Seq            uint64  `cbor:"8,keyasint,omitempty"` // number of the server's call that reported this
 	SlowStartUntil Seconds `cbor:"9,keyasint,omitempty"` // end of its slow start, on the common clock; 0: none
 }
 
-// Supersedes reports whether an instance takes the place of another version with the same ID: Gone always, else the
-// later call, and at one call the later phase.
+// Supersedes reports whether an instance replaces another version with the same ID. Gone always does; otherwise the
+// later call wins and, for the same call, the later phase.
 func (i Instance) Supersedes(old Instance) bool {
 	if (i.Phase == Gone) != (old.Phase == Gone) {
 		return i.Phase == Gone
@@ -58,14 +59,14 @@
 	return cmp.Or(cmp.Compare(i.Seq, old.Seq), cmp.Compare(i.Phase, old.Phase)) > 0
 }
 
-// DiffersFrom reports whether an instance differs from another version in what matters to a process that sends
-// requests. A further heartbeat that reports the same does not.
+// DiffersFrom reports whether an instance differs from another version in a way that matters to a process that sends
+// requests. A further heartbeat with the same report does not.
 func (i Instance) DiffersFrom(old Instance) bool {
 	i.Seq, i.SlowStartUntil = old.Seq, old.SlowStartUntil
 	return i != old
 }
 
-// Valid reports whether an instance that another process sent is within the bounds of one.
+// Valid reports whether an instance that another process sent is within the limits.
 func (i Instance) Valid() bool {
 	for _, name := range [...]string{i.ID, i.Service, i.Address, i.Zone, i.Generation} {
 		if len(name) > maxNameLength {
@@ -76,7 +77,7 @@
 		!math.IsNaN(i.SlowStartUntil) && !math.IsInf(i.SlowStartUntil, 0)
 }
 
-// Heartbeat is a call of a server, as control nodes exchange it.
+// Heartbeat is a call of a server in the form in which control nodes exchange it.
 type Heartbeat struct {
 	ID  string `cbor:"1,keyasint"`
 	Seq uint64 `cbor:"2,keyasint"`
--- a/internal/cluster/registry/queue.go
+++ b/internal/cluster/registry/queue.go
@@ -1,11 +1,11 @@
 package registry
 
-// entry is an instance within the queue of its phase, and within that of the heartbeats received here.
+// entry is an instance with its links in the queue of its phase and in the queue of heartbeats received by this node.
 type entry struct {
 	instance                   Instance
-	lastSeenAt                 Seconds // last heartbeat, or since when it has its phase
+	lastSeenAt                 Seconds // time of the last heartbeat or change of phase
 	overdue                    bool    // counted in Registry.overdue
-	heartbeatNumber            uint64  // of the last heartbeat received here; 0: none
+	heartbeatNumber            uint64  // number of the last heartbeat received by this node; 0: none
 	phaseLinks, heartbeatLinks links
 }
 
@@ -35,7 +35,7 @@
 	q.length++
 }
 
-// remove takes an entry out of the queue.
+// remove unlinks an entry from the queue.
 func (q *queue) remove(e *entry) {
 	l := q.linksOf(e)
 	if l.prev == nil {
--- a/internal/cluster/registry/registry.go
+++ b/internal/cluster/registry/registry.go
@@ -1,46 +1,51 @@
 package registry
 
-// Bounds of a Registry. Those in heartbeats are multiples of the interval between two calls of one server.
+// Limits of a Registry. A value in heartbeats is a multiple of the interval between two calls of one server.
 const (
 	// TimeoutHeartbeats is the time without a call after which an instance is silent, in heartbeats.
 	TimeoutHeartbeats = 3.5
-	// MassTimeoutRecheckHeartbeats is the time after the first call that ends a mass timeout until instances are judged
+	// MassTimeoutRecheckHeartbeats is the time from the first call during a mass timeout until instances are checked
 	// again, in heartbeats.
 	MassTimeoutRecheckHeartbeats = 2.0
-	// MassTimeoutMinimum is the least number of instances that time out together in a mass timeout.
+	// MassTimeoutMinimum is the smallest number of instances that time out together in a mass timeout. Fewer become
+	// silent even if they are more than half of the serving instances.
 	MassTimeoutMinimum = 4
-	// TombstoneRetention is the time for which a gone instance is kept, so that a late call does not bring it back.
+	// TombstoneRetention is the time for which a gone instance is kept, in seconds. It prevents a late call from
+	// restoring the instance.
 	TombstoneRetention Seconds = 120
-	// SilentRetention is the time for which a silent instance is kept: it may only be partitioned.
+	// SilentRetention is the time for which a silent instance is kept, in seconds, because it may be partitioned and
+	// call again.
 	SilentRetention Seconds = 600
-	// DrainRetention is the time, after its timeout, for which a draining instance without calls is not yet gone.
+	// DrainRetention is the time in seconds, after its timeout, for which a draining instance without calls does not
+	// count as gone.
 	DrainRetention Seconds = 60
-	// MaxInstances bounds the instances of one registry; the one without a call for longest is dropped for a new one.
+	// MaxInstances bounds the instances of one registry. When it is reached, a new instance replaces the oldest gone
+	// one or, if there is none, the oldest silent, draining or serving one.
 	MaxInstances = 1 << 19
 )
 
-// Registry is the failure detector of a control node. Every method takes the time, which never goes back, and its cost
-// depends on what changes, not on the number of instances. Calls must be serialized.
+// Registry is the failure detector of a control node. The times passed to its methods must not decrease. The cost of a
+// call depends on what changes, not on the number of instances. Calls must be serialized.
 type Registry struct {
 	heartbeatInterval   Seconds
 	entries             map[string]*entry
-	phases              [Gone + 1]queue // by phase, the one longest without a call (or longest in that phase) first
-	heartbeats          queue           // instances with heartbeats received here, the oldest heartbeat first
-	lastHeartbeatNumber uint64          // of the heartbeats received here
+	phases              [Gone + 1]queue // by phase; ordered by lastSeenAt, the oldest first
+	heartbeats          queue           // instances with heartbeats received by this node, the oldest first
+	lastHeartbeatNumber uint64          // number of the last heartbeat received by this node
 
 	hasQuorum   bool
-	quorumSince Seconds // of a quorum without interruption
-	lastCheck   Seconds // the last DetectSilent
-	checked     bool    // there was one
+	quorumSince Seconds // start of the quorum, or end of the last pause of the process
+	lastCheck   Seconds // time of the last call of DetectSilent
+	checked     bool    // DetectSilent has been called
 
-	overdue         int     // serving instances that have timed out: the first so many of their queue
+	overdue         int     // number of serving instances that have timed out; they are first in their queue
 	firstNotOverdue *entry  // the first serving instance that is not overdue
-	massTimeout     bool    // more than half timed out together: nobody is judged
-	callsResumed    bool    // calls have come since the mass timeout began
-	callsResumedAt  Seconds // the first of them
+	massTimeout     bool    // more than half timed out together: none becomes silent
+	callsResumed    bool    // a call has arrived since the mass timeout began
+	callsResumedAt  Seconds // time of that call
 }
 
-// New makes a registry of servers that call once in so many seconds.
+// New returns a registry of servers that call once per heartbeatInterval.
 func New(heartbeatInterval Seconds) *Registry {
 	r := &Registry{
 		heartbeatInterval: heartbeatInterval,
@@ -53,10 +58,10 @@
 	return r
 }
 
-// Len counts the instances, with silent and gone ones that are still kept.
+// Len returns the number of instances, including silent and gone ones that are still kept.
 func (r *Registry) Len() int { return len(r.entries) }
 
-// Get returns the instance with that ID.
+// Get returns the instance with an ID.
 func (r *Registry) Get(id string) (Instance, bool) {
 	if e := r.entries[id]; e != nil {
 		return e.instance, true
@@ -64,8 +69,9 @@
 	return Instance{}, false
 }
 
-// RecordHeartbeat takes a call of a server. It returns the instance as it stands now, which for a late or repeated call
-// is not that of the call, and whether other processes must be sent it. An invalid instance changes nothing.
+// RecordHeartbeat records a call of a server. merged is the resulting instance, which for a late or repeated call may
+// differ from that of the call, and changed reports whether other processes must be sent it. An invalid instance
+// changes nothing.
 func (r *Registry) RecordHeartbeat(now Seconds, instance Instance) (merged Instance, changed bool) {
 	if !instance.Valid() {
 		return instance, false
@@ -83,7 +89,7 @@
 		}
 		return e.instance, instance.DiffersFrom(old)
 	}
-	// A repeated call still shows that the server is alive; one that was delayed on its way does not.
+	// A repeated call shows that the server is still alive. A delayed one does not.
 	if instance.Seq == e.instance.Seq && e.instance.Phase != Gone && e.instance.Phase != Silent {
 		r.touch(now, e)
 		r.trackHeartbeat(e)
@@ -91,8 +97,8 @@
 	return e.instance, false
 }
 
-// RecordDeparture takes a server's call that it has ended. An instance of that ID does not come back while its
-// tombstone is kept, even where none was known.
+// RecordDeparture records a server's call that it has ended. While its tombstone is kept, an instance with that ID
+// cannot return, even if the ID was unknown.
 func (r *Registry) RecordDeparture(now Seconds, id string) (merged Instance, changed bool) {
 	instance := Instance{ID: id, Phase: Gone}
 	if e := r.entries[id]; e != nil {
@@ -102,8 +108,8 @@
 	return r.RecordHeartbeat(now, instance)
 }
 
-// RecordRemoteHeartbeat takes a heartbeat that another control node received. One of an unknown instance, or that is
-// out of date, changes nothing.
+// RecordRemoteHeartbeat records a heartbeat that another control node received. It changes nothing if the instance is
+// unknown or the heartbeat is out of date.
 func (r *Registry) RecordRemoteHeartbeat(now Seconds, id string, seq uint64) (merged Instance, changed bool) {
 	e := r.entries[id]
 	if e == nil {
@@ -121,8 +127,8 @@
 	return instance, instance.DiffersFrom(old)
 }
 
-// Merge takes instances that another process knows: a subscriber, after this node has lost its own, or another control
-// node. They count as seen now. It returns those that changed something here.
+// Merge merges instances that another process knows: another control node, or a subscriber after this node has lost its
+// own instances. They count as seen now. It returns those that changed something here.
 func (r *Registry) Merge(now Seconds, instances []Instance) (changed []Instance) {
 	for _, instance := range instances {
 		if !instance.Valid() {
@@ -143,8 +149,9 @@
 	return changed
 }
 
-// HeartbeatsSince returns the heartbeats received here behind a number, at most maxHeartbeats of the oldest, and the
-// number to ask with next. The first has number 1. An instance with several heartbeats is in it once.
+// HeartbeatsSince returns the oldest heartbeats that this node received after the one with the given number, at most
+// maxHeartbeats, and the number from which to continue. The first heartbeat has number 1. An instance with several
+// heartbeats is returned once.
 func (r *Registry) HeartbeatsSince(since uint64, maxHeartbeats int) (heartbeats []Heartbeat, last uint64) {
 	e, count := r.heartbeats.last, 0
 	for ; e != nil && e.heartbeatNumber > since; e = e.heartbeatLinks.prev {
@@ -166,7 +173,8 @@
 	return heartbeats, last
 }
 
-// add takes an instance that is not known, in the place of the one that matters least where there are too many.
+// add adds an instance that is not known. If there are too many, it replaces the oldest one, in the order of phases of
+// MaxInstances.
 func (r *Registry) add(now Seconds, instance Instance) *entry {
 	if len(r.entries) >= MaxInstances {
 		for _, phase := range [...]Phase{Gone, Silent, Draining, Serving} {
@@ -185,7 +193,7 @@
 	return e
 }
 
-// update gives an entry another version of its instance, seen now.
+// update replaces the instance of an entry by another version, which is seen now.
 func (r *Registry) update(now Seconds, e *entry, instance Instance) {
 	r.dequeue(e)
 	e.instance, e.lastSeenAt = instance, now
@@ -201,14 +209,14 @@
 // touch counts an entry as seen now.
 func (r *Registry) touch(now Seconds, e *entry) { r.update(now, e, e.instance) }
 
-// observeCall notes that a server has called: a mass timeout may be over.
+// observeCall records that a server has called, because a call during a mass timeout may end it.
 func (r *Registry) observeCall(now Seconds) {
 	if r.massTimeout && !r.callsResumed {
 		r.callsResumed, r.callsResumedAt = true, now
 	}
 }
 
-// trackHeartbeat gives an entry the next number of the heartbeats received here.
+// trackHeartbeat assigns to an entry the next number of the heartbeats received by this node.
 func (r *Registry) trackHeartbeat(e *entry) {
 	if e.instance.Phase >= Gone {
 		return
@@ -221,7 +229,7 @@
 	r.heartbeats.push(e)
 }
 
-// enqueue puts an entry into the queue of its phase.
+// enqueue appends an entry to the queue of its phase.
 func (r *Registry) enqueue(e *entry) {
 	r.phases[e.instance.Phase].push(e)
 	if e.instance.Phase == Serving && r.firstNotOverdue == nil {
@@ -229,7 +237,7 @@
 	}
 }
 
-// dequeue takes an entry out of the queue of its phase.
+// dequeue removes an entry from the queue of its phase.
 func (r *Registry) dequeue(e *entry) {
 	if e.overdue {
 		e.overdue = false
@@ -241,7 +249,7 @@
 	r.phases[e.instance.Phase].remove(e)
 }
 
-// remove forgets an entry.
+// remove removes an entry from the registry.
 func (r *Registry) remove(e *entry) {
 	if e.heartbeatNumber != 0 {
 		r.heartbeats.remove(e)
--- a/internal/cluster/registry/registry_test.go
+++ b/internal/cluster/registry/registry_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// modelRegistry is the model of a Registry: it decides by the same rules, but goes through all instances each time.
+// modelRegistry is a model of a Registry. It applies the same rules, but iterates over all instances each time.
 type modelRegistry struct {
 	heartbeatInterval      Seconds
 	instances              map[string]Instance
@@ -119,7 +119,7 @@
 		for range 3000 {
 			step := random.Float64() * 0.3
 			if random.IntN(400) == 0 {
-				step = random.Float64() * 200 // the process was stopped
+				step = random.Float64() * 200 // the process was paused
 			}
 			now += step
 			if random.IntN(150) == 0 {
@@ -231,13 +231,14 @@
 	is.Equal(r.Expire(100), nil)
 	is.Equal(r.Expire(123), []string{"i"})
 
-	_, changed = r.RecordDeparture(130, "unknown") // its first call is still on the way
+	_, changed = r.RecordDeparture(130, "unknown") // its first call has not arrived yet
 	is.True(changed)
 	late, _ = r.RecordHeartbeat(131, Instance{ID: "unknown", Seq: 1})
 	is.Equal(late.Phase, Gone)
 }
 
-// call has these servers call from one time to another, and returns which instances are detected meanwhile, and when.
+// call records heartbeats of the given servers from one time to another. It returns which instances are detected in
+// that time, and when.
 func call(r *Registry, from, to Seconds, seq uint64, ids ...string) (detected []string) {
 	for now := from; now < to; now += 0.25 {
 		for _, id := range ids {
@@ -260,11 +261,11 @@
 		return r
 	}
 	is.Equal(call(newRegistry(), 20, 40, 100, all[1:]...), []string{"a@25.00"}) // its last call was at 19.75
-	// A mass timeout is a partition until others call, and then only those that do not call are silent.
+	// A mass timeout is treated as a partition until any server calls. Then only those that do not call become silent.
 	r := newRegistry()
 	is.Equal(call(r, 20, 200, 100), nil)
 	is.Equal(call(r, 200, 220, 1000, all[:2]...), []string{"c@203.00", "d@203.00", "e@203.00", "f@203.00"})
-	// A node that was stopped, or had no quorum, detects nobody until it has received calls for a whole timeout.
+	// A node that was paused or had no quorum detects no silent instances until a whole timeout later.
 	r = newRegistry()
 	is.Equal(call(r, 80, 90, 1000, all[1:]...), []string{"a@85.25"})
 	r = newRegistry()
--- a/internal/cluster/registry/silence.go
+++ b/internal/cluster/registry/silence.go
@@ -1,7 +1,7 @@
 package registry
 
-// SetQuorum reports whether this node is up and in contact with a majority of the voters. Only a node that has been for
-// a whole timeout detects silent instances.
+// SetQuorum records whether this node is up and in contact with a majority of the voters. A node detects silent
+// instances only after both have held for a whole timeout.
 func (r *Registry) SetQuorum(now Seconds, quorum bool) {
 	if quorum && !r.hasQuorum {
 		r.quorumSince = now
@@ -9,11 +9,12 @@
 	r.hasQuorum = quorum
 }
 
-// DetectSilent returns the instances that become silent now, and draining ones that become gone. Call it several times
-// in each heartbeat interval: where it was not called for a whole one, the process itself was stopped, and its timeout
-// begins anew. A mass timeout, of more than half of the instances and at least MassTimeoutMinimum, is rather a
-// partition of this node: nobody is judged until calls come again, from anyone, and then only instances that have not
-// called for MassTimeoutRecheckHeartbeats more.
+// DetectSilent returns the instances that become silent now, and the draining ones that become gone. It must be called
+// several times in each heartbeat interval: if more than one interval has passed since the last call, the process
+// itself was paused, and its timeout begins again. If more than half of the serving instances, and at least
+// MassTimeoutMinimum, time out together, the cause is more likely a partition of this node. In such a mass timeout no
+// instance becomes silent until any server calls; MassTimeoutRecheckHeartbeats later, only the instances that have not
+// called become silent.
 func (r *Registry) DetectSilent(now Seconds) []Instance {
 	if r.checked && now-r.lastCheck > r.heartbeatInterval {
 		r.quorumSince = max(r.quorumSince, now)
@@ -39,7 +40,7 @@
 	return detected
 }
 
-// countOverdue counts the serving instances that have timed out, and moves firstNotOverdue behind them.
+// countOverdue counts the serving instances that have timed out, and moves firstNotOverdue past them.
 func (r *Registry) countOverdue(now, timeout Seconds) {
 	for r.firstNotOverdue != nil && now-r.firstNotOverdue.lastSeenAt >= timeout {
 		r.firstNotOverdue.overdue = true
@@ -48,7 +49,7 @@
 	}
 }
 
-// inMassTimeout begins and ends a mass timeout, and reports whether there is one.
+// inMassTimeout starts or ends a mass timeout, and reports whether one is in progress.
 func (r *Registry) inMassTimeout(now Seconds) bool {
 	if !r.massTimeout && r.overdue >= MassTimeoutMinimum && 2*r.overdue > r.phases[Serving].length {
 		r.massTimeout, r.callsResumed = true, false
@@ -60,7 +61,7 @@
 	return r.massTimeout
 }
 
-// setPhase gives an entry another phase, and returns its instance.
+// setPhase changes the phase of an entry, and returns its instance.
 func (r *Registry) setPhase(now Seconds, e *entry, phase Phase) Instance {
 	instance := e.instance
 	instance.Phase = phase
@@ -68,7 +69,7 @@
 	return instance
 }
 
-// Expire forgets the instances that have been gone or silent for their retention, and returns their IDs.
+// Expire removes the instances that have been gone or silent for their retention, and returns their IDs.
 func (r *Registry) Expire(now Seconds) (ids []string) {
 	ids = r.expirePhase(ids, now, Gone, TombstoneRetention)
 	return r.expirePhase(ids, now, Silent, SilentRetention)
