--- a/internal/cluster/metrics/endpoint.go
+++ b/internal/cluster/metrics/endpoint.go
@@ -7,13 +7,14 @@
 	"strings"
 )
 
-// Endpoint is where a role serves its metrics, as deploy/system.toml writes it: "PORT/PATH". The zero value is none.
+// Endpoint is the port and the path at which a role serves its metrics, written as "PORT/PATH" in deploy/system.toml.
+// The zero value means that metrics are not served.
 type Endpoint struct {
 	Port int
 	Path string // begins with a slash
 }
 
-// ParseEndpoint parses "PORT/PATH"; the empty text is the zero Endpoint. Errors wrap ErrBadEndpoint.
+// ParseEndpoint parses "PORT/PATH". An empty text gives the zero Endpoint. Errors wrap ErrBadEndpoint.
 func ParseEndpoint(text string) (Endpoint, error) {
 	if text == "" {
 		return Endpoint{}, nil
@@ -29,7 +30,7 @@
 // Enabled reports whether metrics are to be served.
 func (e Endpoint) Enabled() bool { return e.Port > 0 }
 
-// Address returns the address to listen on, on a machine with that IP address.
+// Address returns the address to listen on, for a machine with the given IP address.
 func (e Endpoint) Address(host string) string { return net.JoinHostPort(host, strconv.Itoa(e.Port)) }
 
 // UnmarshalText parses an endpoint on a command line. Errors wrap ErrBadEndpoint.
--- a/internal/cluster/metrics/metrics_test.go
+++ b/internal/cluster/metrics/metrics_test.go
@@ -78,7 +78,7 @@
 	}()
 	url := fmt.Sprintf("http://127.0.0.1:%d/metrics", port)
 	answer, err := http.Get(url)
-	for err != nil && ctx.Err() == nil && t.Context().Err() == nil { // it does not listen yet
+	for err != nil && ctx.Err() == nil && t.Context().Err() == nil { // the server does not listen yet
 		answer, err = http.Get(url)
 	}
 	is.NoErr(err)
--- a/internal/cluster/metrics/registry.go
+++ b/internal/cluster/metrics/registry.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	namespace      = "mulleinrouter"
-	requestTimeout = 5 * time.Second
+	namespace      = "mulleinrouter" // prefix of all metrics
+	requestTimeout = 5 * time.Second // for reading a request, writing its answer, and an idle connection
 )
 
-// bindPolicy covers the time for which the process before may still hold the port.
+// bindPolicy retries for about 5 s, because the previous process may still hold the port.
 var bindPolicy = retry.Policy{Attempts: 20, Interval: 250 * time.Millisecond}
 
 // Registry holds the metrics of one process. Register all of them before it serves.
@@ -40,7 +40,7 @@
 	return r
 }
 
-// options names a metric: mulleinrouter_PROGRAM_NAME.
+// options returns the options of the metric mulleinrouter_PROGRAM_NAME.
 func (r *Registry) options(name, help string, labels prometheus.Labels) prometheus.Opts {
 	return prometheus.Opts{Namespace: namespace, Subsystem: r.program, Name: name, Help: help, ConstLabels: labels}
 }
@@ -50,7 +50,7 @@
 	r.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts(r.options(name, help, nil)), value))
 }
 
-// Flag registers a condition: 1 while it holds, else 0.
+// Flag registers a gauge that is 1 while a condition holds, and 0 otherwise.
 func (r *Registry) Flag(name, help string, holds func() bool) {
 	r.Gauge(name, help, func() float64 {
 		if holds() {
@@ -127,23 +127,23 @@
 	_ = r.Write(w) // the client may have disconnected
 }
 
-// Server says where a program serves its metrics.
+// Server describes where a program serves its metrics.
 type Server struct {
 	Program  string   // control, agent or proxy
-	Endpoint Endpoint // the zero value: nowhere
+	Endpoint Endpoint // zero: metrics are not served
 	Host     string   // the machine's IP address
 	Log      log.Logger
 }
 
-// Serve serves the metrics that register adds, besides those of all programs, until the context ends.
+// Serve serves the metrics that register adds, and those of all programs, until the context ends.
 func (s Server) Serve(ctx context.Context, register func(*Registry)) {
 	r := NewRegistry(s.Program)
 	register(r)
 	r.Serve(ctx, s.Endpoint, s.Host, s.Log)
 }
 
-// Serve serves the metrics at the endpoint on that host until the context ends. A port that stays in use leaves the
-// process without metrics, which is logged, and has no other effect.
+// Serve serves the metrics at the endpoint on that host until the context ends. If the port stays in use, the process
+// runs without metrics; this is logged and has no other effect.
 func (r *Registry) Serve(ctx context.Context, endpoint Endpoint, host string, logger log.Logger) {
 	if !endpoint.Enabled() {
 		return
--- a/internal/cluster/retry/doc.go
+++ b/internal/cluster/retry/doc.go
@@ -1,5 +1,4 @@
-// Package retry waits and retries until a context ends: what the programs of the system share of it.
+// Package retry provides functions that the programs of the system share for waiting and retrying until a context ends.
 //
-// It holds no state and starts no goroutine that outlives a call. It imports transport, and nothing else of the
-// project.
+// It holds no state and starts no goroutine that outlives a call. Within the project it imports only transport.
 package retry
--- a/internal/cluster/retry/retry.go
+++ b/internal/cluster/retry/retry.go
@@ -8,16 +8,16 @@
 	"mulleinrouter/internal/cluster/transport"
 )
 
-// Policy says how often something is attempted, and the interval between two attempts.
+// Policy is the number of attempts and the interval between two of them.
 type Policy struct {
 	Attempts int
 	Interval time.Duration
 }
 
-// Sleep waits for a time; false: the context ended before.
+// Sleep waits for a time. It returns false if the context ends first.
 func Sleep(ctx context.Context, d time.Duration) bool { return !AwaitClosed(ctx.Done(), d) }
 
-// AwaitClosed waits until a channel is closed; false: it was not within the limit.
+// AwaitClosed waits until a channel is closed. It returns false if the limit passes first.
 func AwaitClosed(channel <-chan struct{}, limit time.Duration) bool {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
@@ -29,8 +29,8 @@
 	}
 }
 
-// Listen listens on host:port, which the process before may hold for a moment longer. It returns the error of the last
-// attempt, or that of the context if it ends before.
+// Listen listens on host:port. It retries because the previous process may hold the port for a moment longer. It
+// returns the error of the last attempt, or that of the context if it ends first.
 func Listen(ctx context.Context, addr string, policy Policy) (net.Listener, error) {
 	for attempt := 1; ; attempt++ {
 		listener, err := transport.Listen(addr)
--- a/internal/cluster/retry/retry_test.go
+++ b/internal/cluster/retry/retry_test.go
@@ -13,7 +13,7 @@
 
 func TestSleep(t *testing.T) {
 	for name, c := range map[string]struct {
-		timeout time.Duration // of the context
+		timeout time.Duration // timeout of the context
 		want    bool
 	}{
 		"the time passes":        {timeout: time.Minute, want: true},
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestListen binds an address that another listener holds: it fails when the attempts are used up or the context ends,
-// and succeeds once the address is free.
+// TestListen binds an address that another listener holds. Listen fails when the attempts are used up or the context
+// ends, and succeeds once the address is free.
 func TestListen(t *testing.T) {
 	blocker, err := transport.Listen("127.0.0.1:0")
 	if err != nil {
--- a/internal/cluster/settings/decode.go
+++ b/internal/cluster/settings/decode.go
@@ -7,7 +7,7 @@
 	"mulleinrouter/internal/logging"
 )
 
-// Defaults of settings that may be missing, in seconds unless a comment gives another unit.
+// Defaults of optional settings, in seconds unless a comment gives another unit.
 const (
 	defaultHeartbeatInterval = 1.5
 	defaultSeedLag           = 3
@@ -22,17 +22,17 @@
 	defaultRevertSlack       = 0.25
 	defaultMaxStretch        = 8
 	defaultRevoke            = 5
-	defaultRetryRatio        = 0.2 // further arrivals, of the requests
+	defaultRetryRatio        = 0.2 // further arrivals, as a fraction of the requests
 	defaultRetryWindow       = 10
 	defaultRetrySlack        = 60 // further arrivals
 	defaultQuotaWindow       = 5
-	defaultQuotaExcess       = 0.1 // of the quota
+	defaultQuotaExcess       = 0.1 // fraction of the quota
 	defaultQuotaSlack        = 20  // requests
 	defaultRecovery          = 15
 	defaultHistory           = 20
 )
 
-// Decode reads the text of a file of settings; file is its name, for the errors. Unknown fields are ignored; a field
+// Decode decodes the text of a settings file, whose name in errors is file. Unknown fields are ignored, and a field
 // that has a default may be missing. Errors are SettingErrors.
 func Decode(file, text string) (*Settings, error) {
 	paths, errs := Parse(text)
--- a/internal/cluster/settings/doc.go
+++ b/internal/cluster/settings/doc.go
@@ -1,12 +1,12 @@
 // Package settings reads the settings of one process: its place in the system, its limits, and the bounds of the rules
-// in force. They come from a file of lines a.b=value, which may change while the process runs.
+// in force. They come from a file with lines of the form a.b=value, which may change while the process runs.
 //
-//   - settings.go: Settings, and the addresses that follow from them;
-//   - decode.go: Settings from the text of a file;
+//   - settings.go: Settings, and the addresses derived from them;
+//   - decode.go: decoding the text of a file into Settings;
 //   - paths.go: the lines of a file, and typed access to their values;
 //   - watch.go: Load, and the Watcher of a file that may change;
-//   - errors.go: what can be wrong.
+//   - errors.go: the errors of a settings file.
 //
-// Settings are immutable. A Watcher is used by one goroutine; any may ask for its Current settings. Of the
-// project the package imports logging alone. Its tests stand beside it.
+// Settings are immutable. One goroutine uses a Watcher, but any goroutine may call its Current and Level. Within the
+// project the package imports only logging.
 package settings
--- a/internal/cluster/settings/errors.go
+++ b/internal/cluster/settings/errors.go
@@ -8,34 +8,34 @@
 	"strings"
 )
 
-// ErrNoFile is returned where no settings file is given, neither by the caller nor by the environment.
+// ErrNoFile is returned if no settings file is given, neither by the caller nor by the environment.
 var ErrNoFile = errors.New("settings: no file is given, and " + EnvVariable + " names none")
 
 // ErrTooLong is wrapped in the error of a settings file of more than 1 MiB.
 var ErrTooLong = errors.New("too long")
 
-// SettingError is one thing that is wrong with a file of settings.
+// SettingError is one error in a settings file.
 type SettingError struct {
-	File string // without its folder; empty where only a text was read
-	Line int    // from 1; 0: the file lacks something
-	Key  string // empty where the line has none
+	File string // name without its folder; empty if there is no file
+	Line int    // from 1; 0: something is missing from the file
+	Key  string // empty if the line has none
 	Text string
 }
 
 // Error returns "file:line: key: text", without the parts that are empty.
 func (se SettingError) Error() string {
-	where := se.File
+	position := se.File
 	if se.Line > 0 {
-		where = strings.TrimPrefix(fmt.Sprintf("%s:%d", se.File, se.Line), ":")
+		position = strings.TrimPrefix(fmt.Sprintf("%s:%d", se.File, se.Line), ":")
 	}
-	text := strings.TrimPrefix(where+": ", ": ") + strings.TrimPrefix(se.Key+": ", ": ") + se.Text
+	text := strings.TrimPrefix(position+": ", ": ") + strings.TrimPrefix(se.Key+": ", ": ") + se.Text
 	return strings.TrimPrefix(text, ": ")
 }
 
 // maxReportedErrors bounds the errors in the text of SettingErrors.
 const maxReportedErrors = 10
 
-// SettingErrors is all that is wrong with a file, in the order of the lines and what is missing at the end.
+// SettingErrors is all errors in a settings file, in the order of the lines. Errors about missing settings are last.
 type SettingErrors []SettingError
 
 // Error returns one line with the first ten errors.
@@ -51,7 +51,7 @@
 	return strings.Join(texts, "; ")
 }
 
-// inFile returns the errors as those of a file, sorted; nil where there are none.
+// inFile sets the file name of the errors, and sorts them. It returns nil if there are none.
 func (se SettingErrors) inFile(file string) error {
 	if len(se) == 0 {
 		return nil
@@ -60,7 +60,7 @@
 		se[n].File = file
 	}
 	slices.SortStableFunc(se, func(a, b SettingError) int {
-		return cmp.Compare(uint(a.Line)-1, uint(b.Line)-1) // no line: last
+		return cmp.Compare(uint(a.Line)-1, uint(b.Line)-1) // errors without a line are last
 	})
 	return se
 }
--- a/internal/cluster/settings/paths.go
+++ b/internal/cluster/settings/paths.go
@@ -8,17 +8,17 @@
 	"strings"
 )
 
-// Paths is the settings by their paths, such as self.limits.maxFds.
+// Paths maps paths, such as self.limits.maxFds, to settings.
 type Paths map[string]Setting
 
-// Setting is the value at a path, and the line that it stands on, from 1.
+// Setting is the value at a path and the number of its line, from 1.
 type Setting struct {
 	Value string
 	Line  int
 }
 
-// Parse reads lines of the form a.b.c=value. Empty lines and those that begin with # are ignored. The errors are lines
-// that are of no such form, and paths given twice.
+// Parse parses lines of the form a.b.c=value. Empty lines and those that begin with # are ignored. There is an error
+// for each line of another form and for each path that is given twice.
 func Parse(text string) (Paths, SettingErrors) {
 	paths, errs := Paths{}, SettingErrors(nil)
 	n := 0
@@ -46,7 +46,7 @@
 	return paths, errs
 }
 
-// reader reads settings by their paths and collects all that is wrong.
+// reader reads settings by their paths and collects all errors.
 type reader struct {
 	paths  Paths
 	errors SettingErrors
@@ -69,10 +69,10 @@
 	}
 }
 
-// text returns the value at a path; empty: there is none.
+// text returns the value at a path; empty if there is none.
 func (r *reader) text(path string) string { return r.paths[path].Value }
 
-// given returns the value at a path, and whether there is one to read.
+// given returns the value at a path, and whether there is a value that is not empty.
 func (r *reader) given(path string) (string, bool) {
 	v := r.paths[path].Value
 	return v, v != ""
@@ -95,7 +95,7 @@
 	return values
 }
 
-// table returns the values below a path, by the rest of their paths.
+// table returns the values below a path, keyed by the rest of their paths.
 func (r *reader) table(path string) map[string]string {
 	table := map[string]string{}
 	for p, at := range r.paths {
@@ -106,7 +106,7 @@
 	return table
 }
 
-// flag reads true or false; false where there is no value.
+// flag reads true or false. It returns false if there is no value.
 func (r *reader) flag(path string) bool {
 	v, ok := r.given(path)
 	if ok && v != "true" && v != "false" {
@@ -115,7 +115,7 @@
 	return v == "true"
 }
 
-// integer reads a whole number, 0 or above; 0 where there is none.
+// integer reads an integer that is at least 0. It returns 0 if there is none.
 func (r *reader) integer(path string) int {
 	v, ok := r.given(path)
 	if !ok {
@@ -132,7 +132,7 @@
 	return n
 }
 
-// number reads a finite number, 0 or above.
+// number reads a finite number that is at least 0. It returns fallback if there is none.
 func (r *reader) number(path string, fallback float64) float64 {
 	v, ok := r.given(path)
 	if !ok {
@@ -149,12 +149,12 @@
 	return x
 }
 
-// millis reads a span in milliseconds, and returns it in seconds; fallback is in seconds.
+// millis reads a duration in milliseconds and returns it in seconds; fallback is in seconds.
 func (r *reader) millis(path string, fallback float64) float64 {
 	return r.number(path, fallback*1000) / 1000
 }
 
-// address reads host:port; names are not resolved anywhere, so the host is an IPv4 address.
+// address reads host:port. The host must be an IPv4 address, because names are not resolved anywhere.
 func (r *reader) address(path string) string {
 	v, ok := r.given(path)
 	if ok && !isAddress(v) {
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -11,32 +11,32 @@
 	"mulleinrouter/internal/logging"
 )
 
-// loopbackHost is where a proxy reaches the agent beside it.
+// loopbackHost is the host at which a proxy reaches the agent on the same machine.
 const loopbackHost = "127.0.0.1"
 
-// Settings is the settings of one process, checked. It is shared and never changed. Times are in seconds.
+// Settings is the validated settings of one process. It is shared and must not be modified. Times are in seconds.
 type Settings struct {
 	Node        string
-	Role        string // its name in the deploy file
-	Class       string // of the machine: edge or core
+	Role        string // name of the process's role in the deploy file
+	Class       string // class of the machine: edge or core
 	Serving     []string
 	Host        string // the machine's IPv4 address
 	Zone        string
 	Region      string
-	LossCounted bool   // the machine is one of those whose loss the tolerance counts
+	LossCounted bool   // the tolerance counts the loss of this machine
 	Bootstrap   bool   // this is the first start of the system, with empty disks
-	DataPath    string // folder on the machine's disk; empty: it has none
+	DataPath    string // folder on the machine's disk; empty: there is no disk
 	Limits      Limits
 
 	FrontAddr   string            // host:port for clients; empty: none are served
 	ReadyAddr   string            // host:port of the readiness check; empty: there is none
 	ControlAddr string            // host:port for operators and servers; empty: none are served
-	InnerFirst  int               // first port for the system's own processes; it is the same on all machines
+	InnerFirst  int               // first port for the system's own processes; the same on all machines
 	InnerLast   int               // last such port
 	Seeds       []string          // control addresses of some control nodes
 	Zones       map[string]string // region of each zone
 
-	HeartbeatInterval float64         // between two calls of a server
+	HeartbeatInterval float64         // time between two calls of a server
 	Clauses           map[string]bool // names of the clauses of the operators' RULES in force
 	Tolerance         Tolerance
 	Bounds            Bounds
@@ -46,49 +46,49 @@
 
 // Limits is what the process may use.
 type Limits struct {
-	CPUFraction float64 // of a core
-	Cores       float64 // how much faster than one core it is
-	MemoryMB    int     // over it the process is killed; 0: not known
-	MaxFDs      int     // 0: not known
-	LinkMbps    float64 // 0: not known
-	DiskMB      int     // 0: not known
+	CPUFraction float64 // usable fraction of a core
+	Cores       float64 // speed relative to one core
+	MemoryMB    int     // megabytes above which the process is killed; 0: unknown
+	MaxFDs      int     // file descriptors; 0: unknown
+	LinkMbps    float64 // megabits per second; 0: unknown
+	DiskMB      int     // megabytes; 0: unknown
 }
 
-// Tolerance is how much may be lost at one time while every rule is kept.
+// Tolerance is the number of machines, zones and regions that may be lost at the same time while every rule is kept.
 type Tolerance struct{ Machines, Zones, Regions int }
 
-// Bounds is the limits of the rules (RULES). Times are in seconds.
+// Bounds is the limits in the operators' rules (RULES). Times are in seconds.
 type Bounds struct {
-	SeedLag      float64 // by which the callers' list of control nodes is behind
-	ReuseAfter   float64 // before the address of a server that ended is assigned to another
-	Contact      float64 // for which a machine was healthy before it counts as in contact
-	Ack          float64 // within which a valid call of the operator is acknowledged
-	CatchUp      float64 // for which a machine counts as lost after its return
-	Drain        float64 // after a departure was acknowledged, until nothing more reaches the server
-	Grace        float64 // between SIGTERM and SIGKILL
-	LossSlack    float64 // after the last byte of a request, in which its connection may end without an answer
-	ConfigApply  float64 // after an acknowledgement, until nothing older is in force
-	RevertSlack  float64 // after an effect was observed, until nothing older is in force
-	MaxStretch   float64 // by which an unstable core stretches ConfigApply at most
+	SeedLag      float64 // delay of the callers' list of control nodes
+	ReuseAfter   float64 // time before the address of a server that ended is assigned to another
+	Contact      float64 // time that a machine must be healthy before it counts as in contact
+	Ack          float64 // time within which a valid call of the operator is acknowledged
+	CatchUp      float64 // time for which a machine counts as lost after its return
+	Drain        float64 // time from an acknowledged departure until nothing more reaches the server
+	Grace        float64 // time between SIGTERM and SIGKILL
+	LossSlack    float64 // time after the last byte of a request in which its connection may end without an answer
+	ConfigApply  float64 // time from an acknowledgement until nothing older is in force
+	RevertSlack  float64 // time from an observed effect until nothing older is in force
+	MaxStretch   float64 // longest extension of ConfigApply by an unstable core
 	RevokeGlobal bool
 	Revoke       float64
-	RetryRatio   float64 // further arrivals at a service, of the requests for it
-	RetryWindow  float64
-	RetrySlack   float64 // further arrivals in a window beyond RetryRatio
-	QuotaWindow  float64
-	QuotaExcess  float64 // by which a tenant's quota may be exceeded, of the quota
-	QuotaSlack   float64 // requests in a window beyond that
-	Recovery     float64 // after machines are back, until requests are served again
-	History      float64 // for which a watch may be resumed behind a revision
+	RetryRatio   float64 // further arrivals at a service, as a fraction of the requests for it
+	RetryWindow  float64 // length of the window of RetryRatio and RetrySlack
+	RetrySlack   float64 // further arrivals in a window, in addition to RetryRatio
+	QuotaWindow  float64 // length of the window of QuotaExcess and QuotaSlack
+	QuotaExcess  float64 // excess over a tenant's quota, as a fraction of the quota
+	QuotaSlack   float64 // requests in a window, in addition to QuotaExcess
+	Recovery     float64 // time from the return of machines until requests are served again
+	History      float64 // time for which a watch may be resumed after a revision
 }
 
-// supportedClauses are the clauses of the operators' rules that this version has what they ask for.
+// supportedClauses are the clauses of the operators' rules that this version implements.
 var supportedClauses = []string{
 	"base", "drain", "config", "cost", "retry", "recover", "health", "pool", "coord", "tenants", "quota",
 }
 
-// UnsupportedClauses lists the clauses in force that this version knows nothing of: calls that they bring are answered
-// 404, and no other sign shows it.
+// UnsupportedClauses returns the clauses in force that this version does not implement. The calls that such a clause
+// introduces are answered with 404, and there is no other sign of it.
 func (s *Settings) UnsupportedClauses() (unsupported []string) {
 	for _, clause := range slices.Sorted(maps.Keys(s.Clauses)) {
 		if !slices.Contains(supportedClauses, clause) {
@@ -98,8 +98,8 @@
 	return unsupported
 }
 
-// Require checks that there is what a program (proxy, agent or control) needs beyond what all do. Errors are
-// SettingErrors.
+// Require checks that the settings contain what a program (proxy, agent or control) needs in addition to what all
+// programs need. Errors are SettingErrors.
 func (s *Settings) Require(program string) error {
 	var errs SettingErrors
 	require := func(key, value string) {
@@ -121,11 +121,11 @@
 	return errs.inFile("")
 }
 
-// InternalAddr returns where this machine is reached by the others of the system, host:port.
+// InternalAddr returns the host:port at which the system's other processes reach this machine.
 func (s *Settings) InternalAddr() string { return net.JoinHostPort(s.Host, strconv.Itoa(s.InnerFirst)) }
 
-// AgentAddr returns where the agent on this machine is reached by the proxy beside it, host:port. On a machine whose
-// own address is a loopback one, as where several share a host, the agent is there: 127.0.0.1 would be the same for all
+// AgentAddr returns the host:port at which the proxy on this machine reaches the agent. If the machine's own address is
+// a loopback one, because several machines share a host, the agent listens there: 127.0.0.1 would be the same for all
 // of them.
 func (s *Settings) AgentAddr() string {
 	host := loopbackHost
@@ -135,8 +135,8 @@
 	return net.JoinHostPort(host, strconv.Itoa(s.InnerFirst))
 }
 
-// InternalAddrOf returns where the control node with this control address is reached by the others of the system,
-// host:port: the ports are the same on all machines. Empty where the address is not one.
+// InternalAddrOf returns the host:port at which the system's other processes reach the control node with the given
+// control address; the ports are the same on all machines. The result is empty if the control address is invalid.
 func (s *Settings) InternalAddrOf(controlAddr string) string {
 	if !isAddress(controlAddr) {
 		return ""
--- a/internal/cluster/settings/settings_test.go
+++ b/internal/cluster/settings/settings_test.go
@@ -63,9 +63,9 @@
 		s.InternalAddrOf("a.example:9000"),
 	},
 		[]string{"10.9.0.7:7000", "127.0.0.1:7000", "10.9.0.1:7000", ""})
-	several := *s
-	several.Host = "127.1.0.7" // several machines on one box
-	is.Equal(several.AgentAddr(), "127.1.0.7:7000")
+	sharedHost := *s
+	sharedHost.Host = "127.1.0.7" // several machines share one host
+	is.Equal(sharedHost.AgentAddr(), "127.1.0.7:7000")
 	is.NoErr(s.Require("proxy"))
 	is.NoErr(s.Require("agent"))
 	is.Equal(s.Require("control").Error(),
@@ -154,16 +154,16 @@
 	write(in("north"), 0) // size and time are the same: only a reload finds it
 	expect(false, "south", "", w.Reread)
 	expect(true, "north", "", w.Reload)
-	write(example+"torn", -time.Hour) // the time of day jumped
+	write(example+"torn", -time.Hour) // the clock was set back
 	expect(false, "north", `node.conf:27: no "=": "torn"`, w.Reread)
 	expect(false, "north", "", w.Reread) // reported once
 	expect(false, "north", `node.conf:27: no "=": "torn"`, w.Reload)
-	write(in("east")+"\n\n\n\n", 0) // as long as the torn one, at the same time
+	write(in("east")+"\n\n\n\n", 0) // same size and time as the broken file
 	expect(true, "east", "", w.Reread)
 	is.Equal(w.Level(), logging.LevelWarn)
 	write(strings.Replace(example, "level=warn", "level=debug", 1), time.Second)
 	expect(true, "north", "", w.Reload)
-	is.Equal(w.Level(), logging.LevelDebug) // loggers that have the watcher as their level follow
+	is.Equal(w.Level(), logging.LevelDebug) // a logger that uses the watcher as its Leveler follows the file
 	write(in("east"), time.Second)
 	expect(true, "east", "", w.Reload)
 	is.NoErr(os.Remove(path))
@@ -173,7 +173,7 @@
 	is.True(err != nil)
 }
 
-// A clause that this version knows nothing of is named, so that a deployment does not ask in vain for what it brings.
+// Clauses that this version does not implement are reported, so that a deployment does not rely on them in vain.
 func TestUnsupportedClauses(t *testing.T) {
 	s := &Settings{Clauses: map[string]bool{"base": true, "coord": true, "teleport": true, "antigravity": true}}
 	if got := s.UnsupportedClauses(); !slices.Equal(got, []string{"antigravity", "teleport"}) {
--- a/internal/cluster/settings/watch.go
+++ b/internal/cluster/settings/watch.go
@@ -17,12 +17,12 @@
 const EnvVariable = "MULLEINROUTER_CONFIG"
 
 const (
-	maxFileBytes = 1 << 20         // of a file of settings: the usual one has 2 KB
-	pollInterval = 5 * time.Second // between two looks at a file that changes without a signal
+	maxFileBytes = 1 << 20         // size of a settings file; a usual one has 2 KB
+	pollInterval = 5 * time.Second // time between two checks for a change without a signal
 )
 
-// Load reads a file of settings: the one at path or, where that is empty, the one that the environment names. Errors
-// are SettingErrors, ErrNoFile, ErrTooLong, or those of reading the file.
+// Load loads the settings file at path or, if path is empty, the one that the environment names. Errors are
+// SettingErrors, ErrNoFile, ErrTooLong, or those of reading the file.
 func Load(path string) (*Settings, error) {
 	path, err := resolvePath(path)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return Decode(filepath.Base(path), string(text))
 }
 
-// resolvePath returns the path, or the one that the environment names.
+// resolvePath returns the path or, if it is empty, the one that the environment names.
 func resolvePath(path string) (string, error) {
 	if path == "" {
 		path = os.Getenv(EnvVariable)
@@ -54,23 +54,23 @@
 	return path, nil
 }
 
-// Watcher holds the settings that are in force while their file may change. One goroutine rereads it; any may ask for
-// Current.
+// Watcher holds the settings in force, while their file may change. One goroutine reloads the file; any goroutine may
+// call Current and Level.
 type Watcher struct {
 	path          string
 	current       atomic.Pointer[Settings]
 	seen          fileVersion
-	reportedError string // the text of the error that was returned last, while the file is as it was then
+	reportedError string // text of the last error; empty after a successful load
 }
 
-// fileVersion tells without reading a file that it has changed.
+// fileVersion identifies a version of a file without reading the file.
 type fileVersion struct {
 	size    int64
 	modTime time.Time
 }
 
-// NewWatcher watches the file that first was loaded from; path is as for Load. A change since then is found by the
-// first Reread.
+// NewWatcher returns a watcher of the file from which first was loaded; path is as for Load. The first Reread finds a
+// change that has been made since.
 func NewWatcher(path string, first *Settings) *Watcher {
 	w := &Watcher{path: path}
 	w.current.Store(first)
@@ -80,13 +80,13 @@
 // Current returns the settings in force.
 func (w *Watcher) Current() *Settings { return w.current.Load() }
 
-// Level returns the level of the log in force. It makes the Watcher a logging.Leveler: a logger that has it as such
-// follows the file.
+// Level returns the log level in force. It makes the Watcher a logging.Leveler, so that the level of a logger follows
+// the file.
 func (w *Watcher) Level() logging.Level { return w.Current().Log.Level }
 
-// Reread checks whether the file has changed, by its size and time, and if so loads it. Call it every few seconds:
-// files change without a signal too. Changed reports whether the settings differ from those before. A broken file is
-// rejected as a whole: then the settings stay in force, and the same error is returned once.
+// Reread checks by size and modification time whether the file has changed, and loads it if it has. Call it every few
+// seconds, because files change without a signal too. changed reports whether the settings differ from those before. A
+// broken file is rejected as a whole: the settings stay in force, and the same error is returned only once.
 func (w *Watcher) Reread() (changed bool, s *Settings, err error) {
 	path, err := resolvePath(w.path)
 	if err != nil {
@@ -103,20 +103,20 @@
 	return changed, s, err
 }
 
-// Reload is Reread without the check of size and time: for SIGHUP, which says that there is something to read. It
-// returns every error.
+// Reload loads the file without checking its size and time. It is meant for SIGHUP, which announces a change. Unlike
+// Reread, it returns every error.
 func (w *Watcher) Reload() (changed bool, s *Settings, err error) {
 	path, err := resolvePath(w.path)
 	if err != nil {
 		return false, w.Current(), err
 	}
-	var seen fileVersion // from before the reading, so that a change meanwhile is found by the next one
+	var seen fileVersion // taken before the file is read, so that the next Reread finds a change made meanwhile
 	if info, err := os.Stat(path); err == nil {
 		seen = fileVersion{info.Size(), info.ModTime()}
 	}
 	next, err := Load(path)
 	if err != nil {
-		// It may be half written: read it again, whatever its time is.
+		// The file may be half written, so the next Reread reads it again even if its size and time are unchanged.
 		w.seen, w.reportedError = fileVersion{}, err.Error()
 		return false, w.Current(), err
 	}
@@ -125,8 +125,8 @@
 	return !reflect.DeepEqual(old, next), next, nil
 }
 
-// Follow rereads the file at each signal, and when it has changed without one, until the context ends. It calls
-// onReload after each reading that changed something or failed.
+// Follow reloads the file at each signal, and checks it for a change every pollInterval, until the context ends. It
+// calls onReload after each load that changed the settings or failed.
 func (w *Watcher) Follow(ctx context.Context, hangups <-chan os.Signal, onReload func(changed bool, err error)) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
