--- a/internal/cluster/command/command_test.go
+++ b/internal/cluster/command/command_test.go
@@ -10,7 +10,7 @@
 	"mulleinrouter/internal/cluster/settings"
 )
 
-func TestParsePlatformCall(t *testing.T) {
+func TestParseServeCommand(t *testing.T) {
 	for name, c := range map[string]struct {
 		args   []string
 		want   ServeOptions
@@ -28,7 +28,7 @@
 		"no command":         {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, ok := parsePlatformCall(c.args)
+			got, ok := parseServeCommand(c.args)
 			if ok != c.wantOK || ok && got != c.want {
 				t.Errorf("got %v, %t, want %v, %t", got, ok, c.want, c.wantOK)
 			}
--- a/internal/cluster/command/errors.go
+++ b/internal/cluster/command/errors.go
@@ -13,7 +13,7 @@
 	exitSettings = 3
 )
 
-// exitCode returns the exit code for the outcome of a command.
+// exitCode returns the exit code for the error of a command, which may be nil.
 func exitCode(err error) int {
 	var settingsError *commandline.SettingsError
 	switch {
--- a/internal/cluster/command/main.go
+++ b/internal/cluster/command/main.go
@@ -18,12 +18,13 @@
 
 const exitCodesHelp = "\n\nExit codes: 0 done, 1 failed, 2 wrong command line, 3 a settings file that cannot be used."
 
-// Main runs a program: its commands as kong parses them, each with a Run that returns an error and may ask for the
-// io.Writer of its output. The two forms "serve" and "serve --metrics PORT/PATH" call serve at once. Main does not
-// return.
+// Main runs a program. kong parses its commands; each has a Run method that returns an error and may take the io.Writer
+// for its output as a parameter. The two forms "serve" and "serve --metrics PORT/PATH" call serve without kong. Main
+// does not return.
 func Main(program, description string, commands any, serve func(ServeOptions) error) {
-	// These are the platform's own calls, on machines with little memory: kong would use half a megabyte for good.
-	if options, ok := parsePlatformCall(os.Args[1:]); ok {
+	// The platform uses these two forms on machines with little memory, and kong would occupy half a megabyte for as
+	// long as the process runs.
+	if options, ok := parseServeCommand(os.Args[1:]); ok {
 		exit(program, serve(options))
 	}
 	parser := kong.Must(commands,
@@ -42,19 +43,19 @@
 	exit(program, command.Run())
 }
 
-// parsePlatformCall parses the forms of the command line that deploy/system.toml uses.
-func parsePlatformCall(args []string) (options ServeOptions, ok bool) {
+// parseServeCommand parses the forms of the command line that deploy/system.toml uses.
+func parseServeCommand(args []string) (options ServeOptions, ok bool) {
 	switch {
 	case len(args) == 1 && args[0] == "serve":
 		return options, true
 	case len(args) == 3 && args[0] == "serve" && args[1] == "--metrics":
 		err := options.Metrics.UnmarshalText([]byte(args[2]))
-		return options, err == nil // kong reports the error
+		return options, err == nil // if there is an error, kong reports it
 	}
 	return options, false
 }
 
-// exit ends the process with the exit code of an outcome.
+// exit ends the process with the exit code for an error, which may be nil.
 func exit(program string, err error) {
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", program, err)
--- a/internal/cluster/command/settings.go
+++ b/internal/cluster/command/settings.go
@@ -16,13 +16,13 @@
 	"mulleinrouter/internal/logging"
 )
 
-// LinkFaultsFlag is the file of package linkfaults as a flag of a command.
+// LinkFaultsFlag is the flag for the file of package linkfaults.
 type LinkFaultsFlag struct {
 	LinkFaults string `name:"links" hidden:"" help:"For fault tests: a file of hosts to partition from."`
 }
 
-// Dialer returns a dialer whose connections the file blocks until the context ends, over another one; without a file,
-// the other one.
+// Dialer returns a dialer that opens connections with dial and blocks them as the file says until the context ends.
+// Without a file it returns dial.
 func (lf LinkFaultsFlag) Dialer(ctx context.Context, dial linkfaults.DialFunc) (linkfaults.DialFunc, error) {
 	injector, err := linkfaults.NewInjector(ctx, lf.LinkFaults)
 	if err != nil {
@@ -31,18 +31,18 @@
 	return injector.Dialer(dial), nil
 }
 
-// Memory says how a program uses memory, which is scarce on the machines of the system.
+// Memory configures how a program uses memory, which is scarce on the machines of the system.
 type Memory struct {
-	// GCPercent is the growth of the heap that starts a collection; 0: Go's default.
+	// GCPercent is the growth of the heap that starts a garbage collection, in percent; 0: Go's default.
 	GCPercent int
-	// Limit returns the size of the heap from which the collector works harder, in bytes.
+	// Limit returns the memory use above which the garbage collector works harder, in bytes.
 	Limit func(*settings.Settings) int64
 }
 
-// Start loads the settings of a program that serves, and sets the limits of the Go runtime: one thread at a time, for
-// that is what the machines run, and the memory. A hangup is ignored from here on, until the program asks to be
-// notified of it: it says that the settings have changed, and one that comes before they are read must not end the
-// process.
+// Start loads the settings of a program that serves, and sets the limits of the Go runtime: the memory limit, and a
+// single thread at a time, because the machines run only one. From here on SIGHUP is ignored until the program asks to
+// be notified of it: the signal means that the settings have changed, and must not end a process that has not read them
+// yet.
 func Start(file, program string, memory Memory) (*settings.Settings, error) {
 	signal.Ignore(syscall.SIGHUP)
 	if memory.GCPercent > 0 {
@@ -57,8 +57,8 @@
 	return s, nil
 }
 
-// NewLogger returns the logger of a program, on standard error: in the format of the settings, with the given level,
-// which a program takes from a settings.Watcher if it reads its settings again while it runs.
+// NewLogger returns the logger of a program, which writes to standard error in the format of the settings and at the
+// given level. A program that reloads its settings while it runs passes its settings.Watcher as the leveler.
 func NewLogger(s *settings.Settings, leveler logging.Leveler) log.Logger {
 	return logging.New(os.Stderr, s.Log.Format, leveler)
 }
--- a/internal/cluster/commandline/check.go
+++ b/internal/cluster/commandline/check.go
@@ -21,13 +21,13 @@
 	coreMachine = "core"
 )
 
-// CheckCommand checks a settings file, and prints what is in it that matters to a program.
+// CheckCommand checks a settings file, and prints the settings that matter to a program.
 type CheckCommand struct {
 	SettingsArgument
 	OutputFlag
 }
 
-// Check loads the file for a program, and prints what matters to it.
+// Check loads the file for a program, and prints the settings that matter to it.
 func (cc *CheckCommand) Check(out io.Writer, program string) error {
 	s, err := Load(cc.File, program)
 	if err != nil {
@@ -36,8 +36,8 @@
 	return PrintSummaries(out, cc.OutputFlag, Summarize(s, program))
 }
 
-// Programs returns the programs that a settings file is for: the one that is its role, or those of its class of
-// machine; none where it names neither.
+// Programs returns the programs that a settings file is for: the one that its role names, or those of its class of
+// machine. It returns none if the file names neither.
 func Programs(s *settings.Settings) []string {
 	switch {
 	case slices.Contains([]string{Proxy, Agent, Control}, s.Role):
@@ -50,23 +50,24 @@
 	return nil
 }
 
-// Summary is what matters to a program in its settings. Addresses are host:port; those that the program does not use
-// are empty.
+// Summary is the settings that matter to a program. Addresses are host:port; those that the program does not use are
+// empty.
 type Summary struct {
-	Program     string   `json:"program"` // proxy, agent or control
-	Node        string   `json:"node"`
-	Zone        string   `json:"zone"`
-	FrontAddr   string   `json:"frontAddr,omitempty"`   // proxy: for clients
-	ReadyAddr   string   `json:"readyAddr,omitempty"`   // proxy: of the readiness check
-	AgentAddr   string   `json:"agentAddr,omitempty"`   // proxy and agent: where they meet
-	ControlAddr string   `json:"controlAddr,omitempty"` // control: for operators and servers
-	InnerAddr   string   `json:"innerAddr,omitempty"`   // control: for the system's other processes
-	DataPath    string   `json:"dataPath,omitempty"`    // control: the folder on the machine's disk
-	Bootstrap   bool     `json:"bootstrap,omitempty"`   // control: this is the first start of the system
-	Seeds       []string `json:"seeds,omitempty"`       // agent: control nodes' inner addresses; control: control ones
+	Program     string `json:"program"` // proxy, agent or control
+	Node        string `json:"node"`
+	Zone        string `json:"zone"`
+	FrontAddr   string `json:"frontAddr,omitempty"`   // proxy: for clients
+	ReadyAddr   string `json:"readyAddr,omitempty"`   // proxy: of the readiness check
+	AgentAddr   string `json:"agentAddr,omitempty"`   // proxy and agent: of the agent
+	ControlAddr string `json:"controlAddr,omitempty"` // control: for operators and servers
+	InnerAddr   string `json:"innerAddr,omitempty"`   // control: for the system's other processes
+	DataPath    string `json:"dataPath,omitempty"`    // control: the folder on the machine's disk
+	Bootstrap   bool   `json:"bootstrap,omitempty"`   // control: this is the first start of the system
+	// Seeds are the inner addresses of control nodes for an agent, and their control addresses for a control node.
+	Seeds []string `json:"seeds,omitempty"`
 }
 
-// Summarize returns what matters to a program in its settings.
+// Summarize returns the settings that matter to a program.
 func Summarize(s *settings.Settings, program string) Summary {
 	summary := Summary{Program: program, Node: s.Node, Zone: s.Zone}
 	switch program {
--- a/internal/cluster/commandline/output.go
+++ b/internal/cluster/commandline/output.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// Forms of output.
+// Formats of output.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
@@ -14,15 +14,15 @@
 
 const columnGap = 2 // spaces between the columns of a table
 
-// OutputFlag is the flag of each command that prints a listing, for operators as a table or for scripts as JSON.
+// OutputFlag is the flag of each command that prints a listing, as a table for operators or as JSON for scripts.
 type OutputFlag struct {
 	Output string `name:"output" enum:"table,json" default:"table" help:"Form: table or json."`
 }
 
-// JSON tells whether JSON is asked for.
+// JSON reports whether JSON is requested.
 func (of OutputFlag) JSON() bool { return of.Output == outputJSON }
 
-// Print writes a value as one line of JSON, or has table write it.
+// Print writes a value as one line of JSON, or calls table to write it as text.
 func (of OutputFlag) Print(out io.Writer, value any, table func(io.Writer) error) error {
 	if of.JSON() {
 		return json.NewEncoder(out).Encode(value)
--- a/internal/cluster/commandline/settings.go
+++ b/internal/cluster/commandline/settings.go
@@ -6,10 +6,10 @@
 	"mulleinrouter/internal/cluster/settings"
 )
 
-// HelpTexts are what the help texts of this package's flags refer to. A program passes them to kong.
+// HelpTexts are the variables in the help texts of this package's flags. A program passes them to kong.
 var HelpTexts = kong.Vars{"variable": settings.EnvVariable}
 
-// SettingsArgument is the settings file as the argument of a command. HelpTexts has the name of the
+// SettingsArgument is the settings file as the argument of a command. Its help text needs HelpTexts for the name of the
 // environment variable.
 type SettingsArgument struct {
 	File string `arg:"" optional:"" help:"Settings file. Default: the one that ${variable} names."`
@@ -20,7 +20,8 @@
 	File string `short:"c" help:"Settings file. Default: the one that ${variable} names." placeholder:"FILE"`
 }
 
-// Load reads a settings file for a program; empty: the one that settings.EnvVariable names. Errors are *SettingsError.
+// Load loads a settings file for a program. If file is empty, it loads the one that settings.EnvVariable names. Errors
+// are *SettingsError.
 func Load(file, program string) (*settings.Settings, error) {
 	s, err := settings.Load(file)
 	if err == nil {
--- a/internal/cluster/commandline/version.go
+++ b/internal/cluster/commandline/version.go
@@ -13,17 +13,17 @@
 	unknown      = "unknown"
 )
 
-// BuildInfo is what a program knows of its own build.
+// BuildInfo describes the build of a program.
 type BuildInfo struct {
 	Program string `json:"program"`
-	Version string `json:"version"` // of the module; "(devel)" or "unknown" where the build had none
-	Commit  string `json:"commit"`  // its first twelve digits; "unknown" where it was built outside of a repository
-	// Modified tells that the sources were not those of the commit.
+	Version string `json:"version"` // version of the module; "(devel)" or "unknown" if the build had none
+	Commit  string `json:"commit"`  // first twelve digits; "unknown" if built outside of a repository
+	// Modified reports whether the sources differed from those of the commit.
 	Modified  bool   `json:"modified"`
 	GoVersion string `json:"go"` // such as go1.26.1
 }
 
-// ReadBuildInfo returns what a program knows of its own build. Go puts it into each program.
+// ReadBuildInfo returns the build information of a program, which Go embeds in each binary.
 func ReadBuildInfo(program string) BuildInfo {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -57,10 +57,10 @@
 	return fmt.Sprintf("%s %s%s, %s", b.Program, b.Commit, modified, b.GoVersion)
 }
 
-// VersionCommand says which version a program is.
+// VersionCommand prints the version of a program.
 type VersionCommand struct{ OutputFlag }
 
-// Run prints the build: the line of --version and the version.
+// Run prints the line of --version, followed by the version of the module.
 func (vc *VersionCommand) Run(out io.Writer, line *kong.Context) error {
 	b := ReadBuildInfo(line.Model.Name)
 	return vc.Print(out, b, func(out io.Writer) error {
--- a/internal/cluster/linkfaults/doc.go
+++ b/internal/cluster/linkfaults/doc.go
@@ -1,6 +1,6 @@
-// Package linkfaults injects network partitions into the connections that a process opens, for fault tests: a file
-// names the hosts to which, or from which, nothing is carried.
+// Package linkfaults injects network partitions into the connections that a process opens, for fault tests. A file
+// names the hosts to which, or from which, no data passes.
 //
-// An Injector reads its file from a goroutine that ends with the context; the current Partition is an immutable value.
-// The package imports nothing of the project. Its tests stand beside it.
+// A goroutine of an Injector rereads the file until the context ends; the current Partition is an immutable value. The
+// package imports nothing of the project.
 package linkfaults
--- a/internal/cluster/linkfaults/injector.go
+++ b/internal/cluster/linkfaults/injector.go
@@ -17,11 +17,11 @@
 // DialFunc opens a connection to host:port.
 type DialFunc func(ctx context.Context, addr string) (net.Conn, error)
 
-// Injector opens connections that a partition blocks. A nil *Injector blocks nothing.
+// Injector wraps dialers so that a partition blocks their connections. A nil *Injector blocks nothing.
 type Injector struct{ partition atomic.Pointer[Partition] }
 
-// NewInjector follows the file at path until the context ends. The file is replaced as a whole; one that cannot be read
-// later on changes nothing. An empty path gives a nil Injector.
+// NewInjector returns an Injector that rereads the file at path until the context ends. The file must be replaced as a
+// whole. If it cannot be read later, the partition stays as it is. An empty path gives a nil Injector.
 func NewInjector(ctx context.Context, path string) (*Injector, error) {
 	if path == "" {
 		return nil, nil
@@ -36,7 +36,7 @@
 	return in, nil
 }
 
-// follow reads the file again until the context ends.
+// follow rereads the file until the context ends.
 func (in *Injector) follow(ctx context.Context, path string) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -52,8 +52,8 @@
 	}
 }
 
-// Dialer returns a dialer whose connections the partition blocks, over another one; that of a nil Injector is the other
-// one.
+// Dialer returns a dialer that opens connections with dial and lets the partition block them. For a nil Injector it
+// returns dial.
 func (in *Injector) Dialer(dial DialFunc) DialFunc {
 	if in == nil {
 		return dial
@@ -78,7 +78,7 @@
 	}
 }
 
-// conn is a connection to a host.
+// conn is a connection to a host that the partition may block.
 type conn struct {
 	net.Conn
 	injector      *Injector
@@ -89,8 +89,9 @@
 	closed        chan struct{}
 }
 
-// wait waits while the link is blocked in a direction.
-func (c *conn) wait(blocked func(*Partition) bool, deadline *atomic.Int64) error {
+// awaitUnblocked waits while the link is blocked in a direction. It returns an error if the connection is closed or the
+// deadline passes first.
+func (c *conn) awaitUnblocked(blocked func(*Partition) bool, deadline *atomic.Int64) error {
 	for blocked(c.injector.partition.Load()) {
 		select {
 		case <-c.closed:
@@ -104,24 +105,24 @@
 	return nil
 }
 
-// Read returns what has come, once the link from the host is not blocked.
+// Read returns received data, once the link from the host is not blocked.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if blocked := c.wait(func(p *Partition) bool { return p.From[c.host] }, &c.readDeadline); blocked != nil {
-		return 0, errors.Join(blocked, c.Conn.Close()) // what has come is lost, and so the connection ends
+	if blocked := c.awaitUnblocked(func(p *Partition) bool { return p.From[c.host] }, &c.readDeadline); blocked != nil {
+		return 0, errors.Join(blocked, c.Conn.Close()) // the data read is lost, so the connection must end
 	}
 	return n, err
 }
 
-// Write sends, once the link to the host is not blocked.
+// Write sends data, once the link to the host is not blocked.
 func (c *conn) Write(b []byte) (int, error) {
-	if err := c.wait(func(p *Partition) bool { return p.To[c.host] }, &c.writeDeadline); err != nil {
+	if err := c.awaitUnblocked(func(p *Partition) bool { return p.To[c.host] }, &c.writeDeadline); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
 }
 
-// Close closes the connection, and ends waiting reads and writes.
+// Close closes the connection, and ends reads and writes that wait.
 func (c *conn) Close() error {
 	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
--- a/internal/cluster/linkfaults/injector_test.go
+++ b/internal/cluster/linkfaults/injector_test.go
@@ -23,8 +23,8 @@
 	is.Equal(err.Error(), `line 2: not "to HOST", "from HOST" or "both HOST"`)
 }
 
-// TestPartition checks that what a partition blocks is carried once it has healed, each direction by itself, and that
-// deadlines and the connection's end hold meanwhile.
+// TestPartition checks that blocked data is delivered once the partition has healed, separately for each direction, and
+// that deadlines and closing the connection work during the partition.
 func TestPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -43,7 +43,7 @@
 		})
 		c, err := dial(t.Context(), "h:1")
 		is.NoErr(err)
-		took := func(do func()) time.Duration {
+		elapsed := func(do func()) time.Duration {
 			began := time.Now()
 			do()
 			return time.Since(began)
@@ -58,19 +58,19 @@
 			far.Read(make([]byte, 9))
 			got <- time.Now()
 		}()
-		is.True(took(func() { c.Write([]byte("x")) }) >= time.Second)
+		is.True(elapsed(func() { c.Write([]byte("x")) }) >= time.Second)
 		<-got
 		set("from h")
 		go far.Write([]byte("y"))
 		c.SetReadDeadline(time.Now().Add(time.Second))
-		is.True(took(func() { _, err = c.Read(make([]byte, 9)) }) >= time.Second)
+		is.True(elapsed(func() { _, err = c.Read(make([]byte, 9)) }) >= time.Second)
 		is.True(err != nil) // its deadline has passed, and the connection has ended
 		_, err = far.Write([]byte("z"))
 		is.True(err != nil)
 
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		is.True(took(func() { _, err = dial(ctx, "h:1") }) >= time.Second)
+		is.True(elapsed(func() { _, err = dial(ctx, "h:1") }) >= time.Second)
 		is.True(err != nil) // no connection is established across a partition
 		_, err = dial(t.Context(), "other:1")
 		is.NoErr(err)
--- a/internal/cluster/linkfaults/partition.go
+++ b/internal/cluster/linkfaults/partition.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Partition is the hosts that a process is partitioned from, by direction.
+// Partition lists the hosts from which a process is partitioned, by direction.
 type Partition struct{ To, From map[string]bool }
 
 // The directions of a line, as seen from this process.
@@ -16,8 +16,8 @@
 	directionBoth = "both"
 )
 
-// Parse reads lines "to HOST", "from HOST" and "both HOST". Empty lines and those that begin with # are ignored. Errors
-// wrap ErrBadLine.
+// Parse parses lines of the forms "to HOST", "from HOST" and "both HOST". Empty lines and those that begin with # are
+// ignored. Errors wrap ErrBadLine.
 func Parse(text string) (Partition, error) {
 	partition := Partition{To: map[string]bool{}, From: map[string]bool{}}
 	n := 0
@@ -44,7 +44,7 @@
 	return partition, nil
 }
 
-// load reads the file at path.
+// load reads and parses the file at path.
 func load(path string) (Partition, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
