--- a/internal/control/instances/departures.go
+++ b/internal/control/instances/departures.go
@@ -14,23 +14,25 @@
 )
 
 const (
-	// DepartureTimeout is how long a server waits for its departure to be on enough disks.
+	// DepartureTimeout is how long a server's call waits until its departure is stored on enough disks.
 	DepartureTimeout = 800 * time.Millisecond
 
-	maxPersisted = 4096 // instances in one request
-	minCopies    = 2    // disks that must have a departure before it is acknowledged, if there are as many
+	maxPersisted = 4096 // instances that one request may contain
+	minCopies    = 2    // disks that must store a departure before it is acknowledged, if there are that many voters
 )
 
-// Departures stores the departures of instances on enough disks that no tolerated loss takes them all.
+// Departures stores the departures of instances on so many disks that the loss of the tolerated number of machines
+// leaves at least one copy.
 type Departures struct {
 	Registry *Registry
 	Settings *settings.Settings
 	Replica  *replica.Replica
 	Peers    *peers.Set
-	Disk     func() *storage.Store // nil: it has not been read yet
+	Disk     func() *storage.Store // returns nil until the disk has been read
 }
 
-// Persist merges departing instances of another node, and returns true once they are on this node's disk.
+// Persist merges departing instances that another node has sent, and returns true once they are on this node's disk. It
+// returns false if they can't be stored.
 func (d *Departures) Persist(instances []registry.Instance) bool {
 	disk := d.Disk()
 	if len(instances) > maxPersisted || disk == nil {
@@ -40,8 +42,8 @@
 	return replica.Synced(d.Registry.PersistDepartures(disk, IDs(instances)...), 0)
 }
 
-// Replicate stores a departing instance on the disks of voters, and returns true once it is on one more than may
-// be lost, or on all.
+// Replicate stores a departing instance on the disks of voters. It returns true once the instance is on the required
+// number of disks, and false if it can't be stored on as many before ctx ends.
 func (d *Departures) Replicate(ctx context.Context, instance registry.Instance) bool {
 	voters, _ := d.Replica.Voters()
 	results, pending := d.requestCopies(ctx, instance, voters)
@@ -63,7 +65,8 @@
 	return false
 }
 
-// requiredCopies is as many disks as may be lost, and one more.
+// requiredCopies returns the number of disks that must store a departure: one more than may be lost, at least
+// minCopies, and at most the number of voters if they are known.
 func (d *Departures) requiredCopies(voters []string) int {
 	required := max(minCopies, d.Settings.Tolerance.Machines+1)
 	if voters != nil {
@@ -72,8 +75,8 @@
 	return required
 }
 
-// requestCopies has the voters, or all peers while the voters are unknown, and this node store an instance. Each
-// sends one result.
+// requestCopies starts to store an instance on this node's disk and on the voters, or on all peers while the voters are
+// unknown. Each of the pending requests sends one result: whether it has stored the instance.
 func (d *Departures) requestCopies(
 	ctx context.Context, instance registry.Instance, voters []string,
 ) (results <-chan bool, pending int) {
@@ -97,7 +100,7 @@
 	return copies, pending
 }
 
-// requestCopy has a peer store an instance.
+// requestCopy asks a peer to store an instance, and reports whether it has done so.
 func requestCopy(peer *peers.Peer, instance registry.Instance) bool {
 	request := &transport.Frame{PersistRequest: &transport.PersistRequest{Instances: []registry.Instance{instance}}}
 	answer, err := peer.Call(DepartureTimeout, request)
--- a/internal/control/instances/registry.go
+++ b/internal/control/instances/registry.go
@@ -14,26 +14,27 @@
 )
 
 const (
-	maxFlushed    = 4096 // instances that go to the disk in one batch
-	maxHeartbeats = 2048 // heartbeats in one update of another control node
-	overheadBytes = 64   // of an instance in a frame, beside its strings
+	maxFlushed    = 4096 // instances written to the disk in one batch
+	maxHeartbeats = 2048 // heartbeats in one update for another control node
+	overheadBytes = 64   // upper bound of an encoded instance's size in a frame, without its strings
 )
 
-// Registry is the server instances known to this node, with the failure detector (a registry.Registry) that judges
-// them. The store holds of each instance what the detector holds; only differences are written to it.
+// Registry contains the server instances known to this node, and the failure detector (a registry.Registry) that
+// decides on their phases. The store has the same state of each instance as the detector; only changes are written to
+// it.
 type Registry struct {
 	store *replication.Store
-	now   func() registry.Seconds // since the process started
+	now   func() registry.Seconds // seconds since the process started
 
 	mu                sync.Mutex // guards the fields below
 	detector          *registry.Registry
-	acknowledgedPhase map[string]registry.Phase // by id: the phase that is known to be on enough disks
-	persisted         mapset.Set[string]        // ids that are on this node's disk, or queued for it
+	acknowledgedPhase map[string]registry.Phase // latest phase that is known to be on enough disks, by id
+	persisted         mapset.Set[string]        // ids of instances that are on this node's disk or queued for it
 	dirty             map[string]struct{}       // ids of instances changed since they were last queued for the disk
 }
 
-// New makes an empty registry. HeartbeatInterval is that of the servers, in seconds; now is the seconds since
-// the process started.
+// New makes an empty registry. heartbeatInterval is the time between two heartbeats of a server, in seconds; now
+// returns the seconds since the process started.
 func New(store *replication.Store, heartbeatInterval float64, now func() float64) *Registry {
 	return &Registry{
 		store:             store,
@@ -45,7 +46,7 @@
 	}
 }
 
-// publish hands changed instances to the store, and marks them for the disk. r.mu is held.
+// publish merges changed instances into the store, and marks them to be written to the disk. The caller holds r.mu.
 func (r *Registry) publish(changed ...registry.Instance) {
 	r.store.MergeInstances(changed)
 	for _, instance := range changed {
@@ -53,8 +54,8 @@
 	}
 }
 
-// Flush queues changed instances for the disk, without waiting: a node that restarts then knows the servers
-// before their next heartbeats. A nil store is ignored.
+// Flush queues changed instances for the disk without waiting for the write. A node that restarts thereby knows the
+// servers before their next heartbeats. Flush does nothing if disk is nil.
 func (r *Registry) Flush(disk *storage.Store) {
 	if disk == nil {
 		return
@@ -77,8 +78,8 @@
 	}
 }
 
-// Heartbeat records a call of a server, and returns the instance as it stands now, and whether its phase is
-// acknowledged: known to be on enough disks.
+// Heartbeat records a server's heartbeat. It returns the merged state of the instance, and whether the phase in the
+// heartbeat is acknowledged, which means that it is known to be on enough disks.
 func (r *Registry) Heartbeat(instance registry.Instance) (merged registry.Instance, acknowledged bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,7 +98,8 @@
 	return merged, known && phase >= instance.Phase
 }
 
-// Depart records a server's call that it has ended, and returns as Heartbeat does.
+// Depart records that a server has reported its end. It returns the merged state of the instance, and whether its
+// departure is acknowledged, as Heartbeat does.
 func (r *Registry) Depart(id string) (merged registry.Instance, acknowledged bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,7 +110,7 @@
 	return merged, r.acknowledgedPhase[id] == registry.Gone
 }
 
-// Acknowledge records that an instance is on enough disks in its phase.
+// Acknowledge records that the phase of an instance is on enough disks.
 func (r *Registry) Acknowledge(instance registry.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,8 +119,8 @@
 	}
 }
 
-// PersistDepartures queues those of the instances for the disk that drain or are gone, as they stand here. It
-// returns nil if there is none.
+// PersistDepartures queues for the disk the current state of those of the given instances that are draining or gone. It
+// returns nil if there are none.
 func (r *Registry) PersistDepartures(disk *storage.Store, ids ...string) *storage.Future {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,7 +137,7 @@
 	return disk.Put(batch)
 }
 
-// Merge merges instances that another process knows.
+// Merge merges instances that were received from another process.
 func (r *Registry) Merge(instances []registry.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -156,7 +158,7 @@
 	}
 }
 
-// Restore merges the instances that were found on disk.
+// Restore merges the instances that were read from this node's disk.
 func (r *Registry) Restore(instances []registry.Instance) {
 	r.Merge(instances)
 	r.mu.Lock()
@@ -167,8 +169,9 @@
 	}
 }
 
-// PersistedAfter returns a page of the departing instances on disk, as they stand now, in order of their ids:
-// those with ids above after, about maxBytes of them in a frame and at least one. More: others follow.
+// PersistedAfter returns a page of the current state of the departing instances on disk, sorted by id. The page begins
+// with the first id above after, and contains as many instances as fit into maxBytes of a frame, but at least one. more
+// reports whether further instances follow.
 func (r *Registry) PersistedAfter(after string, maxBytes int) (page []registry.Instance, more bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -190,26 +193,29 @@
 	return page, false
 }
 
-// frameBytes is about the size of an instance in a frame, and not less.
+// frameBytes returns an upper bound of the size of an instance in a frame.
 func frameBytes(i registry.Instance) int {
 	return overheadBytes + len(i.ID) + len(i.Service) + len(i.Address) + len(i.Zone) + len(i.Generation)
 }
 
-// HeartbeatsSince returns the heartbeats received here after a sequence number, for other control nodes.
+// HeartbeatsSince returns the heartbeats that this node has received after the given sequence number, to be sent to
+// other control nodes, and the sequence number to continue from.
 func (r *Registry) HeartbeatsSince(since uint64) ([]transport.Heartbeat, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.detector.HeartbeatsSince(since, maxHeartbeats)
 }
 
-// QuorumLost records that contact with a majority was lost, though it may be back: silence until now is no evidence.
+// QuorumLost records that contact with a majority was lost, even if it has been restored since. Missing heartbeats from
+// before this moment then do not make an instance silent, because they may be due to the loss of contact.
 func (r *Registry) QuorumLost() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.detector.SetQuorum(r.now(), false)
 }
 
-// DetectSilent returns the instances that have become silent or gone by now.
+// DetectSilent evaluates the failure detector, and returns the instances that have become silent or gone. quorum is
+// whether this node is in contact with a majority.
 func (r *Registry) DetectSilent(quorum bool) []registry.Instance {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -220,7 +226,8 @@
 	return changed
 }
 
-// Expire drops instances that have been gone for long, here and from the disk; nil: no disk.
+// Expire removes instances that have been gone or silent for their retention time from this registry, the store and the
+// disk. disk may be nil.
 func (r *Registry) Expire(disk *storage.Store) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -244,7 +251,7 @@
 	}
 }
 
-// IDs returns the ids of instances.
+// IDs returns the ids of the given instances, in the same order.
 func IDs(instances []registry.Instance) []string {
 	ids := make([]string, len(instances))
 	for n, instance := range instances {
--- a/internal/control/instances/registry_test.go
+++ b/internal/control/instances/registry_test.go
@@ -17,8 +17,8 @@
 
 const pageBytes = 64 << 10
 
-// The persisted instances come in pages, each instance once, as in a plain list; a page's frame is no longer
-// than it may be.
+// The persisted instances are returned in pages that contain each departing instance exactly once, in order of their
+// ids. The encoded frame of a page does not exceed the limit.
 func TestPersistedInstancesComeInPages(t *testing.T) {
 	is := is.New(t)
 	disk, _, err := storage.Open(vfs.NewMem(), "d", logtest.Discard())
--- a/internal/control/majority/lease.go
+++ b/internal/control/majority/lease.go
@@ -8,27 +8,28 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// TTL is how long an answered request shows that a voter is in contact, counted from when the request was sent.
+// TTL is how long a voter counts as in contact after it has answered a request, measured from the time at which the
+// request was sent.
 const TTL = 1500 * time.Millisecond
 
-// Lease is a lease on a majority of the voters. A voter counts for TTL from the moment at which this node sent
-// the request that the voter has answered since: so it shows that both directions work. Expiry is evaluated
-// whenever the lease is read, so that a process that was suspended finds the lease expired, whatever its buffers
-// hold.
+// Lease is a lease on a majority of the voters. A voter counts as in contact for TTL from the moment at which this
+// node sent a request that the voter has answered, because an answer shows that both directions work. Expiry is
+// evaluated whenever the lease is read, so that a process that resumes after a suspension finds the lease expired
+// even if answers are still waiting in its receive buffers.
 type Lease struct {
 	self   string
 	now    func() time.Duration
 	voters func() []string
 
 	mu           sync.Mutex               // guards the fields below
-	lastAnswered map[string]time.Duration // per node: when the newest request that it answered was sent
-	held         bool                     // as of the last evaluation
-	term         uint64                   // number of uninterrupted spans in which the lease was held
+	lastAnswered map[string]time.Duration // send time of the newest answered request, by node
+	held         bool                     // result of the last evaluation
+	term         uint64                   // number of uninterrupted spans so far in which the lease was held
 	firstHeld    chan struct{}            // closed when the lease is held for the first time
 }
 
-// NewLease makes a lease that is not held. Now is a monotonic clock; voters returns the addresses of the
-// electorate, nil if it is unknown. Neither may block.
+// NewLease makes a lease that is not held. now is a monotonic clock; voters returns the addresses of the
+// electorate, or nil if the electorate is unknown. Neither may block.
 func NewLease(self string, now func() time.Duration, voters func() []string) *Lease {
 	return &Lease{
 		self:         self,
@@ -39,11 +40,11 @@
 	}
 }
 
-// Now reads the lease's clock, for RecordAnswer.
+// Now returns the time on the lease's clock. Callers pass it to RecordAnswer as the time at which a request was sent.
 func (l *Lease) Now() time.Duration { return l.now() }
 
-// RecordAnswer records that a node has answered a request that was sent at sentAt by the lease's clock. Between
-// two answers the lease may have expired unobserved, so it is evaluated before and after.
+// RecordAnswer records that a node has answered a request that was sent at sentAt by the lease's clock. The lease is
+// evaluated before and after: it may have expired since the last evaluation, and then the answer begins a new term.
 func (l *Lease) RecordAnswer(node string, sentAt time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,7 +58,8 @@
 	l.evaluate()
 }
 
-// evaluate updates held and term, and returns the voters in contact, this node included if it is one. l.mu is held.
+// evaluate updates held and term, and returns the voters in contact, including this node if it is a voter. The caller
+// holds l.mu.
 func (l *Lease) evaluate() (reachable []string) {
 	now, voters := l.now(), l.voters()
 	for _, voter := range voters {
@@ -84,8 +86,8 @@
 	return ok && now-at <= ttl
 }
 
-// Current tells whether the lease is held now, and its term: the number of the uninterrupted span in which it is
-// or was held.
+// Current returns whether the lease is held now, and its term, which numbers the current or the last uninterrupted
+// span in which it was held.
 func (l *Lease) Current() (term uint64, held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,7 +97,7 @@
 	return l.term, l.held
 }
 
-// Held tells whether the lease is held now.
+// Held reports whether the lease is held now.
 func (l *Lease) Held() bool {
 	_, held := l.Current()
 	return held
@@ -104,8 +106,8 @@
 // FirstHeld returns a channel that is closed when the lease is held for the first time.
 func (l *Lease) FirstHeld() <-chan struct{} { return l.firstHeld }
 
-// Reachable returns the voters in contact now, this node included if it is one, and the lease's term and whether
-// it is held.
+// Reachable returns the voters in contact now, including this node if it is a voter, together with the lease's term
+// and whether the lease is held.
 func (l *Lease) Reachable() (voters []string, term uint64, held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,7 +115,8 @@
 	return voters, l.term, l.held
 }
 
-// Age is how long ago the newest request was sent that a node has answered; negative: it never answered one.
+// Age returns the time since the newest request that a node has answered was sent, or a negative duration if the node
+// has never answered one.
 func (l *Lease) Age(node string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/control/majority/lease_mutants_test.go
+++ b/internal/control/majority/lease_mutants_test.go
@@ -8,11 +8,11 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// The reference model finds the seeded fault, and nothing without one.
+// The comparison with the reference model detects the seeded fault, and reports no difference without a fault.
 func TestLeaseMutants(t *testing.T) {
 	find := func() string {
 		for seed := range uint64(300) {
-			if difference := walkLease(seed); difference != "" {
+			if difference := compareLeaseWithModel(seed); difference != "" {
 				return difference
 			}
 		}
--- a/internal/control/majority/lease_test.go
+++ b/internal/control/majority/lease_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// walkLease drives a lease at random beside a reference model: the lease is held at an instant if a majority has
-// answered requests sent in the TTL before it, and a term ends with any instant at which it is not. It returns
-// the first difference; empty: none.
-func walkLease(seed uint64) string {
+// compareLeaseWithModel applies the same random events to a lease and to a reference model. In the model, the lease is
+// held at an instant if a majority has answered requests that were sent within the TTL before that instant, and a term
+// ends at any instant at which the lease is not held. It returns the first difference, or "" if there is none.
+func compareLeaseWithModel(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 1))
 	nodes := []string{"a", "b", "c", "d", "e"}
 	voters := nodes[:1+random.IntN(5)]
@@ -54,7 +54,7 @@
 				answered[r.to] = max(answered[r.to], r.sentAt)
 			}
 		case 4:
-			for left := random.IntN(100); left >= 0; left-- { // at times for long, as if the process was suspended
+			for left := random.IntN(100); left >= 0; left-- { // long steps simulate a suspended process
 				now += 10 * time.Millisecond
 				evaluate()
 				if random.IntN(20) == 0 {
@@ -75,7 +75,7 @@
 
 func TestLeaseMatchesReferenceModel(t *testing.T) {
 	for seed := range uint64(300) {
-		if difference := walkLease(seed); difference != "" {
+		if difference := compareLeaseWithModel(seed); difference != "" {
 			t.Fatalf("seed %d: %s", seed, difference)
 		}
 	}
--- a/internal/control/peers/set.go
+++ b/internal/control/peers/set.go
@@ -16,34 +16,34 @@
 	"mulleinrouter/internal/control/majority"
 )
 
-// maxPeers bounds the other control nodes.
+// maxPeers is the maximum number of other control nodes; further ones are ignored.
 const maxPeers = 40
 
-// Options is what a Set is made of.
+// Options are the settings and dependencies of a Set.
 type Options struct {
-	Self           string // own control address
-	Node           string // own name
-	Zone           string // own zone
-	Incarnation    uint64 // of this process
+	Self           string // control address of this node
+	Node           string // name of this node
+	Zone           string // zone of this node
+	Incarnation    uint64 // identifies this process; no other process has had the same number
 	Store          *replication.Store
 	Clock          *replication.Clock
 	Lease          *majority.Lease
 	Ready          func() bool                                                  // sent with each renewal
-	InternalAddrOf func(controlAddr string) string                              // empty: unknown
-	Dial           func(ctx context.Context, internal string) (net.Conn, error) // nil: TCP
-	// OnUpdate merges what a peer sends beside items.
+	InternalAddrOf func(controlAddr string) string                              // empty if unknown
+	Dial           func(ctx context.Context, internal string) (net.Conn, error) // TCP if nil
+	// OnUpdate is called with each update of a peer, to merge its contents other than configuration items.
 	OnUpdate func(*transport.Update)
-	// OnConnected is called when a peer answers on a new connection; it must not block.
+	// OnConnected is called when a peer answers on a new connection. It must not block.
 	OnConnected func()
 	Log         log.Logger
 }
 
-// Set is the other control nodes that this one knows. It is safe for concurrent use.
+// Set is the set of other control nodes that this node knows. It is safe for concurrent use.
 type Set struct {
 	options Options
 
 	mu  sync.Mutex // guards all
-	all []*Peer    // appended to by copy: readers keep the old array
+	all []*Peer    // copied on append, so that readers may keep the old slice
 }
 
 // Peer is another control node.
@@ -56,7 +56,8 @@
 // NewSet makes an empty set.
 func NewSet(o Options) *Set { return &Set{options: o} }
 
-// Subscribe subscribes to control nodes that are not known yet. The clients run in wg until the context ends.
+// Subscribe subscribes to those of the control nodes that are not known yet. The clients run in wg until the context
+// ends.
 func (s *Set) Subscribe(ctx context.Context, wg *sync.WaitGroup, addrs []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +113,7 @@
 	return s.all
 }
 
-// Find returns the peer at a control address; nil: unknown.
+// Find returns the peer at a control address, or nil if it is unknown.
 func (s *Set) Find(addr string) *Peer {
 	for _, p := range s.All() {
 		if p.Addr == addr {
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// Call calls a peer; nil: no answer. Any answer extends the majority lease.
+// Call calls a peer and returns its answer, or nil if there is none. Any answer extends the majority lease.
 func (s *Set) Call(addr string, timeout time.Duration, request *transport.Frame) *transport.Frame {
 	p := s.Find(addr)
 	if p == nil {
@@ -137,7 +138,7 @@
 	return answer
 }
 
-// Send sends a one-way frame to a peer. It may wait while the peer does not read. What can't be sent is lost.
+// Send sends a one-way frame to a peer. It may block while the peer does not read. A frame that can't be sent is lost.
 func (s *Set) Send(addr string, frame *transport.Frame) error {
 	p := s.Find(addr)
 	if p == nil {
@@ -146,15 +147,15 @@
 	return p.client.Send(frame)
 }
 
-// Broadcast calls all peers without waiting for answers. Each call needs a frame of its own.
+// Broadcast calls all peers without waiting for answers. Each call needs a separate frame, made by newRequest.
 func (s *Set) Broadcast(timeout time.Duration, newRequest func() *transport.Frame) {
 	for _, p := range s.All() {
 		request := newRequest()
-		go p.client.Call(timeout, request) //nolint:errcheck // a peer that does not get it catches up
+		go p.client.Call(timeout, request) //nolint:errcheck // a peer that misses it catches up later
 	}
 }
 
-// Connected is the number of peers that are connected.
+// Connected returns the number of connected peers.
 func (s *Set) Connected() (count int) {
 	for _, p := range s.All() {
 		if p.Connected() {
@@ -164,7 +165,7 @@
 	return count
 }
 
-// NewestEpoch is the highest epoch that a peer was known to have, and not below floor.
+// NewestEpoch returns the highest epoch that a peer is known to have, or floor if that is higher.
 func (s *Set) NewestEpoch(floor uint64) uint64 {
 	newest := floor
 	for _, p := range s.All() {
@@ -178,19 +179,20 @@
 	return p.client.Call(timeout, request)
 }
 
-// Connected tells whether there is a connection on which the peer has answered.
+// Connected reports whether there is a connection on which the peer has answered.
 func (p *Peer) Connected() bool { return p.client.Connected() }
 
-// State is what the peer said of itself last.
+// State returns the state that the peer last reported of itself.
 func (p *Peer) State() replication.State { return p.client.State() }
 
-// RetryNow dials the peer anew at once if it is not connected: it has just connected to this node.
+// RetryNow dials the peer again at once if it is not connected. It is called when the peer has connected to this node,
+// and so is known to run.
 func (p *Peer) RetryNow() { p.client.RetryNow() }
 
-// SetZone records the zone in which a peer says it is.
+// SetZone records the zone that the peer has reported.
 func (p *Peer) SetZone(zone string) { p.zone.Store(&zone) }
 
-// Zone is the peer's zone; empty: unknown.
+// Zone returns the peer's zone, or "" if it is unknown.
 func (p *Peer) Zone() string {
 	if zone := p.zone.Load(); zone != nil {
 		return *zone
