--- a/internal/control/electorate/changes.go
+++ b/internal/control/electorate/changes.go
@@ -18,22 +18,25 @@
 )
 
 const (
-	changeTimeout        = 2 * time.Second  // from a proposal until a majority has it on disk
-	handoverTimeout      = time.Second      // for one at shutdown
-	replacementDelay     = 2 * time.Second  // of a silent voter, beyond the bound on contact (contactMs)
-	replacementRankDelay = time.Second      // more, for each reachable voter before this one
-	minAge               = 10 * time.Second // of an electorate, before voters are replaced or added
-	maxProbes            = 5
-	probeInterval        = 50 * time.Millisecond
-	probeTimeout         = 2 * replica.SyncTimeout
+	changeTimeout   = 2 * time.Second // from a proposal until a majority has it on disk
+	handoverTimeout = time.Second     // for the transfer of this node's vote at shutdown
+	// replacementDelay is how long a voter may be silent beyond the bound on contact (contactMs) before it is replaced.
+	replacementDelay = 2 * time.Second
+	// replacementRankDelay is added for each reachable voter that precedes this one, so that normally only one voter
+	// acts.
+	replacementRankDelay = time.Second
+	minAge               = 10 * time.Second        // of an electorate, before voters are replaced or added
+	maxProbes            = 5                       // attempts to probe a node that lacks changes
+	probeInterval        = 50 * time.Millisecond   // between two probes of a node
+	probeTimeout         = 2 * replica.SyncTimeout // for the answer to one probe, which waits for a sync of the disk
 )
 
-// HandoverLimit is how long a shutdown waits for HandOver.
+// HandoverLimit is how long a shutdown waits for HandOver to return.
 const HandoverLimit = 2 * handoverTimeout
 
-// Maintain replaces a voter that has been silent for long, and enlarges an electorate that is too small. The
-// first of the reachable voters does it, and the others later if it does not; several at once do no harm. What
-// it starts runs in wg.
+// Maintain replaces a voter that has been silent for too long, and enlarges an electorate that is too small. The first
+// of the reachable voters starts the change, and the others start it later if the first does not; concurrent attempts
+// do no harm. The goroutines that it starts run in wg.
 func (m *Manager) Maintain(ctx context.Context, wg *sync.WaitGroup) {
 	base, snapshot := m.options.Replica.Base()
 	e := base.Electorate
@@ -69,7 +72,7 @@
 	})
 }
 
-// firstSilent returns the first voter that has not answered for longer than limit; empty: none.
+// firstSilent returns the first voter that has not answered for longer than limit, or "" if there is none.
 func (m *Manager) firstSilent(e consensus.Electorate, age, limit time.Duration) string {
 	for _, v := range e.Voters {
 		if m.silentFor(v.Addr, age) > limit {
@@ -79,7 +82,7 @@
 	return ""
 }
 
-// silentFor is how long a voter has not answered, and no longer than the age of the electorate.
+// silentFor returns the time since a voter's last answer, limited to the age of the electorate.
 func (m *Manager) silentFor(addr string, electorateAge time.Duration) time.Duration {
 	if addr == m.self {
 		return 0
@@ -90,7 +93,8 @@
 	return electorateAge
 }
 
-// replaceSilent replaces a voter by the first of the successors that can, as long as the voter stays silent.
+// replaceSilent replaces a silent voter by the first successor for which that succeeds. It does not replace a voter
+// that answers again.
 func (m *Manager) replaceSilent(
 	ctx context.Context, base consensus.Base, silent string, successors []Learner, limit time.Duration,
 ) {
@@ -118,13 +122,14 @@
 	}
 }
 
-// Replace replaces one voter by a learner in one step, both given by their control addresses. Errors are of type
-// *ChangeError.
+// Replace replaces the voter out by the learner in with one change of the electorate. Both are given by their control
+// addresses. Errors are of type *ChangeError.
 func (m *Manager) Replace(ctx context.Context, base consensus.Base, out, in string) error {
 	return m.replace(ctx, base, out, in, changeTimeout, nil)
 }
 
-// replace replaces a voter. Precondition, where there is one, must still hold once the learner has been probed.
+// replace replaces a voter. If precondition is not nil, it is evaluated after the learner has been probed, and the
+// voter is replaced only if it returns true.
 func (m *Manager) replace(
 	ctx context.Context, base consensus.Base, out, in string, timeout time.Duration, precondition func() bool,
 ) error {
@@ -150,8 +155,8 @@
 	return nil
 }
 
-// probe asks a control node for itself as a voter, which it answers once all of a base is on its disk. One that
-// is a little behind is asked again.
+// probe returns the entry of a control node as a voter, once the node has all changes up to base on its disk. A node
+// that lacks some of them is probed again, up to maxProbes times.
 func (m *Manager) probe(ctx context.Context, addr string, base consensus.Base) (voter consensus.Voter, err error) {
 	for range maxProbes {
 		if voter, err = m.probeOnce(addr, base); !errors.Is(err, errBehind) || ctx.Err() != nil {
@@ -173,7 +178,7 @@
 	return consensus.Voter{Addr: addr, Disk: promise.Disk}, nil
 }
 
-// readSynced reads the state of a node's acceptor once it is on disk; nil: no answer.
+// readSynced returns the state of a node's acceptor once that state is on disk, or nil if the node does not answer.
 func (m *Manager) readSynced(addr string) *consensus.Promise {
 	request := &transport.Prepare{ReadOnly: true, Synced: true}
 	if addr == m.self {
@@ -186,8 +191,8 @@
 	return &answer.Promise.Promise
 }
 
-// change has the electorate changed if majorities of the present and of the next one are in contact. Probed
-// voters count as such.
+// change proposes a new electorate if majorities of both the present and the new electorate are in contact. Probed
+// voters count as in contact.
 func (m *Manager) change(
 	ctx context.Context, from consensus.Electorate, to []consensus.Voter, timeout time.Duration,
 	probed ...consensus.Voter,
@@ -213,7 +218,7 @@
 	return count
 }
 
-// HandOver has a learner take this node's place among the voters before it shuts down.
+// HandOver replaces this node by a learner among the voters, before the node shuts down.
 func (m *Manager) HandOver(ctx context.Context) {
 	base, _ := m.options.Replica.Base()
 	if !base.Electorate.Contains(m.options.Replica.AsVoter()) {
--- a/internal/control/electorate/learners.go
+++ b/internal/control/electorate/learners.go
@@ -7,13 +7,13 @@
 	"mulleinrouter/internal/cluster/consensus"
 )
 
-// Learner is a connected control node outside the electorate, which may become a voter.
+// Learner is a connected control node that is not in the electorate and may become a voter.
 type Learner struct {
 	Addr string // control address
-	Zone string // empty: unknown
+	Zone string // empty if unknown
 }
 
-// Learners returns the connected learners in the order of their addresses.
+// Learners returns the connected learners, sorted by address.
 func (m *Manager) Learners(e consensus.Electorate) (learners []Learner) {
 	for _, peer := range m.options.Peers.All() {
 		if _, isVoter := e.VoterAt(peer.Addr); isVoter || !peer.Connected() {
@@ -25,7 +25,7 @@
 	return learners
 }
 
-// Zone is that of a control node; empty: unknown.
+// Zone returns the zone of a control node, or "" if it is unknown.
 func (m *Manager) Zone(addr string) string {
 	if addr == m.self {
 		return m.options.Settings.Zone
@@ -36,17 +36,17 @@
 	return ""
 }
 
-// successors returns the learners in the order in which they are to succeed a voter: those of its zone first,
-// then those of the zones with the fewest voters.
+// successors returns the learners in order of preference for replacing a voter: first those in the voter's zone, then
+// those in the zones with the fewest voters.
 func (m *Manager) successors(e consensus.Electorate, voter string) []Learner {
 	learners, votersInZone := m.Learners(e), map[string]int{}
 	for _, v := range e.Voters {
 		votersInZone[m.Zone(v.Addr)]++
 	}
-	home := m.Zone(voter)
+	zone := m.Zone(voter)
 	slices.SortStableFunc(learners, func(a, b Learner) int {
-		if aHome, bHome := a.Zone == home, b.Zone == home; aHome != bHome {
-			if aHome {
+		if aInZone, bInZone := a.Zone == zone, b.Zone == zone; aInZone != bInZone {
+			if aInZone {
 				return -1
 			}
 			return 1
--- a/internal/control/electorate/manager.go
+++ b/internal/control/electorate/manager.go
@@ -19,34 +19,34 @@
 	"mulleinrouter/internal/control/replica"
 )
 
-// pollInterval is how often the electorate is looked at, and asked for while it is unknown.
+// pollInterval is how often the electorate is checked for changes, and requested from peers while it is unknown.
 const pollInterval = 200 * time.Millisecond
 
-// Options is what a Manager is made of.
+// Options are the settings and dependencies of a Manager.
 type Options struct {
 	Settings  *settings.Settings
 	Replica   *replica.Replica
 	Peers     *peers.Set
 	Proposals *proposals.Queue
 	Lease     *majority.Lease
-	Started   time.Time // of this process
-	// ConfirmedTerm is the term of the lease in which the snapshot here was confirmed as the newest; 0: none.
+	Started   time.Time // start time of this process
+	// ConfirmedTerm returns the term of the lease in which the local snapshot was confirmed as the newest; 0 if none.
 	ConfirmedTerm  func() uint64
-	FetchInventory func(*peers.Peer) *transport.CatchUpChunk // asks a peer for the electorate; nil: no answer
-	DiskRead       func() bool                               // the disk has been read
+	FetchInventory func(*peers.Peer) *transport.CatchUpChunk // asks a peer for the electorate; nil if no answer
+	DiskRead       func() bool                               // reports whether the disk has been read
 	Log            log.Logger
 }
 
-// Manager decides on the voters as far as this node has a part in it. It is safe for concurrent use.
+// Manager performs this node's part in the changes of the electorate. It is safe for concurrent use.
 type Manager struct {
 	options  Options
 	self     string
 	log      log.Logger
-	changing atomic.Bool // a replacement or an enlargement is under way here
+	changing atomic.Bool // a replacement or an enlargement is in progress on this node
 
-	mu          sync.Mutex // guards the fields below
-	since       uint64     // epoch of the electorate that was seen last
-	firstSeenAt time.Time  // when that electorate was seen first
+	mu            sync.Mutex // guards the fields below
+	lastSeenSince uint64     // epoch since which the last known electorate is in force
+	firstSeenAt   time.Time  // time at which this process first saw that electorate
 }
 
 // New makes a manager.
@@ -54,10 +54,10 @@
 	return &Manager{options: o, self: o.Settings.ControlAddr, log: o.Log}
 }
 
-// Changing tells whether a replacement or an enlargement is under way here.
+// Changing reports whether a replacement or an enlargement is in progress on this node.
 func (m *Manager) Changing() bool { return m.changing.Load() }
 
-// Join learns the electorate from the other nodes if the disk had none, and subscribes to the voters.
+// Join gets the electorate from the other nodes if none was stored on disk, and subscribes to the voters.
 func (m *Manager) Join(ctx context.Context, wg *sync.WaitGroup) {
 	for ; ctx.Err() == nil; retry.Sleep(ctx, pollInterval) {
 		if base, _ := m.options.Replica.Base(); base.Electorate.Known() {
@@ -72,7 +72,7 @@
 	}
 }
 
-// learnElectorate asks all peers for the electorate, and waits for their answers.
+// learnElectorate requests the electorate from all peers and waits for their answers.
 func (m *Manager) learnElectorate() {
 	var asking sync.WaitGroup
 	for _, peer := range m.options.Peers.All() {
@@ -85,7 +85,7 @@
 	asking.Wait()
 }
 
-// Follow subscribes to new voters and enrolls this node where necessary, until the context ends.
+// Follow subscribes to new voters, and enrolls this node again when its disk was lost, until the context ends.
 func (m *Manager) Follow(ctx context.Context, wg *sync.WaitGroup) {
 	for ; ctx.Err() == nil; retry.Sleep(ctx, pollInterval) {
 		if !m.options.DiskRead() {
@@ -97,7 +97,8 @@
 	}
 }
 
-// enroll replaces this node's lost disk by the present one, if its address is a voter's with another disk.
+// enroll proposes to replace this node's entry in the electorate if the entry has this node's address and another disk
+// id. That is the case after the node has lost its disk: it may not vote until the entry has the id of its new disk.
 func (m *Manager) enroll(ctx context.Context) {
 	base, _ := m.options.Replica.Base()
 	self := m.options.Replica.AsVoter()
@@ -114,17 +115,18 @@
 	level.Info(m.log).Log("msg", "vote recovered", "epoch", base.Epoch)
 }
 
-// Age is how long the electorate has been what it is, as seen by this process.
+// Age returns the time since this process first saw the electorate e. The electorate known at the first call counts
+// from the start of the process.
 func (m *Manager) Age(e consensus.Electorate) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.firstSeenAt.IsZero() {
-		m.since, m.firstSeenAt = e.Since, m.options.Started
-	} else if m.since != e.Since {
-		m.since, m.firstSeenAt = e.Since, time.Now()
+		m.lastSeenSince, m.firstSeenAt = e.Since, m.options.Started
+	} else if m.lastSeenSince != e.Since {
+		m.lastSeenSince, m.firstSeenAt = e.Since, time.Now()
 	}
 	return time.Since(m.firstSeenAt)
 }
 
-// WantedVoters is how many voters tolerate the configured losses.
+// WantedVoters returns the number of voters that is needed to tolerate the configured number of lost machines.
 func (m *Manager) WantedVoters() int { return 2*m.options.Settings.Tolerance.Machines + 1 }
