--- a/internal/control/catchup/fetcher.go
+++ b/internal/control/catchup/fetcher.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	fastChunk    = 100 * time.Millisecond // a chunk that comes sooner may be followed by a larger one
-	slowChunk    = 400 * time.Millisecond // a chunk that comes later is followed by a small one
-	chunkTimeout = 5 * time.Second        // for one chunk
-	stallTimeout = time.Second            // without a chunk for so long, another source is tried as well
-	fetchTimeout = 300 * time.Millisecond // for Fetch to go on with further chunks
-	pollInterval = 50 * time.Millisecond
-	maxWaiters   = 4 // calls that wait for chunks from one node
+	fastChunk    = 100 * time.Millisecond // the next chunk is larger if one arrived within this time
+	slowChunk    = 400 * time.Millisecond // the next chunk is of the minimum size if one took longer than this
+	chunkTimeout = 5 * time.Second        // for the answer with one chunk
+	stallTimeout = time.Second            // time without a chunk after which another source is tried as well
+	fetchTimeout = 300 * time.Millisecond // time during which Fetch requests further chunks
+	pollInterval = 50 * time.Millisecond  // between two looks at the progress of a background fetch
+	maxWaiters   = 4                      // calls of Fetch that may wait for one node at a time
 )
 
 // Fetcher fetches chunks for a replica. It is safe for concurrent use.
@@ -30,14 +30,16 @@
 	sources map[*peers.Peer]*source
 }
 
-// source is the fetching from one node.
+// source is the state of the fetches from one node.
 type source struct {
-	addr       string
-	peer       *peers.Peer
-	slot       chan struct{} // for one chunk at a time; a partitioned node so delays no fetch from another
-	waiting    atomic.Int32  // calls that wait for the slot or hold it
-	sweeping   atomic.Bool
-	chunkBytes int // to request next; guarded by the slot
+	addr string
+	peer *peers.Peer
+	// slot limits the node to one chunk at a time. Each node has its own slot, so that a partitioned node does not
+	// delay fetches from the others.
+	slot                 chan struct{}
+	waiting              atomic.Int32 // calls that wait for the slot or hold it
+	fetchingInBackground atomic.Bool
+	chunkBytes           int // size of the next chunk to request; guarded by the slot
 }
 
 // NewFetcher makes a fetcher for a replica.
@@ -56,9 +58,10 @@
 	return s
 }
 
-// Fetch gets chosen changes from a control node, up to an epoch at least if all goes well, and returns the epoch
-// of the snapshot here then. It fetches for fetchTimeout; while a sweep is under way, it waits for that and does
-// not request the same chunks.
+// Fetch gets chosen changes from a control node until the local snapshot has reached the given epoch, and returns the
+// epoch of the local snapshot. It requests no further chunk after fetchTimeout, or once a chunk did not arrive or was
+// not used, and none at all if maxWaiters calls wait for the node already. While a background fetch is running, it
+// waits for that fetch instead of requesting the same chunks again.
 func (f *Fetcher) Fetch(from string, epoch uint64) uint64 {
 	current := f.replica.Epoch()
 	p := f.peers.Find(from)
@@ -72,7 +75,7 @@
 	}
 	deadline := time.Now().Add(fetchTimeout)
 	for used := true; used && current < epoch && time.Now().Before(deadline); {
-		if f.sweeping() && f.replica.Transferring() {
+		if f.backgroundFetchRunning() && f.replica.Transferring() {
 			time.Sleep(pollInterval)
 			current = f.replica.Epoch()
 			continue
@@ -82,7 +85,8 @@
 	return current
 }
 
-// fetchChunk gets one chunk, and returns the epoch of the snapshot here then and whether the chunk was of use.
+// fetchChunk gets one chunk. It returns the epoch of the local snapshot afterwards, and whether the replica used the
+// chunk.
 func (f *Fetcher) fetchChunk(s *source, epoch uint64) (current uint64, used bool) {
 	s.slot <- struct{}{}
 	defer func() { <-s.slot }()
@@ -100,7 +104,7 @@
 	return f.replica.StageChunk(request, answer.CatchUpChunk)
 }
 
-// adaptChunkBytes chooses the size of the next chunk by how long the last one took.
+// adaptChunkBytes sets the size of the next chunk according to the time that the last one took.
 func (s *source) adaptChunkBytes(took time.Duration) {
 	switch {
 	case took < fastChunk:
@@ -110,10 +114,11 @@
 	}
 }
 
-// Sweep starts to fetch in the background what a peer is known to have, from one that keeps sending.
-func (f *Fetcher) Sweep() {
+// StartBackgroundFetch starts to fetch newer changes in the background from a peer that is known to have them. If a
+// background fetch is running already, it starts one from another peer only if no chunk has arrived for stallTimeout.
+func (f *Fetcher) StartBackgroundFetch() {
 	epoch := f.replica.Epoch()
-	if f.sweeping() && time.Since(f.replica.LastChunkAt()) < stallTimeout {
+	if f.backgroundFetchRunning() && time.Since(f.replica.LastChunkAt()) < stallTimeout {
 		return
 	}
 	for _, p := range f.peers.All() {
@@ -121,35 +126,35 @@
 		if !p.Connected() || state.Epoch <= epoch {
 			continue
 		}
-		if s := f.source(p); s.sweeping.CompareAndSwap(false, true) {
-			go f.sweepFrom(s)
+		if s := f.source(p); s.fetchingInBackground.CompareAndSwap(false, true) {
+			go f.fetchInBackground(s)
 			return
 		}
 	}
 }
 
-func (f *Fetcher) sweepFrom(s *source) {
-	defer s.sweeping.Store(false)
+func (f *Fetcher) fetchInBackground(s *source) {
+	defer s.fetchingInBackground.Store(false)
 	for used := true; used; {
 		_, used = f.fetchChunk(s, s.peer.State().Epoch)
 	}
 }
 
-// sweeping tells whether a sweep is under way.
-func (f *Fetcher) sweeping() bool {
+// backgroundFetchRunning reports whether a background fetch from any peer is running.
+func (f *Fetcher) backgroundFetchRunning() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.sources {
-		if s.sweeping.Load() {
+		if s.fetchingInBackground.Load() {
 			return true
 		}
 	}
 	return false
 }
 
-// FetchInventory asks a peer for the electorate and for the departing instances on its disk, page by page; merge
-// is called with each page. It returns the first page, in which the electorate stands; nil: the peer does not
-// answer.
+// FetchInventory requests the electorate and the departing instances on a peer's disk, page by page, and calls merge
+// with the instances of each page. It returns the first page, which contains the electorate, or nil if the peer does
+// not answer.
 func (f *Fetcher) FetchInventory(p *peers.Peer, merge func([]registry.Instance)) (first *transport.CatchUpChunk) {
 	request := &transport.CatchUpRequest{EmptyDisk: true}
 	for {
--- a/internal/control/catchup/lag.go
+++ b/internal/control/catchup/lag.go
@@ -6,24 +6,24 @@
 	"mulleinrouter/internal/control/peers"
 )
 
-// MaxLag is how long a newer snapshot may be known elsewhere before this node lags.
+// MaxLag is how long another node may have a newer snapshot before this node counts as lagging.
 const MaxLag = time.Second
 
-// Lag is the newest snapshot that another node was known to have, and since when one was newer than that here.
-// The zero value is ready for use, by one goroutine.
+// Lag records the newest snapshot that another node is known to have, and the time since which it has been newer than
+// the local one. The zero value is ready for use. A Lag is not safe for concurrent use.
 type Lag struct {
 	newestEpoch uint64
 	since       time.Time
 }
 
-// Update takes a look at the peers, and tells whether a snapshot that one of them has had for more than MaxLag
-// is still newer than that of the epoch here.
+// Update compares the local epoch with those of the peers, and reports whether the local node still lacks a snapshot
+// that a peer has had for more than MaxLag.
 func (l *Lag) Update(now time.Time, epoch uint64, p *peers.Set) (lagging bool) {
-	if l.newestEpoch <= epoch { // what was looked for is here: look for what is newest now
+	if l.newestEpoch <= epoch { // caught up with newestEpoch: compare with the newest epoch from now on
 		*l = Lag{newestEpoch: p.NewestEpoch(0), since: now}
 	}
 	return l.newestEpoch > epoch && now.Sub(l.since) > MaxLag
 }
 
-// NewestEpoch is the epoch that the last Update looked for.
+// NewestEpoch returns the epoch with which the last Update compared the local one.
 func (l *Lag) NewestEpoch() uint64 { return l.newestEpoch }
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -20,22 +20,23 @@
 	"mulleinrouter/internal/control/replica/replicatest"
 )
 
-const frameBound = replica.MaxChunkBytes + 8<<10 // bytes of a transfer's longest frame, if no item is longer by itself
+// maxTransferFrame is the maximum size of a frame of a transfer, in bytes, if no single item is larger.
+const maxTransferFrame = replica.MaxChunkBytes + 8<<10
 
-// linkMeter measures what goes over the links, and bounds their rate.
+// linkMeter measures the traffic of all links, and limits their rate.
 type linkMeter struct {
 	mu      sync.Mutex
-	rate    float64 // bytes a second each way, of simulated time; 0: no bound
+	rate    float64 // bytes per second of simulated time in each direction; unlimited if 0
 	bytes   int
-	longest int // frame
+	longest int // size of the longest frame, in bytes
 }
 
-// meteredConn is a connection whose bytes are counted, and pass at the rate of the link.
+// meteredConn is a connection whose bytes are counted and are sent at the rate of the link.
 type meteredConn struct {
 	net.Conn
 	meter     *linkMeter
-	header    []byte // of a frame's length
-	remaining int    // of the frame
+	header    []byte // bytes received so far of the length field of a frame
+	remaining int    // bytes of the current frame that are still to come
 }
 
 func (m *linkMeter) wrap(conn net.Conn) net.Conn { return &meteredConn{Conn: conn, meter: m} }
@@ -54,7 +55,7 @@
 	return done, nil
 }
 
-// transferTime is how long a number of bytes takes.
+// transferTime returns how long the transfer of a number of bytes takes at the rate of the link.
 func (m *linkMeter) transferTime(bytes int) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -64,7 +65,7 @@
 	return time.Duration(float64(bytes) / m.rate * float64(time.Second))
 }
 
-// slowDown bounds the rate to 2 Mbit/s from now on.
+// slowDown limits the rate to 2 Mbit/s from now on.
 func (m *linkMeter) slowDown() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -99,7 +100,7 @@
 	return bytes, longest
 }
 
-// fallBehind partitions the third of three nodes, and has a number of changes chosen by the others meanwhile.
+// fallBehind partitions the third of three nodes, and applies n further changes at the other two.
 func (c *testCluster) fallBehind(h *replicatest.History, n int) {
 	c.Helper()
 	behind := c.nodes[c.seeds[2]]
@@ -110,8 +111,8 @@
 	}
 }
 
-// awaitNewest waits until a node has the newest snapshot. Until then it must show complete snapshots alone,
-// accept nothing upon changes that it lacks, and not be ready.
+// awaitNewest waits until a node has the newest snapshot. Until then, the node must show only complete snapshots,
+// accept no proposal for which it lacks earlier changes, and not be ready.
 func (c *testCluster) awaitNewest(h *replicatest.History, addr string, limit time.Duration) {
 	c.Helper()
 	m, began := c.nodes[addr], time.Now()
@@ -126,7 +127,7 @@
 			c.t.Fatalf("epoch %d of %d after %v", epoch, len(h.Changes), time.Since(began))
 		}
 		if epoch == old {
-			c.True(now == snapshot) // staged chunks are not visible
+			c.True(now == snapshot) // staged chunks are not visible to readers
 		} else {
 			old, snapshot = epoch, now
 			c.Equal(h.Check(m.replica), "")
@@ -145,8 +146,8 @@
 	}
 }
 
-// A node lacks one change, as many as are remembered by key and one more or less, or thousands; over fast links,
-// in chunks.
+// A node that lacks changes catches up over fast links. The numbers of missing changes include one, thousands, and
+// those around replica.MaxRecentChanges, up to which the replicas remember changes by key.
 func TestCatchUpAfterChanges(t *testing.T) {
 	t.Parallel()
 	const recent = replica.MaxRecentChanges
@@ -164,7 +165,7 @@
 					c.fallBehind(h, n)
 					c.partition(c.seeds[2], false)
 					c.awaitNewest(h, c.seeds[2], 5*time.Second)
-					if round == 0 { // and again after a restart
+					if round == 0 { // the second round follows a restart
 						disk := c.crash(c.seeds[2])
 						c.start(c.seeds[2], disk, false)
 						advance(2 * time.Second)
@@ -179,8 +180,9 @@
 	}
 }
 
-// Twenty megabytes over a link of 2 Mbit/s, while changes go on: in chunks of bounded size, continued after
-// partitions, from another source and after a loss of power. Each byte is transferred about once.
+// A node fetches 20 MB over a link of 2 Mbit/s while further changes are chosen. The transfer uses chunks of bounded
+// size and is continued after partitions, from another source, and after a loss of power, so that each byte is
+// transferred about once.
 func TestCatchUpOverSlowLink(t *testing.T) {
 	t.Parallel()
 	if total, bytes := catchUpOverSlowLink(t); bytes >= total*5/4 {
@@ -188,7 +190,7 @@
 	}
 }
 
-// catchUpOverSlowLink returns the bytes of the bodies that were missing, and those that went over the links.
+// catchUpOverSlowLink returns the total size of the missing items' bodies, and the bytes sent over the links.
 func catchUpOverSlowLink(t *testing.T) (total, bytes int) {
 	const size = 20 << 20
 	synctest.Test(t, func(t *testing.T) {
@@ -208,7 +210,7 @@
 			if m.store.Epoch() > from {
 				break
 			}
-			h.Grow(1) // meanwhile
+			h.Grow(1) // changes go on during the transfer
 			for _, a := range c.seeds[:2] {
 				h.Apply(c.nodes[a].replica, h.Newest())
 			}
@@ -217,7 +219,7 @@
 				c.partition(c.seeds[2], true)
 				advance(3 * time.Second)
 				c.partition(c.seeds[2], false)
-			case 4: // and a source
+			case 4: // one of its sources is partitioned
 				c.partition(c.seeds[0], true)
 			case 6:
 				c.partition(c.seeds[0], false)
@@ -229,7 +231,7 @@
 				m = c.start(c.seeds[2], disk, false)
 			}
 			if time.Since(began) > 5*time.Minute {
-				t.Fatalf("not there after %v: %+v", time.Since(began), m.replica.NextCatchUpRequest())
+				t.Fatalf("not caught up after %v: %+v", time.Since(began), m.replica.NextCatchUpRequest())
 			}
 		}
 		took := time.Since(began)
@@ -238,14 +240,14 @@
 		bytes, longest = c.meter.reset()
 		t.Logf("%d bytes of bodies, %d over the links, longest frame %d, %v, %d cuts", total, bytes, longest, took,
 			cuts)
-		c.True(longest <= frameBound)
+		c.True(longest <= maxTransferFrame)
 		c.stopAll()
-		advance(time.Second) // what was in flight ends
+		advance(time.Second) // until transfers in flight have ended
 	})
 	return total, bytes
 }
 
-// newMeteredCluster is three nodes, and others that are no seeds, whose links are all metered.
+// newMeteredCluster returns a cluster of three seeds and the other given nodes, in which all links are metered.
 func newMeteredCluster(t *testing.T, others ...string) *testCluster {
 	c := newCluster(t, 3)
 	c.mu.Lock() // the nodes are dialing one another already
@@ -254,7 +256,7 @@
 	for _, a := range others {
 		c.start(a, vfs.NewCrashableMem(), false)
 	}
-	for _, off := range []bool{true, false} { // connections from before are not metered
+	for _, off := range []bool{true, false} { // replace the connections that were opened before the meter was set
 		for a := range c.nodes {
 			c.partition(a, off)
 		}
@@ -263,8 +265,8 @@
 	return c
 }
 
-// measureLagging has a ready node in contact lack a large change, which comes over a slow link. It returns how
-// long the node still announced that it was ready, and how long it lacked the change.
+// measureLagging makes a ready node that is in contact lack a large change, which it fetches over a slow link. It
+// returns how long the node still announced that it was ready, and how long it lacked the change.
 func measureLagging(t *testing.T) (ready, behind time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newMeteredCluster(t)
@@ -295,19 +297,21 @@
 	return ready, behind
 }
 
+// maxReadyWhileLagging is how long a lagging node may still announce that it is ready: it learns of the newer snapshot
+// with a keepalive, allows for catchup.MaxLag, and evaluates the lag in rounds of watch.
 const maxReadyWhileLagging = catchup.MaxLag + transport.KeepaliveInterval + 2*watchInterval
 
 func TestNotReadyWhileLagging(t *testing.T) {
 	t.Parallel()
 	ready, behind := measureLagging(t)
-	t.Logf("behind for %v, ready for %v of it", behind, ready)
+	t.Logf("lagging for %v, and announced as ready for %v of that time", behind, ready)
 	if ready > maxReadyWhileLagging || behind < 2*maxReadyWhileLagging {
-		t.Error("ready for too long, or not behind for long enough to tell")
+		t.Error("ready for too long while lagging, or the lag was too short for the test to show anything")
 	}
 }
 
-// A node with an empty disk gets some megabytes over a slow link while changes go on at the others: none of
-// these is rejected or takes over a second, and the node votes again once it has the snapshot.
+// A node with an empty disk fetches some megabytes over a slow link while the other nodes accept changes. None of the
+// changes is rejected or takes more than a second, and the node votes again once it has the snapshot.
 func TestRecoveryOverSlowLink(t *testing.T) {
 	t.Parallel()
 	late, took := 0, time.Duration(0)
@@ -349,9 +353,9 @@
 	}
 }
 
-// The times in docs/design/control-plane-faults.md: a node that lacks 1,000 changes, and one whose disk is empty after
-// a day of 600, over links of 2 Mbit/s each way. Times are simulated; bytes are all that went over the links
-// meanwhile, heartbeats included.
+// Measures the times in docs/design/control-plane-faults.md: how long a node that lacks 1,000 changes, and one whose
+// disk is empty after a day with 600 changes, take to catch up over links of 2 Mbit/s in each direction. Times are
+// simulated. The byte counts include everything sent over the links meanwhile, such as heartbeats.
 func TestCatchUpTimes(t *testing.T) {
 	t.Parallel()
 	for _, empty := range []bool{false, true} {
@@ -391,13 +395,13 @@
 						break
 					}
 					if time.Since(began) > time.Minute {
-						t.Fatal("not there after a minute")
+						t.Fatal("not caught up after a minute")
 					}
 				}
 				took = append(took, time.Since(began))
 				n, longest := c.meter.reset()
 				bytes = append(bytes, n)
-				c.True(longest <= frameBound)
+				c.True(longest <= maxTransferFrame)
 				c.Equal(h.Check(c.nodes[c.seeds[2]].replica), "")
 				c.stopAll()
 				advance(time.Second)
--- a/internal/control/connection_flood_test.go
+++ b/internal/control/connection_flood_test.go
@@ -22,14 +22,14 @@
 	reader *bufio.Reader
 }
 
-// connect connects to a node, over a pipe.
+// connect connects to the HTTP listener of a node over a pipe.
 func (c *testCluster) connect(addr string) *httpConn {
 	here, there := net.Pipe()
 	c.nodes[addr].control.conns <- there
 	return &httpConn{here, bufio.NewReader(here)}
 }
 
-// call makes a call and returns its status; 0: the connection has ended.
+// call makes a call and returns its status, or 0 if the connection has ended.
 func (c *httpConn) call(method, path, body string) int {
 	const request = "%s %s HTTP/1.1\r\nHost: c\r\nContent-Length: %d\r\n\r\n%s"
 	if _, err := fmt.Fprintf(c, request, method, path, len(body), body); err != nil {
@@ -49,7 +49,7 @@
 	return r.StatusCode
 }
 
-// isOpen tells whether a connection without a call in flight is still open.
+// isOpen reports whether a connection without a call in flight is still open.
 func (c *httpConn) isOpen() bool {
 	_ = c.SetReadDeadline(time.Now())
 	_, err := c.reader.ReadByte()
@@ -58,9 +58,9 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// Three thousand servers keep connections to a node that may have some hundreds. Operators are served in time
-// all the while, and so are servers that depart; the connections that have been idle longest are evicted, and
-// none with a call in flight.
+// Three thousand servers keep connections open to a node whose limit is some hundreds. Meanwhile, operators and
+// departing servers are served in time. The node evicts the connections that have been idle longest, and none with a
+// call in flight.
 func TestConnectionFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
@@ -103,7 +103,8 @@
 			c.Equal(x.isOpen(), i >= len(servers)-open)
 		}
 
-		// Servers wait for the disks while a thousand more connect: none that waits is closed.
+		// Calls of servers wait for the disks while a thousand more servers connect. No connection with a waiting call
+		// is closed.
 		for _, a := range c.seeds {
 			c.nodes[a].stallingDisk.setStalled(true)
 		}
@@ -131,8 +132,8 @@
 		stats = c.nodes[node].connections.Stats()
 		c.Equal(stats.Total(), stats.Internal)
 
-		// Calls whose bodies do not arrive take all slots that they may have. A departing server and an operator are
-		// served all the same, and calls without bodies are given up after a second.
+		// Calls whose bodies do not arrive occupy all slots that are open to them. A departing server and an operator
+		// are served nevertheless, and calls without bodies are ended after a second.
 		began = time.Now()
 		for i := range 3000 {
 			x := c.connect(node)
@@ -142,7 +143,7 @@
 		lateServer := c.connect(node)
 		_, err := fmt.Fprint(lateServer, "PUT /instances/i-3000 HTTP/1.1\r\nHost: c\r\nContent-Length: 100\r\n\r\n")
 		c.NoErr(err)
-		c.Equal(lateServer.readStatus(), 503) // at once, though its body does not come
+		c.Equal(lateServer.readStatus(), 503) // at once, although its body has not arrived
 		c.True(time.Since(began) < httpapi.PromptBodyTimeout)
 		c.Equal(c.connect(node).call("PATCH", "/config", patchBody([]string{serviceJSON("s", 10)}, nil)), 200)
 		advance(httpapi.PromptBodyTimeout)
--- a/internal/control/coordination.go
+++ b/internal/control/coordination.go
@@ -8,10 +8,11 @@
 	"mulleinrouter/internal/control/storage"
 )
 
-// coordinationClause is the clause of the operators' rules with which applications coordinate through this system.
+// coordinationClause is the clause of the operators' rules that enables coordination of applications through this
+// system: locks, numbers, cells and watches.
 const coordinationClause = "coord"
 
-// makeShards makes the shards, if applications use them.
+// makeShards makes the shard service if coordinationClause is in force. n.shards stays nil otherwise.
 func (n *Node) makeShards() {
 	if !n.settings.Clauses[coordinationClause] {
 		return
@@ -30,7 +31,7 @@
 	})
 }
 
-// openShards hands the shards what was found on disk.
+// openShards starts the shards from the state that was read from disk.
 func (n *Node) openShards(disk *storage.Store, state storage.State) {
 	if n.shards == nil {
 		return
@@ -38,8 +39,9 @@
 	n.shards.Open(disk, state.Shards, n.replica.AsVoter(), n.shardFounders())
 }
 
-// shardFounders is the first voters, where this disk is of the first start of the system: it may begin shards that it
-// does not have, for it can't have forgotten them. Any other disk receives them from their leaseholders.
+// shardFounders returns the first voters if this node's disk dates from the first start of the system, and nil
+// otherwise. Only on such a disk may the node create shards that the disk does not contain, because the disk can't have
+// lost them. On any other disk, the node receives the shards from their leaseholders.
 func (n *Node) shardFounders() []consensus.Voter {
 	base, _ := n.replica.Base()
 	foundingDisk := n.replica.AsVoter().Disk == 0
@@ -49,7 +51,7 @@
 	return base.Electorate.Voters
 }
 
-// handOverShards hands the shards that this node leads to others, before it ends.
+// handOverShards transfers the leases of the shards that this node leads to other voters before a shutdown.
 func (n *Node) handOverShards() {
 	if n.shards != nil {
 		n.shards.HandOver()
--- a/internal/control/coordination_client_test.go
+++ b/internal/control/coordination_client_test.go
@@ -13,7 +13,7 @@
 	"mulleinrouter/coordinationclient"
 )
 
-// handlers carries requests to the nodes of a cluster, without connections.
+// handlers is an http.RoundTripper that calls the HTTP handlers of a cluster's nodes without connections.
 type handlers struct{ cluster *testCluster }
 
 func (h handlers) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -37,15 +37,15 @@
 	}
 }
 
-// newClient is a client of a cluster whose shards have leaseholders.
+// newClient returns a cluster whose shards have leaseholders, and a client of it.
 func newClient(t *testing.T) (*testCluster, *coordinationclient.Client) {
 	c := newCoordinationCluster(t)
 	advance(3 * time.Second)
 	return c, coordinationclient.New(c.seeds, handlers{c})
 }
 
-// An election by the client package: one leads at a time, also while the node that it asked is lost, and the next one
-// has a higher fence.
+// An election with the client package has one leader at a time, even if the leaseholder of the lock's shard is lost.
+// The next leader gets a higher fence.
 func TestClientElection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, client := newClient(t)
@@ -55,18 +55,18 @@
 		first, err := client.Acquire(ctx, "leader", "a", 3*time.Second)
 		c.NoErr(err)
 		if _, err := client.Acquire(ctx, "leader", "b", 3*time.Second); !errors.Is(err, coordinationclient.ErrTaken) {
-			t.Errorf("another: got %v", err)
+			t.Errorf("a second owner acquires a held lock: got %v", err)
 		}
-		c.remove(leaseholderOfL(c))
+		c.remove(leaseholderOfLockL(c))
 		for range 5 {
 			advance(500 * time.Millisecond)
 			if err := first.Renew(ctx); err != nil || !first.Valid() {
 				t.Fatalf("renewal after a loss: %v, %v left", err, first.Remaining())
 			}
 		}
-		advance(first.Remaining()) // it dies
+		advance(first.Remaining()) // the first leader stops renewing
 		if first.Valid() {
-			t.Error("held beyond its time")
+			t.Error("the lock is valid after its hold has expired")
 		}
 		advance(200 * time.Millisecond)
 		second, err := client.Acquire(ctx, "leader", "b", 3*time.Second)
@@ -79,7 +79,7 @@
 	})
 }
 
-// A watch by the client package sees every put, in order, over the loss of a node.
+// A watch with the client package delivers every put in order, even if a node is lost meanwhile.
 func TestClientWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, client := newClient(t)
--- a/internal/control/coordination_histories_test.go
+++ b/internal/control/coordination_histories_test.go
@@ -18,16 +18,16 @@
 	"mulleinrouter/internal/race"
 )
 
-// applications are callers at random nodes in simulated time. Nodes crash, lose power together, stall and lose their
-// disks, are paused, and links fail one way.
+// applications are clients that call random nodes in simulated time. Meanwhile, nodes crash, lose power together, are
+// paused, lose their disks or have them stall, and links fail in one or both directions.
 type applications struct {
 	*testCluster
 	workload *histories.Workload
 
 	mu      sync.Mutex // guards the fields below
 	rnd     *rand.Rand
-	crashed map[*testNode]bool // what it still answers does not arrive
-	pausing map[string]time.Time
+	crashed map[*testNode]bool   // nodes whose further answers are discarded
+	pausing map[string]time.Time // end of the last pause, by node
 }
 
 const (
@@ -54,14 +54,14 @@
 	return time.Until(a.pausing[process])
 }
 
-// random draws a number; applications run beside each other.
+// random draws a number below n. It is safe for concurrent use by the applications.
 func (a *applications) random(n int) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.rnd.IntN(n)
 }
 
-// node is the node that an application calls now.
+// node returns a random node for an application to call.
 func (a *applications) node() *testNode {
 	addr := a.seeds[a.random(len(a.seeds))]
 	a.testCluster.mu.Lock()
@@ -69,7 +69,7 @@
 	return a.nodes[addr]
 }
 
-// send sends a call to a random node, and returns the answer; status 0: none came in time.
+// send sends a call to a random node and returns its answer. The status is 0 if no answer arrived within the timeout.
 func (a *applications) send(method, path, body string, timeout time.Duration) (status int, text string) {
 	node := a.node()
 	a.links.pauses.await(node.addr)
@@ -95,8 +95,8 @@
 	return 0, ""
 }
 
-// disturb brings a fault about, and waits until it is over.
-func (a *applications) disturb(fault int) {
+// injectFault causes a fault of the given kind, and waits until it is over.
+func (a *applications) injectFault(fault int) {
 	addr := a.seeds[a.random(len(a.seeds))]
 	switch fault {
 	case 0: // a process is paused
@@ -105,9 +105,9 @@
 		a.pausing[addr] = time.Now().Add(span)
 		a.mu.Unlock()
 		advance(span)
-	case 1: // the power fails at one
+	case 1: // a node loses power
 		a.start(addr, a.crashNode(addr), false)
-	case 2: // the power fails everywhere
+	case 2: // all nodes lose power
 		disks := map[string]*vfs.MemFS{}
 		for _, seed := range a.seeds {
 			disks[seed] = a.crashNode(seed)
@@ -116,14 +116,14 @@
 		for _, seed := range a.seeds {
 			a.start(seed, disks[seed], false)
 		}
-	case 3, 4: // links fail one way or both
+	case 3, 4: // links fail in one or both directions
 		other := a.seeds[a.random(len(a.seeds))]
 		a.links.setSevered(func(from, to string) bool {
 			return from == addr && (fault == 3 || to == other) || fault == 3 && to == addr && a.random(2) == 0
 		}, a.seeds)
 		advance(time.Duration(1+a.random(4)) * time.Second)
 		a.links.setSevered(func(string, string) bool { return false }, a.seeds)
-	case 5: // a disk is lost; another one is lost only once it is replaced
+	case 5: // a disk is lost; 6 s later the node has recovered, so that another disk may be lost
 		a.crashNode(addr)
 		a.start(addr, newDisk(), false)
 		advance(6 * time.Second)
@@ -135,7 +135,7 @@
 	advance(time.Duration(500+a.random(2500)) * time.Millisecond)
 }
 
-// crashNode crashes a node: nothing that it still says arrives.
+// crashNode crashes a node. Answers that it still gives are discarded. It returns the node's disk.
 func (a *applications) crashNode(addr string) *vfs.MemFS {
 	a.mu.Lock()
 	a.crashed[a.nodes[addr]] = true
@@ -143,7 +143,7 @@
 	return a.crash(addr)
 }
 
-// shardStates describes the shards at each node.
+// shardStates describes the state of the shards and the electorate at each node, for failure messages.
 func (a *applications) shardStates() (states []string) {
 	for _, addr := range a.seeds {
 		for _, status := range a.nodes[addr].shards.Status() {
@@ -155,13 +155,13 @@
 	return states
 }
 
-// electorateVoters is the electorate of the configuration.
+// electorateVoters returns the voters of the electorate in the node's configuration.
 func (n *testNode) electorateVoters() []consensus.Voter {
 	base, _ := n.replica.Base()
 	return base.Electorate.Voters
 }
 
-// finalAnswers requires an answer of each node once all faults are over.
+// finalAnswers checks that each node answers once all faults are over, and returns the failures.
 func (a *applications) finalAnswers() (wrong []string) {
 	for _, addr := range a.seeds {
 		for _, path := range []string{"/numbers/n0", "/numbers/n1", "/numbers/n2"} {
@@ -176,8 +176,9 @@
 	return wrong
 }
 
-// playApplications plays one seed, and returns what was wrong.
-func playApplications(t *testing.T, seed uint64, faults int) (wrong []string, counts map[string]int) {
+// runApplications runs the workload of one seed with a number of faults. It returns the failures, and the counts of the
+// answers by outcome.
+func runApplications(t *testing.T, seed uint64, faults int) (wrong []string, counts map[string]int) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newApplications(t, seed)
 		advance(3 * time.Second)
@@ -187,7 +188,7 @@
 			running.Go(func() { a.workload.Run(app, stop) })
 		}
 		for range faults {
-			a.disturb(a.random(faultKinds))
+			a.injectFault(a.random(faultKinds))
 		}
 		advance(6 * time.Second)
 		close(stop)
@@ -201,7 +202,7 @@
 	return wrong, counts
 }
 
-// coordinationSeeds is how many seeds the histories have.
+// coordinationSeeds returns the number of seeds that TestCoordinationHistories runs; fewer under the race detector.
 func coordinationSeeds() uint64 {
 	if race.Enabled {
 		return 2
@@ -209,11 +210,11 @@
 	return 8
 }
 
-// Applications' histories under random faults: one holder at a time, rising fences, numbers and revisions, linearizable
-// cells, and watches that skip nothing.
+// Checks the applications' histories under random faults: a lock has one holder at a time; fences, numbers and
+// revisions increase; cells are linearizable; and watches skip no event.
 func TestCoordinationHistories(t *testing.T) {
-	// With the first of these a shard once committed nothing more from revision 128 of a group on. The workload has
-	// changed since; TestRevisionsBeyondOneByte brings that about by itself.
+	// With the first of these seeds, a shard once stopped committing at revision 128 of a group. The workload has
+	// changed since then, and TestRevisionsBeyondOneByte reproduces that failure by itself.
 	seeds := []uint64{1053, 1055, 1056, 1058, 1060}
 	for seed := range coordinationSeeds() {
 		seeds = append(seeds, seed)
@@ -221,7 +222,7 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			wrong, counts := playApplications(t, seed, 12)
+			wrong, counts := runApplications(t, seed, 12)
 			for _, w := range wrong {
 				t.Error(w)
 			}
--- a/internal/control/coordination_isolation_test.go
+++ b/internal/control/coordination_isolation_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// leaseholderOfL is the node that holds the lease of the shard of lock "l": the only one that answers without another.
-func leaseholderOfL(c *testCluster) string {
+// leaseholderOfLockL returns the node that holds the lease of the shard of lock "l", or "" if there is none. It is the
+// only node that answers calls to that shard by itself.
+func leaseholderOfLockL(c *testCluster) string {
 	for _, addr := range c.seeds {
 		for _, status := range c.nodes[addr].shards.Status() {
 			if status.Lease && status.Number == c.nodes[addr].shards.ShardOf("l") {
@@ -23,8 +24,8 @@
 	return ""
 }
 
-// lockBesideL is the name of another lock in the shard of lock "l".
-func lockBesideL(c *testCluster) string {
+// otherLockInShardOfL returns the name of another lock in the shard of lock "l".
+func otherLockInShardOfL(c *testCluster) string {
 	shards := c.nodes[c.seeds[0]].shards
 	for n := 0; ; n++ {
 		if name := fmt.Sprint("sibling-", n); shards.ShardOf(name) == shards.ShardOf("l") {
@@ -33,7 +34,7 @@
 	}
 }
 
-// callWithin makes a call that a caller waits for a second; status 0: it was not answered.
+// callWithin makes a call and returns its status, or 0 if it was not answered within a second.
 func (c *testCluster) callWithin(addr, method, path, body string) int {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -46,8 +47,9 @@
 	return w.Code
 }
 
-// isolatedLeaseholder cuts off a leaseholder, in one direction or both, and returns what it must not have answered. The
-// others take the lock over once its time has passed, and when the link is back the former leaseholder follows.
+// isolatedLeaseholder isolates a leaseholder from the other nodes, in one direction or both, and returns the answers
+// that it or another node must not have given. The other nodes grant the lock once the holder's time has passed, and
+// when the links are restored, the former leaseholder answers as they do.
 func isolatedLeaseholder(t *testing.T, severed func(isolated, from, to string) bool) (wrong []string) {
 	synctest.Test(t, func(t *testing.T) {
 		links := &partitionableLinks{}
@@ -59,10 +61,10 @@
 				wrong = append(wrong, fmt.Sprintf("%s: got %d, want one of %v", what, got, want))
 			}
 		}
-		isolated := leaseholderOfL(c)
+		isolated := leaseholderOfLockL(c)
 		status, fence := c.call(isolated, "POST", "/locks/l", `{"owner":"a","holdMs":2000}`)
 		expect("acquire", status, 200)
-		sibling := lockBesideL(c)
+		sibling := otherLockInShardOfL(c)
 		status, siblingFence := c.call(isolated, "POST", "/locks/"+sibling, `{"owner":"a","holdMs":2000}`)
 		expect("acquire a lock of the same shard", status, 200)
 		siblingRenewal := strings.TrimSuffix(siblingFence, "}") + `,"owner":"a","holdMs":2000}`
@@ -74,7 +76,7 @@
 			c.callWithin(isolated, "POST", "/locks/l", `{"owner":"b","holdMs":2000}`), 409)
 		expect("a longer hold without a majority",
 			c.callWithin(isolated, "POST", "/locks/l", `{"owner":"a","holdMs":2500}`), 0, 503, 504)
-		advance(120 * time.Millisecond) // the lease has just ended
+		advance(120 * time.Millisecond) // the shard's lease has just expired
 		expect("renewal after the lease",
 			c.callWithin(isolated, "PUT", "/locks/"+sibling, siblingRenewal), 0, 503, 504)
 		advance(4 * time.Second)
@@ -93,15 +95,15 @@
 	return wrong
 }
 
-// isolations are the ways to cut off a node.
+// isolations are the directions in which a node can be isolated, by name.
 var isolations = map[string]func(isolated, from, to string) bool{
 	"both ways": func(isolated, from, to string) bool { return from == isolated || to == isolated },
 	"receives":  func(isolated, from, _ string) bool { return from == isolated },
 	"sends":     func(isolated, _, to string) bool { return to == isolated },
 }
 
-// A leaseholder that is cut off answers from memory while its lease lasts and then nothing; what needs a majority it
-// never confirms.
+// An isolated leaseholder answers from memory while its lease lasts, and not at all afterwards. It never confirms a
+// call that needs a majority.
 func TestIsolatedLeaseholder(t *testing.T) {
 	for name, severed := range isolations {
 		t.Run(name, func(t *testing.T) {
@@ -112,8 +114,9 @@
 	}
 }
 
-// A disk that is lost with all power, beside a full restart: what was acknowledged stays, and the disk counts again.
-func TestLocksOutliveALostDisk(t *testing.T) {
+// One disk is lost while all nodes lose power and restart. Locks that were acknowledged survive, and the node with the
+// new disk votes again, so that the next disk may be lost.
+func TestLocksSurviveLostDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCoordinationCluster(t)
 		defer c.stopAll()
--- a/internal/control/coordination_mutants_test.go
+++ b/internal/control/coordination_mutants_test.go
@@ -8,15 +8,15 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// The histories and an isolated leaseholder show faults that are seeded into the tables and the service. Those of the
-// tables and the replicas alone are found by their own packages' tests.
+// The histories and the isolated leaseholder detect faults that are seeded into the tables and the service. Faults that
+// concern the tables or the replicas alone are detected by the tests of their packages.
 func TestCoordinationMutants(t *testing.T) {
 	for _, fault := range []string{"coordination/lock-expires-at-take-over", "coordination/fence-from-memory"} {
 		t.Run(fault, func(t *testing.T) {
 			mutants.Seed(t, fault)
 			const maxSeeds = 50
 			for seed := range uint64(maxSeeds) {
-				if wrong, _ := playApplications(t, 1000+seed, 12); len(wrong) > 0 {
+				if wrong, _ := runApplications(t, 1000+seed, 12); len(wrong) > 0 {
 					t.Logf("seed %d: %s", 1000+seed, wrong[0])
 					return
 				}
--- a/internal/control/coordination_test.go
+++ b/internal/control/coordination_test.go
@@ -9,15 +9,13 @@
 	"time"
 )
 
-// What users saw: applications asked the control nodes for a lock from the first second on and never got one, and at
-// the end of the day a request for each lock, repeated for seconds, had no answer in time.
+// Guards against control nodes that do not serve locks: applications requested locks and never got one, because every
+// node rejected POST /locks/ID with 404, although the nodes ran, were in contact and served all other calls. In the
+// observed failure, 0 of 1,907 lock calls were served, but 23,162 of 23,237 lookups. unknown_calls_total rises with
+// each such call.
 //
-// Order of events: three control nodes start and are in contact, a configuration is chosen, servers and clients are
-// served. Each POST /locks/ID reaches a control node that is well, and is rejected with 404 at once, at all nodes
-// alike.
-//
-// Cause: the control nodes had no locks. Evidence: 0 of 1,907 lock calls served beside 23,162 of 23,237 lookups, no
-// restart, contact at each sample, and unknown_calls_total rising by each of these calls once it was counted.
+// Each node must grant a lock, reject another owner meanwhile, and return the same fence to the same owner after all
+// nodes have lost power.
 func TestLockIsAnsweredAtEachNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCoordinationCluster(t)
@@ -34,9 +32,9 @@
 		first := make([]string, len(c.seeds))
 		for i, addr := range c.seeds {
 			first[i] = expect(addr, fmt.Sprint("l", i), "a.1", 200)
-			expect(c.seeds[0], fmt.Sprint("l", i), "b.1", 409) // a.1 has it
+			expect(c.seeds[0], fmt.Sprint("l", i), "b.1", 409) // a.1 holds it
 		}
-		// All lose power at once. The same owner gets its fence again, and the lock stays closed to others.
+		// All nodes lose power at once. The same owner gets its fence again, and other owners are still rejected.
 		disks := c.crashAll()
 		for _, addr := range c.seeds {
 			c.start(addr, disks[addr], false)
@@ -45,13 +43,14 @@
 		for i, addr := range c.seeds {
 			expect(addr, fmt.Sprint("l", i), "b.1", 409)
 			if again := expect(addr, fmt.Sprint("l", i), "a.1", 200); again != first[i] {
-				t.Errorf("a.1 had l%d with %s and has it with %s", i, first[i], again)
+				t.Errorf("a.1 held l%d with %s before the loss of power, and gets it with %s", i, first[i], again)
 			}
 		}
 	})
 }
 
-// Replication once stopped for good at revision 128 of a group, as its key on the wire was not a text from there on.
+// Guards against replication that stops at revision 128 of a group: from that revision on, the encoded key of a record
+// was not valid text on the wire, and the shard committed nothing more.
 func TestRevisionsBeyondOneByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCoordinationCluster(t)
@@ -71,7 +70,7 @@
 	})
 }
 
-// What a caller must not send is rejected with 400, without any effect.
+// Invalid calls are rejected with 400 and have no effect.
 func TestInvalidCoordinationCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCoordinationCluster(t)
@@ -103,7 +102,7 @@
 	})
 }
 
-// A node that is no voter forwards each call to the leaseholder, which it knows once it was told.
+// A node that does not vote forwards each call to the leaseholder, without delay once it knows the leaseholder.
 func TestNodeWithoutVoteForwards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCoordinationCluster(t)
@@ -121,17 +120,17 @@
 	})
 }
 
-// A leaseholder that is stopped in order hands its shards over: no call waits for a lease to end.
-func TestOrderlyStopHandsShardsOver(t *testing.T) {
+// A leaseholder that shuts down gracefully transfers its shards, so that no call waits for a lease to expire.
+func TestGracefulStopHandsShardsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCoordinationCluster(t)
 		defer c.stopAll()
 		advance(10 * time.Second)
-		stopped := leaseholderOfL(c)
+		stopped := leaseholderOfLockL(c)
 		others := slices.DeleteFunc(slices.Clone(c.seeds), func(addr string) bool { return addr == stopped })
 		_, fence := c.call(stopped, "POST", "/locks/l", `{"owner":"a","holdMs":20000}`)
 		node := c.nodes[stopped]
-		node.linger = time.Second
+		node.gracePeriod = time.Second
 		node.stop()
 		advance(50 * time.Millisecond)
 		for _, addr := range others {
@@ -145,13 +144,13 @@
 	})
 }
 
-// An operator sees each shard's leaseholder, and moves one by hand where that is safe.
+// An operator can read each shard's leaseholder, and transfer a shard to another voter if that voter answers.
 func TestOperatorMovesShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCoordinationCluster(t)
 		defer c.stopAll()
 		advance(3 * time.Second)
-		from := leaseholderOfL(c)
+		from := leaseholderOfLockL(c)
 		number := c.nodes[from].shards.ShardOf("l")
 		others := slices.DeleteFunc(slices.Clone(c.seeds), func(addr string) bool { return addr == from })
 		move := func(at, to string) (int, string) {
@@ -171,13 +170,13 @@
 		}
 		c.partition(others[0], false)
 		advance(3 * time.Second)
-		from = leaseholderOfL(c)
+		from = leaseholderOfLockL(c)
 		to := others[1]
 		if status, body := move(from, to); from != to && status != 200 {
 			t.Errorf("move to %s: got %d %s", to, status, body)
 		}
 		advance(100 * time.Millisecond)
-		if got := leaseholderOfL(c); got != to {
+		if got := leaseholderOfLockL(c); got != to {
 			t.Errorf("the lease is held by %s, want %s", got, to)
 		}
 		status, body := c.call(to, "GET", "/shards", "")
--- a/internal/control/counters.go
+++ b/internal/control/counters.go
@@ -9,23 +9,23 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// counterService keeps the quota counters that this node owns. It answers only in the term of the majority lease
-// in which its ownership was last evaluated: in another term, other nodes may have owned the counters meanwhile.
+// counterService keeps the quota counters that this node owns. It answers only in the term of the majority lease in
+// which its ownership was last evaluated, because other nodes may have owned the counters between two terms.
 type counterService struct {
-	addr   func() string // own internal address
+	addr   func() string // returns this node's internal address
 	lease  *majority.Lease
 	uptime func() float64
 
 	mu    sync.Mutex // guards the fields below
 	table *quota.CounterTable
-	term  uint64 // of the lease, in which the ownership was last evaluated
+	term  uint64 // term of the lease in which the ownership was last evaluated
 }
 
 func newCounterService(addr func() string, lease *majority.Lease, uptime func() float64) *counterService {
 	return &counterService{addr: addr, lease: lease, uptime: uptime, table: quota.NewCounterTable()}
 }
 
-// handle answers a call that adds to a counter; nil: the frame is another one.
+// handle answers a call that adds to a counter. It returns nil for any other frame.
 func (c *counterService) handle(request *transport.Frame) *transport.Frame {
 	add := request.CounterAdd
 	if add == nil {
@@ -40,8 +40,9 @@
 	return &transport.Frame{CounterTotal: &total}
 }
 
-// update evaluates the ownership anew: the counters are divided among the reachable voters, given by their
-// internal addresses. A new term begins with a new handover fence.
+// update evaluates the ownership of the counters again. They are divided among the reachable voters, which are given by
+// their internal addresses. In a new term, the counters of this node wait for a new handover fence, because other nodes
+// may have owned them meanwhile.
 func (c *counterService) update(reachable []string, term uint64, held bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +53,7 @@
 	c.table.SetMembers(c.uptime(), reachable, c.addr(), held || mutants.On("control/keeps-counters-alone"))
 }
 
-// count is the number of counters kept.
+// count returns the number of counters that this node keeps.
 func (c *counterService) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/control/electorate_test.go
+++ b/internal/control/electorate_test.go
@@ -24,7 +24,7 @@
 	fifthAddr  = "10.0.0.5:81"
 )
 
-// newClusterWithLearner is three voters and a learner, with a configuration.
+// newClusterWithLearner returns a cluster of three voters and a learner that has a configuration.
 func newClusterWithLearner(t *testing.T) *testCluster {
 	c := newCluster(t, 3)
 	c.start(fourthAddr, vfs.NewCrashableMem(), false)
@@ -34,7 +34,7 @@
 	return c
 }
 
-// remove has a node lose power and not come back by itself. It returns its disk.
+// remove makes a node lose power, and removes it from the cluster. It returns the node's disk.
 func (c *testCluster) remove(addr string) *vfs.MemFS {
 	disk := c.crash(addr)
 	c.mu.Lock()
@@ -43,7 +43,7 @@
 	return disk
 }
 
-// shutDown ends a process as SIGTERM does. It returns its disk.
+// shutDown shuts a node down as SIGTERM does, and removes it from the cluster. It returns the node's disk.
 func (c *testCluster) shutDown(addr string) *vfs.MemFS {
 	m := c.nodes[addr]
 	m.stop()
@@ -54,7 +54,7 @@
 	return m.fs
 }
 
-// voters is the electorate as all nodes know it: they must agree.
+// voters returns the sorted addresses of the electorate, and checks that all nodes agree on it.
 func (c *testCluster) voters() []string {
 	c.Helper()
 	var all []consensus.Electorate
@@ -66,7 +66,7 @@
 	return slices.Sorted(slices.Values(all[0].Addresses()))
 }
 
-// awaitVoters waits until the electorate is as wanted, and all its nodes vote.
+// awaitVoters waits until the electorate consists of the wanted nodes, and those that run vote.
 func (c *testCluster) awaitVoters(limit time.Duration, want ...string) {
 	c.Helper()
 	slices.Sort(want)
@@ -89,7 +89,7 @@
 	c.t.Fatal("the voters do not vote")
 }
 
-// A voter is lost and the learner replaces it; then the next one is lost, and changes go on.
+// A lost voter is replaced by the learner. Then a second voter is lost, and changes are still accepted.
 func TestLostVoterIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterWithLearner(t)
@@ -98,14 +98,14 @@
 		disk := c.remove(x)
 		c.Equal(c.patch(y, patchBody([]string{serviceJSON("s", 2)}, nil)), 200)
 		advance(3 * time.Second)
-		c.Equal(c.voters(), []string{x, y, z}) // an absence so short does not count
+		c.Equal(c.voters(), []string{x, y, z}) // the absence is too short for a replacement
 		c.awaitVoters(8*time.Second, y, z, fourthAddr)
 		c.Equal(c.patch(z, patchBody([]string{serviceJSON("s", 3)}, nil)), 200)
 		second := c.remove(y)
 		c.Equal(c.patch(z, patchBody([]string{serviceJSON("s", 4)}, nil)), 200)
 		c.Equal(c.patch(fourthAddr, patchBody([]string{serviceJSON("s", 5)}, nil)), 200)
 
-		// The first returns with its disk: it is a learner now. It replaces the second, which does not return.
+		// The first lost node returns with its disk, and is a learner now. It replaces the second lost node.
 		c.start(x, disk, false)
 		advance(2 * time.Second)
 		c.True(!c.nodes[x].replica.IsVoter())
@@ -113,7 +113,7 @@
 		c.awaitVoters(20*time.Second, x, z, fourthAddr)
 		c.True(strings.Contains(c.readAll(), "00000006"))
 
-		// A new node comes with an empty disk, and the second returns: each is a learner.
+		// A new node starts with an empty disk, and the second lost node returns. Both are learners.
 		c.start(fifthAddr, vfs.NewCrashableMem(), false)
 		c.start(y, second, false)
 		advance(4 * time.Second)
@@ -128,7 +128,7 @@
 	})
 }
 
-// A voter that is absent shortly is not replaced, nor one that is so again and again.
+// A voter is not replaced after a short absence, nor after repeated short absences.
 func TestShortAbsenceReplacesNoVoter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterWithLearner(t)
@@ -149,7 +149,7 @@
 	})
 }
 
-// A voter that shuts down hands its vote over if there is a learner; the next voter may be lost right after.
+// A voter that shuts down is replaced by a learner if there is one, so that another voter may be lost right afterwards.
 func TestVoterHandsOverAtShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterWithLearner(t)
@@ -167,7 +167,7 @@
 		c.Equal(c.patch(x, patchBody([]string{serviceJSON("s", 4)}, nil)), 200)
 		c.True(strings.Contains(c.readAll(), "00000004"))
 
-		// All in turn; in the end there is no learner left to take over.
+		// All nodes shut down in turn. Then the learner is lost, and the next voter that shuts down is not replaced.
 		for round := range 4 {
 			a := slices.Sorted(maps.Keys(c.nodes))[round]
 			disk := c.shutDown(a)
@@ -196,8 +196,9 @@
 	})
 }
 
-// A second loss at any moment around a recovery or a replacement, of power or of one more disk within the
-// tolerance, or of all at once: what was acknowledged survives, and changes go on.
+// A second loss occurs at a random moment during a recovery or a replacement: one more node loses power, or all nodes
+// do, and one more disk is lost if the tolerance allows it. Acknowledged changes survive, and further changes are
+// accepted.
 func TestSecondLossDuringReplacement(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(secondLossSeeds) {
@@ -214,16 +215,16 @@
 			disks := map[string]*vfs.MemFS{}
 			wiped := false
 			switch seed % 4 {
-			case 0: // it is lost with its disk
+			case 0: // a node is lost with its disk
 				c.remove(x)
 				wiped = true
-			case 1: // its disk is lost, and it restarts at once
+			case 1: // a node loses its disk and restarts at once
 				c.remove(x)
 				c.start(x, vfs.NewCrashableMem(), false)
 				wiped = true
-			case 2: // it shuts down
+			case 2: // a node shuts down
 				disks[x] = c.shutDown(x)
-			case 3: // an operator replaces it
+			case 3: // an operator replaces a node
 				base, _ := c.nodes[y].replica.Base()
 				go c.nodes[y].electorate.Replace(context.Background(), base, x, fourthAddr)
 			}
@@ -237,11 +238,11 @@
 				change(z)
 				time.Sleep(time.Duration(random.IntN(3000)) * time.Millisecond)
 				change(fourthAddr)
-			case 1: // all do
+			case 1: // all nodes lose power
 				for a := range maps.Clone(c.nodes) {
 					disks[a] = c.remove(a)
 				}
-			case 2: // all do, and one disk is lost if none was before
+			case 2: // all nodes lose power, and one disk is lost if none was before
 				for a := range maps.Clone(c.nodes) {
 					disks[a] = c.remove(a)
 				}
@@ -279,7 +280,7 @@
 	}
 }
 
-// An operator reads the members and replaces one; a replacement that is not possible is rejected with the reason.
+// An operator can read the members and replace a voter. A replacement that is not possible is rejected with the reason.
 func TestMembersEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterWithLearner(t)
@@ -314,7 +315,7 @@
 		}
 		status, _ := replace(z, "", "")
 		c.Equal(status, 400)
-		status, text := replace(fourthAddr, x, fourthAddr) // at any node
+		status, text := replace(fourthAddr, x, fourthAddr) // any node accepts the call, a learner too
 		c.Equal(text, "{}")
 		c.Equal(status, 200)
 		c.awaitVoters(2*time.Second, y, z, fourthAddr)
@@ -332,7 +333,8 @@
 	})
 }
 
-// Times and bytes of replacing a voter and of enrolling an empty disk, at 2 Mbit/s with a configuration of about 1 MB.
+// Measures the time and the bytes that it takes to replace a voter and to enroll an empty disk, over links of 2 Mbit/s
+// with a configuration of about 1 MB.
 func TestReplacementTimes(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []string{"replace", "hand over", "silent", "new disk"} {
@@ -371,7 +373,7 @@
 				took = append(took, time.Since(began))
 				n, longest := c.meter.reset()
 				bytes = append(bytes, n)
-				c.True(longest <= frameBound)
+				c.True(longest <= maxTransferFrame)
 				c.stopAll()
 				advance(time.Second)
 			})
@@ -383,8 +385,8 @@
 	}
 }
 
-// A node that shuts down while its change of the electorate waits for the others' disks leaves no goroutine of
-// it running.
+// A node that shuts down while its change of the electorate waits for other nodes' disks leaves no goroutine of that
+// change running.
 func TestShutdownDuringElectorateChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterWithLearner(t)
@@ -402,8 +404,8 @@
 	})
 }
 
-// If two losses are to be tolerated, three voters become five as soon as there are two learners, and two may be
-// lost at once.
+// If two losses are to be tolerated, an electorate of three voters is enlarged to five as soon as there are two
+// learners. Then two voters may be lost at once.
 func TestElectorateIsEnlarged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
--- a/internal/control/internal_server.go
+++ b/internal/control/internal_server.go
@@ -14,7 +14,9 @@
 	"mulleinrouter/internal/control/ingresslease"
 )
 
-const acceptRetryInterval = 20 * time.Millisecond // after a failed accept: the process may be out of descriptors
+// acceptRetryInterval is the pause after a failed accept. It prevents a busy loop when the process is out of file
+// descriptors.
+const acceptRetryInterval = 20 * time.Millisecond
 
 // serveInternal serves the connections of agents and control nodes until the listener is closed.
 func (n *Node) serveInternal(ctx context.Context, l net.Listener, wg *sync.WaitGroup) {
@@ -51,7 +53,7 @@
 	switch hello.Class {
 	case replication.ClassControl:
 		conn.SetMaxFrame(transport.MaxControlFrame)
-		n.meetPeer(ctx, wg, hello)
+		n.subscribeBack(ctx, wg, hello)
 		handle := func(request *transport.Frame) *transport.Frame { return n.handlePeer(request, hello.ControlAddr) }
 		_ = n.source.Serve(conn, hello, handle)
 	case replication.ClassAgent, replication.ClassProxy:
@@ -59,9 +61,9 @@
 	}
 }
 
-// meetPeer subscribes to a control node that has subscribed here. A learner receives calls of servers too, so
-// its updates are wanted.
-func (n *Node) meetPeer(ctx context.Context, wg *sync.WaitGroup, hello *transport.Hello) {
+// subscribeBack subscribes to a control node that has subscribed to this one. It does so for learners too, because they
+// receive calls of servers and so have updates for this node.
+func (n *Node) subscribeBack(ctx context.Context, wg *sync.WaitGroup, hello *transport.Hello) {
 	n.peers.Subscribe(ctx, wg, []string{hello.ControlAddr})
 	p := n.peers.Find(hello.ControlAddr)
 	if p == nil {
@@ -70,11 +72,11 @@
 	if len(hello.Zone) <= ingresslease.MaxNameLength {
 		p.SetZone(hello.Zone)
 	}
-	p.RetryNow() // it runs again, and a dial that began before may only time out
+	p.RetryNow() // the peer is running now; a dial that began before it was might run into its time-out
 }
 
-// handlePeer answers a call of another control node; nil: no answer. An empty frame answers that there is
-// nothing to say.
+// handlePeer handles a call of another control node. It returns the answer, or nil if the call gets none. An empty
+// frame is an answer without a result.
 func (n *Node) handlePeer(request *transport.Frame, from string) *transport.Frame {
 	answer := &transport.Frame{}
 	switch {
@@ -88,7 +90,7 @@
 	case request.Ping != nil:
 		return answer
 	case request.Call == 0:
-		return nil // the calls below may all wait, and are never sent without a number
+		return nil // all calls below may block, and are only valid with a call number
 	case request.Prepare != nil:
 		if promise := n.replica.Prepare(request.Prepare); promise != nil {
 			answer.Promise = &transport.Promise{Promise: *promise}
--- a/internal/control/machines_mutants_test.go
+++ b/internal/control/machines_mutants_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Each seeded fault in what is concluded from pauses, resets and kills is found by them.
+// Each seeded fault in the handling of pauses, connection resets and kills is detected by the scenario that causes
+// them.
 func TestMachineMutants(t *testing.T) {
 	quota := func(t *testing.T) []string {
 		return observeOver(t, 9, &partitionableLinks{pauses: new(processPauses)}, func(g *observedCluster) {
--- a/internal/control/machines_test.go
+++ b/internal/control/machines_test.go
@@ -19,19 +19,18 @@
 	"mulleinrouter/internal/cluster/transport"
 )
 
-// Times of a processor share that is a quota: the process is paused for most of each period.
 const (
-	quotaPeriod = 100 * time.Millisecond
-	quotaPause  = 80 * time.Millisecond
-	// ackBound is for how long an operator waits for an acknowledgement.
+	quotaPeriod = 100 * time.Millisecond // period of a processor quota
+	quotaPause  = 80 * time.Millisecond  // part of each period during which the quota pauses a process
+	// ackBound is how long an operator waits for an acknowledgement.
 	ackBound = time.Second
-	// counterBound is for how long an agent waits for a counter's owner (package agent, counterTimeout), and as much
-	// more as a counter's answer may come late without harm: the second owner that is asked.
+	// counterBound is twice the time that an agent waits for a counter's owner (package agent, counterTimeout). An
+	// answer that is late by up to one more such time does no harm, because the agent asks a second owner meanwhile.
 	counterBound = 320 * time.Millisecond
 )
 
-// startAgent starts an agent with its subscriptions to all nodes. It runs until its entry of stopAgents is called or
-// the context ends.
+// startAgent starts agent i with its subscriptions to all nodes. The agent runs until stopAgents[i] is called or the
+// context ends.
 func (g *observedCluster) startAgent(ctx context.Context, running *sync.WaitGroup, i int) {
 	ctx, g.stopAgents[i] = context.WithCancel(ctx)
 	g.agentsStarted++
@@ -61,8 +60,9 @@
 	}
 }
 
-// live lets time pass, with a heartbeat of every server as often as servers call, and checks.
-func (g *observedCluster) live(d time.Duration) {
+// runInSmallSteps advances time by d in steps of at most 50 ms. It sends a heartbeat of every server each 1.5 s, and
+// checks the invariants at each step.
+func (g *observedCluster) runInSmallSteps(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		if !time.Now().Before(g.heartbeatsDue) {
 			g.heartbeatsDue = time.Now().Add(1500 * time.Millisecond)
@@ -73,7 +73,7 @@
 	}
 }
 
-// terms returns the term of each node's majority lease, and 0 where it is not held.
+// terms returns the terms of the majority leases that are held now, by node.
 func (g *observedCluster) terms() map[string]uint64 {
 	terms := map[string]uint64{}
 	for _, a := range g.seeds {
@@ -84,7 +84,7 @@
 	return terms
 }
 
-// checkChange checks that a change is acknowledged within the time that an operator waits.
+// checkChange checks that a node acknowledges a change within ackBound.
 func (g *observedCluster) checkChange(addr string, version int) {
 	began := time.Now()
 	status := g.patch(addr, patchBody([]string{serviceJSON("s", version)}, nil))
@@ -93,8 +93,8 @@
 	}
 }
 
-// checkReads asks every node for the configuration, and returns how many answer. None may show an older version of the
-// service than was acknowledged.
+// checkReads reads the configuration from every node, and returns how many nodes answer. It checks that no answer
+// contains an older version of the service than the acknowledged one.
 func (g *observedCluster) checkReads(acknowledged int) (answered int) {
 	for _, a := range g.seeds {
 		status, text := g.call(a, "GET", "/config", "")
@@ -113,8 +113,8 @@
 	return answered
 }
 
-// pauseProcesses pauses processes for quotaPause in each quotaPeriod from now on; "" stands for the agents. An
-// offset says where in its period a process is.
+// pauseProcesses pauses processes for quotaPause in each quotaPeriod from now on. The name "" means the agents. offset
+// returns the position of a process in its period at the start.
 func (g *observedCluster) pauseProcesses(processes []string, offset func(process string) time.Duration) {
 	began := time.Now()
 	g.links.pauses.set(func(process string) time.Duration {
@@ -125,9 +125,9 @@
 	})
 }
 
-// underQuota pauses processes for 80 ms of each 100, for twelve seconds. Nothing is concluded from it: no
-// lease lapses, no connection ends, no server is silent, changes are acknowledged in time, and counters keep their
-// owners.
+// underQuota pauses processes for 80 ms in each 100 ms, for twelve seconds. No node may take the pauses for a failure:
+// no lease expires, no connection ends, no server becomes silent, changes are acknowledged in time, and counters keep
+// their owners.
 func underQuota(g *observedCluster, processes []string, offset func(string) time.Duration) {
 	before, lost := g.terms(), g.agentsLost.Load()
 	version := 1000
@@ -136,7 +136,7 @@
 	for end := time.Now().Add(12 * time.Second); time.Now().Before(end); {
 		version++
 		g.checkChange(g.seeds[version%3], version)
-		g.live(400 * time.Millisecond)
+		g.runInSmallSteps(400 * time.Millisecond)
 		for n := range g.seeds {
 			began := time.Now()
 			_, err := g.agents[0][n].Call(time.Second, counterAdd("t0", 60))
@@ -163,7 +163,7 @@
 	if ended := g.agentsLost.Load() - lost; ended > 0 {
 		g.fail("%d connections of agents ended", ended)
 	}
-	g.live(time.Second)
+	g.runInSmallSteps(time.Second)
 	g.checkRecovered()
 }
 
@@ -195,7 +195,7 @@
 	}
 }
 
-// lastDigit is the number of a node, by its address; 0: of the agents.
+// lastDigit returns the number of a node, which is the last digit of its host address, or 0 for the agents.
 func lastDigit(process string) byte {
 	if process == "" {
 		return 0
@@ -203,11 +203,12 @@
 	return process[len("10.0.0.")] - '0'
 }
 
-// resetSpan is for how long connections are reset: longer than a server may be without a heartbeat.
+// resetSpan is how long connections are reset. It exceeds the time after which a server without heartbeats becomes
+// silent.
 const resetSpan = 7 * time.Second
 
-// resetBursts resets the connections of some control nodes, to each other, to the others and to all agents, again and
-// again for resetSpan. The leases outlive it, and nothing that is acknowledged is lost.
+// resetBursts resets all connections of some control nodes, including those to agents, repeatedly for resetSpan. It
+// checks that no acknowledged change is lost.
 func resetBursts(g *observedCluster, nodes []string, gap time.Duration) {
 	version := 2000
 	acknowledged := 0
@@ -215,7 +216,7 @@
 		for _, a := range nodes {
 			g.resetConnections(a)
 		}
-		g.live(gap)
+		g.runInSmallSteps(gap)
 		for _, a := range g.seeds {
 			version++
 			if g.patch(a, patchBody([]string{serviceJSON("s", version)}, nil)) == 200 {
@@ -229,7 +230,7 @@
 	if acknowledged == 0 {
 		g.fail("no change was acknowledged between two resets")
 	}
-	g.live(contactBound)
+	g.runInSmallSteps(contactBound)
 	g.checkRecovered()
 }
 
@@ -264,8 +265,9 @@
 	}
 }
 
-// killTogether kills processes at one moment: control nodes, whose machines lose power too, and agents. What was
-// acknowledged just before is there when they are back, and meanwhile a minority acknowledges nothing.
+// killTogether kills control nodes, whose machines lose power too, and agents at the same moment, in three rounds. A
+// change that was acknowledged just before must still be there when the processes have restarted. Meanwhile, nodes that
+// are a minority must not acknowledge anything.
 func killTogether(g *observedCluster, nodes []string, agents []int) {
 	for round := range 3 {
 		version := 3000 + 10*round
@@ -295,11 +297,11 @@
 		for _, i := range agents {
 			g.restartAgent(i)
 		}
-		g.live(contactBound)
+		g.runInSmallSteps(contactBound)
 		if answered := g.checkReads(version); answered != 3 {
 			g.fail("round %d: %d nodes answer a read", round, answered)
 		}
-		g.live(4 * time.Second)
+		g.runInSmallSteps(4 * time.Second)
 		g.checkRecovered()
 	}
 }
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -55,7 +55,8 @@
 	})
 	r.Gauge("peers_connected", "Control nodes that are connected.",
 		func() float64 { return float64(n.peers.Connected()) })
-	r.Gauge("peer_answer_age_seconds", "Longest time since a voter answered; -1: one never did.", n.oldestAnswer)
+	r.Gauge("peer_answer_age_seconds", "Longest time since a voter answered; -1: one never did.",
+		n.oldestVoterAnswerAge)
 }
 
 func (n *Node) registerConfigurationMetrics(r *metrics.Registry) {
@@ -84,7 +85,7 @@
 	r.GaugeFamily("connections", "Connections by kind.", "kind", n.connectionSamples)
 }
 
-// connectionSamples counts the connections by kind.
+// connectionSamples returns the numbers of connections by kind, and their limit.
 func (n *Node) connectionSamples() []metrics.Sample {
 	s := n.connections.Stats()
 	return []metrics.Sample{
--- a/internal/control/metrics_test.go
+++ b/internal/control/metrics_test.go
@@ -9,7 +9,7 @@
 	"mulleinrouter/internal/cluster/metrics"
 )
 
-// The figures of a control node in contact, and of one that has lost its voters.
+// Checks the metrics of a control node that is in contact with a majority, and after it has lost contact.
 func TestMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
@@ -27,7 +27,7 @@
 			c.NoErr(r.Write(&b))
 			return b.String()
 		}
-		calm := text()
+		withContact := text()
 		for _, line := range []string{
 			"mulleinrouter_control_contact 1",
 			"mulleinrouter_control_voter 1",
@@ -40,20 +40,20 @@
 			`mulleinrouter_control_instances{phase="serving"} 1`,
 			"mulleinrouter_control_disk_stalled 0",
 		} {
-			if !strings.Contains(calm, line+"\n") {
-				t.Errorf("%q is missing in\n%s", line, calm)
+			if !strings.Contains(withContact, line+"\n") {
+				t.Errorf("%q is missing in\n%s", line, withContact)
 			}
 		}
 		c.remove(c.seeds[1])
 		c.remove(c.seeds[2])
 		advance(3 * time.Second)
 		c.Equal(c.patch(c.seeds[0], patchBody([]string{serviceJSON("s", 2)}, nil)), 503)
-		alone := text()
-		c.True(strings.Contains(alone, "mulleinrouter_control_contact 0\n"))
-		c.True(strings.Contains(alone, "mulleinrouter_control_ready 0\n"))
-		c.True(strings.Contains(alone, `mulleinrouter_control_operator_calls_total{status="5xx"} 1`))
-		c.Equal(strings.Count(alone, "\nmulleinrouter_"), strings.Count(calm, "\nmulleinrouter_"))
-		t.Log("series:", strings.Count(calm, "\nmulleinrouter_"))
+		withoutContact := text()
+		c.True(strings.Contains(withoutContact, "mulleinrouter_control_contact 0\n"))
+		c.True(strings.Contains(withoutContact, "mulleinrouter_control_ready 0\n"))
+		c.True(strings.Contains(withoutContact, `mulleinrouter_control_operator_calls_total{status="5xx"} 1`))
+		c.Equal(strings.Count(withoutContact, "\nmulleinrouter_"), strings.Count(withContact, "\nmulleinrouter_"))
+		t.Log("series:", strings.Count(withContact, "\nmulleinrouter_"))
 		c.stopAll()
 	})
 }
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -35,50 +35,52 @@
 	"mulleinrouter/internal/control/storage"
 )
 
-// shutdownLinger is the time from the end of the HTTP calls to that of all else: agents find other nodes meanwhile.
-const shutdownLinger = time.Second
+// shutdownGracePeriod is how long a node goes on serving agents and other control nodes after a shutdown has begun.
+// HTTP calls end within this time, and agents find other control nodes meanwhile.
+const shutdownGracePeriod = time.Second
 
-// bindPolicy covers the 3 s for which the process before may still hold an address.
+// bindPolicy retries for 3 s, because a previous process that is still shutting down may hold the address.
 var bindPolicy = retry.Policy{Attempts: 31, Interval: 100 * time.Millisecond}
 
 // program is the name of this program in logs, metrics and settings.
 const program = "control"
 
-// Config is what a node is made of.
+// Config contains the settings and dependencies of a node.
 type Config struct {
 	Settings *settings.Settings
-	Metrics  metrics.Endpoint // where metrics are served; zero: nowhere
+	Metrics  metrics.Endpoint // where metrics are served; nowhere if zero
 	Log      log.Logger
-	FS       vfs.FS       // nil: the machine's own
-	Control  net.Listener // for HTTP calls; nil: bound to the settings' address
-	Internal net.Listener // for agents and control nodes; nil: bound to the settings' address
+	FS       vfs.FS       // the machine's file system if nil
+	Control  net.Listener // for HTTP calls; bound to the settings' address if nil
+	Internal net.Listener // for agents and control nodes; bound to the settings' address if nil
 
-	// Incarnation is a number that no other process has had; 0: drawn.
+	// Incarnation identifies this process; no other process may have had the same number. A random one is drawn if 0.
 	Incarnation uint64
-	// InternalAddrOf returns the internal address that belongs to a control address; nil: as the settings say.
+	// InternalAddrOf returns the internal address of the node with a control address. The settings' rule applies if
+	// nil.
 	InternalAddrOf func(control string) string
-	// Dial connects to an internal address; nil: TCP.
+	// Dial connects to an internal address. It uses TCP if nil.
 	Dial func(ctx context.Context, internal string) (net.Conn, error)
 }
 
-// Node is a control node. Nodes are named by their control addresses. It wires its parts together and owns their
-// life cycle.
+// Node is a control node. It connects its components and owns their life cycle. Nodes are identified by their control
+// addresses.
 type Node struct {
 	settings    *settings.Settings
 	config      Config
-	self        string // own control address
+	self        string // control address of this node
 	incarnation uint64
-	name        string // of this process, and of no other: its ballots bear it
+	name        string // unique name of this process, which its ballots contain
 	log         log.Logger
 	started     time.Time
 	ended       chan struct{} // closed at the end of Run
-	linger      time.Duration // shutdownLinger; tests set it before Run
+	gracePeriod time.Duration // shutdownGracePeriod, unless a test sets another before Run
 	leaseClock  func() time.Duration
 
 	store       *replication.Store
 	clock       *replication.Clock
 	source      *replication.Source
-	disk        atomic.Pointer[storage.Store] // nil: it has not been read yet
+	disk        atomic.Pointer[storage.Store] // nil until it has been read
 	connections *connlimit.Gate
 	majority    *majority.Lease
 	replica     *replica.Replica
@@ -90,18 +92,19 @@
 	departures  *instances.Departures
 	ingresses   ingresslease.Table
 	counters    *counterService
-	shards      *shards.Service // nil: applications do not coordinate through this system
+	shards      *shards.Service // nil if coordinationClause is not in force
 	api         *httpapi.Server
 
-	wakeWatch     chan struct{} // something happened that must not wait for the next tick
-	lastInContact atomic.Bool   // the majority lease was held when watch looked last
-	// confirmedTerm is the term of the majority lease in which the snapshot here was confirmed as the newest; 0: none.
+	wakeWatch     chan struct{} // makes watch start its next round at once
+	lastInContact atomic.Bool   // whether the majority lease was held in the last round of watch
+	// confirmedTerm is the term of the majority lease in which the local snapshot was confirmed as the newest; 0 if
+	// none.
 	confirmedTerm atomic.Uint64
-	lagging       atomic.Bool // another node has had a newer snapshot for a while
-	warm          atomic.Bool // the servers are known: the disk or another ready node had them
+	lagging       atomic.Bool // another node has had a newer snapshot for more than catchup.MaxLag
+	warm          atomic.Bool // the servers were read from disk or received from another ready node
 }
 
-// New makes a node. It does nothing until Run.
+// New makes a node. The node does nothing until Run is called.
 func New(c Config) (*Node, error) {
 	if err := c.Settings.Require(program); err != nil {
 		return nil, err
@@ -121,7 +124,7 @@
 		log:         log.With(c.Log, "part", program),
 		started:     time.Now(),
 		ended:       make(chan struct{}),
-		linger:      shutdownLinger,
+		gracePeriod: shutdownGracePeriod,
 		store:       replication.NewStore(c.Incarnation),
 		connections: connlimit.NewGate(c.Settings.Limits.MaxFDs),
 		wakeWatch:   make(chan struct{}, 1),
@@ -137,7 +140,7 @@
 	return n, nil
 }
 
-// uptime is the seconds since the node was made, by a monotonic clock.
+// uptime returns the seconds since the node was made, by a monotonic clock.
 func (n *Node) uptime() float64 { return time.Since(n.started).Seconds() }
 
 func incarnationName(incarnation uint64) string { return strconv.FormatUint(incarnation, 16) }
@@ -149,7 +152,8 @@
 	if err != nil {
 		return err
 	}
-	// What serves other nodes outlives the HTTP calls by n.linger: agents find other control nodes meanwhile.
+	// The work for agents and other control nodes goes on for n.gracePeriod after the shutdown has begun, so that
+	// agents find other control nodes meanwhile.
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -160,18 +164,18 @@
 	server := n.api.HTTPServer()
 	wg.Go(func() {
 		if err := server.Serve(n.connections.Listen(control)); !errors.Is(err, http.ErrServerClosed) {
-			failed <- errors.Wrap(err, "control calls")
+			failed <- errors.Wrap(err, "serve HTTP calls")
 		}
 	})
 	level.Info(n.log).Log("msg", "started", "node", n.settings.Node, "control", n.self, "incarnation", n.incarnation)
 	for _, clause := range n.settings.UnsupportedClauses() {
 		level.Warn(n.log).Log("msg", "clause not supported", "clause", clause)
 	}
-	linger := n.linger
+	gracePeriod := n.gracePeriod
 	handedOver := make(chan struct{})
 	select {
 	case err = <-failed:
-		linger = 0
+		gracePeriod = 0
 		close(handedOver)
 	case <-ctx.Done():
 		level.Info(n.log).Log("msg", "shutting down")
@@ -182,10 +186,10 @@
 		}()
 		server.SetKeepAlivesEnabled(false)
 	}
-	n.drain(server, linger, handedOver)
+	n.drain(server, gracePeriod, handedOver)
 	stop()
 	internal.Close()
-	retry.AwaitClosed(opened, linger)
+	retry.AwaitClosed(opened, gracePeriod)
 	if disk := n.disk.Load(); disk != nil {
 		err = errors.CombineErrors(err, disk.Close())
 	}
@@ -193,7 +197,7 @@
 	return err
 }
 
-// startWork starts what runs from the start of the node until work ends.
+// startWork starts the goroutines that run from the start of the node until the context work ends.
 func (n *Node) startWork(work context.Context, wg *sync.WaitGroup, internal net.Listener) {
 	n.peers.Subscribe(work, wg, n.settings.Seeds)
 	wg.Go(func() { n.proposals.Run(work) })
@@ -206,7 +210,8 @@
 	}
 }
 
-// openDisk reads the disk in the background: it may hang, and nothing waits for it. The channel is closed at its end.
+// openDisk reads the disk in the background, because the disk may hang and the node must serve without it meanwhile.
+// The channel is closed when the disk has been read or has failed.
 func (n *Node) openDisk(work context.Context, wg *sync.WaitGroup, failed chan<- error) <-chan struct{} {
 	opened := make(chan struct{})
 	go func() {
@@ -218,9 +223,10 @@
 	return opened
 }
 
-// drain ends the HTTP calls within linger, and waits for the handover of the vote.
-func (n *Node) drain(server *http.Server, linger time.Duration, handedOver <-chan struct{}) {
-	ctx, cancel := context.WithTimeout(context.Background(), linger)
+// drain ends the HTTP calls within gracePeriod, waits for the rest of that time, and then for the handover of the
+// shards and the vote.
+func (n *Node) drain(server *http.Server, gracePeriod time.Duration, handedOver <-chan struct{}) {
+	ctx, cancel := context.WithTimeout(context.Background(), gracePeriod)
 	defer cancel()
 	if server.Shutdown(ctx) != nil {
 		server.Close()
@@ -244,17 +250,17 @@
 	return control, internal, nil
 }
 
-// listen listens on an address, which the process before may hold for a moment longer.
+// listen listens on an address. It retries while a previous process still holds the address (bindPolicy).
 func listen(addr string) (net.Listener, error) {
 	listener, err := retry.Listen(context.Background(), addr, bindPolicy)
 	return listener, errors.Wrapf(err, "listen on %s", addr)
 }
 
-// open reads the disk, and has this node join the others.
+// open reads the disk, starts the components that depend on it, and joins this node to the others.
 func (n *Node) open(ctx context.Context, wg *sync.WaitGroup) error {
 	disk, state, err := storage.Open(n.config.FS, n.settings.DataPath, n.log)
 	if err != nil {
-		return errors.Wrap(err, "the disk")
+		return errors.Wrap(err, "open storage")
 	}
 	if ctx.Err() != nil {
 		return disk.Close()
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -26,7 +26,8 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// testCluster is a few control nodes in simulated time, over pipes, on disks in memory.
+// testCluster is a cluster of control nodes that are connected by pipes, use disks in memory, and run in simulated
+// time.
 type testCluster struct {
 	*is.I
 	t            *testing.T
@@ -35,15 +36,15 @@
 	incarnations uint64
 
 	mu          sync.Mutex
-	partitioned map[string]bool // from all others
+	partitioned map[string]bool // nodes that are separated from all others
 
-	meter *linkMeter          // of all links; nil: they are as fast as can be and not measured
-	links *partitionableLinks // partitions without an error at either end; nil: there are none
+	meter *linkMeter          // measures all links and limits their rate; nil if they are neither measured nor limited
+	links *partitionableLinks // partitions the links without an error at either end; nil if none is to be partitioned
 
-	clauses map[string]bool // in force (settings.Settings.Clauses)
+	clauses map[string]bool // clauses in force (settings.Settings.Clauses)
 }
 
-// testNode is one of them with its disk.
+// testNode is a control node of a testCluster with its disk.
 type testNode struct {
 	*Node
 	addr         string
@@ -51,12 +52,12 @@
 	stallingDisk *stallingFS
 	internal     *pipeListener
 	control      *pipeListener
-	clockSkew    atomic.Int64 // nanoseconds by which the clock of its majority lease is ahead
+	clockSkew    atomic.Int64 // nanoseconds by which the clock of its majority lease is fast
 	stop         context.CancelFunc
 	ended        chan error
 }
 
-// pipeListener is a net.Listener for pipes.
+// pipeListener is a net.Listener that accepts connections over pipes.
 type pipeListener struct {
 	conns  chan net.Conn
 	once   sync.Once
@@ -85,11 +86,11 @@
 	return nil
 }
 
-// stallingFS is a disk whose syncs wait while it is stalled.
+// stallingFS is a file system whose syncs block while it is stalled.
 type stallingFS struct {
 	vfs.FS
 	mu     sync.Mutex
-	resume chan struct{} // closed when the stall ends; nil: it is not stalled
+	resume chan struct{} // closed when the stall ends; nil if not stalled
 }
 
 type stallingFile struct {
@@ -133,7 +134,7 @@
 	return c
 }
 
-// newCoordinationCluster is a cluster of three whose applications coordinate through it.
+// newCoordinationCluster returns a cluster of three nodes that serves coordination calls of applications.
 func newCoordinationCluster(t *testing.T) *testCluster { return newCoordinationClusterOver(t, nil) }
 
 func newCoordinationClusterOver(t *testing.T, links *partitionableLinks) *testCluster {
@@ -143,7 +144,7 @@
 	return c
 }
 
-// startFirst starts the seeds on empty disks.
+// startFirst starts size seeds on empty disks.
 func (c *testCluster) startFirst(size int) {
 	for i := range size {
 		c.seeds = append(c.seeds, fmt.Sprintf("10.0.0.%d:81", i+1))
@@ -185,7 +186,7 @@
 		Dial:     func(_ context.Context, inner string) (net.Conn, error) { return c.dial(addr, inner) },
 	})
 	c.NoErr(err)
-	n.linger = 0
+	n.gracePeriod = 0
 	n.leaseClock = func() time.Duration { return time.Since(n.started) + time.Duration(n.clockSkew.Load()) }
 	ctx, stop := context.WithCancel(context.Background())
 	n.stop = stop
@@ -227,7 +228,8 @@
 	return nil, net.ErrClosed
 }
 
-// partition separates a node from the others, or joins it again.
+// partition separates a node from the others if on is true, and connects it again otherwise. It closes the node's
+// connections.
 func (c *testCluster) partition(addr string, on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -241,7 +243,8 @@
 	n.internal.mu.Unlock()
 }
 
-// crash has a node lose power, and with it all that was not synced or was in flight. It returns its disk.
+// crash makes a node lose power. Messages in flight and about half of the unsynced data are lost. It returns the node's
+// disk.
 func (c *testCluster) crash(addr string) *vfs.MemFS {
 	n := c.nodes[addr]
 	c.partition(addr, true)
@@ -253,7 +256,7 @@
 	return disk
 }
 
-// crashAll has all nodes lose power. It returns their disks.
+// crashAll makes all seeds lose power. It returns their disks.
 func (c *testCluster) crashAll() map[string]*vfs.MemFS {
 	disks := map[string]*vfs.MemFS{}
 	for _, addr := range c.seeds {
@@ -262,7 +265,7 @@
 	return disks
 }
 
-// newDisk is an empty disk.
+// newDisk returns an empty disk.
 func newDisk() *vfs.MemFS { return vfs.NewCrashableMem() }
 
 func (c *testCluster) stopAll() {
@@ -282,7 +285,7 @@
 }
 
 func advance(d time.Duration) {
-	time.Sleep(d) // of simulated time
+	time.Sleep(d) // simulated time
 	synctest.Wait()
 }
 
@@ -307,7 +310,7 @@
 	return fmt.Sprintf(body, phase, seq)
 }
 
-// counterAdd is a call that adds to a quota counter; retention is in seconds.
+// counterAdd returns a call that adds to a quota counter; retention is in seconds.
 func counterAdd(name string, retention float64) *transport.Frame {
 	return &transport.Frame{CounterAdd: &transport.CounterAdd{
 		Name:      name,
@@ -323,7 +326,7 @@
 	return status
 }
 
-// readAll reads the configuration from each node, and returns it: they must agree.
+// readAll reads the configuration from each node, checks that all nodes agree, and returns it.
 func (c *testCluster) readAll() string {
 	c.Helper()
 	read := map[string]bool{}
@@ -345,14 +348,15 @@
 		advance(2 * time.Second)
 		first := patchBody([]string{serviceJSON("s", 1)}, []string{routeJSON("r0", "h0", "s", 1)})
 		c.Equal(c.patch(c.seeds[0], first), 200)
-		c.Equal(c.patch(c.seeds[1], first), 200) // again, at another node
+		c.Equal(c.patch(c.seeds[1], first), 200) // the same change again, at another node
 		for i, a := range c.seeds {
 			c.Equal(c.patch(a, patchBody(nil, []string{routeJSON(fmt.Sprint("n", i), fmt.Sprint("n", i), "s", 1)})),
 				200)
 		}
 		c.Equal(c.patch(c.seeds[2], patchBody(nil, []string{routeJSON("bad", "bad", "nobody", 1)})), 400)
 
-		// Changes that are valid alone and conflict with one another, at all nodes at once: one of each is applied.
+		// In each round, all nodes get changes at once that are valid each by itself and conflict with one another. One
+		// of them is applied.
 		for round := range 20 {
 			var mu sync.Mutex
 			var got sync.WaitGroup
@@ -378,7 +382,7 @@
 		text := c.readAll()
 		c.Equal(strings.Count(text, `"authority"`), 24)
 
-		// A node loses its disk, and recovers its vote.
+		// A node that has lost its disk becomes a voter again.
 		c.crash(c.seeds[1])
 		c.Equal(c.patch(c.seeds[0], patchBody([]string{serviceJSON("t", 2)}, nil)), 200)
 		c.start(c.seeds[1], vfs.NewCrashableMem(), false)
@@ -393,7 +397,7 @@
 		text = c.readAll()
 		c.Equal(strings.Count(text, "healthPath"), 3)
 
-		// All lose power; then a fourth node joins as a learner, which accepts changes as the others do.
+		// All nodes lose power. Then a fourth node joins as a learner, which accepts changes as the others do.
 		disks := map[string]*vfs.MemFS{}
 		for _, a := range c.seeds {
 			disks[a] = c.crash(a)
@@ -409,7 +413,7 @@
 		c.True(!votes)
 		c.Equal(c.patch(fourth.addr, patchBody([]string{serviceJSON("v", 4)}, nil)), 200)
 		c.Equal(strings.Count(c.readAll(), "healthPath"), 4)
-		// It accepts heartbeats as the others do, and all learn of them.
+		// The learner accepts heartbeats as well, and passes them on to the other nodes.
 		status, _ := c.call(fourth.addr, "PUT", "/instances/i-9", heartbeatJSON("serving", 1))
 		c.Equal(status, 200)
 		advance(time.Second)
@@ -421,8 +425,8 @@
 	})
 }
 
-// What was acknowledged survives the loss of the node that acknowledged it, even of its disk. A partitioned node
-// accepts and reveals nothing.
+// An acknowledged change survives the loss of the node that acknowledged it, even with its disk. A partitioned node
+// neither accepts changes nor answers reads.
 func TestAcknowledgedChangesSurviveLosses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
@@ -455,7 +459,7 @@
 		c.Equal(status, 503)
 		c.True(time.Since(began) < 2*time.Second)
 		c.Equal(c.patch(c.seeds[0], patchBody([]string{serviceJSON("s", 21)}, nil)), 200)
-		c.nodes[c.seeds[1]].stallingDisk.setStalled(true) // and now another disk
+		c.nodes[c.seeds[1]].stallingDisk.setStalled(true) // a second node's disk stalls too
 		c.Equal(c.patch(c.seeds[0], patchBody([]string{serviceJSON("s", 22)}, nil)), 503)
 		c.partition(partitioned, false)
 		advance(3 * time.Second)
@@ -467,7 +471,7 @@
 	})
 }
 
-// An acknowledged departure of a server is known to all nodes, whichever of them are lost.
+// An acknowledged departure of a server stays known to all nodes, whichever of them is lost.
 func TestDeparturesSurviveLosses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
@@ -497,7 +501,8 @@
 		status, _ := c.call(c.seeds[2], "DELETE", "/instances/i-1", "")
 		c.Equal(status, 200)
 
-		// With its own disk stalled, a node uses those of the others; with two of three missing, it answers so in time.
+		// A node whose disk is stalled stores a departure on the other nodes' disks. If one of these is missing too, it
+		// rejects the call in time.
 		c.nodes[c.seeds[0]].stallingDisk.setStalled(true)
 		c.Equal(put(c.seeds[0], "i-2", "draining", 2), 200)
 		c.partition(c.seeds[1], true)
@@ -508,7 +513,7 @@
 		c.nodes[c.seeds[0]].stallingDisk.setStalled(false)
 		advance(3 * time.Second)
 
-		// All lose power, and one its disk too.
+		// All nodes lose power, and one also loses its disk.
 		disks := map[string]*vfs.MemFS{}
 		for _, a := range c.seeds {
 			disks[a] = c.crash(a)
@@ -524,8 +529,8 @@
 			c.Equal(phase(a, "i-2"), "draining")
 			c.Equal(phase(a, "i-5"), "serving") // known from the disks, before any heartbeat
 		}
-		// Heartbeats make the others known again; a late one revives no instance. All nodes detect the same silent
-		// instances.
+		// Heartbeats make the other instances known again, but a late heartbeat does not revive a departed instance.
+		// All nodes detect the same silent instances.
 		for round := range 8 {
 			for i := range 5 {
 				c.Equal(put(c.seeds[(i+round)%3], fmt.Sprint("i-", i+5), "serving", 10+round), 200)
@@ -545,7 +550,8 @@
 	})
 }
 
-// Agents get all updates, are counted, and learn whether what they get is enough to serve with.
+// Agents receive all updates and are counted, and they are told whether they may serve with the state that they
+// receive.
 func TestAgentsAreServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
@@ -589,7 +595,7 @@
 			c.Equal(x.State().Members, 4)
 		}
 
-		// Quota counters: one node answers for each, and none on the minority side of a partition.
+		// One node answers for each quota counter, and it is not on the minority side of a partition.
 		owners := func() (n int) {
 			for _, x := range clients[:3] {
 				if r, err := x.Call(time.Second, counterAdd("t", 10)); err == nil && r.CounterTotal.OK {
--- a/internal/control/norace_test.go
+++ b/internal/control/norace_test.go
@@ -4,8 +4,8 @@
 
 // Sizes of random tests.
 const (
-	operatorSeeds     = 60
-	starvationSeconds = 3
-	timingRuns        = 20
-	secondLossSeeds   = 80
+	operatorSeeds     = 60 // seeds of TestRandomOperators
+	starvationSeconds = 3  // simulated seconds of each run of TestProposersDoNotStarve
+	timingRuns        = 20 // runs per measured time
+	secondLossSeeds   = 80 // seeds of TestSecondLossDuringReplacement
 )
--- a/internal/control/operators_mutants_test.go
+++ b/internal/control/operators_mutants_test.go
@@ -9,11 +9,12 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// The random operators or a scenario find each fault that is seeded in the queue, the ballots and the configuration.
+// Each fault that is seeded into the proposal queue, the consensus or the configuration is detected by the random
+// operators or by a scenario.
 func TestOperatorMutants(t *testing.T) {
 	for _, test := range []struct {
 		fault    string
-		scenario string // empty: the random operators find it
+		scenario string // scenario that detects the fault; the random operators do if empty
 	}{
 		{fault: "proposals/answers-before"},
 		{fault: "proposals/answers-left"},
@@ -45,7 +46,7 @@
 	}
 }
 
-// firstFailure runs seeds until one fails.
+// firstFailure runs up to limit seeds until one fails, and returns that seed and its failure.
 func firstFailure(t *testing.T, limit uint64) (seed uint64, failure string) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -24,12 +24,13 @@
 	"mulleinrouter/internal/cluster/consensus"
 )
 
-// Random operators: up to eight at once send changes to three real nodes in simulated time, lose answers, and
-// send again at once, late, elsewhere and in other spellings, two contents under one version, invalid and old
-// ones. Nodes are partitioned, lose power and disks, and their disks stall. Beside them stands a plain model:
-// what was acknowledged, what was rejected, and what any replica ever had.
+// Random operators: up to eight operators send changes concurrently to three real nodes in simulated time. They lose
+// answers and repeat calls at once or late, at other nodes and in other JSON spellings. They also send two contents
+// under one version, invalid changes and old versions. Nodes are partitioned, lose power or disks, and have their disks
+// stall. The answers are checked against a simple model: the changes that were acknowledged, those that were rejected,
+// and all contents that any replica ever had.
 
-// itemVersion is one version of an item with its content.
+// itemVersion is a version of an item with its content.
 type itemVersion struct {
 	key     configuration.Key
 	version int
@@ -47,24 +48,25 @@
 	return configuration.Key{Kind: configuration.Services, Name: name}
 }
 
-// routeKey is the key of the nth route of the random operators.
+// routeKey returns the key of the nth route of the random operators.
 func routeKey(n int) configuration.Key {
 	return configuration.Key{Kind: configuration.Routes, Name: fmt.Sprint("n", n)}
 }
 
-// operatorCall is a call of an operator, which may be sent many times.
+// operatorCall is a change that an operator sends, possibly many times.
 type operatorCall struct {
 	items        []itemVersion
-	defect       string // that makes it invalid upon any configuration; empty: none
+	defect       string // why the change is invalid in any configuration; empty if it has no defect
 	acknowledged bool
 	rejected     bool
 	sending      bool
 }
 
-// maxHistory is how many overtaken versions an item's history holds (configuration.Item).
+// maxHistory is the number of overtaken versions in an item's history (configuration.Item).
 const maxHistory = 16
 
-// isForgotten tells whether so many higher versions were applied that nothing is known of one any more.
+// isForgotten reports whether so many higher versions of the item were applied that the item's history may no longer
+// contain this one.
 func (m *model) isForgotten(s itemVersion) bool {
 	higher := map[int]bool{}
 	for v := range m.overtaken {
@@ -85,19 +87,19 @@
 	return len(higher) > maxHistory
 }
 
-// model is the plain model of the configuration.
+// model is a simple reference model of the configuration.
 type model struct {
-	modelMu        sync.Mutex
-	calls          []*operatorCall
-	acknowledged   map[versionID]string
-	seen           map[versionID]string // on any replica, at any time
-	overtaken      map[versionID]bool   // that any replica had as overtaken
-	crashed        map[*testNode]bool
-	calmSince      time.Time // since when there has been no fault; zero: there is one
-	failure        string
-	counts         map[string]int
-	maxLatency     time.Duration
-	maxCalmLatency time.Duration
+	modelMu             sync.Mutex
+	calls               []*operatorCall
+	acknowledged        map[versionID]string
+	seen                map[versionID]string // contents that any replica had at any time
+	overtaken           map[versionID]bool   // versions that were overtaken on any replica
+	crashed             map[*testNode]bool
+	faultFreeSince      time.Time // end of the last fault; zero while there is a fault
+	failure             string
+	counts              map[string]int
+	maxLatency          time.Duration
+	maxFaultFreeLatency time.Duration
 }
 
 func (m *model) fail(format string, args ...any) {
@@ -106,7 +108,7 @@
 	}
 }
 
-// observe records what a replica has: one version never has two contents.
+// observe records the contents of a replica, and checks that no version ever has two contents.
 func (m *model) observe(snapshot *configuration.Snapshot) {
 	for i := range snapshot.All() {
 		s := itemVersion{i.Key, int(i.Version), contentOf(i)}
@@ -139,15 +141,16 @@
 	return b.Authority + " " + b.Backend
 }
 
-// recordAnswer records an answer to a call; before: the call's change had been acknowledged when it began.
-func (m *model) recordAnswer(c *operatorCall, before bool, status int, took time.Duration, calm bool) {
+// recordAnswer records and checks an answer to a call. acknowledgedBefore is whether the change had been acknowledged
+// before the call began, faultFree whether there was no fault during the call.
+func (m *model) recordAnswer(c *operatorCall, acknowledgedBefore bool, status int, took time.Duration, faultFree bool) {
 	m.counts[fmt.Sprint(status)]++
 	m.maxLatency = max(m.maxLatency, took)
 	if took > time.Second {
 		m.fail("an answer after %v", took)
 	}
-	if calm {
-		m.maxCalmLatency = max(m.maxCalmLatency, took)
+	if faultFree {
+		m.maxFaultFreeLatency = max(m.maxFaultFreeLatency, took)
 		if status == 503 {
 			m.fail("no clear answer without a fault: %v", c.items)
 		}
@@ -167,7 +170,7 @@
 			m.acknowledged[s.id()] = s.content
 		}
 	case status >= 400 && status < 500:
-		if before {
+		if acknowledgedBefore {
 			m.fail("%v was acknowledged, and is rejected with %d", c.items, status)
 		}
 		c.rejected = true
@@ -176,22 +179,22 @@
 	}
 }
 
-// simulation is the nodes and the operators.
+// simulation runs the nodes and the operators of one seed.
 type simulation struct {
 	*testCluster
 	model
-	faults *rand.Rand // draws the faults
-	seed   uint64
-	over   bool
+	faults   *rand.Rand // source of random faults
+	seed     uint64
+	finished bool
 }
 
 func (s *simulation) stopped() bool {
 	s.modelMu.Lock()
 	defer s.modelMu.Unlock()
-	return s.over || s.failure != ""
+	return s.finished || s.failure != ""
 }
 
-// node returns a node as it is now; nil: it is down.
+// node returns the current process of a node, or nil if the node is down.
 func (s *simulation) node(addr string) *testNode {
 	s.mu.Lock()
 	n := s.nodes[addr]
@@ -204,7 +207,7 @@
 	return n
 }
 
-// observeNodes records what the running nodes have.
+// observeNodes records the contents of the replicas of all running nodes.
 func (s *simulation) observeNodes() {
 	for _, a := range s.seeds {
 		if n := s.node(a); n != nil {
@@ -216,7 +219,7 @@
 	}
 }
 
-// body encodes the call, in a random spelling.
+// body encodes the change as JSON in one of many equivalent spellings, or with its defect.
 func (c *operatorCall) body(random *rand.Rand) string {
 	up, down := map[string][]string{}, map[string][]string{}
 	member := func(all ...string) string {
@@ -264,7 +267,7 @@
 	return text
 }
 
-// nextCall is the next call of an operator: a new one, or one that was sent before.
+// nextCall returns the next call of an operator: a new one, or one that was sent before.
 func (s *simulation) nextCall(random *rand.Rand) *operatorCall {
 	s.modelMu.Lock()
 	defer s.modelMu.Unlock()
@@ -276,7 +279,7 @@
 		}
 		return nil
 	}
-	// Sent again: one that was acknowledged, at any time before; or one without a clear answer.
+	// Repeat a call that was acknowledged at any time before, or one that got no clear answer.
 	if random.IntN(4) == 0 {
 		repeatable := func(call *operatorCall) bool { return !call.rejected && (call.acknowledged || !call.sending) }
 		if call := earlier(repeatable); call != nil {
@@ -303,7 +306,7 @@
 	}
 	v := high
 	switch random.IntN(12) {
-	case 0, 1: // the same version as another's, and mostly another content
+	case 0, 1: // the versions of an earlier change, mostly with other contents
 		if x := earlier(func(call *operatorCall) bool { return call.defect == "" && len(call.items) < 9 }); x != nil {
 			for _, s := range x.items {
 				if s.key.Kind == configuration.Services {
@@ -316,7 +319,7 @@
 			break
 		}
 		fallthrough
-	case 2: // an old version that was never used, or was
+	case 2: // an old version, whether it was used before or not
 		v = max(1, high-random.IntN(30))
 		fallthrough
 	case 3, 4, 5, 6:
@@ -325,7 +328,7 @@
 		}
 	case 7, 8:
 		call.items = append(call.items, toService(v))
-	case 9: // all routes to another service, and the old one is removed
+	case 9: // moves all routes to another service, and removes the old one
 		from, to := service(), service()
 		for n := range 4 {
 			call.items = append(call.items, itemVersion{routeKey(n), v, fmt.Sprintf("h%d %s", n, to)})
@@ -354,8 +357,8 @@
 	return call
 }
 
-// send makes one call, and tells whether the answer was clear. If abandonAfter is not 0, the operator's
-// connection breaks after that time.
+// send sends a call once, and reports whether the answer was clear. If abandonAfter is not 0, the operator's connection
+// breaks after that time.
 func (s *simulation) send(random *rand.Rand, call *operatorCall, addr string, abandonAfter time.Duration) bool {
 	n := s.node(addr)
 	if n == nil {
@@ -381,11 +384,12 @@
 		s.counts["lost"]++
 		return false
 	}
-	s.recordAnswer(call, before, got.Code, time.Since(began), !s.calmSince.IsZero() && !began.Before(s.calmSince))
+	s.recordAnswer(call, before, got.Code, time.Since(began),
+		!s.faultFreeSince.IsZero() && !began.Before(s.faultFreeSince))
 	return got.Code != 503
 }
 
-// runOperator is one of the operators.
+// runOperator runs one operator until the simulation ends.
 func (s *simulation) runOperator(random *rand.Rand) {
 	for !s.stopped() {
 		call := s.nextCall(random)
@@ -425,10 +429,10 @@
 	return time.Duration(random.Int64N(int64(most)))
 }
 
-// injectFault causes one fault, and ends it.
+// injectFault causes a random fault, ends it, and checks that all nodes vote again.
 func (s *simulation) injectFault() {
 	s.modelMu.Lock()
-	s.calmSince = time.Time{}
+	s.faultFreeSince = time.Time{}
 	s.modelMu.Unlock()
 	random, a := s.faults, s.seeds[s.faults.IntN(3)]
 	switch random.IntN(6) {
@@ -456,7 +460,7 @@
 			s.start(a, disks[a], false)
 			time.Sleep(randomDuration(random, 100*time.Millisecond))
 		}
-	case 4, 5: // stalled disks, for less than it takes to give them up
+	case 4, 5: // disks stall, for less than the time after which a node stops waiting for them
 		for range 3 {
 			var stalled []*testNode
 			for _, a := range s.seeds {
@@ -484,7 +488,7 @@
 	}
 }
 
-// checkFinalState reads the configuration back, and sends calls again.
+// checkFinalState compares the final configuration with the model, and repeats the calls that were applied or invalid.
 func (s *simulation) checkFinalState() {
 	s.observeNodes()
 	if difference := s.differences(); difference != "" {
@@ -501,7 +505,7 @@
 		missing := func(v itemVersion) bool { return s.seen[v.id()] != v.content }
 		return o.defect == "" && !slices.ContainsFunc(o.items, missing)
 	}
-	only := map[itemVersion]bool{} // contents of calls that were not rejected
+	only := map[itemVersion]bool{} // whether the content was in a call that was not rejected
 	for _, o := range s.calls {
 		for _, v := range o.items {
 			only[v] = only[v] || !o.rejected && o.defect == ""
@@ -526,7 +530,7 @@
 	}
 }
 
-// runOperators runs the simulation of a seed.
+// runOperators runs the simulation of a seed, and returns its model.
 func runOperators(t *testing.T, seed uint64) *model {
 	s := &simulation{seed: seed, faults: rand.New(rand.NewPCG(seed, 1))}
 	s.acknowledged = map[versionID]string{}
@@ -543,7 +547,7 @@
 		}
 		s.calls = append(s.calls, first)
 		s.modelMu.Lock()
-		s.calmSince = time.Now()
+		s.faultFreeSince = time.Now()
 		s.modelMu.Unlock()
 		var all sync.WaitGroup
 		for n := range 2 + seed%7 {
@@ -553,12 +557,12 @@
 			time.Sleep(randomDuration(s.faults, 2*time.Second))
 			s.injectFault()
 			s.modelMu.Lock()
-			s.calmSince = time.Now()
+			s.faultFreeSince = time.Now()
 			s.modelMu.Unlock()
 		}
 		time.Sleep(2 * time.Second)
 		s.modelMu.Lock()
-		s.over = true
+		s.finished = true
 		s.modelMu.Unlock()
 		all.Wait()
 		advance(3 * time.Second)
@@ -581,7 +585,7 @@
 				r := runOperators(t, seed)
 				total.modelMu.Lock()
 				total.maxLatency = max(total.maxLatency, r.maxLatency)
-				total.maxCalmLatency = max(total.maxCalmLatency, r.maxCalmLatency)
+				total.maxFaultFreeLatency = max(total.maxFaultFreeLatency, r.maxFaultFreeLatency)
 				if r.failure != "" {
 					t.Errorf("seed %d: %s", seed, r.failure)
 				}
@@ -594,18 +598,20 @@
 	}
 	all.Wait()
 	t.Logf("%d seeds: %v; slowest answer %v, without a fault %v",
-		operatorSeeds, total.counts, total.maxLatency, total.maxCalmLatency)
+		operatorSeeds, total.counts, total.maxLatency, total.maxFaultFreeLatency)
 }
 
-// scenarios are things that the random seeds meet seldom. Each returns what went wrong; empty: nothing.
+// scenarios are sequences of events that are rare in the random simulations. Each returns a description of the failure,
+// or "" if there is none.
 var scenarios = map[string]func(*testCluster) string{
-	// The answer that completes a majority, that of the node's own disk, arrives when nobody waits for it any more;
-	// then another change comes to the node.
+	// The answer that completes a majority, which is that of the node's own disk, arrives after the caller has stopped
+	// waiting. Then the node gets another change.
 	"late majority": func(c *testCluster) string {
 		if status := c.patch(c.seeds[0], patchBody([]string{serviceJSON("s", 1)}, nil)); status != 200 {
 			return fmt.Sprint("first: ", status)
 		}
-		advance(100 * time.Millisecond) // so that the round of watch that looks for orphaned changes comes last
+		// The round of watch that looks for orphaned changes must come after all events below.
+		advance(100 * time.Millisecond)
 		c.nodes[c.seeds[0]].stallingDisk.setStalled(true)
 		c.nodes[c.seeds[2]].stallingDisk.setStalled(true)
 		late, err := configuration.ReadPatch([]byte(patchBody([]string{serviceJSON("t", 2)}, nil)))
@@ -623,7 +629,8 @@
 		advance(2 * time.Second)
 		return c.differences()
 	},
-	// The node that was the last to have a change chosen is partitioned, and gets a change that was chosen since.
+	// The node whose change was the last to be chosen is partitioned, and then gets a change that the others have
+	// chosen meanwhile.
 	"partitioned node": func(c *testCluster) string {
 		if status := c.patch(c.seeds[0], patchBody([]string{serviceJSON("s", 1)}, nil)); status != 200 {
 			return fmt.Sprint("first: ", status)
@@ -645,7 +652,8 @@
 		}
 		return c.differences()
 	},
-	// Two contents under one version at all nodes at once, again and again: one of them is acknowledged, and applied.
+	// All nodes repeatedly get different contents under one version at the same time. Exactly one of the contents is
+	// acknowledged, and that one is applied.
 	"concurrent changes": func(c *testCluster) string {
 		for round := range 150 {
 			var mu sync.Mutex
@@ -677,7 +685,7 @@
 		}
 		return c.differences()
 	},
-	// A node finds that another's change was chosen while its own one under the same version was in flight.
+	// While a node's change is in flight, another node's change under the same version is chosen.
 	"foreign change chosen": func(c *testCluster) string {
 		if status := c.patch(c.seeds[0], patchBody([]string{serviceJSON("s", 1)}, nil)); status != 200 {
 			return fmt.Sprint("first: ", status)
@@ -709,12 +717,12 @@
 		}
 		return c.differences()
 	},
-	// A message says that a change is chosen, to a node that has accepted another one for the same epoch.
+	// A node that has accepted a change gets a message that another change was chosen for the same epoch.
 	"chosen message for another change": func(c *testCluster) string {
 		if status := c.patch(c.seeds[0], patchBody([]string{serviceJSON("s", 1)}, nil)); status != 200 {
 			return fmt.Sprint("first: ", status)
 		}
-		advance(10 * time.Millisecond) // until all have learned it
+		advance(10 * time.Millisecond) // until all nodes have learned the change
 		v := c.nodes[c.seeds[2]].replica
 		epoch, _ := v.Snapshot()
 		items, err := configuration.ReadPatch([]byte(patchBody([]string{serviceJSON("t", 2)}, nil)))
@@ -729,8 +737,8 @@
 		advance(2 * time.Second)
 		return c.differences()
 	},
-	// An operator's connection breaks, its change is rejected at another node, and what it lacked is chosen while
-	// the first node still has it queued.
+	// An operator's connection breaks and its change is rejected at another node. Then the service that the change
+	// lacked is chosen, while the first node still has the change queued.
 	"abandoned call": func(c *testCluster) string {
 		if status := c.patch(c.seeds[1], patchBody([]string{serviceJSON("s", 1)}, nil)); status != 200 {
 			return fmt.Sprint("first: ", status)
@@ -758,13 +766,13 @@
 	},
 }
 
-// differences returns how the configurations that the nodes return differ; empty: they do not.
+// differences describes how the configurations that the nodes return differ. It returns "" if they are equal.
 func (c *testCluster) differences() string {
 	text := ""
 	for _, a := range c.seeds {
 		status, read := c.call(a, "GET", "/config", "")
 		if status != 200 || text != "" && read != text {
-			return fmt.Sprintf("node %s gives back %d\n%s\nand another\n%s", a, status, read, text)
+			return fmt.Sprintf("node %s returns %d\n%s\nand another node\n%s", a, status, read, text)
 		}
 		text = read
 	}
@@ -794,7 +802,8 @@
 	}
 }
 
-// Three nodes outbid one another without a pause, on slow disks: every change and every read is answered, and soon.
+// Three nodes propose changes concurrently without a pause and on slow disks, so that their ballots overtake one
+// another. Every change and every read is still answered within 750 ms.
 func TestProposersDoNotStarve(t *testing.T) {
 	t.Parallel()
 	for _, syncTime := range []time.Duration{0, 4 * time.Millisecond, 20 * time.Millisecond} {
@@ -808,7 +817,7 @@
 					end = time.Now().Add(starvationSeconds * time.Second / 8) // as many changes as in the other runs
 				}
 				var all sync.WaitGroup
-				for _, a := range c.seeds { // a sync waits for the next of these moments
+				for _, a := range c.seeds { // a sync waits until the end of the current stall
 					all.Go(func() {
 						for m := c.nodes[a]; syncTime > 0 && time.Now().Before(end); {
 							m.stallingDisk.setStalled(true)
@@ -831,7 +840,7 @@
 				for n, a := range c.seeds {
 					operators := operatorsEach
 					if n == 2 {
-						operators = 1 // alone at its node, with many at the others
+						operators = 1 // one operator at the third node, several at the others
 					}
 					for k := range operators {
 						all.Go(func() {
@@ -870,7 +879,8 @@
 	}
 }
 
-// A body that stalls says nothing about its contents, so the call may be retried; one that ends short is rejected.
+// A call whose body stalls gets 408 and may be retried, because the content is unknown. A call whose body ends early is
+// rejected with 400.
 func TestIncompleteBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
--- a/internal/control/partition_mutants_test.go
+++ b/internal/control/partition_mutants_test.go
@@ -4,7 +4,7 @@
 
 import "testing"
 
-// Each seeded fault in the handling of contact is found by a partition or a suspension.
+// Each seeded fault in the handling of contact with a majority is detected by a partition or a suspension.
 func TestPartitionMutants(t *testing.T) {
 	partition := func(t *testing.T) []string {
 		return observe(t, 3, func(g *observedCluster) { partitionNode(g, g.seeds[0], partitionKinds["silent"]) })
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -19,25 +19,26 @@
 	"mulleinrouter/internal/control/httpapi"
 )
 
-const contactBound = 3 * time.Second // after a partition: contactMs of the sites
+// contactBound is the time within which all nodes work as before once a partition has ended: contactMs of the sites.
+const contactBound = 3 * time.Second
 
-// observedCluster is a cluster with servers and agents, and checks of all that its nodes say.
+// observedCluster is a cluster with servers and agents that checks everything that its nodes answer.
 type observedCluster struct {
 	*testCluster
 	began time.Time
 
 	mu             sync.Mutex
 	failures       []string
-	homeNodes      []int // by server: the node that it calls first
+	homeNodes      []int // index of the node that a server calls first, by server
 	heartbeats     int
-	agents         [][]*replication.Client // by agent and node
-	stopAgents     []context.CancelFunc    // by agent
+	agents         [][]*replication.Client // subscriptions, by agent and node
+	stopAgents     []context.CancelFunc    // stop functions, by agent
 	agentsStarted  uint64
-	heartbeatsDue  time.Time       // of live
-	agentsLost     atomic.Int64    // connections of agents that have ended
-	restartAgent   func(i int)     // after it was stopped
-	outOfContact   map[string]bool // nodes that are to say nothing
-	counterAnswers map[string]int  // by counter name
+	heartbeatsDue  time.Time       // time of the next heartbeats of runInSmallSteps
+	agentsLost     atomic.Int64    // number of agent connections that have ended
+	restartAgent   func(i int)     // starts a stopped agent again
+	outOfContact   map[string]bool // nodes that must not claim contact
+	counterAnswers map[string]int  // number of answers, by counter name
 }
 
 func (g *observedCluster) fail(format string, args ...any) {
@@ -48,7 +49,7 @@
 	}
 }
 
-// sendHeartbeats has every server call its home node, or the next one if that rejects it.
+// sendHeartbeats sends a heartbeat of every server to its home node, or to the next node if that one rejects it.
 func (g *observedCluster) sendHeartbeats() {
 	g.mu.Lock()
 	g.heartbeats++
@@ -68,7 +69,7 @@
 	}
 }
 
-// checkInvariants checks what all nodes say now: a counter has one owner at most, and no instance is silent.
+// checkInvariants checks that each counter has at most one owner, and that no node considers an instance silent.
 func (g *observedCluster) checkInvariants() {
 	for _, name := range []string{"t0", "t1", "t2", "t3"} {
 		owners := []string{}
@@ -95,6 +96,7 @@
 	}
 }
 
+// checkUpdate checks that an update of a node that is out of contact claims nothing that needs contact.
 func (g *observedCluster) checkUpdate(node string, f *transport.Update) {
 	g.mu.Lock()
 	outOfContact := g.outOfContact[node]
@@ -105,7 +107,7 @@
 	}
 }
 
-// run lets time pass, with heartbeats and checks.
+// run advances time by d in steps of 250 ms, with heartbeats and checks.
 func (g *observedCluster) run(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		if time.Since(g.began)%(1500*time.Millisecond) < 250*time.Millisecond {
@@ -116,7 +118,7 @@
 	}
 }
 
-// checkRejects checks that a node without contact rejects all calls at once.
+// checkRejects checks that a node without contact rejects all calls within 10 ms, and is not ready.
 func (g *observedCluster) checkRejects(a string, version int) {
 	began := time.Now()
 	for _, x := range [][3]string{
@@ -140,7 +142,7 @@
 	}
 }
 
-// expectNoContact sets the nodes that are to say nothing.
+// expectNoContact sets the nodes whose updates must not claim contact.
 func (g *observedCluster) expectNoContact(nodes ...string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -150,7 +152,7 @@
 	}
 }
 
-// checkRecovered checks that all works as before.
+// checkRecovered checks that all nodes and agents work as before the fault.
 func (g *observedCluster) checkRecovered() {
 	for i, agent := range g.agents {
 		ranks := map[int]int{}
@@ -184,15 +186,15 @@
 	}
 }
 
-// observe starts a cluster with a number of servers, undisturbed for eight seconds, and has something done to
-// it. It returns the failures.
-func observe(t *testing.T, servers int, disturb func(*observedCluster)) (failures []string) {
-	return observeOver(t, servers, &partitionableLinks{}, disturb)
+// observe starts a cluster with a number of servers, runs it without faults for eight seconds, and then runs a
+// scenario. It returns the failures.
+func observe(t *testing.T, servers int, scenario func(*observedCluster)) (failures []string) {
+	return observeOver(t, servers, &partitionableLinks{}, scenario)
 }
 
-// observeOver is observe over the given links.
+// observeOver does the same as observe, over the given links.
 func observeOver(
-	t *testing.T, servers int, links *partitionableLinks, disturb func(*observedCluster),
+	t *testing.T, servers int, links *partitionableLinks, scenario func(*observedCluster),
 ) (failures []string) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &observedCluster{
@@ -220,7 +222,7 @@
 		}
 		g.run(7 * time.Second)
 		g.checkRecovered()
-		disturb(g)
+		scenario(g)
 		for name, n := range g.counterAnswers {
 			if n == 0 {
 				g.fail("counter %s never had an owner", name)
@@ -234,7 +236,7 @@
 	return failures
 }
 
-// partitionKinds are the kinds of a partition, by which directions are severed between a node and the others.
+// partitionKinds are the kinds of partitions between a node and the others. They differ in the severed directions.
 var partitionKinds = map[string]func(c *testCluster, cut string, down bool){
 	"silent": func(c *testCluster, cut string, down bool) {
 		c.links.setSevered(func(a, b string) bool { return down && (a == cut || b == cut) }, c.seeds)
@@ -251,13 +253,15 @@
 	},
 }
 
-// partitionNode separates a node from the other control nodes for twenty seconds; agents and servers reach all.
+// partitionNode separates a node from the other control nodes for twenty seconds. Agents and servers still reach all
+// nodes.
 func partitionNode(g *observedCluster, node string, sever func(*testCluster, string, bool)) {
 	others := slices.DeleteFunc(slices.Clone(g.seeds), func(a string) bool { return a == node })
 	version := int(time.Since(g.began)/time.Second) * 10
 	change := func(a, text string) int { return g.patch(a, patchBody([]string{text}, nil)) }
 	sever(g.testCluster, node, true)
-	// At its start, different changes under one version to both sides at once: only one may be acknowledged.
+	// When the partition begins, both sides get different changes under one version. At most one of them may be
+	// acknowledged.
 	var both sync.WaitGroup
 	var nodeStatus, othersStatus int
 	both.Go(func() { nodeStatus = change(node, serviceJSON("race", version)) })
@@ -265,7 +269,8 @@
 		othersStatus = change(others[0], strings.Replace(serviceJSON("race", version), "130", "131", 1))
 	})
 	both.Wait()
-	// The one without a clear answer may have been chosen: then, and only then, the other is rejected.
+	// The change of the partitioned node gets no clear answer, but may have been chosen. Only then may the other change
+	// be rejected.
 	_, text := g.call(others[0], "GET", "/config", "")
 	nodesWon := strings.Contains(text, `"race":{"healthPath":"/health","maxConns":130,`)
 	othersClear := othersStatus == 200 || othersStatus == 409 && nodesWon
@@ -303,17 +308,17 @@
 	for _, kind := range []string{"silent", "out", "in", "reset"} {
 		for index := range 3 {
 			t.Run(fmt.Sprint(kind, "/", index), func(t *testing.T) {
-				disturb := func(g *observedCluster) { partitionNode(g, g.seeds[index], partitionKinds[kind]) }
-				for _, failure := range observe(t, 9, disturb) {
+				scenario := func(g *observedCluster) { partitionNode(g, g.seeds[index], partitionKinds[kind]) }
+				for _, failure := range observe(t, 9, scenario) {
 					t.Error(failure)
 				}
 			})
 		}
 	}
-	// So few that the silence of all is not taken for a partition of this node.
+	// With so few servers, the silence of all of them is not taken for a partition of the node itself.
 	t.Run("three servers", func(t *testing.T) {
-		disturb := func(g *observedCluster) { partitionNode(g, g.seeds[0], partitionKinds["silent"]) }
-		for _, failure := range observe(t, 3, disturb) {
+		scenario := func(g *observedCluster) { partitionNode(g, g.seeds[0], partitionKinds["silent"]) }
+		for _, failure := range observe(t, 3, scenario) {
 			t.Error(failure)
 		}
 	})
@@ -328,7 +333,7 @@
 	})
 }
 
-// The partitioned node is restarted during the partition, then the others, one after the other.
+// During a partition, first the partitioned node is restarted, and then the other nodes one after the other.
 func TestPartitionWithRestarts(t *testing.T) {
 	for index := range 3 {
 		for _, failure := range observe(t, 9, func(g *observedCluster) {
@@ -337,7 +342,7 @@
 			g.run(3 * time.Second)
 			g.start(node, g.crash(node), false)
 			g.expectNoContact(node)
-			g.run(httpapi.StartupGrace) // until then calls wait for a moment
+			g.run(httpapi.StartupGrace) // until its end, calls wait for contact
 			g.checkRejects(node, 1000)
 			g.run(4 * time.Second)
 			g.checkRejects(node, 1001)
@@ -358,31 +363,32 @@
 	}
 }
 
-// A process is suspended for twenty seconds at any moment, and resumes: it must not answer from what it knew
-// before. Its connections are still open, with all that arrived meanwhile, and its clock has gone on.
+// suspendNode suspends the process of a node for twenty seconds. When the process resumes, it must not answer from
+// state of before the suspension, although its connections are still open and have buffered what arrived meanwhile. Its
+// clock has advanced.
 func suspendNode(g *observedCluster) {
 	suspended := g.seeds[1]
 	n := g.nodes[suspended]
-	n.counters.mu.Lock() // watch and counters are suspended
+	n.counters.mu.Lock() // blocks watch and the counters
 	advance(time.Millisecond)
 	n.clockSkew.Store(int64(20 * time.Second))
 	g.expectNoContact(suspended)
-	g.checkRejects(suspended, 500) // its first answers
+	g.checkRejects(suspended, 500) // its first answers after it has resumed
 	if _, peers := n.zoneRank("edge-0"); peers != 0 || n.ingressCount() != 0 || n.majority.Held() {
-		g.fail("it resumed and counts as before")
+		g.fail("the resumed node still counts ingresses or holds its lease")
 	}
 	n.counters.mu.Unlock()
 	if r := n.counters.handle(counterAdd("t0", 60)); r.CounterTotal.OK {
-		g.fail("it resumed and owns a counter")
+		g.fail("the resumed node still owns a counter")
 	}
 	g.expectNoContact()
-	n.ping() // and is in contact before its watch has done a round
+	n.ping() // the node is in contact again before its watch has done a round
 	synctest.Wait()
-	// In contact again, its counters may have had another owner: they wait for the handover fence.
+	// Its counters may have had another owner meanwhile, so they must wait for the handover fence.
 	for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); advance(20 * time.Millisecond) {
 		for _, name := range []string{"t0", "t1", "t2", "t3"} {
 			if r := n.counters.handle(counterAdd(name, 60)); r.CounterTotal.OK {
-				g.fail("%v after it resumed it owns %s", time.Until(end), name)
+				g.fail("%v before its counters may answer, the resumed node owns %s", time.Until(end), name)
 			}
 		}
 	}
@@ -396,7 +402,8 @@
 	}
 }
 
-// Heartbeats that arrive while all nodes start, also after a loss of power everywhere, are accepted within a second.
+// Heartbeats that arrive while all nodes start are accepted within httpapi.StartupWait, also after all nodes have lost
+// power.
 func TestHeartbeatsAtStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
--- a/internal/control/partitionable_links_test.go
+++ b/internal/control/partitionable_links_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// partitionableLinks is links that can be severed without an error, in each direction by itself. What is sent
-// then waits and is delivered once the link is restored, as over TCP; so is the end of a connection.
+// partitionableLinks are links that can be severed in each direction independently and without an error. Data and
+// closes that are sent over a severed link are delivered once the link is restored, as over TCP.
 type partitionableLinks struct {
 	mu      sync.Mutex
-	severed map[[2]string]bool // from, to
+	severed map[[2]string]bool // severed directions, by sender and receiver
 	ends    []*linkEnd
-	pauses  *processPauses // of the processes at both ends; nil: there are none
+	pauses  *processPauses // pauses of the processes at both ends; nil if there are none
 }
 
 // linkEnd is one end of a connection.
@@ -25,7 +25,7 @@
 	closed    bool // guarded by links.mu
 }
 
-// severedBetween tells whether two nodes cannot connect, since one direction at least is severed.
+// severedBetween reports whether two nodes cannot connect because at least one direction between them is severed.
 func (l *partitionableLinks) severedBetween(a, b string) bool {
 	return l != nil && (l.isSevered([2]string{a, b}) || l.isSevered([2]string{b, a}))
 }
@@ -43,7 +43,7 @@
 	return a, b
 }
 
-// setSevered severs the directions for which severed returns true, and restores the others.
+// setSevered severs the directions between nodes for which severed returns true, and restores all others.
 func (l *partitionableLinks) setSevered(severed func(from, to string) bool, nodes []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,7 +62,7 @@
 	}
 }
 
-// reset closes the connections whose direction is severed.
+// reset closes the ends of connections whose direction is severed.
 func (l *partitionableLinks) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,7 +95,7 @@
 	return e.Conn.Write(b)
 }
 
-// deliver sends what is buffered. e.writeMu is held.
+// deliver sends the buffered data. The caller holds e.writeMu.
 func (e *linkEnd) deliver() error {
 	b := e.buffered
 	if e.buffered = nil; len(b) == 0 {
--- a/internal/control/process_pauses_test.go
+++ b/internal/control/process_pauses_test.go
@@ -9,20 +9,20 @@
 	"mulleinrouter/internal/cluster/transport"
 )
 
-// processPauses says when processes are paused: they read and write nothing meanwhile, and what arrives waits.
+// processPauses simulates pauses of processes. A paused process neither reads nor writes, and data for it is buffered.
 type processPauses struct {
 	mu        sync.Mutex
-	pausedFor func(process string) time.Duration // from now; nil: none is
+	pausedFor func(process string) time.Duration // remaining time of the current pause; nil if no process is paused
 }
 
-// set sets for how long, from any moment, a process is paused; nil: none is.
+// set sets the function that returns for how long from now a process is paused, or nil if no process is to be paused.
 func (s *processPauses) set(pausedFor func(process string) time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pausedFor = pausedFor
 }
 
-// await returns once a process runs.
+// await waits until a process is not paused.
 func (s *processPauses) await(process string) {
 	if s == nil {
 		return
@@ -38,8 +38,8 @@
 	}
 }
 
-// bufferedConn is a process's end of a connection whose writes don't wait for the reader, as over TCP, and go out while
-// the process runs.
+// bufferedConn is a process's end of a connection. Its writes don't wait for the reader, as over TCP, and are sent only
+// while the process is not paused.
 type bufferedConn struct {
 	net.Conn
 	process string
@@ -47,11 +47,11 @@
 
 	mu      sync.Mutex
 	queue   [][]byte
-	writing bool // a goroutine writes what is queued
+	writing bool // a goroutine is writing the queue
 	closed  bool
 }
 
-// buffer returns a process's end of a connection, buffered.
+// buffer wraps a process's end of a connection in a bufferedConn.
 func (s *processPauses) buffer(process string, nc net.Conn) *bufferedConn {
 	return &bufferedConn{Conn: nc, process: process, pauses: s}
 }
@@ -70,7 +70,7 @@
 	return len(data), nil
 }
 
-// writeQueued writes what is queued, until nothing is left or the connection has ended.
+// writeQueued writes the queue until it is empty or the connection has ended.
 func (b *bufferedConn) writeQueued() {
 	for {
 		b.pauses.await(b.process)
--- a/internal/control/race_test.go
+++ b/internal/control/race_test.go
@@ -4,8 +4,8 @@
 
 // Sizes of random tests under the race detector.
 const (
-	operatorSeeds     = 8
-	starvationSeconds = 1
-	timingRuns        = 2
-	secondLossSeeds   = 12
+	operatorSeeds     = 8  // seeds of TestRandomOperators
+	starvationSeconds = 1  // simulated seconds of each run of TestProposersDoNotStarve
+	timingRuns        = 2  // runs per measured time
+	secondLossSeeds   = 12 // seeds of TestSecondLossDuringReplacement
 )
--- a/internal/control/split_test.go
+++ b/internal/control/split_test.go
@@ -11,9 +11,9 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// configurationReads asks every node for the configuration. A read that is answered must show at least the
-// version that was acknowledged.
-func (c *testCluster) configurationReads(acknowledged int) (answered int) {
+// checkConfigurationReads reads the configuration from every node, and returns how many nodes answer. It checks that
+// each answer contains the acknowledged version.
+func (c *testCluster) checkConfigurationReads(acknowledged int) (answered int) {
 	for addr := range c.nodes {
 		status, text := c.call(addr, "GET", "/config", "")
 		switch {
@@ -28,9 +28,9 @@
 	return answered
 }
 
-// Four nodes, of which three vote, are partitioned two and two, in each way. Meanwhile no node shows an older
-// configuration than was acknowledged, or acknowledges anything without a majority of the voters. Afterwards all
-// work as before.
+// Three voters and a learner are partitioned into two halves, in each possible way. Meanwhile, no node returns an
+// older configuration than the acknowledged one, or acknowledges anything without a majority of the voters. Afterwards,
+// all nodes work as before.
 func TestEvenPartition(t *testing.T) {
 	for _, node := range []string{"x", "y", "z"} {
 		t.Run("learner with "+node, func(t *testing.T) {
@@ -59,25 +59,24 @@
 							c.Equal(status, 503)
 						}
 					}
-					answered := c.configurationReads(version)
+					answered := c.checkConfigurationReads(version)
 					c.True(step < 1 || answered >= 1)
 					advance(400 * time.Millisecond)
 				}
 				c.True(version > 20)
 				links.setSevered(func(string, string) bool { return false }, all)
 				advance(contactBound)
-				c.Equal(c.configurationReads(version), 4)
+				c.Equal(c.checkConfigurationReads(version), 4)
 				c.Equal(c.patch(half[0], patchBody([]string{serviceJSON("s", version+1)}, nil)), 200)
-				c.Equal(c.configurationReads(version+1), 4)
+				c.Equal(c.checkConfigurationReads(version+1), 4)
 				c.stopAll()
 			})
 		})
 	}
 }
 
-// A disk is lost while all other nodes lose power at the same moment, right after something was acknowledged: a
-// change, a drain, and a departure without a drain before it. All of it is there when the nodes are back,
-// whichever disk was lost.
+// All nodes lose power at the same moment and one disk is lost, right after a call was acknowledged: a change, a drain,
+// or a departure without a drain before it. The acknowledged state survives whichever disk was lost.
 func TestDiskLossDuringPowerLoss(t *testing.T) {
 	for lost := range 3 {
 		t.Run(fmt.Sprint("disk ", lost), func(t *testing.T) {
@@ -116,7 +115,7 @@
 						}
 					}
 					advance(8 * time.Second)
-					c.Equal(c.configurationReads(version), 3)
+					c.Equal(c.checkConfigurationReads(version), 3)
 					for _, addr := range c.seeds {
 						draining, _ := c.nodes[addr].store.Instance("i-0")
 						c.True(draining.Phase.String() == "draining" || draining.Phase.String() == "gone")
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -9,7 +9,7 @@
 	"mulleinrouter/internal/control/replica"
 )
 
-// view is what this node knows, for GET /view.
+// view returns the state of this node as served at GET /view.
 func (n *Node) view() httpapi.View {
 	epoch, snapshot := n.replica.Snapshot()
 	voters, votes := n.replica.Voters()
@@ -21,7 +21,7 @@
 		Incarnation:     incarnationName(n.incarnation),
 		UptimeSeconds:   n.uptime(),
 		Ready:           n.ready(),
-		Reason:          n.readiness(),
+		Reason:          n.readinessReason(),
 		Epoch:           epoch,
 		Items:           snapshot.Len(),
 		Promised:        promised,
@@ -70,8 +70,8 @@
 	return views
 }
 
-// readiness says why this node is ready, or what it waits for.
-func (n *Node) readiness() string {
+// readinessReason returns why this node is ready, or what it is waiting for.
+func (n *Node) readinessReason() string {
 	voters, _ := n.replica.Voters()
 	term, held := n.majority.Current()
 	switch {
@@ -91,7 +91,8 @@
 	return "servers have not had the time to call"
 }
 
-// member is a control node as this one sees it beside a configuration of an epoch, for GET /members.
+// member returns the state of a control node as known to this node, for GET /members. The member's epochs behind are
+// counted from the given epoch.
 func (n *Node) member(addr string, epoch uint64) operatorapi.Member {
 	m := operatorapi.Member{Addr: addr, Zone: n.electorate.Zone(addr), LastContactSeconds: -1}
 	if addr == n.self {
@@ -106,7 +107,7 @@
 	if state.Incarnation != 0 {
 		m.LastContactSeconds = max(0, time.Since(state.LastUpdateAt).Seconds())
 	}
-	// Voters are also pinged.
+	// Voters are also pinged, and their answers may be newer than their last updates.
 	if age := n.majority.Age(addr).Seconds(); age >= 0 && (m.LastContactSeconds < 0 || age < m.LastContactSeconds) {
 		m.LastContactSeconds = age
 	}
@@ -115,20 +116,21 @@
 	return m
 }
 
-// epochsBehind is how many changes another control node is known to have that this one lacks.
+// epochsBehind returns the number of changes that this node lacks and another control node is known to have.
 func (n *Node) epochsBehind() uint64 {
 	epoch := n.replica.Epoch()
 	return n.peers.NewestEpoch(epoch) - epoch
 }
 
-// diskStalled tells whether the disk has been at one write for long.
+// diskStalled reports whether one write to the disk has taken longer than replica.SyncTimeout.
 func (n *Node) diskStalled() bool {
 	disk := n.disk.Load()
 	return disk != nil && disk.Stalled(replica.SyncTimeout)
 }
 
-// oldestAnswer is how long ago, in seconds, the voter answered that has been silent the longest; -1: one never did.
-func (n *Node) oldestAnswer() float64 {
+// oldestVoterAnswerAge returns the time in seconds since the last answer of the voter that has been silent the longest,
+// or -1 if a voter has never answered.
+func (n *Node) oldestVoterAnswerAge() float64 {
 	oldest := 0.0
 	voters, _ := n.replica.Voters()
 	for _, voter := range voters {
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -16,22 +16,26 @@
 )
 
 const (
-	watchInterval   = 250 * time.Millisecond
-	flushRounds     = 4                      // rounds of watch between two flushes of instances to the disk
-	orphanTimeout   = 200 * time.Millisecond // after which a node that has accepted a change completes it itself
-	orphanRankDelay = 75 * time.Millisecond  // more, for each voter before this one: they should not all do it
-	warmUpFactor    = 1.2                    // heartbeat intervals after the start, by which all servers have called
+	watchInterval = 250 * time.Millisecond // between two rounds of watch
+	flushRounds   = 4                      // rounds of watch between two flushes of instances to the disk
+	// orphanTimeout is how long an accepted change may be pending before this node completes it itself, because its
+	// proposer must have failed.
+	orphanTimeout = 200 * time.Millisecond
+	// orphanRankDelay is added to orphanTimeout for each voter that precedes this one, so that the voters do not all
+	// complete the change at the same time.
+	orphanRankDelay = 75 * time.Millisecond
+	warmUpFactor    = 1.2 // heartbeat intervals after the start within which all servers have called
 )
 
-// watcher is the state of watch from one round to the next.
+// watcher is the state that watch keeps between its rounds.
 type watcher struct {
 	*Node
-	term      uint64    // of the majority lease
-	termStart time.Time // when watch saw it begin
+	term      uint64    // term of the majority lease in the last round
+	termStart time.Time // time of the round in which watch first saw this term
 	lag       catchup.Lag
 }
 
-// watch does the periodic work until the context ends; what it starts runs in wg.
+// watch does the periodic work until the context ends. The goroutines that it starts run in wg.
 func (n *Node) watch(ctx context.Context, wg *sync.WaitGroup) {
 	w := &watcher{Node: n, termStart: n.started}
 	ticker := time.NewTicker(watchInterval)
@@ -51,7 +55,7 @@
 	}
 }
 
-// round is one round of the periodic work.
+// round does one round of the periodic work.
 func (w *watcher) round(ctx context.Context, wg *sync.WaitGroup) {
 	now := time.Now()
 	w.ping()
@@ -61,23 +65,24 @@
 		w.store.NotifySubscribers()
 	}
 	if term != w.term {
-		// Contact was lost, whether it was seen or not, and is back: what was counted before is no evidence.
+		// Contact was lost and is restored, even if no round saw the loss. Ingress counts and missing heartbeats
+		// from before are no evidence, because messages may have been lost meanwhile.
 		w.term, w.termStart = term, now
 		w.ingresses.BeginTerm()
 		w.instances.QuorumLost()
 	}
 	w.detectSilent(held)
-	w.countIngresses(now, held)
+	w.publishIngressCount(now, held)
 	w.counters.update(w.internalAddrs(reachable), term, held)
 	if held && (w.confirmedTerm.Load() != term || w.hasOrphan(now)) {
 		w.proposals.RequestConfirmation()
 	}
-	w.fetcher.Sweep()
+	w.fetcher.StartBackgroundFetch()
 	w.updateLag(now)
 	w.electorate.Maintain(ctx, wg)
 }
 
-// detectSilent has the registry look for instances without heartbeats.
+// detectSilent makes the registry detect instances without heartbeats, and logs changed phases.
 func (w *watcher) detectSilent(held bool) {
 	changed := w.instances.DetectSilent(held || mutants.On("control/judges-alone"))
 	if len(changed) > 0 {
@@ -86,8 +91,8 @@
 	}
 }
 
-// countIngresses publishes the number of ingresses and their ranks.
-func (w *watcher) countIngresses(now time.Time, held bool) {
+// publishIngressCount counts the ingresses, publishes their number while contact is held, and updates their ranks.
+func (w *watcher) publishIngressCount(now time.Time, held bool) {
 	count := w.ingresses.Count(now, w.termStart)
 	if held && w.ingresses.Publish(count) {
 		level.Info(w.log).Log("msg", "ingress count changed", "count", count)
@@ -98,7 +103,8 @@
 	w.ingresses.UpdateRanks()
 }
 
-// updateLag notes whether another node has had a newer snapshot for a while.
+// updateLag records whether another node has had a newer snapshot for more than catchup.MaxLag, and notifies
+// subscribers when that changes.
 func (w *watcher) updateLag(now time.Time) {
 	epoch := w.replica.Epoch()
 	lagging := w.lag.Update(now, epoch, w.peers)
@@ -110,7 +116,7 @@
 	}
 }
 
-// notifyWatch has watch do a round now. It does not block.
+// notifyWatch makes watch start its next round at once. It does not block.
 func (n *Node) notifyWatch() {
 	select {
 	case n.wakeWatch <- struct{}{}:
@@ -118,7 +124,7 @@
 	}
 }
 
-// ping asks the voters for an answer, which extends the majority lease.
+// ping calls all connected voters. Their answers extend the majority lease.
 func (n *Node) ping() {
 	voters, _ := n.replica.Voters()
 	for _, voter := range voters {
@@ -128,8 +134,8 @@
 	}
 }
 
-// pingVoter pings one voter. If contact is back with its answer, watch is notified; at other answers it is not,
-// for its next round pings again.
+// pingVoter pings one voter. It notifies watch only if the answer restores contact with a majority, because each round
+// of watch pings again.
 func (n *Node) pingVoter(voter string) {
 	answer := n.peers.Call(voter, majority.TTL, &transport.Frame{Ping: &transport.Ping{}})
 	if answer != nil && !n.lastInContact.Load() && n.majority.Held() {
@@ -137,7 +143,7 @@
 	}
 }
 
-// internalAddrs returns the internal addresses of control nodes.
+// internalAddrs returns the internal addresses of the nodes with the given control addresses.
 func (n *Node) internalAddrs(controlAddrs []string) []string {
 	addrs := make([]string, len(controlAddrs))
 	for i, addr := range controlAddrs {
@@ -146,7 +152,7 @@
 	return addrs
 }
 
-// hasOrphan tells whether a change that was accepted here has been pending for so long that its proposer must
+// hasOrphan reports whether a change that this node has accepted has been pending for so long that its proposer must
 // have failed.
 func (n *Node) hasOrphan(now time.Time) bool {
 	voters, _ := n.replica.Voters()
@@ -154,7 +160,7 @@
 	return n.replica.PendingFor(now) > orphanTimeout+rank*orphanRankDelay
 }
 
-// ingressCount is how many ingresses hold a lease; 0: unknown, as without contact.
+// ingressCount returns the number of ingresses that hold a lease, or 0 if it is unknown, as it is without contact.
 func (n *Node) ingressCount() int {
 	if !n.majority.Held() {
 		return 0
@@ -162,7 +168,8 @@
 	return int(n.ingresses.Published())
 }
 
-// zoneRank is the position of an ingress in its zone; 0 peers: unknown, as without contact.
+// zoneRank returns the rank of an ingress among those in its zone, and their number. The number is 0 if the rank is
+// unknown, as it is without contact.
 func (n *Node) zoneRank(node string) (rank, peers int) {
 	if !n.majority.Held() {
 		return 0, 0
@@ -170,8 +177,9 @@
 	return n.ingresses.Rank(node)
 }
 
-// ready tells whether an agent may serve with what it gets here: the configuration is as new as any that was
-// acknowledged when this term of contact began, and servers have had the time to call.
+// ready reports whether an agent may serve with the state that this node streams: the configuration includes all
+// changes that were acknowledged before this term of the majority lease began, it does not lag behind that of another
+// node, and the servers are known.
 func (n *Node) ready() bool {
 	term, held := n.majority.Current()
 	if mutants.On("control/ready-alone") {
@@ -186,7 +194,7 @@
 	return n.store.Snapshot().Len() > 0 && n.serversKnown()
 }
 
-// serversKnown tells whether the servers were known from the start, or have all had the time to call.
+// serversKnown reports whether the servers were known from the start, or have all had time to send a heartbeat.
 func (n *Node) serversKnown() bool {
 	return n.warm.Load() || n.uptime() > warmUpFactor*n.settings.HeartbeatInterval
 }
--- a/internal/control/wiring.go
+++ b/internal/control/wiring.go
@@ -128,7 +128,7 @@
 	n.api = httpapi.New(options)
 }
 
-// mergeUpdate merges what a peer sends beside items.
+// mergeUpdate merges the instances and heartbeats in an update of a peer.
 func (n *Node) mergeUpdate(update *transport.Update) {
 	n.instances.Merge(update.Instances)
 	n.instances.MergeRemoteHeartbeats(update.Heartbeats)
@@ -137,7 +137,8 @@
 	}
 }
 
-// fetchInventory asks a peer for the electorate and the departing instances on its disk, and stores these here too.
+// fetchInventory requests the electorate and the departing instances on a peer's disk, and stores these instances on
+// this node's disk too.
 func (n *Node) fetchInventory(p *peers.Peer) *transport.CatchUpChunk {
 	return n.fetcher.FetchInventory(p, func(page []registry.Instance) {
 		n.instances.Merge(page)
