--- a/internal/decision/conformance/estimator_test.go
+++ b/internal/decision/conformance/estimator_test.go
@@ -5,26 +5,26 @@
 func TestEstimator(t *testing.T) {
 	var estimator Estimator
 	if estimator.Conforming(false) != 1 || estimator.Conforming(true) != 1 {
-		t.Error("knows something before anything was observed")
+		t.Error("not all requests conform before any observation")
 	}
 	estimator.Observe(true, 0)
 	if got := estimator.Conforming(true); got != 0.5 {
-		t.Errorf("one answer against the prior: %v", got)
+		t.Errorf("after one observation against the prior: %v", got)
 	}
-	for range 10 { // at one answer in two seconds: what is learned within the first rush
+	for range 10 { // 20 s of observations, one in two seconds
 		estimator.Observe(true, 0.2)
 		estimator.Observe(false, 0.9)
 	}
 	if got := estimator.Conforming(true); got < 0.2 || got > 0.35 {
-		t.Errorf("repeats: %v", got)
+		t.Errorf("retries: %v", got)
 	}
 	if got := estimator.Conforming(false); got < 0.9 || got > 0.95 {
-		t.Errorf("first tries: %v", got)
+		t.Errorf("first requests: %v", got)
 	}
 	for range 40 {
 		estimator.Observe(true, 1)
 	}
 	if got := estimator.Conforming(true); got < 0.8 {
-		t.Errorf("still %v after forty that conformed", got)
+		t.Errorf("still %v after forty conforming requests", got)
 	}
 }
--- a/internal/decision/conformance/value_distribution.go
+++ b/internal/decision/conformance/value_distribution.go
@@ -1,19 +1,19 @@
 package conformance
 
 const (
-	retention = 0.97 // weight of earlier demand at each further request: about the last thirty count
-	maxValues = 16   // that are kept apart; requests of further ones count in the total alone
+	retention = 0.97 // factor on earlier demand at each request: about the last thirty count
+	maxValues = 16   // distinct values; requests of further values count only in the total
 )
 
 // ValueDistribution is the recent demand of one customer, in units, by the value of its requests. The zero
-// value knows nothing.
+// value is an empty distribution.
 type ValueDistribution struct {
 	values []float64
 	demand []float64 // units, by the index of values
 	total  float64   // units
 }
 
-// Observe adds a request of a value and its units.
+// Observe adds a request with its value and units.
 func (vd *ValueDistribution) Observe(value, units float64) {
 	index := -1
 	for i := range vd.demand {
@@ -33,7 +33,7 @@
 	}
 }
 
-// ShareAbove is the share of the recent demand, 0 to 1, whose value is higher.
+// ShareAbove returns the share of the recent demand, 0 to 1, with a value above the given one.
 func (vd *ValueDistribution) ShareAbove(value float64) (share float64) {
 	for i, v := range vd.values {
 		if v > value && vd.total > 0 {
--- a/internal/decision/conformance/value_distribution_test.go
+++ b/internal/decision/conformance/value_distribution_test.go
@@ -9,7 +9,7 @@
 func TestValueDistribution(t *testing.T) {
 	var distribution ValueDistribution
 	if distribution.ShareAbove(1) != 0 {
-		t.Error("knows something before anything was asked")
+		t.Error("the empty distribution has a share above a value")
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	sum, n := 0.0, 0.0
@@ -20,22 +20,22 @@
 			distribution.Observe(3, 1)
 		}
 		if distribution.ShareAbove(5) != 0 {
-			t.Fatal("something is more valuable than the most valuable")
+			t.Fatal("share above the highest value is not 0")
 		}
 		if i > 200 {
 			sum, n = sum+distribution.ShareAbove(3), n+1
 		}
 	}
 	if got := sum / n; math.Abs(got-2.0/3) > 0.03 {
-		t.Errorf("%.2f is more valuable, want two thirds", got)
+		t.Errorf("share above 3 is %.2f, want two thirds", got)
 	}
 	for range 150 {
 		distribution.Observe(3, 1)
 	}
 	if distribution.ShareAbove(3) > 0.05 {
-		t.Errorf("%.2f is still more valuable", distribution.ShareAbove(3))
+		t.Errorf("share above 3 is still %.2f", distribution.ShareAbove(3))
 	}
-	for i := range 10_000 { // odd values do not grow it
+	for i := range 10_000 { // many distinct values must not make it grow
 		distribution.Observe(float64(i), 1)
 	}
 	if len(distribution.values) > maxValues || distribution.ShareAbove(0) > 1 {
--- a/internal/decision/ratelimit/split_test.go
+++ b/internal/decision/ratelimit/split_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// limitedFleet simulates a customer's requests over the gateways of a split and returns what was let through,
-// and how far the bucket that the rule is about came down at most: below minus the slack is a broken rule.
+// limitedFleet simulates a customer's requests through the gateways of a split. It records the units that
+// were forwarded and the lowest level of a reference bucket for the whole limit. A level below minus the
+// slack means that the limit was exceeded.
 type limitedFleet struct {
 	split                  Split
 	tokens, refilledAt     []float64
@@ -29,8 +30,8 @@
 	}
 }
 
-// admit has a request of some units come to a gateway; the answer of the counter and the send come late.
-func (f *limitedFleet) admit(now float64, gateway int, units, late float64) {
+// admit simulates a request that arrives at a gateway. If it needs the shared part, it is sent after a delay.
+func (f *limitedFleet) admit(now float64, gateway int, units, delay float64) {
 	f.tokens[gateway] = f.split.OwnTokens(f.tokens[gateway], now-f.refilledAt[gateway], 1)
 	f.refilledAt[gateway] = now
 	if f.tokens[gateway] >= units {
@@ -45,35 +46,35 @@
 	if f.counter[name] += units; f.counter[name] > available {
 		return
 	}
-	f.send(now+late, units)
+	f.send(now+delay, units)
 }
 
-// send may come out of order by less than Late: the bucket is kept by the later of the times, which only
-// lowers it.
+// send takes units from the reference bucket. Calls may be out of order by less than the delay. The bucket
+// uses the later of the times, which can only lower its level.
 func (f *limitedFleet) send(now, units float64) {
 	f.reference = min(f.split.Burst, f.reference+f.split.Rate*max(0, now-f.referenceAt)) - units
 	f.referenceAt = max(f.referenceAt, now)
 	f.lowest, f.sent = min(f.lowest, f.reference), f.sent+units
 }
 
-// Whatever comes through which gateway, and when the counter comes back empty, the rate limit holds, and is
-// not given away.
+// The rate limit holds for any distribution of the requests over the gateways and after the counter has
+// restarted empty, and most of it can be used.
 func TestLimitHoldsOverAllGateways(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		rate := 30 + 40*rng.Float64()
-		depth := rate * (1.1 + 1.4*rng.Float64())
+		burst := rate * (1.1 + 1.4*rng.Float64())
 		s := Split{
-			Rate: rate, Burst: depth, Slack: max(4, 0.1*depth), Gateways: math.Floor(depth / 8),
+			Rate: rate, Burst: burst, Slack: max(4, 0.1*burst), Gateways: math.Floor(burst / 8),
 			Counter: true,
 		}
 		f, gateway := newLimitedFleet(s), 0
 		for now := 0.0; now < 30; now += 0.2 * rng.Float64() * rng.Float64() / rate * 10 {
 			if rng.IntN(200) == 0 {
-				gateway = rng.IntN(int(s.Gateways)) // the busy gateway moves
+				gateway = rng.IntN(int(s.Gateways)) // another gateway becomes the busy one
 			}
 			if now > 10 && now < 10+maxSpan+1 {
-				clear(f.counter) // it is lost, and no call is answered meanwhile
+				clear(f.counter) // the counter is lost, and no call gets a reply meanwhile
 				s.Counter = false
 			} else {
 				s.Counter = true
@@ -91,23 +92,23 @@
 			f.admit(now, at, float64(1+rng.IntN(4)), rng.Float64()*GrantValidity)
 		}
 		if f.lowest < -s.Slack {
-			t.Errorf("seed %d: the bucket came down to %.1f, slack %.1f", seed, f.lowest, s.Slack)
+			t.Errorf("seed %d: the bucket fell to %.1f, slack %.1f", seed, f.lowest, s.Slack)
 		}
 		if f.sent < 0.7*rate*27 {
-			t.Errorf("seed %d: %.0f units let through of %.0f", seed, f.sent, rate*30)
+			t.Errorf("seed %d: %.0f of %.0f units forwarded", seed, f.sent, rate*30)
 		}
 	}
 }
 
-// A customer within its quota, nearly half of it through one of eight ingresses: by even parts alone a fifth
-// is rejected.
+// A customer is within its quota, but nearly half of its requests come through one of eight ingresses. With
+// evenly divided parts alone, a fifth of them are rejected.
 func TestBusyGatewayGetsWhatOthersLeave(t *testing.T) {
 	refused := map[bool]float64{}
 	for _, counter := range []bool{true, false} {
 		rng := rand.New(rand.NewPCG(1, 1))
 		f := newLimitedFleet(Split{Rate: 40, Burst: 60, Slack: 6, Gateways: 8, Counter: counter})
 		asked := 0.0
-		for now := 5.0; now < 65; now += rng.ExpFloat64() / 9 { // 22.5 units a second
+		for now := 5.0; now < 65; now += rng.ExpFloat64() / 9 { // 22.5 units per second
 			gateway := rng.IntN(8)
 			if rng.IntN(5) < 2 {
 				gateway = 0
--- a/internal/decision/retry/budget.go
+++ b/internal/decision/retry/budget.go
@@ -3,36 +3,37 @@
 import "math"
 
 const (
-	defaultShare      = 0.1 // tokens for a first attempt
-	defaultMaxTokens  = 8
-	initialTokens     = 4   // a single failure is no storm
-	healthWindow      = 2.0 // s, the time constant of a group's recent attempts
-	failingShare      = 0.5 // of the recent attempts: with more failures, the group as a whole fails
-	minRecentAttempts = 8.0 // fewer tell nothing of a group
+	defaultShare      = 0.1 // tokens added per first attempt
+	defaultMaxTokens  = 8   // tokens, which bounds a burst of retries
+	initialTokens     = 4   // tokens, so that the first failures after a start can be retried
+	healthWindow      = 2.0 // s, time constant of the weight of a group's recent attempts
+	failingShare      = 0.5 // share of failures among recent attempts from which the group as a whole fails
+	minRecentAttempts = 8.0 // weighted attempts; with fewer, a group never counts as failing
 )
 
-// Budget is the retry budget of one gateway for one group of servers. New and Divided make it.
+// Budget is the retry budget of one gateway for one group of servers. New and Divided create one.
 type Budget struct {
 	tokens    float64 // retries that may be made now
-	share     float64 // tokens for a first attempt
-	maxTokens float64
-	// slack is how many retries all gateways together may make beyond the share. 0: the budget is not divided
-	// among them, and a retry of what was rejected costs nothing while the group is healthy.
+	share     float64 // tokens added per first attempt
+	maxTokens float64 // most tokens that can be saved up
+	// slack is the number of retries that all gateways together may make beyond the share. 0: the budget is
+	// not divided among gateways, and a retry of a rejected attempt costs nothing while the group is
+	// healthy.
 	slack float64
 
-	attempts  float64 // recent ones, weighted by age
-	failures  float64 // of these
-	decayedAt float64 // when these were computed, in seconds
+	attempts  float64 // recent attempts, weighted by age
+	failures  float64 // recent attempts that failed, weighted by age
+	decayedAt float64 // time of the last decay of these weights, in seconds
 }
 
-// New returns a budget with some tokens.
+// New returns an undivided budget with initialTokens.
 func New() Budget {
 	return Budget{tokens: initialTokens, share: defaultShare, maxTokens: defaultMaxTokens}
 }
 
 // Divided returns the budget of one of several gateways that together may make the given share of retries,
-// and the slack beyond it in a window: each saves up its part of the slack. What a server rejected has
-// reached it, and its retry costs a token too.
+// and the slack beyond it in a window. Each gateway can save up its part of the slack. In a divided budget
+// a retry of a rejected attempt costs a token too, because the attempt has reached a server.
 func Divided(share, slack float64, gateways int) Budget {
 	b := Budget{share: share, slack: slack}
 	b.SetGateways(gateways)
@@ -40,7 +41,7 @@
 	return b
 }
 
-// SetGateways sets how many gateways share a divided budget from now on.
+// SetGateways changes the number of gateways that share a divided budget.
 func (b *Budget) SetGateways(n int) {
 	if b.slack <= 0 {
 		return
@@ -49,10 +50,10 @@
 	b.tokens = min(b.tokens, b.maxTokens)
 }
 
-// ObserveFirstAttempt saves up for a request's first attempt.
+// ObserveFirstAttempt adds the tokens of a request's first attempt.
 func (b *Budget) ObserveFirstAttempt() { b.tokens = min(b.maxTokens, b.tokens+b.share) }
 
-// ObserveOutcome learns how an attempt ended: served, or failed by the server. Now is in seconds.
+// ObserveOutcome records whether an attempt was served or failed. Now is in seconds.
 func (b *Budget) ObserveOutcome(now float64, served bool) {
 	b.decay(now)
 	b.attempts++
@@ -74,9 +75,9 @@
 	return b.attempts >= minRecentAttempts && b.failures >= failingShare*b.attempts
 }
 
-// Take reports whether a retry may be made, and takes a token if it costs one. ProvenNotExecuted: the last
-// attempt was certainly not executed. Queued: first attempts wait for a server; they go before retries of
-// what may have been executed. Now is in seconds.
+// Take reports whether a retry may be made, and takes a token if it costs one. ProvenNotExecuted means that
+// the last attempt was certainly not executed. Queued means that first attempts wait for a server: they
+// have precedence over retries of attempts that may have been executed. Now is in seconds.
 func (b *Budget) Take(now float64, provenNotExecuted, queued bool) bool {
 	if b.isFree(now, provenNotExecuted) {
 		return true
@@ -88,7 +89,7 @@
 	return true
 }
 
-// Allows reports whether Take would allow a retry, and takes nothing.
+// Allows reports whether Take would allow a retry, without taking a token.
 func (b *Budget) Allows(now float64, provenNotExecuted, queued bool) bool {
 	return b.isFree(now, provenNotExecuted) || b.tokens >= 1 && (provenNotExecuted || !queued)
 }
@@ -97,5 +98,5 @@
 	return provenNotExecuted && !b.Failing(now) && b.slack == 0
 }
 
-// Tokens is how many retries that cost a token may be made now.
+// Tokens returns the number of tokens: the retries that may be made now if each costs one.
 func (b *Budget) Tokens() float64 { return b.tokens }
