--- a/internal/decision/quota_bucket.go
+++ b/internal/decision/quota_bucket.go
@@ -1,26 +1,27 @@
 package decision
 
-// reservedForValuable is the part of a bucket's capacity that is kept for requests more valuable than the one
-// that is decided.
+// reservedForValuable is the share of a bucket's capacity that is reserved for requests more valuable than
+// the current one. It is scaled by their share of the customer's demand.
 const reservedForValuable = 0.2
 
-// tokenBucket holds this gateway's slice of a customer's quota and what is saved up of it.
+// tokenBucket holds this gateway's slice of a customer's quota and the tokens saved up from it.
 type tokenBucket struct {
-	slice      float64 // units a second that this gateway may grant
-	tokens     float64 // units; below 0 where requests turned out larger than guessed
+	slice      float64 // units per second that this gateway may admit
+	tokens     float64 // units; below 0 if requests were larger than estimated
 	capacity   float64 // units
 	refilledAt Seconds
 }
 
-// refill adds what has come in at a rate, in units a second, since the last refill.
+// refill adds the tokens since the last refill at a rate, in units per second, and limits them to a capacity.
 func (tb *tokenBucket) refill(now Seconds, rate, capacity float64) {
 	tb.capacity = capacity
 	tb.tokens = min(tb.capacity, tb.tokens+rate*(now-tb.refilledAt))
 	tb.refilledAt = now
 }
 
-// refill brings the local bucket up to now. It holds the slice's share of the burst; that of a sparse
-// customer its share of the demand, the even one while nothing is known of it, and one request at least.
+// refill updates the local bucket to the present time. Its capacity is the slice's share of the burst. For
+// a sparse customer it is this gateway's share of the demand, or the even share as long as the demand is
+// unknown, and at least one request.
 func (g *Gateway) refill(c *customer) {
 	rate := g.effectiveSlice(c)
 	capacity := max(g.minCapacity(c), c.plan.Burst*min(1, g.sliceOfBurst(c)/c.quota))
@@ -31,8 +32,8 @@
 	c.bucket.refill(g.now, g.processShare()*rate, g.capacityShare(capacity))
 }
 
-// takeTokens takes the tokens of a request from the local bucket, if it holds enough beside what is reserved
-// for more valuable requests. Of a full bucket the reserve costs nothing.
+// takeTokens takes the tokens of a request from the local bucket, if it holds enough in addition to the
+// reserve for more valuable requests. Of a full bucket the reserve costs nothing.
 func (g *Gateway) takeTokens(r *request) bool {
 	c := r.customer
 	g.refill(c)
--- a/internal/decision/quota_grants.go
+++ b/internal/decision/quota_grants.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// QuotaGrant is what this gateway has of a customer's quota, in units a second. It goes before the slice that
-// the gateway computes itself.
+// QuotaGrant is the part of a customer's quota that is granted to this gateway. It overrides the slice that
+// the gateway computes.
 //
-// Ingresses that know of each other divide the quotas of their customers among themselves while the counter
-// is not reliable (internal/standalone/fleet/quotashare). In the simulator gateways do not communicate, so
-// this file is no part of its policy.
+// Ingresses that know each other divide the quotas of their customers among themselves while the counter is
+// not reliable (internal/standalone/fleet/quotashare). Gateways do not communicate in the simulator, so
+// this file is not part of its policy.
 type QuotaGrant struct {
 	Customer string
-	Rate     float64 // units a second; of Scaled: the part of what the gateway computes itself
-	Less     float64 // of Scaled: units a second of that which are lent to others
-	Keep     float64 // units a second that it has in any case
+	Rate     float64 // units per second; if Scaled: a factor on the slice that the gateway computes
+	Lent     float64 // if Scaled: units per second of that slice that are lent to other gateways
+	Reserved float64 // units per second after the grant has expired; if Scaled, also the minimum before
 	Scaled   bool
 }
 
@@ -20,24 +20,24 @@
 type grant struct {
 	QuotaGrant
 	expiresAt          Seconds
-	appliedSlice       float64 // the slice as the grant set it
-	ownSlice           float64 // the slice as the gateway computed it
-	limitTransferredAt Seconds // when the rate limit was last brought up to now
+	appliedSlice       float64 // slice that the grant set, in units per second
+	ownSlice           float64 // slice that the gateway computed, in units per second
+	limitTransferredAt Seconds // time of the last transfer of rate limit tokens
 }
 
-// rateAt is what the grant allows at a time, in units a second.
+// rateAt returns the units per second that the grant allows at a time.
 func (gr *grant) rateAt(now Seconds) float64 {
 	switch {
 	case now > gr.expiresAt:
-		return gr.Keep
+		return gr.Reserved
 	case gr.Scaled:
-		return max(min(gr.Keep, gr.ownSlice), gr.ownSlice*gr.Rate-gr.Less)
+		return max(min(gr.Reserved, gr.ownSlice), gr.ownSlice*gr.Rate-gr.Lent)
 	}
 	return gr.Rate
 }
 
-// SetGrants sets what this gateway has of quotas, in place of all grants before. After the given time it has
-// of each what it keeps.
+// SetGrants replaces all quota grants of this gateway. After the given time, only the Reserved rate of each
+// grant is in force.
 func (g *Gateway) SetGrants(now Seconds, grants []QuotaGrant, until Seconds) {
 	g.now = now
 	previous := g.grants
@@ -66,19 +66,19 @@
 	g.ReapplyGrants(now)
 }
 
-// revokeGrant has a customer's slice be what the gateway computes itself.
+// revokeGrant restores the slice that the gateway computes, when a customer's grant is no longer listed.
 func (g *Gateway) revokeGrant(c *customer, h *grant) {
 	g.refill(c)
 	if h.Scaled && c.bucket.slice == h.appliedSlice {
 		c.bucket.slice = h.ownSlice
 	}
 	if c.sparse.active {
-		c.cycle.totalAt = math.Inf(-1) // the grant is no evidence of the other gateways
+		c.cycle.totalAt = math.Inf(-1) // the time was set by the grant and not by a total of all gateways
 		c.sparse.demandShare = 1 / c.gateways
 	}
 }
 
-// ReapplyGrants puts the grants into force again, after an event that may have changed slices.
+// ReapplyGrants applies the grants again after an event that may have changed slices.
 func (g *Gateway) ReapplyGrants(now Seconds) {
 	if len(g.grants) == 0 {
 		return
@@ -99,7 +99,7 @@
 	part := min(1, rate/c.quota)
 	switch {
 	case c.sparse.active && h.Scaled && g.now <= h.expiresAt:
-		return // each request is decided by the counter's totals
+		return // the counter's totals decide each request
 	case c.sparse.active:
 		g.refill(c)
 		c.sparse.demandShare = part
@@ -115,9 +115,10 @@
 	g.transferRateLimit(c, h, rate)
 }
 
-// minCapacity is what a bucket holds at least, however little of the quota is here: one request. Over all
-// gateways that is two bursts at most, or the customer is sparse. Where counters are pairs only a bucket with
-// a grant has it, as gateways that are partitioned would admit more than the tolerance of the quota's rule.
+// minCapacity returns the smallest capacity of a bucket, however small its slice is: one request. Over all
+// gateways that is at most two bursts, because otherwise the customer is sparse. With pair counters, only a
+// bucket with a grant has this minimum, because partitioned gateways would otherwise admit more than
+// QuotaTolerance.
 func (g *Gateway) minCapacity(c *customer) float64 {
 	switch {
 	case g.grants[c.key] != nil:
@@ -128,8 +129,8 @@
 	return min(c.plan.Burst, g.settings.MaxUnits)
 }
 
-// transferRateLimit has the parts of a hard rate limit follow those of the quota: what a gateway has beyond
-// the even part, another has less.
+// transferRateLimit adjusts this gateway's part of a hard rate limit to its part of the quota. A gateway
+// with more than the even share gains the rate limit tokens that another gateway loses.
 func (g *Gateway) transferRateLimit(c *customer, h *grant, rate float64) {
 	elapsed := max(0, g.now-h.limitTransferredAt)
 	h.limitTransferredAt = g.now
@@ -139,7 +140,7 @@
 	g.refillLimit(c)
 	split := c.plan.limitSplit(c.gateways, g.settings.HasCounter)
 	even := c.quota / c.gateways
-	capacity := split.OwnTokens(math.Inf(1), 0, 1) // of the even part
+	capacity := split.OwnTokens(math.Inf(1), 0, 1) // of the even share
 	excess := rate/even - 1
 	transferred := excess * elapsed * split.Rate * capacity / (split.Burst + split.Slack)
 	c.limit.tokens = min(capacity*rate/even, max(0, c.limit.tokens+transferred))
--- a/internal/decision/quota_grants_test.go
+++ b/internal/decision/quota_grants_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// grantedGateway drives one gateway for some seconds with requests of one customer, a hundred a second, and
-// counts what it forwards.
+// grantedGateway drives one gateway with a hundred requests per second of one customer, and counts the
+// requests that it forwards.
 type grantedGateway struct {
 	g    *Gateway
 	now  Seconds
@@ -62,8 +62,8 @@
 	return gg.sent / seconds
 }
 
-// A grant goes before what the gateway computes, until it expires; after that the gateway has what it
-// keeps. Released, it goes by its own again.
+// A grant overrides the slice that the gateway computes, until it expires. Then its Reserved rate is in
+// force. After the grant is removed, the gateway uses its own slice again.
 func TestQuotaGrants(t *testing.T) {
 	for _, p := range []Plan{
 		{Name: "p", Rate: 40, Burst: 4, ValueWeight: 1, ExcessCost: 1},
@@ -76,41 +76,43 @@
 		h := newGrantedGateway(p)
 		h.run(3)
 		for _, row := range []struct {
-			right QuotaGrant
-			lease Seconds
-			want  float64 // of the quota
+			grant    QuotaGrant
+			validity Seconds
+			want     float64 // share of the quota
 		}{
 			{QuotaGrant{}, 0, 0.25}, // no grant
-			{QuotaGrant{Customer: "m", Rate: 0.9 * p.Rate, Keep: p.Rate / 16}, 60, 0.9},
-			{QuotaGrant{Customer: "m", Rate: 0.05 * p.Rate, Keep: p.Rate / 16}, 60, 0.05},
-			{QuotaGrant{Customer: "m", Rate: 0.9 * p.Rate, Keep: p.Rate / 16}, -1, 1.0 / 16},
+			{QuotaGrant{Customer: "m", Rate: 0.9 * p.Rate, Reserved: p.Rate / 16}, 60, 0.9},
+			{QuotaGrant{Customer: "m", Rate: 0.05 * p.Rate, Reserved: p.Rate / 16}, 60, 0.05},
+			{QuotaGrant{Customer: "m", Rate: 0.9 * p.Rate, Reserved: p.Rate / 16}, -1, 1.0 / 16},
 			{
-				QuotaGrant{Customer: "m", Rate: 1, Less: 0.15 * p.Rate, Keep: p.Rate / 16, Scaled: true}, 60,
-				0.10,
+				QuotaGrant{
+					Customer: "m", Rate: 1, Lent: 0.15 * p.Rate, Reserved: p.Rate / 16, Scaled: true,
+				}, 60, 0.10,
 			},
 			{QuotaGrant{}, 0, 0.25},
 		} {
-			if row.right.Scaled && p.Rate < 10 {
-				continue // of a sparse one, each request goes by the totals
+			if row.grant.Scaled && p.Rate < 10 {
+				continue // for a sparse customer, the counter's totals decide each request
 			}
 			var all []QuotaGrant
-			if row.right.Customer != "" {
-				all = append(all, row.right)
+			if row.grant.Customer != "" {
+				all = append(all, row.grant)
 			}
-			h.g.SetGrants(h.now, all, h.now+row.lease)
-			h.run(3) // what the bucket holds, and the rate limit's
+			h.g.SetGrants(h.now, all, h.now+row.validity)
+			h.run(3) // uses up the saved tokens of the quota and the rate limit
 			got := h.run(40)
 			if want := row.want * p.Rate; math.Abs(got-want) > 0.12*want+0.03 {
 				t.Errorf(
-					"%+v, granted %+v for %v: %.2f a second, want %.2f", p, row.right, row.lease, got, want,
+					"%+v, granted %+v for %v: %.2f per second, want %.2f",
+					p, row.grant, row.validity, got, want,
 				)
 			}
 		}
 	}
 }
 
-// Others' word makes a server cost more, unless it has answered well here a moment ago; one that is not
-// listed stays so.
+// A suspicion of other gateways raises the cost of a server, unless the server has recently answered this
+// gateway successfully. A server that is not listed is ignored.
 func TestSuspects(t *testing.T) {
 	h := newGrantedGateway(Plan{Name: "p", Rate: 1000, Burst: 1000, ValueWeight: 1})
 	h.run(2)
@@ -126,10 +128,10 @@
 		t.Errorf("got %s, want %s", got, want)
 	}
 	if bad := fmt.Sprint(h.g.UnhealthyServers(h.now)); bad != "[]" {
-		t.Errorf("what others reported is reported as its own: %s", bad)
+		t.Errorf("suspicions of others are reported as own observations: %s", bad)
 	}
 	other.errorRate = 0.6
 	if bad := fmt.Sprint(h.g.UnhealthyServers(h.now)); bad != "[s2]" {
-		t.Errorf("bad by its own answers: %s", bad)
+		t.Errorf("unhealthy by own observations: %s", bad)
 	}
 }
--- a/internal/decision/rate_limits.go
+++ b/internal/decision/rate_limits.go
@@ -8,7 +8,7 @@
 	refilledAt Seconds
 }
 
-// refillLimit brings this gateway's own part of the hard rate limit up to now.
+// refillLimit updates this gateway's own part of the hard rate limit to the present time.
 func (g *Gateway) refillLimit(c *customer) {
 	if c.plan.LimitRate > 0 {
 		split := c.plan.limitSplit(c.gateways, g.settings.HasCounter)
@@ -18,7 +18,7 @@
 }
 
 // takeLimitTokens takes the tokens of a request from this gateway's own part of the rate limit, unless the
-// shared part has admitted it. It reports false where the limit rejects the request.
+// shared part has admitted it. It returns false if the limit rejects the request.
 func (g *Gateway) takeLimitTokens(r *request) bool {
 	if g.now <= r.sharedLimitUntil {
 		return true
@@ -32,8 +32,8 @@
 	return true
 }
 
-// requestSharedLimit asks the counter for the shared part of the rate limit, where a conforming request is
-// more than this gateway's own part admits. It reports whether the request now waits for the answer.
+// requestSharedLimit calls the counter for the shared part of the rate limit, if a conforming request needs
+// more tokens than this gateway's own part holds. It reports whether the request now waits for the reply.
 func (g *Gateway) requestSharedLimit(r *request) bool {
 	c := r.customer
 	g.refillLimit(c)
@@ -56,8 +56,8 @@
 	return true
 }
 
-// handleSharedLimitReply forwards a request that has waited for the shared part of the rate limit. Where the
-// reply does not admit it, takeLimitTokens decides.
+// handleSharedLimitReply dispatches a request that has waited for the shared part of the rate limit. If the
+// reply does not admit the request, takeLimitTokens decides.
 func (g *Gateway) handleSharedLimitReply(c *customer, q counterQuery, e CounterReply) {
 	if e.Outcome == Succeeded && e.Total <= q.spanCapacity && q.plan == c.plan {
 		q.request.sharedLimitUntil = g.now + ratelimit.GrantValidity
--- a/internal/decision/rate_limits_test.go
+++ b/internal/decision/rate_limits_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// limitedFleet is two to four gateways of one customer, with a counter, whose answers come late; or never,
-// while it is silent.
+// limitedFleet simulates two to four gateways of one customer and a counter whose replies are delayed, or
+// do not come while the counter is silent.
 type limitedFleet struct {
 	*testing.T
 	rng            *rand.Rand
@@ -19,17 +19,17 @@
 	maxReplyDelay  Seconds
 	replies        []delayedReply
 	now            Seconds
-	nextRequestAt  Seconds // when it asks next
+	nextRequestAt  Seconds // time of the customer's next request
 	id             uint64
 	sentUnits      map[string]float64 // units forwarded, by class
-	limitTokens    float64            // bucket of the hard rate limit, as a node that sees all would keep it
+	limitTokens    float64            // bucket of the hard rate limit over all gateways
 	minLimitTokens float64
 	requests       map[uint64]Request
-	largestUnits   float64         // units of the largest that was forwarded
-	reference      referenceBucket // what one gateway that sees all would forward
+	largestUnits   float64         // units of the largest request that was forwarded
+	reference      referenceBucket // requests that a single gateway would forward
 }
 
-// referenceBucket is one bucket that sees all.
+// referenceBucket is one token bucket for the requests at all gateways.
 type referenceBucket struct {
 	at           Seconds
 	tokens, sent float64
@@ -54,7 +54,7 @@
 		requests: map[uint64]Request{}, now: 100, limitTokens: p.LimitBurst,
 	}
 	c.settings = testSettings()
-	c.settings.Classes[1].Value = 5.0 / 3 // keyed; the safe one is value 1
+	c.settings.Classes[1].Value = 5.0 / 3 // class "keyed"; class "safe" has the value 1
 	c.settings.Gateways = gatewayCount
 	c.settings.MaxUnits = 6
 	c.settings.CounterTimeout = 0.08
@@ -66,7 +66,7 @@
 	return c
 }
 
-// start starts a gateway; one that runs is killed before.
+// start starts a gateway, in place of the running one, whose state is lost.
 func (f *limitedFleet) start(i int) {
 	s := f.settings
 	s.Index = i
@@ -105,7 +105,7 @@
 	}
 }
 
-// reply is the counter's reply to a gateway's call, after a delay, or a timeout.
+// reply returns the counter's delayed reply to a gateway's call, or a timeout.
 func (f *limitedFleet) reply(gateway int, call CounterCall) delayedReply {
 	if f.counterSilent {
 		timedOut := CounterReply{Name: call.Name, Outcome: TimedOut}
@@ -114,7 +114,7 @@
 	return delayedReply{f.now + f.maxReplyDelay*f.rng.Float64(), gateway, f.counter.add(call)}
 }
 
-// totalUnits is what was forwarded, in units.
+// totalUnits returns the units that were forwarded.
 func (f *limitedFleet) totalUnits() (sum float64) {
 	for _, units := range f.sentUnits {
 		sum += units
@@ -122,7 +122,7 @@
 	return sum
 }
 
-// settledUnits is what a request of a guessed size turns out to count: the same on average.
+// settledUnits returns the actual units of a request, which are equal to the estimate on average.
 func (f *limitedFleet) settledUnits(guess float64) float64 {
 	if guess == 1 || guess == f.settings.MaxUnits {
 		return guess
@@ -130,8 +130,8 @@
 	return guess + float64(f.rng.IntN(3)-1)
 }
 
-// run has the customer ask so many units a second for a while: the given share of it through the first
-// gateway, the rest evenly.
+// run simulates a span with a demand in units per second. The given share of the requests comes through the
+// first gateway, the rest evenly through all.
 func (f *limitedFleet) run(span Seconds, units, firstShare float64) {
 	p := f.settings.Plans[0]
 	for until := f.now + span; f.now < until; {
@@ -158,8 +158,8 @@
 	}
 }
 
-// request has the customer send one request: with the given probability through the first gateway, else
-// through any.
+// request simulates one request, which comes through the first gateway with the given probability, else
+// through a random one.
 func (f *limitedFleet) request(p Plan, firstShare float64) {
 	i := f.rng.IntN(len(f.gateways))
 	if f.rng.Float64() < firstShare {
@@ -180,9 +180,10 @@
 	f.perform(i, f.gateways[i].Handle(f.now, r))
 }
 
-// A hard rate limit holds over all gateways while the customer asks up to eight times its quota, mostly
-// through one of them, the counter is silent for 14 s or slow, units are guesses, and gateways are killed and
-// start anew; though a plan from which nothing is forwarded over quota does not start from nothing.
+// A hard rate limit must hold over all gateways while the demand is up to eight times the quota, mostly
+// through one of them, the counter is slow or silent for 14 s, units are estimates, and gateways are killed
+// and restart. The plan forwards nothing over quota, so its restarted gateways start with a part of the
+// limit's tokens.
 func TestRateLimitHoldsOverRestarts(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -206,14 +207,14 @@
 			case 3:
 				c.start(0)
 				c.run(0.5, 8*p.Rate, 1)
-				c.start(0) // once more at once
+				c.start(0) // a second restart right after the first one
 			}
 		}
 		c.counterSilent = true
 		c.run(14, 8*p.Rate, 0.5)
 		if c.minLimitTokens < -p.LimitSlack {
 			t.Errorf(
-				"seed %d: %d gateways: the bucket of the rate limit came down to %.1f, slack %.1f",
+				"seed %d: %d gateways: the bucket of the rate limit fell to %.1f, slack %.1f",
 				seed, gatewayCount,
 				c.minLimitTokens, p.LimitSlack,
 			)
@@ -221,8 +222,8 @@
 	}
 }
 
-// At the start nobody is rejected for a rate limit that no gateway has used yet: what is within the quota's
-// burst runs in the first second.
+// At the start no request may be rejected by a rate limit that no gateway has used yet: requests within the
+// quota's burst are forwarded in the first second.
 func TestBurstIsAdmittedAtTheStart(t *testing.T) {
 	p := Plan{
 		Name: "multi", Rate: 5, Burst: 24, ValueWeight: 1.2, ExcessCost: 0.8, LimitRate: 10, LimitBurst: 48,
@@ -239,8 +240,8 @@
 	}
 }
 
-// A bucket of small customers holds one request, be it larger than the even part of the burst: none is always
-// rejected.
+// The bucket of a small customer holds at least one request, even one larger than the even share of the
+// burst, so no request is rejected every time.
 func TestLargestRequestIsNotRejectedForEver(t *testing.T) {
 	p := Plan{Name: "small", Rate: 1.6, Burst: 12, ValueWeight: 1, ExcessCost: 1.2}
 	for gatewayCount := 2; gatewayCount <= 4; gatewayCount++ {
@@ -250,12 +251,12 @@
 		sent := c.totalUnits()
 		c.run(400, 1, 0.3)
 		if c.largestUnits < 6 {
-			t.Errorf("%d gateways: none larger than %v units", gatewayCount, c.largestUnits)
+			t.Errorf("%d gateways: no request larger than %v units forwarded", gatewayCount, c.largestUnits)
 		}
 		inside := (c.totalUnits() - sent) / 400
 		if inside < 0.55 {
 			t.Errorf(
-				"%d gateways: %.2f units a second of 1 forwarded, within a quota of 1.6",
+				"%d gateways: %.2f of 1 unit per second forwarded, with a quota of 1.6",
 				gatewayCount, inside,
 			)
 		}
@@ -263,14 +264,14 @@
 		sent = c.totalUnits()
 		if c.run(400, 6, 0.3); (c.totalUnits()-sent)/400 > 1.06*p.Rate {
 			t.Errorf(
-				"%d gateways: %.2f units a second of a quota of 1.6", gatewayCount, (c.totalUnits()-sent)/400,
+				"%d gateways: %.2f units per second, quota 1.6", gatewayCount, (c.totalUnits()-sent)/400,
 			)
 		}
 	}
 }
 
-// A customer that asks for more than its quota has more of its valuable requests admitted than of the others;
-// one that does not, all of both.
+// If a customer's demand exceeds its quota, more of its valuable requests are admitted than of the others.
+// If it does not, all requests of both classes are admitted.
 func TestMoreValuableRequestsFirst(t *testing.T) {
 	p := Plan{Name: "multi", Rate: 5, Burst: 24, ValueWeight: 1, ExcessCost: 1}
 	for _, tc := range []struct{ units, minRatio, maxRatio float64 }{{15, 1.3, 2}, {2, 0.9, 1.1}} {
@@ -280,49 +281,51 @@
 		clear(c.sentUnits)
 		c.run(2000, tc.units, 0.2)
 		if ratio := c.sentUnits["keyed"] / c.sentUnits["safe"]; ratio < tc.minRatio || ratio > tc.maxRatio {
-			t.Errorf("%v units a second: %.2f times as much of the dearer", tc.units, ratio)
+			t.Errorf("%v units per second: %.2f times as much of the more valuable class", tc.units, ratio)
 		}
 	}
 }
 
-// Stores are overbooked, what comes into them is not: over any span, what runs is within the quota and one
-// and a half bursts, wherever it is asked; and in the long run near the quota.
+// The capacities of buckets are overbooked, but their refill rates are not. In a short span, the forwarded
+// units must be within the quota and one and a half bursts, for any distribution over the gateways. Over a
+// long time they must be close to the quota.
 func TestOverbookedBucketsKeepTheRate(t *testing.T) {
 	p := Plan{Name: "b", Rate: 6, Burst: 30, ValueWeight: 1, ExcessCost: 1}
 	for seed := range uint64(20) {
 		c := newLimitedFleet(t, seed, 2+int(seed%3), p)
 		c.maxReplyDelay = 0.01
 		c.run(40, 1, 0.3) // buckets fill up
-		calm := c.totalUnits()
+		beforeBurst := c.totalUnits()
 		c.run(2, 120, c.rng.Float64())
-		// Settled units are not the guessed ones.
-		if burst := c.totalUnits() - calm; burst > 1.5*p.Burst+2*p.Rate+12 {
+		// The bound allows for settled units that differ from the estimates.
+		if burst := c.totalUnits() - beforeBurst; burst > 1.5*p.Burst+2*p.Rate+12 {
 			t.Errorf("seed %d: %.0f units in 2 s of a quota of 6 with a burst of 30", seed, burst)
 		}
 		c.run(20, 30, 0.5)
 		before := c.totalUnits()
 		c.run(300, 30, 0.5)
-		// A gateway that is asked nothing in a cycle, by chance, keeps its even part.
+		// A gateway that by chance gets no request in a cycle keeps its even share, so the sum may exceed
+		// the quota.
 		if share := (c.totalUnits() - before) / (300 * p.Rate); share < 0.95 || share > 1.15 {
 			t.Errorf("seed %d: %.2f of the quota forwarded", seed, share)
 		}
 	}
 }
 
-// warmingFleet is a few gateways with nine warm servers and one that warms up, which each learns of at a time
-// of its own.
+// warmingFleet simulates a few gateways with nine warm servers and one in slow start, which each gateway
+// learns of at a different time.
 type warmingFleet struct {
 	rng       *rand.Rand
 	gateways  []*Gateway
-	learnsAt  []Seconds // when each gateway learns of the warming server; 0: it has
+	learnsAt  []Seconds // by gateway: time at which it learns of the warming server; 0: it knows it
 	warm      []Backend
-	inFlight  int       // at the warming server
-	sentAt    []Seconds // to the warming server
+	inFlight  int       // attempts in flight at the warming server
+	sentAt    []Seconds // times of the attempts at the warming server
 	endings   []warmingAttempt
 	requestID uint64
 }
 
-// warmingAttempt is an attempt that will end.
+// warmingAttempt is the future end of an attempt that is in flight.
 type warmingAttempt struct {
 	at      Seconds
 	gateway *Gateway
@@ -332,13 +335,13 @@
 const (
 	warmingServer    = "cold"
 	warmServers      = 9
-	warmServerRate   = 7.0  // requests a second that a warm server can do
-	warmServerUse    = 0.95 // of it that is asked
+	warmServerRate   = 7.0  // requests per second that a warm server can serve
+	warmServerUse    = 0.95 // demand as a share of the warm servers' capacity
 	warmingStartedAt = 5.0  // s
-	warmingShare     = 0.18 // of its capacity that the server begins with
-	warmingTime      = 17.0 // s
-	overloadFactor   = 3.0
-	overloadFor      = 1.5 // s
+	warmingShare     = 0.18 // share of its capacity with which the server starts
+	warmingTime      = 17.0 // s, duration of slow start
+	overloadFactor   = 3.0  // multiple of its present capacity that overloads the server
+	overloadFor      = 1.5  // s for which the server withstands that load
 )
 
 func newWarmingFleet(seed uint64, gateways int) *warmingFleet {
@@ -410,9 +413,9 @@
 	}
 }
 
-// A server that has just started is not overloaded by all gateways together, though each learns of it at
-// another time and servers are nearly full: in no 1.5 s is it sent three times what it can do then, at 0.18
-// of its capacity and warm after 17 s; and it is used.
+// All gateways together must not overload a server that has just started, although each learns of it at a
+// different time and all servers are nearly at capacity. It starts with 0.18 of its capacity and is warm
+// after 17 s. In no 1.5 s may it get three times the requests that it can serve then, but it must be used.
 func TestWarmingServerIsNotOverloadedByAFewGateways(t *testing.T) {
 	for seed := range uint64(12) {
 		gateways := 2 + int(seed%3)
@@ -420,17 +423,17 @@
 		f.run(24)
 		for i, at := range f.sentAt {
 			warmth := min(1, (at-warmingStartedAt)/warmingTime)
-			can := warmServerRate * (warmingShare + (1-warmingShare)*warmth)
+			serverRate := warmServerRate * (warmingShare + (1-warmingShare)*warmth)
 			n := 0
 			for _, later := range f.sentAt[i:] {
 				if later <= at+overloadFor {
 					n++
 				}
 			}
-			if float64(n) > overloadFactor*can*overloadFor {
+			if float64(n) > overloadFactor*serverRate*overloadFor {
 				t.Fatalf(
-					"seed %d: %d gateways sent %d in %v s from %.1f s on; it can do %.1f",
-					seed, gateways, n, overloadFor, at, can*overloadFor,
+					"seed %d: %d gateways sent %d in %v s from %.1f s on; it can serve %.1f",
+					seed, gateways, n, overloadFor, at, serverRate*overloadFor,
 				)
 			}
 		}
@@ -440,9 +443,10 @@
 	}
 }
 
-// The smallest quotas of the second user, 1.2 units a second where a request counts 1 to 6, against one
-// bucket that sees all, over 1,000 s in which the busy gateway's part changes every 10 s: a customer within
-// its quota gets most of what that would let through, one that asks more gets the quota, and never much more.
+// Compares the smallest quotas of the second user, 1.2 units per second with requests of 1 to 6 units, with
+// one bucket for all gateways, over 1,000 s in which the busy gateway's share changes every 10 s. A
+// customer within its quota must get most of the units that the one bucket admits. One with a higher demand
+// must get its quota, and never much more.
 func TestTinyQuotasAgainstOneBucket(t *testing.T) {
 	for _, tc := range []struct{ demand, minRatio, maxRatio float64 }{
 		{0.3, 0.72, 1.1},
@@ -457,14 +461,14 @@
 				c := newLimitedFleet(t, seed, gatewayCount, p)
 				c.maxReplyDelay = 0.02
 				for range 100 {
-					// The busy one is asked another part of it each time.
+					// The share of the busy gateway changes each time.
 					c.run(10, tc.demand*p.Rate, c.rng.Float64())
 				}
 				sent, oneBucket = sent+c.totalUnits(), oneBucket+c.reference.sent
 			}
 			if sent < tc.minRatio*oneBucket || sent > tc.maxRatio*oneBucket {
 				t.Errorf(
-					"asked %.1f of the quota through %d: %.2f of what one bucket admits",
+					"demand of %.1f quotas at %d gateways: %.2f of the units that one bucket admits",
 					tc.demand, gatewayCount,
 					sent/oneBucket,
 				)
@@ -478,7 +482,7 @@
 		t, testSettings(), servingBackend("x"), servingBackend("y"), servingBackend("z"),
 	)
 	if len(actionsOf[Send](g.Handle(0, testRequest(1, "safe", "limited")))) != 0 {
-		t.Error("a gateway just started spent of a rate limit it cannot know")
+		t.Error("a new gateway used a rate limit that the process before it may have used up")
 	}
 	units, id := 0.0, uint64(10)
 	for now := 0.0; now < 6; now += 0.01 {
@@ -492,11 +496,12 @@
 		}
 	}
 	if units == 0 || units > 10*6+1 {
-		t.Errorf("%v units in 6 s, half of the rate limit is 60", units)
+		t.Errorf("%v units in 6 s, this gateway's half of the rate limit is 60", units)
 	}
 }
 
-// A gateway with nothing left of its own part asks for the common one, and goes by the answer.
+// A gateway that has used up its own part of a rate limit requests tokens of the shared part, and the reply
+// decides.
 func TestSharedPartOfARateLimitIsRequested(t *testing.T) {
 	for _, tc := range []struct {
 		reply CounterReply
@@ -521,11 +526,12 @@
 	}
 }
 
-// 35% were rejected within 5 s though there was capacity (zdar-later).
-func TestRateLimitOfALateCustomerHasFilled(t *testing.T) {
+// Guards against an empty rate limit bucket for a customer whose first request comes long after the start:
+// 35% of the requests were rejected within 5 s although there was capacity (zdar-later).
+func TestRateLimitOfANewCustomerHasRefilled(t *testing.T) {
 	g := startedGateway(t, testSettings(), servingBackend("x"))
 	r := testRequest(1, "safe", "limited")
 	if len(actionsOf[Send](g.Handle(30, r))) != 1 {
-		t.Error("rejected, though this gateway has spent nothing for 30 s")
+		t.Error("rejected, although this gateway has admitted nothing for 30 s")
 	}
 }
--- a/internal/decision/reconfigure.go
+++ b/internal/decision/reconfigure.go
@@ -1,9 +1,9 @@
 package decision
 
-// Reconfigure puts other classes and another number of attempts into force, as an operator's SIGHUP brings
-// them. Each pending request keeps the class it began with. Later requests of a class that was removed are
-// decided as those of an unknown class. In the simulator settings never change, so this file is no part of
-// its policy.
+// Reconfigure applies new classes and a new number of attempts, which the host has reloaded on SIGHUP. Each
+// pending request keeps the class that it started with. Later requests of a removed class are handled like
+// those of an unknown class. Settings never change in the simulator, so this file is not part of its
+// policy.
 func (g *Gateway) Reconfigure(classes []Class, maxAttempts int) {
 	g.settings.Classes = classes
 	g.classes = make(map[string]*Class, len(classes))
--- a/internal/decision/reconfigure_test.go
+++ b/internal/decision/reconfigure_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestReconfigureKeepsTheClassOfPendingRequests: a request in hand keeps the class it began with when the
-// classes change under it, and a request that comes later is decided by the new class.
+// TestReconfigureKeepsTheClassOfPendingRequests checks that a pending request keeps the class that it
+// started with when the classes change, and that a later request is decided by the new class.
 func TestReconfigureKeepsTheClassOfPendingRequests(t *testing.T) {
 	s := Settings{Gateways: 1, MaxAttempts: 4, SlowStartTime: 1,
 		Classes: []Class{{Name: "c", LatencyTarget: 1, Deadline: 3, Value: 1, Effect: Idempotent}},
@@ -22,10 +22,10 @@
 	g.Handle(0, Request{ID: 2, Class: "c", Plan: "p", Customer: "m", Units: 1, TimeLeft: 3})
 	g.Handle(0, Request{ID: 3, Class: "d", Plan: "p", Customer: "m", Units: 1, TimeLeft: 3})
 	if r := g.requests[1]; r == nil || r.class.Effect != Idempotent || r.class.LatencyTarget != 1 {
-		t.Fatalf("the open request lost its class: %+v", r)
+		t.Fatalf("the pending request lost its class: %+v", r)
 	}
 	if r := g.requests[2]; r == nil || r.class.Effect != NonIdempotent || r.class.Value != 5 {
-		t.Fatalf("a later request is not of the new class: %+v", r)
+		t.Fatalf("a later request does not have the new class: %+v", r)
 	}
 	if r := g.requests[3]; r == nil || r.class.Name != "d" {
 		t.Fatalf("the added class is not known: %+v", r)
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -6,20 +6,24 @@
 )
 
 const (
-	// Of a backend's limit that low-priority work may use, so that paid work finds capacity.
+	// lowPriorityShare is the share of a backend's limit that low-priority requests may use, so that requests
+	// that conform and are in time find capacity.
 	lowPriorityShare = 0.5
-	errorCost        = 10.0 // a backend that fails fast seems fast: its errors raise its cost so much
+	// errorCost is the increase of a backend's cost factor at an error rate of 1. Without it, a backend that
+	// fails quickly would look like a fast one and attract requests.
+	errorCost = 10.0
 )
 
-// selectBackend chooses the backend with the least expected wait; nil if none may be used now.
+// selectBackend returns the backend with the lowest expected cost, or nil if none may be used now.
 //
-// One of many gateways uses a subset, the first backends in its own order: from a backend that it never meets
-// again it learns nothing, and would not find out which are overloaded. A backend that is not known to be
-// healthy costs a trial token, so an unhealthy fleet is tried less.
+// If there are many gateways, each uses a subset, the first backends in its own order of use. A gateway that
+// spread its requests over all backends would rarely use the same one twice, and could not learn which are
+// overloaded. An attempt at a backend that is not known to be healthy costs a trial token, which limits the
+// attempts at a fleet that is mostly unhealthy.
 func (g *Gateway) selectBackend(r *request) *backend {
 	p := r.pool
-	// Where all look unhealthy, none is the outlier: the fault may be this gateway's own network. An
-	// overloaded backend is not unhealthy.
+	// If all backends are ejected, none is an outlier: the fault may be in this gateway's own network, so
+	// ejections are ignored. An overloaded backend still counts as healthy.
 	anyHealthy := slices.ContainsFunc(p.order, func(b *backend) bool {
 		return b.available() && g.now >= b.ejectedUntil
 	})
@@ -55,8 +59,9 @@
 	return best
 }
 
-// hasCapacity reports whether a backend may hold one more attempt from this process. A limit below one is a
-// pace: few gateways with one attempt each would overload a backend.
+// hasCapacity reports whether a backend may get one more attempt from this process. A limit below one
+// limits the rate of attempts instead: if a backend is so slow that even one attempt from each gateway
+// would overload it, each gateway must leave pauses between its attempts.
 func (g *Gateway) hasCapacity(b *backend, lowPriority bool) bool {
 	limit := b.limit * g.processShare()
 	if lowPriority {
@@ -68,9 +73,10 @@
 	return limit >= 1 || g.now >= b.lastSentAt+b.latency/limit
 }
 
-// expectedCost is the expected wait for an answer of a backend, weighted by its errors and its zone. A
-// backend takes as long as learned, or as it has owed an answer without giving any. Where there is little
-// evidence, the cost is random in proportion to size: all gateways would otherwise choose alike.
+// expectedCost returns the expected wait for an answer of a backend, weighted by its errors and its zone.
+// The wait is the learned latency, or the present time without an answer if that is longer. If there are
+// few recent answers, the cost is random, and lower for larger backends. Otherwise all gateways would
+// choose the same one.
 func (g *Gateway) expectedCost(b *backend, warmFraction float64) float64 {
 	cost := float64(b.inFlight+1) * b.latency / warmFraction
 	evidence := b.recentAnswers / (b.recentAnswers + 1)
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -5,7 +5,9 @@
 	"testing"
 )
 
-func TestReachedLimitsDoNotSendWorkToEjectedBackends(t *testing.T) { // ic5a586: 39% no connection
+// Guards against attempts at ejected backends once the others have reached their limits: 39% of the
+// attempts got no connection (ic5a586).
+func TestReachedLimitsDoNotSendWorkToEjectedBackends(t *testing.T) {
 	g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
 	g.backends["x"].ejectedUntil = 100
 	sent := map[string]int{}
@@ -14,7 +16,7 @@
 			sent[s.Backend]++
 		}
 	}
-	if sent["x"] != 0 || sent["y"] != initialLimit/2 { // two gateways
+	if sent["x"] != 0 || sent["y"] != initialLimit/2 { // the limit is divided between two gateways
 		t.Errorf("sent %v", sent)
 	}
 }
@@ -52,7 +54,7 @@
 	users := map[string]int{}
 	for _, g := range gateways {
 		if g.defaultPool.subsetSize != int(minSubset) {
-			t.Fatalf("reach %d at first", g.defaultPool.subsetSize)
+			t.Fatalf("initial subset size %d", g.defaultPool.subsetSize)
 		}
 		for _, b := range g.defaultPool.order[:g.defaultPool.subsetSize] {
 			users[b.ID]++
@@ -60,11 +62,11 @@
 		before := g.defaultPool.order[0].ID
 		g.Handle(1, Backends{List: []Backend{servingBackend("new")}})
 		if g.defaultPool.order[0].ID != before && g.defaultPool.order[0].ID != "new" {
-			t.Error("a new backend moved the others")
+			t.Error("a new backend changed the order of the others")
 		}
-		g.defaultPool.sendRate = 200 // traffic has gathered here
+		g.defaultPool.sendRate = 200 // most traffic comes through this gateway
 		if g.tick(); g.defaultPool.subsetSize != 61 {
-			t.Errorf("reach %d at 200 sends a second", g.defaultPool.subsetSize)
+			t.Errorf("subset size %d at 200 attempts per second", g.defaultPool.subsetSize)
 		}
 	}
 	for _, b := range list {
@@ -76,7 +78,7 @@
 	for _, g := range few {
 		if g.defaultPool.subsetSize != len(list) || g.defaultPool.gatewaysPerBackend != 1 {
 			t.Errorf(
-				"few gateways: reach %d, sharing %v", g.defaultPool.subsetSize,
+				"few gateways: subset size %d, gateways per backend %v", g.defaultPool.subsetSize,
 				g.defaultPool.gatewaysPerBackend,
 			)
 		}
@@ -89,6 +91,6 @@
 		b.ejectedUntil = 100
 	}
 	if len(actionsOf[Send](g.Handle(1, testRequest(1, "safe", "free")))) != 1 {
-		t.Error("nothing tried though all backends look alike")
+		t.Error("no attempt although all backends are equally unhealthy")
 	}
 }
--- a/internal/decision/shared_bucket.go
+++ b/internal/decision/shared_bucket.go
@@ -1,25 +1,25 @@
 package decision
 
 const (
-	sharedBucketExpiry = 3.0 // cycles after which a total is no evidence of what was admitted since
-	throttleSpan       = 0.5 // of a cycle's quota: a bucket that is overdrawn by it lets nothing through
+	sharedBucketExpiry    = 3.0 // cycles after which a total is too old to estimate what was admitted since
+	fullThrottleOverdraft = 0.5 // share of a cycle's quota; a bucket overdrawn by this much admits nothing
 )
 
-// sharedBucket is a token bucket of a sparse customer's whole quota, as one gateway estimates it from the
-// totals that it reads: what all gateways together have admitted.
+// sharedBucket is a token bucket of a sparse customer's complete quota. One gateway estimates it from the
+// totals that it reads, which show the demand at all gateways.
 type sharedBucket struct {
-	observedAt Seconds // when it last saw a total
-	cycle      int64   // of that total
-	total      float64
-	tokens     float64 // requests; below 0: so many more than the quota and its burst were admitted
+	observedAt Seconds // time of the last total
+	cycle      int64   // cycle of the last total
+	total      float64 // last total, in units
+	tokens     float64 // units; below 0: excess that was admitted over the quota and its burst
 }
 
-// throttleOverdraft lowers the common ratio where more was admitted than the quota and its burst.
+// throttleOverdraft lowers the common admit ratio if more was admitted than the quota and its burst.
 //
-// The ratio follows the totals of two cycles, and so lags where a rush begins in the middle of one; what was
-// admitted meanwhile is given back over the next cycles. Each request is decided by its own total, so between
-// two totals their two ratios were admitted: all, up to the amount that was unrestricted, where that was
-// passed.
+// The ratio follows the totals of two cycles, so it lags if demand rises in the middle of a cycle. The
+// excess that is admitted meanwhile is compensated over the next cycles. Each request is decided by its own
+// total, so the share that was admitted between two totals is estimated as the mean of their two ratios. If
+// the unrestricted amount was exceeded between them, everything up to that amount was admitted.
 func (g *Gateway) throttleOverdraft(c *customer, lastRatio, unrestricted float64, t sampledTotals) {
 	if !g.settings.PairCounters || c.plan.Rate <= 0 {
 		return
@@ -35,34 +35,35 @@
 	b.cycle = t.cycle
 	b.total = c.sparse.cycleTotal
 	if b.tokens < 0 {
-		c.sparse.admitRatio *= max(0, 1+b.tokens/(throttleSpan*c.quota*c.cycle.period))
+		c.sparse.admitRatio *= max(0, 1+b.tokens/(fullThrottleOverdraft*c.quota*c.cycle.period))
 	}
 }
 
-// admittedSince estimates how many requests all gateways have admitted since the last total.
+// admittedSince estimates the units that all gateways have admitted since the last total.
 func (g *Gateway) admittedSince(c *customer, lastRatio, unrestricted float64, t sampledTotals) float64 {
 	b, period, sum := &c.pairs.shared, c.cycle.period, c.sparse.cycleTotal
 	asked := sum - b.total
 	from := b.total
 	if t.cycle != b.cycle {
-		// It is not known how the cycle before ended: it is assumed to have ended as this one begins.
+		// The final total of the previous cycle is not known. Its demand after the last total is assumed to
+		// equal the demand of this cycle.
 		rest := min(period, max(0, g.now-b.observedAt-t.elapsed))
 		asked = sum + sum/max(t.elapsed, period/4)*rest
 		from = 0
 	}
 	ratio := c.sparse.admitRatio
 	if lastRatio == 1 && ratio < 1 {
-		full := min(asked, max(0, unrestricted-from))
-		return full + (asked-full)*ratio
+		unsampled := min(asked, max(0, unrestricted-from))
+		return unsampled + (asked-unsampled)*ratio
 	}
 	return asked * (lastRatio + ratio) / 2
 }
 
-// estimatedSharedTokens estimates the bucket from this cycle and the one before alone, where the last total
-// is too old to tell.
+// estimatedSharedTokens estimates the bucket from this cycle and the previous one alone. It is used when
+// the last total is too old.
 func (g *Gateway) estimatedSharedTokens(c *customer, unrestricted float64, t sampledTotals) float64 {
 	period, sum, burst := c.cycle.period, c.sparse.cycleTotal, c.plan.Burst
 	before := min(c.cycle.totalRate*(period+t.elapsed)-sum, burst+c.quota*period)
-	full := min(sum, unrestricted)
-	return burst + c.quota*(period+t.elapsed) - before - full - (sum-full)*c.sparse.admitRatio
+	unsampled := min(sum, unrestricted)
+	return burst + c.quota*(period+t.elapsed) - before - unsampled - (sum-unsampled)*c.sparse.admitRatio
 }
--- a/internal/decision/slow_attempts.go
+++ b/internal/decision/slow_attempts.go
@@ -2,12 +2,13 @@
 
 import "cmp"
 
-// minSlowAttemptTargets is how many latency targets an attempt takes at least before it is slow.
+// minSlowAttemptTargets is the shortest time after which an attempt counts as slow, in latency targets.
 const minSlowAttemptTargets = 1.0
 
-// slowAttemptTimeout is after what time a first attempt may be given up so that another server can still
-// answer; 0: never. A server that has lost its network says nothing, and most of what a client waits would be
-// spent on it. What must not be executed twice is never given up: it could only be lost.
+// slowAttemptTimeout returns the time after which a first attempt may be abandoned so that another server
+// can still answer; 0: never. A server that has lost its network sends no error, so an attempt at it would
+// use up most of the time that the client waits. A request that must not be executed twice is never
+// abandoned, because it cannot be sent to another server.
 func (g *Gateway) slowAttemptTimeout(r *request) Seconds {
 	maxAttempts := cmp.Or(r.class.MaxAttempts, g.settings.MaxAttempts)
 	if r.class.SlowAttemptFactor == 0 || r.class.Effect != Idempotent {
@@ -24,9 +25,9 @@
 }
 
 // ShouldAbandon reports whether the attempt in flight of a request, which has become slow (Send.SlowAfter),
-// is to be given up now. It is, if no planned disruption is under way, another backend has capacity for the
-// request, the retry budget allows a further attempt, and there is time for an answer. Otherwise the slow
-// server may still answer, and giving the attempt up would only end the request.
+// should be abandoned now. That is so if no planned disruption is under way, another backend has capacity
+// for the request, the retry budget allows another attempt, and there is time for an answer. Otherwise the
+// slow server may still answer, and to abandon the attempt would only fail the request.
 func (g *Gateway) ShouldAbandon(now Seconds, id uint64) bool {
 	r := g.requests[id]
 	if r == nil || r.answered || r.inFlight != 1 || len(r.attempts) != 1 {
@@ -46,9 +47,9 @@
 	return r.pool.retryBudget.Allows(g.now, false, len(g.queue) > 0)
 }
 
-// ExpectDisruption announces that something planned is under way: this process leaves, its settings were read
-// anew, or a configuration has just come into force. Requests that arrived before the given time are not
-// abandoned as slow.
+// ExpectDisruption announces a planned disruption: this process shuts down, its settings were reloaded, or
+// a new configuration has just been applied. Requests that arrived before the given time are not abandoned
+// as slow.
 func (g *Gateway) ExpectDisruption(until Seconds) {
 	g.disruptionUntil = max(g.disruptionUntil, until)
 }
--- a/internal/decision/slow_attempts_test.go
+++ b/internal/decision/slow_attempts_test.go
@@ -6,73 +6,80 @@
 )
 
 const (
-	requestedAt = 10.0 // s, when the request of a case arrives
-	slowAfter   = 1.0  // s: the latency target, as answers are quick
+	requestedAt = 10.0 // s, arrival time of the request of a case
+	slowAfter   = 1.0  // s, equal to the latency target because answers are fast
 )
 
-// abandonCase asks whether the first attempt of a request is to be given up as slow.
+// abandonCase is a case of whether the first attempt of a request is abandoned as slow.
 type abandonCase struct {
 	name   string
-	class  string // empty: safe
+	class  string // class of the request; empty: safe
 	others []Backend
-	before func(g *Gateway) // the request arrives
-	while  func(g *Gateway) // the attempt is in flight
+	before func(g *Gateway) // called before the request arrives
+	while  func(g *Gateway) // called while the attempt is in flight
 	at     Seconds
 	want   bool
 }
 
 var abandonCases = []abandonCase{
 	{
-		name: "another is there", others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
+		name:   "another backend is available",
+		others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		want: true,
 	},
-	{name: "there is none", at: requestedAt + slowAfter},
-	{name: "it drains", others: []Backend{{ID: "y", Zone: "a"}}, at: requestedAt + slowAfter},
+	{name: "no other backend", at: requestedAt + slowAfter},
+	{name: "the other backend drains", others: []Backend{{ID: "y", Zone: "a"}}, at: requestedAt + slowAfter},
 	{
-		name: "it is full", others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
+		name:   "the other backend is overloaded",
+		others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		while: func(g *Gateway) { g.backends["y"].overloadedUntil = math.Inf(1) },
 	},
 	{name: "no time is left", others: []Backend{servingBackend("y")}, at: requestedAt + 2.99},
 	{
-		name: "the budget is spent", others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
+		name:   "the retry budget is used up",
+		others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		while: func(g *Gateway) {
 			for g.defaultPool.retryBudget.Take(g.now, false, false) {
 			}
 		},
 	},
 	{
-		name: "it must not run twice", class: "unsafe", others: []Backend{servingBackend("y")},
+		name: "non-idempotent", class: "unsafe", others: []Backend{servingBackend("y")},
 		at: requestedAt + slowAfter,
 	},
 	{
-		name: "it must not run twice under its key", class: "keyed",
+		name: "idempotent by key", class: "keyed",
 		others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 	},
 	{
-		name: "it has ended", others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
+		name: "the attempt has ended", others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		while: func(g *Gateway) {
 			ended := AttemptEnded{ID: 1, Backend: "x", Outcome: Succeeded, Duration: 0.5, Answered: true}
 			g.Handle(requestedAt+0.5, ended)
 		},
 	},
 	{
-		name: "its client has left", others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
+		name:   "the client has disconnected",
+		others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		while: func(g *Gateway) { g.Handle(requestedAt+0.5, ClientDisconnected{1}) },
 	},
 	{
-		name: "planned before", others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
+		name:   "disruption before the request",
+		others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		before: func(g *Gateway) { g.ExpectDisruption(requestedAt + 0.01) },
 	},
 	{
-		name: "planned long before", others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
+		name:   "disruption that has ended",
+		others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		before: func(g *Gateway) { g.ExpectDisruption(requestedAt - 0.01) }, want: true,
 	},
 	{
-		name: "planned meanwhile", others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
+		name:   "disruption during the attempt",
+		others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		while: func(g *Gateway) { g.ExpectDisruption(requestedAt + 0.6) },
 	},
 	{
-		name:   "planned, its end known after a later one",
+		name:   "disruption with an earlier end than the last",
 		others: []Backend{servingBackend("y")}, at: requestedAt + slowAfter,
 		before: func(g *Gateway) {
 			g.ExpectDisruption(requestedAt + 0.01)
@@ -80,14 +87,15 @@
 		},
 	},
 	{
-		name: "it leaves for good", others: []Backend{
+		name: "the process shuts down", others: []Backend{
 			servingBackend("y"),
 		}, at: requestedAt + slowAfter + 1,
 		while: func(g *Gateway) { g.ExpectDisruption(math.Inf(1)) },
 	},
 }
 
-// A slow attempt is given up only where another backend takes the request, and never during what is planned.
+// A slow attempt is abandoned only if another backend can serve the request, and never during a planned
+// disruption.
 func TestShouldAbandon(t *testing.T) {
 	for _, tc := range abandonCases {
 		t.Run(tc.name, tc.run)
@@ -118,10 +126,10 @@
 	}
 	tokens := g.defaultPool.retryBudget
 	if got := g.ShouldAbandon(tc.at, 1); got != tc.want {
-		t.Errorf("given up: %v, want %v", got, tc.want)
+		t.Errorf("abandoned: %v, want %v", got, tc.want)
 	}
 	if g.defaultPool.retryBudget != tokens {
-		t.Error("asking took something of the retry budget")
+		t.Error("ShouldAbandon changed the retry budget")
 	}
 	if !tc.want {
 		return
@@ -130,6 +138,6 @@
 	out := g.Handle(tc.at, ended)
 	again := actionsOf[Send](out)
 	if len(again) != 1 || again[0].Backend != "y" || again[0].SlowAfter != 0 {
-		t.Errorf("given up, and then %+v", out)
+		t.Errorf("after the abandoned attempt: %+v", out)
 	}
 }
--- a/internal/decision/source_test.go
+++ b/internal/decision/source_test.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	maxLineColumns   = 110 // a tab is tabColumns
+	maxLineColumns   = 110 // columns per line; a tab counts as tabColumns
 	tabColumns       = 4
 	maxFunctionLines = 60
 )
 
-// TestSourceShape keeps the module readable: no line of any of its files is longer than maxLineColumns, and
-// no function longer than maxFunctionLines.
+// TestSourceShape keeps the package readable: no line of its files is longer than maxLineColumns, and no
+// function is longer than maxFunctionLines.
 func TestSourceShape(t *testing.T) {
 	for _, path := range sourceFiles(t) {
 		source, err := os.ReadFile(path)
@@ -70,7 +70,7 @@
 		name := string(match[1])
 		file, ok := strings.CutPrefix(name, "internal/decision/")
 		if !ok || strings.HasSuffix(file, "_test.go") || !slices.Contains(sources, file) {
-			t.Errorf("%s is no source file of this package", name)
+			t.Errorf("%s is not a source file of this package", name)
 		}
 		if slices.Contains(policy, file) {
 			t.Errorf("%s is named twice", name)
@@ -84,7 +84,7 @@
 	}
 }
 
-// sourceFiles returns the names of this package's files, tests among them.
+// sourceFiles returns the names of this package's files, including tests.
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
 	names, err := filepath.Glob("*.go")
--- a/internal/decision/sparse.go
+++ b/internal/decision/sparse.go
@@ -3,48 +3,49 @@
 import "math"
 
 const (
-	// sparseBursts is how many bursts one request at each gateway may be: buckets hold one request each at
-	// least.
-	sparseBursts       = 2.0
-	sampledUtilization = 0.85 // of the quota, by sampling: a bucket near empty rejects at random
-	maxCallWeight      = 0.15 // of a cycle's quota that one call may add
-	maxValidCycles     = 4.0  // for which a total that keeps saying the same is believed
-	excessCallExponent = 4.0  // of the call probability: calls that decide nothing give way so much sooner
+	// sparseThresholdBursts makes a customer sparse if one request at each gateway adds up to more than this
+	// number of bursts. It bounds the capacity of all buckets together, as each holds at least one request.
+	sparseThresholdBursts = 2.0
+	sampledUtilization    = 0.85 // target share of the quota, as a bucket near empty rejects at random
+	maxCallWeight         = 0.15 // share of a cycle's quota that one call may add
+	maxValidCycles        = 4.0  // cycles for which a total is valid if it keeps showing the same
+	excessCallExponent    = 4.0  // on the call probability: calls whose reply decides nothing stop first
 	// overloadedCallProbability is the call probability below which no second call is made for a request.
 	overloadedCallProbability = 0.6
-	amountTolerance           = 1e-6 // units: a total this near to what was added is of this gateway alone
-	// The multiple of the quota up to which the previous cycle is assumed to have been used, where its total
-	// is not known.
+	amountTolerance           = 1e-6 // units; a total this near to the amount is from this gateway alone
+	// maxAssumedQuotas is the largest demand in the previous cycle, as a multiple of the quota, that is
+	// assumed if its total is not known.
 	maxAssumedQuotas   = 2.0
-	minElapsedFraction = 0.25 // of a cycle, from which its rate is extrapolated
+	minElapsedFraction = 0.25 // share of a cycle over which a total is averaged at least
 )
 
-// sparseMode is the state of a customer whose slice is less than a few requests. Its demand at one gateway is
-// zero or noise, so the counter is called for single requests, and all are decided by sampling.
+// sparseMode is the state of a customer whose slice is less than a few requests. Its demand at one gateway
+// is zero or noise, so the counter is called for single requests, and all requests are admitted by
+// sampling.
 type sparseMode struct {
 	active      bool
-	cycleTotal  float64 // of the present cycle, as last read
-	admitRatio  float64 // part of the requests that is admitted, by the last totals; the same at all gateways
-	demandShare float64 // part of the demand that comes through this gateway, by the last totals
+	cycleTotal  float64 // total of the present cycle at the last reading, in units
+	admitRatio  float64 // share of requests to admit, by the last totals; the same at all gateways
+	demandShare float64 // share of the demand at this gateway, by the last totals
 	queries     []counterQuery
 }
 
 // counterQuery is a request that waits for the counter's reply.
 type counterQuery struct {
 	request       *request
-	plan          *Plan // in force when it was sent
+	plan          *Plan // plan in force when the call was sent
 	counterName   string
 	cycle         int64
 	sentAt        Seconds
-	amount        float64 // that it added
-	previousCycle bool    // it reads the total of the cycle before
-	spanCapacity  float64 // of a call for the shared part of the rate limit: what a span has; else 0
+	amount        float64 // units that the call added
+	previousCycle bool    // the call reads the total of the previous cycle
+	spanCapacity  float64 // units of a span, for a call for the shared part of the rate limit; else 0
 }
 
-// isSparse reports whether a customer is decided by sampling.
+// isSparse reports whether a customer's requests are admitted by sampling.
 func (g *Gateway) isSparse(c *customer) bool {
 	if c.plan.Rate > 0 {
-		return c.gateways > 1 && sparseBursts*c.plan.Burst < c.gateways*g.settings.MaxUnits
+		return c.gateways > 1 && sparseThresholdBursts*c.plan.Burst < c.gateways*g.settings.MaxUnits
 	}
 	return c.quota > 0 && c.gateways > 2*c.quota
 }
@@ -67,21 +68,22 @@
 	return true
 }
 
-// callProbability is how likely a request of a sparse customer calls the counter. What is added is divided by
-// it, so it must not weigh much in a cycle: large quotas need few calls, small ones all. When the counter
-// cannot take all calls, some customers are not watched, the same ones at all gateways, as half of a total is
-// noise; first those whose reply decides nothing. Where excess costs, all are watched, but at a low sampling
-// rate.
+// callProbability returns the probability that a request of a sparse customer calls the counter. The added
+// amount is divided by it, so one call must not be a large part of a cycle's total: large quotas need few
+// calls, and for small ones all requests call. If the counter cannot handle all calls, some customers are
+// not sampled at all. They are the same ones at all gateways, because a total from half of the gateways is
+// noise. The first to be dropped are customers for whom the reply decides nothing. If excess costs, all
+// customers are sampled, but at a low rate.
 func (g *Gateway) callProbability(c *customer, r *request) float64 {
 	if g.settings.PairCounters {
 		return 1
 	}
 	available := g.counter.callProbability
 	least := min(1, c.unitsOf(r)/(maxCallWeight*g.quotaRate(c)*c.cycle.period))
-	// While the counter is silent, all requests help to find out whether it is back.
+	// While the counter does not reply, requests of all customers test whether it is back.
 	if g.counter.unanswered < pauseAfterFailures {
 		watched := available
-		if c.plan.forwardsExcess() { // the reply decides nothing
+		if c.plan.forwardsExcess() { // the request is forwarded in any case, so the reply decides nothing
 			watched = math.Pow(available, excessCallExponent)
 		} else if least > available && c.plan.ExcessCost > 0 {
 			return available
@@ -94,8 +96,8 @@
 	return least + (1-least)*age*available
 }
 
-// queryCounter adds a request to a cycle's total, or with 0 reads it, and lets the request wait for the
-// reply.
+// queryCounter adds an amount to a cycle's total, or reads the total if the amount is 0, and lets the
+// request wait for the reply.
 func (g *Gateway) queryCounter(r *request, cycle int64, amount float64) {
 	c := r.customer
 	c.sparse.queries = append(c.sparse.queries, counterQuery{
@@ -110,7 +112,8 @@
 	g.callCounter(c, cycle, amount)
 }
 
-// expireQueries decides the requests whose reply is overdue: a host that loses one must not lose the request.
+// expireQueries decides the requests whose reply is overdue, so that a reply that the host loses does not
+// lose the request.
 func (g *Gateway) expireQueries(c *customer) {
 	maxAge := 2 * g.settings.CounterTimeout
 	for len(c.sparse.queries) > 0 {
@@ -138,16 +141,17 @@
 	}
 }
 
-// sampledTotals are what the totals of two cycles tell of a sparse customer's demand.
+// sampledTotals is a sparse customer's demand according to the totals of two cycles.
 type sampledTotals struct {
-	cycle    int64   // the present one
-	elapsed  Seconds // of the present cycle
-	previous float64 // total of the cycle before, in units
+	cycle    int64   // number of the present cycle
+	elapsed  Seconds // time since the start of the present cycle
+	previous float64 // total of the previous cycle, in units
 }
 
-// decideBySample decides a request of a sparse customer by the total that counts it. The step is the pinned
-// one, with the request as the report: below the quota the slice covers it; above, sampling admits the common
-// ratio of quota and demand. Up to what is left of the burst all conform.
+// decideBySample decides a request of a sparse customer by the total that includes it. It follows the same
+// rule as setSliceFromTotals, with the request as the report: while the demand is below the quota, all
+// requests conform; above it, sampling admits the common ratio of quota and demand. All requests conform up
+// to the rest of the burst.
 func (g *Gateway) decideBySample(c *customer, q counterQuery, total float64) {
 	r := q.request
 	totals, complete := g.readSampledTotals(c, q, total)
@@ -166,8 +170,8 @@
 	g.admit(r)
 }
 
-// readSampledTotals takes a total. Where demand is above the quota and the previous cycle's total is not
-// known, it calls for that, or assumes it while the counter is overloaded.
+// readSampledTotals processes a total. If the demand is above the quota and the previous cycle's total is not
+// known, it calls the counter for that total, or assumes a value if the counter is overloaded.
 func (g *Gateway) readSampledTotals(
 	c *customer, q counterQuery, total float64,
 ) (t sampledTotals, complete bool) {
@@ -195,7 +199,7 @@
 		g.queryCounter(q.request, q.cycle-1, 0)
 		return t, false
 	}
-	// A second call would take another request's only one.
+	// The counter is overloaded: a second call for this request would displace the only call of another.
 	t.previous = min(sum/max(t.elapsed, period*minElapsedFraction), maxAssumedQuotas*quota) * period
 	return t, true
 }
@@ -211,10 +215,10 @@
 	}
 	c.cycle.totalRate = rate
 	c.cycle.totalAt = g.now
-	// The burst is used up by who was over the quota in the previous cycle, or near it: up to 0.8 of the
-	// quota all of it is left, from 1.2 on nothing.
+	// A customer whose demand was near or over the quota in the previous cycle has used up its burst: up to
+	// 0.8 of the quota the complete burst is left, from 1.2 on nothing.
 	burst := c.plan.Burst * max(0, min(1, 3-2.5*t.previous/(quota*period)))
-	unrestricted := burst + quota*t.elapsed // units that all conform
+	unrestricted := burst + quota*t.elapsed // units up to which all requests conform
 	switch {
 	case sum <= unrestricted:
 		c.sparse.admitRatio = 1
@@ -224,8 +228,8 @@
 		c.sparse.admitRatio = min(1, g.targetUtilization()*quota*t.elapsed/sum)
 	}
 	g.throttleOverdraft(c, lastRatio, unrestricted, t)
-	// Between two totals the ratio admits no more than this gateway's slice and burst. Its own demand is
-	// noise, so the share of a quiet gateway is added to it.
+	// Between two totals this gateway admits no more than its share of the quota and the burst. Its own
+	// demand is noise, so the share of an idle gateway is added to it.
 	idleDemand := idleFraction * quota / c.gateways
 	own := (c.cycle.localRate*period+c.cycle.demand)/(period+max(0, g.now-c.cycle.startedAt)) + idleDemand
 	c.sparse.demandShare = min(1, own/(rate+idleDemand*c.gateways))
--- a/internal/decision/sparse_partition.go
+++ b/internal/decision/sparse_partition.go
@@ -1,28 +1,30 @@
 package decision
 
-// What a gateway admits for a sparse customer, where counters are pairs, while no counter owner replies.
-// The gateways that reach the counter owner share the complete quota, so what all partitioned gateways
-// admit beside them must stay within the tolerance of the quota's rule, a part of which is a number of
-// requests.
+// This file bounds the requests of a sparse customer that a gateway admits while no counter owner replies,
+// with pair counters. The gateways that reach the counter owner use the complete quota, so the requests
+// that all partitioned gateways admit in addition must stay within QuotaTolerance, a part of which is a
+// number of requests.
 
 const (
-	// Seconds without a reply of any counter owner for which a gateway goes by its share of the quota.
+	// sparseGraceBase is the time without a reply of any counter owner, in seconds, for which a gateway
+	// uses its share of the quota.
 	sparseGraceBase     = 0.4
 	sparseGraceRequests = 8.0 // requests that the complete quota admits in the rest of the grace period
-	sparseBurstShare    = 0.4 // of the burst: buckets of all partitioned gateways together
-	sparseSpareRequests = 8.0 // requests beyond it in these buckets, where each holds less than one
-	partitionedShare    = 0.1 // of its even part, for a gateway that is partitioned
+	sparseBurstShare    = 0.4 // share of the burst that the buckets of all partitioned gateways hold together
+	sparseSpareRequests = 8.0 // requests added to these buckets, because each would hold less than one
+	partitionedShare    = 0.1 // share of its even share that a partitioned gateway admits
 )
 
-// sparseGracePeriod is how long a gateway without a reply goes by its share of a sparse customer's quota.
+// sparseGracePeriod returns the time for which a gateway without a reply uses its share of a sparse
+// customer's quota.
 func (g *Gateway) sparseGracePeriod(c *customer) Seconds {
 	return min(reportExpiry, sparseGraceBase+sparseGraceRequests/g.quotaRate(c))
 }
 
-// sparseRefillRate is what comes into the bucket of a sparse customer, from which it is decided while the
-// counter owner does not reply, in units a second. Where counter owners of other customers reply, this one's
-// counter owner is changing: nobody reaches it, and the buckets are all there is. Where none replies, the
-// gateway is partitioned and falls back.
+// sparseRefillRate returns the refill rate of a sparse customer's bucket, in units per second. The bucket
+// decides while the counter owner does not reply. If counter owners of other customers reply, this
+// customer's counter owner is changing: no gateway reaches it, so only the buckets admit requests. If none
+// replies, the gateway is partitioned and falls back to partitionedShare.
 func (g *Gateway) sparseRefillRate(c *customer) float64 {
 	rate := g.quotaRate(c) * c.sparse.demandShare
 	contact := g.lastOwnerContact(c)
@@ -31,21 +33,23 @@
 		return rate
 	}
 	if c.bucket.refilledAt-contact < grace {
-		c.bucket.tokens *= partitionedShare // what was saved up belongs to the others too
+		// The gateways that reach the counter owner use the saved tokens too.
+		c.bucket.tokens *= partitionedShare
 	}
 	return min(rate, partitionedShare*c.quota/c.gateways)
 }
 
-// limitWhenUnreachable cuts a bucket to a part where no counter owner has replied since a request arrived:
-// those who reach the counter owners admit a burst, so the buckets of all other gateways stand for a part of
-// one more and a few requests. What comes in after that is the gateway's share, until the grace period ends.
+// limitWhenUnreachable reduces the tokens of a bucket if no counter owner has replied since a request
+// arrived. The gateways that reach the counter owners admit a complete burst, so the buckets of all other
+// gateways together may hold only a part of another burst and a few requests. Until the grace period ends,
+// the bucket is refilled with the gateway's share.
 func (g *Gateway) limitWhenUnreachable(c *customer, r *request) {
 	contact := g.lastOwnerContact(c)
 	if !g.settings.PairCounters || !c.sparse.active || g.ownerReachedAt >= r.arrivedAt {
 		return
 	}
 	if c.pairs.unreachableAt > contact {
-		return // it was cut when it began
+		return // the tokens were already reduced
 	}
 	c.pairs.unreachableAt = g.now
 	burst := sparseBurstShare * c.plan.Burst * c.sparse.demandShare
@@ -55,9 +59,9 @@
 	c.bucket.tokens = min(c.bucket.tokens, burst+spare+refilled)
 }
 
-// admitFraction admits a request of a sparse customer for which the bucket holds only a fraction of the
-// tokens, with that probability, where no counter owner has replied since it arrived. The bucket is empty
-// then: over many gateways, just what they hold is admitted.
+// admitFraction decides a request of a sparse customer if the bucket holds only a fraction of its tokens
+// and no counter owner has replied since it arrived. The request is admitted with the probability of that
+// fraction, and the bucket is emptied. So many gateways together admit as much as their buckets hold.
 func (g *Gateway) admitFraction(c *customer, r *request, fraction float64) bool {
 	if !g.settings.PairCounters || !c.sparse.active || g.ownerReachedAt >= r.arrivedAt {
 		return false
--- a/internal/decision/sparse_partition_test.go
+++ b/internal/decision/sparse_partition_test.go
@@ -7,12 +7,12 @@
 	"github.com/matryer/is"
 )
 
-// TestSparseQuotasHoldWhereGatewaysArePartitioned has a tenant whose quota is so small that each request asks
-// the counter owner rush, while every second or third gateway is partitioned from it: what runs in any five
-// seconds stays within the rule.
+// TestSparseQuotasHoldWhereGatewaysArePartitioned simulates a tenant whose quota is so small that each
+// request calls the counter owner. Its demand rises while every second or third gateway is partitioned from
+// the counter owner. The requests that are forwarded in any five seconds must stay within the rule.
 func TestSparseQuotasHoldWhereGatewaysArePartitioned(t *testing.T) { testSparseRushes(t, 11, 20, 3) }
 
-// TestSparseQuotasOfManyGateways is the same for many gateways.
+// TestSparseQuotasOfManyGateways is the same test with many gateways.
 func TestSparseQuotasOfManyGateways(t *testing.T) {
 	testSparseRushes(t, 40, 20, 3)
 	testSparseRushes(t, 40, 60, 2)
@@ -25,36 +25,36 @@
 		for _, times := range []float64{3, 6, 9} {
 			for _, gap := range []float64{0, 1, 4} {
 				t.Run(fmt.Sprintf(
-					"%d gateways, %.0f a second, one of %d cut, %.0f quotas asked %.0f s later", nodes, rate,
+					"%d gateways, %.0f per second, one of %d cut off, %.0f quotas %.0f s later", nodes, rate,
 					part, times, gap,
 				), func(t *testing.T) {
 					t.Parallel()
 					worst := 0
 					plan := Plan{Rate: rate, Burst: rate, ValueWeight: 1}
 					for seed := range seeds {
-						w := newQuotaWorld(
+						s := newQuotaSimulation(
 							seed, nodes, plan,
 							func(i int) float64 {
 								return 0.5 * plan.Rate / float64(nodes) * (0.5 + float64(i%3)*0.5)
 							},
 						)
-						w.run(14)
-						for i, n := range w.nodes {
+						s.run(14)
+						for i, n := range s.nodes {
 							n.partitioned = i%part == part-1
 						}
-						w.run(gap)
-						for _, n := range w.nodes {
+						s.run(gap)
+						for _, n := range s.nodes {
 							n.rate *= 2 * times
 						}
-						w.run(8)
-						for _, n := range w.nodes {
+						s.run(8)
+						for _, n := range s.nodes {
 							n.partitioned = false
 						}
-						w.run(4)
-						worst = max(worst, w.maxAdmitted())
+						s.run(4)
+						worst = max(worst, s.maxAdmitted())
 					}
 					if worst > maxAllowed(plan) {
-						t.Errorf("%d ran in five seconds, %d may", worst, maxAllowed(plan))
+						t.Errorf("%d forwarded in five seconds, %d allowed", worst, maxAllowed(plan))
 					}
 				})
 			}
@@ -62,41 +62,41 @@
 	}
 }
 
-// TestSparseQuotasWhileOneCounterOwnerChanges has the counter owner of one tenant out of reach of all
-// gateways for a second, while those of seven others answer: nobody is partitioned, so the buckets serve what
-// they hold, and hardly anything within the quota is rejected. Where no counter owner answers, the buckets
-// stand for less, as others may be served beside them; a calm tenant is served from what comes in by the
-// gateway's share.
+// TestSparseQuotasWhileOneCounterOwnerChanges makes the counter owner of one tenant unreachable for all
+// gateways for a second, while those of seven others reply. No gateway is partitioned, so the buckets admit
+// what they hold, and hardly any request within the quota may be rejected. If no counter owner replies, the
+// buckets hold less, because other gateways may admit requests at the same time. Most requests of a tenant
+// within its quota must still be served, from the refill by the gateway's share.
 func TestSparseQuotasWhileOneCounterOwnerChanges(t *testing.T) {
 	is := is.New(t)
 	const tenants = 8
-	served := func(deaf string) float64 {
+	served := func(unreachable string) float64 {
 		asked, refused := 0, 0
 		for seed := range uint64(8) {
 			plan := Plan{Rate: 20, Burst: 20, ValueWeight: 1}
-			w := newQuotaWorld(
+			s := newQuotaSimulation(
 				seed, 11, plan,
 				func(i int) float64 {
 					return tenants * 0.5 * plan.Rate / 11 * (0.5 + float64(i%3)*0.5)
 				},
 			)
-			w.tenants = tenants
-			w.run(10)
-			for _, n := range w.nodes {
-				n.requests, n.rejections, n.partitioned = 0, 0, deaf == ""
+			s.tenants = tenants
+			s.run(10)
+			for _, n := range s.nodes {
+				n.requests, n.rejections, n.partitioned = 0, 0, unreachable == ""
 			}
-			w.lostTenant = deaf
-			w.run(1)
-			for _, n := range w.nodes {
+			s.lostTenant = unreachable
+			s.run(1)
+			for _, n := range s.nodes {
 				asked, refused = asked+n.requests, refused+n.rejections
 			}
 		}
-		if deaf != "" {
-			asked /= tenants // only its own are rejected
+		if unreachable != "" {
+			asked /= tenants // only the requests of this tenant can be rejected
 		}
 		return 1 - float64(refused)/float64(asked)
 	}
 	one, all := served("t0"), served("")
 	is.True(one > 0.95)
-	is.True(all > 0.75) // 0.58 where each request had a chance of its own
+	is.True(all > 0.75) // 0.58 when each request was decided by an independent probability
 }
--- a/internal/decision/sparse_test.go
+++ b/internal/decision/sparse_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Sparse customers are decided by sampling, others by the pinned step: buckets hold one request each at
-// least, and all together two bursts at most.
+// Requests of sparse customers are admitted by sampling, those of others by the slice. Each bucket holds at
+// least one request, and the buckets of a customer that is not sparse hold at most two bursts together.
 func TestWhichCustomersAreSparse(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
@@ -14,12 +14,12 @@
 		gatewayCount int
 		sparse       bool
 	}{
-		{"a small member of a small fleet", 3, 15, 3, false},
-		{"the same in a large fleet", 3, 15, 40, true},
-		{"an even part of the burst that holds no request", 3, 10, 4, false},
-		{"a request at each that is over two bursts", 3, 7, 4, true},
-		{"a large member of a large fleet", 300, 900, 40, false},
-		{"one ingress alone", 0.1, 1, 1, false},
+		{"small customer of a small fleet", 3, 15, 3, false},
+		{"same customer of a large fleet", 3, 15, 40, true},
+		{"even share of the burst below one request", 3, 10, 4, false},
+		{"one request at each gateway is over two bursts", 3, 7, 4, true},
+		{"large customer of a large fleet", 300, 900, 40, false},
+		{"only one ingress", 0.1, 1, 1, false},
 	} {
 		s := testSettings()
 		s.MaxUnits = 4
@@ -34,7 +34,8 @@
 	}
 }
 
-// Three gateways of a small customer that asks three times its quota forward nearly all of it, and no more.
+// Three gateways of a small customer whose demand is three times its quota must forward nearly the whole
+// quota, and no more.
 func TestSmallCustomerOfASmallFleetGetsItsQuota(t *testing.T) {
 	plan := Plan{Name: "b", Rate: 3, Burst: 15, ValueWeight: 1, ExcessCost: 1}
 	f := newCustomerFleet(t, 3, &Terms{Customer: "c", Plan: plan, Tag: plan.Tag()})
@@ -46,20 +47,20 @@
 	}
 }
 
-// A small customer of which nothing is known gets the even share: no sum of gateways passes the quota by it,
-// however many of its like are beyond theirs.
+// A small customer without valid totals gets the even share. So the gateways together do not exceed its
+// quota, even if many other small customers are over theirs.
 func TestUnknownSmallCustomerIsNotEstimatedFromOthers(t *testing.T) {
 	s := testSettings()
 	s.Plans = []Plan{{Name: "sparse", Rate: 1, Burst: 2, ValueWeight: 1, ExcessCost: 1}}
 	g, id := startedGateway(t, s, servingBackend("b")), uint64(0)
-	tries := func(customer string, from Seconds, outcome Outcome, total float64) (sent int) {
+	sendRequests := func(customer string, from Seconds, outcome Outcome, total float64) (sent int) {
 		for i := range 200 {
 			now := from + float64(i)*0.1
 			id++
 			e := testRequest(id, "safe", "sparse")
 			e.Customer, e.Gateways = customer, 4
 			out := g.Handle(now, e)
-			for n := 0; n < len(out); n++ { // an answer may be followed by another call
+			for n := 0; n < len(out); n++ { // a reply may cause another call
 				if a, ok := out[n].(CounterCall); ok {
 					reply := CounterReply{Name: a.Name, Outcome: outcome, Total: total}
 					out = append(out, g.Handle(now, reply)...)
@@ -75,21 +76,22 @@
 		return sent
 	}
 	for i := range 10 {
-		tries(fmt.Sprint("heavy", i), 1+20*float64(i), Succeeded, 100)
+		sendRequests(fmt.Sprint("heavy", i), 1+20*float64(i), Succeeded, 100)
 	}
-	// 20 s at a quarter of a unit a second.
-	if sent := tries("unknown", 300, ConnectionRefused, 0); sent < 4 || sent > 7 {
+	// The even share is a quarter of a unit per second, for 20 s.
+	if sent := sendRequests("unknown", 300, ConnectionRefused, 0); sent < 4 || sent > 7 {
 		t.Errorf("%d of 200 forwarded in 20 s", sent)
 	}
 }
 
-// Between two totals a sparse customer's ratio lets in no more than its slice and its part of the burst. Else
-// a customer that asked little when the counter fell silent got in whatever it asked for afterwards.
+// Between two totals, a gateway must admit no more of a sparse customer than its slice and its part of the
+// burst. Otherwise a customer with low demand at the time of the last reply would get any later demand
+// admitted.
 func TestRisingDemandOfASparseCustomerIsBoundedBetweenTotals(t *testing.T) {
 	s := testSettings()
 	s.Plans = []Plan{{Name: "sparse", Rate: 1, Burst: 2, ValueWeight: 1, ExcessCost: 1}}
 	g, id := startedGateway(t, s, servingBackend("b")), uint64(0)
-	try := func(now Seconds, outcome Outcome) (sent int) {
+	sendRequest := func(now Seconds, outcome Outcome) (sent int) {
 		id++
 		e := testRequest(id, "safe", "sparse")
 		e.Gateways = 5
@@ -105,21 +107,21 @@
 		}
 		return sent
 	}
-	if sent := try(1, Succeeded); sent != 1 {
-		t.Fatalf("%d forwarded while the counter answers", sent)
+	if sent := sendRequest(1, Succeeded); sent != 1 {
+		t.Fatalf("%d forwarded while the counter replies", sent)
 	}
 	sent := 0
 	for i := range 100 {
-		sent += try(2+float64(i)*0.1, TimedOut)
+		sent += sendRequest(2+float64(i)*0.1, TimedOut)
 	}
-	if sent < 3 || sent > 10+2 { // the full quota and the burst are the most that any gateway may use
+	if sent < 3 || sent > 10+2 { // no gateway may use more than the complete quota and the burst
 		t.Errorf("%d of 100 forwarded in 10 s", sent)
 	}
 }
 
-// Not watched, a small customer still has its even part of the buckets: those of all gateways are one and a
-// half bursts, no more. With a capacity of one request only, pairs of requests were rejected far within
-// quotas.
+// A small customer without sampling gets its even share of the buckets, which hold one and a half bursts
+// over all gateways. With a capacity of only one request, pairs of requests were rejected although the
+// customer was far below its quota.
 func TestUnsampledSmallCustomerHasItsShareOfTheBurst(t *testing.T) {
 	s := testSettings()
 	s.HasCounter = false
@@ -140,11 +142,11 @@
 	}
 }
 
-// Later big-1: slices below one request.
+// Guards against wrong admission when slices are smaller than one request (later big-1).
 func TestSparseCustomerKeepsItsQuotaOver200Gateways(t *testing.T) {
 	for _, tc := range []struct{ perSecond, minForwarded, maxForwarded float64 }{
 		{5, 5*20 - 1, 5 * 20},                   // half the quota: all is forwarded
-		{40, 0.6 * 10 * 20, 1.1*10*20 + 20 + 4}, // four times the quota: no more than it and the burst
+		{40, 0.6 * 10 * 20, 1.1*10*20 + 20 + 4}, // four times the quota: about the quota and the burst
 	} {
 		counter := packedCounter{}
 		got := runFleet(testSettings(), "rate", 200, tc.perSecond, 20, counter.add)
@@ -157,7 +159,7 @@
 	}
 }
 
-// No answer, ever: one request for each gateway at most.
+// Without any counter reply, at most one request per gateway and the quota are admitted.
 func TestUnknownSparseCustomerGetsTheEvenShare(t *testing.T) {
 	down := func(c CounterCall) CounterReply { return CounterReply{Name: c.Name, Outcome: TimedOut} }
 	if got := runFleet(testSettings(), "rate", 50, 40, 20, down); got < 40 || got > 50+10*20 {
@@ -170,41 +172,40 @@
 	for seed := range uint64(5) {
 		s := testSettings()
 		for i := range s.Plans {
-			s.Plans[i].ExcessValue = 2 // forwarded over quota too: an answer decides nothing
+			s.Plans[i].ExcessValue = 2 // requests are also forwarded over quota, so the reply decides nothing
 		}
 		g := New(s, seed)
 		g.counter.callProbability = 0.75
-		var watched []bool
+		var sampled []bool
 		n := 0
 		for i := range 200 {
 			r := &request{Request: Request{Customer: fmt.Sprint("c", i), Units: 4, Gateways: 200}}
 			r.customer = g.customerFor(r.Request, g.plans["rate"])
-			watched = append(watched, g.callProbability(r.customer, r) > 0)
-			if watched[i] {
+			sampled = append(sampled, g.callProbability(r.customer, r) > 0)
+			if sampled[i] {
 				n++
 			}
 		}
 		if n < 30 || n > 100 {
-			t.Errorf("%d of 200 watched at a chance of 0.75", n)
+			t.Errorf("%d of 200 sampled at a call probability of 0.75", n)
 		}
 		if first == nil {
-			first = watched
+			first = sampled
 		}
-		for i := range watched {
-			if watched[i] != first[i] {
+		for i := range sampled {
+			if sampled[i] != first[i] {
 				t.Fatalf("gateways differ on customer %d", i)
 			}
 		}
 	}
 }
 
-// Half a day of a fleet's requests come a few at a time: no gateway may hold those back for a brake of its
-// own.
-// Zone+vast: 900 of 2,400 rejected in 2 s with servers idle.
+// The requests of a fleet come a few at a time for half a day. No gateway may queue them because of its own
+// limits: 900 of 2,400 requests were rejected in 2 s while servers were idle (zone+vast).
 func TestSparseTrafficIsNotQueued(t *testing.T) {
 	gateways, _ := newTestFleet(80, 60)
 	g, sent := gateways[0], 0
-	for i := range 60 { // in threes, answered slowly one time in three
+	for i := range 60 { // three at a time, of which one is slow
 		out := g.Handle(1+float64(i/3)/2, testRequest(uint64(i+1), "safe", "free"))
 		for _, send := range actionsOf[Send](out) {
 			sent++
@@ -225,9 +226,9 @@
 	}
 }
 
-// What no call decides is decided by what came of those asked about: first tries and repeats, each by their
-// kind.
-// With an overloaded counter, a sixth was forwarded over quota (zone+vast).
+// Requests without a counter call are decided by the results of those with a call, separately for first
+// requests and retries. Without this, a sixth of the forwarded requests were over quota while the counter
+// was overloaded (zone+vast).
 func TestUnsampledRetriesAreEstimatedFromSampledOnes(t *testing.T) {
 	s := testSettings()
 	s.Gateways, s.MaxUnits = 80, 4
@@ -241,10 +242,10 @@
 			List:     []Backend{servingBackend("x"), servingBackend("y"), servingBackend("z")},
 		},
 	)
-	submit := func(customer string, repeat bool, reply CounterReply) (sent int) {
+	submit := func(customer string, retry bool, reply CounterReply) (sent int) {
 		id++
 		r := testRequest(id, "safe", "costs")
-		r.Customer, r.Gateways, r.Units, r.ClientRetry = customer, 60, 2, repeat
+		r.Customer, r.Gateways, r.Units, r.ClientRetry = customer, 60, 2, retry
 		out := g.Handle(float64(id)/10, r)
 		for n := 0; n < len(out); n++ {
 			switch a := out[n].(type) {
@@ -267,14 +268,14 @@
 		submit(fmt.Sprint("calm", i), false, CounterReply{Outcome: Succeeded, Total: 2})
 		submit(fmt.Sprint("heavy", i), true, CounterReply{Outcome: Succeeded, Total: 200})
 	}
-	first, again := 0, 0
+	first, retries := 0, 0
 	for i := range 40 {
 		first += submit(fmt.Sprint("met", i), false, CounterReply{Outcome: ConnectionRefused})
-		again += submit(fmt.Sprint("new", i), true, CounterReply{Outcome: ConnectionRefused})
+		retries += submit(fmt.Sprint("new", i), true, CounterReply{Outcome: ConnectionRefused})
 	}
-	if first < 38 || again > 2 {
+	if first < 38 || retries > 2 {
 		t.Errorf(
-			"of 40 each that were not asked about, %d first requests and %d retries forwarded", first, again,
+			"of 40 each without a call, %d first requests and %d retries forwarded", first, retries,
 		)
 	}
 }
--- a/internal/decision/stats.go
+++ b/internal/decision/stats.go
@@ -4,27 +4,28 @@
 
 // Stats are a snapshot of a gateway for operators.
 type Stats struct {
-	Pending   int                 // requests that are not answered, or have an attempt in flight
-	Queued    int                 // of these, the ones that wait for a server
-	Customers int                 // that sent requests within the last minute
+	Pending   int                 // requests that are unanswered or have an attempt in flight
+	Queued    int                 // pending requests that wait for a server
+	Customers int                 // customers that sent requests within the last minute
 	Servers   map[ServerState]int // listed servers by state
-	// RetryTokens is how many retries may be made at once for the service that has fewest left.
+	// RetryTokens is the number of retries that may be made at once, for the service with the fewest left.
 	RetryTokens float64
-	// CounterCallsUnanswered is how many calls of the counter in a row got no good answer.
+	// CounterCallsUnanswered is the number of consecutive counter calls without a successful reply.
 	CounterCallsUnanswered int
 }
 
-// ServerState is what a gateway finds of a listed server. Its values are those of the metrics.
+// ServerState is the state of a listed server from the point of view of a gateway. Its values are the label
+// values of the metrics.
 type ServerState string
 
-// The states of servers. The first that applies is the server's.
+// The states of servers. A server has the first state that applies.
 const (
 	ServerDraining   ServerState = "leaving" // draining, silent or removed
-	ServerEjected    ServerState = "resting" // it failed several times in a row
-	ServerOverloaded ServerState = "full"    // it rejected work a moment ago
-	ServerSlowStart  ServerState = "cold"    // it started a moment ago
-	ServerUnknown    ServerState = "unknown" // no good answer since it was listed or failed
-	ServerHealthy    ServerState = "good"    // its last answer was good
+	ServerEjected    ServerState = "resting" // it is ejected after consecutive failures
+	ServerOverloaded ServerState = "full"    // it has recently rejected work
+	ServerSlowStart  ServerState = "cold"    // it has recently started and is in slow start
+	ServerUnknown    ServerState = "unknown" // no successful answer since it was listed or failed
+	ServerHealthy    ServerState = "good"    // its last answer was successful
 )
 
 // ServerStates lists all states, in the order in which they are evaluated.
@@ -37,7 +38,7 @@
 	ServerHealthy,
 }
 
-// Stats returns a snapshot. It iterates over all known servers.
+// Stats returns a snapshot. It iterates over all servers, so its cost grows with their number.
 func (g *Gateway) Stats(now Seconds) Stats {
 	stats := Stats{
 		Pending:                len(g.requests),
@@ -63,8 +64,8 @@
 	return stats
 }
 
-// PoolSize returns how many servers are listed, and how many of these the gateway avoids now: it has ejected
-// them, or they rejected work.
+// PoolSize returns the number of listed servers, and the number of these that the gateway avoids now
+// because it has ejected them or they have rejected work.
 func (g *Gateway) PoolSize(now Seconds) (listed, avoided int) {
 	for b := range g.allBackends() {
 		if !b.listed {
--- a/internal/decision/suspects.go
+++ b/internal/decision/suspects.go
@@ -2,12 +2,11 @@
 
 import "slices"
 
-// suspectErrorRate is the share of recent answers that were errors, by weight, from which a server is
-// suspect.
+// suspectErrorRate is the weighted share of errors among recent answers above which a server is suspect.
 const suspectErrorRate = 0.3
 
-// UnhealthyServers names the servers that this gateway itself finds unhealthy: it has ejected them, or a
-// large part of their recent answers were errors. The names are sorted.
+// UnhealthyServers returns the sorted names of the servers that are unhealthy by this gateway's own
+// observations: it has ejected them, or more than suspectErrorRate of their recent answers were errors.
 func (g *Gateway) UnhealthyServers(now Seconds) []string {
 	var names []string
 	for b := range g.allBackends() {
@@ -19,9 +18,9 @@
 	return names
 }
 
-// SetSuspects names servers that other gateways find unhealthy. One that has answered well here a moment
-// ago is not changed; another has to prove itself, and costs more than those that nobody suspects. Servers
-// that are not listed are ignored.
+// SetSuspects applies the names of servers that other gateways find unhealthy. A server that has recently
+// answered this gateway successfully is not changed. Any other one counts as unhealthy until it answers
+// successfully, and its cost rises. Names of servers that are not listed are ignored.
 func (g *Gateway) SetSuspects(_ Seconds, servers []string) {
 	for b := range g.allBackends() {
 		answersWell := b.healthy && b.failures == 0 && b.recentAnswers >= 1
--- a/internal/decision/zone_slots.go
+++ b/internal/decision/zone_slots.go
@@ -5,13 +5,14 @@
 	"slices"
 )
 
-// homeSlotCost is the cost of a backend with a free home slot, beside that of another.
+// homeSlotCost is the cost of a backend with a free home slot, relative to a backend in this zone without
+// one.
 const homeSlotCost = 0.3
 
-// zonePosition is a gateway's place among those of its zone; peers 0: it is not known.
+// zonePosition is a gateway's rank among the gateways of its zone, and their number; peers 0: not known.
 type zonePosition struct{ rank, peers int }
 
-// SetZoneRank sets this gateway's place among those of its zone, counted from 0.
+// SetZoneRank sets this gateway's rank among the gateways of its zone, from 0, and their number.
 func (g *Gateway) SetZoneRank(rank, peers int) {
 	if rank < 0 || rank >= peers {
 		return
@@ -23,8 +24,9 @@
 }
 
 // orderBackends sorts the backends of a group into this gateway's own order of use. Those with home slots
-// come first: each backend of a zone is then in the subset of a gateway of that zone, also one that has just
-// joined. In a random order alone, one in a hundred of a large group is in the subset of no gateway.
+// come first, so that each backend of a zone, even one that has just joined, is in the subset of a gateway
+// of that zone. With a purely random order, one in a hundred backends of a large group is in no gateway's
+// subset.
 func (g *Gateway) orderBackends(p *backendPool) {
 	g.assignHomeSlots(p)
 	slices.SortFunc(p.order, func(a, b *backend) int {
@@ -43,9 +45,9 @@
 	return 1
 }
 
-// localityCost weights a backend by where it is. One in another zone costs more than one in this gateway's
-// own. One with a free home slot costs less: gateways that do not know of one another's requests do not meet
-// there.
+// localityCost returns a backend's cost factor for its zone and its home slots. A backend in another zone
+// costs more than one in this gateway's zone. A backend with a free home slot costs less, because no other
+// gateway prefers that slot, so gateways that do not know each other's requests do not collide there.
 func (g *Gateway) localityCost(b *backend) float64 {
 	switch {
 	case float64(b.inFlight)+b.abandoned < b.homeSlots:
@@ -56,8 +58,9 @@
 	return 1
 }
 
-// assignHomeSlots divides the slots of a group's backends in this zone evenly among the gateways of the zone,
-// in an order that is the same at all of them.
+// assignHomeSlots divides the slots of a group's backends in this zone evenly among the gateways of the
+// zone. It goes through the backends in the order of their IDs, so that all gateways compute the same
+// division.
 func (g *Gateway) assignHomeSlots(p *backendPool) {
 	if !g.settings.CapacityInSlots || g.zonePosition.peers == 0 {
 		return
--- a/internal/standalone/fleet/quotashare/events.go
+++ b/internal/standalone/fleet/quotashare/events.go
@@ -71,7 +71,7 @@
 }
 
 // SetGrants replaces all grants of this ingress. If no other SetGrants follows until Until, the process was
-// suspended, and each customer's QuotaGrant.Keep is left.
+// suspended, and each customer's QuotaGrant.Reserved is left.
 type SetGrants struct {
 	Grants []QuotaGrant
 	Until  Seconds
--- a/internal/standalone/fleet/quotashare/grants.go
+++ b/internal/standalone/fleet/quotashare/grants.go
@@ -85,12 +85,12 @@
 	}
 	for _, name := range a.customerNames() {
 		c := a.customers[name]
-		g := QuotaGrant{Customer: name, Keep: c.evenShare() * ReservedShare}
+		g := QuotaGrant{Customer: name, Reserved: c.evenShare() * ReservedShare}
 		if a.usesCounter(now, c) {
 			g.Scaled = true
 			g.Rate = 1
-			g.Less = a.lentRate(now, name, c)
-			if g.Less <= 0 {
+			g.Lent = a.lentRate(now, name, c)
+			if g.Lent <= 0 {
 				continue
 			}
 		} else {
--- a/internal/standalone/fleet/quotashare/simulation_test.go
+++ b/internal/standalone/fleet/quotashare/simulation_test.go
@@ -262,7 +262,7 @@
 		return 0
 	}
 	if s.clock(i) > i.until {
-		return g.Keep
+		return g.Reserved
 	}
 	return g.Rate
 }
