--- a/internal/decision/counter_cycles.go
+++ b/internal/decision/counter_cycles.go
@@ -17,10 +17,14 @@
 
 	// idleFraction is the part of the even share that the other gateways leave to a gateway whose demand is
 	// below it and that makes no calls.
-	idleFraction             = 0.4
-	validCycles              = 2.5 // cycles for which a total is valid
-	implausibleTotalFraction = 0.5 // of the last total; less, by fewer reporters, is rejected once
-	minProcessShare          = 0.1 // smallest share of a gateway by which a process scales its demand
+	idleFraction = 0.4
+	validCycles  = 2.5 // cycles for which a total is valid
+	// implausibleTotalFraction is the share of the last total below which a total from fewer reporters is
+	// rejected once, because the counter may have lost reports.
+	implausibleTotalFraction = 0.5
+	// minProcessShare is the smallest share of a gateway by which a process scales up its demand to that of
+	// the gateway.
+	minProcessShare = 0.1
 )
 
 // cycleStage is the last counter call that was made in a cycle.
@@ -51,7 +55,7 @@
 	holdUntil Seconds // until then totals of fewer gateways than before are ignored
 }
 
-// numberAt returns the number of the cycle at a time, which is the same at all gateways.
+// numberAt returns the number of the cycle at the given time, which is the same at all gateways.
 func (cc *counterCycle) numberAt(now Seconds) int64 {
 	return int64(math.Floor((now - cc.phase) / cc.period))
 }
--- a/internal/decision/handover.go
+++ b/internal/decision/handover.go
@@ -197,7 +197,7 @@
 	}
 }
 
-// valid reports whether the knowledge of a customer can be correct at a time.
+// valid reports whether the knowledge of a customer can be correct at the given time.
 func (ck *CustomerKnowledge) valid(now Seconds) bool {
 	if ck.Gateways < 1 || ck.Tokens < 0 || ck.LimitTokens < 0 || ck.Slice < 0 {
 		return false
@@ -235,7 +235,7 @@
 	return true
 }
 
-// restoreBackend applies the knowledge of one backend from a time, and reports whether it was applied.
+// restoreBackend applies the knowledge of one backend at the given time, and reports whether it was applied.
 func (g *Gateway) restoreBackend(e BackendKnowledge, at Seconds, weight decayWeight) bool {
 	b := g.backends[e.ID]
 	if b == nil || !b.listed || b.StartedAt > at || g.warmFraction(b) < 1 {
--- a/internal/decision/quota_grants.go
+++ b/internal/decision/quota_grants.go
@@ -25,7 +25,7 @@
 	limitTransferredAt Seconds // time of the last transfer of rate limit tokens
 }
 
-// rateAt returns the units per second that the grant allows at a time.
+// rateAt returns the units per second that the grant allows at the given time.
 func (gr *grant) rateAt(now Seconds) float64 {
 	switch {
 	case now > gr.expiresAt:
--- a/internal/decision/ratelimit/split.go
+++ b/internal/decision/ratelimit/split.go
@@ -49,8 +49,8 @@
 	return min(part*(s.Burst+s.Slack), tokens+part*s.Rate*since)
 }
 
-// SharedSpan returns the name of the span at a time, its capacity in units, and the time in seconds for
-// which its counter is needed. It returns false if there is no shared part.
+// SharedSpan returns the name of the span at the given time, its capacity in units, and the time in seconds
+// for which its counter is needed. It returns false if there is no shared part.
 func (s Split) SharedSpan(now float64) (name string, capacity, retention float64, ok bool) {
 	span := s.span()
 	if span == 0 {
--- a/internal/decision/shared_bucket.go
+++ b/internal/decision/shared_bucket.go
@@ -5,8 +5,8 @@
 	fullThrottleOverdraft = 0.5 // share of a cycle's quota; a bucket overdrawn by this much admits nothing
 )
 
-// sharedBucket is a token bucket of a sparse customer's complete quota. One gateway estimates it from the
-// totals that it reads, which show the demand at all gateways.
+// sharedBucket is a token bucket of a sparse customer's complete quota. One gateway estimates from the
+// totals that it reads how much all gateways together have admitted.
 type sharedBucket struct {
 	observedAt Seconds // time of the last total
 	cycle      int64   // cycle of the last total
--- a/internal/decision/sparse.go
+++ b/internal/decision/sparse.go
@@ -9,14 +9,18 @@
 	sampledUtilization    = 0.85 // target share of the quota, as a bucket near empty rejects at random
 	maxCallWeight         = 0.15 // share of a cycle's quota that one call may add
 	maxValidCycles        = 4.0  // cycles for which a total is valid if it keeps showing the same
-	excessCallExponent    = 4.0  // on the call probability: calls whose reply decides nothing stop first
+	// excessCallExponent is the exponent on the call probability of customers for whom the reply decides
+	// nothing, so that their calls are the first to stop when the counter is overloaded.
+	excessCallExponent = 4.0
 	// overloadedCallProbability is the call probability below which no second call is made for a request.
 	overloadedCallProbability = 0.6
 	amountTolerance           = 1e-6 // units; a total this near to the amount is from this gateway alone
 	// maxAssumedQuotas is the largest demand in the previous cycle, as a multiple of the quota, that is
 	// assumed if its total is not known.
-	maxAssumedQuotas   = 2.0
-	minElapsedFraction = 0.25 // share of a cycle over which a total is averaged at least
+	maxAssumedQuotas = 2.0
+	// minElapsedFraction is the shortest time, as a share of a cycle, by which a cycle's total is divided to
+	// get a rate. Early in a cycle the rate would be noise.
+	minElapsedFraction = 0.25
 )
 
 // sparseMode is the state of a customer whose slice is less than a few requests. Its demand at one gateway
@@ -82,13 +86,13 @@
 	least := min(1, c.unitsOf(r)/(maxCallWeight*g.quotaRate(c)*c.cycle.period))
 	// While the counter does not reply, requests of all customers test whether it is back.
 	if g.counter.unanswered < pauseAfterFailures {
-		watched := available
+		sampledShare := available
 		if c.plan.forwardsExcess() { // the request is forwarded in any case, so the reply decides nothing
-			watched = math.Pow(available, excessCallExponent)
+			sampledShare = math.Pow(available, excessCallExponent)
 		} else if least > available && c.plan.ExcessCost > 0 {
 			return available
 		}
-		if float64(c.hash)/math.MaxUint32*least > watched {
+		if float64(c.hash)/math.MaxUint32*least > sampledShare {
 			return 0
 		}
 	}
--- a/internal/decision/sparse_partition.go
+++ b/internal/decision/sparse_partition.go
@@ -11,7 +11,7 @@
 	sparseGraceBase     = 0.4
 	sparseGraceRequests = 8.0 // requests that the complete quota admits in the rest of the grace period
 	sparseBurstShare    = 0.4 // share of the burst that the buckets of all partitioned gateways hold together
-	sparseSpareRequests = 8.0 // requests added to these buckets, because each would hold less than one
+	sparseSpareRequests = 8.0 // requests added to these buckets together, less than one to each
 	partitionedShare    = 0.1 // share of its even share that a partitioned gateway admits
 )
 
