--- a/internal/decision/backends.go
+++ b/internal/decision/backends.go
@@ -139,7 +139,7 @@
 }
 
 // warmUpAdmits reports whether a backend in slow start may get an attempt: its rate is limited to
-// warmFraction of the rate of a warm backend. If that is less than one attempt in the whole slow start,
+// warmFraction of the rate of a warm backend. If that is less than one attempt during slow start,
 // every attempt is allowed, and the random part of the selection decides.
 func (g *Gateway) warmUpAdmits(b *backend, warmFraction float64) bool {
 	rate := warmFraction * b.pool.sendRate / float64(max(1, b.pool.warm))
--- a/internal/decision/pair_counters_test.go
+++ b/internal/decision/pair_counters_test.go
@@ -55,26 +55,26 @@
 const lostCallTimeout = 0.32 // s
 
 func newQuotaSimulation(seed uint64, nodes int, plan Plan, rates func(i int) float64) *quotaSimulation {
-	s := &quotaSimulation{
+	qs := &quotaSimulation{
 		rng:      rand.New(rand.NewPCG(seed, 9)),
 		counters: quota.NewCounterTable(),
 		plan:     plan,
 		now:      100,
 	}
-	s.counters.SetMembers(0, []string{"k"}, "k", true)
+	qs.counters.SetMembers(0, []string{"k"}, "k", true)
 	for i := range nodes {
 		n := &quotaNode{name: strconv.Itoa(i), rate: rates(i)}
-		s.nodes = append(s.nodes, n)
-		s.start(n)
+		qs.nodes = append(qs.nodes, n)
+		qs.start(n)
 	}
-	return s
+	return qs
 }
 
-func (s *quotaSimulation) start(n *quotaNode) {
+func (qs *quotaSimulation) start(n *quotaNode) {
 	n.incarnation++
 	n.lostCalls = nil
 	n.g = New(Settings{
-		Gateways:        len(s.nodes),
+		Gateways:        len(qs.nodes),
 		HasCounter:      true,
 		CounterTimeout:  0.35,
 		PairCounters:    true,
@@ -84,94 +84,94 @@
 		MaxAttempts:     1,
 		MayRetryAfter:   true,
 		MaxRetryAfter:   1,
-	}, s.rng.Uint64())
-	n.nextTick = s.now + 0.05*s.rng.Float64()
-	s.handle(n, Start{})
-	s.handle(n, Backends{List: []Backend{{ID: "s", Serving: true, Size: 1e3}}})
+	}, qs.rng.Uint64())
+	n.nextTick = qs.now + 0.05*qs.rng.Float64()
+	qs.handle(n, Start{})
+	qs.handle(n, Backends{List: []Backend{{ID: "s", Serving: true, Size: 1e3}}})
 }
 
-func (s *quotaSimulation) handle(n *quotaNode, e Event) {
-	for _, a := range n.g.Handle(s.now, e) {
+func (qs *quotaSimulation) handle(n *quotaNode, e Event) {
+	for _, a := range n.g.Handle(qs.now, e) {
 		switch a := a.(type) {
 		case Send:
-			s.admittedAt = append(s.admittedAt, s.now)
-			s.handle(n, AttemptEnded{
+			qs.admittedAt = append(qs.admittedAt, qs.now)
+			qs.handle(n, AttemptEnded{
 				ID: a.ID, Backend: a.Backend, Outcome: Succeeded, Duration: 0.01, Answered: true,
 			})
 		case Reject:
 			n.rejections++
 		case CounterCall:
 			c := CounterReply{Name: a.Name, Outcome: Failed}
-			targeted := s.lostTenant != "" && a.Customer == s.lostTenant
-			lost := n.partitioned || s.rng.Float64() < s.lostShare || targeted
+			targeted := qs.lostTenant != "" && a.Customer == qs.lostTenant
+			lost := n.partitioned || qs.rng.Float64() < qs.lostShare || targeted
 			if !lost {
 				owner := n.name
 				if a.PerRequest {
 					owner += "#" + strconv.Itoa(n.incarnation)
 				}
-				s.id++
-				total := s.counters.Add(s.now, &quota.Report{
+				qs.id++
+				total := qs.counters.Add(qs.now, &quota.Report{
 					Name:       a.Customer,
 					Cycle:      a.Cycle,
 					Reporter:   owner,
 					Amount:     a.Add,
 					ReadOnly:   a.Add == 0,
 					PerRequest: a.PerRequest,
-					Serial:     s.id,
+					Serial:     qs.id,
 					Retention:  a.Retention,
 				})
 				if c.Outcome, c.Reporters = Failed, total.Reporters; total.OK {
 					c.Outcome, c.Total = Succeeded, total.Sum
 				}
-				defer s.handle(n, c)
+				defer qs.handle(n, c)
 				continue
 			}
-			n.lostCalls = append(n.lostCalls, lostCall{s.now + lostCallTimeout, a.Name})
+			n.lostCalls = append(n.lostCalls, lostCall{qs.now + lostCallTimeout, a.Name})
 		}
 	}
 }
 
 // run simulates a span in seconds, in steps of a millisecond. Requests are a Poisson process.
-func (s *quotaSimulation) run(span float64) {
-	for end := s.now + span; s.now < end; s.now += 0.001 {
-		for _, n := range s.nodes {
+func (qs *quotaSimulation) run(span float64) {
+	for end := qs.now + span; qs.now < end; qs.now += 0.001 {
+		for _, n := range qs.nodes {
 			if !n.partitioned {
-				n.contactAt = s.now
+				n.contactAt = qs.now
 			}
-			if s.now < n.downUntil {
+			if qs.now < n.downUntil {
 				continue
 			}
 			if n.downUntil > 0 {
 				n.downUntil = 0
-				s.start(n)
+				qs.start(n)
 			}
-			if s.rng.Float64() < n.rate*0.001 {
-				s.id++
+			if qs.rng.Float64() < n.rate*0.001 {
+				qs.id++
 				n.requests++
 				tenant := "t"
-				if s.tenants > 1 {
-					tenant += strconv.Itoa(s.rng.IntN(s.tenants))
+				if qs.tenants > 1 {
+					tenant += strconv.Itoa(qs.rng.IntN(qs.tenants))
 				}
 				n.queue = append(n.queue, Request{
-					ID: s.id, Class: "c", Customer: tenant, TimeLeft: 1, Units: 1,
-					Gateways: cmp.Or(s.gateways, len(s.nodes)),
-					Terms:    &Terms{Plan: s.plan, Tag: "1"}, OwnerContactAge: s.now - n.contactAt,
+					ID: qs.id, Class: "c", Customer: tenant, TimeLeft: 1, Units: 1,
+					Gateways: cmp.Or(qs.gateways, len(qs.nodes)),
+					Terms:    &Terms{Plan: qs.plan, Tag: "1"}, OwnerContactAge: qs.now - n.contactAt,
 				})
 			}
-			if s.now < n.stalledUntil {
+			if qs.now < n.stalledUntil {
 				continue
 			}
-			if s.now >= n.nextTick {
-				n.nextTick = max(n.nextTick+tickInterval, s.now)
-				s.handle(n, Timer{"tick"})
+			if qs.now >= n.nextTick {
+				n.nextTick = max(n.nextTick+tickInterval, qs.now)
+				qs.handle(n, Timer{"tick"})
 			}
-			for len(n.lostCalls) > 0 && n.lostCalls[0].at <= s.now {
+			for len(n.lostCalls) > 0 && n.lostCalls[0].at <= qs.now {
 				name := n.lostCalls[0].name
 				n.lostCalls = n.lostCalls[1:]
-				s.handle(n, CounterReply{Name: name, Outcome: Failed})
+				qs.handle(n, CounterReply{Name: name, Outcome: Failed})
 			}
 			for _, r := range n.queue {
-				s.handle(n, r)
+				qs.handle(n, r)
 			}
 			n.queue = n.queue[:0]
 		}
@@ -179,10 +179,10 @@
 }
 
 // maxAdmitted returns the largest number of requests that were forwarded in any window of ruleWindow.
-func (s *quotaSimulation) maxAdmitted() (maximum int) {
+func (qs *quotaSimulation) maxAdmitted() (maximum int) {
 	first := 0
-	for i, at := range s.admittedAt {
-		for s.admittedAt[first] <= at-ruleWindow {
+	for i, at := range qs.admittedAt {
+		for qs.admittedAt[first] <= at-ruleWindow {
 			first++
 		}
 		maximum = max(maximum, i-first+1)
@@ -202,13 +202,13 @@
 func maxAllowed(p Plan) int { return int((p.Rate*ruleWindow+p.Burst)*(1+ruleExcess)) + ruleSlack }
 
 // servedDuring runs a span and returns the share of the requests in it that were served, and their number.
-func (s *quotaSimulation) servedDuring(span float64) (served float64, requests int) {
-	for _, n := range s.nodes {
+func (qs *quotaSimulation) servedDuring(span float64) (served float64, requests int) {
+	for _, n := range qs.nodes {
 		n.requests, n.rejections = 0, 0
 	}
-	s.run(span)
+	qs.run(span)
 	rejections := 0
-	for _, n := range s.nodes {
+	for _, n := range qs.nodes {
 		requests += n.requests
 		rejections += n.rejections
 	}
@@ -237,38 +237,38 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			for seed := range uint64(5) {
-				s := newQuotaSimulation(
+				qs := newQuotaSimulation(
 					seed, c.nodes, c.plan,
 					func(i int) float64 {
 						return c.baseLoad * c.plan.Rate / float64(c.nodes) * (0.5 + float64(i%3)*0.5)
 					},
 				)
-				s.lostShare = c.lost
-				s.run(8) // the gateways learn their slices
-				served, asked := s.servedDuring(20)
+				qs.lostShare = c.lost
+				qs.run(8) // the gateways learn their slices
+				served, asked := qs.servedDuring(20)
 				if served < c.minServed {
 					t.Errorf("seed %d: %.3f of %d requests within the quota served", seed, served, asked)
 				}
-				for _, n := range s.nodes {
+				for _, n := range qs.nodes {
 					n.rate *= 8
 				}
-				s.run(4)
-				for i, n := range s.nodes {
+				qs.run(4)
+				for i, n := range qs.nodes {
 					switch {
 					case c.nodes < 3:
 					case i%4 == 1:
 						n.partitioned = true
 					case i%2 == 0:
-						n.downUntil = s.now + 2.2 + s.rng.Float64()
+						n.downUntil = qs.now + 2.2 + qs.rng.Float64()
 					}
 				}
-				s.run(6)
-				for _, n := range s.nodes {
+				qs.run(6)
+				for _, n := range qs.nodes {
 					n.partitioned = false
 				}
-				s.run(5)
-				is.True(len(s.admittedAt) > 0)
-				if admitted := s.maxAdmitted(); admitted > maxAllowed(c.plan) {
+				qs.run(5)
+				is.True(len(qs.admittedAt) > 0)
+				if admitted := qs.maxAdmitted(); admitted > maxAllowed(c.plan) {
 					t.Errorf("seed %d: %d in five seconds, %d allowed", seed, admitted, maxAllowed(c.plan))
 				}
 			}
@@ -281,23 +281,23 @@
 func TestSlicesAddUpToTheQuota(t *testing.T) {
 	is := is.New(t)
 	plan := Plan{Rate: 200, Burst: 200, ValueWeight: 1}
-	s := newQuotaSimulation(3, 7, plan, func(i int) float64 { return 5 + 6*float64(i) })
-	s.run(20)
+	qs := newQuotaSimulation(3, 7, plan, func(i int) float64 { return 5 + 6*float64(i) })
+	qs.run(20)
 	sum := 0.0
-	for _, n := range s.nodes {
+	for _, n := range qs.nodes {
 		c := n.g.customers["t"]
 		sum += c.bucket.slice
 		is.Equal(c.cycle.reporters, 7.0) // all gateways have reported
 	}
 	is.True(math.Abs(sum-plan.Rate) < 0.1*plan.Rate)
-	largest := slices.MaxFunc(s.nodes, func(a, b *quotaNode) int {
+	largest := slices.MaxFunc(qs.nodes, func(a, b *quotaNode) int {
 		return int(a.g.customers["t"].bucket.slice - b.g.customers["t"].bucket.slice)
 	})
 	is.True(largest.rate >= 29) // the slice follows the demand
-	s.nodes[0].partitioned = true
-	s.run(4)
-	if c := s.nodes[0].g.customers["t"]; s.nodes[0].g.effectiveSlice(c) > idleFraction*plan.Rate/7+1e-9 {
-		t.Errorf("a partitioned gateway keeps a slice of %.1f", s.nodes[0].g.effectiveSlice(c))
+	qs.nodes[0].partitioned = true
+	qs.run(4)
+	if c := qs.nodes[0].g.customers["t"]; qs.nodes[0].g.effectiveSlice(c) > idleFraction*plan.Rate/7+1e-9 {
+		t.Errorf("a partitioned gateway keeps a slice of %.1f", qs.nodes[0].g.effectiveSlice(c))
 	}
 }
 
@@ -306,27 +306,27 @@
 // quota must still be served.
 func TestSlicesStayWhileACounterOwnerChanges(t *testing.T) {
 	plan := Plan{Rate: 122, Burst: 122, ValueWeight: 1}
-	s := newQuotaSimulation(4, 11, plan, func(i int) float64 { return 4 + float64(i%3)*4 })
-	s.run(10)
-	for _, n := range s.nodes {
+	qs := newQuotaSimulation(4, 11, plan, func(i int) float64 { return 4 + float64(i%3)*4 })
+	qs.run(10)
+	for _, n := range qs.nodes {
 		n.rate *= 8
 	}
-	s.run(3)
-	s.counters = quota.NewCounterTable() // the new owner has no counters
-	from := len(s.admittedAt)
-	for _, n := range s.nodes {
+	qs.run(3)
+	qs.counters = quota.NewCounterTable() // the new owner has no counters
+	from := len(qs.admittedAt)
+	for _, n := range qs.nodes {
 		n.partitioned = true // until the loss of the old owner is detected
 	}
-	s.run(1.5)
-	for _, n := range s.nodes {
+	qs.run(1.5)
+	for _, n := range qs.nodes {
 		n.partitioned = false
 	}
-	s.counters.SetMembers(s.now, []string{"k"}, "k", true)
-	s.run(4.5)
-	if served := float64(len(s.admittedAt)-from) / (6 * plan.Rate); served < 0.9 {
+	qs.counters.SetMembers(qs.now, []string{"k"}, "k", true)
+	qs.run(4.5)
+	if served := float64(len(qs.admittedAt)-from) / (6 * plan.Rate); served < 0.9 {
 		t.Errorf("%.2f of the quota served while the counter owner changed", served)
 	}
-	if admitted := s.maxAdmitted(); admitted > maxAllowed(plan) {
+	if admitted := qs.maxAdmitted(); admitted > maxAllowed(plan) {
 		t.Errorf("%d forwarded in five seconds, %d allowed", admitted, maxAllowed(plan))
 	}
 }
@@ -361,26 +361,26 @@
 		asked, refused := 0, 0
 		for seed := range uint64(6) {
 			plan := Plan{Rate: 50, Burst: 50, ValueWeight: 1}
-			s := newQuotaSimulation(
+			qs := newQuotaSimulation(
 				seed, 3, plan,
 				func(i int) float64 {
 					return 6 * 0.62 * plan.Rate / 3 * (0.5 + float64(i%3)*0.5)
 				},
 			)
-			s.tenants = 6
-			s.run(8) // the gateways learn their slices
-			for i, n := range s.nodes {
+			qs.tenants = 6
+			qs.run(8) // the gateways learn their slices
+			for i, n := range qs.nodes {
 				n.requests, n.rejections, n.partitioned = 0, 0, !c.stall
 				if c.stall && i == 0 {
-					n.stalledUntil = s.now + c.span
+					n.stalledUntil = qs.now + c.span
 				}
 			}
-			s.run(c.span)
-			for _, n := range s.nodes {
+			qs.run(c.span)
+			for _, n := range qs.nodes {
 				n.partitioned = false
 			}
-			s.run(4)
-			for _, n := range s.nodes {
+			qs.run(4)
+			for _, n := range qs.nodes {
 				asked, refused = asked+n.requests, refused+n.rejections
 			}
 		}
@@ -398,26 +398,26 @@
 		for _, part := range []int{2, 3} {
 			for _, gap := range []float64{0, 2, 2.6, 3.2, 4} {
 				plan := Plan{Rate: 122, Burst: 122, ValueWeight: 1}
-				s := newQuotaSimulation(
+				qs := newQuotaSimulation(
 					uint64(part), nodes, plan,
 					func(i int) float64 {
 						return 0.3 * plan.Rate / float64(nodes) * (0.5 + float64(i%3)*0.5)
 					},
 				)
-				s.run(14)
-				for i, n := range s.nodes {
+				qs.run(14)
+				for i, n := range qs.nodes {
 					n.partitioned = i%part == 0
 				}
-				s.run(gap)
-				for _, n := range s.nodes {
+				qs.run(gap)
+				for _, n := range qs.nodes {
 					n.rate *= 20
 				}
-				s.run(4)
-				for _, n := range s.nodes {
+				qs.run(4)
+				for _, n := range qs.nodes {
 					n.partitioned = false
 				}
-				s.run(4)
-				if admitted := s.maxAdmitted(); admitted > maxAllowed(plan) {
+				qs.run(4)
+				if admitted := qs.maxAdmitted(); admitted > maxAllowed(plan) {
 					t.Errorf(
 						"%d gateways, one of %d cut off, surge %.1f s later: %d in five seconds, %d allowed",
 						nodes, part, gap, admitted, maxAllowed(plan),
@@ -452,21 +452,21 @@
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(4) {
 				plan := Plan{Rate: c.rate, Burst: c.burst * c.rate, ValueWeight: 1}
-				s := newQuotaSimulation(
+				qs := newQuotaSimulation(
 					seed, c.nodes, plan,
 					func(int) float64 { return 0.6 * c.rate / float64(c.nodes) },
 				)
-				s.run(14)
-				for _, n := range s.nodes {
+				qs.run(14)
+				for _, n := range qs.nodes {
 					n.rate *= 15
 				}
-				s.run(0.5)
-				for _, n := range s.nodes {
-					n.downUntil = s.now + c.down
-					s.run(c.gap)
+				qs.run(0.5)
+				for _, n := range qs.nodes {
+					n.downUntil = qs.now + c.down
+					qs.run(c.gap)
 				}
-				s.run(6)
-				if admitted := s.maxAdmitted(); admitted > maxAllowed(plan) {
+				qs.run(6)
+				if admitted := qs.maxAdmitted(); admitted > maxAllowed(plan) {
 					t.Errorf("seed %d: %d sent in five seconds, %d allowed", seed, admitted, maxAllowed(plan))
 				}
 			}
@@ -502,14 +502,14 @@
 			for seed := range uint64(seeds) {
 				rate := c.even * float64(c.nodes)
 				plan := Plan{Rate: rate, Burst: rate, ValueWeight: 1}
-				s := newQuotaSimulation(seed, c.nodes, plan, func(int) float64 { return 0 })
-				s.run(quota.HandoverFence + float64(seed)/seeds)
-				s.nodes[0].rate = 4
-				s.run(before)
-				for _, n := range s.nodes {
+				qs := newQuotaSimulation(seed, c.nodes, plan, func(int) float64 { return 0 })
+				qs.run(quota.HandoverFence + float64(seed)/seeds)
+				qs.nodes[0].rate = 4
+				qs.run(before)
+				for _, n := range qs.nodes {
 					n.rate = 0.62 * c.even
 				}
-				served, asked := s.servedDuring(6)
+				served, asked := qs.servedDuring(6)
 				requests += float64(asked)
 				rejections += (1 - served) * float64(asked)
 			}
@@ -532,14 +532,14 @@
 		requests, rejections := 0.0, 0.0
 		for seed := range uint64(10) {
 			plan := Plan{Rate: rate, Burst: rate, ValueWeight: 1}
-			s := newQuotaSimulation(seed, 3, plan, func(int) float64 { return 0.62 * rate / 3 })
-			s.gateways = 24
-			s.run(0.5 + float64(seed)/10)
-			s.gateways = 0
-			for _, n := range s.nodes {
-				n.g.SetCustomerGateways(s.now, 3)
+			qs := newQuotaSimulation(seed, 3, plan, func(int) float64 { return 0.62 * rate / 3 })
+			qs.gateways = 24
+			qs.run(0.5 + float64(seed)/10)
+			qs.gateways = 0
+			for _, n := range qs.nodes {
+				n.g.SetCustomerGateways(qs.now, 3)
 			}
-			served, asked := s.servedDuring(3)
+			served, asked := qs.servedDuring(3)
 			requests += float64(asked)
 			rejections += (1 - served) * float64(asked)
 		}
@@ -556,15 +556,15 @@
 	for _, rate := range []float64{14, 50, 122} {
 		for seed := range uint64(6) {
 			plan := Plan{Rate: rate, Burst: rate, ValueWeight: 1}
-			s := newQuotaSimulation(seed, 3, plan, func(int) float64 { return 5 * rate })
-			s.gateways = 24
-			s.run(0.5 + float64(seed)/3)
-			s.gateways = 0
-			for _, n := range s.nodes {
-				n.g.SetCustomerGateways(s.now, 3)
+			qs := newQuotaSimulation(seed, 3, plan, func(int) float64 { return 5 * rate })
+			qs.gateways = 24
+			qs.run(0.5 + float64(seed)/3)
+			qs.gateways = 0
+			for _, n := range qs.nodes {
+				n.g.SetCustomerGateways(qs.now, 3)
 			}
-			s.run(6)
-			if admitted := s.maxAdmitted(); admitted > maxAllowed(plan) {
+			qs.run(6)
+			if admitted := qs.maxAdmitted(); admitted > maxAllowed(plan) {
 				t.Errorf(
 					"quota of %.0f, seed %d: %d forwarded in five seconds, %d allowed",
 					rate, seed, admitted, maxAllowed(plan),
--- a/internal/decision/ratelimit/split_test.go
+++ b/internal/decision/ratelimit/split_test.go
@@ -8,7 +8,7 @@
 )
 
 // limitedFleet simulates a customer's requests through the gateways of a split. It records the units that
-// were forwarded and the lowest level of a reference bucket for the whole limit. A level below minus the
+// were forwarded and the lowest level of a reference bucket for the complete limit. A level below minus the
 // slack means that the limit was exceeded.
 type limitedFleet struct {
 	split                  Split
--- a/internal/decision/sparse_partition_test.go
+++ b/internal/decision/sparse_partition_test.go
@@ -32,26 +32,26 @@
 					worst := 0
 					plan := Plan{Rate: rate, Burst: rate, ValueWeight: 1}
 					for seed := range seeds {
-						s := newQuotaSimulation(
+						qs := newQuotaSimulation(
 							seed, nodes, plan,
 							func(i int) float64 {
 								return 0.5 * plan.Rate / float64(nodes) * (0.5 + float64(i%3)*0.5)
 							},
 						)
-						s.run(14)
-						for i, n := range s.nodes {
+						qs.run(14)
+						for i, n := range qs.nodes {
 							n.partitioned = i%part == part-1
 						}
-						s.run(gap)
-						for _, n := range s.nodes {
+						qs.run(gap)
+						for _, n := range qs.nodes {
 							n.rate *= 2 * times
 						}
-						s.run(8)
-						for _, n := range s.nodes {
+						qs.run(8)
+						for _, n := range qs.nodes {
 							n.partitioned = false
 						}
-						s.run(4)
-						worst = max(worst, s.maxAdmitted())
+						qs.run(4)
+						worst = max(worst, qs.maxAdmitted())
 					}
 					if worst > maxAllowed(plan) {
 						t.Errorf("%d forwarded in five seconds, %d allowed", worst, maxAllowed(plan))
@@ -74,20 +74,20 @@
 		asked, refused := 0, 0
 		for seed := range uint64(8) {
 			plan := Plan{Rate: 20, Burst: 20, ValueWeight: 1}
-			s := newQuotaSimulation(
+			qs := newQuotaSimulation(
 				seed, 11, plan,
 				func(i int) float64 {
 					return tenants * 0.5 * plan.Rate / 11 * (0.5 + float64(i%3)*0.5)
 				},
 			)
-			s.tenants = tenants
-			s.run(10)
-			for _, n := range s.nodes {
+			qs.tenants = tenants
+			qs.run(10)
+			for _, n := range qs.nodes {
 				n.requests, n.rejections, n.partitioned = 0, 0, unreachable == ""
 			}
-			s.lostTenant = unreachable
-			s.run(1)
-			for _, n := range s.nodes {
+			qs.lostTenant = unreachable
+			qs.run(1)
+			for _, n := range qs.nodes {
 				asked, refused = asked+n.requests, refused+n.rejections
 			}
 		}
--- a/internal/decision/sparse_test.go
+++ b/internal/decision/sparse_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// Three gateways of a small customer whose demand is three times its quota must forward nearly the whole
+// Three gateways of a small customer whose demand is three times its quota must forward nearly the complete
 // quota, and no more.
 func TestSmallCustomerOfASmallFleetGetsItsQuota(t *testing.T) {
 	plan := Plan{Name: "b", Rate: 3, Burst: 15, ValueWeight: 1, ExcessCost: 1}
