--- a/internal/cluster/consensus/acceptor.go
+++ b/internal/cluster/consensus/acceptor.go
@@ -4,33 +4,34 @@
 
 // Acceptor is what a voter has promised and accepted.
 //
-// Its owner must have each changed state on disk, synced, before the answer that came with it leaves, also the
-// answers to its own proposer. An answer that repeats an earlier one waits for the same sync. A node outside the
-// electorate has an acceptor too, and answers from it: whether an answer counts is decided by the proposer, which
-// compares the voter's address and disk with the electorate.
+// The owner must sync each changed state to disk before it sends the answer that was returned with the change, also to
+// its own proposer. An answer that repeats an earlier one must wait for the same sync. A node outside the electorate
+// has an acceptor too and answers from it, because the proposer decides whether an answer counts: it compares the
+// voter's address and disk with the electorate.
 type Acceptor struct {
 	Promised Ballot `cbor:"1,keyasint"`
-	Epoch    uint64 `cbor:"2,keyasint"` // of the newest snapshot that is known here to be chosen
-	// Electorate is that of the snapshot, which chooses the next change; empty: not known.
+	Epoch    uint64 `cbor:"2,keyasint"` // epoch of the newest snapshot that this node knows to be chosen
+	// Electorate is the electorate of that snapshot, which chooses the next change. Empty means unknown.
 	Electorate Electorate `cbor:"3,keyasint,omitempty"`
-	// Disk is a random number, drawn at the first write; 0: at the first start of all.
+	// Disk is a random number that identifies the disk, drawn at its first write. It is 0 on the disks with which the
+	// control plane started for the first time.
 	Disk uint64 `cbor:"4,keyasint,omitempty"`
 	Addr string `cbor:"-"` // own address, host:port
-	// Pending was accepted upon that snapshot and is not known to be chosen; immutable.
+	// Pending is the accepted proposal that builds on that snapshot and is not known to be chosen. It is immutable.
 	Pending *Proposal `cbor:"-"`
 }
 
-// Self is the voter that this node is, if it is one.
+// Self is this node's entry in an electorate, whether or not it is a voter at present.
 func (a *Acceptor) Self() Voter { return Voter{Addr: a.Addr, Disk: a.Disk} }
 
-// IsVoter reports whether this node is in the electorate that chooses next, as far as is known here.
+// IsVoter reports whether this node is in the newest electorate that it knows, which chooses the next change.
 func (a *Acceptor) IsVoter() bool { return a.Electorate.Contains(a.Self()) }
 
-// Base is what a proposer on this node starts from.
+// Base is the base from which a proposer on this node starts.
 func (a *Acceptor) Base() Base { return Base{Epoch: a.Epoch, Electorate: a.Electorate} }
 
-// Prepare promises to accept nothing under a lower ballot, if no higher one was promised before. Promising the same
-// ballot again changes nothing. It reports whether the state changed.
+// Prepare promises to accept nothing under a lower ballot, unless a higher ballot is already promised. Promising the
+// same ballot again changes nothing. It reports whether the state changed.
 func (a *Acceptor) Prepare(b Ballot) (promise Promise, changed bool) {
 	order := b.Compare(a.Promised)
 	if order > 0 {
@@ -41,14 +42,14 @@
 	return promise, order > 0
 }
 
-// Read reports what Prepare would, and promises nothing.
+// Read reports the acceptor's state as Prepare does, but promises nothing.
 func (a *Acceptor) Read() Promise {
 	return Promise{Promised: a.Promised, Epoch: a.Epoch, Pending: a.Pending, Disk: a.Disk}
 }
 
-// Accept accepts a proposal that builds on the snapshot that is chosen here, unless a higher ballot was promised or
-// this node has no vote in that snapshot. It reports whether the state changed. Where the answer is Behind, the
-// proposal may be sent again once this node has caught up with the snapshot before it.
+// Accept accepts a proposal that builds on the newest snapshot this node knows to be chosen, unless a higher ballot was
+// promised or this node is not a voter in that snapshot. It reports whether the state changed. If the answer is Behind,
+// the proposal may be sent again once this node has caught up with the snapshot that the proposal builds on.
 func (a *Acceptor) Accept(p Proposal) (accepted Accepted, changed bool) {
 	accepted = Accepted{Promised: a.Promised, Epoch: a.Epoch}
 	switch {
@@ -65,15 +66,15 @@
 		accepted.Epoch = p.Epoch - 1
 	}
 	if a.Pending != nil && a.Pending.Ballot == p.Ballot && a.Pending.Epoch == p.Epoch {
-		return accepted, false // one ballot never proposes two values in one epoch
+		return accepted, false // already accepted, because one ballot never proposes two values in one epoch
 	}
 	a.Promised, a.Pending = p.Ballot, &p
 	return accepted, true
 }
 
-// Learn records that all changes up to an epoch are chosen and applied here, and who chooses next. It reports whether
-// the state changed. The pending proposal that it drops is chosen or never will be, so the new state may reach the
-// disk later, before the next answer.
+// Learn records that all changes up to an epoch are chosen and applied on this node, and which electorate chooses the
+// next one. It reports whether the state changed. It drops the pending proposal, which either is chosen or never will
+// be, so the new state need not be synced at once, only before the next answer.
 func (a *Acceptor) Learn(b Base) bool {
 	if b.Epoch <= a.Epoch {
 		return false
--- a/internal/cluster/consensus/action.go
+++ b/internal/cluster/consensus/action.go
@@ -3,36 +3,39 @@
 // ActionKind is what a proposer asks its caller to do.
 type ActionKind uint8
 
-// The kinds of actions. After each, the proposer waits for the calls named here, or for Timeout.
+// The kinds of actions. The comment on each names the methods with which the caller reports the result; the proposer
+// waits for one of them, or for Timeout.
 const (
-	// None asks for nothing: the proposer waits for answers that are still outstanding.
+	// None requests nothing, because the proposer still waits for outstanding answers.
 	None ActionKind = iota
-	// Prepare asks to send Ballot to the voters To: Promised, NoReply.
+	// Prepare requests that Ballot is sent to the voters in To. Results: Promised, NoReply.
 	Prepare
-	// Read asks to send a read to the voters To: Promised, NoReply.
+	// Read requests that a read is sent to the voters in To. Results: Promised, NoReply.
 	Read
-	// Fetch asks to catch up from Source, to Epoch at least: Fetched.
+	// Fetch requests catch-up from Source, at least to Epoch. Result: Fetched.
 	Fetch
-	// Compose asks what is to be proposed upon the snapshot that is chosen here: Composed, or RequireConfirmation
-	// unless Confirmed is set, which means that no newer snapshot was acknowledged before the run began.
+	// Compose requests the content of a proposal that builds on the local chosen snapshot. Results: Composed, or
+	// RequireConfirmation unless Confirmed is set. Confirmed means that no newer snapshot was acknowledged before the
+	// run began.
 	Compose
-	// Accept asks to send Proposal to the voters To: Accepted, NoReply.
+	// Accept requests that Proposal is sent to the voters in To. Results: Accepted, NoReply.
 	Accept
-	// Apply tells that Proposal is chosen, and asks to apply it and to notify all other nodes: Applied.
+	// Apply reports that Proposal is chosen, and requests that the caller applies it and notifies all other nodes.
+	// Result: Applied.
 	Apply
-	// Backoff asks to wait for Delay: Resumed.
+	// Backoff requests a wait of Delay. Result: Resumed.
 	Backoff
-	// Done ends the run. After a read, the snapshot here is as new as any that was acknowledged before the run began.
+	// Done ends the run. After a read, the local snapshot is as new as any that was acknowledged before the run began.
 	Done
 )
 
-// Action is what a proposer asks its caller to do. Answers to it carry its Attempt: those to earlier attempts are
+// Action is what a proposer asks its caller to do. Answers to it carry its Attempt; answers to earlier attempts are
 // ignored.
 type Action struct {
 	Kind      ActionKind
 	Attempt   uint64
-	To        []string // addresses
-	Source    string   // address
+	To        []string // addresses of the voters, host:port
+	Source    string   // address of the node to catch up from, host:port
 	Ballot    Ballot
 	Epoch     uint64
 	Proposal  Proposal
--- a/internal/cluster/consensus/compose.go
+++ b/internal/cluster/consensus/compose.go
@@ -6,26 +6,26 @@
 )
 
 // Verdict is the outcome of validating an operator's call against a snapshot. The zero value means that the call must
-// be validated again upon the next snapshot.
+// be validated again against the next snapshot.
 type Verdict struct {
-	Included       bool  // it is part of the proposal, and succeeds once that is chosen
-	AlreadyApplied bool  // all of it is chosen already, or superseded by what is
-	Err            error // it is rejected
+	Included       bool  // the call is part of the proposal, and succeeds once the proposal is chosen
+	AlreadyApplied bool  // all items of the call are already chosen, or superseded by chosen ones
+	Err            error // the reason why the call is rejected
 }
 
-// ValidateFunc validates a call's items against a snapshot of type S. It returns those that change the snapshot, and
-// the snapshot with them.
+// ValidateFunc validates a call's items against a snapshot of type S. It returns the items that change the snapshot,
+// and the snapshot after these changes.
 type ValidateFunc[S any] func(snapshot S, call []configuration.Item) (changed []configuration.Item, next S, err error)
 
 // ComposeProposal picks the items of the next proposal from the queued calls, in their order, and returns a verdict
 // on each.
 //
-// A call is included only if it is valid both against the snapshot alone and behind the calls included before it. So
-// any two nodes with the same snapshot reject the same calls, whatever else is proposed with them, and none rejects
-// what another node's proposal still includes. Before a rejection is reported, the snapshot must be known to be the
-// newest one (Action.Confirmed).
+// A call is included only if it is valid both against the snapshot alone and after the calls included before it.
+// Therefore any two nodes with the same snapshot reject the same calls, whatever else is proposed with them, and no
+// node rejects a call that another node's proposal includes. Before a rejection is reported, the snapshot must be known
+// to be the newest one (Action.Confirmed).
 //
-// At most about maxBytes of items are included, but always the first valid call.
+// The included items have about maxBytes at most. The first valid call is always included, whatever its size.
 func ComposeProposal[S any](
 	snapshot S, calls [][]configuration.Item, maxBytes int, validate ValidateFunc[S],
 ) (items []configuration.Item, verdicts []Verdict) {
@@ -60,7 +60,7 @@
 	return items, verdicts
 }
 
-// sizeOf is about how many bytes items have when they are encoded.
+// sizeOf returns the approximate encoded size of items in bytes.
 func sizeOf(items []configuration.Item) (bytes int) {
 	for _, item := range items {
 		bytes += item.Size()
--- a/internal/cluster/consensus/electorate.go
+++ b/internal/cluster/consensus/electorate.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// Voter is a control node that chooses, with the disk that its votes are on. A machine that comes back with another
-// disk is another voter: the old one never answers again, so none of its votes is given twice.
+// Voter is a control node that takes part in choosing changes, identified by its address and by the disk that stores
+// its votes. A machine that returns with another disk counts as another voter. The old voter never answers again, so a
+// voter that lost its promises can't vote a second time.
 type Voter struct {
 	Addr string `cbor:"1,keyasint"`           // host:port
 	Disk uint64 `cbor:"2,keyasint,omitempty"` // see Acceptor.Disk; 0: the disk of the first start
@@ -11,17 +12,17 @@
 
 // Electorate is the set of voters whose majority chooses the change to the next epoch.
 //
-// It is part of what is chosen: a change may name another electorate, which stands from that change's own epoch on.
-// So the change to epoch e+1, also one of the electorate, is promised and accepted by a majority of the voters that
-// stand in the snapshot of e, and by nobody else, and that set is fixed before any of them is asked. Each epoch is an
-// instance of its own whose membership is fixed by those before it, and no two electorates ever choose about one
-// epoch: the majorities of subsequent electorates need not intersect.
+// It is part of the chosen configuration: a change may name another electorate, which takes effect with that change's
+// epoch. The change to epoch e+1, even if it changes the electorate, is promised and accepted by a majority of the
+// electorate in the snapshot of epoch e, and by no other voter. That electorate is fixed before any voter receives a
+// request. Each epoch is a separate Paxos instance, and its voters are fixed by the epochs before it. Two electorates
+// never choose for the same epoch, so the majorities of subsequent electorates need not intersect.
 type Electorate struct {
 	Since  uint64  `cbor:"1,keyasint,omitempty"` // epoch of the change that set it; 0: the first start
 	Voters []Voter `cbor:"2,keyasint,omitempty"` // never changed in place
 }
 
-// InitialElectorate is the electorate of the first start, from the voters' addresses.
+// InitialElectorate returns the electorate of the first start, made of the voters' addresses.
 func InitialElectorate(addresses []string) Electorate {
 	var e Electorate
 	for _, addr := range addresses {
@@ -30,13 +31,13 @@
 	return e
 }
 
-// Known reports whether there is an electorate at all.
+// Known reports whether the electorate is known, which means that it has voters.
 func (e Electorate) Known() bool { return len(e.Voters) > 0 }
 
-// Contains reports whether a voter is in the electorate, with its disk.
+// Contains reports whether a voter is in the electorate, with the same address and disk.
 func (e Electorate) Contains(v Voter) bool { return slices.Contains(e.Voters, v) }
 
-// VoterAt is the voter at an address.
+// VoterAt returns the voter at an address, and whether there is one.
 func (e Electorate) VoterAt(addr string) (Voter, bool) {
 	n := e.index(addr)
 	if n < 0 {
@@ -64,13 +65,13 @@
 // Majority is the smallest number that is more than half of n voters.
 func Majority(n int) int { return n/2 + 1 }
 
-// Equal reports whether two electorates are the same one, set by the same change.
+// Equal reports whether two electorates have the same voters and were set by the same change.
 func (e Electorate) Equal(o Electorate) bool {
 	return e.Since == o.Since && slices.Equal(e.Voters, o.Voters)
 }
 
-// ReplaceVoter lists the voters with one in the place of the voter at an address. Without an address the new one is
-// added; without a new one (no Addr) the old one is removed.
+// ReplaceVoter returns the voters with the one at oldAddr replaced. If oldAddr is empty, the replacement is added. If
+// the replacement has no Addr, the voter at oldAddr is removed.
 func (e Electorate) ReplaceVoter(oldAddr string, replacement Voter) []Voter {
 	voters := slices.Clone(e.Voters)
 	n := e.index(oldAddr)
@@ -85,13 +86,13 @@
 	return voters
 }
 
-// Base is what a change builds on: a chosen snapshot, by its epoch, and the electorate that stands in it.
+// Base is what a change builds on: the epoch of a chosen snapshot, and the electorate in that snapshot.
 type Base struct {
 	Epoch      uint64
 	Electorate Electorate
 }
 
-// With is the base after a change upon this one is chosen.
+// With returns the base that follows once a proposal that builds on b is chosen.
 func (b Base) With(p Proposal) Base {
 	b.Epoch = p.Epoch
 	if p.Voters != nil {
--- a/internal/cluster/consensus/mutants_test.go
+++ b/internal/cluster/consensus/mutants_test.go
@@ -8,7 +8,7 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// The walks find each fault that can be seeded into this package.
+// The random walks must find each fault that can be seeded into this package.
 func TestRandomWalksFindMutants(t *testing.T) {
 	for _, mutant := range []string{
 		"stale-ballot", "ignores-pending", "keeps-ballot", "composes-together", "composes-blind", "crosses-ballot",
@@ -16,7 +16,9 @@
 	} {
 		t.Run(mutant, func(t *testing.T) {
 			mutants.Seed(t, "consensus/"+mutant)
-			fault := "unsealed" // a mutant is found by what it brings about, not by the place where it sits
+			// The fault "unsealed" turns the check of sealed electorates off, except for no-seal: the other mutants
+			// must be found by their consequences, such as two changes chosen for one epoch.
+			fault := "unsealed"
 			if mutant == "no-seal" {
 				fault = ""
 			}
--- a/internal/cluster/consensus/proposer.go
+++ b/internal/cluster/consensus/proposer.go
@@ -7,60 +7,63 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Proposer leads the changes of one node, one after the other. Its caller performs the actions that it returns and
+// Proposer proposes the changes of one node, one after the other. Its caller performs the actions that it returns and
 // reports their results; the methods that take an attempt ignore results of earlier actions.
 //
-// A run consists of rounds. In a round the proposer has a majority of the voters promise its ballot, catches up with
-// what they know to be chosen, completes whatever one of them has accepted, and only then proposes a value of its
-// own. While no other proposer intervenes, it keeps its ballot for the next change and goes on without another
-// Prepare. It has no timers: the caller reports with Timeout that an answer is overdue.
+// A run consists of rounds. In a round the proposer requests promises of its ballot from the voters. With a majority of
+// promises, it catches up with the newest snapshot that they know to be chosen, completes any proposal that one of them
+// has accepted, and only then proposes its own change. While no other proposer intervenes, it keeps its ballot for the
+// next change and continues without another Prepare. It has no timers: the caller reports with Timeout that an answer
+// is overdue.
 //
-// The zero value is not ready; a Proposer is not safe for concurrent use.
+// Use NewProposer; the zero value is not usable. A Proposer is not safe for concurrent use.
 type Proposer struct {
 	name string
 	rnd  *rand.Rand
 
-	ballot      Ballot // of its requests; promised by a majority if prepared
+	ballot      Ballot // ballot of its requests; promised by a majority if prepared is set
 	prepared    bool
-	reading     bool   // nothing is to be proposed: a ballot is prepared only where there is a proposal to complete
-	highestSeen Ballot // of any node
-	base        Base   // the snapshot that is chosen here
+	reading     bool   // the run only reads, and prepares a ballot only to complete another node's proposal
+	highestSeen Ballot // highest ballot seen of any node
+	base        Base   // the newest chosen snapshot on this node
 
-	// needsSeal means that the electorate was changed, and that a majority of the new one may not have that on disk
-	// yet.
+	// needsSeal means that the electorate was changed, and that a majority of the new electorate may not have that
+	// change on disk yet.
 	needsSeal bool
 	// confirmed means that nothing newer than the base was acknowledged before this run began.
 	confirmed bool
-	// inFlight was sent to be accepted under the newest ballot of its epoch. It is not known whether it is chosen.
+	// inFlight is the proposal that was sent to be accepted under the newest ballot of its epoch. It is not known
+	// whether it is chosen.
 	inFlight *Proposal
 
-	action   ActionKind // that the proposer waits for
-	attempt  uint64     // of that action
+	action   ActionKind // the action whose result the proposer waits for
+	attempt  uint64     // number of that action
 	granted  map[string]bool
 	rejected map[string]bool
 	round    round
-	backoffs int // in a row
+	backoffs int // consecutive backoffs
 }
 
-// NewProposer returns a proposer whose ballots carry a name that no other node and no other incarnation of this one
-// uses.
+// NewProposer returns a proposer whose ballots carry the given name. No other node, and no other incarnation of this
+// node, may use the same name.
 func NewProposer(name string, seed uint64) *Proposer {
 	return &Proposer{name: name, rnd: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// Start begins a run upon the snapshot that is chosen here: a read, or one that may propose.
+// Start begins a run on the newest chosen snapshot of this node. With reading set, the run confirms that the snapshot
+// is the newest one; otherwise it may propose a change.
 //
-// A run that is in progress is abandoned: a proposal that it sent stays with the voters that accepted it, and this or
-// another proposer finds it there. The ballot is kept only after a run that ended with Done. In one that was
-// abandoned, a pending proposal may have been found that must be completed first, or a proposal may be in flight
-// under that ballot, and chosen by answers that came since.
+// A run that is in progress is abandoned. A proposal that it sent stays with the voters that accepted it, and this or
+// another proposer finds it there. The ballot is kept only after a run that ended with Done. An abandoned run may have
+// found a pending proposal that must be completed first. It may also have a proposal in flight under that ballot, which
+// answers that arrived since may have made chosen.
 func (p *Proposer) Start(base Base, reading bool) Action {
 	p.rebase(base)
 	p.confirmed, p.reading, p.backoffs = false, reading, 0
 	switch {
-	case p.inFlight != nil: // it must be completed first
+	case p.inFlight != nil: // the proposal must be completed first
 		p.prepared = false
-	case p.highestSeen.Compare(p.ballot) > 0: // most voters have likely promised the higher ballot
+	case p.highestSeen.Compare(p.ballot) > 0: // most voters have probably promised the higher ballot
 		p.prepared = false
 	case p.action != Done && !mutants.On("consensus/keeps-ballot"):
 		p.prepared = false
@@ -74,16 +77,16 @@
 	return p.startRound(Prepare)
 }
 
-// ObserveBallot reports a ballot that is in use, so that the next one is higher.
+// ObserveBallot reports a ballot that is in use, so that the proposer's next ballot is higher.
 func (p *Proposer) ObserveBallot(b Ballot) {
 	if b.Compare(p.highestSeen) > 0 {
 		p.highestSeen = b
 	}
 }
 
-// Composed reports what to propose upon the snapshot of a base. Each call in it must be valid upon that snapshot by
-// itself too, so that no other proposer rejects what may yet be chosen of this proposal. Voters are the electorate
-// from then on; nil means unchanged. With neither items nor voters the run is over.
+// Composed reports what to propose on the snapshot of a base. Each call in the proposal must also be valid on that
+// snapshot alone. Otherwise another proposer could reject a call that is chosen later as part of this proposal. Voters
+// are the electorate after the change; nil means unchanged. With neither items nor voters the run ends.
 func (p *Proposer) Composed(attempt uint64, base Base, items []configuration.Item, voters []Voter) Action {
 	if attempt != p.attempt || p.action != Compose {
 		return Action{}
@@ -98,8 +101,8 @@
 	return p.accept(items, voters)
 }
 
-// RequireConfirmation answers Compose where the snapshot has to be known to be the newest before a call can be
-// answered.
+// RequireConfirmation answers Compose if a call can only be answered once the snapshot is known to be the newest one.
+// The proposer then prepares a ballot again.
 func (p *Proposer) RequireConfirmation(attempt uint64) Action {
 	if attempt != p.attempt || p.action != Compose {
 		return Action{}
@@ -107,9 +110,9 @@
 	return p.startRound(Prepare)
 }
 
-// Applied reports how far the snapshot here is after Apply, upon which the run goes on. A change of the electorate is
-// sealed by an empty change that a majority of the new electorate accept: from then on it is on their disks, with all
-// before it.
+// Applied reports the base of this node after Apply, from which the run continues. A change of the electorate is sealed
+// by an empty change that a majority of the new electorate accepts. From then on the change of the electorate, and all
+// changes before it, are on the disks of that majority.
 func (p *Proposer) Applied(attempt uint64, base Base) Action {
 	if attempt != p.attempt || p.action != Apply {
 		return Action{}
@@ -122,13 +125,13 @@
 		return p.startRound(Prepare)
 	}
 	if p.reading {
-		return p.restart() // it completed another node's change, from which that node may have gone on
+		return p.restart() // this read completed another node's change, and that node may have proposed more since
 	}
 	return p.emit(Action{Kind: Compose, Confirmed: p.confirmed})
 }
 
-// rebase takes a base as the one to build on, and reports whether it has another electorate. A ballot that a majority
-// of one electorate has promised means nothing to the next.
+// rebase sets the base to build on, and reports whether it has another electorate. In that case the ballot is no longer
+// prepared, because promises of one electorate are not valid for the next.
 func (p *Proposer) rebase(b Base) (electorateChanged bool) {
 	electorateChanged = !b.Electorate.Equal(p.base.Electorate)
 	if mutants.On("consensus/out-votes") && p.base.Electorate.Known() {
@@ -141,7 +144,7 @@
 	return electorateChanged
 }
 
-// accept sends a proposal to the voters.
+// accept returns the action that sends a proposal to the voters.
 func (p *Proposer) accept(items []configuration.Item, voters []Voter) Action {
 	p.inFlight = &Proposal{Ballot: p.ballot, Epoch: p.base.Epoch + 1, Items: items, Voters: voters}
 	if voters != nil && mutants.On("consensus/new-chooses") {
@@ -150,7 +153,7 @@
 	return p.emit(Action{Kind: Accept, To: p.base.Electorate.Addresses(), Proposal: *p.inFlight})
 }
 
-// emit returns an action as the one that the proposer waits for.
+// emit numbers an action and records it as the one whose result the proposer waits for.
 func (p *Proposer) emit(a Action) Action {
 	p.attempt++
 	a.Attempt, p.action = p.attempt, a.Kind
--- a/internal/cluster/consensus/random_walk_test.go
+++ b/internal/cluster/consensus/random_walk_test.go
@@ -6,7 +6,7 @@
 	"mulleinrouter/internal/race"
 )
 
-// walks is how many seeds the random walks have.
+// walks returns the number of random walks, one per seed. It is lower under the race detector, which is slower.
 func walks() uint64 {
 	if race.Enabled {
 		return 1000
@@ -14,7 +14,8 @@
 	return 10000
 }
 
-// randomWalk runs the simulation of one seed with a seeded fault; empty: none.
+// randomWalk runs the simulation of one seed with a fault, or without one if fault is empty. It returns the first
+// violation and the number of chosen changes.
 func randomWalk(seed uint64, fault string) (wrong string, chosen int) {
 	s := newSimulation(seed, fault)
 	for range 150 + seed%600 {
@@ -40,7 +41,8 @@
 	}
 }
 
-// The walks find what a node must not do: answer before the sync, vote without a disk.
+// The random walks must find two faults of a node: to answer before the state is synced, and to vote after the loss of
+// its disk.
 func TestRandomWalksFindFaults(t *testing.T) {
 	for _, fault := range []string{"unsynced", "votes-blank"} {
 		seed, wrong := uint64(0), ""
--- a/internal/cluster/consensus/round.go
+++ b/internal/cluster/consensus/round.go
@@ -2,29 +2,30 @@
 
 import "mulleinrouter/internal/mutants"
 
-// The delay after a round that failed, in seconds. It doubles with each failure in a row, up to the maximum, and is
-// reduced by up to half at random.
+// Backoff after a failed round, in seconds. It doubles with each consecutive failure, up to the maximum, and is reduced
+// by up to half at random, so that competing proposers don't retry at the same time.
 const (
 	minBackoff = 0.008
 	maxBackoff = 0.064
 )
 
-// After each failure in a row, a ballot skips more rounds at random, so that a proposer that lost some rounds doesn't
-// lose the next by the order of names.
+// Round numbers that a new ballot skips. The number is random and its range grows with each consecutive failure, so
+// that a proposer that lost some rounds doesn't also lose the next because its name compares lower.
 const (
-	minRoundsSkipped        = 2
-	roundsSkippedPerBackoff = 8
-	maxBackoffsCounted      = 10
+	minRoundsSkipped        = 2  // size of the random range without failures, in rounds
+	roundsSkippedPerBackoff = 8  // rounds that each consecutive failure adds to the range
+	maxBackoffsCounted      = 10 // consecutive failures that are counted, here and for the backoff
 )
 
-// round is what one round of a proposer has found.
+// round holds the results of one round of a proposer.
 type round struct {
-	query ActionKind // Prepare or Read: what the answers are to
-	// newestEpoch is the highest epoch known to be chosen, of all who answered, whether their votes count or not.
+	query ActionKind // the request of this round, Prepare or Read
+	// newestEpoch is the highest chosen epoch that any node reported, whether or not its vote counts.
 	newestEpoch  uint64
-	newestSource string    // address of the node that has it
-	noMajority   bool      // too many have rejected
-	pending      *Proposal // of those whose votes count: of the highest epoch, under the highest ballot
+	newestSource string // address of the node that reported newestEpoch
+	noMajority   bool   // so many voters rejected that no majority is left
+	// pending is the accepted proposal of the highest epoch, then the highest ballot, among the votes that count.
+	pending *Proposal
 }
 
 // startRound begins a round with Prepare or Read.
@@ -42,7 +43,8 @@
 	return p.emit(a)
 }
 
-// restart begins a round that suits the run.
+// restart begins a new round: Read for a run that only reads, unless a change of the electorate must be sealed; else
+// Prepare.
 func (p *Proposer) restart() Action {
 	if p.reading && !p.needsSeal {
 		return p.startRound(Read)
@@ -78,7 +80,7 @@
 	return p.continueRound()
 }
 
-// counts reports whether a promise grants what was asked for, and is that of a voter.
+// counts reports whether a promise grants the request and comes from a voter of the electorate, with the listed disk.
 func (p *Proposer) counts(from string, a Promise) bool {
 	if p.action == Prepare && (!a.OK || a.Promised != p.ballot) {
 		return false
@@ -86,7 +88,7 @@
 	return p.base.Electorate.Contains(Voter{Addr: from, Disk: a.Disk}) || mutants.On("consensus/any-disk")
 }
 
-// continueRound goes on once a majority has answered.
+// continueRound returns the next action once a majority has granted the request.
 func (p *Proposer) continueRound() Action {
 	if p.round.newestEpoch > p.base.Epoch {
 		return p.fetch()
@@ -100,13 +102,14 @@
 	}
 	if p.round.query == Read {
 		if pending != nil {
-			return p.startRound(Prepare) // another proposer left it, and it may have been chosen
+			return p.startRound(Prepare) // another proposer left this proposal, and it may have been chosen
 		}
 		return p.emit(Action{Kind: Done})
 	}
 	p.confirmed = true
 	if pending == nil {
-		// Its own may be with voters that did not answer: it comes first, since its calls were not answered otherwise.
+		// Its own proposal may be accepted by voters that did not answer. It comes first, because its calls have not
+		// been answered yet.
 		pending = p.inFlight
 	}
 	if pending != nil {
@@ -125,7 +128,7 @@
 	return p.emit(Action{Kind: Fetch, Source: p.round.newestSource, Epoch: p.round.newestEpoch})
 }
 
-// Fetched reports how far the snapshot here is after Fetch.
+// Fetched reports the base of this node after Fetch.
 func (p *Proposer) Fetched(attempt uint64, base Base) Action {
 	if attempt != p.attempt || p.action != Fetch {
 		return Action{}
@@ -138,7 +141,7 @@
 		return p.backOff()
 	}
 	if p.base.Epoch > p.round.newestEpoch || electorateChanged {
-		return p.restart() // what was found belongs to an earlier epoch, or to another electorate
+		return p.restart() // the answers of this round belong to an earlier epoch, or to another electorate
 	}
 	return p.continueRound()
 }
@@ -158,13 +161,14 @@
 	}
 	chosen := *p.inFlight
 	p.inFlight = nil
-	// Nothing else was chosen upon the snapshot before it, so nothing newer was acknowledged before this run.
+	// No other change was chosen on the snapshot that this one builds on, so nothing newer was acknowledged before this
+	// run.
 	p.confirmed = true
 	p.needsSeal = chosen.Voters != nil
 	return p.emit(Action{Kind: Apply, Proposal: chosen})
 }
 
-// NoReply reports that a voter does not answer.
+// NoReply reports that a request to a voter failed or was not answered.
 func (p *Proposer) NoReply(attempt uint64, from string) Action {
 	if attempt != p.attempt || (p.action != Prepare && p.action != Read && p.action != Accept) {
 		return Action{}
@@ -172,7 +176,8 @@
 	return p.reject(from)
 }
 
-// reject counts a voter that doesn't grant what was asked for, and fails the round once the others are no majority.
+// reject counts a voter that doesn't grant the request, and fails the round once the other voters are too few for a
+// majority.
 func (p *Proposer) reject(from string) Action {
 	if p.granted[from] {
 		return Action{}
@@ -192,8 +197,8 @@
 	return p.abandonRound()
 }
 
-// abandonRound ends a round without a majority. Where one of those who answered knows a newer snapshot, that is
-// fetched first: its electorate may be another one.
+// abandonRound ends a round that got no majority. If a node reported a newer snapshot, that snapshot is fetched before
+// the backoff, because it may have another electorate.
 func (p *Proposer) abandonRound() Action {
 	if (p.action == Prepare || p.action == Read) && p.round.newestEpoch > p.base.Epoch {
 		p.round.noMajority = true
@@ -209,7 +214,7 @@
 	return p.emit(Action{Kind: Backoff, Delay: limit * (0.5 + p.rnd.Float64()/2)})
 }
 
-// Resumed reports that a backoff is over, and how far the snapshot here is by now. A new round begins.
+// Resumed reports that a backoff is over, and the present base of this node. A new round begins.
 func (p *Proposer) Resumed(attempt uint64, base Base) Action {
 	if attempt != p.attempt || p.action != Backoff {
 		return Action{}
--- a/internal/cluster/consensus/simulation_network_test.go
+++ b/internal/cluster/consensus/simulation_network_test.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// perform does what a proposer asks for.
+// perform executes an action of a node's proposer.
 func (s *simulation) perform(i int, a Action) {
 	n := s.nodes[i]
 	if a.Kind == None || n.abandoned {
@@ -34,7 +34,7 @@
 	}
 }
 
-// request sends what a proposer asks of voters.
+// request sends a proposer's request to the voters.
 func (s *simulation) request(i int, a Action) {
 	for _, addr := range a.To {
 		m := message{
@@ -53,7 +53,7 @@
 	}
 }
 
-// endRun checks what holds after a run. Calls that it did not answer are queued again.
+// endRun checks what must hold after a run, and queues the calls that the run did not answer again.
 func (s *simulation) endRun(n *node) {
 	if n.reading {
 		for _, c := range n.acknowledgedBefore {
@@ -61,19 +61,19 @@
 		}
 	}
 	n.queue = append(n.queue, n.running...)
-	n.running, n.reading, n.wanted = nil, false, nil
+	n.running, n.reading, n.wantedChange = nil, false, nil
 	if n.electorateEpoch > 0 && n.electorateEpoch == n.Electorate.Since && s.fault != "unsealed" {
 		s.checkSealed(n.Electorate)
 	}
 	n.electorateEpoch = 0
 }
 
-// checkSealed checks that a change of the electorate that has ended is on the disks of a majority of the new one.
+// checkSealed checks that a completed change of the electorate is on the disks of a majority of the new electorate.
 func (s *simulation) checkSealed(e Electorate) {
 	have := 0
 	for _, v := range e.Voters {
 		n := s.nodes[slices.Index(s.names, v.Addr)]
-		if n.synced.Electorate.Since >= e.Since || s.diskLost(v, -1) { // or had, before a loss since then
+		if n.synced.Electorate.Since >= e.Since || s.diskLost(v, -1) { // a lost disk may have had it before the loss
 			have++
 		}
 	}
@@ -82,7 +82,7 @@
 	}
 }
 
-// compose has a node say what is to be proposed.
+// compose answers a Compose action of a node with the content of its proposal.
 func (s *simulation) compose(i int, a Action) {
 	n := s.nodes[i]
 	all := make([]items, len(n.running))
@@ -120,7 +120,7 @@
 	s.perform(i, n.proposer.Composed(a.Attempt, n.Base(), proposed, voters))
 }
 
-// apply applies what a node takes for chosen, and checks that nothing else was chosen for its epoch.
+// apply applies a proposal that a node considers chosen, and checks that no other one was chosen for its epoch.
 func (s *simulation) apply(i int, p Proposal) {
 	n, text := s.nodes[i], fmt.Sprint(p.Items, p.Voters)
 	if old, ok := s.chosen[p.Epoch]; ok && old != text {
@@ -139,7 +139,7 @@
 	n.Learn(n.Base().With(p))
 }
 
-// fetch has a node catch up from another one.
+// fetch sends a catch-up request from one node to another.
 func (s *simulation) fetch(i, from, attempt int) {
 	n := s.nodes[i]
 	since := n.Epoch
@@ -155,7 +155,7 @@
 	return m
 }
 
-// reply sends a reply at once, or when all that is in memory is on disk.
+// reply sends a reply: at once if unsynced is set, else after the next sync of the node's state.
 func (s *simulation) reply(m message, unsynced bool) {
 	if unsynced {
 		s.network = append(s.network, m)
@@ -165,7 +165,7 @@
 	}
 }
 
-// sync has the state of a node on disk.
+// sync writes the state of a node to its disk, and sends the replies that waited for it.
 func (s *simulation) sync(i int) {
 	n := s.nodes[i]
 	n.synced = n.diskState
@@ -173,7 +173,7 @@
 	n.unsyncedReplies = nil
 }
 
-// deliver delivers a random message, some of them twice.
+// deliver delivers a random message. With repeat set, some messages are delivered twice.
 func (s *simulation) deliver(repeat bool) {
 	if len(s.network) == 0 {
 		return
@@ -217,7 +217,7 @@
 		return
 	}
 	if n.empty() {
-		return // it has no vote, and knows nothing
+		return // a node without state has no vote and can't answer
 	}
 	unsynced := s.fault == "unsynced"
 	switch {
@@ -234,7 +234,7 @@
 	s.reply(answer, unsynced)
 }
 
-// receiveReply hands a reply to the proposer that waits for it.
+// receiveReply passes a reply to the proposer that waits for it.
 func (s *simulation) receiveReply(n *node, m message) {
 	attempt := uint64(m.attempt)
 	switch {
@@ -245,7 +245,7 @@
 		if m.base.Epoch > n.Epoch && m.base.Electorate.Known() {
 			_, next, err := mergeValid(n.snapshot, m.items)
 			if err != nil {
-				s.fail("node %d fetched what is not valid", m.to)
+				s.fail("node %d fetched items that are not valid", m.to)
 				return
 			}
 			n.snapshot = next
@@ -268,21 +268,21 @@
 	}
 }
 
-// heal ends all faults, has all nodes catch up, and reads at each node.
+// heal ends all faults, lets all nodes catch up, runs a read at each node, and checks the result there.
 func (s *simulation) heal() {
 	s.partitioned = -1
-	s.settle()
+	s.runUntilIdle()
 	for i, n := range s.nodes {
 		if n.removed {
 			continue
 		}
 		s.start(i, true)
-		s.settle()
+		s.runUntilIdle()
 		s.checkCalls(n)
 	}
 }
 
-// checkCalls checks that a node has all that was acknowledged and nothing that was rejected.
+// checkCalls checks that a node has the items of all acknowledged calls and of no rejected call.
 func (s *simulation) checkCalls(n *node) {
 	for _, c := range s.calls {
 		if c.acknowledged {
@@ -297,17 +297,17 @@
 }
 
 // settle runs without faults until nothing is in progress.
-func (s *simulation) settle() {
+func (s *simulation) runUntilIdle() {
 	const maxRounds = 3000
 	for range maxRounds {
 		idle := len(s.network) == 0
 		for i, n := range s.nodes {
 			idle = idle && len(n.unsyncedReplies) == 0
-			s.sync(i) // of all nodes, before any of them times out
+			s.sync(i) // all nodes sync before any of them times out
 		}
 		for i, n := range s.nodes {
 			if !n.removed {
-				idle = s.settleNode(i, n) && idle
+				idle = s.expireTimers(i, n) && idle
 			}
 		}
 		if idle {
@@ -320,11 +320,11 @@
 			s.deliver(false)
 		}
 	}
-	s.fail("it never settles")
+	s.fail("still busy after the longest run without faults")
 }
 
-// settleNode lets the timers of a node expire, and reports whether it has nothing to do.
-func (s *simulation) settleNode(i int, n *node) (idle bool) {
+// expireTimers lets the timers of a node expire, and reports whether it has nothing to do.
+func (s *simulation) expireTimers(i int, n *node) (idle bool) {
 	v, listed := n.Electorate.VoterAt(n.Addr)
 	replaced := listed && v.Disk != n.Disk
 	idle = n.action.Kind == Done && !n.empty() && !replaced
--- a/internal/cluster/consensus/simulation_test.go
+++ b/internal/cluster/consensus/simulation_test.go
@@ -10,16 +10,16 @@
 	"mulleinrouter/internal/cluster/configuration"
 )
 
-// The simulation has three voters and two more nodes. They lose power and disks, fail for good, replace one another
-// among the voters, and have proposers that compete, over a network that loses, repeats and reorders messages. The
-// plain model beside them is the change that was chosen for each epoch.
+// The simulation has three voters and two more nodes. They lose power, lose disks and fail permanently. They replace
+// one another in the electorate, and their proposers compete. The network loses, repeats and reorders messages. The
+// model that they are compared with is a map from each epoch to the change that was chosen for it.
 
 type (
 	items    = []configuration.Item
 	snapshot map[configuration.Key]configuration.Item
 )
 
-// mergeValid validates a call. A snapshot is valid if no two of its items have the same body, deleted ones aside.
+// mergeValid validates a call. A snapshot is valid if no two of its items, apart from deleted ones, have the same body.
 func mergeValid(s snapshot, call items) (items, snapshot, error) {
 	next, changed := maps.Clone(s), items(nil)
 	if next == nil {
@@ -44,7 +44,7 @@
 	return changed, next, nil
 }
 
-// errBodyTaken rejects an item whose body another one has.
+// errBodyTaken rejects an item with the same body as another one.
 var errBodyTaken = errors.New("taken")
 
 // diskState is what a node stores.
@@ -53,10 +53,11 @@
 	snapshot snapshot
 }
 
-// empty reports whether no state that matters was ever written.
+// empty reports whether the disk has no state that matters, because it is new or was lost. All such state comes with
+// an electorate.
 func (d diskState) empty() bool { return !d.Electorate.Known() }
 
-// electorateChange is a change of the electorate that a node wants: in replaces the voter at out.
+// electorateChange is a change of the electorate that a node is to propose: in replaces the voter at out.
 type electorateChange struct {
 	out string
 	in  Voter
@@ -68,31 +69,31 @@
 	items        items
 	rejected     bool
 	acknowledged bool
-	node         int // that has it; -1: its outcome is unknown to the operator
+	node         int // node that has the call; -1: the operator doesn't know its outcome; -2: it was answered
 }
 
 // node is a control node, with its process.
 type node struct {
 	diskState                    // in memory
 	synced             diskState // on disk
-	removed            bool      // failed for good, with its disk
-	wanted             *electorateChange
-	electorateEpoch    uint64 // of the change of the electorate in this run; 0: none
+	removed            bool      // failed permanently, with its disk
+	wantedChange       *electorateChange
+	electorateEpoch    uint64 // epoch of the change of the electorate in this run; 0: none
 	unsyncedReplies    []message
 	name               string
 	proposer           *Proposer
 	action             Action // what the proposer waits for
-	abandoned          bool   // the run: replies still reach the proposer, its actions are not performed
+	abandoned          bool   // the run was abandoned: its proposer receives replies, but its actions are ignored
 	reading            bool
-	acknowledgedBefore []*call // before the read began
-	running            []*call // in this run
+	acknowledgedBefore []*call // calls acknowledged before the read began
+	running            []*call // calls in this run
 	queue              []*call
 }
 
-// message is a request or a reply, by the field that is set.
+// message is a request or a reply. Its kind is given by the field that is set.
 type message struct {
 	from, to, attempt int
-	incarnation       string // of the requesting process: no other takes the reply
+	incarnation       string // incarnation of the requesting process, the only one that accepts the reply
 	prepare, read     *Ballot
 	promise           *Promise
 	accept            *Proposal
@@ -107,7 +108,7 @@
 // simulation is all nodes and the network between them.
 type simulation struct {
 	rnd            *rand.Rand
-	initial        []string // the voters of the first start
+	initial        []string // addresses of the voters of the first start
 	names          []string
 	nodes          []*node
 	network        []message
@@ -116,9 +117,9 @@
 	version        uint64
 	incarnations   int
 	fault          string
-	lossRate       int // losses in a thousand steps
-	electorateRate int // changes of the electorate in a thousand steps
-	partitioned    int // node that nothing reaches and that reaches nobody; -1: none
+	lossRate       int // restarts and disk losses per thousand steps
+	electorateRate int // changes of the electorate per thousand steps
+	partitioned    int // node that can neither send nor receive; negative: none
 	violation      string
 }
 
@@ -135,7 +136,7 @@
 	s.initial = s.names[:3]
 	for i := range s.names {
 		n := &node{}
-		if i < len(s.initial) && (i > 0 || seed%8 != 3) { // one may have failed before its first write
+		if i < len(s.initial) && (i > 0 || seed%8 != 3) { // with some seeds, voter 0 failed before its first write
 			n.synced.Electorate = InitialElectorate(s.initial)
 		}
 		s.nodes = append(s.nodes, n)
@@ -161,7 +162,7 @@
 	n.name = fmt.Sprintf("%d/%d", i, s.incarnations)
 	n.proposer = NewProposer(n.name, uint64(s.incarnations))
 	n.action, n.unsyncedReplies, n.abandoned = Action{Kind: Done}, nil, false
-	n.wanted, n.electorateEpoch = nil, 0
+	n.wantedChange, n.electorateEpoch = nil, 0
 	n.dropCalls()
 	if n.empty() && s.fault == "votes-blank" && i < len(s.initial) {
 		n.Electorate = InitialElectorate(s.initial)
@@ -171,7 +172,7 @@
 	}
 }
 
-// dropCalls forgets the calls of a node. Their operators don't learn what became of them.
+// dropCalls drops the calls of a node. Their operators don't learn the outcome.
 func (n *node) dropCalls() {
 	for _, c := range append(n.queue, n.running...) {
 		c.node = -1
@@ -179,7 +180,7 @@
 	n.queue, n.running, n.reading = nil, nil, false
 }
 
-// loseDisk restarts a node with an empty disk, or has it fail for good.
+// loseDisk restarts a node with an empty disk, or makes the node fail permanently.
 func (s *simulation) loseDisk(i int) {
 	n := s.nodes[i]
 	n.synced = diskState{}
@@ -192,7 +193,7 @@
 	s.restart(i)
 }
 
-// step does one thing that may happen next.
+// step performs one random event, such as the delivery of a message, a sync, a time-out, a restart or a call.
 func (s *simulation) step() {
 	i := s.rnd.IntN(len(s.nodes))
 	n := s.nodes[i]
@@ -242,7 +243,7 @@
 	}
 }
 
-// diskLost reports whether a voter's disk is lost, or is that of one more node.
+// diskLost reports whether a voter's disk is lost. The disk of the node with the index also counts as lost; -1: none.
 func (s *simulation) diskLost(v Voter, also int) bool {
 	k := slices.Index(s.names, v.Addr)
 	n := s.nodes[k]
@@ -252,9 +253,9 @@
 	return n.synced.Disk != v.Disk || n.synced.empty()
 }
 
-// toleratesLoss reports whether the loss of one more disk is tolerated: no electorate that stands, or may yet, has lost
-// another one. A voter that is back with another disk is no loss once it is listed with that disk in the newest
-// electorate on any disk.
+// toleratesLoss reports whether the loss of the disk of node i is within the tolerated faults: no electorate that is in
+// force, or may still be chosen, then has more than one lost disk. A voter that returned with another disk no longer
+// counts as a loss once the newest electorate on any disk lists it with that disk.
 func (s *simulation) toleratesLoss(i int) bool {
 	newest, all := InitialElectorate(s.initial), [][]Voter(nil)
 	add := func(p *Proposal) {
@@ -290,8 +291,8 @@
 	return true
 }
 
-// changeElectorate has a node want another electorate: itself with the disk that it has, if it is listed with
-// another; else a replacement, one voter more or one less.
+// changeElectorate makes a node propose another electorate. If the node is listed with another disk than it has, the
+// change lists it with its present disk. Otherwise the change replaces, adds or removes one voter.
 func (s *simulation) changeElectorate(i int) {
 	n := s.nodes[i]
 	e := n.Electorate
@@ -314,26 +315,26 @@
 		return
 	}
 	n.abandoned = false
-	n.wanted = &electorateChange{out, in}
+	n.wantedChange = &electorateChange{out, in}
 	n.running, n.queue = n.queue, nil
 	s.perform(i, n.proposer.Start(n.Base(), false))
 }
 
-// enrollDisk has a node that is listed with a lost disk want to be listed with the one it has.
+// enrollDisk makes a node that is listed with a lost disk propose to be listed with its present disk.
 func (s *simulation) enrollDisk(i int) {
 	n := s.nodes[i]
 	n.abandoned = false
-	n.wanted = &electorateChange{n.Addr, n.Self()}
+	n.wantedChange = &electorateChange{n.Addr, n.Self()}
 	s.perform(i, n.proposer.Start(n.Base(), false))
 }
 
-// wantedVoters lists the voters that a node wants upon its snapshot; nil: there is nothing to change.
+// wantedVoters returns the electorate that a node is to propose on its snapshot; nil means no change.
 func (s *simulation) wantedVoters(n *node) []Voter {
-	if n.wanted == nil {
+	if n.wantedChange == nil {
 		return nil
 	}
 	e := n.Electorate
-	in, out := n.wanted.in, n.wanted.out
+	in, out := n.wantedChange.in, n.wantedChange.out
 	_, listed := e.VoterAt(out)
 	switch {
 	case out != "" && !listed, out == "" && len(e.Voters) >= 5:
@@ -345,12 +346,12 @@
 		return nil
 	}
 	if in.Addr != "" && s.diskLost(in, -1) {
-		return nil // it must be reached when it is proposed
+		return nil // a voter must be reachable when it is proposed
 	}
 	return e.ReplaceVoter(out, in)
 }
 
-// submit has an operator submit a call to a node: a new one, or one of which it has no clear answer.
+// submit sends a node an operator's call: a new one, or again one whose outcome the operator doesn't know.
 func (s *simulation) submit(i int) {
 	for _, c := range s.calls {
 		if c.node == -1 && s.rnd.IntN(2) == 0 {
@@ -376,14 +377,14 @@
 	s.nodes[i].queue = append(s.nodes[i].queue, c)
 }
 
-// abandon ends a run whose operators don't wait for it any more. They send again.
+// abandon ends a run whose operators no longer wait for it. They send their calls again later.
 func (s *simulation) abandon(i int) {
 	n := s.nodes[i]
 	for _, c := range n.running {
 		c.node = -1
 	}
 	n.running, n.reading, n.abandoned, n.action = nil, false, true, Action{Kind: Done}
-	n.wanted, n.electorateEpoch = nil, 0
+	n.wantedChange, n.electorateEpoch = nil, 0
 }
 
 // start begins a run: a read, or one for the queued calls.
--- a/internal/cluster/coordination/cells.go
+++ b/internal/cluster/coordination/cells.go
@@ -12,31 +12,31 @@
 type cell struct {
 	value    string
 	revision uint64
-	seq      uint64 // of the batch that put it; 0: of an earlier term
+	seq      uint64 // number of the batch with this value; 0: the value is of an earlier term
 }
 
 func loadCell(r *recordReader) *cell { return &cell{value: r.text(), revision: r.number()} }
 
-// put is one cell and value that was put.
+// put is the name of a cell and a value that was put into it.
 type put struct{ name, value string }
 
-// size is the bytes that a put takes, as a cell or an event.
+// size is the number of bytes that a put takes as a cell, and again as an event.
 func (p put) size() int { return len(p.name) + len(p.value) }
 
-// event is a put that is kept for watches, and to recognize when it is repeated.
+// event is a put that is kept for watches, and to recognize a repeated put.
 type event struct {
 	put
 	revision uint64
-	seq      uint64
-	at       float64 // when it was put, or loaded
+	seq      uint64  // number of the batch with the put; 0: the put is of an earlier term
+	at       float64 // time of the put or, if it is of an earlier term, of its loading, in seconds
 }
 
-// group is the cells whose names begin alike up to the first dot.
+// group is the cells whose names are the same up to the first dot.
 type group struct {
-	revision uint64 // of the last put
-	base     uint64 // events up to this revision are not kept
+	revision uint64 // revision of the last put
+	base     uint64 // events up to this revision are no longer kept
 	events   []event
-	byPut    map[put]event
+	byPut    map[put]event // the kept events by cell and value
 }
 
 func (t *Tables) group(name string) *group {
@@ -48,7 +48,7 @@
 	return g
 }
 
-// load reads an event; they come in no order.
+// load reads an event. Events are loaded in no particular order; finishLoading sorts them.
 func (g *group) load(r *recordReader, revision uint64, now float64) {
 	g.add(event{put: put{r.text(), r.text()}, revision: revision, at: now})
 }
@@ -72,7 +72,7 @@
 	}
 }
 
-// trim forgets committed events from before a time, count at most, and returns them.
+// trim removes committed events from before a time, at most count of them, and returns them.
 func (g *group) trim(before float64, committed uint64, count int) (trimmed []event) {
 	for _, e := range g.events {
 		if e.at >= before || e.seq > committed || len(trimmed) >= count {
@@ -88,7 +88,8 @@
 	return trimmed
 }
 
-// put puts a value. One that was put before gets its first revision, also where others came since.
+// put puts a value into a cell. A put that repeats a kept event is not executed again but answered with the revision
+// of that event, even if other values were put since: it may be the retry of a put whose answer was lost.
 func (t *Tables) put(r Request, now float64, next uint64) Outcome {
 	c, p := t.cells[r.Name], put{r.Name, r.Value}
 	if g := t.groups[groupOf(r.Name)]; g != nil {
@@ -139,7 +140,7 @@
 	return out
 }
 
-// watch returns the committed events behind a revision. Without any it is pending.
+// watch returns the committed events after a revision. If there are none, the watch is pending.
 func (t *Tables) watch(r Request, committed uint64) Outcome {
 	g := t.groups[r.Name]
 	if g == nil {
--- a/internal/cluster/coordination/locks.go
+++ b/internal/cluster/coordination/locks.go
@@ -5,27 +5,28 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// The leaseholder counts a hold from the receipt of a call, its caller from the sending, which was earlier. What is
-// added covers clocks that run apart.
+// Margins that the leaseholder adds to a hold, the time for which an owner has a lock. The leaseholder counts a hold
+// from the receipt of a call and its owner from the sending, which is earlier, so it ends earlier for the owner. The
+// margins keep it so when the two clocks run at different rates.
 const (
 	holdMargin      = 0.05 // seconds
-	holdMarginShare = 0.02 // of the hold
+	holdMarginShare = 0.02 // fraction of the hold
 	millisPerSecond = 1000.0
 )
 
-// lock is one hold. It ends at expires, whether its record is there or not.
+// lock is a lock that is held by an owner. The hold ends at expires, whether or not the record of the lock is deleted.
 type lock struct {
 	owner   string
-	fence   uint64
-	holdMs  uint64  // the longest that was asked for: after a take-over the hold lasts this long
-	expires float64 // by this leaseholder's clock
-	seq     uint64  // of the batch with its record; 0: of an earlier term
+	fence   uint64  // fencing token
+	holdMs  uint64  // the longest requested hold, milliseconds: after a take-over the hold lasts this long
+	expires float64 // end of the hold by this leaseholder's clock, in seconds
+	seq     uint64  // number of the batch with the record; 0: the record is of an earlier term
 }
 
 func (l *lock) record() []byte { return newRecord().text(l.owner).number(l.fence).number(l.holdMs) }
 
-// loadLock reads a lock at the start of a term. It may have been renewed by the former leaseholder at any time before,
-// which is recorded nowhere: it lasts for its full time from now.
+// loadLock reads a lock at the start of a term. The former leaseholder may have renewed it at any time until then, and
+// renewals are not recorded. Therefore the hold lasts for its full time from now.
 func loadLock(r *recordReader, now float64) *lock {
 	l := &lock{owner: r.text(), fence: r.number(), holdMs: r.number()}
 	if mutants.On("coordination/lock-expires-at-take-over") {
@@ -35,13 +36,14 @@
 	return l
 }
 
-// extend lets a hold last so long from now, at least.
+// extend makes a hold last for at least holdMs and the margins from now.
 func (l *lock) extend(now float64, holdMs uint64) {
 	hold := float64(holdMs) / millisPerSecond
 	l.expires = max(l.expires, now+hold+holdMargin+holdMarginShare*hold)
 }
 
-// acquire gives a free lock to an owner, under a fence that no earlier hold of the shard had: the number of the batch.
+// acquire gives a free lock to an owner. The fencing token is the number of the batch, which no earlier hold in the
+// shard can have had.
 func (t *Tables) acquire(r Request, now float64, next uint64) Outcome {
 	l := t.locks[r.Name]
 	switch {
@@ -75,7 +77,8 @@
 	return t.prolong(r, l, now, next)
 }
 
-// prolong gives the holder more time. Only a longer hold than any before has to be replicated.
+// prolong extends a hold. It must be replicated only if the new hold is longer than all before, because a take-over
+// extends a hold by its longest recorded time.
 func (t *Tables) prolong(r Request, l *lock, now float64, next uint64) Outcome {
 	out := Outcome{Result: Result{Code: OK, Fence: l.fence}}
 	holdMs := uint64(r.HoldMs) //nolint:gosec // checked by the caller
@@ -88,7 +91,7 @@
 	return out
 }
 
-// release ends a hold. A late or doubled call names a hold that has ended, and does nothing.
+// release ends a hold. A delayed or duplicated call names a hold that has already ended, and has no effect.
 func (t *Tables) release(r Request, next uint64) Outcome {
 	l := t.locks[r.Name]
 	if l == nil || l.owner != r.Owner || l.fence != r.Fence {
--- a/internal/cluster/coordination/mutants_test.go
+++ b/internal/cluster/coordination/mutants_test.go
@@ -13,7 +13,7 @@
 
 func (f *failures) Errorf(string, ...any) { *f++ }
 
-// The scenarios find each fault that is seeded into the tables.
+// The scenarios must find each fault that can be seeded into the tables.
 func TestScenariosFindMutants(t *testing.T) {
 	for _, fault := range []string{
 		"lock-expires-at-take-over", "fence-from-memory", "number-before-commit", "history-cut-at-take-over",
--- a/internal/cluster/coordination/numbers.go
+++ b/internal/cluster/coordination/numbers.go
@@ -5,17 +5,18 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// numbersReserved is how many numbers one batch reserves. What is not handed out in a term is left out.
+// numbersReserved is how many numbers one batch reserves, so that not each number needs a replicated write. Numbers
+// that are not issued by the end of a term are skipped.
 const numbersReserved = 1000
 
-// number hands out numbers from a reserved range.
+// number issues numbers from a reserved range.
 type number struct {
 	next  uint64
-	upper uint64 // reserved up to it
-	seq   uint64 // of the batch that reserved; 0: of an earlier term
+	upper uint64 // last reserved number
+	seq   uint64 // number of the batch with the reservation; 0: the reservation is of an earlier term
 }
 
-// loadNumber begins behind all that an earlier term may have handed out.
+// loadNumber starts after all numbers that an earlier term may have issued.
 func loadNumber(r *recordReader) *number {
 	upper := r.number()
 	return &number{next: upper + 1, upper: upper}
--- a/internal/cluster/coordination/record.go
+++ b/internal/cluster/coordination/record.go
@@ -9,20 +9,22 @@
 
 // First bytes of the keys of records.
 const (
-	prefixLock   = 'l' // then the name
-	prefixNumber = 'n' // then the name
-	prefixCell   = 'c' // then the name
-	prefixGroup  = 'g' // then the group
-	prefixEvent  = 'e' // then the group, a zero byte and the revision in sixteen hexadecimal digits
+	prefixLock   = 'l' // followed by the name
+	prefixNumber = 'n' // followed by the name
+	prefixCell   = 'c' // followed by the name
+	prefixGroup  = 'g' // followed by the group
+	prefixEvent  = 'e' // followed by the group, a zero byte and the revision in sixteen hexadecimal digits
 )
 
+// recordVersion is the first byte of each record, the version of its format.
 const recordVersion = 1
 
-// revisionDigits is the length of a revision in a key. Keys are texts on the wire, and a frame with a text that is not
-// UTF-8 is rejected whole: a revision in binary would stop replication at the first byte above 127.
+// revisionDigits is the number of hexadecimal digits of a revision in a key. Keys are text on the wire, and a frame
+// with text that is not UTF-8 is rejected. A binary revision would therefore stop replication at the first byte above
+// 127.
 const revisionDigits = 16
 
-// ErrRecord means that a record is not one that this version reads.
+// ErrRecord means that a record is damaged, or has a format that this version doesn't read.
 var ErrRecord = errors.New("a record of a shard can't be read")
 
 func recordKey(prefix byte, name string) string { return string(prefix) + name }
@@ -31,7 +33,7 @@
 	return fmt.Sprintf("%c%s\x00%0*x", prefixEvent, group, revisionDigits, revision)
 }
 
-// splitEventKey is the group and the revision in an event's key.
+// splitEventKey returns the group and the revision in an event's key.
 func splitEventKey(key string) (group string, revision uint64, err error) {
 	end := len(key) - revisionDigits
 	if end < 2 || key[end-1] != 0 {
@@ -44,7 +46,7 @@
 	return key[1 : end-1], revision, nil
 }
 
-// recordWriter encodes a record: the version, then numbers as varints and texts with their lengths.
+// recordWriter encodes a record: the version, then numbers as varints and texts prefixed with their lengths.
 type recordWriter []byte
 
 func newRecord() recordWriter { return recordWriter{recordVersion} }
@@ -55,9 +57,9 @@
 	return append(binary.AppendUvarint(w, uint64(len(s))), s...)
 }
 
-// recordReader decodes a record. After an error all that it returns is zero.
+// recordReader decodes a record. After an error it returns only zero values.
 type recordReader struct {
-	left []byte
+	left []byte // bytes not decoded yet
 	err  error
 }
 
--- a/internal/cluster/coordination/request.go
+++ b/internal/cluster/coordination/request.go
@@ -22,29 +22,31 @@
 
 // Bounds of requests.
 const (
-	MaxNameBytes  = 256
-	MaxValueBytes = 4 << 10
-	MaxHoldMs     = 3_600_000
-	MaxWaitMs     = 15_000
+	MaxNameBytes  = 256       // length of a name
+	MaxValueBytes = 4 << 10   // length of a cell's value
+	MaxHoldMs     = 3_600_000 // hold of a lock, milliseconds
+	MaxWaitMs     = 15_000    // wait of a watch, milliseconds
 )
 
 // Request is a call of an application.
 type Request struct {
-	Kind     Kind    `cbor:"1,keyasint"`
-	Name     string  `cbor:"2,keyasint"`           // of the lock, number or cell; of a watch: the group with its dot
-	Owner    string  `cbor:"3,keyasint,omitempty"` // of a lock
-	Fence    uint64  `cbor:"4,keyasint,omitempty"` // of the hold that is renewed or released
-	HoldMs   int64   `cbor:"5,keyasint,omitempty"` // for how long
-	Value    string  `cbor:"6,keyasint,omitempty"` // to put
-	Expected *uint64 `cbor:"7,keyasint,omitempty"` // revision that the cell must have, 0: none; nil: whatever it has
-	After    uint64  `cbor:"8,keyasint,omitempty"` // revision behind which a watch begins; 0: the present one
-	WaitMs   int64   `cbor:"9,keyasint,omitempty"` // how long a watch waits for an event
+	Kind  Kind   `cbor:"1,keyasint"`
+	Name  string `cbor:"2,keyasint"`           // name of the lock, number or cell; for a watch, the group with its dot
+	Owner string `cbor:"3,keyasint,omitempty"` // owner of the lock
+	Fence uint64 `cbor:"4,keyasint,omitempty"` // fencing token of the hold to be renewed or released
+	// HoldMs is how long the owner is to have the lock, in milliseconds.
+	HoldMs int64  `cbor:"5,keyasint,omitempty"`
+	Value  string `cbor:"6,keyasint,omitempty"` // value to put
+	// Expected is the revision that the cell must have for a put. 0 means that the cell must not exist; nil means any.
+	Expected *uint64 `cbor:"7,keyasint,omitempty"`
+	After    uint64  `cbor:"8,keyasint,omitempty"` // revision after which a watch begins; 0: the present one
+	WaitMs   int64   `cbor:"9,keyasint,omitempty"` // time for which a watch waits for an event, milliseconds
 }
 
-// ReadOnly reports whether a request changes nothing, so that one without an answer has had no effect.
+// ReadOnly reports whether a request changes nothing. Such a request has had no effect, even if its answer is lost.
 func (r Request) ReadOnly() bool { return r.Kind == GetCell || r.Kind == Watch }
 
-// Scope is the part of the name that decides on the shard: all cells of a group are in one.
+// Scope is the part of the name that determines the shard. All cells of a group are in one shard.
 func (r Request) Scope() string {
 	switch r.Kind {
 	case PutCell, GetCell, Watch:
@@ -55,7 +57,7 @@
 	return "lock/" + r.Name
 }
 
-// groupOf is a cell's name up to its first dot, with it; a name without a dot is a group by itself.
+// groupOf returns a cell's name up to and including its first dot. A name without a dot is a group of one cell.
 func groupOf(name string) string {
 	if group, _, found := strings.Cut(name, "."); found {
 		return group + "."
@@ -63,21 +65,21 @@
 	return name
 }
 
-// Code is how a request was answered.
+// Code is the outcome of a request.
 type Code uint8
 
 // The codes of results. Their numbers are on the wire.
 const (
 	OK          Code = 1
-	Conflict    Code = 2 // another has the lock, or the hold is lost
-	NotFound    Code = 3 // there is no such cell
+	Conflict    Code = 2 // another owner has the lock, or the hold has ended
+	NotFound    Code = 3 // the cell does not exist
 	Mismatch    Code = 4 // the cell does not have the expected revision, and never will again
-	Compacted   Code = 5 // the events behind a revision are not kept any more
-	TooMany     Code = 6 // there are too many records; nothing was done
-	TooManyOpen Code = 7 // there are too many calls in flight; nothing was done
+	Compacted   Code = 5 // the events after the requested revision are no longer kept
+	TooMany     Code = 6 // the shard has too many records; the request had no effect
+	TooManyOpen Code = 7 // too many calls are in flight; the request had no effect
 )
 
-// Event is a put, as a watch sees it.
+// Event is a put, as a watch reports it.
 type Event struct {
 	Name     string `cbor:"1,keyasint" json:"name"`
 	Value    string `cbor:"2,keyasint" json:"payload"`
@@ -89,18 +91,19 @@
 	Code     Code    `cbor:"1,keyasint"`
 	Fence    uint64  `cbor:"2,keyasint,omitempty"`
 	Number   uint64  `cbor:"3,keyasint,omitempty"`
-	Revision uint64  `cbor:"4,keyasint,omitempty"` // of the cell, or up to which a watch has seen everything
+	Revision uint64  `cbor:"4,keyasint,omitempty"` // of the cell; for a watch, the revision up to which it is complete
 	Value    string  `cbor:"5,keyasint,omitempty"`
-	Events   []Event `cbor:"6,keyasint,omitempty"` // rising
+	Events   []Event `cbor:"6,keyasint,omitempty"` // in order of their revisions
 }
 
-// Outcome is what the evaluation of a request asks for.
+// Outcome is what the caller of Evaluate must do with a request.
 type Outcome struct {
 	Result Result
-	// Writes must be proposed as one batch, with the number that Evaluate was given.
+	// Writes must be proposed as one batch, with the number that was passed to Evaluate.
 	Writes []shard.Write
-	// CommitBefore is the number of the batch that must be committed before the result may be given.
+	// CommitBefore is the number of the batch that must be committed before the result may be returned. Otherwise the
+	// application could see a value that a take-over loses.
 	CommitBefore uint64
-	// Pending means that a watch has nothing to tell yet; Result is what it gets when its time has passed.
+	// Pending means that a watch has no events yet. Result is its answer if none arrive within its wait.
 	Pending bool
 }
--- a/internal/cluster/coordination/tables.go
+++ b/internal/cluster/coordination/tables.go
@@ -3,30 +3,30 @@
 import "mulleinrouter/internal/cluster/shard"
 
 const (
-	// maxRecords is how many locks, numbers and cells a shard has at most.
+	// maxRecords bounds the locks, numbers and cells of a shard, all together.
 	maxRecords = 10_000
-	// maxValueBytes is how much the cells and events of a shard hold at most, with their names: a replica that lacks
-	// them receives all in one message, and each node has all in memory.
+	// maxValueBytes bounds the bytes of the names and values in the cells and events of a shard. A replica without them
+	// receives all in one message, and each node has all in memory.
 	maxValueBytes = 4 << 20
-	// maxUpkeepWrites is how many records one upkeep deletes.
+	// maxUpkeepWrites bounds the records that one upkeep deletes.
 	maxUpkeepWrites = 256
-	// retentionMargin is how much longer than asked for events are kept, in seconds: a revision is given to a watch
-	// some time after the events behind it begin to age, and a put may be repeated for some seconds.
+	// retentionMargin is how much longer than the history passed to Load events are kept, in seconds. A watch receives
+	// a revision some time after the events that follow it begin to age, and a put may be repeated for some seconds.
 	retentionMargin = 10.0
 )
 
 // Tables are the records of one shard at its leaseholder, in one term.
 type Tables struct {
-	retention float64 // of events, in seconds
+	retention float64 // time for which events are kept, seconds
 	locks     map[string]*lock
 	numbers   map[string]*number
 	cells     map[string]*cell
 	groups    map[string]*group
-	bytes     int // of cells and events
+	bytes     int // bytes of all cells and events, with their names
 }
 
-// Load reads the records at the start of a term, when all that earlier leaseholders may have answered is in the past.
-// History is how long a watch may rely on events, in seconds. The error wraps ErrRecord.
+// Load reads the records at the start of a term, when earlier leaseholders no longer answer requests. History is how
+// long a watch may rely on events, in seconds. The error wraps ErrRecord.
 func Load(records map[string][]byte, now, history float64) (*Tables, error) {
 	t := &Tables{
 		retention: history + retentionMargin,
@@ -77,8 +77,8 @@
 	return r.err
 }
 
-// Evaluate evaluates a request. Next is the number of the batch that its writes would get, committed that of the last
-// batch that is committed.
+// Evaluate evaluates a request. Next is the number that a batch with its writes would get, committed the number of the
+// last committed batch.
 func (t *Tables) Evaluate(r Request, now float64, next, committed uint64) Outcome {
 	switch r.Kind {
 	case AcquireLock:
@@ -99,8 +99,8 @@
 	return Outcome{Result: Result{Code: NotFound}}
 }
 
-// Upkeep returns writes that free what is not needed any more: locks whose time has passed, so that a later term does
-// not take them for held, and events that are old enough.
+// Upkeep removes records that are no longer needed, and returns the writes that delete them: locks whose hold has
+// ended, because a later term would otherwise extend it again, and events older than the retention.
 func (t *Tables) Upkeep(now float64, committed uint64) (writes []shard.Write) {
 	for name, l := range t.locks {
 		if now >= l.expires && l.seq <= committed && len(writes) < maxUpkeepWrites {
@@ -117,10 +117,10 @@
 	return writes
 }
 
-// Stats counts the records.
+// Stats is the number of records of each kind.
 type Stats struct{ Locks, Numbers, Cells, Events int }
 
-// Stats returns the counts of this moment.
+// Stats returns the present numbers of records.
 func (t *Tables) Stats() Stats {
 	s := Stats{Locks: len(t.locks), Numbers: len(t.numbers), Cells: len(t.cells)}
 	for _, g := range t.groups {
@@ -129,5 +129,5 @@
 	return s
 }
 
-// full reports whether no more records may be created.
+// full reports whether the shard has reached maxRecords, so that no more records may be created.
 func (t *Tables) full() bool { return len(t.locks)+len(t.numbers)+len(t.cells) >= maxRecords }
--- a/internal/cluster/coordination/tables_test.go
+++ b/internal/cluster/coordination/tables_test.go
@@ -14,17 +14,17 @@
 // history is how long watches may rely on events in these tests, in seconds.
 const history = 20.0
 
-// leaseholder is tables with the records that they have asked to write.
+// leaseholder is tables together with the records that their writes have produced.
 type leaseholder struct {
 	t       failer
 	tables  *Tables
 	records map[string][]byte
-	seq     uint64 // of the last batch
-	commit  uint64
+	seq     uint64 // number of the last batch
+	commit  uint64 // number of the last committed batch
 	now     float64
 }
 
-// failer is what a scenario reports to: a test, or a counter of what a seeded fault breaks.
+// failer receives the failures of a scenario. It is a test, or a counter of the failures under a seeded fault.
 type failer interface {
 	Errorf(format string, args ...any)
 }
@@ -35,7 +35,7 @@
 	return l
 }
 
-// takeOver begins another term with the records as they are.
+// takeOver begins another term with the present records.
 func (l *leaseholder) takeOver() {
 	tables, err := Load(l.records, l.now, history)
 	if err != nil {
@@ -99,7 +99,7 @@
 
 func watch(after uint64) Request { return Request{Kind: Watch, Name: "g.", After: after} }
 
-// scenarios are the rules of the tables. Each seeded fault fails one of them.
+// scenarios check the rules of the tables by name. Each seeded fault makes at least one of them fail.
 var scenarios = map[string]func(*leaseholder){
 	"one holder at a time": func(l *leaseholder) {
 		first := l.evaluate(acquire("a", 3000))
@@ -138,7 +138,7 @@
 		l.upkeep()
 		l.takeOver()
 		if second := l.evaluate(acquire("b", 3000)); second.Code != OK || second.Fence <= first.Fence {
-			l.t.Errorf("an ended hold came back: got %+v, first %+v", second, first)
+			l.t.Errorf("a hold that ended exists again after a take-over: got %+v, first %+v", second, first)
 		}
 	},
 	"a longer hold is replicated": func(l *leaseholder) {
@@ -196,7 +196,7 @@
 			}
 		}
 		if got := l.propose(watch(0)); got.Result.Revision != 0 {
-			l.t.Errorf("a watch sees revision %d, which is not committed", got.Result.Revision)
+			l.t.Errorf("a watch returns revision %d, which is not committed", got.Result.Revision)
 		}
 	},
 	"watches skip nothing": func(l *leaseholder) {
@@ -261,7 +261,7 @@
 	}
 }
 
-// Random bytes in the place of records are rejected, and never break the reader.
+// Random bytes instead of records are rejected, and never make the reader panic.
 func TestLoadRejectsOtherRecords(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	for range 20_000 {
@@ -276,11 +276,11 @@
 		}
 	}
 	if _, err := Load(map[string][]byte{"la": {2, 1, 'a'}}, 0, history); !errors.Is(err, ErrRecord) {
-		t.Errorf("a later version: got %v", err)
+		t.Errorf("record of a later version: got %v, want ErrRecord", err)
 	}
 }
 
-// Records are read as the first version wrote them.
+// Records are encoded byte for byte as the first version wrote them, so that stored records stay readable.
 func TestGoldenRecords(t *testing.T) {
 	l := newLeaseholder(t)
 	l.evaluate(acquire("a.1", 3000))
