--- a/internal/cluster/shard/election.go
+++ b/internal/cluster/shard/election.go
@@ -5,16 +5,19 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Times of elections, in seconds. The voters campaign one after the other, so that the first succeeds without a rival;
-// the order differs by shard, so that the leaders of several shards are spread over the voters.
+// Times of elections, in seconds. The voters campaign one after the other, so that the first one normally succeeds
+// without a competing candidate. The order differs by shard, so that the leaders of several shards are spread over the
+// voters.
 const (
-	electionMargin  = 0.03 // after the own grant has ended: the others may have received the last heartbeat later
-	rankDelay       = 0.12 // more, for each voter that comes before
-	electionJitter  = 0.06
-	campaignTimeout = 0.35 // after which a campaign begins anew
+	// electionMargin is the wait after this voter's grant has ended, because the other voters may have received the
+	// last heartbeat later.
+	electionMargin  = 0.03
+	rankDelay       = 0.12 // added for each voter with a lower rank
+	electionJitter  = 0.06 // upper bound of the random part
+	campaignTimeout = 0.35 // time after which a campaign is repeated
 )
 
-// Tick reports the time. It is called several times a heartbeat interval.
+// Tick reports the time. It must be called several times per heartbeat interval.
 func (r *Replica) Tick(now float64) {
 	switch {
 	case r.role == leader:
@@ -24,12 +27,12 @@
 	}
 }
 
-// postponeElection has this replica campaign some time after a moment, in its turn.
+// postponeElection schedules this replica's next campaign some time after from, later for a higher rank.
 func (r *Replica) postponeElection(from float64) {
 	r.electionAt = from + electionMargin + rankDelay*float64(r.rank(r.self)) + electionJitter*r.rnd.Float64()
 }
 
-// rank is the turn of a voter in campaigns of this shard, from 0.
+// rank is the position of a voter in the order of campaigns of this shard, from 0.
 func (r *Replica) rank(v consensus.Voter) int {
 	n := len(r.voters)
 	for i, voter := range r.voters {
@@ -40,7 +43,7 @@
 	return n
 }
 
-// Preferred is the voter that campaigns first.
+// Preferred returns the voter that campaigns first. It is not known while the replica has no voters.
 func (r *Replica) Preferred() (preferred consensus.Voter, known bool) {
 	for _, voter := range r.voters {
 		if r.rank(voter) == 0 {
@@ -50,8 +53,9 @@
 	return consensus.Voter{}, false
 }
 
-// campaign asks the voters for their votes: with a transferred leadership at once, else first whether they would give
-// them, so that a replica that was cut off does not disturb the others by a term of its own.
+// campaign requests votes. With a transferred leadership it becomes a candidate at once. Otherwise it first asks
+// whether the voters would vote for it (pre-vote), so that a replica that was partitioned does not depose a working
+// leader with a higher term.
 func (r *Replica) campaign(now float64, transfer bool) {
 	r.electionAt = now + campaignTimeout + electionJitter*r.rnd.Float64() + rankDelay*float64(r.rank(r.self))
 	r.leaderAddr = ""
@@ -61,11 +65,11 @@
 		r.countVotes(now)
 		return
 	}
-	r.stand(now, true)
+	r.becomeCandidate(now, true)
 }
 
-// stand makes this replica a candidate of the next term.
-func (r *Replica) stand(now float64, transfer bool) {
+// becomeCandidate makes this replica a candidate in the next term, with a vote for itself.
+func (r *Replica) becomeCandidate(now float64, transfer bool) {
 	r.role = candidate
 	r.term++
 	r.votedFor = r.self.Addr
@@ -84,7 +88,8 @@
 	}
 }
 
-// countVotes goes on where a majority grants what was asked for. The own vote counts once it is saved.
+// countVotes continues the campaign once a majority has granted the requested vote or pre-vote. This replica's own vote
+// counts once it is saved.
 func (r *Replica) countVotes(now float64) {
 	votes := 0
 	for _, voter := range r.voters {
@@ -98,34 +103,34 @@
 	}
 	switch r.role {
 	case preCandidate:
-		r.stand(now, false)
+		r.becomeCandidate(now, false)
 	case candidate:
-		r.lead(now)
+		r.becomeLeader(now)
 	}
 }
 
-// stepVote answers a candidate.
+// stepVote answers the request of a candidate for a vote, or for a pre-vote.
 func (r *Replica) stepVote(m Message, now float64) {
 	if len(r.voters) == 0 && !mutants.On("shard/any-disk") {
-		return // this replica knows nothing of the shard, so it can't tell what is newer
+		return // without state of the shard, this replica can't compare positions
 	}
 	upToDate := m.Last.Compare(r.last) >= 0 || mutants.On("shard/votes-for-older")
-	free := m.Transfer || now >= r.grantUntil && !r.HoldsLease(now) || mutants.On("shard/breaks-grant")
+	mayVote := m.Transfer || now >= r.grantUntil && !r.HoldsLease(now) || mutants.On("shard/breaks-grant")
 	reply := Message{Kind: VoteReply, Term: r.term, Pre: m.Pre}
 	if m.Pre {
-		if reply.OK = m.Term > r.term && upToDate && free; reply.OK {
+		if reply.OK = m.Term > r.term && upToDate && mayVote; reply.OK {
 			reply.Term = m.Term
 		}
 		r.send(m.From, reply)
 		return
 	}
-	if m.Term > r.term && free {
-		r.follow(m.Term, "", now)
+	if m.Term > r.term && mayVote {
+		r.becomeFollower(m.Term, "", now)
 	}
 	reply.Term = r.term
-	unused := r.votedFor == "" || r.votedFor == m.From || mutants.On("shard/votes-twice")
-	standing := r.role == candidate || r.role == leader
-	if m.Term != r.term || standing || !unused || !upToDate || !free {
+	voteAvailable := r.votedFor == "" || r.votedFor == m.From || mutants.On("shard/votes-twice")
+	competing := r.role == candidate || r.role == leader
+	if m.Term != r.term || competing || !voteAvailable || !upToDate || !mayVote {
 		r.send(m.From, reply)
 		return
 	}
@@ -140,7 +145,7 @@
 func (r *Replica) stepVoteReply(m Message, now float64) {
 	if !m.OK {
 		if m.Term > r.term {
-			r.follow(m.Term, "", now)
+			r.becomeFollower(m.Term, "", now)
 		}
 		return
 	}
@@ -152,8 +157,8 @@
 	}
 }
 
-// follow makes this replica a follower in a term, of a leader that may be unknown.
-func (r *Replica) follow(term uint64, leaderAddr string, now float64) {
+// becomeFollower makes this replica a follower in a term. An empty leaderAddr means that the leader is unknown.
+func (r *Replica) becomeFollower(term uint64, leaderAddr string, now float64) {
 	if term > r.term {
 		r.term, r.votedFor = term, ""
 	}
--- a/internal/cluster/shard/explore_test.go
+++ b/internal/cluster/shard/explore_test.go
@@ -9,132 +9,132 @@
 	"mulleinrouter/internal/cluster/consensus"
 )
 
-var exploreDepth = flag.Int("explore-depth", 3, "events in every order that TestEveryOrder plays")
+var exploreDepth = flag.Int("explore-depth", 3, "number of events that TestEveryOrder runs in every order")
 
-// world is three replicas whose every step is chosen: which message arrives or is lost, which disk has synced, which
-// process crashes, how much time passes. Links keep their order.
-type world struct {
+// exploredCluster is three replicas in simulated time. The test chooses each step: which message arrives or is lost,
+// which disk syncs, which process crashes, and how much time passes. Messages on one link keep their order.
+type exploredCluster struct {
 	now       float64
-	nodes     []*worldNode
+	nodes     []*exploredNode
 	links     map[[2]string][]Message
 	committed map[uint64]string
 	writes    int
-	wrong     string
+	violation string
 }
 
-type worldNode struct {
+type exploredNode struct {
 	addr    string
 	replica *Replica
 	stored  State
 	pending []Save // not synced yet
 }
 
-func newWorld() *world {
-	w := &world{now: 10, links: map[[2]string][]Message{}, committed: map[uint64]string{}}
+func newExploredCluster() *exploredCluster {
+	c := &exploredCluster{now: 10, links: map[[2]string][]Message{}, committed: map[uint64]string{}}
 	voters := []consensus.Voter{{Addr: "a"}, {Addr: "b"}, {Addr: "c"}}
 	for _, voter := range voters {
-		n := &worldNode{addr: voter.Addr, stored: FoundingState(voters)}
-		w.nodes = append(w.nodes, n)
-		w.start(n)
+		n := &exploredNode{addr: voter.Addr, stored: InitialState(voters)}
+		c.nodes = append(c.nodes, n)
+		c.start(n)
 	}
-	w.calm(3)
-	return w
+	c.runFaultFree(3)
+	return c
 }
 
-func (w *world) start(n *worldNode) {
+func (c *exploredCluster) start(n *exploredNode) {
 	n.pending = nil
-	n.replica = New(Options{Self: consensus.Voter{Addr: n.addr}, Seed: 1, State: cloneState(n.stored), Now: w.now})
+	n.replica = New(Options{Self: consensus.Voter{Addr: n.addr}, Seed: 1, State: cloneState(n.stored), Now: c.now})
 }
 
-// carryOut queues what a replica asks for, and checks it.
-func (w *world) carryOut(n *worldNode) {
+// queueOutput queues the saves and messages of a replica, and checks the invariants.
+func (c *exploredCluster) queueOutput(n *exploredNode) {
 	out := n.replica.Take()
 	n.pending = append(n.pending, out.Saves...)
 	for _, m := range out.Messages {
 		link := [2]string{m.From, m.To}
-		w.links[link] = append(w.links[link], m)
+		c.links[link] = append(c.links[link], m)
 	}
-	w.check()
+	c.check()
 }
 
-// check requires one lease at most, and everything that was committed at whoever holds it.
-func (w *world) check() {
-	var leased []*worldNode
-	for _, n := range w.nodes {
-		if n.replica.HoldsLease(w.now) {
+// check requires that at most one replica holds the lease, and that it has all committed batches.
+func (c *exploredCluster) check() {
+	var leased []*exploredNode
+	for _, n := range c.nodes {
+		if n.replica.HoldsLease(c.now) {
 			leased = append(leased, n)
 		}
 	}
 	if len(leased) > 1 {
-		w.wrong = fmt.Sprintf("%s and %s hold the lease", leased[0].addr, leased[1].addr)
+		c.violation = fmt.Sprintf("%s and %s hold the lease", leased[0].addr, leased[1].addr)
 	}
 	for _, n := range leased {
 		_, commit := n.replica.Committed()
-		for seq := FoundingPosition.Seq + 1; seq <= commit; seq++ {
+		for seq := InitialPosition.Seq + 1; seq <= commit; seq++ {
 			content, ok := n.replica.Records()[batchKey(seq)]
-			before, known := w.committed[seq]
+			before, known := c.committed[seq]
 			switch {
 			case known && (!ok || string(content) != before):
-				w.wrong = fmt.Sprintf("%s has %q in batch %d, committed was %q", n.addr, content, seq, before)
+				c.violation = fmt.Sprintf("%s has %q in batch %d, but %q was committed", n.addr, content, seq, before)
 			case ok:
-				w.committed[seq] = string(content)
+				c.committed[seq] = string(content)
 			}
 		}
 	}
 }
 
-func (w *world) node(addr string) *worldNode { return w.nodes[addr[0]-'a'] }
+func (c *exploredCluster) node(addr string) *exploredNode { return c.nodes[addr[0]-'a'] }
 
-func (w *world) sync(n *worldNode) {
+func (c *exploredCluster) sync(n *exploredNode) {
 	for _, save := range n.pending {
 		n.stored.apply(save)
-		n.replica.Saved(save.Number, w.now)
+		n.replica.Saved(save.Number, c.now)
 	}
 	n.pending = nil
-	w.carryOut(n)
+	c.queueOutput(n)
 }
 
-func (w *world) deliver(link [2]string, lost bool) {
-	m := w.links[link][0]
-	w.links[link] = w.links[link][1:]
+func (c *exploredCluster) deliver(link [2]string, lost bool) {
+	m := c.links[link][0]
+	c.links[link] = c.links[link][1:]
 	if !lost {
-		n := w.node(link[1])
-		n.replica.Step(m, w.now)
-		w.carryOut(n)
+		n := c.node(link[1])
+		n.replica.Step(m, c.now)
+		c.queueOutput(n)
 	}
 }
 
-func (w *world) wait(span float64) {
-	w.now += span
-	for _, n := range w.nodes {
-		n.replica.Tick(w.now)
-		w.carryOut(n)
+func (c *exploredCluster) wait(span float64) {
+	c.now += span
+	for _, n := range c.nodes {
+		n.replica.Tick(c.now)
+		c.queueOutput(n)
 	}
 }
 
-func (w *world) write(n *worldNode) {
-	w.writes++
-	content := n.addr + strconv.Itoa(w.writes)
-	n.replica.Propose([]Write{{batchKey(n.replica.Last().Seq + 1), []byte(content)}}, w.now)
-	w.carryOut(n)
+func (c *exploredCluster) write(n *exploredNode) {
+	c.writes++
+	content := n.addr + strconv.Itoa(c.writes)
+	n.replica.Propose([]Write{{batchKey(n.replica.Last().Seq + 1), []byte(content)}}, c.now)
+	c.queueOutput(n)
 }
 
-// calm lets everything arrive and be synced for a while.
-func (w *world) calm(span float64) {
+// runFaultFree lets time pass while all messages arrive and all saves are synced.
+func (c *exploredCluster) runFaultFree(span float64) {
 	const step = 0.1
 	for passed := 0.0; passed < span; passed += step {
-		w.wait(step)
+		c.wait(step)
 		for again := true; again; {
 			again = false
-			for _, n := range w.nodes {
+			for _, n := range c.nodes {
 				if len(n.pending) > 0 {
-					w.sync(n)
+					c.sync(n)
 					again = true
 				}
 			}
-			for _, link := range worldLinks {
-				if len(w.links[link]) > 0 {
-					w.deliver(link, false)
+			for _, link := range exploredLinks {
+				if len(c.links[link]) > 0 {
+					c.deliver(link, false)
 					again = true
 				}
 			}
@@ -142,78 +142,81 @@
 	}
 }
 
-var worldLinks = [][2]string{{"a", "b"}, {"a", "c"}, {"b", "a"}, {"b", "c"}, {"c", "a"}, {"c", "b"}}
+var exploredLinks = [][2]string{{"a", "b"}, {"a", "c"}, {"b", "a"}, {"b", "c"}, {"c", "a"}, {"c", "b"}}
 
-// worldEvent is one thing that may happen now.
-type worldEvent struct {
+// exploredEvent is an event that may happen next.
+type exploredEvent struct {
 	name string
-	do   func(*world)
+	do   func(*exploredCluster)
 }
 
-// events are those that may happen now, in an order that depends on the past alone.
-func (w *world) events() (events []worldEvent) {
-	for _, link := range worldLinks {
-		if len(w.links[link]) > 0 {
+// events returns the events that may happen next. Their order depends only on the events so far, so that a path of
+// event numbers can be repeated.
+func (c *exploredCluster) events() (events []exploredEvent) {
+	for _, link := range exploredLinks {
+		if len(c.links[link]) > 0 {
 			name := link[0] + link[1]
 			events = append(events,
-				worldEvent{"deliver " + name, func(w *world) { w.deliver(link, false) }},
-				worldEvent{"lose " + name, func(w *world) { w.deliver(link, true) }})
+				exploredEvent{"deliver " + name, func(c *exploredCluster) { c.deliver(link, false) }},
+				exploredEvent{"lose " + name, func(c *exploredCluster) { c.deliver(link, true) }})
 		}
 	}
-	for _, n := range w.nodes {
+	for _, n := range c.nodes {
 		addr := n.addr
 		if len(n.pending) > 0 {
-			events = append(events, worldEvent{"sync " + addr, func(w *world) { w.sync(w.node(addr)) }})
+			events = append(events, exploredEvent{"sync " + addr, func(c *exploredCluster) { c.sync(c.node(addr)) }})
 		}
-		if n.replica.HoldsLease(w.now) {
-			events = append(events, worldEvent{"write at " + addr, func(w *world) { w.write(w.node(addr)) }})
+		if n.replica.HoldsLease(c.now) {
+			events = append(events,
+				exploredEvent{"write at " + addr, func(c *exploredCluster) { c.write(c.node(addr)) }})
 		}
-		events = append(events, worldEvent{"crash " + addr, func(w *world) { w.start(w.node(addr)) }})
+		events = append(events, exploredEvent{"crash " + addr, func(c *exploredCluster) { c.start(c.node(addr)) }})
 	}
 	for _, span := range []float64{0.25, 1.2} {
-		events = append(events, worldEvent{fmt.Sprint("wait ", span), func(w *world) { w.wait(span) }})
+		events = append(events, exploredEvent{fmt.Sprint("wait ", span), func(c *exploredCluster) { c.wait(span) }})
 	}
 	return events
 }
 
-// play plays a path of event numbers from the start, and returns the names.
-func play(path []int) (w *world, names []string) {
-	w = newWorld()
-	w.write(w.nodes[0])
+// play runs a path of event numbers from the start, and returns the cluster and the names of the events.
+func play(path []int) (c *exploredCluster, names []string) {
+	c = newExploredCluster()
+	c.write(c.nodes[0])
 	for _, number := range path {
-		event := w.events()[number]
+		event := c.events()[number]
 		names = append(names, event.name)
-		event.do(w)
+		event.do(c)
 	}
-	return w, names
+	return c, names
 }
 
-// TestEveryOrder plays every order of a few events from the moment at which a leaseholder has proposed a batch:
-// messages that arrive or are lost, syncs, crashes, time that passes. After each, everything arrives again: then there
-// is a leaseholder with all that was committed, and it commits.
+// TestEveryOrder runs every order of a few events, starting when a leaseholder has proposed a batch. The events are
+// delivered or lost messages, syncs, crashes and the passing of time. After each path the faults end: then there must
+// be a leaseholder that has all committed batches and commits new ones.
 func TestEveryOrder(t *testing.T) {
 	paths := 0
 	var explore func(path []int)
 	explore = func(path []int) {
-		w, names := play(path)
-		if w.wrong != "" {
-			t.Fatalf("%v: %s", names, w.wrong)
+		c, names := play(path)
+		if c.violation != "" {
+			t.Fatalf("%v: %s", names, c.violation)
 		}
 		if len(path) < *exploreDepth {
-			for number := range w.events() {
+			for number := range c.events() {
 				explore(append(path[:len(path):len(path)], number))
 			}
 			return
 		}
 		paths++
-		w.calm(4)
-		before := len(w.committed)
-		for _, n := range w.nodes {
-			w.write(n)
+		c.runFaultFree(4)
+		before := len(c.committed)
+		for _, n := range c.nodes {
+			c.write(n)
 		}
-		w.calm(0.3)
-		if w.wrong != "" || len(w.committed) <= before {
-			t.Fatalf("%v: %s; %d batches committed, before the last write %d", names, w.wrong, len(w.committed), before)
+		c.runFaultFree(0.3)
+		if c.violation != "" || len(c.committed) <= before {
+			t.Fatalf("%v: %s; %d batches committed, before the last write %d",
+				names, c.violation, len(c.committed), before)
 		}
 	}
 	explore(nil)
--- a/internal/cluster/shard/follower.go
+++ b/internal/cluster/shard/follower.go
@@ -1,6 +1,6 @@
 package shard
 
-// Step takes a message of another replica.
+// Step handles a message of another replica.
 func (r *Replica) Step(m Message, now float64) {
 	switch m.Kind {
 	case Vote:
@@ -12,13 +12,13 @@
 	case Heartbeat, Append, TimeoutNow:
 		r.stepLeader(m, now)
 	case Install:
-		if len(m.Voters) > 0 { // a state without voters is none
+		if len(m.Voters) > 0 { // a state without voters is not valid
 			r.stepLeader(m, now)
 		}
 	}
 }
 
-// stepLeader takes a message of a leader. Its receipt keeps this replica from voting for another for a while.
+// stepLeader handles a message of a leader. After it, this replica votes for no other leader until grantUntil.
 func (r *Replica) stepLeader(m Message, now float64) {
 	if m.Term < r.term {
 		kind := AppendReply
@@ -34,7 +34,7 @@
 		}
 		return
 	}
-	r.follow(m.Term, m.From, now)
+	r.becomeFollower(m.Term, m.From, now)
 	r.grantUntil = now + grantTTL
 	r.postponeElection(r.grantUntil)
 	switch m.Kind {
@@ -47,8 +47,9 @@
 	}
 }
 
-// stepAppend applies batches behind the last one here. Those that are here already, because the message came twice, are
-// left out: a last batch of the leader's own term means that all before is the leader's too.
+// stepAppend applies the batches that follow this replica's last one. Batches that it already has, because the message
+// came twice, are skipped. This is safe because a last batch of the leader's own term means that all batches before it
+// are the leader's too.
 func (r *Replica) stepAppend(m Message) {
 	if r.last != m.Prev && (r.last.Term != m.Term || r.last.Seq < m.Prev.Seq) {
 		r.send(m.From, Message{Kind: AppendReply, Term: r.term, Last: r.last, Sent: m.Sent})
@@ -64,7 +65,7 @@
 	r.sendWhenSaved(m.From, Message{Kind: AppendReply, Term: r.term, Last: acknowledged, Sent: m.Sent, OK: true})
 }
 
-// stepInstall replaces the state here, unless it has all of the leader's.
+// stepInstall replaces this replica's state by that of the leader, unless it already has all batches in that state.
 func (r *Replica) stepInstall(m Message) {
 	if r.last.Term != m.Term || r.last.Seq < m.Last.Seq {
 		r.install(m)
--- a/internal/cluster/shard/leader.go
+++ b/internal/cluster/shard/leader.go
@@ -8,39 +8,42 @@
 )
 
 const (
-	heartbeatInterval = 0.2
-	resendAfter       = 0.7 // for an append without an answer
-	maxBatchesSent    = 128 // in one message
-	transferTimeout   = 0.5 // after which a leader that transfers its leadership gives it up anyway
-
-	never = -1e9 // a time before all others
+	heartbeatInterval = 0.2 // seconds
+	resendAfter       = 0.7 // time after which an unanswered append is sent again, seconds
+	maxBatchesSent    = 128 // batches in one message
+	// transferTimeout bounds the transfer of the leadership, in seconds. If no other leader is elected within it, this
+	// leader steps down nevertheless, because it can't hold the lease again in this term.
+	transferTimeout = 0.5
+
+	never = -1e9 // a time before all others, seconds
 )
 
 // leadership is the state of a leader, from the start of its term.
 type leadership struct {
 	electedAt    float64
-	firstSeq     uint64 // of the batch with which the term began
-	commit       uint64 // all batches up to it are saved by a majority
-	votersSeq    uint64 // of the last change of the voters
-	learners     []consensus.Voter
+	firstSeq     uint64               // number of the batch with which the term began
+	commit       uint64               // all batches up to this number are saved by a majority
+	votersSeq    uint64               // number of the batch with the last change of the voters
+	learners     []consensus.Voter    // replicas that receive batches and are not voters yet
 	progress     map[string]*progress // by address
-	heartbeatAt  float64              // when the next ones are due
-	transferring bool                 // the lease is given up for another replica
-	transferEnd  float64
+	heartbeatAt  float64              // time of the next heartbeats, seconds
+	transferring bool                 // this leader no longer holds the lease, so that another replica can take over
+	transferEnd  float64              // time at which it steps down, seconds
 }
 
-// progress is what a leader knows of another replica.
+// progress is what a leader knows about another replica.
 type progress struct {
 	disk     uint64
-	position Position // that it is known or assumed to have
-	matched  uint64   // all batches up to it are saved there
-	answered float64  // when the newest message was sent that it has answered; never: none
+	position Position // the last batch that the replica is known or assumed to have
+	matched  uint64   // all batches up to this number are saved on the replica
+	answered float64  // sending time of the newest message that the replica has answered, seconds; never: none
 	inFlight bool     // an append is not answered yet
-	sentAt   float64  // of that append
+	sentAt   float64  // sending time of that append, seconds
 }
 
-// lead makes this replica the leader of its term. Its first batch is empty: once that is committed, so is all before.
-func (r *Replica) lead(now float64) {
+// becomeLeader makes this replica the leader of its term. Its first batch is empty: a leader may commit batches of
+// earlier terms only together with a batch of its own term.
+func (r *Replica) becomeLeader(now float64) {
 	r.role, r.leaderAddr = leader, r.self.Addr
 	r.leadership = leadership{progress: map[string]*progress{}, electedAt: now, firstSeq: r.last.Seq + 1}
 	if mutants.On("shard/commits-former-terms") {
@@ -55,8 +58,9 @@
 	r.tickLeader(now)
 }
 
-// Propose appends writes at the leaseholder as the batch behind Last; elsewhere it does nothing. They are committed
-// once Committed reaches that batch in the same term; if the term ends before, it is not known whether they will be.
+// Propose appends writes as the batch after Last. It does nothing unless this replica holds the lease. The writes are
+// committed once Committed reaches that batch in the same term. If the term ends earlier, it is not known whether they
+// will be committed.
 func (r *Replica) Propose(writes []Write, now float64) {
 	if r.HoldsLease(now) {
 		r.append(Batch{Writes: writes}, now)
@@ -76,8 +80,8 @@
 	r.advanceCommit()
 }
 
-// Committed is the number of the last batch that is known to be saved by a majority, and the term of this replica's
-// leadership; 0 terms: it is not the leader.
+// Committed returns the term of this replica's leadership, and the number of the last batch that is known to be saved
+// by a majority. The term is 0 if this replica is not the leader, or has not committed a batch of its term yet.
 func (r *Replica) Committed() (term, seq uint64) {
 	if r.role != leader || r.commit < r.firstSeq {
 		return 0, 0
@@ -85,7 +89,7 @@
 	return r.term, r.commit
 }
 
-// replicas lists the addresses of the other voters and of the learners.
+// replicas returns the addresses of the other voters and of the learners.
 func (r *Replica) replicas() (addrs []string) {
 	for _, v := range slices.Concat(r.voters, r.learners) {
 		if v.Addr != r.self.Addr && !slices.Contains(addrs, v.Addr) {
@@ -104,7 +108,8 @@
 	return p
 }
 
-// replicate sends a replica what it lacks, unless an answer of it is awaited.
+// replicate sends a replica the batches that it does not have, or the complete state if they are no longer kept. It
+// sends nothing while an append to that replica is unanswered.
 func (r *Replica) replicate(addr string, now float64) {
 	p := r.progressOf(addr)
 	if p.inFlight || p.position == r.last {
@@ -121,7 +126,7 @@
 	r.send(addr, message)
 }
 
-// nextRecent is the index of the recent batch that comes behind a position.
+// nextRecent returns the index of the recent batch that follows a position, and whether that batch is still kept.
 func (r *Replica) nextRecent(p Position) (index int, ok bool) {
 	if p == r.recentBase {
 		return 0, true
@@ -136,7 +141,7 @@
 func (r *Replica) tickLeader(now float64) {
 	supported := max(r.electedAt, r.supportedSince(now))
 	if r.transferring && now >= r.transferEnd || now >= supported+stepDownAfter {
-		r.follow(r.term, "", now)
+		r.becomeFollower(r.term, "", now)
 		return
 	}
 	if now < r.heartbeatAt {
@@ -152,10 +157,10 @@
 	}
 }
 
-// stepReply takes the answer of a replica to a heartbeat or an append.
+// stepReply handles the answer of a replica to a heartbeat or an append.
 func (r *Replica) stepReply(m Message, now float64) {
 	if m.Term > r.term {
-		r.follow(m.Term, "", now)
+		r.becomeFollower(m.Term, "", now)
 		return
 	}
 	if r.role != leader || m.Term != r.term {
@@ -184,7 +189,7 @@
 	r.replicate(m.From, now)
 }
 
-// advanceCommit commits what a majority has saved.
+// advanceCommit commits the batches that a majority has saved, once these include a batch of this term.
 func (r *Replica) advanceCommit() {
 	seq := majorityValue(r, r.savedLast.Seq, 0, func(p *progress) uint64 { return p.matched })
 	if seq >= r.firstSeq {
@@ -192,8 +197,9 @@
 	}
 }
 
-// TransferTo hands the leadership to a voter that has everything, if there is such a one at this address. The lease
-// ends at once. Afterwards this replica does not take it up again in this term: the other may be elected at any time.
+// TransferTo transfers the leadership to the voter at an address. It does nothing and returns false unless that voter
+// has saved all batches and answered recently. The lease ends at once, and this replica does not hold it again in this
+// term, because the other voter may be elected at any time.
 func (r *Replica) TransferTo(addr string, now float64) (ok bool) {
 	p := r.progress[addr]
 	if !r.HoldsLease(now) || addr == r.self.Addr || p == nil {
@@ -208,14 +214,14 @@
 	return true
 }
 
-// ReplicaStatus is what a replica knows of one of the shard's replicas.
+// ReplicaStatus is what a replica knows about one of the shard's replicas.
 type ReplicaStatus struct {
 	Addr    string
 	Learner bool
-	Behind  int64 // batches that it has not confirmed to this leader; -1: this replica is not the leader
+	Behind  int64 // batches not confirmed to this leader; -1: unknown, because this replica is not the leader
 }
 
-// Replicas lists the voters and, at the leader, the learners.
+// Replicas returns the status of the voters and, at the leader, of the learners.
 func (r *Replica) Replicas() (all []ReplicaStatus) {
 	for _, v := range r.voters {
 		all = append(all, ReplicaStatus{Addr: v.Addr, Behind: r.behind(v)})
@@ -226,7 +232,7 @@
 	return all
 }
 
-// behind is how many batches a replica has not confirmed to this leader.
+// behind returns how many batches a replica has not confirmed to this leader; -1 if this replica is not the leader.
 func (r *Replica) behind(v consensus.Voter) int64 {
 	if r.role != leader {
 		return -1
--- a/internal/cluster/shard/lease.go
+++ b/internal/cluster/shard/lease.go
@@ -10,17 +10,18 @@
 
 // Times of the lease, in seconds.
 const (
-	// LeaseTTL is how long an answered message supports the lease, from when it was sent.
+	// LeaseTTL is how long a message that a voter has answered supports the lease, counted from its sending.
 	LeaseTTL = 1.0
-	// grantTTL is how long a voter that received it gives no vote to another, from its receipt, and from its start. It
-	// exceeds LeaseTTL by more than two monotonic clocks differ over that time.
+	// grantTTL is how long a voter votes for no other leader, counted from the receipt of a leader's message, and from
+	// the start of its process. It exceeds LeaseTTL by more than two monotonic clocks differ over that time.
 	grantTTL = 1.1
-	// stepDownAfter is how long after its last support a leader gives up.
+	// stepDownAfter is how long after the last message that a majority answered a leader steps down, counted from the
+	// sending of that message.
 	stepDownAfter = 1.3
 )
 
-// HoldsLease reports whether this replica may answer from its records at this moment: no other can be the leader, and
-// all that was ever committed is here.
+// HoldsLease reports whether this replica may answer from its records at the time now: no other replica can be the
+// leader, and this one has all batches that were ever committed.
 func (r *Replica) HoldsLease(now float64) bool {
 	if r.role != leader || r.commit < r.firstSeq {
 		return false
@@ -31,16 +32,18 @@
 	return now < r.supportedSince(now)+LeaseTTL
 }
 
-// LeaseAge is how long ago the newest message was sent that a majority has answered.
+// LeaseAge returns how long ago the newest message that a majority has answered was sent, in seconds.
 func (r *Replica) LeaseAge(now float64) float64 { return now - r.supportedSince(now) }
 
-// supportedSince is when the newest message was sent that a majority of the voters, this one included, has answered.
+// supportedSince returns the sending time of the newest message that a majority of the voters has answered. This
+// replica counts as a voter that has answered at once.
 func (r *Replica) supportedSince(now float64) float64 {
 	return majorityValue(r, now, never, func(p *progress) float64 { return p.answered })
 }
 
-// majorityValue is the greatest value that a majority of the voters has reached: this replica its own, each other one
-// that of its progress, and none where nothing is known of the disk that it is listed with.
+// majorityValue returns the greatest value that a majority of the voters has reached. The value of this replica is own,
+// that of another voter is taken from its progress. It is none if this leader has no answer from the disk that the
+// voter is listed with.
 func majorityValue[T cmp.Ordered](r *Replica, own, none T, of func(*progress) T) T {
 	values := make([]T, 0, len(r.voters))
 	for _, voter := range r.voters {
--- a/internal/cluster/shard/membership.go
+++ b/internal/cluster/shard/membership.go
@@ -6,12 +6,12 @@
 	"mulleinrouter/internal/cluster/consensus"
 )
 
-// silentAfter is how long a voter that is to leave may go without an answer, in seconds, until it is removed before
-// others are added.
+// silentAfter is the time without an answer, in seconds, after which a voter that is to be removed counts as down. It
+// is then removed before new voters are added, because it no longer helps to form a majority.
 const silentAfter = 3.0
 
-// Reconcile has the leaseholder change the voters towards a target, one voter a batch: majorities of subsequent sets
-// then intersect (Ongaro, 4.1). The next change waits until the one before is committed.
+// Reconcile makes the leaseholder change the voters towards a target. Each batch changes one voter, so that majorities
+// of subsequent sets intersect (Ongaro, 4.1). The next change waits until the one before is committed.
 func (r *Replica) Reconcile(target []consensus.Voter, now float64) {
 	if len(target) == 0 || !r.HoldsLease(now) {
 		return
@@ -27,8 +27,8 @@
 	}
 }
 
-// nextVoters is the next set of voters on the way to a target; nil: there is none now. A voter that can't come back, or
-// is silent, is removed first: it helps no majority.
+// nextVoters returns the next set of voters on the way to a target; nil means no change now. A voter whose disk was
+// replaced, or that does not answer, is removed first, because it does not help to form a majority.
 func (r *Replica) nextVoters(target []consensus.Voter, now float64) []consensus.Voter {
 	leaving := slices.DeleteFunc(slices.Clone(r.voters), func(v consensus.Voter) bool {
 		return slices.Contains(target, v)
@@ -55,12 +55,12 @@
 		}
 	}
 	for _, v := range target {
-		r.TransferTo(v.Addr, now) // a leader does not remove itself
+		r.TransferTo(v.Addr, now) // a leader does not remove itself but transfers the leadership
 	}
 	return nil
 }
 
-// without lists the voters less one; nil: no voter would be left.
+// without returns the voters except one; nil if no voter would be left.
 func (r *Replica) without(v consensus.Voter) []consensus.Voter {
 	voters := slices.DeleteFunc(slices.Clone(r.voters), func(o consensus.Voter) bool { return o == v })
 	if len(voters) == 0 {
--- a/internal/cluster/shard/message.go
+++ b/internal/cluster/shard/message.go
@@ -2,43 +2,44 @@
 
 import "mulleinrouter/internal/cluster/consensus"
 
-// Kind is what a message says.
+// Kind is the kind of a message.
 type Kind uint8
 
 // The kinds of messages. Their numbers are on the wire.
 const (
-	Vote           Kind = 1 // a candidate requests a vote, or with Pre asks whether it would get it
+	Vote           Kind = 1 // a candidate requests a vote or, with Pre, asks whether it would be granted
 	VoteReply      Kind = 2
-	Heartbeat      Kind = 3 // of a leader
+	Heartbeat      Kind = 3 // from the leader, periodically
 	HeartbeatReply Kind = 4
-	Append         Kind = 5 // batches behind Prev
+	Append         Kind = 5 // the batches that follow Prev
 	Install        Kind = 6 // the complete state
-	AppendReply    Kind = 7 // to Append and Install
-	TimeoutNow     Kind = 8 // a leader has given up its lease, and its receiver shall campaign at once
+	AppendReply    Kind = 7 // reply to Append and Install
+	TimeoutNow     Kind = 8 // the leader has released its lease, and the receiver must campaign at once
 )
 
-// Message is what replicas of one shard send each other. A message may be lost, late or doubled.
+// Message is what replicas of one shard send each other. A message may be lost, delayed or duplicated.
 type Message struct {
 	From string `cbor:"-"` // address; set by the transport of the receiver
 	To   string `cbor:"-"` // address
 
-	Shard    uint32            `cbor:"1,keyasint"`
-	Kind     Kind              `cbor:"2,keyasint"`
-	Term     uint64            `cbor:"3,keyasint"`           // of the sender; of a vote: the one that it is for
-	Disk     uint64            `cbor:"4,keyasint,omitempty"` // of the sender (consensus.Voter)
-	Last     Position          `cbor:"5,keyasint"`           // of the sender; AppendReply with OK: saved up to it
-	Pre      bool              `cbor:"6,keyasint,omitempty"`
-	Transfer bool              `cbor:"7,keyasint,omitempty"` // the leader of the term before has given up its lease
+	Shard uint32 `cbor:"1,keyasint"`
+	Kind  Kind   `cbor:"2,keyasint"`
+	Term  uint64 `cbor:"3,keyasint"`           // term of the sender; in a Vote, the term in which the vote is requested
+	Disk  uint64 `cbor:"4,keyasint,omitempty"` // disk of the sender (consensus.Voter)
+	// Last is the position of the sender's last batch. In an AppendReply with OK, all batches up to it are saved.
+	Last     Position          `cbor:"5,keyasint"`
+	Pre      bool              `cbor:"6,keyasint,omitempty"` // pre-vote: nothing is saved or promised
+	Transfer bool              `cbor:"7,keyasint,omitempty"` // the leader of the previous term has released its lease
 	OK       bool              `cbor:"8,keyasint,omitempty"`
-	Prev     Position          `cbor:"9,keyasint"` // of the batch before the first of Batches
+	Prev     Position          `cbor:"9,keyasint"` // position of the batch before the first of Batches
 	Batches  []Batch           `cbor:"10,keyasint,omitempty"`
-	Records  []Write           `cbor:"11,keyasint,omitempty"` // of Install
-	Voters   []consensus.Voter `cbor:"12,keyasint,omitempty"` // of Install
-	Sent     float64           `cbor:"13,keyasint,omitempty"` // by the leader's clock; replies return it
+	Records  []Write           `cbor:"11,keyasint,omitempty"` // records of an Install
+	Voters   []consensus.Voter `cbor:"12,keyasint,omitempty"` // voters of an Install
+	Sent     float64           `cbor:"13,keyasint,omitempty"` // sending time by the leader's clock; replies repeat it
 }
 
 // Output is what a replica asks its caller to do.
 type Output struct {
-	Saves    []Save    // to be saved in their order; report each with Saved once it is synced
-	Messages []Message // to be sent, all of them at once
+	Saves    []Save    // saves to write in this order; the caller reports each with Saved once it is synced
+	Messages []Message // messages to send at once, without waiting for the saves
 }
--- a/internal/cluster/shard/mutants_test.go
+++ b/internal/cluster/shard/mutants_test.go
@@ -8,7 +8,7 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// The walks find each fault that can be seeded into this package.
+// The random walks must find each fault that can be seeded into this package.
 func TestRandomWalksFindMutants(t *testing.T) {
 	for _, mutant := range []string{
 		"forgets-grant", "answers-unsaved", "any-disk", "votes-for-older", "breaks-grant", "votes-twice",
--- a/internal/cluster/shard/replica.go
+++ b/internal/cluster/shard/replica.go
@@ -9,10 +9,11 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Bounds of what a replica keeps of recent batches for replicas that lack them.
+// Bounds of the recent batches that a replica keeps in memory, from which it can bring other replicas up to date
+// without sending them the complete state.
 const (
-	maxRecentBatches = 512
-	maxRecentBytes   = 1 << 20
+	maxRecentBatches = 512     // batches
+	maxRecentBytes   = 1 << 20 // bytes of keys and values
 )
 
 type role int
@@ -24,13 +25,13 @@
 	leader
 )
 
-// Options is what a Replica is made of.
+// Options are the arguments of New.
 type Options struct {
 	Shard uint32
 	Self  consensus.Voter
-	Seed  uint64  // of the jitter
-	State State   // from the disk; without voters: this replica was never one of the shard
-	Now   float64 // of the start
+	Seed  uint64  // seed of the jitter of elections
+	State State   // state on the disk; without voters, this replica never had a state of the shard
+	Now   float64 // time of the start, seconds
 }
 
 // Replica is one replica of a shard.
@@ -39,47 +40,47 @@
 	self  consensus.Voter
 	rnd   *rand.Rand
 
-	// The state, as it is once all saves are synced.
+	// The state, as it will be on disk once all saves are synced.
 	term     uint64
 	votedFor string
 	last     Position
 	voters   []consensus.Voter
 	records  map[string][]byte
 
-	recent      []Batch  // up to last, without a gap
-	recentBase  Position // of the batch before them
+	recent      []Batch  // the batches up to last, without a gap
+	recentBase  Position // position of the batch before recent
 	recentBytes int
 
 	role       role
-	leaderAddr string  // as last known; empty: unknown
-	grantUntil float64 // no vote for another leader before
-	electionAt float64 // no campaign before
-	granted    map[string]bool
-	ballotSave uint64 // number of the save with this candidate's own vote
+	leaderAddr string          // address of the leader as last known; empty: unknown
+	grantUntil float64         // time before which this replica votes for no other leader, seconds
+	electionAt float64         // time before which this replica doesn't campaign, seconds
+	granted    map[string]bool // other voters that granted the vote or pre-vote of this campaign, by address
+	ballotSave uint64          // number of the save with this candidate's own vote
 
-	leadership // while it is the leader
+	leadership // only used by the leader
 
-	lastSave  uint64
-	saved     uint64   // all saves up to it are synced
-	savedLast Position // of the records on disk
+	lastSave  uint64   // number of the last save
+	saved     uint64   // all saves up to this number are synced
+	savedLast Position // position of the last batch on disk
 	unsynced  []savedPosition
 	unsent    []unsentMessage
 	out       Output
 }
 
-// savedPosition is the position that a save brings to the disk.
+// savedPosition is the position that the state on disk has after a save.
 type savedPosition struct {
 	number uint64
 	last   Position
 }
 
-// unsentMessage waits for a save.
+// unsentMessage is a message that is sent once a save is synced.
 type unsentMessage struct {
 	save    uint64
 	message Message
 }
 
-// New makes a replica.
+// New returns a replica that starts as a follower with the state on its disk.
 func New(o Options) *Replica {
 	r := &Replica{
 		shard: o.Shard, self: o.Self, rnd: rand.New(rand.NewPCG(o.Seed, uint64(o.Shard))),
@@ -89,26 +90,26 @@
 	if r.records == nil {
 		r.records = map[string][]byte{}
 	}
-	if !mutants.On("shard/forgets-grant") { // the process before may have supported a lease
+	if !mutants.On("shard/forgets-grant") { // the previous process on this disk may have supported a lease
 		r.grantUntil = o.Now + grantTTL
 	}
 	r.postponeElection(max(r.grantUntil, o.Now))
 	return r
 }
 
-// Take returns what is to be done since the last call.
+// Take returns the saves and messages that were queued since the last call.
 func (r *Replica) Take() Output {
 	out := r.out
 	r.out = Output{}
 	return out
 }
 
-// Found takes the state of the first voters, at a replica that has none.
-func (r *Replica) Found(voters []consensus.Voter) {
+// Bootstrap gives a replica without any state the state of the first voters. It does nothing on other replicas.
+func (r *Replica) Bootstrap(voters []consensus.Voter) {
 	if r.last != (Position{}) {
 		return
 	}
-	r.voters, r.last, r.recentBase = voters, FoundingPosition, FoundingPosition
+	r.voters, r.last, r.recentBase = voters, InitialPosition, InitialPosition
 	r.save(nil, false)
 }
 
@@ -131,7 +132,7 @@
 	}
 }
 
-// save queues the state as it is, with these writes.
+// save queues a save of the present header, with these writes.
 func (r *Replica) save(writes []Write, replace bool) {
 	r.lastSave++
 	header := Header{Term: r.term, VotedFor: r.votedFor, Last: r.last, Voters: r.voters}
@@ -144,7 +145,7 @@
 	r.out.Messages = append(r.out.Messages, r.address(to, m))
 }
 
-// sendWhenSaved sends a message once all that is saved so far is synced.
+// sendWhenSaved sends a message once all saves queued so far are synced.
 func (r *Replica) sendWhenSaved(to string, m Message) {
 	if r.saved >= r.lastSave || mutants.On("shard/answers-unsaved") {
 		r.send(to, m)
@@ -158,7 +159,7 @@
 	return m
 }
 
-// apply applies a batch behind the last one.
+// apply applies the batch that follows the last one.
 func (r *Replica) apply(b Batch) {
 	for _, write := range b.Writes {
 		if write.Value == nil {
@@ -179,7 +180,7 @@
 	r.save(b.Writes, false)
 }
 
-// dropRecent forgets the oldest recent batches.
+// dropRecent drops the oldest recent batches.
 func (r *Replica) dropRecent(count int) {
 	for _, b := range r.recent[:count] {
 		r.recentBytes -= b.size()
@@ -195,7 +196,7 @@
 	return bytes
 }
 
-// install takes the complete state of a leader.
+// install replaces the state by the complete state of a leader.
 func (r *Replica) install(m Message) {
 	r.records = map[string][]byte{}
 	for _, write := range m.Records {
@@ -203,12 +204,12 @@
 	}
 	r.last, r.voters = m.Last, m.Voters
 	r.recent, r.recentBase, r.recentBytes = nil, m.Last, 0
-	r.savedLast = Position{} // what is on disk is not a part of this state until the save is synced
+	r.savedLast = Position{} // the records on disk are not part of this state until the save is synced
 	r.unsynced = nil
 	r.save(m.Records, true)
 }
 
-// isVoter reports whether a replica with a disk is one of the voters as they stand here.
+// isVoter reports whether a replica is listed with its disk in the voters that this replica knows.
 func (r *Replica) isVoter(v consensus.Voter) bool {
 	if mutants.On("shard/any-disk") {
 		return slices.ContainsFunc(r.voters, func(o consensus.Voter) bool { return o.Addr == v.Addr })
@@ -216,10 +217,11 @@
 	return slices.Contains(r.voters, v)
 }
 
-// Records returns the records as of Last. The caller must not change them, nor keep them beyond the next call.
+// Records returns the records as of Last. The caller must not change them, nor use them after the next call of a
+// method.
 func (r *Replica) Records() map[string][]byte { return r.records }
 
-// Last is the position of the last batch here, committed or not.
+// Last is the position of this replica's last batch, committed or not.
 func (r *Replica) Last() Position { return r.last }
 
 // Term is the highest term seen.
@@ -228,10 +230,10 @@
 // Leader is the address of the leader as last known; empty: unknown.
 func (r *Replica) Leader() string { return r.leaderAddr }
 
-// Voters are those as of Last. The caller must not change them.
+// Voters returns the voters as of Last. The caller must not change them.
 func (r *Replica) Voters() []consensus.Voter { return r.voters }
 
-// snapshot lists the records in the order of their keys.
+// snapshot returns all records as writes, in the order of their keys.
 func (r *Replica) snapshot() []Write {
 	writes := make([]Write, 0, len(r.records))
 	for _, key := range slices.Sorted(maps.Keys(r.records)) {
--- a/internal/cluster/shard/simulation_test.go
+++ b/internal/cluster/shard/simulation_test.go
@@ -11,40 +11,41 @@
 	"mulleinrouter/internal/cluster/consensus"
 )
 
-// simulation plays the replicas of one shard in simulated time: messages are late, lost and doubled, links work one
-// way, processes are suspended with what arrives meanwhile, clocks run apart, disks are slow, the power fails with what
-// is not synced, and disks are lost. Beside the replicas stands a plain model: what was committed.
+// simulation runs the replicas of one shard in simulated time. Messages are delayed, lost and duplicated, and links may
+// work in one direction only. Processes are suspended, and handle the messages of that time afterwards. Clocks run at
+// different rates, disks are slow, power failures lose what is not synced, and disks are lost. The replicas are
+// compared with a model, which is the content of the committed batches.
 type simulation struct {
-	rnd       *rand.Rand
-	now       float64
-	events    eventQueue
-	sequence  int
-	nodes     map[string]*simulatedNode
-	addrs     []string
-	target    []consensus.Voter // the electorate of the configuration
-	lastDisk  uint64
-	severed   map[[2]string]bool
-	committed map[uint64]string // by number of the batch: its content
-	highest   uint64
-	writes    int
-	lossAt    float64 // when a disk may be lost again
-	violation string
-	elections int
-	calm      bool
+	rnd              *rand.Rand
+	now              float64
+	events           eventQueue
+	sequence         int
+	nodes            map[string]*simulatedNode
+	addrs            []string
+	target           []consensus.Voter // voters in the configuration
+	lastDisk         uint64
+	linksDown        map[[2]string]bool // links that are cut, by sender and receiver
+	committed        map[uint64]string  // content of the committed batches by their numbers
+	highestCommitted uint64
+	writes           int
+	nextDiskLossAt   float64 // time before which no disk is lost and no voter replaced, seconds
+	violation        string
+	elections        int
+	faultFree        bool // no message is lost, duplicated or delayed for long
 }
 
-// simulatedNode is a process with its disk.
+// simulatedNode is a node with its disk and its process.
 type simulatedNode struct {
-	addr        string
-	disk        uint64
-	stored      State    // synced
-	rate        float64  // of its clock
-	replica     *Replica // nil: it is down
-	incarnation int      // number of the process
-	frozen      bool
-	inbox       []func()
-	diskFree    float64 // when its disk has done what it was asked
-	wasTerm     uint64  // in which it held the lease when it was looked at last
+	addr          string
+	disk          uint64
+	stored        State    // state on disk, synced
+	clockRate     float64  // seconds of the node's clock per second of simulated time
+	replica       *Replica // nil: the node is down
+	incarnation   int      // number of the process
+	suspended     bool
+	inbox         []func() // what a suspended process executes when it resumes
+	diskIdleAt    float64  // time at which the disk has written all queued saves, seconds
+	lastLeaseTerm uint64   // term of the node's last known lease; 0: none
 }
 
 type event struct {
@@ -68,11 +69,11 @@
 	return last
 }
 
-// newSimulation has a cluster of three or five voters, and a spare node.
+// newSimulation returns a cluster of three or five voters, by the seed, and one spare node.
 func newSimulation(seed uint64) *simulation {
 	s := &simulation{
-		rnd: rand.New(rand.NewPCG(seed, 7)), nodes: map[string]*simulatedNode{}, severed: map[[2]string]bool{},
-		committed: map[uint64]string{}, lossAt: 5,
+		rnd: rand.New(rand.NewPCG(seed, 7)), nodes: map[string]*simulatedNode{}, linksDown: map[[2]string]bool{},
+		committed: map[uint64]string{}, nextDiskLossAt: 5,
 	}
 	size := 3 + 2*int(seed%2)
 	for i := range size + 1 {
@@ -83,10 +84,10 @@
 		}
 	}
 	for i, addr := range s.addrs {
-		n := &simulatedNode{addr: addr, rate: 0.97 + 0.06*s.rnd.Float64()}
+		n := &simulatedNode{addr: addr, clockRate: 0.97 + 0.06*s.rnd.Float64()}
 		s.nodes[addr] = n
 		if i < size {
-			n.stored = FoundingState(s.target)
+			n.stored = InitialState(s.target)
 		} else {
 			n.disk = s.newDisk()
 		}
@@ -106,9 +107,9 @@
 }
 
 // clock is the monotonic clock of a node.
-func (s *simulation) clock(n *simulatedNode) float64 { return s.now * n.rate }
+func (s *simulation) clock(n *simulatedNode) float64 { return s.now * n.clockRate }
 
-// apply changes a state on disk as a save says.
+// apply applies a save to a state on disk.
 func (s *State) apply(save Save) {
 	s.Header = save.Header
 	if save.Replace {
@@ -131,10 +132,10 @@
 	return state
 }
 
-// start starts a process on a node's disk.
+// start starts a process with the state on a node's disk.
 func (s *simulation) start(n *simulatedNode) {
 	n.incarnation++
-	n.frozen, n.inbox, n.diskFree, n.wasTerm = false, nil, s.now, 0
+	n.suspended, n.inbox, n.diskIdleAt, n.lastLeaseTerm = false, nil, s.now, 0
 	n.replica = New(Options{
 		Self: consensus.Voter{Addr: n.addr, Disk: n.disk}, Seed: s.rnd.Uint64(),
 		State: cloneState(n.stored), Now: s.clock(n),
@@ -154,29 +155,29 @@
 	s.after(0.3*s.rnd.Float64(), tick)
 }
 
-// run has a process do something; a suspended one does it once it goes on.
+// run executes a function in a process, and then checks the replica. A suspended process executes it when it resumes.
 func (s *simulation) run(n *simulatedNode, do func()) {
 	if n.replica == nil {
 		return
 	}
-	if n.frozen {
+	if n.suspended {
 		n.inbox = append(n.inbox, do)
 		return
 	}
 	do()
-	s.carryOut(n)
+	s.performOutput(n)
 	s.check(n)
 }
 
-// carryOut saves and sends what a replica asks for.
-func (s *simulation) carryOut(n *simulatedNode) {
+// performOutput schedules the saves and sends the messages that a replica requests.
+func (s *simulation) performOutput(n *simulatedNode) {
 	out := n.replica.Take()
 	incarnation := n.incarnation
 	for _, save := range out.Saves {
-		n.diskFree = max(n.diskFree, s.now) + 0.002 + 0.02*s.rnd.Float64()*s.rnd.Float64()
-		s.after(n.diskFree-s.now, func() {
+		n.diskIdleAt = max(n.diskIdleAt, s.now) + 0.002 + 0.02*s.rnd.Float64()*s.rnd.Float64()
+		s.after(n.diskIdleAt-s.now, func() {
 			if n.incarnation != incarnation {
-				return // the power failed before
+				return // the process crashed before the save was synced
 			}
 			n.stored.apply(save)
 			s.run(n, func() { n.replica.Saved(save.Number, s.clock(n)) })
@@ -189,7 +190,7 @@
 
 func (s *simulation) deliver(m Message) {
 	copies := 1
-	if !s.calm {
+	if !s.faultFree {
 		switch chance := s.rnd.Float64(); {
 		case chance < 0.02:
 			copies = 0
@@ -199,11 +200,11 @@
 	}
 	for range copies {
 		delay := 0.001 + 0.002*s.rnd.Float64()
-		if !s.calm && s.rnd.Float64() < 0.03 {
+		if !s.faultFree && s.rnd.Float64() < 0.03 {
 			delay += 3 * s.rnd.Float64()
 		}
 		s.after(delay, func() {
-			if s.severed[[2]string{m.From, m.To}] {
+			if s.linksDown[[2]string{m.From, m.To}] {
 				return
 			}
 			n := s.nodes[m.To]
@@ -212,7 +213,7 @@
 	}
 }
 
-// check compares a replica with the model after each of its steps, and all leases with each other.
+// check compares a replica that holds the lease with the model, and requires that no other replica holds it.
 func (s *simulation) check(n *simulatedNode) {
 	r := n.replica
 	if !r.HoldsLease(s.clock(n)) {
@@ -224,32 +225,33 @@
 		}
 	}
 	term, commit := r.Committed()
-	if n.wasTerm != term {
-		n.wasTerm = term
+	if n.lastLeaseTerm != term {
+		n.lastLeaseTerm = term
 		s.elections++
 		for seq, content := range s.committed {
 			if got := string(r.Records()[batchKey(seq)]); got != content {
-				s.violate("%s leads in term %d with %q in place of %q in batch %d", n.addr, term, got, content, seq)
+				s.violate("%s leads in term %d with %q instead of %q in batch %d", n.addr, term, got, content, seq)
 			}
 		}
-		s.reveal(r)
+		s.recordInheritedRecords(r)
 	}
-	for ; s.highest < commit; s.highest++ {
-		seq := s.highest + 1
+	for ; s.highestCommitted < commit; s.highestCommitted++ {
+		seq := s.highestCommitted + 1
 		if content, ok := r.Records()[batchKey(seq)]; ok {
 			s.committed[seq] = string(content)
 		}
 	}
 }
 
-// reveal takes the records at the start of a leaseholder's term for committed: it answers from them.
-func (s *simulation) reveal(r *Replica) {
+// recordInheritedRecords adds the records at the start of a leaseholder's term to the committed batches, because the
+// leaseholder answers from them.
+func (s *simulation) recordInheritedRecords(r *Replica) {
 	for seq := uint64(1); seq <= r.Last().Seq; seq++ {
 		if content, ok := r.Records()[batchKey(seq)]; ok {
 			s.committed[seq] = string(content)
 		}
 	}
-	s.highest = max(s.highest, r.Last().Seq)
+	s.highestCommitted = max(s.highestCommitted, r.Last().Seq)
 }
 
 func batchKey(seq uint64) string { return "s" + strconv.FormatUint(seq, 10) }
@@ -260,7 +262,7 @@
 	}
 }
 
-// advance plays for a while.
+// advance runs the events of a span of simulated time, in seconds.
 func (s *simulation) advance(span float64) {
 	end := s.now + span
 	for s.violation == "" && len(s.events) > 0 && s.events[0].at <= end {
@@ -280,26 +282,26 @@
 	})
 }
 
-// disturb brings a fault about.
-func (s *simulation) disturb() {
+// injectFault causes a random fault, or a transfer of the leadership.
+func (s *simulation) injectFault() {
 	n := s.nodes[s.addrs[s.rnd.IntN(len(s.addrs))]]
 	switch s.rnd.IntN(8) {
 	case 0:
-		s.freeze(n, []float64{0.5, 1, 5}[s.rnd.IntN(3)]*(0.5+s.rnd.Float64()))
+		s.suspend(n, []float64{0.5, 1, 5}[s.rnd.IntN(3)]*(0.5+s.rnd.Float64()))
 	case 1:
 		s.crash(n)
 	case 2:
-		for _, addr := range s.addrs { // the power fails nearly everywhere
+		for _, addr := range s.addrs { // a power failure of most nodes
 			if s.rnd.IntN(3) > 0 {
 				s.crash(s.nodes[addr])
 			}
 		}
 	case 3, 4:
-		s.sever()
+		s.cutLinks()
 	case 5:
 		s.loseDisk(n)
 	case 6:
-		s.replace()
+		s.replaceVoter()
 	case 7:
 		s.run(n, func() {
 			n.replica.TransferTo(s.addrs[s.rnd.IntN(len(s.addrs))], s.clock(n))
@@ -307,17 +309,17 @@
 	}
 }
 
-func (s *simulation) freeze(n *simulatedNode, span float64) {
-	if n.replica == nil || n.frozen {
+func (s *simulation) suspend(n *simulatedNode, span float64) {
+	if n.replica == nil || n.suspended {
 		return
 	}
-	n.frozen = true
+	n.suspended = true
 	incarnation := n.incarnation
 	s.after(span, func() {
-		if n.incarnation != incarnation || !n.frozen {
+		if n.incarnation != incarnation || !n.suspended {
 			return
 		}
-		n.frozen = false
+		n.suspended = false
 		inbox := n.inbox
 		n.inbox = nil
 		for _, do := range inbox {
@@ -326,7 +328,7 @@
 	})
 }
 
-// crash stops a process. What its disk has not synced is lost; it starts again after a while.
+// crash stops a process, which starts again after up to 1.1 s. Saves that are not synced are lost.
 func (s *simulation) crash(n *simulatedNode) {
 	if n.replica == nil {
 		return
@@ -340,20 +342,20 @@
 	})
 }
 
-// sever cuts some directions, and joins others, for a while.
-func (s *simulation) sever() {
+// cutLinks cuts random links in one direction each. After up to 3 s all links work again.
+func (s *simulation) cutLinks() {
 	for _, from := range s.addrs {
 		for _, to := range s.addrs {
 			if s.rnd.IntN(4) == 0 {
-				s.severed[[2]string{from, to}] = true
+				s.linksDown[[2]string{from, to}] = true
 			}
 		}
 	}
-	s.after(3*s.rnd.Float64(), func() { s.severed = map[[2]string]bool{} })
+	s.after(3*s.rnd.Float64(), func() { s.linksDown = map[[2]string]bool{} })
 }
 
-// electorateSettled tells whether the voters of the shard are those of the configuration, on a majority.
-func (s *simulation) electorateSettled() bool {
+// membershipConverged reports whether the leaseholder has exactly the configured voters, and all of them are running.
+func (s *simulation) membershipConverged() bool {
 	for _, n := range s.nodes {
 		if n.replica != nil && n.replica.HoldsLease(s.clock(n)) && len(n.replica.Voters()) == len(s.target) {
 			return !slices.ContainsFunc(s.target, func(v consensus.Voter) bool {
@@ -364,13 +366,14 @@
 	return false
 }
 
-// loseDisk has a node lose its disk, if the one before has been replaced. The configuration follows soon.
+// loseDisk replaces the disk of a voter by an empty one, unless the last change of the voters is not complete yet. Up
+// to 0.5 s later the configuration lists the voter with the new disk.
 func (s *simulation) loseDisk(n *simulatedNode) {
 	k := slices.IndexFunc(s.target, func(v consensus.Voter) bool { return v.Addr == n.addr })
-	if s.now < s.lossAt || k < 0 || n.replica == nil || !s.electorateSettled() {
+	if s.now < s.nextDiskLossAt || k < 0 || n.replica == nil || !s.membershipConverged() {
 		return
 	}
-	s.lossAt = s.now + 6
+	s.nextDiskLossAt = s.now + 6
 	s.crash(n)
 	n.disk, n.stored = s.newDisk(), State{Records: map[string][]byte{}}
 	s.after(0.5*s.rnd.Float64(), func() {
@@ -379,12 +382,12 @@
 	})
 }
 
-// replace puts the spare node in the place of a voter, which becomes the spare one.
-func (s *simulation) replace() {
-	if s.now < s.lossAt || !s.electorateSettled() {
+// replaceVoter replaces a random voter by the spare node. The former voter becomes the spare node.
+func (s *simulation) replaceVoter() {
+	if s.now < s.nextDiskLossAt || !s.membershipConverged() {
 		return
 	}
-	s.lossAt = s.now + 6
+	s.nextDiskLossAt = s.now + 6
 	spare := slices.IndexFunc(s.addrs, func(addr string) bool {
 		return !slices.ContainsFunc(s.target, func(v consensus.Voter) bool { return v.Addr == addr })
 	})
@@ -393,27 +396,27 @@
 	s.target[s.rnd.IntN(len(s.target))] = consensus.Voter{Addr: n.addr, Disk: n.disk}
 }
 
-// heal ends all faults and requires that the shard works again, with all that was committed.
+// heal ends all faults, and requires that the shard commits writes again and has all committed batches.
 func (s *simulation) heal() {
-	s.calm = true
-	s.severed = map[[2]string]bool{}
+	s.faultFree = true
+	s.linksDown = map[[2]string]bool{}
 	s.advance(8)
-	s.severed = map[[2]string]bool{}
+	s.linksDown = map[[2]string]bool{}
 	s.advance(4)
 	if s.violation != "" {
 		return
 	}
-	before := s.highest
+	before := s.highestCommitted
 	for _, addr := range s.addrs {
 		s.write(s.nodes[addr])
 	}
 	s.advance(1)
-	if s.highest == before {
+	if s.highestCommitted == before {
 		s.violate("no leaseholder 12 s after the last fault")
 	}
 }
 
-// walk plays a cluster with faults for a while.
+// walk runs a cluster with random faults and writes, then ends the faults and checks that the shard works again.
 func walk(seed uint64) *simulation {
 	s := newSimulation(seed)
 	s.advance(2)
@@ -423,7 +426,7 @@
 			s.write(s.nodes[s.addrs[s.rnd.IntN(len(s.addrs))]])
 		}
 		if s.rnd.IntN(3) == 0 {
-			s.disturb()
+			s.injectFault()
 		}
 		if s.violation != "" {
 			return s
--- a/internal/cluster/shard/walk_test.go
+++ b/internal/cluster/shard/walk_test.go
@@ -6,7 +6,7 @@
 	"mulleinrouter/internal/race"
 )
 
-// walks is how many seeds the random walks have.
+// walks returns the number of random walks, one per seed. It is lower under the race detector, which is slower.
 func walks() uint64 {
 	if race.Enabled {
 		return 60
@@ -14,7 +14,8 @@
 	return 600
 }
 
-// Random walks with all faults: one lease at a time, nothing committed is lost, and the shard works again afterwards.
+// The random walks inject all faults. At any time at most one replica may hold the lease, no committed batch may be
+// lost, and the shard must work again once the faults end.
 func TestRandomWalks(t *testing.T) {
 	committed, elections := 0, 0
 	for seed := range walks() {
--- a/internal/control/shards/host.go
+++ b/internal/control/shards/host.go
@@ -50,7 +50,7 @@
 func (h *host) found(voters []consensus.Voter) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.replica.Found(voters)
+	h.replica.Bootstrap(voters)
 	h.carryOut(h.service.now())
 }
 
--- a/internal/control/storage/shard_test.go
+++ b/internal/control/storage/shard_test.go
@@ -22,7 +22,7 @@
 func shardSaves() []ShardSave {
 	voters := []consensus.Voter{{Addr: "10.0.0.1:7000"}, {Addr: "10.0.0.2:7000", Disk: 1<<63 + 5}}
 	return []ShardSave{
-		{Shard: 0, Save: shard.Save{Header: shard.Header{Last: shard.FoundingPosition, Voters: voters}}},
+		{Shard: 0, Save: shard.Save{Header: shard.Header{Last: shard.InitialPosition, Voters: voters}}},
 		{Shard: 0, Save: shard.Save{
 			Header: shard.Header{
 				Term: 3, VotedFor: "10.0.0.1:7000", Last: shard.Position{Term: 3, Seq: 2}, Voters: voters,
