--- a/internal/cluster/replication/changes.go
+++ b/internal/cluster/replication/changes.go
@@ -7,25 +7,25 @@
 	"mulleinrouter/internal/cluster/registry"
 )
 
-// entryOverhead is about what an entry takes in a frame beside its strings and its body, in bytes.
+// entryOverhead is the approximate size of an entry in a frame without its strings and its body, in bytes.
 const entryOverhead = 32
 
-// Changes is what changed in a Store behind a sequence number: each entry once, as it is now, in order of its last
-// change.
+// Changes is what changed in a Store after a sequence number. Each entry is included once, as it is now, in order of
+// its last change.
 type Changes struct {
 	Items     []configuration.Item
 	Instances []registry.Instance
-	Seq       uint64 // to ask with next
-	Complete  bool   // there is nothing behind Seq
+	Seq       uint64 // sequence number for the next call
+	Complete  bool   // there are no changes after Seq
 }
 
-// ChangesSince returns what changed behind a sequence number: at least one entry where there is any, and else no more
-// than about so many bytes. Its cost is that of what it returns.
+// ChangesSince returns what changed after a sequence number, up to about maxBytes. If anything changed, it returns at
+// least one entry, whatever its size. Its cost grows with the changes after the sequence number, not with the store.
 func (s *Store) ChangesSince(seq uint64, maxBytes int) Changes {
 	return s.ChangesSinceExcept(seq, maxBytes, nil)
 }
 
-// ChangesSinceExcept is ChangesSince without what the other store is known to hold; nil: nothing.
+// ChangesSinceExcept is ChangesSince without the entries that the other store is known to have; nil means none.
 func (s *Store) ChangesSinceExcept(seq uint64, maxBytes int, known *MatchingBuckets) Changes {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +64,7 @@
 	return changes
 }
 
-// instanceSize is about what an instance takes in a frame, in bytes.
+// instanceSize returns the approximate size of an instance in a frame, in bytes.
 func instanceSize(i *registry.Instance) int {
 	return entryOverhead + len(i.ID) + len(i.Service) + len(i.Address) + len(i.Zone) + len(i.Generation)
 }
--- a/internal/cluster/replication/chunk_cache.go
+++ b/internal/cluster/replication/chunk_cache.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	chunkBytes       = 64 << 10    // bytes of an update, about
-	smallChangeBytes = 4 << 10     // bytes that a new subscriber may lack and still get with the next update
-	chunkLifetime    = time.Second // for which a chunk is shared with other subscribers
-	chunkCacheBytes  = 512 << 10   // bytes of the chunks that are kept
+	chunkBytes       = 64 << 10    // approximate size of an update, bytes
+	smallChangeBytes = 4 << 10     // changes up to this size are sent with the next update instead of a chunk, bytes
+	chunkLifetime    = time.Second // time for which a chunk is shared with other subscribers
+	chunkCacheBytes  = 512 << 10   // total size of the cached chunks, bytes
 )
 
-// chunkCache holds the encoded chunks of the snapshot that new subscribers get. After a loss of power hundreds
-// subscribe at once, and a process that encodes the snapshot for each of them delays everything else, operators' calls
-// at each of their steps. So one chunk is encoded at a time, and all subscribers get the same one. A chunk stays valid:
-// what has changed since comes again behind it. It carries no status of the source, which would be out of date.
+// chunkCache contains the encoded chunks of the snapshot that are sent to new subscribers. After a power failure
+// hundreds of processes subscribe at once. A process that encodes the snapshot for each of them delays everything else,
+// including each step of operators' calls. So one chunk is encoded at a time, and all subscribers receive the same
+// chunk. A chunk stays valid, because entries that change after its encoding are sent again after it. It has no status
+// of the source, which would be out of date.
 type chunkCache struct {
 	mu     sync.Mutex       // guards the fields below
-	chunks map[uint64]chunk // by the sequence number behind which they begin
-	bytes  int
+	chunks map[uint64]chunk // by the sequence number after which they begin
+	bytes  int              // total size of the chunks
 }
 
-// chunk is an encoded update with what changed up to a sequence number.
+// chunk is an encoded update with the changes up to a sequence number.
 type chunk struct {
 	frame     []byte
-	last      uint64
+	last      uint64 // sequence number of its last change
 	encodedAt time.Time
 }
 
-// chunk returns what changed behind a sequence number, about as much as fills a write; not found: it is little, and
-// goes with the next update.
+// chunk returns the chunk with the changes after a sequence number. If they are small, it returns ok false, and the
+// changes are sent with the next update.
 func (s *Source) chunk(since uint64) (found chunk, ok bool, err error) {
 	cache, now := &s.cache, time.Now()
 	cache.mu.Lock()
@@ -56,7 +57,7 @@
 	return encoded, true, nil
 }
 
-// add keeps a chunk; all others go where there would be too many bytes. The mutex is held.
+// add caches a chunk. If the cache would exceed chunkCacheBytes, all other chunks are dropped. The mutex must be held.
 func (cc *chunkCache) add(since uint64, encoded chunk) {
 	if cc.bytes += len(encoded.frame); cc.chunks == nil || cc.bytes > chunkCacheBytes {
 		cc.chunks, cc.bytes = map[uint64]chunk{}, len(encoded.frame)
--- a/internal/cluster/replication/chunk_cache_test.go
+++ b/internal/cluster/replication/chunk_cache_test.go
@@ -18,9 +18,9 @@
 	"mulleinrouter/internal/cluster/transport"
 )
 
-// TestNewSubscribersShareChunks has many agents subscribe at once, as after a loss of power, while instances and the
-// configuration change: each ends with what the source has, and the source encoded few chunks for all of them. A chunk
-// carries no status, which would be out of date.
+// TestNewSubscribersShareChunks subscribes many agents at once, as after a power failure, while instances and the
+// configuration change. Each agent must end with all entries of the source, the source must encode few chunks for all
+// of them, and no chunk may have a status, which would be out of date.
 func TestNewSubscribersShareChunks(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -108,7 +108,7 @@
 		is.True(client.State().Complete && client.State().Quorum && client.State().Ready)
 		is.Equal(client.Store.Snapshot().Len(), store.Snapshot().Len())
 		for _, instance := range client.Store.Instances() {
-			// what it was sent is current
+			// the agent has no outdated instance
 			is.True(!instance.DiffersFrom(want[instance.ID]) || want[instance.ID].Supersedes(instance))
 			is.Equal(instance.Phase, want[instance.ID].Phase)
 		}
--- a/internal/cluster/replication/client.go
+++ b/internal/cluster/replication/client.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// initialDialTimeout bounds the first attempts: a machine without power does not answer, and may be back the next
-	// moment, while the kernel repeats an opening packet only after 1 s.
+	// initialDialTimeout bounds the first attempts. A machine without power does not answer and may return at any
+	// moment, but the kernel repeats the first packet of a connection only after 1 s.
 	initialDialTimeout = 200 * time.Millisecond
 	dialTimeout        = time.Second
 )
@@ -24,35 +24,35 @@
 	maxBackoff     = time.Second
 )
 
-// Client keeps one subscription to one source and merges what comes into the Store. Set its fields, then Run it.
+// Client maintains one subscription to one source and merges its updates into the Store. Set its fields, then Run it.
 type Client struct {
-	Addr        string // of the source, host:port
-	Node        string // that subscribes
+	Addr        string // address of the source, host:port
+	Node        string // name of the subscribing node
 	Class       string // ClassAgent, ClassProxy or ClassControl
-	Zone        string // of an ingress
-	ControlAddr string // where a control node that subscribes is itself reached; else empty
-	Incarnation uint64 // of this process
-	Seed        uint64 // for the jitter of the backoff
+	Zone        string // zone of an ingress
+	ControlAddr string // own address of a control node that subscribes, host:port; else empty
+	Incarnation uint64 // incarnation of this process
+	Seed        uint64 // seed of the jitter of the backoff
 	Store       *Store
 	Clock       *Clock
-	MaxFrame    int // bytes of the longest frame that is accepted; 0: transport.MaxFrame
+	MaxFrame    int // longest accepted frame, bytes; 0: transport.MaxFrame
 
 	// Ready is sent with each renewal; nil: not ready.
 	Ready func() bool
 	// Handle answers calls of the source (see transport.Conn.Run); nil: calls are ignored.
 	Handle func(*transport.Frame) *transport.Frame
-	// Consume takes the place of merging an update into the Store; nil: merge.
+	// Consume handles an update instead of merging it into the Store; nil: merge.
 	Consume func(*transport.Update)
-	// OnUpdate is called after each update, which then holds only what was new here (unless Consume is set); may be
-	// nil.
+	// OnUpdate is called after each update. Unless Consume is set, the update then has only the entries that were new
+	// to the Store. It may be nil.
 	OnUpdate func(*transport.Update)
-	// OnConnection is called when the source has answered on a new connection (up), and when such a connection has
-	// ended (not up, with the cause); may be nil.
+	// OnConnection is called with up set when the source has answered on a new connection, and without up and with the
+	// cause when such a connection has ended. It may be nil.
 	OnConnection func(up bool, err error)
-	// InitialSync orders the clients that share an empty Store: one takes the snapshot before the others subscribe.
-	// Nil: each takes all of it.
+	// InitialSync orders the clients that share an empty Store: one receives the snapshot before the others subscribe.
+	// Nil: each client receives the complete snapshot.
 	InitialSync *InitialSync
-	// RepairSource has a source that began a new incarnation be sent the instances that it then lacks.
+	// RepairSource enables repair: a source that began a new incarnation is sent the instances that it has lost.
 	RepairSource bool
 	// Dial opens a connection; nil: TCP to Addr.
 	Dial func(context.Context) (net.Conn, error)
@@ -60,30 +60,30 @@
 	mu            sync.Mutex // guards the fields below
 	conn          *transport.Conn
 	state         State
-	cancelBackoff context.CancelFunc // of the dial or the backoff that is under way
+	cancelBackoff context.CancelFunc // cancels the present dial or backoff
 }
 
-// State is what is known of a source.
+// State is what is known about a source.
 type State struct {
-	Incarnation  uint64 // 0: no update ever came from it
-	Seq          uint64 // all its changes up to this one are here
+	Incarnation  uint64 // 0: the source never sent an update
+	Seq          uint64 // all changes of the source up to this one are in the Store
 	Members      int
 	Ready        bool
 	Quorum       bool
-	Complete     bool // everything of its present incarnation was here, as of its last update
+	Complete     bool // as of the last update, the Store has everything of the source's present incarnation
 	Epoch        uint64
-	Rank         int       // of this process's ingress among those of its zone
-	ZonePeers    int       // 0: it has no rank
-	Voters       []string  // the electorate, as it was last sent
-	LastUpdateAt time.Time // when the last update was sent, by the common clock; only for spans
+	Rank         int       // rank of this process's ingress in its zone
+	ZonePeers    int       // number of ranked ingresses in the zone; 0: no rank
+	Voters       []string  // the electorate, as last sent
+	LastUpdateAt time.Time // sending time of the last update, computed by the common clock; only for differences
 }
 
-// UpdatedWithin reports whether the source sent an update so recently.
+// UpdatedWithin reports whether the source sent an update within the last span of time.
 func (s State) UpdatedWithin(span time.Duration) bool {
 	return s.Incarnation != 0 && time.Since(s.LastUpdateAt) <= span
 }
 
-// State returns what is known of the source now. It stays as it was when the connection ends; see State.UpdatedWithin.
+// State returns what is known about the source. The state is kept when the connection ends; see State.UpdatedWithin.
 func (c *Client) State() State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,7 +97,7 @@
 	return c.conn != nil
 }
 
-// Call calls the source: ErrNotConnected where there is no connection, else as transport.Conn.Call.
+// Call calls the source as transport.Conn.Call does. Without a connection it returns ErrNotConnected.
 func (c *Client) Call(timeout time.Duration, request *transport.Frame) (*transport.Frame, error) {
 	c.mu.Lock()
 	conn := c.conn
@@ -108,7 +108,8 @@
 	return conn.Call(timeout, request)
 }
 
-// Send sends a one-way frame to the source: ErrNotConnected where there is no connection, else as transport.Conn.Send.
+// Send sends a one-way frame to the source as transport.Conn.Send does. Without a connection it returns
+// ErrNotConnected.
 func (c *Client) Send(frame *transport.Frame) error {
 	c.mu.Lock()
 	conn := c.conn
@@ -119,10 +120,10 @@
 	return conn.Send(frame)
 }
 
-// Run keeps the subscription until the context ends. Just after the start, after a lost connection and after RetryNow
-// it connects eagerly (see dialEagerly). Then the backoff grows from 100 ms to a second, with jitter, so that clients
-// that lost their sources together do not return together. To the agent on the same machine it stays at localBackoff
-// while other sources would be connected to eagerly.
+// Run maintains the subscription until the context ends. Just after the start, after a lost connection and after
+// RetryNow it connects eagerly (see dialEagerly). Then the backoff grows from 100 ms to a second, with jitter, so that
+// clients that lost their sources at the same time do not all reconnect at the same time. A proxy does not connect
+// eagerly to the agent on the same machine: for that period its backoff stays at localBackoff instead.
 func (c *Client) Run(ctx context.Context) {
 	random := rand.New(rand.NewPCG(c.Seed, c.Incarnation))
 	first := initialBackoff
@@ -152,8 +153,9 @@
 	}
 }
 
-// open opens a connection to the source; nil: it does not answer in time. The agent on the same machine, which refuses
-// at once while it does not run, is never dialed eagerly.
+// open opens a connection to the source; nil means that it failed or the source does not answer in time. The agent on
+// the same machine is never dialed eagerly, because the kernel refuses connections at once while the agent isn't
+// running.
 func (c *Client) open(ctx context.Context, eagerUntil time.Time, backoff time.Duration) net.Conn {
 	dial := c.Dial
 	if dial == nil {
@@ -172,8 +174,8 @@
 	return conn
 }
 
-// RetryNow ends the backoff of a source that is not connected, because there is a sign that it is back: a dial that
-// began while it was without power would only time out.
+// RetryNow ends the present dial or backoff if the source is not connected. The caller has a sign that the source has
+// returned; a dial that began while the source was without power would only time out.
 func (c *Client) RetryNow() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/replication/clock.go
+++ b/internal/cluster/replication/clock.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	maxSkew      = 0.005 // seconds by which a clock may be behind another without being set
-	maxStep      = 3600  // seconds by which it is set at once, after the first time
-	maxClockTime = 1e12  // seconds; a time beyond it cannot be right
+	maxSkew      = 0.005 // a clock is set only if it is behind another by more than this, seconds
+	maxStep      = 3600  // the most by which a clock is set ahead at once, except for the first time, seconds
+	maxClockTime = 1e12  // received times above this are ignored as invalid, seconds
 )
 
-// Clock is the common clock of the control nodes: the highest that any of them has seen, in seconds. It never goes
-// back, and has nothing to do with the time of day, which may jump. Safe for concurrent use.
+// Clock is the common clock of the control nodes, in seconds: the highest time that any of them has seen. It never goes
+// back. It is independent of the time of day, which may jump. It is safe for concurrent use.
 type Clock struct {
-	base func() float64
+	base func() float64 // monotonic time of this process, seconds
 
 	mu      sync.Mutex // guards the fields below
-	offset  float64    // seconds that it is ahead of base
-	last    float64    // the latest time it has shown
-	learned bool       // another clock's time has come
+	offset  float64    // difference to base, seconds
+	last    float64    // the latest time that Now has returned, seconds
+	learned bool       // the time of another clock was observed
 }
 
-// NewClock makes a clock over the monotonic seconds of its process.
+// NewClock returns a clock that is based on the monotonic time of its process, in seconds.
 func NewClock(base func() float64) *Clock { return &Clock{base: base} }
 
 // Now returns the time in seconds.
@@ -39,9 +39,10 @@
 	return c.last
 }
 
-// Observe takes the time that another clock showed as it was sent, and the least delay of the way here in seconds: 0
-// where it is not known, because with too large ones the clocks would drive one another on. The first time may be
-// anywhere ahead; any later one sets this clock ahead by an hour at most.
+// Observe sets the clock ahead to the time that another clock had when it was sent, plus the least delay of the
+// transmission in seconds. The delay must be 0 if it is not known, because with overestimated delays the clocks would
+// keep setting one another ahead. The first observed time may be ahead by any amount; each later one sets this clock
+// ahead by an hour at most.
 func (c *Clock) Observe(remote, halfTrip float64) {
 	t := remote + halfTrip
 	if math.IsNaN(t) || math.IsInf(t, 0) || t <= 0 || t > maxClockTime {
@@ -58,8 +59,8 @@
 	c.learned = true
 }
 
-// Age returns how long ago a clock showed a time. It counts the time that an update lay in a buffer while this process
-// was stopped.
+// Age returns how long ago the common clock had a time. It includes the time that an update waited in a buffer while
+// this process was stopped.
 func (c *Clock) Age(remote float64) time.Duration {
 	if age := c.Now() - remote; age > 0 {
 		return time.Duration(min(age, maxStep) * float64(time.Second))
--- a/internal/cluster/replication/dial.go
+++ b/internal/cluster/replication/dial.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// A machine without power does not answer: the opening packet of a connection is lost, and the kernel repeats it only
-// after a second. A client that has just started, or has just lost its source, therefore opens a new connection every
-// eagerInterval while the earlier ones are still pending, and takes the first that is established. Both machines may be
-// back at any moment then, and each tenth of a second delays all requests of an ingress. After eagerPeriod the usual
-// backoff holds.
+// Times of eager connecting. A machine without power does not answer: the first packet of a connection is lost, and the
+// kernel repeats it only after a second. A client that has just started, or has just lost its source, therefore opens a
+// new connection every eagerInterval while the earlier ones are still pending, and uses the first that is established.
+// At such a time both machines may return at any moment, and each tenth of a second delays all requests of an ingress.
+// After eagerPeriod the usual backoff applies.
 const (
 	eagerPeriod   = 3 * time.Second
 	eagerInterval = 50 * time.Millisecond
-	eagerTimeout  = time.Second // of one of these connections: a congested link may need it
+	eagerTimeout  = time.Second // time-out of each of these connections; a congested link may need this long
 )
 
 // dialFunc opens a connection.
 type dialFunc func(context.Context) (net.Conn, error)
 
-// dialResult is how one attempt at a connection ended.
+// dialResult is the result of one attempt to connect.
 type dialResult struct {
 	conn net.Conn
 	err  error
--- a/internal/cluster/replication/dial_test.go
+++ b/internal/cluster/replication/dial_test.go
@@ -13,32 +13,33 @@
 	"github.com/matryer/is"
 )
 
-// unreachableHost is a host that does not answer connections begun before it is back, as a machine without power: they
-// are pending until they are given up. In between it may refuse, as a machine on which the process does not listen yet.
+// unreachableHost is a host that, like a machine without power, never answers connections begun before it is reachable:
+// they stay pending until their time-out. For the last part of that time it may instead refuse connections, like a
+// machine on which the process doesn't listen yet.
 type unreachableHost struct {
-	source      *fakeSource
-	back        time.Time
-	refuses     time.Time // from then on, until it is back
-	begun       atomic.Int64
-	waiting     atomic.Int64
-	mostWaiting atomic.Int64 // at a time
+	source          *fakeSource
+	reachableAt     time.Time
+	refusesFrom     time.Time // from then on, until it is back
+	dialsStarted    atomic.Int64
+	pendingDials    atomic.Int64
+	maxPendingDials atomic.Int64 // at a time
 }
 
 func (uh *unreachableHost) dial(ctx context.Context) (net.Conn, error) {
-	uh.begun.Add(1)
-	uh.mostWaiting.Store(max(uh.mostWaiting.Load(), uh.waiting.Add(1)))
-	defer uh.waiting.Add(-1)
+	uh.dialsStarted.Add(1)
+	uh.maxPendingDials.Store(max(uh.maxPendingDials.Load(), uh.pendingDials.Add(1)))
+	defer uh.pendingDials.Add(-1)
 	switch now := time.Now(); {
-	case now.Before(uh.back) && !now.Before(uh.refuses):
+	case now.Before(uh.reachableAt) && !now.Before(uh.refusesFrom):
 		return nil, errors.New("connection refused")
-	case now.Before(uh.back):
+	case now.Before(uh.reachableAt):
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	return uh.source.dial(ctx)
 }
 
-// runUntilConnected runs a client of a host until it is connected for the first time. stop ends it.
+// runUntilConnected starts a client of a host, and returns once it is connected. stop ends the client.
 func runUntilConnected(t *testing.T, class string, host *unreachableHost) (client *Client, stop func()) {
 	client = &Client{
 		Node:        "n",
@@ -61,9 +62,9 @@
 	}
 }
 
-// TestReconnectsToReturningHost has a source be unreachable for some time from the client's start on: it is subscribed
-// to within two intervals of its return, with a bounded number of pending connections; after the eager period they are
-// few.
+// TestReconnectsToReturningHost has a source that is unreachable for some time after the client's start. The client
+// must be connected within two eager intervals of its return, with a bounded number of pending connections, and must
+// begin only few connections after the eager period.
 func TestReconnectsToReturningHost(t *testing.T) {
 	for name, c := range map[string]struct {
 		unreachable, refuses time.Duration // refuses: for the last part of that time
@@ -82,17 +83,18 @@
 				source := &fakeSource{}
 				source.restart(1)
 				host := &unreachableHost{
-					source:  source,
-					back:    time.Now().Add(c.unreachable),
-					refuses: time.Now().Add(c.unreachable - c.refuses),
+					source:      source,
+					reachableAt: time.Now().Add(c.unreachable),
+					refusesFrom: time.Now().Add(c.unreachable - c.refuses),
 				}
 				client, stop := runUntilConnected(t, ClassAgent, host)
-				is.True(time.Since(host.back) <= c.within+2*time.Millisecond)
-				is.True(host.mostWaiting.Load() <= int64(eagerTimeout/eagerInterval)+1)
-				is.True(host.begun.Load() <= int64(eagerPeriod/eagerInterval)+1+int64(2*c.unreachable/maxBackoff))
-				time.Sleep(2 * time.Second) // the surplus ones are closed, and only one goes on
+				is.True(time.Since(host.reachableAt) <= c.within+2*time.Millisecond)
+				is.True(host.maxPendingDials.Load() <= int64(eagerTimeout/eagerInterval)+1)
+				is.True(host.dialsStarted.Load() <=
+					int64(eagerPeriod/eagerInterval)+1+int64(2*c.unreachable/maxBackoff))
+				time.Sleep(2 * time.Second) // by then the other pending connections are closed
 				synctest.Wait()
-				is.Equal(host.waiting.Load(), int64(0))
+				is.Equal(host.pendingDials.Load(), int64(0))
 				is.True(client.Connected())
 				stop()
 				source.disconnect()
@@ -102,8 +104,9 @@
 	}
 }
 
-// TestReconnectsToReturningAgent has the agent beside a proxy refuse connections for some time from the proxy's start
-// on: it is connected to within localBackoff of its return, and after the eager period with the usual backoff.
+// TestReconnectsToReturningAgent has an agent that refuses connections of the proxy on its machine for some time after
+// the proxy's start. The proxy must be connected within localBackoff of the agent's return, or within the usual backoff
+// if the agent returns after the eager period.
 func TestReconnectsToReturningAgent(t *testing.T) {
 	for name, c := range map[string]struct{ down, within time.Duration }{
 		"at once":                    {0, 0},
@@ -118,10 +121,10 @@
 				source := &fakeSource{}
 				source.restart(1)
 				begin := time.Now()
-				agent := &unreachableHost{source: source, refuses: begin, back: begin.Add(c.down)}
+				agent := &unreachableHost{source: source, refusesFrom: begin, reachableAt: begin.Add(c.down)}
 				_, stop := runUntilConnected(t, ClassProxy, agent)
-				is.True(time.Since(agent.back) <= c.within+2*time.Millisecond)
-				is.True(agent.begun.Load() <= 1+int64(2*eagerPeriod/localBackoff)+int64(2*c.down/maxBackoff)+10)
+				is.True(time.Since(agent.reachableAt) <= c.within+2*time.Millisecond)
+				is.True(agent.dialsStarted.Load() <= 1+int64(2*eagerPeriod/localBackoff)+int64(2*c.down/maxBackoff)+10)
 				stop()
 				source.disconnect()
 				synctest.Wait()
--- a/internal/cluster/replication/digests.go
+++ b/internal/cluster/replication/digests.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	buckets = 256
+	bucketCount = 256
 	// minDigestEntries is the size of a store below which its snapshot costs little more than its digests.
 	minDigestEntries = 256
 )
 
-// digests has, for each bucket of entries, the sum of their hashes: two stores with the same digest of a bucket hold
-// the same in it. Of an instance only what registry.Instance.DiffersFrom compares counts.
-type digests [buckets]uint64
+// digests has the sum of the hashes of the entries of each bucket. Two stores with the same digest of a bucket have the
+// same entries in it. Of an instance only the fields that registry.Instance.DiffersFrom compares are hashed.
+type digests [bucketCount]uint64
 
-// MatchingBuckets is what another store was found to hold already, by its digests, when this one's last change had the
-// sequence number upTo. A nil *MatchingBuckets is empty.
+// MatchingBuckets is the set of buckets that, according to its digests, another store has in common with this one. It
+// is valid for entries whose last change has a sequence number up to upTo. A nil *MatchingBuckets is empty.
 type MatchingBuckets struct {
-	bits [buckets / 8]byte
+	bits [bucketCount / 8]byte
 	upTo uint64
 }
 
-// contains reports whether the other store holds the entry of that bucket that last changed at that number.
+// contains reports whether the other store has the entry of that bucket that last changed at that sequence number.
 func (m *MatchingBuckets) contains(bucket uint8, seq uint64) bool {
 	return m != nil && seq <= m.upTo && m.bits[bucket/8]&(1<<(bucket%8)) != 0
 }
@@ -43,12 +43,13 @@
 	return int(bucket/8) < len(bits) && bits[bucket/8]&(1<<(bucket%8)) != 0
 }
 
-// hash is FNV-1a, with the length of each text before it.
+// hash is FNV-1a, 64 bits. Each text is hashed with its length before it.
 type hash uint64
 
+// firstHash is the offset basis of FNV-1a.
 const firstHash hash = 14695981039346656037
 
-// number adds a number, little endian.
+// number adds a number, in little-endian order.
 func (h hash) number(n uint64) hash {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], n)
@@ -67,24 +68,24 @@
 	return h
 }
 
-// mixed spreads a hash over all of its bits (the finalizer of SplitMix64): in a sum of unmixed hashes, differences of
-// two entries could cancel out.
-func (h hash) mixed() uint64 {
+// finalize mixes all bits of a hash (the finalizer of SplitMix64). In a sum of hashes that are not mixed, the
+// differences of two entries could cancel out.
+func (h hash) finalize() uint64 {
 	n := uint64(h)
 	n = (n ^ n>>30) * 0xbf58476d1ce4e5b9
 	n = (n ^ n>>27) * 0x94d049bb133111eb
 	return n ^ n>>31
 }
 
-func instanceBucket(id string) uint8 { return uint8(firstHash.text(id).mixed()) }
+func instanceBucket(id string) uint8 { return uint8(firstHash.text(id).finalize()) }
 
 func itemBucket(key configuration.Key) uint8 {
-	return uint8(firstHash.number(uint64(key.Kind)).text(key.Name).mixed())
+	return uint8(firstHash.number(uint64(key.Kind)).text(key.Name).finalize())
 }
 
 func instanceHash(i *registry.Instance) uint64 {
 	h := firstHash.text(i.ID).text(i.Service).text(i.Address).text(i.Zone).text(i.Generation)
-	return h.number(uint64(i.Capacity)).number(uint64(i.Phase)).mixed()
+	return h.number(uint64(i.Capacity)).number(uint64(i.Phase)).finalize()
 }
 
 func itemHash(i *configuration.Item) uint64 {
@@ -98,7 +99,7 @@
 			h = h.number(previous.Version).number(previous.Digest)
 		}
 	}
-	return h.mixed()
+	return h.finalize()
 }
 
 // updateDigest brings the digest of a slot's bucket up to date with the slot. The mutex is held.
@@ -114,23 +115,24 @@
 	s.digests[entry.bucket] += entry.digest
 }
 
-// Digests returns, encoded, what another store needs to find out what is here already; nil for a small store.
+// Digests returns the encoded digests, from which another store can find out which entries this one has already. It
+// returns nil for a small store.
 func (s *Store) Digests() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.items)+len(s.instances) < minDigestEntries {
 		return nil
 	}
-	encoded := make([]byte, 0, 8*buckets)
+	encoded := make([]byte, 0, 8*bucketCount)
 	for _, sum := range s.digests {
 		encoded = binary.LittleEndian.AppendUint64(encoded, sum)
 	}
 	return encoded
 }
 
-// Match returns what a store with these encoded digests holds already; nil: that is not known.
+// Match returns the buckets that match the encoded digests of another store. It returns nil if these are not valid.
 func (s *Store) Match(encoded []byte) *MatchingBuckets {
-	if len(encoded) != 8*buckets {
+	if len(encoded) != 8*bucketCount {
 		return nil
 	}
 	s.mu.Lock()
--- a/internal/cluster/replication/digests_test.go
+++ b/internal/cluster/replication/digests_test.go
@@ -19,8 +19,9 @@
 	"mulleinrouter/internal/cluster/transport"
 )
 
-// entriesByBucket returns what a store holds: of instances, only what registry.Instance.DiffersFrom compares.
-func entriesByBucket(s *Store) (all [buckets]map[string]any) {
+// entriesByBucket returns the entries of a store by bucket and key. Of instances it keeps only the fields that
+// registry.Instance.DiffersFrom compares.
+func entriesByBucket(s *Store) (all [bucketCount]map[string]any) {
 	changes := s.ChangesSince(0, 1<<30)
 	put := func(b uint8, key string, x any) {
 		if all[b] == nil {
@@ -38,8 +39,8 @@
 	return all
 }
 
-// TestDigests compares two stores: exactly the buckets with the same entries match, and a subscriber that is not sent
-// them ends with what one has that is sent everything.
+// TestDigests compares the digests of two stores. Exactly the buckets with the same entries must match, and a
+// subscriber that is not sent the matching buckets must end with the same entries as one that is sent everything.
 func TestDigests(t *testing.T) {
 	for seed := range uint64(60) {
 		is := is.New(t)
@@ -51,7 +52,7 @@
 				s.MergeInstances(instances)
 			}
 		}
-		divergence := random.IntN(40) // in a thousand
+		divergence := random.IntN(40) // changes of one store only, per thousand changes
 		change := func(stores ...*Store) {
 			n := random.IntN(900)
 			if n < 300 {
@@ -86,11 +87,11 @@
 			}
 		}
 		digests := subscriber.Digests()
-		is.Equal(len(digests), 8*buckets)
+		is.Equal(len(digests), 8*bucketCount)
 		matching := source.Match(digests)
 		here, there := entriesByBucket(source), entriesByBucket(subscriber)
 		left := 0
-		for b := range buckets {
+		for b := range bucketCount {
 			equal := len(here[b]) == 0 && len(there[b]) == 0 || reflect.DeepEqual(here[b], there[b])
 			is.Equal(matching.contains(uint8(b), matching.upTo), equal)
 			if equal {
@@ -98,7 +99,7 @@
 			}
 		}
 		is.True(!matching.contains(0, matching.upTo+1))
-		// What changes after they were compared is sent in any case.
+		// Entries that change after the comparison are sent in any case.
 		for range random.IntN(50) {
 			change(source)
 		}
@@ -121,11 +122,11 @@
 	is.Equal(NewStore(1).Match([]byte{1}), nil)
 }
 
-// sourceSet is three sources of one agent, at different distances.
+// sourceSet is three sources of one agent, with different latencies.
 type sourceSet struct {
 	all         [3]*fakeSource
 	latency     [3]time.Duration
-	mute        [3]bool // it accepts connections and sends nothing
+	silent      [3]bool // it accepts connections and sends nothing
 	breaks      [3]bool // its first connection ends soon
 	instances   atomic.Int64
 	updates     [3]atomic.Int64
@@ -134,7 +135,7 @@
 	client      [3]*Client
 }
 
-// slowConn is a connection whose bytes take a while.
+// slowConn is a connection on which each read takes 5 ms.
 type slowConn struct{ net.Conn }
 
 func (sc slowConn) Read(b []byte) (int, error) {
@@ -156,7 +157,7 @@
 		}
 		client.Dial = func(ctx context.Context) (net.Conn, error) {
 			time.Sleep(ss.latency[k])
-			if ss.mute[k] {
+			if ss.silent[k] {
 				here, there := net.Pipe()
 				go transport.NewConn(there).Run(func(*transport.Frame) *transport.Frame { return nil })
 				return here, nil
@@ -181,8 +182,8 @@
 	}
 }
 
-// TestInitialSync has a joining agent take the snapshot once, from the nearest source, and from the others only what
-// differs; also when one of them begins a new incarnation.
+// TestInitialSync checks that a joining agent receives the snapshot once, from the nearest source, and from the other
+// sources only the differences. The same must hold when a source begins a new incarnation later.
 func TestInitialSync(t *testing.T) {
 	const count = 2000
 	for name, fault := range map[string]string{
@@ -226,7 +227,7 @@
 				}})
 				switch fault {
 				case "mute":
-					s.mute[0] = true
+					s.silent[0] = true
 				case "break":
 					s.breaks[0] = true
 				case "down":
@@ -248,14 +249,14 @@
 				instance, _ := s.store.Instance("i5")
 				is.Equal(instance.Phase, registry.Draining)
 				is.Equal(len(s.store.Instances()), count)
-				if fault != "break" { // there, what had come before comes twice
+				if fault != "break" { // after a broken connection, the instances received before are sent again
 					is.True(s.instances.Load() < count+200)
 				}
 				is.True(s.instances.Load() < 2*count)
 				time.Sleep(2 * time.Second)
 
-				// One begins a new incarnation, and has lost ten instances. Only what differs comes, and exactly the
-				// ten are restored.
+				// One source begins a new incarnation and has lost ten instances. It must send only the differences,
+				// and exactly these ten instances must be restored.
 				s.instances.Store(0)
 				var restored atomic.Int64
 				fill(2, 9, 10)
--- a/internal/cluster/replication/feed.go
+++ b/internal/cluster/replication/feed.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	batchDelay             = 2 * time.Millisecond   // changes that come closer together go in one update
-	heartbeatBatchInterval = 400 * time.Millisecond // the least time between two updates that carry heartbeats
-	maxHeartbeats          = 2048                   // heartbeats in one update
+	batchDelay             = 2 * time.Millisecond   // least time between two updates, to batch close changes
+	heartbeatBatchInterval = 400 * time.Millisecond // least time between two updates with heartbeats
+	maxHeartbeats          = 2048                   // most heartbeats in one update
 )
 
-// feed is the sending side of one subscription: what the subscriber has been sent so far.
+// feed is the sending side of one subscription. It records what the subscriber has been sent so far.
 type feed struct {
 	source *Source
 	conn   *transport.Conn
 	hello  *transport.Hello
 
-	initial      bool // the subscriber has nothing yet: it gets shared chunks first
-	seq          uint64
-	matching     *MatchingBuckets // what the subscriber held when it subscribed
-	matchingBits []byte           // of matching, for the next update; nil: they were sent
-	voters       []string         // as last sent
+	initial      bool             // the subscriber has no entries yet, and is sent shared chunks first
+	seq          uint64           // changes up to this sequence number were sent
+	matching     *MatchingBuckets // entries that the subscriber had when it subscribed
+	matchingBits []byte           // bits of matching to be sent with the next update; nil: they were sent
+	voters       []string         // the electorate as last sent
 
 	sendsHeartbeats  bool
-	heartbeatNumber  uint64 // heartbeats up to this one were sent
-	batchBegan       uint64 // heartbeatNumber before the last batch that had any: it may not have arrived
+	heartbeatNumber  uint64 // heartbeats up to this number were sent
+	lastBatchStart   uint64 // heartbeatNumber before the last batch with heartbeats, which may not have arrived
 	lastHeartbeatsAt time.Time
 }
 
@@ -42,13 +42,14 @@
 	f.sendsHeartbeats = hello.Class == ClassControl && s.Heartbeats != nil
 	if f.sendsHeartbeats {
 		f.heartbeatNumber = s.resumeHeartbeats(hello.Node)
-		f.batchBegan = f.heartbeatNumber
+		f.lastBatchStart = f.heartbeatNumber
 	}
 	f.initial = f.seq == 0 && f.matching == nil && hello.Class != ClassControl
 	return f
 }
 
-// run sends updates until the connection ends. It wakes up for changes and each half second.
+// run sends updates until the connection ends: when the store changes, and at least once per
+// transport.KeepaliveInterval.
 func (f *feed) run() {
 	timer := time.NewTimer(transport.KeepaliveInterval)
 	defer timer.Stop()
@@ -80,7 +81,8 @@
 	}
 }
 
-// sendChunk sends the next shared chunk; not sent: little is left, which goes with the next update.
+// sendChunk sends the next shared chunk. If few changes are left, it sends nothing and returns sent false; they go with
+// the next update.
 func (f *feed) sendChunk() (sent bool, err error) {
 	next, found, err := f.source.chunk(f.seq)
 	if err != nil || !found {
@@ -93,7 +95,7 @@
 	return true, nil
 }
 
-// sendUpdate sends an update with the changes that the subscriber lacks; more: there are further ones.
+// sendUpdate sends an update with the next changes for the subscriber. More reports that further ones are left.
 func (f *feed) sendUpdate() (builtAt time.Time, more bool, err error) {
 	s := f.source
 	update := s.status()
@@ -111,14 +113,14 @@
 	update.Seq = f.seq
 	update.MatchingBuckets, f.matchingBits = f.matchingBits, nil
 	if f.hello.Class == ClassControl {
-		update.Items = nil // a control node takes items only from what consensus has chosen
+		update.Items = nil // a control node accepts only items that consensus has chosen
 	}
 	builtAt = time.Now()
 	more = !update.Complete
 	if f.sendsHeartbeats && builtAt.Sub(f.lastHeartbeatsAt) >= heartbeatBatchInterval {
 		since := f.heartbeatNumber
 		if update.Heartbeats, f.heartbeatNumber = s.Heartbeats(since); len(update.Heartbeats) > 0 {
-			f.batchBegan = since
+			f.lastBatchStart = since
 		}
 		if len(update.Heartbeats) < maxHeartbeats {
 			f.lastHeartbeatsAt = builtAt
@@ -129,7 +131,7 @@
 	return builtAt, more, f.conn.Send(&transport.Frame{Update: update})
 }
 
-// wait waits for a change or the end of a time; false: the connection has ended.
+// wait waits for a change or the end of the timeout. It returns false if the connection has ended.
 func wait(timer *time.Timer, timeout time.Duration, changed, done <-chan struct{}) bool {
 	timer.Reset(timeout)
 	select {
--- a/internal/cluster/replication/heartbeat_resume.go
+++ b/internal/cluster/replication/heartbeat_resume.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// heartbeatResumeTime is for how long after a connection has ended its subscriber may go on with the heartbeats
-	// that it had not been sent. Later, they are out of date.
+	// heartbeatResumeTime is how long after the end of a connection a new subscription of the same node can resume the
+	// heartbeats, with those that were not sent yet. Later, they are out of date.
 	heartbeatResumeTime = transport.IdleTimeout
-	maxHeartbeatResumes = 64 // subscribers that are remembered
+	maxHeartbeatResumes = 64 // recorded subscribers
 )
 
-// heartbeatResumes remembers up to where control nodes had been sent heartbeats when their subscriptions ended.
-// Heartbeats go in batches: without it, a subscriber whose connection is reset more often than that would get none, and
-// would take servers for silent that call another node. The zero value is empty.
+// heartbeatResumes records up to which number control nodes had been sent heartbeats when their subscriptions ended.
+// Heartbeats are sent in batches. Without the record, a subscriber whose connection is reset more often than a batch is
+// sent would receive no heartbeats, and would consider servers silent that call another node. The zero value is empty.
 type heartbeatResumes struct {
 	mu        sync.Mutex // guards positions
 	positions map[string]heartbeatPosition
 }
 
-// heartbeatPosition is where a subscription ended.
+// heartbeatPosition is the position in the heartbeats at which a subscription ended.
 type heartbeatPosition struct {
-	number  uint64 // heartbeats up to this one have arrived, or are out of date
+	number  uint64 // heartbeats up to this number have arrived, or are out of date
 	endedAt time.Time
 }
 
-// resumeHeartbeats returns the number behind which a new subscription of a node is sent heartbeats: those that the one
-// before lacked, if that has just ended, or else none that were received before.
+// resumeHeartbeats returns the number after which a new subscription of a node is sent heartbeats. If the previous
+// subscription has just ended, it continues from there. Otherwise it starts with the heartbeats received from now on.
 func (s *Source) resumeHeartbeats(node string) (number uint64) {
 	s.resumes.mu.Lock()
 	position, found := s.resumes.positions[node]
@@ -43,8 +43,8 @@
 	return number
 }
 
-// recordHeartbeats remembers where a subscription has ended. Its last batch may not have arrived: it is sent again,
-// which changes nothing where it has.
+// recordHeartbeats records where a subscription has ended. Its last batch may not have arrived, so it will be sent
+// again; heartbeats that arrive twice have no further effect.
 func (f *feed) recordHeartbeats() {
 	if !f.sendsHeartbeats {
 		return
@@ -58,5 +58,5 @@
 	if r.positions == nil {
 		r.positions = map[string]heartbeatPosition{}
 	}
-	r.positions[f.hello.Node] = heartbeatPosition{number: f.batchBegan, endedAt: time.Now()}
+	r.positions[f.hello.Node] = heartbeatPosition{number: f.lastBatchStart, endedAt: time.Now()}
 }
--- a/internal/cluster/replication/initial_sync.go
+++ b/internal/cluster/replication/initial_sync.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// initialSyncIdle is the time without an update after which a source is no longer the first.
+	// initialSyncIdle is the time without an update after which another session replaces the first one.
 	initialSyncIdle = 250 * time.Millisecond
-	// initialSyncMaxWait bounds the wait of a session: a source closes a connection on which nothing comes for
-	// transport.IdleTimeout.
+	// initialSyncMaxWait bounds the wait of a session. It is less than transport.IdleTimeout, because a source closes a
+	// connection on which it receives nothing for that time.
 	initialSyncMaxWait = 1500 * time.Millisecond
 )
 
-// InitialSync has one of several clients of one store that is still empty take the snapshot before the others
-// subscribe, who then need only what differs (Store.Digests): that of the source that was connected first, the nearest.
-// The zero value is ready for use, by one store's clients.
+// InitialSync orders several clients of one store that is still empty. The first client to connect, normally that of
+// the nearest source, receives the snapshot before the others subscribe. These then receive only the differences
+// (Store.Digests). The zero value is ready for use by the clients of one store.
 type InitialSync struct {
 	mu        sync.Mutex    // guards the fields below
-	first     *session      // the one that takes the snapshot; nil: none does
-	updatedAt time.Time     // when the source of first last sent an update
+	first     *session      // the session that receives the snapshot; nil: none
+	updatedAt time.Time     // time of the last update from the source of first
 	released  chan struct{} // closed when first has the snapshot, or has ended
 	complete  bool          // a session has the snapshot
 }
 
-// await returns when a session may subscribe. Where the source that is first is quiet, the next session takes its
-// place.
+// await returns when a session may subscribe. If the source of the first session sends no updates for initialSyncIdle,
+// the next session replaces it.
 func (is *InitialSync) await(ctx context.Context, s *session) {
 	for began := time.Now(); ; {
 		is.mu.Lock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// observe notes an update of a session's source.
+// observe records an update from a session's source.
 func (is *InitialSync) observe(s *session, update *transport.Update) {
 	is.mu.Lock()
 	defer is.mu.Unlock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// end notes that a session has ended.
+// end records that a session has ended.
 func (is *InitialSync) end(s *session) {
 	is.mu.Lock()
 	defer is.mu.Unlock()
@@ -82,7 +82,8 @@
 	}
 }
 
-// release lets the others subscribe, or one of them be the first. The mutex is held.
+// release wakes the waiting sessions: they subscribe or, if there is no snapshot yet, one of them becomes the first.
+// The mutex must be held.
 func (is *InitialSync) release() {
 	is.first = nil
 	close(is.released)
--- a/internal/cluster/replication/repair.go
+++ b/internal/cluster/replication/repair.go
@@ -8,28 +8,30 @@
 )
 
 const (
-	// repairDelay is the time from the complete update of a new incarnation of a source until it is sent what it still
-	// lacks: two calls of a server.
-	repairDelay        = 3 * time.Second
-	repairAfterAbsence = time.Minute // without an update of a source: it may have forgotten what changed
-	maxRepairInstances = 2048        // instances sent to one source at once
-	repairBatch        = 256         // instances in one frame
+	// repairDelay is the time from the first complete update of a new incarnation of a source until the source is sent
+	// the instances that it still does not have. A server calls twice in this time, so the source already has those
+	// that call it.
+	repairDelay = 3 * time.Second
+	// repairAfterAbsence is the time without an update after which a source may have dropped instances that changed.
+	repairAfterAbsence = time.Minute
+	maxRepairInstances = 2048 // most instances sent to one source at once
+	repairBatch        = 256  // instances in one frame
 )
 
-// sourceRepair tracks which instances a source has shown to know since its new incarnation began. The zero value is not
+// sourceRepair records which instances a source is known to have since its new incarnation began. The zero value is not
 // active.
 type sourceRepair struct {
 	known      map[string]struct{} // by instance ID; nil: no repair is pending
-	completeAt time.Time           // when the source had sent all that it knows; zero: not yet
+	completeAt time.Time           // time of the source's first complete update; zero: none yet
 }
 
-// start begins a repair anew.
+// start begins a new repair.
 func (sr *sourceRepair) start() {
 	sr.known, sr.completeAt = map[string]struct{}{}, time.Time{}
 }
 
-// observe notes which instances an update shows the source to know: those in it, and those of the buckets that the
-// source found to be the same as the store's.
+// observe records the instances that the source has according to an update: those in the update, and those in the
+// buckets that the source reports as matching the store's.
 func (sr *sourceRepair) observe(update *transport.Update, store *Store) {
 	if sr.known == nil {
 		return
@@ -47,7 +49,7 @@
 	}
 }
 
-// due reports whether the source has had repairDelay since it was complete.
+// due reports whether repairDelay has passed since the source's first complete update.
 func (sr *sourceRepair) due(update *transport.Update, now time.Time) bool {
 	if sr.known == nil {
 		return false
@@ -58,8 +60,8 @@
 	return !sr.completeAt.IsZero() && now.Sub(sr.completeAt) >= repairDelay
 }
 
-// missing returns the live instances that the source has not shown to know, at most maxRepairInstances of them. It
-// begins at an offset, so that of very many each subscriber sends others.
+// missing returns the live instances that the source is not known to have, at most maxRepairInstances of them. It
+// begins at an offset, so that several subscribers send different instances if very many are missing.
 func (sr *sourceRepair) missing(all []registry.Instance, offset uint64) []registry.Instance {
 	var missing []registry.Instance
 	for i := range all {
@@ -72,8 +74,8 @@
 	return missing
 }
 
-// repairSource sends a source that began a new incarnation, or was long away, the instances that it may have lost: it
-// could not report them as silent.
+// repairSource sends a source that began a new incarnation, or sent no update for long, the instances that it may have
+// lost. A source without an instance could not report it as silent.
 func (s *session) repairSource(update *transport.Update, now time.Time) {
 	if !s.repair.due(update, now) {
 		return
--- a/internal/cluster/replication/replication_test.go
+++ b/internal/cluster/replication/replication_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// modelStore is the model of a Store: it keeps every entry with the number of its last change, and goes through all of
-// them.
+// modelStore is a simple model of a Store: it has every entry with the sequence number of its last change, and searches
+// all of them.
 type modelStore struct {
 	seq       uint64
 	items     map[string]configuration.Item
@@ -105,7 +105,7 @@
 			if random.IntN(4) > 0 {
 				continue
 			}
-			// Either what is behind the cursor, a chunk at a time, or behind any number.
+			// Read either the changes after the cursor, one chunk at a time, or all changes after a random number.
 			seq, maxBytes := cursor, 1+random.IntN(200)
 			if random.IntN(3) == 0 {
 				seq, maxBytes = uint64(random.Int64N(int64(model.seq)+1)), 1<<20
@@ -120,7 +120,7 @@
 			}
 			var got []string
 			for _, i := range changes.Items {
-				i.History = nil // kept by the snapshot itself
+				i.History = nil // only the snapshot has it, the model doesn't
 				is.Equal(i, model.items["item"+i.Key.Name])
 				got = append(got, "item"+i.Key.Name)
 			}
@@ -149,7 +149,7 @@
 	base, last := 0.0, 0.0
 	client := NewClock(func() float64 { return base })
 	client.Observe(1e6, 0)
-	is.Equal(client.Now(), 1e6) // the first time may be anywhere
+	is.Equal(client.Now(), 1e6) // the first observed time may be ahead by any amount
 	for range 10000 {
 		base += random.Float64()
 		before := client.Now()
@@ -223,7 +223,7 @@
 		store.MergeInstances([]registry.Instance{{ID: "i", Seq: 1}, {ID: "dead", Seq: 1}})
 
 		var mu sync.Mutex
-		got, updates := map[string]int{}, 0 // got: how often each entry came
+		got, updates := map[string]int{}, 0 // got: how many times each entry was received
 		replica := NewStore(77)
 		var client *Client
 		client = &Client{
@@ -255,8 +255,8 @@
 		is.True(client.Connected() && client.State().Complete && client.State().Quorum)
 		is.Equal(replica.Snapshot().Len(), 3000)
 		is.Equal(client.Clock.Now(), 50.0)
-		// once checks what has come since its last call: so many entries, each of them once. It returns in how many
-		// updates.
+		// once checks that since its last call the given number of entries was received, each of them once. It returns
+		// the number of updates since then.
 		once := func(entries int) (in int) {
 			t.Helper()
 			mu.Lock()
@@ -273,7 +273,7 @@
 		}
 		is.True(once(3002) > 1)
 
-		// Changes come at once, and in few updates.
+		// Changes are sent at once, and in few updates.
 		for n := range 100 {
 			store.MergeItems([]configuration.Item{item(n, 2)})
 		}
@@ -281,7 +281,7 @@
 		synctest.Wait()
 		is.True(once(100) <= 5)
 
-		// After a lost connection only what changed meanwhile comes, once.
+		// After a lost connection only the changes since then are sent, each once.
 		source.disconnect()
 		synctest.Wait()
 		is.True(!client.Connected())
@@ -294,8 +294,8 @@
 		instance, _ := replica.Instance("i")
 		is.Equal(instance.Phase, registry.Draining)
 
-		// The source starts anew, knows less, and has its numbers begin anew too: nothing is missed, and it learns what
-		// it lost.
+		// The source restarts without some of its entries, and its sequence numbers begin again. The client must not
+		// miss any change, and the source must receive the instances that it lost.
 		store = source.restart(2)
 		store.MergeItems([]configuration.Item{item(7, 9)})
 		store.MergeInstances([]registry.Instance{{ID: "i", Seq: 3, Phase: registry.Draining}})
@@ -312,7 +312,7 @@
 		i, _ := replica.Snapshot().Get(item(7, 9).Key)
 		is.Equal(i.Version, uint64(9))
 
-		// Heartbeats keep the connection, and Run ends with its context.
+		// Empty updates keep the connection alive, and Run ends with its context.
 		time.Sleep(30 * time.Second)
 		is.True(client.Connected() && client.State().UpdatedWithin(time.Second))
 		cancel()
@@ -323,18 +323,18 @@
 	})
 }
 
-// TestOutdatedInstanceIsRepaired checks that an instance which is out of date makes the newer one count as changed, so
-// that its sender gets it.
+// TestOutdatedInstanceIsRepaired checks that merging an outdated instance makes the stored one count as changed, so
+// that the sender of the outdated one receives it.
 func TestOutdatedInstanceIsRepaired(t *testing.T) {
 	is := is.New(t)
 	s := NewStore(1)
 	s.MergeInstances([]registry.Instance{{ID: "i", Seq: 4}})
-	s.MergeInstances([]registry.Instance{{ID: "i", Seq: 9}}) // a heartbeat like the one before
+	s.MergeInstances([]registry.Instance{{ID: "i", Seq: 9}}) // a later heartbeat with the same content
 	seq := s.ChangesSince(0, 1<<20).Seq
 	is.Equal(len(s.MergeInstances([]registry.Instance{{ID: "i", Seq: 7, Phase: registry.Silent}})), 0)
 	is.Equal(s.ChangesSince(seq, 1<<20).Instances, []registry.Instance{{ID: "i", Seq: 9}})
 	seq = s.ChangesSince(0, 1<<20).Seq
-	// neither supersedes the other: it must not be sent back and forth
+	// If neither instance supersedes the other, they must not be sent back and forth for ever.
 	s.MergeInstances([]registry.Instance{{ID: "i", Seq: 9, Address: "another"}})
 	is.Equal(s.Seq(), seq)
 }
--- a/internal/cluster/replication/retry_test.go
+++ b/internal/cluster/replication/retry_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// TestRetryNow has a source that was without power while it was dialed, or whose backoff runs, be tried at once; a
-// connection that is established stays.
+// TestRetryNow checks that RetryNow dials a source at once if a dial hangs because the source was without power, or if
+// the client is in backoff. It must not affect an established connection.
 func TestRetryNow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/cluster/replication/session.go
+++ b/internal/cluster/replication/session.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// renewInterval is the least time between two renewals; they go out with updates, which come each half second at
-	// least.
+	// renewInterval is the least time between two renewals. A renewal is sent when an update arrives, which happens at
+	// least each half second.
 	renewInterval = 400 * time.Millisecond
-	maxVoters     = 64
+	maxVoters     = 64 // a longer list of voters in an update is ignored
 )
 
 // session is one connection of a client.
@@ -23,8 +23,8 @@
 	repair      sourceRepair
 }
 
-// connectAndServe subscribes over a connection until that ends; a nil connection has ended already. It reports whether
-// the source answered.
+// connectAndServe subscribes over a connection, and returns when the connection ends, or at once if it is nil. It
+// reports whether the source answered.
 func (c *Client) connectAndServe(ctx context.Context, netConn net.Conn) (answered bool) {
 	if netConn == nil {
 		return false
@@ -74,7 +74,8 @@
 	c.conn = conn
 }
 
-// hello is the first frame of a subscription: who subscribes, and up to where it has the source's changes.
+// hello returns the first frame of a subscription. It identifies the subscriber, and the last change of the source that
+// the subscriber has.
 func (c *Client) hello(previous State) *transport.Hello {
 	hello := &transport.Hello{
 		Node:              c.Node,
@@ -92,7 +93,7 @@
 	return hello
 }
 
-// apply takes an update. The renewal goes out with it, so that a subscription needs no timer of its own.
+// apply handles an update. It also sends the renewals, so that a subscription needs no timer for them.
 func (s *session) apply(update *transport.Update) {
 	c, now := s.client, time.Now()
 	if update.Incarnation == 0 {
@@ -127,7 +128,7 @@
 	}
 }
 
-// recordState notes what an update says of its source, and that its connection is up.
+// recordState records the state of the source from an update, and that the connection is up.
 func (s *session) recordState(update *transport.Update, previous State, now time.Time) {
 	c := s.client
 	voters := previous.Voters
@@ -152,9 +153,9 @@
 	c.conn = s.conn
 }
 
-// merge takes an update into the store, and leaves in the update what was new here. Items that no process of the system
-// can have sent are dropped. An epoch is noted once everything that the source had with it is here; a control node
-// keeps its own.
+// merge merges an update into the store, and reduces the update to the entries that were new to the store. Items with
+// an invalid key are dropped, because no process of the system sends them. The source's epoch is recorded once the
+// update is complete, so that the store has everything of that epoch. A control node doesn't use the source's epoch.
 func (c *Client) merge(update *transport.Update) {
 	valid := update.Items[:0]
 	for _, item := range update.Items {
--- a/internal/cluster/replication/slots.go
+++ b/internal/cluster/replication/slots.go
@@ -10,11 +10,11 @@
 
 // slot is an entry of a Store: the last change of an item or of an instance. The items themselves are in the snapshot.
 type slot struct {
-	seq      uint64
-	key      configuration.Key // kind 0: an instance
+	seq      uint64            // sequence number of the last change
+	key      configuration.Key // key of an item; kind 0: the entry is an instance
 	instance registry.Instance
 	bucket   uint8
-	digest   uint64 // its part of the digest of its bucket
+	digest   uint64 // hash of the entry, which is part of the digest of its bucket
 }
 
 // change is an entry of a Store's log.
@@ -23,10 +23,10 @@
 	slot int32
 }
 
-// minLogLength is the length of the log below which it is not compacted.
+// minLogLength is the length of the log, in changes, below which it is not compacted.
 const minLogLength = 64
 
-// itemSlot finds the slot of an item, or makes one. The mutex is held.
+// itemSlot returns the index of the slot of an item, and creates the slot if there is none. The mutex must be held.
 func (s *Store) itemSlot(key configuration.Key) int32 {
 	index, ok := s.items[key]
 	if !ok {
@@ -37,7 +37,7 @@
 	return index
 }
 
-// newSlot returns the index of a slot that is not in use. The mutex is held.
+// newSlot returns the index of a slot that is not in use. The mutex must be held.
 func (s *Store) newSlot() int32 {
 	if n := len(s.free); n > 0 {
 		index := s.free[n-1]
@@ -51,7 +51,7 @@
 	return int32(len(s.slots) - 1)
 }
 
-// removeInstance drops an instance and frees its slot. The mutex is held.
+// removeInstance drops an instance and frees its slot. The mutex must be held.
 func (s *Store) removeInstance(index int32) {
 	s.digests[s.slots[index].bucket] -= s.slots[index].digest
 	delete(s.instances, s.slots[index].instance.ID)
@@ -59,8 +59,8 @@
 	s.free = append(s.free, index)
 }
 
-// recordChange gives a slot the next sequence number. Once most changes of the log are void, it is compacted; that
-// costs no more than it took to make them. The mutex is held.
+// recordChange gives a slot the next sequence number. Once most changes in the log are superseded, the log is
+// compacted. This costs no more than recording the changes that are removed. The mutex must be held.
 func (s *Store) recordChange(index int32) {
 	s.seq++
 	s.slots[index].seq = s.seq
--- a/internal/cluster/replication/source.go
+++ b/internal/cluster/replication/source.go
@@ -9,46 +9,49 @@
 
 // Classes of subscribers.
 const (
-	ClassAgent   = "agent"   // of an edge machine, to a control node
-	ClassProxy   = "proxy"   // to the agent beside it
-	ClassControl = "control" // of another control node
+	ClassAgent   = "agent"   // agent of an edge machine, subscribed to a control node
+	ClassProxy   = "proxy"   // proxy, subscribed to the agent on the same machine
+	ClassControl = "control" // control node, subscribed to another control node
 )
 
-// Source serves subscribers of a Store. Its functions are called from many goroutines and must not block; those that
-// say what nil means may be nil.
+// Source serves subscribers of a Store. Its functions are called from many goroutines and must not block. A function
+// may be nil if its comment says what nil means.
 type Source struct {
 	Store *Store
 	Clock *Clock
 
-	// Members counts the ingresses with a lease; nil: not known.
+	// Members returns the number of ingresses with a lease; nil: not known.
 	Members func() int
-	// Ready reports whether a new subscriber may serve with what it gets here; nil: no.
+	// Ready reports whether a new subscriber has all that it needs to serve once it is up to date; nil: no.
 	Ready func() bool
 	// Quorum reports whether this process is in contact with a majority of the voters; nil: no.
 	Quorum func() bool
-	// Epoch returns the epoch to send; nil: that of the Store.
+	// Epoch returns the epoch to send; nil: the epoch of the Store.
 	Epoch func() uint64
-	// OnInstances takes instances that a subscriber knows and this source may have lost; nil: they are ignored.
+	// OnInstances is called with instances that a subscriber sends because this source may have lost them; nil: they
+	// are ignored.
 	OnInstances func(instances []registry.Instance)
 	// OnRenewal is called when an agent or a proxy renews its lease; may be nil.
 	OnRenewal func(hello *transport.Hello, ready bool)
-	// Rank returns the rank of a subscriber in its zone, and how many are ranked there; nil: nobody has a rank.
+	// Rank returns the rank of a subscriber in its zone, and the number of ranked ingresses there; nil: no ranks.
 	Rank func(node string) (rank, peers int)
 	// LinkDelay estimates the queueing delay of this machine's link; 0 or nil: not known.
 	LinkDelay func() time.Duration
-	// Voters returns the electorate that agents are sent. The slice is never changed in place. Nil: none is sent.
+	// Voters returns the electorate, which is sent to all subscribers but control nodes. The slice is never changed in
+	// place. Nil: it is not sent.
 	Voters func() []string
-	// Heartbeats returns what was received behind a number, and the number to ask with next (see
-	// registry.Registry.HeartbeatsSince). It is sent to control nodes; nil: nothing is.
+	// Heartbeats returns the heartbeats received after a number, and the number for the next call (see
+	// registry.Registry.HeartbeatsSince). They are sent to control nodes; nil: none are sent.
 	Heartbeats func(since uint64) (heartbeats []transport.Heartbeat, last uint64)
 
 	cache   chunkCache
 	resumes heartbeatResumes
 }
 
-// Serve sends a subscriber what it lacks, changes as they come and an empty update each half second, and takes its
-// frames until the connection ends; it returns the cause. Calls, and other frames that are no matter of the
-// subscription, go to handle (see transport.Conn.Run); with a nil handle they are ignored.
+// Serve sends a subscriber the entries that it does not have, then changes as they happen, and an update at least each
+// half second. It handles the subscriber's frames until the connection ends, and returns the cause of the end. Calls
+// and other frames that are not part of the subscription are passed to handle (see transport.Conn.Run); with a nil
+// handle they are ignored.
 func (s *Source) Serve(
 	conn *transport.Conn, hello *transport.Hello, handle func(*transport.Frame) *transport.Frame,
 ) error {
@@ -78,7 +81,7 @@
 	return <-ended
 }
 
-// restoreInstances takes the instances that a subscriber sends because this source may have lost them.
+// restoreInstances passes on the instances that a subscriber sends because this source may have lost them.
 func (s *Source) restoreInstances(hello *transport.Hello) {
 	if s.OnInstances != nil && len(hello.Instances) > 0 {
 		s.OnInstances(hello.Instances)
--- a/internal/cluster/replication/store.go
+++ b/internal/cluster/replication/store.go
@@ -8,12 +8,12 @@
 	"mulleinrouter/internal/cluster/registry"
 )
 
-// maxInternedNames bounds the names of services, zones and generations that are kept once for all instances.
+// maxInternedNames bounds the interned names of services, zones and generations, which instances share in memory.
 const maxInternedNames = 1 << 14
 
-// Store is what a process knows: the items of the configuration, the instances of the servers, and the order in which
-// they last changed. Each change has the next number of a sequence that belongs to the incarnation of the process. Safe
-// for concurrent use.
+// Store has the items of the configuration and the instances of the servers that a process knows, and the order in
+// which they last changed. Each change gets the next sequence number. Sequence numbers belong to the incarnation of the
+// process. A Store is safe for concurrent use.
 type Store struct {
 	incarnation uint64
 	snapshot    atomic.Pointer[configuration.Snapshot]
@@ -21,18 +21,19 @@
 
 	mu         sync.Mutex // guards the fields below; snapshot and epoch are written with it held
 	seq        uint64
-	slots      []slot  // all entries, in no order
-	free       []int32 // slots that are not in use
-	items      map[configuration.Key]int32
-	instances  map[string]int32
-	log        []change // changes in order; that of a slot which has changed again since is void
-	changed    chan struct{}
-	subscribed bool // somebody waits for changed
-	names      map[string]string
+	slots      []slot                      // all entries, in no particular order
+	free       []int32                     // indexes of slots that are not in use
+	items      map[configuration.Key]int32 // index of the slot by key
+	instances  map[string]int32            // index of the slot by instance ID
+	log        []change                    // changes in order; superseded if their slot has changed again since
+	changed    chan struct{}               // closed at the next change
+	subscribed bool                        // Changed was called since the last change, so there may be receivers
+	names      map[string]string           // interned names
 	digests    digests
 }
 
-// NewStore makes an empty store of a process with that incarnation: a number that no other process has had, not 0.
+// NewStore returns an empty store of a process. The incarnation must not be 0, and must be a number that no other
+// process uses or has used.
 func NewStore(incarnation uint64) *Store {
 	s := &Store{
 		incarnation: incarnation,
@@ -51,10 +52,11 @@
 // Snapshot returns the items as they are now; a snapshot never changes.
 func (s *Store) Snapshot() *configuration.Snapshot { return s.snapshot.Load() }
 
-// Epoch returns the newest epoch of the configuration that is complete here; 0: none.
+// Epoch returns the newest epoch of which the store has the complete configuration; 0: none.
 func (s *Store) Epoch() uint64 { return s.epoch.Load() }
 
-// SetEpoch notes that the configuration of an epoch is complete here. It never goes back.
+// SetEpoch records that the store has the complete configuration of an epoch. Lower epochs than the recorded one are
+// ignored.
 func (s *Store) SetEpoch(epoch uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,15 +81,15 @@
 	return s.changed
 }
 
-// NotifySubscribers has subscribers be sent at once what is not in the store: that this process is ready, or has a
-// quorum.
+// NotifySubscribers wakes the subscriptions, so that they send an update at once. It is for changes of the status that
+// are not in the store, such as that this process is ready or has a quorum.
 func (s *Store) NotifySubscribers() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wake()
 }
 
-// wake wakes all that wait for a change. The mutex is held.
+// wake closes the channel that Changed returned, if there is one. The mutex must be held.
 func (s *Store) wake() {
 	if s.subscribed {
 		close(s.changed)
@@ -95,8 +97,8 @@
 	}
 }
 
-// MergeItems merges items, and returns those that are new here. Where an item is older than the one here, this one
-// counts as changed again, so that the sender of the older one gets it.
+// MergeItems merges items, and returns those that changed the store. If an item is older than the stored one, the
+// stored one counts as changed again, so that the sender of the older one receives it.
 func (s *Store) MergeItems(items []configuration.Item) (changed []configuration.Item) {
 	if len(items) == 0 {
 		return nil
@@ -118,9 +120,9 @@
 	return changed
 }
 
-// MergeInstances merges instances, and returns those that differ from what was known here. A later call of a server
-// that says the same is only noted. Where an instance is out of date, the one here counts as changed again, so that the
-// sender gets it.
+// MergeInstances merges instances, and returns those that differ from the stored ones. A newer instance with the same
+// content, from a later call of a server, is stored without counting as a change. If an instance is out of date, the
+// stored one counts as changed again, so that the sender receives it.
 func (s *Store) MergeInstances(instances []registry.Instance) (changed []registry.Instance) {
 	if len(instances) == 0 {
 		return nil
@@ -135,7 +137,7 @@
 	return changed
 }
 
-// mergeInstance merges one valid instance, and reports whether it differs from what was known. The mutex is held.
+// mergeInstance merges one valid instance, and reports whether it changed the store. The mutex must be held.
 func (s *Store) mergeInstance(instance registry.Instance) (changed bool) {
 	index, known := s.instances[instance.ID]
 	if !known {
@@ -159,7 +161,8 @@
 	return false
 }
 
-// storeInstance keeps an instance in its slot. The few names that instances share are kept once. The mutex is held.
+// storeInstance stores an instance in its slot. Strings that are equal to stored ones share their memory: the few names
+// of services, zones and generations are interned. The mutex must be held.
 func (s *Store) storeInstance(index int32, instance registry.Instance) {
 	for _, name := range [...]*string{&instance.Service, &instance.Zone, &instance.Generation} {
 		if interned, ok := s.names[*name]; ok {
@@ -177,8 +180,8 @@
 	s.slots[index].instance = instance
 }
 
-// ForgetInstances drops instances without a change: those that ended long ago, and silent ones that are not expected
-// back.
+// ForgetInstances drops instances without recording a change. It is for instances that ended long ago, and for silent
+// ones that are not expected to return.
 func (s *Store) ForgetInstances(ids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,7 +193,7 @@
 }
 
 // ForgetInactive drops the gone and the silent instances that last changed at or before a sequence number. A process
-// without a registry.Registry calls it now and then with the Seq of some minutes ago. It goes through all instances.
+// without a registry.Registry calls it periodically with the Seq of some minutes ago. It iterates over all instances.
 func (s *Store) ForgetInactive(seq uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,7 +217,7 @@
 	return s.slots[index].instance, true
 }
 
-// Instances returns a copy of all instances, in no order. It is for a start; ChangesSince returns what changes.
+// Instances returns a copy of all instances, in no particular order. To follow changes afterwards, use ChangesSince.
 func (s *Store) Instances() []registry.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/cluster/transport/calls.go
+++ b/internal/cluster/transport/calls.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// maxBlockingCalls is how many calls of one connection that may wait for a disk are handled at a time.
+// maxBlockingCalls bounds the calls of one connection that are handled at the same time and may wait for a disk.
 const maxBlockingCalls = 32
 
-// Handler answers a frame; nil: there is no answer.
+// Handler handles a frame and returns the answer; nil means no answer.
 type Handler = func(*Frame) *Frame
 
 // pendingCalls is the calls of a connection that are not answered yet.
@@ -19,7 +19,7 @@
 	closed  bool
 }
 
-// add numbers a call. The channel has room for its reply.
+// add numbers a call. The channel is buffered, so that deliver doesn't block.
 func (p *pendingCalls) add() (call uint64, reply <-chan *Frame, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,7 +38,7 @@
 	delete(p.replies, call)
 }
 
-// deliver hands a reply to its call. Replies to calls that have timed out are dropped.
+// deliver passes a reply to its call. Replies to calls that have timed out are dropped.
 func (p *pendingCalls) deliver(f *Frame) {
 	p.mu.Lock()
 	reply := p.replies[f.Call]
@@ -55,9 +55,9 @@
 	p.closed, p.replies = true, nil
 }
 
-// Call sends a frame as a call and waits for its reply, which Run must be running to receive. The frame is not
-// changed and may be sent to others too. Its errors are ErrNoReply, ErrClosed, and the error that ended the
-// connection. A handler of the same connection must not call it, unless it handles a call that may block (see Run).
+// Call sends a frame as a call and waits for its reply. Run must be running, because it receives the reply. The frame
+// is not changed and may be sent to others too. The error is ErrNoReply, ErrClosed, or the error that ended the
+// connection. A handler of the same connection must not use Call, unless it handles a call that may block (see Run).
 func (c *Conn) Call(timeout time.Duration, f *Frame) (*Frame, error) {
 	number, reply, err := c.pending.add()
 	if err != nil {
@@ -81,11 +81,12 @@
 	}
 }
 
-// Run receives frames until the connection ends, and returns the reason. Replies are handed to the calls that wait
-// for them. All other frames go to handle, and what it returns is sent back with the number of the call. handle runs
-// in the order of the frames and must not block, except for calls that may need a disk (Prepare, Accept, Chosen,
-// CatchUpRequest, PersistRequest) and Ping: each of those has a goroutine of its own, and they may overtake one
-// another. While 32 of them are running, nothing more is received. A nil handle ignores all but replies.
+// Run receives frames until the connection ends, and returns the reason. Replies are passed to the calls that wait for
+// them. All other frames are passed to handle, and the frame that it returns is sent back with the number of the call.
+// Handle is called in the order of the frames and must not block. The exceptions are Ping and the calls that may need a
+// disk (Prepare, Accept, Chosen, CatchUpRequest, PersistRequest): each of them runs on a separate goroutine, so they
+// may finish in another order. While maxBlockingCalls of them are running, no further frame is received. With a nil
+// handle, all frames except replies are ignored.
 func (c *Conn) Run(handle Handler) error {
 	defer c.Close()
 	blocking := make(chan struct{}, maxBlockingCalls)
@@ -115,7 +116,7 @@
 	}
 }
 
-// reply sends the reply to a call. Where that fails the connection has ended, which Run notices by itself.
+// reply sends the reply to a call. An error is ignored: it means that the connection has ended, which Run finds itself.
 func (c *Conn) reply(call uint64, f *Frame) {
 	if f == nil {
 		return
@@ -125,15 +126,16 @@
 	_ = c.Send(&reply)
 }
 
-// IsReply reports whether a frame answers a call: it has a number and no request. An empty frame with a number is a
-// reply too.
+// IsReply reports whether a frame is the reply to a call: it has a call number and no request. An empty frame with a
+// call number is a reply too.
 func (f *Frame) IsReply() bool {
 	return f.Call != 0 && !f.mayBlock() &&
 		f.Hello == nil && f.Update == nil && f.Renewal == nil && f.CounterAdd == nil
 }
 
-// mayBlock reports whether the handler of a call may wait for a disk, or the call comes where both ends write at
-// once: two receiving goroutines that write replies would wait for each other where nothing is buffered between them.
+// mayBlock reports whether a call must be handled on a separate goroutine, because its handler may wait for a disk, or
+// because both ends send such calls at the same time. In that case two receiving goroutines that write replies would
+// wait for each other if nothing is buffered between them.
 func (f *Frame) mayBlock() bool {
 	if f.Call == 0 {
 		return false
--- a/internal/cluster/transport/catchup_messages.go
+++ b/internal/cluster/transport/catchup_messages.go
@@ -11,25 +11,25 @@
 type CatchUpRequest struct {
 	Epoch         uint64 `cbor:"1,keyasint"`
 	EmptyDisk     bool   `cbor:"2,keyasint,omitempty"`  // the node's disk is empty: it also needs the stored instances
-	FromPosition  uint64 `cbor:"8,keyasint,omitempty"`  // of the first item
-	NewestEpoch   uint64 `cbor:"9,keyasint,omitempty"`  // of all chunks so far: an older snapshot is of no use
-	MaxBytes      int    `cbor:"10,keyasint,omitempty"` // about how long the chunk may be; 0: the source's default
-	AfterInstance string `cbor:"11,keyasint,omitempty"` // only instances whose ids sort after this one
+	FromPosition  uint64 `cbor:"8,keyasint,omitempty"`  // position of the first item
+	NewestEpoch   uint64 `cbor:"9,keyasint,omitempty"`  // newest epoch of all chunks so far; older ones are of no use
+	MaxBytes      int    `cbor:"10,keyasint,omitempty"` // approximate size of the chunk, bytes; 0: the source's default
+	AfterInstance string `cbor:"11,keyasint,omitempty"` // only instances whose ids sort after this one are requested
 }
 
-// CatchUpChunk is the reply to CatchUpRequest: items chosen after its epoch, as they stand in the snapshot of Epoch.
+// CatchUpChunk is the reply to CatchUpRequest: the items chosen after its epoch, as they are in the snapshot of Epoch.
 type CatchUpChunk struct {
-	NextPosition  uint64               `cbor:"8,keyasint,omitempty"` // to go on from; 0: there are no more items
-	MoreInstances bool                 `cbor:"9,keyasint,omitempty"` // there are instances after these
+	NextPosition  uint64               `cbor:"8,keyasint,omitempty"` // position for the next request; 0: no more items
+	MoreInstances bool                 `cbor:"9,keyasint,omitempty"` // there are more instances after these
 	Epoch         uint64               `cbor:"1,keyasint"`
 	Items         []configuration.Item `cbor:"2,keyasint,omitempty"`
-	Voters        []string             `cbor:"6,keyasint,omitempty"` // from older versions: the initial electorate
-	Instances     []registry.Instance  `cbor:"7,keyasint,omitempty"` // on the source's disk
+	Voters        []string             `cbor:"6,keyasint,omitempty"` // sent by older versions: the initial electorate
+	Instances     []registry.Instance  `cbor:"7,keyasint,omitempty"` // instances on the source's disk
 
-	Electorate consensus.Electorate `cbor:"10,keyasint,omitempty"` // that stands in the snapshot of Epoch
+	Electorate consensus.Electorate `cbor:"10,keyasint,omitempty"` // electorate in the snapshot of Epoch
 }
 
-// PersistRequest asks a control node to have instances on its disk, synced, before it replies.
+// PersistRequest asks a control node to sync instances to its disk before it replies.
 type PersistRequest struct {
 	Instances []registry.Instance `cbor:"1,keyasint"`
 }
--- a/internal/cluster/transport/codec.go
+++ b/internal/cluster/transport/codec.go
@@ -12,22 +12,22 @@
 
 // Bounds of a frame in bytes, without its length prefix.
 const (
-	MaxFrame        = 1 << 20  // of all frames to and from an ingress
-	MaxControlFrame = 32 << 20 // of frames between control nodes: a first configuration comes in one call
+	MaxFrame        = 1 << 20  // frames to and from an ingress
+	MaxControlFrame = 32 << 20 // frames between control nodes, because a first configuration is sent in one call
 )
 
 const (
-	prefixBytes = 4        // of a frame's length, big endian
-	readBytes   = 64 << 10 // by which a buffer grows at most while a frame arrives
+	prefixBytes = 4        // size of the length prefix of a frame, big endian
+	readBytes   = 64 << 10 // most bytes that are read at a time, so that memory is allocated only as a frame arrives
 )
 
-// Bounds of what a frame decodes to. Arrays are bounded so that a small frame can't claim much memory: an element
-// takes a byte on the wire and may take some hundred in memory.
+// Bounds of a decoded frame. Arrays are bounded so that a small frame can't allocate much memory: an element needs as
+// little as one byte on the wire, but may need some hundred bytes in memory.
 const (
 	maxNesting              = 12
 	maxMapPairs             = 64
 	maxArrayElements        = 1 << 16
-	maxControlArrayElements = 1 << 21
+	maxControlArrayElements = 1 << 21 // in frames longer than MaxFrame
 )
 
 var (
@@ -48,13 +48,13 @@
 
 func must[T any](mode T, err error) T {
 	if err != nil {
-		panic(err) // the options are constant
+		panic(err) // can't happen, because the options are constant
 	}
 	return mode
 }
 
-// Append appends a frame with its length prefix. Its error wraps ErrFrame where the frame is longer than
-// MaxControlFrame. After an error, the result is as long as b.
+// Append appends a frame with its length prefix. The error wraps ErrFrame if the frame is longer than MaxControlFrame.
+// After an error, the result has the length of b.
 func Append(b []byte, f *Frame) ([]byte, error) {
 	start := len(b)
 	buf := bytes.NewBuffer(append(b, make([]byte, prefixBytes)...))
@@ -70,13 +70,14 @@
 	return b, nil
 }
 
-// Read reads the next frame, of at most maxBytes. Its error is that of the reader or wraps ErrFrame.
+// Read reads the next frame, of at most maxBytes. The error is that of the reader, or wraps ErrFrame.
 func Read(r *bufio.Reader, maxBytes int) (*Frame, error) {
 	f, _, err := readFrame(r, maxBytes, nil)
 	return f, err
 }
 
-// readFrame is Read with a buffer for the bytes, which it returns for the next frame. The frame doesn't refer to it.
+// readFrame is Read with a buffer for the bytes, which it returns for the next frame. The frame doesn't refer to the
+// buffer.
 func readFrame(r *bufio.Reader, maxBytes int, buf []byte) (*Frame, []byte, error) {
 	var prefix [prefixBytes]byte
 	if _, err := io.ReadFull(r, prefix[:]); err != nil {
@@ -101,7 +102,7 @@
 	return f, buf, nil
 }
 
-// readFull reads n bytes. The buffer grows as bytes arrive, not by what n claims.
+// readFull reads n bytes. The buffer grows as bytes arrive, because n comes from the peer and may be wrong.
 func readFull(r io.Reader, buf []byte, n int) ([]byte, error) {
 	for left := n; left > 0; {
 		step := min(left, readBytes)
--- a/internal/cluster/transport/conn.go
+++ b/internal/cluster/transport/conn.go
@@ -19,19 +19,20 @@
 )
 
 const (
-	readBufferBytes = 1 << 10 // most of a long frame is read past the buffer
-	// maxRetainedBuffer in bytes; larger ones are dropped after use: a control node has thousands of connections.
+	readBufferBytes = 1 << 10 // buffer of the reader, bytes; most of a long frame bypasses it
+	// maxRetainedBuffer is the largest buffer that is kept after use, in bytes. Larger ones are dropped, because a
+	// control node has thousands of connections.
 	maxRetainedBuffer = 4 << 10
-	maxWriteBytes     = 64 << 10  // of one write
-	maxQueuedBytes    = 256 << 10 // of the queue: beyond it, callers of Send wait for the peer to read
+	maxWriteBytes     = 64 << 10  // bytes of one write
+	maxQueuedBytes    = 256 << 10 // bytes in the queue from which on callers of Send wait for the peer to read
 )
 
-// Conn is a connection that carries frames. Receive and Run may be called by one goroutine at a time, all else by any
-// number.
+// Conn is a connection that carries frames. Receive and Run may be called by one goroutine at a time, all other methods
+// by any number of goroutines.
 type Conn struct {
 	nc       net.Conn
 	reader   *bufio.Reader
-	readBuf  []byte // the receiving goroutine's
+	readBuf  []byte // used by the receiving goroutine only
 	maxFrame int
 
 	sender  sender
@@ -51,11 +52,11 @@
 	return c
 }
 
-// SetMaxFrame sets the bytes of the longest frame that is received, MaxControlFrame between control nodes. It must be
-// called before the first Receive.
+// SetMaxFrame sets the length of the longest frame that is accepted, in bytes. Between control nodes it is
+// MaxControlFrame. It must be called before the first Receive.
 func (c *Conn) SetMaxFrame(maxBytes int) { c.maxFrame = maxBytes }
 
-// deadlineReader fails a read that brings no byte for IdleTimeout.
+// deadlineReader fails a read if no byte arrives for IdleTimeout.
 type deadlineReader struct{ net.Conn }
 
 func (d deadlineReader) Read(b []byte) (int, error) {
@@ -80,16 +81,16 @@
 	return err
 }
 
-// Send sends a frame. While one caller writes, others only queue their frames with it, so that many small frames go
-// in one write. A nil error doesn't mean that the frame has arrived. ErrClosed, or the error that ended the
-// connection, means that it will not.
+// Send sends a frame. While one caller writes, other callers only add their frames to the queue, so that many small
+// frames are sent in one write. A nil error doesn't mean that the frame has arrived. ErrClosed, or the error that ended
+// the connection, means that it will not arrive.
 func (c *Conn) Send(f *Frame) error { return c.sender.send(f) }
 
-// SendEncoded sends frames that Append has encoded, as Send does. They may be shared among connections; they must not
-// be changed afterwards.
+// SendEncoded sends frames that were encoded by Append, as Send does. The frames may be sent on several connections.
+// They must not be changed afterwards.
 func (c *Conn) SendEncoded(frames []byte) error { return c.sender.sendEncoded(frames) }
 
-// Receive waits for the next frame. After an error the connection is closed; ErrClosed means that either side has
+// Receive waits for the next frame. After an error the connection is closed. ErrClosed means that one of the sides has
 // closed it.
 func (c *Conn) Receive() (*Frame, error) {
 	f, buf, err := readFrame(c.reader, c.maxFrame, c.readBuf)
@@ -106,14 +107,14 @@
 	return f, nil
 }
 
-// Dial connects to an address, host:port with a numeric host, within the timeout.
+// Dial connects to an address within the timeout. The address is host:port with a numeric host.
 func Dial(ctx context.Context, addr string, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	d.SetMultipathTCP(false)
 	return d.DialContext(ctx, "tcp4", addr)
 }
 
-// Listen listens on an address, host:port.
+// Listen listens on an address of the form host:port.
 func Listen(addr string) (net.Listener, error) {
 	l := net.ListenConfig{KeepAlive: -1}
 	l.SetMultipathTCP(false)
--- a/internal/cluster/transport/consensus_messages.go
+++ b/internal/cluster/transport/consensus_messages.go
@@ -5,8 +5,8 @@
 // Prepare asks a control node to promise a ballot.
 type Prepare struct {
 	Ballot   consensus.Ballot `cbor:"1,keyasint"`
-	ReadOnly bool             `cbor:"2,keyasint,omitempty"` // nothing is to be promised: consensus.Acceptor.Read
-	// Synced means, with ReadOnly: reply once all that the reply reports is on disk.
+	ReadOnly bool             `cbor:"2,keyasint,omitempty"` // read without a promise, see consensus.Acceptor.Read
+	// Synced is used with ReadOnly: the node replies only once all state in the reply is on disk.
 	Synced bool `cbor:"3,keyasint,omitempty"`
 }
 
--- a/internal/cluster/transport/coordination_messages.go
+++ b/internal/cluster/transport/coordination_messages.go
@@ -5,8 +5,8 @@
 	"mulleinrouter/internal/cluster/shard"
 )
 
-// Coordination is what two control nodes have to send each other about shards at one moment. All of it is one-way: a
-// reply is a message of its own, and what is lost is sent again by its sender.
+// Coordination is a batch of all messages about shards that a control node has for another one at a time. It is
+// one-way: replies are separate messages, and a sender repeats what is lost.
 type Coordination struct {
 	Messages []shard.Message     `cbor:"1,keyasint,omitempty"`
 	Calls    []CoordinationCall  `cbor:"2,keyasint,omitempty"`
@@ -15,18 +15,18 @@
 
 // CoordinationCall forwards a request of an application to the leaseholder of its shard.
 type CoordinationCall struct {
-	ID      uint64               `cbor:"1,keyasint"` // of the sending process, never used again by it
+	ID      uint64               `cbor:"1,keyasint"` // number of the call, used once by the sending process
 	Request coordination.Request `cbor:"2,keyasint"`
 }
 
-// CoordinationStatus is what became of a forwarded request.
+// CoordinationStatus is the outcome of a forwarded request.
 type CoordinationStatus uint8
 
 // The statuses. Their numbers are on the wire.
 const (
-	CoordinationAnswered       CoordinationStatus = 1 // Result answers it
-	CoordinationNotLeaseholder CoordinationStatus = 2 // nothing was done
-	CoordinationUnknown        CoordinationStatus = 3 // it may take effect or not
+	CoordinationAnswered       CoordinationStatus = 1 // the request was evaluated, with the answer in Result
+	CoordinationNotLeaseholder CoordinationStatus = 2 // the node is not the leaseholder; the request had no effect
+	CoordinationUnknown        CoordinationStatus = 3 // it is not known whether the request takes effect
 )
 
 // CoordinationReply answers a CoordinationCall.
--- a/internal/cluster/transport/golden_test.go
+++ b/internal/cluster/transport/golden_test.go
@@ -17,14 +17,14 @@
 	"mulleinrouter/internal/cluster/shard"
 )
 
-// goldenFramesFile lists frames as the landed version 76a3bb5 encoded them: the name and the bytes in hexadecimal, a
-// frame a line.
+// goldenFramesFile contains frames as version 76a3bb5 encoded them, one per line: the name, and the bytes in
+// hexadecimal.
 const goldenFramesFile = "testdata/frames-76a3bb5.txt"
 
-// goldenCoordinationFile lists those that came later, as the first version with them encoded them.
+// goldenCoordinationFile contains the frames with later types of messages, as the first version with them encoded them.
 const goldenCoordinationFile = "testdata/frames-coordination.txt"
 
-// goldenFrame is a frame of the recorded list, with its name there.
+// goldenFrame is a frame with its name in the recorded files.
 type goldenFrame struct {
 	name  string
 	frame *Frame
@@ -57,7 +57,8 @@
 	goldenBare     = consensus.Proposal{Ballot: goldenBallot, Epoch: 5}
 )
 
-// goldenFrames has each type of message, with all of its fields set, and with none where that differs.
+// goldenFrames returns a frame of each type of message with all fields set, and one with no fields set if that is
+// encoded differently.
 func goldenFrames() []goldenFrame {
 	return slices.Concat(goldenSubscriptionFrames(), goldenConsensusFrames(), goldenCatchUpFrames(),
 		goldenCoordinationFrames())
@@ -174,7 +175,7 @@
 	}
 }
 
-// readGoldenFrames are the recorded bytes by name.
+// readGoldenFrames returns the recorded bytes of all frames by name.
 func readGoldenFrames(t *testing.T) map[string][]byte {
 	t.Helper()
 	var lines []string
@@ -196,8 +197,8 @@
 	return recorded
 }
 
-// Each type of message is encoded, byte for byte, as the landed version did, and what that one sent is read as it was
-// meant.
+// Each type of message must be encoded byte for byte as by the recorded version, and the recorded bytes must decode to
+// the same message.
 func TestGoldenFrames(t *testing.T) {
 	recorded := readGoldenFrames(t)
 	if got, want := len(recorded), len(goldenFrames()); got != want {
@@ -224,7 +225,7 @@
 	}
 }
 
-// The list above leaves no type of message out.
+// The golden frames must include all types of messages.
 func TestGoldenFramesCoverAllMessages(t *testing.T) {
 	covered := map[string]bool{}
 	for _, golden := range goldenFrames() {
--- a/internal/cluster/transport/sender.go
+++ b/internal/cluster/transport/sender.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// sender is the sending side of a connection: a queue of encoded frames, which one of its callers at a time writes
-// for all.
+// sender is the sending side of a connection. Its callers add encoded frames to a queue, which one of them at a time
+// writes for all.
 type sender struct {
 	nc        net.Conn
 	closeConn func() error
 
 	mu      sync.Mutex // guards the fields below; it is not held during a write
-	changed sync.Cond  // the queue has shrunk, or err is set
+	changed sync.Cond  // signalled when the queue has shrunk, or err is set
 	queue   []byte     // encoded frames that wait to be written
-	spare   []byte     // a buffer for the next queue
-	writing bool       // a caller writes
-	err     error      // the connection has ended
+	spare   []byte     // an empty buffer for the next queue
+	writing bool       // one of the callers is writing
+	err     error      // set once the connection has ended
 }
 
 func (s *sender) init(nc net.Conn, closeConn func() error) {
@@ -55,7 +55,8 @@
 	return s.flush(frames)
 }
 
-// awaitCapacity waits, with the lock held, while more than maxQueuedBytes wait for a peer that doesn't read.
+// awaitCapacity waits while maxQueuedBytes or more are queued for a peer that doesn't read. It is called with the lock
+// held.
 func (s *sender) awaitCapacity() error {
 	for s.err == nil && s.writing && len(s.queue) >= maxQueuedBytes {
 		s.changed.Wait()
@@ -63,8 +64,8 @@
 	return s.err
 }
 
-// flush writes encoded frames, which it doesn't keep, and then the queue until it is empty. It is called with the
-// lock held, and releases it during each write.
+// flush writes the given encoded frames, and then the queue until it is empty. It doesn't keep a reference to the
+// frames. It is called with the lock held, and releases the lock during each write.
 func (s *sender) flush(encoded []byte) error {
 	s.writing = true
 	for s.err == nil && (len(encoded) > 0 || len(s.queue) > 0) {
@@ -89,7 +90,7 @@
 	s.mu.Unlock()
 	err := s.write(buf)
 	if err != nil {
-		_ = s.closeConn() // the error of the write is the one to report
+		_ = s.closeConn() // its error is ignored, because the error of the write is the one to report
 	}
 	s.mu.Lock()
 	if err != nil {
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// close fails all senders, those that wait too.
+// close makes all sends fail, including those that wait.
 func (s *sender) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -19,7 +19,7 @@
 	"mulleinrouter/internal/cluster/registry"
 )
 
-// testFrames is some frames, and their encoding one behind the other.
+// testFrames returns some frames, and the concatenation of their encodings.
 func testFrames(t *testing.T) (frames []*Frame, encoded []byte) {
 	t.Helper()
 	ballot := consensus.Ballot{Round: 3, Node: "a"}
@@ -59,7 +59,7 @@
 	}
 }
 
-// Whatever is broken ends in an error, and takes no more memory than has come.
+// Reading damaged frames must end in an error. It must not panic, nor allocate much more memory than has arrived.
 func TestBrokenFrames(t *testing.T) {
 	_, encoded := testFrames(t)
 	rnd := rand.New(rand.NewPCG(1, 1))
@@ -108,7 +108,7 @@
 		_, err := one.Call(time.Second, &Frame{CounterAdd: &CounterAdd{Name: "silent"}})
 		is.Equal(err, ErrNoReply)
 		is.Equal(time.Since(start), time.Second)
-		// Neither side sends anything more: both end after IdleTimeout, and the pending call with them.
+		// Once neither side sends any more, both connections end after IdleTimeout, and the pending call fails.
 		start = time.Now()
 		_, err = one.Call(time.Minute, &Frame{CounterAdd: &CounterAdd{Name: "silent"}})
 		is.Equal(err, ErrClosed)
@@ -118,7 +118,7 @@
 	})
 }
 
-// A peer that does not read blocks a sender for a while, and then the connection ends.
+// A peer that does not read blocks the senders for WriteTimeout. Then the connection ends.
 func TestPeerThatDoesNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
