--- a/internal/cluster/consensus/doc.go
+++ b/internal/cluster/consensus/doc.go
@@ -2,10 +2,10 @@
 //
 // The configuration is one register, decided by Paxos: an instance of single-decree Paxos for each epoch, whose value
 // is the change from the snapshot of the epoch before. Any node may propose. A change is chosen once a majority of
-// the voters have accepted it on their disks. A proposer first has a majority promise its ballot and report what they
-// have accepted, so its change builds on the newest chosen one. Two changes that are valid alone and invalid together
-// are therefore never both chosen, because each is validated against the snapshot that it builds on. The set of voters
-// is part of the configuration, see Electorate.
+// the voters have accepted it on their disks. A proposer first requests promises of its ballot. The promises of a
+// majority also report what these voters have accepted, so the proposer's change builds on the newest chosen one. Two
+// changes that are valid alone and invalid together are therefore never both chosen, because each is validated against
+// the snapshot that it builds on. The set of voters is part of the configuration, see Electorate.
 //
 // Acceptor is the state of a voter (acceptor.go). Proposer is the state machine that gets a change chosen (proposer.go,
 // round.go, with its requests to the caller in action.go). ComposeProposal selects the items of a change (compose.go).
--- a/internal/cluster/coordination/tables_test.go
+++ b/internal/cluster/coordination/tables_test.go
@@ -150,7 +150,7 @@
 		l.now += 8
 		l.expect("another", acquire("b", 1000), Result{Code: Conflict})
 	},
-	"numbers rise over a take-over": func(l *leaseholder) {
+	"numbers increase across a take-over": func(l *leaseholder) {
 		last := uint64(0)
 		for n := range 2500 {
 			out := l.propose(Request{Kind: NextNumber, Name: "n"})
@@ -185,7 +185,7 @@
 		l.expect("matching", put("v3", &one), Result{Code: OK, Revision: 2})
 		l.expect("matched before", put("v4", &one), Result{Code: Mismatch, Revision: 2})
 	},
-	"answers wait for what they show": func(l *leaseholder) {
+	"answers wait for the batches that they depend on": func(l *leaseholder) {
 		out := l.propose(putValue("g.a", "v1"))
 		for _, r := range []Request{
 			{Kind: GetCell, Name: "g.a"}, putValue("g.a", "v1"),
@@ -199,7 +199,7 @@
 			l.t.Errorf("a watch returns revision %d, which is not committed", got.Result.Revision)
 		}
 	},
-	"watches skip nothing": func(l *leaseholder) {
+	"watches skip no events": func(l *leaseholder) {
 		for n := range 5 {
 			l.evaluate(putValue(fmt.Sprint("g.", n), fmt.Sprint("v", n)))
 		}
--- a/internal/cluster/replication/dial_test.go
+++ b/internal/cluster/replication/dial_test.go
@@ -19,10 +19,10 @@
 type unreachableHost struct {
 	source          *fakeSource
 	reachableAt     time.Time
-	refusesFrom     time.Time // from then on, until it is back
+	refusesFrom     time.Time // time from which it refuses connections, until it is reachable
 	dialsStarted    atomic.Int64
 	pendingDials    atomic.Int64
-	maxPendingDials atomic.Int64 // at a time
+	maxPendingDials atomic.Int64 // most dials that were pending at the same time
 }
 
 func (uh *unreachableHost) dial(ctx context.Context) (net.Conn, error) {
@@ -67,15 +67,15 @@
 // begin only few connections after the eager period.
 func TestReconnectsToReturningHost(t *testing.T) {
 	for name, c := range map[string]struct {
-		unreachable, refuses time.Duration // refuses: for the last part of that time
-		within               time.Duration
+		unreachable, refuses time.Duration // refuses: last part of unreachable, in which it refuses connections
+		within               time.Duration // longest time to connect after that
 	}{
-		"at once":            {0, 0, time.Millisecond},
-		"for a moment":       {330 * time.Millisecond, 0, 2 * eagerInterval},
-		"then not listening": {480 * time.Millisecond, 200 * time.Millisecond, 2 * eagerInterval},
-		"for a second":       {1040 * time.Millisecond, 0, 2 * eagerInterval},
-		"nearly too long":    {2900 * time.Millisecond, 0, 2 * eagerInterval},
-		"for long":           {20 * time.Second, 0, maxBackoff + dialTimeout},
+		"at once":                      {0, 0, time.Millisecond},
+		"for a moment":                 {330 * time.Millisecond, 0, 2 * eagerInterval},
+		"then not listening":           {480 * time.Millisecond, 200 * time.Millisecond, 2 * eagerInterval},
+		"for a second":                 {1040 * time.Millisecond, 0, 2 * eagerInterval},
+		"just under the eager period":  {2900 * time.Millisecond, 0, 2 * eagerInterval},
+		"longer than the eager period": {20 * time.Second, 0, maxBackoff + dialTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -109,11 +109,11 @@
 // if the agent returns after the eager period.
 func TestReconnectsToReturningAgent(t *testing.T) {
 	for name, c := range map[string]struct{ down, within time.Duration }{
-		"at once":                    {0, 0},
-		"started a little later":     {30 * time.Millisecond, localBackoff},
-		"killed, and back":           {520 * time.Millisecond, localBackoff},
-		"nearly too long":            {2900 * time.Millisecond, localBackoff},
-		"longer than the eager time": {20 * time.Second, maxBackoff},
+		"at once":                      {0, 0},
+		"started a little later":       {30 * time.Millisecond, localBackoff},
+		"killed and restarted":         {520 * time.Millisecond, localBackoff},
+		"just under the eager period":  {2900 * time.Millisecond, localBackoff},
+		"longer than the eager period": {20 * time.Second, maxBackoff},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/cluster/replication/digests_test.go
+++ b/internal/cluster/replication/digests_test.go
@@ -126,10 +126,10 @@
 type sourceSet struct {
 	all         [3]*fakeSource
 	latency     [3]time.Duration
-	silent      [3]bool // it accepts connections and sends nothing
-	breaks      [3]bool // its first connection ends soon
-	instances   atomic.Int64
-	updates     [3]atomic.Int64
+	silent      [3]bool         // the source accepts connections and sends nothing
+	breaks      [3]bool         // the source's first connection ends after 20 ms
+	instances   atomic.Int64    // number of instances received
+	updates     [3]atomic.Int64 // number of updates received, by source
 	store       *Store
 	initialSync InitialSync
 	client      [3]*Client
@@ -188,7 +188,7 @@
 	const count = 2000
 	for name, fault := range map[string]string{
 		"calm":                   "",
-		"the nearest is mute":    "mute",
+		"the nearest is silent":  "silent",
 		"the nearest breaks off": "break",
 		"the nearest is down":    "down",
 	} {
@@ -226,7 +226,7 @@
 					Phase:   registry.Draining,
 				}})
 				switch fault {
-				case "mute":
+				case "silent":
 					s.silent[0] = true
 				case "break":
 					s.breaks[0] = true
@@ -236,7 +236,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				var all sync.WaitGroup
 				s.run(ctx, &all)
-				if fault == "mute" {
+				if fault == "silent" {
 					time.Sleep(initialSyncIdle)
 				}
 				time.Sleep(200 * time.Millisecond)
--- a/internal/cluster/shard/leader.go
+++ b/internal/cluster/shard/leader.go
@@ -25,7 +25,7 @@
 	commit       uint64               // all batches up to this number are saved by a majority
 	votersSeq    uint64               // number of the batch with the last change of the voters
 	learners     []consensus.Voter    // replicas that receive batches and are not voters yet
-	progress     map[string]*progress // by address
+	progress     map[string]*progress // progress of the other replicas by address
 	heartbeatAt  float64              // time of the next heartbeats, seconds
 	transferring bool                 // this leader no longer holds the lease, so that another replica can take over
 	transferEnd  float64              // time at which it steps down, seconds
@@ -34,15 +34,15 @@
 // progress is what a leader knows about another replica.
 type progress struct {
 	disk     uint64
-	position Position // the last batch that the replica is known or assumed to have
+	position Position // position of the last batch that the replica is known or assumed to have
 	matched  uint64   // all batches up to this number are saved on the replica
 	answered float64  // sending time of the newest message that the replica has answered, seconds; never: none
 	inFlight bool     // an append is not answered yet
 	sentAt   float64  // sending time of that append, seconds
 }
 
-// becomeLeader makes this replica the leader of its term. Its first batch is empty: a leader may commit batches of
-// earlier terms only together with a batch of its own term.
+// becomeLeader makes this replica the leader of its term, and appends an empty batch. Once that batch is committed, all
+// batches of earlier terms are committed too; a leader may commit them only together with a batch of its own term.
 func (r *Replica) becomeLeader(now float64) {
 	r.role, r.leaderAddr = leader, r.self.Addr
 	r.leadership = leadership{progress: map[string]*progress{}, electedAt: now, firstSeq: r.last.Seq + 1}
--- a/internal/cluster/shard/message.go
+++ b/internal/cluster/shard/message.go
@@ -19,8 +19,8 @@
 
 // Message is what replicas of one shard send each other. A message may be lost, delayed or duplicated.
 type Message struct {
-	From string `cbor:"-"` // address; set by the transport of the receiver
-	To   string `cbor:"-"` // address
+	From string `cbor:"-"` // address of the sender; set by the transport of the receiver
+	To   string `cbor:"-"` // address of the receiver
 
 	Shard uint32 `cbor:"1,keyasint"`
 	Kind  Kind   `cbor:"2,keyasint"`
