--- a/internal/cluster/shard/lease.go
+++ b/internal/cluster/shard/lease.go
@@ -42,7 +42,7 @@
 }
 
 // majorityValue returns the greatest value that a majority of the voters has reached. The value of this replica is own,
-// that of another voter is taken from its progress. It is none if this leader has no answer from the disk that the
+// that of another voter is taken from its progress. It is none if this leader has no progress of the disk that the
 // voter is listed with.
 func majorityValue[T cmp.Ordered](r *Replica, own, none T, of func(*progress) T) T {
 	values := make([]T, 0, len(r.voters))
