--- a/internal/control/connlimit/gate.go
+++ b/internal/control/connlimit/gate.go
@@ -13,21 +13,22 @@
 	slots *slots
 }
 
-// NewGate makes a gate for a process that may open maxFDs file descriptors; 0: unknown, defaultFDs is assumed.
+// NewGate makes a gate for a process that may open maxFDs file descriptors. If maxFDs is 0 (unknown), it
+// assumes defaultFDs.
 func NewGate(maxFDs int) *Gate { return &Gate{slots: newSlots(maxFDs)} }
 
 // Stats counts the connections of a gate.
 type Stats struct {
-	InFlight int // of servers and operators, with a call in flight
-	Idle     int // of servers and operators, without one
-	Internal int // of agents and control nodes
-	Limit    int // of all together
+	InFlight int // connections of servers and operators with a call in flight
+	Idle     int // connections of servers and operators without one
+	Internal int // connections of agents and control nodes
+	Limit    int // limit on all connections together
 }
 
 // Total is the number of open connections.
 func (s Stats) Total() int { return s.InFlight + s.Idle + s.Internal }
 
-// Stats returns the counts of this moment.
+// Stats returns the current counts.
 func (g *Gate) Stats() Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -55,7 +56,7 @@
 	slot slot
 }
 
-// Accept accepts every connection, and evicts the one that has been idle longest where the limit is reached.
+// Accept accepts every connection. If the limit is reached, it evicts the one that has been idle longest.
 func (l *listener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
@@ -70,8 +71,8 @@
 	return c, nil
 }
 
-// closeConn closes the connection of a slot that was evicted. A call may be arriving on it at this moment: its
-// client then retries on another node. A nil slot is ignored.
+// closeConn closes the connection of a slot that was evicted. If a call is arriving on it at this moment, its
+// client retries on another node. A nil slot is ignored.
 func (s *slot) closeConn() {
 	if s != nil {
 		_ = s.close()
@@ -85,7 +86,8 @@
 	return t.Conn.Close()
 }
 
-// CloseWrite half-closes the connection; the HTTP server does so before it closes one on which more data may arrive.
+// CloseWrite half-closes the connection. The HTTP server calls it before it closes a connection on which more data may
+// arrive.
 func (t *trackedConn) CloseWrite() error {
 	if nc, ok := t.Conn.(interface{ CloseWrite() error }); ok {
 		return nc.CloseWrite()
@@ -111,12 +113,13 @@
 
 type connKey struct{}
 
-// ConnContext is the http.Server's callback of the same name: it lets BeginCall find the connection of a request.
+// ConnContext is the http.Server's callback of the same name. It lets BeginCall find the connection of a request.
 func (g *Gate) ConnContext(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, nc)
 }
 
-// BeginCall decides on a call whose header has been read. Requests that came over no tracked connection are admitted.
+// BeginCall decides on a call whose header has been read. Requests that did not come over a tracked connection are
+// admitted.
 func (g *Gate) BeginCall(r *http.Request, byOperator bool) Admission {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -135,8 +138,8 @@
 	}
 }
 
-// AcquireInternal takes a slot for an internal connection, and reports false where there is none. The caller
-// that got one must call ReleaseInternal once the connection is closed.
+// AcquireInternal takes a slot for an internal connection, and reports false if none is free. A caller that got one
+// must call ReleaseInternal once the connection is closed.
 func (g *Gate) AcquireInternal() bool {
 	g.mu.Lock()
 	evicted, ok := g.slots.addInternal()
@@ -145,7 +148,7 @@
 	return ok
 }
 
-// ReleaseInternal gives back the slot of an internal connection.
+// ReleaseInternal frees the slot of an internal connection.
 func (g *Gate) ReleaseInternal() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/control/connlimit/slots.go
+++ b/internal/control/connlimit/slots.go
@@ -2,16 +2,20 @@
 
 import "container/list"
 
+// Shares of the slots and of the file descriptors. A slot is one open connection.
 const (
-	reservedForNew       = 16 // slots that no call in flight may use: new connections are read there
-	reservedForOperators = 32 // further slots that only calls of operators may use
-	// Further slots that of servers' calls only those may use whose bodies have arrived: a departure may be among them.
+	// reservedForNew slots are never used by calls in flight, so that a node can always read the header of a new call.
+	reservedForNew = 16
+	// reservedForOperators further slots are used by calls of operators only.
+	reservedForOperators = 32
+	// reservedForPrompt further slots are used, among the calls of servers, only by those whose bodies arrive at once,
+	// because such a call may announce a departure.
 	reservedForPrompt = 64
-	minSlots          = 256
-	minControlSlots   = 128 // slots that internal connections never use
-	reservedForFiles  = 200 // descriptors of files outside the data folder (the platform's rule)
-	reservedForNode   = 140 // descriptors of the data folder, peers, listeners, and sockets that are being closed
-	defaultFDs        = 1024
+	minSlots          = 256  // slots of a process with few descriptors
+	minControlSlots   = 128  // slots that internal connections never use
+	reservedForFiles  = 200  // descriptors of files outside the data folder (a rule of the platform)
+	reservedForNode   = 140  // descriptors of the data folder, peers, listeners, and sockets that are being closed
+	defaultFDs        = 1024 // descriptors of a process whose limit is unknown
 )
 
 // Admission is the decision on a call whose header has been read.
@@ -20,15 +24,15 @@
 // The decisions on a call.
 const (
 	Admitted         Admission = iota
-	AdmittedIfPrompt           // admitted on condition that its body arrives at once
+	AdmittedIfPrompt           // the call is admitted on condition that its body arrives at once
 	Rejected                   // too many calls are in flight
-	Evicted                    // its connection has been evicted meanwhile
+	Evicted                    // the connection has been evicted in the meantime
 )
 
-// slots decides which connections a node keeps: those of servers and operators, and how many internal ones (of
-// agents and control nodes), which share its descriptors. A new connection of a server or operator is always
-// accepted: at the limit, the one that has been idle longest is evicted, never one with a call in flight. It
-// does no I/O and needs no clock: time is the order of the calls.
+// slots decides which connections of servers and operators a node keeps, and how many internal ones (of agents and
+// control nodes) it accepts, because all of them share its descriptors. A new connection of a server or operator is
+// always accepted. At the limit, the one that has been idle longest is evicted for it, never one with a call in flight.
+// slots does no I/O and needs no clock, because only the order of its method calls matters.
 //
 // Invariants:
 //
@@ -40,17 +44,17 @@
 	internalLimit int
 	internal      int
 	inFlight      int
-	idle          list.List // of *slot, the one that has been idle longest first
+	idle          list.List // *slot values, the one that has been idle longest first
 }
 
 // slot is one connection of a server or an operator. It is idle, has a call in flight, or is closed.
 type slot struct {
-	element  *list.Element // in slots.idle; nil: a call is in flight, or the connection is closed
+	element  *list.Element // element of slots.idle; nil: a call is in flight, or the connection is closed
 	inFlight bool
 	close    func() error // called by Gate, never by slots
 }
 
-// newSlots computes the limits from the descriptors that the process may open; 0: unknown.
+// newSlots computes the limits from the number of descriptors that the process may open; 0: unknown.
 func newSlots(maxFDs int) *slots {
 	if maxFDs == 0 {
 		maxFDs = defaultFDs
@@ -63,8 +67,8 @@
 // total is the number of connections, internal ones included.
 func (s *slots) total() int { return s.internal + s.inFlight + s.idle.Len() }
 
-// evictIfFull removes the connection that has been idle longest if the limit is reached, and returns it to be
-// closed; nil: none.
+// evictIfFull removes the connection that has been idle longest if the limit is reached, and returns it for the caller
+// to close; nil: none was evicted.
 func (s *slots) evictIfFull() (evicted *slot) {
 	if s.total() < s.limit {
 		return nil
@@ -74,7 +78,7 @@
 	return evicted
 }
 
-// add accepts a new connection, and returns the one evicted for it; nil: none.
+// add accepts a new connection, and returns the one that was evicted for it; nil: none was.
 func (s *slots) add(c *slot) (evicted *slot) {
 	evicted = s.evictIfFull()
 	c.element = s.idle.PushBack(c)
@@ -93,7 +97,7 @@
 
 func (s *slots) removeInternal() { s.internal-- }
 
-// touch records that a call has begun to arrive.
+// touch records that a call has begun to arrive, so that its connection is evicted last.
 func (s *slots) touch(c *slot) {
 	if c.element != nil {
 		s.idle.MoveToBack(c.element)
@@ -115,7 +119,7 @@
 	return admission
 }
 
-// admit decides on one more call by the free slots.
+// admit decides on one more call by the number of free slots.
 func (s *slots) admit(byOperator bool) Admission {
 	free := s.limit - reservedForNew - s.internal - s.inFlight
 	switch {
@@ -138,7 +142,7 @@
 	}
 }
 
-// remove records that a connection is closed; it may be called more than once.
+// remove records that a connection is closed. It may be called more than once.
 func (s *slots) remove(c *slot) {
 	switch {
 	case c.inFlight:
--- a/internal/control/connlimit/slots_test.go
+++ b/internal/control/connlimit/slots_test.go
@@ -15,7 +15,7 @@
 	idleSince int // step at which it became idle
 }
 
-// model is the reference model of slots: a map that is searched at each step.
+// model is the reference model of slots. It searches a map of all connections at each step.
 type model struct {
 	limit         int
 	internalLimit int
@@ -32,7 +32,7 @@
 	return count
 }
 
-// evictIfFull names the connection that must be evicted for one more.
+// evictIfFull removes and returns the connection that must be evicted for a new one; nil: none.
 func (m *model) evictIfFull() (evicted *slot) {
 	if m.internal+len(m.conns) < m.limit {
 		return nil
@@ -46,7 +46,7 @@
 	return evicted
 }
 
-// admission is what beginCall must answer.
+// admission is the decision that beginCall must return.
 func (m *model) admission(c *modelConn, byOperator bool) Admission {
 	free := m.limit - m.internal - m.inFlight()
 	switch {
@@ -67,7 +67,7 @@
 		p := newSlots(reservedForFiles + reservedForNode + minSlots + random.IntN(200))
 		m := &model{limit: p.limit, internalLimit: p.internalLimit, conns: map[*slot]*modelConn{}}
 		is.True(p.limit >= minSlots && p.limit-p.internalLimit >= minControlSlots)
-		var known []*slot // also closed ones
+		var known []*slot // includes closed ones
 		load := 1 + random.IntN(10)
 		for step := range 3000 {
 			var s *slot
@@ -112,7 +112,7 @@
 			default:
 				c := m.conns[s]
 				if c != nil && c.inFlight {
-					continue // HTTP brings one call at a time
+					continue // a connection carries one call at a time
 				}
 				byOperator := random.IntN(4) == 0
 				want := m.admission(c, byOperator)
@@ -131,7 +131,7 @@
 	}
 }
 
-// The limits follow from the settings.
+// The limits follow from the number of descriptors that the process may open.
 func TestLimitsFollowDescriptors(t *testing.T) {
 	for _, test := range []struct{ maxFDs, limit, internalLimit int }{
 		{maxFDs: 0, limit: 684, internalLimit: 556},
--- a/internal/control/httpapi/applications.go
+++ b/internal/control/httpapi/applications.go
@@ -12,9 +12,11 @@
 	"mulleinrouter/internal/control/shards"
 )
 
-const maxApplicationBytes = 16 << 10 // of a body: a name, an owner and a value, encoded
+// maxApplicationBytes limits the body of a call, which has at most an owner and a value, both encoded.
+const maxApplicationBytes = 16 << 10
 
-// applicationEndpoints are the calls of applications, where they coordinate through the control nodes.
+// applicationEndpoints are the calls of applications. They are served only if applications coordinate through the
+// control nodes.
 var applicationEndpoints = []endpoint{
 	{pattern: "POST /locks/{id}", maxBody: maxApplicationBytes, caller: byApplication, handle: (*Server).acquireLock},
 	{pattern: "PUT /locks/{id}", maxBody: maxApplicationBytes, caller: byApplication, handle: (*Server).renewLock},
@@ -25,7 +27,7 @@
 	{pattern: "GET /watch/{id}", caller: byApplication, handle: (*Server).watchGroup},
 }
 
-// lockBody is the body of the calls of a lock.
+// lockBody is the body of a call on a lock.
 type lockBody struct {
 	Owner  string `json:"owner"`
 	Fence  uint64 `json:"fence"`
@@ -35,7 +37,7 @@
 // cellBody is the body of a put.
 type cellBody struct {
 	Payload *string `json:"payload"`
-	Active  *uint64 `json:"active"` // revision that the cell must have, 0: none; absent: whatever it has
+	Active  *uint64 `json:"active"` // revision that the cell must have; 0: it must not exist; absent: any
 }
 
 // Bodies of answers.
@@ -71,7 +73,7 @@
 	return s.lockCall(r, body, coordination.ReleaseLock)
 }
 
-// lockCall reads, checks and evaluates a call of a lock.
+// lockCall parses and checks the body of a call on a lock, and has it evaluated.
 func (s *Server) lockCall(r *http.Request, body []byte, kind coordination.Kind) (reply, error) {
 	var b lockBody
 	if json.Unmarshal(body, &b) != nil {
@@ -125,7 +127,7 @@
 	return s.coordinate(r, request)
 }
 
-// coordinate has a request about the name in the path evaluated.
+// coordinate has a request evaluated. It takes the name of the lock, number, cell or group from the path.
 func (s *Server) coordinate(r *http.Request, request coordination.Request) (reply, error) {
 	request.Name = r.PathValue("id")
 	if request.Name == "" || len(request.Name) > coordination.MaxNameBytes || !utf8.ValidString(request.Name) {
@@ -141,7 +143,7 @@
 	return resultReply(request.Kind, result)
 }
 
-// resultReply is the answer that a result gets.
+// resultReply is the answer for a result.
 func resultReply(kind coordination.Kind, result coordination.Result) (reply, error) {
 	switch result.Code {
 	case coordination.OK:
--- a/internal/control/httpapi/bodies_test.go
+++ b/internal/control/httpapi/bodies_test.go
@@ -11,7 +11,7 @@
 	"mulleinrouter/internal/control/operatorapi"
 )
 
-// The keys of the bodies that operators get are those of the operators' pages, in this order.
+// The bodies that operators get have exactly the published keys, in the published order.
 func TestBodyKeys(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/internal/control/httpapi/call.go
+++ b/internal/control/httpapi/call.go
@@ -15,18 +15,20 @@
 )
 
 const (
-	// StartupGrace is the time after the start in which a call that comes before the first contact waits for it.
+	// StartupGrace is the time after the start of the process in which a call waits for the first contact with a
+	// majority. Later calls without contact fail at once.
 	StartupGrace = 2 * time.Second
-	// StartupWait is how long one call waits for the first contact.
+	// StartupWait is how long one call waits for that first contact.
 	StartupWait = 500 * time.Millisecond
-	// HeartbeatBodyTimeout is how long the body of a server's call may take: the server waits for its answer no longer.
+	// HeartbeatBodyTimeout limits reading the body of a server's call, because the server waits no longer for its
+	// answer.
 	HeartbeatBodyTimeout = time.Second
-	// PromptBodyTimeout is how long it may take while connections are short.
+	// PromptBodyTimeout replaces HeartbeatBodyTimeout while few slots for connections are free.
 	PromptBodyTimeout = 50 * time.Millisecond
 
-	bodyTimeout       = 10 * time.Second
-	largeBodyBytes    = 1 << 20                // of larger bodies, maxLargeBodies are read at once
-	slowCallThreshold = 250 * time.Millisecond // an operator's call that takes so long is logged
+	bodyTimeout       = 10 * time.Second       // read timeout of the http.Server
+	largeBodyBytes    = 1 << 20                // at most maxLargeBodies bodies above this size are read at once
+	slowCallThreshold = 250 * time.Millisecond // duration from which on an operator's call is logged
 )
 
 // call is a call in flight.
@@ -57,8 +59,8 @@
 	return c.handle(body)
 }
 
-// reject answers a call whose body is not read to its end. The rest of it is not waited for: the connection is
-// closed, and its slot is free for others at once.
+// reject answers a call whose body is not read to its end. It does not wait for the rest of the body, but closes the
+// connection, so that its slot is free for others at once.
 func (c *call) reject(err error) reply {
 	c.response.Header().Set("Connection", "close")
 	_ = c.controller.SetReadDeadline(time.Now())
@@ -66,7 +68,7 @@
 	return errorReply(err)
 }
 
-// admit admits or rejects a call by its header. It returns how long reading the body of a server's call may take.
+// admit admits or rejects a call by its header. It returns the time limit for reading the body of a server's call.
 func (c *call) admit() (readTimeout time.Duration, err error) {
 	if c.request.ContentLength > c.endpoint.maxBody {
 		return 0, ErrBodyTooLong
@@ -97,11 +99,11 @@
 	}
 }
 
-// readBody reads the body. That of a server's call must arrive in time; for an operator's, the deadline of the
-// http.Server holds.
+// readBody reads the body. For an operator's call the deadline of the http.Server applies; the timeout applies to all
+// other calls.
 func (c *call) readBody(timeout time.Duration) ([]byte, error) {
 	if c.endpoint.caller != byOperator {
-		_ = c.controller.SetReadDeadline(time.Now().Add(timeout)) // if it can't be set, the http.Server's holds
+		_ = c.controller.SetReadDeadline(time.Now().Add(timeout)) // if this fails, the http.Server's deadline applies
 	}
 	body, err := readAll(http.MaxBytesReader(c.response, c.request.Body, c.endpoint.maxBody), c.request.ContentLength)
 	var tooLong *http.MaxBytesError
@@ -114,12 +116,13 @@
 		return nil, ErrBodyIncomplete
 	}
 	if c.endpoint.caller != byOperator {
-		_ = c.controller.SetReadDeadline(time.Now().Add(bodyTimeout)) // the call goes on
+		_ = c.controller.SetReadDeadline(time.Now().Add(bodyTimeout)) // the deadline above must not end the call
 	}
 	return body, nil
 }
 
-// readAll reads a body. Memory for a large one is allocated as it arrives, not by the length that its header claims.
+// readAll reads a body. Memory for a large one is allocated as it arrives, because the length in the header may be
+// wrong.
 func readAll(body io.Reader, length int64) ([]byte, error) {
 	if length < 0 || length > largeBodyBytes {
 		return io.ReadAll(body)
@@ -129,7 +132,8 @@
 	return text, err
 }
 
-// handle calls the endpoint's handler, in contact with a majority if it needs that.
+// handle calls the endpoint's handler. If the endpoint needs contact with a majority, the lease must be held before and
+// after that.
 func (c *call) handle(body []byte) reply {
 	if c.endpoint.needsContact && !c.awaitContact(c.request.Context()) {
 		return errorReply(ErrNoContact)
@@ -144,13 +148,13 @@
 			"status", answer.status)
 	}
 	if c.endpoint.needsContact && !c.options.Lease.Held() && !mutants.On("httpapi/acknowledges-alone") {
-		return errorReply(ErrNoContact) // the process may have been suspended meanwhile
+		return errorReply(ErrNoContact) // the process may have been suspended in the meantime
 	}
 	return answer
 }
 
-// awaitContact tells whether this node is in contact with a majority. Just after the start it waits a little for
-// the first contact: all nodes may have started at once.
+// awaitContact reports whether this node is in contact with a majority. Just after the start it waits a little for
+// the first contact, because all nodes may have started at the same time.
 func (s *Server) awaitContact(ctx context.Context) bool {
 	lease := s.options.Lease
 	if lease.Held() || mutants.On("httpapi/acknowledges-alone") {
--- a/internal/control/httpapi/config.go
+++ b/internal/control/httpapi/config.go
@@ -8,13 +8,16 @@
 )
 
 const (
-	maxPatchBytes  = 28 << 20               // what a frame between control nodes holds
-	changeTimeout  = 850 * time.Millisecond // an operator waits for a second, and longer if the patch is long
-	timeoutPerItem = time.Millisecond       // more, for each item beyond shortPatch
-	shortPatch     = 100                    // items
+	// maxPatchBytes limits the body of a patch, because its items must fit into one frame between control nodes.
+	maxPatchBytes = 28 << 20
+	// changeTimeout limits a change or read of the configuration. Operators wait for one second for the answer to a
+	// short patch, and longer for that to a long one.
+	changeTimeout   = 850 * time.Millisecond
+	timeoutPerItem  = time.Millisecond // added to changeTimeout for each item beyond shortPatchItems
+	shortPatchItems = 100              // items of a patch that changeTimeout suffices for
 )
 
-// patchConfig has the items of a patch chosen by the voters. It answers 200 once they are on a majority of disks.
+// patchConfig proposes the items of a patch to the voters. It answers 200 once they are on a majority of the disks.
 func (s *Server) patchConfig(r *http.Request, body []byte) (reply, error) {
 	items, err := configuration.ReadPatch(body)
 	if err != nil {
@@ -23,7 +26,7 @@
 	if len(items) == 0 {
 		return okReply, nil
 	}
-	timeout := changeTimeout + timeoutPerItem*time.Duration(max(0, len(items)-shortPatch))
+	timeout := changeTimeout + timeoutPerItem*time.Duration(max(0, len(items)-shortPatchItems))
 	if err := s.options.Proposals.Change(r.Context(), items, timeout); err != nil {
 		return reply{}, err
 	}
--- a/internal/control/httpapi/counts.go
+++ b/internal/control/httpapi/counts.go
@@ -8,7 +8,7 @@
 	"mulleinrouter/internal/cluster/metrics"
 )
 
-// CallCounts counts answered calls by the class of their status; the index is the hundreds digit.
+// CallCounts counts answered calls by the class of their status. The index is the hundreds digit of the status.
 type CallCounts [6]atomic.Int64
 
 func (c *CallCounts) add(status int) {
--- a/internal/control/httpapi/doc.go
+++ b/internal/control/httpapi/doc.go
@@ -1,12 +1,13 @@
-// Package httpapi serves a control node's HTTP calls: those of servers (PUT and DELETE /instances/{id}) and of
-// operators (/config, /view, /members).
+// Package httpapi serves the HTTP calls of a control node: those of servers (PUT and DELETE /instances/{id}), of
+// operators (/config, /view, /members, /shards) and of applications (/locks, /numbers, /cells, /watch).
 //
-// server.go has the table of the endpoints, call.go what happens to a call before and after its handler (limits
-// on connections and bodies, contact with a majority), errors.go the status that an error is answered with. A
-// handler parses its body and hands typed values to the packages that do the work: config.go to proposals,
-// instances.go to instances, members.go to electorate. view.go has a body that operators get; those that they call with
-// a client of ours are in operatorapi. The package keeps no state but the counts of answers.
+// server.go has the table of endpoints. call.go applies what is common to all calls before and after the handler
+// (limits on connections and bodies, contact with a majority). errors.go maps an error to the status of its answer. A
+// handler parses its body and passes typed values to the package that does the work: config.go to proposals,
+// instances.go to instances, members.go to electorate, shards.go and applications.go to shards. view.go has the body of
+// GET /view; the bodies that the project's own client reads too are in operatorapi. The package keeps no state except
+// the counts of answers and the limit on large bodies.
 //
-// It imports package cluster's folders and control's packages. Its tests here are of bodies and errors; whole
-// nodes are tested in package control.
+// It imports packages of cluster and control. The tests here check bodies, errors and the table of endpoints; package
+// control tests whole nodes.
 package httpapi
--- a/internal/control/httpapi/endpoints_test.go
+++ b/internal/control/httpapi/endpoints_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// publishedCalls are the calls of the operators' pages that the address for control serves. One that no endpoint takes
-// is answered 404, which its caller may take for an answer: so locks once failed for weeks without a sign.
+// publishedCalls are the published calls that the control address serves. A call without an endpoint is answered 404,
+// which its caller may take for a valid answer. In this way locks once failed for weeks without being noticed.
 var publishedCalls = []string{
 	"PUT /instances/i", "DELETE /instances/i", "PATCH /config", "GET /config",
 	"POST /locks/l", "PUT /locks/l", "DELETE /locks/l", "POST /numbers/n",
--- a/internal/control/httpapi/errors.go
+++ b/internal/control/httpapi/errors.go
@@ -10,46 +10,47 @@
 	"mulleinrouter/internal/control/electorate"
 )
 
-// Error is an error that is answered with a status of its own.
+// Error is an error that carries the HTTP status of its answer.
 type Error struct {
-	Status  int    // of HTTP
-	Message string // for the caller: short, one line
+	Status  int    // HTTP status
+	Message string // text for the caller, one short line
 }
 
 func (e *Error) Error() string { return e.Message }
 
 var (
-	// ErrNotFound means that there is no such call.
+	// ErrNotFound means that no endpoint serves the call.
 	ErrNotFound = &Error{http.StatusNotFound, "no such call"}
 
-	// ErrNoContact means that this node has no majority lease: nothing that it knows or does may be relied upon.
+	// ErrNoContact means that this node has no majority lease: its state may be outdated, and its changes may be lost.
 	ErrNoContact = &Error{http.StatusServiceUnavailable, "no contact with a majority of the control nodes"}
 
 	// ErrTooManyCalls means that too many calls are in flight.
 	ErrTooManyCalls = &Error{http.StatusServiceUnavailable, "too many calls are in hand"}
 
-	// ErrTooManyLargeBodies means that the body could not be read yet, for other large ones are being read.
+	// ErrTooManyLargeBodies means that the body was not read because maxLargeBodies others are being read or
+	// handled.
 	ErrTooManyLargeBodies = &Error{http.StatusServiceUnavailable, "other large calls are being read"}
 
 	// ErrBodyTooLong means that the body is longer than the call allows.
 	ErrBodyTooLong = &Error{http.StatusRequestEntityTooLarge, "the body is too long"}
 
-	// ErrBodyTimeout means that the body did not arrive in time. It says nothing about its contents: the call may
-	// be retried.
+	// ErrBodyTimeout means that the body did not arrive in time. The call may be retried, because the error says
+	// nothing about the contents of the body.
 	ErrBodyTimeout = &Error{http.StatusRequestTimeout, "the body did not come in time"}
 
 	// ErrBodyIncomplete means that the connection ended before the body did.
 	ErrBodyIncomplete = &Error{http.StatusBadRequest, "the body did not come"}
 
-	// ErrNotPersisted means that a departure is not on enough disks yet.
+	// ErrNotPersisted means that the departure of a server is not on enough disks yet.
 	ErrNotPersisted = &Error{http.StatusServiceUnavailable, "not on enough disks yet"}
 )
 
-// badRequest is the error of a call that is invalid by itself.
+// badRequest returns the error of a call that is invalid whatever the state of the node.
 func badRequest(message string) error { return &Error{http.StatusBadRequest, message} }
 
-// statusOf is the status that an error is answered with. An error of no known type means that the call has had
-// no certain effect, and may be retried, at another node as well.
+// statusOf is the status that an error is answered with. An error of unknown type gets 503, which means that it is
+// uncertain whether the call took effect and that it may be retried, also on another node.
 func statusOf(err error) int {
 	var own *Error
 	var rejection *configuration.RejectionError
@@ -65,7 +66,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// messageOf is the text of an error for the caller.
+// messageOf is the text for the caller of an error.
 func messageOf(err error) string {
 	var rejection *configuration.RejectionError
 	if errors.As(err, &rejection) {
@@ -74,12 +75,12 @@
 	return err.Error()
 }
 
-// errorBody is the body of an answer that is not 200.
+// errorBody is the body of an answer whose status is not 200.
 type errorBody struct {
 	Message string `json:"message"`
 }
 
-// reply is the answer to a call: a status and a body of JSON.
+// reply is the answer to a call. The body is JSON.
 type reply struct {
 	status int
 	body   []byte
@@ -96,7 +97,7 @@
 	return reply{statusOf(err), body}
 }
 
-// jsonReply is an indented body.
+// jsonReply is an answer with status 200 and an indented body.
 func jsonReply(body any) (reply, error) {
 	text, err := json.MarshalIndent(body, "", "  ")
 	if err != nil {
--- a/internal/control/httpapi/errors_test.go
+++ b/internal/control/httpapi/errors_test.go
@@ -12,7 +12,7 @@
 	"mulleinrouter/internal/control/proposals"
 )
 
-// The status and the body of an answer follow from the error's type, also where it is wrapped.
+// The status and the body of an answer follow from the type of the error, also if it is wrapped.
 func TestErrorReply(t *testing.T) {
 	rejection := &configuration.RejectionError{Status: http.StatusConflict, Text: "another content"}
 	for _, test := range []struct {
--- a/internal/control/httpapi/instances.go
+++ b/internal/control/httpapi/instances.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	maxHeartbeatBytes  = 4 << 10
-	maxIDLength        = 256
-	maxCapacity        = 1 << 16
-	maxSlowStart       = 600.0 // seconds
-	millisecondsPerSec = 1000
+	maxHeartbeatBytes     = 4 << 10
+	maxIDLength           = 256     // bytes
+	maxCapacity           = 1 << 16 // concurrent requests
+	maxSlowStartSeconds   = 600.0
+	millisecondsPerSecond = 1000
 )
 
 // heartbeatBody is the body of PUT /instances/{id}.
 type heartbeatBody struct {
-	Address string `json:"address"` // IP address and port
+	Address string `json:"address"` // IP address with port
 	Summary struct {
-		Backend    string `json:"backend"` // service
+		Backend    string `json:"backend"` // name of the service
 		Generation string `json:"generation"`
 		Zone       string `json:"zone"`
-		Capacity   int    `json:"capacity"` // requests at once
+		Capacity   int    `json:"capacity"` // concurrent requests
 	} `json:"summary"`
 	Observed struct {
 		Phase       string  `json:"phase"` // "serving" or "draining"
 		CallSeq     uint64  `json:"callSeq"`
-		SlowStartMs float64 `json:"coldLeftMs"` // until its slow start ends, in milliseconds
+		SlowStartMs float64 `json:"coldLeftMs"` // time until the slow start ends, milliseconds
 	} `json:"observed"`
 }
 
-// parseInstance reads and checks a server's heartbeat. Clock is the common clock of the control nodes. "Call" in the
-// names of this protocol is a heartbeat or a DELETE of a server; calls of operators are named as such.
+// parseInstance parses and checks a server's heartbeat. The clock is the common clock of the control nodes. In the
+// names of this protocol, such as callSeq, a "call" is a heartbeat or a DELETE of a server.
 func parseInstance(id string, body []byte, clock *replication.Clock) (registry.Instance, error) {
 	var none registry.Instance
 	if id == "" || len(id) > maxIDLength {
@@ -72,8 +72,8 @@
 	if instance.Capacity < 0 || instance.Capacity > maxCapacity {
 		return none, badRequest("capacity: out of bounds")
 	}
-	if slowStart := b.Observed.SlowStartMs / millisecondsPerSec; slowStart > 0 {
-		instance.SlowStartUntil = clock.Now() + min(slowStart, maxSlowStart)
+	if slowStart := b.Observed.SlowStartMs / millisecondsPerSecond; slowStart > 0 {
+		instance.SlowStartUntil = clock.Now() + min(slowStart, maxSlowStartSeconds)
 	}
 	if !instance.Valid() {
 		return none, badRequest("not a proper line")
@@ -81,8 +81,8 @@
 	return instance, nil
 }
 
-// putInstance records a heartbeat. That the server drains is acknowledged only once it can't be lost; agents
-// hear of it at once.
+// putInstance records a heartbeat. If the server drains, agents are notified at once, but the heartbeat is acknowledged
+// only when enough disks hold the departure, so that it can't be lost.
 func (s *Server) putInstance(r *http.Request, body []byte) (reply, error) {
 	instance, err := parseInstance(r.PathValue("id"), body, s.options.Clock)
 	if err != nil {
@@ -108,7 +108,7 @@
 	return s.acknowledgeDeparture(r, instance)
 }
 
-// acknowledgeDeparture waits until a departing instance is on enough disks.
+// acknowledgeDeparture waits until enough disks hold the departure of an instance.
 func (s *Server) acknowledgeDeparture(r *http.Request, instance registry.Instance) (reply, error) {
 	ctx, cancel := context.WithTimeout(r.Context(), instances.DepartureTimeout)
 	defer cancel()
--- a/internal/control/httpapi/server.go
+++ b/internal/control/httpapi/server.go
@@ -28,11 +28,11 @@
 const (
 	readHeaderTimeout = 2 * time.Second
 	idleTimeout       = 5 * time.Second
-	maxHeaderBytes    = 8 << 10
-	maxLargeBodies    = 2 // large bodies that are read or handled at once
+	maxHeaderBytes    = 8 << 10 // of one request
+	maxLargeBodies    = 2       // large bodies that may be read or handled at once; bounds the memory for them
 )
 
-// Proposals has changes of the configuration chosen by the voters (proposals.Queue).
+// Proposals submits changes of the configuration to the voters (proposals.Queue).
 type Proposals interface {
 	Change(ctx context.Context, items []configuration.Item, timeout time.Duration) error
 	Read(timeout time.Duration) error
@@ -47,10 +47,10 @@
 type Coordination interface {
 	Do(ctx context.Context, request coordination.Request) (coordination.Result, error)
 	Status() []operatorapi.Shard
-	Transfer(shard uint32, to string) error // a *shards.TransferError: refused
+	Transfer(shard uint32, to string) error // returns a *shards.TransferError if the transfer is refused
 }
 
-// Options is what a Server is made of.
+// Options are the settings and dependencies of a Server.
 type Options struct {
 	Self        string // own control address
 	Instances   *instances.Registry
@@ -61,27 +61,27 @@
 	Lease       *majority.Lease
 	Connections *connlimit.Gate
 	Clock       *replication.Clock
-	// Coordination answers applications; nil: their calls are unknown here.
+	// Coordination answers applications. If it is nil, their calls and those about shards are unknown.
 	Coordination Coordination
-	Started      time.Time   // of this process
-	View         func() View // for GET /view
-	// Member is a control node as this one sees it, by its control address, beside a configuration of an epoch.
+	Started      time.Time   // start of this process
+	View         func() View // returns the body of GET /view
+	// Member returns what this node knows of the control node at an address. Its EpochsBehind counts from the epoch.
 	Member func(addr string, epoch uint64) operatorapi.Member
 	Log    log.Logger
 }
 
-// Server serves the calls of servers and operators.
+// Server serves the calls of servers, operators and applications.
 type Server struct {
 	options     Options
 	log         log.Logger
-	largeBodies chan struct{} // holds one value for each large body that is read or handled
+	largeBodies chan struct{} // semaphore with one value for each large body that is being read or handled
 
 	// OperatorCalls, ServerCalls and ApplicationCalls count the answers.
 	OperatorCalls    CallCounts
 	ServerCalls      CallCounts
 	ApplicationCalls CallCounts
-	UnknownCalls     atomic.Int64 // calls that no endpoint takes
-	unknownLogged    atomic.Bool  // the first of them was logged
+	UnknownCalls     atomic.Int64 // calls that no endpoint serves
+	unknownLogged    atomic.Bool  // whether the first unknown call has been logged
 }
 
 // New makes a server. HTTPServer serves its calls.
@@ -103,11 +103,11 @@
 	pattern      string // method and path
 	maxBody      int64  // bytes
 	caller       caller
-	needsContact bool // is answered only with a majority lease, held both when it comes and when it is answered
+	needsContact bool // the majority lease must be held both when the call arrives and when it is answered
 	handle       func(*Server, *http.Request, []byte) (reply, error)
 }
 
-// endpoints is the table of all calls.
+// endpoints are the calls of servers and operators, except those about shards.
 var endpoints = []endpoint{
 	{pattern: "PUT /instances/{id}", maxBody: maxHeartbeatBytes, needsContact: true, handle: (*Server).putInstance},
 	{pattern: "DELETE /instances/{id}", maxBody: maxHeartbeatBytes, needsContact: true,
@@ -146,8 +146,8 @@
 	}
 }
 
-// serverLog takes the log of an http.Server. The adapter of the log's library would take a part of a line that ends
-// with a port for the name of a file.
+// serverLog is the destination of the http.Server's log. The adapter of the logging library is not used, because it
+// takes a part of a line that ends with a port for a file name.
 type serverLog struct{ log log.Logger }
 
 // Write logs a line.
@@ -170,15 +170,15 @@
 			h.Set("Content-Type", "application/json")
 			h.Set("Content-Length", strconv.Itoa(len(answer.body)))
 			w.WriteHeader(answer.status)
-			_, _ = w.Write(answer.body) // a caller that does not get it calls again
+			_, _ = w.Write(answer.body) // a caller that does not get the answer retries
 		})
 	}
 	mux.HandleFunc("/", s.rejectUnknown)
 	return mux
 }
 
-// rejectUnknown answers a call that no endpoint takes. Callers that need such a call see nothing but failures, so it is
-// counted, and the first one is logged.
+// rejectUnknown answers a call that no endpoint serves. Such calls are counted and the first one is logged, because all
+// calls of that kind fail.
 func (s *Server) rejectUnknown(w http.ResponseWriter, r *http.Request) {
 	s.UnknownCalls.Add(1)
 	if !s.unknownLogged.Swap(true) {
@@ -190,7 +190,7 @@
 	_, _ = w.Write(answer.body)
 }
 
-// callCounts is where the answers of an endpoint are counted.
+// callCounts returns the counter for the answers of an endpoint.
 func (s *Server) callCounts(e endpoint) *CallCounts {
 	switch e.caller {
 	case byOperator:
--- a/internal/control/httpapi/shards.go
+++ b/internal/control/httpapi/shards.go
@@ -23,7 +23,7 @@
 	return jsonReply(operatorapi.Shards{Shards: s.options.Coordination.Status()})
 }
 
-// transferShard has this node hand a shard over.
+// transferShard transfers the lease of a shard from this node to another voter.
 func (s *Server) transferShard(_ *http.Request, body []byte) (reply, error) {
 	var transfer operatorapi.Transfer
 	if json.Unmarshal(body, &transfer) != nil || transfer.To == "" {
--- a/internal/control/ingresslease/table.go
+++ b/internal/control/ingresslease/table.go
@@ -11,29 +11,31 @@
 
 const (
 	leaseDuration = 2 * time.Second
-	settleTime    = 1500 * time.Millisecond // of a term of contact, by which all holders have renewed here
-	maxLeases     = 1 << 14
+	// initialRenewalPeriod is the time from the start of a term of contact in which only the lower bound is counted,
+	// because some holders may not have renewed their leases here yet.
+	initialRenewalPeriod = 1500 * time.Millisecond
+	maxLeases            = 1 << 14 // bounds memory; further ingresses get no lease
 
-	// MaxNameLength is the limit in bytes on the names by which nodes identify themselves and their zones.
+	// MaxNameLength limits the names of nodes and zones, in bytes.
 	MaxNameLength = 4096
 )
 
-// Table is the leases of the ingresses that subscribe to this node. The zero value is an empty table. It is safe
+// Table holds the leases of the ingresses that subscribe to this node. The zero value is an empty table. It is safe
 // for concurrent use.
 type Table struct {
 	mu      sync.Mutex       // guards leases and changed
-	leases  map[string]lease // by the ingress' node name
-	changed bool             // since the ranks were last computed
+	leases  map[string]lease // by node name of the ingress
+	changed bool             // whether the ranks must be computed again
 
 	published  atomic.Int64
-	lowerBound atomic.Int64 // the count known before this term of contact
+	lowerBound atomic.Int64 // count from before this term of contact
 	ranks      atomic.Pointer[map[string]zoneRank]
 }
 
 type lease struct {
 	incarnation uint64
 	renewedAt   time.Time
-	ready       bool
+	ready       bool // whether the ingress takes requests
 	zone        string
 }
 
@@ -43,7 +45,7 @@
 	peers int
 }
 
-// Renew renews the lease of a subscriber; ready: it takes requests.
+// Renew renews the lease of a subscriber. Ready means that it takes requests.
 func (t *Table) Renew(hello *transport.Hello, ready bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,7 +67,7 @@
 	}
 }
 
-// countReady is the number of ready ingresses whose leases hold. Expired leases are dropped.
+// countReady returns the number of ready ingresses whose leases are valid, and removes expired leases.
 func (t *Table) countReady(now time.Time) (count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,7 +82,7 @@
 	return count
 }
 
-// Restore sets the count that was stored on disk as the lower bound.
+// Restore sets the lower bound to the count that was stored on disk.
 func (t *Table) Restore(count int) { t.lowerBound.Store(int64(count)) }
 
 // BeginTerm makes the published count the lower bound for a new term of contact.
@@ -90,27 +92,27 @@
 	}
 }
 
-// Count is the number of ready ingresses in a term of contact that began at termStart. Until all have had the
-// time to renew their leases here, it is not below the lower bound: parts of quotas that are too large cannot be
-// taken back. 0: unknown.
+// Count is the number of ready ingresses in a term of contact that began at termStart; 0: unknown. Until all
+// ingresses have had time to renew their leases here, it is not below the lower bound, because shares of quotas that
+// are too large cannot be revoked.
 func (t *Table) Count(now, termStart time.Time) int64 {
 	count := int64(t.countReady(now))
 	switch elapsed := now.Sub(termStart); {
-	case elapsed < settleTime:
+	case elapsed < initialRenewalPeriod:
 		return t.lowerBound.Load()
-	case elapsed < settleTime+2*leaseDuration:
+	case elapsed < initialRenewalPeriod+2*leaseDuration:
 		return max(count, t.lowerBound.Load())
 	}
 	return count
 }
 
-// Publish sets the count that Published returns, and tells whether it differs from before.
+// Publish sets the count that Published returns, and reports whether it has changed.
 func (t *Table) Publish(count int64) (changed bool) { return t.published.Swap(count) != count }
 
 // Published is the count that was published last.
 func (t *Table) Published() int64 { return t.published.Load() }
 
-// UpdateRanks computes the ranks anew if leases were granted, expired or became ready since.
+// UpdateRanks computes the ranks again if an ingress has got a lease, lost it or changed its readiness since.
 func (t *Table) UpdateRanks() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -140,7 +142,7 @@
 	return ranks
 }
 
-// Rank is the position of an ingress in its zone as of the last UpdateRanks; 0 peers: unknown.
+// Rank is the position of an ingress in its zone as of the last UpdateRanks. If peers is 0, it is unknown.
 func (t *Table) Rank(node string) (rank, peers int) {
 	ranks := t.ranks.Load()
 	if ranks == nil {
--- a/internal/control/ingresslease/table_test.go
+++ b/internal/control/ingresslease/table_test.go
@@ -27,13 +27,13 @@
 			table.Renew(&transport.Hello{Node: strings.Repeat("n", MaxNameLength+1), Zone: "z"}, true)
 		}
 		renew()
-		check("before the leases have settled", 5)
-		time.Sleep(settleTime)
+		check("in the initial renewal period", 5)
+		time.Sleep(initialRenewalPeriod)
 		renew()
 		check("while the count from before is a lower bound", 5)
 		time.Sleep(2 * leaseDuration)
 		renew()
-		check("settled, ready ones only", 2)
+		check("after the lower bound has expired, ready ingresses only", 2)
 		table.UpdateRanks()
 		for rank, node := range []string{"a", "b"} {
 			if got, peers := table.Rank(node); got != rank || peers != 2 {
