--- a/internal/control/operatorapi/bodies.go
+++ b/internal/control/operatorapi/bodies.go
@@ -2,26 +2,26 @@
 
 // Members is the body of GET /members.
 type Members struct {
-	Epoch      uint64   `json:"epoch"`         // of the configuration here
-	SinceEpoch uint64   `json:"sinceEpoch"`    // that made these the voters; 0: the first start
-	AgeSeconds float64  `json:"standsSeconds"` // for which they have been the voters, as seen by this node
-	Wanted     int      `json:"wanted"`        // voters that tolerate the configured losses
-	Contact    bool     `json:"contact"`       // this node is in contact with a majority of them
+	Epoch      uint64   `json:"epoch"`         // of the configuration of the node that answers
+	SinceEpoch uint64   `json:"sinceEpoch"`    // epoch in which these became the voters; 0: the first start
+	AgeSeconds float64  `json:"standsSeconds"` // seconds for which this node has known these voters
+	Wanted     int      `json:"wanted"`        // number of voters that tolerates the configured losses
+	Contact    bool     `json:"contact"`       // whether the node is in contact with a majority of them
 	Voters     []Member `json:"voters"`
 	Learners   []Member `json:"learners"`
 }
 
-// Member is a control node as another sees it.
+// Member is what one control node knows of another, or of itself.
 type Member struct {
 	Addr               string  `json:"at"` // control address
 	Zone               string  `json:"zone,omitempty"`
-	Disk               string  `json:"disk,omitempty"`  // of a voter: the disk that holds its vote, in hexadecimal
-	LastContactSeconds float64 `json:"heardSecondsAgo"` // since its last update, or its answer to a ping; -1: never
-	EpochsBehind       uint64  `json:"behind"`          // the node that answers
-	Up                 bool    `json:"up"`              // it is connected and has answered recently
-	// DiskReplaced tells that the node that answers is listed with a disk that it has lost.
+	Disk               string  `json:"disk,omitempty"`  // id of the disk that holds a voter's vote, in hexadecimal
+	LastContactSeconds float64 `json:"heardSecondsAgo"` // seconds since its last update or ping answer; -1: none yet
+	EpochsBehind       uint64  `json:"behind"`          // epochs by which it is behind the node that answers
+	Up                 bool    `json:"up"`              // whether it is connected and has answered recently
+	// DiskReplaced means that the node that answers is listed as a voter with a disk that it no longer has.
 	DiskReplaced bool `json:"otherDisk,omitempty"`
-	Self         bool `json:"thisControl,omitempty"` // the node that answers
+	Self         bool `json:"thisControl,omitempty"` // whether it is the node that answers
 }
 
 // Replacement is the body of POST /members/replace. Both are control addresses.
@@ -35,31 +35,34 @@
 	Shards []Shard `json:"shards"`
 }
 
-// Shard is a shard of locks, numbers and cells, as one control node sees it.
+// Shard is what one control node knows of a shard of locks, numbers and cells.
 type Shard struct {
-	Number      uint32    `json:"shard"`
-	Leaseholder string    `json:"leaseholder"` // control address; empty: unknown there
-	Term        uint64    `json:"term"`
-	Batch       uint64    `json:"batch"`                // number of the last batch there
-	Lease       bool      `json:"lease"`                // the node that answers holds it
-	LeaseAgeMs  int64     `json:"leaseAgeMs,omitempty"` // since the newest message was sent that a majority answered
-	Locks       int       `json:"locks,omitempty"`      // this and the rest: as the leaseholder has them
-	Numbers     int       `json:"numbers,omitempty"`
-	Cells       int       `json:"cells,omitempty"`
-	Events      int       `json:"events,omitempty"`
-	Replicas    []Replica `json:"replicas"`
+	Number      uint32 `json:"shard"`
+	Leaseholder string `json:"leaseholder"` // control address; empty: unknown to the node that answers
+	Term        uint64 `json:"term"`
+	Batch       uint64 `json:"batch"` // number of the node's last batch
+	Lease       bool   `json:"lease"` // whether the node that answers holds the lease
+	// LeaseAgeMs is the time since the newest message that a majority has answered was sent, in milliseconds.
+	LeaseAgeMs int64 `json:"leaseAgeMs,omitempty"`
+	// The counts of locks, numbers, cells and events are known to the leaseholder only.
+	Locks    int       `json:"locks,omitempty"`
+	Numbers  int       `json:"numbers,omitempty"`
+	Cells    int       `json:"cells,omitempty"`
+	Events   int       `json:"events,omitempty"`
+	Replicas []Replica `json:"replicas"`
 }
 
 // Replica is a replica of a shard.
 type Replica struct {
 	Addr    string `json:"at"` // control address
 	Learner bool   `json:"learner,omitempty"`
-	// Behind is the batches that it has not confirmed to the leaseholder; -1: the node that answers is not that.
+	// Behind is the number of batches that it has not confirmed to the leaseholder; -1: the node that answers is not
+	// the leaseholder.
 	Behind int64 `json:"behind"`
 }
 
-// Transfer is the body of POST /shards/transfer: the leaseholder, which must be called, hands a shard over.
+// Transfer is the body of POST /shards/transfer. The call must go to the leaseholder, which transfers its lease.
 type Transfer struct {
 	Shard uint32 `json:"shard"`
-	To    string `json:"to"` // control address
+	To    string `json:"to"` // control address of another voter
 }
--- a/internal/control/operatorapi/client.go
+++ b/internal/control/operatorapi/client.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	requestTimeout   = 5 * time.Second
-	maxResponseBytes = 1 << 20
+	requestTimeout   = 5 * time.Second // for the connection, the call and its response
+	maxResponseBytes = 1 << 20         // further bytes of a response are not read
 )
 
 // Client calls one control node.
 type Client struct {
-	Addr string // control address of the node, host:port
+	Addr string // control address of the node, as host:port
 }
 
-// Members asks for the voters and learners, and returns the body as the node sent it: a newer node may send more than
-// Members has. Errors are *RejectedError, or those of the connection.
+// Members gets the voters and learners. It returns the body as the node sent it, because a newer node may send fields
+// that the type Members lacks. Errors are *RejectedError or those of the connection.
 func (c Client) Members() ([]byte, error) { return c.call(http.MethodGet, "/members", nil) }
 
-// Replace has a learner take the place of a voter. It returns once the change is chosen. Errors are those of Members.
+// Replace replaces a voter by a learner. It returns once the change is chosen. Errors are those of Members.
 func (c Client) Replace(r Replacement) error {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -32,10 +32,10 @@
 	return err
 }
 
-// Shards asks for the shards as the node sees them. Errors are those of Members.
+// Shards gets what the node knows of the shards, as the body that it sent. Errors are those of Members.
 func (c Client) Shards() ([]byte, error) { return c.call(http.MethodGet, "/shards", nil) }
 
-// Transfer has the node hand a shard over. Errors are those of Members.
+// Transfer makes the node transfer the lease of a shard to another voter. Errors are those of Members.
 func (c Client) Transfer(t Transfer) error {
 	body, err := json.Marshal(t)
 	if err != nil {
--- a/internal/control/operatorapi/doc.go
+++ b/internal/control/operatorapi/doc.go
@@ -1,7 +1,7 @@
-// Package operatorapi is what a control node and its callers share of the operators' calls on voters: the bodies of
-// GET /members and POST /members/replace, and a client of both.
+// Package operatorapi has what control nodes and their callers share of the operators' calls on voters and shards: the
+// bodies of /members, /members/replace, /shards and /shards/transfer, and a client for these calls.
 //
-// bodies.go has the bodies, client.go the client, errors.go what a node rejects a call with. The package has no state
-// and imports nothing of the project, so that a caller does not link a control node: httpapi serves the calls,
-// operatorcommand makes them. The tests of both cover it.
+// bodies.go has the bodies, client.go the client, errors.go the error of a call that a node rejects. The package has no
+// state. It imports nothing else of the project, so that its callers do not link a control node. httpapi serves the
+// calls and operatorcommand makes them; the tests of both cover this package.
 package operatorapi
--- a/internal/control/operatorcommand/doc.go
+++ b/internal/control/operatorcommand/doc.go
@@ -1,7 +1,8 @@
-// Package operatorcommand is the operators' commands on voters and learners, as kong parses them: the program control
-// and the command line mulleinrouter both have them.
+// Package operatorcommand has the operators' commands on voters, learners and shards, in the form that kong parses. The
+// program control and the command line mulleinrouter share them.
 //
-// members.go prints the voters and learners, replace.go replaces a voter, target.go finds the control node that is
-// asked. Commands have no state; they write to the io.Writer that the program binds. The package imports cluster's
-// commandline (settings files, forms of output) and operatorapi, which makes the calls. Its tests are beside it.
+// members.go prints the voters and learners, replace.go replaces a voter, shards.go prints the shards and transfers
+// one, and target.go finds the control node to call. Commands have no state. They write to the io.Writer that the
+// program binds. The package imports cluster/commandline (settings files, output formats) and operatorapi, which makes the
+// calls. operatorcommand_test.go tests it against an HTTP server.
 package operatorcommand
--- a/internal/control/operatorcommand/members.go
+++ b/internal/control/operatorcommand/members.go
@@ -16,7 +16,7 @@
 	AsJSON bool `name:"json" hidden:"" help:"Earlier form of --output json."`
 }
 
-// Run asks the control node, and prints its answer: as JSON as it came, or as a table.
+// Run calls the control node, and prints its answer as a table, or unchanged if JSON was requested.
 func (m *Members) Run(out io.Writer) error {
 	client, err := m.client()
 	if err != nil {
@@ -56,7 +56,7 @@
 	return table.Flush()
 }
 
-// writeMember writes the row of a control node.
+// writeMember writes the table row of a control node.
 func writeMember(out io.Writer, role string, m operatorapi.Member) {
 	state, heard := "silent", "never"
 	switch {
--- a/internal/control/operatorcommand/operatorcommand_test.go
+++ b/internal/control/operatorcommand/operatorcommand_test.go
@@ -16,7 +16,8 @@
 	"mulleinrouter/internal/control/operatorapi"
 )
 
-// membersBody is what a control node answers; its last key is one that these programs do not know.
+// membersBody is the answer of a control node. Its last key is one that these commands do not know, as a newer node may
+// send.
 const membersBody = `{"epoch":3,"sinceEpoch":2,"standsSeconds":9.2,"wanted":3,"contact":true,` +
 	`"voters":[{"at":"10.0.0.1:80","zone":"z1","heardSecondsAgo":0,"behind":0,"up":true,"thisControl":true},` +
 	`{"at":"10.0.0.2:80","zone":"z2","heardSecondsAgo":4.1,"behind":0,"up":false}],` +
@@ -30,7 +31,7 @@
 learner  10.0.0.3:80  z3    up       7       never
 `
 
-// shardsBody is what a control node answers that holds the lease of one shard.
+// shardsBody is the answer of a control node that holds the lease of one shard.
 const shardsBody = `{"shards":[{"shard":0,"leaseholder":"10.0.0.1:80","term":4,"batch":91,"lease":true,` +
 	`"leaseAgeMs":120,"locks":2,"cells":7,"replicas":[{"at":"10.0.0.1:80","behind":0},` +
 	`{"at":"10.0.0.2:80","learner":true,"behind":3}]},{"shard":1,"leaseholder":"","term":2,"batch":5,"lease":false,` +
@@ -42,7 +43,8 @@
 1      2     unknown      elsewhere   0      0        0      10.0.0.1:80            ?
 `
 
-// newControlNode serves the two calls, and rejects the replacement of any voter but 10.0.0.2:80.
+// newControlNode serves the operators' calls. It accepts one replacement, of 10.0.0.2:80 by 10.0.0.3:80, and one
+// transfer, of shard 3 to 10.0.0.2:80, and rejects all others.
 func newControlNode(t *testing.T) (addr string) {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -65,7 +67,7 @@
 	return server.Listener.Addr().String()
 }
 
-// run runs a command line, in which ADDR stands for the control node's address.
+// run runs a command line after replacing ADDR by the address of the control node.
 func run(t *testing.T, addr, line string) (string, error) {
 	t.Helper()
 	var commands struct {
@@ -113,7 +115,7 @@
 	}
 }
 
-// Settings that cannot be used have an error of their own: it decides the exit code.
+// Unusable settings cause a SettingsError, because the exit code depends on the type of the error.
 func TestUnusableSettings(t *testing.T) {
 	var unusable *commandline.SettingsError
 	if _, err := run(t, "", "members -c "+filepath.Join(t.TempDir(), "none")); !errors.As(err, &unusable) {
--- a/internal/control/operatorcommand/replace.go
+++ b/internal/control/operatorcommand/replace.go
@@ -7,14 +7,14 @@
 	"mulleinrouter/internal/control/operatorapi"
 )
 
-// Replace has a learner take the place of a voter.
+// Replace replaces a voter by a learner.
 type Replace struct {
 	Target `embed:""`
 	Out    string `arg:"" help:"Control address of the voter that goes."`
 	In     string `arg:"" help:"Control address of the learner that comes."`
 }
 
-// Run makes the call, and says so once the change is chosen.
+// Run makes the call, and prints a line once the change is chosen.
 func (r *Replace) Run(out io.Writer) error {
 	client, err := r.client()
 	if err != nil {
--- a/internal/control/operatorcommand/shards.go
+++ b/internal/control/operatorcommand/shards.go
@@ -11,13 +11,13 @@
 	"mulleinrouter/internal/control/operatorapi"
 )
 
-// Shards prints who holds the lease of each shard of locks, numbers and cells, and how far behind its replicas are.
+// Shards prints the leaseholder of each shard of locks, numbers and cells, and how far behind its replicas are.
 type Shards struct {
 	Target `embed:""`
 	commandline.OutputFlag
 }
 
-// Run asks the control node, and prints its answer: as JSON as it came, or as a table.
+// Run calls the control node, and prints its answer as a table, or unchanged if JSON was requested.
 func (s *Shards) Run(out io.Writer) error {
 	client, err := s.client()
 	if err != nil {
@@ -63,7 +63,7 @@
 	return table.Flush()
 }
 
-// TransferShard has the leaseholder of a shard hand it to another voter.
+// TransferShard makes the leaseholder of a shard transfer its lease to another voter.
 type TransferShard struct {
 	Target `embed:""`
 	Shard  uint32 `arg:"" help:"Number of the shard."`
--- a/internal/control/operatorcommand/target.go
+++ b/internal/control/operatorcommand/target.go
@@ -5,7 +5,7 @@
 	"mulleinrouter/internal/control/operatorapi"
 )
 
-// Target is the control node that is called.
+// Target selects the control node to call.
 type Target struct {
 	File string `short:"c" placeholder:"FILE" help:"Settings file of a control node. Default: the one that ${variable} names."` //nolint:lll // a tag is one line
 	At   string `help:"Ask this control address instead of the one in the settings." placeholder:"HOST:PORT"`
