--- a/internal/control/instances/departures.go
+++ b/internal/control/instances/departures.go
@@ -37,7 +37,7 @@
 		return false
 	}
 	d.Registry.Merge(instances)
-	return replica.Synced(d.Registry.PersistDepartures(disk, IDs(instances)...), 0)
+	return replica.AwaitSync(d.Registry.PersistDepartures(disk, IDs(instances)...), 0)
 }
 
 // Replicate stores a departing instance on the disks of voters, and returns true once it is on one more than may
--- a/internal/control/proposals/compose.go
+++ b/internal/control/proposals/compose.go
@@ -10,15 +10,17 @@
 	"mulleinrouter/internal/mutants"
 )
 
-const maxBatchBytes = 1 << 20 // of items in one proposal, about; the first change may be longer
+// maxBatchBytes is the approximate limit on the items of one proposal. The first change may be longer by itself.
+const maxBatchBytes = 1 << 20
 
-// ElectorateChange changes the electorate from the one that was evaluated to other voters.
+// ElectorateChange replaces the voters. It applies only to the electorate for which it was planned.
 type ElectorateChange struct {
-	From consensus.Electorate
+	From consensus.Electorate // electorate for which the change was planned
 	To   []consensus.Voter
 }
 
-// evaluate evaluates the change upon the present base: nil voters and no error mean that it has been made already.
+// evaluate returns the voters to propose upon the present base. Nil voters without an error mean that the change has
+// been made already.
 func (e *ElectorateChange) evaluate(base consensus.Base) ([]consensus.Voter, error) {
 	switch {
 	case slices.Equal(base.Electorate.Voters, e.To):
@@ -29,7 +31,8 @@
 	return e.To, nil
 }
 
-// compose chooses what to propose, and answers the changes that are decided without it. It returns those that are left.
+// compose chooses the next proposal, and answers the changes that are decided without one. It returns the undecided
+// changes.
 func (q *Queue) compose(action consensus.Action, changes []*pendingChange) (consensus.Action, []*pendingChange) {
 	base, snapshot := q.replica.Base()
 	changes = slices.DeleteFunc(changes, (*pendingChange).isAbandoned)
@@ -49,7 +52,7 @@
 	return next, left
 }
 
-// itemsForEpoch returns copies of the items of each change, marked with the epoch that they would make.
+// itemsForEpoch returns copies of the items of each change, marked with the epoch in which they would be chosen.
 func itemsForEpoch(changes []*pendingChange, epoch uint64) [][]configuration.Item {
 	all := make([][]configuration.Item, len(changes))
 	for n, c := range changes {
@@ -61,8 +64,8 @@
 	return all
 }
 
-// answerDecided answers the changes that are rejected or applied already, notes those that go with the proposal,
-// and returns all that are undecided.
+// answerDecided answers the changes that are rejected or applied already, records in q.included those that are part of
+// the proposal, and returns all undecided ones.
 func (q *Queue) answerDecided(changes []*pendingChange, verdicts []consensus.Verdict) (undecided []*pendingChange) {
 	q.included = nil
 	for n, verdict := range verdicts {
@@ -86,7 +89,7 @@
 	return undecided
 }
 
-// composeElectorateChange proposes a change of the electorate by itself; changes that wait beside it come after.
+// composeElectorateChange proposes a change of the electorate alone. Other waiting changes are proposed after it.
 func (q *Queue) composeElectorateChange(
 	action consensus.Action, changes []*pendingChange, c *pendingChange, base consensus.Base,
 ) (consensus.Action, []*pendingChange) {
@@ -103,7 +106,7 @@
 	return q.proposer.Composed(action.Attempt, base, nil, voters), changes
 }
 
-// apply applies a chosen change, answers those whose changes it includes, and notifies the other nodes.
+// apply applies a chosen proposal, answers the changes that it includes, and notifies the other nodes.
 func (q *Queue) apply(action consensus.Action) consensus.Action {
 	p := action.Proposal
 	base := q.replica.Choose(p)
--- a/internal/control/proposals/compose_test.go
+++ b/internal/control/proposals/compose_test.go
@@ -20,9 +20,9 @@
 		voters  []consensus.Voter
 		err     error
 	}{
-		{"as it was evaluated", first, second.Voters, nil},
-		{"made already", second, nil, nil},
-		{"changed meanwhile", other, nil, ErrElectorateChanged},
+		{"electorate unchanged", first, second.Voters, nil},
+		{"change made already", second, nil, nil},
+		{"electorate changed otherwise", other, nil, ErrElectorateChanged},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			voters, err := change.evaluate(consensus.Base{Electorate: test.present})
--- a/internal/control/proposals/doc.go
+++ b/internal/control/proposals/doc.go
@@ -1,12 +1,13 @@
-// Package proposals queues changes of the configuration at the control node that received them, and has them chosen by
-// the voters. There is no leader: several nodes may do so at once, and the ballots of package consensus order them.
+// Package proposals queues changes of the configuration at the control node that received them, and proposes them to
+// the voters. There is no leader. Several nodes may propose at the same time, and the ballots of package consensus
+// order their proposals.
 //
-// Queue runs a consensus.Proposer, one run after the other, in one goroutine: it carries out the proposer's
-// actions (queue.go has the queue, run.go a run, rounds.go the messages to voters, compose.go the choice of what
-// to propose) and feeds it the answers. Changes that wait together are proposed together. The goroutine owns the
-// proposer and the fields that are marked as its own.
+// Queue runs a consensus.Proposer in one goroutine, one run after the other. It performs the proposer's actions and
+// passes the answers to it. queue.go has the queue, run.go one run, rounds.go the messages to voters, and compose.go
+// chooses what to propose. Changes that wait at the same time are proposed together. The goroutine owns the proposer
+// and the fields that are marked so.
 //
-// It imports package cluster's folders, control/replica and package mutants; peers, fetching and the majority
-// lease are seen through interfaces. Most of its tests drive whole clusters in package control
-// (operators_test.go); those that seed faults need the tag "mutants".
+// The package imports packages of cluster, control/replica and package mutants. Interfaces stand for the peers, the
+// fetcher and the majority lease. Most of its tests drive whole clusters in package control (operators_test.go). Tests
+// that seed faults need the build tag "mutants".
 package proposals
--- a/internal/control/proposals/queue.go
+++ b/internal/control/proposals/queue.go
@@ -17,56 +17,56 @@
 )
 
 const (
-	maxBatchCalls   = 128 // calls that are proposed together
-	eventsBuffer    = 64
-	jitterStream    = 1 // of the random generator of an incarnation
-	firstProposerID = "/1"
+	maxBatchCalls   = 128  // changes that are proposed together
+	eventsBuffer    = 64   // answers that may wait for the queue's goroutine
+	jitterStream    = 1    // stream of the incarnation's random generator that the delays use
+	firstProposerID = "/1" // appended to Options.Name in ballots
 )
 
 // Peers reaches the other control nodes (peers.Set).
 type Peers interface {
-	// Call calls a node; nil: no answer.
+	// Call calls a node and returns its answer; nil: there was none.
 	Call(addr string, timeout time.Duration, request *transport.Frame) *transport.Frame
-	// Broadcast calls all nodes, without waiting for answers.
+	// Broadcast sends a request to all nodes without waiting for answers.
 	Broadcast(timeout time.Duration, newRequest func() *transport.Frame)
 }
 
-// Fetcher gets chosen changes that the replica lacks (catchup.Fetcher).
+// Fetcher fetches chosen changes that the replica lacks (catchup.Fetcher).
 type Fetcher interface {
 	Fetch(from string, epoch uint64) uint64
 }
 
-// Lease tells whether this node is in contact with a majority (majority.Lease).
+// Lease reports whether this node is in contact with a majority (majority.Lease).
 type Lease interface {
 	Current() (term uint64, held bool)
 }
 
-// Options is what a queue is made of.
+// Options are the settings and dependencies of a queue.
 type Options struct {
 	Self        string // own control address
-	Name        string // of this process, and of no other: its ballots bear it
+	Name        string // unique name of this process, which is part of its ballots
 	Incarnation uint64 // seeds the random delays
 	Replica     *replica.Replica
 	Peers       Peers
 	Fetcher     Fetcher
 	Lease       Lease
-	// OnConfirmed is called after each read with the term of the lease in which the snapshot here was confirmed as
-	// the newest; 0: it was not.
+	// OnConfirmed is called after each read. Its argument is the term of the lease in which the read confirmed that
+	// this node's snapshot is the newest; 0: it did not.
 	OnConfirmed func(term uint64)
-	Closed      <-chan struct{} // closed when the node ends: late answers are dropped
+	Closed      <-chan struct{} // closed when the node stops; later answers are dropped
 	Log         log.Logger
 }
 
 // pendingChange is a change that waits for a decision.
 type pendingChange struct {
 	items            []configuration.Item
-	electorateChange *ElectorateChange // instead of items; nil: none
+	electorateChange *ElectorateChange // takes the place of items; nil: the change is one of items
 	deadline         time.Time
-	done             chan error // gets nil, a *configuration.RejectionError or another error
-	abandoned        atomic.Bool
+	done             chan error  // receives nil, a *configuration.RejectionError or another error
+	abandoned        atomic.Bool // the caller has its answer, or waits no longer
 }
 
-// answer ends the change with an error; only the first answer counts.
+// answer passes the result to the caller that waits for the change. Only the first answer counts.
 func (p *pendingChange) answer(err error) {
 	select {
 	case p.done <- err:
@@ -74,7 +74,7 @@
 	}
 }
 
-// isAbandoned tells whether nobody waits for the answer any more.
+// isAbandoned reports whether nobody waits for the answer any more, so that the change must not be proposed.
 func (p *pendingChange) isAbandoned() bool {
 	return p.abandoned.Load() && !mutants.On("proposals/proposes-gone")
 }
@@ -82,30 +82,30 @@
 // event is an answer to a request of a proposer, applied by the queue's goroutine.
 type event func(*consensus.Proposer) consensus.Action
 
-// Queue runs changes and reads through consensus, one run after the other. No node is a leader: each runs the changes
-// that it received, and competes with the others by ballots.
+// Queue runs changes and reads through consensus, one run after the other. There is no leader. Each node proposes the
+// changes that it received, and competes with the others by ballots.
 type Queue struct {
 	options Options
 	log     log.Logger
 	replica *replica.Replica
 	events  chan event
 	wake    chan struct{}
-	chosen  atomic.Int64 // proposals of this node that were chosen, or that it completed for another
+	chosen  atomic.Int64 // chosen proposals of this node, and those of other nodes that it completed
 
 	mu               sync.Mutex // guards the fields below
 	changes          []*pendingChange
 	readers          []chan error
 	confirmRequested bool
 
-	// Of the goroutine of Run alone:
+	// Only the goroutine of Run uses the fields below.
 	random        *rand.Rand
 	proposer      *consensus.Proposer
-	included      []*pendingChange // in the proposal below
-	proposed      consensus.Ballot
-	proposedEpoch uint64 // of the snapshot upon which it was proposed
+	included      []*pendingChange // changes in the current proposal
+	proposed      consensus.Ballot // ballot of the current proposal
+	proposedEpoch uint64           // epoch of the snapshot upon which it was proposed
 }
 
-// New makes a queue. Run must be called for anything to be decided.
+// New makes a queue. Nothing is decided before Run is called.
 func New(o Options) *Queue {
 	return &Queue{
 		options: o,
@@ -117,16 +117,16 @@
 	}
 }
 
-// Change has items chosen, and waits for it as long as timeout. It returns nil once they are, a
-// *configuration.RejectionError, or ErrNoMajority. Once the caller's context ends they are not proposed any more: the
-// operator may have sent them to another node and got an answer there, which a late proposal from here must not
-// contradict.
+// Change proposes items, and waits up to timeout until they are chosen. It returns nil once they are, a
+// *configuration.RejectionError, or ErrNoMajority. After the end of the caller's context the items are no longer
+// proposed, because the operator may have sent them to another node and got an answer there, which a late proposal from
+// this node must not contradict.
 func (q *Queue) Change(ctx context.Context, items []configuration.Item, timeout time.Duration) error {
 	return q.submit(ctx, &pendingChange{items: items}, timeout)
 }
 
-// ChangeElectorate has the electorate changed. It returns nil once it is, and is on the disks of a majority of
-// the new one; else ErrElectorateChanged or ErrNoMajority.
+// ChangeElectorate proposes a change of the electorate. It returns nil once the change is chosen and is on the disks of
+// a majority of the new electorate, and otherwise ErrElectorateChanged or ErrNoMajority.
 func (q *Queue) ChangeElectorate(ctx context.Context, change ElectorateChange, timeout time.Duration) error {
 	return q.submit(ctx, &pendingChange{electorateChange: &change}, timeout)
 }
@@ -147,7 +147,7 @@
 	return ErrNoMajority
 }
 
-// Read returns nil once the snapshot here is as new as any that was acknowledged before the call.
+// Read returns nil once this node's snapshot is at least as new as any that was acknowledged before the call.
 func (q *Queue) Read(timeout time.Duration) error {
 	done := make(chan error, 1)
 	q.enqueue(func() { q.readers = append(q.readers, done) })
@@ -161,8 +161,8 @@
 	}
 }
 
-// RequestConfirmation has a read done without waiting for it: it completes what another proposer left, and
-// confirms the snapshot.
+// RequestConfirmation requests a read without waiting for it. The read completes the change that another proposer may
+// have left incomplete, and confirms the snapshot.
 func (q *Queue) RequestConfirmation() { q.enqueue(func() { q.confirmRequested = true }) }
 
 // enqueue calls add under the mutex, and wakes the goroutine.
@@ -183,7 +183,7 @@
 	return len(q.changes)
 }
 
-// Chosen is the number of proposals that this node had chosen, those that it completed for another included.
+// Chosen is the number of chosen proposals of this node, including those that it completed for other nodes.
 func (q *Queue) Chosen() int64 { return q.chosen.Load() }
 
 // takeChanges removes up to limit changes from the queue, and drops abandoned ones.
@@ -200,7 +200,8 @@
 	return changes
 }
 
-// takeReaders removes the waiting reads from the queue. Requested: there are some, or a confirmation was requested.
+// takeReaders removes the waiting reads from the queue. Requested means that there are some, or that a confirmation was
+// requested.
 func (q *Queue) takeReaders() (readers []chan error, requested bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -209,7 +210,7 @@
 	return readers, requested
 }
 
-// Run has what is submitted chosen, until the context ends.
+// Run runs the submitted changes and reads until the context ends.
 func (q *Queue) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -217,7 +218,7 @@
 			return
 		case e := <-q.events:
 			if q.proposer != nil {
-				e(q.proposer) // too late for its run
+				e(q.proposer) // the answer came after the end of its run
 			}
 			continue
 		case <-q.wake:
@@ -232,7 +233,7 @@
 func (q *Queue) runPending(ctx context.Context) (more bool) {
 	if changes := q.takeChanges(maxBatchCalls); len(changes) > 0 {
 		more = true
-		_ = q.runProposer(ctx, changes) // those that wait have been answered
+		_ = q.runProposer(ctx, changes) // the callers have been answered, or stop waiting at their deadlines
 	}
 	if readers, requested := q.takeReaders(); requested {
 		more = true
@@ -241,7 +242,7 @@
 	return more
 }
 
-// runRead confirms the snapshot by a read of the voters, and answers the calls of Read.
+// runRead confirms the snapshot by reading from the voters, and answers the calls of Read.
 func (q *Queue) runRead(ctx context.Context, readers []chan error) {
 	term, held := q.options.Lease.Current()
 	err := q.runProposer(ctx, nil)
--- a/internal/control/proposals/rounds.go
+++ b/internal/control/proposals/rounds.go
@@ -8,7 +8,7 @@
 	"mulleinrouter/internal/control/replica"
 )
 
-// roundTimeout is how long the answers of a round are awaited, beside the time that its items take.
+// roundTimeout limits the wait for the answers of a round. The time for the transfer of its items is added.
 const roundTimeout = 300 * time.Millisecond
 
 // ask sends an action to the voters, and returns how long to wait for their answers.
@@ -36,7 +36,7 @@
 	return func(p *consensus.Proposer) consensus.Action { return p.NoReply(action.Attempt, voter) }
 }
 
-// accept asks a voter to accept a proposal; nil: no answer.
+// accept asks a voter to accept a proposal, and returns its answer; nil: there was none.
 func (q *Queue) accept(voter string, action consensus.Action, timeout time.Duration) *consensus.Accepted {
 	if voter == q.options.Self {
 		return q.replica.Accept(action.Proposal, nil)
@@ -49,7 +49,8 @@
 	return &answer.Accepted.Accepted
 }
 
-// prepare asks a voter for a promise, or for what it has promised and accepted if the action is a read; nil: no answer.
+// prepare asks a voter for a promise. If the action is a read, it asks only for what the voter has promised and
+// accepted. It returns the voter's answer; nil: there was none.
 func (q *Queue) prepare(voter string, action consensus.Action, timeout time.Duration) *consensus.Promise {
 	prepare := &transport.Prepare{Ballot: action.Ballot, ReadOnly: action.Kind == consensus.Read}
 	if voter == q.options.Self {
@@ -62,7 +63,7 @@
 	return &answer.Promise.Promise
 }
 
-// fetch gets chosen changes that are missing here from the node that has them, and returns how long to wait for it.
+// fetch starts to fetch chosen changes that this node lacks from one that has them, and returns how long to wait.
 func (q *Queue) fetch(action consensus.Action) (wait time.Duration) {
 	proposer := q.proposer
 	go func() {
@@ -73,7 +74,7 @@
 	return 2 * roundTimeout
 }
 
-// post hands an answer to the goroutine of Run. It is ignored if the proposer is another one than that which asked.
+// post passes an answer to the goroutine of Run, which ignores it if the proposer is no longer the one that asked.
 func (q *Queue) post(asked *consensus.Proposer, e event) {
 	ifSame := func(p *consensus.Proposer) consensus.Action {
 		if p != asked {
@@ -87,8 +88,8 @@
 	}
 }
 
-// broadcastChosen notifies the other nodes that what they accepted under a ballot is chosen. The items are not
-// sent again.
+// broadcastChosen notifies the other nodes that the proposal that they accepted under a ballot is chosen. The items are
+// not sent again.
 func (q *Queue) broadcastChosen(p consensus.Proposal) {
 	q.options.Peers.Broadcast(roundTimeout, func() *transport.Frame {
 		chosen := consensus.Proposal{Ballot: p.Ballot, Epoch: p.Epoch}
--- a/internal/control/proposals/run.go
+++ b/internal/control/proposals/run.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// backgroundRunTimeout is the time for a run without an operator's deadline.
+	// backgroundRunTimeout limits a run that has no operator's deadline.
 	backgroundRunTimeout = time.Second
-	// foreignRoundWait is how long a round waits for another node's round, on average.
-	foreignRoundWait = 40 * time.Millisecond
-	// firstRoundFactor is how many times as long the first round waits: a proposer that has lost some goes first.
+	// meanForeignRoundWait is the average time that a round waits for the round of another node.
+	meanForeignRoundWait = 40 * time.Millisecond
+	// firstRoundFactor multiplies that wait in the first round of a run, so that proposers that have lost rounds go
+	// first.
 	firstRoundFactor = 2
-	// maxWaitDivisor bounds how much less a proposer waits that has lost rounds.
-	maxWaitDivisor = 4
+	// maxForeignWaitDivisor bounds the divisor of that wait, which grows with the number of lost rounds.
+	maxForeignWaitDivisor = 4
 )
 
-// run is one run of the proposer, from its start until it is done or given up.
+// run is one run of the proposer, from its start until it is done or fails.
 type run struct {
 	queue      *Queue
-	changes    []*pendingChange // that are still undecided; none: the run is a read
-	read       bool
+	changes    []*pendingChange // undecided changes
+	read       bool             // the run reads and has no changes
 	deadline   time.Time
 	timer      *time.Timer
 	lostRounds int
 }
 
-// runProposer runs the proposer once, until it is done or given up: with changes, or as a read if there are none.
+// runProposer runs the proposer once, until it is done or fails. Without changes the run is a read.
 func (q *Queue) runProposer(ctx context.Context, changes []*pendingChange) error {
 	if !q.ensureProposer() {
 		for _, c := range changes {
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// ensureProposer makes the proposer once the electorate is known.
+// ensureProposer makes the proposer if there is none. It returns false if the electorate is not known yet.
 func (q *Queue) ensureProposer() bool {
 	if base, _ := q.replica.Base(); !base.Electorate.Known() {
 		return false
@@ -75,8 +76,8 @@
 	return true
 }
 
-// perform carries out an action of the proposer. Either it is finished, and next is the following action, or
-// answers must be awaited for a time.
+// perform performs an action of the proposer. If finished is true, next is the following action. Otherwise the caller
+// must wait for answers, for the time that is returned.
 func (r *run) perform(action consensus.Action) (next consensus.Action, wait time.Duration, finished bool) {
 	switch action.Kind {
 	case consensus.Compose:
@@ -94,7 +95,7 @@
 	return consensus.Action{}, wait, false
 }
 
-// await feeds answers to the proposer until one of them, or the end of the wait, results in the next action.
+// await passes answers to the proposer until one of them, or the end of the wait, results in the next action.
 func (r *run) await(
 	ctx context.Context, action consensus.Action, wait time.Duration,
 ) (next consensus.Action, err error) {
@@ -109,7 +110,7 @@
 		case <-r.timer.C:
 		}
 		if !time.Now().Before(r.deadline) {
-			return next, ErrNoMajority // those that waited have been answered
+			return next, ErrNoMajority // the deadlines of the callers have passed too
 		}
 		if action.Kind == consensus.Backoff {
 			next = r.nextRound(ctx, action)
@@ -120,8 +121,8 @@
 	return next, nil
 }
 
-// nextRound begins another round after a lost one. Changes that have been queued meanwhile join it: they will be
-// validated upon a snapshot that is newer than they are.
+// nextRound begins another round after a lost one. Changes that were queued in the meantime join it, because they will
+// be validated upon a snapshot that is newer than they are.
 func (r *run) nextRound(ctx context.Context, action consensus.Action) consensus.Action {
 	r.lostRounds++
 	r.waitForForeignRound(ctx)
@@ -136,8 +137,8 @@
 	return r.queue.proposer.Resumed(action.Attempt, base)
 }
 
-// waitForForeignRound waits a little while another node's round is under way: two proposers that outbid one
-// another all the time would both come to nothing. One that has lost rounds waits less than one that begins.
+// waitForForeignRound waits a little while a round of another node is in progress, because two proposers that keep
+// outbidding each other would both fail. A proposer that has lost rounds waits less than one that begins.
 func (r *run) waitForForeignRound(ctx context.Context) {
 	q := r.queue
 	defer func() {
@@ -148,11 +149,11 @@
 	if done == nil {
 		return
 	}
-	wait := foreignRoundWait/2 + time.Duration(q.random.Int64N(int64(foreignRoundWait)))
+	wait := meanForeignRoundWait/2 + time.Duration(q.random.Int64N(int64(meanForeignRoundWait)))
 	if r.lostRounds == 0 {
 		wait *= firstRoundFactor
 	} else {
-		wait /= time.Duration(min(r.lostRounds, maxWaitDivisor))
+		wait /= time.Duration(min(r.lostRounds, maxForeignWaitDivisor))
 	}
 	r.timer.Reset(wait)
 	select {
--- a/internal/control/replica/chunks.go
+++ b/internal/control/replica/chunks.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// MinChunkBytes is about the size of a chunk on a slow link: 0.3 s at 2 Mbit/s, so that a heartbeat or a vote
-	// behind it is not late.
+	// MinChunkBytes is the approximate size of a chunk on a slow link. It takes 0.3 s at 2 Mbit/s, so that a heartbeat
+	// or a vote that is sent after it is not late.
 	MinChunkBytes = 64 << 10
-	// MaxChunkBytes is about the size of a chunk on a fast link; one item may be longer by itself.
+	// MaxChunkBytes is the approximate size of a chunk on a fast link. A single item may be longer.
 	MaxChunkBytes = 256 << 10
-	// MaxRecentChanges is how many chosen changes are remembered by key, so that a node that lacks only these gets
-	// them without a scan of the complete snapshot.
+	// MaxRecentChanges is the number of chosen changes whose keys are kept, so that a node that lacks only these gets
+	// them without a scan of the whole snapshot.
 	MaxRecentChanges = 256
 
-	historyEntryBytes = 20 // of a frame, for each version in an item's history
+	historyEntryBytes = 20 // upper bound for one version of an item's history in a frame
 )
 
-// chosenChange is a change with the epoch that it made.
+// chosenChange has the keys of a chosen change, and the epoch in which it was chosen.
 type chosenChange struct {
 	epoch uint64
 	keys  []configuration.Key
@@ -43,7 +43,8 @@
 // instances.Registry.PersistedAfter).
 type PersistedInstances func(after string, maxBytes int) (page []registry.Instance, more bool)
 
-// Chunk answers a node that lacks chosen changes, or whose disk is empty; nil: this node's disk has not been read yet.
+// Chunk answers a node that lacks chosen changes, or whose disk is empty. It returns nil as long as this node's disk
+// has not been read.
 func (r *Replica) Chunk(request *transport.CatchUpRequest, persisted PersistedInstances) *transport.CatchUpChunk {
 	r.mu.Lock()
 	if r.disk == nil {
@@ -68,12 +69,13 @@
 	return chunk
 }
 
-// itemsNewerThan iterates over the items that were chosen after an epoch, by position, from one position on. If
-// the recent changes reach back to the epoch, only their keys are looked up; else the snapshot is scanned.
+// itemsNewerThan iterates over the items that were chosen after an epoch, in the order of their positions, from a given
+// position on. If the recent changes include all after the epoch, it looks up only their keys. Otherwise it scans the
+// snapshot.
 func itemsNewerThan(
 	snapshot *configuration.Snapshot, recent []chosenChange, epoch, from uint64,
 ) iter.Seq2[uint64, configuration.Item] {
-	if !reachBackTo(recent, epoch) {
+	if !coverChangesAfter(recent, epoch) {
 		return func(yield func(uint64, configuration.Item) bool) {
 			for position, item := range snapshot.ItemsFrom(from) {
 				if item.Epoch > epoch && !yield(position, item) {
@@ -92,8 +94,8 @@
 	}
 }
 
-// reachBackTo tells whether the recent changes include all after an epoch.
-func reachBackTo(recent []chosenChange, epoch uint64) bool {
+// coverChangesAfter reports whether the recent changes include all changes after an epoch.
+func coverChangesAfter(recent []chosenChange, epoch uint64) bool {
 	if len(recent) == 0 {
 		return false
 	}
@@ -107,7 +109,8 @@
 	key      configuration.Key
 }
 
-// keysNewerThan returns the keys of the changes after an epoch from one position on, each once, by position.
+// keysNewerThan returns the keys of the changes after an epoch, from a given position on. Each key occurs once, and
+// they are sorted by position.
 func keysNewerThan(recent []chosenChange, epoch, from uint64) []positionedKey {
 	var keys []positionedKey
 	for _, change := range recent {
@@ -126,8 +129,8 @@
 	return slices.Compact(keys)
 }
 
-// firstItems takes about maxBytes of items, and at least one; items that share a position are never separated.
-// Next is the position to continue from; 0: these were all.
+// firstItems returns about maxBytes of items, and at least one if there are any. It never separates items that share a
+// position. Next is the position to continue from; 0: there are no more items.
 func firstItems(all iter.Seq2[uint64, configuration.Item], maxBytes int) (items []configuration.Item, next uint64) {
 	var last uint64
 	for position, item := range all {
@@ -140,7 +143,7 @@
 	return items, 0
 }
 
-// frameBytes is about the size of an item in a frame, and not less.
+// frameBytes is an upper estimate of the size of an item in a frame.
 func frameBytes(item configuration.Item) int {
 	bytes := item.Size()
 	if item.History != nil {
@@ -149,7 +152,8 @@
 	return bytes
 }
 
-// ElectorateOf returns the electorate of a chunk's snapshot; older versions sent only the voters' addresses.
+// ElectorateOf returns the electorate of a chunk's snapshot. Older versions of the program send only the addresses of
+// the voters.
 func ElectorateOf(chunk *transport.CatchUpChunk) consensus.Electorate {
 	if !chunk.Electorate.Known() {
 		return consensus.InitialElectorate(chunk.Voters)
--- a/internal/control/replica/chunks_mutants_test.go
+++ b/internal/control/replica/chunks_mutants_test.go
@@ -8,7 +8,7 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Each fault of transfers that is seeded is found by the walks or by the plain list.
+// The random walks or the comparison with a plain list find each seeded fault of transfers.
 func TestTransferMutants(t *testing.T) {
 	for _, fault := range []string{
 		"replica/mixes-epochs",
@@ -29,7 +29,7 @@
 			failure, _ = walkTransfer(seed)
 		}
 		if failure == "" {
-			t.Errorf("%s: not found", fault)
+			t.Errorf("%s: fault not found", fault)
 		}
 		t.Logf("%s: seed %d: %s", fault, seed-1, failure)
 	}
--- a/internal/control/replica/chunks_test.go
+++ b/internal/control/replica/chunks_test.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	calmStep    = 150  // of a walk: from there on nothing is lost any more
-	maxSteps    = 1000 // by which the newest snapshot must have arrived
-	lateAnswers = 5    // that are kept to be delivered again
+	losslessStep   = 150  // last step of a walk at which chunks, changes and power may be lost
+	maxSteps       = 1000 // steps after which the walk fails if the newest snapshot has not arrived
+	maxLateAnswers = 5    // answers that are kept for repeated delivery
 )
 
-// openReplica makes a voter upon a disk.
+// openReplica opens a replica, which is a voter, with the state of a disk.
 func openReplica(is *is.I, fs vfs.FS, incarnation uint64) *Replica {
 	is.Helper()
 	disk, state, err := storage.Open(fs, "d", logtest.Discard())
@@ -39,16 +39,16 @@
 
 func noInstances(string, int) ([]registry.Instance, bool) { return nil, false }
 
-// failing is a test that records its first failure.
-type failing struct{ failure *string }
+// failureRecorder stands for a test in assertions of package is. It records a failure instead of ending the test.
+type failureRecorder struct{ failure *string }
 
-func (f failing) Fail()    { f.FailNow() }
-func (f failing) FailNow() { *f.failure = "a step failed" }
-func (f failing) Log(args ...any) {
+func (f failureRecorder) Fail()    { f.FailNow() }
+func (f failureRecorder) FailNow() { *f.failure = "an assertion failed" }
+func (f failureRecorder) Log(args ...any) {
 	fmt.Fprintln(os.Stderr, args...)
 }
 
-// lateAnswer is a request with its answer, which may be delivered again.
+// lateAnswer is a request with its answer, which may be delivered late or repeatedly.
 type lateAnswer struct {
 	request transport.CatchUpRequest
 	chunk   transport.CatchUpChunk
@@ -64,17 +64,17 @@
 	incarnations uint64
 	replica      *Replica
 	sources      []*Replica
-	late         []lateAnswer
+	lateAnswers  []lateAnswer
 
-	epoch    uint64 // of the replica, as last checked
-	snapshot *configuration.Snapshot
+	epoch    uint64                  // epoch of the replica at the last check
+	snapshot *configuration.Snapshot // its snapshot at the last check
 	chunks   int
 	failure  string
 }
 
-// walkTransfer walks with a seed: sources move on, answers are lost, come late or twice and from any of them,
-// and the replica loses power. Whatever snapshot it has must be one that there was, and it must get to the
-// newest. It returns the first failure; empty: none; and the number of chunks.
+// walkTransfer runs a random walk with a seed. Sources apply changes, answers come from any source and are lost, late
+// or repeated, and the replica loses power. Each snapshot of the replica must be that of its epoch, and it must reach
+// the newest one. walkTransfer returns the first failure (empty: none) and the number of chunks.
 func walkTransfer(seed uint64) (failure string, chunks int) {
 	random := rand.New(rand.NewPCG(seed, 7))
 	w := &transferWalk{
@@ -83,7 +83,7 @@
 		incarnations: 1,
 		snapshot:     new(configuration.Snapshot),
 	}
-	w.I = is.New(failing{&w.failure})
+	w.I = is.New(failureRecorder{&w.failure})
 	w.history = &replicatest.History{
 		Random:   random,
 		Names:    40,
@@ -102,13 +102,13 @@
 	}()
 	w.history.Grow(1 + random.IntN(40))
 	for step := 0; ; step++ {
-		calm := step > calmStep
-		w.step(calm)
+		lossless := step > losslessStep
+		w.step(lossless)
 		w.check()
 		if w.failure != "" {
 			return w.failure, w.chunks
 		}
-		if !calm {
+		if !lossless {
 			continue
 		}
 		for _, source := range w.sources {
@@ -118,37 +118,37 @@
 			return "", w.chunks
 		}
 		if step > maxSteps {
-			return "it never gets there", w.chunks
+			return "the replica does not reach the newest snapshot", w.chunks
 		}
 	}
 }
 
-// step has one thing happen.
-func (w *transferWalk) step(calm bool) {
+// step performs one random action.
+func (w *transferWalk) step(lossless bool) {
 	source := w.sources[w.random.IntN(3)]
 	switch action := w.random.IntN(12); {
-	case !calm && action == 0:
+	case !lossless && action == 0:
 		w.history.Grow(1 + w.random.IntN(10))
 	case action == 1:
 		at := source.Epoch()
 		w.history.Apply(source, at+uint64(w.random.IntN(len(w.history.Changes)-int(at)+1)))
-	case !calm && action == 2: // a change arrives as it is chosen
+	case !lossless && action == 2: // the replica learns the next change directly
 		if at := w.replica.Epoch(); at < w.history.Newest() {
 			w.replica.Choose(w.history.Changes[at])
 		}
-	case !calm && action == 3:
+	case !lossless && action == 3:
 		w.losePower()
-	case !calm && action == 4 && len(w.late) > 0:
-		answer := w.late[w.random.IntN(len(w.late))]
+	case !lossless && action == 4 && len(w.lateAnswers) > 0:
+		answer := w.lateAnswers[w.random.IntN(len(w.lateAnswers))]
 		w.replica.StageChunk(&answer.request, &answer.chunk)
 	default:
-		w.requestChunk(source, calm)
+		w.requestChunk(source, lossless)
 	}
 }
 
-// losePower restarts the replica with what its disk kept.
+// losePower restarts the replica with the data that its disk kept.
 func (w *transferWalk) losePower() {
-	if w.random.IntN(2) == 0 { // all is synced; else the disk's own goroutine may not have got to it
+	if w.random.IntN(2) == 0 { // sync all; otherwise the writing goroutine of the disk may not have written it yet
 		w.NoErr(w.replica.disk.Save(context.Background(), storage.Batch{}))
 	}
 	crash := w.disk.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: 50, RNG: w.random})
@@ -157,11 +157,11 @@
 	w.incarnations++
 	w.replica = openReplica(w.I, w.disk, w.incarnations)
 	w.epoch = 0
-	w.late = nil
+	w.lateAnswers = nil
 }
 
 // requestChunk requests the next chunk from a source; its answer may be lost.
-func (w *transferWalk) requestChunk(source *Replica, calm bool) {
+func (w *transferWalk) requestChunk(source *Replica, lossless bool) {
 	request := w.replica.NextCatchUpRequest()
 	request.MaxBytes = 1 + w.random.IntN(1500)
 	chunk := source.Chunk(request, noInstances)
@@ -171,18 +171,18 @@
 		size += frameBytes(item)
 	}
 	if size > request.MaxBytes && len(chunk.Items) > 1 {
-		w.failure = fmt.Sprintf("a chunk of %d bytes, where %d were requested", size, request.MaxBytes)
+		w.failure = fmt.Sprintf("got a chunk of %d bytes, requested %d", size, request.MaxBytes)
 		return
 	}
-	if w.late = append(w.late, lateAnswer{*request, *chunk}); len(w.late) > lateAnswers {
-		w.late = w.late[1:]
+	if w.lateAnswers = append(w.lateAnswers, lateAnswer{*request, *chunk}); len(w.lateAnswers) > maxLateAnswers {
+		w.lateAnswers = w.lateAnswers[1:]
 	}
-	if calm || w.random.IntN(4) > 0 {
+	if lossless || w.random.IntN(4) > 0 {
 		w.replica.StageChunk(request, chunk)
 	}
 }
 
-// check checks the snapshot against the model, and that nothing is accepted upon a snapshot that is not here.
+// check checks the snapshot against the model, and that the replica accepts no proposal upon a snapshot that it lacks.
 func (w *transferWalk) check() {
 	epoch, snapshot := w.replica.Snapshot()
 	if w.failure == "" && (snapshot != w.snapshot || epoch != w.epoch) {
@@ -198,7 +198,7 @@
 		Epoch:  epoch + 2 + uint64(w.random.IntN(3)),
 	}
 	if accepted := w.replica.Accept(proposal, nil); w.failure == "" && accepted != nil && accepted.OK {
-		w.failure = "it accepts upon a snapshot that it lacks"
+		w.failure = "the replica accepts a proposal upon a snapshot that it lacks"
 	}
 }
 
@@ -214,12 +214,11 @@
 	t.Logf("%d walks, %d chunks", transferWalks, chunks)
 }
 
-// checkNewerItems asks a replica, after a number of changes, for what is newer than each epoch, from the first
-// position and from another one, and compares it with a plain list. It returns the first difference; empty:
-// none.
+// checkNewerItems gets from a replica, after a number of changes, the items newer than each epoch, from the first
+// position and from a random one, and compares them with a plain list. It returns the first difference; empty: none.
 func checkNewerItems(changes int) string {
 	var failure string
-	is := is.New(failing{&failure})
+	is := is.New(failureRecorder{&failure})
 	random := rand.New(rand.NewPCG(uint64(changes), 3))
 	h := &replicatest.History{Random: random, Names: 5000, BodySize: 1, MaxItems: 3}
 	r := openReplica(is, vfs.NewMem(), 1)
@@ -253,7 +252,8 @@
 	return failure
 }
 
-// changeCounts are those at which the recent changes just reach back far enough, and some more.
+// changeCounts are numbers of changes around those at which the recent changes just include all after an epoch, and
+// some others.
 var changeCounts = []int{
 	1, 2,
 	MaxRecentChanges/2 - 1, MaxRecentChanges / 2, MaxRecentChanges/2 + 1,
--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -15,56 +15,58 @@
 )
 
 const (
-	// SyncTimeout is how long an answer waits for the disk; the other voters suffice.
+	// SyncTimeout limits how long an answer waits for the disk. After it there is no answer, because a majority of
+	// other voters can decide without this node.
 	SyncTimeout = 500 * time.Millisecond
-	// MaxControlNodes bounds the control nodes of one system, and so the voters.
+	// MaxControlNodes is the maximum number of control nodes of one system, and so of voters.
 	MaxControlNodes = 40
 
-	timeoutPerMegabyte = 400 * time.Millisecond // more, for each megabyte of items
+	timeoutPerMegabyte = 400 * time.Millisecond // time allowed for the transfer of one megabyte of items
 )
 
-// Options is what a replica is made of.
+// Options are the settings and dependencies of a replica.
 type Options struct {
 	Self              string                      // own control address
 	Store             *replication.Store          // holds the items; only the replica changes them
-	IsOwnBallot       func(consensus.Ballot) bool // whether a ballot is of this process; nil: none is
-	DrawDiskID        func() uint64               // names a new disk; not called if Load gets a bootstrap electorate
-	ElectorateChanged func()                      // called under the replica's mutex, must not block; nil: not called
+	IsOwnBallot       func(consensus.Ballot) bool // reports whether a ballot is of this process; nil: none is
+	NewDiskID         func() uint64               // id of a new disk; not called if Load gets a bootstrap electorate
+	ElectorateChanged func()                      // called with the replica's mutex held: must not block; may be nil
 }
 
-// Replica is this node's replica of the configuration and, if it is a voter, its vote. Items are merged into the
-// store under its mutex alone, so that the store's snapshot always is that of the acceptor's epoch. It is safe
+// Replica is this node's replica of the configuration and, if it is a voter, its vote. Items are merged into the store
+// only while the mutex is held, so that the store's snapshot is always that of the acceptor's epoch. A Replica is safe
 // for concurrent use.
 type Replica struct {
 	self              string
 	store             *replication.Store
 	isOwnBallot       func(consensus.Ballot) bool
-	drawDiskID        func() uint64
+	newDiskID         func() uint64
 	electorateChanged func()
 
 	mu           sync.Mutex     // guards the fields below
-	disk         *storage.Store // nil: it has not been read yet
+	disk         *storage.Store // nil: the disk has not been read yet
 	acceptor     consensus.Acceptor
-	lastSave     *storage.Future // of the acceptor's last change; nil: it is as it was found
-	pendingAt    time.Time       // since when acceptor.Pending is pending
+	lastSave     *storage.Future // save of the acceptor's last change; nil: unchanged since it was read
+	pendingAt    time.Time       // time since which acceptor.Pending is pending
 	foreignRound chan struct{}   // closed once the pending change of another node is chosen; nil: there is none
-	recent       []chosenChange  // the last ones up to acceptor.Epoch, without a gap
+	recent       []chosenChange  // the last changes up to acceptor.Epoch, without a gap
 	staging      staging
 }
 
-// New makes a replica that answers nothing before Load.
+// New makes a replica. It answers no requests before Load.
 func New(o Options) *Replica {
 	return &Replica{
 		self:              o.Self,
 		store:             o.Store,
 		isOwnBallot:       o.IsOwnBallot,
-		drawDiskID:        o.DrawDiskID,
+		newDiskID:         o.NewDiskID,
 		electorateChanged: o.ElectorateChanged,
 	}
 }
 
-// Load takes over what was found on disk. On an empty disk, bootstrap is the first electorate of a system that
-// starts; nil: this is a new disk in a running system, and this node must be enrolled.
+// Load sets the state that was read from the disk. If the disk is empty, bootstrap is the first electorate of a new
+// system. If bootstrap is nil too, this is a new disk in a running system, and the node must be added to the
+// electorate.
 func (r *Replica) Load(disk *storage.Store, state storage.State, bootstrap []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,7 +82,7 @@
 		r.acceptor.Electorate = consensus.InitialElectorate(bootstrap)
 		r.persistAcceptor()
 	default:
-		r.acceptor.Disk = r.drawDiskID()
+		r.acceptor.Disk = r.newDiskID()
 		r.persistAcceptor()
 	}
 }
@@ -91,14 +93,14 @@
 	r.lastSave = r.disk.Put(storage.Batch{Acceptor: &r.acceptor})
 }
 
-// canVote tells whether the electorate is known, the disk has been read and it is not known to stall. r.mu is held.
+// canVote reports whether the electorate is known and the disk has been read and does not stall. r.mu is held.
 func (r *Replica) canVote() bool {
 	return r.disk != nil && !r.disk.Stalled(SyncTimeout) && r.acceptor.Electorate.Known()
 }
 
-// Synced waits until what save holds is on disk, for SyncTimeout and extra; it returns false after
-// that. A nil save is synced.
-func Synced(save *storage.Future, extra time.Duration) bool {
+// AwaitSync waits until a save is on disk, for at most SyncTimeout plus extra, and reports whether it is. A nil save
+// counts as synced.
+func AwaitSync(save *storage.Future, extra time.Duration) bool {
 	if save == nil {
 		return true
 	}
@@ -107,7 +109,7 @@
 	return save.Wait(ctx) == nil
 }
 
-// TransferAllowance is how much longer than usual items take on their way, by their size.
+// TransferAllowance is the additional time that the transfer of items takes because of their size.
 func TransferAllowance(items []configuration.Item) time.Duration {
 	bytes := 0
 	for _, item := range items {
@@ -116,7 +118,8 @@
 	return timeoutPerMegabyte * time.Duration(bytes>>10) >> 10
 }
 
-// observeForeignRound records that another node is about to have a change chosen. r.mu is held.
+// observeForeignRound records that a round of another node is in progress, unless the ballot is of this process. r.mu
+// is held.
 func (r *Replica) observeForeignRound(ballot consensus.Ballot) {
 	if r.isOwnBallot != nil && r.isOwnBallot(ballot) {
 		return
@@ -126,16 +129,16 @@
 	}
 }
 
-// ForeignRoundDone returns a channel that is closed once the change of another node that is under way here is
-// chosen; nil: none is.
+// ForeignRoundDone returns a channel that is closed once the change that another node is proposing is chosen; nil: no
+// such round is known.
 func (r *Replica) ForeignRoundDone() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.foreignRound
 }
 
-// Prepare answers a prepare request or a read; nil: no answer. A node that is no voter answers too: the proposer
-// counts only those of voters.
+// Prepare answers a prepare request or a read; nil: no answer. A node that is not a voter answers too, because the
+// proposer counts only the answers of voters.
 func (r *Replica) Prepare(request *transport.Prepare) *consensus.Promise {
 	if request.ReadOnly {
 		return r.read(request.Synced)
@@ -152,13 +155,13 @@
 	}
 	save := r.lastSave
 	r.mu.Unlock()
-	if promise.OK && !Synced(save, 0) {
+	if promise.OK && !AwaitSync(save, 0) {
 		return nil
 	}
 	return &promise
 }
 
-// read answers a request that changes nothing; sync: only once the acceptor is on disk as it stands.
+// read answers a read. If sync is set, it answers only after the acceptor's present state is on disk.
 func (r *Replica) read(sync bool) *consensus.Promise {
 	r.mu.Lock()
 	known, promise := r.acceptor.Electorate.Known(), r.acceptor.Read()
@@ -167,14 +170,14 @@
 		save = r.disk.Put(storage.Batch{Acceptor: &r.acceptor})
 	}
 	r.mu.Unlock()
-	if !known || !Synced(save, 0) {
+	if !known || !AwaitSync(save, 0) {
 		return nil
 	}
 	return &promise
 }
 
-// Accept answers a proposal; nil: no answer. If the snapshot before it is missing here, fetch is called once to
-// get it from the proposer; it may be nil.
+// Accept answers a proposal; nil: no answer. If this node lacks the snapshot before the proposal, it calls fetch once
+// to get it from the proposer. fetch may be nil.
 func (r *Replica) Accept(proposal consensus.Proposal, fetch func()) *consensus.Accepted {
 	if !allKeysValid(proposal.Items) {
 		return nil
@@ -184,21 +187,21 @@
 		fetch()
 		accepted, save = r.tryAccept(proposal)
 	}
-	if accepted == nil || accepted.OK && !Synced(save, TransferAllowance(proposal.Items)) {
+	if accepted == nil || accepted.OK && !AwaitSync(save, TransferAllowance(proposal.Items)) {
 		return nil
 	}
 	return accepted
 }
 
-// tryAccept has the acceptor answer a proposal, and returns the save to wait for before the answer is sent.
+// tryAccept returns the acceptor's answer to a proposal, and the save to wait for before the answer is sent.
 func (r *Replica) tryAccept(proposal consensus.Proposal) (*consensus.Accepted, *storage.Future) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.canVote() {
 		return nil, nil
 	}
-	// A proposer that continues under the same ballot had the change before it chosen; the message about that may
-	// come later.
+	// If a proposer continues under the same ballot, its preceding change has been chosen, although the message that
+	// says so may not have arrived yet.
 	if p := r.acceptor.Pending; p != nil && p.Ballot == proposal.Ballot && p.Epoch+1 == proposal.Epoch {
 		r.apply(r.acceptor.Base().With(*p), p.Items)
 	}
@@ -213,8 +216,8 @@
 	return &accepted, r.lastSave
 }
 
-// Choose applies a change that is chosen, and returns the base here. It has no effect unless the snapshot before
-// it is here.
+// Choose applies a chosen change, and returns the resulting base. It has no effect if this node lacks the snapshot
+// before the change.
 func (r *Replica) Choose(proposal consensus.Proposal) consensus.Base {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -224,8 +227,8 @@
 	return r.acceptor.Base()
 }
 
-// Learn applies the pending change if it is the one that was chosen under a ballot. It tells whether the
-// snapshot of the epoch is here now.
+// Learn applies the pending change if it is the one that was chosen under a ballot. It reports whether this node's
+// snapshot has reached the epoch.
 func (r *Replica) Learn(ballot consensus.Ballot, epoch uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -236,9 +239,9 @@
 	return r.acceptor.Epoch >= epoch
 }
 
-// apply makes one change, or several at once, the newest of the snapshot, and discards what is staged for older
-// ones. The sync of a change of the electorate is waited for by later answers (lastSave): a majority of the old
-// electorate has it, but possibly nobody else of the new one. r.mu is held.
+// apply adds one change, or several at once, to the snapshot, and discards what is staged for older snapshots. Later
+// answers wait for the sync of a change of the electorate (lastSave), because a majority of the old electorate has the
+// change, but possibly no other voter of the new one. r.mu is held.
 func (r *Replica) apply(base consensus.Base, items []configuration.Item) {
 	if r.foreignRound != nil {
 		close(r.foreignRound)
@@ -259,16 +262,17 @@
 		r.lastSave = save
 		r.notifyElectorateChanged()
 	}
-	r.rememberChange(changes, chosenChange{epoch: base.Epoch, keys: keysOf(merged)})
+	r.recordChange(changes, chosenChange{epoch: base.Epoch, keys: keysOf(merged)})
 }
 
-// rememberChange appends to the recent changes; one that joins several leaves a gap before it. r.mu is held.
-func (r *Replica) rememberChange(joined uint64, change chosenChange) {
+// recordChange appends to the recent changes. If the change joins several epochs, the earlier changes are dropped,
+// because the list must not have gaps. r.mu is held.
+func (r *Replica) recordChange(joined uint64, change chosenChange) {
 	if joined > 1 {
 		r.recent = nil
 	}
 	if len(r.recent) == MaxRecentChanges {
-		r.recent = slices.Clone(r.recent[MaxRecentChanges/2:]) // readers keep the old array
+		r.recent = slices.Clone(r.recent[MaxRecentChanges/2:]) // readers may still use the old array
 	}
 	r.recent = append(r.recent, change)
 }
@@ -279,8 +283,8 @@
 	}
 }
 
-// LearnElectorate takes over the electorate of another node's snapshot if none is known here and that snapshot
-// is the one here. That of any other snapshot comes with its chunks.
+// LearnElectorate adopts the electorate of another node's snapshot if none is known here and this node has the same
+// snapshot. The electorate of any other snapshot arrives with its chunks.
 func (r *Replica) LearnElectorate(chunk *transport.CatchUpChunk) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -296,33 +300,33 @@
 	r.notifyElectorateChanged()
 }
 
-// validElectorate tells whether an electorate that another process sent can be one.
+// validElectorate reports whether an electorate that another process sent is possible.
 func validElectorate(e consensus.Electorate) bool {
 	return e.Known() && len(e.Voters) <= MaxControlNodes
 }
 
-// allKeysValid tells whether items that another process sent can be items at all.
+// allKeysValid reports whether the keys of items that another process sent are valid.
 func allKeysValid(items []configuration.Item) bool {
 	return !slices.ContainsFunc(items, func(item configuration.Item) bool {
 		return !item.Key.Valid()
 	})
 }
 
-// Snapshot returns the configuration here with its epoch.
+// Snapshot returns this node's configuration with its epoch.
 func (r *Replica) Snapshot() (epoch uint64, snapshot *configuration.Snapshot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.acceptor.Epoch, r.store.Snapshot()
 }
 
-// Epoch is the epoch of the snapshot here.
+// Epoch is the epoch of this node's snapshot.
 func (r *Replica) Epoch() uint64 {
 	epoch, _ := r.Snapshot()
 	return epoch
 }
 
-// Pending returns the highest ballot promised, and the epoch of the change that is accepted here and not known
-// to be chosen; 0: none.
+// Pending returns the highest promised ballot, and the epoch of the change that is accepted here and not known to be
+// chosen; 0: there is none.
 func (r *Replica) Pending() (promised consensus.Ballot, epoch uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -332,8 +336,8 @@
 	return r.acceptor.Promised, epoch
 }
 
-// PendingFor is how long a change has been accepted here and not known to be chosen; 0: there is none, or this
-// node is no voter.
+// PendingFor is the time for which a change has been accepted here and not known to be chosen; 0: there is none, or
+// this node is not a voter.
 func (r *Replica) PendingFor(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -343,14 +347,14 @@
 	return now.Sub(r.pendingAt)
 }
 
-// Base returns the snapshot here, with its epoch and the electorate that decides on the next change.
+// Base returns this node's snapshot, with its epoch and the electorate that decides on the next change.
 func (r *Replica) Base() (consensus.Base, *configuration.Snapshot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.acceptor.Base(), r.store.Snapshot()
 }
 
-// AsVoter is this node as a voter, with its disk.
+// AsVoter returns this node as a voter with its disk.
 func (r *Replica) AsVoter() consensus.Voter {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -367,14 +371,14 @@
 	return r.acceptor.Electorate.Addresses(), r.acceptor.IsVoter()
 }
 
-// IsVoter tells whether this node is a voter.
+// IsVoter reports whether this node is a voter.
 func (r *Replica) IsVoter() bool {
 	_, self := r.Voters()
 	return self
 }
 
-// VotersForLease returns the voters as this node counts them for its majority lease: if it is listed with a disk
-// that it has lost, it does not count itself.
+// VotersForLease returns the voters that this node counts for its majority lease. If it is listed with a disk that it
+// has lost, its own entry is empty, so that it does not count itself.
 func (r *Replica) VotersForLease() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/control/replica/replicatest/doc.go
+++ b/internal/control/replica/replicatest/doc.go
@@ -1,6 +1,6 @@
-// Package replicatest is the reference model of a replica for tests: a history of changes, and the snapshot
-// after each.
+// Package replicatest has the reference model of a replica for tests. The model is a history of changes, and computes
+// the snapshot after each of them.
 //
-// It imports package cluster's folders only; replicas are seen through an interface, so that tests of package
+// The package imports only packages of cluster. It drives replicas through an interface, so that tests of package
 // replica itself can use it.
 package replicatest
--- a/internal/control/replica/staging.go
+++ b/internal/control/replica/staging.go
@@ -10,28 +10,28 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// A node that lacks chosen changes gets them from any other control node, in chunks. An item carries the epoch
-// in which it was chosen, so the snapshot of epoch E is that of epoch B with those items of E that are newer
-// than B. The source keeps no state of a transfer: each chunk is read from the snapshot that it has at that
-// moment, from one position on. The chunks of one pass may thus come from snapshots of several epochs, from
-// First to Top, never decreasing; they are staged, and not visible. After a pass, everything up to FirstEpoch is
-// applied or staged, and the next pass asks only for what is newer than that. A pass whose chunks all come from
-// the snapshot of one epoch completes that snapshot, which is then applied at once. So it makes no difference
-// which node sends the next chunk, and a transfer continues where it was after a lost connection, with another
-// source, and after a restart.
+// A node that lacks chosen changes gets them from any other control node, in chunks. An item has the epoch in which it
+// was chosen, so the snapshot of epoch E is that of epoch B with those items of E that are newer than B. The source
+// keeps no state of a transfer. It reads each chunk, from a given position on, from the snapshot that it has at that
+// moment. The chunks of one pass may therefore come from snapshots of several epochs, from FirstEpoch to LastEpoch, in
+// an order that never decreases. They are staged, and not visible. After a pass, all changes up to FirstEpoch are
+// applied or staged, and the next pass requests only newer ones. If all chunks of a pass come from the snapshot of one
+// epoch, they complete that snapshot, which is then applied at once. It therefore makes no difference which node sends
+// the next chunk, and a transfer continues at its position after a lost connection, with another source, and after a
+// restart.
 
-// staging is the chunks of a transfer that is not complete. Replica.mu guards it.
+// staging holds the chunks of an incomplete transfer. Replica.mu guards it.
 type staging struct {
 	storage.StageProgress
 	items    map[configuration.Key]configuration.Item
-	saved    bool      // part of it is on disk
-	lastUsed time.Time // when the last useful chunk arrived
+	onDisk   bool      // whether part of it is on disk
+	lastUsed time.Time // arrival of the last useful chunk
 }
 
-// restore takes over what was on disk.
+// restore sets the state that was read from the disk, unless the node's snapshot is at least as new.
 func (s *staging) restore(from storage.State) {
-	s.saved = from.Stage != nil
-	if !s.saved || from.Stage.LastEpoch <= from.Acceptor.Epoch || mutants.On("replica/begins-anew") {
+	s.onDisk = from.Stage != nil
+	if !s.onDisk || from.Stage.LastEpoch <= from.Acceptor.Epoch || mutants.On("replica/begins-anew") {
 		return
 	}
 	s.StageProgress = *from.Stage
@@ -41,24 +41,25 @@
 	}
 }
 
-// finish discards what is staged if the snapshot of an epoch is as new. It tells whether part of it is on disk.
+// finish discards the staged items if the snapshot of an epoch is at least as new. It reports whether part of them is
+// on disk.
 func (s *staging) finish(epoch uint64) (saved bool) {
 	if s.LastEpoch > epoch {
 		return false
 	}
-	saved = s.saved
+	saved = s.onDisk
 	*s = staging{lastUsed: s.lastUsed}
 	return saved
 }
 
-// add stages a chunk, and tells whether it completes the snapshot of the chunk's epoch. Items that were chosen
-// later replace those that were chosen earlier.
+// add stages a chunk, and reports whether it completes the snapshot of the chunk's epoch. Items that were chosen later
+// replace those that were chosen earlier.
 func (s *staging) add(chunk *transport.CatchUpChunk) (complete bool) {
 	if s.items == nil {
 		s.items = map[configuration.Key]configuration.Item{}
 	}
 	for _, item := range chunk.Items {
-		// Items of one version may differ in their histories: the newer epoch has the longer one.
+		// Items of one version may have different histories. That of the newer epoch is the longer one.
 		if old, ok := s.items[item.Key]; !ok || item.Epoch > old.Epoch {
 			s.items[item.Key] = item
 		}
@@ -74,8 +75,8 @@
 	return s.FirstEpoch == s.LastEpoch || mutants.On("replica/mixes-epochs")
 }
 
-// follows tells whether a chunk continues the transfer: it answers the newest request, and comes from a snapshot
-// that is not older than those of the chunks before it.
+// follows reports whether a chunk continues the transfer, which means that it answers the newest request and comes from
+// a snapshot that is not older than those of the chunks before it.
 func (s *staging) follows(request *transport.CatchUpRequest, chunk *transport.CatchUpChunk) bool {
 	if chunk.Epoch < s.LastEpoch && !mutants.On("replica/older-source") {
 		return false
@@ -86,7 +87,7 @@
 	return chunk.NextPosition == 0 || chunk.NextPosition > request.FromPosition
 }
 
-// NextCatchUpRequest is the request for the next chunk.
+// NextCatchUpRequest returns the request for the next chunk.
 func (r *Replica) NextCatchUpRequest() *transport.CatchUpRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,9 +99,9 @@
 	}
 }
 
-// StageChunk stages the answer to a request, and applies the snapshot if it is complete. It returns the epoch of
-// the snapshot here, and whether the chunk was of use: one that comes late, twice, or from an older snapshot
-// than the chunks before it is not.
+// StageChunk stages the answer to a request, and applies the snapshot if it is complete. It returns the epoch of this
+// node's snapshot, and whether the chunk was used. A chunk that is late, repeated, or from an older snapshot than the
+// chunks before it is ignored.
 func (r *Replica) StageChunk(
 	request *transport.CatchUpRequest, chunk *transport.CatchUpChunk,
 ) (epoch uint64, used bool) {
@@ -114,7 +115,7 @@
 		return r.acceptor.Epoch, false
 	}
 	s.lastUsed = time.Now()
-	single := s.LastEpoch == 0 && chunk.NextPosition == 0 // one chunk is all: nothing need be staged on disk
+	single := s.LastEpoch == 0 && chunk.NextPosition == 0 // the only chunk, which need not be staged on disk
 	if complete := s.add(chunk); complete || mutants.On("replica/epoch-before-items") {
 		items := make([]configuration.Item, 0, len(s.items))
 		for _, item := range s.items {
@@ -127,10 +128,11 @@
 	return r.acceptor.Epoch, true
 }
 
-// persistStage queues a staged chunk for the disk, without a sync: what is lost of it is requested again. r.mu is held.
+// persistStage queues a staged chunk for the disk. No sync is needed, because lost chunks are requested again. r.mu is
+// held.
 func (r *Replica) persistStage(chunk *transport.CatchUpChunk) {
 	stage := r.staging.StageProgress
-	r.staging.saved = true
+	r.staging.onDisk = true
 	batch := storage.Batch{Stage: &stage, StagedItems: chunk.Items, NoSync: true}
 	if mutants.On("replica/position-without-items") {
 		batch.StagedItems = nil
@@ -138,14 +140,14 @@
 	r.disk.Put(batch)
 }
 
-// Transferring tells whether a transfer has begun and is not complete.
+// Transferring reports whether a transfer is in progress.
 func (r *Replica) Transferring() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.staging.LastEpoch != 0
 }
 
-// LastChunkAt is when the last useful chunk arrived; zero: none did.
+// LastChunkAt is the time at which the last useful chunk arrived; zero: none has.
 func (r *Replica) LastChunkAt() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/control/wiring.go
+++ b/internal/control/wiring.go
@@ -23,7 +23,7 @@
 		Self:              n.self,
 		Store:             n.store,
 		IsOwnBallot:       func(b consensus.Ballot) bool { return strings.HasPrefix(b.Node, n.name+"/") },
-		DrawDiskID:        func() uint64 { return n.incarnation },
+		NewDiskID:         func() uint64 { return n.incarnation },
 		ElectorateChanged: n.notifyWatch,
 	})
 	n.majority = majority.NewLease(n.self, func() time.Duration { return n.leaseClock() }, n.replica.VotersForLease)
