--- a/internal/control/coordination.go
+++ b/internal/control/coordination.go
@@ -52,6 +52,6 @@
 // handOverShards hands the shards that this node leads to others, before it ends.
 func (n *Node) handOverShards() {
 	if n.shards != nil {
-		n.shards.HandOver()
+		n.shards.TransferLeases()
 	}
 }
--- a/internal/control/shards/calls.go
+++ b/internal/control/shards/calls.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// callTimeout is how long a call is tried: a caller goes on to another node after a second.
+	// callTimeout limits the attempts at a call, because its caller tries another node after one second.
 	callTimeout = 850 * time.Millisecond
-	// forwardTimeout is how long a forwarded call waits for its answer, before the leaseholder is looked for again.
-	forwardTimeout = 450 * time.Millisecond
-	retryDelay     = 15 * time.Millisecond
-	maxRedirects   = 2    // followed at once, before the next delay
-	maxServed      = 2048 // calls of peers that are evaluated at once
+	// forwardTimeout limits the wait for the answer to a forwarded call. After it the leaseholder is looked up again.
+	forwardTimeout       = 450 * time.Millisecond
+	retryDelay           = 15 * time.Millisecond
+	maxRedirects         = 2    // redirects that are followed without a delay, before the next retryDelay
+	maxForwardedInFlight = 2048 // forwarded calls that are evaluated at once; bounds memory
 )
 
-// Do has a request evaluated by the leaseholder of its shard, here or elsewhere. Its errors are ErrNoLeaseholder and
-// ErrUnknownOutcome. Requests may be repeated: a repeated one finds what the first has done.
+// Do gets a request evaluated by the leaseholder of its shard, which may be this node or another. Its errors are
+// ErrNoLeaseholder and ErrUnknownOutcome. A request may be repeated, because the repetition finds the effect of the
+// first attempt.
 func (s *Service) Do(ctx context.Context, r coordination.Request) (coordination.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+time.Duration(r.WaitMs)*time.Millisecond)
 	defer cancel()
@@ -39,7 +40,7 @@
 		result, redirected, err := s.try(ctx, r)
 		switch {
 		case err == nil && unknown && isRefusal(result.Code):
-			return coordination.Result{}, ErrUnknownOutcome // an earlier try may have taken effect
+			return coordination.Result{}, ErrUnknownOutcome // an earlier attempt may have taken effect
 		case err == nil:
 			return result, nil
 		case errors.Is(err, ErrUnknownOutcome) && !r.ReadOnly():
@@ -59,13 +60,13 @@
 	return coordination.Result{}, ErrNoLeaseholder
 }
 
-// isRefusal reports whether a code promises that the request has had no effect, for a reason that may pass.
+// isRefusal reports whether a code means that the request has had no effect, for a reason that may be temporary.
 func isRefusal(code coordination.Code) bool {
 	return code == coordination.TooMany || code == coordination.TooManyOpen
 }
 
-// try has a request evaluated once, here or by the node that is known to be the leaseholder. Redirected means that the
-// other node named another one.
+// try makes one attempt at a request, here or at the node that is known to be the leaseholder. Redirected means that
+// this node named another leaseholder.
 func (s *Service) try(ctx context.Context, r coordination.Request) (
 	result coordination.Result, redirected bool, err error,
 ) {
@@ -77,7 +78,7 @@
 	if !errors.Is(err, errNotLeaseholder) {
 		return result, false, err
 	}
-	leader := h.leaderOrAny()
+	leader := h.leaderOrRandomVoter()
 	if leader == "" || leader == s.options.Self {
 		return result, false, errNotLeaseholder
 	}
@@ -90,23 +91,23 @@
 	return result, named != "" && named != leader, err
 }
 
-// learnLeader notes who answered, or was named by another node. A node that is no replica of the shard knows no other
-// way.
+// learnLeader records the node that answered as the leaseholder, or that another node named as such. A node without a
+// replica of the shard has no other way to know it.
 func (h *host) learnLeader(addr string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hint = addr
+	h.leaderHint = addr
 }
 
-// leaderOrAny is the leaseholder as last known, or any other voter, which may know it.
-func (h *host) leaderOrAny() string {
+// leaderOrRandomVoter returns the last known leaseholder, or else a random voter, which may know it.
+func (h *host) leaderOrRandomVoter() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if leader := h.replica.Leader(); leader != "" {
 		return leader
 	}
-	if h.hint != "" {
-		return h.hint
+	if h.leaderHint != "" {
+		return h.leaderHint
 	}
 	voters := h.replica.Voters()
 	if len(voters) == 0 {
@@ -118,8 +119,8 @@
 	return voters[rand.IntN(len(voters))].Addr //nolint:gosec // any will do
 }
 
-// serve evaluates a request as the leaseholder. The lease is looked at in the moment of the evaluation, which is after
-// the call was received: what the answer says was so at that moment.
+// serve evaluates a request as the leaseholder. The lease is checked at the moment of the evaluation, after the call
+// has been received, so that the answer was true at that moment.
 func (h *host) serve(ctx context.Context, r coordination.Request) (coordination.Result, error) {
 	for {
 		out, committed, changed, err := h.evaluate(r)
@@ -139,8 +140,8 @@
 	}
 }
 
-// evaluate evaluates a request and proposes its writes. Committed is nil where nothing is to be waited for; changed is
-// closed at the next commit.
+// evaluate evaluates a request and proposes its writes. Committed is nil if the caller need not wait for a commit.
+// Changed is closed at the next commit and at the end of the term.
 func (h *host) evaluate(r coordination.Request) (
 	out coordination.Outcome, committed <-chan bool, changed <-chan struct{}, err error,
 ) {
@@ -160,12 +161,13 @@
 		committed = h.waiters.add(out.CommitBefore)
 	}
 	changed = h.waiters.changed
-	h.carryOut(now)
+	h.processOutput(now)
 	return out, committed, changed, nil
 }
 
-// await waits until all is committed that an outcome depends on. A request that has proposed nothing itself, and
-// promises nothing, has had no effect where that fails.
+// await waits until all batches that an outcome depends on are committed. If that fails, a read-only request and one
+// that ended in a mismatch get errNotLeaseholder, because they have proposed no writes and so had no effect. The
+// outcome of all others is unknown.
 func (h *host) await(ctx context.Context, r coordination.Request, out coordination.Outcome, committed <-chan bool) (
 	coordination.Result, error,
 ) {
@@ -186,7 +188,8 @@
 	return coordination.Result{}, ErrUnknownOutcome
 }
 
-// forward has another node evaluate a request. Without an answer it is not known what became of it.
+// forward sends a request to another node for evaluation. Without an answer its outcome is unknown. Leader is the
+// leaseholder that the other node named.
 func (s *Service) forward(ctx context.Context, to string, r coordination.Request) (
 	result coordination.Result, leader string, err error,
 ) {
@@ -196,7 +199,7 @@
 	id := s.lastCall
 	s.forwards[id] = reply
 	s.mu.Unlock()
-	defer s.forget(id)
+	defer s.removeForward(id)
 	s.outbox(to).addCall(transport.CoordinationCall{ID: id, Request: r})
 	timer := time.NewTimer(forwardTimeout + time.Duration(r.WaitMs)*time.Millisecond)
 	defer timer.Stop()
@@ -216,13 +219,13 @@
 	return result, "", ErrUnknownOutcome
 }
 
-func (s *Service) forget(id uint64) {
+func (s *Service) removeForward(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.forwards, id)
 }
 
-// deliver hands a reply to the call that waits for it.
+// deliver passes a reply to the call that waits for it.
 func (s *Service) deliver(reply transport.CoordinationReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -232,13 +235,13 @@
 	}
 }
 
-// serveForwarded evaluates a call of another node in a goroutine of its own.
+// serveForwarded evaluates a call of another node in a new goroutine.
 func (s *Service) serveForwarded(from string, call transport.CoordinationCall) {
 	s.mu.Lock()
-	s.served++
-	busy := s.served > maxServed
+	s.forwardedInFlight++
+	busy := s.forwardedInFlight > maxForwardedInFlight
 	if busy {
-		s.served--
+		s.forwardedInFlight--
 	}
 	s.mu.Unlock()
 	if busy {
@@ -252,7 +255,7 @@
 		s.outbox(from).addReply(s.evaluateForwarded(call))
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.served--
+		s.forwardedInFlight--
 	})
 }
 
@@ -281,7 +284,8 @@
 	return reply
 }
 
-// knownLeader is the leaseholder as last known, unless that is this node, which does not hold the lease.
+// knownLeader returns the last known leaseholder. If that is this node, it returns "", because this node does not hold
+// the lease.
 func (h *host) knownLeader() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/control/shards/doc.go
+++ b/internal/control/shards/doc.go
@@ -1,15 +1,15 @@
-// Package shards runs this node's replica of each shard (cluster/shard) and, where it is the leaseholder, the tables
-// that answer applications (cluster/coordination). A call of an application is evaluated here, or forwarded to the
-// leaseholder.
+// Package shards runs this node's replica of each shard (cluster/shard). For each shard whose lease this node holds, it
+// also has the tables that answer applications (cluster/coordination). A call of an application is evaluated here if
+// this node is the leaseholder, and forwarded to the leaseholder otherwise.
 //
-// A host owns one shard: its replica, tables and the calls that wait for a commit, under one mutex that is never held
+// A host owns one shard, with its replica, its tables and the calls that wait for a commit. Its mutex is never held
 // while a disk, a peer or a caller is waited for. A Service owns the hosts, an outbox for each peer and the calls that
-// are forwarded. Its goroutines are one for the clock, one for each shard's saves, one for each outbox, and one for
-// each call that a peer forwards; all end with the context of Run.
+// are forwarded. It has one goroutine for the clock, one for the saves of each shard, one for each outbox, and one for
+// each call that a peer forwards. All of them end with the context of Run.
 //
-// Files: service.go (life cycle), host.go (one shard), waiters.go, calls.go (evaluation and forwarding), outbox.go
-// (what goes to peers and comes from them), status.go, errors.go.
+// Files: service.go (life cycle), host.go (one shard), waiters.go (calls that wait for a commit), calls.go (evaluation
+// and forwarding), outbox.go (messages to and from peers), status.go (status and metrics), errors.go.
 //
-// It may import control/storage and packages of cluster. Tests: internal/control/coordination_test.go and its siblings,
-// on simulated nodes.
+// The package may import control/operatorapi, control/storage and packages of cluster. Its tests are
+// internal/control/coordination_test.go and others there, which run simulated nodes.
 package shards
--- a/internal/control/shards/errors.go
+++ b/internal/control/shards/errors.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// TransferError means that a lease was not handed over. Nothing has changed.
+// TransferError means that a lease was not transferred. Nothing has changed.
 type TransferError struct {
 	Shard  uint32
 	Reason string
@@ -17,12 +17,12 @@
 }
 
 var (
-	// ErrNoLeaseholder means that no leaseholder was found in time. Nothing was done, and nothing will be.
+	// ErrNoLeaseholder means that no leaseholder was found in time. The request has not taken effect and will not.
 	ErrNoLeaseholder = errors.New("no leaseholder answers for this name")
 
 	// ErrUnknownOutcome means that the request may have taken effect, or may yet.
 	ErrUnknownOutcome = errors.New("it is not known whether the call has taken effect")
 
-	// errNotLeaseholder means that this node is not the leaseholder. Nothing was done.
+	// errNotLeaseholder means that this node is not the leaseholder. The request has not taken effect.
 	errNotLeaseholder = errors.New("not the leaseholder")
 )
--- a/internal/control/shards/host.go
+++ b/internal/control/shards/host.go
@@ -18,22 +18,22 @@
 	service *Service
 	number  uint32
 	disk    *storage.Store
-	wake    chan struct{} // has room for one: there are saves to report
-
-	mu       sync.Mutex // guards the fields below
-	replica  *shard.Replica
-	tables   *coordination.Tables // while this node is the leaseholder of a term that is established; else nil
-	term     uint64               // of the tables
-	since    float64              // when the tables were loaded
-	commit   uint64
-	waiters  waiters
-	pending  []pendingSave
-	leader   string // as logged last
-	hint     string // leaseholder as another node named it; the replica's own knowledge goes before it
-	takeover int    // terms led here
+	wake    chan struct{} // capacity 1; signals that there are saves to report
+
+	mu             sync.Mutex // guards the fields below
+	replica        *shard.Replica
+	tables         *coordination.Tables // nil unless this node is the leaseholder of an established term
+	term           uint64               // term of the tables
+	tablesLoadedAt float64              // time by Service.now, seconds
+	commit         uint64               // number of the last committed batch of the term
+	waiters        waiters
+	pending        []pendingSave // in the order of their numbers
+	leader         string        // leaseholder that was logged last
+	leaderHint     string        // leaseholder according to another node; used only if the replica knows none
+	termsLed       int           // number of terms in which this node was the leaseholder
 }
 
-// pendingSave is a save that is on its way to the disk.
+// pendingSave is a save that the replica does not know to be on disk yet.
 type pendingSave struct {
 	number uint64
 	future *storage.Future
@@ -46,43 +46,44 @@
 	return h
 }
 
-// found begins the shard with its first voters, unless the disk has it.
-func (h *host) found(voters []consensus.Voter) {
+// bootstrap creates the shard with its first voters, unless the disk has it.
+func (h *host) bootstrap(voters []consensus.Voter) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.replica.Found(voters)
-	h.carryOut(h.service.now())
+	h.processOutput(h.service.now())
 }
 
-// step takes a message of another replica.
+// step processes a message of another replica.
 func (h *host) step(m shard.Message) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.service.now()
 	h.replica.Step(m, now)
-	h.carryOut(now)
+	h.processOutput(now)
 }
 
-// tick reports the time to the replica, and does at the leaseholder what is due.
+// tick reports the time to the replica. The leaseholder also changes the voters towards the target, deletes records
+// that are no longer needed, and transfers the lease if another voter is preferred.
 func (h *host) tick(round int, target []consensus.Voter) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.service.now()
 	h.replica.Tick(now)
 	h.replica.Reconcile(target, now)
-	if h.tables != nil && round%upkeepInterval == 0 {
+	if h.tables != nil && round%upkeepIntervalTicks == 0 {
 		h.upkeep(now)
 	}
-	if round%rebalanceInterval == 0 && now > h.since+minTermAge {
+	if round%rebalanceIntervalTicks == 0 && now > h.tablesLoadedAt+minTermAgeSeconds {
 		if preferred, ok := h.replica.Preferred(); ok {
 			h.replica.TransferTo(preferred.Addr, now)
 		}
 	}
-	h.carryOut(now)
+	h.processOutput(now)
 }
 
-// upkeep deletes what is not needed any more. Writes that can't be proposed now are dropped with the tables: whoever
-// leads next finds the records again.
+// upkeep deletes records that are no longer needed. If the deletions can't be proposed now, they are lost together with
+// the tables, and the next leaseholder finds the records again.
 func (h *host) upkeep(now float64) {
 	if !h.replica.HoldsLease(now) {
 		return
@@ -92,20 +93,20 @@
 	}
 }
 
-// handOver hands the leadership to any voter that has everything.
-func (h *host) handOver() {
+// transferToAnyVoter transfers the lease to any voter that has all batches.
+func (h *host) transferToAnyVoter() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.service.now()
 	for _, voter := range h.replica.Voters() {
 		h.replica.TransferTo(voter.Addr, now)
 	}
-	h.carryOut(now)
+	h.processOutput(now)
 }
 
-// carryOut does what the replica asks for, and answers the calls whose batches are committed. h.mu is held; nothing
-// here waits.
-func (h *host) carryOut(now float64) {
+// processOutput processes the saves and messages that the replica returns, and answers the calls whose batches are
+// committed. h.mu is held, and nothing here blocks.
+func (h *host) processOutput(now float64) {
 	out := h.replica.Take()
 	for _, save := range out.Saves {
 		future := h.disk.Put(storage.Batch{Shard: &storage.ShardSave{Shard: h.number, Save: save}})
@@ -124,7 +125,8 @@
 	h.logLeader()
 }
 
-// updateTerm loads the tables at the start of an established term, drops them at its end, and notes what is committed.
+// updateTerm loads the tables at the start of an established term, drops them at its end, and answers the calls whose
+// batches are committed.
 func (h *host) updateTerm(now float64) {
 	term, commit := h.replica.Committed()
 	if h.tables != nil && term != h.term {
@@ -149,14 +151,14 @@
 		level.Error(h.service.log).Log("msg", "records of a shard can't be read", "shard", h.number, "err", err)
 		return
 	}
-	h.tables, h.term, h.since, h.commit = tables, term, now, 0
-	h.takeover++
+	h.tables, h.term, h.tablesLoadedAt, h.commit = tables, term, now, 0
+	h.termsLed++
 	stats := tables.Stats()
 	level.Info(h.service.log).Log("msg", "lease acquired", "shard", h.number, "term", term,
 		"locks", stats.Locks, "cells", stats.Cells, "events", stats.Events)
 }
 
-// logLeader logs another leaseholder once it is known.
+// logLeader updates the known leaseholder, and logs if this node has lost the lease to another one.
 func (h *host) logLeader() {
 	leader := h.replica.Leader()
 	if leader == "" || leader == h.leader {
@@ -179,13 +181,13 @@
 			if h.service.ctx.Err() == nil && !errors.Is(err, storage.ErrClosed) {
 				level.Error(h.service.log).Log("msg", "shard not saved", "shard", h.number, "err", err)
 			}
-			return // the replica counts for nothing any more
+			return // the replica confirms no further batches
 		}
 		h.reportSaved(save)
 	}
 }
 
-// nextSave waits for a save.
+// nextSave waits for the oldest save that is not reported; ok is false if the service ends.
 func (h *host) nextSave() (save pendingSave, ok bool) {
 	for {
 		h.mu.Lock()
@@ -203,7 +205,7 @@
 	}
 }
 
-// reportSaved reports a save, and those that were synced with it.
+// reportSaved reports a save, and all that were synced together with it.
 func (h *host) reportSaved(save pendingSave) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -215,5 +217,5 @@
 	h.pending = slices.Delete(h.pending, 0, count)
 	now := h.service.now()
 	h.replica.Saved(save.number, now)
-	h.carryOut(now)
+	h.processOutput(now)
 }
--- a/internal/control/shards/outbox.go
+++ b/internal/control/shards/outbox.go
@@ -7,17 +7,19 @@
 	"mulleinrouter/internal/cluster/transport"
 )
 
-// maxQueued bounds what waits for one peer. Beyond it messages are dropped, as on a link that fails.
+// maxQueued limits the messages, calls and replies that wait for one peer. Further ones are dropped, as on a failing
+// link, so that memory stays bounded.
 const maxQueued = 2048
 
-// outbox is what waits to be sent to one peer. What collects while a frame is written goes into the next one.
+// outbox queues messages, calls and replies for one peer. All that are queued while a frame is being written are sent
+// in the next frame.
 type outbox struct {
 	mu      sync.Mutex // guards waiting
 	waiting transport.Coordination
-	wake    chan struct{} // has room for one
+	wake    chan struct{} // capacity 1; signals that something is waiting
 }
 
-// outbox is that of a peer.
+// outbox returns the outbox of a peer, and creates it on first use.
 func (s *Service) outbox(addr string) *outbox {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,7 +46,7 @@
 	o.add(func(c *transport.Coordination) { c.Replies = append(c.Replies, reply) })
 }
 
-// add queues something, unless too much is waiting.
+// add queues one message, call or reply, unless maxQueued of them are waiting.
 func (o *outbox) add(queue func(*transport.Coordination)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -59,7 +61,7 @@
 	}
 }
 
-// take returns what is waiting.
+// take removes and returns all that is waiting.
 func (o *outbox) take() transport.Coordination {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -68,7 +70,7 @@
 	return waiting
 }
 
-// sendAll sends what is queued for a peer until the service ends.
+// sendAll sends the queue of a peer whenever it is not empty, until the service ends.
 func (s *Service) sendAll(addr string, o *outbox) {
 	for {
 		select {
@@ -77,11 +79,12 @@
 			return
 		}
 		waiting := o.take()
-		_ = s.options.Peers.Send(addr, &transport.Frame{Coordination: &waiting}) // what is lost is sent again
+		// An error is ignored, because replicas and callers send again what is lost.
+		_ = s.options.Peers.Send(addr, &transport.Frame{Coordination: &waiting})
 	}
 }
 
-// Receive takes what another control node sends. It does not wait.
+// Receive processes the messages, calls and replies of another control node. It does not block.
 func (s *Service) Receive(from string, c *transport.Coordination) {
 	for _, m := range c.Messages {
 		if hosts := s.hosts.Load(); hosts != nil && m.Shard < Count {
--- a/internal/control/shards/service.go
+++ b/internal/control/shards/service.go
@@ -16,15 +16,16 @@
 	"mulleinrouter/internal/control/storage"
 )
 
-// Count is the number of shards. It divides over three voters and nearly so over four, and is part of the format on
-// disk: another number would place names in other shards.
+// Count is the number of shards. Six shards are divided evenly among three voters, and nearly so among four. The number
+// is part of the format on disk, because names would be in other shards if it changed.
 const Count = 6
 
 const (
-	tickInterval      = 50 * time.Millisecond
-	upkeepInterval    = 10  // ticks
-	rebalanceInterval = 40  // ticks
-	minTermAge        = 3.0 // seconds for which a leaseholder that is not preferred leads before it hands over
+	tickInterval           = 50 * time.Millisecond // interval at which the time is reported to the replicas
+	upkeepIntervalTicks    = 10                    // ticks between deletions of records that are no longer needed
+	rebalanceIntervalTicks = 40                    // ticks between transfers of leases to preferred voters
+	// minTermAgeSeconds is the time for which a leaseholder keeps a lease before it transfers it to a preferred voter.
+	minTermAgeSeconds = 3.0
 )
 
 // Peers reaches the other control nodes (peers.Set).
@@ -32,35 +33,35 @@
 	Send(addr string, frame *transport.Frame) error
 }
 
-// Options is what a Service is made of.
+// Options are the settings and dependencies of a Service.
 type Options struct {
-	Self    string // own control address
-	Seed    uint64
-	History float64 // for which a watch may rely on events, in seconds
+	Self    string  // own control address
+	Seed    uint64  // seed of the random delays of the replicas
+	History float64 // time for which events are kept for watches, seconds
 	Peers   Peers
-	// Electorate returns the voters of the configuration, which those of the shards follow.
+	// Electorate returns the voters of the configuration. The voters of the shards are changed to these.
 	Electorate func() consensus.Electorate
-	Clock      func() time.Duration // monotonic
+	Clock      func() time.Duration // monotonic clock
 	Log        log.Logger
 }
 
-// Service is the shards of this node. Before Open it has none: calls fail, and messages are dropped.
+// Service has the shards of this node. It has none before Open. Until then calls fail and messages are dropped.
 type Service struct {
 	options Options
 	log     log.Logger
 	hosts   atomic.Pointer[[Count]*host]
-	opened  chan struct{}
+	opened  chan struct{} // closed by Open
 
-	ctx     context.Context //nolint:containedctx // of Run: what calls start ends with it
+	ctx     context.Context //nolint:containedctx // goroutines that calls start end with Run
 	stop    context.CancelFunc
 	running sync.WaitGroup
 
-	mu       sync.Mutex // guards the fields below
-	outboxes map[string]*outbox
-	lastCall uint64
-	forwards map[uint64]chan transport.CoordinationReply
-	served   int  // calls of peers that are evaluated now
-	ended    bool // nothing is started any more
+	mu                sync.Mutex // guards the fields below
+	outboxes          map[string]*outbox
+	lastCall          uint64 // id of the last call that was forwarded
+	forwards          map[uint64]chan transport.CoordinationReply
+	forwardedInFlight int  // calls that peers forwarded and that are being evaluated
+	ended             bool // no more goroutines are started
 
 	Metrics *Metrics
 }
@@ -74,15 +75,15 @@
 	}
 }
 
-// Open takes over the shards that were found on disk. Founders are the voters of a system that starts for the first
-// time on this disk; nil: a shard that is not on the disk is received from its leaseholder.
+// Open sets the state of the shards that was read from the disk. If the system starts for the first time on this disk,
+// initialVoters are its voters. If they are nil, a shard that is not on the disk is received from its leaseholder.
 func (s *Service) Open(disk *storage.Store, states map[uint32]shard.State, self consensus.Voter,
-	founders []consensus.Voter) {
+	initialVoters []consensus.Voter) {
 	hosts := new([Count]*host)
 	for number := range uint32(Count) {
 		h := newHost(s, number, disk, states[number], self)
-		if founders != nil {
-			h.found(founders)
+		if initialVoters != nil {
+			h.bootstrap(initialVoters)
 		}
 		hosts[number] = h
 		s.start(h.reportSaves)
@@ -91,7 +92,7 @@
 	close(s.opened)
 }
 
-// Run keeps time until the context ends, and then ends all that the service started.
+// Run reports the time to the shards until the context ends. Then it ends all goroutines of the service.
 func (s *Service) Run(ctx context.Context) {
 	defer s.end()
 	select {
@@ -114,7 +115,7 @@
 	}
 }
 
-// start runs something until the service ends; after that, nothing.
+// start runs work in a goroutine. After the end of the service it does nothing.
 func (s *Service) start(work func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +124,7 @@
 	}
 }
 
-// end ends what the service started, and waits for it.
+// end ends the goroutines of the service, and waits for them.
 func (s *Service) end() {
 	s.mu.Lock()
 	s.ended = true
@@ -132,21 +133,21 @@
 	s.running.Wait()
 }
 
-// HandOver has the leaseholders here hand their shards to other voters, before this process ends.
-func (s *Service) HandOver() {
+// TransferLeases transfers the leases that this node holds to other voters. It is called before the process ends.
+func (s *Service) TransferLeases() {
 	hosts := s.hosts.Load()
 	if hosts == nil {
 		return
 	}
 	for _, h := range hosts {
-		h.handOver()
+		h.transferToAnyVoter()
 	}
 }
 
 // now is the time by the monotonic clock, in seconds.
 func (s *Service) now() float64 { return s.options.Clock().Seconds() }
 
-// hostOf is the shard of a request; nil: the disk has not been read yet.
+// hostOf returns the host of a request's shard; nil: the disk has not been read yet.
 func (s *Service) hostOf(r coordination.Request) *host {
 	hosts := s.hosts.Load()
 	if hosts == nil {
@@ -155,14 +156,14 @@
 	return hosts[shardOf(r.Scope())]
 }
 
-// shardOf is the number of the shard that a scope belongs to.
+// shardOf returns the number of the shard of a scope.
 func shardOf(scope string) uint32 {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(scope))
 	return hash.Sum32() % Count
 }
 
-// ShardOf is the number of a lock's shard.
+// ShardOf returns the number of a lock's shard.
 func (s *Service) ShardOf(lock string) uint32 {
 	return shardOf(coordination.Request{Kind: coordination.AcquireLock, Name: lock}.Scope())
 }
--- a/internal/control/shards/status.go
+++ b/internal/control/shards/status.go
@@ -16,7 +16,7 @@
 
 const millisPerSecond = 1000
 
-// Status lists the shards as this node sees them; empty: the disk has not been read yet.
+// Status returns what this node knows of the shards; empty: the disk has not been read yet.
 func (s *Service) Status() []operatorapi.Shard {
 	all := []operatorapi.Shard{}
 	hosts := s.hosts.Load()
@@ -55,7 +55,7 @@
 	return status
 }
 
-// Transfer hands a shard that this node holds the lease of to another voter. A refusal is a *TransferError.
+// Transfer transfers the lease of a shard from this node to another voter. It returns a *TransferError if it refuses.
 func (s *Service) Transfer(number uint32, to string) error {
 	hosts := s.hosts.Load()
 	if hosts == nil || number >= Count {
@@ -73,11 +73,11 @@
 		return &TransferError{Shard: number, Reason: to + " is no other voter that answers and has everything"}
 	}
 	level.Info(s.log).Log("msg", "lease handed over", "shard", number, "to", to)
-	h.carryOut(now)
+	h.processOutput(now)
 	return nil
 }
 
-// Leases is how many shards this node holds the lease of, and the terms that it has led since its start.
+// Leases returns the number of shards whose lease this node holds, and of the terms that it has led since its start.
 func (s *Service) Leases() (leases, terms int) {
 	hosts := s.hosts.Load()
 	if hosts == nil {
@@ -88,7 +88,7 @@
 		if h.replica.HoldsLease(s.now()) {
 			leases++
 		}
-		terms += h.takeover
+		terms += h.termsLed
 		h.mu.Unlock()
 	}
 	return leases, terms
@@ -97,9 +97,9 @@
 // Metrics counts the calls of applications that this node has answered.
 type Metrics struct {
 	mu      sync.Mutex         // guards the totals
-	results map[string]float64 // by outcome
-	seconds map[string]float64 // by kind of call, in total
-	calls   map[string]float64
+	results map[string]float64 // number of calls by outcome
+	seconds map[string]float64 // total duration by kind of call, seconds
+	calls   map[string]float64 // number of calls by kind
 }
 
 func newMetrics() *Metrics {
@@ -126,7 +126,7 @@
 	coordination.TooManyOpen: "too_many_calls",
 }
 
-// record counts a call.
+// record counts a call and its duration in seconds.
 func (m *Metrics) record(kind coordination.Kind, code coordination.Code, err error, took float64) {
 	outcome := codeNames[code]
 	switch {
@@ -142,13 +142,13 @@
 	m.calls[kindNames[kind]]++
 }
 
-// Outcomes is the number of calls, by what became of them.
+// Outcomes returns the number of calls by outcome.
 func (m *Metrics) Outcomes() []metrics.Sample { return m.samples(m.results) }
 
-// Seconds is the time that calls took, by kind.
+// Seconds returns the total duration of calls by kind.
 func (m *Metrics) Seconds() []metrics.Sample { return m.samples(m.seconds) }
 
-// Calls is the number of calls, by kind.
+// Calls returns the number of calls by kind.
 func (m *Metrics) Calls() []metrics.Sample { return m.samples(m.calls) }
 
 func (m *Metrics) samples(totals map[string]float64) (samples []metrics.Sample) {
