--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -270,7 +270,7 @@
 	}
 	n.replica.Load(disk, state, bootstrap)
 	n.openShards(disk, state)
-	n.ingresses.Restore(state.Members)
+	n.ingresses.Restore(state.IngressCount)
 	n.disk.Store(disk)
 	n.notifyWatch()
 	level.Info(n.log).Log(
--- a/internal/control/storage/batch.go
+++ b/internal/control/storage/batch.go
@@ -11,20 +11,20 @@
 	"mulleinrouter/internal/cluster/shard"
 )
 
-// Batch is a set of changes that is saved atomically. What is nil or zero stays as it is on disk.
+// Batch is a set of changes that is saved atomically. For a field that is nil or zero, nothing changes on disk.
 type Batch struct {
 	Acceptor        *consensus.Acceptor
-	Items           []configuration.Item // each replaces the one of its key
-	Instances       []registry.Instance  // each replaces the one of its id
-	DeleteInstances []string             // ids
-	Members         int                  // ingresses; 0: as it was
+	Items           []configuration.Item // each replaces the item with its key
+	Instances       []registry.Instance  // each replaces the instance with its id
+	DeleteInstances []string             // ids of the instances to delete
+	IngressCount    int                  // number of ingresses; 0: unchanged
 	Stage           *StageProgress
-	StagedItems     []configuration.Item // each replaces the staged one of its key
-	ClearStage      bool                 // nothing is staged any more; applied before Stage and StagedItems
+	StagedItems     []configuration.Item // each replaces the staged item with its key
+	ClearStage      bool                 // deletes all that is staged, before Stage and StagedItems are written
 	Shard           *ShardSave
 
-	// NoSync means that the batch itself may be lost with the power. Batches are never on disk without those before
-	// them, so a later synced batch syncs this one too.
+	// NoSync means that the batch may be lost in a power loss. The sync of a later batch syncs this one too, because a
+	// batch is never on disk without those before it.
 	NoSync bool
 }
 
@@ -34,11 +34,11 @@
 	shard.Save
 }
 
-// batchWriter adds the records of batches to one database batch. It belongs to the writing goroutine.
+// batchWriter adds the records of batches to one database batch. Only the writing goroutine uses it.
 type batchWriter struct {
-	pending *consensus.Proposal // accepted proposal as it is on disk
-	version int                 // of the records on disk, as they were opened or have been written since
-	written bool                // the version was written since the folder was opened
+	pending        *consensus.Proposal // accepted proposal that is on disk
+	version        int                 // version of the records on disk
+	versionWritten bool                // whether the version has been written since the folder was opened
 }
 
 // add appends the records of a batch.
@@ -63,8 +63,8 @@
 	for _, instance := range b.Instances {
 		records.set(instanceKey(instance.ID), instance)
 	}
-	if b.Members > 0 {
-		records.set(keyMembers, b.Members)
+	if b.IngressCount > 0 {
+		records.set(keyIngressCount, b.IngressCount)
 	}
 	for _, id := range b.DeleteInstances {
 		records.delete(instanceKey(id))
@@ -75,8 +75,8 @@
 	return records.err
 }
 
-// addAcceptor appends an acceptor, and its pending proposal only where that has changed: a first configuration may be
-// megabytes and must not be written again with each promise.
+// addAcceptor appends an acceptor. It appends the pending proposal only if that has changed, because the first
+// configuration may have megabytes, which must not be written again with each promise.
 func (bw *batchWriter) addAcceptor(records *recordBatch, acceptor *consensus.Acceptor) {
 	bw.addVersion(records, baseVersion)
 	records.set(keyAcceptor, acceptor)
@@ -89,12 +89,13 @@
 	bw.pending = acceptor.Pending
 }
 
-// addVersion appends the version of the records, if they are of an older one or it was not written yet.
+// addVersion appends the version of the records if that on disk is older, or has not been written since the folder was
+// opened.
 func (bw *batchWriter) addVersion(records *recordBatch, version int) {
-	if bw.written && bw.version >= version {
+	if bw.versionWritten && bw.version >= version {
 		return
 	}
-	bw.version, bw.written = max(bw.version, version), true
+	bw.version, bw.versionWritten = max(bw.version, version), true
 	records.set(keyVersion, bw.version)
 }
 
@@ -115,7 +116,7 @@
 	}
 }
 
-// recordBatch encodes records into a database batch, and keeps its errors.
+// recordBatch encodes records into a database batch, and combines the errors.
 type recordBatch struct {
 	to  *pebble.Batch
 	err error
@@ -139,7 +140,7 @@
 
 func (r *recordBatch) deletePrefix(prefix byte) { r.deleteRange([]byte{prefix}, []byte{prefix + 1}) }
 
-// deleteRange deletes the keys from one up to another one.
+// deleteRange deletes the keys from one key up to another, which is not deleted itself.
 func (r *recordBatch) deleteRange(from, to []byte) {
 	r.err = errors.CombineErrors(r.err, r.to.DeleteRange(from, to, nil))
 }
--- a/internal/control/storage/future.go
+++ b/internal/control/storage/future.go
@@ -8,21 +8,21 @@
 
 // Future is the pending commit of one or more batches.
 type Future struct {
-	// batches are kept until the commit; guarded by Store.mu while it is the store's open one, then the writing
-	// goroutine's.
+	// batches are kept until the commit. Store.mu guards them while this is Store.queued. Afterwards only the writing
+	// goroutine uses them.
 	batches []Batch
-	sync    bool // one of them is to be synced
+	sync    bool // whether one of the batches must be synced
 	done    chan struct{}
-	err     error // once done is closed
+	err     error // result, set before done is closed
 }
 
 func newFuture() *Future { return &Future{done: make(chan struct{})} }
 
-// Wait waits until the batches are on disk, synced unless all of them are NoSync. When the context ends first, Wait
-// returns its error and the batches may still be written.
+// Wait waits until the batches are on disk. They are synced unless all of them are NoSync. If the context ends first,
+// Wait returns its error and the batches may still be written.
 func (f *Future) Wait(ctx context.Context) error {
 	select {
-	case <-f.done: // takes precedence over a context that has ended
+	case <-f.done: // checked first, so that the result takes precedence over an ended context
 		return f.err
 	default:
 	}
@@ -34,10 +34,10 @@
 	}
 }
 
-// Done is closed when the commit has ended. From then on Wait returns at once.
+// Done returns a channel that is closed when the commit has ended. From then on Wait returns at once.
 func (f *Future) Done() <-chan struct{} { return f.done }
 
-// resolve ends the commit.
+// resolve ends the commit with its result.
 func (f *Future) resolve(err error) {
 	f.err, f.batches = err, nil
 	close(f.done)
--- a/internal/control/storage/golden_test.go
+++ b/internal/control/storage/golden_test.go
@@ -16,16 +16,16 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// goldenDir holds data that the landed version 76a3bb5 wrote: folders, and the records in them as it listed them.
+// goldenDir holds folders that version 76a3bb5 wrote, and lists of their records that this version made.
 const goldenDir = "testdata/landed-76a3bb5"
 
-// goldenStep is one batch of the recorded history, with the name under which the dump that follows it is recorded.
+// goldenStep is one batch of the recorded history. The dump after it is recorded under the name.
 type goldenStep struct {
 	name  string
 	batch Batch
 }
 
-// Values in the golden history.
+// Values in the recorded history.
 var (
 	goldenFirst  = consensus.InitialElectorate([]string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"})
 	goldenSecond = consensus.Electorate{Since: 2, Voters: []consensus.Voter{
@@ -54,12 +54,14 @@
 		Epoch:   2,
 	}
 	goldenBallot   = consensus.Ballot{Round: 300, Node: "10.0.0.1:7000/17"}
-	goldenProposal = consensus.Proposal{Ballot: goldenBallot, Epoch: 1, Items: []configuration.Item{goldenRoute}}
-	goldenElecting = consensus.Proposal{
+	goldenProposal = consensus.Proposal{
+		Ballot: goldenBallot, Epoch: 1, Items: []configuration.Item{goldenRoute},
+	}
+	goldenElectorateChange = consensus.Proposal{
 		Ballot: consensus.Ballot{Round: 301, Node: "10.0.0.2:7000/18"}, Epoch: 2,
 		Items: []configuration.Item{goldenChanged, goldenTenant, goldenLimits}, Voters: goldenSecond.Voters,
 	}
-	goldenLeft = consensus.Proposal{
+	goldenPending = consensus.Proposal{
 		Ballot: consensus.Ballot{Round: 1 << 40, Node: "10.0.0.4:7000/19"}, Epoch: 3,
 		Items: []configuration.Item{
 			{
@@ -87,9 +89,9 @@
 	}
 )
 
-// goldenSteps is the history that the landed version wrote: first start, promise, accepted change, chosen change with
-// a new electorate, instances, members, a staged catch-up, its end, and an accepted change that is not known to be
-// chosen.
+// goldenSteps returns the history that version 76a3bb5 wrote. It has a first start, a promise, an accepted change, a
+// chosen change with a new electorate, instances, a count of ingresses, a staged catch-up, its end, and an accepted
+// change that is not known to be chosen.
 func goldenSteps() []goldenStep {
 	return append(goldenChanges(), goldenOtherState()...)
 }
@@ -122,20 +124,20 @@
 			"electorate accepted",
 			Batch{
 				Acceptor: &consensus.Acceptor{
-					Promised:   goldenElecting.Ballot,
+					Promised:   goldenElectorateChange.Ballot,
 					Epoch:      1,
 					Electorate: goldenFirst,
-					Pending:    &goldenElecting,
+					Pending:    &goldenElectorateChange,
 				},
 			},
 		},
 		{"electorate chosen", Batch{
 			Acceptor: &consensus.Acceptor{
-				Promised:   goldenElecting.Ballot,
+				Promised:   goldenElectorateChange.Ballot,
 				Epoch:      2,
 				Electorate: goldenSecond,
 				Disk:       1<<63 + 5,
-			}, Items: goldenElecting.Items,
+			}, Items: goldenElectorateChange.Items,
 		}},
 	}
 }
@@ -143,7 +145,7 @@
 func goldenOtherState() []goldenStep {
 	return []goldenStep{
 		{"instances", Batch{Instances: goldenInstances}},
-		{"members", Batch{Members: 12, NoSync: true}},
+		{"members", Batch{IngressCount: 12, NoSync: true}},
 		{"deleted instance", Batch{DeleteInstances: []string{"server-3", "server-4"}}},
 		{
 			"staged",
@@ -170,18 +172,18 @@
 		},
 		{"accepted and not chosen", Batch{
 			Acceptor: &consensus.Acceptor{
-				Promised:   goldenLeft.Ballot,
+				Promised:   goldenPending.Ballot,
 				Epoch:      2,
 				Electorate: goldenSecond,
 				Disk:       1<<63 + 5,
-				Pending:    &goldenLeft,
+				Pending:    &goldenPending,
 			},
-			Instances: goldenInstances[:1], DeleteInstances: []string{"server-2"}, Members: 13,
+			Instances: goldenInstances[:1], DeleteInstances: []string{"server-2"}, IngressCount: 13,
 		}},
 	}
 }
 
-// dumpRecords lists the keys and values of a store, in hexadecimal, one record a line.
+// dumpRecords lists the keys and values of a store in hexadecimal, with one record per line.
 func dumpRecords(t *testing.T, db *pebble.DB) string {
 	t.Helper()
 	var out strings.Builder
@@ -198,7 +200,7 @@
 	return out.String()
 }
 
-// openGolden opens a store of its own in memory.
+// openGolden opens a new store in memory.
 func openGolden(t *testing.T) *Store {
 	t.Helper()
 	store, _, err := Open(vfs.NewMem(), "d", logtest.Discard())
@@ -222,13 +224,13 @@
 	return out.String()
 }
 
-// dumpResaved writes all of a state to a new store and lists its records: what was read, in terms that don't depend
-// on Go's names.
+// dumpResaved writes a whole state to a new store and lists its records. The result shows what was read, independently
+// of Go's names.
 func dumpResaved(t *testing.T, state State) string {
 	t.Helper()
 	store := openGolden(t)
 	everything := Batch{
-		Acceptor: &state.Acceptor, Items: state.Items, Instances: state.Instances, Members: state.Members,
+		Acceptor: &state.Acceptor, Items: state.Items, Instances: state.Instances, IngressCount: state.IngressCount,
 		Stage: state.Stage, StagedItems: state.StagedItems,
 	}
 	if err := store.Save(t.Context(), everything); err != nil {
@@ -237,7 +239,7 @@
 	return dumpRecords(t, store.db)
 }
 
-// readGolden is a recorded file.
+// readGolden returns the content of a recorded file.
 func readGolden(t *testing.T, name string) string {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join(goldenDir, name))
@@ -262,13 +264,12 @@
 	t.Fatalf("%d lines, want %d", len(gotLines), len(wantLines))
 }
 
-// The same batches leave the same records, byte for byte, as they did in the landed version.
+// Batches result in the same records, byte for byte, as in version 76a3bb5.
 func TestGoldenRecords(t *testing.T) {
 	diffRecords(t, dumpSteps(t, openGolden(t)), readGolden(t, "records.txt"))
 }
 
-// Folders that the landed version wrote, or that it read though an earlier version wrote them, are read as it read
-// them.
+// Folders that version 76a3bb5 wrote, or that an earlier version wrote and it could read, are read as by that version.
 func TestGoldenFolders(t *testing.T) {
 	for _, folder := range []struct {
 		name  string
@@ -285,7 +286,7 @@
 			if err := os.CopyFS(dir, os.DirFS(filepath.Join(goldenDir, folder.name))); err != nil {
 				t.Fatal(err)
 			}
-			for _, opened := range []string{"as the landed version left it", "as this version left it"} {
+			for _, opened := range []string{"as version 76a3bb5 left it", "as this version left it"} {
 				store, state, err := Open(nil, dir, logtest.Discard())
 				if err != nil {
 					t.Fatalf("%s: %v", opened, err)
--- a/internal/control/storage/power_loss_fs_test.go
+++ b/internal/control/storage/power_loss_fs_test.go
@@ -10,25 +10,26 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// powerLossFS is a file system in memory that knows what a loss of power may take back: each name of its folder that
-// was created, renamed or removed since the folder was last synced, independently of the others, and unsynced bytes.
+// powerLossFS is a file system in memory that records what a power loss may undo. These are the creation, renaming and
+// removal of each name in its folder since the folder was last synced, independently of the others, and unsynced bytes.
 type powerLossFS struct {
 	vfs.FS
 
 	mu       sync.Mutex              // guards the fields below
-	current  map[string]*fileContent // the folder
+	current  map[string]*fileContent // the folder as it is now
 	synced   map[string]*fileContent // the folder as of its last sync
-	unsynced []nameChange            // since then
-	onStep   func()                  // called after each step, with the lock held
+	unsynced []nameChange            // changes since that sync
+	onStep   func()                  // called after each change of a name and each sync, with the lock held
 }
 
-// fileContent is the bytes of a file: they are appended to, or copied as a snapshot.
+// fileContent has the bytes of a file. They are only appended to, so that a crash point may keep slices of them.
 type fileContent struct {
 	written []byte
-	synced  int // how many of them its last sync covers
+	synced  int // number of bytes that the last sync covers
 }
 
-// nameChange is one change of a folder. Created: to is set. Removed: from is set. Renamed: both are.
+// nameChange is one change of a name in a folder. For a created name, to is set; for a removed one, from is set; for a
+// renamed one, both are.
 type nameChange struct {
 	from, to string
 	file     *fileContent
@@ -38,8 +39,8 @@
 type powerLossFile struct {
 	vfs.File
 	fs       *powerLossFS
-	content  *fileContent // nil: a folder
-	isFolder bool         // the folder that is modelled
+	content  *fileContent // nil if it is a folder
+	isFolder bool         // whether it is the folder "d", whose names are tracked
 }
 
 func newPowerLossFS(files map[string][]byte) *powerLossFS {
@@ -51,7 +52,7 @@
 	return p
 }
 
-// newMemoryFolder is a file system in memory whose folder "d" holds files.
+// newMemoryFolder returns a file system in memory whose folder "d" holds the files.
 func newMemoryFolder(files map[string][]byte) vfs.FS {
 	fs := vfs.NewMem()
 	if err := fs.MkdirAll("d", 0o755); err != nil {
@@ -76,7 +77,7 @@
 	}
 }
 
-// record notes a change of the folder. The lock is held.
+// record records a change of the folder. The lock is held.
 func (p *powerLossFS) record(change nameChange) {
 	p.unsynced = append(p.unsynced, change)
 	if p.onStep != nil {
@@ -132,7 +133,7 @@
 
 func (f *powerLossFile) Write(b []byte) (int, error) {
 	b = slices.Clone(b)
-	n, err := f.File.Write(slices.Clone(b)) // under the race detector, the disk in memory overwrites what it was given
+	n, err := f.File.Write(slices.Clone(b)) // under the race detector, vfs.MemFS overwrites its argument
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
 	f.content.written = append(f.content.written, b[:n]...)
@@ -161,7 +162,7 @@
 
 func (f *powerLossFile) SyncData() error { return f.Sync() }
 
-// crashPoint is the disk at one step, and how many batches were acknowledged by then.
+// crashPoint is the state of the disk at one step, and the number of batches that were acknowledged before it.
 type crashPoint struct {
 	synced       map[string]*fileContent
 	unsynced     []nameChange
@@ -169,10 +170,10 @@
 	acknowledged int
 }
 
-// crashContent is the bytes of a file at one step.
+// crashContent has the bytes of a file at one step.
 type crashContent struct{ synced, written []byte }
 
-// crashPoint is the disk as it is now. The lock is held.
+// crashPoint returns the present state of the disk. The lock is held.
 func (p *powerLossFS) crashPoint(acknowledged int) crashPoint {
 	point := crashPoint{maps.Clone(p.synced), slices.Clone(p.unsynced), map[*fileContent]crashContent{}, acknowledged}
 	keep := func(c *fileContent) {
@@ -189,10 +190,10 @@
 	return point
 }
 
-// nameLoss tells, by their order, which of the unsynced changes of names survive a loss of power.
+// nameLoss reports whether an unsynced change of a name, given by its index, survives a power loss.
 type nameLoss func(change int) (survives bool)
 
-// filesAfter is the folder after a loss of power.
+// filesAfter returns the files in the folder after a power loss.
 func (c crashPoint) filesAfter(survives nameLoss, unsyncedBytes bool) map[string][]byte {
 	names := maps.Clone(c.synced)
 	for n, change := range c.unsynced {
@@ -215,8 +216,8 @@
 	return files
 }
 
-// losses is what a loss of power at this point may do: keep all changes of names, none, all but one, one alone, and
-// some random subsets.
+// losses returns the possible effects of a power loss at this point that are tested. They keep all changes of names,
+// none, all but one, only one, and some random subsets.
 func (c crashPoint) losses(rnd *rand.Rand) (losses []nameLoss) {
 	losses = append(losses, func(int) bool { return true }, func(int) bool { return false })
 	for one := range len(c.unsynced) {
--- a/internal/control/storage/power_loss_test.go
+++ b/internal/control/storage/power_loss_test.go
@@ -17,40 +17,41 @@
 	"mulleinrouter/internal/race"
 )
 
-// powerLossRun is the walk of one seed: a store that is written to through several restarts, each after a loss of
-// power.
+// powerLossRun is the state of a walk with one seed, which writes to a store through several restarts after power
+// losses.
 type powerLossRun struct {
-	rnd     *rand.Rand
-	is      *is.I
-	failure string // of is
+	rnd          *rand.Rand
+	is           *is.I
+	checkFailure string // failure that is has recorded
 
-	want     []Batch // all that was put
-	opened   int     // folders
-	rejected int     // of them, by Open
+	batches  []Batch // all batches that were put
+	opened   int     // number of folders opened
+	rejected int     // number of them that Open rejected
 }
 
-// powerLossWalk writes batches and loses power at each step of the folder, with each loss of names that may be. What
-// was acknowledged is there, or Open rejects the folder. It returns how many folders were opened, and how many were
-// rejected.
-func powerLossWalk(seed uint64) (wrong string, opened, rejected int) {
-	const restarts, endLosses = 3, 6
-	run := &powerLossRun{rnd: rand.New(rand.NewPCG(seed, 5)), want: []Batch{}}
-	run.is = newFailureRecorder(&run.failure)
+// powerLossWalk writes batches, and simulates a power loss after each change and sync of the folder, with several
+// possible losses of names each. Afterwards all acknowledged batches must be there, or Open must reject the folder.
+// powerLossWalk returns the first failure (empty: none), and how many folders were opened and rejected.
+func powerLossWalk(seed uint64) (failure string, opened, rejected int) {
+	// After a restart, at most maxStartupLosses losses are tested at each point before the first acknowledged batch.
+	const restarts, maxStartupLosses = 3, 6
+	run := &powerLossRun{rnd: rand.New(rand.NewPCG(seed, 5)), batches: []Batch{}}
+	run.is = newFailureRecorder(&run.checkFailure)
 	files := map[string][]byte{}
 	for restart := range restarts {
-		start := len(run.want)
-		points, wrong := run.write(files)
-		if wrong != "" {
-			return fmt.Sprintf("restart %d: %s", restart, wrong), run.opened, run.rejected
+		start := len(run.batches)
+		points, failure := run.write(files)
+		if failure != "" {
+			return fmt.Sprintf("restart %d: %s", restart, failure), run.opened, run.rejected
 		}
 		for _, point := range points {
 			losses := point.losses(run.rnd)
-			if point.acknowledged == start && restart > 0 && len(losses) > endLosses {
+			if point.acknowledged == start && restart > 0 && len(losses) > maxStartupLosses {
 				run.rnd.Shuffle(len(losses), func(a, b int) { losses[a], losses[b] = losses[b], losses[a] })
-				losses = losses[:endLosses]
+				losses = losses[:maxStartupLosses]
 			}
-			if wrong := run.lose(point, losses); wrong != "" {
-				return fmt.Sprintf("restart %d: %s", restart, wrong), run.opened, run.rejected
+			if failure := run.checkLosses(point, losses); failure != "" {
+				return fmt.Sprintf("restart %d: %s", restart, failure), run.opened, run.rejected
 			}
 		}
 		files = points[len(points)-1].filesAfter(func(int) bool { return run.rnd.IntN(2) == 0 }, false)
@@ -58,10 +59,10 @@
 	return "", run.opened, run.rejected
 }
 
-// write opens a folder, writes batches to it and closes it, and returns the points at which the power may fail.
-func (r *powerLossRun) write(files map[string][]byte) (points []crashPoint, wrong string) {
+// write opens a folder, writes batches to it and closes it. It returns the points at which power may be lost.
+func (r *powerLossRun) write(files map[string][]byte) (points []crashPoint, failure string) {
 	fs := newPowerLossFS(files)
-	acknowledged := len(r.want)
+	acknowledged := len(r.batches)
 	var mu sync.Mutex // guards points and acknowledged
 	fs.onStep = func() {
 		mu.Lock()
@@ -71,18 +72,18 @@
 	acknowledge := func() {
 		mu.Lock()
 		defer mu.Unlock()
-		acknowledged = len(r.want)
+		acknowledged = len(r.batches)
 	}
 	store, state, err := Open(fs, "d", logtest.Discard())
 	if err != nil {
 		return nil, fmt.Sprintf("%v: %v", err, fileSizes(files))
 	}
-	if n := countBatches(r.is, state, r.want); n != len(r.want) || r.failure != "" {
-		return nil, fmt.Sprintf("%d batches of %d; %s", n, len(r.want), r.failure)
+	if n := countBatches(r.is, state, r.batches); n != len(r.batches) || r.checkFailure != "" {
+		return nil, fmt.Sprintf("got %d batches of %d; %s", n, len(r.batches), r.checkFailure)
 	}
 	for range 25 + r.rnd.IntN(60) {
-		b := randomBatch(r.rnd, len(r.want)+1)
-		r.want = append(r.want, b)
+		b := randomBatch(r.rnd, len(r.batches)+1)
+		r.batches = append(r.batches, b)
 		if future := store.Put(b); !b.NoSync {
 			if err := future.Wait(context.Background()); err != nil {
 				return nil, err.Error()
@@ -90,7 +91,7 @@
 			acknowledge()
 		}
 	}
-	if err := store.Save(context.Background(), Batch{Members: 1}); err != nil {
+	if err := store.Save(context.Background(), Batch{IngressCount: 1}); err != nil {
 		return nil, err.Error()
 	}
 	acknowledge()
@@ -99,27 +100,27 @@
 	}
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
-	return append(points, fs.crashPoint(len(r.want))), ""
+	return append(points, fs.crashPoint(len(r.batches))), ""
 }
 
-// lose opens what each loss of power at one point leaves, with and without unsynced bytes in turn.
-func (r *powerLossRun) lose(point crashPoint, losses []nameLoss) (wrong string) {
+// checkLosses opens the folder that is left by each power loss at one point, alternately without and with unsynced bytes.
+func (r *powerLossRun) checkLosses(point crashPoint, losses []nameLoss) (failure string) {
 	for k, survives := range losses {
 		r.opened++
 		folder := point.filesAfter(survives, k%2 == 1)
 		names := slices.Sorted(maps.Keys(folder))
-		n, err := reopen(r.is, folder, r.want)
+		n, err := reopen(r.is, folder, r.batches)
 		switch {
 		case isPanic(err):
 			r.rejected++
 			return err.Error()
 		case err != nil:
 			r.rejected++
-			r.failure = ""
-		case r.failure != "":
-			return fmt.Sprintf("%s: %v", r.failure, names)
+			r.checkFailure = ""
+		case r.checkFailure != "":
+			return fmt.Sprintf("%s: %v", r.checkFailure, names)
 		case n < point.acknowledged:
-			return fmt.Sprintf("%d batches of %d that were acknowledged; folder %v, unsynced %v",
+			return fmt.Sprintf("got %d batches of %d that were acknowledged; folder %v, unsynced %v",
 				n, point.acknowledged, names, point.unsynced)
 		}
 	}
@@ -133,7 +134,7 @@
 	return sizes
 }
 
-// reopen opens a folder and tells how many batches are there.
+// reopen opens a folder and returns the number of batches in it.
 func reopen(is *is.I, files map[string][]byte, want []Batch) (n int, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -158,16 +159,16 @@
 	return errors.As(err, &panicked)
 }
 
-// firstFailure is a test that records that it failed, and goes on.
+// firstFailure stands for a test in assertions of package is. It records a failure and lets the test continue.
 type firstFailure struct{ text *string }
 
 func (f firstFailure) Fail()           { f.FailNow() }
-func (f firstFailure) FailNow()        { *f.text = "the state is none that there was" }
+func (f firstFailure) FailNow()        { *f.text = "the state is not that after any of the batches" }
 func (f firstFailure) Log(args ...any) { _ = fmt.Sprint(args...) }
 
-// A folder that has lost a name that was synced, which no loss of power takes, is rejected, or is as it was: each of
-// its files is taken away, one at a time, after an orderly end. Without its newest log it is as it was a while
-// before: nothing shows that there was one.
+// A folder that has lost a synced name, which no power loss can cause, is either rejected or complete. The test removes
+// each file of a folder in turn after the store was closed. Without its newest log, the folder has an earlier state,
+// because nothing shows that the log existed.
 func TestMissingFile(t *testing.T) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(2, 5))
@@ -185,19 +186,19 @@
 	for _, name := range slices.Sorted(maps.Keys(files)) {
 		without := maps.Clone(files)
 		delete(without, name)
-		var wrong string
-		n, err := reopen(newFailureRecorder(&wrong), without, want)
+		var failure string
+		n, err := reopen(newFailureRecorder(&failure), without, want)
 		switch {
 		case err != nil && !isPanic(err):
 			rejected = append(rejected, name)
-		case err != nil, wrong != "", n < len(want) && path.Ext(name) != ".log":
-			t.Errorf("without %s: %d of %d batches; %s; %v", name, n, len(want), wrong, err)
+		case err != nil, failure != "", n < len(want) && path.Ext(name) != ".log":
+			t.Errorf("without %s: %d of %d batches; %s; %v", name, n, len(want), failure, err)
 		}
 	}
 	t.Logf("%d files; rejected without %v", len(files), rejected)
 }
 
-// newFailureRecorder records a failed check in place of failing a test.
+// newFailureRecorder returns assertions that record a failure instead of failing the test.
 func newFailureRecorder(text *string) *is.I { return is.New(firstFailure{text}) }
 
 func TestPowerLossLosesNames(t *testing.T) {
@@ -207,14 +208,14 @@
 	}
 	opened, rejected := 0, 0
 	for seed := range uint64(walks) {
-		wrong, o, r := powerLossWalk(seed)
+		failure, o, r := powerLossWalk(seed)
 		opened, rejected = opened+o, rejected+r
-		if wrong != "" {
-			t.Fatalf("seed %d: %s", seed, wrong)
+		if failure != "" {
+			t.Fatalf("seed %d: %s", seed, failure)
 		}
 	}
 	t.Logf("%d folders opened, %d of them rejected", opened, rejected)
 	if rejected > 0 {
-		t.Error("a folder is rejected that lost no name that was synced")
+		t.Error("Open rejects folders that have lost no synced names")
 	}
 }
--- a/internal/control/storage/retrying_file.go
+++ b/internal/control/storage/retrying_file.go
@@ -2,16 +2,17 @@
 
 import "github.com/cockroachdb/pebble/v2/vfs"
 
-// maxRetainedBytes is the capacity up to which a file's buffer of unsynced bytes is kept after a sync.
+// maxRetainedBytes is the capacity up to which a file's buffer of unsynced bytes is kept for reuse after a sync. Larger
+// buffers are released.
 const maxRetainedBytes = 64 << 10
 
 // retryingFile is a file of retryingFS. One goroutine at a time writes and syncs it.
 type retryingFile struct {
 	vfs.File
-	fs         *retryingFS
-	unsyncedIn string // folder in which its name may not be on disk yet; empty: none
-	synced     int64  // bytes on disk
-	unsynced   []byte // written behind them
+	fs          *retryingFS
+	unsyncedDir string // folder in which its name may not be on disk yet; empty: the name is synced
+	synced      int64  // number of bytes on disk
+	unsynced    []byte // bytes written after those
 }
 
 // Write appends to the file.
@@ -26,7 +27,7 @@
 	return written, err
 }
 
-// Sync has all that was written, and the file's name, on disk.
+// Sync syncs all written bytes, and the file's name in its folder.
 func (rf *retryingFile) Sync() error { return rf.syncWith(rf.File.Sync) }
 
 // SyncData is Sync without the file's metadata.
@@ -47,11 +48,11 @@
 	if err != nil {
 		return err
 	}
-	if rf.unsyncedIn != "" {
-		if err := rf.fs.syncNames(rf.unsyncedIn); err != nil {
+	if rf.unsyncedDir != "" {
+		if err := rf.fs.syncNames(rf.unsyncedDir); err != nil {
 			return err
 		}
-		rf.unsyncedIn = ""
+		rf.unsyncedDir = ""
 	}
 	rf.synced += int64(len(rf.unsynced))
 	if rf.unsynced = rf.unsynced[:0]; cap(rf.unsynced) > maxRetainedBytes {
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// SyncTo syncs nothing: the database then calls SyncData.
+// SyncTo syncs nothing and returns false, after which the database calls SyncData.
 func (rf *retryingFile) SyncTo(int64) (bool, error) { return false, nil }
 
 // Preallocate does nothing.
@@ -69,14 +70,14 @@
 // Prefetch does nothing.
 func (rf *retryingFile) Prefetch(int64, int64) error { return nil }
 
-// retryingFolder is an open folder of retryingFS, which several goroutines may sync at a time.
+// retryingFolder is an open folder of retryingFS. Several goroutines may sync it at the same time.
 type retryingFolder struct {
 	vfs.File
 	fs   *retryingFS
 	name string
 }
 
-// Sync has the names that were created in the folder on disk; one that is created meanwhile may be left out.
+// Sync syncs the names that were created in the folder. A name that is created during the sync may be left out.
 func (rf *retryingFolder) Sync() error {
 	before := rf.fs.names(rf.name)
 	if err := rf.fs.retry(rf.File.Sync); err != nil {
--- a/internal/control/storage/retrying_fs.go
+++ b/internal/control/storage/retrying_fs.go
@@ -12,20 +12,20 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// retryingFS is a file system on a disk that may fail for a while. What the disk rejects is attempted again until the
-// disk takes it, as if the disk had been slow: a late write fails those who wait for it and nothing else. What was
-// written since a file's last sync is kept in memory, because a sync that failed may have dropped it. It uses nothing
-// but plain files: no links, no preallocation, no partial syncs, no reading ahead.
+// retryingFS is a file system on a disk that may fail temporarily. An operation that the disk rejects is retried until
+// it succeeds, as if the disk were slow, so that only the callers that wait for the write fail. Bytes that were written
+// since a file's last sync are kept in memory, because a failed sync may have dropped them. retryingFS uses only plain
+// files, without links, preallocation, partial syncs or read-ahead.
 //
-// After a loss of power, each name that was created, renamed or removed since its folder was last synced may be kept
-// or lost, independently of the others. So a name that is created is on disk before its file's first sync returns,
-// and before any other name of the folder is removed or renamed: the database creates the marker of a new manifest
-// and removes the old one with no sync between, and could find neither.
+// After a power loss, each name that was created, renamed or removed since its folder was last synced may be kept or
+// lost, independently of the others. Therefore a created name is on disk before its file's first sync returns, and
+// before any other name of the folder is removed or renamed. Otherwise neither marker of a manifest might be left,
+// because the database creates the marker of a new manifest and removes the old one without a sync between.
 type retryingFS struct {
 	vfs.FS
-	retryEvery time.Duration
-	stop       chan struct{} // closed: nothing is attempted again
-	// onStateChange is called with the first error when the disk begins to fail, with nil when it works again.
+	retryEvery time.Duration // interval between attempts
+	stop       chan struct{} // closed when nothing must be retried any more
+	// onStateChange is called with the first error when the disk begins to fail, and with nil when it works again.
 	onStateChange func(error)
 
 	mu      sync.Mutex // guards the fields below
@@ -35,17 +35,17 @@
 
 // folderNames counts the names that were created in a folder.
 type folderNames struct {
-	created uint64 // in all
-	synced  uint64 // that are on disk for certain
+	created uint64 // total number of names created
+	synced  uint64 // number of them that are certain to be on disk
 }
 
-// transientErrors are the errors of a disk that may work again.
+// transientErrors are errors of a disk after which it may work again.
 var transientErrors = []error{
 	syscall.EIO, syscall.ENOSPC, syscall.EROFS, syscall.EDQUOT,
 	syscall.EBUSY, syscall.EINTR, syscall.EAGAIN, syscall.ETIMEDOUT,
 }
 
-// retry attempts an operation until it succeeds, fails with an error that isn't transient, or the store is closed.
+// retry repeats an operation until it succeeds, it fails with an error that isn't transient, or r.stop is closed.
 func (r *retryingFS) retry(attempt func() error) error {
 	for {
 		err := attempt()
@@ -60,7 +60,7 @@
 	}
 }
 
-// setFailing reports the state of the disk where it differs from that before.
+// setFailing records whether the disk fails, and reports a change of that.
 func (r *retryingFS) setFailing(failing bool, err error) {
 	r.mu.Lock()
 	changed := r.failing != failing
@@ -86,7 +86,7 @@
 	r.folders[folder].created++
 }
 
-// names is the count of names that were created in a folder.
+// names returns the counts of names that were created in a folder.
 func (r *retryingFS) names(folder string) folderNames {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,7 +96,7 @@
 	return folderNames{}
 }
 
-// setNamesSynced records that as many of the names created in a folder are on disk.
+// setNamesSynced records that the first count names created in a folder are on disk.
 func (r *retryingFS) setNamesSynced(folder string, count uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// syncNames has the names that were created in a folder on disk.
+// syncNames syncs the names that were created in a folder, if any is not on disk.
 func (r *retryingFS) syncNames(folder string) error {
 	if names := r.names(folder); names.created == names.synced || mutants.On("storage/folder-unsynced") {
 		return nil
@@ -129,14 +129,14 @@
 	return file, nil
 }
 
-// Create creates a file, which is written from its start to its end.
+// Create creates a file, which may only be appended to.
 func (r *retryingFS) Create(name string, category vfs.DiskWriteCategory) (vfs.File, error) {
 	file, err := r.openFile(func() (vfs.File, error) { return r.FS.Create(name, category) })
 	if err != nil {
 		return nil, err
 	}
-	file.unsyncedIn = r.PathDir(name)
-	r.addName(file.unsyncedIn)
+	file.unsyncedDir = r.PathDir(name)
+	r.addName(file.unsyncedDir)
 	return file, nil
 }
 
@@ -151,8 +151,8 @@
 	return file, nil
 }
 
-// ReuseForWrite creates a new file: after a loss of power, bytes of an old one behind the new ones could not be
-// distinguished from them.
+// ReuseForWrite removes the old file and creates a new one. If the old file were overwritten, its remaining bytes could
+// not be distinguished from new ones after a power loss.
 func (r *retryingFS) ReuseForWrite(old, name string, category vfs.DiskWriteCategory) (vfs.File, error) {
 	if err := r.Remove(old); err != nil {
 		return nil, err
@@ -173,7 +173,7 @@
 	return folder, nil
 }
 
-// Remove removes a file, once the names created in its folder are on disk.
+// Remove removes a file after the names created in its folder are on disk.
 func (r *retryingFS) Remove(name string) error {
 	if err := r.syncNames(r.PathDir(name)); err != nil {
 		return err
@@ -181,7 +181,7 @@
 	return r.retry(func() error { return r.FS.Remove(name) })
 }
 
-// Rename renames a file, once the names created in its folder are on disk.
+// Rename renames a file after the names created in its folder are on disk.
 func (r *retryingFS) Rename(old, name string) error {
 	if err := r.syncNames(r.PathDir(old)); err != nil {
 		return err
@@ -190,7 +190,7 @@
 	return r.retry(func() error { return r.FS.Rename(old, name) })
 }
 
-// Link copies the file.
+// Link copies the file, because retryingFS does not use links.
 func (r *retryingFS) Link(old, name string) error { return vfs.Copy(r, old, name) }
 
 // GetDiskUsage is called after each removal; nothing here depends on its result.
--- a/internal/control/storage/shard_test.go
+++ b/internal/control/storage/shard_test.go
@@ -15,10 +15,11 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// goldenShardsFile lists the records of shards as the first version with them wrote them.
+// goldenShardsFile lists the records of shards that the first version with shards wrote.
 const goldenShardsFile = "testdata/shards-version-4.txt"
 
-// shardSaves is a history of two shards: founding, batches with deletions, a vote, and a state that replaces all.
+// shardSaves returns a history of two shards: their creation, batches with deletions, a vote, and a state that replaces
+// all records.
 func shardSaves() []ShardSave {
 	voters := []consensus.Voter{{Addr: "10.0.0.1:7000"}, {Addr: "10.0.0.2:7000", Disk: 1<<63 + 5}}
 	return []ShardSave{
@@ -44,7 +45,7 @@
 	}
 }
 
-// Shards are written as the first version wrote them, and read back as they were saved.
+// Shards are written in the format of the first version with shards, and are read back as they were saved.
 func TestGoldenShards(t *testing.T) {
 	fs := vfs.NewMem()
 	store, state, err := Open(fs, "d", logtest.Discard())
@@ -107,7 +108,7 @@
 	store.Close()
 }
 
-// After a loss of power a shard is as it was after one of its saves, none older than the last that was synced.
+// After a power loss a shard has the state of one of its saves, which is not older than the last synced one.
 func TestShardsSurvivePowerLoss(t *testing.T) {
 	for seed := range uint64(30) {
 		rnd := rand.New(rand.NewPCG(seed, 0))
@@ -120,10 +121,10 @@
 			}
 			got := state.Shards[2]
 			if got.Last.Seq < synced || got.Last.Seq > 0 && len(got.Records) != 1 {
-				t.Fatalf("seed %d: at %+v with %q, synced up to %d", seed, got.Last, got.Records, synced)
+				t.Fatalf("seed %d: got position %+v with %q, synced up to %d", seed, got.Last, got.Records, synced)
 			}
 			if got.Last.Seq > 0 && string(got.Records["k"]) != fmt.Sprint(got.Last.Seq) {
-				t.Fatalf("seed %d: %q at batch %d", seed, got.Records["k"], got.Last.Seq)
+				t.Fatalf("seed %d: got %q at batch %d", seed, got.Records["k"], got.Last.Seq)
 			}
 			for seq := got.Last.Seq + 1; rnd.IntN(6) > 0; seq++ {
 				future := store.Put(Batch{Shard: &ShardSave{Shard: 2, Save: shard.Save{
--- a/internal/control/storage/size_test.go
+++ b/internal/control/storage/size_test.go
@@ -25,7 +25,7 @@
 	for _, name := range all {
 		s, err := fs.Stat(fs.PathJoin("d", name))
 		if err != nil {
-			continue // it was just removed
+			continue // the file was removed in the meantime
 		}
 		bytes += s.Size()
 		files++
@@ -33,24 +33,24 @@
 	return bytes, files
 }
 
-// sizeWorkload draws changes of a hundred items, with instances of servers that come and go.
+// sizeWorkload generates random changes of a hundred items, with instances of servers that are added and deleted.
 type sizeWorkload struct {
 	rnd          *rand.Rand
 	body         []byte
-	encodedBytes map[configuration.Key]int // of the items as they are now
-	instances    uint64                    // so far
+	encodedBytes map[configuration.Key]int // encoded sizes of the current items
+	instances    uint64                    // number of instances added so far
 }
 
 // The size of the workload.
 const (
-	workloadKeys         = 2000
-	workloadItems        = 100 // of a change
-	workloadInstances    = 300 // at a time
-	workloadNewInstances = 20  // of a change
-	instanceBytes        = 100 // about, of one record
+	workloadKeys         = 2000 // different keys of items
+	workloadItems        = 100  // items of a change
+	workloadInstances    = 300  // instances that exist at a time
+	workloadNewInstances = 20   // instances that a change adds
+	instanceBytes        = 100  // approximate size of the record of one instance
 )
 
-// change is the change to an epoch.
+// change returns the change that makes an epoch.
 func (sw *sizeWorkload) change(is *is.I, epoch uint64) Batch {
 	is.Helper()
 	electorate := consensus.InitialElectorate([]string{"x", "y", "z"})
@@ -81,8 +81,8 @@
 	return b
 }
 
-// After thousands of changes, a catch-up that is staged now and then, and restarts, the folder has a small multiple
-// of the bytes of the state, and some megabytes beside.
+// After thousands of changes, occasional staged catch-ups, and restarts, the size of the folder is at most a small
+// multiple of the size of the state, plus some megabytes.
 func TestSizeOnDisk(t *testing.T) {
 	const restarts, changesPerRestart = 20, 250
 	is := is.New(t)
@@ -107,7 +107,7 @@
 			}
 			future := store.Put(b)
 			if n%10 == 0 {
-				is.NoErr(store.Save(context.Background(), Batch{Members: 1}))
+				is.NoErr(store.Save(context.Background(), Batch{IngressCount: 1}))
 				<-future.Done()
 				bytes, _ := folderSize(is, fs)
 				maxBytes = max(maxBytes, bytes)
@@ -120,13 +120,13 @@
 		stateBytes += int64(n)
 	}
 	bytes, files := folderSize(is, fs)
-	t.Logf("%d bytes of state; the folder has %d in %d files at the end, %d at most on the way",
+	t.Logf("%d bytes of state; folder: %d bytes in %d files at the end, at most %d bytes before",
 		stateBytes, bytes, files, maxBytes)
 	is.True(maxBytes < 3*stateBytes+4<<20)
 	is.True(files < 40)
 }
 
-// What a deleted item costs: its name, its version and its epoch stay.
+// A deleted item takes little space on disk and in memory, although its name, version and epoch are kept.
 func TestTombstoneSize(t *testing.T) {
 	is := is.New(t)
 	i := configuration.Item{
@@ -140,7 +140,7 @@
 	all := len(b) + len(itemKey(prefixItem, i.Key))
 	t.Logf("%d bytes on disk", all)
 	is.True(all <= 64)
-	var snapshot *configuration.Snapshot // and with all that it superseded
+	var snapshot *configuration.Snapshot // has the item with the history of superseded versions
 	for n := range 100 {
 		i.Version, i.Epoch = 1<<31+uint64(n), 1<<20+uint64(n)
 		snapshot, _ = snapshot.Merge([]configuration.Item{i})
--- a/internal/control/storage/state.go
+++ b/internal/control/storage/state.go
@@ -12,29 +12,29 @@
 	"mulleinrouter/internal/cluster/shard"
 )
 
-// State is what a folder holds when it is opened.
+// State is the content of a folder when it is opened.
 type State struct {
-	// Empty means that no electorate was ever known here: this node's vote must not count until it is listed in one
-	// again.
-	Empty       bool
-	Acceptor    consensus.Acceptor   // with Pending, the accepted proposal that is not known to be chosen
-	Items       []configuration.Item // chosen, in the order of their keys
-	Instances   []registry.Instance  // with an acknowledged departure
-	Members     int                  // ingresses, as last counted; 0: never counted
-	Stage       *StageProgress       // of a catch-up that is under way; nil: none is
-	StagedItems []configuration.Item // fetched by that catch-up, not part of Items yet
-	Shards      map[uint32]shard.State
+	// Empty means that the folder has never held an electorate. The vote of this node must not count until an
+	// electorate lists it again.
+	Empty        bool
+	Acceptor     consensus.Acceptor   // Pending is the accepted proposal that is not known to be chosen
+	Items        []configuration.Item // chosen items in the order of their keys
+	Instances    []registry.Instance  // instances with an acknowledged departure
+	IngressCount int                  // last count of ingresses; 0: never counted
+	Stage        *StageProgress       // progress of a catch-up; nil: none is in progress
+	StagedItems  []configuration.Item // items fetched by that catch-up, not part of Items yet
+	Shards       map[uint32]shard.State
 
-	version int // of the records; 0: there are none
+	version int // version of the records; 0: there are none
 }
 
-// StageProgress is how far a catch-up has come: its items are staged, which means stored without being part of the
-// chosen configuration, until all of them are here.
+// StageProgress is the progress of a catch-up. The fetched items are staged, which means that they are stored without
+// being part of the chosen configuration, until all of them have been fetched.
 type StageProgress struct {
-	BaseEpoch    uint64 `cbor:"1,keyasint"` // all changes up to this epoch are chosen here or staged
+	BaseEpoch    uint64 `cbor:"1,keyasint"` // all changes up to this epoch are part of the configuration or staged
 	FirstEpoch   uint64 `cbor:"2,keyasint"` // epoch of the first chunk of this pass
 	LastEpoch    uint64 `cbor:"3,keyasint"` // epoch of the last chunk of this pass
-	NextPosition uint64 `cbor:"4,keyasint"` // position (configuration.Key.Position) from which the pass goes on
+	NextPosition uint64 `cbor:"4,keyasint"` // position (configuration.Key.Position) from which the pass continues
 }
 
 // readState reads all records.
@@ -53,7 +53,7 @@
 	return state, records.Error()
 }
 
-// readRecord adds one record to the state. Records come in the order of their keys.
+// readRecord adds one record to the state. Records are read in the order of their keys.
 func (s *State) readRecord(key, value []byte) error {
 	switch key[0] {
 	case keyVersion[0]:
@@ -65,8 +65,8 @@
 	case keyPending[0]:
 		s.Acceptor.Pending = new(consensus.Proposal)
 		return decoding.Unmarshal(value, s.Acceptor.Pending)
-	case keyMembers[0]:
-		return decoding.Unmarshal(value, &s.Members)
+	case keyIngressCount[0]:
+		return decoding.Unmarshal(value, &s.IngressCount)
 	case keyStage[0]:
 		s.Stage = new(StageProgress)
 		return decoding.Unmarshal(value, s.Stage)
@@ -84,7 +84,7 @@
 	return ErrUnknownKey
 }
 
-// readShard reads the header of a shard. Its key sorts before those of the records.
+// readShard reads the header of a shard, whose key sorts before those of the shard's records.
 func (s *State) readShard(key, value []byte) error {
 	number, _, err := splitShardKey(key)
 	if err != nil {
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// readInitialVoters reads what formats up to version 2 have in place of an electorate. The acceptor's key sorts
-// before this one.
+// readInitialVoters reads the addresses of voters, which formats up to version 2 have instead of an electorate. The
+// record of the acceptor is read before, because its key sorts before this one.
 func (s *State) readInitialVoters(value []byte) error {
 	var addresses []string
 	if err := decoding.Unmarshal(value, &addresses); err != nil {
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	closeTimeout  = 2 * time.Second
-	retryInterval = 100 * time.Millisecond // between attempts at what the disk rejects
+	closeTimeout  = 2 * time.Second        // time that Close gives the disk for the pending batches
+	retryInterval = 100 * time.Millisecond // interval between attempts at an operation that the disk rejects
 )
 
 // Store is an open folder. Its methods may be called from any goroutine.
@@ -24,19 +24,19 @@
 	fs  *retryingFS
 	log log.Logger
 
-	writer batchWriter   // the writing goroutine's
-	wake   chan struct{} // has room for one; closed by Close
+	writer batchWriter   // used only by the writing goroutine
+	wake   chan struct{} // capacity 1; signals that batches are queued; closed by Close
 	done   chan struct{} // closed when the writing goroutine has ended
 
 	mu          sync.Mutex // guards the fields below
-	open        *Future    // of the batches that the next commit takes
-	commitStart time.Time  // of the commit that is in progress; zero: none is
+	queued      *Future    // future of the batches that the next commit writes
+	commitStart time.Time  // start of the commit in progress; zero: there is none
 	closed      bool
 }
 
-// Open opens a folder, creating it if there is none, and reads its state. It waits as long as the disk takes, also
-// while the disk rejects what is asked of it. A nil fs is the machine's own. Its errors wrap
-// ErrManifestMarkerMissing, ErrNewerFormat, ErrUnknownKey, or are those of the database.
+// Open opens a folder, creating it if there is none, and reads its state. It has no timeout, and waits also while the
+// disk rejects operations. A nil fs is the file system of the operating system. Its errors wrap
+// ErrManifestMarkerMissing, ErrNewerFormat or ErrUnknownKey, or are those of the database.
 func Open(fs vfs.FS, dir string, logger log.Logger) (*Store, State, error) {
 	return open(fs, dir, logger, retryInterval)
 }
@@ -45,7 +45,7 @@
 	if fs == nil {
 		fs = vfs.Default
 	}
-	s := &Store{log: logger, open: newFuture(), wake: make(chan struct{}, 1), done: make(chan struct{})}
+	s := &Store{log: logger, queued: newFuture(), wake: make(chan struct{}, 1), done: make(chan struct{})}
 	s.fs = &retryingFS{FS: fs, retryEvery: retryEvery, stop: make(chan struct{}), onStateChange: s.logDiskState}
 	cache := pebble.NewCache(cacheBytes)
 	defer cache.Unref()
@@ -66,12 +66,12 @@
 	return s, state, nil
 }
 
-// checkManifestMarker rejects a folder that holds data and no marker of the current manifest: the database would take
-// it for a new one.
+// checkManifestMarker rejects a folder that holds data, but no marker of the current manifest, because the database
+// would treat it as a new one.
 func checkManifestMarker(fs vfs.FS, dir string) error {
 	names, err := fs.List(dir)
 	if err != nil {
-		return nil // there is no folder yet
+		return nil // the folder does not exist yet
 	}
 	dataFile := ""
 	for _, name := range names {
@@ -92,17 +92,17 @@
 	return nil
 }
 
-// Put queues a batch behind all that was put before, and returns the future of its commit. It does not wait. After
-// Close the future's error is ErrClosed.
+// Put queues a batch after all earlier ones, and returns the future of its commit. It does not block. After Close the
+// future's error is ErrClosed.
 func (s *Store) Put(b Batch) *Future {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	future := s.open
+	future := s.queued
 	if s.closed {
 		return future
 	}
 	if b.Acceptor != nil {
-		acceptor := *b.Acceptor // the caller may change its own afterwards
+		acceptor := *b.Acceptor // the caller may change the original afterwards
 		b.Acceptor = &acceptor
 	}
 	future.batches = append(future.batches, b)
@@ -124,7 +124,7 @@
 	return !s.commitStart.IsZero() && time.Since(s.commitStart) > limit
 }
 
-// write commits what is put, until the store is closed and nothing is pending.
+// write commits the queued batches until the store is closed and none is left.
 func (s *Store) write() {
 	defer close(s.done)
 	for {
@@ -144,20 +144,20 @@
 	}
 }
 
-// nextCommit takes over the batches that are pending; nil: there are none. Where the store is closed then, all that
-// may still be put fails.
+// nextCommit removes and returns the queued batches; nil: there are none. If there are none and the store is closed,
+// all batches that are put later fail.
 func (s *Store) nextCommit() (future *Future, closed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.commitStart = time.Time{}
-	if len(s.open.batches) == 0 {
+	if len(s.queued.batches) == 0 {
 		if s.closed {
-			s.open.resolve(ErrClosed)
+			s.queued.resolve(ErrClosed)
 		}
 		return nil, s.closed
 	}
-	future = s.open
-	s.open, s.commitStart = newFuture(), time.Now()
+	future = s.queued
+	s.queued, s.commitStart = newFuture(), time.Now()
 	return future, s.closed
 }
 
@@ -174,8 +174,8 @@
 	return records.Close()
 }
 
-// Close ends the store. What was put before is written if the disk takes it within two seconds; otherwise the error is
-// ErrCloseTimeout. Closing again does nothing.
+// Close ends the store. It waits two seconds until the disk has written all batches that were put before, and returns
+// ErrCloseTimeout if it has not. Closing again does nothing.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
@@ -186,7 +186,7 @@
 	s.mu.Unlock()
 	close(s.wake)
 	closed := make(chan error, 1)
-	go func() { // outlives Close only where the disk does not answer
+	go func() { // outlives Close only if the disk does not respond
 		<-s.done
 		closed <- s.db.Close()
 	}()
@@ -201,7 +201,7 @@
 	}
 }
 
-// logDiskState logs that the disk rejects what is asked of it, or, with nil, that it works again.
+// logDiskState logs that the disk rejects operations, or, if err is nil, that it works again.
 func (s *Store) logDiskState(err error) {
 	if err != nil {
 		level.Error(s.log).Log("msg", "disk failing, retrying", "err", err)
--- a/internal/control/storage/store_test.go
+++ b/internal/control/storage/store_test.go
@@ -22,7 +22,7 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// What was acknowledged is there after a loss of power, and of what was put later, a prefix of complete batches.
+// After a power loss, all acknowledged batches are there, and of the later ones a prefix of complete batches.
 func TestPowerLoss(t *testing.T) {
 	for seed := range uint64(6) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
@@ -51,7 +51,7 @@
 			is.NoErr(err)
 			n = countBatches(is, state, want)
 			if n < acknowledged {
-				t.Fatalf("seed %d: %d batches of %d that were acknowledged", seed, n, acknowledged)
+				t.Fatalf("seed %d: got %d batches of %d that were acknowledged", seed, n, acknowledged)
 			}
 			want = want[:n]
 			is.NoErr(store.Close())
@@ -59,7 +59,7 @@
 	}
 }
 
-// randomBatch draws the nth batch.
+// randomBatch returns a random batch with number n.
 func randomBatch(rnd *rand.Rand, n int) Batch {
 	a := &consensus.Acceptor{Promised: consensus.Ballot{Round: uint64(n), Node: "a"}, Epoch: uint64(n)}
 	if n%2 == 0 {
@@ -89,7 +89,7 @@
 	return b
 }
 
-// countBatches checks that a state is what some first batches leave, and returns how many they are.
+// countBatches checks that a state is the result of the first n batches for some n, and returns n.
 func countBatches(is *is.I, state State, want []Batch) int {
 	is.Helper()
 	n := int(state.Acceptor.Epoch)
@@ -122,7 +122,7 @@
 	return n
 }
 
-// rejectingFS rejects writes and syncs while rejecting is set. A rejected write writes half.
+// rejectingFS rejects writes and syncs while rejecting is set. A rejected write writes half of its bytes.
 type rejectingFS struct {
 	vfs.FS
 	rejecting atomic.Bool
@@ -167,7 +167,7 @@
 	return f.File.Write(b)
 }
 
-// A disk that rejects writes fails those who wait for it, and has all that was put once it works again.
+// While the disk rejects writes, only the callers that wait for them fail. Once it works again, it gets all batches.
 func TestRejectingDisk(t *testing.T) {
 	is := is.New(t)
 	mem := vfs.NewCrashableMem()
@@ -228,7 +228,7 @@
 		Electorate: consensus.InitialElectorate([]string{"x", "y", "z"}),
 		Pending:    &pending,
 	}
-	for range 2 { // as version 2 left it, and as this version leaves it
+	for range 2 { // opens the folder as version 2 wrote it, then as this version wrote it
 		store, state, err := Open(fs, "d", logtest.Discard())
 		is.NoErr(err)
 		is.True(!state.Empty)
@@ -242,7 +242,7 @@
 	is.NoErr(err)
 	var n int
 	is.NoErr(cbor.Unmarshal(b, &n))
-	is.Equal(n, baseVersion) // there is no shard
+	is.Equal(n, baseVersion) // the folder has no shards
 	is.NoErr(closer.Close())
 	set(keyVersion, formatVersion+1)
 	is.NoErr(store.Close())
@@ -250,7 +250,7 @@
 	is.True(errors.Is(err, ErrNewerFormat))
 }
 
-// Folders that can't be read are rejected with the error that says why.
+// Folders that can't be read are rejected with the error for the cause.
 func TestRejectedFolders(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -267,7 +267,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := store.Save(t.Context(), Batch{Members: 1}); err != nil {
+			if err := store.Save(t.Context(), Batch{IngressCount: 1}); err != nil {
 				t.Fatal(err)
 			}
 			if err := store.Close(); err != nil {
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -92,7 +92,7 @@
 	if held && w.ingresses.Publish(count) {
 		level.Info(w.log).Log("msg", "ingress count changed", "count", count)
 		if disk := w.disk.Load(); disk != nil && count > 0 {
-			disk.Put(storage.Batch{Members: int(count), NoSync: true})
+			disk.Put(storage.Batch{IngressCount: int(count), NoSync: true})
 		}
 	}
 	w.ingresses.UpdateRanks()
