--- a/internal/control/httpapi/applications.go
+++ b/internal/control/httpapi/applications.go
@@ -73,7 +73,7 @@
 	return s.lockCall(r, body, coordination.ReleaseLock)
 }
 
-// lockCall parses and checks the body of a call on a lock, and has it evaluated.
+// lockCall parses and checks the body of a call on a lock, and gets the request evaluated.
 func (s *Server) lockCall(r *http.Request, body []byte, kind coordination.Kind) (reply, error) {
 	var b lockBody
 	if json.Unmarshal(body, &b) != nil {
@@ -127,7 +127,8 @@
 	return s.coordinate(r, request)
 }
 
-// coordinate has a request evaluated. It takes the name of the lock, number, cell or group from the path.
+// coordinate gets a request evaluated by the shard's leaseholder. It takes the name of the lock, number, cell or group
+// from the path.
 func (s *Server) coordinate(r *http.Request, request coordination.Request) (reply, error) {
 	request.Name = r.PathValue("id")
 	if request.Name == "" || len(request.Name) > coordination.MaxNameBytes || !utf8.ValidString(request.Name) {
--- a/internal/control/httpapi/call.go
+++ b/internal/control/httpapi/call.go
@@ -40,7 +40,7 @@
 	controller *http.ResponseController
 }
 
-// serveCall admits a call, reads its body, has it handled and returns the answer.
+// serveCall admits a call, reads its body, calls the handler and returns the answer.
 func (s *Server) serveCall(e endpoint, w http.ResponseWriter, r *http.Request) reply {
 	c := &call{Server: s, endpoint: e, response: w, request: r, controller: http.NewResponseController(w)}
 	readTimeout, err := c.admit()
--- a/internal/control/httpapi/errors.go
+++ b/internal/control/httpapi/errors.go
@@ -22,7 +22,8 @@
 	// ErrNotFound means that no endpoint serves the call.
 	ErrNotFound = &Error{http.StatusNotFound, "no such call"}
 
-	// ErrNoContact means that this node has no majority lease: its state may be outdated, and its changes may be lost.
+	// ErrNoContact means that this node has no majority lease, so that its state may be outdated and its changes may
+	// be lost.
 	ErrNoContact = &Error{http.StatusServiceUnavailable, "no contact with a majority of the control nodes"}
 
 	// ErrTooManyCalls means that too many calls are in flight.
--- a/internal/control/httpapi/server.go
+++ b/internal/control/httpapi/server.go
@@ -28,7 +28,7 @@
 const (
 	readHeaderTimeout = 2 * time.Second
 	idleTimeout       = 5 * time.Second
-	maxHeaderBytes    = 8 << 10 // of one request
+	maxHeaderBytes    = 8 << 10 // header size of one request
 	maxLargeBodies    = 2       // large bodies that may be read or handled at once; bounds the memory for them
 )
 
--- a/internal/control/operatorcommand/doc.go
+++ b/internal/control/operatorcommand/doc.go
@@ -3,6 +3,6 @@
 //
 // members.go prints the voters and learners, replace.go replaces a voter, shards.go prints the shards and transfers
 // one, and target.go finds the control node to call. Commands have no state. They write to the io.Writer that the
-// program binds. The package imports cluster/commandline (settings files, output formats) and operatorapi, which makes the
-// calls. operatorcommand_test.go tests it against an HTTP server.
+// program binds. The package imports cluster/commandline (settings files, output formats) and operatorapi, which makes
+// the calls. operatorcommand_test.go tests it against an HTTP server.
 package operatorcommand
--- a/internal/control/replica/chunks_test.go
+++ b/internal/control/replica/chunks_test.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	losslessStep   = 150  // last step of a walk at which chunks, changes and power may be lost
+	losslessStep   = 150  // last step of a walk at which chunks or power may be lost
 	maxSteps       = 1000 // steps after which the walk fails if the newest snapshot has not arrived
 	maxLateAnswers = 5    // answers that are kept for repeated delivery
 )
@@ -39,7 +39,7 @@
 
 func noInstances(string, int) ([]registry.Instance, bool) { return nil, false }
 
-// failureRecorder stands for a test in assertions of package is. It records a failure instead of ending the test.
+// failureRecorder takes the place of a *testing.T in package is. It records a failure instead of ending the test.
 type failureRecorder struct{ failure *string }
 
 func (f failureRecorder) Fail()    { f.FailNow() }
--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -30,7 +30,7 @@
 	Store             *replication.Store          // holds the items; only the replica changes them
 	IsOwnBallot       func(consensus.Ballot) bool // reports whether a ballot is of this process; nil: none is
 	NewDiskID         func() uint64               // id of a new disk; not called if Load gets a bootstrap electorate
-	ElectorateChanged func()                      // called with the replica's mutex held: must not block; may be nil
+	ElectorateChanged func()                      // called with the replica's mutex held; must not block; may be nil
 }
 
 // Replica is this node's replica of the configuration and, if it is a voter, its vote. Items are merged into the store
--- a/internal/control/storage/errors.go
+++ b/internal/control/storage/errors.go
@@ -7,13 +7,13 @@
 	ErrClosed = errors.New("the store is closed")
 
 	// ErrCloseTimeout is returned by Close if the disk does not write the pending batches in time.
-	ErrCloseTimeout = errors.New("the disk did not let the store close")
+	ErrCloseTimeout = errors.New("closing the store timed out: the disk did not write the pending batches")
 
 	// ErrManifestMarkerMissing is returned by Open for a folder that has data, but no marker of the current manifest.
 	// Names in the folder have been lost, and with them acknowledged state, so the folder must not be treated as an
 	// empty one.
-	ErrManifestMarkerMissing = errors.New("no marker of a manifest: names of the folder are lost, " +
-		"and with them what was acknowledged")
+	ErrManifestMarkerMissing = errors.New("the folder has data, but no manifest marker: " +
+		"file names were lost, and with them acknowledged state")
 
 	// ErrNewerFormat is returned by Open for a folder that a newer version of the program has written.
 	ErrNewerFormat = errors.New("the folder is of a later format version")
--- a/internal/control/storage/power_loss_test.go
+++ b/internal/control/storage/power_loss_test.go
@@ -103,7 +103,7 @@
 	return append(points, fs.crashPoint(len(r.batches))), ""
 }
 
-// checkLosses opens the folder that is left by each power loss at one point, alternately without and with unsynced bytes.
+// checkLosses opens the folder that each power loss at one point leaves, alternately without and with unsynced bytes.
 func (r *powerLossRun) checkLosses(point crashPoint, losses []nameLoss) (failure string) {
 	for k, survives := range losses {
 		r.opened++
@@ -159,7 +159,7 @@
 	return errors.As(err, &panicked)
 }
 
-// firstFailure stands for a test in assertions of package is. It records a failure and lets the test continue.
+// firstFailure takes the place of a *testing.T in package is. It records a failure and lets the test continue.
 type firstFailure struct{ text *string }
 
 func (f firstFailure) Fail()           { f.FailNow() }
--- a/internal/control/storage/retrying_fs.go
+++ b/internal/control/storage/retrying_fs.go
@@ -19,7 +19,7 @@
 //
 // After a power loss, each name that was created, renamed or removed since its folder was last synced may be kept or
 // lost, independently of the others. Therefore a created name is on disk before its file's first sync returns, and
-// before any other name of the folder is removed or renamed. Otherwise neither marker of a manifest might be left,
+// before any other name of the folder is removed or renamed. Otherwise both markers of a manifest might be lost,
 // because the database creates the marker of a new manifest and removes the old one without a sync between.
 type retryingFS struct {
 	vfs.FS
@@ -60,7 +60,7 @@
 	}
 }
 
-// setFailing records whether the disk fails, and reports a change of that.
+// setFailing records whether the disk fails, and calls onStateChange if that has changed.
 func (r *retryingFS) setFailing(failing bool, err error) {
 	r.mu.Lock()
 	changed := r.failing != failing
