--- a/internal/control/coordination.go
+++ b/internal/control/coordination.go
@@ -54,6 +54,6 @@
 // handOverShards transfers the leases of the shards that this node leads to other voters before a shutdown.
 func (n *Node) handOverShards() {
 	if n.shards != nil {
-		n.shards.HandOver()
+		n.shards.TransferLeases()
 	}
 }
--- a/internal/control/instances/departures.go
+++ b/internal/control/instances/departures.go
@@ -39,7 +39,7 @@
 		return false
 	}
 	d.Registry.Merge(instances)
-	return replica.Synced(d.Registry.PersistDepartures(disk, IDs(instances)...), 0)
+	return replica.AwaitSync(d.Registry.PersistDepartures(disk, IDs(instances)...), 0)
 }
 
 // Replicate stores a departing instance on the disks of voters. It returns true once the instance is on the required
