--- a/internal/dataplane/http1/append.go
+++ b/internal/dataplane/http1/append.go
@@ -24,8 +24,8 @@
 	504: "Gateway Timeout",
 }
 
-// AppendHead begins an answer: the status line and the length of the body in bytes. Fields may follow; an empty line
-// ends them.
+// AppendHead appends the status line of an answer and the length of its body in bytes. The caller may append further
+// fields, and then appends the empty line that ends the head.
 func AppendHead(b []byte, status, length int) []byte {
 	return AppendLength(AppendStatus(b, status), length)
 }
@@ -46,8 +46,8 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendFraming appends the field that states how the body ends: its length in bytes, or, where that is -1, that it is
-// chunked.
+// AppendFraming appends the field that states how the end of the body is found: Content-Length with the length in
+// bytes, or Transfer-Encoding: chunked if the length is -1.
 func AppendFraming(b []byte, length int64) []byte {
 	if length < 0 {
 		return AppendField(b, "Transfer-Encoding", "chunked")
@@ -55,7 +55,7 @@
 	return AppendField(b, "Content-Length", strconv.FormatInt(length, 10))
 }
 
-// AppendRequestLine begins a request: its line, and the host.
+// AppendRequestLine appends the request line and the Host field of a request.
 func AppendRequestLine(b []byte, method, target, host string) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -64,7 +64,7 @@
 	return AppendField(b, "Host", host)
 }
 
-// AppendField appends a field.
+// AppendField appends a header field.
 func AppendField(b []byte, name, value string) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
@@ -72,7 +72,7 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendSeconds appends a field that states a duration in seconds, to the millisecond.
+// AppendSeconds appends a field whose value is a duration in seconds with three decimal places.
 func AppendSeconds(b []byte, name string, seconds float64) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
@@ -80,22 +80,23 @@
 	return append(b, "\r\n"...)
 }
 
-// ChunkPrefix is how many bytes FrameChunk needs before the content of a chunk, and ChunkSuffix after it, with a last
-// chunk without a trailer.
+// ChunkPrefix is how many bytes FrameChunk needs before the content of a chunk: up to eight hexadecimal digits of the
+// size, and a line end. ChunkSuffix is how many bytes follow the content: its line end, and the last chunk without a
+// trailer.
 const (
 	ChunkPrefix = 10
 	ChunkSuffix = 7
 )
 
-// FrameChunk frames the n bytes at ChunkPrefix in b as one chunk, in place, so that a single write sends it. For no
-// bytes it returns nothing: an empty chunk would be the last.
+// FrameChunk frames the n bytes that begin at b[ChunkPrefix] as one chunk, in place, so that a single write sends it.
+// If n is 0 it returns nil, because an empty chunk would end the body.
 func FrameChunk(b []byte, n int) []byte {
 	if n == 0 {
 		return nil
 	}
 	var size [ChunkPrefix]byte
 	head := append(strconv.AppendInt(size[:0], int64(n), 16), "\r\n"...)
-	begin := ChunkPrefix - len(head)
-	copy(b[begin:], head)
-	return append(b[begin:ChunkPrefix+n], "\r\n"...)
+	start := ChunkPrefix - len(head)
+	copy(b[start:], head)
+	return append(b[start:ChunkPrefix+n], "\r\n"...)
 }
--- a/internal/dataplane/http1/body.go
+++ b/internal/dataplane/http1/body.go
@@ -9,22 +9,23 @@
 	"strings"
 )
 
-// Body is a body that is read as it arrives.
+// Body is a message body that the caller reads as it arrives.
 type Body struct {
-	Length int64 // in bytes, as the head states it; -1: it does not
+	Length int64 // length in bytes as stated in the head; -1: not stated
 
-	buffered  []byte // of a chunked one: what was read before it proved to be too long to buffer
-	rest      io.Reader
-	remaining int64 // bytes that may still arrive
-	ended     bool  // read to its end
+	buffered  []byte    // start of a chunked body, which was read before the body proved too long to buffer
+	rest      io.Reader // source of the bytes after buffered
+	remaining int64     // bytes that may still arrive
+	ended     bool      // whether the body was read to its end
 }
 
-// newBodyOfLength returns a body whose length the head states.
+// newBodyOfLength returns a body whose length in bytes is stated in the head.
 func newBodyOfLength(rd *Reader, length int64) *Body {
 	return &Body{Length: length, rest: io.LimitReader(rd.buf, length), remaining: length}
 }
 
-// Read reads what has arrived. With io.EOF, the body is complete. ErrBodyTooLarge: it is longer than the limit.
+// Read reads the bytes that have arrived. It returns io.EOF when the body is complete, and ErrBodyTooLarge when the
+// body exceeds its limit.
 func (b *Body) Read(p []byte) (n int, err error) {
 	if len(b.buffered) > 0 {
 		n = copy(p, b.buffered)
@@ -40,19 +41,20 @@
 		return 0, ErrBodyTooLarge
 	}
 	if err == nil && b.Length >= 0 && b.remaining == 0 {
-		err = io.EOF // with the last byte: the reader is not to wait for another
+		err = io.EOF // returned with the last byte, so that the caller does not wait for another one
 	}
 	b.ended = errors.Is(err, io.EOF)
 	return n, err
 }
 
-// Remaining returns how many bytes are still to be read; of a chunked body, how many there may be.
+// Remaining returns how many bytes are still to be read. For a body of unknown length it returns how many bytes the
+// limit still allows.
 func (b *Body) Remaining() int64 { return b.remaining }
 
 // Ended reports whether the body was read to its end.
 func (b *Body) Ended() bool { return b.ended }
 
-// Trailer returns the fields after a chunked body that has been read to its end; nil: there are none.
+// Trailer returns the trailer fields of a chunked body that has been read to its end; nil if there are none.
 func (b *Body) Trailer() textproto.MIMEHeader {
 	if c, ok := b.rest.(*chunkedReader); ok {
 		return c.trailer
@@ -60,16 +62,16 @@
 	return nil
 }
 
-// framing is how the end of a body is known.
+// framing describes how the end of a body is found.
 type framing struct {
-	length     int64 // in bytes, unless one of the others holds
-	chunked    bool
-	untilClose bool // the end of the connection is that of the body
+	length     int64 // length in bytes; 0 if chunked or untilClose is set
+	chunked    bool  // whether the body has the chunked transfer coding
+	untilClose bool  // whether the body ends where the connection ends
 }
 
-// framingOf returns the framing that a header states, of a body with a limit in bytes. Whatever two readers could
-// take for two different lengths is an error.
-func framingOf(h textproto.MIMEHeader, maxLength int64) (f framing, err error) {
+// parseFraming returns the framing that a header states. It rejects a body longer than maxLength bytes, and any header
+// that two readers could interpret as two different lengths.
+func parseFraming(h textproto.MIMEHeader, maxLength int64) (f framing, err error) {
 	lengths, codings := h["Content-Length"], h["Transfer-Encoding"]
 	switch {
 	case len(codings) > 0:
@@ -92,21 +94,21 @@
 	return f, nil
 }
 
-// readBuffered reads a body of MaxBufferedBody bytes at most.
+// readBuffered reads a body into memory. A body of more than MaxBufferedBody bytes is an error.
 func (rd *Reader) readBuffered(f framing) ([]byte, error) {
 	switch {
 	case f.chunked:
-		rd.unlimit()
+		rd.removeHeadLimit()
 		return readBounded(&chunkedReader{reader: rd})
 	case f.untilClose:
-		rd.unlimit()
+		rd.removeHeadLimit()
 		return readBounded(rd.buf)
 	case f.length == 0:
 		return nil, nil
 	case f.length > MaxBufferedBody:
 		return nil, ErrBodyTooLarge
 	}
-	rd.unlimit()
+	rd.removeHeadLimit()
 	body := make([]byte, f.length)
 	_, err := io.ReadFull(rd.buf, body)
 	if errors.Is(err, io.EOF) {
@@ -115,7 +117,7 @@
 	return body, err
 }
 
-// readBounded reads all of r, of MaxBufferedBody bytes at most.
+// readBounded reads r to its end. More than MaxBufferedBody bytes are an error.
 func readBounded(r io.Reader) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, MaxBufferedBody+1))
 	if len(body) > MaxBufferedBody {
--- a/internal/dataplane/http1/chunked.go
+++ b/internal/dataplane/http1/chunked.go
@@ -12,25 +12,26 @@
 	"strings"
 )
 
-// The framing of a chunked body may take so many bytes, and a multiple of its content: a chunk a byte is legal, lines
-// without end for no content are not.
+// The framing of a chunked body may take maxChunkFraming bytes, plus chunkFramingFactor bytes for each byte of content.
+// The factor admits a body whose chunks have one byte each, which is legal. The bound stops a peer that sends chunk
+// extensions without end and hardly any content.
 const (
 	maxChunkFraming    = 64 << 10
 	chunkFramingFactor = 16
 )
 
-// chunkedReader reads a chunked body up to its trailer, and that.
+// chunkedReader reads the content of a chunked body, and then its trailer.
 type chunkedReader struct {
 	reader       *Reader
-	remaining    uint64 // bytes of the current chunk
-	framingBytes int64  // read so far
-	contentBytes int64  // read so far
-	begun        bool   // the first chunk has begun
+	remaining    uint64 // bytes of the current chunk that are still to be read
+	framingBytes int64  // bytes of framing read so far
+	contentBytes int64  // bytes of content read so far
+	begun        bool   // whether the first chunk has begun
 	trailer      textproto.MIMEHeader
-	err          error // that ended the body; io.EOF at its end
+	err          error // error that ended the body; io.EOF at its regular end
 }
 
-// Read reads content.
+// Read reads the content of the body, without its framing.
 func (c *chunkedReader) Read(p []byte) (int, error) {
 	if c.err == nil && c.remaining == 0 {
 		c.err = c.nextChunk()
@@ -48,7 +49,8 @@
 	return n, err
 }
 
-// nextChunk reads up to the content of the next chunk. io.EOF: there is none, and the trailer was read.
+// nextChunk reads the framing up to the content of the next chunk. It returns io.EOF once it has read the last chunk
+// and the trailer.
 func (c *chunkedReader) nextChunk() error {
 	if c.begun {
 		line, err := c.readLine()
@@ -72,8 +74,8 @@
 	return c.readTrailer()
 }
 
-// readTrailer reads the fields after the last chunk, and returns io.EOF. They are buffered, so that they are bounded: a
-// peer could else send them without end.
+// readTrailer reads the trailer fields after the last chunk, and returns io.EOF. The fields are buffered, and limited
+// to MaxHead bytes, because a peer could otherwise send them without end.
 func (c *chunkedReader) readTrailer() error {
 	for remaining := MaxHead; ; {
 		line, err := c.readLine()
@@ -92,7 +94,7 @@
 	}
 }
 
-// readLine reads a line of the framing. One longer than the buffer is no framing.
+// readLine reads one line of the framing. A line longer than the reader's buffer is an error.
 func (c *chunkedReader) readLine() ([]byte, error) {
 	line, err := c.reader.buf.ReadSlice('\n')
 	switch {
@@ -109,7 +111,7 @@
 	}
 	line, ok := bytes.CutSuffix(line, []byte("\r\n"))
 	if !ok || bytes.IndexByte(line, '\r') >= 0 {
-		// RFC 9112, 7.1: a reader that accepts another end of a line sees another message than one that does not.
+		// RFC 9112, 7.1: a reader that accepts other line ends would see a different message than one that does not.
 		return nil, ErrFraming
 	}
 	return line, nil
--- a/internal/dataplane/http1/errors.go
+++ b/internal/dataplane/http1/errors.go
@@ -2,7 +2,8 @@
 
 import "errors"
 
-// Errors of reading a message. After any of them, where the next message of the connection begins is not known.
+// Errors of reading a message. After any of them the connection cannot be read further, because it is unknown where
+// the next message begins.
 var (
 	// ErrStartLine is a request line or status line that is not well-formed.
 	ErrStartLine = errors.New("broken start line")
@@ -10,10 +11,10 @@
 	ErrHeader = errors.New("broken header")
 	// ErrHeadTooLarge is a head of more than MaxHead bytes.
 	ErrHeadTooLarge = errors.New("start line and headers too large")
-	// ErrFraming is a body whose end is not known for certain, or a chunk or trailer that is not well-formed.
+	// ErrFraming is a body whose end is ambiguous, or a chunk or trailer that is not well-formed.
 	ErrFraming = errors.New("broken length or transfer coding")
-	// ErrBodyTooLarge is a body over its limit, or one whose chunks have too much framing.
+	// ErrBodyTooLarge is a body that exceeds its size limit, or a chunked body with too much framing for its content.
 	ErrBodyTooLarge = errors.New("body too large")
-	// ErrExpect is an expectation other than 100-continue.
+	// ErrExpect is an Expect field with a value other than 100-continue.
 	ErrExpect = errors.New("an expectation that cannot be met")
 )
--- a/internal/dataplane/http1/fields.go
+++ b/internal/dataplane/http1/fields.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// hopByHop are the fields that concern one connection, or the framing on it (RFC 9110, 7.6.1): each side writes its
-// own.
+// hopByHop are the fields that concern a single connection or the framing on it (RFC 9110, 7.6.1). They are not
+// forwarded, because the fields of the next connection are written anew.
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Content-Length":      true,
@@ -24,7 +24,7 @@
 	"Upgrade":             true,
 }
 
-// forbiddenTrailers are fields that have a meaning before a body, and none after it (RFC 9110, 6.5.1).
+// forbiddenTrailers are fields that have a meaning only in the head, before the body (RFC 9110, 6.5.1).
 var forbiddenTrailers = map[string]bool{
 	"Authorization":    true,
 	"Cache-Control":    true,
@@ -37,8 +37,8 @@
 	"Set-Cookie":       true,
 }
 
-// AppendFields appends those fields of a header that are for the other end, by name: not those of one connection, not
-// those that its Connection field names, and none of except. Values of one name keep their order.
+// AppendFields appends the end-to-end fields of a header, sorted by name. It omits hop-by-hop fields, fields that the
+// Connection field names, and the fields in except. The values of one field keep their order.
 func AppendFields(b []byte, h textproto.MIMEHeader, except map[string]bool) []byte {
 	var array [16]string
 	names := array[:0]
@@ -52,7 +52,7 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		if connectionNames(h["Connection"], name) {
+		if listedInConnection(h["Connection"], name) {
 			continue
 		}
 		for _, value := range h[name] {
@@ -62,8 +62,8 @@
 	return b
 }
 
-// connectionNames reports whether a Connection field names another one.
-func connectionNames(connection []string, name string) bool {
+// listedInConnection reports whether the values of a Connection field include the name of another field.
+func listedInConnection(connection []string, name string) bool {
 	return slices.ContainsFunc(connection, func(value string) bool {
 		for option := range strings.SplitSeq(value, ",") {
 			if strings.EqualFold(strings.TrimSpace(option), name) {
@@ -74,7 +74,8 @@
 	})
 }
 
-// AppendLastChunk ends a chunked body, with those fields of a trailer that are for the other end and may stand there.
+// AppendLastChunk appends the last chunk of a chunked body and the trailer. It omits the trailer fields that
+// AppendFields omits, and those that are not allowed in a trailer.
 func AppendLastChunk(b []byte, trailer textproto.MIMEHeader, except map[string]bool) []byte {
 	b = append(b, "0\r\n"...)
 	if len(trailer) > 0 {
@@ -85,19 +86,19 @@
 	return append(b, "\r\n"...)
 }
 
-// HasForbiddenTrailer reports whether a trailer has a field that frames a message, or one of those that its receiver
-// decides by: readers that ignore trailers would decide otherwise than those that don't.
-func HasForbiddenTrailer(trailer textproto.MIMEHeader, decidedBy map[string]bool) bool {
+// HasForbiddenTrailer reports whether a trailer has a hop-by-hop field, or one of decisionFields, the fields that its
+// receiver bases decisions on. Readers that ignore trailers would decide differently from readers that use them.
+func HasForbiddenTrailer(trailer textproto.MIMEHeader, decisionFields map[string]bool) bool {
 	for name := range trailer {
-		if hopByHop[name] || decidedBy[name] {
+		if hopByHop[name] || decisionFields[name] {
 			return true
 		}
 	}
 	return false
 }
 
-// validFieldValue reports whether a field's value can be forwarded: with a line end or a NUL in it, other readers would
-// see another message (RFC 9110, 5.5).
+// validFieldValue reports whether a field's value can be forwarded. It rejects control characters other than the tab,
+// because a line end or a NUL would make other readers see a different message (RFC 9110, 5.5).
 func validFieldValue(value string) bool {
 	for i := range len(value) {
 		if c := value[i]; c < ' ' && c != '\t' || c == 0x7f {
--- a/internal/dataplane/http1/fuzz_test.go
+++ b/internal/dataplane/http1/fuzz_test.go
@@ -10,8 +10,9 @@
 	"testing"
 )
 
-// Any input is read within bounds or rejected. What is accepted is what net/http reads, too, with the same end: two
-// readers that see different ends of a message see different messages after it.
+// Any input is rejected or read within the size limits. For each request that both readers accept, net/http must read
+// the same method and body: readers that disagree about the end of a request would also disagree about all requests
+// that follow it.
 func FuzzRequest(f *testing.F) {
 	for _, s := range []string{
 		"GET /api/00000000b4d65521 HTTP/1.1\r\nHost: a\r\nX-Request-ID: 1\r\n\r\n",
@@ -37,7 +38,7 @@
 		}
 		want, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(b)))
 		if err != nil {
-			return // net/http is stricter about fields that nothing here is decided by
+			return // net/http is stricter about fields that this package does not interpret
 		}
 		body, err := io.ReadAll(want.Body)
 		if err != nil || want.Method != got.Method || !bytes.Equal(body, got.Body) {
@@ -47,7 +48,8 @@
 	})
 }
 
-// The same of answers: one that both accept has one status and one body.
+// Any answer is rejected or read within the size limits. For each answer that both readers accept, net/http must read
+// the same status and body.
 func FuzzResponse(f *testing.F) {
 	for _, s := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
@@ -74,7 +76,7 @@
 			t.Fatalf("accepted %+v with %d bytes, which exceeds the bounds", got, len(body))
 		}
 		if !strings.HasPrefix(string(b), fmt.Sprintf("HTTP/1.1 %d", got.Status)) {
-			return // interim answers come first, which net/http returns
+			return // net/http returns interim answers, which this package skips
 		}
 		want, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(b)), nil)
 		if err != nil {
--- a/internal/dataplane/http1/reader.go
+++ b/internal/dataplane/http1/reader.go
@@ -11,21 +11,24 @@
 )
 
 const (
-	// MaxHead bounds a start line with its header, in bytes: a peer could else send one without end.
+	// MaxHead is the limit in bytes of a start line with its header. Without it, a peer could make the reader buffer a
+	// head without end.
 	MaxHead = 16 << 10
-	// MaxBufferedBody is the size in bytes up to which a body is buffered. A longer one is streamed.
+	// MaxBufferedBody is the size in bytes up to which a body is buffered in memory. A longer body is streamed.
 	MaxBufferedBody = 64 << 10
-	// DefaultMaxRequestBody is the limit of a request's body in bytes, where Reader.MaxRequestBody is 0.
+	// DefaultMaxRequestBody is the limit in bytes of a request's body if Reader.MaxRequestBody is 0.
 	DefaultMaxRequestBody = 32 << 20
 
-	maxEmptyLines = 2 // before a start line
+	// maxEmptyLines is how many empty lines before a start line are skipped. More are an error, because a peer could
+	// otherwise send them without end.
+	maxEmptyLines = 2
 )
 
-// Reader reads the messages of one connection.
+// Reader reads the HTTP messages that arrive on one connection.
 type Reader struct {
-	MaxRequestBody int64 // bytes; 0: DefaultMaxRequestBody
+	MaxRequestBody int64 // limit of a request's body in bytes; 0: DefaultMaxRequestBody
 
-	limit io.LimitedReader // bounds a head; between heads it is unlimited
+	limit io.LimitedReader // limits a head to MaxHead bytes; unlimited while no head is read
 	buf   *bufio.Reader
 	text  textproto.Reader
 }
@@ -38,23 +41,23 @@
 	return rd
 }
 
-// Wait returns once a byte of the next message has arrived, or with the error that ended the connection.
+// Wait blocks until a byte of the next message has arrived, or returns the error that ended the connection.
 func (rd *Reader) Wait() error {
-	rd.unlimit()
+	rd.removeHeadLimit()
 	_, err := rd.buf.Peek(1)
 	return err
 }
 
-// Buffered returns how many bytes have been read from the connection beyond the messages.
+// Buffered returns how many bytes were read from the connection beyond the end of the last message.
 func (rd *Reader) Buffered() int { return rd.buf.Buffered() }
 
-// limitHead bounds what is read from now on to a head.
+// limitHead limits the next head to MaxHead bytes, including the bytes that are buffered already.
 func (rd *Reader) limitHead() { rd.limit.N = MaxHead - int64(rd.buf.Buffered()) }
 
-// unlimit ends the bound of a head.
-func (rd *Reader) unlimit() { rd.limit.N = math.MaxInt64 }
+// removeHeadLimit removes the limit that limitHead set. Bodies have limits of their own.
+func (rd *Reader) removeHeadLimit() { rd.limit.N = math.MaxInt64 }
 
-// startLine reads a start line. Empty lines before it are skipped (RFC 9112, 2.2).
+// startLine reads a start line. It skips up to maxEmptyLines empty lines before it (RFC 9112, 2.2).
 func (rd *Reader) startLine() (string, error) {
 	for range maxEmptyLines + 1 {
 		line, err := rd.text.ReadLine()
@@ -68,7 +71,7 @@
 	return "", fmt.Errorf("%w: empty", ErrStartLine)
 }
 
-// header reads the fields of a head, up to the empty line after them.
+// header reads the fields of a head and the empty line after them.
 func (rd *Reader) header() (textproto.MIMEHeader, error) {
 	h, err := rd.text.ReadMIMEHeader()
 	var broken textproto.ProtocolError
@@ -80,7 +83,7 @@
 	case err != nil:
 		return nil, rd.headError(err)
 	}
-	for key, values := range h { // textproto accepts a name with spaces, and control characters in a value
+	for key, values := range h { // textproto accepts names with spaces and values with control characters
 		if strings.IndexByte(key, ' ') >= 0 || !validFieldValue(strings.Join(values, "")) {
 			return nil, fmt.Errorf("%w: %.80q", ErrHeader, key)
 		}
@@ -88,7 +91,7 @@
 	return h, nil
 }
 
-// headError returns the error of reading a head: ErrHeadTooLarge where the limit was the cause.
+// headError returns ErrHeadTooLarge if the limit of the head caused an error of reading it, and else the error itself.
 func (rd *Reader) headError(err error) error {
 	if rd.limit.N <= 0 {
 		return ErrHeadTooLarge
@@ -96,7 +99,8 @@
 	return err
 }
 
-// closesConnection reports whether the connection ends with a message, by its protocol version and Connection field.
+// closesConnection reports whether a message's protocol version and Connection field say that the connection closes
+// after it.
 func closesConnection(h textproto.MIMEHeader, proto string) bool {
 	for _, value := range h["Connection"] {
 		for _, option := range strings.Split(value, ",") {
@@ -111,16 +115,16 @@
 	return proto == "HTTP/1.0"
 }
 
-// isProtocol reports whether a start line's protocol version is one that is read.
-func isProtocol(s string) bool { return s == "HTTP/1.1" || s == "HTTP/1.0" }
+// supportedProtocol reports whether the reader accepts a start line's protocol version.
+func supportedProtocol(s string) bool { return s == "HTTP/1.1" || s == "HTTP/1.0" }
 
-// isMethod reports whether a request line's method is one that is read.
-func isMethod(s string) bool {
+// validMethod reports whether the reader accepts a request line's method: upper-case ASCII letters only.
+func validMethod(s string) bool {
 	return s != "" && strings.IndexFunc(s, func(c rune) bool { return c < 'A' || c > 'Z' }) < 0
 }
 
-// Visible reports whether a text is not empty and has visible ASCII characters only: no space and no line end, so it
-// can be forwarded as one element of a start line or as one field value.
+// Visible reports whether s is not empty and has visible ASCII characters only. Without spaces and line ends it can be
+// forwarded as one element of a start line or as one field value.
 func Visible(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 0x7f {
--- a/internal/dataplane/http1/reader_test.go
+++ b/internal/dataplane/http1/reader_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// readRequest reads the next request, and its body as far as it is buffered.
+// readRequest reads the next request, with its body if that is short enough to be buffered.
 func readRequest(rd *Reader) (*Request, error) {
 	r, err := rd.Head()
 	if err == nil {
@@ -21,10 +21,10 @@
 	return r, err
 }
 
-// post returns a POST with a field and a body.
+// post returns a POST request with a header field and a body.
 func post(field, body string) string { return "POST / HTTP/1.1\r\n" + field + "\r\n\r\n" + body }
 
-// postChunked returns a POST with a chunked body.
+// postChunked returns a POST request with a chunked body.
 func postChunked(chunks string) string { return post("Transfer-Encoding: chunked", chunks) }
 
 func TestRequest(t *testing.T) {
@@ -100,18 +100,18 @@
 		{"ended in the body", post("Content-Length: 3", "ab"), nil, io.ErrUnexpectedEOF},
 		{"ended in a chunk", postChunked("3\r\nab"), nil, io.ErrUnexpectedEOF},
 		{"ended before the last chunk", postChunked("2\r\nab\r\n"), nil, io.ErrUnexpectedEOF},
-		{"no words", "hello\r\n\r\n", nil, ErrStartLine},
+		{"start line without target", "hello\r\n\r\n", nil, ErrStartLine},
 		{"line end inside", "GET /a\rb HTTP/1.1\r\n\r\n", nil, ErrStartLine},
 		{"empty lines", "\r\n\r\n\r\n\r\n", nil, ErrStartLine},
 		{"no colon", "GET / HTTP/1.1\r\nabc\r\n\r\n", nil, ErrHeader},
-		{"a control in a value", "GET / HTTP/1.1\r\nA: b\x01c\r\n\r\n", nil, ErrHeader},
+		{"a control character in a value", "GET / HTTP/1.1\r\nA: b\x01c\r\n\r\n", nil, ErrHeader},
 		{"two lengths", post("Content-Length: 3\r\nContent-Length: 3", "abc"), nil, ErrFraming},
 		{"length and chunks", post("Content-Length: 3\r\nTransfer-Encoding: chunked", ""), nil, ErrFraming},
 		{"signed length", post("Content-Length: +3", "abc"), nil, ErrFraming},
 		{"huge length", post("Content-Length: 99999999999999999999", ""), nil, ErrFraming},
-		{"too large a length", post("Content-Length: 33554433", ""), nil, ErrBodyTooLarge},
+		{"length over the limit", post("Content-Length: 33554433", ""), nil, ErrBodyTooLarge},
 		{
-			"framing without end for little content",
+			"too much framing for little content",
 			postChunked(strings.Repeat("1;"+strings.Repeat("y", 2000)+"\r\nx\r\n", 100)), nil, ErrBodyTooLarge,
 		},
 		{
@@ -120,9 +120,9 @@
 		},
 		{"chunk size", postChunked("-1\r\n"), nil, ErrFraming},
 		{"chunk end", postChunked("1\r\nabc\r\n"), nil, ErrFraming},
-		{"a trailer that is none", postChunked("0\r\nno colon\r\n\r\n"), nil, ErrFraming},
+		{"a trailer without a colon", postChunked("0\r\nno colon\r\n\r\n"), nil, ErrFraming},
 		{"an endless trailer", postChunked("0\r\n" + strings.Repeat("A: b\r\n", MaxHead)), nil, ErrFraming},
-		{"another expectation", post("Expect: x\r\nContent-Length: 1", ""), nil, ErrExpect},
+		{"unsupported expectation", post("Expect: x\r\nContent-Length: 1", ""), nil, ErrExpect},
 		{"endless line", "GET /" + strings.Repeat("a", MaxHead), nil, ErrHeadTooLarge},
 		{"endless headers", "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", MaxHead), nil, ErrHeadTooLarge},
 	} {
@@ -141,7 +141,7 @@
 	}
 }
 
-// A message ends where it says: what follows it is the next one.
+// Each pipelined request ends where its framing says, and the bytes after it belong to the next request.
 func TestPipelinedRequests(t *testing.T) {
 	rd := NewReader(strings.NewReader("POST /1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n" +
 		"POST /2 HTTP/1.1\r\nContent-Length: 1\r\n\r\nb" + "GET /3 HTTP/1.1\r\n\r\n"))
@@ -158,20 +158,20 @@
 	}
 }
 
-// Interim answers are skipped, but not without end.
+// Up to maxInterim interim answers are skipped. One more is an error, since a server could send them without end.
 func TestInterimAnswersAreBounded(t *testing.T) {
 	const interim, final = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n"
 	r, err := NewReader(strings.NewReader(strings.Repeat(interim, maxInterim) + final)).Response(false)
 	if err != nil || r.Status != 200 {
-		t.Errorf("after %d: got %+v with %v, want status 200", maxInterim, r, err)
+		t.Errorf("after %d interim answers: got %+v with %v, want status 200", maxInterim, r, err)
 	}
 	r, err = NewReader(strings.NewReader(strings.Repeat(interim, maxInterim+1) + final)).Response(false)
 	if !errors.Is(err, ErrStartLine) {
-		t.Errorf("after one more: got %+v with %v, want %v", r, err, ErrStartLine)
+		t.Errorf("after one more interim answer: got %+v with %v, want %v", r, err, ErrStartLine)
 	}
 }
 
-// Any input is a message within its bounds or an error, and reading it does not panic.
+// Any input is either a message within the size limits or an error, and reading it does not panic.
 func FuzzMessages(f *testing.F) {
 	for _, seed := range []string{
 		"GET /a?b HTTP/1.1\r\nx-tier: plus\r\n\r\n",
--- a/internal/dataplane/http1/response.go
+++ b/internal/dataplane/http1/response.go
@@ -8,24 +8,25 @@
 	"strings"
 )
 
-// maxInterim bounds the interim answers (1xx) before a final one: a server could else send them without end.
+// maxInterim is how many interim answers (1xx) before a final one are skipped. More are an error, because a server
+// could otherwise send them without end.
 const maxInterim = 8
 
 // Response is the head of an answer.
 type Response struct {
 	Status     int
 	Header     textproto.MIMEHeader
-	HeadLength int64 // of an answer to HEAD: the length that it states of a body that is not sent
-	Close      bool  // the connection ends with this answer
+	HeadLength int64 // Content-Length in bytes of an answer to HEAD, whose body is not sent
+	Close      bool  // whether the connection closes after this answer
 
 	framing
 }
 
-// Large reports whether an answer's body may be longer than MaxBufferedBody: it is to be streamed.
+// Large reports whether the body may be longer than MaxBufferedBody bytes and must therefore be streamed.
 func (r *Response) Large() bool { return r.chunked || r.untilClose || r.length > MaxBufferedBody }
 
-// Response reads the head of the next final answer. Bodiless: it is one to HEAD, without the body whose length it
-// states.
+// Response reads the head of the next final answer. If bodiless is true, the answer is one to a HEAD request: no body
+// follows, although the head may state the length of one.
 func (rd *Reader) Response(bodiless bool) (*Response, error) {
 	for range maxInterim + 1 {
 		r, proto, err := rd.responseHead()
@@ -39,7 +40,7 @@
 		if r.Status == 204 || r.Status == 304 {
 			return r, nil
 		}
-		if r.framing, err = framingOf(r.Header, math.MaxInt64); err != nil {
+		if r.framing, err = parseFraming(r.Header, math.MaxInt64); err != nil {
 			return nil, err
 		}
 		if bodiless {
@@ -49,10 +50,10 @@
 		r.Close = r.Close || r.untilClose
 		return r, nil
 	}
-	return nil, fmt.Errorf("%w: interim answers without end", ErrStartLine)
+	return nil, fmt.Errorf("%w: too many interim answers", ErrStartLine)
 }
 
-// responseHead reads the status line and the header of an answer.
+// responseHead reads the status line and the header of the next answer, which may be an interim one.
 func (rd *Reader) responseHead() (r *Response, proto string, err error) {
 	rd.limitHead()
 	line, err := rd.startLine()
@@ -62,7 +63,7 @@
 	proto, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
-	if err != nil || len(code) != 3 || status < 100 || !isProtocol(proto) {
+	if err != nil || len(code) != 3 || status < 100 || !supportedProtocol(proto) {
 		return nil, "", fmt.Errorf("%w: %.80q", ErrStartLine, line)
 	}
 	r = &Response{Status: status}
@@ -70,12 +71,12 @@
 	return r, proto, err
 }
 
-// Body reads the body of an answer, of MaxBufferedBody bytes at most.
+// Body reads the body of an answer into memory. A body of more than MaxBufferedBody bytes is an error.
 func (rd *Reader) Body(r *Response) ([]byte, error) { return rd.readBuffered(r.framing) }
 
-// Stream returns an answer's body, to be read as it arrives. Its length has no limit.
+// Stream returns the body of an answer, which the caller reads as it arrives. Its length has no limit.
 func (rd *Reader) Stream(r *Response) *Body {
-	rd.unlimit()
+	rd.removeHeadLimit()
 	switch {
 	case r.chunked:
 		return &Body{Length: -1, rest: &chunkedReader{reader: rd}, remaining: math.MaxInt64}
