--- a/internal/dataplane/ingress/answer.go
+++ b/internal/dataplane/ingress/answer.go
@@ -10,16 +10,19 @@
 )
 
 const (
-	lingerShort = time.Second     // for a client to read why it is rejected, or to send more of what is discarded
-	lingerLong  = 5 * time.Second // for the rest of a streamed body to be discarded
+	// lingerShort is how long the connection lingers after a malformed request was rejected, so that the client can
+	// read the answer. It is also how long a lingering connection waits for the next bytes from the client.
+	lingerShort = time.Second
+	// lingerLong is how long the connection lingers to discard the rest of a streamed body.
+	lingerLong = 5 * time.Second
 
-	// maxKeptBuffer is the size in bytes up to which a connection keeps the buffer of its answers: many connections
-	// must not each keep that of a large one.
+	// maxKeptBuffer is the size in bytes up to which a connection keeps its answer buffer for reuse. Larger buffers are
+	// released, so that many connections do not each hold the memory of one large answer.
 	maxKeptBuffer = 8 << 10
 )
 
-// closesConnection reports whether an answer is the last on its connection because of its request: the client asks
-// for it, or too much of a body would have to be discarded.
+// closesConnection reports whether the request makes its answer the last one on the connection: the client asked for
+// that, or more than maxDiscard bytes of its body would have to be discarded.
 func closesConnection(r *http1.Request) bool {
 	if r.Close {
 		return true
@@ -28,8 +31,8 @@
 	return unread && r.Streamed.Length >= 0 && r.Streamed.Remaining() > maxDiscard
 }
 
-// rejectMessage answers what is no request, and returns the log code of the connection's end: where the next request
-// would begin is not known. "": the connection itself ended.
+// rejectMessage answers a message that could not be read as a request. It returns the log code for which the connection
+// closes, because it is unknown where the next request would begin; "" if the connection itself ended.
 func (c *conn) rejectMessage(err error) (code string) {
 	requestErr := messageError(err)
 	if requestErr == nil && c.closeCode() == clientconn.CodeSlowRequest {
@@ -43,8 +46,8 @@
 	return requestErr.Code
 }
 
-// afterAnswer returns the log code for which the connection ends with an answer, err being that of writing it; "": it
-// does not.
+// afterAnswer returns the log code for which the connection closes after an answer; "" if it stays open. The argument
+// err is the error of writing the answer.
 func (c *conn) afterAnswer(r *http1.Request, err error) (string, error) {
 	if errors.Is(err, errAnswerCut) {
 		return "client-answer-cut", err
@@ -63,7 +66,8 @@
 	return "", nil
 }
 
-// forward forwards a backend's complete answer. One to HEAD states the length of a body that is not sent.
+// forward forwards a backend's answer that was read completely. The answer to a HEAD request keeps the backend's
+// Content-Length although it has no body.
 func (c *conn) forward(head *http1.Response, body []byte, last bool) error {
 	b := http1.AppendStatus(c.out[:0], head.Status)
 	if !c.bodiless {
@@ -75,7 +79,7 @@
 	return c.send(b, body, last)
 }
 
-// answer writes an answer of the ingress itself.
+// answer writes an answer that the ingress itself generates.
 func (c *conn) answer(status int, retryAfter decision.Seconds, body []byte, last bool) error {
 	b := http1.AppendHead(c.out[:0], status, len(body))
 	if retryAfter > 0 {
@@ -84,7 +88,7 @@
 	return c.send(b, body, last)
 }
 
-// answerError writes the answer to a request that was not submitted.
+// rejectWith writes the answer to a request that was not submitted.
 func (c *conn) rejectWith(e *RequestError, last bool) error {
 	body := []byte(e.Error() + "\n")
 	b := http1.AppendHead(c.out[:0], e.Status, len(body))
@@ -98,7 +102,7 @@
 	return c.send(b, body, last)
 }
 
-// send ends the head of an answer and writes it with its body at once.
+// send completes the head of an answer, and writes the head and the body with a single write.
 func (c *conn) send(head, body []byte, last bool) error {
 	b := c.endHead(head, last)
 	if !c.bodiless {
@@ -113,7 +117,8 @@
 	return err
 }
 
-// endHead ends the head of an answer, with Connection: close where it is the last on its connection.
+// endHead appends the Connection field, where one is needed, and the empty line that ends the head of an answer. The
+// last answer on a connection gets Connection: close.
 func (c *conn) endHead(b []byte, last bool) []byte {
 	if last || c.closesAfterAnswer() {
 		b = http1.AppendField(b, "Connection", "close")
--- a/internal/dataplane/ingress/class_stats.go
+++ b/internal/dataplane/ingress/class_stats.go
@@ -6,31 +6,32 @@
 	"sync/atomic"
 )
 
-// maxClasses bounds the classes that are counted: names that clients make up must not grow them.
+// maxClasses is how many classes are counted. Class names that clients invent must not make the map grow without limit.
 const maxClasses = 64
 
-// ClassStats are the counts of one class since the process started.
+// ClassStats are the counters of one class since the process started.
 type ClassStats struct {
 	Class    string
-	OK       int64 // answered with 200
-	Rejected int64 // answered with 429 or 503
-	Errors   int64 // answered with any other status
-	Attempts int64 // written completely
+	OK       int64 // requests answered with status 200
+	Rejected int64 // requests answered with status 429 or 503
+	Errors   int64 // requests answered with any other status
+	Attempts int64 // attempts written completely to a backend
 }
 
-// classStats counts where the events happen: the answer written, the attempt written completely.
+// classStats counts the requests and attempts of each class.
 type classStats struct {
-	inFlight atomic.Int64 // requests that were parsed and have not ended
+	inFlight atomic.Int64 // requests that were read and have not ended
 
-	mu      sync.Mutex // guards classes, not the counts in them
+	mu      sync.Mutex // guards the map classes, but not the counters in it
 	classes map[string]*classCounts
 }
 
-// classCounts are the counts of one class. A nil classCounts, of a class beyond the bound, counts nothing.
+// classCounts are the counters of one class. A nil *classCounts counts nothing; it is used for classes beyond
+// maxClasses.
 type classCounts struct{ ok, rejected, errors, attempts atomic.Int64 }
 
-// of returns the counts of a class; nil where there are too many classes already.
-func (cs *classStats) of(class string) *classCounts {
+// forClass returns the counters of a class; nil if the class is new and maxClasses classes are counted already.
+func (cs *classStats) forClass(class string) *classCounts {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	if cs.classes == nil {
@@ -44,7 +45,7 @@
 	return c
 }
 
-// countAnswer counts the answer to a request.
+// countAnswer counts an answer by its status.
 func (c *classCounts) countAnswer(status int) {
 	if c == nil {
 		return
@@ -59,14 +60,14 @@
 	}
 }
 
-// countAttempts counts the times that an attempt was written completely.
+// countAttempts adds the number of times that an attempt was written completely.
 func (c *classCounts) countAttempts(writes int) {
 	if c != nil && writes > 0 {
 		c.attempts.Add(int64(writes))
 	}
 }
 
-// Stats returns the counts of each class, by name, and the number of requests in flight.
+// Stats returns the counters of each class, sorted by name, and the number of requests in flight.
 func (s *Server) Stats() (classes []ClassStats, inFlight int64) {
 	s.stats.mu.Lock()
 	for name, c := range s.stats.classes {
--- a/internal/dataplane/ingress/conn.go
+++ b/internal/dataplane/ingress/conn.go
@@ -13,30 +13,34 @@
 	"mulleinrouter/internal/dataplane/http1"
 )
 
-// crowdedFraction is the part of the places (1/n) below which the server is crowded: an answer is then the last on its
-// connection.
+// crowdedFraction sets when the server is crowded: when less than 1/crowdedFraction of maxConns is free. While it is,
+// connections are closed after their next answer. The answer says so, and the client connects elsewhere; closing an
+// idle connection instead might lose a request that the client sends at the same moment.
 const crowdedFraction = 8
 
-// pastDeadline is a deadline that has passed: it interrupts what is read or written.
+// pastDeadline is a deadline in the past. Setting it on a connection interrupts blocked reads or writes.
 var pastDeadline = time.Unix(1, 0)
 
-// conn is one client's connection. Beside the machine, its fields belong to the goroutine of run.
+// conn is the connection of one client. Its fields, except for machine, belong to the goroutine that executes run.
 type conn struct {
 	net.Conn
 	server      *Server
 	reader      *http1.Reader
-	out         []byte              // buffer of answers
-	http10      bool                // the current request is of HTTP/1.0
-	bodiless    bool                // the current request is a HEAD, whose answer has no body
-	readingBody bool                // the progress of a body is tracked; used by the goroutine that reads it
-	lingerFor   time.Duration       // to read on before the connection is closed, as the client still sends; 0: not
-	watch       chan *engine.Ticket // the current request, for watchClient; nil: nobody watches for a disconnection
-	watched     chan error          // the result of watchClient: the next request begins (nil), or the connection ended
+	out         []byte        // buffer for answers
+	http10      bool          // whether the current request is an HTTP/1.0 request
+	bodiless    bool          // whether the current request is a HEAD request, whose answer has no body
+	readingBody bool          // whether Read tracks the progress of a body; used by the goroutine that reads the body
+	lingerFor   time.Duration // how long to discard input before the connection is closed; 0: it is closed at once
+	// watch passes the ticket of the current request to watchClient, which reports to it that the client disconnected.
+	// A nil ticket means that only the next request is awaited.
+	watch       chan *engine.Ticket
+	watchResult chan error // results of watchClient: nil when the next request begins, or why the connection ended
 
 	machine clientconn.Machine // guarded by the server's mutex
 }
 
-// close closes the connection from this side, the server's mutex held. A pending request is still answered.
+// close starts closing the connection from this side. A pending request is still answered. The server's mutex must be
+// held.
 func (c *conn) close(code string) {
 	interrupt := c.machine.Close(code)
 	if interrupt.Reads {
@@ -47,7 +51,7 @@
 	}
 }
 
-// enter enters a state. It reports whether the connection stays open.
+// enter moves the connection's state machine to a state. It reports whether the connection stays open.
 func (c *conn) enter(state clientconn.State) (open bool) {
 	s := c.server
 	s.mu.Lock()
@@ -67,8 +71,9 @@
 	return open
 }
 
-// awaitsPending reports whether a connection that is to be closed as it becomes idle first waits for the result of
-// watchClient. It comes at once: the next request has begun, or no byte of it has arrived.
+// awaitsPending reports whether a connection that is to be closed when it becomes idle must first wait for the result
+// of watchClient, since a request that has begun to arrive is still served. The wait is short: if no byte of a request
+// has arrived, awaitsPending interrupts the read of watchClient.
 func (c *conn) awaitsPending() bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -81,14 +86,14 @@
 	return true
 }
 
-// closeCode returns the log code for which the connection is being closed from this side; "": it is not.
+// closeCode returns the log code for which the connection is being closed from this side; "" if it is not.
 func (c *conn) closeCode() string {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	return c.machine.CloseCode()
 }
 
-// closesAfterAnswer reports whether the next answer is the last on the connection.
+// closesAfterAnswer reports whether the connection closes after the next answer.
 func (c *conn) closesAfterAnswer() bool {
 	s := c.server
 	s.mu.Lock()
@@ -97,7 +102,8 @@
 	return c.machine.CloseAfterAnswer(crowded, s.lifecycle.KeepOpen())
 }
 
-// Read reads from the client, counts the bytes, and records the progress of a body.
+// Read reads from the client and counts the bytes. While a body is read, it also records the body's progress, by which
+// clients that send too slowly are detected.
 func (c *conn) Read(p []byte) (int, error) {
 	if !c.readingBody {
 		n, err := c.Conn.Read(p)
@@ -116,14 +122,14 @@
 	return n, err
 }
 
-// Write writes to the client, and counts the bytes.
+// Write writes to the client and counts the bytes.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.server.Traffic.Wrote(n)
 	return n, err
 }
 
-// run serves the connection until it ends, and logs its end.
+// run serves the connection until it ends, and logs why it ended.
 func (c *conn) run() {
 	requests, code, err := c.serveRequests()
 	if c.lingerFor > 0 {
@@ -132,20 +138,21 @@
 	c.Close()
 	close(c.watch) // ends watchClient
 	if closeCode := c.server.remove(c); closeCode != "" {
-		code, err = closeCode, nil // the error only follows from the close
+		code, err = closeCode, nil // the error is only a consequence of the close
 	}
 	if code == "" {
 		code = disconnectCode(err)
 	}
 	if errors.Is(err, io.EOF) {
-		err = nil // the client closed, as the code says
+		err = nil // the log code says already that the client closed the connection
 	}
 	level.Info(c.server.log).Log("msg", "client connection ended",
 		"code", code, "from", c.RemoteAddr(), "requests", requests, "error", err, // formatted only if they are written
 	)
 }
 
-// remove removes a connection that has ended, and returns the log code for which it was closed from this side.
+// remove removes a connection that has ended. It returns the log code for which the connection was closed from this
+// side; "" if it was not.
 func (s *Server) remove(c *conn) (closeCode string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,8 +161,9 @@
 	return c.machine.CloseCode()
 }
 
-// serveRequests serves one request after another. It returns how many were served, without one whose answer the
-// connection was closed after for a drain or for want of room, and why the connection ends: a log code, or an error.
+// serveRequests serves one request after another. It returns why the connection ends, as a log code or as an error, and
+// how many requests were served. That number omits the last request if the connection was closed after its answer
+// because of a drain or at the limit of connections.
 func (c *conn) serveRequests() (served int, code string, err error) {
 	if err := c.reader.Wait(); err != nil {
 		return 0, "", err
@@ -174,13 +182,13 @@
 		if !c.enter(clientconn.Idle) && !c.awaitsPending() {
 			return served, "", nil
 		}
-		if err := <-c.watched; err != nil {
+		if err := <-c.watchResult; err != nil {
 			return served + 1, "", err
 		}
 	}
 }
 
-// readRequest reads the next request, with its body as far as it is buffered.
+// readRequest reads the next request, with its body if that is short enough to be buffered.
 func (c *conn) readRequest() (*http1.Request, error) {
 	c.enter(clientconn.ReadingHead)
 	r, err := c.reader.Head()
@@ -194,27 +202,27 @@
 	return r, c.readBody(r)
 }
 
-// watchClient waits, while a request is pending, for the client to disconnect or to send the next request. It runs
-// until run closes the channel watch; closing the connection interrupts it.
+// watchClient waits, for each ticket from the channel watch, until the client disconnects or sends the next request. It
+// runs until run closes the channel. Closing the connection interrupts its read.
 func (c *conn) watchClient() {
 	for ticket := range c.watch {
 		err := c.reader.Wait()
 		if err != nil && ticket != nil {
 			ticket.ClientDisconnected()
 		}
-		c.watched <- err
+		c.watchResult <- err
 	}
 }
 
-// skipWatch has nobody watch for the client's disconnection while an answer is written. After a streamed body,
-// discardBody does so.
+// skipWatch makes watchClient await the next request, without a ticket to which a disconnection would be reported. For
+// a request with a streamed body discardBody does this, once the body has been read.
 func (c *conn) skipWatch(r *http1.Request) {
 	if r.Streamed == nil {
 		c.watch <- nil
 	}
 }
 
-// disconnectCode returns the log code of a connection that the client or the network ended.
+// disconnectCode returns the log code for a connection that the client or the network ended.
 func disconnectCode(err error) string {
 	var timeout net.Error
 	switch {
--- a/internal/dataplane/ingress/dialect.go
+++ b/internal/dataplane/ingress/dialect.go
@@ -7,27 +7,30 @@
 	"mulleinrouter/internal/decision"
 )
 
-// Dialect is the protocol spoken with clients. New sets that of the deployments in service, SetDialect another.
+// Dialect is the protocol spoken with clients. New sets the dialect of the deployments in service; SetDialect replaces
+// it.
 type Dialect struct {
 	// ReadyPath is the path of the readiness page.
 	ReadyPath string
-	// Parse translates a client's request. It decides nothing.
+	// Parse translates a client's request for the decision module and for the backends, or returns why the request is
+	// rejected. It makes no decision about quotas or backends.
 	Parse func(*http1.Request) (decision.Request, *upstream.Message, *RequestError)
-	// IngressFields are the header fields that are not forwarded to backends, ServerFields those that are not forwarded
-	// to clients.
+	// IngressFields are the header fields that are not forwarded to backends. ServerFields are those that are not
+	// forwarded to clients.
 	IngressFields, ServerFields map[string]bool
-	// OverQuotaStatus is the status of a rejection for exceeding a quota; 0: 503, as of any other.
+	// OverQuotaStatus is the HTTP status of a rejection for an exceeded quota; 0: 503, as for any other rejection.
 	OverQuotaStatus int
-	// ForwardFailures: a backend's own answer is forwarded where it failed and nothing else can be done.
+	// ForwardFailures makes the ingress forward a backend's own error answer when the request has failed and cannot be
+	// retried. Otherwise the client gets 502.
 	ForwardFailures bool
-	// Timeouts returns those of a client's connection; nil: clientconn's defaults. MaxBody returns the limit of a
-	// request's body in bytes; nil: http1's default. Both are called for each connection.
+	// Timeouts returns the timeouts of a client's connection; nil: the defaults of clientconn. MaxBody returns the
+	// limit in bytes of a request's body; nil: the default of http1. Both are called for each new connection.
 	Timeouts func() *clientconn.Timeouts
 	MaxBody  func() int64
 }
 
-// ingressFields are the fields that the ingress in service decides by, or writes itself: they are not forwarded, and no
-// trailer may hold them.
+// ingressFields are the fields on which the ingress in service bases its decisions, or which it writes itself. They are
+// not forwarded, and a trailer must not contain them.
 var ingressFields = map[string]bool{
 	keyID:      true,
 	keyClass:   true,
@@ -37,8 +40,8 @@
 	keyRetried: true,
 }
 
-// serverFields are the fields in which backends report to the ingress: clients do not get them.
+// serverFields are the fields in which backends report to the ingress. They are not forwarded to clients.
 var serverFields = map[string]bool{"X-Server-Load": true, "X-Not-Processed": true}
 
-// SetDialect sets the dialect. It is called before Serve.
+// SetDialect sets the dialect. It must be called before Serve.
 func (s *Server) SetDialect(d Dialect) { s.dialect = d }
--- a/internal/dataplane/ingress/errors.go
+++ b/internal/dataplane/ingress/errors.go
@@ -8,38 +8,39 @@
 	"mulleinrouter/internal/decision"
 )
 
-// errAnswerCut: a backend's streamed answer broke off after its head was forwarded. The client can tell by the end of
-// the connection.
+// errAnswerCut is returned when a backend's streamed answer ended early, after its head had been forwarded. The
+// connection to the client is then closed, by which the client recognises the truncated answer.
 var errAnswerCut = errors.New("answer of the backend broke off")
 
-// RequestError is why a request is answered without being submitted: it is not well-formed, names something unknown, or
-// the ingress does not know enough yet to decide on it.
+// RequestError says why a request is answered without being submitted: it is not well-formed, it names something
+// unknown, or the ingress does not have the data yet to decide on it.
 type RequestError struct {
-	Status     int              // of the answer
-	Code       string           // of the answer and of the log line
-	Text       string           // of the answer
-	Allow      string           // the method that is allowed, for status 405
-	RetryAfter decision.Seconds // 0: no advice
+	Status     int              // HTTP status of the answer
+	Code       string           // error code in the answer, and log code
+	Text       string           // explanation in the answer
+	Allow      string           // allowed method, for status 405; "": none is stated
+	RetryAfter decision.Seconds // value of Retry-After; 0: none is stated
 }
 
-// Error returns the code and the text, as they stand in the answer's body.
+// Error returns the code and the text in the form that the body of the answer has.
 func (re *RequestError) Error() string { return re.Code + ": " + re.Text }
 
-// errIDInUse: quote servers would take two requests of one ID for one. A retry has an ID of its own.
+// errIDInUse rejects a request whose ID is that of a pending request. Quote servers would treat two requests with the
+// same ID as one request. A retry must have a new ID.
 var errIDInUse = &RequestError{
 	Status: 409,
 	Code:   "request-id-in-use",
 	Text:   "X-Request-ID is that of a request in hand",
 }
 
-// errSlowRequest: the client did not send its request in time.
+// errSlowRequest rejects a request that the client did not send completely in time.
 var errSlowRequest = &RequestError{
 	Status: 408,
 	Code:   clientconn.CodeSlowRequest,
 	Text:   "the request did not come to its end",
 }
 
-// messageErrors are the answers to what is no request, by the error of reading it.
+// messageErrors are the answers to messages that could not be read as a request, by the error of reading them.
 var messageErrors = []struct {
 	cause  error
 	answer RequestError
@@ -64,7 +65,8 @@
 	}},
 }
 
-// messageError returns the answer to what is no request; nil: the connection itself failed.
+// messageError returns the answer to a message that could not be read because of err; nil if the connection itself
+// failed.
 func messageError(err error) *RequestError {
 	for i := range messageErrors {
 		if errors.Is(err, messageErrors[i].cause) {
--- a/internal/dataplane/ingress/eviction.go
+++ b/internal/dataplane/ingress/eviction.go
@@ -9,13 +9,15 @@
 )
 
 const (
+	// sweepInterval is the time between two searches for connections that exceed a timeout.
 	sweepInterval = 250 * time.Millisecond
-	// evictionRetry is when eviction is tried again: a new connection that has still sent nothing is evictable by then.
+	// evictionRetry is the time after which a failed eviction is tried again. By then, a new connection on which
+	// nothing has arrived yet has become evictable.
 	evictionRetry = 100 * time.Millisecond
 )
 
-// admit adds a connection. At the limit it first evicts another; where each has a pending request, it waits until one
-// is idle or ends.
+// admit adds a connection. At the limit of connections it first evicts another one. If all of them have a pending
+// request, it waits until one becomes idle or ends.
 func (s *Server) admit(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -23,7 +25,7 @@
 	retried := false
 	for evicted := false; len(s.conns) >= s.maxConns; s.changed.Wait() {
 		if evicted {
-			continue // one connection is evicted for each new one, not one more whenever another ends
+			continue // each new connection evicts one at most, even if the wait is woken more than once
 		}
 		if candidate := s.evictionCandidate(time.Now()); candidate != nil {
 			candidate.close(clientconn.CodeEvicted)
@@ -36,11 +38,13 @@
 	s.waiting--
 	s.conns[c] = struct{}{}
 	if !s.lifecycle.Accepts() {
-		c.close(clientconn.CodeDrain) // accepted as the handover ended: the client connects elsewhere
+		// The connection was accepted just as the process stopped accepting: the client connects to another ingress.
+		c.close(clientconn.CodeDrain)
 	}
 }
 
-// evictionCandidate returns the connection to close for want of room; nil: there is none. The mutex is held.
+// evictionCandidate returns the connection to close when the limit of connections is reached; nil if none may be
+// closed. The mutex must be held.
 func (s *Server) evictionCandidate(at time.Time) *conn {
 	now := s.seconds(at)
 	for {
@@ -53,11 +57,13 @@
 		if candidate == nil || candidate.machine.State() != clientconn.Idle || !candidate.requestPending() {
 			return candidate
 		}
-		candidate.machine.SetRequestPending() // under load it may take long until the request is read
+		// Under load it may take long until the request is read. The mark excludes the connection until then.
+		candidate.machine.SetRequestPending()
 	}
 }
 
-// requestPending reports whether bytes have arrived on the idle connection that nobody has read yet. The mutex is held.
+// requestPending reports whether bytes have arrived on the idle connection that have not been read yet. The mutex must
+// be held.
 func (c *conn) requestPending() (pending bool) {
 	if c.machine.RequestPending() {
 		return true
@@ -78,14 +84,14 @@
 	return pending
 }
 
-// startSweep starts sweep. The mutex orders it before Drain waits, or after.
+// startSweep starts sweep in a goroutine. It holds the mutex, so that the start does not race with the wait in Drain.
 func (s *Server) startSweep() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sweeping.Go(s.sweep)
 }
 
-// sweep closes connections that exceed a timeout, until the server's context ends.
+// sweep closes connections that exceed a timeout, each sweepInterval until the server's context ends.
 func (s *Server) sweep() {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -99,7 +105,7 @@
 	}
 }
 
-// sweepAt closes the connections that exceed a timeout at a time.
+// sweepAt closes the connections that exceed a timeout at the given time.
 func (s *Server) sweepAt(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,12 +117,12 @@
 		}
 	}
 	if s.waiting > 0 {
-		s.changed.Broadcast() // a connection that was new a moment ago may be evictable by now
+		s.changed.Broadcast() // a connection that was too new to be evicted may be evictable by now
 	}
 }
 
-// isServedBeforeClose reports whether a request has begun to arrive on the idle connection that is served before the
-// connection is closed. The mutex is held.
+// isServedBeforeClose reports whether the connection is idle, but a request has begun to arrive on it that is to be
+// served before the connection is closed. The mutex must be held.
 func (c *conn) isServedBeforeClose() bool {
 	return c.machine.State() == clientconn.Idle && c.machine.ServesPending() && c.requestPending()
 }
--- a/internal/dataplane/ingress/fixture_test.go
+++ b/internal/dataplane/ingress/fixture_test.go
@@ -11,7 +11,7 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// Classes and plans of the tests.
+// Classes and plans that the tests use.
 var (
 	readClass = decision.Class{
 		Name: "read", LatencyTarget: 20, Deadline: 30, Value: 1, Effect: decision.Idempotent,
@@ -20,8 +20,8 @@
 	plusPlan  = decision.Plan{Name: "plus", Rate: 1000, Burst: 1000, ValueWeight: 1}
 )
 
-// newTestServer returns a started server with one backend, whose address may be asked for at any time, and the pool
-// that it uses.
+// newTestServer returns a started server with one backend, and the pool that it uses. It calls backendAddr for each
+// attempt, possibly from several goroutines.
 func newTestServer(settings decision.Settings, backendAddr func() string, upstreamConns, clientConns int) (
 	*Server, *upstream.Pool,
 ) {
@@ -51,7 +51,7 @@
 	return listener
 }
 
-// dial connects to a listener, until the end of the test.
+// dial connects to a listener. The connection is closed at the end of the test.
 func dial(tb testing.TB, listener net.Listener) net.Conn {
 	tb.Helper()
 	nc, err := net.Dial("tcp4", listener.Addr().String())
@@ -62,7 +62,7 @@
 	return nc
 }
 
-// acceptEach serves each connection of a listener by a goroutine that ends with the connection.
+// acceptEach serves each connection of a listener in its own goroutine, and closes it when serve returns.
 func acceptEach(listener net.Listener, serve func(net.Conn)) {
 	for {
 		nc, err := listener.Accept()
--- a/internal/dataplane/ingress/lifecycle.go
+++ b/internal/dataplane/ingress/lifecycle.go
@@ -10,19 +10,20 @@
 	"mulleinrouter/internal/decision"
 )
 
-// Started makes the readiness page say yes: the process serves.
+// Started makes the readiness page answer 200, since the process serves.
 func (s *Server) Started() { s.transition(decision.Started) }
 
-// Shutdown makes the readiness page say no, for good: a SIGTERM was received. Idle connections are closed at once, the
-// others after their next answer.
+// Shutdown makes the readiness page answer 503 from now on. It is called when a SIGTERM is received. Idle connections
+// are closed at once, the others after their next answer.
 func (s *Server) Shutdown() { s.transition(decision.Terminate) }
 
-// LameDuck drains without stopping: the readiness page says no, idle connections are closed at once and the others
-// after their next answer; new connections are still served, each for one request. It reports whether it took effect.
+// LameDuck drains the process without stopping it. The readiness page answers 503. Idle connections are closed at once,
+// the others after their next answer. New connections are still served, but only for one request each. LameDuck reports
+// whether it took effect.
 func (s *Server) LameDuck() bool { return s.transition(decision.EnterLameDuck) }
 
-// Rejoin ends a drain that LameDuck began: the readiness page says yes again, and connections stay open. It reports
-// whether it took effect: not once the process stops.
+// Rejoin ends a drain that LameDuck began: the readiness page answers 200 again, and connections stay open after an
+// answer. It reports whether it took effect, which it does not once the process is stopping.
 func (s *Server) Rejoin() bool { return s.transition(decision.Rejoin) }
 
 // Phase returns the phase of the process.
@@ -32,7 +33,8 @@
 	return s.lifecycle.Phase()
 }
 
-// transition handles an event of the process's life cycle, and reports whether it took effect.
+// transition handles an event of the process's life cycle, closes the idle connections if they are not to stay open,
+// and reports whether the event took effect.
 func (s *Server) transition(event decision.LifecycleEvent) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,8 +55,8 @@
 	return effective
 }
 
-// Drain closes the idle connections and waits for the others to end. At the end of a timeout it cancels the attempts in
-// flight, so that each request still gets its answer, and waits for a grace period more.
+// Drain closes the idle connections and waits for the others to end. After the timeout it cancels the attempts in
+// flight, so that each request still gets an answer, and waits for the grace period.
 func (s *Server) Drain(timeout, grace time.Duration) {
 	s.transition(decision.Close)
 	if !s.awaitConns(timeout) {
@@ -67,7 +69,7 @@
 
 // awaitConns reports whether all connections have ended within a timeout.
 func (s *Server) awaitConns(timeout time.Duration) bool {
-	expired := false // guarded by the mutex
+	expired := false // guarded by s.mu
 	timer := time.AfterFunc(timeout, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -83,8 +85,8 @@
 	return len(s.conns) == 0
 }
 
-// answerReadiness answers the load balancer: 200 while the process serves, 503 before, as a lame duck and once it
-// stops.
+// answerReadiness answers a request for the readiness page, by which the load balancer finds the ingresses that serve:
+// 200 while the process serves, and 503 before it serves, as a lame duck and once it is stopping.
 func (c *conn) answerReadiness(r *http1.Request) (code string, err error) {
 	c.skipWatch(r)
 	status := 503
--- a/internal/dataplane/ingress/metering.go
+++ b/internal/dataplane/ingress/metering.go
@@ -10,24 +10,25 @@
 
 // Meter records forwarded requests for billing. Its methods return at once and are safe for concurrent use.
 type Meter interface {
-	// Sent records that the first attempt of a request is about to be sent. The number identifies it to Ended.
+	// Sent records that the first attempt of a request is about to be sent. It returns a number that identifies the
+	// request to Ended.
 	Sent(usage.Request) (seq uint64)
-	// Ended records what is known of its arrival at a backend once it has ended.
+	// Ended records that a request has ended, and whether it is known to have arrived at a backend.
 	Ended(seq uint64, a usage.Arrival)
 }
 
-// meteredRequest is what billing is to know of one request. Its zero value is one that has not been forwarded.
+// meteredRequest records one request for billing. Its zero value stands for a request that has not been forwarded.
 type meteredRequest struct {
-	meter   Meter // nil: nothing has been sent
-	seq     uint64
-	arrival usage.Arrival // of the attempt that got farthest
+	meter   Meter         // nil: no attempt has been sent
+	seq     uint64        // number of the request at the meter
+	arrival usage.Arrival // largest arrival of all attempts
 }
 
-// sent records a request before its first attempt is sent: should the process be killed, it is known to have been sent,
-// and not whether it arrived.
-func (m *meteredRequest) sent(meter Meter, r *decision.Request, t *engine.Ticket, overQuota bool) {
+// recordSent records a request before its first attempt is sent. If the process is killed afterwards, the records say
+// that the request was sent, and that it is unknown whether it arrived.
+func (m *meteredRequest) recordSent(meter Meter, r *decision.Request, t *engine.Ticket, overQuota bool) {
 	if m.meter != nil {
-		return // a retry
+		return // the attempt is a retry
 	}
 	m.meter = meter
 	m.seq = meter.Sent(usage.Request{
@@ -41,8 +42,8 @@
 	})
 }
 
-// ended records the end of the request, if it was forwarded.
-func (m *meteredRequest) ended() {
+// recordEnded records the end of the request, if it was forwarded.
+func (m *meteredRequest) recordEnded() {
 	if m.meter != nil {
 		m.meter.Ended(m.seq, m.arrival)
 	}
--- a/internal/dataplane/ingress/outcomes.go
+++ b/internal/dataplane/ingress/outcomes.go
@@ -7,18 +7,18 @@
 
 // The outcomes.
 const (
-	Answered           Outcome = iota // a backend's success, or its rejection of what the client asked for
-	ServerFailed                      // a backend's own failure was forwarded
-	Failed                            // it may have run, and there is no answer
-	OverQuota                         // it exceeded its tenant's quota, and has not run
-	NoServer                          // no backend took it in time, and it has not run
-	Invalid                           // it could not be served: unknown route or key, or not well-formed
-	ClientDisconnected                // nobody waits for the answer
+	Answered           Outcome = iota // answered with a backend's success, or its rejection of the client's request
+	ServerFailed                      // answered with a backend's own error answer; it may have been executed
+	Failed                            // answered with 502, since it failed and may have been executed
+	OverQuota                         // rejected for an exceeded quota, without being executed
+	NoServer                          // rejected because no backend accepted it in time; it was not executed
+	Invalid                           // rejected before it was submitted: unknown route or key, or not well-formed
+	ClientDisconnected                // not answered, because the client disconnected
 
 	outcomeCount
 )
 
-// outcomeNames are labels of metrics.
+// outcomeNames are the values of the metrics' label for the outcome.
 var outcomeNames = [outcomeCount]string{
 	"answered",
 	"server_failed",
@@ -31,21 +31,21 @@
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// totals counts requests by their outcome, and the times that attempts were written completely.
+// totals counts requests by their outcome, and attempts that were written completely.
 type totals struct {
 	outcomes [outcomeCount]atomic.Int64
 	attempts atomic.Int64
 }
 
-// Totals are counts since the process started, and current numbers.
+// Totals are the counters since the process started, and the current numbers of requests and connections.
 type Totals struct {
-	Outcomes [outcomeCount]int64 // by Outcome
-	Attempts int64               // written completely
-	InFlight int64               // requests now
-	Clients  int                 // connections now
+	Outcomes [outcomeCount]int64 // requests that have ended, by Outcome
+	Attempts int64               // attempts written completely
+	InFlight int64               // requests in flight now
+	Clients  int                 // open connections of clients now
 }
 
-// Totals returns the counts.
+// Totals returns the counters and the current numbers.
 func (s *Server) Totals() (t Totals) {
 	for o := range t.Outcomes {
 		t.Outcomes[o] = s.totals.outcomes[o].Load()
@@ -58,5 +58,5 @@
 	return t
 }
 
-// countOutcome counts a request that has ended.
+// countOutcome counts a request that has ended, by its outcome.
 func (s *Server) countOutcome(o Outcome) { s.totals.outcomes[o].Add(1) }
--- a/internal/dataplane/ingress/parse.go
+++ b/internal/dataplane/ingress/parse.go
@@ -13,15 +13,15 @@
 
 const (
 	pathPrefix                       = "/api/"
-	maxTimeout      decision.Seconds = 300 // no client of this service waits that long
-	defaultMaxUnits                  = 1e6 // of a request, where the settings name no limit
-	maxIDLength                      = 128 // bytes
+	maxTimeout      decision.Seconds = 300 // limit of X-Timeout, longer than any client of this service waits
+	defaultMaxUnits                  = 1e6 // limit of the units of one request if the settings state none
+	maxIDLength                      = 128 // limit of a request ID in bytes
 
-	// answerTransit is subtracted from the client's timeout: the answer still has to reach it.
+	// answerTransit is subtracted from the client's timeout, because the answer must reach the client within it.
 	answerTransit = 10 * time.Millisecond
 )
 
-// Header fields of the dialect in service, in textproto's canonical form: Get would allocate for any other.
+// Header fields of the dialect in service, in textproto's canonical form. For another form, Get would allocate memory.
 const (
 	keyID      = "X-Request-Id"
 	keyClass   = "X-Priority-Class"
@@ -31,12 +31,13 @@
 	keyRetried = "X-Retried"
 )
 
-// newRequestError returns the error of a request that is not well-formed or names something unknown.
+// newRequestError returns the error for a request that is not well-formed or names something unknown.
 func newRequestError(status int, code, text string) *RequestError {
 	return &RequestError{Status: status, Code: code, Text: text}
 }
 
-// parse translates a client's request in the dialect in service. The streamed body is added to the message by handle.
+// parse translates a client's request in the dialect in service. It does not add a streamed body to the message; handle
+// does that.
 func (s *Server) parse(r *http1.Request) (decision.Request, *upstream.Message, *RequestError) {
 	request, err := s.parseHead(r)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return request, message, nil
 }
 
-// parseHead parses the target and the fields that the ingress decides by.
+// parseHead parses the target and the fields on which the ingress bases its decisions.
 func (s *Server) parseHead(r *http1.Request) (request decision.Request, requestErr *RequestError) {
 	if request.Customer, requestErr = parseCustomer(r); requestErr != nil {
 		return request, requestErr
@@ -87,19 +88,20 @@
 	return request, nil
 }
 
-// parseCustomer parses the target, which ends in the customer, and checks that no field of the dialect is there twice.
+// parseCustomer parses the customer, which is the last element of the target's path: 16 hexadecimal digits with a value
+// below 1<<33. It also checks that the request has no field of the dialect twice.
 func parseCustomer(r *http1.Request) (customer string, requestErr *RequestError) {
 	path, _, _ := strings.Cut(r.Target, "?")
 	member, ok := strings.CutPrefix(path, pathPrefix)
-	if !ok || strings.Contains(member, "/") { // other programs would resolve a path with more elements in other ways
+	if !ok || strings.Contains(member, "/") { // programs differ in how they resolve a path with more elements
 		return "", newRequestError(404, "request-unknown-path", "no such path")
 	}
 	for _, key := range [...]string{keyID, keyClass, keyPlan, keyTimeout, keyTerms, keyRetried} {
-		if len(r.Header[key]) > 1 { // a program that uses the other value would decide otherwise
+		if len(r.Header[key]) > 1 { // another program might use the other value and decide differently
 			return "", newRequestError(400, "request-twice", key+" stands there twice")
 		}
 	}
-	customer = strings.ToLower(member) // one customer in two spellings would have two quotas
+	customer = strings.ToLower(member) // a customer with two spellings would get two quotas
 	n, err := strconv.ParseUint(customer, 16, 64)
 	if err != nil || len(customer) != 16 || n >= 1<<33 {
 		return "", newRequestError(404, "request-unknown-customer", "the path does not end in a customer")
@@ -107,7 +109,8 @@
 	return customer, nil
 }
 
-// checkMethod checks that the class is known, and that the request's method is the class's.
+// checkMethod checks that the class is known and that the request has the method of the class. HEAD is allowed where
+// GET is.
 func (s *Server) checkMethod(method, class string) *RequestError {
 	want, known := (*s.methods.Load())[class]
 	if !known {
@@ -121,10 +124,10 @@
 	return nil
 }
 
-// parseTerms parses terms such as 'units=2,spread=3,first=1'. Unknown terms are ignored. What the settings do not
-// allow is an error: it would use up the quota of the customer that it names.
+// parseTerms parses terms such as 'units=2,spread=3,first=1'. Unknown terms are ignored. Values that the settings do
+// not allow are an error, because the request would use up the quota of the customer that it names.
 func (s *Server) parseTerms(value string, r *decision.Request) (ok bool) {
-	// Whether the term was stated; twice is an error, for others might use the other value.
+	// Whether each term was stated. A term stated twice is an error, because another program might use the other value.
 	var units, spread, first bool
 	for value != "" {
 		var term string
@@ -160,13 +163,14 @@
 	return units && spread && first
 }
 
-// parseInt parses a number of up to 31 bits without a sign.
+// parseInt parses a decimal integer of up to 31 bits without a sign.
 func parseInt(s string) (int, bool) {
 	n, err := strconv.ParseUint(s, 10, 31)
 	return int(n), err == nil
 }
 
-// parseDecimal parses a plain decimal number: no sign, exponent, infinity or other form of ParseFloat.
+// parseDecimal parses a plain decimal number. It rejects signs, exponents, infinities and the other forms that
+// ParseFloat accepts.
 func parseDecimal(s string) (float64, bool) {
 	if s == "" || strings.Trim(s, "0123456789.") != "" {
 		return 0, false
--- a/internal/dataplane/ingress/pending_request.go
+++ b/internal/dataplane/ingress/pending_request.go
@@ -13,7 +13,8 @@
 	"mulleinrouter/internal/decision"
 )
 
-// serve answers one request. It returns the log code for which the connection ends with it; "": it stays open.
+// serve answers one request. It returns the log code for which the connection closes after it; "" if the connection
+// stays open.
 func (c *conn) serve(r *http1.Request) (code string, err error) {
 	s := c.server
 	if r.Target == s.dialect.ReadyPath {
@@ -32,34 +33,34 @@
 	return c.handle(r, &request, message)
 }
 
-// rejectRequest answers a request that is not submitted.
+// rejectRequest answers, logs and counts a request that is not submitted.
 func (c *conn) rejectRequest(r *http1.Request, e *RequestError) (code string, err error) {
 	s := c.server
 	level.Warn(s.log).Log("msg", "bad request", "code", e.Code, "status", e.Status)
 	if class := r.Header.Get(keyClass); class != "" {
-		s.stats.of(class).countAnswer(e.Status)
+		s.stats.forClass(class).countAnswer(e.Status)
 	}
 	s.countOutcome(Invalid)
 	c.skipWatch(r)
 	return c.afterAnswer(r, c.rejectWith(e, closesConnection(r)))
 }
 
-// pendingRequest is a submitted request on its way to an answer.
+// pendingRequest is a request that was submitted and has not been answered yet.
 type pendingRequest struct {
 	conn       *conn
 	request    *http1.Request
 	message    *upstream.Message
 	ticket     *engine.Ticket
-	upload     *upload      // nil: the body is not streamed
-	counts     *classCounts // looked up once for the request: the lock of the statistics is not taken for each event
+	upload     *upload      // streamed body; nil: the body is not streamed
+	counts     *classCounts // counters of the class, looked up once to avoid locking the statistics for each event
 	metered    meteredRequest
-	lastResult upstream.Result // of the last attempt, with the backend's own answer
+	lastResult upstream.Result // result of the last attempt, with the backend's own answer
 }
 
-// handle submits a request, and makes attempts as the engine decides until it is answered.
+// handle submits a request and makes the attempts that the engine decides on, until the request is answered.
 func (c *conn) handle(r *http1.Request, request *decision.Request, message *upstream.Message) (code string, err error) {
 	s := c.server
-	p := pendingRequest{conn: c, request: r, message: message, counts: s.stats.of(request.Class)}
+	p := pendingRequest{conn: c, request: r, message: message, counts: s.stats.forClass(request.Class)}
 	c.enter(clientconn.Deciding)
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
@@ -70,13 +71,13 @@
 		p.upload = &upload{conn: c, ticket: p.ticket, body: r.Streamed, expect: r.Expect}
 		message.Upload = p.upload
 	}
-	defer p.metered.ended()
+	defer p.metered.recordEnded()
 	for {
 		d := p.ticket.Next()
 		switch d.Kind {
 		case engine.Send:
 			if s.Meter != nil {
-				p.metered.sent(s.Meter, request, p.ticket, d.OverQuota)
+				p.metered.recordSent(s.Meter, request, p.ticket, d.OverQuota)
 			}
 			p.attempt(ctx, d)
 			if p.lastResult.Outcome == decision.Succeeded {
@@ -93,7 +94,7 @@
 	}
 }
 
-// attempt makes an attempt.
+// attempt makes one attempt, and counts and meters it.
 func (p *pendingRequest) attempt(ctx context.Context, d engine.Decision) {
 	s := p.conn.server
 	p.message.SlowAttempt = upstream.SlowAttempt{After: d.SlowAfter, ShouldAbandon: p.ticket.ShouldAbandon}
@@ -103,11 +104,11 @@
 	p.metered.arrival = max(p.metered.arrival, usage.ArrivalOf(p.lastResult.Outcome, p.lastResult.Answered))
 }
 
-// forward forwards the answer of the last attempt, which has succeeded.
+// forward forwards the answer of the last attempt, which succeeded.
 func (p *pendingRequest) forward() (code string, err error) {
 	r, result := p.request, &p.lastResult
 	if result.Stream != nil {
-		p.ticket.AttemptEnded(result.Outcome) // before the body is forwarded, which may take long
+		p.ticket.AttemptEnded(result.Outcome) // reported before the body is forwarded, which may take long
 		p.conn.server.countOutcome(Answered)
 		p.counts.countAnswer(result.Head.Status)
 		r.Close = r.Close || r.HTTP10 && result.Stream.Length < 0
@@ -120,15 +121,15 @@
 	return p.conn.afterAnswer(r, err)
 }
 
-// attemptFailed reports the end of the last attempt, which has not succeeded, to the engine.
+// attemptFailed reports to the engine that the last attempt ended without success.
 func (p *pendingRequest) attemptFailed() {
 	if p.uploadErr() != nil {
-		p.ticket.ClientDisconnected() // a client that does not send its body to the end waits for no answer
+		p.ticket.ClientDisconnected() // a client that does not send its complete body is not waiting for an answer
 	}
 	p.ticket.AttemptEnded(p.lastResult.Outcome)
 }
 
-// uploadErr returns why the client did not send a streamed body to its end; nil: it did, or may yet.
+// uploadErr returns why the client did not send the complete streamed body; nil if it did, or may still do so.
 func (p *pendingRequest) uploadErr() error {
 	if p.upload == nil {
 		return nil
@@ -136,7 +137,7 @@
 	return p.upload.err
 }
 
-// reject answers that a retry does no harm.
+// reject answers a request that was not executed: the client may retry it safely.
 func (p *pendingRequest) reject(d engine.Decision) (code string, err error) {
 	s := p.conn.server
 	status, outcome := 503, NoServer
@@ -152,8 +153,8 @@
 	return p.conn.afterAnswer(p.request, p.conn.answer(status, d.RetryAfter, nil, last))
 }
 
-// fail answers that the request was not served and may have run: with the backend's own answer, where the dialect
-// says so and there is one.
+// fail answers a request that failed and may have been executed. If the dialect has ForwardFailures and the backend
+// sent an error answer, that is forwarded; otherwise the answer is 502.
 func (p *pendingRequest) fail() (code string, err error) {
 	s := p.conn.server
 	last := closesConnection(p.request)
@@ -167,7 +168,7 @@
 	return p.conn.afterAnswer(p.request, p.conn.answer(502, 0, nil, last))
 }
 
-// endDisconnected ends a request whose client has disconnected, or did not send its body to the end.
+// endDisconnected ends a request whose client has disconnected or did not send the complete body.
 func (p *pendingRequest) endDisconnected() (code string, err error) {
 	p.conn.server.countOutcome(ClientDisconnected)
 	if err := p.uploadErr(); err != nil {
--- a/internal/dataplane/ingress/relay.go
+++ b/internal/dataplane/ingress/relay.go
@@ -11,9 +11,10 @@
 	"mulleinrouter/internal/dataplane/upstream"
 )
 
-// relay forwards a served answer's body from the backend to the client as it arrives, each piece written before the
-// next is read: only one piece is buffered. The head states the length where the backend's does, else the body is
-// chunked. A client whose answer is cut off (errAnswerCut) can tell.
+// relay forwards the body of a successful answer from the backend to the client as it arrives. Each read is written
+// before the next one, so that at most upstream.ChunkSize bytes are buffered. The head states the length if the
+// backend's head does; otherwise the body is chunked. If the backend's answer ends early, relay returns errAnswerCut
+// and the connection is closed, by which the client recognises the truncated answer.
 func (c *conn) relay(head *http1.Response, stream *upstream.Stream, last bool) error {
 	defer stream.Close()
 	chunked := stream.Length < 0 && !c.http10
@@ -48,19 +49,19 @@
 	}
 }
 
-// appendStreamedHead writes the head of a streamed answer into the connection's buffer.
+// appendStreamedHead returns the head of a streamed answer, which it writes into the connection's buffer.
 func (c *conn) appendStreamedHead(head *http1.Response, stream *upstream.Stream, last bool) []byte {
 	b := http1.AppendStatus(c.out[:0], head.Status)
-	if stream.Length >= 0 || !c.http10 { // else the body ends with the connection: HTTP/1.0 has no chunks
+	if stream.Length >= 0 || !c.http10 { // HTTP/1.0 has no chunks: there the end of the connection ends the body
 		b = http1.AppendFraming(b, stream.Length)
 	}
 	b = http1.AppendFields(b, head.Header, c.server.dialect.ServerFields)
 	return c.endHead(b, last)
 }
 
-// writePiece writes a piece of an answer, within the time that a slow client may take for it.
+// writeAnswer writes a part of a streamed answer. The client must accept it within upstream.MaxStall.
 func (c *conn) writeAnswer(b []byte) error {
-	c.enter(clientconn.Answering) // again for each piece: the timeout of the state begins anew
+	c.enter(clientconn.Answering) // entered again for each part, which restarts the timeout of the state
 	c.SetWriteDeadline(time.Now().Add(upstream.MaxStall))
 	_, err := c.Write(b)
 	return err
--- a/internal/dataplane/ingress/relay_test.go
+++ b/internal/dataplane/ingress/relay_test.go
@@ -17,11 +17,12 @@
 	"mulleinrouter/internal/emulator/exchange"
 )
 
-// pieceSize is how many bytes a longAnswers server writes at a time: no divisor of any buffer.
+// writeSize is how many bytes a longAnswers server writes at a time. It divides no buffer size, so that the writes do
+// not coincide with buffer boundaries.
 const writeSize = 7001
 
 // longAnswers returns a function that answers each request of a connection with a 200 whose body is
-// exchange.Body(0, size), written in small pieces, with a length or chunked.
+// exchange.Body(0, size). It writes the body in small parts, either with a Content-Length or chunked.
 func longAnswers(size int, chunked bool) func(net.Conn) {
 	return func(nc net.Conn) {
 		reader := bufio.NewReader(nc)
@@ -38,7 +39,7 @@
 	}
 }
 
-// writeLongAnswer writes one such answer. Errors show in Flush.
+// writeLongAnswer writes one answer of longAnswers. Write errors are returned by the next Flush of w.
 func writeLongAnswer(w *bufio.Writer, size int, chunked bool) {
 	if chunked {
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -60,7 +61,7 @@
 	}
 }
 
-// bodyChecker reports whether what is written to it is exchange.Body(0, n), and keeps none of it.
+// bodyChecker checks that the n bytes written to it are exchange.Body(0, n), without storing them.
 type bodyChecker struct {
 	bytes int
 	wrong bool
@@ -72,7 +73,7 @@
 	return len(p), nil
 }
 
-// heapInUse returns the size of the heap after a collection.
+// heapInUse returns the size of the heap in bytes after a garbage collection.
 func heapInUse() int64 {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -80,7 +81,7 @@
 	return int64(stats.HeapInuse)
 }
 
-// checkLongAnswer sends a request and reads its answer, which must be the backend's.
+// checkLongAnswer sends a request and checks that its answer is the backend's, on a connection that stays open.
 func checkLongAnswer(t *testing.T, client net.Conn, reader *bufio.Reader, id, size int, chunked bool) {
 	t.Helper()
 	fmt.Fprintf(client, "GET /api/0000000000000001 HTTP/1.1\r\nX-Request-ID: r%d\r\nX-Priority-Class: read\r\n"+
@@ -107,8 +108,8 @@
 	}
 }
 
-// Answers of 5 MB, with a length and chunked, reach the client unchanged, two on one connection, while the heap of the
-// process grows by far less.
+// Two answers of 5 MiB on one connection, with a Content-Length or chunked, must reach the client unchanged. The heap
+// may grow by a quarter of one answer at most, which fails if the server buffers complete answers.
 func TestLongAnswersAreForwardedUnchanged(t *testing.T) {
 	const size = 5 << 20
 	for _, chunked := range []bool{false, true} {
--- a/internal/dataplane/ingress/serve_bench_test.go
+++ b/internal/dataplane/ingress/serve_bench_test.go
@@ -9,7 +9,7 @@
 	"mulleinrouter/internal/decision"
 )
 
-// answerRequests answers each request of a connection, none of which has a body, with the same short 200.
+// answerRequests answers each request of a connection with the same short 200. The requests must not have bodies.
 func answerRequests(nc net.Conn) {
 	reader := bufio.NewReader(nc)
 	answer := []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -19,7 +19,7 @@
 			return
 		}
 		if len(line) > len("\r\n") {
-			continue // the head goes on
+			continue // the head continues
 		}
 		if _, err := nc.Write(answer); err != nil {
 			return
@@ -28,11 +28,11 @@
 }
 
 // BenchmarkServe sends requests one after another over one connection of a client, through engine and pool, to a
-// backend on loopback. Its allocations are those of the complete path of a request.
+// backend on loopback. The allocations that it reports are those of the complete path of a request.
 func BenchmarkServe(b *testing.B) {
 	backend := listen(b)
 	go acceptEach(backend, answerRequests)
-	backendAddr := backend.Addr().String() // once: its allocations are not the server's
+	backendAddr := backend.Addr().String() // formatted once, because its allocations are not the server's
 	server, _ := newTestServer(decision.Settings{
 		Gateways:    1,
 		MaxAttempts: 1,
--- a/internal/dataplane/ingress/server.go
+++ b/internal/dataplane/ingress/server.go
@@ -20,43 +20,44 @@
 	"mulleinrouter/internal/decision"
 )
 
-// acceptPause is the pause after a failed accept: it guards against a busy loop on an error that persists.
+// acceptPause is the pause after a failed accept. It prevents a busy loop if the error persists.
 const acceptPause = 10 * time.Millisecond
 
 // Server serves the clients of one ingress.
 type Server struct {
-	// Meter records each request that is forwarded; nil: use is not metered. It is set before Serve.
+	// Meter records each request that is forwarded; nil: requests are not metered. It must be set before Serve.
 	Meter Meter
-	// Traffic counts the bytes on clients' connections; nil: nothing is counted. It is set before Serve.
+	// Traffic counts the bytes on clients' connections; nil: nothing is counted. It must be set before Serve.
 	Traffic *traffic.Counter
-	// FleetStatus returns what the readiness page says of the fleet, in X-Fleet; nil: nothing. It is set before Serve.
+	// FleetStatus returns the value of the X-Fleet field of the readiness page; nil: the page has no such field. It
+	// must be set before Serve.
 	FleetStatus func() string
 
 	dialect   Dialect
 	engine    *engine.Engine
 	pool      *upstream.Pool
 	log       log.Logger
-	methods   atomic.Pointer[map[string]string] // by class
-	plans     atomic.Pointer[map[string]bool]
-	ingresses int             // of the fleet
-	maxUnits  float64         // of a request
-	maxConns  int             // at once
-	base      time.Time       // the times of the state machines are seconds since then
-	ctx       context.Context // of the attempts, and of sweep
+	methods   atomic.Pointer[map[string]string] // HTTP method of each class
+	plans     atomic.Pointer[map[string]bool]   // plans that clients may name
+	ingresses int                               // number of ingresses in the fleet
+	maxUnits  float64                           // limit of the units of one request
+	maxConns  int                               // limit of open connections
+	base      time.Time                         // time 0 of the state machines, whose times are in seconds
+	ctx       context.Context                   // context of the attempts and of sweep
 	cancel    context.CancelFunc
-	sweeping  sync.WaitGroup // sweep; Drain waits for it
+	sweeping  sync.WaitGroup // goroutine of sweep, for which Drain waits
 	stats     classStats
 	totals    totals
 
-	mu        sync.Mutex // guards what follows, and the machine of each connection
+	mu        sync.Mutex // guards the fields below, and the machine of each connection
 	conns     map[*conn]struct{}
-	ids       map[string]struct{} // of the pending requests
-	changed   sync.Cond           // a connection was removed, or became idle while one waits for a place
-	waiting   int                 // accepted connections that wait for a place
+	ids       map[string]struct{} // IDs of the pending requests
+	changed   sync.Cond           // signals that a connection was removed, or may have become evictable
+	waiting   int                 // accepted connections that wait in admit for the limit to allow them
 	lifecycle decision.Lifecycle  // readiness, and whether connections stay open after an answer
 }
 
-// New returns a server for what the settings name, with a limit of connections at once.
+// New returns a server for the classes, plans and limits in the settings. It has at most maxConns open connections.
 func New(
 	settings *decision.Settings, e *engine.Engine, p *upstream.Pool, maxConns int, logger log.Logger,
 ) *Server {
@@ -88,12 +89,12 @@
 	return s
 }
 
-// SetClasses sets the classes that clients may name from now on; the class determines the method. A pending request
-// keeps what it was parsed with.
+// SetClasses sets the classes that clients may name from now on. The class determines the method. A pending request
+// keeps the class that it was parsed with.
 func (s *Server) SetClasses(classes []decision.Class) {
 	methods := make(map[string]string, len(classes))
 	for _, c := range classes {
-		s.stats.of(c.Name)
+		s.stats.forClass(c.Name)
 		methods[c.Name] = "POST"
 		if c.Effect == decision.Idempotent {
 			methods[c.Name] = "GET"
@@ -120,7 +121,8 @@
 			return
 		}
 		if err != nil {
-			// Descriptors run short, or the network fails for a while: no reason to give up all clients.
+			// The process may be out of file descriptors, or the network may fail for a while. Serving continues,
+			// because other clients are not affected.
 			level.Warn(s.log).Log("msg", "connection not accepted", "code", "process-accept-failed", "error", err)
 			time.Sleep(acceptPause)
 			continue
@@ -132,14 +134,14 @@
 	}
 }
 
-// newConn returns a connection that was accepted.
+// newConn returns the conn for an accepted network connection.
 func (s *Server) newConn(nc net.Conn) *conn {
 	c := &conn{
-		Conn:    nc,
-		server:  s,
-		machine: clientconn.Accepted(s.seconds(time.Now())),
-		watch:   make(chan *engine.Ticket),
-		watched: make(chan error, 1),
+		Conn:        nc,
+		server:      s,
+		machine:     clientconn.Accepted(s.seconds(time.Now())),
+		watch:       make(chan *engine.Ticket),
+		watchResult: make(chan error, 1),
 	}
 	c.reader = http1.NewReader(c)
 	if s.dialect.Timeouts != nil {
@@ -151,10 +153,11 @@
 	return c
 }
 
-// seconds returns a moment in the time of the state machines.
+// seconds converts a time to the time of the state machines: seconds since s.base.
 func (s *Server) seconds(at time.Time) decision.Seconds { return at.Sub(s.base).Seconds() }
 
-// claimID claims an ID for a request, until releaseID. It reports whether no pending request has it.
+// claimID marks an ID as that of a pending request, until releaseID. It returns false if another pending request has
+// the ID.
 func (s *Server) claimID(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dataplane/ingress/server_test.go
+++ b/internal/dataplane/ingress/server_test.go
@@ -14,7 +14,7 @@
 	"mulleinrouter/internal/emulator/exchange"
 )
 
-// TestExchanges plays clients against a server with a limit of two connections.
+// TestExchanges plays the scripted clients and backends of testdata against a server with a limit of two connections.
 func TestExchanges(t *testing.T) {
 	exchange.Each(t, "testdata/*.txt", func(t *testing.T, script string) {
 		p := exchange.New(t, "server")
@@ -30,8 +30,8 @@
 		l := listen(t)
 		go s.Serve(l)
 		p.Target = l.Addr().String()
-		p.Hooks["metered"] = func(text string) string { // since the last time
-			if never := exchange.Until(func() bool { return meter.text() == text }); never != "" {
+		p.Hooks["metered"] = func(text string) string { // records since the last call
+			if failure := exchange.Until(func() bool { return meter.text() == text }); failure != "" {
 				return meter.text()
 			}
 			meter.clear()
@@ -43,18 +43,18 @@
 	})
 }
 
-// until returns a hook that waits until a condition holds, which is asked under the server's mutex.
-func until(s *Server, holds func() bool) func(string) string {
+// until returns a hook that waits until a condition is true. The condition is evaluated with the server's mutex held.
+func until(s *Server, condition func() bool) func(string) string {
 	return func(string) string {
 		return exchange.Until(func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			return holds()
+			return condition()
 		})
 	}
 }
 
-// addLifecycleHooks adds the events of the process's life cycle.
+// addLifecycleHooks adds hooks for the events of the process's life cycle.
 func addLifecycleHooks(p *exchange.Player, s *Server) {
 	p.Hooks["leave"] = func(string) string {
 		s.Shutdown()
@@ -78,14 +78,15 @@
 	}
 }
 
-// addConnectionHooks adds the sweep of timeouts, and questions for the connections' states.
+// addConnectionHooks adds hooks that sweep timeouts and that check the states of the connections.
 func addConnectionHooks(p *exchange.Player, s *Server) {
 	p.Hooks["sweep-later"] = func(later string) string {
 		d, _ := time.ParseDuration(later)
 		s.sweepAt(time.Now().Add(d))
 		return later
 	}
-	inState := func(state clientconn.State) func(string) string { // as many connections as the script says
+	// inState returns a hook that waits until as many connections as the script says are in a state.
+	inState := func(state clientconn.State) func(string) string {
 		return func(want string) string {
 			failure := until(s, func() bool {
 				n := 0
@@ -111,9 +112,9 @@
 	}
 }
 
-// recordingMeter writes down what it records, in the words of testdata.
+// recordingMeter is a Meter that stores its records in the notation of the scripts in testdata.
 type recordingMeter struct {
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	seq     uint64
 	records []string
 }
@@ -148,7 +149,8 @@
 	rm.records = nil
 }
 
-// A connection with unread bytes of a request is not evicted.
+// A connection on which bytes of a request have arrived must not be evicted, even if they have not been read yet: the
+// request would be lost.
 func TestEvictionSparesPendingRequests(t *testing.T) {
 	l := listen(t)
 	s := &Server{base: time.Now(), conns: map[*conn]struct{}{}}
@@ -166,7 +168,7 @@
 	}
 	silent, pending := accept(""), accept("G")
 	if exchange.Until(pending.requestPending) != "" {
-		t.Fatal("the byte does not arrive")
+		t.Fatal("the byte of the pending request did not arrive")
 	}
 	if got := s.evictionCandidate(time.Now()); got != silent {
 		t.Errorf("candidate %p, want the silent connection %p", got, silent)
