--- a/internal/dataplane/upstream/acquire.go
+++ b/internal/dataplane/upstream/acquire.go
@@ -14,14 +14,16 @@
 	"mulleinrouter/internal/decision"
 )
 
-// The time in which a server's reset arrives is estimated by the time to connect, within bounds.
+// The time within which a server's reset arrives is estimated as resetRoundTrips times the time to connect. The
+// estimate is at least minResetWait, because a busy server reacts later than its kernel accepts a connection. It is at
+// most maxResetWait, because it delays the request.
 const (
-	resetRoundTrips = 2 // times the time to connect
+	resetRoundTrips = 2 // multiple of the time to connect
 	minResetWait    = time.Millisecond
 	maxResetWait    = 10 * time.Millisecond
 )
 
-// acquire takes the idle connection to a backend that was used last, or opens one.
+// acquire returns the most recently used idle connection to a backend, or opens a new one if no idle one is usable.
 func (p *Pool) acquire(
 	ctx context.Context, backend string, deadline time.Time, reuse upstreamconn.Reuse,
 ) (*conn, error) {
@@ -43,8 +45,8 @@
 	}
 }
 
-// takeOrReserve takes an idle connection. Where there is none (nil), it reserves a new one, for which evicted is to be
-// closed, if it is not nil.
+// takeOrReserve takes an idle connection from the pool. If there is none, c is nil and a new connection is reserved,
+// which the caller must open. If evicted is not nil, the caller must close it to stay within the limit of connections.
 func (p *Pool) takeOrReserve(backend string) (c, evicted *conn, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,7 +60,7 @@
 	return nil, evicted, nil
 }
 
-// usable reports whether a request may be written to a connection that was idle. It closes one that is not.
+// usable reports whether a request may be written to a connection that was idle. If not, it closes the connection.
 func (p *Pool) usable(c *conn, addr string, reuse upstreamconn.Reuse) bool {
 	if code := c.stale(addr); code != "" {
 		if code != "upstream-moved" {
@@ -75,7 +77,7 @@
 	return true
 }
 
-// open opens a connection that was reserved.
+// open opens a connection that takeOrReserve reserved.
 func (p *Pool) open(ctx context.Context, backend, addr string, deadline time.Time) (*conn, error) {
 	begun := time.Now()
 	dialCtx, cancel := context.WithDeadline(ctx, deadline)
@@ -83,10 +85,11 @@
 	nc, err := p.dial(dialCtx, "tcp", addr)
 	cancel()
 	if err != nil {
-		p.forget()
+		p.countClosed()
 		code := "upstream-connect-failed"
 		if ctx.Err() != nil || time.Until(deadline) <= 0 {
-			// Reported as a refused connection, it would count against a server that is healthy.
+			// The attempt was cancelled or its deadline passed. Reporting a refused connection would count against a
+			// healthy server.
 			code, err = "upstream-not-needed", fmt.Errorf("%w: %w", errNotNeeded, err)
 		}
 		level.Info(p.log).Log("msg", "upstream connection ended", "code", code, "backend", backend, "error", err)
@@ -108,7 +111,7 @@
 	return c, nil
 }
 
-// acquireOutcome returns the outcome of an attempt for which no connection could be acquired.
+// acquireOutcome returns the outcome of an attempt for which no connection could be acquired because of err.
 func acquireOutcome(err error) decision.Outcome {
 	if errors.Is(err, errNotNeeded) || errors.Is(err, errPoolExhausted) {
 		return decision.NotSent
--- a/internal/dataplane/upstream/answer.go
+++ b/internal/dataplane/upstream/answer.go
@@ -5,11 +5,11 @@
 	"mulleinrouter/internal/dataplane/upstreamconn"
 )
 
-// answer is an answer as it was read.
+// answer is an answer that was read from a server.
 type answer struct {
 	upstreamconn.Answer
 	head *http1.Response
-	body []byte // nil where it is streamed
+	body []byte // nil if the body is streamed
 }
 
 // streams reports whether an answer's body is streamed to the client.
@@ -17,7 +17,8 @@
 	return head != nil && head.Large() && p.meaning(m, head) == Served
 }
 
-// read reads the answer to a request, with its body unless that is streamed. Foreign answers are skipped.
+// read reads the answer to a request, with its body unless that is streamed. It skips answers to other requests
+// (Foreign) as long as the connection's state machine allows it.
 func (p *Pool) read(c *conn, m *Message) (answer, error) {
 	for {
 		head, err := c.reader.Response(m.Method == "HEAD")
@@ -26,7 +27,7 @@
 		}
 		meaning := p.meaning(m, head)
 		a := answer{Answer: newAnswer(head, meaning), head: head}
-		if meaning == Served && head.Large() { // bytes behind the body are looked for once that has been read
+		if meaning == Served && head.Large() { // Stream.Close checks for trailing bytes once the body has been read
 			return a, nil
 		}
 		if a.body, err = c.reader.Body(head); err != nil {
@@ -43,7 +44,8 @@
 	}
 }
 
-// newAnswer returns what the state machine of the connection needs of an answer: see upstreamconn.Answer.
+// newAnswer translates an answer for the connection's state machine, which knows only the statuses of the dialect in
+// service: see upstreamconn.Answer.
 func newAnswer(head *http1.Response, meaning AnswerMeaning) upstreamconn.Answer {
 	a := upstreamconn.Answer{Status: head.Status, NotProcessed: meaning == NotExecuted, Close: head.Close}
 	switch meaning {
--- a/internal/dataplane/upstream/attempt.go
+++ b/internal/dataplane/upstream/attempt.go
@@ -16,13 +16,14 @@
 // attemptEnd is how a request ended on one connection.
 type attemptEnd struct {
 	verdict upstreamconn.Verdict
-	written bool            // the request was written completely
-	head    *http1.Response // of the answer; nil: there was none
-	body    []byte          // of the answer; nil also where it is streamed
-	err     error           // of the connection, for the log
+	written bool            // whether the request was written completely
+	head    *http1.Response // head of the answer; nil: there was no answer
+	body    []byte          // body of the answer; nil if it is streamed or there was no answer
+	err     error           // error of the connection, for the log
 }
 
-// Do makes one attempt. It ends at its deadline, and early when the context does.
+// Do makes one attempt to send a request to a backend. The attempt ends at the deadline at the latest, and early if the
+// context ends.
 func (p *Pool) Do(ctx context.Context, backend string, m *Message, deadline time.Time) Result {
 	if _, serving := p.lookup(backend); !serving || ctx.Err() != nil {
 		return Result{Outcome: decision.NotSent}
@@ -63,14 +64,14 @@
 	}
 }
 
-// attempt sends a request over a connection and reads the answer. What its end proves, and whether the connection may
-// be used again, the connection's state machine says.
+// attempt sends a request over a connection and reads the answer. The connection's state machine determines what the
+// end of the attempt proves, and whether the connection may be used again.
 func (p *Pool) attempt(ctx context.Context, c *conn, m *Message, deadline time.Time) attemptEnd {
 	if err := c.Begin(); err != nil {
 		return attemptEnd{verdict: c.FailedWriting(upstreamconn.ConnectionLost), err: err}
 	}
-	// Opening a connection takes a while, in which the list of backends may have changed, the client have disconnected
-	// or the deadline have passed.
+	// While the connection was being opened, the list of backends may have changed, the client may have disconnected,
+	// or the deadline may have passed.
 	addr, serving := p.lookup(c.backend)
 	left := time.Until(deadline)
 	if !upstreamconn.MayBegin(serving, addr == c.addr, ctx.Err() != nil, left.Seconds()) {
@@ -99,8 +100,8 @@
 	return end
 }
 
-// sendUpload sends a request with a streamed body. Not written: the attempt has ended as returned, perhaps with an
-// early answer.
+// sendUpload sends a request with a streamed body. If written is false, the attempt has ended with the returned end,
+// which may be an early answer.
 func (p *Pool) sendUpload(
 	ctx context.Context, c *conn, m *Message, head []byte, deadline time.Time,
 ) (end attemptEnd, written bool) {
@@ -120,9 +121,10 @@
 	return attemptEnd{verdict: c.FailedWriting(failure), err: err}, false
 }
 
-// sendBuffered sends a request that is complete in memory. Not written: the attempt has ended as returned.
+// sendBuffered sends a request that is complete in memory. If written is false, the attempt has ended with the returned
+// end.
 func (p *Pool) sendBuffered(ctx context.Context, c *conn, m *Message, request []byte) (end attemptEnd, written bool) {
-	complete, err := p.write(ctx, c, request, m.AtMostOnce || !m.safe())
+	complete, err := p.write(ctx, c, request, m.AtMostOnce || !m.hasSafeMethod())
 	if complete {
 		return attemptEnd{}, true
 	}
@@ -133,16 +135,17 @@
 	}
 	failure := upstreamconn.ConnectionLost
 	if ctx.Err() != nil || errors.Is(err, errDraining) {
-		failure = upstreamconn.Cancelled // nothing has run, and the server is not to blame
+		failure = upstreamconn.Cancelled // nothing was executed, and the server did not fail
 	} else {
 		p.recordLoss(c)
 	}
 	return attemptEnd{verdict: c.FailedWriting(failure), err: err}, false
 }
 
-// earlyAnswer reads an answer that began to arrive before the request was complete; cause is why the write ended. Not
-// ok: it is none to this request. While a part of the request is held back, bytes of an earlier answer may still arrive
-// on a connection that was used before: there only the request's ID tells that an answer is its own.
+// earlyAnswer reads an answer that began to arrive before the request was written completely. The argument cause is why
+// the write ended. If ok is false, what arrived is not an answer to this request. On a connection that was used before,
+// bytes of an earlier answer may arrive while a part of the request is held back. Such an answer is accepted only if it
+// has the request's ID.
 func (p *Pool) earlyAnswer(c *conn, m *Message, cause error) (end attemptEnd, ok bool) {
 	beforeRelease := errors.Is(cause, errEarlyAnswer)
 	if beforeRelease {
@@ -161,7 +164,7 @@
 	timer := m.SlowAttempt.start(c)
 	a, err := p.read(c, m)
 	timer.stop()
-	cancelled := !stop() // then the deadline may be changed at any time from now on
+	cancelled := !stop() // if true, the cancellation may change the deadline at any time from now on
 	if err != nil {
 		failure := failureAwaiting(ctx, err)
 		if failure == upstreamconn.ConnectionLost {
@@ -179,7 +182,7 @@
 	return attemptEnd{verdict: c.Answered(a.Answer, cancelled), head: a.head, body: a.body}
 }
 
-// failureAwaiting returns how a connection failed to which a request had been written completely.
+// failureAwaiting returns how a connection failed after a request had been written to it completely.
 func failureAwaiting(ctx context.Context, err error) upstreamconn.Failure {
 	switch {
 	case ctx.Err() != nil:
@@ -192,13 +195,13 @@
 	return upstreamconn.ConnectionLost
 }
 
-// isTimeout reports whether a deadline of the connection passed.
+// isTimeout reports whether an error means that a deadline of the connection passed.
 func isTimeout(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// isMalformed reports whether what the server sent is no answer in the protocol.
+// isMalformed reports whether an error means that the server sent something that is not a valid answer.
 func isMalformed(err error) bool {
 	for _, malformed := range [...]error{
 		errMalformedAnswer,
--- a/internal/dataplane/upstream/conn.go
+++ b/internal/dataplane/upstream/conn.go
@@ -11,10 +11,10 @@
 	"mulleinrouter/internal/decision"
 )
 
-// pastDeadline is a deadline that has passed: it interrupts what is read or written.
+// pastDeadline is a deadline in the past. Setting it on a connection interrupts blocked reads or writes.
 var pastDeadline = time.Unix(1, 0)
 
-// codeUnexpectedBytes is the log code of a connection on which the server sent something that no request awaited.
+// codeUnexpectedBytes is the log code for a connection on which the server sent bytes while no answer was awaited.
 const codeUnexpectedBytes = "upstream-bad-answer"
 
 // conn is one connection to a backend.
@@ -25,15 +25,15 @@
 	addr            string
 	reader          *http1.Reader
 	raw             syscall.RawConn
-	resetWait       time.Duration    // in which the server's reaction to a byte arrives, as a rule
-	holdTime        time.Duration    // for how long a part of the current request is held back
-	lastAnswer      decision.Seconds // when the server last answered
-	sawUnidentified bool             // an answer without an ID has arrived
-	unread          []byte           // what stale has taken from the connection: Read returns it first
+	resetWait       time.Duration    // estimate of the time within which a reset by the server arrives
+	holdTime        time.Duration    // time for which a part of the current request is held back
+	lastAnswer      decision.Seconds // time of the last answer, in seconds since Pool.base
+	sawUnidentified bool             // whether an answer without an ID has arrived
+	unread          []byte           // bytes that stale read from the connection; Read returns them first
 	traffic         *traffic.Counter
 }
 
-// Read reads from the server, and counts the bytes.
+// Read reads from the server and counts the bytes.
 func (c *conn) Read(b []byte) (n int, err error) {
 	if len(c.unread) > 0 {
 		n = copy(b, c.unread)
@@ -45,15 +45,16 @@
 	return n, err
 }
 
-// Write writes to the server, and counts the bytes.
+// Write writes to the server and counts the bytes.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.traffic.Wrote(n)
 	return n, err
 }
 
-// stale returns the log code for which an idle connection cannot be used; "": it can. A server that went down meanwhile
-// has closed it: a request written to it would be lost without having run, and without a proof of that.
+// stale returns the log code for which an idle connection cannot be used; "" if it can be used. A server that went down
+// in the meantime has closed the connection. A request written to such a connection would be lost without being
+// executed, and without proof that it was not.
 func (c *conn) stale(addr string) (code string) {
 	if c.addr != addr {
 		return "upstream-moved"
--- a/internal/dataplane/upstream/dialect.go
+++ b/internal/dataplane/upstream/dialect.go
@@ -6,33 +6,35 @@
 	"mulleinrouter/internal/dataplane/http1"
 )
 
-// Dialect is the protocol spoken with backends. Its zero value is that of the deployments in service.
+// Dialect is the protocol spoken with backends. Its zero value is the dialect of the deployments in service.
 type Dialect struct {
-	// AppendHead appends a request's line and the fields that concern the attempt. Nil: as in service.
+	// AppendHead appends the request line and the fields that concern the attempt. Nil: those of the deployments in
+	// service.
 	AppendHead func(b []byte, m *Message, backend string, left time.Duration) []byte
-	// Meaning returns what an answer means to the request that was written before it. Nil: as in service.
+	// Meaning returns what an answer means for the request that was written before it. Nil: the rules of the
+	// deployments in service.
 	Meaning func(m *Message, a *http1.Response) AnswerMeaning
-	// IDField is the field in which an answer returns the ID of its request, in textproto's canonical form; "": none
-	// does, as in service.
+	// IDField is the field in which an answer returns the ID of its request, in textproto's canonical form. "": answers
+	// have no such field, as in the deployments in service.
 	IDField string
-	// MinHoldIdle is for how long the last byte of a request that must run at most once is held back at least, on a
-	// connection that has been idle; 0: no longer than on any other.
+	// MinHoldIdle is the minimum time for which the last byte of a request is held back, if the request must run at
+	// most once and the connection has been idle. 0: no longer than on any other connection.
 	MinHoldIdle time.Duration
 }
 
-// AnswerMeaning is what an answer means.
+// AnswerMeaning is what an answer means for the request to which it arrived.
 type AnswerMeaning uint8
 
 // The meanings.
 const (
-	Served      AnswerMeaning = iota // it is the answer to the request, whatever its status
-	NotExecuted                      // it proves that the request has not run
-	Failed                           // the server failed, and the request may have run
-	Foreign                          // it answers another request; the awaited answer may follow
-	Broken                           // it is no answer in the protocol
+	Served      AnswerMeaning = iota // answer to the request, whatever its status
+	NotExecuted                      // proof that the request was not executed
+	Failed                           // failure of the server; the request may have been executed
+	Foreign                          // answer to another request; the awaited answer may follow
+	Broken                           // not a valid answer in the dialect
 )
 
-// meaning returns what an answer means in the pool's dialect.
+// meaning returns what an answer to a request means in the pool's dialect.
 func (p *Pool) meaning(m *Message, head *http1.Response) AnswerMeaning {
 	if p.Dialect.Meaning != nil {
 		return p.Dialect.Meaning(m, head)
--- a/internal/dataplane/upstream/doc.go
+++ b/internal/dataplane/upstream/doc.go
@@ -1,8 +1,9 @@
-// Package upstream sends attempts to backends and reports how each ended. Pool keeps the connections; it never sends a
-// request again by itself, except where an idle connection proves to be lost before the request was written completely.
+// Package upstream sends attempts to backends and reports how each of them ended. Pool keeps the connections. It does
+// not send a request a second time, with one exception: if an idle connection turns out to be lost before the request
+// was written completely, the request is sent over another connection.
 //
-// It imports http1, traffic and upstreamconn, whose state machine says what the end of an attempt proves, and
-// decision for the outcomes. A connection belongs to the goroutine that acquired it from the pool; the pool's mutex
-// guards the idle ones. Its tests are here: exchanges with scripted servers under testdata, and tests of the time
-// limits.
+// The package imports http1, traffic, upstreamconn and decision. The state machine of upstreamconn determines what the
+// end of an attempt proves; decision defines the outcomes. A connection belongs to the goroutine that acquired it from
+// the pool; the pool's mutex guards the idle connections. The tests of the package play the exchanges with scripted
+// servers under testdata, and test the time limits.
 package upstream
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	// maxIdleShare is the part of the servers' keep-alive for which a connection is kept idle: a request that is
-	// written to a connection as the server closes it is lost.
+	// maxIdleShare is the fraction of the servers' keep-alive time for which an idle connection is kept. A request that
+	// is written to a connection while the server closes it is lost, so the pool closes the connection well before.
 	maxIdleShare  = 0.6
-	sweepInterval = time.Second
+	sweepInterval = time.Second // time between two searches for expired idle connections
 )
 
-// Lookup returns a backend's address, and whether it may be sent new requests.
+// Lookup returns a backend's address, and whether new requests may be sent to the backend.
 type Lookup func(id string) (addr string, serving bool)
 
-// Limits bound the pool.
+// Limits are the limits of a pool.
 type Limits struct {
-	Connections    int // open at once, to all backends
-	ConnectTimeout time.Duration
-	Keepalive      time.Duration // after which the servers close idle connections
+	Connections    int           // limit of open connections to all backends together
+	ConnectTimeout time.Duration // limit of the time to open a connection
+	Keepalive      time.Duration // time after which the servers close idle connections
 }
 
-// Pool keeps the connections to all backends. It is safe for concurrent use.
+// Pool keeps the connections to all backends. Its methods are safe for concurrent use.
 type Pool struct {
-	// Dialect is set before the first attempt.
+	// Dialect must be set before the first attempt.
 	Dialect Dialect
-	// Traffic counts the bytes on the connections; nil: nothing is counted. It is set before the first attempt.
+	// Traffic counts the bytes on the connections; nil: nothing is counted. It must be set before the first attempt.
 	Traffic *traffic.Counter
 
 	lookup     Lookup
 	limits     Limits
 	log        log.Logger
 	dial       func(ctx context.Context, network, addr string) (net.Conn, error)
-	awaitReset func(*conn) // waits for conn.holdTime, until a reset by the server would have arrived
-	base       time.Time   // the times of the state machines are seconds since then
-	dials      atomic.Int64
+	awaitReset func(*conn)  // waits for conn.holdTime, within which a reset by the server should arrive
+	base       time.Time    // time 0 of the state machines, whose times are in seconds
+	dials      atomic.Int64 // dials since the process started
 
 	mu     sync.Mutex // guards idle and losses
 	idle   *upstreamconn.IdlePool[*conn]
@@ -75,10 +75,10 @@
 	return p.idle.Open()
 }
 
-// Dials returns how many connections were begun to be opened since the process started.
+// Dials returns how many dials were started since the process started, including those that failed.
 func (p *Pool) Dials() int64 { return p.dials.Load() }
 
-// put returns a connection to the pool.
+// put returns a connection to the pool, or closes it if its backend is no longer serving.
 func (p *Pool) put(c *conn) {
 	if _, serving := p.lookup(c.backend); !serving {
 		p.close(c, "upstream-not-needed", nil)
@@ -90,32 +90,33 @@
 	p.idle.Put(c.backend, c, p.now())
 }
 
-// forget counts a connection as closed.
-func (p *Pool) forget() {
+// countClosed counts an open or reserved connection as closed, which frees its place in the limit.
+func (p *Pool) countClosed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle.Closed()
 }
 
-// close closes a connection that is not in the pool.
+// close closes a connection that is not in the idle pool, and logs why.
 func (p *Pool) close(c *conn, code string, err error) {
 	c.Drop()
 	c.Close()
-	p.forget()
+	p.countClosed()
 	level.Info(p.log).Log("msg", "upstream connection ended",
 		"code", code, "backend", c.backend, "uses", c.Uses(), "error", err,
 	)
 }
 
-// recordLoss records that a connection ended while it was idle, or as a request was written to it.
+// recordLoss records that a connection ended while it was idle or while a request was written to it. For a while, the
+// last byte of each request to that backend is then held back.
 func (p *Pool) recordLoss(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.losses.Record(c.backend, p.now())
 }
 
-// Run closes idle connections before the servers do, and those to servers that are not serving, until the context ends;
-// then all idle ones.
+// Run closes idle connections before the servers close them, and idle connections to backends that are not serving.
+// When the context ends, it closes all idle connections and returns.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -130,7 +131,7 @@
 	}
 }
 
-// sweep closes the idle connections that have expired at a time.
+// sweep closes the idle connections that have expired at the given time, and drops old entries of the loss history.
 func (p *Pool) sweep(now time.Time) {
 	serving := func(backend string) bool {
 		_, serving := p.lookup(backend)
--- a/internal/dataplane/upstream/pool_test.go
+++ b/internal/dataplane/upstream/pool_test.go
@@ -18,7 +18,7 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// outcomeNames are the outcomes as the recorded exchanges of testdata name them.
+// outcomeNames are the names that the scripts in testdata use for the outcomes.
 var outcomeNames = map[decision.Outcome]string{
 	decision.Failed:            "Failed",
 	decision.Succeeded:         "Done",
@@ -30,7 +30,7 @@
 	decision.NotSent:           "Skipped",
 }
 
-// meaningWithID is the meaning of an answer in a dialect whose answers carry the ID of their request.
+// meaningWithID returns the meaning of an answer in a dialect whose answers have the ID of their request.
 func meaningWithID(m *Message, a *http1.Response) AnswerMeaning {
 	switch id := a.Header.Get("X-Request-Id"); {
 	case id != "" && id != m.ID:
@@ -43,7 +43,8 @@
 	return Failed
 }
 
-// TestOutcomes plays every row of the protocol's table of outcomes, and what keeps connections reusable.
+// TestOutcomes plays the scripts in testdata: every row of the protocol's table of outcomes, and the conditions under
+// which connections are used again.
 func TestOutcomes(t *testing.T) {
 	exchange.Each(t, "testdata/*.txt", func(t *testing.T, script string) {
 		p := exchange.New(t, "server", "other")
@@ -65,15 +66,15 @@
 			go func() { results <- pool.Do(ctx, "s-1", m, time.Now().Add(time.Minute)) }()
 			return body
 		}
-		p.Hooks["time-runs-out"] = func(string) string { // the deadline of the attempt on the oldest connection
+		p.Hooks["time-runs-out"] = func(string) string { // makes the deadline of the oldest connection's attempt pass
 			(<-dialed).SetReadDeadline(pastDeadline)
 			return ""
 		}
-		p.Hooks["ids"] = func(string) string { // answers carry the ID of their request
+		p.Hooks["ids"] = func(string) string { // sets a dialect whose answers have the ID of their request
 			pool.Dialect = Dialect{IDField: "X-Request-Id", Meaning: meaningWithID}
 			return ""
 		}
-		p.Hooks["hold"] = func(string) string { // the last byte, until the server has closed the connection
+		p.Hooks["hold"] = func(string) string { // holds back the last byte until the server has closed the connection
 			pool.awaitReset = func(c *conn) { exchange.Until(func() bool { return c.stale(addr) != "" }) }
 			return ""
 		}
@@ -81,7 +82,7 @@
 			pool.awaitReset = func(*conn) {}
 			return ""
 		}
-		p.Hooks["ended"] = func(string) string { // the close of the idle connection by the server has arrived
+		p.Hooks["ended"] = func(string) string { // waits until the server's close of the idle connection has arrived
 			return exchange.Until(func() bool {
 				pool.mu.Lock()
 				defer pool.mu.Unlock()
@@ -92,18 +93,18 @@
 		p.Hooks["outcome"] = func(string) string {
 			r := <-results
 			body := r.Body
-			if r.Stream != nil { // too long to be buffered, or of unknown length
+			if r.Stream != nil { // the body is too long to be buffered, or its length is unknown
 				body, _ = io.ReadAll(r.Stream)
 				r.Stream.Close()
 			}
 			return strings.TrimSpace(outcomeNames[r.Outcome] + " " + string(body))
 		}
 		var streamed Result
-		p.Hooks["streams"] = func(string) string { // the head of an answer has been read
+		p.Hooks["streams"] = func(string) string { // waits until the head of a streamed answer has been read
 			streamed = <-results
 			return outcomeNames[streamed.Outcome]
 		}
-		p.Hooks["rest"] = func(string) string { // of that answer
+		p.Hooks["rest"] = func(string) string { // reads the rest of that answer
 			body, err := io.ReadAll(streamed.Stream)
 			streamed.Stream.Close()
 			if err != nil {
@@ -137,7 +138,7 @@
 	})
 }
 
-// A server that drains while the connection is being opened gets nothing.
+// If a server begins to drain while a connection to it is being opened, nothing may be sent to it.
 func TestServerDrainsDuringDial(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -147,7 +148,7 @@
 	lookups := 0
 	pool := New(func(string) (string, bool) {
 		lookups++
-		return l.Addr().String(), lookups <= 2 // before the dial, for its address, and after it
+		return l.Addr().String(), lookups <= 2 // the first two lookups come before the dial, the third after it
 	}, Limits{Connections: 1, ConnectTimeout: time.Minute, Keepalive: time.Minute}, logtest.Discard())
 	request := &Message{Method: "GET", Target: "/", ID: "1"}
 	got := pool.Do(context.Background(), "s-1", request, time.Now().Add(time.Minute))
@@ -163,11 +164,12 @@
 	}
 }
 
-// A dial that ends because the client disconnected or the deadline passed says nothing about the server.
+// A dial that ends because the client disconnected or the deadline passed must not count as a refused connection: it
+// says nothing about the server.
 func TestCancelledDuringDial(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
-		left       time.Duration // until the deadline
+		left       time.Duration // time until the deadline
 		disconnect bool
 		want       decision.Outcome
 	}{
@@ -197,7 +199,8 @@
 	}
 }
 
-// Nor does a write that ends because the client disconnected. With small buffers the request does not fit in.
+// A write that ends because the client disconnected must not count as a refused connection either. The socket buffers
+// are too small for the request, so that the write blocks.
 func TestClientDisconnectsDuringWrite(t *testing.T) {
 	smallBuffer := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1) })
--- a/internal/dataplane/upstream/slow_attempt.go
+++ b/internal/dataplane/upstream/slow_attempt.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// slowAttemptInterval is how often SlowAttempt.ShouldAbandon is asked again.
+// slowAttemptInterval is the time between two calls of SlowAttempt.ShouldAbandon.
 const slowAttemptInterval = 50 * time.Millisecond
 
-// SlowAttempt is when an attempt counts as slow, and who decides whether to give it up then.
+// SlowAttempt says when an attempt counts as slow, and decides whether a slow attempt is abandoned.
 type SlowAttempt struct {
-	After         time.Duration // since the request was written completely; 0: never
-	ShouldAbandon func() bool   // asked then, and again each slowAttemptInterval until it is true
+	After         time.Duration // time since the request was written completely; 0: the attempt is never slow
+	ShouldAbandon func() bool   // called after that time, and each slowAttemptInterval until it returns true
 }
 
-// slowAttemptTimer watches one attempt.
+// slowAttemptTimer calls ShouldAbandon for one attempt.
 type slowAttemptTimer struct {
-	mu      sync.Mutex // guards what follows; held while ShouldAbandon is asked, so that stop waits for it
+	mu      sync.Mutex // guards the fields below; held during ShouldAbandon, so that stop waits for the call
 	timer   *time.Timer
 	stopped bool
 }
 
-// start begins to watch a connection: once the attempt is to be given up, its deadline has passed. Nil: nothing is
-// watched.
+// start starts the timer for an attempt on a connection. If the attempt is to be abandoned, the timer sets a deadline
+// in the past, which interrupts the connection's reads. The result is nil if the attempt is never slow.
 func (s *SlowAttempt) start(c *conn) *slowAttemptTimer {
 	if s.After <= 0 {
 		return nil
@@ -44,7 +44,7 @@
 	return t
 }
 
-// stop ends the watch: from now on it leaves the connection alone.
+// stop stops the timer. After it has returned, the timer does not change the connection's deadline.
 func (st *slowAttemptTimer) stop() {
 	if st == nil {
 		return
--- a/internal/dataplane/upstream/slow_attempt_test.go
+++ b/internal/dataplane/upstream/slow_attempt_test.go
@@ -12,18 +12,18 @@
 	"mulleinrouter/internal/decision"
 )
 
-// An attempt at a silent server is given up when ShouldAbandon says so, and not before; after the answer it is not
-// asked.
+// An attempt at a server that does not answer is abandoned when ShouldAbandon returns true, and not before. After the
+// answer, ShouldAbandon is not called any more and the timer leaves the connection's deadline unchanged.
 func TestSlowAttempt(t *testing.T) {
 	const deadline = 10 * time.Second
 	for _, tc := range []struct {
 		name     string
-		after    time.Duration // of the SlowAttempt
-		abandon  time.Duration // when ShouldAbandon says so; 0: never
-		answer   time.Duration // when the server answers; 0: never
-		want     time.Duration // when the read ends
-		timeout  bool          // it ends by a deadline
-		minAsked int           // how often ShouldAbandon is asked, or once more
+		after    time.Duration // SlowAttempt.After
+		abandon  time.Duration // time from which ShouldAbandon returns true; 0: never
+		answer   time.Duration // time at which the server answers; 0: never
+		want     time.Duration // time at which the read ends
+		timeout  bool          // whether the read ends by a deadline
+		minAsked int           // calls of ShouldAbandon; one more is allowed
 	}{
 		{"not watched", 0, time.Second, 3 * time.Second, 3 * time.Second, false, 0},
 		{"abandoned", time.Second, time.Millisecond, 0, time.Second, true, 1},
@@ -56,20 +56,20 @@
 					t.Errorf("read ends after %v with %v, want %v, by a deadline: %v", took, err, tc.want, tc.timeout)
 				}
 				if asked < tc.minAsked || asked > tc.minAsked+1 {
-					t.Errorf("asked %d times, want %d or once more", asked, tc.minAsked)
+					t.Errorf("ShouldAbandon called %d times, want %d or once more", asked, tc.minAsked)
 				}
 				c.SetDeadline(time.Time{})
 				time.AfterFunc(20*time.Second, func() { server.Write([]byte("y")) })
 				if _, err := c.Read(b[:]); err != nil || b[0] != 'y' {
-					t.Errorf("afterwards: read %q with %v, want y: the connection is not left alone", b[:], err)
+					t.Errorf("after stop: read %q with %v, want y: the timer changed the deadline", b[:], err)
 				}
 			})
 		})
 	}
 }
 
-// The last byte is held back for longer where a connection was idle and the request must run at most once, and only
-// in a dialect that says so.
+// If the dialect sets MinHoldIdle, the last byte is held back for at least that time if the connection was idle and the
+// request must run at most once. In all other cases it is held back for the time within which a reset is expected.
 func TestMinHoldIdle(t *testing.T) {
 	const resetWait, minHold = 2 * time.Millisecond, 30 * time.Millisecond
 	for _, tc := range []struct {
@@ -77,7 +77,7 @@
 		uses       int
 		idle       decision.Seconds
 		atMostOnce bool
-		minHold    time.Duration // of the dialect
+		minHold    time.Duration // Dialect.MinHoldIdle
 		want       time.Duration
 	}{
 		{"idle", 2, 0.2, true, minHold, minHold},
@@ -85,13 +85,13 @@
 		{"new", 1, 100, true, minHold, resetWait},
 		{"idempotent", 2, 0.2, false, minHold, resetWait},
 		{"dialect in service", 2, 0.2, true, 0, resetWait},
-		{"a server farther away than that", 2, 0.2, true, time.Millisecond, resetWait},
+		{"reset expected later than the minimum", 2, 0.2, true, time.Millisecond, resetWait},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := New(nil, Limits{}, nil)
 			p.Dialect.MinHoldIdle = tc.minHold
-			locked := time.Duration(-1)
-			p.awaitReset = func(c *conn) { locked = c.holdTime }
+			waited := time.Duration(-1)
+			p.awaitReset = func(c *conn) { waited = c.holdTime }
 			c := &conn{resetWait: resetWait, lastAnswer: p.now() - tc.idle}
 			for range tc.uses {
 				c.Begin()
@@ -99,8 +99,8 @@
 				c.Answered(upstreamconn.Answer{Status: 200}, false)
 			}
 			p.hold(c, tc.atMostOnce)
-			if locked != tc.want {
-				t.Errorf("held for %v, want %v", locked, tc.want)
+			if waited != tc.want {
+				t.Errorf("held for %v, want %v", waited, tc.want)
 			}
 		})
 	}
--- a/internal/dataplane/upstream/stream.go
+++ b/internal/dataplane/upstream/stream.go
@@ -10,15 +10,16 @@
 	"mulleinrouter/internal/dataplane/http1"
 )
 
-// MaxStall is for how long a streamed body may make no progress, in either direction. The deadline of the attempt holds
-// until its first bytes; after them, only a peer that stalls is disconnected.
+// MaxStall is how long a streamed body may make no progress, in either direction. The deadline of the attempt applies
+// until the first bytes of the body. After them, a long transfer may go on, and only a peer that stalls is
+// disconnected.
 const MaxStall = 10 * time.Second
 
-// ChunkSize is how many bytes of a streamed body are buffered at most, in either direction.
+// ChunkSize is the maximum number of bytes of a streamed body that are buffered, in either direction.
 const ChunkSize = 32 << 10
 
-// ChunkPool holds buffers for streamed bodies: ChunkSize bytes from http1.ChunkPrefix on, with space for the framing
-// of a chunk around them.
+// ChunkPool holds buffers for streamed bodies. Each has ChunkSize bytes that begin at http1.ChunkPrefix, with space for
+// the framing of a chunk before and after them.
 var ChunkPool = sync.Pool{New: func() any {
 	b := make([]byte, http1.ChunkPrefix+ChunkSize+http1.ChunkSuffix)
 	return &b
@@ -26,14 +27,15 @@
 
 // Stream is the body of a served answer, read from the backend's connection as it arrives.
 type Stream struct {
-	// Length is the body's length in bytes as the head states it; -1: it does not (chunked, or until the close).
+	// Length is the body's length in bytes as stated in the head. -1: it is not stated, since the body is chunked or
+	// ends with the connection.
 	Length int64
 
 	pool     *Pool
 	conn     *conn
 	body     *http1.Body
-	complete bool // read to its end
-	closed   bool
+	complete bool // whether the body was read to its end
+	closed   bool // whether Close was called
 }
 
 // newStream returns the body of an answer whose head has been read.
@@ -42,7 +44,7 @@
 	return &Stream{Length: body.Length, pool: p, conn: c, body: body}
 }
 
-// Read reads what has arrived of the body. With io.EOF, it is complete.
+// Read reads the bytes of the body that have arrived. It returns io.EOF when the body is complete.
 func (s *Stream) Read(p []byte) (int, error) {
 	s.conn.SetReadDeadline(time.Now().Add(MaxStall))
 	n, err := s.body.Read(p)
@@ -52,11 +54,11 @@
 	return n, err
 }
 
-// Trailer returns the fields after a chunked body that has been read to its end; nil: there are none.
+// Trailer returns the trailer fields of a chunked body that has been read to its end; nil if there are none.
 func (s *Stream) Trailer() textproto.MIMEHeader { return s.body.Trailer() }
 
-// Close returns the connection to the pool if the body was read to its end and nothing followed it, and else closes it.
-// It may be called more than once.
+// Close returns the connection to the pool if the body was read to its end and no bytes followed it. Otherwise it
+// closes the connection. It may be called more than once.
 func (s *Stream) Close() {
 	if s.closed {
 		return
--- a/internal/dataplane/upstream/upload.go
+++ b/internal/dataplane/upstream/upload.go
@@ -11,28 +11,31 @@
 	"mulleinrouter/internal/dataplane/upstreamconn"
 )
 
-// earlyAnswerWait is how long an answer may take to arrive after a write has failed: a server that rejects a body
-// answers, and closes the connection while the body is still being written.
+// earlyAnswerWait is how long an answer is awaited after a write has failed or an early answer has begun to arrive. A
+// server that rejects a body sends its answer and closes the connection while the body is still being written.
 const earlyAnswerWait = 100 * time.Millisecond
 
-// Upload is a request's body that is streamed from the client: it can be sent to one server only.
+// Upload is a request's body that is streamed from the client. It is not stored, so it can be sent to one server only.
 type Upload interface {
-	// Read reads what has arrived; with the last of it, or after it, io.EOF. It is called by one goroutine at a time.
+	// Read reads the bytes that have arrived. It returns io.EOF with the last bytes or after them. It is called by one
+	// goroutine at a time.
 	Read(p []byte) (int, error)
-	// Length is what the client's head states, in bytes; -1: nothing, it is sent chunked.
+	// Length returns the length in bytes as stated in the client's head; -1 if it is not stated, and the body is sent
+	// chunked.
 	Length() int64
-	// AppendTrailer appends the last chunk, with the client's trailer.
+	// AppendTrailer appends the last chunk and the client's trailer.
 	AppendTrailer(b []byte) []byte
-	// Consumed reports whether a part of it has been read: it cannot be sent to another server.
+	// Consumed reports whether a part of the body has been read. After that, it cannot be sent to another server.
 	Consumed() bool
-	// Uploaded reports that it has been written completely.
+	// Uploaded is called when the body has been written completely.
 	Uploaded()
-	// Abort interrupts a Read, and any later one. It may be called by another goroutine.
+	// Abort interrupts the current Read and makes later ones fail. It may be called by another goroutine.
 	Abort()
 }
 
-// upload writes a request with a streamed body, and listens meanwhile. It returns once the body has been written
-// completely (err nil) or the attempt has ended before that. Answered: an answer has begun to arrive.
+// upload writes a request with a streamed body, and reads from the server at the same time. It returns nil once the
+// body has been written completely, or an error if the attempt ended before that. The result answered reports whether
+// an answer has begun to arrive.
 func (p *Pool) upload(
 	ctx context.Context, c *conn, m *Message, head []byte, deadline time.Time,
 ) (answered bool, err error) {
@@ -44,8 +47,8 @@
 	if _, err := c.Write(head); err != nil {
 		return false, fmt.Errorf("%w: %w", errServerUpload, err)
 	}
-	// Nothing of the body has been read yet: a server that has forgotten the connection shows it now, and the request
-	// is sent over another.
+	// A server that has dropped the connection resets it now. Nothing of the body has been read yet, so the request can
+	// still be sent over another connection.
 	p.hold(c, m.AtMostOnce)
 	if err := p.mayRelease(ctx, c); err != nil {
 		if errors.Is(err, errDraining) {
@@ -55,9 +58,9 @@
 	}
 	uploaded := make(chan error, 1)
 	go func() { uploaded <- copyUpload(c, m.Upload) }()
-	readErr := c.reader.Wait() // for an answer, the end of the connection, or a deadline
+	readErr := c.reader.Wait() // returns at an answer, the end of the connection, or a deadline
 	select {
-	case err = <-uploaded: // as a rule, before the answer arrived
+	case err = <-uploaded: // the usual case: the upload ended before an answer arrived
 	default:
 		err = interruptUpload(c, m.Upload, uploaded, readErr)
 	}
@@ -67,7 +70,7 @@
 	return readErr == nil, err
 }
 
-// copyUpload copies a body to a server, and interrupts the wait for an answer if that fails.
+// copyUpload copies a body to a server. If that fails, it shortens or interrupts the wait for an answer.
 func copyUpload(c *conn, u Upload) error {
 	err := copyChunks(c, u)
 	switch {
@@ -80,8 +83,9 @@
 	return err
 }
 
-// interruptUpload ends an upload under which the server answered or closed the connection, and waits for its end. The
-// body may have been written completely at the same moment. Else, what the server did is the cause.
+// interruptUpload interrupts an upload during which the server answered or closed the connection, and waits until the
+// upload has ended. It returns nil if the body was written completely at the same moment. Otherwise, if the connection
+// ended, its error is returned as the cause.
 func interruptUpload(c *conn, u Upload, uploaded <-chan error, readErr error) error {
 	u.Abort()
 	c.SetWriteDeadline(pastDeadline)
@@ -92,14 +96,14 @@
 	return err
 }
 
-// copyChunks copies a body in pieces, each written before the next is read: what the server does not take, the client
-// cannot send.
+// copyChunks copies a body in parts. Each part is written before the next is read, so that the client can send no
+// faster than the server reads.
 func copyChunks(c *conn, u Upload) error {
 	buf := ChunkPool.Get().(*[]byte)
 	defer ChunkPool.Put(buf)
 	chunked := u.Length() < 0
 	for {
-		// The piece leaves space for a chunk's framing on both sides, so that one write sends it.
+		// The buffer has space for a chunk's framing before and after the part, so that a single write sends both.
 		n, err := u.Read((*buf)[http1.ChunkPrefix : http1.ChunkPrefix+ChunkSize])
 		last := err != nil
 		if last && !errors.Is(err, io.EOF) {
@@ -125,8 +129,8 @@
 	}
 }
 
-// failureUploading returns how an upload failed before its last byte was written: nothing has run. The server is to
-// blame only where it broke the connection.
+// failureUploading returns how an upload failed before its last byte was written, so that nothing was executed. The
+// failure counts against the server only if the server broke the connection.
 func failureUploading(ctx context.Context, err error) upstreamconn.Failure {
 	switch {
 	case ctx.Err() != nil, errors.Is(err, errClientUpload), errors.Is(err, errDraining):
--- a/internal/dataplane/upstream/write.go
+++ b/internal/dataplane/upstream/write.go
@@ -12,15 +12,17 @@
 	"mulleinrouter/internal/decision"
 )
 
-// minRest is the time since its last answer after which a server may have forgotten a connection.
-const minRest decision.Seconds = 0.05
+// minIdleTime is the time in seconds since a connection's last answer from which on it counts as idle, because the
+// server may have dropped it (see Dialect.MinHoldIdle).
+const minIdleTime decision.Seconds = 0.05
 
-// requestBuffers are buffers for requests as they are written.
+// requestBuffers holds buffers in which requests are assembled.
 var requestBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
 
-// write sends a request, in two parts where that may prove something, the last byte by itself. A server that has
-// forgotten an idle connection resets it at the first byte of a request, and what arrives before the request is
-// complete is no answer to it: while the last byte is held back, either proves that nothing has run.
+// write sends a request. Where holdsLastByte says so, it sends the last byte separately, after a pause. A server that
+// has dropped an idle connection resets it at the first byte of a request, and bytes that arrive before the request is
+// complete are not an answer to it. While the last byte is held back, each of the two proves that the request was not
+// executed.
 func (p *Pool) write(ctx context.Context, c *conn, request []byte, atMostOnce bool) (complete bool, err error) {
 	if !p.holdsLastByte(c, atMostOnce) {
 		n, err := c.Write(request)
@@ -40,7 +42,8 @@
 	return n == 1, err
 }
 
-// holdsLastByte reports whether the last byte of a request is to be held back.
+// holdsLastByte reports whether the last byte of a request is to be held back. That delays the request, so it is done
+// only where a lost connection is likely or the request must run at most once.
 func (p *Pool) holdsLastByte(c *conn, atMostOnce bool) bool {
 	now := p.now()
 	evidence := upstreamconn.Evidence{New: c.Uses() == 1, IdleFor: now - c.lastAnswer, AtMostOnce: atMostOnce}
@@ -49,22 +52,22 @@
 	return p.losses.HoldLastByte(c.backend, now, evidence)
 }
 
-// hold waits, while a part of a request is held back, until a reset by a server that has forgotten the connection
-// would have arrived. How long that takes is not known: the time to connect is that of the kernels, the reset that of
-// a server that may be busy.
+// hold waits, while a part of a request is held back, until a reset by a server that has dropped the connection should
+// have arrived. The time is only an estimate: the connect time, on which it is based, depends on the kernels alone, but
+// the reset depends on a server that may be busy.
 func (p *Pool) hold(c *conn, atMostOnce bool) {
 	c.holdTime = c.resetWait
-	if atMostOnce && c.Uses() > 1 && p.now()-c.lastAnswer > minRest {
+	if atMostOnce && c.Uses() > 1 && p.now()-c.lastAnswer > minIdleTime {
 		c.holdTime = max(c.holdTime, p.Dialect.MinHoldIdle)
 	}
 	p.awaitReset(c)
 }
 
-// mayRelease returns why what was held back of a request must not be written; nil: it may.
+// mayRelease returns why the part of a request that was held back must not be written; nil if it may be written.
 func (p *Pool) mayRelease(ctx context.Context, c *conn) error {
 	switch code := c.stale(c.addr); {
 	case code == codeUnexpectedBytes && ctx.Err() == nil && p.Dialect.IDField != "":
-		return errEarlyAnswer // its ID says whose it is
+		return errEarlyAnswer // the ID in the answer tells which request it answers
 	case code != "" || ctx.Err() != nil:
 		return fmt.Errorf("%w: %s", errConnectionEnded, code)
 	}
@@ -74,7 +77,7 @@
 	return nil
 }
 
-// appendRequest appends a request, without a streamed body, so that one write sends it completely.
+// appendRequest appends a request with its body, so that a single write sends it. A streamed body is not included.
 func (p *Pool) appendRequest(b []byte, m *Message, backend string, left time.Duration) []byte {
 	if appendHead := p.Dialect.AppendHead; appendHead != nil {
 		b = appendHead(b, m, backend, left)
@@ -89,7 +92,7 @@
 		return append(http1.AppendFraming(b, m.Upload.Length()), "\r\n"...)
 	case len(m.Trailer) > 0:
 		return appendChunked(b, m)
-	case len(m.Body) > 0 || !m.safe():
+	case len(m.Body) > 0 || !m.hasSafeMethod():
 		b = http1.AppendLength(b, len(m.Body))
 	}
 	b = append(b, "\r\n"...)
