--- a/internal/dataplane/http1/body.go
+++ b/internal/dataplane/http1/body.go
@@ -69,8 +69,8 @@
 	untilClose bool  // whether the body ends where the connection ends
 }
 
-// parseFraming returns the framing that a header states. It rejects a body longer than maxLength bytes, and any header
-// that two readers could interpret as two different lengths.
+// parseFraming returns the framing that a header states. It rejects a Content-Length over maxLength bytes, and any
+// header that two readers could interpret as two different lengths.
 func parseFraming(h textproto.MIMEHeader, maxLength int64) (f framing, err error) {
 	lengths, codings := h["Content-Length"], h["Transfer-Encoding"]
 	switch {
--- a/internal/dataplane/http1/reader_test.go
+++ b/internal/dataplane/http1/reader_test.go
@@ -66,7 +66,7 @@
 			}, nil,
 		},
 		{
-			"chunks of one",
+			"chunks of one byte",
 			postChunked(strings.Repeat("1\r\nx\r\n", 65536) + "0\r\n\r\n"),
 			&Request{
 				Method: "POST",
@@ -91,7 +91,7 @@
 			&Request{Method: "GET", Target: "/", Header: textproto.MIMEHeader{}, Close: true}, nil,
 		},
 		{
-			"1.0 kept",
+			"1.0 with keep-alive",
 			"GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n",
 			&Request{Method: "GET", Target: "/", Header: textproto.MIMEHeader{"Connection": {"keep-alive"}}}, nil,
 		},
@@ -101,7 +101,7 @@
 		{"ended in a chunk", postChunked("3\r\nab"), nil, io.ErrUnexpectedEOF},
 		{"ended before the last chunk", postChunked("2\r\nab\r\n"), nil, io.ErrUnexpectedEOF},
 		{"start line without target", "hello\r\n\r\n", nil, ErrStartLine},
-		{"line end inside", "GET /a\rb HTTP/1.1\r\n\r\n", nil, ErrStartLine},
+		{"line end inside the target", "GET /a\rb HTTP/1.1\r\n\r\n", nil, ErrStartLine},
 		{"empty lines", "\r\n\r\n\r\n\r\n", nil, ErrStartLine},
 		{"no colon", "GET / HTTP/1.1\r\nabc\r\n\r\n", nil, ErrHeader},
 		{"a control character in a value", "GET / HTTP/1.1\r\nA: b\x01c\r\n\r\n", nil, ErrHeader},
--- a/internal/dataplane/ingress/errors.go
+++ b/internal/dataplane/ingress/errors.go
@@ -13,7 +13,7 @@
 var errAnswerCut = errors.New("answer of the backend broke off")
 
 // RequestError says why a request is answered without being submitted: it is not well-formed, it names something
-// unknown, or the ingress does not have the data yet to decide on it.
+// unknown, or the ingress does not have the data yet that it needs to decide on it.
 type RequestError struct {
 	Status     int              // HTTP status of the answer
 	Code       string           // error code in the answer, and log code
--- a/internal/dataplane/ingress/outcomes.go
+++ b/internal/dataplane/ingress/outcomes.go
@@ -8,8 +8,8 @@
 // The outcomes.
 const (
 	Answered           Outcome = iota // answered with a backend's success, or its rejection of the client's request
-	ServerFailed                      // answered with a backend's own error answer; it may have been executed
-	Failed                            // answered with 502, since it failed and may have been executed
+	ServerFailed                      // failed and may have been executed; answered with a backend's own error answer
+	Failed                            // failed and may have been executed; answered with 502
 	OverQuota                         // rejected for an exceeded quota, without being executed
 	NoServer                          // rejected because no backend accepted it in time; it was not executed
 	Invalid                           // rejected before it was submitted: unknown route or key, or not well-formed
--- a/internal/dataplane/ingress/upload.go
+++ b/internal/dataplane/ingress/upload.go
@@ -96,7 +96,7 @@
 	}
 	n, err = u.body.Read(p)
 	if errors.Is(err, io.EOF) && http1.HasForbiddenTrailer(u.body.Trailer(), u.conn.server.dialect.IngressFields) {
-		// The error comes in time: the last chunk has not been forwarded, so that the backend gets no complete request.
+		// The last chunk has not been forwarded yet, so the backend does not get a complete request.
 		err = fmt.Errorf("%w: a trailer states what belongs in the head", http1.ErrFraming)
 	}
 	if err == nil {
--- a/internal/dataplane/upstream/attempt.go
+++ b/internal/dataplane/upstream/attempt.go
@@ -144,8 +144,8 @@
 
 // earlyAnswer reads an answer that began to arrive before the request was written completely. The argument cause is why
 // the write ended. If ok is false, what arrived is not an answer to this request. On a connection that was used before,
-// bytes of an earlier answer may arrive while a part of the request is held back. Such an answer is accepted only if it
-// has the request's ID.
+// bytes of an earlier answer may arrive while a part of the request is held back. There, an answer is accepted only if
+// it has the request's ID.
 func (p *Pool) earlyAnswer(c *conn, m *Message, cause error) (end attemptEnd, ok bool) {
 	beforeRelease := errors.Is(cause, errEarlyAnswer)
 	if beforeRelease {
--- a/internal/dataplane/upstream/dialect.go
+++ b/internal/dataplane/upstream/dialect.go
@@ -22,7 +22,7 @@
 	MinHoldIdle time.Duration
 }
 
-// AnswerMeaning is what an answer means for the request to which it arrived.
+// AnswerMeaning is what an answer means for the request that awaits it.
 type AnswerMeaning uint8
 
 // The meanings.
--- a/internal/dataplane/upstream/slow_attempt.go
+++ b/internal/dataplane/upstream/slow_attempt.go
@@ -8,7 +8,7 @@
 // slowAttemptInterval is the time between two calls of SlowAttempt.ShouldAbandon.
 const slowAttemptInterval = 50 * time.Millisecond
 
-// SlowAttempt says when an attempt counts as slow, and decides whether a slow attempt is abandoned.
+// SlowAttempt defines when an attempt counts as slow, and whether a slow attempt is abandoned.
 type SlowAttempt struct {
 	After         time.Duration // time since the request was written completely; 0: the attempt is never slow
 	ShouldAbandon func() bool   // called after that time, and each slowAttemptInterval until it returns true
