--- a/internal/dataplane/attempt/dispatcher.go
+++ b/internal/dataplane/attempt/dispatcher.go
@@ -8,20 +8,21 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Dispatcher owns the decision module's gateway and the pending requests. H is the type of the requests' host. It is
-// not safe for concurrent use.
+// Dispatcher owns the decision module's gateway and the pending requests. H is the type of the value by which the host
+// identifies a request. Dispatcher is not safe for concurrent use.
 type Dispatcher[H any] struct {
 	gateway             *decision.Gateway
 	maxAttempts         int
 	finishNonIdempotent bool            // at-most-once attempts are not cancelled when their client disconnects
-	atMostOnce          map[string]bool // by class: must run at most once
-	noClientRetry       map[string]bool // by class: a client's retry may run again
+	atMostOnce          map[string]bool // by class name: a request must be executed at most once
+	noClientRetry       map[string]bool // by class name: a client's retry may be executed as well
 	pending             map[uint64]*Request[H]
 	lastID              uint64
-	effects             []Effect // of the event that is being handled
+	effects             []Effect // effects of the event being handled
 }
 
-// NewDispatcher returns a dispatcher around a gateway that nobody else uses. The settings are the gateway's.
+// NewDispatcher returns a dispatcher that owns the gateway; no other code may use the gateway. The settings are those
+// that the gateway was created with.
 func NewDispatcher[H any](gateway *decision.Gateway, settings *decision.Settings) *Dispatcher[H] {
 	d := &Dispatcher[H]{
 		gateway:             gateway,
@@ -32,7 +33,7 @@
 	return d
 }
 
-// setClasses records which classes may run more than once, and the number of attempts.
+// setClasses records which classes may be executed more than once, and the maximum number of attempts.
 func (d *Dispatcher[H]) setClasses(classes []decision.Class, maxAttempts int) {
 	d.maxAttempts = max(1, maxAttempts)
 	d.atMostOnce = map[string]bool{}
@@ -43,7 +44,8 @@
 	}
 }
 
-// clientRetryMayRunAgain reports whether a client's retry of a request of this class may run again.
+// clientRetryMayRunAgain reports whether a client's retry of a request of this class may be executed in addition to the
+// original. A key prevents this only if all backends recognize the repeats of a request (decision.ScopeAll).
 func clientRetryMayRunAgain(c *decision.Class) bool {
 	switch c.Effect {
 	case decision.NonIdempotent:
@@ -54,8 +56,8 @@
 	return false
 }
 
-// Reconfigure sets the classes and the number of attempts for requests that are submitted from now on, here and in the
-// gateway. Pending requests keep those that they were submitted with.
+// Reconfigure sets the classes and the maximum number of attempts, here and in the gateway, for requests that are
+// submitted from now on. Pending requests keep the values that they were submitted with.
 func (d *Dispatcher[H]) Reconfigure(classes []decision.Class, maxAttempts int) {
 	d.setClasses(classes, maxAttempts)
 	d.gateway.Reconfigure(classes, maxAttempts)
@@ -64,7 +66,7 @@
 // Pending returns the number of pending requests.
 func (d *Dispatcher[H]) Pending() int { return len(d.pending) }
 
-// Submit takes a request and gives it its ID.
+// Submit assigns an ID to a request, adds it to the pending requests and passes it to the decision module.
 func (d *Dispatcher[H]) Submit(now decision.Seconds, r decision.Request, host H) (*Request[H], []Effect) {
 	d.lastID++
 	r.ID = d.lastID
@@ -79,8 +81,8 @@
 	return q, d.Handle(now, r)
 }
 
-// machineOf returns the machine of a request as its class has it: the class that the request itself carries, else the
-// configured one of its class's name.
+// machineOf returns the initial state machine of a request. Its rules are those of the class terms that the request
+// carries, or else of the configured class with that name.
 func (d *Dispatcher[H]) machineOf(r *decision.Request) Machine {
 	if c := r.ClassTerms; c != nil {
 		return Machine{
@@ -96,14 +98,14 @@
 	}
 }
 
-// AttemptEnded reports how the attempt in flight has ended. After decision.Succeeded no decision follows: the answer is
-// the client's.
+// AttemptEnded reports the outcome of the attempt in flight. No decision follows decision.Succeeded, because the host
+// forwards the answer to the client.
 func (d *Dispatcher[H]) AttemptEnded(now decision.Seconds, q *Request[H], outcome decision.Outcome) []Effect {
 	d.effects = nil
 	abandoned := q.phase() == Abandoned
 	finished, err := q.machine.AttemptEnded(outcome)
 	if err != nil {
-		d.effects = append(d.effects, IllegalStep[H]{q, err})
+		d.effects = append(d.effects, IllegalTransition[H]{q, err})
 		return d.effects
 	}
 	if finished && !mutants.On("attempt/ended-stays") {
@@ -124,11 +126,12 @@
 	return d.effects
 }
 
-// ConsumeBody records that a part of a request's body has been read that cannot be read again.
+// ConsumeBody records that part of a request's body has been read and cannot be read again.
 func (d *Dispatcher[H]) ConsumeBody(q *Request[H]) { q.machine.ConsumeBody() }
 
-// ShouldAbandon reports whether the attempt in flight, which is slow, is to be given up for another; the phase
-// Abandoned has nothing to do with it. One that could not be made again is not.
+// ShouldAbandon reports whether the host should cancel the attempt in flight because it is slow, so that another
+// attempt can be made. An attempt that could not be repeated is never cancelled for this reason. This is unrelated to
+// the phase Abandoned, in which the client has disconnected.
 func (d *Dispatcher[H]) ShouldAbandon(now decision.Seconds, q *Request[H]) bool {
 	if q.phase() != InFlight || q.machine.AtMostOnce || q.machine.bodyConsumed {
 		return false
@@ -136,15 +139,15 @@
 	return d.gateway.ShouldAbandon(now, q.id) || mutants.On("attempt/impatient-always")
 }
 
-// BodyUploaded reports that a request's streamed body has been written completely: the server's time counts from now
-// on.
+// BodyUploaded reports that a request's streamed body has been written completely. The duration of the attempt is
+// measured from now on, because the upload depends on the client and not on the server.
 func (d *Dispatcher[H]) BodyUploaded(now decision.Seconds, q *Request[H]) {
 	q.sentAt = now
 	d.gateway.BodyUploaded(now, q.id)
 }
 
-// ClientDisconnected reports that the client no longer waits for an answer. The end of an attempt in flight is still
-// to be reported.
+// ClientDisconnected reports that the client no longer waits for an answer. The host must still report the end of an
+// attempt in flight.
 func (d *Dispatcher[H]) ClientDisconnected(now decision.Seconds, q *Request[H]) []Effect {
 	d.effects = nil
 	if q.phase() != Waiting && q.phase() != InFlight {
@@ -174,7 +177,7 @@
 	actions := d.gateway.Handle(now, event)
 	switch event.(type) {
 	case decision.Timer, decision.CounterReply:
-		d.gateway.ReapplyGrants(now) // a counter cycle may have begun, which has replaced the grants
+		d.gateway.ReapplyGrants(now) // the event may have begun a counter cycle, which replaces the grants
 	}
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -194,14 +197,15 @@
 	}
 }
 
-// send carries out the decision to make an attempt. One that must not be made ends the request as failed.
+// send carries out the decision to start an attempt. If the state machine forbids the attempt while the request waits
+// for a decision, the request fails instead.
 func (d *Dispatcher[H]) send(now decision.Seconds, a decision.Send) {
 	q := d.pending[a.ID]
 	if q == nil {
 		return
 	}
 	if err := q.machine.Send(); err != nil {
-		d.effects = append(d.effects, IllegalStep[H]{q, err})
+		d.effects = append(d.effects, IllegalTransition[H]{q, err})
 		if q.phase() == Waiting {
 			d.finish(q, q.machine.Fail(), Decision{Kind: Fail})
 		}
@@ -249,8 +253,8 @@
 	d.finish(q, q.machine.Fail(), final)
 }
 
-// cancel carries out the decision to cancel an attempt, if it is the one in flight. An attempt that must run at most
-// once is finished for a client that has disconnected, where the settings say so.
+// cancel carries out the decision to cancel an attempt, if it is the one in flight. If the settings say so, an attempt
+// that must be executed at most once is not cancelled when its client disconnects.
 func (d *Dispatcher[H]) cancel(a decision.Cancel) {
 	q := d.pending[a.ID]
 	if q == nil || !q.machine.MayHaveExecuted() || a.Attempt != q.lastAttempt() {
@@ -264,11 +268,11 @@
 	}
 }
 
-// finish delivers the final decision on a request, err being what its machine says to it. An unsafe rejection becomes a
-// failure.
+// finish delivers the final decision on a request. err is the result of the state machine's transition. If it is not
+// nil, because a rejection is unsafe for example, a request that waits for a decision fails instead.
 func (d *Dispatcher[H]) finish(q *Request[H], err error, final Decision) {
 	if err != nil {
-		d.effects = append(d.effects, IllegalStep[H]{q, fmt.Errorf("%v: %w", final.Kind, err)})
+		d.effects = append(d.effects, IllegalTransition[H]{q, fmt.Errorf("%v: %w", final.Kind, err)})
 		if q.phase() != Waiting {
 			return
 		}
--- a/internal/dataplane/attempt/errors.go
+++ b/internal/dataplane/attempt/errors.go
@@ -2,18 +2,19 @@
 
 import "errors"
 
-// Errors of transitions that a request's machine does not have. Each is a mistake of the decision module or of the
-// host: the Dispatcher reports it as an IllegalStep and takes a safe step in its place.
+// Errors of illegal transitions of a request's state machine. Each one is a bug of the decision module or of the host.
+// The Dispatcher reports it as an IllegalTransition and makes a safe transition instead.
 var (
-	// ErrPhase is a transition that the request's phase does not have.
+	// ErrPhase means that the transition is not allowed in the request's phase.
 	ErrPhase = errors.New("not in this phase")
-	// ErrTooManyAttempts is an attempt beyond Machine.MaxAttempts.
+	// ErrTooManyAttempts means that an attempt would exceed Machine.MaxAttempts.
 	ErrTooManyAttempts = errors.New("attempt limit reached")
-	// ErrMayHaveExecuted is a retry of a request that may have run and must run at most once.
+	// ErrMayHaveExecuted means that a retry is unsafe: the request may have been executed, and must be executed at most
+	// once.
 	ErrMayHaveExecuted = errors.New("may have run and must run at most once")
-	// ErrBodyConsumed is a retry of a request whose body cannot be read again.
+	// ErrBodyConsumed means that a retry is impossible because the request's body cannot be read again.
 	ErrBodyConsumed = errors.New("body already consumed")
-	// ErrUnsafeReject is a rejection, which invites the client to retry, of a request that may have run and must run at
-	// most once.
+	// ErrUnsafeReject means that a rejection, which invites the client to retry, is unsafe: the request may have been
+	// executed, and must be executed at most once.
 	ErrUnsafeReject = errors.New("rejected, but may have run and must run at most once")
 )
--- a/internal/dataplane/attempt/machine.go
+++ b/internal/dataplane/attempt/machine.go
@@ -12,9 +12,9 @@
 
 // The phases.
 const (
-	Waiting   Phase = iota // the decision module has it; no attempt is in flight
-	InFlight               // an attempt is in flight, or has been decided on
-	Abandoned              // the client has abandoned it, and an attempt is still in flight
+	Waiting   Phase = iota // the request waits for a decision; no attempt is in flight
+	InFlight               // an attempt is in flight, or is about to start
+	Abandoned              // the client has disconnected, and an attempt is still in flight
 	Finished               // the final decision has been made
 )
 
@@ -22,37 +22,40 @@
 
 func (p Phase) String() string { return phaseNames[p] }
 
-// Machine is the state machine of one request. Its zero value is an idempotent request of one attempt at most.
+// Machine is the state machine of one request. The zero value represents an idempotent request that is attempted at
+// most once.
 type Machine struct {
-	AtMostOnce    bool // once it may have run, it is not attempted again
-	NoClientRetry bool // a retry by its client might run too: once it may have run, it is not rejected
-	MaxAttempts   int  // 0: one
+	AtMostOnce bool // no further attempt after one that may have been executed
+	// NoClientRetry: the client's retry might be executed too, so the request is not rejected after an attempt that may
+	// have been executed.
+	NoClientRetry bool
+	MaxAttempts   int // 0 means 1
 
 	phase           Phase
 	attempts        int
-	mayHaveExecuted bool // an attempt that has ended may have run, or may yet
-	bodyConsumed    bool // a part of its body has been read that cannot be read again
+	mayHaveExecuted bool // an attempt that has ended may have been executed, or may still be
+	bodyConsumed    bool // part of the body has been read and cannot be read again
 }
 
 // Phase returns the phase.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// Attempts returns the number of attempts that have been decided on.
+// Attempts returns the number of attempts that the decision module has decided to send.
 func (m *Machine) Attempts() int { return m.attempts }
 
-// MayHaveExecuted reports whether a server may have executed an attempt, or may yet, as far as is known.
+// MayHaveExecuted reports whether a server may have executed an attempt, or may still execute one.
 func (m *Machine) MayHaveExecuted() bool {
 	return m.mayHaveExecuted || m.phase == InFlight || m.phase == Abandoned
 }
 
-// ConsumeBody records that a part of the body has been read that cannot be read again: the attempt in flight is the
-// last.
+// ConsumeBody records that part of the body has been read and cannot be read again, so that the attempt in flight is
+// the last one.
 func (m *Machine) ConsumeBody() { m.bodyConsumed = true }
 
-// BodyConsumed reports whether the request cannot be sent again for want of its body.
+// BodyConsumed reports whether the request cannot be sent again because part of its body is no longer available.
 func (m *Machine) BodyConsumed() bool { return m.bodyConsumed }
 
-// Send is the decision to make an attempt.
+// Send records the decision to start an attempt.
 func (m *Machine) Send() error {
 	switch {
 	case m.phase != Waiting:
@@ -69,8 +72,8 @@
 	return nil
 }
 
-// AttemptEnded ends the attempt in flight. Finished reports whether the request ends with it: it succeeded, or its
-// client has disconnected.
+// AttemptEnded records the end of the attempt in flight. finished reports whether the request ends with it, because the
+// attempt succeeded or the client has disconnected.
 func (m *Machine) AttemptEnded(outcome decision.Outcome) (finished bool, err error) {
 	if m.phase != InFlight && m.phase != Abandoned {
 		return false, fmt.Errorf("attempt ended while %v: %w", m.phase, ErrPhase)
@@ -84,7 +87,7 @@
 	return false, nil
 }
 
-// Reject is the decision to answer that a retry by the client does no harm.
+// Reject records the decision to answer that the client may retry safely.
 func (m *Machine) Reject() error {
 	if m.phase != Waiting {
 		return fmt.Errorf("reject while %v: %w", m.phase, ErrPhase)
@@ -96,7 +99,7 @@
 	return nil
 }
 
-// Fail is the decision to answer that the request was not served and may have run.
+// Fail records the decision to answer that the request was not served and may have been executed.
 func (m *Machine) Fail() error {
 	if m.phase != Waiting {
 		return fmt.Errorf("fail while %v: %w", m.phase, ErrPhase)
@@ -105,8 +108,8 @@
 	return nil
 }
 
-// ClientDisconnected records that the client no longer waits for an answer. Finished reports whether the request ends
-// with it: no attempt was in flight. It may be called in any phase, and more than once.
+// ClientDisconnected records that the client no longer waits for an answer. finished reports whether the request ends
+// with it, because no attempt was in flight. It may be called in any phase, and more than once.
 func (m *Machine) ClientDisconnected() (finished bool) {
 	switch m.phase {
 	case Waiting:
--- a/internal/dataplane/attempt/request.go
+++ b/internal/dataplane/attempt/request.go
@@ -2,19 +2,20 @@
 
 import "mulleinrouter/internal/decision"
 
-// Request is a request that was submitted to a Dispatcher. H is the type of its host: what waits for its decisions.
+// Request is a request that was submitted to a Dispatcher. H is the type of the host's value that receives the
+// request's decisions.
 type Request[H any] struct {
-	Host H // set by Dispatcher.Submit, which does not look at it; of package engine, its Ticket
+	Host H // passed to Dispatcher.Submit, which does not use it; package engine stores its Ticket here
 
 	id       uint64
 	machine  Machine
-	deadline decision.Seconds // of the client
-	sentAt   decision.Seconds // when the last attempt was decided on, or its streamed body had been uploaded
-	backend  string           // of the last attempt
-	streamed bool             // its body is forwarded as it arrives
+	deadline decision.Seconds // deadline of the client
+	sentAt   decision.Seconds // time of the last decision to send, or of the end of a streamed body's upload
+	backend  string           // backend of the last attempt
+	streamed bool             // the body is forwarded as it arrives
 }
 
-// ID returns the number under which the decision module knows the request.
+// ID returns the ID of the request in the decision module's events and actions.
 func (r *Request[H]) ID() uint64 { return r.id }
 
 // Machine returns a copy of the request's machine.
@@ -23,5 +24,5 @@
 // phase returns the phase of the request's machine.
 func (r *Request[H]) phase() Phase { return r.machine.phase }
 
-// lastAttempt returns the number of the last attempt that was decided on, from 0.
+// lastAttempt returns the number, from 0, of the last attempt that the decision module has decided to send.
 func (r *Request[H]) lastAttempt() int { return r.machine.attempts - 1 }
--- a/internal/dataplane/doc.go
+++ b/internal/dataplane/doc.go
@@ -1,11 +1,12 @@
-// Package dataplane groups what the proxy of the system and the ingress in service share:
+// Package dataplane groups the packages that forward requests. The proxy (internal/proxy) and the standalone ingress
+// (internal/standalone) share them:
 //
-//   - http1 reads and writes HTTP/1.1 messages, traffic counts their bytes;
+//   - http1 reads and writes HTTP/1.1 messages; traffic counts the bytes on the wire;
 //   - ingress serves clients; clientconn holds the state machine of a client's connection;
-//   - engine runs the decision module, attempt holds the state machine of a request;
+//   - engine runs the decision module; attempt holds the state machine of a request;
 //   - upstream sends attempts to backends; upstreamconn holds the state machine of a connection to a backend;
-//   - backoff spaces retries, usage records what is billed.
+//   - backoff spaces calls to a shared service after failures; usage defines what is billed.
 //
-// These packages import one another, decision and mutants, and nothing else of this module. Their tests are beside
-// them; the model checker (internal/emulator/modelcheck) drives the state machines.
+// Within this module, these packages import only one another, decision and mutants. Each package contains its tests.
+// The model checker (internal/emulator/modelcheck) explores the state machines.
 package dataplane
--- a/internal/dataplane/engine/catalogue.go
+++ b/internal/dataplane/engine/catalogue.go
@@ -7,24 +7,24 @@
 	"mulleinrouter/internal/decision"
 )
 
-// maxCatalogueWait bounds the timer for a change of terms, in seconds: the source of the clock may be corrected
-// meanwhile.
+// maxCatalogueWait bounds the timer for a change of terms, in seconds, because the clock's source may be corrected
+// while the timer runs.
 const maxCatalogueWait decision.Seconds = 60
 
-// Catalogue holds the terms of customers where plans change while the ingress is in service (plans.State does). The
-// engine asks it under its mutex, so that no request is decided by terms that a change has already replaced.
+// Catalogue provides the terms of customers if plans can change while the ingress runs; plans.State implements it. The
+// engine calls it under its mutex, so that no request is decided by terms that a change has already replaced.
 type Catalogue interface {
-	// Terms returns the terms of a member whose client names a plan; nil: those of the settings.
+	// Terms returns the terms of a member whose client names a plan; nil: the terms of the settings apply.
 	Terms(member, plan string, now decision.Seconds) *decision.Terms
 	// Due returns the terms that have changed since the last call and that the decision module needs.
 	Due(now decision.Seconds) []decision.Terms
-	// Next returns when terms will change again, as far as is known; 0: never.
+	// Next returns the time of the next known change of terms; 0: no change is known.
 	Next(now decision.Seconds) decision.Seconds
 	// InForce returns the number of the revision in force; 0: none.
 	InForce(now decision.Seconds) uint64
 }
 
-// SetCatalogue calls a function that returns the catalogue in use from now on, and applies the terms that have changed.
+// SetCatalogue calls change, uses the catalogue that it returns from now on, and applies the terms that have changed.
 // No request is decided meanwhile.
 func (e *Engine) SetCatalogue(change func(now decision.Seconds) Catalogue) {
 	e.mu.Lock()
@@ -34,7 +34,7 @@
 	e.carryOut(external)
 }
 
-// refreshCatalogue applies the terms that have changed: the catalogue's timer has fired.
+// refreshCatalogue applies the terms that have changed when the catalogue's timer fires.
 func (e *Engine) refreshCatalogue() {
 	e.mu.Lock()
 	external := e.applyCatalogue()
@@ -42,8 +42,8 @@
 	e.carryOut(external)
 }
 
-// applyCatalogue passes changed terms on to the decision module, and sets the timer for the next change. The mutex is
-// held; the effects are to be carried out without it.
+// applyCatalogue passes changed terms to the decision module and sets the timer for the next change. The caller holds
+// the mutex, and carries out the returned effects after releasing it.
 func (e *Engine) applyCatalogue() (external []attempt.Effect) {
 	if e.catalogue == nil {
 		return nil
--- a/internal/dataplane/engine/clock.go
+++ b/internal/dataplane/engine/clock.go
@@ -6,11 +6,11 @@
 	"mulleinrouter/internal/decision"
 )
 
-// Clock is the decision module's time: Unix seconds as the machine had them at the start, carried on by the monotonic
-// clock. Gateways that share a counter name its cycles by this time, so it must begin alike everywhere; a step of the
-// wall clock must not move it.
+// Clock is the decision module's clock. It starts with the machine's Unix time, in seconds, and advances with the
+// monotonic clock, so that a step of the wall clock does not move it. Gateways that share a
+// counter name the counter's cycles by this time, so their clocks must agree when they start.
 type Clock struct {
-	base     time.Time
+	base     time.Time               // start of the clock
 	baseUnix float64                 // base in Unix seconds
 	source   func() decision.Seconds // nil: the monotonic clock since base
 }
@@ -21,11 +21,11 @@
 	return &Clock{base: now, baseUnix: float64(now.UnixNano()) / 1e9}
 }
 
-// NewClockOf returns a clock that follows a source: the time of the nodes that keep the counters, where the machine's
-// time of day is not to be trusted. The source must never go back.
-func NewClockOf(source func() decision.Seconds) *Clock { return &Clock{source: source} }
+// NewClockFrom returns a clock that follows a source. It is for deployments in which the machine's time of day is not
+// reliable: there, the source is the time of the nodes that keep the counters. The source must never go backwards.
+func NewClockFrom(source func() decision.Seconds) *Clock { return &Clock{source: source} }
 
-// Time returns the time of day of a moment in the decision module's time.
+// Time converts a time of the decision module to a time of day.
 func (c *Clock) Time(at decision.Seconds) time.Time {
 	if c.source != nil {
 		return time.Now().Add(duration(at - c.source()))
@@ -41,5 +41,5 @@
 	return c.baseUnix + time.Since(c.base).Seconds()
 }
 
-// duration converts the decision module's seconds.
+// duration converts seconds of the decision module to a time.Duration.
 func duration(s decision.Seconds) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/dataplane/engine/counter.go
+++ b/internal/dataplane/engine/counter.go
@@ -5,15 +5,15 @@
 	"mulleinrouter/internal/decision"
 )
 
-// Counter carries out the decision module's calls of the shared counter. Add must not block; its result goes to
-// Engine.CounterReplied, once.
+// Counter calls the shared counter service for the decision module. Add must not block. The result of each call is
+// reported to Engine.CounterReplied exactly once.
 type Counter interface {
-	// Add adds an amount to the counter of this name, which is kept for so many seconds.
+	// Add adds an amount to the counter with this name. The counter is kept for the given time, in seconds.
 	Add(name string, amount float64, keep decision.Seconds)
 }
 
-// PairCounter is a Counter of pairs (decision.Settings.PairCounters): it gets the call with all its fields, and its
-// result goes to Engine.PairCounterReplied.
+// PairCounter is a Counter of pairs (decision.Settings.PairCounters): its totals are a sum and a number of gateways.
+// Call gets all fields of a call, and the result is reported to Engine.PairCounterReplied.
 type PairCounter interface{ Call(decision.CounterCall) }
 
 // QuotaSharer observes requests and calls of the counter, for ingresses that share quotas among themselves. Its methods
@@ -22,10 +22,10 @@
 	// ObserveRequest observes a request: its customer, the first of the customer's gateways and their number, its quota
 	// in units per second and its size in units.
 	ObserveRequest(customer string, first, gateways int, quota, units float64)
-	// ObserveCounterCall observes a call of the counter as it is made.
+	// ObserveCounterCall observes a call of the counter before it is made.
 	ObserveCounterCall(name string, amount float64, keep decision.Seconds)
-	// ObserveCounterReply observes its result, and returns the outcome that the decision module gets: an impossible
-	// total is none.
+	// ObserveCounterReply observes the result of a call, and returns the outcome that the decision module is given: an
+	// impossible total is turned into a failure.
 	ObserveCounterReply(name string, outcome decision.Outcome, total float64) decision.Outcome
 }
 
@@ -37,22 +37,23 @@
 	e.PairCounterReplied(name, outcome, total, 0)
 }
 
-// PairCounterReplied reports the result of a call of a counter of pairs: the sum, and how many gateways it is of.
+// PairCounterReplied reports the result of a call of a counter of pairs: the sum, and the number of gateways that
+// contributed to it.
 func (e *Engine) PairCounterReplied(name string, outcome decision.Outcome, total float64, reporters int) {
 	if s := e.sharer.Load(); s != nil {
 		outcome = (*s).ObserveCounterReply(name, outcome, total)
 	}
-	e.do(func(now decision.Seconds) []attempt.Effect {
-		e.counters.counterCalls++
+	e.dispatch(func(now decision.Seconds) []attempt.Effect {
+		e.counts.counterCalls++
 		if outcome != decision.Succeeded {
-			e.counters.failedCounterCalls++
+			e.counts.failedCounterCalls++
 		}
 		reply := decision.CounterReply{Name: name, Outcome: outcome, Total: total, Reporters: reporters}
 		return e.dispatcher.Handle(now, reply)
 	})
 }
 
-// callCounter carries out a call of the counter. Without a counter it fails at once.
+// callCounter calls the counter. Without a counter, the call fails at once.
 func (e *Engine) callCounter(call decision.CounterCall) {
 	if p, ok := e.counter.(PairCounter); ok {
 		p.Call(call)
--- a/internal/dataplane/engine/counters.go
+++ b/internal/dataplane/engine/counters.go
@@ -7,35 +7,36 @@
 	"mulleinrouter/internal/decision"
 )
 
-// countersInterval is how often an ingress logs what it decided, in seconds: rarely enough that the lines of a fleet
-// can be added up.
-const countersInterval decision.Seconds = 10
+// countsLogInterval is the time between two log lines of decision counts, in seconds. It is long enough for the lines
+// of all ingresses of a fleet to be added up.
+const countsLogInterval decision.Seconds = 10
 
-// counters are counts of decisions and of calls of the counter since a time.
-type counters struct {
-	since              decision.Seconds // 0: not begun
-	decided            [4]int           // by Kind
-	counterCalls       int              // that have ended
-	failedCounterCalls int              // of these, without an answer, or rejected
+// decisionCounts are counts of decisions and of calls of the counter over a period.
+type decisionCounts struct {
+	since              decision.Seconds // start of the period; 0: not started
+	decided            [4]int           // decisions by Kind
+	counterCalls       int              // calls of the counter that have ended
+	failedCounterCalls int              // of these, calls that were rejected or not answered
 }
 
 // empty reports whether nothing was counted.
-func (c *counters) empty() bool { return c.decided == [4]int{} && c.counterCalls == 0 }
+func (c *decisionCounts) empty() bool { return c.decided == [4]int{} && c.counterCalls == 0 }
 
-// rotate returns what was counted and begins anew, once it is time to log it. Due: there is something to log.
-func (c *counters) rotate(now decision.Seconds) (due bool, counted counters) {
+// rotate returns the counts and starts a new period if countsLogInterval has passed. due reports whether there is
+// something to log.
+func (c *decisionCounts) rotate(now decision.Seconds) (due bool, counted decisionCounts) {
 	if c.since == 0 {
 		c.since = now
 	}
-	if now-c.since < countersInterval {
-		return false, counters{}
+	if now-c.since < countsLogInterval {
+		return false, decisionCounts{}
 	}
-	counted, *c = *c, counters{since: now}
+	counted, *c = *c, decisionCounts{since: now}
 	return !counted.empty(), counted
 }
 
 // log writes the counts as one line.
-func (c *counters) log(logger log.Logger) {
+func (c *decisionCounts) log(logger log.Logger) {
 	level.Info(logger).Log("msg", "decisions counted",
 		"code", "engine-counts", "sent", c.decided[Send], "refused", c.decided[Reject], "failed", c.decided[Fail],
 		"gone", c.decided[NoAnswer], "calls", c.counterCalls, "unanswered", c.failedCounterCalls,
--- a/internal/dataplane/engine/decision.go
+++ b/internal/dataplane/engine/decision.go
@@ -7,7 +7,7 @@
 	"mulleinrouter/internal/decision"
 )
 
-// Kind is what is to be done with a request.
+// Kind is the kind of a decision: what the host does with the request.
 type Kind = attempt.Kind
 
 // The kinds. Reject, Fail and NoAnswer are final.
@@ -22,12 +22,12 @@
 // time.
 type Decision struct {
 	Kind       Kind
-	Backend    string           // of a Send
-	Deadline   time.Time        // of a Send: when to give the attempt up
-	OverQuota  bool             // of a Send or a Reject: the request exceeds its quota
-	RetryAfter decision.Seconds // of a Reject; 0: no advice
-	// SlowAfter is, of a Send, how long after the request was written Ticket.ShouldAbandon is first asked whether to
-	// give the attempt up; 0: never.
+	Backend    string           // for Send: the backend of the attempt
+	Deadline   time.Time        // for Send: when to cancel the attempt
+	OverQuota  bool             // for Send and Reject: the request exceeds its quota
+	RetryAfter decision.Seconds // for Reject: advice to the client, seconds; 0: none
+	// SlowAfter, for Send, is the time after the request was written at which the host first calls
+	// Ticket.ShouldAbandon; 0: never.
 	SlowAfter time.Duration
 }
 
--- a/internal/dataplane/engine/effects.go
+++ b/internal/dataplane/engine/effects.go
@@ -9,17 +9,17 @@
 	"mulleinrouter/internal/decision"
 )
 
-// handle has the decision module handle an event.
+// handle passes an event to the decision module.
 func (e *Engine) handle(event decision.Event) {
-	e.do(func(now decision.Seconds) []attempt.Effect { return e.dispatcher.Handle(now, event) })
+	e.dispatch(func(now decision.Seconds) []attempt.Effect { return e.dispatcher.Handle(now, event) })
 }
 
-// do calls a function of the dispatcher under the mutex, and carries out its effects.
-func (e *Engine) do(call func(now decision.Seconds) []attempt.Effect) {
+// dispatch calls a function of the dispatcher under the mutex, and carries out the effects that it returns.
+func (e *Engine) dispatch(call func(now decision.Seconds) []attempt.Effect) {
 	e.mu.Lock()
-	now := e.now() // under the mutex: the decision module's time never goes back
+	now := e.now() // read under the mutex, so that the decision module's time never goes backwards
 	external := e.deliver(call(now))
-	due, counted := e.counters.rotate(now)
+	due, counted := e.counts.rotate(now)
 	e.mu.Unlock()
 	e.carryOut(external)
 	if due && e.Log != nil {
@@ -27,8 +27,9 @@
 	}
 }
 
-// deliver delivers decisions to their tickets, the mutex held: they must arrive in the order in which they were made.
-// The effects that reach anything outside are returned, to be carried out without the mutex.
+// deliver passes decisions to their tickets. The caller holds the mutex, because decisions must arrive in the order in
+// which they were made. deliver returns the effects that act outside the engine; the caller carries them out after
+// releasing the mutex.
 func (e *Engine) deliver(effects []attempt.Effect) (external []attempt.Effect) {
 	for _, effect := range effects {
 		notify, ok := effect.(attempt.Notify[*Ticket])
@@ -36,13 +37,13 @@
 			external = append(external, effect)
 			continue
 		}
-		e.counters.decided[notify.Decision.Kind]++
+		e.counts.decided[notify.Decision.Kind]++
 		notify.Request.Host.decisions <- newDecision(notify.Decision, e.clock)
 	}
 	return external
 }
 
-// carryOut carries out effects that reach anything outside, in order. The mutex is free.
+// carryOut carries out the effects that act outside the engine, in order. The caller must not hold the mutex.
 func (e *Engine) carryOut(effects []attempt.Effect) {
 	for _, effect := range effects {
 		switch a := effect.(type) {
@@ -53,7 +54,7 @@
 			time.AfterFunc(max(0, wait), func() { e.handle(decision.Timer{Token: a.Token}) })
 		case attempt.CounterCall:
 			e.callCounter(a.CounterCall)
-		case attempt.IllegalStep[*Ticket]:
+		case attempt.IllegalTransition[*Ticket]:
 			if e.Log != nil {
 				level.Error(e.Log).Log("msg", "illegal transition of a request, a safe one taken",
 					"code", "attempt-illegal", "error", a.Err,
@@ -63,7 +64,7 @@
 	}
 }
 
-// cancel cancels an attempt, unless it has ended meanwhile.
+// cancel cancels an attempt, unless it has already ended.
 func (e *Engine) cancel(a attempt.CancelAttempt[*Ticket]) {
 	e.mu.Lock()
 	machine := a.Request.Machine()
--- a/internal/dataplane/engine/engine.go
+++ b/internal/dataplane/engine/engine.go
@@ -12,24 +12,25 @@
 	"mulleinrouter/internal/decision"
 )
 
-// Engine owns the dispatcher, with the gateway and the pending requests.
+// Engine owns the dispatcher, and with it the gateway and the pending requests.
 type Engine struct {
-	Log log.Logger // of counts and of illegal steps; nil: none. It is set before Start.
+	Log log.Logger // for counts and illegal transitions; nil: no logging. It is set before Start.
 
 	clock     *Clock
 	counter   Counter                     // nil: none
-	planRates map[string]float64          // units per second by plan of the settings, for the sharer
+	planRates map[string]float64          // units per second by plan of the settings, for the quota sharer
 	sharer    atomic.Pointer[QuotaSharer] // nil: quotas are not shared
 
-	mu             sync.Mutex // guards what follows; released before effects reach anything outside
+	mu             sync.Mutex // guards the fields below; released before effects act outside the engine
 	dispatcher     *attempt.Dispatcher[*Ticket]
-	counters       counters
-	catalogue      Catalogue        // nil: none, plans are those of the settings
+	counts         decisionCounts
+	catalogue      Catalogue        // nil: the plans of the settings apply
 	catalogueTimer *time.Timer      // for the catalogue's next change; nil: not set yet
-	shareExpires   decision.Seconds // when this process's share of the ingress expires unless it is set again; 0: never
+	shareExpiresAt decision.Seconds // when this process's share of the ingress expires unless it is set again; 0: never
 }
 
-// New returns an engine around a gateway that nobody else uses. The settings are the gateway's.
+// New returns an engine that owns the gateway; no other code may use the gateway. The settings are those that the
+// gateway was created with.
 func New(gateway *decision.Gateway, settings *decision.Settings, clock *Clock) *Engine {
 	e := &Engine{
 		dispatcher: attempt.NewDispatcher[*Ticket](gateway, settings),
@@ -42,7 +43,7 @@
 	return e
 }
 
-// Start gives the gateway its first event. Counter may be nil where the deployment has none.
+// Start passes the gateway its first event. The counter is nil if the deployment has none.
 func (e *Engine) Start(counter Counter) {
 	e.counter = counter
 	e.handle(decision.Start{})
@@ -51,43 +52,46 @@
 // SetBackends updates the list of backends.
 func (e *Engine) SetBackends(update decision.Backends) { e.handle(update) }
 
-// Reconfigure sets the classes and the number of attempts for requests that are submitted from now on. Pending requests
-// keep those that they were submitted with. No request is decided meanwhile.
+// Reconfigure sets the classes and the maximum number of attempts for requests that are submitted from now on. Pending
+// requests keep the values that they were submitted with. No request is decided meanwhile.
 func (e *Engine) Reconfigure(classes []decision.Class, maxAttempts int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.dispatcher.Reconfigure(slices.Clone(classes), maxAttempts)
 }
 
-// SetShare sets which part of the ingress, from 0 to 1, this process is, for so many seconds: where it has not been
-// set again by then, the process was stopped meanwhile, and is no part of it. With 0 seconds it does not expire. A
-// secondary process is one whose quota use the other process of the ingress reports to the counter.
+// SetShare sets the fraction of the ingress, from 0 to 1, that this process represents while two processes of the
+// ingress run. The share expires after lease seconds unless it is set again: a process that was suspended and resumes
+// must not use a share that others have taken over. With a lease of 0 seconds it does not expire. If secondary is true,
+// the other process reports this ingress's quota use to the counter.
 func (e *Engine) SetShare(share float64, secondary bool, lease decision.Seconds) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.shareExpires = 0
+	e.shareExpiresAt = 0
 	if lease > 0 {
-		e.shareExpires = e.clock.Now() + lease
+		e.shareExpiresAt = e.clock.Now() + lease
 	}
 	e.dispatcher.SetShare(share, secondary)
 }
 
-// HandOver returns, for another process of this ingress, half of the tokens of the quota buckets, which it takes from
-// them, and what the gateway has learned.
+// HandOver returns the state for another process of this ingress: half of the tokens of the quota buckets, which it
+// removes from them, and what the gateway has learned.
 func (e *Engine) HandOver() decision.Knowledge {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.dispatcher.HandOver(e.clock.Now())
 }
 
-// Restore takes over what HandOver of another process returned, and returns how many customers and backends it was of.
+// Restore applies the state that HandOver returned in another process. It returns the number of customers and backends
+// whose state it restored.
 func (e *Engine) Restore(k decision.Knowledge) (customers, backends int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.dispatcher.Restore(e.clock.Now(), k)
 }
 
-// SetGrants sets the quota grants of this ingress, for so many seconds: after these it has what it would have without.
+// SetGrants sets the quota grants of this ingress for lease seconds. After that, the ingress has only the part of each
+// quota that it keeps in any case (decision.QuotaGrant.Keep).
 func (e *Engine) SetGrants(grants []decision.QuotaGrant, lease decision.Seconds) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -95,43 +99,44 @@
 	e.dispatcher.SetGrants(now, grants, now+lease)
 }
 
-// SetMembers sets how many gateways there are, and how many of them a customer may use.
+// SetMembers sets the number of gateways, and the number of gateways through which one customer may send requests.
 func (e *Engine) SetMembers(gateways, customerGateways int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.dispatcher.SetMembers(e.now(), gateways, customerGateways)
 }
 
-// ExpectDisruption announces a planned disruption of so many seconds: no slow attempt of a request that is pending
-// now or submitted meanwhile is given up early.
+// ExpectDisruption announces a planned disruption that lasts for the given time. No slow attempt of a request that is
+// pending now, or is submitted during the disruption, is cancelled early.
 func (e *Engine) ExpectDisruption(seconds decision.Seconds) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.dispatcher.ExpectDisruption(e.now() + seconds)
 }
 
-// SetZoneRank sets the rank of this gateway among the peers of its zone.
+// SetZoneRank sets the rank of this gateway, counted from 0, among the peers of its zone.
 func (e *Engine) SetZoneRank(rank, peers int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.dispatcher.SetZoneRank(rank, peers)
 }
 
-// SetSuspects sets the backends that other gateways find unhealthy.
+// SetSuspects sets the backends that other gateways consider unhealthy.
 func (e *Engine) SetSuspects(backends []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.dispatcher.SetSuspects(e.now(), backends)
 }
 
-// UnhealthyServers returns the backends that this gateway itself finds unhealthy.
+// UnhealthyServers returns the backends that this gateway itself considers unhealthy.
 func (e *Engine) UnhealthyServers() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.dispatcher.UnhealthyServers(e.now())
 }
 
-// PoolSize returns how many backends are listed, and how many of these the gateway avoids now.
+// PoolSize returns the number of listed backends, and how many of these the gateway avoids at the moment because it has
+// ejected them or because they rejected work.
 func (e *Engine) PoolSize() (listed, avoided int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -145,10 +150,11 @@
 	return e.dispatcher.Stats(e.clock.Now())
 }
 
-// now returns the decision module's time. A share whose lease has expired becomes none. The mutex is held.
+// now returns the decision module's time. If the lease of the share has expired, it sets the share to 0. The caller
+// holds the mutex.
 func (e *Engine) now() decision.Seconds {
 	now := e.clock.Now()
-	if e.shareExpires > 0 && now > e.shareExpires {
+	if e.shareExpiresAt > 0 && now > e.shareExpiresAt {
 		e.dispatcher.SetShare(0, true)
 	}
 	return now
--- a/internal/dataplane/engine/engine_test.go
+++ b/internal/dataplane/engine/engine_test.go
@@ -12,7 +12,7 @@
 	"mulleinrouter/internal/standalone/plans"
 )
 
-// silentCounter passes on the names of the calls that it gets, and replies to none.
+// silentCounter sends the names of its calls to a channel, and never replies.
 type silentCounter struct{ calls chan string }
 
 func (c silentCounter) Add(name string, _ float64, _ decision.Seconds) { c.calls <- name }
@@ -58,7 +58,7 @@
 
 var ignoreTimes = cmpopts.IgnoreFields(Decision{}, "Deadline", "RetryAfter")
 
-// The outcomes of the attempts decide what is next, down to the final decision; nothing stays pending.
+// The outcome of each attempt determines the next decision, up to the final one. No request stays pending.
 func TestDecisions(t *testing.T) {
 	send := Decision{Kind: Send, Backend: "b"}
 	for _, tc := range []struct {
@@ -110,7 +110,7 @@
 	}
 }
 
-// The disconnection of a client cancels its attempt, and ends its request once that has ended.
+// If a client disconnects, its attempt is cancelled, and the request ends when the attempt has ended.
 func TestClientDisconnectsWithAnAttemptInFlight(t *testing.T) {
 	e, cancelled := start(nil), 0
 	ticket := e.Submit(request("send", "p", 1), func() { cancelled++ })
@@ -126,10 +126,10 @@
 	}
 }
 
-// A client that disconnects while its request waits for the counter ends the request; the late reply has no effect.
+// If a client disconnects while its request waits for the counter, the request ends. The late reply has no effect.
 func TestClientDisconnectsWhileWaiting(t *testing.T) {
 	c, s := silentCounter{make(chan string, 1)}, settings()
-	s.CounterTimeout = 20 // else the request is sent without the counter, should the test be delayed
+	s.CounterTimeout = 20 // so long that a delay of the test does not send the request without the counter
 	e := startWith(s, c)
 	ticket := e.Submit(request("read", "thin", 2), func() { t.Error("cancelled, but no attempt was in flight") })
 	name := <-c.calls
@@ -155,7 +155,7 @@
 	ticket.AttemptEnded(decision.Succeeded)
 }
 
-// Where the settings have a counter and there is none, each call fails.
+// If the settings have a counter but the engine has none, each call fails and the request is sent without it.
 func TestNoCounter(t *testing.T) {
 	e := start(nil)
 	ticket := e.Submit(request("read", "thin", 2), func() {})
@@ -213,7 +213,7 @@
 		time.Sleep(3 * time.Second)
 		check(Send, "large", 2)
 		time.Sleep(3 * time.Second)
-		check(Send, "small", 3) // the tokens of the large plan, up to the burst of the small one
+		check(Send, "small", 3) // the tokens of the large plan are kept, up to the burst of the small one
 		check(Reject, "small", 3)
 		other := e.Submit(request("read", "p", 1), func() {})
 		if d := other.Next(); d.Kind != Send || other.Plan != "p" || other.Revision != 3 {
@@ -225,12 +225,12 @@
 }
 
 func TestCountersAreLoggedEveryTenSeconds(t *testing.T) {
-	var c counters
+	var c decisionCounts
 	for _, step := range []struct {
 		now  decision.Seconds
-		sent int // since the step before
+		sent int // decisions since the previous step
 		due  bool
-		want int // sent, of what is logged
+		want int // logged number of decisions
 	}{
 		{now: 100, sent: 2},
 		{now: 109, sent: 1},
--- a/internal/dataplane/engine/ticket.go
+++ b/internal/dataplane/engine/ticket.go
@@ -5,14 +5,14 @@
 	"mulleinrouter/internal/decision"
 )
 
-// maxUndelivered is how many decisions a ticket may hold: a Send that has not been taken up, and the NoAnswer behind
-// it.
+// maxUndelivered is the greatest number of decisions that a ticket holds: a Send that the host has not read yet, and
+// the NoAnswer that follows it.
 const maxUndelivered = 2
 
-// Ticket follows a request that was submitted to the engine.
+// Ticket represents a submitted request to the host, which reads its decisions and reports its events.
 type Ticket struct {
-	Plan     string // that the request is decided by: the customer's in the catalogue, else the one the client named
-	Revision uint64 // of the catalogue; 0: none
+	Plan     string // the customer's plan in the catalogue, or else the plan that the client named
+	Revision uint64 // revision of the catalogue; 0: none
 
 	engine    *Engine
 	request   *attempt.Request[*Ticket]
@@ -20,8 +20,8 @@
 	decisions chan Decision
 }
 
-// Submit submits a request. Cancel is called, possibly by another goroutine, when the attempt in flight is to be
-// cancelled.
+// Submit submits a request. It is decided by the terms of the catalogue, if there is one. cancel is called, possibly by
+// another goroutine, when the attempt in flight is to be cancelled.
 func (e *Engine) Submit(r decision.Request, cancel func()) *Ticket {
 	t := &Ticket{
 		Plan:      r.Plan,
@@ -46,7 +46,7 @@
 	return t
 }
 
-// observeRequest passes a request on to the sharer of quotas, if there is one. The mutex is held.
+// observeRequest passes a request to the quota sharer, if there is one. The caller holds the mutex.
 func (e *Engine) observeRequest(r *decision.Request) {
 	s := e.sharer.Load()
 	if s == nil {
@@ -62,23 +62,24 @@
 // Next waits for the next decision.
 func (t *Ticket) Next() Decision { return <-t.decisions }
 
-// AttemptEnded reports how the attempt that the last decision asked for has ended. After decision.Succeeded no decision
-// follows: the answer is the client's.
+// AttemptEnded reports the outcome of the attempt that the last decision asked for. No decision follows
+// decision.Succeeded, because the host forwards the answer to the client.
 func (t *Ticket) AttemptEnded(outcome decision.Outcome) {
-	t.engine.do(func(now decision.Seconds) []attempt.Effect {
+	t.engine.dispatch(func(now decision.Seconds) []attempt.Effect {
 		return t.engine.dispatcher.AttemptEnded(now, t.request, outcome)
 	})
 }
 
-// ConsumeBody records that a part of the request's body has been read that cannot be read again: the attempt in
-// flight is the last.
+// ConsumeBody records that part of the request's body has been read and cannot be read again, so that the attempt in
+// flight is the last one.
 func (t *Ticket) ConsumeBody() {
 	t.engine.mu.Lock()
 	defer t.engine.mu.Unlock()
 	t.engine.dispatcher.ConsumeBody(t.request)
 }
 
-// ShouldAbandon reports whether the attempt in flight, which is slow, is to be given up.
+// ShouldAbandon reports whether the host should cancel the attempt in flight because it is slow, so that another
+// attempt can be made.
 func (t *Ticket) ShouldAbandon() bool {
 	t.engine.mu.Lock()
 	defer t.engine.mu.Unlock()
@@ -92,10 +93,10 @@
 	t.engine.dispatcher.BodyUploaded(t.engine.clock.Now(), t.request)
 }
 
-// ClientDisconnected reports that the client no longer waits for an answer. The end of an attempt in flight is still to
-// be reported.
+// ClientDisconnected reports that the client no longer waits for an answer. The host must still report the end of an
+// attempt in flight.
 func (t *Ticket) ClientDisconnected() {
-	t.engine.do(func(now decision.Seconds) []attempt.Effect {
+	t.engine.dispatch(func(now decision.Seconds) []attempt.Effect {
 		return t.engine.dispatcher.ClientDisconnected(now, t.request)
 	})
 }
--- a/internal/emulator/modelcheck/client.go
+++ b/internal/emulator/modelcheck/client.go
@@ -95,7 +95,7 @@
 			w.timers = append(w.timers, effect.SetTimer)
 		case attempt.CounterCall:
 			w.counterCalls = append(w.counterCalls, effect.Name)
-		case attempt.IllegalStep[*client]:
+		case attempt.IllegalTransition[*client]:
 			w.checkLegal(effect.Err)
 		}
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -100,7 +100,7 @@
 func (p *Proxy) connectDataPlane(seed, incarnation uint64, clock *replication.Clock) {
 	logger := log.NewNopLogger() // to log each connection would cost too much processor time here
 	decisions := p.decisionSettings(seed)
-	p.control.engine = engine.New(decision.New(*decisions, seed^incarnation), decisions, engine.NewClockOf(clock.Now))
+	p.control.engine = engine.New(decision.New(*decisions, seed^incarnation), decisions, engine.NewClockFrom(clock.Now))
 	p.translator = newTranslator(p.control, newSplitter(rand.New(rand.NewPCG(seed, incarnation))))
 	sockets := float64(max(minSocketFDs, p.settings.Limits.MaxFDs-reservedFDs))
 	p.pool = upstream.New(p.control.lookup, upstream.Limits{
