--- a/internal/dataplane/backoff/window.go
+++ b/internal/dataplane/backoff/window.go
@@ -3,44 +3,46 @@
 import "mulleinrouter/internal/decision"
 
 const (
-	minWindow     decision.Seconds = 0.2 // of a small fleet
-	windowPerNode decision.Seconds = 0.1 // for each ingress: ten calls a second over the fleet
-	// Of the first window: a wrong fleet size must not silence an ingress for hours.
-	maxFirst decision.Seconds = 30.0
-	// Times the first window: later, an update would be too old to be of use.
-	maxGrowth = 4.0
+	minWindow     decision.Seconds = 0.2 // seconds; initial window of a small fleet
+	windowPerNode decision.Seconds = 0.1 // seconds for each ingress: the fleet makes ten calls a second
+	// maxInitialWindow, in seconds, bounds the initial window: with a wrong fleet size, an ingress must not stay
+	// without the service for hours.
+	maxInitialWindow decision.Seconds = 30.0
+	// maxGrowthFactor bounds the window, as a multiple of the initial window: after a longer wait, an update would be
+	// too old to be of use.
+	maxGrowthFactor = 4.0
 )
 
-// Window is the backoff window of one ingress for one service. New makes it.
-type Window struct{ first, now decision.Seconds }
+// Window is the backoff window of one ingress for one service. It is created by New.
+type Window struct{ initial, current decision.Seconds }
 
 // New returns the window of one ingress in a fleet of the given size.
 func New(fleetSize int) *Window {
-	first := firstWindow(fleetSize)
-	return &Window{first: first, now: first}
+	initial := initialWindow(fleetSize)
+	return &Window{initial: initial, current: initial}
 }
 
-func firstWindow(fleetSize int) decision.Seconds {
-	return min(maxFirst, max(minWindow, float64(fleetSize)*windowPerNode))
+func initialWindow(fleetSize int) decision.Seconds {
+	return min(maxInitialWindow, max(minWindow, float64(fleetSize)*windowPerNode))
 }
 
-// Resize adapts the window to another fleet size. What it has doubled stays doubled.
+// Resize adapts the window to another fleet size. The growth by earlier failures is kept.
 func (w *Window) Resize(fleetSize int) {
-	first := firstWindow(fleetSize)
-	w.now = w.now * first / w.first
-	w.first = first
+	initial := initialWindow(fleetSize)
+	w.current = w.current * initial / w.initial
+	w.initial = initial
 }
 
-// Failed returns how long to wait after a call that failed, and doubles the window up to its limit. Random is
-// evenly distributed in [0, 1), from the ingress's seed.
+// Failed returns how long to wait after a failed call, in seconds, and doubles the window up to its limit. random is
+// evenly distributed in [0, 1) and derived from the ingress's seed.
 func (w *Window) Failed(random float64) decision.Seconds {
-	wait := random * w.now
-	w.now = min(2*w.now, maxGrowth*w.first)
+	wait := random * w.current
+	w.current = min(2*w.current, maxGrowthFactor*w.initial)
 	return wait
 }
 
-// Now is how long the window is.
-func (w *Window) Now() decision.Seconds { return w.now }
+// Length returns the current length of the window, in seconds.
+func (w *Window) Length() decision.Seconds { return w.current }
 
-// Worked resets the window after a call that was answered: the next failure is the first again.
-func (w *Window) Worked() { w.now = w.first }
+// Succeeded resets the window to its initial length after a call that was answered.
+func (w *Window) Succeeded() { w.current = w.initial }
--- a/internal/dataplane/backoff/window_test.go
+++ b/internal/dataplane/backoff/window_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// queue is a service that takes calls in turn, one in 80 ms, holds 30, and works also on those abandoned after
-// 2 s.
-type queue struct{ free time.Duration }
+// queuedService simulates a service that handles one call at a time, each in 80 ms, and queues up to 30. It also spends
+// time on calls that their callers have abandoned after 2 s.
+type queuedService struct{ busyUntil time.Duration }
 
 const (
 	callTime, callTimeout, queueLength = 80 * time.Millisecond, 2 * time.Second, 30
@@ -16,28 +16,28 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// call returns when the call is over, and whether it was answered.
-func (q *queue) call(now time.Duration) (time.Duration, bool) {
-	if q.free < now {
-		q.free = now
+// call returns when the call ends, and whether it is answered.
+func (q *queuedService) call(now time.Duration) (time.Duration, bool) {
+	if q.busyUntil < now {
+		q.busyUntil = now
 	}
-	if q.free-now > queueLength*callTime {
+	if q.busyUntil-now > queueLength*callTime {
 		return now + 3*time.Millisecond, false
 	}
-	q.free += callTime
-	if q.free-now > callTimeout {
+	q.busyUntil += callTime
+	if q.busyUntil-now > callTimeout {
 		return now + callTimeout, false
 	}
-	return q.free, true
+	return q.busyUntil, true
 }
 
-// served simulates a fleet that calls until it is answered, all from the same moment on, and returns when half and
-// all were.
-func served(
-	fleet int, seed uint64, wait func(ingress int, chance float64) time.Duration, until time.Duration,
+// simulateFleet simulates a fleet of ingresses that all start at the same moment and call until they are answered. It
+// returns when half of them and when all of them are answered, and the number of calls.
+func simulateFleet(
+	fleet int, seed uint64, wait func(ingress int, random float64) time.Duration, until time.Duration,
 ) (half, all time.Duration, calls int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	due, q, done := make([]time.Duration, fleet), queue{}, 0
+	due, q, done := make([]time.Duration, fleet), queuedService{}, 0
 	for i := range due {
 		due[i] = wait(i, rng.Float64())
 	}
@@ -52,22 +52,22 @@
 			return half, until, calls
 		}
 		calls++
-		over, ok := q.call(due[next])
+		end, ok := q.call(due[next])
 		if !ok {
-			due[next] = over + wait(next, rng.Float64())
+			due[next] = end + wait(next, rng.Float64())
 			continue
 		}
 		due[next] = 1 << 62
 		if done++; done == (fleet+1)/2 {
-			half = over
+			half = end
 		}
-		all = max(all, over)
+		all = max(all, end)
 	}
 	return half, all, calls
 }
 
-// A fleet that loses a shared service at one moment gets it back, whatever its size. With the short fixed
-// wait there was before, it never does.
+// A fleet of any size whose ingresses all lose a shared service at the same moment can use it again soon. With a fixed
+// wait of 200 ms, which ingresses used before, a large fleet never recovers.
 func TestFleetGetsServiceBack(t *testing.T) {
 	for seed := range uint64(20) {
 		for _, fleet := range []int{1, 3, 80, 300} {
@@ -76,9 +76,9 @@
 				windows[i] = New(fleet)
 			}
 			limit := 2*time.Duration(fleet)*callTime + 3*callTimeout
-			half, all, calls := served(
+			half, all, calls := simulateFleet(
 				fleet, seed,
-				func(i int, chance float64) time.Duration { return seconds(windows[i].Failed(chance)) },
+				func(i int, random float64) time.Duration { return seconds(windows[i].Failed(random)) },
 				time.Hour,
 			)
 			if half > limit || calls > 2*fleet+2 {
@@ -89,8 +89,8 @@
 			}
 		}
 		fixed := func(int, float64) time.Duration { return 200 * time.Millisecond }
-		if _, all, calls := served(80, seed, fixed, time.Minute); all < time.Minute || calls < 5000 {
-			t.Errorf("the service of this test bears any load: %v, %d calls", all, calls)
+		if _, all, calls := simulateFleet(80, seed, fixed, time.Minute); all < time.Minute || calls < 5000 {
+			t.Errorf("fixed wait: all answered after %v with %d calls, want the service overloaded", all, calls)
 		}
 	}
 }
@@ -101,17 +101,17 @@
 	for range 4 {
 		got = append(got, seconds(w.Failed(0.5)))
 	}
-	w.Worked()
+	w.Succeeded()
 	got = append(got, seconds(w.Failed(0.5)))
 	for i, want := range []time.Duration{4, 8, 16, 16, 4} {
 		if got[i] != want*time.Second {
 			t.Errorf("wait %d is %v, want %v s", i, got[i], want)
 		}
 	}
-	if wait := New(1 << 40).Failed(0.999); wait > maxFirst {
-		t.Errorf("with a number that cannot be true: %v", wait)
+	if wait := New(1 << 40).Failed(0.999); wait > maxInitialWindow {
+		t.Errorf("fleet size that is impossibly large: wait of %v s", wait)
 	}
 	if wait := New(-1).Failed(0.999); wait <= 0 || wait > minWindow {
-		t.Errorf("without a known number: %v", wait)
+		t.Errorf("fleet size that is not known: wait of %v s", wait)
 	}
 }
--- a/internal/dataplane/traffic/counter.go
+++ b/internal/dataplane/traffic/counter.go
@@ -2,10 +2,10 @@
 
 import "sync/atomic"
 
-// Bytes on the wire beside those that the process reads and writes.
+// Estimates of the bytes on the wire in addition to those that the process reads and writes.
 const (
-	PerConnection = 250 // of the packets that open and close a connection, in each direction
-	PerTransfer   = 66  // of the TCP, IP and Ethernet headers of a read or write, and acknowledgements
+	ConnectionOverheadBytes = 250 // packets that open and close a connection, in each direction
+	TransferOverheadBytes   = 66  // TCP, IP and Ethernet headers of one read or write, and acknowledgements
 )
 
 // Counter counts bytes in both directions. A nil Counter counts nothing. It is safe for concurrent use.
@@ -16,22 +16,22 @@
 // Read counts a read of n bytes.
 func (c *Counter) Read(n int) {
 	if c != nil && n > 0 {
-		c.in.Add(int64(n) + PerTransfer)
+		c.in.Add(int64(n) + TransferOverheadBytes)
 	}
 }
 
 // Wrote counts a write of n bytes.
 func (c *Counter) Wrote(n int) {
 	if c != nil && n > 0 {
-		c.out.Add(int64(n) + PerTransfer)
+		c.out.Add(int64(n) + TransferOverheadBytes)
 	}
 }
 
 // Connected counts a connection that was opened.
 func (c *Counter) Connected() {
 	if c != nil {
-		c.in.Add(PerConnection)
-		c.out.Add(PerConnection)
+		c.in.Add(ConnectionOverheadBytes)
+		c.out.Add(ConnectionOverheadBytes)
 	}
 }
 
--- a/internal/dataplane/traffic/traffic_test.go
+++ b/internal/dataplane/traffic/traffic_test.go
@@ -12,7 +12,8 @@
 	c.Read(0)
 	c.Read(-1)
 	c.Wrote(20)
-	const wantIn, wantOut = PerConnection + 100 + PerTransfer, PerConnection + 20 + PerTransfer
+	const wantIn, wantOut = ConnectionOverheadBytes + 100 + TransferOverheadBytes,
+		ConnectionOverheadBytes + 20 + TransferOverheadBytes
 	if in, out := c.Totals(); in != wantIn || out != wantOut {
 		t.Errorf("totals %d in and %d out, want %d and %d", in, out, wantIn, wantOut)
 	}
--- a/internal/proxy/shedding_flood_test.go
+++ b/internal/proxy/shedding_flood_test.go
@@ -128,7 +128,7 @@
 		fl.accepted++
 		client.established = true
 	case p.kind == requestPacket && client.established:
-		fl.shedder.counter.Read(int(requestBytes) - traffic.PerTransfer)
+		fl.shedder.counter.Read(int(requestBytes) - traffic.TransferOverheadBytes)
 		if fl.now-client.begun < floodDeadline {
 			fl.inTime++
 		}
--- a/internal/proxy/shedding_test.go
+++ b/internal/proxy/shedding_test.go
@@ -61,7 +61,7 @@
 				}
 				refused = refused || share < 1
 				through, ok := link.step(0.01, offered, share, deadline)
-				s.counter.Read(int(through) - traffic.PerTransfer)
+				s.counter.Read(int(through) - traffic.TransferOverheadBytes)
 				if second >= 20 {
 					inTime += ok / 20
 				}
--- a/internal/standalone/discovery/connection.go
+++ b/internal/standalone/discovery/connection.go
@@ -80,7 +80,7 @@
 			if err := w.apply(line); err != nil {
 				return fmt.Errorf("watch: %w", err)
 			}
-			w.backoff.Worked()
+			w.backoff.Succeeded()
 		}
 	}
 }
@@ -93,7 +93,7 @@
 	// ingress that paused without a call would miss that (herd over 300 ingresses: changes that were there, unread,
 	// broke the drain rule 1,500 times). A call that is given up and made again goes to the end of the queue. So a
 	// call waits for as long as the delay after it would last.
-	timeout := cmp.Or(w.replyTimeout, silenceTimeout) + time.Duration(w.backoff.Now()*float64(time.Second))
+	timeout := cmp.Or(w.replyTimeout, silenceTimeout) + time.Duration(w.backoff.Length()*float64(time.Second))
 	conn.SetDeadline(time.Now().Add(timeout))
 	if _, err := conn.Write(request); err != nil {
 		return nil, err
--- a/internal/standalone/discovery/watcher.go
+++ b/internal/standalone/discovery/watcher.go
@@ -120,7 +120,7 @@
 		// A watch that fell silent is opened again while its changes may still be late. A call that timed out has
 		// waited long enough, and has lost its place in discovery's queue.
 		if errors.Is(err, errWatchSilent) {
-			return rng.Float64() * min(w.backoff.Now(), silentSpread)
+			return rng.Float64() * min(w.backoff.Length(), silentSpread)
 		}
 		w.backoff.Failed(1)
 		return 0
