--- a/internal/dataplane/clientconn/body_progress.go
+++ b/internal/dataplane/clientconn/body_progress.go
@@ -6,45 +6,49 @@
 )
 
 const (
-	// bodyGracePeriod is for how long a body may be awaited before its rate counts.
+	// bodyGracePeriod, in seconds, is how long the server may wait for a body before minBodyRate is required.
 	bodyGracePeriod decision.Seconds = 2
-	// minBodyRate is the rate, in bytes a second, that is required from then on: clients send 64 kB/s or more.
+	// minBodyRate is the rate, in bytes per second, that is required after the grace period. Clients send 64 kB/s or
+	// more.
 	minBodyRate = 32 << 10
-	// maxBodyStall is for how long nothing may arrive of a body that is buffered: its client has stopped sending.
+	// maxBodyStall, in seconds, is how long nothing may arrive of a buffered body. After that, its client is considered
+	// to have stopped sending.
 	maxBodyStall decision.Seconds = 2.5
-	// maxStreamedStall is the same of a streamed body: peers may take seconds over a piece of any size.
+	// maxStreamedStall, in seconds, is the same limit for a streamed body. It is longer because peers may take seconds
+	// to send a chunk of any size.
 	maxStreamedStall decision.Seconds = 10
 )
 
-// BodyProgress tracks how the body of one request arrives. Only the time for which the client is awaited counts, not
-// that for which the backend or the decision is. Its zero value is a body that has not been awaited yet.
+// BodyProgress tracks the arrival of one request's body. Only the time spent waiting for the client counts, not the
+// time spent waiting for the backend or for a decision. The zero value represents a body that has not been waited for
+// yet.
 type BodyProgress struct {
-	Streamed bool // it is forwarded as it arrives, and may arrive in pieces of any size
+	Streamed bool // the body is forwarded as it arrives, in chunks of any size
 
-	received int64            // bytes
-	waited   decision.Seconds // in total, for the pieces that have arrived
-	since    decision.Seconds // while waiting: when the wait for the next piece began
-	waiting  bool
+	received     int64            // bytes received
+	waited       decision.Seconds // total wait for the chunks that have arrived, seconds
+	waitingSince decision.Seconds // start of the wait for the next chunk, if there is one
+	waiting      bool             // the server waits for the next chunk
 }
 
-// Await records that the next piece is awaited from now on.
-func (bp *BodyProgress) Await(now decision.Seconds) { bp.since, bp.waiting = now, true }
+// Await records that the server waits for the next chunk from now on.
+func (bp *BodyProgress) Await(now decision.Seconds) { bp.waitingSince, bp.waiting = now, true }
 
-// Received records the arrival of a piece of n bytes.
+// Received records the arrival of a chunk of n bytes.
 func (bp *BodyProgress) Received(now decision.Seconds, n int) {
 	if bp.waiting {
-		bp.waited += max(0, now-bp.since)
+		bp.waited += max(0, now-bp.waitingSince)
 	}
 	bp.waiting = false
 	bp.received += int64(n)
 }
 
-// Late reports whether the body is to be given up: it stalls, or arrives too slowly.
+// Late reports whether the server should stop waiting for the body, because it stalls or arrives too slowly.
 func (bp *BodyProgress) Late(now decision.Seconds) bool {
 	if !bp.waiting {
 		return false
 	}
-	stall, maxStall := now-bp.since, maxBodyStall
+	stall, maxStall := now-bp.waitingSince, maxBodyStall
 	if bp.Streamed {
 		maxStall = maxStreamedStall
 	}
--- a/internal/dataplane/clientconn/errors.go
+++ b/internal/dataplane/clientconn/errors.go
@@ -2,5 +2,5 @@
 
 import "errors"
 
-// ErrStep is a transition that a connection's state does not have: a mistake of the host.
-var ErrStep = errors.New("illegal transition")
+// ErrIllegalTransition means that the connection's state does not allow the transition. This is a bug of the host.
+var ErrIllegalTransition = errors.New("illegal transition")
--- a/internal/dataplane/clientconn/eviction.go
+++ b/internal/dataplane/clientconn/eviction.go
@@ -5,11 +5,11 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Evictable reports whether the connection may be closed for want of room: it is unproductive, or it is idle and was
-// served before.
+// Evictable reports whether the connection may be closed to make room for another one: it is unproductive, or it is
+// idle after at least one request.
 func (m *Machine) Evictable(now decision.Seconds) bool {
 	if m.closeCode != "" {
-		return false // it is being closed anyway
+		return false // already being closed
 	}
 	if m.state == Deciding && mutants.On("clientconn/busy-spared") {
 		return true
@@ -17,8 +17,9 @@
 	return m.unproductive(now) || m.state == Idle && !m.unused && !m.requestPending
 }
 
-// EvictBefore reports whether an evictable connection is closed rather than another: the unproductive before the idle,
-// and of these the one in its state for longest. A flood of silent connections thus displaces itself.
+// EvictBefore reports whether an evictable connection is closed before another one. Unproductive connections are closed
+// before idle ones; among equals, the one that has been in its state for longest is closed first. A flood of silent
+// connections therefore evicts only connections of its own.
 func (m *Machine) EvictBefore(other *Machine, now decision.Seconds) bool {
 	if a, b := m.unproductive(now), other.unproductive(now); a != b {
 		return a
@@ -26,8 +27,8 @@
 	return m.since < other.since
 }
 
-// unproductive reports whether the connection takes up a place for nothing: it has not sent a request yet, sends one
-// slowly, or has had its last answer.
+// unproductive reports whether the connection occupies a place without being of use: its client has not sent a request
+// yet, sends its first request slowly, or has received its last answer.
 func (m *Machine) unproductive(now decision.Seconds) bool {
 	switch m.state {
 	case Lingering:
@@ -35,7 +36,7 @@
 	case Idle:
 		return m.unused && !m.requestPending
 	case ReadingHead, ReadingBody:
-		return m.unused && now-m.since > promptRequest
+		return m.unused && now-m.since > promptRequestTime
 	}
 	return false
 }
--- a/internal/dataplane/clientconn/machine.go
+++ b/internal/dataplane/clientconn/machine.go
@@ -20,7 +20,7 @@
 	Deciding                 // the request is submitted, or an attempt is in flight
 	Uploading                // the body is forwarded to a backend as it arrives
 	Answering                // an answer is being written
-	Discarding               // the rest of a body that was answered before its end is read and discarded
+	Discarding               // the request has been answered; the rest of its body is read and discarded
 	Lingering                // the last answer has been written; the client may read it before the connection is closed
 )
 
@@ -34,36 +34,36 @@
 var transitions = map[State][]State{
 	Idle:        {ReadingHead},
 	ReadingHead: {ReadingBody, Deciding, Answering},
-	// A body that is buffered leads to a decision; one that is streamed is decided on by its head.
+	// A request with a buffered body is submitted once its body is complete; one with a streamed body, after its head.
 	ReadingBody: {Deciding, Answering},
 	Deciding:    {Uploading, Answering},
-	// An attempt may end before the upload does, and the request be answered by a decision.
+	// An attempt may end before the upload is complete. The next decision may then be to answer the request.
 	Uploading:  {Deciding, Answering},
 	Answering:  {Answering, Discarding, Idle},
 	Discarding: {Idle},
 }
 
-// Log codes of connections that are closed from this side.
+// Log codes of connections that this side closes.
 const (
-	CodeEvicted     = "client-room"
-	CodeDrain       = "client-drain"
-	CodeIdle        = "client-idle"
-	CodeSilent      = "client-silent"
-	CodeSlowRequest = "client-slow-request"
-	CodeSlowReader  = "client-slow-reader"
-
-	codeIllegalStep = "client-illegal"
+	CodeEvicted     = "client-room"         // the server needs room for other connections
+	CodeDrain       = "client-drain"        // the server does not keep connections open
+	CodeIdle        = "client-idle"         // no further request in time
+	CodeSilent      = "client-silent"       // no first byte in time
+	CodeSlowRequest = "client-slow-request" // the head or the body of a request arrives too slowly
+	CodeSlowReader  = "client-slow-reader"  // the client reads an answer too slowly
+
+	codeIllegalTransition = "client-illegal" // a bug: see ErrIllegalTransition
 )
 
-// Machine is the state machine of one client's connection. Its zero value is a connection that was accepted at time 0
-// and has been used; Accepted returns a new one.
+// Machine is the state machine of one client's connection. The zero value represents a connection that was accepted at
+// time 0 and has already been used; Accepted returns the machine of a new connection.
 type Machine struct {
 	state          State
-	since          decision.Seconds // in that state; until a first request is complete, since it was accepted
+	since          decision.Seconds // start of the state, or of the connection until its first request is complete
 	unused         bool             // no complete request has arrived
 	requestPending bool             // idle, but bytes of a request have arrived
-	closeCode      string           // why it is being closed from this side; "": it is not
-	closeAnnounced bool             // the last answer said that it was the last (Connection: close)
+	closeCode      string           // log code of the close by this side; "": the connection is not being closed
+	closeAnnounced bool             // the last answer announced that it was the last (Connection: close)
 	progress       BodyProgress
 	timeouts       *Timeouts // nil: defaultTimeouts
 }
@@ -71,25 +71,29 @@
 // Accepted returns the machine of a connection that has just been accepted.
 func Accepted(now decision.Seconds) Machine { return Machine{since: now, unused: true} }
 
-// SetTimeouts sets the timeouts.
+// SetTimeouts sets the timeouts. With nil, the default timeouts apply.
 func (m *Machine) SetTimeouts(t *Timeouts) { m.timeouts = t }
 
 // State returns the state.
 func (m *Machine) State() State { return m.state }
 
-// CloseCode returns the log code for which the connection is being closed from this side; "": it is not.
+// CloseCode returns the log code with which this side is closing the connection; "": it is not being closed.
 func (m *Machine) CloseCode() string { return m.closeCode }
 
-// Enter moves the connection to a state.
+// Enter moves the connection to a state. keepOpen says whether connections are kept open between requests.
 //
-// Open reports whether the connection stays open. Where not, it is to be closed now; if it ServesPending and is idle,
-// once it is known that no bytes of a request have arrived. ResumeReads: a request had begun to arrive as the
-// connection was closed, the interrupt of its reads is to be undone, and the request is served as the last. The error
-// wraps ErrStep: the state is entered all the same, and the connection is closed after the answer to its request.
+// open reports whether the connection stays open. If it does not, the host closes it now. An idle connection for which
+// ServesPending is true is closed as soon as it is known that no bytes of a request have arrived.
+//
+// resumeReads reports that a request had begun to arrive when the connection was closed. The host then undoes the
+// interrupt of the reads, and the request is served as the last one.
+//
+// The error wraps ErrIllegalTransition. The state is entered nevertheless, and the connection is closed after the
+// answer to its request.
 func (m *Machine) Enter(to State, now decision.Seconds, keepOpen bool) (open, resumeReads bool, err error) {
 	if to != Lingering && !slices.Contains(transitions[m.state], to) {
-		err = fmt.Errorf("%v while %v: %w", to, m.state, ErrStep)
-		m.closeCode = cmp.Or(m.closeCode, codeIllegalStep)
+		err = fmt.Errorf("%v while %v: %w", to, m.state, ErrIllegalTransition)
+		m.closeCode = cmp.Or(m.closeCode, codeIllegalTransition)
 	}
 	if to == Idle && !keepOpen && m.closeCode == "" && !mutants.On("clientconn/drained-stays") {
 		m.closeCode = CodeDrain
@@ -120,34 +124,35 @@
 	return m.timeouts != nil && m.timeouts.ServePending && !m.closeAnnounced && !mutants.On("clientconn/asked-dropped")
 }
 
-// SetRequestPending records that bytes of a request have arrived on the idle connection that nobody has read yet:
-// under load that may take long.
+// SetRequestPending records that bytes of a request have arrived on the idle connection and have not been read yet.
+// Under load it may take long until they are read.
 func (m *Machine) SetRequestPending() { m.requestPending = true }
 
 // RequestPending reports whether bytes of a request are known to have arrived on the idle connection.
 func (m *Machine) RequestPending() bool { return m.requestPending }
 
-// Interrupt is which operations on a connection are to be interrupted, so that the goroutines blocked in them return.
+// Interrupt names the operations on a connection that the host must interrupt, so that the goroutines blocked in them
+// return.
 type Interrupt struct{ Reads, Writes bool }
 
-// Close closes the connection from this side. What is interrupted depends on the state: a submitted request is still
-// answered.
+// Close begins to close the connection from this side. The operations to interrupt depend on the state, because a
+// submitted request is still answered.
 func (m *Machine) Close(code string) Interrupt {
 	m.closeCode = code
 	return Interrupt{Reads: true, Writes: m.state == Answering}
 }
 
-// AwaitBody records that the next piece of a body is awaited from now on.
+// AwaitBody records that the server waits for the next chunk of a body from now on.
 func (m *Machine) AwaitBody(now decision.Seconds) { m.progress.Await(now) }
 
-// BodyReceived records the arrival of a piece of a body of n bytes.
+// BodyReceived records the arrival of a chunk of n bytes of a body.
 func (m *Machine) BodyReceived(now decision.Seconds, n int) { m.progress.Received(now, n) }
 
 // TimeoutCode returns the log code of the timeout that the connection has exceeded; "": none.
 func (m *Machine) TimeoutCode(now decision.Seconds) string {
 	age, timeouts := now-m.since, cmp.Or(m.timeouts, &defaultTimeouts)
 	switch m.state {
-	case ReadingHead: // even if it was closed as unused when the first byte arrived
+	case ReadingHead: // also if the connection was closed as unused when the first byte arrived
 		if age > timeouts.Head && !mutants.On("clientconn/head-for-ever") {
 			return CodeSlowRequest
 		}
@@ -171,11 +176,12 @@
 	return ""
 }
 
-// ClosesOnDrain reports whether a drain closes the connection at once: it is idle, and is not being closed.
+// ClosesOnDrain reports whether a drain closes the connection at once, because it is idle and is not being closed yet.
 func (m *Machine) ClosesOnDrain() bool { return m.state == Idle && m.closeCode == "" }
 
-// CloseAfterAnswer reports whether the next answer is the last on the connection. It is when the server is crowded: the
-// answer says so and the client connects elsewhere, while a connection closed when idle might cross its next request.
+// CloseAfterAnswer reports whether the next answer is the last on the connection. This is also the case when the server
+// is crowded: the answer announces the close, and the client connects elsewhere. Closing the connection while it is
+// idle is less safe, because the client may just be sending its next request.
 func (m *Machine) CloseAfterAnswer(crowded, keepOpen bool) bool {
 	if m.closeCode == "" && crowded {
 		m.closeCode = CodeEvicted
--- a/internal/dataplane/clientconn/machine_test.go
+++ b/internal/dataplane/clientconn/machine_test.go
@@ -12,11 +12,16 @@
 	"mulleinrouter/internal/decision"
 )
 
-// play takes a machine through the steps of a script and returns what differs from an open connection in legal
-// states, in the order of the steps. A step is +N, which lets N seconds pass; a state, which is entered; or one of:
-// wait and got=N for pieces of a body, close, timeout, last, last-crowded, drain (connections are not kept open from
-// now on), pending (bytes of a request have arrived).
-func play(t *testing.T, m *Machine, script string) string {
+// runScript runs a machine through the steps of a script and returns what differs from an open connection with legal
+// transitions, in the order of the steps. A step is one of:
+//
+//   - +N: N seconds pass;
+//   - the name of a state, which the machine enters;
+//   - wait and got=N: the server waits for a chunk of a body, and a chunk of N bytes arrives;
+//   - close, timeout, last and last-crowded: a call of Close, TimeoutCode or CloseAfterAnswer;
+//   - drain: connections are not kept open from now on;
+//   - pending: bytes of a request have arrived.
+func runScript(t *testing.T, m *Machine, script string) string {
 	t.Helper()
 	var results []string
 	result := func(values ...any) { results = append(results, fmt.Sprint(values...)) }
@@ -54,7 +59,8 @@
 	return strings.Join(results, ", ")
 }
 
-// enter enters a state by its name and returns what the machine says to it; nothing: the connection stays open.
+// enter enters a state by its name and returns the results of Enter that differ from those of an open connection and a
+// legal transition.
 func enter(t *testing.T, m *Machine, name string, now decision.Seconds, keepOpen bool) (results []string) {
 	t.Helper()
 	state := slices.Index(stateNames[:], name)
@@ -68,7 +74,7 @@
 	if resumeReads {
 		results = append(results, name+" resumed")
 	}
-	if errors.Is(err, ErrStep) {
+	if errors.Is(err, ErrIllegalTransition) {
 		results = append(results, name+" illegal")
 	}
 	return results
@@ -124,12 +130,12 @@
 			"timeout:, timeout:client-slow-request",
 		},
 		{
-			"a streamed body may arrive in pieces of any size",
+			"a streamed body may arrive in chunks of any size",
 			"head body deciding uploading wait got=1000000 wait +9 timeout +2 timeout",
 			"timeout:, timeout:client-slow-request",
 		},
 		{
-			"while the server takes its time the client is not late",
+			"the client is not late while the server is slow",
 			"head body deciding uploading wait got=32768 +60 timeout wait +2 timeout",
 			"timeout:, timeout:",
 		},
@@ -149,7 +155,7 @@
 			"{Reads:true Writes:false}, head resumed, deciding resumed, last:true, idle closed, x",
 		},
 		{
-			"closed under an answer",
+			"closed while an answer is written",
 			"head deciding answering close",
 			"{Reads:true Writes:true}, x",
 		},
@@ -179,25 +185,25 @@
 			"answering illegal, idle closed, client-illegal",
 		},
 		{
-			"a second request under the first",
+			"a second request before the answer to the first",
 			"head deciding head",
 			"head resumed, head illegal, client-illegal",
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			m := Accepted(0)
-			if diff := cmp.Diff(tc.want, play(t, &m, tc.script)); diff != "" {
+			if diff := cmp.Diff(tc.want, runScript(t, &m, tc.script)); diff != "" {
 				t.Errorf("results (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// Which connections are closed for want of room, in this order, and which never are.
+// The connections in evictable are closed to make room for others, in this order, and those in kept never are.
 func TestEvictable(t *testing.T) {
 	machine := func(since decision.Seconds, script string) *Machine {
 		m := Accepted(since)
-		play(t, &m, script)
+		runScript(t, &m, script)
 		m.since = since
 		return &m
 	}
