--- a/internal/dataplane/ingress/metering.go
+++ b/internal/dataplane/ingress/metering.go
@@ -35,7 +35,7 @@
 		Plan:      t.Plan,
 		Class:     r.Class,
 		Revision:  t.Revision,
-		Units:     usage.ToMicro(r.Units),
+		Units:     usage.ToMicroUnits(r.Units),
 		OverQuota: overQuota,
 		Minute:    time.Now().Unix() / 60,
 	})
--- a/internal/dataplane/usage/record.go
+++ b/internal/dataplane/usage/record.go
@@ -5,23 +5,23 @@
 	"hash/crc32"
 )
 
-// Kind is what a record records.
+// Kind is the type of a record.
 type Kind uint8
 
 // The kinds. Their numbers are part of the format of records.
 const (
 	Sent      Kind = 'S' // the first attempt of a request is about to be sent
-	Ended     Kind = 'E' // a request has ended, and what is known of its arrival
-	Unmetered Kind = 'U' // requests that could not be recorded, for the disk was full
+	Ended     Kind = 'E' // a request has ended; the record holds its Arrival
+	Unmetered Kind = 'U' // requests that could not be recorded because the disk was full
 )
 
 // Record is one record of a segment.
 type Record struct {
 	Kind      Kind
 	Seq       uint64  // numbers the requests of a writer, from 1
-	Request   Request // of Sent
-	Arrival   Arrival // of Ended
-	Unmetered Sum     // of Unmetered
+	Request   Request // for Sent
+	Arrival   Arrival // for Ended
+	Unmetered Sum     // for Unmetered
 }
 
 // AppendRecord appends a record's payload.
@@ -57,7 +57,8 @@
 	return b
 }
 
-// Frame returns the eight bytes before a payload, little endian: its length, which is never 0, and its checksum.
+// Frame returns the eight bytes before a payload, as a little-endian number: the length of the payload, which is never
+// 0, and its checksum.
 func Frame(payload []byte) uint64 {
 	return uint64(len(payload)) | uint64(crc32.Checksum(payload, castagnoli))<<32
 }
--- a/internal/dataplane/usage/replayer.go
+++ b/internal/dataplane/usage/replayer.go
@@ -3,8 +3,9 @@
 import "math"
 
 const (
-	// maxMinutesInFlight is after how many minutes a request without a recorded end counts as one of unknown arrival:
-	// no client waits for more than five, so its end was lost, to a full disk for example.
+	// maxMinutesInFlight is the age in minutes from which a request without a recorded end is counted with unknown
+	// arrival. No client waits for more than five minutes, so the record of the end was lost, for example because the
+	// disk was full.
 	maxMinutesInFlight = 10
 
 	msPerMinute = 60_000
@@ -13,18 +14,18 @@
 // Replayer replays segments in order and returns what each adds to the bill. Requests that were in flight when a
 // segment ended are carried over into the next.
 type Replayer struct {
-	Writer  uint64             // of the last segment: one run of one ingress
-	Pending map[uint64]Request // sent and not ended, by number
+	Writer  uint64             // writer of the last segment: one run of one ingress
+	Pending map[uint64]Request // requests that were sent and have not ended, by Record.Seq
 }
 
-// Replay replays one segment.
+// Replay replays one segment. It returns what the segment adds to the bill, and a report on reading it.
 func (r *Replayer) Replay(h Header, data []byte) (Tally, Report, error) {
 	tally := Tally{}
 	if r.Pending == nil {
 		r.Pending = map[uint64]Request{}
 	}
 	if h.Writer != r.Writer {
-		r.expire(tally, math.MaxInt64) // that run is over: the ends of what it had in flight will never be recorded
+		r.expire(tally, math.MaxInt64) // the earlier run is over, so the ends of its requests will never be recorded
 		r.Writer = h.Writer
 	}
 	report, err := Scan(data, func(record Record) { r.apply(tally, record) })
@@ -47,7 +48,7 @@
 	}
 }
 
-// expire counts the pending requests that were sent before a minute as of unknown arrival.
+// expire counts the pending requests that were sent before the given minute with unknown arrival.
 func (r *Replayer) expire(tally Tally, before int64) {
 	for seq, request := range r.Pending {
 		if request.Minute < before {
--- a/internal/dataplane/usage/replayer_test.go
+++ b/internal/dataplane/usage/replayer_test.go
@@ -23,7 +23,7 @@
 		pending int
 	}{
 		{
-			"ends of four, one not arrived, one twice, one of none",
+			"four requests: one arrived, one not arrived with a second end, two pending; an end of an unknown request",
 			Header{Number: 1, Writer: 7, SealedAt: 100 * minute},
 			[]Record{
 				sent(1, "a", 100), sent(2, "a", 100), sent(3, "b", 100), sent(4, "c", 100),
@@ -32,13 +32,13 @@
 			[]row{{"a", false, 1}}, 2,
 		},
 		{
-			"an end of a request of the segment before",
+			"an end of a request from the previous segment",
 			Header{Number: 2, Writer: 7, SealedAt: 101 * minute},
 			[]Record{ended(3, ArrivalUnknown), sent(5, "d", 101)},
 			[]row{{"b", true, 1}}, 2,
 		},
 		{
-			"an end that is missing for long, as when the disk was full",
+			"an end that has been missing for long, for example because the disk was full",
 			Header{Number: 3, Writer: 7, SealedAt: 111 * minute},
 			[]Record{ended(5, Arrived)},
 			[]row{{"c", true, 1}, {"d", false, 1}}, 0,
@@ -50,7 +50,7 @@
 			nil, 1,
 		},
 		{
-			"another run: the end of what was in flight will never be recorded",
+			"another run: the end of the request in flight will never be recorded",
 			Header{Number: 5, Writer: 8, SealedAt: 113 * minute},
 			[]Record{sent(6, "f", 113), ended(6, Arrived)},
 			[]row{{"e", true, 1}, {"f", false, 1}}, 0,
@@ -60,7 +60,7 @@
 		var got []row
 		for _, billed := range tally.Rows() {
 			got = append(got, row{billed.Member, billed.Unknown, billed.Requests})
-			if want := billed.Requests * 2 * Micro; billed.Units != want {
+			if want := billed.Requests * 2 * MicroPerUnit; billed.Units != want {
 				t.Errorf("%s: %d micro-units of %s, want %d", tc.name, billed.Units, billed.Member, want)
 			}
 		}
@@ -81,7 +81,7 @@
 	wantKnown, wantUnknown int64
 }
 
-// restart is a killed run: the arrival of what was in flight stays unknown.
+// restart simulates that the run is killed and another one starts: the arrival of the requests in flight stays unknown.
 func (m *usageModel) restart() {
 	m.wantUnknown += int64(len(m.inFlight))
 	m.inFlight, m.seq = nil, 0
@@ -107,7 +107,8 @@
 	return r
 }
 
-// However requests are distributed over segments, and these over batches, each is counted once.
+// Each request is counted exactly once, however the requests are distributed over segments, and the segments over
+// batches.
 func TestEachRequestIsCountedOnce(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	for range 300 {
--- a/internal/dataplane/usage/request.go
+++ b/internal/dataplane/usage/request.go
@@ -7,7 +7,7 @@
 	"mulleinrouter/internal/decision"
 )
 
-// Arrival is whether the attempts of a request arrived at a backend: the largest of the attempts'.
+// Arrival states whether a request arrived at a backend. For several attempts, it is the largest value of any attempt.
 type Arrival uint8
 
 // The arrivals. Their numbers are part of the format of records.
@@ -26,9 +26,9 @@
 	return fmt.Sprintf("arrival %d", uint8(a))
 }
 
-// ArrivalOf returns what the outcome of an attempt proves (PROTOCOL, "Ingresses to quote servers"). Answered: a
-// complete answer followed a request that was written completely. A server that rejects a request has received it,
-// too: units are charged when the first attempt has arrived, not when it has run.
+// ArrivalOf returns the arrival that the outcome of an attempt proves (PROTOCOL, "Ingresses to quote servers").
+// answered is true if the request was written completely and a complete answer followed. A server that rejects a
+// request has received it, too: units are charged when the first attempt has arrived, not when it has been executed.
 func ArrivalOf(outcome decision.Outcome, answered bool) Arrival {
 	switch {
 	case answered || outcome == decision.Succeeded || outcome == decision.Rejected:
@@ -39,14 +39,15 @@
 	return ArrivalUnknown // written completely, and then lost, timed out or cancelled
 }
 
-// Micro is the number of micro-units in a unit. Sums of integers are the same in any order.
-const Micro = 1_000_000
+// MicroPerUnit is the number of micro-units in a unit. Units are added up as integers, because the sum of integers does
+// not depend on their order.
+const MicroPerUnit = 1_000_000
 
-// ToMicro rounds units to micro-units.
-func ToMicro(units float64) int64 { return int64(math.Round(units * Micro)) }
+// ToMicroUnits rounds units to micro-units.
+func ToMicroUnits(units float64) int64 { return int64(math.Round(units * MicroPerUnit)) }
 
-// Request is a client's request that was forwarded, as far as billing is concerned. All its attempts are one request.
-// Its JSON is stored by standalone/usageexport.
+// Request is the billing data of a client's request that was forwarded. All attempts of the request count as one.
+// standalone/usageexport stores its JSON.
 type Request struct {
 	Tenant    string `json:"Tenant"`
 	Member    string `json:"Member"`
@@ -54,6 +55,6 @@
 	Class     string `json:"Class"`
 	Revision  uint64 `json:"Revision"` // of the catalogue that named the plan; 0: the settings
 	Units     int64  `json:"Units"`    // micro-units
-	OverQuota bool   `json:"Beyond"`   // it was forwarded over quota
-	Minute    int64  `json:"Minute"`   // Unix time in minutes, when its first attempt was sent
+	OverQuota bool   `json:"Beyond"`   // the request was forwarded although it exceeded its quota
+	Minute    int64  `json:"Minute"`   // Unix time in minutes at which the first attempt was sent
 }
--- a/internal/dataplane/usage/request_test.go
+++ b/internal/dataplane/usage/request_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// Pending requests are stored as JSON: the names must stay.
+// Pending requests are stored as JSON, so the names of the fields must not change.
 func TestRequestJSON(t *testing.T) {
 	const want = `{"Tenant":"t","Member":"m","Plan":"p","Class":"c","Revision":7,"Units":1500000,"Beyond":true,` +
 		`"Minute":29000000}`
--- a/internal/dataplane/usage/scan.go
+++ b/internal/dataplane/usage/scan.go
@@ -6,17 +6,17 @@
 	"math"
 )
 
-// Report is how reading a segment went.
+// Report is the result of reading a segment.
 type Report struct {
-	Records   int
-	End       int // bytes from the segment's beginning to the end of the last sound record
-	Damaged   int // records that were skipped, for their checksum does not match
-	Lost      int // bytes after End up to the last that is not zero: a record cut short, or what cannot be read
+	Records   int // records read
+	End       int // offset of the end of the last valid record, bytes
+	Damaged   int // records that were skipped because their checksum does not match
+	Lost      int // bytes from End to the last non-zero byte: a truncated record, or unreadable data
 	Unmetered Sum // requests that were not recorded
 }
 
-// Scan reads the records of a segment, whose header the data begins with. A damaged record is skipped if the one
-// after it is sound; what follows the last sound record is reported as lost.
+// Scan reads the records of a segment. The data begins with the segment's header. A damaged record is skipped if the
+// next record is valid. Data after the last valid record is reported as lost.
 func Scan(data []byte, each func(Record)) (report Report, err error) {
 	if _, err := ParseHeader(data); err != nil {
 		return report, err
@@ -33,7 +33,7 @@
 			at, report.End = next, next
 			continue
 		}
-		// Its length may be sound though its payload is not: then the next record is sound.
+		// The length may be intact although the payload is damaged. In this case, the next record is valid.
 		if next == 0 {
 			break
 		}
@@ -47,7 +47,7 @@
 	return report, nil
 }
 
-// lostBytes returns how many bytes there are up to the last that is not zero.
+// lostBytes returns the number of bytes up to the last one that is not zero.
 func lostBytes(b []byte) int {
 	for i := len(b) - 1; i >= 0; i-- {
 		if b[i] != 0 {
@@ -57,7 +57,7 @@
 	return 0
 }
 
-// readRecord reads the record at a position, and returns that of the next one; 0: it is not known.
+// readRecord reads the record at an offset. It returns the offset of the next record; 0: unknown.
 func readRecord(data []byte, at int) (r Record, next int, ok bool) {
 	if at+frameSize > len(data) {
 		return r, 0, false
--- a/internal/dataplane/usage/segment_test.go
+++ b/internal/dataplane/usage/segment_test.go
@@ -10,7 +10,7 @@
 
 // newRequest returns a request of two units.
 func newRequest(member string, minute int64) Request {
-	return Request{Member: member, Plan: "basic", Class: "read", Revision: 3, Units: 2 * Micro, Minute: minute}
+	return Request{Member: member, Plan: "basic", Class: "read", Revision: 3, Units: 2 * MicroPerUnit, Minute: minute}
 }
 
 // sent returns the record of a request that was sent.
@@ -21,7 +21,7 @@
 // ended returns the record of a request that has ended.
 func ended(seq uint64, a Arrival) Record { return Record{Kind: Ended, Seq: seq, Arrival: a} }
 
-// segmentOf writes records as a writer does.
+// segmentOf returns a segment with the given header and records.
 func segmentOf(h Header, records ...Record) []byte {
 	b := AppendHeader(nil, h)
 	for i := range records {
@@ -62,13 +62,13 @@
 	}
 }
 
-// A segment cut at every byte of its last record: all records before it are read, and nothing of it.
+// If a segment is cut off at any byte of its last record, all records before it are read, and nothing of the last one.
 func TestSegmentCutAnywhereInItsLastRecord(t *testing.T) {
 	before := []Record{sent(1, "a", 5), ended(1, Arrived)}
 	beginning := segmentOf(Header{Number: 1}, before...)
 	complete := segmentOf(Header{Number: 1}, append(before, sent(2, "b", 5))...)
 	for cut := len(beginning); cut < len(complete); cut++ {
-		for _, zeros := range []int{0, 100} { // a file that was cut short, and one that was allocated in advance
+		for _, zeros := range []int{0, 100} { // a truncated file, and a preallocated one
 			data := append(slices.Clone(complete[:cut]), make([]byte, zeros)...)
 			n := 0
 			report, err := Scan(data, func(Record) { n++ })
@@ -76,7 +76,7 @@
 				t.Fatalf("cut at %d, %d zeros: %d records, %+v, error %v; want %d records up to %d",
 					cut, zeros, n, report, err, len(before), len(beginning))
 			}
-			// The last bytes of a record may be zeros themselves: no more than these are not reported as lost.
+			// Only the last bytes that are left of the record may go unreported, if they are zeros.
 			if cut-len(beginning) > 8 && report.Lost == 0 {
 				t.Fatalf("cut at %d, %d zeros: nothing reported as lost", cut, zeros)
 			}
@@ -84,7 +84,7 @@
 	}
 }
 
-// A flipped bit costs its record and no other, unless it is in a length; it is always reported.
+// A flipped bit causes the loss of its own record only, unless it is in a length. It is always reported.
 func TestFlippedBits(t *testing.T) {
 	records := []Record{sent(1, "a", 5), sent(2, "b", 5), sent(3, "c", 5)}
 	data := segmentOf(Header{Number: 1}, records...)
@@ -110,9 +110,9 @@
 
 func TestFlippedBitsOfHeader(t *testing.T) {
 	data := segmentOf(Header{Number: 1}, sent(1, "a", 5), sent(2, "b", 5), sent(3, "c", 5))
-	for bit := range checksumAt * 8 {
+	for bit := range checksumOffset * 8 {
 		_, err := Scan(flipBit(data, bit), func(Record) {})
-		readable := bit/8 >= sealedAt // when the segment was closed is set later
+		readable := bit/8 >= sealedOffset // the closing time is written later and is not covered by the checksum
 		if (err == nil) != readable {
 			t.Fatalf("bit %d: error %v, want it readable: %v", bit, err, readable)
 		}
--- a/internal/dataplane/usage/tally.go
+++ b/internal/dataplane/usage/tally.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Key is what a bill distinguishes.
+// Key identifies a row of a bill.
 type Key struct {
 	Tenant    string `json:"tenant,omitempty"`
 	Member    string `json:"member"`
@@ -14,10 +14,10 @@
 	Class     string `json:"class"`
 	Minute    int64  `json:"minute"`
 	OverQuota bool   `json:"beyond"`
-	Unknown   bool   `json:"unknown"` // it is not known whether an attempt arrived: listed separately
+	Unknown   bool   `json:"unknown"` // it is not known whether an attempt arrived; listed in separate rows
 }
 
-// Sum is what was counted under a key.
+// Sum is the total of the requests with the same key.
 type Sum struct {
 	Requests int64 `json:"tries"`
 	Units    int64 `json:"micro_units"`
@@ -28,8 +28,8 @@
 	return Sum{Requests: s.Requests + other.Requests, Units: s.Units + other.Units}
 }
 
-// InUnits returns the sum in units: micro-units are for adding up.
-func (s Sum) InUnits() float64 { return float64(s.Units) / Micro }
+// InUnits returns the sum in units. Sums are kept in micro-units, so that they can be added up exactly.
+func (s Sum) InUnits() float64 { return float64(s.Units) / MicroPerUnit }
 
 // Row is one row of a bill.
 type Row struct {
@@ -40,7 +40,7 @@
 // Tally sums up requests by key.
 type Tally map[Key]Sum
 
-// Add counts a request by what is known of its arrival. One that did not arrive is not billed.
+// Add counts a request according to its arrival. A request that did not arrive is not billed.
 func (t Tally) Add(r Request, a Arrival) {
 	if a == NotArrived {
 		return
@@ -65,7 +65,7 @@
 	}
 }
 
-// Rows returns the rows of a tally in a fixed order, which batches are digested in.
+// Rows returns the rows of the tally in a fixed order, because the digest of a batch depends on their order.
 func (t Tally) Rows() []Row {
 	rows := make([]Row, 0, len(t))
 	for k, s := range t {
--- a/internal/emulator/testcluster/evaluation.go
+++ b/internal/emulator/testcluster/evaluation.go
@@ -160,7 +160,7 @@
 	arrived := map[string]int64{}
 	for id := range e.arrivals {
 		if q := e.requests[id]; q != nil {
-			arrived[memberName(q.member)] += usage.ToMicro(q.units)
+			arrived[memberName(q.member)] += usage.ToMicroUnits(q.units)
 		}
 	}
 	return arrived
--- a/internal/standalone/cli/cli_test.go
+++ b/internal/standalone/cli/cli_test.go
@@ -185,7 +185,7 @@
 			Member:    fmt.Sprintf("%016x", i%2),
 			Plan:      plans[i%2],
 			Class:     "quote-read",
-			Units:     usage.ToMicro(1.5),
+			Units:     usage.ToMicroUnits(1.5),
 			OverQuota: i < 4,
 			Minute:    time.Now().Unix() / 60,
 		})
--- a/internal/standalone/usageexport/exporter_test.go
+++ b/internal/standalone/usageexport/exporter_test.go
@@ -42,13 +42,13 @@
 			Plan:      "plus",
 			Class:     "quote-read",
 			Revision:  uint64(i % 3),
-			Units:     usage.ToMicro(1.25),
+			Units:     usage.ToMicroUnits(1.25),
 			Minute:    time.Now().Unix()/60 - int64(i%4),
 			OverQuota: i%5 == 0,
 		}
 		w.Ended(w.Sent(request), usage.Arrived)
 	}
-	w.Sent(usage.Request{Member: "00000000000000ff", Units: usage.ToMicro(2), Minute: time.Now().Unix() / 60})
+	w.Sent(usage.Request{Member: "00000000000000ff", Units: usage.ToMicroUnits(2), Minute: time.Now().Unix() / 60})
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -115,7 +115,7 @@
 				exportAll(t, e)
 				totals := b.Totals()
 				known, unknown := totals.Tally.Total()
-				wantKnown := usage.Sum{Requests: 80, Units: 100 * usage.Micro}
+				wantKnown := usage.Sum{Requests: 80, Units: 100 * usage.MicroPerUnit}
 				if known != wantKnown || unknown.Requests != 1 || totals.Conflicts != 0 {
 					t.Errorf("billed %+v, unknown %+v, %d repeats, %d conflicts; want %+v, 1 request, any, 0",
 						known, unknown, totals.Repeats, totals.Conflicts, wantKnown)
--- a/internal/standalone/usagesegment/segment_test.go
+++ b/internal/standalone/usagesegment/segment_test.go
@@ -26,7 +26,7 @@
 		Plan:     "basic",
 		Class:    "quote-read",
 		Revision: 1,
-		Units:    usage.ToMicro(units),
+		Units:    usage.ToMicroUnits(units),
 		Minute:   29_000_000,
 	}
 }
@@ -104,7 +104,8 @@
 		t.Fatal(err)
 	}
 	known, unknown, out, _ := replay(t, dir)
-	if known != (usage.Sum{Requests: 40_000, Units: 60_000 * usage.Micro}) || unknown.Requests != 40_000 || out != 1 {
+	if known != (usage.Sum{Requests: 40_000, Units: 60_000 * usage.MicroPerUnit}) ||
+		unknown.Requests != 40_000 || out != 1 {
 		t.Errorf("got known %+v, unknown %+v, %d in flight", known, unknown, out)
 	}
 	list, _ := List(dir)
@@ -154,7 +155,7 @@
 	}
 	w.Ended(before, usage.Arrived) // its end waits for space
 	w.maintain(true)               // still full
-	if m := w.Missed(); m != (usage.Sum{Requests: 10, Units: 20 * usage.Micro}) {
+	if m := w.Missed(); m != (usage.Sum{Requests: 10, Units: 20 * usage.MicroPerUnit}) {
 		t.Errorf("got missed %+v, want 10 requests of 2 units", m)
 	}
 	full = false
@@ -166,8 +167,8 @@
 		t.Fatal(err)
 	}
 	known, unknown, out, missed := replay(t, dir)
-	wantMissed := usage.Sum{Requests: 10, Units: 20 * usage.Micro}
-	if known.Units != 4*usage.Micro || unknown.Units != 0 || out != 0 || missed != wantMissed {
+	wantMissed := usage.Sum{Requests: 10, Units: 20 * usage.MicroPerUnit}
+	if known.Units != 4*usage.MicroPerUnit || unknown.Units != 0 || out != 0 || missed != wantMissed {
 		t.Errorf("known %+v, unknown %+v, %d out, missed %+v", known, unknown, out, missed)
 	}
 	if n := strings.Count(lines.String(), "usage-full"); n != 1 || strings.Count(lines.String(), "usage-resumed") != 1 {
