--- a/internal/dataplane/upstream/acquire.go
+++ b/internal/dataplane/upstream/acquire.go
@@ -23,7 +23,7 @@
 
 // acquire takes the idle connection to a backend that was used last, or opens one.
 func (p *Pool) acquire(
-	ctx context.Context, backend string, deadline time.Time, reuse upstreamconn.Reuse,
+	ctx context.Context, backend string, deadline time.Time, reuse upstreamconn.ReuseConditions,
 ) (*conn, error) {
 	addr, _ := p.lookup(backend)
 	for {
@@ -59,7 +59,7 @@
 }
 
 // usable reports whether a request may be written to a connection that was idle. It closes one that is not.
-func (p *Pool) usable(c *conn, addr string, reuse upstreamconn.Reuse) bool {
+func (p *Pool) usable(c *conn, addr string, reuse upstreamconn.ReuseConditions) bool {
 	if code := c.stale(addr); code != "" {
 		if code != "upstream-moved" {
 			p.recordLoss(c)
--- a/internal/dataplane/upstream/attempt.go
+++ b/internal/dataplane/upstream/attempt.go
@@ -27,7 +27,7 @@
 	if _, serving := p.lookup(backend); !serving || ctx.Err() != nil {
 		return Result{Outcome: decision.NotSent}
 	}
-	reuse := upstreamconn.Reuse{AtMostOnce: m.AtMostOnce}
+	reuse := upstreamconn.ReuseConditions{AtMostOnce: m.AtMostOnce}
 	if p.Dialect.IDField != "" {
 		reuse.Resent = slices.Contains(m.writtenTo, backend)
 	}
--- a/internal/dataplane/upstream/write.go
+++ b/internal/dataplane/upstream/write.go
@@ -43,10 +43,10 @@
 // holdsLastByte reports whether the last byte of a request is to be held back.
 func (p *Pool) holdsLastByte(c *conn, atMostOnce bool) bool {
 	now := p.now()
-	evidence := upstreamconn.Evidence{New: c.Uses() == 1, IdleFor: now - c.lastAnswer, AtMostOnce: atMostOnce}
+	conditions := upstreamconn.WriteConditions{New: c.Uses() == 1, IdleFor: now - c.lastAnswer, AtMostOnce: atMostOnce}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.losses.HoldLastByte(c.backend, now, evidence)
+	return p.losses.HoldLastByte(c.backend, now, conditions)
 }
 
 // hold waits, while a part of a request is held back, until a reset by a server that has forgotten the connection
--- a/internal/dataplane/upstreamconn/doc.go
+++ b/internal/dataplane/upstreamconn/doc.go
@@ -1,9 +1,9 @@
-// Package upstreamconn decides about connections to backends: Machine is the state machine of one connection and says
-// what each way in which an attempt ends proves; IdlePool keeps the idle connections; LossHistory says when the last
-// byte of a request is to be held back.
+// Package upstreamconn implements the rules for connections to backends. Machine is the state machine of one
+// connection, and determines what the end of an attempt proves. IdlePool keeps the idle connections. LossHistory
+// determines when the last byte of a request is held back.
 //
-// The package does no I/O, reads no clock and starts no goroutine; of this module it imports decision and mutants. Its
-// types are not safe for concurrent use: package upstream owns and guards them. Its tests are here and in the model
-// checker (internal/emulator/modelcheck), which drives the machine through orders of events and, in builds with the
-// tag mutants, must find each seeded fault.
+// The package does no I/O, reads no clock and starts no goroutine. Within this module it imports only decision and
+// mutants. Its types are not safe for concurrent use: package upstream owns and guards them. The tests are in this
+// package and in the model checker (internal/emulator/modelcheck), which explores many orders of events and, in builds
+// with the tag mutants, must detect each seeded fault.
 package upstreamconn
--- a/internal/dataplane/upstreamconn/errors.go
+++ b/internal/dataplane/upstreamconn/errors.go
@@ -2,5 +2,5 @@
 
 import "errors"
 
-// ErrState is an event that a connection's state does not have: a mistake of the host.
+// ErrState means that the connection's state does not allow the event. This is a bug of the host.
 var ErrState = errors.New("not in this state")
--- a/internal/dataplane/upstreamconn/idle_pool.go
+++ b/internal/dataplane/upstreamconn/idle_pool.go
@@ -7,12 +7,11 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// IdlePool keeps the idle connections to all servers, and counts the open ones. C is what the host has for a
-// connection.
+// IdlePool keeps the idle connections to all servers, and counts the open ones. C is the host's type of a connection.
 type IdlePool[C any] struct {
-	Max int // connections open at once, to all servers
+	Max int // limit of open connections to all servers together
 
-	idle map[string][]IdleConn[C] // by server, the one used last at the end
+	idle map[string][]IdleConn[C] // by server, the most recently used one last
 	open int
 }
 
@@ -27,13 +26,13 @@
 	return &IdlePool[C]{Max: maxOpen, idle: map[string][]IdleConn[C]{}}
 }
 
-// Open returns how many connections are open, idle or in use, or being opened.
+// Open returns the number of connections that are idle, in use or being opened.
 func (ip *IdlePool[C]) Open() int { return ip.open }
 
-// Idle returns how many connections to a server are idle.
+// Idle returns the number of idle connections to a server.
 func (ip *IdlePool[C]) Idle(server string) int { return len(ip.idle[server]) }
 
-// Take takes the connection to a server that was used last, if one is idle.
+// Take removes and returns the most recently used idle connection to a server, if there is one.
 func (ip *IdlePool[C]) Take(server string) (c IdleConn[C], ok bool) {
 	conns := ip.idle[server]
 	if len(conns) == 0 {
@@ -49,14 +48,15 @@
 // set replaces the idle connections to a server.
 func (ip *IdlePool[C]) set(server string, conns []IdleConn[C]) {
 	if len(conns) == 0 {
-		delete(ip.idle, server) // else each server that ever was would keep an entry
+		delete(ip.idle, server) // otherwise every server that was ever used would keep an entry
 		return
 	}
 	ip.idle[server] = conns
 }
 
-// Reserve counts a new connection as open, which the host is to open now. At the limit, the connection that has been
-// idle for longest makes room: evict says that evicted is to be closed. Not ok: all open connections are in use.
+// Reserve counts a new connection as open; the host then opens it. At the limit, the pool removes the connection that
+// has been idle for longest: evict reports that the host must close evicted. ok is false if all open connections are in
+// use.
 func (ip *IdlePool[C]) Reserve() (evicted C, evict, ok bool) {
 	if ip.open >= ip.Max {
 		server := ip.longestIdle()
@@ -70,8 +70,8 @@
 	return evicted, evict, true
 }
 
-// longestIdle returns the server to which a connection has been idle for longest, and of several the first in the order
-// of their names; "": none is idle.
+// longestIdle returns the server whose connection has been idle for longest. Among equals, it returns the first server
+// in the order of names; "": no connection is idle.
 func (ip *IdlePool[C]) longestIdle() (longest string) {
 	var longestSince decision.Seconds
 	for server, conns := range ip.idle {
@@ -92,15 +92,15 @@
 	ip.idle[server] = append(ip.idle[server], IdleConn[C]{c, now})
 }
 
-// Closed records that an open connection was closed, or that one that was reserved could not be opened.
+// Closed records that an open connection was closed, or that a reserved one could not be opened.
 func (ip *IdlePool[C]) Closed() {
 	if !mutants.On("upstreamconn/gone-uncounted") {
 		ip.open--
 	}
 }
 
-// TakeExpired takes out the connections that have been idle since before a time, and all those to servers that are not
-// serving.
+// TakeExpired removes and returns the connections that have been idle since before the given time, and all idle
+// connections to servers that are not serving.
 func (ip *IdlePool[C]) TakeExpired(before decision.Seconds, serving func(server string) bool) (expired []C) {
 	for server, conns := range ip.idle {
 		n := 0
@@ -118,7 +118,7 @@
 	return expired
 }
 
-// Peek returns the connection that Take would take, and leaves it in the pool.
+// Peek returns the connection that Take would return, but leaves it in the pool.
 func (ip *IdlePool[C]) Peek(server string) (c C, ok bool) {
 	conns := ip.idle[server]
 	if len(conns) == 0 {
--- a/internal/dataplane/upstreamconn/idle_pool_test.go
+++ b/internal/dataplane/upstreamconn/idle_pool_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// poolModel is what an IdlePool of numbered connections must hold.
+// poolModel is the expected content of an IdlePool of numbered connections.
 type poolModel struct {
 	rng       *rand.Rand
 	next      int // number of the next connection
@@ -16,8 +16,8 @@
 	idleSince map[int]float64
 }
 
-// pick returns a connection of a set by chance; -1: none.
-func (m *poolModel) pick(set map[int]string) int {
+// randomConn returns a random connection of a set; -1: none.
+func (m *poolModel) randomConn(set map[int]string) int {
 	for id := range m.next {
 		if _, ok := set[id]; ok && m.rng.IntN(2) == 0 {
 			return id
@@ -26,8 +26,8 @@
 	return -1
 }
 
-// A pool used at random: its open connections are those that were reserved and not reported as closed, never more than
-// its limit.
+// After any random sequence of operations, the open connections of a pool are those that were reserved and not reported
+// as closed, and never more than the limit.
 func TestIdlePool(t *testing.T) {
 	const limit = 5
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -66,13 +66,13 @@
 			m.busy[m.next] = server
 			m.next++
 		case 2:
-			if id := m.pick(m.busy); id >= 0 {
+			if id := m.randomConn(m.busy); id >= 0 {
 				p.Put(m.busy[id], id, now)
 				m.idle[id], m.idleSince[id] = m.busy[id], now
 				delete(m.busy, id)
 			}
 		case 3:
-			if id := m.pick(m.busy); id >= 0 {
+			if id := m.randomConn(m.busy); id >= 0 {
 				delete(m.busy, id)
 				p.Closed()
 			}
--- a/internal/dataplane/upstreamconn/loss_history.go
+++ b/internal/dataplane/upstreamconn/loss_history.go
@@ -2,33 +2,34 @@
 
 import "mulleinrouter/internal/decision"
 
-// A request may be written in two parts, the last byte some milliseconds after the rest: a server that has forgotten
-// the connection answers the first part with a reset, and while the last byte is held back that proves that nothing
-// has run. Each request that is held back pays for it in latency, so it is done only where it may prove something:
+// A request may be written in two parts, with the last byte some milliseconds after the rest. A server that has already
+// dropped the connection answers the first part with a reset. If the reset arrives before the last byte is written, it
+// proves that the request was not executed. Holding back the last byte adds latency to the request, so it is done only
+// if it may provide such a proof:
 //
-//   - on connections to a server that lost one a moment ago, for whatever reason: it restarts, is overloaded, or
-//     closes idle connections sooner than it says;
-//   - before a request that must run at most once: without a proof, its client gets a failure;
-//   - on a connection that has been idle for long. An idempotent request that is lost with it is retried, and the
-//     loss is remembered.
+//   - on connections to a server that lost a connection a moment ago, for whatever reason: the server restarts, is
+//     overloaded, or closes idle connections sooner than it announces;
+//   - before a request that must be executed at most once, because its client gets a failure if there is no proof;
+//   - on a connection that has been idle for long. An idempotent request that is lost with the connection is retried,
+//     and the loss is recorded.
 const (
-	lossMemory decision.Seconds = 10 // how long a lost connection counts against the others to its server
-	longIdle   decision.Seconds = 1  // a server may have forgotten a connection that has been idle for longer
+	lossRetention decision.Seconds = 10 // seconds for which a lost connection counts against the others to its server
+	longIdleTime  decision.Seconds = 1  // seconds of idleness after which a server may have dropped a connection
 )
 
-// Evidence is what is known of a connection and a request before the request is written.
-type Evidence struct {
-	New        bool             // nothing has been answered on the connection
-	IdleFor    decision.Seconds // since its last answer
-	AtMostOnce bool             // the request must run at most once
+// WriteConditions describes a connection and a request before the request is written to the connection.
+type WriteConditions struct {
+	New        bool             // no answer has arrived on the connection
+	IdleFor    decision.Seconds // time since its last answer, seconds
+	AtMostOnce bool             // the request must be executed at most once
 }
 
-// LossHistory remembers when each server last lost a connection. Its zero value is empty.
+// LossHistory records when each server last lost a connection. The zero value is empty.
 type LossHistory struct {
-	lastLoss map[string]decision.Seconds // by server
+	lastLoss map[string]decision.Seconds // time of the last loss, by server
 }
 
-// Record records a connection that ended while it was idle, or as a request was written to it.
+// Record records the loss of a connection, which ended while it was idle or while a request was written to it.
 func (lh *LossHistory) Record(server string, now decision.Seconds) {
 	if lh.lastLoss == nil {
 		lh.lastLoss = map[string]decision.Seconds{}
@@ -36,18 +37,18 @@
 	lh.lastLoss[server] = now
 }
 
-// HoldLastByte reports whether the last byte of a request is to be held back.
-func (lh *LossHistory) HoldLastByte(server string, now decision.Seconds, e Evidence) bool {
-	if at, ok := lh.lastLoss[server]; ok && now-at < lossMemory {
+// HoldLastByte reports whether the last byte of a request must be held back.
+func (lh *LossHistory) HoldLastByte(server string, now decision.Seconds, c WriteConditions) bool {
+	if at, ok := lh.lastLoss[server]; ok && now-at < lossRetention {
 		return true
 	}
-	return e.AtMostOnce || !e.New && e.IdleFor > longIdle
+	return c.AtMostOnce || !c.New && c.IdleFor > longIdleTime
 }
 
 // Expire drops losses that no longer count.
 func (lh *LossHistory) Expire(now decision.Seconds) {
 	for server, at := range lh.lastLoss {
-		if now-at >= lossMemory {
+		if now-at >= lossRetention {
 			delete(lh.lastLoss, server)
 		}
 	}
--- a/internal/dataplane/upstreamconn/loss_history_test.go
+++ b/internal/dataplane/upstreamconn/loss_history_test.go
@@ -10,24 +10,24 @@
 	var h LossHistory
 	h.Record("lossy", 100)
 	for _, tc := range []struct {
-		name     string
-		server   string
-		now      decision.Seconds
-		evidence Evidence
-		want     bool
+		name       string
+		server     string
+		now        decision.Seconds
+		conditions WriteConditions
+		want       bool
 	}{
-		{"new", "sound", 101, Evidence{New: true}, false},
-		{"idle shortly", "sound", 101, Evidence{IdleFor: 0.5}, false},
-		{"idle for long", "sound", 101, Evidence{IdleFor: 1.5}, true},
-		{"new, at most once", "sound", 101, Evidence{New: true, AtMostOnce: true}, true},
-		{"idle shortly, at most once", "sound", 101, Evidence{IdleFor: 0.01, AtMostOnce: true}, true},
-		{"new, a loss 1 s ago", "lossy", 101, Evidence{New: true}, true},
-		{"a loss 9 s ago", "lossy", 109, Evidence{IdleFor: 0.01}, true},
-		{"a loss 11 s ago", "lossy", 111, Evidence{IdleFor: 0.01}, false},
+		{"new", "sound", 101, WriteConditions{New: true}, false},
+		{"idle shortly", "sound", 101, WriteConditions{IdleFor: 0.5}, false},
+		{"idle for long", "sound", 101, WriteConditions{IdleFor: 1.5}, true},
+		{"new, at most once", "sound", 101, WriteConditions{New: true, AtMostOnce: true}, true},
+		{"idle shortly, at most once", "sound", 101, WriteConditions{IdleFor: 0.01, AtMostOnce: true}, true},
+		{"new, a loss 1 s ago", "lossy", 101, WriteConditions{New: true}, true},
+		{"a loss 9 s ago", "lossy", 109, WriteConditions{IdleFor: 0.01}, true},
+		{"a loss 11 s ago", "lossy", 111, WriteConditions{IdleFor: 0.01}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if got := h.HoldLastByte(tc.server, tc.now, tc.evidence); got != tc.want {
-				t.Errorf("%s at %g, %+v: got %v, want %v", tc.server, tc.now, tc.evidence, got, tc.want)
+			if got := h.HoldLastByte(tc.server, tc.now, tc.conditions); got != tc.want {
+				t.Errorf("%s at %g, %+v: got %v, want %v", tc.server, tc.now, tc.conditions, got, tc.want)
 			}
 		})
 	}
--- a/internal/dataplane/upstreamconn/machine.go
+++ b/internal/dataplane/upstreamconn/machine.go
@@ -10,12 +10,12 @@
 // State is a state of a connection.
 type State uint8
 
-// The states. On a connection that is Ended nothing more is written or read.
+// The states. Nothing more is written to or read from a connection that is Ended.
 const (
 	Idle      State = iota // open, without a request
-	Writing                // a request is being written; its last byte has not been
-	Awaiting               // a request has been written completely, its answer is awaited
-	Streaming              // the answer is the client's; its body is read as it arrives
+	Writing                // a request is being written, but not its last byte yet
+	Awaiting               // a request has been written completely and its answer is awaited
+	Streaming              // the answer has been accepted for the client; its body is read as it arrives
 	Ended
 )
 
@@ -23,16 +23,16 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// maxForeignAnswers bounds the answers to other requests that are skipped before the awaited one: a server could send
-// them without end.
+// maxForeignAnswers bounds the number of answers to other requests that are skipped before the awaited answer, because
+// a server could send them endlessly.
 const maxForeignAnswers = 4
 
-// Machine is the state machine of one connection. Its zero value is a connection that has just been opened.
+// Machine is the state machine of one connection. The zero value represents a connection that has just been opened.
 type Machine struct {
 	state            State
-	uses             int
+	uses             int  // requests that have begun on the connection
 	foreignAnswers   int  // answers to other requests that have arrived
-	closeAfterStream bool // while streaming: the connection is not used again, however the body ends
+	closeAfterStream bool // while streaming: the connection is not reused, however the body ends
 }
 
 // State returns the state.
@@ -41,7 +41,7 @@
 // Uses returns how many requests have begun on the connection.
 func (m *Machine) Uses() int { return m.uses }
 
-// Begin takes the connection for a request.
+// Begin starts a request on the connection.
 func (m *Machine) Begin() error {
 	if m.state != Idle {
 		return fmt.Errorf("begin while %v: %w", m.state, ErrState)
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// NotBegun returns the connection before a byte of the request was written: MayBegin forbade it.
+// NotBegun ends an attempt of which no byte was written, because MayBegin forbade it. The connection is still usable.
 func (m *Machine) NotBegun() Verdict {
 	if m.state != Writing {
 		return m.illegal("not begun")
@@ -61,9 +61,10 @@
 	return Verdict{Outcome: decision.NotSent, Reusable: true}
 }
 
-// FailedWriting is the end before the last byte of a request was written: the write failed, the server sent something
-// or closed before, or the attempt was cancelled. Nothing has run. That a server has forgotten an idle connection
-// says nothing of the server, so another connection may replace it; a new connection is the last to be tried.
+// FailedWriting ends an attempt before the last byte of its request was written: the write failed, the server sent
+// something or closed the connection, or the attempt was cancelled. The request was not executed. If the connection was
+// used before, the server may only have dropped an idle connection, which says nothing about the server's health, so
+// another connection may be tried. If the connection was new, no other connection is tried.
 func (m *Machine) FailedWriting(failure Failure) Verdict {
 	if m.state != Writing {
 		return m.illegal("failed writing")
@@ -83,9 +84,10 @@
 	}
 }
 
-// AnsweredEarly is the end by an answer that arrived before the last byte of a request was written. The connection is
-// closed: half a request is on it. A server starts a request with its last byte, but one that answers with an error may
-// have read enough to: only a rejection in the protocol's form proves that nothing has run.
+// AnsweredEarly ends an attempt by an answer that arrived before the last byte of its request was written. The
+// connection is closed, because the request on it is incomplete. A server starts to execute a request when its last
+// byte has arrived, but a server that answers with an error may have started earlier. Only a rejection in the form of
+// the protocol proves that the request was not executed.
 func (m *Machine) AnsweredEarly(a Answer) Verdict {
 	if m.state != Writing {
 		return m.illegal("answered early")
@@ -98,7 +100,7 @@
 	return Verdict{Outcome: OutcomeOf(a), Code: "upstream-early-answer"}
 }
 
-// Written records that the last byte of the request has been written. From now on it may run.
+// Written records that the last byte of the request has been written. From now on, the server may execute the request.
 func (m *Machine) Written() error {
 	if m.state != Writing {
 		return fmt.Errorf("written while %v: %w", m.state, ErrState)
@@ -107,8 +109,9 @@
 	return nil
 }
 
-// ForeignAnswer records that an answer to another request arrived in place of the awaited one. Skip: it is skipped, for
-// the awaited one may follow, and the connection is not used again. Otherwise there have been too many.
+// ForeignAnswer records that an answer to another request arrived instead of the awaited one. skip means that the host
+// skips it, because the awaited answer may follow; the connection is not reused afterwards. Otherwise there have been
+// too many such answers.
 func (m *Machine) ForeignAnswer() (skip bool) {
 	if m.state != Awaiting {
 		return false
@@ -117,8 +120,8 @@
 	return m.foreignAnswers <= maxForeignAnswers || mutants.On("upstreamconn/others-endless")
 }
 
-// Answered is the end by an answer. With bytes behind it, it answers its request all the same, but the connection is
-// closed; so it does if the attempt was cancelled at the same time.
+// Answered ends an attempt by its answer. The answer is valid even if bytes follow it or if the attempt is cancelled at
+// the same time, but in these cases the connection is closed.
 func (m *Machine) Answered(a Answer, cancelled bool) Verdict {
 	if m.state != Awaiting {
 		return m.illegal("answered")
@@ -131,7 +134,7 @@
 	return Verdict{Outcome: OutcomeOf(a), Answered: true, Reusable: code == "", Code: code}
 }
 
-// closeCode returns the log code for which the connection is closed after an answer; "": it is reusable.
+// closeCode returns the log code with which the connection is closed after an answer; "": it is reusable.
 func (m *Machine) closeCode(a Answer, cancelled bool) string {
 	switch {
 	case a.TrailingBytes && !mutants.On("upstreamconn/more-kept"):
@@ -141,13 +144,13 @@
 	case a.Close && !mutants.On("upstreamconn/close-kept"):
 		return "upstream-close"
 	case cancelled && !mutants.On("upstreamconn/cancelled-kept"):
-		return "upstream-not-needed" // the cancellation may change its deadline at any time from now on
+		return "upstream-not-needed" // the cancellation may still change the deadline of the connection at any time
 	}
 	return ""
 }
 
-// BeginStreaming is the end of an attempt by an answer whose body is read as it arrives. The connection stays in use
-// until StreamEnded.
+// BeginStreaming ends an attempt by an answer whose body is read as it arrives. The connection stays in use until
+// StreamEnded.
 func (m *Machine) BeginStreaming(a Answer, cancelled bool) Verdict {
 	v := m.Answered(a, cancelled)
 	if v.Err == nil {
@@ -158,7 +161,7 @@
 	return v
 }
 
-// StreamEnded is the end of such a body, complete or cut off by either side.
+// StreamEnded records the end of such a body, which is complete or was cut off by either side.
 func (m *Machine) StreamEnded(complete, trailingBytes bool) Verdict {
 	reusable := m.state == Streaming && !m.closeAfterStream
 	m.state = Ended
@@ -172,7 +175,8 @@
 	return Verdict{Reusable: true}
 }
 
-// FailedAwaiting is the end without an answer after the request was written completely. It may have run, or may yet.
+// FailedAwaiting ends an attempt without an answer after its request was written completely. The server may have
+// executed the request, or may still execute it.
 func (m *Machine) FailedAwaiting(failure Failure) Verdict {
 	if m.state != Awaiting {
 		return m.illegal("failed awaiting")
@@ -203,7 +207,8 @@
 // Drop closes an idle connection.
 func (m *Machine) Drop() { m.state = Ended }
 
-// illegal is the safe result of a mistake of the host: the connection is closed, and what was on it may have run.
+// illegal returns the safe verdict for an event that the state does not allow, which is a bug of the host: the
+// connection is closed, and the request on it may have been executed.
 func (m *Machine) illegal(event string) Verdict {
 	err := fmt.Errorf("%s while %v: %w", event, m.state, ErrState)
 	m.state = Ended
--- a/internal/dataplane/upstreamconn/machine_test.go
+++ b/internal/dataplane/upstreamconn/machine_test.go
@@ -9,7 +9,7 @@
 	"mulleinrouter/internal/decision"
 )
 
-// The functions below take a machine through an attempt, up to the verdict on its end.
+// The functions below run a machine through an attempt, up to the verdict at its end.
 
 func write(m *Machine) {
 	m.Begin()
@@ -44,7 +44,7 @@
 
 func answeredWithoutRequest(m *Machine) Verdict { return m.Answered(Answer{Status: 200}, false) }
 
-// Each row of PROTOCOL's table of outcomes, and each with a cancellation at the same time.
+// Each row of PROTOCOL's table of outcomes leads to its verdict, also with a cancellation at the same time.
 func TestVerdicts(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -193,21 +193,21 @@
 	}
 }
 
-// A connection is reused where the IDs of answers tell a duplicate of an earlier one from the awaited one.
+// A connection is reused if the IDs of answers distinguish the awaited answer from a duplicate of an earlier one.
 func TestMayReuse(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		reuse Reuse
+		reuse ReuseConditions
 		want  bool
 	}{
-		{"idempotent", Reuse{}, true},
-		{"at most once", Reuse{AtMostOnce: true}, true},
-		{"idempotent, saw an unidentified answer", Reuse{SawUnidentified: true}, true},
-		{"at most once, saw an unidentified answer", Reuse{AtMostOnce: true, SawUnidentified: true}, false},
-		{"resent", Reuse{Resent: true}, false},
-		{"resent, at most once", Reuse{Resent: true, AtMostOnce: true}, false},
-		{"resent, saw an unidentified answer", Reuse{Resent: true, SawUnidentified: true}, false},
-		{"all three", Reuse{Resent: true, AtMostOnce: true, SawUnidentified: true}, false},
+		{"idempotent", ReuseConditions{}, true},
+		{"at most once", ReuseConditions{AtMostOnce: true}, true},
+		{"idempotent, saw an unidentified answer", ReuseConditions{SawUnidentified: true}, true},
+		{"at most once, saw an unidentified answer", ReuseConditions{AtMostOnce: true, SawUnidentified: true}, false},
+		{"resent", ReuseConditions{Resent: true}, false},
+		{"resent, at most once", ReuseConditions{Resent: true, AtMostOnce: true}, false},
+		{"resent, saw an unidentified answer", ReuseConditions{Resent: true, SawUnidentified: true}, false},
+		{"all three", ReuseConditions{Resent: true, AtMostOnce: true, SawUnidentified: true}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := MayReuse(tc.reuse); got != tc.want {
@@ -217,7 +217,7 @@
 	}
 }
 
-// Foreign answers and streamed bodies: whether the connection is reusable afterwards.
+// After answers to other requests and streamed bodies, a connection is reused only if nothing more can arrive on it.
 func TestForeignAnswersAndStreams(t *testing.T) {
 	for _, tc := range []struct {
 		name                    string
--- a/internal/dataplane/upstreamconn/verdict.go
+++ b/internal/dataplane/upstreamconn/verdict.go
@@ -5,38 +5,38 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Failure is how a connection failed.
+// Failure is the way in which an attempt failed.
 type Failure uint8
 
 // The failures.
 const (
-	ConnectionLost Failure = iota // it ended or was reset
+	ConnectionLost Failure = iota // the connection ended or was reset
 	TimedOut                      // the deadline of the attempt passed
 	Cancelled                     // the attempt was cancelled from this side
-	Malformed                     // what the server sent is no answer in the protocol
+	Malformed                     // the server sent bytes that are not an answer in the protocol
 )
 
-// Answer is what the head of a server's answer says, in the protocol of the ingress in service. Package upstream
-// translates other dialects to it (upstream.AnswerMeaning): a Status of 200 stands for any answer that serves the
-// request, and 503 with NotProcessed for any proof that nothing was executed.
+// Answer describes the head of a server's answer, in the protocol of the standalone ingress. Package upstream
+// translates other dialects to it (upstream.AnswerMeaning): a Status of 200 represents any answer that serves the
+// request, and 503 with NotProcessed represents any proof that the request was not executed.
 type Answer struct {
 	Status        int
-	NotProcessed  bool // X-Not-Processed: 1; of the system X-Not-Executed, or 421
-	Close         bool // the server closes the connection with it
-	TrailingBytes bool // bytes followed it that answer nothing
+	NotProcessed  bool // X-Not-Processed: 1; for the proxy X-Not-Executed, or status 421
+	Close         bool // the server closes the connection after the answer
+	TrailingBytes bool // bytes that belong to no answer followed it
 }
 
-// Verdict is what the end of an attempt on a connection proves, and what becomes of the connection.
+// Verdict is what the end of an attempt on a connection proves, and whether the connection can be used again.
 type Verdict struct {
 	Outcome           decision.Outcome
-	Answered          bool   // a complete answer followed a request that was written completely: it had arrived
-	TryNextConnection bool   // the attempt may go on over another connection: nothing of it has run
-	Reusable          bool   // the connection goes back to the idle pool
-	Code              string // of the log line on the end of the connection, unless it is reusable
-	Err               error  // wraps ErrState; nil: the step was legal
+	Answered          bool   // a complete answer followed a request that was written completely, and so has arrived
+	TryNextConnection bool   // the attempt may continue on another connection, because the request was not executed
+	Reusable          bool   // the connection returns to the idle pool
+	Code              string // log code of the connection's end, unless it is reusable
+	Err               error  // wraps ErrState; nil: the event was legal
 }
 
-// OutcomeOf returns what an answer means (PROTOCOL, "Ingresses to quote servers").
+// OutcomeOf returns the outcome of an attempt that ended with this answer (PROTOCOL, "Ingresses to quote servers").
 func OutcomeOf(a Answer) decision.Outcome {
 	switch {
 	case a.Status == 200:
--- a/internal/emulator/modelcheck/attempt.go
+++ b/internal/emulator/modelcheck/attempt.go
@@ -79,13 +79,13 @@
 	}
 	pending.conn, conn.current = conn, pending
 	w.checkBegun(pending)
-	evidence := upstreamconn.Evidence{
+	conditions := upstreamconn.WriteConditions{
 		New:        conn.Uses() == 1,
 		IdleFor:    w.now - conn.answeredAt,
 		AtMostOnce: c.atMostOnce,
 	}
 	switch {
-	case c.streamed || w.lossHistory.HoldLastByte(pending.backend, w.now, evidence):
+	case c.streamed || w.lossHistory.HoldLastByte(pending.backend, w.now, conditions):
 		pending.stage = stageHolding
 	case w.config.OddServers:
 		pending.stage = stageWriting
--- a/internal/emulator/modelcheck/connection.go
+++ b/internal/emulator/modelcheck/connection.go
@@ -52,7 +52,7 @@
 		w.lossHistory.Record(pending.backend, w.now)
 		return false
 	}
-	return upstreamconn.MayReuse(upstreamconn.Reuse{
+	return upstreamconn.MayReuse(upstreamconn.ReuseConditions{
 		Resent:          pending.client.writtenTo[pending.backend],
 		AtMostOnce:      pending.client.atMostOnce,
 		SawUnidentified: conn.unidentified,
