--- a/internal/dataplane/attempt/dispatcher.go
+++ b/internal/dataplane/attempt/dispatcher.go
@@ -8,8 +8,8 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Dispatcher owns the decision module's gateway and the pending requests. H is the type of the value by which the host
-// identifies a request. Dispatcher is not safe for concurrent use.
+// Dispatcher owns the decision module's gateway and the pending requests. H is the type of the value that the host
+// attaches to each request. Dispatcher is not safe for concurrent use.
 type Dispatcher[H any] struct {
 	gateway             *decision.Gateway
 	maxAttempts         int
--- a/internal/dataplane/attempt/request.go
+++ b/internal/dataplane/attempt/request.go
@@ -2,8 +2,7 @@
 
 import "mulleinrouter/internal/decision"
 
-// Request is a request that was submitted to a Dispatcher. H is the type of the host's value that receives the
-// request's decisions.
+// Request is a request that was submitted to a Dispatcher. H is the type of the value that the host attaches to it.
 type Request[H any] struct {
 	Host H // passed to Dispatcher.Submit, which does not use it; package engine stores its Ticket here
 
--- a/internal/dataplane/backoff/window.go
+++ b/internal/dataplane/backoff/window.go
@@ -4,7 +4,7 @@
 
 const (
 	minWindow     decision.Seconds = 0.2 // seconds; initial window of a small fleet
-	windowPerNode decision.Seconds = 0.1 // seconds for each ingress: the fleet makes ten calls a second
+	windowPerNode decision.Seconds = 0.1 // seconds for each ingress, so that the fleet makes ten calls a second
 	// maxInitialWindow, in seconds, bounds the initial window: with a wrong fleet size, an ingress must not stay
 	// without the service for hours.
 	maxInitialWindow decision.Seconds = 30.0
--- a/internal/dataplane/backoff/window_test.go
+++ b/internal/dataplane/backoff/window_test.go
@@ -66,8 +66,9 @@
 	return half, all, calls
 }
 
-// A fleet of any size whose ingresses all lose a shared service at the same moment can use it again soon. With a fixed
-// wait of 200 ms, which ingresses used before, a large fleet never recovers.
+// If all ingresses of a fleet lose a shared service at the same moment, half of them are answered again within a
+// bounded time, whatever the size of the fleet. With a fixed wait of 200 ms, which ingresses used before, a large fleet
+// never recovers.
 func TestFleetGetsServiceBack(t *testing.T) {
 	for seed := range uint64(20) {
 		for _, fleet := range []int{1, 3, 80, 300} {
--- a/internal/dataplane/clientconn/eviction.go
+++ b/internal/dataplane/clientconn/eviction.go
@@ -19,7 +19,7 @@
 
 // EvictBefore reports whether an evictable connection is closed before another one. Unproductive connections are closed
 // before idle ones; among equals, the one that has been in its state for longest is closed first. A flood of silent
-// connections therefore evicts only connections of its own.
+// connections therefore evicts its own connections first.
 func (m *Machine) EvictBefore(other *Machine, now decision.Seconds) bool {
 	if a, b := m.unproductive(now), other.unproductive(now); a != b {
 		return a
--- a/internal/dataplane/clientconn/machine.go
+++ b/internal/dataplane/clientconn/machine.go
@@ -179,9 +179,10 @@
 // ClosesOnDrain reports whether a drain closes the connection at once, because it is idle and is not being closed yet.
 func (m *Machine) ClosesOnDrain() bool { return m.state == Idle && m.closeCode == "" }
 
-// CloseAfterAnswer reports whether the next answer is the last on the connection. This is also the case when the server
-// is crowded: the answer announces the close, and the client connects elsewhere. Closing the connection while it is
-// idle is less safe, because the client may just be sending its next request.
+// CloseAfterAnswer reports whether the next answer is the last on the connection. It is if the connection is being
+// closed, if connections are not kept open, or if the server is crowded. In the last case, the answer announces the
+// close and the client connects elsewhere. Closing the connection while it is idle would be less safe, because the
+// client might just be sending its next request.
 func (m *Machine) CloseAfterAnswer(crowded, keepOpen bool) bool {
 	if m.closeCode == "" && crowded {
 		m.closeCode = CodeEvicted
--- a/internal/dataplane/clientconn/timeouts.go
+++ b/internal/dataplane/clientconn/timeouts.go
@@ -18,7 +18,8 @@
 	promptRequestTime decision.Seconds = 0.1
 )
 
-// Timeouts are the limits, in seconds, of how long a connection may make no progress.
+// Timeouts are the limits, in seconds, of how long a connection may make no progress. A connection that exceeds one is
+// closed, so that it does not occupy a place of the server.
 type Timeouts struct {
 	FirstByte decision.Seconds // from accepting the connection to its first byte
 	Idle      decision.Seconds // between requests
--- a/internal/dataplane/doc.go
+++ b/internal/dataplane/doc.go
@@ -7,6 +7,6 @@
 //   - upstream sends attempts to backends; upstreamconn holds the state machine of a connection to a backend;
 //   - backoff spaces calls to a shared service after failures; usage defines what is billed.
 //
-// Within this module, these packages import only one another, decision and mutants. Each package contains its tests.
-// The model checker (internal/emulator/modelcheck) explores the state machines.
+// Within this module, these packages import only one another, decision and mutants. Their tests are in the same
+// folders. In addition, the model checker (internal/emulator/modelcheck) explores the state machines.
 package dataplane
--- a/internal/dataplane/engine/clock.go
+++ b/internal/dataplane/engine/clock.go
@@ -7,8 +7,8 @@
 )
 
 // Clock is the decision module's clock. It starts with the machine's Unix time, in seconds, and advances with the
-// monotonic clock, so that a step of the wall clock does not move it. Gateways that share a
-// counter name the counter's cycles by this time, so their clocks must agree when they start.
+// monotonic clock, so that a step of the wall clock does not move it. Gateways that share a counter name the counter's
+// cycles by this time, so their clocks must agree when they start.
 type Clock struct {
 	base     time.Time               // start of the clock
 	baseUnix float64                 // base in Unix seconds
--- a/internal/dataplane/engine/ticket.go
+++ b/internal/dataplane/engine/ticket.go
@@ -9,7 +9,7 @@
 // the NoAnswer that follows it.
 const maxUndelivered = 2
 
-// Ticket represents a submitted request to the host, which reads its decisions and reports its events.
+// Ticket is the host's handle of a submitted request. The host reads decisions from it and reports events to it.
 type Ticket struct {
 	Plan     string // the customer's plan in the catalogue, or else the plan that the client named
 	Revision uint64 // revision of the catalogue; 0: none
--- a/internal/dataplane/upstreamconn/machine_test.go
+++ b/internal/dataplane/upstreamconn/machine_test.go
@@ -217,7 +217,8 @@
 	}
 }
 
-// After answers to other requests and streamed bodies, a connection is reused only if nothing more can arrive on it.
+// A connection is reused after a streamed body only if the body is complete, no bytes follow it, no answer to another
+// request has arrived, and neither side closes the connection.
 func TestForeignAnswersAndStreams(t *testing.T) {
 	for _, tc := range []struct {
 		name                    string
--- a/internal/dataplane/usage/batch.go
+++ b/internal/dataplane/usage/batch.go
@@ -48,7 +48,7 @@
 	case status == 400, status == 413, status == 422:
 		return Invalid
 	}
-	return Retry // also for a 2xx that does not name the batch, because another program has sent it
+	return Retry // also for a 2xx that does not name the batch, because it comes from another program
 }
 
 // Delays before a batch is sent again, in seconds. The delay doubles with each failure, from the minimum to the
--- a/internal/dataplane/usage/scan.go
+++ b/internal/dataplane/usage/scan.go
@@ -37,7 +37,7 @@
 		if next == 0 {
 			break
 		}
-		if _, _, sound := readRecord(data, next); !sound {
+		if _, _, valid := readRecord(data, next); !valid {
 			break
 		}
 		report.Damaged++
