--- a/internal/dataplane/ingress/metering.go
+++ b/internal/dataplane/ingress/metering.go
@@ -36,7 +36,7 @@
 		Plan:      t.Plan,
 		Class:     r.Class,
 		Revision:  t.Revision,
-		Units:     usage.ToMicro(r.Units),
+		Units:     usage.ToMicroUnits(r.Units),
 		OverQuota: overQuota,
 		Minute:    time.Now().Unix() / 60,
 	})
--- a/internal/dataplane/upstream/acquire.go
+++ b/internal/dataplane/upstream/acquire.go
@@ -25,7 +25,7 @@
 
 // acquire returns the most recently used idle connection to a backend, or opens a new one if no idle one is usable.
 func (p *Pool) acquire(
-	ctx context.Context, backend string, deadline time.Time, reuse upstreamconn.Reuse,
+	ctx context.Context, backend string, deadline time.Time, reuse upstreamconn.ReuseConditions,
 ) (*conn, error) {
 	addr, _ := p.lookup(backend)
 	for {
@@ -61,7 +61,7 @@
 }
 
 // usable reports whether a request may be written to a connection that was idle. If not, it closes the connection.
-func (p *Pool) usable(c *conn, addr string, reuse upstreamconn.Reuse) bool {
+func (p *Pool) usable(c *conn, addr string, reuse upstreamconn.ReuseConditions) bool {
 	if code := c.stale(addr); code != "" {
 		if code != "upstream-moved" {
 			p.recordLoss(c)
--- a/internal/dataplane/upstream/write.go
+++ b/internal/dataplane/upstream/write.go
@@ -46,10 +46,10 @@
 // only where a lost connection is likely or the request must run at most once.
 func (p *Pool) holdsLastByte(c *conn, atMostOnce bool) bool {
 	now := p.now()
-	evidence := upstreamconn.Evidence{New: c.Uses() == 1, IdleFor: now - c.lastAnswer, AtMostOnce: atMostOnce}
+	conditions := upstreamconn.WriteConditions{New: c.Uses() == 1, IdleFor: now - c.lastAnswer, AtMostOnce: atMostOnce}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.losses.HoldLastByte(c.backend, now, evidence)
+	return p.losses.HoldLastByte(c.backend, now, conditions)
 }
 
 // hold waits, while a part of a request is held back, until a reset by a server that has dropped the connection should
