--- a/coordinationclient/client.go
+++ b/coordinationclient/client.go
@@ -15,61 +15,62 @@
 )
 
 const (
-	answerTimeout    = time.Second // of one try
-	firstPause       = 20 * time.Millisecond
-	maxPause         = 500 * time.Millisecond
-	maxResponseBytes = 4 << 20
+	attemptTimeout   = time.Second           // for one attempt at one address
+	initialBackoff   = 20 * time.Millisecond // before the second attempt; doubles after each further one
+	maxBackoff       = 500 * time.Millisecond
+	maxResponseBytes = 4 << 20 // size of the response body that is read, to bound memory
 )
 
-// Client calls control nodes.
+// Client calls control nodes over HTTP.
 type Client struct {
-	addresses []string
-	http      *http.Client
-	next      atomic.Uint32 // index of the address that is called now
+	addresses    []string
+	http         *http.Client
+	addressIndex atomic.Uint32 // index of the address in use, modulo the number of addresses
 }
 
-// New makes a client of control nodes, host:port each, at least one. A nil transport is http.DefaultTransport.
+// New returns a client for one or more control nodes, each given as host:port. If transport is nil,
+// http.DefaultTransport is used.
 func New(addresses []string, transport http.RoundTripper) *Client {
 	c := &Client{addresses: addresses, http: &http.Client{Transport: transport}}
-	c.next.Store(rand.Uint32()) //nolint:gosec // spreads callers over the nodes
+	c.addressIndex.Store(rand.Uint32()) //nolint:gosec // distributes callers over the nodes
 	return c
 }
 
-// response is a clear answer.
+// response is a definite answer: any status but 429 and 5xx.
 type response struct {
 	status int
 	body   []byte
-	sentAt time.Time // of the try that was answered
+	sentAt time.Time // time at which the answered attempt was sent
 }
 
-// call makes a call until it has a clear answer or the context ends. A nil body is none; wait is how much longer than
-// usual an answer may take.
+// call repeats a request until it gets a definite answer or the context ends. If body is nil, the request has no body.
+// Each attempt may take wait longer than attemptTimeout.
 func (c *Client) call(ctx context.Context, method, path string, body any, wait time.Duration) (*response, error) {
-	var text []byte // of a call without a body: none
+	var payload []byte // nil if the request has no body
 	if body != nil {
 		var err error
-		if text, err = json.Marshal(body); err != nil {
+		if payload, err = json.Marshal(body); err != nil {
 			return nil, err
 		}
 	}
 	var last error
-	for pause := firstPause; ; pause = min(2*pause, maxPause) {
-		answer, err := c.try(ctx, method, path, text, answerTimeout+wait)
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
+		answer, err := c.send(ctx, method, path, payload, attemptTimeout+wait)
 		if err == nil {
 			return answer, nil
 		}
-		if last = err; !sleep(ctx, pause/2+rand.N(pause/2)) { //nolint:gosec // jitter
+		if last = err; !sleep(ctx, backoff/2+rand.N(backoff/2)) { //nolint:gosec // jitter
 			return nil, &UnknownOutcomeError{Last: errors.Join(ctx.Err(), last)}
 		}
-		c.next.Add(1)
+		c.addressIndex.Add(1)
 	}
 }
 
-// try makes a call once. Its error means that there was no clear answer.
-func (c *Client) try(ctx context.Context, method, path string, body []byte, timeout time.Duration) (*response, error) {
+// send sends a request once. It returns an error if there was no definite answer.
+func (c *Client) send(ctx context.Context, method, path string, body []byte, timeout time.Duration) (*response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	address := c.addresses[int(c.next.Load()%uint32(len(c.addresses)))] //nolint:gosec // a few addresses
+	address := c.addresses[int(c.addressIndex.Load()%uint32(len(c.addresses)))] //nolint:gosec // few addresses
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -90,7 +91,7 @@
 	return &response{answer.StatusCode, text, sentAt}, nil
 }
 
-// sleep waits for a time; false: the context has ended before.
+// sleep waits for d. It returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -102,7 +103,8 @@
 	}
 }
 
-// decode reads the body of a 200. Other answers are errors of their own, or a *StatusError.
+// decode decodes the body of a 200 response. For any other status it returns the error that statuses has for it, or
+// else a *StatusError.
 func (r *response) decode(body any, statuses map[int]error) error {
 	if r.status == http.StatusOK {
 		return json.Unmarshal(r.body, body)
@@ -113,7 +115,7 @@
 	return &StatusError{r.status, string(r.body)}
 }
 
-// NextNumber returns a number greater than every one given under a name before. There may be gaps.
+// NextNumber returns a number greater than every number returned for this name before. There may be gaps.
 func (c *Client) NextNumber(ctx context.Context, name string) (uint64, error) {
 	answer, err := c.call(ctx, http.MethodPost, "/numbers/"+url.PathEscape(name), struct{}{}, 0)
 	if err != nil {
@@ -125,9 +127,10 @@
 	return body.Payload, answer.decode(&body, nil)
 }
 
-// Put puts a value to a cell, and returns its revision. Values should be unique: a value that was put lately gets its
-// first revision again. Expected is the revision that the cell must have, 0 for none; nil: whatever it has. Errors are
-// *MismatchError, *StatusError and *UnknownOutcomeError.
+// Put writes a value to a cell and returns the new revision of the cell. Values should be unique, because a value that
+// was put recently is treated as a repeated call and gets its first revision again. If expected is not nil, the cell
+// must have that revision; 0 means that the cell must not exist. Errors are *MismatchError, *StatusError and
+// *UnknownOutcomeError.
 func (c *Client) Put(ctx context.Context, name, value string, expected *uint64) (revision uint64, err error) {
 	request := struct {
 		Payload string  `json:"payload"`
@@ -170,18 +173,19 @@
 	Revision uint64 `json:"revision"`
 }
 
-// watchWait is how long one call of a watch waits for events.
+// watchWait is the time for which one long-polling request of a watch waits for events.
 const watchWait = 5 * time.Second
 
-// Revision returns the present revision of a group, named with its dot: a watch behind it sees all later puts.
+// Revision returns the current revision of a group, whose name includes the trailing dot. A watch that starts after
+// this revision gets all later puts.
 func (c *Client) Revision(ctx context.Context, group string) (uint64, error) {
 	_, revision, err := c.watchOnce(ctx, group, 0, 0)
 	return revision, err
 }
 
-// Watch calls handle for every put to a group behind a revision, in order, until handle returns an error, which it
-// returns, or the context ends. It returns the revision up to which handle has seen everything, from which another
-// Watch may go on. Its errors are ErrCompacted, *StatusError and *UnknownOutcomeError.
+// Watch calls handle for every put to a group after a revision, in order, until handle returns an error or the context
+// ends. It returns the revision up to which handle has processed all events, from which another Watch can resume, and
+// either the error of handle, ErrCompacted, a *StatusError or an *UnknownOutcomeError.
 func (c *Client) Watch(ctx context.Context, group string, after uint64, handle func(Event) error) (uint64, error) {
 	for {
 		events, until, err := c.watchOnce(ctx, group, after, watchWait)
--- a/coordinationclient/client_test.go
+++ b/coordinationclient/client_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// scripted answers calls in turn, each after a delay; status 0 is no answer at all.
-type scripted struct {
+// scriptedTransport answers requests with the scripted answers in order, each after its delay, and repeats the last
+// one. Status 0 is a refused connection.
+type scriptedTransport struct {
 	answers []scriptedAnswer
 	calls   []string
 }
@@ -23,7 +24,7 @@
 	body   string
 }
 
-func (s *scripted) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *scriptedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	body, _ := io.ReadAll(r.Body)
 	s.calls = append(s.calls, r.Method+" "+r.URL.String()+" "+string(body))
 	answer := s.answers[0]
@@ -46,11 +47,12 @@
 	}, nil
 }
 
-// A hold counts from the sending of the last call that was answered well, and not at all once an answer came too late.
+// TestHoldCountsFromSending checks that the time of a lock starts when the last successful call was sent, and that the
+// lock is lost if the answer to a renewal arrives after that time.
 func TestHoldCountsFromSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &scripted{answers: []scriptedAnswer{
-			{0, 503, `{}`}, {400 * time.Millisecond, 200, `{"fence":41}`}, // the second sending is answered
+		s := &scriptedTransport{answers: []scriptedAnswer{
+			{0, 503, `{}`}, {400 * time.Millisecond, 200, `{"fence":41}`}, // the second attempt is answered
 			{500 * time.Millisecond, 200, `{}`}, {900 * time.Millisecond, 200, `{}`},
 		}}
 		l, err := New([]string{"a", "b"}, s).Acquire(t.Context(), "l", "me", time.Second)
@@ -91,14 +93,14 @@
 		}, ErrCompacted},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			s := &scripted{answers: []scriptedAnswer{{0, test.status, test.body}}}
+			s := &scriptedTransport{answers: []scriptedAnswer{{0, test.status, test.body}}}
 			if err := test.call(t.Context(), New([]string{"a"}, s)); !errors.Is(err, test.want) {
 				t.Errorf("got %v, want %v", err, test.want)
 			}
 		})
 	}
 	t.Run("mismatch", func(t *testing.T) {
-		s := &scripted{answers: []scriptedAnswer{{0, 412, `{"revision":922}`}}}
+		s := &scriptedTransport{answers: []scriptedAnswer{{0, 412, `{"revision":922}`}}}
 		var mismatch *MismatchError
 		if _, err := New([]string{"a"}, s).Put(t.Context(), "g.a", "v", new(uint64)); !errors.As(err, &mismatch) ||
 			mismatch.Revision != 922 {
@@ -106,7 +108,7 @@
 		}
 	})
 	t.Run("invalid", func(t *testing.T) {
-		s := &scripted{answers: []scriptedAnswer{{0, 400, `no`}}}
+		s := &scriptedTransport{answers: []scriptedAnswer{{0, 400, `no`}}}
 		var status *StatusError
 		if _, err := New([]string{"a"}, s).NextNumber(t.Context(), "n"); !errors.As(err, &status) || len(s.calls) != 1 {
 			t.Errorf("got %v after %d calls", err, len(s.calls))
@@ -114,10 +116,12 @@
 	})
 }
 
-// Without a clear answer a call is repeated, unchanged, until the context ends.
+// TestUnknownOutcome checks that a call without a definite answer is repeated unchanged until the context ends.
 func TestUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &scripted{answers: []scriptedAnswer{{0, 504, `{}`}, {0, 0, ""}, {5 * time.Second, 200, `{"revision":1}`}}}
+		s := &scriptedTransport{answers: []scriptedAnswer{
+			{0, 504, `{}`}, {0, 0, ""}, {5 * time.Second, 200, `{"revision":1}`},
+		}}
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
 		var unknown *UnknownOutcomeError
@@ -132,9 +136,9 @@
 	})
 }
 
-// A watch goes on from what it has seen.
+// TestWatchResumes checks that a watch continues after the last revision that it has processed.
 func TestWatchResumes(t *testing.T) {
-	s := &scripted{answers: []scriptedAnswer{
+	s := &scriptedTransport{answers: []scriptedAnswer{
 		{0, 200, `{"log":[{"name":"g.a","payload":"v","revision":8}],"revision":9}`},
 		{0, 200, `{"log":[{"name":"g.b","payload":"w","revision":10}],"revision":10}`},
 	}}
--- a/coordinationclient/lock.go
+++ b/coordinationclient/lock.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// Lock is a hold on a lock.
+// Lock is a lock that was acquired for a limited time.
 type Lock struct {
 	client *Client
 	path   string
 	owner  string
-	hold   time.Duration
+	hold   time.Duration // time for which an acquisition or a renewal is valid
 	fence  uint64
 
-	mu    sync.Mutex // guards until
-	until time.Time
+	mu         sync.Mutex // guards until
+	validUntil time.Time
 }
 
-// lockBody is the body of the calls of a lock.
+// lockBody is the body of the requests that acquire, renew and release a lock.
 type lockBody struct {
 	Owner  string `json:"owner"`
 	Fence  uint64 `json:"fence,omitempty"`
 	HoldMs int64  `json:"holdMs,omitempty"`
 }
 
-// Acquire takes a lock for a time, or returns ErrTaken. The owner's name must be no other caller's. An owner that has
-// the lock already gets it again, under the same fence.
+// Acquire acquires a lock for the time hold, or returns ErrTaken. The owner's name must be unique among all callers. If
+// the owner already holds the lock, it acquires the lock again with the same fencing token.
 func (c *Client) Acquire(ctx context.Context, name, owner string, hold time.Duration) (*Lock, error) {
 	path := "/locks/" + url.PathEscape(name)
 	answer, err := c.call(ctx, http.MethodPost, path, lockBody{Owner: owner, HoldMs: hold.Milliseconds()}, 0)
@@ -41,27 +41,29 @@
 	if err := answer.decode(&body, map[int]error{http.StatusConflict: ErrTaken}); err != nil {
 		return nil, err
 	}
-	l := &Lock{client: c, path: path, owner: owner, hold: hold, fence: body.Fence, until: answer.sentAt.Add(hold)}
+	l := &Lock{client: c, path: path, owner: owner, hold: hold, fence: body.Fence, validUntil: answer.sentAt.Add(hold)}
 	if !l.Valid() {
-		return nil, ErrLost // the answer came after the time that it gives
+		return nil, ErrLost // the answer arrived after the time for which the lock was acquired
 	}
 	return l, nil
 }
 
-// Fence is the fencing token of this hold: above that of every hold of this lock before.
+// Fence returns the fencing token of this lock. It is higher than that of every earlier holder.
 func (l *Lock) Fence() uint64 { return l.fence }
 
-// Valid reports whether the caller may count itself holder at this moment.
+// Valid reports whether the caller may regard itself as the holder at this moment.
 func (l *Lock) Valid() bool { return l.Remaining() > 0 }
 
-// Remaining is how much longer the caller may count itself holder; 0 or less: it may not.
+// Remaining returns for how much longer the caller may regard itself as the holder. It is 0 or less if the caller may
+// not.
 func (l *Lock) Remaining() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Until(l.until)
+	return time.Until(l.validUntil)
 }
 
-// Renew prolongs the hold. After ErrLost the lock is not held; after other errors it is held for as long as Valid says.
+// Renew extends the lock. After ErrLost the caller does not hold it. After any other error the caller holds it for as
+// long as Valid reports true.
 func (l *Lock) Renew(ctx context.Context) error {
 	body := lockBody{Owner: l.owner, Fence: l.fence, HoldMs: l.hold.Milliseconds()}
 	answer, err := l.client.call(ctx, http.MethodPut, l.path, body, 0)
@@ -73,19 +75,20 @@
 	defer l.mu.Unlock()
 	switch {
 	case err != nil:
-		l.until = time.Time{}
-	case time.Until(l.until) <= 0: // too late: another may have had the lock meanwhile
+		l.validUntil = time.Time{}
+	case time.Until(l.validUntil) <= 0: // too late, because another owner may have held the lock in the meantime
 		return ErrLost
 	default:
-		l.until = answer.sentAt.Add(l.hold)
+		l.validUntil = answer.sentAt.Add(l.hold)
 	}
 	return err
 }
 
-// Release gives the lock back. From its call on the caller does not hold it, whatever it returns.
+// Release releases the lock. As soon as it is called, the caller no longer holds the lock, even if Release returns an
+// error.
 func (l *Lock) Release(ctx context.Context) error {
 	l.mu.Lock()
-	l.until = time.Time{}
+	l.validUntil = time.Time{}
 	l.mu.Unlock()
 	answer, err := l.client.call(ctx, http.MethodDelete, l.path, lockBody{Owner: l.owner, Fence: l.fence}, 0)
 	if err != nil {
