--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -18,8 +18,8 @@
 const program = "agent"
 
 const (
-	proxyReadyTTL = 1500 * time.Millisecond // for which a proxy's renewal that says it is ready is valid
-	dialTimeout   = time.Second
+	proxyReadyTTL = 1500 * time.Millisecond // time for which a renewal that reports a ready proxy is valid
+	dialTimeout   = time.Second             // for a connection to a control node
 )
 
 // Agent is a running agent.
@@ -28,32 +28,32 @@
 	log         log.Logger
 	store       *replication.Store
 	clock       *replication.Clock
-	source      *replication.Source // of the proxies
+	source      *replication.Source // source of updates for the proxies
 	startedAt   time.Time
 	initialSync replication.InitialSync
 	linkDelay   linkDelay
-	dial        func(ctx context.Context, addr string) (net.Conn, error) // to a control node
+	dial        func(ctx context.Context, addr string) (net.Conn, error) // connects to a control node
 
-	sources       atomic.Pointer[[]*source] // in force; replaced as a whole, under subscriptions.mu
+	sources       atomic.Pointer[[]*source] // current ones; replaced as a whole, under subscriptions.mu
 	subscriptions struct {
 		mu       sync.Mutex // guards the fields below
 		ctx      context.Context
 		settings *settings.Settings
 	}
-	votersCheckedAt atomic.Int64 // when the electorate was last compared with the sources, since startedAt
+	votersCheckedAt atomic.Int64 // time of the last comparison of voters and sources, in ns since startedAt
 	tasks           sync.WaitGroup
 
-	ready        atomic.Bool   // what is here is enough to serve with; once it is, it stays so
-	proxyReadyAt atomic.Int64  // when a proxy last reported that it is ready, since startedAt; 0: never
-	proxies      atomic.Int32  // connections
-	lastProxy    chan struct{} // receives when the last proxy has disconnected
+	ready        atomic.Bool   // the store is sufficient to serve requests; never reset
+	proxyReadyAt atomic.Int64  // time of a proxy's last report that it is ready, in ns since startedAt; 0: never
+	proxies      atomic.Int32  // open connections of proxies
+	lastProxy    chan struct{} // receives a value when the last connected proxy disconnects
 
-	counterSlots        chan struct{} // counter calls in flight
-	counterCalls        atomic.Int64  // forwarded
-	counterCallFailures atomic.Int64  // of these, the ones that no owner answered
+	counterSlots        chan struct{} // one element per counter call in flight
+	counterCalls        atomic.Int64  // counter calls forwarded
+	counterCallFailures atomic.Int64  // forwarded counter calls that no owner answered
 }
 
-// New makes an agent of a process with that incarnation, which no other process has had.
+// New returns an agent. The incarnation identifies the process and must not have been used by any other process.
 func New(incarnation uint64, logger log.Logger) *Agent {
 	a := &Agent{
 		incarnation:  incarnation,
@@ -86,12 +86,12 @@
 	return a
 }
 
-// Dial connects to a control node's internal address within a second.
+// Dial connects to a control node's internal address. It fails after dialTimeout.
 func Dial(ctx context.Context, addr string) (net.Conn, error) {
 	return transport.Dial(ctx, addr, dialTimeout)
 }
 
-// proxyReady reports whether a proxy takes requests: only then the agent renews the lease of its ingress.
+// proxyReady reports whether a connected proxy accepts requests. The agent renews the lease of its ingress only then.
 func (a *Agent) proxyReady() bool {
 	at := a.proxyReadyAt.Load()
 	return at != 0 && a.proxies.Load() > 0 && time.Since(a.startedAt)-time.Duration(at) < proxyReadyTTL
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -22,25 +22,25 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// fakeCore is the control nodes that run, by address. A node that is down takes no connection.
-type fakeCore struct {
+// fakeControlPlane simulates a set of control nodes. A node that is down accepts no connections.
+type fakeControlPlane struct {
 	mu    sync.Mutex
-	nodes map[string]*fakeNode
+	nodes map[string]*fakeNode // by internal address
 
-	voters []string // as all report
+	voters []string // control addresses of the voters, as reported by every node
 }
 
 type fakeNode struct {
 	replication.Source
 	addr      string
 	down      bool
-	inContact atomic.Bool // in contact with a majority
+	inContact atomic.Bool // reports contact with a majority
 	conns     []net.Conn
-	adds      []string // names of the counters that were added to
-	ready     map[string]bool
+	adds      []string        // names of the counters in the calls received
+	ready     map[string]bool // last readiness that each edge node reported in a renewal
 }
 
-func (fc *fakeCore) start(n int, quorum bool) *fakeNode {
+func (fc *fakeControlPlane) start(n int, quorum bool) *fakeNode {
 	addr := fmt.Sprintf("10.0.0.%d:7560", n)
 	started := &fakeNode{addr: addr, ready: map[string]bool{}}
 	started.inContact.Store(quorum)
@@ -71,7 +71,7 @@
 	return started
 }
 
-func (fc *fakeCore) dial(_ context.Context, addr string) (net.Conn, error) {
+func (fc *fakeControlPlane) dial(_ context.Context, addr string) (net.Conn, error) {
 	fc.mu.Lock()
 	defer fc.mu.Unlock()
 	dialed := fc.nodes[addr]
@@ -103,7 +103,7 @@
 	return here, nil
 }
 
-func (fc *fakeCore) stop(stopped *fakeNode) {
+func (fc *fakeControlPlane) stop(stopped *fakeNode) {
 	fc.mu.Lock()
 	defer fc.mu.Unlock()
 	stopped.down = true
@@ -115,9 +115,9 @@
 func TestAgentAmongControlNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		core := &fakeCore{nodes: map[string]*fakeNode{}}
+		controlPlane := &fakeControlPlane{nodes: map[string]*fakeNode{}}
 		a := New(7, logtest.Discard())
-		a.dial = core.dial
+		a.dial = controlPlane.dial
 		ctx, cancel := context.WithCancel(t.Context())
 		p := &settings.Settings{
 			Node:       "edge-1",
@@ -126,7 +126,7 @@
 		}
 		a.Follow(ctx, p)
 
-		// The proxy connects first. It is sent what there is, and that this is not sufficient.
+		// The proxy connects first. It receives the available updates, marked as not sufficient.
 		store := replication.NewStore(8)
 		proxy := &replication.Client{
 			Node:        "edge-1",
@@ -142,28 +142,28 @@
 			},
 		}
 		a.tasks.Go(func() { proxy.Run(ctx) })
-		pass := func(d time.Duration) { time.Sleep(d); synctest.Wait() }
-		one := core.start(1, false)
-		pass(10 * time.Second)
+		advance := func(d time.Duration) { time.Sleep(d); synctest.Wait() }
+		one := controlPlane.start(1, false)
+		advance(10 * time.Second)
 		is.Equal(store.Snapshot().Len(), 1)
 		is.True(!proxy.State().Ready && !proxy.State().Quorum)
-		is.Equal(proxy.State().Members, 0) // a node without contact does not count
-		two := core.start(2, true)
+		is.Equal(proxy.State().Members, 0) // a node without contact to a majority is ignored
+		two := controlPlane.start(2, true)
 		one.inContact.Store(true)
-		pass(3 * time.Second)
+		advance(3 * time.Second)
 		is.Equal(store.Snapshot().Len(), 2)
 		is.True(proxy.State().Ready && proxy.State().Quorum)
 		is.Equal(proxy.State().Members, 12)
 		is.Equal(store.Epoch(), uint64(2))
 		ready := func(x *fakeNode) bool {
-			core.mu.Lock()
-			defer core.mu.Unlock()
+			controlPlane.mu.Lock()
+			defer controlPlane.mu.Unlock()
 			return x.ready["edge-1"]
 		}
 		is.True(ready(one) && ready(two))
 
-		// Counter calls go to the owner that all see, and to the next one where that does not answer for them.
-		living := []string{one.addr, two.addr}
+		// Counter calls go to the owner of the counter, and to the next node if the owner does not accept them.
+		liveAddrs := []string{one.addr, two.addr}
 		for i := range 20 {
 			name := fmt.Sprint("tenant-", i)
 			answer, err := proxy.Call(time.Second, &transport.Frame{
@@ -171,22 +171,22 @@
 			})
 			is.NoErr(err)
 			is.Equal(*answer.CounterTotal, transport.CounterTotal{OK: true, Sum: float64(i), Reporters: 1})
-			is.True(slices.Contains(core.nodes[quota.Owner(name, living)].adds, name))
+			is.True(slices.Contains(controlPlane.nodes[quota.Owner(name, liveAddrs)].adds, name))
 		}
 		answer, err := proxy.Call(time.Second, &transport.Frame{CounterAdd: &transport.CounterAdd{Name: "nobody's"}})
 		is.NoErr(err)
 		is.True(!answer.CounterTotal.OK)
 		is.True(slices.Contains(one.adds, "nobody's") && slices.Contains(two.adds, "nobody's"))
-		// An owner that took a report and is not sure of the others yet is its owner: the next node is not asked.
+		// If an owner accepts a report but may lack those of others yet (OK is false), the next node is not called.
 		answer, err = proxy.Call(time.Second, &transport.Frame{CounterAdd: &transport.CounterAdd{Name: "unsure"}})
 		is.NoErr(err)
 		is.Equal(*answer.CounterTotal, transport.CounterTotal{Reporters: 1})
 		is.True(slices.Contains(one.adds, "unsure") != slices.Contains(two.adds, "unsure"))
 
-		// One node stops: what is here stays sufficient, but there is no quorum any more, and its counters go to the
-		// other.
-		core.stop(one)
-		pass(3 * time.Second)
+		// One node stops. The agent remains ready but has no quorum any more, and the calls for the counters of the
+		// stopped node go to the other one.
+		controlPlane.stop(one)
+		advance(3 * time.Second)
 		is.True(proxy.State().Ready && !proxy.State().Quorum)
 		for i := range 20 {
 			answer, err := proxy.Call(time.Second, &transport.Frame{
@@ -196,14 +196,14 @@
 			is.True(answer.CounterTotal.OK)
 		}
 
-		// Other settings: another core, whose changes arrive.
-		four := core.start(4, true)
+		// The settings change to another set of control nodes. The agent receives the changes of the new node.
+		four := controlPlane.start(4, true)
 		a.Follow(ctx, &settings.Settings{
 			Node:       "edge-1",
 			InnerFirst: 7560,
 			Seeds:      []string{"10.0.0.2:80", "10.0.0.4:80"},
 		})
-		pass(3 * time.Second)
+		advance(3 * time.Second)
 		is.True(proxy.State().Quorum)
 		l, ok := store.Instance("i4")
 		is.True(ok && l.Seq == 1)
@@ -214,7 +214,8 @@
 	})
 }
 
-// TestEvaluate checks when the sources are a quorum and when what they sent is sufficient to serve with.
+// TestEvaluate checks in which states of the sources there is a quorum, and in which their updates are sufficient to
+// serve requests.
 func TestEvaluate(t *testing.T) {
 	now := time.Unix(100, 0)
 	status := func(ago time.Duration, complete, quorum bool) sourceStatus {
@@ -257,21 +258,25 @@
 	}
 }
 
-// TestDiscoversVoters has an agent whose seeds are a partitioned node and one that is down discover the voters from the
-// one. It goes by the voters alone, keeps them, and removes those that are no voters any more.
+// TestDiscoversVoters starts an agent whose seeds are a partitioned node and one that is down. The agent must discover
+// the voters from the partitioned node and evaluate quorum by the voters alone. It must keep the voters when the
+// settings are reread, and remove sources that are no longer voters.
 func TestDiscoversVoters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		core := &fakeCore{nodes: map[string]*fakeNode{}, voters: []string{"10.0.0.1:80", "10.0.0.3:80", "10.0.0.4:80"}}
+		controlPlane := &fakeControlPlane{
+			nodes:  map[string]*fakeNode{},
+			voters: []string{"10.0.0.1:80", "10.0.0.3:80", "10.0.0.4:80"},
+		}
 		a := New(7, logtest.Discard())
-		a.dial = core.dial
+		a.dial = controlPlane.dial
 		ctx, cancel := context.WithCancel(t.Context())
-		pass := func(d time.Duration) { time.Sleep(d); synctest.Wait() }
-		partitioned := core.start(9, false) // it counts most members
-		core.mu.Lock()
-		core.nodes["10.0.0.1:7560"], core.nodes["10.0.0.9:7560"] = partitioned, nil
-		core.mu.Unlock()
-		three, four := core.start(3, true), core.start(4, true)
+		advance := func(d time.Duration) { time.Sleep(d); synctest.Wait() }
+		partitioned := controlPlane.start(9, false) // it reports the highest number of ingresses
+		controlPlane.mu.Lock()
+		controlPlane.nodes["10.0.0.1:7560"], controlPlane.nodes["10.0.0.9:7560"] = partitioned, nil
+		controlPlane.mu.Unlock()
+		three, four := controlPlane.start(3, true), controlPlane.start(4, true)
 		three.Store.SetEpoch(10)
 		four.Store.SetEpoch(10)
 		a.Follow(ctx, &settings.Settings{
@@ -279,41 +284,41 @@
 			InnerFirst: 7560,
 			Seeds:      []string{"10.0.0.1:80", "10.0.0.2:80"},
 		})
-		pass(3 * time.Second)
+		advance(3 * time.Second)
 		view := a.view()
 		is.True(view.quorum && view.sufficient && a.ready.Load())
-		is.Equal(view.members, 14) // not the 19 of the partitioned one
+		is.Equal(view.members, 14) // not the 19 of the partitioned node
 		is.Equal(view.live, []string{"10.0.0.3:7560", "10.0.0.4:7560"})
 
-		// The voters change: five takes the place of three.
-		core.mu.Lock()
-		core.voters = []string{"10.0.0.1:80", "10.0.0.4:80", "10.0.0.5:80"}
-		core.mu.Unlock()
+		// The voters change: node 5 replaces node 3.
+		controlPlane.mu.Lock()
+		controlPlane.voters = []string{"10.0.0.1:80", "10.0.0.4:80", "10.0.0.5:80"}
+		controlPlane.mu.Unlock()
 		four.Store.SetEpoch(11)
-		five := core.start(5, true)
+		five := controlPlane.start(5, true)
 		five.Store.SetEpoch(11)
-		pass(3 * time.Second)
+		advance(3 * time.Second)
 		view = a.view()
 		is.Equal(view.live, []string{"10.0.0.4:7560", "10.0.0.5:7560"})
 		is.True(view.quorum)
-		// Discovered voters are kept when the settings are read again, and without nodes in contact there is no quorum.
+		// Discovered voters are kept when the settings are reread. If no node is in contact, there is no quorum.
 		a.Follow(ctx, &settings.Settings{Node: "edge-1", InnerFirst: 7560, Seeds: []string{"10.0.0.1:80"}})
 		four.inContact.Store(false)
 		five.inContact.Store(false)
-		pass(time.Second)
+		advance(time.Second)
 		view = a.view()
 		is.True(!view.quorum && !view.sufficient && view.members == 0 && view.peers == 0 && len(view.live) == 0)
 		four.inContact.Store(true)
 		five.inContact.Store(true)
-		pass(time.Second)
+		advance(time.Second)
 		is.Equal(a.view().live, []string{"10.0.0.4:7560", "10.0.0.5:7560"})
 		cancel()
 		a.tasks.Wait()
 	})
 }
 
-// TestEvaluateByContact checks that a node which lacks changes of another is not sufficient, and that a majority is one
-// of the voters that a node in contact reported.
+// TestEvaluateByContact checks that a node that lacks changes which another node has is not sufficient, and that the
+// majority is computed from the voters that a node in contact reported.
 func TestEvaluateByContact(t *testing.T) {
 	now := time.Unix(100, 0)
 	status := func(fromVoters, quorum bool, epoch uint64, members int, voters ...string) sourceStatus {
--- a/internal/agent/cluster_view.go
+++ b/internal/agent/cluster_view.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	statusTTL = 2 * time.Second // for which the last update of a source is valid
-	// from the start, until one control node in contact with a majority is sufficient
+	statusTTL = 2 * time.Second // time for which the last update of a source is valid
+	// singleSourceAfter is the time since the start after which one control node in contact with a majority is
+	// sufficient, so that an agent that cannot connect to a majority itself becomes ready all the same.
 	singleSourceAfter = 5 * time.Second
 )
 
-// clusterView is what the states of all sources say together. Only control nodes that are in contact with a majority of
-// the voters count.
+// clusterView is the combined state of all sources. It takes only control nodes into account that are in contact with a
+// majority of the voters.
 type clusterView struct {
-	members       int      // the highest count of ingresses; 0: none is known
+	members       int      // highest number of ingresses that a node reports; 0: not known
 	quorum        bool     // a majority of the voters is connected and in contact
-	sufficient    bool     // what has come from them is enough to serve with
+	sufficient    bool     // the updates received are enough to serve requests
 	voters        []string // control addresses of the voters; nil: not known
-	votersCurrent bool     // a node in contact has reported them
-	rank          int      // of this ingress in its zone, by the node that counts most members
-	peers         int      // ingresses that are ranked there; 0: this one has no rank
-	live          []string // internal addresses that counter calls can go to
+	votersCurrent bool     // the voters were reported by a node in contact
+	rank          int      // rank of this ingress in its zone, from the node that reports most ingresses
+	peers         int      // number of ingresses ranked in the zone; 0: this ingress has no rank
+	live          []string // internal addresses of the nodes that counter calls can be sent to
 }
 
-// sourceStatus is what is known of one control node.
+// sourceStatus is the state of the subscription to one control node.
 type sourceStatus struct {
 	addr         string
 	fromVoters   bool
@@ -34,7 +35,7 @@
 	replication.State
 }
 
-// view evaluates the sources as they are now.
+// view evaluates the current state of the sources.
 func (a *Agent) view() clusterView {
 	sources := *a.sources.Load()
 	statuses := make([]sourceStatus, 0, maxSources)
@@ -50,16 +51,16 @@
 	return evaluate(statuses, time.Now(), time.Since(a.startedAt))
 }
 
-// inContact reports whether a control node was in contact with a majority of the voters as of its last update, and that
-// is still valid.
+// inContact reports whether a control node was in contact with a majority of the voters at its last update, and whether
+// that update is still valid.
 func (ss *sourceStatus) inContact(now time.Time) bool {
 	return ss.Incarnation != 0 && now.Sub(ss.LastUpdateAt) <= statusTTL && ss.Quorum
 }
 
-// evaluate draws the conclusions from what is known of the control nodes, at a time since the start. A majority of the
-// voters has everything that was acknowledged, and a node that is in contact with one and ready has it too. Where no
-// majority connects, one such node is sufficient after a while. One that is out of contact, or is known to lack changes
-// that another has, is never sufficient.
+// evaluate combines the states of the control nodes into a view. A majority of the voters has every acknowledged
+// change, and so has a node that is ready and in contact with a majority. If the agent does not connect to a majority,
+// one such node is sufficient after singleSourceAfter. A node that is out of contact, or that lacks changes which
+// another node has, is never sufficient.
 func evaluate(statuses []sourceStatus, now time.Time, sinceStart time.Duration) clusterView {
 	view, electorate := evaluateVoters(statuses, now)
 	newestEpoch := uint64(0)
@@ -89,8 +90,8 @@
 	return view
 }
 
-// evaluateVoters finds the newest electorate that is known, and its size: where no node in contact has reported it, the
-// configured sources count in its place.
+// evaluateVoters returns a view with the newest known list of voters, and the number of voters. If no node in contact
+// has reported the voters, that number is the number of configured sources.
 func evaluateVoters(statuses []sourceStatus, now time.Time) (view clusterView, electorate int) {
 	votersEpoch := uint64(0)
 	for i := range statuses {
--- a/internal/agent/counters.go
+++ b/internal/agent/counters.go
@@ -9,14 +9,17 @@
 )
 
 const (
-	maxCounterCalls = 256 // in flight; further ones are answered at once, as by a node that is not the owner
-	// counterTimeout bounds a counter call at each of maxCounterAttempts owners: a proxy waits for little more than
-	// all.
+	// maxCounterCalls bounds the counter calls in flight. Further calls are answered at once, in the same way as by a
+	// node that is not the owner of the counter.
+	maxCounterCalls = 256
+	// counterTimeout bounds a counter call to each of maxCounterAttempts owners. The proxy waits only slightly longer
+	// than both attempts take together.
 	counterTimeout     = 160 * time.Millisecond
-	maxCounterAttempts = 2
+	maxCounterAttempts = 2 // the owner, then the node that owns the counter without it
 )
 
-// handleCounterCall takes a counter call of a proxy. The answer is sent once the owner has given one.
+// handleCounterCall forwards a counter call of a proxy in the background, and sends the answer when the owner has
+// returned it.
 func (a *Agent) handleCounterCall(conn *transport.Conn, call *transport.Frame) *transport.Frame {
 	if call.CounterAdd == nil || call.Call == 0 {
 		return nil
@@ -34,8 +37,8 @@
 	return nil
 }
 
-// forwardToOwner forwards a report to the owner of its counter among the live control nodes, or to the next one where
-// that does not answer for it.
+// forwardToOwner forwards a report to the live control node that owns its counter. If that node does not answer or does
+// not accept the report, forwardToOwner tries the node that owns the counter without it.
 func (a *Agent) forwardToOwner(report *transport.CounterAdd) *transport.CounterTotal {
 	a.counterCalls.Add(1)
 	live, sources := a.view().live, *a.sources.Load()
@@ -44,13 +47,13 @@
 		live = slices.DeleteFunc(live, func(addr string) bool { return addr == owner })
 		index := slices.IndexFunc(sources, func(src *source) bool { return src.addr == owner })
 		if index < 0 {
-			continue // the sources have just changed
+			continue // the sources have changed since the view was evaluated
 		}
 		answer, err := sources[index].client.Call(counterTimeout, &transport.Frame{CounterAdd: report})
 		if err != nil || answer.CounterTotal == nil {
 			continue
 		}
-		// An owner that is not sure yet to have the reports of all has still taken this one.
+		// An owner that may not have the reports of all ingresses yet has nevertheless accepted this one.
 		if total := answer.CounterTotal; total.OK || total.Reporters > 0 {
 			return total
 		}
--- a/internal/agent/link_delay.go
+++ b/internal/agent/link_delay.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	linkDelayWindow     = 600 * time.Millisecond // all sources send at least one update in it
-	linkDelayMinSamples = 2
-	linkDelaySamples    = 32 // that are kept
+	linkDelayWindow     = 600 * time.Millisecond // every source sends at least one update in this time
+	linkDelayMinSamples = 2                      // fewest samples in the window for an estimate
+	linkDelaySamples    = 32                     // number of samples kept
 )
 
-// linkDelay estimates the queueing delay of packets at this machine's link, from the age of the control nodes' updates
-// on arrival. The least age within a window counts, over all sources: while there is a queue at the link all updates
-// are late, whereas those that one source or one partition delayed arrive beside fresh ones. Without updates the delay
-// is not known: their absence is no sign of a queue. Safe for concurrent use.
+// linkDelay estimates the queueing delay of packets at this machine's link from the age of the control nodes' updates
+// on arrival. The estimate is the lowest age within a window over all sources, because a queue at the link delays all
+// updates, whereas a slow source or a partition delays only some of them. Without updates the delay is unknown, because
+// their absence does not indicate a queue. Safe for concurrent use.
 type linkDelay struct {
 	mu      sync.Mutex                    // guards the fields below
-	samples [linkDelaySamples]delaySample // a ring
-	next    int
+	samples [linkDelaySamples]delaySample // ring buffer
+	next    int                           // index of the sample that is overwritten next
 }
 
 type delaySample struct {
-	at  time.Time // zero: none
-	age time.Duration
+	at  time.Time     // time of arrival; zero: no sample
+	age time.Duration // time from sending to arrival
 }
 
-// observe takes the age of an update that arrived at a time.
+// observe records the age of an update that arrived at the time now.
 func (ld *linkDelay) observe(now time.Time, age time.Duration) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
@@ -34,7 +34,7 @@
 	ld.next = (ld.next + 1) % len(ld.samples)
 }
 
-// current returns the estimate at a time, above 0; 0: it is not known.
+// current returns the estimate at the time now. It is always positive; 0 means that the delay is not known.
 func (ld *linkDelay) current(now time.Time) time.Duration {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -29,7 +29,7 @@
 	})
 }
 
-// sourceSamples counts the control nodes by what is known of them.
+// sourceSamples counts the sources by state. The states overlap: a connected source is also a known one.
 func (a *Agent) sourceSamples() []metrics.Sample {
 	connected, updated := 0, 0
 	sources := *a.sources.Load()
--- a/internal/agent/metrics_test.go
+++ b/internal/agent/metrics_test.go
@@ -12,8 +12,8 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// TestMetrics checks that an agent without sources and one that knows servers have the same series, however many there
-// are.
+// TestMetrics checks that the number of series does not depend on the number of servers: an agent that knows no servers
+// exports as many as one that knows a hundred.
 func TestMetrics(t *testing.T) {
 	is := is.New(t)
 	a := New(7, logtest.Discard())
@@ -45,13 +45,13 @@
 	t.Log("series:", strings.Count(full, "\nmulleinrouter_"))
 }
 
-// TestLinkDelay checks that the delay is the least age of all sources' updates within a window: one source that is
-// stopped, or a partition that heals, shows none, a queue at this machine does.
+// TestLinkDelay checks that the delay is the lowest age of all sources' updates within a window. A queue at this
+// machine's link raises it; late updates of one suspended source or after a healed partition do not.
 func TestLinkDelay(t *testing.T) {
 	const fresh, late = 3 * time.Millisecond, 2 * time.Second
 	start := time.Unix(1000, 0)
 	for name, c := range map[string]struct {
-		ages []time.Duration // every 200 ms, the last 100 ms ago
+		ages []time.Duration // ages of updates that arrive every 200 ms, the last one 100 ms ago
 		want time.Duration
 	}{
 		"no updates":                 {nil, 0},
@@ -72,7 +72,7 @@
 				d.observe(now, age)
 			}
 			is.Equal(d.current(now.Add(100*time.Millisecond)), c.want)
-			is.Equal(d.current(now.Add(time.Minute)), time.Duration(0)) // long ago
+			is.Equal(d.current(now.Add(time.Minute)), time.Duration(0)) // all samples are outside the window
 		})
 	}
 }
--- a/internal/agent/proxies.go
+++ b/internal/agent/proxies.go
@@ -9,13 +9,14 @@
 	"mulleinrouter/internal/cluster/transport"
 )
 
-// maxConnections bounds the connections of proxies, of which there are two during a handover, and of observers.
+// maxConnections bounds the connections of observers and proxies together. During a handover two proxies are connected.
 const maxConnections = 8
 
-// classObserver is the class of a subscriber that only reads what the agent knows. The value is on the wire.
+// classObserver is the class of a subscriber that only reads the agent's state. The value is part of the wire protocol.
 const classObserver = "visitor"
 
-// Serve takes connections until the listener is closed. A connection ends with its other side, or with the process.
+// Serve accepts connections until the listener is closed. A connection ends when the peer closes it or the process
+// ends.
 func (a *Agent) Serve(listener net.Listener) {
 	slots := make(chan struct{}, maxConnections)
 	for {
@@ -52,13 +53,13 @@
 			Members: a.source.Members,
 			Quorum:  a.source.Quorum,
 		}
-		_ = source.Serve(conn, first.Hello, nil) // ends when the observer has what it wants
+		_ = source.Serve(conn, first.Hello, nil) // returns when the observer disconnects
 	case replication.ClassProxy:
 		a.serveProxy(conn, first.Hello)
 	}
 }
 
-// serveProxy sends a proxy updates, and forwards its counter calls, until it disconnects.
+// serveProxy sends updates to a proxy and forwards its counter calls until it disconnects.
 func (a *Agent) serveProxy(conn *transport.Conn, hello *transport.Hello) {
 	a.proxies.Add(1)
 	level.Info(a.log).Log("msg", "proxy connected", "node", hello.Node)
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -9,24 +9,24 @@
 	"mulleinrouter/internal/cluster/transport"
 )
 
-// askTimeout bounds the connection of Ask.
+// askTimeout bounds the connection attempt of Ask.
 const askTimeout = time.Second
 
-// Report is what a running agent reports of itself.
+// Report is the status that a running agent reports.
 type Report struct {
 	Incarnation uint64  `json:"incarnation"`
 	Ready       bool    `json:"ready"`
 	Quorum      bool    `json:"quorum"`
-	Members     int     `json:"members"` // ingresses that hold a lease
+	Members     int     `json:"members"` // number of ingresses that hold a lease
 	Epoch       uint64  `json:"epoch"`
-	Clock       float64 `json:"clock"`     // the common clock, in seconds
-	Items       int     `json:"items"`     // of the configuration, with deleted ones
-	Instances   int     `json:"instances"` // of servers, with silent and gone ones
-	Serving     int     `json:"serving"`   // instances that take requests
+	Clock       float64 `json:"clock"`     // time on the clock shared by the control nodes, in seconds
+	Items       int     `json:"items"`     // configuration items, including deleted ones
+	Instances   int     `json:"instances"` // server instances, including silent and gone ones
+	Serving     int     `json:"serving"`   // instances that accept requests
 }
 
-// Ask has the agent at that address report what it knows, within about two seconds. Where none answers the error wraps
-// ErrNoAgent.
+// Ask requests a report from the agent at an address. It takes about two seconds at most. If no agent answers, the
+// error wraps ErrNoAgent.
 func Ask(ctx context.Context, addr string) (Report, error) {
 	netConn, err := transport.Dial(ctx, addr, askTimeout)
 	if err != nil {
@@ -55,7 +55,7 @@
 	}
 }
 
-// add takes an update of the agent.
+// add adds an update of the agent to the report.
 func (r *Report) add(update *transport.Update) {
 	r.Items += len(update.Items)
 	r.Instances += len(update.Instances)
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -19,25 +19,25 @@
 )
 
 const (
-	settingsPollInterval = 2 * time.Second
-	expireInterval       = time.Minute
-	expireAfterIntervals = 6           // after which a gone or silent instance that has not changed is forgotten
-	graceReserve         = time.Second // of the grace that is left, so that the process ends by itself
+	settingsPollInterval = 2 * time.Second // between two reads of the settings file
+	expireInterval       = time.Minute     // between two checks for expired instances
+	expireAfterIntervals = 6               // check intervals after which an unchanged gone or silent instance expires
+	graceReserve         = time.Second     // unused part of the grace, so that the process exits before it is killed
 )
 
-// bindPolicy covers the time for which the process before may still hold the address.
+// bindPolicy covers the time for which the previous process may still have the address bound.
 var bindPolicy = retry.Policy{Attempts: 16, Interval: 200 * time.Millisecond}
 
-// Options says how an agent runs.
+// Options are the dependencies and settings of Run.
 type Options struct {
-	Settings *settings.Watcher // no other goroutine rereads them
+	Settings *settings.Watcher // reread by no other goroutine
 	Log      log.Logger
-	Dial     func(ctx context.Context, addr string) (net.Conn, error) // to control nodes; usually Dial
-	Metrics  metrics.Endpoint                                         // where metrics are served; zero: nowhere
+	Dial     func(ctx context.Context, addr string) (net.Conn, error) // connects to control nodes; usually Dial
+	Metrics  metrics.Endpoint                                         // of the metrics; zero value: not served
 }
 
-// Run runs an agent until SIGTERM or an interrupt, and then as long as a proxy is connected, but not longer than the
-// grace. SIGHUP and a changed file have the settings read again.
+// Run runs an agent until SIGTERM or SIGINT. It then continues while a proxy is connected, for graceReserve less than
+// the grace at most. It rereads the settings on SIGHUP and when the file has changed.
 func Run(o Options) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// loop handles signals and settings, and forgets instances that ended long ago, until the process may end.
+// loop handles signals and changed settings, and removes expired instances, until the shutdown is complete.
 func (a *Agent) loop(ctx context.Context, watcher *settings.Watcher, signals <-chan os.Signal) {
 	expiry := instanceExpiry{checkedAt: time.Now()}
 	tick := time.NewTicker(settingsPollInterval)
@@ -94,14 +94,14 @@
 	}
 }
 
-// instanceExpiry remembers the sequence numbers of the store at the last intervals.
+// instanceExpiry records the sequence numbers of the store at the last checks, one per interval.
 type instanceExpiry struct {
 	checkedAt time.Time
 	seqs      []uint64
 }
 
-// expireInstances forgets, once in expireInterval, gone and silent instances that have not changed for several
-// intervals.
+// expireInstances removes gone and silent instances that have not changed for expireAfterIntervals intervals. It does
+// so at most once in expireInterval.
 func (a *Agent) expireInstances(e *instanceExpiry) {
 	if time.Since(e.checkedAt) < expireInterval {
 		return
@@ -113,7 +113,7 @@
 	}
 }
 
-// shutDown waits until no proxy is connected any more, for a second less than the grace (in seconds) at most.
+// shutDown waits until no proxy is connected, for graceReserve less than the grace (in seconds) at most.
 func (a *Agent) shutDown(grace float64) {
 	level.Info(a.log).Log("msg", "shutting down", "proxies", a.proxies.Load())
 	timer := time.NewTimer(max(0, time.Duration(grace*float64(time.Second))-graceReserve))
--- a/internal/agent/sources.go
+++ b/internal/agent/sources.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	maxConfiguredSources = 5                      // from the settings
-	maxSources           = 9                      // with those from the electorate
-	votersCheckInterval  = 250 * time.Millisecond // least time between two comparisons of electorate and sources
+	maxConfiguredSources = 5                      // sources from the settings
+	maxSources           = 9                      // sources from the settings and the list of voters
+	votersCheckInterval  = 250 * time.Millisecond // minimum time between two comparisons of voters and sources
 )
 
-// source is a control node that is subscribed to.
+// source is a control node that the agent subscribes to.
 type source struct {
 	addr         string
-	fromVoters   atomic.Bool // it is a source as a voter, and not by the settings
+	fromVoters   atomic.Bool // subscribed to because it is a voter, not configured in the settings
 	client       *replication.Client
 	stop         context.CancelFunc
-	syncComplete atomic.Bool // all that it knows has come, while it was ready itself
+	syncComplete atomic.Bool // its complete state was received while it was ready
 }
 
-// Follow subscribes to the control nodes of these settings, and no longer to those of the settings before. The
-// subscriptions end with the context.
+// Follow subscribes to the control nodes of the settings s and ends the subscriptions to those that only the previous
+// settings contained. The subscriptions end with the context.
 func (a *Agent) Follow(ctx context.Context, s *settings.Settings) {
 	a.subscriptions.mu.Lock()
 	defer a.subscriptions.mu.Unlock()
@@ -56,9 +56,9 @@
 	a.sources.Store(&next)
 }
 
-// subscribeToVoters subscribes to the voters that a control node reported, beyond the configured seeds: these may be
-// down or partitioned, and each voter owns counters. A source that is no longer a voter is removed if the electorate is
-// current.
+// subscribeToVoters subscribes to the voters that a control node reported, in addition to the configured seeds, because
+// the seeds may be down or partitioned and each voter owns counters. If the list of voters is current, it removes
+// sources that were subscribed to as voters and are not voters any more.
 func (a *Agent) subscribeToVoters(electorate []string, current bool) {
 	now := time.Since(a.startedAt)
 	checkedAt := a.votersCheckedAt.Load()
@@ -94,7 +94,7 @@
 	}
 }
 
-// internalAddrs returns the internal addresses of control addresses, each once.
+// internalAddrs returns the internal addresses for a list of control addresses, without duplicates.
 func internalAddrs(s *settings.Settings, controlAddrs []string) (addrs []string) {
 	for _, controlAddr := range controlAddrs {
 		if addr := s.InternalAddrOf(controlAddr); addr != "" && !slices.Contains(addrs, addr) {
@@ -108,7 +108,7 @@
 	return slices.ContainsFunc(sources, func(src *source) bool { return src.addr == addr })
 }
 
-// subscribe starts a client of a control node.
+// subscribe starts a replication client for a control node.
 func (a *Agent) subscribe(ctx context.Context, addr string, s *settings.Settings) *source {
 	src := &source{addr: addr}
 	ctx, src.stop = context.WithCancel(ctx)
@@ -130,7 +130,7 @@
 		OnConnection: func(up bool, err error) {
 			if up {
 				level.Info(logger).Log("msg", "source connected")
-				a.retryOthers(src)
+				a.retryOtherSources(src)
 			} else {
 				level.Warn(logger).Log("msg", "source disconnected", "err", err)
 			}
@@ -140,9 +140,10 @@
 	return src
 }
 
-// observeUpdate draws the conclusions from an update of a source, which is merged already.
+// observeUpdate handles an update of a source that is already merged into the store: it updates the link delay, the
+// readiness and the subscriptions to voters.
 func (a *Agent) observeUpdate(src *source, update *transport.Update) {
-	if update.Complete { // a chunk for new subscribers may have been encoded some time ago
+	if update.Complete { // a chunk for new subscribers may have been encoded earlier, so its age is not a delay
 		a.linkDelay.observe(time.Now(), a.clock.Age(update.Clock))
 	}
 	if update.Complete && update.Ready {
@@ -158,9 +159,9 @@
 	}
 }
 
-// retryOthers has the other sources tried at once where one has just connected: after a loss of power they come back
-// together.
-func (a *Agent) retryOthers(connected *source) {
+// retryOtherSources makes the clients of all other sources retry at once when one source has connected, because after a
+// power failure the control nodes come back at about the same time.
+func (a *Agent) retryOtherSources(connected *source) {
 	for _, src := range *a.sources.Load() {
 		if src != connected {
 			src.client.RetryNow()
