--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -23,8 +23,8 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// startProxy starts a proxy whose one server is the function given: it is called with each connection, which ends when
-// it returns.
+// startProxy starts a proxy with a single server. The function serve implements the server: it is called for each
+// connection, which is closed when it returns.
 func startProxy(t *testing.T, serve func(nc *net.TCPConn, r *http1.Reader)) (front string, server *ingress.Server) {
 	t.Helper()
 	listen := func() net.Listener {
@@ -74,7 +74,7 @@
 	return client.Addr().String(), server
 }
 
-// postRequest sends a request that must not run twice, and reads its answer as far as it comes.
+// postRequest sends a request that must not run twice, and reads as much of its answer as arrives.
 func postRequest(
 	t *testing.T, nc net.Conn, r *bufio.Reader, id string,
 ) (status int, header http.Header, body string, err error) {
@@ -90,27 +90,29 @@
 	return a.StatusCode, a.Header, string(b), err
 }
 
-// endsWithConnection is the body of an answer without a length: what came before a close, and none with a reset.
+// endsWithConnection marks an answer without a length. Its body is what arrived before the connection was closed; if
+// the connection was reset, it has no complete body.
 const endsWithConnection = "\x00"
 
-// TestTruncatedAnswersNeverLookComplete has the server end the connection after each byte of its answer, with a close
-// or a reset: the client gets no success, or one that it can see is truncated. After the last byte it gets all of it.
+// TestTruncatedAnswersNeverLookComplete closes or resets the server's connection after each byte of its answer. The
+// client must get no success, or one that it can recognize as truncated. After the last byte it must get the complete
+// answer.
 func TestTruncatedAnswersNeverLookComplete(t *testing.T) {
-	const own = "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Server-Seal: s\r\n"
+	const ownHead = "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Server-Seal: s\r\n"
 	for name, c := range map[string]struct{ answer, body string }{
-		"with a length": {own + "Content-Length: 5\r\n\r\nhello", "hello"},
+		"with a length": {ownHead + "Content-Length: 5\r\n\r\nhello", "hello"},
 		"in chunks": {
-			own + "Transfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\nX-Sum: 1\r\n\r\n",
+			ownHead + "Transfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\nX-Sum: 1\r\n\r\n",
 			"hello",
 		},
-		"behind an interim": {"HTTP/1.1 100 Continue\r\n\r\n" + own + "Content-Length: 2\r\n\r\nhi", "hi"},
-		"behind another's": {
-			strings.Replace(own, "{id}", "i-other", 1) + "Content-Length: 1\r\n\r\nx" + own +
+		"after an interim answer": {"HTTP/1.1 100 Continue\r\n\r\n" + ownHead + "Content-Length: 2\r\n\r\nhi", "hi"},
+		"after another request's answer": {
+			strings.Replace(ownHead, "{id}", "i-other", 1) + "Content-Length: 1\r\n\r\nx" + ownHead +
 				"Content-Length: 2\r\n\r\nhi",
 			"hi",
 		},
-		"without a body":       {own + "Content-Length: 0\r\n\r\n", ""},
-		"with no end but that": {own + "\r\nhello", endsWithConnection},
+		"without a body":            {ownHead + "Content-Length: 0\r\n\r\n", ""},
+		"until the connection ends": {ownHead + "\r\nhello", endsWithConnection},
 	} {
 		t.Run(name, func(t *testing.T) {
 			front, _ := startProxy(t, func(nc *net.TCPConn, r *http1.Reader) {
@@ -118,7 +120,7 @@
 				if err != nil || r.ReadBody(q) != nil {
 					return
 				}
-				id := q.Header.Get(headerAttemptID) // whose first letter and number say what to do
+				id := q.Header.Get(headerAttemptID) // the letter selects close or reset, the number the length
 				cut, _ := strconv.Atoi(id[1:5])
 				io.WriteString(nc, strings.ReplaceAll(c.answer, "{id}", id)[:cut])
 				if id[0] == 'r' {
@@ -143,9 +145,9 @@
 					}
 					switch success := err == nil && status/100 == 2; {
 					case success && (!complete || body != want || header.Get("X-Server-Seal") != "s"):
-						t.Errorf("cut after %d bytes, reset %v: a success with %q, want none of less than %q",
+						t.Errorf("cut after %d bytes, reset %v: a success with %q, want none with less than %q",
 							cut, reset, body, want)
-					case !success && complete && !reset: // a reset may overtake the last bytes
+					case !success && complete && !reset: // a reset may discard the last bytes
 						t.Errorf("complete answer: the client got %d, %v, want a success", status, err)
 					case err == nil && status != 200 && status != 502:
 						t.Errorf("cut after %d bytes, reset %v: it may have run, and the client got %d, "+
@@ -158,49 +160,58 @@
 	}
 }
 
-// TestAnswersReachTheirOwnClient sends one request behind another to a server that answers each with what may stand in
-// an answer's place: the answer before, a second one, another's rejection, one without an ID. A client gets its own
-// answer or a failure, and never that a request was not executed which was; nothing runs twice.
+// TestAnswersReachTheirOwnClient sends two requests in sequence to a server that sends wrong answers in place of or in
+// addition to the right one: the previous answer, a second answer, the rejection of another request, an answer without
+// an ID. A client must get its own answer or a failure, and must never be told that an executed request was not
+// executed. No request may run twice.
 func TestAnswersReachTheirOwnClient(t *testing.T) {
-	ok := func(id string) string {
+	success := func(id string) string {
 		return fmt.Sprintf(
 			"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Seal: s\r\nContent-Length: %d\r\n\r\n%s", id, len(id), id,
 		)
 	}
-	full := func(id string) string {
+	rejection := func(id string) string {
 		return fmt.Sprintf(
 			"HTTP/1.1 503 Full\r\nX-Attempt-Id: %s\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", id,
 		)
 	}
 	const anonymous = "HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 	cases := []struct {
-		name   string
-		answer func(id, before, last string) string // last is the answer to the request before on this connection
+		name string
+		// answer returns what the server sends; before and last are the ID and the answer of the previous request on
+		// the connection.
+		answer func(id, before, last string) string
 		status int
 		runs   int
 	}{
-		{"its own", func(id, _, _ string) string { return ok(id) }, 200, 1},
-		{"the one before in its place", func(id, before, _ string) string { return ok(before) + ok(id) }, 200, 1},
-		{"what was said before in its place", func(id, _, last string) string { return last + ok(id) }, 200, 1},
-		{"two of its own", func(id, _, _ string) string { return ok(id) + ok(id) }, 200, 1},
+		{"its own", func(id, _, _ string) string { return success(id) }, 200, 1},
 		{
-			"the refusal of the one before in its place",
-			func(id, before, _ string) string { return full(before) + ok(id) }, 200, 1,
+			"the previous answer first",
+			func(id, before, _ string) string { return success(before) + success(id) }, 200, 1,
 		},
-		{"only the one before, and the end", func(_, before, _ string) string { return ok(before) }, 502, 1},
-		{"five others", func(id, before, _ string) string { return strings.Repeat(ok(before), 5) + ok(id) }, 502, 1},
-		{"its own and a refusal", func(id, _, _ string) string { return ok(id) + anonymous }, 200, 1},
-		{"its refusal", func(id, _, _ string) string { return full(id) }, 503, 0},
-		{"a refusal without a name", func(string, string, string) string { return anonymous }, 503, 0},
-		{"its refusal, twice", func(id, _, _ string) string { return full(id) + full(id) }, 503, 0},
+		{"the previous response repeated first", func(id, _, last string) string { return last + success(id) }, 200, 1},
+		{"two of its own", func(id, _, _ string) string { return success(id) + success(id) }, 200, 1},
 		{
-			"no name",
-			func(id, _, _ string) string { return strings.Replace(ok(id), "X-Attempt-Id", "X-Other", 1) },
+			"the rejection of the previous request first",
+			func(id, before, _ string) string { return rejection(before) + success(id) }, 200, 1,
+		},
+		{"only the previous answer, and the end", func(_, before, _ string) string { return success(before) }, 502, 1},
+		{
+			"five others first",
+			func(id, before, _ string) string { return strings.Repeat(success(before), 5) + success(id) }, 502, 1,
+		},
+		{"its own and a rejection", func(id, _, _ string) string { return success(id) + anonymous }, 200, 1},
+		{"its rejection", func(id, _, _ string) string { return rejection(id) }, 503, 0},
+		{"a rejection without an ID", func(string, string, string) string { return anonymous }, 503, 0},
+		{"its rejection, twice", func(id, _, _ string) string { return rejection(id) + rejection(id) }, 503, 0},
+		{
+			"no ID",
+			func(id, _, _ string) string { return strings.Replace(success(id), "X-Attempt-Id", "X-Other", 1) },
 			502, 1,
 		},
 		{
 			"no seal",
-			func(id, _, _ string) string { return strings.Replace(ok(id), "X-Server-Seal", "X-Other", 1) },
+			func(id, _, _ string) string { return strings.Replace(success(id), "X-Server-Seal", "X-Other", 1) },
 			502, 1,
 		},
 	}
@@ -246,12 +257,12 @@
 						ran := runs[id]
 						mu.Unlock()
 						if i == 1 && status == 503 && ran == 0 && tr.status != 503 && err == nil && attempt < 50 {
-							continue // it is avoided after a rejection: the client retries
+							continue // the proxy avoids the server after a rejection, so the client retries
 						}
 						claimsNotExecuted := status == 429 || status == 503
 						wrong := status != tr.status || status == 200 && body != id
 						if err != nil || wrong || ran > 1 || claimsNotExecuted && ran > 0 {
-							t.Errorf("%q behind %q: the client of %s got %d with %q (%v), it ran %d times",
+							t.Errorf("%q after %q: the client of %s got %d with %q (%v), it ran %d times",
 								second.name, first.name, id, status, body, err, ran)
 						}
 						break
@@ -263,9 +274,9 @@
 	}
 }
 
-// TestPendingRequestIsServedWhileDraining has a client's next request come while the answer to the one before is sent,
-// and the proxy drain meanwhile: the client was not asked to close, so the request is served, on a connection that ends
-// with it.
+// TestPendingRequestIsServedWhileDraining sends a client's next request while the answer to the previous one is still
+// being sent, and drains the proxy meanwhile. The client was not asked to close the connection, so the proxy must serve
+// the request and close the connection after it.
 func TestPendingRequestIsServedWhileDraining(t *testing.T) {
 	is := is.New(t)
 	finish := make(chan bool)
@@ -292,7 +303,7 @@
 	ask("i1")
 	a, err := http.ReadResponse(r, nil)
 	is.NoErr(err)
-	is.True(!a.Close) // it may send another request
+	is.True(!a.Close) // the client may send another request
 	ask("i2")
 	go server.Drain(time.Minute, 0)
 	is.Equal(exchange.Until(func() bool { return server.Phase() == decision.Closing }), "")
@@ -301,7 +312,7 @@
 	is.NoErr(err)
 	is.Equal(string(b), "ab")
 	a, err = http.ReadResponse(r, nil)
-	is.NoErr(err) // it was not dropped
+	is.NoErr(err) // the request was not dropped
 	b, err = io.ReadAll(a.Body)
 	is.NoErr(err)
 	is.Equal(string(b), "ab")
--- a/internal/proxy/classes.go
+++ b/internal/proxy/classes.go
@@ -8,27 +8,30 @@
 )
 
 const (
-	// routePriorityStep is the value of a route's priority, in that of the next lower one.
+	// routePriorityStep is the ratio of the value of a route's priority to that of the next lower priority.
 	routePriorityStep = 3.0
-	// tenantPriorityStep is the same for tenants: their priority goes before that of routes.
+	// tenantPriorityStep is the same ratio for tenants. It is much larger, because the priority of tenants takes
+	// precedence over that of routes.
 	tenantPriorityStep = 64.0
-	// maxPrioritySteps bounds the steps that count.
+	// maxPrioritySteps bounds the priority: lower priorities have the same value as this one.
 	maxPrioritySteps = 8
-	// slowAttemptFactor is the usual answer times after which an attempt is slow: one in some hundred takes longer.
+	// slowAttemptFactor is the multiple of the usual answer time after which an attempt counts as slow. About one
+	// attempt in a hundred takes longer.
 	slowAttemptFactor = 6.0
-	// maxQueueShareOfTarget is the time that a request may wait for a server, of its latency target: a rejection within
-	// a quarter of it costs least.
+	// maxQueueShareOfTarget is the share of its latency target that a request may wait for a server. A rejection costs
+	// least if it comes within a quarter of the latency target.
 	maxQueueShareOfTarget = 0.22
-	// lateValue is the value of an answer after the latency target, of that of one in time.
+	// lateValue is the value of an answer after the latency target, relative to an answer in time.
 	lateValue = 0.5
-	// maxCachedEntries bounds what is cached of routes and of tenants; beyond it all is made anew, which costs little.
+	// maxCachedEntries bounds each cache of routes and of tenants. A full cache is cleared, because it is cheap to
+	// rebuild.
 	maxCachedEntries = 1 << 14
 )
 
-// anonymousTerms are the terms of requests on public routes that come without a key.
+// anonymousTerms are the terms of requests on public routes that have no key.
 var anonymousTerms = &decision.Terms{Plan: decision.Plan{ValueWeight: 1}, Tag: "-"}
 
-// class returns a route as the decision module knows it.
+// class converts a route to a class of the decision module, and caches the result.
 func (t *translator) class(route *configuration.Route) *decision.Class {
 	key := route.Name + "\x00" + strconv.FormatUint(route.Version, 16)
 	t.mu.Lock()
@@ -57,7 +60,7 @@
 	return class
 }
 
-// tenantTerms returns a tenant's quota as the decision module knows it.
+// tenantTerms converts a tenant's quota to terms of the decision module, and caches the result.
 func (t *translator) tenantTerms(tenant *configuration.Tenant) *decision.Terms {
 	tag := strconv.FormatUint(tenant.Version, 16)
 	t.mu.Lock()
@@ -82,7 +85,8 @@
 	return terms
 }
 
-// valueOfPriority returns the value of a priority, of which 0 is the highest: each step divides it.
+// valueOfPriority returns the value of a priority. The highest priority is 0 and has value 1; each lower priority
+// divides the value by step.
 func valueOfPriority(priority int, step float64) float64 {
 	value := 1.0
 	for range min(max(priority, 0), maxPrioritySteps) {
--- a/internal/proxy/control_feed.go
+++ b/internal/proxy/control_feed.go
@@ -20,62 +20,62 @@
 )
 
 const (
-	// contactTTL is the time without contact to a majority of the control nodes after which a route, a tenant or a
-	// service that is not known here may exist all the same.
+	// contactTTL is the time without contact to a majority of the control nodes after which the configuration here may
+	// be out of date: a route, a tenant or a service that it lacks may exist nevertheless.
 	contactTTL = 1500 * time.Millisecond
-	// disruptionMargin is added to ConfigApply for the disruption window, in seconds.
+	// disruptionMargin is the time by which the disruption window exceeds ConfigApply, in seconds.
 	disruptionMargin = 1
 )
 
-// controlFeed is what the proxy gets from the agent beside it: the configuration, the servers, the number of ingresses,
-// and the counters of quotas.
+// controlFeed receives the configuration, the servers and the number of ingresses from the agent on the same machine,
+// and calls the quota counters by way of the agent.
 type controlFeed struct {
 	log  log.Logger
 	node string
-	// process is the reporter of PerRequest reports: a process that starts anew must not be taken for the one before
-	// it.
-	process   string
-	startedAt time.Time
-	store     *replication.Store
-	agent     *replication.Client
-	engine    *engine.Engine
-	shedder   *shedder
-	bounds    func() settings.Bounds // in force
+	// processReporter is the reporter of PerRequest reports. It includes the incarnation, because the owner of a
+	// counter must be able to distinguish a restarted process from its predecessor.
+	processReporter string
+	startedAt       time.Time
+	store           *replication.Store
+	agent           *replication.Client
+	engine          *engine.Engine
+	shedder         *shedder
+	bounds          func() settings.Bounds // returns the bounds in force
 
 	table      atomic.Pointer[configuration.RoutingTable]
-	complete   atomic.Bool   // a complete configuration came from an agent that had it from the control nodes
-	ready      chan struct{} // closed with complete
-	quorumAt   atomic.Int64  // when the agent was last in contact with a majority, in ns since startedAt
-	ingresses  atomic.Int64  // ingressCount.value of counted; 0: none was reported
-	calls      atomic.Int64  // counter calls in flight
+	complete   atomic.Bool   // a complete configuration was received from an agent that was ready
+	ready      chan struct{} // closed when complete is set
+	quorumAt   atomic.Int64  // time of the agent's last contact with a majority, in ns since startedAt
+	ingresses  atomic.Int64  // memberCount.value; 0: no number was reported yet
+	calls      atomic.Int64  // number of counter calls in flight
 	nextSerial atomic.Uint64
 
-	// The fields below belong to the goroutine of agent.Run, which calls applyUpdate.
+	// The fields below are used only by the goroutine of agent.Run, which calls applyUpdate.
 	engineStarted bool
-	counted       ingressCount
-	members       int // as last passed to the engine
-	rank, peers   int // in the zone, as last passed to the engine
+	memberCount   ingressCount
+	members       int // number of ingresses last passed to the engine
+	rank, peers   int // rank and number of ingresses in the zone, as last passed to the engine
 }
 
-// newControlFeed makes the feed of a process with that incarnation; the caller sets agent and engine.
+// newControlFeed returns the feed of the process with the given incarnation. The caller must set agent and engine.
 func newControlFeed(watcher *settings.Watcher, incarnation uint64, logger log.Logger) *controlFeed {
 	s := watcher.Current()
 	cf := &controlFeed{
-		log:       logger,
-		node:      s.Node,
-		process:   s.Node + "#" + strconv.FormatUint(incarnation, 36),
-		startedAt: time.Now(),
-		store:     replication.NewStore(incarnation),
-		shedder:   newShedder(s.Limits.LinkMbps),
-		bounds:    func() settings.Bounds { return watcher.Current().Bounds },
-		ready:     make(chan struct{}),
+		log:             logger,
+		node:            s.Node,
+		processReporter: s.Node + "#" + strconv.FormatUint(incarnation, 36),
+		startedAt:       time.Now(),
+		store:           replication.NewStore(incarnation),
+		shedder:         newShedder(s.Limits.LinkMbps),
+		bounds:          func() settings.Bounds { return watcher.Current().Bounds },
+		ready:           make(chan struct{}),
 	}
 	cf.table.Store(configuration.NewRoutingTable())
 	return cf
 }
 
-// applyUpdate applies an update that is merged into the store already. With the first one the common clock is known,
-// and the engine starts.
+// applyUpdate applies an update that is already merged into the store. The first update starts the engine, because the
+// common clock is known from then on.
 func (cf *controlFeed) applyUpdate(update *transport.Update) {
 	if !cf.engineStarted {
 		cf.engineStarted = true
@@ -98,7 +98,7 @@
 		cf.rank, cf.peers = update.Rank, update.ZonePeers
 		cf.engine.SetZoneRank(update.Rank, update.ZonePeers)
 	}
-	if update.Quorum { // as of when it was sent: this process may have been stopped
+	if update.Quorum { // counted from when it was sent, because this process may have been suspended since
 		cf.quorumAt.Store(int64(time.Since(cf.startedAt) - cf.agent.Clock.Age(update.Clock)))
 	}
 	sufficient := update.Complete && update.Ready && cf.table.Load().RouteCount() > 0
@@ -107,13 +107,13 @@
 	}
 }
 
-// disruptionWindow returns for how long after a change of settings or configuration a broken connection counts as
-// caused by it (RULES, LOST).
+// disruptionWindow returns the time after a change of settings or configuration in which a broken connection is
+// attributed to that change (RULES, LOST).
 func (cf *controlFeed) disruptionWindow() decision.Seconds {
 	return cf.bounds().ConfigApply + disruptionMargin
 }
 
-// newestEpoch returns the highest epoch of some items.
+// newestEpoch returns the highest epoch of items.
 func newestEpoch(items []configuration.Item) (epoch uint64) {
 	for _, item := range items {
 		epoch = max(epoch, item.Epoch)
@@ -121,13 +121,13 @@
 	return epoch
 }
 
-// setMembers sets the number of ingresses; 0 or less: it is not known.
+// setMembers sets the number of ingresses. A number of 0 or less means that it is not known, and is ignored.
 func (cf *controlFeed) setMembers(members int) {
 	if members <= 0 {
 		return
 	}
-	cf.counted.observe(time.Now(), members)
-	ingresses := int64(cf.counted.value())
+	cf.memberCount.observe(time.Now(), members)
+	ingresses := int64(cf.memberCount.value())
 	changed := cf.ingresses.Swap(ingresses) != ingresses
 	if changed || members != cf.members {
 		cf.members = members
@@ -135,17 +135,17 @@
 	}
 }
 
-// ingressCount returns the number of ingresses that a tenant's requests may come through.
+// ingressCount returns the number of ingresses through which a tenant's requests may arrive.
 func (cf *controlFeed) ingressCount() int {
 	return cmp.Or(int(cf.ingresses.Load()), defaultIngressCount)
 }
 
-// upToDate reports whether the configuration here is complete and no older than contactTTL: a route, a tenant or a
-// service that it lacks then does not exist, as far as that can be known.
+// upToDate reports whether the configuration here is complete and the last contact with a majority is more recent than
+// contactTTL. Only then is a route, a tenant or a service that it lacks considered not to exist.
 func (cf *controlFeed) upToDate() bool { return cf.complete.Load() && cf.contactAge() < contactTTL }
 
-// awaitConfiguration waits until the configuration here is complete, for so many seconds at most, and returns for how
-// long it waited. Once there has been a complete configuration it does not wait.
+// awaitConfiguration waits until the configuration here is complete, for limit seconds at most, and returns the time
+// waited. It does not wait once there has been a complete configuration.
 func (cf *controlFeed) awaitConfiguration(limit decision.Seconds) (waited decision.Seconds) {
 	if cf.complete.Load() {
 		return 0
@@ -160,17 +160,18 @@
 	return time.Since(begin).Seconds()
 }
 
-// contactAge returns the time since the agent was in contact with a majority of the control nodes.
+// contactAge returns the time since the agent's last contact with a majority of the control nodes.
 func (cf *controlFeed) contactAge() time.Duration {
 	return time.Since(cf.startedAt) - time.Duration(cf.quorumAt.Load())
 }
 
-// serviceExists reports whether there is such a service.
+// serviceExists reports whether the configuration contains a service.
 func (cf *controlFeed) serviceExists(service string) bool {
 	return cf.table.Load().Service(service) != nil
 }
 
-// backends translates instances for the decision module. Those that are gone, silent or draining are sent nothing.
+// backends converts instances to backends of the decision module. Instances that are gone, silent or draining are not
+// marked as serving, so that no requests are sent to them.
 func (cf *controlFeed) backends(instances []registry.Instance) []decision.Backend {
 	list := make([]decision.Backend, 0, len(instances))
 	for _, changed := range instances {
@@ -194,7 +195,7 @@
 	return list
 }
 
-// lookup returns where a server is, and whether it may be sent new requests.
+// lookup returns the address of a server, and whether new requests may be sent to it.
 func (cf *controlFeed) lookup(id string) (addr string, serving bool) {
 	instance, ok := cf.store.Instance(id)
 	return instance.Address, ok && instance.Phase == registry.Serving
--- a/internal/proxy/counter_calls.go
+++ b/internal/proxy/counter_calls.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	counterTimeout  = 350 * time.Millisecond // for a call of a counter's owner, by way of the agent
-	maxCounterCalls = 256                    // in flight; further ones would be late anyway
+	counterTimeout  = 350 * time.Millisecond // for a call to a counter's owner by way of the agent
+	maxCounterCalls = 256                    // in flight; further calls would not be answered in time anyway
 )
 
-// Add is never called: the proxy's counters are pairs of sum and reporters.
+// Add is never called, because the counters of the proxy are pairs of a sum and a number of reporters.
 func (cf *controlFeed) Add(name string, _ float64, _ decision.Seconds) {
 	cf.engine.PairCounterReplied(name, decision.ConnectionRefused, 0, 0)
 }
 
-// Call carries out a counter call of the decision module, and passes on its outcome.
+// Call performs a counter call for the decision module in the background and reports the outcome to the engine.
 func (cf *controlFeed) Call(call decision.CounterCall) {
 	if cf.calls.Add(1) > maxCounterCalls {
 		cf.calls.Add(-1)
@@ -35,7 +35,7 @@
 	}
 	if call.PerRequest {
 		report.Serial = cf.nextSerial.Add(1)
-		report.Reporter = cf.process
+		report.Reporter = cf.processReporter
 	}
 	go func() {
 		defer cf.calls.Add(-1)
@@ -43,7 +43,7 @@
 	}()
 }
 
-// sendReport sends a report to the owner of its counter, and passes on the answer for the call of that name.
+// sendReport sends a report to the owner of its counter and passes the answer to the engine, as that of the named call.
 func (cf *controlFeed) sendReport(call string, report *transport.CounterAdd) {
 	answer, err := cf.agent.Call(counterTimeout, &transport.Frame{CounterAdd: report})
 	if err != nil {
@@ -54,7 +54,7 @@
 	switch {
 	case total == nil:
 		cf.engine.PairCounterReplied(call, decision.Failed, 0, 0)
-	case !total.OK: // with reporters: an owner that is not sure yet to have the reports of all has taken this one
+	case !total.OK: // Reporters > 0: the owner accepted this report but may lack those of others yet
 		cf.engine.PairCounterReplied(call, decision.Failed, 0, total.Reporters)
 	default:
 		cf.engine.PairCounterReplied(call, decision.Succeeded, total.Sum, total.Reporters)
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -1,6 +1,7 @@
 package proxy
 
-// The fields of PROTOCOL, "Requests" and "Answers", in textproto's own form: Get would make each anew.
+// The header fields of PROTOCOL, "Requests" and "Answers", in the canonical form of textproto, because Get would
+// allocate a canonical copy of any other form.
 const (
 	headerAttemptID     = "X-Attempt-Id"
 	headerTimeLeft      = "X-Time-Left-Ms"
@@ -17,8 +18,8 @@
 // authScheme is the scheme of headerAuthorization, with the space before the key.
 const authScheme = "Token "
 
-// consumedHeaders are the fields that the system decides by or writes itself: they are not forwarded, and no trailer
-// may have them. The key is between the client and the system: servers get the tenant.
+// consumedHeaders are the fields that the proxy evaluates or writes itself. They are not forwarded, and a trailer must
+// not contain them. Servers do not get the client's key; they get the tenant instead.
 var consumedHeaders = map[string]bool{
 	headerAttemptID:     true,
 	headerTimeLeft:      true,
@@ -27,7 +28,7 @@
 	headerTarget:        true,
 }
 
-// serverOnlyHeaders are the fields from servers to the system: clients do not get them.
+// serverOnlyHeaders are the fields of answers that are meant for the proxy and not forwarded to clients.
 var serverOnlyHeaders = map[string]bool{
 	headerNotExecuted: true,
 	headerInstance:    true,
--- a/internal/proxy/ingress_count.go
+++ b/internal/proxy/ingress_count.go
@@ -3,21 +3,22 @@
 import "time"
 
 const (
-	// memberCountRetention is the time for which an ingress that is gone is counted: it may still hold quota slices.
+	// memberCountRetention is the time for which an ingress that has left still counts, because it may still hold quota
+	// slices.
 	memberCountRetention = 20 * time.Second
-	// defaultIngressCount is the number of ingresses while none has been reported: many, for a slice of a quota that is
-	// too large cannot be taken back.
+	// defaultIngressCount is the number of ingresses that is assumed until one is reported. It is high, because a slice
+	// of a quota that is too large cannot be taken back.
 	defaultIngressCount = 24
 )
 
-// ingressCount is the number of ingresses that a tenant's requests may come through: the highest one that was reported
-// within memberCountRetention. The zero value has no report.
+// ingressCount determines the number of ingresses through which a tenant's requests may arrive. It is the highest
+// number reported within memberCountRetention. The zero value has no report.
 type ingressCount struct {
 	highest   int
-	highestAt time.Time // when it was last reported
+	highestAt time.Time // time of the last report of highest
 }
 
-// observe takes a report of the number of ingresses, one at least.
+// observe records a report of the number of ingresses, which must be at least 1.
 func (ic *ingressCount) observe(now time.Time, members int) {
 	if members >= ic.highest || now.Sub(ic.highestAt) > memberCountRetention {
 		ic.highest = members
--- a/internal/proxy/ingress_count_test.go
+++ b/internal/proxy/ingress_count_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestIngressCount reports numbers of ingresses over time.
+// TestIngressCount checks the assumed number of ingresses after a sequence of reports.
 func TestIngressCount(t *testing.T) {
 	type report struct {
 		at      time.Duration
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -25,7 +25,7 @@
 		func() float64 { return float64(p.stats().CounterCallsUnanswered) })
 }
 
-// registerControlMetrics registers what is known from the agent.
+// registerControlMetrics registers the metrics of the state received from the agent.
 func (p *Proxy) registerControlMetrics(r *metrics.Registry) {
 	r.Flag("ready", "Whether the platform is to send clients.", p.Ready)
 	r.Gauge("config_epoch",
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -12,7 +12,8 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// TestMetrics checks the metrics of a proxy, and how they follow what it knows of servers.
+// TestMetrics checks the metrics of a proxy, that the servers metric follows the list of servers, and that the number
+// of series does not depend on that list.
 func TestMetrics(t *testing.T) {
 	is := is.New(t)
 	s := &settings.Settings{
--- a/internal/proxy/planned_test.go
+++ b/internal/proxy/planned_test.go
@@ -20,12 +20,12 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// TestPlannedDisruptionsKeepAttempts has a server become silent while another is free. Usually the request goes on to
-// that one; where the proxy shuts down, its settings are read again or a configuration comes into force, the attempt
-// goes on.
+// TestPlannedDisruptionsKeepAttempts checks what happens to an attempt whose server becomes silent while another server
+// is free. Usually the proxy abandons it and sends the request to the other server. While the proxy shuts down, or just
+// after its settings were reread or a configuration took effect, the attempt must continue.
 func TestPlannedDisruptionsKeepAttempts(t *testing.T) {
 	const apply = 2.5
-	type when struct{ ago, in time.Duration } // the disruption comes so long before the request, or after
+	type when struct{ ago, in time.Duration } // time of the disruption before (ago) or after (in) the request was sent
 	for name, tc := range map[string]struct {
 		planned func(p *Proxy, hangups chan os.Signal)
 		when
@@ -40,12 +40,20 @@
 			planned: func(p *Proxy, _ chan os.Signal) { p.beginShutdown() },
 			when:    when{ago: 2 * time.Second},
 		},
-		"SIGHUP while it is out":          {planned: hangUp, when: when{in: 100 * time.Millisecond}},
-		"SIGHUP before it":                {planned: hangUp, when: when{ago: 3400 * time.Millisecond}},
-		"SIGHUP long before it":           {planned: hangUp, when: when{ago: 3600 * time.Millisecond}, abandoned: true},
-		"a configuration while it is out": {planned: change, when: when{in: 100 * time.Millisecond}},
-		"a configuration before it":       {planned: change, when: when{ago: 3400 * time.Millisecond}},
-		"a configuration long before it":  {planned: change, when: when{ago: 3600 * time.Millisecond}, abandoned: true},
+		"SIGHUP while it is out": {planned: sendHangup, when: when{in: 100 * time.Millisecond}},
+		"SIGHUP before it":       {planned: sendHangup, when: when{ago: 3400 * time.Millisecond}},
+		"SIGHUP long before it": {
+			planned:   sendHangup,
+			when:      when{ago: 3600 * time.Millisecond},
+			abandoned: true,
+		},
+		"a configuration while it is out": {planned: applyTestConfig, when: when{in: 100 * time.Millisecond}},
+		"a configuration before it":       {planned: applyTestConfig, when: when{ago: 3400 * time.Millisecond}},
+		"a configuration long before it": {
+			planned:   applyTestConfig,
+			when:      when{ago: 3600 * time.Millisecond},
+			abandoned: true,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -113,7 +121,7 @@
 				time.Sleep(d.SlowAfter)
 				is.Equal(ticket.ShouldAbandon(), tc.abandoned)
 				time.Sleep(time.Second)
-				is.Equal(ticket.ShouldAbandon(), tc.abandoned) // nor later
+				is.Equal(ticket.ShouldAbandon(), tc.abandoned) // nor does it change later
 				if tc.abandoned {
 					ticket.AttemptEnded(decision.TimedOut)
 					other := ticket.Next()
@@ -125,12 +133,12 @@
 	}
 }
 
-func hangUp(_ *Proxy, hangups chan os.Signal) {
+func sendHangup(_ *Proxy, hangups chan os.Signal) {
 	hangups <- syscall.SIGHUP
 	synctest.Wait()
 }
 
-func change(p *Proxy, _ chan os.Signal) {
+func applyTestConfig(p *Proxy, _ chan os.Signal) {
 	items, err := configuration.ReadPatch([]byte(testConfig))
 	if err != nil {
 		panic(err)
@@ -138,15 +146,15 @@
 	p.control.applyUpdate(&transport.Update{Items: items})
 }
 
-// TestShutdownTimes checks that what is given up at a shutdown is given up in the second half of the grace, and
-// answered before its end.
+// TestShutdownTimes checks that a shutdown aborts requests only in the second half of the grace, and leaves time to
+// answer them before its end.
 func TestShutdownTimes(t *testing.T) {
 	is := is.New(t)
 	for grace := 2 * time.Second; grace <= 30*time.Second; grace += 100 * time.Millisecond {
 		serve, finish := shutdownTimes(grace)
-		is.True(serve+finish >= grace/2)        // LOST counts what is given up before
-		is.True(serve+finish+drainRest < grace) // time for the last answers
-		is.True(serve <= maxHandoverTime)       // longer than the platform needs to notice
+		is.True(serve+finish >= grace/2)              // LOST counts requests that are aborted earlier
+		is.True(serve+finish+finalAnswerTime < grace) // leaves time for the last answers
+		is.True(serve <= maxHandoverTime)             // the platform notices within maxHandoverTime
 		is.True(grace < 6*time.Second || serve == maxHandoverTime)
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -19,53 +19,55 @@
 // program is the name of this program in logs, metrics and settings.
 const program = "proxy"
 
-// Shares of the file descriptors; the rest is for a few others.
+// Shares of the file descriptors for sockets. The rest is left for a few other sockets.
 const (
-	clientShare   = 0.55
-	upstreamShare = 0.35
-	reservedFDs   = 200 // that are not for sockets (DEPLOY, "Machines")
-	minSocketFDs  = 64
+	clientShare   = 0.55 // share for connections of clients
+	upstreamShare = 0.35 // share for connections to servers
+	reservedFDs   = 200  // file descriptors that are not for sockets (DEPLOY, "Machines")
+	minSocketFDs  = 64   // file descriptors for sockets if the limit is too low or not known
 )
 
 const (
-	// connectTimeout bounds a connection to a server: a machine without power does not answer.
+	// connectTimeout bounds the establishment of a connection to a server, because a machine without power does not
+	// answer.
 	connectTimeout = 250 * time.Millisecond
-	// keepalive is the idle time after which servers close connections, as far as is known.
+	// keepalive is the idle time after which servers are assumed to close connections.
 	keepalive = 8 * time.Second
-	// resetDelay is the time until the reset of a connection that the server has dropped is here. In a run in which
-	// servers dropped idle connections, 161 of 161 resets came after 10 ms.
+	// resetDelay is the time within which the reset of a connection that the server has dropped arrives here. In a run
+	// in which servers dropped idle connections, 161 of 161 resets arrived after 10 ms.
 	resetDelay = 30 * time.Millisecond
-	// retryBudgetShare of the further attempts that the rules allow is used: windows slide, and ingresses come and go.
+	// retryBudgetShare is the share of the permitted retries that is used. The margin covers sliding windows and a
+	// changing number of ingresses.
 	retryBudgetShare = 0.8
-	// maxNodeIndex bounds the number of a gateway in decision.Settings.
+	// maxNodeIndex bounds the index of a gateway in decision.Settings.
 	maxNodeIndex = 1 << 31
 )
 
-// Parameters of the decision module, in seconds where no unit stands.
+// Parameters of the decision module. Times are in seconds.
 const (
-	answerSlack    = 0.02
-	slowStartTime  = 3.0 // for which a server is slow after its start
-	slowStartShare = 0.5 // of its capacity meanwhile
-	maxAttempts    = 2
-	maxRetryAfter  = 0.5
-	remoteZoneCost = 1.25 // of a server in another zone, in that of one in the own zone
-	counterCycle   = 1.0
+	answerSlack    = 0.02 // time by which an answer may exceed the client's deadline
+	slowStartTime  = 3.0  // time after its start for which a server has less capacity
+	slowStartShare = 0.5  // share of a server's capacity that is available during slowStartTime
+	maxAttempts    = 2    // attempts per request
+	maxRetryAfter  = 0.5  // longest time in a Retry-After
+	remoteZoneCost = 1.25 // cost of a server in another zone, relative to one in the same zone
+	counterCycle   = 1.0  // period of the calls to quota counters
 )
 
 // Proxy is a running proxy.
 type Proxy struct {
-	settings   *settings.Settings // at the start
+	settings   *settings.Settings // settings as of the start of the process
 	watcher    *settings.Watcher
 	log        log.Logger
 	control    *controlFeed
 	translator *translator
 	pool       *upstream.Pool
 	ingress    *ingress.Server
-	metrics    metrics.Endpoint // where metrics are served; zero: nowhere
+	metrics    metrics.Endpoint // where metrics are served; zero value: not served
 }
 
-// New returns a proxy for the settings that are watched. The incarnation is a number that no other process of this
-// machine has had.
+// New returns a proxy for the settings of a watcher. The incarnation is a number that no other process of this machine
+// must have used.
 func New(watcher *settings.Watcher, incarnation uint64, logger log.Logger) *Proxy {
 	s := watcher.Current()
 	p := &Proxy{settings: s, watcher: watcher, log: log.With(logger, "part", program)}
@@ -88,17 +90,17 @@
 	return p
 }
 
-// nodeSeed returns a number for a node's random draws.
+// nodeSeed returns the seed of a node's random numbers. It is the same after each start of the node.
 func nodeSeed(node string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(node))
 	return h.Sum64()
 }
 
-// connectDataPlane connects the decision module, the engine, the pool of connections to servers and the clients'
-// server.
+// connectDataPlane creates and connects the decision module, the engine, the pool of connections to servers and the
+// HTTP server for clients.
 func (p *Proxy) connectDataPlane(seed, incarnation uint64, clock *replication.Clock) {
-	logger := log.NewNopLogger() // to log each connection would cost too much processor time here
+	logger := log.NewNopLogger() // logging each connection would take too much processor time
 	decisions := p.decisionSettings(seed)
 	p.control.engine = engine.New(decision.New(*decisions, seed^incarnation), decisions, engine.NewClockOf(clock.Now))
 	p.translator = newTranslator(p.control, newSplitter(rand.New(rand.NewPCG(seed, incarnation))))
@@ -109,7 +111,7 @@
 		Keepalive:      keepalive,
 	}, logger)
 	p.pool.Dialect = upstream.Dialect{AppendHead: appendRequestHead, Meaning: classifyAnswer, IDField: headerAttemptID}
-	if p.settings.Clauses["pool"] { // the clause by which servers drop idle connections
+	if p.settings.Clauses["pool"] { // this clause says that servers drop idle connections
 		p.pool.Dialect.MinHoldIdle = resetDelay
 	}
 	p.ingress = ingress.New(decisions, p.control.engine, p.pool, int(clientShare*sockets), logger)
@@ -150,8 +152,8 @@
 	}
 }
 
-// Ready reports whether this proxy takes new clients.
+// Ready reports whether this proxy accepts new clients.
 func (p *Proxy) Ready() bool { return p.ingress.Phase() == decision.Serving }
 
-// ServeMetrics has Run serve the proxy's metrics too.
+// ServeMetrics makes Run serve the proxy's metrics at endpoint. It must be called before Run.
 func (p *Proxy) ServeMetrics(endpoint metrics.Endpoint) { p.metrics = endpoint }
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -10,11 +10,11 @@
 
 const (
 	readinessPath    = "/readiness"
-	readinessTimeout = 5 * time.Second // for one request, and between two of a connection
+	readinessTimeout = 5 * time.Second // for one request, and for the idle time before the next one
 )
 
-// serveReadiness answers the platform's checks whether this proxy takes new clients, until the listener is closed. A
-// connection ends with the client, with readinessTimeout or with the process.
+// serveReadiness answers the platform's readiness checks until the listener is closed. A connection ends when the
+// client closes it, after readinessTimeout without a request, or with the process.
 func serveReadiness(listener net.Listener, ready func() bool) {
 	for {
 		conn, err := listener.Accept()
@@ -25,7 +25,7 @@
 	}
 }
 
-// serveReadinessChecks answers the checks on one connection.
+// serveReadinessChecks answers the readiness checks on one connection.
 func serveReadinessChecks(conn net.Conn, ready func() bool) {
 	defer conn.Close()
 	for reader := http1.NewReader(conn); ; {
--- a/internal/proxy/rules_test.go
+++ b/internal/proxy/rules_test.go
@@ -17,21 +17,21 @@
 	"mulleinrouter/internal/dataplane/http1"
 )
 
-// sealed is a server's complete answer to a request, with its seal.
+// sealed returns a complete answer of a server to a request, with its seal.
 func sealed(status int, id, fields, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\nX-Server-Seal: s\r\n%sContent-Length: %d\r\n\r\n%s",
 		status, id, fields, len(body), body)
 }
 
-// sendLookup sends an idempotent request, whose route allows 1000 ms and two servers.
+// sendLookup sends an idempotent request. Its route allows 1000 ms and two attempts.
 func sendLookup(nc net.Conn, id string, leftMs int) {
 	fmt.Fprintf(
 		nc, "GET /x HTTP/1.1\r\nHost: two.example\r\nX-Attempt-Id: %s\r\nX-Time-Left-Ms: %d\r\n\r\n", id, leftMs,
 	)
 }
 
-// mutationFormat is a request that must not run twice: its ID, the milliseconds that its client waits, the length of
-// the body and the body. Its route allows 2000 ms.
+// mutationFormat is the format of a request that must not run twice. Its arguments are the ID, the time in milliseconds
+// that the client waits, the length of the body, and the body. The route allows 2000 ms.
 const mutationFormat = "POST /a/b/x HTTP/1.1\r\nHost: one.example\r\nAuthorization: Token k3\r\n" +
 	"X-Attempt-Id: %s\r\nX-Time-Left-Ms: %d\r\nContent-Length: %d\r\n\r\n%s"
 
@@ -40,7 +40,7 @@
 	fmt.Fprintf(nc, mutationFormat, id, leftMs, length, strings.Repeat("b", length))
 }
 
-// connect opens a client's connection with a deadline.
+// connect opens a client connection with a deadline.
 func connect(t *testing.T, front string) net.Conn {
 	t.Helper()
 	nc, err := net.Dial("tcp4", front)
@@ -52,9 +52,9 @@
 	return nc
 }
 
-// TestTimeLeftOnEachAttempt checks the time that each attempt tells its server the client still waits: never longer
-// than the client said, nor than the route allows, and less on the second attempt than on the first. A request goes to
-// no more servers than its route allows.
+// TestTimeLeftOnEachAttempt checks the remaining time that each attempt sends to its server. It must not exceed the
+// time that the client waits or that the route allows, and it must not increase from the first attempt to the second. A
+// request must not be sent more often than its route allows.
 func TestTimeLeftOnEachAttempt(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
@@ -87,7 +87,7 @@
 			is.True(ms > 0 && ms <= min(client, 1000))
 			if n > 0 {
 				is.True(ms <= left[n-1]) // it only decreases
-				const slack = 400        // ms, for a busy machine between the two; the rule allows 500
+				const slack = 400        // ms, for delays between attempts on a busy machine; the rule allows 500
 				deadline := sent[n].Sub(began).Milliseconds() + int64(ms)
 				firstDeadline := sent[0].Sub(began).Milliseconds() + int64(left[0])
 				is.True(deadline <= firstDeadline+slack)
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestAnsweredByTheDeadline checks that a request whose server never answers is answered by its route's deadline,
-// though its client would wait longer.
+// TestAnsweredByTheDeadline checks that a request whose server never answers is answered by the deadline of its route,
+// even if its client would wait longer.
 func TestAnsweredByTheDeadline(t *testing.T) {
 	is := is.New(t)
 	front, _ := startProxy(t, func(nc *net.TCPConn, r *http1.Reader) {
@@ -119,13 +119,13 @@
 		is.NoErr(err)
 		took := time.Since(began)
 		is.True(took < deadline+500*time.Millisecond)
-		// after a request that may have run and must not run twice, 503 would be a promise
+		// 503 promises that the request was not executed, but a mutation may have been
 		is.True(a.StatusCode == 502 || a.StatusCode == 503 && deadline == time.Second)
 	}
 }
 
-// TestClientDisconnects checks that the attempt of an idempotent request is canceled with its client, and not repeated;
-// one that must not run twice goes on to its end.
+// TestClientDisconnects checks that the attempt of an idempotent request is canceled when its client disconnects, and
+// not repeated. The attempt of a request that must not run twice must continue until it ends.
 func TestClientDisconnects(t *testing.T) {
 	is := is.New(t)
 	type outcome struct {
@@ -168,7 +168,7 @@
 	sendMutation(nc, "g2", 1900, 2)
 	is.Equal(<-arrived, "g2")
 	nc.Close()
-	// The proxy has noticed it once it has served another client since; the server is still at work.
+	// Another request is sent so that the proxy has time to notice the disconnect while the server still works on g2.
 	other := connect(t, front)
 	sendMutation(other, "g3", 1900, 2)
 	is.Equal(<-arrived, "g3")
@@ -176,11 +176,11 @@
 	for range 2 {
 		is.True(!(<-ended).broken)
 	}
-	is.Equal(len(arrived), 0) // nothing was sent a second time
+	is.Equal(len(arrived), 0) // no request was sent a second time
 }
 
-// TestEarlyAnswerToALongBody has a server answer before it has read a long body: the client gets that answer, and the
-// server nothing but the rest of that body in its place.
+// TestEarlyAnswerToALongBody checks an answer that a server sends before it has read a long request body. The client
+// must get that answer, and on that connection the server must get only the rest of the body.
 func TestEarlyAnswerToALongBody(t *testing.T) {
 	is := is.New(t)
 	const length = 300 << 10
@@ -199,14 +199,14 @@
 				io.WriteString(nc, sealed(200, id, "", id))
 				continue
 			}
-			if r.Wait() != nil { // for the body to begin
+			if r.Wait() != nil { // waits for the first byte of the body
 				return
 			}
 			io.WriteString(nc, sealed(403, id, "", "no"))
 			if r.ReadBody(q) != nil {
 				return
 			}
-			all, err := io.ReadAll(q.Streamed) // it reads on: to the body's end, or until the proxy ends the connection
+			all, err := io.ReadAll(q.Streamed) // until the body or the connection ends
 			rest <- all
 			if err != nil {
 				return
@@ -225,11 +225,11 @@
 		is.NoErr(err)
 		is.Equal(a.StatusCode, 200)
 	}
-	is.Equal(strings.Trim(string(<-rest), "b"), "") // the body, and nothing else
+	is.Equal(strings.Trim(string(<-rest), "b"), "") // only bytes of the body
 }
 
-// TestFailuresKeepTheirStatus checks that a server's own failure keeps its status and its seal. A status that promises
-// that nothing was executed is forwarded only with the server's proof.
+// TestFailuresKeepTheirStatus checks that a failure reported by a server keeps its status and its seal. A status that
+// promises that the request was not executed must be forwarded only with the server's proof.
 func TestFailuresKeepTheirStatus(t *testing.T) {
 	for name, c := range map[string]struct {
 		status int
@@ -238,12 +238,12 @@
 		sealed bool
 	}{
 		"a failure":             {500, "", 500, true},
-		"a late one":            {504, "", 504, true},
-		"a refusal by content":  {404, "", 404, true},
+		"a late failure":        {504, "", 504, true},
+		"an application error":  {404, "", 404, true},
 		"an unproven 503":       {503, "", 502, false},
 		"an unproven 429":       {429, "", 502, false},
 		"an unproven 408":       {408, "", 502, false},
-		"a proven one":          {503, "X-Not-Executed: 1\r\n", 503, false},
+		"a proven 503":          {503, "X-Not-Executed: 1\r\n", 503, false},
 		"a success with a seal": {201, "", 201, true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// maxHandoverTime is the time after SIGTERM for which new clients are still served: the platform checks the
-	// readiness each second, and sends none after two checks that fail.
+	// maxHandoverTime is the time after SIGTERM for which new clients are still served. The platform checks the
+	// readiness every second, and stops sending clients after two failed checks.
 	maxHandoverTime = 2200 * time.Millisecond
-	// drainRest is the time for the last answers after open requests were given up.
-	drainRest = 400 * time.Millisecond
-	// graceReserve is left of the grace, so that the process ends by itself.
+	// finalAnswerTime is the time for sending the last answers after the open requests were aborted.
+	finalAnswerTime = 400 * time.Millisecond
+	// graceReserve is the unused part of the grace, so that the process exits before it is killed.
 	graceReserve = 200 * time.Millisecond
 )
 
-// Run serves until the context ends, and then hands its clients over within the grace that the platform gives. A signal
-// on hangups says that the settings file has changed; it may also change without one.
+// Run serves until the context ends, and then shuts down within the grace period of the platform, so that clients can
+// move to other ingresses. A signal on hangups indicates that the settings file has changed; the file may also change
+// without a signal.
 func (p *Proxy) Run(ctx context.Context, hangups <-chan os.Signal) error {
 	listen := func() (net.Listener, error) { return net.Listen("tcp4", p.settings.FrontAddr) }
 	front, err := newSheddingListener(listen, p.control.shedder, p.log)
@@ -67,32 +68,33 @@
 	return nil
 }
 
-// shutDown hands the clients over and finishes their requests, within the grace.
+// shutDown makes clients move to other ingresses and finishes the open requests, within the grace.
 func (p *Proxy) shutDown(front net.Listener) {
 	level.Info(p.log).Log("msg", "shutting down")
 	p.beginShutdown()
 	serve, finish := shutdownTimes(time.Duration(p.watcher.Current().Bounds.Grace * float64(time.Second)))
 	time.Sleep(serve)
 	front.Close()
-	p.ingress.Drain(finish, drainRest)
+	p.ingress.Drain(finish, finalAnswerTime)
 	level.Info(p.log).Log("msg", "stopped")
 }
 
-// shutdownTimes returns for how long a proxy that shuts down serves on as before, and then finishes its requests before
-// it gives up the others: all of it within the grace, with a rest for the last answers, and nothing given up in its
-// first half.
+// shutdownTimes returns the two phases of a shutdown: the time for which new clients are still served, and then the
+// time for which open requests may finish before the rest is aborted. Both phases and the last answers fit into the
+// grace, and no request is aborted in the first half of the grace.
 func shutdownTimes(grace time.Duration) (serve, finish time.Duration) {
 	serve = min(maxHandoverTime, grace*2/5)
-	return serve, max(0, grace-serve-2*drainRest-graceReserve)
+	return serve, max(0, grace-serve-2*finalAnswerTime-graceReserve)
 }
 
-// beginShutdown has clients go elsewhere. From now on a silent server ends no attempt.
+// beginShutdown makes clients move to other ingresses. From now on no attempt is abandoned because of a silent server.
 func (p *Proxy) beginShutdown() {
 	p.control.engine.ExpectDisruption(math.Inf(1))
 	p.ingress.Shutdown()
 }
 
-// forwardHangups forwards signals, and has the engine expect a disruption at each, whether the file has changed or not.
+// forwardHangups forwards signals and announces a disruption to the engine at each one, whether or not the settings
+// file has changed.
 func (p *Proxy) forwardHangups(ctx context.Context, hangups <-chan os.Signal) <-chan os.Signal {
 	forwarded := make(chan os.Signal, 1)
 	go func() {
@@ -104,7 +106,7 @@
 				p.control.engine.ExpectDisruption(p.control.disruptionWindow())
 				select {
 				case forwarded <- hangup:
-				default: // one is pending
+				default: // a signal is already pending
 				}
 			}
 		}
@@ -112,8 +114,8 @@
 	return forwarded
 }
 
-// logReload logs that the settings file was read again. The grace is in force from now on, the other settings of the
-// proxy from its next start on.
+// logReload logs the result of rereading the settings file. A changed grace takes effect at once; the other settings of
+// the proxy take effect at its next start.
 func (p *Proxy) logReload(changed bool, err error) {
 	switch {
 	case err != nil:
--- a/internal/proxy/server_protocol.go
+++ b/internal/proxy/server_protocol.go
@@ -9,7 +9,8 @@
 	"mulleinrouter/internal/dataplane/upstream"
 )
 
-// appendRequestHead appends the first lines of a request to a server (PROTOCOL, "Requests").
+// appendRequestHead appends the request line and the proxy's own header fields of a request to a server (PROTOCOL,
+// "Requests").
 func appendRequestHead(b []byte, m *upstream.Message, backend string, left time.Duration) []byte {
 	b = http1.AppendRequestLine(b, m.Method, m.Target, m.Host)
 	b = http1.AppendField(b, headerAttemptID, m.ID)
@@ -21,8 +22,8 @@
 	return b
 }
 
-// promisesNotExecuted reports whether a status promises a client that its request was not executed and never will be. A
-// server proves that by X-Not-Executed: without it, such a status proves nothing, and is never forwarded.
+// promisesNotExecuted reports whether a status promises a client that its request was not executed and never will be.
+// A server proves that with X-Not-Executed. Without that field such a status proves nothing and is never forwarded.
 func promisesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -31,10 +32,10 @@
 	return false
 }
 
-// classifyAnswer returns what a server's answer means (PROTOCOL, "Servers" and "Answers"): only X-Not-Executed, or 421,
-// proves that the request was not executed, and an answer with another ID belongs to another request, whatever it is.
-// One that only the end of the connection delimits is complete where that is a close, and cut off where it is a reset
-// (RFC 9112, section 8; RULES, MIXED).
+// classifyAnswer returns the meaning of a server's answer (PROTOCOL, "Servers" and "Answers"). Only X-Not-Executed or a
+// 421 proves that the request was not executed. An answer with a different ID belongs to another request, whatever its
+// status. An answer that is delimited only by the end of the connection is complete if the connection is closed, and
+// truncated if it is reset (RFC 9112, section 8; RULES, MIXED).
 func classifyAnswer(m *upstream.Message, answer *http1.Response) upstream.AnswerMeaning {
 	switch id := answer.Header.Get(headerAttemptID); {
 	case len(answer.Header[headerAttemptID]) > 1:
@@ -55,7 +56,8 @@
 	return upstream.Served
 }
 
-// hasSeal reports whether a success has the server's seal, which holds for the body as it is only without an encoding.
+// hasSeal reports whether a successful answer has a valid server's seal. The seal does not cover an encoded body, so an
+// answer with Content-Encoding has none.
 func hasSeal(answer *http1.Response) bool {
 	return answer.Header.Get(headerSeal) != "" && answer.Header.Get(headerEncoding) == ""
 }
--- a/internal/proxy/shedding.go
+++ b/internal/proxy/shedding.go
@@ -8,45 +8,46 @@
 	"mulleinrouter/internal/dataplane/traffic"
 )
 
-// A machine whose link or processor is offered more than its capacity serves nobody in time if it takes all: every
-// request shares the link with all others, and each is late when its last byte has come. Such a machine sheds load
-// where clients connect. A connection that is refused before its client has sent anything costs a packet each way, and
-// the others find the link that they need.
+// A machine whose link or processor is offered more load than its capacity serves no request in time if it admits all,
+// because all requests share the link and each one is late when its last byte arrives. Such a machine sheds load at the
+// address that clients connect to. A connection that is refused before its client has sent any data costs one packet in
+// each direction, and leaves the capacity of the link to the admitted connections.
 const (
-	shedInterval = 100 * time.Millisecond // between two steps of the control loop
-	shedLoad     = 0.85                   // of the link's capacity: with more, a queue builds up
-	increaseLoad = 0.7                    // of the link's capacity: with less, more may be admitted
-	shedDelay    = 150 * time.Millisecond // a queue of that delay is more than a burst
-	blockedDelay = time.Second            // with that delay nothing that is admitted now would be answered in time
-	shedDecrease = 0.85                   // of the admitted share, for each step under too much load
-	// of the admitted share, for each step in which everything is late already
-	blockDecrease = 0.6
-	shedIncrease  = 1.02                    // of the admitted share, for each step with capacity left
-	minShare      = 0.03                    // or nothing would show that there is capacity again
-	maxSteps      = 10.0                    // that are made up for at once, where admitted was not called meanwhile
-	linkDelayTTL  = 1200 * time.Millisecond // for which an observed delay is valid
-	// freshDelay is for how long a small delay shows that no queue stands: updates come about every 400 ms, and those
-	// that would tell of a queue are in it.
-	freshDelay      = 600 * time.Millisecond
+	shedInterval  = 100 * time.Millisecond // time between two steps of the control loop
+	shedLoad      = 0.85                   // share of the link's capacity above which a queue builds up
+	increaseLoad  = 0.7                    // share of the link's capacity below which more may be admitted
+	shedDelay     = 150 * time.Millisecond // queueing delay above which there is more than a burst
+	criticalDelay = time.Second            // queueing delay above which no newly admitted request is answered in time
+	shedDecrease  = 0.85                   // factor of the admitted share for each overloaded step
+	// criticalDecrease is the factor of the admitted share for each step in which all requests are already late.
+	criticalDecrease = 0.6
+	shedIncrease     = 1.02                    // factor of the admitted share for each step with spare capacity
+	minShare         = 0.03                    // lowest admitted share; with none, recovery would not be noticed
+	maxCatchUpSteps  = 10.0                    // missed steps that one call of admitted makes up for
+	linkDelayTTL     = 1200 * time.Millisecond // time for which an observed delay is valid
+	// freshDelayTTL is the time for which a low delay is evidence that there is no queue. Updates arrive about every
+	// 400 ms; if none has arrived for longer, those that would show a queue may be waiting in it.
+	freshDelayTTL   = 600 * time.Millisecond
 	bytesPerMegabit = 1e6 / 8
 )
 
-// shedder decides which share of new connections is admitted: multiplicative decrease while the link is overloaded or a
-// queue stands at it, slower increase while there is capacity. It does no I/O, and reads no clock but that of its
-// caller. Safe for concurrent use.
+// shedder decides which share of new connections is admitted. The share decreases multiplicatively while the link is
+// overloaded or has a queue, and increases more slowly while there is spare capacity. A shedder performs no I/O and
+// gets the time from its caller. Safe for concurrent use.
 type shedder struct {
 	counter *traffic.Counter
 
 	mu         sync.Mutex // guards the fields below
 	load       *traffic.Load
-	startedAt  time.Time     // the first step
-	steppedAt  time.Time     // the last one
-	share      float64       // admitted, of new connections; 1: all
-	delay      time.Duration // of the link, as last observed
-	observedAt time.Time
+	startedAt  time.Time     // time of the first step
+	steppedAt  time.Time     // time of the last step
+	share      float64       // admitted share of new connections; 1: all
+	delay      time.Duration // last observed queueing delay of the link
+	observedAt time.Time     // time of the last observation of delay
 }
 
-// newShedder returns a shedder for a link of so many megabits a second in each direction; 0: not known.
+// newShedder returns a shedder for a link with a capacity of linkMbps megabits per second in each direction; 0: not
+// known.
 func newShedder(linkMbps float64) *shedder {
 	return &shedder{
 		counter: new(traffic.Counter),
@@ -55,7 +56,7 @@
 	}
 }
 
-// observe takes the delay of the link as the agent knows it at a time. One that is not known is no evidence.
+// observe records the queueing delay of the link that the agent reported. A delay that is not known is ignored.
 func (s *shedder) observe(now time.Time, delay time.Duration, known bool) {
 	if !known {
 		return
@@ -65,7 +66,7 @@
 	s.delay, s.observedAt = delay, now
 }
 
-// standingDelay returns the delay of the link where a queue stands there, as far as is known; else 0.
+// standingDelay returns the delay of the link if a recent observation shows a standing queue, or else 0.
 func (s *shedder) standingDelay(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,19 +76,19 @@
 	return s.delay
 }
 
-// nothingEstablished tells that no connection was established while the address was open for a while: whatever the
-// load, the queue at the link is longer than that, unless an update has just come through without delay. Then no client
-// came, and a machine that nobody uses must open again.
-func (s *shedder) nothingEstablished(now time.Time) {
+// observeNoConnection lowers the admitted share after an open period in which no connection was established. Whatever
+// the load, the queue at the link must then be longer than the open period, unless an update has just arrived without
+// delay. In that case no client has connected, and an unused machine must admit all connections again.
+func (s *shedder) observeNoConnection(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.delay <= shedDelay && now.Sub(s.observedAt) <= freshDelay {
+	if s.delay <= shedDelay && now.Sub(s.observedAt) <= freshDelayTTL {
 		return
 	}
-	s.share = max(minShare, s.share*blockDecrease)
+	s.share = max(minShare, s.share*criticalDecrease)
 }
 
-// admitted returns the share of new connections to admit now. Call it about every shedInterval.
+// admitted returns the share of new connections to admit now. It must be called about every shedInterval.
 func (s *shedder) admitted(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +98,7 @@
 	if now.Sub(s.steppedAt) < shedInterval {
 		return s.share
 	}
-	steps := min(now.Sub(s.steppedAt).Seconds()/shedInterval.Seconds(), maxSteps)
+	steps := min(now.Sub(s.steppedAt).Seconds()/shedInterval.Seconds(), maxCatchUpSteps)
 	s.steppedAt = now
 	in, out := s.counter.Totals()
 	load, delay := s.load.Update(now.Sub(s.startedAt).Seconds(), in, out), s.delay
@@ -105,8 +106,8 @@
 		delay = 0
 	}
 	switch {
-	case delay > blockedDelay:
-		s.share = max(minShare, s.share*math.Pow(blockDecrease, steps))
+	case delay > criticalDelay:
+		s.share = max(minShare, s.share*math.Pow(criticalDecrease, steps))
 	case load > shedLoad || delay > shedDelay:
 		s.share = max(minShare, s.share*math.Pow(shedDecrease, steps))
 	case load < increaseLoad:
--- a/internal/proxy/shedding_listener.go
+++ b/internal/proxy/shedding_listener.go
@@ -15,40 +15,40 @@
 )
 
 const (
-	// minOpenPeriod is for how long the address is open at a time while the machine sheds load, at least: much longer
-	// than a connection takes to be established where no queue stands at the link, because those that are pending as
-	// the address closes have sent their request for nothing.
+	// minOpenPeriod is the shortest time for which the address is open while the machine sheds load. It is much longer
+	// than the time to establish a connection over a link without a queue, because clients whose connections are
+	// pending when the address closes have sent their requests in vain.
 	minOpenPeriod = 40 * time.Millisecond
-	// shedCycle is the time in which the address is opened and closed once: the admitted share of it is the open
-	// period, unless that is shorter than minOpenPeriod. The longer the open period is, the fewer connections are
-	// pending as it ends; the longer the closed period is, the longer clients meet no machine.
+	// shedCycle is the time in which the address is opened and closed once. The open period is the admitted share of
+	// it, or minOpenPeriod if that is longer. With longer open periods fewer connections are pending when the address
+	// closes, but with longer closed periods clients are refused for longer at a time.
 	shedCycle = 400 * time.Millisecond
-	// fruitlessPause is for how long the address stays closed, at least, after an open period in which no connection
-	// was established: a queue at the link is longer than the open period, and would have all be reset as the address
-	// closes.
-	fruitlessPause = 400 * time.Millisecond
-	// maxDrainPause bounds for how long the address stays closed while a queue stands at the link: it drains meanwhile.
+	// minPauseAfterNoConnection is the shortest time for which the address is closed after an open period in which no
+	// connection was established. The queue at the link is then longer than an open period, so that all connections of
+	// another one would be reset when the address closes.
+	minPauseAfterNoConnection = 400 * time.Millisecond
+	// maxDrainPause bounds the time for which the address is closed so that a standing queue at the link can drain.
 	maxDrainPause = 5 * time.Second
 	// reopenInterval is the time between two attempts to bind the address again.
 	reopenInterval = 10 * time.Millisecond
 )
 
-// sheddingListener is a listener whose address is closed for a part of the time while a machine sheds load: clients get
-// a reset for their first packet and go elsewhere, and nothing of their request crosses the link.
+// sheddingListener is a listener whose address is closed for part of the time while a machine sheds load. Clients then
+// get a reset in answer to their first packet and connect to another ingress, and their requests do not use the link.
 type sheddingListener struct {
 	listen  func() (net.Listener, error)
 	shedder *shedder
 	log     log.Logger
 
-	accepted atomic.Int64 // connections, since the start
+	accepted atomic.Int64 // number of connections accepted since the start
 
 	mu      sync.Mutex    // guards the fields below
-	current net.Listener  // nil: the address is closed for the moment
+	current net.Listener  // nil: the address is temporarily closed
 	changed chan struct{} // closed when current changes
 	closed  bool
 }
 
-// newSheddingListener binds the address at once. Run must run for load to be shed.
+// newSheddingListener binds the address at once. It sheds load only while Run runs.
 func newSheddingListener(
 	listen func() (net.Listener, error), s *shedder, logger log.Logger,
 ) (*sheddingListener, error) {
@@ -65,7 +65,7 @@
 	}, nil
 }
 
-// Accept waits for a connection, also while the address is closed for the moment.
+// Accept waits for a connection, even while the address is temporarily closed.
 func (sl *sheddingListener) Accept() (net.Conn, error) {
 	for {
 		sl.mu.Lock()
@@ -87,13 +87,13 @@
 		}
 		sl.mu.Lock()
 		if sl.current == current && !sl.closed {
-			sl.closed = true // it was not suspend that closed it
+			sl.closed = true // it was not closed by suspend
 		}
 		sl.mu.Unlock()
 	}
 }
 
-// Close ends the listener for good.
+// Close closes the listener permanently.
 func (sl *sheddingListener) Close() error {
 	sl.mu.Lock()
 	defer sl.mu.Unlock()
@@ -108,7 +108,7 @@
 	return current.Close()
 }
 
-// Addr returns the address that is bound; an empty one while it is closed.
+// Addr returns the bound address, or an empty one while the address is closed.
 func (sl *sheddingListener) Addr() net.Addr {
 	sl.mu.Lock()
 	defer sl.mu.Unlock()
@@ -118,7 +118,7 @@
 	return sl.current.Addr()
 }
 
-// replace replaces the current listener and returns the one before. The mutex is held.
+// replace replaces the current listener and returns the previous one. The caller must hold the mutex.
 func (sl *sheddingListener) replace(next net.Listener) (previous net.Listener) {
 	previous, sl.current = sl.current, next
 	close(sl.changed)
@@ -126,7 +126,7 @@
 	return previous
 }
 
-// Run opens and closes the address by the admitted share until the context ends or the listener is closed.
+// Run opens and closes the address according to the admitted share until the context ends or the listener is closed.
 func (sl *sheddingListener) Run(ctx context.Context) {
 	shedding := false
 	for {
@@ -149,7 +149,7 @@
 		now := time.Now()
 		established := sl.accepted.Load() > before
 		if !established {
-			sl.shedder.nothingEstablished(now)
+			sl.shedder.observeNoConnection(now)
 		}
 		closed := closedPeriod(share, open, established, sl.shedder.standingDelay(now))
 		if !sl.suspend() || !retry.Sleep(ctx, closed) || !sl.resume(ctx) {
@@ -158,22 +158,22 @@
 	}
 }
 
-// openPeriod returns for how long the address is open at a time for a share of new connections to be admitted.
+// openPeriod returns the length of an open period in which share of the new connections is to be admitted.
 func openPeriod(share float64) time.Duration {
 	return max(minOpenPeriod, time.Duration(share*float64(shedCycle)))
 }
 
-// closedPeriod returns for how long the address is closed after an open period, in which connections were established
-// or not, while a queue of some delay stands at the link (0: none).
+// closedPeriod returns the time for which the address is closed after an open period. established reports whether any
+// connection was established in that period; delay is that of the standing queue at the link, or 0 if there is none.
 func closedPeriod(share float64, open time.Duration, established bool, delay time.Duration) time.Duration {
 	closed := time.Duration(float64(open) * (1/share - 1))
 	if !established {
-		closed = max(closed, fruitlessPause)
+		closed = max(closed, minPauseAfterNoConnection)
 	}
 	return max(closed, min(delay, maxDrainPause))
 }
 
-// suspend closes the address for a while; false: the listener is closed.
+// suspend closes the address temporarily. It returns false if the listener is closed.
 func (sl *sheddingListener) suspend() bool {
 	sl.mu.Lock()
 	defer sl.mu.Unlock()
@@ -186,7 +186,7 @@
 	return true
 }
 
-// resume opens the address again; false: the listener is closed, or the context has ended.
+// resume opens the address again. It returns false if the listener is closed or the context has ended.
 func (sl *sheddingListener) resume(ctx context.Context) bool {
 	for {
 		next, err := sl.listen()
@@ -200,7 +200,7 @@
 	}
 }
 
-// setCurrent has connections be accepted from a listener; false: this one is closed, and so the other is too.
+// setCurrent makes Accept use the listener next. If sl is closed, it closes next and returns false.
 func (sl *sheddingListener) setCurrent(next net.Listener) bool {
 	sl.mu.Lock()
 	defer sl.mu.Unlock()
--- a/internal/proxy/shedding_test.go
+++ b/internal/proxy/shedding_test.go
@@ -18,17 +18,17 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// overloadedLink is a model of a machine's link in one direction: what is offered waits in one queue, and a request
-// counts only if it is through within its deadline. A refused connection costs the link a packet.
+// overloadedLink is a model of one direction of a machine's link. All traffic waits in one queue, and a request counts
+// only if it is transmitted before its deadline. A refused connection takes one packet on the link.
 type overloadedLink struct {
-	capacity float64 // bytes a second
-	queue    float64 // bytes
-	request  float64 // bytes of one
-	refusal  float64
+	capacity float64 // bytes per second
+	queue    float64 // bytes waiting
+	request  float64 // bytes per request
+	refusal  float64 // bytes per refused connection
 }
 
-// step offers so many requests a second, of which a share is admitted, for dt seconds. It returns the bytes that went
-// through and the requests that will be in time.
+// step offers a number of requests per second, of which a share is admitted, for dt seconds. It returns the bytes that
+// were transmitted and the number of requests that will be in time.
 func (ol *overloadedLink) step(dt, offered, share, deadline float64) (through, inTime float64) {
 	arrives := offered * dt * (share*ol.request + (1-share)*ol.refusal)
 	if delay := ol.queue / ol.capacity; delay < deadline {
@@ -39,9 +39,9 @@
 	return through, inTime
 }
 
-// TestShedding offers a machine 0.5 to 8 times what its link bears. Without too much load nothing is ever refused; with
-// it, after some seconds the machine serves at least 0.4 of what its link bears beside refusals, where one that takes
-// all serves nothing in time.
+// TestShedding offers a machine 0.5 to 8 times the capacity of its link. Without overload it must refuse nothing. Under
+// overload, after some seconds, it must serve at least 0.4 of the capacity that refusals leave, whereas a machine that
+// admits all requests serves none in time.
 func TestShedding(t *testing.T) {
 	const linkMbps, capacity, request, refusal, deadline = 2.0, 250e3, 3300.0, 130.0, 2.0
 	for _, times := range []float64{0.5, 0.65, 2, 4, 8} {
@@ -65,7 +65,7 @@
 				if second >= 20 {
 					inTime += ok / 20
 				}
-				if now.Sub(observedAt) >= 500*time.Millisecond { // as updates of the agent come
+				if now.Sub(observedAt) >= 500*time.Millisecond { // the interval of the agent's updates
 					observedAt = now
 					s.observe(now, time.Duration(link.queue/capacity*float64(time.Second)), true)
 				}
@@ -74,19 +74,20 @@
 		}
 		served, refused := serve(true)
 		without, _ := serve(false)
-		capacityLeft := math.Min(offered, (capacity-offered*refusal)/request) // what refusals leave
+		// requests per second that the link can transmit in addition to the refusals
+		capacityLeft := math.Min(offered, (capacity-offered*refusal)/request)
 		switch {
 		case times < 0.7 && (refused || served < 0.99*offered):
 			t.Errorf("%v times: refused %v, served %.0f, want false, %.0f", times, refused, served, offered)
 		case times > 1 && (served < 0.4*capacityLeft || without > 0.1*capacityLeft):
-			t.Errorf("%v times: served %.0f, want 0.4 of %.0f at least; without shedding %.0f, want 0.1 at most",
+			t.Errorf("%v times: served %.0f, want at least 0.4 of %.0f; without shedding %.0f, want at most 0.1",
 				times, served, capacityLeft, without)
 		}
 	}
 }
 
-// TestSheddingNeedsEvidence checks that a machine without a known delay of its link, and one whose observed delay is
-// out of date, admit all.
+// TestSheddingNeedsEvidence checks that a machine admits all connections if the delay of its link is not known or the
+// observed delay is out of date.
 func TestSheddingNeedsEvidence(t *testing.T) {
 	is := is.New(t)
 	now, s := time.Unix(1000, 0), newShedder(2)
@@ -105,9 +106,9 @@
 	is.Equal(newShedder(0).load.Update(5, 1e9, 1e9), 0.0) // a link of unknown speed
 }
 
-// TestSheddingListener closes and opens the address of a real socket: accepted connections are kept, those that come
-// meanwhile are refused, the address is served again afterwards, and Close ends Accept whether the address is open or
-// not.
+// TestSheddingListener closes and reopens the address of a real socket. Accepted connections must remain open, new ones
+// must be refused while the address is closed and accepted afterwards, and Close must end Accept whether or not the
+// address is open.
 func TestSheddingListener(t *testing.T) {
 	is := is.New(t)
 	first, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/proxy/splits.go
+++ b/internal/proxy/splits.go
@@ -7,26 +7,26 @@
 	"mulleinrouter/internal/cluster/configuration"
 )
 
-// goldenRatio is the step of the sequence by which requests are split: of all steps, its multiples lie most evenly in
-// the unit interval, for any number of them.
+// goldenRatio is the step of the sequence that splits requests. Its multiples modulo 1 are distributed more evenly over
+// the unit interval than those of any other step, however many of them are taken.
 const goldenRatio = 0.6180339887498949
 
 // splitter distributes the requests of routes with several services by their weights. Each route has a low-discrepancy
-// sequence with a random start: any run of n requests is off its shares by less than one or two requests, where
-// independent draws would be off by the square root of n, and proxies that each see few requests do not all begin with
-// the same service.
+// sequence: in any run of n requests, the number for each service differs from its share by less than one or two
+// requests, whereas independent random choices would differ by about the square root of n. The sequence has a random
+// start, so that proxies that each get few requests do not all begin with the same service.
 //
-// It is not safe for concurrent use.
+// A splitter is not safe for concurrent use.
 type splitter struct {
 	random    *rand.Rand
-	positions map[string]float64 // by route, in [0, 1)
+	positions map[string]float64 // last position in the sequence, in [0, 1), by route name
 }
 
 func newSplitter(random *rand.Rand) *splitter {
 	return &splitter{random: random, positions: map[string]float64{}}
 }
 
-// choose returns the service of the next request on a route that is split.
+// choose returns the service for the next request on a split route.
 func (s *splitter) choose(route *configuration.Route) string {
 	sum := 0.0
 	for _, part := range route.Split {
@@ -41,7 +41,7 @@
 	return route.Split[len(route.Split)-1].Service
 }
 
-// next returns the next position of a route's sequence.
+// next advances a route's sequence and returns its new position.
 func (s *splitter) next(route string) float64 {
 	position, known := s.positions[route]
 	if !known {
--- a/internal/proxy/splits_test.go
+++ b/internal/proxy/splits_test.go
@@ -8,8 +8,9 @@
 	"mulleinrouter/internal/cluster/configuration"
 )
 
-// TestSplitsOfFewRequests has several proxies split a few hundred requests: each service gets its weight, with a far
-// smaller error than independent draws would have, and over all seeds no proxy prefers a service.
+// TestSplitsOfFewRequests splits a few hundred requests over several proxies. Each service must get its share with a
+// far smaller error than that of independent random choices, and over all seeds the first choice of a proxy must not be
+// biased towards a service.
 func TestSplitsOfFewRequests(t *testing.T) {
 	for _, weights := range [][]float64{{90, 10}, {30, 70}, {1, 1, 1}, {5, 0, 95}, {1, 99}} {
 		route := &configuration.Route{Name: "r"}
@@ -30,7 +31,7 @@
 				counts[all[load.IntN(proxies)].choose(route)]++
 			}
 			for n, w := range weights {
-				// 4% of the requests; independent draws are off by 26 now and then
+				// 12 requests are 4%; independent random choices sometimes differ by 26
 				if off := math.Abs(float64(counts[route.Split[n].Service]) - requests*w/sum); off > 12 {
 					t.Errorf("weights %v, seed %d: part %d got %d of %d requests, want its weight",
 						weights, seed, n, counts[route.Split[n].Service], requests)
--- a/internal/proxy/translator.go
+++ b/internal/proxy/translator.go
@@ -16,26 +16,27 @@
 
 const (
 	maxAttemptIDBytes = 128
-	maxTimeLeftMs     = 600_000.0 // no client waits longer
+	maxTimeLeftMs     = 600_000.0 // longest time that a client may say it waits
 	msPerSecond       = 1000
 
-	// replyAllowance is taken off the time that a client waits, in seconds: the answer still has its way to go.
+	// replyAllowance is subtracted from the time that a client waits, in seconds, because the answer needs time to
+	// reach it.
 	replyAllowance = 10.0 / 1000
-	// clientRetryMargin is how much less than its route's deadline a client must wait for its request to be a retry, in
-	// seconds.
+	// clientRetryMargin is a time in seconds. A request counts as a client's retry if the time that its
+	// client waits is shorter than the route's deadline by more than this margin.
 	clientRetryMargin = 0.001
-	// unknownRetryAfter is the time until a client should ask again whose route or key is not known here, perhaps not
-	// yet.
+	// unknownRetryAfter is the time after which a client should retry if its route or key is not known here and the
+	// configuration may be out of date.
 	unknownRetryAfter = decision.Seconds(0.3)
 
-	// A request that comes before the first complete configuration waits for this share of the time that its client
-	// waits, and for so many seconds at most: after a loss of all machines the configuration comes within that, and a
-	// client that is rejected comes back only after unknownRetryAfter.
+	// A request that arrives before the first complete configuration waits for startWaitShare of the time that its
+	// client waits, and for maxStartWait seconds at most. After a loss of all machines the configuration arrives within
+	// that time, whereas a client that is rejected retries only after unknownRetryAfter.
 	startWaitShare = 1.0 / 3
 	maxStartWait   = 0.4
 )
 
-// Timeouts of clients' connections in seconds, where the configuration has none.
+// Default timeouts of clients' connections in seconds, for a configuration that sets none.
 const (
 	defaultIdleTimeout = 15
 	defaultHeadTimeout = 3
@@ -60,7 +61,7 @@
 	}
 }
 
-// dialect is how clients are served.
+// dialect returns the parts of the client protocol that are specific to this proxy.
 func (t *translator) dialect() ingress.Dialect {
 	return ingress.Dialect{
 		Parse:           t.parse,
@@ -91,7 +92,8 @@
 	return timeouts
 }
 
-// parse finds a request's route and its tenant, and translates it. It decides only whether there are these.
+// parse finds the route and the tenant of a request and translates the request. It rejects only requests that are
+// invalid or whose route, tenant or service is not known.
 func (t *translator) parse(r *http1.Request) (decision.Request, *upstream.Message, *ingress.RequestError) {
 	left, invalid := checkHead(r)
 	if invalid != nil {
@@ -110,7 +112,7 @@
 		TimeLeft:   min(left, route.Deadline),
 		Units:      1,
 		Gateways:   t.control.ingressCount(),
-		// The owners of counters are control nodes.
+		// The owners of counters are control nodes, so contact with them is contact with the owners.
 		OwnerContactAge: t.control.contactAge().Seconds(),
 		Streamed:        r.Streamed != nil,
 	}
@@ -136,13 +138,13 @@
 	return request, message, nil
 }
 
-// checkHead checks the fields that the system decides by, and returns the seconds for which the client waits.
+// checkHead checks the fields that the proxy evaluates, and returns the time in seconds for which the client waits.
 func checkHead(r *http1.Request) (left float64, invalid *ingress.RequestError) {
 	fail := func(code, text string) (float64, *ingress.RequestError) {
 		return 0, &ingress.RequestError{Status: http.StatusBadRequest, Code: code, Text: text}
 	}
 	for _, key := range [...]string{headerAttemptID, headerTimeLeft, headerAuthorization, headerHost} {
-		if len(r.Header[key]) > 1 { // a server that reads the other one would decide differently
+		if len(r.Header[key]) > 1 { // a server that reads the other value would decide differently
 			return fail("request-twice", key+" stands there twice")
 		}
 	}
@@ -151,7 +153,7 @@
 		return fail("request-bad-id", "X-Attempt-Id is missing or not a word")
 	}
 	leftMs, err := strconv.ParseFloat(r.Header.Get(headerTimeLeft), 64)
-	if err != nil || !(leftMs > 0) || leftMs > maxTimeLeftMs { // not above 0: also a NaN
+	if err != nil || !(leftMs > 0) || leftMs > maxTimeLeftMs { // !(leftMs > 0) also rejects NaN
 		return fail("request-bad-time", "X-Time-Left-Ms is not a time in milliseconds")
 	}
 	if http1.HasForbiddenTrailer(r.Trailer, consumedHeaders) {
@@ -160,16 +162,16 @@
 	return leftMs / msPerSecond, nil
 }
 
-// destination is where a request goes, and on whose account.
+// destination is the route and the service of a request, and the tenant whose quota it uses.
 type destination struct {
 	route   *configuration.Route
 	service string
-	tenant  *configuration.Tenant // nil: anonymous, on a public route
+	tenant  *configuration.Tenant // nil: anonymous request on a public route
 }
 
 // resolve finds a request's destination in the configuration in force.
 func (t *translator) resolve(r *http1.Request) (destination, *ingress.RequestError) {
-	if !t.control.complete.Load() { // a part of a configuration may lack the tenants, and admit anybody
+	if !t.control.complete.Load() { // an incomplete configuration may lack the tenants and would admit everybody
 		return destination{}, t.unknownError(http.StatusServiceUnavailable, "request-too-soon", "no configuration yet")
 	}
 	table := t.control.table.Load()
@@ -189,7 +191,7 @@
 	return destination{route: route, service: service, tenant: tenant}, nil
 }
 
-// tenantOf returns the tenant whose key a request has; nil: none.
+// tenantOf returns the tenant whose key a request contains, or nil if there is none.
 func tenantOf(r *http1.Request, table *configuration.RoutingTable) *configuration.Tenant {
 	authorization := r.Header.Get(headerAuthorization)
 	if authorization == "" || !table.HasTenants() {
@@ -202,8 +204,9 @@
 	return table.Tenant(key)
 }
 
-// unknownError is the answer to a request for what is not known here. Only a proxy whose configuration is current may
-// answer that there is none; else the request was not executed, and may be sent again.
+// unknownError returns the answer to a request whose route, key or service is not known here. Only a proxy whose
+// configuration is up to date may answer that it does not exist. Otherwise the answer is a 503, which tells the client
+// that the request was not executed and may be sent again.
 func (t *translator) unknownError(status int, code, text string) *ingress.RequestError {
 	unknown := &ingress.RequestError{Status: status, Code: code, Text: text}
 	if !t.control.upToDate() {
@@ -213,7 +216,7 @@
 	return unknown
 }
 
-// chooseService returns the service that a request on a route goes to.
+// chooseService returns the service for a request on a route.
 func (t *translator) chooseService(route *configuration.Route) string {
 	if len(route.Split) == 0 {
 		return route.Service
--- a/internal/proxy/translator_test.go
+++ b/internal/proxy/translator_test.go
@@ -23,7 +23,7 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// testConfig is a complete configuration of three routes, two tenants and two services.
+// testConfig is a complete configuration with three routes, two tenants and two services.
 const testConfig = `{"upsert":{
 "routes":{
 	"r1":{"authority":"one.example","pathPrefix":"/a/","routeKind":"idempotent","deadlineMs":1000,"targetMs":400,
@@ -75,7 +75,7 @@
 	for name, c := range map[string]struct {
 		text         string
 		stale, early bool
-		status       int // 0: it is accepted
+		status       int // 0: the request is accepted
 		route        string
 		tenant       string
 	}{
@@ -88,11 +88,11 @@
 		"tenant of the client": {text: line + "\nX-Tenant: t2\nAuthorization: Token k1", route: "r1", tenant: "t1"},
 		"public":               {text: strings.Replace(line, "One", "two", 1), route: "r3"},
 		"no route":             {text: strings.Replace(line, "One", "three", 1), status: 404},
-		"no route, not sure":   {text: strings.Replace(line, "One", "three", 1), stale: true, status: 503},
+		"no route, stale":      {text: strings.Replace(line, "One", "three", 1), stale: true, status: 503},
 		"no key":               {text: line, status: 401},
 		"another scheme":       {text: line + "\nAuthorization: Bearer k1", status: 401},
 		"unknown key":          {text: line + "\nAuthorization: Token k9", status: 401},
-		"unknown, not sure":    {text: line + "\nAuthorization: Token k9", stale: true, status: 503},
+		"unknown key, stale":   {text: line + "\nAuthorization: Token k9", stale: true, status: 503},
 		"no configuration":     {text: line + "\nAuthorization: Token k1", early: true, stale: true, status: 503},
 		"no id":                {text: strings.Replace(line, "X-Attempt-Id: i1", "X-Other: 1", 1), status: 400},
 		"two ids":              {text: line + "\nX-Attempt-Id: i2", status: 400},
@@ -104,13 +104,13 @@
 			var request decision.Request
 			var m *upstream.Message
 			var bad *ingress.RequestError
-			synctest.Test(t, func(t *testing.T) { // in fake time: a request may wait
+			synctest.Test(t, func(t *testing.T) { // fake time, because a request may wait
 				request, m, bad = newTestTranslator(t, !c.stale, !c.early).parse(requestHead(t, c.text))
 			})
 			if c.status != 0 {
 				is.True(bad != nil)
 				is.Equal(bad.Status, c.status)
-				is.Equal(bad.RetryAfter > 0, c.status == 503) // what was not executed may be sent again
+				is.Equal(bad.RetryAfter > 0, c.status == 503) // a request that was not executed may be retried
 				return
 			}
 			is.True(bad == nil)
@@ -132,16 +132,17 @@
 	}
 }
 
-// TestRequestsWaitForTheFirstConfiguration checks that a request that comes before the configuration is complete is
-// served if it becomes so within a third of the time that its client waits, with the rest of that time, and rejected if
-// not; and that requests do not wait any more once there was a configuration.
+// TestRequestsWaitForTheFirstConfiguration checks a request that arrives before the configuration is complete. If the
+// configuration becomes complete within a third of the time that the client waits, the request must be served with the
+// rest of that time; otherwise it must be rejected. Requests must not wait once there has been a complete
+// configuration.
 func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
 	for name, c := range map[string]struct {
 		leftMs, completeAfterMs, wantWaitMs int
 		served                              bool
 	}{
-		"there from the start":        {leftMs: 900, completeAfterMs: 0, wantWaitMs: 0, served: true},
-		"while it waits":              {leftMs: 900, completeAfterMs: 70, wantWaitMs: 70, served: true},
+		"complete from the start":     {leftMs: 900, completeAfterMs: 0, wantWaitMs: 0, served: true},
+		"while the request waits":     {leftMs: 900, completeAfterMs: 70, wantWaitMs: 70, served: true},
 		"later":                       {leftMs: 900, completeAfterMs: 310, wantWaitMs: 300},
 		"later, and little time left": {leftMs: 90, completeAfterMs: 40, wantWaitMs: 30},
 		"later, and much time left":   {leftMs: 60_000, completeAfterMs: 500, wantWaitMs: 400},
@@ -167,7 +168,7 @@
 					is.Equal(rejected.Status, http.StatusServiceUnavailable)
 					is.True(rejected.RetryAfter > 0)
 				}
-				time.Sleep(time.Second) // in fake time, until the configuration is there
+				time.Sleep(time.Second) // fake time, until the configuration is complete
 				begin = time.Now()
 				translator.parse(requestHead(t, head+strconv.Itoa(c.leftMs)))
 				is.Equal(time.Since(begin), time.Duration(0))
@@ -215,14 +216,14 @@
 		"421 Other\nX-Instance-Id: i-5":                 upstream.NotExecuted,
 		"404 None":                                      upstream.Broken,
 		"404 None\nX-Attempt-Id: i1":                    upstream.Served,
-		// another request's rejection proves nothing here
+		// the rejection of another request proves nothing about this one
 		"503 Full\nX-Attempt-Id: i2\nX-Not-Executed: 1":                   upstream.Foreign,
 		"421 Other\nX-Attempt-Id: i2":                                     upstream.Foreign,
 		"200 OK\nX-Attempt-Id: i1\nX-Attempt-Id: i2\nX-Server-Seal: s":    upstream.Broken,
 		"503 Full\nX-Attempt-Id: i1\nX-Attempt-Id: i2\nX-Not-Executed: 1": upstream.Broken,
 	} {
-		// Without a length the end of the connection delimits it. It means the same: a reset cuts it off
-		// (package upstream).
+		// An answer without a length is delimited by the end of the connection. Its meaning is the same; package
+		// upstream handles truncation by a reset.
 		for _, unbounded := range []bool{false, true} {
 			end := "\r\nContent-Length: 0\r\n\r\n"
 			if unbounded {
@@ -240,8 +241,9 @@
 	}
 }
 
-// TestSurplusAnswersBelongToNoRequest has a server send a second answer late, in the place of the next one's: the
-// client of the next request gets its own, and the connection is not used again.
+// TestSurplusAnswersBelongToNoRequest checks a second answer to a request that a server sends late, just before the
+// answer to the next request. The client of the next request must get its own answer, and the connection must not be
+// used again.
 func TestSurplusAnswersBelongToNoRequest(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -267,7 +269,7 @@
 							"\r\nX-Server-Seal: x\r\nContent-Length: 1\r\n\r\n" + body
 					}
 					if id == "second" {
-						nc.Write([]byte(answer("first", "1"))) // the surplus one, late
+						nc.Write([]byte(answer("first", "1"))) // the surplus answer to the first request
 					}
 					nc.Write([]byte(answer(id, id[:1])))
 				}
@@ -290,5 +292,5 @@
 		is.Equal(r.Outcome, decision.Succeeded)
 		is.Equal(string(r.Body), id[:1])
 	}
-	is.Equal(len(conns), 2) // the second request's connection was closed: a surplus answer had come on it
+	is.Equal(len(conns), 2) // the first connection was closed because of the surplus answer
 }
