--- a/coordinationclient/client.go
+++ b/coordinationclient/client.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	attemptTimeout   = time.Second           // for one attempt at one address
-	initialBackoff   = 20 * time.Millisecond // before the second attempt; doubles after each further one
-	maxBackoff       = 500 * time.Millisecond
-	maxResponseBytes = 4 << 20 // size of the response body that is read, to bound memory
+	attemptTimeout   = time.Second            // for one attempt at one address
+	initialBackoff   = 20 * time.Millisecond  // before the second attempt; doubles after each further one
+	maxBackoff       = 500 * time.Millisecond // upper limit of the backoff
+	maxResponseBytes = 4 << 20                // largest part of a response body that is read, which bounds memory
 )
 
 // Client calls control nodes over HTTP.
--- a/coordinationclient/lock.go
+++ b/coordinationclient/lock.go
@@ -16,7 +16,7 @@
 	hold   time.Duration // time for which an acquisition or a renewal is valid
 	fence  uint64
 
-	mu         sync.Mutex // guards until
+	mu         sync.Mutex // guards validUntil
 	validUntil time.Time
 }
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -78,10 +78,10 @@
 	if dialed == nil || dialed.down {
 		return nil, net.ErrClosed
 	}
-	here, there := net.Pipe()
-	dialed.conns = append(dialed.conns, here)
+	clientEnd, serverEnd := net.Pipe()
+	dialed.conns = append(dialed.conns, clientEnd)
 	go func() {
-		conn := transport.NewConn(there)
+		conn := transport.NewConn(serverEnd)
 		if f, err := conn.Receive(); err == nil {
 			dialed.Serve(conn, f.Hello, func(f *transport.Frame) *transport.Frame {
 				fc.mu.Lock()
@@ -100,7 +100,7 @@
 			})
 		}
 	}()
-	return here, nil
+	return clientEnd, nil
 }
 
 func (fc *fakeControlPlane) stop(stopped *fakeNode) {
@@ -136,9 +136,9 @@
 			Clock:       replication.NewClock(func() float64 { return 0 }),
 			Ready:       func() bool { return true },
 			Dial: func(context.Context) (net.Conn, error) {
-				here, there := net.Pipe()
-				go a.serveConnection(there)
-				return here, nil
+				clientEnd, serverEnd := net.Pipe()
+				go a.serveConnection(serverEnd)
+				return clientEnd, nil
 			},
 		}
 		a.tasks.Go(func() { proxy.Run(ctx) })
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -33,7 +33,7 @@
 	Settings *settings.Watcher // reread by no other goroutine
 	Log      log.Logger
 	Dial     func(ctx context.Context, addr string) (net.Conn, error) // connects to control nodes; usually Dial
-	Metrics  metrics.Endpoint                                         // of the metrics; zero value: not served
+	Metrics  metrics.Endpoint                                         // endpoint of metrics; zero: not served
 }
 
 // Run runs an agent until SIGTERM or SIGINT. It then continues while a proxy is connected, for graceReserve less than
--- a/internal/agent/sources.go
+++ b/internal/agent/sources.go
@@ -17,7 +17,7 @@
 
 const (
 	maxConfiguredSources = 5                      // sources from the settings
-	maxSources           = 9                      // sources from the settings and the list of voters
+	maxSources           = 9                      // sources in total, including those from the list of voters
 	votersCheckInterval  = 250 * time.Millisecond // minimum time between two comparisons of voters and sources
 )
 
--- a/internal/proxy/ingress_count_test.go
+++ b/internal/proxy/ingress_count_test.go
@@ -9,7 +9,7 @@
 func TestIngressCount(t *testing.T) {
 	type report struct {
 		at      time.Duration
-		members int // 0: none is reported
+		members int // 0: no report
 		want    int
 	}
 	for _, c := range []struct {
--- a/internal/proxy/shedding.go
+++ b/internal/proxy/shedding.go
@@ -77,8 +77,9 @@
 }
 
 // observeNoConnection lowers the admitted share after an open period in which no connection was established. Whatever
-// the load, the queue at the link must then be longer than the open period, unless an update has just arrived without
-// delay. In that case no client has connected, and an unused machine must admit all connections again.
+// the load, the queue at the link must then be longer than the open period. The exception is that an update has just
+// arrived without delay: then no client has connected, and the share is kept, because an unused machine must admit all
+// connections again.
 func (s *shedder) observeNoConnection(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/shedding_flood_test.go
+++ b/internal/proxy/shedding_flood_test.go
@@ -79,9 +79,9 @@
 		part := min(left, fl.queue[0].bytes)
 		left -= part
 		if fl.queue[0].bytes -= part; fl.queue[0].bytes <= 0 {
-			through := fl.queue[0]
+			packet := fl.queue[0]
 			fl.queue = fl.queue[1:]
-			fl.arrive(through)
+			fl.arrive(packet)
 		}
 	}
 	fl.now += floodStep
@@ -150,10 +150,10 @@
 	fl := &floodedLink{shedder: newShedder(2), open: true}
 	const requestsPerStep = floodCapacity / requestBytes // capacity of the link
 	offer := func(times float64, span time.Duration) (served float64) {
-		before, owed := fl.inTime, 0.0
-		for end := fl.now + span; fl.now < end; owed -= float64(int(owed)) {
-			owed += times * requestsPerStep
-			fl.step(int(owed))
+		before, dueClients := fl.inTime, 0.0
+		for end := fl.now + span; fl.now < end; dueClients -= float64(int(dueClients)) {
+			dueClients += times * requestsPerStep
+			fl.step(int(dueClients))
 		}
 		return float64(fl.inTime-before) / (requestsPerStep * float64(span/floodStep))
 	}
--- a/internal/proxy/translator.go
+++ b/internal/proxy/translator.go
@@ -48,8 +48,8 @@
 
 	mu      sync.Mutex // guards the fields below
 	splits  *splitter
-	terms   map[string]*decision.Terms // of tenants, by name
-	classes map[string]*decision.Class // of routes, by name and version
+	terms   map[string]*decision.Terms // terms of tenants, by name
+	classes map[string]*decision.Class // classes of routes, by name and version
 }
 
 func newTranslator(control *controlFeed, splits *splitter) *translator {
--- a/internal/proxy/translator_test.go
+++ b/internal/proxy/translator_test.go
@@ -292,5 +292,5 @@
 		is.Equal(r.Outcome, decision.Succeeded)
 		is.Equal(string(r.Body), id[:1])
 	}
-	is.Equal(len(conns), 2) // the first connection was closed because of the surplus answer
+	is.Equal(len(conns), 2) // the first connection was closed, because a surplus answer arrived on it
 }
