--- a/internal/proxy/ingress_count_test.go
+++ b/internal/proxy/ingress_count_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// TestIngressCount reports numbers of ingresses over time.
+// TestIngressCount checks the assumed number of ingresses after a sequence of reports.
 func TestIngressCount(t *testing.T) {
 	type report struct {
 		at      time.Duration
-		members int // 0: none is reported
+		members int // 0: no report
 		want    int
 	}
 	for _, c := range []struct {
