--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -1,5 +1,5 @@
-// Command agent is the agent on an edge machine: it subscribes to the control nodes and feeds the proxy beside it over
-// loopback. See docs/design/system.md.
+// Command agent is the agent on an edge machine. It subscribes to the control nodes and sends what they publish to the
+// proxy of the same machine over loopback. See docs/design/system.md.
 package main
 
 import (
@@ -20,11 +20,12 @@
 	description = "The agent on an edge machine: it keeps the link to the control nodes and feeds the proxy beside it."
 )
 
-// memoryLimit is the size of the heap from which the collector works harder, in bytes: the machine's memory is the
-// proxy's.
+// memoryLimit is the memory use, in bytes, above which the garbage collector works harder. It is low because the proxy
+// needs most of the machine's memory.
 const memoryLimit = 32 << 20
 
-// gcPercent suits an agent, which makes little garbage.
+// gcPercent is the growth of the heap, in percent, that starts a garbage collection. Half of Go's default keeps the
+// heap small, and collections stay rare because an agent allocates little.
 const gcPercent = 50
 
 type program struct {
@@ -62,6 +63,7 @@
 	})
 }
 
+// limitMemory returns the same limit for machines of every size.
 func limitMemory(*settings.Settings) int64 { return memoryLimit }
 
 type check struct{ commandline.CheckCommand }
--- a/cmd/control/main.go
+++ b/cmd/control/main.go
@@ -1,6 +1,6 @@
-// Command control is the control node on a core machine: it takes the operator's configuration and the heartbeats of
-// servers, stores what it acknowledges on its disk and those of the others, and feeds the agents of the ingresses. See
-// docs/design/system.md.
+// Command control is the control node on a core machine. It receives the operator's configuration and the heartbeats of
+// servers, stores what it acknowledges on its own disk and on those of the other control nodes, and publishes it to the
+// agents of the ingresses. See docs/design/system.md.
 package main
 
 import (
@@ -23,7 +23,7 @@
 
 const (
 	name        = commandline.Control
-	description = "The control node on a core machine: it takes the configuration and the beats of servers, " +
+	description = "The control node on a core machine: it takes the configuration and the heartbeats of servers, " +
 		"and feeds the agents."
 )
 
@@ -42,9 +42,16 @@
 }
 
 const (
-	minMemoryLimit = 64 << 20 // bytes of heap, where the machine's memory is not known
-	gcPercent      = 50       // memory is scarce on these machines
-	dialTimeout    = time.Second
+	// minMemoryLimit is the least memory limit of the Go runtime, in bytes. It applies when the settings do not
+	// state the machine's memory.
+	minMemoryLimit = 64 << 20
+
+	// gcPercent is the growth of the heap, in percent, that starts a garbage collection. It is half of Go's default
+	// because memory is scarce on these machines.
+	gcPercent = 50
+
+	// dialTimeout bounds the time of connecting to another control node.
+	dialTimeout = time.Second
 )
 
 type serve struct {
@@ -72,7 +79,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	return node.Run(ctx) // hangups stay ignored: what a control node takes from its file does not change while it runs
+	return node.Run(ctx) // SIGHUP stays ignored because a control node does not read its settings again while it runs
 }
 
 // dial connects to another control node.
@@ -80,7 +87,7 @@
 	return transport.Dial(ctx, addr, dialTimeout)
 }
 
-// limitMemory allows half of the machine's memory.
+// limitMemory returns half of the machine's memory, in bytes, but at least minMemoryLimit.
 func limitMemory(s *settings.Settings) int64 {
 	return max(minMemoryLimit, int64(s.Limits.MemoryMB)<<20/2)
 }
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,4 +1,5 @@
-// Command proxy is the proxy of an edge machine: it serves clients. See docs/design/system.md.
+// Command proxy is the proxy of an edge machine. It forwards clients' requests to the servers that the agent of the
+// same machine reports. See docs/design/system.md.
 package main
 
 import (
@@ -20,7 +21,7 @@
 
 const (
 	name        = commandline.Proxy
-	description = "The proxy of an edge machine: it serves clients, with what the agent beside it knows."
+	description = "The proxy of an edge machine: it serves clients, with the data that the machine's agent sends."
 )
 
 type program struct {
@@ -51,10 +52,12 @@
 	return p.Run(ctx, hangups)
 }
 
-// limitMemory leaves four tenths of the machine's memory to the kernel's socket buffers and the agent.
+// limitMemory returns six tenths of the machine's memory, in bytes. The rest is left to the kernel's socket buffers and
+// the agent.
 func limitMemory(s *settings.Settings) int64 { return int64(s.Limits.MemoryMB) << 20 * 6 / 10 }
 
-// newIncarnation returns a number that no other process of this machine has had, not 0.
+// newIncarnation returns a random number other than 0. It distinguishes this process from all other proxy processes of
+// this machine, earlier ones included.
 func newIncarnation() uint64 {
 	var random [8]byte
 	rand.Read(random[:])
--- a/internal/logging/level.go
+++ b/internal/logging/level.go
@@ -2,10 +2,10 @@
 
 import "sync/atomic"
 
-// Level is how severe a line is. The zero value is LevelInfo.
+// Level is the severity of a line. The zero value is LevelInfo.
 type Level int
 
-// The levels, from the least severe one.
+// The levels, from the least to the most severe.
 const (
 	LevelDebug Level = iota - 1
 	LevelInfo
@@ -21,7 +21,8 @@
 	nameError = "error"
 )
 
-// ParseLevel returns the level of that name: debug, info, warn or error; empty: info. The error is ErrUnknownLevel.
+// ParseLevel returns the level with the given name: debug, info, warn or error. An empty name means info. For any other
+// name the error is ErrUnknownLevel.
 func ParseLevel(name string) (Level, error) {
 	switch name {
 	case nameDebug:
@@ -36,7 +37,7 @@
 	return LevelInfo, ErrUnknownLevel
 }
 
-// String returns the name of the level, as ParseLevel takes it.
+// String returns the name of the level, in the form that ParseLevel accepts.
 func (l Level) String() string {
 	switch l {
 	case LevelDebug:
@@ -49,19 +50,19 @@
 	return nameInfo
 }
 
-// Level returns the level itself: as a Leveler it is one that does not change.
+// Level returns the level itself, which makes a Level a Leveler that never changes.
 func (l Level) Level() Level { return l }
 
-// Leveler says which level is the least severe one that is written. It is asked at each line, by several goroutines.
+// Leveler supplies the least severe level that is written. Loggers call Level for each line, from several goroutines.
 type Leveler interface {
 	Level() Level
 }
 
-// LevelVar is a Leveler whose level may be set while loggers use it. The zero value has LevelInfo.
+// LevelVar is a Leveler whose level may be set while loggers use it. The zero value is set to LevelInfo.
 type LevelVar struct{ level atomic.Int64 }
 
 // Level returns the level that was set last.
 func (lv *LevelVar) Level() Level { return Level(lv.level.Load()) }
 
-// Set has loggers use that level from now on.
+// Set changes the level. Loggers apply it from the next line on.
 func (lv *LevelVar) Set(l Level) { lv.level.Store(int64(l)) }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -18,12 +18,12 @@
 	keyMessage = "msg"
 )
 
-// timeLayout is the form of a line's time: in the local zone, to the millisecond.
+// timeLayout is the format of a line's time, which is in the local zone with a resolution of a millisecond.
 const timeLayout = "2006-01-02T15:04:05.000Z07:00"
 
-// New returns a logger that writes each line to out by one call of Write, in the given format. The level is asked for
-// at each line: a LevelVar, or settings that are read again, change it while the program runs. A line below the level
-// is dropped before any of its values is formatted; one without a level is written.
+// New returns a logger that writes each line to out by one call of Write, in the given format. It reads the level from
+// leveler for each line, so a LevelVar or reloaded settings can change the level while the program runs. A line below
+// the level is dropped before any of its values is formatted. A line without a level is always written.
 func New(out io.Writer, format Format, leveler Leveler) log.Logger {
 	out = log.NewSyncWriter(out)
 	lines := &lineLogger{format: format, next: log.NewLogfmtLogger(out)}
@@ -41,22 +41,23 @@
 	}
 }
 
-// levelFilter passes on the lines of a level that may change, which that of a filter of the library may not.
+// levelFilter drops the lines below a level that may change. A filter of go-kit/log has a fixed level, so levelFilter
+// keeps one for each level.
 type levelFilter struct {
 	leveler Leveler
-	filters [LevelError - LevelDebug + 1]log.Logger // by level, from LevelDebug
+	filters [LevelError - LevelDebug + 1]log.Logger // indexed by level minus LevelDebug
 }
 
 // Log implements log.Logger.
 func (lf *levelFilter) Log(keyvals ...any) error {
-	inForce := min(max(lf.leveler.Level(), LevelDebug), LevelError)
-	return lf.filters[inForce-LevelDebug].Log(keyvals...)
+	minLevel := min(max(lf.leveler.Level(), LevelDebug), LevelError)
+	return lf.filters[minLevel-LevelDebug].Log(keyvals...)
 }
 
 var timestamp = log.TimestampFormat(time.Now, timeLayout)
 
-// lineLogger puts the time, the level and the message first, also where a logger has keys of its own, and leaves out
-// keys whose value is nil.
+// lineLogger puts the time, the level and the message first, even if a logger adds keys with log.With, and omits keys
+// whose value is nil.
 type lineLogger struct {
 	format Format
 	next   log.Logger
@@ -72,19 +73,19 @@
 	return l.next.Log(line...)
 }
 
-// appendPairs appends those keys, with their values.
+// appendPairs appends to line the pairs of keyvals whose key is wanted and whose value is not nil.
 func (l *lineLogger) appendPairs(line, keyvals []any, wanted func(key any) bool) []any {
 	for i := 0; i+1 < len(keyvals); i += 2 {
 		if key, value := keyvals[i], keyvals[i+1]; value != nil && wanted(key) {
-			line = append(line, key, l.writable(value))
+			line = append(line, key, l.encodable(value))
 		}
 	}
 	return line
 }
 
-// writable returns the value, or its text if the library cannot write it in this format. Errors, durations and other
-// values with a String method are written as that text by the library, in both formats.
-func (l *lineLogger) writable(value any) any {
+// encodable returns the value, or its text if go-kit/log cannot write it in this format. For errors, durations and
+// other values with a String method, go-kit/log writes that text itself in both formats.
+func (l *lineLogger) encodable(value any) any {
 	switch v := value.(type) {
 	case string, int, bool, error, fmt.Stringer, encoding.TextMarshaler:
 		return value
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -15,10 +15,10 @@
 	"github.com/go-kit/log/level"
 )
 
-// timePattern is a line's time.
+// timePattern matches a line's time.
 var timePattern = regexp.MustCompile(`\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}(Z|[+-]\d\d:\d\d)`)
 
-// state has a String method, as the states of the programs do.
+// state has a String method, like the states that the programs log.
 type state int
 
 func (state) String() string { return "lame duck" }
@@ -46,7 +46,7 @@
 			level.Warn(logger).Log("msg", "batch not saved",
 				"code", "a-code", "state", state(1), "wait", 1500*time.Millisecond, "servers", []string{"a", "b"},
 				"load", math.Inf(1), "listen", "127.0.0.1:80", "nothing", error(nil),
-				"error", cockroach.Wrap(cockroach.New(`no "="`), "open"), // with a stack trace, which is not written
+				"error", cockroach.Wrap(cockroach.New(`no "="`), "open"), // the stack trace must not be written
 			)
 			if got := timePattern.ReplaceAllString(text.String(), "TIME"); got != c.want+"\n" {
 				t.Errorf("got %s, want with a time\n%s", text.String(), c.want)
@@ -69,9 +69,9 @@
 				t.Fatal(err)
 			}
 			var text strings.Builder
-			var inForce LevelVar // changed after the logger was made
-			logger := New(&text, Logfmt, &inForce)
-			inForce.Set(parsed)
+			var minLevel LevelVar // set only after the logger was created
+			logger := New(&text, Logfmt, &minLevel)
+			minLevel.Set(parsed)
 			level.Debug(logger).Log("msg", "m")
 			level.Info(logger).Log("msg", "m")
 			level.Warn(logger).Log("msg", "m")
@@ -101,13 +101,13 @@
 	}
 }
 
-// costly counts how often its text is asked for.
-type costly int
+// formatCounter counts the calls of its String method.
+type formatCounter int
 
-func (c *costly) String() string { *c++; return "text" }
+func (c *formatCounter) String() string { *c++; return "text" }
 
 func TestDroppedLinesAreNotFormatted(t *testing.T) {
-	var dropped, written costly
+	var dropped, written formatCounter
 	logger := New(io.Discard, Logfmt, LevelWarn)
 	level.Info(logger).Log("msg", "m", "value", &dropped)
 	level.Warn(logger).Log("msg", "m", "value", &written)
@@ -116,7 +116,7 @@
 	}
 }
 
-// BenchmarkLine measures the line of an ended connection.
+// BenchmarkLine measures the cost of the line that is logged when a client connection ends.
 func BenchmarkLine(b *testing.B) {
 	err := errors.New("read tcp 127.0.0.1:80: connection reset by peer")
 	for name, logger := range map[string]log.Logger{
--- a/internal/logging/settings.go
+++ b/internal/logging/settings.go
@@ -1,6 +1,6 @@
 package logging
 
-// Format is the form of log lines.
+// Format is the format of log lines.
 type Format int
 
 const (
@@ -10,16 +10,16 @@
 	JSON
 )
 
-// Settings says how a program logs. The zero value is the default: level info, in logfmt.
+// Settings configures the logger of a program. The zero value is the default: level info, in logfmt.
 type Settings struct {
-	// Level is the least severe level that is written; zero: LevelInfo.
+	// Level is the least severe level that is written. The zero value is LevelInfo.
 	Level Level
-	// Format is the form of the lines; zero: Logfmt.
+	// Format is the format of the lines. The zero value is Logfmt.
 	Format Format
 }
 
-// ParseFormat returns the format of that name: logfmt or json; empty: logfmt. "text" is an earlier name of logfmt. The
-// error is ErrUnknownFormat.
+// ParseFormat returns the format with the given name: logfmt or json. An empty name means logfmt, and so does "text",
+// which is an earlier name of it. For any other name the error is ErrUnknownFormat.
 func ParseFormat(name string) (Format, error) {
 	switch name {
 	case "logfmt", "text", "":
