--- a/internal/standalone/fleet/revisionlog/announcer.go
+++ b/internal/standalone/fleet/revisionlog/announcer.go
@@ -4,26 +4,27 @@
 
 // peer is what a lease holder knows of another ingress.
 type peer struct {
-	entries     map[uint64]Entry // of its last inventory; nil: none was received
+	entries     map[uint64]Entry // its last inventory, by number; nil until one is received
 	nextQueryAt Seconds
-	announcedAt map[uint64]Seconds // by number
+	announcedAt map[uint64]Seconds // time of the last Announce, by number
 }
 
-// leaseGained starts a new lease holder: it gathers the inventories of its peers before it announces anything.
+// leaseGained starts a new lease. The lease holder gathers the inventories of its peers before it announces anything,
+// so that it does not reuse a number that its predecessor announced.
 func (l *Log) leaseGained(now Seconds, token uint64) []Action {
 	l.token, l.gainedAt, l.gathered = token, now, mutants.On("revisionlog/ungathered")
 	clear(l.peers)
 	if l.lastToken >= token {
 		return nil
 	}
-	l.lastToken = token // this ingress, too, rejects older tokens from now on
+	l.lastToken = token // messages with older tokens are rejected from now on
 	return []Action{l.storeRecord()}
 }
 
 // subscriberMessage handles a message to the lease holder.
 func (l *Log) subscriberMessage(now Seconds, from string, m Message) (actions []Action) {
 	if m.Kind == Inventory && m.Token > l.token {
-		return nil // another ingress holds the lease by now, and the end of this one's is about to follow
+		return nil // another ingress holds a newer lease, and the loss of this one is about to be reported
 	}
 	p := l.peer(from)
 	if p == nil {
@@ -34,10 +35,10 @@
 	case Inventory:
 		return l.inventoryReceived(from, p, m.Entries)
 	case FetchResult:
-		actions, changed = l.fetched(m.Entries)
+		actions, changed = l.fetchResultReceived(m.Entries)
 		p.nextQueryAt = now
 	case Submit:
-		actions, changed = l.submitted(from, m.Entries)
+		actions, changed = l.submitReceived(from, m.Entries)
 	}
 	if changed {
 		l.prune()
@@ -46,7 +47,8 @@
 	return actions
 }
 
-// inventoryReceived notes what a peer has stored, and fetches what an earlier lease holder announced to it.
+// inventoryReceived records what a peer has stored, and fetches the entries that an earlier lease holder announced to
+// the peer and that this ingress lacks.
 func (l *Log) inventoryReceived(from string, p *peer, listed []Entry) []Action {
 	p.entries = map[uint64]Entry{}
 	var missing []Entry
@@ -54,19 +56,19 @@
 		p.entries[e.Number] = e
 		present, known := l.entries[e.Number]
 		newer := known && present.Digest != e.Digest && e.Token > present.Token
-		if e.Token < l.token && (newer || !known && l.fits(e.Number)) {
+		if e.Token < l.token && (newer || !known && l.wouldRetain(e.Number)) {
 			missing = append(missing, e)
 		}
 	}
 	if len(missing) == 0 {
 		return nil
 	}
-	p.entries = nil // it is queried again once these have arrived
+	p.entries = nil // the peer is queried again once the fetched entries have arrived
 	return []Action{Send{from, Message{Kind: Fetch, Token: l.token, Entries: missing}}}
 }
 
-// fetched applies entries of earlier lease holders, as these announced them.
-func (l *Log) fetched(entries []Entry) (actions []Action, changed bool) {
+// fetchResultReceived applies entries of earlier lease holders under the tokens of their announcements.
+func (l *Log) fetchResultReceived(entries []Entry) (actions []Action, changed bool) {
 	for _, e := range entries {
 		if !e.validText() || e.Token >= l.token {
 			continue
@@ -81,13 +83,14 @@
 	return actions, changed
 }
 
-// submitted announces revisions of another ingress's file, or rejects those whose numbers stand for another content.
-func (l *Log) submitted(from string, entries []Entry) (actions []Action, changed bool) {
+// submitReceived announces revisions of another ingress's file. It rejects those whose numbers are already announced
+// with other content, or are too low to be retained.
+func (l *Log) submitReceived(from string, entries []Entry) (actions []Action, changed bool) {
 	for _, e := range entries {
 		present, known := l.entries[e.Number]
 		switch {
 		case known && present.Digest == e.Digest:
-		case known && !mutants.On("revisionlog/number-again") || !known && !l.fits(e.Number):
+		case known && !mutants.On("revisionlog/number-again") || !known && !l.wouldRetain(e.Number):
 			reject := Message{Kind: Reject, Token: l.token, Entries: []Entry{e.withoutText()}}
 			actions = append(actions, Send{from, reject})
 		case l.gathered && e.validText():
@@ -98,14 +101,14 @@
 	return actions, changed
 }
 
-// announce has a revision stand for its number, under the token of the lease. Ticks send it to the peers.
+// announce records a revision under its number, with the token of the lease. The following ticks send it to the peers.
 func (l *Log) announce(e Entry) Action {
 	e.Token = l.token
 	l.entries[e.Number] = e
 	return Apply{e}
 }
 
-// peer returns what is known of a peer; nil if there are too many.
+// peer returns the state of a peer, created if needed; nil if the name is invalid or there are too many peers.
 func (l *Log) peer(name string) *peer {
 	p := l.peers[name]
 	if p == nil && len(l.peers) < maxPeers && name != "" && len(name) <= maxNameLength {
@@ -115,8 +118,8 @@
 	return p
 }
 
-// tickLeaseHolder queries the peers, sends them what they have not confirmed, and announces the revisions of the own
-// file once the inventories are gathered.
+// tickLeaseHolder queries the peers, sends them the entries that they have not confirmed, and announces the revisions
+// of this ingress's own file once the inventories are gathered.
 func (l *Log) tickLeaseHolder(now Seconds) (actions []Action) {
 	inventories := 0
 	for _, name := range l.livePeers {
@@ -141,7 +144,7 @@
 	return actions
 }
 
-// queryPeer queries a peer when it is due: more often until its first inventory.
+// queryPeer queries a peer when a query is due. Queries are more frequent until the first inventory arrives.
 func (l *Log) queryPeer(now Seconds, name string, p *peer) []Action {
 	if now < p.nextQueryAt {
 		return nil
@@ -161,7 +164,7 @@
 			continue
 		}
 		if lowest > 0 && e.Number < lowest && len(p.entries) >= MaxEntries {
-			continue // the peer has dropped it
+			continue // the peer has pruned this entry
 		}
 		p.announcedAt[e.Number] = now
 		actions = append(actions, Send{name, Message{Kind: Announce, Token: l.token, Entries: []Entry{e}}})
@@ -174,13 +177,13 @@
 	return actions
 }
 
-// announceLocal announces the revisions of the own file.
+// announceLocal announces the revisions of this ingress's own file.
 func (l *Log) announceLocal() (actions []Action) {
 	changed := false
 	for _, e := range sortedByNumber(l.local) {
 		delete(l.local, e.Number)
 		present, known := l.entries[e.Number]
-		if !known && l.fits(e.Number) {
+		if !known && l.wouldRetain(e.Number) {
 			changed = true
 			actions = append(actions, l.announce(e))
 		} else if present.Digest != e.Digest {
--- a/internal/standalone/fleet/revisionlog/events.go
+++ b/internal/standalone/fleet/revisionlog/events.go
@@ -1,27 +1,28 @@
 package revisionlog
 
-// Event is an event of the Log.
+// Event is an input of Log.Step.
 type Event interface{ event() }
 
 // Events of the Log.
 type (
 	// LocalRevision is a revision in this ingress's own file.
 	LocalRevision struct{ Entry Entry }
-	// LeaseGained says that this ingress holds the lease of the catalogue from now on.
+	// LeaseGained reports that this ingress now holds the catalogue lease, under a new fencing token.
 	LeaseGained struct{ Token uint64 }
-	// LeaseLost says that it does not hold the lease any more.
+	// LeaseLost reports that this ingress no longer holds the catalogue lease.
 	LeaseLost struct{}
-	// MessageReceived is a message of another ingress. The host has checked that texts match their digests and numbers.
+	// MessageReceived is a message of another ingress. The caller has checked that the texts match their digests and
+	// numbers.
 	MessageReceived struct {
 		From    string
 		Message Message
 	}
-	// RecordStored says that a record is on disk.
+	// RecordStored reports that a record is durable on disk.
 	RecordStored struct{ Record Record }
-	// Tick says that time has passed.
+	// Tick reports that time has passed, and the present members of the fleet.
 	Tick struct {
 		LivePeers   []string // names of the other ingresses that are alive
-		LeaseHolder string   // of the catalogue, as far as is known; empty: none
+		LeaseHolder string   // name of the ingress that holds the catalogue lease; empty if unknown
 	}
 )
 
@@ -32,23 +33,23 @@
 func (RecordStored) event()    {}
 func (Tick) event()            {}
 
-// Action is what the Log wants done.
+// Action is an action that the caller of Log.Step must carry out.
 type Action interface{ action() }
 
 // Actions of the Log.
 type (
-	// Send sends a message, which may be lost. One of the lease holder is sent only while the lease is held under
-	// Message.Token.
+	// Send sends a message, which may be lost. A message of a kind that only the lease holder sends must be dropped
+	// unless this ingress holds the lease under Message.Token.
 	Send struct {
 		To      string
 		Message Message
 	}
-	// Apply has a revision take effect, in place of any other of its number.
+	// Apply puts a revision into effect. It replaces any other content of the same number.
 	Apply struct{ Entry Entry }
-	// StoreRecord replaces the record on disk. RecordStored is to follow.
+	// StoreRecord replaces the record on disk. The caller reports RecordStored once it is durable.
 	StoreRecord struct{ Record Record }
-	// ReportConflict reports that a revision of this ingress's own file is not announced: its number stands for another
-	// content.
+	// ReportConflict reports that a revision of this ingress's own file is not announced, because its number is already
+	// in use for other content.
 	ReportConflict struct{ Entry Entry }
 )
 
--- a/internal/standalone/fleet/revisionlog/log.go
+++ b/internal/standalone/fleet/revisionlog/log.go
@@ -9,38 +9,38 @@
 // Seconds are seconds of the host's monotonic clock.
 type Seconds = float64
 
-// Times, in Seconds.
+// Timing of messages, in Seconds.
 const (
-	gatherTimeout  = 1.5 // for which a new lease holder waits for inventories, unless all live peers have sent theirs
-	minGatherTime  = resendInterval / 4
-	resendInterval = 1.0 // after which an unconfirmed message is sent again
-	queryInterval  = 5.0 // at which the lease holder queries each peer
+	gatherTimeout  = 1.5                // longest wait of a new lease holder for the inventories of live peers
+	minGatherTime  = resendInterval / 4 // shortest wait, even if all live peers have sent theirs
+	resendInterval = 1.0                // time until an unconfirmed message is sent again
+	queryInterval  = 5.0                // time between two queries of a peer by the lease holder
 )
 
 // Log is the catalogue's revisions as one ingress knows them. It is not safe for concurrent use.
 type Log struct {
 	entries   map[uint64]Entry // by number
-	lastToken uint64           // the newest fencing token of a message
+	lastToken uint64           // newest fencing token seen, in a message or by gaining the lease
 
-	stored      map[uint64]Entry // the entries on disk, without texts
+	stored      map[uint64]Entry // entries on disk by number, without texts
 	storedToken uint64           // lastToken on disk
 	nextStoreAt Seconds
 
-	local        map[uint64]Entry  // revisions of the own file that are not announced yet
-	conflicts    map[uint64]string // digests of those that were reported as conflicts, by number
+	local        map[uint64]Entry  // revisions of this ingress's own file that are not announced yet, by number
+	conflicts    map[uint64]string // digests of local revisions that were reported as conflicts, by number
 	nextSubmitAt Seconds
 
 	announcer string // the last lease holder that sent a message
-	rejected  int    // messages under an older token, or out of bounds
+	rejected  int    // number of messages under an older token, or with too many entries
 
-	token     uint64 // of the lease that is held; 0: none
+	token     uint64 // token of the lease that this ingress holds; 0 if it holds none
 	gainedAt  Seconds
-	gathered  bool // the inventories of the peers are known: revisions may be announced
+	gathered  bool // whether the inventories of the peers are known, so that revisions may be announced
 	peers     map[string]*peer
 	livePeers []string
 }
 
-// New returns the log of a process that starts with a record.
+// New returns the log of a process that starts with a stored record.
 func New(r Record) *Log {
 	l := &Log{
 		entries:     map[uint64]Entry{},
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// localRevision notes a revision of the own file, to be announced or submitted.
+// localRevision adds a revision of this ingress's own file, to be announced or submitted later.
 func (l *Log) localRevision(now Seconds, e Entry) []Action {
 	announced, known := l.entries[e.Number]
 	if known && announced.Digest == e.Digest || len(e.Text) > MaxTextBytes {
@@ -103,7 +103,8 @@
 	return nil
 }
 
-// reportConflict reports once that a revision of the own file has a number that stands for another content.
+// reportConflict reports, only once, that the number of a revision of this ingress's own file is already in use for
+// other content.
 func (l *Log) reportConflict(e Entry) []Action {
 	delete(l.local, e.Number)
 	if l.conflicts[e.Number] == e.Digest {
@@ -116,7 +117,7 @@
 	return []Action{ReportConflict{e}}
 }
 
-// recordStored notes what is on disk, and confirms it to the lease holder.
+// recordStored records what is on disk, and confirms it to the lease holder.
 func (l *Log) recordStored(r Record) []Action {
 	clear(l.stored)
 	l.storedToken = r.LastToken
@@ -129,9 +130,10 @@
 	return []Action{l.inventory(l.announcer)}
 }
 
-// tick sends again what was not confirmed.
+// tick repeats what has not succeeded yet: storing the record, submitting local revisions and, at the lease holder,
+// announcing.
 func (l *Log) tick(now Seconds, leaseHolder string) (actions []Action) {
-	if now >= l.nextStoreAt && !l.isStored() { // the disk was full, or is slow
+	if now >= l.nextStoreAt && !l.isStored() { // the last store failed or has not finished
 		l.nextStoreAt = now + resendInterval
 		actions = append(actions, l.storeRecord())
 	}
@@ -141,7 +143,7 @@
 	return append(actions, l.tickLeaseHolder(now)...)
 }
 
-// storeRecord stores all entries.
+// storeRecord returns the action that stores all entries.
 func (l *Log) storeRecord() Action {
 	return StoreRecord{Record{LastToken: l.lastToken, Entries: sortedByNumber(l.entries)}}
 }
@@ -159,15 +161,16 @@
 	return true
 }
 
-// prune drops the entries with the lowest numbers.
+// prune removes the entries with the lowest numbers until at most MaxEntries are left.
 func (l *Log) prune() {
 	for len(l.entries) > MaxEntries {
 		delete(l.entries, lowestNumber(l.entries))
 	}
 }
 
-// fits reports whether a number is higher than those that prune has dropped.
-func (l *Log) fits(number uint64) bool {
+// wouldRetain reports whether prune would retain an entry with the given number. Numbers at or below the lowest
+// retained one count as pruned if the log is full.
+func (l *Log) wouldRetain(number uint64) bool {
 	return number > 0 && (len(l.entries) < MaxEntries || number > lowestNumber(l.entries))
 }
 
@@ -175,7 +178,7 @@
 	return slices.SortedFunc(maps.Values(entries), func(a, b Entry) int { return cmp.Compare(a.Number, b.Number) })
 }
 
-// lowestNumber returns the lowest number of entries; 0 if there are none.
+// lowestNumber returns the lowest number of the entries, or 0 if there are none.
 func lowestNumber(entries map[uint64]Entry) uint64 {
 	if len(entries) == 0 {
 		return 0
--- a/internal/standalone/fleet/revisionlog/log_test.go
+++ b/internal/standalone/fleet/revisionlog/log_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// checkSuccession plays a lease holder that announces a revision to one peer alone and is killed. The file of its
-// successor has another revision under that number: the successor must query first and announce its predecessor's.
-// What the predecessor sends later must change nothing. The tests of seeded faults expect an error.
+// checkSuccession simulates a lease holder that announces a revision to only one peer and is then killed. The file of
+// its successor has a different revision under the same number, so the successor must query the peer first and announce
+// its predecessor's revision. Messages of the predecessor that arrive later must have no effect. The tests of seeded
+// faults expect an error.
 func checkSuccession() error {
 	subscriber, successor := New(Record{}), New(Record{})
 	first := Entry{Number: 1, Token: 1, Digest: "first", Text: []byte("first")}
@@ -33,13 +34,13 @@
 
 	subscriber.Step(9, MessageReceived{"former", Message{Kind: Announce, Token: 1, Entries: []Entry{late}}})
 	if got, _ := subscriber.Entries(); len(got) != 1 {
-		return fmt.Errorf("the subscriber has %v, and must reject what comes under an older token", got)
+		return fmt.Errorf("the subscriber has %v, and must reject messages under an older token", got)
 	}
 	return nil
 }
 
-// execute delivers messages and stores records at once, and returns the actions that follow. Messages to others are
-// lost.
+// execute delivers messages and stores records at once, and returns the resulting actions. Messages to ingresses that
+// are not in logs are lost.
 func execute(now Seconds, logs map[string]*Log, actions map[string][]Action) map[string][]Action {
 	next := map[string][]Action{}
 	for from, list := range actions {
--- a/internal/standalone/fleet/revisionlog/messages.go
+++ b/internal/standalone/fleet/revisionlog/messages.go
@@ -1,14 +1,14 @@
 package revisionlog
 
-// Bounds of entries, in messages and in the log.
+// Limits on entries and peers, which bound the size of messages and of the log.
 const (
-	// MaxEntries is how many revisions a log keeps; those with lower numbers are dropped.
+	// MaxEntries is the number of revisions that a log retains. Those with the lowest numbers are pruned first.
 	MaxEntries = 16
-	// MaxTextBytes bounds the text of a revision.
+	// MaxTextBytes is the maximum length of a revision's text in bytes.
 	MaxTextBytes = 1 << 20
 
-	maxPeers      = 1024
-	maxNameLength = 64 // bytes, of a peer's name
+	maxPeers      = 1024 // peers whose state a lease holder tracks
+	maxNameLength = 64   // bytes of a peer's name
 )
 
 // Entry is a revision as it was announced.
@@ -30,9 +30,9 @@
 	return e.Number > 0 && len(e.Text) > 0 && len(e.Text) <= MaxTextBytes
 }
 
-// Record is what an ingress stores. Its JSON names are those of the first version.
+// Record is the state that an ingress stores on disk. Its JSON names are those of the first version.
 type Record struct {
-	LastToken uint64  `json:"Taken"` // the newest fencing token of a message
+	LastToken uint64  `json:"Taken"` // newest fencing token seen
 	Entries   []Entry `json:"Entries"`
 }
 
@@ -41,19 +41,19 @@
 
 // Kinds of messages.
 const (
-	Query       MessageKind = 1 // from the lease holder: which entries do you have?
-	Inventory   MessageKind = 2 // to the lease holder: the stored entries, without texts
-	Announce    MessageKind = 3 // from the lease holder: these entries apply
+	Query       MessageKind = 1 // from the lease holder: asks for an Inventory
+	Inventory   MessageKind = 2 // to the lease holder: lists the stored entries, without texts
+	Announce    MessageKind = 3 // from the lease holder: entries to apply
 	Submit      MessageKind = 4 // to the lease holder: new revisions of the sender's own file
-	Reject      MessageKind = 5 // from the lease holder: the number of a submitted revision stands for another content
-	Fetch       MessageKind = 6 // from the lease holder: send the texts of these entries
+	Reject      MessageKind = 5 // from the lease holder: the number of a submitted revision is in use or too low
+	Fetch       MessageKind = 6 // from the lease holder: asks for the texts of entries
 	FetchResult MessageKind = 7 // to the lease holder: the response to a Fetch
 )
 
 // Message is a message between ingresses.
 type Message struct {
 	Kind    MessageKind `cbor:"1,keyasint"`
-	Token   uint64      `cbor:"2,keyasint,omitempty"` // of an Inventory: the newest known; else the lease holder's
+	Token   uint64      `cbor:"2,keyasint,omitempty"` // in an Inventory the newest known token, else the lease holder's
 	Entries []Entry     `cbor:"3,keyasint,omitempty"`
 }
 
--- a/internal/standalone/fleet/revisionlog/mutants_test.go
+++ b/internal/standalone/fleet/revisionlog/mutants_test.go
@@ -8,7 +8,7 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Simulations, or the dialogue, find each seeded fault.
+// TestMutants checks that checkSuccession or one of the simulated fleets finds each seeded fault.
 func TestMutants(t *testing.T) {
 	const seeds = 300
 	for _, fault := range []string{"older-taken", "unkept-confirmed", "number-again", "ungathered"} {
--- a/internal/standalone/fleet/revisionlog/simulation_test.go
+++ b/internal/standalone/fleet/revisionlog/simulation_test.go
@@ -8,7 +8,7 @@
 const (
 	simulatedIngresses = 5
 	simulatedSeconds   = 60
-	faultSeconds       = 40 // of these, from the start
+	faultSeconds       = 40 // length of the first part, in which faults are injected; later the fleet must converge
 )
 
 // ingress is one ingress of a simulated fleet.
@@ -16,38 +16,38 @@
 	log      *Log
 	disk     Record
 	diskFull bool
-	token    uint64  // of the lease that it believes to hold; 0: none
-	lostAt   Seconds // when it learns that it has lost the lease; 0: it holds it
+	token    uint64  // token of the lease that it considers itself to hold; 0 if none
+	lostAt   Seconds // when it learns that it has lost the lease; 0 if it still holds it
 }
 
-// transit is a message on the network.
-type transit struct {
+// inFlightMessage is a message on the network.
+type inFlightMessage struct {
 	arrivesAt Seconds
 	from, to  string
 	message   Message
 }
 
-// announcement is what a lease holder announced once.
+// announcement identifies the announcement of a revision by one lease holder.
 type announcement struct{ number, token uint64 }
 
-// simulation is a fleet whose lease changes hands, with revisions of operators, lost messages, restarts and full
-// disks.
+// simulation is a fleet in which the lease moves between ingresses while operators write revisions, messages are lost,
+// ingresses restart and disks are full.
 type simulation struct {
 	rng       *rand.Rand
 	now       Seconds
 	names     []string
 	ingresses map[string]*ingress
-	network   []transit
+	network   []inFlightMessage
 	lossRate  float64
 
 	lastToken   uint64
 	leaseHolder string
-	lastNumber  uint64 // of a revision
+	lastNumber  uint64 // number of the latest revision
 
-	announced  map[announcement]string     // digest
+	announced  map[announcement]string     // digests
 	confirmed  map[string]map[uint64]Entry // by ingress and number
 	knownToken map[string]uint64           // by ingress
-	problem    string                      // the first
+	violation  string                      // the first one found; empty if none
 }
 
 func newSimulation(seed uint64) *simulation {
@@ -67,13 +67,13 @@
 	return s
 }
 
-// simulate runs a fleet with the faults of a seed and returns the first rule that was broken.
+// simulate runs a fleet with the faults of a seed and returns the first violation of a rule; empty if there is none.
 func simulate(seed uint64) (problem string) {
 	s := newSimulation(seed)
 	for ; s.now < simulatedSeconds; s.now += 0.1 {
 		faults := s.now < faultSeconds
 		if !faults {
-			s.heal()
+			s.endFaults()
 		}
 		if faults && s.rng.Float64() <= 0.1 {
 			s.injectEvent()
@@ -88,12 +88,12 @@
 		}
 	}
 	s.checkAgreement()
-	return s.problem
+	return s.violation
 }
 
 func (s *simulation) report(format string, args ...any) {
-	if s.problem == "" {
-		s.problem = fmt.Sprintf(format, args...)
+	if s.violation == "" {
+		s.violation = fmt.Sprintf(format, args...)
 	}
 }
 
@@ -112,7 +112,7 @@
 		case Apply:
 			key := announcement{action.Entry.Number, action.Entry.Token}
 			if digest, known := s.announced[key]; known && digest != action.Entry.Digest {
-				s.report("number %d under token %d stands for two contents", key.number, key.token)
+				s.report("number %d under token %d was announced with two contents", key.number, key.token)
 			}
 			s.announced[key] = action.Entry.Digest
 		}
@@ -132,13 +132,13 @@
 	}
 	if s.rng.Float64() >= s.lossRate {
 		delay := 0.01 + 0.3*s.rng.Float64()*s.rng.Float64()
-		s.network = append(s.network, transit{s.now + delay, from, action.To, action.Message})
+		s.network = append(s.network, inFlightMessage{s.now + delay, from, action.To, action.Message})
 	}
 }
 
 // deliver delivers the messages that have arrived.
 func (s *simulation) deliver() {
-	var arrived, inFlight []transit
+	var arrived, inFlight []inFlightMessage
 	for _, t := range s.network {
 		if t.arrivesAt > s.now {
 			inFlight = append(inFlight, t)
@@ -154,7 +154,7 @@
 
 func (s *simulation) randomName() string { return s.names[s.rng.IntN(simulatedIngresses)] }
 
-// injectEvent has an operator write a revision, or injects a fault.
+// injectEvent writes a revision as an operator would, or injects a fault.
 func (s *simulation) injectEvent() {
 	switch {
 	case s.rng.IntN(3) == 0:
@@ -169,7 +169,7 @@
 	}
 }
 
-// writeRevision writes a revision into the file of one ingress. Now and then two are written under one number.
+// writeRevision writes a revision into the file of one ingress. Some numbers are used for two revisions.
 func (s *simulation) writeRevision() {
 	if s.lastNumber == 0 || s.rng.IntN(3) > 0 {
 		s.lastNumber++
@@ -179,7 +179,7 @@
 	s.step(name, LocalRevision{Entry{Number: s.lastNumber, Digest: digest, Text: []byte(digest)}})
 }
 
-// restart kills an ingress and starts it again with what is on its disk, which must have all that it confirmed.
+// restart kills an ingress and starts it again from its disk. The disk must contain all revisions that it confirmed.
 func (s *simulation) restart(name string) {
 	in := s.ingresses[name]
 	for _, confirmed := range s.confirmed[name] {
@@ -189,13 +189,13 @@
 		}
 		dropped := len(in.disk.Entries) >= MaxEntries && confirmed.Number <= in.disk.Entries[0].Number
 		if !stored && !dropped {
-			s.report("%s confirmed %d and has lost it", name, confirmed.Number)
+			s.report("%s confirmed %d but does not have it after a restart", name, confirmed.Number)
 		}
 	}
 	in.log, in.token = New(in.disk), 0
 }
 
-// moveLease gives the lease to an ingress. The former holder believes for a while that it still has it.
+// moveLease grants the lease to a random ingress. The former holder learns of the loss with a delay.
 func (s *simulation) moveLease() {
 	if former := s.ingresses[s.leaseHolder]; former != nil {
 		former.lostAt = s.now + 3*s.rng.Float64()
@@ -234,8 +234,8 @@
 	s.checkToken(name)
 }
 
-// checkToken checks that the token which an ingress knows was granted, and never falls back behind what is on its
-// disk.
+// checkToken checks that the newest token known to an ingress was granted, and does not decrease below a token that is
+// on its disk.
 func (s *simulation) checkToken(name string) {
 	in := s.ingresses[name]
 	_, token := in.log.Entries()
@@ -247,8 +247,8 @@
 	s.knownToken[name] = token
 }
 
-// heal ends all faults.
-func (s *simulation) heal() {
+// endFaults ends all faults.
+func (s *simulation) endFaults() {
 	s.lossRate = 0
 	for _, in := range s.ingresses {
 		in.diskFull = false
--- a/internal/standalone/fleet/revisionlog/subscriber.go
+++ b/internal/standalone/fleet/revisionlog/subscriber.go
@@ -13,15 +13,15 @@
 		return l.leaseHolderMessage(from, m)
 	case Inventory, Submit, FetchResult:
 		if l.token == 0 {
-			return nil // this ingress has lost the lease; the sender learns of the new holder
+			return nil // this ingress has lost the lease; the sender will learn of the new holder
 		}
 		return l.subscriberMessage(now, from, m)
 	}
 	return nil
 }
 
-// leaseHolderMessage handles a message of the lease holder. One whose token is older has lost the lease without
-// knowing: the response tells it the newer token.
+// leaseHolderMessage handles a message of the lease holder. A sender with an older token has lost the lease and does
+// not know it yet; it is sent an inventory that carries the newer token.
 func (l *Log) leaseHolderMessage(from string, m Message) (actions []Action) {
 	if m.Token < l.lastToken && !mutants.On("revisionlog/older-taken") {
 		l.rejected++
@@ -38,12 +38,12 @@
 	case Announce:
 		actions = l.applyAnnounced(m.Entries)
 		if newer || len(actions) > 0 {
-			actions = append(actions, l.storeRecord()) // RecordStored confirms it
+			actions = append(actions, l.storeRecord()) // confirmed to the lease holder after RecordStored
 		} else {
 			actions = append(actions, l.inventory(from))
 		}
 	case Fetch:
-		for _, wanted := range m.Entries { // one a message: texts may be long
+		for _, wanted := range m.Entries { // one per message, because texts may be long
 			if e, known := l.entries[wanted.Number]; known {
 				result := Message{Kind: FetchResult, Token: m.Token, Entries: []Entry{e}}
 				actions = append(actions, Send{from, result})
@@ -59,7 +59,8 @@
 	return actions
 }
 
-// applyAnnounced applies the lease holder's entries. Of two contents of one number that of the newer token applies.
+// applyAnnounced applies the lease holder's entries. If there are two contents for one number, the one announced under
+// the newer token applies.
 func (l *Log) applyAnnounced(announced []Entry) (actions []Action) {
 	for _, e := range announced {
 		if !e.validText() || e.Token > l.lastToken {
@@ -78,7 +79,8 @@
 	return actions
 }
 
-// inventory lists the entries on disk. It confirms them: the lease holder does not send them again.
+// inventory returns the message that lists the entries on disk. It confirms them, so that the lease holder does not
+// send them again.
 func (l *Log) inventory(to string) Action {
 	listed := l.stored
 	if mutants.On("revisionlog/unkept-confirmed") {
@@ -91,7 +93,8 @@
 	return Send{to, Message{Kind: Inventory, Token: l.lastToken, Entries: entries}}
 }
 
-// submitLocal submits the revisions of the own file to the lease holder, until they are announced or rejected.
+// submitLocal submits the revisions of this ingress's own file to the lease holder, repeatedly until they are announced
+// or rejected.
 func (l *Log) submitLocal(now Seconds, leaseHolder string) (actions []Action) {
 	if leaseHolder == "" || len(l.local) == 0 || now < l.nextSubmitAt {
 		return nil
--- a/internal/standalone/fleet/singleton/candidates.go
+++ b/internal/standalone/fleet/singleton/candidates.go
@@ -10,14 +10,14 @@
 	identity    Identity
 	zone        string
 	load        float64 // 0 to 1
-	requestedAt Seconds // last
+	requestedAt Seconds // time of the last request
 }
 
 // expired reports whether the candidate has not requested the role for too long.
 func (c candidate) expired(now Seconds) bool { return now > c.requestedAt+candidateTimeout }
 
 // compareCandidates orders the candidates for a free role: the preferred zone first, then the smaller load in steps
-// of a tenth, then the name. It never decides about a role that is held: a holder is not preempted.
+// of a tenth, then the name. The order does not apply to a role that is held, because holders are not preempted.
 func compareCandidates(a, b candidate, preferredZone string) int {
 	return cmp.Or(
 		-cmp.Compare(zoneRank(a, preferredZone), zoneRank(b, preferredZone)),
@@ -34,7 +34,7 @@
 	return 0
 }
 
-// upsertCandidate replaces the queue's entry of an identity, or adds it while the queue is not full.
+// upsertCandidate replaces the queue's entry with the same identity, or adds one if the queue is not full.
 func upsertCandidate(queue []candidate, added candidate) []candidate {
 	i := slices.IndexFunc(queue, func(c candidate) bool { return c.identity == added.identity })
 	switch {
--- a/internal/standalone/fleet/singleton/lease_holder.go
+++ b/internal/standalone/fleet/singleton/lease_holder.go
@@ -14,18 +14,19 @@
 type (
 	// Acquire has this ingress request a role from now on.
 	Acquire struct{ Role, PreferredZone string }
-	// Resign gives a role up, and does not request it again until Acquire: the process ends, or cannot do the role's
-	// work.
+	// Resign releases a role and does not request it again until Acquire. It is used when the process ends or cannot do
+	// the role's work.
 	Resign struct{ Role string }
-	// SteppedDown says that the work of a role has stopped after StepDown.
+	// SteppedDown reports that the work of a role has stopped after StepDown.
 	SteppedDown struct{ Role string }
 	// ResponseReceived is a response of the leader.
 	ResponseReceived struct{ Response AcquireResponse }
-	// WakeReceived has the next request sent at once.
+	// WakeReceived reports a wake-up message of the leader; the next request is sent at once.
 	WakeReceived struct{}
-	// StallDetected says that this process was paused: it acts on no lease until a request sent later is answered.
+	// StallDetected reports that this process was paused. It must not act under any lease until the leader has
+	// responded to a request that was sent after the pause.
 	StallDetected struct{}
-	// LeaseHolderTick says that time has passed.
+	// LeaseHolderTick reports that time has passed, and the load of this ingress.
 	LeaseHolderTick struct{ Load float64 } // 0 to 1
 )
 
@@ -37,12 +38,12 @@
 func (StallDetected) leaseHolderEvent()    {}
 func (LeaseHolderTick) leaseHolderEvent()  {}
 
-// LeaseHolderAction is what the user of a LeaseHolder is to do.
+// LeaseHolderAction is an action that the caller of LeaseHolder.Step must carry out.
 type LeaseHolderAction interface{ leaseHolderAction() }
 
 // Actions of the LeaseHolder.
 type (
-	// SendRequest sends a request to all voters, of which the leader responds. It may be lost.
+	// SendRequest sends a request to all voters. Only the leader responds. The request may be lost.
 	SendRequest struct{ Request AcquireRequest }
 	// LeaseGained starts the work of a role, under a fencing token, until LeaseLost.
 	LeaseGained struct {
@@ -54,7 +55,7 @@
 		Role  string
 		Token uint64
 	}
-	// StepDown stops the work of a role, which is to be transferred. SteppedDown is to follow.
+	// StepDown stops the work of a role that is being transferred. The caller reports SteppedDown afterwards.
 	StepDown struct{ Role string }
 )
 
@@ -63,30 +64,30 @@
 func (LeaseLost) leaseHolderAction()   {}
 func (StepDown) leaseHolderAction()    {}
 
-// roleLease is the state of one role at an ingress.
+// roleLease is the local state of one role that this ingress requests.
 type roleLease struct {
 	preferredZone string
 	token         uint64  // 0: not held
-	expiresAt     Seconds // counted from when the request was sent that the leader confirmed
+	expiresAt     Seconds // LeaseDuration after the latest confirmed request was sent
 	acting        bool    // between LeaseGained and LeaseLost
 	steppingDown  bool    // StepDown was returned
 	releasing     bool    // the next request releases the role
-	resigned      bool    // it is not requested again
+	resigned      bool    // the role is not requested again
 }
 
-// LeaseHolder is the part of each ingress, of those that hold no role too: it requests roles and renews its leases. The
-// holder of a role is the ingress whose LeaseHolder has its lease.
+// LeaseHolder requests roles and renews leases for one ingress. Every ingress has a LeaseHolder, including those that
+// hold no role; the holder of a role is the ingress whose LeaseHolder has the lease.
 type LeaseHolder struct {
 	self          Identity
 	zone          string
 	load          float64
 	roles         map[string]*roleLease
 	lastRequestID uint64
-	requestSentAt map[uint64]Seconds // by id, of requests without a response
+	requestSentAt map[uint64]Seconds // send times of requests without a response, by id
 	nextRequestAt Seconds
 }
 
-// NewLeaseHolder returns the holder of a process.
+// NewLeaseHolder returns a LeaseHolder without roles, for a process with the given identity.
 func NewLeaseHolder(self Identity, zone string) *LeaseHolder {
 	return &LeaseHolder{
 		self:          self,
@@ -96,11 +97,11 @@
 	}
 }
 
-// SetIdentity replaces the identity of this process. Leases of the former identity are not renewed any more.
+// SetIdentity replaces the identity of this process. Leases of the former identity are no longer renewed.
 func (lh *LeaseHolder) SetIdentity(self Identity) { lh.self = self }
 
-// FencingToken returns the token under which this ingress may act on a role now; ok is false where it may not. It is
-// to be called before each effect of the role.
+// FencingToken returns the token under which this ingress may act on a role now; ok is false if it may not act.
+// Callers must check it before each request made under the role.
 func (lh *LeaseHolder) FencingToken(now Seconds, role string) (token uint64, ok bool) {
 	lease := lh.roles[role]
 	if lease == nil || lease.token == 0 || !lease.acting {
@@ -158,14 +159,14 @@
 	lh.nextRequestAt = now
 }
 
-// release stops acting on a role and releases it with a request that is sent at once.
+// release stops acting on a role, and releases it by a request that is sent at once.
 func (lh *LeaseHolder) release(now Seconds, role string, lease *roleLease) []LeaseHolderAction {
 	lease.releasing = true
 	lh.nextRequestAt = now
 	return lh.stopActing(role, lease)
 }
 
-// stallDetected ends all leases. Responses to requests that were sent before the pause may still arrive and are
+// stallDetected ends all leases. Responses to requests that were sent before the pause may still arrive; they are
 // ignored.
 func (lh *LeaseHolder) stallDetected(now Seconds) {
 	if mutants.On("singleton/woken-acts") {
@@ -178,11 +179,11 @@
 	lh.nextRequestAt = now
 }
 
-// responseReceived applies the leader's response to a request that is not answered yet.
+// responseReceived applies the leader's response, if the request has no response yet.
 func (lh *LeaseHolder) responseReceived(now Seconds, r AcquireResponse) (actions []LeaseHolderAction) {
 	sentAt, waiting := lh.requestSentAt[r.ID]
 	if !waiting {
-		return nil // answered already, or sent before a pause of this process
+		return nil // a duplicate response, or one to a request from before a pause of this process
 	}
 	delete(lh.requestSentAt, r.ID)
 	if mutants.On("singleton/lease-from-answer") {
@@ -196,13 +197,13 @@
 	return actions
 }
 
-// applyStatus applies the status of one role, in a response to a request that was sent at sentAt.
+// applyStatus applies the status of one role from a response. sentAt is when the request was sent.
 func (lh *LeaseHolder) applyStatus(now, sentAt Seconds, lease *roleLease, status RoleStatus) []LeaseHolderAction {
 	switch {
-	case status.Token < lease.token: // a late response
+	case status.Token < lease.token: // a response that is older than the present lease
 		return nil
 	case status.IsHolder && !status.Confirmed && status.Token > lease.token && !lease.releasing:
-		// Granted. The lease counts from the next request, which names the token.
+		// The role was granted. The lease starts with the next request, which is the first to carry the token.
 		lease.token, lease.expiresAt = status.Token, 0
 		lh.nextRequestAt = now
 		return nil
@@ -211,7 +212,7 @@
 		return []LeaseHolderAction{LeaseGained{status.Role, lease.token}}
 	case status.Confirmed && status.Token == lease.token && !lease.releasing:
 		return lh.renewed(now, sentAt, lease, status)
-	case !status.IsHolder: // somebody else holds the role, or nobody
+	case !status.IsHolder: // the role is held by another ingress, or is free
 		actions := lh.stopActing(status.Role, lease)
 		lease.token, lease.releasing, lease.steppingDown = 0, false, false
 		return actions
@@ -260,7 +261,8 @@
 	return append(actions, SendRequest{lh.nextRequest(now)})
 }
 
-// nextRequest returns a request for all roles. Roles that were resigned and are not held are named for the last time.
+// nextRequest returns a request for all roles. A role that was resigned and is not held is included a last time, as a
+// release, and then removed.
 func (lh *LeaseHolder) nextRequest(now Seconds) AcquireRequest {
 	lh.nextRequestAt = now + renewInterval
 	lh.lastRequestID++
--- a/internal/standalone/fleet/singleton/lease_holder_test.go
+++ b/internal/standalone/fleet/singleton/lease_holder_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// checkLeaseHolder plays a dialogue of a holder and a leader and returns the first rule that does not hold: a lease
-// counts from when the request was sent, a grant is not a lease before it is confirmed, and a process that was paused
-// acts on nothing. The tests of seeded faults expect an error.
+// checkLeaseHolder plays the responses of a leader to a LeaseHolder and returns an error for the first rule that is
+// broken: a lease starts when the request was sent, a grant gives no lease until it is confirmed, and a process that
+// was paused must not act. The tests of seeded faults expect an error.
 func checkLeaseHolder() error {
 	holder := NewLeaseHolder(n1, "a")
 	respond := func(now Seconds, id, token uint64, confirmed bool) {
@@ -22,7 +22,7 @@
 	}
 
 	holder.Step(0, Acquire{Role: "d"})
-	respond(0.4, 1, 7, false) // the request of 0 learns of the grant; the next request is sent at once
+	respond(0.4, 1, 7, false) // reports the grant to the request sent at 0; the next request is sent at once
 	if err := checkActing(0.5, "granted, not confirmed", false); err != nil {
 		return err
 	}
@@ -40,7 +40,7 @@
 	if err := checkActing(1.5, "after a pause", false); err != nil {
 		return err
 	}
-	respond(1.6, 4, 7, true) // to the request that the end of the pause sent
+	respond(1.6, 4, 7, true) // responds to the request that StallDetected sent
 	return checkActing(1.7, "confirmed after a pause", true)
 }
 
--- a/internal/standalone/fleet/singleton/lease_manager.go
+++ b/internal/standalone/fleet/singleton/lease_manager.go
@@ -11,20 +11,20 @@
 
 // Events of the LeaseManager.
 type (
-	// LeadershipGained says that this voter leads from now on, and has applied all entries of earlier leaders.
+	// LeadershipGained reports that this voter is now the leader, and has applied all entries of earlier leaders.
 	LeadershipGained struct{}
-	// LeadershipLost says that this voter does not lead any more.
+	// LeadershipLost reports that this voter is no longer the leader.
 	LeadershipLost struct{}
 	// RequestReceived is a request of an ingress.
 	RequestReceived struct{ Request AcquireRequest }
-	// Transfer is an operator's request that a role go to a member.
+	// Transfer is an operator's request to move a role to another member.
 	Transfer struct{ Role, To string }
-	// CommandApplied says that a command was applied to the table.
+	// CommandApplied reports that a command of the log was passed to the table, and whether it had an effect.
 	CommandApplied struct {
 		Command Command
-		OK      bool // it changed or renewed a lease, see LeaseTable.Apply
+		OK      bool // the command changed or renewed a lease, see LeaseTable.Apply
 	}
-	// ManagerTick says that time has passed.
+	// ManagerTick reports that time has passed.
 	ManagerTick struct{}
 )
 
@@ -35,19 +35,20 @@
 func (CommandApplied) managerEvent()   {}
 func (ManagerTick) managerEvent()      {}
 
-// ManagerAction is what the user of a LeaseManager is to do.
+// ManagerAction is an action that the caller of LeaseManager.Step must carry out.
 type ManagerAction interface{ managerAction() }
 
 // Actions of the LeaseManager.
 type (
-	// Propose appends a command to the log. It may be lost.
+	// Propose appends a command to the voters' log. The proposal may be lost.
 	Propose struct{ Command Command }
-	// Reply sends the response to a request. It may be lost.
+	// Reply sends the response to a request. The response may be lost.
 	Reply struct {
 		To       Identity
 		Response AcquireResponse
 	}
-	// Wake has a member send its request at once, as something changed for it. It may be lost.
+	// Wake asks a member to send its next request at once, because the status of one of its roles has changed. The
+	// message may be lost.
 	Wake struct{ Name string }
 )
 
@@ -55,30 +56,29 @@
 func (Reply) managerAction()   {}
 func (Wake) managerAction()    {}
 
-// pendingRequest is a request whose response waits for renewals to be applied.
+// pendingRequest is a request whose response is delayed until its renewals are applied.
 type pendingRequest struct {
 	request      AcquireRequest
 	renewalsLeft int
 	receivedAt   Seconds
 }
 
-// LeaseManager is the leader's part: the queues of candidates and the expiry of leases. Each voter has one; it does
-// nothing where the voter does not lead. Its state is soft: a new leader starts without any, and waits a full lease
-// before it expires one.
+// LeaseManager queues candidates, grants roles and expires leases at the voters' leader. Each voter has one; it does
+// nothing while the voter is not the leader. Its state is neither stored nor replicated: a new leader starts without
+// candidates, and waits for a full lease before it expires one.
 type LeaseManager struct {
 	table           *LeaseTable
 	leading         bool
 	leadingSince    Seconds
-	renewedAt       map[string]Seconds // by role: when its lease was last renewed, or this leader began
-	candidates      map[string][]candidate
-	preferredZone   map[string]string  // by role
-	transferTo      map[string]string  // by role: the member that is to hold it next
-	grantProposedAt map[string]Seconds // by role: when a grant was proposed that is not applied yet
+	renewedAt       map[string]Seconds     // by role: time of the last renewal, or of becoming leader if that is later
+	candidates      map[string][]candidate // by role, in no particular order
+	preferredZone   map[string]string      // by role
+	transferTo      map[string]string      // by role: name of the member that an operator transfers it to
+	grantProposedAt map[string]Seconds     // by role: time of the proposed grant that is not applied yet
 	pending         []pendingRequest
 }
 
-// NewLeaseManager returns the manager of the voter whose table t is. The manager reads the table and never changes
-// it.
+// NewLeaseManager returns a manager for the voter that owns table t. The manager reads the table and never changes it.
 func NewLeaseManager(t *LeaseTable) *LeaseManager {
 	return &LeaseManager{
 		table:           t,
@@ -90,10 +90,10 @@
 	}
 }
 
-// SetTable replaces the table, by that of a snapshot.
+// SetTable replaces the table, after the voter has loaded a snapshot.
 func (lm *LeaseManager) SetTable(t *LeaseTable) { lm.table = t }
 
-// Leading reports whether this voter leads.
+// Leading reports whether this voter is the leader.
 func (lm *LeaseManager) Leading() bool { return lm.leading }
 
 // Candidates returns the names of the candidates for a role, in the order in which they would be granted it.
@@ -144,12 +144,12 @@
 		return
 	}
 	for role := range lm.table.Leases {
-		lm.renewedAt[role] = now // unknown, but not later than now
+		lm.renewedAt[role] = now // the time of the last renewal is unknown, but not later than now
 	}
 }
 
-// requestReceived proposes the renewals and releases of a request and queues its candidacies. The response waits for
-// the renewals; without any it is sent at once.
+// requestReceived proposes the renewals and releases of a request, and queues its sender as a candidate for the other
+// roles. The response is sent once the renewals are applied, or at once if there are none.
 func (lm *LeaseManager) requestReceived(now Seconds, r AcquireRequest) (actions []ManagerAction) {
 	if len(r.Roles) > MaxRoles || r.From.Name == "" || len(r.From.Name) > maxNameLength {
 		return nil
@@ -169,7 +169,8 @@
 			command.Kind = Renew
 			actions = append(actions, Propose{command})
 			pending.renewalsLeft++
-		case lease.Holder != r.From: // else it does not know of its grant yet, and its next request confirms the lease
+		// A holder that does not know its token yet learns it from the response. Its next request confirms the lease.
+		case lease.Holder != r.From:
 			lm.enqueue(now, r, requested)
 		}
 	}
@@ -194,7 +195,7 @@
 	lm.preferredZone[role] = requested.PreferredZone
 }
 
-// response answers a request from the table as it is now.
+// response returns the response to a request, from the present state of the table.
 func (lm *LeaseManager) response(r AcquireRequest) Reply {
 	reply := Reply{To: r.From, Response: AcquireResponse{ID: r.ID}}
 	for _, requested := range r.Roles {
@@ -202,8 +203,8 @@
 		status := RoleStatus{Role: requested.Role, Token: lease.Token, Holder: lease.Holder.Name}
 		if lease.Holder == r.From {
 			status.IsHolder = true
-			// Confirmed means that the lease was renewed after the request. A grant that the sender learns of by this
-			// response is not confirmed: its lease counts from a request that names the token.
+			// Confirmed means that the lease was renewed after the request. A grant that the sender learns of from this
+			// response is not confirmed, because its lease starts with a request that carries the token.
 			status.Confirmed = requested.Token == lease.Token || mutants.On("singleton/grant-is-lease")
 			next, transferred := lm.transferTo[requested.Role]
 			status.StepDown = transferred && next != r.From.Name
@@ -213,7 +214,7 @@
 	return reply
 }
 
-// commandApplied notes the outcome of a command and answers the requests that waited for it.
+// commandApplied records the outcome of a command and responds to the requests that waited for it.
 func (lm *LeaseManager) commandApplied(now Seconds, e CommandApplied) (actions []ManagerAction) {
 	command := e.Command
 	if e.OK && (command.Kind == Grant || command.Kind == Renew) {
@@ -240,7 +241,7 @@
 	return nil
 }
 
-// countRenewal notes a renewal, applied or rejected, for the oldest request that waits for it.
+// countRenewal counts a renewal, applied or rejected, towards the oldest request that waits for it.
 func (lm *LeaseManager) countRenewal(renewal Command) {
 	renews := func(r RoleRequest) bool {
 		return r.Role == renewal.Role && r.Token == renewal.Token && !r.Release
@@ -254,7 +255,7 @@
 	}
 }
 
-// answerPending responds to the requests that wait for no renewal any more.
+// answerPending responds to the requests whose renewals have all been applied or rejected.
 func (lm *LeaseManager) answerPending() (actions []ManagerAction) {
 	lm.pending = slices.DeleteFunc(lm.pending, func(p pendingRequest) bool {
 		if p.renewalsLeft > 0 {
@@ -266,7 +267,8 @@
 	return actions
 }
 
-// tick expires leases that were not renewed, and grants the roles that nobody holds.
+// tick expires leases that were not renewed, and grants the roles that are free. Pending requests are dropped after
+// LeaseDuration, because a LeaseHolder ignores later responses.
 func (lm *LeaseManager) tick(now Seconds) (actions []ManagerAction) {
 	actions = lm.expireLeases(now)
 	for role, queue := range lm.candidates {
@@ -299,14 +301,14 @@
 		if !lease.assigned() || now <= lm.renewedAt[role]+wait {
 			continue
 		}
-		lm.renewedAt[role] = now // so that the expiry is proposed once a lease
+		lm.renewedAt[role] = now // so that the expiry is proposed only once per lease duration
 		expire := Command{Kind: Expire, Role: role, Token: lease.Token, RenewedIndex: lease.RenewedIndex}
 		actions = append(actions, Propose{expire})
 	}
 	return actions
 }
 
-// grantNext proposes to grant a free role to the first candidate, or to the one that a transfer names.
+// grantNext proposes to grant a free role to the first candidate, or to the target of a transfer.
 func (lm *LeaseManager) grantNext(now Seconds, role string) []ManagerAction {
 	lease := lm.table.Leases[role]
 	if lease.assigned() || now < lm.leadingSince+grantDelay {
@@ -326,7 +328,7 @@
 		if i >= 0 {
 			first = queue[i]
 		} else {
-			delete(lm.transferTo, role) // it is no candidate: the transfer is dropped
+			delete(lm.transferTo, role) // the target is not a candidate, so the transfer is dropped
 		}
 	}
 	lm.grantProposedAt[role] = now
--- a/internal/standalone/fleet/singleton/lease_manager_test.go
+++ b/internal/standalone/fleet/singleton/lease_manager_test.go
@@ -7,19 +7,19 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// managerDialogue steps a manager whose proposals are applied to its table at once.
-type managerDialogue struct {
+// managerHarness is a manager whose proposals are applied to its table at once.
+type managerHarness struct {
 	table   *LeaseTable
 	manager *LeaseManager
 	index   uint64
 }
 
-func newManagerDialogue() *managerDialogue {
+func newManagerHarness() *managerHarness {
 	table := NewLeaseTable()
-	return &managerDialogue{table: table, manager: NewLeaseManager(table)}
+	return &managerHarness{table: table, manager: NewLeaseManager(table)}
 }
 
-func (d *managerDialogue) step(now Seconds, event ManagerEvent) {
+func (d *managerHarness) step(now Seconds, event ManagerEvent) {
 	actions := d.manager.Step(now, event)
 	for ; len(actions) > 0; actions = actions[1:] {
 		if p, ok := actions[0].(Propose); ok {
@@ -30,16 +30,16 @@
 	}
 }
 
-// request requests the role "d", which prefers zone "b".
-func (d *managerDialogue) request(now Seconds, from Identity, zone string, load float64, r RoleRequest) {
+// request sends a request for the role "d" with "b" as its preferred zone.
+func (d *managerHarness) request(now Seconds, from Identity, zone string, load float64, r RoleRequest) {
 	r.Role, r.PreferredZone = "d", "b"
 	d.step(now, RequestReceived{AcquireRequest{From: from, Zone: zone, Load: load, Roles: []RoleRequest{r}}})
 }
 
-// Candidates are granted a role in the order of zone, load and name; one that a transfer names goes first; a holder
-// is not preempted.
+// TestCandidateOrder checks that a free role is granted in the order of zone, load and name, that the target of a
+// transfer goes first, and that a holder is not preempted by a candidate that would come before it.
 func TestCandidateOrder(t *testing.T) {
-	d := newManagerDialogue()
+	d := newManagerHarness()
 	d.step(0, LeadershipGained{})
 	for now := 0.1; now < 1; now += 0.1 {
 		d.request(now, n1, "a", 0.1, RoleRequest{})
@@ -47,11 +47,11 @@
 		d.request(now, n3, "b", 0.3, RoleRequest{})
 		d.step(now, ManagerTick{})
 	}
-	if got := d.table.Leases["d"].Holder.Name; got != "n3" { // the one with the smaller load in the preferred zone
+	if got := d.table.Leases["d"].Holder.Name; got != "n3" { // n3 has the smaller load in the preferred zone
 		t.Errorf("holder is %s, want n3", got)
 	}
 
-	d.request(1.0, n1, "b", 0, RoleRequest{}) // goes before the holder by now
+	d.request(1.0, n1, "b", 0, RoleRequest{}) // n1 would now come before the holder in the order
 	d.step(1.1, ManagerTick{})
 	if got := d.table.Leases["d"].Holder; got != n3 {
 		t.Errorf("holder is %v, want %v", got, n3)
@@ -67,11 +67,11 @@
 	}
 }
 
-// checkGrantResponse returns an error unless the response to a request that does not name the token of its grant says
-// that the lease is not confirmed: a lease counts from a request that names its token. The tests of seeded faults
-// expect an error.
+// checkGrantResponse returns an error if the response to a request that does not carry the token of its grant says that
+// the lease is confirmed. A lease must start with a request that carries its token. The tests of seeded faults expect
+// an error.
 func checkGrantResponse() error {
-	d := newManagerDialogue()
+	d := newManagerHarness()
 	d.step(0, LeadershipGained{})
 	for now := 0.1; now < 1; now += 0.1 {
 		d.request(now, n1, "a", 0, RoleRequest{})
--- a/internal/standalone/fleet/singleton/lease_table.go
+++ b/internal/standalone/fleet/singleton/lease_table.go
@@ -9,12 +9,12 @@
 
 // Lease is the state of one role.
 type Lease struct {
-	Holder       Identity `cbor:"Holder"` // the zero value: nobody
-	Token        uint64   `cbor:"Token"`  // of the last grant
-	RenewedIndex uint64   `cbor:"Seen"`   // index in the log of the grant or the last renewal
+	Holder       Identity `cbor:"Holder"` // the zero value if the role is free
+	Token        uint64   `cbor:"Token"`  // token of the last grant
+	RenewedIndex uint64   `cbor:"Seen"`   // log index of the grant or of the last renewal
 }
 
-// assigned reports whether somebody holds the role.
+// assigned reports whether an ingress holds the role.
 func (l Lease) assigned() bool { return l.Holder != (Identity{}) }
 
 // Tenure is one grant of a role, for the history.
@@ -22,13 +22,13 @@
 	Role   string   `cbor:"Duty"`
 	Token  uint64   `cbor:"Token"`
 	Holder Identity `cbor:"To"`
-	Index  uint64   `cbor:"Index"` // of the grant in the log
+	Index  uint64   `cbor:"Index"` // log index of the grant
 }
 
-// LeaseTable is the state that the voters agree on: the same at each voter after the same entries of the log.
-// Snapshots carry it; its tags are the names of the first version's fields.
+// LeaseTable is the state that the voters agree on. It is identical at all voters that have applied the same entries of
+// the log. It is stored in snapshots, so its tags keep the field names of the first version.
 type LeaseTable struct {
-	LastToken uint64           `cbor:"Last"`   // the highest token that was ever granted, over all roles
+	LastToken uint64           `cbor:"Last"`   // the highest token ever granted, across all roles
 	Leases    map[string]Lease `cbor:"Duties"` // by role
 	History   []Tenure         `cbor:"History"`
 }
@@ -46,7 +46,7 @@
 		return false
 	}
 	if lease.Token != c.Token && !mutants.On("singleton/token-unchecked") {
-		return false // the proposer knew an older state
+		return false // the proposer acted on an outdated state
 	}
 	switch c.Kind {
 	case Grant:
@@ -62,9 +62,9 @@
 		}
 		lease.Holder = Identity{}
 	case Expire:
-		// A leader that was paused finds a lease past its end, and the holder's renewals behind it in its inbox: these
-		// go to the log first and are confirmed. An expiry that was decided before them must not take effect after
-		// them.
+		// A leader that resumes after a pause may find a lease past its end while the holder's renewals still wait in
+		// its inbox. Those renewals may reach the log first and be confirmed. An expiry that was decided before them
+		// must not take effect after them, so it is applied only if the lease was not renewed in the meantime.
 		if !lease.assigned() || lease.RenewedIndex != c.RenewedIndex && !mutants.On("singleton/expires-unseen") {
 			return false
 		}
@@ -93,7 +93,7 @@
 	return true
 }
 
-// Clone returns a copy that shares nothing with the table.
+// Clone returns a deep copy of the table.
 func (lt *LeaseTable) Clone() *LeaseTable {
 	return &LeaseTable{
 		LastToken: lt.LastToken,
--- a/internal/standalone/fleet/singleton/lease_table_test.go
+++ b/internal/standalone/fleet/singleton/lease_table_test.go
@@ -11,15 +11,15 @@
 	n3 = Identity{Name: "n3", Boot: 1, Nonce: 1}
 )
 
-// checkLeaseTable applies commands to a table one after another and returns the first wrong outcome. The tests of
-// seeded faults expect one.
+// checkLeaseTable applies commands to a table one after another and returns an error for the first wrong outcome. The
+// tests of seeded faults expect an error.
 func checkLeaseTable() error {
 	table := NewLeaseTable()
 	steps := []struct {
 		name      string
 		command   Command
 		wantOK    bool
-		wantToken uint64 // the last that was granted
+		wantToken uint64 // last token granted
 	}{
 		{"grant", Command{Kind: Grant, Role: "d", To: n1}, true, 1},
 		{"grant of a held role", Command{Kind: Grant, Role: "d", To: n2, Token: 1}, false, 1},
--- a/internal/standalone/fleet/singleton/mutants_test.go
+++ b/internal/standalone/fleet/singleton/mutants_test.go
@@ -9,8 +9,8 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Faults that the simulated fleets of package quorum cannot tell apart, as two guards stand behind each other, are
-// found by the dialogues of each part.
+// TestMutants checks that each seeded fault is found by the tests of one component. The simulated fleets of package
+// quorum cannot find these faults, because a second check masks each of them.
 func TestMutants(t *testing.T) {
 	for _, fault := range []string{
 		"token-unchecked",
--- a/internal/standalone/fleet/singleton/timing.go
+++ b/internal/standalone/fleet/singleton/timing.go
@@ -3,34 +3,35 @@
 // Seconds are seconds of a process's own monotonic clock.
 type Seconds = float64
 
-// Times of leases, in Seconds. They are untyped, so that expireAfter is computed exactly and rounded once.
+// Lease timing, in Seconds. The constants are untyped so that expireAfter is computed exactly and rounded only once.
 const (
-	// LeaseDuration is for how long a holder may act, counted from when it sent the request that confirmed its lease.
+	// LeaseDuration is how long a holder may act, counted from when it sent the request that confirmed its lease.
+	// Counting from the sending, not from the response, ends the lease before the leader expires it.
 	LeaseDuration = 3.0
 	// MaxClockDrift bounds how much faster or slower than real time a clock runs, as a fraction.
 	MaxClockDrift = 0.05
-	// SafetyMargin is how long the leader waits beyond a lease, and how long before its end a holder stops.
+	// SafetyMargin is how long the leader waits after the end of a lease, and how long before its end a holder stops.
 	SafetyMargin = 0.05
 
 	// expireAfter is how long the leader waits after a renewal before it expires the lease: the holder's clock may be
 	// slow, and the leader's fast, by MaxClockDrift.
 	expireAfter = LeaseDuration*(1+MaxClockDrift)/(1-MaxClockDrift) + SafetyMargin
 
-	// renewInterval is how often holders renew and candidates request.
+	// renewInterval is the time between an ingress's requests, by which holders renew and candidates apply.
 	renewInterval = LeaseDuration / 6
-	// grantDelay is how long a new leader collects candidates before it grants anything.
+	// grantDelay is how long a new leader collects candidates before it grants a role.
 	grantDelay = 0.6
-	// grantRetryInterval is after how long a grant that was not agreed on is proposed again.
+	// grantRetryInterval is the time after which a proposed grant that was not applied is proposed again.
 	grantRetryInterval = 1.0
-	// candidateTimeout is after how long without a request a candidate leaves the queue.
+	// candidateTimeout is the time without a request after which a candidate is removed from the queue.
 	candidateTimeout = 1.6
 )
 
-// Bounds of the state.
+// Limits that bound the memory and the size of snapshots.
 const (
-	// MaxRoles bounds the roles of a LeaseTable; no command adds more.
+	// MaxRoles is the maximum number of roles of a LeaseTable; commands that would add more are rejected.
 	MaxRoles      = 256
 	maxHistory    = 128  // tenures in the history of a LeaseTable
-	maxCandidates = 1024 // of one role
+	maxCandidates = 1024 // candidates in the queue of one role
 	maxNameLength = 64   // bytes of a role's or a member's name
 )
