--- a/internal/standalone/fleet/leaseservice/announcer.go
+++ b/internal/standalone/fleet/leaseservice/announcer.go
@@ -16,19 +16,21 @@
 // RoleCatalogue is the role of announcing revisions of the catalogue, so that all ingresses apply them in one order.
 const RoleCatalogue = "catalogue"
 
+// announceInterval is the time between two ticks of the revision log. A tick sends the queries, announcements and local
+// revisions that are due.
 const announceInterval = 250 * time.Millisecond
 
-// AnnouncerOptions are the options of an Announcer. Its functions are called from one goroutine.
+// AnnouncerOptions are the options of an Announcer. After the start its functions are called from one goroutine.
 type AnnouncerOptions struct {
-	// Check reads the text of a revision that another ingress sent.
+	// Check parses the text of a revision that another ingress sent, and returns the number and digest of the revision.
 	Check func(text []byte) (number uint64, digest string, err error)
-	// Apply has a revision take effect, in place of any other of its number.
+	// Apply puts a revision into effect. It replaces any other content of the same number.
 	Apply func(text []byte)
 	// LivePeers returns the names of the other ingresses that are alive.
 	LivePeers func() []string
-	// Read reads the stored record. fs.ErrNotExist: there is none.
+	// Read reads the stored record. Its error is fs.ErrNotExist if there is none.
 	Read func(*revisionlog.Record) error
-	// Write replaces the stored record, and returns once it is durable.
+	// Write replaces the stored record, and returns once the new one is durable.
 	Write func(revisionlog.Record) error
 }
 
@@ -37,15 +39,15 @@
 	options     AnnouncerOptions
 	service     *Service
 	inbox       chan revisionlog.Event
-	ended       <-chan struct{} // closed when run is to end
-	writeFailed bool            // the last record could not be stored; of the goroutine of run
+	done        <-chan struct{} // closed when run must end
+	writeFailed bool            // whether the last Write failed; only used by run's goroutine
 
 	mu  sync.Mutex // guards log
 	log *revisionlog.Log
 }
 
-// StartAnnouncer has this ingress apply announced revisions, until the context ends, and request RoleCatalogue.
-// Revisions of the stored record are applied at once; restored reports whether there were any.
+// StartAnnouncer makes this ingress apply announced revisions until the context ends, and request RoleCatalogue.
+// Revisions of the stored record are applied before it returns; restored reports whether there were any.
 func (s *Service) StartAnnouncer(ctx context.Context, o AnnouncerOptions) (a *Announcer, restored bool) {
 	var r revisionlog.Record
 	if err := o.Read(&r); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -59,7 +61,7 @@
 		options: o,
 		service: s,
 		inbox:   make(chan revisionlog.Event, inboxSize),
-		ended:   ctx.Done(),
+		done:    ctx.Done(),
 		log:     revisionlog.New(r),
 	}
 	for _, e := range r.Entries {
@@ -79,7 +81,8 @@
 // Submit submits a revision of this ingress's own file.
 func (a *Announcer) Submit(e revisionlog.Entry) { a.enqueue(revisionlog.LocalRevision{Entry: e}) }
 
-// enqueue hands an event to the goroutine of run. It is dropped if the inbox is full, as on the network.
+// enqueue passes an event to the goroutine of run without blocking. If the inbox is full the event is dropped, like a
+// message that the network loses.
 func (a *Announcer) enqueue(event revisionlog.Event) {
 	select {
 	case a.inbox <- event:
@@ -87,21 +90,22 @@
 	}
 }
 
-// announceWork is the work of RoleCatalogue.
+// announceWork is the work of RoleCatalogue. It tells the revision log when the lease is gained and lost; the log
+// announces while it holds the lease.
 func (a *Announcer) announceWork(ctx context.Context, token func() (uint64, bool)) error {
 	if gained, ok := token(); ok {
-		a.enqueueWait(revisionlog.LeaseGained{Token: gained})
+		a.enqueueBlocking(revisionlog.LeaseGained{Token: gained})
 	}
 	<-ctx.Done()
-	a.enqueueWait(revisionlog.LeaseLost{})
+	a.enqueueBlocking(revisionlog.LeaseLost{})
 	return nil
 }
 
-// enqueueWait hands an event to the goroutine of run, which must not miss it.
-func (a *Announcer) enqueueWait(event revisionlog.Event) {
+// enqueueBlocking passes an event that must not be lost to the goroutine of run, and waits until the inbox has room.
+func (a *Announcer) enqueueBlocking(event revisionlog.Event) {
 	select {
 	case a.inbox <- event:
-	case <-a.ended:
+	case <-a.done:
 	}
 }
 
@@ -123,7 +127,8 @@
 	}
 }
 
-// handle steps the log and executes its actions. A message with a revision that does not match its digest is dropped.
+// handle passes an event to the log and executes the resulting actions. A message with a text that does not match its
+// number and digest is dropped.
 func (a *Announcer) handle(event revisionlog.Event) {
 	if m, ok := event.(revisionlog.MessageReceived); ok && !a.check(m) {
 		return
@@ -171,14 +176,15 @@
 		a.store(action.Record)
 	case revisionlog.ReportConflict:
 		level.Error(a.service.log("duty-revision-turned")).Log(
-			"msg", "revision of this ingress's file not announced: its number stands for another content; "+
-				"give it a higher one",
+			"msg", "revision of this ingress's file not announced: its number is already in use for other content; "+
+				"use a higher number",
 			"revision", action.Entry.Number, "digest", action.Entry.Digest,
 		)
 	}
 }
 
-// send sends a message. One of the lease holder is sent only while this ingress holds the lease under its token.
+// send sends a message. A message of a kind that only the lease holder sends is dropped unless this ingress holds the
+// lease under the message's token.
 func (a *Announcer) send(action revisionlog.Send) {
 	if action.Message.Kind.FromLeaseHolder() {
 		if token, ok := a.service.FencingToken(RoleCatalogue); !ok || token != action.Message.Token {
@@ -190,7 +196,8 @@
 	}
 }
 
-// store stores a record. One that cannot be stored is not confirmed to the lease holder, and stored again later.
+// store stores a record. If that fails the record is not confirmed to the lease holder, and the log stores it again
+// later. Only the first of several failures in a row is logged.
 func (a *Announcer) store(r revisionlog.Record) {
 	err := a.options.Write(r)
 	failedBefore := a.writeFailed
@@ -198,22 +205,23 @@
 		a.handle(revisionlog.RecordStored{Record: r})
 	} else if !failedBefore {
 		level.Error(a.service.log("duty-no-room")).Log(
-			"msg", "announced catalogue revisions apply but cannot be stored; they are not confirmed until they are",
+			"msg", "announced catalogue revisions are applied but cannot be stored; they are confirmed once stored",
 			"error", err,
 		)
 	}
 	a.writeFailed = err != nil
 }
 
-// AnnouncerStatus is what an ingress reports of the catalogue. The JSON names are those of the first version.
+// AnnouncerStatus is the state of an ingress's revision log, as operators see it. The JSON names are those of the first
+// version.
 type AnnouncerStatus struct {
-	LastToken uint64              `json:"taken"` // the newest fencing token of a message
+	LastToken uint64              `json:"taken"` // newest fencing token seen
 	Holder    string              `json:"holder"`
-	Rejected  int                 `json:"refused"` // messages
+	Rejected  int                 `json:"refused"` // number of rejected messages
 	Entries   []revisionlog.Entry `json:"entries"` // without texts
 }
 
-// Status returns the present status.
+// Status returns the present state.
 func (a *Announcer) Status() AnnouncerStatus {
 	a.mu.Lock()
 	entries, lastToken := a.log.Entries()
--- a/internal/standalone/fleet/leaseservice/calls.go
+++ b/internal/standalone/fleet/leaseservice/calls.go
@@ -11,7 +11,7 @@
 	"mulleinrouter/internal/standalone/fleet/gossip"
 )
 
-// callIDLength is the length of the call's id in bytes, which precedes the body of a call and of its response.
+// callIDLength is the length in bytes of the call id that precedes the body of a call and of its response.
 const callIDLength = 8
 
 // pendingCalls are the calls that wait for a response. Its zero value is ready for use.
@@ -20,7 +20,7 @@
 	responses map[uint64]chan []byte
 }
 
-// add registers a call. The channel receives the first response.
+// add registers a call and returns a channel that receives its first response.
 func (p *pendingCalls) add(id uint64) <-chan []byte {
 	response := make(chan []byte, 1)
 	p.mu.Lock()
@@ -38,7 +38,7 @@
 	delete(p.responses, id)
 }
 
-// complete hands a response to the call that waits for it. Later ones are dropped.
+// complete passes a response to the call that waits for it. Any further responses to the call are dropped.
 func (p *pendingCalls) complete(data []byte) {
 	if len(data) <= callIDLength {
 		return
@@ -55,7 +55,7 @@
 	}
 }
 
-// call sends a request to some ingresses and returns the first response.
+// call sends a request to the receivers and returns the first response. It fails after the timeout.
 func (s *Service) call(
 	ctx context.Context, receivers []string, topic gossip.Topic, body []byte, timeout time.Duration,
 ) ([]byte, error) {
--- a/internal/standalone/fleet/leaseservice/doc.go
+++ b/internal/standalone/fleet/leaseservice/doc.go
@@ -1,20 +1,22 @@
 // Package leaseservice runs the singleton roles of an ingress: it requests their leases, does their work while it
-// holds them, and is one of the voters where the configuration names it.
+// holds them, and runs a voter if the configuration lists the ingress as one.
 //
-// Packages singleton, quorum and revisionlog decide; this package is the clock, the messages and the disk around
-// them. Service owns the voter, its store, the lease holder and all goroutines of the package; Stop ends them and
-// waits. The voter, whose steps wait for the disk, has a goroutine of its own, so that a slow disk holds up neither the
-// check of a token nor the end of a lease. Messages travel as payloads of gossip, under a topic for each kind. Two
-// roles are defined here: RoleExport sends the usage of all ingresses to billing, RoleCatalogue announces revisions of
-// the catalogue. Log codes, log keys and JSON say "duty" for a role: operators know these names from the first version.
+// The decisions are made by the state machines of packages singleton, quorum and revisionlog; this package provides
+// their clock, messages and disk. Service owns the voter, its store, the lease holder and all goroutines of the
+// package; Stop ends them and waits for them. The voter runs in a separate goroutine because its steps wait for the
+// disk: a slow disk must delay neither the check of a token nor the end of a lease. Messages are sent as payloads of
+// gossip, with a topic for each kind. Two roles are defined here: RoleExport sends the usage of all ingresses to
+// billing, and RoleCatalogue announces revisions of the catalogue. Log codes, log keys and JSON use the name "duty" for
+// a role, which operators know from the first version.
 //
-// A role is handed over in one of four ways. By Resign (SIGTERM, LAMEDUCK) the holder releases it at once. By an
-// operator's transfer the leader's next response tells the holder to step down; its work ends, and only then it
-// releases. Work that fails resigns the role for reacquireDelay. A holder that is silent is expired by the leader, once
-// its lease has ended even by a clock that runs slow by singleton.MaxClockDrift. In each case the leader then grants
-// the role, under a new fencing token, to the first candidate.
+// A role passes to another ingress in one of four ways. With Resign (SIGTERM, LAMEDUCK) the holder releases it at once.
+// With an operator's transfer the leader's next response tells the holder to step down; the holder ends its work before
+// it releases the role. If the work fails, the ingress resigns the role and requests it again after reacquireDelay. If
+// the holder is silent, the leader expires the lease once it has ended even by a clock that is slow by
+// singleton.MaxClockDrift. In each case the leader then grants the role to the first candidate, under a new fencing
+// token.
 //
-// The package imports the other packages of the fleet and no other of standalone. encoding_test.go holds the formats
-// of its messages and records; what the processes do together is tested by fault tests (cmd/mulleinrouter,
+// The package imports other packages of the fleet and no further packages of standalone. encoding_test.go checks the
+// formats of its messages and records; the interaction of whole processes is tested by fault tests (cmd/mulleinrouter,
 // deploy/faulttests/duty-*).
 package leaseservice
--- a/internal/standalone/fleet/leaseservice/encoding_test.go
+++ b/internal/standalone/fleet/leaseservice/encoding_test.go
@@ -11,9 +11,9 @@
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
-// TestEncodingOfLandedVersion holds the messages between ingresses, the replies of the mgmt interface and the records
-// on disk still: the files under testdata/landed were written by commit 76a3bb5, before the types and fields were
-// renamed.
+// TestEncodingOfLandedVersion checks that the messages between ingresses, the replies of the mgmt interface and the
+// records on disk stay compatible: the files under testdata/landed were written by commit 76a3bb5, before the types and
+// fields were renamed.
 func TestEncodingOfLandedVersion(t *testing.T) {
 	status := Status{
 		Error:  "e",
--- a/internal/standalone/fleet/leaseservice/errors.go
+++ b/internal/standalone/fleet/leaseservice/errors.go
@@ -6,31 +6,32 @@
 )
 
 var (
-	// errNoResponse means that a call was not answered in time.
+	// errNoResponse means that a call had no response within its timeout.
 	errNoResponse = errors.New("no voter that leads has answered: is there a majority?")
 	// errStopped means that the service was stopped.
 	errStopped = errors.New("the lease service is stopped")
 	// errNoLeaseHolder means that this ingress does not know who holds RoleExport.
-	errNoLeaseHolder = errors.New("nobody is known to hold the export of use")
-	// errNotLeaseHolder means that an export was sent to an ingress that does not hold RoleExport.
+	errNoLeaseHolder = errors.New("no ingress is known to hold the role that exports usage")
+	// errNotLeaseHolder means that an export was sent to an ingress that does not hold RoleExport. Its text is sent to
+	// the exporting ingress.
 	errNotLeaseHolder = errors.New("it does not hold the export")
 	// errBatchTooLarge means that a batch of usage exceeds maxBatchBytes.
 	errBatchTooLarge = errors.New("batch too large")
 	// errBillingUnreachable means that billing has not answered for unreachableTimeout.
-	errBillingUnreachable = errors.New("billing is not reached from here")
+	errBillingUnreachable = errors.New("billing cannot be reached from this ingress")
 )
 
-// CallError is an error with which the voters' leader answered an operator's call.
+// CallError is the error in the response of the voters' leader to an operator's call.
 type CallError struct{ Message string }
 
 func (ce *CallError) Error() string { return ce.Message }
 
-// ExportError is the failure of an export at the ingress that holds RoleExport.
+// ExportError is an error in the response of the ingress that holds RoleExport: it did not send a batch to billing.
 type ExportError struct {
 	LeaseHolder string
-	Message     string // of the lease holder
+	Message     string // error text of the lease holder
 }
 
 func (ee *ExportError) Error() string {
-	return fmt.Sprintf("%s, which was to send it, could not: %s", ee.LeaseHolder, ee.Message)
+	return fmt.Sprintf("%s could not send the batch to billing: %s", ee.LeaseHolder, ee.Message)
 }
--- a/internal/standalone/fleet/leaseservice/export.go
+++ b/internal/standalone/fleet/leaseservice/export.go
@@ -13,55 +13,56 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// RoleExport is the role of sending the usage of all ingresses to billing: the lease holder posts the batches that
-// the ingresses hand to it. A batch stays with its ingress until billing has acknowledged it, and is the same bytes
-// each time it is sent.
+// RoleExport is the role of sending the usage of all ingresses to billing. The lease holder posts the batches that the
+// ingresses send to it. An ingress keeps a batch until billing has acknowledged it, and sends the same bytes each time.
 const RoleExport = "export"
 
-// FencingTokenHeader is the header by which billing rejects what a former lease holder sends.
+// FencingTokenHeader is the header with the fencing token, by which billing rejects requests of a former lease holder.
 const FencingTokenHeader = "X-Fencing-Token"
 
 const (
-	maxBatchBytes    = 2 << 20 // of a compressed batch
-	maxResponseBytes = 64 << 10
-	exportTimeout    = 10 * time.Second
+	maxBatchBytes    = 2 << 20          // size of a compressed batch
+	maxResponseBytes = 64 << 10         // part of a response of billing that is read
+	exportTimeout    = 10 * time.Second // wait of the exporting ingress for the lease holder
 
-	// minExportTime is how long an export may take at least; else it ends with the lease.
-	minExportTime = 1.0 // seconds
+	// minExportTime is the shortest time limit for an export at the lease holder, in seconds. A longer limit ends with
+	// the lease.
+	minExportTime = 1.0
 
-	// unreachableTimeout is how long a lease holder that does not reach billing keeps the role: another may reach it.
+	// unreachableTimeout is how long a lease holder that cannot reach billing keeps the role. It then resigns the role,
+	// because another ingress may be able to reach billing.
 	unreachableTimeout = 4 * time.Second
 
 	maxBillingConns        = 8
 	billingConnIdleTimeout = 5 * time.Second
 )
 
-// exportRequest is a request to billing on its way to the lease holder.
+// exportRequest is a request to billing, as the exporting ingress sends it to the lease holder.
 type exportRequest struct {
 	Header map[string][]string `cbor:"2,keyasint"`
 	Body   []byte              `cbor:"3,keyasint"`
 }
 
-// exportResponse is the response of billing, or an error of the lease holder.
+// exportResponse is the response of billing, or an error of the lease holder, for the exporting ingress.
 type exportResponse struct {
-	Status int                 `cbor:"1,keyasint"` // 0: Body is an error
+	Status int                 `cbor:"1,keyasint"` // HTTP status; 0 if Body is an error text
 	Header map[string][]string `cbor:"2,keyasint"`
 	Body   []byte              `cbor:"3,keyasint"`
 }
 
-// billingClient bounds the connections to billing.
+// billingClient is the client for requests to billing. It limits the number of connections.
 var billingClient = &http.Client{Transport: &http.Transport{
 	MaxConnsPerHost: maxBillingConns,
 	IdleConnTimeout: billingConnIdleTimeout,
 }}
 
-// billingState is what a lease holder knows of billing.
+// billingState is the endpoint of billing, and whether a lease holder can reach it.
 type billingState struct {
-	mu               sync.Mutex // guards what follows, except the channel
+	mu               sync.Mutex // guards endpoint and unreachableSince
 	endpoint         string
-	unreachableSince time.Time // zero: billing answered last
+	unreachableSince time.Time // first of the failed requests in a row; zero if the last request succeeded
 
-	unreachable chan error // receives an error once billing was not reached for too long
+	unreachable chan error // receives an error once billing was unreachable for longer than unreachableTimeout
 }
 
 func (b *billingState) setEndpoint(endpoint string) {
@@ -76,7 +77,7 @@
 	return b.endpoint
 }
 
-// observe notes whether billing answered, with whatever status.
+// observe records the outcome of a request to billing. Any HTTP response counts as success, whatever its status.
 func (b *billingState) observe(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -93,18 +94,18 @@
 	}
 }
 
-// AddExport has this ingress request RoleExport, and send usage to an endpoint while it holds the lease.
+// AddExport makes this ingress request RoleExport, and send usage to the endpoint while it holds the lease.
 func (s *Service) AddExport(endpoint string) {
 	s.billing.setEndpoint(endpoint)
 	s.AddRole(RoleExport, "", s.exportWork)
 }
 
-// exportWork is the work of RoleExport. Batches are sent by handleExport as they arrive; this only ends the role when
-// billing is not reached.
+// exportWork is the work of RoleExport. It only resigns the role when billing is unreachable; handleExport sends the
+// batches as they arrive.
 func (s *Service) exportWork(ctx context.Context, _ func() (uint64, bool)) error {
 	s.billing.observe(nil)
 	select {
-	case <-s.billing.unreachable: // of an earlier lease
+	case <-s.billing.unreachable: // discards an error of an earlier lease
 	default:
 	}
 	select {
@@ -115,11 +116,10 @@
 	}
 }
 
-// ExportTransport is the HTTP transport of an exporter: its requests reach billing by way of the holder of
-// RoleExport.
+// ExportTransport is the HTTP transport of an exporter. It sends requests to billing through the holder of RoleExport.
 type ExportTransport struct{ Service *Service }
 
-// RoundTrip hands a request to the lease holder, and returns the response of billing.
+// RoundTrip sends a request to the lease holder, and returns the response of billing.
 func (et ExportTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	s := et.Service
 	body, err := readBatch(r)
@@ -154,7 +154,7 @@
 	}, nil
 }
 
-// readBatch reads and closes the body of a request.
+// readBatch reads and closes the body of a request, which may have up to maxBatchBytes.
 func readBatch(r *http.Request) ([]byte, error) {
 	defer r.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBatchBytes+1))
@@ -167,8 +167,9 @@
 	return body, nil
 }
 
-// handleExport sends a batch of another ingress to billing, if this one holds RoleExport. The fencing token goes with
-// it: where this process is paused between the check and the request, billing rejects it.
+// handleExport sends a batch of another ingress to billing, if this ingress holds RoleExport. The request carries the
+// fencing token, so that billing rejects it if the lease is lost between the check and the request, for example because
+// this process was paused.
 func (s *Service) handleExport(m message) {
 	var r exportRequest
 	if len(m.data) < callIDLength || cbor.Unmarshal(m.data[callIDLength:], &r) != nil {
@@ -178,7 +179,7 @@
 	token, holds := s.leaseHolder.FencingToken(s.now(), RoleExport)
 	leaseLeft := s.leaseHolder.ExpiresAt(RoleExport) - s.now()
 	s.mu.Unlock()
-	endpoint := s.billing.getEndpoint() // of this ingress: what others hand over goes nowhere else
+	endpoint := s.billing.getEndpoint() // the locally configured one, so that other ingresses cannot choose the target
 	s.workers.Go(func() {
 		if !holds {
 			s.respondToExport(m, exportResponse{Body: []byte(errNotLeaseHolder.Error())})
@@ -211,7 +212,7 @@
 		return exportResponse{}, err
 	}
 	defer response.Body.Close()
-	body, _ := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes)) // its status is what counts
+	body, _ := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes)) // only the status matters
 	return exportResponse{Status: response.StatusCode, Header: response.Header, Body: body}, nil
 }
 
--- a/internal/standalone/fleet/leaseservice/messages.go
+++ b/internal/standalone/fleet/leaseservice/messages.go
@@ -11,10 +11,10 @@
 
 // Topics of messages between ingresses.
 const (
-	topicVote            gossip.Topic = 1 // between voters: quorum.Message
-	topicAcquireRequest  gossip.Topic = 2 // to voters: singleton.AcquireRequest
-	topicAcquireResponse gossip.Topic = 3 // from the leader: singleton.AcquireResponse
-	topicWake            gossip.Topic = 4 // from the leader: send the next request at once
+	topicVote            gossip.Topic = 1 // quorum.Message, between voters
+	topicAcquireRequest  gossip.Topic = 2 // singleton.AcquireRequest, to voters
+	topicAcquireResponse gossip.Topic = 3 // singleton.AcquireResponse, from the leader
+	topicWake            gossip.Topic = 4 // from the leader, asks for the next request at once
 	topicCall            gossip.Topic = 5 // an operator's call, to voters; the leader responds
 	topicCallResponse    gossip.Topic = 6
 	topicExport          gossip.Topic = 7 // a batch of usage, to the holder of RoleExport
@@ -34,17 +34,17 @@
 	topicExportResponse,
 }
 
-// wakePayload is the payload of topicWake, which says nothing.
+// wakePayload is the payload of topicWake. Its content has no meaning.
 var wakePayload = []byte{1}
 
-// message is a message of another ingress, or of this one to itself.
+// message is a message from another ingress, or from this one to itself.
 type message struct {
 	topic gossip.Topic
 	from  string
 	data  []byte
 }
 
-// enqueue hands a message to the goroutine of run. It is dropped if the inbox is full.
+// enqueue passes a message to the goroutine of run without blocking. The message is dropped if the inbox is full.
 func (s *Service) enqueue(m message) {
 	select {
 	case s.inbox <- m:
@@ -52,15 +52,16 @@
 	}
 }
 
-// handleMessage handles a message. One that cannot be decoded is dropped.
+// handleMessage handles a message. Messages that cannot be decoded are dropped, and so are requests whose sender does
+// not match and responses that do not come from a voter.
 func (s *Service) handleMessage(m message) {
 	switch m.topic {
 	case topicVote:
-		s.onVoter(func() { s.voterMessageReceived(m) })
+		s.enqueueVoterStep(func() { s.voterMessageReceived(m) })
 	case topicAcquireRequest:
 		var r singleton.AcquireRequest
 		if cbor.Unmarshal(m.data, &r) == nil && r.From.Name == m.from {
-			s.onVoter(func() { s.requestReceived(r) })
+			s.enqueueVoterStep(func() { s.requestReceived(r) })
 		}
 	case topicAcquireResponse:
 		var r singleton.AcquireResponse
@@ -70,7 +71,7 @@
 	case topicWake:
 		s.wakeReceived()
 	case topicCall:
-		s.onVoter(func() { s.handleCall(m) })
+		s.enqueueVoterStep(func() { s.handleCall(m) })
 	case topicExport:
 		s.handleExport(m)
 	case topicCallResponse, topicExportResponse:
@@ -88,7 +89,7 @@
 	s.stepLeaseHolder(singleton.ResponseReceived{Response: r})
 }
 
-// wakeReceived handles the leader's wish for the next request.
+// wakeReceived handles a message of the leader that asks for the next request at once.
 func (s *Service) wakeReceived() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standalone/fleet/leaseservice/operator.go
+++ b/internal/standalone/fleet/leaseservice/operator.go
@@ -9,10 +9,10 @@
 	"mulleinrouter/internal/standalone/fleet/quorum"
 )
 
-// callTimeout is how long an operator's call waits for the leader.
+// callTimeout is how long an operator's call waits for the response of the leader.
 const callTimeout = 800 * time.Millisecond
 
-// callCommand is what an operator's call asks for. Its values are on the wire.
+// callCommand is the kind of an operator's call. Its values are part of the wire format.
 type callCommand string
 
 const (
@@ -22,15 +22,15 @@
 	commandRemoveVoter callCommand = "remove"
 )
 
-// callRequest is an operator's call, to the voters' leader.
+// callRequest is an operator's call to the voters' leader.
 type callRequest struct {
 	Command callCommand `cbor:"1,keyasint"`
 	Role    string      `cbor:"2,keyasint,omitempty"`
-	Name    string      `cbor:"3,keyasint,omitempty"` // of an ingress or a voter
+	Name    string      `cbor:"3,keyasint,omitempty"` // name of an ingress or a voter
 }
 
-// Status is the leader's response to an operator's call: what the voters agree on. The JSON names are those of the
-// first version.
+// Status is the leader's response to an operator's call, with the state that the voters agree on. The JSON names are
+// those of the first version.
 type Status struct {
 	Error   string       `cbor:"1,keyasint,omitempty" json:"error,omitempty"`
 	Leader  string       `cbor:"2,keyasint,omitempty" json:"leader,omitempty"`
@@ -40,11 +40,11 @@
 	History []Tenure     `cbor:"6,keyasint,omitempty" json:"history,omitempty"`
 }
 
-// RoleStatus is the status of one role.
+// RoleStatus is the agreed state of one role.
 type RoleStatus struct {
 	Role       string   `cbor:"1,keyasint" json:"duty"`
-	Holder     string   `cbor:"2,keyasint" json:"holder"` // empty: nobody
-	Token      uint64   `cbor:"3,keyasint" json:"token"`  // of the last grant
+	Holder     string   `cbor:"2,keyasint" json:"holder"` // empty if the role is free
+	Token      uint64   `cbor:"3,keyasint" json:"token"`  // fencing token of the last grant
 	Candidates []string `cbor:"4,keyasint,omitempty" json:"line,omitempty"`
 }
 
@@ -53,15 +53,15 @@
 	Role   string `cbor:"1,keyasint" json:"duty"`
 	Token  uint64 `cbor:"2,keyasint" json:"token"`
 	Holder string `cbor:"3,keyasint" json:"holder"`
-	Boot   uint64 `cbor:"4,keyasint" json:"start"` // of the holder
+	Boot   uint64 `cbor:"4,keyasint" json:"start"` // boot number of the holder
 }
 
-// Status asks the leader what the voters agree on.
+// Status asks the leader for the state that the voters agree on.
 func (s *Service) Status() (*Status, error) {
 	return s.callLeader(callRequest{Command: commandStatus})
 }
 
-// Transfer asks the leader to have a role go to a member.
+// Transfer asks the leader to transfer a role to a member.
 func (s *Service) Transfer(role, to string) (*Status, error) {
 	return s.callLeader(callRequest{Command: commandTransfer, Role: role, Name: to})
 }
@@ -75,7 +75,8 @@
 	return s.callLeader(callRequest{Command: command, Name: name})
 }
 
-// callLeader calls all voters, of which the leader responds. err is a *CallError where the leader rejects the call.
+// callLeader sends a call to all voters and returns the response of the leader; other voters do not respond. err is a
+// *CallError if the leader rejects the call.
 func (s *Service) callLeader(r callRequest) (*Status, error) {
 	data, err := cbor.Marshal(r)
 	if err != nil {
@@ -95,7 +96,7 @@
 	return status, nil
 }
 
-// handleCall handles an operator's call where this voter leads. It is called by the goroutine of runVoter.
+// handleCall handles an operator's call if this voter is the leader. It must be called on the goroutine of runVoter.
 func (s *Service) handleCall(m message) {
 	var r callRequest
 	if len(m.data) < callIDLength || cbor.Unmarshal(m.data[callIDLength:], &r) != nil {
@@ -113,7 +114,7 @@
 		output, err = s.voter.ChangeVoters(s.now(), r.Name, r.Command == commandAddVoter)
 	}
 	s.deliver(output)
-	status := s.voterTable()
+	status := s.agreedStatus()
 	if err != nil {
 		status.Error = err.Error()
 	}
@@ -122,8 +123,8 @@
 	}
 }
 
-// voterTable returns what this voter knows of the agreed state. It is called by the goroutine of runVoter.
-func (s *Service) voterTable() Status {
+// agreedStatus returns the agreed state as known to this voter. It must be called on the goroutine of runVoter.
+func (s *Service) agreedStatus() Status {
 	voter, table := s.voter.Status(), s.voter.Table()
 	status := Status{Leader: voter.Leader, Term: voter.Term, Voters: voter.Voters}
 	for _, name := range table.Roles() {
--- a/internal/standalone/fleet/leaseservice/options.go
+++ b/internal/standalone/fleet/leaseservice/options.go
@@ -8,10 +8,10 @@
 	"mulleinrouter/internal/standalone/fleet/quorum"
 )
 
-// Fleet is what a Service needs of gossip.
+// Fleet is the part of gossip that a Service uses.
 type Fleet interface {
 	Self() membership.Member
-	// Send sends a payload to a member. It may be lost.
+	// Send sends a payload to a member. The payload may be lost.
 	Send(name string, topic gossip.Topic, data []byte)
 	Handle(topic gossip.Topic, handler func(from string, data []byte))
 }
@@ -20,16 +20,17 @@
 type Options struct {
 	Fleet  Fleet
 	Zone   string
-	Voters []string // names
-	Dir    string   // folder of the voter's store, if this ingress is a voter
+	Voters []string // names of the configured voters
+	Dir    string   // folder of the voter's store, used if this ingress is a voter
 	Log    log.Logger
 
-	// StoreRecord replaces the record on disk, and returns once it is durable. While it fails, or does not return, the
-	// service holds no role. Nil: none is stored.
+	// StoreRecord replaces the record on disk, and returns once it is durable. While it fails or does not return, the
+	// service holds no role. If it is nil, no record is stored.
 	StoreRecord func(Record) error
 
-	// ClockRate is how many seconds the clock runs a second; fault tests set it. 0: 1.
+	// ClockRate is the speed of the service's clock in seconds per second, 1 by default. Fault tests set it to simulate
+	// clock drift.
 	ClockRate float64
-	// WrapStore wraps the voter's store; fault tests set it. Nil: the store is used as it is.
+	// WrapStore wraps the voter's store, if it is not nil. Fault tests set it to simulate a faulty disk.
 	WrapStore func(quorum.Store) quorum.Store
 }
--- a/internal/standalone/fleet/leaseservice/record.go
+++ b/internal/standalone/fleet/leaseservice/record.go
@@ -7,27 +7,30 @@
 )
 
 const (
-	recordInterval  = 500 * time.Millisecond
-	idleRecordTicks = 4               // of recordInterval, at which an ingress that holds nothing stores its record
-	recordTimeout   = 2 * time.Second // beyond these, after which a record that is not stored counts as failed
+	// recordInterval is the time between two stores of the record while the ingress holds a role.
+	recordInterval = 500 * time.Millisecond
+	// idleRecordTicks is the number of recordIntervals between two stores while the ingress holds no role.
+	idleRecordTicks = 4
+	// recordTimeout is how long a store may take, beyond the idle interval, until it counts as failed.
+	recordTimeout = 2 * time.Second
 )
 
-// Record is what an ingress holds. Storing it proves that the disk has space: an ingress that cannot store what it
-// does under a lease takes no role. Its JSON names are those of the first version.
+// Record lists the leases that an ingress holds. Storing it proves that the disk works and has space: an ingress that
+// cannot store the results of its work must not hold a role. Its JSON names are those of the first version.
 type Record struct {
 	Name   string            `json:"Name"`
 	Boot   uint64            `json:"Boot"`
-	Tokens map[string]uint64 `json:"Tokens"` // by role
+	Tokens map[string]uint64 `json:"Tokens"` // fencing tokens by role
 }
 
-// storeRecords stores the record again and again, until the service is stopped.
+// storeRecords stores the record periodically until the service is stopped.
 func (s *Service) storeRecords() {
 	ticker := time.NewTicker(recordInterval)
 	defer ticker.Stop()
 	for n := 0; ; n++ {
 		r := s.record()
 		if len(r.Tokens) > 0 || n%idleRecordTicks == 0 {
-			s.recordStored(s.options.StoreRecord(r))
+			s.handleStoreResult(s.options.StoreRecord(r))
 		}
 		select {
 		case <-s.ctx.Done():
@@ -51,8 +54,9 @@
 	return r
 }
 
-// recordStored notes whether the record was stored.
-func (s *Service) recordStored(err error) {
+// handleStoreResult records the outcome of storing the record. It resigns all roles after a failure, and requests
+// them again after the next success.
+func (s *Service) handleStoreResult(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.recordCheckedAt = time.Since(s.startedAt)
@@ -71,8 +75,9 @@
 	}
 }
 
-// checkRecordStored notes a disk that hangs: storing the record does not return. The caller holds s.mu.
-func (s *Service) checkRecordStored(now time.Duration) {
+// checkRecordTimeout resigns all roles if storing the record has not returned in time, which means that the disk hangs.
+// The caller holds s.mu.
+func (s *Service) checkRecordTimeout(now time.Duration) {
 	if s.options.StoreRecord == nil || s.recordFailed {
 		return
 	}
--- a/internal/standalone/fleet/leaseservice/roles.go
+++ b/internal/standalone/fleet/leaseservice/roles.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	// reacquireDelay is after how long an ingress whose work of a role failed requests the role again.
+	// reacquireDelay is how long an ingress waits after the work of a role failed before it requests roles again.
 	reacquireDelay = 10 * time.Second
-	// workEndTimeout is how long Resign waits for the work of the roles. Work that goes on after that can do no harm:
-	// its token is not valid here any more, and receivers reject it once they have seen a newer one.
+	// workEndTimeout is how long Resign waits for the work of the roles to end. Work that continues after that is
+	// harmless: its token is no longer valid here, and receivers reject the token once they have seen a newer one.
 	workEndTimeout = time.Second
 )
 
-// Work is the work of a role. It runs until the context ends, and calls token before each effect. If it returns
-// before that, the role cannot be done here, and is resigned for a while.
+// Work is the work of a role. It runs until the context ends, and calls token before each request made under the role.
+// If it returns earlier, the role cannot be performed on this ingress and is resigned for reacquireDelay.
 type Work func(ctx context.Context, token func() (uint64, bool)) error
 
 // role is a role that this ingress requests. Service.mu guards it.
 type role struct {
 	run           Work
 	preferredZone string
-	cancel        context.CancelFunc // nil: the work does not run
+	cancel        context.CancelFunc // ends the work; nil if it does not run
 	ended         chan struct{}      // closed when the work has ended
-	reacquire     *time.Timer        // nil: the work has not failed
+	reacquire     *time.Timer        // requests the role again after a failure; nil if the work never failed
 }
 
-// stopWork ends the work, if it runs, without waiting.
+// stopWork cancels the work if it runs, without waiting for its end.
 func (r *role) stopWork() {
 	if r.cancel != nil {
 		r.cancel()
 	}
 }
 
-// stop ends the work, and no longer requests the role after a failure.
+// stop cancels the work, and the timer that requests the role again after a failure.
 func (r *role) stop() {
 	r.stopWork()
 	if r.reacquire != nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// AddRole has this ingress request a role, and do its work while it holds the lease.
+// AddRole makes this ingress request a role, and run its work while it holds the lease.
 func (s *Service) AddRole(name, preferredZone string, run Work) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,9 +56,10 @@
 	s.acquireAll()
 }
 
-// Resign gives all roles up, until Rejoin. It first sends the voters one request to release them, so that another
-// ingress may be granted them at once, and then waits, for workEndTimeout at most, until their work has ended and a
-// voter of this process has passed the request on. No token of theirs is valid from the start of Resign.
+// Resign releases all roles, until Rejoin. It first sends the voters a request to release the roles, so that other
+// ingresses may be granted them at once. It then waits, for at most workEndTimeout, until their work has ended and the
+// voter of this process, if there is one, has handled the request. The tokens of the roles are invalid from the start
+// of Resign.
 func (s *Service) Resign() {
 	s.mu.Lock()
 	s.resigned = true
@@ -92,7 +93,7 @@
 	}
 }
 
-// resignAll gives all roles up, and returns channels that close when their work has ended. The caller holds s.mu.
+// resignAll releases all roles, and returns channels that are closed when their work has ended. The caller holds s.mu.
 func (s *Service) resignAll() (ended []<-chan struct{}) {
 	for _, name := range s.roleNames() {
 		if r := s.roles[name]; r.cancel != nil {
@@ -107,7 +108,7 @@
 // roleNames returns the names of the roles, sorted. The caller holds s.mu.
 func (s *Service) roleNames() []string { return slices.Sorted(maps.Keys(s.roles)) }
 
-// stepLeaseHolder steps the lease holder and executes its actions. The caller holds s.mu.
+// stepLeaseHolder passes an event to the lease holder and executes the resulting actions. The caller holds s.mu.
 func (s *Service) stepLeaseHolder(event singleton.LeaseHolderEvent) {
 	for _, action := range s.leaseHolder.Step(s.now(), event) {
 		switch action := action.(type) {
@@ -129,7 +130,7 @@
 	}
 }
 
-// sendRequest sends a request to all voters, of which the leader responds. The caller holds s.mu.
+// sendRequest sends a request to all voters. Only the leader responds. The caller holds s.mu.
 func (s *Service) sendRequest(r singleton.AcquireRequest) {
 	data, err := cbor.Marshal(r)
 	if err != nil {
@@ -138,21 +139,21 @@
 	self := s.self()
 	for _, voter := range s.options.Voters {
 		if voter == self {
-			s.onVoter(func() { s.requestReceived(r) })
+			s.enqueueVoterStep(func() { s.requestReceived(r) })
 			continue
 		}
 		s.options.Fleet.Send(voter, topicAcquireRequest, data)
 	}
 }
 
-// stopWork ends the work of a role, if it runs. The caller holds s.mu.
+// stopWork cancels the work of a role if it runs. The caller holds s.mu.
 func (s *Service) stopWork(name string) {
 	if r := s.roles[name]; r != nil {
 		r.stopWork()
 	}
 }
 
-// startWork runs the work of a role under a token, unless it still runs under an older one. The caller holds s.mu.
+// startWork starts the work of a role under a token, unless it still runs under an older token. The caller holds s.mu.
 func (s *Service) startWork(name string, token uint64) {
 	r := s.roles[name]
 	if r == nil || r.cancel != nil || s.stopped {
@@ -170,7 +171,8 @@
 	})
 }
 
-// workEnded steps down from a role whose work was stopped, and resigns one whose work failed.
+// workEnded handles the end of a role's work. If the work was canceled, it reports SteppedDown to the lease holder. If
+// the work failed, it resigns the role and requests it again after reacquireDelay.
 func (s *Service) workEnded(ctx context.Context, name string, r *role, token uint64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,7 +183,7 @@
 	if stopped {
 		s.stepLeaseHolder(singleton.SteppedDown{Role: name})
 		if present, ok := s.leaseHolder.FencingToken(s.now(), name); ok && present != token {
-			s.startWork(name, present) // the lease was gained again while the work ended
+			s.startWork(name, present) // the lease was gained again before the work had ended
 		}
 		return
 	}
--- a/internal/standalone/fleet/leaseservice/service.go
+++ b/internal/standalone/fleet/leaseservice/service.go
@@ -20,10 +20,10 @@
 
 const (
 	tickInterval   = 100 * time.Millisecond
-	stallThreshold = time.Second // without a tick, after which the process is taken to have been paused
-	inboxSize      = 1024        // messages; more are dropped, as on the network
-	storeFile      = "votes.db"  // of a voter, in Options.Dir
-	tokenBaseShift = 20          // of the time in seconds, see quorum.Open
+	stallThreshold = time.Second // time without a tick after which the process counts as paused
+	inboxSize      = 1024        // messages; further ones are dropped, like messages that the network loses
+	storeFile      = "votes.db"  // name of a voter's store in Options.Dir
+	tokenBaseShift = 20          // bits by which the Unix time is shifted to get the token base, see quorum.Open
 )
 
 // Service runs the leases of one ingress. Its methods are safe for concurrent use.
@@ -36,41 +36,42 @@
 
 	ctx        context.Context // ends with Stop
 	cancel     context.CancelFunc
-	goroutines sync.WaitGroup // run, storeRecords, announcers
-	workers    sync.WaitGroup // work of roles, exports
+	goroutines sync.WaitGroup // of run, storeRecords and announcers
+	workers    sync.WaitGroup // of the work of roles and of exports
 
-	// The voter belongs to the goroutine of runVoter, which alone uses voter and voterStatus, and holds no lock while
-	// the voter waits for its disk. Others reach it by onVoter. Without a voter the pointers are nil.
+	// Only the goroutine of runVoter uses voter and voterStatus. It holds no lock while the voter waits for its disk.
+	// Other goroutines use the voter through enqueueVoterStep. The pointers are nil if this ingress has no voter.
 	voter          *quorum.Voter
-	voterStatus    voterStatus // as last logged
+	voterStatus    voterStatus // the status that was last logged
 	store          *boltstore.Store
 	voterSteps     chan func()
 	stopVoter      context.CancelFunc
 	voterGoroutine sync.WaitGroup
 
-	// mu guards what follows. It is held while messages are sent, which does not block, and never while the voter or
-	// storeRecords waits for the disk.
+	// mu guards the fields below. It is held while messages are sent, which does not block, but never while the voter
+	// or storeRecords waits for the disk.
 	mu          sync.Mutex
 	leaseHolder *singleton.LeaseHolder
 	identity    singleton.Identity
 	roles       map[string]*role
-	roleStatus  map[string]singleton.RoleStatus // by role, of the last response
-	lastTick    time.Duration                   // since startedAt
-	resigned    bool                            // no role is requested, see Resign
+	roleStatus  map[string]singleton.RoleStatus // by role, from the leader's last response
+	lastTick    time.Duration                   // time since startedAt
+	resigned    bool                            // whether roles are not requested because of Resign
 	stopped     bool
 
-	recordFailed    bool          // the record cannot be stored: no role is requested
-	recordCheckedAt time.Duration // since startedAt: when it was last stored, or failed to be
+	recordFailed    bool          // whether the record cannot be stored, so that no role is requested
+	recordCheckedAt time.Duration // time of the last attempt to store the record that returned, since startedAt
 }
 
-// voterStatus is the part of a voter's status of which changes are logged.
+// voterStatus is the part of a voter's status that is logged when it changes.
 type voterStatus struct {
 	state  quorum.State
 	leader string
 	voters string
 }
 
-// Start starts a service. A voter whose store cannot be opened is logged, and the rest runs without it.
+// Start starts a service. If the store of the voter cannot be opened, that is logged and the service runs without a
+// voter.
 func Start(o Options) *Service {
 	self := o.Fleet.Self()
 	s := &Service{
@@ -116,8 +117,8 @@
 	s.voter = voter
 }
 
-// Stop ends the service, the work of all roles included, and waits. The voter ends last: it handles what the others
-// send it as they end.
+// Stop ends the service and the work of all roles, and waits until they have ended. The voter ends last, because it
+// handles the requests that the other goroutines send as they end.
 func (s *Service) Stop() {
 	s.cancel()
 	s.goroutines.Wait()
@@ -139,17 +140,17 @@
 	return singleton.Identity{Name: m.Name, Boot: m.Boot, Nonce: m.Nonce}
 }
 
-// now is the time of this process's monotonic clock.
+// now returns the time since startedAt by this process's monotonic clock, scaled by Options.ClockRate.
 func (s *Service) now() singleton.Seconds {
 	return time.Since(s.startedAt).Seconds() * cmp.Or(s.options.ClockRate, 1)
 }
 
 func (s *Service) self() string { return s.options.Fleet.Self().Name }
 
-// log returns a logger whose lines have a code.
+// log returns a logger that adds a code to its lines.
 func (s *Service) log(code string) log.Logger { return log.With(s.options.Log, "code", code) }
 
-// run handles messages and ticks of the lease holder until the service is stopped.
+// run handles messages, and ticks the lease holder, until the service is stopped.
 func (s *Service) run() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -180,11 +181,11 @@
 		s.leaseHolder.SetIdentity(identity)
 		s.identity = identity
 	}
-	s.checkRecordStored(now)
+	s.checkRecordTimeout(now)
 	s.stepLeaseHolder(singleton.LeaseHolderTick{})
 }
 
-// logVoterStatus logs changes of the voter. It is called by the goroutine of runVoter.
+// logVoterStatus logs changes of the voter's status. It must be called on the goroutine of runVoter.
 func (s *Service) logVoterStatus() {
 	status := s.voter.Status()
 	present := voterStatus{status.State, status.Leader, fmt.Sprint(status.Voters)}
@@ -197,14 +198,15 @@
 	)
 }
 
-// FencingToken returns the token under which this ingress may act on a role now; ok is false where it may not.
+// FencingToken returns the token under which this ingress may act on a role now; ok is false if it may not act.
 func (s *Service) FencingToken(role string) (token uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.leaseHolder.FencingToken(s.now(), role)
 }
 
-// RoleHolder returns the name of the ingress that holds a role, as far as is known here; empty: none.
+// RoleHolder returns the name of the ingress that holds a role according to the leader's last response; empty if none
+// is known.
 func (s *Service) RoleHolder(role string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standalone/fleet/leaseservice/service_test.go
+++ b/internal/standalone/fleet/leaseservice/service_test.go
@@ -18,10 +18,10 @@
 	"mulleinrouter/internal/standalone/fleet/membership"
 )
 
-// testTimeout bounds what a test waits for. A lease takes an election of about a second.
+// testTimeout is how long a test waits for an event. Gaining the first lease takes an election of about a second.
 const testTimeout = 20 * time.Second
 
-// fakeFleet is a fleet of one member: messages to others are lost.
+// fakeFleet is a fleet with one member. Messages to other members are lost.
 type fakeFleet struct{ name string }
 
 func (f fakeFleet) Self() membership.Member {
@@ -34,7 +34,7 @@
 
 func (f fakeFleet) Handle(gossip.Topic, func(string, []byte)) {}
 
-// startService starts a service that is the only voter.
+// startService starts a service whose ingress is the only voter.
 func startService(t *testing.T, change func(*Options)) *Service {
 	t.Helper()
 	logger := logtest.Discard()
@@ -47,7 +47,7 @@
 	return s
 }
 
-// receive receives from a channel, or fails.
+// receive receives from a channel, or fails the test after testTimeout.
 func receive[T any](t *testing.T, what string, c <-chan T) (value T) {
 	t.Helper()
 	select {
@@ -58,7 +58,7 @@
 	return value
 }
 
-// recordedWork is work that reports its tokens when it starts, and its end.
+// recordedWork is the work of a role that reports its token when it starts, and reports its end.
 type recordedWork struct {
 	started chan uint64
 	ended   chan struct{}
@@ -76,7 +76,8 @@
 	return nil
 }
 
-// The work of a role runs under a token, ends with Resign, and runs again under a newer token after Rejoin.
+// TestResignAndRejoin checks that the work of a role runs under a token, ends with Resign, and runs again under a newer
+// token after Rejoin.
 func TestResignAndRejoin(t *testing.T) {
 	t.Parallel()
 	s := startService(t, nil)
@@ -109,7 +110,7 @@
 	}
 }
 
-// Stop ends the work of roles and waits for it.
+// TestStopWaitsForWork checks that Stop ends the work of roles and waits for its end.
 func TestStopWaitsForWork(t *testing.T) {
 	t.Parallel()
 	s := startService(t, nil)
@@ -124,7 +125,8 @@
 	}
 }
 
-// A service whose record cannot be stored gives its roles up, and requests them again once it can.
+// TestRecordFailure checks that a service whose record cannot be stored resigns its roles, and requests them again once
+// the record can be stored.
 func TestRecordFailure(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex // guards failure
@@ -152,13 +154,13 @@
 	}
 }
 
-// An operator's call that the leader rejects is a CallError.
+// TestChangeVotersRejected checks that an operator's call that the leader rejects returns a CallError.
 func TestChangeVotersRejected(t *testing.T) {
 	t.Parallel()
 	s := startService(t, nil)
 	work := newRecordedWork()
 	s.AddRole("role", "", work.run)
-	receive(t, "work started", work.started) // the voter leads by now
+	receive(t, "work started", work.started) // the voter is the leader once it has granted a role
 	for _, add := range []bool{true, false} {
 		_, err := s.ChangeVoters("unknown", add)
 		var rejected *CallError
@@ -168,8 +170,8 @@
 	}
 }
 
-// A batch reaches billing by way of the lease holder, with the holder's fencing token, and billing's response comes
-// back.
+// TestExport checks that a batch is sent to billing through the lease holder, with the holder's fencing token, and that
+// the response of billing is returned.
 func TestExport(t *testing.T) {
 	t.Parallel()
 	tokens := make(chan string, 1)
@@ -188,7 +190,7 @@
 
 	work := newRecordedWork()
 	s.AddExport(billing.URL)
-	s.AddRole("role", "", work.run) // granted with RoleExport, in the order of names
+	s.AddRole("role", "", work.run) // granted after RoleExport, because roles are granted in the order of names
 	receive(t, "work started", work.started)
 	response, err := client.Post(billing.URL, "text/plain", strings.NewReader("batch"))
 	if err != nil {
--- a/internal/standalone/fleet/leaseservice/voter.go
+++ b/internal/standalone/fleet/leaseservice/voter.go
@@ -10,9 +10,9 @@
 	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
-// runVoter owns the voter: it executes its steps and ticks until the context ends, and then the steps that wait. Each
-// may wait for the disk. What a step has the voter send is sent once the step has returned, when all that it depends on
-// is durable.
+// runVoter owns the voter. It executes the queued steps and the ticks until the context ends, and then the steps that
+// are still queued. Each step may wait for the disk. The messages that result from a step are sent after the step has
+// returned, when the state they depend on is durable.
 func (s *Service) runVoter(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -30,8 +30,8 @@
 	}
 }
 
-// runWaitingSteps executes the steps that wait. A tick comes after them: where the disk has held up the voter, the
-// renewals that wait show that their ingresses are not silent.
+// runWaitingSteps executes the queued steps. It is called before each tick: if a slow disk has delayed the voter, the
+// queued renewals must be handled before the tick would expire their leases.
 func (s *Service) runWaitingSteps() {
 	for range len(s.voterSteps) {
 		step := <-s.voterSteps
@@ -39,9 +39,9 @@
 	}
 }
 
-// onVoter hands a step to the goroutine of runVoter. It is dropped if too many wait, as on the network, or if this
-// ingress is no voter.
-func (s *Service) onVoter(step func()) {
+// enqueueVoterStep passes a step to the goroutine of runVoter without blocking. The step is dropped if the queue is
+// full, like a message that the network loses, or if this ingress has no voter.
+func (s *Service) enqueueVoterStep(step func()) {
 	if s.voter == nil {
 		return
 	}
@@ -51,8 +51,8 @@
 	}
 }
 
-// voterCaughtUp returns a channel that closes once the voter has executed the steps that were handed to it before. It
-// is closed already if this ingress is no voter, or too many steps wait.
+// voterCaughtUp returns a channel that is closed once the voter has executed all steps that were queued before. The
+// channel is closed from the start if this ingress has no voter or the queue is full.
 func (s *Service) voterCaughtUp() <-chan struct{} {
 	caughtUp := make(chan struct{})
 	if s.voter == nil {
@@ -73,19 +73,19 @@
 	s.logVoterStatus()
 }
 
-// voterMessageReceived steps the voter with a message of another one.
+// voterMessageReceived passes a message of another voter to the voter. Invalid messages are dropped.
 func (s *Service) voterMessageReceived(m message) {
 	if output, err := s.voter.Receive(s.now(), m.data); err == nil {
 		s.deliver(output)
 	}
 }
 
-// requestReceived steps the voter with a request of an ingress.
+// requestReceived passes a request of an ingress to the voter.
 func (s *Service) requestReceived(r singleton.AcquireRequest) {
 	s.deliver(s.voter.HandleRequest(s.now(), r))
 }
 
-// deliver sends what a step of the voter wants sent.
+// deliver sends the messages that result from a step of the voter. Those to this ingress are handled directly.
 func (s *Service) deliver(output quorum.Output) {
 	for _, m := range output.Messages {
 		s.options.Fleet.Send(m.To, topicVote, m.Data)
--- a/internal/standalone/fleet/leaseservice/voter_test.go
+++ b/internal/standalone/fleet/leaseservice/voter_test.go
@@ -7,13 +7,13 @@
 	"mulleinrouter/internal/standalone/fleet/quorum"
 )
 
-// hangingStore is a store whose Save hangs on demand.
+// hangingStore is a store whose Save can be made to hang.
 type hangingStore struct {
 	quorum.Store
-	saving chan struct{} // receives once a Save hangs
+	saving chan struct{} // receives when a Save hangs
 
 	mu      sync.Mutex    // guards release
-	release chan struct{} // nil: Save does not hang; else it does until this is closed
+	release chan struct{} // if not nil, Save hangs until the channel is closed
 }
 
 func (hs *hangingStore) Save(b quorum.Batch) error {
@@ -30,7 +30,7 @@
 	return hs.Store.Save(b)
 }
 
-// hang has Save hang until resume is called, which may be called more than once.
+// hang makes Save hang until resume is called. resume may be called more than once.
 func (hs *hangingStore) hang() (resume func()) {
 	release := make(chan struct{})
 	hs.mu.Lock()
@@ -44,8 +44,8 @@
 	})
 }
 
-// While the voter's disk hangs, tokens are checked without waiting for it, and the lease, which nobody renews, ends
-// in time. The role is gained again once the disk goes on.
+// TestVoterDiskHangs checks that while the voter's disk hangs, tokens are checked without waiting for the disk, and the
+// lease ends in time because it is not renewed. The role is gained again once the disk works.
 func TestVoterDiskHangs(t *testing.T) {
 	t.Parallel()
 	store := &hangingStore{saving: make(chan struct{}, 1)}
@@ -62,7 +62,7 @@
 	resume := store.hang()
 	t.Cleanup(resume)
 	other := newRecordedWork()
-	s.AddRole("other", "", other.run) // its grant is to be stored
+	s.AddRole("other", "", other.run) // storing its grant hangs
 	receive(t, "store hangs", store.saving)
 	checked := make(chan struct{})
 	go func() {
@@ -85,7 +85,7 @@
 	receive(t, "other work started", other.started)
 }
 
-// What a voter is to do before it ends is done: requests that wait at Stop are handled.
+// TestStopHandlesWaitingSteps checks that Stop executes the queued steps of the voter before the voter ends.
 func TestStopHandlesWaitingSteps(t *testing.T) {
 	t.Parallel()
 	s := startService(t, nil)
