--- a/internal/standalone/fleet/quotashare/allocator.go
+++ b/internal/standalone/fleet/quotashare/allocator.go
@@ -4,41 +4,42 @@
 	"slices"
 )
 
-// Bounds on what is remembered and accepted.
+// Limits on the state and on messages, which bound memory and reject invalid values.
 const (
 	maxCustomers           = 20000
 	maxCustomersPerMessage = 2000
 	maxPeers               = 1024
-	maxSentMessages        = 64 // to one peer
-	maxNameBytes           = 64
-	maxRate                = 1e9 // units a second: a greater value is an error
+	maxSentMessages        = 64  // remembered for one peer
+	maxNameBytes           = 64  // length of the name of an ingress, customer or counter entry
+	maxRate                = 1e9 // units a second; greater values are rejected
 )
 
-// idleTTL is after how long a customer without requests or a silent peer is removed, in seconds.
+// idleTTL is the time after which a customer without requests or a silent peer is removed, in seconds.
 const idleTTL = 30.0
 
-// Allocator is the state of one ingress. It is not safe for concurrent use.
+// Allocator is the state machine of one ingress: customers, loans of quota, the health of the counter and votes. It is
+// not safe for concurrent use.
 type Allocator struct {
 	options   Options
 	startedAt Seconds
 	lastTick  Seconds
-	nameLost  bool
+	nameLost  bool // another process uses this ingress's name, see NameLost
 
 	customers map[string]*customer
 	peers     map[string]*peer
-	ingresses map[int]string // by the last Tick
-	rejected  int            // messages that changed nothing
+	ingresses map[int]string // names by index, from the last Tick
+	rejected  int            // number of messages that changed nothing
 
 	health          counterHealth
-	grantsPublished bool // the last SetGrants had any
+	grantsPublished bool // whether the last SetGrants contained any grants
 
-	unhealthyServers []string // by the last Tick
-	serverCount      int      // by the last Tick
-	warned           []string // by the last WarnServers
-	voteTurn         int
+	unhealthyServers   []string // from the last Tick
+	serverCount        int      // from the last Tick
+	warned             []string // from the last WarnServers
+	voteReceiverCursor int      // index of the last receiver of votes among the alive peers, modulo their number
 }
 
-// New returns the state of a process that starts.
+// New returns the state of a process that starts at the given time.
 func New(now Seconds, o Options) *Allocator {
 	return &Allocator{
 		options:   o,
@@ -51,7 +52,7 @@
 	}
 }
 
-// Step applies an event and returns what is to be done.
+// Step applies an event and returns the actions that the caller must carry out.
 func (a *Allocator) Step(now Seconds, e Event) (actions []Action) {
 	switch e := e.(type) {
 	case Demand:
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// tick removes what is idle, decides what is lent, sends messages, and sets the grants of this ingress.
+// tick removes idle customers and peers, decides the loans, sends messages, and sets the grants of this ingress.
 func (a *Allocator) tick(now Seconds, t Tick) (actions []Action) {
 	a.lastTick = now
 	a.ingresses = t.Ingresses
@@ -96,7 +97,7 @@
 		}
 	}
 	actions = append(actions, a.sendMessages(now, t.AlivePeers)...)
-	// After the messages: what they lend is no longer granted here before another gateway can use it.
+	// The grants are computed after the messages, so that a loan is subtracted here before its borrower can use it.
 	actions = append(actions, a.publishGrants(now)...)
 	if servers := a.suspectServers(now); !slices.Equal(servers, a.warned) {
 		a.warned = servers
@@ -105,7 +106,7 @@
 	return actions
 }
 
-// isValidRate rejects NaN, too.
+// isValidRate reports whether a rate is between 0 and maxRate. It rejects NaN because comparisons with NaN are false.
 func isValidRate(rate float64) bool { return rate >= 0 && rate <= maxRate }
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/internal/standalone/fleet/quotashare/counterhealth.go
+++ b/internal/standalone/fleet/quotashare/counterhealth.go
@@ -8,44 +8,48 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// The counter is not trusted while it doesn't answer, and for some time after an impossible total: one below what this
-// ingress and the other gateways know to have added. Such a total means that the counter was restarted empty or from an
-// old state, or that parts of the fleet use different counters.
+// The counter is not trusted while it doesn't answer, and for some time after an impossible total, which is one below
+// the sum that this ingress and the other gateways have added. An impossible total means that the counter was restarted
+// empty or from an old state, or that parts of the fleet use different counters.
 const (
-	maxUnansweredCalls = 4     // in a row
-	answerTimeout      = 1.0   // s since the last answer
-	answersToTrust     = 3     // in a row, before the counter is trusted again
-	initialDistrust    = 8.0   // s after an impossible total, more than a counter cycle; doubled with each further one
-	maxDistrust        = 64.0  // s
-	distrustResetAfter = 120.0 // s without an impossible total until the next one counts as the first
-
-	relativeTolerance = 2e-5 // of totals, for rounding
-	absoluteTolerance = 1e-6 // units, for rounding
-
-	nameTTLFactor        = 0.8  // the counter keeps a name from its first caller's call, which was earlier
-	maxNameTTL           = 60.0 // s
+	maxUnansweredCalls = 4   // unanswered calls in a row before the counter is distrusted
+	answerTimeout      = 1.0 // seconds since the last answer before the counter is distrusted
+	answersToTrust     = 3   // answers in a row before the counter is trusted again
+	// initialDistrust is how long the counter is distrusted after the first impossible total, in seconds. It is longer
+	// than a counter cycle, and is doubled with each further impossible total up to maxDistrust.
+	initialDistrust    = 8.0
+	maxDistrust        = 64.0  // seconds
+	distrustResetAfter = 120.0 // seconds without an impossible total until the next one counts as the first
+
+	relativeTolerance = 2e-5 // fraction of a total, allowed for rounding
+	absoluteTolerance = 1e-6 // units, allowed for rounding
+
+	// nameTTLFactor is the fraction of a name's TTL during which its totals are checked. The counter's TTL starts with
+	// the first call of any ingress, so the name may expire earlier than the TTL after this ingress's first call.
+	nameTTLFactor        = 0.8
+	maxNameTTL           = 60.0 // seconds
 	maxCounterNames      = 4096
-	maxCallsInFlight     = 16 // of a name
-	maxPeersPerName      = 16 // whose totals of a name are remembered
-	maxTotalsPerCustomer = 4  // in a report
+	maxCallsInFlight     = 16 // tracked for one name
+	maxPeersPerName      = 16 // peers whose totals of a name are remembered
+	maxTotalsPerCustomer = 4  // in a report to another gateway
 )
 
-// counterName is what is known of one of the counter's names.
-type counterName struct {
-	ownTotal   float64            // added by this ingress and acknowledged
-	peerTotals map[string]float64 // reported by other gateways
-	inFlight   []pendingCall      // in the order of their start
+// counterNameState is the local state of one name of the counter.
+type counterNameState struct {
+	ownTotal   float64            // units added by this ingress and acknowledged
+	peerTotals map[string]float64 // units reported by other gateways, by gateway
+	inFlight   []pendingCall      // calls without an answer, in the order of their start
 	expiresAt  Seconds            // when the counter may have removed the name
 }
 
-// pendingCall is a call of the counter that is not answered yet.
+// pendingCall is a call to the counter that is not answered yet.
 type pendingCall struct {
-	amount   float64
-	minTotal float64 // known to be in the name when the call started
+	amount   float64 // units to add
+	minTotal float64 // units known to have been added to the name when the call started
 }
 
-// minTotal returns what the counter must at least have under the name.
-func (cn *counterName) minTotal() float64 {
+// minTotal returns the lowest total that the counter can have under the name.
+func (cn *counterNameState) minTotal() float64 {
 	sum := cn.ownTotal
 	for _, t := range cn.peerTotals {
 		sum += t
@@ -53,38 +57,38 @@
 	return sum
 }
 
-// counterHealth concludes whether the counter can be trusted.
+// counterHealth tracks whether the counter can be trusted.
 type counterHealth struct {
-	configured bool
+	configured bool // whether there is a counter
 	trusted    bool
-	reason     string // of the last change
-	names      map[string]*counterName
+	reason     string // reason of the last change; empty if trust was regained
+	names      map[string]*counterNameState
 
 	lastAnswer      Seconds
 	unanswered      int // calls since the last answer
 	answeredInRow   int
-	distrustedUntil Seconds // after an impossible total
-	distrustFor     Seconds // by the last one
+	distrustedUntil Seconds // end of the distrust after an impossible total
+	distrustFor     Seconds // length of the distrust after the last impossible total
 }
 
 func newCounterHealth(now Seconds, configured bool) counterHealth {
 	return counterHealth{
 		configured: configured,
 		trusted:    configured,
-		names:      map[string]*counterName{},
+		names:      map[string]*counterNameState{},
 		lastAnswer: now,
 	}
 }
 
-// callStarted remembers what is known to be in a name when a call starts. What is reported later may have been added
-// after the call.
+// callStarted records the lowest possible total of a name at the start of a call. The answer is compared with this
+// value, because amounts that are reported later may have been added after the call.
 func (ch *counterHealth) callStarted(now Seconds, call CounterCall) {
 	n := ch.names[call.Name]
 	if n == nil {
 		if len(ch.names) >= maxCounterNames || len(call.Name) > maxNameBytes {
 			return
 		}
-		n = &counterName{
+		n = &counterNameState{
 			peerTotals: map[string]float64{},
 			expiresAt:  now + nameTTLFactor*min(maxNameTTL, call.TTL),
 		}
@@ -126,21 +130,22 @@
 	return ch.setTrusted(false, reason)
 }
 
-// distrust sets for how long an impossible total counts. The time grows with each one: where parts of a fleet use
-// different counters, totals of names that nobody uses at the other part are plausible again and again.
+// distrust sets how long the counter is distrusted after an impossible total. The time grows with each impossible
+// total: if parts of a fleet use different counters, the totals of names that only one part uses keep looking
+// plausible, so that the counter would be trusted again and again.
 func (ch *counterHealth) distrust(now Seconds) {
 	ch.distrustFor = min(maxDistrust, 2*ch.distrustFor)
 	if ch.distrustFor == 0 || now > ch.distrustedUntil+distrustResetAfter {
 		ch.distrustFor = initialDistrust
 	}
 	if !ch.trusted {
-		ch.distrustFor = max(initialDistrust, ch.distrustFor/2) // the same incident
+		ch.distrustFor = max(initialDistrust, ch.distrustFor/2) // the same incident, so the time is not doubled
 	}
 	ch.distrustedUntil = max(ch.distrustedUntil, now+ch.distrustFor)
 	ch.answeredInRow = 0
 }
 
-// recordPeerTotals remembers what another gateway reports to have added.
+// recordPeerTotals records the amounts that another gateway reports to have added.
 func (ch *counterHealth) recordPeerTotals(from string, totals []CounterTotal) {
 	for _, t := range totals[:min(len(totals), maxTotalsPerCustomer)] {
 		n := ch.names[t.Name]
@@ -153,7 +158,8 @@
 	}
 }
 
-// ownTotals returns what this ingress added to the names of a customer that are in use: the last ones by name.
+// ownTotals returns the amounts that this ingress added to a customer's names that have not expired. If there are too
+// many for a report, it returns the last ones in the order of names.
 func (ch *counterHealth) ownTotals(now Seconds, customer string) (all []CounterTotal) {
 	for _, name := range sortedKeys(ch.names) {
 		n := ch.names[name]
--- a/internal/standalone/fleet/quotashare/customer.go
+++ b/internal/standalone/fleet/quotashare/customer.go
@@ -6,38 +6,38 @@
 )
 
 const (
-	rateInterval     = 0.5 // s between two measurements of a customer's rate
-	rateTimeConstant = 2.0 // s of the exponential average of the rate
-	reportTTL        = 2.0 // s for which a gateway's report and its trust in the counter hold
+	rateInterval     = 0.5 // seconds between two measurements of a customer's rate
+	rateTimeConstant = 2.0 // time constant of the exponential average of the rate, seconds
+	reportTTL        = 2.0 // seconds for which a gateway's report and its trust in the counter are valid
 )
 
-// customer is what is known of a customer.
+// customer is the state of a customer that sends requests to this ingress.
 type customer struct {
-	firstGateway int
-	gateways     int
+	firstGateway int     // index of the first of the consecutive ingresses that serve the customer
+	gateways     int     // number of these ingresses
 	quota        float64 // units a second
-	rate         float64 // units a second requested here, averaged
-	pendingUnits float64 // requested since ratedAt
+	rate         float64 // average of the units a second requested here
+	pendingUnits float64 // units requested since ratedAt
 	ratedAt      Seconds
 	lastDemand   Seconds
-	reports      map[string]peerReport // of the other gateways, by name
-	lent         map[string]float64    // units a second to other gateways, as of the last tick
+	reports      map[string]peerReport // from the other gateways, by name
+	lent         map[string]float64    // units a second lent to other gateways as of the last tick, by name
 }
 
-// peerReport is what another gateway reported of a customer.
+// peerReport is the last report of another gateway about a customer.
 type peerReport struct {
 	at         Seconds
 	rate       float64 // units a second requested there
-	usesGrants bool
+	usesGrants bool    // whether the gateway uses grants instead of the counter for this customer
 }
 
-// isBorrower reports whether the report is recent and of a gateway that may use grants.
+// isBorrower reports whether the gateway may borrow: its report is recent, and it uses grants instead of the counter.
 func (pr peerReport) isBorrower(now Seconds) bool { return now < pr.at+reportTTL && pr.usesGrants }
 
-// evenShare is the part of the quota that each gateway owns.
+// evenShare returns the part of the quota that each gateway owns, in units a second.
 func (c *customer) evenShare() float64 { return c.quota / float64(c.gateways) }
 
-// updateRate takes the units requested since the last measurement into the average.
+// updateRate adds the units requested since the last measurement to the average, once per rateInterval.
 func (c *customer) updateRate(now Seconds) {
 	elapsed := now - c.ratedAt
 	if elapsed < rateInterval {
@@ -72,7 +72,7 @@
 	c.pendingUnits += d.Units
 }
 
-// gatewayName is the name of the i-th gateway of a customer; empty if it is not known.
+// gatewayName returns the name of the i-th gateway of a customer; empty if it is not known.
 func (a *Allocator) gatewayName(c *customer, i int) string {
 	return a.ingresses[(c.firstGateway+i)%max(1, a.options.Ingresses)]
 }
@@ -86,7 +86,7 @@
 	return false
 }
 
-// peerGateways returns the names of the other known gateways of a customer, in their order.
+// peerGateways returns the names of a customer's other known gateways, in the order of their indexes.
 func (a *Allocator) peerGateways(c *customer) (names []string) {
 	for i := range c.gateways {
 		name := a.gatewayName(c, i)
--- a/internal/standalone/fleet/quotashare/events.go
+++ b/internal/standalone/fleet/quotashare/events.go
@@ -3,48 +3,49 @@
 // Event is an input of Allocator.Step.
 type Event interface{ event() }
 
-// Demand is a request of a customer that came to this ingress.
+// Demand is a request of a customer that arrived at this ingress.
 type Demand struct {
 	Customer     string
 	FirstGateway int     // index of the first of the consecutive ingresses that serve the customer
-	Gateways     int     // their number
+	Gateways     int     // number of these ingresses
 	Quota        float64 // units a second
-	Units        float64
+	Units        float64 // units of this request
 }
 
-// Received is a message of another ingress.
+// Received is a message from another ingress.
 type Received struct {
 	From    string
 	Message Message
 }
 
-// CounterCall is a call of the counter that starts.
+// CounterCall reports the start of a call to the counter, which adds an amount under a name.
 type CounterCall struct {
 	Name   string
 	Amount float64
-	TTL    Seconds // for how long the counter keeps the name
+	TTL    Seconds // how long the counter keeps the name
 }
 
 // CounterAnswer is the outcome of the oldest pending call for a name.
 type CounterAnswer struct {
 	Name     string
-	Answered bool // by the counter, be it with an error
-	HasTotal bool
-	Total    float64
+	Answered bool    // whether the counter answered, with a total or an error
+	HasTotal bool    // whether the answer has a total
+	Total    float64 // units added under the name by all ingresses
 }
 
 // Tick reports the passing of time. It is expected about ten times a second.
 type Tick struct {
-	Ingresses        map[int]string // names by index, as membership knows them, this one included
+	Ingresses        map[int]string // names by index as known to membership, including this ingress
 	AlivePeers       []string
-	UnhealthyServers []string // by this ingress's own evidence
-	ServerCount      int      // length of its endpoint list
+	UnhealthyServers []string // as observed by this ingress itself
+	ServerCount      int      // length of this ingress's endpoint list
 }
 
-// Paused reports that the process was suspended: its leases have expired.
+// Paused reports that the process was suspended. The loans to this ingress are dropped, because their leases have
+// expired.
 type Paused struct{}
 
-// NameLost reports that another process has this ingress's name, and with it its share.
+// NameLost reports that another process uses this ingress's name, and therefore owns its share of the quotas.
 type NameLost struct{}
 
 func (Demand) event() {}
@@ -70,20 +71,20 @@
 	Message Message
 }
 
-// SetGrants replaces all grants of this ingress. If no other SetGrants follows until Until, the process was
-// suspended, and each customer's QuotaGrant.Reserved is left.
+// SetGrants replaces all grants of this ingress. They are valid until Until. If no other SetGrants follows by then, the
+// process was suspended, and only QuotaGrant.Reserved remains for each customer.
 type SetGrants struct {
 	Grants []QuotaGrant
 	Until  Seconds
 }
 
-// WarnServers replaces the set of servers that other ingresses find unhealthy.
+// WarnServers replaces the set of servers that enough other ingresses find unhealthy.
 type WarnServers struct{ Servers []string }
 
-// CounterTrustChanged reports that the counter is trusted from now on, or isn't.
+// CounterTrustChanged reports that the counter has become trusted or distrusted.
 type CounterTrustChanged struct {
 	Trusted bool
-	Reason  string // why it isn't
+	Reason  string // why it is distrusted; empty if it is trusted
 }
 
 func (SendMessage) action() {}
--- a/internal/standalone/fleet/quotashare/golden_test.go
+++ b/internal/standalone/fleet/quotashare/golden_test.go
@@ -10,7 +10,7 @@
 	"mulleinrouter/internal/standalone/goldentest"
 )
 
-// TestGoldenMessages reads the messages of an earlier version and writes the same bytes.
+// TestGoldenMessages checks that messages written by an earlier version are read, and are written as the same bytes.
 func TestGoldenMessages(t *testing.T) {
 	full := Message{
 		Incarnation:      [2]uint64{12, 1<<63 - 3},
--- a/internal/standalone/fleet/quotashare/grants.go
+++ b/internal/standalone/fleet/quotashare/grants.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// LeaseDuration is for how long a borrower may use a loan, in seconds. It counts from when the borrower sent the
-	// message that the lender acknowledged with the loan.
+	// LeaseDuration is how long a borrower may use a loan, in seconds. The lease starts when the borrower sent the
+	// message that the lender acknowledges in the message with the loan.
 	LeaseDuration = 3.0
-	// MaxClockDrift bounds by how much the rates of two clocks differ, as a fraction.
+	// MaxClockDrift is the maximum drift of a clock against real time, as a fraction.
 	MaxClockDrift = 0.05
-	// ReclaimDelay is after how long a lender may use a loan again itself, in seconds from its last message with it.
+	// ReclaimDelay is the time after its last message with a loan until a lender may use the loan itself again, in
+	// seconds. It is longer than LeaseDuration, in case the borrower's clock is slow and the lender's is fast.
 	ReclaimDelay = LeaseDuration*(1+MaxClockDrift)/(1-MaxClockDrift) + leaseMargin
-	// ReservedShare is the fraction of its even share that a gateway never lends. It can be used from the start of a
-	// process, as no earlier process can have lent it.
+	// ReservedShare is the fraction of its even share that a gateway never lends. A process can use it from its start,
+	// because no earlier process can have lent it.
 	ReservedShare = 0.25
 
-	leaseMargin = 0.1 // s
-	grantTTL    = 1.0 // s for which SetGrants holds
+	leaseMargin = 0.1 // extra wait before a lender reclaims a loan, seconds
+	grantTTL    = 1.0 // seconds for which SetGrants is valid
 )
 
-// usesCounter reports whether a customer's quota goes by the counter: this ingress and each other gateway of
-// the customer with a recent message trust it. A gateway that doesn't trust it must not be alone among
-// gateways that go by totals without its requests.
+// usesCounter reports whether a customer's quota is enforced by the counter. That is the case if this ingress and each
+// other gateway of the customer with a recent message trust the counter. As long as one gateway distrusts it, all use
+// grants, because the totals of the counter lack the requests of that gateway.
 func (a *Allocator) usesCounter(now Seconds, c *customer) bool {
 	if !a.health.trusted {
 		return false
@@ -37,8 +38,8 @@
 	return true
 }
 
-// ownShare returns a gateway's own share of a quota and how much of it may be lent, in units a second. Until
-// the loans of an earlier process have ended, the share is only what is never lent.
+// ownShare returns this gateway's own share of a quota and how much of it may be lent, in units a second. Until the
+// loans of an earlier process of this ingress have ended, the share is only the part that is never lent.
 func (a *Allocator) ownShare(now Seconds, c *customer) (share, lendable float64) {
 	even := c.evenShare()
 	if a.nameLost || now < a.startedAt+ReclaimDelay && !mutants.On("quotashare/promises-forgotten") {
@@ -47,7 +48,8 @@
 	return even, even * (1 - ReservedShare)
 }
 
-// grant returns what this ingress may use of a customer's quota while the counter is not trusted, in units a second.
+// grant returns the part of a customer's quota that this ingress may use while the counter is not trusted, in units a
+// second.
 func (a *Allocator) grant(now Seconds, name string, c *customer) float64 {
 	rate, _ := a.ownShare(now, c)
 	for _, gateway := range a.peerGateways(c) {
@@ -56,7 +58,7 @@
 			continue
 		}
 		if !mutants.On("quotashare/give-after-take") {
-			rate -= p.maxBelieved(now, name)
+			rate -= p.maxUsableLoan(now, name)
 		}
 		if now < p.borrowedUntil || mutants.On("quotashare/loan-for-ever") {
 			rate += p.borrowed[name]
@@ -65,19 +67,19 @@
 	return max(0, rate)
 }
 
-// lentRate returns the most that other gateways may believe to be lent to them, in units a second.
+// lentRate returns the sum of the loans that other gateways may still use, in units a second.
 func (a *Allocator) lentRate(now Seconds, name string, c *customer) float64 {
 	rate := 0.0
 	for _, gateway := range a.peerGateways(c) {
 		if p := a.peers[gateway]; p != nil {
-			rate += p.maxBelieved(now, name)
+			rate += p.maxUsableLoan(now, name)
 		}
 	}
 	return rate
 }
 
-// publishGrants sets the grants by which the decision module admits requests. Where the counter is trusted the module
-// goes by its own slices, less what is still lent.
+// publishGrants sets the grants by which the decision module admits requests. If a customer's quota is enforced by the
+// counter, the module uses its own slices of the quota, less the loans that other gateways may still use.
 func (a *Allocator) publishGrants(now Seconds) []Action {
 	set := SetGrants{Until: now + grantTTL}
 	if mutants.On("quotashare/held-for-ever") {
--- a/internal/standalone/fleet/quotashare/mutants_test.go
+++ b/internal/standalone/fleet/quotashare/mutants_test.go
@@ -8,10 +8,10 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// maxScenarios is how many scenarios a seeded fault has to be found in.
+// maxScenarios is the number of scenarios within which each seeded fault must be found.
 const maxScenarios = 300
 
-// TestMutants finds each seeded fault by a rule of one part or by a scenario.
+// TestMutants checks that each seeded fault is found by a rule of one component or by a random scenario.
 func TestMutants(t *testing.T) {
 	for _, fault := range []string{
 		"give-after-take",
--- a/internal/standalone/fleet/quotashare/peer.go
+++ b/internal/standalone/fleet/quotashare/peer.go
@@ -5,35 +5,35 @@
 	"mulleinrouter/internal/standalone/fleet/membership"
 )
 
-// peer is what is known of another ingress.
+// peer is the state of another ingress.
 type peer struct {
 	incarnation      membership.Incarnation
-	receivedSeq      uint64 // of its latest message
+	receivedSeq      uint64 // Seq of its latest message
 	lastContact      Seconds
 	counterTrusted   bool
 	zone             string
 	unhealthyServers []string
 
-	borrowed      map[string]float64 // units a second by customer
-	borrowedUntil Seconds            // when the lease of these ends
+	borrowed      map[string]float64 // loans of the peer to this ingress, units a second by customer
+	borrowedUntil Seconds            // end of the lease of these loans
 
-	sentSeq    uint64        // of the latest message to it
-	sent       []sentMessage // messages by which it may still use a loan
-	ackedSeq   uint64        // the latest of these that it acknowledged
+	sentSeq    uint64        // Seq of the latest message to the peer
+	sent       []sentMessage // recent messages to the peer, by which it may use a loan
+	ackedSeq   uint64        // Seq of the latest of these that the peer has acknowledged
 	nextSendAt Seconds
 }
 
-// sentMessage is a message to a peer, as far as it lent something.
+// sentMessage records a message to a peer and the loans in it.
 type sentMessage struct {
 	seq    uint64
 	sentAt Seconds
 	lent   map[string]float64 // units a second by customer
 }
 
-// mayBeUsed reports whether the peer may still use what the message lent.
-func (s sentMessage) mayBeUsed(now Seconds) bool { return now <= s.sentAt+ReclaimDelay }
+// isLoanUsable reports whether the peer may still use the loans in the message.
+func (s sentMessage) isLoanUsable(now Seconds) bool { return now <= s.sentAt+ReclaimDelay }
 
-// sentAt returns when a remembered message was sent.
+// sentAt returns when a message was sent, if it is still remembered.
 func (p *peer) sentAt(seq uint64) (at Seconds, known bool) {
 	for _, s := range p.sent {
 		if s.seq == seq {
@@ -43,14 +43,15 @@
 	return 0, false
 }
 
-// maxBelieved is the greatest rate of a customer that the peer may believe to be lent to it: that of any message since
-// the latest one that it acknowledged.
-func (p *peer) maxBelieved(now Seconds, customer string) (rate float64) {
+// maxUsableLoan returns the greatest rate of a customer's quota that the peer may still use as a loan. That is the
+// greatest loan in any message since the latest one that the peer has acknowledged, including that one, because this
+// ingress doesn't know which of the later messages have arrived.
+func (p *peer) maxUsableLoan(now Seconds, customer string) (rate float64) {
 	for _, s := range p.sent {
 		if s.seq < p.ackedSeq {
 			continue
 		}
-		if s.mayBeUsed(now) && !mutants.On("quotashare/back-early") || now <= s.sentAt+LeaseDuration/3 {
+		if s.isLoanUsable(now) && !mutants.On("quotashare/back-early") || now <= s.sentAt+LeaseDuration/3 {
 			rate = max(rate, s.lent[customer])
 		}
 	}
@@ -60,7 +61,7 @@
 	return rate
 }
 
-// isIdle reports whether the peer can be removed: neither it nor this ingress sent anything for a while.
+// isIdle reports whether the peer can be removed, because neither it nor this ingress has sent a message for idleTTL.
 func (p *peer) isIdle(now Seconds) bool {
 	sentNothing := len(p.sent) == 0 || now > p.sent[len(p.sent)-1].sentAt+idleTTL
 	return now > p.lastContact+idleTTL && sentNothing
@@ -71,7 +72,7 @@
 	p.borrowedUntil = 0
 }
 
-// peer returns the state of another ingress, created if needed; nil if the name is invalid or there are too many.
+// peer returns the state of another ingress, created if needed; nil if the name is invalid or there are too many peers.
 func (a *Allocator) peer(name string) *peer {
 	p := a.peers[name]
 	if p == nil && name != "" && name != a.options.Name && len(name) <= maxNameBytes && len(a.peers) < maxPeers {
@@ -81,8 +82,8 @@
 	return p
 }
 
-// receive applies another ingress's message. Values out of range, old messages and those of earlier incarnations
-// change nothing.
+// receive applies a message of another ingress. Messages with values out of range, outdated messages and those of
+// earlier incarnations change nothing.
 func (a *Allocator) receive(now Seconds, from string, m Message) {
 	p := a.peer(from)
 	incarnation := membership.IncarnationFromPair(m.Incarnation)
@@ -91,13 +92,14 @@
 		return
 	}
 	if incarnation.Newer(p.incarnation) {
-		// What the former process lent ended with it. What it borrowed ends with its lease.
+		// The loans of the peer's former process to this ingress end at once. Loans to that process end with their
+		// leases.
 		p.incarnation = incarnation
 		p.receivedSeq = 0
 		p.dropBorrowed()
 	}
 	if m.Seq <= p.receivedSeq {
-		a.rejected++ // duplicated, reordered or replayed
+		a.rejected++ // a duplicated, reordered or replayed message
 		return
 	}
 	p.receivedSeq = m.Seq
@@ -120,14 +122,14 @@
 	}
 }
 
-// renewLease begins a new lease of what a message lends. The lease counts from the sending of the message that the
-// lender acknowledges, so it ends before the lender reclaims, however long the message took. Without an
-// acknowledgement there is no lease.
+// renewLease starts a new lease for the loans in a message. The lease starts when this ingress sent the message that
+// the lender acknowledges, so it ends before the lender reclaims the loans, however long the lender's message took.
+// Without an acknowledgement there is no lease.
 func (a *Allocator) renewLease(now Seconds, p *peer, m Message) {
 	p.dropBorrowed()
 	acked := m.AckSeq
 	if membership.IncarnationFromPair(m.AckIncarnation) != a.options.Incarnation || acked > p.sentSeq {
-		acked = 0 // it acknowledges an earlier process of this ingress, or nothing
+		acked = 0 // the message acknowledges an earlier process of this ingress, or nothing
 	}
 	p.ackedSeq = max(p.ackedSeq, acked)
 	sentAt, known := p.sentAt(acked)
--- a/internal/standalone/fleet/quotashare/rules_test.go
+++ b/internal/standalone/fleet/quotashare/rules_test.go
@@ -8,7 +8,8 @@
 	"mulleinrouter/internal/standalone/fleet/membership"
 )
 
-// rule is a property of one part, checked by a short dialogue. It returns what is wrong; empty: nothing.
+// rule is a property of one component, checked by a short sequence of events. check returns a description of the
+// violation; empty if there is none.
 type rule struct {
 	name  string
 	check func() (violation string)
@@ -29,22 +30,24 @@
 	})
 }
 
-// call has the counter answer a call.
+// call simulates a call to the counter and its answer.
 func (a *Allocator) call(now Seconds, name string, amount, total float64) {
 	a.Step(now, CounterCall{Name: name, Amount: amount, TTL: simulatedTTL})
 	a.Step(now+0.01, CounterAnswer{Name: name, Answered: true, HasTotal: true, Total: total})
 }
 
-// checkImpossibleTotals: a total below what is known to be in a name means that the counter was restarted
-// empty, or that parts of the fleet use different ones.
+// checkImpossibleTotals checks that the counter is distrusted after a total below the sum of the known additions, which
+// means that the counter was restarted empty or that parts of the fleet use different counters. It also checks that
+// plausible totals don't cause distrust, and that the counter is trusted again later.
 func checkImpossibleTotals() string {
 	a := newTestAllocator()
 	a.call(1, "m/1", 5, 5)
 	a.call(1.2, "m/1", 0, 12)
 	if trusted, reason := a.CounterTrusted(); !trusted {
-		return "a counter to which others add is not trusted: " + reason
+		return "the counter is not trusted after a total that includes amounts of others: " + reason
 	}
-	// What another gateway reported before a call must be in its total. What it reports during the call need not.
+	// The total of a call must include the amounts that another gateway reported before the call, but may lack those
+	// reported during the call.
 	a.Step(1.3, CounterCall{Name: "m/1", TTL: simulatedTTL})
 	a.Step(1.31, Received{From: "n1", Message: Message{
 		Incarnation:    [2]uint64{1, 1},
@@ -54,11 +57,11 @@
 	}})
 	a.Step(1.32, CounterAnswer{Name: "m/1", Answered: true, HasTotal: true, Total: 12})
 	if trusted, reason := a.CounterTrusted(); !trusted {
-		return "an answer that may have been in flight is not trusted: " + reason
+		return "the counter is not trusted after an answer that may lack a total reported during the call: " + reason
 	}
 	a.call(1.4, "m/1", 0, 12)
 	if trusted, _ := a.CounterTrusted(); trusted {
-		return "a total without what another gateway added is trusted"
+		return "the counter is trusted after a total that lacks the amount added by another gateway"
 	}
 	for now := Seconds(2); now < 20; now += 0.5 {
 		a.call(now, fmt.Sprint("m/", now), 1, 1)
@@ -70,18 +73,18 @@
 	return ""
 }
 
-// checkVotes: one voter is not enough, however often it votes; three of two zones are; the number of warned servers is
-// bounded; votes expire.
+// checkVotes checks that one voter is not enough to warn of a server, however often it votes, that three voters from
+// two zones are enough, that the number of warned servers is limited, and that votes expire.
 func checkVotes() string {
 	a := newTestAllocator()
-	tick := Tick{ServerCount: simulatedList}
+	tick := Tick{ServerCount: simulatedServers}
 	vote := func(from, zone string, seq uint64, servers ...string) {
 		a.Step(20, Received{From: from, Message: Message{
 			Incarnation:      [2]uint64{9, 1},
 			Seq:              seq,
 			Zone:             zone,
 			UnhealthyServers: servers,
-			ServerCount:      simulatedList,
+			ServerCount:      simulatedServers,
 		}})
 	}
 	vote("n1", "a", 2, "s1", "s1", "s1")
--- a/internal/standalone/fleet/quotashare/sending.go
+++ b/internal/standalone/fleet/quotashare/sending.go
@@ -3,12 +3,12 @@
 import "slices"
 
 const (
-	fastSendInterval = 0.25 // s between messages to a gateway while something is lent or grants are used
-	slowSendInterval = 1.0  // s otherwise
+	fastSendInterval = 0.25 // seconds between messages to a peer while loans or grants are in use
+	slowSendInterval = 1.0  // seconds between messages to a peer otherwise
 )
 
-// sendMessages sends to each gateway the reports of the customers that it shares with this one, and this
-// ingress's verdicts on servers to it and to some other ingresses in turn.
+// sendMessages sends each other gateway the reports on the customers that it shares with this ingress. The messages
+// also carry this ingress's votes against servers, which go to some further ingresses in turn.
 func (a *Allocator) sendMessages(now Seconds, alive []string) (actions []Action) {
 	reports := a.customerReports(now, alive)
 	receivers := map[string]bool{}
@@ -29,8 +29,8 @@
 	return actions
 }
 
-// customerReports returns the reports to each other gateway that is alive. Beyond the bound of a message there are only
-// those with a loan.
+// customerReports returns the reports for each other gateway that is alive. Once a gateway has maxCustomersPerMessage
+// reports, only reports with a loan are added.
 func (a *Allocator) customerReports(now Seconds, alive []string) map[string][]CustomerReport {
 	isAlive := make(map[string]bool, len(alive))
 	for _, name := range alive {
@@ -60,18 +60,18 @@
 	return reports
 }
 
-// sendInterval is the time until the next message to a peer, in seconds.
+// sendInterval returns the time until the next message to a peer, in seconds.
 func (p *peer) sendInterval(now Seconds, reports []CustomerReport) Seconds {
 	if slices.ContainsFunc(reports, func(r CustomerReport) bool { return r.UsesGrants }) {
 		return fastSendInterval
 	}
-	if slices.ContainsFunc(p.sent, func(s sentMessage) bool { return len(s.lent) > 0 && s.mayBeUsed(now) }) {
+	if slices.ContainsFunc(p.sent, func(s sentMessage) bool { return len(s.lent) > 0 && s.isLoanUsable(now) }) {
 		return fastSendInterval
 	}
 	return slowSendInterval
 }
 
-// newMessage returns the next message to a peer, and remembers what it lends.
+// newMessage returns the next message to a peer, and remembers the loans in it.
 func (a *Allocator) newMessage(now Seconds, p *peer, reports []CustomerReport) Message {
 	p.sentSeq++
 	m := Message{
--- a/internal/standalone/fleet/quotashare/simulation_test.go
+++ b/internal/standalone/fleet/quotashare/simulation_test.go
@@ -12,40 +12,40 @@
 )
 
 const (
-	simulationStep  = 0.1  // s
-	simulatedQuota  = 40.0 // units a second of each customer
-	simulatedList   = 9    // servers
-	simulatedTTL    = 9    // s of the counter's names
-	quotaTolerance  = 1e-9 // of the sum of grants
-	settleTime      = 10.0 // s without the counter until the use of quotas is measured
-	counterDownFrom = 5.0  // s
+	simulationStep   = 0.1  // length of a step, seconds
+	simulatedQuota   = 40.0 // quota of each customer, units a second
+	simulatedServers = 9    // servers in each endpoint list
+	simulatedTTL     = 9    // TTL of the counter's names, seconds
+	quotaTolerance   = 1e-9 // fraction by which grants may exceed a quota, for rounding
+	settleTime       = 10.0 // seconds without the counter until the use of quotas is measured
+	counterDownFrom  = 5.0  // start of the counter's outage, seconds
 )
 
 // ingress is one gateway of a simulation.
 type ingress struct {
-	name       string
-	number     int
-	clockRate  float64
-	allocator  *Allocator
-	boot       uint64
-	up         bool
-	stopped    float64 // suspended until then
-	counterCut bool    // its link to the counter is partitioned
-	startedAt  float64
-	grants     map[string]QuotaGrant
-	until      Seconds // of the grants
+	name               string
+	number             int     // index in the fleet
+	clockRate          float64 // seconds of its clock per simulated second
+	allocator          *Allocator
+	boot               uint64
+	up                 bool
+	suspendedUntil     float64 // simulated time, seconds
+	counterUnreachable bool    // whether its link to the counter is partitioned
+	startedAt          float64
+	grants             map[string]QuotaGrant
+	grantsUntil        Seconds // end of the grants by its own clock
 }
 
 // envelope is a message in flight.
 type envelope struct {
-	at      float64
+	at      float64 // arrival, simulated time in seconds
 	from    int
 	to      int
-	boot    uint64 // of the receiver when it was sent
+	boot    uint64 // boot number of the receiver when the message was sent
 	message Message
 }
 
-// link is the direction from one ingress to another.
+// link is one direction of the connection between two ingresses.
 type link struct{ from, to int }
 
 // simulation is a fleet with customers that send requests, a counter, and a faulty network.
@@ -53,7 +53,7 @@
 	rng       *rand.Rand
 	now       float64
 	ingresses []*ingress
-	gateways  int // of each customer
+	gateways  int // number of gateways of each customer
 
 	customers    []string
 	firstGateway map[string]int
@@ -61,18 +61,18 @@
 
 	inFlight    []envelope
 	partitioned map[link]bool
-	loss        float64 // fraction of messages
-	maxDelay    float64 // s
-	messages    int     // sent
+	loss        float64 // fraction of messages that are lost
+	maxDelay    float64 // seconds
+	messages    int     // number of messages sent
 
 	counterDown  bool
-	counterSplit bool               // each half of the ingresses uses another counter
-	totals       map[string]float64 // of the counter by name
+	counterSplit bool               // whether the ingresses with odd numbers use a second counter
+	totals       map[string]float64 // totals of the counter by name
 
-	violation           string  // what was wrong; empty: nothing
-	withoutCounterSince float64 // since when no ingress trusts the counter; 0: some does
-	maxQuotaFraction    float64 // greatest sum of grants as a fraction of the quota, without the counter
-	unused              float64 // demand within the quota that the grants did not allow, without the counter
+	violation           string  // first violation of the invariant; empty if there is none
+	withoutCounterSince float64 // time since when no ingress trusts the counter; 0 if one does
+	maxQuotaFraction    float64 // greatest sum of a customer's grants without the counter, as a fraction of its quota
+	ungranted           float64 // demand within the quota that was not granted without the counter
 	demandSum           float64 // demand within the quota, without the counter
 }
 
@@ -98,13 +98,13 @@
 		name := fmt.Sprintf("%016x", i)
 		s.customers = append(s.customers, name)
 		s.firstGateway[name] = s.rng.IntN(ingresses)
-		s.drawDemand(name)
+		s.randomizeDemand(name)
 	}
 	return s
 }
 
-// drawDemand has a customer send requests for about its quota, most of them to one gateway.
-func (s *simulation) drawDemand(customer string) {
+// randomizeDemand draws a demand of 0.3 to 1.5 times the quota for a customer, most of it at one gateway.
+func (s *simulation) randomizeDemand(customer string) {
 	rates := make([]float64, s.gateways)
 	total := simulatedQuota * (0.3 + 1.2*s.rng.Float64())
 	busy := s.rng.IntN(s.gateways)
@@ -117,13 +117,13 @@
 	s.demand[customer] = rates
 }
 
-// clock is the time by an ingress's own clock.
+// clock returns the present time by an ingress's own clock.
 func (s *simulation) clock(i *ingress) Seconds { return 1000*float64(i.number) + s.now*i.clockRate }
 
 func (s *simulation) start(i *ingress) {
 	i.boot++
 	i.up = true
-	i.stopped = 0
+	i.suspendedUntil = 0
 	i.grants = nil
 	i.startedAt = s.now
 	i.allocator = New(s.clock(i), Options{
@@ -136,7 +136,7 @@
 }
 
 // isRunning reports whether an ingress is neither killed nor suspended.
-func (s *simulation) isRunning(i *ingress) bool { return i.up && s.now >= i.stopped }
+func (s *simulation) isRunning(i *ingress) bool { return i.up && s.now >= i.suspendedUntil }
 
 func (s *simulation) gateway(customer string, g int) *ingress {
 	return s.ingresses[(s.firstGateway[customer]+g)%len(s.ingresses)]
@@ -148,7 +148,7 @@
 		case SendMessage:
 			s.send(i, a)
 		case SetGrants:
-			i.until = a.Until
+			i.grantsUntil = a.Until
 			i.grants = map[string]QuotaGrant{}
 			for _, g := range a.Grants {
 				i.grants[g.Customer] = g
@@ -157,7 +157,7 @@
 	}
 }
 
-// send puts a message on the network, which may lose, double and delay it.
+// send puts a message on the network, which may lose, duplicate and delay it.
 func (s *simulation) send(from *ingress, a SendMessage) {
 	s.messages++
 	var to int
@@ -176,7 +176,7 @@
 	}
 }
 
-// deliver has the messages received that are due.
+// deliver delivers the messages that are due to the ingresses that are still running.
 func (s *simulation) deliver() {
 	slices.SortStableFunc(s.inFlight, func(a, b envelope) int { return cmp.Compare(a.at, b.at) })
 	due := 0
@@ -190,10 +190,10 @@
 	s.inFlight = s.inFlight[due:]
 }
 
-// callCounter adds to a name of the counter and applies the answer.
+// callCounter adds an amount to a name of the counter, and passes the answer to the ingress.
 func (s *simulation) callCounter(i *ingress, name string, amount float64) {
 	i.allocator.Step(s.clock(i), CounterCall{Name: name, Amount: amount, TTL: simulatedTTL})
-	if s.counterDown || i.counterCut {
+	if s.counterDown || i.counterUnreachable {
 		s.execute(i, i.allocator.Step(s.clock(i), CounterAnswer{Name: name}))
 		return
 	}
@@ -210,7 +210,7 @@
 	}))
 }
 
-// sendRequests has the customers send a step's requests, and the gateways report them to the counter every two seconds.
+// sendRequests simulates one step of the customers' requests. The gateways add to the counter every two seconds.
 func (s *simulation) sendRequests() {
 	for _, name := range s.customers {
 		for g, rate := range s.demand[name] {
@@ -232,7 +232,7 @@
 	}
 }
 
-// step lets simulationStep pass.
+// step advances the simulation by simulationStep.
 func (s *simulation) step() {
 	s.now += simulationStep
 	names, alive := map[int]string{}, []string{}
@@ -249,19 +249,20 @@
 			continue
 		}
 		peers := slices.DeleteFunc(slices.Clone(alive), func(name string) bool { return name == i.name })
-		tick := Tick{Ingresses: names, AlivePeers: peers, ServerCount: simulatedList}
+		tick := Tick{Ingresses: names, AlivePeers: peers, ServerCount: simulatedServers}
 		s.execute(i, i.allocator.Step(s.clock(i), tick))
 	}
 	s.checkInvariant()
 }
 
-// usable is what an ingress may use of a customer's quota, by its own clock; also if it has just resumed.
+// usable returns the part of a customer's quota that an ingress may use by its own clock, in units a second. It also
+// counts a suspended ingress, because that could use its grants as soon as it resumes.
 func (s *simulation) usable(i *ingress, customer string) float64 {
 	g, known := i.grants[customer]
 	if !known || !i.up || g.Scaled {
 		return 0
 	}
-	if s.clock(i) > i.until {
+	if s.clock(i) > i.grantsUntil {
 		return g.Reserved
 	}
 	return g.Rate
@@ -277,7 +278,8 @@
 	})
 }
 
-// checkInvariant compares the sum of a customer's grants with its quota, while no ingress trusts the counter.
+// checkInvariant checks that the grants of each customer don't exceed its quota, while no ingress trusts the counter.
+// It also measures how much of the demand is granted.
 func (s *simulation) checkInvariant() {
 	if s.isCounterTrusted() {
 		s.withoutCounterSince = 0
@@ -304,12 +306,12 @@
 		}
 		if s.now > s.withoutCounterSince+settleTime {
 			s.demandSum += min(demand, simulatedQuota)
-			s.unused += max(0, min(demand, simulatedQuota)-used)
+			s.ungranted += max(0, min(demand, simulatedQuota)-used)
 		}
 	}
 }
 
-// injectFault draws a fault, or the end of one.
+// injectFault injects a random fault or ends one, or changes the demand of a customer.
 func (s *simulation) injectFault() {
 	i := s.ingresses[s.rng.IntN(len(s.ingresses))]
 	switch s.rng.IntN(10) {
@@ -322,7 +324,7 @@
 	case 3:
 		clear(s.partitioned)
 	case 4:
-		i.stopped = s.now + 10*s.rng.Float64()
+		i.suspendedUntil = s.now + 10*s.rng.Float64()
 	case 5:
 		i.up = false
 		if s.rng.IntN(2) == 0 { // restarted at once, without state
@@ -335,7 +337,7 @@
 			}
 		}
 	default:
-		s.drawDemand(s.customers[s.rng.IntN(len(s.customers))])
+		s.randomizeDemand(s.customers[s.rng.IntN(len(s.customers))])
 	}
 }
 
@@ -354,7 +356,7 @@
 	return s
 }
 
-// longRun reports whether the long variants of tests are asked for.
+// longRun reports whether the long variants of the tests are enabled.
 func longRun() bool { return os.Getenv("MULLEIN_LONG") != "" }
 
 func TestGrantsStayWithinQuota(t *testing.T) {
@@ -369,7 +371,7 @@
 			t.Fatalf("seed %d: %s", seed, s.violation)
 		}
 		maxFraction = max(maxFraction, s.maxQuotaFraction)
-		unused += s.unused
+		unused += s.ungranted
 		demand += s.demandSum
 	}
 	t.Logf("%d scenarios: the gateways of a customer have at most %.4f of its quota; "+
@@ -380,8 +382,8 @@
 	}
 }
 
-// TestQuotaUseWithoutCounter measures how much of the demand is granted without the counter, by fault and size of the
-// fleet. MULLEIN_LONG=1 runs 4, 16, 80 and 300 ingresses, the last two with 10,000 customers.
+// TestQuotaUseWithoutCounter checks how much of the demand is granted without the counter, for several faults and sizes
+// of the fleet. With MULLEIN_LONG=1 it runs 4, 16, 80 and 300 ingresses, the last two with 10,000 customers.
 func TestQuotaUseWithoutCounter(t *testing.T) {
 	type size struct{ ingresses, customers int }
 	sizes := []size{{4, 20}}
@@ -392,13 +394,13 @@
 		name      string
 		fault     func(s *simulation)
 		maxUnused float64 // fraction of the demand within the quota
-		large     bool    // also run with the large sizes: half an hour each
+		large     bool    // also run with the large sizes, which take half an hour each
 	}{
 		{"the counter is down", func(*simulation) {}, 0.03, true},
 		{"busy gateways change twice", func(s *simulation) {
 			if s.now > 20 && s.now < 20.15 || s.now > 30 && s.now < 30.15 {
 				for _, name := range s.customers {
-					s.drawDemand(name)
+					s.randomizeDemand(name)
 				}
 			}
 		}, 0.13, false},
@@ -424,7 +426,7 @@
 			t.Run(fmt.Sprintf("%s, %d ingresses", tc.name, size.ingresses), func(t *testing.T) {
 				s := newSimulation(3, size.ingresses, size.customers, 3)
 				trustedAfter := runOutage(s, tc.fault)
-				unused := s.unused / max(1, s.demandSum)
+				unused := s.ungranted / max(1, s.demandSum)
 				messages := float64(s.messages) / s.now / float64(size.ingresses)
 				t.Logf("at most %.3f of a quota, %4.1f%% of the demand not granted, "+
 					"counter trusted %.1f s after its return, %.0f messages a second and ingress",
@@ -449,7 +451,8 @@
 	}
 }
 
-// runOutage runs 50 s of which the counter is down for 35, and returns how long after its return it was trusted again.
+// runOutage simulates 50 s, with the counter down for 35 s of them. It returns the time from the end of the outage
+// until the counter was trusted again, in seconds; 0 if it was not.
 func runOutage(s *simulation, fault func(s *simulation)) (trustedAfter float64) {
 	const counterDownUntil, end = 40.0, 50.0
 	for s.now < end {
--- a/internal/standalone/fleet/quotashare/status.go
+++ b/internal/standalone/fleet/quotashare/status.go
@@ -24,7 +24,7 @@
 		if p == nil {
 			continue
 		}
-		if rate := p.maxBelieved(now, name); rate > 0 {
+		if rate := p.maxUsableLoan(now, name); rate > 0 {
 			s.LentTo = append(s.LentTo, Loan{Peer: gateway, Rate: rate})
 		}
 		if rate := p.borrowed[name]; rate > 0 && now < p.borrowedUntil {
@@ -34,13 +34,13 @@
 	return s
 }
 
-// CounterTrusted reports whether the counter is trusted, and why it was not the last time.
+// CounterTrusted reports whether the counter is trusted, and the reason of the last change of its trust.
 func (a *Allocator) CounterTrusted() (trusted bool, reason string) {
 	return a.health.trusted, a.health.reason
 }
 
-// Rejected returns how many messages changed nothing.
+// Rejected returns the number of messages that were rejected and changed nothing.
 func (a *Allocator) Rejected() int { return a.rejected }
 
-// WarnedServers returns the servers that other ingresses find unhealthy.
+// WarnedServers returns the servers that enough other ingresses find unhealthy.
 func (a *Allocator) WarnedServers() []string { return a.warned }
--- a/internal/standalone/fleet/quotashare/votes.go
+++ b/internal/standalone/fleet/quotashare/votes.go
@@ -6,32 +6,32 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Each ingress sends a few others at a time the servers that it finds unhealthy by its own evidence. What it
-// received is not passed on, so that a rumour can't feed itself. A server is warned of while enough ingresses
-// with recent messages vote against it. The decision module goes by its own recent evidence first: a warned
-// server only costs more.
+// Each ingress sends the servers that it observes to be unhealthy to a few other ingresses at a time. It doesn't
+// forward the votes that it receives, because votes could then confirm themselves in a loop. A server is warned of
+// while enough ingresses with recent messages vote against it. The decision module's own recent observations take
+// precedence; a warning only raises the cost of a server.
 const (
-	votesPerRound        = 4   // ingresses that are sent the votes at a time
-	voteTTL              = 6.0 // s
-	minVotes             = 3   // of different ingresses; of all, where fewer are alive
-	warnedServersDivisor = 3   // at most one in so many servers of the endpoint list is warned of
-	maxVotesPerPeer      = 64
+	votesPerRound        = 4   // receivers of the votes per round of messages
+	voteTTL              = 6.0 // validity of a vote, seconds
+	minVotes             = 3   // votes of different ingresses that are needed for a warning; see suspectServers
+	warnedServersDivisor = 3   // at most 1/3 of the endpoint list is warned of
+	maxVotesPerPeer      = 64  // a message with more votes is ignored
 )
 
-// isCredible reports whether a message's votes count. One against more than a third of the sender's servers
-// rather tells that the sender is unhealthy.
+// isCredible reports whether the votes in a message count. Votes against more than a third of the sender's servers
+// rather indicate that the sender itself is unhealthy.
 func (m Message) isCredible() bool {
 	return len(m.UnhealthyServers) <= max(1, m.ServerCount)/3 && len(m.UnhealthyServers) <= maxVotesPerPeer
 }
 
-// voteReceivers returns the next ingresses to be sent this one's votes; none if it finds no server unhealthy.
+// voteReceivers returns the ingresses to which the votes are sent next, in turn; none if there are no votes.
 func (a *Allocator) voteReceivers(alive []string) (names []string) {
 	if len(a.unhealthyServers) == 0 || len(alive) == 0 {
 		return nil
 	}
 	for range min(votesPerRound, len(alive)) {
-		a.voteTurn++
-		names = append(names, alive[a.voteTurn%len(alive)])
+		a.voteReceiverCursor++
+		names = append(names, alive[a.voteReceiverCursor%len(alive)])
 	}
 	return names
 }
@@ -39,23 +39,25 @@
 // ballot is the votes against one server.
 type ballot struct {
 	votes int
-	zones map[string]bool // of the voters
+	zones map[string]bool // zones of the voters
 }
 
-// suspectServers returns the servers with enough votes against them, by name.
+// suspectServers returns the servers with enough votes against them, sorted by name. Enough are minVotes, or the votes
+// of all ingresses with recent messages if these are fewer, but at least two.
 func (a *Allocator) suspectServers(now Seconds) (servers []string) {
 	ballots, voters, zones := a.countVotes(now)
 	for _, server := range sortedKeys(ballots) {
 		b := ballots[server]
-		// A zone that is partitioned finds all servers elsewhere unhealthy. Where there are several zones, the votes of
-		// one don't count for the others.
+		// A partitioned zone finds all servers elsewhere unhealthy. If there are several zones, the votes of a single
+		// other zone are therefore not enough.
 		zonesSuffice := len(zones) < 2 || b.zones[a.options.Zone] || len(b.zones) > 1
 		if b.votes >= min(minVotes, max(2, voters)) && zonesSuffice {
 			servers = append(servers, server)
 		}
 	}
 	if limit := a.serverCount / warnedServersDivisor; len(servers) > limit && !mutants.On("quotashare/warned-all") {
-		// So many are no outliers: the voters may have a bad link. Those with the most votes count.
+		// So many servers can't all be outliers; the voters may have a bad link. Only the ones with the most votes are
+		// returned.
 		slices.SortStableFunc(servers, func(x, y string) int { return ballots[y].votes - ballots[x].votes })
 		servers = servers[:limit]
 		slices.Sort(servers)
@@ -64,7 +66,7 @@
 }
 
 // countVotes returns the recent votes by server, the number of ingresses with recent messages, and the zones of these
-// and of this ingress.
+// ingresses and of this one.
 func (a *Allocator) countVotes(now Seconds) (ballots map[string]*ballot, voters int, zones map[string]bool) {
 	ballots = map[string]*ballot{}
 	zones = map[string]bool{a.options.Zone: true}
--- a/internal/standalone/fleet/quotasync/report.go
+++ b/internal/standalone/fleet/quotasync/report.go
@@ -2,19 +2,19 @@
 
 import "mulleinrouter/internal/standalone/fleet/quotashare"
 
-// Report is the state of shared quotas, as operators see it in JSON.
+// Report is the state of the shared quotas, as operators see it in JSON.
 type Report struct {
 	CounterTrusted bool `json:"sound"`
-	// Reason is why the counter is not trusted, or was not the last time.
+	// Reason is why the counter is not trusted. It is empty if the counter is trusted or there is none.
 	Reason        string              `json:"why,omitempty"`
-	Rejected      int                 `json:"refused"` // messages that changed nothing
-	Lent          float64             `json:"given"`   // units a second to others
-	Borrowed      float64             `json:"taken"`   // units a second from others
+	Rejected      int                 `json:"refused"` // number of messages that changed nothing
+	Lent          float64             `json:"given"`   // units a second lent to others
+	Borrowed      float64             `json:"taken"`   // units a second borrowed from others
 	WarnedServers []string            `json:"warned,omitempty"`
 	Customers     []quotashare.Status `json:"members,omitempty"`
 }
 
-// Report returns the state with the details of one customer; empty: of all.
+// Report returns the state with the details of one customer, or of all customers if customer is empty.
 func (s *Service) Report(customer string) Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standalone/fleet/quotasync/service.go
+++ b/internal/standalone/fleet/quotasync/service.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	quotaTopic gossip.Topic = 10
+	quotaTopic gossip.Topic = 10 // for quotashare.Message
 
 	tickInterval = 100 * time.Millisecond
-	maxTickDelay = time.Second // a tick that is later shows that the process was suspended
-	queueLength  = 1024        // messages that wait to be applied; more are dropped, as on the network
+	maxTickDelay = time.Second // time since the last tick after which the process counts as suspended
+	queueLength  = 1024        // messages; further ones are dropped, like messages that the network loses
 )
 
-// Gossip is what the service needs of the fleet's gossip.
+// Gossip is the part of the fleet's gossip that the service uses.
 type Gossip interface {
 	Send(name string, topic gossip.Topic, data []byte)
-	Handle(topic gossip.Topic, take func(from string, data []byte))
+	Handle(topic gossip.Topic, handler func(from string, data []byte))
 	AliveMembers() []string
 	MemberNames() map[int]string
-	Left() bool // this process left the fleet, or another one took its name
+	Left() bool // whether this process has left the fleet, or another process uses its name
 }
 
-// Engine carries out the decisions and knows the health of servers.
+// Engine enforces the grants and warnings, and knows the health of servers.
 type Engine interface {
 	SetGrants(all []decision.QuotaGrant, lease decision.Seconds)
 	SetSuspects(servers []string)
@@ -39,15 +39,15 @@
 	PoolSize() (listed, avoided int)
 }
 
-// Options are those of a process.
+// Options are the options of a Service.
 type Options struct {
 	quotashare.Options
 	Gossip    Gossip
-	ClockRate float64 // seconds of the service's clock in a second: 1, except in fault tests
+	ClockRate float64 // seconds of the service's clock per second: 1, except in fault tests of clock drift
 	Log       log.Logger
 }
 
-// Service divides quotas for one ingress. It implements engine.QuotaSharer and is safe for concurrent use.
+// Service runs the allocator of one ingress. It implements engine.QuotaSharer and is safe for concurrent use.
 type Service struct {
 	options   Options
 	startedAt time.Time
@@ -57,7 +57,7 @@
 	allocator *quotashare.Allocator
 }
 
-// New returns a service that receives messages, and sends nothing until Run.
+// New returns a service that queues received messages. It applies them and sends messages only during Run.
 func New(o Options) *Service {
 	s := &Service{
 		options:   o,
@@ -69,7 +69,8 @@
 	return s
 }
 
-// enqueue takes a message of another ingress without waiting. What can't be decoded is dropped.
+// enqueue queues a message of another ingress without blocking. The message is dropped if it can't be decoded or the
+// queue is full.
 func (s *Service) enqueue(from string, data []byte) {
 	var m quotashare.Message
 	if cbor.Unmarshal(data, &m) != nil {
@@ -85,8 +86,8 @@
 	return time.Since(s.startedAt).Seconds() * s.options.ClockRate
 }
 
-// ObserveRequest reports a request of a customer: the index of its first gateway, their number, its quota in units a
-// second, and the request's units.
+// ObserveRequest reports a request of a customer, with the index of the customer's first gateway, the number of its
+// gateways, its quota in units a second, and the units of the request.
 func (s *Service) ObserveRequest(customer string, firstGateway, gateways int, quota, units float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,15 +100,15 @@
 	})
 }
 
-// ObserveCounterCall reports a call of the counter that starts. ttl is for how long the counter keeps the name.
+// ObserveCounterCall reports the start of a call to the counter. ttl is how long the counter keeps the name.
 func (s *Service) ObserveCounterCall(name string, amount float64, ttl decision.Seconds) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.allocator.Step(s.now(), quotashare.CounterCall{Name: name, Amount: amount, TTL: ttl})
 }
 
-// ObserveCounterReply reports the outcome of a call, and returns the one that the decision module is to use: while the
-// counter is not trusted, a total counts as a failed call.
+// ObserveCounterReply reports the outcome of a call to the counter, and returns the outcome that the decision module
+// must use: while the counter is not trusted, a call that returned a total counts as failed.
 func (s *Service) ObserveCounterReply(name string, outcome decision.Outcome, total float64) decision.Outcome {
 	succeeded := outcome == decision.Succeeded
 	answer := quotashare.CounterAnswer{
@@ -162,7 +163,8 @@
 	})
 }
 
-// step applies an event and carries out its actions. The mutex is not held meanwhile: the engine calls back.
+// step applies an event and carries out its actions. The mutex is not held while actions are carried out, because the
+// engine calls back into the service.
 func (s *Service) step(e Engine, event quotashare.Event) {
 	s.mu.Lock()
 	actions := s.allocator.Step(s.now(), event)
