--- a/internal/standalone/fleet/leaseservice/announcer.go
+++ b/internal/standalone/fleet/leaseservice/announcer.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// announceWork is the work of RoleCatalogue. It tells the revision log when the lease is gained and lost; the log
-// announces while it holds the lease.
+// announceWork is the work of RoleCatalogue. It reports the gain and the loss of the lease to the revision log, which
+// announces revisions in between.
 func (a *Announcer) announceWork(ctx context.Context, token func() (uint64, bool)) error {
 	if gained, ok := token(); ok {
 		a.enqueueBlocking(revisionlog.LeaseGained{Token: gained})
--- a/internal/standalone/fleet/leaseservice/export.go
+++ b/internal/standalone/fleet/leaseservice/export.go
@@ -21,9 +21,9 @@
 const FencingTokenHeader = "X-Fencing-Token"
 
 const (
-	maxBatchBytes    = 2 << 20          // size of a compressed batch
-	maxResponseBytes = 64 << 10         // part of a response of billing that is read
-	exportTimeout    = 10 * time.Second // wait of the exporting ingress for the lease holder
+	maxBatchBytes    = 2 << 20          // bytes of a compressed batch
+	maxResponseBytes = 64 << 10         // bytes that are read of a response from billing
+	exportTimeout    = 10 * time.Second // wait of the exporting ingress for the lease holder's response
 
 	// minExportTime is the shortest time limit for an export at the lease holder, in seconds. A longer limit ends with
 	// the lease.
@@ -33,8 +33,8 @@
 	// because another ingress may be able to reach billing.
 	unreachableTimeout = 4 * time.Second
 
-	maxBillingConns        = 8
-	billingConnIdleTimeout = 5 * time.Second
+	maxBillingConns        = 8               // connections to billing at a time
+	billingConnIdleTimeout = 5 * time.Second // idle time after which a connection to billing is closed
 )
 
 // exportRequest is a request to billing, as the exporting ingress sends it to the lease holder.
--- a/internal/standalone/fleet/leaseservice/service.go
+++ b/internal/standalone/fleet/leaseservice/service.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	tickInterval   = 100 * time.Millisecond
-	stallThreshold = time.Second // time without a tick after which the process counts as paused
-	inboxSize      = 1024        // messages; further ones are dropped, like messages that the network loses
-	storeFile      = "votes.db"  // name of a voter's store in Options.Dir
-	tokenBaseShift = 20          // bits by which the Unix time is shifted to get the token base, see quorum.Open
+	tickInterval   = 100 * time.Millisecond // time between two ticks of the lease holder, and of the voter
+	stallThreshold = time.Second            // time without a tick after which the process counts as paused
+	inboxSize      = 1024                   // messages; further ones are dropped, like messages that the network loses
+	storeFile      = "votes.db"             // name of a voter's store in Options.Dir
+	tokenBaseShift = 20                     // bits by which Unix time is shifted for the token base, see quorum.Open
 )
 
 // Service runs the leases of one ingress. Its methods are safe for concurrent use.
--- a/internal/standalone/fleet/leaseservice/voter.go
+++ b/internal/standalone/fleet/leaseservice/voter.go
@@ -30,8 +30,9 @@
 	}
 }
 
-// runWaitingSteps executes the queued steps. It is called before each tick: if a slow disk has delayed the voter, the
-// queued renewals must be handled before the tick would expire their leases.
+// runWaitingSteps executes the queued steps. It is called before each tick and at the end of runVoter. If a slow disk
+// has delayed the voter, the queued renewals must be handled before the tick, which would otherwise expire their
+// leases.
 func (s *Service) runWaitingSteps() {
 	for range len(s.voterSteps) {
 		step := <-s.voterSteps
--- a/internal/standalone/fleet/leaseservice/voter_test.go
+++ b/internal/standalone/fleet/leaseservice/voter_test.go
@@ -62,7 +62,7 @@
 	resume := store.hang()
 	t.Cleanup(resume)
 	other := newRecordedWork()
-	s.AddRole("other", "", other.run) // storing its grant hangs
+	s.AddRole("other", "", other.run) // the voter must store its grant
 	receive(t, "store hangs", store.saving)
 	checked := make(chan struct{})
 	go func() {
--- a/internal/standalone/fleet/quotashare/allocator.go
+++ b/internal/standalone/fleet/quotashare/allocator.go
@@ -6,12 +6,12 @@
 
 // Limits on the state and on messages, which bound memory and reject invalid values.
 const (
-	maxCustomers           = 20000
-	maxCustomersPerMessage = 2000
-	maxPeers               = 1024
-	maxSentMessages        = 64  // remembered for one peer
-	maxNameBytes           = 64  // length of the name of an ingress, customer or counter entry
-	maxRate                = 1e9 // units a second; greater values are rejected
+	maxCustomers           = 20000 // customers with state
+	maxCustomersPerMessage = 2000  // reports
+	maxPeers               = 1024  // other ingresses with state
+	maxSentMessages        = 64    // remembered for one peer
+	maxNameBytes           = 64    // length of the name of an ingress, customer or counter entry
+	maxRate                = 1e9   // units a second; greater values are rejected
 )
 
 // idleTTL is the time after which a customer without requests or a silent peer is removed, in seconds.
--- a/internal/standalone/fleet/quotashare/counterhealth.go
+++ b/internal/standalone/fleet/quotashare/counterhealth.go
@@ -18,7 +18,7 @@
 	// initialDistrust is how long the counter is distrusted after the first impossible total, in seconds. It is longer
 	// than a counter cycle, and is doubled with each further impossible total up to maxDistrust.
 	initialDistrust    = 8.0
-	maxDistrust        = 64.0  // seconds
+	maxDistrust        = 64.0  // longest distrust after an impossible total, seconds
 	distrustResetAfter = 120.0 // seconds without an impossible total until the next one counts as the first
 
 	relativeTolerance = 2e-5 // fraction of a total, allowed for rounding
@@ -27,11 +27,11 @@
 	// nameTTLFactor is the fraction of a name's TTL during which its totals are checked. The counter's TTL starts with
 	// the first call of any ingress, so the name may expire earlier than the TTL after this ingress's first call.
 	nameTTLFactor        = 0.8
-	maxNameTTL           = 60.0 // seconds
-	maxCounterNames      = 4096
-	maxCallsInFlight     = 16 // tracked for one name
-	maxPeersPerName      = 16 // peers whose totals of a name are remembered
-	maxTotalsPerCustomer = 4  // in a report to another gateway
+	maxNameTTL           = 60.0 // longest time for which a name is tracked, before the factor; seconds
+	maxCounterNames      = 4096 // names with state
+	maxCallsInFlight     = 16   // tracked for one name
+	maxPeersPerName      = 16   // peers whose totals of a name are remembered
+	maxTotalsPerCustomer = 4    // in a report to another gateway
 )
 
 // counterNameState is the local state of one name of the counter.
@@ -65,8 +65,8 @@
 	names      map[string]*counterNameState
 
 	lastAnswer      Seconds
-	unanswered      int // calls since the last answer
-	answeredInRow   int
+	unanswered      int     // calls since the last answer
+	answeredInRow   int     // answered calls since the last unanswered one or impossible total
 	distrustedUntil Seconds // end of the distrust after an impossible total
 	distrustFor     Seconds // length of the distrust after the last impossible total
 }
--- a/internal/standalone/fleet/quotashare/grants.go
+++ b/internal/standalone/fleet/quotashare/grants.go
@@ -19,7 +19,7 @@
 	// because no earlier process can have lent it.
 	ReservedShare = 0.25
 
-	leaseMargin = 0.1 // extra wait before a lender reclaims a loan, seconds
+	leaseMargin = 0.1 // extra wait beyond clock drift before a lender reclaims a loan, seconds
 	grantTTL    = 1.0 // seconds for which SetGrants is valid
 )
 
--- a/internal/standalone/fleet/quotashare/status.go
+++ b/internal/standalone/fleet/quotashare/status.go
@@ -34,7 +34,8 @@
 	return s
 }
 
-// CounterTrusted reports whether the counter is trusted, and the reason of the last change of its trust.
+// CounterTrusted reports whether the counter is trusted, and why it is distrusted. The reason is empty if the counter
+// is trusted or there is none.
 func (a *Allocator) CounterTrusted() (trusted bool, reason string) {
 	return a.health.trusted, a.health.reason
 }
--- a/internal/standalone/fleet/quotasync/service.go
+++ b/internal/standalone/fleet/quotasync/service.go
@@ -17,9 +17,9 @@
 const (
 	quotaTopic gossip.Topic = 10 // for quotashare.Message
 
-	tickInterval = 100 * time.Millisecond
-	maxTickDelay = time.Second // time since the last tick after which the process counts as suspended
-	queueLength  = 1024        // messages; further ones are dropped, like messages that the network loses
+	tickInterval = 100 * time.Millisecond // time between two ticks of the allocator
+	maxTickDelay = time.Second            // time since the last tick after which the process counts as suspended
+	queueLength  = 1024                   // messages; further ones are dropped, like messages that the network loses
 )
 
 // Gossip is the part of the fleet's gossip that the service uses.
--- a/internal/standalone/fleet/revisionlog/announcer.go
+++ b/internal/standalone/fleet/revisionlog/announcer.go
@@ -2,7 +2,7 @@
 
 import "mulleinrouter/internal/mutants"
 
-// peer is what a lease holder knows of another ingress.
+// peer is the state that a lease holder keeps of another ingress.
 type peer struct {
 	entries     map[uint64]Entry // its last inventory, by number; nil until one is received
 	nextQueryAt Seconds
--- a/internal/standalone/fleet/revisionlog/log.go
+++ b/internal/standalone/fleet/revisionlog/log.go
@@ -17,7 +17,7 @@
 	queryInterval  = 5.0                // time between two queries of a peer by the lease holder
 )
 
-// Log is the catalogue's revisions as one ingress knows them. It is not safe for concurrent use.
+// Log holds the catalogue's revisions that are known to one ingress. It is not safe for concurrent use.
 type Log struct {
 	entries   map[uint64]Entry // by number
 	lastToken uint64           // newest fencing token seen, in a message or by gaining the lease
@@ -30,7 +30,7 @@
 	conflicts    map[uint64]string // digests of local revisions that were reported as conflicts, by number
 	nextSubmitAt Seconds
 
-	announcer string // the last lease holder that sent a message
+	announcer string // name of the last lease holder that sent a message
 	rejected  int    // number of messages under an older token, or with too many entries
 
 	token     uint64 // token of the lease that this ingress holds; 0 if it holds none
@@ -62,7 +62,7 @@
 	return sortedByNumber(l.entries), l.lastToken
 }
 
-// Rejected returns how many messages were rejected.
+// Rejected returns the number of rejected messages.
 func (l *Log) Rejected() int { return l.rejected }
 
 // Step handles an event.
--- a/internal/standalone/fleet/revisionlog/simulation_test.go
+++ b/internal/standalone/fleet/revisionlog/simulation_test.go
@@ -44,7 +44,7 @@
 	leaseHolder string
 	lastNumber  uint64 // number of the latest revision
 
-	announced  map[announcement]string     // digests
+	announced  map[announcement]string     // digests by announcement
 	confirmed  map[string]map[uint64]Entry // by ingress and number
 	knownToken map[string]uint64           // by ingress
 	violation  string                      // the first one found; empty if none
--- a/internal/standalone/fleet/singleton/command.go
+++ b/internal/standalone/fleet/singleton/command.go
@@ -24,5 +24,5 @@
 	Role         string      `cbor:"2,keyasint"`
 	To           Identity    `cbor:"3,keyasint"`
 	Token        uint64      `cbor:"4,keyasint"`           // last token of the role known to the proposer
-	RenewedIndex uint64      `cbor:"5,keyasint,omitempty"` // Expire only: log index of the last renewal seen
+	RenewedIndex uint64      `cbor:"5,keyasint,omitempty"` // Expire only: RenewedIndex known to the proposer
 }
--- a/internal/standalone/fleet/singleton/lease_holder.go
+++ b/internal/standalone/fleet/singleton/lease_holder.go
@@ -12,7 +12,7 @@
 
 // Events of the LeaseHolder.
 type (
-	// Acquire has this ingress request a role from now on.
+	// Acquire makes this ingress request a role from now on.
 	Acquire struct{ Role, PreferredZone string }
 	// Resign releases a role and does not request it again until Acquire. It is used when the process ends or cannot do
 	// the role's work.
@@ -23,8 +23,8 @@
 	ResponseReceived struct{ Response AcquireResponse }
 	// WakeReceived reports a wake-up message of the leader; the next request is sent at once.
 	WakeReceived struct{}
-	// StallDetected reports that this process was paused. It must not act under any lease until the leader has
-	// responded to a request that was sent after the pause.
+	// StallDetected reports that this process was paused. The process must not act under any lease until the
+	// leader has responded to a request that was sent after the pause.
 	StallDetected struct{}
 	// LeaseHolderTick reports that time has passed, and the load of this ingress.
 	LeaseHolderTick struct{ Load float64 } // 0 to 1
@@ -67,7 +67,7 @@
 // roleLease is the local state of one role that this ingress requests.
 type roleLease struct {
 	preferredZone string
-	token         uint64  // 0: not held
+	token         uint64  // token of the lease; 0 if the role is not held
 	expiresAt     Seconds // LeaseDuration after the latest confirmed request was sent
 	acting        bool    // between LeaseGained and LeaseLost
 	steppingDown  bool    // StepDown was returned
--- a/internal/standalone/fleet/singleton/lease_manager.go
+++ b/internal/standalone/fleet/singleton/lease_manager.go
@@ -47,8 +47,8 @@
 		To       Identity
 		Response AcquireResponse
 	}
-	// Wake asks a member to send its next request at once, because the status of one of its roles has changed. The
-	// message may be lost.
+	// Wake asks a member to send its next request at once, because a role was granted to it or is being
+	// transferred. The message may be lost.
 	Wake struct{ Name string }
 )
 
