--- a/internal/standalone/fleet/leaseservice/announcer.go
+++ b/internal/standalone/fleet/leaseservice/announcer.go
@@ -221,7 +221,7 @@
 	Entries   []revisionlog.Entry `json:"entries"` // without texts
 }
 
-// Status returns the present state.
+// Status returns the current state.
 func (a *Announcer) Status() AnnouncerStatus {
 	a.mu.Lock()
 	entries, lastToken := a.log.Entries()
--- a/internal/standalone/fleet/leaseservice/record.go
+++ b/internal/standalone/fleet/leaseservice/record.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// record returns the present record.
+// record returns the current record.
 func (s *Service) record() Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standalone/fleet/leaseservice/roles.go
+++ b/internal/standalone/fleet/leaseservice/roles.go
@@ -164,8 +164,8 @@
 	r.ended = make(chan struct{})
 	s.workers.Go(func() {
 		err := r.run(ctx, func() (uint64, bool) {
-			present, ok := s.FencingToken(name)
-			return present, ok && present == token
+			current, ok := s.FencingToken(name)
+			return current, ok && current == token
 		})
 		s.workEnded(ctx, name, r, token, err)
 	})
@@ -182,8 +182,8 @@
 	close(r.ended)
 	if stopped {
 		s.stepLeaseHolder(singleton.SteppedDown{Role: name})
-		if present, ok := s.leaseHolder.FencingToken(s.now(), name); ok && present != token {
-			s.startWork(name, present) // the lease was gained again before the work had ended
+		if current, ok := s.leaseHolder.FencingToken(s.now(), name); ok && current != token {
+			s.startWork(name, current) // the lease was gained again before the work had ended
 		}
 		return
 	}
--- a/internal/standalone/fleet/leaseservice/service.go
+++ b/internal/standalone/fleet/leaseservice/service.go
@@ -188,13 +188,13 @@
 // logVoterStatus logs changes of the voter's status. It must be called on the goroutine of runVoter.
 func (s *Service) logVoterStatus() {
 	status := s.voter.Status()
-	present := voterStatus{status.State, status.Leader, fmt.Sprint(status.Voters)}
-	if present == s.voterStatus {
+	current := voterStatus{status.State, status.Leader, fmt.Sprint(status.Voters)}
+	if current == s.voterStatus {
 		return
 	}
-	s.voterStatus = present
+	s.voterStatus = current
 	level.Info(s.log("duty-voter")).Log("msg", "voter state changed",
-		"state", string(present.state), "leader", present.leader, "voters", present.voters, "why", status.Reason,
+		"state", string(current.state), "leader", current.leader, "voters", current.voters, "why", status.Reason,
 	)
 }
 
--- a/internal/standalone/fleet/quotashare/simulation_test.go
+++ b/internal/standalone/fleet/quotashare/simulation_test.go
@@ -117,7 +117,7 @@
 	s.demand[customer] = rates
 }
 
-// clock returns the present time by an ingress's own clock.
+// clock returns the current time by an ingress's own clock.
 func (s *simulation) clock(i *ingress) Seconds { return 1000*float64(i.number) + s.now*i.clockRate }
 
 func (s *simulation) start(i *ingress) {
--- a/internal/standalone/fleet/revisionlog/announcer.go
+++ b/internal/standalone/fleet/revisionlog/announcer.go
@@ -54,8 +54,8 @@
 	var missing []Entry
 	for _, e := range listed {
 		p.entries[e.Number] = e
-		present, known := l.entries[e.Number]
-		newer := known && present.Digest != e.Digest && e.Token > present.Token
+		existing, known := l.entries[e.Number]
+		newer := known && existing.Digest != e.Digest && e.Token > existing.Token
 		if e.Token < l.token && (newer || !known && l.wouldRetain(e.Number)) {
 			missing = append(missing, e)
 		}
@@ -73,7 +73,7 @@
 		if !e.validText() || e.Token >= l.token {
 			continue
 		}
-		if present, known := l.entries[e.Number]; known && (present.Digest == e.Digest || e.Token <= present.Token) {
+		if existing, known := l.entries[e.Number]; known && (existing.Digest == e.Digest || e.Token <= existing.Token) {
 			continue
 		}
 		l.entries[e.Number] = e
@@ -87,9 +87,9 @@
 // with other content, or are too low to be retained.
 func (l *Log) submitReceived(from string, entries []Entry) (actions []Action, changed bool) {
 	for _, e := range entries {
-		present, known := l.entries[e.Number]
+		existing, known := l.entries[e.Number]
 		switch {
-		case known && present.Digest == e.Digest:
+		case known && existing.Digest == e.Digest:
 		case known && !mutants.On("revisionlog/number-again") || !known && !l.wouldRetain(e.Number):
 			reject := Message{Kind: Reject, Token: l.token, Entries: []Entry{e.withoutText()}}
 			actions = append(actions, Send{from, reject})
@@ -182,11 +182,11 @@
 	changed := false
 	for _, e := range sortedByNumber(l.local) {
 		delete(l.local, e.Number)
-		present, known := l.entries[e.Number]
+		existing, known := l.entries[e.Number]
 		if !known && l.wouldRetain(e.Number) {
 			changed = true
 			actions = append(actions, l.announce(e))
-		} else if present.Digest != e.Digest {
+		} else if existing.Digest != e.Digest {
 			actions = append(actions, l.reportConflict(e)...)
 		}
 	}
--- a/internal/standalone/fleet/revisionlog/events.go
+++ b/internal/standalone/fleet/revisionlog/events.go
@@ -19,7 +19,7 @@
 	}
 	// RecordStored reports that a record is durable on disk.
 	RecordStored struct{ Record Record }
-	// Tick reports that time has passed, and the present members of the fleet.
+	// Tick reports that time has passed, and the current members of the fleet.
 	Tick struct {
 		LivePeers   []string // names of the other ingresses that are alive
 		LeaseHolder string   // name of the ingress that holds the catalogue lease; empty if unknown
--- a/internal/standalone/fleet/revisionlog/log_test.go
+++ b/internal/standalone/fleet/revisionlog/log_test.go
@@ -66,8 +66,8 @@
 
 func TestSimulatedFaults(t *testing.T) {
 	for seed := range uint64(100) {
-		if problem := simulate(seed); problem != "" {
-			t.Fatalf("seed %d: %s", seed, problem)
+		if violation := simulate(seed); violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
 	}
 }
--- a/internal/standalone/fleet/revisionlog/simulation_test.go
+++ b/internal/standalone/fleet/revisionlog/simulation_test.go
@@ -68,7 +68,7 @@
 }
 
 // simulate runs a fleet with the faults of a seed and returns the first violation of a rule; empty if there is none.
-func simulate(seed uint64) (problem string) {
+func simulate(seed uint64) (violation string) {
 	s := newSimulation(seed)
 	for ; s.now < simulatedSeconds; s.now += 0.1 {
 		faults := s.now < faultSeconds
--- a/internal/standalone/fleet/revisionlog/subscriber.go
+++ b/internal/standalone/fleet/revisionlog/subscriber.go
@@ -66,7 +66,7 @@
 		if !e.validText() || e.Token > l.lastToken {
 			continue
 		}
-		if present, known := l.entries[e.Number]; known && (present.Digest == e.Digest || e.Token < present.Token) {
+		if existing, known := l.entries[e.Number]; known && (existing.Digest == e.Digest || e.Token < existing.Token) {
 			continue
 		}
 		l.entries[e.Number] = e
--- a/internal/standalone/fleet/singleton/lease_holder.go
+++ b/internal/standalone/fleet/singleton/lease_holder.go
@@ -200,7 +200,7 @@
 // applyStatus applies the status of one role from a response. sentAt is when the request was sent.
 func (lh *LeaseHolder) applyStatus(now, sentAt Seconds, lease *roleLease, status RoleStatus) []LeaseHolderAction {
 	switch {
-	case status.Token < lease.token: // a response that is older than the present lease
+	case status.Token < lease.token: // a response that is older than the current lease
 		return nil
 	case status.IsHolder && !status.Confirmed && status.Token > lease.token && !lease.releasing:
 		// The role was granted. The lease starts with the next request, which is the first to carry the token.
--- a/internal/standalone/fleet/singleton/lease_manager.go
+++ b/internal/standalone/fleet/singleton/lease_manager.go
@@ -195,7 +195,7 @@
 	lm.preferredZone[role] = requested.PreferredZone
 }
 
-// response returns the response to a request, from the present state of the table.
+// response returns the response to a request, from the current state of the table.
 func (lm *LeaseManager) response(r AcquireRequest) Reply {
 	reply := Reply{To: r.From, Response: AcquireResponse{ID: r.ID}}
 	for _, requested := range r.Roles {
