--- a/internal/standalone/fleet/keyring/keyring.go
+++ b/internal/standalone/fleet/keyring/keyring.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// ErrKeys is the error of a key file that can't be used. Nothing of the file is used then.
+// ErrKeys means that a key file can't be used. No key of the file is used then.
 var ErrKeys = errors.New("key file")
 
-// maxKeys bounds the keys of a file.
+// maxKeys bounds the number of keys in a file; a rotation needs two.
 const maxKeys = 8
 
 // Read reads a key file. Each line is one key in base64: 16, 24 or 32 bytes, for AES-GCM. Empty lines and
-// those that begin with # are ignored. The first key encrypts, all decrypt: a key is rotated by adding the
-// new one behind the old one on all members, then moving it to the front, then removing the old one. Errors
+// those that begin with # are ignored. The first key encrypts and all keys decrypt, so a key is rotated in three
+// steps, each on all members: add the new key after the old one, move it to the front, remove the old one. Errors
 // wrap ErrKeys, name the file and the line, and don't contain the key.
 func Read(path string) (keys [][]byte, err error) {
 	text, err := os.ReadFile(path)
--- a/internal/standalone/fleet/keyring/keyring_test.go
+++ b/internal/standalone/fleet/keyring/keyring_test.go
@@ -14,8 +14,8 @@
 	for _, tc := range []struct {
 		name  string
 		text  string
-		sizes []int  // of the keys read
-		err   string // part of the error; empty: none
+		sizes []int  // sizes of the keys that are read, in bytes
+		err   string // part of the error text; empty: no error
 	}{
 		{"all sizes", "# of the fleet\n" + key(16) + "\n\n " + key(24) + " \n" + key(32) + "\n", []int{16, 24, 32}, ""},
 		{"no key", "# none\n", nil, "keys:1: 0 keys"},
--- a/internal/standalone/fleet/membership/evaluate.go
+++ b/internal/standalone/fleet/membership/evaluate.go
@@ -6,34 +6,36 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Durations, in seconds, and counts of the conclusions.
+// Durations, in seconds, and counts on which states, links and the reachability are evaluated.
 const (
-	recentContact   = 4.0 // a member whose message came within this time is not dead
-	probeResultTTL  = 4.0 // for how long the result of a probe counts for the reachability
-	minProbeResults = 4   // results without which missed probes don't count for the reachability
-	reachabilityTTL = 2.0 // for how long a conclusion holds after the last contact with any member
-	linkTTLRounds   = 3   // for how many rounds of probes the state of a link holds
-	minLinkTTL      = 5.0 // for how long it holds at least
+	recentContact   = 4.0 // seconds after a message of a member in which the member is not published as dead
+	probeResultTTL  = 4.0 // seconds for which the result of a probe counts towards the reachability
+	minProbeResults = 4   // results needed before missed probes lower the reachability; a few may be lost by chance
+	reachabilityTTL = 2.0 // seconds for which the reachability holds after the last contact with any member
+	linkTTLRounds   = 3   // rounds of probes for which the state of a link holds
+	minLinkTTL      = 5.0 // minimum seconds for which the state of a link holds
 )
 
-// linkTTL is for how long the state of a link holds.
+// linkTTL returns for how long the state of a link holds. It grows with the fleet, as a round of probes does.
 func (v *View) linkTTL() Seconds {
 	return max(minLinkTTL, linkTTLRounds*probeInterval*Seconds(len(v.peers)))
 }
 
-// evaluateState concludes the state of a peer.
+// evaluateState returns the state of a peer as the view publishes it.
 func (v *View) evaluateState(now Seconds, p *peer) State {
 	switch {
 	case p.protocolState == Left:
 		return Left
 	case p.protocolState == Dead:
-		// The protocol declared it dead and it sends messages: it is alive, and only the way to it fails.
+		// The protocol declared the member dead, but it has sent a message since. So it is alive, and only messages to
+		// it are lost.
 		if p.lastContact > p.protocolStateSince && now < p.lastContact+v.linkTTL() &&
 			!mutants.On("membership/heard-is-dead") {
 			return Alive
 		}
-		// A member that receives nothing can't refute its death, but its next probe shows that it is alive. The last
-		// message of a member that died is older than the protocol's suspicion.
+		// A member that receives nothing can't refute its death, but its next probe shows that it is alive, so it is
+		// only suspected until then. This hardly delays a real death, because the last message of a member that died is
+		// older than the protocol's suspicion.
 		if p.finalProbePending || p.lastContact > 0 && now < p.lastContact+recentContact {
 			return Suspect
 		}
@@ -44,7 +46,7 @@
 	return Alive
 }
 
-// evaluateLink concludes the state of the link to a peer.
+// evaluateLink returns the state of the link to a peer.
 func (v *View) evaluateLink(now Seconds, p *peer) Link {
 	oldest := now - v.linkTTL()
 	isRecent := func(at Seconds) bool { return at > 0 && at > oldest }
@@ -75,7 +77,7 @@
 	return n
 }
 
-// evaluateReachability concludes how much of the fleet is reached, given how many agreed members are alive.
+// evaluateReachability returns how much of the fleet is reached, given how many agreed members are alive.
 func (v *View) evaluateReachability(now Seconds, alive int) Reachability {
 	v.probeResults = slices.DeleteFunc(v.probeResults, func(r probeResult) bool { return now > r.at+probeResultTTL })
 	missed := 0
@@ -98,7 +100,7 @@
 		r.Level = Partitioned
 		r.Until = now
 	case mostMissed && !mutants.On("membership/misses-pass"):
-		r.Level = Partitioned // the protocol hasn't noticed yet
+		r.Level = Partitioned // the protocol hasn't reported the partition yet
 	case alive*2 <= r.Agreed && !mutants.On("membership/half-is-enough"):
 		r.Level = Partitioned
 	case alive < r.Agreed:
--- a/internal/standalone/fleet/membership/events.go
+++ b/internal/standalone/fleet/membership/events.go
@@ -3,7 +3,7 @@
 // Event is an input of View.Step.
 type Event interface{ event() }
 
-// Update is a report of the SWIM protocol about a member. If State is Dead or Left, only the member's name counts.
+// Update is a report of the SWIM protocol about a member. If State is Dead or Left, only the member's name is used.
 type Update struct {
 	Member Member
 	State  State
@@ -12,21 +12,21 @@
 // Message is a probe or its acknowledgement, received from a member directly.
 type Message struct {
 	From             string
-	Addr             string // where the sender expects the acknowledgement
+	Addr             string // address of the sender, to which the acknowledgement goes
 	Incarnation      Incarnation
 	Seq              uint64      // grows with each message of an incarnation
 	AckedSeq         uint64      // sequence number of the acknowledged probe; 0: the message is a probe
-	KnownIncarnation Incarnation // in an acknowledgement: the latest start known under the receiver's name
+	KnownIncarnation Incarnation // in an acknowledgement: the latest incarnation known under the receiver's name
 }
 
-// Paused reports that this process was suspended: what it didn't receive meanwhile proves nothing about others.
+// Paused reports that this process was suspended. Missing messages from that time prove nothing about other members.
 type Paused struct{ Duration Seconds }
 
 // PhaseChanged is a change of this process's own phase.
 type PhaseChanged struct{ Phase Phase }
 
-// ProtocolRestarted reports that the SWIM protocol was restarted here and knows nobody yet. Members that it
-// doesn't report again within restartGracePeriod have died meanwhile.
+// ProtocolRestarted reports that this process restarted the SWIM protocol, which doesn't know any member yet. Members
+// that it doesn't report again within restartGracePeriod count as dead.
 type ProtocolRestarted struct{}
 
 // Tick reports the passing of time. It is expected about ten times a second.
@@ -47,31 +47,31 @@
 // Action is an output of View.Step, to be carried out by the caller.
 type Action interface{ action() }
 
-// SendMessage sends a message to an address. It may be lost.
+// SendMessage sends a message to an address. The message may be lost.
 type SendMessage struct {
 	To      string
 	Addr    string
 	Message Message
 }
 
-// Rejoin exchanges the complete state with a member, so that two parts of a fleet join again.
+// Rejoin exchanges the complete state with a member, so that two parts of a partitioned fleet join again.
 type Rejoin struct {
 	Name string
 	Addr string
 }
 
-// RaiseIncarnation asks for a higher start count, as peers know a later start under this name.
-// View.SetIncarnation is to be called once the count is on disk.
+// RaiseIncarnation asks for a higher boot count, because peers know a later incarnation under this name. The caller
+// calls View.SetIncarnation once the count is on disk.
 type RaiseIncarnation struct{ Boot uint64 }
 
-// NameConflict reports that another process took this one's name: this one has to leave the fleet without
-// announcing it.
+// NameConflict reports that another process has taken this one's name. This process has to leave the fleet without
+// announcing it, because the announcement would report the name as left.
 type NameConflict struct{ Winner Incarnation }
 
 // ViewChanged reports a change of the view.
 type ViewChanged struct {
 	Change       Change
-	Reachability bool // the change is one of the reachability level
+	Reachability bool // the reachability level has changed, not the state of a member
 }
 
 // PersistView asks for AgreedMembers to be written to disk. This is an optimisation: seeds find the fleet without it.
@@ -96,14 +96,14 @@
 	changedIncarnation = "claim"
 )
 
-// Change is one step of the view.
+// Change is one recorded change of the view.
 type Change struct {
-	View uint64 // version of the view that the change made
+	View uint64 // version of the view after the change
 	At   Seconds
 	Name string
 	From State
 	To   State
 	New  bool // the member was not known before
 	Boot uint64
-	What string // "state", "phase" or "claim" (its incarnation); of the reachability: the level's name
+	What string // "state", "phase" or "claim" (the incarnation); for the reachability: the name of the level
 }
--- a/internal/standalone/fleet/membership/messages.go
+++ b/internal/standalone/fleet/membership/messages.go
@@ -6,11 +6,11 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// conflictWindow is for how long after its start a process may raise its own count, in seconds. Later, a
-// newer start under its name is another process that took the name.
+// conflictWindow is the time after its start in which a process may raise its own boot count, in seconds. A newer
+// incarnation that it learns of later belongs to another process that took the name.
 const conflictWindow = 3.0
 
-// receive applies a probe or an acknowledgement that came from a member directly.
+// receive applies a probe or an acknowledgement that a member sent directly.
 func (v *View) receive(now Seconds, m Message) (actions []Action) {
 	if v.nameLost {
 		return nil
@@ -18,12 +18,12 @@
 	p := v.peers[m.From]
 	switch {
 	case m.From == v.self.Name:
-		// Another process uses this one's name. The later start keeps it.
+		// Another process uses this one's name. The later incarnation keeps the name.
 		if m.Incarnation.Newer(v.self.Incarnation) {
 			return v.resolveNameConflict(now, m.Incarnation)
 		}
 		v.rejected++
-		return v.acknowledge(m, v.self.Incarnation) // this tells it that its count is an earlier one
+		return v.acknowledge(m, v.self.Incarnation) // informs the sender that its incarnation is older
 	case p == nil:
 		v.rejected++
 		return v.acknowledge(m, Incarnation{})
@@ -39,22 +39,22 @@
 		p.lastProbeMissed = false
 		v.lastContact = now
 	}
-	// An incarnation that the SWIM protocol hasn't reported yet is no proof that the member is alive. Its probes are
-	// acknowledged, and the acknowledgements tell the process that has the name about it.
-	if m.Incarnation.Newer(p.member.Incarnation) && m.Incarnation.Newer(p.rivalIncarnation) {
-		p.rivalIncarnation = m.Incarnation
+	// An incarnation that the SWIM protocol hasn't reported yet doesn't prove that the member is alive. Its probes are
+	// acknowledged nevertheless, and acknowledgements to the process that has the name inform it of the newer one.
+	if m.Incarnation.Newer(p.member.Incarnation) && m.Incarnation.Newer(p.unreportedIncarnation) {
+		p.unreportedIncarnation = m.Incarnation
 	}
 	if m.AckedSeq == 0 {
 		latest := p.member.Incarnation
-		if p.rivalIncarnation.Newer(latest) {
-			latest = p.rivalIncarnation
+		if p.unreportedIncarnation.Newer(latest) {
+			latest = p.unreportedIncarnation
 		}
 		return v.acknowledge(m, latest)
 	}
 	return v.receiveAck(now, p, m)
 }
 
-// receiveAck ends the probe that a message acknowledges.
+// receiveAck completes the probe that a message acknowledges.
 func (v *View) receiveAck(now Seconds, p *peer, m Message) []Action {
 	i := slices.IndexFunc(v.probes, func(q probe) bool {
 		return q.target == m.From && m.AckedSeq >= q.firstSeq && m.AckedSeq <= v.seq
@@ -72,9 +72,9 @@
 	return nil
 }
 
-// resolveNameConflict handles a later start under this process's own name. Shortly after its own start this
-// process is the later one, and its count is an earlier one because its disk was lost or restored: it raises
-// the count. After conflictWindow another process was started under the name, and this one gives the name up.
+// resolveNameConflict handles a later incarnation under this process's own name. Within conflictWindow after its start,
+// this process is taken to be the later one, with a count that is too low because its disk was lost or restored, so it
+// raises the count. After conflictWindow, another process was started under the name, and this one gives up the name.
 func (v *View) resolveNameConflict(now Seconds, other Incarnation) []Action {
 	if now < v.startedAt+conflictWindow || mutants.On("membership/never-aside") {
 		if v.raisingIncarnation {
@@ -88,8 +88,8 @@
 	return []Action{NameConflict{Winner: other}}
 }
 
-// acknowledge answers a probe. Acknowledgements are not answered: two members that don't know each other
-// would never end.
+// acknowledge acknowledges a probe. Acknowledgements are not acknowledged, because two members that don't know each
+// other would then exchange messages without end.
 func (v *View) acknowledge(m Message, known Incarnation) []Action {
 	if m.AckedSeq != 0 && !mutants.On("membership/answers-answers") {
 		return nil
--- a/internal/standalone/fleet/membership/mutants_test.go
+++ b/internal/standalone/fleet/membership/mutants_test.go
@@ -10,10 +10,10 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// maxWalks is how many random walks a seeded fault has to be found in.
+// maxWalks is the number of random walks within which a seeded fault has to be found.
 const maxWalks = 4000
 
-// TestMutants finds each seeded fault by random walks, and nothing without a fault.
+// TestMutants checks that random walks find each seeded fault, and that they find nothing without a fault.
 func TestMutants(t *testing.T) {
 	for _, fault := range []string{
 		"",
@@ -48,13 +48,13 @@
 	}
 }
 
-// seededChooser draws from a seed, and panics with the violation in place of failing a test.
+// seededChooser draws random numbers from a seed, and panics with the violation instead of failing a test.
 type seededChooser struct{ rng *rand.Rand }
 
 func (c seededChooser) below(n int) int                   { return c.rng.IntN(n) }
 func (c seededChooser) Fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
 
-// walkViolation returns what a random walk finds wrong; empty: nothing.
+// walkViolation returns the property violation that a random walk finds; empty if it finds none.
 func walkViolation(seed uint64) (violation string) {
 	defer func() {
 		if r := recover(); r != nil {
--- a/internal/standalone/fleet/membership/probing.go
+++ b/internal/standalone/fleet/membership/probing.go
@@ -8,26 +8,26 @@
 const (
 	probeInterval      = 0.5  // between the starts of two probes
 	probeRetryInterval = 0.25 // between two attempts of a probe
-	isolationDelay     = 0.8  // without a message of any member: probes are sent twice as often
+	isolationDelay     = 0.8  // time without a message of any member, after which probes are sent twice as often
 	rejoinInterval     = 2.0  // between two Rejoin actions
 
-	probeAttempts      = 3  // until a probe counts as missed
-	finalProbeAttempts = 14 // of the probe of a member that the protocol declared dead, two at each tick
-	deadProbePeriod    = 4  // every so many probes go to a dead member: it may be reachable, or reach this one
-	missedProbePeriod  = 2  // every so many go to a member whose last probe was missed
+	probeAttempts      = 3  // attempts until a probe counts as missed
+	finalProbeAttempts = 14 // attempts to probe a member that the protocol declared dead, two at each tick
+	deadProbePeriod    = 4  // every 4th probe goes to a dead member, which may be reachable, or reach this one
+	missedProbePeriod  = 2  // every 2nd probe goes to a member whose last probe was missed
 )
 
-// probe is a pending probe of a member. Each attempt has a sequence number of its own, from firstSeq.
+// probe is a pending probe of a member. Each attempt has a different sequence number; firstSeq is that of the first.
 type probe struct {
 	target        string
 	firstSeq      uint64
 	final         bool // the protocol declared the target dead
 	attempts      int
-	startedAt     Seconds // of the first attempt
+	startedAt     Seconds // time of the first attempt
 	nextAttemptAt Seconds
 }
 
-// maxAttempts is after how many attempts the probe is missed.
+// maxAttempts returns the number of unacknowledged attempts after which the probe counts as missed.
 func (p probe) maxAttempts() int {
 	if p.final {
 		return finalProbeAttempts
@@ -35,13 +35,14 @@
 	return probeAttempts
 }
 
-// probeResult is a probe that ended.
+// probeResult is the result of a completed probe.
 type probeResult struct {
 	at           Seconds
 	acknowledged bool
 }
 
-// sendProbes ends the probes that were missed, sends further attempts of those that are due, and starts the next one.
+// sendProbes ends missed probes, sends the further attempts that are due, and starts the next probe. It also asks for
+// the next Rejoin when one is due.
 func (v *View) sendProbes(now Seconds) (actions []Action) {
 	v.probes = slices.DeleteFunc(v.probes, func(q probe) bool { return v.endMissedProbe(now, q) })
 	for i := range v.probes {
@@ -63,7 +64,7 @@
 	}
 	if now >= v.nextRejoinAt {
 		v.nextRejoinAt = now + rejoinInterval
-		if p := v.nextLostMember(); p != nil {
+		if p := v.nextRejoinTarget(); p != nil {
 			v.lastRejoined = p.member.Name
 			actions = append(actions, Rejoin{Name: p.member.Name, Addr: p.member.Addr})
 		}
@@ -71,7 +72,8 @@
 	return actions
 }
 
-// endMissedProbe reports whether a probe is over, and counts it as missed.
+// endMissedProbe reports whether a probe has used all its attempts, and counts it as missed. A probe of a member that
+// was removed ends without a result.
 func (v *View) endMissedProbe(now Seconds, q probe) bool {
 	p := v.peers[q.target]
 	if p == nil {
@@ -87,18 +89,18 @@
 	p.lastMiss = now
 	p.lastProbeMissed = p.lastContact < q.startedAt
 	p.finalProbePending = p.finalProbePending && !q.final
-	if p.protocolState == Alive { // a dead member that doesn't answer says nothing about the reachability
+	if p.protocolState == Alive { // a dead member that doesn't answer doesn't affect the reachability
 		v.probeResults = append(v.probeResults, probeResult{at: now, acknowledged: false})
 	}
 	return true
 }
 
-// scheduleProbe picks the target of the next probe and sets when the one after it is due. Empty: nobody is to
-// be probed.
+// scheduleProbe picks the target of the next probe and sets when the one after it is due. The target is empty if no
+// member can be probed.
 func (v *View) scheduleProbe(now Seconds) (target string) {
 	v.nextProbeAt = max(v.nextProbeAt+probeInterval, now)
 	if v.lastContact > 0 && now > v.lastContact+isolationDelay {
-		// Members that still receive from this one know only by its probes that it is alive.
+		// Members that still receive messages from this one learn only from its probes that it is alive.
 		v.nextProbeAt = now + probeInterval/2
 		return v.nextRoundRobin()
 	}
@@ -113,30 +115,30 @@
 	}
 	q.nextAttemptAt = now + probeRetryInterval
 	if q.final && q.attempts < q.maxAttempts() {
-		// With the next tick: many attempts make it unlikely that loss alone misses the probe, and a death is known no
-		// later.
+		// The next attempt is due at the next tick. Many attempts in quick succession make it unlikely that packet loss
+		// alone fails the probe, and don't delay the detection of a real death.
 		q.nextAttemptAt = now
 	}
 	return SendMessage{To: q.target, Addr: v.peers[q.target].member.Addr, Message: v.newMessage()}
 }
 
-// nextRoundRobin is the next target while no member answers: all that haven't left, one after another.
+// nextRoundRobin returns the next target while no member answers. It takes all members that haven't left in turn.
 func (v *View) nextRoundRobin() string {
 	all := v.sortedNames(func(p *peer) bool { return p.protocolState != Left })
-	v.probeTurns++
+	v.scheduledProbes++
 	for i := range all {
-		if name := all[(v.probeTurns+i)%len(all)]; !v.isProbed(name) {
+		if name := all[(v.scheduledProbes+i)%len(all)]; !v.isProbed(name) {
 			return name
 		}
 	}
 	return ""
 }
 
-// nextTarget is the next target otherwise: all members that are alive, in a random order for each round. In
-// between come dead members and, more often, those whose last probe was missed, so that a suspicion is
-// settled within a round.
+// nextTarget returns the next target while members answer. It takes all members that are alive, in a new random order
+// for each round. In between it picks dead members and, more often, members whose last probe was missed, so that a
+// suspicion is confirmed or cleared within a round.
 func (v *View) nextTarget() string {
-	v.probeTurns++
+	v.scheduledProbes++
 	for _, extra := range []struct {
 		period int
 		is     func(*peer) bool
@@ -144,7 +146,7 @@
 		{deadProbePeriod, func(p *peer) bool { return p.protocolState == Dead }},
 		{missedProbePeriod, func(p *peer) bool { return p.protocolState == Alive && p.lastProbeMissed }},
 	} {
-		if v.probeTurns%extra.period != 0 {
+		if v.scheduledProbes%extra.period != 0 {
 			continue
 		}
 		if names := v.sortedNames(extra.is); len(names) > 0 {
@@ -152,7 +154,7 @@
 		}
 	}
 	isAlive := func(p *peer) bool { return p.protocolState == Alive }
-	for range 2 { // the rest of this round, then a new one
+	for range 2 { // first the rest of this round, then a new round
 		for len(v.probeOrder) > 0 {
 			name := v.probeOrder[0]
 			v.probeOrder = v.probeOrder[1:]
@@ -173,8 +175,8 @@
 	return slices.ContainsFunc(v.probes, func(q probe) bool { return q.target == name })
 }
 
-// sortedNames returns the names of the peers of a kind. They are sorted: the order of a map would make runs
-// with the same seed differ.
+// sortedNames returns the names of the peers that match a condition. They are sorted, because the order of a map would
+// make runs with the same seed differ.
 func (v *View) sortedNames(is func(*peer) bool) (names []string) {
 	for name, p := range v.peers {
 		if is(p) {
@@ -185,14 +187,14 @@
 	return names
 }
 
-// nextLostMember returns the next dead member of the agreed membership, in turn; nil if there is none.
-func (v *View) nextLostMember() *peer {
+// nextRejoinTarget returns the dead members of the agreed membership in turn; nil if there is none.
+func (v *View) nextRejoinTarget() *peer {
 	names := v.sortedNames(func(p *peer) bool {
 		return p.protocolState == Dead && p.agreed && p.member.Addr != ""
 	})
 	if len(names) == 0 {
 		return nil
 	}
-	i, _ := slices.BinarySearch(names, v.lastRejoined+"\x00") // the first name behind the last one
+	i, _ := slices.BinarySearch(names, v.lastRejoined+"\x00") // the first name after the last one
 	return v.peers[names[i%len(names)]]
 }
--- a/internal/standalone/fleet/membership/queries.go
+++ b/internal/standalone/fleet/membership/queries.go
@@ -8,16 +8,16 @@
 	"slices"
 )
 
-// Self returns what this process says of itself.
+// Self returns the description of this process that it publishes.
 func (v *View) Self() Member { return v.self }
 
-// Version returns the version of the view. It grows with each change.
+// Version returns the version of the view. It increases with each change.
 func (v *View) Version() uint64 { return v.version }
 
-// Rejected returns how many messages and updates were old, replayed or of unknown members.
+// Rejected returns how many messages and updates were rejected because they were old, replayed or of unknown members.
 func (v *View) Rejected() int { return v.rejected }
 
-// SetIncarnation sets a higher incarnation of this process, once it is on disk.
+// SetIncarnation sets a higher incarnation of this process. It is called once the incarnation is on disk.
 func (v *View) SetIncarnation(i Incarnation) {
 	v.self.Incarnation = i
 	v.raisingIncarnation = false
@@ -61,7 +61,7 @@
 	return slices.Clone(v.changes[i:])
 }
 
-// AgreedMembers returns the other members of the last agreed membership by name. They are what is kept on disk.
+// AgreedMembers returns the other members of the last agreed membership, sorted by name. They are kept on disk.
 func (v *View) AgreedMembers() (all []Member) {
 	for _, name := range v.sortedNames(func(p *peer) bool { return p.agreed }) {
 		all = append(all, v.peers[name].member)
@@ -69,7 +69,8 @@
 	return all
 }
 
-// Digest returns a hash of the members that are alive and their incarnations. Two members with the same digest agree.
+// Digest returns a hash of the names and incarnations of the members that are alive. Members with the same digest have
+// the same view of the fleet.
 func (v *View) Digest() string {
 	alive := map[string]Incarnation{v.self.Name: v.self.Incarnation}
 	for name, p := range v.peers {
@@ -85,7 +86,7 @@
 }
 
 // Rank returns the position of this process among the members that are alive and not leaving, from 0, and
-// their number. It may differ between members: use it to spread load, never to decide who acts.
+// their number. Members may disagree on the rank, so it may be used to spread load, but not to decide who acts.
 func (v *View) Rank() (rank, of int) {
 	of = 1
 	for name, p := range v.peers {
--- a/internal/standalone/fleet/membership/scripted_test.go
+++ b/internal/standalone/fleet/membership/scripted_test.go
@@ -6,14 +6,14 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// script is a fleet of three as member a sees it.
+// script runs the view of member a in a fleet of three: a, b and c.
 type script struct {
 	now  Seconds
 	view *View
-	seqs map[string]uint64 // of the messages of b and c
+	seqs map[string]uint64 // sequence numbers of the last messages of b and c
 }
 
-// snapshot is what a concludes.
+// snapshot is the reachability and the states of members by the view of a.
 type snapshot struct {
 	Level  string
 	Alive  int
@@ -36,8 +36,8 @@
 	return got
 }
 
-// pass lets time pass, in which the named members acknowledge what is sent to them.
-func (s *script) pass(duration Seconds, responding ...string) {
+// advance lets time pass, during which the named members acknowledge each message sent to them.
+func (s *script) advance(duration Seconds, responding ...string) {
 	for end := s.now + duration; s.now < end; {
 		s.now += 0.1
 		for _, a := range s.view.Step(s.now, Tick{}) {
@@ -58,7 +58,8 @@
 	}
 }
 
-// TestScript follows a fleet of three: how much is reached, the state of each member, and for how long that holds.
+// TestScript runs a fleet of three through starts, losses, departures and pauses. After each stage it checks the
+// reachability, the state and link of each member, and how long they hold.
 func TestScript(t *testing.T) {
 	s := &script{view: New(0, servingMember("a", 1), 3, nil, 1), seqs: map[string]uint64{}}
 	step := func(e Event) { s.view.Step(s.now, e) }
@@ -68,47 +69,47 @@
 		want snapshot
 	}{
 		{"started", func() {}, snapshot{"cut-off", 1, 3, "", ""}},
-		{"one of two others is there", func() {
+		{"one of two other members is reported", func() {
 			step(update("b", 1, Alive))
-			s.pass(3, "b")
+			s.advance(3, "b")
 		}, snapshot{"thinned", 2, 3, "alive both", ""}},
-		{"all are there", func() {
+		{"all members are reported", func() {
 			step(update("c", 1, Alive))
-			s.pass(4, "b", "c")
+			s.advance(4, "b", "c")
 		}, snapshot{"whole", 3, 3, "alive both", "alive both"}},
-		{"nobody answers", func() { s.pass(2.1) }, snapshot{"cut-off", 3, 3, "alive none", "alive none"}},
+		{"nobody answers", func() { s.advance(2.1) }, snapshot{"cut-off", 3, 3, "alive none", "alive none"}},
 		{"declared dead by the protocol, and probed", func() {
-			s.pass(4, "b", "c")
+			s.advance(4, "b", "c")
 			step(update("c", 1, Dead))
 		}, snapshot{"thinned", 2, 3, "alive both", "suspect both"}},
-		{"it doesn't answer, but sent a message a moment ago", func() { s.pass(1, "b") },
+		{"it doesn't answer, but sent a message a moment ago", func() { s.advance(1, "b") },
 			snapshot{"thinned", 2, 3, "alive both", "suspect none"}},
-		{"it doesn't answer", func() { s.pass(3.2, "b") }, snapshot{"thinned", 2, 3, "alive both", "dead none"}},
-		{"it sends: only the way to it fails", func() {
+		{"it doesn't answer", func() { s.advance(3.2, "b") }, snapshot{"thinned", 2, 3, "alive both", "dead none"}},
+		{"it sends again: only messages to it are lost", func() {
 			s.seqs["c"]++
 			step(Message{From: "c", Incarnation: incarnation(1), Seq: s.seqs["c"]})
 		}, snapshot{"whole", 3, 3, "alive both", "alive in"}},
-		{"it sends no more", func() { s.pass(8, "b") }, snapshot{"thinned", 2, 3, "alive both", "dead none"}},
+		{"it sends no more", func() { s.advance(8, "b") }, snapshot{"thinned", 2, 3, "alive both", "dead none"}},
 		{"alone", func() {
 			step(update("b", 1, Dead))
-			s.pass(4.2)
+			s.advance(4.2)
 		}, snapshot{"cut-off", 1, 3, "dead none", "dead none"}},
-		{"one left: two are the fleet", func() {
+		{"one left: the fleet has two members", func() {
 			step(update("b", 1, Alive))
 			step(update("c", 1, Alive))
-			s.pass(4, "b", "c")
+			s.advance(4, "b", "c")
 			step(update("c", 1, Left))
-			s.pass(1, "b")
+			s.advance(1, "b")
 		}, snapshot{"whole", 2, 2, "alive both", "left both"}},
 		{"the process was suspended", func() { step(Paused{Duration: 20}) },
 			snapshot{"cut-off", 2, 2, "alive both", "left both"}},
 		{"not reported again yet", func() {
 			step(ProtocolRestarted{})
-			s.pass(1, "b")
+			s.advance(1, "b")
 		}, snapshot{"cut-off", 1, 2, "alive both", "left both"}},
 		{"reported again", func() {
 			step(update("b", 1, Alive))
-			s.pass(1, "b")
+			s.advance(1, "b")
 		}, snapshot{"whole", 2, 2, "alive both", "left both"}},
 	} {
 		stage.do()
@@ -123,8 +124,8 @@
 	}
 }
 
-// TestNameConflicts has two processes use one name: the later start keeps it, and a count is raised only just
-// after the start.
+// TestNameConflicts checks that, if two processes use one name, the later incarnation keeps it, and that a process
+// raises its boot count only shortly after its start.
 func TestNameConflicts(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -144,7 +145,7 @@
 			}
 		})
 	}
-	t.Run("an older start is told of the newer one", func(t *testing.T) {
+	t.Run("an older start is informed of the newer one", func(t *testing.T) {
 		v := New(0, Member{Name: "a", Incarnation: Incarnation{3, 5}}, 2, nil, 1)
 		got := v.Step(60, Message{From: "a", Addr: "x", Incarnation: Incarnation{2, 9}, Seq: 4})
 		s, ok := got[0].(SendMessage)
@@ -154,9 +155,8 @@
 	})
 }
 
-// TestFinalProbe has the protocol declare a member dead. It is probed often before it counts as dead:
-// whichever attempt it acknowledges keeps it alive, and the end of an earlier final probe doesn't end a later
-// one.
+// TestFinalProbe checks the final probe of a member that the protocol declares dead. Acknowledging any of its attempts
+// keeps the member alive, and the end of an earlier final probe doesn't end a later one.
 func TestFinalProbe(t *testing.T) {
 	const declaredDead = 100.4
 	for _, acknowledged := range []int{1, finalProbeAttempts - 1, 0} {
--- a/internal/standalone/fleet/membership/types.go
+++ b/internal/standalone/fleet/membership/types.go
@@ -7,17 +7,17 @@
 // Seconds are seconds of a monotonic clock.
 type Seconds = decision.Seconds
 
-// unknownName stands for a value that a newer version sent.
+// unknownName is the name of a value that this version doesn't know, as a newer version may send.
 const unknownName = "unknown"
 
-// Phase is where a process is in its life cycle, as it says itself.
+// Phase is the phase of a process's life cycle, as the process reports it.
 type Phase uint8
 
 // The phases. Their numbers are on the wire and on disk.
 const (
 	Starting Phase = iota // the process runs and doesn't serve yet
 	Serving               // it accepts clients
-	LameDuck              // an operator drains it: it finishes the requests that it has
+	LameDuck              // an operator drains it, and it finishes the requests in progress
 	Leaving               // it received SIGTERM and leaves the fleet until its next start
 )
 
@@ -30,30 +30,31 @@
 	return unknownName
 }
 
-// State is the conclusion about another member.
+// State is the state of another member by the view of this process.
 type State uint8
 
 // The states.
 const (
-	Alive   State = iota // alive by the SWIM protocol, or in direct contact a short while ago
-	Suspect              // alive by the SWIM protocol, but recent probes from here were not acknowledged
+	Alive   State = iota // alive by the SWIM protocol, or declared dead but in direct contact since
+	Suspect              // its recent probes were missed, or it was declared dead and this is not confirmed yet
 	Dead                 // dead by the SWIM protocol, and without direct contact since
-	Left                 // it left by itself
+	Left                 // it announced that it leaves
 )
 
 var stateNames = [...]string{"alive", "suspect", "dead", "left"}
 
 func (s State) String() string { return stateNames[s] }
 
-// Link is in which directions messages between this ingress and another member arrive. Its numbers are on the wire.
+// Link is the state of the link to another member: the directions in which messages arrive. Its numbers are on the
+// wire.
 type Link uint8
 
 // The states of a link.
 const (
 	LinkUnknown       Link = iota // not probed recently
 	LinkBidirectional             // the member acknowledged a probe
-	LinkInboundOnly               // its messages arrive here, but it acknowledges nothing: messages from here are lost
-	LinkDown                      // it acknowledges nothing and sends nothing
+	LinkInboundOnly               // its messages arrive here, but it acknowledges no probe: messages to it are lost
+	LinkDown                      // it acknowledges no probe and sends nothing
 )
 
 var linkNames = [...]string{"unknown", "both", "in", "none"}
@@ -62,13 +63,13 @@
 	if int(l) < len(linkNames) {
 		return linkNames[l]
 	}
-	return unknownName // received from another process
+	return unknownName // a number received from another process
 }
 
 // Incarnation identifies one start of a process under a member's name.
 type Incarnation struct {
-	Boot  uint64 `json:"Boot"`  // counted on the disk of its machine, from 1; higher is later
-	Nonce uint64 `json:"Nonce"` // drawn at random at the start: distinguishes two processes with the same count
+	Boot  uint64 `json:"Boot"`  // number of the start, counted on the machine's disk from 1; higher is later
+	Nonce uint64 `json:"Nonce"` // random number that distinguishes two processes with the same count
 }
 
 // Newer reports whether i is a later start than other.
@@ -84,7 +85,7 @@
 	return Incarnation{Boot: pair[0], Nonce: pair[1]}
 }
 
-// Member is what a member says of itself. It is stored on disk as JSON.
+// Member is the description of itself that a member publishes. It is stored on disk as JSON.
 type Member struct {
 	Name    string `json:"Name"`
 	Addr    string `json:"Addr"`
@@ -92,16 +93,16 @@
 	Version string `json:"Version"`
 	Incarnation
 	Phase  Phase `json:"Phase"`
-	Number int   `json:"Number"` // index of the ingress, from 0, as clients' sets of ingresses name it
+	Number int   `json:"Number"` // index of the ingress, from 0, in the sets of ingresses of clients
 }
 
-// Status is a member and the conclusions about it.
+// Status is a member and its state by the view of this process.
 type Status struct {
 	Member
 	State       State
 	Since       Seconds // when State began
 	Link        Link
-	LastContact Seconds // when a message last came from it directly; 0: never
+	LastContact Seconds // time of the last message that came from it directly; 0: never
 }
 
 // ReachabilityLevel is how much of the fleet an ingress can reach.
@@ -119,7 +120,7 @@
 
 func (r ReachabilityLevel) String() string { return reachabilityLevelNames[r] }
 
-// Reachability is an ingress's conclusion about its own contact with the fleet.
+// Reachability is the level of an ingress's contact with the fleet, with the time for which it holds.
 type Reachability struct {
 	Level  ReachabilityLevel
 	Since  Seconds // when Level began
--- a/internal/standalone/fleet/membership/updates.go
+++ b/internal/standalone/fleet/membership/updates.go
@@ -34,7 +34,7 @@
 		return // a later report of its death is older than its own announcement
 	}
 	if s == Left && !mutants.On("membership/left-agreed") {
-		p.agreed = false // it left by itself: the agreed membership is smaller
+		p.agreed = false // a member that announced its departure is no longer part of the agreed membership
 	}
 	if s == Dead && p.protocolState != Dead && !mutants.On("membership/dead-unasked") {
 		p.finalProbePending = true
@@ -50,10 +50,10 @@
 	p.unconfirmed = false
 }
 
-// applyAlive applies a report that a member is alive, with what it says of itself.
+// applyAlive applies a report that a member is alive, with the description that the member published.
 func (v *View) applyAlive(now Seconds, p *peer, m Member) {
 	if p.member.Newer(m.Incarnation) && !mutants.On("membership/old-claim") {
-		v.rejected++ // an earlier start: its disk was restored, or the report is late
+		v.rejected++ // an earlier incarnation: the member's disk was restored, or the report is late
 		return
 	}
 	if m.Incarnation != p.member.Incarnation {
@@ -68,7 +68,7 @@
 		v.recordChange(now, p, Change{From: p.publishedState, To: p.publishedState, Boot: m.Boot, What: changedPhase})
 	}
 	if p.protocolState != Alive {
-		// Others were in contact with it since.
+		// Other members have been in contact with it since, so probes missed before don't count.
 		p.protocolStateSince = now
 		p.lastProbeMissed = false
 		p.consecutiveMisses = 0
@@ -76,7 +76,8 @@
 	if m.Addr == "" {
 		m.Addr = p.member.Addr
 	}
-	// If it is declared dead again it gets a new final probe, which the end of an earlier one must not cut short.
+	// If the member is declared dead again it gets a new final probe, which the end of an earlier one must not end
+	// early.
 	v.probes = slices.DeleteFunc(v.probes, func(q probe) bool { return q.final && q.target == m.Name })
 	p.member = m
 	p.protocolState = Alive
@@ -86,12 +87,12 @@
 	v.dirty = true
 }
 
-// resetIncarnation discards what was received from the former process of a member.
+// resetIncarnation discards the state that rests on messages of a member's earlier process.
 func (p *peer) resetIncarnation() {
 	p.lastSeq = 0
 	p.lastContact = 0
 	p.lastAck = 0
 	p.lastProbeMissed = false
 	p.consecutiveMisses = 0
-	p.rivalIncarnation = Incarnation{}
+	p.unreportedIncarnation = Incarnation{}
 }
--- a/internal/standalone/fleet/membership/view.go
+++ b/internal/standalone/fleet/membership/view.go
@@ -6,23 +6,23 @@
 	"slices"
 )
 
-// Bounds on what is remembered.
+// Bounds on the size of the view.
 const (
-	// MaxMembers bounds the members that are known: no message or update adds more.
+	// MaxMembers bounds the number of known members. Updates of further members are ignored.
 	MaxMembers = 1024
 
-	maxChanges   = 256
-	maxTextBytes = 64 // of a name, zone, version or address
+	maxChanges   = 256 // latest changes that are kept for reports
+	maxTextBytes = 64  // bytes of a name, zone, version or address
 )
 
 // Durations, in seconds.
 const (
-	restartGracePeriod = 3.0  // from ProtocolRestarted until members that weren't reported again are dead
-	deadMemberTTL      = 3600 // until a dead member is removed, unless this ingress is partitioned
-	persistInterval    = 1.0  // least time between two PersistView actions
+	restartGracePeriod = 3.0  // time from ProtocolRestarted until members that weren't reported again count as dead
+	deadMemberTTL      = 3600 // time until a dead member is removed, unless this ingress is partitioned
+	persistInterval    = 1.0  // minimum time between two PersistView actions
 )
 
-// randomStream separates the view's random numbers from others of the same seed.
+// randomStream selects a random sequence that differs from those of other users of the same seed.
 const randomStream = 77
 
 // peer is the state of another member.
@@ -30,23 +30,23 @@
 	member Member
 	agreed bool // it belongs to the last agreed membership
 
-	// By the SWIM protocol.
+	// State by the reports of the SWIM protocol.
 	protocolState      State
 	protocolStateSince Seconds
 	unconfirmed        bool // not reported again since the protocol was restarted
 
-	// By direct messages. They count for the current incarnation.
-	lastSeq           uint64      // highest sequence number received
-	lastContact       Seconds     // when a message last came; 0: never
-	lastAck           Seconds     // when a probe was last acknowledged
-	lastMiss          Seconds     // when a probe last failed
-	consecutiveMisses int         // failed probes since the last acknowledgement
-	firstMissProbedAt Seconds     // when the first of these was sent
-	lastProbeMissed   bool        // the last probe failed, and no message came since
-	finalProbePending bool        // declared dead by the protocol, and still probed a last time
-	rivalIncarnation  Incarnation // a later start that sent messages, but that the protocol hasn't reported
-
-	// The conclusion.
+	// State by direct messages. Only those of the current incarnation count.
+	lastSeq               uint64      // highest sequence number received
+	lastContact           Seconds     // time of the last message; 0: never
+	lastAck               Seconds     // time of the last acknowledgement of a probe
+	lastMiss              Seconds     // time of the last missed probe
+	consecutiveMisses     int         // missed probes since the last acknowledgement
+	firstMissProbedAt     Seconds     // time at which the first of these was sent
+	lastProbeMissed       bool        // the last probe was missed, and no message has arrived since it was sent
+	finalProbePending     bool        // declared dead by the protocol, and the final probe is not over
+	unreportedIncarnation Incarnation // a later one that sent messages, but that the protocol hasn't reported
+
+	// State that the view publishes, combined from the two above.
 	publishedState State
 	publishedSince Seconds
 }
@@ -55,35 +55,35 @@
 type View struct {
 	self               Member
 	startedAt          Seconds
-	nameLost           bool // another process has the name: the view is final
+	nameLost           bool // another process has the name; the view doesn't change any more
 	raisingIncarnation bool // RaiseIncarnation was returned and SetIncarnation not called yet
 
 	peers               map[string]*peer
-	expectedMembers     int     // by the configuration
-	formed              bool    // all expected members were known at one time
-	protocolRestartedAt Seconds // by ProtocolRestarted
+	expectedMembers     int     // number of members in the configuration
+	formed              bool    // all expected members have been known at the same time
+	protocolRestartedAt Seconds // time of the last ProtocolRestarted event
 	reachability        Reachability
 
 	version       uint64
 	changes       []Change // the latest ones
-	rejected      int      // messages that were old, replayed, or of unknown members
+	rejected      int      // messages and updates that were old, replayed, or of unknown members
 	dirty         bool     // the view changed since the last PersistView
 	nextPersistAt Seconds
 
-	seq          uint64 // of the last message sent
-	probes       []probe
-	probeResults []probeResult
-	probeOrder   []string // targets still to be probed in this round
-	probeTurns   int
-	nextProbeAt  Seconds
-	nextRejoinAt Seconds
-	lastRejoined string
-	lastContact  Seconds // when a message last came from any member; 0: never since the start or a pause
-	rng          *rand.Rand
+	seq             uint64 // sequence number of the last message sent
+	probes          []probe
+	probeResults    []probeResult
+	probeOrder      []string // targets still to be probed in this round
+	scheduledProbes int
+	nextProbeAt     Seconds
+	nextRejoinAt    Seconds
+	lastRejoined    string
+	lastContact     Seconds // time of the last message from any member; 0: none since the start or a pause
+	rng             *rand.Rand
 }
 
-// New returns the view of a process that starts. expected is the number of members in the configuration, this one
-// included; known are the members that an earlier process wrote to disk.
+// New returns the view of a process that starts. expected is the number of members in the configuration, including this
+// one; known are the members that an earlier process wrote to disk. They count as dead until they are reported.
 func New(now Seconds, self Member, expected int, known []Member, seed uint64) *View {
 	v := &View{
 		self:            self,
@@ -117,7 +117,7 @@
 		len(m.Version) <= maxTextBytes && len(m.Addr) <= maxTextBytes
 }
 
-// Step applies an event and returns what is to be done.
+// Step applies an event and returns the actions that the caller has to execute.
 func (v *View) Step(now Seconds, e Event) (actions []Action) {
 	switch e := e.(type) {
 	case Update:
@@ -150,7 +150,8 @@
 	return actions
 }
 
-// resetContact discards pending probes and the last contact after a pause: peers were neither probed nor listened to.
+// resetContact discards pending probes, their results and the last contact after a pause, during which this process
+// neither probed its peers nor received their messages.
 func (v *View) resetContact() {
 	v.probes = nil
 	v.probeResults = nil
@@ -161,8 +162,8 @@
 	}
 }
 
-// removeExpired removes members that have been dead or gone for deadMemberTTL. A partitioned ingress removes
-// no dead member: those that it doesn't reach may be the rest of the fleet.
+// removeExpired removes members that have been dead, or have left, for deadMemberTTL. A partitioned ingress removes no
+// dead member, because the members that it doesn't reach may be the rest of the fleet.
 func (v *View) removeExpired(now Seconds) {
 	for name, p := range v.peers {
 		expired := now > p.protocolStateSince+deadMemberTTL
@@ -174,8 +175,9 @@
 	}
 }
 
-// expireUnconfirmed declares members dead that the restarted protocol didn't report again, once there was contact with
-// others. They get no final probe: this process was away for as long as they were.
+// expireUnconfirmed declares members dead that the restarted protocol hasn't reported again within restartGracePeriod,
+// once there has been contact with another member. They get no final probe, because this process was away for as long
+// as they were.
 func (v *View) expireUnconfirmed(now Seconds) {
 	if v.lastContact == 0 || now < v.protocolRestartedAt+restartGracePeriod {
 		return
@@ -191,7 +193,7 @@
 
 // publish records the changes of states and reachability since the last step, and returns them as actions.
 func (v *View) publish(now Seconds) (actions []Action) {
-	first := len(v.changes) // changes that the event itself recorded come before: they are only listed by Changes
+	first := len(v.changes) // earlier changes, which the event itself recorded, are only listed by Changes
 	alive := v.publishStates(now)
 	if !v.formed && len(v.peers)+1 >= v.expectedMembers {
 		v.formed = true
--- a/internal/standalone/fleet/membership/walk_test.go
+++ b/internal/standalone/fleet/membership/walk_test.go
@@ -10,7 +10,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	flag.Set("rapid.seed", "7") // the same verdict every time
+	flag.Set("rapid.seed", "7") // fixed, so that results are reproducible
 	os.Exit(m.Run())
 }
 
@@ -24,7 +24,7 @@
 	return Update{Member: servingMember(name, boot), State: s}
 }
 
-// chooser draws random numbers: rapid in TestProperties, a seeded generator in TestMutants.
+// chooser draws random numbers. TestProperties uses rapid, TestMutants a seeded generator.
 type chooser interface {
 	Fatalf(format string, args ...any)
 	below(n int) int
@@ -33,23 +33,23 @@
 const (
 	walkEvents = 60
 	walkSelf   = "me"
-	// Bounds on what a view remembers of four members.
+	// Bounds on the pending probes and the results that a view of four members keeps.
 	maxWalkProbes  = 8
 	maxWalkResults = 40
 )
 
-// modelMember is what the model knows of a member.
+// modelMember is the state of a member in the model.
 type modelMember struct {
 	known              bool
 	incarnation        Incarnation
 	protocolState      State
 	protocolStateSince Seconds
-	lastContact        Seconds // of a message that counts
+	lastContact        Seconds // time of the last message that was not old or replayed
 	highestSeq         uint64
-	probed             bool // since it was declared dead
+	probed             bool // the view has probed it since it was declared dead
 }
 
-// walker lets a view go through random events and compares it with the model after each.
+// walker applies random events to a view and compares the view with the model after each.
 type walker struct {
 	chooser
 	now         Seconds
@@ -63,7 +63,7 @@
 	probesSent  []SendMessage
 }
 
-// randomWalk sends a view random events of four members, each of which uses two incarnations.
+// randomWalk applies random events of four members to a view. Each member uses two incarnations.
 func randomWalk(c chooser) {
 	w := &walker{
 		chooser:   c,
@@ -145,7 +145,8 @@
 	m.protocolStateSince = w.now
 }
 
-// sendFrom has a member send a probe or an acknowledgement, now and then one that it sent before.
+// sendFrom sends a probe or an acknowledgement from a member. About one in three messages is a replay, if the member
+// has sent one before.
 func (w *walker) sendFrom(name string, m *modelMember) {
 	i := incarnation(uint64(1 + w.below(2)))
 	seq := m.highestSeq + 1
@@ -173,7 +174,7 @@
 	}
 }
 
-// step gives the view an event and checks the actions.
+// step applies an event to the view and checks the actions that it returns.
 func (w *walker) step(e Event) {
 	for _, a := range w.view.Step(w.now, e) {
 		switch a := a.(type) {
@@ -277,7 +278,7 @@
 	}
 }
 
-// rapidChooser draws by rapid, which shrinks what it finds.
+// rapidChooser draws numbers from rapid, which shrinks failing walks.
 type rapidChooser struct{ *rapid.T }
 
 func (c rapidChooser) below(n int) int { return rapid.IntRange(0, n-1).Draw(c.T, "choice") }
