--- a/internal/standalone/fleet/quorum/apply.go
+++ b/internal/standalone/fleet/quorum/apply.go
@@ -11,8 +11,8 @@
 	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
-// propose appends a command to the log. A command that raft drops, as this voter does not lead any more, is proposed
-// again by the new leader when the ingress requests again.
+// propose proposes a command for the log. If raft drops it because this voter no longer leads, the ingress repeats its
+// request and the new leader proposes the command again.
 func (v *Voter) propose(command singleton.Command) {
 	data, err := cbor.Marshal(command)
 	if err != nil || v.node == nil || len(data) > maxProposalBytes {
@@ -28,7 +28,7 @@
 	case entry.GetType() == pb.EntryConfChange:
 		v.applyConfChange(entry)
 	case len(entry.GetData()) == 0:
-		// The first entry of a leader: it has now applied all entries of earlier leaders.
+		// A new leader's first entry is empty. Once it is applied, so are all entries of earlier leaders.
 		if v.raftLeader && entry.GetTerm() == v.node.BasicStatus().GetTerm() {
 			v.leading = true
 			v.stepManager(now, singleton.LeadershipGained{})
@@ -38,7 +38,7 @@
 	}
 }
 
-// applyConfChange applies a change of the voters.
+// applyConfChange applies a change of the set of voters.
 func (v *Voter) applyConfChange(entry *pb.Entry) {
 	change := &pb.ConfChange{}
 	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
@@ -57,7 +57,8 @@
 	v.output.Changed = true
 }
 
-// applyCommand applies a command to the table. One that cannot be decoded is skipped, by all voters alike.
+// applyCommand applies a command to the table. A command that cannot be decoded is skipped; all voters skip it, so that
+// their tables stay equal.
 func (v *Voter) applyCommand(now singleton.Seconds, entry *pb.Entry) {
 	var command singleton.Command
 	if err := strictDecoding.Unmarshal(entry.GetData(), &command); err != nil {
@@ -70,8 +71,8 @@
 	v.stepManager(now, singleton.CommandApplied{Command: command, OK: ok})
 }
 
-// ChangeVoters proposes to add a voter that has said hello with an empty store, or to remove one. raft agrees on one
-// change at a time. err is ErrNotLeader, ErrUnknownVoter, ErrNotJoining, or raft's.
+// ChangeVoters proposes to add a voter, which must have sent a hello with an empty store, or to remove one. raft agrees
+// on one change at a time. err is or wraps ErrNotLeader, ErrUnknownVoter, ErrNotJoining, or an error of raft.
 func (v *Voter) ChangeVoters(now singleton.Seconds, name string, add bool) (output Output, err error) {
 	output = v.step(now, func() {
 		if !v.leading {
--- a/internal/standalone/fleet/quorum/boltstore/boltstore.go
+++ b/internal/standalone/fleet/quorum/boltstore/boltstore.go
@@ -18,22 +18,24 @@
 )
 
 const (
-	// lockTimeout is how long Open waits for the file's lock. An older process of this ingress has it for as long as it
-	// runs, and the voter tries again.
+	// lockTimeout is how long Open waits for the file's lock. It is short, because an older process of this ingress
+	// holds the lock for as long as it runs, and the voter retries Open.
 	lockTimeout = 20 * time.Millisecond
-	// retainedEntries is how many entries before a snapshot stay.
+	// retainedEntries is the number of entries before a snapshot that are kept, for voters that are a little behind.
 	retainedEntries = 200
 )
 
-// Store is one file. Its zero value with a Path is closed.
+// Store is a quorum.Store in one file. A Store with only a Path is closed.
 type Store struct {
 	Path string
 	db   *bbolt.DB // nil: closed
 }
 
-// Open reads the state, and counts the start. A new file draws an id. A store that is open is closed first.
+// Open reads the state, and increases the boot count. For a new file it generates an id. A store that is open is closed
+// first.
 func (s *Store) Open() (d *quorum.Durable, err error) {
-	// A file that was cut short is mapped beyond its end: reading there is a memory fault, not an error.
+	// bbolt maps a truncated file beyond its end. Reading there is a memory fault, not an error. SetPanicOnFault
+	// turns the fault into a panic, which is reported as ErrCorrupt.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
@@ -51,10 +53,11 @@
 	return d, nil
 }
 
-// start reads the state into d and counts the start.
+// start reads the state into d and increases the boot count.
 //
-// bbolt's own check, and its search for free pages where the list of these is not stored, run in goroutines of their
-// own: on a corrupt file they would end the process. Reading all values finds the same here.
+// It does not use bbolt's check of a file, nor its search for free pages, which bbolt needs only if their list is not
+// stored. Both run in separate goroutines, where a panic on a corrupt file would end the process. Reading all values,
+// which have checksums, detects corruption too.
 func start(tx *bbolt.Tx, d *quorum.Durable) error {
 	meta, err := tx.CreateBucketIfNotExists(bucketMeta)
 	if err != nil {
@@ -67,7 +70,7 @@
 		return err
 	}
 	if d.ID == 0 {
-		if d.ID, err = drawID(); err != nil {
+		if d.ID, err = newVoterID(); err != nil {
 			return err
 		}
 		if err := putUint64(meta, keyID, d.ID); err != nil {
@@ -78,8 +81,8 @@
 	return putUint64(meta, keyBoot, d.Boot)
 }
 
-// drawID draws a voter's id. raft reserves 0 and the highest values.
-func drawID() (uint64, error) {
+// newVoterID returns a random id for a voter, from 1 to 1<<62, because raft reserves 0 and the highest values.
+func newVoterID() (uint64, error) {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		return 0, err
@@ -87,7 +90,7 @@
 	return binary.BigEndian.Uint64(b[:])>>2 + 1, nil
 }
 
-// wrap adds the path to an error, and marks a full disk and a locked file by the errors of package quorum.
+// wrap adds the path to an error, and wraps ErrNoSpace or ErrLocked of package quorum for a full disk or a locked file.
 func (s *Store) wrap(operation string, err error) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG) {
 		return fmt.Errorf("%s: %s: %w: %w", s.Path, operation, quorum.ErrNoSpace, err)
@@ -118,7 +121,7 @@
 			return err
 		}
 	}
-	if len(b.Entries) > 0 { // they replace the entries from the first one's index on
+	if len(b.Entries) > 0 { // replace all entries from the first one's index on
 		err := deleteFrom(log, b.Entries[0].GetIndex(), func(uint64) bool { return true })
 		if err != nil {
 			return err
@@ -142,7 +145,7 @@
 	return putCBOR(meta, keyPeers, b.Peers)
 }
 
-// deleteFrom deletes the entries from an index on, up to the first that is not to be deleted.
+// deleteFrom deletes the entries from an index on, as long as del returns true.
 func deleteFrom(log *bbolt.Bucket, first uint64, del func(index uint64) bool) error {
 	cursor := log.Cursor()
 	start := logKey(first)
--- a/internal/standalone/fleet/quorum/boltstore/boltstore_test.go
+++ b/internal/standalone/fleet/quorum/boltstore/boltstore_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// What is stored is read again: entries that replace others, a snapshot that replaces entries; and each start is
-// counted.
+// TestSaveAndOpen checks that Open reads what Save stored, including entries that replace others and a snapshot that
+// replaces entries, and that it counts each start.
 func TestSaveAndOpen(t *testing.T) {
 	s := &Store{Path: filepath.Join(t.TempDir(), "votes")}
 	t.Cleanup(func() { s.Close() })
@@ -90,7 +90,8 @@
 	}
 }
 
-// A file that is cut short or changed at any place is read as it was written, or not at all.
+// TestCorruptFile truncates a file, or changes a byte of it, at many places. Open must read each such file as it was
+// written or return an error.
 func TestCorruptFile(t *testing.T) {
 	const lastEntry, lastTransactions = 29, 1
 	dir := t.TempDir()
@@ -122,15 +123,15 @@
 			continue
 		}
 		if opened++; len(corrupt) == 0 {
-			continue // an empty file is a new one: it has another id, and no vote
+			continue // an empty file counts as new: it gets another id and holds no vote
 		}
 		for i, e := range d.Entries {
 			if diff := cmp.Diff(entry(uint64(i+2), 1), e, protocmp.Transform()); diff != "" {
 				t.Fatalf("corrupt at %d, entry (-want +got):\n%s", at, diff)
 			}
 		}
-		// One transaction may be rolled back with its meta page: what was acknowledged last is then missing, and the
-		// other voters' knowledge of the progress shows it.
+		// If the meta page of the last transaction is corrupt, bbolt uses the transaction before. The entries that were
+		// acknowledged last are then missing, which the voter detects by the progress that the others have seen.
 		if want := lastEntry - 1 - lastTransactions; len(d.Entries) < want {
 			t.Errorf("corrupt at %d: got %d entries, want at least %d", at, len(d.Entries), want)
 		}
@@ -141,7 +142,7 @@
 	t.Logf("%d opened, %d rejected", opened, rejected)
 }
 
-// openBytes opens a file of the given content, and removes it.
+// openBytes opens a file with the given content, and removes it afterwards.
 func openBytes(t *testing.T, path string, content []byte) (*quorum.Durable, error) {
 	t.Helper()
 	if err := os.WriteFile(path, content, 0o600); err != nil {
@@ -153,7 +154,7 @@
 	return s.Open()
 }
 
-// A folder in which nothing can be written is an error, and not mistaken for a full disk.
+// TestOpenWithoutFolder checks that a missing folder is an error, but is not reported as a full disk.
 func TestOpenWithoutFolder(t *testing.T) {
 	s := &Store{Path: filepath.Join(t.TempDir(), "none", "votes")}
 	if _, err := s.Open(); err == nil || errors.Is(err, quorum.ErrNoSpace) {
--- a/internal/standalone/fleet/quorum/boltstore/landed_test.go
+++ b/internal/standalone/fleet/quorum/boltstore/landed_test.go
@@ -15,8 +15,8 @@
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
-// landedStore returns a copy of the voter's file that commit 76a3bb5 wrote: a snapshot, entries behind it, a hard
-// state.
+// landedStore returns a store on a copy of the file that a voter of commit 76a3bb5 wrote. It holds a snapshot, entries
+// after it, and a hard state.
 func landedStore(t *testing.T) *Store {
 	t.Helper()
 	s := &Store{Path: filepath.Join(t.TempDir(), "votes.db")}
@@ -44,7 +44,8 @@
 	return values
 }
 
-// A voter that opens the landed version's file has the table, term and log that the landed version had.
+// TestOpenLandedStore checks that a voter that opens the file of the earlier version has the table, term and log that
+// the earlier version had.
 func TestOpenLandedStore(t *testing.T) {
 	var want struct {
 		Status struct {
@@ -100,7 +101,8 @@
 	}
 }
 
-// What is written into the landed version's file is, value by value, what the landed version wrote there.
+// TestSaveIntoLandedStore checks that Save writes the same values into the earlier version's file, byte by byte, as the
+// earlier version did.
 func TestSaveIntoLandedStore(t *testing.T) {
 	s := landedStore(t)
 	d, err := s.Open()
--- a/internal/standalone/fleet/quorum/boltstore/load.go
+++ b/internal/standalone/fleet/quorum/boltstore/load.go
@@ -12,7 +12,7 @@
 	"mulleinrouter/internal/standalone/fleet/quorum"
 )
 
-// load reads the state into d. Parts that contradict each other are quorum.ErrCorrupt.
+// load reads the state into d. If parts of the state contradict each other, the error wraps quorum.ErrCorrupt.
 func load(tx *bbolt.Tx, d *quorum.Durable) error {
 	if err := loadMeta(tx.Bucket(bucketMeta), d); err != nil {
 		return err
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// loadEntries reads the entries after the snapshot. They must be without gaps, begin right after the snapshot, and
-// include all that the hard state says are committed.
+// loadEntries reads the entries after the snapshot. They must have no gaps, begin right after the snapshot, and include
+// all entries that are committed by the hard state.
 func loadEntries(log *bbolt.Bucket, d *quorum.Durable) error {
 	snapshotIndex := d.Snapshot.GetMetadata().GetIndex()
 	last := uint64(0) // 0: none
--- a/internal/standalone/fleet/quorum/boltstore/values.go
+++ b/internal/standalone/fleet/quorum/boltstore/values.go
@@ -11,7 +11,7 @@
 	"mulleinrouter/internal/standalone/fleet/quorum"
 )
 
-// Buckets, and keys of the bucket meta. They are the format of the file.
+// Buckets, and keys of the bucket meta. They are part of the file format and must not change.
 var (
 	bucketMeta = []byte("meta")
 	bucketLog  = []byte("log") // entries by index, see logKey
@@ -29,10 +29,10 @@
 // checksumLength is the length of the checksum before each value, in bytes.
 const checksumLength = 4
 
-// logKey is the key of an entry: big-endian, so that keys are in the order of indices.
+// logKey returns the key of an entry. It is big-endian, so that keys are sorted by index.
 func logKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// checksum covers key and value.
+// checksum returns the checksum of a key and its value.
 func checksum(key, value []byte) uint32 {
 	return crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 }
@@ -63,7 +63,7 @@
 	return verifyChecksum(key, stored)
 }
 
-// verifyChecksum returns a copy of the value after a checksum.
+// verifyChecksum checks the checksum of a stored value, and returns a copy of the value without it.
 func verifyChecksum(key, stored []byte) ([]byte, error) {
 	if len(stored) < checksumLength {
 		return nil, fmt.Errorf("%w: %q is too short", quorum.ErrCorrupt, key)
--- a/internal/standalone/fleet/quorum/bootstrap.go
+++ b/internal/standalone/fleet/quorum/bootstrap.go
@@ -11,8 +11,8 @@
 	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
-// sendHello asks the other voters for this voter's progress, until a majority has responded. A voter that is not
-// bootstrapped sends the configured voters its id.
+// sendHello asks the other voters how far they have seen this voter, until a majority has responded. A voter that is
+// not bootstrapped sends its id to the configured voters.
 func (v *Voter) sendHello() {
 	if v.state == Voting || v.ticks%helloTicks != 0 {
 		return
@@ -32,7 +32,9 @@
 	v.bootstrapIfComplete()
 }
 
-// startVotingIfConfirmed lets the voter vote once a majority, itself included, has not seen it further than it is.
+// startVotingIfConfirmed lets the voter vote once a majority, itself included, has confirmed that it has not seen this
+// voter at a later boot or entry than the store holds. Otherwise a voter whose store was rolled back might vote twice
+// in a term.
 func (v *Voter) startVotingIfConfirmed() {
 	if v.state != Waiting {
 		return
@@ -49,8 +51,8 @@
 	}
 }
 
-// bootstrapIfComplete makes the configured voters one group, once each of them has said that its store knows no
-// voters. The first by name does it; receiveHello repeats it to those that missed it.
+// bootstrapIfComplete bootstraps the configured voters as one group, once each of them has reported that its store
+// knows no voters. The first voter by name starts it, and receiveHello repeats the message to voters that missed it.
 func (v *Voter) bootstrapIfComplete() {
 	if v.state != Unformed || len(v.configured) == 0 || v.configured[0] != v.name {
 		return
@@ -67,7 +69,7 @@
 	}
 }
 
-// bootstrap starts the log with a snapshot of an empty table, which is the same at each voter.
+// bootstrap starts the log with a snapshot of an empty table. The snapshot is the same at each voter.
 func (v *Voter) bootstrap(voters map[uint64]string, tokenBase uint64) {
 	table := singleton.NewLeaseTable()
 	table.LastToken = tokenBase
--- a/internal/standalone/fleet/quorum/encoding_test.go
+++ b/internal/standalone/fleet/quorum/encoding_test.go
@@ -9,8 +9,8 @@
 	"mulleinrouter/internal/standalone/goldentest"
 )
 
-// TestEncodingOfLandedVersion holds the format of messages between voters and of snapshots still: the files under
-// testdata/landed were written by commit 76a3bb5, before the types and fields were renamed.
+// TestEncodingOfLandedVersion checks that the format of messages between voters and of snapshots has not changed. The
+// files under testdata/landed were written by commit 76a3bb5, before the types and fields were renamed.
 func TestEncodingOfLandedVersion(t *testing.T) {
 	holder := singleton.Identity{Name: "n1", Boot: 3, Nonce: 4}
 	tests := []struct {
--- a/internal/standalone/fleet/quorum/errors.go
+++ b/internal/standalone/fleet/quorum/errors.go
@@ -8,7 +8,7 @@
 	ErrNoSpace = errors.New("no space left on the disk")
 	// ErrLocked means that another process has the store open.
 	ErrLocked = errors.New("locked by another process")
-	// ErrCorrupt means that the store holds anything else than what was written.
+	// ErrCorrupt means that the store does not hold what was written.
 	ErrCorrupt = errors.New("corrupt")
 )
 
@@ -24,6 +24,6 @@
 	ErrNotLeader = errors.New("this voter does not lead")
 	// ErrUnknownVoter means that no voter has the name.
 	ErrUnknownVoter = errors.New("no voter has this name")
-	// ErrNotJoining means that no voter of the name has asked to be added.
+	// ErrNotJoining means that no voter with the name has asked to be added.
 	ErrNotJoining = errors.New("it does not wait to be added: is it up, is it named as a voter, and its folder empty?")
 )
--- a/internal/standalone/fleet/quorum/load_test.go
+++ b/internal/standalone/fleet/quorum/load_test.go
@@ -13,17 +13,17 @@
 	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
-// group is three voters with real stores, and ingresses that request all roles, in simulated time and on a network
-// without delay.
+// group is a group of three voters with real stores, and ingresses that request all roles. It runs in simulated time
+// on a network without delay.
 type group struct {
 	now          float64 // seconds
 	voterNames   []string
 	voters       map[string]*quorum.Voter
 	holders      map[string]*singleton.LeaseHolder
-	partitioned  bool // no request reaches the voters
+	partitioned  bool // requests of ingresses do not reach the voters
 	requests     int
 	messageBytes int
-	cpu          map[string]time.Duration // by voter
+	cpu          map[string]time.Duration // CPU time by voter
 }
 
 // newGroup returns a group whose ingresses request all roles.
@@ -62,7 +62,7 @@
 
 func roleName(i int) string { return fmt.Sprint("duty", i) }
 
-// cpuTime is the time of all cores that this process has used.
+// cpuTime returns the CPU time that this process has used on all cores.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
@@ -112,7 +112,7 @@
 	}
 }
 
-// assignedRoles counts the roles that somebody may act on, and checks that each has one holder.
+// assignedRoles counts the roles that have a holder, and checks that none has two.
 func (g *group) assignedRoles(t *testing.T, roles int) (count int) {
 	t.Helper()
 	for role := range roles {
@@ -131,8 +131,9 @@
 	return count
 }
 
-// Many ingresses request many roles, and all request at once after the voters were cut off. The figures are for the
-// design note: MULLEIN_LONG=1 go test ./internal/standalone/fleet/quorum -run Load -v.
+// TestLoad checks that many ingresses can hold many roles, also when all request at once after the voters were cut off.
+// It logs load figures; those of the design note come from
+// MULLEIN_LONG=1 go test ./internal/standalone/fleet/quorum -run Load -v.
 func TestLoad(t *testing.T) {
 	ingresses, roles := 30, 6
 	if os.Getenv("MULLEIN_LONG") != "" {
@@ -174,7 +175,7 @@
 	}
 }
 
-// A voter that has applied many entries starts from its snapshot.
+// TestStartFromSnapshot checks that a voter that has applied many entries starts from its snapshot with the same table.
 func TestStartFromSnapshot(t *testing.T) {
 	entries := 10_000
 	if os.Getenv("MULLEIN_LONG") != "" {
@@ -208,7 +209,7 @@
 	t.Logf("after %d entries: opened in %v, a file of %d kB", entries, took, store.Size()>>10)
 }
 
-// tickUntilLeading ticks a voter until it leads, for 100 s at most, and returns the time.
+// tickUntilLeading ticks a voter until it leads, for at most 100 s of simulated time, and returns the time.
 func tickUntilLeading(voter *quorum.Voter, now float64) float64 {
 	for end := now + 100; !voter.Status().Leading && now < end; now += quorum.TickInterval {
 		voter.Tick(now)
@@ -216,8 +217,8 @@
 	return now
 }
 
-// renewUntilApplied has an ingress hold all roles until a leader has applied a number of entries, and returns the
-// time.
+// renewUntilApplied sends a leader the requests of an ingress that holds all roles, until the leader has applied a
+// number of entries, and returns the time.
 func renewUntilApplied(voter *quorum.Voter, now float64, entries int) float64 {
 	r := singleton.AcquireRequest{From: singleton.Identity{Name: "a", Boot: 1}}
 	for role := range singleton.MaxRoles {
--- a/internal/standalone/fleet/quorum/logger.go
+++ b/internal/standalone/fleet/quorum/logger.go
@@ -4,8 +4,8 @@
 	"fmt"
 )
 
-// silentLogger discards the logs of raft: what matters is in Status. Its panics are raft's way to report a log that
-// was rolled back; Voter.step recovers from them.
+// silentLogger discards the logs of raft, because Status shows the relevant state. It panics on raft's fatal errors, by
+// which raft reports a log that was rolled back; Voter.step recovers from them.
 type silentLogger struct{}
 
 func (silentLogger) Debug(...any) {}
--- a/internal/standalone/fleet/quorum/memory_store_test.go
+++ b/internal/standalone/fleet/quorum/memory_store_test.go
@@ -8,11 +8,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// memoryStore is a Store in memory: what is saved is durable, and may be copied and rolled back.
+// memoryStore is a Store in memory. A test may copy the saved state and roll the store back to a copy.
 type memoryStore struct {
 	durable *Durable // nil: empty
 	full    bool
-	nextID  uint64 // of the next empty store
+	nextID  uint64 // basis of the id of the next empty store
 }
 
 func (s *memoryStore) Open() (*Durable, error) {
--- a/internal/standalone/fleet/quorum/messages.go
+++ b/internal/standalone/fleet/quorum/messages.go
@@ -6,39 +6,39 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// messageKind is what an envelope carries.
+// messageKind is the kind of an envelope's content.
 type messageKind uint8
 
 const (
 	kindRaft      messageKind = 1 // a message of raft
-	kindHello     messageKind = 2 // asks how far this voter is known to have been; kindProgress responds
-	kindProgress  messageKind = 3
-	kindBootstrap messageKind = 4 // the first voters of the fleet
+	kindHello     messageKind = 2 // asks for the progress at which the receiver has seen the sender
+	kindProgress  messageKind = 3 // responds to a hello
+	kindBootstrap messageKind = 4 // the first voters of the fleet, by id
 )
 
 // envelope is a message between voters.
 type envelope struct {
 	Kind         messageKind       `cbor:"1,keyasint"`
-	From         uint64            `cbor:"2,keyasint"` // id
-	Name         string            `cbor:"3,keyasint"` // of the sender
-	Boot         uint64            `cbor:"4,keyasint"` // of the sender
+	From         uint64            `cbor:"2,keyasint"` // id of the sender
+	Name         string            `cbor:"3,keyasint"` // name of the sender
+	Boot         uint64            `cbor:"4,keyasint"` // boot count of the sender
 	RaftMessage  []byte            `cbor:"5,keyasint,omitempty"`
-	LastIndex    uint64            `cbor:"6,keyasint,omitempty"` // of a hello: the last entry that the sender has
+	LastIndex    uint64            `cbor:"6,keyasint,omitempty"` // in a hello: the sender's last entry
 	Bootstrapped bool              `cbor:"7,keyasint,omitempty"` // the sender's store knows its voters
-	Progress     PeerProgress      `cbor:"8,keyasint,omitempty"` // of the receiver, as the sender knows it
-	Match        map[uint64]uint64 `cbor:"9,keyasint,omitempty"` // of a leader: the index that each voter acknowledged
+	Progress     PeerProgress      `cbor:"8,keyasint,omitempty"` // of the receiver, as the sender has seen it
+	Match        map[uint64]uint64 `cbor:"9,keyasint,omitempty"` // from a leader: last acknowledged index by voter
 	Voters       map[uint64]string `cbor:"10,keyasint,omitempty"`
 	TokenBase    uint64            `cbor:"11,keyasint,omitempty"`
-	Waiting      bool              `cbor:"12,keyasint,omitempty"` // of a progress: the sender is Waiting itself
+	Waiting      bool              `cbor:"12,keyasint,omitempty"` // in a progress: the sender is Waiting itself
 }
 
 // Message is an encoded envelope to a voter.
 type Message struct {
-	To   string // name
+	To   string // name of the voter
 	Data []byte
 }
 
-// strictDecoding decodes what other processes send, which is untrusted input.
+// strictDecoding limits the CBOR that is accepted from other processes, which is untrusted input.
 var strictDecoding = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
--- a/internal/standalone/fleet/quorum/mutants_test.go
+++ b/internal/standalone/fleet/quorum/mutants_test.go
@@ -9,8 +9,8 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Simulations find every fault that is seeded in the voters, in package singleton or in the receiver of effects, and
-// none without.
+// TestMutants checks that simulations find every fault that is seeded in the voters, in package singleton or in the
+// receiver of effects, and that they find no problem without a seeded fault.
 func TestMutants(t *testing.T) {
 	const seeds, seedsWithoutFault = 100, 20
 	tests := []struct {
@@ -51,6 +51,7 @@
 	}
 }
 
+// TestWaitsForConfirmationMutant checks that TestWaitsForConfirmation finds a voter that votes without confirmation.
 func TestWaitsForConfirmationMutant(t *testing.T) {
 	cryptotest.SetGlobalRandom(t, 1)
 	mutants.Seed(t, "quorum/vote-untold")
@@ -59,6 +60,7 @@
 	}
 }
 
+// TestRolledBackStoreMutant checks that TestRolledBackStore finds a voter that votes with a rolled-back store.
 func TestRolledBackStoreMutant(t *testing.T) {
 	cryptotest.SetGlobalRandom(t, 1)
 	mutants.Seed(t, "quorum/gone-back-votes")
--- a/internal/standalone/fleet/quorum/ready.go
+++ b/internal/standalone/fleet/quorum/ready.go
@@ -12,7 +12,7 @@
 	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
-// handleReady carries out raft's Ready in the order that it requires: store, then send, then apply.
+// handleReady handles raft's Ready in the order that raft requires: store, then send, then apply.
 func (v *Voter) handleReady(now singleton.Seconds) {
 	for v.node != nil && v.node.HasReady() {
 		ready := v.node.Ready()
@@ -39,8 +39,8 @@
 	}
 }
 
-// storeReady makes the entries, the hard state and the snapshot of a Ready durable. It reports false where the voter
-// must not go on.
+// storeReady makes the entries, the hard state and the snapshot of a Ready durable. It returns false if that failed, in
+// which case the voter must not send or apply anything.
 func (v *Voter) storeReady(ready raft.Ready) bool {
 	batch := Batch{Entries: ready.Entries}
 	if !raft.IsEmptyHardState(ready.HardState) {
@@ -69,7 +69,7 @@
 	return true
 }
 
-// installSnapshot replaces table and voters by those of a leader's snapshot.
+// installSnapshot replaces the table and the voters by those of a leader's snapshot.
 func (v *Voter) installSnapshot(s *pb.Snapshot) error {
 	if err := v.raftStorage.ApplySnapshot(s); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 		return err
@@ -78,13 +78,13 @@
 		return err
 	}
 	if v.state == Unformed {
-		v.state = Voting // it was added: under its id it has never voted
+		v.state = Voting // a newly added voter has never voted under its id, so it needs no confirmation
 	}
 	return nil
 }
 
-// save stores a batch. On a full disk the voter falls silent until there is space; after any other error the state of
-// the store is unknown, and the voter retires.
+// save stores a batch. If the disk is full, the voter sends nothing until there is space. After any other error the
+// voter retires, because the state of the store is unknown.
 func (v *Voter) save(b Batch) bool {
 	b.Peers = v.durable.Peers
 	if mutants.On("quorum/vote-unkept") {
@@ -107,8 +107,8 @@
 	return false
 }
 
-// sendRaft sends a message of raft. A leader's heartbeats carry how far each voter is, so that each voter that
-// received one knows, see PeerProgress.
+// sendRaft sends a message of raft. A leader's heartbeats also carry the last index that each voter acknowledged, so
+// that the receivers can store the progress of the other voters, see PeerProgress.
 func (v *Voter) sendRaft(m *pb.Message) {
 	name := v.durable.VoterNames[m.GetTo()]
 	data, err := proto.Marshal(m)
@@ -122,7 +122,7 @@
 	}
 	v.send(name, e)
 	if m.GetType() == pb.MsgSnap {
-		// A snapshot that is lost is sent again when the follower asks for entries.
+		// Delivery is not tracked. raft sends a lost snapshot again when the follower rejects the entries that follow.
 		v.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
 }
--- a/internal/standalone/fleet/quorum/receive.go
+++ b/internal/standalone/fleet/quorum/receive.go
@@ -27,7 +27,7 @@
 		return
 	}
 	known := v.durable.Peers[e.From]
-	stale := e.Boot < known.Boot // sent by an earlier start of that voter
+	stale := e.Boot < known.Boot // sent by an earlier process of that voter
 	if e.Boot > known.Boot && v.durable.VoterNames[e.From] != "" {
 		known.Boot = e.Boot
 		v.durable.Peers[e.From] = known // stored with the next batch
@@ -42,19 +42,19 @@
 			v.bootstrap(e.Voters, e.TokenBase)
 		}
 	case kindRaft:
-		if stale || v.state == Waiting { // a waiting voter does not know yet what it has voted
+		if stale || v.state == Waiting { // the store of a waiting voter may miss votes that it cast
 			return
 		}
 		v.receiveRaft(e)
 	}
 }
 
-// receiveHello responds with the progress of the sender. One that is not bootstrapped is noted, so that it can be
-// bootstrapped or added.
+// receiveHello responds with the progress at which this voter has seen the sender. If the sender is not bootstrapped,
+// its id is recorded, so that it can be bootstrapped or added.
 func (v *Voter) receiveHello(e envelope, known PeerProgress, stale bool) {
 	if e.Bootstrapped {
 		delete(v.unbootstrapped, e.Name)
-		if !stale { // the sender's present start is no sign of a rollback
+		if !stale { // the boot of the sender's present process is no sign of a rollback
 			known.Boot = 0
 		}
 		v.send(e.Name, envelope{
@@ -69,13 +69,14 @@
 		return
 	}
 	v.unbootstrapped[e.Name] = e.From
-	if v.durable.VoterNames[e.From] == e.Name { // it has missed the bootstrap
+	if v.durable.VoterNames[e.From] == e.Name { // the sender has missed the bootstrap
 		v.send(e.Name, envelope{Kind: kindBootstrap, Voters: v.durable.VoterNames, TokenBase: v.table.LastToken})
 	}
 }
 
-// receiveProgress compares the progress of this voter, as another knows it, with its store. A store that says less
-// was rolled back, and the voter may have voted, or acknowledged entries, that it does not know of: it retires.
+// receiveProgress compares the progress at which another voter has seen this one with the store. If the store is behind
+// it, the store was rolled back. The voter then retires, because it may have cast votes or acknowledged entries that
+// the store does not hold.
 func (v *Voter) receiveProgress(e envelope) {
 	if v.state != Waiting || !e.Bootstrapped || v.durable.VoterNames[e.From] == "" {
 		return
@@ -93,7 +94,7 @@
 	v.startVotingIfConfirmed()
 }
 
-// receiveRaft hands a message to raft, and notes how far the others are.
+// receiveRaft passes a message to raft, and records the progress of the other voters.
 func (v *Voter) receiveRaft(e envelope) {
 	for id, index := range e.Match {
 		if p := v.durable.Peers[id]; id != v.durable.ID && index > p.Index {
--- a/internal/standalone/fleet/quorum/simulation_faults_test.go
+++ b/internal/standalone/fleet/quorum/simulation_faults_test.go
@@ -6,7 +6,7 @@
 	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
-// injectFault injects a random fault, and ends the faults of the network now and then.
+// injectFault injects a random fault. In one of three cases it also ends all faults of the network.
 func (s *simulation) injectFault() {
 	m := s.machines[s.rng.IntN(len(s.machines))]
 	s.lastFaultAt = s.now
@@ -44,7 +44,7 @@
 	}
 }
 
-// pauseHolders pauses the machines that may act.
+// pauseHolders pauses the machines that may act, for ten times the duration of a lease.
 func (s *simulation) pauseHolders() {
 	for _, m := range s.machines {
 		if _, ok := m.leaseHolder.FencingToken(s.clock(m), simulatedRole); ok && m.up {
@@ -53,8 +53,8 @@
 	}
 }
 
-// loseStore empties a voter's store. A minority loses theirs at most, as nobody replaces these voters here: if all
-// lost theirs one after another, they would bootstrap anew.
+// loseStore empties a voter's store. At most a minority of the voters lose their stores, because the simulation doesn't
+// replace such voters: if all lost their stores one after another, they would bootstrap a new group.
 func (s *simulation) loseStore(m *machine) {
 	if s.lostStores >= (s.voterCount-1)/2 || slices.Index(s.machines, m) >= s.voterCount {
 		return
@@ -63,7 +63,7 @@
 	m.store.durable, m.store.nextID = nil, m.store.nextID+1
 }
 
-// partitionPair cuts one direction or both between two machines.
+// partitionPair cuts the link between two machines in one direction or in both.
 func (s *simulation) partitionPair(m, other *machine) {
 	s.partitioned[link{m.name, other.name}] = true
 	if s.rng.IntN(2) == 0 {
@@ -71,7 +71,7 @@
 	}
 }
 
-// isolate cuts a machine off, in one direction or both, from all others or from every second one.
+// isolate cuts off a machine, in one direction or in both, from all others or from every second one.
 func (s *simulation) isolate(m *machine) {
 	in, out := s.rng.IntN(2) == 0, s.rng.IntN(2) == 0
 	every := 1 + s.rng.IntN(2)
@@ -84,7 +84,7 @@
 	}
 }
 
-// restartAll is a power failure.
+// restartAll simulates a power failure of all machines.
 func (s *simulation) restartAll() {
 	for _, m := range s.machines {
 		s.stop(m)
@@ -92,8 +92,8 @@
 	}
 }
 
-// rollBackStore restores the store of a voter from a copy, if the fleet was well for a while after the copy was
-// taken: then the others have seen how far the voter was.
+// rollBackStore restores the store of a voter from a copy. It does so only if the fleet had no fault for a while after
+// the copy was made, because only then have the other voters seen the voter's progress beyond the copy.
 func (s *simulation) rollBackStore() {
 	m := s.machines[s.rng.IntN(s.voterCount)]
 	s.healNetwork()
--- a/internal/standalone/fleet/quorum/simulation_test.go
+++ b/internal/standalone/fleet/quorum/simulation_test.go
@@ -17,25 +17,25 @@
 	stallThreshold = 1.0 // seconds of a machine's clock without a tick
 )
 
-// machine is one ingress of the simulated fleet: a candidate for the role, and mostly a voter.
+// machine is one ingress of the simulated fleet. Each is a candidate for the role, and all but the last are voters.
 type machine struct {
 	name        string
-	clockRate   float64 // seconds of its clock a second
+	clockRate   float64 // rate of its clock: seconds per second of simulated time
 	store       *memoryStore
 	backup      *Durable
-	voter       *Voter // nil: none, or down
+	voter       *Voter // nil: the machine is down, or not a voter
 	leaseHolder *singleton.LeaseHolder
 	incarnation uint64
 	up          bool
 	pausedUntil float64
-	paused      []func() // what arrived while it was paused
-	lastTick    float64  // by its clock
+	paused      []func() // deliveries that arrived while it was paused
+	lastTick    float64  // time of the last tick by its clock
 }
 
-// scheduled is an event of the simulation.
+// scheduled is a scheduled event of the simulation.
 type scheduled struct {
 	at  float64
-	seq int // order of events at one time
+	seq int // order among events with the same time
 	do  func()
 }
 
@@ -61,8 +61,8 @@
 // link is the direction from one machine to another.
 type link struct{ from, to string }
 
-// simulation is a run of a fleet in simulated time: machines, a faulty network, a service that receives the role's
-// effects, and what was observed.
+// simulation is a run of a fleet in simulated time. It holds the machines, a faulty network, a service that receives
+// the role's effects, and the observations that the checks use.
 type simulation struct {
 	rng         *rand.Rand
 	now         float64 // seconds
@@ -77,17 +77,17 @@
 	lastFaultAt float64
 
 	problems      []string
-	acceptedToken uint64 // the highest that the receiver of effects has accepted
+	acceptedToken uint64 // highest token that the receiver of effects has accepted
 	rejected      int    // effects with an older token
 	effects       int
-	actors        map[uint64]string // who acted, by token
-	lastToken     uint64            // that somebody acted under
-	tables        map[uint64]string // the table, by index of the log
-	grants        map[uint64]string // holder, by token
-	gaps          []float64         // seconds without anybody who acts
+	actors        map[uint64]string // machine that acted, by token
+	lastToken     uint64            // highest token under which a machine acted
+	tables        map[uint64]string // table by index of the log
+	grants        map[uint64]string // holder by token
+	gaps          []float64         // lengths of periods in which no machine acted, seconds
 	lastEffectAt  float64
 	history       []porcupine.Operation
-	requestSentAt map[string]float64 // by sender and id
+	requestSentAt map[string]float64 // time by requestKey
 }
 
 func newSimulation(seed uint64) *simulation {
@@ -114,22 +114,23 @@
 	return s
 }
 
-func (s *simulation) problem(format string, args ...any) {
+func (s *simulation) reportProblem(format string, args ...any) {
 	if len(s.problems) < 5 {
 		s.problems = append(s.problems, fmt.Sprintf("%.2f s: ", s.now)+fmt.Sprintf(format, args...))
 	}
 }
 
-// after schedules an event.
+// after schedules an event after a delay in seconds.
 func (s *simulation) after(delay float64, do func()) {
 	s.seq++
 	heap.Push(&s.schedule, scheduled{s.now + delay, s.seq, do})
 }
 
-// clock is the time by a machine's own clock.
+// clock returns the time by a machine's clock.
 func (s *simulation) clock(m *machine) float64 { return 1000 + s.now*m.clockRate }
 
-// deliver has something happen at an incarnation of a machine: when it is paused, after the pause.
+// deliver runs do at a machine if its incarnation is still the given one. If the machine is paused, it runs do after
+// the pause.
 func (s *simulation) deliver(m *machine, incarnation uint64, do func()) {
 	switch {
 	case !m.up || m.incarnation != incarnation:
@@ -172,7 +173,7 @@
 	})
 }
 
-// scheduleTick ticks a machine, ten times a second by its own clock.
+// scheduleTick ticks a machine every TickInterval by its own clock.
 func (s *simulation) scheduleTick(m *machine) {
 	s.after(TickInterval/m.clockRate, func() {
 		if m.up && s.now >= m.pausedUntil {
@@ -183,7 +184,7 @@
 }
 
 func (s *simulation) tick(m *machine) {
-	s.act(m) // after a pause the role's work may go on before the lease holder does
+	s.act(m) // after a pause the role may act before the lease holder detects the pause
 	if s.clock(m)-m.lastTick > stallThreshold {
 		s.stepLeaseHolder(m, singleton.StallDetected{})
 	}
@@ -201,7 +202,8 @@
 	s.act(m)
 }
 
-// send carries something over the network: once, twice or not at all.
+// send sends a message over the network, which runs do at the receiver after a delay. A faulty network may lose the
+// message or deliver it twice.
 func (s *simulation) send(from, to *machine, do func()) {
 	if s.partitioned[link{from.name, to.name}] || s.rng.Float64() < s.lossRate {
 		return
@@ -226,7 +228,7 @@
 	return nil
 }
 
-// handleOutput carries out what a voter wants, and checks its table.
+// handleOutput sends the messages of a voter's output, and checks the voter's table.
 func (s *simulation) handleOutput(m *machine, output Output) {
 	for _, message := range output.Messages {
 		if to := s.machine(message.To); to != nil {
@@ -254,7 +256,7 @@
 	}
 	output, err := m.voter.Receive(s.clock(m), data)
 	if err != nil {
-		s.problem("%v", err)
+		s.reportProblem("%v", err)
 	}
 	s.handleOutput(m, output)
 }
@@ -290,8 +292,8 @@
 
 func requestKey(m *machine, id uint64) string { return fmt.Sprint(m.name, m.incarnation, id) }
 
-// act has an effect of the role, if it is this machine's. It may be paused between the check of its lease and the
-// effect.
+// act sends an effect of the role, if the machine holds it. The machine may be paused between the check of its lease
+// and the effect.
 func (s *simulation) act(m *machine) {
 	token, ok := m.leaseHolder.FencingToken(s.clock(m), simulatedRole)
 	if !ok {
@@ -304,20 +306,21 @@
 	})
 }
 
-// receiveEffect is the service that receives the role's effects: it rejects older tokens.
+// receiveEffect simulates the service that receives the role's effects. It rejects effects with a token older than one
+// that it has accepted.
 func (s *simulation) receiveEffect(token uint64) {
 	if token < s.acceptedToken && !mutants.On("quorum/unfenced") {
 		s.rejected++
 		return
 	}
 	if token < s.acceptedToken {
-		s.problem("an effect of token %d was accepted after one of %d", token, s.acceptedToken)
+		s.reportProblem("an effect of token %d was accepted after one of %d", token, s.acceptedToken)
 	}
 	s.acceptedToken = max(s.acceptedToken, token)
 	s.effects++
 }
 
-// run runs for some seconds.
+// run runs the simulation for some seconds, with random faults or without, or until a problem is found.
 func (s *simulation) run(seconds float64, faults bool) {
 	end := s.now + seconds
 	for nextFaultAt := s.now + 3; s.now < end && len(s.problems) == 0; {
--- a/internal/standalone/fleet/quorum/snapshot.go
+++ b/internal/standalone/fleet/quorum/snapshot.go
@@ -16,7 +16,7 @@
 	VoterNames map[uint64]string     `cbor:"2,keyasint"` // by id
 }
 
-// restore replaces table and voters by those of a snapshot.
+// restore replaces the table and the voters by those of a snapshot.
 func (v *Voter) restore(s *pb.Snapshot) error {
 	var content snapshot
 	if err := cbor.Unmarshal(s.GetData(), &content); err != nil {
@@ -35,7 +35,8 @@
 	return nil
 }
 
-// compact stores a snapshot after every snapshotEvery entries, and drops the entries that it replaces.
+// compact stores a snapshot after every snapshotEvery entries, and drops the entries that it replaces, except the last
+// retainedEntries.
 func (v *Voter) compact() {
 	if v.node == nil || v.appliedIndex < v.snapshotIndex+snapshotEvery {
 		return
--- a/internal/standalone/fleet/quorum/status.go
+++ b/internal/standalone/fleet/quorum/status.go
@@ -7,35 +7,36 @@
 	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
-// State is the state of a voter. Logs show it.
+// State is the state of a voter, as logs show it.
 type State string
 
 // States of a voter.
 const (
-	// Unformed means that the store knows no voters: it waits to be bootstrapped or added.
+	// Unformed means that the store knows no voters, and that the voter waits to be bootstrapped or added.
 	Unformed State = "unformed"
-	// Waiting means that the voter asks the others for its progress, and does not vote before a majority has responded.
+	// Waiting means that the voter asks the others how far they have seen it, and does not vote until a majority has
+	// confirmed that its store is not behind.
 	Waiting State = "waiting"
-	// Voting is the state of a voter in service.
+	// Voting means that the voter takes part in raft's elections and replication.
 	Voting State = "voting"
 	// Busy means that an older process of this ingress, which is being replaced, has the store open.
 	Busy State = "busy"
-	// Full means that the disk is full: the voter sends nothing, and restarts from its store once there is space.
+	// Full means that the disk is full. The voter sends nothing, and restarts from its store once there is space.
 	Full State = "full"
-	// Retired means that the store was rolled back, or is corrupt: the voter does not vote under its id again.
+	// Retired means that the store was rolled back, is corrupt, or failed. The voter does not vote under its id again.
 	Retired State = "retired"
 )
 
 // Status describes a voter.
 type Status struct {
 	State   State
-	Reason  string // of Full and Retired
+	Reason  string // reason for the state Busy, Full or Retired
 	ID      uint64
 	Boot    uint64
-	Leader  string // empty: none is known
+	Leader  string // name; empty: no leader is known
 	Leading bool   // this voter leads, and has applied all entries of earlier leaders
 	Term    uint64
-	Applied uint64 // index of the last entry
+	Applied uint64 // index of the last entry applied
 	Voters  []string
 }
 
@@ -56,5 +57,5 @@
 // Table returns the table of leases as far as this voter has applied the log. It must not be changed.
 func (v *Voter) Table() *singleton.LeaseTable { return v.table }
 
-// Candidates returns the names of the candidates for a role, where this voter leads.
+// Candidates returns the names of the candidates for a role, if this voter leads.
 func (v *Voter) Candidates(role string) []string { return v.manager.Candidates(role) }
--- a/internal/standalone/fleet/quorum/store.go
+++ b/internal/standalone/fleet/quorum/store.go
@@ -4,40 +4,39 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Store is the durable state of a voter. Save returns once all of the batch is durable, or none of it is. After
-// ErrNoSpace the store is as it was; after any other error its state is unknown, and the voter does not use it any
-// more.
+// Store is the durable state of a voter. Save returns once all of the batch is durable, or an error. After ErrNoSpace
+// the store is unchanged. After any other error its state is unknown, and the voter does not use it any more.
 type Store interface {
-	// Open reads the state, and durably counts the start. Its errors are, or wrap, ErrLocked, ErrNoSpace or ErrCorrupt
-	// where they apply.
+	// Open reads the state, and durably increases the boot count. If the file is locked, the disk is full or the state
+	// is corrupt, its error is or wraps ErrLocked, ErrNoSpace or ErrCorrupt.
 	Open() (*Durable, error)
 	Save(Batch) error
 }
 
-// Durable is what a voter has on disk.
+// Durable is the state that a voter has on disk.
 type Durable struct {
-	ID         uint64            // drawn with the store
-	Boot       uint64            // starts with this store, the present one included
+	ID         uint64            // generated with the store
+	Boot       uint64            // number of starts with this store, including the present one
 	VoterNames map[uint64]string // by id; empty: not bootstrapped
 	HardState  *pb.HardState
 	Snapshot   *pb.Snapshot // nil: none
 	Entries    []*pb.Entry
-	Peers      map[uint64]PeerProgress // by id, of the other voters
+	Peers      map[uint64]PeerProgress // progress of the other voters, by id
 }
 
-// PeerProgress is how far another voter is known to have been. It only grows. A voter whose store says less was
-// rolled back.
+// PeerProgress is the latest progress at which another voter was seen. It only grows. A voter whose store is behind it
+// was rolled back.
 type PeerProgress struct {
 	Boot  uint64 `cbor:"1,keyasint"`
-	Index uint64 `cbor:"2,keyasint"` // of the last entry that it acknowledged
+	Index uint64 `cbor:"2,keyasint"` // index of the last entry that it acknowledged
 }
 
-// Batch is stored completely or not at all.
+// Batch is a set of changes that a Store stores completely or not at all.
 type Batch struct {
 	HardState  *pb.HardState // nil: unchanged
-	Snapshot   *pb.Snapshot  // nil: none; entries up to its index may go, except the last few
+	Snapshot   *pb.Snapshot  // nil: none; entries up to its index may be deleted, except the last few
 	Replace    bool          // the snapshot comes from another voter and replaces all entries
-	Entries    []*pb.Entry   // replace all from the first one's index on
+	Entries    []*pb.Entry   // replace all stored entries from the first one's index on
 	VoterNames map[uint64]string
 	Peers      map[uint64]PeerProgress
 }
--- a/internal/standalone/fleet/quorum/voter.go
+++ b/internal/standalone/fleet/quorum/voter.go
@@ -11,45 +11,45 @@
 	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
-// TickInterval is how often Tick is to be called, in seconds.
+// TickInterval is the time between two calls of Voter.Tick, in seconds.
 const TickInterval = 0.1
 
 const (
-	heartbeatTicks = 2 // ticks of TickInterval
-	electionTicks  = 8 // ticks; raft draws each timeout from here to nearly twice as many
-	helloTicks     = 3 // ticks
+	heartbeatTicks = 2 // ticks of TickInterval between two heartbeats of a leader
+	electionTicks  = 8 // minimum election timeout, ticks; raft picks each at random, up to nearly twice as many
+	helloTicks     = 3 // ticks between two hellos
 
-	snapshotEvery   = 2000 // entries
-	retainedEntries = 200  // before a snapshot, for voters that are a little behind
+	snapshotEvery   = 2000 // entries between two snapshots, which bound the log
+	retainedEntries = 200  // entries kept before a snapshot, so that voters a little behind need no snapshot
 
-	maxProposalBytes   = 64 << 10
-	maxMessageBytes    = 8 << 20 // of an envelope: a snapshot of the largest table fits
-	maxAppendBytes     = 1 << 20 // of the entries in one message of raft
-	maxUncommitted     = 1 << 20 // bytes of entries that are proposed and not committed
-	maxInflightAppends = 64      // messages to one voter
+	maxProposalBytes   = 64 << 10 // bytes of one encoded command
+	maxMessageBytes    = 8 << 20  // bytes of an envelope; large enough for a snapshot of the largest table
+	maxAppendBytes     = 1 << 20  // bytes of the entries in one message of raft
+	maxUncommitted     = 1 << 20  // bytes of the entries that are proposed and not committed
+	maxInflightAppends = 64       // unacknowledged append messages to one voter
 
-	reopenInterval = 0.5 // seconds
+	reopenInterval = 0.5 // seconds between two attempts to open the store
 )
 
 // Voter is one voter of the fleet. It is not safe for concurrent use.
 type Voter struct {
 	name       string
 	configured []string // names of the voters in the configuration, sorted
-	tokenBase  uint64   // where this voter bootstraps: the table's first token is above it
+	tokenBase  uint64   // if this voter bootstraps the group, the table's first token is above it
 	store      Store
 	durable    *Durable
 
 	state  State
-	reason string // of the state
+	reason string // reason for the state Busy, Full or Retired
 
-	node          *raft.RawNode // nil: the voter is silent
+	node          *raft.RawNode // nil: raft does not run, and the voter sends nothing
 	raftStorage   *raft.MemoryStorage
 	confState     *pb.ConfState
 	appliedIndex  uint64
 	snapshotIndex uint64
-	leader        uint64 // id; 0: none is known
+	leader        uint64 // id; 0: no leader is known
 	raftLeader    bool   // raft has elected this voter
-	leading       bool   // and it has applied all entries of earlier leaders
+	leading       bool   // raft has elected this voter, and it has applied all entries of earlier leaders
 
 	table   *singleton.LeaseTable
 	manager *singleton.LeaseManager
@@ -57,24 +57,25 @@
 	steppedAt      singleton.Seconds
 	nextReopenAt   singleton.Seconds
 	ticks          int
-	confirmedBy    map[uint64]bool   // ids of others that have not seen this voter further than it is
-	unbootstrapped map[string]uint64 // ids by name of configured voters that wait to be bootstrapped or added
+	confirmedBy    map[uint64]bool   // ids of others that have not seen this voter ahead of its store
+	unbootstrapped map[string]uint64 // ids, by name, of configured voters to be bootstrapped or added
 
-	output Output // of the step that runs
+	output Output // output of the current step
 }
 
 // Output is the result of a step.
 type Output struct {
 	Messages []Message         // to other voters
 	Replies  []singleton.Reply // to ingresses
-	Wake     []string          // names of ingresses that are to send their requests at once
+	Wake     []string          // names of ingresses that should send their requests at once
 	Changed  bool              // the table, the leader, the voters or the state changed
 }
 
-// Open starts a voter from its store. The first token is above tokenBase if the voters are bootstrapped now: the time
-// in seconds, shifted by 20 bits, keeps tokens growing over a loss of all voters' stores.
+// Open starts a voter from its store. If the voters are bootstrapped now, the first token is above tokenBase. Callers
+// pass the time in seconds, shifted left by 20 bits, so that tokens keep growing even if all voters' stores are lost.
 //
-// The voter is usable when err is not nil: Reopen starts it once a full disk has space again, else it is Retired.
+// The voter may be used even if err is not nil: if the disk is full, Reopen starts it once there is space again; after
+// any other error it is Retired.
 func Open(name string, configured []string, store Store, tokenBase uint64) (*Voter, error) {
 	v := &Voter{
 		name:           name,
@@ -103,7 +104,7 @@
 }
 
 // Reopen starts the voter again from its store, once a full disk has space or an older process of this ingress has
-// ended. It is to be called before each Tick.
+// ended. The caller calls it before each Tick.
 func (v *Voter) Reopen(now singleton.Seconds) {
 	if v.state != Full && v.state != Busy || now < v.nextReopenAt {
 		return
@@ -117,10 +118,10 @@
 		return
 	}
 	v.confirmedBy = map[uint64]bool{}
-	v.start(durable) // an error has retired it
+	v.start(durable) // after an error the voter is Retired, which Status shows
 }
 
-// start runs raft on a state that was read from the store. After an error the voter is Retired.
+// start starts raft on the state that was read from the store. After an error the voter is Retired.
 func (v *Voter) start(durable *Durable) error {
 	v.durable = durable
 	if durable.Peers == nil {
@@ -133,9 +134,9 @@
 	return nil
 }
 
-// startRaft runs raft on v.durable.
+// startRaft starts raft on v.durable.
 func (v *Voter) startRaft() (err error) {
-	defer func() { // raft panics where the parts of the state contradict each other
+	defer func() { // raft panics if parts of the state contradict each other
 		if r := recover(); r != nil {
 			err = fmt.Errorf("quorum: start raft: %w: %v", ErrCorrupt, r)
 		}
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// Tick says that time has passed. It is to be called every TickInterval; missed calls are not made up for.
+// Tick reports the passing of time. The caller calls it every TickInterval, and does not make up for missed calls.
 func (v *Voter) Tick(now singleton.Seconds) Output {
 	return v.step(now, func() {
 		v.ticks++
@@ -189,7 +190,7 @@
 	})
 }
 
-// Receive handles a message of another voter. One that cannot be decoded is an error and changes nothing.
+// Receive handles a message of another voter. A message that cannot be decoded is an error and changes nothing.
 func (v *Voter) Receive(now singleton.Seconds, data []byte) (Output, error) {
 	e, err := decodeEnvelope(data)
 	if err != nil {
@@ -203,12 +204,13 @@
 	return v.step(now, func() { v.stepManager(now, singleton.RequestReceived{Request: r}) })
 }
 
-// Transfer has a role go to a member, where this voter leads.
+// Transfer transfers a role to a member, if this voter leads.
 func (v *Voter) Transfer(now singleton.Seconds, role, to string) Output {
 	return v.step(now, func() { v.stepManager(now, singleton.Transfer{Role: role, To: to}) })
 }
 
-// step runs do, and then handles raft's Ready. raft panics where a log was rolled back: the voter retires.
+// step runs do, and then handles raft's Ready. raft panics if it detects that a log was rolled back, and the voter then
+// retires.
 func (v *Voter) step(now singleton.Seconds, do func()) (output Output) {
 	v.output, v.steppedAt = Output{}, now
 	defer func() {
@@ -241,14 +243,14 @@
 	}
 }
 
-// retire silences the voter: it sends nothing under its id any more.
+// retire stops the voter for good: it sends nothing under its id any more.
 func (v *Voter) retire(reason string) {
 	v.state, v.reason, v.node = Retired, reason, nil
 	v.loseLeadership()
 	v.output.Changed = true
 }
 
-// loseLeadership notifies the manager that this voter does not lead any more, if it did.
+// loseLeadership notifies the lease manager, if this voter led, that it no longer does.
 func (v *Voter) loseLeadership() {
 	if v.leading {
 		v.leading = false
--- a/internal/standalone/fleet/quorum/voter_test.go
+++ b/internal/standalone/fleet/quorum/voter_test.go
@@ -11,16 +11,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// recoverySeconds is the time without faults at the end of a run, within which the role is held again.
+// recoverySeconds is the time without faults at the end of a run, in seconds. Within it the role has to be held again.
 const recoverySeconds = 14
 
-// seedsFromEnvironment is the number of seeds that MULLEIN_SEEDS asks for.
+// seedsFromEnvironment returns the number of seeds that MULLEIN_SEEDS sets.
 func seedsFromEnvironment() (uint64, bool) {
 	n, err := strconv.ParseUint(os.Getenv("MULLEIN_SEEDS"), 10, 32)
 	return n, err == nil
 }
 
-// simulate runs a fleet with the faults of a seed, then without faults, and checks it.
+// simulate runs a fleet with the random faults of a seed, then without faults, and checks the observations.
 func simulate(seed uint64, seconds float64) *simulation {
 	s := newSimulation(seed)
 	s.run(seconds, true)
@@ -35,7 +35,7 @@
 }
 
 func TestSimulatedFaults(t *testing.T) {
-	cryptotest.SetGlobalRandom(t, 1) // raft draws its election timeouts from it: the same result every time
+	cryptotest.SetGlobalRandom(t, 1) // raft takes its election timeouts from it, so results are reproducible
 	seeds := uint64(40)
 	if n, ok := seedsFromEnvironment(); ok {
 		seeds = n
@@ -61,7 +61,8 @@
 		gaps[len(gaps)/2], gaps[len(gaps)*99/100], gaps[len(gaps)-1])
 }
 
-// A voter whose store was rolled back to a copy does not vote under its id again, and the others go on.
+// TestRolledBackStore checks that a voter whose store was rolled back to a copy does not vote under its id again, and
+// that the other voters continue without it.
 func TestRolledBackStore(t *testing.T) {
 	cryptotest.SetGlobalRandom(t, 1)
 	if err := checkRolledBackStore(); err != nil {
@@ -94,8 +95,8 @@
 	return nil
 }
 
-// A voter that was started again does not vote before a majority, itself included, has said that it has not seen it
-// further than it is.
+// TestWaitsForConfirmation checks that a restarted voter does not vote before a majority, itself included, has
+// confirmed that it has not seen the voter ahead of its store.
 func TestWaitsForConfirmation(t *testing.T) {
 	cryptotest.SetGlobalRandom(t, 1)
 	if err := checkWaitsForConfirmation(); err != nil {
