--- a/internal/standalone/fleet/gossip/fleet.go
+++ b/internal/standalone/fleet/gossip/fleet.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	messageQueueLength = 256 // messages in the queue of the runner; further ones are dropped
-	leaveTimeout       = 300 * time.Millisecond
-	maxTopics          = 256
+	messageQueueLength = 256                    // messages in the queue of the runner; further ones are dropped
+	leaveTimeout       = 300 * time.Millisecond // wait until the announcement that this member leaves is sent
+	maxTopics          = 256                    // number of values of Topic
 
 	// updateTimeout bounds how long memberlist waits until new metadata is sent. Nothing depends on that wait, because
 	// memberlist queues the metadata before it, so the shortest positive duration is enough.
--- a/internal/standalone/fleet/gossip/instance.go
+++ b/internal/standalone/fleet/gossip/instance.go
@@ -19,13 +19,13 @@
 const (
 	gossipNodes            = 3                       // random members to which each round of gossip goes
 	suspicionTimeout       = 2400 * time.Millisecond // approximate time that a suspected member has to refute
-	minSuspicionMultiplier = 4
-	maxSuspicionMultiplier = 10
-	maxTimeoutMultiplier   = 2                // factor on the suspicion time-out if no other member confirms it
-	pushPullInterval       = 15 * time.Second // between two exchanges of the complete state
-	tcpTimeout             = 3 * time.Second
-	deadNodeReclaimTime    = time.Second      // after which a dead member's name may be used from another address
-	gossipToTheDeadTime    = 15 * time.Second // for which dead members still receive gossip, to refute their death
+	minSuspicionMultiplier = 4                       // lower bound of memberlist's SuspicionMult
+	maxSuspicionMultiplier = 10                      // upper bound of memberlist's SuspicionMult
+	maxTimeoutMultiplier   = 2                       // factor on the time-out while no other member confirms it
+	pushPullInterval       = 15 * time.Second        // between two exchanges of the complete state
+	tcpTimeout             = 3 * time.Second         // for a dial, read or write of a stream
+	deadNodeReclaimTime    = time.Second             // until a dead member's name may get another address
+	gossipToTheDeadTime    = 15 * time.Second        // during which dead members get gossip, to refute it
 )
 
 // instance is one run of the SWIM protocol. After the process was suspended, a new instance replaces it.
--- a/internal/standalone/fleet/gossip/message.go
+++ b/internal/standalone/fleet/gossip/message.go
@@ -20,12 +20,12 @@
 
 // Bounds of messages.
 const (
-	maxMessageBytes    = 4 << 20 // large enough for a batch of usage and for a snapshot of the voters' lease table
+	maxMessageBytes    = 4 << 20 // bytes; large enough for a batch of usage and a snapshot of the voters' lease table
 	maxDatagramPayload = 1000    // bytes; a longer payload is sent by a stream
 	maxStreams         = 64      // payloads being sent by streams at a time
-	maxNameBytes       = 64      // length of the sender's name
+	maxNameBytes       = 64      // bytes of the sender's name
 	maxNestedLevels    = 4       // nesting of CBOR items
-	maxArrayElements   = 16
+	maxArrayElements   = 16      // elements of a CBOR array
 )
 
 // message is a message of this package between members. memberlist carries it as a user message, in a frame that has
--- a/internal/standalone/fleet/gossip/protocollog.go
+++ b/internal/standalone/fleet/gossip/protocollog.go
@@ -40,13 +40,13 @@
 	rejected *atomic.Int64
 
 	mu           sync.Mutex // guards the fields below
-	lastRejected time.Time  // when a rejection was last logged
+	lastRejected time.Time  // time of the last log line about a rejection
 	failing      map[failure]bool
 }
 
 var _ io.Writer = (*protocolLog)(nil)
 
-// failure is a kind of failure that is retried.
+// failure identifies an operation that failed and is retried.
 type failure string
 
 const (
--- a/internal/standalone/fleet/membership/evaluate.go
+++ b/internal/standalone/fleet/membership/evaluate.go
@@ -62,8 +62,8 @@
 	return LinkUnknown
 }
 
-// agreedCount is the size of the last agreed membership, this member included. Until the fleet has formed for the first
-// time it is at least what the configuration expects.
+// agreedCount returns the size of the last agreed membership, including this member. Until all expected members have
+// been known at the same time, it returns at least the number of members in the configuration.
 func (v *View) agreedCount() int {
 	n := 1
 	for _, p := range v.peers {
--- a/internal/standalone/fleet/membership/events.go
+++ b/internal/standalone/fleet/membership/events.go
@@ -44,7 +44,7 @@
 
 func (Tick) event() {}
 
-// Action is an output of View.Step, to be carried out by the caller.
+// Action is an output of View.Step, which the caller executes.
 type Action interface{ action() }
 
 // SendMessage sends a message to an address. The message may be lost.
--- a/internal/standalone/fleet/membership/queries.go
+++ b/internal/standalone/fleet/membership/queries.go
@@ -52,7 +52,7 @@
 	return all
 }
 
-// Changes returns the changes after a version, as far back as they are remembered.
+// Changes returns the changes after a version of the view, of which the latest maxChanges are kept.
 func (v *View) Changes(after uint64) []Change {
 	i := slices.IndexFunc(v.changes, func(c Change) bool { return c.View > after })
 	if i < 0 {
@@ -69,8 +69,8 @@
 	return all
 }
 
-// Digest returns a hash of the names and incarnations of the members that are alive. Members with the same digest have
-// the same view of the fleet.
+// Digest returns a hash of the names and incarnations of the members that are alive. Members with the same digest
+// agree on them.
 func (v *View) Digest() string {
 	alive := map[string]Incarnation{v.self.Name: v.self.Incarnation}
 	for name, p := range v.peers {
--- a/internal/standalone/fleet/membership/types.go
+++ b/internal/standalone/fleet/membership/types.go
@@ -93,7 +93,7 @@
 	Version string `json:"Version"`
 	Incarnation
 	Phase  Phase `json:"Phase"`
-	Number int   `json:"Number"` // index of the ingress, from 0, in the sets of ingresses of clients
+	Number int   `json:"Number"` // index of the ingress, from 0, in the ingress sets of clients
 }
 
 // Status is a member and its state by the view of this process.
--- a/internal/standalone/fleet/membership/walk_test.go
+++ b/internal/standalone/fleet/membership/walk_test.go
@@ -31,7 +31,7 @@
 }
 
 const (
-	walkEvents = 60
+	walkEvents = 60 // events of a random walk
 	walkSelf   = "me"
 	// Bounds on the pending probes and the results that a view of four members keeps.
 	maxWalkProbes  = 8
