--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter runs gateways in the simulator: batches of events on standard input, replies with batches of actions
-// on standard output. It only wires package simprotocol.
+// Command adapter runs gateways in the simulator. It reads batches of events from standard input and replies with
+// batches of actions on standard output. The protocol is implemented by package simprotocol.
 package main
 
 import (
--- a/cmd/emulator/days.go
+++ b/cmd/emulator/days.go
@@ -19,7 +19,7 @@
 	Any   bool    `help:"Draw from every kind of fault, not those of the control plane alone."`
 }
 
-// Run writes a scenario file for each seed and prints the files' names.
+// Run writes a scenario file for each seed and prints the names of the files.
 func (d *daysCommand) Run() error {
 	draw := scenario.Draw
 	if d.Any {
@@ -29,7 +29,7 @@
 		day := draw(seed, d.One, d.Zero)
 		name := filepath.Join(d.Dir, day.Name+".toml")
 		if err := os.WriteFile(name, []byte(day.String()), 0o644); err != nil {
-			return errors.Wrap(err, "write a day")
+			return errors.Wrap(err, "write scenario file")
 		}
 		fmt.Println(name)
 	}
--- a/cmd/emulator/plan.go
+++ b/cmd/emulator/plan.go
@@ -40,7 +40,8 @@
 	return nil
 }
 
-// costModel reads the run of slopes that was given, or the one in the program.
+// costModel returns the measured cost model: that of the file that --slopes names, or without the flag the one embedded
+// in the program.
 func (p *planCommand) costModel() (*costmodel.Run, error) {
 	if p.Slopes == "" {
 		run, err := capacity.StoredRun()
--- a/cmd/emulator/slopes.go
+++ b/cmd/emulator/slopes.go
@@ -20,10 +20,10 @@
 	Quick bool   `help:"Sizes a tenth as large: to see that it works."`
 }
 
-// quickDivisor is what sizes are divided by with --quick.
+// quickDivisor is the divisor of all sizes with --quick, for a short run that only shows that the command works.
 const quickDivisor = 10
 
-// Run measures the cost model, prints it as a table and stores it if that is asked for.
+// Run measures the cost model, prints it as a table and stores it in the file that --out names, if any.
 func (s *slopesCommand) Run(logger log.Logger) error {
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "slope\tof\tpoints\ta\tb\tworst residual\tholdout\tmeasured\tpredicted\toff")
@@ -45,15 +45,15 @@
 	return errors.Wrap(storeRun(run, s.Out), "store the run")
 }
 
-// writeSeries prints a row of the table.
+// writeSeries writes one series as a row of the table.
 func writeSeries(w io.Writer, s *costmodel.Series) {
-	of := s.SizeUnit
+	sizeUnit := s.SizeUnit
 	if s.Logarithmic {
-		of = "log2 " + of
+		sizeUnit = "log2 " + sizeUnit
 	}
 	fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%.1f%%\t%g\t%s\t%s\t%+.1f%%\n",
 		s.Name,
-		of,
+		sizeUnit,
 		len(s.Points),
 		capacity.Amount(s.Intercept, s.Unit),
 		capacity.Amount(s.Slope, s.Unit),
@@ -65,14 +65,14 @@
 	)
 }
 
-// storeRun replaces a file by a run. It writes a file beside it first, so that no reader of the old file sees a part of
-// the new one.
+// storeRun writes a run to the file at path and replaces the file atomically: it writes a temporary file in the same
+// folder and renames it, so that no reader sees an incomplete run.
 func storeRun(run *costmodel.Run, path string) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name()) // fails once it is renamed
+	defer os.Remove(f.Name()) // has no effect after the rename
 	err = run.Write(f)
 	if err == nil {
 		err = f.Chmod(0o644)
--- a/cmd/emulator/try.go
+++ b/cmd/emulator/try.go
@@ -16,11 +16,15 @@
 )
 
 const (
-	// trafficDelay is how long after the machines the traffic begins, at least.
+	// trafficDelay is the least time from the start of the machines to the start of the traffic. The machines need it
+	// to start up.
 	trafficDelay = 8 * time.Second
 
-	// With --brisk, the machines get less time.
-	briskTrafficDelay      = 3 * time.Second
+	// briskTrafficDelay replaces trafficDelay with --brisk.
+	briskTrafficDelay = 3 * time.Second
+
+	// briskHeartbeatInterval is the interval of the servers' heartbeats with --brisk. It is shorter than the default of
+	// package loopback, as the other times are.
 	briskHeartbeatInterval = 500 * time.Millisecond
 )
 
@@ -36,7 +40,8 @@
 	List   bool          `help:"List the faults, and do nothing else."`
 }
 
-// Run runs the cluster, checks the invariants and prints the report. The folder of the logs stays if that fails.
+// Run runs the cluster, checks the invariants and prints the report. It removes the folder of the logs only if the run
+// succeeds and no invariant is violated.
 func (t *tryCommand) Run(logger log.Logger) error {
 	if t.List {
 		listFaults()
@@ -72,7 +77,7 @@
 	return os.RemoveAll(dir)
 }
 
-// options returns the cluster's options but for the faults.
+// options returns the options of the cluster, without the faults.
 func (t *tryCommand) options(dir string) loopback.Options {
 	o := loopback.Options{
 		CoreMachines: t.Core,
@@ -92,6 +97,7 @@
 	return o
 }
 
+// listFaults prints the name and the description of each kind of fault.
 func listFaults() {
 	for _, kind := range loopback.FaultKinds() {
 		fmt.Printf("%-14s %s\n", kind.Name, kind.Help)
--- a/cmd/mulleinrouter/doc.go
+++ b/cmd/mulleinrouter/doc.go
@@ -1,7 +1,8 @@
-// Command mulleinrouter is one ingress: it accepts clients' requests, has the decision module decide on each, and
-// carries the decisions out on connections to quote servers and the quota counter. Commands for its operators are
-// part of it: `mulleinrouter --help` lists them.
+// Command mulleinrouter is one ingress. It accepts clients' requests, asks the decision module what to do with each,
+// and carries out the decisions on connections to quote servers and the quota counter. It also has the commands for
+// operators, which `mulleinrouter --help` lists.
 //
-// The command only wires: the command line is internal/standalone/cli. Its tests start processes of the program and
-// play dialogues with them (testdata), fault tests (deploy/faulttests) and upgrades under load.
+// This package is only the entry point; package internal/standalone/cli implements the command line. The tests start
+// processes of the program. They play scripted dialogues with them (testdata), and run fault tests
+// (deploy/faulttests) and upgrades under load.
 package main
--- a/cmd/mulleinrouter/faulttest_test.go
+++ b/cmd/mulleinrouter/faulttest_test.go
@@ -12,15 +12,19 @@
 	"mulleinrouter/internal/race"
 )
 
-// scenarios are run on processes of the program with every landing, with the race detector in them; without it, the
-// first one alone is, for its time. The others that ship are run by command.
+// scenarios lists the fault tests that TestFaultTests runs. CI runs all of them, on processes of the program that are
+// built with the race detector. Without the race detector only the first one runs, because each takes long. The other
+// scenarios that ship are run by hand, with the command fault-test.
 var scenarios = []string{
 	"machine-drops", "folders", "halves", "one-way", "stops", "rolling", "keys",
 	"try-holder", "duty-cuts", "duty-plans", "quota-counter",
 }
 
+// scenarioDir is the folder of the scenarios that ship.
 const scenarioDir = "../../deploy/faulttests"
 
+// TestFaultTests plays the scenarios. All expectations of each must be met, and no process may log a data race or a
+// panic.
 func TestFaultTests(t *testing.T) {
 	t.Parallel()
 	run := scenarios
@@ -41,7 +45,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Limits are wide: what must not happen is checked all along, and what must come may be late on a slow machine.
+	// A slack of 1.5 widens the time limits by half, because an expected event may come late on a slow machine. What
+	// must not happen is checked throughout the run.
 	dir := t.TempDir()
 	options := faulttest.Options{Program: program, Dir: dir, Slack: 1.5}
 	report, err := faulttest.Play(context.Background(), scenario, options)
@@ -52,16 +57,16 @@
 	report.Write(&text)
 	t.Log("\n" + text.String())
 	if !report.Passed() {
-		t.Error("not all that was expected held")
+		t.Error("the scenario's expectations were not all met")
 	}
 	for _, log := range readLogs(t, dir) {
 		if strings.Contains(log, "DATA RACE") || strings.Contains(log, "panic:") {
-			t.Errorf("log with a data race or a panic:\n%s", log)
+			t.Errorf("the log has a data race or a panic:\n%s", log)
 		}
 	}
 }
 
-// readLogs reads the logs of a scenario's processes.
+// readLogs returns the logs of the scenario's processes, one string for each process.
 func readLogs(t *testing.T, dir string) (logs []string) {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(dir, "*.log"))
@@ -78,7 +83,7 @@
 	return logs
 }
 
-// Each scenario that ships can be read, and each of scenarios is one of them.
+// TestShippedScenarios checks that every scenario that ships can be read, and that each of scenarios ships.
 func TestShippedScenarios(t *testing.T) {
 	paths, err := filepath.Glob(filepath.Join(scenarioDir, "*.hcl"))
 	if err != nil {
--- a/cmd/mulleinrouter/main_test.go
+++ b/cmd/mulleinrouter/main_test.go
@@ -16,6 +16,8 @@
 	"mulleinrouter/internal/emulator/exchange"
 )
 
+// configuration is a settings file in JSON. Its placeholders are the addresses of discovery, the counter and the quote
+// server, in this order.
 const configuration = `{"name":"n0","listen":"127.0.0.1:0","discovery":"%s","counter":"%s","seed":"8c1f30d27a5be964",
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},
 "known":{"rev":41,"all":true,"targets":[
@@ -31,7 +33,9 @@
  "Permissions":{"Cancelling":true,"ConnectTimeout":5,"Keepalive":600,"RetryAfter":true,"MaxRetryAfter":1,"SendCap":4},
  "FamilyInfo":{"MayCount":true,"CountWait":0.03,"CountFee":0.02,"MaxUnits":2}}}`
 
-// newPlayer starts the program beside a quote server, discovery and a counter that a script plays.
+// newPlayer starts the program, and returns a player whose script acts as the program's clients, quote server,
+// discovery and counter. The listeners discovery2 and counter2 are for scripts that move discovery and the counter to
+// other addresses with "@config moved".
 func newPlayer(t *testing.T) *exchange.Player {
 	t.Helper()
 	player := exchange.New(t, "server", "discovery", "counter", "discovery2", "counter2")
@@ -52,7 +56,7 @@
 		}
 		return text
 	}
-	player.Hooks["config"] = func(word string) string { // replaces the file as a whole, as operators do
+	player.Hooks["config"] = func(word string) string { // replaces the file atomically, as operators do
 		text := word
 		if text == "moved" {
 			text = fmt.Sprintf(configuration, player.Addr("discovery2"), player.Addr("counter2"), player.Addr("server"))
@@ -75,6 +79,7 @@
 	return player
 }
 
+// TestProgram plays the scripts in testdata, each against a new process of the program.
 func TestProgram(t *testing.T) {
 	exchange.Each(t, "testdata/*.txt", func(t *testing.T, script string) {
 		t.Parallel()
@@ -82,11 +87,11 @@
 	})
 }
 
-// A configuration that cannot be used is reported in one line, without a crash.
+// TestBadConfiguration checks that a configuration that cannot be used is reported in one line, without a crash.
 func TestBadConfiguration(t *testing.T) {
 	good := fmt.Sprintf(configuration, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1")
 	replace := func(from, to string) string { return strings.Replace(good, from, to, 1) }
-	for _, tc := range []struct{ name, text, want string }{ // a want may end in *
+	for _, tc := range []struct{ name, text, want string }{ // want may end in *, which stands for any text
 		{"no file", "",
 			"mulleinrouter: NODE_CONFIG: open FILE: no such file or directory"},
 		{"not JSON", "hello",
@@ -140,8 +145,8 @@
 	}
 }
 
-// The demonstration of the ingress in service, with an ingress and an exporter killed: the bill is what the fakes
-// counted.
+// TestTryIngress runs `try --ingress` with an ingress and an exporter killed. The bill of each member must equal what
+// the fake servers counted, so that neither crash loses or doubles usage.
 func TestTryIngress(t *testing.T) {
 	t.Parallel()
 	arguments := []string{
@@ -154,7 +159,8 @@
 	}
 }
 
-// A file of our own form that cannot be used ends the program at once, with its place and an exit code of its own.
+// TestServeBadHCL checks that serve rejects an unusable HCL file at once. The error begins with the file, line and
+// column, and the exit code is 3.
 func TestServeBadHCL(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bad.hcl")
 	if err := os.WriteFile(path, []byte("listen = \"127.0.0.1:0\"\nlisten2 = 1\n"), 0o644); err != nil {
--- a/cmd/mulleinrouter/oncall_test.go
+++ b/cmd/mulleinrouter/oncall_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The on-call page lists the codes that the program can log: no more and no fewer.
+// TestOnCallPage checks that the on-call page lists exactly the codes that the program can log.
 func TestOnCallPage(t *testing.T) {
 	const code = `(?:process|request|attempt|client|upstream|counter|discovery|` +
 		`plans|usage|mgmt|state|fleet|duty|share)` +
@@ -37,11 +37,11 @@
 		t.Fatal("no codes in the sources")
 	}
 	if diff := cmp.Diff(slices.Compact(inSource), slices.Compact(onPage)); diff != "" {
-		t.Errorf("codes (-in the sources +on the page):\n%s", diff)
+		t.Errorf("codes (-in the source +on the page):\n%s", diff)
 	}
 }
 
-// findCodes returns what the first group of each pattern matches in a file.
+// findCodes returns the text that the first group of each pattern matches in a file, for all matches.
 func findCodes(t *testing.T, path string, patterns ...string) (found []string) {
 	t.Helper()
 	text, err := os.ReadFile(path)
--- a/cmd/mulleinrouter/process_test.go
+++ b/cmd/mulleinrouter/process_test.go
@@ -13,10 +13,11 @@
 	"mulleinrouter/internal/race"
 )
 
-// program is the path of the program that TestMain builds, with the race detector in it if these tests have it. Beside
-// it are those of the complete gateway, for try.
+// program is the path of the program that TestMain builds, with the race detector if the tests are built with it. The
+// folder also has the programs proxy, agent and control, which the command try runs.
 var program string
 
+// TestMain builds the programs into a temporary folder for the time of the tests.
 func TestMain(m *testing.M) {
 	os.Exit(func() int {
 		dir, err := os.MkdirTemp("", "mulleinrouter")
@@ -41,12 +42,12 @@
 // process is a running process of the program.
 type process struct {
 	cmd    *exec.Cmd
-	lines  chan string // of its log
-	unread []string    // lines that awaitLine has passed over
-	exited bool
+	lines  chan string // lines of its log, buffered so that the process does not block before the test reads them
+	unread []string    // lines that awaitLine has read and not yet returned
+	exited bool        // set by exitCode, which waits for the process
 }
 
-// startProcess runs the program until the test ends.
+// startProcess starts the program, and kills it at the end of the test if it still runs.
 func startProcess(t *testing.T, env ...string) *process {
 	t.Helper()
 	p := &process{cmd: exec.Command(program), lines: make(chan string, 10000)}
@@ -73,13 +74,14 @@
 	return p
 }
 
-// awaitLine waits until the process has logged a line that contains some text. Each line is found once.
+// awaitLine waits until the process has logged a line that contains text, and returns the line. It returns each line
+// only once. If the log ends first, it returns a message with the lines that are left.
 func (p *process) awaitLine(text string) string {
 	for i := 0; ; i++ {
 		if i == len(p.unread) {
 			line, more := <-p.lines
 			if !more {
-				return "the log ended without it: " + strings.Join(p.unread, "\n")
+				return "the log ended without the expected line: " + strings.Join(p.unread, "\n")
 			}
 			p.unread = append(p.unread, line)
 		}
@@ -90,10 +92,10 @@
 	}
 }
 
-// exitCode waits for the end of the process.
+// exitCode waits until the process ends, and returns its exit code.
 func (p *process) exitCode() int {
 	p.exited = true
-	for range p.lines { // the log must be read to its end before Wait
+	for range p.lines { // Wait closes the pipe, so the log must be read to its end first
 	}
 	p.cmd.Wait()
 	return p.cmd.ProcessState.ExitCode()
--- a/cmd/mulleinrouter/try_test.go
+++ b/cmd/mulleinrouter/try_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// tryCommand returns a command of mulleinrouter try whose temporary folders are made in dir.
+// tryCommand returns a command that runs mulleinrouter try with its temporary folders in dir.
 func tryCommand(t *testing.T, dir string, arguments ...string) *exec.Cmd {
 	t.Helper()
 	command := exec.CommandContext(t.Context(), program, append([]string{"try"}, arguments...)...)
@@ -24,17 +24,17 @@
 	return command
 }
 
-// checkEmpty fails a test if a folder is not empty.
+// checkEmpty reports an error if a folder is not empty.
 func checkEmpty(t *testing.T, dir string) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	if err != nil || len(entries) > 0 {
-		t.Errorf("folders left behind: %v, error %v", entries, err)
+		t.Errorf("folders not removed: %v, error %v", entries, err)
 	}
 }
 
-// A short run of the complete gateway. Its rules have limits of time, which TestTimelines of package loopback checks;
-// here a broken one must be reported, in the text and by the exit code.
+// TestTry runs the complete gateway for a few seconds. The rules have time limits, which TestTimelines of package
+// loopback checks. This test checks that a broken rule is reported both in the text and by the exit code.
 func TestTry(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -42,15 +42,15 @@
 	var out, errOut bytes.Buffer
 	command.Stdout, command.Stderr = &out, &errOut
 	err := command.Run()
-	kept := strings.Contains(out.String(), "rules broken: none")
-	if code := command.ProcessState.ExitCode(); (code == 0) != kept || code > 1 {
-		t.Fatalf("exit code %d, error %v, rules kept %v\n%s%s", code, err, kept, out.String(), errOut.String())
+	rulesKept := strings.Contains(out.String(), "rules broken: none")
+	if code := command.ProcessState.ExitCode(); (code == 0) != rulesKept || code > 1 {
+		t.Fatalf("exit code %d, error %v, rules kept %v\n%s%s", code, err, rulesKept, out.String(), errOut.String())
 	}
 	for _, want := range []string{
 		`(?m)^class +requests`,
-		`(?m)^read +\d+ +[1-9]`, // some were served
+		`(?m)^read +\d+ +[1-9]`, // at least one request was served
 		`(?m)^control on core-3 .* 1$`,
-		`(?m)^proxy on edge-2 .* [2-9]$`, // it was killed, and started again
+		`(?m)^proxy on edge-2 .* [2-9]$`, // the proxy was killed and started again
 		`(?m)^served .*█.* a second$`,
 		`(?m)^rejected `,
 		`(?m)^failed `,
@@ -66,12 +66,13 @@
 			t.Errorf("want %q once in plain lines:\n%s", want, errOut.String())
 		}
 	}
-	if kept {
+	if rulesKept {
 		checkEmpty(t, dir)
 	}
 }
 
-// With --serve, what is printed can be used, and SIGTERM ends all processes and removes the folder.
+// TestTryServe checks that the calls printed by try --serve work, and that SIGTERM ends all processes and removes the
+// temporary folder.
 func TestTryServe(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -107,13 +108,14 @@
 	}
 	for _, pid := range pids {
 		if _, err := os.Stat("/proc/" + pid[1]); err == nil {
-			t.Errorf("process %s is left behind", pid[1])
+			t.Errorf("process %s still runs", pid[1])
 		}
 	}
 	checkEmpty(t, dir)
 }
 
-// checkPrintedCalls makes the printed request of a client, and reads the configuration and a proxy's metrics.
+// checkPrintedCalls makes the calls that try --serve printed: a client's request, and reads of the configuration and of
+// a proxy's metrics. It checks the status and the text of each answer.
 func checkPrintedCalls(t *testing.T, printed string) {
 	t.Helper()
 	request := regexp.MustCompile(`(?m)^curl (http://\S+/) (-H .*)$`).FindStringSubmatch(printed)
@@ -147,8 +149,9 @@
 	}
 }
 
-// callWithRetries makes a call, again and again while it is rejected: on a slow machine, quotas and servers may not be
-// known yet. It retries when the answer advises to, until the request's context ends.
+// callWithRetries makes a call and repeats it while it is rejected, because on a slow machine the proxy may not know
+// quotas and servers yet. It retries after the time that the answer's Retry-After states, or after defaultRetryAfter if
+// there is none, until the request's context ends.
 func callWithRetries(r *http.Request) (status int, body string, err error) {
 	const defaultRetryAfter = 100 * time.Millisecond
 	for {
--- a/cmd/mulleinrouter/upgrade_test.go
+++ b/cmd/mulleinrouter/upgrade_test.go
@@ -19,24 +19,30 @@
 )
 
 const (
-	defaultUpgrades = 3 // processes that TestUpgrade starts beside the running one; MULLEIN_UPGRADES asks for more
-	upgradeClients  = 8
-	closeEvery      = 7 // responses after which a client opens a new connection
+	// defaultUpgrades is the number of upgrades in TestUpgrade. The environment variable MULLEIN_UPGRADES overrides it.
+	defaultUpgrades = 3
+
+	// upgradeClients is the number of clients that send requests at the same time.
+	upgradeClients = 8
+
+	// closeEvery is the number of responses, over all clients, after which the client that got the last one closes its
+	// connection. Clients thus open new connections throughout an upgrade.
+	closeEvery = 7
 )
 
-// upgradeLoad is the load of TestUpgrade.
+// upgradeLoad is the state that the clients of TestUpgrade share.
 type upgradeLoad struct {
 	t      *testing.T
-	addr   string
-	served atomic.Int64
-	lastID atomic.Int64
-	stop   atomic.Bool
+	addr   string       // address of the program
+	served atomic.Int64 // responses received
+	lastID atomic.Int64 // number in the last X-Request-ID
+	stop   atomic.Bool  // makes the clients stop
 }
 
-// upgradeClient sends requests one after another, over a connection that it keeps for a while.
+// upgradeClient sends requests one after another, several over each connection.
 type upgradeClient struct {
 	load *upgradeLoad
-	conn net.Conn // nil: none is open
+	conn net.Conn // nil if no connection is open
 	r    *bufio.Reader
 }
 
@@ -50,8 +56,8 @@
 	}
 }
 
-// send sends one request; false: it failed. Where the server's close of an idle connection crosses a request, the
-// request is sent once more over a new connection: it was not read.
+// send sends one request and reports whether it succeeded. If the server closes an idle connection while the request is
+// on its way, the server has not read the request, so send repeats it once over a new connection.
 func (u *upgradeClient) send(id int64) bool {
 	head := fmt.Sprintf("POST /api/0000000000000001 HTTP/1.1\r\nX-Request-ID: u%d\r\n"+
 		"X-Priority-Class: summary-send\r\nX-Tier: plus\r\nX-Timeout: 30\r\n"+
@@ -64,7 +70,7 @@
 				return false
 			}
 		}
-		u.conn.SetDeadline(time.Now().Add(20 * time.Second)) // only a failure waits this long
+		u.conn.SetDeadline(time.Now().Add(20 * time.Second)) // reached only if the test fails
 		io.WriteString(u.conn, head)
 		response, err := http.ReadResponse(u.r, nil)
 		if err != nil && reused {
@@ -101,7 +107,7 @@
 	}
 }
 
-// freeAddress is an address that nobody listens at.
+// freeAddress returns an address on which no process listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -112,8 +118,9 @@
 	return l.Addr().String()
 }
 
-// Under steady load, newer processes take over one after another: no response is lost or doubled, no request runs
-// twice, and what the older process knows is handed over.
+// TestUpgrade replaces the process several times under steady load. Each newer process takes over from the older one,
+// which then ends. No response may be lost or duplicated, no request may run twice, and the newer process must receive
+// the state of the older one.
 func TestUpgrade(t *testing.T) {
 	t.Parallel()
 	upgrades := defaultUpgrades
@@ -147,7 +154,8 @@
 		clients.Go((&upgradeClient{load: load}).run)
 	}
 	for range upgrades {
-		for begun := load.served.Load(); load.served.Load() < begun+50 && !t.Failed(); time.Sleep(time.Millisecond) {
+		// At least 50 more requests are served before the next process starts.
+		for before := load.served.Load(); load.served.Load() < before+50 && !t.Failed(); time.Sleep(time.Millisecond) {
 		}
 		newer := start()
 		if line := newer.awaitLine("code=process-learned"); !strings.Contains(line, "customers=1") {
