--- a/internal/layers/glossary_test.go
+++ b/internal/layers/glossary_test.go
@@ -14,8 +14,8 @@
 	"unicode"
 )
 
-// withdrawnWords are plain or themed words for which docs/GLOSSARY.md has a term of the field. No declared name may
-// contain one of them as one of its words, outside testdata/glossary-exceptions.txt.
+// withdrawnWords maps words that names must not use to the terms of docs/GLOSSARY.md that replace them. No declared
+// name may contain one of these words, except where testdata/glossary-exceptions.txt allows it.
 var withdrawnWords = map[string]string{
 	"beat": "heartbeat", "beats": "heartbeats", "book": "log or table", "clerk": "manager", "cold": "slow start",
 	"dearer": "more valuable", "desk": "dispatcher", "door": "admission gate", "doors": "gateways",
@@ -30,9 +30,11 @@
 	"trouble": "fault", "whole": "complete", "worth": "value",
 }
 
-// glossaryException allows a withdrawn word in one folder; the reason stands in the file.
+// glossaryException allows a withdrawn word in the declared names of one folder. The file of exceptions states the
+// reason for each.
 type glossaryException struct{ dir, word string }
 
+// readGlossaryExceptions reads the exceptions. Each maps to false until TestGlossary has found a name that needs it.
 func readGlossaryExceptions(t *testing.T) map[glossaryException]bool {
 	t.Helper()
 	file, err := os.Open("testdata/glossary-exceptions.txt")
@@ -56,7 +58,8 @@
 	return exceptions
 }
 
-// TestGlossary holds declared names to docs/GLOSSARY.md.
+// TestGlossary checks that no declared name contains a withdrawn word for which docs/GLOSSARY.md has a term, and that
+// every exception is still needed.
 func TestGlossary(t *testing.T) {
 	exceptions := readGlossaryExceptions(t)
 	err := filepath.WalkDir("../..", func(path string, entry fs.DirEntry, err error) error {
@@ -86,7 +89,7 @@
 					exceptions[exception] = true
 					continue
 				}
-				t.Errorf("%v: %s holds %q; the glossary says: %s", files.Position(name.Pos()), name.Name, word, term)
+				t.Errorf("%v: %s contains %q; the glossary has: %s", files.Position(name.Pos()), name.Name, word, term)
 			}
 		}
 		return nil
@@ -96,7 +99,7 @@
 	}
 	for exception, used := range exceptions {
 		if !used {
-			t.Errorf("the exception for %q in %s is not needed any more", exception.word, exception.dir)
+			t.Errorf("the exception for %q in %s is no longer needed", exception.word, exception.dir)
 		}
 	}
 }
@@ -129,6 +132,7 @@
 	return names
 }
 
+// identifiers returns those of the expressions that are plain identifiers.
 func identifiers(expressions []ast.Expr) (names []*ast.Ident) {
 	for _, expression := range expressions {
 		if name, ok := expression.(*ast.Ident); ok {
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// pure lists the packages that decide: free of I/O, clock and goroutines.
-var pure = []string{
+// purePackages lists the packages that hold decision logic. They must do no I/O, read no clock and start no goroutine.
+var purePackages = []string{
 	"internal/cluster/configuration",
 	"internal/cluster/consensus",
 	"internal/cluster/coordination",
@@ -38,14 +38,15 @@
 	"internal/standalone/plans",
 }
 
-// harmless lists what they may import besides each other: nothing here reads a clock, a file or a socket, or
-// starts a goroutine. rand/v2 is used with seeds that the host gives.
-var harmless = []string{"bytes", "cmp", "encoding/binary", "errors", "fmt", "hash/crc32", "hash/fnv", "iter", "maps",
-	"math", "math/bits", "math/rand/v2",
+// allowedStdlib lists the packages of the standard library that purePackages may import besides each other. None of
+// them reads a clock, a file or a socket, or starts a goroutine. math/rand/v2 is used only with seeds from the caller.
+var allowedStdlib = []string{"bytes", "cmp", "encoding/binary", "errors", "fmt", "hash/crc32", "hash/fnv",
+	"iter", "maps", "math", "math/bits", "math/rand/v2",
 	"slices", "sort", "strconv", "strings", "unicode", "unicode/utf16", "unicode/utf8"}
 
+// TestDecisionsAreFreeOfInputAndOutput checks the imports of purePackages, and that they start no goroutines.
 func TestDecisionsAreFreeOfInputAndOutput(t *testing.T) {
-	for _, dir := range pure {
+	for _, dir := range purePackages {
 		files, err := filepath.Glob(filepath.Join("../..", dir, "*.go"))
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s: no sources: %v", dir, err)
@@ -64,9 +65,9 @@
 			}
 			for _, i := range file.Imports {
 				name, _ := strconv.Unquote(i.Path.Value)
-				if !slices.Contains(harmless, name) &&
-					!slices.Contains(pure, strings.TrimPrefix(name, "mulleinrouter/")) {
-					t.Errorf("%s imports %s", path, name)
+				if !slices.Contains(allowedStdlib, name) &&
+					!slices.Contains(purePackages, strings.TrimPrefix(name, "mulleinrouter/")) {
+					t.Errorf("%s imports %s, which neither purePackages nor allowedStdlib lists", path, name)
 				}
 			}
 			for n, line := range strings.Split(string(text), "\n") {
@@ -78,9 +79,9 @@
 	}
 }
 
-// allowed lists, for each folder at the first level of internal/, which others its packages may import. decision may
-// be imported by all but the programs of the control side.
-var allowed = map[string][]string{
+// allowedImports lists, for each folder at the first level of internal/, the folders of internal/ from which
+// its packages may import. Package decision may be imported by all except the programs of the control plane.
+var allowedImports = map[string][]string{
 	"agent":      {"cluster"},
 	"cluster":    {"cluster", "logging", "mutants"},
 	"control":    {"cluster", "control", "mutants"},
@@ -92,9 +93,9 @@
 	"standalone": {"dataplane", "standalone", "decision", "logging", "mutants"},
 }
 
-// exceptions are the imports that cross a layer all the same, with the reason.
-var exceptions = map[string]string{
-	"internal/emulator/faulttest imports deploy/faulttests":         "the timelines that ship",
+// importExceptions lists the imports that allowedImports does not cover, each with its reason.
+var importExceptions = map[string]string{
+	"internal/emulator/faulttest imports deploy/faulttests":         "reads the fault tests that ship",
 	"internal/standalone/cli imports internal/emulator/modelcheck":  "mulleinrouter model-check states",
 	"internal/standalone/cli imports internal/emulator/faulttest":   "mulleinrouter fault-test",
 	"internal/standalone/cli imports internal/emulator/testcluster": "mulleinrouter try --ingress",
@@ -106,6 +107,8 @@
 	"internal/standalone/cli imports internal/control/operatorcommand": "mulleinrouter members, replace",
 }
 
+// TestLayers checks that the packages below internal/ import only what allowedImports and importExceptions permit, and
+// that every exception is still needed.
 func TestLayers(t *testing.T) {
 	const module = "mulleinrouter/"
 	seen := map[string]bool{}
@@ -121,13 +124,13 @@
 		layer, _, _ := strings.Cut(from, "/")
 		for _, i := range file.Imports {
 			name, _ := strconv.Unquote(i.Path.Value)
-			name, own := strings.CutPrefix(name, module)
-			if !own || importAllowed(layer, strings.TrimPrefix(name, "internal/")) {
+			name, inModule := strings.CutPrefix(name, module)
+			if !inModule || importAllowed(layer, strings.TrimPrefix(name, "internal/")) {
 				continue
 			}
 			crossing := "internal/" + from + " imports " + name
-			if _, known := exceptions[crossing]; !known {
-				t.Errorf("%s, which its layer may not", crossing)
+			if _, known := importExceptions[crossing]; !known {
+				t.Errorf("%s, which allowedImports does not permit", crossing)
 			}
 			seen[crossing] = true
 		}
@@ -136,16 +139,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for crossing := range exceptions {
+	for crossing := range importExceptions {
 		if !seen[crossing] {
-			t.Errorf("%s: this exception is not needed any more", crossing)
+			t.Errorf("%s: this exception is no longer needed", crossing)
 		}
 	}
 }
 
-// importAllowed tells whether packages of a layer may import a package, by its path below internal/.
+// importAllowed reports whether packages of a layer may import the package at path. A layer is a folder at the first
+// level of internal/, and path is relative to internal/.
 func importAllowed(layer, path string) bool {
-	return slices.ContainsFunc(allowed[layer], func(prefix string) bool {
+	return slices.ContainsFunc(allowedImports[layer], func(prefix string) bool {
 		return path == prefix || strings.HasPrefix(path, prefix+"/")
 	})
 }
--- a/internal/layers/packages_test.go
+++ b/internal/layers/packages_test.go
@@ -15,8 +15,9 @@
 	"github.com/matryer/is"
 )
 
-// listed is what `go list -json` says of a package that matters to a build without a C toolchain.
-type listed struct {
+// goListPackage has the fields of a package in the output of `go list -json` that show whether its build needs more
+// than Go, such as a C toolchain or a system library.
+type goListPackage struct {
 	ImportPath   string
 	CgoFiles     []string
 	CFiles       []string
@@ -27,11 +28,13 @@
 	CgoLDFLAGS   []string
 }
 
-// Libraries of the C library itself: its headers' package has all of them.
-var ofTheCLibrary = []string{"-lc", "-lm", "-lpthread", "-ldl", "-lrt", "-lresolv", "-pthread"}
+// libcLibraries lists the linker flags for libraries of the C library itself. The package libc6-dev contains all of
+// them, so they need no package of their own.
+var libcLibraries = []string{"-lc", "-lm", "-lpthread", "-ldl", "-lrt", "-lresolv", "-pthread"}
 
-// systemPackages are the packages that the build of some commands calls for, with the reason.
-func systemPackages(packages []listed, externalLinking bool) map[string]string {
+// systemPackages returns the system packages that a build of the given Go packages needs, each with the Go package or
+// the flag that is the reason.
+func systemPackages(packages []goListPackage, externalLinking bool) map[string]string {
 	needed := map[string]string{}
 	if externalLinking {
 		needed["gcc"], needed["libc6-dev"] = "-linkmode=external", "-linkmode=external"
@@ -56,7 +59,7 @@
 			}
 		}
 		for _, flag := range p.CgoLDFLAGS {
-			if strings.HasPrefix(flag, "-l") && !slices.Contains(ofTheCLibrary, flag) {
+			if strings.HasPrefix(flag, "-l") && !slices.Contains(libcLibraries, flag) {
 				needed["the package of "+flag] = p.ImportPath
 			}
 		}
@@ -64,7 +67,8 @@
 	return needed
 }
 
-// TestBuildPackages compares the packages that deploy/system.toml lists with what its build calls for beyond Go.
+// TestBuildPackages compares the system packages that deploy/system.toml lists with those that its build needs beyond
+// Go. The two must be equal.
 func TestBuildPackages(t *testing.T) {
 	is := is.New(t)
 	deploy, err := os.ReadFile("../../deploy/system.toml")
@@ -80,9 +84,9 @@
 	command.Dir, command.Env = "../..", append(os.Environ(), "CGO_ENABLED=1")
 	out, err := command.Output()
 	is.NoErr(err)
-	var packages []listed
+	var packages []goListPackage
 	for decoder := json.NewDecoder(strings.NewReader(string(out))); ; {
-		var p listed
+		var p goListPackage
 		if err := decoder.Decode(&p); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
@@ -93,7 +97,7 @@
 	needed := systemPackages(packages, strings.Contains(build[1], "-linkmode=external"))
 	for name, reason := range needed {
 		if !strings.Contains(list[1], `"`+name+`"`) {
-			t.Errorf("%s is needed (%s), and deploy/system.toml does not list it", name, reason)
+			t.Errorf("%s is needed (%s), but deploy/system.toml does not list it", name, reason)
 		}
 	}
 	for _, name := range regexp.MustCompile(`"([^"]+)"`).FindAllStringSubmatch(list[1], -1) {
@@ -101,14 +105,14 @@
 			t.Errorf("deploy/system.toml lists %s, which nothing needs", name[1])
 		}
 	}
-	// What a new dependency would call for is found.
-	found := systemPackages([]listed{{ImportPath: "x", CXXFiles: []string{"a.cc"}, CgoLDFLAGS: []string{"-lz", "-lm"},
-		CgoPkgConfig: []string{"libuv"}}}, false)
-	is.Equal(len(found), 4) // g++, pkg-config, libuv's package and libz's
+	// systemPackages must find the needs of a new dependency too, also while no package of the build has such needs.
+	found := systemPackages([]goListPackage{{ImportPath: "x", CXXFiles: []string{"a.cc"},
+		CgoLDFLAGS: []string{"-lz", "-lm"}, CgoPkgConfig: []string{"libuv"}}}, false)
+	is.Equal(len(found), 4) // g++, pkg-config, and the packages of libuv and libz
 }
 
-// TestNodePackages compares the folders that deploy/balancer.toml lists as the ingress's with the packages of its
-// build. Those of the policy's files count too.
+// TestNodePackages compares the folders that deploy/balancer.toml lists under node and policy with the packages in the
+// build of the ingress. For a file in these lists, its folder counts.
 func TestNodePackages(t *testing.T) {
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -131,10 +135,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	needed := map[string]bool{} // by folder: it has a package of the build
+	needed := map[string]bool{} // the folders with a package of the build
 	for line := range strings.Lines(string(out)) {
-		name, own := strings.CutPrefix(strings.TrimSpace(line), "mulleinrouter/")
-		if !own {
+		name, inModule := strings.CutPrefix(strings.TrimSpace(line), "mulleinrouter/")
+		if !inModule {
 			continue
 		}
 		listed := false
--- a/internal/mutants/doc.go
+++ b/internal/mutants/doc.go
@@ -1,8 +1,8 @@
-// Package mutants seeds faults into the code under test, so that the tests themselves can be tested: a model test, a
-// random walk or a scenario is of use only if it fails once the code is wrong.
+// Package mutants seeds faults into the code under test, to check that the tests find them. A model test, a random walk
+// or a scenario is useful only if it fails when the code is wrong.
 //
-// Code marks the place of a fault with On("package/fault"), where the name begins with that of the package that holds
-// the place. On is constantly false, and costs nothing, except in builds with the tag mutants; there a test file with
-// the same tag seeds one fault at a time with Seed. The package imports nothing and has no state in ordinary builds.
-// Its tests are the tests that seed faults: `go test -tags mutants`.
+// Code marks the place of a fault with On("package/fault"), where package is the name of the package with that place.
+// In builds without the tag mutants, On always returns false and costs nothing. In builds with the tag, a test file
+// with the same tag seeds one fault at a time with Seed. The package imports nothing and has no state in ordinary
+// builds. It is tested by the tests that seed faults, with `go test -tags mutants`.
 package mutants
--- a/internal/mutants/on.go
+++ b/internal/mutants/on.go
@@ -2,14 +2,14 @@
 
 package mutants
 
-// seeded names the fault that is seeded; empty for none.
+// seeded is the name of the seeded fault, or empty if no fault is seeded.
 var seeded string
 
 // On reports whether the named fault is seeded.
 func On(name string) bool { return seeded == name }
 
-// Seed seeds the named fault in place of the one before it, until the test ends; an empty name seeds none. It must
-// not run beside code that asks for faults, so a test that calls it can't be parallel.
+// Seed seeds the named fault until the test ends, and replaces the fault that was seeded before. An empty name seeds
+// no fault. Seed must not run concurrently with code that calls On, so a test that calls it can't be parallel.
 func Seed(t interface{ Cleanup(func()) }, name string) {
 	t.Cleanup(func() { seeded = "" })
 	seeded = name
--- a/internal/race/off.go
+++ b/internal/race/off.go
@@ -2,5 +2,5 @@
 
 package race
 
-// Enabled is set in builds with the race detector.
+// Enabled is false in builds without the race detector.
 const Enabled = false
--- a/internal/race/on.go
+++ b/internal/race/on.go
@@ -2,5 +2,5 @@
 
 package race
 
-// Enabled is set in builds with the race detector.
+// Enabled is true in builds with the race detector.
 const Enabled = true
