--- a/internal/standalone/counterclient/client.go
+++ b/internal/standalone/counterclient/client.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	pipelineCount = 4 // connections; the counter resets any past 32 from one ingress
-	checkInterval = 500 * time.Millisecond
+	pipelineCount = 4                      // connections in use; the counter resets any beyond 32 from one ingress
+	checkInterval = 500 * time.Millisecond // between checks for idle and silent connections
 )
 
 // ReplyFunc receives the outcome of a call, and the total of its name if the call succeeded.
 type ReplyFunc func(name string, outcome decision.Outcome, total float64)
 
-// Client calls the counter, at one address at a time.
+// Client calls the counter at one address at a time.
 type Client struct {
 	timeout   time.Duration
 	onReply   ReplyFunc
@@ -29,14 +29,14 @@
 
 	ctx        context.Context // ends with Close
 	cancel     context.CancelFunc
-	goroutines sync.WaitGroup // checkPipelines, and of each pipeline run and readers; Close waits for them
+	goroutines sync.WaitGroup // checkPipelines, and each pipeline's run and serve; Close waits for them
 
 	mu      sync.Mutex    // guards the fields below
 	addr    string        // host:port
-	changed chan struct{} // closed when addr is no longer the address
+	changed chan struct{} // closed when addr is replaced
 }
 
-// New returns a client that gives each call up after a timeout. It calls onReply once for each call.
+// New returns a client whose calls time out after timeout. It calls onReply exactly once for each call.
 func New(addr string, timeout time.Duration, onReply ReplyFunc, logger log.Logger) *Client {
 	c := newClient(addr, timeout, onReply, logger, pipelineCount)
 	for _, p := range c.pipelines {
@@ -46,7 +46,7 @@
 	return c
 }
 
-// newClient leaves it to the caller to run the pipelines and to check them.
+// newClient returns a client without running its pipelines and checkPipelines.
 func newClient(addr string, timeout time.Duration, onReply ReplyFunc, logger log.Logger, pipelines int) *Client {
 	c := &Client{
 		addr:    addr,
@@ -62,8 +62,8 @@
 	return c
 }
 
-// SetAddress has the counter called at another address from now on. Each pipeline changes over once its connection
-// there is up; calls in flight on the old one are still waited for there.
+// SetAddress changes the address of the counter. Each pipeline sends new calls there once its new connection is open.
+// Replies to calls in flight are still awaited on the old connection.
 func (c *Client) SetAddress(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// address is the present address, and a channel that is closed when it changes.
+// address returns the present address and a channel that is closed when it changes.
 func (c *Client) address() (addr string, changed <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,8 +96,8 @@
 	}
 }
 
-// Close ends the connections and the goroutines of the client, and waits for them. Calls in flight have been reported
-// as reset by then: they may have been added. It must not be called from onReply.
+// Close ends the connections and the goroutines of the client, and waits for them. Before it returns, calls in flight
+// are reported as reset, because the counter may have added them. It must not be called from onReply.
 func (c *Client) Close() {
 	c.cancel()
 	for _, p := range c.pipelines {
@@ -106,7 +106,8 @@
 	c.goroutines.Wait()
 }
 
-// Add adds an amount to a name, which the counter keeps for some seconds. It does not wait for the reply.
+// Add adds an amount to a name, and returns without waiting for the reply. The counter keeps a new name for keep
+// seconds.
 func (c *Client) Add(name string, amount float64, keep decision.Seconds) {
 	h := fnv.New32a()
 	io.WriteString(h, name)
--- a/internal/standalone/counterclient/client_test.go
+++ b/internal/standalone/counterclient/client_test.go
@@ -15,7 +15,7 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// outcomeNames are the outcomes in the scripts of testdata.
+// outcomeNames maps outcomes to their names in the scripts of testdata.
 var outcomeNames = map[decision.Outcome]string{
 	decision.Succeeded:         "done",
 	decision.Rejected:          "busy",
@@ -25,7 +25,7 @@
 	decision.ConnectionRefused: "refused",
 }
 
-// TestExchanges plays the calls and replies of one pipeline.
+// TestExchanges plays scripted dialogues between one pipeline and the counter.
 func TestExchanges(t *testing.T) {
 	exchange.Each(t, "testdata/*.txt", func(t *testing.T, script string) {
 		p := exchange.New(t, "counter", "other")
@@ -40,14 +40,14 @@
 			c.goroutines.Go(pipe.run)
 			return ""
 		}
-		p.Hooks["up"] = func(string) string { // the pipeline has noticed its connection
+		p.Hooks["up"] = func(string) string { // waits until the pipeline has a usable connection
 			return exchange.Until(func() bool {
 				pipe.mu.Lock()
 				defer pipe.mu.Unlock()
 				return pipe.current() != nil
 			})
 		}
-		p.Hooks["cannot-write"] = func(string) string { // any write fails from now on, before its first byte
+		p.Hooks["cannot-write"] = func(string) string { // makes each later write fail before its first byte
 			pipe.mu.Lock()
 			defer pipe.mu.Unlock()
 			pipe.current().conn.(*net.TCPConn).CloseWrite()
@@ -60,18 +60,18 @@
 			c.Add(name, amount, keep)
 			return text
 		}
-		p.Hooks["time-out"] = func(string) string { // as the timer of the oldest call does
+		p.Hooks["time-out"] = func(string) string { // does what the timer of the oldest call does
 			pipe.mu.Lock()
 			oldest := pipe.connections[0].calls[0]
 			pipe.mu.Unlock()
-			pipe.giveUp(oldest)
+			pipe.onTimeout(oldest)
 			return ""
 		}
 		p.Hooks["set-address"] = func(string) string {
 			c.SetAddress(p.Addr("other"))
 			return ""
 		}
-		p.Hooks["address-changed"] = func(string) string { // new calls go to the new connection
+		p.Hooks["address-changed"] = func(string) string { // waits until new calls use the new connection
 			return exchange.Until(func() bool {
 				pipe.mu.Lock()
 				defer pipe.mu.Unlock()
@@ -89,7 +89,8 @@
 	})
 }
 
-// A counter that ends each connection at once, because it has too many, is dialled again only after a delay.
+// A counter that ends each connection at once, because it has too many, must be dialled again only after a delay.
+// Without the delay, the client would dial it thousands of times a second.
 func TestReconnectDelayWithoutReply(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -114,8 +115,8 @@
 	}
 }
 
-// Close ends everything that the client started: the calls in flight are reported as reset before it returns, and none
-// later.
+// Close waits for everything that the client started. The calls in flight are reported as reset before it returns, and
+// no call is reported later.
 func TestCloseWaitsForPendingCalls(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -126,13 +127,13 @@
 	onReply := func(_ string, outcome decision.Outcome, _ float64) { outcomes <- outcome }
 	c := New(l.Addr().String(), time.Minute, onReply, logtest.Discard())
 	for range pipelineCount {
-		conn, err := l.Accept() // which never replies
+		conn, err := l.Accept() // this connection never replies
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
 	}
-	for { // until the pipeline has noticed its connection
+	for { // until the pipeline has a usable connection
 		c.Add("name", 1, 10)
 		if len(outcomes) == 0 {
 			break
@@ -152,8 +153,8 @@
 	}
 }
 
-// FuzzReadReply: whatever the counter sends is a reply or an error; a total is a number, and never read from more
-// lines than a reply has.
+// FuzzReadReply checks that any bytes from the counter are read as a reply or an error, that a total is a finite
+// number, and that a reply consumes no more lines than it has.
 func FuzzReadReply(f *testing.F) {
 	for _, text := range []string{
 		"$3\r\n2.5\r\n", "+PONG\r\n", "-BUSY\r\n", "-ERR no\r\n", ":7\r\n", "$-1\r\n", "$9999999\r\nx",
--- a/internal/standalone/counterclient/connection.go
+++ b/internal/standalone/counterclient/connection.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-var longAgo = time.Unix(1, 0) // a deadline that ends a read at once
+var longAgo = time.Unix(1, 0) // a read deadline in the past, which ends a pending read at once
 
-// call waits for its reply. It keeps its place among the calls of its connection after it has been given up: its
-// reply may still come, and must not be taken for the next one's.
+// call is a call that waits for its reply. After a timeout it keeps its position among the calls of its connection,
+// because its reply may still arrive, and must not be matched to the next call.
 type call struct {
-	name   string // empty: a ping
+	name   string // empty for a ping
 	done   bool   // its outcome has been reported, or it is a ping
 	sentAt time.Time
-	timer  *time.Timer // nil: a ping
+	timer  *time.Timer // reports the timeout; nil for a ping
 }
 
-// finish marks a call as done; false: it was already.
+// finish marks a call as done. It returns false if it was done before.
 func (c *call) finish() bool {
 	first := !c.done
 	c.done = true
@@ -27,24 +27,24 @@
 // connection is one connection and the calls on it, in order. The mutex of its pipeline guards it.
 type connection struct {
 	conn       net.Conn
-	broken     bool // of no more use: a write ended within a call, or a reply cannot be read
-	calls      []*call
-	lastReply  time.Time // or when it was opened
-	replied    bool      // a reply came on it
-	retiredAt  time.Time // since when calls go elsewhere; zero: they come here
-	closeCause string    // log code of why this side ended it; empty: it did not
+	broken     bool      // unusable: a write failed within a call, or a reply was invalid
+	calls      []*call   // waiting for a reply, oldest first
+	lastReply  time.Time // time of the last reply, or of the opening before the first
+	replied    bool      // at least one reply has arrived
+	retiredAt  time.Time // when a newer connection replaced it; zero while it is in use
+	closeCause string    // log code of the reason why this side ended it; empty if it did not
 }
 
-// usable returns whether the connection takes new calls.
+// usable returns whether new calls may be sent on the connection.
 func (c *connection) usable() bool { return !c.broken && c.retiredAt.IsZero() }
 
-// end ends the connection: its reader notices, and reports the calls on it.
+// end ends the connection by ending its pending read. The reader then reports the calls on it.
 func (c *connection) end(cause string) {
 	c.closeCause = cmp.Or(c.closeCause, cause)
 	c.conn.SetReadDeadline(longAgo)
 }
 
-// write sends the bytes of a call. After an error the connection is of no more use.
+// write sends the bytes of a call. After an error the connection is unusable.
 func (c *connection) write(request []byte, sent *call, timeout time.Duration) error {
 	c.calls = append(c.calls, sent)
 	c.conn.SetWriteDeadline(time.Now().Add(timeout))
@@ -53,7 +53,7 @@
 	return err
 }
 
-// next removes the oldest call, whose reply has come.
+// next removes and returns the oldest call, whose reply has arrived.
 func (c *connection) next(now time.Time) *call {
 	oldest := c.calls[0]
 	c.calls[0] = nil
--- a/internal/standalone/counterclient/errors.go
+++ b/internal/standalone/counterclient/errors.go
@@ -2,6 +2,6 @@
 
 import "errors"
 
-// errProtocol is wrapped by errors about bytes that are no reply of a counter. After one the connection is closed,
-// for the replies behind it cannot be assigned to calls.
-var errProtocol = errors.New("not an answer of the counter")
+// errProtocol is wrapped by errors about bytes that are not a valid reply of the counter. The connection is closed
+// after one, because the replies that follow cannot be matched to calls.
+var errProtocol = errors.New("invalid reply from the counter")
--- a/internal/standalone/counterclient/pipeline.go
+++ b/internal/standalone/counterclient/pipeline.go
@@ -17,25 +17,25 @@
 )
 
 const (
-	maxPendingCalls  = 1024 // on one connection, those included that were given up
+	maxPendingCalls  = 1024 // calls without a reply on one connection, including those that have timed out
 	dialTimeout      = 250 * time.Millisecond
-	reconnectDelay   = 100 * time.Millisecond
-	pingInterval     = 2 * time.Second // the counter closes idle connections after 10 s or less
-	silenceTimeout   = time.Second     // a machine that vanished leaves connections open and silent
-	readBufferLength = 1024            // bytes; a longer line is none of the counter's
+	reconnectDelay   = 100 * time.Millisecond // after a failure, so that the counter is not dialed in a tight loop
+	pingInterval     = 2 * time.Second        // the counter closes idle connections after 10 s or less
+	silenceTimeout   = time.Second            // a machine that fails leaves its connections open and silent
+	readBufferLength = 1024                   // bytes; no valid line of the counter is longer
 )
 
-// pipeline has one connection in use. Where the counter's address has changed, the connections before it stay until
-// the calls on them are answered.
+// pipeline keeps one connection in use. After a change of the counter's address, the earlier connections stay open
+// until the calls on them are answered, for silenceTimeout at most.
 type pipeline struct {
 	client *Client
 
 	mu          sync.Mutex    // guards the fields below, and the connections
 	connections []*connection // the last one is in use, unless it is retired
-	request     []byte        // buffer of the request that is written
+	request     []byte        // reused buffer for the request being written
 }
 
-// current is the connection that takes new calls; nil: none does.
+// current returns the connection for new calls, or nil if there is none.
 func (p *pipeline) current() *connection {
 	if n := len(p.connections); n > 0 && p.connections[n-1].usable() {
 		return p.connections[n-1]
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// close ends the connections as the client is closed.
+// close ends all connections when the client is closed.
 func (p *pipeline) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,11 +52,11 @@
 	}
 }
 
-// add sends a call, or reports at once that it cannot be sent.
+// add sends a call, or reports at once that it could not be sent.
 func (p *pipeline) add(name string, amount float64, keep decision.Seconds) {
 	p.mu.Lock()
-	// Calls for this name at the old address are not waited for any longer: two connections keep no order, and a late
-	// reply would be taken for that to this call.
+	// Pending calls for this name at the old address are reported as reset first. Replies on two connections arrive in
+	// any order, so a late reply there would be taken for the reply to this call.
 	for p.abandonRetired(name) {
 		p.mu.Unlock()
 		p.client.onReply(name, decision.ConnectionReset, 0)
@@ -69,20 +69,21 @@
 		return
 	}
 	sent := &call{name: name, sentAt: time.Now()}
-	sent.timer = time.AfterFunc(p.client.timeout, func() { p.giveUp(sent) })
+	sent.timer = time.AfterFunc(p.client.timeout, func() { p.onTimeout(sent) })
 	p.request = appendAdd(p.request[:0], name, amount, keep)
 	err := c.write(p.request, sent, p.client.timeout)
 	sent.done = err != nil
 	p.mu.Unlock()
 	if err != nil {
 		sent.timer.Stop()
-		// The last byte of the call was not written, so it is not added.
+		// The call was not written completely, so the counter does not add it.
 		p.client.onReply(name, decision.ConnectionRefused, 0)
-		c.conn.Close() // its reader notices, and reports the calls that were written
+		c.conn.Close() // its reader fails, and reports the calls that were written
 	}
 }
 
-// abandonRetired gives up the oldest call for a name on a retired connection; false: there is none.
+// abandonRetired marks the oldest pending call for a name on the retired connections as done. It returns false if there
+// is none.
 func (p *pipeline) abandonRetired(name string) bool {
 	for _, c := range p.connections {
 		if c.retiredAt.IsZero() {
@@ -99,8 +100,8 @@
 	return false
 }
 
-// giveUp reports a call whose timeout has passed.
-func (p *pipeline) giveUp(c *call) {
+// onTimeout reports a call whose timeout has passed.
+func (p *pipeline) onTimeout(c *call) {
 	p.mu.Lock()
 	first := c.finish()
 	p.mu.Unlock()
@@ -109,7 +110,7 @@
 	}
 }
 
-// run keeps one connection up, at the present address, until the client is closed.
+// run keeps one connection to the present address open until the client is closed.
 func (p *pipeline) run() {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	for {
@@ -118,35 +119,35 @@
 		if conn, err := dialer.DialContext(p.client.ctx, "tcp", addr); err != nil {
 			time.AfterFunc(reconnectDelay, func() { close(ended) })
 		} else {
-			c := p.use(conn)
+			c := p.activate(conn)
 			p.client.goroutines.Go(func() { p.serve(c, ended) })
 		}
 		select {
 		case <-p.client.ctx.Done():
 			return
 		case <-ended:
-		case <-changed: // the next connection comes up beside this one
+		case <-changed: // the next connection is opened while this one is still in use
 		}
 	}
 }
 
-// serve reads the replies on a connection until it ends, and then closes ended, once the next one may be opened.
+// serve reads the replies on a connection until it ends, and closes ended when the next connection may be opened.
 func (p *pipeline) serve(c *connection, ended chan<- struct{}) {
 	defer close(ended)
 	p.remove(c, p.readReplies(c))
 	if c.replied {
 		return
 	}
-	// Without a reply it counts as one that could not connect: a counter that ends each connection at once must not be
-	// dialled thousands of times a second.
+	// A connection without a single reply is handled as a failed dial, because a counter that ends each connection at
+	// once must not be dialled thousands of times a second.
 	select {
 	case <-p.client.ctx.Done():
 	case <-time.After(reconnectDelay):
 	}
 }
 
-// use puts a new connection into use, and retires the one before it.
-func (p *pipeline) use(conn net.Conn) *connection {
+// activate puts a new connection into use, and retires the one before it.
+func (p *pipeline) activate(conn net.Conn) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -160,13 +161,13 @@
 		}
 	}
 	p.connections = append(p.connections, c)
-	if p.client.ctx.Err() != nil { // it was closed meanwhile
+	if p.client.ctx.Err() != nil { // the client was closed during the dial
 		c.end("counter-closed")
 	}
 	return c
 }
 
-// check keeps idle connections from being closed by the counter, and ends silent ones.
+// check pings idle connections, so that the counter does not close them, and ends silent and retired ones.
 func (p *pipeline) check(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -189,7 +190,8 @@
 	}
 }
 
-// remove removes a connection that has ended, and reports the calls on it: they may have been added.
+// remove removes a connection that has ended, and reports the calls on it as reset, because the counter may have added
+// them.
 func (p *pipeline) remove(c *connection, err error) {
 	c.conn.Close()
 	p.mu.Lock()
@@ -210,7 +212,7 @@
 	}
 }
 
-// endCode is the log code for the end of a connection that this side did not cause.
+// endCode returns the log code for a connection that this side did not end.
 func endCode(err error) string {
 	switch {
 	case errors.Is(err, io.EOF):
@@ -236,17 +238,17 @@
 	}
 }
 
-// handleReply reports the oldest call of a connection by a reply. One that is malformed, as its error says, still
-// belongs to that call, which was added: the total alone is unknown.
+// handleReply reports the outcome of the oldest call of a connection. A malformed reply, for which err is set, still
+// belongs to that call: the call was added, but its total is unknown.
 func (p *pipeline) handleReply(c *connection, received reply, err error) error {
 	p.mu.Lock()
 	if len(c.calls) == 0 {
 		p.mu.Unlock()
-		return cmp.Or(err, fmt.Errorf("%w: one too many", errProtocol))
+		return cmp.Or(err, fmt.Errorf("%w: no call is pending", errProtocol))
 	}
 	answered := c.next(time.Now())
 	if err == nil && (answered.name == "") != received.pong {
-		err = fmt.Errorf("%w: of this call", errProtocol)
+		err = fmt.Errorf("%w: not of the kind that the oldest call expects", errProtocol)
 	}
 	if err != nil {
 		received = reply{outcome: decision.Failed}
--- a/internal/standalone/counterclient/resp.go
+++ b/internal/standalone/counterclient/resp.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	maxTotalDigits        = 64 // of a total
+	maxTotalDigits        = 64 // bytes of a total's text; a longer bulk string is an error
 	millisecondsPerSecond = 1000
 )
 
@@ -20,13 +20,13 @@
 
 // reply is one reply of the counter.
 type reply struct {
-	pong    bool // to a ping: no reply to a call
+	pong    bool // a reply to a ping, not to a call
 	outcome decision.Outcome
-	total   float64
+	total   float64 // 0 unless the call succeeded
 }
 
-// readReply reads one reply: a bulk string or an integer with the total, or a line that says what else came of the
-// call. A reply that should have a number and has none is an error: its total is unknown, not 0.
+// readReply reads one reply: a bulk string or an integer with the total, or a status line with another outcome of the
+// call. A bulk string or an integer without a valid number is an error, because its total is unknown rather than 0.
 func readReply(r *bufio.Reader) (reply, error) {
 	line, err := readLine(r)
 	if err != nil {
@@ -52,11 +52,11 @@
 	}
 }
 
-// readBulk reads the rest of a bulk string, of which the header has been read.
+// readBulk reads the rest of a bulk string, after its header line.
 func readBulk(r *bufio.Reader, header string) (string, error) {
 	length, err := strconv.Atoi(header[1:])
 	if err != nil || length < 1 || length > maxTotalDigits {
-		return "", fmt.Errorf("%w: %.20q", errProtocol, header) // what follows cannot be assigned
+		return "", fmt.Errorf("%w: %.20q", errProtocol, header) // without a length, the next reply's start is unknown
 	}
 	text, err := readLine(r)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return text, nil
 }
 
-// parseTotal is the reply to a call that succeeded. Infinities and NaN are errors, although strconv reads them.
+// parseTotal returns the reply to a call that succeeded. Infinities and NaN are errors, although strconv accepts them.
 func parseTotal(number string) (reply, error) {
 	total, err := strconv.ParseFloat(number, 64)
 	if err != nil || strings.Trim(number, "0123456789.eE+-") != "" {
@@ -77,7 +77,7 @@
 	return reply{outcome: decision.Succeeded, total: total}, nil
 }
 
-// readLine reads a line. One longer than the buffer is an error: it may never end.
+// readLine reads a line without its end. A line longer than the buffer is an error, because it may never end.
 func readLine(r *bufio.Reader) (string, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -89,7 +89,7 @@
 	return strings.TrimRight(string(line), "\r\n"), nil
 }
 
-// appendAdd appends the request that adds an amount to a name, which the counter keeps for some seconds.
+// appendAdd appends the request that adds an amount to a name. The counter keeps a new name for keep seconds.
 func appendAdd(b []byte, name string, amount float64, keep decision.Seconds) []byte {
 	b = append(b, "*4\r\n$7\r\nCNT.ADD\r\n"...)
 	b = appendBulk(b, name)
--- a/internal/standalone/counterserver/commands.go
+++ b/internal/standalone/counterserver/commands.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Replies of RESP2.
+// Replies in RESP2.
 const (
 	replyPong          = "+PONG\r\n"
 	replyOK            = "+OK\r\n"
@@ -20,14 +20,14 @@
 	replyBadArguments  = "-ERR no such call\r\n"
 )
 
-// addition is a call CNT.ADD NAME AMOUNT KEEP.
+// addition holds the arguments of the call CNT.ADD NAME AMOUNT KEEP.
 type addition struct {
 	name   string
 	amount float64
 	keepMs int64
 }
 
-// execute carries a call out and returns its reply; empty: there is none.
+// execute executes a call and returns its reply. The reply is empty if an injected fault suppresses it.
 func (s *Server) execute(args []string) string {
 	switch strings.ToUpper(args[0]) {
 	case "PING":
@@ -48,7 +48,7 @@
 	return s.add(a)
 }
 
-// parseAddition reads the arguments of CNT.ADD; false: they are out of bounds.
+// parseAddition parses the arguments of CNT.ADD. It returns false if one is malformed or out of range.
 func parseAddition(args []string) (a addition, ok bool) {
 	a.name = args[0]
 	amount, amountErr := strconv.ParseFloat(args[1], 64)
@@ -63,7 +63,7 @@
 	return a, a.name != "" && len(a.name) <= MaxNameBytes
 }
 
-// add adds to a total, as far as the injected fault lets it.
+// add adds to a total and returns the reply, both subject to the injected fault.
 func (s *Server) add(a addition) string {
 	s.calls.Add(1)
 	fault := s.fault.Load()
@@ -83,14 +83,14 @@
 	return bulk(strconv.FormatFloat(total, 'f', -1, 64))
 }
 
-// shard is the one that holds a name.
+// shard returns the shard that holds a name.
 func (s *Server) shard(name string) *shard {
 	h := fnv.New32a()
 	io.WriteString(h, name)
 	return &s.shards[h.Sum32()%uint32(len(s.shards))]
 }
 
-// add adds to a total after an injected delay, during which the shard serves nobody else.
+// add adds to a total after an injected delay. The shard is locked meanwhile, so its other calls wait.
 func (sh *shard) add(a addition, delay time.Duration) (total float64, ok bool) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
--- a/internal/standalone/counterserver/resp.go
+++ b/internal/standalone/counterserver/resp.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	maxArgs     = 8
-	maxArgBytes = 256 // of one argument
+	maxArgs     = 8   // arguments of one call; bounds the memory that a caller can make the server allocate
+	maxArgBytes = 256 // bytes of one argument, for the same reason
 	lineEnd     = "\r\n"
 )
 
-// bulk is a bulk string of RESP2.
+// bulk returns a text as a bulk string of RESP2.
 func bulk(text string) string { return "$" + strconv.Itoa(len(text)) + lineEnd + text + lineEnd }
 
-// readCall reads an array of bulk strings, or a line of words.
+// readCall reads the arguments of a call, which is an array of bulk strings or a line of words (an inline command).
 func readCall(r *bufio.Reader) ([]string, error) {
 	line, err := readLine(r)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return string(b[:size]), nil
 }
 
-// readLine reads a line without its end. One longer than the buffer is no call.
+// readLine reads a line without its end. A line longer than the buffer is an error.
 func readLine(r *bufio.Reader) (string, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
--- a/internal/standalone/counterserver/server.go
+++ b/internal/standalone/counterserver/server.go
@@ -10,11 +10,14 @@
 )
 
 const (
-	maxNames        = 1 << 20 // over all shards: some 100 MB, 60 s of 17,000 new names a second
-	maxConnsPerHost = 32      // further ones are reset
-	idleTimeout     = 10 * time.Second
-	acceptRetry     = 10 * time.Millisecond // after a failure to accept
-	bufferBytes     = 4096                  // of a connection, for each direction
+	// maxNames is the number of names over all shards, which bounds their memory to about 100 MB. It is enough for
+	// 17,000 new names a second that are kept for 60 s each.
+	maxNames = 1 << 20
+
+	maxConnsPerHost = 32                    // connections from one host; further ones are reset
+	idleTimeout     = 10 * time.Second      // for the next call on a connection
+	acceptRetry     = 10 * time.Millisecond // delay after a failed accept, so that the loop does not spin
+	bufferBytes     = 4096                  // bytes of a connection's buffer for each direction
 )
 
 // Server serves the totals of a counter.
@@ -23,7 +26,7 @@
 
 	mu     sync.Mutex // guards the fields below
 	conns  map[net.Conn]struct{}
-	byHost map[string]int // connections by the caller's address
+	byHost map[string]int // number of connections by the caller's IP address
 	closed bool
 
 	goroutines sync.WaitGroup // one for each connection; Close waits for them
@@ -32,20 +35,20 @@
 	calls atomic.Int64
 }
 
-// shard holds some of the names. Its calls are served one after another.
+// shard holds part of the names, by the hash of the name. Its calls are served one after another.
 type shard struct {
 	mu    sync.Mutex // guards store
 	store *Store
 }
 
-// Fault is what the counter of a test does wrong. The zero value is no fault.
+// Fault is a fault that tests inject into the counter. The zero value is no fault.
 type Fault struct {
-	Delay  time.Duration // before each call is served
-	Silent bool          // calls are added and never answered
-	Busy   bool          // calls are rejected
+	Delay  time.Duration // delay before each addition
+	Silent bool          // additions take effect, but get no reply
+	Busy   bool          // additions are rejected
 }
 
-// New returns a server with a number of shards, one at least.
+// New returns a server with the given number of shards, but at least one.
 func New(shards int) *Server {
 	s := &Server{
 		shards: make([]shard, max(1, shards)),
@@ -56,10 +59,10 @@
 	return s
 }
 
-// InjectFault injects a fault in place of the one before; nil: none.
+// InjectFault replaces the injected fault; nil removes it.
 func (s *Server) InjectFault(f *Fault) { s.fault.Store(f) }
 
-// Reset forgets all totals, like a counter that restarts after a failure of its failure domain.
+// Reset discards all totals, as when a counter restarts after a failure of its failure domain.
 func (s *Server) Reset() {
 	for i := range s.shards {
 		sh := &s.shards[i]
@@ -69,7 +72,7 @@
 	}
 }
 
-// Calls is how many calls to add have been served or rejected.
+// Calls returns how many additions have been served or rejected.
 func (s *Server) Calls() int64 { return s.calls.Load() }
 
 // Serve accepts connections until the listener closes.
@@ -80,20 +83,21 @@
 			return nil
 		}
 		if err != nil {
-			time.Sleep(acceptRetry) // too few descriptors are no reason to stop for good
+			time.Sleep(acceptRetry) // a temporary lack of file descriptors must not end the server
 			continue
 		}
 		host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 		if !s.admit(c, host) {
 			if t, ok := c.(*net.TCPConn); ok {
-				t.SetLinger(0) // resets it
+				t.SetLinger(0) // Close then resets the connection
 			}
 			c.Close()
 		}
 	}
 }
 
-// admit has a connection served; false: the server is closed, or the host has too many.
+// admit starts to serve a connection. It returns false if the server is closed or the host has maxConnsPerHost
+// connections.
 func (s *Server) admit(c net.Conn, host string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +123,7 @@
 	}
 }
 
-// Close ends all connections and waits for the goroutines that serve them. Those that come later are reset.
+// Close ends all connections and waits for the goroutines that serve them. Later connections are reset.
 func (s *Server) Close() {
 	s.closeConnections()
 	s.goroutines.Wait()
@@ -139,7 +143,7 @@
 	r := bufio.NewReaderSize(c, bufferBytes)
 	w := bufio.NewWriterSize(c, bufferBytes)
 	for {
-		if r.Buffered() == 0 { // replies to pipelined calls go out together
+		if r.Buffered() == 0 { // replies to pipelined calls are sent together
 			if w.Flush() != nil {
 				return
 			}
--- a/internal/standalone/counterserver/server_test.go
+++ b/internal/standalone/counterserver/server_test.go
@@ -19,7 +19,7 @@
 	"mulleinrouter/internal/standalone/counterclient"
 )
 
-// The store agrees with one that looks through all names at each call.
+// The store must agree with a simple model that removes expired names by scanning all of them at each call.
 func TestStoreAgreesWithALinearOne(t *testing.T) {
 	type number struct {
 		total float64
@@ -77,7 +77,7 @@
 	return s, l.Addr().String()
 }
 
-// Calls and replies as PROTOCOL words them.
+// The replies to valid and invalid calls must be those that PROTOCOL specifies.
 func TestProtocol(t *testing.T) {
 	_, addr := startServer(t)
 	for _, tc := range []struct{ name, send, want string }{
@@ -113,7 +113,7 @@
 	}
 }
 
-// The client of ingresses against this server, with injected faults.
+// The counter client of the ingresses must report the outcomes of this server's replies, also under injected faults.
 func TestWithCounterClient(t *testing.T) {
 	s, addr := startServer(t)
 	type reply struct {
@@ -128,7 +128,7 @@
 	defer c.Close()
 	add := func(want reply) {
 		t.Helper()
-		for { // until its connection is up
+		for { // until the client's connection is open
 			c.Add(want.name, 2, 10)
 			if got := <-replies; got.outcome != decision.ConnectionRefused {
 				if got != want {
@@ -168,12 +168,12 @@
 			if i < maxConnsPerHost {
 				t.Fatal(err)
 			}
-			continue // reset before the dial was over
+			continue // reset before the dial returned
 		}
 		defer c.Close()
 		io.WriteString(c, "PING\r\n")
 		if _, err := bufio.NewReader(c).ReadString('\n'); (err == nil) != (i < maxConnsPerHost) {
-			t.Errorf("connection %d: error %v, want one for those above %d alone", i+1, err, maxConnsPerHost)
+			t.Errorf("connection %d: error %v, want one only beyond %d connections", i+1, err, maxConnsPerHost)
 		}
 	}
 }
@@ -186,7 +186,7 @@
 	}
 }
 
-// FuzzCall: whatever callers send is carried out or rejected, in bounded memory.
+// FuzzCall checks that any bytes from a caller are executed or rejected, with a bounded number of arguments.
 func FuzzCall(f *testing.F) {
 	for _, text := range []string{
 		"PING\r\n", "*4\r\n$7\r\nCNT.ADD\r\n$1\r\na\r\n$1\r\n2\r\n$1\r\n9\r\n",
--- a/internal/standalone/counterserver/store.go
+++ b/internal/standalone/counterserver/store.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// MaxNameBytes bounds a name.
+	// MaxNameBytes is the length of the longest name.
 	MaxNameBytes = 64
-	// MaxAmount bounds what one call may add, and take away.
+	// MaxAmount is the greatest amount that one call may add or subtract.
 	MaxAmount = 1e9
 
-	maxKeepMs         = 60_000 // longer times count as this
-	significantDigits = 7      // of a total: callers may count on no more
+	maxKeepMs         = 60_000 // ms; longer times are reduced to it, because maxNames is chosen for it
+	significantDigits = 7      // digits of a reported total; callers must not rely on more
 )
 
 // Store holds totals by name. It does no I/O and reads no clock, and is not safe for use by several goroutines at
@@ -24,18 +24,19 @@
 	byExpiry expiryHeap
 }
 
-// entry is one total.
+// entry is the total of one name.
 type entry struct {
 	name      string
 	total     float64
-	expiresAt int64 // ms
+	expiresAt int64 // ms, by the clock of the caller of Add
 }
 
-// NewStore returns an empty store for a number of names.
+// NewStore returns an empty store that holds at most maxNames names.
 func NewStore(maxNames int) *Store { return &Store{maxNames: maxNames, entries: map[string]*entry{}} }
 
-// Add adds an amount to a name and returns the total. Both times are in ms; a name expires keepMs after it was new.
-// Not ok: there is no capacity for another name, and nothing was added.
+// Add adds an amount to a name and returns the total. Both times are in ms. A name expires keepMs after it is created;
+// later additions do not extend its time. Add returns ok false if the name is new and the store is full; nothing is
+// added then.
 func (s *Store) Add(nowMs int64, name string, amount float64, keepMs int64) (total float64, ok bool) {
 	s.expire(nowMs)
 	e := s.entries[name]
@@ -51,17 +52,17 @@
 	return round(e.total), true
 }
 
-// Len is the number of names.
+// Len returns the number of names.
 func (s *Store) Len() int { return len(s.entries) }
 
-// expire removes the names whose time is over.
+// expire removes the names whose time has passed.
 func (s *Store) expire(nowMs int64) {
 	for len(s.byExpiry) > 0 && s.byExpiry[0].expiresAt <= nowMs {
 		delete(s.entries, heap.Pop(&s.byExpiry).(*entry).name)
 	}
 }
 
-// round keeps the significant digits of a total.
+// round rounds a total to significantDigits.
 func round(v float64) float64 {
 	if v == 0 || math.IsInf(v, 0) {
 		return v
@@ -73,7 +74,7 @@
 	return r
 }
 
-// expiryHeap is a heap of entries, the first to expire on top.
+// expiryHeap is a heap of entries with the next one to expire on top.
 type expiryHeap []*entry
 
 func (eh expiryHeap) Len() int           { return len(eh) }
