--- a/internal/standalone/discovery/connection.go
+++ b/internal/standalone/discovery/connection.go
@@ -19,13 +19,13 @@
 
 const (
 	listTarget  = "/v1/endpoints"
-	watchTarget = "/v1/endpoints?watch=1&from=" // followed by the revision to go on from
+	watchTarget = "/v1/endpoints?watch=1&from=" // followed by the revision after which changes are wanted
 
-	lineBufferBytes = 4096 // at first, of a line of the watch
+	lineBufferBytes = 4096 // initial size of the buffer for a line of the watch; it grows up to maxListBytes
 )
 
-// follow uses one connection: the complete list where none is known, then the watch. It returns when the connection
-// ends.
+// follow opens a connection, reads the complete list unless one is known, and then follows the watch. It returns when
+// the connection ends.
 func (w *Watcher) follow(ctx context.Context) error {
 	dial := w.dial
 	if dial == nil {
@@ -60,7 +60,7 @@
 	return w.apply(raw)
 }
 
-// watch reads and applies changes, a line each, until the connection ends.
+// watch reads and applies changes, one per line, until the connection ends.
 func (w *Watcher) watch(conn net.Conn, r *http1.Reader) error {
 	body, err := w.get(conn, r, watchTarget+strconv.FormatInt(w.rev, 10))
 	if err != nil {
@@ -85,14 +85,14 @@
 	}
 }
 
-// get sends a request and returns the body of its response, of which the status must be 200.
+// get sends a request and returns the body of its response. A status other than 200 is an error.
 func (w *Watcher) get(conn net.Conn, r *http1.Reader, target string) (io.Reader, error) {
 	request := append([]byte("GET "), target...)
 	request = append(request, " HTTP/1.1\r\nHost: discovery\r\n\r\n"...)
-	// While discovery is down it is silent, and it answers the calls that are queued there the moment it is back: an
-	// ingress that paused without a call would miss that (herd over 300 ingresses: changes that were there, unread,
-	// broke the drain rule 1,500 times). A call that is given up and made again goes to the end of the queue. So a
-	// call waits for as long as the delay after it would last.
+	// While discovery is down it is silent, and when it is back it answers the queued calls at once. An ingress that
+	// waits between two calls at that moment gets no answer: in the run herd with 300 ingresses, changes that were
+	// available but unread broke the drain rule 1,500 times. A call that times out and is repeated goes to the end of
+	// the queue. So the timeout of a call includes the delay that would otherwise follow it.
 	timeout := cmp.Or(w.replyTimeout, silenceTimeout) + time.Duration(w.backoff.Now()*float64(time.Second))
 	conn.SetDeadline(time.Now().Add(timeout))
 	if _, err := conn.Write(request); err != nil {
@@ -108,7 +108,7 @@
 	return r.Stream(response), nil
 }
 
-// apply reads a list, applies it to the directory, and passes it on. One that is malformed changes nothing.
+// apply decodes a list, applies it to the directory, and passes it to OnUpdate. A malformed list changes nothing.
 func (w *Watcher) apply(raw []byte) error {
 	var l List
 	if err := jsontext.Decode(raw, &l); err != nil {
--- a/internal/standalone/discovery/directory.go
+++ b/internal/standalone/discovery/directory.go
@@ -19,7 +19,7 @@
 	serving bool
 }
 
-// Lookup returns a backend's address, and whether it may be sent anything new.
+// Lookup returns a backend's address, and whether it may be sent new requests.
 func (d *Directory) Lookup(id string) (addr string, serving bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -27,8 +27,8 @@
 	return e.addr, e.serving
 }
 
-// apply applies a list and returns it in the decision module's form. The directory comes first: once the module
-// knows of a backend, requests are sent to it, and its address must be there.
+// apply applies a list and returns it as an event for the decision module. The directory must be updated before the
+// module is, because the module sends requests to a backend as soon as it knows it, and they need its address.
 func (d *Directory) apply(l *List) decision.Backends {
 	update := decision.Backends{Complete: l.All, List: make([]decision.Backend, 0, len(l.Targets))}
 	d.mu.Lock()
--- a/internal/standalone/discovery/discovery_test.go
+++ b/internal/standalone/discovery/discovery_test.go
@@ -13,7 +13,8 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// TestExchanges plays discovery's side: the updates that the decision module gets, and what the directory then holds.
+// TestExchanges plays scripted dialogues as discovery, and checks the updates that the decision module gets and the
+// content of the directory after them.
 func TestExchanges(t *testing.T) {
 	exchange.Each(t, "testdata/*.txt", func(t *testing.T, script string) {
 		p := exchange.New(t, "discovery", "other")
@@ -31,7 +32,7 @@
 		}
 		w.RestoreList(&List{Rev: 41, Targets: []Target{{UID: "s-1", Endpoint: "h:1", State: "active"}}})
 		if !strings.HasSuffix(script, "restored-list.txt") {
-			w.hasList = false // these are of an ingress that has no list to go on from
+			w.hasList = false // the other scripts are for an ingress without a restored list
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -62,8 +63,8 @@
 	}
 }
 
-// Lists that a faulty discovery may send, one after another: a malformed one changes nothing, the others are read
-// as far as they have a meaning.
+// TestUnusualLists applies lists that a faulty discovery may send, one after another. A malformed list must change
+// nothing; the others are applied as far as they are meaningful.
 func TestUnusualLists(t *testing.T) {
 	updates := 0
 	w := &Watcher{Directory: &Directory{}, Log: logtest.Discard(), OnUpdate: func(decision.Backends) { updates++ }}
--- a/internal/standalone/discovery/errors.go
+++ b/internal/standalone/discovery/errors.go
@@ -6,22 +6,22 @@
 	"net"
 )
 
-// Errors of a connection to discovery, which decide its log code and the time until the next one.
+// Errors of a connection to discovery. They determine its log code and the delay before the next connection.
 var (
 	// errStatus is wrapped by errors about a response with a status other than 200.
 	errStatus = errors.New("unexpected status")
 
-	// errMalformedList is wrapped by errors about bytes that are no list.
-	errMalformedList = errors.New("not a list")
+	// errMalformedList is wrapped by errors about bytes that are not a valid list.
+	errMalformedList = errors.New("malformed endpoint list")
 
-	// errWatchSilent is wrapped by errors about a watch on which no line came in time.
+	// errWatchSilent is wrapped by errors about a watch that received no line in time.
 	errWatchSilent = errors.New("the watch fell silent")
 )
 
 // codeSilent is the log code of a call or a watch that timed out.
 const codeSilent = "discovery-silent"
 
-// logCode is the log code for the end of a connection.
+// logCode returns the log code for the end of a connection.
 func logCode(err error) string {
 	var timeout net.Error
 	switch {
--- a/internal/standalone/discovery/fuzz_test.go
+++ b/internal/standalone/discovery/fuzz_test.go
@@ -8,8 +8,8 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// FuzzLists: whatever comes as a list, a malformed one changes nothing, only active servers are sent requests, and
-// the decision module goes on deciding.
+// FuzzLists checks that, for any bytes received as a list, a malformed list changes nothing, only active servers are
+// sent requests, and the decision module still decides each request exactly once.
 func FuzzLists(f *testing.F) {
 	for _, s := range []string{
 		`{"rev":41,"all":true,"targets":[{"uid":"s-1","endpoint":"h:1","az":"a","model":"m2","pod_group":3,` +
@@ -43,7 +43,7 @@
 			now, id, decisions := 2+10*float64(i), uint64(i+1), 0
 			request := decision.Request{ID: id, Class: "c", Plan: "p", Customer: "c", TimeLeft: 3, Units: 1}
 			actions := g.Handle(now, request)
-			for end := now + 3; now < end; now += 0.05 { // queued, it is sent or rejected in time
+			for end := now + 3; now < end; now += 0.05 { // a queued request is sent or rejected before its deadline
 				for _, a := range append(actions, g.Handle(now, decision.Timer{Token: "tick"})...) {
 					switch a := a.(type) {
 					case decision.Send:
--- a/internal/standalone/discovery/list.go
+++ b/internal/standalone/discovery/list.go
@@ -1,13 +1,13 @@
 package discovery
 
-// List is an endpoint list, or the changes to one, in discovery's form.
+// List is an endpoint list, or the changes to one, as discovery sends it.
 type List struct {
-	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"` // it is complete
+	Rev     int64    `json:"rev"` // revision of the list
+	All     bool     `json:"all"` // the list is complete; false: it has only the changes
 	Targets []Target `json:"targets"`
 }
 
-// Target is one entry of a list.
+// Target is one backend of a list.
 type Target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"` // host:port
@@ -18,8 +18,8 @@
 	BootMs   float64 `json:"boot_ms"` // Unix time in ms
 }
 
-// States of a target. A target in any other state exists, and is sent nothing new.
+// States of a target. A target in any other state is kept in the directory, but gets no new requests.
 const (
 	stateActive = "active"
-	stateLeft   = "left" // it is no longer there
+	stateLeft   = "left" // the target no longer exists
 )
--- a/internal/standalone/discovery/watcher.go
+++ b/internal/standalone/discovery/watcher.go
@@ -17,68 +17,70 @@
 
 const (
 	dialTimeout    = time.Second
-	silenceTimeout = 3 * time.Second // an empty line comes every 2 s: without one the watch is dead
+	silenceTimeout = 3 * time.Second // discovery sends an empty line every 2 s; without it the watch is dead
 
-	// silentSpread is over how many seconds a fleet whose watches fell silent together opens them again. A change that
-	// a silent watch misses counts as received 6 s after the watch fell silent, and 3 s have passed by then.
-	silentSpread = 2.0
+	// silentReconnectWindow is the time, in seconds, over which a fleet whose watches fell silent together reopens them.
+	// It is short because a change that a silent watch misses counts as received 6 s after the watch fell silent, of
+	// which silenceTimeout takes 3 s.
+	silentReconnectWindow = 2.0
 
-	maxListBytes = 4 << 20
+	maxListBytes = 4 << 20 // bytes of a list or a line of the watch; bounds the memory that discovery can make it use
 
-	rngStream = 2 // of the watcher's random numbers, beside those of other users of the seed
+	rngStream = 2 // separates the watcher's random numbers from those of other users of the seed
 )
 
-// Watcher keeps a directory up to date with discovery, and passes each update on.
+// Watcher keeps a directory up to date with discovery, and passes each update to OnUpdate.
 type Watcher struct {
 	Addr      string // host:port of discovery
 	Directory *Directory
-	OnUpdate  func(decision.Backends) // called from the goroutine of Run, and of RestoreList
+	OnUpdate  func(decision.Backends) // called by Run and RestoreList, in their goroutines
 	Log       log.Logger
-	FleetSize int    // ingresses that ask the same discovery: they must not ask in step
-	Seed      uint64 // of random delays
+	FleetSize int    // ingresses that use the same discovery; their calls must be spread over time
+	Seed      uint64 // seed of the random delays
 
-	// Rank returns this ingress's rank among the live ones, from 0, and how many there are; nil: it is unknown, and
-	// random delays alone keep ingresses apart.
+	// Rank returns this ingress's rank among the live ones, from 0, and how many there are. If it is nil, the rank is
+	// unknown, and only random delays spread the calls of the ingresses.
 	Rank func() (rank, live int)
 
-	replyTimeout time.Duration // for a response to begin, and for the complete list; 0: silenceTimeout
-	watchTimeout time.Duration // for the next line of the watch; 0: silenceTimeout
-	rev          int64         // of the last list
-	hasList      bool          // there is a list of this address to go on from
+	replyTimeout time.Duration // for the head of a response and for the complete list; 0 means silenceTimeout
+	watchTimeout time.Duration // for the next line of the watch; 0 means silenceTimeout
+	rev          int64         // revision of the last list
+	hasList      bool          // rev is a revision of the present address, from which a watch can continue
 	backoff      *backoff.Window
-	dial         func(ctx context.Context, network, addr string) (net.Conn, error) // nil: TCP
+	dial         func(ctx context.Context, network, addr string) (net.Conn, error) // nil means TCP
 
-	mu       sync.Mutex // guards the fields below
-	nextAddr string     // address of the next connection; empty: Addr
-	leave    func()     // ends the connection in use; nil: there is none
+	mu         sync.Mutex // guards the fields below
+	nextAddr   string     // address of the next connection; empty means Addr
+	cancelConn func()     // ends the connection in use; nil before the first connection
 }
 
-// SetAddress has the list followed at another address from now on. The last list stays until that address sends its
-// own.
+// SetAddress changes the address of discovery and ends the connection to the old one. The last list stays in use until
+// the new address sends its list.
 func (w *Watcher) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.nextAddr = addr
-	if w.leave != nil {
-		w.leave()
+	if w.cancelConn != nil {
+		w.cancelConn()
 	}
 }
 
-// begin sets the address of the next connection. The context that it returns ends with a change of the address.
-func (w *Watcher) begin(ctx context.Context) (connCtx context.Context, end func()) {
+// beginConnection sets Addr to the address of the next connection. It returns a context that SetAddress cancels, and a
+// function that cancels it.
+func (w *Watcher) beginConnection(ctx context.Context) (connCtx context.Context, end func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.nextAddr != "" && w.nextAddr != w.Addr {
-		w.Addr, w.hasList = w.nextAddr, false // its revisions may be others
+		w.Addr, w.hasList = w.nextAddr, false // revisions of another address may differ
 	}
 	w.nextAddr = ""
-	connCtx, w.leave = context.WithCancel(ctx)
-	return connCtx, w.leave
+	connCtx, w.cancelConn = context.WithCancel(ctx)
+	return connCtx, w.cancelConn
 }
 
-// RestoreList applies the list that the ingress last had, before Run. If it names any server, only changes since
-// then are asked for: a complete list costs discovery several times as much, and after a release most of a fleet
-// would ask for one at once.
+// RestoreList applies the list that the ingress had last. It must be called before Run. If the list has any target, Run
+// asks only for the changes since then. A complete list costs discovery several times as much, and after a release
+// most of a fleet would ask for one at the same time.
 func (w *Watcher) RestoreList(l *List) {
 	w.rev, w.hasList = l.Rev, len(l.Targets) > 0
 	update := w.Directory.apply(l)
@@ -86,20 +88,21 @@
 	w.OnUpdate(update)
 }
 
-// Run follows the list until the context ends. While discovery is silent the last list stays.
+// Run follows the list until the context ends. While discovery is silent, the last list stays in use.
 func (w *Watcher) Run(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(w.Seed, rngStream))
 	w.backoff = backoff.New(w.FleetSize)
-	// The first connection is opened at once. With a list from before, a server that drains meanwhile counts as known
-	// to be draining, and must not be sent new requests (the drain rule, over a fleet of 300: roll, herd and join).
+	// The first connection is opened without a delay. A server that begins to drain meanwhile counts as known to be
+	// draining, and an ingress with a restored list must not send it new requests (the drain rule, checked with a fleet
+	// of 300 in the runs roll, herd and join).
 	for ctx.Err() == nil {
 		w.runConnection(ctx, rng)
 	}
 }
 
-// runConnection follows the list over one connection, and waits until the next one is due.
+// runConnection follows the list over one connection, and then waits for the delay before the next one.
 func (w *Watcher) runConnection(ctx context.Context, rng *rand.Rand) {
-	connCtx, end := w.begin(ctx)
+	connCtx, end := w.beginConnection(ctx)
 	defer end()
 	err := w.follow(connCtx)
 	if ctx.Err() != nil {
@@ -111,22 +114,23 @@
 	}
 	wait := w.reconnectDelay(code, err, rng)
 	level.Info(w.Log).Log("msg", "discovery connection ended", "code", code, "rev", w.rev, "wait", wait, "error", err)
-	sleep(connCtx, wait) // not at all if the address has changed
+	sleep(connCtx, wait) // returns at once if the address has changed
 }
 
-// reconnectDelay is the time until the next connection, after one that ended with an error.
+// reconnectDelay returns the delay before the next connection, after one that ended with an error.
 func (w *Watcher) reconnectDelay(code string, err error, rng *rand.Rand) decision.Seconds {
 	if code == codeSilent {
-		// A watch that fell silent is opened again while its changes may still be late. A call that timed out has
-		// waited long enough, and has lost its place in discovery's queue.
+		// A watch that fell silent is reopened soon, while the changes that it missed do not yet count as received. A
+		// call that timed out is repeated at once, because it has already waited for the backoff time (see get) and has
+		// lost its position in discovery's queue.
 		if errors.Is(err, errWatchSilent) {
-			return rng.Float64() * min(w.backoff.Now(), silentSpread)
+			return rng.Float64() * min(w.backoff.Now(), silentReconnectWindow)
 		}
 		w.backoff.Failed(1)
 		return 0
 	}
 	fraction := rng.Float64()
-	if w.Rank != nil { // one ingress after another over the window, whatever the others draw
+	if w.Rank != nil { // each ingress has its own part of the window, whatever random numbers the others get
 		rank, live := w.Rank()
 		w.backoff.Resize(live)
 		fraction = (float64(rank) + fraction) / float64(live)
--- a/internal/standalone/discovery/watcher_test.go
+++ b/internal/standalone/discovery/watcher_test.go
@@ -14,9 +14,9 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// TestRestoredListIsWatchedAtOnce: an ingress of a large fleet that starts with a list from before opens its watch
-// at the first moment. Until it does, each server that begins to drain counts as known to it, and it would send
-// such servers new requests.
+// TestRestoredListIsWatchedAtOnce checks that an ingress of a large fleet that starts with a restored list opens its
+// watch without a delay. After a delay it would send new requests to servers that have begun to drain, which count as
+// known to be draining.
 func TestRestoredListIsWatchedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		conns := make(chan net.Conn, 1)
@@ -48,7 +48,7 @@
 		if want := "GET /v1/endpoints?watch=1&from=41 HTTP/1.1\r\n"; line != want {
 			t.Errorf("asked %q, want %q", line, want)
 		}
-		if waited := time.Since(start); waited != 0 { // the bubble's clock: it moves only where the watcher waits
+		if waited := time.Since(start); waited != 0 { // the bubble's clock advances only if the watcher waits
 			t.Errorf("the watch was asked for after %v", waited)
 		}
 		cancel()
@@ -57,15 +57,15 @@
 	})
 }
 
-// outage is how a discovery server of TestUpdateArrivesAsDiscoveryReturns behaves: until down it serves revision
-// 41, then it is silent, and from back on it serves revision 42.
+// outage is the discovery server of TestUpdateArrivesAsDiscoveryReturns. It serves revision 41 until down, is silent
+// until back, and serves revision 42 from then on.
 type outage struct {
 	start      time.Time
 	down, back time.Duration // after start
 	calls      int
 }
 
-// serve answers one connection. Calls that come during the outage are answered when it is over.
+// serve serves one connection. A call that arrives during the outage is answered when the outage ends.
 func (o *outage) serve(c net.Conn) {
 	defer c.Close()
 	if !skipRequest(c) {
@@ -89,10 +89,10 @@
 			return
 		}
 	}
-	io.Copy(io.Discard, c) // open, and silent for good
+	io.Copy(io.Discard, c) // the connection stays open without another line
 }
 
-// skipRequest reads a request up to its empty line; false: the connection ended.
+// skipRequest reads a request up to its empty line. It returns false if the connection ended.
 func skipRequest(c net.Conn) bool {
 	for r := bufio.NewReader(c); ; {
 		line, err := r.ReadString('\n')
@@ -105,9 +105,9 @@
 	}
 }
 
-// TestUpdateArrivesAsDiscoveryReturns: discovery is silent for 8 s, to open watches and to new calls, and answers
-// the calls that are queued when it is back. Each ingress of a large fleet has the update at once, for from that
-// moment on it counts as received.
+// TestUpdateArrivesAsDiscoveryReturns has discovery fall silent for 8 s, to open watches and to new calls. When it is
+// back, it answers the queued calls. Each ingress of a large fleet must get the update at once, because the update
+// counts as received from that moment on.
 func TestUpdateArrivesAsDiscoveryReturns(t *testing.T) {
 	const down, back = 3300 * time.Millisecond, 11300 * time.Millisecond
 	for seed := range uint64(20) {
--- a/internal/standalone/handover/handover_test.go
+++ b/internal/standalone/handover/handover_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestHeartbeat is a table of single heartbeats, by the other processes' records.
+// TestHeartbeat checks the outcome of a single heartbeat for several sets of the other processes' records.
 func TestHeartbeat(t *testing.T) {
 	const now = 100.0
 	other := func(share float64, with ...func(*Record)) Record {
@@ -28,14 +28,14 @@
 	}
 	for _, tc := range []struct {
 		name   string
-		share  float64 // before
+		share  float64 // before the heartbeat
 		leaves bool
 		others []Record
 		want   outcome
 	}{
 		{"alone", 0, false, nil, outcome{"1.00", true, false}},
-		{"beside one that has all", 0, false, []Record{other(1)}, outcome{"0.00", false, false}},
-		{"beside one that has shrunk", 0, false, []Record{other(0.5)}, outcome{"0.50", false, false}},
+		{"another one has all", 0, false, []Record{other(1)}, outcome{"0.00", false, false}},
+		{"another one has shrunk", 0, false, []Record{other(0.5)}, outcome{"0.50", false, false}},
 		{"a newer one starts", 1, false, []Record{other(0, newer)}, outcome{"0.50", false, true}},
 		{"the other leaves", 0.5, false, []Record{other(0.5, leaving)}, outcome{"0.50", false, false}},
 		{
@@ -80,17 +80,17 @@
 	runEvents      = 400
 	maxProcesses   = 4
 	shareTolerance = 1e-9
-	minShare       = 0.19 // of all processes together, after a while without changes
+	minShare       = 0.19 // least sum of the shares of all processes after a while without changes
 )
 
-// process is one of a random run.
+// process is a process of a random run.
 type process struct {
 	*Member
 	suspended bool
 }
 
-// randomRun sends some processes through random events: they start, leave, are killed, suspended and resumed, and their
-// heartbeats come late. It returns the greatest sum of their shares, and the least one after a while without changes.
+// randomRun applies random events to some processes: they start, leave, are killed, suspended and resumed, and their
+// heartbeats are late. It returns the greatest sum of their shares, and the least sum after a while without changes.
 func randomRun(seed uint64) (maxSum, minSum float64) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	var live []*process
@@ -125,7 +125,7 @@
 		}
 		sum, running := 0.0, 0
 		for _, p := range live {
-			sum += p.Share(now) // also of one that has just resumed: it may act before its next heartbeat
+			sum += p.Share(now) // also of a suspended process: it may act before its next heartbeat when it resumes
 			if !p.suspended {
 				running++
 			}
@@ -138,7 +138,7 @@
 	return maxSum, minSum
 }
 
-// exchange reads the records and writes the process's own.
+// exchange reads the records and writes the process's own record.
 func (p *process) exchange(now float64, records map[int64]Record) {
 	var others []Record
 	for _, r := range records {
@@ -148,7 +148,7 @@
 	records[v.Own.Process] = v.Own
 }
 
-// TestSharesNeverExceedOne: whatever happens to them, processes never have more than one ingress together.
+// TestSharesNeverExceedOne checks that the shares of all processes never add up to more than 1 in random runs.
 func TestSharesNeverExceedOne(t *testing.T) {
 	for seed := range uint64(randomRuns) {
 		if maxSum, minSum := randomRun(seed); maxSum > 1+shareTolerance || minSum < minShare {
--- a/internal/standalone/handover/mutants_test.go
+++ b/internal/standalone/handover/mutants_test.go
@@ -8,7 +8,7 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// TestMutants finds each seeded fault: it lets processes have more than one ingress together.
+// TestMutants checks that the random runs detect each seeded fault, which lets the shares add up to more than 1.
 func TestMutants(t *testing.T) {
 	for _, fault := range []string{"sleeper-keeps", "grows-unseen"} {
 		t.Run(fault, func(t *testing.T) {
--- a/internal/standalone/hotrestart/doc.go
+++ b/internal/standalone/hotrestart/doc.go
@@ -1,8 +1,8 @@
-// Package hotrestart opens the address of an ingress's clients so that a newer process can listen beside the
-// running one (SO_REUSEPORT), and hands the address over without resetting a connection. Closing a
-// SO_REUSEPORT listener resets what waits in its accept queue, so the old process first redirects new
-// connections to the newer one, and closes once its queue is empty.
+// Package hotrestart opens the client address of an ingress so that a newer process can listen on it at the same
+// time as the running one (SO_REUSEPORT), and hands the address over without resetting a connection. Closing a
+// SO_REUSEPORT listener resets the connections in its accept queue, so the old process first redirects new
+// connections to the newer one, and closes its listener once the queue is empty.
 //
-// It imports golang.org/x/sys/unix alone and holds no state: the listener belongs to the caller. Tests:
-// hotrestart_test.go, on loopback; whole processes in package node and emulator/faulttest.
+// It imports only golang.org/x/sys/unix and holds no state, because the listener belongs to the caller. The tests in
+// hotrestart_test.go use loopback; packages node and emulator/faulttest test whole processes.
 package hotrestart
--- a/internal/standalone/hotrestart/hotrestart.go
+++ b/internal/standalone/hotrestart/hotrestart.go
@@ -19,7 +19,7 @@
 // Listen listens at a TCP address with SO_REUSEPORT, so that another process may listen there, too; the
 // kernel distributes new connections among the listeners. Where SO_REUSEPORT is not available it listens
 // alone, as net.Listen does. A redirection that an earlier process attached to the group is removed, so that
-// both processes serve.
+// both processes get connections.
 func Listen(addr string) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
@@ -38,9 +38,9 @@
 	return l, nil
 }
 
-// Steer redirects the group's new connections to the newest other listener. Without another one this listener goes on
-// getting them: for an index beyond the group the kernel falls back to its hash. After an error, which is ErrNotTCP or
-// the kernel's, new connections go on coming here.
+// Steer redirects the group's new connections to the newest other listener. Without another listener, this one still
+// gets them, because for an index beyond the group the kernel falls back to its hash. The error is ErrNotTCP or one of
+// the kernel; after an error, new connections still arrive here.
 func Steer(l net.Listener) error {
 	filter := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: newestListener}}
 	return controlSocket(l, func(fd int) error {
--- a/internal/standalone/hotrestart/hotrestart_test.go
+++ b/internal/standalone/hotrestart/hotrestart_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// waitTimeout bounds a wait that only a failure makes long.
+// waitTimeout bounds each wait. Only a failing test waits so long.
 const waitTimeout = 10 * time.Second
 
-// TestSteerHandsOver: two listeners share an address. Once the first one redirects, all new connections reach
-// the second, and closing the first one resets none of them.
+// TestSteerHandsOver checks two listeners at one address. After the first one redirects, all new connections must reach
+// the second one, and closing the first one must reset none of them.
 func TestSteerHandsOver(t *testing.T) {
 	old, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -37,7 +37,7 @@
 		defer c.Close()
 		dialed = append(dialed, c)
 	}
-	old.Close() // what waits in its queue would be reset now
+	old.Close() // this resets connections in its accept queue, if any are there
 	newer.(*net.TCPListener).SetDeadline(time.Now().Add(waitTimeout))
 	for i := range n {
 		c, err := newer.Accept()
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestSteerAlone: a listener that redirects without another one beside it still gets its connections.
+// TestSteerAlone checks that a listener that redirects still gets its connections if it is the only one in the group.
 func TestSteerAlone(t *testing.T) {
 	l, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -73,12 +73,13 @@
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(waitTimeout))
 	a, err := l.Accept()
 	if err != nil {
-		t.Fatalf("alone, it got nothing: %v", err)
+		t.Fatalf("the only listener got no connection: %v", err)
 	}
 	a.Close()
 }
 
-// TestJoinClearsSteering: once a process joins a group that an earlier one redirected, both get connections again.
+// TestJoinClearsSteering checks that both listeners get connections after a process joins a group that an earlier one
+// redirected.
 func TestJoinClearsSteering(t *testing.T) {
 	first, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -93,7 +94,8 @@
 		t.Fatal(err)
 	}
 	defer second.Close()
-	// Redirected, all would go to the second one; by the kernel's hash some of many go to the first one.
+	// If the redirection were still in force, all connections would reach the second listener. The kernel's hash sends
+	// some of the 64 to the first one.
 	for range 64 {
 		c, err := net.Dial("tcp4", first.Addr().String())
 		if err != nil {
