--- a/internal/standalone/discovery/watcher.go
+++ b/internal/standalone/discovery/watcher.go
@@ -19,9 +19,9 @@
 	dialTimeout    = time.Second
 	silenceTimeout = 3 * time.Second // discovery sends an empty line every 2 s; without it the watch is dead
 
-	// silentReconnectWindow is the time, in seconds, over which a fleet whose watches fell silent together reopens them.
-	// It is short because a change that a silent watch misses counts as received 6 s after the watch fell silent, of
-	// which silenceTimeout takes 3 s.
+	// silentReconnectWindow is the time, in seconds, over which a fleet whose watches fell silent together reopens
+	// them. It is short because a change that a silent watch misses counts as received 6 s after the watch fell silent,
+	// of which silenceTimeout takes 3 s.
 	silentReconnectWindow = 2.0
 
 	maxListBytes = 4 << 20 // bytes of a list or a line of the watch; bounds the memory that discovery can make it use
--- a/internal/standalone/mgmt/client.go
+++ b/internal/standalone/mgmt/client.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-const maxAnswerBytes = 4 << 20 // of one line
+const maxAnswerBytes = 4 << 20 // bytes of one line of an answer; bounds the memory of a call
 
-// Call makes one call at a management address, within a timeout, and returns the lines behind ACK. Its error is
-// ErrRejected, or one of the connection.
+// Call makes one call at a management address and returns the lines after ACK. The timeout applies to the dial, and
+// again to the call. The error is ErrRejected or one of the connection.
 func Call(addr, call string, timeout time.Duration) (lines []string, err error) {
 	conn, err := net.DialTimeout("tcp4", addr, timeout)
 	if err != nil {
--- a/internal/standalone/mgmt/close_test.go
+++ b/internal/standalone/mgmt/close_test.go
@@ -43,13 +43,13 @@
 
 func (pl *pipeListener) Addr() net.Addr { return nil }
 
-// When the listener closes, Serve cuts off a caller without a call at once, has the call that is being handled
-// answered, and returns only then.
+// When the listener closes, Serve must cut off a caller without a call at once, and must return only after the call
+// that is being handled has been answered.
 func TestServeWaitsForCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const handling = time.Minute
 		s := &Server{Log: logtest.Discard(), Handler: func(string, string) (bool, []string) {
-			time.Sleep(handling) // simulated
+			time.Sleep(handling) // in simulated time
 			return true, nil
 		}}
 		l := newPipeListener()
--- a/internal/standalone/mgmt/doc.go
+++ b/internal/standalone/mgmt/doc.go
@@ -1,11 +1,11 @@
-// Package mgmt serves and calls the management address, which operators alone use: each connection carries one
-// line, a call, and gets one answer that begins with ACK or NAK, whereupon the connection ends.
+// Package mgmt serves and calls the management address, which only operators use. Each connection carries one call, a
+// line, and gets one answer that begins with ACK or NAK. The server then ends the connection.
 //
-// The server answers however busy serving is: it takes no lock that serving holds for long, and a caller that
-// finishes no line is cut off without taking the capacity of others. Server.Serve owns the goroutines of its
-// connections and returns once they have ended: each has a time limit, and when the listener closes, calls that are
-// incomplete are cut off and the others answered. What a call does is its Handler's. The package imports nothing of
-// this repository.
+// The server answers however busy the ingress is with requests. It takes no lock that serving requests holds for long,
+// and a caller that does not finish its line is disconnected and does not keep others from being served. Server.Serve
+// owns the goroutines of its connections and returns once they have ended. Each has a time limit, and when the listener
+// closes, incomplete calls are cut off and the others are answered. The Handler executes the calls. The package imports
+// nothing of this repository.
 //
-// The files: server.go, client.go, statsd.go (the line format of statistics), errors.go. Tests are beside them.
+// The files: server.go, client.go, statsd.go (the line format of statistics), errors.go. The tests are in this folder.
 package mgmt
--- a/internal/standalone/mgmt/errors.go
+++ b/internal/standalone/mgmt/errors.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// ErrRejected is returned by Call if the call was answered with NAK, or not at all.
+// ErrRejected is returned by Call if the answer is NAK, or the connection ends without an answer.
 var ErrRejected = errors.New("refused")
 
-// Errors about a line that is no call. Each is answered with NAK.
+// Errors about a line that is not a valid call. Each is answered with NAK.
 var (
 	errTooLong = fmt.Errorf("a call of more than %d bytes", MaxCallBytes)
 	errEmpty   = errors.New("an empty call")
--- a/internal/standalone/mgmt/server.go
+++ b/internal/standalone/mgmt/server.go
@@ -15,28 +15,29 @@
 )
 
 const (
-	// MaxCallBytes is the length of the longest call, without its line end; a longer one gets NAK.
+	// MaxCallBytes is the length of the longest call, without its line end. A longer one is answered with NAK.
 	MaxCallBytes = 256
-	// CallTimeout is for a caller to finish its line once it has connected.
+	// CallTimeout is the time that a caller has, from its connection on, to finish its line.
 	CallTimeout = 2 * time.Second
-	// MaxCallers is how many callers are served at once; one more evicts the one that has waited longest.
+	// MaxCallers is the number of callers that are served at once. One more evicts the caller that connected first, so
+	// that silent callers cannot block the address.
 	MaxCallers = 32
 
-	answerTimeout = time.Second           // for a caller to read its answer, and to end its connection then
-	acceptRetry   = 10 * time.Millisecond // after a failure to accept, which may last
+	answerTimeout = time.Second           // for a caller to read its answer, and then again to close its connection
+	acceptRetry   = 10 * time.Millisecond // delay after a failed accept, so that the loop does not spin
 
-	maxUnreadBytes = 64 << 10 // of a call that is too long, read to end the connection cleanly
+	maxUnreadBytes = 64 << 10 // bytes read after the answer, so that a call that is too long causes no reset
 )
 
-// First lines of an answer.
+// The first line of an answer is one of these.
 const (
 	ack = "ACK"
 	nak = "NAK"
 )
 
-// Handler answers calls. It gets the call's word in upper case and what follows it, and returns whether the call is
-// accepted (ACK) and the lines that follow the first. It must not wait for serving. A word that it does not know, it
-// answers with ok false.
+// Handler executes calls. It gets the call's first word in upper case and the text after it. It returns whether the
+// call is accepted (ACK, otherwise NAK) and the lines that follow ACK or NAK. It must not wait for the serving of
+// requests. For an unknown word it returns ok false.
 type Handler func(word, arguments string) (ok bool, lines []string)
 
 // Server serves one management address.
@@ -44,17 +45,17 @@
 	Handler Handler
 	Log     log.Logger
 
-	mu      sync.Mutex             // guards what follows
+	mu      sync.Mutex             // guards the fields below
 	open    map[net.Conn]struct{}  // all connections
-	waiting map[net.Conn]time.Time // those that are not evicted, by when they connected
-	closing bool                   // no caller is read from any more
+	waiting map[net.Conn]time.Time // when each connection was accepted, except the evicted ones
+	closing bool                   // the listener has closed, and no connection is read any more
 }
 
-// past is a deadline that ends a read at once.
+// past is a read deadline in the past, which ends a pending read at once.
 var past = time.Unix(1, 0)
 
-// Serve accepts callers until the listener closes. It then cuts off those whose call is incomplete, has the others
-// answered, and returns when all connections have ended.
+// Serve accepts callers until the listener closes. It then cuts off callers whose call is incomplete, waits until the
+// others are answered, and returns when all connections have ended.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
 	s.open, s.waiting, s.closing = map[net.Conn]struct{}{}, map[net.Conn]time.Time{}, false
@@ -79,7 +80,8 @@
 	}
 }
 
-// admit registers a caller, which has CallTimeout for its call. Beyond MaxCallers, the one that came first is cut off.
+// admit registers a caller and sets its deadline of CallTimeout. With MaxCallers callers already registered, the one
+// that connected first is cut off.
 func (s *Server) admit(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +100,7 @@
 	c.SetReadDeadline(now.Add(CallTimeout))
 }
 
-// endReading ends the reads of all connections, the present ones and those to come.
+// endReading ends the pending reads of all connections. Later calls of limitReading do not extend them.
 func (s *Server) endReading() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +110,7 @@
 	}
 }
 
-// limitReading limits how long a connection is read from, after its answer.
+// limitReading sets the read deadline of a connection after its answer, unless the server is closing.
 func (s *Server) limitReading(c net.Conn, timeout time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,7 +163,8 @@
 	if _, err := io.WriteString(c, answer.String()); err != nil {
 		return err
 	}
-	// Closing with unread bytes of a call that is too long would reset the connection, and the answer might be lost.
+	// Closing a connection with unread bytes, which a call that is too long leaves, would reset it, and the answer
+	// might be lost. So the rest is read first.
 	if tc, ok := c.(*net.TCPConn); ok {
 		tc.CloseWrite()
 		s.limitReading(c, answerTimeout)
@@ -170,7 +173,7 @@
 	return nil
 }
 
-// readCall reads one line, ended by LF or CRLF or by the end of the caller's sending, and splits its first word off.
+// readCall reads one line and splits off its first word. The line ends with LF, CRLF or the end of the stream.
 func readCall(r *bufio.Reader) (word, arguments string, err error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -191,7 +194,7 @@
 	return strings.ToUpper(word), strings.TrimSpace(arguments), nil
 }
 
-// endCode is the log code for a connection that ended without a call.
+// endCode returns the log code for a connection that ended without a call.
 func endCode(err error) string {
 	var timeout net.Error
 	switch {
--- a/internal/standalone/mgmt/server_test.go
+++ b/internal/standalone/mgmt/server_test.go
@@ -15,7 +15,7 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-const testTimeout = 10 * time.Second // only a failure waits this long
+const testTimeout = 10 * time.Second // only a failing test waits this long
 
 // startServer starts a server and returns its address.
 func startServer(t *testing.T) string {
@@ -48,7 +48,7 @@
 	return false, nil
 }
 
-// call sends bytes and reads the complete answer, until the server ends the connection.
+// call sends bytes and returns the answer, which it reads until the server ends the connection.
 func call(t *testing.T, addr, send string) string {
 	t.Helper()
 	c, err := net.Dial("tcp4", addr)
@@ -79,7 +79,7 @@
 		{"\n", "NAK\n"},
 		{strings.Repeat("P", MaxCallBytes+1) + "\n", "NAK\n"},
 		{strings.Repeat("P", 10*MaxCallBytes), "NAK\n"},
-		{"PING\nINFO\n", "ACK\n"}, // one call a connection
+		{"PING\nINFO\n", "ACK\n"}, // a connection carries one call only
 	} {
 		if diff := cmp.Diff(tc.want, call(t, addr, tc.send)); diff != "" {
 			t.Errorf("answer to %.20q (-want +got):\n%s", tc.send, diff)
@@ -87,7 +87,7 @@
 	}
 }
 
-// A caller that ends its sending instead of its line is answered too.
+// A caller that closes its sending side instead of ending its line must be answered, too.
 func TestCallEndedBySending(t *testing.T) {
 	addr := startServer(t)
 	c, err := net.Dial("tcp4", addr)
@@ -103,8 +103,8 @@
 	}
 }
 
-// More callers than MaxCallers connect and send nothing; a caller that comes after them is answered at once, long
-// before CallTimeout, and those that it evicts are cut off.
+// More callers than MaxCallers connect and send nothing. A caller that connects after them must be answered at once,
+// long before CallTimeout, and evicted callers must be cut off.
 func TestSilentCallers(t *testing.T) {
 	addr := startServer(t)
 	var silent []net.Conn
@@ -126,7 +126,7 @@
 	if err != nil || line != "ACK\n" {
 		t.Fatalf("a caller after %d silent ones: answer %q, error %v; want ACK", len(silent), line, err)
 	}
-	// Those that were evicted are cut off: a read ends.
+	// The first caller was evicted and cut off, so a read from it ends.
 	silent[0].SetReadDeadline(time.Now().Add(testTimeout))
 	_, err = silent[0].Read(make([]byte, 1))
 	if err == nil {
--- a/internal/standalone/simprotocol/events.go
+++ b/internal/standalone/simprotocol/events.go
@@ -7,10 +7,10 @@
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
-// retryOption is the bit of a request's options that marks it as a retry of the client.
+// retryOption is the bit in a request's options that marks it as a client's retry.
 const retryOption = 2
 
-// eventDecoders decode the events that concern one gateway alone, by message name.
+// eventDecoders maps message names to the decoders of events that concern only one gateway.
 var eventDecoders = map[string]func(f *fields) decision.Event{
 	"SUBMIT":      decodeRequest,
 	"CLIENT_GONE": decodeDisconnect,
@@ -61,7 +61,8 @@
 	}
 }
 
-// outcomes are the outcomes by their words on the wire. A word that is not known is Failed, which proves nothing.
+// outcomes maps the words of the protocol to outcomes. An unknown word is read as Failed, which proves nothing about
+// what became of the call.
 var outcomes = map[string]decision.Outcome{
 	"done":         decision.Succeeded,
 	"err":          decision.Failed,
@@ -98,8 +99,8 @@
 	return list, nil
 }
 
-// fields reads the values of a message by their index. Missing ones and nulls are zero. The first value of a wrong
-// type is kept in err.
+// fields reads the values of a message by their index. Missing values and nulls are read as zero. The error of the
+// first value with a wrong type is kept in err.
 type fields struct {
 	values []jsontext.Raw
 	err    error
--- a/internal/standalone/simprotocol/host.go
+++ b/internal/standalone/simprotocol/host.go
@@ -11,7 +11,7 @@
 	"mulleinrouter/internal/standalone/settings"
 )
 
-// bufferSize is the size of the input and output buffers, in bytes.
+// bufferSize is the size of the input and output buffers in bytes.
 const bufferSize = 1 << 20
 
 // batch is one line of input.
@@ -21,7 +21,7 @@
 	Groups []eventGroup `json:"groups"`
 }
 
-// eventGroup has the events of one instance.
+// eventGroup holds the events of one instance.
 type eventGroup struct {
 	Instance int            `json:"I"`
 	Events   []jsontext.Raw `json:"events"`
@@ -33,22 +33,22 @@
 	Groups []actionGroup `json:"groups"`
 }
 
-// actionGroup has the actions of one instance.
+// actionGroup holds the actions of one instance.
 type actionGroup struct {
 	Instance int       `json:"I"`
 	Actions  []message `json:"out"`
 }
 
-// message is an action on the wire: a JSON array of its name and its values.
+// message is the encoding of an action, a JSON array of its name and its values.
 type message []any
 
-// lineEncoder writes values as JSON, one a line.
+// lineEncoder writes values as JSON, one per line.
 type lineEncoder interface{ Encode(v any) error }
 
-// Host has the independent gateways of one process.
+// Host holds the gateways of one process, which are independent of each other.
 type Host struct {
 	gateways map[int]*decision.Gateway
-	lists    map[int][]decision.Backend // endpoint lists by number
+	lists    map[int][]decision.Backend // endpoint lists by the number in the CENSUS message
 }
 
 // NewHost returns a host without gateways.
@@ -117,8 +117,8 @@
 	return r, nil
 }
 
-// handleMessage hands one message to the gateway of its instance. Messages whose name is not known, and events for a
-// gateway that does not run, are skipped.
+// handleMessage passes one message to the gateway of its instance and returns the gateway's actions. Messages with an
+// unknown name and events for an instance without a gateway are skipped.
 func (h *Host) handleMessage(now float64, instance int, raw jsontext.Raw) ([]decision.Action, error) {
 	var values []jsontext.Raw
 	if err := jsontext.Decode(raw, &values); err != nil {
@@ -140,8 +140,8 @@
 	return g.Handle(now, event), nil
 }
 
-// decodeEvent decodes the event of a message, or nil where it is none for a gateway. Messages about instances and
-// endpoint lists change the host.
+// decodeEvent decodes the event of a message. It returns nil if the message is not an event for a gateway. Messages
+// about instances and endpoint lists change the host.
 func (h *Host) decodeEvent(name string, instance int, f *fields) (decision.Event, error) {
 	switch name {
 	case "CONFIGURE":
--- a/internal/standalone/simprotocol/host_test.go
+++ b/internal/standalone/simprotocol/host_test.go
@@ -32,7 +32,7 @@
 			`["SUM","done","old/1",5,0.1],["STATUS_BACK","done",0.1,"b1",{"queue":1}],["CLIENT_GONE",7]]}]}`,
 		`{"Ts":2.2,"frame":4,"groups":[]}`)
 	want := []string{
-		``, // the first timer's time is drawn: see below
+		``, // checked below, because the time of the first timer is random
 		`{"frame":2,"groups":[{"I":3,"out":[["TRANSMIT",3903435346448836,"b1",1.05]]}]}`,
 		`{"frame":3,"groups":[]}`,
 		`{"frame":4,"groups":[]}`,
@@ -52,7 +52,7 @@
 	alone := serve(t, fmt.Sprintf(start, 1), fmt.Sprintf(request, 1))
 	both := serve(t, fmt.Sprintf(start, 1), fmt.Sprintf(start, 2), fmt.Sprintf(request, 2), fmt.Sprintf(request, 1))
 	if alone[1] != both[3] {
-		t.Errorf("alone %s, beside another %s", alone[1], both[3])
+		t.Errorf("reply without another instance: %s, with one: %s", alone[1], both[3])
 	}
 }
 
--- a/internal/standalone/state/encoding.go
+++ b/internal/standalone/state/encoding.go
@@ -10,8 +10,8 @@
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
-// A file is a header line and the content as JSON. The header has four fields: magic, version, checksum of the content
-// (CRC-32C in hexadecimal), and the quoted name of the ingress.
+// A file consists of a header line and the content as JSON. The header has four fields: magic, version, checksum of the
+// content (CRC-32C in hexadecimal), and the quoted name of the ingress.
 const (
 	magic        = "mulleinrouter-state"
 	version      = 1
--- a/internal/standalone/state/errors.go
+++ b/internal/standalone/state/errors.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Errors of reading a file. The file is left as it is.
+// Errors of reading a file. The file is not changed after one.
 var (
 	// ErrDamaged is the error of a file whose header, checksum or content is invalid, or that is too large.
 	ErrDamaged = errors.New("damaged file")
--- a/internal/standalone/state/folder.go
+++ b/internal/standalone/state/folder.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	// maxFileBytes bounds a file that is read: no ingress writes more.
+	// maxFileBytes is the size of the largest file that is read, in bytes. No ingress writes more, so a larger file is
+	// damaged.
 	maxFileBytes = 32 << 20
-	// filePerm keeps other users of the machine from what is known of customers.
+	// filePerm prevents other users of the machine from reading data about customers.
 	filePerm = 0o600
 	// nameParts is the number of parts of a file's name, separated by dots: ingress, process and kind.
 	nameParts = 3
 )
 
-// Folder is where the processes of one ingress have their files. Several ingresses may share a folder.
+// Folder is the folder in which the processes of one ingress keep their files. Several ingresses may share it.
 type Folder struct {
-	FS vfs.FS // that files are written to; the machine's, unless a test replaces it
+	FS vfs.FS // file system for writes; the machine's unless a test replaces it
 
 	dir     string
-	ingress string // quoted name
+	ingress string // quoted name of the ingress
 	process int64
 }
 
-// Open returns the folder of an ingress as one of its processes uses it. It reads and writes nothing yet.
+// Open returns the folder of an ingress for use by one of its processes. It neither reads nor writes anything.
 func Open(dir, ingress string, process int64) *Folder {
 	return &Folder{FS: vfs.OS{}, dir: dir, ingress: strconv.Quote(ingress), process: process}
 }
@@ -39,7 +40,7 @@
 // Process returns the number under which this process has its files.
 func (f *Folder) Process() int64 { return f.process }
 
-// prefix is the part of a file's name that stands for the ingress.
+// prefix returns the part of a file's name that identifies the ingress.
 func (f *Folder) prefix() string {
 	return fmt.Sprintf("ingress-%08x", crc32.Checksum([]byte(f.ingress), castagnoli))
 }
--- a/internal/standalone/state/folder_test.go
+++ b/internal/standalone/state/folder_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestDamagedFiles: a file is read completely or not at all, if it is truncated at any byte, has any byte
-// changed, or is of another version or ingress.
+// TestDamagedFiles checks that a file is not read if it is truncated at any byte, has any byte changed, or is of
+// another version or ingress.
 func TestDamagedFiles(t *testing.T) {
 	f := Open(t.TempDir(), "n1", 7)
 	if err := f.Write("record", content{"name", 0.25}); err != nil {
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestFailingDisk has writes, syncs and renames fail, partially or completely. A reader finds the old content or, if a
-// rename is reported as failed after its effect, the new one. Nothing else is left in the folder.
+// TestFailingDisk makes writes, syncs and renames fail, partially or completely. A reader must find the old content or,
+// if a rename is reported as failed after it took effect, the new one. No other file may be left in the folder.
 func TestFailingDisk(t *testing.T) {
 	for _, op := range []vfs.Op{vfs.Write, vfs.Sync, vfs.Rename} {
 		for _, torn := range []bool{false, true} {
--- a/internal/standalone/state/golden_test.go
+++ b/internal/standalone/state/golden_test.go
@@ -15,7 +15,7 @@
 	"mulleinrouter/internal/standalone/state"
 )
 
-// goldenKnowledge is what an exiting process hands over, with a distinct value in each field.
+// goldenKnowledge is the knowledge that a process hands over, with a distinct value in each field.
 func goldenKnowledge() decision.Knowledge {
 	var k decision.Knowledge
 	var next int64
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestGoldenFiles reads the files of an earlier version and writes the same bytes.
+// TestGoldenFiles checks that the files of an earlier version can be read, and that the same bytes are written.
 func TestGoldenFiles(t *testing.T) {
 	running, leaving := goldenRecords()
 	for _, tc := range []struct {
