--- a/internal/standalone/faultinjection/faultinjection.go
+++ b/internal/standalone/faultinjection/faultinjection.go
@@ -12,23 +12,23 @@
 	"mulleinrouter/internal/standalone/vfs"
 )
 
-// pollInterval is how often the file is read.
+// pollInterval is the time between two readings of the file.
 const pollInterval = 50 * time.Millisecond
 
 // Plan is the content of the file.
 type Plan struct {
-	ClockRate float64              `json:"clock"` // seconds of the process's clock in a second, read at its start; 0: 1
-	Faults    map[vfs.Op]vfs.Fault `json:"fail"`  // of file operations, from now on
+	ClockRate float64              `json:"clock"` // clock seconds per second, read at the process's start; 0 means 1
+	Faults    map[vfs.Op]vfs.Fault `json:"fail"`  // faults of file operations, from now on
 }
 
-// Faults are those of this process. Nil injects none. They are safe for concurrent use.
+// Faults are the faults that are injected into this process. Nil injects none. They are safe for concurrent use.
 type Faults struct {
 	clockRate float64
 	fs        *vfs.Faulty
 }
 
-// Follow reads a file, and reads it again every pollInterval until the process ends. A file that can't be
-// read later on, as it is being written, changes nothing.
+// Follow reads a file, and reads it again every pollInterval until the process ends. A later reading that fails,
+// because the file is being written, changes nothing.
 func Follow(path string) (*Faults, error) {
 	plan, err := readPlan(path)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return plan, nil
 }
 
-// ClockRate returns how many seconds this process's clock advances in a second.
+// ClockRate returns how many seconds this process's clock advances per second.
 func (f *Faults) ClockRate() float64 {
 	if f == nil || f.clockRate == 0 {
 		return 1
@@ -73,9 +73,9 @@
 	return f.fs
 }
 
-// VoteStore wraps a voter's store, which has a file of its own, so that it fails as the file system does: with a failed
-// write nothing is stored, with a failed sync it is not known what is.
-func (f *Faults) VoteStore(s quorum.Store) quorum.Store {
+// WrapVoteStore wraps a voter's store so that it fails with the faults of the file system, which it does not use. After
+// a failed write nothing is stored. After a failed sync it is unknown what is stored.
+func (f *Faults) WrapVoteStore(s quorum.Store) quorum.Store {
 	if f == nil {
 		return s
 	}
@@ -104,7 +104,7 @@
 	return f.fs.Check(vfs.Sync)
 }
 
-// asStoreError returns an error of the file system as a store reports it.
+// asStoreError converts an error of the file system to the error that a store returns for it.
 func asStoreError(err error) error {
 	if errors.Is(err, syscall.ENOSPC) {
 		return fmt.Errorf("%w: %w", quorum.ErrNoSpace, err)
--- a/internal/standalone/goldentest/bolt.go
+++ b/internal/standalone/goldentest/bolt.go
@@ -7,8 +7,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// BoltContent returns all values of a bbolt file, by bucket and key (in hexadecimal) with a slash between them. The
-// file must not be open.
+// BoltContent returns all values of a bbolt file. The keys of the map are the bucket's name, a slash, and the key in
+// hexadecimal. The file must not be open.
 func BoltContent(t *testing.T, path string) map[string]string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
--- a/internal/standalone/goldentest/encoding.go
+++ b/internal/standalone/goldentest/encoding.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// CheckEncoding compares a value with a file of the calling package's testdata folder: encoding the value must give
+// CheckEncoding compares a value with a file in the calling package's testdata folder. Encoding the value must give
 // the file's bytes, and decoding these must give the value.
 func CheckEncoding(
 	t *testing.T,
--- a/internal/standalone/goldentest/goldentest.go
+++ b/internal/standalone/goldentest/goldentest.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// Read returns a file of the calling package's testdata folder; one whose name ends in .gz is decompressed.
+// Read returns the content of a file in the calling package's testdata folder. A file whose name ends in .gz is
+// decompressed.
 func Read(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", name))
@@ -33,9 +34,9 @@
 }
 
 // Fill sets each field of the struct that v points to, in the order of declaration, to a value that no other
-// field has. next numbers the values and goes on over several calls. The golden files hold values that were
-// set this way, so that a test doesn't depend on the names of fields and notices if two of them change places
-// in the encoding.
+// field has, except that each bool is set to true. next numbers the values and is continued by later calls.
+// The golden files hold values that were set this way, so that a test doesn't depend on the names of fields
+// and fails if two of them are swapped in the encoding.
 func Fill(v any, next *int64) { fill(reflect.ValueOf(v).Elem(), next) }
 
 func fill(v reflect.Value, next *int64) {
--- a/internal/standalone/node/fleet.go
+++ b/internal/standalone/node/fleet.go
@@ -108,7 +108,7 @@
 		Dir:         c.State,
 		Log:         n.log,
 		ClockRate:   c.FaultInjection.ClockRate(),
-		WrapStore:   c.FaultInjection.VoteStore,
+		WrapStore:   c.FaultInjection.WrapVoteStore,
 		StoreRecord: func(r leaseservice.Record) error { return folder.Write(leaseRecord, r) },
 	})
 	n.closers = append(n.closers, func() { folder.Remove(leaseRecord, folder.Process()) })
--- a/internal/standalone/vfs/doc.go
+++ b/internal/standalone/vfs/doc.go
@@ -1,7 +1,7 @@
-// Package vfs is the interface between stores that replace complete files and the file system: a few operations, the
-// machine's implementation (OS), and one that fails on demand (Faulty), with which tests have any write, sync or rename
-// fail, partially or completely.
+// Package vfs is the interface between the file system and stores that replace complete files. It has two
+// implementations: OS is the machine's file system, and Faulty fails on demand, so that tests can make any write, sync
+// or rename fail, partially or completely.
 //
-// It imports the standard library alone and holds no state but Faulty's. Its tests are those of package state
-// and of the fault tests, which use Faulty.
+// It imports only the standard library and holds no state except Faulty's. Package state and the fault tests test
+// it; they use Faulty.
 package vfs
--- a/internal/standalone/vfs/faulty.go
+++ b/internal/standalone/vfs/faulty.go
@@ -6,7 +6,7 @@
 	"syscall"
 )
 
-// Op is an operation that can be made to fail. Its values stand in the files of fault tests.
+// Op is an operation that can be made to fail. Its values are part of the format of the fault tests' files.
 type Op string
 
 // The operations.
@@ -20,21 +20,21 @@
 type Faulty struct {
 	FS
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	faults map[Op]pendingFault
-	counts map[Op]int // of operations so far
+	counts map[Op]int // number of operations so far
 }
 
-// pendingFault is how operations of a kind fail.
+// pendingFault describes how operations of one kind fail.
 type pendingFault struct {
 	from int // the first operation that fails, counted from 1
 	err  error
-	torn bool // half of a write takes effect; a rename takes effect and is reported as failed
+	torn bool // half of a write takes effect, or a rename takes effect but is reported as failed
 }
 
-// FailFrom has operations of a kind fail with an error from the n-th on, counted from the first one of the
-// file system. If torn, half of a write takes effect, and a rename takes effect completely. Without an error
-// none fails any more.
+// FailFrom makes operations of one kind fail with an error from the n-th on, counted since the file system was
+// created. If torn is set, half of a write takes effect, and a rename takes effect completely. A nil error ends
+// the fault.
 func (f *Faulty) FailFrom(op Op, n int, err error, torn bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -44,13 +44,13 @@
 	f.faults[op] = pendingFault{from: n, err: err, torn: torn}
 }
 
-// Fault is how operations of a kind fail, as the files of fault tests say it.
+// Fault describes how operations of one kind fail, in the format of the fault tests' files.
 type Fault struct {
 	Err  string `json:"err"`  // ENOSPC or EIO
 	Torn bool   `json:"torn"` // see FailFrom
 }
 
-// SetFaults replaces all faults, from the next operation on.
+// SetFaults replaces all faults. The new ones apply from the next operation on.
 func (f *Faulty) SetFaults(all map[Op]Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -64,8 +64,8 @@
 	}
 }
 
-// Check counts an operation of a kind that is done elsewhere, and returns the error with which it is to fail;
-// nil: none.
+// Check counts an operation that is done outside this file system, and returns the error with which it must
+// fail, or nil.
 func (f *Faulty) Check(op Op) error {
 	if fault, fails := f.nextFault(op); fails {
 		return fault.err
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// Count returns how many operations of a kind there were.
+// Count returns the number of operations of one kind so far.
 func (f *Faulty) Count(op Op) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -101,7 +101,7 @@
 	return &faultyFile{File: file, faulty: f}, nil
 }
 
-// Rename implements FS. It may fail before or after its effect.
+// Rename implements FS. It may fail without effect, or take effect and be reported as failed.
 func (f *Faulty) Rename(from, to string) error {
 	fault, fails := f.nextFault(Rename)
 	if fails && !fault.torn {
--- a/internal/standalone/vfs/vfs.go
+++ b/internal/standalone/vfs/vfs.go
@@ -16,9 +16,9 @@
 	Close() error
 }
 
-// FS is what stores need of a file system.
+// FS has the operations of a file system that stores need.
 type FS interface {
-	// Create creates a file in a folder with a name that is not in use, as os.CreateTemp does, and with permissions.
+	// Create creates a file with an unused name, as os.CreateTemp does, and with the given permissions.
 	Create(dir, pattern string, perm fs.FileMode) (File, error)
 	Rename(from, to string) error
 	Remove(path string) error
@@ -45,9 +45,9 @@
 // Remove implements FS.
 func (OS) Remove(path string) error { return os.Remove(path) }
 
-// Replace replaces a file atomically: a reader sees the old content or the new one. If it returns nil the new
-// content is on disk. After an error the old content stands, unless the rename itself failed after its
-// effect.
+// Replace replaces a file atomically, so that a reader sees either the old content or the new one. If it returns
+// nil, the new content is on disk. After an error the file has its old content, unless the rename took effect
+// and was reported as failed.
 func Replace(fsys FS, path string, data []byte, perm fs.FileMode) (err error) {
 	f, err := fsys.Create(filepath.Dir(path), "."+filepath.Base(path)+"-*", perm)
 	if err != nil {
