--- a/internal/standalone/usageexport/batch.go
+++ b/internal/standalone/usageexport/batch.go
@@ -11,11 +11,11 @@
 	"mulleinrouter/internal/standalone/usagesegment"
 )
 
-// maxBatchRows bounds a batch: no further segment is added to one with so many rows.
+// maxBatchRows is the number of rows from which on no further segment is added to a batch. It bounds the batch's size.
 const maxBatchRows = 20_000
 
-// pendingBody returns the body of the batch to send: the stored one, or else the next one, which it stores first. Nil:
-// there is none.
+// pendingBody returns the body of the batch to send, which is the stored one if there is one. Otherwise it makes the
+// next batch and stores it first. It returns nil if there is nothing to send.
 func (e *Exporter) pendingBody() (body []byte, err error) {
 	body, c, err := e.loadState()
 	if err != nil || body != nil {
@@ -34,7 +34,8 @@
 	return body, nil
 }
 
-// makeBatch makes a batch of the closed segments after the cursor, and returns the cursor after it. Nil: there is none.
+// makeBatch makes a batch of the closed segments after the cursor, and returns it with the cursor after it. The batch
+// is nil if there is no such segment.
 func (e *Exporter) makeBatch(c cursor) (*usage.Batch, cursor, error) {
 	segments, err := usagesegment.List(e.Dir)
 	if err != nil {
--- a/internal/standalone/usageexport/exporter.go
+++ b/internal/standalone/usageexport/exporter.go
@@ -16,21 +16,21 @@
 	"mulleinrouter/internal/standalone/usagesegment"
 )
 
-// pollInterval is how often Run looks for closed segments.
+// pollInterval is the time between two checks of Run for closed segments.
 const pollInterval = 2 * time.Second
 
 // Exporter sends the usage of one folder. Set the fields before Open.
 type Exporter struct {
 	Dir       string
-	Endpoint  string        // URL
-	Retention time.Duration // for which segments are kept after their last write, once they are acknowledged
-	Client    *http.Client  // nil: one with a time-out
+	Endpoint  string        // URL of the billing endpoint
+	Retention time.Duration // how long acknowledged segments are kept after their last write
+	Client    *http.Client  // nil: Open sets a client with the timeout answerTimeout
 	Log       log.Logger
 
 	db       *bbolt.DB
 	source   string
 	rng      *rand.Rand
-	testHook func(p hookPoint) error // may have the exporter fail as if killed; nil: none
+	testHook func(p hookPoint) error // a test's hook; its error makes the exporter fail as if killed; nil: none
 }
 
 // hookPoint is a point of the export at which a test may kill the exporter.
@@ -51,7 +51,7 @@
 	return e.testHook(p)
 }
 
-// Open opens and locks the store. Errors are ErrLocked, ErrOtherSource, or those of the file system.
+// Open opens and locks the store. The error is ErrLocked, ErrOtherSource or one of the file system.
 func (e *Exporter) Open() error {
 	if _, err := os.Stat(e.Dir); err != nil {
 		return fmt.Errorf("usage: %w", err)
@@ -75,7 +75,7 @@
 
 // Run exports until the context ends.
 func (e *Exporter) Run(ctx context.Context) {
-	failures, code := 0, "" // in a row, and the code that was logged last
+	failures, code := 0, "" // consecutive failures, and the log code of the last one that was logged
 	for ctx.Err() == nil {
 		wait := pollInterval
 		result, err := e.Step(ctx)
@@ -109,7 +109,7 @@
 	}
 }
 
-// failureCode is the log code of a batch that was not acknowledged.
+// failureCode returns the log code for a batch that was not acknowledged.
 func failureCode(a usage.Reply) string {
 	switch a {
 	case usage.Conflict:
@@ -123,13 +123,13 @@
 
 // Result is the outcome of a step.
 type Result struct {
-	Sent       bool // a batch was sent and acknowledged; false without an error: there is nothing to send
+	Sent       bool // a batch was sent and acknowledged; false without an error means that there is nothing to send
 	Answer     usage.Reply
-	RetryAfter float64 // s, as the endpoint asked; 0: it didn't
+	RetryAfter float64 // delay that the endpoint asked for, in seconds; 0: none
 }
 
-// Step sends the stored batch, or makes the next one and sends it. A batch that was not acknowledged is
-// ErrNotAcknowledged; other errors are those of the store and the segments.
+// Step sends the stored batch, or makes the next one and sends it. The error is ErrNotAcknowledged for a batch that
+// was not acknowledged, or one of the store or the segments.
 func (e *Exporter) Step(ctx context.Context) (Result, error) {
 	failed := Result{Answer: usage.Retry}
 	body, err := e.pendingBody()
@@ -152,8 +152,8 @@
 	return Result{Sent: true, Answer: usage.Acknowledged}, nil
 }
 
-// removeExported removes segments that were acknowledged, once Retention has passed. What can't be removed is retried
-// after the next batch.
+// removeExported removes the acknowledged segments whose Retention has passed. Segments that can't be removed are
+// retried after the next batch.
 func (e *Exporter) removeExported() {
 	body, c, err := e.loadState()
 	if err != nil || body != nil {
--- a/internal/standalone/usageexport/exporter_test.go
+++ b/internal/standalone/usageexport/exporter_test.go
@@ -27,16 +27,16 @@
 	return b
 }
 
-// recordUsage writes a run of an ingress with some requests that arrived, and one in flight at its end, as
-// after a kill.
-func recordUsage(t *testing.T, dir string, tries int) {
+// recordUsage writes the records of one run of an ingress: some requests that arrived, and one that is in flight at
+// the end of the run, as after a kill.
+func recordUsage(t *testing.T, dir string, requests int) {
 	t.Helper()
 	logger := logtest.Discard()
 	w, err := usagesegment.Open(dir, time.Minute, logger)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range tries {
+	for i := range requests {
 		request := usage.Request{
 			Member:    fmt.Sprintf("%016x", i%7),
 			Plan:      "plus",
@@ -64,7 +64,7 @@
 	return e
 }
 
-// exportAll exports until nothing is left, whatever the endpoint answers meanwhile.
+// exportAll exports until nothing is left, and ignores failures meanwhile.
 func exportAll(t *testing.T, e *usageexport.Exporter) {
 	t.Helper()
 	for range 100 {
@@ -78,7 +78,8 @@
 
 var errKilled = errors.New("killed")
 
-// TestKilledExporterBillsOnce kills the exporter at each point, with each answer of the endpoint: the bill is the same.
+// TestKilledExporterBillsOnce kills the exporter at each point, for each fault of the endpoint. Each request must still
+// be billed exactly once.
 func TestKilledExporterBillsOnce(t *testing.T) {
 	faults := map[string]fakes.BillingFault{
 		"fine":   fakes.NoFault,
@@ -138,7 +139,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	e.SetTestHook(func(at usageexport.HookPoint) error {
 		if at == usageexport.BeforeSending {
-			time.AfterFunc(20*time.Millisecond, cancel) // as if the client's time-out passed
+			time.AfterFunc(20*time.Millisecond, cancel) // as if the client timed out
 		}
 		return nil
 	})
@@ -165,16 +166,17 @@
 	defer e.Close()
 	b.InjectFaults(fakes.LoseReply)
 	e.Step(context.Background())
-	// The endpoint has the batch. It changes here, as if the disk lost a sync.
-	other := openTwin(t, b, dir)
+	// The endpoint already has batch 1. Another exporter with the same source sends a different batch 1, as if the disk
+	// had lost a synced write.
+	other := openWithSameSource(t, b, dir)
 	want := usageexport.Result{Answer: usage.Conflict}
 	if got, err := other.Step(context.Background()); got != want || err == nil {
 		t.Errorf("got %+v, %v; want %+v and an error", got, err, want)
 	}
 }
 
-// openTwin opens a folder with the same source and other records.
-func openTwin(t *testing.T, b *fakes.Billing, dir string) *usageexport.Exporter {
+// openWithSameSource opens a new folder with the source of dir, but other records.
+func openWithSameSource(t *testing.T, b *fakes.Billing, dir string) *usageexport.Exporter {
 	t.Helper()
 	source, err := usagesegment.Source(dir)
 	if err != nil {
@@ -195,8 +197,8 @@
 		damage func(list []usagesegment.Info)
 		want   string
 	}{
-		"nothing":           {func([]usagesegment.Info) {}, ""},
-		"a segment is gone": {func(l []usagesegment.Info) { os.Remove(l[1].Path) }, "segments 2 to 2 are missing"},
+		"nothing":              {func([]usagesegment.Info) {}, ""},
+		"a segment is missing": {func(l []usagesegment.Info) { os.Remove(l[1].Path) }, "segments 2 to 2 are missing"},
 		"a bit is flipped": {func(l []usagesegment.Info) {
 			data, _ := os.ReadFile(l[1].Path)
 			data[usage.HeaderSize+20] ^= 1
@@ -268,7 +270,7 @@
 	}
 }
 
-// TestRunRetries: a failure is logged once however often it repeats, and once when it has ended.
+// TestRunRetries checks that Run logs a repeated failure only once, and once more when the export works again.
 func TestRunRetries(t *testing.T) {
 	dir, b := t.TempDir(), startBilling(t)
 	recordUsage(t, dir, 10)
@@ -277,7 +279,7 @@
 	e := &usageexport.Exporter{Dir: dir, Endpoint: b.URL(), Retention: time.Hour, Log: logger}
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	// Run goes on for a moment after the endpoint has all batches: it must log nothing more.
+	// Run continues for a moment after the endpoint has all batches, to check that it logs nothing more.
 	go func() {
 		lines.Await("usage-export-resumed")
 		time.AfterFunc(50*time.Millisecond, cancel)
--- a/internal/standalone/usageexport/golden_test.go
+++ b/internal/standalone/usageexport/golden_test.go
@@ -23,8 +23,8 @@
 
 var goldenSegments = []string{"usage-0000000000000001.seg", "usage-0000000000000002.seg"}
 
-// goldenDir lays out a folder as an earlier version left it: two segments, and the store if it is wanted.
-// There, batch 1 is acknowledged and batch 2 waits.
+// goldenDir creates a folder as an earlier version left it, with two segments and, if wanted, the store. In the store,
+// batch 1 is acknowledged and batch 2 is not.
 func goldenDir(t *testing.T, withStore bool) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -43,7 +43,8 @@
 	return dir
 }
 
-// goldenExporter opens a folder. Its endpoint keeps the bodies and acknowledges the first accept of them.
+// goldenExporter opens an exporter of a folder. Its endpoint stores the bodies that it gets, acknowledges the first
+// accept of them, and answers the others with status 500.
 func goldenExporter(t *testing.T, dir string, accept int) (e *usageexport.Exporter, bodies *[]string) {
 	t.Helper()
 	bodies = &[]string{}
@@ -76,7 +77,8 @@
 	return e, bodies
 }
 
-// TestGoldenStoreRead goes on from the store of an earlier version: the batch that waits is sent with the same bytes.
+// TestGoldenStoreRead continues from the store of an earlier version. The batch that is not acknowledged must be sent
+// with the same bytes.
 func TestGoldenStoreRead(t *testing.T) {
 	e, bodies := goldenExporter(t, goldenDir(t, true), 1)
 	defer e.Close()
@@ -108,7 +110,8 @@
 	}
 }
 
-// TestGoldenStoreWritten writes the same batches and the same store as an earlier version, key by key.
+// TestGoldenStoreWritten checks that the batches are the same as those of an earlier version, and that the store is the
+// same key by key.
 func TestGoldenStoreWritten(t *testing.T) {
 	dir := goldenDir(t, false)
 	second := filepath.Join(dir, goldenSegments[1])
--- a/internal/standalone/usageexport/send.go
+++ b/internal/standalone/usageexport/send.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	answerTimeout  = 30 * time.Second
-	maxAnswerBytes = 64 << 10
+	answerTimeout  = 30 * time.Second // for a batch to be sent and answered
+	maxAnswerBytes = 64 << 10         // bytes read of an answer; bounds the memory that the endpoint can make it use
 )
 
-// send posts a batch. Its number and digest are in headers, too: the Idempotency-Key identifies the batch
-// wherever it goes. The result is that of Step without Sent.
+// send posts a batch. Headers repeat its number and digest, so that its Idempotency-Key identifies the batch without
+// its body. The result is that of Step, except that Sent is not set.
 func (e *Exporter) send(ctx context.Context, body []byte) (Result, error) {
 	var b usage.Batch
 	if err := json.Unmarshal(body, &b); err != nil {
--- a/internal/standalone/usageexport/store.go
+++ b/internal/standalone/usageexport/store.go
@@ -18,9 +18,9 @@
 const (
 	storeFile   = "export.db"
 	storePerm   = 0o644
-	lockTimeout = time.Second // for another exporter to end
+	lockTimeout = time.Second // for another exporter that is ending to release the lock
 
-	maxSentBatches = 10_000 // acknowledged batches that are kept, for verification and operators
+	maxSentBatches = 10_000 // acknowledged batches that are kept for verification and for operators
 	pruneInterval  = 256    // batches between two removals of older ones
 )
 
@@ -28,23 +28,23 @@
 
 // Buckets and keys of the store.
 var (
-	bucketState = []byte("state")  // has the keys below
+	bucketState = []byte("state")  // contains the three keys below
 	keySource   = []byte("source") // name of the folder's records
-	keyOutbox   = []byte("outbox") // body of the batch that is not acknowledged
-	keyCursor   = []byte("cursor") // JSON of cursor
+	keyOutbox   = []byte("outbox") // body of the batch that is not yet acknowledged
+	keyCursor   = []byte("cursor") // type cursor in JSON
 
 	bucketSent = []byte("sent") // bodies of acknowledged batches by number
 )
 
-// cursor is the position up to which records are in batches.
+// cursor is the position in the segments up to which records are in batches.
 type cursor struct {
 	Batch   uint64                   `json:"batch"`   // number of the last batch
-	Segment uint64                   `json:"segment"` // number of the last segment in it
-	Writer  uint64                   `json:"writer"`  // run that wrote the segment
-	Pending map[uint64]usage.Request `json:"pending"` // requests in flight at its end
+	Segment uint64                   `json:"segment"` // number of the last segment in the batch
+	Writer  uint64                   `json:"writer"`  // number of the run that wrote the segment
+	Pending map[uint64]usage.Request `json:"pending"` // requests in flight at the segment's end
 }
 
-// openStore opens the store of a folder, which belongs to a source.
+// openStore opens and locks the store of a folder. The store must belong to the source of the folder's records.
 func openStore(dir, source string) (*bbolt.DB, error) {
 	db, err := bbolt.Open(filepath.Join(dir, storeFile), storePerm, &bbolt.Options{Timeout: lockTimeout})
 	if errors.Is(err, bolterrors.ErrTimeout) {
@@ -73,7 +73,7 @@
 	return db, nil
 }
 
-// loadState returns the body of the batch that is not acknowledged, nil if there is none, and the cursor.
+// loadState returns the cursor and the body of the batch that is not yet acknowledged, or nil if there is none.
 func (e *Exporter) loadState() (body []byte, c cursor, err error) {
 	err = e.db.View(func(tx *bbolt.Tx) error {
 		state := tx.Bucket(bucketState)
@@ -91,7 +91,7 @@
 	return body, c, nil
 }
 
-// storeBatch stores a batch that is to be sent, with the cursor after it.
+// storeBatch stores a batch before it is sent, together with the cursor after it.
 func (e *Exporter) storeBatch(body []byte, c cursor) error {
 	err := e.db.Update(func(tx *bbolt.Tx) error {
 		state := tx.Bucket(bucketState)
@@ -110,7 +110,8 @@
 	return nil
 }
 
-// storeAcknowledgement moves the batch from the outbox to the acknowledged ones, of which the oldest are removed.
+// storeAcknowledgement moves the batch from the outbox to the acknowledged ones. Every pruneInterval batches it removes
+// the oldest of those.
 func (e *Exporter) storeAcknowledgement(body []byte) error {
 	var b usage.Batch
 	if err := json.Unmarshal(body, &b); err != nil {
@@ -151,8 +152,8 @@
 
 func batchKey(number uint64) []byte { return binary.BigEndian.AppendUint64(nil, number) }
 
-// EachBatch calls a function with the kept batches that were acknowledged, in the order of their numbers, and
-// with the one that isn't yet. The digest is that of the body.
+// EachBatch calls each for the acknowledged batches that are kept, in the order of their numbers, and then for the
+// batch that is not yet acknowledged. The digest is that of the batch's body.
 func (e *Exporter) EachBatch(each func(b usage.Batch, digest string, acknowledged bool) error) error {
 	return e.db.View(func(tx *bbolt.Tx) error {
 		call := func(body []byte, acknowledged bool) error {
--- a/internal/standalone/usageexport/verify.go
+++ b/internal/standalone/usageexport/verify.go
@@ -7,33 +7,33 @@
 	"mulleinrouter/internal/standalone/usagesegment"
 )
 
-// maxRequestSegments is how many segments before its end a request may have begun: a request takes ten
-// minutes at most, and segments are closed about once a minute.
+// maxRequestSegments is the greatest number of segments between the start of a request and its end. A request takes
+// ten minutes at most, and segments are closed about once a minute.
 const maxRequestSegments = 12
 
 // Verification is the outcome of Verify.
 type Verification struct {
 	Segments    int
 	Records     int
-	Batches     uint64    // number of the last one
-	Known       usage.Sum // of all batches
-	Unknown     usage.Sum // of all batches: requests of which it is not known whether they arrived
-	Unmetered   usage.Sum // of all batches
-	NotExported usage.Sum // recorded, and in no batch yet
-	InFlight    int       // requests without an end, or with one in a segment that is open
-	Problems    []string  // empty: none
+	Batches     uint64    // number of the last batch
+	Known       usage.Sum // sum over all batches of the requests that arrived
+	Unknown     usage.Sum // sum over all batches of the requests whose arrival is unknown
+	Unmetered   usage.Sum // sum over all batches of the requests that were not recorded
+	NotExported usage.Sum // sum of the records that are in no batch yet
+	InFlight    int       // requests without an end, or whose end is in a segment that is still open
+	Problems    []string  // empty if none were found
 }
 
 // verifier compares the segments and batches of a folder.
 type verifier struct {
 	Verification
 	source      string
-	rows        map[uint64]usage.Tally // by segment
-	lastSegment uint64                 // in a batch
+	rows        map[uint64]usage.Tally // by segment number
+	lastSegment uint64                 // number of the last segment in a batch
 }
 
-// Verify reads all segments that are there and all batches that are kept, and compares them: the numbers have
-// no gaps, and each batch whose segments are all there has what they have.
+// Verify reads all segments and batches that are kept, and compares them. It checks that their numbers have no gaps,
+// and that each batch whose segments are all kept has the same rows as those segments.
 func (e *Exporter) Verify() (*Verification, error) {
 	v := &verifier{source: e.source, rows: map[uint64]usage.Tally{}}
 	segments, err := usagesegment.List(e.Dir)
@@ -119,8 +119,8 @@
 	v.Unmetered = v.Unmetered.Add(b.Unmetered)
 }
 
-// recorded returns what the segments of a batch have. It is complete if they are all there, and so are the
-// segments before them in which its requests may have begun.
+// recorded returns the tally of a batch's segments. It is complete if all of these are kept, and also the earlier
+// segments in which the batch's requests may have begun.
 func (v *verifier) recorded(b usage.Batch) (tally usage.Tally, complete bool) {
 	tally = usage.Tally{}
 	complete = true
--- a/internal/standalone/usagesegment/bench_test.go
+++ b/internal/standalone/usagesegment/bench_test.go
@@ -14,7 +14,7 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// BenchmarkSent measures the records of one request, Sent and Ended, by this package and by two alternatives.
+// BenchmarkSent measures the time to record one request (Sent and Ended) with this package and with two alternatives.
 func BenchmarkSent(b *testing.B) {
 	logger := logtest.Discard()
 	parallel := func(b *testing.B, f func()) {
@@ -36,7 +36,7 @@
 		var running sync.WaitGroup
 		defer running.Wait()
 		defer close(stop)
-		running.Go(func() { // as Run does, without its ticks
+		running.Go(func() { // does the work of Run without its ticker
 			for {
 				select {
 				case <-stop:
@@ -46,10 +46,10 @@
 				}
 			}
 		})
-		t := newTry(1)
+		t := newRequest(1)
 		parallel(b, func() { w.Ended(w.Sent(t), usage.Arrived) })
 	})
-	b.Run("write", func(b *testing.B) { // an append-only file, a system call a record
+	b.Run("write", func(b *testing.B) { // an append-only file with one system call per record
 		f, err := os.Create(filepath.Join(b.TempDir(), "log"))
 		if err != nil {
 			b.Fatal(err)
@@ -57,7 +57,7 @@
 		defer f.Close()
 		var mu sync.Mutex
 		var buf []byte
-		t := newTry(1)
+		t := newRequest(1)
 		parallel(b, func() {
 			mu.Lock()
 			defer mu.Unlock()
@@ -70,14 +70,14 @@
 			}
 		})
 	})
-	b.Run("bbolt", func(b *testing.B) { // batched transactions without a sync: what survives a kill
+	b.Run("bbolt", func(b *testing.B) { // batched transactions without a sync, which survive a kill of the process
 		db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o644, &bbolt.Options{NoSync: true})
 		if err != nil {
 			b.Fatal(err)
 		}
 		defer db.Close()
 		db.Update(func(tx *bbolt.Tx) error { _, err := tx.CreateBucket([]byte("u")); return err })
-		t := newTry(1)
+		t := newRequest(1)
 		put := func(r *usage.Record) {
 			db.Batch(func(tx *bbolt.Tx) error {
 				u := tx.Bucket([]byte("u"))
--- a/internal/standalone/usagesegment/errors.go
+++ b/internal/standalone/usagesegment/errors.go
@@ -2,5 +2,5 @@
 
 import "errors"
 
-// ErrLocked is the error of a folder that another process writes to.
-var ErrLocked = errors.New("another process writes usage there")
+// ErrLocked is returned for a folder that another process writes to.
+var ErrLocked = errors.New("another process writes usage records to this folder")
--- a/internal/standalone/usagesegment/folder.go
+++ b/internal/standalone/usagesegment/folder.go
@@ -20,26 +20,26 @@
 	lockFile     = "lock"
 	sourceFile   = "source"
 	namePrefix   = "usage-"
-	openSuffix   = ".open"  // of a segment that is written, or was left open
-	sealedSuffix = ".seg"   // of a complete one
-	spareSuffix  = ".spare" // of a preallocated one
+	openSuffix   = ".open"  // suffix of a segment that is being written, or was left open
+	sealedSuffix = ".seg"   // suffix of a closed segment
+	spareSuffix  = ".spare" // suffix of a preallocated segment
 )
 
 const (
 	folderPerm = 0o755
 	filePerm   = 0o644
 
-	sourceBytes = 8 // of the source's name, which is in hexadecimal
+	sourceBytes = 8 // random bytes in the source's name, which has them in hexadecimal
 )
 
 // Info describes a segment of a folder.
 type Info struct {
 	Number uint64
 	Path   string
-	Open   bool // it is being written, or was left open
+	Open   bool // the segment is being written, or was left open
 }
 
-// List returns the segments of a folder by number.
+// List returns the segments of a folder in the order of their numbers.
 func List(dir string) ([]Info, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return fmt.Sprintf("%s%016d%s", namePrefix, number, suffix)
 }
 
-// Read reads a complete segment. The header's errors are those of usage.ParseHeader.
+// Read reads a segment completely. Errors about its header are those of usage.ParseHeader.
 func Read(path string) (usage.Header, []byte, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return header, data, nil
 }
 
-// Source returns the name of a folder's records. It is drawn at random for a new folder, and never changes.
+// Source returns the name of a folder's records. For a new folder it chooses a random name, which never changes.
 func Source(dir string) (string, error) {
 	path := filepath.Join(dir, sourceFile)
 	text, err := os.ReadFile(path)
--- a/internal/standalone/usagesegment/golden_test.go
+++ b/internal/standalone/usagesegment/golden_test.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	goldenBegun  = 1_740_000_000_123 // Unix ms, when the first segment began
-	goldenSealed = 1_740_000_200_500 // Unix ms, of the last write to the open segments
-	goldenRun    = 0x1122334455667788
+	goldenStartedAt   = 1_740_000_000_123 // Unix ms, when the first segment began
+	goldenLastWriteAt = 1_740_000_200_500 // Unix ms, time of the last write to the open segments
+	goldenRun         = 0x1122334455667788
 )
 
-// writeGolden writes what the golden files hold: a sealed segment with four requests, one of them without an
-// end, and an open one with three.
+// writeGolden writes the content of the golden files: a sealed segment with four requests, one of them without an
+// end, and an open segment with three.
 func writeGolden(t *testing.T, dir string) (sealedData, openData []byte) {
 	t.Helper()
-	c := &fakeClock{at: time.UnixMilli(goldenBegun)}
+	c := &fakeClock{at: time.UnixMilli(goldenStartedAt)}
 	logger := logtest.Discard()
 	if err := os.WriteFile(filepath.Join(dir, "source"), []byte("0123456789abcdef\n"), 0o644); err != nil {
 		t.Fatal(err)
@@ -34,8 +34,8 @@
 		t.Fatal(err)
 	}
 	defer w.Close()
-	w.run = goldenRun // drawn at random by open: the golden files have this one
-	copy(w.current.data, usage.AppendHeader(nil, usage.Header{Number: 1, Writer: w.run, StartedAt: goldenBegun}))
+	w.run = goldenRun // open chooses a random number; the golden files have this one
+	copy(w.current.data, usage.AppendHeader(nil, usage.Header{Number: 1, Writer: w.run, StartedAt: goldenStartedAt}))
 	var next int64
 	for i := range 4 {
 		var x usage.Request
@@ -60,7 +60,7 @@
 	return sealedData, openData
 }
 
-// TestGoldenSegmentsWritten writes the same bytes as an earlier version.
+// TestGoldenSegmentsWritten checks that the same bytes are written as by an earlier version.
 func TestGoldenSegmentsWritten(t *testing.T) {
 	sealed, open := writeGolden(t, t.TempDir())
 	if want := goldentest.Read(t, "sealed.seg.gz"); !bytes.Equal(sealed, want) {
@@ -71,10 +71,10 @@
 	}
 }
 
-// TestGoldenSegmentsRead reads the segments of an earlier version.
+// TestGoldenSegmentsRead checks that the segments of an earlier version can be read.
 func TestGoldenSegmentsRead(t *testing.T) {
-	const secondBegun = goldenBegun + 120_000 // Unix ms
-	sealed := usage.Header{Number: 1, Writer: goldenRun, StartedAt: goldenBegun, SealedAt: secondBegun}
+	const secondBegun = goldenStartedAt + 120_000 // Unix ms
+	sealed := usage.Header{Number: 1, Writer: goldenRun, StartedAt: goldenStartedAt, SealedAt: secondBegun}
 	open := usage.Header{Number: 2, Writer: goldenRun, StartedAt: secondBegun}
 	for _, tc := range []struct {
 		file    string
@@ -108,7 +108,8 @@
 	}
 }
 
-// TestGoldenSegmentsReclosed closes the open segments of an earlier version as that version did.
+// TestGoldenSegmentsReclosed checks that closing the open segments of an earlier version gives the same bytes as that
+// version gave.
 func TestGoldenSegmentsReclosed(t *testing.T) {
 	for _, tc := range []struct{ open, closed string }{
 		{"open.open.gz", "open-closed.seg.gz"},
@@ -120,7 +121,7 @@
 			if err := os.WriteFile(path, goldentest.Read(t, tc.open), 0o644); err != nil {
 				t.Fatal(err)
 			}
-			modified := time.UnixMilli(goldenSealed)
+			modified := time.UnixMilli(goldenLastWriteAt)
 			if err := os.Chtimes(path, modified, modified); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/standalone/usagesegment/run.go
+++ b/internal/standalone/usagesegment/run.go
@@ -12,11 +12,12 @@
 )
 
 const (
-	syncInterval  = 500 * time.Millisecond // what a power loss may cost
-	retryInterval = 5 * time.Second        // between attempts to go on after a full disk
+	syncInterval  = 500 * time.Millisecond // between syncs; a power loss may cost the records of this time
+	retryInterval = 5 * time.Second        // between attempts to begin a segment on a full disk
 )
 
-// Run syncs, closes segments that are filled or old, and retries after a full disk, until the context ends.
+// Run syncs the current segment, closes segments that are full or old, and retries after a full disk, until the context
+// ends.
 func (w *Writer) Run(ctx context.Context) {
 	ticker := time.NewTicker(syncInterval)
 	defer ticker.Stop()
@@ -36,7 +37,7 @@
 	}
 }
 
-// maintain is one round of Run. The mutex is not held over syncs and closes of files.
+// maintain is one iteration of Run. It does not hold the mutex while it syncs and closes files.
 func (w *Writer) maintain(retry bool) {
 	filled, current, needsSpare, closed := w.rotateSegments(retry)
 	if closed {
@@ -55,7 +56,8 @@
 	if current == nil || len(filled) > 0 {
 		return
 	}
-	// Close doesn't wait for this sync: a file that it has closed is an error here, which doesn't matter.
+	// Close doesn't wait for this sync and may have closed the file. That error is ignored, because Close syncs the
+	// file itself.
 	if err := current.Sync(); err != nil && !errors.Is(err, os.ErrClosed) {
 		level.Error(w.log).Log("msg", "cannot sync usage records; a power loss may lose them",
 			"code", "usage-sync-failed", "error", err,
@@ -63,8 +65,8 @@
 	}
 }
 
-// rotateSegments begins a new segment if there is none or the current one is old. It returns the segments to be sealed,
-// and the current one.
+// rotateSegments begins a new segment if the current one is old, or if there is none and retry is set. It returns the
+// segments to be sealed, the current one, whether a spare segment is needed, and whether the writer is closed.
 func (w *Writer) rotateSegments(retry bool) (filled []*segmentFile, current *segmentFile, needsSpare, closed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -84,7 +86,8 @@
 	return filled, w.current, needsSpare, false
 }
 
-// addSpare preallocates the next segment. Without space for it beginSegment reports the error, once it matters.
+// addSpare preallocates the next segment. It ignores a failure, because beginSegment then tries again and reports the
+// error.
 func (w *Writer) addSpare() {
 	spare, err := preallocate(w.dir, w.allocate)
 	if err != nil {
--- a/internal/standalone/usagesegment/segment_test.go
+++ b/internal/standalone/usagesegment/segment_test.go
@@ -20,7 +20,7 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-func newTry(units float64) usage.Request {
+func newRequest(units float64) usage.Request {
 	return usage.Request{
 		Member:   "00000000000000aa",
 		Plan:     "basic",
@@ -90,16 +90,16 @@
 		go func() {
 			defer wg.Done()
 			for i := range 30_000 {
-				w.Ended(w.Sent(newTry(1.5)), usage.Arrival(i%3))
+				w.Ended(w.Sent(newRequest(1.5)), usage.Arrival(i%3))
 			}
 		}()
 	}
 	wg.Wait()
-	w.Sent(newTry(1)) // in flight when the run ends
+	w.Sent(newRequest(1)) // in flight when the run ends
 	c.advance(2 * time.Minute)
-	w.maintain(false) // seals what is filled, and what is old
+	w.maintain(false) // seals the full segments and the old one
 	c.advance(2 * time.Minute)
-	w.maintain(false) // without records it stays
+	w.maintain(false) // keeps the current segment, which has no records
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -117,10 +117,10 @@
 		}
 	}
 	left, _ := filepath.Glob(filepath.Join(dir, "*"))
-	if len(left) != len(list)+2 || lines.Len() > 0 { // the lock and the source
+	if len(left) != len(list)+2 || lines.Len() > 0 { // two more: the lock and the source
 		t.Errorf("got %v in the folder, log %s; want %d segments, lock and source", left, lines, len(list))
 	}
-	// The next run goes on after them, with the same source and another run number.
+	// The next run continues after these segments, with the same source and another run number.
 	source, run := w.source, w.run
 	w, err = open(dir, time.Minute, logger, c.now, allocate)
 	if err != nil || w.source != source || w.run == run || w.lastNumber != uint64(len(list)+1) {
@@ -142,24 +142,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := w.Sent(newTry(1))
+	before := w.Sent(newRequest(1))
 	full = true
 	c.advance(2 * time.Minute)
 	w.maintain(false)
 	for range 10 {
-		if seq := w.Sent(newTry(2)); seq != 0 {
+		if seq := w.Sent(newRequest(2)); seq != 0 {
 			t.Fatalf("request %d was recorded on a full disk", seq)
 		}
 		w.Ended(0, usage.Arrived)
 	}
-	w.Ended(before, usage.Arrived) // its end waits for space
-	w.maintain(true)               // still full
+	w.Ended(before, usage.Arrived) // this record is kept until there is space
+	w.maintain(true)               // the disk is still full
 	if m := w.Missed(); m != (usage.Sum{Requests: 10, Units: 20 * usage.Micro}) {
 		t.Errorf("got missed %+v, want 10 requests of 2 units", m)
 	}
 	full = false
 	w.maintain(true)
-	w.Ended(w.Sent(newTry(3)), usage.Arrived)
+	w.Ended(w.Sent(newRequest(3)), usage.Arrived)
 	c.advance(20 * time.Minute)
 	w.maintain(false)
 	if err := w.Close(); err != nil {
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestKilledWriterLosesNoRecord kills a writing process again and again. Each record that it had written is there, also
-// those of the segment that was open.
+// TestKilledWriterLosesNoRecord kills a writing process several times. Each record that it had written must be there,
+// including those of the segment that was open.
 func TestKilledWriterLosesNoRecord(t *testing.T) {
 	if dir := os.Getenv("SEGMENT_TEST_DIR"); dir != "" {
 		writeUntilKilled(dir)
@@ -232,7 +232,7 @@
 		os.Exit(1)
 	}
 	for n := 1; n < 1_000_000; n++ {
-		w.Ended(w.Sent(newTry(1)), usage.Arrived)
+		w.Ended(w.Sent(newRequest(1)), usage.Arrived)
 		os.Stdout.WriteString(strconv.Itoa(n) + "\n")
 	}
 }
@@ -244,9 +244,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Ended(w.Sent(newTry(1)), usage.Arrived)
-	w.Sent(newTry(2))
-	// What a power loss may leave: a frame without its payload, at the offset of the next record.
+	w.Ended(w.Sent(newRequest(1)), usage.Arrived)
+	w.Sent(newRequest(2))
+	// Writes a frame without its payload at the offset of the next record, which a power loss may leave there.
 	copy(w.current.data[w.current.used:], []byte{40, 0, 0, 0, 1, 2, 3, 4})
 	w.lock.Close() // as if the process were killed
 	if w, err = Open(dir, time.Minute, logger); err != nil {
--- a/internal/standalone/usagesegment/segmentfile.go
+++ b/internal/standalone/usagesegment/segmentfile.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	segmentSize   = 4 << 20         // bytes: half an hour at 140 requests a second
-	preallocateAt = segmentSize / 2 // used bytes at which the next segment is preallocated
+	segmentSize   = 4 << 20         // bytes of a segment, enough for half an hour at 140 requests a second
+	preallocateAt = segmentSize / 2 // used bytes from which on the next segment is preallocated
 
-	frameSize    = 8  // bytes before a record's payload
-	sealedOffset = 40 // of the time in the header when a segment was closed
-	zerosSize    = 64 << 10
+	frameSize    = 8        // bytes before a record's payload
+	sealedOffset = 40       // offset in the header, in bytes, of the time when the segment was closed
+	zerosSize    = 64 << 10 // bytes of zeros in one write
 )
 
-// segmentFile is a segment that is written.
+// segmentFile is a segment that is being written, or a preallocated one.
 type segmentFile struct {
 	*os.File
-	data      []byte // the mapped file
-	used      int    // bytes
+	data      []byte // the memory-mapped file
+	used      int    // used bytes, including the header
 	startedAt time.Time
 	path      string
 }
 
-// preallocate returns an empty segment without a number.
+// preallocate creates an empty segment, which has no number yet.
 func preallocate(dir string, allocate allocator) (*segmentFile, error) {
 	f, err := os.CreateTemp(dir, "*"+spareSuffix)
 	if err != nil {
@@ -47,10 +47,10 @@
 	return nil, err
 }
 
-// allocator allocates a file's complete size on disk.
+// allocator allocates disk space for the complete size of a file.
 type allocator func(f *os.File, bytes int64) error
 
-// allocate is the allocator of the machine. Where the file system can't allocate without writing, zeros are written.
+// allocate is the allocator outside tests. If the file system can't allocate space without a write, it writes zeros.
 func allocate(f *os.File, bytes int64) error {
 	err := syscall.Fallocate(int(f.Fd()), 0, 0, bytes)
 	if !errors.Is(err, syscall.EOPNOTSUPP) {
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// append writes a record. The frame is written last and at once: until then the record is not there. It reports whether
-// the next segment is to be preallocated now.
+// append writes a record. It writes the frame last and in one store; until then, the record does not exist for a
+// reader. It reports whether the next segment should be preallocated now.
 func (s *segmentFile) append(payload []byte) (preallocateNext bool) {
 	copy(s.data[s.used+frameSize:], payload)
 	binary.LittleEndian.PutUint64(s.data[s.used:], usage.Frame(payload))
@@ -80,7 +80,7 @@
 	return s.used+frameSize+len(payload) <= segmentSize
 }
 
-// seal closes a segment and gives it its final name.
+// seal closes a segment and renames it to its final name.
 func (s *segmentFile) seal(now time.Time) error {
 	binary.LittleEndian.PutUint64(s.data[sealedOffset:], uint64(now.UnixMilli()))
 	return errors.Join(syscall.Munmap(s.data), finalize(s.File, s.path, s.used))
@@ -93,7 +93,8 @@
 	os.Remove(s.path)
 }
 
-// finalize truncates a segment's file after its last record, and gives it its final name once all of it is on disk.
+// finalize truncates a segment's file after its last record, and renames it to its final name once all of it is on
+// disk.
 func finalize(f *os.File, path string, used int) error {
 	if err := errors.Join(f.Truncate(int64(used)), f.Sync(), f.Close()); err != nil {
 		return err
@@ -101,8 +102,8 @@
 	return os.Rename(path, strings.TrimSuffix(path, openSuffix)+sealedSuffix)
 }
 
-// closeLeftOpen closes a segment that an earlier run left open. What follows its last valid record is removed. The time
-// of closing is that of the last write, or now if the file system doesn't tell.
+// closeLeftOpen closes a segment that an earlier run left open. It removes the bytes after the last valid record. The
+// time of closing is that of the file's last write, or now if the file system doesn't provide it.
 func closeLeftOpen(path string, now time.Time) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/standalone/usagesegment/writer.go
+++ b/internal/standalone/usagesegment/writer.go
@@ -17,8 +17,8 @@
 	"mulleinrouter/internal/dataplane/usage"
 )
 
-// maxLateRecords bounds the ends of requests that wait for space. Further ones are lost: the arrival of their
-// requests is billed as unknown.
+// maxLateRecords is the number of ends of requests that are kept in memory while the disk is full. Further ones are
+// lost, and their requests are billed with an unknown arrival.
 const maxLateRecords = 1 << 16
 
 // Writer writes the records of one run of an ingress. It is safe for concurrent use.
@@ -28,25 +28,25 @@
 	log      log.Logger
 	now      func() time.Time
 	allocate allocator
-	lock     *os.File      // locks the folder
+	lock     *os.File      // lock file of the folder
 	source   string        // name of the folder's records
-	run      uint64        // number of this run, drawn at random
-	wake     chan struct{} // wakes Run: a segment is filled, or the next one is to be preallocated
+	run      uint64        // random number of this run
+	wake     chan struct{} // wakes Run when a segment is full, or the next one should be preallocated
 
-	mu         sync.Mutex // guards what follows
-	seq        uint64     // of the last request
-	lastNumber uint64     // of the newest segment
+	mu         sync.Mutex // guards the fields below
+	seq        uint64     // sequence number of the last request
+	lastNumber uint64     // number of the newest segment
 	current    *segmentFile
-	spare      *segmentFile   // preallocated; nil: none
-	filled     []*segmentFile // to be sealed
-	missed     usage.Sum      // not recorded since the disk is full
-	late       []usage.Record // ends of recorded requests since then, written once there is space
+	spare      *segmentFile   // preallocated segment; nil: none
+	filled     []*segmentFile // full or old segments to be sealed
+	missed     usage.Sum      // requests not recorded since the disk became full
+	late       []usage.Record // ends of recorded requests since then, to be written once there is space
 	closed     bool
 	buffer     []byte
 }
 
-// Open locks a folder, which it creates if needed, and closes the segments that an earlier run left open. A
-// segment with records is closed once it is older than rotate. The error is ErrLocked or one of the file
+// Open locks a folder, which it creates if needed, and closes the segments that an earlier run left open. The
+// writer closes a segment with records once it is older than rotate. The error is ErrLocked or one of the file
 // system.
 func Open(dir string, rotate time.Duration, logger log.Logger) (*Writer, error) {
 	return open(dir, rotate, logger, time.Now, allocate)
@@ -82,7 +82,7 @@
 	return w, nil
 }
 
-// start closes what an earlier run left open, and begins the first segment.
+// start closes the segments that an earlier run left open, and begins the first segment.
 func (w *Writer) start() (err error) {
 	if w.source, err = Source(w.dir); err != nil {
 		return err
@@ -105,7 +105,7 @@
 			)
 		}
 	}
-	spares, _ := filepath.Glob(filepath.Join(w.dir, "*"+spareSuffix)) // the only error is that of the pattern
+	spares, _ := filepath.Glob(filepath.Join(w.dir, "*"+spareSuffix)) // the only possible error is a malformed pattern
 	for _, path := range spares {
 		os.Remove(path)
 	}
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// beginSegment goes on in a new segment. Without space for one, recording stops. The mutex is held.
+// beginSegment begins a new segment. If there is no space for one, recording stops. The caller holds the mutex.
 func (w *Writer) beginSegment() {
 	next, err := w.nextSegment()
 	if err != nil {
@@ -129,7 +129,7 @@
 	}
 	w.current = next
 	if w.missed.Requests > 0 {
-		level.Warn(w.logMissed("usage-resumed")).Log("msg", "usage is recorded again; some was not")
+		level.Warn(w.logMissed("usage-resumed")).Log("msg", "usage is recorded again; some requests were not recorded")
 		w.append(&usage.Record{Kind: usage.Unmetered, Unmetered: w.missed})
 		w.missed = usage.Sum{}
 	}
@@ -140,7 +140,7 @@
 	}
 }
 
-// nextSegment returns a segment with a header and the next number. The mutex is held.
+// nextSegment returns a segment with a header and the next number. The caller holds the mutex.
 func (w *Writer) nextSegment() (next *segmentFile, err error) {
 	next = w.spare
 	w.spare = nil
@@ -164,7 +164,8 @@
 	return next, nil
 }
 
-// append writes a record to the current segment or the next one, and reports whether there was one. The mutex is held.
+// append writes a record to the current segment, or to a new one if it does not fit. It reports whether the record was
+// written. The caller holds the mutex.
 func (w *Writer) append(r *usage.Record) bool {
 	w.buffer = usage.AppendRecord(w.buffer[:0], r)
 	if w.current != nil && !w.current.fits(w.buffer) {
@@ -188,8 +189,8 @@
 	}
 }
 
-// Sent records that the first attempt of a request is about to be sent. The number identifies the request for
-// Ended; 0: it could not be recorded.
+// Sent records that the first attempt of a request is about to be sent. It returns a number that identifies the
+// request for Ended, or 0 if the request could not be recorded.
 func (w *Writer) Sent(request usage.Request) (seq uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -201,7 +202,7 @@
 	return w.seq
 }
 
-// Ended records what is known of a request's arrival once it has ended.
+// Ended records whether a request arrived, as far as that is known, once the request has ended.
 func (w *Writer) Ended(seq uint64, a usage.Arrival) {
 	if seq == 0 {
 		return
@@ -214,14 +215,15 @@
 	}
 }
 
-// Missed returns what could not be recorded since the disk became full; zero while it isn't.
+// Missed returns the sum of the requests that could not be recorded since the disk became full. It is zero while
+// recording works.
 func (w *Writer) Missed() usage.Sum {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.missed
 }
 
-// logMissed returns a logger whose lines say what was not recorded. w.mu must be held.
+// logMissed returns a logger whose lines include the sum of what was not recorded. The caller holds the mutex.
 func (w *Writer) logMissed(code string) log.Logger {
 	return log.With(w.log, "code", code, "tries", w.missed.Requests, "units", w.missed.InUnits())
 }
