--- a/internal/standalone/node/bench_test.go
+++ b/internal/standalone/node/bench_test.go
@@ -22,8 +22,8 @@
 	"mulleinrouter/internal/standalone/config"
 )
 
-// serveEach accepts connections on loopback until the benchmark ends, and serves and closes each in a goroutine of its
-// own. It returns its address.
+// serveEach accepts connections on loopback until the benchmark ends. It serves and then closes each one in a separate
+// goroutine. It returns the address of its listener.
 func serveEach(b *testing.B, serve func(net.Conn)) string {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,7 +46,8 @@
 	return l.Addr().String()
 }
 
-// backend answers each request with 200 and a short body. It reads no more of one than it must.
+// backend starts a server that answers each request with status 200 and a short body. It parses no more of a request
+// than it must, because its CPU time is measured, too.
 func backend(b *testing.B) string {
 	b.Helper()
 	answer := []byte("HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nquote 123.45")
@@ -60,7 +61,7 @@
 	})
 }
 
-// readHead reads the lines of a request up to the empty one.
+// readHead reads the lines of a request up to the empty line.
 func readHead(r *bufio.Reader) error {
 	for {
 		line, err := r.ReadSlice('\n')
@@ -73,7 +74,7 @@
 	}
 }
 
-// relay moves bytes both ways and looks at none.
+// relay starts a TCP relay, which copies bytes in both directions without parsing them.
 func relay(b *testing.B, to string) string {
 	b.Helper()
 	return serveEach(b, func(c net.Conn) {
@@ -90,9 +91,9 @@
 	})
 }
 
-// ingressAt starts an ingress in front of a backend, with more text in its configuration.
+// ingressAt starts an ingress in front of a backend, with additional text in its configuration.
 func ingressAt(b *testing.B, to, more string) string {
-	servers := "" // as many as the module needs to let all connections' requests out at once
+	servers := "" // as many as the decision module needs to send the requests of all connections at the same time
 	for i := range 32 {
 		servers += fmt.Sprintf("server \"s%d\" {\n  address = %q\n}\n", i, to)
 	}
@@ -122,7 +123,7 @@
 	return n.Addr()
 }
 
-// sharedFleet is the configuration of an ingress that shares quotas with another one.
+// sharedFleet is the fleet configuration of an ingress that shares quotas with another one.
 const sharedFleet = `
 name = "n0"
 fleet {
@@ -136,9 +137,9 @@
 }
 `
 
-// BenchmarkServe is what a request costs through a relay that only moves bytes, through httputil.ReverseProxy and
-// through an ingress, without and with metering: the time that the processor spent on it, the client's and the
-// backend's part, the same in all, included.
+// BenchmarkServe measures the cost of a request through a relay that only copies bytes, through httputil.ReverseProxy
+// and through an ingress, without and with metering. The cost is CPU time. It includes the time of the client and the
+// backend, which is the same in all cases.
 func BenchmarkServe(b *testing.B) {
 	const alone, pair = "units=1,spread=1,first=0", "units=1,spread=2,first=0"
 	for _, bc := range []struct {
@@ -151,7 +152,7 @@
 		{"of two", pair, func(b *testing.B, to string) string {
 			return ingressAt(b, to, "fleet {\n  ingresses = 2\n  number = 0\n}\n")
 		}},
-		// With 400 members whose quota it could grant to the other.
+		// The load has 400 members, whose quota this ingress could grant to the other one.
 		{"shared", pair, func(b *testing.B, to string) string { return ingressAt(b, to, sharedFleet) }},
 		{"metered", alone, func(b *testing.B, to string) string {
 			return ingressAt(b, to, fmt.Sprintf("usage {\n  dir = %q\n}\n", b.TempDir()))
@@ -161,12 +162,12 @@
 	}
 }
 
-// client is one connection to what is measured. It makes little garbage of its own.
+// client is one connection to the server that is measured. It allocates little memory, because it is measured, too.
 type client struct {
 	net.Conn
 	r     *textproto.Reader
 	out   bytes.Buffer
-	terms any // a string; boxed once, for the client is measured with the rest
+	terms any // a string; converted to any only once, which saves an allocation for each request
 }
 
 func newClient(addr string) (*client, error) {
@@ -206,7 +207,7 @@
 	}
 }
 
-// runClients runs a function for each of some connections, and waits until all have ended.
+// runClients opens count connections, calls run for each in parallel, and waits until all calls have returned.
 func runClients(b *testing.B, addr string, count int, run func(k int, c *client)) {
 	b.Helper()
 	var clients sync.WaitGroup
@@ -224,7 +225,7 @@
 	clients.Wait()
 }
 
-// load sends b.N requests over some connections.
+// load sends b.N requests over 128 connections, and reports the CPU time per request.
 func load(b *testing.B, addr, terms string) {
 	const conns = 128
 	var next, rejected atomic.Int64
@@ -254,8 +255,8 @@
 	b.ReportMetric(float64(cpu(&after)-cpu(&before))/float64(b.N)/1000, "cpu-us/op")
 }
 
-// BenchmarkAt140 is how long an answer takes at 140 requests a second on connections in use, through
-// httputil.ReverseProxy and through an ingress. Run it with -benchtime 1400x: ten seconds each.
+// BenchmarkAt140 measures the latency of answers at 140 requests a second on open connections, through
+// httputil.ReverseProxy and through an ingress. Run it with -benchtime 1400x, which takes ten seconds for each.
 func BenchmarkAt140(b *testing.B) {
 	for _, bc := range []struct {
 		name  string
--- a/internal/standalone/node/catalogue.go
+++ b/internal/standalone/node/catalogue.go
@@ -14,8 +14,8 @@
 	"mulleinrouter/internal/standalone/plans"
 )
 
-// startCatalogue reads the catalogue, and again whenever its file changes. An error of the first reading is
-// returned: an ingress must not start with other plans than its operators meant.
+// startCatalogue reads the catalogue now, and again whenever its file changes. It returns an error of the first
+// reading, because an ingress must not start with plans other than those that its operators intended.
 func (n *Node) startCatalogue(ctx context.Context) error {
 	revisions, err := catalogue.Load(n.config.Catalogue)
 	if err != nil {
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// startAnnouncer has revisions take effect only once the holder of the catalogue's lease has announced them. Where
-// nothing has been announced yet, the first ones are those of this ingress's own file.
+// startAnnouncer makes revisions take effect only once the holder of the catalogue's lease has announced them. If
+// there is no record of an announced revision yet, the revisions of this ingress's own file are used first.
 func (n *Node) startAnnouncer(ctx context.Context, first []plans.Revision) {
 	folder, read := n.stateFolder(0), false
 	n.announcer, read = n.leases.StartAnnouncer(ctx, leaseservice.AnnouncerOptions{
@@ -66,7 +66,7 @@
 	n.proposeRevisions(first)
 }
 
-// proposeRevisions submits revisions of this ingress's file to the holder of the catalogue's lease.
+// proposeRevisions submits the revisions of this ingress's file to the holder of the catalogue's lease.
 func (n *Node) proposeRevisions(revisions []plans.Revision) {
 	for _, r := range revisions {
 		n.announcer.Submit(revisionlog.Entry{
@@ -77,7 +77,7 @@
 	}
 }
 
-// parseRevision reads the text of one announced revision.
+// parseRevision parses the text of one announced revision.
 func parseRevision(text []byte) (plans.Revision, error) {
 	revisions, err := catalogue.Parse("announced", text)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return revisions[0], nil
 }
 
-// applyRevisions applies revisions of the catalogue's file.
+// applyRevisions applies the revisions of the catalogue's file.
 func (n *Node) applyRevisions(revisions []plans.Revision) {
 	n.updatePlans(func(now decision.Seconds) {
 		for _, r := range revisions {
@@ -100,7 +100,7 @@
 	n.updatePlans(func(now decision.Seconds) { n.logVerdict(r, n.planState.Commit(r, now), now) })
 }
 
-// updatePlans changes the state of plans, and has the decision module and the server of clients follow it.
+// updatePlans changes the state of plans, and applies the result to the decision module and the ingress server.
 func (n *Node) updatePlans(change func(now decision.Seconds)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -114,7 +114,7 @@
 	})
 }
 
-// logVerdict logs what became of a revision. The caller holds mu.
+// logVerdict logs whether and how a revision takes effect. The caller holds mu.
 func (n *Node) logVerdict(r plans.Revision, verdict plans.Verdict, now decision.Seconds) {
 	if verdict == plans.VerdictDuplicate {
 		return
--- a/internal/standalone/node/errors.go
+++ b/internal/standalone/node/errors.go
@@ -2,13 +2,13 @@
 
 import "errors"
 
-// Errors of Node.Reload. A reload that returns one of them has changed nothing.
+// Errors of Node.Reload. A reload that returns one of them changes nothing.
 var (
 	// ErrNoCounterAddress is returned for a configuration without a counter while the node uses one.
 	ErrNoCounterAddress = errors.New("counter: no address")
 
 	// ErrServerSourceChanged is returned for a configuration that replaces a static list of servers by discovery, or
-	// the other way round.
+	// discovery by a static list.
 	ErrServerSourceChanged = errors.New(
-		"servers written down and discovery cannot take each other's place while it serves")
+		"a static list of servers and discovery cannot replace each other without a restart")
 )
--- a/internal/standalone/node/fleet.go
+++ b/internal/standalone/node/fleet.go
@@ -17,16 +17,15 @@
 
 // Kinds of records in the state folder, which are parts of file names on disk.
 const (
-	membershipRecord  = "fleet" // of the ingress, not of one of its processes
+	membershipRecord  = "fleet" // belongs to the ingress, not to one of its processes
 	leaseRecord       = "duty"
 	revisionLogRecord = "catalogue"
 )
 
-// revisionLength is how many characters of the build's revision are its version.
+// revisionLength is the number of characters of the build's revision that the fleet sees as its version.
 const revisionLength = 12
 
-// stateFolder is the folder of this ingress's state as a process sees it; process 0 stands for the ingress as a
-// whole.
+// stateFolder returns the state folder of this ingress for a process. Process 0 means the ingress as a whole.
 func (n *Node) stateFolder(process int64) *state.Folder {
 	folder := state.Open(n.config.State, n.config.Name, process)
 	folder.FS = n.config.FaultInjection.FS()
@@ -77,7 +76,7 @@
 	return nil
 }
 
-// startQuotaSync shares quotas and verdicts on servers with the other ingresses.
+// startQuotaSync starts to share quotas and verdicts on servers with the other ingresses.
 func (n *Node) startQuotaSync(ctx context.Context) {
 	c, self := n.config, n.fleet.Self()
 	n.quotaSync = quotasync.New(quotasync.Options{
@@ -96,10 +95,11 @@
 	n.spawn(func() { n.quotaSync.Run(ctx, n.engine) })
 }
 
-// startLeases takes part in the leases of singleton roles, which the voters agree on.
+// startLeases starts the service for leases of singleton roles, which the voters grant.
 func (n *Node) startLeases() {
 	c := n.config
-	// The record is the process's own: during an upgrade each of two processes keeps the leases that it holds itself.
+	// The record belongs to the process, not to the ingress, because during an upgrade each of two processes keeps the
+	// leases that it holds itself.
 	folder := n.stateFolder(int64(os.Getpid()))
 	n.leases = leaseservice.Start(leaseservice.Options{
 		Fleet:       n.fleet,
@@ -114,7 +114,7 @@
 	n.closers = append(n.closers, func() { folder.Remove(leaseRecord, folder.Process()) })
 }
 
-// closeFleet ends the leases and leaves the fleet.
+// closeFleet stops the lease service and leaves the fleet.
 func (n *Node) closeFleet() {
 	if n.leases != nil {
 		n.leases.Stop()
@@ -123,8 +123,7 @@
 	n.fleet.Stop()
 }
 
-// buildRevision is the revision that the program was built from, abbreviated; "unknown" if the build does not name
-// one.
+// buildRevision returns the abbreviated revision that the program was built from, or "unknown" if the build has none.
 func buildRevision() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
@@ -136,7 +135,7 @@
 	return "unknown"
 }
 
-// publishPhase tells the other ingresses whether this one serves or is a lame duck, if that changed.
+// publishPhase publishes to the other ingresses whether this one serves or is a lame duck, if that has changed.
 func (n *Node) publishPhase() {
 	if n.fleet == nil {
 		return
@@ -149,9 +148,9 @@
 	}
 }
 
-// publishDeparture gives up leases at SIGTERM and tells the other ingresses that this one is leaving, before its
-// listener closes. Where a newer process of this ingress waits for the gossip address, it is released at once and
-// nothing is announced: to the others both processes are one member.
+// publishDeparture resigns the leases at SIGTERM and announces to the other ingresses that this one is leaving, before
+// its listener closes. If a newer process of this ingress waits for the gossip address, the address is released at
+// once and nothing is announced, because both processes are one member to the others.
 func (n *Node) publishDeparture() {
 	if n.leases != nil {
 		n.leases.Resign()
@@ -165,7 +164,7 @@
 	}
 }
 
-// fleetStatus is what the readiness page says of the fleet.
+// fleetStatus returns the text about the fleet on the readiness page.
 func (n *Node) fleetStatus() string {
 	reachability := n.fleet.Reachability()
 	return fmt.Sprintf("%v; heard=%d/%d", reachability.Level, reachability.Alive, reachability.Agreed)
--- a/internal/standalone/node/fleetcalls.go
+++ b/internal/standalone/node/fleetcalls.go
@@ -13,13 +13,13 @@
 // handleFleetCall answers the calls about the fleet at the management address.
 func (n *Node) handleFleetCall(word, arguments string) (bool, []string) {
 	switch word {
-	case "FLEET": // FLEET [VIEW]: the members, and what changed after a view
+	case "FLEET": // FLEET [VIEW]: the members, and the changes after a view
 		after, err := strconv.ParseUint(arguments, 10, 64)
 		if arguments != "" && err != nil {
 			return false, nil
 		}
 		return jsonAnswer(n.fleet.Report(after))
-	case "LINKS": // which member receives from which
+	case "LINKS": // from which members each member receives
 		return jsonAnswer(n.fleet.LinkNames())
 	case "DUTIES", "GIVE", "VOTERS": // DUTIES; GIVE DUTY NAME; VOTERS add|remove NAME
 		if n.leases == nil {
@@ -31,7 +31,7 @@
 			return false, nil
 		}
 		return jsonAnswer(n.announcer.Status())
-	case "STATE": // STATE [MEMBER]: what the ingresses share
+	case "STATE": // STATE [MEMBER]: the quotas and verdicts on servers that the ingresses share
 		if n.quotaSync == nil {
 			return false, nil
 		}
@@ -43,7 +43,7 @@
 	}
 }
 
-// jsonAnswer is the answer that carries a value as one line of JSON.
+// jsonAnswer returns the answer with a value as one line of JSON.
 func jsonAnswer(v any) (bool, []string) {
 	text, err := jsontext.Encode(v)
 	if err != nil {
@@ -73,14 +73,14 @@
 	return err == nil, []string{string(text), endOfAnswer}
 }
 
-// Values of the gauge ingress.fleet_sure.
+// reachabilityGauge has the values of the gauge ingress.fleet_sure.
 var reachabilityGauge = map[string]int64{
 	membership.Partitioned.String(): 0,
 	membership.Majority.String():    1,
 	membership.Complete.String():    2,
 }
 
-// fleetStats are the statistics of INFO about the fleet.
+// fleetStats returns the statistics of INFO about the fleet.
 func (n *Node) fleetStats() []string {
 	report := n.fleet.Report(0)
 	return append(n.quotaSyncStats(),
@@ -94,7 +94,7 @@
 		mgmt.Count("ingress.fleet_bytes_out", report.Traffic.BytesOut))
 }
 
-// quotaSyncStats are those about shared quotas; nil: they are not shared.
+// quotaSyncStats returns the statistics of INFO about shared quotas, or nil if quotas are not shared.
 func (n *Node) quotaSyncStats() []string {
 	if n.quotaSync == nil {
 		return nil
--- a/internal/standalone/node/limits.go
+++ b/internal/standalone/node/limits.go
@@ -9,20 +9,26 @@
 )
 
 const (
-	defaultSockets  = 1024
+	defaultSockets  = 1024 // open sockets
 	defaultMemoryMB = 192
 
-	clientSocketShare   = 0.6 // of the sockets; what both shares leave is for discovery, the counter and the fleet
+	// clientSocketShare and upstreamSocketShare are shares of the sockets for connections to clients and to backends.
+	// The rest is for discovery, the counter and the fleet.
+	clientSocketShare   = 0.6
 	upstreamSocketShare = 0.3
 
-	heapShare         = 0.6 // of the memory: a soft limit, above which the collector works harder
-	gcPercent         = 400 // growth over the live heap, which is small, while each collection costs CPU
+	// heapShare is the share of the memory that is the soft limit of the Go runtime, above which the garbage collector
+	// works harder.
+	heapShare = 0.6
+	// gcPercent is the growth of the heap, in percent of the live heap, before a collection. It is high because the
+	// live heap is small and each collection costs CPU time.
+	gcPercent         = 400
 	bytesPerMegabyte  = 1 << 20
 	minimumProcessors = 1
 )
 
-// Tune fits the run time to the machine's limits, and sets those that the configuration leaves at zero to their
-// defaults.
+// Tune adapts the Go runtime to the machine's limits. It sets limits that the configuration leaves at zero to their
+// defaults first.
 func Tune(l *config.Limits) {
 	if l.Sockets == 0 {
 		l.Sockets = defaultSockets
--- a/internal/standalone/node/management.go
+++ b/internal/standalone/node/management.go
@@ -50,9 +50,9 @@
 	return false, nil
 }
 
-// Stats are the statistics of INFO in the statsd line format: counts since the process started (|c) and gauges
-// (|g). Each is counted where its event happens: responses and attempts in the ingress server, the endpoint list
-// and ejections in the decision module, configuration files read at SIGHUP here.
+// Stats returns the statistics of INFO in the statsd line format: counts since the process started (|c) and gauges
+// (|g). Responses and attempts are counted in the ingress server, the endpoint list and ejections in the decision
+// module, and configuration files read at SIGHUP here.
 func (n *Node) Stats() []string {
 	classes, active := n.server.Stats()
 	listed, ejected := n.engine.PoolSize()
@@ -79,7 +79,7 @@
 		mgmt.Count("ingress.config_rejected", n.reloadsRejected.Load()))
 }
 
-// MgmtAddr is the management address; empty: there is none.
+// MgmtAddr returns the management address, or an empty string if there is none.
 func (n *Node) MgmtAddr() string {
 	if n.management == nil {
 		return ""
--- a/internal/standalone/node/management_test.go
+++ b/internal/standalone/node/management_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(10 * time.Second)) // only a failure waits this long
+	c.SetDeadline(time.Now().Add(10 * time.Second)) // only a failing test waits this long
 	io.WriteString(c, line+"\n")
 	b, err := io.ReadAll(c)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return strings.Split(strings.TrimSuffix(string(b), "\n"), "\n")
 }
 
-// The statistics of INFO are those of a run whose responses the test counts itself.
+// The statistics of INFO must agree with the responses that the test counts itself.
 func TestStatsCountResponses(t *testing.T) {
 	n, _, _ := startNode(t, managementAddress+twoPlans)
 	defer n.Stop()
@@ -47,7 +47,7 @@
 		t.Fatalf("responses by status: %v, want some of 200 and some of 503", counted)
 	}
 	var got []string
-	exchange.Until(func() bool { // the last response arrives a moment before its request has ended
+	exchange.Until(func() bool { // the last response arrives shortly before the server counts its request as ended
 		got = callManagement(t, n, "INFO")
 		return slices.Contains(got, "ingress.active:0|g")
 	})
@@ -79,7 +79,7 @@
 	}
 }
 
-// LAMEDUCK makes /ready say no, REJOIN yes again; PING says yes all the while.
+// LAMEDUCK must make /ready answer 503, and REJOIN 200 again. PING must be answered with ACK in both states.
 func TestLameDuckByCall(t *testing.T) {
 	n, _, _ := startNode(t, managementAddress+twoPlans)
 	defer n.Stop()
@@ -102,8 +102,8 @@
 	}
 }
 
-// After a reload with another class, requests of it are served, and those of the class that was removed are
-// rejected as unknown.
+// After a reload that replaces a class by another one, requests of the added class must be served, and requests of the
+// removed class must be rejected as unknown.
 func TestReloadAppliesClasses(t *testing.T) {
 	n, quotes, _ := startNode(t, twoPlans)
 	defer n.Stop()
--- a/internal/standalone/node/node.go
+++ b/internal/standalone/node/node.go
@@ -32,35 +32,35 @@
 	config     *config.Config
 	log        log.Logger
 	listener   net.Listener
-	management net.Listener // nil: there is no management address
+	management net.Listener // nil if no management address is configured
 	engine     *engine.Engine
-	counter    *counterclient.Client // nil: there is no shared counter
+	counter    *counterclient.Client // nil if no shared counter is configured
 	server     *ingress.Server
 	watcher    *discovery.Watcher
 
-	cancel      context.CancelFunc // ends the tasks
+	cancel      context.CancelFunc // ends the context of the tasks
 	tasks       sync.WaitGroup     // goroutines that end with the context
 	acceptLoops sync.WaitGroup     // goroutines that end when their listener closes
-	closers     []func()           // in the order of opening
+	closers     []func()           // close the opened resources; in the order of opening
 
 	reloadsApplied, reloadsRejected atomic.Int64 // configuration files read at SIGHUP
 
-	fleet     *gossip.Fleet           // the other ingresses; nil: there is no membership
-	quotaSync *quotasync.Service      // shares quotas and verdicts on servers with them; nil: nothing is shared
-	leases    *leaseservice.Service   // leases of singleton roles; nil: there are no voters
-	announcer *leaseservice.Announcer // orders catalogue revisions; nil: the catalogue's file alone counts
+	fleet     *gossip.Fleet           // the other ingresses; nil if no membership is configured
+	quotaSync *quotasync.Service      // shares quotas and verdicts on servers with them; nil if nothing is shared
+	leases    *leaseservice.Service   // leases of singleton roles; nil if no voters are configured
+	announcer *leaseservice.Announcer // orders catalogue revisions; nil if only the catalogue's file is used
 
-	peers        *peerProcesses // other processes of this ingress; nil: there can be none
-	newerProcess atomic.Bool    // a newer process of this ingress runs beside this one
+	peers        *peerProcesses // other processes of this ingress; nil if there can be none
+	newerProcess atomic.Bool    // a newer process of this ingress is running, too
 	draining     atomic.Bool    // the listener accepts no new connections
 
 	mu                 sync.Mutex   // guards the fields below
-	planState          *plans.State // nil: plans have not changed since the start
-	lastReloadRevision uint64       // number of the revision that the last reload made
+	planState          *plans.State // nil if plans have not changed since the start
+	lastReloadRevision uint64       // number of the plan revision that the last reload created
 }
 
-// Start returns a node that listens and serves. Limits that the configuration leaves at zero must have been set by
-// Tune.
+// Start starts a node and returns it once it serves. Tune must have set the limits that the configuration leaves at
+// zero.
 func Start(c *config.Config, logger log.Logger) (*Node, error) {
 	n := &Node{config: c, log: logger}
 	var ctx context.Context
@@ -72,11 +72,12 @@
 	return n, nil
 }
 
-// start opens everything in the order in which the parts depend on each other, and begins to accept connections last.
-// What it opened before an error is left to stop.
+// start opens the parts in the order of their dependencies, and begins to accept connections last. After an error, the
+// caller must call stop to close the parts that were opened.
 func (n *Node) start(ctx context.Context) error {
 	c := n.config
-	// Before it listens, so that what arrives meanwhile goes to the older process.
+	// The knowledge of the older process is awaited before this one listens, so that connections that arrive meanwhile
+	// reach the older process.
 	var knowledge *decision.Knowledge
 	if n.peers = newPeerProcesses(c.State, c.Name, c.Listen, int64(os.Getpid()), n.log); n.peers != nil {
 		knowledge = n.peers.awaitKnowledge()
@@ -134,8 +135,8 @@
 	return nil
 }
 
-// listen opens the address of clients. An older process of this ingress may listen there too: an error means that
-// another program does.
+// listen opens the client address. An older process of this ingress may listen there, too, so an error means that
+// another program uses the address.
 func (n *Node) listen() (err error) {
 	if n.listener, err = hotrestart.Listen(n.config.Listen); err != nil {
 		return err
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// startEmbeddedCounter serves a quota counter for this ingress and the others on this machine.
+// startEmbeddedCounter starts a quota counter for this ingress and the others on this machine.
 func (n *Node) startEmbeddedCounter() error {
 	listener, err := net.Listen("tcp", n.config.Embedded)
 	if err != nil {
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// startEngine starts the engine round the decision module, with the counter's client where there is a counter.
+// startEngine starts the engine with the decision module, and with a client of the counter if one is configured.
 func (n *Node) startEngine() {
 	c := n.config
 	n.engine = engine.New(decision.New(c.Settings, c.Seed), &c.Settings, engine.NewClock())
@@ -175,7 +176,7 @@
 	n.engine.Start(n.counter)
 }
 
-// newWatcher makes the watcher of the endpoint list, which does not run yet, and returns the directory that it keeps.
+// newWatcher creates the watcher of the endpoint list without running it, and returns the directory that it updates.
 func (n *Node) newWatcher() *discovery.Directory {
 	c := n.config
 	directory := &discovery.Directory{}
@@ -193,7 +194,7 @@
 	return directory
 }
 
-// newServer makes the server of clients, which does not run yet, and returns its pool of upstream connections.
+// newServer creates the ingress server without running it, and returns its pool of upstream connections.
 func (n *Node) newServer(directory *discovery.Directory) *upstream.Pool {
 	c := n.config
 	sockets := float64(c.Limits.Sockets)
@@ -209,11 +210,11 @@
 	return pool
 }
 
-// Addr is the address that clients connect to.
+// Addr returns the address that clients connect to.
 func (n *Node) Addr() string { return n.listener.Addr().String() }
 
-// spawn runs a task that ends with the node's context.
+// spawn runs a task in a goroutine. The task must end with the node's context.
 func (n *Node) spawn(task func()) { n.tasks.Go(task) }
 
-// duration converts the decision module's seconds.
+// duration converts seconds of the decision module to a time.Duration.
 func duration(s decision.Seconds) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/standalone/node/node_test.go
+++ b/internal/standalone/node/node_test.go
@@ -20,7 +20,7 @@
 
 const member = "00000000000000aa"
 
-// startNode starts a node with one fake quote server, from hclConfig and more text.
+// startNode starts a node with one fake quote server. Its configuration is that of hclConfig and additional text.
 func startNode(t *testing.T, text string) (*Node, *fakes.QuoteServer, *logtest.Recorder) {
 	t.Helper()
 	quotes := &fakes.QuoteServer{Cores: 8}
@@ -41,7 +41,7 @@
 	return n, quotes, logged
 }
 
-// hclConfig is a configuration in HCL with one quote server and one class that is idempotent.
+// hclConfig returns a configuration in HCL with one quote server and one idempotent class.
 func hclConfig(server, class string) string {
 	return fmt.Sprintf(`
 listen = "127.0.0.1:0"
@@ -112,8 +112,8 @@
   }
 `
 
-// A member is rejected, upgraded by the catalogue while the ingress serves, and served; the usage records name both
-// plans.
+// A member whose requests are rejected over quota gets a larger plan by a new catalogue revision while the ingress is
+// serving. Its requests must then be served, and the usage records must name both plans.
 func TestCatalogueChangesPlanInService(t *testing.T) {
 	dir := t.TempDir()
 	path, usageDir := filepath.Join(dir, "plans.hcl"), filepath.Join(dir, "usage")
@@ -128,7 +128,7 @@
 	}
 	write(1, "basic")
 	n, _, logged := startNode(t, fmt.Sprintf("catalogue {\n  file = %q\n}\nusage {\n  dir = %q\n}\n", path, usageDir))
-	got := requests(t, n, "plus", 4) // the catalogue wins over the plan that the client names
+	got := requests(t, n, "plus", 4) // the plan of the catalogue takes precedence over the one that the client names
 	logged.Await("process-started")
 	write(2, "plus")
 	logged.Await("plans-revised")
@@ -195,8 +195,8 @@
 	if err := n.Reload(&next); err != nil {
 		t.Fatal(err)
 	}
-	request(t, n, "basic") // finds the bucket as it was: empty; from then on it fills at the new rate
-	// The plan plus was removed: clients that still name it are served by its last figures.
+	request(t, n, "basic") // finds the bucket still empty; from then on it fills at the new rate
+	// The plan plus was removed. Clients that still name it are served with its last settings.
 	statuses = append(requests(t, n, "basic", 3), request(t, n, "gold"), request(t, n, "plus"))
 	if diff := cmp.Diff([]int{200, 200, 200, 200, 200}, statuses); diff != "" {
 		t.Errorf("statuses after (-want +got):\n%s", diff)
@@ -225,7 +225,7 @@
 	}
 }
 
-// What cannot be opened at the start is an error, and nothing stays behind.
+// Start must return an error that names the resource that cannot be opened, and must leave nothing open.
 func TestStartFails(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "file")
--- a/internal/standalone/node/peers.go
+++ b/internal/standalone/node/peers.go
@@ -17,32 +17,32 @@
 
 // Kinds of files in the state folder.
 const (
-	peerRecord      = "record"    // a process's own handover record
-	knowledgeRecord = "knowledge" // what an older process hands over
+	peerRecord      = "record"    // handover record of a process
+	knowledgeRecord = "knowledge" // knowledge that an older process hands over
 )
 
 const (
 	heartbeatInterval     = time.Duration(handover.HeartbeatInterval * float64(time.Second))
-	knowledgeTimeout      = time.Second           // for an older process to hand over what it knows
-	knowledgePollInterval = 20 * time.Millisecond // between looks for it
-	staleRecordSeconds    = 60.0                  // after its last heartbeat, the record of a killed process is removed
+	knowledgeTimeout      = time.Second           // for an older process to hand over its knowledge
+	knowledgePollInterval = 20 * time.Millisecond // between checks for the knowledge
+	staleRecordSeconds    = 60.0                  // from a killed process's last heartbeat to the removal of its files
 )
 
-// peerProcesses is this process beside others of the same ingress, while one upgrades another. After the start, the
-// goroutine of runPeerHeartbeats alone uses it.
+// peerProcesses exchanges records with other processes of the same ingress, which exist during an upgrade. After the
+// start, only the goroutine of runPeerHeartbeats uses it.
 type peerProcesses struct {
 	folder *state.Folder
 	member *handover.Member
 	log    log.Logger
 
-	handedOver  map[int64]bool // newer processes that have been given this one's knowledge
-	failed      bool           // something could not be written or read in this exchange
+	handedOver  map[int64]bool // newer processes that have got this one's knowledge
+	failed      bool           // a read or write has failed in this exchange
 	reported    bool           // the failure has been logged
-	overlapping bool           // other processes were there in the last exchange
+	overlapping bool           // other processes were live in the last exchange
 }
 
-// newPeerProcesses makes this process known to others of the same ingress. It returns nil where there is no state
-// folder, or where no second process could listen on the address.
+// newPeerProcesses prepares the exchange with other processes of the same ingress. It returns nil if there is no state
+// folder, or if no second process can listen on the address.
 func newPeerProcesses(dir, name, listen string, process int64, logger log.Logger) *peerProcesses {
 	if _, port, err := net.SplitHostPort(listen); dir == "" || err != nil || port == "0" {
 		return nil
@@ -55,10 +55,11 @@
 	}
 }
 
-// unixNow is the time in seconds that the processes of one machine share.
+// unixNow returns the Unix time in seconds, which the processes of one machine share.
 func unixNow() float64 { return float64(time.Now().UnixNano()) / float64(time.Second) }
 
-// records reads the records of the other processes. A record that cannot be read counts as missing.
+// records reads the records of the other processes. It skips records that cannot be read, and removes the files of
+// processes whose last heartbeat is older than staleRecordSeconds.
 func (p *peerProcesses) records() (all []handover.Record, err error) {
 	processes, err := p.folder.Processes(peerRecord)
 	if err != nil {
@@ -67,7 +68,7 @@
 	for _, process := range processes {
 		var record handover.Record
 		if err := p.folder.Read(peerRecord, process, &record); err != nil {
-			if !errors.Is(err, fs.ErrNotExist) { // it has ended meanwhile
+			if !errors.Is(err, fs.ErrNotExist) { // a process that has ended meanwhile is no failure
 				p.reportFailure(err)
 			}
 			continue
@@ -82,7 +83,7 @@
 	return all, nil
 }
 
-// reportFailure logs the first failure of a series; nil is none.
+// reportFailure logs the first failure of a series. A nil error is not a failure.
 func (p *peerProcesses) reportFailure(err error) {
 	if err == nil {
 		return
@@ -95,8 +96,8 @@
 	}
 }
 
-// exchange reads the others' records and writes this process's own. Each newer process is given once what knowledge
-// returns; nil: there is none yet.
+// exchange reads the others' records and writes this process's own. It hands over the result of knowledge to each newer
+// process once. If knowledge is nil, there is none yet.
 func (p *peerProcesses) exchange(knowledge func() decision.Knowledge) handover.View {
 	p.failed = false
 	records, err := p.records()
@@ -124,8 +125,8 @@
 	return view
 }
 
-// awaitKnowledge waits for what an older process hands over; nil where there is no older process, or it hands over
-// nothing in time.
+// awaitKnowledge waits for the knowledge of an older process. It returns nil if there is no older process, or if that
+// process hands over nothing within knowledgeTimeout.
 func (p *peerProcesses) awaitKnowledge() *decision.Knowledge {
 	begun := unixNow()
 	alone := p.exchange(nil).Alone
@@ -151,7 +152,8 @@
 	p.folder.Remove(knowledgeRecord, p.folder.Process())
 }
 
-// runPeerHeartbeats exchanges records with the other processes until the context ends, and then removes its own.
+// runPeerHeartbeats exchanges records with the other processes until the context ends, and then removes this process's
+// files.
 func (n *Node) runPeerHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -169,8 +171,9 @@
 	}
 }
 
-// peerHeartbeat is one exchange. The engine learns which part of the ingress this process is, and for how long
-// unless it is renewed: a process that was stopped and resumes must not act on a part that others have taken over.
+// peerHeartbeat makes one exchange and sets the engine's share of the ingress. While other processes are live, the
+// share expires unless it is renewed, because a process that was stopped and resumes must not use a share that others
+// have taken over.
 func (n *Node) peerHeartbeat() {
 	view := n.peers.exchange(n.engine.HandOver)
 	n.newerProcess.Store(len(view.Newer) > 0)
--- a/internal/standalone/node/peers_test.go
+++ b/internal/standalone/node/peers_test.go
@@ -14,8 +14,8 @@
 	"mulleinrouter/internal/standalone/handover"
 )
 
-// An older process and a newer one, through an upgrade: what was learned is handed over once, their parts never add
-// up to more than one, and the newer one takes over the part that the older one leaves.
+// An older process is replaced by a newer one. The older one must hand over its knowledge once, their shares must never
+// add up to more than 1, and the newer one must take over the share that the older one frees.
 func TestPeerProcessesThroughAnUpgrade(t *testing.T) {
 	dir := t.TempDir()
 	newPeer := func(process int64) *peerProcesses {
@@ -30,7 +30,7 @@
 		t.Fatalf("knowledge of the first process = %+v, want none", k)
 	}
 	if view := older.exchange(knowledge); !view.Alone || view.Own.Share != 1 {
-		t.Fatalf("view of the first process = %+v, want alone with part 1", view)
+		t.Fatalf("view of the first process = %+v, want alone with share 1", view)
 	}
 	newer, received := newPeer(2), make(chan *decision.Knowledge)
 	go func() { received <- newer.awaitKnowledge() }()
@@ -48,11 +48,11 @@
 	if got.TypicalTime != 0.25 || handedOver != 1 {
 		t.Errorf("handed over %+v, %d times; want a typical time of 0.25, once", got, handedOver)
 	}
-	var parts []float64
+	var shares []float64
 	step := func(p *peerProcesses) {
 		view := p.exchange(knowledge)
-		parts = append(parts, view.Own.Share)
-		if wantSecondary := p == newer; view.Secondary != wantSecondary && p.folder != nil && len(parts) < 4 {
+		shares = append(shares, view.Own.Share)
+		if wantSecondary := p == newer; view.Secondary != wantSecondary && p.folder != nil && len(shares) < 4 {
 			t.Errorf("process %d: secondary = %v, want %v", view.Own.Process, view.Secondary, wantSecondary)
 		}
 	}
@@ -63,8 +63,8 @@
 	step(newer)
 	older.folder.Remove(peerRecord, 1)
 	step(newer)
-	if diff := cmp.Diff([]float64{0.5, 0.5, 0.2, 0.8, 1}, parts); diff != "" {
-		t.Errorf("parts (-want +got):\n%s", diff)
+	if diff := cmp.Diff([]float64{0.5, 0.5, 0.2, 0.8, 1}, shares); diff != "" {
+		t.Errorf("shares (-want +got):\n%s", diff)
 	}
 }
 
@@ -82,7 +82,8 @@
 	}
 }
 
-// A folder that cannot be used, and files that are damaged, cost one log line and nothing else.
+// A damaged file and a missing folder must cause only one log line, and must not prevent the process from getting the
+// complete share.
 func TestPeerProcessesWithDamagedFolder(t *testing.T) {
 	dir := t.TempDir()
 	logger, logged := logtest.Record()
@@ -98,7 +99,7 @@
 	}
 	for range 2 {
 		if view := first.exchange(nil); !view.Alone || view.Own.Share != 1 {
-			t.Errorf("beside a damaged record: view = %+v, want alone with part 1", view)
+			t.Errorf("with a damaged record: view = %+v, want alone with share 1", view)
 		}
 	}
 	if err := os.RemoveAll(dir); err != nil {
@@ -110,8 +111,8 @@
 	}
 }
 
-// A process that was stopped and resumes serves no request until it has renewed its part.
-func TestPartExpires(t *testing.T) {
+// A process that was stopped and resumes must serve no request until it has renewed its share.
+func TestShareExpires(t *testing.T) {
 	n, _, _ := startNode(t, twoPlans)
 	defer n.Stop()
 	if got := request(t, n, "plus"); got != http.StatusOK {
@@ -120,7 +121,7 @@
 	n.engine.SetShare(0.5, true, 1e-9) // its lease expires at once
 	time.Sleep(time.Millisecond)
 	if got := request(t, n, "plus"); got != http.StatusServiceUnavailable {
-		t.Errorf("with an expired part: status %d, want 503", got)
+		t.Errorf("with an expired share: status %d, want 503", got)
 	}
 	n.engine.SetShare(1, false, 0)
 	if got := request(t, n, "plus"); got != http.StatusOK {
--- a/internal/standalone/node/reload.go
+++ b/internal/standalone/node/reload.go
@@ -12,7 +12,7 @@
 	"mulleinrouter/internal/standalone/settings"
 )
 
-// CountReload counts a configuration file read at SIGHUP: applied as a whole, or rejected as a whole.
+// CountReload counts a configuration file that was read at SIGHUP. A file is applied or rejected as a whole.
 func (n *Node) CountReload(applied bool) {
 	if applied {
 		n.reloadsApplied.Add(1)
@@ -21,9 +21,9 @@
 	}
 }
 
-// Reload applies a newer configuration as far as it may change in service: the addresses of discovery and the
-// counter, the static list of servers, the classes of requests and the plans. It changes all of that or, with an
-// error, nothing.
+// Reload applies the settings of a newer configuration that can change without a restart: the addresses of discovery
+// and the counter, the static list of servers, the classes of requests and the plans. If it returns an error, nothing
+// has changed.
 func (n *Node) Reload(c *config.Config) error {
 	if err := n.checkReload(c); err != nil {
 		return err
@@ -34,7 +34,7 @@
 	n.reloadClasses(c)
 	n.config.SettingsRaw = c.SettingsRaw
 	if n.fleet != nil {
-		if err := n.fleet.Reload(); err != nil { // the key file; config has just read it without an error
+		if err := n.fleet.Reload(); err != nil { // reads the key file, which config has just read without an error
 			return err
 		}
 	}
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// checkReload returns an error for a configuration that cannot replace the present one in service.
+// checkReload returns an error for a configuration that cannot replace the present one without a restart.
 func (n *Node) checkReload(c *config.Config) error {
 	if n.config.SettingsRaw != nil {
 		if err := settings.Check(c.SettingsRaw, n.config.SettingsRaw); err != nil {
@@ -65,7 +65,8 @@
 	return nil
 }
 
-// reloadPlans applies changed plans as a revision of its own number. With a catalogue, the plans are the catalogue's.
+// reloadPlans applies changed plans as a new revision, which gets the next number of lastReloadRevision. If there is a
+// catalogue, it defines the plans and reloadPlans does nothing.
 func (n *Node) reloadPlans(c *config.Config) error {
 	if n.config.Catalogue != "" || slices.Equal(c.Settings.Plans, n.config.Settings.Plans) {
 		return nil
@@ -87,13 +88,13 @@
 	return nil
 }
 
-// reloadClasses applies changed classes of requests and another limit of attempts.
+// reloadClasses applies changed classes of requests and a changed limit of attempts.
 func (n *Node) reloadClasses(c *config.Config) {
 	current, next := &n.config.Settings, &c.Settings
 	if slices.Equal(next.Classes, current.Classes) && next.MaxAttempts == current.MaxAttempts {
 		return
 	}
-	// The decision module first: a request of a new class must be known there when it comes.
+	// The decision module must know a new class before the server accepts requests of it.
 	n.engine.Reconfigure(next.Classes, next.MaxAttempts)
 	n.server.SetClasses(next.Classes)
 	current.Classes, current.MaxAttempts = slices.Clone(next.Classes), next.MaxAttempts
--- a/internal/standalone/node/usage.go
+++ b/internal/standalone/node/usage.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// secondaryDirSuffix ends the name of the usage folder of a newer process while the older one writes to the
-	// configured folder.
+	// secondaryDirSuffix is appended to the configured folder's name for the usage folder of a newer process, while the
+	// older one writes to the configured folder.
 	secondaryDirSuffix = ".beside"
 
-	openDirAttempts  = 5                // in turn at the configured folder and the secondary one
+	openDirAttempts  = 5                // attempts after the first, at the secondary and the configured folder in turn
 	lockedDirRetry   = time.Second      // between attempts to open a folder that another process has locked
-	leftoverInterval = 3 * time.Second  // between looks for records of a process that was killed
+	leftoverInterval = 3 * time.Second  // between checks for records of a process that was killed
 	exportTimeout    = 30 * time.Second // for one batch to be sent and acknowledged
 )
 
-// startUsage records usage and, where the configuration names an endpoint, exports it. Beside an older process of
-// this ingress it writes to the secondary folder, which billing treats as another source; what the older process
-// leaves in the configured folder is exported once that process has ended.
+// startUsage records usage and, if the configuration has an endpoint, exports it. While an older process of this
+// ingress is running, it writes to the secondary folder, which billing treats as another source. The records that the
+// older process leaves in the configured folder are exported once that process has ended.
 func (n *Node) startUsage(ctx context.Context) error {
 	writer, dir, otherDir, err := n.openUsageDir()
 	if err != nil {
@@ -56,9 +56,9 @@
 	return nil
 }
 
-// openUsageDir opens the configured folder, or the secondary one where another process of this ingress has locked
-// it. It returns the folder that it opened and the other of the two. The other process may hold either for a moment
-// while it looks for leftovers, hence the attempts.
+// openUsageDir opens the configured folder, or the secondary one if another process of this ingress has locked the
+// configured one. It returns the folder that it opened and the other one of the two. It makes several attempts, because
+// the other process may lock either folder for a moment while it closes leftover segments.
 func (n *Node) openUsageDir() (writer *usagesegment.Writer, dir, otherDir string, err error) {
 	usage := n.config.Usage
 	dir, otherDir = usage.Dir, usage.Dir+secondaryDirSuffix
@@ -73,7 +73,7 @@
 	return writer, dir, otherDir, err
 }
 
-// startExporter exports a folder's records until the context ends. Where another process is still exporting them, it
+// startExporter exports a folder's records until the context ends. If another process is still exporting them, it
 // begins once that process has finished.
 func (n *Node) startExporter(ctx context.Context, dir string) error {
 	exporter := n.newExporter(dir)
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// newExporter returns an exporter of a folder, not yet open.
+// newExporter returns an exporter of a folder, which is not open yet.
 func (n *Node) newExporter(dir string) *usageexport.Exporter {
 	exporter := &usageexport.Exporter{
 		Dir:       dir,
@@ -112,8 +112,8 @@
 	return exporter
 }
 
-// openWhenUnlocked calls open until no other process has the folder locked. It returns false if the context ends
-// first, or if open fails for another reason.
+// openWhenUnlocked calls open repeatedly until no other process has the folder locked. It returns false if the context
+// ends first, or if open fails for another reason.
 func (n *Node) openWhenUnlocked(ctx context.Context, open func() error) bool {
 	for {
 		err := open()
@@ -135,8 +135,8 @@
 	}
 }
 
-// exportLeftovers exports what another process of this ingress left in its folder, once that process has ended: an
-// older one as planned, or a newer one that died during an upgrade.
+// exportLeftovers exports the records that another process of this ingress left in its folder, once that process has
+// ended. It may be an older process, or a newer one that was killed during an upgrade.
 func (n *Node) exportLeftovers(ctx context.Context, dir string) {
 	isOpen := func(s usagesegment.Info) bool { return s.Open }
 	for first := true; ; {
@@ -154,14 +154,14 @@
 	}
 }
 
-// closeOpenSegments closes the open segments of a folder, as the next start would. It returns false if another
-// process has the folder locked.
+// closeOpenSegments closes the open segments of a folder, as the next start would. It returns false if it cannot,
+// because another process has the folder locked, for example.
 func (n *Node) closeOpenSegments(dir string) bool {
 	writer, err := usagesegment.Open(dir, n.config.Usage.Rotate, n.log)
 	return err == nil && writer.Close() == nil
 }
 
-// exportAll exports the records of a folder until none is left or the context ends.
+// exportAll exports the records of a folder until none are left or the context ends.
 func (n *Node) exportAll(ctx context.Context, dir string) {
 	exporter := n.newExporter(dir)
 	if !n.openWhenUnlocked(ctx, exporter.Open) {
