--- a/internal/standalone/counterclient/pipeline.go
+++ b/internal/standalone/counterclient/pipeline.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	maxPendingCalls  = 1024 // calls without a reply on one connection, including those that have timed out
-	dialTimeout      = 250 * time.Millisecond
+	maxPendingCalls  = 1024                   // unanswered calls on one connection; further calls are refused
+	dialTimeout      = 250 * time.Millisecond // for one attempt to connect
 	reconnectDelay   = 100 * time.Millisecond // after a failure, so that the counter is not dialed in a tight loop
 	pingInterval     = 2 * time.Second        // the counter closes idle connections after 10 s or less
 	silenceTimeout   = time.Second            // a machine that fails leaves its connections open and silent
--- a/internal/standalone/counterserver/server.go
+++ b/internal/standalone/counterserver/server.go
@@ -14,7 +14,7 @@
 	// 17,000 new names a second that are kept for 60 s each.
 	maxNames = 1 << 20
 
-	maxConnsPerHost = 32                    // connections from one host; further ones are reset
+	maxConnsPerHost = 32                    // connections from one IP address; further ones are reset
 	idleTimeout     = 10 * time.Second      // for the next call on a connection
 	acceptRetry     = 10 * time.Millisecond // delay after a failed accept, so that the loop does not spin
 	bufferBytes     = 4096                  // bytes of a connection's buffer for each direction
--- a/internal/standalone/discovery/watcher.go
+++ b/internal/standalone/discovery/watcher.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	dialTimeout    = time.Second
+	dialTimeout    = time.Second     // for one attempt to connect
 	silenceTimeout = 3 * time.Second // discovery sends an empty line every 2 s; without it the watch is dead
 
 	// silentReconnectWindow is the time, in seconds, over which a fleet whose watches fell silent together reopens
