--- a/internal/decision/backend_pools.go
+++ b/internal/decision/backend_pools.go
@@ -9,21 +9,23 @@
 )
 
 const (
-	initialLatency    = 0.1 // s, before any answer
-	latencyForgetRate = 0.2 // share per second by which latency and errors of unused backends decay
+	initialLatency = 0.1 // s, before any answer
+	// latencyForgetRate is the share per second by which latency and errors of unused backends decay, so that
+	// these are tried again.
+	latencyForgetRate = 0.2
 	unusedAfter       = 1.0 // s without an attempt after which a backend counts as unused
 	answerWindow      = 2.0 // s, time constant by which the weight of recent answers decays
 	sendRateWindow    = 3.0 // s, time constant of the send rate
 
 	// Subsetting: each gateway uses only some backends of a large group.
-	minSubset             = 4.0 // backends
+	minSubset             = 4.0 // backends; also the largest number of trial tokens
 	minGatewaysPerBackend = 4.0 // gateways that use one backend, if there are that many
 	// subsetContactInterval is the time, in seconds, in which a gateway uses each backend of its subset about
 	// once. The subset grows with the traffic only as long as each backend gives recent answers to choose by.
 	subsetContactInterval = 1.0
 
 	// Trial tokens limit the attempts at backends that are not known to be healthy: each costs one token.
-	trialsPerAnswer = 0.1 // tokens per successful answer
+	trialsPerAnswer = 0.1 // tokens per successful answer that is not late
 	// trialsPerSecond is the number of tokens added per second. With fewer, a gateway that has only unhealthy
 	// backends sends hardly any requests.
 	trialsPerSecond = 0.1
--- a/internal/decision/counter_cycles.go
+++ b/internal/decision/counter_cycles.go
@@ -8,22 +8,26 @@
 )
 
 const (
-	unitsPerCycle  = 8.0  // units of a fully used quota in a cycle; with fewer, its rate is noise
-	minCyclePeriod = 2.0  // s; shorter cycles see fewer requests
-	maxCyclePeriod = 6.0  // s; longer cycles follow changes of demand too slowly
-	readDelay      = 0.5  // s after the reports; gateways' clocks must differ by much less
-	packedQuotas   = 20.0 // multiple of the quota up to which a packed number can hold the total rate
-	maxDigits      = 6.0  // power of ten up to which the counter stores a packed number exactly
+	unitsPerCycle  = 8.0 // units of a fully used quota in a cycle; with fewer, its rate is noise
+	minCyclePeriod = 2.0 // s; shorter cycles see fewer requests and call the counter more often
+	maxCyclePeriod = 6.0 // s; longer cycles follow changes of demand too slowly
+	// readDelay is the time from the reply to a report until the totals are read, in seconds. The clocks of
+	// the gateways must differ by much less, because the totals lack the reports that come later.
+	readDelay    = 0.5
+	packedQuotas = 20.0 // multiple of the quota up to which a packed number can hold the total rate
+	// maxDigits is the power of ten of the first of the seven digits of a packed number, which the counter
+	// stores exactly. With more digits, rounding would change the number of reporters or the rate.
+	maxDigits = 6.0
 
 	// idleFraction is the part of the even share that the other gateways leave to a gateway whose demand is
 	// below it and that makes no calls.
 	idleFraction = 0.4
-	validCycles  = 2.5 // cycles for which a total is valid
+	validCycles  = 2.5 // cycles for which a total is valid; an older one does not show the present demand
 	// implausibleTotalFraction is the share of the last total below which a total from fewer reporters is
 	// rejected once, because the counter may have lost reports.
 	implausibleTotalFraction = 0.5
 	// minProcessShare is the smallest share of a gateway by which a process scales up its demand to that of
-	// the gateway.
+	// the gateway. It bounds the factor to ten: a larger one would amplify the noise of few requests.
 	minProcessShare = 0.1
 )
 
@@ -95,6 +99,8 @@
 	return c.key + "/" + strconv.FormatInt(cycle, 36) + c.counterSuffix
 }
 
+// callCounter calls the counter of a cycle. The counter is kept for that cycle, for the next one, in which
+// its total may still be read, and for one second more.
 func (g *Gateway) callCounter(c *customer, cycle int64, add float64) {
 	g.emit(CounterCall{
 		Name:       c.counterName(cycle),
@@ -151,6 +157,7 @@
 // measureDemand sets the local rate from the demand of the cycle that ends.
 func (g *Gateway) measureDemand(c *customer) {
 	cycle := &c.cycle
+	// The first cycle of a customer may be short, and a few requests in it must not look like a high rate.
 	span := max(g.now-cycle.startedAt, cycle.period/2)
 	rate := cycle.demand / span / max(minProcessShare, g.processShare())
 	if g.settings.PairCounters && !cycle.neverRead() {
--- a/internal/decision/customers.go
+++ b/internal/decision/customers.go
@@ -10,7 +10,7 @@
 
 const (
 	// idleExpiry is the time, in seconds, after which the state of an unused customer, removed backend or
-	// empty group is deleted.
+	// empty group is deleted, so that state does not accumulate.
 	idleExpiry = 60.0
 	// termsChangeCycles is the number of cycles for which other gateways may not know a change of terms yet.
 	termsChangeCycles = 3
--- a/internal/decision/gateway.go
+++ b/internal/decision/gateway.go
@@ -10,7 +10,7 @@
 const (
 	// tickInterval is the time between two ticks, in seconds. Queues and cycles need no finer resolution.
 	tickInterval = 0.05
-	tickToken    = "tick"
+	tickToken    = "tick" // token of the timer of the ticks
 	// maxTickSpan is the longest time, in seconds, by which one tick ages the state. A longer pause between
 	// two ticks, such as a stalled host or a clock that jumps, counts as this much.
 	maxTickSpan = 1.0
--- a/internal/decision/outliers.go
+++ b/internal/decision/outliers.go
@@ -3,23 +3,24 @@
 import "math"
 
 const (
+	// With larger weights, the typical values would follow single answers.
 	latencyWeight = 0.1 // weight of one answer in a backend's typical latency
 	errorWeight   = 0.1 // weight of one answer in a backend's error rate
 
 	ejectAfterFailures = 3   // consecutive failures
 	minEjection        = 1.0 // s, doubled with each further failure
-	maxEjection        = 4.0 // s
+	maxEjection        = 4.0 // s; bounds how long a backend that has recovered stays unused
 	maxEjectionSteps   = 2   // further failures that are counted, which bounds the doubling
-	// overloadPause is the time, in seconds, for which a backend that rejected work gets no attempts,
-	// before it is doubled with each consecutive rejection. Without the pause, most attempts at a full
-	// backend are rejected.
+	// overloadPause is the base, in seconds, of the time for which a backend that rejected work gets no
+	// attempts. Each consecutive rejection, including the first one, doubles it. Without the pause, most
+	// attempts at a full backend are rejected.
 	overloadPause     = 0.1
-	maxPauseDoublings = 4 // consecutive rejections that double the pause
+	maxPauseDoublings = 4 // consecutive rejections that double the pause, which is 1.6 s at most
 
 	// Concurrency limits: the attempts in flight that a backend may have from this gateway. They are
 	// learned from its answers.
 	initialLimit     = 12.0 // attempts over all gateways; at least one per gateway
-	maxLimit         = 64.0 // attempts
+	maxLimit         = 64.0 // attempts; bounds how many requests one gateway may lose with a backend
 	minLimit         = 0.1  // attempts; a limit below 1 limits the rate (hasCapacity)
 	slowFraction     = 0.35 // share of the latency target; a slower answer shows that requests queue too long
 	limitUtilization = 0.7  // share of the limit in use from which fast answers raise it
--- a/internal/decision/queue.go
+++ b/internal/decision/queue.go
@@ -6,7 +6,7 @@
 )
 
 // queueTimeFraction is the longest time that a request waits for a backend, as a share of the latency target,
-// unless its class sets MaxQueueTime.
+// unless its class sets MaxQueueTime. The rest of the target is left for the answer of the backend.
 const queueTimeFraction = 0.4
 
 // waitingValues holds the values of the most valuable queued requests of a group; 0: none is queued.
--- a/internal/decision/quota_bucket.go
+++ b/internal/decision/quota_bucket.go
@@ -33,7 +33,8 @@
 }
 
 // takeTokens takes the tokens of a request from the local bucket, if it holds enough in addition to the
-// reserve for more valuable requests. Of a full bucket the reserve costs nothing.
+// reserve for more valuable requests. A full bucket still admits each request that is not larger than its
+// capacity without the reserve.
 func (g *Gateway) takeTokens(r *request) bool {
 	c := r.customer
 	g.refill(c)
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -4,7 +4,8 @@
 type Seconds = float64
 
 // Settings configure a gateway at its start. A zero field means that the feature is not available, or that
-// there is no limit.
+// there is no limit. Gateway itself does not read DrainGrace, OverloadFactor, OverloadFor,
+// FinishNonIdempotent, ConnectTimeout, Keepalive, CounterCallCost and SettledLater.
 type Settings struct {
 	Gateways int // number of all gateways
 	Index    int // number of this gateway, from 0
--- a/internal/decision/shared_bucket.go
+++ b/internal/decision/shared_bucket.go
@@ -46,7 +46,8 @@
 	from := b.total
 	if t.cycle != b.cycle {
 		// The final total of the previous cycle is not known. Its demand after the last total is assumed to
-		// equal the demand of this cycle.
+		// equal the demand of this cycle. The rate is taken over at least a quarter of a period, because it
+		// would be noise over less.
 		rest := min(period, max(0, g.now-b.observedAt-t.elapsed))
 		asked = sum + sum/max(t.elapsed, period/4)*rest
 		from = 0
--- a/internal/decision/slow_attempts.go
+++ b/internal/decision/slow_attempts.go
@@ -2,7 +2,8 @@
 
 import "cmp"
 
-// minSlowAttemptTargets is the shortest time after which an attempt counts as slow, in latency targets.
+// minSlowAttemptTargets is the shortest time after which an attempt counts as slow, in latency targets. With
+// less than one, attempts would be abandoned that can still be answered within the target.
 const minSlowAttemptTargets = 1.0
 
 // slowAttemptTimeout returns the time after which a first attempt may be abandoned so that another server
