--- a/internal/cluster/quota/counter_table.go
+++ b/internal/cluster/quota/counter_table.go
@@ -12,7 +12,7 @@
 	HandoverFence = 2.0
 	// LateReportRetention is the time for which a late reporter counts with its last report.
 	LateReportRetention = 3.0
-	// MaxRetention is the longest time for which a cycle is kept.
+	// MaxRetention is the longest time for which a counter is kept after its last use, whatever a report requests.
 	MaxRetention = 600.0
 	// MaxNames bounds the counters of one node. A new counter replaces the least recently used one.
 	MaxNames = 1 << 17
@@ -23,7 +23,7 @@
 const (
 	maxNameLength  = 1024 // bytes
 	maxViews       = 32   // views that are kept; beyond them all answers are suspended
-	expiredPerCall = 4    // largest number of counters that one call of Add removes
+	expiredPerCall = 4    // largest number of counters that one call of Add removes, which bounds the time of the call
 )
 
 // CounterTable holds the counters of one control node. The times passed to its methods must not decrease. Calls must be
--- a/internal/cluster/quota/messages.go
+++ b/internal/cluster/quota/messages.go
@@ -12,7 +12,7 @@
 	Reporter   string  `cbor:"3,keyasint"`           // ingress that reports; with PerRequest its process
 	Amount     float64 `cbor:"4,keyasint,omitempty"` // requests
 	ReadOnly   bool    `cbor:"5,keyasint,omitempty"` // query: nothing is added
-	Retention  float64 `cbor:"6,keyasint,omitempty"` // seconds for which the cycle is kept
+	Retention  float64 `cbor:"6,keyasint,omitempty"` // seconds for which the counter is kept after its last use
 	PerRequest bool    `cbor:"7,keyasint,omitempty"`
 	Serial     uint64  `cbor:"8,keyasint,omitempty"` // number of a PerRequest report; rises for each reporter
 }
