--- a/internal/cluster/doc.go
+++ b/internal/cluster/doc.go
@@ -1,4 +1,4 @@
-// Package cluster groups the packages that the programs of the system share: configuration, registry, replication,
-// quota, transport, settings, metrics, retry, command and linkfaults. Its packages import one another and, for the
-// types on the wire, package cluster/consensus. They import nothing of the programs themselves.
+// Package cluster groups the packages that the programs of the system share: configuration, consensus, coordination,
+// shard, registry, replication, quota, transport, settings, metrics, retry, command, commandline and linkfaults. Its
+// packages import one another, logging and mutants. They import nothing of the programs themselves.
 package cluster
