--- a/internal/cluster/coordination/tables.go
+++ b/internal/cluster/coordination/tables.go
@@ -3,12 +3,13 @@
 import "mulleinrouter/internal/cluster/shard"
 
 const (
-	// maxRecords bounds the locks, numbers and cells of a shard, all together.
+	// maxRecords bounds the locks, numbers and cells of a shard, all together. Requests that would create more are
+	// answered with TooMany.
 	maxRecords = 10_000
 	// maxValueBytes bounds the bytes of the names and values in the cells and events of a shard. A replica without them
 	// receives all in one message, and each node has all in memory.
 	maxValueBytes = 4 << 20
-	// maxUpkeepWrites bounds the records that one upkeep deletes.
+	// maxUpkeepWrites bounds the records that one upkeep deletes, all of them in one batch.
 	maxUpkeepWrites = 256
 	// retentionMargin is how much longer than the history passed to Load events are kept, in seconds. A watch receives
 	// a revision some time after the events that follow it begin to age, and a put may be repeated for some seconds.
--- a/internal/cluster/shard/leader.go
+++ b/internal/cluster/shard/leader.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	heartbeatInterval = 0.2 // seconds
+	heartbeatInterval = 0.2 // seconds; a lease outlasts the loss of several heartbeats (LeaseTTL)
 	resendAfter       = 0.7 // time after which an unanswered append is sent again, seconds
-	maxBatchesSent    = 128 // batches in one message
+	maxBatchesSent    = 128 // batches in one message; the others follow after its reply
 	// transferTimeout bounds the transfer of the leadership, in seconds. If no other leader is elected within it, this
 	// leader steps down nevertheless, because it can't hold the lease again in this term.
 	transferTimeout = 0.5
--- a/internal/cluster/shard/lease.go
+++ b/internal/cluster/shard/lease.go
@@ -16,7 +16,7 @@
 	// the start of its process. It exceeds LeaseTTL by more than two monotonic clocks differ over that time.
 	grantTTL = 1.1
 	// stepDownAfter is how long after the last message that a majority answered a leader steps down, counted from the
-	// sending of that message.
+	// sending of that message. It exceeds LeaseTTL, so the lease has ended by then.
 	stepDownAfter = 1.3
 )
 
