--- a/internal/cluster/configuration/history.go
+++ b/internal/cluster/configuration/history.go
@@ -19,8 +19,9 @@
 	Digest  uint64 // hash of the item's content, see Item.digest
 }
 
-// maxHistory is the number of superseded versions that are kept of an item; the lowest ones are dropped. A client that
-// repeats a call only after this many other changes of the item has waited for minutes.
+// maxHistory is the number of superseded versions that are kept of an item; the lowest ones are dropped. A call
+// with a dropped version is accepted without a comparison of its content. A client that repeats a call only after this
+// many other changes of the item has waited for minutes.
 const maxHistory = 16
 
 // find returns the index of a version in the history, or the index at which it would be inserted.
--- a/internal/cluster/replication/client.go
+++ b/internal/cluster/replication/client.go
@@ -14,7 +14,7 @@
 	// initialDialTimeout bounds the first attempts. A machine without power does not answer and may return at any
 	// moment, but the kernel repeats the first packet of a connection only after 1 s.
 	initialDialTimeout = 200 * time.Millisecond
-	dialTimeout        = time.Second
+	dialTimeout        = time.Second // bounds the later attempts, which get twice the backoff
 )
 
 // Backoff between two attempts at a connection.
--- a/internal/cluster/replication/digests.go
+++ b/internal/cluster/replication/digests.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	bucketCount = 256
+	bucketCount = 256 // buckets of a store, as many as one byte of a hash can number
 	// minDigestEntries is the size of a store below which its snapshot costs little more than its digests.
 	minDigestEntries = 256
 )
--- a/internal/cluster/settings/decode.go
+++ b/internal/cluster/settings/decode.go
@@ -7,7 +7,8 @@
 	"mulleinrouter/internal/logging"
 )
 
-// Defaults of optional settings, in seconds unless a comment gives another unit.
+// Defaults of optional settings, in seconds unless a comment gives another unit. The comments on the fields of Settings
+// and Bounds with the same names say what each one limits.
 const (
 	defaultHeartbeatInterval = 1.5
 	defaultSeedLag           = 3
--- a/internal/cluster/settings/watch.go
+++ b/internal/cluster/settings/watch.go
@@ -17,7 +17,7 @@
 const EnvVariable = "MULLEINROUTER_CONFIG"
 
 const (
-	maxFileBytes = 1 << 20         // size of a settings file; a usual one has 2 KB
+	maxFileBytes = 1 << 20         // bytes of a settings file; a usual one has 2 KB
 	pollInterval = 5 * time.Second // time between two checks for a change without a signal
 )
 
--- a/internal/cluster/transport/codec.go
+++ b/internal/cluster/transport/codec.go
@@ -24,10 +24,10 @@
 // Bounds of a decoded frame. Arrays are bounded so that a small frame can't allocate much memory: an element needs as
 // little as one byte on the wire, but may need some hundred bytes in memory.
 const (
-	maxNesting              = 12
-	maxMapPairs             = 64
-	maxArrayElements        = 1 << 16
-	maxControlArrayElements = 1 << 21 // in frames longer than MaxFrame
+	maxNesting              = 12      // levels of arrays and maps
+	maxMapPairs             = 64      // pairs in one map
+	maxArrayElements        = 1 << 16 // elements of one array
+	maxControlArrayElements = 1 << 21 // elements of one array in a frame longer than MaxFrame
 )
 
 var (
