--- a/internal/standalone/hclfile/errors.go
+++ b/internal/standalone/hclfile/errors.go
@@ -9,7 +9,7 @@
 	"github.com/hashicorp/hcl/v2"
 )
 
-// Error is what is wrong at one place of a file.
+// Error is an error at one position of a file. Its text is a single line.
 type Error struct {
 	File         string
 	Line, Column int // from 1
@@ -25,8 +25,8 @@
 	return text
 }
 
-// newError makes one error of what the library found, in the order of the file: the library checks keys in the order of
-// a map.
+// newError combines the errors among the HCL library's diagnostics into one. It sorts them by position, because the
+// library checks keys in the iteration order of a map, which is random.
 func newError(name string, diagnostics hcl.Diagnostics) *Error {
 	var found []rankedError
 	for _, d := range diagnostics {
@@ -34,7 +34,8 @@
 			found = append(found, rankedError{rank(d), fromDiagnostic(name, d)})
 		}
 	}
-	// A misspelt key is found twice, as an unknown one and as a missing one: the former names the place.
+	// A misspelt required key is reported twice, as an unknown key and as a missing one. The unknown key comes first
+	// because only its diagnostic has the position of the mistake.
 	slices.SortStableFunc(found, func(a, b rankedError) int {
 		return cmp.Or(
 			cmp.Compare(a.rank, b.rank),
@@ -50,14 +51,14 @@
 	return e
 }
 
-// rankedError is an error with the rank of its diagnostic.
+// rankedError is an error with the rank of its diagnostic, by which errors are sorted first.
 type rankedError struct {
 	rank int
 	err  *Error
 }
 
-// fromDiagnostic makes an error of one thing that the library found. The library's texts may run over several lines; an
-// Error has one.
+// fromDiagnostic converts a diagnostic of the HCL library to an Error. The library's texts may have several lines, and
+// the text of an Error has one.
 func fromDiagnostic(name string, d *hcl.Diagnostic) *Error {
 	e := &Error{File: name, Line: 1, Column: 1}
 	if s := d.Subject; s != nil {
@@ -67,7 +68,7 @@
 	return e
 }
 
-// rank puts unknown keys first.
+// rank returns 0 for an unknown key and 1 for any other diagnostic.
 func rank(d *hcl.Diagnostic) int {
 	if strings.HasPrefix(d.Summary, "Unsupported") {
 		return 0
--- a/internal/standalone/hclfile/hclfile.go
+++ b/internal/standalone/hclfile/hclfile.go
@@ -16,14 +16,14 @@
 
 const millisecondsPerSecond = 1000
 
-// File is a file that has been parsed.
+// File is a parsed file. Callers use it to report errors of values at their positions.
 type File struct {
 	Name string
 	body *hclsyntax.Body
 }
 
-// Parse reads a file's text into a struct with hcl tags. Unknown keys are errors, with a suggestion of what may
-// have been meant. Errors are of type *Error.
+// Parse decodes a file's text into a struct with hcl tags. An unknown key is an error, with the suggestion of a
+// similar known key if there is one. Errors are of type *Error.
 func Parse(name string, text []byte, into any) (*File, error) {
 	parsed, diagnostics := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
 	if diagnostics.HasErrors() {
@@ -39,11 +39,11 @@
 	return &File{Name: name, body: body}, nil
 }
 
-// maxExponent bounds the binary exponent of a number in a file; no setting needs more.
+// maxExponent is the largest binary exponent of a number in a file. No setting needs a larger one.
 const maxExponent = 1024
 
-// findHugeNumbers finds numbers of more digits than any setting has. Where the library turns one into text it
-// writes all of its digits: a file of one line blocked a start and a reload for ever (found by FuzzHCL).
+// findHugeNumbers reports numbers whose exponent is beyond maxExponent. When the HCL library converts a number to
+// text, it writes every digit, so a file of one line blocked a start or a reload forever (found by FuzzHCL).
 func findHugeNumbers(body *hclsyntax.Body) hcl.Diagnostics {
 	return hclsyntax.VisitAll(body, func(node hclsyntax.Node) (diagnostics hcl.Diagnostics) {
 		literal, ok := node.(*hclsyntax.LiteralValueExpr)
@@ -63,14 +63,14 @@
 	})
 }
 
-// ErrorAt makes an error about a place named by a path, such as `plan.plus.rate`: the attribute or the block that
-// it leads to, or as far as it leads.
+// ErrorAt returns an error at the attribute or block that a path names, such as `plan.plus.rate`. If the file has no
+// such element, the position is that of the innermost enclosing block that exists, or the start of the file.
 func (f *File) ErrorAt(path, text string) *Error {
 	pos := f.locate(path)
 	return &Error{File: f.Name, Line: pos.Line, Column: pos.Column, Text: path + ": " + text}
 }
 
-// locate is the position of a path.
+// locate returns the position of a path, as ErrorAt describes it.
 func (f *File) locate(path string) hcl.Pos {
 	body, pos, words := f.body, hcl.InitialPos, strings.Split(path, ".")
 	for len(words) > 0 {
@@ -86,8 +86,8 @@
 	return pos
 }
 
-// findBlock is the block that a path's first words name by its type and its labels, and how many words these are;
-// nil: there is none.
+// findBlock returns the block whose type and labels are the first words of a path, and the number of these words. It
+// returns nil if there is no such block.
 func findBlock(body *hclsyntax.Body, words []string) (*hclsyntax.Block, int) {
 	for _, b := range body.Blocks {
 		if b.Type != words[0] || len(b.Labels) >= len(words) && len(b.Labels) > 0 {
@@ -104,7 +104,8 @@
 	return nil, 0
 }
 
-// Duration reads a span such as "250ms" or "1m30s" at a path. Empty: the default value.
+// Duration parses a duration such as "250ms" or "1m30s". An empty text means the default value. The path is where
+// an error is reported.
 func (f *File) Duration(path, text string, defaultValue time.Duration) (time.Duration, error) {
 	if text == "" {
 		return defaultValue, nil
@@ -116,7 +117,8 @@
 	return d, nil
 }
 
-// Time reads a time of RFC 3339 at a path, as Unix seconds rounded down to milliseconds. Empty: 0.
+// Time parses a time of RFC 3339 to Unix seconds, rounded down to milliseconds. An empty text means 0. The path is
+// where an error is reported.
 func (f *File) Time(path, text string) (decision.Seconds, error) {
 	if text == "" {
 		return 0, nil
@@ -128,7 +130,7 @@
 	return float64(t.UnixMilli()) / millisecondsPerSecond, nil
 }
 
-// ResolvePath makes a relative path in a file one from the file's own folder.
+// ResolvePath resolves a relative path against the folder of the file. An empty path stays empty.
 func (f *File) ResolvePath(path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
--- a/internal/standalone/hclfile/plan.go
+++ b/internal/standalone/hclfile/plan.go
@@ -2,7 +2,8 @@
 
 import "mulleinrouter/internal/decision"
 
-// Plan is a plan as files have it. Units are those that requests count; rates are units a second.
+// Plan is the block of a plan in a configuration or a catalogue. Rates are in units per second, where units are what
+// requests are counted in.
 type Plan struct {
 	Name         string  `hcl:"name,label"`
 	Rate         float64 `hcl:"rate,optional"`
@@ -16,7 +17,7 @@
 	CeilingSlack float64 `hcl:"ceiling_slack,optional"`
 }
 
-// Plan is the plan in the decision module's form.
+// Plan converts the block to the decision module's type.
 func (p Plan) Plan() decision.Plan {
 	return decision.Plan{
 		Name:        p.Name,
@@ -32,7 +33,7 @@
 	}
 }
 
-// FromPlan is a plan of the decision module as files have it.
+// FromPlan converts a plan of the decision module to a block.
 func FromPlan(p decision.Plan) Plan {
 	return Plan{
 		Name:         p.Name,
--- a/internal/standalone/hclfile/plan_test.go
+++ b/internal/standalone/hclfile/plan_test.go
@@ -8,7 +8,7 @@
 	"mulleinrouter/internal/decision"
 )
 
-func TestPlanBothWays(t *testing.T) {
+func TestPlanRoundTrip(t *testing.T) {
 	want := decision.Plan{
 		Name: "plus", Rate: 1, Burst: 2, MaxInFlight: 3, ValueWeight: 4, ExcessValue: 5, ExcessCost: 6,
 		LimitRate: 7, LimitBurst: 8, LimitSlack: 9,
--- a/internal/standalone/jsontext/doc.go
+++ b/internal/standalone/jsontext/doc.go
@@ -1,3 +1,3 @@
-// Package jsontext is the one place of the ingress in service where JSON is read and written, with the semantics of
-// encoding/json. It imports nothing of this repository and has no state. Tests are beside it.
+// Package jsontext encodes and decodes JSON for the standalone ingress, with the semantics of encoding/json. No other
+// package of the ingress uses a JSON library directly. It imports no package of this repository and has no state.
 package jsontext
--- a/internal/standalone/jsontext/jsontext.go
+++ b/internal/standalone/jsontext/jsontext.go
@@ -8,12 +8,13 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// Raw is a value that is not decoded.
+// Raw is a JSON value that is kept as text instead of being decoded.
 type Raw = jsoniter.RawMessage
 
 var api = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// Decode reads a value. Its errors are one line: the decoder's quote what it read, line ends included.
+// Decode reads a value. The text of its errors is a single line. The decoder's own errors quote the input, including
+// its line breaks, so white space is collapsed.
 func Decode(raw []byte, v any) error {
 	if err := api.Unmarshal(raw, v); err != nil {
 		return errors.New(strings.Join(strings.Fields(err.Error()), " "))
--- a/internal/standalone/settings/check.go
+++ b/internal/standalone/settings/check.go
@@ -8,13 +8,13 @@
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
-// jsonObject is an object whose keys are not known beforehand.
+// jsonObject is a JSON object that is decoded without a schema, so that missing keys can be told from zero values.
 type jsonObject = map[string]any
 
-// Check returns nil if settings may replace those in force (before), as a SIGHUP brings them: a file is applied as
-// a whole or not at all. Each key of the settings in force must still be there, in each section and in each class;
-// each class needs a positive Deadline, and SendCap, the limit of attempts, must be a positive whole number. The
-// error names the key.
+// Check returns nil if settings (raw) may replace those in force (before) at a SIGHUP. A file is applied as a whole or
+// not at all. Every key of the settings in force must still be present, in each section and in each class. Each class
+// needs a positive Deadline, and SendCap, the maximum number of attempts, must be a positive whole number. The error
+// names the key.
 func Check(raw, before []byte) error {
 	var next, current jsonObject
 	if err := jsontext.Decode(raw, &next); err != nil || next == nil {
@@ -32,7 +32,7 @@
 	return checkSendCap(next)
 }
 
-// checkSections holds all keys of the settings in force in the next ones, one section deep.
+// checkSections checks that the next settings have all keys of those in force, at the top level and in each section.
 func checkSections(next, current jsonObject) error {
 	for key, value := range current {
 		if err := checkPresent("", key, value, next); err != nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// checkKeys holds all keys of one object in the next one.
+// checkKeys checks that the next object has all keys of the current one.
 func checkKeys(prefix string, next, current jsonObject) error {
 	for key, value := range current {
 		if err := checkPresent(prefix, key, value, next); err != nil {
@@ -63,24 +63,24 @@
 	return nil
 }
 
-// checkPresent holds one key in an object. Null counts as missing, unless the value in force is null too.
+// checkPresent checks that an object has a key. Null counts as missing, unless the value in force is null too.
 func checkPresent(prefix, key string, value any, next jsonObject) error {
-	nextValue, there := next[key]
-	if !there || nextValue == nil && value != nil {
+	nextValue, present := next[key]
+	if !present || nextValue == nil && value != nil {
 		return &KeyError{prefix + key, "missing"}
 	}
 	return nil
 }
 
-// checkClasses holds each class to the keys of the first class in force, and to a positive deadline.
+// checkClasses checks that each class has the keys of the first class in force, and a positive deadline.
 func checkClasses(next, current jsonObject) error {
 	classes, _ := next["Classes"].([]any)
 	if len(classes) == 0 {
 		return &KeyError{"Classes", "none"}
 	}
-	var model jsonObject
+	var firstClass jsonObject
 	if old, _ := current["Classes"].([]any); len(old) > 0 {
-		model, _ = old[0].(jsonObject)
+		firstClass, _ = old[0].(jsonObject)
 	}
 	for i, c := range classes {
 		path := fmt.Sprintf("Classes[%d]", i)
@@ -88,7 +88,7 @@
 		if !ok {
 			return &KeyError{path, "not an object"}
 		}
-		if err := checkKeys(path+".", class, model); err != nil {
+		if err := checkKeys(path+".", class, firstClass); err != nil {
 			return err
 		}
 		if deadline, ok := class["Deadline"].(float64); !ok || !(deadline > 0) {
@@ -98,14 +98,14 @@
 	return nil
 }
 
-// checkSendCap holds the limit of attempts, where there is one, to a positive whole number.
+// checkSendCap checks that the maximum number of attempts, if it is set, is a positive whole number.
 func checkSendCap(next jsonObject) error {
 	permissions, ok := next["Permissions"].(jsonObject)
 	if !ok {
 		return nil
 	}
-	value, there := permissions["SendCap"]
-	if !there {
+	value, present := permissions["SendCap"]
+	if !present {
 		return nil
 	}
 	if n, ok := value.(float64); !ok || !(n >= 1) || n != math.Trunc(n) {
--- a/internal/standalone/settings/settings.go
+++ b/internal/standalone/settings/settings.go
@@ -7,11 +7,12 @@
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
+// maxIngresses bounds the number of ingresses, so that a mistaken one is rejected.
 const maxIngresses = 100_000
 
-// object is the form of the settings object. The names of its fields are the keys: they follow the operators'
-// pages, not the decision module.
-type object = struct {
+// settingsObject is the JSON form of the settings. The names of its fields are the keys, so they are those of the
+// operators' documentation and not those of the decision module. Times are in seconds, rates in units per second.
+type settingsObject = struct {
 	Balancers, Me int
 	Zone          string
 	Classes       []classObject
@@ -43,10 +44,10 @@
 	Open                                          int
 }
 
-// Decode reads the settings object that an ingress is given at its start, in the simulator's first message or in the
-// platform's configuration. Unknown keys are ignored. Times are seconds.
+// Decode decodes the settings object that an ingress receives at its start, in the simulator's first message or in the
+// platform's configuration. Unknown keys are ignored. Times are in seconds.
 func Decode(raw []byte) (decision.Settings, error) {
-	var o object
+	var o settingsObject
 	if len(raw) == 0 || string(raw) == "null" {
 		return decision.Settings{}, ErrNoSettings
 	}
@@ -56,7 +57,7 @@
 	if err := checkIngresses(&o); err != nil {
 		return decision.Settings{}, err
 	}
-	s := newSettings(&o)
+	s := newDecisionSettings(&o)
 	for _, c := range o.Classes {
 		s.Classes = append(s.Classes, newClass(&c))
 	}
@@ -66,9 +67,9 @@
 	return s, nil
 }
 
-// checkIngresses returns an error for numbers of ingresses that cannot be true: they would silence this ingress, or
-// give several the same rank.
-func checkIngresses(o *object) error {
+// checkIngresses rejects an implausible number of ingresses, and an index of this ingress outside of it. Such
+// values would keep this ingress from serving, or give several ingresses the same index.
+func checkIngresses(o *settingsObject) error {
 	if o.Balancers < 0 || o.Balancers > maxIngresses {
 		return &KeyError{"Balancers", fmt.Sprintf("%d is not from 0 to %d", o.Balancers, maxIngresses)}
 	}
@@ -78,8 +79,8 @@
 	return nil
 }
 
-// newSettings are the decision module's settings, without classes and plans.
-func newSettings(o *object) decision.Settings {
+// newDecisionSettings returns the decision module's settings, without classes and plans.
+func newDecisionSettings(o *settingsObject) decision.Settings {
 	return decision.Settings{
 		Gateways:        o.Balancers,
 		Index:           o.Me,
@@ -104,7 +105,7 @@
 	}
 }
 
-// effects are the words for effects; any other word means a request that must not run twice.
+// effects maps the names of effects. Any other name means that a request must not run twice.
 var effects = map[string]decision.Effect{
 	"pure":  decision.Idempotent,
 	"token": decision.IdempotentByKey,
--- a/internal/standalone/settings/settings_test.go
+++ b/internal/standalone/settings/settings_test.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// TestCheck: settings that a SIGHUP brings are applied as a whole or not at all; each fault is named.
+// Settings that arrive with a SIGHUP are applied as a whole or not at all, so Check rejects an incomplete or invalid
+// object and names the key.
 func TestCheck(t *testing.T) {
 	const (
 		class       = `{"Name":"a","Promise":1,"Deadline":3,"Gain":1,"Effect":"pure"}`
@@ -32,7 +33,7 @@
 		before      = `{"Balancers":3,"Me":0,"Classes":[` + class + `],
 		"Packages":[{"Name":"p","Refill":1}],"Permissions":` + permissions + `}`
 	)
-	// with is an object with other classes and permissions.
+	// with returns an object with other classes and permissions.
 	with := func(classes, permissions string) string {
 		return `{"Balancers":3,"Me":0,"Classes":[` + classes + `],"Packages":[],"Permissions":` + permissions + `}`
 	}
