--- a/internal/standalone/plans/capacity.go
+++ b/internal/standalone/plans/capacity.go
@@ -9,12 +9,15 @@
 )
 
 const (
-	rateTolerance = 1e-9 // relative, for sums of rates
-	unitTolerance = 1e-6 // for rounding down a number of units that fits exactly
+	rateTolerance = 1e-9 // relative rounding error allowed in sums of rates
+
+	// unitTolerance, in units, is added before rounding down, so that a whole number of units that fits exactly is not
+	// rounded to the next lower one.
+	unitTolerance = 1e-6
 )
 
-// CheckCapacity returns nil if one more booking stays within the bookable rate (units a second) at every instant,
-// together with those that exist.
+// CheckCapacity returns nil if a further booking, together with the existing ones, stays within the bookable rate
+// (units per second) at every instant.
 func CheckCapacity(existing []Booking, b Booking, bookableRate float64) *CapacityError {
 	at, maxRate := peak(existing, b.From, b.To)
 	if maxRate+b.Rate() <= bookableRate*(1+rateTolerance) {
@@ -28,8 +31,8 @@
 	}
 }
 
-// earliestStart is the earliest later start from which a booking fits, and 0 if it never does. The sum of rates
-// falls only where a booking ends: nothing between such ends can be the earliest.
+// earliestStart returns the earliest later start at which a booking fits, or 0 if there is none. The sum of rates
+// decreases only where a booking ends, so only these ends can be the earliest start.
 func earliestStart(existing []Booking, b Booking, bookableRate float64) decision.Seconds {
 	ends := make([]decision.Seconds, 0, len(existing))
 	for _, other := range existing {
@@ -46,14 +49,14 @@
 	return 0
 }
 
-// exceedTogether returns whether the sum of the bookings' rates exceeds the bookable rate at any instant, in one
-// pass.
-func exceedTogether(bookings []Booking, bookableRate float64) bool {
+// exceedsBookableRate reports whether the sum of the bookings' rates exceeds the bookable rate at any instant. It
+// takes one pass over the bookings.
+func exceedsBookableRate(bookings []Booking, bookableRate float64) bool {
 	_, maxRate := peak(bookings, math.Inf(-1), math.Inf(1))
 	return maxRate > bookableRate*(1+rateTolerance)
 }
 
-// peak is the largest sum of the bookings' rates within a span, and when it is first reached.
+// peak returns the largest sum of the bookings' rates within a period, and the time at which it is first reached.
 func peak(bookings []Booking, from, to decision.Seconds) (at decision.Seconds, maxRate float64) {
 	type step struct{ at, change float64 }
 	var steps []step
@@ -62,7 +65,8 @@
 			steps = append(steps, step{max(b.From, from), b.Rate()}, step{b.To, -b.Rate()})
 		}
 	}
-	// At one instant, what ends comes before what begins.
+	// A booking that ends at an instant is subtracted before one that begins then is added, because the two do not
+	// overlap.
 	slices.SortFunc(steps, func(a, b step) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.change, b.change))
 	})
--- a/internal/standalone/plans/compiled.go
+++ b/internal/standalone/plans/compiled.go
@@ -6,35 +6,35 @@
 	"mulleinrouter/internal/decision"
 )
 
-// compiled is a revision prepared for lookups.
-type compiled struct {
+// compiledRevision is a revision with indexes for lookups.
+type compiledRevision struct {
 	Revision
 	digest string
 	terms  map[string]*decision.Terms // by plan
-	spans  map[string][]span          // by member, in order
-	edges  []decision.Seconds         // when any span begins or ends, in order
+	spans  map[string][]span          // by member, in order of time
+	edges  []decision.Seconds         // starts and ends of bookings, in order, without duplicates
 }
 
-// span is a stretch of time in which a member has booked the same rate.
+// span is a period in which the sum of a member's bookings is constant.
 type span struct {
 	from, to decision.Seconds
-	rate     float64                    // units a second
-	terms    map[string]*decision.Terms // by plan, made when first asked for
+	rate     float64                    // sum of the booked rates, units per second
+	terms    map[string]*decision.Terms // cached terms by plan, created at the first lookup
 }
 
-// covers returns whether a time is within the span.
+// covers reports whether a time is within the span.
 func (s *span) covers(now decision.Seconds) bool { return s.from <= now && now < s.to }
 
-// changesWithin returns whether the span begins or ends after since, until now.
+// changesWithin reports whether the span begins or ends after since and not later than now.
 func (s *span) changesWithin(since, now decision.Seconds) bool {
 	return since < s.from && s.from <= now || since < s.to && s.to <= now
 }
 
-// newTerms are the terms of a plan.
+// newTerms returns the terms of a plan.
 func newTerms(p decision.Plan) *decision.Terms { return &decision.Terms{Plan: p, Tag: p.Tag()} }
 
-func compile(r Revision, digest string) *compiled {
-	c := &compiled{
+func compile(r Revision, digest string) *compiledRevision {
+	c := &compiledRevision{
 		Revision: r,
 		digest:   digest,
 		terms:    map[string]*decision.Terms{},
@@ -55,8 +55,8 @@
 	return c
 }
 
-// addSpans cuts a member's bookings where any of them begins or ends, and adds up their rates in between.
-func (c *compiled) addSpans(member string, bookings []Booking) {
+// addSpans splits a member's bookings into spans wherever one of them begins or ends, and adds up the rates in each.
+func (c *compiledRevision) addSpans(member string, bookings []Booking) {
 	var edges []decision.Seconds
 	for _, b := range bookings {
 		edges = append(edges, b.From, b.To)
@@ -77,9 +77,9 @@
 	c.edges = append(c.edges, edges...)
 }
 
-// lookup is the terms of a member on a plan, with what it has booked; nil: the revision lacks the plan. The same
-// pointer comes back while the terms stay the same.
-func (c *compiled) lookup(member, plan string, now decision.Seconds) *decision.Terms {
+// lookup returns the terms of a member on a plan, including its bookings, or nil if the revision does not have the
+// plan. It returns the same pointer as long as the terms do not change.
+func (c *compiledRevision) lookup(member, plan string, now decision.Seconds) *decision.Terms {
 	terms := c.terms[plan]
 	if terms == nil || terms.Plan.Rate <= 0 {
 		return terms
@@ -92,7 +92,7 @@
 	return terms
 }
 
-// raised is a plan's terms with the booked rate on top, up to the plan's rate limit.
+// raised returns a plan's terms with the booked rate added to its rate, up to the plan's rate limit.
 func (s *span) raised(plan string, terms *decision.Terms) *decision.Terms {
 	if s.terms[plan] == nil {
 		p := terms.Plan
--- a/internal/standalone/plans/diff.go
+++ b/internal/standalone/plans/diff.go
@@ -9,15 +9,15 @@
 // Change is one difference between two revisions.
 type Change struct {
 	What, Name string // What is plan, member, booking or setting
-	From, To   string // empty: not there
+	From, To   string // text of the part in either revision; empty: the revision does not have it
 }
 
-// item is one part of a revision that can differ.
-type item struct{ what, name string }
+// diffKey identifies a part of a revision that is compared: its kind and its name.
+type diffKey struct{ what, name string }
 
-// Diff returns what differs from revision a to b, ordered by kind and name.
+// Diff returns the differences from revision a to revision b, ordered by kind and name.
 func Diff(a, b *Revision) (changes []Change) {
-	from, to := items(a), items(b)
+	from, to := diffTexts(a), diffTexts(b)
 	for key, was := range from {
 		if is := to[key]; is != was {
 			changes = append(changes, Change{key.what, key.name, was, is})
@@ -34,21 +34,21 @@
 	return changes
 }
 
-// items are the parts of a revision, as text.
-func items(r *Revision) map[item]string {
-	texts := map[item]string{
+// diffTexts returns the parts of a revision as text, for comparison and output.
+func diffTexts(r *Revision) map[diffKey]string {
+	texts := map[diffKey]string{
 		{"setting", "holds"}:         fmt.Sprintf("%.3f", r.EffectiveAt),
 		{"setting", "authority"}:     r.Authority.String(),
 		{"setting", "bookable_rate"}: fmt.Sprint(r.BookableRate),
 	}
 	for _, p := range r.Plans {
-		texts[item{"plan", p.Name}] = FormatPlan(p)
+		texts[diffKey{"plan", p.Name}] = FormatPlan(p)
 	}
 	for member, plan := range r.Members {
-		texts[item{"member", member}] = plan
+		texts[diffKey{"member", member}] = plan
 	}
 	for _, b := range r.Bookings {
-		texts[item{"booking", b.ID}] = fmt.Sprintf("%s: %g units from %.0f to %.0f", b.Member, b.Units, b.From, b.To)
+		texts[diffKey{"booking", b.ID}] = fmt.Sprintf("%s: %g units from %.0f to %.0f", b.Member, b.Units, b.From, b.To)
 	}
 	return texts
 }
--- a/internal/standalone/plans/digest_test.go
+++ b/internal/standalone/plans/digest_test.go
@@ -6,8 +6,8 @@
 	"mulleinrouter/internal/decision"
 )
 
-// Ingresses of different versions compare digests and tags, so neither may follow a renamed field. The values are
-// those of version 76a3bb5.
+// Ingresses of different versions compare digests and tags, so these must not change when a field is renamed. The
+// expected values are those of version 76a3bb5.
 func TestDigestAndTagsAsInEarlierVersions(t *testing.T) {
 	plus := decision.Plan{
 		Name: "plus", Rate: 10.25, Burst: 20, MaxInFlight: 3, ValueWeight: 2.5,
--- a/internal/standalone/plans/doc.go
+++ b/internal/standalone/plans/doc.go
@@ -1,15 +1,16 @@
-// Package plans decides which plan each member is on, and with what figures, while ingresses serve: revisions of a
-// catalogue, the time from which each takes effect, and allowance that is booked ahead.
+// Package plans determines the plan of each member, and the plan's limits, while ingresses serve. It manages the
+// revisions of a catalogue, the time from which each takes effect, and bookings, which raise a member's quota for a
+// period.
 //
-// It is a pure state machine: no I/O, no clock, no goroutines. The caller offers revisions as it receives them,
-// asks for the terms of a member at a time, and learns from Due whose terms have changed. Times are Unix seconds on
-// the clock that ingresses share. Equal revisions give equal terms at all ingresses, whatever the order in which
-// they were received.
+// It is a pure state machine without I/O, clock or goroutines. The caller offers revisions as it receives them,
+// looks up the terms of a member at a time, and learns from Due whose terms have changed. Times are Unix seconds on
+// the clock that ingresses share. All ingresses derive the same terms from the same revisions, in whatever order they
+// receive them.
 //
-// It may import the decision module, for plans and terms, and nothing else of this repository. The caller owns a
-// State and guards it. Package catalogue reads and writes revisions as files; node applies them.
+// It may import the decision module, for plans and terms, and no other package of this repository. The caller owns a
+// State and serializes access to it. Package catalogue reads and writes revisions as files, and package node applies
+// them.
 //
-// The files: revision.go (types and digest), validate.go, capacity.go (bookings against the bookable rate),
-// diff.go, state.go (which revision is in force), compiled.go (a revision prepared for lookups), errors.go. Tests
-// are beside them.
+// The files are revision.go (types and digest), validate.go, capacity.go (bookings against the bookable rate),
+// diff.go, state.go (which revision is in force), compiled.go (a revision prepared for lookups) and errors.go.
 package plans
--- a/internal/standalone/plans/errors.go
+++ b/internal/standalone/plans/errors.go
@@ -7,20 +7,20 @@
 	"mulleinrouter/internal/decision"
 )
 
-// ValidationError is something wrong with a revision by itself.
+// ValidationError is one reason why a revision is invalid by itself, without regard to other revisions.
 type ValidationError struct {
-	Path string // the place, such as `plan.plus.rate`
+	Path string // position in the revision, such as `plan.plus.rate`
 	Text string
 }
 
 func (v ValidationError) Error() string { return v.Path + ": " + v.Text }
 
-// CapacityError says why a booking does not fit the bookable rate, and what would fit.
+// CapacityError reports that a booking does not fit in the bookable rate, and what would fit.
 type CapacityError struct {
-	At    decision.Seconds // the instant with the least rate left
-	Free  float64          // units a second left then
-	Units float64          // the most that fits in the same span
-	From  decision.Seconds // the earliest later start from which the booking fits as it is; 0: it never does
+	At    decision.Seconds // time within the booking with the least rate left, Unix time
+	Free  float64          // rate left at that time, units per second; negative if it is overbooked already
+	Units float64          // largest number of units that fits in the same period
+	From  decision.Seconds // earliest later start at which the unchanged booking fits, Unix time; 0: there is none
 }
 
 func (c *CapacityError) Error() string {
--- a/internal/standalone/plans/plans_test.go
+++ b/internal/standalone/plans/plans_test.go
@@ -93,7 +93,8 @@
 	}
 }
 
-// CheckCapacity agrees with a check of every instant, on random bookings; what it says would fit does, and no more.
+// CheckCapacity agrees with a check of every instant on random bookings. The number of units that it offers fits, and
+// one more does not. The start that it offers is the earliest that fits.
 func TestCheckCapacityAgreesWithEveryInstant(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	rejected, moved := 0, 0
@@ -173,7 +174,7 @@
 	}
 }
 
-// rates returns the quota that a member has at some times, in units a second; -1: no such plan.
+// rates returns the quota of a member at several times, in units per second, or -1 where the plan is unknown.
 func rates(s *State, member, tier string, at ...decision.Seconds) (all []float64) {
 	for _, now := range at {
 		t := s.Terms(member, tier, now)
@@ -210,8 +211,8 @@
 	}
 }
 
-// Whatever the order in which ingresses receive revisions, they come to the same terms: also of two revisions under
-// one number.
+// Ingresses that receive the same revisions in different orders derive the same terms, even from two revisions with
+// the same number.
 func TestOrderOfReceiptDoesNotMatter(t *testing.T) {
 	all := []Revision{
 		revision(1, 0), revision(2, 20, func(r *Revision) { r.Members[anna] = "plus" }),
@@ -271,7 +272,7 @@
 }
 
 func TestBookingNeverExceedsTheRateLimit(t *testing.T) {
-	s := NewState(nil) // by header: the plan is not known when the booking is checked
+	s := NewState(nil) // the plan comes from the header, so it is not known when the booking is validated
 	s.Offer(revision(1, 0, func(r *Revision) {
 		r.Authority, r.Members = AuthorityHeader, nil
 		r.Bookings = []Booking{{"b", bert, 100, 110, 900}}
@@ -329,7 +330,7 @@
 		r.Bookings = []Booking{{"b", bert, 60, 70, 20}}
 	}), 10)
 	check(11, 50, map[string]float64{})
-	check(50, 60, map[string]float64{anna: 10, bert: 10}) // bert has a booking: due again
+	check(50, 60, map[string]float64{anna: 10, bert: 10}) // bert is due again, because of its booking
 	check(60, 70, map[string]float64{bert: 12})
 	check(71, 0, map[string]float64{bert: 10})
 }
--- a/internal/standalone/plans/revision.go
+++ b/internal/standalone/plans/revision.go
@@ -11,17 +11,18 @@
 	"mulleinrouter/internal/decision"
 )
 
-// Authority says who names a member's plan.
+// Authority determines which source names a member's plan.
 type Authority int
 
 const (
-	// AuthorityHeader lets the client's X-Tier name the plan.
+	// AuthorityHeader means that the client's X-Tier header names the plan.
 	AuthorityHeader Authority = iota
-	// AuthorityCatalogue lets the catalogue name the plan of the members that it lists, and X-Tier that of others.
+	// AuthorityCatalogue means that the catalogue names the plan of the members that it lists, and that X-Tier names
+	// the plan of other members.
 	AuthorityCatalogue
 )
 
-// String is the word for an authority in files and tables.
+// String returns the name of an authority in files and tables.
 func (a Authority) String() string {
 	if a == AuthorityCatalogue {
 		return "catalogue"
@@ -29,35 +30,37 @@
 	return "header"
 }
 
-// Revision is one complete state of the catalogue. The command line prints it as JSON under the names of its fields.
+// Revision is one complete state of the catalogue. The command line prints it as JSON under the names of its fields,
+// so they must not change.
 type Revision struct {
-	Number      uint64           // from 1; of those whose time has come, the highest is in force
-	EffectiveAt decision.Seconds `json:"Holds"` // Unix time from which it counts; 0: as soon as it is received
+	Number      uint64           // from 1; the highest number whose EffectiveAt has passed is in force
+	EffectiveAt decision.Seconds `json:"Holds"` // Unix time from which it takes effect; 0: as soon as it is received
 	Authority   Authority
-	// BookableRate is how many units a second all bookings together may take at any instant.
+	// BookableRate is the largest sum of the rates of all bookings at any instant, in units per second.
 	BookableRate float64           `json:"Bookable"`
 	Plans        []decision.Plan   // in no particular order
 	Members      map[string]string // plan by member
 	Bookings     []Booking
 }
 
-// Booking is allowance that a member has been promised for a span, on top of its plan's quota.
+// Booking is a number of units that a member may use in a period in addition to its plan's quota.
 type Booking struct {
 	ID, Member string
-	From, To   decision.Seconds // Unix time; To is no part of the span
-	Units      float64          // spread evenly over the span; unused units expire
+	From, To   decision.Seconds // Unix time; To is exclusive
+	Units      float64          // spread evenly over the period; unused units expire
 }
 
-// Rate is what the booking adds to the member's quota while it runs, in units a second.
+// Rate returns the rate that the booking adds to the member's quota during its period, in units per second.
 func (b Booking) Rate() float64 { return b.Units / (b.To - b.From) }
 
-// String is a booking in tables, logs and digests. Its form is part of the digest's format: ingresses of all versions
-// compare digests.
+// String returns the text of a booking for tables, logs and digests. It must not change, because it is part of the
+// digest, which ingresses of different versions compare.
 func (b Booking) String() string {
 	return fmt.Sprintf("%s: %g units for %s over %.0f s", b.ID, b.Units, b.Member, b.To-b.From)
 }
 
-// Digest is a short hash of all that a revision says, its number included. Equal revisions have equal digests.
+// Digest returns a short hash of the whole content of a revision, including its number. Equal revisions have equal
+// digests.
 func (r *Revision) Digest() string {
 	h := fnv.New64a()
 	fmt.Fprint(h, r.Number, r.EffectiveAt, r.Authority, r.BookableRate)
@@ -75,8 +78,8 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// planDigestText is a plan as it enters a digest. The words are part of the format: ingresses of all versions
-// compare digests, so they do not follow the names of the fields.
+// planDigestText returns the text of a plan that is hashed into a digest. Its words must not change when a field is
+// renamed, because ingresses of different versions compare digests.
 func planDigestText(p decision.Plan) string {
 	return fmt.Sprintf("{Name:%v Rate:%v Burst:%v Open:%v Price:%v ExcessWorth:%v BeyondCosts:%v "+
 		"CeilingRate:%v CeilingDepth:%v CeilingSlack:%v}",
@@ -84,15 +87,15 @@
 		p.LimitRate, p.LimitBurst, p.LimitSlack)
 }
 
-// figure is one figure of a plan, under its key in files.
-type figure struct {
+// planField is a numeric field of a plan, with its key in files.
+type planField struct {
 	key   string
 	value float64
 }
 
-// figures are those of a plan, in the order of files and tables.
-func figures(p decision.Plan) []figure {
-	return []figure{
+// planFields returns the numeric fields of a plan, in their order in files and tables.
+func planFields(p decision.Plan) []planField {
+	return []planField{
 		{"rate", p.Rate},
 		{"burst", p.Burst},
 		{"open", float64(p.MaxInFlight)},
@@ -105,10 +108,10 @@
 	}
 }
 
-// FormatPlan is a plan's figures in one line, without those that are 0.
+// FormatPlan returns the numeric fields of a plan on one line, without those that are 0.
 func FormatPlan(p decision.Plan) string {
 	var words []string
-	for _, f := range figures(p) {
+	for _, f := range planFields(p) {
 		if f.value != 0 {
 			words = append(words, fmt.Sprintf("%s=%g", f.key, f.value))
 		}
--- a/internal/standalone/plans/state.go
+++ b/internal/standalone/plans/state.go
@@ -7,43 +7,45 @@
 	"mulleinrouter/internal/decision"
 )
 
-// maxPending bounds the revisions that are known and not yet in force; more of them can only be a mistake.
+// maxPending is the maximum number of revisions that are kept, including the one in force. It bounds memory. Only a
+// mistake of operators leads to more pending revisions.
 const maxPending = 64
 
-// Verdict says what became of a revision that was offered.
+// Verdict is the result of offering a revision.
 type Verdict int
 
 const (
-	// VerdictPending means: kept; it takes effect when its time comes.
+	// VerdictPending means that the revision was added and takes effect at its EffectiveAt.
 	VerdictPending Verdict = iota
-	// VerdictLate means: its time had come before it was received; it takes effect at once.
+	// VerdictLate means that its EffectiveAt had passed when it was received, so it takes effect at once.
 	VerdictLate
-	// VerdictDuplicate means: known already.
+	// VerdictDuplicate means that the revision is known already.
 	VerdictDuplicate
-	// VerdictStale means: ignored, because one with a higher number is in force.
+	// VerdictStale means that it is ignored, because a revision with a higher number is in force.
 	VerdictStale
-	// VerdictConflict means: its number is known with another content; the one with the higher digest counts.
+	// VerdictConflict means that a revision with the same number and other content is known. The one with the higher
+	// digest is kept, unless the new one was committed, which always replaces the other.
 	VerdictConflict
-	// VerdictQueueFull means: ignored, because too many are pending.
+	// VerdictQueueFull means that it is ignored, because maxPending revisions are known.
 	VerdictQueueFull
 )
 
-// verdictNames are the words of logs, which operators' pages quote.
+// verdictNames are the names in logs. They must not change, because the operators' documentation quotes them.
 var verdictNames = [...]string{"announced", "late", "same", "older", "conflict", "full"}
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// State is what one ingress knows of the catalogue. It is not safe for use by several goroutines at once.
+// State is the part of the catalogue that one ingress knows. It is not safe for concurrent use.
 type State struct {
-	base    map[string]*decision.Terms // the plans of the settings, for a time before any revision is in force
-	retired map[string]*decision.Terms // plans that a revision removed: clients may still name them by header
-	known   []*compiled                // by number; the first one may be in force, the others are pending
+	base    map[string]*decision.Terms // terms of the settings' plans, used until a revision is in force
+	retired map[string]*decision.Terms // terms of superseded revisions; clients may still name their plans by header
+	known   []*compiledRevision        // by number; the first one may be in force, the others are pending
 
-	reportedUntil decision.Seconds // Due has returned the changes until then
-	reported      *compiled        // the revision that was in force then
+	reportedUntil decision.Seconds  // time of the last call of Due, Unix time
+	reported      *compiledRevision // the revision that was in force at that call
 }
 
-// NewState returns a state that knows the plans of the settings only.
+// NewState returns a state that has the plans of the settings and no revision.
 func NewState(base []decision.Plan) *State {
 	s := &State{base: map[string]*decision.Terms{}, retired: map[string]*decision.Terms{}}
 	for _, p := range base {
@@ -52,11 +54,11 @@
 	return s
 }
 
-// Offer adds a valid revision. Whatever the order in which ingresses receive revisions, they come to agree on the
-// one in force: the number decides, and under one number the digest.
+// Offer adds a valid revision. Ingresses that receive the same revisions in any order agree on the one in force,
+// because the highest number takes precedence, and among equal numbers the highest digest.
 func (s *State) Offer(r Revision, now decision.Seconds) Verdict { return s.add(r, now, false) }
 
-// Commit adds a revision that was announced under a lease: it replaces any other of its number.
+// Commit adds a revision that was announced by the lease holder. It replaces any other revision with its number.
 func (s *State) Commit(r Revision, now decision.Seconds) Verdict { return s.add(r, now, true) }
 
 func (s *State) add(r Revision, now decision.Seconds, committed bool) Verdict {
@@ -64,7 +66,7 @@
 	if c := s.inForce(now); c != nil && r.Number < c.Number {
 		return VerdictStale
 	}
-	byNumber := func(c *compiled, n uint64) int { return cmp.Compare(c.Number, n) }
+	byNumber := func(c *compiledRevision, n uint64) int { return cmp.Compare(c.Number, n) }
 	i, found := slices.BinarySearchFunc(s.known, r.Number, byNumber)
 	if found {
 		switch known := s.known[i].digest; {
@@ -85,7 +87,7 @@
 	return VerdictPending
 }
 
-// InForce is the number of the revision in force; 0: there is none, and the plans of the settings count.
+// InForce returns the number of the revision in force, or 0 if there is none and the plans of the settings apply.
 func (s *State) InForce(now decision.Seconds) uint64 {
 	if c := s.inForce(now); c != nil {
 		return c.Number
@@ -93,9 +95,9 @@
 	return 0
 }
 
-// inForce is the revision with the highest number of those whose time has come; nil: there is none. It forgets those
-// with lower numbers, except for their plans.
-func (s *State) inForce(now decision.Seconds) *compiled {
+// inForce returns the revision with the highest number among those whose EffectiveAt has passed, or nil if there is
+// none. It removes the revisions with lower numbers, and keeps their plans' terms in retired.
+func (s *State) inForce(now decision.Seconds) *compiledRevision {
 	for i := len(s.known) - 1; i >= 0; i-- {
 		if s.known[i].EffectiveAt <= now {
 			s.retire(i)
@@ -115,8 +117,8 @@
 	s.known = slices.Delete(s.known, 0, n)
 }
 
-// Terms are those of a member whose client names a plan; nil: the plan is unknown. The same pointer comes back
-// while the terms stay the same.
+// Terms returns the terms of a member whose client names the plan tier, or nil if the plan is unknown. It returns the
+// same pointer as long as the terms do not change.
 func (s *State) Terms(member, tier string, now decision.Seconds) *decision.Terms {
 	c := s.inForce(now)
 	if c == nil {
@@ -130,15 +132,15 @@
 	if terms := c.lookup(member, tier, now); terms != nil {
 		return terms
 	}
-	// The plan was removed while clients still name it: they are served by its last figures, not rejected.
+	// Clients that still name a removed plan are served under its last terms instead of being rejected.
 	if terms := s.retired[tier]; terms != nil {
 		return terms
 	}
 	return s.base[tier]
 }
 
-// Plans are the names of the plans that clients may name, in order. Those of pending revisions are among them:
-// clients may learn of a revision a moment earlier than this ingress puts it into force.
+// Plans returns the names of the plans that clients may name, in order. They include those of pending revisions,
+// because clients may use a revision shortly before this ingress puts it into force.
 func (s *State) Plans() []string {
 	var names []string
 	add := func(m map[string]*decision.Terms) {
@@ -155,8 +157,8 @@
 	return slices.Compact(names)
 }
 
-// Due returns the terms of members that the catalogue lists and whose terms have changed since the last call, in
-// order of members. Other members' terms are looked up with their next request.
+// Due returns the changed terms of the members that the catalogue lists, in order of members. Changed means since the
+// last call. The terms of other members are looked up at their next request.
 func (s *State) Due(now decision.Seconds) (due []decision.Terms) {
 	c, before, since := s.inForce(now), s.reported, s.reportedUntil
 	s.reported, s.reportedUntil = c, now
@@ -185,8 +187,8 @@
 	return due
 }
 
-// differsFor returns whether a member's terms may differ from those of another revision, which may be nil.
-func (c *compiled) differsFor(member string, before *compiled) bool {
+// differsFor reports whether a member's terms may differ from those in an earlier revision, which may be nil.
+func (c *compiledRevision) differsFor(member string, before *compiledRevision) bool {
 	plan := c.Members[member]
 	if before == nil || before.Members[member] != plan {
 		return true
@@ -197,7 +199,7 @@
 	return len(before.spans[member])+len(c.spans[member]) > 0
 }
 
-// Next is when terms change next, as far as is known now; 0: never.
+// Next returns the time of the next known change of terms, or 0 if there is none.
 func (s *State) Next(now decision.Seconds) (next decision.Seconds) {
 	earlier := func(at decision.Seconds) {
 		if at > now && (next == 0 || at < next) {
@@ -206,7 +208,8 @@
 	}
 	if c := s.inForce(now); c != nil {
 		if i, _ := slices.BinarySearch(c.edges, now); i < len(c.edges) {
-			for _, at := range c.edges[i:min(i+2, len(c.edges))] { // the edge may be now: the one after it counts then
+			// edges[i] may equal now. Then the next change is at edges[i+1].
+			for _, at := range c.edges[i:min(i+2, len(c.edges))] {
 				earlier(at)
 			}
 		}
--- a/internal/standalone/plans/validate.go
+++ b/internal/standalone/plans/validate.go
@@ -11,26 +11,27 @@
 	"mulleinrouter/internal/decision"
 )
 
+// invalidMember is the text of an error about a member's name.
 const invalidMember = "a member is 16 lower-case hexadecimal digits, below 2^33"
 
-// validation collects what is wrong with a revision.
+// validation collects the errors of a revision.
 type validation struct {
 	revision *Revision
 	plans    map[string]decision.Plan // by name
 	errors   []ValidationError
 }
 
-// Validate returns all that is wrong with a revision by itself; nil: nothing.
+// Validate returns all errors of a revision by itself, or nil if it is valid.
 func (r *Revision) Validate() []ValidationError {
 	v := &validation{revision: r, plans: map[string]decision.Plan{}}
 	v.checkSettings()
 	v.checkPlans()
 	v.checkMembers()
-	// What the bookings add up to is looked at only if each is valid by itself, and against a valid rate only.
+	// Sums of bookings have no meaning if a booking or the bookable rate is invalid, so they are not checked then.
 	before := len(v.errors)
 	v.checkBookings()
 	if bookingsValid := len(v.errors) == before; bookingsValid {
-		if finite(r.BookableRate) {
+		if isFiniteNonNegative(r.BookableRate) {
 			v.checkCapacity()
 		}
 		if r.Authority == AuthorityCatalogue {
@@ -40,7 +41,7 @@
 	return v.errors
 }
 
-// reject adds an error about a place.
+// reject adds an error at a path.
 func (v *validation) reject(text string, path ...string) {
 	v.errors = append(v.errors, ValidationError{strings.Join(path, "."), text})
 }
@@ -50,10 +51,10 @@
 	if r.Number == 0 {
 		v.reject("the number must be 1 or more", "revision")
 	}
-	if !finite(r.EffectiveAt) {
+	if !isFiniteNonNegative(r.EffectiveAt) {
 		v.reject("not a time", "holds")
 	}
-	if !finite(r.BookableRate) {
+	if !isFiniteNonNegative(r.BookableRate) {
 		v.reject("must be a number of units a second, 0 or more", "bookable_rate")
 	}
 }
@@ -67,8 +68,8 @@
 			v.reject("a plan needs a name of its own, one word", "plan", p.Name)
 		}
 		v.plans[p.Name] = p
-		for _, f := range figures(p) {
-			if !finite(f.value) {
+		for _, f := range planFields(p) {
+			if !isFiniteNonNegative(f.value) {
 				v.reject("must be a number, 0 or more", "plan", p.Name, f.key)
 			}
 		}
@@ -108,10 +109,10 @@
 		if !ValidMember(b.Member) {
 			v.reject(invalidMember, "booking", b.ID, "member")
 		}
-		if !(b.From > 0 && b.From < b.To) || !finite(b.To) {
+		if !(b.From > 0 && b.From < b.To) || !isFiniteNonNegative(b.To) {
 			v.reject("must end after it begins", "booking", b.ID, "to")
 		}
-		if !finite(b.Units) || b.Units == 0 {
+		if !isFiniteNonNegative(b.Units) || b.Units == 0 {
 			v.reject("must be more than 0", "booking", b.ID, "units")
 		}
 		if v.revision.Authority != AuthorityCatalogue {
@@ -125,19 +126,20 @@
 	}
 }
 
-// checkCapacity holds all bookings together under the bookable rate, which must be finite.
+// checkCapacity checks that all bookings together stay within the bookable rate, which must be finite.
 func (v *validation) checkCapacity() {
 	bookings, rate := v.revision.Bookings, v.revision.BookableRate
-	if !exceedTogether(bookings, rate) {
+	if !exceedsBookableRate(bookings, rate) {
 		return
 	}
-	// The first booking that does not fit those before it is reported. Adding bookings never makes the others fit.
-	n := sort.Search(len(bookings)-1, func(i int) bool { return exceedTogether(bookings[:i+1], rate) })
+	// The first booking that does not fit with those before it is reported. A binary search finds it, because a set of
+	// bookings that exceeds the rate still exceeds it when bookings are added.
+	n := sort.Search(len(bookings)-1, func(i int) bool { return exceedsBookableRate(bookings[:i+1], rate) })
 	v.reject(CheckCapacity(bookings[:n], bookings[n], rate).Error(), "booking", bookings[n].ID, "units")
 }
 
-// checkRateLimits holds what a member has booked under its plan's rate limit: no booking is accepted that cannot be
-// used.
+// checkRateLimits checks that a member's bookings, on top of its plan's rate, stay within the plan's rate limit.
+// Units beyond the limit could not be used.
 func (v *validation) checkRateLimits() {
 	byMember := map[string][]Booking{}
 	for _, b := range v.revision.Bookings {
@@ -157,10 +159,10 @@
 
 const (
 	memberDigits = 16
-	memberPrefix = "0000000" // of the digits: the next one is 0 or 1
+	memberPrefix = "0000000" // leading digits of a number below 2^33; the next digit is 0 or 1
 )
 
-// ValidMember returns whether a word names a member: 16 hexadecimal digits, lower case, below 2^33 (PROTOCOL).
+// ValidMember reports whether a text is the name of a member: 16 lower-case hexadecimal digits, below 2^33 (PROTOCOL).
 func ValidMember(s string) bool {
 	if len(s) != memberDigits || strings.Trim(s, "0123456789abcdef") != "" || !strings.HasPrefix(s, memberPrefix) {
 		return false
@@ -169,5 +171,5 @@
 	return next == '0' || next == '1'
 }
 
-// finite returns whether a figure is a number from 0 on, neither infinite nor NaN.
-func finite(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
+// isFiniteNonNegative reports whether a number is 0 or more, and neither infinite nor NaN.
+func isFiniteNonNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
