--- a/internal/standalone/catalogue/catalogue.go
+++ b/internal/standalone/catalogue/catalogue.go
@@ -11,10 +11,10 @@
 	"mulleinrouter/internal/standalone/plans"
 )
 
-// maxFileBytes bounds a file, which is read as a whole.
+// maxFileBytes is the maximum size of a catalogue file. It bounds memory, because a file is read as a whole.
 const maxFileBytes = 64 << 20
 
-// Load reads a catalogue. Each of its revisions is valid by itself; they are in order of their numbers.
+// Load reads a catalogue file. It returns the revisions in order of their numbers. Each is valid by itself.
 func Load(path string) ([]plans.Revision, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return Parse(path, text)
 }
 
-// Save replaces a catalogue atomically: a concurrent reader gets the old one or the new one.
+// Save replaces a catalogue file atomically, so that a concurrent reader gets either the old or the new content.
 func Save(path string, revisions []plans.Revision) error {
 	temp, err := os.CreateTemp(filepath.Dir(path), ".catalogue-*")
 	if err != nil {
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// Apply adds a revision to those of a catalogue, and removes those below the one in force. Its errors are ErrStale
-// and ErrEarlierStart.
+// Apply adds a revision to those of a catalogue, and removes the revisions that precede the one in force. Its errors
+// are ErrStale and ErrEarlierStart.
 func Apply(revisions []plans.Revision, next plans.Revision, now decision.Seconds) ([]plans.Revision, error) {
 	if n := len(revisions); n > 0 {
 		last := &revisions[n-1]
--- a/internal/standalone/catalogue/catalogue_test.go
+++ b/internal/standalone/catalogue/catalogue_test.go
@@ -72,7 +72,8 @@
 }
 
 func TestParseErrorsNameThePlace(t *testing.T) {
-	for _, tc := range []struct{ name, from, to, want string }{ // from is replaced by to; a want may end in *
+	// from is replaced by to. A final * in want matches any text.
+	for _, tc := range []struct{ name, from, to, want string }{
 		{"not HCL", "revision \"7\" {", "revision \"7\" ", `f:1:14: Invalid block definition: *`},
 		{"nothing", good, "", `f:1:1: revision: a catalogue needs one revision at least`},
 		{"unknown key", "    price = 1", "    prize = 1",
@@ -123,7 +124,7 @@
 	}
 	all, err := Apply([]plans.Revision{r(1, 10), r(2, 20), r(3, 100)}, r(4, 120), 50)
 	if diff := cmp.Diff([]uint64{2, 3, 4}, numbers(all)); diff != "" || err != nil {
-		t.Errorf("error %v; numbers without those that are past (-want +got):\n%s", err, diff)
+		t.Errorf("error %v; numbers of the revision in force and the pending ones (-want +got):\n%s", err, diff)
 	}
 	if _, err := Apply(all, r(4, 130), 50); !errors.Is(err, ErrStale) {
 		t.Errorf("Apply of the same number = %v, want %v", err, ErrStale)
@@ -133,8 +134,8 @@
 	}
 }
 
-// The watched file is replaced by valid and invalid ones: OnChange receives the valid ones, and an invalid one is
-// logged once.
+// The watched file is replaced by valid and invalid ones. OnChange receives the valid ones, and an invalid one is
+// logged once, even if it is written twice.
 func TestWatcher(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plans.hcl")
 	write := func(text string) {
@@ -155,7 +156,7 @@
 	done := make(chan error)
 	go func() { done <- w.Run(ctx) }()
 	await := func(want uint64) {
-		for n := range received { // one replacement may be several events
+		for n := range received { // one replacement may cause several events
 			if n == want {
 				return
 			}
@@ -181,8 +182,8 @@
 	}
 }
 
-// FuzzParse: a catalogue is rejected with one line that names the place, or is valid and stays the same when it is
-// written and read again.
+// FuzzParse checks that a catalogue is either rejected with an error of one line that names the position, or is valid
+// and unchanged after Format and Parse.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(good))
 	f.Add([]byte("revision \"1\" {\n  plan \"a\" {\n    open = 3\n  }\n}\n"))
--- a/internal/standalone/catalogue/doc.go
+++ b/internal/standalone/catalogue/doc.go
@@ -1,6 +1,6 @@
-// Package catalogue reads, writes and watches the file that holds the catalogue of plans: HCL, replaced as a whole
-// by operators' commands, and followed by every ingress.
+// Package catalogue reads, writes and watches the HCL file that contains the catalogue of plans. Operators' commands
+// replace the file as a whole, and every ingress watches it.
 //
-// What a revision means is decided in package plans, which this package may import beside hclfile. The file's
-// content has one owner, the operators' commands (Save); a Watcher only reads. Tests are beside it.
+// The meaning of a revision is defined in package plans, which this package may import, as well as hclfile. Only the
+// operators' commands write the file, with Save. A Watcher only reads it.
 package catalogue
--- a/internal/standalone/catalogue/format.go
+++ b/internal/standalone/catalogue/format.go
@@ -15,22 +15,22 @@
 	"mulleinrouter/internal/standalone/plans"
 )
 
-// fileForm is the form of a catalogue in HCL: the revision in force, and those that are pending.
-type fileForm struct {
-	Revisions []revisionForm `hcl:"revision,block"`
+// hclCatalogue is the HCL form of a catalogue, which contains the revision in force and the pending ones.
+type hclCatalogue struct {
+	Revisions []hclRevision `hcl:"revision,block"`
 }
 
-type revisionForm struct {
+type hclRevision struct {
 	Number    string              `hcl:"number,label"`
 	Holds     string              `hcl:"holds,optional"`
 	Authority string              `hcl:"authority,optional"`
 	Bookable  float64             `hcl:"bookable_rate,optional"`
 	Members   map[string][]string `hcl:"members,optional"` // by plan
 	Plans     []hclfile.Plan      `hcl:"plan,block"`
-	Bookings  []bookingForm       `hcl:"booking,block"`
+	Bookings  []hclBooking        `hcl:"booking,block"`
 }
 
-type bookingForm struct {
+type hclBooking struct {
 	ID     string  `hcl:"id,label"`
 	Member string  `hcl:"member"`
 	From   string  `hcl:"from"`
@@ -38,9 +38,9 @@
 	Units  float64 `hcl:"units"`
 }
 
-// Parse reads a catalogue's text. Errors are of type *hclfile.Error: they name the file, line and column.
+// Parse parses the text of a catalogue. Its errors are of type *hclfile.Error and name the file, line and column.
 func Parse(name string, text []byte) ([]plans.Revision, error) {
-	var form fileForm
+	var form hclCatalogue
 	file, err := hclfile.Parse(name, text, &form)
 	if err != nil {
 		return nil, err
@@ -64,11 +64,11 @@
 	return revisions, nil
 }
 
-// path is the place of the revision in its file.
-func (r *revisionForm) path() string { return "revision." + r.Number }
+// path returns the path of the revision's block, at which errors are reported.
+func (r *hclRevision) path() string { return "revision." + r.Number }
 
-// parse reads one revision and validates it.
-func (r *revisionForm) parse(file *hclfile.File) (*plans.Revision, error) {
+// parse converts one revision and validates it.
+func (r *hclRevision) parse(file *hclfile.File) (*plans.Revision, error) {
 	number, err := strconv.ParseUint(r.Number, 10, 63)
 	if err != nil {
 		return nil, file.ErrorAt(r.path(), "the number of a revision is a whole number from 1 on, in quotes")
@@ -92,7 +92,7 @@
 	return revision, r.validate(file, revision)
 }
 
-func (r *revisionForm) authority(file *hclfile.File) (plans.Authority, error) {
+func (r *hclRevision) authority(file *hclfile.File) (plans.Authority, error) {
 	switch r.Authority {
 	case "", "catalogue":
 		return plans.AuthorityCatalogue, nil
@@ -104,8 +104,8 @@
 	}
 }
 
-// parseMembers fills in the plan of each member.
-func (r *revisionForm) parseMembers(file *hclfile.File, planByMember map[string]string) error {
+// parseMembers adds the plan of each member to a map. A member may be listed under one plan only.
+func (r *hclRevision) parseMembers(file *hclfile.File, planByMember map[string]string) error {
 	for plan, members := range r.Members {
 		for _, m := range members {
 			if other, twice := planByMember[m]; twice {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-func (r *revisionForm) bookings(file *hclfile.File) (bookings []plans.Booking, err error) {
+func (r *hclRevision) bookings(file *hclfile.File) (bookings []plans.Booking, err error) {
 	for _, b := range r.Bookings {
 		path := r.path() + ".booking." + b.ID
 		booking := plans.Booking{ID: b.ID, Member: b.Member, Units: b.Units}
@@ -132,8 +132,8 @@
 	return bookings, nil
 }
 
-// validate returns what is wrong with a revision, each at its place in the file; nil: nothing.
-func (r *revisionForm) validate(file *hclfile.File, revision *plans.Revision) error {
+// validate returns the errors of a revision, each with its position in the file, or nil if the revision is valid.
+func (r *hclRevision) validate(file *hclfile.File, revision *plans.Revision) error {
 	var found []*hclfile.Error
 	for _, problem := range revision.Validate() {
 		path := r.path()
@@ -149,19 +149,19 @@
 	return found[0]
 }
 
-// Format writes revisions as a catalogue's text.
+// Format returns the text of a catalogue with the given revisions.
 func Format(revisions []plans.Revision) []byte {
-	var form fileForm
+	var form hclCatalogue
 	for _, r := range revisions {
-		form.Revisions = append(form.Revisions, newRevisionForm(r))
+		form.Revisions = append(form.Revisions, newHCLRevision(r))
 	}
 	out := hclwrite.NewEmptyFile()
 	gohcl.EncodeIntoBody(&form, out.Body())
 	return out.Bytes()
 }
 
-func newRevisionForm(r plans.Revision) revisionForm {
-	form := revisionForm{
+func newHCLRevision(r plans.Revision) hclRevision {
+	form := hclRevision{
 		Number:    strconv.FormatUint(r.Number, 10),
 		Holds:     rfc3339(r.EffectiveAt),
 		Authority: r.Authority.String(),
@@ -178,7 +178,7 @@
 		slices.Sort(members)
 	}
 	for _, b := range r.Bookings {
-		form.Bookings = append(form.Bookings, bookingForm{
+		form.Bookings = append(form.Bookings, hclBooking{
 			ID:     b.ID,
 			Member: b.Member,
 			From:   rfc3339(b.From),
@@ -189,7 +189,7 @@
 	return form
 }
 
-// rfc3339 is a Unix time as files have it, rounded to milliseconds; 0: empty.
+// rfc3339 formats a Unix time for files, rounded to milliseconds. The time 0 gives an empty text.
 func rfc3339(at decision.Seconds) string {
 	if at == 0 {
 		return ""
--- a/internal/standalone/catalogue/watcher.go
+++ b/internal/standalone/catalogue/watcher.go
@@ -12,24 +12,24 @@
 	"mulleinrouter/internal/standalone/plans"
 )
 
-// Watcher follows a catalogue's file.
+// Watcher reads a catalogue file whenever it changes.
 type Watcher struct {
 	Path     string
 	OnChange func([]plans.Revision) // receives each valid catalogue, from the goroutine of Run
 	Log      log.Logger
 
-	lastError error // nil: the last reading succeeded
+	lastError error // error of the last read; nil: it succeeded
 }
 
-// Run reads the file, and again whenever it is replaced, until the context ends. A catalogue that is not valid
-// changes nothing, and is logged once.
+// Run reads the file, and reads it again whenever it is replaced, until the context ends. An invalid catalogue changes
+// nothing, and each distinct error is logged once in a row.
 func (w *Watcher) Run(ctx context.Context) error {
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
 		return fmt.Errorf("catalogue: %w", err)
 	}
 	defer watcher.Close()
-	// The folder is watched: a file that is replaced by another one is no longer the one that was watched.
+	// The folder is watched instead of the file, because a watch of a file ends when another file replaces it.
 	if err := watcher.Add(filepath.Dir(w.Path)); err != nil {
 		return fmt.Errorf("catalogue: %w", err)
 	}
@@ -55,7 +55,7 @@
 func (w *Watcher) Read() {
 	revisions, err := Load(w.Path)
 	if err != nil {
-		// An editor that saves in steps must not fill the log.
+		// An unchanged error is not logged again, because an editor that saves in several steps would fill the log.
 		if w.lastError == nil || w.lastError.Error() != err.Error() {
 			level.Error(w.Log).Log("msg", "catalogue invalid; plans unchanged",
 				"code", "plans-bad-catalogue", "error", err,
--- a/internal/standalone/config/config.go
+++ b/internal/standalone/config/config.go
@@ -12,53 +12,54 @@
 // Config is the configuration of one ingress. Addresses are host:port.
 type Config struct {
 	Name      string
-	Listen    string // address of clients
+	Listen    string // address for clients
 	Discovery string
 	Counter   string // empty: there is no counter
-	Mgmt      string // the management address, for operators alone; empty: none
-	State     string // folder that this ingress's processes share while one upgrades another; empty: none
+	Mgmt      string // management address, for operators only; empty: none
+	State     string // folder that the old and the new process share during an upgrade; empty: none
 	Seed      uint64
 	Limits    Limits
-	Known     *discovery.List // endpoint list to start with; nil: none
+	Known     *discovery.List // initial endpoint list; nil: none
 	Settings  decision.Settings
 
-	// SettingsRaw are the settings as the platform's file has them, to check a newer file against; nil in our own form.
+	// SettingsRaw is the JSON text of the platform's settings, against which a newer file is checked at a reload. It is
+	// nil for an HCL file.
 	SettingsRaw []byte
 
-	// Only our own file names these: the platform gives no place for them.
-	Static         bool             // Known is the complete list: there is no discovery
-	Embedded       string           // address where this ingress serves a counter of its own; empty: none
-	Catalogue      string           // file of plans that change in service; empty: none
-	UseRevisionLog bool             // revisions of the catalogue take effect once the lease holder has announced them
+	// The following fields are set by HCL files only, because the platform's format has no keys for them.
+	Static         bool             // Known is the complete list and there is no discovery
+	Embedded       string           // address where this ingress serves an embedded counter; empty: none
+	Catalogue      string           // path of the catalogue of plans, which is watched; empty: none
+	UseRevisionLog bool             // catalogue revisions take effect only when the lease holder has announced them
 	Usage          *Usage           // nil: usage is not recorded
-	Log            logging.Settings // zero: info, in logfmt
+	Log            logging.Settings // zero value: level info, format logfmt
 
-	Membership *Membership // nil: ingresses do not know of each other
+	Membership *Membership // nil: the ingress has no contact to other ingresses
 
-	FaultInjection *faultinjection.Faults // of a process that a fault test started; no file names them
+	FaultInjection *faultinjection.Faults // set by the command line in fault tests only, never by a file; nil: none
 }
 
-// Membership is how this ingress takes part in its fleet.
+// Membership is the configuration of this ingress as a member of its fleet.
 type Membership struct {
-	Fleet     string        // name of the fleet: messages of another are rejected
+	Fleet     string        // name of the fleet; messages from other fleets are rejected
 	Listen    string        // host:port for datagrams and streams
-	Advertise string        // host:port that the others use; empty: Listen
-	Join      []string      // host:port of others, to begin with
-	KeyFile   string        // gossip keys; empty: messages are not encrypted
-	Interval  time.Duration // between health checks of members
-	Share     bool          // quotas, while the counter is not trusted, and verdicts on servers are shared
-	Voters    []string      // names of those that agree on lease holders; empty: there are no leases
+	Advertise string        // host:port at which other members reach this one; empty: Listen
+	Join      []string      // host:port of members to contact at the start
+	KeyFile   string        // path of the gossip keys; empty: messages are not encrypted
+	Interval  time.Duration // time between health checks of members
+	Share     bool          // share warnings of servers, and quotas while the counter is not trusted
+	Voters    []string      // names of the members that vote on lease holders; empty: there are no leases
 }
 
-// Usage is where usage is recorded, and where it is exported to.
+// Usage is the configuration of usage records and their export.
 type Usage struct {
 	Dir      string
-	Endpoint string        // URL that takes batches; empty: none
-	Rotate   time.Duration // a segment is closed after this, and can be exported
-	Keep     time.Duration // how long segments stay after they have been acknowledged
+	Endpoint string        // URL to which batches are sent; empty: none
+	Rotate   time.Duration // age at which a segment is closed, after which it can be exported
+	Keep     time.Duration // retention of segments after they are acknowledged
 }
 
-// Limits are those of the ingress's machine. Zero means: the default of node.Tune.
+// Limits are the resources of the machine that the ingress may use. Zero means the default of node.Tune.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
--- a/internal/standalone/config/config_test.go
+++ b/internal/standalone/config/config_test.go
@@ -21,7 +21,7 @@
 "settings":{"Balancers":3,"Me":1,"Classes":[{"Name":"c","Promise":1,"Deadline":3,"Gain":2,"Effect":"pure"}],
 "Packages":[{"Name":"p","Refill":4,"Burst":5,"Pays":1.2}],"FamilyInfo":{"MayCount":true,"CountWait":0.03}}}`
 
-// The file alone is complete; each variable wins over its key, and only over that.
+// The file alone is a complete configuration. Each variable takes precedence over its own key and over no other.
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(platformText), 0o600); err != nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-// At a reload the file wins, for it is newer than the variables. They fill in what it leaves out.
+// At a reload the file takes precedence, because it is newer than the variables. These supply missing values only.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	withoutListen := strings.Replace(platformText, `"listen":"127.0.0.1:1",`, "", 1)
@@ -95,7 +95,7 @@
 	}
 }
 
-// Without NODE_CONFIG the error says so, and not that some file is missing.
+// Without NODE_CONFIG the error names the variable, instead of reporting that a file with an empty name is missing.
 func TestLoadWithoutVariable(t *testing.T) {
 	_, err := Load(func(string) string { return "" })
 	if !errors.Is(err, ErrNoVariable) || err.Error() != "NODE_CONFIG is not set" {
--- a/internal/standalone/config/errors.go
+++ b/internal/standalone/config/errors.go
@@ -2,17 +2,17 @@
 
 import "errors"
 
-// Errors about the platform's form of a configuration.
+// Errors of a configuration in the platform's format.
 var (
-	// ErrNoVariable is returned where the environment does not name a file.
+	// ErrNoVariable is returned if the environment does not name a configuration file.
 	ErrNoVariable = errors.New("NODE_CONFIG is not set")
 
-	// ErrNegativeLimits is returned for limits of the machine below zero.
+	// ErrNegativeLimits is returned for a machine limit below zero.
 	ErrNegativeLimits = errors.New("limits: below zero")
 
-	// ErrNoClassesOrPlans is returned for settings on which no request could be decided.
+	// ErrNoClassesOrPlans is returned for settings without classes or plans, under which no request could be decided.
 	ErrNoClassesOrPlans = errors.New("settings: no classes or no plans")
 
-	// ErrNoCounterAddress is returned where the settings promise a counter that has no address.
+	// ErrNoCounterAddress is returned if the settings require a counter and the file has no address for it.
 	ErrNoCounterAddress = errors.New("counter: the settings promise one, but there is no address")
 )
--- a/internal/standalone/config/fuzz_test.go
+++ b/internal/standalone/config/fuzz_test.go
@@ -9,8 +9,8 @@
 	"mulleinrouter/internal/standalone/hclfile"
 )
 
-// decide runs the decision module on settings that were accepted: each request is decided or queued, and nothing
-// panics.
+// decide runs the decision module on accepted settings with several requests of each plan, and replies to its counter
+// calls and sends. It checks only that nothing panics.
 func decide(c *Config) {
 	g := decision.New(c.Settings, c.Seed)
 	g.Handle(0, decision.Start{})
@@ -46,7 +46,7 @@
 	}
 }
 
-// FuzzConfig: a configuration is rejected, or an ingress can run on it.
+// FuzzConfig checks that a configuration in the platform's format is either rejected or usable by the decision module.
 func FuzzConfig(f *testing.F) {
 	for _, s := range []string{
 		`{"name":"n3","listen":"h:1","discovery":"h:2","seed":"8c1f",` +
@@ -70,7 +70,7 @@
 	})
 }
 
-// FuzzHCL: the same for our own form.
+// FuzzHCL checks the same for an HCL configuration.
 func FuzzHCL(f *testing.F) {
 	f.Add([]byte(`listen = "127.0.0.1:1"
 server "a" {
@@ -89,7 +89,7 @@
 }
 `))
 	f.Add([]byte("listen = "))
-	f.Add([]byte("listen = 9e99999999\nname = \"a${-8e-88888888}\"\n")) // hung: written out digit by digit
+	f.Add([]byte("listen = 9e99999999\nname = \"a${-8e-88888888}\"\n")) // hung: the library wrote out every digit
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if c, err := ParseFile("f.hcl", text); err == nil && len(c.Settings.Classes) > 0 {
 			decide(c)
--- a/internal/standalone/config/hcl.go
+++ b/internal/standalone/config/hcl.go
@@ -11,8 +11,8 @@
 	"mulleinrouter/internal/standalone/hclfile"
 )
 
-// hclForm is the form of our own file. Times are spans such as "250ms", rates are units a second.
-type hclForm struct {
+// hclConfig is the top level of an HCL configuration. Times are durations such as "250ms", rates are units per second.
+type hclConfig struct {
 	Name      string          `hcl:"name,optional"`
 	Listen    string          `hcl:"listen"`
 	Mgmt      string          `hcl:"mgmt,optional"`
@@ -106,10 +106,10 @@
 	Keep     string `hcl:"keep,optional"`
 }
 
-// defaultName is the name of an ingress whose file gives none.
+// defaultName is the name of an ingress whose file does not set one.
 const defaultName = "mulleinrouter"
 
-// LoadFile reads a configuration of our own form. Errors name the file, line and column.
+// LoadFile reads an HCL configuration. Its errors name the file, line and column.
 func LoadFile(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -118,9 +118,9 @@
 	return ParseFile(path, text)
 }
 
-// ParseFile reads the text of a configuration of our own form.
+// ParseFile parses the text of an HCL configuration. The name is the path for errors and for relative paths.
 func ParseFile(name string, text []byte) (*Config, error) {
-	var form hclForm
+	var form hclConfig
 	file, err := hclfile.Parse(name, text, &form)
 	if err != nil {
 		return nil, err
@@ -146,7 +146,7 @@
 	return c, nil
 }
 
-// checkAddress returns an error for what is not host:port.
+// checkAddress returns an error for an address that does not have the form host:port.
 func checkAddress(file *hclfile.File, path, addr string) error {
 	if _, _, err := net.SplitHostPort(addr); err != nil {
 		return file.ErrorAt(path, fmt.Sprintf("not host:port: %q", addr))
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// readProcess reads the addresses where the process listens, its folder, its log, and the limits of its machine.
-func (h *hclForm) readProcess(file *hclfile.File, c *Config) error {
+// readProcess reads the addresses on which the process listens, its state folder, its log settings and its limits.
+func (h *hclConfig) readProcess(file *hclfile.File, c *Config) error {
 	if err := checkAddress(file, "listen", h.Listen); err != nil {
 		return err
 	}
@@ -177,8 +177,8 @@
 	return h.readLimits(file, c)
 }
 
-// readLog reads how the process logs.
-func (h *hclForm) readLog(file *hclfile.File, c *Config) (err error) {
+// readLog reads the log level and format.
+func (h *hclConfig) readLog(file *hclfile.File, c *Config) (err error) {
 	if c.Log.Level, err = logging.ParseLevel(h.LogLevel); err != nil {
 		return file.ErrorAt("log_level", fmt.Sprintf("%v: %q", err, h.LogLevel))
 	}
@@ -188,7 +188,7 @@
 	return nil
 }
 
-func (h *hclForm) readLimits(file *hclfile.File, c *Config) error {
+func (h *hclConfig) readLimits(file *hclfile.File, c *Config) error {
 	l := h.Limits
 	if l == nil {
 		return nil
@@ -209,8 +209,8 @@
 	return nil
 }
 
-// readServers reads where quote servers are: at discovery, or in the file itself.
-func (h *hclForm) readServers(file *hclfile.File, c *Config) error {
+// readServers reads the source of the list of quote servers, which is either discovery or the file itself.
+func (h *hclConfig) readServers(file *hclfile.File, c *Config) error {
 	if h.Discovery != "" {
 		if len(h.Servers) > 0 {
 			return file.ErrorAt("server."+h.Servers[0].ID,
@@ -241,7 +241,7 @@
 	return nil
 }
 
-// target is the server in discovery's form.
+// target converts the server to a target of discovery.
 func (s serverBlock) target() discovery.Target {
 	state := "active"
 	if s.Drained {
--- a/internal/standalone/config/hcl_test.go
+++ b/internal/standalone/config/hcl_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// singleConfig is the configuration of a single ingress that ships.
+// singleConfig returns the shipped configuration of a single ingress.
 func singleConfig(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../../deploy/single.hcl")
@@ -20,8 +20,8 @@
 	return string(text)
 }
 
-// The same configuration in either form reads the same.
-func TestBothFormsReadTheSame(t *testing.T) {
+// An HCL file and a JSON file with the same configuration give the same Config.
+func TestHCLAndJSONReadTheSame(t *testing.T) {
 	fromHCL, err := ParseFile("f", []byte(`
 name      = "n0"
 listen    = "127.0.0.1:81"
@@ -100,7 +100,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fromJSON.SettingsRaw = nil // our own form has none
+	fromJSON.SettingsRaw = nil // an HCL file has no raw settings
 	if diff := cmp.Diff(fromJSON, fromHCL); diff != "" {
 		t.Errorf("(-JSON +HCL):\n%s", diff)
 	}
@@ -137,7 +137,7 @@
 
 func TestParseFileErrors(t *testing.T) {
 	good := singleConfig(t)
-	line := func(text string) string { // of the first line that begins so
+	line := func(text string) string { // position of the first line that begins with the text, as file:line
 		for i, l := range strings.Split(good, "\n") {
 			if strings.HasPrefix(strings.TrimSpace(l), text) {
 				return fmt.Sprintf("f:%d", i+1)
--- a/internal/standalone/config/hclfleet.go
+++ b/internal/standalone/config/hclfleet.go
@@ -12,17 +12,19 @@
 )
 
 const (
-	maxNameBytes = 64 // of a fleet's and of a member's name
+	maxNameBytes = 64 // maximum length of the name of a fleet or a member, because messages carry them
 
+	// The interval between health checks of members is bounded, because a short one causes load and a long one delays
+	// the detection of failures.
 	minHealthCheckInterval     = 50 * time.Millisecond
 	defaultHealthCheckInterval = 300 * time.Millisecond
 	maxHealthCheckInterval     = 10 * time.Second
 
-	defaultCounterTimeout = 50 * time.Millisecond
+	defaultCounterTimeout = 50 * time.Millisecond // time to wait for a reply of the counter
 )
 
-// readFleet reads which of several ingresses this one is, and the counter that they share.
-func (h *hclForm) readFleet(file *hclfile.File, c *Config) error {
+// readFleet reads the size of the fleet, the number of this ingress in it, and the counter that ingresses share.
+func (h *hclConfig) readFleet(file *hclfile.File, c *Config) error {
 	c.Settings.Gateways = 1
 	if h.Fleet != nil {
 		if err := h.Fleet.read(file, c); err != nil {
@@ -65,9 +67,10 @@
 	return checkAddress(file, "counter.address", cb.Address)
 }
 
+// membershipPath is the prefix of the paths of errors in the membership block.
 const membershipPath = "fleet.membership."
 
-// read reads how this ingress takes part in its fleet.
+// read reads the configuration of this ingress as a member of its fleet.
 func (m *membershipBlock) read(file *hclfile.File, c *Config) (err error) {
 	if m.Fleet == "" || len(m.Fleet) > maxNameBytes {
 		return file.ErrorAt(membershipPath+"fleet",
@@ -139,8 +142,8 @@
 	return interval, nil
 }
 
-// checkVoters holds the voters to an odd number, each named once, and to a state folder: what a voter has voted
-// must outlast its process.
+// checkVoters checks that the number of voters is 0, 1, 3 or 5 and that no voter is named twice. An ingress that is a
+// voter needs a state folder, because its votes must survive a restart of its process.
 func (m *membershipBlock) checkVoters(file *hclfile.File, c *Config) error {
 	const path = membershipPath + "voters"
 	if n := len(m.Voters); n != 0 && n != 1 && n != 3 && n != 5 {
--- a/internal/standalone/config/hclpolicy.go
+++ b/internal/standalone/config/hclpolicy.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	maxAttempts = 4 // a rule of the service: no request is sent more often
+	maxAttempts = 4 // maximum number of attempts of a request, which the rules of the service set
 
-	defaultSlowStartShare = 0.2
+	defaultSlowStartShare = 0.2 // share of a server's capacity that is used when its slow start begins
 	defaultOverloadFactor = 2.5
 
-	defaultUsageRotation = time.Minute
-	minUsageRotation     = time.Second
-	defaultUsageKeep     = 7 * 24 * time.Hour
+	defaultUsageRotation = time.Minute        // age at which a segment of usage records is closed
+	minUsageRotation     = time.Second        // limits the number of segment files
+	defaultUsageKeep     = 7 * 24 * time.Hour // retention of acknowledged segments
 )
 
-// readRules reads the rules of decisions.
-func (h *hclForm) readRules(file *hclfile.File, c *Config) error {
+// readRules reads the rules block, which configures the decision module.
+func (h *hclConfig) readRules(file *hclfile.File, c *Config) error {
 	r := h.Rules
 	if r == nil {
 		r = &rulesBlock{}
@@ -75,7 +75,7 @@
 }
 
 // readClasses reads the classes of requests.
-func (h *hclForm) readClasses(file *hclfile.File, c *Config) error {
+func (h *hclConfig) readClasses(file *hclfile.File, c *Config) error {
 	if len(h.Classes) == 0 {
 		return file.ErrorAt("class", "there is no class of requests")
 	}
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// path is the place of the class in its file.
+// path returns the path of the class's block, at which errors are reported.
 func (cb *classBlock) path() string { return "class." + cb.Name }
 
 // read reads one class of requests.
@@ -134,8 +134,8 @@
 	return class, nil
 }
 
-// readPlans reads the plans, which may be left to a catalogue.
-func (h *hclForm) readPlans(file *hclfile.File, c *Config) error {
+// readPlans reads the plans. The file may omit them if it names a catalogue.
+func (h *hclConfig) readPlans(file *hclfile.File, c *Config) error {
 	for _, p := range h.Plans {
 		c.Settings.Plans = append(c.Settings.Plans, p.Plan())
 	}
@@ -149,9 +149,9 @@
 	return nil
 }
 
-// readCatalogueAndUsage reads where the catalogue and the usage records are. Relative paths are relative to the
-// folder of the file.
-func (h *hclForm) readCatalogueAndUsage(file *hclfile.File, c *Config) error {
+// readCatalogueAndUsage reads the paths and options of the catalogue and of the usage records. Relative paths are
+// resolved against the folder of the file.
+func (h *hclConfig) readCatalogueAndUsage(file *hclfile.File, c *Config) error {
 	if b := h.Catalogue; b != nil {
 		c.Catalogue, c.UseRevisionLog = file.ResolvePath(b.File), b.RevisionLog
 		if b.RevisionLog && (c.Membership == nil || len(c.Membership.Voters) == 0 || c.State == "") {
--- a/internal/standalone/config/platform.go
+++ b/internal/standalone/config/platform.go
@@ -11,28 +11,29 @@
 	"mulleinrouter/internal/standalone/settings"
 )
 
-// Variables of the environment.
+// Environment variables.
 const (
-	variableConfig    = "NODE_CONFIG" // path of the file
+	variableConfig    = "NODE_CONFIG" // path of the configuration file
 	variableName      = "NODE_NAME"
 	variableListen    = "NODE_LISTEN"
 	variableDiscovery = "NODE_DISCOVERY"
 	variableMgmt      = "NODE_MGMT"
-	variableState     = "TMPDIR" // a folder that the platform keeps over an upgrade
+	variableState     = "TMPDIR" // state folder, which the platform preserves during an upgrade
 )
 
-// precedence says which of two sources wins where both have a value.
+// precedence determines which of two sources is used if both have a value.
 type precedence int
 
 const (
-	// variablesFirst is right at the start.
+	// variablesFirst is used at the start.
 	variablesFirst precedence = iota
-	// fileFirst is right at a reload: the file is newer than the variables, which are as old as the process.
+	// fileFirst is used at a reload, because the file may have changed while the variables date from the start of the
+	// process.
 	fileFirst
 )
 
-// platformFile is the platform's form of a configuration. It is an alias of a type without a name, for the decoder
-// puts a type's name into its errors, which operators read.
+// platformFile is the platform's format of a configuration. It is an alias of an unnamed type, because the decoder
+// includes the name of a named type in its errors, which operators read.
 type platformFile = struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -45,10 +46,10 @@
 	Settings  jsontext.Raw    `json:"settings"`
 }
 
-// Load reads the file that NODE_CONFIG names. The other variables win over what the file says.
+// Load reads the file that NODE_CONFIG names. The other variables take precedence over the values in the file.
 func Load(getenv func(string) string) (*Config, error) { return load(getenv, variablesFirst) }
 
-// Reload reads the file again. It wins over the variables, which fill in what it leaves out.
+// Reload reads the file again. Its values take precedence over the variables, which supply only missing values.
 func Reload(getenv func(string) string) (*Config, error) { return load(getenv, fileFirst) }
 
 func load(getenv func(string) string, order precedence) (*Config, error) {
@@ -102,7 +103,7 @@
 	return c, nil
 }
 
-// applyVariables sets what the environment names.
+// applyVariables sets the values that the environment has, with the given precedence.
 func (c *Config) applyVariables(getenv func(string) string, order precedence) {
 	for variable, value := range map[string]*string{
 		variableName:      &c.Name,
