--- a/internal/standalone/cli/bookings.go
+++ b/internal/standalone/cli/bookings.go
@@ -12,11 +12,12 @@
 	"mulleinrouter/internal/standalone/plans"
 )
 
-// keepBookingSeconds is how long a booking that is over stays in the catalogue, which would otherwise grow for ever.
-const keepBookingSeconds = 3600
+// bookingRetentionSeconds is how long a booking stays in the catalogue after its end, in seconds. Without a limit the
+// catalogue would grow forever.
+const bookingRetentionSeconds = 3600
 
-// BookingCommands are the commands about bookings. They change the catalogue that ingresses watch, by a revision of
-// its own.
+// BookingCommands are the commands for bookings. Each change of a booking adds a revision to the catalogue that
+// ingresses watch.
 type BookingCommands struct {
 	Add    BookingAddCommand    `cmd:"" name:"add" help:"${bookingsAdd}"`
 	List   BookingListCommand   `cmd:"" name:"list" help:"List the bookings of a catalogue's last revision."`
@@ -33,7 +34,7 @@
 	ID        string  `name:"id" help:"Its name; one is made if none is given."`
 }
 
-// Run adds a revision with the booking.
+// Run adds a revision that contains the booking.
 func (ba *BookingAddCommand) Run(p *Program) error {
 	revisions, err := loadCatalogue(ba.Catalogue)
 	if err != nil {
@@ -47,7 +48,7 @@
 	if err != nil || span <= 0 {
 		return fmt.Errorf("--for: not a span such as 5m: %q", ba.For)
 	}
-	next := successor(revisions[len(revisions)-1])
+	next := nextRevision(revisions[len(revisions)-1])
 	booking := plans.Booking{ID: ba.ID, Member: ba.Member, Units: ba.Units, From: from, To: from + span.Seconds()}
 	if booking.ID == "" {
 		booking.ID = "b" + strconv.FormatUint(next.Number, 10)
@@ -59,14 +60,15 @@
 	return applyRevision(p.out, ba.Catalogue, revisions, next, true)
 }
 
-// successor is a revision that changes nothing yet and takes effect as soon as it is received: bookings carry times
-// of their own.
-func successor(r plans.Revision) plans.Revision {
+// nextRevision returns a copy of a revision with the next number and without bookings that ended long ago. It takes
+// effect as soon as it is received, but not before the given one. It needs no later time because each booking has its
+// own start and end.
+func nextRevision(r plans.Revision) plans.Revision {
 	r.Number++
 	r.EffectiveAt = max(unixNow(), r.EffectiveAt)
 	r.Members = maps.Clone(r.Members)
-	isOver := func(b plans.Booking) bool { return b.To < unixNow()-keepBookingSeconds }
-	r.Bookings = slices.DeleteFunc(slices.Clone(r.Bookings), isOver)
+	hasEnded := func(b plans.Booking) bool { return b.To < unixNow()-bookingRetentionSeconds }
+	r.Bookings = slices.DeleteFunc(slices.Clone(r.Bookings), hasEnded)
 	return r
 }
 
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// writeBookings prints bookings as a table; nothing if there are none.
+// writeBookings prints bookings as a table. It prints nothing if there are none.
 func writeBookings(w io.Writer, bookings []plans.Booking) {
 	if len(bookings) == 0 {
 		return
@@ -115,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	next := successor(revisions[len(revisions)-1])
+	next := nextRevision(revisions[len(revisions)-1])
 	before := len(next.Bookings)
 	next.Bookings = slices.DeleteFunc(next.Bookings, func(b plans.Booking) bool { return b.ID == bc.ID })
 	if len(next.Bookings) == before {
--- a/internal/standalone/cli/check.go
+++ b/internal/standalone/cli/check.go
@@ -15,26 +15,26 @@
 	"mulleinrouter/internal/standalone/plans"
 )
 
-// CheckCommand checks a file of either program.
+// CheckCommand checks a configuration, a catalogue, or a settings file of the system's programs.
 type CheckCommand struct {
 	File    string `arg:"" name:"file" type:"path" help:"${checkFile}"`
 	Program string `name:"program" enum:"proxy,agent,control," default:"" placeholder:"NAME" help:"${checkProgram}"`
 	commandline.OutputFlag
 }
 
-// fileKind is what a file can be.
+// fileKind is the kind of a file, which is recognized by its content.
 type fileKind string
 
 const (
-	kindPlatform  fileKind = "platform"  // a configuration of the ingress in service, in the platform's form
-	kindHCL       fileKind = "hcl"       // a configuration of the ingress in service, in our own form
-	kindCatalogue fileKind = "catalogue" // a catalogue of plans
-	kindSettings  fileKind = "settings"  // a settings file of the system
+	kindPlatform  fileKind = "platform"  // JSON configuration of the standalone ingress, in the platform's format
+	kindHCL       fileKind = "hcl"       // HCL configuration of the standalone ingress
+	kindCatalogue fileKind = "catalogue" // catalogue of plans
+	kindSettings  fileKind = "settings"  // settings file of the system's programs
 )
 
 var (
 	revisionBlock = regexp.MustCompile(`(?m)^\s*revision\s+"`)
-	// settingLine is a line a.b=value. In HCL, the name of an attribute has no dot.
+	// settingLine matches a line a.b=value. It does not match HCL, where the name of an attribute has no dot.
 	settingLine = regexp.MustCompile(`(?m)^\s*[\w-]+(\.[\w-]+)+\s*=`)
 )
 
@@ -55,19 +55,19 @@
 	return kindHCL, nil
 }
 
-// checkReport is what is in a file, as JSON.
+// checkReport is the result of check, as JSON.
 type checkReport struct {
 	File     string    `json:"file"`
 	Kind     fileKind  `json:"kind,omitempty"` // empty: the file cannot be read
 	Valid    bool      `json:"valid"`
 	Problems []problem `json:"problems,omitempty"` // empty: none
 
-	Ingress   *ingressSummary       `json:"ingress,omitempty"`   // of a configuration
-	Revisions []plans.Revision      `json:"revisions,omitempty"` // of a catalogue, or of that of a configuration
-	Programs  []commandline.Summary `json:"programs,omitempty"`  // that a settings file is for
+	Ingress   *ingressSummary       `json:"ingress,omitempty"`   // summary of a configuration
+	Revisions []plans.Revision      `json:"revisions,omitempty"` // of a catalogue, or of the one a configuration names
+	Programs  []commandline.Summary `json:"programs,omitempty"`  // summaries of the programs of a settings file
 }
 
-// Run prints what is in the file, or what is wrong with it.
+// Run prints a summary of the file, or its errors.
 func (c *CheckCommand) Run(p *Program) error {
 	report, err := c.check()
 	if err != nil {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// check reads the file. With an error, the report has what was read before it.
+// check reads the file. If it returns an error, the report contains what was read before the error.
 func (c *CheckCommand) check() (report checkReport, err error) {
 	report.File = c.File
 	if report.Kind, err = c.kind(); err != nil {
@@ -111,8 +111,9 @@
 	return report, err
 }
 
-// readSettings reads a settings file for the programs that it is for, or for the one that the command line names.
-// Errors are settings.SettingErrors with all that any of them lacks, or those of reading the file.
+// readSettings reads a settings file and checks it for the program that the command line names, or else for all
+// programs that it is meant for. It returns settings.SettingErrors with the errors of all these programs, or the error
+// of reading the file.
 func (c *CheckCommand) readSettings() (summaries []commandline.Summary, err error) {
 	s, err := settings.Load(c.File)
 	if err != nil {
@@ -131,7 +132,7 @@
 		summaries = append(summaries, commandline.Summarize(s, program))
 	}
 	for n := range lacking {
-		lacking[n].File = filepath.Base(c.File) // as in those of settings.Load
+		lacking[n].File = filepath.Base(c.File) // as in the errors of settings.Load
 	}
 	if len(lacking) > 0 {
 		return nil, lacking
@@ -151,7 +152,7 @@
 	})
 }
 
-// print prints a report for operators. A problem that is alone is the error of the command, and not listed.
+// print prints a report for operators. A single problem is not listed, because the command returns it as its error.
 func (c *CheckCommand) print(out io.Writer, report checkReport) error {
 	if report.Ingress != nil {
 		fmt.Fprintf(out, "%s: a configuration in order\n", c.File)
--- a/internal/standalone/cli/check_test.go
+++ b/internal/standalone/cli/check_test.go
@@ -21,7 +21,7 @@
 network.seedNodes=10.0.0.2:80
 `
 
-// writeFiles writes files by their names into a new folder.
+// writeFiles writes files, given by name, into a new temporary folder.
 func writeFiles(t *testing.T, files map[string]string) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -50,7 +50,7 @@
 	})
 }
 
-// Each error of a file is listed on a line of its own, with its place; the command's error is one line.
+// Each error of a file is listed on its own line with its position. The command's error is one line.
 func TestCheckReportsEachError(t *testing.T) {
 	dir := writeFiles(t, map[string]string{
 		"bad.conf": strings.NewReplacer("10.0.0.1:80", "there", "zone=z", "zone=").Replace(coreSettings),
--- a/internal/standalone/cli/cli.go
+++ b/internal/standalone/cli/cli.go
@@ -13,14 +13,14 @@
 // Exit codes. Scripts may tell them apart.
 const (
 	ExitOK      = 0
-	ExitFailure = 1 // something that was tried did not succeed
-	ExitUsage   = 2 // the command line is not one of this program's
-	ExitBadFile = 3 // a file that was named cannot be used
+	ExitFailure = 1 // the command failed
+	ExitUsage   = 2 // the command line is invalid
+	ExitBadFile = 3 // a file or folder on the command line is missing or invalid
 )
 
 const (
 	programName = "mulleinrouter"
-	helpWidth   = 100 // columns
+	helpWidth   = 100 // width of help texts, columns
 
 	description = "The command line for people, and the ingress in service: it decides for each request whether it " +
 		"is inside its member's quota, sends it to a quote server or rejects it, and answers once. Control nodes, " +
@@ -28,7 +28,8 @@
 		"Exit codes: 0 done, 1 failed, 2 wrong command line, 3 a file that cannot be used."
 )
 
-// Program is the command line as a whole. Hidden commands are earlier names of others, which scripts may use.
+// Program is the complete command line. Hidden commands are earlier names of other commands, which scripts may still
+// use.
 type Program struct {
 	LogLevel  string `name:"log-level" enum:"debug,info,warn,error,," default:"" placeholder:"LEVEL" help:"${logLevel}"`
 	LogFormat string `name:"log-format" enum:"logfmt,json,text,," default:"" placeholder:"FORMAT" help:"${logFormat}"`
@@ -61,7 +62,9 @@
 // Main runs the command line and returns the exit code.
 func Main(args []string, out, errOut io.Writer) int {
 	p := &Program{out: out, err: errOut}
-	if len(args) == 0 { // the platform's own call, on machines with little memory: kong would keep some of it for good
+	// The platform calls the program without arguments, on machines with little memory. kong is not used then, because
+	// its memory would not be freed.
+	if len(args) == 0 {
 		return p.finish(p.Serve.Run(p))
 	}
 	code, exited := ExitOK, false
@@ -80,7 +83,7 @@
 	}
 	parsed, err := parser.Parse(args)
 	if exited {
-		return code // help was asked for
+		return code // the help was printed
 	}
 	if err != nil {
 		fmt.Fprintf(errOut, "%s: %v\n", programName, err)
@@ -90,7 +93,7 @@
 	return p.finish(parsed.Run(p))
 }
 
-// finish reports the error of a command, if there is one, and returns the exit code.
+// finish prints the error of a command, if there is one, and returns the exit code.
 func (p *Program) finish(err error) int {
 	if err == nil {
 		return ExitOK
--- a/internal/standalone/cli/cli_test.go
+++ b/internal/standalone/cli/cli_test.go
@@ -34,7 +34,7 @@
 }
 `
 
-// run runs a command line, in which DIR stands for a folder, as in what it returns.
+// run runs a command line. DIR in it is replaced by a folder, and the folder in the output is replaced by DIR.
 func run(dir, line string) (code int, out, errOut string) {
 	var outBuffer, errBuffer bytes.Buffer
 	code = Main(strings.Fields(strings.ReplaceAll(line, "DIR", dir)), &outBuffer, &errBuffer)
@@ -42,17 +42,17 @@
 	return code, hideDir(outBuffer), hideDir(errBuffer)
 }
 
-// step is a command line, its exit code, and texts that its output must contain.
+// step is a command line with its expected exit code and texts that its output must contain.
 type step struct {
 	line string
 	code int
 	want []string
 }
 
-// singleSpaced makes each run of spaces one, for the width of a table's columns does not matter.
+// singleSpaced replaces each run of white space by one space, because the width of table columns is not compared.
 func singleSpaced(s string) string { return strings.Join(strings.Fields(s), " ") }
 
-// runSteps runs command lines one after another, and checks their exit codes and output.
+// runSteps runs command lines one after another, and checks their exit codes and output. An error must be one line.
 func runSteps(t *testing.T, dir string, steps []step) {
 	t.Helper()
 	for _, s := range steps {
@@ -99,7 +99,7 @@
 	})
 }
 
-// Earlier names of commands stay valid, and are not listed.
+// Earlier names of commands still work, and the help does not list them.
 func TestEarlierNamesOfCommands(t *testing.T) {
 	dir := t.TempDir()
 	runSteps(t, dir, []step{
--- a/internal/standalone/cli/completion/bash.go
+++ b/internal/standalone/cli/completion/bash.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// bashScript writes the script for bash, 3.2 or newer. Where it has no word to offer, readline completes file names.
+// bashScript returns the script for bash 3.2 or newer. If it has no candidates, readline completes file names.
 func bashScript(program string, commands []command) string {
 	var s script
 	function := functionName(program)
@@ -23,7 +23,7 @@
 	s.line(`    for ((index = 1; index < COMP_CWORD; index++)); do`)
 	s.line(`        word=${COMP_WORDS[index]}`)
 	s.line(`        [[ ${COMP_WORDS[index+1]} == '=' ]] && ((index += 1))`)
-	s.walk(commands, "((index += 1))")
+	s.wordLoopBody(commands, "((index += 1))")
 	s.line(`    done`)
 	s.bashValues(commands)
 	s.bashCandidates(commands)
@@ -33,7 +33,7 @@
 	return s.text.String()
 }
 
-// bashValues writes what completes the value of a flag.
+// bashValues writes the candidates for the values of flags.
 func (s *script) bashValues(commands []command) {
 	s.line(`    case "${command}:${previous}" in`)
 	for _, c := range commands {
@@ -54,8 +54,8 @@
 	s.line(`    esac`)
 }
 
-// bashCandidates writes what can follow each command: flags after a dash, else commands below it or values of its
-// arguments.
+// bashCandidates writes the candidates that can follow each command. After a dash these are flags, otherwise
+// subcommands or values of arguments.
 func (s *script) bashCandidates(commands []command) {
 	s.line(`    if [[ $current == -* ]]; then`)
 	s.line(`        case $command in`)
@@ -78,18 +78,18 @@
 	s.line(`    fi`)
 }
 
-// choice is what can follow a command after a number of arguments.
+// choice is the list of candidates that can follow a command after a number of arguments.
 type choice struct {
-	key        string // COMMAND:ARGUMENTS, a pattern of the shell
+	key        string // shell pattern COMMAND:ARGUMENTS, where ARGUMENTS is their number
 	candidates []string
 }
 
-// choices returns what can follow a command that is no flag.
+// choices returns the candidates that can follow a command, other than flags.
 func choices(c command) (all []choice) {
 	if len(c.subcommands) > 0 {
 		var names []string
-		for _, below := range c.subcommands {
-			names = append(names, below.word)
+		for _, subcommand := range c.subcommands {
+			names = append(names, subcommand.word)
 		}
 		all = append(all, choice{quote(c.path + ":0"), names})
 	}
--- a/internal/standalone/cli/completion/completion_test.go
+++ b/internal/standalone/cli/completion/completion_test.go
@@ -13,7 +13,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// grammar is a command line with all that a script has to know of.
+// grammar is a command line with every kind of element that a script must handle.
 type grammar struct {
 	Format string `enum:"text,json,," default:"" help:"Form of the log. Or not."`
 
@@ -46,12 +46,12 @@
 	return parser.Model
 }
 
-// summary is the model of a command in one line, for comparison.
+// summary returns the model of a command as one line, for comparison.
 func summary(c command) string {
 	var parts []string
 	describe := func(v value) string { return strconv.Itoa(int(v.kind)) + strings.Join(v.enum, ",") }
-	for _, below := range c.subcommands {
-		parts = append(parts, below.word+"("+below.help+")")
+	for _, subcommand := range c.subcommands {
+		parts = append(parts, subcommand.word+"("+subcommand.help+")")
 	}
 	for _, f := range c.flags {
 		parts = append(parts, strings.Join(f.forms(), "/")+"="+describe(f.value))
@@ -97,8 +97,8 @@
 	}
 }
 
-// What zsh and fish need stands in their scripts. They are not run: CI has neither shell.
-func TestOtherShells(t *testing.T) {
+// The scripts for zsh and fish contain the expected lines. They are not run, because CI has neither shell.
+func TestZshAndFish(t *testing.T) {
 	for shell, want := range map[string][]string{
 		"zsh": {
 			"#compdef my-program\n", "'plans:show') command='plans show' ;;",
@@ -123,12 +123,12 @@
 			}
 		}
 		if strings.Contains(script.String(), "secret") || strings.Contains(script.String(), "old") {
-			t.Errorf("%s: what is hidden stands in the script", shell)
+			t.Errorf("%s: a hidden command or flag is in the script", shell)
 		}
 	}
 }
 
-// The script for bash offers the words that can follow.
+// The script for bash offers exactly the words that can follow.
 func TestBash(t *testing.T) {
 	bash, err := exec.LookPath("bash")
 	if err != nil {
@@ -142,12 +142,13 @@
 	if err := os.WriteFile(path, []byte(script.String()), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ words, want string }{ // words from the program's on; the last one is completed
+	// The first word is the program's name. The word before | is completed.
+	for _, c := range []struct{ words, want string }{
 		{"my-program |", "serve plans voters"},
 		{"my-program p|", "plans"},
 		{"my-program --|", "--help --format --config"},
 		{"my-program plans |", "show diff"},
-		{"my-program plans show |", ""}, // a file
+		{"my-program plans show |", ""}, // the argument is a file, which readline completes
 		{"my-program plans show --|", "--output --at --yes --help --format"},
 		{"my-program plans show --output |", "table json"},
 		{"my-program plans show -o j|", "json"},
--- a/internal/standalone/cli/completion/fish.go
+++ b/internal/standalone/cli/completion/fish.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// fishScript writes the script for fish.
+// fishScript returns the script for fish.
 func fishScript(program string, commands []command) string {
 	var s script
 	function := "_" + functionName(program) + "_command"
@@ -43,7 +43,7 @@
 	return s.text.String()
 }
 
-// fishCommand writes what can follow a command.
+// fishCommand writes the candidates that can follow a command.
 func (s *script) fishCommand(program, function string, c command) {
 	for _, f := range c.flags {
 		options := "-l " + f.name
@@ -62,8 +62,8 @@
 			quote("string match -q -- "+quoteInner(c.path+":*")+" ("+function+")"), options, quote(f.help))
 	}
 	help := map[string]string{}
-	for _, below := range c.subcommands {
-		help[below.word] = below.help
+	for _, subcommand := range c.subcommands {
+		help[subcommand.word] = subcommand.help
 	}
 	for _, choice := range choices(c) {
 		pattern := strings.ReplaceAll(choice.key, "'", "")
@@ -74,5 +74,5 @@
 	}
 }
 
-// quoteInner returns a pattern in double quotes, for a command that stands in single quotes.
+// quoteInner returns a pattern in double quotes, for use inside a command that is in single quotes.
 func quoteInner(pattern string) string { return `"` + pattern + `"` }
--- a/internal/standalone/cli/completion/model.go
+++ b/internal/standalone/cli/completion/model.go
@@ -9,10 +9,10 @@
 	"github.com/alecthomas/kong"
 )
 
-// Shells are those that Write knows.
+// Shells are the shells that Write supports.
 var Shells = []string{"bash", "zsh", "fish"}
 
-// Write writes the script of a shell for a program.
+// Write writes the completion script of a program for a shell.
 func Write(out io.Writer, shell string, program *kong.Application) error {
 	commands := newCommands(program)
 	var script string
@@ -30,21 +30,21 @@
 	return err
 }
 
-// command is a command, and what can follow it.
+// command is a command with the elements that can follow it.
 type command struct {
-	path        string // names from the program's on, by spaces; empty: the program itself
+	path        string // names of the commands from the top level, separated by spaces; empty: the program
 	subcommands []candidate
 	flags       []flag
 	arguments   []argument
 }
 
-// candidate is a word that can follow, and what it means.
+// candidate is a word that can follow, with its help text.
 type candidate struct{ word, help string }
 
-// flag is a flag of a command or of one above it.
+// flag is a flag of a command or of one of its parents.
 type flag struct {
 	name  string
-	short string // empty: it has none
+	short string // short form without the dash; empty: none
 	help  string
 	value value
 }
@@ -60,39 +60,39 @@
 // argument is a positional argument.
 type argument struct {
 	value    value
-	repeated bool // it takes all words that follow
+	repeated bool // takes all following words
 }
 
-// value is what a flag or an argument can be.
+// value describes the possible values of a flag or an argument.
 type value struct {
 	kind valueKind
-	enum []string // the possible values, of oneOf
+	enum []string // possible values for kind oneOf
 }
 
-// valueKind is how a value is completed.
+// valueKind determines how a value is completed.
 type valueKind int
 
 const (
-	noValue  valueKind = iota // a switch: the next word is not its value
-	anyValue                  // nothing is known of it
+	noValue  valueKind = iota // a boolean flag, which takes no value from the next word
+	anyValue                  // any text; there are no candidates
 	fileName
 	oneOf // one of the values in enum
 )
 
-// newCommands returns all commands that are not hidden, each after the one above it.
+// newCommands returns all commands that are not hidden, each after its parent.
 func newCommands(program *kong.Application) []command {
 	return appendCommands(nil, program.Node, "", nil)
 }
 
-// appendCommands appends a node and those below it. Flags above it can follow it too.
-func appendCommands(commands []command, node *kong.Node, path string, above []flag) []command {
-	c := command{path: path, flags: slices.Concat(newFlags(node.Flags), above)}
+// appendCommands appends a node and its descendants. The flags of its parents can follow it, too.
+func appendCommands(commands []command, node *kong.Node, path string, inheritedFlags []flag) []command {
+	c := command{path: path, flags: slices.Concat(newFlags(node.Flags), inheritedFlags)}
 	for _, positional := range node.Positional {
 		c.arguments = append(c.arguments, argument{newValue(positional), positional.IsCumulative()})
 	}
 	inherited := c.flags
 	if node.DefaultCmd != nil && node.DefaultCmd.Tag.Default == "withargs" {
-		c.flags = slices.Concat(c.flags, newFlags(node.DefaultCmd.Flags)) // its flags may follow without its name
+		c.flags = slices.Concat(c.flags, newFlags(node.DefaultCmd.Flags)) // these flags need no command name
 	}
 	children := slices.DeleteFunc(slices.Clone(node.Children), func(n *kong.Node) bool { return n.Hidden })
 	for _, child := range children {
@@ -105,7 +105,7 @@
 	return commands
 }
 
-// newFlags returns the flags that are not hidden.
+// newFlags converts the flags that are not hidden.
 func newFlags(flags []*kong.Flag) (visible []flag) {
 	for _, f := range flags {
 		if f.Hidden {
@@ -122,7 +122,7 @@
 	return visible
 }
 
-// newValue returns what a flag or an argument can be.
+// newValue returns the possible values of a flag or an argument.
 func newValue(v *kong.Value) value {
 	isEmpty := func(word string) bool { return word == "" }
 	if enum := slices.DeleteFunc(v.EnumSlice(), isEmpty); len(enum) > 0 {
@@ -141,12 +141,12 @@
 	return value{kind: anyValue}
 }
 
-// isFileType tells whether a type of a kong tag names a file or a folder.
+// isFileType reports whether a type in a kong tag is that of a file or a folder.
 func isFileType(name string) bool {
 	return slices.Contains([]string{"path", "existingfile", "existingdir", "filecontent"}, name)
 }
 
-// firstSentence returns what shells show beside a word: a help text up to its first full stop.
+// firstSentence returns the first sentence of a help text, which shells show next to a candidate.
 func firstSentence(help string) string {
 	sentence, _, _ := strings.Cut(help, ". ")
 	return strings.TrimSuffix(strings.Join(strings.Fields(sentence), " "), ".")
--- a/internal/standalone/cli/completion/script.go
+++ b/internal/standalone/cli/completion/script.go
@@ -5,35 +5,36 @@
 	"strings"
 )
 
-// script gathers the lines of a script.
+// script accumulates the lines of a script.
 type script struct{ text strings.Builder }
 
-// line adds a line.
+// line appends a formatted line.
 func (s *script) line(format string, arguments ...any) {
 	fmt.Fprintf(&s.text, format+"\n", arguments...)
 }
 
-// quote returns a word as the three shells read it: in single quotes, where only a single quote is special.
+// quote returns a word in single quotes. All three shells accept its escape of a single quote, the only special
+// character.
 func quote(word string) string { return "'" + strings.ReplaceAll(word, "'", `'\''`) + "'" }
 
 // functionName returns the name of the shell function that completes a program.
 func functionName(program string) string { return "_" + strings.ReplaceAll(program, "-", "_") }
 
-// step is a word that leads from a command to one below it.
+// step is a word that leads from a command to one of its subcommands.
 type step struct{ from, word, to string }
 
 // steps returns the words that lead to each command.
 func steps(commands []command) (all []step) {
 	for _, c := range commands {
-		for _, below := range c.subcommands {
-			all = append(all, step{c.path, below.word, strings.TrimSpace(c.path + " " + below.word)})
+		for _, subcommand := range c.subcommands {
+			all = append(all, step{c.path, subcommand.word, strings.TrimSpace(c.path + " " + subcommand.word)})
 		}
 	}
 	return all
 }
 
-// flagKeys returns the words "COMMAND:FLAG" of the flags with a value, in the forms of each flag, quoted and separated
-// by |; empty: the command has none of that kind.
+// flagKeys returns the shell pattern that matches "COMMAND:FLAG" for the flags whose value matches, in all forms of
+// each flag. The alternatives are quoted and separated by |. It is empty if no flag matches.
 func flagKeys(c command, matches func(value) bool) string {
 	var keys []string
 	for _, f := range c.flags {
@@ -47,15 +48,15 @@
 	return strings.Join(keys, "|")
 }
 
-// ofKind returns a test for values of one kind.
+// ofKind returns a predicate for values of one kind.
 func ofKind(kind valueKind) func(value) bool { return func(v value) bool { return v.kind == kind } }
 
-// takesValue tells whether the word after a flag is its value.
+// takesValue reports whether the word after a flag is its value.
 func takesValue(v value) bool { return v.kind != noValue }
 
-// walk writes the loop body that both bash and zsh need: it follows the words before the cursor to a command, skips the
-// values of flags, and counts the arguments. skip is the statement that passes over the next word.
-func (s *script) walk(commands []command, skip string) {
+// wordLoopBody writes the loop body that the scripts for bash and zsh share. It finds the command that the words before
+// the cursor name, skips the values of flags, and counts the arguments. skip is the statement that skips the next word.
+func (s *script) wordLoopBody(commands []command, skip string) {
 	s.line(`        case "${command}:${word}" in`)
 	for _, step := range steps(commands) {
 		s.line("            %s) command=%s ;;", quote(step.from+":"+step.word), quote(step.to))
--- a/internal/standalone/cli/completion/zsh.go
+++ b/internal/standalone/cli/completion/zsh.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// zshScript writes the script for zsh, to be loaded from a folder of fpath or by source.
+// zshScript returns the script for zsh, which can be loaded from a folder in fpath or with source.
 func zshScript(program string, commands []command) string {
 	var s script
 	function := functionName(program)
@@ -13,7 +13,7 @@
 	s.line(`    local -a candidates`)
 	s.line(`    for ((index = 2; index < CURRENT; index++)); do`)
 	s.line(`        word=$words[index]`)
-	s.walk(commands, "((index += 1))")
+	s.wordLoopBody(commands, "((index += 1))")
 	s.line(`    done`)
 	s.line(`    if [[ $PREFIX == --*=* ]]; then`)
 	s.line(`        previous=${PREFIX%%%%=*}`)
@@ -27,7 +27,7 @@
 	return s.text.String()
 }
 
-// zshValues writes what completes the value of a flag.
+// zshValues writes the candidates for the values of flags.
 func (s *script) zshValues(commands []command) {
 	s.line(`    case "${command}:${previous}" in`)
 	for _, c := range commands {
@@ -47,7 +47,7 @@
 	s.line(`    esac`)
 }
 
-// zshCandidates writes what can follow each command, with what it means.
+// zshCandidates writes the candidates that can follow each command, with their help texts.
 func (s *script) zshCandidates(commands []command) {
 	s.line(`    if [[ $PREFIX == -* ]]; then`)
 	s.line(`        case $command in`)
@@ -65,8 +65,8 @@
 	s.line(`        case "${command}:${arguments}" in`)
 	for _, c := range commands {
 		help := map[string]string{}
-		for _, below := range c.subcommands {
-			help[below.word] = below.help
+		for _, subcommand := range c.subcommands {
+			help[subcommand.word] = subcommand.help
 		}
 		for _, choice := range choices(c) {
 			var described []string
@@ -80,7 +80,7 @@
 	s.line(`    fi`)
 }
 
-// zshCandidate returns a word and what it means, as _describe reads it.
+// zshCandidate returns a word and its help text in the format of _describe.
 func zshCandidate(word, help string) string {
 	word = strings.ReplaceAll(word, ":", `\:`)
 	if help == "" {
--- a/internal/standalone/cli/faulttest.go
+++ b/internal/standalone/cli/faulttest.go
@@ -16,7 +16,7 @@
 	"mulleinrouter/internal/emulator/faulttest"
 )
 
-// FaultTestCommand runs a fault test: a scenario of faults.
+// FaultTestCommand runs a fault test, which injects the faults of a scenario.
 type FaultTestCommand struct {
 	File      string  `arg:"" name:"file" help:"${faultTestFile}"`
 	Ingresses int     `name:"ingresses" help:"So many ingresses instead of those that the file names."`
@@ -28,7 +28,7 @@
 	Parallel  int     `name:"beside" default:"1" help:"So many of them side by side."`
 }
 
-// readScenario reads a file, or a scenario that ships.
+// readScenario reads a scenario from a file, or a shipped scenario by its name. An existing file takes precedence.
 func readScenario(name string) (*faulttest.Scenario, error) {
 	isName := filepath.Base(name) == name && filepath.Ext(name) == ""
 	if _, err := os.Stat(name); errors.Is(err, fs.ErrNotExist) && isName {
@@ -70,13 +70,13 @@
 	fmt.Fprintln(p.out)
 	report.Write(p.out)
 	if !report.Passed() {
-		return errExpectation
+		return errExpectationFailed
 	}
 	return nil
 }
 
-// runRepeatedly runs a scenario with seeds that follow each other, several at once. A run that fails is reported
-// with its seed, and its files stay where a folder was named.
+// runRepeatedly runs a scenario with consecutive seeds, several runs in parallel. A failed run is reported with its
+// seed. If --dir is given, the files of failed runs are kept there.
 func (ft *FaultTestCommand) runRepeatedly(
 	ctx context.Context, out io.Writer, scenario *faulttest.Scenario, options faulttest.Options,
 ) error {
@@ -104,20 +104,20 @@
 	}
 	fmt.Fprintf(out, "%d of %d held\n", ft.Repeat-results.failed, ft.Repeat)
 	if results.failed > 0 {
-		return errExpectation
+		return errExpectationFailed
 	}
 	return ctx.Err()
 }
 
-// scenarioResults are those of several runs of a scenario.
+// scenarioResults collects the results of several runs of a scenario.
 type scenarioResults struct {
 	mu      sync.Mutex // guards the fields below
-	out     io.Writer  // for runs that fail
+	out     io.Writer  // receives the reports of failed runs
 	reports []*faulttest.Report
 	failed  int
 }
 
-// add adds the result of one run, and removes its folder if it succeeded.
+// add adds the result of a run, and removes the folder of a successful one.
 func (s *scenarioResults) add(seed uint64, dir string, report *faulttest.Report, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standalone/cli/fleet.go
+++ b/internal/standalone/cli/fleet.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	callTimeout  = 5 * time.Second
-	pollInterval = 200 * time.Millisecond // between calls that wait for a state
+	callTimeout  = 5 * time.Second        // bounds a call to an ingress that does not answer
+	pollInterval = 200 * time.Millisecond // between calls while waiting for a state
 )
 
-// FleetCommands are the commands about the other ingresses, asked of one at its management address.
+// FleetCommands are the commands for a fleet. They call one ingress at its management address.
 type FleetCommands struct {
 	Members FleetMembersCommand `cmd:"" name:"members" help:"${fleetMembers}"`
 	Links   FleetLinksCommand   `cmd:"" name:"links" help:"Show who hears whom, as a matrix."`
@@ -35,14 +35,15 @@
 	Turn    FleetTurnCommand    `cmd:"" name:"turn" help:"${fleetTurn}"`
 }
 
-// ingressFlags say which ingress is asked, and how its answer is printed.
+// ingressFlags select the ingress to call and the format in which its reply is printed.
 type ingressFlags struct {
 	Mgmt string `name:"mgmt" required:"" placeholder:"HOST:PORT" help:"${ingressMgmt}"`
 	commandline.OutputFlag
 }
 
-// ask makes a call that is answered by one line. If the ingress rejects it, the error is rejected.
-func (i *ingressFlags) ask(call string, rejected error) (string, error) {
+// callIngress makes a call and returns the first line of the reply, or an empty string if there is none. It returns
+// the error rejected if the ingress rejects the call.
+func (i *ingressFlags) callIngress(call string, rejected error) (string, error) {
 	lines, err := mgmt.Call(i.Mgmt, call, callTimeout)
 	if errors.Is(err, mgmt.ErrRejected) {
 		return "", rejected
@@ -50,9 +51,10 @@
 	return strings.Join(lines[:min(1, len(lines))], ""), err
 }
 
-// show makes a call that is answered by JSON, and prints the answer: as it came, or by write.
+// show makes a call whose reply is JSON. With --output json it prints the reply unchanged, otherwise it decodes the
+// reply and prints it with write.
 func show[T any](i *ingressFlags, out io.Writer, call string, rejected error, write func(io.Writer, *T) error) error {
-	line, err := i.ask(call, rejected)
+	line, err := i.callIngress(call, rejected)
 	if err != nil {
 		return err
 	}
@@ -67,7 +69,7 @@
 	return write(out, &answer)
 }
 
-// FleetMembersCommand shows the members.
+// FleetMembersCommand shows the members of the fleet.
 type FleetMembersCommand struct{ ingressFlags }
 
 // Run asks, and prints a table.
@@ -93,13 +95,13 @@
 	return t.Flush()
 }
 
-// FleetLinksCommand shows which member receives from which.
+// FleetLinksCommand shows which member receives messages from which.
 type FleetLinksCommand struct{ ingressFlags }
 
-// links are the states of links, by the members at their two ends.
+// links contains the states of links by the sending and the receiving member, as writeLinks labels them.
 type links map[string]map[string]string
 
-// linkMarks are the matrix's marks for the states of a link.
+// linkMarks are the characters of the matrix for the states of a link. The empty state means an unknown row.
 var linkMarks = map[string]string{"both": "+", "in": "<", "none": "x", "unknown": ".", "": "?"}
 
 const linkLegend = "\n+ answers   < is heard, and does not answer   x neither   . not tried of late   " +
@@ -132,7 +134,7 @@
 	return nil
 }
 
-// names are the members at either end of a link, in order.
+// names returns the members at either end of any link, in order.
 func (l *links) names() []string {
 	names := slices.Collect(maps.Keys(*l))
 	for _, row := range *l {
@@ -150,17 +152,17 @@
 	Wait time.Duration `name:"wait" default:"0s" help:"For how long at the most; 0: it is asked once."`
 }
 
-// Run asks until the answer is yes.
+// Run repeats the call until the ingress may be restarted or the time of --wait has passed.
 func (ft *FleetTurnCommand) Run(p *Program) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	for deadline := time.Now().Add(ft.Wait); ; {
-		_, err := ft.ask("TURN", errNotItsTurn)
+		_, err := ft.callIngress("TURN", errRestartNotAllowed)
 		if err == nil {
 			fmt.Fprintln(p.out, "yes")
 			return nil
 		}
-		if !errors.Is(err, errNotItsTurn) || time.Now().After(deadline) {
+		if !errors.Is(err, errRestartNotAllowed) || time.Now().After(deadline) {
 			return err
 		}
 		select {
--- a/internal/standalone/cli/fleetleases.go
+++ b/internal/standalone/cli/fleetleases.go
@@ -13,13 +13,15 @@
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
-const voterChangeTimeout = 10 * time.Second // for the voters to agree on a change of themselves
+// voterChangeTimeout is how long the command waits until the voters have agreed on a change of the voters.
+const voterChangeTimeout = 10 * time.Second
 
-const callLeases = "DUTIES" // what is agreed on
+// callLeases is the call of the management protocol that returns the voters, the leases and their history.
+const callLeases = "DUTIES"
 
-// askLeader makes a call about leases, which the ingress forwards to the leader of the voters.
-func (i *ingressFlags) askLeader(call string) (*leaseservice.Status, error) {
-	line, err := i.ask(call, errLeaseCall)
+// callLeader makes a call of the lease service, which the ingress forwards to the leader of the voters.
+func (i *ingressFlags) callLeader(call string) (*leaseservice.Status, error) {
+	line, err := i.callIngress(call, errLeaseCallRejected)
 	if err != nil {
 		return nil, err
 	}
@@ -32,7 +34,7 @@
 
 // Run asks, and prints tables.
 func (fl *FleetLeasesCommand) Run(p *Program) error {
-	return show(&fl.ingressFlags, p.out, callLeases, errLeaseCall, writeLeases)
+	return show(&fl.ingressFlags, p.out, callLeases, errLeaseCallRejected, writeLeases)
 }
 
 func writeLeases(out io.Writer, answer *leaseservice.Status) error {
@@ -49,21 +51,21 @@
 	return t.Flush()
 }
 
-// FleetLeaseCommands are the commands about one lease.
+// FleetLeaseCommands are the commands for a single lease.
 type FleetLeaseCommands struct {
 	Transfer FleetLeaseTransferCommand `cmd:"" name:"give" help:"${fleetLeaseTransfer}"`
 }
 
-// FleetLeaseTransferCommand transfers a lease.
+// FleetLeaseTransferCommand transfers the lease of a singleton role to another ingress.
 type FleetLeaseTransferCommand struct {
 	ingressFlags
 	Role string `arg:"" name:"duty" help:"Name of the duty."`
 	To   string `arg:"" name:"to" help:"Name of the ingress."`
 }
 
-// Run asks for the transfer.
+// Run requests the transfer. It does not wait until the holder has released the lease.
 func (ft *FleetLeaseTransferCommand) Run(p *Program) error {
-	if _, err := ft.askLeader("GIVE " + ft.Role + " " + ft.To); err != nil {
+	if _, err := ft.callLeader("GIVE " + ft.Role + " " + ft.To); err != nil {
 		return err
 	}
 	fmt.Fprintf(p.out, "%s goes to %s as soon as its holder has let go of it; fleet duties tells\n", ft.Role, ft.To)
@@ -82,13 +84,13 @@
 	Voters []string `json:"voters"` // their names
 }
 
-// voterChange is one change of the voters, which change one at a time.
+// voterChange adds or removes one voter. The voters accept only one change at a time.
 type voterChange struct {
 	action string // add or remove
 	name   string
 }
 
-// changes are those that the arguments ask for. A replacement adds the new voter before it removes the old one.
+// changes returns the changes for the arguments. A replacement adds the new voter before it removes the old one.
 func (fv *FleetVotersCommand) changes() ([]voterChange, error) {
 	switch {
 	case fv.Action == "list" && len(fv.Names) == 0:
@@ -101,7 +103,7 @@
 	return nil, errVoterArguments
 }
 
-// Run makes the changes, each once the one before is agreed on, and prints the voters.
+// Run makes the changes one after another, each when the previous one is agreed on, and prints the voters.
 func (fv *FleetVotersCommand) Run(p *Program) error {
 	changes, err := fv.changes()
 	if err != nil {
@@ -112,7 +114,7 @@
 			return err
 		}
 	}
-	answer, err := fv.askLeader(callLeases)
+	answer, err := fv.callLeader(callLeases)
 	if err != nil {
 		return err
 	}
@@ -122,13 +124,13 @@
 	})
 }
 
-// apply makes one change and waits until it is agreed on.
+// apply requests one change and waits until the voters have agreed on it.
 func (fv *FleetVotersCommand) apply(change voterChange) error {
-	if _, err := fv.askLeader("VOTERS " + change.action + " " + change.name); err != nil {
+	if _, err := fv.callLeader("VOTERS " + change.action + " " + change.name); err != nil {
 		return err
 	}
 	for deadline := time.Now().Add(voterChangeTimeout); ; time.Sleep(pollInterval) {
-		answer, err := fv.askLeader(callLeases)
+		answer, err := fv.callLeader(callLeases)
 		if err == nil && slices.Contains(answer.Voters, change.name) == (change.action == "add") {
 			return nil
 		}
--- a/internal/standalone/cli/fleetshared.go
+++ b/internal/standalone/cli/fleetshared.go
@@ -17,7 +17,7 @@
 
 // Run asks, and prints a table.
 func (fp *FleetPlansCommand) Run(p *Program) error {
-	return show(&fp.ingressFlags, p.out, "CATALOGUE", errNotAnnounced, writeAnnounced)
+	return show(&fp.ingressFlags, p.out, "CATALOGUE", errAnnounceDisabled, writeAnnounced)
 }
 
 func writeAnnounced(out io.Writer, a *leaseservice.AnnouncerStatus) error {
@@ -31,7 +31,7 @@
 	return t.Flush()
 }
 
-// FleetStateCommand shows what the ingresses share.
+// FleetStateCommand shows the state that the ingresses share: quotas, loans and warnings of servers.
 type FleetStateCommand struct {
 	ingressFlags
 	Member string `name:"member" placeholder:"ID" help:"Of one member alone."`
@@ -40,7 +40,7 @@
 // Run asks, and prints a table.
 func (fs *FleetStateCommand) Run(p *Program) error {
 	call := strings.TrimSpace("STATE " + fs.Member)
-	return show(&fs.ingressFlags, p.out, call, errNothingShared, writeShared)
+	return show(&fs.ingressFlags, p.out, call, errSharingDisabled, writeShared)
 }
 
 func writeShared(out io.Writer, r *quotasync.Report) error {
@@ -61,7 +61,7 @@
 	return t.Flush()
 }
 
-// formatLoans are the rates of a quota that were lent or borrowed, by peer, in one line.
+// formatLoans formats the rates that were lent or borrowed, each with its peer, on one line.
 func formatLoans(loans []quotashare.Loan) string {
 	var text string
 	for _, loan := range loans {
--- a/internal/standalone/cli/help.go
+++ b/internal/standalone/cli/help.go
@@ -8,8 +8,8 @@
 	"mulleinrouter/internal/standalone/cli/completion"
 )
 
-// helpTexts are the texts that don't fit on one line with the rest of their tag, which names them as ${key}. The key of
-// a help text is the path of commands and the field's name, except where it is too long or several commands share it.
+// helpTexts are the help texts that are too long for their struct tags, which refer to them as ${key}. A key consists
+// of the path of commands and the name of the field, except where that is too long or several commands share the text.
 var helpTexts = kong.Vars{
 	"bookingsAdd":      "Book units for a member and a span. Refused with what would fit if there is no room.",
 	"bookingsCancel":   "Cancel a booking. What it would still have allowed is free again.",
--- a/internal/standalone/cli/ingresssummary.go
+++ b/internal/standalone/cli/ingresssummary.go
@@ -10,23 +10,23 @@
 	"mulleinrouter/internal/standalone/config"
 )
 
-// ingressSummary is what matters in a configuration of the ingress in service. Addresses are host:port; those that it
-// does not have are empty.
+// ingressSummary is the summary of a configuration of the standalone ingress. Addresses have the form host:port, and
+// those that are not configured are empty.
 type ingressSummary struct {
 	Listen    string `json:"listen"`
-	Number    int    `json:"number"`    // among the ingresses, from 1
-	Ingresses int    `json:"ingresses"` // 1 or more
+	Number    int    `json:"number"`    // position among the ingresses, from 1
+	Ingresses int    `json:"ingresses"` // number of ingresses in the fleet, from 1
 	Discovery string `json:"discovery,omitempty"`
-	Static    bool   `json:"static"`  // the servers are written down
-	Servers   int    `json:"servers"` // written down
+	Static    bool   `json:"static"`  // the file lists the servers
+	Servers   int    `json:"servers"` // number of servers that the file lists
 	Counter   string `json:"counter,omitempty"`
 	Embedded  string `json:"embeddedCounter,omitempty"` // address that the embedded counter listens on
 	Classes   int    `json:"classes"`
 	Plans     int    `json:"plans"`
-	Catalogue string `json:"catalogue,omitempty"` // path
-	// UsageDir is the folder of the usage records; empty: use is not recorded.
+	Catalogue string `json:"catalogue,omitempty"` // path of the catalogue
+	// UsageDir is the folder of the usage records; empty: usage is not recorded.
 	UsageDir      string `json:"usageDir,omitempty"`
-	UsageEndpoint string `json:"usageEndpoint,omitempty"` // URL that use is exported to; empty: none
+	UsageEndpoint string `json:"usageEndpoint,omitempty"` // URL to which usage is exported; empty: none
 }
 
 func newIngressSummary(c *config.Config) *ingressSummary {
@@ -51,7 +51,7 @@
 	return s
 }
 
-// writeTable writes the summary for operators.
+// writeTable prints the summary as a table.
 func (is *ingressSummary) writeTable(out io.Writer) error {
 	servers := "from discovery at " + is.Discovery
 	if is.Static {
--- a/internal/standalone/cli/log.go
+++ b/internal/standalone/cli/log.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	logBufferBytes   = 32 << 10
-	logFlushInterval = time.Second
+	logBufferBytes   = 32 << 10    // a full buffer is written at once
+	logFlushInterval = time.Second // longest delay of a log line
 )
 
-// logSettings returns how this command logs: what the flags say, and where they say nothing what a file does.
+// logSettings returns the log settings of this command. The flags take precedence over those of a file.
 func (p *Program) logSettings(file logging.Settings) logging.Settings {
 	if p.LogLevel != "" {
-		file.Level, _ = logging.ParseLevel(p.LogLevel) // the command line's parser knows the names
+		file.Level, _ = logging.ParseLevel(p.LogLevel) // kong has checked the value against the enum
 	}
 	if p.LogFormat != "" {
-		file.Format, _ = logging.ParseFormat(p.LogFormat) // as above
+		file.Format, _ = logging.ParseFormat(p.LogFormat) // checked by kong, too
 	}
 	return file
 }
@@ -33,9 +33,9 @@
 	return logging.New(p.err, s.Format, s.Level)
 }
 
-// bufferedLog gathers log lines, so that not each costs a write.
+// bufferedLog buffers log lines, so that not every line needs a system call.
 type bufferedLog struct {
-	mu     sync.Mutex // guards writer, and the write of what it gathered
+	mu     sync.Mutex // guards writer, including its writes to the output
 	writer *bufio.Writer
 }
 
@@ -43,21 +43,21 @@
 	return &bufferedLog{writer: bufio.NewWriterSize(w, logBufferBytes)}
 }
 
-// Write adds lines.
+// Write appends lines to the buffer.
 func (b *bufferedLog) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.writer.Write(p)
 }
 
-// Flush writes what was gathered.
+// Flush writes the buffered lines to the output.
 func (b *bufferedLog) Flush() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.writer.Flush()
 }
 
-// run flushes at intervals until the process ends.
+// run flushes the buffer at each interval until the process ends.
 func (b *bufferedLog) run() {
 	for range time.Tick(logFlushInterval) {
 		b.Flush()
--- a/internal/standalone/cli/log_test.go
+++ b/internal/standalone/cli/log_test.go
@@ -9,7 +9,7 @@
 	"mulleinrouter/internal/standalone/node"
 )
 
-// The flags win over the file.
+// The flags take precedence over the file.
 func TestLogSettings(t *testing.T) {
 	file := logging.Settings{Level: logging.LevelWarn, Format: logging.JSON}
 	for name, c := range map[string]struct {
@@ -42,7 +42,7 @@
 }
 `
 
-// A reload hands on what it applied, and nothing of a file that is rejected.
+// A reload calls its callback with the configuration that it applied, and does not call it for a rejected file.
 func TestReloadAppliesLogLevel(t *testing.T) {
 	const servers = "server \"q\" {\n  address = \"127.0.0.1:1\"\n}\n"
 	load := func(text string) loadConfig {
@@ -61,7 +61,7 @@
 	t.Cleanup(n.Stop)
 	for _, step := range []struct {
 		name, text string
-		want       logging.Level // from the initial one
+		want       logging.Level // level after the reload; it is info before
 	}{
 		{"applied", servers + `log_level = "debug"`, logging.LevelDebug},
 		{"not parsed", servers + `log_level = "loud"`, logging.LevelInfo},
--- a/internal/standalone/cli/modelcheck.go
+++ b/internal/standalone/cli/modelcheck.go
@@ -19,7 +19,7 @@
 	Replay ModelCheckReplayCommand `cmd:"" name:"replay" help:"Play the trace of a violation again."`
 }
 
-// ModelCheckStatesCommand explores orderings of events.
+// ModelCheckStatesCommand explores orderings of events and checks the rules after each event.
 type ModelCheckStatesCommand struct {
 	Depth  int    `name:"depth" default:"4" help:"Every ordering of so many events."`
 	Random int    `name:"random" default:"200000" help:"Further orderings of five to eight events, drawn by chance."`
@@ -27,38 +27,38 @@
 	Out    string `name:"out" type:"path" placeholder:"DIR" help:"Folder for the traces of violations."`
 }
 
-const progressSteps = 10 // lines of progress that a run prints
+const progressSteps = 10 // number of progress lines of a run
 
-// explorationProgress prints the progress of a run, of which the model checker's goroutines report.
+// explorationProgress prints the progress of a run. The model checker's goroutines call report concurrently.
 type explorationProgress struct {
-	began time.Time
+	startedAt time.Time
 
-	mu    sync.Mutex // guards the fields below
-	out   io.Writer
-	shown int // steps that have been printed
+	mu           sync.Mutex // guards the fields below
+	out          io.Writer
+	printedSteps int // number of progress lines printed so far
 }
 
-// report prints a line for each further step that is done.
+// report prints a line whenever a further step of the progress is complete.
 func (e *explorationProgress) report(done, all int, orderings int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if step := done * progressSteps / all; step > e.shown {
-		e.shown = step
-		seconds := time.Since(e.began).Seconds()
+	if step := done * progressSteps / all; step > e.printedSteps {
+		e.printedSteps = step
+		seconds := time.Since(e.startedAt).Seconds()
 		fmt.Fprintf(e.out, "%3d%%  %d orderings, %.0f s\n", step*100/progressSteps, orderings, seconds)
 	}
 }
 
-// Run explores, and prints what it found.
+// Run explores the orderings and prints the statistics and the violations.
 func (ms *ModelCheckStatesCommand) Run(p *Program) error {
-	progress := &explorationProgress{began: time.Now(), out: p.err}
+	progress := &explorationProgress{startedAt: time.Now(), out: p.err}
 	r := modelcheck.Explore(modelcheck.Options{
 		Depth:    ms.Depth,
 		Random:   ms.Random,
 		Seed:     ms.Seed,
 		Progress: progress.report,
 	})
-	writeExploration(p.out, r, time.Since(progress.began))
+	writeExploration(p.out, r, time.Since(progress.startedAt))
 	for i, v := range r.Violations {
 		fmt.Fprintf(p.out, "\n%v", v)
 		if ms.Out == "" {
@@ -79,14 +79,14 @@
 }
 
 // writeExploration prints the statistics of a run.
-func writeExploration(out io.Writer, r *modelcheck.Result, took time.Duration) {
+func writeExploration(out io.Writer, r *modelcheck.Result, elapsed time.Duration) {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	t := commandline.NewTable(out)
 	fmt.Fprintf(t, "orderings\t%d, with %d steps\n", r.Orderings, r.Steps)
 	fmt.Fprintf(t, "kinds of states\t%d\n", r.States)
 	fmt.Fprintf(t, "pairs of events\t%d of %d, one right behind the other\n", r.Pairs, r.AllPairs)
-	fmt.Fprintf(t, "time\t%.1f s on %d cores\n", took.Seconds(), runtime.GOMAXPROCS(0))
+	fmt.Fprintf(t, "time\t%.1f s on %d cores\n", elapsed.Seconds(), runtime.GOMAXPROCS(0))
 	fmt.Fprintf(t, "memory\t%d MB from the system\n", memory.Sys>>20)
 	fmt.Fprintf(t, "violations\t%d\n", len(r.Violations))
 	t.Flush()
@@ -108,8 +108,8 @@
 	if err != nil {
 		return fileError{fmt.Errorf("%s: %w", mr.File, err)}
 	}
-	violations, happened := modelcheck.Replay(trace.Config, trace.Events)
-	fmt.Fprintf(p.out, "%d of %d events happened\n", len(happened), len(trace.Events))
+	violations, applied := modelcheck.Replay(trace.Config, trace.Events)
+	fmt.Fprintf(p.out, "%d of %d events happened\n", len(applied), len(trace.Events))
 	for _, v := range violations {
 		fmt.Fprintf(p.out, "%s: %s\n", v.Property, v.Text)
 	}
--- a/internal/standalone/cli/plans.go
+++ b/internal/standalone/cli/plans.go
@@ -13,7 +13,7 @@
 	"mulleinrouter/internal/standalone/plans"
 )
 
-// PlansCommands are the commands about catalogues.
+// PlansCommands are the commands for catalogues.
 type PlansCommands struct {
 	Show  PlansShowCommand  `cmd:"" name:"show" help:"Show the revisions of a catalogue."`
 	Diff  PlansDiffCommand  `cmd:"" name:"diff" help:"${plansDiff}"`
@@ -47,7 +47,7 @@
 	return revisions, nil
 }
 
-// lastRevision is the last revision of a catalogue.
+// lastRevision returns the last revision of a catalogue.
 func lastRevision(path string) (*plans.Revision, error) {
 	revisions, err := loadCatalogue(path)
 	if err != nil {
@@ -111,12 +111,12 @@
 	commandline.OutputFlag
 }
 
-// planChange is a difference as JSON.
+// planChange is a difference between two revisions, as JSON.
 type planChange struct {
 	What string `json:"what"` // plan, member, booking or setting
 	Name string `json:"name"`
-	From string `json:"from"` // empty: not there
-	To   string `json:"to"`   // empty: not there
+	From string `json:"from"` // empty: only the newer revision has it
+	To   string `json:"to"`   // empty: only the older revision has it
 }
 
 // Run prints the differences.
@@ -134,12 +134,12 @@
 		return err
 	}
 	if len(changes) > 0 {
-		return errDiffer
+		return errCataloguesDiffer
 	}
 	return nil
 }
 
-// print prints differences as a table, or as an array of JSON.
+// print prints differences as a table or as a JSON array.
 func (pd *PlansDiffCommand) print(out io.Writer, changes []plans.Change) error {
 	rows := make([]planChange, 0, len(changes))
 	for _, c := range changes {
@@ -159,7 +159,7 @@
 	t.Flush()
 }
 
-// startFlags say from when a change takes effect.
+// startFlags set the time from which a change takes effect.
 type startFlags struct {
 	Holds string `name:"holds" placeholder:"TIME" help:"From when it holds, such as 2026-12-01T10:00:00Z."`
 	In    string `name:"in" placeholder:"SPAN" default:"5s" help:"${plansStartIn}"`
@@ -176,7 +176,7 @@
 	return unixSeconds(time.Now().Add(delay)), nil
 }
 
-// parseTime reads a flag's time of RFC 3339.
+// parseTime parses the value of a flag as a time of RFC 3339.
 func parseTime(flag, text string) (decision.Seconds, error) {
 	t, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
@@ -193,7 +193,7 @@
 	Yes bool `name:"yes" help:"Change it. Without this, only what would change is shown."`
 }
 
-// Run prints what changes and, with --yes, changes it.
+// Run prints the changes and, with --yes, applies them.
 func (pa *PlansApplyCommand) Run(p *Program) error {
 	next, err := lastRevision(pa.File)
 	if err != nil {
@@ -216,7 +216,7 @@
 	return applyRevision(p.out, pa.To, revisions, *next, pa.Yes)
 }
 
-// applyRevision adds a revision to a catalogue, if it is confirmed.
+// applyRevision adds a revision to a catalogue and saves it. Without confirmation it only prints what would be done.
 func applyRevision(w io.Writer, path string, revisions []plans.Revision, next plans.Revision, confirmed bool) error {
 	revisions, err := catalogue.Apply(revisions, next, unixNow())
 	if err != nil {
--- a/internal/standalone/cli/problems.go
+++ b/internal/standalone/cli/problems.go
@@ -10,12 +10,12 @@
 	"mulleinrouter/internal/standalone/hclfile"
 )
 
-// problem is one thing that is wrong with a file. What is not known of its place is 0 or empty.
+// problem is one error in a file. The parts of its position that are not known are 0 or empty.
 type problem struct {
-	File   string `json:"file,omitempty"`   // empty: the text names it
+	File   string `json:"file,omitempty"`   // empty: the text names the file
 	Line   int    `json:"line,omitempty"`   // from 1
 	Column int    `json:"column,omitempty"` // from 1
-	Key    string `json:"key,omitempty"`    // of a setting
+	Key    string `json:"key,omitempty"`    // key of a setting
 	Text   string `json:"text"`
 }
 
@@ -31,7 +31,7 @@
 	return strings.Join(parts, ": ")
 }
 
-// newProblems returns what an error says is wrong with a file.
+// newProblems returns the problems that an error about a file contains.
 func newProblems(file string, err error) (found []problem) {
 	var place *hclfile.Error
 	var wrong settings.SettingErrors
@@ -45,7 +45,7 @@
 			found = append(found, problem{File: file, Line: e.Line, Key: e.Key, Text: e.Text})
 		}
 	default:
-		found = []problem{{Text: oneLine(err)}} // it names the file
+		found = []problem{{Text: oneLine(err)}} // the text names the file
 	}
 	return found
 }
--- a/internal/standalone/cli/serve.go
+++ b/internal/standalone/cli/serve.go
@@ -20,13 +20,13 @@
 type ServeCommand struct {
 	Config string `name:"config" short:"c" type:"path" placeholder:"FILE" help:"${serveConfig}"`
 
-	Faults string `name:"rehearsal" hidden:"" type:"path"` // faults to inject: fault tests start processes so
+	Faults string `name:"rehearsal" hidden:"" type:"path"` // file of faults to inject, set by fault tests
 }
 
-// loadConfig reads a configuration, as the environment and the command line name it.
+// loadConfig reads the configuration that the environment or the command line names.
 type loadConfig func(getenv func(string) string) (*config.Config, error)
 
-// loaders are how the configuration is read at the start and again at SIGHUP.
+// loaders returns the functions that read the configuration at the start (load) and at SIGHUP (reload).
 func (s *ServeCommand) loaders() (load, reload loadConfig) {
 	if s.Config == "" {
 		return config.Load, config.Reload
@@ -37,10 +37,12 @@
 
 // Run serves until SIGTERM or SIGINT.
 func (s *ServeCommand) Run(p *Program) error {
-	// Signals count from the first moment: a restart may be planned before this process is up.
+	// Signals are caught before anything else, because a supervisor may stop the process before it has started up.
 	terminate := make(chan os.Signal, 1)
 	signal.Notify(terminate, syscall.SIGTERM, syscall.SIGINT)
-	hangUp := make(chan os.Signal, 1) // one that comes while another is carried out reads the newest file anyway
+	// One SIGHUP is buffered. Further ones during a reload can be dropped, because the next reload reads the newest
+	// file.
+	hangUp := make(chan os.Signal, 1)
 	signal.Notify(hangUp, syscall.SIGHUP)
 
 	load, reload := s.loaders()
@@ -67,7 +69,7 @@
 		return err
 	}
 	out.Flush()
-	go func() { // until the process exits
+	go func() { // runs until the process exits
 		for range hangUp {
 			reloadNode(n, logger, reload, func(c *config.Config) { inForce.Set(p.logSettings(c.Log).Level) })
 		}
@@ -81,8 +83,8 @@
 	return nil
 }
 
-// reloadNode applies the configuration as it is now, and calls applied with it before it logs that. One that cannot be
-// used changes nothing.
+// reloadNode reads the configuration again and applies it. It calls applied with the configuration before it logs the
+// reload, so that a new log level applies to that line. An invalid configuration changes nothing.
 func reloadNode(n *node.Node, logger log.Logger, reload loadConfig, applied func(*config.Config)) {
 	c, err := reload(os.Getenv)
 	if err == nil {
--- a/internal/standalone/cli/try.go
+++ b/internal/standalone/cli/try.go
@@ -11,15 +11,15 @@
 	"github.com/alecthomas/kong"
 )
 
-// Groups of flags of TryCommand. Those of no group go with everything.
+// Groups of flags of TryCommand. Flags without a group can be used in every mode.
 const (
 	gatewayGroup  = "Without --ingress"
 	scheduleGroup = "Without --ingress and --serve"
 	ingressGroup  = "With --ingress"
 )
 
-// TryCommand is what a newcomer runs first: the complete gateway with stand-ins on this machine, or with --ingress
-// ingresses in service.
+// TryCommand demonstrates the gateway on this machine. It runs the complete gateway with fake servers and clients, or
+// with --ingress standalone ingresses.
 type TryCommand struct {
 	Ingress bool    `name:"ingress" help:"${tryIngress}"`
 	Serve   bool    `name:"serve" help:"${tryServe}"`
@@ -40,13 +40,13 @@
 	Port     int    `name:"port" group:"Without --ingress" help:"${tryPort}"`
 }
 
-// tryScheduleFlags are those flags of the complete gateway that do not go with --serve.
+// tryScheduleFlags are the flags of the complete gateway that cannot be combined with --serve.
 type tryScheduleFlags struct {
 	For      time.Duration `name:"for" default:"18s" group:"Without --ingress and --serve" help:"${tryFor}"`
 	Schedule string        `name:"schedule" group:"Without --ingress and --serve" help:"${trySchedule}"`
 }
 
-// Validate checks that the flags go together. kong calls it.
+// Validate checks that the flags can be combined. kong calls it.
 func (t *TryCommand) Validate(parsed *kong.Context) error {
 	for _, element := range parsed.Path {
 		if element.Flag == nil || element.Flag.Group == nil {
@@ -64,18 +64,18 @@
 	}
 	switch {
 	case t.Ingress && t.Serve:
-		return errServeIngress
+		return errServeWithIngress
 	case min(t.Core, t.Edge) < 1:
-		return errNoMachines
+		return errTooFewMachines
 	case t.For <= 0:
-		return errNoTraffic
+		return errInvalidTrafficTime
 	case t.Port < 0 || t.Port > maxFirstPort:
 		return fmt.Errorf("--port: between 1 and %d, or 0 for any: %d", maxFirstPort, t.Port)
 	}
 	return nil
 }
 
-// Run runs what the flags ask for until it is over, or until SIGTERM or SIGINT.
+// Run runs the mode that the flags select until it ends, or until SIGTERM or SIGINT.
 func (t *TryCommand) Run(p *Program) error {
 	if t.Ingress && t.Lease {
 		return t.runLease(p)
--- a/internal/standalone/cli/try_test.go
+++ b/internal/standalone/cli/try_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-// Where the programs are neither beside this one nor can be built, the error says what to do.
+// If the programs are not in this program's folder and cannot be built, the error says what to do.
 func TestTryWithoutPrograms(t *testing.T) {
 	t.Chdir(t.TempDir())
 	runSteps(t, t.TempDir(), []step{{"try", ExitFailure, []string{
@@ -63,7 +63,7 @@
 	got, err := moduleRoot()
 	is.NoErr(err)
 	is.Equal(got, root)
-	is.NoErr(os.WriteFile("go.mod", []byte("module other\n"), 0o644)) // a module of its own in it
+	is.NoErr(os.WriteFile("go.mod", []byte("module other\n"), 0o644)) // another module inside the checkout
 	_, err = moduleRoot()
 	is.Equal(err, errNoModule)
 }
--- a/internal/standalone/cli/trygateway.go
+++ b/internal/standalone/cli/trygateway.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// trafficDelay is how long after the machines' start the clients begin, at least.
+	// trafficDelay is the minimum time between the start of the machines and the first client request.
 	trafficDelay = 6 * time.Second
 
-	// maxFirstPort leaves room for the other ports of a machine.
+	// maxFirstPort leaves port numbers for the other ports of the machines.
 	maxFirstPort = 65000
 
-	noSchedule = "none" // of --schedule: no faults
+	noSchedule = "none" // value of --schedule for no faults
 )
 
-// runGateway runs the complete gateway. Its folder of settings, disks and logs stays if it was named, or if something
-// went wrong.
+// runGateway runs the complete gateway. It removes the folder of settings, disks and logs, unless --dir names it or an
+// error occurs.
 func (t *TryCommand) runGateway(ctx context.Context, p *Program) error {
 	schedule, err := t.schedule()
 	if err != nil {
@@ -60,7 +60,7 @@
 	return err
 }
 
-// schedule returns the faults to inject: without --schedule a change of the configuration and a proxy that is killed.
+// schedule returns the faults to inject. Without --schedule they are a change of the configuration and a killed proxy.
 func (t *TryCommand) schedule() ([]loopback.Fault, error) {
 	switch t.Schedule {
 	case noSchedule:
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// resultChart returns the chart of a run's requests and faults.
+// resultChart returns a chart of the requests and faults of a run over time.
 func resultChart(report *loopback.Report, options loopback.Options) timechart.Chart {
 	rows := []timechart.Row{
 		loopback.Served:   {Label: "served"},
@@ -132,7 +132,7 @@
 	return chart
 }
 
-// describeFault returns what a fault does, in a few words.
+// describeFault returns a short description of a fault, or its name if it is unknown.
 func describeFault(name string) string {
 	for _, kind := range loopback.FaultKinds() {
 		if kind.Name == name {
@@ -155,7 +155,7 @@
 	return err
 }
 
-// writeEndpoints prints the addresses of a gateway that serves, and commands to begin with.
+// writeEndpoints prints the addresses of a running gateway, and example commands.
 func writeEndpoints(w io.Writer, e loopback.Endpoints) {
 	var control, clients string
 	t := commandline.NewTable(w)
@@ -186,6 +186,6 @@
 	fmt.Fprintln(w, "Ctrl-C ends it.")
 }
 
-// examplePatch adds a service. Its generation is above that of what the gateway starts with.
+// examplePatch adds a service. Its generation must be above those in the initial configuration.
 const examplePatch = `{"upsert":{"services":{"hello":` +
 	`{"healthPath":"/health","maxConns":100,"protocol":"h1","tlsMode":false,"generation":"00000100"}}}}`
--- a/internal/standalone/cli/tryingress.go
+++ b/internal/standalone/cli/tryingress.go
@@ -8,7 +8,7 @@
 	"mulleinrouter/internal/emulator/testcluster"
 )
 
-// leaseScenario is the fault test of the flag --duty.
+// leaseScenario is the name of the fault test that the flag --duty runs.
 const leaseScenario = "try-holder"
 
 // tryIngressFlags are the flags of try --ingress.
@@ -22,12 +22,12 @@
 	Lease     bool    `name:"duty" group:"With --ingress" help:"${tryLease}"`
 }
 
-// runLease plays the fault test of a singleton role.
+// runLease runs the fault test in which the lease holder of a singleton role is killed.
 func (t *TryCommand) runLease(p *Program) error {
 	return (&FaultTestCommand{File: leaseScenario, Dir: t.Dir, Slack: 1, Repeat: 1}).Run(p)
 }
 
-// runIngresses runs ingresses in service among fakes, and prints what was served and billed.
+// runIngresses runs standalone ingresses with fake servers and clients, and prints what was served and billed.
 func (t *TryCommand) runIngresses(ctx context.Context, p *Program) error {
 	program, err := os.Executable()
 	if err != nil {
@@ -55,7 +55,7 @@
 	fmt.Fprintln(p.out)
 	report.Write(p.out)
 	if !report.Passed() {
-		return errRunNotAsPlanned
+		return errUnexpectedRunResult
 	}
 	return nil
 }
--- a/internal/standalone/cli/tryprograms.go
+++ b/internal/standalone/cli/tryprograms.go
@@ -14,38 +14,38 @@
 	"time"
 )
 
-// rolePrograms are the programs of the complete gateway, as their files are named and as folders below cmd.
+// rolePrograms are the programs of the complete gateway. Their executables and their folders in cmd have these names.
 var rolePrograms = []string{"proxy", "agent", "control"}
 
-// buildGrace is how long a build has to end once it is interrupted.
+// buildGrace is how long an interrupted build may take to end before it is killed.
 const buildGrace = 5 * time.Second
 
 // moduleLine is the line of go.mod that names this module.
 var moduleLine = regexp.MustCompile(`(?m)^module mulleinrouter$`)
 
-// noProgramsError is returned where the programs of the complete gateway are neither found nor can be built.
+// noProgramsError is returned if the programs of the complete gateway are not found and cannot be built.
 type noProgramsError struct {
-	beside string // folder of this program
-	reason error  // why they can't be built
+	programDir string // folder of this executable
+	reason     error  // why the programs cannot be built
 }
 
 func (ne *noProgramsError) Error() string {
 	return fmt.Sprintf("%s are not all in %s, beside this program, and cannot be built here: %v. "+
 		"Run it in a checkout of mulleinrouter, or name their folder with --bin",
-		strings.Join(rolePrograms, ", "), ne.beside, ne.reason)
+		strings.Join(rolePrograms, ", "), ne.programDir, ne.reason)
 }
 
 func (ne *noProgramsError) Unwrap() error { return ne.reason }
 
 var (
-	errNoModule  = errors.New("the working directory is not in a checkout of mulleinrouter")
-	errNoToolset = errors.New("there is no go command")
+	errNoModule    = errors.New("the working directory is not in a checkout of mulleinrouter")
+	errNoGoCommand = errors.New("there is no go command")
 )
 
-// programs is a folder with the programs of the complete gateway.
+// programs is a folder that contains the programs of the complete gateway.
 type programs struct {
 	dir   string
-	built bool // for this run alone
+	built bool // built for this run only; remove deletes the folder
 }
 
 // remove removes the folder if it was built for this run.
@@ -55,30 +55,30 @@
 	}
 }
 
-// findPrograms returns the folder with the programs: the given one, that of this program, or else a temporary one where
-// it builds them.
-func findPrograms(ctx context.Context, given string, progress io.Writer) (programs, error) {
-	if given != "" {
-		if missing := missingProgram(given); missing != nil {
+// findPrograms returns the folder with the programs. It is the requested one, or the folder of this executable if it
+// contains them, or else a temporary folder in which the programs are built.
+func findPrograms(ctx context.Context, requestedDir string, progress io.Writer) (programs, error) {
+	if requestedDir != "" {
+		if missing := missingProgram(requestedDir); missing != nil {
 			return programs{}, fileError{missing}
 		}
-		return programs{dir: given}, nil
+		return programs{dir: requestedDir}, nil
 	}
 	self, err := os.Executable()
 	if err != nil {
 		return programs{}, err
 	}
-	beside := filepath.Dir(self)
-	if missingProgram(beside) == nil {
-		return programs{dir: beside}, nil
+	programDir := filepath.Dir(self)
+	if missingProgram(programDir) == nil {
+		return programs{dir: programDir}, nil
 	}
 	root, err := moduleRoot()
 	if err != nil {
-		return programs{}, &noProgramsError{beside: beside, reason: err}
+		return programs{}, &noProgramsError{programDir: programDir, reason: err}
 	}
 	goCommand, err := exec.LookPath("go")
 	if err != nil {
-		return programs{}, &noProgramsError{beside: beside, reason: errNoToolset}
+		return programs{}, &noProgramsError{programDir: programDir, reason: errNoGoCommand}
 	}
 	return buildPrograms(ctx, goCommand, root, progress)
 }
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// moduleRoot returns the root of the checkout that the working directory is in.
+// moduleRoot returns the root of the checkout that contains the working directory.
 func moduleRoot() (string, error) {
 	dir, err := os.Getwd()
 	if err != nil {
--- a/internal/standalone/cli/tryprogress.go
+++ b/internal/standalone/cli/tryprogress.go
@@ -11,10 +11,10 @@
 	"mulleinrouter/internal/emulator/loopback"
 )
 
-// clearLine returns to the begin of a terminal's line and empties it.
+// clearLine moves the cursor to the start of the terminal's line and clears the line.
 const clearLine = "\r\x1b[K"
 
-// stageTexts say what a run does.
+// stageTexts describe the stages of a run.
 var stageTexts = map[loopback.Stage]string{
 	loopback.Starting:  "starting the processes",
 	loopback.WarmingUp: "every edge machine serves every route",
@@ -23,22 +23,22 @@
 	loopback.Checking:  "checking what was observed",
 }
 
-// progressPrinter tells a person what a run does: on a terminal in one line that changes, otherwise in a line for each
-// stage and fault. It is used by one goroutine at a time.
+// progressPrinter prints the progress of a run. On a terminal it updates one line in place, otherwise it prints a line
+// for each stage and fault. It is not safe for concurrent use.
 type progressPrinter struct {
 	out      io.Writer
 	terminal bool
-	span     time.Duration // of the traffic
+	span     time.Duration // planned duration of the traffic
 	last     loopback.Progress
-	begun    bool // last was printed
-	unended  bool // the terminal's line is not empty
+	hasLast  bool // last is valid
+	lineOpen bool // the terminal's line has text that must be cleared
 }
 
 func newProgressPrinter(out io.Writer, span time.Duration) *progressPrinter {
 	return &progressPrinter{out: out, terminal: isTerminal(out), span: span}
 }
 
-// isTerminal tells whether what is written there is shown on a terminal.
+// isTerminal reports whether a writer is a terminal.
 func isTerminal(out io.Writer) bool {
 	file, ok := out.(*os.File)
 	if !ok {
@@ -48,12 +48,12 @@
 	return err == nil
 }
 
-// print prints a progress, where it is worth a line.
+// print prints the progress. Without a terminal it prints only new stages and faults.
 func (pp *progressPrinter) print(now loopback.Progress) {
-	newStage := !pp.begun || now.Stage != pp.last.Stage
+	newStage := !pp.hasLast || now.Stage != pp.last.Stage
 	newFault := now.Fault != nil && now.Fault != pp.last.Fault
 	pp.last = now
-	pp.begun = true
+	pp.hasLast = true
 	if newFault {
 		pp.close()
 		fmt.Fprintf(pp.out, "%.1f s: %s\n", now.Fault.At.Seconds(), describeFault(now.Fault.Name))
@@ -61,13 +61,13 @@
 	switch {
 	case pp.terminal:
 		fmt.Fprint(pp.out, clearLine, pp.line(now))
-		pp.unended = true
+		pp.lineOpen = true
 	case newStage:
 		fmt.Fprintln(pp.out, stageTexts[now.Stage])
 	}
 }
 
-// line is the line of a terminal.
+// line returns the text of the terminal's line.
 func (pp *progressPrinter) line(now loopback.Progress) string {
 	if now.Stage != loopback.Traffic {
 		return stageTexts[now.Stage]
@@ -76,10 +76,10 @@
 		now.Elapsed.Seconds(), pp.span, now.Served, now.Rejected, now.Failed)
 }
 
-// close empties the terminal's line, for other output.
+// close clears the terminal's line, so that other output can follow.
 func (pp *progressPrinter) close() {
-	if pp.unended {
+	if pp.lineOpen {
 		fmt.Fprint(pp.out, clearLine)
-		pp.unended = false
+		pp.lineOpen = false
 	}
 }
--- a/internal/standalone/cli/usage.go
+++ b/internal/standalone/cli/usage.go
@@ -16,7 +16,7 @@
 	"mulleinrouter/internal/standalone/usageexport"
 )
 
-// UsageCommands are the commands about usage records.
+// UsageCommands are the commands for usage records.
 type UsageCommands struct {
 	Export UsageExportCommand `cmd:"" name:"export" help:"Send what is recorded and not yet acknowledged to billing."`
 	Verify UsageVerifyCommand `cmd:"" name:"verify" help:"${usageVerify}"`
@@ -24,12 +24,12 @@
 }
 
 const (
-	maxExportAttempts = 5   // of one batch
-	retryDelaySeconds = 0.2 // before the second attempt; it grows by as much with each
-	maxAdviceSeconds  = 5   // of the delay that billing asks for
+	maxExportAttempts    = 5   // maximum number of attempts per batch
+	retryDelaySeconds    = 0.2 // delay before the second attempt, and its increase with each further one, seconds
+	maxRetryAfterSeconds = 5   // upper bound of the delay that billing requests, seconds
 )
 
-// openExporter opens the store of a folder of records, which must exist.
+// openExporter opens an exporter. Its folder of records must exist.
 func openExporter(e *usageexport.Exporter) error {
 	if err := checkExists(e.Dir); err != nil {
 		return err
@@ -37,7 +37,7 @@
 	return e.Open()
 }
 
-// UsageExportCommand exports records.
+// UsageExportCommand exports usage records to billing.
 type UsageExportCommand struct {
 	Dir    string `arg:"" name:"dir" type:"path" help:"Folder of the records."`
 	To     string `name:"to" required:"" placeholder:"URL" help:"Billing's endpoint."`
@@ -45,7 +45,7 @@
 	Keep   string `name:"keep" default:"168h" placeholder:"SPAN" help:"${usageExportKeep}"`
 }
 
-// Run exports what is there, and with --follow what comes.
+// Run exports the existing records and ends, or with --follow also exports new ones until SIGTERM or SIGINT.
 func (ue *UsageExportCommand) Run(p *Program) error {
 	keep, err := time.ParseDuration(ue.Keep)
 	if err != nil || keep < 0 {
@@ -72,7 +72,8 @@
 	return nil
 }
 
-// exportAll exports until nothing is left, and returns the number of batches.
+// exportAll exports until no record is left, and returns the number of batches. It fails if billing rejects a batch,
+// or after maxExportAttempts attempts of a batch.
 func exportAll(ctx context.Context, e *usageexport.Exporter) (batches int, err error) {
 	for attempts := 0; ctx.Err() == nil; {
 		result, err := e.Step(ctx)
@@ -84,9 +85,9 @@
 			return batches, nil
 		default:
 			if attempts++; attempts >= maxExportAttempts || result.Answer != usage.Retry {
-				return batches, fmt.Errorf("%w after %d: %w", errNoBatchTaken, batches, err)
+				return batches, fmt.Errorf("%w after %d: %w", errBatchNotAcknowledged, batches, err)
 			}
-			delay := max(retryDelaySeconds*float64(attempts), min(result.RetryAfter, maxAdviceSeconds))
+			delay := max(retryDelaySeconds*float64(attempts), min(result.RetryAfter, maxRetryAfterSeconds))
 			select {
 			case <-ctx.Done():
 			case <-time.After(time.Duration(delay * float64(time.Second))):
@@ -96,13 +97,13 @@
 	return batches, ctx.Err()
 }
 
-// UsageVerifyCommand verifies records.
+// UsageVerifyCommand verifies that segments and batches are intact and agree.
 type UsageVerifyCommand struct {
 	Dir string `arg:"" name:"dir" type:"path" help:"Folder of the records. No exporter may be at it meanwhile."`
 	commandline.OutputFlag
 }
 
-// Run verifies segments and batches.
+// Run verifies the records and prints the totals and the problems.
 func (uv *UsageVerifyCommand) Run(p *Program) error {
 	e := &usageexport.Exporter{Dir: uv.Dir, Log: p.newLogger()}
 	if err := openExporter(e); err != nil {
--- a/internal/standalone/cli/usageshow.go
+++ b/internal/standalone/cli/usageshow.go
@@ -13,14 +13,14 @@
 	"mulleinrouter/internal/standalone/usagesegment"
 )
 
-// UsageShowCommand shows records.
+// UsageShowCommand shows usage records, summed or row by row.
 type UsageShowCommand struct {
 	Dir string `arg:"" name:"dir" type:"path" help:"Folder of the records."`
 	By  string `name:"by" enum:"member,plan,class,minute,all" default:"plan" help:"${usageShowBy}"`
 	commandline.OutputFlag
 }
 
-// Run shows what the segments say, those included that are still written to.
+// Run shows the records of all segments, including those that are still being written.
 func (us *UsageShowCommand) Run(p *Program) error {
 	rows, err := readUsage(us.Dir)
 	if err != nil {
@@ -76,7 +76,8 @@
 	return t.Flush()
 }
 
-// usageSum is what rows of one name add up to, in units.
+// usageSum is the sum of the rows with one name: the number of attempts, and their units within the quota, beyond it,
+// and with unknown arrival.
 type usageSum struct {
 	Name    string  `json:"Name"`
 	Tries   int64   `json:"Tries"`
@@ -85,7 +86,7 @@
 	Unknown float64 `json:"Unknown"`
 }
 
-// sumUsage adds rows up by member, plan, class or minute, in order of their names.
+// sumUsage sums rows by member, plan, class or minute, and returns the sums in order of their names.
 func sumUsage(rows []usage.Row, by string) []*usageSum {
 	byName := map[string]*usageSum{}
 	for _, r := range rows {
@@ -125,5 +126,5 @@
 	return t.Flush()
 }
 
-// formatMinute is a minute since the Unix epoch in tables.
+// formatMinute formats a time in minutes since the Unix epoch for tables.
 func formatMinute(m int64) string { return time.Unix(m*60, 0).UTC().Format("2006-01-02T15:04Z") }
--- a/internal/standalone/cli/usageverify.go
+++ b/internal/standalone/cli/usageverify.go
@@ -9,20 +9,20 @@
 	"mulleinrouter/internal/standalone/usageexport"
 )
 
-// verificationReport is what usage verify found, as JSON.
+// verificationReport is the result of usage verify, as JSON.
 type verificationReport struct {
 	Segments       int        `json:"segments"`
 	Records        int        `json:"records"`
 	Batches        uint64     `json:"batches"`
 	Billed         usageTotal `json:"billed"`
-	ArrivalUnknown usageTotal `json:"arrivalUnknown"` // listed apart
-	NotRecorded    usageTotal `json:"notRecorded"`    // for want of room
+	ArrivalUnknown usageTotal `json:"arrivalUnknown"` // not in Billed
+	NotRecorded    usageTotal `json:"notRecorded"`    // could not be recorded because the disk was full
 	NotExported    usageTotal `json:"notExported"`    // in no batch yet
-	InFlight       int        `json:"inFlight"`       // tries without an end
+	InFlight       int        `json:"inFlight"`       // attempts that have not ended
 	Problems       []string   `json:"problems"`       // empty: all is in order
 }
 
-// usageTotal is what tries add up to.
+// usageTotal is the sum of a number of attempts.
 type usageTotal struct {
 	Units float64 `json:"units"`
 	Tries int64   `json:"tries"`
@@ -43,7 +43,7 @@
 	}
 }
 
-// writeVerification writes what was found as a table, without its problems.
+// writeVerification prints the totals as a table, without the problems.
 func writeVerification(out io.Writer, v *usageexport.Verification) error {
 	units := func(s usage.Sum) string {
 		return fmt.Sprintf("%.6g units in %d tries", s.InUnits(), s.Requests)
