--- a/internal/standalone/catalogue/watcher.go
+++ b/internal/standalone/catalogue/watcher.go
@@ -15,7 +15,7 @@
 // Watcher reads a catalogue file whenever it changes.
 type Watcher struct {
 	Path     string
-	OnChange func([]plans.Revision) // receives each valid catalogue, from the goroutine of Run
+	OnChange func([]plans.Revision) // called with each valid catalogue, by the goroutine of Run
 	Log      log.Logger
 
 	lastError error // error of the last read; nil: it succeeded
--- a/internal/standalone/cli/check.go
+++ b/internal/standalone/cli/check.go
@@ -38,7 +38,7 @@
 	settingLine = regexp.MustCompile(`(?m)^\s*[\w-]+(\.[\w-]+)+\s*=`)
 )
 
-// kind recognizes a file by its content.
+// kind recognizes the kind of the file by its content.
 func (c *CheckCommand) kind() (fileKind, error) {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
--- a/internal/standalone/cli/cli.go
+++ b/internal/standalone/cli/cli.go
@@ -10,7 +10,7 @@
 	"mulleinrouter/internal/control/operatorcommand"
 )
 
-// Exit codes. Scripts may tell them apart.
+// Exit codes. They must not change, because scripts may distinguish them.
 const (
 	ExitOK      = 0
 	ExitFailure = 1 // the command failed
@@ -63,7 +63,7 @@
 func Main(args []string, out, errOut io.Writer) int {
 	p := &Program{out: out, err: errOut}
 	// The platform calls the program without arguments, on machines with little memory. kong is not used then, because
-	// its memory would not be freed.
+	// it would keep some of that memory until the process exits.
 	if len(args) == 0 {
 		return p.finish(p.Serve.Run(p))
 	}
--- a/internal/standalone/cli/errors.go
+++ b/internal/standalone/cli/errors.go
@@ -40,10 +40,10 @@
 var (
 	// Errors of commands that completed with a negative result.
 	errViolated             = errors.New("a rule is broken")
-	errExpectationFailed    = errors.New("not all that was expected held")
-	errUnexpectedRunResult  = errors.New("the run did not show what it should")
+	errExpectationFailed    = errors.New("not all expectations were met")
+	errUnexpectedRunResult  = errors.New("the run did not show the expected result")
 	errCataloguesDiffer     = errors.New("they differ")
-	errBatchNotAcknowledged = errors.New("no batch was taken")
+	errBatchNotAcknowledged = errors.New("billing did not accept the next batch")
 
 	// Errors of try.
 	errServeWithIngress   = errors.New("--serve is for the complete gateway: it does not go with --ingress")
@@ -51,15 +51,15 @@
 	errInvalidTrafficTime = errors.New("--for: not a span such as 18s")
 	errInterrupted        = errors.New("interrupted")
 
-	// Errors of calls that an ingress rejected. The ingress does not return a reason, so each text names the usual ones
-	// for its call.
-	errNoMembership     = errors.New("it does not know of other ingresses: its file has no membership in fleet")
-	errAnnounceDisabled = errors.New("its file does not say announce in catalogue: " +
-		"revisions hold as its own file has them")
-	errSharingDisabled   = errors.New("its file does not say share in membership")
-	errLeaseCallRejected = errors.New("refused: it knows of no voters, no voter that leads answers, " +
-		"or what is asked cannot be (its log tells)")
+	// Errors of calls that an ingress rejected. The command does not print the ingress's own reason, so each text lists
+	// the possible ones.
+	errNoMembership     = errors.New("the ingress knows no others: its configuration has no membership block in fleet")
+	errAnnounceDisabled = errors.New("the ingress does not use announced revisions: " +
+		"its configuration does not set announce in catalogue")
+	errSharingDisabled   = errors.New("the ingress shares no state: its configuration does not set share in membership")
+	errLeaseCallRejected = errors.New("refused: the ingress has no voters configured, the leading voter " +
+		"does not answer, or the request is not possible; see the log of the ingress")
 	errVoterArguments    = errors.New("add and remove take one name, replace the old one and the new one")
-	errRestartNotAllowed = errors.New("not now: the whole fleet is not heard, " +
+	errRestartNotAllowed = errors.New("not now: the ingress does not reach the complete fleet, " +
 		"or another ingress is starting, drained or leaving")
 )
--- a/internal/standalone/cli/fleet.go
+++ b/internal/standalone/cli/fleet.go
@@ -72,7 +72,7 @@
 // FleetMembersCommand shows the members of the fleet.
 type FleetMembersCommand struct{ ingressFlags }
 
-// Run asks, and prints a table.
+// Run makes the call and prints the members as a table.
 func (fm *FleetMembersCommand) Run(p *Program) error {
 	return show(&fm.ingressFlags, p.out, "FLEET", errNoMembership, writeMembers)
 }
@@ -107,7 +107,7 @@
 const linkLegend = "\n+ answers   < is heard, and does not answer   x neither   . not tried of late   " +
 	"? its own row did not come"
 
-// Run asks, and prints a matrix.
+// Run makes the call and prints the links as a matrix.
 func (fl *FleetLinksCommand) Run(p *Program) error {
 	return show(&fl.ingressFlags, p.out, "LINKS", errNoMembership, writeLinks)
 }
--- a/internal/standalone/cli/fleetleases.go
+++ b/internal/standalone/cli/fleetleases.go
@@ -32,7 +32,7 @@
 // FleetLeasesCommand shows the leases of singleton roles.
 type FleetLeasesCommand struct{ ingressFlags }
 
-// Run asks, and prints tables.
+// Run makes the call and prints the leases and their history as tables.
 func (fl *FleetLeasesCommand) Run(p *Program) error {
 	return show(&fl.ingressFlags, p.out, callLeases, errLeaseCallRejected, writeLeases)
 }
@@ -81,7 +81,7 @@
 
 // votersReport is the voters as JSON.
 type votersReport struct {
-	Voters []string `json:"voters"` // their names
+	Voters []string `json:"voters"` // names of the voters
 }
 
 // voterChange adds or removes one voter. The voters accept only one change at a time.
--- a/internal/standalone/cli/fleetshared.go
+++ b/internal/standalone/cli/fleetshared.go
@@ -15,7 +15,7 @@
 // FleetPlansCommand shows the announced revisions of the catalogue.
 type FleetPlansCommand struct{ ingressFlags }
 
-// Run asks, and prints a table.
+// Run makes the call and prints the revisions as a table.
 func (fp *FleetPlansCommand) Run(p *Program) error {
 	return show(&fp.ingressFlags, p.out, "CATALOGUE", errAnnounceDisabled, writeAnnounced)
 }
@@ -37,7 +37,7 @@
 	Member string `name:"member" placeholder:"ID" help:"Of one member alone."`
 }
 
-// Run asks, and prints a table.
+// Run makes the call and prints the members' quotas and loans as a table.
 func (fs *FleetStateCommand) Run(p *Program) error {
 	call := strings.TrimSpace("STATE " + fs.Member)
 	return show(&fs.ingressFlags, p.out, call, errSharingDisabled, writeShared)
--- a/internal/standalone/cli/modelcheck.go
+++ b/internal/standalone/cli/modelcheck.go
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// writeExploration prints the statistics of a run.
+// writeExploration prints the statistics of an exploration.
 func writeExploration(out io.Writer, r *modelcheck.Result, elapsed time.Duration) {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
--- a/internal/standalone/cli/serve.go
+++ b/internal/standalone/cli/serve.go
@@ -37,7 +37,7 @@
 
 // Run serves until SIGTERM or SIGINT.
 func (s *ServeCommand) Run(p *Program) error {
-	// Signals are caught before anything else, because a supervisor may stop the process before it has started up.
+	// Signals are caught before anything else, because a restart may be requested before this process has started up.
 	terminate := make(chan os.Signal, 1)
 	signal.Notify(terminate, syscall.SIGTERM, syscall.SIGINT)
 	// One SIGHUP is buffered. Further ones during a reload can be dropped, because the next reload reads the newest
--- a/internal/standalone/cli/usage.go
+++ b/internal/standalone/cli/usage.go
@@ -85,7 +85,7 @@
 			return batches, nil
 		default:
 			if attempts++; attempts >= maxExportAttempts || result.Answer != usage.Retry {
-				return batches, fmt.Errorf("%w after %d: %w", errBatchNotAcknowledged, batches, err)
+				return batches, fmt.Errorf("%w after %d batches: %w", errBatchNotAcknowledged, batches, err)
 			}
 			delay := max(retryDelaySeconds*float64(attempts), min(result.RetryAfter, maxRetryAfterSeconds))
 			select {
--- a/internal/standalone/cli/usageverify.go
+++ b/internal/standalone/cli/usageverify.go
@@ -17,9 +17,9 @@
 	Billed         usageTotal `json:"billed"`
 	ArrivalUnknown usageTotal `json:"arrivalUnknown"` // not in Billed
 	NotRecorded    usageTotal `json:"notRecorded"`    // could not be recorded because the disk was full
-	NotExported    usageTotal `json:"notExported"`    // in no batch yet
+	NotExported    usageTotal `json:"notExported"`    // not yet in a batch
 	InFlight       int        `json:"inFlight"`       // attempts that have not ended
-	Problems       []string   `json:"problems"`       // empty: all is in order
+	Problems       []string   `json:"problems"`       // empty: no problem was found
 }
 
 // usageTotal is the sum of a number of attempts.
--- a/internal/standalone/config/hcl_test.go
+++ b/internal/standalone/config/hcl_test.go
@@ -146,7 +146,7 @@
 		t.Fatal("no such line:", text)
 		return ""
 	}
-	for _, tc := range []struct{ name, from, to, want string }{ // from is replaced by to; * in want stands for any text
+	for _, tc := range []struct{ name, from, to, want string }{ // from is replaced by to; * in want matches any text
 		{"unknown key", "log_format =", "log_from =",
 			line("log_format") + `:1: Unsupported argument: An argument named "log_from" is not expected here.`},
 		{"unknown block", "limits {", "limit {",
--- a/internal/standalone/config/hclfleet.go
+++ b/internal/standalone/config/hclfleet.go
@@ -147,14 +147,14 @@
 func (m *membershipBlock) checkVoters(file *hclfile.File, c *Config) error {
 	const path = membershipPath + "voters"
 	if n := len(m.Voters); n != 0 && n != 1 && n != 3 && n != 5 {
-		return file.ErrorAt(path, "three or five, or one that is not to be lost")
+		return file.ErrorAt(path, "must name three or five voters, or a single one that is never lost")
 	}
 	for i, voter := range m.Voters {
 		if voter == "" || len(voter) > maxNameBytes || slices.Contains(m.Voters[:i], voter) {
-			return file.ErrorAt(path, fmt.Sprintf("each once, by its name: %q", voter))
+			return file.ErrorAt(path, fmt.Sprintf("each voter must be named once, with 1 to 64 bytes: %q", voter))
 		}
 		if voter == c.Name && c.State == "" {
-			return file.ErrorAt(path, "a voter needs a state folder that lasts")
+			return file.ErrorAt(path, "a voter needs a state folder, which must survive restarts")
 		}
 	}
 	return nil
--- a/internal/standalone/config/hclpolicy.go
+++ b/internal/standalone/config/hclpolicy.go
@@ -15,7 +15,7 @@
 	maxAttempts = 4 // maximum number of attempts of a request, which the rules of the service set
 
 	defaultSlowStartShare = 0.2 // share of a server's capacity that is used when its slow start begins
-	defaultOverloadFactor = 2.5
+	defaultOverloadFactor = 2.5 // multiple of its present capacity at which a server in slow start fails
 
 	defaultUsageRotation = time.Minute        // age at which a segment of usage records is closed
 	minUsageRotation     = time.Second        // limits the number of segment files
--- a/internal/standalone/config/platform.go
+++ b/internal/standalone/config/platform.go
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// applySettings reads the platform's settings object.
+// applySettings decodes the settings object of the platform's file.
 func (c *Config) applySettings(raw []byte) (err error) {
 	c.SettingsRaw = raw
 	if c.Settings, err = settings.Decode(raw); err != nil {
--- a/internal/standalone/hclfile/errors.go
+++ b/internal/standalone/hclfile/errors.go
@@ -12,7 +12,7 @@
 // Error is an error at one position of a file. Its text is a single line.
 type Error struct {
 	File         string
-	Line, Column int // from 1
+	Line, Column int // counted from 1
 	Text         string
 	Others       []*Error // further errors in the same file
 }
--- a/internal/standalone/jsontext/jsontext.go
+++ b/internal/standalone/jsontext/jsontext.go
@@ -25,5 +25,5 @@
 // Encode writes a value.
 func Encode(v any) ([]byte, error) { return api.Marshal(v) }
 
-// NewEncoder returns an encoder that writes each value on a line of its own.
+// NewEncoder returns an encoder that writes each value on a separate line.
 func NewEncoder(w io.Writer) *jsoniter.Encoder { return api.NewEncoder(w) }
--- a/internal/standalone/plans/plans_test.go
+++ b/internal/standalone/plans/plans_test.go
@@ -196,7 +196,7 @@
 	verdicts := fmt.Sprint(
 		s.Offer(revision(1, 0), 10), s.Offer(revision(1, 0), 11),
 		s.Offer(revision(3, 100, func(r *Revision) { r.Members[anna] = "plus" }), 12), // pending
-		s.Offer(revision(2, 50, func(r *Revision) { r.Plans[0].Rate = 6 }), 13),       // received after a later one
+		s.Offer(revision(2, 50, func(r *Revision) { r.Plans[0].Rate = 6 }), 13),       // after a higher one
 		s.Offer(revision(4, 14, func(r *Revision) { r.Plans[0].Rate = 7 }), 15),       // late: in force at once
 		s.Offer(revision(2, 50), 16)) // stale
 	if want := "late same announced announced late older"; verdicts != want {
@@ -216,7 +216,7 @@
 func TestOrderOfReceiptDoesNotMatter(t *testing.T) {
 	all := []Revision{
 		revision(1, 0), revision(2, 20, func(r *Revision) { r.Members[anna] = "plus" }),
-		revision(2, 20, func(r *Revision) { r.Plans[0].Rate = 5 }), // the same number, another content
+		revision(2, 20, func(r *Revision) { r.Plans[0].Rate = 5 }), // same number, other content
 		revision(3, 40, func(r *Revision) { r.Bookings = []Booking{{"b", anna, 50, 60, 100}} }),
 		revision(4, 30, func(r *Revision) { r.Plans[1].Rate = 12 }),
 	}
@@ -263,7 +263,7 @@
 	if diff := cmp.Diff([]float64{11, 7, 7, 4}, rates(s, anna, "", 159, 160, 200, 250)); diff != "" {
 		t.Errorf("changed and cancelled (-want +got):\n%s", diff)
 	}
-	// An ingress that starts within a booking.
+	// An ingress starts during a booking.
 	late := NewState(nil)
 	late.Offer(revision(2, 160, func(r *Revision) { r.Bookings = []Booking{{"a2", anna, 150, 250, 300}} }), 180)
 	if diff := cmp.Diff([]float64{7}, rates(late, anna, "", 180)); diff != "" {
