--- a/internal/emulator/faulttest/actions.go
+++ b/internal/emulator/faulttest/actions.go
@@ -18,47 +18,48 @@
 	"mulleinrouter/internal/standalone/fleet/leaseservice"
 )
 
-// upgradeOverlap is how long both processes of an upgrade run: until health checks have seen the new one, as operators
-// wait for.
+// upgradeOverlap is how long the old and the new process of an upgrade run at the same time. Operators wait as long, so
+// that health checks have seen the new process before the old one ends.
 const upgradeOverlap = time.Second
 
-// action is a step as it is carried out.
+// action is a step that is being carried out.
 type action struct {
 	player *player
 	step   Step
-	nodes  []*node // that it is about
+	nodes  []*node // members that the step applies to
 }
 
-// actions carry out a step. undo, where it is not nil, ends what the step began.
+// actions holds the function that carries out each action. The returned undo, if not nil, ends the effect of the step.
 var actions = map[Action]func(*action) (undo func(), err error){
-	ActionLink:     (*action).setLinkFault,
-	ActionStop:     (*action).stop,
-	ActionKill:     (*action).kill,
-	ActionStart:    (*action).start,
-	ActionTwin:     (*action).startTwin,
-	ActionSave:     (*action).saveDir,
-	ActionTerm:     (*action).terminate,
-	ActionUpgrade:  (*action).upgrade,
-	ActionVoters:   (*action).changeVoters,
-	ActionLameDuck: (*action).lameDuck,
-	ActionFill:     (*action).fillDisk,
-	ActionDisk:     (*action).failDisk,
-	ActionRevise:   (*action).writeRevision,
-	ActionCounter:  (*action).setCounter,
-	ActionServer:   (*action).failQuoteServer,
-	ActionShift:    (*action).shiftCustomers,
-	ActionReload:   (*action).reload,
-	ActionGive:     (*action).transferLease,
-	ActionRubbish:  (*action).sendGarbage,
-	ActionKeys:     (*action).changeKeys,
-}
-
-// actionsWithoutNodes concern no node. Any other action that names none is about the lease holder.
+	ActionLink:          (*action).setLinkFault,
+	ActionStop:          (*action).stop,
+	ActionKill:          (*action).kill,
+	ActionStart:         (*action).start,
+	ActionTwin:          (*action).startTwin,
+	ActionSave:          (*action).saveDir,
+	ActionTerminate:     (*action).terminate,
+	ActionUpgrade:       (*action).upgrade,
+	ActionVoters:        (*action).changeVoters,
+	ActionLameDuck:      (*action).lameDuck,
+	ActionFill:          (*action).fillDisk,
+	ActionDisk:          (*action).failDisk,
+	ActionRevise:        (*action).writeRevision,
+	ActionCounter:       (*action).setCounter,
+	ActionServer:        (*action).failQuoteServer,
+	ActionShift:         (*action).shiftCustomers,
+	ActionReload:        (*action).reload,
+	ActionTransferLease: (*action).transferLease,
+	ActionGarbage:       (*action).sendGarbage,
+	ActionKeys:          (*action).changeKeys,
+}
+
+// actionsWithoutNodes are the actions that apply to no node. Any other action that names no member applies to the lease
+// holder.
 var actionsWithoutNodes = []Action{
 	ActionLink, ActionKeys, ActionVoters, ActionCounter, ActionServer, ActionShift,
 }
 
-// carryOut carries out a step, and returns what undoes it.
+// carryOut carries out a step, and returns the function that undoes it, or nil.
 func (p *player) carryOut(step Step) (undo func(), err error) {
 	what := string(step.Action)
 	if step.Argument != "" {
@@ -75,7 +76,8 @@
 	return actions[step.Action](a)
 }
 
-// forEach calls a function with each node and its index in the environment, side by side, and joins the errors.
+// forEach calls a function with each node and its index in the environment, concurrently, and joins the
+// errors.
 func (a *action) forEach(call func(n *node, i int) error) error {
 	var calls sync.WaitGroup
 	errs := make([]error, len(a.nodes))
@@ -110,7 +112,7 @@
 	return func() { a.player.env.setLinks(a.step.LinkFault, faultnet.Fault{}) }, nil
 }
 
-// setLinks gives the links of a link fault a fault; the zero fault heals them.
+// setLinks sets the fault of the links that a link fault names. The zero fault restores them.
 func (e *environment) setLinks(l LinkFault, fault faultnet.Fault) {
 	for _, from := range l.From {
 		for _, to := range l.To {
@@ -125,7 +127,8 @@
 	}
 }
 
-// stop suspends processes, one directly after another: they must not notice each other's absence first.
+// stop suspends processes, one directly after the other, so that none has the time to notice the absence of another one
+// before it is suspended itself.
 func (a *action) stop() (undo func(), err error) {
 	var errs []error
 	for _, n := range a.nodes {
@@ -157,8 +160,8 @@
 	})
 }
 
-// start starts the nodes that do not run: with the folder they had, an empty one, or the one that was saved. Nodes
-// that do run are those of which the lease holder was killed in an earlier step, or not.
+// start starts the nodes that do not run, with the folder that they had, an empty one, or the saved one. It skips nodes
+// that run: a file cannot say which member was the lease holder that an earlier step killed, so it names several.
 func (a *action) start() (undo func(), err error) {
 	return nil, a.forEach(func(n *node, i int) error {
 		if n.running() != nil {
@@ -210,31 +213,32 @@
 	})
 }
 
-// upgrade starts a new process beside the old one, and ends one of the two.
+// upgrade starts a new process while the old one runs, and ends one of the two.
 func (a *action) upgrade() (undo func(), err error) {
 	return nil, a.forEach(func(n *node, i int) error {
-		young, err := a.player.env.launch(i, false)
+		newProcess, err := a.player.env.launch(i, false)
 		if err != nil {
 			return err
 		}
 		time.Sleep(upgradeOverlap)
 		old := n.running()
 		switch a.step.Argument {
-		case diesYoung:
-			young.Kill()
+		case killedNew:
+			newProcess.Kill()
 			return nil
-		case diesOld:
-			n.setProcess(young)
+		case killedOld:
+			n.setProcess(newProcess)
 			old.Kill()
 			return nil
 		default:
-			n.setProcess(young)
+			n.setProcess(newProcess)
 			return old.Quit()
 		}
 	})
 }
 
-// changeVoters adds or removes a voter by the operators' command, at the first member that accepts it.
+// changeVoters adds or removes a voter with the command fleet voters. It asks the members in order until one accepts
+// the change.
 func (a *action) changeVoters() (undo func(), err error) {
 	change := strings.Fields(a.step.Argument)
 	for _, n := range a.player.env.nodes {
@@ -300,7 +304,7 @@
 	return nil, a.player.env.setCounter(a.step.Argument)
 }
 
-// failQuoteServer has a quote server answer every request with an error.
+// failQuoteServer makes a quote server answer every request with an error.
 func (a *action) failQuoteServer() (undo func(), err error) {
 	number, err := strconv.Atoi(a.step.Argument)
 	if err != nil {
--- a/internal/emulator/faulttest/billing.go
+++ b/internal/emulator/faulttest/billing.go
@@ -8,9 +8,9 @@
 	"os/exec"
 )
 
-// settleBilling shuts all processes down as for a planned restart, exports the usage records that are left by the
-// operators' command, and notes what billing accepted and rejected before that.
-func (p *player) settleBilling(ctx context.Context) error {
+// finishBilling shuts all processes down as a planned restart does, and exports the remaining usage records with
+// the command usage export. Before the export, it records what billing has accepted and rejected.
+func (p *player) finishBilling(ctx context.Context) error {
 	var errs []error
 	for _, n := range p.env.nodes {
 		if process := n.running(); process != nil {
@@ -18,7 +18,7 @@
 			n.setProcess(nil)
 		}
 	}
-	// The command below exports without a lease, and so without fencing tokens.
+	// Batches are counted before the export below, because the command holds no lease and sends no fencing tokens.
 	p.acceptedBatches, p.rejectedBatches = p.env.billing.Fenced()
 	for _, n := range p.env.nodes {
 		for _, dir := range n.usageDirs() {
--- a/internal/emulator/faulttest/catalogue.go
+++ b/internal/emulator/faulttest/catalogue.go
@@ -7,11 +7,11 @@
 	"mulleinrouter/internal/standalone/fleet/leaseservice"
 )
 
-// catalogueView is what the members have of the catalogue at a moment.
+// catalogueView is the state of the catalogue at the members at one moment.
 type catalogueView struct {
 	at         time.Time
-	newest     uint64 // revision that had been written by then
-	consistent bool   // all that run have it, and the same content of each revision
+	newest     uint64 // number of the newest revision written by then
+	consistent bool   // all running members have it, and the same content of each revision
 	text       string // why it is not consistent
 }
 
--- a/internal/emulator/faulttest/clients.go
+++ b/internal/emulator/faulttest/clients.go
@@ -11,17 +11,17 @@
 const (
 	clientInterval = 200 * time.Millisecond // between the requests of a client
 	clientTimeout  = 4 * time.Second
-	absenceGrace   = time.Second // after an absence, in which a request may stay unanswered
+	absenceGrace   = time.Second // time after an absence in which a request may stay unanswered
 
-	basicTenant = 1 // whose plan's quota is never used up
+	basicTenant = 1 // tenant of the clients; the quota of its plan is never used up
 )
 
-// requestCounts are those of the requests of all clients.
+// requestCounts counts the requests of all clients.
 type requestCounts struct {
 	mu         sync.Mutex // guards the fields below
 	sent       int
 	served     int // answered 200
-	unanswered int // without a response from an ingress that ran
+	unanswered int // got no response although the ingress was running
 	lastError  string
 }
 
@@ -31,11 +31,12 @@
 	tenant  int
 	tier    string // name of the plan
 	timeout string // in the form of its header: seconds
-	spread  int    // of the call's terms: ingresses among which the customer's requests are spread
+	spread  int    // call term: number of ingresses among which the customer's requests are spread
 }
 
-// roundTrip sends the request to an ingress and returns the status of the response. The client's timeout bounds it, and
-// the end of the fault test does not: a request that was begun is not to be counted as unanswered.
+// roundTrip sends the request to an ingress and returns the status of the response. Only the client's
+// timeout ends it early. The end of the fault test does not, because a request that it interrupted would be counted as
+// unanswered.
 func (q quoteRequest) roundTrip(client *http.Client, addr string) (status int, err error) {
 	url := fmt.Sprintf("http://%s/api/%016x", addr, q.tenant)
 	request, err := http.NewRequest(http.MethodGet, url, nil)
@@ -55,7 +56,7 @@
 	return response.StatusCode, nil
 }
 
-// startClients sends a request to each member every so often until the context ends.
+// startClients sends a request to each member every clientInterval until the context ends.
 func (e *environment) startClients(ctx context.Context, running *sync.WaitGroup) *requestCounts {
 	counts := &requestCounts{}
 	for _, n := range e.nodes {
@@ -65,7 +66,8 @@
 }
 
 func (n *node) runClient(ctx context.Context, counts *requestCounts) {
-	// One connection a request: a process that ends closes no idle one that the client would use again.
+	// Each request uses a new connection. Otherwise a process that ends might close an idle connection just when the
+	// client reuses it.
 	client := &http.Client{Timeout: clientTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for number := 0; sleep(ctx, clientInterval); number++ {
 		if n.responsive() != nil {
--- a/internal/emulator/faulttest/config.go
+++ b/internal/emulator/faulttest/config.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	defaultInterval = "300ms" // of health checks between members
-	maxSeeds        = 3       // members that each one joins by
+	defaultInterval = "300ms" // interval of health checks between members
+	maxSeeds        = 3       // number of members whose addresses each member joins the fleet with
 	twinHost        = 200     // last number of the address of the first member's twin
 
-	firstRevision = 1 // of the catalogue
-	basicRate     = 1000
-	basicBurst    = 1000
+	firstRevision = 1    // number of the first catalogue revision
+	basicRate     = 1000 // units per second, for the first member
+	basicBurst    = 1000 // units
 )
 
 // memberConfig is the content of a member's configuration file.
@@ -32,10 +32,10 @@
 	DiscoveryAddr string
 	CounterAddr   string
 	Ingresses     int
-	Number        int // of the member, from 0
+	Number        int // number of the member, from 0
 	Fleet         string
 	GossipAddr    string
-	RelayAddr     string // before GossipAddr: where the others call
+	RelayAddr     string // relay in front of GossipAddr, which other members connect to
 	Seeds         string // quoted, separated by commas
 	Interval      string
 	KeyFile       string // empty: gossip is not encrypted
@@ -107,8 +107,8 @@
 }
 `))
 
-// writeConfig writes the configuration file of a member's process, or of its twin. Each process has a management
-// address of its own.
+// writeConfig writes the configuration file of a member's process, or of its twin. Each process has its own
+// management address.
 func (e *environment) writeConfig(n *node, number int, twin bool) (path string, err error) {
 	config := e.memberConfig(n, number)
 	path = n.dir + ".hcl"
@@ -130,7 +130,7 @@
 	return path, wrapSetup(os.WriteFile(path, []byte(text.String()), 0o644))
 }
 
-// memberConfig is the configuration of a member's first process.
+// memberConfig returns the configuration of a member's first process.
 func (e *environment) memberConfig(n *node, number int) memberConfig {
 	config := memberConfig{
 		Name:          n.name,
@@ -163,7 +163,7 @@
 	return config
 }
 
-// seeds are the addresses by which members join the fleet.
+// seeds returns the addresses that members join the fleet with.
 func (e *environment) seeds() (addrs []string) {
 	for _, n := range e.nodes[:min(maxSeeds, len(e.nodes))] {
 		addrs = append(addrs, n.relay.Addr())
@@ -171,7 +171,7 @@
 	return addrs
 }
 
-// quoteList is the content of a list of strings in a configuration file.
+// quoteList formats strings as the content of a list in a configuration file.
 func quoteList(words []string) string {
 	quoted := make([]string, len(words))
 	for i, word := range words {
@@ -180,8 +180,8 @@
 	return strings.Join(quoted, ", ")
 }
 
-// addTwin makes a configuration that of another machine with the same name: with its own addresses and an empty
-// folder.
+// addTwin changes a configuration to that of another machine with the same name, which has its own addresses and an
+// empty folder.
 func (e *environment) addTwin(n *node, number int, config *memberConfig) (err error) {
 	config.Dir = n.dir + ".twin"
 	if err := os.MkdirAll(config.Dir, 0o755); err != nil {
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// writeRevision writes a catalogue revision into a member's file. Under the same number, each member's has another
-// content.
+// writeRevision writes a catalogue revision into a member's file. The content differs between members, also
+// under the same number.
 func (e *environment) writeRevision(n *node, number uint64) error {
 	basic := decision.Plan{
 		Name:        "basic",
--- a/internal/emulator/faulttest/cost.go
+++ b/internal/emulator/faulttest/cost.go
@@ -8,11 +8,11 @@
 	"mulleinrouter/internal/standalone/fleet/gossip"
 )
 
-// Cost is what a member used, on average over those whose process ran all the time.
+// Cost is the average resource use of those members whose process ran all the time.
 type Cost struct {
 	PacketsPerSecond float64 // sent to other members
 	BytesPerSecond   float64 // sent to other members
-	CPU              float64 // part of a core, for all that the process did
+	CPU              float64 // fraction of a core, for all work of the process
 }
 
 // usageSample is what a process has used since its start.
@@ -36,7 +36,7 @@
 	return samples
 }
 
-// computeCost sets the report's cost from the samples of the start and new ones.
+// computeCost sets the report's cost from the samples taken at the start and new ones.
 func (p *player) computeCost(before []usageSample) {
 	seconds := time.Since(p.startedAt).Seconds()
 	processes := 0.0
--- a/internal/emulator/faulttest/counter.go
+++ b/internal/emulator/faulttest/counter.go
@@ -33,7 +33,7 @@
 	c.serving.Wait()
 }
 
-// setCounter directs the members to no counter, to the first one, to a new one, or each second one to a new one.
+// setCounter connects the members to no counter, to the first one or to a new one, or every second member to a new one.
 func (e *environment) setCounter(change string) error {
 	first, err := e.firstCounterAddr(change)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// firstCounterAddr is the counter of the first member after a change; empty: it has none.
+// firstCounterAddr returns the address of the first member's counter after a change; empty: the member has none.
 func (e *environment) firstCounterAddr(change string) (string, error) {
 	switch change {
 	case counterRemoved:
--- a/internal/emulator/faulttest/customers.go
+++ b/internal/emulator/faulttest/customers.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	customerLoad = 1.2  // requests of a customer, in times its quota
-	busyPart     = 0.85 // part of them that goes through its busy ingress
+	customerLoad = 1.2  // request rate of a customer, as a multiple of its quota
+	busyShare    = 0.85 // share of a customer's requests that goes through its busy ingress
 
-	customerInterval = 20 * time.Millisecond // between looks at how many requests are due
-	maxDueRequests   = 20                    // more are not sent later
+	customerInterval = 20 * time.Millisecond // time between two computations of the requests that are due
+	maxDueRequests   = 20                    // limit of due requests; those beyond it are never sent
 
 	maxCustomerRequests    = 512 // in flight at once
 	customerRequestTimeout = 2 * time.Second
@@ -27,12 +27,12 @@
 type customerClient struct {
 	env      *environment
 	http     *http.Client
-	inFlight chan struct{} // has an element for each request
+	inFlight chan struct{} // has an element for each request in flight
 	running  *sync.WaitGroup
 }
 
-// startCustomers sends the customers' requests until the context ends: each customer's through all ingresses, for the
-// most part through its busy one, which ActionShift moves.
+// startCustomers sends the customers' requests until the context ends. Each customer uses all ingresses, but sends
+// most of its requests through its busy one, which ActionShift moves.
 func (e *environment) startCustomers(ctx context.Context, running *sync.WaitGroup) {
 	if e.scenario.Customers == 0 {
 		return
@@ -51,13 +51,13 @@
 	}
 }
 
-// run sends what one customer asks of one ingress.
+// run sends the requests of one customer to one ingress.
 func (c *customerClient) run(ctx context.Context, customer, ingress int) {
 	n := c.env.nodes[ingress]
 	due, last := 0.0, time.Now()
 	for number := 0; sleep(ctx, customerInterval); {
 		now := time.Now()
-		rate := customerLoad * c.part(customer, ingress) * c.env.scenario.Quota
+		rate := customerLoad * c.share(customer, ingress) * c.env.scenario.Quota
 		due = min(maxDueRequests, due+now.Sub(last).Seconds()*rate)
 		last = now
 		for ; due >= 1; due-- {
@@ -67,17 +67,17 @@
 	}
 }
 
-// part is the part of a customer's requests that goes through an ingress.
-func (c *customerClient) part(customer, ingress int) float64 {
+// share returns the share of a customer's requests that goes through an ingress.
+func (c *customerClient) share(customer, ingress int) float64 {
 	ingresses := len(c.env.nodes)
 	if (customer+int(c.env.busyShift.Load()))%ingresses == ingress {
-		return busyPart
+		return busyShare
 	}
-	return (1 - busyPart) / float64(max(1, ingresses-1))
+	return (1 - busyShare) / float64(max(1, ingresses-1))
 }
 
-// send sends a request without waiting for the response. A request beyond the limit of those in flight is dropped:
-// the machine is too slow, and a request that was not sent need not be served.
+// send sends a request without waiting for the response. If maxCustomerRequests are in flight, the request
+// is dropped: the machine is too slow then, and a request that was not sent does not have to be served.
 func (c *customerClient) send(n *node, customer int, id string) {
 	select {
 	case c.inFlight <- struct{}{}:
@@ -98,10 +98,11 @@
 		timeout: "1.000",
 		spread:  len(c.env.nodes),
 	}
-	request.roundTrip(c.http, n.clientAddr) // what is expected of customers is seen at the quote servers
+	// The outcome is ignored: expectations of customers are evaluated by what arrives at the quote servers.
+	request.roundTrip(c.http, n.clientAddr)
 }
 
-// customerOf returns which customer sent the request with an ID; false: none did.
+// customerOf returns which customer sent the request with an ID; ok is false if no customer did.
 func customerOf(id string) (customer int, ok bool) {
 	_, err := fmt.Sscanf(id, "c%d-", &customer)
 	return customer, err == nil
--- a/internal/emulator/faulttest/doc.go
+++ b/internal/emulator/faulttest/doc.go
@@ -1,5 +1,5 @@
 // Package faulttest runs fault tests: scenarios of faults on real processes of the built program. It starts ingresses
-// on loopback, each with an address of its own, relays what they send to each other and to their fakes over links
+// on loopback, each with its own address, relays what they send to each other and to their fakes over links
 // whose faults it controls by direction and by pair, suspends, kills and upgrades processes, fills disks and restores
 // folders as a scenario file says, and evaluates what the file expects.
 //
@@ -7,9 +7,9 @@
 // environment of relays and fakes (environment.go) and returns a Report.
 //
 // The package may import the emulator's faultnet, fakes and testcluster, the types that the management calls of an
-// ingress answer with, and deploy/faulttests, where the scenarios that ship lie. Only the command fault-test and tests
+// ingress return, and deploy/faulttests, which contains the scenarios that ship. Only the command fault-test and tests
 // import it. Play owns all that it starts: processes, relays, fakes and goroutines have ended when it returns.
 //
-// Tests: those of the file format, the configuration, the evaluators and the report are beside the code;
+// Tests: those of the file format, the configuration, the evaluators and the report are in this package;
 // cmd/mulleinrouter runs scenarios on processes (TestFaultTests).
 package faulttest
--- a/internal/emulator/faulttest/environment.go
+++ b/internal/emulator/faulttest/environment.go
@@ -31,7 +31,7 @@
 	gossipKeyBytes = 32
 )
 
-// environment is what a fault test runs in: the members with their relays, and the fakes.
+// environment holds the members of a fault test with their relays, and the fakes.
 type environment struct {
 	scenario      *Scenario
 	program       string
@@ -45,15 +45,15 @@
 	quoteServers  []*fakes.QuoteServer
 	directories   []*fakes.Discovery
 	counter       *counter
-	extraCounters []*counter   // in place of the first, or beside it
+	extraCounters []*counter   // those that replace the first one or run in addition to it
 	busyShift     atomic.Int64 // by how many ingresses the customers have moved
 
 	mu         sync.Mutex        // guards the fields below: twins are added while relays serve
-	memberByIP map[string]string // by the address that it calls from
+	memberByIP map[string]string // names of members by the IP address that they connect from
 	relays     []*faultnet.Relay
 }
 
-// environments counts those of this process.
+// environments counts the environments of this process, for newAddressPrefix.
 var environments atomic.Int64
 
 // newEnvironment starts the fakes and the relays, and writes the files that all members read. The environment must be
@@ -81,14 +81,14 @@
 	return e, e.writeGossipKeys()
 }
 
-// newAddressPrefix picks a network of the loopback that, except for rare chance, no other fault test uses: a port that
-// one of its members closes must not become another one's.
+// newAddressPrefix picks a loopback network that very probably no other fault test uses. A port that a member closes
+// must not be reused by a member of another fault test.
 func newAddressPrefix() string {
 	n := os.Getpid() + 1009*int(environments.Add(1))
 	return fmt.Sprintf("127.%d.%d", 64+n/200%64, 1+n%200)
 }
 
-// startSharedFakes starts those that are one for all members.
+// startSharedFakes starts the fakes that all members share.
 func (e *environment) startSharedFakes() (err error) {
 	for i := range max(1, e.scenario.QuoteServers) {
 		server := &fakes.QuoteServer{
@@ -137,7 +137,8 @@
 	return e.addFakeRelays(n)
 }
 
-// freeAddr returns an address with a port that no process listens at. Nothing else listens at this host.
+// freeAddr returns an address with a port that no process listens at. Nothing else listens on this IP
+// address, so that the port stays free.
 func freeAddr(ip string) (string, error) {
 	l, err := net.Listen("tcp4", ip+":0")
 	if err != nil {
@@ -153,7 +154,7 @@
 	e.memberByIP[ip] = name
 }
 
-// memberAt returns which member calls from an address.
+// memberAt returns which member connects from an address.
 func (e *environment) memberAt(addr net.Addr) string {
 	host, _, _ := net.SplitHostPort(addr.String())
 	e.mu.Lock()
@@ -161,12 +162,13 @@
 	return cmp.Or(e.memberByIP[host], "stranger")
 }
 
-// addGossipRelay adds a relay before a member's gossip address, for datagrams and streams.
+// addGossipRelay adds a relay in front of a member's gossip address, for datagrams and streams.
 func (e *environment) addGossipRelay(member, target string) (*faultnet.Relay, error) {
 	return e.addRelay(member, true, e.memberAt, target)
 }
 
-// addRelay adds a relay before a target, which is the end of its links. caller names their other ends.
+// addRelay adds a relay in front of a target. end is the name of the target as the end of links; caller returns the
+// name of their other end.
 func (e *environment) addRelay(
 	end string, datagrams bool, caller func(net.Addr) string, target string,
 ) (*faultnet.Relay, error) {
@@ -181,7 +183,8 @@
 	return relay, nil
 }
 
-// addFakeRelays adds a member's own relays before the fakes: all that arrives at them comes from this member.
+// addFakeRelays adds relays in front of the fakes for one member only, so that all that arrives at a relay comes from
+// this member.
 func (e *environment) addFakeRelays(n *node) error {
 	caller := func(net.Addr) string { return n.name }
 	directory := &fakes.Discovery{}
@@ -213,7 +216,7 @@
 	if n.counterRelay, err = e.addRelay(fakeCounter, false, caller, e.counter.addr()); err != nil {
 		return err
 	}
-	n.counterRelay.SetSourceIP(n.ip) // the counter limits the connections of an address
+	n.counterRelay.SetSourceIP(n.ip) // because the counter limits the connections per IP address
 	billingRelay, err := e.addRelay(fakeBilling, false, caller, e.billing.Addr())
 	if err != nil {
 		return err
@@ -231,7 +234,7 @@
 
 func (e *environment) gossipKeyFile() string { return filepath.Join(e.dir, "fleet.key") }
 
-// writeGossipKeys writes the key file, where the fleet has one.
+// writeGossipKeys writes the key file if gossip is encrypted.
 func (e *environment) writeGossipKeys() error {
 	if !e.scenario.Encrypted {
 		return nil
@@ -245,7 +248,7 @@
 	switch change {
 	case keysAdd:
 		e.gossipKeys = append(e.gossipKeys, newGossipKey())
-	case keysTurn:
+	case keysReverse:
 		slices.Reverse(e.gossipKeys)
 	case keysDrop:
 		e.gossipKeys = e.gossipKeys[:1]
@@ -300,14 +303,14 @@
 	killing.Wait()
 }
 
-// maxCopies is how often a copy of a folder begins at most.
+// maxCopies is the maximum number of attempts to copy a folder.
 const maxCopies = 10
 
 // copyDir replaces a folder by a copy of another one, in which a process may be writing.
 func copyDir(to, from string) error { return wrapSetup(copyFS(to, os.DirFS(from))) }
 
-// copyFS replaces a folder by a copy of a file system. Where a file is renamed or removed between the moment at which
-// it is listed and that at which it is read, the copy begins again.
+// copyFS replaces a folder by a copy of a file system. If a file is renamed or removed after it was listed and
+// before it is read, the copy starts again, up to maxCopies times in all.
 func copyFS(to string, from fs.FS) (err error) {
 	for range maxCopies {
 		err = errors.Join(os.RemoveAll(to), os.CopyFS(to, from))
--- a/internal/emulator/faulttest/environment_test.go
+++ b/internal/emulator/faulttest/environment_test.go
@@ -9,7 +9,8 @@
 	"testing/fstest"
 )
 
-// renamingFS is a file system in which a file is renamed whenever it is about to be opened, for so many times.
+// renamingFS is a file system in which the file temporary does not exist when it is opened, for a number of times, as
+// if it had been renamed after it was listed.
 type renamingFS struct {
 	fstest.MapFS
 	renames int
@@ -23,7 +24,7 @@
 	return rf.MapFS.Open(name)
 }
 
-// A copy begins again when a file is renamed meanwhile, and gives up in the end.
+// A copy starts again if a file is renamed during it, and fails after maxCopies attempts.
 func TestCopyOfChangingFolder(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/emulator/faulttest/errors.go
+++ b/internal/emulator/faulttest/errors.go
@@ -9,7 +9,7 @@
 	// ErrNotComplete means that not every ingress received the membership of all others in time after the start.
 	ErrNotComplete = errors.New("faulttest: the ingresses do not reach the complete membership")
 
-	// errEmptyReply means that a management call answered without a line.
+	// errEmptyReply means that the reply to a management call has no line.
 	errEmptyReply = errors.New("empty reply")
 )
 
--- a/internal/emulator/faulttest/evaluate.go
+++ b/internal/emulator/faulttest/evaluate.go
@@ -8,17 +8,17 @@
 
 const nothingObserved = "nothing was seen in that time"
 
-// evaluation is an expectation as it is evaluated after the scenario has ended.
+// evaluation is the evaluation of one expectation, after the scenario has ended.
 type evaluation struct {
 	player      *player
 	expectation Expectation
-	members     []string // that it is about, all where it names none
-	observers   []string // all where it names none
+	members     []string // members that the expectation names; all if it names none
+	observers   []string // observers that it names; all if it names none
 	from        time.Time
-	limit       time.Duration // with slack
+	limit       time.Duration // time limit, multiplied by the slack
 }
 
-// evaluators find out whether an expectation was met. They leave Finding.Expectation empty.
+// evaluators determine whether an expectation is satisfied, by its kind. They leave Finding.Expectation empty.
 var evaluators = map[ExpectationKind]func(*evaluation) Finding{
 	ExpectState:           (*evaluation).evaluateState,
 	ExpectNever:           (*evaluation).evaluateNever,
@@ -37,7 +37,7 @@
 	ExpectGarbageRejected: (*evaluation).evaluateGarbageRejected,
 }
 
-// evaluate finds out whether an expectation was met. Nothing is observed any more when it is called.
+// evaluate determines whether an expectation is satisfied. It is called after all observation has ended.
 func (p *player) evaluate(expectation Expectation) Finding {
 	e := &evaluation{
 		player:      p,
@@ -58,10 +58,10 @@
 	return finding
 }
 
-// deadline is until when the expectation must have become true.
+// deadline returns the time by which the expectation must have become true.
 func (e *evaluation) deadline() time.Time { return e.from.Add(e.limit) }
 
-// end is when the time ends that an expectation of what must never be is about.
+// end returns the end of the period that an expectation of what must never happen applies to.
 func (e *evaluation) end() time.Time { return e.from.Add(e.expectation.Within) }
 
 func (e *evaluation) evaluateState() (f Finding) {
@@ -89,7 +89,8 @@
 	return f
 }
 
-// reported returns when a node first reported another in a state, from a time on; that time if it had before.
+// reported returns when a node first reported another one in a state, at a time or later. It returns that time itself
+// if the state was the one reported last before it.
 func (n *node) reported(member, state string, from time.Time) (at time.Time, ok bool) {
 	before := ""
 	for _, change := range n.stateChanges() {
@@ -171,7 +172,7 @@
 	})
 }
 
-// findObservation looks for the first observation within the limit that is as expected.
+// findObservation looks for the first observation within the limit that satisfies a condition.
 func (e *evaluation) findObservation(isExpected func(observation) bool) (f Finding) {
 	for _, o := range e.player.observations {
 		if o.at.Before(e.from) || o.at.After(e.deadline()) {
@@ -216,7 +217,7 @@
 	return f
 }
 
-// evaluateUsage compares what arrived of each customer at the quote servers with its quota.
+// evaluateUsage compares the number of each customer's requests that arrived at the quote servers with its quota.
 func (e *evaluation) evaluateUsage() (f Finding) {
 	usage := make([]float64, e.player.env.scenario.Customers)
 	for id, arrival := range e.player.env.arrived() {
--- a/internal/emulator/faulttest/event_log.go
+++ b/internal/emulator/faulttest/event_log.go
@@ -9,14 +9,15 @@
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
-// maxListedMembers is how many members a line of progress names; of more, the first and the last.
+// maxListedMembers is the largest number of members that a line of progress lists in full. Of more members, it shows
+// the first, the last and the number.
 const maxListedMembers = 6
 
 // eventKind is what an event of the log is about.
 type eventKind string
 
 const (
-	eventBegun    eventKind = "begun"    // all processes run
+	eventStarted  eventKind = "begun"    // all processes run
 	eventComplete eventKind = "whole"    // all have received the complete membership
 	eventDone     eventKind = "done"     // an action was carried out
 	eventUndone   eventKind = "undone"   // an action was undone
@@ -31,9 +32,9 @@
 	Of   []string  `json:"of,omitempty"`
 }
 
-// eventLog writes what is done and seen, as text and as lines of JSON.
+// eventLog writes actions and their results, as text and as lines of JSON.
 type eventLog struct {
-	startedAt time.Time  // times are counted from here; zero: not started
+	startedAt time.Time  // time 0 of the events; zero: the scenario has not started
 	mu        sync.Mutex // guards the writers below: each event is written in one piece
 	progress  io.Writer  // nil: none
 	events    io.Writer  // nil: none
--- a/internal/emulator/faulttest/garbage.go
+++ b/internal/emulator/faulttest/garbage.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	garbagePackets = 40
+	garbagePackets = 40 // number of packets that a member gets
 
-	// otherFleetHeader is how the packets of another fleet begin: memberlist's header with the fleet's label.
+	// otherFleetHeader is the beginning of a packet of another fleet: memberlist's label header, with the label other.
 	otherFleetHeader = "\xf4\x05other"
 )
 
-// garbageSizes are those of the packets, in turn. The last ones are longer than a packet of the fleet.
+// garbageSizes are the sizes of the packets in bytes, in turn. The last size is larger than any packet of the fleet.
 var garbageSizes = []int{1, 30, 1400, 9000}
 
-// sendGarbage sends a member packets and a stream that are not of its fleet. Each eighth packet claims to be of another
-// fleet, the rest is random.
+// sendGarbage sends a member packets and a stream that are not of its fleet. Every eighth packet claims to be of
+// another fleet; the others are random bytes.
 func (n *node) sendGarbage() error {
 	packets, err := net.Dial("udp4", n.gossipAddr)
 	if err != nil {
--- a/internal/emulator/faulttest/leases.go
+++ b/internal/emulator/faulttest/leases.go
@@ -12,7 +12,7 @@
 	"mulleinrouter/internal/standalone/fleet/leaseservice"
 )
 
-// tenure is who held the lease of the export role at a moment, as the leader reported.
+// tenure is an observation of who held the lease of the export role, as the leader reported it.
 type tenure struct {
 	at      time.Time
 	ingress string // empty: nobody
@@ -20,7 +20,7 @@
 	running bool // its process ran then, and was not suspended
 }
 
-// observeTenure asks who holds the lease of the export role, at the first member that answers.
+// observeTenure asks the members in order, until one answers, who holds the lease of the export role.
 func (p *player) observeTenure() {
 	for _, n := range p.env.nodes {
 		process := n.responsive()
@@ -36,7 +36,7 @@
 	}
 }
 
-// exportTenure is the tenure of the export role in a leader's report.
+// exportTenure returns the tenure of the export role from a leader's report.
 func (p *player) exportTenure(status leaseservice.Status) tenure {
 	t := tenure{at: time.Now()}
 	for _, role := range status.Roles {
@@ -72,7 +72,7 @@
 
 // evaluateLease looks for the first moment after the expectation's start when one of its members held the lease.
 func (e *evaluation) evaluateLease() (f Finding) {
-	newest := uint64(0) // token before the expectation's start
+	newest := uint64(0) // newest token before the expectation's start
 	for _, t := range e.player.tenures {
 		if t.at.Before(e.from) {
 			newest = max(newest, t.token)
@@ -99,11 +99,12 @@
 	return slices.Contains(e.members, t.ingress)
 }
 
-// roleGained matches the log line of a process that got the lease of a role.
+// roleGained matches the log line that a process writes when it gets the lease of a role.
 var roleGained = regexp.MustCompile(`code=duty-gained duty=(\S+) token=(\d+)`)
 
-// evaluateUniqueTokens reads which leases all processes logged: each token must have one holder. What leaders report is
-// no proof: one that was suspended reports what it knew until it learns of its successor.
+// evaluateUniqueTokens reads from the logs of all processes which leases they got, and checks that each token had one
+// holder. Reports of leaders are not used, because a leader that was suspended reports outdated holders until it learns
+// of its successor.
 func (e *evaluation) evaluateUniqueTokens() (f Finding) {
 	f.Passed = true
 	holders, gains := map[string]string{}, 0
@@ -113,7 +114,7 @@
 		if err != nil {
 			return Finding{Text: err.Error()}
 		}
-		member, _, _ := strings.Cut(filepath.Base(path), ".") // its processes' logs are numbered behind its name
+		member, _, _ := strings.Cut(filepath.Base(path), ".") // logs are named MEMBER.NUMBER.log
 		for _, match := range roleGained.FindAllStringSubmatch(string(text), -1) {
 			role, token := match[1], match[2]
 			holder := role + " " + member
--- a/internal/emulator/faulttest/node.go
+++ b/internal/emulator/faulttest/node.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	callTimeout = 2 * time.Second // of a management call
+	callTimeout = 2 * time.Second // timeout of a management call
 
-	// processStarted is the code of the log line with which a process says that it serves.
+	// processStarted is the code of the log line that a process writes when it begins to serve.
 	processStarted = "process-started"
 )
 
 // Management calls of an ingress.
 const (
-	callFleet     = "FLEET "    // followed by the number of the last view: the view and its changes since
+	callFleet     = "FLEET "    // followed by the number of the last view; returns the view and the changes since
 	callLeases    = "DUTIES"    // the leases of singleton roles
 	callCatalogue = "CATALOGUE" // the announced revisions
-	callState     = "STATE -"   // shared quotas and verdicts
+	callState     = "STATE -"   // shared quotas and verdicts on servers
 	callTransfer  = "GIVE "     // followed by a role and the member that shall hold its lease
 	callLameDuck  = "LAMEDUCK"  // enter lame-duck mode
-	callRejoin    = "REJOIN"    // end that
+	callRejoin    = "REJOIN"    // leave lame-duck mode
 )
 
 // node is one member: its addresses, its files and the process that runs there.
@@ -40,10 +40,10 @@
 	gossipAddr    string // where it listens for other members
 	relay         *faultnet.Relay
 	counterRelay  *faultnet.Relay
-	discoveryAddr string // of the relay before the fake
-	billingAddr   string // of the relay before the fake
-	dir           string // of its state
-	savedDir      string // copy of dir, by a step that saves it
+	discoveryAddr string // of the relay in front of the fake
+	billingAddr   string // of the relay in front of the fake
+	dir           string // folder of its state
+	savedDir      string // copy of dir that a step with ActionSave made
 
 	mu       sync.Mutex           // guards the fields below
 	process  *testcluster.Process // nil: none runs
@@ -55,7 +55,7 @@
 	changes  []stateChange
 }
 
-// absence is a time in which nothing can be expected of a member. It lasts if to is zero.
+// absence is a period in which a member is not expected to answer. It has not ended if to is zero.
 type absence struct{ from, to time.Time }
 
 // stateChange is a change of a member's view, with the time of the change.
@@ -64,7 +64,7 @@
 	gossip.ChangeReport
 }
 
-// launch starts a process of the member with this index, or a twin's, with a working disk.
+// launch starts a process of the member with this index, or of its twin. Its disk has no faults at first.
 func (e *environment) launch(i int, twin bool) (*testcluster.Process, error) {
 	n := e.nodes[i]
 	path, err := e.writeConfig(n, i, twin)
@@ -88,7 +88,8 @@
 
 func (n *node) faultsFile() string { return n.dir + ".faults.json" }
 
-// writeFaults sets the faults of the disk below a member's process, which it reads while it runs.
+// writeFaults writes the file with the clock rate of a member's process and the faults of its disk. The process reads
+// the file while it runs.
 func (n *node) writeFaults(scenario *Scenario, faults map[vfs.Op]vfs.Fault) error {
 	text, err := jsontext.Encode(faultinjection.Plan{ClockRate: scenario.ClockRates[n.name], Faults: faults})
 	if err != nil {
@@ -97,13 +98,13 @@
 	return vfs.Replace(vfs.OS{}, n.faultsFile(), text, 0o644)
 }
 
-// plansFile is the member's file of the catalogue. It stays where the folder of its state is lost.
+// plansFile is the member's file of the catalogue. It is outside dir, so that a member that loses its state keeps it.
 func (n *node) plansFile() string { return n.dir + ".plans.hcl" }
 
-// usageDir is where a member records usage. It stays where the folder of its state is lost.
+// usageDir is where a member records usage. It is outside dir, so that a member that loses its state keeps it.
 func (n *node) usageDir() string { return n.dir + ".usage" }
 
-// setProcess makes a process the member's; nil: none runs.
+// setProcess sets the member's process; nil: none runs.
 func (n *node) setProcess(process *testcluster.Process) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -133,14 +134,14 @@
 	return process
 }
 
-// beginAbsence notes that nothing can be expected of the member from now on.
+// beginAbsence records that the member is not expected to answer from now on.
 func (n *node) beginAbsence() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.absences = append(n.absences, absence{from: time.Now()})
 }
 
-// endAbsence notes that the member is expected to serve again.
+// endAbsence records that the member is expected to answer again.
 func (n *node) endAbsence() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -149,7 +150,7 @@
 	}
 }
 
-// wasAbsent reports whether a member was absent at a time, or had been until a grace period before it.
+// wasAbsent reports whether a member was absent at a time, or its absence ended less than a grace period before it.
 func (n *node) wasAbsent(at time.Time, grace time.Duration) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -176,7 +177,7 @@
 	return reply, err
 }
 
-// poll asks a member for its view, and notes what changed since the last poll.
+// poll asks a member for its view, and records what changed since the last poll.
 func (n *node) poll() {
 	n.mu.Lock()
 	process, after := n.process, n.lastView
--- a/internal/emulator/faulttest/observations.go
+++ b/internal/emulator/faulttest/observations.go
@@ -6,10 +6,10 @@
 	"mulleinrouter/internal/standalone/fleet/quotasync"
 )
 
-// observation is what the members reported of the fleet at a moment.
+// observation is what the members reported about the fleet at one moment.
 type observation struct {
 	at           time.Time
-	agree        bool              // all views are the same
+	agree        bool              // the views of all running members are the same
 	reachability map[string]string // by member; those that do not run are absent
 }
 
@@ -42,7 +42,7 @@
 	p.observe()
 }
 
-// warning says that a member was warned of a server by others.
+// warning records that other members warned a member of a server.
 type warning struct {
 	at     time.Time
 	member string
--- a/internal/emulator/faulttest/parse_step.go
+++ b/internal/emulator/faulttest/parse_step.go
@@ -10,33 +10,34 @@
 	"mulleinrouter/internal/standalone/hclfile"
 )
 
-// stepBlock is an at block of a file. It names one action, by the attribute or block of this name.
+// stepBlock is an at block of a file. It names one action, by an attribute or a block that has
+// the name of the action.
 type stepBlock struct {
-	At           string     `hcl:"at,label"`
-	Stop         []string   `hcl:"stop,optional"`
-	Kill         []string   `hcl:"kill,optional"`
-	Start        []string   `hcl:"start,optional"`
-	Twin         []string   `hcl:"twin,optional"`
-	Save         []string   `hcl:"save,optional"`
-	Term         []string   `hcl:"term,optional"`
-	Upgrade      []string   `hcl:"upgrade,optional"`
-	LameDuck     []string   `hcl:"lameduck,optional"`
-	Fill         []string   `hcl:"fill,optional"`
-	Disk         []string   `hcl:"disk,optional"`
-	DiskFault    string     `hcl:"fails,optional"`
-	Reload       []string   `hcl:"reload,optional"`
-	Give         []string   `hcl:"give,optional"`
-	Revise       []string   `hcl:"revise,optional"`
-	Rubbish      []string   `hcl:"rubbish,optional"`
-	Counter      string     `hcl:"counter,optional"`
-	Shift        bool       `hcl:"shift,optional"`
-	Server       int        `hcl:"server,optional"`
-	Keys         string     `hcl:"keys,optional"`
-	Folder       string     `hcl:"folder,optional"`
-	KilledDuring string     `hcl:"dies,optional"`
-	Voters       string     `hcl:"voters,optional"`
-	Duration     string     `hcl:"for,optional"`
-	Link         *linkBlock `hcl:"link,block"`
+	At            string     `hcl:"at,label"`
+	Stop          []string   `hcl:"stop,optional"`
+	Kill          []string   `hcl:"kill,optional"`
+	Start         []string   `hcl:"start,optional"`
+	Twin          []string   `hcl:"twin,optional"`
+	Save          []string   `hcl:"save,optional"`
+	Terminate     []string   `hcl:"term,optional"`
+	Upgrade       []string   `hcl:"upgrade,optional"`
+	LameDuck      []string   `hcl:"lameduck,optional"`
+	Fill          []string   `hcl:"fill,optional"`
+	Disk          []string   `hcl:"disk,optional"`
+	DiskFault     string     `hcl:"fails,optional"`
+	Reload        []string   `hcl:"reload,optional"`
+	TransferLease []string   `hcl:"give,optional"`
+	Revise        []string   `hcl:"revise,optional"`
+	Garbage       []string   `hcl:"rubbish,optional"`
+	Counter       string     `hcl:"counter,optional"`
+	Shift         bool       `hcl:"shift,optional"`
+	Server        int        `hcl:"server,optional"`
+	Keys          string     `hcl:"keys,optional"`
+	Folder        string     `hcl:"folder,optional"`
+	KilledDuring  string     `hcl:"dies,optional"`
+	Voters        string     `hcl:"voters,optional"`
+	Duration      string     `hcl:"for,optional"`
+	Link          *linkBlock `hcl:"link,block"`
 }
 
 // linkBlock is a link block of a step.
@@ -54,10 +55,10 @@
 	Longest       int      `hcl:"longest,optional"`
 }
 
-// undoableActions are those that may have a duration.
+// undoableActions are the actions that may have a duration.
 var undoableActions = []Action{ActionStop, ActionLink, ActionFill, ActionLameDuck, ActionDisk, ActionServer}
 
-// leaseHolderActions are those that may be about whichever member holds the lease.
+// leaseHolderActions are the actions that may apply to the lease holder, in place of named members.
 var leaseHolderActions = []Action{ActionStop, ActionKill, ActionDisk, ActionFill, ActionRevise, ActionUpgrade}
 
 // memberAction is an action with the members that a block names for it; nil: it does not name the action.
@@ -73,13 +74,13 @@
 		{ActionStart, s.Start},
 		{ActionTwin, s.Twin},
 		{ActionSave, s.Save},
-		{ActionTerm, s.Term},
+		{ActionTerminate, s.Terminate},
 		{ActionUpgrade, s.Upgrade},
 		{ActionLameDuck, s.LameDuck},
 		{ActionFill, s.Fill},
 		{ActionReload, s.Reload},
-		{ActionRubbish, s.Rubbish},
-		{ActionGive, s.Give},
+		{ActionGarbage, s.Garbage},
+		{ActionTransferLease, s.TransferLease},
 		{ActionDisk, s.Disk},
 		{ActionRevise, s.Revise},
 	}
@@ -89,17 +90,17 @@
 type stepParser struct {
 	scenario *Scenario
 	file     *hclfile.File
-	path     string // of the block, for errors
+	path     string // path of the block in the file, for errors
 	block    *stepBlock
 	step     Step
-	actions  int // that the block names
+	actions  int // number of actions that the block names
 }
 
 // parseStep makes a step of a block and checks it.
 func parseStep(scenario *Scenario, file *hclfile.File, block *stepBlock) (Step, error) {
 	p := &stepParser{scenario: scenario, file: file, path: "at." + block.At, block: block}
 	if strings.Contains(block.At, ".") {
-		p.path = "at" // hclfile's paths have dots of their own
+		p.path = "at" // dots separate the parts of a path in hclfile
 	}
 	parsers := []func() error{
 		p.parseTimes,
@@ -124,7 +125,7 @@
 	return p.step, nil
 }
 
-// errorAt is an error at an attribute of the block; empty: at the block itself.
+// errorAt returns an error at an attribute of the block. An empty name means the block itself.
 func (sp *stepParser) errorAt(attribute, text string) error {
 	path := sp.path
 	if attribute != "" {
@@ -133,7 +134,7 @@
 	return sp.file.ErrorAt(path, text)
 }
 
-// setAction notes an action that the block names.
+// setAction records an action that the block names.
 func (sp *stepParser) setAction(action Action, argument string) {
 	sp.step.Action = action
 	sp.step.Argument = argument
@@ -151,8 +152,8 @@
 	return err
 }
 
-// parseMemberActions reads the actions that are about members. One about the lease holder has no members: which it is
-// is known when the step is carried out.
+// parseMemberActions reads the actions that apply to members. An action on the lease holder has no members, because
+// the holder is only known when the step is carried out.
 func (sp *stepParser) parseMemberActions() (err error) {
 	for _, named := range sp.block.memberActions() {
 		if named.members == nil {
@@ -176,7 +177,7 @@
 	if change == "" {
 		return nil
 	}
-	if !sp.scenario.Encrypted || !slices.Contains([]string{keysAdd, keysTurn, keysDrop}, change) {
+	if !sp.scenario.Encrypted || !slices.Contains([]string{keysAdd, keysReverse, keysDrop}, change) {
 		return sp.errorAt("keys", "of a sealed fleet a key is one of add, turn and drop")
 	}
 	sp.setAction(ActionKeys, change)
@@ -261,7 +262,7 @@
 
 func (sp *stepParser) parseUpgrade() error {
 	killed := sp.block.KilledDuring
-	if killed != "" && (sp.step.Action != ActionUpgrade || killed != diesOld && killed != diesYoung) {
+	if killed != "" && (sp.step.Action != ActionUpgrade || killed != killedOld && killed != killedNew) {
 		return sp.errorAt("dies", "of an upgrade, either the old process dies or the young one")
 	}
 	if sp.step.Action == ActionUpgrade {
@@ -289,7 +290,8 @@
 	return nil
 }
 
-// parseLink makes a link fault of a block. Links from or to nobody in particular are those of all.
+// parseLink makes a link fault of a block. If the block leaves out one end of the links, any member or fake
+// may be at that end.
 func parseLink(scenario *Scenario, file *hclfile.File, path string, block *linkBlock) (l LinkFault, err error) {
 	l.Bidirectional = block.Bidirectional
 	if l.From, err = parseLinkEnds(scenario, file, path+".from", block.From); err != nil {
--- a/internal/emulator/faulttest/player.go
+++ b/internal/emulator/faulttest/player.go
@@ -14,12 +14,12 @@
 	"mulleinrouter/internal/emulator/fakes"
 )
 
-// Options are how a scenario is run.
+// Options are the settings of a run.
 type Options struct {
 	Program  string    // path of the built program
 	Dir      string    // for files and logs; empty: a temporary one that is removed
 	Progress io.Writer // lines of text; nil: none
-	Events   io.Writer // lines of JSON, of what was done and seen; nil: none
+	Events   io.Writer // lines of JSON about actions and their results; nil: none
 	Slack    float64   // factor on the time limits of expectations, for slow machines; 0: 1
 }
 
@@ -28,8 +28,8 @@
 	joinPollInterval = 50 * time.Millisecond
 
 	pollInterval    = 200 * time.Millisecond
-	pollPerNode     = 10 * time.Millisecond // at the least, for fleets so large that polling would load the machine
-	idlePoll        = 5 * time.Second       // of an idle scenario
+	pollPerNode     = 10 * time.Millisecond // lower bound per member; limits the load of polling a large fleet
+	idlePoll        = 5 * time.Second       // poll interval of an idle scenario
 	observeInterval = pollInterval / 2
 )
 
@@ -42,7 +42,7 @@
 	undoing   sync.WaitGroup
 	requests  *requestCounts
 
-	// Set by settleBilling: the batches that billing accepted under fencing tokens, and how many it rejected.
+	// Set by finishBilling: the batches that billing accepted under fencing tokens, and how many it rejected.
 	acceptedBatches []fakes.AcceptedBatch
 	rejectedBatches int
 
@@ -55,8 +55,8 @@
 	warnings       []warning
 }
 
-// Play runs a scenario. All that it starts has ended when it returns, also if the context ends first. The report tells
-// whether the expectations were met; an error means that the scenario could not be run to its end.
+// Play runs a scenario. All that it starts has ended when it returns, also if the context ends first. The report states
+// whether the expectations were satisfied; an error means that the scenario could not be run to its end.
 func Play(ctx context.Context, scenario *Scenario, options Options) (*Report, error) {
 	options.Slack = cmp.Or(options.Slack, 1)
 	dir, remove, err := makeDir(options.Dir)
@@ -81,8 +81,8 @@
 	return p.report, p.run(ctx)
 }
 
-// makeDir makes the folder for files and logs and returns its absolute path. An empty name stands for a temporary
-// folder, which remove removes.
+// makeDir makes the folder for files and logs and returns its absolute path. An empty name means a temporary
+// folder, which remove deletes.
 func makeDir(name string) (dir string, remove func(), err error) {
 	remove = func() {}
 	if name == "" {
@@ -102,13 +102,13 @@
 	if err := p.startIngresses(); err != nil {
 		return err
 	}
-	p.log.add(eventBegun, fmt.Sprintf("%d ingresses run", len(p.env.nodes)))
+	p.log.add(eventStarted, fmt.Sprintf("%d ingresses run", len(p.env.nodes)))
 	if err := p.runSteps(ctx); err != nil {
 		return err
 	}
 	p.report.Sent, p.report.Served = p.requests.sent, p.requests.served
 	if p.env.scenario.Voters > 0 {
-		p.reportProblem(p.settleBilling(ctx))
+		p.reportProblem(p.finishBilling(ctx))
 	}
 	for _, expectation := range p.env.scenario.Expectations {
 		finding := p.evaluate(expectation)
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// startIngresses starts all processes side by side, and returns the first error of a member, in their order.
+// startIngresses starts all processes concurrently, and returns the first error in the order of the members.
 func (p *player) startIngresses() error {
 	var starting sync.WaitGroup
 	errs := make([]error, len(p.env.nodes))
@@ -173,7 +173,7 @@
 	}
 }
 
-// startObserving records what the fleet reports, as far as the scenario has it, until the context ends.
+// startObserving records what the fleet reports about the features that the scenario uses, until the context ends.
 func (p *player) startObserving(ctx context.Context, running *sync.WaitGroup) {
 	running.Go(func() { every(ctx, observeInterval, p.observe) })
 	if p.env.scenario.Voters > 0 {
@@ -187,7 +187,7 @@
 	}
 }
 
-// every calls a function, and again an interval after it has returned, until the context ends.
+// every calls a function repeatedly until the context ends, with an interval between the end of a call and the next.
 func every(ctx context.Context, interval time.Duration, call func()) {
 	for {
 		call()
@@ -197,7 +197,8 @@
 	}
 }
 
-// awaitComplete waits until all ingresses have received the complete membership. That is the scenario's start.
+// awaitComplete waits until all ingresses have received the complete membership. That moment is the
+// scenario's start.
 func (p *player) awaitComplete(ctx context.Context) error {
 	launchedAt := time.Now()
 	limit := p.withSlack(maxJoinTime)
@@ -228,8 +229,8 @@
 	return true
 }
 
-// carryOutSteps carries out the steps at their times, and returns at the scenario's end, when all that is to be undone
-// has been.
+// carryOutSteps carries out the steps at their times, and returns at the scenario's end, once all steps with a
+// duration have been undone.
 func (p *player) carryOutSteps(ctx context.Context) error {
 	defer p.undoing.Wait()
 	for _, step := range p.env.scenario.Steps {
@@ -263,12 +264,12 @@
 	return nil
 }
 
-// withSlack is a time limit on this machine.
+// withSlack returns a time limit multiplied by Options.Slack, for slow machines.
 func (p *player) withSlack(limit time.Duration) time.Duration {
 	return time.Duration(float64(limit) * p.options.Slack)
 }
 
-// reportProblem notes what went wrong in the fault test itself.
+// reportProblem adds an error of the fault test itself to the report; nil is ignored.
 func (p *player) reportProblem(err error) {
 	if err == nil {
 		return
--- a/internal/emulator/faulttest/report.go
+++ b/internal/emulator/faulttest/report.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// maxListedNames is how many members a row of the table names; of more, the first.
+// maxListedNames is the largest number of members that a row of the table lists in full. Of more members, it shows the
+// first one and the number.
 const maxListedNames = 3
 
 // Finding is the result of an expectation.
@@ -16,7 +17,7 @@
 	Expectation Expectation
 	Passed      bool
 	Text        string
-	Times       []time.Duration // from After until it became true, for each member or observer that was looked at
+	Times       []time.Duration // from After until it became true, one for each member or observer that was checked
 }
 
 // Report is the result of a scenario.
@@ -25,12 +26,12 @@
 	JoinTime time.Duration // until all ingresses had received the complete membership
 	Findings []Finding
 	Sent     int      // requests of clients
-	Served   int      // of them, answered 200
+	Served   int      // requests that were answered with 200
 	Problems []string // what went wrong in the fault test itself
 	Cost     Cost
 }
 
-// Passed reports whether all expectations were met and nothing went wrong in the fault test itself.
+// Passed reports whether all expectations were satisfied and nothing went wrong in the fault test itself.
 func (r *Report) Passed() bool {
 	hasFailed := slices.ContainsFunc(r.Findings, func(f Finding) bool { return !f.Passed })
 	return len(r.Problems) == 0 && !hasFailed
@@ -55,14 +56,14 @@
 	}
 }
 
-// expectedProperty is what the table sums times up by.
+// expectedProperty is the key by which the table groups times.
 type expectedProperty struct {
 	kind  ExpectationKind
 	value string
 }
 
 // WriteTable prints the findings of one scenario that was run once or several times, a row for each expectation. Rows
-// at the end have the times of all expectations of the same property.
+// at the end summarize the times of all expectations of the same property.
 func WriteTable(out io.Writer, reports []*Report) {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer table.Flush()
@@ -126,7 +127,7 @@
 	)
 }
 
-// verdict is how often the expectation was met; of one run, whether.
+// verdict returns in how many of the runs the expectation was satisfied; of one run, whether it was.
 func (t tableRow) verdict() string {
 	switch {
 	case t.runs > 1:
@@ -138,7 +139,7 @@
 	}
 }
 
-// formatQuantiles are the median, the 99th percentile and the maximum, as three columns.
+// formatQuantiles returns the median, the 99th percentile and the maximum, as three columns.
 func formatQuantiles(times []time.Duration) string {
 	if len(times) == 0 {
 		return "\t\t"
--- a/internal/emulator/faulttest/scenario_file.go
+++ b/internal/emulator/faulttest/scenario_file.go
@@ -24,7 +24,7 @@
 // voterCounts are the sizes that the group of voters may have.
 var voterCounts = []int{0, 1, 3, 5}
 
-// scenarioFile is the form of a file.
+// scenarioFile is the content of a scenario file.
 type scenarioFile struct {
 	Name         string             `hcl:"name"`
 	Seed         uint64             `hcl:"seed,optional"`
@@ -75,7 +75,8 @@
 	return Parse(name+".hcl", text)
 }
 
-// Parse makes a scenario of a file's text and checks it. Its errors are *hclfile.Error; the name stands in them.
+// Parse makes a scenario of a file's text and checks it. Its errors are of type *hclfile.Error and contain the
+// name.
 func Parse(name string, text []byte) (*Scenario, error) {
 	var content scenarioFile
 	file, err := hclfile.Parse(name, text, &content)
@@ -136,7 +137,7 @@
 	return nil
 }
 
-// parseDurations checks the interval of health checks, which stays text, and reads the duration.
+// parseDurations checks the interval of health checks, which stays in text form, and reads the duration.
 func (s *Scenario) parseDurations(file *hclfile.File, content *scenarioFile) error {
 	if _, err := file.Duration("interval", content.Interval, 0); err != nil {
 		return err
--- a/internal/emulator/faulttest/scenario_file_test.go
+++ b/internal/emulator/faulttest/scenario_file_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// A bad file is rejected with the place of the error before anything starts.
+// Parse rejects a bad file with the position of the error, so that nothing is started for it.
 func TestBadFiles(t *testing.T) {
 	const ok = "\nexpect \"agree\" {}\n"
 	for _, test := range []struct{ name, text, want string }{
