--- a/internal/emulator/invariants/check.go
+++ b/internal/emulator/invariants/check.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// The rules by their names in RULES.md. CONTACT and FAULT are our own.
+// The names of the rules. CONTACT and FAULT are additions of this package; the others are from RULES.md.
 const (
 	ruleBudget  = "BUDGET"
 	ruleConfig  = "CONFIG"
@@ -43,7 +43,7 @@
 	return c.violations
 }
 
-// checker is the state of one Check: the log, its indexes and the violations so far.
+// checker is the state of one call of Check: the log, its indexes and the violations found so far.
 type checker struct {
 	*Log
 	attemptByID    map[string]*Attempt
--- a/internal/emulator/invariants/check_test.go
+++ b/internal/emulator/invariants/check_test.go
@@ -125,7 +125,7 @@
 func TestCheckEachRule(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		rule   string // the only one that is broken; empty: none
+		rule   string // name of the only rule that is violated; empty: none
 		change func(l *Log)
 	}{
 		{"stale configuration read", "CONTACT", func(l *Log) {
@@ -189,7 +189,7 @@
 		{"rejected though the route exists", "CONFIG", func(l *Log) { l.Attempts[2].Status = 404 }},
 		{"rejected by a server", "", func(l *Log) { l.Attempts[0].Status, l.Arrivals[0].Status = 404, 404 }},
 		{"rolled back", "CONFIG", func(l *Log) {
-			l.Versions[1].Acked = Never // not due anywhere
+			l.Versions[1].Acked = Never // so that no machine must have applied it
 			l.ConfigReads[0].Items["routes/r"] = map[string]any{"backend": "two"}
 			runByOldService(l)
 		}},
@@ -251,7 +251,7 @@
 			l.Arrivals = append(l.Arrivals, l.Arrivals[2], l.Arrivals[2])
 		}},
 		{"over quota", "QUOTA", func(l *Log) {
-			for n := range 9 { // 5 s of 1/s, a tenth beyond and 2 are 7.5
+			for n := range 9 { // the limit is 7.5: 5 s at 1 per second, a tenth more, and 2 of slack
 				t, a := l.Attempts[0], l.Arrivals[0]
 				t.ID = string(rune('m' + n))
 				a.ID, t.AnswerID = t.ID, t.ID
@@ -282,7 +282,7 @@
 	}
 }
 
-// runByOldService adds a request that the route's first service runs after the second one had been observed.
+// runByOldService adds a request that the route's first service runs after the second service was observed.
 func runByOldService(l *Log) {
 	attempt, arrival := l.Attempts[0], l.Arrivals[0]
 	attempt.ID, attempt.AnswerID, attempt.Seal = "d", "d", "s3"
--- a/internal/emulator/invariants/configuration.go
+++ b/internal/emulator/invariants/configuration.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// checkReadBack checks what was read back at the end: CONFIG, and LOST after a closing fault.
+// checkReadBack checks the configuration that was read back at the end of the run: CONFIG, and LOST if there was a
+// closing fault.
 func (c *checker) checkReadBack() {
 	if len(c.ConfigReads) == 0 {
 		c.report(ruleConfig, Never, "nothing was read back at the end")
@@ -55,7 +56,7 @@
 	}
 }
 
-// checkItem checks that an item reads as the last acknowledged version, or as a later one that may be in force.
+// checkItem checks that an item was read back as the last acknowledged version, or as a later one that may be in force.
 func (c *checker) checkItem(r ConfigRead, item string, versions []*Version) {
 	acked := lastAcknowledged(versions, r.At)
 	body, present := r.Items[item]
@@ -86,7 +87,7 @@
 	return last
 }
 
-// reads reports whether an item in this version reads as this body, or as absent.
+// reads reports whether an item in this version is read back as this body or, if present is false, as absent.
 func (v *Version) reads(body any, present bool) bool {
 	if v.Dropped || !present {
 		return v.Dropped && !present
@@ -104,13 +105,13 @@
 // versionFilter reports whether an item may have a version in force; nil: the item is absent.
 type versionFilter func(item string, v *Version) bool
 
-// floor is the lowest version that each item may have on a machine. Items without one have none.
+// floor is the lowest version that each item may have on a machine. An item that it lacks may have any version.
 type floor map[string]uint64
 
-// raise raises the floor of an item to a number if it is lower.
+// raise raises the lowest version of an item to a number, if it is below that.
 func (f floor) raise(item string, number uint64) { f[item] = max(f[item], number) }
 
-// restrict returns what a filter lets through of the versions from the floor on.
+// restrict returns a filter that accepts what the given one does, without the versions below the floor.
 func (f floor) restrict(filter versionFilter) versionFilter {
 	return func(item string, v *Version) bool { return filter(item, v) && numberOf(v) >= f[item] }
 }
--- a/internal/emulator/invariants/contact.go
+++ b/internal/emulator/invariants/contact.go
@@ -5,12 +5,12 @@
 	"net/http"
 )
 
-// maxContactAge is for how long a control node may answer by its last contact with a majority
-// (docs/design/control-plane-faults.md, part 1), with half a second for scheduling on a loaded host.
+// maxContactAge is how long, in seconds, a control node may answer on the basis of its last contact with a majority
+// (docs/design/control-plane-faults.md, part 1). It includes half a second for scheduling delays on a loaded host.
 const maxContactAge Seconds = 2.0
 
-// checkContact checks CONTACT: a control node without a majority answers nothing as if it were current, neither yes
-// nor no.
+// checkContact checks CONTACT: a control node that cannot reach a majority gives no definite answer, neither yes nor
+// no, because its state may be outdated.
 func (c *checker) checkContact() {
 	for _, a := range c.ControlAnswers {
 		if !a.definite() {
@@ -36,8 +36,8 @@
 	return false
 }
 
-// inContact reports whether an edge machine was in contact with the control nodes for all of a span; and stretched,
-// whether it was except for faults of a minority of the control nodes.
+// inContact reports whether an edge machine was in contact with the control nodes during a whole period. stretched
+// reports the same, but ignores faults of a minority of the control nodes.
 func (c *checker) inContact(machine string, from, to Seconds) (in, stretched bool) {
 	in, stretched = true, true
 	for _, f := range c.Faults {
@@ -54,7 +54,7 @@
 	return in, stretched
 }
 
-// processStart returns when the process began that ran on a machine at a time.
+// processStart returns when the process started that ran on a machine at a time; -Inf if no start was recorded.
 func (c *checker) processStart(machine string, at Seconds) Seconds {
 	last := math.Inf(-1)
 	for _, s := range c.ProcessStarts {
@@ -65,8 +65,9 @@
 	return last
 }
 
-// faulted reports whether there was an unplanned fault from Bounds.Contact before an attempt until its end.
-func (c *checker) faulted(a *Attempt) bool {
+// hasUnplannedFault reports whether an unplanned fault overlaps the period from Bounds.Contact before an attempt
+// to the end of the attempt.
+func (c *checker) hasUnplannedFault(a *Attempt) bool {
 	for _, f := range c.Faults {
 		if !f.Planned && f.From <= a.Done && f.To >= a.Sent-c.Bounds.Contact {
 			return true
@@ -75,14 +76,15 @@
 	return false
 }
 
-// revertSlackOfFaulted is by which factor a machine that is slowed or was suspended has more of Bounds.RevertSlack.
-const revertSlackOfFaulted = 8
+// faultedRevertSlackFactor is the factor by which Bounds.RevertSlack is larger for a machine that is slowed or was
+// suspended.
+const faultedRevertSlackFactor = 8
 
-// revertSlack returns for how long after an observation a machine may still handle requests by older versions.
+// revertSlack returns how long after a version was observed a machine may still handle requests by older versions.
 func (c *checker) revertSlack(machine string, at Seconds) Seconds {
 	for _, f := range c.Faults {
 		if f.Machine == machine && f.From <= at && at <= f.To+c.Bounds.Contact {
-			return revertSlackOfFaulted * c.Bounds.RevertSlack
+			return faultedRevertSlackFactor * c.Bounds.RevertSlack
 		}
 	}
 	return c.Bounds.RevertSlack
--- a/internal/emulator/invariants/denied.go
+++ b/internal/emulator/invariants/denied.go
@@ -5,13 +5,13 @@
 	"net/http"
 )
 
-// DENIED tolerates this many requests of a run, and one more in each deniedShare.
+// DENIED tolerates toleratedDenied denied requests in a run, and one more for every deniedShare requests.
 const (
 	toleratedDenied = 5
 	deniedShare     = 500
 )
 
-// checkDenied checks DENIED: machines in contact do not answer proper requests with a 3xx or 4xx of their own.
+// checkDenied checks DENIED: machines in contact do not themselves answer proper requests with a 3xx or 4xx.
 func (c *checker) checkDenied() {
 	denied, all, first := 0, 0, ""
 	for i := range c.Attempts {
@@ -45,8 +45,8 @@
 	return in && c.proper(a)
 }
 
-// proper reports whether every configuration that may be in force while a request is on its way has its route and its
-// key.
+// proper reports whether every configuration that may be in force while a request is in progress contains its route and
+// its key.
 func (c *checker) proper(a *Attempt) bool {
 	items := c.relevantItems(a)
 	required := floor{}
--- a/internal/emulator/invariants/departures.go
+++ b/internal/emulator/invariants/departures.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// checkDepartures checks DRAIN: no request reaches a server for longer than Bounds.Drain after its departure was
+// checkDepartures checks DRAIN: no request reaches a server later than Bounds.Drain after its departure was
 // acknowledged.
 func (c *checker) checkDepartures() {
 	for i := range c.Arrivals {
@@ -21,8 +21,8 @@
 	}
 }
 
-// drained reports whether an arrival should have gone elsewhere because of a departure. It should if the control node
-// and the edge machine were in contact.
+// drained reports whether an arrival should have gone to another server because of a departure. That is required if the
+// control node and the edge machine were in contact.
 func (c *checker) drained(d Departure, arrival *Arrival, attempt *Attempt) bool {
 	if d.Instance != arrival.Instance || arrival.At <= d.At+c.Bounds.Drain {
 		return false
@@ -33,13 +33,15 @@
 }
 
 const (
-	// terminationSlack is added to Bounds.Grace for the end of connections to be observed by their clients.
+	// terminationSlack is added to Bounds.Grace, in seconds, because clients observe the end of a connection later.
 	terminationSlack Seconds = 1
-	// timeoutSlack is how close to the client's own timeout a truncated answer is attributed to that timeout.
+	// timeoutSlack is the time before the client's own timeout, in seconds, within which a truncated answer is
+	// attributed to that timeout.
 	timeoutSlack Seconds = 0.005
 )
 
-// checkTerminations checks LOST in planned work: a process that gets SIGTERM finishes the requests that it has taken.
+// checkTerminations checks LOST in planned work: a process that gets SIGTERM finishes the requests that it
+// has accepted.
 func (c *checker) checkTerminations() {
 	for i := range c.Attempts {
 		a := &c.Attempts[i]
@@ -55,7 +57,7 @@
 
 // checkAbandoned checks that the terminating process did not answer 5xx itself while a server worked on the request.
 func (c *checker) checkAbandoned(a *Attempt) {
-	if a.End != Answered || a.Status < 500 || a.Seal != "" || a.Done >= a.Sent+a.TimeLeft || c.faulted(a) {
+	if a.End != Answered || a.Status < 500 || a.Seal != "" || a.Done >= a.Sent+a.TimeLeft || c.hasUnplannedFault(a) {
 		return
 	}
 	for _, r := range c.arrivalsByID[a.ID] {
@@ -66,10 +68,10 @@
 	}
 }
 
-// checkTruncated checks that the terminating process did not close the connection of a request that it had read or
-// had the time to read.
+// checkTruncated checks that the terminating process did not close the connection of a request that it had read or had
+// enough time to read. A server that aborted the answer, or was still busy after half of Bounds.Grace, excuses it.
 func (c *checker) checkTruncated(a *Attempt, t Termination) {
-	if a.End != Truncated || a.Done >= a.Sent+a.TimeLeft-timeoutSlack || c.faulted(a) {
+	if a.End != Truncated || a.Done >= a.Sent+a.TimeLeft-timeoutSlack || c.hasUnplannedFault(a) {
 		return
 	}
 	forwarded, excused := false, false
--- a/internal/emulator/invariants/handling.go
+++ b/internal/emulator/invariants/handling.go
@@ -11,7 +11,7 @@
 type handling struct {
 	attempt *Attempt
 	outcome outcome
-	at      Seconds // it was observed
+	at      Seconds // when it was observed
 }
 
 func (h handling) String() string {
@@ -51,8 +51,8 @@
 	return false
 }
 
-// checkHandlings checks ROUTE and CONFIG for every handling: that some valid configuration allows it, that none of
-// this configuration was superseded in time, and that the machine did not go back to an older one.
+// checkHandlings checks ROUTE and CONFIG for every handling: a valid configuration allows it, no version in that
+// configuration had been superseded long enough ago, and the machine did not return to an older version.
 func (c *checker) checkHandlings() {
 	seen := observations{}
 	for _, h := range c.handlings() {
@@ -76,15 +76,15 @@
 	if !c.explainable(h, items, observed.restrict(h.acceptable)) {
 		c.report(ruleConfig, h.at, "%v: the machine went back (%s)", h, observed)
 	}
-	if h.outcome.service != "" { // only what a server saw counts as observed
+	if h.outcome.service != "" { // only requests that ran on a server count as observations
 		seen.add(h, lowest, startedAt)
 	}
 }
 
-// sent lets through the versions that had been sent when a handling was observed.
+// sent accepts the versions that had been sent when a handling was observed.
 func (h handling) sent(_ string, v *Version) bool { return v == nil || v.Sent <= h.at }
 
-// acceptable lets through the versions that had been sent and may be in force.
+// acceptable accepts the versions that had been sent and may be in force.
 func (h handling) acceptable(item string, v *Version) bool {
 	return h.sent(item, v) && (v == nil || v.acceptable())
 }
@@ -104,8 +104,8 @@
 	}
 }
 
-// requiredVersions returns the lowest version of each item that may be in force for a handling, by the time since
-// later ones were acknowledged; bound is false if the machine was out of contact and so may have any.
+// requiredVersions returns the lowest version of each item that may be in force for a handling, given how long ago
+// versions were acknowledged. bound is false if the machine was out of contact, because it may then have any version.
 func (c *checker) requiredVersions(h handling, items []string) (required floor, bound bool) {
 	in, stretched := c.inContact(h.attempt.Edge, h.attempt.Sent, h.at)
 	if !in && !stretched {
@@ -137,7 +137,7 @@
 
 type machineItem struct{ machine, item string }
 
-// add records the lowest versions that explain a handling, by a process that began at startedAt.
+// add records the lowest versions that explain a handling by a process that started at startedAt.
 func (o observations) add(h handling, lowest map[string]uint64, startedAt Seconds) {
 	for item, number := range lowest {
 		key := machineItem{machine: h.attempt.Edge, item: item}
@@ -149,8 +149,8 @@
 	}
 }
 
-// observedVersions returns the lowest version of each item that may be in force for a handling, by what was observed
-// of the same process before.
+// observedVersions returns the lowest version of each item that may be in force for a handling, given the earlier
+// observations of the same process.
 func (c *checker) observedVersions(h handling, items []string, seen observations, startedAt Seconds) floor {
 	observed := floor{}
 	slack := c.revertSlack(h.attempt.Edge, h.attempt.Sent)
--- a/internal/emulator/invariants/log.go
+++ b/internal/emulator/invariants/log.go
@@ -24,7 +24,7 @@
 	ProcessStarts  []ProcessStart
 	Terminations   []Termination
 	ConfigReads    []ConfigRead
-	Closing        Seconds // when the fault that ends the run began; Never: there was none
+	Closing        Seconds // start of the fault that ends the run; Never: there was none
 	Exits          []Exit  // processes that ended by themselves
 	Partitions     []Partition
 	ControlAnswers []ControlAnswer
@@ -38,8 +38,8 @@
 	Answered     Ending = iota
 	Truncated           // the connection ended without a complete answer
 	TimedOut            // the client stopped waiting
-	NotConnected        // no connection came up, or it was found closed before the request went out
-	Malformed           // the bytes that came are no HTTP response
+	NotConnected        // no connection was established, or it was found closed before the request was sent
+	Malformed           // the received bytes are not an HTTP response
 )
 
 func (e Ending) String() string {
@@ -49,25 +49,25 @@
 // Attempt is one request as its client saw it.
 type Attempt struct {
 	ID, Class, Edge string // Edge: the machine that it was sent to
-	AtMostOnce      bool   // it must not run twice: its route is mutating
-	Probe           bool   // it asks for what may not exist: it has no value, and DENIED leaves it out
+	AtMostOnce      bool   // it must not run twice, because its route is mutating
+	Probe           bool   // it requests something that may not exist, so it has no value and DENIED ignores it
 	Method, Host    string
 	Target          string
 	Key             string  // empty: none was sent
 	ClaimedTenant   string  // the X-Tenant that the client sent, if any
 	Body            uint64  // checksum of its body
 	Sent, Done      Seconds // when its last byte was sent, and when it ended
-	TimeLeft        Seconds // how long from Sent the client said it would wait
+	TimeLeft        Seconds // time from Sent that the client announced it would wait
 	FirstSent       Seconds // when the first attempt of the request was sent
-	LatencyTarget   Seconds // from FirstSent, within which an answer has its full value
-	Last            bool    // the client did not retry after it
+	LatencyTarget   Seconds // time from FirstSent within which an answer has its full value
+	Last            bool    // the client did not retry after this attempt
 
 	End      Ending
 	Status   int
-	AnswerID string // the X-Attempt-Id that the answer has, if any
-	Seal     string // by which a server marks its answer; empty: the system itself answered
+	AnswerID string // X-Attempt-Id of the answer, if any
+	Seal     string // mark that a server puts on its answer; empty: the system itself answered
 	Sum      uint64 // checksum of the answer's body
-	Surplus  bool   // bytes followed the answer, with no request waiting
+	Surplus  bool   // bytes followed the answer although no request was waiting
 }
 
 // Arrival is a request that reached a server. Health checks are not among them.
@@ -75,12 +75,12 @@
 	ID, Instance, Service string
 	At                    Seconds // when it was read
 	Started               Seconds // when work on it began; Never: it did not run
-	End                   Seconds // when the server had finished with it
+	End                   Seconds // when the server had finished it
 	Method, Host, Target  string
 	Body                  uint64 // checksum of its body
 	Tenant, Expected      string // X-Tenant, X-Target-Instance
-	Status                int    // that the server answered, or would have
-	Seal                  string // by which the server marks its answer
+	Status                int    // status that the server answered, or would have answered
+	Seal                  string // mark that the server puts on its answer
 	Sum                   uint64 // checksum of the complete body of the answer
 	Aborted               bool   // the server itself aborted the answer, or sent bytes that are no HTTP response
 }
@@ -90,10 +90,10 @@
 	Item    string // section/name
 	Number  uint64
 	Dropped bool
-	Valid   bool    // all of the call that sent it was valid
+	Valid   bool    // the call that sent it was valid as a whole
 	Sent    Seconds // when it was sent first
-	Acked   Seconds // when a 200 came; Never: none came
-	Refused bool    // a definite 4xx came, and no 200
+	Acked   Seconds // when the 200 was received; Never: none was
+	Refused bool    // a definite 4xx was received, and no 200
 	Route   *Route
 	Tenant  *Tenant
 	Body    any // as encoding/json decodes it
@@ -110,7 +110,7 @@
 type Tenant struct {
 	Name        string
 	Keys        []string
-	Rate, Burst float64 // requests a second, and requests; Rate 0: no quota
+	Rate, Burst float64 // in requests per second, and in requests; Rate 0: no quota
 }
 
 // Departure is an acknowledgement that a server is draining or gone.
@@ -120,22 +120,22 @@
 	By       string // the control node that acknowledged it
 }
 
-// Fault is what keeps a machine out of contact. A fault of a control node makes the control nodes unstable.
+// Fault is an event that keeps a machine out of contact. While a control node has one, the control nodes are unstable.
 type Fault struct {
 	Machine  string
 	Core     bool // the machine is a control node
-	Majority bool // more than half of the control nodes were away; otherwise the others went on
-	Planned  bool // SIGTERM, and the start after it
+	Majority bool // more than half of the control nodes failed; otherwise the others continued
+	Planned  bool // a SIGTERM and the start after it
 	From, To Seconds
 }
 
-// Partition is a time in which a control node reached no majority of the control nodes.
+// Partition is a period in which a control node could not reach a majority of the control nodes.
 type Partition struct {
 	Machine  string
 	From, To Seconds
 }
 
-// ControlAnswer is what a control node answered to a call that needs contact with a majority. Status 0: no answer.
+// ControlAnswer is the answer of a control node to a call that needs contact with a majority. Status 0 means no answer.
 type ControlAnswer struct {
 	Machine, Call string
 	Began, Done   Seconds
@@ -154,7 +154,8 @@
 	At      Seconds
 }
 
-// ConfigRead is what GET /config returned at the end: the bodies by item, as encoding/json decodes them.
+// ConfigRead is what GET /config returned at the end of the run, as bodies by item, in the form that encoding/json
+// decodes them to.
 type ConfigRead struct {
 	Machine string
 	At      Seconds
--- a/internal/emulator/invariants/rates.go
+++ b/internal/emulator/invariants/rates.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// serviceRetry is an arrival of a request that had arrived at some server before.
+// serviceRetry is an arrival of a request that had already arrived at a server before.
 type serviceRetry struct {
 	at      Seconds
 	service string
@@ -53,7 +53,7 @@
 	return retries
 }
 
-// sentByService returns when requests were sent that may have been for a service.
+// sentByService returns, by service, the times at which requests were sent that may have been for it.
 func (c *checker) sentByService() map[string][]Seconds {
 	sent := map[string][]Seconds{}
 	for i := range c.Attempts {
@@ -82,7 +82,7 @@
 }
 
 // requestsAround returns the largest number of requests that were sent in a window that ends at a time, half a window
-// or a window before it: a process may count them in any of these.
+// before it or a whole window before it, because a process may count them in any of these.
 func requestsAround(sent []Seconds, at, window Seconds) int {
 	requests := 0
 	for _, back := range []Seconds{0, window / 2, window} {
@@ -99,7 +99,7 @@
 
 // tenantRun is a request of a tenant that ran.
 type tenantRun struct {
-	sent, at Seconds // at: it reached the server
+	sent, at Seconds // at: when it reached the server
 	edge     string
 }
 
@@ -120,7 +120,7 @@
 	}
 }
 
-// runsByTenant returns the requests that ran, of each tenant that held their key in any version.
+// runsByTenant returns the requests that ran, by tenant that held their key in any version.
 func (c *checker) runsByTenant() map[string][]tenantRun {
 	runs := map[string][]tenantRun{}
 	for i := range c.Arrivals {
@@ -136,8 +136,9 @@
 	return runs
 }
 
-// runsInWindow counts the requests that were sent and reached a server within a window from the first one on, in all
-// and of each edge machine by the second. The runs are ordered by the time at which they were sent.
+// runsInWindow counts the requests that were sent and reached a server within a window from the first one on, in
+// total and for each edge machine per second of the window. The runs must be ordered by the time at which they were
+// sent.
 func runsInWindow(runs []tenantRun, window Seconds) (count int, perSecond map[string][]int) {
 	perSecond = map[string][]int{}
 	start := runs[0].sent
@@ -157,8 +158,8 @@
 	return count, perSecond
 }
 
-// quotaLimit returns how many requests of a tenant may run in a window, by the most generous version that may be in
-// force in it; +Inf if that has no quota.
+// quotaLimit returns how many requests of a tenant may run in a window, by the version with the largest quota of those
+// that may be in force in it; +Inf if one of them has no quota.
 func (c *checker) quotaLimit(tenant string, from, window Seconds) float64 {
 	limit := 0.0
 	versions := c.versionsByItem["customers/"+tenant]
--- a/internal/emulator/invariants/requests.go
+++ b/internal/emulator/invariants/requests.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// checkUnasked checks UNASKED: what ran is what a client sent.
+// checkUnasked checks UNASKED: every request that ran was sent by a client, and ran as it was sent.
 func (c *checker) checkUnasked(arrival *Arrival) {
 	if !arrival.ran() {
 		return
@@ -58,7 +58,7 @@
 	}
 	holders := c.tenantsWithKey(a.Key)
 	if len(holders) == 0 {
-		return tenant == "" // on a public route; on others ROUTE reports it
+		return tenant == "" // correct on a public route; on other routes ROUTE reports it
 	}
 	return slices.Contains(holders, tenant)
 }
@@ -109,7 +109,7 @@
 	return fmt.Sprintf("%s %s (%s at %s)", a.Class, a.ID, a.Target, a.Edge)
 }
 
-// checkAnswer checks MIXED: a client gets the answer to its own request, as a server gave it.
+// checkAnswer checks MIXED: a client gets the answer to its own request, unchanged from the server.
 func (c *checker) checkAnswer(a *Attempt) {
 	arrivals := c.arrivalsByID[a.ID]
 	if a.Surplus {
--- a/internal/emulator/invariants/selection.go
+++ b/internal/emulator/invariants/selection.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// outcome is what the handling of a request shows of the configuration in force: the service that ran it, or a
-// rejection.
+// outcome is the part of a request's handling that depends on the configuration in force: the service that ran it, or
+// the status of the rejection.
 type outcome struct {
 	service string // empty: the request was rejected
 	status  int    // of the rejection: 401, 403 or 404
@@ -68,8 +68,8 @@
 	return items
 }
 
-// explain tries every selection of versions that a filter lets through. It reports whether any allows a handling, and
-// the lowest number that each item has in those that do.
+// explain tries every selection of versions that a filter accepts. It reports whether any of them allows a handling,
+// and returns the lowest number of each item in those that do.
 func (c *checker) explain(h handling, items []string, allowed versionFilter) (lowest map[string]uint64, ok bool) {
 	lowest = map[string]uint64{}
 	chosen := make(selection, len(items))
@@ -99,7 +99,7 @@
 	return lowest, ok
 }
 
-// explainable reports whether any selection that a filter lets through allows a handling.
+// explainable reports whether any selection that a filter accepts allows a handling.
 func (c *checker) explainable(h handling, items []string, allowed versionFilter) bool {
 	_, ok := c.explain(h, items, allowed)
 	return ok
