--- a/deploy/faulttests/faulttests.go
+++ b/deploy/faulttests/faulttests.go
@@ -1,9 +1,10 @@
-// Package faulttests holds the timelines that ship, so that the program can play them by name wherever it runs.
+// Package faulttests embeds the fault test scenarios that ship with the program, so that it can run them by name on any
+// machine.
 package faulttests
 
 import "embed"
 
-// Files are the timelines, by name and ".hcl".
+// Files contains the scenario files. A file's name is the name of the scenario followed by ".hcl".
 //
 //go:embed *.hcl
 var Files embed.FS
--- a/internal/emulator/faulttest/errors.go
+++ b/internal/emulator/faulttest/errors.go
@@ -17,7 +17,7 @@
 type UnknownScenarioError struct{ Name string }
 
 func (u *UnknownScenarioError) Error() string {
-	return fmt.Sprintf("faulttest: no timeline %q ships, and no file has this name", u.Name)
+	return fmt.Sprintf("faulttest: no scenario %q ships with the program, and no file has this name", u.Name)
 }
 
 // SetupError means that the machine did not let the fault test do something: open a file or a port, write a folder.
--- a/internal/emulator/invariants/handling.go
+++ b/internal/emulator/invariants/handling.go
@@ -69,12 +69,12 @@
 	}
 	if required, bound := c.requiredVersions(h, items); bound &&
 		!c.explainable(h, items, required.restrict(h.acceptable)) {
-		c.report(ruleConfig, h.at, "%v: as only a version allows that was overtaken in time (%s)", h, required)
+		c.report(ruleConfig, h.at, "%v: only a version allows it that should have been superseded (%s)", h, required)
 	}
 	startedAt := c.processStart(h.attempt.Edge, h.attempt.Sent)
 	observed := c.observedVersions(h, items, seen, startedAt)
 	if !c.explainable(h, items, observed.restrict(h.acceptable)) {
-		c.report(ruleConfig, h.at, "%v: the machine went back (%s)", h, observed)
+		c.report(ruleConfig, h.at, "%v: the machine returned to an older version (%s)", h, observed)
 	}
 	if h.outcome.service != "" { // only requests that ran on a server count as observations
 		seen.add(h, lowest, startedAt)
@@ -92,7 +92,7 @@
 // reportUnexplained reports a handling that no acceptable configuration allows.
 func (c *checker) reportUnexplained(h handling, items []string) {
 	if c.explainable(h, items, h.sent) {
-		c.report(ruleConfig, h.at, "%v: only what was refused or is invalid allows it", h)
+		c.report(ruleConfig, h.at, "%v: only a refused or invalid version allows it", h)
 		return
 	}
 	if h.outcome.service != "" {
--- a/internal/emulator/invariants/requests.go
+++ b/internal/emulator/invariants/requests.go
@@ -24,7 +24,7 @@
 		return
 	}
 	if arrival.Status == http.StatusMisdirectedRequest {
-		panic("rules: a server ran what it turned away")
+		panic("invariants: a server ran a request that it rejected with 421")
 	}
 	attempt := c.attemptByID[arrival.ID]
 	switch {
--- a/internal/emulator/scenario/core_faults.go
+++ b/internal/emulator/scenario/core_faults.go
@@ -1,24 +1,24 @@
 package scenario
 
-// Fields that several kinds of fault have.
+// Fields that several kinds of fault share.
 const (
-	onCore = `on = "core"` // the fault is one of control nodes
+	onCore = `on = "core"` // the fault affects control nodes
 	single = "count = 1"
 )
 
-// Variants of faults, as the bench names them. An empty one adds none.
+// Variants of faults, by the names that the bench gives them. An empty one adds nothing to the fault.
 var (
-	// targetVariants choose the control node.
+	// targetVariants select the control node that the fault affects.
 	targetVariants = []string{"", "leader", "reader", "seed"}
-	// cutVariants say what becomes of connections over a cut.
+	// cutVariants determine what happens to the connections across a cut.
 	cutVariants = []string{"", "", "reset", "refuse"}
-	// recoverVariants say what else happens while a node recovers.
+	// recoverVariants determine what else happens while a node recovers.
 	recoverVariants = []string{"", "meet", "race", "meet race", "race hard"}
-	// rollVariants are those of a rolling restart.
+	// rollVariants are the variants of a rolling restart.
 	rollVariants = []string{"", "busy", "remove"}
 )
 
-// coreFaults are the faults of control nodes that Draw draws from.
+// coreFaults are the kinds of fault of control nodes that Draw uses.
 var coreFaults = []faultKind{
 	{"core_cut", 2, func(d drawing) []string {
 		directions := []string{"", "", "one_way", "seeds", "both"}
@@ -56,7 +56,7 @@
 	}},
 }
 
-// rareCoreFaults are the faults of control nodes, and their variants, that Draw does not know.
+// rareCoreFaults are the kinds and variants of faults of control nodes that only DrawAny uses.
 var rareCoreFaults = []faultKind{
 	{"core_cut", 2, func(d drawing) []string {
 		return []string{
--- a/internal/emulator/scenario/day.go
+++ b/internal/emulator/scenario/day.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Seconds are counted from the start of traffic.
+// Seconds is a time since the start of traffic, or a duration.
 type Seconds = float64
 
 // Fault is one entry of a day: a fault, or planned work.
@@ -21,13 +21,13 @@
 	return fmt.Sprintf("  { at = %.2f, kind = %q%s },", f.At, f.Kind, fields)
 }
 
-// Day is the content of a day's file. Its traffic is that of the deployment.
+// Day is the content of the file of a day. It does not describe traffic, which is that of the deployment.
 type Day struct {
 	Name    string
 	Seed    uint64
-	One     float64 // value less price that scores 1
-	Zero    float64 // value less price that scores 0
-	Closing string  // the last fault, as a TOML table; "": none
+	One     float64 // value minus price that gives score 1
+	Zero    float64 // value minus price that gives score 0
+	Closing string  // the fault that ends the day, as a TOML table; empty: none
 	Plan    []Fault // planned work
 	Faults  []Fault
 }
@@ -56,7 +56,7 @@
 	fmt.Fprintln(file, "]")
 }
 
-// sortByTime sorts a day's entries by their time in milliseconds; those of the same one keep their order.
+// sortByTime sorts a day's entries by their time in milliseconds. Entries of the same millisecond keep their order.
 func sortByTime(faults []Fault) {
 	slices.SortStableFunc(faults, func(a, b Fault) int { return milliseconds(a.At) - milliseconds(b.At) })
 }
--- a/internal/emulator/scenario/draw.go
+++ b/internal/emulator/scenario/draw.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	firstFault    Seconds = 5 // the earliest time of a fault
-	lastFault     Seconds = 26
-	firstPlanned  Seconds = 3 // the earliest time of planned work other than changes of the configuration
-	coreStream            = 7 // stream of the random source for Draw
-	anyKindStream         = 11
+	firstFault    Seconds = 5  // the earliest time of a fault
+	lastFault     Seconds = 26 // the latest time of a fault or of planned work
+	firstPlanned  Seconds = 3  // the earliest time of planned work other than changes of the configuration
+	coreStream            = 7  // stream of the random source for Draw
+	anyKindStream         = 11 // stream of the random source for DrawAny
 )
 
-// Draw draws a day: two to four faults of the control nodes, changes of the configuration through the day, on some days
-// hundreds of them, other planned work, and on most days a closing fault. one and zero are those of Day.
+// Draw draws a day with two to four faults of the control nodes, changes of the configuration during the whole day (on
+// some days hundreds), other planned work, and on most days a closing fault. one and zero are Day.One and Day.Zero.
 func Draw(seed uint64, one, zero float64) Day {
 	d := drawing{rand.New(rand.NewPCG(seed, coreStream))}
 	day := Day{Name: fmt.Sprintf("worst-%02d", seed), Seed: 1000 + seed, One: one, Zero: zero}
@@ -34,9 +34,9 @@
 	return day
 }
 
-// DrawAny draws a day from every kind and variant that the bench knows for the contracts of the deployments: three to
-// six faults of servers, edge machines, control nodes and callers, which overlap, changes of the configuration, other
-// planned work, and on most days a closing fault. one and zero are those of Day.
+// DrawAny draws a day from every kind and variant that the bench knows for the contracts of the deployments. The day
+// has three to six faults of servers, edge machines, control nodes and callers, which may overlap, changes of the
+// configuration, other planned work, and on most days a closing fault. one and zero are Day.One and Day.Zero.
 func DrawAny(seed uint64, one, zero float64) Day {
 	d := drawing{rand.New(rand.NewPCG(seed, anyKindStream))}
 	day := Day{Name: fmt.Sprintf("any-%02d", seed), Seed: 2000 + seed, One: one, Zero: zero}
@@ -59,8 +59,8 @@
 	return day
 }
 
-// closing draws the last fault of a day, of these kinds, as a TOML table; "": none. A disk is wiped in one of these
-// variants.
+// closing draws the fault that ends a day from these kinds, as a TOML table; an empty kind gives none. wipeVariants are
+// the variants of the kind wipe_after_ack, which wipes a disk.
 func (d drawing) closing(kinds, wipeVariants []string) string {
 	kind := d.pick(kinds)
 	if kind == "" {
@@ -73,7 +73,8 @@
 	return table + " }"
 }
 
-// configChanges draws the changes of the configuration: one in some seconds, or one in a fraction of a second all day.
+// configChanges draws the changes of the configuration during the whole day. They are some seconds apart or, on a
+// quarter of the days, a fraction of a second.
 func (d drawing) configChanges() (changes []Fault) {
 	gap := d.between(3, 8)
 	if d.IntN(4) == 0 {
--- a/internal/emulator/scenario/draw_test.go
+++ b/internal/emulator/scenario/draw_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// drawDays draws the days of many seeds. It checks that a seed always draws the same day, with a number of faults
-// within bounds, and that entries are in order.
+// drawDays draws the days of many seeds. It checks that a seed always draws the same day, that the number of faults is
+// within bounds, and that entries are ordered by time.
 func drawDays(
 	t *testing.T,
 	draw func(seed uint64, one, zero float64) Day,
@@ -30,7 +30,7 @@
 	return days
 }
 
-// checkTimes checks that entries are in order, and within the time of the day.
+// checkTimes checks that entries are ordered by time, and within the bounds of the day.
 func checkTimes(t *testing.T, seed uint64, faults []Fault) {
 	t.Helper()
 	const earliest = 2
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestDraw checks that a few dozen seeds draw every kind and variant of the faults of control nodes.
+// TestDraw checks that 200 seeds of Draw draw every kind and variant of the faults of control nodes.
 func TestDraw(t *testing.T) {
 	days := drawDays(t, Draw, 200, 2, 4)
 	busiest := slices.MaxFunc(days, func(a, b Day) int { return len(a.Plan) - len(b.Plan) })
@@ -73,7 +73,7 @@
 	})
 }
 
-// TestDrawAny checks that seeds of DrawAny draw every kind and variant that Draw lacks.
+// TestDrawAny checks that 400 seeds of DrawAny draw every kind and variant that Draw lacks.
 func TestDrawAny(t *testing.T) {
 	days := drawDays(t, DrawAny, 400, 3, 6)
 	checkDrawn(t, days, []string{
--- a/internal/emulator/scenario/drawing.go
+++ b/internal/emulator/scenario/drawing.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// drawing draws the parts of one day. Each method draws in the order of its arguments.
+// drawing draws the parts of one day. Each method draws its values in the order of its arguments.
 type drawing struct{ *rand.Rand }
 
 // faultKind is a kind of fault that may be drawn.
 type faultKind struct {
 	kind   string
-	weight int // its probability is its share of the weights of all kinds
+	weight int // its probability is its weight divided by the sum of all weights
 	fields func(d drawing) []string
 }
 
@@ -36,7 +36,7 @@
 
 func (d drawing) pick(from []string) string { return from[d.IntN(len(from))] }
 
-// how draws the variant of a fault: one value of each list; empty ones add nothing.
+// how draws the variant of a fault from one value of each list. Empty values add nothing.
 func (d drawing) how(lists ...[]string) string {
 	var variant []string
 	for _, list := range lists {
@@ -47,12 +47,12 @@
 	return fmt.Sprintf("how = %q", strings.Join(variant, " "))
 }
 
-// duration draws for how long a fault lasts.
+// duration draws the duration of a fault, in seconds.
 func (d drawing) duration(low, high Seconds) string {
 	return fmt.Sprintf("for_s = %.1f", d.between(low, high))
 }
 
-// gap draws the time between the steps of a fault.
+// gap draws the time between the steps of a fault, in seconds.
 func (d drawing) gap(low, high Seconds) string {
 	return fmt.Sprintf("gap_s = %.1f", d.between(low, high))
 }
--- a/internal/emulator/scenario/edge_faults.go
+++ b/internal/emulator/scenario/edge_faults.go
@@ -82,7 +82,7 @@
 func rollingRestart(d drawing) []string {
 	variant, high := d.how(rollVariants), 1.0
 	if strings.Contains(variant, "remove") {
-		high = 0.3 // the machines that remain must carry the traffic
+		high = 0.3 // the remaining machines must be able to handle the traffic
 	}
 	return []string{
 		d.share(high/2, high),
--- a/internal/emulator/scenario/planned_work.go
+++ b/internal/emulator/scenario/planned_work.go
@@ -1,6 +1,6 @@
 package scenario
 
-// plannedWork is what operators do beside changes of the configuration.
+// plannedWork are the kinds of planned work of operators, other than single changes of the configuration.
 var plannedWork = []faultKind{
 	{"config_race", 1, func(d drawing) []string {
 		return []string{d.count(4), d.gap(0.2, 1.2)}
--- a/internal/emulator/testcluster/cluster.go
+++ b/internal/emulator/testcluster/cluster.go
@@ -24,9 +24,9 @@
 // cluster is the state of one run.
 type cluster struct {
 	Options
-	rng       *rand.Rand
-	begun     time.Time // when load began; zero: not yet
-	removeDir bool      // Dir is temporary
+	rng           *rand.Rand
+	loadStartedAt time.Time // when the load started; zero: it has not started
+	removeDir     bool      // Dir is temporary
 
 	directory   *fakes.Discovery
 	billing     *fakes.Billing
@@ -36,19 +36,19 @@
 	counterDone chan struct{}
 
 	revisions []plans.Revision
-	changedAt atomic.Pointer[time.Time] // when the change of plans is in force; nil: there is none
+	changedAt atomic.Pointer[time.Time] // when the change of plans takes effect; nil: there is none
 
 	exporters []*Process
 	mu        sync.Mutex // guards the elements of ingresses, which the load reads while events replace them
 	ingresses []*Process
 
 	load       *load
-	loadDone   chan struct{} // nil: the load has not begun
+	loadDone   chan struct{} // closed when the load has ended; nil: it has not started
 	cancelLoad context.CancelFunc
 }
 
-// Run runs a cluster from beginning to end and reports what was served and billed. It returns ErrInvalidOptions,
-// ExitError or NotReadyError for a process that does not start, or the error of the context.
+// Run runs a cluster from start to end and reports what was served and billed. Its errors are ErrInvalidOptions, an
+// ExitError or a NotReadyError if a process does not start, and the error of the context, among others.
 func Run(ctx context.Context, o Options) (report *Report, err error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -69,11 +69,11 @@
 	return c.finish(ctx)
 }
 
-// startLoad begins to send requests. close ends them and waits.
+// startLoad starts to send requests. close stops that and waits for its end.
 func (c *cluster) startLoad(ctx context.Context) {
 	ctx, c.cancelLoad = context.WithCancel(ctx)
 	c.loadDone = make(chan struct{})
-	c.begun = time.Now()
+	c.loadStartedAt = time.Now()
 	c.load = newLoad(c)
 	go func() {
 		defer close(c.loadDone)
@@ -83,15 +83,15 @@
 
 // end returns when the load ends.
 func (c *cluster) end() time.Time {
-	return c.begun.Add(time.Duration(c.Seconds * float64(time.Second)))
+	return c.loadStartedAt.Add(time.Duration(c.Seconds * float64(time.Second)))
 }
 
-// progress prints an event with the time since the load began.
+// progress prints an event with the time since the load started.
 func (c *cluster) progress(format string, args ...any) {
 	if c.Progress == nil {
 		return
 	}
-	fmt.Fprintf(c.Progress, "%5.1f s  %s\n", time.Since(c.begun).Seconds(), fmt.Sprintf(format, args...))
+	fmt.Fprintf(c.Progress, "%5.1f s  %s\n", time.Since(c.loadStartedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
 // start starts the fakes and the processes.
@@ -127,10 +127,11 @@
 	return errors.Join(c.directory.Start(), c.billing.Start())
 }
 
-// The quote servers: the last one is of another model, half as fast and half as large.
+// The quote servers. The last one is of another model, which needs twice the time per request and has half the
+// capacity.
 const (
 	quoteServers = 3
-	quoteWork    = 2 * time.Millisecond
+	quoteWork    = 2 * time.Millisecond // service time of a request
 )
 
 func (c *cluster) startQuotes() error {
@@ -172,7 +173,7 @@
 	return nil
 }
 
-// bookablePerMember is the rate that can be booked in all, in units a second for each member.
+// bookablePerMember is the total rate that can be booked, in units per second for each member.
 const bookablePerMember = 10
 
 func (c *cluster) saveFirstRevision() error {
@@ -190,7 +191,8 @@
 	return catalogue.Save(c.cataloguePath(), c.revisions)
 }
 
-// finish terminates the ingresses as a planned restart does, exports the rest of the use records, and compares.
+// finish terminates the ingresses as a planned restart does, exports the remaining usage records, and compares the bill
+// with what arrived.
 func (c *cluster) finish(ctx context.Context) (*Report, error) {
 	for _, p := range c.ingresses {
 		if err := p.Quit(); err != nil {
@@ -219,7 +221,7 @@
 	return exec.CommandContext(ctx, c.Program, append([]string{"usage"}, args...)...).CombinedOutput()
 }
 
-// close ends everything that has been started. The report has been made by then.
+// close ends everything that has been started. The report is complete before it is called.
 func (c *cluster) close() error {
 	for _, p := range c.ingresses {
 		p.Kill()
--- a/internal/emulator/testcluster/doc.go
+++ b/internal/emulator/testcluster/doc.go
@@ -1,6 +1,6 @@
-// Package testcluster runs several ingresses as processes on loopback among fakes, under the load of many members. In a
-// run it can change plans, book allowance, kill an ingress and kill exporters; at the end it compares what was billed
-// with what the fake quote servers counted. Its Process also serves the fault tests.
+// Package testcluster runs several ingresses as processes on loopback among fakes, under the load of many members.
+// During a run it can change plans, book additional units, kill an ingress and kill exporters. At the end it compares
+// the bill with what the fake quote servers counted. Its Process also serves the fault tests.
 //
 //   - options.go: Options, the plans and the members;
 //   - cluster.go: Run, from the start of all fakes and processes to their end;
@@ -12,8 +12,8 @@
 //   - process.go: Process, a process of the program and the lines of its log;
 //   - errors.go: the errors of the package.
 //
-// It imports emulator/fakes, the counter server, the catalogue and the records of use, and is imported by the program's
+// It imports emulator/fakes, the counter server, the catalogue and the usage records, and is imported by the program's
 // subcommands and by emulator/faulttest. A Run owns its processes, fakes, files and goroutines and has ended all of
-// them when it returns; a Process belongs to the caller of Launch. The tests beside it cover the parts without
-// processes; the subcommand try runs a complete cluster.
+// them when it returns; a Process belongs to the caller of Launch. The tests in this package cover the parts that run
+// without processes of the program; the subcommand try runs a complete cluster.
 package testcluster
--- a/internal/emulator/testcluster/errors.go
+++ b/internal/emulator/testcluster/errors.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// ErrInvalidOptions is returned by Run for options that describe no cluster or no load.
-var ErrInvalidOptions = errors.New("testcluster: one ingress, two members, some seconds and some load at least")
+// ErrInvalidOptions is returned by Run for options without enough ingresses or members, or without load.
+var ErrInvalidOptions = errors.New("testcluster: need at least one ingress, two members, and positive seconds and load")
 
-// ExitError says that a process ended before it was ready.
+// ExitError reports that a process ended before it was ready.
 type ExitError struct {
 	Program string // its path
 	Args    []string
@@ -22,7 +22,7 @@
 		filepath.Base(e.Program), strings.Join(e.Args, " "), e.Log)
 }
 
-// NotReadyError says that a process did not log that it is ready within readyTimeout.
+// NotReadyError reports that a process did not log that it is ready within readyTimeout.
 type NotReadyError struct {
 	Args []string
 	Code string // of the log line that was expected
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("testcluster: %s: no line with %s in %v", strings.Join(n.Args, " "), n.Code, readyTimeout)
 }
 
-// NotTerminatedError says that a process did not end within quitTimeout after SIGTERM.
+// NotTerminatedError reports that a process did not end within quitTimeout after SIGTERM.
 type NotTerminatedError struct {
 	PID int
 }
--- a/internal/emulator/testcluster/evaluation.go
+++ b/internal/emulator/testcluster/evaluation.go
@@ -17,7 +17,7 @@
 	report   *Report
 }
 
-// evaluate compares what clients and quote servers observed. checkBill compares the rest once it is billed.
+// evaluate compares what clients and quote servers observed. checkBill compares the bill, once all usage is exported.
 func (c *cluster) evaluate() *evaluation {
 	e := &evaluation{
 		cluster:  c,
@@ -100,12 +100,12 @@
 	return stats
 }
 
-// limitTimeSlack is by how many seconds of the rate the slack of a rate limit is widened, for the time between the
-// decision and the arrival (PROTOCOL).
+// limitTimeSlack extends the slack of a rate limit by what the rate allows in so many seconds, because a request
+// arrives some time after the decision on it (PROTOCOL).
 const limitTimeSlack = 0.15
 
-// peakLimitUse returns how close the members that were on the plan plus all the time came to its rate limit, by the
-// times at which their requests arrived: 1 is at the limit.
+// peakLimitUse returns the peak use of the rate limit of the plan plus, as a fraction of the limit, by the members that
+// were on that plan all the time. It is computed from the times at which their requests arrived.
 func (e *evaluation) peakLimitUse() (peak float64) {
 	idsByMember := map[int][]string{}
 	for id := range e.arrivals {
@@ -116,7 +116,7 @@
 	available := plus.LimitBurst + plus.LimitSlack + limitTimeSlack*plus.LimitRate
 	for _, ids := range idsByMember {
 		slices.SortFunc(ids, func(a, b string) int { return e.arrivals[a].First.Compare(e.arrivals[b].First) })
-		level, last := 0.0, e.cluster.begun // a leaky bucket
+		level, last := 0.0, e.cluster.loadStartedAt // a leaky bucket
 		for _, id := range ids {
 			at := e.arrivals[id].First
 			level = max(0, level-plus.LimitRate*at.Sub(last).Seconds()) + e.requests[id].units
@@ -186,12 +186,13 @@
 	}
 }
 
-// quotaAdjustment is how long after the change of plans use is measured: two cycles of the quota slices, of two seconds
-// each, the least for quotas above 4 units a second.
+// quotaAdjustment is the time from the change of plans until quota use is measured. It is two cycles of the quota
+// slices of two seconds each, which is the shortest cycle for quotas above 4 units per second.
 const quotaAdjustment = 4 * time.Second
 
-// quotaUse returns the use of heavy members on the plan basic from quotaAdjustment after the change of plans on, by the
-// times at which their requests arrived and as a fraction of their quotas; 0 if there is nothing to measure.
+// quotaUse returns what chosen heavy members on the plan basic used as a fraction of their quotas, by the times at
+// which their requests arrived. The measurement starts quotaAdjustment after the change of plans. It returns 0
+// if there is nothing to measure.
 func (e *evaluation) quotaUse(chosen func(member int) bool) float64 {
 	c := e.cluster
 	changedAt := c.changedAt.Load()
@@ -211,7 +212,7 @@
 	}
 	sum, allowed := 0.0, 0.0
 	for i := range c.Members {
-		if chosen(i) && heavy(i) && !books(i) {
+		if chosen(i) && heavy(i) && !hasBooking(i) {
 			sum += used[i]
 			allowed += basic.Rate * span
 		}
--- a/internal/emulator/testcluster/evaluation_test.go
+++ b/internal/emulator/testcluster/evaluation_test.go
@@ -7,11 +7,11 @@
 	"mulleinrouter/internal/emulator/fakes"
 )
 
-// evaluationOf evaluates one request for each time, all of one member, which arrived at these times after the begin.
+// evaluationOf returns an evaluation of requests of one member, one for each arrival time after the start of the load.
 func evaluationOf(member int, units float64, arrivals ...time.Duration) *evaluation {
 	begun := time.Unix(1000, 0)
 	e := &evaluation{
-		cluster:  &cluster{Options: Options{Members: 8, Seconds: 20}, begun: begun},
+		cluster:  &cluster{Options: Options{Members: 8, Seconds: 20}, loadStartedAt: begun},
 		requests: map[string]*request{},
 		arrivals: map[string]fakes.Arrival{},
 		report:   &Report{},
@@ -52,7 +52,7 @@
 	if got := e.quotaUse(everyone); got != 0 {
 		t.Errorf("without a change of plans: got %g, want 0", got)
 	}
-	changedAt := e.cluster.begun.Add(6 * time.Second) // measured from 10 s to 20 s, members 6 and 7
+	changedAt := e.cluster.loadStartedAt.Add(6 * time.Second) // measured from 10 s to 20 s, members 6 and 7
 	e.cluster.changedAt.Store(&changedAt)
 	if got, want := e.quotaUse(everyone), 60.0/(2*10*basic.Rate); got != want {
 		t.Errorf("after a change of plans: got %g, want %g", got, want)
@@ -63,8 +63,8 @@
 	e := evaluationOf(2, 1.5, 0, time.Second, 2*time.Second)
 	e.requests["a"].atMostOnce = true
 	e.addArrivals(map[string]fakes.Arrival{
-		"a": {First: e.cluster.begun.Add(time.Minute), Times: 1, Runs: 1}, // at a second server
-		"b": {First: e.cluster.begun.Add(time.Minute), Times: 1, Runs: 1},
+		"a": {First: e.cluster.loadStartedAt.Add(time.Minute), Times: 1, Runs: 1}, // at a second server
+		"b": {First: e.cluster.loadStartedAt.Add(time.Minute), Times: 1, Runs: 1},
 		"x": {Times: 1},
 	})
 	e.countArrivals()
--- a/internal/emulator/testcluster/events.go
+++ b/internal/emulator/testcluster/events.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// revisionLead is how long before it is in force a revision is announced, in seconds.
+	// revisionLead is the time between the announcement of a revision and the moment when it takes effect, in seconds.
 	revisionLead = 1.5
 
-	// restartDelay is how long a killed ingress is away.
+	// restartDelay is the time between the kill of an ingress and its next start.
 	restartDelay = time.Second
 
-	// maxCrashDelay bounds the random delay between the faults of billing and the kill of an exporter.
+	// maxCrashDelay bounds the random delay between the injection of faults into billing and the kill of an exporter.
 	maxCrashDelay = time.Second
 )
 
@@ -36,7 +36,7 @@
 )
 
 type event struct {
-	at  float64 // a fraction of the run
+	at  float64 // time, as a fraction of the run
 	run func() error
 }
 
@@ -60,7 +60,7 @@
 // runEvents runs the events at their times.
 func (c *cluster) runEvents(ctx context.Context) error {
 	for _, e := range c.events() {
-		at := c.begun.Add(time.Duration(e.at * c.Seconds * float64(time.Second)))
+		at := c.loadStartedAt.Add(time.Duration(e.at * c.Seconds * float64(time.Second)))
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// revise saves a further revision of the catalogue, which is in force revisionLead from now on.
+// revise saves another revision of the catalogue, which takes effect revisionLead from now.
 func (c *cluster) revise(change func(*plans.Revision)) error {
 	last := c.revisions[len(c.revisions)-1]
 	next := last
@@ -89,7 +89,7 @@
 	return catalogue.Save(c.cataloguePath(), c.revisions)
 }
 
-// changePlans moves some members of either plan to the other one.
+// changePlans moves some members of each plan to the other one.
 func (c *cluster) changePlans() error {
 	toPlus, toBasic := 0, 0
 	err := c.revise(func(next *plans.Revision) {
@@ -111,13 +111,14 @@
 	return err
 }
 
-// changedBy reports whether the change of plans is in force at a time.
+// changedBy reports whether the change of plans has taken effect at a time.
 func (c *cluster) changedBy(now time.Time) bool {
 	at := c.changedAt.Load()
 	return at != nil && now.After(*at)
 }
 
-// addBookings books as much again for some members of the plan basic, for a fifth of the run.
+// addBookings books an additional rate for some members of the plan basic, equal to that of their plan, for a fifth of
+// the run.
 func (c *cluster) addBookings() error {
 	booked := 0
 	duration := bookingDuration * c.Seconds
@@ -125,7 +126,7 @@
 		from := next.EffectiveAt + bookingDelay*c.Seconds
 		to := from + duration
 		for i := range c.Members {
-			if !books(i) {
+			if !hasBooking(i) {
 				continue
 			}
 			next.Bookings = append(next.Bookings, plans.Booking{
@@ -158,15 +159,16 @@
 	return nil
 }
 
-// ingressAddr returns the address of an ingress's present process.
+// ingressAddr returns the address of an ingress's current process.
 func (c *cluster) ingressAddr(i int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ingresses[i].Addr
 }
 
-// crashExporter kills an exporter and starts it again. With faults, billing accepts a batch before that and loses its
-// answer, so that the exporter is likely to be killed while it waits for another answer.
+// crashExporter kills an exporter and starts it again. With Options.Faults, billing accepts a batch before that
+// and its answer is lost, so that the exporter is likely to be killed while it waits for another
+// answer.
 func (c *cluster) crashExporter(i int) error {
 	if c.Faults {
 		c.billing.InjectFaults(fakes.LoseReply, fakes.FailCall)
--- a/internal/emulator/testcluster/ingress.go
+++ b/internal/emulator/testcluster/ingress.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	maxUnits    = 2 // of a request
-	rotateEvery = "1s"
+	maxUnits    = 2    // of one request
+	rotateEvery = "1s" // setting rotate of the usage records
 )
 
-// ingressConfig takes the number of the ingress, the address of the service discovery, the count of ingresses, the
-// number again, the address of the counter, maxUnits, the number again and rotateEvery.
+// ingressConfig is a format whose arguments are the number of the ingress, the address of the service discovery, the
+// count of ingresses, the number again, the address of the counter, maxUnits, the number again and rotateEvery.
 const ingressConfig = `
 name      = "ingress-%d"
 listen    = "127.0.0.1:0"
@@ -58,7 +58,7 @@
 }
 `
 
-// startProcesses starts the ingresses, each with an exporter of its use records.
+// startProcesses starts the ingresses, each with an exporter of its usage records.
 func (c *cluster) startProcesses() error {
 	for i := range c.Ingresses {
 		ingress, err := c.startIngress(i)
@@ -86,7 +86,7 @@
 	return Launch(log, "process-started", c.Program, "serve", "-c", path)
 }
 
-// startExporter starts the exporter of an ingress's use records.
+// startExporter starts the exporter of an ingress's usage records.
 func (c *cluster) startExporter(i int) (*Process, error) {
 	log := filepath.Join(c.Dir, fmt.Sprintf("export-%d.log", i))
 	return Launch(log, "usage-export-started",
--- a/internal/emulator/testcluster/load.go
+++ b/internal/emulator/testcluster/load.go
@@ -18,9 +18,9 @@
 	served   outcome = iota // 200
 	rejected                // 429 or 503
 	failed                  // 502 or 504
-	wrong                   // any other answer
+	wrong                   // any other status
 	lost                    // no answer: the connection ended, or the client's timeout passed
-	outcomes                // how many there are
+	outcomes                // number of outcomes
 )
 
 // request is a request that a client sent.
@@ -38,8 +38,8 @@
 type load struct {
 	cluster *cluster
 	client  *http.Client
-	factors []float64  // of each member: what it requests, as a multiple of its quota
-	rng     *rand.Rand // only of the goroutine that runs the load
+	factors []float64  // request rate of each member, as a multiple of its quota
+	rng     *rand.Rand // used only by the goroutine that runs the load
 	lastID  int
 
 	slots    chan struct{} // one element for each request in flight
@@ -50,7 +50,7 @@
 }
 
 const (
-	// maxInFlight bounds the requests in flight, so that the run goes on if the ingresses hang.
+	// maxInFlight bounds the requests in flight, so that the run continues if the ingresses hang.
 	maxInFlight = 4000
 
 	clientTimeout = 3 * time.Second
@@ -59,7 +59,7 @@
 	// meanUnits is the mean of the units of a request: 1 to maxUnits.
 	meanUnits = 1.5
 
-	// One request in so many must not run twice.
+	// atMostOnceEvery is the average number of requests of which one must not run twice.
 	atMostOnceEvery = 5
 )
 
@@ -78,7 +78,7 @@
 		requests: map[string]*request{},
 	}
 	for i := range c.Members {
-		factor := c.Load * (0.6 + 0.8*c.rng.Float64()) // near the quota: 0.6 to 1.4 times the average
+		factor := c.Load * (0.6 + 0.8*c.rng.Float64()) // 0.6 to 1.4 times the average load
 		if heavy(i) {
 			factor = c.Load * heavyFactor
 		}
@@ -87,7 +87,7 @@
 	return l
 }
 
-// run sends requests until the time is up or the context ends, and waits for the answers.
+// run sends requests until the duration of the load is over or the context ends, and waits for the answers.
 func (l *load) run(ctx context.Context) {
 	c := l.cluster
 	defer l.client.CloseIdleConnections()
@@ -95,7 +95,7 @@
 	end := c.end()
 	next := make([]time.Time, c.Members)
 	for i := range next {
-		next[i] = c.begun.Add(time.Duration(l.rng.Float64() * float64(time.Second)))
+		next[i] = c.loadStartedAt.Add(time.Duration(l.rng.Float64() * float64(time.Second)))
 	}
 	ticker := time.NewTicker(sendInterval)
 	defer ticker.Stop()
@@ -112,14 +112,14 @@
 }
 
 // sendNext sends a member's next request, unless too many are in flight, and returns the time until the one after it.
-// A request that is not sent does not count.
+// A request that is not sent is not recorded.
 func (l *load) sendNext(member int, now time.Time) time.Duration {
 	l.lastID++
 	id := fmt.Sprintf("r%07d", l.lastID)
 	q := &request{member: member}
 	q.units = float64(1 + l.rng.IntN(maxUnits))
 	q.atMostOnce = l.rng.IntN(atMostOnceEvery) == 0
-	rate := l.factors[member] * l.quota(member, now) / meanUnits // requests a second
+	rate := l.factors[member] * l.quota(member, now) / meanUnits // requests per second
 	interval := time.Duration(l.rng.ExpFloat64() / rate * float64(time.Second))
 	select {
 	case l.slots <- struct{}{}:
@@ -134,7 +134,7 @@
 	return interval
 }
 
-// quota returns the rate of a member's plan at a time, in units a second.
+// quota returns the rate of a member's plan at a time, in units per second.
 func (l *load) quota(member int, now time.Time) float64 {
 	if l.cluster.changedBy(now) && changesPlan(member) {
 		return otherPlan(member).Rate
@@ -172,7 +172,7 @@
 	url := "http://" + l.cluster.ingressAddr(ingress) + "/api/" + memberName(q.member)
 	message, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
-		panic(err) // the method and the URL are ours
+		panic(err) // cannot happen: the method and the URL are built above
 	}
 	message.Header.Set("X-Request-ID", id)
 	message.Header.Set("X-Priority-Class", class)
--- a/internal/emulator/testcluster/options.go
+++ b/internal/emulator/testcluster/options.go
@@ -12,14 +12,14 @@
 	Program   string    // path of the program that runs as ingress and as exporter
 	Dir       string    // for configuration, logs and records; empty: a temporary folder that is removed
 	Ingresses int       // at least 1
-	Members   int       // at least 2; half on either plan
-	Seconds   float64   // of load
+	Members   int       // at least 2; half of them on each plan
+	Seconds   float64   // duration of the load
 	Load      float64   // what members request on average, as a multiple of their quotas
-	Changes   bool      // change plans and book allowance in the middle of the run
+	Changes   bool      // change plans and add bookings in the middle of the run
 	Kill      bool      // kill an ingress and start it again
-	Crashes   int       // how often an exporter is killed and started again
-	Faults    bool      // quote servers and billing fail now and then
-	Seed      uint64    // of everything that is drawn at random
+	Crashes   int       // number of times that an exporter is killed and started again
+	Faults    bool      // quote servers and billing fail at random
+	Seed      uint64    // seed of all random values
 	Progress  io.Writer // gets a line for each event; nil: none
 }
 
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// The plans of a run. With three ingresses and requests of at most maxUnits, a quota slice of either has room for some
+// The plans of a run. With three ingresses and requests of at most maxUnits, a quota slice of each plan covers several
 // requests in each cycle.
 var (
 	basic = decision.Plan{Name: "basic", Rate: 10, Burst: 20, ValueWeight: 1, ExcessCost: 0.5}
@@ -48,14 +48,15 @@
 	// firstMember is the number in the name of member 0.
 	firstMember = 0x1000
 
-	// Every so many members, one changes its plan.
+	// changeEvery: one of so many consecutive members changes its plan.
 	changeEvery = 5
 
-	// Every so many members, beginning with firstBooked, one books allowance. They are on the plan basic and stay.
+	// bookingEvery: one of so many consecutive members has a booking, the first of them firstBooked. All of these are
+	// on the plan basic and do not change it.
 	bookingEvery = 20
 	firstBooked  = 2
 
-	// Of each heavyPeriod members, those from heavyFrom on request heavyFactor times the average.
+	// heavyPeriod: of so many consecutive members, those from heavyFrom on request heavyFactor times the average load.
 	heavyPeriod = 8
 	heavyFrom   = 6
 	heavyFactor = 2
@@ -64,7 +65,7 @@
 // memberName returns the name of a member by its number.
 func memberName(i int) string { return fmt.Sprintf("%016x", firstMember+i) }
 
-// memberNumber returns the number of a member by its name; negative: no member has it.
+// memberNumber returns the number of a member by its name; it is negative if no member has the name.
 func memberNumber(name string) int {
 	var n int
 	if _, err := fmt.Sscanf(name, "%x", &n); err != nil {
@@ -81,14 +82,14 @@
 	return &plus
 }
 
-// otherPlan returns the plan that a member changes to, if it does.
+// otherPlan returns the plan that a member changes to if it changes its plan.
 func otherPlan(i int) *decision.Plan { return firstPlan(i + 1) }
 
 // changesPlan reports whether a member changes its plan in a run with Options.Changes.
 func changesPlan(i int) bool { return i%changeEvery == 0 }
 
-// books reports whether a member books allowance in a run with Options.Changes.
-func books(i int) bool { return i%bookingEvery == firstBooked }
+// hasBooking reports whether a member has a booking in a run with Options.Changes.
+func hasBooking(i int) bool { return i%bookingEvery == firstBooked }
 
 // heavy reports whether a member requests far more than its quota.
 func heavy(i int) bool { return i%heavyPeriod >= heavyFrom }
--- a/internal/emulator/testcluster/process.go
+++ b/internal/emulator/testcluster/process.go
@@ -18,29 +18,29 @@
 )
 
 const (
-	// readyTimeout bounds the wait for the log line by which a process says that it is ready.
+	// readyTimeout bounds the wait for the log line that a process writes when it is ready.
 	readyTimeout = 20 * time.Second
 
 	// quitTimeout bounds the wait for a process to end after SIGTERM.
 	quitTimeout = 20 * time.Second
 )
 
-// Process is a process of the program. A goroutine of its own copies its log to a file until the process has ended;
-// Kill and Quit wait for that.
+// Process is a process of the program. A goroutine copies its log to a file until the process has ended; Kill and Quit
+// wait for that.
 type Process struct {
-	Addr, Mgmt string // the addresses that it listens at, if its first line has them
+	Addr, Mgmt string // the addresses that it listens on, if the awaited log line has them
 
 	cmd  *exec.Cmd
 	done chan struct{} // closed once the process has ended and its log is complete
 	kill sync.Once
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	stopped bool
-	waiters map[string]chan string // by the code of the log line that they wait for
+	waiters map[string]chan string // by the code of the awaited log line
 }
 
-// Launch starts a process and waits for a line of its log with a code. The log is appended to a file. It returns an
-// ExitError or a NotReadyError if there is no such line.
+// Launch starts a process and waits for a log line with a code. It appends the log to a file. It returns an ExitError
+// or a NotReadyError if there is no such line.
 func Launch(logPath, code, program string, args ...string) (*Process, error) {
 	cmd := exec.Command(program, append([]string{"--log-format", "logfmt"}, args...)...)
 	pipe, err := cmd.StderrPipe()
@@ -79,10 +79,10 @@
 		fmt.Fprintln(file, lines.Text())
 		p.notify(lines.Text())
 	}
-	p.cmd.Wait() // the tests look at the log, not at the exit status
+	p.cmd.Wait() // callers check the log, not the exit status
 }
 
-// logField returns the value of a field of a log line, without quotes; empty: the line does not have it.
+// logField returns the value of a field of a log line, without quotes; empty if the line lacks the field.
 func logField(line, name string) string {
 	_, rest, _ := strings.Cut(line, " "+name+"=")
 	if inner, ok := strings.CutPrefix(rest, `"`); ok {
@@ -93,7 +93,8 @@
 	return rest
 }
 
-// awaitLine returns a channel that gets the next log line with a code. There is one waiter for a code: the last one.
+// awaitLine returns a channel that gets the next log line with a code. A code has at
+// most one waiter: a new one replaces the previous one.
 func (p *Process) awaitLine(code string) <-chan string {
 	c := make(chan string, 1)
 	p.mu.Lock()
@@ -102,7 +103,7 @@
 	return c
 }
 
-// notify hands a log line to the waiter for its code.
+// notify sends a log line to the waiter for its code, if there is one.
 func (p *Process) notify(line string) {
 	_, rest, _ := strings.Cut(line, " code=")
 	code, _, _ := strings.Cut(rest, " ")
@@ -123,7 +124,7 @@
 	<-p.done
 }
 
-// Signal sends a signal. It is no error if the process has ended.
+// Signal sends a signal. It returns no error if the process has already ended.
 func (p *Process) Signal(s os.Signal) error {
 	if err := p.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return fmt.Errorf("testcluster: %w", err)
@@ -151,8 +152,8 @@
 	return p.stopped
 }
 
-// Fill simulates a full disk for the process, or ends that: no file of the process grows. It sets the limit of a file's
-// size from outside.
+// Fill simulates a full disk for the process, or ends the simulation. It limits the file size of the process to 0 from
+// outside, so that no file of the process can grow.
 func (p *Process) Fill(full bool) error {
 	limit := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
 	if full {
@@ -164,7 +165,7 @@
 	return nil
 }
 
-// CPU returns the processor time that the process has used, of user and system.
+// CPU returns the processor time that the process has used, in user and system mode.
 func (p *Process) CPU() (time.Duration, error) {
 	cpu, err := procstat.CPU(p.cmd.Process.Pid)
 	if err != nil {
@@ -174,7 +175,7 @@
 }
 
 // Quit sends SIGTERM, as a planned restart does, and waits until the process has ended. It returns a
-// NotTerminatedError if it has not within quitTimeout.
+// NotTerminatedError if that takes longer than quitTimeout.
 func (p *Process) Quit() error {
 	p.Signal(syscall.SIGTERM)
 	select {
--- a/internal/emulator/testcluster/report.go
+++ b/internal/emulator/testcluster/report.go
@@ -16,35 +16,35 @@
 	Name           string
 	Members        int
 	Requests       int
-	WithRetryAfter int     // of the rejected requests
-	ArrivedUnits   float64 // at quote servers, each request once
+	WithRetryAfter int     // rejected requests whose answer has Retry-After
+	ArrivedUnits   float64 // at quote servers; each request counts once
 	BilledUnits    float64
-	UnknownUnits   float64       // recorded as not known whether they arrived
+	UnknownUnits   float64       // recorded without knowing whether they arrived
 	OverQuotaUnits float64       // of BilledUnits
 	P50, P99       time.Duration // latency of served requests
 
-	outcomes [outcomes]int // how many requests ended so
+	outcomes [outcomes]int // number of requests by outcome
 }
 
 // Report is the result of a run.
 type Report struct {
 	Groups             []GroupStats
-	ArrivedUnits       float64 // that arrived complete, as the quote servers counted, each request once
+	ArrivedUnits       float64 // complete requests as the quote servers counted them; each request counts once
 	ArrivedRequests    int
 	Billed             usage.Sum
-	Unknown            usage.Sum // recorded as not known whether they arrived
+	Unknown            usage.Sum // recorded without knowing whether they arrived
 	Unmetered          usage.Sum
 	RepeatedBatches    int     // batches that billing received again
-	ConflictingBatches int     // of these, with other content
+	ConflictingBatches int     // of these, the batches with different content
 	BillMatches        bool    // for each member: billed <= arrived <= billed + unknown
-	ExecutedTwice      int     // requests that must not run twice and may have
-	PeakLimitUse       float64 // of the rate limit; 1 is at it
-	MovedUse           float64 // of the quota, by heavy members who changed to basic; 0: not measured
-	SteadyUse          float64 // of the quota, by heavy members who were on basic all the time; 0: not measured
+	ExecutedTwice      int     // requests that must not run twice and may have done so
+	PeakLimitUse       float64 // as a fraction of the rate limit
+	MovedUse           float64 // fraction of the quota used by heavy members that changed to basic; 0: not measured
+	SteadyUse          float64 // fraction of the quota used by heavy members that were always on basic; 0: not measured
 	Problems           []string
 }
 
-// Passed reports whether the bill is right and nothing ran twice, exceeded a limit or got a wrong answer.
+// Passed reports whether the bill is correct and no request ran twice, exceeded a rate limit or got a wrong answer.
 func (r *Report) Passed() bool {
 	for _, g := range r.Groups {
 		if g.outcomes[wrong] > 0 {
@@ -69,7 +69,7 @@
 	}
 }
 
-// latencyPrecision is what latencies are rounded to in a report.
+// latencyPrecision is the unit to which a report rounds latencies.
 const latencyPrecision = 100 * time.Microsecond
 
 func (r *Report) writeGroups(w io.Writer) {
--- a/internal/emulator/testcluster/report_test.go
+++ b/internal/emulator/testcluster/report_test.go
@@ -9,7 +9,7 @@
 	"mulleinrouter/internal/dataplane/usage"
 )
 
-// correctReport is the report of a run in which everything is as it must be.
+// correctReport returns the report of a run without any violation.
 func correctReport() *Report {
 	return &Report{
 		Groups: []GroupStats{
