--- a/internal/emulator/faulttest/evaluate.go
+++ b/internal/emulator/faulttest/evaluate.go
@@ -8,7 +8,7 @@
 
 const nothingObserved = "nothing was seen in that time"
 
-// evaluation is the evaluation of one expectation, after the scenario has ended.
+// evaluation evaluates one expectation after the scenario has ended.
 type evaluation struct {
 	player      *player
 	expectation Expectation
--- a/internal/emulator/faulttest/leases.go
+++ b/internal/emulator/faulttest/leases.go
@@ -15,9 +15,9 @@
 // tenure is an observation of who held the lease of the export role, as the leader reported it.
 type tenure struct {
 	at      time.Time
-	ingress string // empty: nobody
-	token   uint64
-	running bool // its process ran then, and was not suspended
+	ingress string // name of the holder; empty: no member held the lease
+	token   uint64 // fencing token of the lease
+	running bool   // its process ran then, and was not suspended
 }
 
 // observeTenure asks the members in order, until one answers, who holds the lease of the export role.
@@ -56,7 +56,7 @@
 	p.tenures = append(p.tenures, t)
 }
 
-// leaseHolder returns the member that held the lease of the export role when it was last observed; nil: nobody did.
+// leaseHolder returns the member that held the lease of the export role when it was last observed; nil if none did.
 func (p *player) leaseHolder() *node {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/emulator/faulttest/node.go
+++ b/internal/emulator/faulttest/node.go
@@ -37,7 +37,7 @@
 type node struct {
 	name, ip      string
 	clientAddr    string // where its process listens for clients
-	gossipAddr    string // where it listens for other members
+	gossipAddr    string // where its process listens for other members
 	relay         *faultnet.Relay
 	counterRelay  *faultnet.Relay
 	discoveryAddr string // of the relay in front of the fake
--- a/internal/emulator/faulttest/parse_step.go
+++ b/internal/emulator/faulttest/parse_step.go
@@ -190,7 +190,7 @@
 		return nil
 	}
 	if !slices.Contains([]string{counterRemoved, counterRestored, counterEmpty, counterSplit}, change) {
-		return sp.errorAt("counter", "one of gone, back, empty and split")
+		return sp.errorAt("counter", "must be one of gone, back, empty and split")
 	}
 	sp.setAction(ActionCounter, change)
 	return nil
@@ -202,7 +202,7 @@
 		return nil
 	}
 	if number < 1 || number > max(1, sp.scenario.QuoteServers) {
-		return sp.errorAt("server", "the number of one of the quote servers")
+		return sp.errorAt("server", "must be the number of a quote server")
 	}
 	sp.setAction(ActionServer, strconv.Itoa(number))
 	return nil
@@ -222,7 +222,7 @@
 	change, name, _ := strings.Cut(sp.block.Voters, " ")
 	isChange := change == votersAdd || change == votersRemove
 	if sp.scenario.Voters == 0 || !slices.Contains(sp.scenario.Names(), name) || !isChange {
-		return sp.errorAt("voters", "it is add or remove and the name of a member, where there are voters")
+		return sp.errorAt("voters", "must be add or remove and the name of a member; the fleet must have voters")
 	}
 	sp.setAction(ActionVoters, sp.block.Voters)
 	return nil
@@ -263,7 +263,7 @@
 func (sp *stepParser) parseUpgrade() error {
 	killed := sp.block.KilledDuring
 	if killed != "" && (sp.step.Action != ActionUpgrade || killed != killedOld && killed != killedNew) {
-		return sp.errorAt("dies", "of an upgrade, either the old process dies or the young one")
+		return sp.errorAt("dies", "must be old or young, and is only allowed with upgrade")
 	}
 	if sp.step.Action == ActionUpgrade {
 		sp.step.Argument = killed
@@ -277,7 +277,7 @@
 		return nil
 	}
 	if sp.step.Action != ActionStart || !slices.Contains([]string{folderKept, folderEmpty, folderSaved}, folder) {
-		return sp.errorAt("folder", "of a start, the folder is one of kept, empty and saved")
+		return sp.errorAt("folder", "must be one of kept, empty and saved, and is only allowed with start")
 	}
 	sp.step.Argument = folder
 	return nil
--- a/internal/emulator/faulttest/player.go
+++ b/internal/emulator/faulttest/player.go
@@ -17,7 +17,7 @@
 // Options are the settings of a run.
 type Options struct {
 	Program  string    // path of the built program
-	Dir      string    // for files and logs; empty: a temporary one that is removed
+	Dir      string    // folder for files and logs; empty: a temporary one that is removed
 	Progress io.Writer // lines of text; nil: none
 	Events   io.Writer // lines of JSON about actions and their results; nil: none
 	Slack    float64   // factor on the time limits of expectations, for slow machines; 0: 1
--- a/internal/emulator/faulttest/report.go
+++ b/internal/emulator/faulttest/report.go
@@ -62,8 +62,8 @@
 	value string
 }
 
-// WriteTable prints the findings of one scenario that was run once or several times, a row for each expectation. Rows
-// at the end summarize the times of all expectations of the same property.
+// WriteTable prints the findings of one scenario that was run once or several times, in one row for each expectation.
+// Rows at the end summarize the times of all expectations of the same property.
 func WriteTable(out io.Writer, reports []*Report) {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer table.Flush()
@@ -87,7 +87,7 @@
 	}
 }
 
-// tableRow is what the runs of a scenario found of one expectation.
+// tableRow summarizes the findings of all runs of a scenario for one expectation.
 type tableRow struct {
 	expectation Expectation
 	runs        int
@@ -127,7 +127,7 @@
 	)
 }
 
-// verdict returns in how many of the runs the expectation was satisfied; of one run, whether it was.
+// verdict returns how many of the runs satisfied the expectation. For a single run it returns yes or NO.
 func (t tableRow) verdict() string {
 	switch {
 	case t.runs > 1:
--- a/internal/emulator/faulttest/scenario.go
+++ b/internal/emulator/faulttest/scenario.go
@@ -25,7 +25,7 @@
 	// whose quota is never used up.
 	Customers    int
 	Quota        float64 // rate of each customer in units per second; its burst is the same number of units
-	Catalogue    bool    // each member has a file of plans, and the lease holder of that role announces its revisions
+	Catalogue    bool    // each member has a plans file, and the lease holder of that role announces its revisions
 	Idle         bool    // no clients, and members are polled rarely, to measure the cost of the membership itself
 	Duration     time.Duration
 	Steps        []Step // by time
--- a/internal/emulator/faulttest/scenario_file.go
+++ b/internal/emulator/faulttest/scenario_file.go
@@ -119,7 +119,7 @@
 // checkSizes checks the numbers of ingresses, voters, quote servers and customers.
 func (s *Scenario) checkSizes(file *hclfile.File) error {
 	if !slices.Contains(voterCounts, s.Voters) || s.Voters > s.Ingresses {
-		return file.ErrorAt("voters", "0, 1, 3 or 5 of the ingresses")
+		return file.ErrorAt("voters", "must be 0, 1, 3 or 5, and at most the number of ingresses")
 	}
 	if s.Ingresses < 1 || s.Ingresses > maxIngresses {
 		return file.ErrorAt("ingresses", fmt.Sprintf("must be from 1 to %d", maxIngresses))
@@ -128,7 +128,7 @@
 		return file.ErrorAt("catalogue", "what is announced needs voters")
 	}
 	if s.QuoteServers < 0 || s.QuoteServers > len(fakeQuoteServers) {
-		return file.ErrorAt("servers", fmt.Sprintf("up to %d", len(fakeQuoteServers)))
+		return file.ErrorAt("servers", fmt.Sprintf("must be from 0 to %d", len(fakeQuoteServers)))
 	}
 	quotaInRange := s.Quota >= minQuota && s.Quota <= maxQuota
 	if s.Customers < 0 || s.Customers > maxCustomers || s.Customers > 0 && !quotaInRange {
@@ -202,7 +202,7 @@
 	}
 	hasBounds := e.Max > 0 && e.Min >= 0
 	if e.Kind == ExpectUsage && (s.Customers == 0 || !hasBounds) {
-		return e, file.ErrorAt(path, "use of customers' quotas needs customers, and most, a part of the quota")
+		return e, file.ErrorAt(path, "needs customers, and most as a fraction of their quota")
 	}
 	if e.Members, err = s.parseMembers(file, path+".of", block.Members); err != nil {
 		return e, err
--- a/internal/emulator/invariants/selection.go
+++ b/internal/emulator/invariants/selection.go
@@ -13,7 +13,8 @@
 	status  int    // of the rejection: 401, 403 or 404
 }
 
-// selection is a choice of one version for each item that concerns a request; nil: the item is absent.
+// selection is a choice of one version for each item that a request depends on. A nil version means that the item is
+// absent.
 type selection []*Version
 
 // allows reports whether a request is handled with this outcome under a selection.
--- a/internal/emulator/testcluster/evaluation.go
+++ b/internal/emulator/testcluster/evaluation.go
@@ -100,8 +100,8 @@
 	return stats
 }
 
-// limitTimeSlack extends the slack of a rate limit by what the rate allows in so many seconds, because a request
-// arrives some time after the decision on it (PROTOCOL).
+// limitTimeSlack extends the slack of a rate limit by what the rate allows in this time in seconds, because a
+// request arrives some time after the decision on it (PROTOCOL).
 const limitTimeSlack = 0.15
 
 // peakLimitUse returns the peak use of the rate limit of the plan plus, as a fraction of the limit, by the members that
--- a/internal/emulator/testcluster/load.go
+++ b/internal/emulator/testcluster/load.go
@@ -59,7 +59,7 @@
 	// meanUnits is the mean of the units of a request: 1 to maxUnits.
 	meanUnits = 1.5
 
-	// atMostOnceEvery is the average number of requests of which one must not run twice.
+	// On average, one in atMostOnceEvery requests must not run twice.
 	atMostOnceEvery = 5
 )
 
--- a/internal/emulator/testcluster/options.go
+++ b/internal/emulator/testcluster/options.go
@@ -48,15 +48,16 @@
 	// firstMember is the number in the name of member 0.
 	firstMember = 0x1000
 
-	// changeEvery: one of so many consecutive members changes its plan.
+	// changeEvery is the distance between the numbers of two members that change their plans.
 	changeEvery = 5
 
-	// bookingEvery: one of so many consecutive members has a booking, the first of them firstBooked. All of these are
-	// on the plan basic and do not change it.
+	// bookingEvery is the distance between the numbers of two members with a booking, of which firstBooked is the
+	// first. All of them are on the plan basic and do not change it.
 	bookingEvery = 20
 	firstBooked  = 2
 
-	// heavyPeriod: of so many consecutive members, those from heavyFrom on request heavyFactor times the average load.
+	// In each group of heavyPeriod consecutive members, those from index heavyFrom on request heavyFactor times the
+	// average load.
 	heavyPeriod = 8
 	heavyFrom   = 6
 	heavyFactor = 2
