--- a/internal/emulator/faulttest/errors.go
+++ b/internal/emulator/faulttest/errors.go
@@ -9,7 +9,7 @@
 	// ErrNotComplete means that not every ingress received the membership of all others in time after the start.
 	ErrNotComplete = errors.New("faulttest: the ingresses do not reach the complete membership")
 
-	// errEmptyReply means that a management call answered without a line.
+	// errEmptyReply means that the reply to a management call has no line.
 	errEmptyReply = errors.New("empty reply")
 )
 
@@ -17,7 +17,7 @@
 type UnknownScenarioError struct{ Name string }
 
 func (u *UnknownScenarioError) Error() string {
-	return fmt.Sprintf("faulttest: no timeline %q ships, and no file has this name", u.Name)
+	return fmt.Sprintf("faulttest: no scenario %q ships with the program, and no file has this name", u.Name)
 }
 
 // SetupError means that the machine did not let the fault test do something: open a file or a port, write a folder.
