--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,22 +1,22 @@
-// Package emulator has no code; the packages below it run a deployment for tests and measurements.
+// Package emulator contains no code. Its subpackages run deployments of the gateway for tests and measurements.
 //
-// For the ingress in service:
+// For the standalone ingress:
 //
-//   - exchange: recorded exchanges of bytes, played over sockets;
-//   - fakes: fakes of the quote servers, the service discovery and billing;
+//   - exchange: replays recorded byte exchanges over sockets;
+//   - fakes: fake quote servers, service discovery and billing;
 //   - faultnet: a network with fault injection;
-//   - procstat: what a process has used, by /proc;
-//   - testcluster: several ingresses as processes among fakes, under load;
-//   - faulttest: fault tests of a fleet of ingresses by scripted scenarios;
-//   - modelcheck: exhaustive search over the request and connection state machines.
+//   - procstat: CPU and memory usage of a process, read from /proc;
+//   - testcluster: runs several ingress processes with fakes, under load;
+//   - faulttest: runs fault tests of a fleet of ingresses from scripted scenarios;
+//   - modelcheck: searches the request and connection state machines exhaustively.
 //
-// For the system:
+// For the gateway with its own control plane:
 //
-//   - loopback: a cluster of real processes on loopback under faults;
-//   - invariants: the checks of a recorded run against the operators' rules;
-//   - scenario: days of faults for the bench, drawn at random;
-//   - costmodel, capacity: what each role costs by size, and what a planned size needs.
+//   - loopback: runs a cluster of real processes on loopback and injects faults;
+//   - invariants: checks a recorded run against the operators' rules;
+//   - scenario: draws days of random faults for the bench;
+//   - costmodel, capacity: resource costs of each role by deployment size, and the resources that a planned size needs.
 //
-// These packages may import all layers. No program in service imports them, except cmd/mulleinrouter for its
-// subcommands. State and tests are those of each package.
+// These packages may import packages of every layer. Production programs do not import them, except cmd/mulleinrouter
+// for its subcommands. Each package documents its own state and tests.
 package emulator
--- a/internal/emulator/histories/check.go
+++ b/internal/emulator/histories/check.go
@@ -11,21 +11,21 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Call is a call of an application and its answer. Times are since the start of the workload.
+// Call is a call of an application and its answer. Times are measured from the start of the workload.
 type Call struct {
 	App      int
 	Kind     Kind
 	Sent     time.Duration
 	Received time.Duration
-	Status   int           // of HTTP; 0: no clear answer
-	Hold     time.Duration // of a lock
-	Fence    uint64        // of the hold that is renewed or released, or that was given
-	Value    string        // of a cell
-	Expected *uint64       // revision that the cell must have for a put; nil: whatever it has
+	Status   int           // HTTP status; 0: no answer in time, so that the call may or may not have taken effect
+	Hold     time.Duration // requested time to hold a lock
+	Fence    uint64        // fencing token of the lock that was acquired, renewed or released
+	Value    string        // value of a cell
+	Expected *uint64       // revision that the cell must have for a put to take effect; nil: any revision
 	Number   uint64        // number or revision in the answer
 }
 
-// Kind is what a call asks for.
+// Kind is the kind of a call.
 type Kind string
 
 // The kinds of calls.
@@ -38,25 +38,26 @@
 	Get     Kind = "get"
 )
 
-// never is when a call without a clear answer returns: it may take effect at any time.
+// never is the return time of a call without a definite answer, because such a call may take effect at any later time.
 const never = time.Duration(math.MaxInt64)
 
-// belief is a span in which a caller counts itself holder of a lock.
-type belief struct {
+// holdInterval is a time interval in which an application considers itself the holder of a lock.
+type holdInterval struct {
 	app      int
 	fence    uint64
 	from, to time.Duration
-	sent     time.Duration // of the call that got it
+	sent     time.Duration // time at which the call that acquired the lock was sent
 }
 
-// holdBeliefs derives from the calls of one lock who counted itself holder when: from the answer, until the time has
-// passed since the sending of the last good call, or until the release was sent.
-func holdBeliefs(calls []Call) (beliefs []belief) {
-	open := map[int]*belief{}
+// holdIntervals derives from the calls for one lock when each application considered itself the holder. An interval
+// begins with the answer that grants the lock. It ends when the hold time has passed since the last successful call was
+// sent, when the release was sent, or when a conflict was received.
+func holdIntervals(calls []Call) (intervals []holdInterval) {
+	open := map[int]*holdInterval{}
 	end := func(app int, at time.Duration) {
 		if b := open[app]; b != nil {
 			b.to = min(b.to, at)
-			beliefs = append(beliefs, *b)
+			intervals = append(intervals, *b)
 			delete(open, app)
 		}
 	}
@@ -73,36 +74,37 @@
 			b.to = max(b.to, c.Sent+c.Hold)
 		case c.Kind == Acquire && c.Received < c.Sent+c.Hold:
 			end(c.App, never)
-			open[c.App] = &belief{c.App, c.Fence, c.Received, c.Sent + c.Hold, c.Sent}
+			open[c.App] = &holdInterval{c.App, c.Fence, c.Received, c.Sent + c.Hold, c.Sent}
 		}
 	}
 	for app := range open {
 		end(app, never)
 	}
-	return beliefs
+	return intervals
 }
 
-// checkLock checks that no two callers count themselves holder at one moment, and that fences rise.
+// checkLock checks that no two applications consider themselves the holder at the same time, and that fencing tokens
+// increase.
 func checkLock(name string, calls []Call) string {
 	slices.SortStableFunc(calls, func(a, b Call) int { return cmp.Compare(a.Sent, b.Sent) })
-	beliefs := holdBeliefs(calls)
-	for i, a := range beliefs {
-		for _, b := range beliefs[i+1:] {
+	intervals := holdIntervals(calls)
+	for i, a := range intervals {
+		for _, b := range intervals[i+1:] {
 			if a.app != b.app && a.from < b.to && b.from < a.to {
-				return fmt.Sprintf("%s: two holders at once: %+v and %+v", name, a, b)
+				return fmt.Sprintf("%s: two holders at the same time: %+v and %+v", name, a, b)
 			}
 			if a.app != b.app && a.fence == b.fence {
-				return fmt.Sprintf("%s: one fence for two holders: %+v and %+v", name, a, b)
+				return fmt.Sprintf("%s: one fencing token for two holders: %+v and %+v", name, a, b)
 			}
 			if a.from < b.sent && b.fence < a.fence || b.from < a.sent && a.fence < b.fence {
-				return fmt.Sprintf("%s: a fence falls: %+v and %+v", name, a, b)
+				return fmt.Sprintf("%s: the fencing token decreases: %+v and %+v", name, a, b)
 			}
 		}
 	}
 	return ""
 }
 
-// numberModel is a count that only rises, with gaps.
+// numberModel is a counter that strictly increases and may skip values.
 var numberModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, _, output any) (bool, any) {
@@ -111,37 +113,37 @@
 	},
 }
 
-// cellState is a cell as the model has it.
+// cellState is the state of a cell in cellModel.
 type cellState struct {
 	value    string
-	revision uint64 // 0: there is none; unknownRevision: that of a put without a clear answer
+	revision uint64 // 0: the cell does not exist; unknownRevision: set by a put without a definite answer
 }
 
-// cellModel is a register whose puts have rising revisions. A put without a clear answer may have taken effect under a
-// revision that nobody was told.
+// cellModel is a register whose puts have increasing revisions. A put without a definite answer may have taken effect
+// under a revision that no application has seen.
 var cellModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{cellState{}} },
 	Step: func(state, input, _ any) []any {
 		s, c := state.(cellState), input.(Call)
 		switch {
 		case c.Kind == Get && c.Status == http.StatusNotFound:
-			return when(s.revision == 0, s)
+			return stateIf(s.revision == 0, s)
 		case c.Kind == Get:
-			return when(s.mayHave(c.Number) && s.value == c.Value, cellState{s.value, c.Number})
+			return stateIf(s.mayHave(c.Number) && s.value == c.Value, cellState{s.value, c.Number})
 		case c.Status == http.StatusPreconditionFailed:
-			return when(s.mayHave(c.Number) && *c.Expected != c.Number, s)
+			return stateIf(s.mayHave(c.Number) && *c.Expected != c.Number, s)
 		case c.Status == http.StatusOK:
 			rises := s.revision == unknownRevision || c.Number > s.revision
-			return when(rises && s.allows(c.Expected), cellState{c.Value, c.Number})
+			return stateIf(rises && s.allows(c.Expected), cellState{c.Value, c.Number})
 		case s.allows(c.Expected):
-			return []any{s, cellState{c.Value, unknownRevision}} // without a clear answer
+			return []any{s, cellState{c.Value, unknownRevision}} // no definite answer: it may have taken effect or not
 		}
 		return []any{s}
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// mayHave reports whether the cell may have a revision.
+// mayHave reports whether the current revision of the cell may be the given one.
 func (cs cellState) mayHave(revision uint64) bool {
 	return cs.revision == revision || cs.revision == unknownRevision
 }
@@ -149,19 +151,22 @@
 // allows reports whether a put that expects a revision may take effect.
 func (cs cellState) allows(expected *uint64) bool { return expected == nil || cs.mayHave(*expected) }
 
+// unknownRevision is the revision of a cell after a put without a definite answer.
 const unknownRevision = math.MaxUint64
 
-func when(ok bool, s cellState) []any {
+// stateIf returns a state as the only possible next one if ok is set, and no state otherwise.
+func stateIf(ok bool, s cellState) []any {
 	if !ok {
 		return nil
 	}
 	return []any{s}
 }
 
-// checkCell checks with the model of one cell, in which each value is put once.
+// checkCell checks the calls for one cell against cellModel. Each value must be put only once, because values identify
+// puts.
 func checkCell(name string, calls []Call) string {
 	var operations []porcupine.Operation
-	for _, c := range firstAnswers(calls) {
+	for _, c := range mergePutAttempts(calls) {
 		if c.Status == 0 && c.Kind == Get || c.Status == http.StatusServiceUnavailable {
 			continue
 		}
@@ -180,9 +185,9 @@
 	return ""
 }
 
-// firstAnswers joins the sendings of one put into one operation: from the first sending to its answer. All answers must
-// name one revision.
-func firstAnswers(calls []Call) (joined []Call) {
+// mergePutAttempts merges the attempts of each put into one operation, from the first time the put was sent to its
+// definite answer. All answers to a put must contain the same revision.
+func mergePutAttempts(calls []Call) (joined []Call) {
 	slices.SortStableFunc(calls, func(a, b Call) int { return cmp.Compare(a.Sent, b.Sent) })
 	puts := map[string]int{}
 	for _, c := range calls {
@@ -203,7 +208,7 @@
 	return joined
 }
 
-// checkNumbers checks the numbers given under one name.
+// checkNumbers checks that the numbers that were assigned under one name strictly increase.
 func checkNumbers(name string, calls []Call) string {
 	var operations []porcupine.Operation
 	for _, c := range calls {
@@ -214,38 +219,40 @@
 		}
 	}
 	if !porcupine.CheckOperations(numberModel, operations) {
-		return name + ": numbers don't rise"
+		return name + ": the numbers do not strictly increase"
 	}
 	return ""
 }
 
-// Watch is a watch's answer: all puts of a group behind one revision and up to another.
+// Watch is the answer to a watch call: all puts in a group after one revision, up to and including another.
 type Watch struct {
 	After, Until uint64
 	Events       []Event
 }
 
-// Event is a put in a watch's answer.
+// Event is a put in the answer to a watch call.
 type Event struct {
 	Name     string `json:"name"`
 	Payload  string `json:"payload"`
 	Revision uint64 `json:"revision"`
 }
 
-// checkWatches checks that events rise, lie inside their span and skip no put that was acknowledged.
+// checkWatches checks that the events of each watch have increasing revisions within the range of the watch, and that
+// no acknowledged put is missing.
 func checkWatches(group string, puts map[uint64]string, watches []Watch) string {
 	for _, w := range watches {
 		last, seen := w.After, map[uint64]string{}
 		for _, e := range w.Events {
 			if e.Revision <= last || e.Revision > w.Until {
-				return fmt.Sprintf("%s: event %d in a watch behind %d up to %d", group, e.Revision, last, w.Until)
+				return fmt.Sprintf("%s: event %d in a watch, want one after %d and up to %d",
+					group, e.Revision, last, w.Until)
 			}
 			last = e.Revision
 			seen[e.Revision] = e.Payload
 		}
 		for revision, value := range puts {
 			if revision > w.After && revision <= w.Until && seen[revision] != value {
-				return fmt.Sprintf("%s: a watch from %d to %d has %q at %d, %q was put",
+				return fmt.Sprintf("%s: a watch after %d up to %d has %q at revision %d, want %q",
 					group, w.After, w.Until, seen[revision], revision, value)
 			}
 		}
--- a/internal/emulator/histories/check_test.go
+++ b/internal/emulator/histories/check_test.go
@@ -30,7 +30,7 @@
 	return c
 }
 
-// Each check finds what it is for, and nothing in a history that is as it should be.
+// TestChecks checks that each check reports the violation that it is meant to detect, and accepts correct histories.
 func TestChecks(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -44,7 +44,7 @@
 		{"two holders", checkLock, []Call{
 			withFence(ok(Acquire, 1, 0, 1), 1, 10), withFence(ok(Acquire, 2, 8, 9), 2, 10),
 		}, true},
-		{"two holders by a renewal", checkLock, []Call{
+		{"two holders because of a renewal", checkLock, []Call{
 			withFence(ok(Acquire, 1, 0, 1), 1, 10), withFence(ok(Renew, 1, 8, 9), 1, 10),
 			withFence(ok(Acquire, 2, 12, 13), 2, 10),
 		}, true},
@@ -56,16 +56,16 @@
 			withFence(ok(Acquire, 1, 0, 1), 1, 100), withFence(withStatus(ok(Release, 1, 5, 6), 0), 1, 100),
 			withFence(ok(Acquire, 2, 7, 8), 2, 10),
 		}, false},
-		{"a falling fence", checkLock, []Call{
+		{"a decreasing fencing token", checkLock, []Call{
 			withFence(ok(Acquire, 1, 0, 1), 5, 10), withFence(ok(Acquire, 2, 11, 12), 4, 10),
 		}, true},
-		{"one fence twice", checkLock, []Call{
+		{"one fencing token twice", checkLock, []Call{
 			withFence(ok(Acquire, 1, 0, 1), 5, 10), withFence(ok(Acquire, 2, 11, 12), 5, 10),
 		}, true},
-		{"numbers at once", checkNumbers, []Call{
+		{"concurrent numbers", checkNumbers, []Call{
 			numbered(ok(Number, 1, 0, 9), 5, ""), numbered(ok(Number, 2, 1, 8), 4, ""),
 		}, false},
-		{"a falling number", checkNumbers, []Call{
+		{"a decreasing number", checkNumbers, []Call{
 			numbered(ok(Number, 1, 0, 1), 5, ""), numbered(ok(Number, 2, 2, 3), 4, ""),
 		}, true},
 		{"a number twice", checkNumbers, []Call{
@@ -75,7 +75,7 @@
 			numbered(ok(Put, 1, 0, 1), 1, "a"), numbered(ok(Get, 2, 2, 3), 1, "a"),
 			expecting(numbered(ok(Put, 1, 4, 5), 2, "b"), 1),
 		}, false},
-		{"an old read", checkCell, []Call{
+		{"a stale read", checkCell, []Call{
 			numbered(ok(Put, 1, 0, 1), 1, "a"), numbered(ok(Put, 1, 2, 3), 2, "b"),
 			numbered(ok(Get, 2, 4, 5), 1, "a"),
 		}, true},
@@ -83,12 +83,12 @@
 			numbered(ok(Put, 1, 0, 1), 1, "a"), numbered(ok(Put, 1, 2, 3), 2, "b"),
 			expecting(numbered(ok(Put, 2, 4, 5), 3, "c"), 1),
 		}, true},
-		{"a rejected put that shows", checkCell, []Call{
+		{"a rejected put that takes effect", checkCell, []Call{
 			numbered(ok(Put, 1, 0, 1), 1, "a"),
 			expecting(numbered(withStatus(ok(Put, 2, 2, 3), http.StatusPreconditionFailed), 1, "b"), 0),
 			numbered(ok(Get, 2, 4, 5), 2, "b"),
 		}, true},
-		{"a put without an answer that shows", checkCell, []Call{
+		{"a put without an answer that takes effect", checkCell, []Call{
 			numbered(ok(Put, 1, 0, 1), 1, "a"), numbered(withStatus(ok(Put, 2, 2, 3), 504), 0, "b"),
 			numbered(ok(Get, 2, 4, 5), 2, "b"),
 		}, false},
--- a/internal/emulator/histories/workload.go
+++ b/internal/emulator/histories/workload.go
@@ -16,42 +16,42 @@
 	// CallTimeout is how long an application waits for an answer.
 	CallTimeout = time.Second
 
-	watchWait   = 500 * time.Millisecond
-	maxSendings = 4 // of one put
-	maxRenewals = 4
-	locks       = 2
-	groups      = 2
-	cells       = 3 // of each group
-	maxPause    = 60 * time.Millisecond
+	watchWait      = 500 * time.Millisecond // how long the server of a watch call waits for an event
+	maxPutAttempts = 4                      // how often one put is sent at most until it gets a definite answer
+	maxRenewals    = 4                      // upper limit, not reached, of the renewals of one lock
+	locks          = 2                      // number of locks
+	groups         = 2                      // number of groups of cells
+	cells          = 3                      // number of cells in each group
+	maxPause       = 60 * time.Millisecond  // longest pause of an application between two calls
 )
 
-// SendFunc makes a call at any control node, and returns its answer; status 0: none came in time.
+// SendFunc sends a call to any control node, and returns its answer; status 0: no answer arrived within the timeout.
 type SendFunc func(method, path, body string, timeout time.Duration) (status int, text string)
 
-// Workload is applications that take locks, numbers and cells, and keep what they were answered. It is safe for
+// Workload is a set of applications that use locks, numbers, cells and watches, and record the answers. It is safe for
 // concurrent use.
 type Workload struct {
-	send  SendFunc
-	began time.Time
+	send      SendFunc
+	startedAt time.Time
 
-	mu      sync.Mutex // guards the fields below
-	rnd     *rand.Rand
-	records map[string][]Call // by path
-	watches map[string][]Watch
-	saved   map[string]uint64 // the revision up to which a watch of a group has seen everything
-	puts    int
-	wrong   []string
+	mu           sync.Mutex // guards the fields below
+	rnd          *rand.Rand
+	records      map[string][]Call // by path
+	watches      map[string][]Watch
+	watchedUntil map[string]uint64 // by group: the revision up to which all events have been received
+	puts         int               // number of values put so far, which makes each value unique
+	violations   []string
 }
 
-// NewWorkload makes a workload.
+// NewWorkload returns a workload that makes its calls through send. The seed determines its random choices.
 func NewWorkload(seed uint64, send SendFunc) *Workload {
 	return &Workload{
-		send: send, began: time.Now(), rnd: rand.New(rand.NewPCG(seed, 0)),
-		records: map[string][]Call{}, watches: map[string][]Watch{}, saved: map[string]uint64{},
+		send: send, startedAt: time.Now(), rnd: rand.New(rand.NewPCG(seed, 0)),
+		records: map[string][]Call{}, watches: map[string][]Watch{}, watchedUntil: map[string]uint64{},
 	}
 }
 
-// Run is one application until stop is closed.
+// Run runs one application until stop is closed.
 func (w *Workload) Run(app int, stop <-chan struct{}) {
 	for {
 		select {
@@ -73,16 +73,16 @@
 	}
 }
 
-// Random draws a number below n.
+// Random returns a random number from 0 to n-1.
 func (w *Workload) Random(n int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rnd.IntN(n)
 }
 
-func (w *Workload) now() time.Duration { return time.Since(w.began) }
+func (w *Workload) now() time.Duration { return time.Since(w.startedAt) }
 
-// answerBody has the fields of all answers.
+// answerBody contains the fields of the answers to all kinds of calls.
 type answerBody struct {
 	Fence    uint64          `json:"fence"`
 	Payload  json.RawMessage `json:"payload"`
@@ -98,14 +98,14 @@
 	var answer answerBody
 	if status == http.StatusOK || status == http.StatusPreconditionFailed {
 		if err := json.Unmarshal([]byte(text), &answer); err != nil {
-			w.report(fmt.Sprintf("%s %s: %d %s", method, path, status, text))
+			w.addViolation(fmt.Sprintf("%s %s: %d %s", method, path, status, text))
 		}
 	}
 	switch c.Kind {
 	case Acquire:
 		c.Fence = answer.Fence
 	case Number:
-		_ = json.Unmarshal(answer.Payload, &c.Number) // without one it stays 0, which no check passes
+		_ = json.Unmarshal(answer.Payload, &c.Number) // without a number it stays 0, which every check rejects
 	case Put:
 		c.Number = answer.Revision
 	case Get:
@@ -119,13 +119,14 @@
 	return c
 }
 
-func (w *Workload) report(wrong string) {
+func (w *Workload) addViolation(wrong string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.wrong = append(w.wrong, wrong)
+	w.violations = append(w.violations, wrong)
 }
 
-// useLock takes a lock, renews it a few times, and gives it back, dies or sleeps past its time.
+// useLock acquires a lock and renews it a few times. Then it releases the lock, or lets the hold time expire as a
+// crashed or stalled application does.
 func (w *Workload) useLock(app int) {
 	path := fmt.Sprint("/locks/l", w.Random(locks))
 	hold := []time.Duration{400, 1500, 4000}[w.Random(3)] * time.Millisecond
@@ -157,7 +158,8 @@
 	}
 }
 
-// useCell reads a cell and puts a value, with or without the revision that it has read, until there is a clear answer.
+// useCell reads a cell and puts a value, either unconditionally or on condition of the revision that it has read. It
+// sends the put again until there is a definite answer, at most maxPutAttempts times.
 func (w *Workload) useCell(app int) {
 	path := fmt.Sprintf("/cells/%sk%d", groupName(w.Random(groups)), w.Random(cells))
 	read := w.call(Call{App: app, Kind: Get}, http.MethodGet, path, "")
@@ -173,7 +175,7 @@
 		c.Expected = &read.Number
 		body = fmt.Sprintf(`{"payload":%q,"active":%d}`, c.Value, read.Number)
 	}
-	for range maxSendings {
+	for range maxPutAttempts {
 		c = w.call(c, http.MethodPut, path, body)
 		if c.Status == http.StatusOK || c.Status == http.StatusPreconditionFailed {
 			return
@@ -183,48 +185,50 @@
 
 func groupName(n int) string { return fmt.Sprintf("g%d.", n) }
 
-// watch follows a group from where it was seen last.
+// watch requests the events of a group after those received so far. The first watch of a group only finds the current
+// revision and is not checked.
 func (w *Workload) watch() {
 	group := groupName(w.Random(groups))
 	w.mu.Lock()
-	after := w.saved[group]
+	after := w.watchedUntil[group]
 	w.mu.Unlock()
 	path := fmt.Sprintf("/watch/%s?after=%d&waitMs=%d", group, after, watchWait.Milliseconds())
 	status, text := w.send(http.MethodGet, path, "", CallTimeout+watchWait)
 	if status == http.StatusGone {
-		w.report(fmt.Sprintf("watch of %s behind %d: 410", group, after))
+		w.addViolation(fmt.Sprintf("watch of %s after %d: 410", group, after))
 	}
 	if status != http.StatusOK {
 		return
 	}
 	var answer answerBody
 	if err := json.Unmarshal([]byte(text), &answer); err != nil {
-		w.report("watch: " + text)
+		w.addViolation("watch: the answer is not valid JSON: " + text)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if after > 0 {
 		w.watches[group] = append(w.watches[group], Watch{after, answer.Revision, answer.Log})
 	}
-	w.saved[group] = max(w.saved[group], answer.Revision)
+	w.watchedUntil[group] = max(w.watchedUntil[group], answer.Revision)
 }
 
-// Resume watches each group from the revision up to which it was seen, and reports where that is not possible.
+// Resume watches each group from the revision up to which events have been received, and records a violation if such a
+// watch fails.
 func (w *Workload) Resume() {
 	for n := range groups {
 		w.mu.Lock()
-		after := w.saved[groupName(n)]
+		after := w.watchedUntil[groupName(n)]
 		w.mu.Unlock()
 		path := fmt.Sprintf("/watch/%s?after=%d&waitMs=0", groupName(n), after)
 		if status, text := w.send(http.MethodGet, path, "", CallTimeout); status != http.StatusOK {
-			w.report(fmt.Sprintf("at the end, %s: %d %s", path, status, text))
+			w.addViolation(fmt.Sprintf("at the end, %s: %d %s", path, status, text))
 		}
 	}
 }
 
-// Check checks all that was recorded, and describes what is wrong. All applications must have ended.
+// Check checks all recorded calls, and returns a description of each violation. All applications must have ended.
 func (w *Workload) Check() (wrong []string) {
-	wrong = slices.Clone(w.wrong)
+	wrong = slices.Clone(w.violations)
 	puts := map[string]map[uint64]string{}
 	for n := range groups {
 		puts[groupName(n)] = map[uint64]string{}
@@ -255,7 +259,8 @@
 	return wrong
 }
 
-// collectPuts adds acknowledged puts by their revisions, each of which is given once in a group.
+// collectPuts adds the values of acknowledged puts to puts, by revision. Two values with the same revision in a group
+// are a violation.
 func collectPuts(group string, calls []Call, puts map[uint64]string) (wrong string) {
 	for _, c := range calls {
 		if c.Kind != Put || c.Status != http.StatusOK {
@@ -269,7 +274,7 @@
 	return wrong
 }
 
-// Outcomes counts the answers by kind of call and status.
+// Outcomes returns the number of answers, by kind of call and status.
 func (w *Workload) Outcomes() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/procstat/doc.go
+++ b/internal/emulator/procstat/doc.go
@@ -1,4 +1,5 @@
-// Package procstat reads what a process of this machine has used from /proc, as proc(5) describes it.
+// Package procstat reads the CPU time and peak memory of a local process from /proc, in the format of proc(5).
 //
-// It holds no state and imports nothing of the project. Its tests stand beside it and read their own process.
+// It keeps no state and imports no other package of this project. Its tests (procstat_test.go) read the statistics of
+// the test process.
 package procstat
--- a/internal/emulator/procstat/procstat.go
+++ b/internal/emulator/procstat/procstat.go
@@ -8,17 +8,16 @@
 	"time"
 )
 
-// The fields of /proc/PID/stat behind the name, and their unit: USER_HZ is 100 on Linux.
 const (
-	statUserTime   = 11
-	statSystemTime = 12
-	clockTick      = time.Second / 100
+	statUserTime   = 11                // index of utime among the fields of /proc/PID/stat that follow the process name
+	statSystemTime = 12                // index of stime among these fields
+	clockTick      = time.Second / 100 // unit of utime and stime; USER_HZ is 100 on Linux
 )
 
-const kilobyte = 1024 // unit of /proc/PID/status
+const kilobyte = 1024 // unit of the sizes in /proc/PID/status, in bytes
 
-// CPU returns the processor time that a process has used, of user and system. It wraps the errors of os.ReadFile and
-// strconv.ParseInt, and returns ErrIncomplete.
+// CPU returns the processor time that a process has used in user and kernel mode. It wraps the errors of os.ReadFile
+// and strconv.ParseInt, and returns ErrIncomplete if the statistics lack a field.
 func CPU(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -28,7 +27,7 @@
 }
 
 func parseCPU(stat string) (time.Duration, error) {
-	_, rest, _ := strings.Cut(stat, ") ") // the name before it may contain blanks
+	_, rest, _ := strings.Cut(stat, ") ") // the process name in parentheses may contain spaces
 	fields := strings.Fields(rest)
 	if len(fields) <= statSystemTime {
 		return 0, ErrIncomplete
@@ -44,8 +43,8 @@
 	return ticks * clockTick, nil
 }
 
-// PeakMemory returns the most memory that a process has had resident, in bytes. It wraps the errors of os.ReadFile and
-// strconv.ParseInt, and returns ErrIncomplete, also for a process that has ended.
+// PeakMemory returns the peak resident memory of a process, in bytes. It wraps the errors of os.ReadFile and
+// strconv.ParseInt, and returns ErrIncomplete if the statistics lack the value, as those of a zombie process do.
 func PeakMemory(pid int) (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/internal/emulator/timechart/chart.go
+++ b/internal/emulator/timechart/chart.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// DefaultColumns is the width of the bars where a chart does not state one.
+	// DefaultColumns is the number of columns of a chart that does not set Columns.
 	DefaultColumns = 60
 
-	empty = '.' // a column without events
-	pin   = '^' // points from an annotation to its column
-	stem  = '|' // leads from a pin down to its label
+	empty = '.' // drawn for a column without events
+	pin   = '^' // drawn below the column of an annotation
+	stem  = '|' // connects a pin to the label below it
 )
 
-// bars are the heights of a column with events, the lowest first.
+// bars contains the bars for columns with events, from the lowest to the highest.
 var bars = []rune("▁▂▃▄▅▆▇█")
 
-// Chart shows how often events took place. The zero value is a chart without rows and annotations.
+// Chart shows how often events occurred over time. The zero value is an empty chart, which is drawn as no text.
 type Chart struct {
-	Span        float64 // seconds from the left edge, which is 0, to the right one; none is drawn unless it is above 0
-	Columns     int     // of the bars; 0: DefaultColumns
+	Span        float64 // seconds from the left edge (time 0) to the right edge; must be above 0 to draw the chart
+	Columns     int     // number of columns of the bars; 0: DefaultColumns
 	Rows        []Row
 	Annotations []Annotation
 }
 
-// Row is one kind of events. Its bars are relative to its own highest, which is written beside them.
+// Row is one kind of event. Its bars are scaled to the highest rate of the row, which is printed after them.
 type Row struct {
 	Label string
-	Times []float64 // seconds, in any order; one beyond an edge counts in the column there
+	Times []float64 // seconds, in any order; times outside the span count in the first or last column
 }
 
-// Annotation is a label at one time, in seconds. One beyond an edge is not shown.
+// Annotation is a label at one point in time. Annotations outside the span of the chart are not shown.
 type Annotation struct {
-	At    float64
+	At    float64 // seconds
 	Label string
 }
 
-// String draws the chart. Each line ends in a line end.
+// String draws the chart. Every line ends in a newline.
 func (c Chart) String() string {
 	if !(c.Span > 0) {
 		return ""
@@ -58,7 +58,7 @@
 	return b.String()
 }
 
-// labelWidth is the width of the labels with the gap behind them.
+// labelWidth returns the width of the widest label, including the gap that follows it.
 func (c Chart) labelWidth() int {
 	const gap = 2
 	width := 0
@@ -68,7 +68,7 @@
 	return width
 }
 
-// column returns the column of a time, the nearest one for a time beyond an edge.
+// column returns the column of a time; for a time outside the span it returns the first or last column.
 func (c Chart) column(at float64) int {
 	return min(max(int(math.Floor(at/c.Span*float64(c.Columns))), 0), c.Columns-1)
 }
@@ -87,7 +87,7 @@
 	return fmt.Sprintf("%-*s%s  %d, at most %.0f a second\n", c.labelWidth(), r.Label, string(line), len(r.Times), rate)
 }
 
-// bar returns the bar of a count that is at most highest. Any count above 0 has one.
+// bar returns the bar of a count between 0 and highest. Every count above 0 gets at least the lowest bar.
 func bar(count, highest int) rune {
 	if count == 0 {
 		return empty
@@ -95,15 +95,15 @@
 	return bars[(count*len(bars)+highest-1)/highest-1]
 }
 
-// drawAxis writes the times of the edges below the bars.
+// drawAxis returns the line below the bars, which shows the times of the left and right edges.
 func (c Chart) drawAxis() string {
 	const left = "0 s"
 	right := fmt.Sprintf("%g s", c.Span)
 	return left + strings.Repeat(" ", max(1, c.Columns-len(left)-len(right))) + right
 }
 
-// drawAnnotations draws the pins of all annotations in one line, and below it a line for each label, the last one
-// first, so that no stem crosses a label.
+// drawAnnotations returns one line with the pins of all annotations, followed by one line for each label. The labels
+// are ordered from the latest to the earliest, so that no stem crosses a label.
 func (c Chart) drawAnnotations() []string {
 	annotations := slices.Clone(c.Annotations)
 	annotations = slices.DeleteFunc(annotations, func(a Annotation) bool { return a.At < 0 || a.At > c.Span })
@@ -121,11 +121,11 @@
 	return lines
 }
 
-// drawAt draws a sign at the column of each annotation.
-func (c Chart) drawAt(annotations []Annotation, sign rune) string {
+// drawAt returns a line with a marker in the column of each annotation.
+func (c Chart) drawAt(annotations []Annotation, marker rune) string {
 	line := []rune(strings.Repeat(" ", c.Columns))
 	for _, a := range annotations {
-		line[c.column(a.At)] = sign
+		line[c.column(a.At)] = marker
 	}
 	return string(line)
 }
--- a/internal/emulator/timechart/chart_test.go
+++ b/internal/emulator/timechart/chart_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// repeat returns a time so many times.
+// repeat returns a list that contains one time count times.
 func repeat(at float64, count int) (times []float64) {
 	for range count {
 		times = append(times, at)
@@ -33,7 +33,7 @@
 			},
 		},
 		{
-			"rows of their own scale, the lowest bar for a single event",
+			"each row scaled to its highest rate, the lowest bar for a single event",
 			Chart{Span: 5, Columns: 5, Rows: []Row{
 				{Label: "served", Times: append(append(repeat(0.5, 80), repeat(1.5, 40)...), 4.5)},
 				{Label: "no", Times: []float64{2}},
@@ -45,7 +45,7 @@
 			},
 		},
 		{
-			"events beyond the edges and at them",
+			"events outside the span and at its edges",
 			Chart{Span: 2, Columns: 4, Rows: []Row{{Label: "r", Times: []float64{-1, 0, 2, 9, 1.5, 1}}}},
 			[]string{
 				"r  ▆.▃█  6, at most 6 a second",
@@ -53,7 +53,7 @@
 			},
 		},
 		{
-			"annotations in any order, two in a column, one beyond the edge",
+			"annotations in any order, two in a column, one outside the span",
 			Chart{
 				Span: 10, Columns: 10, Rows: []Row{{Label: "r", Times: []float64{3}}},
 				Annotations: []Annotation{{7, "kill"}, {2, "config"}, {11, "late"}, {7.1, "again"}},
@@ -68,7 +68,7 @@
 			},
 		},
 		{
-			"an annotation at the right edge, and no labels of rows",
+			"an annotation at the right edge, without rows",
 			Chart{Span: 4, Columns: 4, Annotations: []Annotation{{4, "end"}}},
 			[]string{"0 s 4 s", "   ^", "   4.0 s: end"},
 		},
--- a/internal/emulator/timechart/doc.go
+++ b/internal/emulator/timechart/doc.go
@@ -1,6 +1,6 @@
-// Package timechart draws a small chart of events over time as text: a row of bars for each kind of event, and
-// annotations with labels at single times.
+// Package timechart draws a small text chart of events over time: one row of bars for each kind of event, and labeled
+// annotations at single points in time.
 //
-// It is pure: times are seconds that the caller measured. It imports only the standard library, keeps no state, and is
-// tested by tables (chart_test.go). mulleinrouter try shows its results with it.
+// The package reads no clock: callers pass times in seconds. It imports only the standard library and keeps no state.
+// Its tests are table-driven (chart_test.go). The command "mulleinrouter try" shows its results with it.
 package timechart
