--- a/internal/emulator/exchange/errors.go
+++ b/internal/emulator/exchange/errors.go
@@ -2,14 +2,14 @@
 
 import "errors"
 
-// The reasons for which a step fails. Play prints them behind the step.
+// Reasons why a step fails. Play prints them after the step.
 var (
 	// errUnknownHook means that the test has no hook of this name.
-	errUnknownHook = errors.New("no hook")
-	// errUnknownVerb means that a step's verb is none of those in the package comment.
-	errUnknownVerb = errors.New("no verb")
-	// errUnexpectedBytes means that a body is incomplete or differs from that of Body.
-	errUnexpectedBytes = errors.New("not these bytes")
-	// errNotEnded means that the peer sent more, or kept the connection open.
-	errNotEnded = errors.New("not ended")
+	errUnknownHook = errors.New("unknown hook")
+	// errUnknownVerb means that the verb of a step is not one of those in the package comment.
+	errUnknownVerb = errors.New("unknown verb")
+	// errUnexpectedBytes means that a body is incomplete, or differs from the body that Body generates.
+	errUnexpectedBytes = errors.New("the body is not the expected one")
+	// errNotEnded means that the peer sent more data, or did not close the connection in time.
+	errNotEnded = errors.New("the connection was not closed")
 )
--- a/internal/emulator/exchange/player.go
+++ b/internal/emulator/exchange/player.go
@@ -14,42 +14,43 @@
 )
 
 const (
-	stepTimeout  = 20 * time.Second // ends a test that hangs; no step succeeds because of it
-	pollInterval = time.Millisecond // of Until
+	stepTimeout  = 20 * time.Second // makes a test that hangs fail; no step succeeds by reaching it
+	pollInterval = time.Millisecond // between two evaluations of a condition in Until
 
-	neverHappened = "never" // what Until returns after the timeout
+	conditionTimedOut = "never" // returned by Until after the timeout
 )
 
-// Until waits for a condition. For hooks to return: it is empty, or after 20 seconds a word that no script contains.
+// Until waits until a condition is true. Hooks return its result: an empty string, or after 20 seconds a word that no
+// script contains, so that the step fails.
 func Until(condition func() bool) string {
 	deadline := time.Now().Add(stepTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			return neverHappened
+			return conditionTimedOut
 		}
 		time.Sleep(pollInterval)
 	}
 	return ""
 }
 
-// Player plays the scripts of one test.
+// Player replays the scripts of one test.
 type Player struct {
 	Target string                              // address that clients connect to
 	Hooks  map[string]func(text string) string // by name, without the @
 
 	test          testing.TB
-	substitutions map[string]string // of let, by key
+	substitutions map[string]string // texts of let steps, by key
 	listeners     map[string]net.Listener
 	conns         map[string]*conn
 }
 
-// conn is a connection with a buffer before it.
+// conn is a connection with a buffered reader.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// New returns a player with listeners on free ports of the loopback.
+// New returns a player with listeners of the given names on free loopback ports.
 func New(t testing.TB, listeners ...string) *Player {
 	t.Helper()
 	p := &Player{
@@ -75,10 +76,10 @@
 	return p
 }
 
-// Addr is the address of a listener.
+// Addr returns the address of a listener.
 func (p *Player) Addr(name string) string { return p.listeners[name].Addr().String() }
 
-// Each plays every script that matches the pattern in a subtest of its own.
+// Each calls play for every script file that matches the pattern, each in its own subtest.
 func Each(t *testing.T, pattern string, play func(t *testing.T, script string)) {
 	t.Helper()
 	files, err := filepath.Glob(pattern)
@@ -90,7 +91,7 @@
 	}
 }
 
-// Play plays one script, and fails the test at the first step that differs from what is recorded.
+// Play replays one script, and fails the test at the first step whose result differs from the recorded one.
 func (p *Player) Play(script string) {
 	p.test.Helper()
 	recorded, err := os.ReadFile(script)
@@ -110,7 +111,7 @@
 		}
 		got = append(got, played)
 		if played != line {
-			break // the steps after it assume that it succeeded
+			break // the following steps assume that this one succeeded
 		}
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -118,8 +119,8 @@
 	}
 }
 
-// conn returns the connection of a name: an open one, or the next to the listener of this name, or one that connects
-// to the target. With accept, it is always the next one to the listener.
+// conn returns the connection of a name. If none is open, it accepts the next connection to the listener of this name,
+// or connects to the target if there is no such listener. With accept, it opens a new connection in any case.
 func (p *Player) conn(name string, accept bool) (*conn, error) {
 	open := p.conns[name]
 	if open != nil && !accept {
@@ -130,7 +131,7 @@
 		return nil, err
 	}
 	if open != nil {
-		p.test.Cleanup(func() { open.Close() }) // it stays open, but further steps use the new one
+		p.test.Cleanup(func() { open.Close() }) // stays open until the test ends; further steps use the new connection
 	}
 	p.conns[name] = &conn{Conn: connection, reader: bufio.NewReader(connection)}
 	return p.conns[name], nil
--- a/internal/emulator/exchange/player_test.go
+++ b/internal/emulator/exchange/player_test.go
@@ -23,12 +23,12 @@
 	})
 }
 
-// What differs from the script is recorded in the step's place.
+// TestDifferences checks that a step whose result differs from the script is reported with the actual result.
 func TestDifferences(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		steps []string
-		want  string // of the last step
+		want  string // reported line of the last step
 	}{
 		{
 			name:  "another line",
@@ -67,7 +67,7 @@
 	}
 }
 
-// playAll plays steps that must not fail, and returns what the last one should have been recorded as.
+// playAll executes steps that must not return an error, and returns the line that describes the result of the last one.
 func playAll(t *testing.T, p *Player, steps []string) (last string) {
 	t.Helper()
 	for _, step := range steps {
--- a/internal/emulator/exchange/step.go
+++ b/internal/emulator/exchange/step.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	lineEnd = "\r\n"
+	crlf = "\r\n"
 
-	// headOnly before the text of a takes step leaves the body of the request unread.
+	// headOnly is a prefix of the text of a takes step, which leaves the body of the request unread.
 	headOnly = "head "
 )
 
@@ -28,7 +28,7 @@
 	text string // with substitutions and escapes replaced
 }
 
-// outcome returns the line as it would be recorded with what was received in place of what was expected.
+// outcome returns the line of the step with the received text in place of the expected one.
 func (s step) outcome(received, expected string, err error) (string, error) {
 	if err == nil && received == expected {
 		return s.line, nil
@@ -36,7 +36,8 @@
 	return fmt.Sprintf("%s %s %s", s.name, s.verb, strings.Trim(strconv.Quote(received), `"`)), err
 }
 
-// verbs play a step on a connection, and return the line as it should have been recorded.
+// verbs contains the functions that execute a step on a connection, by verb. Each returns the line that describes what
+// happened, which equals the recorded line if the step succeeds.
 var verbs = map[string]func(p *Player, c *conn, s step) (string, error){
 	"accept": (*Player).acceptConn,
 	">":      (*Player).writeLine,
@@ -54,7 +55,7 @@
 	"reset":  (*Player).resetConn,
 }
 
-// playLine plays a line and returns it as it should have been recorded.
+// playLine executes a line of a script, and returns the line that describes what happened.
 func (p *Player) playLine(line string) (string, error) {
 	name, rest, _ := strings.Cut(line, " ")
 	if hook, ok := strings.CutPrefix(name, "@"); ok {
@@ -87,7 +88,7 @@
 	return play(p, c, step{line: line, name: name, verb: verb, text: text})
 }
 
-// expand replaces keys of let, names of listeners and Go escapes in a step's text.
+// expand replaces the keys of let steps, the names of listeners and Go escapes in the text of a step.
 func (p *Player) expand(text string) (string, error) {
 	for key, value := range p.substitutions {
 		text = strings.ReplaceAll(text, "{"+key+"}", value)
@@ -102,11 +103,11 @@
 	return expanded, nil
 }
 
-// acceptConn has nothing left to do: playLine has accepted the connection.
+// acceptConn does nothing, because playLine has already accepted the connection.
 func (p *Player) acceptConn(_ *conn, s step) (string, error) { return s.line, nil }
 
 func (p *Player) writeLine(c *conn, s step) (string, error) {
-	_, err := io.WriteString(c, s.text+lineEnd)
+	_, err := io.WriteString(c, s.text+crlf)
 	return s.line, err
 }
 
@@ -126,19 +127,19 @@
 	return s.line, err
 }
 
-// readLines reads as many lines as the step has, up to the first that differs.
+// readLines reads as many lines as the step has, but stops after the first one that differs.
 func (p *Player) readLines(c *conn, s step) (string, error) {
 	var received string
 	var err error
-	for i, want := range strings.Split(s.text, lineEnd) {
+	for i, want := range strings.Split(s.text, crlf) {
 		var line string
 		line, err = c.reader.ReadString('\n')
-		line = strings.TrimRight(line, lineEnd)
+		line = strings.TrimRight(line, crlf)
 		if start, isPattern := strings.CutSuffix(want, "*"); isPattern && strings.HasPrefix(line, start) {
 			line = want
 		}
 		if i > 0 {
-			received += lineEnd
+			received += crlf
 		}
 		received += line
 		if err != nil || line != want {
@@ -164,7 +165,7 @@
 	return s.line, nil
 }
 
-// readChunks reads a chunked body, and for "whole" the empty line behind its last chunk too.
+// readChunks reads a chunked body. For the verb "whole", it also reads the empty line after the last chunk.
 func (p *Player) readChunks(c *conn, s step) (string, error) {
 	_, size := parseSpan(s.text + " 0")
 	received, err := io.ReadAll(httputil.NewChunkedReader(c.reader))
@@ -183,8 +184,8 @@
 	return s.outcome(received, firstLine, err)
 }
 
-// readRequest reads one request. It returns the beginning of its first line if that is what was expected, else all of
-// the line.
+// readRequest reads one request. It returns the expected text if the request line begins with it, and otherwise the
+// complete request line.
 func (c *conn) readRequest(expected string, withoutBody bool) (received string, err error) {
 	reader := textproto.NewReader(c.reader)
 	if received, err = reader.ReadLine(); err != nil {
@@ -219,12 +220,12 @@
 	rest, err := io.ReadAll(c.reader)
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() || len(rest) > 0 {
-		return "", fmt.Errorf("%w, but %q: %w", errNotEnded, rest, err)
+		return "", fmt.Errorf("%w, got %q: %w", errNotEnded, rest, err)
 	}
 	return p.closeConn(c, s)
 }
 
-// Body returns n bytes, beginning at an offset, of an endless body in which each byte depends on its offset.
+// Body returns n bytes from an offset of a generated, unlimited body, in which each byte depends on its offset.
 func Body(offset, n int) []byte {
 	body := make([]byte, n)
 	for i := range body {
@@ -233,7 +234,7 @@
 	return body
 }
 
-// parseSpan reads "N K": the end of a span and its beginning.
+// parseSpan parses "N K", the end offset of a range of bytes and its start offset.
 func parseSpan(text string) (from, to int) {
 	end, begin, _ := strings.Cut(text, " ")
 	to, _ = strconv.Atoi(end)
--- a/internal/emulator/fakes/billing.go
+++ b/internal/emulator/fakes/billing.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	maxBatchBytes = 64 << 20 // of a batch after decompression
+	maxBatchBytes = 64 << 20 // maximum size of a batch after decompression, bytes
 
 	digestHeader = "X-Content-SHA256"
 
-	retryAfterSeconds = "2" // of RateLimited
+	retryAfterSeconds = "2" // Retry-After value of RateLimited
 )
 
-// Billing accepts batches of usage records, each once. A batch that is sent again is recognised by its source and
-// number, and must have the same digest.
+// Billing accepts batches of usage records, and counts each batch once. It recognises a batch that is sent again by its
+// source and number; such a batch must have the same digest.
 type Billing struct {
 	httpServer
 
 	mu            sync.Mutex        // guards the fields below
-	digests       map[string]string // by source and number of the batch
+	digests       map[string]string // digests of accepted batches, by source and number
 	totals        BillingTotals
-	highestToken  uint64 // of the fencing tokens received so far
+	highestToken  uint64 // highest fencing token received so far
 	accepted      []AcceptedBatch
-	rejected      int            // batches under an older fencing token
-	pendingFaults []BillingFault // for the next calls, in order
+	rejected      int            // number of batches with an older fencing token
+	pendingFaults []BillingFault // faults of the next calls, in order
 }
 
-// BillingTotals are the sums over all batches that billing has accepted.
+// BillingTotals contains the sums over all batches that billing has accepted.
 type BillingTotals struct {
 	Tally     usage.Tally
-	Unmetered usage.Sum // used without a record of whose use it was
-	Repeats   int       // batches that were sent again
-	Conflicts int       // of these, how many had another digest than at first
+	Unmetered usage.Sum // usage that was not recorded per customer
+	Repeats   int       // number of batches that were sent again
+	Conflicts int       // number of these whose digest differed from that of the first one
 }
 
-// AcceptedBatch is a batch that was accepted under a fencing token.
+// AcceptedBatch identifies a batch that was accepted with a fencing token.
 type AcceptedBatch struct {
 	Token  uint64
 	Source string
@@ -57,10 +57,10 @@
 // The faults of a call.
 const (
 	NoFault      BillingFault = iota
-	FailCall                  // answers 500 and does not accept the batch
-	LoseReply                 // accepts the batch, and closes the connection without a response
+	FailCall                  // does not accept the batch and answers 500
+	LoseReply                 // accepts the batch and closes the connection without a response
 	NoReply                   // does not accept the batch and never answers
-	InvalidReply              // does not accept the batch and answers 200 with another body
+	InvalidReply              // does not accept the batch and answers 200 without an acknowledgement in the body
 	RateLimited               // does not accept the batch and answers 429 with Retry-After
 )
 
@@ -71,17 +71,17 @@
 	return b.start("billing", &http.Server{Handler: b})
 }
 
-// URL is where batches are posted.
+// URL returns the URL to which batches are posted.
 func (b *Billing) URL() string { return "http://" + b.addr + "/v1/batches" }
 
-// InjectFaults adds faults for the next calls, one each, in order.
+// InjectFaults adds faults for the next calls, in order, one fault for each call.
 func (b *Billing) InjectFaults(faults ...BillingFault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.pendingFaults = append(b.pendingFaults, faults...)
 }
 
-// Totals returns the sums over the batches accepted so far.
+// Totals returns a copy of the sums over the batches accepted so far.
 func (b *Billing) Totals() BillingTotals {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -91,15 +91,15 @@
 	return totals
 }
 
-// Fenced returns the batches accepted under fencing tokens, in order of arrival, and how many were rejected because
-// they came under an older token.
+// Fenced returns the batches accepted with fencing tokens, in order of arrival, and the number of batches that were
+// rejected because of an older or invalid token.
 func (b *Billing) Fenced() (accepted []AcceptedBatch, rejected int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.accepted), b.rejected
 }
 
-// ServeHTTP accepts or rejects a batch.
+// ServeHTTP accepts or rejects a batch, or injects the next pending fault.
 func (b *Billing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	batch, digest, err := readBatch(r)
 	if err != nil {
@@ -126,7 +126,7 @@
 	json.NewEncoder(w).Encode(usage.Ack{Source: batch.Source, Number: batch.Number, Digest: digest})
 }
 
-// readBatch reads the batch of a request and checks its digest. Its errors are errNotGzip and errNotBatch.
+// readBatch reads the batch of a request and checks its digest. It returns errNotGzip or errNotBatch if it is invalid.
 func readBatch(r *http.Request) (batch *usage.Batch, digest string, err error) {
 	uncompressed, err := gzip.NewReader(r.Body)
 	if err != nil {
@@ -147,7 +147,7 @@
 	return batch, digest, nil
 }
 
-// nextFault takes the next pending fault.
+// nextFault removes and returns the next pending fault.
 func (b *Billing) nextFault() BillingFault {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -159,8 +159,8 @@
 	return fault
 }
 
-// injectBillingFault answers a call in place of billing, if the fault is one that keeps the batch from being
-// accepted.
+// injectBillingFault handles a call if the fault prevents the batch from being accepted. It reports whether it handled
+// the call.
 func injectBillingFault(w http.ResponseWriter, r *http.Request, fault BillingFault) (answered bool) {
 	switch fault {
 	case FailCall:
@@ -178,8 +178,8 @@
 	return true
 }
 
-// checkFencingToken reports whether a batch's fencing token is at least as new as all before it, and notes the batch
-// if so.
+// checkFencingToken reports whether the fencing token of a batch is at least as high as all earlier ones. If so, it
+// records the batch as accepted.
 func (b *Billing) checkFencingToken(header string, batch *usage.Batch) bool {
 	token, err := strconv.ParseUint(header, 10, 64)
 	b.mu.Lock()
@@ -193,8 +193,8 @@
 	return true
 }
 
-// record adds a batch to the totals unless it was added before. It reports whether no other batch has its source and
-// number.
+// record adds a batch to the totals unless it was added before. It returns false if a different batch with the same
+// source and number was added before.
 func (b *Billing) record(batch *usage.Batch, digest string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/emulator/fakes/billing_test.go
+++ b/internal/emulator/fakes/billing_test.go
@@ -27,7 +27,7 @@
 	return b
 }
 
-// postBatch posts a batch under a fencing token, if it is not 0, and returns the status; 0: there was no response.
+// postBatch posts a batch, with a fencing token if token is not 0. It returns the status; 0: there was no response.
 func postBatch(t *testing.T, b *Billing, batch usage.Batch, token uint64) int {
 	t.Helper()
 	body, err := json.Marshal(batch)
@@ -60,7 +60,7 @@
 	return response.StatusCode
 }
 
-// testBatch is a batch with one row.
+// testBatch returns a batch with one row.
 func testBatch(number uint64, requests int64) usage.Batch {
 	row := usage.Row{Key: usage.Key{Member: "m"}, Sum: usage.Sum{Requests: requests}}
 	return usage.Batch{Source: "s", Number: number, Rows: []usage.Row{row}}
@@ -75,7 +75,7 @@
 	}{
 		{"first", testBatch(1, 3), http.StatusOK},
 		{"again", testBatch(1, 3), http.StatusOK},
-		{"another one with the same number", testBatch(1, 4), http.StatusConflict},
+		{"different batch with the same number", testBatch(1, 4), http.StatusConflict},
 		{"next", testBatch(2, 5), http.StatusOK},
 	} {
 		if got := postBatch(t, b, step.batch, 0); got != step.want {
@@ -102,7 +102,7 @@
 		{2, 4, http.StatusOK},
 		{3, 6, http.StatusOK},
 		{4, 5, http.StatusPreconditionFailed},
-		{5, 0, http.StatusOK}, // without a token it is not checked
+		{5, 0, http.StatusOK}, // a batch without a token is not checked
 	} {
 		if got := postBatch(t, b, testBatch(step.number, 1), step.token); got != step.want {
 			t.Errorf("batch %d under token %d: status %d, want %d", step.number, step.token, got, step.want)
--- a/internal/emulator/fakes/discovery.go
+++ b/internal/emulator/fakes/discovery.go
@@ -9,13 +9,13 @@
 	"mulleinrouter/internal/standalone/discovery"
 )
 
-// keepAliveInterval is how often a watch receives an empty line while nothing changes.
+// keepAliveInterval is the interval at which a watch sends an empty line while nothing changes.
 const keepAliveInterval = 2 * time.Second
 
-// stateLeft removes an endpoint from the list.
+// stateLeft is the state of a target that is removed from the list.
 const stateLeft = "left"
 
-// Discovery serves the list of quote servers: as a snapshot, and as a watch that streams each change.
+// Discovery serves the list of quote servers, either as a snapshot or as a watch that streams each change.
 type Discovery struct {
 	httpServer
 
@@ -23,8 +23,8 @@
 	revision int64
 	targets  map[string]discovery.Target // by UID
 	changes  []discovery.List            // one for each revision, from 1
-	changed  chan struct{}               // closed with the next change, and replaced
-	silent   bool
+	changed  chan struct{}               // closed at the next change, and replaced
+	silent   bool                        // watches send nothing
 }
 
 // Start listens on loopback. It returns a *ListenError.
@@ -34,14 +34,14 @@
 	return d.start("discovery", &http.Server{Handler: d})
 }
 
-// SetSilent stops sending on all watches, which stay open, or resumes it.
+// SetSilent stops or resumes sending on all watches. The watches stay open.
 func (d *Discovery) SetSilent(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent = silent
 }
 
-// Update adds or changes entries of the list. An entry in state "left" is removed.
+// Update adds or replaces targets in the list. A target in state "left" is removed.
 func (d *Discovery) Update(targets ...discovery.Target) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -58,7 +58,7 @@
 	d.changed = make(chan struct{})
 }
 
-// ServeHTTP answers with a snapshot of the list, or with a watch where the query has watch.
+// ServeHTTP answers with a watch if the query has the parameter watch, and otherwise with a snapshot of the list.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/v1/endpoints" {
 		http.NotFound(w, r)
@@ -75,7 +75,7 @@
 	d.serveWatch(w, r, from)
 }
 
-// serveWatch streams the changes after a revision, a line of JSON each, until the client disconnects.
+// serveWatch streams the changes after a revision, each as a line of JSON, until the client disconnects.
 func (d *Discovery) serveWatch(w http.ResponseWriter, r *http.Request, from int64) {
 	flusher := http.NewResponseController(w)
 	for {
@@ -103,8 +103,8 @@
 	}
 }
 
-// changesSince returns the changes after a revision, the revision that they lead to, and a channel that is closed
-// with the next change. A revision newer than the list's is another server's: the update is then a snapshot.
+// changesSince returns the changes after a revision, the current revision, and a channel that is closed at the next
+// change. A revision newer than the current one must come from another server; changesSince then returns a snapshot.
 func (d *Discovery) changesSince(from int64) (
 	updates []discovery.List, revision int64, changed <-chan struct{}, silent bool,
 ) {
@@ -125,7 +125,7 @@
 	return d.snapshotLocked()
 }
 
-// snapshotLocked needs mu.
+// snapshotLocked returns the current list. The caller must hold mu.
 func (d *Discovery) snapshotLocked() discovery.List {
 	list := discovery.List{Rev: d.revision, All: true, Targets: []discovery.Target{}}
 	for _, t := range d.targets {
--- a/internal/emulator/fakes/discovery_test.go
+++ b/internal/emulator/fakes/discovery_test.go
@@ -22,7 +22,7 @@
 	return d
 }
 
-// readLists reads a number of lists from a call's response.
+// readLists reads the first count lists from the response to a call.
 func readLists(t *testing.T, d *Discovery, query string, count int) (lists []discovery.List) {
 	t.Helper()
 	client := &http.Client{Timeout: 5 * time.Second}
@@ -35,7 +35,7 @@
 	lines := bufio.NewScanner(response.Body)
 	for len(lists) < count && lines.Scan() {
 		if len(lines.Bytes()) == 0 {
-			continue // keeps the watch alive
+			continue // an empty keep-alive line
 		}
 		var list discovery.List
 		if err := json.Unmarshal(lines.Bytes(), &list); err != nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-// A watch that is silent sends the changes once it is not silent any more.
+// TestSilentDiscovery checks that a silent watch sends the pending changes once it is no longer silent.
 func TestSilentDiscovery(t *testing.T) {
 	d := startDiscovery(t)
 	d.SetSilent(true)
--- a/internal/emulator/fakes/errors.go
+++ b/internal/emulator/fakes/errors.go
@@ -5,18 +5,18 @@
 	"fmt"
 )
 
-// The reasons for which Billing answers 400. They are the bodies of the responses.
+// Errors for which Billing answers 400. Their texts are the bodies of the responses.
 var (
-	// errNotGzip means that the body is not compressed.
+	// errNotGzip means that the body is not compressed with gzip.
 	errNotGzip = errors.New("not gzip")
-	// errNotBatch means that the body is no batch, or has another digest than its header says.
+	// errNotBatch means that the body is not a valid batch, or that its digest differs from the one in the header.
 	errNotBatch = errors.New("not a batch")
 )
 
 // ListenError means that a fake could not listen on loopback.
 type ListenError struct {
-	Server string // which fake: billing, discovery or quote server
-	Err    error  // of package net
+	Server string // name of the fake: billing, discovery or quote server
+	Err    error  // error of package net
 }
 
 func (l *ListenError) Error() string { return fmt.Sprintf("%s: %v", l.Server, l.Err) }
--- a/internal/emulator/fakes/quote_server.go
+++ b/internal/emulator/fakes/quote_server.go
@@ -13,52 +13,52 @@
 )
 
 const (
-	maxRequestBytes    = 1 << 20 // of a body that is read
-	maxHeaderBytes     = 64 << 10
+	maxRequestBytes    = 1 << 20  // bytes of a request body that are read; the rest is ignored
+	maxHeaderBytes     = 64 << 10 // maximum size of a request header, bytes
 	defaultIdleTimeout = 30 * time.Second
 
-	slowStartFactor = 4.0 // times ServiceTime just after the start
+	slowStartFactor = 4.0 // service time immediately after the start, as a multiple of ServiceTime
 
-	malformedResponse = "HTTP/1.1 2OO FINE\r\n\r\n" // the status has letters for zeros
+	malformedResponse = "HTTP/1.1 2OO FINE\r\n\r\n" // invalid status code: letters O instead of zeros
 )
 
-// QuoteServer answers quote requests with a number of cores, a queue before them, slow start and injected faults.
-// The configuration must not change after Start.
+// QuoteServer answers quote requests. It simulates a number of cores with a queue, slow start and injected faults. The
+// exported fields must not change after Start.
 type QuoteServer struct {
 	httpServer
 
-	Cores       int           // requests worked on at once; 0: 1
-	Queue       int           // requests that may wait for a core; further ones are rejected
-	ServiceTime time.Duration // of a request once slow start is over
-	SlowStart   time.Duration // how long service times fall linearly from four times ServiceTime; 0: no slow start
-	IdleTimeout time.Duration // after which idle connections are closed; 0: 30 s
-	Salt        uint64        // makes faults hit other requests than at a server with another salt
+	Cores       int           // number of requests executed at the same time; 0: 1
+	Queue       int           // number of requests that may wait for a core; further ones are rejected
+	ServiceTime time.Duration // execution time of a request after slow start
+	SlowStart   time.Duration // time during which service times fall linearly from 4 times ServiceTime; 0: none
+	IdleTimeout time.Duration // time after which idle connections are closed; 0: 30 s
+	Salt        uint64        // makes servers with different salts inject faults into different requests
 
 	startedAt time.Time
 	cores     chan struct{}
-	pending   atomic.Int64 // requests in the queue or at a core
+	pending   atomic.Int64 // number of requests that wait for a core or are executed
 	faults    atomic.Pointer[Faults]
 
 	mu       sync.Mutex         // guards the fields below
 	arrivals map[string]Arrival // by request ID
-	served   map[string]int     // by request ID
+	served   map[string]int     // number of 200 responses, by request ID
 }
 
-// Arrival is what is known of a request that was received completely, body included.
+// Arrival records how often a request was received completely, including its body, and executed.
 type Arrival struct {
-	First time.Time // when it was first received
-	Times int       // how often it was received
-	Runs  int       // how often it may have been executed: all times but those when it was rejected
+	First time.Time // time at which it was first received
+	Times int       // number of times it was received
+	Runs  int       // number of times it may have been executed, which is each time it was not rejected
 }
 
-// Faults are the parts of the requests, from 0 to 1, that meet each fault. Whether a request meets one depends on its
-// ID and the server's salt alone.
+// Faults contains the share of requests, from 0 to 1, that each fault is injected into. Which fault is injected into a
+// request depends only on its ID and the salt of the server.
 type Faults struct {
-	Error     float64 // answered 500 after execution
-	Reject    float64 // answered 503 with X-Not-Processed
-	Cut       float64 // the connection is closed after the request was received
-	Hang      float64 // no response until the client gives up
-	Malformed float64 // a response that is not HTTP
+	Error     float64 // execute the request and answer 500
+	Reject    float64 // answer 503 with X-Not-Processed, without executing the request
+	Cut       float64 // close the connection after receiving the request
+	Hang      float64 // send no response until the client closes the connection
+	Malformed float64 // send a response that is not valid HTTP
 }
 
 // Start listens on loopback. It returns a *ListenError.
@@ -77,17 +77,17 @@
 	})
 }
 
-// SetFaults injects faults into the requests from now on; nil ends that.
+// SetFaults sets the faults that are injected into subsequent requests; nil: none.
 func (q *QuoteServer) SetFaults(f *Faults) { q.faults.Store(f) }
 
-// Arrived returns the requests received completely so far, by ID.
+// Arrived returns a copy of the requests received completely so far, by ID.
 func (q *QuoteServer) Arrived() map[string]Arrival {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return maps.Clone(q.arrivals)
 }
 
-// Served returns how often each request has been answered 200, by ID.
+// Served returns the number of times that each request has been answered 200, by ID.
 func (q *QuoteServer) Served() map[string]int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -97,7 +97,7 @@
 // ServeHTTP answers a request, or injects a fault.
 func (q *QuoteServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxRequestBytes)); err != nil {
-		return // an incomplete body: the request has not been received
+		return // the body is incomplete, so the request does not count as received
 	}
 	id := r.Header.Get("X-Request-ID")
 	if id == "" {
@@ -133,7 +133,7 @@
 	fmt.Fprintf(w, "quote for %s at %s\n", id, r.URL.Path)
 }
 
-// injectQuoteFault ends a request without a response from the server, if the draw hits such a fault.
+// injectQuoteFault ends a request without a valid response if the draw selects such a fault. It reports whether it did.
 func injectQuoteFault(w http.ResponseWriter, r *http.Request, faults *Faults, draw *faultDraw) (ended bool) {
 	switch {
 	case draw.hits(faults.Cut):
@@ -173,25 +173,26 @@
 	q.served[id]++
 }
 
-// faultDraw decides which fault a request meets, if any: the faults share the range from 0 to 1 in the order in which
-// they are asked for.
+// faultDraw selects the fault of a request, if any. Each fault occupies a part of the range from 0 to 1, in the order
+// of the calls of hits.
 type faultDraw struct{ remaining float64 }
 
-// hits reports whether the draw falls into the next part of the range. It must not be called again after a hit.
+// hits reports whether the drawn number is in the next part of the range, whose size is part. It must not be called
+// again after it has returned true.
 func (f *faultDraw) hits(part float64) bool {
 	f.remaining -= part
 	return f.remaining < 0
 }
 
-// draw returns the same draw whenever the same ID arrives at this server.
+// draw returns the draw for a request ID, which is always the same for one server.
 func (q *QuoteServer) draw(id string) *faultDraw {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%d/%s/%d", q.Salt, id, q.Salt)
 	return &faultDraw{remaining: float64(hash.Sum64()>>11) / (1 << 53)}
 }
 
-// execute waits for a core and occupies it for the service time. It reports whether that came to its end before the
-// client gave up.
+// execute waits for a core and occupies it for the service time. It reports whether the execution completed before the
+// client closed the connection.
 func (q *QuoteServer) execute(ctx context.Context) bool {
 	select {
 	case q.cores <- struct{}{}:
@@ -213,7 +214,7 @@
 	}
 }
 
-// currentServiceTime is ServiceTime, or more during slow start.
+// currentServiceTime returns ServiceTime, or a longer time during slow start.
 func (q *QuoteServer) currentServiceTime() time.Duration {
 	age := time.Since(q.startedAt)
 	if age >= q.SlowStart {
--- a/internal/emulator/fakes/quote_server_test.go
+++ b/internal/emulator/fakes/quote_server_test.go
@@ -73,7 +73,8 @@
 	}
 }
 
-// The draw of a request is the same each time, and the parts of the range are as large as the faults say.
+// TestFaultDraw checks that the draw of a request is always the same, and that each part of the range has the size that
+// hits is called with.
 func TestFaultDraw(t *testing.T) {
 	q, other := &QuoteServer{Salt: 1}, &QuoteServer{Salt: 2}
 	if first, again := *q.draw("r"), *q.draw("r"); first != again {
@@ -84,7 +85,7 @@
 	}
 	draw := faultDraw{remaining: 0.35}
 	if draw.hits(0.1) || draw.hits(0.2) || !draw.hits(0.1) {
-		t.Error("a draw of 0.35 hits another part than that from 0.3 to 0.4")
+		t.Error("a draw of 0.35 did not hit exactly the part from 0.3 to 0.4")
 	}
 }
 
--- a/internal/emulator/fakes/server.go
+++ b/internal/emulator/fakes/server.go
@@ -8,12 +8,12 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// loopbackAddr lets the operating system choose a free port.
+// loopbackAddr is a loopback address for which the operating system chooses a free port.
 const loopbackAddr = "127.0.0.1:0"
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// httpServer is the listener and the HTTP server of one fake. The zero value is not started.
+// httpServer is the HTTP server of one fake. The zero value is a server that has not been started.
 type httpServer struct {
 	server *http.Server
 	addr   string
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// Addr is the host and port that the server listens at.
+// Addr returns the host and port at which the server listens.
 func (h *httpServer) Addr() string { return h.addr }
 
 // Stop closes the listener and all connections at once. It does nothing if the server was not started.
--- a/internal/emulator/faultnet/doc.go
+++ b/internal/emulator/faultnet/doc.go
@@ -1,11 +1,12 @@
-// Package faultnet injects network faults between processes of a test, one direction of one pair at a time.
+// Package faultnet injects network faults between the nodes of a test. Each direction between two nodes is a separate
+// link and can have its own fault.
 //
-// Links is the table of links and their faults. Two networks obey it: Relay forwards datagrams and streams between
-// real processes on loopback; Memory is a network within one process, for simulated time, and a transport of
-// memberlist.
+// Links is the table of links and their faults. Two networks apply it: Relay forwards datagrams and streams between
+// real processes on loopback; Memory is a network within one process, for simulated time, whose endpoints are
+// transports for memberlist.
 //
-// The package imports nothing of this module, and no program that serves imports it: fault tests
-// (internal/emulator/faulttest) and the tests of internal/standalone/fleet/gossip do. Links, Memory and Relay guard
-// their state with a mutex each. A relay owns the goroutines that forward, and waits for them in Close. The tests are
-// here; Memory is tested by package gossip.
+// The package imports no other package of this module. Only fault tests (internal/emulator/faulttest) and the tests of
+// internal/standalone/fleet/gossip import it; production programs do not. Links, Memory and Relay each guard their
+// state with a mutex. A relay owns the goroutines that forward traffic, and waits for them in Close. Tests of Links and
+// Relay are in this package; the tests of package gossip cover Memory.
 package faultnet
--- a/internal/emulator/faultnet/fault.go
+++ b/internal/emulator/faultnet/fault.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// Fault is what a link does to what is sent over it in one direction. The zero value does nothing.
+// Fault describes how a link impairs the traffic in its direction. The zero value means that the link has no fault.
 type Fault struct {
-	// Loss is the share of the datagrams that is lost, from 0 to 1. A stream loses nothing: this share of its chunks
-	// arrives late, as by a retransmission.
+	// Loss is the share of datagrams that are lost, from 0 to 1. Streams lose no data; instead, this share of their
+	// chunks arrives late, as after a retransmission.
 	Loss float64
-	// Delay delays all datagrams and chunks.
+	// Delay is the delay of every datagram and chunk.
 	Delay time.Duration
-	// Jitter is the upper limit of a further delay, which is uniformly distributed.
+	// Jitter is the upper limit of an additional random delay, which is uniformly distributed.
 	Jitter time.Duration
-	// Duplicate is the share of the datagrams that arrives twice, from 0 to 1.
+	// Duplicate is the share of datagrams that arrive twice, from 0 to 1.
 	Duplicate float64
-	// Reorder is the share of the datagrams and chunks that is delayed so long that others overtake it, from 0 to 1.
+	// Reorder is the share of datagrams and chunks, from 0 to 1, that are delayed by an additional 30 ms, so that later
+	// datagrams overtake them.
 	Reorder float64
-	// Cut stops all: datagrams are lost, streams stay open and carry nothing.
+	// Cut stops all traffic: datagrams are lost, and streams stay open but transfer no data.
 	Cut bool
-	// MaxSize is the size of the longest datagram that is not lost, in bytes, as on a path with a small MTU; 0: no
-	// limit.
+	// MaxSize is the maximum size of a datagram in bytes; longer ones are lost, as on a path with a small MTU. 0 means
+	// no limit.
 	MaxSize int
 }
 
 // Validate returns a ShareError or ErrNegative if a field is out of its range.
 func (f Fault) Validate() error {
 	for name, share := range map[string]float64{"loss": f.Loss, "double": f.Duplicate, "reorder": f.Reorder} {
-		if !(share >= 0 && share <= 1) { // nor NaN
+		if !(share >= 0 && share <= 1) { // also rejects NaN
 			return ShareError{name}
 		}
 	}
@@ -35,7 +36,7 @@
 	return nil
 }
 
-// losesAll reports whether a datagram of this size is lost in any case.
+// losesAll reports whether every datagram of this size is lost.
 func (f Fault) losesAll(size int) bool {
 	return f.Cut || f.MaxSize > 0 && size > f.MaxSize
 }
--- a/internal/emulator/faultnet/links.go
+++ b/internal/emulator/faultnet/links.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Protocol is the protocol that a fault is about.
+// Protocol is the kind of traffic that a fault applies to.
 type Protocol uint8
 
-// The protocols. AllProtocols is only for Links.Set.
+// The protocols. AllProtocols is valid only as an argument of Links.Set.
 const (
 	Datagrams Protocol = iota
 	Streams
 	AllProtocols
 )
 
-// AnyNode stands for every node in the name of a link.
+// AnyNode is a wildcard that matches every node as an end of a link.
 const AnyNode = "*"
 
 const (
-	// retransmissionDelay is the delay of a chunk of a stream by the loss of a packet.
+	// retransmissionDelay is the additional delay of a stream's chunk for each simulated retransmission.
 	retransmissionDelay = 200 * time.Millisecond
-	// maxRetransmissions is how often one chunk is retransmitted at most.
+	// maxRetransmissions limits the retransmissions of one chunk, so that a loss of 1 does not delay it forever.
 	maxRetransmissions = 8
-	// reorderDelay is the delay of a datagram that others overtake.
+	// reorderDelay is the additional delay of a datagram or chunk that is to be overtaken by later ones.
 	reorderDelay = 30 * time.Millisecond
 )
 
-// link is one direction between two nodes.
+// link is the traffic of one protocol in one direction between two nodes.
 type link struct {
 	from, to string
 	protocol Protocol
@@ -39,14 +39,14 @@
 	mu      sync.Mutex // guards the fields below
 	rng     *rand.Rand
 	faults  map[link]Fault
-	changed chan struct{} // closed with the next change of faults
+	changed chan struct{} // closed at the next change of faults, and replaced
 	counts  map[link]*Count
 }
 
-// Count is what was sent over a link: datagrams and chunks, those that were lost, and bytes.
+// Count contains the traffic counters of a link: the datagrams and chunks sent, the datagrams lost, and the bytes sent.
 type Count struct{ Sent, Lost, Bytes int64 }
 
-// NewLinks returns a table without faults. The seed determines what is lost, and which delays are drawn.
+// NewLinks returns a table without faults. The seed determines the random losses and delays.
 func NewLinks(seed uint64) *Links {
 	return &Links{
 		rng:     rand.New(rand.NewPCG(seed, 3)),
@@ -56,8 +56,8 @@
 	}
 }
 
-// Set replaces the fault of a link; the zero Fault heals it. from or to may be AnyNode: the fault of a link by its own
-// name has precedence.
+// Set replaces the fault of a link; the zero Fault removes it. from and to may be AnyNode. The fault of a more specific
+// link takes precedence.
 func (l *Links) Set(from, to string, protocol Protocol, fault Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,13 +82,13 @@
 	l.notifyChange()
 }
 
-// notifyChange wakes up the streams that wait at a cut link. The mutex is held.
+// notifyChange wakes up the streams that wait for a cut link. The caller must hold the mutex.
 func (l *Links) notifyChange() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Total returns the sum over all links.
+// Total returns the sum of the counters of all links.
 func (l *Links) Total() (total Count) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,7 +100,8 @@
 	return total
 }
 
-// Datagram sends a datagram over a link, and returns the delay of each copy that arrives; none: it is lost.
+// Datagram counts a datagram that is sent over a link, and returns the delay of each copy that arrives. The result is
+// empty if the datagram is lost.
 func (l *Links) Datagram(from, to string, size int) (copies []time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,8 +118,8 @@
 	return copies
 }
 
-// Transfer sends a chunk of a stream over a link, and returns its delay. If the link is cut, it sends nothing, and
-// returns a channel that is closed when the caller is to try again.
+// Transfer counts a chunk of a stream that is sent over a link, and returns its delay. If the link is cut, it counts
+// nothing and returns a channel, which is closed when the caller should try again.
 func (l *Links) Transfer(from, to string, size int) (delay time.Duration, retry <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,7 +135,8 @@
 	return delay, nil
 }
 
-// fault returns the fault of a link. The mutex is held.
+// fault returns the fault of a link. A fault for both nodes takes precedence over one for the sender alone, followed by
+// one for the receiver alone and one for any nodes. The caller must hold the mutex.
 func (l *Links) fault(of link) Fault {
 	for _, name := range []link{
 		of,
@@ -149,7 +151,7 @@
 	return Fault{}
 }
 
-// delay draws the delay of one datagram or chunk. The mutex is held.
+// delay draws the delay of one datagram or chunk. The caller must hold the mutex.
 func (l *Links) delay(f Fault) time.Duration {
 	delay := f.Delay
 	if f.Jitter > 0 {
@@ -161,7 +163,7 @@
 	return delay
 }
 
-// count counts a datagram or chunk, and returns the link's counters. The mutex is held.
+// count counts a datagram or chunk, and returns the link's counters. The caller must hold the mutex.
 func (l *Links) count(of link, size int) *Count {
 	if l.counts[of] == nil {
 		l.counts[of] = &Count{}
@@ -172,8 +174,8 @@
 	return count
 }
 
-// await transfers a chunk, and returns after its delay; while the link is cut, it waits. It returns false at once when
-// stop receives or is closed.
+// await transfers a chunk and returns true after its delay. While the link is cut, it waits. It returns false as soon
+// as stop delivers a value or is closed.
 func await[T any](l *Links, from, to string, size int, stop <-chan T) bool {
 	for {
 		delay, retry := l.Transfer(from, to, size)
--- a/internal/emulator/faultnet/memory.go
+++ b/internal/emulator/faultnet/memory.go
@@ -10,23 +10,23 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// maxQueuedDatagrams is how many datagrams wait at an end that does not receive them; further ones are lost.
+// maxQueuedDatagrams is the number of datagrams that an endpoint queues until they are received; further ones are lost.
 const maxQueuedDatagrams = 1024
 
 // Memory is a network within one process, without sockets, for simulated time.
 type Memory struct {
 	Links *Links
 
-	mu        sync.Mutex      // guards the fields below
-	ends      map[string]*End // by address
-	addresses int             // that were given out
+	mu        sync.Mutex           // guards the fields below
+	endpoints map[string]*Endpoint // by address
+	addresses int                  // number of addresses that Addr has returned
 }
 
-// NewMemory returns a network without ends.
-func NewMemory(l *Links) *Memory { return &Memory{Links: l, ends: map[string]*End{}} }
+// NewMemory returns a network without endpoints.
+func NewMemory(l *Links) *Memory { return &Memory{Links: l, endpoints: map[string]*Endpoint{}} }
 
-// End is one end of the network: a memberlist.NodeAwareTransport.
-type End struct {
+// Endpoint is a node's access to the network. It implements memberlist.NodeAwareTransport.
+type Endpoint struct {
 	network *Memory
 	name    string
 	addr    string
@@ -34,7 +34,7 @@
 	streams chan net.Conn
 }
 
-// Addr returns an address that no other end has.
+// Addr returns a new address, which no endpoint has.
 func (m *Memory) Addr() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -42,9 +42,9 @@
 	return fmt.Sprintf("10.%d.%d.%d:7946", m.addresses>>16&255, m.addresses>>8&255, m.addresses&255)
 }
 
-// Listen adds an end at an address, in place of one that was there.
-func (m *Memory) Listen(name, addr string) *End {
-	e := &End{
+// Listen adds an endpoint at an address. It replaces an existing endpoint with this address.
+func (m *Memory) Listen(name, addr string) *Endpoint {
+	e := &Endpoint{
 		network: m,
 		name:    name,
 		addr:    addr,
@@ -53,26 +53,26 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ends[addr] = e
+	m.endpoints[addr] = e
 	return e
 }
 
-// end returns the end at an address; nil: there is none.
-func (m *Memory) end(addr string) *End {
+// endpoint returns the endpoint at an address; nil: there is none.
+func (m *Memory) endpoint(addr string) *Endpoint {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.ends[addr]
+	return m.endpoints[addr]
 }
 
-// FinalAdvertiseAddr returns the address that it is given.
-func (e *End) FinalAdvertiseAddr(ip string, port int) (net.IP, int, error) {
+// FinalAdvertiseAddr returns its arguments, because addresses of the network need no translation.
+func (e *Endpoint) FinalAdvertiseAddr(ip string, port int) (net.IP, int, error) {
 	return net.ParseIP(ip), port, nil
 }
 
-// WriteToAddress sends a datagram. It never fails: without an end at the address, or with a full queue there, the
-// datagram is lost, as at a socket.
-func (e *End) WriteToAddress(payload []byte, a memberlist.Address) (time.Time, error) {
-	to := e.network.end(a.Addr)
+// WriteToAddress sends a datagram. It never fails: if there is no endpoint at the address, or its queue is full, the
+// datagram is lost, as with a UDP socket.
+func (e *Endpoint) WriteToAddress(payload []byte, a memberlist.Address) (time.Time, error) {
+	to := e.network.endpoint(a.Addr)
 	if to == nil {
 		return time.Now(), nil
 	}
@@ -80,7 +80,7 @@
 	from := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(e.addr))
 	for _, delay := range e.network.Links.Datagram(e.name, to.name, len(payload)) {
 		time.AfterFunc(delay, func() {
-			if to := e.network.end(a.Addr); to != nil {
+			if to := e.network.endpoint(a.Addr); to != nil {
 				to.receive(&memberlist.Packet{Buf: datagram, From: from, Timestamp: time.Now()})
 			}
 		})
@@ -88,57 +88,57 @@
 	return time.Now(), nil
 }
 
-// receive queues a datagram, if the queue is not full.
-func (e *End) receive(packet *memberlist.Packet) {
+// receive queues a datagram, or drops it if the queue is full.
+func (e *Endpoint) receive(packet *memberlist.Packet) {
 	select {
 	case e.packets <- packet:
 	default:
 	}
 }
 
-// WriteTo is WriteToAddress for an address without a name.
-func (e *End) WriteTo(payload []byte, addr string) (time.Time, error) {
+// WriteTo is like WriteToAddress, for an address without a node name.
+func (e *Endpoint) WriteTo(payload []byte, addr string) (time.Time, error) {
 	return e.WriteToAddress(payload, memberlist.Address{Addr: addr})
 }
 
-// DialAddressTimeout opens a stream, if the links carry in both directions within the timeout. Later faults do not
-// affect it.
-func (e *End) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+// DialAddressTimeout opens a stream. It fails if the links in both directions do not transfer data within the timeout.
+// Faults that are set later do not affect an open stream.
+func (e *Endpoint) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	expired := time.After(timeout)
-	to := e.network.end(a.Addr)
+	to := e.network.endpoint(a.Addr)
 	if to == nil {
-		return nil, fmt.Errorf("faultnet: nobody at %s", a.Addr)
+		return nil, fmt.Errorf("faultnet: no endpoint at %s", a.Addr)
 	}
 	links := e.network.Links
 	if !await(links, e.name, to.name, 0, expired) || !await(links, to.name, e.name, 0, expired) {
-		return nil, fmt.Errorf("faultnet: no connection to %s in %v", a.Addr, timeout)
+		return nil, fmt.Errorf("faultnet: no connection to %s within %v", a.Addr, timeout)
 	}
 	here, there := net.Pipe()
 	select {
 	case to.streams <- there:
 		return here, nil
 	case <-expired:
-		return nil, fmt.Errorf("faultnet: %s takes no connection", a.Addr)
+		return nil, fmt.Errorf("faultnet: %s did not accept the connection in time", a.Addr)
 	}
 }
 
-// DialTimeout is DialAddressTimeout for an address without a name.
-func (e *End) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+// DialTimeout is like DialAddressTimeout, for an address without a node name.
+func (e *Endpoint) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	return e.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-// PacketCh returns the channel of the datagrams that arrive.
-func (e *End) PacketCh() <-chan *memberlist.Packet { return e.packets }
+// PacketCh returns the channel of received datagrams.
+func (e *Endpoint) PacketCh() <-chan *memberlist.Packet { return e.packets }
 
-// StreamCh returns the channel of the streams that others open.
-func (e *End) StreamCh() <-chan net.Conn { return e.streams }
+// StreamCh returns the channel of the streams that other endpoints open to this one.
+func (e *Endpoint) StreamCh() <-chan net.Conn { return e.streams }
 
-// Shutdown removes the end, unless another has its address by now.
-func (e *End) Shutdown() error {
+// Shutdown removes the endpoint from the network, unless another one has replaced it.
+func (e *Endpoint) Shutdown() error {
 	e.network.mu.Lock()
 	defer e.network.mu.Unlock()
-	if e.network.ends[e.addr] == e {
-		delete(e.network.ends, e.addr)
+	if e.network.endpoints[e.addr] == e {
+		delete(e.network.endpoints, e.addr)
 	}
 	return nil
 }
--- a/internal/emulator/faultnet/relay.go
+++ b/internal/emulator/faultnet/relay.go
@@ -10,34 +10,36 @@
 )
 
 const (
-	maxDatagram = 64 << 10 // bytes
-	// portAttempts is how many ports are tried: one that is free for streams may be taken for datagrams.
+	maxDatagram = 64 << 10 // maximum size of a datagram, bytes
+	// portAttempts is the number of ports that are tried, because a port that is free for streams may be in use for
+	// datagrams.
 	portAttempts = 20
-	// acceptRetryInterval is the pause after an accept that failed, so that an error that stays does not busy the CPU.
+	// acceptRetryInterval is the pause after a failed accept, so that a persistent error does not occupy the CPU.
 	acceptRetryInterval = 10 * time.Millisecond
 )
 
-// Relay is a proxy before one node: datagrams and streams to the node arrive at the relay, on one port, and are
-// forwarded as the links between caller and node allow.
+// Relay is a proxy in front of one node. It receives the datagrams and streams to the node on one port, and forwards
+// them subject to the faults of the links between caller and node.
 type Relay struct {
 	node     string
 	links    *Links
 	caller   func(net.Addr) string // returns the node that an address belongs to
 	listener net.Listener
-	packets  net.PacketConn // nil: it forwards streams alone
+	packets  net.PacketConn // nil: the relay forwards only streams
 
 	cancel     context.CancelFunc // ends the forwarding
 	forwarders sync.WaitGroup
 
 	mu       sync.Mutex // guards the fields below
-	target   string     // address of the node; "": it is not listening
-	sourceIP net.IP     // of the streams to the node; nil: any
+	target   string     // address of the node; "": the node is not listening
+	sourceIP net.IP     // local address of the streams to the node; nil: any
 	conns    map[net.Conn]bool
 	closed   bool
 }
 
-// NewRelay listens on loopback for a node, and forwards nothing before SetTarget. caller returns the name of the node
-// that an address belongs to; several goroutines call it. The error is ErrNoPort or one of package net.
+// NewRelay starts a relay on loopback for a node. It forwards nothing until SetTarget is called. caller returns the
+// name of the node that an address belongs to; it must be safe for concurrent use. The error is ErrNoPort or wraps one
+// of package net.
 func NewRelay(node string, links *Links, datagrams bool, caller func(net.Addr) string) (*Relay, error) {
 	r := &Relay{node: node, links: links, caller: caller, conns: map[net.Conn]bool{}}
 	if err := r.listen(datagrams); err != nil {
@@ -72,17 +74,17 @@
 	return ErrNoPort
 }
 
-// Addr returns the address at which others reach the node.
+// Addr returns the address at which other nodes reach the node.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// SetTarget sets the address at which the node listens from now on; "": it does not.
+// SetTarget sets the address at which the node listens; "" means that it is not listening.
 func (r *Relay) SetTarget(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = addr
 }
 
-// SetSourceIP sets the IP address from which streams are forwarded, for nodes that tell callers apart by it.
+// SetSourceIP sets the local IP address of forwarded streams, for nodes that identify callers by their IP address.
 func (r *Relay) SetSourceIP(ip string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,7 +98,7 @@
 	r.closeConns()
 }
 
-// Close closes all open streams, and waits until nothing is forwarded any more.
+// Close stops listening, closes all open streams, and waits until all goroutines that forward traffic have ended.
 func (r *Relay) Close() {
 	r.cancel()
 	r.listener.Close()
@@ -110,14 +112,14 @@
 	r.forwarders.Wait()
 }
 
-// closeConns closes the connections of all streams. The mutex is held.
+// closeConns closes the connections of all streams. The caller must hold the mutex.
 func (r *Relay) closeConns() {
 	for conn := range r.conns {
 		conn.Close()
 	}
 }
 
-// receiveDatagrams forwards datagrams until the relay closes. Those that are still delayed then are lost.
+// receiveDatagrams forwards datagrams until the relay is closed. Datagrams whose delay has not passed by then are lost.
 func (r *Relay) receiveDatagrams() {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -126,7 +128,7 @@
 			return
 		}
 		if err != nil {
-			continue // the system may report that an earlier datagram was not received as an error of the next read
+			continue // the kernel may report an earlier datagram that was not delivered as an error of this read
 		}
 		datagram := append([]byte(nil), buffer[:n]...)
 		for _, delay := range r.links.Datagram(r.caller(from), r.node, n) {
@@ -149,7 +151,7 @@
 	}
 }
 
-// destination returns the address of the node, and the IP address from which streams to it are to come.
+// destination returns the address of the node, and the local IP address for streams to it.
 func (r *Relay) destination() (target string, sourceIP net.IP) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/emulator/faultnet/relay_test.go
+++ b/internal/emulator/faultnet/relay_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-const maxWait = 20 * time.Second // for what is to arrive
+const maxWait = 20 * time.Second // for expected data to arrive
 
-// startNode listens for streams, which it echoes, and for datagrams on the same port of loopback.
+// startNode listens on one loopback port for streams, which it echoes, and for datagrams, which the caller reads.
 func startNode(t *testing.T) (addr string, datagrams net.PacketConn) {
 	t.Helper()
 	listener, datagrams := listenBoth(t)
@@ -53,7 +53,7 @@
 	return nil, nil
 }
 
-// startRelay starts a relay before node "b" for the caller "a".
+// startRelay starts a relay in front of node "b"; all its callers are node "a".
 func startRelay(t *testing.T, links *Links, target string) *Relay {
 	t.Helper()
 	relay, err := NewRelay("b", links, true, func(net.Addr) string { return "a" })
@@ -65,7 +65,7 @@
 	return relay
 }
 
-// TestRelay checks that a relay carries as its links allow, in each direction for itself.
+// TestRelay checks that a relay applies the faults of its links, separately in each direction.
 func TestRelay(t *testing.T) {
 	links := NewLinks(1)
 	target, datagrams := startNode(t)
@@ -79,14 +79,14 @@
 	})
 }
 
-// testStreams checks that a stream over a cut stays open, and continues once the link is healed.
+// testStreams checks that a stream stays open while its link is cut, and continues once the link is restored.
 func testStreams(t *testing.T, links *Links, relay *Relay) {
 	conn, err := net.Dial("tcp4", relay.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	// echo sends a text, and returns what comes back of as many bytes in time.
+	// echo sends a text, and returns the bytes echoed within the timeout, at most as many as were sent.
 	echo := func(text string, timeout time.Duration) string {
 		conn.SetDeadline(time.Now().Add(timeout))
 		io.WriteString(conn, text)
@@ -102,9 +102,9 @@
 		t.Errorf("got %q over a cut link, want nothing", got)
 	}
 	links.Heal()
-	// the first byte of "two", which was delayed
+	// The first byte received is that of "two", which the cut link delayed.
 	if got := echo("", time.Second) + echo("x", maxWait); got != "t" {
-		t.Errorf("got %q from the healed link, want %q", got, "t")
+		t.Errorf("got %q from the restored link, want %q", got, "t")
 	}
 }
 
@@ -118,7 +118,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// arrivals sends a datagram and then another on the same way: what has not arrived before that is lost.
+	// arrivals sends a datagram and then a final one over the same link, and returns the number of datagrams that
+	// arrive before the final one. A datagram that has not arrived by then is lost.
 	arrivals := func(text string) (n int) {
 		t.Helper()
 		const last = "."
@@ -141,12 +142,12 @@
 	}
 	links.Set("a", AnyNode, Datagrams, Fault{MaxSize: 3})
 	if got := arrivals("too long"); got != 0 {
-		t.Errorf("with a limit of their size: got %d arrivals, want 0", got)
+		t.Errorf("above the maximum size: got %d arrivals, want 0", got)
 	}
 	links.Set("a", "b", Datagrams, Fault{Duplicate: 1})
 	for range 2 {
 		if copies := links.Datagram("a", "b", 9); len(copies) != 2 {
-			t.Errorf("got %d copies of a doubled datagram, want 2", len(copies))
+			t.Errorf("got %d copies of a duplicated datagram, want 2", len(copies))
 		}
 	}
 }
--- a/internal/emulator/faultnet/stream.go
+++ b/internal/emulator/faultnet/stream.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	chunkSize   = 16 << 10 // bytes of a stream that are forwarded at once
-	dialTimeout = 2 * time.Second
+	chunkSize   = 16 << 10        // maximum size of a chunk, which is forwarded in one write, bytes
+	dialTimeout = 2 * time.Second // for a connection to the node
 )
 
-// acceptStreams forwards streams until the relay closes.
+// acceptStreams accepts and forwards streams until the relay is closed.
 func (r *Relay) acceptStreams(ctx context.Context) {
 	for {
 		conn, err := r.listener.Accept()
@@ -29,7 +29,8 @@
 	}
 }
 
-// track remembers a connection, to be closed with the relay. It closes it and returns false if the relay has closed.
+// track registers a connection, which is then closed with the relay. If the relay is already closed, track closes the
+// connection and returns false.
 func (r *Relay) track(conn net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -41,7 +42,7 @@
 	return true
 }
 
-// release closes a connection that is tracked.
+// release closes a tracked connection, and stops tracking it.
 func (r *Relay) release(conn net.Conn) {
 	conn.Close()
 	r.mu.Lock()
@@ -49,8 +50,8 @@
 	delete(r.conns, conn)
 }
 
-// forwardStream forwards one stream until both directions have ended. While a link is cut, the stream is open and
-// carries nothing.
+// forwardStream forwards one stream until both directions have ended. While a link is cut, the stream stays open and
+// transfers no data.
 func (r *Relay) forwardStream(ctx context.Context, client net.Conn) {
 	if !r.track(client) {
 		return
@@ -61,7 +62,7 @@
 	if target == "" {
 		return
 	}
-	// a handshake takes both directions
+	// The connection is established only when both directions transfer data, as a TCP handshake requires.
 	if !await(r.links, caller, r.node, 0, ctx.Done()) || !await(r.links, r.node, caller, 0, ctx.Done()) {
 		return
 	}
@@ -80,8 +81,8 @@
 	directions.Wait()
 }
 
-// copy forwards one direction of a stream to its end. That its reader gave up meanwhile is noticed once the link
-// carries again, as on a real one.
+// copy forwards one direction of a stream until it ends. If the reader closes its connection while the link is cut,
+// copy detects this only after the link is restored, as on a real network.
 func (r *Relay) copy(ctx context.Context, from, to string, in, out net.Conn) {
 	buffer := make([]byte, chunkSize)
 	for {
