--- a/internal/emulator/loopback/attempt.go
+++ b/internal/emulator/loopback/attempt.go
@@ -18,14 +18,20 @@
 )
 
 const (
-	maxRequestBody = 3000             // bytes
-	maxRetryAfter  = 60               // seconds
-	maxIdleTime    = 14 * time.Second // that a client keeps a connection for
-	idleMargin     = 0.2              // seconds that a client stops using a connection before the timeout of its peer
-	closeWait      = 5 * time.Millisecond
+	maxRequestBodyBytes = 3000             // upper limit, not reached, of the size of a request body
+	maxRetryAfter       = 60               // longest wait that a Retry-After field may cause, seconds
+	maxIdleTime         = 14 * time.Second // time for which a client keeps an idle connection at most
+
+	// idleMargin is the time in seconds before the peer's idle timeout at which a client stops using a connection, so
+	// that it sends no request while the peer closes the connection.
+	idleMargin = 0.2
+
+	// resetWait is the time for which a client waits for the reset that may follow the end of a stream.
+	resetWait = 5 * time.Millisecond
 )
 
-// attempt makes one attempt and records it; retryAfter is what the answer advises.
+// attempt makes one attempt and records it; retryAfter is the value of the answer's Retry-After field, or 0 if there is
+// none.
 func (cl *cluster) attempt(
 	request *clientRequest,
 	n int,
@@ -68,7 +74,7 @@
 	return t, retryAfter
 }
 
-// drawAttempt draws what an attempt sends, but for its connection.
+// drawAttempt draws the content of an attempt's request.
 func (cl *cluster) drawAttempt(
 	request *clientRequest,
 	left time.Duration,
@@ -93,13 +99,13 @@
 	}
 	if class.atMostOnce {
 		t.Method = http.MethodPost
-		body = uniqueBody(t.ID, rng.IntN(maxRequestBody))
+		body = uniqueBody(t.ID, rng.IntN(maxRequestBodyBytes))
 	}
 	t.Body = checksum(body)
 	return t, body
 }
 
-// connect returns the user's idle connection, where the first attempt may use it, or a new one.
+// connect returns the user's idle connection if this is a first attempt that may use it, and a new one otherwise.
 func (cl *cluster) connect(
 	request *clientRequest,
 	n int,
@@ -119,8 +125,8 @@
 	return dialEdge(edge, min(maxConnectTime, left))
 }
 
-// drawMessage encodes an attempt as HTTP/1.1. Some messages claim a tenant, which the proxy has to ignore; some bodies
-// are chunked.
+// drawMessage encodes an attempt as an HTTP/1.1 request. Some requests claim a tenant in a header field, which the
+// proxy must ignore, and some bodies are chunked.
 func drawMessage(t *invariants.Attempt, body []byte, left time.Duration, closing bool, rng *rand.Rand) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", t.Method, t.Target, t.Host)
@@ -148,7 +154,8 @@
 	return b.Bytes()
 }
 
-// readResponse reads an answer into t. The connection may be kept until c.idleUntil; zero: it may not.
+// readResponse reads an answer and records it in t. It sets c.idleUntil to the time until which the connection may be
+// kept, or to zero if it must not be kept.
 func (cl *cluster) readResponse(c *clientConn, t *invariants.Attempt) (retryAfter time.Duration, err error) {
 	c.idleUntil = time.Time{}
 	if _, err := c.reader.Peek(1); err != nil {
@@ -173,7 +180,7 @@
 	}
 	t.Sum = checksum(body)
 	if t.Seal == "" && !t.Probe {
-		cl.countOwnAnswer(t.Status, body)
+		cl.countGatewayAnswer(t.Status, body)
 	}
 	if idle := idleTime(r.Header); idle > 0 && !r.Close {
 		c.idleUntil = time.Now().Add(idle)
@@ -181,7 +188,7 @@
 	return parseRetryAfter(r.Header), nil
 }
 
-// parseRetryAfter returns the time of a Retry-After field in seconds; 0: there is none.
+// parseRetryAfter returns the duration of a Retry-After field, which is in seconds; 0: there is none.
 func parseRetryAfter(h http.Header) time.Duration {
 	advised, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	if err == nil && advised > 0 {
@@ -190,7 +197,7 @@
 	return 0
 }
 
-// idleTime returns how long a client keeps a connection, at most for the time that the peer's Keep-Alive field states.
+// idleTime returns how long a client keeps an idle connection. It is limited by the peer's Keep-Alive field.
 func idleTime(h http.Header) time.Duration {
 	_, parameters, ok := strings.Cut(h.Get("Keep-Alive"), "timeout=")
 	if !ok {
@@ -204,7 +211,7 @@
 	return min(maxIdleTime, seconds(max(0, timeout-idleMargin)))
 }
 
-// endingOf returns how an attempt ended whose connection failed with err.
+// endingOf returns the ending of an attempt whose connection failed with err.
 func endingOf(err error) invariants.Ending {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return invariants.TimedOut
@@ -212,27 +219,28 @@
 	return invariants.Truncated
 }
 
-// isConnEnd tells whether reading failed because the connection ended, rather than by what was read.
+// isConnEnd reports whether reading failed because the connection ended, and not because the data was malformed.
 func isConnEnd(err error) bool {
 	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// closedUnread tells whether the machine closed the connection without having read the request: its kernel resets such
-// a connection, perhaps only after the end of the stream has arrived here.
+// closedUnread reports whether the machine closed the connection without having read the request. The kernel of the
+// machine resets such a connection, possibly only after the end of the stream has arrived here. Therefore closedUnread
+// waits for a short time and tries to write.
 func (cl *cluster) closedUnread(conn *net.TCPConn, err error) bool {
 	if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		return true
 	}
-	cl.sleep(closeWait)
+	cl.sleep(resetWait)
 	conn.SetWriteDeadline(time.Now().Add(time.Second))
 	_, err = conn.Write([]byte("\r\n"))
 	return err != nil
 }
 
-// countOwnAnswer counts an answer that no server gave, by status and the first line of its text.
-func (cl *cluster) countOwnAnswer(status int, text []byte) {
+// countGatewayAnswer counts an answer that the gateway itself generated, by status and the first line of its text.
+func (cl *cluster) countGatewayAnswer(status int, text []byte) {
 	line, _, _ := strings.Cut(string(text), "\n")
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	cl.ownAnswers[fmt.Sprintf("%d %.100s", status, line)]++
+	cl.gatewayAnswers[fmt.Sprintf("%d %.100s", status, line)]++
 }
--- a/internal/emulator/loopback/client.go
+++ b/internal/emulator/loopback/client.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	maxRetries     = 2 // of a client, after its first attempt
-	initialBackoff = 30 * time.Millisecond
-	minTimeLeft    = 20 * time.Millisecond // for a retry
+	maxRetries     = 2                     // maximum number of retries after the first attempt
+	initialBackoff = 30 * time.Millisecond // before the first retry; it doubles for each further one
+	minTimeLeft    = 20 * time.Millisecond // minimum time left until the deadline for a retry to be made
 )
 
-// clientUser is a client. It is in a zone, and may keep an idle connection.
+// clientUser is a simulated client in a zone. It may keep one idle connection.
 type clientUser struct {
 	number int
 	zone   int
@@ -31,12 +31,12 @@
 	route      *route
 	key        string
 	user       *clientUser
-	canaryEdge *machine // the request goes there, once only; nil: where the platform sends it
+	canaryEdge *machine // target of a canary, which is sent only once; nil: the platform chooses the machine
 	keepAlive  bool
 	startedAt  time.Time
 }
 
-// sendWithRetries carries out a request with its attempts, as PROTOCOL.md says under "Answers".
+// sendWithRetries sends a request and retries it as specified in section "Answers" of PROTOCOL.md.
 func (cl *cluster) sendWithRetries(request *clientRequest, rng *rand.Rand) {
 	backoff := initialBackoff
 	for n := 0; ; n++ {
@@ -59,8 +59,8 @@
 
 func (c *clientRequest) timeLeft() time.Duration { return c.class.deadline - time.Since(c.startedAt) }
 
-// mayRetry tells whether the outcome of an attempt allows another: an at-most-once request needs a proof that the last
-// one was not executed.
+// mayRetry reports whether the result of an attempt allows another one. An at-most-once request may be retried only if
+// the last attempt was provably not executed.
 func (c *clientRequest) mayRetry(t *invariants.Attempt) bool {
 	if c.canaryEdge != nil || isFinal(t) {
 		return false
@@ -68,7 +68,7 @@
 	return !c.class.atMostOnce || isRejected(t) || t.End == invariants.NotConnected
 }
 
-// finalStatuses are answers, besides success, that a retry cannot change.
+// finalStatuses contains the statuses, besides success, that a retry cannot change.
 var finalStatuses = []int{
 	http.StatusBadRequest,
 	http.StatusUnauthorized,
@@ -78,7 +78,7 @@
 	http.StatusRequestHeaderFieldsTooLarge,
 }
 
-// rejectionStatuses are answers that prove that an attempt was not executed.
+// rejectionStatuses contains the statuses that prove that an attempt was not executed.
 var rejectionStatuses = []int{
 	http.StatusRequestTimeout,
 	http.StatusMisdirectedRequest,
@@ -86,7 +86,7 @@
 	http.StatusServiceUnavailable,
 }
 
-// isFinal tells whether an attempt was answered with success or one of the finalStatuses.
+// isFinal reports whether an attempt was answered with success or one of the finalStatuses.
 func isFinal(t *invariants.Attempt) bool {
 	if t.End != invariants.Answered {
 		return false
@@ -94,7 +94,7 @@
 	return t.Status/100 == 2 || slices.Contains(finalStatuses, t.Status)
 }
 
-// isRejected tells whether an attempt was answered with one of the rejectionStatuses.
+// isRejected reports whether an attempt was answered with one of the rejectionStatuses.
 func isRejected(t *invariants.Attempt) bool {
 	return t.End == invariants.Answered && slices.Contains(rejectionStatuses, t.Status)
 }
--- a/internal/emulator/loopback/clientconn.go
+++ b/internal/emulator/loopback/clientconn.go
@@ -11,18 +11,18 @@
 	"mulleinrouter/internal/emulator/invariants"
 )
 
-const maxConnectTime = time.Second // for a new connection to come up
+const maxConnectTime = time.Second // for establishing a new connection
 
-// clientConn is a connection of a client to an edge machine. One attempt at a time uses it.
+// clientConn is a connection of a client to an edge machine. It is used by one attempt at a time.
 type clientConn struct {
 	conn        *net.TCPConn
 	reader      *bufio.Reader
 	edge        *machine
-	idleUntil   time.Time // zero: it may not be kept
+	idleUntil   time.Time // zero: the connection must not be kept
 	lastAttempt *invariants.Attempt
 }
 
-// dialEdge opens a connection to the port for clients of an edge machine.
+// dialEdge opens a connection to the client port of an edge machine.
 func dialEdge(edge *machine, timeout time.Duration) (*clientConn, error) {
 	conn, err := net.DialTimeout("tcp4", edge.address(edge.cluster.ports.front), timeout)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return &clientConn{conn: conn.(*net.TCPConn), reader: bufio.NewReader(conn), edge: edge}, nil
 }
 
-// pendingInput tells whether there are bytes behind the last answer, and whether the connection has been closed.
+// pendingInput reports whether there are bytes after the last answer, and whether the connection has been closed.
 func (c *clientConn) pendingInput() (surplus, closed bool) {
 	if c.reader.Buffered() > 0 {
 		return true, false
@@ -50,7 +50,7 @@
 	return surplus, closed
 }
 
-// closeConn closes a connection, and records bytes that came behind its last answer. A nil connection is ignored.
+// closeConn closes a connection, and records whether bytes arrived after its last answer. A nil connection is ignored.
 func (cl *cluster) closeConn(c *clientConn) {
 	if c == nil {
 		return
@@ -61,7 +61,7 @@
 	c.conn.Close()
 }
 
-// keepConn makes a connection the idle one of a user, in place of the one that it had.
+// keepConn stores a connection as the idle one of a user, and closes the one that it replaces.
 func (cl *cluster) keepConn(u *clientUser, c *clientConn) {
 	u.mu.Lock()
 	replaced := u.idle
@@ -70,7 +70,7 @@
 	cl.closeConn(replaced)
 }
 
-// takeIdleConn takes the idle connection of a user; nil: there is none that may still be used.
+// takeIdleConn removes and returns the idle connection of a user; nil: there is none that can still be used.
 func (cl *cluster) takeIdleConn(u *clientUser) *clientConn {
 	u.mu.Lock()
 	c := u.idle
--- a/internal/emulator/loopback/cluster.go
+++ b/internal/emulator/loopback/cluster.go
@@ -14,8 +14,8 @@
 	"mulleinrouter/internal/emulator/invariants"
 )
 
-// Streams of random numbers, derived from the seed of a run. Streams from firstClassStream on are those of the request
-// classes; servers have the seed with their serial number.
+// Identifiers of random number streams that are derived from the seed of a run. The request classes have consecutive
+// streams that begin with firstClassStream. A server uses its serial number as the identifier.
 const (
 	clusterStream    = 0
 	operatorStream   = 1
@@ -24,7 +24,7 @@
 	startupStream    = 99
 )
 
-// Streams of random numbers, derived from a number that is drawn for each request.
+// Identifiers of random number streams that are derived from a number drawn for each request.
 const (
 	requestStream       = 1
 	canaryRequestStream = 2
@@ -34,8 +34,8 @@
 type cluster struct {
 	options      Options
 	launcher     *launcher
-	linkFaults   bool // the schedule has faults that cut links
-	serving      bool // for people: see Serve
+	linkFaults   bool // the schedule contains faults that cut links
+	interactive  bool // set by Serve: the servers' responses are meant to be read by people
 	ports        ports
 	core         []*machine
 	edge         []*machine
@@ -44,47 +44,47 @@
 	trafficStart invariants.Seconds
 
 	lifetime   context.Context // ends when the run is over
-	traffic    context.Context // ends with the traffic, before lifetime
-	background sync.WaitGroup  // servers and the platform; they end with lifetime
-	clients    sync.WaitGroup  // they end with traffic
-	faultRuns  sync.WaitGroup  // they end with traffic
+	traffic    context.Context // ends when the traffic ends, before lifetime
+	background sync.WaitGroup  // goroutines of servers, processes and the platform, which end with lifetime
+	clients    sync.WaitGroup  // goroutines of clients, which end with traffic
+	faultRuns  sync.WaitGroup  // goroutines that inject faults, which end with traffic
 
-	httpClient *http.Client // for calls of servers, the operator and the platform
+	httpClient *http.Client // used by servers, the operator and the platform
 	operator   *operator
 	services   map[string]serviceSpec
 	classes    []*requestClass
 	tenants    []*tenant
 	users      []*clientUser
 
-	serial           atomic.Int64 // of servers and their responses
-	inFlight         atomic.Int64 // requests of clients
-	healthChecks     atomic.Int64 // that servers received
+	serial           atomic.Int64 // last serial number of a server or of a response
+	inFlight         atomic.Int64 // number of requests of clients in progress
+	healthChecks     atomic.Int64 // number of health checks that servers received
 	hotTenant        atomic.Pointer[tenant]
-	lastAcknowledger atomic.Pointer[machine] // the core node that acknowledged a change last
+	lastAcknowledger atomic.Pointer[machine] // core node that acknowledged the latest change
 	changeLatencies  latencies
-	finished         [Failed + 1]atomic.Int64 // requests of clients, by Outcome
-	lastFault        atomic.Pointer[Fault]    // that was injected
-
-	mu         sync.Mutex // guards the fields below and the links of all machines
-	rng        *rand.Rand
-	servers    []*server
-	edgeHealth []edgeHealth // by the index in edge
-	live       map[*requestClass][]*route
-	canaries   []canary
-	ownAnswers map[string]int // answers that the system gave itself, by status and text
-	diskLost   *machine       // whose disk was lost last
-	diskLostAt invariants.Seconds
+	finished         [Failed + 1]atomic.Int64 // number of requests of clients, by Outcome
+	lastFault        atomic.Pointer[Fault]    // last fault that was injected
+
+	mu             sync.Mutex // guards the fields below and the links of all machines
+	rng            *rand.Rand
+	servers        []*server
+	edgeHealth     []edgeHealth // by index in edge
+	live           map[*requestClass][]*route
+	canaries       []canary
+	gatewayAnswers map[string]int // number of answers that the gateway itself generated, by status and text
+	diskLost       *machine       // machine that lost its disk last
+	diskLostAt     invariants.Seconds
 }
 
-// newCluster returns a cluster with no machines yet. The options are complete.
+// newCluster returns a cluster without machines. The options must be complete.
 func newCluster(o Options, transport http.RoundTripper) *cluster {
 	cl := &cluster{
-		options:    o,
-		startedAt:  time.Now(),
-		rng:        rand.New(rand.NewPCG(o.Seed, clusterStream)),
-		live:       map[*requestClass][]*route{},
-		ownAnswers: map[string]int{},
-		httpClient: &http.Client{Transport: transport, CheckRedirect: limitRedirects},
+		options:        o,
+		startedAt:      time.Now(),
+		rng:            rand.New(rand.NewPCG(o.Seed, clusterStream)),
+		live:           map[*requestClass][]*route{},
+		gatewayAnswers: map[string]int{},
+		httpClient:     &http.Client{Transport: transport, CheckRedirect: limitRedirects},
 	}
 	cl.recorder.log.Closing = invariants.Never
 	cl.linkFaults = slices.ContainsFunc(o.Faults, Fault.cutsLinks)
@@ -92,7 +92,7 @@
 	return cl
 }
 
-// maxRedirects is how many times one call of a server or an operator follows a redirect.
+// maxRedirects is the maximum number of redirects that one call of a server or an operator follows.
 const maxRedirects = 2
 
 func limitRedirects(_ *http.Request, via []*http.Request) error {
@@ -122,17 +122,17 @@
 	return cl.rng.IntN(n)
 }
 
-// liveRoutes returns the routes that clients send requests of a class to.
+// liveRoutes returns the routes to which clients send requests of a class.
 func (cl *cluster) liveRoutes(c *requestClass) []*route {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	return slices.Clone(cl.live[c])
 }
 
-// sleep waits for a time, or until the run is over.
+// sleep waits for a duration, or until the run is over.
 func (cl *cluster) sleep(d time.Duration) { sleepContext(cl.lifetime, d) }
 
-// sleepInTraffic waits for a time, or until the traffic ends; running tells whether it goes on.
+// sleepInTraffic waits for a duration, or until the traffic ends; running reports whether the traffic continues.
 func (cl *cluster) sleepInTraffic(d time.Duration) (running bool) {
 	sleepContext(cl.traffic, d)
 	return cl.traffic.Err() == nil
@@ -147,7 +147,7 @@
 	}
 }
 
-// machineName returns the name of the machine with an address; the address where there is none.
+// machineName returns the name of the machine with an IP address, or the address itself if there is no such machine.
 func (cl *cluster) machineName(ip string) string {
 	for _, m := range cl.machines() {
 		if m.ip == ip {
@@ -157,7 +157,7 @@
 	return ip
 }
 
-// processLogs returns the end of each process's log.
+// processLogs returns the last part of each process's log.
 func (cl *cluster) processLogs() string {
 	var b strings.Builder
 	for _, m := range cl.machines() {
--- a/internal/emulator/loopback/configfaults.go
+++ b/internal/emulator/loopback/configfaults.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	configChanges   = 4 // that the fault "config" makes
-	changeInterval  = 300 * time.Millisecond
-	invalidInterval = 100 * time.Millisecond
-	hotTime         = 6 * time.Second
-	hotTenants      = 2 // of the heaviest, one of which becomes hot
+	configChanges   = 4                      // number of changes that the fault "config" makes
+	changeInterval  = 300 * time.Millisecond // between two of these changes
+	invalidInterval = 100 * time.Millisecond // between two invalid configurations
+	hotTime         = 6 * time.Second        // time for which a tenant is hot
+	hotTenants      = 2                      // number of tenants, those with the highest weights, that can become hot
 )
 
 func changeConfig(cl *cluster, _ int) {
@@ -25,8 +25,8 @@
 	}
 }
 
-// changeRoute makes one change by chance: it moves one of the first two routes of a class to another service or back,
-// splits it over both, removes a route that was added, or adds one.
+// changeRoute makes one random change. It moves one of the first two routes of a class to another service or back,
+// splits it between both services, removes a route that was added, or adds a route.
 func (cl *cluster) changeRoute(c *requestClass) {
 	list := cl.liveRoutes(c)
 	r := list[cl.intn(2)]
@@ -48,13 +48,13 @@
 	}
 }
 
-// submitRoute submits an item of a route and sends canaries to the route from then on.
+// submitRoute submits an item of a route, and adds the route to the canaries.
 func (cl *cluster) submitRoute(r *route, i item) {
 	cl.operator.submit(i)
 	cl.addCanaries(canary{route: r})
 }
 
-// splitItem returns the item of a route whose requests go to both services of its class.
+// splitItem returns the item of a route whose requests are split between both services of its class.
 func (r *route) splitItem() item {
 	body := r.body("")
 	body.Weighted = []weightedService{
@@ -64,7 +64,7 @@
 	return r.itemOf(body)
 }
 
-// removeRoute removes a route; clients stop using it before.
+// removeRoute removes a route, after the clients have stopped using it.
 func (cl *cluster) removeRoute(removed *route) {
 	c := removed.class
 	cl.mu.Lock()
@@ -74,7 +74,7 @@
 	cl.operator.submit(item{section: routesSection, name: removed.name})
 }
 
-// addRoute adds a route; clients use it once it has to be in force.
+// addRoute adds a route. Clients use it as soon as the bounds require it to be in force.
 func (cl *cluster) addRoute(c *requestClass) {
 	n := cl.intn(1 << 16)
 	added := &route{
@@ -97,7 +97,7 @@
 	})
 }
 
-// raceOperators has two operators change a route at the same time, under one version, at two nodes.
+// raceOperators simulates two operators that change a route concurrently, with the same version, at two nodes.
 func raceOperators(cl *cluster, _ int) {
 	c := cl.classes[0]
 	r := cl.liveRoutes(c)[0]
@@ -110,7 +110,8 @@
 	both.Wait()
 }
 
-// invalidations returns changes to the body of a valid route, each of which makes it invalid; taken is another route.
+// invalidations returns functions that each make the body of a valid route invalid. taken is an existing route, whose
+// host and prefix must not be used again.
 func invalidations(taken *route) []func(*routeBody) {
 	return []func(*routeBody){
 		func(b *routeBody) { b.Backend = "nosuch" },
@@ -122,8 +123,8 @@
 	}
 }
 
-// sendInvalidConfig sends invalid configurations; each has a valid route too, which would be served if any part of
-// the configuration took effect.
+// sendInvalidConfig sends invalid configurations. Each also contains a valid route, so that canaries detect whether any
+// part of the configuration took effect.
 func sendInvalidConfig(cl *cluster, _ int) {
 	c := cl.classes[0]
 	for n, invalidate := range invalidations(cl.liveRoutes(c)[0]) {
@@ -146,8 +147,8 @@
 	}
 }
 
-// revokeKey replaces the first key of a tenant. Until the new keys have to be in force, clients use one that is in
-// both sets.
+// revokeKey replaces the first key of a tenant. Until the bounds require the new keys to be in force, clients use a key
+// that is in both the old and the new set.
 func revokeKey(cl *cluster, target int) {
 	t := cl.tenants[target%len(cl.tenants)]
 	added := fmt.Sprintf("knew%x", cl.intn(1<<30))
--- a/internal/emulator/loopback/deployment.go
+++ b/internal/emulator/loopback/deployment.go
@@ -11,48 +11,49 @@
 )
 
 const (
-	zones       = 3
-	clientCount = 60
-	tenantCount = 6
+	zones       = 3  // number of zones
+	clientCount = 60 // number of simulated clients
+	tenantCount = 6  // number of tenants
 
-	coreHostOffset = 100 // of the last byte of core nodes' addresses
+	// coreHostOffset is added to the last byte of the addresses of core nodes, so that they differ from edge machines.
+	coreHostOffset = 100
 )
 
 func zoneName(z int) string { return fmt.Sprintf("hall-%c", 'a'+z) }
 
-// serviceSpec is what servers of a service have in common.
+// serviceSpec contains the properties shared by all servers of a service.
 type serviceSpec struct {
-	slots     int // requests that a server executes at a time
-	instances int
-	meanWork  time.Duration // of a request
+	slots     int           // number of requests that a server executes concurrently
+	instances int           // number of servers at the start
+	meanWork  time.Duration // mean execution time of a request
 }
 
-// requestClass is a kind of requests.
+// requestClass is a class of requests with the same rate, service and latency requirements.
 type requestClass struct {
 	name          string
 	atMostOnce    bool
-	rate          float64 // a second, at load 1
-	service       string
-	alternate     string // service that configuration changes move routes to
-	latencyTarget time.Duration
-	deadline      time.Duration
+	rate          float64       // requests per second at load 1
+	service       string        // service of the routes at the start
+	alternate     string        // service that configuration changes move routes to
+	latencyTarget time.Duration // a request served within this time counts as in time
+	deadline      time.Duration // for a request over all its attempts
 }
 
-// route is a route that clients send requests to.
+// route is a route of the gateway to which clients send requests.
 type route struct {
 	name   string
 	host   string
 	prefix string
 	class  *requestClass
-	public bool // served without a key too
+	public bool // requests without an API key are served, too
 }
 
-// tenant is a customer whose keys clients use.
+// tenant is a customer of the gateway. Clients use its API keys.
 type tenant struct {
 	name   string
-	weight float64 // part of all requests; 1 over all tenants
-	rate   float64 // quota in requests a second
-	burst  float64 // requests
+	weight float64 // share of all requests; the weights of all tenants add up to 1
+	rate   float64 // quota, requests per second
+	burst  float64 // burst allowance of the quota, requests
 
 	mu   sync.Mutex // guards keys
 	keys []string
@@ -64,22 +65,22 @@
 	return t.keys[rng.IntN(len(t.keys))]
 }
 
-// layOut creates machines with their folders, services, classes, routes, tenants and users. It draws from the
-// cluster's random numbers, so the order of its steps is part of what a seed means.
-func (cl *cluster) layOut() error {
-	if err := cl.layOutMachines(); err != nil {
+// createTopology creates the machines with their folders, the services, classes, routes, tenants and users. It draws
+// from the cluster's random numbers, so a change in the order of its steps changes the result for a given seed.
+func (cl *cluster) createTopology() error {
+	if err := cl.createMachines(); err != nil {
 		return err
 	}
-	cl.layOutClasses()
-	cl.layOutRoutes()
-	cl.layOutTenants()
+	cl.createClasses()
+	cl.createRoutes()
+	cl.createTenants()
 	for n := range clientCount {
 		cl.users = append(cl.users, &clientUser{number: n, zone: cl.rng.IntN(zones)})
 	}
 	return nil
 }
 
-func (cl *cluster) layOutMachines() error {
+func (cl *cluster) createMachines() error {
 	for n := range cl.options.CoreMachines {
 		cl.core = append(cl.core, cl.newCoreMachine(n))
 	}
@@ -92,9 +93,9 @@
 		ips = append(ips, m.ip)
 	}
 	var err error
-	// Other runs may go on on this machine: the ports are drawn by chance, not by the seed.
-	chance := rand.New(rand.NewPCG(uint64(os.Getpid()), uint64(time.Now().UnixNano())))
-	if cl.ports, err = choosePorts(cl.options.FirstPort, chance, ips); err != nil {
+	// The ports do not depend on the seed, because other runs may be in progress on this machine.
+	portRNG := rand.New(rand.NewPCG(uint64(os.Getpid()), uint64(time.Now().UnixNano())))
+	if cl.ports, err = choosePorts(cl.options.FirstPort, portRNG, ips); err != nil {
 		return err
 	}
 	for _, m := range cl.machines() {
@@ -115,7 +116,7 @@
 	return cl.newMachine("edge", n, 0, agentProgram, proxyProgram)
 }
 
-// newMachine returns the nth machine of a kind, from 0. Machines of a kind go round the zones.
+// newMachine returns the nth machine of a kind, counted from 0. Machines of a kind are assigned to the zones in turn.
 func (cl *cluster) newMachine(kind string, n, hostOffset int, programs ...string) *machine {
 	zone := n % zones
 	m := &machine{
@@ -131,7 +132,7 @@
 	return m
 }
 
-// createFiles creates a machine's folders and the files that its processes read.
+// createFiles creates the folders of a machine and the files that its processes read.
 func (m *machine) createFiles() error {
 	if err := os.MkdirAll(m.dir, 0o700); err != nil {
 		return err
@@ -144,12 +145,12 @@
 	return cmp.Or(m.writeSettings(true), m.writeLinks())
 }
 
-// drawName draws a name that no two seeds are likely to share.
+// drawName draws a name that is unlikely to be drawn with another seed.
 func (cl *cluster) drawName(prefix string) string {
 	return fmt.Sprintf("%s%04x", prefix, cl.rng.Uint32N(1<<16))
 }
 
-func (cl *cluster) layOutClasses() {
+func (cl *cluster) createClasses() {
 	lookup := cl.drawName("look")
 	notes := cl.drawName("note")
 	files := cl.drawName("file")
@@ -188,8 +189,8 @@
 	}
 }
 
-// layOutRoutes gives each class two routes.
-func (cl *cluster) layOutRoutes() {
+// createRoutes gives each class two routes.
+func (cl *cluster) createRoutes() {
 	for _, c := range cl.classes {
 		for n := range 2 {
 			r := &route{
@@ -204,8 +205,8 @@
 	}
 }
 
-// layOutTenants creates tenants of falling weight, each with a quota above what it usually sends.
-func (cl *cluster) layOutTenants() {
+// createTenants creates tenants with decreasing weights. Each has a quota above its usual rate of requests.
+func (cl *cluster) createTenants() {
 	rate, weights := 0.0, 0.0
 	for _, c := range cl.classes {
 		rate += c.rate
--- a/internal/emulator/loopback/errors.go
+++ b/internal/emulator/loopback/errors.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// ErrMachineCount is returned for options with no machine of a kind, or too many for the loopback addresses.
-var ErrMachineCount = errors.New("between 1 and 50 core machines, and as many edge machines")
+// ErrMachineCount is returned for options with no machines of a kind, or with more than the loopback addresses allow.
+var ErrMachineCount = errors.New("the numbers of core machines and of edge machines must each be from 1 to 50")
 
 // ErrNoFreePorts is returned when no consecutive ports were found that are free on the addresses of all machines.
 var ErrNoFreePorts = errors.New("no ports are free on all machines")
 
-// PortsInUseError is returned for Options.FirstPort when one of the ports from there on is not free.
+// PortsInUseError is returned if one of the ports that begin with Options.FirstPort is not free.
 type PortsInUseError struct {
 	First, Last int
 }
@@ -20,23 +20,23 @@
 	return fmt.Sprintf("the ports %d to %d are not all free on the addresses of all machines", pe.First, pe.Last)
 }
 
-// StartupError is returned when the cluster does not serve its first configuration in time.
+// StartupError is returned if the cluster does not serve its first configuration in time.
 type StartupError struct {
-	Problem string // what was waited for, and what came instead
-	Logs    string // the end of each process's log
+	Problem string // the condition that was not met, and what was observed
+	Logs    string // last part of each process's log
 }
 
 func (se *StartupError) Error() string { return se.Problem + "\n" + se.Logs }
 
-// notReady is the error of an edge machine that does not become ready.
+// notReady returns the error for an edge machine that does not become ready in time.
 func notReady(m *machine, logs string) error {
-	return &StartupError{Problem: fmt.Sprintf("%s was not ready in %v", m.name, startTimeout), Logs: logs}
+	return &StartupError{Problem: fmt.Sprintf("%s was not ready within %v", m.name, startTimeout), Logs: logs}
 }
 
-// ScheduleError is returned for a line of a schedule file that cannot be used.
+// ScheduleError is returned for an invalid line in a schedule file.
 type ScheduleError struct {
 	File    string
-	Line    int // from 1
+	Line    int // line number, from 1
 	Problem string
 }
 
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("%s:%d: %s", se.File, se.Line, se.Problem)
 }
 
-// UnknownFaultError is returned for a schedule on the command line that names no fault and no file.
+// UnknownFaultError is returned for a schedule that contains neither the name of a fault nor that of a file.
 type UnknownFaultError struct {
 	Name string
 }
--- a/internal/emulator/loopback/faults.go
+++ b/internal/emulator/loopback/faults.go
@@ -9,29 +9,29 @@
 
 // Fault is one entry of a schedule.
 type Fault struct {
-	At     time.Duration // since the traffic began
-	Name   string        // of a FaultKind
-	Target int           // which machine, server or tenant, from 0, of those that the fault can hit
+	At     time.Duration // time since the start of the traffic
+	Name   string        // name of a FaultKind
+	Target int           // index, from 0, of the machine, server or tenant among those that the fault can affect
 }
 
-// linkFaultPrefix begins the names of the faults that cut links.
+// linkFaultPrefix is the prefix of the names of faults that cut links.
 const linkFaultPrefix = "cut-"
 
 func (f Fault) cutsLinks() bool { return strings.HasPrefix(f.Name, linkFaultPrefix) }
 
-// FaultKind is a fault that a schedule can name.
+// FaultKind is a kind of fault that a schedule can contain.
 type FaultKind struct {
 	Name string
-	Help string // one line for people
+	Help string // description, one line
 }
 
-// faultKind is an entry of the table of faults. inject returns when the fault is over.
+// faultKind is an entry in the table of faults. inject returns when the fault is over.
 type faultKind struct {
 	help   string
 	inject func(cl *cluster, target int)
 }
 
-// faults is the table of faults by name. Their functions are in machinefaults.go, partitionfaults.go,
+// faults is the table of faults, by name. The inject functions are in machinefaults.go, partitionfaults.go,
 // serverfaults.go and configfaults.go.
 var faults = map[string]faultKind{
 	"kill-proxy":    {"a proxy is killed", killProxy},
@@ -78,7 +78,7 @@
 	"hot":      {"a tenant sends eight times its usual, for 6 s", heatTenant},
 }
 
-// FaultKinds returns all faults that a schedule can name, sorted by name.
+// FaultKinds returns all kinds of faults that a schedule can contain, sorted by name.
 func FaultKinds() []FaultKind {
 	var kinds []FaultKind
 	for _, name := range faultNames() {
@@ -89,7 +89,7 @@
 
 func faultNames() []string { return slices.Sorted(maps.Keys(faults)) }
 
-// inject waits for the time of a fault and injects it.
+// inject waits until the scheduled time of a fault, and injects it.
 func (cl *cluster) inject(scheduled Fault) {
 	if !cl.sleepInTraffic(scheduled.At) {
 		return
--- a/internal/emulator/loopback/heartbeats.go
+++ b/internal/emulator/loopback/heartbeats.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	heartbeatTimeout = time.Second            // for an acknowledgement
-	departureTimeout = 6 * time.Second        // for an acknowledgement of a departure; then the server ends without
-	drainMargin      = 300 * time.Millisecond // that a server serves beyond the bound of a drain
-	notifyInterval   = 50 * time.Millisecond  // between two calls to control nodes
-	maxAckBytes      = 4 << 10                // of an acknowledgement
+	heartbeatTimeout = time.Second            // for the acknowledgement of a heartbeat
+	departureTimeout = 6 * time.Second        // for the acknowledgement of a departure; the server then stops anyway
+	drainMargin      = 300 * time.Millisecond // time for which a server keeps serving after the drain bound
+	notifyInterval   = 50 * time.Millisecond  // between two attempts to reach a control node
+	maxAckBytes      = 4 << 10                // maximum size of an acknowledgement, bytes
 )
 
-// phase is the state of a server, as PROTOCOL.md names it.
+// phase is the lifecycle phase of a server, with the names of PROTOCOL.md.
 type phase string
 
 const (
@@ -44,17 +44,17 @@
 
 type instanceMetadata struct {
 	Backend    string `json:"backend"`
-	Capacity   int    `json:"capacity"` // requests at a time
+	Capacity   int    `json:"capacity"` // number of requests executed concurrently
 	Generation string `json:"generation"`
 	Zone       string `json:"zone"`
 }
 
-// acknowledgement is the body of the answer to a heartbeat.
+// acknowledgement is the response body of a heartbeat.
 type acknowledgement struct {
-	HeartbeatTarget string `json:"beatTarget"` // address for the next heartbeat; empty: any control node
+	HeartbeatTarget string `json:"beatTarget"` // address to send the next heartbeat to; empty: any control node
 }
 
-// sendHeartbeats sends heartbeats to the control nodes until the server ends.
+// sendHeartbeats sends heartbeats to the control nodes until the server stops.
 func (s *server) sendHeartbeats() {
 	t := time.NewTicker(s.cluster.options.HeartbeatInterval)
 	defer t.Stop()
@@ -70,7 +70,8 @@
 	}
 }
 
-// notify calls the control nodes in turn until one acknowledges, or the timeout is over.
+// notify calls the control nodes in turn until one acknowledges the call or the timeout expires. The first call goes to
+// the preferred node, if an acknowledgement has named one.
 func (s *server) notify(method string, p phase, timeout time.Duration) (acknowledged bool) {
 	cl := s.cluster
 	until := time.Now().Add(timeout)
@@ -113,7 +114,8 @@
 	return ok
 }
 
-// callControl makes one call to a control node. The call may be redirected: node names the machine that acknowledged.
+// callControl makes one call to a control node. The call may be redirected; node is the name of the machine that
+// acknowledged it.
 func (s *server) callControl(addr, method string, p phase) (node, target string, ok bool) {
 	cl := s.cluster
 	var body io.Reader
@@ -125,7 +127,7 @@
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/instances/"+s.id, body)
 	if err != nil {
-		panic(err) // we have composed it
+		panic(err) // cannot happen: the method and URL are valid
 	}
 	request.Header.Set("Content-Type", "application/json")
 	answer, err := cl.httpClient.Do(request)
@@ -141,7 +143,7 @@
 		return "", "", false
 	}
 	var acknowledged acknowledgement
-	json.Unmarshal(text, &acknowledged) // an empty or another body names no target
+	json.Unmarshal(text, &acknowledged) // without a valid body, there is no preferred node
 	host, _, _ := strings.Cut(answer.Request.URL.Host, ":")
 	return cl.machineName(host), acknowledged.HeartbeatTarget, true
 }
@@ -165,12 +167,13 @@
 	}
 }
 
-// depart shuts the server down gracefully: it announces that it drains, serves on, deregisters, and ends.
+// depart shuts the server down gracefully. The server announces that it is draining, keeps serving for the drain time,
+// deregisters and stops.
 func (s *server) depart() {
 	defer s.stop()
 	s.draining.Store(true)
 	if !s.notify(http.MethodPut, phaseDraining, departureTimeout) {
-		s.cluster.recorder.notef("%s: no acknowledgement of its leave", s.id)
+		s.cluster.recorder.notef("%s: the announcement of its departure was not acknowledged", s.id)
 		return
 	}
 	s.cluster.sleepInTraffic(seconds(s.cluster.options.Bounds.Drain) + drainMargin)
--- a/internal/emulator/loopback/items.go
+++ b/internal/emulator/loopback/items.go
@@ -8,7 +8,7 @@
 	"mulleinrouter/internal/emulator/invariants"
 )
 
-// Sections of the configuration, as PROTOCOL.md names them.
+// Sections of the configuration, with the names of PROTOCOL.md.
 const (
 	routesSection   = "routes"
 	tenantsSection  = "customers"
@@ -20,18 +20,18 @@
 	healthPath = "/health"
 
 	idempotentKind = "idempotent"
-	mutatingKind   = "mutating" // at most once
+	mutatingKind   = "mutating" // kind of routes whose requests are executed at most once
 )
 
-// item is an item of the configuration, as a call of the operator carries it.
+// item is an item of the configuration in a call of the operator.
 type item struct {
 	section string
 	name    string   // empty in limitsSection, which has one item
-	body    itemBody // nil: the item is dropped
+	body    itemBody // nil: the item is removed
 	version uint64
 }
 
-// itemBody is the body of an item: one of the types below. Their JSON keys stand in the order of the alphabet.
+// itemBody is the body of an item, which is one of the types below. Their JSON keys are in alphabetical order.
 type itemBody interface {
 	withGeneration(generation string) itemBody
 }
@@ -47,7 +47,7 @@
 	Public     bool              `json:"public"`
 	RouteKind  string            `json:"routeKind"`
 	TargetMs   int64             `json:"targetMs"`
-	Weighted   []weightedService `json:"weighted,omitempty"` // in place of Backend
+	Weighted   []weightedService `json:"weighted,omitempty"` // used instead of Backend to split requests
 }
 
 type weightedService struct {
@@ -99,7 +99,7 @@
 	return lb
 }
 
-// key names an item among those of all sections.
+// key returns the name of an item that is unique over all sections.
 func (i item) key() string {
 	if i.section == limitsSection {
 		return limitsSection + "/"
@@ -107,7 +107,7 @@
 	return i.section + "/" + i.name
 }
 
-// withVersion returns an item with a version, in its body too.
+// withVersion returns the item with a version, which is also set in its body.
 func (i item) withVersion(version uint64) item {
 	i.version = version
 	if i.body != nil {
@@ -118,7 +118,7 @@
 
 func formatVersion(version uint64) string { return fmt.Sprintf("%08x", version) }
 
-// body returns the body of a route to a service.
+// body returns the body of the route when its requests go to the given service.
 func (r *route) body(service string) routeBody {
 	b := routeBody{
 		Authority:  r.host,
@@ -143,7 +143,7 @@
 	return item{section: routesSection, name: r.name, body: b}
 }
 
-// item returns the item of a tenant with its present keys.
+// item returns the item of a tenant with its current keys.
 func (t *tenant) item() item {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -217,7 +217,7 @@
 	}
 }
 
-// encodePatch returns the body of a call that brings items.
+// encodePatch returns the body of a call that submits items.
 func encodePatch(items []item) []byte {
 	patch := configPatch{
 		Remove: map[string][]removedItem{routesSection: {}},
@@ -237,12 +237,12 @@
 	}
 	text, err := json.Marshal(patch)
 	if err != nil {
-		panic(err) // we have composed it
+		panic(err) // cannot happen: all bodies can be encoded
 	}
 	return text
 }
 
-// decodeItems reads the answer to GET /config: bodies by the key of their item.
+// decodeItems decodes the answer to GET /config, and returns the bodies by the key of their item.
 func decodeItems(text []byte) (map[string]any, error) {
 	var document map[string]any
 	if err := json.Unmarshal(text, &document); err != nil {
@@ -256,7 +256,7 @@
 		}
 		named, ok := content.(map[string]any)
 		if !ok {
-			return nil, fmt.Errorf("%s is no table", section)
+			return nil, fmt.Errorf("section %s is not a JSON object", section)
 		}
 		for name, body := range named {
 			items[section+"/"+name] = body
@@ -265,7 +265,7 @@
 	return items, nil
 }
 
-// recordedVersion returns an item as package invariants checks it.
+// recordedVersion returns the record of an item for package invariants.
 func recordedVersion(i item, valid bool, at invariants.Seconds) *invariants.Version {
 	v := &invariants.Version{
 		Item:    i.key(),
--- a/internal/emulator/loopback/items_test.go
+++ b/internal/emulator/loopback/items_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestEncodePatch compares the bodies of calls with the form that the control nodes read.
+// TestEncodePatch compares the bodies of calls with the format that the control nodes expect.
 func TestEncodePatch(t *testing.T) {
 	class := &requestClass{
 		service:       "look",
--- a/internal/emulator/loopback/latencies.go
+++ b/internal/emulator/loopback/latencies.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// latencies collects times in seconds, from all goroutines.
+// latencies collects durations in seconds. It is safe for concurrent use.
 type latencies struct {
 	mu     sync.Mutex // guards values
 	values []float64
@@ -18,7 +18,7 @@
 	l.values = append(l.values, v)
 }
 
-// quantile returns the value that this part of a list is at or below; NaN for an empty list.
+// quantile returns a quantile of a list, for example the median for 0.5. It returns NaN for an empty list.
 func quantile(list []float64, of float64) float64 {
 	if len(list) == 0 {
 		return math.NaN()
--- a/internal/emulator/loopback/launcher.go
+++ b/internal/emulator/loopback/launcher.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// launcher starts processes from one thread that exists as long as they do: the kernel kills them when that thread
-// ends (Pdeathsig), so none is left behind, however this process ends.
+// launcher starts processes from one OS thread that lives as long as they do. The kernel kills the processes when that
+// thread ends (Pdeathsig), so that none keeps running, however this process ends.
 type launcher struct {
 	calls   chan func()
 	stopped sync.WaitGroup
@@ -30,7 +30,7 @@
 	return <-started
 }
 
-// close ends the thread; it is called once all processes have ended.
+// close ends the thread. All processes must have ended.
 func (l *launcher) close() {
 	close(l.calls)
 	l.stopped.Wait()
--- a/internal/emulator/loopback/loopback_test.go
+++ b/internal/emulator/loopback/loopback_test.go
@@ -14,7 +14,7 @@
 	"mulleinrouter/internal/race"
 )
 
-// buildPrograms builds the three programs, with the race detector where the test has it, and returns their folder.
+// buildPrograms builds the three programs, with the race detector if the test has it enabled, and returns their folder.
 func buildPrograms(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -31,22 +31,22 @@
 	return dir
 }
 
-// faultAt returns a fault of a timeline.
+// faultAt returns a fault that is injected at a time in seconds.
 func faultAt(at float64, name string, target int) Fault {
 	return Fault{At: seconds(at), Name: name, Target: target}
 }
 
-// timeline is a short run of the cluster.
+// timeline describes a short run of the cluster.
 type timeline struct {
 	name   string
-	span   time.Duration
-	core   int
-	served float64 // of all requests, at least
+	span   time.Duration // duration of the traffic
+	core   int           // number of core nodes
+	served float64       // minimum share of requests that must be served
 	faults []Fault
 }
 
 var timelines = []timeline{
-	// Nothing happens, and all tenants stay within their quotas.
+	// No faults are injected, and all tenants stay within their quotas.
 	{name: "calm", span: 5 * time.Second, core: 3, served: 0.98},
 	{
 		name: "core-node", span: 7 * time.Second, core: 3, served: 0.95,
@@ -64,8 +64,8 @@
 		name: "hot-tenant", span: 8 * time.Second, core: 3, served: 0.5,
 		faults: []Fault{faultAt(2.5, "hot", 0), faultAt(4, "kill-proxy", 2), faultAt(5, "surplus", 0)},
 	},
-	// The control nodes: one partitioned in both directions and queried throughout; another killed after that; one lost
-	// for good and replaced by the fourth, and a second loss once that is done.
+	// Faults of the control nodes: one is partitioned in both directions and queried throughout; one is partitioned and
+	// killed afterwards; one is lost permanently and replaced by the fourth, and then a second one is lost.
 	{name: "cut-core", span: 11 * time.Second, core: 3, served: 0.95, faults: []Fault{faultAt(1.5, "cut-core", 0)}},
 	{
 		name: "cut-all-restart", span: 13 * time.Second, core: 3, served: 0.9,
@@ -82,8 +82,8 @@
 	},
 }
 
-// TestTimelines runs short timelines on real processes. Each takes its own time, no more: what it waits for, it waits
-// for as a condition.
+// TestTimelines runs short timelines on real processes, in parallel. Apart from the timeline itself, a run waits for
+// conditions and not for fixed times, so that it takes no longer than necessary.
 func TestTimelines(t *testing.T) {
 	programs := buildPrograms(t)
 	for _, c := range timelines {
@@ -94,7 +94,7 @@
 	}
 }
 
-// run runs the timeline with the programs of a folder.
+// run runs the timeline with the programs in a folder.
 func (tl *timeline) run(t *testing.T, programs string) *Report {
 	t.Helper()
 	r, err := Run(t.Context(), Options{
@@ -116,8 +116,8 @@
 	return r
 }
 
-// checkReport fails a test, with the report, for violations, too few requests or too few that were served, and changes
-// that were acknowledged late or never.
+// checkReport fails the test and prints the report if there are violations, too few requests, too few served requests,
+// or changes that were acknowledged late or never.
 func checkReport(t *testing.T, r *Report, wantServed float64) {
 	t.Helper()
 	served, all := 0, 0
@@ -147,7 +147,7 @@
 	if len(problems) > 0 {
 		var text strings.Builder
 		r.Write(&text)
-		t.Errorf("%s (got %d of %d requests served, want a part of %v)\n%s",
+		t.Errorf("%s (got %d of %d requests served, want a share of at least %v)\n%s",
 			strings.Join(problems, ", "), served, all, wantServed, text.String())
 	}
 }
@@ -158,7 +158,7 @@
 		list, err := ParseSchedule("config,kill-core", 10*time.Second, 3)
 		is.NoErr(err)
 		again, _ := ParseSchedule("config,kill-core", 10*time.Second, 3)
-		is.Equal(list, again) // the same by the same seed
+		is.Equal(list, again) // the same seed gives the same schedule
 		is.True(len(list) == 2 && list[0].At <= list[1].At && list[1].At < 7*time.Second)
 	})
 	t.Run("file", func(t *testing.T) {
--- a/internal/emulator/loopback/machine.go
+++ b/internal/emulator/loopback/machine.go
@@ -12,18 +12,18 @@
 	"mulleinrouter/internal/emulator/invariants"
 )
 
-// The programs, as they are named in the folder of programs.
+// File names of the programs in Options.ProgramsDir.
 const (
 	proxyProgram = "proxy"
 	agentProgram = "agent"
 	coreProgram  = "control"
 )
 
-// restartDelay is the time after which a process that ended is started again.
+// restartDelay is the time between the end of a process and its next start.
 const restartDelay = 300 * time.Millisecond
 
-// machine is one of the simulated machines: a loopback address, a folder for settings and logs, one for the disk, and
-// processes.
+// machine is a simulated machine. It has a loopback address, a folder for settings and logs, processes, and for a core
+// node a folder that represents the disk.
 type machine struct {
 	cluster   *cluster
 	name      string
@@ -32,8 +32,8 @@
 	core      bool
 	dir       string
 	processes []*process
-	lifecycle sync.Mutex // held by the one fault at a time that stops and starts processes
-	links     []string   // that are cut; guarded by the cluster's mu
+	lifecycle sync.Mutex // held by a fault while it stops and starts processes
+	links     []string   // lines of the links file, one for each cut link; guarded by the cluster's mu
 }
 
 func (m *machine) address(port int) string { return net.JoinHostPort(m.ip, strconv.Itoa(port)) }
@@ -50,8 +50,8 @@
 	panic("loopback: " + m.name + " runs no " + program)
 }
 
-// beginFault records a fault of the machine that begins now.
-func (m *machine) beginFault(planned bool) (over func(invariants.Seconds)) {
+// beginFault records a fault of the machine that begins now and lasts until end is called.
+func (m *machine) beginFault(planned bool) (end func(invariants.Seconds)) {
 	cl := m.cluster
 	return cl.recorder.beginFault(invariants.Fault{
 		Machine: m.name,
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// startAgain starts processes that were ended by a fault, after restartDelay.
+// startAgain starts processes that a fault has stopped, after restartDelay.
 func (m *machine) startAgain(processes []*process) {
 	m.cluster.sleep(restartDelay)
 	for _, p := range processes {
@@ -79,28 +79,28 @@
 	}
 }
 
-// crash kills processes of a machine, calls meanwhile (nil: nothing) while they are gone, and starts them again. The
-// machine counts as faulty until then.
-func (m *machine) crash(processes []*process, meanwhile func()) {
+// crash kills processes of a machine, calls whileStopped unless it is nil, and starts the processes again. A fault of
+// the machine is recorded for this time.
+func (m *machine) crash(processes []*process, whileStopped func()) {
 	m.lifecycle.Lock()
 	defer m.lifecycle.Unlock()
-	over := m.beginFault(false)
+	endFault := m.beginFault(false)
 	for _, p := range processes {
 		p.kill()
 	}
-	if meanwhile != nil {
-		meanwhile()
+	if whileStopped != nil {
+		whileStopped()
 	}
 	m.startAgain(processes)
-	over(m.cluster.now())
+	endFault(m.cluster.now())
 }
 
-// restart ends all processes of a machine with SIGTERM, and starts them again.
+// restart terminates all processes of a machine with SIGTERM, and starts them again.
 func (m *machine) restart() {
 	m.lifecycle.Lock()
 	defer m.lifecycle.Unlock()
 	cl := m.cluster
-	over := m.beginFault(true)
+	endFault := m.beginFault(true)
 	if !m.core {
 		cl.recorder.termination(m.name, cl.now())
 	}
@@ -114,14 +114,14 @@
 	}
 	all.Wait()
 	m.startAgain(m.processes)
-	over(cl.now())
+	endFault(cl.now())
 }
 
-// suspend stops the machine's processes for a while.
+// suspend suspends the machine's processes with SIGSTOP for a duration.
 func (m *machine) suspend(d time.Duration) {
 	m.lifecycle.Lock()
 	defer m.lifecycle.Unlock()
-	over := m.beginFault(false)
+	endFault := m.beginFault(false)
 	for _, p := range m.processes {
 		p.signal(unix.SIGSTOP, false)
 	}
@@ -129,15 +129,15 @@
 	for _, p := range m.processes {
 		p.signal(unix.SIGCONT, false)
 	}
-	over(m.cluster.now())
+	endFault(m.cluster.now())
 }
 
-// retire ends the processes of a machine for good.
+// retire kills the processes of a machine permanently.
 func (m *machine) retire() {
 	m.lifecycle.Lock()
 	defer m.lifecycle.Unlock()
-	over := m.beginFault(false)
-	over(m.cluster.now())
+	endFault := m.beginFault(false)
+	endFault(m.cluster.now())
 	for _, p := range m.processes {
 		p.kill()
 	}
--- a/internal/emulator/loopback/machinefaults.go
+++ b/internal/emulator/loopback/machinefaults.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	suspendTime  = 4 * time.Second
-	rollInterval = 2 * time.Second // between two machines
+	suspendTime  = 4 * time.Second // time for which a core node is suspended
+	rollInterval = 2 * time.Second // between the restarts of two machines
 
-	// minCoreForWipe is how many core nodes there have to be for the system to bear the loss of a disk.
+	// minCoreForWipe is the minimum number of core nodes with which the cluster tolerates the loss of a disk.
 	minCoreForWipe = 3
 )
 
 func (cl *cluster) edgeAt(n int) *machine { return cl.edge[n%len(cl.edge)] }
 func (cl *cluster) coreAt(n int) *machine { return cl.core[n%len(cl.core)] }
 
-// otherCore returns the core nodes but one.
+// otherCore returns all core nodes except one.
 func (cl *cluster) otherCore(m *machine) []*machine {
 	return slices.DeleteFunc(slices.Clone(cl.core), func(o *machine) bool { return o == m })
 }
@@ -62,7 +62,7 @@
 
 func rollEdge(cl *cluster, _ int) { cl.roll(cl.edge) }
 
-// roll restarts machines one after the other.
+// roll restarts machines one at a time.
 func (cl *cluster) roll(machines []*machine) {
 	for _, m := range machines {
 		m.restart()
@@ -76,12 +76,12 @@
 
 func suspendCore(cl *cluster, target int) { cl.coreAt(target).suspend(suspendTime) }
 
-// wipeDisk empties a machine's disk, if the system has to bear that: it bears the loss of one disk at a time, which
-// lasts until the machine has caught up.
+// wipeDisk erases a machine's disk, if the cluster must tolerate that. The cluster tolerates the loss of one disk at a
+// time. A loss is over when the machine has caught up with the others.
 func (m *machine) wipeDisk() {
 	recorder := &m.cluster.recorder
 	if !m.cluster.beginDiskLoss(m) {
-		recorder.notef("the disk of %s stays: the loss of another is not over", m.name)
+		recorder.notef("the disk of %s was not erased: too few core nodes, or another disk loss is not over", m.name)
 		return
 	}
 	if err := os.RemoveAll(m.diskPath()); err != nil {
@@ -92,8 +92,8 @@
 	}
 }
 
-// beginDiskLoss tells whether a machine may lose its disk now, and records that it does.
-func (cl *cluster) beginDiskLoss(m *machine) (bearable bool) {
+// beginDiskLoss reports whether a machine may lose its disk now. If so, it records the loss.
+func (cl *cluster) beginDiskLoss(m *machine) (allowed bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	if len(cl.core) < minCoreForWipe {
@@ -108,23 +108,24 @@
 	return true
 }
 
-// blackout kills all core nodes, wipes one disk (nil: none) once all are dead, and starts them again.
+// blackout kills all core nodes and starts them again. Once all have been killed, it erases the disk of one machine;
+// nil: of none.
 func (cl *cluster) blackout(wiped *machine) {
-	over := cl.recorder.beginFault(invariants.Fault{Machine: "core", Core: true, Majority: true, From: cl.now()})
+	endFault := cl.recorder.beginFault(invariants.Fault{Machine: "core", Core: true, Majority: true, From: cl.now()})
 	cl.recorder.update(func() { cl.recorder.log.Closing = cl.now() })
-	var dead, back sync.WaitGroup
-	dead.Add(len(cl.core))
+	var killed, restarted sync.WaitGroup
+	killed.Add(len(cl.core))
 	for _, m := range cl.core {
-		back.Go(func() {
+		restarted.Go(func() {
 			m.crash(m.processes, func() {
 				if m == wiped {
 					m.wipeDisk()
 				}
-				dead.Done()
-				dead.Wait()
+				killed.Done()
+				killed.Wait()
 			})
 		})
 	}
-	back.Wait()
-	over(cl.now())
+	restarted.Wait()
+	endFault(cl.now())
 }
--- a/internal/emulator/loopback/operator.go
+++ b/internal/emulator/loopback/operator.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	callTimeout     = time.Second // for an answer to the operator; with one second more for each MB
-	minBackoff      = 100 * time.Millisecond
-	maxBackoff      = time.Second
-	patchTimeout    = 20 * time.Second // then a change is given up
-	readBackTimeout = 8 * time.Second  // for the complete configuration to be read back from one node
-	maxConfigBytes  = 64 << 20
+	callTimeout     = time.Second            // for an answer; a change gets 1 s more for each MB of its body
+	minBackoff      = 100 * time.Millisecond // before the first retry of a call
+	maxBackoff      = time.Second            // upper limit of the backoff, which doubles with each retry
+	patchTimeout    = 20 * time.Second       // time after which the operator stops retrying a change
+	readBackTimeout = 8 * time.Second        // for the complete configuration to be read back from one node
+	maxConfigBytes  = 64 << 20               // maximum size of an answer, bytes
 	configPath      = "/config"
 
-	initialVersion = 6 // no version is at or below it
+	initialVersion = 6 // all versions are above it
 
-	// maxUnclear is how many answers of 4xx that do not clearly reject a change are passed over.
-	maxUnclear = 2
+	// maxAmbiguousAnswers is the number of 4xx answers to a change that are ignored if they do not clearly reject it.
+	maxAmbiguousAnswers = 2
 )
 
-// operator changes the configuration through the control nodes, and holds what it means to be in force.
+// operator changes the configuration through the control nodes, and stores the items that it sent last.
 type operator struct {
 	cluster *cluster
 
 	mu          sync.Mutex // guards the fields below
 	rng         *rand.Rand
 	lastVersion uint64
-	sent        map[string]item // the latest of each item, by key
+	sent        map[string]item // latest version of each item, by key
 }
 
 func newOperator(cl *cluster) *operator {
@@ -47,7 +47,7 @@
 	}
 }
 
-// nextVersion returns a version above all earlier ones; some are left out.
+// nextVersion returns a version above all earlier ones. It skips some versions at random.
 func (o *operator) nextVersion() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -61,7 +61,7 @@
 	return o.rng.IntN(n)
 }
 
-// latest returns the item with this key as it was sent last.
+// latest returns the latest version of the item with this key that was sent.
 func (o *operator) latest(key string) (i item, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -69,7 +69,7 @@
 	return i, ok
 }
 
-// submit sends valid items under one new version; status as send returns it.
+// submit sends valid items with one new version, and returns the status that send returns.
 func (o *operator) submit(items ...item) (status int) {
 	version := o.nextVersion()
 	o.mu.Lock()
@@ -81,16 +81,16 @@
 	return o.send(o.intn(len(o.cluster.core)), true, items...)
 }
 
-// change is one call of the operator that changes the configuration, over all its attempts.
+// change is a change of the configuration by the operator, over all attempts to send it.
 type change struct {
-	items    []item
-	valid    bool // it has to be accepted
-	versions []*invariants.Version
-	unclear  int // answers of 4xx so far that did not reject it
+	items            []item
+	valid            bool // the control nodes must accept the change
+	versions         []*invariants.Version
+	ambiguousAnswers int // number of 4xx answers so far that did not clearly reject the change
 }
 
-// send brings items, at one node first and, where that fails, at the others, until there is a clear answer; status 0:
-// there was none.
+// send sends items to one node and, if that fails, to the others in turn, until one accepts or rejects them. Status 0
+// means that none did.
 func (o *operator) send(first int, valid bool, items ...item) (status int) {
 	cl := o.cluster
 	c := &change{items: items, valid: valid}
@@ -115,7 +115,7 @@
 			return status
 		}
 		if time.Now().After(until) || cl.traffic.Err() != nil {
-			cl.recorder.notef("a call of %d items was never acknowledged, the %dth answer was %d: %.200s",
+			cl.recorder.notef("a change of %d items was never acknowledged; the answer to attempt %d was %d: %.200s",
 				len(items), n-first+1, status, answer)
 			return 0
 		}
@@ -124,7 +124,7 @@
 	}
 }
 
-// rejectedChangeStatuses are answers that reject a change for good.
+// rejectedChangeStatuses contains the statuses that permanently reject a change.
 var rejectedChangeStatuses = []int{
 	http.StatusBadRequest,
 	http.StatusConflict,
@@ -133,8 +133,8 @@
 	http.StatusUnprocessableEntity,
 }
 
-// isRejection tells whether a status rejects the change: one of the rejectedChangeStatuses, or another of 4xx that is
-// not retryable, once there have been maxUnclear of 4xx before.
+// isRejection reports whether a status rejects the change. One of the rejectedChangeStatuses always does. Another 4xx
+// status does only if it is not retryable and there have been maxAmbiguousAnswers other 4xx answers before.
 func (c *change) isRejection(status int) bool {
 	if slices.Contains(rejectedChangeStatuses, status) {
 		return true
@@ -143,10 +143,10 @@
 		return false
 	}
 	retryable := status == http.StatusRequestTimeout || status == http.StatusTooManyRequests
-	if !retryable && c.unclear == maxUnclear {
+	if !retryable && c.ambiguousAnswers == maxAmbiguousAnswers {
 		return true
 	}
-	c.unclear++
+	c.ambiguousAnswers++
 	return false
 }
 
@@ -168,11 +168,11 @@
 		}
 	})
 	if c.valid {
-		o.cluster.recorder.notef("a valid call got %d from %s: %.200s", status, node.name, answer)
+		o.cluster.recorder.notef("a valid change was rejected with status %d by %s: %.200s", status, node.name, answer)
 	}
 }
 
-// call makes one call to a control node. Status 0: there was no answer, and answer is the text of the error.
+// call makes one call to a control node. Status 0 means that there was no answer; answer is then the text of the error.
 func (o *operator) call(method string, node *machine, text []byte, timeout time.Duration) (status int, answer []byte) {
 	cl := o.cluster
 	ctx, cancel := context.WithTimeout(cl.lifetime, timeout)
@@ -180,7 +180,7 @@
 	url := "http://" + node.address(cl.ports.control) + configPath
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(text))
 	if err != nil {
-		panic(err) // we have composed it
+		panic(err) // cannot happen: the method and URL are valid
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := cl.httpClient.Do(request)
@@ -213,14 +213,14 @@
 		if status == http.StatusOK {
 			items, err := decodeItems(text)
 			if err != nil {
-				cl.recorder.notef("%s: GET /config cannot be read: %v", node.name, err)
+				cl.recorder.notef("%s: the answer to GET /config is invalid: %v", node.name, err)
 				return
 			}
 			cl.recorder.configRead(invariants.ConfigRead{Machine: node.name, At: began, Items: items})
 			return
 		}
 		if time.Now().After(until) {
-			cl.recorder.notef("%s: GET /config has no answer", node.name)
+			cl.recorder.notef("%s: GET /config was not answered with status 200 in time", node.name)
 			return
 		}
 		cl.sleep(backoff)
--- a/internal/emulator/loopback/options.go
+++ b/internal/emulator/loopback/options.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	maxMachines              = 50 // of a kind: their addresses are of one /24 per zone
+	maxMachines              = 50 // maximum number of machines of a kind, which share one /24 network per zone
 	defaultHeartbeatInterval = 1500 * time.Millisecond
 )
 
-// Options describe a run.
+// Options configures a run.
 type Options struct {
 	CoreMachines, EdgeMachines int
-	TrafficTime                time.Duration // from the first request of clients to the last
+	TrafficTime                time.Duration // time during which clients send requests
 	Faults                     []Fault
 	Seed                       uint64
-	ProgramsDir                string          // folder of the three programs
-	Load                       float64         // in parts of the usual 120 requests a second; 0: 1
-	Bounds                     settings.Bounds // zero: DefaultBounds
-	HeartbeatInterval          time.Duration   // of servers; 0: 1.5 s
-	WarmUp                     time.Duration   // traffic begins at the earliest this long after the start
+	ProgramsDir                string          // folder that contains the three programs
+	Load                       float64         // rate of requests, as a multiple of 120 requests per second; 0: 1
+	Bounds                     settings.Bounds // bounds to check; zero value: DefaultBounds
+	HeartbeatInterval          time.Duration   // between two heartbeats of a server; 0: 1.5 s
+	WarmUp                     time.Duration   // minimum time from the start of the run to the start of the traffic
 	Dir                        string          // folder for settings, disks and logs
-	FirstPort                  int             // of the ports of all machines; 0: free ones are drawn
+	FirstPort                  int             // first port of all machines; 0: free ports are drawn
 	Metrics                    bool            // the processes serve metrics
-	Progress                   func(Progress)  // receives what the run does, call after call; nil: nobody does
+	Progress                   func(Progress)  // receives the progress of the run, in sequential calls; nil: no calls
 }
 
 // complete checks the options and fills in the defaults.
@@ -44,11 +44,11 @@
 		return o, ErrMachineCount
 	}
 	var err error
-	o.ProgramsDir, err = filepath.Abs(o.ProgramsDir) // processes start in folders of their own
+	o.ProgramsDir, err = filepath.Abs(o.ProgramsDir) // each process starts in its own working directory
 	return o, err
 }
 
-// DefaultBounds returns the bounds of the operators' rules as on usual days; times in seconds.
+// DefaultBounds returns the default bounds of the operators' rules. Times are in seconds.
 func DefaultBounds() settings.Bounds {
 	return settings.Bounds{
 		SeedLag:     3,
@@ -73,8 +73,8 @@
 	}
 }
 
-// FastBounds returns bounds for runs of a few seconds: machines are checked sooner after a fault, and against shorter
-// times.
+// FastBounds returns bounds for runs of a few seconds. With these, machines are checked sooner after a fault, and must
+// meet shorter time limits.
 func FastBounds() settings.Bounds {
 	b := DefaultBounds()
 	b.Contact = 1
@@ -84,5 +84,5 @@
 	return b
 }
 
-// seconds converts a bound to a duration.
+// seconds converts a time in seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/emulator/loopback/partition.go
+++ b/internal/emulator/loopback/partition.go
@@ -11,38 +11,39 @@
 )
 
 const (
-	partitionTime = 8 * time.Second
+	partitionTime = 8 * time.Second        // duration of a partition of a core node
 	queryInterval = 120 * time.Millisecond // between two calls to a partitioned node
-	changeEvery   = 4                      // of these calls, the configuration changes
+	changeEvery   = 4                      // number of these calls for each change of the configuration
 )
 
-// direction is which direction of a link is cut, seen from the machine that is named first.
+// direction is the direction in which a link is cut, from the perspective of one machine.
 type direction int
 
 const (
 	bothWays direction = iota
-	outward            // what it sends
-	inward             // what it is sent
+	outward            // messages that the machine sends are lost
+	inward             // messages to the machine are lost
 )
 
-// reverse returns the same direction seen from the other machine.
+// reverse returns the same direction from the perspective of the other machine.
 func (d direction) reverse() direction {
 	return [...]direction{bothWays: bothWays, outward: inward, inward: outward}[d]
 }
 
-// line returns the line of a links file that cuts the link to a machine.
+// line returns the line of a links file that cuts the link to another machine.
 func (d direction) line(far *machine) string {
 	return [...]string{bothWays: "both ", outward: "to ", inward: "from "}[d] + far.ip
 }
 
 func (m *machine) linksPath() string { return filepath.Join(m.dir, "links") }
 
-// writeLinks writes the file of the machine's links that are cut. The cluster's mu is held, or nothing runs yet.
+// writeLinks writes the file that lists the machine's cut links. The caller must hold the cluster's mu, unless the
+// cluster has not been started.
 func (m *machine) writeLinks() error {
 	return replaceFile(m.linksPath(), strings.Join(m.links, "\n")+"\n")
 }
 
-// linkEnd is one end of a link: the machine, and the line of its links file that cuts it.
+// linkEnd is one end of a link: a machine, and the line of its links file that cuts the link.
 type linkEnd struct {
 	machine *machine
 	line    string
@@ -56,8 +57,8 @@
 	}
 }
 
-// cutLinks cuts the links between a machine and others, and returns what restores them. A process cuts only
-// connections that it opened, so both ends have the link in their files.
+// cutLinks cuts the links between a machine and others, and returns a function that restores them. A process cuts only
+// connections that it opened, so the files of both ends must list the link.
 func (cl *cluster) cutLinks(m *machine, others []*machine, d direction) (restore func()) {
 	var ends []linkEnd
 	for _, o := range others {
@@ -81,24 +82,24 @@
 	}
 }
 
-// partition cuts a core node off from others for partitionTime. After a while it must not answer as if it were
-// current: it is queried throughout, as servers and operators do, and its answers are recorded. Meanwhile changes are
-// sent to all nodes.
+// partition cuts a core node off from others for partitionTime. Some time after the cut, the node must no longer answer
+// as if it were up to date. To check this, partition queries the node throughout, as servers and operators do, and
+// records its answers. Meanwhile it makes changes of the configuration.
 func (m *machine) partition(others []*machine, d direction) {
 	cl := m.cluster
-	over := m.beginFault(false)
+	endFault := m.beginFault(false)
 	restore := cl.cutLinks(m, others, d)
 	p := invariants.Partition{Machine: m.name, From: cl.now()}
-	answers := m.queryThroughout(time.Now().Add(partitionTime))
+	answers := m.queryUntil(time.Now().Add(partitionTime))
 	p.To = cl.now()
 	cl.recorder.partition(p)
 	restore()
-	over(cl.now())
-	cl.recorder.notef("%s, cut off, answered (by status; 0: no acknowledgement): %v", m.name, answers)
+	endFault(cl.now())
+	cl.recorder.notef("%s, while cut off, answered (count by status; 0: no acknowledgement): %v", m.name, answers)
 }
 
-// queryThroughout queries a partitioned node until a time, and returns how often it answered with each status.
-func (m *machine) queryThroughout(until time.Time) map[int]int {
+// queryUntil queries a partitioned node until a time, and returns the number of answers by status.
+func (m *machine) queryUntil(until time.Time) map[int]int {
 	cl := m.cluster
 	answers := map[int]int{}
 	for n := 0; time.Now().Before(until); n++ {
@@ -113,8 +114,8 @@
 	return answers
 }
 
-// queryPartitioned makes one of the calls that a core node may acknowledge only in contact with a majority, each in
-// turn, and returns the status; 0: there was none.
+// queryPartitioned makes the nth call to a partitioned node. It cycles through four kinds of calls, which a core node
+// may acknowledge only while it is in contact with a majority. It returns the status; 0: there was no acknowledgement.
 func (m *machine) queryPartitioned(n int) int {
 	cl := m.cluster
 	o := cl.operator
@@ -124,14 +125,14 @@
 		answer.Call = "configuration read"
 		answer.Status, _ = o.call(http.MethodGet, m, nil, callTimeout)
 	case 1:
-		answer.Call = "order that stands"
+		answer.Call = "unchanged configuration item"
 		i := cl.tenants[0].item()
 		if latest, ok := o.latest(i.key()); ok {
 			i = latest
 		}
 		answer.Status, _ = o.call(http.MethodPatch, m, encodePatch([]item{i}), callTimeout)
 	case 2:
-		answer.Call = "order that cannot be read"
+		answer.Call = "malformed configuration change"
 		answer.Status, _ = o.call(http.MethodPatch, m, []byte("{"), callTimeout)
 	case 3:
 		answer.Call = "beat"
--- a/internal/emulator/loopback/partitionfaults.go
+++ b/internal/emulator/loopback/partitionfaults.go
@@ -6,7 +6,7 @@
 	"mulleinrouter/internal/emulator/invariants"
 )
 
-const edgePartitionTime = 3 * time.Second
+const edgePartitionTime = 3 * time.Second // duration of a partition of an edge machine
 
 func partitionCore(cl *cluster, target int) {
 	m := cl.coreAt(target)
@@ -51,9 +51,9 @@
 
 func partitionEdge(cl *cluster, target int) {
 	m := cl.edgeAt(target)
-	over := cl.recorder.beginFault(invariants.Fault{Machine: m.name, From: cl.now()})
+	endFault := cl.recorder.beginFault(invariants.Fault{Machine: m.name, From: cl.now()})
 	restore := cl.cutLinks(m, cl.core, bothWays)
 	cl.sleepInTraffic(edgePartitionTime)
 	restore()
-	over(cl.now())
+	endFault(cl.now())
 }
--- a/internal/emulator/loopback/platform.go
+++ b/internal/emulator/loopback/platform.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	readinessInterval = time.Second
-	readinessTimeout  = time.Second
-	maxReadinessMiss  = 2 // failed checks in a row that take a machine out of rotation
+	readinessInterval    = time.Second // between two checks of a machine
+	readinessTimeout     = time.Second // for one check
+	maxReadinessFailures = 2           // consecutive failed checks that remove a machine from rotation
 )
 
-// edgeHealth is what the platform knows of an edge machine.
+// edgeHealth is the state of an edge machine as observed by the platform.
 type edgeHealth struct {
-	failures   int // in a row
-	inRotation bool
+	failures   int  // consecutive failed checks
+	inRotation bool // the platform sends clients to the machine
 }
 
-// watchReadiness checks every second whether each edge machine is ready, as the platform does.
+// watchReadiness checks every second whether each edge machine is ready, as the operators' platform does.
 func (cl *cluster) watchReadiness() {
 	t := time.NewTicker(readinessInterval)
 	defer t.Stop()
 	for {
 		var all sync.WaitGroup
 		for n, m := range cl.edge {
-			all.Go(func() { cl.observeReadiness(n, cl.ready(m, readinessTimeout)) })
+			all.Go(func() { cl.recordReadiness(n, cl.ready(m, readinessTimeout)) })
 		}
 		all.Wait()
 		select {
@@ -37,7 +37,7 @@
 	}
 }
 
-func (cl *cluster) observeReadiness(n int, ready bool) {
+func (cl *cluster) recordReadiness(n int, ready bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	health := &cl.edgeHealth[n]
@@ -46,12 +46,12 @@
 		return
 	}
 	health.failures++
-	if health.failures >= maxReadinessMiss {
+	if health.failures >= maxReadinessFailures {
 		health.inRotation = false
 	}
 }
 
-// ready asks an edge machine whether it is ready for clients.
+// ready requests the readiness of an edge machine, and reports whether it is ready for clients.
 func (cl *cluster) ready(m *machine, timeout time.Duration) bool {
 	c := &http.Client{Timeout: timeout, Transport: cl.httpClient.Transport}
 	r, err := c.Get("http://" + m.address(cl.ports.ready) + "/readiness")
@@ -63,8 +63,9 @@
 	return r.StatusCode == http.StatusOK
 }
 
-// chooseEdge returns the machine that a client's connection is sent to (PROTOCOL.md, "How clients arrive"): one in
-// rotation in the nearest zone that has any, or any machine of that zone when less than half of them are in rotation.
+// chooseEdge returns the machine to which the platform sends a client's connection (PROTOCOL.md, "How clients arrive").
+// It chooses a machine in rotation from the nearest zone that has one. If less than half of the machines of that zone
+// are in rotation, it chooses any machine of the zone.
 func (cl *cluster) chooseEdge(u *clientUser, attempt int) *machine {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
--- a/internal/emulator/loopback/ports.go
+++ b/internal/emulator/loopback/ports.go
@@ -7,33 +7,34 @@
 )
 
 const (
-	innerPorts   = 4 // ports of a machine for calls between the programs
-	metricsPorts = 2 // a machine runs two programs at most
-	allPorts     = 3 + innerPorts + metricsPorts
-	minPort      = 10000 // the ports lie below those that the kernel gives to connections
-	portSpan     = 20000
-	portAttempts = 200
+	innerPorts   = 4                             // ports of a machine for calls between its programs
+	metricsPorts = 2                             // ports of a machine for metrics; it runs at most two programs
+	allPorts     = 3 + innerPorts + metricsPorts // all ports of a machine
+	minPort      = 10000                         // lowest first port that is drawn
+	portSpan     = 20000                         // size of the range of first ports, below the ephemeral ports
+	portAttempts = 200                           // number of first ports that are drawn until a run fails
 
-	anyPort = "127.0.0.1:0" // the kernel chooses a free one
+	anyPort = "127.0.0.1:0" // the kernel chooses a free port
 )
 
-// ports are the ports of a run: the same on all machines.
+// ports contains the ports of a run, which are the same on all machines.
 type ports struct {
-	front   int // for clients
-	ready   int // for the platform
-	control int // for servers and operators
-	inner   int // the first of innerPorts
-	metrics int // the first of metricsPorts
+	front   int // port for clients
+	ready   int // port for the platform's readiness checks
+	control int // port for servers and operators
+	inner   int // first of innerPorts consecutive ports
+	metrics int // first of metricsPorts consecutive ports
 }
 
-// portsFrom returns consecutive ports.
+// portsFrom returns consecutive ports that begin with first.
 func portsFrom(first int) ports {
 	p := ports{front: first, ready: first + 1, control: first + 2, inner: first + 3}
 	p.metrics = p.inner + innerPorts
 	return p
 }
 
-// choosePorts returns the ports from first on, or for 0 any that are free on the addresses of all machines.
+// choosePorts returns consecutive ports that begin with first. If first is 0, it draws ports that are free on the
+// addresses of all machines.
 func choosePorts(first int, rng *rand.Rand, ips []string) (ports, error) {
 	if first == 0 {
 		return drawPorts(rng, ips)
@@ -44,7 +45,7 @@
 	return portsFrom(first), nil
 }
 
-// drawPorts finds consecutive ports that are free on the addresses of all machines.
+// drawPorts draws consecutive ports that are free on the addresses of all machines.
 func drawPorts(rng *rand.Rand, ips []string) (ports, error) {
 	for range portAttempts {
 		first := minPort + rng.IntN(portSpan)
@@ -55,7 +56,7 @@
 	return ports{}, ErrNoFreePorts
 }
 
-// allFree tells whether the ports from first to before end are free on all addresses.
+// allFree reports whether the ports from first up to, but not including, end are free on all addresses.
 func allFree(ips []string, first, end int) bool {
 	for port := first; port < end; port++ {
 		for _, ip := range ips {
--- a/internal/emulator/loopback/process.go
+++ b/internal/emulator/loopback/process.go
@@ -12,33 +12,34 @@
 	"time"
 )
 
-// Parts of a process's log that are shown, in bytes.
+// Maximum sizes of the parts of a process's log that are shown, in bytes.
 const (
-	maxLogTail  = 400
-	maxRaceText = 4000 // behind the first line of a race report
-	raceLead    = 30   // before it
-	maxPanic    = 2000
+	maxLogTailBytes    = 400
+	maxRaceReportBytes = 4000 // from the words "DATA RACE" on
+	raceLeadBytes      = 30   // before the words "DATA RACE"
+	maxPanicBytes      = 2000
 )
 
 const metricsPath = "/metrics"
 
-// process is one program on a machine, over all its incarnations.
+// process is one program on a machine. Each time the program is started is an incarnation of the process.
 type process struct {
 	machine *machine
 	program string
 
 	mu            sync.Mutex    // guards the fields below
-	cmd           *exec.Cmd     // of the latest incarnation
-	done          chan struct{} // closed once this incarnation has ended
-	stopRequested bool          // this incarnation was asked to end
-	noRestart     bool          // it is not to be started again
+	cmd           *exec.Cmd     // latest incarnation
+	done          chan struct{} // closed when the latest incarnation has ended
+	stopRequested bool          // the latest incarnation was told to end
+	noRestart     bool          // the process must not be started again
 	running       bool
-	starts        int
-	cpu           time.Duration // of incarnations that ended
-	peakMemory    int64         // bytes, the maximum over ended incarnations
+	starts        int           // number of incarnations
+	cpu           time.Duration // total CPU time of ended incarnations
+	peakMemory    int64         // maximum over incarnations that were told to end, bytes
 }
 
-// start starts a process that is not running and may still be started. It is started again when it ends by itself.
+// start starts the process, unless it is running or must not be started again. A process that ends by itself is started
+// again.
 func (p *process) start() error {
 	cl := p.machine.cluster
 	p.mu.Lock()
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// command returns the command of one incarnation.
+// command returns the command for one incarnation.
 func (p *process) command(log *os.File) *exec.Cmd {
 	cl := p.machine.cluster
 	args := []string{"serve"}
@@ -85,16 +86,17 @@
 		"PATH=" + os.Getenv("PATH"),
 		"HOME=" + os.Getenv("HOME"),
 		"LANG=C",
-		"GORACE=halt_on_error=1", // in programs that are built with the race detector, a race ends the process
+		"GORACE=halt_on_error=1", // ends the process at a data race, if it is built with the race detector
 	}
 	cmd.Stdout = log
 	cmd.Stderr = log
-	// A process group of its own: an interrupt from the terminal is for us to pass on.
+	// The process has its own process group, so that it does not receive interrupts from the terminal. The emulator
+	// handles these and stops the processes itself.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	return cmd
 }
 
-// metricsPort is where the process serves metrics, if it does.
+// metricsPort returns the port at which the process serves metrics, if metrics are enabled.
 func (p *process) metricsPort() int {
 	return p.machine.cluster.ports.metrics + slices.Index(p.machine.processes, p)
 }
@@ -103,7 +105,7 @@
 
 func (p *process) String() string { return p.program + " on " + p.machine.name }
 
-// supervise waits for the end of one incarnation, and starts the next one if it ended by itself.
+// supervise waits until one incarnation ends, and starts the next one if it ended by itself.
 func (p *process) supervise(cmd *exec.Cmd, done chan<- struct{}) {
 	cl := p.machine.cluster
 	err := cmd.Wait()
@@ -122,20 +124,21 @@
 	}
 }
 
-// logTail returns the end of the process's log, or the report of a race or a panic in it.
+// logTail returns the last part of the process's log, or the report of a data race or a panic if the log contains one.
 func (p *process) logTail() string {
 	content, _ := os.ReadFile(p.logPath())
 	text := string(content)
 	if at := strings.Index(text, "DATA RACE"); at >= 0 {
-		return text[max(0, at-raceLead):min(len(text), at+maxRaceText)]
+		return text[max(0, at-raceLeadBytes):min(len(text), at+maxRaceReportBytes)]
 	}
 	if at := strings.LastIndex(text, "panic:"); at >= 0 {
-		return text[at:min(len(text), at+maxPanic)]
+		return text[at:min(len(text), at+maxPanicBytes)]
 	}
-	return strings.TrimSpace(text[max(0, len(text)-maxLogTail):])
+	return strings.TrimSpace(text[max(0, len(text)-maxLogTailBytes):])
 }
 
-// signal sends a signal to the incarnation that runs; stop says that the signal is to end it.
+// signal sends a signal to the running incarnation; stop means that the signal is meant to end it. done is closed when
+// the incarnation has ended.
 func (p *process) signal(s syscall.Signal, stop bool) (done <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,7 +148,7 @@
 		return ended
 	}
 	if p.running {
-		if stop { // the child's Rusage would state the memory of this process, from before the exec
+		if stop { // read now: the Rusage of the ended child would include the memory of this process before the exec
 			p.peakMemory = max(p.peakMemory, readUsage(p.cmd.Process.Pid).peakMemory)
 		}
 		p.stopRequested = p.stopRequested || stop
@@ -154,7 +157,7 @@
 	return p.done
 }
 
-// preventRestart has the process stay down once it ends.
+// preventRestart prevents the process from being started again.
 func (p *process) preventRestart() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -163,7 +166,8 @@
 
 func (p *process) kill() { <-p.signal(syscall.SIGKILL, true) }
 
-// terminate sends SIGTERM, and SIGKILL after the grace period, as the platform does; killed tells that it came to that.
+// terminate sends SIGTERM, and SIGKILL if the process has not ended after the grace period, as the platform does;
+// killed reports whether it sent SIGKILL.
 func (p *process) terminate(grace time.Duration) (killed bool) {
 	done := p.signal(syscall.SIGTERM, true)
 	select {
@@ -175,12 +179,12 @@
 	return false
 }
 
-// recordKilled notes that the process had to be killed after the grace period.
+// recordKilled adds a note that the process was killed after the grace period.
 func (p *process) recordKilled() {
-	p.machine.cluster.recorder.notef("%v did not end within the grace after SIGTERM", p)
+	p.machine.cluster.recorder.notef("%v did not end within the grace period after SIGTERM", p)
 }
 
-// usage returns what all incarnations used.
+// usage returns the resource usage of all incarnations.
 func (p *process) usage() ProcessUsage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/emulator/loopback/progress.go
+++ b/internal/emulator/loopback/progress.go
@@ -9,10 +9,10 @@
 // progressInterval is the time between two calls of Options.Progress while there is traffic.
 const progressInterval = 250 * time.Millisecond
 
-// Stage is a part of a run.
+// Stage is a stage of a run.
 type Stage int
 
-// Stages of a run, in their order. The traffic begins after the warm-up.
+// Stages of a run, in order. The traffic begins after the warm-up.
 const (
 	Starting Stage = iota
 	WarmingUp
@@ -21,12 +21,12 @@
 	Checking
 )
 
-// Progress is what a run does at one time.
+// Progress describes the state of a run at one point in time.
 type Progress struct {
 	Stage                    Stage
-	Elapsed                  time.Duration // of the traffic
-	Served, Rejected, Failed int64         // requests so far
-	Fault                    *Fault        // the one that was injected last; nil: none yet
+	Elapsed                  time.Duration // time since the start of the traffic
+	Served, Rejected, Failed int64         // number of requests so far
+	Fault                    *Fault        // last fault that was injected; nil: none yet
 }
 
 // countOutcome counts a request of a client by its last attempt.
@@ -36,7 +36,7 @@
 	}
 }
 
-// report tells Options.Progress what the run does.
+// report passes the state of the run to Options.Progress.
 func (cl *cluster) report(stage Stage) {
 	if cl.options.Progress == nil {
 		return
@@ -54,7 +54,7 @@
 	cl.options.Progress(p)
 }
 
-// awaitTrafficEnd returns when the time of the traffic is over, and reports the progress until then.
+// awaitTrafficEnd returns when the traffic time is over, and reports the progress until then.
 func (cl *cluster) awaitTrafficEnd() {
 	end := time.Now().Add(cl.options.TrafficTime)
 	for left := cl.options.TrafficTime; left > 0; left = time.Until(end) {
--- a/internal/emulator/loopback/recorder.go
+++ b/internal/emulator/loopback/recorder.go
@@ -8,8 +8,8 @@
 	"mulleinrouter/internal/emulator/invariants"
 )
 
-// recorder collects what is observed, from all goroutines. An entry may change until the run is over, under the
-// recorder's lock only (update).
+// recorder collects the observations of all goroutines. Entries may be changed until the run is over, but only while
+// holding the recorder's lock (see update).
 type recorder struct {
 	mu       sync.Mutex // guards the fields below and the entries that they point to
 	log      invariants.Log
@@ -17,19 +17,19 @@
 	arrivals []*invariants.Arrival
 	versions []*invariants.Version
 	faults   []*invariants.Fault
-	notes    []string // for people
+	notes    []string // text for the report
 
-	discarding bool // new entries are dropped, for a cluster that serves for as long as it likes
+	discarding bool // new entries are dropped, so that a cluster for interactive use does not accumulate them
 }
 
-// update calls a function that changes an entry.
+// update calls a function that changes entries, while holding the lock.
 func (r *recorder) update(change func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change()
 }
 
-// add calls a function that adds an entry, unless entries are dropped.
+// add calls a function that adds an entry, while holding the lock, unless new entries are dropped.
 func (r *recorder) add(change func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -38,7 +38,7 @@
 	}
 }
 
-// discard drops all that is added from now on.
+// discard makes the recorder drop all entries that are added from now on.
 func (r *recorder) discard() { r.update(func() { r.discarding = true }) }
 
 func (r *recorder) arrival(a *invariants.Arrival) {
@@ -79,21 +79,21 @@
 	r.update(func() { r.log.Terminations = append(r.log.Terminations, termination) })
 }
 
-// beginFault records a fault that lasts until over is called; for ever if it is not.
-func (r *recorder) beginFault(f invariants.Fault) (over func(invariants.Seconds)) {
+// beginFault records a fault that lasts until end is called. If end is never called, the fault lasts forever.
+func (r *recorder) beginFault(f invariants.Fault) (end func(invariants.Seconds)) {
 	f.To = invariants.Never
 	r.update(func() { r.faults = append(r.faults, &f) })
 	return func(at invariants.Seconds) { r.update(func() { f.To = at }) }
 }
 
-// exit records that a process ended by itself. The operators' RULES.md allows that in some faults; here it always
-// violates a rule.
+// exit records that a process ended by itself. The operators' RULES.md allows this during some faults; the emulator
+// always reports it as a violation.
 func (r *recorder) exit(process string, at invariants.Seconds, text string) {
 	exit := invariants.Exit{Process: process, At: at, Text: text}
 	r.add(func() { r.log.Exits = append(r.log.Exits, exit) })
 }
 
-// notef adds a note for people to the report.
+// notef adds a note to the report.
 func (r *recorder) notef(format string, args ...any) {
 	r.add(func() { r.notes = append(r.notes, fmt.Sprintf(format, args...)) })
 }
--- a/internal/emulator/loopback/report.go
+++ b/internal/emulator/loopback/report.go
@@ -9,58 +9,59 @@
 	"mulleinrouter/internal/emulator/invariants"
 )
 
-// Outcome is how a request ended for its client, over all its attempts.
+// Outcome is the result of a request for its client, over all its attempts.
 type Outcome int
 
 // Outcomes of requests.
 const (
 	Served   Outcome = iota
-	Rejected         // answered with a proof that it was not executed
-	Failed           // all others
+	Rejected         // answered with a status that proves that it was not executed
+	Failed           // every other result
 )
 
-// FinishedRequest is a request of a client that ended.
+// FinishedRequest is a request of a client that has ended.
 type FinishedRequest struct {
 	Outcome Outcome
-	At      invariants.Seconds // since the traffic began
+	At      invariants.Seconds // end of the request, seconds since the start of the traffic
 }
 
 // Report is the result of a run.
 type Report struct {
-	Violations   []invariants.Violation
-	Classes      []ClassResult // the class with the most requests first
-	Requests     []FinishedRequest
-	Processes    []ProcessUsage
-	Notes        []string
-	Dir          string             // settings, disks and logs
-	TrafficStart invariants.Seconds // since the start of the run, as are the times of Violations
-	ChangeP99    invariants.Seconds // from a call of the operator to its acknowledgement
-	HealthChecks int64              // that servers received
-	Arrivals     int                // requests that servers received, other than health checks
-	OwnAnswers   map[string]int     // answers that no server gave, by status and text: of all attempts
+	Violations     []invariants.Violation
+	Classes        []ClassResult // sorted by number of requests, highest first
+	Requests       []FinishedRequest
+	Processes      []ProcessUsage
+	Notes          []string
+	Dir            string             // folder with settings, disks and logs
+	TrafficStart   invariants.Seconds // seconds since the start of the run, as are the times of Violations
+	ChangeP99      invariants.Seconds // time from a call of the operator to its acknowledgement, 99th percentile
+	HealthChecks   int64              // number of health checks that servers received
+	Arrivals       int                // number of requests that servers received, without health checks
+	GatewayAnswers map[string]int     // answers that the gateway itself generated over all attempts, by status and text
 }
 
-// ClassResult counts the requests of one class. A request counts once, by how its last attempt ended.
+// ClassResult contains the counts of requests of one class. Each request is counted once, by the result of its last
+// attempt.
 type ClassResult struct {
 	Class    string
 	Requests int
 	Served   int
 	InTime   int                // served within the latency target
-	Rejected int                // answered with a proof that they were not executed
-	Failed   map[string]int     // the others, by status or ending
-	P50      invariants.Seconds // latency of the served
-	P99      invariants.Seconds // latency of the served
+	Rejected int                // answered with a status that proves that they were not executed
+	Failed   map[string]int     // all others, by status or by the way the attempt ended
+	P50      invariants.Seconds // median latency of served requests
+	P99      invariants.Seconds // 99th percentile of the latency of served requests
 }
 
-// ProcessUsage is what a process used over all its incarnations.
+// ProcessUsage is the resource usage of a process over all its incarnations.
 type ProcessUsage struct {
 	Process    string
 	CPU        time.Duration
-	PeakMemory int64 // bytes
-	Starts     int
+	PeakMemory int64 // resident memory, bytes
+	Starts     int   // number of times that it was started
 }
 
-// usageReport returns the part of the report that needs the processes to run.
+// usageReport returns the part of the report that must be collected while the processes are running.
 func (cl *cluster) usageReport() *Report {
 	r := &Report{Dir: cl.options.Dir, TrafficStart: cl.trafficStart}
 	for _, m := range cl.machines() {
@@ -71,7 +72,7 @@
 	return r
 }
 
-// evaluate adds the part of the report that needs the complete log: all goroutines of the run have ended.
+// evaluate adds the part of the report that needs the complete log. All goroutines of the run must have ended.
 func (r *Report) evaluate(cl *cluster) {
 	l := cl.recorder.snapshot()
 	l.Bounds = cl.options.Bounds
@@ -83,15 +84,15 @@
 	r.HealthChecks = cl.healthChecks.Load()
 	r.ChangeP99 = quantile(cl.changeLatencies.values, 0.99)
 	r.Notes = cl.recorder.allNotes()
-	r.OwnAnswers = cl.ownAnswers
+	r.GatewayAnswers = cl.gatewayAnswers
 	r.Classes = countByClass(l.Attempts)
 	r.Requests = finishedRequests(l.Attempts, r.TrafficStart)
 }
 
-// endsRequest tells whether an attempt was the last one of a request that is not a canary.
+// endsRequest reports whether an attempt was the last one of a request that is not a canary.
 func endsRequest(t *invariants.Attempt) bool { return t.Last && !t.Probe }
 
-// outcomeOf returns how a request ended, by its last attempt.
+// outcomeOf returns the outcome of a request, given its last attempt.
 func outcomeOf(t *invariants.Attempt) Outcome {
 	switch {
 	case t.End == invariants.Answered && t.Status/100 == 2:
@@ -102,7 +103,7 @@
 	return Failed
 }
 
-// finishedRequests returns the requests that ended, without canaries.
+// finishedRequests returns the requests that have ended, without canaries.
 func finishedRequests(attempts []invariants.Attempt, trafficStart invariants.Seconds) (list []FinishedRequest) {
 	for n := range attempts {
 		if t := &attempts[n]; endsRequest(t) {
@@ -112,7 +113,7 @@
 	return list
 }
 
-// countByClass counts the requests that ended, without canaries.
+// countByClass counts the requests that have ended, without canaries, by class.
 func countByClass(attempts []invariants.Attempt) []ClassResult {
 	results := map[string]*ClassResult{}
 	served := map[string][]float64{}
@@ -140,7 +141,7 @@
 	return list
 }
 
-// count counts a request by its last attempt, and tells whether it was served.
+// count counts a request by its last attempt, and reports whether it was served.
 func (c *ClassResult) count(t *invariants.Attempt) (served bool) {
 	c.Requests++
 	switch outcome := outcomeOf(t); {
--- a/internal/emulator/loopback/reporttext.go
+++ b/internal/emulator/loopback/reporttext.go
@@ -9,14 +9,14 @@
 	"text/tabwriter"
 )
 
-// maxShown is how many violations of one rule are written.
+// maxShown is the maximum number of violations of one rule that are printed.
 const maxShown = 5
 
-// Write writes the report for people.
+// Write writes the report as text.
 func (r *Report) Write(w io.Writer) error {
 	r.WriteTables(w)
-	for _, text := range slices.Sorted(maps.Keys(r.OwnAnswers)) {
-		fmt.Fprintf(w, "%d times an answer of the system's own: %s\n", r.OwnAnswers[text], text)
+	for _, text := range slices.Sorted(maps.Keys(r.GatewayAnswers)) {
+		fmt.Fprintf(w, "%d times an answer of the system's own: %s\n", r.GatewayAnswers[text], text)
 	}
 	for _, n := range r.Notes {
 		fmt.Fprintln(w, "note:", n)
@@ -24,7 +24,7 @@
 	return r.WriteViolations(w)
 }
 
-// WriteTables writes the results of the classes and what the processes used.
+// WriteTables writes the results of the request classes and the resource usage of the processes.
 func (r *Report) WriteTables(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	r.writeClasses(t)
@@ -54,7 +54,7 @@
 	}
 }
 
-// WriteViolations writes the rules that were violated, with the first instances of each.
+// WriteViolations writes the rules that were violated, with the first violations of each.
 func (r *Report) WriteViolations(w io.Writer) error {
 	if len(r.Violations) == 0 {
 		_, err := fmt.Fprintln(w, "rules broken: none")
--- a/internal/emulator/loopback/response.go
+++ b/internal/emulator/loopback/response.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	chunkSize    = 700 // bytes
-	writeTimeout = 5 * time.Second
+	chunkSize    = 700             // size of the chunks of a chunked body, bytes
+	writeTimeout = 5 * time.Second // for writing a response
 )
 
 // response is an HTTP/1.1 response of a server.
 type response struct {
 	status    int
-	attemptID string // empty: not stated
-	fields    string // further header fields, each with its line end
+	attemptID string // value of X-Attempt-Id; empty: no such field
+	fields    string // additional header fields, each with its line end
 	body      []byte
-	closing   bool // the connection ends after it
-	chunked   bool
+	closing   bool // the server closes the connection after the response
+	chunked   bool // the body is sent in chunked transfer coding
 }
 
 func (r response) encode() []byte {
@@ -47,14 +47,14 @@
 	return b.Bytes()
 }
 
-// writeResponse writes a response; more tells whether the connection goes on.
+// writeResponse writes a response; more reports whether the connection can be used for another request.
 func writeResponse(conn net.Conn, r response) (more bool) {
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := conn.Write(r.encode())
 	return err == nil && !r.closing
 }
 
-// encodeChunks returns a body in the chunked transfer coding (RFC 9112, 7.1).
+// encodeChunks encodes a body in the chunked transfer coding (RFC 9112, section 7.1).
 func encodeChunks(body []byte) []byte {
 	var b bytes.Buffer
 	for chunk := range slices.Chunk(body, chunkSize) {
@@ -64,7 +64,7 @@
 	return b.Bytes()
 }
 
-// uniqueBody returns a body of a size that no other seal has.
+// uniqueBody returns a body of the given size that consists of repetitions of seal, so that it is unique for the seal.
 func uniqueBody(seal string, size int) []byte {
 	return bytes.Repeat([]byte(seal+"/"), size/(len(seal)+1)+1)[:size]
 }
--- a/internal/emulator/loopback/run.go
+++ b/internal/emulator/loopback/run.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	startTimeout   = 25 * time.Second      // for all machines to be ready and to serve each route
-	readinessRetry = 30 * time.Millisecond // between two checks of a machine that does not serve yet
+	startTimeout   = 25 * time.Second      // for all edge machines to be ready and serve every route
+	readinessRetry = 30 * time.Millisecond // between two checks of a machine that is not ready yet
 )
 
-// Run runs a cluster with its traffic and faults, and checks what was observed. It returns an error when the run could
-// not take place, or when ctx ended. All processes and goroutines that it started have ended when it returns.
+// Run runs a cluster with traffic and faults, and checks the recorded observations. It returns an error if the cluster
+// could not be started or ctx ended. All processes and goroutines that it started have ended when it returns.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	o, err := o.complete()
 	if err != nil {
@@ -28,7 +28,7 @@
 	transport := newTransport()
 	defer transport.CloseIdleConnections()
 	cl := newCluster(o, transport)
-	if err := cl.layOut(); err != nil {
+	if err := cl.createTopology(); err != nil {
 		return nil, err
 	}
 	var r *Report
@@ -50,13 +50,14 @@
 	return r, nil
 }
 
-// newTransport returns the transport of the calls of servers, the operator and the platform.
+// newTransport returns the HTTP transport for calls of servers, the operator and the platform.
 func newTransport() *http.Transport {
 	return &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second, DisableCompression: true}
 }
 
-// run owns the contexts and goroutines of the cluster: it starts them, and has ended them when it returns. Once the
-// cluster serves, it calls work, during which there is traffic, and then afterwards, before the processes end.
+// run manages the contexts and goroutines of the cluster. It starts them, and all of them have ended when it returns.
+// Once the cluster is serving, it calls work, during which there is traffic. Then it calls afterwards, while the
+// processes are still running.
 func (cl *cluster) run(ctx context.Context, work, afterwards func()) error {
 	var endLifetime, endTraffic context.CancelFunc
 	cl.lifetime, endLifetime = context.WithCancel(context.Background())
@@ -83,14 +84,14 @@
 	return err
 }
 
-// start starts processes, servers and the platform, and returns once the first configuration is served everywhere and
-// the warm-up is over. Until then each machine counts as under a planned fault.
+// start starts processes, servers and the platform, and returns once all edge machines serve the first configuration
+// and the warm-up is over. Until then a planned fault is recorded for each machine, so that startup violates no rule.
 func (cl *cluster) start() error {
 	cl.report(Starting)
-	var started []func(invariants.Seconds)
+	var startupFaults []func(invariants.Seconds)
 	for _, m := range cl.machines() {
-		over := cl.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, Planned: true})
-		started = append(started, over)
+		endFault := cl.recorder.beginFault(invariants.Fault{Machine: m.name, Core: m.core, Planned: true})
+		startupFaults = append(startupFaults, endFault)
 		if err := m.start(); err != nil {
 			return err
 		}
@@ -102,7 +103,7 @@
 	if status := cl.operator.submit(cl.initialItems()...); status != http.StatusOK {
 		notes := strings.Join(cl.recorder.allNotes(), "; ")
 		return &StartupError{
-			Problem: fmt.Sprintf("the first configuration was not taken: %d, %s", status, notes),
+			Problem: fmt.Sprintf("the first configuration was not accepted: status %d, %s", status, notes),
 			Logs:    cl.processLogs(),
 		}
 	}
@@ -117,13 +118,13 @@
 	cl.report(WarmingUp)
 	cl.sleepInTraffic(cl.options.WarmUp - time.Since(cl.startedAt))
 	cl.trafficStart = cl.now()
-	for _, over := range started {
-		over(cl.trafficStart)
+	for _, endFault := range startupFaults {
+		endFault(cl.trafficStart)
 	}
 	return nil
 }
 
-// runTraffic starts clients and scheduled faults, and returns when the time of the traffic is over.
+// runTraffic starts clients and scheduled faults, and returns when the traffic time is over.
 func (cl *cluster) runTraffic() {
 	for n, c := range cl.classes {
 		cl.clients.Go(func() { cl.sendClass(c, cl.randStream(firstClassStream+uint64(n))) })
@@ -135,7 +136,7 @@
 	cl.awaitTrafficEnd()
 }
 
-// startInitialServers starts the servers of all services, spread over the zones.
+// startInitialServers starts the servers of all services, distributed over the zones.
 func (cl *cluster) startInitialServers() error {
 	for name, spec := range cl.services {
 		for n := range spec.instances {
@@ -147,7 +148,7 @@
 	return nil
 }
 
-// awaitServing waits until every edge machine is ready and serves each route.
+// awaitServing waits until every edge machine is ready and serves every route.
 func (cl *cluster) awaitServing() error {
 	until := time.Now().Add(startTimeout)
 	rng := cl.randStream(startupStream)
@@ -168,7 +169,7 @@
 	return nil
 }
 
-// awaitRoute sends requests to an edge machine until one is served.
+// awaitRoute sends requests for a route to an edge machine until one is served.
 func (cl *cluster) awaitRoute(m *machine, r *route, until time.Time, rng *rand.Rand) error {
 	for {
 		request := cl.canaryRequest(canary{route: r, key: cl.tenants[0].drawKey(rng)}, m)
@@ -178,7 +179,7 @@
 		}
 		if time.Now().After(until) || !cl.sleepInTraffic(readinessRetry) {
 			return &StartupError{
-				Problem: fmt.Sprintf("%s did not serve %s in %v: %v, %d",
+				Problem: fmt.Sprintf("%s did not serve %s requests within %v: last attempt %v, status %d",
 					m.name, r.class.name, startTimeout, t.End, t.Status),
 				Logs: cl.processLogs(),
 			}
@@ -186,7 +187,7 @@
 	}
 }
 
-// stopProcesses ends all processes, edge machines and core nodes at once.
+// stopProcesses stops the processes of all edge machines and core nodes concurrently.
 func (cl *cluster) stopProcesses() {
 	var all sync.WaitGroup
 	for _, m := range slices.Concat(cl.edge, cl.core) {
--- a/internal/emulator/loopback/schedule.go
+++ b/internal/emulator/loopback/schedule.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	scheduleStream = 7     // of random numbers, from the seed
-	anyFault       = "any" // stands for one fault by chance
-	maxDrawnTarget = 1 << 10
+	scheduleStream = 7       // identifier of the stream of random numbers that is derived from the seed
+	anyFault       = "any"   // name that is replaced by that of a random fault
+	maxDrawnTarget = 1 << 10 // upper limit, not reached, of drawn targets
 )
 
-// ParseSchedule reads a schedule: the name of a file with lines "SECONDS NAME [TARGET]", where # begins a comment, or
-// names joined by commas (any: one by chance), which get times between a tenth and seven tenths of the traffic time,
-// and targets, by the seed. It returns a *ScheduleError for a line of a file and an *UnknownFaultError for a name.
+// ParseSchedule parses a schedule. The text is either the name of a file or a comma-separated list of fault names.
+// Lines of a file have the form "SECONDS NAME [TARGET]", and # begins a comment. For a list, the seed determines the
+// targets and the times, which are between 10% and 70% of the traffic time; the name "any" means a random fault.
+// ParseSchedule returns a *ScheduleError for an invalid line of a file and an *UnknownFaultError for an unknown name.
 func ParseSchedule(text string, trafficTime time.Duration, seed uint64) ([]Fault, error) {
 	if text == "" {
 		return nil, nil
@@ -50,7 +51,7 @@
 	return list, in.Err()
 }
 
-// parseFault reads the words of one line; problem is empty where they are a fault.
+// parseFault parses the words of one line; problem is empty if they are valid.
 func parseFault(words []string) (f Fault, problem string) {
 	at, err := strconv.ParseFloat(words[0], 64)
 	if err != nil || at < 0 || len(words) < 2 || len(words) > 3 {
@@ -70,7 +71,7 @@
 	return f, ""
 }
 
-// drawSchedule gives named faults their times and targets, and sorts them by time.
+// drawSchedule draws times and targets for the named faults, and sorts the faults by time.
 func drawSchedule(names []string, trafficTime time.Duration, seed uint64) ([]Fault, error) {
 	var list []Fault
 	rng := rand.New(rand.NewPCG(seed, scheduleStream))
--- a/internal/emulator/loopback/serve.go
+++ b/internal/emulator/loopback/serve.go
@@ -9,47 +9,50 @@
 )
 
 const (
-	serviceCheckInterval = time.Second // between two looks for services that an operator added
+	serviceCheckInterval = time.Second // between two checks for services that an operator has added
 
-	addedInstances = 2 // servers of a service that an operator added, each in a zone of its own
-	addedSlots     = 3
-	addedMeanWork  = 20 * time.Millisecond
+	addedInstances = 2                     // number of servers of an added service, each in a different zone
+	addedSlots     = 3                     // number of requests that such a server executes concurrently
+	addedMeanWork  = 20 * time.Millisecond // mean execution time of a request at such a server
 
-	exampleTenant = 1 // the requests at the start use up some of the quota of the first one
+	// exampleTenant is the index of the tenant of the example request. It is not the first one, because the requests
+	// during startup use some of the quota of the first one.
+	exampleTenant = 1
 )
 
-// Endpoints are the addresses of a cluster that serves, and an example of a request.
+// Endpoints contains the addresses of a running cluster, and an example of a request.
 type Endpoints struct {
 	Machines []MachineEndpoints // core nodes first
 	Example  ExampleRequest
 }
 
-// MachineEndpoints are the addresses of a machine, each as host:port. An empty one: the machine does not have it.
+// MachineEndpoints contains the addresses of a machine, each as host:port. An address that the machine does not have is
+// empty.
 type MachineEndpoints struct {
 	Name      string
-	Control   string // for operators and servers
-	Clients   string
-	Readiness string
+	Control   string // address for operators and servers
+	Clients   string // address for clients
+	Readiness string // address for readiness checks
 	Processes []ProcessEndpoint
 }
 
-// ProcessEndpoint is a process and the URL of its metrics; empty: it serves none.
+// ProcessEndpoint contains the ID of a process and the URL of its metrics, which is empty if it serves none.
 type ProcessEndpoint struct {
 	Program string
 	PID     int
 	Metrics string
 }
 
-// ExampleRequest is a request that the first configuration has a route for. It is a GET, and may be repeated.
+// ExampleRequest is a request that matches a route of the first configuration. It is an idempotent GET request.
 type ExampleRequest struct {
 	Host, Path, Key string
 	Timeout         time.Duration
 }
 
-// Serve starts a cluster without clients and faults, calls started once it serves, and stops it when ctx ends. Servers
-// of services that are added to the configuration are started too, and their answers say in words who gave them. It
-// returns an error when the cluster could not be started. All processes and goroutines that it started have ended when
-// it returns.
+// Serve starts a cluster without clients and faults, calls started once the cluster is serving, and stops it when ctx
+// ends. It also starts servers for services that are added to the configuration. The answers of all servers describe
+// the request and the server as text. Serve returns an error if the cluster could not be started. All processes and
+// goroutines that it started have ended when it returns.
 func Serve(ctx context.Context, o Options, started func(Endpoints)) error {
 	o, err := o.complete()
 	if err != nil {
@@ -58,8 +61,8 @@
 	transport := newTransport()
 	defer transport.CloseIdleConnections()
 	cl := newCluster(o, transport)
-	cl.serving = true
-	if err := cl.layOut(); err != nil {
+	cl.interactive = true
+	if err := cl.createTopology(); err != nil {
 		return err
 	}
 	err = cl.run(ctx, func() {
@@ -73,7 +76,7 @@
 	return err
 }
 
-// endpoints returns the addresses of a cluster that has started.
+// endpoints returns the addresses of a running cluster.
 func (cl *cluster) endpoints() Endpoints {
 	r := cl.live[cl.classes[0]][0]
 	e := Endpoints{Example: ExampleRequest{
@@ -127,7 +130,7 @@
 	}
 }
 
-// serveAddedService starts the servers of a service that has none.
+// serveAddedService starts servers of a service, unless the service is already known.
 func (cl *cluster) serveAddedService(name string) {
 	if _, known := cl.services[name]; known {
 		return
@@ -138,7 +141,7 @@
 	}
 }
 
-// plainBody is the body of a response for people.
+// plainBody returns a response body that describes the request and the server as text.
 func (s *server) plainBody(e *exchange) []byte {
 	tenant := e.arrival.Tenant
 	if tenant == "" {
@@ -148,7 +151,7 @@
 		e.arrival.Method, e.arrival.Target, s.id, s.service, s.zone, tenant)
 }
 
-// pid returns the process id of the latest incarnation; 0: it was never started.
+// pid returns the process ID of the latest incarnation; 0: the process was never started.
 func (p *process) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/emulator/loopback/server.go
+++ b/internal/emulator/loopback/server.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	maxServerConns     = 130                   // connections that a server takes; it resets more
-	slowStartTime      = 2 * time.Second       // in which a new server is slow
-	slowStartFactor    = 1.7                   // times the usual time of a request, in slowStartTime
-	responsiveInterval = 50 * time.Millisecond // between two looks of a connection at an unresponsive server
+	maxServerConns     = 130                   // maximum number of connections of a server, which resets further ones
+	slowStartTime      = 2 * time.Second       // time after its start during which a server is slow
+	slowStartFactor    = 1.7                   // execution time during slowStartTime, as a multiple of the usual one
+	responsiveInterval = 50 * time.Millisecond // between two checks whether a server is responsive again
 )
 
-// responseFault is what goes wrong with one response.
+// responseFault is a fault that is injected into a response.
 type responseFault int
 
 const (
 	noFault          responseFault = iota
-	loseResponse                   // the request is executed, and the connection ends without its response
+	loseResponse                   // the request is executed, and the connection is closed without a response
 	resetConn                      // the connection is reset while the request is executed
-	garbleResponse                 // bytes that are no response
-	truncateResponse               // the response ends in the middle
-	repeatResponse                 // the response comes a second time, later
+	garbleResponse                 // the server sends bytes that are not an HTTP response
+	truncateResponse               // the response is cut off before its end
+	repeatResponse                 // the response is sent a second time, after a delay
 )
 
-// server is one incarnation of a fake server. Its goroutines belong to the cluster's background group and end with ctx.
+// server is a fake server. Its goroutines belong to the cluster's background group and end with ctx.
 type server struct {
 	cluster      *cluster
 	id           string
@@ -37,30 +37,30 @@
 	generation   string
 	zone         string
 	slots        int
-	meanWork     time.Duration // of a request, at slowness 1
-	slowness     float64
+	meanWork     time.Duration // mean execution time of a request at slowness 1
+	slowness     float64       // factor of execution times, by which servers differ
 	addr         string
 	listener     net.Listener
 	startedAt    time.Time
-	ctx          context.Context // ends with the server
+	ctx          context.Context // ends when the server stops
 	stop         context.CancelFunc
-	workSlots    chan struct{} // one entry a request that is executed
-	queued       atomic.Int32  // requests that are executed or wait for a slot
+	workSlots    chan struct{} // contains one entry for each request in execution
+	queued       atomic.Int32  // number of requests in execution or waiting for a slot
 	draining     atomic.Bool
 	unresponsive atomic.Bool
-	callSeq      atomic.Uint64 // of calls to control nodes
+	callSeq      atomic.Uint64 // sequence number of the last call to a control node
 
 	mu              sync.Mutex // guards the fields below
 	rng             *rand.Rand
-	resumed         chan struct{} // closed when the server is responsive again, then replaced
+	resumed         chan struct{} // closed when the server becomes responsive again, and replaced
 	conns           map[net.Conn]struct{}
-	heartbeatTarget string // address that the last acknowledgement named; empty: any control node
+	heartbeatTarget string // address from the last acknowledgement; empty: any control node
 	faultRates      map[responseFault]float64
 	closed          bool
 }
 
-// startServer starts a server of a service at an address (host:0 draws the port), and has it register. It returns at
-// once.
+// startServer starts a server of a service at an address, for which port 0 means any free port. The server registers
+// itself by heartbeats; startServer does not wait for that.
 func (cl *cluster) startServer(service, zone, addr, generation string) error {
 	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// accept takes connections until the server ends.
+// accept accepts connections until the server stops.
 func (s *server) accept() {
 	stopWatching := context.AfterFunc(s.ctx, s.closeAll)
 	defer stopWatching()
@@ -116,7 +116,7 @@
 	}
 }
 
-// addConn tells whether the server takes another connection.
+// addConn adds a connection and returns true, unless the server is closed or has too many connections.
 func (s *server) addConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +151,7 @@
 	conn.Close()
 }
 
-// blackHole has the server neither read nor answer nor send heartbeats for a while.
+// blackHole makes the server unresponsive for a duration: it neither reads nor answers nor sends heartbeats.
 func (s *server) blackHole(d time.Duration) {
 	s.unresponsive.Store(true)
 	s.cluster.sleepInTraffic(d)
@@ -172,19 +172,19 @@
 		case <-resumed:
 		case <-s.ctx.Done():
 			return
-		case <-time.After(responsiveInterval): // it may have resumed between the two looks
+		case <-time.After(responsiveInterval): // the server may have resumed between the check and the read of resumed
 		}
 	}
 }
 
-// setFaultRate has a part of the server's responses go wrong from now on; 0: none.
+// setFaultRate sets the share of the server's responses into which a fault is injected; 0: none.
 func (s *server) setFaultRate(fault responseFault, rate float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faultRates[fault] = rate
 }
 
-// drawFault draws what goes wrong with the next response.
+// drawFault draws the fault of the next response.
 func (s *server) drawFault() responseFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,16 +196,16 @@
 	return noFault
 }
 
-// work is how one request is executed.
+// work describes the execution of one request.
 type work struct {
 	duration   time.Duration
-	chunked    bool
-	closeAfter bool
-	failing    bool
-	bodySize   int // of the response, in bytes
+	chunked    bool // the response has a chunked body
+	closeAfter bool // the server closes the connection after the response
+	failing    bool // the response has status 500
+	bodySize   int  // size of the response body, bytes
 }
 
-// drawWork draws how the next request is executed.
+// drawWork draws the execution of the next request.
 func (s *server) drawWork() work {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,7 +222,7 @@
 	}
 }
 
-// drawDelay draws a time below a limit.
+// drawDelay draws a duration below a limit.
 func (s *server) drawDelay(limit time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/loopback/serverconn.go
+++ b/internal/emulator/loopback/serverconn.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	maxServerQueue    = 6                     // requests that wait for a slot
-	serverIdleTimeout = 8 * time.Second       // after which a server closes an idle connection
-	maxRepeatDelay    = 60 * time.Millisecond // until a response comes a second time
-	defaultTimeLeftMs = 1000                  // of a request that does not state it
+	maxServerQueue    = 6                     // number of requests that may wait for a slot
+	serverIdleTimeout = 8 * time.Second       // time after which a server closes an idle connection
+	maxRepeatDelay    = 60 * time.Millisecond // upper limit of the delay before a response is repeated
+	defaultTimeLeftMs = 1000                  // time left of a request without X-Time-Left-Ms, ms
 
 	notExecutedField = "X-Not-Executed: 1\r\n"
 )
 
-// serverRequest is a request that was read with its body.
+// serverRequest is a request whose body has been read.
 type serverRequest struct {
 	*http.Request
 	body []byte
 }
 
-// exchange is one request on a connection, with what is recorded of it.
+// exchange is one request on a connection, with its record.
 type exchange struct {
 	conn         net.Conn
 	request      serverRequest
@@ -35,15 +35,15 @@
 	disconnected <-chan struct{} // closed when the peer has ended the connection
 }
 
-// serveConn answers the requests of one connection, one after the other.
+// serveConn answers the requests of one connection sequentially.
 func (s *server) serveConn(conn net.Conn) {
 	requests := make(chan serverRequest)
 	disconnected := make(chan struct{})
-	over := make(chan struct{})
-	defer close(over)
+	handlerDone := make(chan struct{})
+	defer close(handlerDone)
 	s.cluster.background.Go(func() {
 		defer close(disconnected)
-		readRequests(conn, requests, over)
+		readRequests(conn, requests, handlerDone)
 	})
 	conn.SetReadDeadline(time.Now().Add(serverIdleTimeout))
 	for {
@@ -61,7 +61,7 @@
 }
 
 // readRequests reads requests until the connection ends or over is closed.
-func readRequests(conn net.Conn, requests chan<- serverRequest, over <-chan struct{}) {
+func readRequests(conn net.Conn, requests chan<- serverRequest, handlerDone <-chan struct{}) {
 	in := bufio.NewReader(conn)
 	for {
 		r, err := http.ReadRequest(in)
@@ -74,13 +74,13 @@
 		}
 		select {
 		case requests <- serverRequest{r, body}:
-		case <-over:
+		case <-handlerDone:
 			return
 		}
 	}
 }
 
-// handle answers one request; more tells whether the connection goes on.
+// handle answers one request; more reports whether the connection can be used for another request.
 func (s *server) handle(conn net.Conn, r serverRequest, disconnected <-chan struct{}) (more bool) {
 	s.awaitResponsive()
 	e := &exchange{conn: conn, request: r, arrival: s.newArrival(r), disconnected: disconnected}
@@ -92,7 +92,7 @@
 		return s.reject(e, http.StatusMisdirectedRequest, s.idField())
 	}
 	if r.Header.Get("Authorization") != "" {
-		s.cluster.recorder.notef("a server was shown a key, by %s", e.arrival.ID)
+		s.cluster.recorder.notef("a server received an Authorization header in attempt %s", e.arrival.ID)
 	}
 	if e.arrival.ID == "" {
 		return s.reject(e, http.StatusBadRequest, notExecutedField)
@@ -138,12 +138,12 @@
 
 func (s *server) idField() string { return "X-Instance-Id: " + s.id + "\r\n" }
 
-// timeLeft returns the time that a request states.
+// timeLeft returns the time that a request has left until its deadline, according to its X-Time-Left-Ms field.
 func (s *server) timeLeft(r serverRequest, id string) time.Duration {
 	stated := r.Header.Get("X-Time-Left-Ms")
 	left, err := strconv.ParseFloat(stated, 64)
 	if err != nil {
-		s.cluster.recorder.notef("X-Time-Left-Ms %q, by %s", stated, id)
+		s.cluster.recorder.notef("invalid X-Time-Left-Ms %q in attempt %s", stated, id)
 		left = defaultTimeLeftMs
 	}
 	return time.Duration(left * float64(time.Millisecond))
@@ -158,7 +158,7 @@
 	return writeResponse(e.conn, response{status: status, fields: s.idField(), closing: e.request.Close})
 }
 
-// reject answers a request that is not executed.
+// reject answers a request without executing it.
 func (s *server) reject(e *exchange, status int, fields string) (more bool) {
 	s.cluster.recorder.update(func() {
 		e.arrival.Status = status
@@ -173,7 +173,7 @@
 	})
 }
 
-// execute executes a request that has a slot, and answers it.
+// execute executes a request that occupies a slot, and answers it.
 func (s *server) execute(e *exchange, deadline *time.Timer) (more bool) {
 	w := s.drawWork()
 	fault := s.drawFault()
@@ -185,12 +185,12 @@
 		return false
 	}
 	s.awaitResponsive()
-	if w.failing && !s.cluster.serving {
+	if w.failing && !s.cluster.interactive {
 		status = http.StatusInternalServerError
 	}
 	seal := fmt.Sprintf("%s.%x.%d", s.id, s.cluster.serial.Add(1), status)
 	body := uniqueBody(seal, w.bodySize)
-	if s.cluster.serving {
+	if s.cluster.interactive {
 		body = s.plainBody(e)
 	}
 	s.cluster.recorder.update(func() {
@@ -215,7 +215,8 @@
 	return writeResponse(e.conn, r)
 }
 
-// perform spends the time of a request; done is false where it was aborted.
+// perform simulates the execution of a request by waiting for its execution time. It returns done = false if the
+// execution was aborted.
 func (s *server) perform(e *exchange, w work, deadline *time.Timer) (status int, done bool) {
 	recorder, now := &s.cluster.recorder, s.cluster.now
 	timer := time.NewTimer(w.duration)
@@ -240,7 +241,7 @@
 	return 0, false
 }
 
-// writeFaulty writes a response with a fault.
+// writeFaulty writes a response and applies a fault to it; more reports whether the connection can be used again.
 func (s *server) writeFaulty(conn net.Conn, r response, fault responseFault, seal string) (more bool) {
 	switch fault {
 	case resetConn:
--- a/internal/emulator/loopback/serverfaults.go
+++ b/internal/emulator/loopback/serverfaults.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	unresponsiveTime = 3 * time.Second
-	badResponseTime  = 2 * time.Second
-	badResponseRate  = 0.15 // of a server's responses
-	replaceDelay     = time.Second
-	reuseMargin      = 50 * time.Millisecond // beyond the time after which an address may be reused
+	unresponsiveTime = 3 * time.Second       // time for which a server is unresponsive
+	badResponseTime  = 2 * time.Second       // time for which servers send faulty responses
+	badResponseRate  = 0.15                  // share of the responses of a server that are faulty
+	replaceDelay     = time.Second           // between the crash of a server and the start of its replacement
+	reuseMargin      = 50 * time.Millisecond // added to the time after which an address may be reused
 
 	releaseStartDelay = 200 * time.Millisecond // between the start of a new server and the departure of an old one
 	releaseInterval   = 300 * time.Millisecond // between an old server's departure and the next start
@@ -21,7 +21,8 @@
 	return names
 }
 
-// servingServers returns the servers of a service that serve; of all services for an empty name.
+// servingServers returns the servers of a service that are neither stopped nor draining; for an empty name, those of
+// all services.
 func (cl *cluster) servingServers(service string) (list []*server) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -34,7 +35,7 @@
 	return list
 }
 
-// serverAt returns one of the servers that serve; nil: there is none.
+// serverAt returns one of the serving servers, selected by n; nil: there is none.
 func (cl *cluster) serverAt(n int) *server {
 	list := cl.servingServers("")
 	if len(list) == 0 {
@@ -43,10 +44,10 @@
 	return list[n%len(list)]
 }
 
-// replaceServer starts a server as a fault does it: a failure is noted.
+// replaceServer starts a server during a fault. A failure to start is reported as a note.
 func (cl *cluster) replaceServer(service, zone, addr, generation string) {
 	if err := cl.startServer(service, zone, addr, generation); err != nil {
-		cl.recorder.notef("a server was not started: %v", err)
+		cl.recorder.notef("a server could not be started: %v", err)
 	}
 }
 
@@ -100,7 +101,8 @@
 	}
 }
 
-// badResponses returns a fault that has all servers spoil a part of their responses for badResponseTime.
+// badResponses returns a function that makes all servers apply a fault to a share of their responses, for
+// badResponseTime.
 func badResponses(fault responseFault) func(cl *cluster, target int) {
 	return func(cl *cluster, _ int) {
 		list := cl.servingServers("")
--- a/internal/emulator/loopback/settings.go
+++ b/internal/emulator/loopback/settings.go
@@ -9,13 +9,13 @@
 	"mulleinrouter/internal/cluster/settings"
 )
 
-// seedNodes is how many control nodes stand in the settings of each machine, at most.
-const seedNodes = 3
+// maxSeedNodes is the maximum number of control nodes that are listed in the settings of each machine.
+const maxSeedNodes = 3
 
-// region is that of all machines.
+// region is the region of all machines.
 const region = "floor"
 
-// settingsFile is the text of a settings file: lines "key=value".
+// settingsFile builds the text of a settings file, which consists of lines "key=value".
 type settingsFile struct {
 	text strings.Builder
 }
@@ -75,7 +75,7 @@
 		s.set("network.bind.readyAddr", m.address(cl.ports.ready))
 	}
 	var seeds []string
-	for _, node := range cl.core[:min(seedNodes, len(cl.core))] {
+	for _, node := range cl.core[:min(maxSeedNodes, len(cl.core))] {
 		seeds = append(seeds, node.address(cl.ports.control))
 	}
 	s.set("network.innerPortRange", fmt.Sprintf("%d,%d", cl.ports.inner, cl.ports.inner+innerPorts-1))
@@ -91,14 +91,14 @@
 	s.set("platform.beatMs", cl.options.HeartbeatInterval.Milliseconds())
 	s.set("platform.configMode", "parts")
 	clauses := "base,drain,config,cost,retry,recover,tenants,quota"
-	if cl.serving {
-		clauses += ",coord" // people may try locks, numbers and cells
+	if cl.interactive {
+		clauses += ",coord" // users of Serve can use locks, numbers and cells
 	}
 	s.set("terms.clauses", clauses)
 	s.set("terms.tolerance.machineLosses", min(1, (len(cl.core)-1)/2))
 }
 
-// setBounds writes the bounds, which are in seconds; keys that end in Ms are in milliseconds.
+// setBounds writes the bounds. Times are converted from seconds to milliseconds for keys that end in Ms.
 func setBounds(s *settingsFile, b settings.Bounds) {
 	s.set("terms.bounds.seedLagS", b.SeedLag)
 	s.set("terms.bounds.reuseAfterS", b.ReuseAfter)
@@ -122,7 +122,8 @@
 	s.set("terms.bounds.revokeGlobal", b.RevokeGlobal)
 }
 
-// replaceFile replaces a file in one step: a process that reads it meanwhile sees the old text or the new one.
+// replaceFile replaces a file atomically, so that a process that reads it concurrently gets either the old or the new
+// text.
 func replaceFile(path, text string) error {
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		return err
--- a/internal/emulator/loopback/traffic.go
+++ b/internal/emulator/loopback/traffic.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	hotFactor      = 8    // times the usual rate of a hot tenant
-	maxInFlight    = 1500 // requests of all clients
-	canaryInterval = 80 * time.Millisecond
-	recentCanaries = 6 // that are still sent
+	hotFactor      = 8                     // rate of a hot tenant, as a multiple of its usual rate
+	maxInFlight    = 1500                  // maximum number of requests of all clients in progress
+	canaryInterval = 80 * time.Millisecond // between two canaries
+	recentCanaries = 6                     // number of latest canaries that are sent
 )
 
-// canary is a request whose handling shows which configuration is in force.
+// canary describes a request whose answer shows which configuration is in force.
 type canary struct {
 	route *route
 	key   string // empty: any key of the first tenant
 }
 
-// sendClass sends the requests of one class: a Poisson process whose rate follows the hot tenant.
+// sendClass sends the requests of one class as a Poisson process. Its rate is higher while there is a hot tenant.
 func (cl *cluster) sendClass(c *requestClass, rng *rand.Rand) {
 	next := time.Now()
 	for {
@@ -27,7 +27,7 @@
 		if wait := time.Until(next); wait > 0 {
 			cl.sleep(wait)
 		} else {
-			next = time.Now() // we cannot keep up; do not catch up either
+			next = time.Now() // the schedule is late; continue from now instead of catching up
 		}
 		if cl.traffic.Err() != nil {
 			return
@@ -36,7 +36,7 @@
 		seed := rng.Uint64()
 		if cl.inFlight.Add(1) > maxInFlight {
 			cl.inFlight.Add(-1)
-			cl.recorder.notef("clients are overloaded: a request was not sent")
+			cl.recorder.notef("too many requests in progress: a request was not sent")
 			continue
 		}
 		cl.clients.Go(func() {
@@ -46,7 +46,7 @@
 	}
 }
 
-// drawInterval draws the time to the next request of a class.
+// drawInterval draws the time until the next request of a class.
 func (cl *cluster) drawInterval(c *requestClass, hot *tenant, rng *rand.Rand) time.Duration {
 	rate := c.rate * cl.options.Load
 	if hot != nil {
@@ -55,7 +55,7 @@
 	return seconds(rng.ExpFloat64() / rate)
 }
 
-// drawRequest draws tenant, route, key and user of a request.
+// drawRequest draws the tenant, route, key and user of a request.
 func (cl *cluster) drawRequest(c *requestClass, hot *tenant, rng *rand.Rand) *clientRequest {
 	t := cl.drawTenant(rng, hot)
 	routes := cl.liveRoutes(c)
@@ -74,7 +74,7 @@
 	return request
 }
 
-// drawTenant draws a tenant by weight; hot, if any, has hotFactor times its weight.
+// drawTenant draws a tenant by weight. The hot tenant, if there is one, has hotFactor times its usual weight.
 func (cl *cluster) drawTenant(rng *rand.Rand, hot *tenant) *tenant {
 	total := 1.0
 	if hot != nil {
@@ -94,7 +94,8 @@
 	return cl.tenants[0]
 }
 
-// sendCanaries sends each edge machine in turn requests for what was changed lately, or never existed.
+// sendCanaries sends requests to the edge machines in turn, for routes and keys that were changed recently, or for a
+// route that never existed.
 func (cl *cluster) sendCanaries() {
 	rng := cl.randStream(canaryStream)
 	never := &route{name: "never", host: "nowhere.example", prefix: "/never/", class: cl.classes[0]}
@@ -123,7 +124,7 @@
 	return never
 }
 
-// canaryRequest returns the request of a canary that goes to one edge machine.
+// canaryRequest returns the request of a canary for one edge machine.
 func (cl *cluster) canaryRequest(c canary, edge *machine) *clientRequest {
 	return &clientRequest{
 		class:      c.route.class,
--- a/internal/emulator/loopback/usage.go
+++ b/internal/emulator/loopback/usage.go
@@ -6,13 +6,13 @@
 	"mulleinrouter/internal/emulator/procstat"
 )
 
-// usage is what a process used.
+// usage is the resource usage of a process.
 type usage struct {
 	cpu        time.Duration
-	peakMemory int64 // bytes, resident
+	peakMemory int64 // resident memory, bytes
 }
 
-// readUsage reads what a process used; what cannot be read is zero.
+// readUsage reads the resource usage of a process; values that cannot be read are zero.
 func readUsage(pid int) usage {
 	cpu, _ := procstat.CPU(pid)
 	peakMemory, _ := procstat.PeakMemory(pid)
