--- a/internal/emulator/modelcheck/alphabet.go
+++ b/internal/emulator/modelcheck/alphabet.go
@@ -2,24 +2,24 @@
 
 import "strings"
 
-// The kinds of events. The name of an event is its kind and the client or server that it is about. Traces hold these
-// names.
+// The kinds of events. The name of an event is its kind, followed by the client or server that it concerns, if any.
+// Traces store these names.
 const (
-	// Attempts whose connection is being opened.
+	// Events of attempts whose connection is being opened.
 	eventConnects    = "connects"     // the connection is up
-	eventDialFails   = "refuses-late" // the server refuses it after all
-	eventCancelLands = "cancel-lands" // the attempt, here or later, notices that it was cancelled
+	eventDialFails   = "refuses-late" // the server refuses the connection in the end
+	eventCancelLands = "cancel-lands" // the attempt notices its cancellation, in this stage or a later one
 
-	// Attempts whose last byte is delayed until their server is known to be serving.
-	eventLastByte      = "last-byte"    // it is sent, if it still may be
+	// Events of attempts whose last byte is delayed until their server is known to be serving.
+	eventLastByte      = "last-byte"    // the last byte is sent, if that is still allowed
 	eventBreaksHolding = "breaks-early" // the server closes the connection
 	eventSpeaksHolding = "speaks-early" // the server sends something
 
-	// Attempts that are being written in a single write.
+	// Events of attempts that are being written in a single write.
 	eventWritten       = "goes-out"
 	eventBreaksWriting = "breaks-in-send"
 
-	// Attempts whose body is uploaded while the client sends it.
+	// Events of attempts whose body is uploaded while the client sends it.
 	eventUploaded          = "up"
 	eventUploadBreaks      = "server-breaks-upload"
 	eventUploadAbandoned   = "leaves-upload" // the client stalls or disconnects
@@ -27,7 +27,7 @@
 	eventEarlyError        = "early-500"
 	eventEarlyNotProcessed = "early-503-not-processed"
 
-	// Attempts that await their answer.
+	// Events of attempts that await their answer.
 	eventOK                  = "200"
 	eventOKClose             = "200-and-close"
 	eventOKTrailingBytes     = "200-and-more"
@@ -36,35 +36,35 @@
 	eventNotProcessed        = "503-not-processed"
 	eventTimeoutNotProcessed = "504-not-processed"
 	eventUnavailable         = "503"
-	eventUnidentified        = "503-unnamed"  // an answer that does not say which request it is to
-	eventForeignAnswer       = "other-answer" // a copy of the answer before
+	eventUnidentified        = "503-unnamed"  // an answer that does not identify its request
+	eventForeignAnswer       = "other-answer" // a copy of the previous answer
 	eventInterim             = "interim"
 	eventMalformed           = "spoilt"
 	eventBreaksAwaiting      = "breaks"
 	eventTimesOut            = "time-out"
-	eventSlowAttempt         = "impatient" // its slow-attempt timeout has passed
+	eventSlowAttempt         = "impatient" // the slow-attempt timeout has passed
 
-	// Answers whose body is streamed.
+	// Events of answers whose body is streamed.
 	eventStreamComplete      = "stream-whole"
 	eventStreamTrailingBytes = "stream-more"
-	eventStreamCut           = "stream-cut"  // the server ends it early
+	eventStreamCut           = "stream-cut"  // the server ends the body early
 	eventStreamLeft          = "stream-left" // the client disconnects
 
-	// Clients.
+	// Events of clients.
 	eventDisconnects = "leaves"
 	eventRetries     = "retries"
 
-	// Servers and their list.
+	// Events of servers and of the endpoint list.
 	eventDrains       = "drains"
 	eventRemoved      = "gone"
-	eventAddressTaken = "address-taken" // a new server has this one's address, and this one another
-	eventRefuses      = "refuses"       // it refuses connections from now on
-	eventForgets      = "forgets"       // it has closed its idle connection
+	eventAddressTaken = "address-taken" // a new server gets the address of this one, which moves to another
+	eventRefuses      = "refuses"       // the server refuses connections from now on
+	eventForgets      = "forgets"       // the server has closed the idle connection
 	eventListAgain    = "list-again"    // discovery sends the list once more, as on SIGHUP
 
-	// Time.
-	eventTimer = "timer" // the next one is due
-	eventTime  = "time"  // a while passes
+	// Events of the clock.
+	eventTimer = "timer" // the next timer is due
+	eventTime  = "time"  // passingTime elapses
 
 	// Answers of the quota counter.
 	eventCounted           = "counted"
@@ -72,13 +72,13 @@
 	eventCounterLate       = "count-late"
 	eventCounterUnreadable = "count-no-number"
 
-	// The process and its configuration.
+	// Events of the process and of its configuration.
 	eventPlanChanges = "plan"
 	eventShutdown    = "sigterm"
-	eventDrainEnds   = "patience" // attempts are not waited for any longer
+	eventDrainEnds   = "patience" // the drain ends: the process cancels the remaining attempts
 )
 
-// alphabet is every kind of event, for the share of pairs that a run has covered.
+// alphabet lists every kind of event. A run reports which part of the pairs of kinds it has covered.
 var alphabet = []string{
 	eventConnects, eventDialFails, eventCancelLands,
 	eventLastByte, eventBreaksHolding, eventSpeaksHolding,
@@ -97,7 +97,7 @@
 	eventPlanChanges, eventShutdown, eventDrainEnds,
 }
 
-// kindOf returns the kind of an event's name.
+// kindOf returns the kind of event that an event's name begins with.
 func kindOf(name string) string {
 	kind, _, _ := strings.Cut(name, " ")
 	return kind
--- a/internal/emulator/modelcheck/attempt.go
+++ b/internal/emulator/modelcheck/attempt.go
@@ -6,31 +6,32 @@
 	"mulleinrouter/internal/decision"
 )
 
-// attemptStage is where an attempt is, between the steps of the pool.
+// attemptStage is the stage that an attempt has reached between the steps of the connection pool.
 type attemptStage int
 
 const (
-	stageDialing   attemptStage = iota // its connection is being opened
-	stageHolding                       // all but the last byte is written; of a streamed request, the head alone
-	stageUploading                     // its body is being uploaded
-	stageWriting                       // a single write of it is not complete
-	stageAwaiting                      // it is written completely
+	stageDialing   attemptStage = iota // the connection is being opened
+	stageHolding                       // everything but the last byte is written; for a streamed request only the head
+	stageUploading                     // the body is being uploaded
+	stageWriting                       // the single write of the request is not complete
+	stageAwaiting                      // the request is written completely
 )
 
 // pendingAttempt is an attempt in flight.
 type pendingAttempt struct {
-	client         *client
-	backend        string
-	deadline       decision.Seconds
-	conn           *connection // nil until one is reserved or being opened
-	stage          attemptStage
-	cancelled      bool
-	slowAfter      decision.Seconds // after writtenAt, when the pool asks whether to abandon it; 0: never
+	client    *client
+	backend   string
+	deadline  decision.Seconds
+	conn      *connection // nil until one is reserved or being opened
+	stage     attemptStage
+	cancelled bool
+	// slowAfter is the time after writtenAt at which the pool asks whether to abandon the attempt; 0: never.
+	slowAfter      decision.Seconds
 	writtenAt      decision.Seconds
-	foreignAnswers int // answers to other requests that were passed over
+	foreignAnswers int // answers to other requests that were skipped
 }
 
-// failure returns how an attempt perceives a failure: a cancellation hides any other cause.
+// failure returns the failure that an attempt reports: a cancellation hides any other cause.
 func (pa *pendingAttempt) failure(f upstreamconn.Failure) upstreamconn.Failure {
 	if pa.cancelled {
 		return upstreamconn.Cancelled
@@ -38,7 +39,7 @@
 	return f
 }
 
-// startAttempt is what the pool does first: it takes a connection or opens one, and writes the request.
+// startAttempt does the first step of the pool: it takes or opens a connection, and writes the request.
 func (w *world) startAttempt(pending *pendingAttempt) {
 	c := pending.client
 	c.attempt = pending
@@ -57,15 +58,15 @@
 	}
 }
 
-// beginAttempt is what the pool does with a connection that is open.
+// beginAttempt does what the pool does once the connection is open.
 func (w *world) beginAttempt(pending *pendingAttempt, conn *connection) {
 	c := pending.client
 	if conn.current != nil {
 		other := conn.current.client.name
-		w.violate(propertyExclusive, "%s begins on a connection that %s is on", c.name, other)
+		w.violate(propertyExclusive, "%s begins on a connection that %s is using", c.name, other)
 	}
 	if conn.closed {
-		w.violate(propertyUnusable, "%s begins on a connection that has ended", c.name)
+		w.violate(propertyUnusable, "%s begins on a connection that is closed", c.name)
 	}
 	if err := conn.Begin(); err != nil {
 		w.checkLegal(err)
@@ -100,20 +101,20 @@
 	s := w.server(pending.backend)
 	switch {
 	case s == nil || !s.listed:
-		w.violate(propertyRemoved, "%s begins at %s, which is gone", c.name, pending.backend)
+		w.violate(propertyRemoved, "%s begins at %s, which was removed", c.name, pending.backend)
 	case !s.serving:
 		w.violate(propertyDraining, "%s begins at %s, which is known to drain", c.name, s.id)
 	case s.address != pending.conn.address:
-		w.violate(propertyRemoved, "%s begins at an address that is another server's", c.name)
+		w.violate(propertyRemoved, "%s begins at an address that now belongs to another server", c.name)
 	}
 	if machine := c.request.Machine(); machine.BodyConsumed() {
-		w.violate(propertyBodyOnce, "%s begins again, and its body has gone", c.name)
+		w.violate(propertyBodyOnce, "%s begins again, but its body has been consumed", c.name)
 	}
 }
 
-// checkDrainedServer checks that a request whose last byte, or first byte of a streamed body, is released is not new to
-// a server that drains or was removed. Nothing of the request has run before that byte. What follows the first byte of
-// a streamed body is not new to the server (PROTOCOL, "Figures").
+// checkDrainedServer is called when the last byte of a request, or the first byte of a streamed body, is about to be
+// sent. It checks that the server does not drain and was not removed, because no part of the request has run before
+// that byte. Bytes after the first one of a streamed body may still go to such a server (PROTOCOL, "Figures").
 func (w *world) checkDrainedServer(pending *pendingAttempt) {
 	s := w.server(pending.backend)
 	if s == nil || s.listed && s.serving {
@@ -122,7 +123,7 @@
 	if w.now > s.drainingSince+drainGrace+tolerance {
 		w.violate(
 			propertyDraining,
-			"%s goes out to %s %.2f s after that was told to be drained",
+			"%s is sent to %s %.2f s after that server was listed as draining",
 			pending.client.name,
 			s.id,
 			w.now-s.drainingSince,
@@ -130,7 +131,7 @@
 	}
 }
 
-// requestWritten records that the last byte of a request was sent: from now on the server may run it.
+// requestWritten records that the last byte of a request was sent. From then on the server may run the request.
 func (w *world) requestWritten(pending *pendingAttempt) {
 	c, conn := pending.client, pending.conn
 	w.checkLegal(conn.Written())
@@ -141,11 +142,11 @@
 		w.dispatcher.BodyUploaded(w.now, c.request)
 	}
 	if c.possibleExecutions++; c.atMostOnce && c.possibleExecutions > 1 {
-		w.violate(propertyAtMostOnce, "%s must not run twice, and may have", c.name)
+		w.violate(propertyAtMostOnce, "%s must not run twice, but may have done so", c.name)
 	}
 }
 
-// checkSlow is the pool asking the dispatcher whether to abandon an attempt that has become slow.
+// checkSlow does what the pool does when an attempt has become slow: it asks the dispatcher whether to abandon it.
 func (w *world) checkSlow(pending *pendingAttempt) {
 	c, conn := pending.client, pending.conn
 	stillPending := w.advanceDuring(pending, pending.writtenAt+pending.slowAfter)
@@ -156,29 +157,30 @@
 	case w.draining:
 		w.violate(
 			propertyAbandonedOnPurpose,
-			"%s is given up by patience, and this process leaves",
+			"%s is abandoned as slow while this process shuts down",
 			c.name,
 		)
 	case c.atMostOnce:
 		w.violate(
 			propertyAbandonedOnPurpose,
-			"%s is given up by patience, and must not run twice",
+			"%s is abandoned as slow, but must not run twice",
 			c.name,
 		)
 	}
 	before := c.attempts
 	conn.unusable = true
 	w.applyVerdict(pending, conn, conn.FailedAwaiting(upstreamconn.TimedOut))
-	if c.attempts == before && !c.disconnected { // the other server may turn out to be down: that counts as an attempt
+	// An attempt at another server that refuses connections counts as well.
+	if c.attempts == before && !c.disconnected {
 		w.violate(
 			propertyAbandonedResumes,
-			"%s is given up by patience, and goes to no other server",
+			"%s is abandoned as slow, but is sent to no other server",
 			c.name,
 		)
 	}
 }
 
-// expireAttempt ends an attempt whose deadline has passed, or that was cancelled.
+// expireAttempt ends an attempt whose deadline has passed or that was cancelled.
 func (w *world) expireAttempt(pending *pendingAttempt) {
 	if pending.stage == stageDialing {
 		w.dialFailed(pending)
@@ -190,12 +192,12 @@
 		w.applyVerdict(pending, conn, conn.FailedAwaiting(pending.failure(upstreamconn.TimedOut)))
 		return
 	}
-	// a write that passes its deadline looks like a lost connection
+	// A write that passes its deadline looks like a lost connection.
 	w.applyVerdict(pending, conn, conn.FailedWriting(pending.failure(upstreamconn.ConnectionLost)))
 }
 
-// attemptEnded reports the end of an attempt to the dispatcher, and answers the client if it was served, as ingress
-// does.
+// attemptEnded reports the end of an attempt to the dispatcher. Like the ingress, it first answers the client if the
+// attempt succeeded.
 func (w *world) attemptEnded(pending *pendingAttempt, outcome decision.Outcome) {
 	c := pending.client
 	c.attempt = nil
@@ -203,10 +205,10 @@
 		w.answerClient(c, statusServed)
 		c.finalDecisions++
 		if c.finalDecisions > 1 {
-			w.violate(propertyOneAnswer, "%s is served after its last word", c.name)
+			w.violate(propertyOneAnswer, "%s is served after its final decision", c.name)
 		}
 		if machine := c.request.Machine(); machine.Phase() == attempt.Abandoned {
-			c.finalDecisions-- // NoAnswer follows: the answer went to nobody
+			c.finalDecisions-- // NoAnswer follows, because the client has disconnected
 		}
 	}
 	w.applyEffects(w.dispatcher.AttemptEnded(w.now, c.request, outcome))
--- a/internal/emulator/modelcheck/attempt_events.go
+++ b/internal/emulator/modelcheck/attempt_events.go
@@ -4,16 +4,16 @@
 	"mulleinrouter/internal/dataplane/upstreamconn"
 )
 
-// maxForeignAnswers is how many answers to other requests a connection may skip before it is closed.
+// maxForeignAnswers is the number of answers to other requests that a connection may skip before it is closed.
 const maxForeignAnswers = 8
 
-// answerEvent is an answer that a server may give.
+// answerEvent is a kind of event, and the answer of the server in it.
 type answerEvent struct {
 	kind   string
 	answer upstreamconn.Answer
 }
 
-// answerEvents are the answers to a request that was sent completely.
+// answerEvents lists the answers to a request that was sent completely.
 var answerEvents = []answerEvent{
 	{eventOK, upstreamconn.Answer{Status: 200}},
 	{eventOKClose, upstreamconn.Answer{Status: 200, Close: true}},
@@ -24,14 +24,14 @@
 	{eventUnavailable, upstreamconn.Answer{Status: 503}},
 }
 
-// earlyAnswerEvents are the answers while the body is still going up.
+// earlyAnswerEvents lists the answers that arrive while the body is still being uploaded.
 var earlyAnswerEvents = []answerEvent{
 	{eventEarlyOK, upstreamconn.Answer{Status: 200}},
 	{eventEarlyError, upstreamconn.Answer{Status: 500}},
 	{eventEarlyNotProcessed, upstreamconn.Answer{Status: 503, NotProcessed: true}},
 }
 
-// attemptEvents returns what may become of an attempt that has a connection.
+// attemptEvents returns the events that may happen to an attempt that has a connection.
 func (w *world) attemptEvents(pending *pendingAttempt) []event {
 	var events []event
 	switch pending.stage {
@@ -49,18 +49,18 @@
 	if !pending.cancelled {
 		return events
 	}
-	cancelLands := eventAbout(pending.client.name, eventCancelLands, func() { w.expireAttempt(pending) })
+	cancelLands := subjectEvent(pending.client.name, eventCancelLands, func() { w.expireAttempt(pending) })
 	return append([]event{cancelLands}, events...)
 }
 
 func (w *world) dialingEvents(pending *pendingAttempt) []event {
 	name := pending.client.name
 	events := []event{
-		eventAbout(name, eventConnects, func() { w.beginAttempt(pending, pending.conn) }),
-		eventAbout(name, eventDialFails, func() { w.dialFailed(pending) }),
+		subjectEvent(name, eventConnects, func() { w.beginAttempt(pending, pending.conn) }),
+		subjectEvent(name, eventDialFails, func() { w.dialFailed(pending) }),
 	}
 	if pending.cancelled {
-		events = append(events, eventAbout(name, eventCancelLands, func() { w.dialFailed(pending) }))
+		events = append(events, subjectEvent(name, eventCancelLands, func() { w.dialFailed(pending) }))
 	}
 	return events
 }
@@ -68,9 +68,9 @@
 func (w *world) holdingEvents(pending *pendingAttempt) []event {
 	name := pending.client.name
 	return []event{
-		eventAbout(name, eventLastByte, func() { w.releaseLastByte(pending) }),
-		eventAbout(name, eventBreaksHolding, func() { w.failWriting(pending) }),
-		eventAbout(name, eventSpeaksHolding, func() { w.failWriting(pending) }),
+		subjectEvent(name, eventLastByte, func() { w.releaseLastByte(pending) }),
+		subjectEvent(name, eventBreaksHolding, func() { w.failWriting(pending) }),
+		subjectEvent(name, eventSpeaksHolding, func() { w.failWriting(pending) }),
 	}
 }
 
@@ -78,7 +78,7 @@
 func (w *world) releaseLastByte(pending *pendingAttempt) {
 	conn := pending.conn
 	if _, serving := w.lookup(pending.backend); !upstreamconn.MayRelease(serving, pending.cancelled) {
-		conn.unusable = true // half a request is on it
+		conn.unusable = true // a part of a request was written on it
 		w.applyVerdict(pending, conn, conn.FailedWriting(upstreamconn.Cancelled))
 		return
 	}
@@ -91,7 +91,7 @@
 	w.requestWritten(pending)
 }
 
-// failWriting closes a connection on which a request is not completely written.
+// failWriting ends an attempt whose connection was lost before the request was completely written.
 func (w *world) failWriting(pending *pendingAttempt) {
 	conn := pending.conn
 	conn.unusable = true
@@ -99,29 +99,30 @@
 	w.applyVerdict(pending, conn, conn.FailedWriting(pending.failure(upstreamconn.ConnectionLost)))
 }
 
-// writingEvents returns the ends of a single write: it went out completely, or broke before its last byte.
+// writingEvents returns the possible ends of a single write: it completes, or the connection breaks before its last
+// byte.
 func (w *world) writingEvents(pending *pendingAttempt) []event {
 	name := pending.client.name
 	return []event{
-		eventAbout(name, eventWritten, func() { w.requestWritten(pending) }),
-		eventAbout(name, eventBreaksWriting, func() { w.failWriting(pending) }),
+		subjectEvent(name, eventWritten, func() { w.requestWritten(pending) }),
+		subjectEvent(name, eventBreaksWriting, func() { w.failWriting(pending) }),
 	}
 }
 
 func (w *world) uploadingEvents(pending *pendingAttempt) []event {
 	name := pending.client.name
 	events := []event{
-		eventAbout(name, eventUploaded, func() { w.requestWritten(pending) }),
-		eventAbout(name, eventUploadBreaks, func() { w.failWriting(pending) }),
-		eventAbout(name, eventUploadAbandoned, func() { w.abandonUpload(pending) }),
+		subjectEvent(name, eventUploaded, func() { w.requestWritten(pending) }),
+		subjectEvent(name, eventUploadBreaks, func() { w.failWriting(pending) }),
+		subjectEvent(name, eventUploadAbandoned, func() { w.abandonUpload(pending) }),
 	}
 	for _, e := range earlyAnswerEvents {
-		events = append(events, eventAbout(name, e.kind, func() { w.answeredEarly(pending, e.answer) }))
+		events = append(events, subjectEvent(name, e.kind, func() { w.answeredEarly(pending, e.answer) }))
 	}
 	return events
 }
 
-// abandonUpload disconnects a client whose body is going up: nobody waits for the answer.
+// abandonUpload disconnects a client whose body is being uploaded, so that nobody waits for the answer.
 func (w *world) abandonUpload(pending *pendingAttempt) {
 	conn := pending.conn
 	conn.unusable, pending.cancelled = true, true
@@ -131,9 +132,9 @@
 
 func (w *world) answeredEarly(pending *pendingAttempt, answer upstreamconn.Answer) {
 	conn := pending.conn
-	conn.unusable = true // half a request is on it
+	conn.unusable = true // a part of a request was written on it
 	if !answer.NotProcessed {
-		pending.client.possibleExecutions++ // the server may have read enough to run it
+		pending.client.possibleExecutions++ // the server may have received enough of the request to run it
 	}
 	w.applyVerdict(pending, conn, conn.AnsweredEarly(answer))
 }
@@ -142,28 +143,28 @@
 	name := pending.client.name
 	var events []event
 	if pending.slowAfter > 0 {
-		events = append(events, eventAbout(name, eventSlowAttempt, func() { w.checkSlow(pending) }))
+		events = append(events, subjectEvent(name, eventSlowAttempt, func() { w.checkSlow(pending) }))
 	}
 	if w.config.OddServers {
 		events = append(events, w.oddAnswerEvents(pending)...)
 	}
 	for _, e := range answerEvents {
-		events = append(events, eventAbout(name, e.kind, func() { w.answered(pending, e.answer) }))
+		events = append(events, subjectEvent(name, e.kind, func() { w.answered(pending, e.answer) }))
 	}
 	return append(
 		events,
-		eventAbout(name, eventInterim, func() {}), // the reader passes over it
-		eventAbout(name, eventMalformed, func() {
+		subjectEvent(name, eventInterim, func() {}), // the reader skips it
+		subjectEvent(name, eventMalformed, func() {
 			w.failAwaiting(pending, pending.failure(upstreamconn.Malformed))
 		}),
-		eventAbout(name, eventBreaksAwaiting, func() { w.loseAwaiting(pending) }),
-		eventAbout(name, eventTimesOut, func() { w.timeOut(pending) }),
+		subjectEvent(name, eventBreaksAwaiting, func() { w.loseAwaiting(pending) }),
+		subjectEvent(name, eventTimesOut, func() { w.timeOut(pending) }),
 	)
 }
 
 func (w *world) answered(pending *pendingAttempt, answer upstreamconn.Answer) {
 	conn := pending.conn
-	// a cancellation may change the connection's deadline at any time
+	// A cancellation may change the connection's deadline at any time.
 	conn.unusable = conn.unusable || answer.Close || answer.TrailingBytes || pending.cancelled
 	conn.notProcessed = answer.NotProcessed
 	if answer.NotProcessed {
@@ -172,14 +173,14 @@
 	w.applyVerdict(pending, conn, conn.Answered(answer, pending.cancelled))
 }
 
-// failAwaiting ends an attempt for which no answer will come.
+// failAwaiting ends an attempt that will not receive an answer.
 func (w *world) failAwaiting(pending *pendingAttempt, failure upstreamconn.Failure) {
 	conn := pending.conn
 	conn.unusable = true
 	w.applyVerdict(pending, conn, conn.FailedAwaiting(failure))
 }
 
-// loseAwaiting is the server closing the connection in place of an answer.
+// loseAwaiting ends an attempt whose server closed the connection instead of answering.
 func (w *world) loseAwaiting(pending *pendingAttempt) {
 	failure := pending.failure(upstreamconn.ConnectionLost)
 	if failure == upstreamconn.ConnectionLost {
@@ -188,8 +189,8 @@
 	w.failAwaiting(pending, failure)
 }
 
-// timeOut lets time pass until the attempt's deadline: timers run, and other attempts time out. It does nothing more
-// if the attempt ends meanwhile. One that is cancelled does not wait.
+// timeOut advances the clock to the attempt's deadline, while timers fire and other attempts time out, and then fails
+// the attempt, unless it has ended meanwhile. A cancelled attempt fails at once.
 func (w *world) timeOut(pending *pendingAttempt) {
 	failure := pending.failure(upstreamconn.TimedOut)
 	if failure == upstreamconn.TimedOut && !w.advanceDuring(pending, pending.deadline) {
@@ -198,17 +199,18 @@
 	w.failAwaiting(pending, failure)
 }
 
-// oddAnswerEvents returns what servers send beside the answer that is awaited, and answers that are streamed.
+// oddAnswerEvents returns the events of Config.OddServers: answers that name no request, answers to other requests,
+// and streamed answers.
 func (w *world) oddAnswerEvents(pending *pendingAttempt) []event {
 	name := pending.client.name
 	return []event{
-		eventAbout(name, eventUnidentified, func() { w.answeredUnidentified(pending) }),
-		eventAbout(name, eventOKStreamed, func() { w.answerBegins(pending) }),
-		eventAbout(name, eventForeignAnswer, func() { w.foreignAnswer(pending) }),
+		subjectEvent(name, eventUnidentified, func() { w.answeredUnidentified(pending) }),
+		subjectEvent(name, eventOKStreamed, func() { w.beginStreamedAnswer(pending) }),
+		subjectEvent(name, eventForeignAnswer, func() { w.foreignAnswer(pending) }),
 	}
 }
 
-// answeredUnidentified is an answer that does not say which request it belongs to.
+// answeredUnidentified handles an answer that does not identify its request.
 func (w *world) answeredUnidentified(pending *pendingAttempt) {
 	conn := pending.conn
 	conn.unidentified, conn.notProcessed = true, true
@@ -217,19 +219,19 @@
 	w.applyVerdict(pending, conn, conn.Answered(notProcessedAnswer, pending.cancelled))
 }
 
-// answerBegins is the head of an answer whose body is streamed.
-func (w *world) answerBegins(pending *pendingAttempt) {
+// beginStreamedAnswer handles the head of an answer whose body is streamed.
+func (w *world) beginStreamedAnswer(pending *pendingAttempt) {
 	conn := pending.conn
 	conn.notProcessed = false
 	conn.unusable = conn.unusable || pending.cancelled
 	w.applyVerdict(pending, conn, conn.BeginStreaming(upstreamconn.Answer{Status: 200}, pending.cancelled))
 }
 
-// foreignAnswer is a copy of the answer before in place of the one awaited.
+// foreignAnswer handles a copy of the previous answer that arrives instead of the expected one.
 func (w *world) foreignAnswer(pending *pendingAttempt) {
 	conn := pending.conn
 	conn.unusable = true
-	// it looks like this request's answer if it names no request, or one of the same client
+	// The copy looks like this request's answer if it names no request, or one of the same client.
 	indistinguishable := conn.unidentified || conn.previousClient == pending.client
 	if conn.notProcessed && indistinguishable {
 		w.applyVerdict(pending, conn, conn.Answered(notProcessedAnswer, pending.cancelled))
@@ -238,7 +240,7 @@
 	if pending.foreignAnswers++; pending.foreignAnswers > maxForeignAnswers {
 		w.violate(
 			propertyBounded,
-			"%s has passed over %d answers to others",
+			"%s has skipped %d answers to other requests",
 			pending.client.name,
 			pending.foreignAnswers,
 		)
--- a/internal/emulator/modelcheck/checker.go
+++ b/internal/emulator/modelcheck/checker.go
@@ -5,30 +5,30 @@
 	"strings"
 )
 
-// Options say how far to explore.
+// Options defines the extent of an exploration.
 type Options struct {
-	Depth    int      // events of every ordering, after the requests have been submitted
-	Random   int      // further orderings that are drawn at random, of five to eight events each; 0: none
-	Seed     uint64   // of those
-	Configs  []Config // the worlds; nil: all
-	Progress Progress // nil: not reported
+	Depth    int      // number of events up to which every ordering is played, after the requests are submitted
+	Random   int      // number of additional random orderings, of five to eight events each; 0: none
+	Seed     uint64   // seed of the random orderings
+	Configs  []Config // worlds to explore; nil: all
+	Progress Progress // receives the progress; nil: not reported
 }
 
-// Progress receives how many of the parts of an exploration are done, and how many orderings these had. Workers call
-// it, several at once.
+// Progress receives the number of jobs of an exploration that are done, the number of all jobs, and the number of
+// orderings played so far. The workers call it concurrently.
 type Progress func(done, all int, orderings int64)
 
-// Result is what an exploration found.
+// Result is the result of an exploration.
 type Result struct {
 	Orderings  int64
-	Steps      int64    // events of all orderings
-	States     int      // different states, as far as the properties depend on them
-	Pairs      int      // of kinds of events of which one came right behind the other
-	AllPairs   int      // of the alphabet
-	Violations []*Trace // a short trace for each property that does not hold, by the property's name
+	Steps      int64    // number of events in all orderings
+	States     int      // number of different states, as far as the properties depend on them
+	Pairs      int      // number of pairs of event kinds that followed each other directly
+	AllPairs   int      // number of pairs that the alphabet allows
+	Violations []*Trace // a short trace for each violated property, sorted by the property's name
 }
 
-// Explore plays every ordering up to a depth in each world, and some deeper ones that are drawn at random.
+// Explore plays every ordering of events up to a depth in each world, and additional longer orderings at random.
 func Explore(options Options) *Result {
 	if options.Configs == nil {
 		options.Configs = Configs()
@@ -38,7 +38,7 @@
 	return ex.result()
 }
 
-// result sums up an exploration whose workers have ended.
+// result returns the result of an exploration whose workers have ended.
 func (ex *explorer) result() *Result {
 	r := &Result{
 		Orderings: ex.orderings.Load(),
@@ -56,8 +56,8 @@
 	return r
 }
 
-// play plays an ordering, given by choices among the events that may happen, as far as possible. It returns the world,
-// the names of what happened, and how many events may happen next.
+// play plays an ordering as far as possible. Each choice is an index into the events that are possible at that point.
+// It returns the world, the names of the events that happened, and the number of events that are possible next.
 func play(config Config, choices []int) (w *world, names []string, next int) {
 	w = newWorld(config)
 	w.checkInvariants()
@@ -72,8 +72,8 @@
 	return w, names, len(w.events())
 }
 
-// Replay plays the events of these names, leaves out those that may not happen, and lets the world settle. It
-// returns the violations, and the events that happened.
+// Replay plays the named events, skips those that are not possible, and lets the world run to completion. It returns
+// the violations, and the names of the events that happened.
 func Replay(config Config, names []string) (violations []Violation, happened []string) {
 	w := newWorld(config)
 	for _, name := range names {
@@ -85,6 +85,6 @@
 			return w.violations, happened
 		}
 	}
-	w.settle()
+	w.runToCompletion()
 	return w.violations, happened
 }
--- a/internal/emulator/modelcheck/checker_test.go
+++ b/internal/emulator/modelcheck/checker_test.go
@@ -6,10 +6,11 @@
 	"testing"
 )
 
-// shortDepth keeps this under the time that CI has; `mulleinrouter model-check states` explores four and more.
+// shortDepth is the number of events that fits into the time limit of CI; `mulleinrouter model-check states` explores
+// orderings of four and more events.
 const shortDepth = 2
 
-// TestEveryShortOrdering checks that no ordering violates a property, and that enough of them were played.
+// TestEveryShortOrdering checks that no ordering violates a property, and that enough orderings were played.
 func TestEveryShortOrdering(t *testing.T) {
 	r := Explore(Options{Depth: shortDepth, Random: 6000, Seed: 1})
 	for _, v := range r.Violations {
@@ -22,8 +23,8 @@
 	}
 }
 
-// TestEveryEventHappens checks that every kind of event happens in some world: an alphabet with kinds that never do
-// covers less than it says.
+// TestEveryEventHappens checks that every kind of event happens in some world. With kinds that never happen, a run
+// would cover less than its alphabet suggests.
 func TestEveryEventHappens(t *testing.T) {
 	seen := map[string]bool{}
 	var explore func(config Config, choices []int, depth int)
--- a/internal/emulator/modelcheck/client.go
+++ b/internal/emulator/modelcheck/client.go
@@ -7,7 +7,7 @@
 	"mulleinrouter/internal/decision"
 )
 
-// The status of a request that is over, as its client sees it.
+// The status of a finished request, as its client sees it.
 const (
 	statusServed       = "served"
 	statusRejected     = "refused"
@@ -15,36 +15,36 @@
 	statusDisconnected = "gone"
 )
 
-// client is a client with its one request. A client that sends its request again is another one.
+// client is a client with exactly one request. A request that is sent again belongs to another client.
 type client struct {
 	name         string
 	request      *attempt.Request[*client]
 	atMostOnce   bool // whether the request is non-idempotent
 	streamed     bool // whether its body is uploaded while the client sends it
 	submittedAt  decision.Seconds
-	attempt      *pendingAttempt // nil: none is in flight
-	attempts     int
+	attempt      *pendingAttempt // nil if none is in flight
+	attempts     int             // number of attempts started
 	writtenTo    map[string]bool // servers to which the request was written completely
-	stream       *connection     // from which the body of the answer is read; nil: none is
+	stream       *connection     // connection that streams the body of the answer; nil: none
 	disconnected bool
-	retried      bool // whether it has sent its request again
+	retried      bool // whether the request was sent again
 
 	finished       bool
 	status         string
 	answers        int
 	finalDecisions int
 
-	possibleExecutions int // attempts that a server may have run
+	possibleExecutions int // number of attempts that a server may have run
 }
 
 // clientRequest describes a request.
 type clientRequest struct {
 	atMostOnce bool
 	streamed   bool
-	retry      bool // whether it was sent before
+	retry      bool // whether the client repeats a request
 }
 
-// submitRequest has a new client send a request.
+// submitRequest adds a client that sends a request.
 func (w *world) submitRequest(r clientRequest) {
 	c := &client{
 		name:        fmt.Sprint("c", len(w.clients)+1),
@@ -72,8 +72,8 @@
 	w.applyEffects(effects)
 }
 
-// applyEffects carries out effects as the engine, the ingress and the pool do together. What carrying one out leads to
-// waits for those before it: the engine delivers all decisions on an event under its mutex.
+// applyEffects carries out effects as the engine, the ingress and the pool do together. Effects that result from
+// carrying one out are queued behind the others, because the engine delivers all decisions on an event under its mutex.
 func (w *world) applyEffects(effects []attempt.Effect) {
 	w.effects = append(w.effects, effects...)
 	if w.applying {
@@ -101,7 +101,7 @@
 	}
 }
 
-// deliver is a client's connection receiving a decision.
+// deliver passes a decision to a client's connection.
 func (w *world) deliver(c *client, d attempt.Decision) {
 	if d.Kind == attempt.Send {
 		w.deliverSend(c, d)
@@ -109,17 +109,17 @@
 	}
 	c.finalDecisions++
 	if c.finalDecisions > 1 {
-		w.violate(propertyOneAnswer, "%s has %d last words", c.name, c.finalDecisions)
+		w.violate(propertyOneAnswer, "%s has %d final decisions", c.name, c.finalDecisions)
 	}
 	if c.attempt != nil {
-		w.violate(propertyOneAttempt, "%s hears %v with an attempt out", c.name, d.Kind)
+		w.violate(propertyOneAttempt, "%s gets the decision %v while an attempt is in flight", c.name, d.Kind)
 	}
 	switch d.Kind {
 	case attempt.Reject:
 		if c.atMostOnce && c.possibleExecutions > 0 {
 			w.violate(
 				propertyHarmlessRejection,
-				"%s must not run twice, may have run, and was refused",
+				"%s must not run twice and may have run, but was rejected",
 				c.name,
 			)
 		}
@@ -128,7 +128,7 @@
 		w.answerClient(c, statusFailed)
 	case attempt.NoAnswer:
 		if !c.disconnected && !w.attemptsAborted {
-			w.violate(propertyOneAnswer, "%s waits, and is answered nothing", c.name)
+			w.violate(propertyOneAnswer, "%s is still connected, but gets no answer", c.name)
 		}
 		c.status, c.finished = statusDisconnected, true
 	}
@@ -137,18 +137,18 @@
 // deliverSend starts an attempt.
 func (w *world) deliverSend(c *client, d attempt.Decision) {
 	if c.attempt != nil {
-		w.violate(propertyOneAttempt, "%s has two attempts out", c.name)
+		w.violate(propertyOneAttempt, "%s has two attempts in flight", c.name)
 	}
 	if c.finalDecisions > 0 {
-		w.violate(propertyOneAnswer, "%s is sent on after its last word", c.name)
+		w.violate(propertyOneAnswer, "%s is sent to a server after its final decision", c.name)
 	}
 	if c.attempts++; c.attempts > maxAttempts {
-		w.violate(propertyMaxAttempts, "%s has %d", c.name, c.attempts)
+		w.violate(propertyMaxAttempts, "%s has %d attempts", c.name, c.attempts)
 	}
 	if d.Deadline > c.submittedAt+requestDeadline+tolerance {
 		w.violate(
 			propertyInTime,
-			"%s may be out until %.2f s after it was taken",
+			"%s may be in flight until %.2f s after it was submitted",
 			c.name,
 			d.Deadline-c.submittedAt,
 		)
@@ -164,7 +164,7 @@
 	}
 	c.status = status
 	if c.answers++; c.answers > 1 {
-		w.violate(propertyOneAnswer, "%s has %d answers", c.name, c.answers)
+		w.violate(propertyOneAnswer, "%s got %d answers", c.name, c.answers)
 	}
 	if late := w.now - c.submittedAt - requestDeadline; late > answerSlack+tolerance {
 		w.violate(propertyInTime, "%s is answered %.2f s after its deadline", c.name, late)
--- a/internal/emulator/modelcheck/client_connection.go
+++ b/internal/emulator/modelcheck/client_connection.go
@@ -7,66 +7,66 @@
 	"mulleinrouter/internal/decision"
 )
 
-// The properties of clients' connections.
+// The names of the properties of clients' connections.
 const (
-	// propertyRequestKept: once a request has begun to arrive, its connection is not closed, unless for its slowness.
+	// propertyRequestKept: once a request has begun to arrive, its connection is closed only if it arrives too slowly.
 	propertyRequestKept = "taken-is-taken"
 	// propertyRequestAnswered: once a request has arrived, its connection is not closed before it is answered.
 	propertyRequestAnswered = "taken-is-answered"
-	// propertyPendingServed: a request that has begun to arrive while the one before was answered is served, if its
-	// client was not notified that the answer was the last.
+	// propertyPendingServed: a request that has begun to arrive while the previous one was answered is served, if that
+	// answer did not announce that it was the last.
 	propertyPendingServed = "read-is-taken"
-	// propertyCloseAnnounced: the answer on a connection that is being closed says that it is the last.
+	// propertyCloseAnnounced: the answer on a connection that is being closed announces that it is the last.
 	propertyCloseAnnounced = "last-is-told"
-	// propertyCloseFollows: a connection closes after an answer that says that it is the last.
+	// propertyCloseFollows: a connection closes after an answer that announces that it is the last.
 	propertyCloseFollows = "last-is-last"
 	// propertyDrainCloses: a connection that is idle during a drain is being closed.
 	propertyDrainCloses = "drained-ends"
 	// propertyIdleCloses: a connection that is idle for too long is closed.
 	propertyIdleCloses = "silent-ends"
-	// propertySlowHeadCloses: so is one on which a head takes too long,
+	// propertySlowHeadCloses: a connection on which a request head takes too long is closed.
 	propertySlowHeadCloses = "slow-ends"
-	// propertyStallCloses: one on which nothing arrives of a body that is buffered,
+	// propertyStallCloses: a connection on which nothing more arrives of a buffered body is closed.
 	propertyStallCloses = "stall-ends"
-	// propertySlowBodyCloses: one on which a body arrives at too low a rate,
+	// propertySlowBodyCloses: a connection on which a body arrives at too low a rate is closed.
 	propertySlowBodyCloses = "trickle-ends"
-	// propertyStuckAnswerCloses: and one whose client does not read its answer.
+	// propertyStuckAnswerCloses: a connection whose client does not read its answer is closed.
 	propertyStuckAnswerCloses = "stuck-ends"
 )
 
-// Bounds of the properties on slow clients, which exceed the timeouts of clientconn by more than the interval of its
-// sweep.
+// Bounds of the properties on slow clients. They exceed the timeouts of clientconn by more than sweepInterval, so that
+// a timeout is noticed before the property counts as violated.
 const (
-	// maxWait is for how long a connection may be idle, a head take, or a body stall, in seconds.
+	// maxWait is the longest time that a connection may be idle, a head may take, or a body may stall, in seconds.
 	maxWait = 3
-	// bodyGracePeriod is the time that a body may take in any case, in seconds.
+	// bodyGracePeriod is the time that a body may take whatever its rate, in seconds.
 	bodyGracePeriod = 2.5
-	// minBodyRate is the rate at which it must arrive from then on, in bytes a second.
+	// minBodyRate is the lowest rate of a body beyond bodyGracePeriod, in bytes a second.
 	minBodyRate = 32 << 10
 )
 
-// sweepInterval is how often timeouts are checked, in seconds.
+// sweepInterval is the interval between two checks of the timeouts, in seconds.
 const sweepInterval = 0.25
 
-// clientConnection is one client's connection: its machine, and the few steps that the ingress takes in between. It
-// holds no pointer to what changes, so that copies are independent.
+// clientConnection is the connection of one client: its state machine, and the few steps that the ingress takes between
+// two transitions. It contains no pointer to mutable state that copies would share, so that copies are independent.
 type clientConnection struct {
 	machine          clientconn.Machine
 	now              decision.Seconds
 	keepOpen         bool // false during a drain
 	mustServePending bool // whether propertyPendingServed applies
-	crowded          bool // connections are short
-	requests         int
-	nextReceived     bool // while a request is pending, the first bytes of the next one have arrived
+	crowded          bool // the process is short of connections
+	requests         int  // number of requests that have begun to arrive
+	nextReceived     bool // the first bytes of the next request have arrived while one is pending
 	readsInterrupted bool // its reads were interrupted, and the reader has not noticed yet
 	bodyUnread       bool // a part of a streamed body has not been read
-	lastAnswer       bool // the answer says that it is the last
+	lastAnswer       bool // the answer announces that it is the last
 	closed           bool
-	interruptedIn    clientconn.State // in which it was closed from outside
-	waitingSince     decision.Seconds // for what is being read, or its next chunk
-	bodyWait         decision.Seconds // total, for the chunks of the body that have arrived
-	bodyBytes        int
-	violation        *Violation // the first
+	interruptedIn    clientconn.State // state in which closeFor closed it
+	waitingSince     decision.Seconds // start of the wait for the current read, or for the next chunk of a body
+	bodyWait         decision.Seconds // total wait for the chunks of the body that have arrived
+	bodyBytes        int              // bytes of the body that have arrived
+	violation        *Violation       // the first violation
 }
 
 func (cc *clientConnection) violate(property, format string, args ...any) {
@@ -86,7 +86,7 @@
 	}
 	reads := to == clientconn.ReadingHead || to == clientconn.ReadingBody || to == clientconn.Uploading
 	if reads && cc.readsInterrupted {
-		cc.violate(propertyRequestKept, "a request has begun, and its reads are cut")
+		cc.violate(propertyRequestKept, "a request has begun to arrive, but its reads are interrupted")
 	}
 	return open
 }
@@ -123,16 +123,16 @@
 	cc.bodyUnread = false
 }
 
-// answer is what ingress does once the answer to a request is known.
+// answer does what the ingress does once the answer to a request is known.
 func (cc *clientConnection) answer() {
 	cc.lastAnswer = cc.machine.CloseAfterAnswer(cc.crowded, cc.keepOpen)
 	if code := cc.machine.CloseCode(); code != "" && !cc.lastAnswer {
-		cc.violate(propertyCloseAnnounced, "it is being ended (%s), and its answer does not say so", code)
+		cc.violate(propertyCloseAnnounced, "the connection is closing (%s), but its answer does not say so", code)
 	}
 	cc.enter(clientconn.Answering)
 }
 
-// answered is the answer having been written completely.
+// answered does what the ingress does once the answer is written completely.
 func (cc *clientConnection) answered() {
 	switch {
 	case cc.lastAnswer:
@@ -145,13 +145,13 @@
 	}
 }
 
-// becomeIdle awaits the next request, or reads it if it has begun to arrive.
+// becomeIdle waits for the next request, or reads it if it has begun to arrive.
 func (cc *clientConnection) becomeIdle() {
 	cc.waitingSince = cc.now
 	open := cc.enter(clientconn.Idle)
 	switch {
 	case open && cc.lastAnswer:
-		cc.violate(propertyCloseFollows, "it goes on after its last answer")
+		cc.violate(propertyCloseFollows, "the connection stays open after its last answer")
 	case cc.nextReceived && (open || cc.machine.ServesPending()):
 		cc.nextReceived = false
 		cc.readsInterrupted = cc.readsInterrupted || !open
@@ -160,7 +160,7 @@
 		if cc.nextReceived && !cc.lastAnswer && cc.mustServePending {
 			cc.violate(
 				propertyPendingServed,
-				"a request has been read, its client was not told to go, and it is dropped",
+				"a request has begun to arrive and no close was announced to its client, but it is dropped",
 			)
 		}
 		cc.closed = true
@@ -174,7 +174,7 @@
 	cc.closed = true
 }
 
-// noticeInterrupt is what the reader does when its read was interrupted.
+// noticeInterrupt does what the reader does when its read was interrupted.
 func (cc *clientConnection) noticeInterrupt() {
 	code, state := cc.machine.CloseCode(), cc.machine.State()
 	switch {
@@ -183,7 +183,7 @@
 	case code == clientconn.CodeEvicted && cc.interruptedIn == state:
 		cc.closed = true // evicted for its slowness, before its request was accepted
 	case code != clientconn.CodeSlowRequest:
-		cc.violate(propertyRequestKept, "a request that was coming in was ended as %s", code)
+		cc.violate(propertyRequestKept, "a request that was arriving was closed as %s", code)
 	case state == clientconn.Discarding:
 		cc.closed = true
 	default:
@@ -195,27 +195,27 @@
 func (cc *clientConnection) closeFor(code string) {
 	state := cc.machine.State()
 	if state == clientconn.Deciding {
-		cc.violate(propertyRequestAnswered, "ended as %s while %v", code, state)
+		cc.violate(propertyRequestAnswered, "closed as %s in the state %v", code, state)
 	}
 	cc.interruptedIn = state
 	interrupt := cc.machine.Close(code)
 	cc.readsInterrupted = cc.readsInterrupted || interrupt.Reads
 	if cc.machine.State() == clientconn.Answering {
 		if !interrupt.Writes {
-			cc.violate(propertyStuckAnswerCloses, "an answer that nobody reads is written for ever")
+			cc.violate(propertyStuckAnswerCloses, "the write of an answer that nobody reads is not interrupted")
 		}
 		cc.closed = true
 	}
 }
 
-// evict closes the connection in favour of another one, if it may be evicted.
+// evict closes the connection to make room for another one, if it may be evicted.
 func (cc *clientConnection) evict() {
 	if cc.machine.Evictable(cc.now) {
 		cc.closeFor(clientconn.CodeEvicted)
 	}
 }
 
-// drain is the process beginning to drain.
+// drain does what the process does with the connection at the start of a drain.
 func (cc *clientConnection) drain() {
 	cc.keepOpen = false
 	if cc.machine.ClosesOnDrain() {
@@ -223,7 +223,7 @@
 	}
 }
 
-// passTime lets time pass, with the sweeps that check timeouts.
+// passTime advances the clock, and checks the timeouts at each sweep.
 func (cc *clientConnection) passTime(seconds decision.Seconds) {
 	for end := cc.now + seconds; cc.now < end && !cc.closed; {
 		if cc.readsInterrupted { // an interrupted read returns at once
@@ -253,11 +253,11 @@
 		}
 	case clientconn.ReadingHead:
 		if wait > maxWait {
-			cc.violate(propertySlowHeadCloses, "a head comes for %.1f s", wait)
+			cc.violate(propertySlowHeadCloses, "a head has been arriving for %.1f s", wait)
 		}
 	case clientconn.ReadingBody, clientconn.Uploading, clientconn.Discarding:
 		if wait > maxWait && state == clientconn.ReadingBody {
-			cc.violate(propertyStallCloses, "nothing came of a body for %.1f s", wait)
+			cc.violate(propertyStallCloses, "no byte of a body has arrived for %.1f s", wait)
 		}
 		if cc.bodyWait+wait > bodyGracePeriod+float64(cc.bodyBytes)/minBodyRate {
 			cc.violate(propertySlowBodyCloses, "%d bytes in %.1f s", cc.bodyBytes, cc.bodyWait+wait)
@@ -269,6 +269,6 @@
 func (cc *clientConnection) checkDrain() {
 	open := !cc.closed && cc.machine.CloseCode() == ""
 	if open && !cc.keepOpen && cc.machine.State() == clientconn.Idle {
-		cc.violate(propertyDrainCloses, "idle in a drain, and nothing ends it")
+		cc.violate(propertyDrainCloses, "idle during a drain, but not being closed")
 	}
 }
--- a/internal/emulator/modelcheck/client_explorer.go
+++ b/internal/emulator/modelcheck/client_explorer.go
@@ -12,7 +12,7 @@
 	smallChunk = 1
 )
 
-// clientEvent is one thing that may happen to a client's connection.
+// clientEvent is an event that may happen to a client's connection.
 type clientEvent struct {
 	name  string
 	apply func(*clientConnection)
@@ -31,7 +31,7 @@
 	clientNextRequest = clientEvent{"next", func(cc *clientConnection) { cc.nextReceived = true }}
 )
 
-// clientEvents are the events that each state has, in a fixed order.
+// clientEvents lists the events that are possible in each state, in a fixed order.
 var clientEvents = map[clientconn.State][]clientEvent{
 	clientconn.Idle: {
 		{"begins", (*clientConnection).beginRequest},
@@ -39,7 +39,7 @@
 	clientconn.ReadingHead: {
 		{"no-body", func(cc *clientConnection) { cc.enter(clientconn.Deciding) }},
 		{"body", func(cc *clientConnection) { cc.beginBody(clientconn.ReadingBody) }},
-		{"long-body", func(cc *clientConnection) { // it will be streamed, and is decided on by its head
+		{"long-body", func(cc *clientConnection) { // the body will be streamed; the decision needs only the head
 			cc.bodyUnread = true
 			cc.enter(clientconn.ReadingBody)
 			cc.enter(clientconn.Deciding)
@@ -88,7 +88,7 @@
 	},
 }
 
-// events returns those that may happen now, in a fixed order.
+// events returns the events that are possible now, in a fixed order.
 func (cc *clientConnection) events() []clientEvent {
 	if cc.closed {
 		return nil
@@ -110,17 +110,17 @@
 	return append(events, clientEvents[cc.machine.State()]...)
 }
 
-// step lets one event happen.
+// step applies one event, and checks propertyDrainCloses.
 func (cc *clientConnection) step(e clientEvent) {
 	e.apply(cc)
 	cc.checkDrain()
 }
 
-// ClientResult is what an exploration of a client's connection found.
+// ClientResult is the result of an exploration of a client's connection.
 type ClientResult struct {
 	Orderings int
-	Violation *Violation // of the shortest ordering that violates a property; nil: none does
-	Trace     []string   // the events of that ordering
+	Violation *Violation // violation by the shortest ordering that has one; nil: none has
+	Trace     []string   // names of the events of that ordering
 }
 
 // clientRun is a connection, and the events that led to its state.
@@ -129,8 +129,9 @@
 	trace []string
 }
 
-// ExploreClientConnections drives the machine of a client's connection through every ordering of so many events, with
-// the timeouts in service and with such as serve a request that has begun to arrive. It stops at the first violation.
+// ExploreClientConnections drives the state machine of a client's connection through every ordering of depth events:
+// once with the default timeouts, and once with timeouts that also serve a pending request (ServePending). It stops at
+// the first violation.
 func ExploreClientConnections(depth int) ClientResult {
 	servesPending := clientConnection{machine: clientconn.Accepted(0), keepOpen: true, mustServePending: true}
 	servesPending.machine.SetTimeouts(&clientconn.Timeouts{FirstByte: 2, Idle: 2, Head: 2.5, ServePending: true})
--- a/internal/emulator/modelcheck/config.go
+++ b/internal/emulator/modelcheck/config.go
@@ -6,24 +6,24 @@
 	"strings"
 )
 
-// Config is the world that an exploration begins in. The zero value has no server, and is of no use.
+// Config describes the world that an exploration starts from. The zero value has no server and is not usable.
 type Config struct {
 	AtMostOnce     [2]bool // whether each request is non-idempotent
 	TwoRequests    bool    // whether two requests are submitted at once
 	Servers        int     // 1 or 2
-	IdleConnection bool    // a connection to the first server has been used before
-	Sparse         bool    // the customer's slice is so small that requests are admitted by the quota counter
+	IdleConnection bool    // there is an idle connection to the first server that has been used before
+	Sparse         bool    // the customer's quota slice is so small that the quota counter admits requests
 	OneConnection  bool    // the pool opens one connection at most
 	SlowDials      bool    // events may happen while a connection is being opened
 	StreamedBody   bool    // the first request's body is uploaded while the client sends it
-	// OddServers send answers to other requests, answers that name no request, and streamed ones. A request whose last
-	// byte is not delayed is written in a step of its own.
+	// OddServers makes servers also send answers to other requests, answers that name no request, and streamed answers.
+	// The write of a request whose last byte is not delayed is then a separate event.
 	OddServers bool
 }
 
-// The text form of a config, in traces.
+// The words of the text form of a config, which traces contain.
 const (
-	secondRequestPrefix     = "and-" // before the class of the second request
+	secondRequestPrefix     = "and-" // prefix of the class of the second request
 	serversPrefix           = "servers="
 	conditionIdleConnection = "kept"
 	conditionSparse         = "thin"
@@ -39,7 +39,7 @@
 	set  *bool
 }
 
-// flags returns the flags of a config, in the order of its text form.
+// flags returns the flags of a config in the order of the text form.
 func (c *Config) flags() []configFlag {
 	return []configFlag{
 		{conditionIdleConnection, &c.IdleConnection},
@@ -59,7 +59,7 @@
 	return classRead
 }
 
-// String returns the text form of a config, which ParseConfig reads.
+// String returns the text form of a config, which ParseConfig parses.
 func (c Config) String() string {
 	conditions := []string{className(c.AtMostOnce[0])}
 	if c.TwoRequests {
@@ -74,7 +74,7 @@
 	return strings.Join(conditions, " ")
 }
 
-// ParseConfig reads the text form of a config. Its errors are UnknownConditionError and ErrServerCount.
+// ParseConfig parses the text form of a config. It returns an UnknownConditionError or ErrServerCount.
 func ParseConfig(text string) (Config, error) {
 	var c Config
 	flags := c.flags()
@@ -109,8 +109,8 @@
 		all = append(all, basicConfigs(servers)...)
 	}
 	for _, servers := range serverCounts {
-		for _, atMostOnce := range bothWays {
-			for _, idle := range bothWays {
+		for _, atMostOnce := range bothBools {
+			for _, idle := range bothBools {
 				c := oneRequest(servers, atMostOnce)
 				c.IdleConnection, c.StreamedBody = idle, true
 				all = append(all, c)
@@ -118,7 +118,7 @@
 		}
 	}
 	for _, servers := range serverCounts {
-		for _, atMostOnce := range bothWays {
+		for _, atMostOnce := range bothBools {
 			c := oneRequest(servers, atMostOnce)
 			c.IdleConnection, c.OddServers = true, true
 			all = append(all, c)
@@ -132,7 +132,7 @@
 		OddServers:    true,
 	})
 	for _, servers := range serverCounts {
-		for _, atMostOnce := range bothWays {
+		for _, atMostOnce := range bothBools {
 			c := oneRequest(servers, atMostOnce)
 			c.SlowDials = true
 			all = append(all, c)
@@ -143,7 +143,7 @@
 
 var (
 	serverCounts = []int{1, 2}
-	bothWays     = []bool{false, true}
+	bothBools    = []bool{false, true}
 )
 
 func oneRequest(servers int, atMostOnce bool) Config {
@@ -151,8 +151,8 @@
 }
 
 // basicConfigs returns the worlds of one or two requests with each combination of IdleConnection, Sparse and
-// OneConnection. Two requests at once share the pool and the dispatcher, whatever the customer's slice: they are not
-// combined with Sparse.
+// OneConnection. Two requests are not combined with Sparse, because they share the pool and the dispatcher whatever the
+// customer's quota slice is.
 func basicConfigs(servers int) []Config {
 	var all []Config
 	for bits := range 8 {
@@ -162,7 +162,7 @@
 			Sparse:         bits&2 != 0,
 			OneConnection:  bits&4 != 0,
 		}
-		for _, atMostOnce := range bothWays {
+		for _, atMostOnce := range bothBools {
 			c := base
 			c.AtMostOnce[0] = atMostOnce
 			all = append(all, c)
--- a/internal/emulator/modelcheck/config_test.go
+++ b/internal/emulator/modelcheck/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestConfigs checks that each world has a description of its own, and reads as it is written.
+// TestConfigs checks that the text form of each world is unique, and that ParseConfig returns the same world.
 func TestConfigs(t *testing.T) {
 	seen := map[string]bool{}
 	for _, want := range Configs() {
@@ -15,7 +15,7 @@
 			t.Errorf("ParseConfig(%q) = %+v, %v, want %+v", text, got, err, want)
 		}
 		if seen[text] {
-			t.Errorf("two worlds are described as %q", text)
+			t.Errorf("two worlds have the text form %q", text)
 		}
 		seen[text] = true
 	}
--- a/internal/emulator/modelcheck/connection.go
+++ b/internal/emulator/modelcheck/connection.go
@@ -5,8 +5,8 @@
 	"mulleinrouter/internal/decision"
 )
 
-// maxIdleTaken is how many idle connections may be taken for one attempt. More than a pool can contain means that it
-// does not remove what it returns.
+// maxIdleTaken is the number of idle connections that may be taken for one attempt. It exceeds maxConnections: a pool
+// that returns as many does not remove the connections that it returns.
 const maxIdleTaken = 9
 
 // connection is a connection to a server.
@@ -14,20 +14,20 @@
 	upstreamconn.Machine
 	server  *server
 	address string
-	current *pendingAttempt // that is using it
-	// unusable says what is true, whether or not it is known here: the server closed it or sent trailing bytes, or a
-	// cancellation may still change its deadline.
+	current *pendingAttempt // attempt that is using it; nil: none
+	// unusable is set as soon as the connection must not be reused, even if this side cannot know yet: the server
+	// closed it or sent trailing bytes, or a cancellation may still change its deadline.
 	unusable       bool
-	closed         bool // by this side
-	answeredAt     decision.Seconds
-	lastClient     *client // whose request was written on it last
-	previousClient *client // whose request was written before that
-	unidentified   bool    // whether an answer came on it that does not name its request
-	notProcessed   bool    // whether the last answer says that its request was not run
+	closed         bool             // whether this side has closed it
+	answeredAt     decision.Seconds // time of the last answer
+	lastClient     *client          // client of the last request written on it
+	previousClient *client          // client of the request before that
+	unidentified   bool             // whether an answer on it did not name its request
+	notProcessed   bool             // whether the last answer says that its request was not run
 }
 
-// takeConnection does as the pool does: it takes the idle connection that was used last, unless that may not be reused,
-// or opens a new one. Without a connection it returns how the attempt ends.
+// takeConnection takes a connection as the pool does: the idle connection that was used last, if it may be reused, and
+// otherwise a new one. If there is none, it returns nil and the outcome of the attempt.
 func (w *world) takeConnection(pending *pendingAttempt) (*connection, decision.Outcome) {
 	for range maxIdleTaken {
 		idle, found := w.idlePool.Take(pending.backend)
@@ -39,11 +39,12 @@
 		}
 		w.closeConnection(idle.Conn)
 	}
-	w.violate(propertyExclusive, "what was taken from the shelf is still on it")
+	w.violate(propertyExclusive, "a connection that was taken from the idle pool is still in it")
 	return nil, decision.ConnectionRefused
 }
 
-// mayReuse reports whether an idle connection may carry an attempt. It records a connection that the server has closed.
+// mayReuse reports whether an attempt may use an idle connection. It records the loss of a connection that the server
+// has closed.
 func (w *world) mayReuse(pending *pendingAttempt, conn *connection) bool {
 	if address, _ := w.lookup(pending.backend); conn.address != address {
 		return false
@@ -59,7 +60,7 @@
 	})
 }
 
-// dial opens a connection, within the limit of the pool. Without one it returns how the attempt ends.
+// dial opens a connection within the limit of the pool. If it cannot, it returns nil and the outcome of the attempt.
 func (w *world) dial(pending *pendingAttempt) (*connection, decision.Outcome) {
 	evicted, evict, ok := w.idlePool.Reserve()
 	if !ok {
@@ -76,7 +77,7 @@
 	return &connection{server: s, address: s.address}, 0
 }
 
-// dialFailed is a dial that leads to no connection: the server refused it, or it is not needed any more.
+// dialFailed ends an attempt whose dial gave no connection, because the server refused it or it is no longer needed.
 func (w *world) dialFailed(pending *pendingAttempt) {
 	w.idlePool.Closed()
 	pending.conn.closed = true
@@ -89,15 +90,15 @@
 
 func (w *world) closeConnection(conn *connection) {
 	if conn.closed {
-		w.violate(propertyUnusable, "a connection ends twice")
+		w.violate(propertyUnusable, "a connection is closed twice")
 	}
 	conn.Drop()
 	conn.closed, conn.unusable = true, true
 	w.idlePool.Closed()
 }
 
-// applyVerdict does what the pool does at the end of an attempt on a connection: the connection is reused, closed or
-// continues to stream the answer; the attempt continues over another connection, or ends.
+// applyVerdict does what the pool does when a connection is finished with an attempt. The connection is put into the
+// idle pool, closed, or continues to stream the answer; the attempt continues on another connection, or ends.
 func (w *world) applyVerdict(pending *pendingAttempt, conn *connection, v upstreamconn.Verdict) {
 	w.checkLegal(v.Err)
 	conn.current = nil
@@ -121,7 +122,7 @@
 		return
 	}
 	if conn.unusable {
-		w.violate(propertyUnusable, "a connection is kept that is spoilt")
+		w.violate(propertyUnusable, "an unusable connection is kept for reuse")
 	}
 	if _, serving := w.lookup(conn.server.id); !serving {
 		w.closeConnection(conn)
@@ -131,7 +132,7 @@
 	w.idlePool.Put(conn.server.id, conn, w.now)
 }
 
-// streamEnded is the end of an answer's body that was streamed.
+// streamEnded handles the end of a streamed answer body.
 func (w *world) streamEnded(c *client, complete, trailingBytes bool) {
 	conn := c.stream
 	c.stream = nil
--- a/internal/emulator/modelcheck/events.go
+++ b/internal/emulator/modelcheck/events.go
@@ -9,23 +9,25 @@
 )
 
 const (
-	maxClients = 3 // with those that send a request again
-	maxServers = 4 // with those that take another's address
+	maxClients = 3 // number of clients, including those that send a request again
+	maxServers = 4 // number of servers, including those that get the address of another
 
-	// passingTime is what the event "time" takes.
+	// passingTime is the time by which eventTime advances the clock, in seconds.
 	passingTime decision.Seconds = 0.3
 )
 
-// event is one thing that may happen in the present state of a world. It is valid until the world changes.
+// event is an event that may happen in the present state of a world. It is valid until the world changes.
 type event struct {
 	name  string
 	apply func()
 }
 
-// eventAbout returns an event eventAbout one client or server.
-func eventAbout(subject, kind string, apply func()) event { return event{kind + " " + subject, apply} }
+// subjectEvent returns an event that concerns one client or server.
+func subjectEvent(subject, kind string, apply func()) event {
+	return event{kind + " " + subject, apply}
+}
 
-// events returns those that may happen now, in a fixed order: an ordering is a sequence of choices among them.
+// events returns the events that are possible now, in a fixed order. An ordering is a sequence of choices among them.
 func (w *world) events() []event {
 	var events []event
 	for _, c := range w.clients {
@@ -50,7 +52,7 @@
 	return events
 }
 
-// step lets one event happen. Attempts that begin after a drain has ended are cancelled at once.
+// step applies one event, and checks the properties. Attempts that begin after a drain has ended are cancelled at once.
 func (w *world) step(e event) {
 	w.steps++
 	e.apply()
@@ -60,7 +62,7 @@
 	w.checkInvariants()
 }
 
-// findEvent returns the event of a name, if it may happen now.
+// findEvent returns the event with a name, if it is possible now.
 func (w *world) findEvent(name string) (event, bool) {
 	events := w.events()
 	if i := slices.IndexFunc(events, func(e event) bool { return e.name == name }); i >= 0 {
@@ -69,7 +71,7 @@
 	return event{}, false
 }
 
-// clientEvents returns the events about a client, its attempt and its answer.
+// clientEvents returns the possible events of a client, its attempt and its answer.
 func (w *world) clientEvents(c *client) []event {
 	var events []event
 	if c.attempt != nil && c.attempt.conn != nil {
@@ -79,10 +81,10 @@
 		events = append(events, w.streamEvents(c)...)
 	}
 	if !c.disconnected && !c.finished {
-		events = append(events, eventAbout(c.name, eventDisconnects, func() { w.disconnect(c) }))
+		events = append(events, subjectEvent(c.name, eventDisconnects, func() { w.disconnect(c) }))
 	}
 	if w.mayRetry(c) {
-		events = append(events, eventAbout(c.name, eventRetries, func() {
+		events = append(events, subjectEvent(c.name, eventRetries, func() {
 			c.retried = true
 			w.submitRequest(clientRequest{atMostOnce: c.atMostOnce, retry: true})
 		}))
@@ -90,7 +92,8 @@
 	return events
 }
 
-// mayRetry reports whether a client may send its request again, as one that was rejected or has disconnected.
+// mayRetry reports whether a client may send its request again. Only a client that was rejected or has disconnected
+// may, once.
 func (w *world) mayRetry(c *client) bool {
 	return c.finished &&
 		!c.retried &&
@@ -104,42 +107,42 @@
 	w.applyEffects(w.dispatcher.ClientDisconnected(w.now, c.request))
 }
 
-// streamEvents returns the ends that a streamed answer may have.
+// streamEvents returns the possible ends of a streamed answer.
 func (w *world) streamEvents(c *client) []event {
 	return []event{
-		eventAbout(c.name, eventStreamComplete, func() { w.streamEnded(c, true, false) }),
-		eventAbout(c.name, eventStreamTrailingBytes, func() { w.streamEnded(c, true, true) }),
-		eventAbout(c.name, eventStreamCut, func() { w.streamEnded(c, false, false) }),
-		eventAbout(c.name, eventStreamLeft, func() { w.streamEnded(c, false, false) }),
+		subjectEvent(c.name, eventStreamComplete, func() { w.streamEnded(c, true, false) }),
+		subjectEvent(c.name, eventStreamTrailingBytes, func() { w.streamEnded(c, true, true) }),
+		subjectEvent(c.name, eventStreamCut, func() { w.streamEnded(c, false, false) }),
+		subjectEvent(c.name, eventStreamLeft, func() { w.streamEnded(c, false, false) }),
 	}
 }
 
-// serverEvents returns the events about a server that is listed.
+// serverEvents returns the possible events of a listed server.
 func (w *world) serverEvents(s *server) []event {
 	var events []event
 	if s.serving {
-		events = append(events, eventAbout(s.id, eventDrains, func() {
+		events = append(events, subjectEvent(s.id, eventDrains, func() {
 			s.serving, s.drainingSince = false, w.now
 			w.updateBackends()
 		}))
 	}
-	events = append(events, eventAbout(s.id, eventRemoved, func() {
+	events = append(events, subjectEvent(s.id, eventRemoved, func() {
 		s.listed, s.serving, s.drainingSince = false, false, w.now
 		w.updateBackends()
 	}))
 	if len(w.servers) < maxServers {
-		events = append(events, eventAbout(s.id, eventAddressTaken, func() { w.takeAddress(s) }))
+		events = append(events, subjectEvent(s.id, eventAddressTaken, func() { w.takeAddress(s) }))
 	}
 	if !s.down {
-		events = append(events, eventAbout(s.id, eventRefuses, func() { s.down = true }))
+		events = append(events, subjectEvent(s.id, eventRefuses, func() { s.down = true }))
 	}
 	if conn, ok := w.idlePool.Peek(s.id); ok && !conn.unusable {
-		events = append(events, eventAbout(s.id, eventForgets, func() { conn.unusable = true }))
+		events = append(events, subjectEvent(s.id, eventForgets, func() { conn.unusable = true }))
 	}
 	return events
 }
 
-// takeAddress lists a new server at a server's address, and that server at another.
+// takeAddress lists a new server at the address of a server, and moves that server to another address.
 func (w *world) takeAddress(s *server) {
 	id := fmt.Sprint("n", len(w.servers))
 	w.servers = append(w.servers, &server{id: id, address: s.address, listed: true, serving: true})
@@ -147,11 +150,11 @@
 	w.updateBackends()
 }
 
-// counterReplies are the answers that the quota counter may give.
+// counterReplies lists the answers that the quota counter may give.
 var counterReplies = []struct {
 	kind    string
 	outcome decision.Outcome
-	units   float64 // by which the total has grown meanwhile
+	units   float64 // units by which the total grows before the answer
 }{
 	{eventCounted, decision.Succeeded, 3},
 	{eventCounterBusy, decision.Rejected, 0},
@@ -159,7 +162,7 @@
 	{eventCounterUnreadable, decision.Failed, 0},
 }
 
-// counterEvents returns the answers that the oldest call to the quota counter may get.
+// counterEvents returns the possible answers to the oldest call to the quota counter.
 func (w *world) counterEvents() []event {
 	var events []event
 	for _, r := range counterReplies {
@@ -174,7 +177,7 @@
 	return events
 }
 
-// changePlan gives the customer the other plan.
+// changePlan moves the customer to the other plan.
 func (w *world) changePlan() {
 	w.planIndex = 1 - w.planIndex
 	plan := plans[w.planIndex]
@@ -187,7 +190,7 @@
 	w.dispatcher.ExpectDisruption(math.Inf(1))
 }
 
-// abortAttempts cancels all attempts, now and as they begin.
+// abortAttempts cancels all attempts; step calls it again for those that begin later.
 func (w *world) abortAttempts() {
 	w.attemptsAborted = true
 	for _, c := range w.clients {
--- a/internal/emulator/modelcheck/explorer.go
+++ b/internal/emulator/modelcheck/explorer.go
@@ -8,24 +8,24 @@
 	"sync/atomic"
 )
 
-// Orderings that are drawn at random have so many events.
+// The bounds of the number of events in a random ordering.
 const (
 	minRandomEvents = 5
 	maxRandomEvents = 8
 )
 
-// job is the part of an exploration that one worker does at a time.
+// job is a part of an exploration that one worker does at a time.
 type job struct {
 	config Config
 	random bool
-	seed   uint64 // of a random job
-	first  int    // choice with which the orderings begin, unless they are random
+	seed   uint64 // seed of a random job
+	first  int    // first choice of all orderings, unless the job is random
 }
 
-// coverage is what was seen.
+// coverage is the set of states and of pairs of events that were reached.
 type coverage struct {
 	states map[string]struct{}
-	pairs  map[[2]string]struct{} // kinds of events of which the second came right behind the first
+	pairs  map[[2]string]struct{} // pairs of event kinds that followed each other directly
 }
 
 func newCoverage() *coverage {
@@ -41,18 +41,18 @@
 	}
 }
 
-// explorer owns the workers of an exploration, and gathers what they find.
+// explorer owns the workers of an exploration, and collects their findings.
 type explorer struct {
 	options   Options
 	jobs      []job
-	started   atomic.Int64 // jobs
-	done      atomic.Int64 // jobs
-	orderings atomic.Int64
-	steps     atomic.Int64
+	started   atomic.Int64 // number of jobs started
+	done      atomic.Int64 // number of jobs done
+	orderings atomic.Int64 // number of orderings played
+	steps     atomic.Int64 // number of events in them
 
 	mu         sync.Mutex // guards the fields below
 	coverage   *coverage
-	violations map[string]*Trace // the shortest trace by property
+	violations map[string]*Trace // the shortest trace for each violated property
 }
 
 func newExplorer(options Options) *explorer {
@@ -106,7 +106,7 @@
 	ex.exploreFrom(j.config, []int{j.first}, seen)
 }
 
-// exploreFrom plays all orderings that begin with some choices.
+// exploreFrom plays all orderings that begin with the given choices.
 func (ex *explorer) exploreFrom(config Config, choices []int, seen *coverage) {
 	w, names, next := play(config, choices)
 	ex.record(w, names, seen)
@@ -118,7 +118,7 @@
 	}
 }
 
-// exploreRandom plays the share of the random orderings that falls to a world.
+// exploreRandom plays the random orderings of one world. All worlds get the same share.
 func (ex *explorer) exploreRandom(j job, seen *coverage) {
 	rng := rand.New(rand.NewPCG(j.seed, 1))
 	for range ex.options.Random/len(ex.options.Configs) + 1 {
@@ -137,7 +137,8 @@
 	}
 }
 
-// record counts an ordering, lets its world settle, and stores the shortest trace for each violated property.
+// record counts an ordering, lets its world run to completion, and stores the shortest trace for each violated
+// property.
 func (ex *explorer) record(w *world, names []string, seen *coverage) {
 	ex.orderings.Add(1)
 	ex.steps.Add(int64(w.steps))
@@ -146,7 +147,7 @@
 		seen.pairs[[2]string{kindOf(names[n-2]), kindOf(names[n-1])}] = struct{}{}
 	}
 	if len(w.violations) == 0 {
-		w.settle()
+		w.runToCompletion()
 	}
 	if len(w.violations) == 0 {
 		return
--- a/internal/emulator/modelcheck/mutants_test.go
+++ b/internal/emulator/modelcheck/mutants_test.go
@@ -10,7 +10,7 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// faults are those that are seeded in the code that serves and that Explore must find.
+// faults lists the faults seeded in the production code that Explore must find.
 var faults = []struct {
 	pkg  string
 	name string
@@ -48,7 +48,7 @@
 	{"attempt", "impatient-always"},
 }
 
-// TestClientMutants checks that every fault that is seeded in the clients' connections is found.
+// TestClientMutants checks that every fault that is seeded in clientconn is found.
 func TestClientMutants(t *testing.T) {
 	for _, fault := range []string{
 		"drained-stays",
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestMutants checks that every fault that is seeded is found, with a short trace that violates nothing without it.
+// TestMutants checks that every seeded fault is found, and that its trace violates no property without the fault.
 func TestMutants(t *testing.T) {
 	for _, m := range faults {
 		t.Run(m.name, func(t *testing.T) {
@@ -87,15 +87,15 @@
 			t.Logf("%d events: %v", len(shortest.Events), shortest)
 			mutants.Seed(t, "")
 			if violations, _ := Replay(shortest.Config, shortest.Events); len(violations) > 0 {
-				t.Errorf("its trace violates %v without it, want nothing", violations)
+				t.Errorf("without the fault its trace violates %v, want nothing", violations)
 			}
 		})
 	}
 }
 
-// TestMutantsFarOff checks that faults that only a longer ordering shows violate their property, and that the ordering
-// violates none without them.
-func TestMutantsFarOff(t *testing.T) {
+// TestMutantsFoundByLongOrderings covers the faults that only a longer ordering shows. It checks that the ordering
+// violates the expected property, and violates none without the fault.
+func TestMutantsFoundByLongOrderings(t *testing.T) {
 	for _, tc := range []struct {
 		pkg, name string
 		world     string
@@ -137,8 +137,8 @@
 	}
 }
 
-// TestLongBodyAfterDrain checks that a streamed body whose first bytes go out after a drain is known is found, while
-// one that has begun before may go on.
+// TestLongBodyAfterDrain checks that a streamed body whose first bytes are sent after the drain of the server is known
+// counts as a violation, while a body whose first bytes were sent before may continue.
 func TestLongBodyAfterDrain(t *testing.T) {
 	config := Config{Servers: 1, IdleConnection: true, StreamedBody: true}
 	late := []string{"drains s1", "time", "last-byte c1"}
--- a/internal/emulator/modelcheck/properties.go
+++ b/internal/emulator/modelcheck/properties.go
@@ -6,10 +6,10 @@
 	"mulleinrouter/internal/dataplane/attempt"
 )
 
-// Violation is a property that does not hold.
+// Violation is a property that does not hold, and a description of how it was violated.
 type Violation struct{ Property, Text string }
 
-// The properties of requests, attempts and connections to servers. Traces hold their names.
+// The names of the properties of requests, attempts and connections to servers. Traces store them.
 const (
 	// propertyLegal: no state machine receives an event for which its state has no transition.
 	propertyLegal = "legal"
@@ -47,11 +47,11 @@
 	propertyUnusable = "spoilt-is-spoilt"
 	// propertyBounded: connections and foreign answers stay within their limits.
 	propertyBounded = "bounded"
-	// propertyNothingLeft: nothing is pending once all requests are over.
+	// propertyNothingLeft: nothing is pending once all requests have finished.
 	propertyNothingLeft = "nothing-left"
 )
 
-// violate notes the first violation of a property.
+// violate records the first violation of a property.
 func (w *world) violate(property, format string, args ...any) {
 	for _, v := range w.violations {
 		if v.Property == property {
@@ -61,7 +61,7 @@
 	w.violations = append(w.violations, Violation{property, fmt.Sprintf(format, args...)})
 }
 
-// checkLegal notes a transition that a state machine refused.
+// checkLegal records a transition that a state machine rejected.
 func (w *world) checkLegal(err error) {
 	if err != nil {
 		w.violate(propertyLegal, "%v", err)
@@ -77,7 +77,7 @@
 		w.checkClient(c)
 	}
 	if n := w.idlePool.Open(); n > w.idlePool.Max {
-		w.violate(propertyBounded, "%d connections are up", n)
+		w.violate(propertyBounded, "%d connections are open", n)
 	}
 }
 
@@ -85,32 +85,32 @@
 	machine := c.request.Machine()
 	phase := machine.Phase()
 	if c.disconnected && c.attempt != nil && !c.attempt.cancelled {
-		w.violate(propertyDisconnectCancels, "%s has left, and its attempt goes on", c.name)
+		w.violate(propertyDisconnectCancels, "%s has disconnected, but its attempt is not cancelled", c.name)
 	}
 	if phase == attempt.Finished && c.finalDecisions == 0 {
-		w.violate(propertyAnsweredAtEnd, "%s is over, and nobody was told", c.name)
+		w.violate(propertyAnsweredAtEnd, "%s is finished without a final decision", c.name)
 	}
 	inFlight := phase == attempt.InFlight || phase == attempt.Abandoned
 	if phase == attempt.Waiting && c.attempt != nil || inFlight && c.attempt == nil {
-		w.violate(propertyLegal, "%s is %v, attempt out: %v", c.name, phase, c.attempt != nil)
+		w.violate(propertyLegal, "%s is %v, attempt in flight: %v", c.name, phase, c.attempt != nil)
 	}
 }
 
-// checkNothingLeft checks what must hold long after the last event.
+// checkNothingLeft checks the properties that must hold long after the last event.
 func (w *world) checkNothingLeft() {
 	for _, c := range w.clients {
 		if !c.finished {
 			w.violate(propertyInTime, "%s has no answer long after its deadline", c.name)
 		}
 		if c.attempt != nil {
-			w.violate(propertyNothingLeft, "%s still has an attempt out", c.name)
+			w.violate(propertyNothingLeft, "%s still has an attempt in flight", c.name)
 		}
 	}
 	if n := w.dispatcher.Pending(); n > 0 {
-		w.violate(propertyNothingLeft, "%d requests are left at the desk", n)
+		w.violate(propertyNothingLeft, "%d requests are still pending in the dispatcher", n)
 	}
 	if open, idle := w.idlePool.Open(), w.idleConnections(); open != idle {
-		w.violate(propertyNothingLeft, "%d connections count as up, %d are idle", open, idle)
+		w.violate(propertyNothingLeft, "%d connections count as open, %d are idle", open, idle)
 	}
 	if len(w.timers) > 1 {
 		w.violate(propertyNothingLeft, "%d timers are set", len(w.timers))
--- a/internal/emulator/modelcheck/schedule.go
+++ b/internal/emulator/modelcheck/schedule.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// clockStep is by how much the clock advances at most, in seconds.
+	// clockStep is the longest step of the clock, in seconds.
 	clockStep = 0.05
-	// settleTime is how long after their deadline requests have been answered, in seconds.
-	settleTime = 1
+	// completionTime is the time after their deadline within which all requests must have been answered, in seconds.
+	completionTime = 1
 )
 
-// settle lets the world run to completion without further events: timers fire, calls to the counter time out, attempts
-// end at their deadline or when they were cancelled.
-func (w *world) settle() {
-	for end := w.now + requestDeadline + settleTime; w.now < end && len(w.violations) == 0; {
+// runToCompletion advances the world without further events until nothing can be pending: timers fire, calls to the
+// counter time out, and attempts end at their deadline or when they were cancelled.
+func (w *world) runToCompletion() {
+	for end := w.now + requestDeadline + completionTime; w.now < end && len(w.violations) == 0; {
 		for _, c := range w.clients {
 			if c.attempt != nil && c.attempt.cancelled {
 				w.expireAttempt(c.attempt)
@@ -32,14 +32,15 @@
 	}
 }
 
-// passTime lets a while pass.
+// passTime advances the clock by passingTime.
 func (w *world) passTime() {
 	for end := w.now + passingTime; w.now < end && len(w.violations) == 0; {
 		w.advance()
 	}
 }
 
-// advanceDuring lets time pass until an end while an attempt is in flight. It reports whether the attempt still is.
+// advanceDuring advances the clock up to a time, or until an attempt ends. It reports whether the attempt is still in
+// flight.
 func (w *world) advanceDuring(pending *pendingAttempt, end decision.Seconds) bool {
 	inFlight := func() bool { return pending.client.attempt == pending }
 	for inFlight() && w.now < end-tolerance && len(w.violations) == 0 {
@@ -48,7 +49,7 @@
 	return inFlight()
 }
 
-// advance ends the attempts whose deadline has passed, and advances the clock to what is due next.
+// advance ends the attempts whose deadline has passed, and advances the clock to the next timer or deadline.
 func (w *world) advance() {
 	for _, c := range w.clients {
 		if c.attempt != nil && w.now >= c.attempt.deadline-tolerance {
@@ -67,8 +68,8 @@
 	w.checkInvariants()
 }
 
-// nextDue returns when the next timer fires or the next attempt reaches its deadline, a step of the clock from now at
-// the latest.
+// nextDue returns the time at which the next timer fires or the next attempt reaches its deadline, at most clockStep
+// from now.
 func (w *world) nextDue() decision.Seconds {
 	due := w.now + clockStep
 	for _, timer := range w.timers {
@@ -82,7 +83,7 @@
 	return due
 }
 
-// takeDueTimers takes the timers that are due from those that are set.
+// takeDueTimers removes the timers that are due, and returns them.
 func (w *world) takeDueTimers() []decision.SetTimer {
 	var due []decision.SetTimer
 	w.timers = slices.DeleteFunc(w.timers, func(timer decision.SetTimer) bool {
--- a/internal/emulator/modelcheck/server.go
+++ b/internal/emulator/modelcheck/server.go
@@ -2,13 +2,13 @@
 
 import "mulleinrouter/internal/decision"
 
-// server is a quote server, and what the endpoint list says of it.
+// server is a quote server, with its state in the endpoint list.
 type server struct {
 	id            string
 	address       string
 	listed        bool
 	serving       bool
-	drainingSince decision.Seconds // when it was listed as draining, or removed
+	drainingSince decision.Seconds // time at which it was listed as draining, or removed
 	down          bool             // whether it refuses connections
 }
 
@@ -23,7 +23,7 @@
 	w.applyEffects(w.dispatcher.Handle(w.now, update))
 }
 
-// server returns the server of an ID, listed or not; nil: there never was one.
+// server returns the server with an ID, whether or not it is listed; nil if there never was one.
 func (w *world) server(id string) *server {
 	for _, s := range w.servers {
 		if s.id == id {
@@ -33,7 +33,8 @@
 	return nil
 }
 
-// lookup returns what the endpoint list says of a server.
+// lookup returns the address of a server in the endpoint list, and whether it is serving; "" and false if it is not
+// listed.
 func (w *world) lookup(id string) (address string, serving bool) {
 	if s := w.server(id); s != nil && s.listed {
 		return s.address, s.serving
--- a/internal/emulator/modelcheck/trace.go
+++ b/internal/emulator/modelcheck/trace.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// The form of a trace as a text file: the violation, the world, and an event a line.
+// The prefixes of lines in a trace as a text file, which contains the violation, the world, and one event per line.
 const (
 	tracePrefixComment = "# "
 	tracePrefixWorld   = "world "
@@ -17,7 +17,7 @@
 // Trace is an ordering that violates a property.
 type Trace struct {
 	Config    Config
-	Events    []string // by name, in their order
+	Events    []string // names of the events, in order
 	Violation Violation
 }
 
@@ -32,8 +32,7 @@
 	)
 }
 
-// ReadTrace reads a trace's text. Its errors are those of this package, UnknownEventError and ErrWorldCount, and those
-// of ParseConfig.
+// ReadTrace reads the text form of a trace. It returns an UnknownEventError, ErrWorldCount, or an error of ParseConfig.
 func ReadTrace(r io.Reader) (*Trace, error) {
 	t, worlds := &Trace{}, 0
 	for lines := bufio.NewScanner(r); lines.Scan(); {
@@ -65,7 +64,7 @@
 	return t, nil
 }
 
-// minimize removes events from a trace for as long as it violates the same property.
+// minimize removes events from a trace as long as it still violates the same property.
 func minimize(t *Trace) *Trace {
 	shortest := t
 	for {
@@ -77,7 +76,7 @@
 	}
 }
 
-// shorten returns a trace without one of its events that violates the same property; nil: there is none.
+// shorten returns the trace without one of its events, if that still violates the same property; nil otherwise.
 func shorten(t *Trace) *Trace {
 	for i := range t.Events {
 		violations, happened := Replay(t.Config, slices.Delete(slices.Clone(t.Events), i, i+1))
--- a/internal/emulator/modelcheck/trace_test.go
+++ b/internal/emulator/modelcheck/trace_test.go
@@ -24,7 +24,7 @@
 	return trace
 }
 
-// TestTracesStayFixed replays the traces of violations that were found: they must not come back.
+// TestTracesStayFixed replays the traces of violations that were found and fixed, and checks that they do not return.
 func TestTracesStayFixed(t *testing.T) {
 	paths, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(paths) == 0 {
@@ -35,7 +35,7 @@
 			trace := readTrace(t, path)
 			violations, happened := Replay(trace.Config, trace.Events)
 			if diff := cmp.Diff(trace.Events, happened); diff != "" {
-				t.Errorf("not all of it can happen any more (-want +got):\n%s", diff)
+				t.Errorf("some events of the trace are no longer possible (-want +got):\n%s", diff)
 			}
 			for _, v := range violations {
 				t.Errorf("%s: %s", v.Property, v.Text)
--- a/internal/emulator/modelcheck/world.go
+++ b/internal/emulator/modelcheck/world.go
@@ -9,16 +9,16 @@
 	"mulleinrouter/internal/decision"
 )
 
-// Limits of the world's settings, in seconds unless they count.
+// Limits in the settings of the world, in seconds except for those that count something.
 const (
 	latencyTarget   = 1.0
 	requestDeadline = 3.0
 	answerSlack     = 0.05
-	drainGrace      = 0.25 // after a drain is known, in which requests may still arrive
+	drainGrace      = 0.25 // time after a drain is known in which requests may still arrive
 	maxAttempts     = 4
 	maxConnections  = 4
 
-	// tolerance is for the rounding of times.
+	// tolerance is the allowance for rounding errors of times, in seconds.
 	tolerance = 1e-9
 )
 
@@ -27,37 +27,37 @@
 	classRead = "read" // idempotent
 	classSend = "send" // non-idempotent
 
-	// worldBegins is the time on the world's clock, in seconds.
-	worldBegins = 1000.0
-	// idleBefore is for how long the connection of Config.IdleConnection has been idle, in seconds: so long that the
-	// last byte of the next request on it is delayed.
+	// initialTime is the time on the world's clock at the start, in seconds.
+	initialTime = 1000.0
+	// idleBefore is the time for which the connection of Config.IdleConnection has been idle, in seconds. It is long
+	// enough for the last byte of the next request on it to be delayed.
 	idleBefore = 2.0
 )
 
-// world is one run: a state, and the violations that it has come to.
+// world is the simulated environment of one run: its state, and the violations found so far.
 type world struct {
 	config      Config
 	now         decision.Seconds
 	dispatcher  *attempt.Dispatcher[*client]
 	idlePool    *upstreamconn.IdlePool[*connection]
 	lossHistory upstreamconn.LossHistory
-	servers     []*server // by list order; those that were removed stay, to be looked at
+	servers     []*server // in the order of the endpoint list; removed ones stay, because the checks need them
 	clients     []*client
 	violations  []Violation
 	steps       int
 
 	timers       []decision.SetTimer
-	counterCalls []string // those that have no answer yet, the oldest first
-	counterTotal float64
-	effects      []attempt.Effect // that are to be carried out
-	applying     bool             // whether they are being carried out
+	counterCalls []string         // names of the unanswered calls, the oldest first
+	counterTotal float64          // total of the quota counter, in units
+	effects      []attempt.Effect // effects that are still to be carried out
+	applying     bool             // whether effects are being carried out
 
 	draining        bool
-	attemptsAborted bool // the drain has ended: attempts are cancelled as they begin
-	planIndex       int  // of the customer's plan, in plans
+	attemptsAborted bool // the drain has ended, and attempts are cancelled as they begin
+	planIndex       int  // index of the customer's plan in plans
 }
 
-// plans are those between which the customer changes.
+// plans lists the two plans between which the customer changes.
 var plans = []decision.Plan{
 	{Name: "small", Rate: 1, Burst: 2, ValueWeight: 1, ExcessCost: 1},
 	{Name: "large", Rate: 1000, Burst: 1000, ValueWeight: 1, ExcessCost: 1},
@@ -72,7 +72,7 @@
 	}
 	w := &world{
 		config:     config,
-		now:        worldBegins,
+		now:        initialTime,
 		dispatcher: attempt.NewDispatcher[*client](decision.New(settings, 1), &settings),
 		idlePool:   upstreamconn.NewIdlePool[*connection](limit),
 	}
@@ -134,7 +134,7 @@
 	}
 }
 
-// addIdleConnection puts a connection into the pool that has carried one request, a while ago.
+// addIdleConnection puts a connection into the pool that carried one request idleBefore seconds ago.
 func (w *world) addIdleConnection(s *server) {
 	conn := &connection{server: s, address: s.address}
 	w.idlePool.Reserve()
@@ -146,7 +146,7 @@
 	w.now += idleBefore
 }
 
-// stateKey describes the state, as far as the properties depend on it: states are counted by it.
+// stateKey describes the state as far as the properties depend on it. Result.States counts the different keys.
 func (w *world) stateKey() string {
 	var key strings.Builder
 	for _, c := range w.clients {
