--- a/internal/emulator/costmodel/changes.go
+++ b/internal/emulator/costmodel/changes.go
@@ -8,30 +8,31 @@
 	"mulleinrouter/internal/cluster/replication"
 )
 
-// changeSizes are above those at which the state fits into the processor's caches, which follow another line.
+// changeSizes lists the sizes of the state. All are too large for the processor's caches, because the cost at sizes
+// that fit into them follows a different line.
 var changeSizes = []int{10000, 20000, 40000, 80000, 200000}
 
 const (
-	changeOperations = 400
-	lookupOperations = 100_000
-	// maxLookupKeys bounds the keys that a look-up benchmark makes beforehand.
+	changeOperations = 400     // changes measured together
+	lookupOperations = 100_000 // look-ups measured together
+	// maxLookupKeys bounds the number of keys that a look-up benchmark generates before the measurement.
 	maxLookupKeys = 1 << 16
-	// maxChunk is the bytes of one chunk of changes to a subscriber.
+	// maxChunk is the size limit of one chunk of changes to a subscriber, in bytes.
 	maxChunk = 64 << 10
 )
 
-// changeFixtures are the immutable states that several series of changes and look-ups share, by their size.
+// changeFixtures returns the immutable states of each size that several series of changes and look-ups share.
 type changeFixtures struct {
-	routes  func(n int) *configuration.Snapshot // with their services
+	routes  func(n int) *configuration.Snapshot // n routes and their services
 	tenants func(n int) *configuration.Snapshot
-	tables  func(n int) *configuration.RoutingTable // of the tenants
+	tables  func(n int) *configuration.RoutingTable // routing table of n tenants
 }
 
 func newChangeFixtures() *changeFixtures {
 	tenantSnapshot := memoize(func(n int) *configuration.Snapshot { return snapshotOf(tenants(n)) })
 	return &changeFixtures{
 		routes: memoize(func(n int) *configuration.Snapshot {
-			return snapshotOf(services(referredServices), routes(n, referredServices))
+			return snapshotOf(services(referencedServices), routes(n, referencedServices))
 		}),
 		tenants: tenantSnapshot,
 		tables: memoize(func(n int) *configuration.RoutingTable {
@@ -52,14 +53,14 @@
 	}
 }
 
-// changesOf returns the changes of a benchmark, each of another item.
+// changesOf returns the changes of a benchmark. Successive changes are of different items.
 func changesOf(n int, change func(i, version int) configuration.Item) [][]configuration.Item {
 	return generate(repetitions*changeOperations+1, func(i int) []configuration.Item {
 		return []configuration.Item{change(i*stride%n, i+2)}
 	})
 }
 
-// measureChanges takes the series of the processor time of one change, and of one look-up.
+// measureChanges measures the series of the processor time of one change, and of one look-up.
 func measureChanges(m *meter) {
 	fixtures := newChangeFixtures()
 	measureValidate(m, fixtures)
@@ -84,7 +85,7 @@
 		prepare: func(n int) func(int) {
 			snapshot := fixtures.routes(n)
 			changes := changesOf(n, func(i, version int) configuration.Item {
-				return route(i, referredServices, version)
+				return route(i, referencedServices, version)
 			})
 			return func(i int) { snapshot.Validate(changes[i]) }
 		},
@@ -171,7 +172,7 @@
 	})
 }
 
-// routeKey is what a route is looked up by.
+// routeKey is the host and the path by which a route is looked up.
 type routeKey struct{ host, path string }
 
 func measureRouteLookup(m *meter, fixtures *changeFixtures) {
@@ -212,8 +213,8 @@
 	})
 }
 
-// lookups returns an operation that looks up one key after the other, in an order that helps no cache. The keys are
-// made beforehand.
+// lookups returns an operation that looks up one key after the other, in an order that does not benefit from caches.
+// The keys are generated before the measurement.
 func lookups[Key any](n int, keyOf func(i int) Key, lookUp func(Key)) func(int) {
 	keys := generate(min(n, maxLookupKeys), func(i int) Key { return keyOf(i * stride % n) })
 	return func(i int) { lookUp(keys[i%len(keys)]) }
--- a/internal/emulator/costmodel/collector.go
+++ b/internal/emulator/costmodel/collector.go
@@ -2,7 +2,7 @@
 
 import "runtime"
 
-// measureCollector takes the series of the processor time of a collection by the bytes that live.
+// measureCollector measures the series of the processor time of a garbage collection by the size of the live heap.
 func measureCollector(m *meter) {
 	series := Series{
 		Name:        "gc.cycle",
--- a/internal/emulator/costmodel/consensus.go
+++ b/internal/emulator/costmodel/consensus.go
@@ -7,7 +7,7 @@
 	"mulleinrouter/internal/cluster/consensus"
 )
 
-// measureConsensus takes the series of the processor time to choose a change, without network and disk.
+// measureConsensus measures the series of the processor time to choose a change, without network and disk.
 func measureConsensus(m *meter) {
 	m.measureTime(timeBenchmark{
 		series: Series{
@@ -24,7 +24,7 @@
 	})
 }
 
-// localElectorate is a proposer and its voters in one process, with the configuration chosen last.
+// localElectorate is a proposer and its voters in one process, with the latest chosen configuration.
 type localElectorate struct {
 	voters    []string
 	acceptors map[string]*consensus.Acceptor
@@ -46,7 +46,7 @@
 	return le
 }
 
-// choose has one change chosen and applied by all voters.
+// choose runs one change through the proposer until all voters have applied it.
 func (le *localElectorate) choose(items []configuration.Item) {
 	action := le.proposer.Start(le.base, false)
 	for {
@@ -57,7 +57,7 @@
 			action = le.askVoters(le.accept, action)
 		case consensus.Compose:
 			action = le.proposer.Composed(action.Attempt, le.base, items, nil)
-			items = nil // proposed once
+			items = nil // they are proposed only once
 		case consensus.Apply:
 			action = le.apply(action)
 		default:
@@ -66,7 +66,7 @@
 	}
 }
 
-// askVoters asks all voters, and returns the action that their answers led to last.
+// askVoters sends the action to all voters, and returns the last action that results from their answers.
 func (le *localElectorate) askVoters(
 	ask func(consensus.Action, string) consensus.Action,
 	action consensus.Action,
--- a/internal/emulator/costmodel/counters.go
+++ b/internal/emulator/costmodel/counters.go
@@ -6,7 +6,7 @@
 	"mulleinrouter/internal/cluster/quota"
 )
 
-// measureCounters takes the series of the processor time of a counter's owner.
+// measureCounters measures the series of the processor time of a counter's owner.
 func measureCounters(m *meter) {
 	measureCounterAdd(m)
 	measureCounterTotal(m)
--- a/internal/emulator/costmodel/disk.go
+++ b/internal/emulator/costmodel/disk.go
@@ -11,7 +11,7 @@
 	"mulleinrouter/internal/control/storage"
 )
 
-// measureDisk takes the series of the processor time to save a change, with a file system in memory.
+// measureDisk measures the series of the processor time to save a change, with a file system in memory.
 func measureDisk(m *meter) {
 	m.measureTime(timeBenchmark{
 		series: Series{
--- a/internal/emulator/costmodel/errors.go
+++ b/internal/emulator/costmodel/errors.go
@@ -1,9 +1,9 @@
 package costmodel
 
-// FitError is returned where no line can be fitted to a series.
+// FitError reports that no line can be fitted to a series.
 type FitError struct {
-	Series  string // its name
-	Problem string // what its points lack
+	Series  string // name of the series
+	Problem string // reason why no line can be fitted
 }
 
 // Error returns "series: problem".
--- a/internal/emulator/costmodel/fixtures.go
+++ b/internal/emulator/costmodel/fixtures.go
@@ -8,21 +8,23 @@
 	"mulleinrouter/internal/cluster/registry"
 )
 
-// The fixtures generate the state of a system of some size. Each item is seeded by its number alone, so that equal
-// numbers give equal items in any run. Bodies are laid out as the operators send them (one key a tenant).
+// The fixtures generate the state of a system of a given size. The only random seed of an item is its number, so that
+// equal numbers give equal items in every run. Bodies have the layout in which operators send them, with one key per
+// tenant.
 
 const (
-	// serversPerService is that of the size to design for (docs/CAPACITY.md).
+	// serversPerService is the number of servers of a service at the design size (docs/CAPACITY.md).
 	serversPerService = 20
 	routesPerHost     = 3
 	zoneCount         = 25
-	// stride is a prime: stepping by it visits all items, each far from the one before, so that no cache helps.
+	// stride is the step between the numbers of successive items. As a prime it reaches all items, and each is far from
+	// the previous one, so that the order does not benefit from caches.
 	stride = 7919
 )
 
 const nameAlphabet = "abcdefghijklmnopqrstuvwxyz0123456789"
 
-// nameSalt keeps the random names of different kinds apart.
+// nameSalt is the part of the random seed that makes names of different kinds differ.
 type nameSalt uint64
 
 const (
@@ -51,7 +53,8 @@
 func pathPrefix(n int) string   { return fmt.Sprintf("/%s/%d/", randomName(n, 7, pathSalt), n) }
 func reporterName(n int) string { return fmt.Sprintf("edge-muscat-hall-%d", n) }
 
-// item returns an item whose body is a format without its closing brace.
+// item returns an item. Its body is the formatted JSON object, which comes without its closing brace, with the
+// generation appended.
 func item(kind configuration.Kind, name string, version int, format string, args ...any) configuration.Item {
 	body := fmt.Sprintf(format, args...) + fmt.Sprintf(`,"generation":"%08x"}`, version)
 	return configuration.Item{
@@ -110,7 +113,7 @@
 	}
 }
 
-// generate returns n things, made by their numbers.
+// generate returns n values, each made from its number.
 func generate[T any](n int, one func(i int) T) []T {
 	things := make([]T, n)
 	for i := range things {
@@ -135,7 +138,7 @@
 	return generate(n, func(i int) registry.Instance { return instance(i, 1) })
 }
 
-// snapshotOf returns a snapshot of items; nil, which is empty, for none.
+// snapshotOf returns a snapshot of items. Without items it returns nil, which is an empty snapshot.
 func snapshotOf(items ...[]configuration.Item) *configuration.Snapshot {
 	var snapshot *configuration.Snapshot
 	for _, some := range items {
--- a/internal/emulator/costmodel/frames.go
+++ b/internal/emulator/costmodel/frames.go
@@ -4,13 +4,13 @@
 	"mulleinrouter/internal/cluster/transport"
 )
 
-// incarnation is that of the sources here; its encoding is as long as a real one's.
+// incarnation is the incarnation of the simulated sources. Its encoding is as long as that of a real one.
 const incarnation = 1 << 60
 
-// clockReading is a time in seconds as control nodes send it, with microseconds.
+// clockReading is a time in seconds, with the microseconds that control nodes send.
 const clockReading = 86400.123456
 
-// frameOperations is how often a batch of frames is encoded or decoded in one measurement.
+// frameOperations is the number of times that a batch of frames is encoded or decoded in one measurement.
 const frameOperations = 200
 
 var (
@@ -18,9 +18,9 @@
 	frameTimeSizes = []int{10, 40, 80, 160, 300}
 )
 
-// frameKind is a kind of frame between the processes, with n of something in one frame or in n of them.
+// frameKind is a kind of frame between the processes. frames returns one frame with n items, or n frames.
 type frameKind struct {
-	name        string // as in the names of its series
+	name        string // part of the names of its series
 	description string
 	sizeUnit    string
 	frames      func(n int) []*transport.Frame
@@ -37,7 +37,7 @@
 	{"count", "n pairs of Add and Total", "calls", counterCalls},
 }
 
-// measureFrames takes the series of the frames: their bytes, and the time to encode and to decode them.
+// measureFrames measures the series of the frames: their bytes, and the time to encode and to decode them.
 func measureFrames(m *meter) {
 	for _, kind := range frameKinds {
 		measureFrameBytes(m, kind)
@@ -69,8 +69,8 @@
 	})
 }
 
-// measureFrameTime takes a series of the processor time of an operation on frames of a kind. The prefixes go before the
-// name of the kind and before its description.
+// measureFrameTime measures a series of the processor time of an operation on frames of a kind. namePrefix precedes the
+// name of the kind, and descriptionPrefix its description.
 func measureFrameTime(
 	m *meter, namePrefix, descriptionPrefix string, kind frameKind, operation func([]*transport.Frame) func(int),
 ) {
@@ -94,7 +94,7 @@
 	return encoded
 }
 
-// newUpdate returns an update without content, which is a heartbeat of its source.
+// newUpdate returns an update without items, which acts as a heartbeat of its source.
 func newUpdate() *transport.Update {
 	return &transport.Update{
 		Incarnation: incarnation,
@@ -108,7 +108,7 @@
 	}
 }
 
-// updateFrame returns one frame with an update to which add was called n times.
+// updateFrame returns one frame with an update on which add was called n times.
 func updateFrame(n int, add func(update *transport.Update, i int)) []*transport.Frame {
 	update := newUpdate()
 	for i := range n {
@@ -128,7 +128,7 @@
 
 func routeUpdate(n int) []*transport.Frame {
 	return updateFrame(n, func(update *transport.Update, i int) {
-		update.Items = append(update.Items, route(i, referredServices, updatedVersion))
+		update.Items = append(update.Items, route(i, referencedServices, updatedVersion))
 	})
 }
 
--- a/internal/emulator/costmodel/gateway.go
+++ b/internal/emulator/costmodel/gateway.go
@@ -5,8 +5,8 @@
 	"runtime/debug"
 )
 
-// measureGateway takes the series of decision.Gateway. "Thin" and "sliced" in the names of series are tenants whose
-// requests are reports of their own, and those of which the gateway has a quota slice.
+// measureGateway measures the series of decision.Gateway. In the names of series, "thin" denotes tenants each of whose
+// requests is reported to the counter separately, and "sliced" those of which the gateway has a quota slice.
 func measureGateway(m *meter) {
 	measureGatewayMemory(m)
 	measureRequests(m, requestsByServers)
@@ -37,13 +37,13 @@
 	})
 }
 
-// gatewayOfServers is a gateway that knows servers in groups of the usual size, and no tenant.
+// gatewayOfServers returns the size of a gateway that knows servers in groups of the usual size, and no tenant.
 func gatewayOfServers(servers int) gatewaySize {
 	return gatewaySize{servers: servers, serversPerGroup: serversPerService, gateways: 1}
 }
 
-// gatewayOfTenants is a gateway that knows tenants, and one group of servers. The more gateways share a quota, the
-// smaller is the part of each; with all of the size to design for, no tenant has a slice.
+// gatewayOfTenants returns the size of a gateway that knows tenants, and one group of servers. The more gateways share
+// a quota, the smaller is the part of each; with all gateways of the design size, no tenant has a slice.
 func gatewayOfTenants(tenants, gateways int) gatewaySize {
 	return gatewaySize{
 		servers:         serversPerService,
@@ -61,8 +61,8 @@
 	gateway    func(n int) gatewaySize
 }
 
-// The sizes are such that what a tick walks does not fit into the processor's caches: in service there are fifty
-// milliseconds of other work between two ticks.
+// The sizes are so large that the state that a tick visits does not fit into the processor's caches, because in
+// production there are 50 ms of other work between two ticks.
 var (
 	tickServerSizes = []int{16000, 32000, 64000, 120000, 200000}
 	tickTenantSizes = []int{10000, 20000, 40000, 60000, 100000}
@@ -146,14 +146,15 @@
 	gateway: func(n int) gatewaySize { return gatewayOfTenants(n, designIngresses) },
 }
 
-// Requests come at the rate of one ingress of the size to design for, between ticks that are not counted.
+// Requests arrive at the rate of one ingress at the design size. The time of the ticks between them is not counted.
+// The constants are numbers of requests and of ticks.
 const (
 	requestsPerTick = 20
 	warmUpTicks     = 100
 	measuredTicks   = 60
 )
 
-// requestLoad sends requests of changing tenants.
+// requestLoad sends requests of a different tenant each time.
 type requestLoad struct{ tenant int }
 
 // send sends the requests between two ticks.
@@ -181,13 +182,13 @@
 	runtime.GC()
 	for range repetitions {
 		for n, harness := range harnesses {
-			points[n].lower(load.measure(harness))
+			points[n].keepMinimum(load.measure(harness))
 		}
 	}
 	m.addSeries(b.series, points)
 }
 
-// measure returns the processor time of a request, and the bytes that it allocates.
+// measure returns the processor time of a request in seconds, and the bytes that it allocates.
 func (rl *requestLoad) measure(harness *gatewayHarness) (seconds, allocBytes float64) {
 	defer debug.SetGCPercent(debug.SetGCPercent(-1))
 	used := 0.0
--- a/internal/emulator/costmodel/gateway_harness.go
+++ b/internal/emulator/costmodel/gateway_harness.go
@@ -6,34 +6,34 @@
 	"mulleinrouter/internal/decision"
 )
 
-// designIngresses is the number of ingresses of the size to design for (docs/CAPACITY.md).
+// designIngresses is the number of ingresses at the design size (docs/CAPACITY.md).
 const designIngresses = 3300
 
 const (
-	// harnessStart is the simulated time in seconds of the first request, long after the slow start.
+	// harnessStart is the simulated time of the first request in seconds, long after the end of the slow start.
 	harnessStart = 20
-	tickInterval = 0.05 // seconds, that of decision.Gateway
+	tickInterval = 0.05 // tick interval of decision.Gateway, in seconds
 	harnessGroup = "g0"
 	harnessClass = "r"
 )
 
-// gatewaySize is what a gateway knows.
+// gatewaySize is the size of the state of a gateway.
 type gatewaySize struct {
 	servers         int
 	serversPerGroup int
-	tenants         int // each has sent a request
-	gateways        int // that share the quota of each tenant
+	tenants         int // number of tenants, each of which has sent a request
+	gateways        int // number of gateways that share the quota of each tenant
 }
 
-// gatewayHarness is a decision.Gateway with the settings of proxy, under simulated time, whose servers and counters
+// gatewayHarness is a decision.Gateway with the settings of the proxy, in simulated time. Its servers and counters
 // answer at once.
 type gatewayHarness struct {
 	gateway     *decision.Gateway
-	now         float64 // seconds
-	lastRequest uint64  // ID
+	now         float64 // simulated time in seconds
+	lastRequest uint64  // ID of the last request
 	gateways    int
 	class       *decision.Class
-	terms       []*decision.Terms // of the tenants
+	terms       []*decision.Terms // terms of the tenants
 }
 
 func newGatewayHarness(size gatewaySize) *gatewayHarness {
@@ -63,7 +63,7 @@
 	return gh
 }
 
-// harnessSettings are those that proxy gives.
+// harnessSettings returns the settings that the proxy uses.
 func harnessSettings() decision.Settings {
 	return decision.Settings{
 		Gateways:        designIngresses,
@@ -115,8 +115,8 @@
 	}
 }
 
-// request lets the gateway decide a request of a tenant, and answers what it does: its call to a counter, if it makes
-// one, and its attempt.
+// request passes a request of a tenant to the gateway, and answers the resulting actions: the call to a counter, if
+// there is one, and the attempt.
 func (gh *gatewayHarness) request(tenant int) {
 	gh.lastRequest++
 	request := decision.Request{
@@ -135,7 +135,7 @@
 	gh.perform(gh.gateway.Handle(gh.now, request))
 }
 
-// perform answers the actions of the gateway, and those that follow.
+// perform answers actions of the gateway, and the actions that result from the answers.
 func (gh *gatewayHarness) perform(actions []decision.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -158,7 +158,7 @@
 	}
 }
 
-// tick moves the time on by one interval.
+// tick advances the simulated time by one interval, and fires the gateway's timer.
 func (gh *gatewayHarness) tick() {
 	gh.now += tickInterval
 	gh.perform(gh.gateway.Handle(gh.now, decision.Timer{Token: "tick"}))
--- a/internal/emulator/costmodel/heap.go
+++ b/internal/emulator/costmodel/heap.go
@@ -2,18 +2,19 @@
 
 import "runtime"
 
-// heapBenchmark describes a series of live heap: that of what build makes, beside a base that is not counted.
+// heapBenchmark describes a series of the live heap of the value that build returns. The heap of the base, which build
+// may refer to, is not counted.
 type heapBenchmark[Base any] struct {
 	series Series
 	sizes  []int
-	base   func(size int) Base // nil: nothing is needed beside
+	base   func(size int) Base // nil: build needs no base
 	build  func(base Base, size int) any
 }
 
-// noBase is the Base of a heapBenchmark without one.
+// noBase is the Base of a heapBenchmark that needs none.
 type noBase struct{}
 
-// measureHeap takes the series of a benchmark.
+// measureHeap measures the series of a benchmark.
 func measureHeap[Base any](m *meter, b heapBenchmark[Base]) {
 	b.series.Unit = Bytes
 	var points []Point
@@ -34,7 +35,7 @@
 // liveHeap returns the bytes of the heap in use.
 func liveHeap() float64 {
 	runtime.GC()
-	runtime.GC() // what finalizers and pools referred to is collected by the second
+	runtime.GC() // the second collection frees the objects that finalizers and pools referred to
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.HeapAlloc)
--- a/internal/emulator/costmodel/heartbeats.go
+++ b/internal/emulator/costmodel/heartbeats.go
@@ -3,12 +3,13 @@
 import "mulleinrouter/internal/cluster/registry"
 
 const (
-	heartbeatOperations = 20_000
-	// heartbeatStep is the time in seconds between two heartbeats of a benchmark: short, so that none expires.
+	heartbeatOperations = 20_000 // heartbeats measured together
+	// heartbeatStep is the time between two heartbeats of a benchmark, in seconds. It is so short that no instance
+	// expires.
 	heartbeatStep = 1e-6
 )
 
-// heartbeatSizes are above those at which the state fits into the processor's caches, as changeSizes.
+// heartbeatSizes lists the sizes of the state. As with changeSizes, all are too large for the processor's caches.
 var heartbeatSizes = []int{10000, 20000, 50000, 100000, 200000}
 
 // heartbeatBenchmark describes a series of the processor time of one heartbeat.
@@ -32,7 +33,7 @@
 	},
 }
 
-// measureHeartbeats takes the series of the processor time that a registry needs for a heartbeat.
+// measureHeartbeats measures the series of the processor time that a registry needs for a heartbeat.
 func measureHeartbeats(m *meter) {
 	for _, b := range heartbeatBenchmarks {
 		m.measureTime(timeBenchmark{
@@ -57,5 +58,5 @@
 	}
 }
 
-// heartbeatTime is when the heartbeat of an index arrives.
+// heartbeatTime returns the time at which the heartbeat with an index arrives, in seconds.
 func heartbeatTime(index int) float64 { return 1 + float64(index)*heartbeatStep }
--- a/internal/emulator/costmodel/meter.go
+++ b/internal/emulator/costmodel/meter.go
@@ -11,17 +11,17 @@
 
 // meter measures in this process and collects the series. Nothing else may run in the process meanwhile.
 type meter struct {
-	divisor int // of sizes and of the number of operations
-	report  func(*Series)
+	divisor int           // divisor of the sizes and of the numbers of operations
+	report  func(*Series) // called with each series; nil: none is reported
 	series  []Series
-	err     error // the first
+	err     error // the first error
 }
 
-// preparationGCPercent is the collector's target while the state to be measured is made. Measurements call the
-// collector themselves.
+// preparationGCPercent is the garbage collector's target (GOGC) while the state to be measured is built. The
+// measurements themselves call the collector explicitly.
 const preparationGCPercent = 400
 
-// measurements are taken in this order, which is that of the series in a run.
+// measurements lists the groups of series in the order in which they are measured and appear in a run.
 var measurements = []func(*meter){
 	measureStateMemory,
 	measureChanges,
@@ -35,12 +35,12 @@
 	measureCollector,
 }
 
-// Measure takes all series, and calls report with each as soon as it is fitted; report may be nil. Sizes are divided by
-// divisor; above 1 the run shows only that everything works, and its figures are not for planning. The error is the
-// first that a series met, often a FitError; the run then holds the other series.
+// Measure measures all series, and calls report with each as soon as it is fitted; report may be nil. Sizes are divided
+// by divisor; with a divisor above 1 the run shows only that everything works, and its figures are not usable for
+// planning. The error is the first error of a series, often a FitError; the run then contains the other series.
 func Measure(divisor int, report func(*Series)) (*Run, error) {
 	m := &meter{divisor: max(1, divisor), report: report}
-	// What is measured runs on one thread; with more, idle processors would help the collector and be counted.
+	// The benchmarks run on one thread. With more, the collector would also use idle processors, whose time is counted.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	defer debug.SetGCPercent(debug.SetGCPercent(preparationGCPercent))
 	command := "emulator slopes"
@@ -78,13 +78,14 @@
 	return unknown
 }
 
-// The smallest size that division leaves, and by how much it grows to the next: sizes must differ to be fitted.
+// The lower bound of the first divided size, and its increment for each further size. Sizes must differ, because no
+// line can be fitted to points at one size.
 const (
 	minDividedSize  = 20
 	dividedSizeStep = 3
 )
 
-// sizes divides the sizes of a series. The last is the one of the holdout.
+// sizes divides the sizes of a series. The last is the size of the holdout.
 func (m *meter) sizes(planned []int) []int {
 	if m.divisor == 1 {
 		return planned
@@ -96,7 +97,7 @@
 	return divided
 }
 
-// addSeries fits a series to its points, of which the last is the holdout, and keeps it.
+// addSeries fits a series to its points, of which the last is the holdout, and adds it to the run.
 func (m *meter) addSeries(s Series, points []Point) {
 	last := len(points) - 1
 	s.Points, s.Holdout = points[:last], points[last]
@@ -110,14 +111,15 @@
 	}
 }
 
-// fail keeps the first error.
+// fail records the first error.
 func (m *meter) fail(err error) {
 	if m.err == nil {
 		m.err = err
 	}
 }
 
-// measureBytes takes a series of encoded lengths. They are the same at each run, so their sizes are not divided.
+// measureBytes measures a series of encoded lengths. The lengths are the same in every run, so the sizes are not
+// divided.
 func (m *meter) measureBytes(s Series, sizes []int, length func(size int) int) {
 	s.Unit = Bytes
 	var points []Point
--- a/internal/emulator/costmodel/meter_test.go
+++ b/internal/emulator/costmodel/meter_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestMeasure takes every series at sizes far too small for figures: each must be measured, and be read as it was
-// written.
+// TestMeasure measures every series at sizes far too small for meaningful figures. It checks that each series has its
+// points, and is the same after a run is written and read.
 func TestMeasure(t *testing.T) {
 	const minSeries, minPointsTaken = 60, 4
 	run, err := Measure(1000, nil)
--- a/internal/emulator/costmodel/processor_time.go
+++ b/internal/emulator/costmodel/processor_time.go
@@ -9,28 +9,30 @@
 )
 
 const (
-	// maxUncollectedBytes bounds what operations allocate before the collector is called between two of them; it is off
-	// while they are measured.
+	// maxUncollectedBytes bounds the bytes that operations allocate before the garbage collector is called between two
+	// of them. The collector is off during a measurement.
 	maxUncollectedBytes = 256 << 20
-	// repetitions is how often an operation is measured at each size. The minimum counts: other work on the machine
-	// only adds.
+	// repetitions is the number of measurements of an operation at each size. The minimum is used, because other work
+	// on the machine can only add to the time.
 	repetitions = 9
-	// minOperations is how many operations are measured together at least, where so many are prepared: the clock counts
-	// microseconds, and one operation may take less.
+	// minOperations is the minimum number of operations that are measured together, if the benchmark prepares as many.
+	// The processor time is counted in microseconds, and one operation may take less.
 	minOperations = 32
 )
 
 // timeBenchmark describes a series of processor time.
 type timeBenchmark struct {
-	series     Series
-	sizes      []int
-	operations int // that are measured together; prepare must allow for repetitions times as many, and one more
-	// prepare returns the operation at a size. It is called with an index that never repeats.
+	series Series
+	sizes  []int
+	// operations is the number of operations that are measured together. The operation that prepare returns must be
+	// callable operations*repetitions times, and once more.
+	operations int
+	// prepare returns the operation at a size. The operation is called with an index that never repeats.
 	prepare func(size int) func(index int)
 }
 
-// measureTime takes the series of a benchmark. It measures in rounds over all sizes, so that a disturbance of some
-// duration does not fall on one size alone.
+// measureTime measures the series of a benchmark. It measures in rounds over all sizes, so that a disturbance that
+// lasts for some time does not affect one size only.
 func (m *meter) measureTime(b timeBenchmark) {
 	b.series.Unit = Seconds
 	perRound := min(b.operations, max(minOperations, b.operations/m.divisor))
@@ -41,31 +43,31 @@
 	m.addSeries(b.series, measureInRounds(operations))
 }
 
-// operation is what is measured at one size, and the minimum found so far.
+// operation is the operation that is measured at one size, with the minimum found so far.
 type operation struct {
-	run      func(index int) // no index repeats
-	perRound int             // calls of run that are measured together
-	next     int             // index
-	best     Point
+	run      func(index int) // called with an index that never repeats
+	perRound int             // number of calls of run that are measured together
+	next     int             // next index
+	best     Point           // minimum found so far
 }
 
 func newOperation(size, perRound int, run func(index int)) *operation {
 	return &operation{run: run, perRound: perRound, best: unmeasured(size)}
 }
 
-// unmeasured returns the point of a size above any measurement.
+// unmeasured returns a point at a size with infinite costs, which any measurement is below.
 func unmeasured(size int) Point {
 	return Point{Size: float64(size), Cost: math.Inf(1), AllocBytes: math.Inf(1)}
 }
 
-// lower keeps the minimum of what was measured so far and now.
-func (p *Point) lower(cost, allocBytes float64) {
+// keepMinimum lowers the costs of the point to those of a new measurement where they are smaller.
+func (p *Point) keepMinimum(cost, allocBytes float64) {
 	p.Cost = min(p.Cost, cost)
 	p.AllocBytes = min(p.AllocBytes, allocBytes)
 }
 
-// measure measures the processor time of one call and the bytes that it allocates. The collector is off meanwhile; its
-// cost for these bytes is a series of its own.
+// measure measures the processor time of one call and the bytes that it allocates. The garbage collector is off
+// meanwhile, because a separate series contains its cost for these bytes.
 func (o *operation) measure() {
 	defer debug.SetGCPercent(debug.SetGCPercent(-1))
 	if o.next == 0 {
@@ -78,7 +80,7 @@
 	}
 	used := processorTime() - timeBefore
 	allocated := allocatedBytes() - allocatedBefore
-	o.best.lower(used/float64(o.perRound), allocated/float64(o.perRound))
+	o.best.keepMinimum(used/float64(o.perRound), allocated/float64(o.perRound))
 }
 
 func (o *operation) runNext() {
@@ -86,7 +88,7 @@
 	o.next++
 }
 
-// measureInRounds returns the minimum of each operation.
+// measureInRounds measures all operations in several rounds, and returns the minimum of each.
 func measureInRounds(operations []*operation) []Point {
 	runtime.GC()
 	uncollected := 0.0
@@ -107,8 +109,8 @@
 	return points
 }
 
-// processorTime returns the processor time in seconds that this process has used, its own and the system's for it; NaN
-// where the system does not tell.
+// processorTime returns the processor time that this process has used in seconds, in user and in system mode. It
+// returns NaN if the system call fails.
 func processorTime() float64 {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
--- a/internal/emulator/costmodel/run.go
+++ b/internal/emulator/costmodel/run.go
@@ -9,17 +9,17 @@
 	"slices"
 )
 
-// Run is all that was measured at one time on one machine.
+// Run contains all series that were measured in one run on one machine.
 type Run struct {
-	Date      string   `json:"date"` // of UTC, as 2006-01-02
+	Date      string   `json:"date"` // date in UTC, as 2006-01-02
 	Go        string   `json:"go"`   // version of the toolchain
 	Processor string   `json:"processor"`
 	Cores     int      `json:"cores"`
-	Command   string   `json:"command"` // that measured it
+	Command   string   `json:"command"` // command that measured it
 	Series    []Series `json:"-"`
 }
 
-// Find returns the series of a name; nil where there is none.
+// Find returns the series with a name, or nil if there is none.
 func (r *Run) Find(name string) *Series {
 	for n := range r.Series {
 		if r.Series[n].Name == name {
@@ -39,7 +39,8 @@
 	return names
 }
 
-// Write writes a run as lines of JSON: the run first, then a line for each series. It returns errors of the writer.
+// Write writes a run as lines of JSON: the first line for the run itself, then one line per series. It returns the
+// errors of the writer.
 func (r *Run) Write(w io.Writer) error {
 	buffered := bufio.NewWriter(w)
 	encoder := json.NewEncoder(buffered)
@@ -57,12 +58,13 @@
 	return nil
 }
 
-// Read reads what Write wrote, and fits the lines again. It returns errors of the reader, of the JSON, and FitError.
+// Read reads a run that Write wrote, and fits the lines again. It returns an error of the reader or of the JSON
+// decoder, or a FitError.
 func Read(from io.Reader) (*Run, error) {
 	decoder := json.NewDecoder(from)
 	run := new(Run)
 	if err := decoder.Decode(run); err != nil {
-		return nil, fmt.Errorf("no run of slopes: %w", err)
+		return nil, fmt.Errorf("read the header of the run: %w", err)
 	}
 	for {
 		var series Series
--- a/internal/emulator/costmodel/series.go
+++ b/internal/emulator/costmodel/series.go
@@ -5,51 +5,51 @@
 	"math"
 )
 
-// Units of a Series.
+// Units of the costs of a Series.
 const (
 	Bytes   = "B"
 	Seconds = "s"
 )
 
-// Point is what was measured at one size.
+// Point is the measurement at one size.
 type Point struct {
 	Size       float64 `json:"n"`               // in the SizeUnit of the series
 	Cost       float64 `json:"y"`               // in the Unit of the series
-	AllocBytes float64 `json:"alloc,omitempty"` // allocated by one operation, where the unit is Seconds
+	AllocBytes float64 `json:"alloc,omitempty"` // bytes allocated by one operation, if the unit is Seconds
 }
 
 // Line is the intercept and the slope of a straight line.
 type Line [2]float64
 
-// Intercept is the value at 0.
+// Intercept returns the value at 0.
 func (l Line) Intercept() float64 { return l[0] }
 
-// Slope is the growth by 1.
+// Slope returns the growth of the value for each unit of size.
 func (l Line) Slope() float64 { return l[1] }
 
-// at is the value at a size, not below 0.
+// at returns the value at a size as Series.scaled returns it. It is never below 0.
 func (l Line) at(scaledSize float64) float64 { return max(0, l.Intercept()+l.Slope()*scaledSize) }
 
-// Series is one cost by one size, and the line through it: Intercept + Slope*size, or Intercept + Slope*log2(size)
-// where Logarithmic is set.
+// Series is one cost as a function of one size, and the line fitted to it: Intercept + Slope*size, or
+// Intercept + Slope*log2(size) if Logarithmic is set.
 type Series struct {
 	Name        string  `json:"name"`
 	Description string  `json:"what"`
 	Unit        string  `json:"unit"` // Bytes or Seconds
-	SizeUnit    string  `json:"of"`   // what sizes count, as "servers"
+	SizeUnit    string  `json:"of"`   // unit of the sizes, such as "servers"
 	Logarithmic bool    `json:"log,omitempty"`
-	Points      []Point `json:"points"` // those of the fit
-	Holdout     Point   `json:"held"`   // left out of the fit, to be predicted
+	Points      []Point `json:"points"` // points that the line is fitted to
+	Holdout     Point   `json:"held"`   // point that is not part of the fit, but is predicted by it
 	Intercept   float64 `json:"a"`
 	Slope       float64 `json:"b"`
-	AllocLine   Line    `json:"alloc,omitempty"` // of AllocBytes, by the same size
-	// Residuals are those of the points, each as a share of the cost measured.
+	AllocLine   Line    `json:"alloc,omitempty"` // line fitted to AllocBytes, by the same size
+	// Residuals lists the residuals of Points, each as a share of the measured cost.
 	Residuals       []float64 `json:"residuals"`
-	Predicted       float64   `json:"predicted"` // cost at the size of Holdout
-	PredictionError float64   `json:"off"`       // of Predicted, as a share of the cost of Holdout
+	Predicted       float64   `json:"predicted"` // predicted cost at the size of Holdout
+	PredictionError float64   `json:"off"`       // error of Predicted, as a share of the cost of Holdout
 }
 
-// scaled returns a size as the line takes it.
+// scaled returns the size to which the line applies: the size itself, or its binary logarithm if Logarithmic is set.
 func (s *Series) scaled(size float64) float64 {
 	if s.Logarithmic {
 		return math.Log2(max(1, size))
@@ -57,22 +57,22 @@
 	return size
 }
 
-// line returns the line of the costs.
+// line returns the line fitted to the costs.
 func (s *Series) line() Line { return Line{s.Intercept, s.Slope} }
 
-// At returns the cost at a size and the bytes allocated, by the lines. Neither is below 0.
+// At returns the cost and the allocated bytes that the lines predict at a size. Neither is below 0.
 func (s *Series) At(size float64) (cost, allocBytes float64) {
 	scaled := s.scaled(size)
 	return s.line().at(scaled), s.AllocLine.at(scaled)
 }
 
-// minPoints is how many points a line is fitted to at least.
+// minPoints is the minimum number of points that a line is fitted to.
 const minPoints = 3
 
 // Fit fits the line to the points and predicts the holdout. Sizes span orders of magnitude, so the fit minimizes the
-// sum of squares of the relative errors; the absolute ones would leave the decision to the largest size. The error is a
-// FitError where there are fewer than three points, or all at one size, or where a size or a cost is not above 0 and
-// finite.
+// sum of the squares of the relative errors; with absolute errors the largest size would determine the line. It returns
+// a FitError if there are fewer than three points, if all points are at one size, or if a size or a cost is not above 0
+// and finite.
 func (s *Series) Fit() error {
 	if err := s.checkPoints(); err != nil {
 		return err
@@ -95,7 +95,7 @@
 
 func (s *Series) checkPoints() error {
 	if len(s.Points) < minPoints {
-		return &FitError{Series: s.Name, Problem: fmt.Sprintf("%d points, three are needed", len(s.Points))}
+		return &FitError{Series: s.Name, Problem: fmt.Sprintf("got %d points, need at least 3", len(s.Points))}
 	}
 	for _, p := range s.Points {
 		if err := s.checkPoint(p); err != nil {
@@ -109,17 +109,21 @@
 	if positive(p.Size) && positive(p.Cost) {
 		return nil
 	}
-	return &FitError{Series: s.Name, Problem: fmt.Sprintf("%g at %g is no measurement", p.Cost, p.Size)}
+	return &FitError{
+		Series:  s.Name,
+		Problem: fmt.Sprintf("cost %g at size %g is not positive and finite", p.Cost, p.Size),
+	}
 }
 
-// positive tells whether a number is above 0 and finite. NaN is not.
+// positive reports whether a number is above 0 and finite. It returns false for NaN.
 func positive(x float64) bool { return x > 0 && !math.IsInf(x, 0) }
 
-// singular is the part of the product of its terms below which the determinant of a fit counts as 0.
-const singular = 1e-12
+// singularTolerance is the ratio of the determinant of a fit to its first term below which the determinant counts as 0:
+// all points are then at one size, up to rounding errors.
+const singularTolerance = 1e-12
 
-// fitLine returns the least squares line through one of the values of the points, each weighted by the inverse square
-// of its cost. It is not ok where all points are at one size.
+// fitLine returns the least squares line through one value of the points, each weighted by the inverse square of its
+// cost. ok is false if all points are at one size.
 func (s *Series) fitLine(value func(Point) float64) (line Line, ok bool) {
 	var w, wx, wy, wxx, wxy float64 // sums of weight, weight*x, ...
 	for _, p := range s.Points {
@@ -131,14 +135,14 @@
 		wxy += weight * x * y
 	}
 	determinant := w*wxx - wx*wx
-	if !(determinant > singular*w*wxx) {
+	if !(determinant > singularTolerance*w*wxx) {
 		return Line{}, false
 	}
 	slope := (w*wxy - wx*wy) / determinant
 	return Line{(wy - slope*wx) / w, slope}, true
 }
 
-// MaxResidual returns the largest residual, without its sign.
+// MaxResidual returns the largest absolute value of the residuals.
 func (s *Series) MaxResidual() float64 {
 	largest := 0.0
 	for _, r := range s.Residuals {
--- a/internal/emulator/costmodel/series_test.go
+++ b/internal/emulator/costmodel/series_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// near fails the test unless two numbers differ by less than a tolerance.
-func near(t *testing.T, name string, got, want, tolerance float64) {
+// checkNear reports an error unless two numbers differ by less than a tolerance.
+func checkNear(t *testing.T, name string, got, want, tolerance float64) {
 	t.Helper()
 	if !(math.Abs(got-want) < tolerance) {
 		t.Errorf("%s: got %g, want %g within %g", name, got, want, tolerance)
 	}
 }
 
-// relativeErrors is the sum of squares of the relative errors of a line.
+// relativeErrors returns the sum of the squares of the relative errors of a line.
 func relativeErrors(s *Series, intercept, slope float64) float64 {
 	sum := 0.0
 	for _, p := range s.Points {
@@ -29,7 +29,8 @@
 	return sum
 }
 
-// modelFit is a model of the fit: it searches the minimum of the sum of squares by ever smaller steps.
+// modelFit is a reference implementation of the fit. It searches for the minimum of the sum of squares in ever smaller
+// steps.
 func modelFit(s *Series) (intercept, slope float64) {
 	intercept, slope = s.Points[0].Cost, 0
 	for step := 1.0; step > 1e-13; step *= 0.7 {
@@ -67,12 +68,12 @@
 			t.Fatalf("round %d: %v", round, err)
 		}
 		wantIntercept, wantSlope := modelFit(s)
-		near(t, "intercept", s.Intercept, wantIntercept, 1e-3)
-		near(t, "slope", s.Slope, wantSlope, 1e-3)
+		checkNear(t, "intercept", s.Intercept, wantIntercept, 1e-3)
+		checkNear(t, "slope", s.Slope, wantSlope, 1e-3)
 		for n, p := range s.Points {
-			near(t, "residual", s.Intercept+s.Slope*s.scaled(p.Size), p.Cost*(1-s.Residuals[n]), 1e-9)
+			checkNear(t, "residual", s.Intercept+s.Slope*s.scaled(p.Size), p.Cost*(1-s.Residuals[n]), 1e-9)
 		}
-		near(t, "prediction", s.Predicted, 100*(1+s.PredictionError), 1e-9)
+		checkNear(t, "prediction", s.Predicted, 100*(1+s.PredictionError), 1e-9)
 	}
 }
 
@@ -88,13 +89,13 @@
 	if err := s.Fit(); err != nil {
 		t.Fatal(err)
 	}
-	near(t, "intercept", s.Intercept, 5, 1e-6)
-	near(t, "slope", s.Slope, 2, 1e-9)
-	near(t, "prediction error", s.PredictionError, 0, 1e-9)
-	near(t, "largest residual", s.MaxResidual(), 0, 1e-9)
+	checkNear(t, "intercept", s.Intercept, 5, 1e-6)
+	checkNear(t, "slope", s.Slope, 2, 1e-9)
+	checkNear(t, "prediction error", s.PredictionError, 0, 1e-9)
+	checkNear(t, "largest residual", s.MaxResidual(), 0, 1e-9)
 	cost, allocBytes := s.At(1000)
-	near(t, "cost at 1000", cost, 2005, 1e-3)
-	near(t, "bytes allocated at 1000", allocBytes, 7, 1e-6)
+	checkNear(t, "cost at 1000", cost, 2005, 1e-3)
+	checkNear(t, "bytes allocated at 1000", allocBytes, 7, 1e-6)
 }
 
 func TestFitRejectsInvalidPoints(t *testing.T) {
--- a/internal/emulator/costmodel/snapshots.go
+++ b/internal/emulator/costmodel/snapshots.go
@@ -11,7 +11,7 @@
 
 var snapshotSizes = []int{10000, 20000, 40000, 60000, 100000}
 
-// measureSnapshots takes the series of the processor time to send, receive, parse and print the complete state.
+// measureSnapshots measures the series of the processor time to send, receive, parse and render the complete state.
 func measureSnapshots(m *meter) {
 	measureSnapshotSource(m)
 	measureSnapshotClient(m)
@@ -92,8 +92,8 @@
 	})
 }
 
-// encodeSnapshot encodes all that a store has as a subscriber without state gets it, and calls send with each frame.
-// The frame's bytes are overwritten by the next.
+// encodeSnapshot encodes the complete content of a store in the frames that a subscriber without state gets, and calls
+// send with each frame. The bytes of a frame are overwritten by the next one.
 func encodeSnapshot(store *replication.Store, send func(frame []byte)) {
 	var encoded []byte
 	seq := uint64(0)
@@ -114,7 +114,7 @@
 	}
 }
 
-// decodeFrames decodes frames until they end, and calls receive with each.
+// decodeFrames decodes all frames, and calls receive with each.
 func decodeFrames(encoded []byte, receive func(*transport.Frame)) {
 	reader := bufio.NewReader(bytes.NewReader(encoded))
 	for {
--- a/internal/emulator/costmodel/state_memory.go
+++ b/internal/emulator/costmodel/state_memory.go
@@ -9,43 +9,43 @@
 	"mulleinrouter/internal/cluster/replication"
 )
 
-// referredServices is how many services the routes refer to where the number of routes is what grows.
-const referredServices = 1000
+// referencedServices is the number of services that the routes refer to in series by the number of routes.
+const referencedServices = 1000
 
-// heartbeatInterval is that of the servers in the registries here, in seconds.
+// heartbeatInterval is the heartbeat interval of the servers in the measured registries, in seconds.
 const heartbeatInterval = 1.5
 
 // itemKind is a kind of item of the configuration.
 type itemKind struct {
-	name    string // as in the names of its series
-	needed  func() *configuration.Snapshot
-	items   func(n int) []configuration.Item
-	indexed bool // configuration.RoutingTable has an index of its own; it finds routes in the snapshot
+	name          string                         // part of the names of its series
+	prerequisites func() *configuration.Snapshot // items that the measured items refer to
+	items         func(n int) []configuration.Item
+	indexed       bool // configuration.RoutingTable has a separate index of them; it finds routes in the snapshot
 }
 
 var itemKinds = []itemKind{
 	{
-		name:   "route",
-		needed: func() *configuration.Snapshot { return snapshotOf(services(referredServices)) },
-		items:  func(n int) []configuration.Item { return routes(n, referredServices) },
+		name:          "route",
+		prerequisites: func() *configuration.Snapshot { return snapshotOf(services(referencedServices)) },
+		items:         func(n int) []configuration.Item { return routes(n, referencedServices) },
 	},
 	{
-		name:    "tenant",
-		needed:  func() *configuration.Snapshot { return nil },
-		items:   tenants,
-		indexed: true,
+		name:          "tenant",
+		prerequisites: func() *configuration.Snapshot { return nil },
+		items:         tenants,
+		indexed:       true,
 	},
 	{
-		name:    "service",
-		needed:  func() *configuration.Snapshot { return nil },
-		items:   services,
-		indexed: true,
+		name:          "service",
+		prerequisites: func() *configuration.Snapshot { return nil },
+		items:         services,
+		indexed:       true,
 	},
 }
 
 var itemMemorySizes = []int{2000, 8000, 24000, 60000, 150000}
 
-// measureStateMemory takes the series of the live heap of what a process holds.
+// measureStateMemory measures the series of the live heap of each kind of state that a process holds.
 func measureStateMemory(m *meter) {
 	for _, kind := range itemKinds {
 		measureSnapshotMemory(m, kind)
@@ -68,7 +68,7 @@
 			SizeUnit:    kind.name + "s",
 		},
 		sizes: itemMemorySizes,
-		base:  func(int) *configuration.Snapshot { return kind.needed() },
+		base:  func(int) *configuration.Snapshot { return kind.prerequisites() },
 		build: func(needed *configuration.Snapshot, n int) any {
 			snapshot, _ := needed.Merge(kind.items(n))
 			return snapshot
@@ -103,7 +103,7 @@
 	})
 }
 
-// storeOf returns a store with items.
+// storeOf returns a store that contains items.
 func storeOf(items []configuration.Item) *replication.Store {
 	store := replication.NewStore(1)
 	store.MergeItems(items)
@@ -162,7 +162,7 @@
 	})
 }
 
-// registryOf returns a registry that has received a heartbeat of each instance.
+// registryOf returns a registry that has received one heartbeat of each instance.
 func registryOf(all []registry.Instance) *registry.Registry {
 	r := registry.New(heartbeatInterval)
 	for _, one := range all {
@@ -204,14 +204,15 @@
 }
 
 const (
-	// counterTime is the time, in seconds, and the cycle of all reports but those that a benchmark moves on.
+	// counterTime is the time in seconds, and also the number of the cycle, of all reports except those of benchmarks
+	// that count the cycles up.
 	counterTime = 3
-	// counterRetention is for how many cycles a reporter is remembered.
+	// counterRetention is the number of cycles for which a reporter is remembered.
 	counterRetention = 3
 )
 
-// counterTable returns a table that owns its counters and has a report of each reporter of each. With perRequest, each
-// call is a report of its own instead of the sum of a cycle.
+// counterTable returns a table that owns its counters, and contains one report of each reporter for each counter. With
+// perRequest, each call is a separate report instead of the sum of a cycle.
 func counterTable(names, reporters int, perRequest bool) *quota.CounterTable {
 	const self = "a"
 	table := quota.NewCounterTable()
