--- a/internal/emulator/capacity/control.go
+++ b/internal/emulator/capacity/control.go
@@ -5,16 +5,16 @@
 	"mulleinrouter/internal/cluster/registry"
 )
 
-// controlLoad is what one control node serves.
+// controlLoad is the load of one control node.
 type controlLoad struct {
-	heartbeats         float64 // of servers, a second
-	remoteHeartbeats   float64 // replicated to other control nodes, a second; as many are received
-	counterCalls       float64 // a second
-	activeCounters     float64 // of tenants within idleTimeout
-	subscribers        float64 // agents with a subscription here
-	updatedSubscribers float64 // those of them to whom this node sends the updates, not only heartbeats
-	instances          float64 // in the registry
-	// changes and instanceUpdates are updates a second, as each updated subscriber gets them.
+	heartbeats         float64 // heartbeats of servers a second
+	remoteHeartbeats   float64 // heartbeats a second replicated to other control nodes; as many are received
+	counterCalls       float64 // calls to counters a second
+	activeCounters     float64 // counters of tenants that were active within idleTimeout
+	subscribers        float64 // agents that are subscribed to this node
+	updatedSubscribers float64 // subscribers to which this node sends updates, and not only heartbeats
+	instances          float64 // instances in the registry
+	// changes and instanceUpdates are the updates a second that each updated subscriber gets.
 	changes         float64
 	instanceUpdates float64
 }
@@ -62,7 +62,7 @@
 	e.require(Control, "memory", Bytes, e.Limits.Control.Memory, d.terms)
 }
 
-// deletionsPerDay is how many changes delete an item, each of which leaves a tombstone.
+// deletionsPerDay returns the number of changes a day that delete an item. Each leaves a tombstone.
 func (e *estimator) deletionsPerDay() float64 {
 	return e.Size.ChangesPerDay * e.Updates.DeletionShare
 }
@@ -87,11 +87,11 @@
 	e.require(Control, "processor, without system calls and HTTP", Cores, e.Limits.Control.Cores, d.terms)
 }
 
-// addChanges adds the processor time of changes of the configuration from their check to the disk.
+// addChanges adds the processor time of changes of the configuration, from their validation to the write to disk.
 func (e *estimator) addChanges(d *demand) {
 	const (
 		itemsPerSave   = 1
-		savesPerChange = 2 // the two syncs of a change
+		savesPerChange = 2 // one for each of the two syncs of a change
 	)
 	changes := e.changesPerSecond()
 	tenants := e.Size.State.Tenants * e.Control.Shares.Tenants
@@ -122,7 +122,8 @@
 	e.require(Control, "bytes a second", BytesPerSecond, e.Limits.Control.BytesPerSecond, d.terms)
 }
 
-// controlBounds adds the bounds that are in the code of a control node, each named in its description.
+// controlBounds adds the bounds that are constants in the code of a control node. The description of each names the
+// constant.
 func (e *estimator) controlBounds(load controlLoad) {
 	counters := e.newDemand()
 	counters.terms = []Term{{Description: "active tenants", UnitCost: 1, Count: load.activeCounters}}
@@ -135,7 +136,7 @@
 
 	first := e.newDemand()
 	for _, kind := range configurationKinds {
-		first.add(kind.name, e.unitCost(kind.wireSeries), kind.of(&e.Size.State))
+		first.add(kind.name, e.unitCost(kind.wireSeries), kind.figure(&e.Size.State))
 	}
 	e.require(
 		Control,
@@ -146,7 +147,7 @@
 	)
 }
 
-// uncollectedTombstones adds the memory of all tombstones at the end of the plan, if they are never collected.
+// uncollectedTombstones adds the memory of all tombstones at the end of the planned period, if they are never removed.
 func (e *estimator) uncollectedTombstones() {
 	d := e.newDemand()
 	unitCost := e.unitCost("store.tombstone") * (1 + e.Control.GCPercent/100)
--- a/internal/emulator/capacity/errors.go
+++ b/internal/emulator/capacity/errors.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// MissingSeriesError is returned by Estimate where a run of the cost model lacks a series that the plan needs.
+// MissingSeriesError reports that a run of the cost model lacks a series that Estimate needs.
 type MissingSeriesError struct {
-	Series string // its name, as "store.route"
+	Series string // name of the series, such as "store.route"
 }
 
-// Error names the series.
+// Error returns a message that names the series.
 func (ms *MissingSeriesError) Error() string {
 	return fmt.Sprintf("the run has no slope %q", ms.Series)
 }
--- a/internal/emulator/capacity/estimate.go
+++ b/internal/emulator/capacity/estimate.go
@@ -6,8 +6,8 @@
 	"mulleinrouter/internal/emulator/costmodel"
 )
 
-// Estimate computes the requirements at the planned size, and for each up to which part of that size its limit is kept.
-// The error is a MissingSeriesError where the run lacks a series.
+// Estimate computes the requirements at the planned size, and for each the largest part of that size at which its limit
+// is kept. It returns a MissingSeriesError if the run lacks a series.
 func (p *Plan) Estimate(run *costmodel.Run) (*Report, error) {
 	requirements, err := p.requirements(run)
 	if err != nil {
@@ -15,14 +15,14 @@
 	}
 	for n := range requirements {
 		requirements[n].MaxScale = maxScale(func(scale float64) bool {
-			scaled, _ := p.scaledBy(scale).requirements(run) // no error: the names of the series are the same
+			scaled, _ := p.scaledBy(scale).requirements(run) // cannot fail, because it needs the same series as above
 			return scaled[n].exceeds()
 		})
 	}
 	return &Report{Plan: p, Run: run, Requirements: requirements}, nil
 }
 
-// requirements returns the requirements at the planned size, always in the same order, without their MaxScale.
+// requirements returns the requirements at the planned size, always in the same order. MaxScale is not set.
 func (p *Plan) requirements(run *costmodel.Run) ([]Requirement, error) {
 	e := &estimator{Plan: p, run: run}
 	e.ingressRequirements()
@@ -31,17 +31,17 @@
 	return e.requirements, e.err
 }
 
-// The range of scales, as parts of the planned size, in which maxScale searches.
+// The bounds of the scales that maxScale searches, as parts of the planned size.
 const (
 	minSearchedScale = 1e-5
 	maxSearchedScale = 1e3
 )
 
-// bisections narrows the range, in its logarithm, by a factor of 2^40.
+// bisections is the number of steps of the search. They narrow the logarithmic range by a factor of 2^40.
 const bisections = 40
 
-// maxScale returns the largest part of the planned size at which exceeds is false, for needs that only grow with the
-// size: 0 where it is true at any, infinity where at none.
+// maxScale returns the largest part of the planned size at which exceeds is false. It requires a need that only grows
+// with the size. It returns 0 if exceeds is true at every size of the range, and infinity if at none.
 func maxScale(exceeds func(scale float64) bool) float64 {
 	if exceeds(minSearchedScale) {
 		return 0
--- a/internal/emulator/capacity/estimator.go
+++ b/internal/emulator/capacity/estimator.go
@@ -2,16 +2,16 @@
 
 import "mulleinrouter/internal/emulator/costmodel"
 
-// estimator collects the requirements of a plan at one size. It looks up costs by the names of their series and keeps
-// the first error, so that sums need not be checked one by one.
+// estimator collects the requirements of a plan at one size. It looks up costs by the names of their series, and
+// records the first error, so that callers need not check each look-up.
 type estimator struct {
 	*Plan
 	run          *costmodel.Run
 	requirements []Requirement
-	err          error // a MissingSeriesError
+	err          error // the first error, a MissingSeriesError
 }
 
-// series returns the series of a name; where the run has none, one without cost, and the error is kept.
+// series returns the series with a name. If the run has none, it records the error and returns a series without costs.
 func (e *estimator) series(name string) *costmodel.Series {
 	if s := e.run.Find(name); s != nil {
 		return s
@@ -22,10 +22,10 @@
 	return new(costmodel.Series)
 }
 
-// unitCost returns what one more thing costs.
+// unitCost returns the cost of one more item, which is the slope of the series.
 func (e *estimator) unitCost(name string) float64 { return e.series(name).Slope }
 
-// costAt returns what an operation costs at a size.
+// costAt returns the cost of an operation at a size.
 func (e *estimator) costAt(name string, size float64) float64 {
 	cost, _ := e.series(name).At(size)
 	return cost
@@ -41,8 +41,8 @@
 // newDemand returns a demand without terms.
 func (e *estimator) newDemand() *demand { return &demand{estimator: e} }
 
-// counterCallBytes returns the bytes of a call to a counter and of its answer: the plan's, or as measured where it
-// gives none.
+// counterCallBytes returns the bytes of a call to a counter and of its answer: the number in the plan, or the measured
+// one if the plan has none.
 func (e *estimator) counterCallBytes() float64 {
 	if planned := e.Counters.CallBytes; planned != 0 {
 		return planned
--- a/internal/emulator/capacity/format.go
+++ b/internal/emulator/capacity/format.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// prefix is a prefix of a unit and its factor.
+// prefix is the prefix of a unit, with its factor.
 type prefix struct {
 	factor float64
 	symbol string
@@ -19,12 +19,13 @@
 
 const (
 	significantDigits = 3
-	// rounding is where a value rounds up to the next prefix, or to the next digit before the point.
-	rounding = 0.9995
+	// roundingThreshold is the ratio of a value to the next larger prefix, or to the next power of ten, from which on
+	// the value is rounded up to it when it is printed with significantDigits.
+	roundingThreshold = 0.9995
 )
 
-// Amount formats a value with three digits and the prefix of its unit. Seconds get the prefixes below 1, other units
-// those above.
+// Amount formats a value with three significant digits and a prefix of its unit. Seconds get prefixes for factors up to
+// 1, other units prefixes for factors from 1.
 func Amount(value float64, unit string) string {
 	prefixes := largePrefixes
 	if unit == string(Seconds) {
@@ -32,14 +33,14 @@
 	}
 	chosen := prefixes[len(prefixes)-1]
 	for _, p := range prefixes {
-		if math.Abs(value) >= p.factor*rounding {
+		if math.Abs(value) >= p.factor*roundingThreshold {
 			chosen = p
 			break
 		}
 	}
 	digits := significantDigits
-	if scaled := math.Abs(value) / chosen.factor; scaled >= 100*rounding {
-		digits = max(significantDigits, int(math.Log10(scaled))+1) // never as an exponent
+	if scaled := math.Abs(value) / chosen.factor; scaled >= 100*roundingThreshold {
+		digits = max(significantDigits, int(math.Log10(scaled))+1) // avoids the exponent notation
 	}
 	return fmt.Sprintf("%.*g %s%s", digits, value/chosen.factor, chosen.symbol, unit)
 }
@@ -55,7 +56,7 @@
 	return Amount(value, string(unit))
 }
 
-// formatTerm formats a term of a requirement: the cost of one thing times their count.
+// formatTerm formats a term of a requirement as the unit cost times the count.
 func formatTerm(term Term, unit Unit) string {
 	unitOfCost := strings.TrimSuffix(string(unit), "/s")
 	if unit == Cores {
--- a/internal/emulator/capacity/ingress.go
+++ b/internal/emulator/capacity/ingress.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// ingressRequirements adds the requirements of the agent and the proxy of one ingress, and of both together where they
-// share a limit.
+// ingressRequirements adds the requirements of the agent and of the proxy of one ingress, and of both together for the
+// limits that they share.
 func (e *estimator) ingressRequirements() {
 	e.ingressMemory()
 	e.ingressProcessor()
@@ -52,13 +52,13 @@
 	e.require(Ingress, "processor for control", Cores, limit, slices.Concat(agent, proxy))
 }
 
-// storedTenants is how many tenants the larger of the stores of agent and proxy has, 1 at least.
+// storedTenants returns the number of tenants in the larger of the stores of agent and proxy, at least 1.
 func (e *estimator) storedTenants() float64 {
 	tenants := e.Size.State.Tenants
 	return max(tenants*e.Agent.Shares.Tenants, tenants*e.Proxy.Shares.Tenants, 1)
 }
 
-// storedInstances is how many instances the larger of the stores of agent and proxy has, 1 at least.
+// storedInstances returns the number of instances in the larger of the stores of agent and proxy, at least 1.
 func (e *estimator) storedInstances() float64 {
 	servers := e.Size.State.Servers
 	return max(servers*e.Agent.Shares.Servers, servers*e.Proxy.Shares.Servers, 1)
@@ -104,7 +104,7 @@
 	return d.terms
 }
 
-// agentBytes adds the bytes a second of the agent's connections to control nodes, with the headers of their segments.
+// agentBytes adds the bytes a second on the agent's connections to control nodes, including the headers of segments.
 func (e *estimator) agentBytes() {
 	rates, sources, copies := e.ingressRates(), e.Updates.Sources, e.Updates.Copies
 	segment := e.Network.SegmentBytes
@@ -123,13 +123,13 @@
 	e.require(Agent, "bytes a second, to control nodes", BytesPerSecond, e.Limits.Ingress.BytesPerSecond, d.terms)
 }
 
-// snapshotTime adds the time in which a joining ingress receives its snapshot, at its limit of bytes a second.
+// snapshotTime adds the time in which a joining ingress receives its snapshot at the ingress's limit of bytes a second.
 func (e *estimator) snapshotTime() {
 	copies, bytesPerSecond := e.Updates.Copies, e.Limits.Ingress.BytesPerSecond
 	d := e.newDemand()
 	for _, kind := range stateKinds {
-		items := e.Updates.InitialShare * kind.of(&e.Size.State)
-		share := max(kind.of(&e.Agent.Shares), kind.of(&e.Proxy.Shares))
+		items := e.Updates.InitialShare * kind.figure(&e.Size.State)
+		share := max(kind.figure(&e.Agent.Shares), kind.figure(&e.Proxy.Shares))
 		d.add(kind.name, e.unitCost(kind.wireSeries)*copies/bytesPerSecond, items*share)
 	}
 	e.require(Agent, "a joining ingress's snapshot at its bytes a second", Seconds, e.Limits.StartTime, d.terms)
--- a/internal/emulator/capacity/latency.go
+++ b/internal/emulator/capacity/latency.go
@@ -1,13 +1,13 @@
 package capacity
 
-// latencyRequirements adds what a request and a change of the configuration take.
+// latencyRequirements adds the times that a tick, a request and a change of the configuration take.
 func (e *estimator) latencyRequirements() {
 	e.tickTime()
 	e.requestTime()
 	e.changeTime()
 }
 
-// tickTime adds the time of a tick of decision.Gateway, which delays each request that arrives meanwhile.
+// tickTime adds the time of a tick of decision.Gateway, which delays the requests that arrive during the tick.
 func (e *estimator) tickTime() {
 	speed := e.Limits.IngressSpeed
 	servers := e.Size.State.Servers * e.Proxy.Shares.Servers
@@ -18,7 +18,7 @@
 	e.require(Proxy, "a tick, in which no request is decided", Seconds, e.Limits.AddedLatency, d.terms)
 }
 
-// requestTime adds the time to find the route and the tenant of a request and to decide it.
+// requestTime adds the time to look up the route and the tenant of a request and to decide it.
 func (e *estimator) requestTime() {
 	speed := e.Limits.IngressSpeed
 	routes := max(1, e.Size.State.Routes*e.Proxy.Shares.Routes)
@@ -30,13 +30,13 @@
 	e.require(Proxy, "a request found and decided, by itself", Seconds, e.Limits.AddedLatency, d.terms)
 }
 
-// changeTime adds the time from the call of a change until it is in force at all ingresses, with nothing queued.
+// changeTime adds the time from the call of a change until it is in force at all ingresses, with empty queues.
 func (e *estimator) changeTime() {
 	const (
-		ballotRounds = 2 // prepare and accept
-		syncs        = 2 // of the voters in each round
-		hops         = 2 // to the sources, and to the agents
-		minCores     = 1e-3
+		ballotRounds = 2    // prepare and accept
+		syncs        = 2    // one sync of the voters' disks in each round
+		hops         = 2    // to the sources, and to the agents
+		minCores     = 1e-3 // lower bound of the cores, which avoids a division by 0
 	)
 	subscribers := e.Size.Ingresses * e.Updates.Copies / e.Updates.SourceNodes
 	frame := e.unitCost("write.beat") + e.unitCost("write.tenant")
--- a/internal/emulator/capacity/parameters.go
+++ b/internal/emulator/capacity/parameters.go
@@ -5,12 +5,12 @@
 	"math"
 )
 
-// parameter is one value of a plan's file: its field, its bounds, and its default unless it is required.
+// parameter is one value of a plan's file: the field that it sets, its bounds, and its default if it is not required.
 type parameter struct {
-	field     *float64
-	required  bool
-	byDefault float64
-	min, max  float64
+	field        *float64
+	required     bool
+	defaultValue float64
+	min, max     float64
 }
 
 func required(field *float64, minimum float64) parameter {
@@ -18,22 +18,22 @@
 }
 
 func optional(field *float64, byDefault, minimum float64) parameter {
-	return parameter{field: field, byDefault: byDefault, min: minimum, max: math.MaxFloat64}
+	return parameter{field: field, defaultValue: byDefault, min: minimum, max: math.MaxFloat64}
 }
 
-// fraction is optional, from 0 to 1.
+// fraction returns an optional parameter from 0 to 1.
 func fraction(field *float64, byDefault float64) parameter {
-	return parameter{field: field, byDefault: byDefault, max: 1}
+	return parameter{field: field, defaultValue: byDefault, max: 1}
 }
 
 func bounded(field *float64, byDefault, minimum, maximum float64) parameter {
-	return parameter{field: field, byDefault: byDefault, min: minimum, max: maximum}
+	return parameter{field: field, defaultValue: byDefault, min: minimum, max: maximum}
 }
 
-// maxVoters bounds the voters of a plan.
+// maxVoters bounds the number of voters in a plan.
 const maxVoters = 99
 
-// parameters are all values that a plan's file may give, by their paths. docs/operate/emulator.md explains each.
+// parameters returns all values that a plan's file may set, by path. docs/operate/emulator.md explains each.
 func (p *Plan) parameters() map[string]parameter {
 	all := map[string]parameter{}
 	for _, part := range []map[string]parameter{
--- a/internal/emulator/capacity/plan.go
+++ b/internal/emulator/capacity/plan.go
@@ -1,9 +1,10 @@
 package capacity
 
-// Plan is a planned size of the system, which part of the state each role holds, and the limits of the roles. Read
-// makes one from a file, whose paths parameters lists; docs/operate/emulator.md explains them. Times are in seconds.
+// Plan is a planned size of the system, with the part of the state that each role holds, and the limits of the roles.
+// Read reads it from a file; the method parameters lists the paths in that file, which docs/operate/emulator.md
+// explains. Times are in seconds.
 type Plan struct {
-	Name     string // of its file
+	Name     string // name of the file
 	Size     Size
 	Agent    Process
 	Proxy    ProxyProcess
@@ -14,100 +15,101 @@
 	Limits   Limits
 }
 
-// StateFigures is one figure for each kind of state: how many there are, or the part, 0 to 1, that a process holds.
+// StateFigures contains one figure for each kind of state: either the number of items, or the part of them that a
+// process holds, from 0 to 1.
 type StateFigures struct {
 	Routes, Tenants, Services, Servers float64
 }
 
 // Size is the size of the system.
 type Size struct {
-	State             StateFigures // how many there are
+	State             StateFigures // number of items of each kind
 	Ingresses         float64
 	ControlMachines   float64
 	Regions           float64
 	Zones             float64
 	RequestsPerSecond float64
-	ChangesPerDay     float64 // of the configuration
-	FailuresPerDay    float64 // of servers
-	RestartsPerDay    float64 // of servers
-	HeartbeatInterval float64 // of a server
-	Days              float64 // of the plan
+	ChangesPerDay     float64 // changes of the configuration a day
+	FailuresPerDay    float64 // failures of servers a day
+	RestartsPerDay    float64 // restarts of servers a day
+	HeartbeatInterval float64 // heartbeat interval of a server, in seconds
+	Days              float64 // length of the planned period, in days
 }
 
-// Process is what a process has in memory.
+// Process describes the memory of a process.
 type Process struct {
-	Shares     StateFigures // the part of all of them
-	GCPercent  float64      // by how much the heap grows until it is collected
-	FixedBytes float64      // memory that does not depend on the size
+	Shares     StateFigures // parts of the state that it holds
+	GCPercent  float64      // growth of the heap until a garbage collection, in percent of the live heap
+	FixedBytes float64      // memory that does not depend on the size, in bytes
 }
 
 // ProxyProcess is the proxy of an ingress.
 type ProxyProcess struct {
 	Process
-	TenantsPerRequest float64 // different ones within a minute, for each request of that minute; 1 is the worst case
-	LargestGroup      float64 // servers of a large service
-	TicksPerSecond    float64 // of the decision module
+	TenantsPerRequest float64 // different tenants within a minute for each request of that minute; 1 is the worst case
+	LargestGroup      float64 // number of servers of a large service
+	TicksPerSecond    float64 // ticks a second of the decision module
 }
 
 // ControlProcess is one control node.
 type ControlProcess struct {
 	Process
-	Voters            float64
-	RoundTrip         float64 // between two voters
-	SyncTime          float64 // of a voter's disk
-	HeartbeatNodes    float64 // control nodes that accept heartbeats of servers
-	HeartbeatReplicas float64 // other control nodes to which each heartbeat is replicated
+	Voters            float64 // number of voters
+	RoundTrip         float64 // round-trip time between two voters, in seconds
+	SyncTime          float64 // time of a sync of a voter's disk, in seconds
+	HeartbeatNodes    float64 // number of control nodes that accept heartbeats of servers
+	HeartbeatReplicas float64 // number of other control nodes to which each heartbeat is replicated
 }
 
-// Updates is how changes of the state reach the agents.
+// Updates describes how changes of the state reach the agents.
 type Updates struct {
-	Sources             float64 // control nodes that an agent subscribes to
-	Copies              float64 // how many of them send it each change
-	SourceNodes         float64 // control nodes that serve agents, in all
-	Peak                float64 // the busiest minutes, times the mean of the day
-	InstancesPerRestart float64 // updates for a restarted server
+	Sources             float64 // number of control nodes that an agent subscribes to
+	Copies              float64 // number of those that send it each change
+	SourceNodes         float64 // number of all control nodes that serve agents
+	Peak                float64 // rate in the busiest minutes as a multiple of the daily mean
+	InstancesPerRestart float64 // number of updates for a restarted server
 	DeletionShare       float64 // part of the changes that delete an item
 	InitialShare        float64 // part of the state that a joining node needs before it serves
-	LookupShare         float64 // part of the requests that look up what the ingress does not hold
-	TombstoneDays       float64 // until a tombstone is removed; 0: never
+	LookupShare         float64 // part of the requests that look up state that the ingress does not hold
+	TombstoneDays       float64 // days until a tombstone is removed; 0: never
 }
 
-// Counters are the shared counters of quotas.
+// Counters describes the use of the shared counters of quotas.
 type Counters struct {
 	RequestShare  float64 // part of the requests that call a counter's owner
-	SlicedTenants float64 // tenants of which an ingress has a quota slice
-	CallsPerFrame float64
-	CallBytes     float64 // of a call and its answer; 0: as measured
-	Owners        float64 // control nodes that own counters
-	Retention     float64 // for which the report of an ingress is remembered
+	SlicedTenants float64 // number of tenants of which an ingress has a quota slice
+	CallsPerFrame float64 // number of calls in one frame
+	CallBytes     float64 // bytes of a call and its answer; 0: the measured number
+	Owners        float64 // number of control nodes that own counters
+	Retention     float64 // time for which the report of an ingress is remembered, in seconds
 }
 
-// Network is what messages cost on the network beside their contents, in bytes.
+// Network describes the overhead of messages on the network, in bytes.
 type Network struct {
-	SegmentBytes      float64 // headers of TCP, IP and Ethernet
-	HeartbeatBytes    float64 // of a server's heartbeat over HTTP and its answer
-	MaxFirstCallBytes float64 // of an operator's first call
+	SegmentBytes      float64 // headers of TCP, IP and Ethernet for each segment
+	HeartbeatBytes    float64 // a server's heartbeat over HTTP and its answer
+	MaxFirstCallBytes float64 // limit of an operator's first call
 }
 
-// Limits are the limits that are to be kept.
+// Limits contains the limits that the system must keep.
 type Limits struct {
 	Ingress      RoleLimits
-	IngressSpeed float64 // the part of a core that the ingress has
+	IngressSpeed float64 // part of a core that the ingress has
 	Control      RoleLimits
-	AddedLatency float64 // of a request
-	ChangeTime   float64 // until a change is in force everywhere
-	StartTime    float64 // until a joining ingress has its snapshot
+	AddedLatency float64 // latency that may be added to a request, in seconds
+	ChangeTime   float64 // time until a change is in force everywhere, in seconds
+	StartTime    float64 // time until a joining ingress has its snapshot, in seconds
 }
 
-// RoleLimits are the limits of one role.
+// RoleLimits contains the limits of one role.
 type RoleLimits struct {
-	Memory         float64 // bytes
-	Cores          float64 // processor seconds a second
+	Memory         float64 // memory in bytes
+	Cores          float64 // processor time in seconds a second
 	BytesPerSecond float64
 }
 
-// scaledBy returns the plan with its size times a factor. Machines that are reserved for control do not grow by
-// themselves.
+// scaledBy returns the plan with its size multiplied by a factor. The number of control machines, regions and zones
+// stays, because machines that are reserved for control do not grow with the load.
 func (p *Plan) scaledBy(factor float64) *Plan {
 	scaled := *p
 	size := &scaled.Size
--- a/internal/emulator/capacity/plan_test.go
+++ b/internal/emulator/capacity/plan_test.go
@@ -11,8 +11,8 @@
 	"mulleinrouter/internal/emulator/costmodel"
 )
 
-// tiny is a small plan of the required values alone.
-const tiny = `size.ingresses=10
+// tinyPlan is a small plan with only the required values and counters.asked.
+const tinyPlan = `size.ingresses=10
 size.servers=100
 size.services=10
 size.routes=20
@@ -35,7 +35,7 @@
 limits.change_s=7
 `
 
-// unitRun returns a run in which each series costs 1 for each thing, and nothing beside.
+// unitRun returns a run in which the cost of each series is its size: the slope is 1 and the intercept 0.
 func unitRun(t *testing.T, names []string) *costmodel.Run {
 	t.Helper()
 	run := new(costmodel.Run)
@@ -80,8 +80,8 @@
 	return report
 }
 
-// find returns the requirement of a role whose description begins with a prefix.
-func find(t *testing.T, report *Report, role Role, prefix string) Requirement {
+// findRequirement returns the first requirement of a role whose description begins with a prefix.
+func findRequirement(t *testing.T, report *Report, role Role, prefix string) Requirement {
 	t.Helper()
 	for _, r := range report.Requirements {
 		if r.Role == role && strings.HasPrefix(r.Description, prefix) {
@@ -93,21 +93,21 @@
 }
 
 func TestTinyPlan(t *testing.T) {
-	p := readPlan(t, "tiny.conf", tiny)
+	p := readPlan(t, "tiny.conf", tinyPlan)
 	report := estimateOf(t, p, unitRun(t, storedRunOf(t).Names()))
-	memory := find(t, report, Agent, "memory")
+	memory := findRequirement(t, report, Agent, "memory")
 	for _, c := range []struct {
 		name      string
 		got, want float64
 	}{
-		// All items and instances, a byte each, and half of it more until it is collected.
+		// One byte for each item and instance, and half as much again for garbage until it is collected.
 		{"memory of the agent", memory.Need, 1.5 * (20 + 1000 + 10 + 100)},
 		{"margin of the memory", memory.Margin(), 1e6 / 1695},
 		{"scale of the memory, all of which grows with the size", memory.MaxScale, 1e6 / 1695},
-		// Three sources: two heartbeats and two renewals a second of each, and one change a second, sent by each: a
-		// byte and a segment.
-		{"bytes of the agent", find(t, report, Agent, "bytes").Need, 67 * (6 + 6 + 3)},
-		{"instances of a registry", find(t, report, Control, "instances").Need, 100},
+		// Each of three sources sends two heartbeats, gets two renewals and sends one change a second. Each message is
+		// one byte and a segment's headers.
+		{"bytes of the agent", findRequirement(t, report, Agent, "bytes").Need, 67 * (6 + 6 + 3)},
+		{"instances of a registry", findRequirement(t, report, Control, "instances").Need, 100},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if !(math.Abs(c.got-c.want) < 1e-6*c.want) {
@@ -117,9 +117,10 @@
 	}
 }
 
-// TestReportOrder checks that the requirement that binds first is the one whose limit is reached at the smallest size.
+// TestReportOrder checks that the requirements are ordered by the size at which their limits are reached, and that the
+// report names the first of them as the one that binds first.
 func TestReportOrder(t *testing.T) {
-	report := estimateOf(t, readPlan(t, "tiny.conf", tiny), unitRun(t, storedRunOf(t).Names()))
+	report := estimateOf(t, readPlan(t, "tiny.conf", tinyPlan), unitRun(t, storedRunOf(t).Names()))
 	order := report.Order()
 	for n := 1; n < len(order); n++ {
 		if order[n-1].MaxScale > order[n].MaxScale {
@@ -137,7 +138,7 @@
 }
 
 func TestEstimateNamesTheMissingSeries(t *testing.T) {
-	_, err := readPlan(t, "tiny.conf", tiny).Estimate(new(costmodel.Run))
+	_, err := readPlan(t, "tiny.conf", tinyPlan).Estimate(new(costmodel.Run))
 	var missing *MissingSeriesError
 	if !errors.As(err, &missing) {
 		t.Fatalf("got %v, want a MissingSeriesError", err)
@@ -151,7 +152,7 @@
 	_, err := Read(
 		"x.conf",
 		"size.ingresses=0\nsize.serfers=3\nproxy.tenants=2\nlimits.change_s=soon\nsize.zones=3\nsize.zones=4\nwhat\n"+
-			strings.Join(strings.Split(tiny, "\n")[1:9], "\n"),
+			strings.Join(strings.Split(tinyPlan, "\n")[1:9], "\n"),
 	)
 	if err == nil {
 		t.Fatal("got no error")
@@ -173,7 +174,7 @@
 	}
 }
 
-// TestShippedPlans checks that the files in deploy/plans are read, and that what they say of today's mechanisms is what
+// TestShippedPlans checks that the files in deploy/plans can be read, and that each plan fits or does not fit as
 // docs/CAPACITY.md states.
 func TestShippedPlans(t *testing.T) {
 	run := storedRunOf(t)
--- a/internal/emulator/capacity/read.go
+++ b/internal/emulator/capacity/read.go
@@ -11,8 +11,8 @@
 	"mulleinrouter/internal/cluster/settings"
 )
 
-// Read reads a file of settings, lines a.b=value; docs/operate/emulator.md explains the paths. The error is
-// settings.SettingErrors: what is missing, unknown or out of bounds, in the order of the lines.
+// Read parses a settings file with lines of the form a.b=value. docs/operate/emulator.md explains the paths. It returns
+// settings.SettingErrors for all values that are missing, unknown or out of bounds, in the order of the lines.
 func Read(file, text string) (*Plan, error) {
 	given, problems := settings.Parse(text)
 	p := &Plan{Name: file}
@@ -39,7 +39,7 @@
 		if parameter.required {
 			problems = append(problems, settings.SettingError{Key: path, Text: "missing"})
 		}
-		*parameter.field = parameter.byDefault
+		*parameter.field = parameter.defaultValue
 	}
 	if len(problems) == 0 {
 		return p, nil
@@ -51,7 +51,7 @@
 	return nil, problems
 }
 
-// parse parses the value of a parameter. A problem that is not empty says why there is none.
+// parse parses the value of a parameter. If it is invalid, problem says why; otherwise problem is empty.
 func (p parameter) parse(text string) (value float64, problem string) {
 	value, err := strconv.ParseFloat(text, 64)
 	switch {
@@ -65,7 +65,7 @@
 	return value, ""
 }
 
-// byLine orders errors by their line. What is missing has line 0, which wraps around to the end.
+// byLine orders errors by line. Errors about missing values have line 0, which wraps around and sorts last.
 func byLine(a, b settings.SettingError) int {
 	return cmp.Compare(uint16(a.Line-1), uint16(b.Line-1))
 }
--- a/internal/emulator/capacity/report.go
+++ b/internal/emulator/capacity/report.go
@@ -18,13 +18,13 @@
 	Requirements []Requirement
 }
 
-// Fits tells whether every need is within its limit.
+// Fits reports whether every need is within its limit.
 func (r *Report) Fits() bool {
 	return !slices.ContainsFunc(r.Requirements, func(one Requirement) bool { return one.exceeds() })
 }
 
-// Order returns the requirements in the order in which their limits are reached as the size grows; of those above their
-// limit at any size, the worst first.
+// Order returns the requirements in the order in which their limits are reached as the size grows. Those that exceed
+// their limit at any size come first, the smallest margin first.
 func (r *Report) Order() []Requirement {
 	ordered := slices.Clone(r.Requirements)
 	slices.SortStableFunc(ordered, func(a, b Requirement) int {
@@ -33,11 +33,11 @@
 	return ordered
 }
 
-// maxTermsShown bounds the terms of a requirement that are written out.
+// maxTermsShown bounds the number of terms that the report shows for a requirement.
 const maxTermsShown = 4
 
-// Write writes the report as text: a table of the requirements, and which limit binds first. It returns errors of the
-// writer.
+// Write writes the report as text: a table of the requirements, and the limit that binds first. It returns the errors
+// of the writer.
 func (r *Report) Write(w io.Writer) error {
 	_, err := fmt.Fprintf(
 		w,
@@ -88,7 +88,7 @@
 	}
 }
 
-// conclusion says which limit binds first.
+// conclusion returns the line that says which limit binds first.
 func (r *Report) conclusion() string {
 	first := r.Order()[0]
 	binding := fmt.Sprintf("binds first: %s, %s", first.Role, first.Description)
--- a/internal/emulator/capacity/requirement.go
+++ b/internal/emulator/capacity/requirement.go
@@ -12,37 +12,37 @@
 const (
 	Bytes          Unit = "B"
 	BytesPerSecond Unit = "B/s"
-	Cores          Unit = "core" // processor seconds a second
+	Cores          Unit = "core" // processor time in seconds a second
 	Seconds        Unit = "s"
 	Items          Unit = "" // a count without a unit
 )
 
-// Role is the process, or the processes together, that a requirement is of.
+// Role is the process, or the group of processes, that a requirement applies to.
 type Role string
 
 // The roles of the system.
 const (
 	Agent   Role = "agent"
 	Proxy   Role = "proxy"
-	Ingress Role = "agent and proxy" // what the two may use together
+	Ingress Role = "agent and proxy" // both processes of an ingress, for limits that they share
 	Control Role = "control"         // one control node
-	System  Role = "all"             // all roles along the way of a change
+	System  Role = "all"             // all roles that take part in a change
 )
 
-// Requirement is what a role needs of one resource at the planned size, beside its limit.
+// Requirement is the need of a role for one resource at the planned size, with its limit.
 type Requirement struct {
 	Role        Role
 	Description string
 	Unit        Unit
 	Need        float64 // the sum of Terms
 	Limit       float64
-	Terms       []Term // the largest first
-	// MaxScale is the part of the planned size at which Need reaches Limit: 0 where it is above Limit at any size,
-	// infinite where it never is.
+	Terms       []Term // sorted, the largest first
+	// MaxScale is the part of the planned size at which Need reaches Limit: 0 if it is above Limit at any size, and
+	// infinite if it never is.
 	MaxScale float64
 }
 
-// newRequirement sums the terms in the order given, and keeps them sorted.
+// newRequirement returns a requirement with the sum of the terms in the given order, and with the terms sorted.
 func newRequirement(role Role, description string, unit Unit, limit float64, terms []Term) Requirement {
 	r := Requirement{
 		Role:        role,
@@ -58,17 +58,17 @@
 	return r
 }
 
-// Margin is how many times the need fits into the limit: below 1 it does not.
+// Margin returns the ratio of the limit to the need. Below 1, the need exceeds the limit.
 func (r *Requirement) Margin() float64 { return r.Limit / r.Need }
 
-// exceeds tells whether the need is above the limit.
+// exceeds reports whether the need is above the limit.
 func (r *Requirement) exceeds() bool { return r.Need > r.Limit }
 
-// Term is one part of a need: a cost for each of a number of things.
+// Term is one part of a need: a unit cost multiplied by a count.
 type Term struct {
 	Description string
-	UnitCost    float64 // in the unit of the requirement; for Cores in seconds
-	Count       float64 // of things, or of operations a second
+	UnitCost    float64 // cost in the unit of the requirement; for Cores in seconds
+	Count       float64 // number of items, or of operations a second
 }
 
 func (t Term) total() float64 { return t.UnitCost * t.Count }
