--- a/internal/emulator/coordinationsoak/faults.go
+++ b/internal/emulator/coordinationsoak/faults.go
@@ -10,13 +10,15 @@
 )
 
 const (
+	// restartDelay bounds the random delay after which a killed process is started again.
 	restartDelay = 300 * time.Millisecond
-	// diskLossInterval is the time between two lost disks: the one before is replaced and has caught up by then.
+	// diskLossInterval is the minimum time between two disk losses, after which the node with the earlier loss has
+	// caught up on its new disk.
 	diskLossInterval = 12 * time.Second
 )
 
-// signalSeries brings about faults of processes, one after the other, until the faults are over.
-func (s *soak) signalSeries() {
+// injectProcessFaults injects one fault of a random process after the other, until the fault phase ends.
+func (s *soak) injectProcessFaults() {
 	for s.running() {
 		n := s.nodes[s.random(len(s.nodes))]
 		switch s.random(6) {
@@ -37,8 +39,8 @@
 	}
 }
 
-// linkSeries cuts links, in one direction or both, until the faults are over.
-func (s *soak) linkSeries() {
+// injectLinkFaults cuts random links in one direction or both, and restores them, until the fault phase ends.
+func (s *soak) injectLinkFaults() {
 	for s.running() {
 		s.sleep(time.Duration(1000+s.random(3000)) * time.Millisecond)
 		near, far := s.nodes[s.random(len(s.nodes))], s.nodes[s.random(len(s.nodes))]
@@ -51,7 +53,7 @@
 	}
 }
 
-// setLinks replaces the cut links of a node.
+// setLinks replaces the list of the cut links of a node. Without lines, all links are restored.
 func (s *soak) setLinks(n *node, lines ...string) {
 	path := n.linksPath()
 	err := os.WriteFile(path+".new", []byte(strings.Join(lines, "\n")+"\n"), 0o600)
@@ -71,7 +73,7 @@
 	n.signal(syscall.SIGCONT)
 }
 
-// crash kills a process, does something while it is gone, and starts it again.
+// crash kills a process, calls meanwhile if it is not nil, and starts the process again after a random delay.
 func (s *soak) crash(n *node, meanwhile func()) {
 	n.lifecycle.Lock()
 	defer n.lifecycle.Unlock()
@@ -83,7 +85,7 @@
 	s.start(n)
 }
 
-// crashAll kills all processes, and starts them again once all are gone.
+// crashAll kills all processes, and starts them again once all have ended.
 func (s *soak) crashAll() {
 	var ended, back sync.WaitGroup
 	ended.Add(len(s.nodes))
@@ -108,7 +110,8 @@
 	s.start(n)
 }
 
-// loseDisk has a node come back with an empty disk, unless the loss before is too recent.
+// loseDisk kills a process and restarts it with an empty disk, unless the previous disk loss is less than
+// diskLossInterval ago.
 func (s *soak) loseDisk(n *node) {
 	s.mu.Lock()
 	tooSoon := time.Since(s.diskLostAt) < diskLossInterval
--- a/internal/emulator/coordinationsoak/node.go
+++ b/internal/emulator/coordinationsoak/node.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	controlPort = 8580
-	innerPort   = 7320
-	graceTime   = 6 * time.Second
-	// startupTime is how long after its start a hangup may end a process: a Go program can't ignore a signal before its
-	// packages are initialized, which takes 5 to 12 ms on an idle processor and longer on a busy one.
+	controlPort = 8580            // port of network.bind.controlAddr
+	innerPort   = 7320            // first port of network.innerPortRange
+	graceTime   = 6 * time.Second // time that a process may take to end after SIGTERM, before it is killed
+	// startupTime is the time after its start in which SIGHUP may end a process. A Go program cannot ignore a signal
+	// before its packages are initialized, which takes 5 to 12 ms on an idle processor and longer on a busy one.
 	startupTime = time.Second
 )
 
-// node is one control process over all its incarnations, with its folder.
+// node is one control process over all its incarnations, with its directory.
 type node struct {
 	ip      string
 	dir     string
 	program string
 
-	lifecycle sync.Mutex // held by the one fault at a time that ends and starts the process
-	mu        sync.Mutex // guards the fields below
-	cmd       *exec.Cmd
-	done      chan struct{} // closed once this incarnation has ended
-	ending    bool          // it was asked to end
-	ownEnds   []error       // of incarnations that ended without being asked
-	hangups   int           // incarnations that a hangup ended while they started
+	lifecycle       sync.Mutex // serializes the faults that stop and start the process
+	mu              sync.Mutex // guards the fields below
+	cmd             *exec.Cmd
+	done            chan struct{} // closed once this incarnation has ended
+	endRequested    bool          // whether this incarnation was sent SIGTERM or SIGKILL
+	unexpectedExits []error       // errors of incarnations that ended without such a signal
+	hangups         int           // number of incarnations that SIGHUP ended during their startup
 }
 
 func (n *node) controlAddr() string { return fmt.Sprintf("%s:%d", n.ip, controlPort) }
@@ -43,7 +43,8 @@
 
 func (n *node) diskPath() string { return filepath.Join(n.dir, "disk") }
 
-// writeSettings writes the settings file. Only the first start of all has bootstrap.
+// writeSettings writes the settings file. bootstrap is set only for the first start of the cluster: a node that has
+// lost its disk joins without it.
 func (n *node) writeSettings(seeds []string, bootstrap bool) error {
 	lines := []string{
 		"self.nodeName=core-" + n.ip, "self.role=control", "self.machineClass=core", "self.serving=control",
@@ -62,7 +63,7 @@
 	return os.WriteFile(n.settingsPath(), []byte(strings.Join(lines, "\n")+"\n"), 0o600)
 }
 
-// start starts the process.
+// start starts a new incarnation of the process, which appends to the log file.
 func (n *node) start() error {
 	log, err := os.OpenFile(filepath.Join(n.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -81,39 +82,39 @@
 	}
 	done := make(chan struct{})
 	n.mu.Lock()
-	n.cmd, n.done, n.ending = cmd, done, false
+	n.cmd, n.done, n.endRequested = cmd, done, false
 	n.mu.Unlock()
 	go n.supervise(cmd, done, time.Now())
 	return nil
 }
 
-// supervise waits for the end of an incarnation. One that a hangup ended while it started is started again, as the
-// platform does; any other end without being asked is an error.
+// supervise waits for the end of an incarnation. If SIGHUP ended it during its startup, supervise starts the process
+// again, as the platform does. Any other end that was not requested is an error.
 func (n *node) supervise(cmd *exec.Cmd, done chan struct{}, startedAt time.Time) {
 	err := cmd.Wait()
 	status, _ := cmd.ProcessState.Sys().(syscall.WaitStatus)
 	hungUp := status.Signaled() && status.Signal() == syscall.SIGHUP && time.Since(startedAt) < startupTime
 	n.mu.Lock()
-	again := !n.ending && hungUp
+	again := !n.endRequested && hungUp
 	switch {
 	case again:
 		n.hangups++
-	case !n.ending:
-		n.ownEnds = append(n.ownEnds, fmt.Errorf("%s ended by itself: %w", n.ip, err))
+	case !n.endRequested:
+		n.unexpectedExits = append(n.unexpectedExits, fmt.Errorf("%s ended by itself: %w", n.ip, err))
 	}
 	close(done)
 	n.mu.Unlock()
 	if again {
-		n.startAgain(done)
+		n.restartAfterHangup(done)
 	}
 }
 
-// startAgain starts the process again, unless a fault has done so meanwhile.
-func (n *node) startAgain(ended chan struct{}) {
+// restartAfterHangup starts the process again, unless a fault has replaced the ended incarnation meanwhile.
+func (n *node) restartAfterHangup(ended chan struct{}) {
 	n.lifecycle.Lock()
 	defer n.lifecycle.Unlock()
 	n.mu.Lock()
-	replaced := n.done != ended || n.ending
+	replaced := n.done != ended || n.endRequested
 	n.mu.Unlock()
 	if replaced {
 		return
@@ -121,27 +122,28 @@
 	if err := n.start(); err != nil {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.ownEnds = append(n.ownEnds, err)
+		n.unexpectedExits = append(n.unexpectedExits, err)
 	}
 }
 
-// signal sends a signal to the incarnation that runs, and returns what is closed at its end.
+// signal sends a signal to the running incarnation, and returns a channel that is closed when it has ended.
 func (n *node) signal(s syscall.Signal) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ending = n.ending || s == syscall.SIGKILL || s == syscall.SIGTERM
+	n.endRequested = n.endRequested || s == syscall.SIGKILL || s == syscall.SIGTERM
 	select {
-	case <-n.done: // its number may be another's
+	case <-n.done: // it has ended, and another process may have its process ID
 	default:
 		_ = n.cmd.Process.Signal(s)
 	}
 	return n.done
 }
 
-// kill ends the process at once, frozen or not.
+// kill kills the process, also a stopped one, and waits for its end.
 func (n *node) kill() { <-n.signal(syscall.SIGKILL) }
 
-// terminate ends the process with SIGTERM, and kills it after the grace time.
+// terminate sends SIGTERM, and kills the process if it does not end within graceTime. It reports whether the process
+// ended in time.
 func (n *node) terminate() (inTime bool) {
 	done := n.signal(syscall.SIGTERM)
 	select {
@@ -153,21 +155,21 @@
 	}
 }
 
-// endedByThemselves lists incarnations that ended without being asked.
-func (n *node) endedByThemselves() []error {
+// unexpectedExitErrors returns an error for each incarnation that ended without a request.
+func (n *node) unexpectedExitErrors() []error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ownEnds
+	return n.unexpectedExits
 }
 
-// hangupCount is how many incarnations a hangup ended while they started.
+// hangupCount returns the number of incarnations that SIGHUP ended during their startup.
 func (n *node) hangupCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.hangups
 }
 
-// logText is what the process has written.
+// logText returns the output of all incarnations of the process.
 func (n *node) logText() string {
 	text, _ := os.ReadFile(filepath.Join(n.dir, "log"))
 	return string(text)
--- a/internal/emulator/coordinationsoak/soak.go
+++ b/internal/emulator/coordinationsoak/soak.go
@@ -17,28 +17,28 @@
 )
 
 const (
-	startTime    = 4 * time.Second  // from the first start to the first fault
-	recoveryTime = 15 * time.Second // from the last fault, within which everything must be answered again
-	pollInterval = 200 * time.Millisecond
-	appCount     = 8
+	startTime    = 4 * time.Second        // time from the start of the processes to the first fault
+	recoveryTime = 15 * time.Second       // time after the last fault within which every node must answer again
+	pollInterval = 200 * time.Millisecond // time between two calls to a node that does not answer yet
+	appCount     = 8                      // number of applications
 )
 
-// Options is what a soak is made of.
+// Options configures a soak.
 type Options struct {
-	Program string // the control program
-	Dir     string // for folders of the processes
-	Seed    uint64
-	Nodes   int           // 3 or more
-	Network int           // third byte of the loopback addresses, which no other soak on this machine uses now
-	Span    time.Duration // of the faults
+	Program string        // path of the control program
+	Dir     string        // parent of the processes' directories
+	Seed    uint64        // seed of the faults and of the calls
+	Nodes   int           // number of control nodes, at least 3
+	Network int           // third byte of the loopback addresses; no other soak may use it at the same time
+	Span    time.Duration // duration of the faults
 }
 
-// Report is what a soak has seen.
+// Report is the result of a soak.
 type Report struct {
-	Wrong    []string
-	Outcomes map[string]int // calls by kind and status
-	Hangups  int            // processes that a hangup ended while they started
-	Logs     string         // of the processes, where something is wrong
+	Problems []string       // descriptions of all failed checks; empty: the soak succeeded
+	Outcomes map[string]int // number of calls by kind and status
+	Hangups  int            // number of incarnations that SIGHUP ended during their startup
+	Logs     string         // logs of the processes, if there are problems
 }
 
 // soak is the state of one run.
@@ -48,19 +48,19 @@
 	seeds    []string
 	workload *histories.Workload
 	client   *http.Client
-	faults   context.Context // ends with the faults
+	faults   context.Context // done when the fault phase ends
 
 	mu         sync.Mutex // guards the fields below
 	rnd        *rand.Rand
-	wrong      []string
+	problems   []string
 	diskLostAt time.Time
 }
 
-// Run plays one soak.
+// Run runs one soak.
 func Run(o Options) (*Report, error) {
 	s := &soak{
 		options: o, rnd: rand.New(rand.NewPCG(o.Seed, 1)), diskLostAt: time.Now(),
-		// Connections are kept until the process at the other end is gone.
+		// Idle connections are kept open until the process at the other end has ended.
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: appCount, DisableCompression: true}},
 	}
 	defer s.client.CloseIdleConnections()
@@ -78,9 +78,9 @@
 	for app := range appCount {
 		running.Go(func() { s.workload.Run(app, stop) })
 	}
-	series.Go(s.signalSeries)
-	series.Go(s.signalSeries)
-	series.Go(s.linkSeries)
+	series.Go(s.injectProcessFaults)
+	series.Go(s.injectProcessFaults)
+	series.Go(s.injectLinkFaults)
 	series.Wait()
 	s.requireAnswers()
 	close(stop)
@@ -129,7 +129,7 @@
 	}
 }
 
-// send makes a call at a random node.
+// send sends a call to a random node. The status is 0 if there was no answer.
 func (s *soak) send(method, path, body string, timeout time.Duration) (status int, text string) {
 	return s.sendTo(s.nodes[s.random(len(s.nodes))], method, path, body, timeout)
 }
@@ -155,7 +155,8 @@
 	return response.StatusCode, string(content)
 }
 
-// requireAnswers waits until each node answers calls of several shards, for recoveryTime at most.
+// requireAnswers waits until each node answers calls for several shards, for at most recoveryTime in all. A node that
+// does not is reported.
 func (s *soak) requireAnswers() {
 	deadline := time.Now().Add(recoveryTime)
 	for _, n := range s.nodes {
@@ -174,23 +175,23 @@
 	}
 }
 
-// result ends the processes and checks everything.
+// result checks the exits, the answers and the logs of the processes, and returns the report.
 func (s *soak) result() *Report {
 	for _, n := range s.nodes {
-		for _, err := range n.endedByThemselves() {
+		for _, err := range n.unexpectedExitErrors() {
 			s.report(err.Error())
 		}
 	}
-	report := &Report{Wrong: append(s.wrong, s.workload.Check()...), Outcomes: s.workload.Outcomes()}
+	report := &Report{Problems: append(s.problems, s.workload.Check()...), Outcomes: s.workload.Outcomes()}
 	for _, n := range s.nodes {
 		report.Hangups += n.hangupCount()
 		text := n.logText()
-		for _, sign := range []string{"DATA RACE", "panic:"} {
-			if at := strings.Index(text, sign); at >= 0 {
-				report.Wrong = append(report.Wrong, n.ip+": "+text[at:min(len(text), at+3000)])
+		for _, marker := range []string{"DATA RACE", "panic:"} {
+			if at := strings.Index(text, marker); at >= 0 {
+				report.Problems = append(report.Problems, n.ip+": "+text[at:min(len(text), at+3000)])
 			}
 		}
-		if len(report.Wrong) > 0 {
+		if len(report.Problems) > 0 {
 			report.Logs += "--- " + n.ip + "\n" + text
 		}
 	}
@@ -199,7 +200,7 @@
 
 func (s *soak) running() bool { return s.faults.Err() == nil }
 
-// sleep waits for a time, or until the faults are over.
+// sleep waits for a time, or until the fault phase ends.
 func (s *soak) sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -215,8 +216,8 @@
 	return s.rnd.IntN(n)
 }
 
-func (s *soak) report(wrong string) {
+func (s *soak) report(problem string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wrong = append(s.wrong, wrong)
+	s.problems = append(s.problems, problem)
 }
--- a/internal/emulator/coordinationsoak/soak_test.go
+++ b/internal/emulator/coordinationsoak/soak_test.go
@@ -14,13 +14,13 @@
 )
 
 var (
-	seeds = flag.Int("seeds", 1, "how many soaks are played")
-	first = flag.Uint64("first", 1, "seed of the first one")
-	span  = flag.Duration("span", 20*time.Second, "how long the faults of each last")
-	nodes = flag.Int("nodes", 0, "control nodes of each; 0: three or five, by the seed")
+	seeds = flag.Int("seeds", 1, "number of soaks")
+	first = flag.Uint64("first", 1, "seed of the first soak")
+	span  = flag.Duration("span", 20*time.Second, "duration of the faults of each soak")
+	nodes = flag.Int("nodes", 0, "control nodes of each soak; 0: three or five, depending on the seed")
 )
 
-// freeNetworks finds networks of loopback addresses, one for each soak, that no other run on this machine uses.
+// freeNetworks returns networks of loopback addresses that no other run on this machine uses, one for each soak.
 func freeNetworks(t *testing.T, count int) (free []int) {
 	t.Helper()
 	const all = 250
@@ -39,7 +39,7 @@
 	return free
 }
 
-// TestSoak plays soaks on real processes. It waits for conditions, and for the time that the faults last.
+// TestSoak runs soaks with real processes. It waits for conditions, and for the duration of the faults.
 func TestSoak(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "control")
 	args := []string{"build", "-o", program}
@@ -64,10 +64,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, wrong := range report.Wrong {
-				t.Error(wrong)
+			for _, problem := range report.Problems {
+				t.Error(problem)
 			}
-			if len(report.Wrong) > 0 {
+			if len(report.Problems) > 0 {
 				t.Log(report.Logs)
 			}
 			t.Log(report.Outcomes, "hangups at start:", report.Hangups)
