--- a/internal/control/catchup/fetcher.go
+++ b/internal/control/catchup/fetcher.go
@@ -16,9 +16,11 @@
 	slowChunk    = 400 * time.Millisecond // the next chunk is of the minimum size if one took longer than this
 	chunkTimeout = 5 * time.Second        // for the answer with one chunk
 	stallTimeout = time.Second            // time without a chunk after which another source is tried as well
-	fetchTimeout = 300 * time.Millisecond // time during which Fetch requests further chunks
-	pollInterval = 50 * time.Millisecond  // between two looks at the progress of a background fetch
-	maxWaiters   = 4                      // calls of Fetch that may wait for one node at a time
+	fetchTimeout = 300 * time.Millisecond // time in which one call of Fetch requests further chunks
+	pollInterval = 50 * time.Millisecond  // between two checks of the progress of a background fetch
+	// maxWaiters is how many calls of Fetch may wait for one node at a time. Further calls return at once, so that a
+	// node that does not answer blocks only a few goroutines.
+	maxWaiters = 4
 )
 
 // Fetcher fetches chunks for a replica. It is safe for concurrent use.
--- a/internal/control/catchup/lag.go
+++ b/internal/control/catchup/lag.go
@@ -6,7 +6,8 @@
 	"mulleinrouter/internal/control/peers"
 )
 
-// MaxLag is how long another node may have a newer snapshot before this node counts as lagging.
+// MaxLag is how long another node may have a newer snapshot before this node counts as lagging. Shorter
+// delays, such as the transfer of a change, do not make it lag.
 const MaxLag = time.Second
 
 // Lag records the newest snapshot that another node is known to have, and the time since which it has been newer than
--- a/internal/control/connlimit/slots.go
+++ b/internal/control/connlimit/slots.go
@@ -8,14 +8,14 @@
 	reservedForNew = 16
 	// reservedForOperators further slots are used by calls of operators only.
 	reservedForOperators = 32
-	// reservedForPrompt further slots are used, among the calls of servers, only by those whose bodies arrive at once,
-	// because such a call may announce a departure.
+	// reservedForPrompt further slots are used, among the calls of servers and applications, only by those whose bodies
+	// arrive at once, because such a call may announce a departure.
 	reservedForPrompt = 64
-	minSlots          = 256  // slots of a process with few descriptors
-	minControlSlots   = 128  // slots that internal connections never use
+	minSlots          = 256  // least number of slots, even if the process may open fewer descriptors
+	minControlSlots   = 128  // least number of slots that internal connections never use
 	reservedForFiles  = 200  // descriptors of files outside the data folder (a rule of the platform)
 	reservedForNode   = 140  // descriptors of the data folder, peers, listeners, and sockets that are being closed
-	defaultFDs        = 1024 // descriptors of a process whose limit is unknown
+	defaultFDs        = 1024 // descriptors that are assumed if the limit of the process is unknown
 )
 
 // Admission is the decision on a call whose header has been read.
--- a/internal/control/electorate/changes.go
+++ b/internal/control/electorate/changes.go
@@ -18,17 +18,19 @@
 )
 
 const (
-	changeTimeout   = 2 * time.Second // from a proposal until a majority has it on disk
+	changeTimeout   = 2 * time.Second // for a change of the electorate, until a majority has it on disk
 	handoverTimeout = time.Second     // for the transfer of this node's vote at shutdown
 	// replacementDelay is how long a voter may be silent beyond the bound on contact (contactMs) before it is replaced.
 	replacementDelay = 2 * time.Second
 	// replacementRankDelay is added for each reachable voter that precedes this one, so that normally only one voter
 	// acts.
 	replacementRankDelay = time.Second
-	minAge               = 10 * time.Second        // of an electorate, before voters are replaced or added
-	maxProbes            = 5                       // attempts to probe a node that lacks changes
-	probeInterval        = 50 * time.Millisecond   // between two probes of a node
-	probeTimeout         = 2 * replica.SyncTimeout // for the answer to one probe, which waits for a sync of the disk
+	// minAge is the time since this process first saw an electorate, or since its start, before Maintain changes that
+	// electorate. Until then, a voter that has not answered this process yet is not replaced.
+	minAge        = 10 * time.Second
+	maxProbes     = 5                       // attempts to probe a node that lacks changes
+	probeInterval = 50 * time.Millisecond   // between two probes of a node
+	probeTimeout  = 2 * replica.SyncTimeout // for the answer to one probe, which waits for a sync of the disk
 )
 
 // HandoverLimit is how long a shutdown waits for HandOver to return.
--- a/internal/control/httpapi/call.go
+++ b/internal/control/httpapi/call.go
@@ -20,14 +20,17 @@
 	StartupGrace = 2 * time.Second
 	// StartupWait is how long one call waits for that first contact.
 	StartupWait = 500 * time.Millisecond
-	// HeartbeatBodyTimeout limits reading the body of a server's call, because the server waits no longer for its
-	// answer.
+	// HeartbeatBodyTimeout limits reading the body of a call of a server or an application, because a server waits no
+	// longer for its answer.
 	HeartbeatBodyTimeout = time.Second
-	// PromptBodyTimeout replaces HeartbeatBodyTimeout while few slots for connections are free.
+	// PromptBodyTimeout replaces HeartbeatBodyTimeout while few slots for connections are free, so that a slow body
+	// does not occupy one of them.
 	PromptBodyTimeout = 50 * time.Millisecond
 
-	bodyTimeout       = 10 * time.Second       // read timeout of the http.Server
-	largeBodyBytes    = 1 << 20                // at most maxLargeBodies bodies above this size are read at once
+	// bodyTimeout is the time in which the http.Server must have read a call. Writing the answer may take until twice
+	// that time. Without it, a client that stalls would occupy its slot for ever.
+	bodyTimeout       = 10 * time.Second
+	largeBodyBytes    = 1 << 20                // size above which at most maxLargeBodies bodies are read at once
 	slowCallThreshold = 250 * time.Millisecond // duration from which on an operator's call is logged
 )
 
@@ -68,7 +71,8 @@
 	return errorReply(err)
 }
 
-// admit admits or rejects a call by its header. It returns the time limit for reading the body of a server's call.
+// admit admits or rejects a call by its header. It returns the time limit for reading the body, which does not
+// apply to the calls of operators.
 func (c *call) admit() (readTimeout time.Duration, err error) {
 	if c.request.ContentLength > c.endpoint.maxBody {
 		return 0, ErrBodyTooLong
--- a/internal/control/httpapi/instances.go
+++ b/internal/control/httpapi/instances.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	maxHeartbeatBytes     = 4 << 10
-	maxIDLength           = 256     // bytes
-	maxCapacity           = 1 << 16 // concurrent requests
-	maxSlowStartSeconds   = 600.0
+	maxHeartbeatBytes     = 4 << 10 // limit of the body of a server's call, bytes
+	maxIDLength           = 256     // limit of the id of an instance, bytes
+	maxCapacity           = 1 << 16 // limit of the capacity of an instance, concurrent requests
+	maxSlowStartSeconds   = 600.0   // a longer slow start is shortened to this time
 	millisecondsPerSecond = 1000
 )
 
--- a/internal/control/httpapi/members.go
+++ b/internal/control/httpapi/members.go
@@ -8,6 +8,7 @@
 	"mulleinrouter/internal/control/operatorapi"
 )
 
+// maxReplaceBytes limits the body of a replacement, which contains two addresses.
 const maxReplaceBytes = 4 << 10
 
 // getMembers returns the voters and the learners.
--- a/internal/control/httpapi/server.go
+++ b/internal/control/httpapi/server.go
@@ -26,10 +26,10 @@
 )
 
 const (
-	readHeaderTimeout = 2 * time.Second
-	idleTimeout       = 5 * time.Second
-	maxHeaderBytes    = 8 << 10 // header size of one request
-	maxLargeBodies    = 2       // large bodies that may be read or handled at once; bounds the memory for them
+	readHeaderTimeout = 2 * time.Second // for the header of a call; a slower client is disconnected
+	idleTimeout       = 5 * time.Second // time without a call after which a connection is closed
+	maxHeaderBytes    = 8 << 10         // limit of the header of one call
+	maxLargeBodies    = 2               // large bodies that may be read or handled at once; bounds the memory for them
 )
 
 // Proposals submits changes of the configuration to the voters (proposals.Queue).
--- a/internal/control/httpapi/shards.go
+++ b/internal/control/httpapi/shards.go
@@ -10,6 +10,7 @@
 	"mulleinrouter/internal/control/shards"
 )
 
+// maxTransferBytes limits the body of a transfer, which contains a shard's number and an address.
 const maxTransferBytes = 4 << 10
 
 // shardEndpoints are the calls of operators about shards.
--- a/internal/control/ingresslease/table.go
+++ b/internal/control/ingresslease/table.go
@@ -10,13 +10,16 @@
 )
 
 const (
+	// leaseDuration is the time after its last renewal for which a lease is valid. After that the ingress is no longer
+	// counted.
 	leaseDuration = 2 * time.Second
-	// initialRenewalPeriod is the time from the start of a term of contact in which only the lower bound is counted,
+	// initialRenewalPeriod is the time from the start of a term of contact in which Count returns only the lower bound,
 	// because some holders may not have renewed their leases here yet.
 	initialRenewalPeriod = 1500 * time.Millisecond
 	maxLeases            = 1 << 14 // bounds memory; further ingresses get no lease
 
-	// MaxNameLength limits the names of nodes and zones, in bytes.
+	// MaxNameLength limits the names of nodes and zones, in bytes. An ingress with a longer name gets no lease, and a
+	// longer zone of a control node is ignored.
 	MaxNameLength = 4096
 )
 
--- a/internal/control/instances/departures.go
+++ b/internal/control/instances/departures.go
@@ -14,10 +14,11 @@
 )
 
 const (
-	// DepartureTimeout is how long a server's call waits until its departure is stored on enough disks.
+	// DepartureTimeout is how long a server's call waits until its departure is stored on enough disks. It is shorter
+	// than the second that the server waits for the answer.
 	DepartureTimeout = 800 * time.Millisecond
 
-	maxPersisted = 4096 // instances that one request may contain
+	maxPersisted = 4096 // instances that one request of another node may contain; a longer one is rejected
 	minCopies    = 2    // disks that must store a departure before it is acknowledged, if there are that many voters
 )
 
--- a/internal/control/instances/registry.go
+++ b/internal/control/instances/registry.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	maxFlushed    = 4096 // instances written to the disk in one batch
-	maxHeartbeats = 2048 // heartbeats in one update for another control node
+	maxFlushed    = 4096 // instances written to the disk in one batch; the others are written at the next flush
+	maxHeartbeats = 2048 // heartbeats in one update for another control node, which bounds its size
 	overheadBytes = 64   // upper bound of an encoded instance's size in a frame, without its strings
 )
 
--- a/internal/control/majority/lease.go
+++ b/internal/control/majority/lease.go
@@ -9,7 +9,8 @@
 )
 
 // TTL is how long a voter counts as in contact after it has answered a request, measured from the time at which the
-// request was sent.
+// request was sent. Package control pings the voters every 250 ms, so a few lost messages do not end the contact. With
+// a larger TTL, a node that is cut off would count as in contact for longer.
 const TTL = 1500 * time.Millisecond
 
 // Lease is a lease on a majority of the voters. A voter counts as in contact for TTL from the moment at which this
--- a/internal/control/peers/set.go
+++ b/internal/control/peers/set.go
@@ -16,7 +16,8 @@
 	"mulleinrouter/internal/control/majority"
 )
 
-// maxPeers is the maximum number of other control nodes; further ones are ignored.
+// maxPeers is the maximum number of other control nodes; further ones are ignored. It bounds the connections, because
+// any control node that connects to this one is added.
 const maxPeers = 40
 
 // Options are the settings and dependencies of a Set.
--- a/internal/control/shards/calls.go
+++ b/internal/control/shards/calls.go
@@ -17,9 +17,9 @@
 	callTimeout = 850 * time.Millisecond
 	// forwardTimeout limits the wait for the answer to a forwarded call. After it the leaseholder is looked up again.
 	forwardTimeout       = 450 * time.Millisecond
-	retryDelay           = 15 * time.Millisecond
-	maxRedirects         = 2    // redirects that are followed without a delay, before the next retryDelay
-	maxForwardedInFlight = 2048 // forwarded calls that are evaluated at once; bounds memory
+	retryDelay           = 15 * time.Millisecond // between attempts
+	maxRedirects         = 2                     // redirects that are followed without retryDelay; prevents a busy loop
+	maxForwardedInFlight = 2048                  // calls of other nodes that are evaluated at once; bounds memory
 )
 
 // Do gets a request evaluated by the leaseholder of its shard, which may be this node or another. Its errors are
--- a/internal/control/shards/service.go
+++ b/internal/control/shards/service.go
@@ -22,9 +22,10 @@
 
 const (
 	tickInterval           = 50 * time.Millisecond // interval at which the time is reported to the replicas
-	upkeepIntervalTicks    = 10                    // ticks between deletions of records that are no longer needed
-	rebalanceIntervalTicks = 40                    // ticks between transfers of leases to preferred voters
+	upkeepIntervalTicks    = 10                    // ticks (0.5 s) between deletions of records that are not needed
+	rebalanceIntervalTicks = 40                    // ticks (2 s) between transfers of leases to preferred voters
 	// minTermAgeSeconds is the time for which a leaseholder keeps a lease before it transfers it to a preferred voter.
+	// It bounds how often a lease moves.
 	minTermAgeSeconds = 3.0
 )
 
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -174,8 +174,8 @@
 	return records.Close()
 }
 
-// Close ends the store. It waits two seconds until the disk has written all batches that were put before, and returns
-// ErrCloseTimeout if it has not. Closing again does nothing.
+// Close ends the store. It waits at most closeTimeout until the disk has written all batches that were put before, and
+// returns ErrCloseTimeout if it has not. Closing again does nothing.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -24,7 +24,9 @@
 	// orphanRankDelay is added to orphanTimeout for each voter that precedes this one, so that the voters do not all
 	// complete the change at the same time.
 	orphanRankDelay = 75 * time.Millisecond
-	warmUpFactor    = 1.2 // heartbeat intervals after the start within which all servers have called
+	// warmUpFactor is the number of heartbeat intervals after the start in which every server has had time to send a
+	// heartbeat, with a margin for late ones.
+	warmUpFactor = 1.2
 )
 
 // watcher is the state that watch keeps between its rounds.
