--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -18,8 +18,10 @@
 const program = "agent"
 
 const (
-	proxyReadyTTL = 1500 * time.Millisecond // time for which a renewal that reports a ready proxy is valid
-	dialTimeout   = time.Second             // for a connection to a control node
+	// proxyReadyTTL is the time for which a proxy's renewal that reports it as ready is valid. After it the agent does
+	// not renew the lease of its ingress any more.
+	proxyReadyTTL = 1500 * time.Millisecond
+	dialTimeout   = time.Second // for a connection to a control node
 )
 
 // Agent is a running agent.
--- a/internal/agent/cluster_view.go
+++ b/internal/agent/cluster_view.go
@@ -7,7 +7,9 @@
 )
 
 const (
-	statusTTL = 2 * time.Second // time for which the last update of a source is valid
+	// statusTTL is the time for which the last update of a source is valid. After it the source counts as out of
+	// contact with a majority.
+	statusTTL = 2 * time.Second
 	// singleSourceAfter is the time since the start after which one control node in contact with a majority is
 	// sufficient, so that an agent that cannot connect to a majority itself becomes ready all the same.
 	singleSourceAfter = 5 * time.Second
@@ -17,7 +19,7 @@
 // majority of the voters.
 type clusterView struct {
 	members       int      // highest number of ingresses that a node reports; 0: not known
-	quorum        bool     // a majority of the voters is connected and in contact
+	quorum        bool     // a majority of the voters is in contact (see sourceStatus.inContact)
 	sufficient    bool     // the updates received are enough to serve requests
 	voters        []string // control addresses of the voters; nil: not known
 	votersCurrent bool     // the voters were reported by a node in contact
--- a/internal/agent/link_delay.go
+++ b/internal/agent/link_delay.go
@@ -6,9 +6,10 @@
 )
 
 const (
-	linkDelayWindow     = 600 * time.Millisecond // every source sends at least one update in this time
-	linkDelayMinSamples = 2                      // fewest samples in the window for an estimate
-	linkDelaySamples    = 32                     // number of samples kept
+	// linkDelayWindow is the age up to which samples count. Every source sends at least one update in this time.
+	linkDelayWindow     = 600 * time.Millisecond
+	linkDelayMinSamples = 2  // fewest samples in the window for an estimate; with fewer, the delay is unknown
+	linkDelaySamples    = 32 // number of samples kept, the newest ones of all sources
 )
 
 // linkDelay estimates the queueing delay of packets at this machine's link from the age of the control nodes' updates
--- a/internal/agent/proxies.go
+++ b/internal/agent/proxies.go
@@ -9,7 +9,8 @@
 	"mulleinrouter/internal/cluster/transport"
 )
 
-// maxConnections bounds the connections of observers and proxies together. During a handover two proxies are connected.
+// maxConnections bounds the connections of observers and proxies together; further ones are closed at once. During a
+// handover two proxies are connected.
 const maxConnections = 8
 
 // classObserver is the class of a subscriber that only reads the agent's state. The value is part of the wire protocol.
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -19,13 +19,15 @@
 )
 
 const (
-	settingsPollInterval = 2 * time.Second // between two reads of the settings file
+	settingsPollInterval = 2 * time.Second // between two reads of the settings file, which may change without a SIGHUP
 	expireInterval       = time.Minute     // between two checks for expired instances
 	expireAfterIntervals = 6               // check intervals after which an unchanged gone or silent instance expires
-	graceReserve         = time.Second     // unused part of the grace, so that the process exits before it is killed
+	// graceReserve is the unused part of the grace period, so that the process exits before the platform
+	// kills it.
+	graceReserve = time.Second
 )
 
-// bindPolicy covers the time for which the previous process may still have the address bound.
+// bindPolicy retries for 3 s, because the previous process may still have the address bound.
 var bindPolicy = retry.Policy{Attempts: 16, Interval: 200 * time.Millisecond}
 
 // Options are the dependencies and settings of Run.
@@ -36,8 +38,8 @@
 	Metrics  metrics.Endpoint                                         // endpoint of metrics; zero: not served
 }
 
-// Run runs an agent until SIGTERM or SIGINT. It then continues while a proxy is connected, for graceReserve less than
-// the grace at most. It rereads the settings on SIGHUP and when the file has changed.
+// Run runs an agent until SIGTERM or SIGINT. It then continues while a proxy is connected, at most until graceReserve
+// before the end of the grace period. It rereads the settings on SIGHUP and when the file has changed.
 func Run(o Options) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -113,7 +115,8 @@
 	}
 }
 
-// shutDown waits until no proxy is connected, for graceReserve less than the grace (in seconds) at most.
+// shutDown waits until no proxy is connected, at most until graceReserve before the end of the grace period, which has
+// grace seconds.
 func (a *Agent) shutDown(grace float64) {
 	level.Info(a.log).Log("msg", "shutting down", "proxies", a.proxies.Load())
 	timer := time.NewTimer(max(0, time.Duration(grace*float64(time.Second))-graceReserve))
--- a/internal/agent/sources.go
+++ b/internal/agent/sources.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	maxConfiguredSources = 5                      // sources from the settings
-	maxSources           = 9                      // sources in total, including those from the list of voters
+	maxConfiguredSources = 5                      // sources from the settings; further ones are ignored
+	maxSources           = 9                      // sources in total; further voters are not subscribed to
 	votersCheckInterval  = 250 * time.Millisecond // minimum time between two comparisons of voters and sources
 )
 
