--- a/internal/proxy/counter_calls.go
+++ b/internal/proxy/counter_calls.go
@@ -8,8 +8,10 @@
 )
 
 const (
-	counterTimeout  = 350 * time.Millisecond // for a call to a counter's owner by way of the agent
-	maxCounterCalls = 256                    // in flight; further calls would not be answered in time anyway
+	// counterTimeout is the limit of a call to a counter's owner by way of the agent. It is slightly longer than the
+	// agent's two attempts of 160 ms each.
+	counterTimeout  = 350 * time.Millisecond
+	maxCounterCalls = 256 // in flight; further calls would not be answered in time anyway
 )
 
 // Add is never called, because the counters of the proxy are pairs of a sum and a number of reporters.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -24,7 +24,7 @@
 	clientShare   = 0.55 // share for connections of clients
 	upstreamShare = 0.35 // share for connections to servers
 	reservedFDs   = 200  // file descriptors that are not for sockets (DEPLOY, "Machines")
-	minSocketFDs  = 64   // file descriptors for sockets if the limit is too low or not known
+	minSocketFDs  = 64   // least number of descriptors for sockets, if the limit is too low or not known
 )
 
 const (
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -20,7 +20,8 @@
 	maxHandoverTime = 2200 * time.Millisecond
 	// finalAnswerTime is the time for sending the last answers after the open requests were aborted.
 	finalAnswerTime = 400 * time.Millisecond
-	// graceReserve is the unused part of the grace, so that the process exits before it is killed.
+	// graceReserve is the unused part of the grace period, so that the process exits before the platform
+	// kills it.
 	graceReserve = 200 * time.Millisecond
 )
 
--- a/internal/proxy/shedding.go
+++ b/internal/proxy/shedding.go
@@ -16,7 +16,7 @@
 	shedInterval  = 100 * time.Millisecond // time between two steps of the control loop
 	shedLoad      = 0.85                   // share of the link's capacity above which a queue builds up
 	increaseLoad  = 0.7                    // share of the link's capacity below which more may be admitted
-	shedDelay     = 150 * time.Millisecond // queueing delay above which there is more than a burst
+	shedDelay     = 150 * time.Millisecond // queueing delay, longer than a burst causes, above which load is shed
 	criticalDelay = time.Second            // queueing delay above which no newly admitted request is answered in time
 	shedDecrease  = 0.85                   // factor of the admitted share for each overloaded step
 	// criticalDecrease is the factor of the admitted share for each step in which all requests are already late.
@@ -24,7 +24,7 @@
 	shedIncrease     = 1.02                    // factor of the admitted share for each step with spare capacity
 	minShare         = 0.03                    // lowest admitted share; with none, recovery would not be noticed
 	maxCatchUpSteps  = 10.0                    // missed steps that one call of admitted makes up for
-	linkDelayTTL     = 1200 * time.Millisecond // time for which an observed delay is valid
+	linkDelayTTL     = 1200 * time.Millisecond // time for which an observed delay is valid; an older one counts as none
 	// freshDelayTTL is the time for which a low delay is evidence that there is no queue. Updates arrive about every
 	// 400 ms; if none has arrived for longer, those that would show a queue may be waiting in it.
 	freshDelayTTL   = 600 * time.Millisecond
--- a/internal/proxy/translator.go
+++ b/internal/proxy/translator.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	maxAttemptIDBytes = 128
-	maxTimeLeftMs     = 600_000.0 // longest time that a client may say it waits
+	maxAttemptIDBytes = 128       // limit of X-Attempt-Id, bytes; a longer one is rejected
+	maxTimeLeftMs     = 600_000.0 // longest time that a client may say it waits; a longer one is rejected
 	msPerSecond       = 1000
 
 	// replyAllowance is subtracted from the time that a client waits, in seconds, because the answer needs time to
 	// reach it.
 	replyAllowance = 10.0 / 1000
-	// clientRetryMargin is a time in seconds. A request counts as a client's retry if the time that its
-	// client waits is shorter than the route's deadline by more than this margin.
+	// clientRetryMargin is a time in seconds. A request counts as a client's retry if the time that its client waits is
+	// shorter than the route's deadline by more than this margin.
 	clientRetryMargin = 0.001
-	// unknownRetryAfter is the time after which a client should retry if its route or key is not known here and the
-	// configuration may be out of date.
+	// unknownRetryAfter is the time, in seconds, after which a client should retry if its route or key is not known
+	// here and the configuration may be out of date.
 	unknownRetryAfter = decision.Seconds(0.3)
 
 	// A request that arrives before the first complete configuration waits for startWaitShare of the time that its
