--- a/internal/dataplane/clientconn/body_progress.go
+++ b/internal/dataplane/clientconn/body_progress.go
@@ -9,7 +9,7 @@
 	// bodyGracePeriod, in seconds, is how long the server may wait for a body before minBodyRate is required.
 	bodyGracePeriod decision.Seconds = 2
 	// minBodyRate is the rate, in bytes per second, that is required after the grace period. Clients send 64 kB/s or
-	// more.
+	// more, so only a client at about half that rate or less is too slow.
 	minBodyRate = 32 << 10
 	// maxBodyStall, in seconds, is how long nothing may arrive of a buffered body. After that, its client is considered
 	// to have stopped sending.
