--- a/internal/control/proposals/queue.go
+++ b/internal/control/proposals/queue.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	maxBatchCalls   = 128  // changes that are proposed together
-	eventsBuffer    = 64   // answers that may wait for the queue's goroutine
+	maxBatchCalls   = 128  // limit of the changes that are proposed together; the others wait for the next run
+	eventsBuffer    = 64   // answers that may wait for the queue's goroutine; the senders of further ones block
 	jitterStream    = 1    // stream of the incarnation's random generator that the delays use
 	firstProposerID = "/1" // appended to Options.Name in ballots
 )
