--- a/internal/dataplane/http1/reader.go
+++ b/internal/dataplane/http1/reader.go
@@ -16,7 +16,8 @@
 	MaxHead = 16 << 10
 	// MaxBufferedBody is the size in bytes up to which a body is buffered in memory. A longer body is streamed.
 	MaxBufferedBody = 64 << 10
-	// DefaultMaxRequestBody is the limit in bytes of a request's body if Reader.MaxRequestBody is 0.
+	// DefaultMaxRequestBody is the limit in bytes of a request's body if Reader.MaxRequestBody is 0. A longer body is
+	// rejected with ErrBodyTooLarge.
 	DefaultMaxRequestBody = 32 << 20
 
 	// maxEmptyLines is how many empty lines before a start line are skipped. More are an error, because a peer could
--- a/internal/dataplane/upstream/write.go
+++ b/internal/dataplane/upstream/write.go
@@ -19,7 +19,7 @@
 // requestBuffers holds buffers in which requests are assembled.
 var requestBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
 
-// write sends a request. Where holdsLastByte says so, it sends the last byte separately, after a pause. A server that
+// write sends a request. If holdsLastByte returns true, it sends the last byte separately, after a pause. A server that
 // has dropped an idle connection resets it at the first byte of a request, and bytes that arrive before the request is
 // complete are not an answer to it. While the last byte is held back, each of the two proves that the request was not
 // executed.
@@ -43,7 +43,7 @@
 }
 
 // holdsLastByte reports whether the last byte of a request is to be held back. That delays the request, so it is done
-// only where a lost connection is likely or the request must run at most once.
+// only if a lost connection is likely or the request must run at most once.
 func (p *Pool) holdsLastByte(c *conn, atMostOnce bool) bool {
 	now := p.now()
 	conditions := upstreamconn.WriteConditions{New: c.Uses() == 1, IdleFor: now - c.lastAnswer, AtMostOnce: atMostOnce}
--- a/internal/dataplane/usage/header.go
+++ b/internal/dataplane/usage/header.go
@@ -17,7 +17,7 @@
 // either a complete record or none. A power loss may leave arbitrary data, which the checksum detects.
 const (
 	magic   = "MRUSAGE\x01"
-	version = 1
+	version = 1 // of the format; segments of another version are not read
 
 	// HeaderSize is the size of a header in bytes: the position of the first record.
 	HeaderSize = 64
