--- a/internal/proxy/translator.go
+++ b/internal/proxy/translator.go
@@ -38,8 +38,8 @@
 
 // Default timeouts of clients' connections in seconds, for a configuration that sets none.
 const (
-	defaultIdleTimeout = 15
-	defaultHeadTimeout = 3
+	defaultIdleTimeout = 15 // between requests, and from connecting to the first byte
+	defaultHeadTimeout = 3  // for the head of a request
 )
 
 // translator translates the requests of clients for the decision module. Safe for concurrent use.
