--- a/internal/emulator/coordinationsoak/soak.go
+++ b/internal/emulator/coordinationsoak/soak.go
@@ -50,6 +50,8 @@
 	client   *http.Client
 	faults   context.Context // done when the fault phase ends
 
+	crashingAll sync.Mutex // serializes crashAll
+
 	mu         sync.Mutex // guards the fields below
 	rnd        *rand.Rand
 	problems   []string
