--- a/internal/standalone/config/config.go
+++ b/internal/standalone/config/config.go
@@ -13,10 +13,10 @@
 type Config struct {
 	Name      string
 	Listen    string // address for clients
-	Discovery string
+	Discovery string // empty if Static is set
 	Counter   string // empty: there is no counter
 	Mgmt      string // management address, for operators only; empty: none
-	State     string // folder that the old and the new process share during an upgrade; empty: none
+	State     string // folder for state that outlives a process; the processes of an upgrade share it; empty: none
 	Seed      uint64
 	Limits    Limits
 	Known     *discovery.List // initial endpoint list; nil: none
@@ -27,14 +27,14 @@
 	SettingsRaw []byte
 
 	// The following fields are set by HCL files only, because the platform's format has no keys for them.
-	Static         bool             // Known is the complete list and there is no discovery
+	Static         bool             // Known is the complete list, and the ingress does not use discovery
 	Embedded       string           // address where this ingress serves an embedded counter; empty: none
 	Catalogue      string           // path of the catalogue of plans, which is watched; empty: none
 	UseRevisionLog bool             // catalogue revisions take effect only when the lease holder has announced them
 	Usage          *Usage           // nil: usage is not recorded
 	Log            logging.Settings // zero value: level info, format logfmt
 
-	Membership *Membership // nil: the ingress has no contact to other ingresses
+	Membership *Membership // nil: the ingress does not communicate with other ingresses
 
 	FaultInjection *faultinjection.Faults // set by the command line in fault tests only, never by a file; nil: none
 }
@@ -47,7 +47,7 @@
 	Join      []string      // host:port of members to contact at the start
 	KeyFile   string        // path of the gossip keys; empty: messages are not encrypted
 	Interval  time.Duration // time between health checks of members
-	Share     bool          // share warnings of servers, and quotas while the counter is not trusted
+	Share     bool          // members exchange warnings of servers, and share quotas while the counter is not trusted
 	Voters    []string      // names of the members that vote on lease holders; empty: there are no leases
 }
 
--- a/internal/standalone/config/config_test.go
+++ b/internal/standalone/config/config_test.go
@@ -21,7 +21,8 @@
 "settings":{"Balancers":3,"Me":1,"Classes":[{"Name":"c","Promise":1,"Deadline":3,"Gain":2,"Effect":"pure"}],
 "Packages":[{"Name":"p","Refill":4,"Burst":5,"Pays":1.2}],"FamilyInfo":{"MayCount":true,"CountWait":0.03}}}`
 
-// The file alone is a complete configuration. Each variable takes precedence over its own key and over no other.
+// The file alone is a complete configuration. Each variable takes precedence over the key of the same setting, and does
+// not affect other settings. TMPDIR sets the state folder, which has no key in the file.
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(platformText), 0o600); err != nil {
--- a/internal/standalone/config/hclfleet.go
+++ b/internal/standalone/config/hclfleet.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	maxNameBytes = 64 // maximum length of the name of a fleet or a member, because messages carry them
+	maxNameBytes = 64 // maximum length of the name of a fleet or a member; bounds messages, which contain it
 
 	// The interval between health checks of members is bounded, because a short one causes load and a long one delays
 	// the detection of failures.
@@ -20,7 +20,7 @@
 	defaultHealthCheckInterval = 300 * time.Millisecond
 	maxHealthCheckInterval     = 10 * time.Second
 
-	defaultCounterTimeout = 50 * time.Millisecond // time to wait for a reply of the counter
+	defaultCounterTimeout = 50 * time.Millisecond // for a reply of the counter
 )
 
 // readFleet reads the size of the fleet, the number of this ingress in it, and the counter that ingresses share.
--- a/internal/standalone/config/hclpolicy.go
+++ b/internal/standalone/config/hclpolicy.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	maxAttempts = 4 // maximum number of attempts of a request, which the rules of the service set
+	maxAttempts = 4 // attempts for one request: the default, and the maximum that the quote service's rules allow
 
 	defaultSlowStartShare = 0.2 // share of a server's capacity that is used when its slow start begins
 	defaultOverloadFactor = 2.5 // multiple of its present capacity at which a server in slow start fails
--- a/internal/standalone/goldentest/bolt.go
+++ b/internal/standalone/goldentest/bolt.go
@@ -8,7 +8,7 @@
 )
 
 // BoltContent returns all values of a bbolt file. The keys of the map are the bucket's name, a slash, and the key in
-// hexadecimal. The file must not be open.
+// hexadecimal. The file must not be open elsewhere, because bbolt locks it while it is open.
 func BoltContent(t *testing.T, path string) map[string]string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
--- a/internal/standalone/hclfile/hclfile.go
+++ b/internal/standalone/hclfile/hclfile.go
@@ -39,11 +39,12 @@
 	return &File{Name: name, body: body}, nil
 }
 
-// maxExponent is the largest binary exponent of a number in a file. No setting needs a larger one.
+// maxExponent is the largest absolute value of the binary exponent of a number in a file. No setting needs more.
 const maxExponent = 1024
 
 // findHugeNumbers reports numbers whose exponent is beyond maxExponent. When the HCL library converts a number to
-// text, it writes every digit, so a file of one line blocked a start or a reload forever (found by FuzzHCL).
+// text, it writes every digit, so a number such as 9e99999999 made a start or a reload hang (found by FuzzHCL in
+// package config).
 func findHugeNumbers(body *hclsyntax.Body) hcl.Diagnostics {
 	return hclsyntax.VisitAll(body, func(node hclsyntax.Node) (diagnostics hcl.Diagnostics) {
 		literal, ok := node.(*hclsyntax.LiteralValueExpr)
