--- a/internal/standalone/faultinjection/faultinjection.go
+++ b/internal/standalone/faultinjection/faultinjection.go
@@ -18,7 +18,7 @@
 // Plan is the content of the file.
 type Plan struct {
 	ClockRate float64              `json:"clock"` // clock seconds per second, read at the process's start; 0 means 1
-	Faults    map[vfs.Op]vfs.Fault `json:"fail"`  // faults of file operations, from now on
+	Faults    map[vfs.Op]vfs.Fault `json:"fail"`  // faults of file operations, which replace those of the last reading
 }
 
 // Faults are the faults that are injected into this process. Nil injects none. They are safe for concurrent use.
@@ -73,8 +73,9 @@
 	return f.fs
 }
 
-// WrapVoteStore wraps a voter's store so that it fails with the faults of the file system, which it does not use. After
-// a failed write nothing is stored. After a failed sync it is unknown what is stored.
+// WrapVoteStore wraps a voter's store so that its operations fail with the faults of the file system, because the store
+// does not use FS. After a failed write nothing is stored. After a failed sync the batch is stored, although the caller
+// gets an error.
 func (f *Faults) WrapVoteStore(s quorum.Store) quorum.Store {
 	if f == nil {
 		return s
--- a/internal/standalone/handover/handover.go
+++ b/internal/standalone/handover/handover.go
@@ -58,7 +58,7 @@
 	Own       Record  // must be written before the share is used, so that the others see it
 	Alone     bool    // no other process is live
 	Secondary bool    // an older process is live
-	Newer     []int64 // newer processes that are not leaving, which get this one's knowledge
+	Newer     []int64 // newer processes that are not leaving; this process hands its learned state over to them
 }
 
 // Heartbeat applies the other processes' records. The share shrinks at once, but grows only by what the others' records
--- a/internal/standalone/handover/handover_test.go
+++ b/internal/standalone/handover/handover_test.go
@@ -80,7 +80,7 @@
 	runEvents      = 400
 	maxProcesses   = 4
 	shareTolerance = 1e-9
-	minShare       = 0.19 // least sum of the shares of all processes after a while without changes
+	minShare       = 0.19 // least sum of the shares after a while without changes; slightly below leavingShare
 )
 
 // process is a process of a random run.
@@ -148,7 +148,8 @@
 	records[v.Own.Process] = v.Own
 }
 
-// TestSharesNeverExceedOne checks that the shares of all processes never add up to more than 1 in random runs.
+// TestSharesNeverExceedOne checks that the shares of all processes never add up to more than 1 in random runs. It also
+// checks that they add up to minShare or more after a while without changes, so that shares are taken over.
 func TestSharesNeverExceedOne(t *testing.T) {
 	for seed := range uint64(randomRuns) {
 		if maxSum, minSum := randomRun(seed); maxSum > 1+shareTolerance || minSum < minShare {
--- a/internal/standalone/handover/mutants_test.go
+++ b/internal/standalone/handover/mutants_test.go
@@ -18,7 +18,7 @@
 					return
 				}
 			}
-			t.Error("the fault is not found: a property is missing")
+			t.Error("no random run detected the fault")
 		})
 	}
 }
--- a/internal/standalone/hotrestart/hotrestart.go
+++ b/internal/standalone/hotrestart/hotrestart.go
@@ -23,7 +23,7 @@
 func Listen(addr string) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
-			unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) // an error: it listens alone
+			unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) // after an error, it listens alone
 		})
 	}}
 	// Go uses MPTCP where the kernel has it, and an MPTCP listener doesn't support the redirection (EOPNOTSUPP).
@@ -33,14 +33,14 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	controlSocket(l, func(fd int) error {
-		return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_DETACH_REUSEPORT_BPF, 0) // an error: there is none
+		return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_DETACH_REUSEPORT_BPF, 0) // fails if none is attached
 	})
 	return l, nil
 }
 
-// Steer redirects the group's new connections to the newest other listener. Without another listener, this one still
-// gets them, because for an index beyond the group the kernel falls back to its hash. The error is ErrNotTCP or one of
-// the kernel; after an error, new connections still arrive here.
+// Steer redirects new connections to the listener that joined the group second, which is the newer process's. If the
+// group has no second listener, this one still gets them, because for an index beyond the group the kernel falls back
+// to its hash. The error is ErrNotTCP or one of the kernel; after an error, new connections still arrive here.
 func Steer(l net.Listener) error {
 	filter := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: newestListener}}
 	return controlSocket(l, func(fd int) error {
--- a/internal/standalone/mgmt/doc.go
+++ b/internal/standalone/mgmt/doc.go
@@ -3,9 +3,9 @@
 //
 // The server answers however busy the ingress is with requests. It takes no lock that serving requests holds for long,
 // and a caller that does not finish its line is disconnected and does not keep others from being served. Server.Serve
-// owns the goroutines of its connections and returns once they have ended. Each has a time limit, and when the listener
-// closes, incomplete calls are cut off and the others are answered. The Handler executes the calls. The package imports
-// nothing of this repository.
+// owns the goroutines of its connections and returns once they have ended. Reading a call and writing its answer have
+// time limits, but the Handler, which executes the calls, has none. When the listener closes, incomplete calls are cut
+// off and the others are answered. The package imports nothing of this repository.
 //
 // The files: server.go, client.go, statsd.go (the line format of statistics), errors.go. The tests are in this folder.
 package mgmt
--- a/internal/standalone/mgmt/errors.go
+++ b/internal/standalone/mgmt/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// ErrRejected is returned by Call if the answer is NAK, or the connection ends without an answer.
+// ErrRejected is returned by Call if the answer does not begin with ACK, or the connection ends without an answer.
 var ErrRejected = errors.New("refused")
 
 // Errors about a line that is not a valid call. Each is answered with NAK.
--- a/internal/standalone/mgmt/server.go
+++ b/internal/standalone/mgmt/server.go
@@ -179,8 +179,8 @@
 	if errors.Is(err, bufio.ErrBufferFull) {
 		return "", "", errTooLong
 	}
-	endedBySending := errors.Is(err, io.EOF) && len(line) > 0
-	if err != nil && !endedBySending {
+	endedByEOF := errors.Is(err, io.EOF) && len(line) > 0
+	if err != nil && !endedByEOF {
 		return "", "", fmt.Errorf("mgmt: %w", err)
 	}
 	text := strings.TrimSpace(string(line))
--- a/internal/standalone/mgmt/server_test.go
+++ b/internal/standalone/mgmt/server_test.go
@@ -88,7 +88,7 @@
 }
 
 // A caller that closes its sending side instead of ending its line must be answered, too.
-func TestCallEndedBySending(t *testing.T) {
+func TestCallEndedByEOF(t *testing.T) {
 	addr := startServer(t)
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
