--- a/internal/standalone/counterclient/client.go
+++ b/internal/standalone/counterclient/client.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	pipelineCount = 4                      // connections in use; the counter resets any beyond 32 from one ingress
+	pipelineCount = 4                      // connections in use; the counter resets those beyond 32 from one IP address
 	checkInterval = 500 * time.Millisecond // between checks for idle and silent connections
 )
 
--- a/internal/standalone/counterclient/client_test.go
+++ b/internal/standalone/counterclient/client_test.go
@@ -89,7 +89,7 @@
 	})
 }
 
-// A counter that ends each connection at once, because it has too many, must be dialled again only after a delay.
+// A counter that ends each connection at once, because it has too many, must be dialed again only after a delay.
 // Without the delay, the client would dial it thousands of times a second.
 func TestReconnectDelayWithoutReply(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -154,7 +154,7 @@
 }
 
 // FuzzReadReply checks that any bytes from the counter are read as a reply or an error, that a total is a finite
-// number, and that a reply consumes no more lines than it has.
+// number, and that a reply consumes one or two lines.
 func FuzzReadReply(f *testing.F) {
 	for _, text := range []string{
 		"$3\r\n2.5\r\n", "+PONG\r\n", "-BUSY\r\n", "-ERR no\r\n", ":7\r\n", "$-1\r\n", "$9999999\r\nx",
--- a/internal/standalone/counterclient/connection.go
+++ b/internal/standalone/counterclient/connection.go
@@ -27,9 +27,9 @@
 // connection is one connection and the calls on it, in order. The mutex of its pipeline guards it.
 type connection struct {
 	conn       net.Conn
-	broken     bool      // unusable: a write failed within a call, or a reply was invalid
+	broken     bool      // unusable, because a write failed or a reply was invalid
 	calls      []*call   // waiting for a reply, oldest first
-	lastReply  time.Time // time of the last reply, or of the opening before the first
+	lastReply  time.Time // when the last reply arrived; before the first one, when the connection was opened
 	replied    bool      // at least one reply has arrived
 	retiredAt  time.Time // when a newer connection replaced it; zero while it is in use
 	closeCause string    // log code of the reason why this side ended it; empty if it did not
--- a/internal/standalone/counterclient/pipeline.go
+++ b/internal/standalone/counterclient/pipeline.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	maxPendingCalls  = 1024                   // unanswered calls on one connection; further calls are refused
+	maxPendingCalls  = 1024                   // unanswered calls on one connection; more are refused, to bound memory
 	dialTimeout      = 250 * time.Millisecond // for one attempt to connect
 	reconnectDelay   = 100 * time.Millisecond // after a failure, so that the counter is not dialed in a tight loop
-	pingInterval     = 2 * time.Second        // the counter closes idle connections after 10 s or less
-	silenceTimeout   = time.Second            // a machine that fails leaves its connections open and silent
+	pingInterval     = 2 * time.Second        // idle time before a ping; the counter allows 10 s or less
+	silenceTimeout   = time.Second            // for a reply; a machine that fails leaves its connections open
 	readBufferLength = 1024                   // bytes; no valid line of the counter is longer
 )
 
@@ -139,7 +139,7 @@
 		return
 	}
 	// A connection without a single reply is handled as a failed dial, because a counter that ends each connection at
-	// once must not be dialled thousands of times a second.
+	// once must not be dialed thousands of times a second.
 	select {
 	case <-p.client.ctx.Done():
 	case <-time.After(reconnectDelay):
@@ -239,7 +239,7 @@
 }
 
 // handleReply reports the outcome of the oldest call of a connection. A malformed reply, for which err is set, still
-// belongs to that call: the call was added, but its total is unknown.
+// belongs to that call. It is reported as Failed, because the total is unknown.
 func (p *pipeline) handleReply(c *connection, received reply, err error) error {
 	p.mu.Lock()
 	if len(c.calls) == 0 {
--- a/internal/standalone/counterclient/resp.go
+++ b/internal/standalone/counterclient/resp.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	maxTotalDigits        = 64 // bytes of a total's text; a longer bulk string is an error
+	maxTotalBytes         = 64 // bytes of a total's text; a longer bulk string is an error
 	millisecondsPerSecond = 1000
 )
 
@@ -55,7 +55,7 @@
 // readBulk reads the rest of a bulk string, after its header line.
 func readBulk(r *bufio.Reader, header string) (string, error) {
 	length, err := strconv.Atoi(header[1:])
-	if err != nil || length < 1 || length > maxTotalDigits {
+	if err != nil || length < 1 || length > maxTotalBytes {
 		return "", fmt.Errorf("%w: %.20q", errProtocol, header) // without a length, the next reply's start is unknown
 	}
 	text, err := readLine(r)
--- a/internal/standalone/counterserver/server.go
+++ b/internal/standalone/counterserver/server.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxNames is the number of names over all shards, which bounds their memory to about 100 MB. It is enough for
-	// 17,000 new names a second that are kept for 60 s each.
+	// maxNames is the maximum number of names over all shards, which bounds their memory to about 100 MB. It is enough
+	// for 17,000 new names a second that are kept for 60 s each.
 	maxNames = 1 << 20
 
 	maxConnsPerHost = 32                    // connections from one IP address; further ones are reset
@@ -24,7 +24,7 @@
 type Server struct {
 	shards []shard
 
-	mu     sync.Mutex // guards the fields below
+	mu     sync.Mutex // guards conns, byHost and closed
 	conns  map[net.Conn]struct{}
 	byHost map[string]int // number of connections by the caller's IP address
 	closed bool
@@ -41,7 +41,7 @@
 	store *Store
 }
 
-// Fault is a fault that tests inject into the counter. The zero value is no fault.
+// Fault is a fault that tests inject into the counter. The zero value injects none.
 type Fault struct {
 	Delay  time.Duration // delay before each addition
 	Silent bool          // additions take effect, but get no reply
@@ -62,7 +62,7 @@
 // InjectFault replaces the injected fault; nil removes it.
 func (s *Server) InjectFault(f *Fault) { s.fault.Store(f) }
 
-// Reset discards all totals, as when a counter restarts after a failure of its failure domain.
+// Reset discards all totals, as a counter does that fails and restarts without its state.
 func (s *Server) Reset() {
 	for i := range s.shards {
 		sh := &s.shards[i]
