--- a/internal/standalone/discovery/errors.go
+++ b/internal/standalone/discovery/errors.go
@@ -14,7 +14,8 @@
 	// errMalformedList is wrapped by errors about bytes that are not a valid list.
 	errMalformedList = errors.New("malformed endpoint list")
 
-	// errWatchSilent is wrapped by errors about a watch that received no line in time.
+	// errWatchSilent is wrapped by all errors of reading the lines of a watch. Only if the error is also a timeout did
+	// the watch receive no line in time.
 	errWatchSilent = errors.New("the watch fell silent")
 )
 
--- a/internal/standalone/discovery/watcher.go
+++ b/internal/standalone/discovery/watcher.go
@@ -17,11 +17,11 @@
 
 const (
 	dialTimeout    = time.Second     // for one attempt to connect
-	silenceTimeout = 3 * time.Second // discovery sends an empty line every 2 s; without it the watch is dead
+	silenceTimeout = 3 * time.Second // discovery sends an empty line every 2 s; without it the watch has failed
 
 	// silentReconnectWindow is the time, in seconds, over which a fleet whose watches fell silent together reopens
-	// them. It is short because a change that a silent watch misses counts as received 6 s after the watch fell silent,
-	// of which silenceTimeout takes 3 s.
+	// them. It is short because an ingress is expected to know a change that a silent watch misses 6 s after the watch
+	// fell silent, of which silenceTimeout takes 3 s.
 	silentReconnectWindow = 2.0
 
 	maxListBytes = 4 << 20 // bytes of a list or a line of the watch; bounds the memory that discovery can make it use
@@ -92,9 +92,9 @@
 func (w *Watcher) Run(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(w.Seed, rngStream))
 	w.backoff = backoff.New(w.FleetSize)
-	// The first connection is opened without a delay. A server that begins to drain meanwhile counts as known to be
-	// draining, and an ingress with a restored list must not send it new requests (the drain rule, checked with a fleet
-	// of 300 in the runs roll, herd and join).
+	// The first connection is opened without a delay. If a server begins to drain meanwhile, the ingress is expected to
+	// know it, and must not send it new requests, even if it still uses a restored list (checked with a fleet of 300 in
+	// the test runs "roll", "herd" and "join").
 	for ctx.Err() == nil {
 		w.runConnection(ctx, rng)
 	}
@@ -120,9 +120,9 @@
 // reconnectDelay returns the delay before the next connection, after one that ended with an error.
 func (w *Watcher) reconnectDelay(code string, err error, rng *rand.Rand) decision.Seconds {
 	if code == codeSilent {
-		// A watch that fell silent is reopened soon, while the changes that it missed do not yet count as received. A
-		// call that timed out is repeated at once, because it has already waited for the backoff time (see get) and has
-		// lost its position in discovery's queue.
+		// A watch that fell silent is reopened soon, before the ingress is expected to know the changes that it missed.
+		// A call that timed out is repeated at once, because it has already waited for the backoff time (see get) and
+		// has lost its position in discovery's queue.
 		if errors.Is(err, errWatchSilent) {
 			return rng.Float64() * min(w.backoff.Length(), silentReconnectWindow)
 		}
--- a/internal/standalone/discovery/watcher_test.go
+++ b/internal/standalone/discovery/watcher_test.go
@@ -15,8 +15,8 @@
 )
 
 // TestRestoredListIsWatchedAtOnce checks that an ingress of a large fleet that starts with a restored list opens its
-// watch without a delay. After a delay it would send new requests to servers that have begun to drain, which count as
-// known to be draining.
+// watch without a delay. With a delay it would send new requests to servers that have begun to drain, although it is
+// expected to know that they are draining.
 func TestRestoredListIsWatchedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		conns := make(chan net.Conn, 1)
@@ -106,8 +106,8 @@
 }
 
 // TestUpdateArrivesAsDiscoveryReturns has discovery fall silent for 8 s, to open watches and to new calls. When it is
-// back, it answers the queued calls. Each ingress of a large fleet must get the update at once, because the update
-// counts as received from that moment on.
+// back, it answers the queued calls. Each ingress of a large fleet must get the update at once, because it is expected
+// to know the update from that moment on.
 func TestUpdateArrivesAsDiscoveryReturns(t *testing.T) {
 	const down, back = 3300 * time.Millisecond, 11300 * time.Millisecond
 	for seed := range uint64(20) {
