--- a/internal/standalone/cli/bookings.go
+++ b/internal/standalone/cli/bookings.go
@@ -60,9 +60,9 @@
 	return applyRevision(p.out, ba.Catalogue, revisions, next, true)
 }
 
-// nextRevision returns a copy of a revision with the next number and without bookings that ended long ago. It takes
-// effect as soon as it is received, but not before the given one. It needs no later time because each booking has its
-// own start and end.
+// nextRevision returns a copy of a revision with the next number and without bookings that ended more than
+// bookingRetentionSeconds ago. The copy takes effect as soon as it is received, but not before the given revision. It
+// needs no later time because each booking has its own start and end.
 func nextRevision(r plans.Revision) plans.Revision {
 	r.Number++
 	r.EffectiveAt = max(unixNow(), r.EffectiveAt)
--- a/internal/standalone/cli/completion/script.go
+++ b/internal/standalone/cli/completion/script.go
@@ -13,8 +13,8 @@
 	fmt.Fprintf(&s.text, format+"\n", arguments...)
 }
 
-// quote returns a word in single quotes. All three shells accept its escape of a single quote, the only special
-// character.
+// quote returns a word in single quotes. All three shells accept its escape of a single quote. A backslash can also be
+// special in fish's single quotes, but is not escaped, because no word in the script for fish contains one.
 func quote(word string) string { return "'" + strings.ReplaceAll(word, "'", `'\''`) + "'" }
 
 // functionName returns the name of the shell function that completes a program.
--- a/internal/standalone/cli/errors.go
+++ b/internal/standalone/cli/errors.go
@@ -51,8 +51,8 @@
 	errInvalidTrafficTime = errors.New("--for: not a span such as 18s")
 	errInterrupted        = errors.New("interrupted")
 
-	// Errors of calls that an ingress rejected. The command does not print the ingress's own reason, so each text lists
-	// the possible ones.
+	// Errors of the commands of fleet. Except for errVoterArguments, they mean that the ingress rejected a call. The
+	// command does not print the ingress's own reason, so each text lists the possible ones.
 	errNoMembership     = errors.New("the ingress knows no others: its configuration has no membership block in fleet")
 	errAnnounceDisabled = errors.New("the ingress does not use announced revisions: " +
 		"its configuration does not set announce in catalogue")
--- a/internal/standalone/cli/fleet.go
+++ b/internal/standalone/cli/fleet.go
@@ -41,8 +41,8 @@
 	commandline.OutputFlag
 }
 
-// callIngress makes a call and returns the first line of the reply, or an empty string if there is none. It returns
-// the error rejected if the ingress rejects the call.
+// callIngress makes a call and returns the first line of the reply, or an empty string if there is none. If the ingress
+// rejects the call, it returns the given error.
 func (i *ingressFlags) callIngress(call string, rejected error) (string, error) {
 	lines, err := mgmt.Call(i.Mgmt, call, callTimeout)
 	if errors.Is(err, mgmt.ErrRejected) {
@@ -98,10 +98,12 @@
 // FleetLinksCommand shows which member receives messages from which.
 type FleetLinksCommand struct{ ingressFlags }
 
-// links contains the states of links by the sending and the receiving member, as writeLinks labels them.
+// links contains the state of each link, by the member that reports it and the member at the other end. writeLinks
+// prints the reporting members as rows.
 type links map[string]map[string]string
 
-// linkMarks are the characters of the matrix for the states of a link. The empty state means an unknown row.
+// linkMarks are the characters of the matrix for the states of a link. The empty state means that the member of the
+// row did not report the link, usually because its report did not arrive.
 var linkMarks = map[string]string{"both": "+", "in": "<", "none": "x", "unknown": ".", "": "?"}
 
 const linkLegend = "\n+ answers   < is heard, and does not answer   x neither   . not tried of late   " +
--- a/internal/standalone/cli/log.go
+++ b/internal/standalone/cli/log.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	logBufferBytes   = 32 << 10    // a full buffer is written at once
+	logBufferBytes   = 32 << 10    // a full buffer is written without waiting for logFlushInterval
 	logFlushInterval = time.Second // longest delay of a log line
 )
 
--- a/internal/standalone/cli/try.go
+++ b/internal/standalone/cli/try.go
@@ -11,7 +11,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// Groups of flags of TryCommand. Flags without a group can be used in every mode.
+// Groups of flags of TryCommand. The struct tags repeat these texts, because a tag cannot refer to a constant. Flags
+// without a group can be used in every mode, except that --serve cannot be combined with --ingress.
 const (
 	gatewayGroup  = "Without --ingress"
 	scheduleGroup = "Without --ingress and --serve"
--- a/internal/standalone/cli/trygateway.go
+++ b/internal/standalone/cli/trygateway.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	// trafficDelay is the minimum time between the start of the machines and the first client request.
+	// trafficDelay is the minimum time between the start of the run and the first client request. The run also waits
+	// until every edge machine serves.
 	trafficDelay = 6 * time.Second
 
 	// maxFirstPort leaves port numbers for the other ports of the machines.
@@ -24,8 +25,8 @@
 	noSchedule = "none" // value of --schedule for no faults
 )
 
-// runGateway runs the complete gateway. It removes the folder of settings, disks and logs, unless --dir names it or an
-// error occurs.
+// runGateway runs the complete gateway. It removes the folder of settings, disks and logs at the end, also after an
+// interruption, unless --dir names the folder or the run fails.
 func (t *TryCommand) runGateway(ctx context.Context, p *Program) error {
 	schedule, err := t.schedule()
 	if err != nil {
--- a/internal/standalone/cli/usageshow.go
+++ b/internal/standalone/cli/usageshow.go
@@ -28,6 +28,7 @@
 	}
 	asJSON := us.JSON()
 	switch {
+	// plan is the default of --by, so without --by the JSON has all rows.
 	case asJSON && (us.By == "all" || us.By == "plan"):
 		return writeJSON(p.out, rows)
 	case us.By == "all":
--- a/internal/standalone/cli/usageverify.go
+++ b/internal/standalone/cli/usageverify.go
@@ -22,7 +22,7 @@
 	Problems       []string   `json:"problems"`       // empty: no problem was found
 }
 
-// usageTotal is the sum of a number of attempts.
+// usageTotal is a number of attempts and the sum of their units.
 type usageTotal struct {
 	Units float64 `json:"units"`
 	Tries int64   `json:"tries"`
