--- a/internal/standalone/counterserver/resp.go
+++ b/internal/standalone/counterserver/resp.go
@@ -10,7 +10,7 @@
 
 const (
 	maxArgs     = 8   // arguments of one call; bounds the memory that a caller can make the server allocate
-	maxArgBytes = 256 // bytes of one argument; bounds that memory, too
+	maxArgBytes = 256 // bytes of one argument; bounds the memory of a call, too
 	lineEnd     = "\r\n"
 )
 
--- a/internal/standalone/handover/handover_test.go
+++ b/internal/standalone/handover/handover_test.go
@@ -79,7 +79,7 @@
 	randomRuns     = 3000
 	runEvents      = 400
 	maxProcesses   = 4
-	shareTolerance = 1e-9
+	shareTolerance = 1e-9 // for the rounding errors of a sum of shares
 	minShare       = 0.19 // least sum of the shares after a while without changes; slightly below leavingShare
 )
 
