--- a/internal/standalone/fleet/gossip/delegate.go
+++ b/internal/standalone/fleet/gossip/delegate.go
@@ -9,8 +9,9 @@
 	"mulleinrouter/internal/standalone/fleet/membership"
 )
 
-// maxPendingUpdates bounds the queue of the protocol's updates that are not applied yet, so that it can't grow without
-// limit. An update that is dropped is reported again by the next exchange of the complete state.
+// maxPendingUpdates is the maximum number of the protocol's updates that are queued and not applied yet, so that the
+// queue can't grow without limit. Further updates are dropped. memberlist doesn't repeat a dropped one, because it only
+// reports changes, so the view keeps the old state until the member's next change or until the protocol is restarted.
 const maxPendingUpdates = 4 * membership.MaxMembers
 
 // NodeMeta implements memberlist.Delegate: it returns the encoded metadata of this member.
--- a/internal/standalone/fleet/gossip/fleet.go
+++ b/internal/standalone/fleet/gossip/fleet.go
@@ -49,7 +49,7 @@
 	dropped        int                      // messages dropped because the queue was full
 	left           bool                     // this process left the fleet, or lost its name to another one
 	nextJoinAt     time.Time
-	joined         bool // this instance has exchanged the complete state with a member
+	joined         bool // this instance has exchanged the complete state with a member, or there is no address to join
 	exchangesDone  int  // exchanges of the complete state after the first
 	stopped        bool // Stop was called: no further goroutine is started
 
--- a/internal/standalone/fleet/gossip/golden_test.go
+++ b/internal/standalone/fleet/gossip/golden_test.go
@@ -10,8 +10,8 @@
 	"mulleinrouter/internal/standalone/goldentest"
 )
 
-// TestGoldenMessages reads the messages of an earlier version and, where the encoding is deterministic, writes the same
-// bytes. The encoding of a map isn't.
+// TestGoldenMessages checks that messages of an earlier version are decoded to the same values and, unless they contain
+// a map, whose encoding has no fixed order, are encoded to the same bytes.
 func TestGoldenMessages(t *testing.T) {
 	self := membership.Incarnation{Boot: 12, Nonce: 1<<63 - 3}
 	other := membership.Incarnation{Boot: 3, Nonce: 99}
--- a/internal/standalone/fleet/gossip/instance.go
+++ b/internal/standalone/fleet/gossip/instance.go
@@ -21,11 +21,11 @@
 	suspicionTimeout       = 2400 * time.Millisecond // approximate time that a suspected member has to refute
 	minSuspicionMultiplier = 4                       // lower bound of memberlist's SuspicionMult
 	maxSuspicionMultiplier = 10                      // upper bound of memberlist's SuspicionMult
-	maxTimeoutMultiplier   = 2                       // factor on the time-out while no other member confirms it
+	maxTimeoutMultiplier   = 2                       // factor on suspicionTimeout until others confirm the suspicion
 	pushPullInterval       = 15 * time.Second        // between two exchanges of the complete state
 	tcpTimeout             = 3 * time.Second         // for a dial, read or write of a stream
-	deadNodeReclaimTime    = time.Second             // until a dead member's name may get another address
-	gossipToTheDeadTime    = 15 * time.Second        // during which dead members get gossip, to refute it
+	deadNodeReclaimTime    = time.Second             // from a member's death until its name may have another address
+	gossipToTheDeadTime    = 15 * time.Second        // time for which a dead member gets gossip, so that it can refute
 )
 
 // instance is one run of the SWIM protocol. After the process was suspended, a new instance replaces it.
--- a/internal/standalone/fleet/gossip/join.go
+++ b/internal/standalone/fleet/gossip/join.go
@@ -14,10 +14,11 @@
 	stateExchanges = 2               // exchanges of the complete state after joining
 )
 
-// joinMembers joins the fleet, through the configured seeds and the members of the record, while no other member is
-// known to be alive. After that it exchanges the complete state stateExchanges times. memberlist retransmits the
-// metadata of a new member a number of times that depends on the fleet's size at that moment, so if all members join
-// at once, some miss updates and would otherwise wait for the protocol's next exchange.
+// joinMembers joins the fleet through the configured seeds and the members of the last agreed membership. It repeats
+// this until it succeeds, and whenever no other member is known to be alive. Then it exchanges the complete state
+// stateExchanges times. memberlist retransmits the metadata of a new member a number of times that depends on the
+// fleet's size at that moment, so if all members join at once, some miss updates and would otherwise wait for the
+// protocol's next exchange.
 func (f *Fleet) joinMembers() {
 	i := f.instance.Load()
 	if i == nil {
--- a/internal/standalone/fleet/gossip/links.go
+++ b/internal/standalone/fleet/gossip/links.go
@@ -8,11 +8,11 @@
 
 const (
 	linksTimeout      = 700 * time.Millisecond // wait for responses, so that an operator's call is answered within 1 s
-	maxLinksResponses = 4                      // responses being sent at a time
+	maxLinksResponses = 4                      // responses being sent at a time; bounds goroutines and streams
 )
 
-// Links asks all members for the state of their links, and returns it by sender and receiver. Members that
-// don't respond within linksTimeout are missing.
+// Links asks all members for the state of their links, and returns the states by responding member and by the member at
+// the other end of the link. Members that don't respond within linksTimeout are missing.
 func (f *Fleet) Links() map[string]map[string]membership.Link {
 	f.mu.Lock()
 	links := map[string]map[string]membership.Link{f.options.Name: f.ownLinks()}
@@ -47,7 +47,7 @@
 	return links
 }
 
-// LinkNames is Links with the names of the links' states.
+// LinkNames returns the result of Links with the names of the states.
 func (f *Fleet) LinkNames() map[string]map[string]string {
 	all := map[string]map[string]string{}
 	for from, links := range f.Links() {
--- a/internal/standalone/fleet/gossip/message.go
+++ b/internal/standalone/fleet/gossip/message.go
@@ -21,11 +21,11 @@
 // Bounds of messages.
 const (
 	maxMessageBytes    = 4 << 20 // bytes; large enough for a batch of usage and a snapshot of the voters' lease table
-	maxDatagramPayload = 1000    // bytes; a longer payload is sent by a stream
+	maxDatagramPayload = 1000    // bytes, which fit a datagram with its headers; a longer payload is sent by a stream
 	maxStreams         = 64      // payloads being sent by streams at a time
 	maxNameBytes       = 64      // bytes of the sender's name
-	maxNestedLevels    = 4       // nesting of CBOR items
-	maxArrayElements   = 16      // elements of a CBOR array
+	maxNestedLevels    = 4       // nesting of CBOR items, see decodeMode
+	maxArrayElements   = 16      // elements of a CBOR array, see decodeMode
 )
 
 // message is a message of this package between members. memberlist carries it as a user message, in a frame that has
--- a/internal/standalone/fleet/gossip/options.go
+++ b/internal/standalone/fleet/gossip/options.go
@@ -41,7 +41,7 @@
 	Write(v any) error
 }
 
-// Record is the stored state: the number of processes started under this name, and the last agreed membership.
+// Record is the stored state, which is the number of processes started under this name and the last agreed membership.
 type Record struct {
 	Boot    uint64              `json:"Boot"`
 	Members []membership.Member `json:"Members"`
--- a/internal/standalone/fleet/gossip/record.go
+++ b/internal/standalone/fleet/gossip/record.go
@@ -68,7 +68,7 @@
 	if r.writing || !time.Now().After(r.nextWriteAt) {
 		return
 	}
-	r.nextWriteAt = time.Now().Add(writeRetryInterval)
+	r.nextWriteAt = time.Now().Add(minWriteInterval)
 	f := r.fleet
 	var boot uint64
 	switch {
--- a/internal/standalone/fleet/gossip/record_test.go
+++ b/internal/standalone/fleet/gossip/record_test.go
@@ -64,8 +64,8 @@
 }
 
 // TestIncarnationIsStoredBeforeUse checks that a member with a full disk does not join the fleet until the disk has
-// space. It also checks that a boot count that is too low, because the folder was lost or restored from an old copy, is
-// raised above the count that the other members know.
+// space, because its boot count must be on disk before it is announced. It also checks that a boot count that is too
+// low, because the folder was lost or restored from an old copy, is raised above the count that the other members know.
 func TestIncarnationIsStoredBeforeUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tf := startTestFleet(2, 5)
--- a/internal/standalone/fleet/gossip/report.go
+++ b/internal/standalone/fleet/gossip/report.go
@@ -11,7 +11,7 @@
 	Digest       string         `json:"digest"`
 	Reachability string         `json:"judgement"`
 	ForMillis    int64          `json:"for_ms"`   // time since the reachability changed to this level
-	UntilMillis  int64          `json:"until_ms"` // time until the conclusion expires
+	UntilMillis  int64          `json:"until_ms"` // time until the level expires, unless it is renewed
 	Alive        int            `json:"heard"`
 	Agreed       int            `json:"agreed"`
 	Pauses       int            `json:"stalls"`
--- a/internal/standalone/fleet/gossip/run.go
+++ b/internal/standalone/fleet/gossip/run.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	tickInterval       = 100 * time.Millisecond
-	maxTickDelay       = time.Second            // a longer time between two ticks shows that the process was suspended
-	bindRetryInterval  = 250 * time.Millisecond // between attempts, while an older process may have the address
-	writeRetryInterval = time.Second            // minimum time between two writes of the record
+	tickInterval      = 100 * time.Millisecond // between two ticks of the view
+	maxTickDelay      = time.Second            // a longer time between two ticks means that the process was suspended
+	bindRetryInterval = 250 * time.Millisecond // between attempts, while an older process may have the address
+	minWriteInterval  = time.Second            // minimum time between two writes of the record
 )
 
 // runner is the state of the goroutine that owns the protocol's instances. It passes the protocol's updates, the
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// paused reports whether this process was suspended and hasn't handled that yet. Until it has, conclusions that rest on
-// expired timers must be ignored.
+// paused reports whether this process was suspended and hasn't handled that yet. Until it has, results of timers that
+// expired during the suspension must be ignored.
 func (f *Fleet) paused() bool {
 	return time.Since(f.startedAt)-time.Duration(f.lastTick.Load()) > maxTickDelay
 }
--- a/internal/standalone/fleet/gossip/sockets.go
+++ b/internal/standalone/fleet/gossip/sockets.go
@@ -12,8 +12,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// bindAttempts bounds the attempts to find a free port, because a port that is free for streams may be in use for
-// datagrams.
+// bindAttempts is the maximum number of attempts to find a free port. One attempt is not enough, because a port that is
+// free for streams may be in use for datagrams.
 const bindAttempts = 10
 
 // sockets is the transport on network sockets. It dials streams from the IP address at which it listens, so that
--- a/internal/standalone/fleet/gossip/transport.go
+++ b/internal/standalone/fleet/gossip/transport.go
@@ -12,7 +12,8 @@
 // maxPacketBytes bounds the size of datagrams that are accepted. Members send at most 1,400 bytes.
 const maxPacketBytes = 4 << 10
 
-// packetQueueLength is the number of received datagrams that are queued for memberlist.
+// packetQueueLength is the number of received datagrams that are queued for memberlist. While the queue is full, no
+// further datagrams are read.
 const packetQueueLength = 64
 
 // meter counts the traffic of all instances of the protocol.
@@ -21,12 +22,12 @@
 	packetsOut atomic.Int64
 	bytesIn    atomic.Int64
 	bytesOut   atomic.Int64
-	rejected   atomic.Int64 // packets and streams of another fleet or key, oversized or invalid ones
+	rejected   atomic.Int64 // packets, streams and messages of another fleet or key, oversized or invalid ones
 }
 
-// transport is the network transport of one instance of the protocol. It counts the traffic. Once the process was
-// suspended it sends nothing more, because conclusions from timers that expired in that time must not reach other
-// members.
+// transport is the network transport of one instance of the protocol. It counts the traffic. After the process was
+// suspended it sends nothing more, because what the protocol concludes from timers that expired during the suspension
+// must not reach other members.
 type transport struct {
 	memberlist.NodeAwareTransport
 	meter    *meter
@@ -35,7 +36,7 @@
 	streams  chan net.Conn
 	stopping chan struct{}  // closed when Shutdown begins; packets and streams are discarded from then on
 	done     chan struct{}  // closed once the inner transport is down, which ends forward
-	tasks    sync.WaitGroup // runs forward; Shutdown waits for it
+	tasks    sync.WaitGroup // goroutine of forward; Shutdown waits for it
 	stopOnce sync.Once
 	stopErr  error // result of the inner transport's Shutdown
 
