--- a/internal/standalone/fleet/leaseservice/doc.go
+++ b/internal/standalone/fleet/leaseservice/doc.go
@@ -13,8 +13,8 @@
 // With an operator's transfer the leader's next response tells the holder to step down; the holder ends its work before
 // it releases the role. If the work fails, the ingress resigns the role and requests it again after reacquireDelay. If
 // the holder is silent, the leader expires the lease once it has ended even by a clock that is slow by
-// singleton.MaxClockDrift. In each case the leader then grants the role to the first candidate, under a new fencing
-// token.
+// singleton.MaxClockDrift. In each case the leader then grants the role under a new fencing token, after a transfer to
+// the member that the operator named if it is a candidate, and otherwise to the first candidate.
 //
 // The package imports other packages of the fleet and no further packages of standalone. encoding_test.go checks the
 // formats of its messages and records; the interaction of whole processes is tested by fault tests (cmd/mulleinrouter,
--- a/internal/standalone/fleet/leaseservice/encoding_test.go
+++ b/internal/standalone/fleet/leaseservice/encoding_test.go
@@ -12,8 +12,8 @@
 )
 
 // TestEncodingOfLandedVersion checks that the messages between ingresses, the replies of the mgmt interface and the
-// records on disk stay compatible: the files under testdata/landed were written by commit 76a3bb5, before the types and
-// fields were renamed.
+// records on disk stay compatible with those of an earlier version. Its files under testdata/landed were written by
+// commit 76a3bb5, before the types and fields were renamed.
 func TestEncodingOfLandedVersion(t *testing.T) {
 	status := Status{
 		Error:  "e",
--- a/internal/standalone/fleet/leaseservice/export.go
+++ b/internal/standalone/fleet/leaseservice/export.go
@@ -25,12 +25,13 @@
 	maxResponseBytes = 64 << 10         // bytes that are read of a response from billing
 	exportTimeout    = 10 * time.Second // wait of the exporting ingress for the lease holder's response
 
-	// minExportTime is the shortest time limit for an export at the lease holder, in seconds. A longer limit ends with
-	// the lease.
+	// minExportTime is the shortest time limit for an export at the lease holder, in seconds. If more of the lease is
+	// left, the limit is the end of the lease. A request that outlasts the lease does no harm, because billing rejects
+	// its fencing token once it has seen a newer one.
 	minExportTime = 1.0
 
-	// unreachableTimeout is how long a lease holder that cannot reach billing keeps the role. It then resigns the role,
-	// because another ingress may be able to reach billing.
+	// unreachableTimeout is how long a lease holder that cannot reach billing keeps the role. It resigns the role at
+	// the next failed request after that, because another ingress may be able to reach billing.
 	unreachableTimeout = 4 * time.Second
 
 	maxBillingConns        = 8               // connections to billing at a time
--- a/internal/standalone/fleet/leaseservice/operator.go
+++ b/internal/standalone/fleet/leaseservice/operator.go
@@ -40,7 +40,7 @@
 	History []Tenure     `cbor:"6,keyasint,omitempty" json:"history,omitempty"`
 }
 
-// RoleStatus is the agreed state of one role.
+// RoleStatus is the state of one role that the voters agree on, with the candidates that the leader knows.
 type RoleStatus struct {
 	Role       string   `cbor:"1,keyasint" json:"duty"`
 	Holder     string   `cbor:"2,keyasint" json:"holder"` // empty if the role is free
--- a/internal/standalone/fleet/leaseservice/record.go
+++ b/internal/standalone/fleet/leaseservice/record.go
@@ -11,7 +11,8 @@
 	recordInterval = 500 * time.Millisecond
 	// idleRecordTicks is the number of recordIntervals between two stores while the ingress holds no role.
 	idleRecordTicks = 4
-	// recordTimeout is how long a store may take, beyond the idle interval, until it counts as failed.
+	// recordTimeout is how long storing the record may take, in addition to the interval between two stores while idle,
+	// until it counts as failed.
 	recordTimeout = 2 * time.Second
 )
 
--- a/internal/standalone/fleet/leaseservice/roles.go
+++ b/internal/standalone/fleet/leaseservice/roles.go
@@ -13,10 +13,12 @@
 )
 
 const (
-	// reacquireDelay is how long an ingress waits after the work of a role failed before it requests roles again.
+	// reacquireDelay is how long an ingress waits after the work of a role failed before it requests the role again, so
+	// that another ingress can be granted it.
 	reacquireDelay = 10 * time.Second
 	// workEndTimeout is how long Resign waits for the work of the roles to end. Work that continues after that is
-	// harmless: its token is no longer valid here, and receivers reject the token once they have seen a newer one.
+	// harmless, because its token is no longer valid here, and receivers reject the token once they have seen a newer
+	// one.
 	workEndTimeout = time.Second
 )
 
--- a/internal/standalone/fleet/leaseservice/service.go
+++ b/internal/standalone/fleet/leaseservice/service.go
@@ -21,7 +21,7 @@
 const (
 	tickInterval   = 100 * time.Millisecond // time between two ticks of the lease holder, and of the voter
 	stallThreshold = time.Second            // time without a tick after which the process counts as paused
-	inboxSize      = 1024                   // messages; further ones are dropped, like messages that the network loses
+	inboxSize      = 1024                   // messages or voter steps; more are dropped, as if the network lost them
 	storeFile      = "votes.db"             // name of a voter's store in Options.Dir
 	tokenBaseShift = 20                     // bits by which Unix time is shifted for the token base, see quorum.Open
 )
@@ -40,7 +40,8 @@
 	workers    sync.WaitGroup // of the work of roles and of exports
 
 	// Only the goroutine of runVoter uses voter and voterStatus. It holds no lock while the voter waits for its disk.
-	// Other goroutines use the voter through enqueueVoterStep. The pointers are nil if this ingress has no voter.
+	// Other goroutines only compare voter with nil, and use the voter through enqueueVoterStep. voter and store are nil
+	// if the configuration does not list this ingress as a voter.
 	voter          *quorum.Voter
 	voterStatus    voterStatus // the status that was last logged
 	store          *boltstore.Store
@@ -70,8 +71,8 @@
 	voters string
 }
 
-// Start starts a service. If the store of the voter cannot be opened, that is logged and the service runs without a
-// voter.
+// Start starts a service. If the store of the voter cannot be opened, that is logged, and the voter sends nothing. If
+// the cause is a full disk, the voter starts once there is space (Voter.Reopen); otherwise it is retired.
 func Start(o Options) *Service {
 	self := o.Fleet.Self()
 	s := &Service{
--- a/internal/standalone/fleet/leaseservice/service_test.go
+++ b/internal/standalone/fleet/leaseservice/service_test.go
@@ -18,7 +18,8 @@
 	"mulleinrouter/internal/standalone/fleet/membership"
 )
 
-// testTimeout is how long a test waits for an event. Gaining the first lease takes an election of about a second.
+// testTimeout is how long a test waits for an event. The first lease is gained only after an election, which takes
+// about a second.
 const testTimeout = 20 * time.Second
 
 // fakeFleet is a fleet with one member. Messages to other members are lost.
