--- a/internal/standalone/fleet/membership/evaluate.go
+++ b/internal/standalone/fleet/membership/evaluate.go
@@ -6,17 +6,18 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Durations, in seconds, and counts on which states, links and the reachability are evaluated.
+// Durations, in seconds, and counts that are used to evaluate states, links and the reachability.
 const (
-	recentContact   = 4.0 // seconds after a message of a member in which the member is not published as dead
+	recentContact   = 4.0 // seconds after a member's last message in which it is published as suspect, not as dead
 	probeResultTTL  = 4.0 // seconds for which the result of a probe counts towards the reachability
 	minProbeResults = 4   // results needed before missed probes lower the reachability; a few may be lost by chance
-	reachabilityTTL = 2.0 // seconds for which the reachability holds after the last contact with any member
-	linkTTLRounds   = 3   // rounds of probes for which the state of a link holds
-	minLinkTTL      = 5.0 // minimum seconds for which the state of a link holds
+	reachabilityTTL = 2.0 // seconds for which the reachability is valid after the last contact with any member
+	linkTTLRounds   = 3   // rounds of probes for which the state of a link is valid
+	minLinkTTL      = 5.0 // minimum seconds for which the state of a link is valid
 )
 
-// linkTTL returns for how long the state of a link holds. It grows with the fleet, as a round of probes does.
+// linkTTL returns for how long the state of a link is valid. It grows with the number of members, because a round of
+// probes does.
 func (v *View) linkTTL() Seconds {
 	return max(minLinkTTL, linkTTLRounds*probeInterval*Seconds(len(v.peers)))
 }
@@ -34,8 +35,8 @@
 			return Alive
 		}
 		// A member that receives nothing can't refute its death, but its next probe shows that it is alive, so it is
-		// only suspected until then. This hardly delays a real death, because the last message of a member that died is
-		// older than the protocol's suspicion.
+		// only suspected until then. This hardly delays the detection of a real death, because a dead member sent its
+		// last message before the protocol began to suspect it.
 		if p.finalProbePending || p.lastContact > 0 && now < p.lastContact+recentContact {
 			return Suspect
 		}
--- a/internal/standalone/fleet/membership/events.go
+++ b/internal/standalone/fleet/membership/events.go
@@ -74,7 +74,8 @@
 	Reachability bool // the reachability level has changed, not the state of a member
 }
 
-// PersistView asks for AgreedMembers to be written to disk. This is an optimisation: seeds find the fleet without it.
+// PersistView asks for AgreedMembers to be written to disk. This is an optimization, because a process without them
+// finds the fleet through its seeds.
 type PersistView struct{}
 
 func (SendMessage) action() {}
@@ -98,7 +99,7 @@
 
 // Change is one recorded change of the view.
 type Change struct {
-	View uint64 // version of the view after the change
+	View uint64 // version of the view after the change; a change of the reachability doesn't increase it
 	At   Seconds
 	Name string
 	From State
--- a/internal/standalone/fleet/membership/messages.go
+++ b/internal/standalone/fleet/membership/messages.go
@@ -39,8 +39,9 @@
 		p.lastProbeMissed = false
 		v.lastContact = now
 	}
-	// An incarnation that the SWIM protocol hasn't reported yet doesn't prove that the member is alive. Its probes are
-	// acknowledged nevertheless, and acknowledgements to the process that has the name inform it of the newer one.
+	// A message of an incarnation that the SWIM protocol hasn't reported yet doesn't prove that the member is alive.
+	// Its probes are acknowledged nevertheless, and acknowledgements to the process of the reported incarnation inform
+	// that process of the newer one.
 	if m.Incarnation.Newer(p.member.Incarnation) && m.Incarnation.Newer(p.unreportedIncarnation) {
 		p.unreportedIncarnation = m.Incarnation
 	}
--- a/internal/standalone/fleet/membership/probing.go
+++ b/internal/standalone/fleet/membership/probing.go
@@ -8,12 +8,12 @@
 const (
 	probeInterval      = 0.5  // between the starts of two probes
 	probeRetryInterval = 0.25 // between two attempts of a probe
-	isolationDelay     = 0.8  // time without a message of any member, after which probes are sent twice as often
+	isolationDelay     = 0.8  // time without a message from any member after which probes are sent twice as often
 	rejoinInterval     = 2.0  // between two Rejoin actions
 
 	probeAttempts      = 3  // attempts until a probe counts as missed
 	finalProbeAttempts = 14 // attempts to probe a member that the protocol declared dead, two at each tick
-	deadProbePeriod    = 4  // every 4th probe goes to a dead member, which may be reachable, or reach this one
+	deadProbePeriod    = 4  // every 4th probe goes to a dead member, in case messages pass again in some direction
 	missedProbePeriod  = 2  // every 2nd probe goes to a member whose last probe was missed
 )
 
--- a/internal/standalone/fleet/membership/queries.go
+++ b/internal/standalone/fleet/membership/queries.go
@@ -11,7 +11,7 @@
 // Self returns the description of this process that it publishes.
 func (v *View) Self() Member { return v.self }
 
-// Version returns the version of the view. It increases with each change.
+// Version returns the version of the view. It increases with each change of a member.
 func (v *View) Version() uint64 { return v.version }
 
 // Rejected returns how many messages and updates were rejected because they were old, replayed or of unknown members.
@@ -52,7 +52,7 @@
 	return all
 }
 
-// Changes returns the changes after a version of the view, of which the latest maxChanges are kept.
+// Changes returns the changes of members after a version of the view. Only the latest maxChanges are available.
 func (v *View) Changes(after uint64) []Change {
 	i := slices.IndexFunc(v.changes, func(c Change) bool { return c.View > after })
 	if i < 0 {
--- a/internal/standalone/fleet/membership/scripted_test.go
+++ b/internal/standalone/fleet/membership/scripted_test.go
@@ -59,7 +59,7 @@
 }
 
 // TestScript runs a fleet of three through starts, losses, departures and pauses. After each stage it checks the
-// reachability, the state and link of each member, and how long they hold.
+// reachability, the state and link of each member, and for how long they are valid.
 func TestScript(t *testing.T) {
 	s := &script{view: New(0, servingMember("a", 1), 3, nil, 1), seqs: map[string]uint64{}}
 	step := func(e Event) { s.view.Step(s.now, e) }
--- a/internal/standalone/fleet/membership/types.go
+++ b/internal/standalone/fleet/membership/types.go
@@ -37,7 +37,7 @@
 const (
 	Alive   State = iota // alive by the SWIM protocol, or declared dead but in direct contact since
 	Suspect              // its recent probes were missed, or it was declared dead and this is not confirmed yet
-	Dead                 // dead by the SWIM protocol, and without direct contact since
+	Dead                 // dead by the SWIM protocol, and without recent direct contact since
 	Left                 // it announced that it leaves
 )
 
@@ -45,15 +45,15 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// Link is the state of the link to another member: the directions in which messages arrive. Its numbers are on the
-// wire.
+// Link is the state of the link to another member, that is, the directions in which messages arrive. Its numbers are on
+// the wire.
 type Link uint8
 
 // The states of a link.
 const (
-	LinkUnknown       Link = iota // not probed recently
-	LinkBidirectional             // the member acknowledged a probe
-	LinkInboundOnly               // its messages arrive here, but it acknowledges no probe: messages to it are lost
+	LinkUnknown       Link = iota // recently, no message of the member arrived and no probe of it was missed
+	LinkBidirectional             // its messages arrive here, and no recent probe of it was missed
+	LinkInboundOnly               // its messages arrive here, but it acknowledges no probe, so messages to it are lost
 	LinkDown                      // it acknowledges no probe and sends nothing
 )
 
@@ -93,7 +93,7 @@
 	Version string `json:"Version"`
 	Incarnation
 	Phase  Phase `json:"Phase"`
-	Number int   `json:"Number"` // index of the ingress, from 0, in the ingress sets of clients
+	Number int   `json:"Number"` // index of the ingress in the configuration of the fleet, from 0
 }
 
 // Status is a member and its state by the view of this process.
@@ -109,7 +109,8 @@
 type ReachabilityLevel uint8
 
 // The levels. Actions on all ingresses are allowed at Majority and Complete only. Two parts of a partitioned fleet
-// are never both at one of these levels, as each of them reaches more than half of the last agreed membership.
+// are never both at one of these levels, because an ingress is at them only while it reaches more than half of the last
+// agreed membership.
 const (
 	Partitioned ReachabilityLevel = iota // at most half of the last agreed membership is reached, or nothing is known
 	Majority                             // more than half of it, but not all
@@ -120,11 +121,11 @@
 
 func (r ReachabilityLevel) String() string { return reachabilityLevelNames[r] }
 
-// Reachability is the level of an ingress's contact with the fleet, with the time for which it holds.
+// Reachability is the level of an ingress's contact with the fleet, with the time for which it is valid.
 type Reachability struct {
 	Level  ReachabilityLevel
 	Since  Seconds // when Level began
-	Until  Seconds // when the conclusion expires; from then on the level is Partitioned
+	Until  Seconds // when Level expires, unless it is renewed; from then on it is Partitioned
 	Alive  int     // members that are alive, this one included
 	Agreed int     // members of the last agreed membership, this one included
 }
--- a/internal/standalone/fleet/membership/updates.go
+++ b/internal/standalone/fleet/membership/updates.go
@@ -87,7 +87,7 @@
 	v.dirty = true
 }
 
-// resetIncarnation discards the state that rests on messages of a member's earlier process.
+// resetIncarnation discards the state that was derived from messages of a member's earlier process.
 func (p *peer) resetIncarnation() {
 	p.lastSeq = 0
 	p.lastContact = 0
--- a/internal/standalone/fleet/membership/view.go
+++ b/internal/standalone/fleet/membership/view.go
@@ -18,7 +18,7 @@
 // Durations, in seconds.
 const (
 	restartGracePeriod = 3.0  // time from ProtocolRestarted until members that weren't reported again count as dead
-	deadMemberTTL      = 3600 // time until a dead member is removed, unless this ingress is partitioned
+	deadMemberTTL      = 3600 // time until a member that is dead or has left is removed, see removeExpired
 	persistInterval    = 1.0  // minimum time between two PersistView actions
 )
 
@@ -44,7 +44,7 @@
 	firstMissProbedAt     Seconds     // time at which the first of these was sent
 	lastProbeMissed       bool        // the last probe was missed, and no message has arrived since it was sent
 	finalProbePending     bool        // declared dead by the protocol, and the final probe is not over
-	unreportedIncarnation Incarnation // a later one that sent messages, but that the protocol hasn't reported
+	unreportedIncarnation Incarnation // a later incarnation that sent messages and that the protocol hasn't reported
 
 	// State that the view publishes, combined from the two above.
 	publishedState State
@@ -176,8 +176,8 @@
 }
 
 // expireUnconfirmed declares members dead that the restarted protocol hasn't reported again within restartGracePeriod,
-// once there has been contact with another member. They get no final probe, because this process was away for as long
-// as they were.
+// once there has been contact with another member. They get no final probe, because this process itself was
+// suspended while it received nothing from them.
 func (v *View) expireUnconfirmed(now Seconds) {
 	if v.lastContact == 0 || now < v.protocolRestartedAt+restartGracePeriod {
 		return
--- a/internal/standalone/fleet/membership/walk_test.go
+++ b/internal/standalone/fleet/membership/walk_test.go
@@ -33,9 +33,9 @@
 const (
 	walkEvents = 60 // events of a random walk
 	walkSelf   = "me"
-	// Bounds on the pending probes and the results that a view of four members keeps.
-	maxWalkProbes  = 8
-	maxWalkResults = 40
+
+	maxWalkProbes  = 8  // pending probes that a view may keep, in addition to one for each member
+	maxWalkResults = 40 // results of probes that a view may keep
 )
 
 // modelMember is the state of a member in the model.
--- a/internal/standalone/fleet/quotasync/service.go
+++ b/internal/standalone/fleet/quotasync/service.go
@@ -18,7 +18,7 @@
 	quotaTopic gossip.Topic = 10 // for quotashare.Message
 
 	tickInterval = 100 * time.Millisecond // time between two ticks of the allocator
-	maxTickDelay = time.Second            // time since the last tick after which the process counts as suspended
+	maxTickDelay = time.Second            // a longer time between two ticks means that the process was suspended
 	queueLength  = 1024                   // messages; further ones are dropped, like messages that the network loses
 )
 
