--- a/internal/standalone/fleet/quorum/boltstore/doc.go
+++ b/internal/standalone/fleet/quorum/boltstore/doc.go
@@ -1,4 +1,5 @@
-// Package boltstore is a quorum.Store in a bbolt file: each batch is one transaction, synced before Save returns.
+// Package boltstore implements quorum.Store in a bbolt file. Each batch is one transaction, which is synced to disk
+// before Save returns.
 //
 // Values carry checksums, because bbolt has checksums only in its meta pages. If a file does not hold what was written,
 // Open returns quorum.ErrCorrupt, and the voter does not vote under its id again. The owner of a Store closes it; its
--- a/internal/standalone/fleet/quorum/bootstrap.go
+++ b/internal/standalone/fleet/quorum/bootstrap.go
@@ -11,8 +11,8 @@
 	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
-// sendHello asks the other voters how far they have seen this voter, until a majority has responded. A voter that is
-// not bootstrapped sends its id to the configured voters.
+// sendHello asks the other voters up to which boot and entry they have seen this voter, until a majority has responded.
+// A voter that is not bootstrapped sends its id to the configured voters.
 func (v *Voter) sendHello() {
 	if v.state == Voting || v.ticks%helloTicks != 0 {
 		return
@@ -52,7 +52,8 @@
 }
 
 // bootstrapIfComplete bootstraps the configured voters as one group, once each of them has reported that its store
-// knows no voters. The first voter by name starts it, and receiveHello repeats the message to voters that missed it.
+// knows no voters. The first voter by name does this. The others learn the voters from the response to their next
+// hello, see receiveHello.
 func (v *Voter) bootstrapIfComplete() {
 	if v.state != Unformed || len(v.configured) == 0 || v.configured[0] != v.name {
 		return
@@ -69,7 +70,8 @@
 	}
 }
 
-// bootstrap starts the log with a snapshot of an empty table. The snapshot is the same at each voter.
+// bootstrap starts the log with a snapshot of an empty table. The snapshot is the same at each voter that is given the
+// same tokenBase.
 func (v *Voter) bootstrap(voters map[uint64]string, tokenBase uint64) {
 	table := singleton.NewLeaseTable()
 	table.LastToken = tokenBase
--- a/internal/standalone/fleet/quorum/load_test.go
+++ b/internal/standalone/fleet/quorum/load_test.go
@@ -131,8 +131,8 @@
 	return count
 }
 
-// TestLoad checks that many ingresses can hold many roles, also when all request at once after the voters were cut off.
-// It logs load figures; those of the design note come from
+// TestLoad checks that many ingresses can hold many roles, even if all request them at once after their requests did
+// not reach the voters for a while. It logs load figures; those of the design note come from
 // MULLEIN_LONG=1 go test ./internal/standalone/fleet/quorum -run Load -v.
 func TestLoad(t *testing.T) {
 	ingresses, roles := 30, 6
--- a/internal/standalone/fleet/quorum/receive.go
+++ b/internal/standalone/fleet/quorum/receive.go
@@ -50,11 +50,12 @@
 }
 
 // receiveHello responds with the progress at which this voter has seen the sender. If the sender is not bootstrapped,
-// its id is recorded, so that it can be bootstrapped or added.
+// its id is recorded, so that it can be bootstrapped or added. If it belongs to a group that is already bootstrapped,
+// it is sent the voters of the group.
 func (v *Voter) receiveHello(e envelope, known PeerProgress, stale bool) {
 	if e.Bootstrapped {
 		delete(v.unbootstrapped, e.Name)
-		if !stale { // the boot of the sender's present process is no sign of a rollback
+		if !stale { // no later boot of the sender was seen, so its boot count is no sign of a rollback
 			known.Boot = 0
 		}
 		v.send(e.Name, envelope{
@@ -69,7 +70,7 @@
 		return
 	}
 	v.unbootstrapped[e.Name] = e.From
-	if v.durable.VoterNames[e.From] == e.Name { // the sender has missed the bootstrap
+	if v.durable.VoterNames[e.From] == e.Name { // the group is bootstrapped, and the sender doesn't know it yet
 		v.send(e.Name, envelope{Kind: kindBootstrap, Voters: v.durable.VoterNames, TokenBase: v.table.LastToken})
 	}
 }
--- a/internal/standalone/fleet/quorum/simulation_checks_test.go
+++ b/internal/standalone/fleet/quorum/simulation_checks_test.go
@@ -45,7 +45,7 @@
 	s.lastEffectAt = s.now
 }
 
-// confirmation is an operation on the register of the role's holder: a leader confirms a lease.
+// confirmation is an operation on the register of the role's holder, by which a leader confirms a lease.
 type confirmation struct {
 	token  uint64
 	holder string
@@ -96,14 +96,14 @@
 	return count
 }
 
-// checkProgress checks that a machine has acted in the last second, and after the time since. It checks nothing if no
-// majority of the voters votes.
+// checkProgress checks that a machine has acted in the last second, and that the last action is not the one at the time
+// since. It checks nothing if no majority of the voters votes.
 func (s *simulation) checkProgress(since float64) {
 	if len(s.problems) > 0 || 2*s.votingCount() <= s.voterCount {
 		return
 	}
 	if s.lastEffectAt == since || s.now > s.lastEffectAt+1 {
-		s.reportProblem("nobody acts %d s after the end of all faults, with %d of %d voting",
+		s.reportProblem("no machine acts %d s after the end of all faults, with %d of %d voting",
 			recoverySeconds, s.votingCount(), s.voterCount)
 	}
 }
@@ -128,7 +128,7 @@
 			continue
 		}
 		if last := m.voter.table.LastToken; last < s.lastToken {
-			s.reportProblem("%s knows token %d, and %d was acted under", m.name, last, s.lastToken)
+			s.reportProblem("%s knows token %d, and a machine acted under %d", m.name, last, s.lastToken)
 		}
 	}
 }
--- a/internal/standalone/fleet/quorum/simulation_faults_test.go
+++ b/internal/standalone/fleet/quorum/simulation_faults_test.go
@@ -54,7 +54,7 @@
 }
 
 // loseStore empties a voter's store. At most a minority of the voters lose their stores, because the simulation doesn't
-// replace such voters: if all lost their stores one after another, they would bootstrap a new group.
+// replace such voters, and if all lost their stores one after another, they would bootstrap a new group.
 func (s *simulation) loseStore(m *machine) {
 	if s.lostStores >= (s.voterCount-1)/2 || slices.Index(s.machines, m) >= s.voterCount {
 		return
--- a/internal/standalone/fleet/quorum/simulation_test.go
+++ b/internal/standalone/fleet/quorum/simulation_test.go
@@ -14,7 +14,7 @@
 
 const (
 	simulatedRole  = "export"
-	stallThreshold = 1.0 // seconds of a machine's clock without a tick
+	stallThreshold = 1.0 // seconds without a tick, by a machine's clock, after which the machine counts as paused
 )
 
 // machine is one ingress of the simulated fleet. Each is a candidate for the role, and all but the last are voters.
--- a/internal/standalone/fleet/quorum/status.go
+++ b/internal/standalone/fleet/quorum/status.go
@@ -14,8 +14,8 @@
 const (
 	// Unformed means that the store knows no voters, and that the voter waits to be bootstrapped or added.
 	Unformed State = "unformed"
-	// Waiting means that the voter asks the others how far they have seen it, and does not vote until a majority has
-	// confirmed that its store is not behind.
+	// Waiting means that the voter asks the others up to which boot and entry they have seen it, and does not vote
+	// until a majority has confirmed that its store is not behind.
 	Waiting State = "waiting"
 	// Voting means that the voter takes part in raft's elections and replication.
 	Voting State = "voting"
@@ -57,5 +57,5 @@
 // Table returns the table of leases as far as this voter has applied the log. It must not be changed.
 func (v *Voter) Table() *singleton.LeaseTable { return v.table }
 
-// Candidates returns the names of the candidates for a role, if this voter leads.
+// Candidates returns the names of the candidates for a role. The result is out of date unless this voter leads.
 func (v *Voter) Candidates(role string) []string { return v.manager.Candidates(role) }
--- a/internal/standalone/fleet/quorum/store.go
+++ b/internal/standalone/fleet/quorum/store.go
@@ -33,10 +33,10 @@
 
 // Batch is a set of changes that a Store stores completely or not at all.
 type Batch struct {
-	HardState  *pb.HardState // nil: unchanged
-	Snapshot   *pb.Snapshot  // nil: none; entries up to its index may be deleted, except the last few
-	Replace    bool          // the snapshot comes from another voter and replaces all entries
-	Entries    []*pb.Entry   // replace all stored entries from the first one's index on
-	VoterNames map[uint64]string
-	Peers      map[uint64]PeerProgress
+	HardState  *pb.HardState           // nil: unchanged
+	Snapshot   *pb.Snapshot            // nil: none; entries up to its index may be deleted, except the last few
+	Replace    bool                    // the snapshot comes from another voter and replaces all entries
+	Entries    []*pb.Entry             // replace all stored entries from the first one's index on
+	VoterNames map[uint64]string       // nil: unchanged
+	Peers      map[uint64]PeerProgress // replaces what is stored
 }
--- a/internal/standalone/fleet/quorum/voter.go
+++ b/internal/standalone/fleet/quorum/voter.go
@@ -22,10 +22,10 @@
 	snapshotEvery   = 2000 // entries between two snapshots, which bound the log
 	retainedEntries = 200  // entries kept before a snapshot, so that voters a little behind need no snapshot
 
-	maxProposalBytes   = 64 << 10 // bytes of one encoded command
+	maxProposalBytes   = 64 << 10 // bytes of one encoded command; a longer one is not proposed
 	maxMessageBytes    = 8 << 20  // bytes of an envelope; large enough for a snapshot of the largest table
 	maxAppendBytes     = 1 << 20  // bytes of the entries in one message of raft
-	maxUncommitted     = 1 << 20  // bytes of the entries that are proposed and not committed
+	maxUncommitted     = 1 << 20  // bytes of the entries that are proposed and not committed; raft drops further ones
 	maxInflightAppends = 64       // unacknowledged append messages to one voter
 
 	reopenInterval = 0.5 // seconds between two attempts to open the store
@@ -243,7 +243,7 @@
 	}
 }
 
-// retire stops the voter for good: it sends nothing under its id any more.
+// retire stops the voter for good, so that it sends nothing under its id any more.
 func (v *Voter) retire(reason string) {
 	v.state, v.reason, v.node = Retired, reason, nil
 	v.loseLeadership()
--- a/internal/standalone/fleet/quorum/voter_test.go
+++ b/internal/standalone/fleet/quorum/voter_test.go
@@ -90,7 +90,7 @@
 	case s.votingCount() != s.voterCount-1:
 		return fmt.Errorf("%d voters vote, want %d", s.votingCount(), s.voterCount-1)
 	case s.now > s.lastEffectAt+1:
-		return fmt.Errorf("nobody has acted since %.1f s, it is %.1f s", s.lastEffectAt, s.now)
+		return fmt.Errorf("no machine has acted since %.1f s, and it is %.1f s now", s.lastEffectAt, s.now)
 	}
 	return nil
 }
@@ -118,7 +118,7 @@
 		voter.Tick(now)
 	}
 	if voter.state != Waiting {
-		return fmt.Errorf("voter that nobody has confirmed is %s, want %s", voter.state, Waiting)
+		return fmt.Errorf("voter that no other voter has confirmed is %s, want %s", voter.state, Waiting)
 	}
 	for id, name := range voter.durable.VoterNames {
 		if id == voter.durable.ID {
