--- a/internal/standalone/fleet/quotashare/allocator.go
+++ b/internal/standalone/fleet/quotashare/allocator.go
@@ -9,7 +9,7 @@
 	maxCustomers           = 20000 // customers with state
 	maxCustomersPerMessage = 2000  // reports
 	maxPeers               = 1024  // other ingresses with state
-	maxSentMessages        = 64    // remembered for one peer
+	maxSentMessages        = 64    // messages to one peer whose loans are remembered
 	maxNameBytes           = 64    // length of the name of an ingress, customer or counter entry
 	maxRate                = 1e9   // units a second; greater values are rejected
 )
@@ -17,8 +17,8 @@
 // idleTTL is the time after which a customer without requests or a silent peer is removed, in seconds.
 const idleTTL = 30.0
 
-// Allocator is the state machine of one ingress: customers, loans of quota, the health of the counter and votes. It is
-// not safe for concurrent use.
+// Allocator is the state machine of one ingress. It holds the customers, the loans of quota, the health of the counter
+// and the votes against servers. It is not safe for concurrent use.
 type Allocator struct {
 	options   Options
 	startedAt Seconds
--- a/internal/standalone/fleet/quotashare/counterhealth.go
+++ b/internal/standalone/fleet/quotashare/counterhealth.go
@@ -12,14 +12,19 @@
 // the sum that this ingress and the other gateways have added. An impossible total means that the counter was restarted
 // empty or from an old state, or that parts of the fleet use different counters.
 const (
-	maxUnansweredCalls = 4   // unanswered calls in a row before the counter is distrusted
-	answerTimeout      = 1.0 // seconds since the last answer before the counter is distrusted
-	answersToTrust     = 3   // answers in a row before the counter is trusted again
+	// The counter counts as not answering only if both limits are reached, so that neither a short burst of unanswered
+	// calls nor a pause between calls is enough.
+	maxUnansweredCalls = 4   // unanswered calls in a row
+	answerTimeout      = 1.0 // seconds since the last answer
+
+	answersToTrust = 3 // answers in a row before the counter is trusted again
+
 	// initialDistrust is how long the counter is distrusted after the first impossible total, in seconds. It is longer
-	// than a counter cycle, and is doubled with each further impossible total up to maxDistrust.
+	// than a cycle of the counter, after which amounts are added under new names. The time is doubled, up to
+	// maxDistrust, each time that the counter returns an impossible total after it was trusted again.
 	initialDistrust    = 8.0
 	maxDistrust        = 64.0  // longest distrust after an impossible total, seconds
-	distrustResetAfter = 120.0 // seconds without an impossible total until the next one counts as the first
+	distrustResetAfter = 120.0 // seconds after the end of a distrust from which an impossible total counts as the first
 
 	relativeTolerance = 2e-5 // fraction of a total, allowed for rounding
 	absoluteTolerance = 1e-6 // units, allowed for rounding
@@ -130,9 +135,9 @@
 	return ch.setTrusted(false, reason)
 }
 
-// distrust sets how long the counter is distrusted after an impossible total. The time grows with each impossible
-// total: if parts of a fleet use different counters, the totals of names that only one part uses keep looking
-// plausible, so that the counter would be trusted again and again.
+// distrust sets how long the counter is distrusted after an impossible total. The time grows each time that the counter
+// was trusted again before, because if parts of a fleet use different counters, the totals of names that only one part
+// uses keep looking plausible, so that the counter would be trusted again and again.
 func (ch *counterHealth) distrust(now Seconds) {
 	ch.distrustFor = min(maxDistrust, 2*ch.distrustFor)
 	if ch.distrustFor == 0 || now > ch.distrustedUntil+distrustResetAfter {
--- a/internal/standalone/fleet/quotashare/doc.go
+++ b/internal/standalone/fleet/quotashare/doc.go
@@ -14,8 +14,8 @@
 // The package does no I/O, reads no clock and starts no goroutine: Allocator.Step takes an event and the time
 // and returns actions. Times are seconds of the host's monotonic clock, whose rate differs from real
 // time by at most MaxClockDrift. It imports the decision module for grants, package membership for incarnations, and
-// internal/mutants. quotasync.Service owns its state, which is not stored. Messages travel between
-// processes as CBOR with numbered keys, the status as JSON: their tags must not change.
+// internal/mutants. quotasync.Service owns its state, which is not stored. Messages are sent between
+// processes as CBOR with numbered keys, and the status is reported as JSON, so their tags must not change.
 //
 // The tests simulate a fleet with a counter and a faulty network (simulation_test.go); mutants_test.go seeds faults
 // into the code that they must find. Whole processes are tested in emulator/faulttest.
--- a/internal/standalone/fleet/quotashare/events.go
+++ b/internal/standalone/fleet/quotashare/events.go
@@ -41,7 +41,7 @@
 	ServerCount      int      // length of this ingress's endpoint list
 }
 
-// Paused reports that the process was suspended. The loans to this ingress are dropped, because their leases have
+// Paused reports that the process was suspended. The loans to this ingress are dropped, because their leases may have
 // expired.
 type Paused struct{}
 
--- a/internal/standalone/fleet/quotashare/grants.go
+++ b/internal/standalone/fleet/quotashare/grants.go
@@ -20,7 +20,7 @@
 	ReservedShare = 0.25
 
 	leaseMargin = 0.1 // extra wait beyond clock drift before a lender reclaims a loan, seconds
-	grantTTL    = 1.0 // seconds for which SetGrants is valid
+	grantTTL    = 1.0 // seconds for which SetGrants is valid, so that a suspended process doesn't use old grants
 )
 
 // usesCounter reports whether a customer's quota is enforced by the counter. That is the case if this ingress and each
@@ -39,7 +39,8 @@
 }
 
 // ownShare returns this gateway's own share of a quota and how much of it may be lent, in units a second. Until the
-// loans of an earlier process of this ingress have ended, the share is only the part that is never lent.
+// loans of an earlier process of this ingress have ended, and once another process uses the ingress's name, the share
+// is only the part that is never lent.
 func (a *Allocator) ownShare(now Seconds, c *customer) (share, lendable float64) {
 	even := c.evenShare()
 	if a.nameLost || now < a.startedAt+ReclaimDelay && !mutants.On("quotashare/promises-forgotten") {
--- a/internal/standalone/fleet/quotashare/votes.go
+++ b/internal/standalone/fleet/quotashare/votes.go
@@ -11,15 +11,15 @@
 // while enough ingresses with recent messages vote against it. The decision module's own recent observations take
 // precedence; a warning only raises the cost of a server.
 const (
-	votesPerRound        = 4   // receivers of the votes per round of messages
+	votesPerRound        = 4   // receivers of the votes at each tick
 	voteTTL              = 6.0 // validity of a vote, seconds
 	minVotes             = 3   // votes of different ingresses that are needed for a warning; see suspectServers
 	warnedServersDivisor = 3   // at most 1/3 of the endpoint list is warned of
 	maxVotesPerPeer      = 64  // a message with more votes is ignored
 )
 
-// isCredible reports whether the votes in a message count. Votes against more than a third of the sender's servers
-// rather indicate that the sender itself is unhealthy.
+// isCredible reports whether the votes in a message count. Votes against more than a third of the sender's servers are
+// ignored, because the cause is more likely at the sender itself.
 func (m Message) isCredible() bool {
 	return len(m.UnhealthyServers) <= max(1, m.ServerCount)/3 && len(m.UnhealthyServers) <= maxVotesPerPeer
 }
--- a/internal/standalone/fleet/revisionlog/log.go
+++ b/internal/standalone/fleet/revisionlog/log.go
@@ -12,7 +12,7 @@
 // Timing of messages, in Seconds.
 const (
 	gatherTimeout  = 1.5                // longest wait of a new lease holder for the inventories of live peers
-	minGatherTime  = resendInterval / 4 // shortest wait, even if all live peers have sent theirs
+	minGatherTime  = resendInterval / 4 // shortest wait, even if all live peers have sent theirs or none is known yet
 	resendInterval = 1.0                // time until an unconfirmed message is sent again
 	queryInterval  = 5.0                // time between two queries of a peer by the lease holder
 )
--- a/internal/standalone/fleet/revisionlog/log_test.go
+++ b/internal/standalone/fleet/revisionlog/log_test.go
@@ -7,8 +7,8 @@
 
 // checkSuccession simulates a lease holder that announces a revision to only one peer and is then killed. The file of
 // its successor has a different revision under the same number, so the successor must query the peer first and announce
-// its predecessor's revision. Messages of the predecessor that arrive later must have no effect. The tests of seeded
-// faults expect an error.
+// its predecessor's revision. Messages of the predecessor that arrive later must have no effect. The test of seeded
+// faults expects an error from this check or from a simulated fleet.
 func checkSuccession() error {
 	subscriber, successor := New(Record{}), New(Record{})
 	first := Entry{Number: 1, Token: 1, Digest: "first", Text: []byte("first")}
--- a/internal/standalone/fleet/revisionlog/messages.go
+++ b/internal/standalone/fleet/revisionlog/messages.go
@@ -53,7 +53,7 @@
 // Message is a message between ingresses.
 type Message struct {
 	Kind    MessageKind `cbor:"1,keyasint"`
-	Token   uint64      `cbor:"2,keyasint,omitempty"` // in an Inventory the newest known token, else the lease holder's
+	Token   uint64      `cbor:"2,keyasint,omitempty"` // Inventory: newest known; Submit: 0; else the lease holder's
 	Entries []Entry     `cbor:"3,keyasint,omitempty"`
 }
 
--- a/internal/standalone/fleet/revisionlog/simulation_test.go
+++ b/internal/standalone/fleet/revisionlog/simulation_test.go
@@ -169,7 +169,7 @@
 	}
 }
 
-// writeRevision writes a revision into the file of one ingress. Some numbers are used for two revisions.
+// writeRevision writes a revision into the file of one ingress. Some numbers are used for more than one revision.
 func (s *simulation) writeRevision() {
 	if s.lastNumber == 0 || s.rng.IntN(3) > 0 {
 		s.lastNumber++
--- a/internal/standalone/fleet/singleton/encoding_test.go
+++ b/internal/standalone/fleet/singleton/encoding_test.go
@@ -8,8 +8,8 @@
 	"mulleinrouter/internal/standalone/goldentest"
 )
 
-// TestEncodingOfLandedVersion checks that the wire and disk formats stay compatible: the files under testdata/landed
-// were written by commit 76a3bb5, before the types and fields were renamed.
+// TestEncodingOfLandedVersion checks that the wire and disk formats stay compatible with those of an earlier version.
+// Its files under testdata/landed were written by commit 76a3bb5, before the types and fields were renamed.
 func TestEncodingOfLandedVersion(t *testing.T) {
 	holder := Identity{Name: "n1", Boot: 3, Nonce: 0x1122334455667788}
 	former := Identity{Name: "n2", Boot: 1, Nonce: 2}
--- a/internal/standalone/fleet/singleton/lease_holder.go
+++ b/internal/standalone/fleet/singleton/lease_holder.go
@@ -45,12 +45,12 @@
 type (
 	// SendRequest sends a request to all voters. Only the leader responds. The request may be lost.
 	SendRequest struct{ Request AcquireRequest }
-	// LeaseGained starts the work of a role, under a fencing token, until LeaseLost.
+	// LeaseGained starts the work of a role, under a fencing token, until LeaseLost or StepDown.
 	LeaseGained struct {
 		Role  string
 		Token uint64
 	}
-	// LeaseLost stops the work of a role: its lease has ended.
+	// LeaseLost stops the work of a role, because its lease has ended or the ingress releases the role.
 	LeaseLost struct {
 		Role  string
 		Token uint64
--- a/internal/standalone/fleet/singleton/lease_holder_test.go
+++ b/internal/standalone/fleet/singleton/lease_holder_test.go
@@ -7,7 +7,7 @@
 
 // checkLeaseHolder plays the responses of a leader to a LeaseHolder and returns an error for the first rule that is
 // broken: a lease starts when the request was sent, a grant gives no lease until it is confirmed, and a process that
-// was paused must not act. The tests of seeded faults expect an error.
+// was paused must not act. The test of seeded faults expects an error from this check or from checkLeaseTable.
 func checkLeaseHolder() error {
 	holder := NewLeaseHolder(n1, "a")
 	respond := func(now Seconds, id, token uint64, confirmed bool) {
--- a/internal/standalone/fleet/singleton/lease_manager.go
+++ b/internal/standalone/fleet/singleton/lease_manager.go
@@ -64,13 +64,13 @@
 }
 
 // LeaseManager queues candidates, grants roles and expires leases at the voters' leader. Each voter has one; it does
-// nothing while the voter is not the leader. Its state is neither stored nor replicated: a new leader starts without
+// nothing while the voter is not the leader. Its state is neither stored nor replicated, so a new leader starts without
 // candidates, and waits for a full lease before it expires one.
 type LeaseManager struct {
 	table           *LeaseTable
 	leading         bool
 	leadingSince    Seconds
-	renewedAt       map[string]Seconds     // by role: time of the last renewal, or of becoming leader if that is later
+	renewedAt       map[string]Seconds     // by role: last grant, renewal, expiry proposal or start as leader
 	candidates      map[string][]candidate // by role, in no particular order
 	preferredZone   map[string]string      // by role
 	transferTo      map[string]string      // by role: name of the member that an operator transfers it to
--- a/internal/standalone/fleet/singleton/lease_manager_test.go
+++ b/internal/standalone/fleet/singleton/lease_manager_test.go
@@ -68,7 +68,7 @@
 }
 
 // checkGrantResponse returns an error if the response to a request that does not carry the token of its grant says that
-// the lease is confirmed. A lease must start with a request that carries its token. The tests of seeded faults expect
+// the lease is confirmed. A lease must start with a request that carries its token. The test of a seeded fault expects
 // an error.
 func checkGrantResponse() error {
 	d := newManagerHarness()
--- a/internal/standalone/fleet/singleton/lease_table_test.go
+++ b/internal/standalone/fleet/singleton/lease_table_test.go
@@ -12,7 +12,7 @@
 )
 
 // checkLeaseTable applies commands to a table one after another and returns an error for the first wrong outcome. The
-// tests of seeded faults expect an error.
+// test of seeded faults expects an error from this check or from checkLeaseHolder.
 func checkLeaseTable() error {
 	table := NewLeaseTable()
 	steps := []struct {
--- a/internal/standalone/fleet/singleton/mutants_test.go
+++ b/internal/standalone/fleet/singleton/mutants_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestMutants checks that each seeded fault is found by the tests of one component. The simulated fleets of package
-// quorum cannot find these faults, because a second check masks each of them.
+// quorum find only some of these faults, because a second check masks the others.
 func TestMutants(t *testing.T) {
 	for _, fault := range []string{
 		"token-unchecked",
--- a/internal/standalone/fleet/singleton/timing.go
+++ b/internal/standalone/fleet/singleton/timing.go
@@ -10,20 +10,25 @@
 	LeaseDuration = 3.0
 	// MaxClockDrift bounds how much faster or slower than real time a clock runs, as a fraction.
 	MaxClockDrift = 0.05
-	// SafetyMargin is how long the leader waits after the end of a lease, and how long before its end a holder stops.
+	// SafetyMargin is how long before the end of its lease a holder stops acting, and how much longer the leader waits
+	// after the end than MaxClockDrift requires. It keeps a former holder and the next one from acting at the same
+	// time.
 	SafetyMargin = 0.05
 
-	// expireAfter is how long the leader waits after a renewal before it expires the lease: the holder's clock may be
-	// slow, and the leader's fast, by MaxClockDrift.
+	// expireAfter is how long the leader waits after a renewal before it expires the lease. It is longer than
+	// LeaseDuration, because the holder's clock may be slow, and the leader's fast, by MaxClockDrift.
 	expireAfter = LeaseDuration*(1+MaxClockDrift)/(1-MaxClockDrift) + SafetyMargin
 
-	// renewInterval is the time between an ingress's requests, by which holders renew and candidates apply.
+	// renewInterval is the time between an ingress's requests, by which holders renew leases and candidates stay in the
+	// queue. It is a fraction of LeaseDuration, so that a lease outlasts several lost requests.
 	renewInterval = LeaseDuration / 6
-	// grantDelay is how long a new leader collects candidates before it grants a role.
+	// grantDelay is how long a new leader collects candidates before it grants a role. It is longer than renewInterval,
+	// so that each candidate has sent a request.
 	grantDelay = 0.6
 	// grantRetryInterval is the time after which a proposed grant that was not applied is proposed again.
 	grantRetryInterval = 1.0
-	// candidateTimeout is the time without a request after which a candidate is removed from the queue.
+	// candidateTimeout is the time without a request after which a candidate is removed from the queue. It is longer
+	// than three renewIntervals, so that two lost requests do not remove a candidate.
 	candidateTimeout = 1.6
 )
 
