--- a/internal/standalone/fleet/quotashare/counterhealth.go
+++ b/internal/standalone/fleet/quotashare/counterhealth.go
@@ -144,7 +144,9 @@
 		ch.distrustFor = initialDistrust
 	}
 	if !ch.trusted {
-		ch.distrustFor = max(initialDistrust, ch.distrustFor/2) // the same incident, so the time is not doubled
+		// It is the same incident, so the doubling is undone. At maxDistrust, where nothing was doubled, this halves
+		// the time; distrustedUntil still does not decrease.
+		ch.distrustFor = max(initialDistrust, ch.distrustFor/2)
 	}
 	ch.distrustedUntil = max(ch.distrustedUntil, now+ch.distrustFor)
 	ch.answeredInRow = 0
