--- a/internal/standalone/catalogue/format.go
+++ b/internal/standalone/catalogue/format.go
@@ -25,7 +25,7 @@
 	Holds     string              `hcl:"holds,optional"`
 	Authority string              `hcl:"authority,optional"`
 	Bookable  float64             `hcl:"bookable_rate,optional"`
-	Members   map[string][]string `hcl:"members,optional"` // by plan
+	Members   map[string][]string `hcl:"members,optional"` // members by plan
 	Plans     []hclfile.Plan      `hcl:"plan,block"`
 	Bookings  []hclBooking        `hcl:"booking,block"`
 }
@@ -189,7 +189,8 @@
 	return form
 }
 
-// rfc3339 formats a Unix time for files, rounded to milliseconds. The time 0 gives an empty text.
+// rfc3339 formats a Unix time for files, rounded to milliseconds. The time 0, which means that no time is set,
+// gives an empty text.
 func rfc3339(at decision.Seconds) string {
 	if at == 0 {
 		return ""
--- a/internal/standalone/catalogue/watcher.go
+++ b/internal/standalone/catalogue/watcher.go
@@ -18,11 +18,10 @@
 	OnChange func([]plans.Revision) // called with each valid catalogue, by the goroutine of Run
 	Log      log.Logger
 
-	lastError error // error of the last read; nil: it succeeded
+	lastError error // error of the last read; nil if it succeeded
 }
 
-// Run reads the file, and reads it again whenever it is replaced, until the context ends. An invalid catalogue changes
-// nothing, and each distinct error is logged once in a row.
+// Run reads the file, and reads it again whenever it is replaced, until the context ends.
 func (w *Watcher) Run(ctx context.Context) error {
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
@@ -51,7 +50,8 @@
 	}
 }
 
-// Read reads the file once.
+// Read reads the file once and calls OnChange with its revisions. If the file is invalid, it only logs the error,
+// unless the previous read had the same error.
 func (w *Watcher) Read() {
 	revisions, err := Load(w.Path)
 	if err != nil {
--- a/internal/standalone/plans/capacity.go
+++ b/internal/standalone/plans/capacity.go
@@ -11,8 +11,8 @@
 const (
 	rateTolerance = 1e-9 // relative rounding error allowed in sums of rates
 
-	// unitTolerance, in units, is added before rounding down, so that a whole number of units that fits exactly is not
-	// rounded to the next lower one.
+	// unitTolerance, in units, is added before rounding down, so that a rounding error does not reduce a whole number
+	// of units that fits exactly to the next lower one.
 	unitTolerance = 1e-6
 )
 
--- a/internal/standalone/plans/compiled.go
+++ b/internal/standalone/plans/compiled.go
@@ -81,7 +81,7 @@
 // plan. It returns the same pointer as long as the terms do not change.
 func (c *compiledRevision) lookup(member, plan string, now decision.Seconds) *decision.Terms {
 	terms := c.terms[plan]
-	if terms == nil || terms.Plan.Rate <= 0 {
+	if terms == nil || terms.Plan.Rate <= 0 { // a plan without a rate has no quota that a booking could raise
 		return terms
 	}
 	for i := range c.spans[member] {
--- a/internal/standalone/plans/diff.go
+++ b/internal/standalone/plans/diff.go
@@ -8,8 +8,8 @@
 
 // Change is one difference between two revisions.
 type Change struct {
-	What, Name string // What is plan, member, booking or setting
-	From, To   string // text of the part in either revision; empty: the revision does not have it
+	What, Name string // kind of the part (plan, member, booking or setting), and its name
+	From, To   string // text of the part in either revision; empty if the revision does not have it
 }
 
 // diffKey identifies a part of a revision that is compared: its kind and its name.
--- a/internal/standalone/plans/doc.go
+++ b/internal/standalone/plans/doc.go
@@ -3,9 +3,9 @@
 // period.
 //
 // It is a pure state machine without I/O, clock or goroutines. The caller offers revisions as it receives them,
-// looks up the terms of a member at a time, and learns from Due whose terms have changed. Times are Unix seconds on
-// the clock that ingresses share. All ingresses derive the same terms from the same revisions, in whatever order they
-// receive them.
+// looks up the terms of a member at a given time, and gets the changed terms from Due. Terms are the limits that a plan
+// and bookings give a member (decision.Terms). Times are Unix seconds on the clock that ingresses share. All ingresses
+// derive the same terms from the same revisions, in whatever order they receive them.
 //
 // It may import the decision module, for plans and terms, and no other package of this repository. The caller owns a
 // State and serializes access to it. Package catalogue reads and writes revisions as files, and package node applies
--- a/internal/standalone/plans/errors.go
+++ b/internal/standalone/plans/errors.go
@@ -20,7 +20,7 @@
 	At    decision.Seconds // time within the booking with the least rate left, Unix time
 	Free  float64          // rate left at that time, units per second; negative if it is overbooked already
 	Units float64          // largest number of units that fits in the same period
-	From  decision.Seconds // earliest later start at which the unchanged booking fits, Unix time; 0: there is none
+	From  decision.Seconds // earliest later start at which the unchanged booking fits, Unix time; 0 if there is none
 }
 
 func (c *CapacityError) Error() string {
--- a/internal/standalone/plans/plans_test.go
+++ b/internal/standalone/plans/plans_test.go
@@ -124,7 +124,7 @@
 		}
 		m := CheckCapacity(existing, b, 20)
 		if (m == nil) != fits(b) {
-			t.Fatalf("%v with %v: %v", b, existing, m)
+			t.Fatalf("%v with %v: CheckCapacity returned %v, but a check of every instant disagrees", b, existing, m)
 		}
 		if m == nil {
 			continue
@@ -142,7 +142,7 @@
 			later := Booking{"later", anna, from, from + b.To - b.From, b.Units}
 			if from >= 60 || fits(later) {
 				if (m.From == 0) != (from >= 60) || m.From != 0 && m.From != from {
-					t.Fatalf("%v with %v: from %g on, %g said", b, existing, from, m.From)
+					t.Fatalf("%v with %v: fits from %g on, but CheckCapacity returned %g", b, existing, from, m.From)
 				}
 				moved++
 				break
@@ -303,7 +303,7 @@
 		t.Errorf("clients that still name a removed plan must be served by it (-want +got):\n%s", diff)
 	}
 	if names := strings.Join(s.Plans(), " "); names != "basic plus" {
-		t.Errorf("plans %q, want %q", names, "basic plus")
+		t.Errorf("Plans() = %q, want %q", names, "basic plus")
 	}
 }
 
--- a/internal/standalone/plans/revision.go
+++ b/internal/standalone/plans/revision.go
@@ -33,8 +33,8 @@
 // Revision is one complete state of the catalogue. The command line prints it as JSON under the names of its fields,
 // so they must not change.
 type Revision struct {
-	Number      uint64           // from 1; the highest number whose EffectiveAt has passed is in force
-	EffectiveAt decision.Seconds `json:"Holds"` // Unix time from which it takes effect; 0: as soon as it is received
+	Number      uint64           // from 1; of the revisions whose EffectiveAt has passed, the highest is in force
+	EffectiveAt decision.Seconds `json:"Holds"` // Unix time at which it takes effect; 0 means when it is received
 	Authority   Authority
 	// BookableRate is the largest sum of the rates of all bookings at any instant, in units per second.
 	BookableRate float64           `json:"Bookable"`
--- a/internal/standalone/plans/state.go
+++ b/internal/standalone/plans/state.go
@@ -7,8 +7,8 @@
 	"mulleinrouter/internal/decision"
 )
 
-// maxPending is the maximum number of revisions that are kept, including the one in force. It bounds memory. Only a
-// mistake of operators leads to more pending revisions.
+// maxPending is the maximum number of revisions that are kept, including the one in force. It bounds memory. Operators
+// reach it only by mistake.
 const maxPending = 64
 
 // Verdict is the result of offering a revision.
@@ -38,8 +38,8 @@
 // State is the part of the catalogue that one ingress knows. It is not safe for concurrent use.
 type State struct {
 	base    map[string]*decision.Terms // terms of the settings' plans, used until a revision is in force
-	retired map[string]*decision.Terms // terms of superseded revisions; clients may still name their plans by header
-	known   []*compiledRevision        // by number; the first one may be in force, the others are pending
+	retired map[string]*decision.Terms // last terms of superseded revisions' plans, which clients may still name
+	known   []*compiledRevision        // ordered by number; the first one may be in force, the others are pending
 
 	reportedUntil decision.Seconds  // time of the last call of Due, Unix time
 	reported      *compiledRevision // the revision that was in force at that call
@@ -140,7 +140,7 @@
 }
 
 // Plans returns the names of the plans that clients may name, in order. They include those of pending revisions,
-// because clients may use a revision shortly before this ingress puts it into force.
+// because clients may name a new plan shortly before its revision takes effect at this ingress.
 func (s *State) Plans() []string {
 	var names []string
 	add := func(m map[string]*decision.Terms) {
@@ -157,8 +157,8 @@
 	return slices.Compact(names)
 }
 
-// Due returns the changed terms of the members that the catalogue lists, in order of members. Changed means since the
-// last call. The terms of other members are looked up at their next request.
+// Due returns the terms that have changed since the last call, of the members that the catalogue lists, in order of
+// members. The terms of other members are looked up at their next request.
 func (s *State) Due(now decision.Seconds) (due []decision.Terms) {
 	c, before, since := s.inForce(now), s.reported, s.reportedUntil
 	s.reported, s.reportedUntil = c, now
--- a/internal/standalone/settings/settings.go
+++ b/internal/standalone/settings/settings.go
@@ -7,7 +7,8 @@
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
-// maxIngresses bounds the number of ingresses, so that a mistaken one is rejected.
+// maxIngresses is the largest number of ingresses that is accepted. It is far above any real number, so that only
+// mistakes are rejected.
 const maxIngresses = 100_000
 
 // settingsObject is the JSON form of the settings. The names of its fields are the keys, so they are those of the
@@ -44,8 +45,8 @@
 	Open                                          int
 }
 
-// Decode decodes the settings object that an ingress receives at its start, in the simulator's first message or in the
-// platform's configuration. Unknown keys are ignored. Times are in seconds.
+// Decode decodes the settings object of an ingress, which is in the simulator's first message and in the platform's
+// configuration. Unknown keys are ignored.
 func Decode(raw []byte) (decision.Settings, error) {
 	var o settingsObject
 	if len(raw) == 0 || string(raw) == "null" {
@@ -105,12 +106,15 @@
 	}
 }
 
-// effects maps the names of effects. Any other name means that a request must not run twice.
+// effects maps the names of effects that permit a second execution of a request. Any other name means that a request
+// must not run twice.
 var effects = map[string]decision.Effect{
 	"pure":  decision.Idempotent,
 	"token": decision.IdempotentByKey,
 }
 
+// scopes maps the names of the sets of backends that detect a duplicate request. Any other name means only the backend
+// that got the request.
 var scopes = map[string]decision.Scope{
 	"all":  decision.ScopeAll,
 	"zone": decision.ScopeZone,
--- a/internal/standalone/simprotocol/events.go
+++ b/internal/standalone/simprotocol/events.go
@@ -7,7 +7,7 @@
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
-// retryOption is the bit in a request's options that marks it as a client's retry.
+// retryOption is the mask of the bit in a request's options that marks it as a client's retry.
 const retryOption = 2
 
 // eventDecoders maps message names to the decoders of events that concern only one gateway.
@@ -61,8 +61,8 @@
 	}
 }
 
-// outcomes maps the words of the protocol to outcomes. An unknown word is read as Failed, which proves nothing about
-// what became of the call.
+// outcomes maps the words of the protocol to outcomes. An unknown word is read as Failed, the zero value, which does
+// not prove whether a call or an attempt was executed.
 var outcomes = map[string]decision.Outcome{
 	"done":         decision.Succeeded,
 	"err":          decision.Failed,
--- a/internal/standalone/simprotocol/host.go
+++ b/internal/standalone/simprotocol/host.go
@@ -11,7 +11,8 @@
 	"mulleinrouter/internal/standalone/settings"
 )
 
-// bufferSize is the size of the input and output buffers in bytes.
+// bufferSize is the size of the input and output buffers in bytes. It is large, so that a long line takes few system
+// calls.
 const bufferSize = 1 << 20
 
 // batch is one line of input.
@@ -182,7 +183,8 @@
 	return f.err
 }
 
-// decodeDiscovery decodes an update of the endpoint list.
+// decodeDiscovery decodes a report of discovery. It returns no event if discovery is unavailable, so that the gateway
+// keeps its endpoint list.
 func (h *Host) decodeDiscovery(f *fields) (decision.Event, error) {
 	state := f.text(1)
 	if state == "unavailable" {
--- a/internal/standalone/simprotocol/host_test.go
+++ b/internal/standalone/simprotocol/host_test.go
@@ -61,11 +61,11 @@
 		`{"Ts":2,"frame":2,"groups":[{"I":1,"events":[`+
 			`["STOP"],["FIRED","tick"],["SUBMIT",1,"read","p","k",2,1,1,0,0]]}]}`)
 	if got[1] != `{"frame":2,"groups":[]}` {
-		t.Errorf("got %s", got[1])
+		t.Errorf("got %s, want no actions", got[1])
 	}
 }
 
-func TestMalformedInputIsOneLine(t *testing.T) {
+func TestMalformedInputGivesErrorOfOneLine(t *testing.T) {
 	for _, tc := range []struct{ name, line, want string }{
 		{"not JSON", `hello`, "batch 1: not a batch"},
 		{"an array", `[1]`, "batch 1: not a batch"},
@@ -84,7 +84,7 @@
 				t.Errorf("got %v, want %q in one line", err, tc.want)
 			}
 			if out.Len() != 0 {
-				t.Errorf("wrote %q", out.String())
+				t.Errorf("wrote %q, want no reply", out.String())
 			}
 		})
 	}
