--- a/internal/standalone/node/fleet.go
+++ b/internal/standalone/node/fleet.go
@@ -17,12 +17,13 @@
 
 // Kinds of records in the state folder, which are parts of file names on disk.
 const (
-	membershipRecord  = "fleet" // belongs to the ingress, not to one of its processes
-	leaseRecord       = "duty"
-	revisionLogRecord = "catalogue"
+	membershipRecord  = "fleet"     // belongs to the ingress, not to one of its processes
+	leaseRecord       = "duty"      // belongs to one process, see startLeases
+	revisionLogRecord = "catalogue" // belongs to the ingress
 )
 
-// revisionLength is the number of characters of the build's revision that the fleet sees as its version.
+// revisionLength is the number of characters to which buildRevision abbreviates the build's revision, which an ingress
+// publishes to the fleet as its version.
 const revisionLength = 12
 
 // stateFolder returns the state folder of this ingress for a process. Process 0 means the ingress as a whole.
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// startQuotaSync starts to share quotas and verdicts on servers with the other ingresses.
+// startQuotaSync starts to share quotas and warnings of unhealthy servers with the other ingresses.
 func (n *Node) startQuotaSync(ctx context.Context) {
 	c, self := n.config, n.fleet.Self()
 	n.quotaSync = quotasync.New(quotasync.Options{
--- a/internal/standalone/node/fleetcalls.go
+++ b/internal/standalone/node/fleetcalls.go
@@ -31,7 +31,7 @@
 			return false, nil
 		}
 		return jsonAnswer(n.announcer.Status())
-	case "STATE": // STATE [MEMBER]: the quotas and verdicts on servers that the ingresses share
+	case "STATE": // STATE [MEMBER]: shared quotas, and servers that enough ingresses find unhealthy
 		if n.quotaSync == nil {
 			return false, nil
 		}
@@ -73,7 +73,7 @@
 	return err == nil, []string{string(text), endOfAnswer}
 }
 
-// reachabilityGauge has the values of the gauge ingress.fleet_sure.
+// reachabilityGauge has the values of the gauge ingress.fleet_sure by the name of the reachability level.
 var reachabilityGauge = map[string]int64{
 	membership.Partitioned.String(): 0,
 	membership.Majority.String():    1,
@@ -99,7 +99,7 @@
 	if n.quotaSync == nil {
 		return nil
 	}
-	report := n.quotaSync.Report("-")
+	report := n.quotaSync.Report("-") // no customer has this name, so the report has no details of customers
 	trusted := int64(0)
 	if report.CounterTrusted {
 		trusted = 1
--- a/internal/standalone/node/node.go
+++ b/internal/standalone/node/node.go
@@ -46,7 +46,7 @@
 	reloadsApplied, reloadsRejected atomic.Int64 // configuration files read at SIGHUP
 
 	fleet     *gossip.Fleet           // the other ingresses; nil if no membership is configured
-	quotaSync *quotasync.Service      // shares quotas and verdicts on servers with them; nil if nothing is shared
+	quotaSync *quotasync.Service      // shares quotas and warnings of servers with them; nil if not shared
 	leases    *leaseservice.Service   // leases of singleton roles; nil if no voters are configured
 	announcer *leaseservice.Announcer // orders catalogue revisions; nil if only the catalogue's file is used
 
@@ -55,7 +55,7 @@
 	draining     atomic.Bool    // the listener accepts no new connections
 
 	mu                 sync.Mutex   // guards the fields below
-	planState          *plans.State // nil if plans have not changed since the start
+	planState          *plans.State // nil until a catalogue or a reload first changes the plans
 	lastReloadRevision uint64       // number of the plan revision that the last reload created
 }
 
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// listen opens the client address. An older process of this ingress may listen there, too, so an error means that
-// another program uses the address.
+// listen opens the client address. An older process of this ingress may listen there, too (SO_REUSEPORT), so an error
+// that the address is in use means that another program uses it.
 func (n *Node) listen() (err error) {
 	if n.listener, err = hotrestart.Listen(n.config.Listen); err != nil {
 		return err
--- a/internal/standalone/node/peers.go
+++ b/internal/standalone/node/peers.go
@@ -17,15 +17,22 @@
 
 // Kinds of files in the state folder.
 const (
-	peerRecord      = "record"    // handover record of a process
-	knowledgeRecord = "knowledge" // knowledge that an older process hands over
+	peerRecord      = "record"    // handover.Record of a process
+	knowledgeRecord = "knowledge" // decision.Knowledge that an older process hands over to a newer one
 )
 
 const (
-	heartbeatInterval     = time.Duration(handover.HeartbeatInterval * float64(time.Second))
-	knowledgeTimeout      = time.Second           // for an older process to hand over its knowledge
+	// heartbeatInterval is the time between two exchanges with the other processes.
+	heartbeatInterval = time.Duration(handover.HeartbeatInterval * float64(time.Second))
+
+	// knowledgeTimeout is the time for an older process to hand over its knowledge, which it does at its next
+	// heartbeat. The newer process does not listen until then.
+	knowledgeTimeout      = time.Second
 	knowledgePollInterval = 20 * time.Millisecond // between checks for the knowledge
-	staleRecordSeconds    = 60.0                  // from a killed process's last heartbeat to the removal of its files
+
+	// staleRecordSeconds is the time from a killed process's last heartbeat to the removal of its files. Its record is
+	// ignored much earlier, after handover.LeaseDuration, so the removal only tidies the folder.
+	staleRecordSeconds = 60.0
 )
 
 // peerProcesses exchanges records with other processes of the same ingress, which exist during an upgrade. After the
@@ -35,14 +42,15 @@
 	member *handover.Member
 	log    log.Logger
 
-	handedOver  map[int64]bool // newer processes that have got this one's knowledge
+	handedOver  map[int64]bool // newer processes to which this one's knowledge was handed over
 	failed      bool           // a read or write has failed in this exchange
 	reported    bool           // the failure has been logged
 	overlapping bool           // other processes were live in the last exchange
 }
 
 // newPeerProcesses prepares the exchange with other processes of the same ingress. It returns nil if there is no state
-// folder, or if no second process can listen on the address.
+// folder, or if no second process can listen on the address because the port is 0 (any free port) or the address is
+// invalid.
 func newPeerProcesses(dir, name, listen string, process int64, logger log.Logger) *peerProcesses {
 	if _, port, err := net.SplitHostPort(listen); dir == "" || err != nil || port == "0" {
 		return nil
@@ -97,7 +105,7 @@
 }
 
 // exchange reads the others' records and writes this process's own. It hands over the result of knowledge to each newer
-// process once. If knowledge is nil, there is none yet.
+// process once, or nothing if knowledge is nil.
 func (p *peerProcesses) exchange(knowledge func() decision.Knowledge) handover.View {
 	p.failed = false
 	records, err := p.records()
@@ -138,7 +146,7 @@
 			var knowledge decision.Knowledge
 			if err := p.folder.Read(knowledgeRecord, process, &knowledge); err != nil {
 				p.reportFailure(err)
-			} else if knowledge.At > begun-handover.LeaseDuration {
+			} else if knowledge.At > begun-handover.LeaseDuration { // older knowledge is left from an earlier upgrade
 				return &knowledge
 			}
 		}
@@ -172,8 +180,8 @@
 }
 
 // peerHeartbeat makes one exchange and sets the engine's share of the ingress. While other processes are live, the
-// share expires unless it is renewed, because a process that was stopped and resumes must not use a share that others
-// have taken over.
+// share expires unless it is renewed, because a process that was suspended and resumes must not use a share that others
+// have taken over. With a lease of 0 the share does not expire.
 func (n *Node) peerHeartbeat() {
 	view := n.peers.exchange(n.engine.HandOver)
 	n.newerProcess.Store(len(view.Newer) > 0)
--- a/internal/standalone/node/peers_test.go
+++ b/internal/standalone/node/peers_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// A process that was stopped and resumes must serve no request until it has renewed its share.
+// A process that was suspended and resumes must serve no request until it has renewed its share.
 func TestShareExpires(t *testing.T) {
 	n, _, _ := startNode(t, twoPlans)
 	defer n.Stop()
--- a/internal/standalone/node/reload.go
+++ b/internal/standalone/node/reload.go
@@ -22,8 +22,9 @@
 }
 
 // Reload applies the settings of a newer configuration that can change without a restart: the addresses of discovery
-// and the counter, the static list of servers, the classes of requests and the plans. If it returns an error, nothing
-// has changed.
+// and the counter, the static list of servers, the classes of requests, the limit of attempts, the plans and the keys
+// of the fleet. If it returns an error, nothing has changed, except after an error of the fleet's key file, because the
+// plans and classes are applied before that file is read.
 func (n *Node) Reload(c *config.Config) error {
 	if err := n.checkReload(c); err != nil {
 		return err
@@ -35,7 +36,7 @@
 	n.config.SettingsRaw = c.SettingsRaw
 	if n.fleet != nil {
 		if err := n.fleet.Reload(); err != nil { // reads the key file, which config has just read without an error
-			return err
+			return err // only if the file has changed since then
 		}
 	}
 	if c.Static {
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// reloadPlans applies changed plans as a new revision, which gets the next number of lastReloadRevision. If there is a
+// reloadPlans applies changed plans as a new revision, whose number follows lastReloadRevision. If there is a
 // catalogue, it defines the plans and reloadPlans does nothing.
 func (n *Node) reloadPlans(c *config.Config) error {
 	if n.config.Catalogue != "" || slices.Equal(c.Settings.Plans, n.config.Settings.Plans) {
--- a/internal/standalone/node/shutdown.go
+++ b/internal/standalone/node/shutdown.go
@@ -39,7 +39,8 @@
 	n.stop()
 }
 
-// Stop ends the node at once. Requests in flight get no answer.
+// Stop ends the node without waiting for requests in flight. Their attempts are cancelled, and they get an answer if it
+// can be sent within abortTimeout.
 func (n *Node) Stop() {
 	n.listener.Close()
 	n.server.Drain(0, abortTimeout)
--- a/internal/standalone/node/usage.go
+++ b/internal/standalone/node/usage.go
@@ -20,7 +20,7 @@
 	secondaryDirSuffix = ".beside"
 
 	openDirAttempts  = 5                // attempts after the first, at the secondary and the configured folder in turn
-	lockedDirRetry   = time.Second      // between attempts to open a folder that another process has locked
+	retryInterval    = time.Second      // between attempts to open a locked folder, or to export a leftover batch
 	leftoverInterval = 3 * time.Second  // between checks for records of a process that was killed
 	exportTimeout    = 30 * time.Second // for one batch to be sent and acknowledged
 )
@@ -73,8 +73,8 @@
 	return writer, dir, otherDir, err
 }
 
-// startExporter exports a folder's records until the context ends. If another process is still exporting them, it
-// begins once that process has finished.
+// startExporter exports a folder's records until the context ends. If another process is still exporting them, the
+// export begins once that process has released its lock.
 func (n *Node) startExporter(ctx context.Context, dir string) error {
 	exporter := n.newExporter(dir)
 	err := exporter.Open()
@@ -130,7 +130,7 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(lockedDirRetry):
+		case <-time.After(retryInterval):
 		}
 	}
 }
@@ -179,7 +179,7 @@
 		if err != nil {
 			select {
 			case <-ctx.Done():
-			case <-time.After(lockedDirRetry):
+			case <-time.After(retryInterval):
 			}
 		}
 	}
