--- a/internal/standalone/state/folder.go
+++ b/internal/standalone/state/folder.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxFileBytes is the size of the largest file that is read, in bytes. No ingress writes more, so a larger file is
-	// damaged.
+	// maxFileBytes is the size of the largest file that is read, in bytes. It bounds memory. No ingress writes more, so
+	// a larger file is damaged.
 	maxFileBytes = 32 << 20
 	// filePerm prevents other users of the machine from reading data about customers.
 	filePerm = 0o600
@@ -49,7 +49,8 @@
 	return filepath.Join(f.dir, fmt.Sprintf("%s.%d.%s", f.prefix(), process, kind))
 }
 
-// Write replaces this process's file of a kind atomically. It returns once the file is on disk.
+// Write replaces this process's file of a kind atomically. It returns once the new content is on disk, but a power loss
+// soon afterwards may undo the replacement (see vfs.Replace).
 func (f *Folder) Write(kind string, v any) error {
 	file, err := encode(f.ingress, v)
 	if err != nil {
--- a/internal/standalone/usageexport/doc.go
+++ b/internal/standalone/usageexport/doc.go
@@ -1,6 +1,6 @@
 // Package usageexport sends an ingress's usage to a billing endpoint, so that each batch is billed exactly
-// once. A batch is stored with its number before it is sent, and sent until it is acknowledged. Its bytes are
-// the same each time, so that the endpoint recognises a repetition.
+// once. A batch is stored with its number before it is sent, and it is sent repeatedly until it is acknowledged. Its
+// bytes are the same each time, so that the endpoint recognises a repetition.
 //
 // It imports package dataplane/usage for batches and package usagesegment for the records. Exporter owns the store, a
 // bbolt file in the folder of the segments, and locks it. One transaction stores a batch, the number of the last
--- a/internal/standalone/usageexport/exporter.go
+++ b/internal/standalone/usageexport/exporter.go
@@ -24,13 +24,13 @@
 	Dir       string
 	Endpoint  string        // URL of the billing endpoint
 	Retention time.Duration // how long acknowledged segments are kept after their last write
-	Client    *http.Client  // nil: Open sets a client with the timeout answerTimeout
+	Client    *http.Client  // if nil, Open sets a client with the timeout answerTimeout
 	Log       log.Logger
 
 	db       *bbolt.DB
-	source   string
-	rng      *rand.Rand
-	testHook func(p hookPoint) error // a test's hook; its error makes the exporter fail as if killed; nil: none
+	source   string                  // name of the folder's records
+	rng      *rand.Rand              // for random delays of retries
+	testHook func(p hookPoint) error // set by tests; its error makes the exporter fail as if killed
 }
 
 // hookPoint is a point of the export at which a test may kill the exporter.
@@ -123,9 +123,9 @@
 
 // Result is the outcome of a step.
 type Result struct {
-	Sent       bool // a batch was sent and acknowledged; false without an error means that there is nothing to send
-	Answer     usage.Reply
-	RetryAfter float64 // delay that the endpoint asked for, in seconds; 0: none
+	Sent       bool        // a batch was sent and acknowledged; false without an error means that none is left
+	Answer     usage.Reply // what the endpoint's response means for the batch; Retry if there was no response
+	RetryAfter float64     // delay that the endpoint asked for, in seconds; 0 if it asked for none
 }
 
 // Step sends the stored batch, or makes the next one and sends it. The error is ErrNotAcknowledged for a batch that
--- a/internal/standalone/usageexport/exporter_test.go
+++ b/internal/standalone/usageexport/exporter_test.go
@@ -123,7 +123,7 @@
 				}
 				v, err := e.Verify()
 				if err != nil || len(v.Problems) > 0 || v.Known != known || v.Unknown != unknown || v.InFlight != 1 {
-					t.Errorf("verify: %+v %v", v, err)
+					t.Errorf("Verify() = %+v, %v; want no problems, the billed sums and 1 in flight", v, err)
 				}
 			})
 		}
@@ -254,7 +254,7 @@
 		t.Errorf("got segments %v, want none", list)
 	}
 	if v, err := e.Verify(); err != nil || len(v.Problems) > 0 || v.Known.Requests != 10 {
-		t.Errorf("%+v %v", v, err)
+		t.Errorf("Verify() = %+v, %v; want no problems and 10 known requests", v, err)
 	}
 }
 
@@ -290,13 +290,13 @@
 	defer e.Close()
 	e.Run(ctx)
 	if known, _ := b.Totals().Tally.Total(); known.Requests != 10 {
-		t.Errorf("billed %+v", known)
+		t.Errorf("billed %+v, want 10 requests", known)
 	}
 	got := []int{
 		strings.Count(lines.String(), "usage-export-failed"),
 		strings.Count(lines.String(), "usage-export-resumed"),
 	}
 	if diff := cmp.Diff([]int{1, 1}, got); diff != "" {
-		t.Errorf("%s\n%s", diff, lines)
+		t.Errorf("lines with usage-export-failed and usage-export-resumed (-want +got):\n%s\n%s", diff, lines)
 	}
 }
--- a/internal/standalone/usageexport/send.go
+++ b/internal/standalone/usageexport/send.go
@@ -16,11 +16,11 @@
 
 const (
 	answerTimeout  = 30 * time.Second // for a batch to be sent and answered
-	maxAnswerBytes = 64 << 10         // bytes read of an answer; bounds the memory that the endpoint can make it use
+	maxAnswerBytes = 64 << 10         // bytes read of an answer; bounds memory if the endpoint sends more
 )
 
-// send posts a batch. Headers repeat its number and digest, so that its Idempotency-Key identifies the batch without
-// its body. The result is that of Step, except that Sent is not set.
+// send posts a batch. Headers repeat its source, number and digest, so that the endpoint can identify the batch without
+// reading its body. The result is that of Step, except that Sent is not set.
 func (e *Exporter) send(ctx context.Context, body []byte) (Result, error) {
 	var b usage.Batch
 	if err := json.Unmarshal(body, &b); err != nil {
--- a/internal/standalone/usageexport/store.go
+++ b/internal/standalone/usageexport/store.go
@@ -111,7 +111,7 @@
 }
 
 // storeAcknowledgement moves the batch from the outbox to the acknowledged ones. Every pruneInterval batches it removes
-// the oldest of those.
+// acknowledged ones, so that the last maxSentBatches are kept.
 func (e *Exporter) storeAcknowledgement(body []byte) error {
 	var b usage.Batch
 	if err := json.Unmarshal(body, &b); err != nil {
--- a/internal/standalone/usageexport/verify.go
+++ b/internal/standalone/usageexport/verify.go
@@ -7,8 +7,9 @@
 	"mulleinrouter/internal/standalone/usagesegment"
 )
 
-// maxRequestSegments is the greatest number of segments between the start of a request and its end. A request takes
-// ten minutes at most, and segments are closed about once a minute.
+// maxRequestSegments is the greatest number of segments between the one with the start of a request and the one that
+// adds the request to the bill. A request without an end is billed, with unknown arrival, about ten minutes after its
+// start, and segments are closed about once a minute.
 const maxRequestSegments = 12
 
 // Verification is the outcome of Verify.
@@ -20,7 +21,7 @@
 	Unknown     usage.Sum // sum over all batches of the requests whose arrival is unknown
 	Unmetered   usage.Sum // sum over all batches of the requests that were not recorded
 	NotExported usage.Sum // sum of the records that are in no batch yet
-	InFlight    int       // requests without an end, or whose end is in a segment that is still open
+	InFlight    int       // requests of the last run without a recorded end, which are not billed yet
 	Problems    []string  // empty if none were found
 }
 
@@ -120,7 +121,7 @@
 }
 
 // recorded returns the tally of a batch's segments. It is complete if all of these are kept, and also the earlier
-// segments in which the batch's requests may have begun.
+// segments in which the batch's requests may have started.
 func (v *verifier) recorded(b usage.Batch) (tally usage.Tally, complete bool) {
 	tally = usage.Tally{}
 	complete = true
--- a/internal/standalone/usagesegment/bench_test.go
+++ b/internal/standalone/usagesegment/bench_test.go
@@ -18,7 +18,7 @@
 func BenchmarkSent(b *testing.B) {
 	logger := logtest.Discard()
 	parallel := func(b *testing.B, f func()) {
-		b.SetParallelism(1) // times GOMAXPROCS: four goroutines on four cores
+		b.SetParallelism(1) // one goroutine for each processor (GOMAXPROCS)
 		b.ReportAllocs()
 		b.RunParallel(func(p *testing.PB) {
 			for p.Next() {
--- a/internal/standalone/usagesegment/folder.go
+++ b/internal/standalone/usagesegment/folder.go
@@ -29,7 +29,7 @@
 	folderPerm = 0o755
 	filePerm   = 0o644
 
-	sourceBytes = 8 // random bytes in the source's name, which has them in hexadecimal
+	sourceBytes = 8 // random bytes in the name of the source, which is written in hexadecimal
 )
 
 // Info describes a segment of a folder.
@@ -76,7 +76,8 @@
 	return header, data, nil
 }
 
-// Source returns the name of a folder's records. For a new folder it chooses a random name, which never changes.
+// Source returns the name of a folder's records. If the folder has no name of the right length, it chooses a random one
+// and stores it. The name must not change afterwards, because it and a batch's number identify the batch for billing.
 func Source(dir string) (string, error) {
 	path := filepath.Join(dir, sourceFile)
 	text, err := os.ReadFile(path)
--- a/internal/standalone/usagesegment/segment_test.go
+++ b/internal/standalone/usagesegment/segment_test.go
@@ -106,15 +106,16 @@
 	known, unknown, out, _ := replay(t, dir)
 	if known != (usage.Sum{Requests: 40_000, Units: 60_000 * usage.MicroPerUnit}) ||
 		unknown.Requests != 40_000 || out != 1 {
-		t.Errorf("got known %+v, unknown %+v, %d in flight", known, unknown, out)
+		t.Errorf("got known %+v, unknown %+v, %d in flight; want 40000 requests of 60000 units, 40000, 1",
+			known, unknown, out)
 	}
 	list, _ := List(dir)
 	if len(list) < 3 {
-		t.Errorf("%d segments of %d bytes at most", len(list), segmentSize)
+		t.Errorf("got %d segments of %d bytes at most, want 3 or more", len(list), segmentSize)
 	}
 	for _, s := range list {
 		if info, err := os.Stat(s.Path); err != nil || s.Open || info.Size() > segmentSize {
-			t.Errorf("%+v %v %v", s, info.Size(), err)
+			t.Errorf("segment %+v: %d bytes, error %v; want a closed one of segmentSize at most", s, info.Size(), err)
 		}
 	}
 	left, _ := filepath.Glob(filepath.Join(dir, "*"))
@@ -125,7 +126,8 @@
 	source, run := w.source, w.run
 	w, err = open(dir, time.Minute, logger, c.now, allocate)
 	if err != nil || w.source != source || w.run == run || w.lastNumber != uint64(len(list)+1) {
-		t.Errorf("source %s, segment %d: %v", w.source, w.lastNumber, err)
+		t.Errorf("next run: source %s, segment %d, error %v; want the same source, another run and the next segment",
+			w.source, w.lastNumber, err)
 	}
 	w.Close()
 }
@@ -169,10 +171,11 @@
 	known, unknown, out, missed := replay(t, dir)
 	wantMissed := usage.Sum{Requests: 10, Units: 20 * usage.MicroPerUnit}
 	if known.Units != 4*usage.MicroPerUnit || unknown.Units != 0 || out != 0 || missed != wantMissed {
-		t.Errorf("known %+v, unknown %+v, %d out, missed %+v", known, unknown, out, missed)
+		t.Errorf("got known %+v, unknown %+v, %d in flight, missed %+v; want 4 units, none, 0, 10 requests of 2 units",
+			known, unknown, out, missed)
 	}
 	if n := strings.Count(lines.String(), "usage-full"); n != 1 || strings.Count(lines.String(), "usage-resumed") != 1 {
-		t.Errorf("log:\n%s", lines)
+		t.Errorf("want usage-full and usage-resumed once each in the log:\n%s", lines)
 	}
 }
 
@@ -257,6 +260,6 @@
 	known, unknown, out, _ := replay(t, dir)
 	got := []int64{known.Requests, unknown.Requests, int64(out)}
 	if diff := cmp.Diff([]int64{1, 1, 0}, got); diff != "" || lines.Len() > 0 {
-		t.Errorf("%s\n%s", diff, lines)
+		t.Errorf("known, unknown and in flight (-want +got):\n%s\nwant an empty log:\n%s", diff, lines)
 	}
 }
--- a/internal/standalone/usagesegment/segmentfile.go
+++ b/internal/standalone/usagesegment/segmentfile.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	segmentSize   = 4 << 20         // bytes of a segment, enough for half an hour at 140 requests a second
+	segmentSize   = 4 << 20         // bytes of a segment, enough for about seven minutes at 140 requests a second
 	preallocateAt = segmentSize / 2 // used bytes from which on the next segment is preallocated
 
 	frameSize    = 8        // bytes before a record's payload
 	sealedOffset = 40       // offset in the header, in bytes, of the time when the segment was closed
-	zerosSize    = 64 << 10 // bytes of zeros in one write
+	zerosSize    = 64 << 10 // bytes of zeros in one write of allocate
 )
 
 // segmentFile is a segment that is being written, or a preallocated one.
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// append writes a record. It writes the frame last and in one store; until then, the record does not exist for a
-// reader. It reports whether the next segment should be preallocated now.
+// append writes a record. It writes the frame last and in one store, because a reader ignores a record without a frame,
+// and thus never reads a part of one. It reports whether the next segment should be preallocated now.
 func (s *segmentFile) append(payload []byte) (preallocateNext bool) {
 	copy(s.data[s.used+frameSize:], payload)
 	binary.LittleEndian.PutUint64(s.data[s.used:], usage.Frame(payload))
--- a/internal/standalone/usagesegment/writer.go
+++ b/internal/standalone/usagesegment/writer.go
@@ -17,8 +17,8 @@
 	"mulleinrouter/internal/dataplane/usage"
 )
 
-// maxLateRecords is the number of ends of requests that are kept in memory while the disk is full. Further ones are
-// lost, and their requests are billed with an unknown arrival.
+// maxLateRecords is the largest number of ends of requests that are kept in memory while the disk is full. Further ones
+// are lost, and their requests are billed with an unknown arrival.
 const maxLateRecords = 1 << 16
 
 // Writer writes the records of one run of an ingress. It is safe for concurrent use.
@@ -37,12 +37,12 @@
 	seq        uint64     // sequence number of the last request
 	lastNumber uint64     // number of the newest segment
 	current    *segmentFile
-	spare      *segmentFile   // preallocated segment; nil: none
+	spare      *segmentFile   // preallocated segment; nil if there is none
 	filled     []*segmentFile // full or old segments to be sealed
 	missed     usage.Sum      // requests not recorded since the disk became full
 	late       []usage.Record // ends of recorded requests since then, to be written once there is space
 	closed     bool
-	buffer     []byte
+	buffer     []byte // the encoded record, reused by append
 }
 
 // Open locks a folder, which it creates if needed, and closes the segments that an earlier run left open. The
@@ -115,7 +115,8 @@
 	return nil
 }
 
-// beginSegment begins a new segment. If there is no space for one, recording stops. The caller holds the mutex.
+// beginSegment begins a new segment. If it cannot, usually because the disk is full, recording stops until Run retries.
+// The caller holds the mutex.
 func (w *Writer) beginSegment() {
 	next, err := w.nextSegment()
 	if err != nil {
--- a/internal/standalone/vfs/vfs.go
+++ b/internal/standalone/vfs/vfs.go
@@ -46,8 +46,8 @@
 func (OS) Remove(path string) error { return os.Remove(path) }
 
 // Replace replaces a file atomically, so that a reader sees either the old content or the new one. If it returns
-// nil, the new content is on disk. After an error the file has its old content, unless the rename took effect
-// and was reported as failed.
+// nil, the new content is on disk. It does not sync the folder, so after a power loss the file may have its old content
+// again. After an error the file has its old content, unless the rename took effect and was reported as failed.
 func Replace(fsys FS, path string, data []byte, perm fs.FileMode) (err error) {
 	f, err := fsys.Create(filepath.Dir(path), "."+filepath.Base(path)+"-*", perm)
 	if err != nil {
