--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -24,8 +24,8 @@
 // needs most of the machine's memory.
 const memoryLimit = 32 << 20
 
-// gcPercent is the growth of the heap, in percent, that starts a garbage collection. Half of Go's default keeps the
-// heap small, and collections stay rare because an agent allocates little.
+// gcPercent is the growth of the heap, in percent, that starts a garbage collection. It is half of Go's default, which
+// keeps the heap small. Collections are rare nevertheless, because an agent allocates little.
 const gcPercent = 50
 
 type program struct {
--- a/cmd/control/main.go
+++ b/cmd/control/main.go
@@ -42,15 +42,15 @@
 }
 
 const (
-	// minMemoryLimit is the least memory limit of the Go runtime, in bytes. It applies when the settings do not
-	// state the machine's memory.
+	// minMemoryLimit is the least memory limit of the Go runtime, in bytes. It applies if the settings state no
+	// memory of the machine or too little.
 	minMemoryLimit = 64 << 20
 
 	// gcPercent is the growth of the heap, in percent, that starts a garbage collection. It is half of Go's default
 	// because memory is scarce on these machines.
 	gcPercent = 50
 
-	// dialTimeout bounds the time of connecting to another control node.
+	// dialTimeout bounds the time of connecting to another control node, which may be down.
 	dialTimeout = time.Second
 )
 
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -80,7 +80,7 @@
 }
 
 // allowedImports lists, for each folder at the first level of internal/, the folders of internal/ from which
-// its packages may import. Package decision may be imported by all except the programs of the control plane.
+// its packages may import. The control plane (agent, cluster and control) may not import package decision.
 var allowedImports = map[string][]string{
 	"agent":      {"cluster"},
 	"cluster":    {"cluster", "logging", "mutants"},
@@ -108,7 +108,7 @@
 }
 
 // TestLayers checks that the packages below internal/ import only what allowedImports and importExceptions permit, and
-// that every exception is still needed.
+// that every exception is still needed. Imports by tests are not checked.
 func TestLayers(t *testing.T) {
 	const module = "mulleinrouter/"
 	seen := map[string]bool{}
--- a/internal/layers/packages_test.go
+++ b/internal/layers/packages_test.go
@@ -105,7 +105,7 @@
 			t.Errorf("deploy/system.toml lists %s, which nothing needs", name[1])
 		}
 	}
-	// systemPackages must find the needs of a new dependency too, also while no package of the build has such needs.
+	// systemPackages must also find the needs of a new dependency, even while no package of the build has such needs.
 	found := systemPackages([]goListPackage{{ImportPath: "x", CXXFiles: []string{"a.cc"},
 		CgoLDFLAGS: []string{"-lz", "-lm"}, CgoPkgConfig: []string{"libuv"}}}, false)
 	is.Equal(len(found), 4) // g++, pkg-config, and the packages of libuv and libz
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -57,7 +57,7 @@
 var timestamp = log.TimestampFormat(time.Now, timeLayout)
 
 // lineLogger puts the time, the level and the message first, even if a logger adds keys with log.With, and omits keys
-// whose value is nil.
+// whose value is nil. In JSON only the omission has an effect, because the keys are written in alphabetical order.
 type lineLogger struct {
 	format Format
 	next   log.Logger
@@ -83,8 +83,8 @@
 	return line
 }
 
-// encodable returns the value, or its text if go-kit/log cannot write it in this format. For errors, durations and
-// other values with a String method, go-kit/log writes that text itself in both formats.
+// encodable returns the value, or its text if go-kit/log cannot write it in this format. For errors, and for durations
+// and other values with a String method, go-kit/log writes the text itself in both formats.
 func (l *lineLogger) encodable(value any) any {
 	switch v := value.(type) {
 	case string, int, bool, error, fmt.Stringer, encoding.TextMarshaler:
