--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -49,7 +49,7 @@
 				"error", cockroach.Wrap(cockroach.New(`no "="`), "open"), // the stack trace must not be written
 			)
 			if got := timePattern.ReplaceAllString(text.String(), "TIME"); got != c.want+"\n" {
-				t.Errorf("got %s, want with a time\n%s", text.String(), c.want)
+				t.Errorf("got %s, want, with a time instead of TIME,\n%s", text.String(), c.want)
 			}
 		})
 	}
--- a/internal/standalone/catalogue/catalogue_test.go
+++ b/internal/standalone/catalogue/catalogue_test.go
@@ -192,13 +192,13 @@
 		all, err := Parse("f", b)
 		if err != nil {
 			if !strings.HasPrefix(err.Error(), "f:") || strings.Contains(err.Error(), "\n") {
-				t.Fatalf("%q", err)
+				t.Fatalf("error %q, want one line that begins with the position", err)
 			}
 			return
 		}
 		again, err := Parse("f", Format(all))
 		if err != nil {
-			t.Fatalf("%v of\n%s", err, Format(all))
+			t.Fatalf("Parse() = %v, want no error for the text of Format\n%s", err, Format(all))
 		}
 		if diff := cmp.Diff(all, again); diff != "" {
 			t.Fatal(diff)
--- a/internal/standalone/catalogue/format.go
+++ b/internal/standalone/catalogue/format.go
@@ -22,7 +22,7 @@
 
 type hclRevision struct {
 	Number    string              `hcl:"number,label"`
-	Holds     string              `hcl:"holds,optional"`
+	Holds     string              `hcl:"holds,optional"` // time at which it takes effect; empty means when received
 	Authority string              `hcl:"authority,optional"`
 	Bookable  float64             `hcl:"bookable_rate,optional"`
 	Members   map[string][]string `hcl:"members,optional"` // members by plan
--- a/internal/standalone/plans/capacity.go
+++ b/internal/standalone/plans/capacity.go
@@ -17,7 +17,7 @@
 )
 
 // CheckCapacity returns nil if a further booking, together with the existing ones, stays within the bookable rate
-// (units per second) at every instant.
+// (units per second) at every instant. Otherwise the error has the number of units and the start that would fit.
 func CheckCapacity(existing []Booking, b Booking, bookableRate float64) *CapacityError {
 	at, maxRate := peak(existing, b.From, b.To)
 	if maxRate+b.Rate() <= bookableRate*(1+rateTolerance) {
--- a/internal/standalone/usagesegment/segment_test.go
+++ b/internal/standalone/usagesegment/segment_test.go
@@ -48,8 +48,9 @@
 	fc.at = fc.at.Add(d)
 }
 
-// replay reads all segments of a folder.
-func replay(t *testing.T, dir string) (known, unknown usage.Sum, out int, missed usage.Sum) {
+// replay reads all segments of a folder. It returns the sums of the requests with known and unknown arrival, the number
+// of requests in flight, and the sum of the requests that were not recorded.
+func replay(t *testing.T, dir string) (known, unknown usage.Sum, inFlight int, missed usage.Sum) {
 	t.Helper()
 	list, err := List(dir)
 	if err != nil {
