--- a/internal/standalone/plans/capacity.go
+++ b/internal/standalone/plans/capacity.go
@@ -11,13 +11,13 @@
 const (
 	rateTolerance = 1e-9 // relative rounding error allowed in sums of rates
 
-	// unitTolerance, in units, is added before rounding down, so that a whole number of units that fits exactly is not
-	// rounded to the next lower one.
+	// unitTolerance, in units, is added before rounding down, so that a rounding error does not reduce a whole number
+	// of units that fits exactly to the next lower one.
 	unitTolerance = 1e-6
 )
 
 // CheckCapacity returns nil if a further booking, together with the existing ones, stays within the bookable rate
-// (units per second) at every instant.
+// (units per second) at every instant. Otherwise the error has the number of units and the start that would fit.
 func CheckCapacity(existing []Booking, b Booking, bookableRate float64) *CapacityError {
 	at, maxRate := peak(existing, b.From, b.To)
 	if maxRate+b.Rate() <= bookableRate*(1+rateTolerance) {
