--- a/internal/emulator/faulttest/actions.go
+++ b/internal/emulator/faulttest/actions.go
@@ -18,8 +18,8 @@
 	"mulleinrouter/internal/standalone/fleet/leaseservice"
 )
 
-// upgradeOverlap is how long the old and the new process of an upgrade run at the same time. Operators wait as long, so
-// that health checks have seen the new process before the old one ends.
+// upgradeOverlap is how long the old and the new process of an upgrade run at the same time. Operators wait for the
+// same time, so that health checks have seen the new process before the old one ends.
 const upgradeOverlap = time.Second
 
 // action is a step that is being carried out.
@@ -76,8 +76,7 @@
 	return actions[step.Action](a)
 }
 
-// forEach calls a function with each node and its index in the environment, concurrently, and joins the
-// errors.
+// forEach calls a function with each node and its index in the environment, concurrently, and joins the errors.
 func (a *action) forEach(call func(n *node, i int) error) error {
 	var calls sync.WaitGroup
 	errs := make([]error, len(a.nodes))
@@ -161,7 +160,8 @@
 }
 
 // start starts the nodes that do not run, with the folder that they had, an empty one, or the saved one. It skips nodes
-// that run: a file cannot say which member was the lease holder that an earlier step killed, so it names several.
+// that run, because a file cannot say which member was the lease holder that an earlier step killed, and therefore
+// names several members.
 func (a *action) start() (undo func(), err error) {
 	return nil, a.forEach(func(n *node, i int) error {
 		if n.running() != nil {
--- a/internal/emulator/faulttest/billing.go
+++ b/internal/emulator/faulttest/billing.go
@@ -85,7 +85,7 @@
 	return f
 }
 
-// evaluateStaleRejected checks that billing rejected a batch under an older fencing token.
+// evaluateStaleRejected checks that billing rejected a batch because its fencing token was older or invalid.
 func (e *evaluation) evaluateStaleRejected() Finding {
 	rejected := e.player.rejectedBatches
 	return Finding{Passed: rejected > 0, Text: fmt.Sprintf("%d refused", rejected)}
--- a/internal/emulator/faulttest/catalogue.go
+++ b/internal/emulator/faulttest/catalogue.go
@@ -51,7 +51,8 @@
 	p.catalogueViews = append(p.catalogueViews, view)
 }
 
-// add compares a member's revisions with the newest one and with the digests of those before it, by number.
+// add compares a member's revisions with the newest one that was written, and with the digests that the members added
+// earlier reported, by revision number.
 func (c *catalogueView) add(member string, status leaseservice.AnnouncerStatus, digests map[uint64]string) {
 	newest := uint64(0)
 	for _, entry := range status.Entries {
--- a/internal/emulator/faulttest/clients.go
+++ b/internal/emulator/faulttest/clients.go
@@ -10,8 +10,8 @@
 
 const (
 	clientInterval = 200 * time.Millisecond // between the requests of a client
-	clientTimeout  = 4 * time.Second
-	absenceGrace   = time.Second // time after an absence in which a request may stay unanswered
+	clientTimeout  = 4 * time.Second        // longer than the 2 s in which X-Timeout asks the ingress for a response
+	absenceGrace   = time.Second            // time after an absence in which a request may stay unanswered
 
 	basicTenant = 1 // tenant of the clients; the quota of its plan is never used up
 )
@@ -30,13 +30,12 @@
 	id      string
 	tenant  int
 	tier    string // name of the plan
-	timeout string // in the form of its header: seconds
-	spread  int    // call term: number of ingresses among which the customer's requests are spread
+	timeout string // value of X-Timeout, in seconds
+	spread  int    // term spread of X-Call-Terms: number of ingresses among which the customer's requests are spread
 }
 
-// roundTrip sends the request to an ingress and returns the status of the response. Only the client's
-// timeout ends it early. The end of the fault test does not, because a request that it interrupted would be counted as
-// unanswered.
+// roundTrip sends the request to an ingress and returns the status of the response. Only the client's timeout ends it
+// early. The end of the fault test does not, because a request that it interrupted would be counted as unanswered.
 func (q quoteRequest) roundTrip(client *http.Client, addr string) (status int, err error) {
 	url := fmt.Sprintf("http://%s/api/%016x", addr, q.tenant)
 	request, err := http.NewRequest(http.MethodGet, url, nil)
--- a/internal/emulator/faulttest/config.go
+++ b/internal/emulator/faulttest/config.go
@@ -17,10 +17,10 @@
 const (
 	defaultInterval = "300ms" // interval of health checks between members
 	maxSeeds        = 3       // number of members whose addresses each member joins the fleet with
-	twinHost        = 200     // last number of the address of the first member's twin
+	twinHost        = 200     // last number of the address of the first member's twin; above those of all members
 
 	firstRevision = 1    // number of the first catalogue revision
-	basicRate     = 1000 // units per second, for the first member
+	basicRate     = 1000 // units per second, for the first member; each further member has 1 more (writeRevision)
 	basicBurst    = 1000 // units
 )
 
@@ -35,11 +35,11 @@
 	Number        int // number of the member, from 0
 	Fleet         string
 	GossipAddr    string
-	RelayAddr     string // relay in front of GossipAddr, which other members connect to
-	Seeds         string // quoted, separated by commas
+	RelayAddr     string // address of the relay in front of GossipAddr, to which other members connect
+	Seeds         string // addresses, quoted and separated by commas
 	Interval      string
 	KeyFile       string // empty: gossip is not encrypted
-	Voters        string // quoted, separated by commas; empty: there are none
+	Voters        string // names, quoted and separated by commas; empty: there are none
 	ShareQuotas   bool
 	UsageDir      string // empty: usage is not recorded
 	BillingURL    string
@@ -107,8 +107,8 @@
 }
 `))
 
-// writeConfig writes the configuration file of a member's process, or of its twin. Each process has its own
-// management address.
+// writeConfig writes the configuration file of a member's process, or of its twin, and returns its path. Each process
+// has its own management address, because it chooses a free port.
 func (e *environment) writeConfig(n *node, number int, twin bool) (path string, err error) {
 	config := e.memberConfig(n, number)
 	path = n.dir + ".hcl"
@@ -130,7 +130,7 @@
 	return path, wrapSetup(os.WriteFile(path, []byte(text.String()), 0o644))
 }
 
-// memberConfig returns the configuration of a member's first process.
+// memberConfig returns the configuration of a member's processes other than its twin.
 func (e *environment) memberConfig(n *node, number int) memberConfig {
 	config := memberConfig{
 		Name:          n.name,
@@ -180,8 +180,8 @@
 	return strings.Join(quoted, ", ")
 }
 
-// addTwin changes a configuration to that of another machine with the same name, which has its own addresses and an
-// empty folder.
+// addTwin changes a member's configuration to that of its twin: another machine with the same name, which has its own
+// addresses and an empty folder.
 func (e *environment) addTwin(n *node, number int, config *memberConfig) (err error) {
 	config.Dir = n.dir + ".twin"
 	if err := os.MkdirAll(config.Dir, 0o755); err != nil {
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// writeRevision writes a catalogue revision into a member's file. The content differs between members, also
-// under the same number.
+// writeRevision writes a catalogue revision into a member's file. The content differs between members, also under the
+// same number, so that members with the same content must have received it from the member that announced it.
 func (e *environment) writeRevision(n *node, number uint64) error {
 	basic := decision.Plan{
 		Name:        "basic",
--- a/internal/emulator/faulttest/cost.go
+++ b/internal/emulator/faulttest/cost.go
@@ -8,7 +8,7 @@
 	"mulleinrouter/internal/standalone/fleet/gossip"
 )
 
-// Cost is the average resource use of those members whose process ran all the time.
+// Cost is the average resource use of those members whose process ran from the scenario's start to its end.
 type Cost struct {
 	PacketsPerSecond float64 // sent to other members
 	BytesPerSecond   float64 // sent to other members
@@ -36,7 +36,7 @@
 	return samples
 }
 
-// computeCost sets the report's cost from the samples taken at the start and new ones.
+// computeCost sets the report's cost from the samples taken at the scenario's start and new ones.
 func (p *player) computeCost(before []usageSample) {
 	seconds := time.Since(p.startedAt).Seconds()
 	processes := 0.0
--- a/internal/emulator/faulttest/customers.go
+++ b/internal/emulator/faulttest/customers.go
@@ -13,14 +13,14 @@
 	busyShare    = 0.85 // share of a customer's requests that goes through its busy ingress
 
 	customerInterval = 20 * time.Millisecond // time between two computations of the requests that are due
-	maxDueRequests   = 20                    // limit of due requests; those beyond it are never sent
+	maxDueRequests   = 20                    // per customer and ingress; limits the burst after a stall of the client
 
-	maxCustomerRequests    = 512 // in flight at once
-	customerRequestTimeout = 2 * time.Second
-	maxIdlePerIngress      = 64
-	idleConnTimeout        = time.Second
+	maxCustomerRequests    = 512             // requests of all customers in flight at once
+	customerRequestTimeout = 2 * time.Second // longer than the 1 s in which X-Timeout asks the ingress for a response
+	maxIdlePerIngress      = 64              // number of idle connections that are kept for reuse
+	idleConnTimeout        = time.Second     // time after which an idle connection is closed
 
-	firstCustomerTenant = 0x100
+	firstCustomerTenant = 0x100 // tenant of the first customer, different from basicTenant
 )
 
 // customerClient sends the requests of all customers.
@@ -76,8 +76,8 @@
 	return (1 - busyShare) / float64(max(1, ingresses-1))
 }
 
-// send sends a request without waiting for the response. If maxCustomerRequests are in flight, the request
-// is dropped: the machine is too slow then, and a request that was not sent does not have to be served.
+// send sends a request without waiting for the response. If maxCustomerRequests are in flight, the machine is too slow,
+// and send drops the request. A dropped request affects no expectation, because it does not have to be served.
 func (c *customerClient) send(n *node, customer int, id string) {
 	select {
 	case c.inFlight <- struct{}{}:
--- a/internal/emulator/faulttest/doc.go
+++ b/internal/emulator/faulttest/doc.go
@@ -6,9 +6,10 @@
 // Read, Shipped and Parse make a Scenario of a file (scenario_file.go, parse_step.go); Play runs it (player.go) in an
 // environment of relays and fakes (environment.go) and returns a Report.
 //
-// The package may import the emulator's faultnet, fakes and testcluster, the types that the management calls of an
-// ingress return, and deploy/faulttests, which contains the scenarios that ship. Only the command fault-test and tests
-// import it. Play owns all that it starts: processes, relays, fakes and goroutines have ended when it returns.
+// The package may import the emulator's faultnet, fakes and testcluster, the packages of an ingress that define the
+// replies to its management calls and the files that it reads, the quota counter, and deploy/faulttests, which contains
+// the scenarios that ship. Only the command fault-test and tests import it. Play owns all that it starts: processes,
+// relays, fakes and goroutines have ended when it returns.
 //
 // Tests: those of the file format, the configuration, the evaluators and the report are in this package;
 // cmd/mulleinrouter runs scenarios on processes (TestFaultTests).
--- a/internal/emulator/faulttest/environment.go
+++ b/internal/emulator/faulttest/environment.go
@@ -24,11 +24,11 @@
 )
 
 const (
-	quoteServerCores       = 16
-	quoteServerQueue       = 64
-	quoteServerServiceTime = 2 * time.Millisecond
+	quoteServerCores       = 16                   // number of requests that a quote server executes at the same time
+	quoteServerQueue       = 64                   // number of further requests that may wait at a quote server
+	quoteServerServiceTime = 2 * time.Millisecond // execution time of a request
 
-	gossipKeyBytes = 32
+	gossipKeyBytes = 32 // size of a key for AES-256
 )
 
 // environment holds the members of a fault test with their relays, and the fakes.
@@ -46,7 +46,7 @@
 	directories   []*fakes.Discovery
 	counter       *counter
 	extraCounters []*counter   // those that replace the first one or run in addition to it
-	busyShift     atomic.Int64 // by how many ingresses the customers have moved
+	busyShift     atomic.Int64 // number of ingresses by which each customer's busy ingress has moved
 
 	mu         sync.Mutex        // guards the fields below: twins are added while relays serve
 	memberByIP map[string]string // names of members by the IP address that they connect from
@@ -81,8 +81,8 @@
 	return e, e.writeGossipKeys()
 }
 
-// newAddressPrefix picks a loopback network that very probably no other fault test uses. A port that a member closes
-// must not be reused by a member of another fault test.
+// newAddressPrefix picks a loopback network that very probably no other fault test uses, because a port that a member
+// closes must not be reused by a member of another fault test.
 func newAddressPrefix() string {
 	n := os.Getpid() + 1009*int(environments.Add(1))
 	return fmt.Sprintf("127.%d.%d", 64+n/200%64, 1+n%200)
@@ -137,8 +137,8 @@
 	return e.addFakeRelays(n)
 }
 
-// freeAddr returns an address with a port that no process listens at. Nothing else listens on this IP
-// address, so that the port stays free.
+// freeAddr returns an address with a port that no process listens at. The port stays free, because only the member uses
+// this IP address.
 func freeAddr(ip string) (string, error) {
 	l, err := net.Listen("tcp4", ip+":0")
 	if err != nil {
@@ -154,7 +154,7 @@
 	e.memberByIP[ip] = name
 }
 
-// memberAt returns which member connects from an address.
+// memberAt returns the name of the member that connects from an address, or "stranger" if no member has the address.
 func (e *environment) memberAt(addr net.Addr) string {
 	host, _, _ := net.SplitHostPort(addr.String())
 	e.mu.Lock()
@@ -183,8 +183,8 @@
 	return relay, nil
 }
 
-// addFakeRelays adds relays in front of the fakes for one member only, so that all that arrives at a relay comes from
-// this member.
+// addFakeRelays adds relays in front of the fakes for one member only, so that everything that arrives at one of these
+// relays comes from this member.
 func (e *environment) addFakeRelays(n *node) error {
 	caller := func(net.Addr) string { return n.name }
 	directory := &fakes.Discovery{}
@@ -265,7 +265,7 @@
 	return all
 }
 
-// close ends all that was started, and waits for it.
+// close ends all that was started, and returns once it has ended.
 func (e *environment) close() {
 	e.killProcesses()
 	for _, relay := range e.relays {
--- a/internal/emulator/faulttest/evaluate.go
+++ b/internal/emulator/faulttest/evaluate.go
@@ -18,7 +18,8 @@
 	limit       time.Duration // time limit, multiplied by the slack
 }
 
-// evaluators determine whether an expectation is satisfied, by its kind. They leave Finding.Expectation empty.
+// evaluators contains, by kind of expectation, the functions that determine whether an expectation is satisfied. They
+// leave Finding.Expectation empty.
 var evaluators = map[ExpectationKind]func(*evaluation) Finding{
 	ExpectState:           (*evaluation).evaluateState,
 	ExpectNever:           (*evaluation).evaluateNever,
@@ -61,7 +62,8 @@
 // deadline returns the time by which the expectation must have become true.
 func (e *evaluation) deadline() time.Time { return e.from.Add(e.limit) }
 
-// end returns the end of the period that an expectation of what must never happen applies to.
+// end returns the end of the period that an expectation applies to if it is about a whole period, that is, about what
+// must never happen or about the use of quotas. The slack does not extend this period.
 func (e *evaluation) end() time.Time { return e.from.Add(e.expectation.Within) }
 
 func (e *evaluation) evaluateState() (f Finding) {
@@ -89,8 +91,8 @@
 	return f
 }
 
-// reported returns when a node first reported another one in a state, at a time or later. It returns that time itself
-// if the state was the one reported last before it.
+// reported returns the first time, at from or later, at which a node reported another one in a state. It returns from
+// itself if this was the state that the node had reported last before from.
 func (n *node) reported(member, state string, from time.Time) (at time.Time, ok bool) {
 	before := ""
 	for _, change := range n.stateChanges() {
@@ -172,7 +174,7 @@
 	})
 }
 
-// findObservation looks for the first observation within the limit that satisfies a condition.
+// findObservation looks for the first observation within the time limit that satisfies a condition.
 func (e *evaluation) findObservation(isExpected func(observation) bool) (f Finding) {
 	for _, o := range e.player.observations {
 		if o.at.Before(e.from) || o.at.After(e.deadline()) {
--- a/internal/emulator/faulttest/evaluate_test.go
+++ b/internal/emulator/faulttest/evaluate_test.go
@@ -12,7 +12,7 @@
 	"mulleinrouter/internal/standalone/fleet/gossip"
 )
 
-// newTestPlayer returns a player of three members that do not run, and when its scenario started.
+// newTestPlayer returns a player with three members that do not run, and the time at which its scenario started.
 func newTestPlayer(t *testing.T) (p *player, startedAt time.Time) {
 	t.Helper()
 	startedAt = time.Now()
--- a/internal/emulator/faulttest/leases.go
+++ b/internal/emulator/faulttest/leases.go
@@ -12,15 +12,16 @@
 	"mulleinrouter/internal/standalone/fleet/leaseservice"
 )
 
-// tenure is an observation of who held the lease of the export role, as the leader reported it.
+// tenure is an observation of which member held the lease of the export role, as the leader reported it.
 type tenure struct {
 	at      time.Time
 	ingress string // name of the holder; empty: no member held the lease
 	token   uint64 // fencing token of the lease
-	running bool   // its process ran then, and was not suspended
+	running bool   // the holder's process ran at that time, and was not suspended
 }
 
-// observeTenure asks the members in order, until one answers, who holds the lease of the export role.
+// observeTenure asks the members in order, until one answers, which member holds the lease of the export role. The
+// member that is asked forwards the call to the leader.
 func (p *player) observeTenure() {
 	for _, n := range p.env.nodes {
 		process := n.responsive()
--- a/internal/emulator/faulttest/node.go
+++ b/internal/emulator/faulttest/node.go
@@ -27,7 +27,7 @@
 	callFleet     = "FLEET "    // followed by the number of the last view; returns the view and the changes since
 	callLeases    = "DUTIES"    // the leases of singleton roles
 	callCatalogue = "CATALOGUE" // the announced revisions
-	callState     = "STATE -"   // shared quotas and verdicts on servers
+	callState     = "STATE -"   // shared quotas, and the servers of which other members have warned this one
 	callTransfer  = "GIVE "     // followed by a role and the member that shall hold its lease
 	callLameDuck  = "LAMEDUCK"  // enter lame-duck mode
 	callRejoin    = "REJOIN"    // leave lame-duck mode
@@ -36,22 +36,22 @@
 // node is one member: its addresses, its files and the process that runs there.
 type node struct {
 	name, ip      string
-	clientAddr    string // where its process listens for clients
-	gossipAddr    string // where its process listens for other members
-	relay         *faultnet.Relay
-	counterRelay  *faultnet.Relay
-	discoveryAddr string // of the relay in front of the fake
-	billingAddr   string // of the relay in front of the fake
-	dir           string // folder of its state
-	savedDir      string // copy of dir that a step with ActionSave made
+	clientAddr    string          // where its process listens for clients
+	gossipAddr    string          // where its process listens for other members
+	relay         *faultnet.Relay // in front of gossipAddr
+	counterRelay  *faultnet.Relay // in front of the quota counter
+	discoveryAddr string          // of the relay in front of the fake
+	billingAddr   string          // of the relay in front of the fake
+	dir           string          // folder of its state
+	savedDir      string          // copy of dir that a step with ActionSave made
 
 	mu       sync.Mutex           // guards the fields below
 	process  *testcluster.Process // nil: none runs
 	twin     *testcluster.Process // nil: there is none
-	starts   int
+	starts   int                  // number of processes launched so far, including twins; part of the names of their logs
 	absences []absence
-	lastView uint64         // number of the view that was polled last
-	latest   *gossip.Report // nil: none yet
+	lastView uint64         // number of the view that was polled last; 0: the process was not polled yet
+	latest   *gossip.Report // report that was polled last, possibly of an earlier process; nil: none yet
 	changes  []stateChange
 }
 
@@ -64,7 +64,7 @@
 	gossip.ChangeReport
 }
 
-// launch starts a process of the member with this index, or of its twin. Its disk has no faults at first.
+// launch starts a process of the member with this index, or of its twin. It ends all faults of the member's disk.
 func (e *environment) launch(i int, twin bool) (*testcluster.Process, error) {
 	n := e.nodes[i]
 	path, err := e.writeConfig(n, i, twin)
@@ -78,7 +78,7 @@
 		n.nextLogFile(), processStarted, e.program, "serve", "-c", path, "--rehearsal", n.faultsFile())
 }
 
-// nextLogFile names the log of a process that is about to start.
+// nextLogFile returns the name of the log of a process that is about to start.
 func (n *node) nextLogFile() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -203,7 +203,9 @@
 	}
 }
 
-// report returns a member's latest view; nil: its process does not run or is suspended, or was not polled yet.
+// report returns the view that a member reported when it was last polled; nil: its process does not run or is
+// suspended, or the member was not polled yet. After a restart, this is the view of the previous process until the new
+// one has been polled.
 func (n *node) report() *gossip.Report {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/emulator/faulttest/observations.go
+++ b/internal/emulator/faulttest/observations.go
@@ -33,8 +33,8 @@
 	p.observations = append(p.observations, o)
 }
 
-// pollNow polls nodes and records what they report. A process that was suspended reports that it is cut off only until
-// the first message arrives, which may be sooner than the next regular poll.
+// pollNow polls nodes at once and records what they report. It is needed because a process that was suspended reports
+// that it is cut off only until the first message arrives, which may be sooner than the next regular poll.
 func (p *player) pollNow(nodes []*node) {
 	for _, n := range nodes {
 		n.poll()
@@ -42,7 +42,7 @@
 	p.observe()
 }
 
-// warning records that other members warned a member of a server.
+// warning records that a member reported that other members had warned it of a server.
 type warning struct {
 	at     time.Time
 	member string
--- a/internal/emulator/faulttest/parse_step.go
+++ b/internal/emulator/faulttest/parse_step.go
@@ -10,8 +10,7 @@
 	"mulleinrouter/internal/standalone/hclfile"
 )
 
-// stepBlock is an at block of a file. It names one action, by an attribute or a block that has
-// the name of the action.
+// stepBlock is an at block of a file. It names one action, by an attribute or a block that has the name of the action.
 type stepBlock struct {
 	At            string     `hcl:"at,label"`
 	Stop          []string   `hcl:"stop,optional"`
@@ -58,7 +57,7 @@
 // undoableActions are the actions that may have a duration.
 var undoableActions = []Action{ActionStop, ActionLink, ActionFill, ActionLameDuck, ActionDisk, ActionServer}
 
-// leaseHolderActions are the actions that may apply to the lease holder, in place of named members.
+// leaseHolderActions are the actions that may apply to the lease holder instead of named members.
 var leaseHolderActions = []Action{ActionStop, ActionKill, ActionDisk, ActionFill, ActionRevise, ActionUpgrade}
 
 // memberAction is an action with the members that a block names for it; nil: it does not name the action.
@@ -86,7 +85,7 @@
 	}
 }
 
-// stepParser makes a step of a block.
+// stepParser makes a step from a block.
 type stepParser struct {
 	scenario *Scenario
 	file     *hclfile.File
@@ -96,7 +95,7 @@
 	actions  int // number of actions that the block names
 }
 
-// parseStep makes a step of a block and checks it.
+// parseStep makes a step from a block and checks it.
 func parseStep(scenario *Scenario, file *hclfile.File, block *stepBlock) (Step, error) {
 	p := &stepParser{scenario: scenario, file: file, path: "at." + block.At, block: block}
 	if strings.Contains(block.At, ".") {
@@ -290,8 +289,8 @@
 	return nil
 }
 
-// parseLink makes a link fault of a block. If the block leaves out one end of the links, any member or fake
-// may be at that end.
+// parseLink makes a link fault from a block. If the block leaves out one end of the links, any member or fake may be at
+// that end.
 func parseLink(scenario *Scenario, file *hclfile.File, path string, block *linkBlock) (l LinkFault, err error) {
 	l.Bidirectional = block.Bidirectional
 	if l.From, err = parseLinkEnds(scenario, file, path+".from", block.From); err != nil {
--- a/internal/emulator/faulttest/player.go
+++ b/internal/emulator/faulttest/player.go
@@ -17,20 +17,20 @@
 // Options are the settings of a run.
 type Options struct {
 	Program  string    // path of the built program
-	Dir      string    // folder for files and logs; empty: a temporary one that is removed
+	Dir      string    // folder for files and logs; if it is empty, a temporary folder is used and removed
 	Progress io.Writer // lines of text; nil: none
 	Events   io.Writer // lines of JSON about actions and their results; nil: none
 	Slack    float64   // factor on the time limits of expectations, for slow machines; 0: 1
 }
 
 const (
-	maxJoinTime      = 60 * time.Second // for all ingresses to receive the complete membership after the start
-	joinPollInterval = 50 * time.Millisecond
+	maxJoinTime      = 60 * time.Second      // for all ingresses to receive the complete membership after the start
+	joinPollInterval = 50 * time.Millisecond // between two checks whether they have received it
 
-	pollInterval    = 200 * time.Millisecond
-	pollPerNode     = 10 * time.Millisecond // lower bound per member; limits the load of polling a large fleet
-	idlePoll        = 5 * time.Second       // poll interval of an idle scenario
-	observeInterval = pollInterval / 2
+	pollInterval    = 200 * time.Millisecond // between two polls of a member
+	pollPerNode     = 10 * time.Millisecond  // lower bound per member; limits the load of polling a large fleet
+	idlePoll        = 5 * time.Second        // poll interval of an idle scenario
+	observeInterval = pollInterval / 2       // shorter than pollInterval, so that each polled view is observed
 )
 
 // player runs a scenario.
@@ -138,7 +138,7 @@
 }
 
 // runSteps awaits the complete membership and carries out the steps, while members are polled and clients send
-// requests. The goroutines of that have ended when it returns.
+// requests. The goroutines that poll and send have ended when it returns.
 func (p *player) runSteps(ctx context.Context) error {
 	background, stop := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -162,7 +162,7 @@
 	return err
 }
 
-// startPolling polls each member's view until the context ends.
+// startPolling starts to poll each member's view. It polls until the context ends.
 func (p *player) startPolling(ctx context.Context, running *sync.WaitGroup) {
 	interval := max(pollInterval, time.Duration(len(p.env.nodes))*pollPerNode)
 	if p.env.scenario.Idle {
@@ -173,7 +173,8 @@
 	}
 }
 
-// startObserving records what the fleet reports about the features that the scenario uses, until the context ends.
+// startObserving starts to record what the members report about the features that the scenario uses. It records until
+// the context ends.
 func (p *player) startObserving(ctx context.Context, running *sync.WaitGroup) {
 	running.Go(func() { every(ctx, observeInterval, p.observe) })
 	if p.env.scenario.Voters > 0 {
@@ -197,8 +198,7 @@
 	}
 }
 
-// awaitComplete waits until all ingresses have received the complete membership. That moment is the
-// scenario's start.
+// awaitComplete waits until all ingresses have received the complete membership. That moment is the scenario's start.
 func (p *player) awaitComplete(ctx context.Context) error {
 	launchedAt := time.Now()
 	limit := p.withSlack(maxJoinTime)
@@ -218,7 +218,7 @@
 	return nil
 }
 
-// isComplete reports whether every ingress reports that all are members and can be reached.
+// isComplete reports whether every ingress reports that all ingresses are members and can be reached.
 func (p *player) isComplete() bool {
 	for _, n := range p.env.nodes {
 		report := n.report()
--- a/internal/emulator/faulttest/report.go
+++ b/internal/emulator/faulttest/report.go
@@ -17,17 +17,19 @@
 	Expectation Expectation
 	Passed      bool
 	Text        string
-	Times       []time.Duration // from After until it became true, one for each member or observer that was checked
+	// Times are the times from After until the expectation became true. ExpectState has one for each pair of an observer
+	// and a member, ExpectWarned one for each member that was warned, and the others have at most one.
+	Times []time.Duration
 }
 
 // Report is the result of a scenario.
 type Report struct {
 	Scenario *Scenario
-	JoinTime time.Duration // until all ingresses had received the complete membership
+	JoinTime time.Duration // from when all processes had started until the membership was complete
 	Findings []Finding
 	Sent     int      // requests of clients
 	Served   int      // requests that were answered with 200
-	Problems []string // what went wrong in the fault test itself
+	Problems []string // errors in running the fault test, as opposed to failed expectations
 	Cost     Cost
 }
 
@@ -92,7 +94,7 @@
 	expectation Expectation
 	runs        int
 	passed      int
-	text        string // of the last run that failed, else of the first
+	text        string // of the last run that failed; if none failed, of the first run
 	times       []time.Duration
 }
 
--- a/internal/emulator/faulttest/scenario.go
+++ b/internal/emulator/faulttest/scenario.go
@@ -13,22 +13,22 @@
 	Name      string
 	Seed      uint64 // seed of the links' random faults
 	Ingresses int
-	Interval  string // of health checks between members, in the form of the ingresses' own files; empty: 300ms
+	Interval  string // of health checks between members, as in an ingress's configuration file; empty: 300ms
 	Encrypted bool   // gossip is encrypted with a key
 	// Voters is how many ingresses, from the first on, elect a leader that grants leases of singleton roles, among them
-	// the export of usage records; 0: there are no roles.
+	// the export of usage records. 0 means that there are no such roles.
 	Voters       int
 	ClockRates   map[string]float64 // by member: seconds that its clock advances per second; 1 if absent
-	QuoteServers int                // links name their relays quotes, quotes2 and so on; 0: one
-	ShareQuotas  bool               // members share quotas and verdicts on servers
-	// Customers is how many customers send 1.2 times their quota, for the most part at one ingress; 0: one customer
-	// whose quota is never used up.
+	QuoteServers int                // number of quote servers, which links call quotes, quotes2 and so on; 0 means 1
+	ShareQuotas  bool               // members share quotas, and warn each other of failing servers
+	// Customers is how many customers send 1.2 times their quota, most of it through one ingress. They send in addition
+	// to the clients, whose quota is never used up.
 	Customers    int
-	Quota        float64 // rate of each customer in units per second; its burst is the same number of units
-	Catalogue    bool    // each member has a plans file, and the lease holder of that role announces its revisions
-	Idle         bool    // no clients, and members are polled rarely, to measure the cost of the membership itself
-	Duration     time.Duration
-	Steps        []Step // by time
+	Quota        float64       // rate of each customer in units per second; its burst is the same number of units
+	Catalogue    bool          // each member has a plans file; the lease holder of the catalogue role announces its own
+	Idle         bool          // no requests, and members are polled rarely, to measure the cost of the membership itself
+	Duration     time.Duration // from the scenario's start (see Step.At) to its end
+	Steps        []Step        // sorted by time
 	Expectations []Expectation
 }
 
@@ -67,7 +67,8 @@
 	ActionKeys          Action = "keys"     // changes the gossip keys
 )
 
-// leaseHolderMember denotes the member that holds the lease of the export role when the step is carried out.
+// leaseHolderMember is written in place of members in a scenario file. It means the member that holds the lease of the
+// export role when the step is carried out.
 const leaseHolderMember = "holder"
 
 // Arguments of steps, as scenario files name them.
@@ -83,10 +84,10 @@
 	keysReverse = "turn" // reverses their order: the first one encrypts
 	keysDrop    = "drop" // removes all but the first
 
-	counterRemoved  = "gone"  // of counter: it cannot be reached
-	counterRestored = "back"  // the first one is used again
-	counterEmpty    = "empty" // a new one is used
-	counterSplit    = "split" // every second ingress uses a new one
+	counterRemoved  = "gone"  // of counter: the quota counter cannot be reached
+	counterRestored = "back"  // all ingresses use the first counter again
+	counterEmpty    = "empty" // all ingresses use a new counter
+	counterSplit    = "split" // every second ingress uses a new counter, the others the first one
 
 	votersAdd    = "add" // of voters, before the name of a member
 	votersRemove = "remove"
@@ -94,12 +95,12 @@
 
 // Step is an action at a time.
 type Step struct {
-	At       time.Duration // after all ingresses have received the complete membership
+	At       time.Duration // since the scenario's start, when all ingresses have received the complete membership
 	Action   Action
 	Members  []string
 	Duration time.Duration // time after which the action is undone; 0: it is not undone
-	// Argument depends on the action: the folder of a start, the change of keys or voters, how a disk or counter fails,
-	// the number of a quote server, which process of an upgrade is killed.
+	// Argument depends on the action: the folder of a start, the change of the keys, the voters or the counter, how a
+	// disk fails, the number of a quote server, or which process of an upgrade is killed.
 	Argument  string
 	LinkFault LinkFault // of ActionLink
 }
@@ -107,7 +108,7 @@
 // LinkFault is a fault of the links from some members or fakes to others.
 type LinkFault struct {
 	From, To      []string
-	Bidirectional bool // the links back have the same fault
+	Bidirectional bool // the links in the opposite direction have the same fault
 	Protocol      faultnet.Protocol
 	Fault         faultnet.Fault
 }
@@ -117,47 +118,51 @@
 
 // The properties, as scenario files name them. Members, Observers and Value are fields of the expectation.
 const (
-	// ExpectState: each observer reports each member in the state Value at least once after After.
+	// ExpectState: each observer that runs at the end reported each other member in the state Value at After or later.
 	ExpectState ExpectationKind = "state"
-	// ExpectNever: no observer reports any member as Value after After.
+	// ExpectNever: no observer reports any member in the state Value in the period Within after After.
 	ExpectNever ExpectationKind = "never"
 	// ExpectAgree: all running members have the same view of the fleet, and it contains them.
 	ExpectAgree ExpectationKind = "agree"
-	// ExpectReachability: all members report the reachability Value at the same moment.
+	// ExpectReachability: all members report the reachability Value at the same moment. Without Members, all running
+	// members do.
 	ExpectReachability ExpectationKind = "judgement"
-	// ExpectNotReachability: no member reports the reachability Value after After.
+	// ExpectNotReachability: no member reports the reachability Value in the period Within after After.
 	ExpectNotReachability ExpectationKind = "not"
 	// ExpectAnswered: every request to a running ingress was answered, and some were served.
 	ExpectAnswered ExpectationKind = "answered"
-	// ExpectLease: one of the members holds the lease of the export role, and runs. With the value again, the fencing
+	// ExpectLease: one of the members holds the lease of the export role, and runs. With the value "again", the fencing
 	// token is newer than those before After.
 	ExpectLease ExpectationKind = "held"
 	// ExpectFencing: billing accepted batches, and their fencing tokens never decreased.
 	ExpectFencing ExpectationKind = "fenced"
-	// ExpectUsage: the requests of each customer that arrive after After are between Min and Max of its quota.
+	// ExpectUsage: the number of each customer's requests that arrive in the period Within after After is from Min to Max,
+	// as fractions of its quota in that period.
 	ExpectUsage ExpectationKind = "use"
 	// ExpectUniqueTokens: each fencing token had only one holder, according to the logs of all processes.
 	ExpectUniqueTokens ExpectationKind = "one"
-	// ExpectWarned: each member was warned of a server by its peers at some moment, or none ever was.
+	// ExpectWarned: with the value "some", other members warned each member of a server at some moment. With "none", no
+	// member was warned.
 	ExpectWarned ExpectationKind = "warned"
-	// ExpectStaleRejected: billing rejected a batch under an older fencing token.
+	// ExpectStaleRejected: billing rejected a batch because its fencing token was older than the newest one or invalid.
 	ExpectStaleRejected ExpectationKind = "stale"
-	// ExpectBilled: each request that arrived at a quote server is billed once, or counted as unknown where its ingress
-	// was killed.
+	// ExpectBilled: no more requests are billed than arrived at the quote servers. Those that arrived without being billed
+	// are covered by the requests that are counted as unknown, because their ingress was killed, or as not recorded,
+	// because the disk was full. No two batches with the same number differ.
 	ExpectBilled ExpectationKind = "billed"
 	// ExpectAnnounced: all running members have the newest catalogue revision that was written, and the same content of
 	// each revision.
 	ExpectAnnounced ExpectationKind = "announced"
-	// ExpectGarbageRejected: each member counted packets that are not of the fleet.
+	// ExpectGarbageRejected: each member counted packets that it rejected because they are not of the fleet.
 	ExpectGarbageRejected ExpectationKind = "refused"
 )
 
 // Values of expectations, as scenario files name them.
 const (
 	leaseAgain = "again" // of ExpectLease: under a newer token
-	leaseAny   = "any"
-	warnedSome = "some" // of ExpectWarned: each member
-	warnedNone = "none"
+	leaseAny   = "any"   // under any token
+	warnedSome = "some"  // of ExpectWarned: each member was warned
+	warnedNone = "none"  // no member was warned
 
 	reachabilityComplete = "whole" // as ingresses report it
 	reachabilityMajority = "thinned"
@@ -168,7 +173,7 @@
 	stateLeft  = "left"
 )
 
-// expectationValues are the kinds of expectations and the values that each may have; nil: it has none.
+// expectationValues contains, by kind of expectation, the values that it may have; nil means that it has no value.
 var expectationValues = map[ExpectationKind][]string{
 	ExpectState:           {stateAlive, stateDead, stateLeft},
 	ExpectNever:           {stateDead},
@@ -194,9 +199,11 @@
 	Observers []string // members that report it; empty: all
 	Value     string
 	After     time.Duration // the start of the period that it applies to
-	Max       float64       // of ExpectUsage: as a fraction of the quota in that period
-	Min       float64       // of ExpectUsage: as Max
-	Within    time.Duration // time limit for it to become true; for what must never happen, the length of the period
+	Max       float64       // of ExpectUsage: upper limit, as a fraction of the quota in that period
+	Min       float64       // of ExpectUsage: lower limit, as a fraction of the quota in that period
+	// Within is the time limit for it to become true. For what must never happen and for ExpectUsage, it is the length of
+	// the period.
+	Within time.Duration
 }
 
 // diskFaults are the ways in which a disk fails, below the file operations of a process.
@@ -208,7 +215,7 @@
 	"rename": {vfs.Rename: {Err: "EIO"}},
 }
 
-// The names of fakes as ends of links. What an ingress sends to a fake goes over a link, too.
+// Names of fakes as ends of links. An ingress is connected to each fake by a link, as it is to other members.
 const (
 	fakeDiscovery = "discovery"
 	fakeCounter   = "counter"
--- a/internal/emulator/faulttest/scenario_file.go
+++ b/internal/emulator/faulttest/scenario_file.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	maxIngresses = 120
+	maxIngresses = 120 // must be below twinHost, because the members' addresses end in 1 to maxIngresses
 	maxDuration  = time.Hour
 	maxCustomers = 100
-	minQuota     = 1 // units a second
+	minQuota     = 1 // units per second of each customer
 	maxQuota     = 1000
-	minClockRate = 0.5
+	minClockRate = 0.5 // seconds that a member's clock advances per second
 	maxClockRate = 2
 )
 
@@ -75,8 +75,7 @@
 	return Parse(name+".hcl", text)
 }
 
-// Parse makes a scenario of a file's text and checks it. Its errors are of type *hclfile.Error and contain the
-// name.
+// Parse makes a scenario from a file's text and checks it. Its errors are of type *hclfile.Error and contain the name.
 func Parse(name string, text []byte) (*Scenario, error) {
 	var content scenarioFile
 	file, err := hclfile.Parse(name, text, &content)
@@ -222,7 +221,8 @@
 	return e, nil
 }
 
-// parseMembers checks names of members, and of others that are allowed, and expands "all" and ranges such as "n1-n3".
+// parseMembers checks that words are names of members or contained in others, and expands "all" and ranges such as
+// "n1-n3".
 func (s *Scenario) parseMembers(
 	file *hclfile.File, path string, words []string, others ...string,
 ) (members []string, err error) {
--- a/internal/emulator/faulttest/scenario_file_test.go
+++ b/internal/emulator/faulttest/scenario_file_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Parse rejects a bad file with the position of the error, so that nothing is started for it.
-func TestBadFiles(t *testing.T) {
+// Parse rejects an invalid file with an error that contains its position, so that no process is started for the file.
+func TestParseInvalidFiles(t *testing.T) {
 	const ok = "\nexpect \"agree\" {}\n"
 	for _, test := range []struct{ name, text, want string }{
 		{"no expectation", head, "x.hcl:1:1: expect: nothing is expected"},
