--- a/internal/emulator/loopback/attempt.go
+++ b/internal/emulator/loopback/attempt.go
@@ -20,7 +20,7 @@
 const (
 	maxRequestBodyBytes = 3000             // upper limit, not reached, of the size of a request body
 	maxRetryAfter       = 60               // longest wait that a Retry-After field may cause, seconds
-	maxIdleTime         = 14 * time.Second // time for which a client keeps an idle connection at most
+	maxIdleTime         = 14 * time.Second // longest time for which a client keeps an idle connection
 
 	// idleMargin is the time in seconds before the peer's idle timeout at which a client stops using a connection, so
 	// that it sends no request while the peer closes the connection.
@@ -30,8 +30,8 @@
 	resetWait = 5 * time.Millisecond
 )
 
-// attempt makes one attempt and records it; retryAfter is the value of the answer's Retry-After field, or 0 if there is
-// none.
+// attempt makes the nth attempt of a request, counted from 0, and records it. left is the time until the request's
+// deadline; retryAfter is the value of the answer's Retry-After field, or 0 if there is none.
 func (cl *cluster) attempt(
 	request *clientRequest,
 	n int,
@@ -225,8 +225,8 @@
 }
 
 // closedUnread reports whether the machine closed the connection without having read the request. The kernel of the
-// machine resets such a connection, possibly only after the end of the stream has arrived here. Therefore closedUnread
-// waits for a short time and tries to write.
+// machine resets such a connection, but the reset may arrive after the end of the stream. Therefore closedUnread waits
+// for resetWait and tries to write, which fails after a reset.
 func (cl *cluster) closedUnread(conn *net.TCPConn, err error) bool {
 	if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		return true
--- a/internal/emulator/loopback/client.go
+++ b/internal/emulator/loopback/client.go
@@ -12,7 +12,7 @@
 
 const (
 	maxRetries     = 2                     // maximum number of retries after the first attempt
-	initialBackoff = 30 * time.Millisecond // before the first retry; it doubles for each further one
+	initialBackoff = 30 * time.Millisecond // minimum wait before the first retry; it doubles for each further retry
 	minTimeLeft    = 20 * time.Millisecond // minimum time left until the deadline for a retry to be made
 )
 
--- a/internal/emulator/loopback/clientconn.go
+++ b/internal/emulator/loopback/clientconn.go
@@ -11,15 +11,15 @@
 	"mulleinrouter/internal/emulator/invariants"
 )
 
-const maxConnectTime = time.Second // for establishing a new connection
+const maxConnectTime = time.Second // time limit for establishing a new connection
 
 // clientConn is a connection of a client to an edge machine. It is used by one attempt at a time.
 type clientConn struct {
 	conn        *net.TCPConn
 	reader      *bufio.Reader
 	edge        *machine
-	idleUntil   time.Time // zero: the connection must not be kept
-	lastAttempt *invariants.Attempt
+	idleUntil   time.Time           // time until which the idle connection may be used; zero: it must not be kept
+	lastAttempt *invariants.Attempt // last attempt that used the connection
 }
 
 // dialEdge opens a connection to the client port of an edge machine.
@@ -31,7 +31,7 @@
 	return &clientConn{conn: conn.(*net.TCPConn), reader: bufio.NewReader(conn), edge: edge}, nil
 }
 
-// pendingInput reports whether there are bytes after the last answer, and whether the connection has been closed.
+// pendingInput reports whether bytes have arrived after the last answer, and whether the connection has been closed.
 func (c *clientConn) pendingInput() (surplus, closed bool) {
 	if c.reader.Buffered() > 0 {
 		return true, false
@@ -61,7 +61,7 @@
 	c.conn.Close()
 }
 
-// keepConn stores a connection as the idle one of a user, and closes the one that it replaces.
+// keepConn stores a connection as the idle connection of a user, and closes the connection that it replaces.
 func (cl *cluster) keepConn(u *clientUser, c *clientConn) {
 	u.mu.Lock()
 	replaced := u.idle
--- a/internal/emulator/loopback/cluster.go
+++ b/internal/emulator/loopback/cluster.go
@@ -15,7 +15,8 @@
 )
 
 // Identifiers of random number streams that are derived from the seed of a run. The request classes have consecutive
-// streams that begin with firstClassStream. A server uses its serial number as the identifier.
+// streams that begin with firstClassStream. A server uses its serial number as the identifier, which may be equal to
+// one of these.
 const (
 	clusterStream    = 0
 	operatorStream   = 1
@@ -46,8 +47,8 @@
 	lifetime   context.Context // ends when the run is over
 	traffic    context.Context // ends when the traffic ends, before lifetime
 	background sync.WaitGroup  // goroutines of servers, processes and the platform, which end with lifetime
-	clients    sync.WaitGroup  // goroutines of clients, which end with traffic
-	faultRuns  sync.WaitGroup  // goroutines that inject faults, which end with traffic
+	clients    sync.WaitGroup  // goroutines of clients, which finish their requests after traffic has ended
+	faultRuns  sync.WaitGroup  // goroutines that inject faults, some of which undo the fault after traffic has ended
 
 	httpClient *http.Client // used by servers, the operator and the platform
 	operator   *operator
@@ -62,7 +63,7 @@
 	hotTenant        atomic.Pointer[tenant]
 	lastAcknowledger atomic.Pointer[machine] // core node that acknowledged the latest change
 	changeLatencies  latencies
-	finished         [Failed + 1]atomic.Int64 // number of requests of clients, by Outcome
+	finished         [Failed + 1]atomic.Int64 // number of requests of clients that have ended, by Outcome
 	lastFault        atomic.Pointer[Fault]    // last fault that was injected
 
 	mu             sync.Mutex // guards the fields below and the links of all machines
--- a/internal/emulator/loopback/configfaults.go
+++ b/internal/emulator/loopback/configfaults.go
@@ -12,7 +12,7 @@
 	configChanges   = 4                      // number of changes that the fault "config" makes
 	changeInterval  = 300 * time.Millisecond // between two of these changes
 	invalidInterval = 100 * time.Millisecond // between two invalid configurations
-	hotTime         = 6 * time.Second        // time for which a tenant is hot
+	hotTime         = 6 * time.Second        // time for which a tenant sends hotFactor times its usual rate
 	hotTenants      = 2                      // number of tenants, those with the highest weights, that can become hot
 )
 
--- a/internal/emulator/loopback/doc.go
+++ b/internal/emulator/loopback/doc.go
@@ -4,9 +4,10 @@
 // PROTOCOL.md. Run injects faults on a schedule and passes its observations to package invariants, which checks them.
 // Serve runs a cluster for interactive use, without clients and faults.
 //
-// The package imports internal/emulator/invariants, the bounds of internal/cluster/settings and libraries. It never
-// imports the packages of the programs, because it tests them only over sockets. All state belongs to one cluster value
-// for the duration of one run. Every goroutine that a run starts has ended when Run or Serve returns.
+// The package imports internal/emulator/invariants, internal/emulator/procstat, the bounds of internal/cluster/settings
+// and libraries. It never imports other packages of the programs, because it tests them only over sockets. All state
+// belongs to one cluster value for the duration of one run. Every goroutine that a run starts has ended when Run or
+// Serve returns.
 //
 // The tests (loopback_test.go) build the programs and run short fault timelines; cmd/emulator and "mulleinrouter try"
 // run longer ones.
--- a/internal/emulator/loopback/heartbeats.go
+++ b/internal/emulator/loopback/heartbeats.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	heartbeatTimeout = time.Second            // for the acknowledgement of a heartbeat
+	heartbeatTimeout = time.Second            // for the acknowledgement of a heartbeat, and for each call
 	departureTimeout = 6 * time.Second        // for the acknowledgement of a departure; the server then stops anyway
 	drainMargin      = 300 * time.Millisecond // time for which a server keeps serving after the drain bound
 	notifyInterval   = 50 * time.Millisecond  // between two attempts to reach a control node
@@ -70,8 +70,8 @@
 	}
 }
 
-// notify calls the control nodes in turn until one acknowledges the call or the timeout expires. The first call goes to
-// the preferred node, if an acknowledgement has named one.
+// notify calls the control nodes in turn until one acknowledges the call, the timeout expires or the server stops. The
+// first call goes to the preferred node, if the last acknowledgement named one.
 func (s *server) notify(method string, p phase, timeout time.Duration) (acknowledged bool) {
 	cl := s.cluster
 	until := time.Now().Add(timeout)
@@ -114,8 +114,8 @@
 	return ok
 }
 
-// callControl makes one call to a control node. The call may be redirected; node is the name of the machine that
-// acknowledged it.
+// callControl makes one call to a control node, which may redirect it. It returns the name of the machine that
+// acknowledged the call, and target, the address that the acknowledgement names for the next heartbeat.
 func (s *server) callControl(addr, method string, p phase) (node, target string, ok bool) {
 	cl := s.cluster
 	var body io.Reader
@@ -143,7 +143,7 @@
 		return "", "", false
 	}
 	var acknowledged acknowledgement
-	json.Unmarshal(text, &acknowledged) // without a valid body, there is no preferred node
+	json.Unmarshal(text, &acknowledged) // if the body is invalid, no preferred node is named
 	host, _, _ := strings.Cut(answer.Request.URL.Host, ":")
 	return cl.machineName(host), acknowledged.HeartbeatTarget, true
 }
@@ -168,7 +168,7 @@
 }
 
 // depart shuts the server down gracefully. The server announces that it is draining, keeps serving for the drain time,
-// deregisters and stops.
+// deregisters and stops. If the announcement is not acknowledged, it stops at once.
 func (s *server) depart() {
 	defer s.stop()
 	s.draining.Store(true)
--- a/internal/emulator/loopback/latencies.go
+++ b/internal/emulator/loopback/latencies.go
@@ -18,11 +18,12 @@
 	l.values = append(l.values, v)
 }
 
-// quantile returns a quantile of a list, for example the median for 0.5. It returns NaN for an empty list.
-func quantile(list []float64, of float64) float64 {
+// quantile returns the quantile of a list for a fraction, for example the median for 0.5. It returns NaN for an empty
+// list.
+func quantile(list []float64, fraction float64) float64 {
 	if len(list) == 0 {
 		return math.NaN()
 	}
 	sorted := slices.Sorted(slices.Values(list))
-	return sorted[min(len(sorted)-1, int(of*float64(len(sorted))))]
+	return sorted[min(len(sorted)-1, int(fraction*float64(len(sorted))))]
 }
--- a/internal/emulator/loopback/launcher.go
+++ b/internal/emulator/loopback/launcher.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// launcher starts processes from one OS thread that lives as long as they do. The kernel kills the processes when that
-// thread ends (Pdeathsig), so that none keeps running, however this process ends.
+// launcher starts processes from one OS thread that does not end before them. The kernel kills the processes when that
+// thread ends (Pdeathsig), so that no process keeps running after the emulator's process, however that one ends.
 type launcher struct {
 	calls   chan func()
 	stopped sync.WaitGroup
--- a/internal/emulator/loopback/loopback_test.go
+++ b/internal/emulator/loopback/loopback_test.go
@@ -64,8 +64,9 @@
 		name: "hot-tenant", span: 8 * time.Second, core: 3, served: 0.5,
 		faults: []Fault{faultAt(2.5, "hot", 0), faultAt(4, "kill-proxy", 2), faultAt(5, "surplus", 0)},
 	},
-	// Faults of the control nodes: one is partitioned in both directions and queried throughout; one is partitioned and
-	// killed afterwards; one is lost permanently and replaced by the fourth, and then a second one is lost.
+	// Faults of the control nodes. In the first of these runs, one is partitioned from the other control nodes. In the
+	// second, one is partitioned from all machines and killed during the partition. In the third, one is lost permanently
+	// and replaced by the fourth, and then a second one is suspended.
 	{name: "cut-core", span: 11 * time.Second, core: 3, served: 0.95, faults: []Fault{faultAt(1.5, "cut-core", 0)}},
 	{
 		name: "cut-all-restart", span: 13 * time.Second, core: 3, served: 0.9,
@@ -82,8 +83,8 @@
 	},
 }
 
-// TestTimelines runs short timelines on real processes, in parallel. Apart from the timeline itself, a run waits for
-// conditions and not for fixed times, so that it takes no longer than necessary.
+// TestTimelines runs short timelines on real processes, in parallel. Apart from the warm-up and the timeline itself, a
+// run waits for conditions and not for fixed times, so that it takes no longer than necessary.
 func TestTimelines(t *testing.T) {
 	programs := buildPrograms(t)
 	for _, c := range timelines {
@@ -116,8 +117,8 @@
 	return r
 }
 
-// checkReport fails the test and prints the report if there are violations, too few requests, too few served requests,
-// or changes that were acknowledged late or never.
+// checkReport fails the test and prints the report if there are violations, too few requests, too small a share of
+// served requests, or changes that were acknowledged late or never.
 func checkReport(t *testing.T, r *Report, wantServed float64) {
 	t.Helper()
 	served, all := 0, 0
--- a/internal/emulator/loopback/machine.go
+++ b/internal/emulator/loopback/machine.go
@@ -19,7 +19,8 @@
 	coreProgram  = "control"
 )
 
-// restartDelay is the time between the end of a process and its next start.
+// restartDelay is the time between the end of a process and its next start, both after a fault and after the process
+// ended by itself.
 const restartDelay = 300 * time.Millisecond
 
 // machine is a simulated machine. It has a loopback address, a folder for settings and logs, processes, and for a core
@@ -79,8 +80,8 @@
 	}
 }
 
-// crash kills processes of a machine, calls whileStopped unless it is nil, and starts the processes again. A fault of
-// the machine is recorded for this time.
+// crash kills processes of a machine, calls whileStopped unless it is nil, and starts the processes again. It records a
+// fault of the machine for this time.
 func (m *machine) crash(processes []*process, whileStopped func()) {
 	m.lifecycle.Lock()
 	defer m.lifecycle.Unlock()
--- a/internal/emulator/loopback/machinefaults.go
+++ b/internal/emulator/loopback/machinefaults.go
@@ -13,7 +13,8 @@
 	suspendTime  = 4 * time.Second // time for which a core node is suspended
 	rollInterval = 2 * time.Second // between the restarts of two machines
 
-	// minCoreForWipe is the minimum number of core nodes with which the cluster tolerates the loss of a disk.
+	// minCoreForWipe is the minimum number of core nodes with which the cluster must tolerate the loss of a disk. With
+	// fewer, the nodes that remain are no majority.
 	minCoreForWipe = 3
 )
 
@@ -76,8 +77,9 @@
 
 func suspendCore(cl *cluster, target int) { cl.coreAt(target).suspend(suspendTime) }
 
-// wipeDisk erases a machine's disk, if the cluster must tolerate that. The cluster tolerates the loss of one disk at a
-// time. A loss is over when the machine has caught up with the others.
+// wipeDisk erases a core node's disk, if the cluster must tolerate that. The cluster must tolerate the loss of one disk
+// at a time, if it has at least minCoreForWipe core nodes. A loss is over when the machine has had the time of
+// Bounds.CatchUp to catch up with the others.
 func (m *machine) wipeDisk() {
 	recorder := &m.cluster.recorder
 	if !m.cluster.beginDiskLoss(m) {
@@ -92,7 +94,8 @@
 	}
 }
 
-// beginDiskLoss reports whether a machine may lose its disk now. If so, it records the loss.
+// beginDiskLoss reports whether a core node may lose its disk now. If so, it records the loss. The node that lost its
+// disk last may lose it again at any time.
 func (cl *cluster) beginDiskLoss(m *machine) (allowed bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -108,8 +111,8 @@
 	return true
 }
 
-// blackout kills all core nodes and starts them again. Once all have been killed, it erases the disk of one machine;
-// nil: of none.
+// blackout kills all core nodes and starts them again once all have been killed. In between, it erases the disk of one
+// of them, unless wiped is nil.
 func (cl *cluster) blackout(wiped *machine) {
 	endFault := cl.recorder.beginFault(invariants.Fault{Machine: "core", Core: true, Majority: true, From: cl.now()})
 	cl.recorder.update(func() { cl.recorder.log.Closing = cl.now() })
--- a/internal/emulator/loopback/operator.go
+++ b/internal/emulator/loopback/operator.go
@@ -22,20 +22,20 @@
 	maxConfigBytes  = 64 << 20               // maximum size of an answer, bytes
 	configPath      = "/config"
 
-	initialVersion = 6 // all versions are above it
+	initialVersion = 6 // all versions that the operator sends are above it
 
 	// maxAmbiguousAnswers is the number of 4xx answers to a change that are ignored if they do not clearly reject it.
 	maxAmbiguousAnswers = 2
 )
 
-// operator changes the configuration through the control nodes, and stores the items that it sent last.
+// operator changes the configuration through the control nodes, and stores the items that it submitted last.
 type operator struct {
 	cluster *cluster
 
 	mu          sync.Mutex // guards the fields below
 	rng         *rand.Rand
 	lastVersion uint64
-	sent        map[string]item // latest version of each item, by key
+	sent        map[string]item // latest version of each item that submit sent, by key
 }
 
 func newOperator(cl *cluster) *operator {
@@ -61,7 +61,7 @@
 	return o.rng.IntN(n)
 }
 
-// latest returns the latest version of the item with this key that was sent.
+// latest returns the latest version that submit sent of the item with this key; ok is false if it sent none.
 func (o *operator) latest(key string) (i item, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -90,7 +90,7 @@
 }
 
 // send sends items to one node and, if that fails, to the others in turn, until one accepts or rejects them. Status 0
-// means that none did.
+// means that none did within patchTimeout or until the traffic ended.
 func (o *operator) send(first int, valid bool, items ...item) (status int) {
 	cl := o.cluster
 	c := &change{items: items, valid: valid}
@@ -134,7 +134,8 @@
 }
 
 // isRejection reports whether a status rejects the change. One of the rejectedChangeStatuses always does. Another 4xx
-// status does only if it is not retryable and there have been maxAmbiguousAnswers other 4xx answers before.
+// status does only if it is not retryable and there have been exactly maxAmbiguousAnswers such 4xx answers before,
+// retryable ones included.
 func (c *change) isRejection(status int) bool {
 	if slices.Contains(rejectedChangeStatuses, status) {
 		return true
--- a/internal/emulator/loopback/options.go
+++ b/internal/emulator/loopback/options.go
@@ -48,7 +48,8 @@
 	return o, err
 }
 
-// DefaultBounds returns the default bounds of the operators' rules. Times are in seconds.
+// DefaultBounds returns the default bounds of the operators' rules. Times are in seconds, ratios and excesses are
+// fractions, and RetrySlack and QuotaSlack are numbers of requests.
 func DefaultBounds() settings.Bounds {
 	return settings.Bounds{
 		SeedLag:     3,
--- a/internal/emulator/loopback/partition.go
+++ b/internal/emulator/loopback/partition.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// cutLinks cuts the links between a machine and others, and returns a function that restores them. A process cuts only
-// connections that it opened, so the files of both ends must list the link.
+// cutLinks cuts the links between a machine and others, and returns a function that restores them. The files of both
+// ends must list the link, because a process cuts only the connections that it opened.
 func (cl *cluster) cutLinks(m *machine, others []*machine, d direction) (restore func()) {
 	var ends []linkEnd
 	for _, o := range others {
@@ -83,8 +83,8 @@
 }
 
 // partition cuts a core node off from others for partitionTime. Some time after the cut, the node must no longer answer
-// as if it were up to date. To check this, partition queries the node throughout, as servers and operators do, and
-// records its answers. Meanwhile it makes changes of the configuration.
+// as if it were up to date. To check this, partition queries the node during the whole time, as servers and operators
+// do, and records its answers. At the same time, it changes the configuration.
 func (m *machine) partition(others []*machine, d direction) {
 	cl := m.cluster
 	endFault := m.beginFault(false)
@@ -115,7 +115,8 @@
 }
 
 // queryPartitioned makes the nth call to a partitioned node. It cycles through four kinds of calls, which a core node
-// may acknowledge only while it is in contact with a majority. It returns the status; 0: there was no acknowledgement.
+// may acknowledge only while it is in contact with a majority. It returns the status of the answer. Status 0 means that
+// there was no answer, or that the node did not acknowledge a heartbeat.
 func (m *machine) queryPartitioned(n int) int {
 	cl := m.cluster
 	o := cl.operator
--- a/internal/emulator/loopback/partitionfaults.go
+++ b/internal/emulator/loopback/partitionfaults.go
@@ -6,7 +6,7 @@
 	"mulleinrouter/internal/emulator/invariants"
 )
 
-const edgePartitionTime = 3 * time.Second // duration of a partition of an edge machine
+const edgePartitionTime = 3 * time.Second // duration of a partition of an edge machine from all core nodes
 
 func partitionCore(cl *cluster, target int) {
 	m := cl.coreAt(target)
--- a/internal/emulator/loopback/ports.go
+++ b/internal/emulator/loopback/ports.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	innerPorts   = 4                             // ports of a machine for calls between its programs
-	metricsPorts = 2                             // ports of a machine for metrics; it runs at most two programs
-	allPorts     = 3 + innerPorts + metricsPorts // all ports of a machine
+	innerPorts   = 4                             // number of ports of a machine for calls between its programs
+	metricsPorts = 2                             // number of ports for metrics, one for each of at most two programs
+	allPorts     = 3 + innerPorts + metricsPorts // number of all ports of a machine
 	minPort      = 10000                         // lowest first port that is drawn
 	portSpan     = 20000                         // size of the range of first ports, below the ephemeral ports
 	portAttempts = 200                           // number of first ports that are drawn until a run fails
--- a/internal/emulator/loopback/process.go
+++ b/internal/emulator/loopback/process.go
@@ -22,7 +22,7 @@
 
 const metricsPath = "/metrics"
 
-// process is one program on a machine. Each time the program is started is an incarnation of the process.
+// process is one program on a machine. Each start of the program begins a new incarnation of the process.
 type process struct {
 	machine *machine
 	program string
@@ -38,8 +38,8 @@
 	peakMemory    int64         // maximum over incarnations that were told to end, bytes
 }
 
-// start starts the process, unless it is running or must not be started again. A process that ends by itself is started
-// again.
+// start starts the process, unless it is running or must not be started again. If the process ends by itself, supervise
+// starts it again.
 func (p *process) start() error {
 	cl := p.machine.cluster
 	p.mu.Lock()
@@ -148,7 +148,7 @@
 		return ended
 	}
 	if p.running {
-		if stop { // read now: the Rusage of the ended child would include the memory of this process before the exec
+		if stop { // read now, because the Rusage of the ended child includes the memory of the emulator before the exec
 			p.peakMemory = max(p.peakMemory, readUsage(p.cmd.Process.Pid).peakMemory)
 		}
 		p.stopRequested = p.stopRequested || stop
@@ -184,7 +184,7 @@
 	p.machine.cluster.recorder.notef("%v did not end within the grace period after SIGTERM", p)
 }
 
-// usage returns the resource usage of all incarnations.
+// usage returns the resource usage of all incarnations. The peak memory leaves out those that ended by themselves.
 func (p *process) usage() ProcessUsage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/emulator/loopback/recorder.go
+++ b/internal/emulator/loopback/recorder.go
@@ -17,9 +17,9 @@
 	arrivals []*invariants.Arrival
 	versions []*invariants.Version
 	faults   []*invariants.Fault
-	notes    []string // text for the report
+	notes    []string // lines of text for the report
 
-	discarding bool // new entries are dropped, so that a cluster for interactive use does not accumulate them
+	discarding bool // add drops new entries, so that a cluster for interactive use does not accumulate them
 }
 
 // update calls a function that changes entries, while holding the lock.
@@ -29,7 +29,7 @@
 	change()
 }
 
-// add calls a function that adds an entry, while holding the lock, unless new entries are dropped.
+// add calls a function that adds an entry, while holding the lock. It does nothing after discard was called.
 func (r *recorder) add(change func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -38,7 +38,8 @@
 	}
 }
 
-// discard makes the recorder drop all entries that are added from now on.
+// discard makes the recorder drop the entries that are frequent or unneeded in interactive use from now on: attempts,
+// arrivals, process starts, exits and notes.
 func (r *recorder) discard() { r.update(func() { r.discarding = true }) }
 
 func (r *recorder) arrival(a *invariants.Arrival) {
@@ -86,7 +87,7 @@
 	return func(at invariants.Seconds) { r.update(func() { f.To = at }) }
 }
 
-// exit records that a process ended by itself. The operators' RULES.md allows this during some faults; the emulator
+// exit records that a process ended by itself. The operators' RULES.md allows this during some faults, but the emulator
 // always reports it as a violation.
 func (r *recorder) exit(process string, at invariants.Seconds, text string) {
 	exit := invariants.Exit{Process: process, At: at, Text: text}
--- a/internal/emulator/loopback/report.go
+++ b/internal/emulator/loopback/report.go
@@ -40,7 +40,7 @@
 	GatewayAnswers map[string]int     // answers that the gateway itself generated over all attempts, by status and text
 }
 
-// ClassResult contains the counts of requests of one class. Each request is counted once, by the result of its last
+// ClassResult contains the numbers of requests of one class. Each request is counted once, by the result of its last
 // attempt.
 type ClassResult struct {
 	Class    string
@@ -57,7 +57,7 @@
 type ProcessUsage struct {
 	Process    string
 	CPU        time.Duration
-	PeakMemory int64 // resident memory, bytes
+	PeakMemory int64 // resident memory, bytes; incarnations that ended by themselves are left out
 	Starts     int   // number of times that it was started
 }
 
--- a/internal/emulator/loopback/schedule.go
+++ b/internal/emulator/loopback/schedule.go
@@ -13,14 +13,15 @@
 
 const (
 	scheduleStream = 7       // identifier of the stream of random numbers that is derived from the seed
-	anyFault       = "any"   // name that is replaced by that of a random fault
+	anyFault       = "any"   // name that stands for a random fault
 	maxDrawnTarget = 1 << 10 // upper limit, not reached, of drawn targets
 )
 
-// ParseSchedule parses a schedule. The text is either the name of a file or a comma-separated list of fault names.
-// Lines of a file have the form "SECONDS NAME [TARGET]", and # begins a comment. For a list, the seed determines the
-// targets and the times, which are between 10% and 70% of the traffic time; the name "any" means a random fault.
-// ParseSchedule returns a *ScheduleError for an invalid line of a file and an *UnknownFaultError for an unknown name.
+// ParseSchedule parses a schedule. The text is either the name of a file or a comma-separated list of fault names; an
+// empty text means no faults. Lines of a file have the form "SECONDS NAME [TARGET]", and # begins a comment. For a
+// list, the seed determines the targets and the times, which are between 10% and 70% of the traffic time; the name "any"
+// means a random fault. ParseSchedule returns a *ScheduleError for an invalid line of a file and an *UnknownFaultError
+// for an unknown name.
 func ParseSchedule(text string, trafficTime time.Duration, seed uint64) ([]Fault, error) {
 	if text == "" {
 		return nil, nil
--- a/internal/emulator/loopback/serve.go
+++ b/internal/emulator/loopback/serve.go
@@ -15,8 +15,8 @@
 	addedSlots     = 3                     // number of requests that such a server executes concurrently
 	addedMeanWork  = 20 * time.Millisecond // mean execution time of a request at such a server
 
-	// exampleTenant is the index of the tenant of the example request. It is not the first one, because the requests
-	// during startup use some of the quota of the first one.
+	// exampleTenant is the index of the tenant of the example request. It is not the first tenant, because the requests
+	// that are sent during startup use some of the first tenant's quota.
 	exampleTenant = 1
 )
 
--- a/internal/emulator/loopback/server.go
+++ b/internal/emulator/loopback/server.go
@@ -11,7 +11,9 @@
 )
 
 const (
-	maxServerConns     = 130                   // maximum number of connections of a server, which resets further ones
+	// maxServerConns is the maximum number of connections of a server, which resets further ones. The configuration of the
+	// gateway contains the same limit.
+	maxServerConns     = 130
 	slowStartTime      = 2 * time.Second       // time after its start during which a server is slow
 	slowStartFactor    = 1.7                   // execution time during slowStartTime, as a multiple of the usual one
 	responsiveInterval = 50 * time.Millisecond // between two checks whether a server is responsive again
@@ -59,7 +61,7 @@
 	closed          bool
 }
 
-// startServer starts a server of a service at an address, for which port 0 means any free port. The server registers
+// startServer starts a server of a service at an address, in which port 0 means any free port. The server registers
 // itself by heartbeats; startServer does not wait for that.
 func (cl *cluster) startServer(service, zone, addr, generation string) error {
 	listener, err := net.Listen("tcp4", addr)
@@ -151,7 +153,8 @@
 	conn.Close()
 }
 
-// blackHole makes the server unresponsive for a duration: it neither reads nor answers nor sends heartbeats.
+// blackHole makes the server unresponsive for a duration. In this time, the server accepts connections, but neither
+// executes nor answers requests, and sends no heartbeats.
 func (s *server) blackHole(d time.Duration) {
 	s.unresponsive.Store(true)
 	s.cluster.sleepInTraffic(d)
--- a/internal/emulator/loopback/serverconn.go
+++ b/internal/emulator/loopback/serverconn.go
@@ -16,7 +16,7 @@
 	maxServerQueue    = 6                     // number of requests that may wait for a slot
 	serverIdleTimeout = 8 * time.Second       // time after which a server closes an idle connection
 	maxRepeatDelay    = 60 * time.Millisecond // upper limit of the delay before a response is repeated
-	defaultTimeLeftMs = 1000                  // time left of a request without X-Time-Left-Ms, ms
+	defaultTimeLeftMs = 1000                  // time left of a request without a valid X-Time-Left-Ms, ms
 
 	notExecutedField = "X-Not-Executed: 1\r\n"
 )
@@ -32,7 +32,7 @@
 	conn         net.Conn
 	request      serverRequest
 	arrival      *invariants.Arrival
-	disconnected <-chan struct{} // closed when the peer has ended the connection
+	disconnected <-chan struct{} // closed when no further request can be read, mostly because the peer has disconnected
 }
 
 // serveConn answers the requests of one connection sequentially.
@@ -60,7 +60,7 @@
 	}
 }
 
-// readRequests reads requests until the connection ends or over is closed.
+// readRequests reads requests until the connection ends, a request is malformed or handlerDone is closed.
 func readRequests(conn net.Conn, requests chan<- serverRequest, handlerDone <-chan struct{}) {
 	in := bufio.NewReader(conn)
 	for {
@@ -215,8 +215,8 @@
 	return writeResponse(e.conn, r)
 }
 
-// perform simulates the execution of a request by waiting for its execution time. It returns done = false if the
-// execution was aborted.
+// perform simulates the execution of a request by waiting for its execution time, and returns the status of the answer.
+// It returns done = false if the execution was aborted.
 func (s *server) perform(e *exchange, w work, deadline *time.Timer) (status int, done bool) {
 	recorder, now := &s.cluster.recorder, s.cluster.now
 	timer := time.NewTimer(w.duration)
@@ -241,7 +241,8 @@
 	return 0, false
 }
 
-// writeFaulty writes a response and applies a fault to it; more reports whether the connection can be used again.
+// writeFaulty writes a response with a fault, or none if the fault is its loss or a reset of the connection; more
+// reports whether the connection can be used again.
 func (s *server) writeFaulty(conn net.Conn, r response, fault responseFault, seal string) (more bool) {
 	switch fault {
 	case resetConn:
--- a/internal/emulator/loopback/settings.go
+++ b/internal/emulator/loopback/settings.go
@@ -24,7 +24,8 @@
 
 func (m *machine) settingsPath(program string) string { return filepath.Join(m.dir, program+".conf") }
 
-// writeSettings writes the settings files of the machine's processes.
+// writeSettings writes the settings files of the machine's processes. bootstrap tells them that this is the first start
+// of the system, with empty disks.
 func (m *machine) writeSettings(bootstrap bool) error {
 	for _, p := range m.processes {
 		var s settingsFile
--- a/internal/emulator/loopback/traffic.go
+++ b/internal/emulator/loopback/traffic.go
@@ -7,7 +7,7 @@
 
 const (
 	hotFactor      = 8                     // rate of a hot tenant, as a multiple of its usual rate
-	maxInFlight    = 1500                  // maximum number of requests of all clients in progress
+	maxInFlight    = 1500                  // maximum number of requests in progress, without canaries; further ones are not sent
 	canaryInterval = 80 * time.Millisecond // between two canaries
 	recentCanaries = 6                     // number of latest canaries that are sent
 )
@@ -18,7 +18,7 @@
 	key   string // empty: any key of the first tenant
 }
 
-// sendClass sends the requests of one class as a Poisson process. Its rate is higher while there is a hot tenant.
+// sendClass sends the requests of one class as a Poisson process, whose rate is higher while there is a hot tenant.
 func (cl *cluster) sendClass(c *requestClass, rng *rand.Rand) {
 	next := time.Now()
 	for {
