--- a/internal/emulator/faulttest/node.go
+++ b/internal/emulator/faulttest/node.go
@@ -48,7 +48,7 @@
 	mu       sync.Mutex           // guards the fields below
 	process  *testcluster.Process // nil: none runs
 	twin     *testcluster.Process // nil: there is none
-	starts   int                  // number of processes launched so far, including twins; part of the names of their logs
+	starts   int                  // number of processes launched so far, twins included, for the names of logs
 	absences []absence
 	lastView uint64         // number of the view that was polled last; 0: the process was not polled yet
 	latest   *gossip.Report // report that was polled last, possibly of an earlier process; nil: none yet
--- a/internal/emulator/faulttest/report.go
+++ b/internal/emulator/faulttest/report.go
@@ -17,8 +17,8 @@
 	Expectation Expectation
 	Passed      bool
 	Text        string
-	// Times are the times from After until the expectation became true. ExpectState has one for each pair of an observer
-	// and a member, ExpectWarned one for each member that was warned, and the others have at most one.
+	// Times are the times from After until the expectation became true. ExpectState has one for each pair of an
+	// observer and a member, ExpectWarned one for each member that was warned, and the others have at most one.
 	Times []time.Duration
 }
 
--- a/internal/emulator/faulttest/scenario.go
+++ b/internal/emulator/faulttest/scenario.go
@@ -26,7 +26,7 @@
 	Customers    int
 	Quota        float64       // rate of each customer in units per second; its burst is the same number of units
 	Catalogue    bool          // each member has a plans file; the lease holder of the catalogue role announces its own
-	Idle         bool          // no requests, and members are polled rarely, to measure the cost of the membership itself
+	Idle         bool          // no requests and rare polls, to measure the cost of the membership itself
 	Duration     time.Duration // from the scenario's start (see Step.At) to its end
 	Steps        []Step        // sorted by time
 	Expectations []Expectation
@@ -136,8 +136,8 @@
 	ExpectLease ExpectationKind = "held"
 	// ExpectFencing: billing accepted batches, and their fencing tokens never decreased.
 	ExpectFencing ExpectationKind = "fenced"
-	// ExpectUsage: the number of each customer's requests that arrive in the period Within after After is from Min to Max,
-	// as fractions of its quota in that period.
+	// ExpectUsage: the number of each customer's requests that arrive in the period Within after After is from Min to
+	// Max, as fractions of its quota in that period.
 	ExpectUsage ExpectationKind = "use"
 	// ExpectUniqueTokens: each fencing token had only one holder, according to the logs of all processes.
 	ExpectUniqueTokens ExpectationKind = "one"
@@ -146,9 +146,9 @@
 	ExpectWarned ExpectationKind = "warned"
 	// ExpectStaleRejected: billing rejected a batch because its fencing token was older than the newest one or invalid.
 	ExpectStaleRejected ExpectationKind = "stale"
-	// ExpectBilled: no more requests are billed than arrived at the quote servers. Those that arrived without being billed
-	// are covered by the requests that are counted as unknown, because their ingress was killed, or as not recorded,
-	// because the disk was full. No two batches with the same number differ.
+	// ExpectBilled: no more requests are billed than arrived at the quote servers. Those that arrived without being
+	// billed are covered by the requests that are counted as unknown, because their ingress was killed, or as not
+	// recorded, because the disk was full. No two batches with the same number differ.
 	ExpectBilled ExpectationKind = "billed"
 	// ExpectAnnounced: all running members have the newest catalogue revision that was written, and the same content of
 	// each revision.
@@ -201,8 +201,8 @@
 	After     time.Duration // the start of the period that it applies to
 	Max       float64       // of ExpectUsage: upper limit, as a fraction of the quota in that period
 	Min       float64       // of ExpectUsage: lower limit, as a fraction of the quota in that period
-	// Within is the time limit for it to become true. For what must never happen and for ExpectUsage, it is the length of
-	// the period.
+	// Within is the time limit for it to become true. For what must never happen and for ExpectUsage, it is the length
+	// of the period.
 	Within time.Duration
 }
 
--- a/internal/emulator/loopback/loopback_test.go
+++ b/internal/emulator/loopback/loopback_test.go
@@ -65,8 +65,8 @@
 		faults: []Fault{faultAt(2.5, "hot", 0), faultAt(4, "kill-proxy", 2), faultAt(5, "surplus", 0)},
 	},
 	// Faults of the control nodes. In the first of these runs, one is partitioned from the other control nodes. In the
-	// second, one is partitioned from all machines and killed during the partition. In the third, one is lost permanently
-	// and replaced by the fourth, and then a second one is suspended.
+	// second, one is partitioned from all machines and killed during the partition. In the third, one is lost
+	// permanently and replaced by the fourth, and then a second one is suspended.
 	{name: "cut-core", span: 11 * time.Second, core: 3, served: 0.95, faults: []Fault{faultAt(1.5, "cut-core", 0)}},
 	{
 		name: "cut-all-restart", span: 13 * time.Second, core: 3, served: 0.9,
--- a/internal/emulator/loopback/schedule.go
+++ b/internal/emulator/loopback/schedule.go
@@ -19,9 +19,9 @@
 
 // ParseSchedule parses a schedule. The text is either the name of a file or a comma-separated list of fault names; an
 // empty text means no faults. Lines of a file have the form "SECONDS NAME [TARGET]", and # begins a comment. For a
-// list, the seed determines the targets and the times, which are between 10% and 70% of the traffic time; the name "any"
-// means a random fault. ParseSchedule returns a *ScheduleError for an invalid line of a file and an *UnknownFaultError
-// for an unknown name.
+// list, the seed determines the targets and the times, which are between 10% and 70% of the traffic time; the name
+// "any" means a random fault. ParseSchedule returns a *ScheduleError for an invalid line of a file and an
+// *UnknownFaultError for an unknown name.
 func ParseSchedule(text string, trafficTime time.Duration, seed uint64) ([]Fault, error) {
 	if text == "" {
 		return nil, nil
--- a/internal/emulator/loopback/server.go
+++ b/internal/emulator/loopback/server.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxServerConns is the maximum number of connections of a server, which resets further ones. The configuration of the
-	// gateway contains the same limit.
+	// maxServerConns is the maximum number of connections of a server, which resets further ones. The configuration of
+	// the gateway contains the same limit.
 	maxServerConns     = 130
 	slowStartTime      = 2 * time.Second       // time after its start during which a server is slow
 	slowStartFactor    = 1.7                   // execution time during slowStartTime, as a multiple of the usual one
--- a/internal/emulator/loopback/traffic.go
+++ b/internal/emulator/loopback/traffic.go
@@ -7,7 +7,7 @@
 
 const (
 	hotFactor      = 8                     // rate of a hot tenant, as a multiple of its usual rate
-	maxInFlight    = 1500                  // maximum number of requests in progress, without canaries; further ones are not sent
+	maxInFlight    = 1500                  // maximum number of requests in progress, without canaries
 	canaryInterval = 80 * time.Millisecond // between two canaries
 	recentCanaries = 6                     // number of latest canaries that are sent
 )
