--- a/internal/emulator/scenario/core_faults.go
+++ b/internal/emulator/scenario/core_faults.go
@@ -10,7 +10,8 @@
 var (
 	// targetVariants select the control node that the fault affects.
 	targetVariants = []string{"", "leader", "reader", "seed"}
-	// cutVariants determine what happens to the connections across a cut.
+	// cutVariants determine what happens to the connections across a cut. Values that are listed twice, here and in
+	// other lists, are twice as probable.
 	cutVariants = []string{"", "", "reset", "refuse"}
 	// recoverVariants determine what else happens while a node recovers.
 	recoverVariants = []string{"", "meet", "race", "meet race", "race hard"}
@@ -56,7 +57,8 @@
 	}},
 }
 
-// rareCoreFaults are the kinds and variants of faults of control nodes that only DrawAny uses.
+// rareCoreFaults are the kinds of fault of control nodes that DrawAny uses, for the most part in variants that Draw
+// does not draw.
 var rareCoreFaults = []faultKind{
 	{"core_cut", 2, func(d drawing) []string {
 		return []string{
--- a/internal/emulator/scenario/day.go
+++ b/internal/emulator/scenario/day.go
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("  { at = %.2f, kind = %q%s },", f.At, f.Kind, fields)
 }
 
-// Day is the content of the file of a day. It does not describe traffic, which is that of the deployment.
+// Day is the content of a day's file. It does not describe the traffic, which the deployment determines.
 type Day struct {
 	Name    string
 	Seed    uint64
--- a/internal/emulator/scenario/draw.go
+++ b/internal/emulator/scenario/draw.go
@@ -13,8 +13,9 @@
 	anyKindStream         = 11 // stream of the random source for DrawAny
 )
 
-// Draw draws a day with two to four faults of the control nodes, changes of the configuration during the whole day (on
-// some days hundreds), other planned work, and on most days a closing fault. one and zero are Day.One and Day.Zero.
+// Draw draws a day with two to four faults of the control nodes, changes of the configuration during the whole day
+// (more than a hundred on some days), other planned work, and on most days a closing fault. one and zero are Day.One
+// and Day.Zero.
 func Draw(seed uint64, one, zero float64) Day {
 	d := drawing{rand.New(rand.NewPCG(seed, coreStream))}
 	day := Day{Name: fmt.Sprintf("worst-%02d", seed), Seed: 1000 + seed, One: one, Zero: zero}
@@ -34,9 +35,10 @@
 	return day
 }
 
-// DrawAny draws a day from every kind and variant that the bench knows for the contracts of the deployments. The day
-// has three to six faults of servers, edge machines, control nodes and callers, which may overlap, changes of the
-// configuration, other planned work, and on most days a closing fault. one and zero are Day.One and Day.Zero.
+// DrawAny draws a day with three to six faults of servers, edge machines, callers and control nodes, which may overlap.
+// Together with Draw, it covers the kinds that the bench knows for the contracts of the deployments. The day also has
+// changes of the configuration, other planned work, and on most days a closing fault. one and zero are Day.One and
+// Day.Zero.
 func DrawAny(seed uint64, one, zero float64) Day {
 	d := drawing{rand.New(rand.NewPCG(seed, anyKindStream))}
 	day := Day{Name: fmt.Sprintf("any-%02d", seed), Seed: 2000 + seed, One: one, Zero: zero}
--- a/internal/emulator/scenario/draw_test.go
+++ b/internal/emulator/scenario/draw_test.go
@@ -30,7 +30,7 @@
 	return days
 }
 
-// checkTimes checks that entries are ordered by time, and within the bounds of the day.
+// checkTimes checks that entries are ordered by time, and that none is before earliest or after lastFault.
 func checkTimes(t *testing.T, seed uint64, faults []Fault) {
 	t.Helper()
 	const earliest = 2
@@ -58,7 +58,8 @@
 	}
 }
 
-// TestDraw checks that 200 seeds of Draw draw every kind and variant of the faults of control nodes.
+// TestDraw checks that 200 seeds of Draw draw every kind of fault of control nodes, every closing fault, the listed
+// variants, and a day with at least 100 changes.
 func TestDraw(t *testing.T) {
 	days := drawDays(t, Draw, 200, 2, 4)
 	busiest := slices.MaxFunc(days, func(a, b Day) int { return len(a.Plan) - len(b.Plan) })
@@ -73,7 +74,7 @@
 	})
 }
 
-// TestDrawAny checks that 400 seeds of DrawAny draw every kind and variant that Draw lacks.
+// TestDrawAny checks that 400 seeds of DrawAny draw every kind of fault that Draw lacks, and the listed variants.
 func TestDrawAny(t *testing.T) {
 	days := drawDays(t, DrawAny, 400, 3, 6)
 	checkDrawn(t, days, []string{
--- a/internal/emulator/scenario/drawing.go
+++ b/internal/emulator/scenario/drawing.go
@@ -16,7 +16,7 @@
 	fields func(d drawing) []string
 }
 
-// fault draws a fault of one of these kinds.
+// fault draws the kind, by its weight, and the fields of a fault that begins at a time.
 func (d drawing) fault(at Seconds, kinds []faultKind) Fault {
 	total := 0
 	for _, k := range kinds {
@@ -36,7 +36,7 @@
 
 func (d drawing) pick(from []string) string { return from[d.IntN(len(from))] }
 
-// how draws the variant of a fault from one value of each list. Empty values add nothing.
+// how draws the field for the variant of a fault, which consists of one value from each list. Empty values add nothing.
 func (d drawing) how(lists ...[]string) string {
 	var variant []string
 	for _, list := range lists {
@@ -47,27 +47,27 @@
 	return fmt.Sprintf("how = %q", strings.Join(variant, " "))
 }
 
-// duration draws the duration of a fault, in seconds.
+// duration draws the field for the duration of a fault, in seconds.
 func (d drawing) duration(low, high Seconds) string {
 	return fmt.Sprintf("for_s = %.1f", d.between(low, high))
 }
 
-// gap draws the time between the steps of a fault, in seconds.
+// gap draws the field for the time between the steps of a fault, in seconds.
 func (d drawing) gap(low, high Seconds) string {
 	return fmt.Sprintf("gap_s = %.1f", d.between(low, high))
 }
 
-// share draws the share of the machines, servers or requests that a fault affects.
+// share draws the field for the share of the machines, servers or requests that a fault affects.
 func (d drawing) share(low, high float64) string {
 	return fmt.Sprintf("share = %.2f", d.between(low, high))
 }
 
-// factor draws the strength of a fault, in the unit of its kind.
+// factor draws the field for the strength of a fault, in the unit of its kind.
 func (d drawing) factor(low, high float64) string {
 	return fmt.Sprintf("x = %.2f", d.between(low, high))
 }
 
-// count draws a number from 1 to a maximum.
+// count draws the field count, a number from 1 to a maximum. Its meaning depends on the kind of the fault.
 func (d drawing) count(high int) string {
 	return fmt.Sprintf("count = %d", 1+d.IntN(high))
 }
--- a/internal/emulator/testcluster/cluster.go
+++ b/internal/emulator/testcluster/cluster.go
@@ -26,14 +26,14 @@
 	Options
 	rng           *rand.Rand
 	loadStartedAt time.Time // when the load started; zero: it has not started
-	removeDir     bool      // Dir is temporary
+	removeDir     bool      // Dir is temporary, and close removes it
 
 	directory   *fakes.Discovery
 	billing     *fakes.Billing
 	quotes      []*fakes.QuoteServer
 	counter     *counterserver.Server
-	listener    net.Listener // the counter's
-	counterDone chan struct{}
+	listener    net.Listener  // listener of the counter
+	counterDone chan struct{} // closed when the counter no longer serves
 
 	revisions []plans.Revision
 	changedAt atomic.Pointer[time.Time] // when the change of plans takes effect; nil: there is none
@@ -69,7 +69,7 @@
 	return c.finish(ctx)
 }
 
-// startLoad starts to send requests. close stops that and waits for its end.
+// startLoad starts the load, that is, the members' requests. close stops the load and waits until it has ended.
 func (c *cluster) startLoad(ctx context.Context) {
 	ctx, c.cancelLoad = context.WithCancel(ctx)
 	c.loadDone = make(chan struct{})
@@ -130,8 +130,8 @@
 // The quote servers. The last one is of another model, which needs twice the time per request and has half the
 // capacity.
 const (
-	quoteServers = 3
-	quoteWork    = 2 * time.Millisecond // service time of a request
+	quoteServers = 3                    // number of quote servers
+	quoteWork    = 2 * time.Millisecond // service time of a request, except at the last quote server
 )
 
 func (c *cluster) startQuotes() error {
@@ -168,7 +168,7 @@
 	c.counterDone = make(chan struct{})
 	go func() {
 		defer close(c.counterDone)
-		c.counter.Serve(c.listener) // until close closes the listener
+		c.counter.Serve(c.listener) // returns when close closes the listener
 	}()
 	return nil
 }
@@ -221,7 +221,7 @@
 	return exec.CommandContext(ctx, c.Program, append([]string{"usage"}, args...)...).CombinedOutput()
 }
 
-// close ends everything that has been started. The report is complete before it is called.
+// close ends everything that has been started. It kills processes, because the report no longer depends on them.
 func (c *cluster) close() error {
 	for _, p := range c.ingresses {
 		p.Kill()
--- a/internal/emulator/testcluster/doc.go
+++ b/internal/emulator/testcluster/doc.go
@@ -12,8 +12,9 @@
 //   - process.go: Process, a process of the program and the lines of its log;
 //   - errors.go: the errors of the package.
 //
-// It imports emulator/fakes, the counter server, the catalogue and the usage records, and is imported by the program's
-// subcommands and by emulator/faulttest. A Run owns its processes, fakes, files and goroutines and has ended all of
-// them when it returns; a Process belongs to the caller of Launch. The tests in this package cover the parts that run
-// without processes of the program; the subcommand try runs a complete cluster.
+// It imports emulator/fakes, emulator/procstat, the counter server, the plans and their catalogue, the type of targets
+// of the service discovery, and the usage records. It is imported by the program's subcommands and by
+// emulator/faulttest. A Run owns its processes, fakes and goroutines, and has ended all of them when it returns. It
+// removes its files only if Options.Dir is empty. A Process belongs to the caller of Launch. The tests in this package
+// cover the parts that run without processes of the program; the subcommand try runs a complete cluster.
 package testcluster
--- a/internal/emulator/testcluster/evaluation.go
+++ b/internal/emulator/testcluster/evaluation.go
@@ -12,8 +12,8 @@
 // evaluation compares what clients, quote servers and billing observed in a run.
 type evaluation struct {
 	cluster  *cluster
-	requests map[string]*request
-	arrivals map[string]fakes.Arrival // by the ID of the request
+	requests map[string]*request      // requests that clients sent, by ID
+	arrivals map[string]fakes.Arrival // by the ID of the request, over all quote servers
 	report   *Report
 }
 
@@ -100,8 +100,8 @@
 	return stats
 }
 
-// limitTimeSlack extends the slack of a rate limit by what the rate allows in this time in seconds, because a
-// request arrives some time after the decision on it (PROTOCOL).
+// limitTimeSlack is a time in seconds. The units that a rate limit allows in this time are added to its slack, because
+// a request arrives at a quote server some time after the ingress has decided to let it through (PROTOCOL).
 const limitTimeSlack = 0.15
 
 // peakLimitUse returns the peak use of the rate limit of the plan plus, as a fraction of the limit, by the members that
@@ -116,7 +116,7 @@
 	available := plus.LimitBurst + plus.LimitSlack + limitTimeSlack*plus.LimitRate
 	for _, ids := range idsByMember {
 		slices.SortFunc(ids, func(a, b string) int { return e.arrivals[a].First.Compare(e.arrivals[b].First) })
-		level, last := 0.0, e.cluster.loadStartedAt // a leaky bucket
+		level, last := 0.0, e.cluster.loadStartedAt // fill level of a leaky bucket, and when it was computed last
 		for _, id := range ids {
 			at := e.arrivals[id].First
 			level = max(0, level-plus.LimitRate*at.Sub(last).Seconds()) + e.requests[id].units
@@ -166,7 +166,7 @@
 	return arrived
 }
 
-// addToGroup adds a sum on the bill to the group of its member.
+// addToGroup adds a sum on the bill to the counts of its member's group.
 func (e *evaluation) addToGroup(key usage.Key, sum usage.Sum) {
 	i := memberNumber(key.Member)
 	if i < 0 || i >= e.cluster.Members {
@@ -186,13 +186,13 @@
 	}
 }
 
-// quotaAdjustment is the time from the change of plans until quota use is measured. It is two cycles of the quota
-// slices of two seconds each, which is the shortest cycle for quotas above 4 units per second.
+// quotaAdjustment is the time from the change of plans until quota use is measured, in which the ingresses adjust their
+// quota slices. It is two cycles of two seconds each, which is the shortest cycle for quotas above 4 units per second.
 const quotaAdjustment = 4 * time.Second
 
-// quotaUse returns what chosen heavy members on the plan basic used as a fraction of their quotas, by the times at
-// which their requests arrived. The measurement starts quotaAdjustment after the change of plans. It returns 0
-// if there is nothing to measure.
+// quotaUse returns what chosen heavy members on the plan basic, other than those with bookings, used as a fraction of
+// their quotas, by the times at which their requests arrived. The measurement starts quotaAdjustment after the change
+// of plans. It returns 0 if there is nothing to measure.
 func (e *evaluation) quotaUse(chosen func(member int) bool) float64 {
 	c := e.cluster
 	changedAt := c.changedAt.Load()
--- a/internal/emulator/testcluster/evaluation_test.go
+++ b/internal/emulator/testcluster/evaluation_test.go
@@ -9,9 +9,9 @@
 
 // evaluationOf returns an evaluation of requests of one member, one for each arrival time after the start of the load.
 func evaluationOf(member int, units float64, arrivals ...time.Duration) *evaluation {
-	begun := time.Unix(1000, 0)
+	startedAt := time.Unix(1000, 0)
 	e := &evaluation{
-		cluster:  &cluster{Options: Options{Members: 8, Seconds: 20}, loadStartedAt: begun},
+		cluster:  &cluster{Options: Options{Members: 8, Seconds: 20}, loadStartedAt: startedAt},
 		requests: map[string]*request{},
 		arrivals: map[string]fakes.Arrival{},
 		report:   &Report{},
@@ -19,7 +19,7 @@
 	for n, after := range arrivals {
 		id := string(rune('a' + n))
 		e.requests[id] = &request{member: member, units: units, latency: after}
-		e.arrivals[id] = fakes.Arrival{First: begun.Add(after), Times: 1, Runs: 1}
+		e.arrivals[id] = fakes.Arrival{First: startedAt.Add(after), Times: 1, Runs: 1}
 	}
 	return e
 }
@@ -52,7 +52,7 @@
 	if got := e.quotaUse(everyone); got != 0 {
 		t.Errorf("without a change of plans: got %g, want 0", got)
 	}
-	changedAt := e.cluster.loadStartedAt.Add(6 * time.Second) // measured from 10 s to 20 s, members 6 and 7
+	changedAt := e.cluster.loadStartedAt.Add(6 * time.Second) // measured: members 6 and 7 from 10 s to 20 s
 	e.cluster.changedAt.Store(&changedAt)
 	if got, want := e.quotaUse(everyone), 60.0/(2*10*basic.Rate); got != want {
 		t.Errorf("after a change of plans: got %g, want %g", got, want)
--- a/internal/emulator/testcluster/events.go
+++ b/internal/emulator/testcluster/events.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// revisionLead is the time between the announcement of a revision and the moment when it takes effect, in seconds.
+	// revisionLead is the time in seconds from saving a revision until it takes effect. Ingresses read it meanwhile.
 	revisionLead = 1.5
 
 	// restartDelay is the time between the kill of an ingress and its next start.
@@ -24,19 +24,19 @@
 	maxCrashDelay = time.Second
 )
 
-// When events happen and how long bookings last, as fractions of the run.
+// When events happen and how long bookings last, as fractions of the duration of the load.
 const (
-	changeAt        = 0.30
-	bookingAt       = 0.40
-	killAt          = 0.55
-	crashFrom       = 0.25
-	crashSpan       = 0.5
-	bookingDelay    = 0.05
+	changeAt        = 0.30 // change of plans
+	bookingAt       = 0.40 // announcement of the bookings
+	killAt          = 0.55 // kill of an ingress
+	crashFrom       = 0.25 // first crash of the exporter
+	crashSpan       = 0.5  // period in which its crashes are distributed evenly
+	bookingDelay    = 0.05 // time from the revision's effect to the start of the bookings
 	bookingDuration = 0.2
 )
 
 type event struct {
-	at  float64 // time, as a fraction of the run
+	at  float64 // time, as a fraction of the duration of the load
 	run func() error
 }
 
@@ -143,7 +143,7 @@
 	return err
 }
 
-// restartIngress kills an ingress with attempts in flight, and starts it again after restartDelay.
+// restartIngress kills an ingress that has attempts in flight, and starts it again after restartDelay.
 func (c *cluster) restartIngress(i int) error {
 	c.ingresses[i].Kill()
 	c.progress("ingress %d killed", i)
@@ -166,9 +166,9 @@
 	return c.ingresses[i].Addr
 }
 
-// crashExporter kills an exporter and starts it again. With Options.Faults, billing accepts a batch before that
-// and its answer is lost, so that the exporter is likely to be killed while it waits for another
-// answer.
+// crashExporter kills an exporter and starts it again. With Options.Faults, billing first accepts a batch without
+// answering and then fails the next call, so that the exporter is likely to be killed before it knows that the batch
+// was accepted, and to send the batch again.
 func (c *cluster) crashExporter(i int) error {
 	if c.Faults {
 		c.billing.InjectFaults(fakes.LoseReply, fakes.FailCall)
--- a/internal/emulator/testcluster/ingress.go
+++ b/internal/emulator/testcluster/ingress.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	maxUnits    = 2    // of one request
-	rotateEvery = "1s" // setting rotate of the usage records
+	maxUnits    = 2    // maximum number of units of one request
+	rotateEvery = "1s" // time after which an ingress begins a new segment of its usage records
 )
 
 // ingressConfig is a format whose arguments are the number of the ingress, the address of the service discovery, the
--- a/internal/emulator/testcluster/load.go
+++ b/internal/emulator/testcluster/load.go
@@ -34,11 +34,11 @@
 	retryAfter bool // the answer has Retry-After
 }
 
-// load sends the members' requests. Their times do not depend on the answers (an open loop).
+// load sends the members' requests. Their times do not depend on the answers (open loop).
 type load struct {
 	cluster *cluster
 	client  *http.Client
-	factors []float64  // request rate of each member, as a multiple of its quota
+	factors []float64  // units that each member requests per second, as a multiple of its quota
 	rng     *rand.Rand // used only by the goroutine that runs the load
 	lastID  int
 
@@ -50,13 +50,13 @@
 }
 
 const (
-	// maxInFlight bounds the requests in flight, so that the run continues if the ingresses hang.
+	// maxInFlight is the maximum number of requests in flight, so that the run continues if the ingresses hang.
 	maxInFlight = 4000
 
-	clientTimeout = 3 * time.Second
-	sendInterval  = 2 * time.Millisecond
+	clientTimeout = 3 * time.Second      // longer than the 1.5 s in which X-Timeout asks the ingress for an answer
+	sendInterval  = 2 * time.Millisecond // between two checks which requests are due
 
-	// meanUnits is the mean of the units of a request: 1 to maxUnits.
+	// meanUnits is the mean number of units of a request, which has from 1 to maxUnits.
 	meanUnits = 1.5
 
 	// On average, one in atMostOnceEvery requests must not run twice.
--- a/internal/emulator/testcluster/options.go
+++ b/internal/emulator/testcluster/options.go
@@ -10,15 +10,15 @@
 // Options are the settings of a run.
 type Options struct {
 	Program   string    // path of the program that runs as ingress and as exporter
-	Dir       string    // for configuration, logs and records; empty: a temporary folder that is removed
+	Dir       string    // for configuration, logs and records; if it is empty, a temporary folder is used and removed
 	Ingresses int       // at least 1
-	Members   int       // at least 2; half of them on each plan
+	Members   int       // at least 2; at first, half of them are on each plan
 	Seconds   float64   // duration of the load
 	Load      float64   // what members request on average, as a multiple of their quotas
 	Changes   bool      // change plans and add bookings in the middle of the run
-	Kill      bool      // kill an ingress and start it again
-	Crashes   int       // number of times that an exporter is killed and started again
-	Faults    bool      // quote servers and billing fail at random
+	Kill      bool      // kill the last ingress and start it again
+	Crashes   int       // number of times that the exporter of ingress 0 is killed and started again
+	Faults    bool      // quote servers fail at random, and billing before each crash of an exporter
 	Seed      uint64    // seed of all random values
 	Progress  io.Writer // gets a line for each event; nil: none
 }
@@ -45,14 +45,14 @@
 )
 
 const (
-	// firstMember is the number in the name of member 0.
+	// firstMember is the number that the name of member 0 contains, in hexadecimal digits.
 	firstMember = 0x1000
 
 	// changeEvery is the distance between the numbers of two members that change their plans.
 	changeEvery = 5
 
-	// bookingEvery is the distance between the numbers of two members with a booking, of which firstBooked is the
-	// first. All of them are on the plan basic and do not change it.
+	// bookingEvery is the distance between the numbers of two members with a booking, and firstBooked is the number of
+	// the first one. All of them are on the plan basic and do not change it.
 	bookingEvery = 20
 	firstBooked  = 2
 
--- a/internal/emulator/testcluster/process.go
+++ b/internal/emulator/testcluster/process.go
@@ -40,7 +40,7 @@
 }
 
 // Launch starts a process and waits for a log line with a code. It appends the log to a file. It returns an ExitError
-// or a NotReadyError if there is no such line.
+// if the process ends before it writes the line, and a NotReadyError if the line does not follow within readyTimeout.
 func Launch(logPath, code, program string, args ...string) (*Process, error) {
 	cmd := exec.Command(program, append([]string{"--log-format", "logfmt"}, args...)...)
 	pipe, err := cmd.StderrPipe()
@@ -82,7 +82,7 @@
 	p.cmd.Wait() // callers check the log, not the exit status
 }
 
-// logField returns the value of a field of a log line, without quotes; empty if the line lacks the field.
+// logField returns the value of a field of a log line, without quotes. It is empty if the line does not have the field.
 func logField(line, name string) string {
 	_, rest, _ := strings.Cut(line, " "+name+"=")
 	if inner, ok := strings.CutPrefix(rest, `"`); ok {
@@ -93,8 +93,8 @@
 	return rest
 }
 
-// awaitLine returns a channel that gets the next log line with a code. A code has at
-// most one waiter: a new one replaces the previous one.
+// awaitLine returns a channel that gets the next log line with a code. A code has at most one waiter, so a new waiter
+// replaces the previous one.
 func (p *Process) awaitLine(code string) <-chan string {
 	c := make(chan string, 1)
 	p.mu.Lock()
@@ -152,8 +152,8 @@
 	return p.stopped
 }
 
-// Fill simulates a full disk for the process, or ends the simulation. It limits the file size of the process to 0 from
-// outside, so that no file of the process can grow.
+// Fill simulates a full disk for the process, or ends the simulation. It sets the kernel's limit on the size of files
+// that the process writes (RLIMIT_FSIZE) to 0, so that no file of the process can grow.
 func (p *Process) Fill(full bool) error {
 	limit := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
 	if full {
--- a/internal/emulator/testcluster/process_test.go
+++ b/internal/emulator/testcluster/process_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// script writes a shell script that takes the place of the program, and returns its path and that of its log.
+// script writes a shell script that is run in place of the program, and returns its path and a path for its log.
 func script(t *testing.T, commands string) (program, log string) {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/emulator/testcluster/report.go
+++ b/internal/emulator/testcluster/report.go
@@ -19,8 +19,8 @@
 	WithRetryAfter int     // rejected requests whose answer has Retry-After
 	ArrivedUnits   float64 // at quote servers; each request counts once
 	BilledUnits    float64
-	UnknownUnits   float64       // recorded without knowing whether they arrived
-	OverQuotaUnits float64       // of BilledUnits
+	UnknownUnits   float64       // recorded by ingresses that did not know whether they arrived
+	OverQuotaUnits float64       // part of BilledUnits that exceeded quotas
 	P50, P99       time.Duration // latency of served requests
 
 	outcomes [outcomes]int // number of requests by outcome
@@ -29,18 +29,18 @@
 // Report is the result of a run.
 type Report struct {
 	Groups             []GroupStats
-	ArrivedUnits       float64 // complete requests as the quote servers counted them; each request counts once
+	ArrivedUnits       float64 // units of the requests that quote servers received whole; each request counts once
 	ArrivedRequests    int
 	Billed             usage.Sum
-	Unknown            usage.Sum // recorded without knowing whether they arrived
-	Unmetered          usage.Sum
-	RepeatedBatches    int     // batches that billing received again
-	ConflictingBatches int     // of these, the batches with different content
-	BillMatches        bool    // for each member: billed <= arrived <= billed + unknown
-	ExecutedTwice      int     // requests that must not run twice and may have done so
-	PeakLimitUse       float64 // as a fraction of the rate limit
-	MovedUse           float64 // fraction of the quota used by heavy members that changed to basic; 0: not measured
-	SteadyUse          float64 // fraction of the quota used by heavy members that were always on basic; 0: not measured
+	Unknown            usage.Sum // recorded by ingresses that did not know whether the requests arrived
+	Unmetered          usage.Sum // not recorded for a member, because the disk was full
+	RepeatedBatches    int       // number of times that billing received a batch again
+	ConflictingBatches int       // of these, the times that the content differed from the first
+	BillMatches        bool      // for each member: billed <= arrived <= billed + unknown
+	ExecutedTwice      int       // number of requests that must not run twice and may have done so
+	PeakLimitUse       float64   // as a fraction of the rate limit
+	MovedUse           float64   // use by heavy members that moved to basic, as a fraction of their quota; 0: unknown
+	SteadyUse          float64   // use by heavy members that stayed on basic, as a fraction of their quota; 0: unknown
 	Problems           []string
 }
 
