--- a/internal/emulator/loopback/machinefaults.go
+++ b/internal/emulator/loopback/machinefaults.go
@@ -112,7 +112,8 @@
 }
 
 // blackout kills all core nodes and starts them again once all have been killed. In between, it erases the disk of one
-// of them, unless wiped is nil.
+// of them, unless wiped is nil. It records its start as that of the closing fault, so that package invariants checks
+// that no change acknowledged before is lost.
 func (cl *cluster) blackout(wiped *machine) {
 	endFault := cl.recorder.beginFault(invariants.Fault{Machine: "core", Core: true, Majority: true, From: cl.now()})
 	cl.recorder.update(func() { cl.recorder.log.Closing = cl.now() })
