--- a/internal/emulator/capacity/control.go
+++ b/internal/emulator/capacity/control.go
@@ -81,6 +81,7 @@
 	e.addChanges(d)
 	counters := max(1, e.Size.State.Tenants/e.Counters.Owners)
 	d.addOperations("counter calls applied", "tally.add", counters, load.counterCalls)
+	// The series count one Add and one Total as a call. An owner reads the Add and writes the Total.
 	d.addFrames("counter calls: written", "write.count", load.counterCalls/2)
 	d.addFrames("counter calls: read", "read.count", load.counterCalls/2)
 	d.addCollector(e.Control.GCPercent)
--- a/internal/emulator/capacity/estimate.go
+++ b/internal/emulator/capacity/estimate.go
@@ -40,8 +40,9 @@
 // bisections is the number of steps of the search. They narrow the logarithmic range by a factor of 2^40.
 const bisections = 40
 
-// maxScale returns the largest part of the planned size at which exceeds is false. It requires a need that only grows
-// with the size. It returns 0 if exceeds is true at every size of the range, and infinity if at none.
+// maxScale returns the largest part of the planned size at which exceeds is false. If exceeds is true at a size, it
+// must be true at every larger size. maxScale returns 0 if exceeds is true at every size of the range, and infinity if
+// it is true at none.
 func maxScale(exceeds func(scale float64) bool) float64 {
 	if exceeds(minSearchedScale) {
 		return 0
--- a/internal/emulator/capacity/ingress.go
+++ b/internal/emulator/capacity/ingress.go
@@ -98,6 +98,7 @@
 	d.addFrames("ticks, by servers known", "tick.servers", servers)
 	d.addFrames("ticks, by active tenants", "tick.thin", ticks*e.activeTenants())
 	d.addFrames("ticks, by tenants with a slice", "tick.sliced", ticks*e.Counters.SlicedTenants)
+	// The series count one Add and one Total as a call. The proxy writes the Add and reads the Total.
 	d.addFrames("counter calls: written", "write.count", rates.counterCalls/2)
 	d.addFrames("counter calls: read", "read.count", rates.counterCalls/2)
 	d.addCollector(e.Proxy.GCPercent)
--- a/internal/emulator/capacity/latency.go
+++ b/internal/emulator/capacity/latency.go
@@ -30,13 +30,14 @@
 	e.require(Proxy, "a request found and decided, by itself", Seconds, e.Limits.AddedLatency, d.terms)
 }
 
-// changeTime adds the time from the call of a change until it is in force at all ingresses, with empty queues.
+// changeTime adds the time from an operator's call that changes the configuration until the change is in force at all
+// ingresses. It assumes that all queues are empty.
 func (e *estimator) changeTime() {
 	const (
 		ballotRounds = 2    // prepare and accept
 		syncs        = 2    // one sync of the voters' disks in each round
 		hops         = 2    // to the sources, and to the agents
-		minCores     = 1e-3 // lower bound of the cores, which avoids a division by 0
+		minCores     = 1e-3 // lower bound of the limit of cores, which avoids a division by 0
 	)
 	subscribers := e.Size.Ingresses * e.Updates.Copies / e.Updates.SourceNodes
 	frame := e.unitCost("write.beat") + e.unitCost("write.tenant")
--- a/internal/emulator/capacity/parameters.go
+++ b/internal/emulator/capacity/parameters.go
@@ -30,7 +30,8 @@
 	return parameter{field: field, defaultValue: byDefault, min: minimum, max: maximum}
 }
 
-// maxVoters bounds the number of voters in a plan.
+// maxVoters bounds the number of voters in a plan. It rejects implausible values only: the control plane itself accepts
+// at most replica.MaxControlNodes voters.
 const maxVoters = 99
 
 // parameters returns all values that a plan's file may set, by path. docs/operate/emulator.md explains each.
--- a/internal/emulator/capacity/plan.go
+++ b/internal/emulator/capacity/plan.go
@@ -39,7 +39,7 @@
 // Process describes the memory of a process.
 type Process struct {
 	Shares     StateFigures // parts of the state that it holds
-	GCPercent  float64      // growth of the heap until a garbage collection, in percent of the live heap
+	GCPercent  float64      // growth of the heap after which a garbage collection runs, in percent of the live heap
 	FixedBytes float64      // memory that does not depend on the size, in bytes
 }
 
@@ -47,7 +47,7 @@
 type ProxyProcess struct {
 	Process
 	TenantsPerRequest float64 // different tenants within a minute for each request of that minute; 1 is the worst case
-	LargestGroup      float64 // number of servers of a large service
+	LargestGroup      float64 // number of servers of the largest service
 	TicksPerSecond    float64 // ticks a second of the decision module
 }
 
@@ -71,7 +71,7 @@
 	DeletionShare       float64 // part of the changes that delete an item
 	InitialShare        float64 // part of the state that a joining node needs before it serves
 	LookupShare         float64 // part of the requests that look up state that the ingress does not hold
-	TombstoneDays       float64 // days until a tombstone is removed; 0: never
+	TombstoneDays       float64 // days until a tombstone is removed; 0 means never
 }
 
 // Counters describes the use of the shared counters of quotas.
@@ -79,7 +79,7 @@
 	RequestShare  float64 // part of the requests that call a counter's owner
 	SlicedTenants float64 // number of tenants of which an ingress has a quota slice
 	CallsPerFrame float64 // number of calls in one frame
-	CallBytes     float64 // bytes of a call and its answer; 0: the measured number
+	CallBytes     float64 // bytes of a call and its answer; 0 means the measured number
 	Owners        float64 // number of control nodes that own counters
 	Retention     float64 // time for which the report of an ingress is remembered, in seconds
 }
@@ -88,7 +88,7 @@
 type Network struct {
 	SegmentBytes      float64 // headers of TCP, IP and Ethernet for each segment
 	HeartbeatBytes    float64 // a server's heartbeat over HTTP and its answer
-	MaxFirstCallBytes float64 // limit of an operator's first call
+	MaxFirstCallBytes float64 // limit of an operator's first call, which contains the whole configuration
 }
 
 // Limits contains the limits that the system must keep.
--- a/internal/emulator/capacity/rates.go
+++ b/internal/emulator/capacity/rates.go
@@ -2,7 +2,8 @@
 
 const (
 	secondsPerDay = 86400.0
-	// heartbeatsPerSecond is the rate of heartbeats on each subscription. Renewals of leases return at the same rate.
+	// heartbeatsPerSecond is the rate of heartbeats on each subscription, one per transport.KeepaliveInterval. Renewals
+	// of leases return at the same rate.
 	heartbeatsPerSecond = 2.0
 	// callsPerSlice is the number of calls of an ingress in each cycle for a tenant of which it has a quota slice: the
 	// report and the read. A cycle takes a second.
--- a/internal/emulator/capacity/report.go
+++ b/internal/emulator/capacity/report.go
@@ -24,7 +24,7 @@
 }
 
 // Order returns the requirements in the order in which their limits are reached as the size grows. Those that exceed
-// their limit at any size come first, the smallest margin first.
+// their limit at every size come first, the smallest margin first.
 func (r *Report) Order() []Requirement {
 	ordered := slices.Clone(r.Requirements)
 	slices.SortStableFunc(ordered, func(a, b Requirement) int {
@@ -33,7 +33,8 @@
 	return ordered
 }
 
-// maxTermsShown bounds the number of terms that the report shows for a requirement.
+// maxTermsShown bounds the number of terms that the report shows for a requirement, to limit the length of its lines.
+// The terms are sorted, so that those left out are the smallest.
 const maxTermsShown = 4
 
 // Write writes the report as text: a table of the requirements, and the limit that binds first. It returns the errors
--- a/internal/emulator/capacity/requirement.go
+++ b/internal/emulator/capacity/requirement.go
@@ -37,8 +37,8 @@
 	Need        float64 // the sum of Terms
 	Limit       float64
 	Terms       []Term // sorted, the largest first
-	// MaxScale is the part of the planned size at which Need reaches Limit: 0 if it is above Limit at any size, and
-	// infinite if it never is.
+	// MaxScale is the part of the planned size at which Need reaches Limit: 0 if Need is above Limit at every size, and
+	// infinite if it is at none.
 	MaxScale float64
 }
 
--- a/internal/emulator/costmodel/changes.go
+++ b/internal/emulator/costmodel/changes.go
@@ -15,13 +15,15 @@
 const (
 	changeOperations = 400     // changes measured together
 	lookupOperations = 100_000 // look-ups measured together
-	// maxLookupKeys bounds the number of keys that a look-up benchmark generates before the measurement.
+	// maxLookupKeys bounds the number of keys that a look-up benchmark generates before the measurement, and so their
+	// memory.
 	maxLookupKeys = 1 << 16
-	// maxChunk is the size limit of one chunk of changes to a subscriber, in bytes.
+	// maxChunk is the size limit of one chunk of changes to a subscriber, in bytes. Package replication uses the same.
 	maxChunk = 64 << 10
 )
 
-// changeFixtures returns the immutable states of each size that several series of changes and look-ups share.
+// changeFixtures contains functions that return the immutable states of each size. Several series of changes and
+// look-ups share these states.
 type changeFixtures struct {
 	routes  func(n int) *configuration.Snapshot // n routes and their services
 	tenants func(n int) *configuration.Snapshot
--- a/internal/emulator/costmodel/fixtures.go
+++ b/internal/emulator/costmodel/fixtures.go
@@ -8,17 +8,18 @@
 	"mulleinrouter/internal/cluster/registry"
 )
 
-// The fixtures generate the state of a system of a given size. The only random seed of an item is its number, so that
-// equal numbers give equal items in every run. Bodies have the layout in which operators send them, with one key per
-// tenant.
+// The fixtures generate the state of a system of a given size. The random seed of a name consists of the number of its
+// item and a constant for the kind of name, so that equal numbers give equal items in every run. Bodies have the layout
+// in which operators send them, with one key per tenant.
 
 const (
 	// serversPerService is the number of servers of a service at the design size (docs/CAPACITY.md).
 	serversPerService = 20
 	routesPerHost     = 3
-	zoneCount         = 25
-	// stride is the step between the numbers of successive items. As a prime it reaches all items, and each is far from
-	// the previous one, so that the order does not benefit from caches.
+	zoneCount         = 25 // number of zones over which instances are spread
+	// stride is the step between the numbers of successive items. It is a prime that divides no benchmark's size, so
+	// that it reaches all items. Each item is far from the previous one, so that the order does not benefit from
+	// caches.
 	stride = 7919
 )
 
@@ -53,8 +54,8 @@
 func pathPrefix(n int) string   { return fmt.Sprintf("/%s/%d/", randomName(n, 7, pathSalt), n) }
 func reporterName(n int) string { return fmt.Sprintf("edge-muscat-hall-%d", n) }
 
-// item returns an item. Its body is the formatted JSON object, which comes without its closing brace, with the
-// generation appended.
+// item returns an item. format and args give its body as a JSON object without the closing brace, to which item appends
+// the generation and the brace.
 func item(kind configuration.Kind, name string, version int, format string, args ...any) configuration.Item {
 	body := fmt.Sprintf(format, args...) + fmt.Sprintf(`,"generation":"%08x"}`, version)
 	return configuration.Item{
--- a/internal/emulator/costmodel/frames.go
+++ b/internal/emulator/costmodel/frames.go
@@ -173,7 +173,7 @@
 		add := &transport.CounterAdd{
 			Name:       tenantName(i),
 			Cycle:      86400,
-			Reporter:   reporterName(i%designIngresses) + "#1z141z4",
+			Reporter:   reporterName(i%designIngresses) + "#1z141z4", // with an incarnation, as the proxy sends it
 			Amount:     1,
 			Retention:  counterRetention,
 			PerRequest: true,
--- a/internal/emulator/costmodel/heap.go
+++ b/internal/emulator/costmodel/heap.go
@@ -7,7 +7,7 @@
 type heapBenchmark[Base any] struct {
 	series Series
 	sizes  []int
-	base   func(size int) Base // nil: build needs no base
+	base   func(size int) Base // nil if build needs no base
 	build  func(base Base, size int) any
 }
 
--- a/internal/emulator/costmodel/meter.go
+++ b/internal/emulator/costmodel/meter.go
@@ -12,13 +12,13 @@
 // meter measures in this process and collects the series. Nothing else may run in the process meanwhile.
 type meter struct {
 	divisor int           // divisor of the sizes and of the numbers of operations
-	report  func(*Series) // called with each series; nil: none is reported
+	report  func(*Series) // called with each series; nil if none is to be reported
 	series  []Series
 	err     error // the first error
 }
 
-// preparationGCPercent is the garbage collector's target (GOGC) while the state to be measured is built. The
-// measurements themselves call the collector explicitly.
+// preparationGCPercent is the garbage collector's target (GOGC) while the state to be measured is built. It is above
+// the default of 100, so that building takes less time. The measurements themselves call the collector explicitly.
 const preparationGCPercent = 400
 
 // measurements lists the groups of series in the order in which they are measured and appear in a run.
--- a/internal/emulator/costmodel/processor_time.go
+++ b/internal/emulator/costmodel/processor_time.go
@@ -10,7 +10,7 @@
 
 const (
 	// maxUncollectedBytes bounds the bytes that operations allocate before the garbage collector is called between two
-	// of them. The collector is off during a measurement.
+	// measurements. It limits the heap, because the collector is off during a measurement.
 	maxUncollectedBytes = 256 << 20
 	// repetitions is the number of measurements of an operation at each size. The minimum is used, because other work
 	// on the machine can only add to the time.
@@ -60,7 +60,7 @@
 	return Point{Size: float64(size), Cost: math.Inf(1), AllocBytes: math.Inf(1)}
 }
 
-// keepMinimum lowers the costs of the point to those of a new measurement where they are smaller.
+// keepMinimum replaces each cost of the point by that of a new measurement if the new one is smaller.
 func (p *Point) keepMinimum(cost, allocBytes float64) {
 	p.Cost = min(p.Cost, cost)
 	p.AllocBytes = min(p.AllocBytes, allocBytes)
--- a/internal/emulator/costmodel/series.go
+++ b/internal/emulator/costmodel/series.go
@@ -66,7 +66,8 @@
 	return s.line().at(scaled), s.AllocLine.at(scaled)
 }
 
-// minPoints is the minimum number of points that a line is fitted to.
+// minPoints is the minimum number of points that a line is fitted to. Two points would always be on the line, so that
+// the residuals would show no error.
 const minPoints = 3
 
 // Fit fits the line to the points and predicts the holdout. Sizes span orders of magnitude, so the fit minimizes the
--- a/internal/emulator/costmodel/state_memory.go
+++ b/internal/emulator/costmodel/state_memory.go
@@ -204,10 +204,10 @@
 }
 
 const (
-	// counterTime is the time in seconds, and also the number of the cycle, of all reports except those of benchmarks
-	// that count the cycles up.
+	// counterTime is the time of all reports in seconds. It is also the number of their cycle, except in
+	// measureCounterTotal, where each read is of the next cycle.
 	counterTime = 3
-	// counterRetention is the number of cycles for which a reporter is remembered.
+	// counterRetention is the time for which a counter and its reporters are kept after their last use, in seconds.
 	counterRetention = 3
 )
 
