--- a/internal/emulator/exchange/doc.go
+++ b/internal/emulator/exchange/doc.go
@@ -24,6 +24,6 @@
 // which connects to the target at its first step.
 //
 // Tests: player_test.go replays a script that contains each verb (testdata/each-verb.txt), and checks how differences
-// from a script are reported. The tests of dataplane/ingress, dataplane/upstream, standalone/discovery,
-// standalone/counterclient and cmd/mulleinrouter replay their own scripts.
+// from a script are reported. The tests of dataplane/ingress, dataplane/upstream, proxy, standalone/discovery,
+// standalone/counterclient, standalone/node and cmd/mulleinrouter replay their own scripts.
 package exchange
--- a/internal/emulator/exchange/step.go
+++ b/internal/emulator/exchange/step.go
@@ -225,7 +225,8 @@
 	return p.closeConn(c, s)
 }
 
-// Body returns n bytes from an offset of a generated, unlimited body, in which each byte depends on its offset.
+// Body returns n bytes from an offset of a generated, unlimited body. The bytes repeat after 251, a prime, so that a
+// shift by the size of a buffer or chunk changes them.
 func Body(offset, n int) []byte {
 	body := make([]byte, n)
 	for i := range body {
--- a/internal/emulator/fakes/billing.go
+++ b/internal/emulator/fakes/billing.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	maxBatchBytes = 64 << 20 // maximum size of a batch after decompression, bytes
+	maxBatchBytes = 64 << 20 // maximum size of a batch after decompression, bytes; the rest of a larger one is not read
 
 	digestHeader = "X-Content-SHA256"
 
@@ -64,7 +64,7 @@
 	RateLimited               // does not accept the batch and answers 429 with Retry-After
 )
 
-// Start listens on loopback. It returns a *ListenError.
+// Start listens on loopback. It returns a *ListenError if it cannot.
 func (b *Billing) Start() error {
 	b.digests = map[string]string{}
 	b.totals.Tally = usage.Tally{}
--- a/internal/emulator/fakes/billing_test.go
+++ b/internal/emulator/fakes/billing_test.go
@@ -27,7 +27,8 @@
 	return b
 }
 
-// postBatch posts a batch, with a fencing token if token is not 0. It returns the status; 0: there was no response.
+// postBatch posts a batch, with a fencing token if token is not 0. It returns the status, or 0 if there was no
+// response.
 func postBatch(t *testing.T, b *Billing, batch usage.Batch, token uint64) int {
 	t.Helper()
 	body, err := json.Marshal(batch)
@@ -119,7 +120,7 @@
 	for _, test := range []struct {
 		name   string
 		fault  BillingFault
-		want   int // status; 0: no response
+		want   int // status, or 0 for no response
 		billed bool
 	}{
 		{"none", NoFault, http.StatusOK, true},
--- a/internal/emulator/fakes/discovery.go
+++ b/internal/emulator/fakes/discovery.go
@@ -9,7 +9,8 @@
 	"mulleinrouter/internal/standalone/discovery"
 )
 
-// keepAliveInterval is the interval at which a watch sends an empty line while nothing changes.
+// keepAliveInterval is the interval at which a watch sends an empty line while nothing changes. An ingress
+// considers a watch dead after 3 s without a line.
 const keepAliveInterval = 2 * time.Second
 
 // stateLeft is the state of a target that is removed from the list.
@@ -27,7 +28,7 @@
 	silent   bool                        // watches send nothing
 }
 
-// Start listens on loopback. It returns a *ListenError.
+// Start listens on loopback. It returns a *ListenError if it cannot.
 func (d *Discovery) Start() error {
 	d.targets = map[string]discovery.Target{}
 	d.changed = make(chan struct{})
--- a/internal/emulator/fakes/quote_server.go
+++ b/internal/emulator/fakes/quote_server.go
@@ -27,11 +27,11 @@
 type QuoteServer struct {
 	httpServer
 
-	Cores       int           // number of requests executed at the same time; 0: 1
+	Cores       int           // number of requests executed at the same time; 0 means 1
 	Queue       int           // number of requests that may wait for a core; further ones are rejected
 	ServiceTime time.Duration // execution time of a request after slow start
-	SlowStart   time.Duration // time during which service times fall linearly from 4 times ServiceTime; 0: none
-	IdleTimeout time.Duration // time after which idle connections are closed; 0: 30 s
+	SlowStart   time.Duration // time during which service times fall linearly from 4 times ServiceTime; 0 means none
+	IdleTimeout time.Duration // time after which idle connections are closed; 0 means 30 s
 	Salt        uint64        // makes servers with different salts inject faults into different requests
 
 	startedAt time.Time
@@ -61,7 +61,7 @@
 	Malformed float64 // send a response that is not valid HTTP
 }
 
-// Start listens on loopback. It returns a *ListenError.
+// Start listens on loopback. It returns a *ListenError if it cannot.
 func (q *QuoteServer) Start() error {
 	q.startedAt = time.Now()
 	q.cores = make(chan struct{}, max(1, q.Cores))
@@ -77,7 +77,7 @@
 	})
 }
 
-// SetFaults sets the faults that are injected into subsequent requests; nil: none.
+// SetFaults sets the faults that are injected into subsequent requests; nil means none.
 func (q *QuoteServer) SetFaults(f *Faults) { q.faults.Store(f) }
 
 // Arrived returns a copy of the requests received completely so far, by ID.
--- a/internal/emulator/fakes/quote_server_test.go
+++ b/internal/emulator/fakes/quote_server_test.go
@@ -16,7 +16,7 @@
 	return q
 }
 
-// requestQuote sends a request with an ID, and returns the status; 0: there was no response.
+// requestQuote sends a request with an ID, and returns the status, or 0 if there was no response.
 func requestQuote(t *testing.T, q *QuoteServer, id string) int {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+q.Addr()+"/api/1", strings.NewReader("body"))
@@ -38,7 +38,7 @@
 	for _, test := range []struct {
 		name   string
 		faults *Faults
-		want   int // status; 0: no response
+		want   int // status, or 0 for no response
 		runs   int
 		served int
 	}{
--- a/internal/emulator/fakes/server.go
+++ b/internal/emulator/fakes/server.go
@@ -20,7 +20,7 @@
 	served chan struct{} // closed when the server's goroutine has ended
 }
 
-// start listens on loopback and serves until Stop. It returns a *ListenError.
+// start listens on loopback and serves until Stop. It returns a *ListenError if it cannot listen.
 func (h *httpServer) start(name string, server *http.Server) error {
 	l, err := net.Listen("tcp", loopbackAddr)
 	if err != nil {
--- a/internal/emulator/faultnet/doc.go
+++ b/internal/emulator/faultnet/doc.go
@@ -5,8 +5,9 @@
 // real processes on loopback; Memory is a network within one process, for simulated time, whose endpoints are
 // transports for memberlist.
 //
-// The package imports no other package of this module. Only fault tests (internal/emulator/faulttest) and the tests of
-// internal/standalone/fleet/gossip import it; production programs do not. Links, Memory and Relay each guard their
-// state with a mutex. A relay owns the goroutines that forward traffic, and waits for them in Close. Tests of Links and
-// Relay are in this package; the tests of package gossip cover Memory.
+// The package imports no other package of this module. Only the fault tests (internal/emulator/faulttest), which
+// `mulleinrouter fault-test` runs, and the tests of internal/standalone/fleet/gossip import it; a serving process does
+// not use it. Links, Memory and Relay each guard their state with a mutex. A relay owns the goroutines that forward
+// traffic, and waits for them in Close. Tests of Links and Relay are in this package; the tests of package gossip cover
+// Memory.
 package faultnet
--- a/internal/emulator/faultnet/relay.go
+++ b/internal/emulator/faultnet/relay.go
@@ -25,14 +25,14 @@
 	links    *Links
 	caller   func(net.Addr) string // returns the node that an address belongs to
 	listener net.Listener
-	packets  net.PacketConn // nil: the relay forwards only streams
+	packets  net.PacketConn // nil if the relay forwards only streams
 
 	cancel     context.CancelFunc // ends the forwarding
 	forwarders sync.WaitGroup
 
 	mu       sync.Mutex // guards the fields below
-	target   string     // address of the node; "": the node is not listening
-	sourceIP net.IP     // local address of the streams to the node; nil: any
+	target   string     // address of the node; empty if the node is not listening
+	sourceIP net.IP     // local address of the streams to the node; nil for any
 	conns    map[net.Conn]bool
 	closed   bool
 }
