--- a/internal/emulator/histories/check.go
+++ b/internal/emulator/histories/check.go
@@ -17,11 +17,11 @@
 	Kind     Kind
 	Sent     time.Duration
 	Received time.Duration
-	Status   int           // HTTP status; 0: no answer in time, so that the call may or may not have taken effect
+	Status   int           // HTTP status; 0 if no answer came in time, in which case the call may have taken effect
 	Hold     time.Duration // requested time to hold a lock
 	Fence    uint64        // fencing token of the lock that was acquired, renewed or released
 	Value    string        // value of a cell
-	Expected *uint64       // revision that the cell must have for a put to take effect; nil: any revision
+	Expected *uint64       // revision that the cell must have for a put to take effect; nil means any revision
 	Number   uint64        // number or revision in the answer
 }
 
@@ -116,7 +116,7 @@
 // cellState is the state of a cell in cellModel.
 type cellState struct {
 	value    string
-	revision uint64 // 0: the cell does not exist; unknownRevision: set by a put without a definite answer
+	revision uint64 // 0 if the cell does not exist; unknownRevision after a put without a definite answer
 }
 
 // cellModel is a register whose puts have increasing revisions. A put without a definite answer may have taken effect
@@ -167,6 +167,8 @@
 func checkCell(name string, calls []Call) string {
 	var operations []porcupine.Operation
 	for _, c := range mergePutAttempts(calls) {
+		// A read without an answer proves nothing. A call that got a 503 had no effect, because control nodes answer
+		// 504 if they do not know whether it had one.
 		if c.Status == 0 && c.Kind == Get || c.Status == http.StatusServiceUnavailable {
 			continue
 		}
--- a/internal/emulator/histories/workload.go
+++ b/internal/emulator/histories/workload.go
@@ -18,14 +18,15 @@
 
 	watchWait      = 500 * time.Millisecond // how long the server of a watch call waits for an event
 	maxPutAttempts = 4                      // how often one put is sent at most until it gets a definite answer
-	maxRenewals    = 4                      // upper limit, not reached, of the renewals of one lock
+	maxRenewals    = 4                      // one more than the largest number of renewals of one lock
 	locks          = 2                      // number of locks
 	groups         = 2                      // number of groups of cells
 	cells          = 3                      // number of cells in each group
 	maxPause       = 60 * time.Millisecond  // longest pause of an application between two calls
 )
 
-// SendFunc sends a call to any control node, and returns its answer; status 0: no answer arrived within the timeout.
+// SendFunc sends a call to any control node, and returns its answer. The status is 0 if no answer arrived
+// within the timeout.
 type SendFunc func(method, path, body string, timeout time.Duration) (status int, text string)
 
 // Workload is a set of applications that use locks, numbers, cells and watches, and record the answers. It is safe for
@@ -36,10 +37,10 @@
 
 	mu           sync.Mutex // guards the fields below
 	rnd          *rand.Rand
-	records      map[string][]Call // by path
-	watches      map[string][]Watch
-	watchedUntil map[string]uint64 // by group: the revision up to which all events have been received
-	puts         int               // number of values put so far, which makes each value unique
+	records      map[string][]Call  // by path
+	watches      map[string][]Watch // by group
+	watchedUntil map[string]uint64  // revision up to which all events have been received, by group
+	puts         int                // number of values put so far, which makes each value unique
 	violations   []string
 }
 
@@ -105,7 +106,7 @@
 	case Acquire:
 		c.Fence = answer.Fence
 	case Number:
-		_ = json.Unmarshal(answer.Payload, &c.Number) // without a number it stays 0, which every check rejects
+		_ = json.Unmarshal(answer.Payload, &c.Number) // without a number it stays 0, which checkNumbers rejects
 	case Put:
 		c.Number = answer.Revision
 	case Get:
@@ -158,8 +159,8 @@
 	}
 }
 
-// useCell reads a cell and puts a value, either unconditionally or on condition of the revision that it has read. It
-// sends the put again until there is a definite answer, at most maxPutAttempts times.
+// useCell reads a cell. In two of three cases it then puts a value, either unconditionally or on condition of the
+// revision that it has read. It sends the put up to maxPutAttempts times, until there is a definite answer.
 func (w *Workload) useCell(app int) {
 	path := fmt.Sprintf("/cells/%sk%d", groupName(w.Random(groups)), w.Random(cells))
 	read := w.call(Call{App: app, Kind: Get}, http.MethodGet, path, "")
--- a/internal/emulator/invariants/check.go
+++ b/internal/emulator/invariants/check.go
@@ -8,19 +8,19 @@
 
 // The names of the rules. CONTACT and FAULT are additions of this package; the others are from RULES.md.
 const (
-	ruleBudget  = "BUDGET"
-	ruleConfig  = "CONFIG"
-	ruleContact = "CONTACT"
-	ruleDenied  = "DENIED"
-	ruleDrain   = "DRAIN"
-	ruleFault   = "FAULT"
-	ruleLost    = "LOST"
-	ruleMixed   = "MIXED"
-	ruleQuota   = "QUOTA"
-	ruleRefused = "REFUSED"
-	ruleRoute   = "ROUTE"
-	ruleTwice   = "TWICE"
-	ruleUnasked = "UNASKED"
+	ruleBudget  = "BUDGET"  // retries to a service stay within a share of its requests
+	ruleConfig  = "CONFIG"  // the versions in force are valid, and not superseded for too long
+	ruleContact = "CONTACT" // a control node that cannot reach a majority gives no definite answer
+	ruleDenied  = "DENIED"  // the system does not itself reject proper requests with a 3xx or 4xx
+	ruleDrain   = "DRAIN"   // no request reaches a server later than Bounds.Drain after its departure
+	ruleFault   = "FAULT"   // no process ends by itself
+	ruleLost    = "LOST"    // SIGTERM loses no request, and the closing fault no acknowledged version
+	ruleMixed   = "MIXED"   // a client gets the answer to its own request, unchanged
+	ruleQuota   = "QUOTA"   // the requests of a tenant that run stay within its quota
+	ruleRefused = "REFUSED" // a non-idempotent request does not run if its answer promises that it did not
+	ruleRoute   = "ROUTE"   // a request runs only on a service to which a configuration routes it
+	ruleTwice   = "TWICE"   // a non-idempotent request runs at most once
+	ruleUnasked = "UNASKED" // servers run only what clients sent, unchanged and for a tenant that holds the key
 )
 
 // Check returns every violation of an invariant in a run, ordered by time.
--- a/internal/emulator/invariants/check_test.go
+++ b/internal/emulator/invariants/check_test.go
@@ -125,7 +125,7 @@
 func TestCheckEachRule(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		rule   string // name of the only rule that is violated; empty: none
+		rule   string // name of the only rule that is violated; empty if none is
 		change func(l *Log)
 	}{
 		{"stale configuration read", "CONTACT", func(l *Log) {
--- a/internal/emulator/invariants/configuration.go
+++ b/internal/emulator/invariants/configuration.go
@@ -77,7 +77,8 @@
 		r.Machine, item, describeBody(body, present), acked)
 }
 
-// lastAcknowledged returns the valid version with the highest number that was acknowledged before a time; nil: none.
+// lastAcknowledged returns the valid version with the highest number that was acknowledged before a time, or
+// nil if there is none.
 func lastAcknowledged(versions []*Version, before Seconds) (last *Version) {
 	for _, v := range versions {
 		if v.Valid && v.Acked < before && (last == nil || v.Number > last.Number) {
@@ -102,10 +103,11 @@
 	return fmt.Sprintf("%.200v", body)
 }
 
-// versionFilter reports whether an item may have a version in force; nil: the item is absent.
+// versionFilter reports whether an item may have a version in force. A nil version means that the item is absent.
 type versionFilter func(item string, v *Version) bool
 
-// floor is the lowest version that each item may have on a machine. An item that it lacks may have any version.
+// floor is the lowest version that each item may have on a machine. An item that is not in the map may have any
+// version.
 type floor map[string]uint64
 
 // raise raises the lowest version of an item to a number, if it is below that.
--- a/internal/emulator/invariants/contact.go
+++ b/internal/emulator/invariants/contact.go
@@ -54,7 +54,7 @@
 	return in, stretched
 }
 
-// processStart returns when the process started that ran on a machine at a time; -Inf if no start was recorded.
+// processStart returns when the process started that ran on a machine at a time, or -Inf if no start was recorded.
 func (c *checker) processStart(machine string, at Seconds) Seconds {
 	last := math.Inf(-1)
 	for _, s := range c.ProcessStarts {
@@ -76,8 +76,8 @@
 	return false
 }
 
-// faultedRevertSlackFactor is the factor by which Bounds.RevertSlack is larger for a machine that is slowed or was
-// suspended.
+// faultedRevertSlackFactor is the factor by which Bounds.RevertSlack is larger during a fault of the machine, such as
+// when it is slowed or suspended, and for Bounds.Contact after it.
 const faultedRevertSlackFactor = 8
 
 // revertSlack returns how long after a version was observed a machine may still handle requests by older versions.
--- a/internal/emulator/invariants/handling.go
+++ b/internal/emulator/invariants/handling.go
@@ -132,7 +132,8 @@
 	number uint64
 }
 
-// observations are in order of time, with ascending numbers within one process of the machine.
+// observations contains the observations of each item on each machine, in order of time. Their numbers ascend within
+// one process of the machine.
 type observations map[machineItem][]observation
 
 type machineItem struct{ machine, item string }
--- a/internal/emulator/invariants/log.go
+++ b/internal/emulator/invariants/log.go
@@ -24,7 +24,7 @@
 	ProcessStarts  []ProcessStart
 	Terminations   []Termination
 	ConfigReads    []ConfigRead
-	Closing        Seconds // start of the fault that ends the run; Never: there was none
+	Closing        Seconds // start of the fault that ends the run; Never if there was none
 	Exits          []Exit  // processes that ended by themselves
 	Partitions     []Partition
 	ControlAnswers []ControlAnswer
@@ -53,7 +53,7 @@
 	Probe           bool   // it requests something that may not exist, so it has no value and DENIED ignores it
 	Method, Host    string
 	Target          string
-	Key             string  // empty: none was sent
+	Key             string  // empty if none was sent
 	ClaimedTenant   string  // the X-Tenant that the client sent, if any
 	Body            uint64  // checksum of its body
 	Sent, Done      Seconds // when its last byte was sent, and when it ended
@@ -65,7 +65,7 @@
 	End      Ending
 	Status   int
 	AnswerID string // X-Attempt-Id of the answer, if any
-	Seal     string // mark that a server puts on its answer; empty: the system itself answered
+	Seal     string // mark that a server puts on its answer; empty if the system itself answered
 	Sum      uint64 // checksum of the answer's body
 	Surplus  bool   // bytes followed the answer although no request was waiting
 }
@@ -74,7 +74,7 @@
 type Arrival struct {
 	ID, Instance, Service string
 	At                    Seconds // when it was read
-	Started               Seconds // when work on it began; Never: it did not run
+	Started               Seconds // when work on it began; Never if it did not run
 	End                   Seconds // when the server had finished it
 	Method, Host, Target  string
 	Body                  uint64 // checksum of its body
@@ -92,7 +92,7 @@
 	Dropped bool
 	Valid   bool    // the call that sent it was valid as a whole
 	Sent    Seconds // when it was sent first
-	Acked   Seconds // when the 200 was received; Never: none was
+	Acked   Seconds // when the 200 was received; Never if none was
 	Refused bool    // a definite 4xx was received, and no 200
 	Route   *Route
 	Tenant  *Tenant
@@ -110,7 +110,7 @@
 type Tenant struct {
 	Name        string
 	Keys        []string
-	Rate, Burst float64 // in requests per second, and in requests; Rate 0: no quota
+	Rate, Burst float64 // in requests per second, and in requests; Rate 0 means no quota
 }
 
 // Departure is an acknowledgement that a server is draining or gone.
@@ -120,12 +120,13 @@
 	By       string // the control node that acknowledged it
 }
 
-// Fault is an event that keeps a machine out of contact. While a control node has one, the control nodes are unstable.
+// Fault is an event that keeps a machine out of contact. While a control node has one, the control nodes are unstable,
+// and a change may take longer by Bounds.MaxStretch until it is in force.
 type Fault struct {
 	Machine  string
-	Core     bool // the machine is a control node
+	Core     bool // the fault is of one or more control nodes
 	Majority bool // more than half of the control nodes failed; otherwise the others continued
-	Planned  bool // a SIGTERM and the start after it
+	Planned  bool // a SIGTERM and the start after it, or the first start
 	From, To Seconds
 }
 
@@ -171,7 +172,7 @@
 
 // Violation is an invariant that did not hold.
 type Violation struct {
-	Rule string // its name in RULES.md
+	Rule string // its name in RULES.md, or CONTACT or FAULT
 	At   Seconds
 	Text string
 }
--- a/internal/emulator/invariants/rates.go
+++ b/internal/emulator/invariants/rates.go
@@ -12,7 +12,8 @@
 	service string
 }
 
-// checkBudget checks BUDGET in each window that ends with a retry. Each service is reported once.
+// checkBudget checks BUDGET in each window that ends with a retry: the retries to a service stay within
+// Bounds.RetryRatio of the requests that may have been for it, plus Bounds.RetrySlack. Each service is reported once.
 func (c *checker) checkBudget() {
 	retries := c.retries()
 	sent := c.sentByService()
@@ -99,7 +100,7 @@
 
 // tenantRun is a request of a tenant that ran.
 type tenantRun struct {
-	sent, at Seconds // at: when it reached the server
+	sent, at Seconds // at is when it reached the server
 	edge     string
 }
 
@@ -159,7 +160,7 @@
 }
 
 // quotaLimit returns how many requests of a tenant may run in a window, by the version with the largest quota of those
-// that may be in force in it; +Inf if one of them has no quota.
+// that may be in force in it. It returns +Inf if one of them has no quota.
 func (c *checker) quotaLimit(tenant string, from, window Seconds) float64 {
 	limit := 0.0
 	versions := c.versionsByItem["customers/"+tenant]
@@ -176,7 +177,8 @@
 	return limit
 }
 
-// superseded reports whether every edge machine must have applied a later version than v for a window or longer.
+// superseded reports whether every edge machine must have applied a later version than v at least one window before
+// from.
 func (c *checker) superseded(v *Version, versions []*Version, from, window Seconds) bool {
 	return slices.ContainsFunc(versions, func(later *Version) bool {
 		if later.Number <= v.Number || later.Acked+c.Bounds.ConfigApply+window > from {
--- a/internal/emulator/invariants/selection.go
+++ b/internal/emulator/invariants/selection.go
@@ -9,7 +9,7 @@
 // outcome is the part of a request's handling that depends on the configuration in force: the service that ran it, or
 // the status of the rejection.
 type outcome struct {
-	service string // empty: the request was rejected
+	service string // empty if the request was rejected
 	status  int    // of the rejection: 401, 403 or 404
 }
 
