--- a/internal/emulator/coordinationsoak/faults.go
+++ b/internal/emulator/coordinationsoak/faults.go
@@ -85,8 +85,9 @@
 	s.start(n)
 }
 
-// crashAll kills all processes, and starts them again once all have ended. It keeps each node's lifecycle lock until all
-// nodes have ended, so two concurrent calls would wait for each other's locks forever: the second waits for the first.
+// crashAll kills all processes, and starts them again once all have ended. It keeps each node's lifecycle lock until
+// all nodes have ended. Two concurrent calls would wait for each other's locks forever, so the second call waits until
+// the first has returned.
 func (s *soak) crashAll() {
 	s.crashingAll.Lock()
 	defer s.crashingAll.Unlock()
--- a/internal/emulator/coordinationsoak/node.go
+++ b/internal/emulator/coordinationsoak/node.go
@@ -20,7 +20,7 @@
 	startupTime = time.Second
 )
 
-// node is one control process over all its incarnations, with its directory.
+// node is one control process with its directory. Each run of its program, from start to end, is an incarnation.
 type node struct {
 	ip      string
 	dir     string
@@ -43,8 +43,8 @@
 
 func (n *node) diskPath() string { return filepath.Join(n.dir, "disk") }
 
-// writeSettings writes the settings file. bootstrap is set only for the first start of the cluster: a node that has
-// lost its disk joins without it.
+// writeSettings writes the settings file. bootstrap is set only for the first start of the cluster, because a node that
+// has lost its disk joins the existing cluster.
 func (n *node) writeSettings(seeds []string, bootstrap bool) error {
 	lines := []string{
 		"self.nodeName=core-" + n.ip, "self.role=control", "self.machineClass=core", "self.serving=control",
--- a/internal/emulator/coordinationsoak/soak.go
+++ b/internal/emulator/coordinationsoak/soak.go
@@ -35,7 +35,7 @@
 
 // Report is the result of a soak.
 type Report struct {
-	Problems []string       // descriptions of all failed checks; empty: the soak succeeded
+	Problems []string       // descriptions of all failed checks; empty if the soak succeeded
 	Outcomes map[string]int // number of calls by kind and status
 	Hangups  int            // number of incarnations that SIGHUP ended during their startup
 	Logs     string         // logs of the processes, if there are problems
@@ -45,7 +45,7 @@
 type soak struct {
 	options  Options
 	nodes    []*node
-	seeds    []string
+	seeds    []string // control addresses of the first three nodes, which all nodes contact to join
 	workload *histories.Workload
 	client   *http.Client
 	faults   context.Context // done when the fault phase ends
@@ -58,7 +58,7 @@
 	diskLostAt time.Time
 }
 
-// Run runs one soak.
+// Run runs one soak. It returns an error if the processes cannot be started.
 func Run(o Options) (*Report, error) {
 	s := &soak{
 		options: o, rnd: rand.New(rand.NewPCG(o.Seed, 1)), diskLostAt: time.Now(),
--- a/internal/emulator/modelcheck/alphabet.go
+++ b/internal/emulator/modelcheck/alphabet.go
@@ -7,7 +7,7 @@
 const (
 	// Events of attempts whose connection is being opened.
 	eventConnects    = "connects"     // the connection is up
-	eventDialFails   = "refuses-late" // the server refuses the connection in the end
+	eventDialFails   = "refuses-late" // the server refuses the connection after some time
 	eventCancelLands = "cancel-lands" // the attempt notices its cancellation, in this stage or a later one
 
 	// Events of attempts whose last byte is delayed until their server is known to be serving.
@@ -16,10 +16,10 @@
 	eventSpeaksHolding = "speaks-early" // the server sends something
 
 	// Events of attempts that are being written in a single write.
-	eventWritten       = "goes-out"
-	eventBreaksWriting = "breaks-in-send"
+	eventWritten       = "goes-out"       // the write is complete
+	eventBreaksWriting = "breaks-in-send" // the connection breaks before the last byte
 
-	// Events of attempts whose body is uploaded while the client sends it.
+	// Events of attempts whose body is uploaded while the client sends it. Early answers arrive during the upload.
 	eventUploaded          = "up"
 	eventUploadBreaks      = "server-breaks-upload"
 	eventUploadAbandoned   = "leaves-upload" // the client stalls or disconnects
@@ -38,8 +38,8 @@
 	eventUnavailable         = "503"
 	eventUnidentified        = "503-unnamed"  // an answer that does not identify its request
 	eventForeignAnswer       = "other-answer" // a copy of the previous answer
-	eventInterim             = "interim"
-	eventMalformed           = "spoilt"
+	eventInterim             = "interim"      // an interim (1xx) response
+	eventMalformed           = "spoilt"       // the received bytes are not an HTTP response
 	eventBreaksAwaiting      = "breaks"
 	eventTimesOut            = "time-out"
 	eventSlowAttempt         = "impatient" // the slow-attempt timeout has passed
@@ -68,13 +68,13 @@
 
 	// Answers of the quota counter.
 	eventCounted           = "counted"
-	eventCounterBusy       = "count-busy"
-	eventCounterLate       = "count-late"
-	eventCounterUnreadable = "count-no-number"
+	eventCounterBusy       = "count-busy"      // the counter rejects the call
+	eventCounterLate       = "count-late"      // the call times out
+	eventCounterUnreadable = "count-no-number" // the answer contains no number
 
 	// Events of the process and of its configuration.
-	eventPlanChanges = "plan"
-	eventShutdown    = "sigterm"
+	eventPlanChanges = "plan"     // the customer moves to the other plan
+	eventShutdown    = "sigterm"  // the drain of the process begins
 	eventDrainEnds   = "patience" // the drain ends: the process cancels the remaining attempts
 )
 
--- a/internal/emulator/modelcheck/attempt.go
+++ b/internal/emulator/modelcheck/attempt.go
@@ -25,7 +25,8 @@
 	conn      *connection // nil until one is reserved or being opened
 	stage     attemptStage
 	cancelled bool
-	// slowAfter is the time after writtenAt at which the pool asks whether to abandon the attempt; 0: never.
+	// slowAfter is the time after writtenAt at which the pool asks whether to abandon the attempt. 0 means that it
+	// never asks.
 	slowAfter      decision.Seconds
 	writtenAt      decision.Seconds
 	foreignAnswers int // answers to other requests that were skipped
@@ -113,8 +114,9 @@
 }
 
 // checkDrainedServer is called when the last byte of a request, or the first byte of a streamed body, is about to be
-// sent. It checks that the server does not drain and was not removed, because no part of the request has run before
-// that byte. Bytes after the first one of a streamed body may still go to such a server (PROTOCOL, "Figures").
+// sent. It checks that the server has not been listed as draining, or removed, for longer than drainGrace. Before that
+// byte no part of the request can have run, so that it can still be sent to another server. Bytes after the first one
+// of a streamed body may go to a draining server (PROTOCOL, "Figures").
 func (w *world) checkDrainedServer(pending *pendingAttempt) {
 	s := w.server(pending.backend)
 	if s == nil || s.listed && s.serving {
--- a/internal/emulator/modelcheck/attempt_events.go
+++ b/internal/emulator/modelcheck/attempt_events.go
@@ -4,7 +4,8 @@
 	"mulleinrouter/internal/dataplane/upstreamconn"
 )
 
-// maxForeignAnswers is the number of answers to other requests that a connection may skip before it is closed.
+// maxForeignAnswers is the number of answers to other requests that one attempt may skip before propertyBounded counts
+// as violated. It is above the limit of upstreamconn.Machine, which closes the connection earlier.
 const maxForeignAnswers = 8
 
 // answerEvent is a kind of event, and the answer of the server in it.
@@ -74,7 +75,8 @@
 	}
 }
 
-// releaseLastByte sends the delayed part of a request, if the server is still listed and the attempt not cancelled.
+// releaseLastByte sends the delayed part of a request, if the server is still listed as serving and the attempt is not
+// cancelled.
 func (w *world) releaseLastByte(pending *pendingAttempt) {
 	conn := pending.conn
 	if _, serving := w.lookup(pending.backend); !upstreamconn.MayRelease(serving, pending.cancelled) {
@@ -91,7 +93,8 @@
 	w.requestWritten(pending)
 }
 
-// failWriting ends an attempt whose connection was lost before the request was completely written.
+// failWriting ends an attempt whose connection was lost before the request was completely written, or on which the
+// server sent something by then.
 func (w *world) failWriting(pending *pendingAttempt) {
 	conn := pending.conn
 	conn.unusable = true
@@ -210,7 +213,7 @@
 	}
 }
 
-// answeredUnidentified handles an answer that does not identify its request.
+// answeredUnidentified handles an answer that does not identify its request, and says that it was not processed.
 func (w *world) answeredUnidentified(pending *pendingAttempt) {
 	conn := pending.conn
 	conn.unidentified, conn.notProcessed = true, true
--- a/internal/emulator/modelcheck/checker.go
+++ b/internal/emulator/modelcheck/checker.go
@@ -8,10 +8,10 @@
 // Options defines the extent of an exploration.
 type Options struct {
 	Depth    int      // number of events up to which every ordering is played, after the requests are submitted
-	Random   int      // number of additional random orderings, of five to eight events each; 0: none
+	Random   int      // minimum number of additional random orderings, of five to eight events each; 0 means none
 	Seed     uint64   // seed of the random orderings
-	Configs  []Config // worlds to explore; nil: all
-	Progress Progress // receives the progress; nil: not reported
+	Configs  []Config // worlds to explore; nil means all
+	Progress Progress // receives the progress; nil if it is not to be reported
 }
 
 // Progress receives the number of jobs of an exploration that are done, the number of all jobs, and the number of
@@ -57,7 +57,8 @@
 }
 
 // play plays an ordering as far as possible. Each choice is an index into the events that are possible at that point.
-// It returns the world, the names of the events that happened, and the number of events that are possible next.
+// It returns the world, the names of the events that happened, and the number of events that are possible next. This
+// number is 0 if a choice is not possible or follows a violation.
 func play(config Config, choices []int) (w *world, names []string, next int) {
 	w = newWorld(config)
 	w.checkInvariants()
--- a/internal/emulator/modelcheck/client.go
+++ b/internal/emulator/modelcheck/client.go
@@ -25,7 +25,7 @@
 	attempt      *pendingAttempt // nil if none is in flight
 	attempts     int             // number of attempts started
 	writtenTo    map[string]bool // servers to which the request was written completely
-	stream       *connection     // connection that streams the body of the answer; nil: none
+	stream       *connection     // connection that streams the body of the answer; nil if there is none
 	disconnected bool
 	retried      bool // whether the request was sent again
 
@@ -56,7 +56,7 @@
 	w.clients = append(w.clients, c)
 	gateways := 1
 	if w.config.Sparse {
-		gateways = 5
+		gateways = 5 // with the burst of the small plan, so many gateways make the customer sparse
 	}
 	var effects []attempt.Effect
 	c.request, effects = w.dispatcher.Submit(w.now, decision.Request{
--- a/internal/emulator/modelcheck/client_connection.go
+++ b/internal/emulator/modelcheck/client_connection.go
@@ -34,8 +34,8 @@
 	propertyStuckAnswerCloses = "stuck-ends"
 )
 
-// Bounds of the properties on slow clients. They exceed the timeouts of clientconn by more than sweepInterval, so that
-// a timeout is noticed before the property counts as violated.
+// Bounds of the properties on slow clients. The times exceed the timeouts of clientconn by more than sweepInterval, so
+// that a timeout is noticed before the property counts as violated. The rate is that of clientconn.
 const (
 	// maxWait is the longest time that a connection may be idle, a head may take, or a body may stall, in seconds.
 	maxWait = 3
@@ -91,7 +91,8 @@
 	return open
 }
 
-// beginRequest reads the first byte of a request.
+// beginRequest reads the first byte of a request. The time for the head of the first request begins when the connection
+// is accepted.
 func (cc *clientConnection) beginRequest() {
 	if cc.requests++; cc.requests > 1 {
 		cc.waitingSince = cc.now
--- a/internal/emulator/modelcheck/client_explorer.go
+++ b/internal/emulator/modelcheck/client_explorer.go
@@ -119,7 +119,7 @@
 // ClientResult is the result of an exploration of a client's connection.
 type ClientResult struct {
 	Orderings int
-	Violation *Violation // violation by the shortest ordering that has one; nil: none has
+	Violation *Violation // violation by the shortest ordering that has one; nil if none has
 	Trace     []string   // names of the events of that ordering
 }
 
@@ -129,9 +129,9 @@
 	trace []string
 }
 
-// ExploreClientConnections drives the state machine of a client's connection through every ordering of depth events:
-// once with the default timeouts, and once with timeouts that also serve a pending request (ServePending). It stops at
-// the first violation.
+// ExploreClientConnections drives the state machine of a client's connection through every ordering of up to depth
+// events: once with the default timeouts, and once with timeouts that also serve a pending request (ServePending). It
+// stops at the first violation.
 func ExploreClientConnections(depth int) ClientResult {
 	servesPending := clientConnection{machine: clientconn.Accepted(0), keepOpen: true, mustServePending: true}
 	servesPending.machine.SetTimeouts(&clientconn.Timeouts{FirstByte: 2, Idle: 2, Head: 2.5, ServePending: true})
--- a/internal/emulator/modelcheck/connection.go
+++ b/internal/emulator/modelcheck/connection.go
@@ -5,8 +5,8 @@
 	"mulleinrouter/internal/decision"
 )
 
-// maxIdleTaken is the number of idle connections that may be taken for one attempt. It exceeds maxConnections: a pool
-// that returns as many does not remove the connections that it returns.
+// maxIdleTaken is the number of idle connections that may be taken for one attempt. It exceeds maxConnections, because
+// a pool that returns more connections than may be open has returned one of them twice.
 const maxIdleTaken = 9
 
 // connection is a connection to a server.
@@ -14,9 +14,9 @@
 	upstreamconn.Machine
 	server  *server
 	address string
-	current *pendingAttempt // attempt that is using it; nil: none
-	// unusable is set as soon as the connection must not be reused, even if this side cannot know yet: the server
-	// closed it or sent trailing bytes, or a cancellation may still change its deadline.
+	current *pendingAttempt // attempt that is using it; nil if there is none
+	// unusable is set as soon as the connection must not be reused, because the server closed it or sent trailing
+	// bytes, or because a cancellation may still change its deadline. This side may not know of the cause yet.
 	unusable       bool
 	closed         bool             // whether this side has closed it
 	answeredAt     decision.Seconds // time of the last answer
--- a/internal/emulator/modelcheck/events.go
+++ b/internal/emulator/modelcheck/events.go
@@ -12,7 +12,8 @@
 	maxClients = 3 // number of clients, including those that send a request again
 	maxServers = 4 // number of servers, including those that get the address of another
 
-	// passingTime is the time by which eventTime advances the clock, in seconds.
+	// passingTime is the time by which eventTime advances the clock, in seconds. It exceeds drainGrace, so that one
+	// such event ends the grace time of a drain.
 	passingTime decision.Seconds = 0.3
 )
 
--- a/internal/emulator/modelcheck/explorer.go
+++ b/internal/emulator/modelcheck/explorer.go
@@ -138,7 +138,8 @@
 }
 
 // record counts an ordering, lets its world run to completion, and stores the shortest trace for each violated
-// property.
+// property. It adds only the state and the pair of events at the end of the ordering to the coverage, because
+// exploreFrom records each shorter ordering as well. Earlier states and pairs of a random ordering are not counted.
 func (ex *explorer) record(w *world, names []string, seen *coverage) {
 	ex.orderings.Add(1)
 	ex.steps.Add(int64(w.steps))
--- a/internal/emulator/modelcheck/mutants_test.go
+++ b/internal/emulator/modelcheck/mutants_test.go
@@ -64,7 +64,7 @@
 			mutants.Seed(t, "clientconn/"+fault)
 			result := ExploreClientConnections(6)
 			if result.Violation == nil {
-				t.Fatal("it is not found: a property is missing")
+				t.Fatal("no property is violated, so the seeded fault is not found")
 			}
 			t.Logf("%+v: %s", *result.Violation, strings.Join(result.Trace, ", "))
 		})
@@ -81,7 +81,7 @@
 				found = Explore(Options{Depth: depth, Random: 20_000 * (depth - 1), Seed: 1}).Violations
 			}
 			if len(found) == 0 {
-				t.Fatal("it is not found: a property is missing")
+				t.Fatal("no property is violated, so the seeded fault is not found")
 			}
 			shortest := slices.MinFunc(found, func(a, b *Trace) int { return len(a.Events) - len(b.Events) })
 			t.Logf("%d events: %v", len(shortest.Events), shortest)
--- a/internal/emulator/modelcheck/properties.go
+++ b/internal/emulator/modelcheck/properties.go
@@ -112,7 +112,7 @@
 	if open, idle := w.idlePool.Open(), w.idleConnections(); open != idle {
 		w.violate(propertyNothingLeft, "%d connections count as open, %d are idle", open, idle)
 	}
-	if len(w.timers) > 1 {
+	if len(w.timers) > 1 { // the gateway always sets a timer for its next tick
 		w.violate(propertyNothingLeft, "%d timers are set", len(w.timers))
 	}
 }
--- a/internal/emulator/modelcheck/schedule.go
+++ b/internal/emulator/modelcheck/schedule.go
@@ -49,7 +49,8 @@
 	return inFlight()
 }
 
-// advance ends the attempts whose deadline has passed, and advances the clock to the next timer or deadline.
+// advance ends the attempts whose deadline has passed, and advances the clock to the next timer or deadline. Then it
+// lets all pending calls to the counter time out, and fires the timers that are due.
 func (w *world) advance() {
 	for _, c := range w.clients {
 		if c.attempt != nil && w.now >= c.attempt.deadline-tolerance {
--- a/internal/emulator/modelcheck/world.go
+++ b/internal/emulator/modelcheck/world.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// addIdleConnection puts a connection into the pool that carried one request idleBefore seconds ago.
+// addIdleConnection adds to the pool a connection that carried one request idleBefore seconds ago.
 func (w *world) addIdleConnection(s *server) {
 	conn := &connection{server: s, address: s.address}
 	w.idlePool.Reserve()
--- a/internal/emulator/timechart/chart.go
+++ b/internal/emulator/timechart/chart.go
@@ -22,7 +22,7 @@
 // Chart shows how often events occurred over time. The zero value is an empty chart, which is drawn as no text.
 type Chart struct {
 	Span        float64 // seconds from the left edge (time 0) to the right edge; must be above 0 to draw the chart
-	Columns     int     // number of columns of the bars; 0: DefaultColumns
+	Columns     int     // number of columns of the bars; 0 means DefaultColumns
 	Rows        []Row
 	Annotations []Annotation
 }
