--- a/internal/emulator/capacity/plan.go
+++ b/internal/emulator/capacity/plan.go
@@ -21,7 +21,8 @@
 	Routes, Tenants, Services, Servers float64
 }
 
-// Size is the size of the system.
+// Size is the size of the system. ControlMachines, Regions and Zones describe the plan only: no requirement depends on
+// them.
 type Size struct {
 	State             StateFigures // number of items of each kind
 	Ingresses         float64
--- a/internal/emulator/costmodel/gateway_harness.go
+++ b/internal/emulator/costmodel/gateway_harness.go
@@ -63,7 +63,8 @@
 	return gh
 }
 
-// harnessSettings returns the settings that the proxy uses.
+// harnessSettings returns the settings that the proxy uses, for one of designIngresses gateways. It leaves out
+// FinishNonIdempotent, which the proxy also sets, because decision.Gateway does not use it.
 func harnessSettings() decision.Settings {
 	return decision.Settings{
 		Gateways:        designIngresses,
