--- a/internal/emulator/coordinationsoak/soak_test.go
+++ b/internal/emulator/coordinationsoak/soak_test.go
@@ -39,7 +39,8 @@
 	return free
 }
 
-// TestSoak runs soaks with real processes. It waits for conditions, and for the duration of the faults.
+// TestSoak runs soaks with real processes. Each takes the duration of its faults, and the time until all nodes have
+// started before them and answer after them.
 func TestSoak(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "control")
 	args := []string{"build", "-o", program}
--- a/internal/emulator/costmodel/frames.go
+++ b/internal/emulator/costmodel/frames.go
@@ -18,7 +18,8 @@
 	frameTimeSizes = []int{10, 40, 80, 160, 300}
 )
 
-// frameKind is a kind of frame between the processes. frames returns one frame with n items, or n frames.
+// frameKind is a kind of frame between the processes. frames returns one frame with n items, n frames, or two frames
+// for each of n calls.
 type frameKind struct {
 	name        string // part of the names of its series
 	description string
--- a/internal/emulator/costmodel/state_memory.go
+++ b/internal/emulator/costmodel/state_memory.go
@@ -20,7 +20,7 @@
 	name          string                         // part of the names of its series
 	prerequisites func() *configuration.Snapshot // items that the measured items refer to
 	items         func(n int) []configuration.Item
-	indexed       bool // configuration.RoutingTable has a separate index of them; it finds routes in the snapshot
+	indexed       bool // whether configuration.RoutingTable has an index of them; it has none of routes
 }
 
 var itemKinds = []itemKind{
--- a/internal/emulator/exchange/doc.go
+++ b/internal/emulator/exchange/doc.go
@@ -8,7 +8,7 @@
 //	NAME > TEXT    writes TEXT and a line end; NAME >> TEXT writes no line end
 //	NAME < TEXT    reads as many lines as TEXT has, which must be equal; a * at the end of a line matches any rest
 //	NAME << TEXT   reads as many bytes as TEXT has, which must be equal
-//	NAME takes T   reads a complete request including its body; the request line must begin with T
+//	NAME takes T   reads a request with its body of Content-Length bytes; the request line must begin with T
 //	NAME takes head T  reads a request without its body
 //	NAME chunk T   writes T and a newline as one chunk of a chunked body
 //	NAME sends N K writes the bytes from offset K to before offset N of the body that Body generates
--- a/internal/emulator/fakes/billing.go
+++ b/internal/emulator/fakes/billing.go
@@ -32,7 +32,7 @@
 	totals        BillingTotals
 	highestToken  uint64 // highest fencing token received so far
 	accepted      []AcceptedBatch
-	rejected      int            // number of batches with an older fencing token
+	rejected      int            // number of batches with an older or invalid fencing token
 	pendingFaults []BillingFault // faults of the next calls, in order
 }
 
@@ -44,7 +44,7 @@
 	Conflicts int       // number of these whose digest differed from that of the first one
 }
 
-// AcceptedBatch identifies a batch that was accepted with a fencing token.
+// AcceptedBatch identifies a batch whose fencing token was accepted.
 type AcceptedBatch struct {
 	Token  uint64
 	Source string
@@ -91,8 +91,9 @@
 	return totals
 }
 
-// Fenced returns the batches accepted with fencing tokens, in order of arrival, and the number of batches that were
-// rejected because of an older or invalid token.
+// Fenced returns the batches whose fencing tokens were accepted, in order of arrival, and the number of batches that
+// were rejected because of an older or invalid token. The former include batches that were then rejected because a
+// different batch has their number.
 func (b *Billing) Fenced() (accepted []AcceptedBatch, rejected int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -179,7 +180,7 @@
 }
 
 // checkFencingToken reports whether the fencing token of a batch is at least as high as all earlier ones. If so, it
-// records the batch as accepted.
+// adds the batch to those that Fenced returns.
 func (b *Billing) checkFencingToken(header string, batch *usage.Batch) bool {
 	token, err := strconv.ParseUint(header, 10, 64)
 	b.mu.Lock()
--- a/internal/emulator/faultnet/memory.go
+++ b/internal/emulator/faultnet/memory.go
@@ -101,9 +101,9 @@
 	return e.WriteToAddress(payload, memberlist.Address{Addr: addr})
 }
 
-// DialAddressTimeout opens a stream. It fails if the link in either direction does not transfer data within the
-// timeout, or if the other endpoint does not accept the stream by then. Faults that are set later do not affect an open
-// stream.
+// DialAddressTimeout opens a stream. It fails if there is no endpoint at the address, if the link in either direction
+// does not transfer data within the timeout, or if the endpoint does not accept the stream by then. Faults that are set
+// later do not affect an open stream.
 func (e *Endpoint) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	expired := time.After(timeout)
 	to := e.network.endpoint(a.Addr)
