--- a/internal/emulator/costmodel/frames.go
+++ b/internal/emulator/costmodel/frames.go
@@ -18,7 +18,8 @@
 	frameTimeSizes = []int{10, 40, 80, 160, 300}
 )
 
-// frameKind is a kind of frame between the processes. frames returns one frame with n items, or n frames.
+// frameKind is a kind of frame between the processes. frames returns one frame with n items, n frames, or two frames
+// for each of n calls.
 type frameKind struct {
 	name        string // part of the names of its series
 	description string
@@ -173,7 +174,7 @@
 		add := &transport.CounterAdd{
 			Name:       tenantName(i),
 			Cycle:      86400,
-			Reporter:   reporterName(i%designIngresses) + "#1z141z4",
+			Reporter:   reporterName(i%designIngresses) + "#1z141z4", // with an incarnation, as the proxy sends it
 			Amount:     1,
 			Retention:  counterRetention,
 			PerRequest: true,
--- a/internal/emulator/exchange/doc.go
+++ b/internal/emulator/exchange/doc.go
@@ -8,7 +8,7 @@
 //	NAME > TEXT    writes TEXT and a line end; NAME >> TEXT writes no line end
 //	NAME < TEXT    reads as many lines as TEXT has, which must be equal; a * at the end of a line matches any rest
 //	NAME << TEXT   reads as many bytes as TEXT has, which must be equal
-//	NAME takes T   reads a complete request including its body; the request line must begin with T
+//	NAME takes T   reads a request with its body of Content-Length bytes; the request line must begin with T
 //	NAME takes head T  reads a request without its body
 //	NAME chunk T   writes T and a newline as one chunk of a chunked body
 //	NAME sends N K writes the bytes from offset K to before offset N of the body that Body generates
@@ -24,6 +24,6 @@
 // which connects to the target at its first step.
 //
 // Tests: player_test.go replays a script that contains each verb (testdata/each-verb.txt), and checks how differences
-// from a script are reported. The tests of dataplane/ingress, dataplane/upstream, standalone/discovery,
-// standalone/counterclient and cmd/mulleinrouter replay their own scripts.
+// from a script are reported. The tests of dataplane/ingress, dataplane/upstream, proxy, standalone/discovery,
+// standalone/counterclient, standalone/node and cmd/mulleinrouter replay their own scripts.
 package exchange
