--- a/cmd/mulleinrouter/faulttest_test.go
+++ b/cmd/mulleinrouter/faulttest_test.go
@@ -51,7 +51,11 @@
 	options := faulttest.Options{Program: program, Dir: dir, Slack: 1.5}
 	report, err := faulttest.Play(context.Background(), scenario, options)
 	if err != nil {
-		t.Fatal(err)
+		t.Error(err)
+		for _, log := range readLogs(t, dir) {
+			t.Log("log of a process:\n" + log)
+		}
+		t.FailNow()
 	}
 	var text strings.Builder
 	report.Write(&text)
--- a/internal/emulator/faulttest/player.go
+++ b/internal/emulator/faulttest/player.go
@@ -8,6 +8,7 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"strings"
 	"sync"
 	"time"
 
@@ -204,7 +205,7 @@
 	limit := p.withSlack(maxJoinTime)
 	for !p.isComplete() {
 		if time.Since(launchedAt) > limit {
-			return ErrNotComplete
+			return fmt.Errorf("%w within %v: %s", ErrNotComplete, limit, p.describeMembership())
 		}
 		if !sleep(ctx, joinPollInterval) {
 			return ctx.Err()
@@ -229,6 +230,19 @@
 	return true
 }
 
+// describeMembership returns what each ingress last reported about the membership.
+func (p *player) describeMembership() string {
+	descriptions := make([]string, len(p.env.nodes))
+	for i, n := range p.env.nodes {
+		descriptions[i] = n.name + ": no report"
+		if report := n.report(); report != nil {
+			descriptions[i] = fmt.Sprintf("%s: %s, %d of %d members alive, %d pauses",
+				n.name, report.Reachability, report.Alive, report.Agreed, report.Pauses)
+		}
+	}
+	return strings.Join(descriptions, "; ")
+}
+
 // carryOutSteps carries out the steps at their times, and returns at the scenario's end, once all steps with a
 // duration have been undone.
 func (p *player) carryOutSteps(ctx context.Context) error {
