--- a/internal/emulator/faulttest/config.go
+++ b/internal/emulator/faulttest/config.go
@@ -189,10 +189,7 @@
 	}
 	ip := fmt.Sprintf("%s.%d", e.addressPrefix, twinHost+number)
 	e.setMember(ip, n.name)
-	if config.ClientAddr, err = freeAddr(ip); err != nil {
-		return err
-	}
-	if config.GossipAddr, err = freeAddr(ip); err != nil {
+	if config.ClientAddr, config.GossipAddr, err = freeAddrs(ip); err != nil {
 		return err
 	}
 	relay, err := e.addGossipRelay(n.name, config.GossipAddr)
--- a/internal/emulator/faulttest/environment.go
+++ b/internal/emulator/faulttest/environment.go
@@ -2,16 +2,18 @@
 
 import (
 	"cmp"
-	"crypto/rand"
+	cryptorand "crypto/rand"
 	"encoding/base64"
 	"errors"
 	"fmt"
 	"io/fs"
 	"maps"
+	"math/rand/v2"
 	"net"
 	"os"
 	"path/filepath"
 	"slices"
+	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -29,6 +31,10 @@
 	quoteServerServiceTime = 2 * time.Millisecond // execution time of a request
 
 	gossipKeyBytes = 32 // size of a key for AES-256
+
+	minPort      = 10000 // lowest port of a member
+	portSpan     = 20000 // size of the range of ports of members, which ends below the ephemeral ports
+	portAttempts = 200   // number of pairs of ports that are tried, because other processes may use some
 )
 
 // environment holds the members of a fault test with their relays, and the fakes.
@@ -125,10 +131,7 @@
 			return err
 		}
 	}
-	if n.clientAddr, err = freeAddr(ip); err != nil {
-		return err
-	}
-	if n.gossipAddr, err = freeAddr(ip); err != nil {
+	if n.clientAddr, n.gossipAddr, err = freeAddrs(ip); err != nil {
 		return err
 	}
 	if n.relay, err = e.addGossipRelay(name, n.gossipAddr); err != nil {
@@ -137,15 +140,28 @@
 	return e.addFakeRelays(n)
 }
 
-// freeAddr returns an address with a port that no process listens at. The port stays free, because only the member uses
-// this IP address.
-func freeAddr(ip string) (string, error) {
-	l, err := net.Listen("tcp4", ip+":0")
+// freeAddrs returns the addresses of a member for clients and for gossip, with ports that no process listens at. Both
+// ports are below the ephemeral ports, because relays dial from the member's IP address: the kernel would give one of
+// their connections an ephemeral port that the member has yet to listen at, and the member would never get it.
+func freeAddrs(ip string) (client, gossip string, err error) {
+	for range portAttempts {
+		port := minPort + rand.IntN(portSpan)
+		client = net.JoinHostPort(ip, strconv.Itoa(port))
+		gossip = net.JoinHostPort(ip, strconv.Itoa(port+1))
+		if err = cmp.Or(checkFree(client), checkFree(gossip)); err == nil {
+			return client, gossip, nil
+		}
+	}
+	return "", "", wrapSetup(err)
+}
+
+// checkFree returns an error if a process listens at an address.
+func checkFree(addr string) error {
+	l, err := net.Listen("tcp4", addr)
 	if err != nil {
-		return "", wrapSetup(err)
+		return err
 	}
-	defer l.Close()
-	return l.Addr().String(), nil
+	return l.Close()
 }
 
 func (e *environment) setMember(ip, name string) {
@@ -228,7 +244,7 @@
 // newGossipKey returns a random key in the form of key files.
 func newGossipKey() string {
 	var key [gossipKeyBytes]byte
-	rand.Read(key[:])
+	cryptorand.Read(key[:])
 	return base64.StdEncoding.EncodeToString(key[:])
 }
 
--- a/internal/emulator/faulttest/environment_test.go
+++ b/internal/emulator/faulttest/environment_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"errors"
+	"fmt"
 	"io/fs"
+	"net/netip"
 	"os"
 	"path/filepath"
 	"testing"
@@ -48,3 +50,32 @@
 		})
 	}
 }
+
+// A member listens at its addresses only some time after they are chosen. Meanwhile relays open connections from the
+// same IP address, for which the kernel chooses ephemeral ports. So no port of a member may be ephemeral. A member whose
+// gossip port was taken never joined the fleet.
+func TestFreeAddrsAreNotEphemeral(t *testing.T) {
+	const draws = 100
+	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var firstEphemeral uint16
+	if _, err := fmt.Sscan(string(text), &firstEphemeral); err != nil {
+		t.Fatal(err)
+	}
+	for range draws {
+		client, gossip, err := freeAddrs("127.0.0.1")
+		if err != nil {
+			t.Fatal(err)
+		}
+		if client == gossip {
+			t.Fatalf("got the same address %s for clients and gossip", client)
+		}
+		for _, addr := range []string{client, gossip} {
+			if port := netip.MustParseAddrPort(addr).Port(); port >= firstEphemeral {
+				t.Fatalf("got port %d, want one below %d", port, firstEphemeral)
+			}
+		}
+	}
+}
