--- a/internal/emulator/faulttest/actions.go
+++ b/internal/emulator/faulttest/actions.go
@@ -70,7 +70,7 @@
 	if len(a.nodes) == 0 && !slices.Contains(actionsWithoutNodes, step.Action) {
 		if holder := p.leaseHolder(); holder != nil {
 			a.nodes = []*node{holder}
-			p.log.add(eventDone, "it is", holder.name)
+			p.log.add(eventDone, "the lease holder is", holder.name)
 		}
 	}
 	return actions[step.Action](a)
--- a/internal/emulator/faulttest/billing.go
+++ b/internal/emulator/faulttest/billing.go
@@ -77,7 +77,7 @@
 		last = batch.Token
 	}
 	f.Text = fmt.Sprintf(
-		"%d batches under %d tokens, %d refused as an older holder's",
+		"%d batches accepted with %d tokens, %d refused because of their token",
 		len(e.player.acceptedBatches),
 		tokens,
 		e.player.rejectedBatches,
--- a/internal/emulator/faulttest/catalogue.go
+++ b/internal/emulator/faulttest/catalogue.go
@@ -59,13 +59,13 @@
 		newest = entry.Number
 		if known := digests[entry.Number]; known != "" && known != entry.Digest {
 			c.consistent = false
-			c.text = fmt.Sprintf("%s has another content of %d", member, entry.Number)
+			c.text = fmt.Sprintf("%s has different content for revision %d", member, entry.Number)
 		}
 		digests[entry.Number] = entry.Digest
 	}
 	if newest < c.newest {
 		c.consistent = false
-		c.text = fmt.Sprintf("%s has %d, %d was written", member, newest, c.newest)
+		c.text = fmt.Sprintf("%s has revision %d, but %d was written", member, newest, c.newest)
 	}
 }
 
@@ -76,7 +76,7 @@
 			continue
 		}
 		if view.consistent {
-			text := fmt.Sprintf("%d at all", view.newest)
+			text := fmt.Sprintf("revision %d at all members", view.newest)
 			return Finding{Passed: true, Times: []time.Duration{view.at.Sub(e.from)}, Text: text}
 		}
 		f.Text = view.text
--- a/internal/emulator/faulttest/evaluate.go
+++ b/internal/emulator/faulttest/evaluate.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-const nothingObserved = "nothing was seen in that time"
+const nothingObserved = "no observation of the members was made in that period"
 
 // evaluation evaluates one expectation after the scenario has ended.
 type evaluation struct {
@@ -79,14 +79,14 @@
 			at, reported := n.reported(member, e.expectation.Value, e.from)
 			if !reported || at.After(e.deadline()) {
 				f.Passed = false
-				f.Text = fmt.Sprintf("%s does not hold %s for %s in time", n.name, member, e.expectation.Value)
+				f.Text = fmt.Sprintf("%s did not report %s as %s in time", n.name, member, e.expectation.Value)
 				continue
 			}
 			f.Times = append(f.Times, max(0, at.Sub(e.from)))
 		}
 	}
 	if len(f.Times) == 0 {
-		f.Passed, f.Text = false, "nobody was there to say it"
+		f.Passed, f.Text = false, "no running observer reported it in time"
 	}
 	return f
 }
@@ -123,12 +123,12 @@
 			}
 			reports++
 			seconds := change.at.Sub(e.from).Seconds()
-			f.Text = fmt.Sprintf("%s told %s %s after %.1f s", n.name, change.Name, change.To, seconds)
+			f.Text = fmt.Sprintf("%s reported %s as %s after %.1f s", n.name, change.Name, change.To, seconds)
 		}
 	}
 	f.Passed = reports == 0 && len(observers) > 0
 	if f.Passed {
-		f.Text = fmt.Sprintf("by %d", len(observers))
+		f.Text = fmt.Sprintf("reported by none of %d observers", len(observers))
 	} else {
 		f.Text = fmt.Sprintf("%d times; %s", reports, f.Text)
 	}
@@ -144,7 +144,7 @@
 		f.Passed, f.Text = true, ""
 		for _, member := range e.members {
 			if o.reachability[member] == e.expectation.Value {
-				return Finding{Text: fmt.Sprintf("%s said so after %.1f s", member, o.at.Sub(e.from).Seconds())}
+				return Finding{Text: fmt.Sprintf("%s reported it after %.1f s", member, o.at.Sub(e.from).Seconds())}
 			}
 		}
 	}
@@ -211,7 +211,7 @@
 		report := n.report()
 		if report == nil || report.Rejected == 0 {
 			f.Passed = false
-			f.Text += n.name + " refused nothing "
+			f.Text += n.name + " counted no refused packets "
 			continue
 		}
 		f.Text += fmt.Sprintf("%s %d ", n.name, report.Rejected)
@@ -254,6 +254,6 @@
 	for _, after := range first {
 		f.Times = append(f.Times, after)
 	}
-	f.Text = fmt.Sprintf("%d of %d were", len(first), len(e.members))
+	f.Text = fmt.Sprintf("%d of %d members were warned", len(first), len(e.members))
 	return f
 }
--- a/internal/emulator/faulttest/evaluate_test.go
+++ b/internal/emulator/faulttest/evaluate_test.go
@@ -63,12 +63,12 @@
 		{
 			name:        "another member",
 			expectation: Expectation{Value: leaseAny, Members: []string{"n3"}, Within: 10 * time.Second},
-			want:        Finding{Text: `last "n2" under 5`},
+			want:        Finding{Text: `last holder "n2", token 5`},
 		},
 		{
 			name:        "too late",
 			expectation: Expectation{Value: leaseAgain, After: 2 * time.Second, Within: time.Second},
-			want:        Finding{Text: `last "n1" under 4`},
+			want:        Finding{Text: `last holder "n1", token 4`},
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -123,7 +123,7 @@
 		{
 			name:        "reported once",
 			expectation: Expectation{Kind: ExpectNotReachability, Value: reachabilityCutOff},
-			want:        Finding{Text: "n2 said so after 1.0 s"},
+			want:        Finding{Text: "n2 reported it after 1.0 s"},
 		},
 		{
 			name:        "nothing observed",
@@ -148,8 +148,8 @@
 		members []string
 		want    Finding
 	}{
-		{"reported", []string{"n2"}, Finding{Text: "1 times; n1 told n2 dead after 1.0 s"}},
-		{"not reported", []string{"n3"}, Finding{Passed: true, Text: "by 3"}},
+		{"reported", []string{"n2"}, Finding{Text: "1 times; n1 reported n2 as dead after 1.0 s"}},
+		{"not reported", []string{"n3"}, Finding{Passed: true, Text: "reported by none of 3 observers"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			expectation := Expectation{
@@ -199,12 +199,12 @@
 		{
 			name: "one holder each",
 			logs: map[string]string{"n1.1.log": gain + "1\n", "n1.2.log": gain + "1\n", "n2.1.log": gain + "2\n"},
-			want: Finding{Passed: true, Text: "3 gains"},
+			want: Finding{Passed: true, Text: "3 leases acquired"},
 		},
 		{
 			name: "two holders",
 			logs: map[string]string{"n1.1.log": gain + "1\n", "n2.1.log": gain + "1\n"},
-			want: Finding{Text: "token 1: export n1, and export n2"},
+			want: Finding{Text: "token 1 has two holders: export n1 and export n2"},
 		},
 		{name: "no holder"},
 	} {
@@ -229,14 +229,14 @@
 		{
 			name:   "increasing",
 			tokens: []uint64{1, 1, 3},
-			want:   Finding{Passed: true, Text: "3 batches under 2 tokens, 0 refused as an older holder's"},
+			want:   Finding{Passed: true, Text: "3 batches accepted with 2 tokens, 0 refused because of their token"},
 		},
 		{
 			name:   "decreasing",
 			tokens: []uint64{2, 1},
-			want:   Finding{Text: "2 batches under 2 tokens, 0 refused as an older holder's"},
+			want:   Finding{Text: "2 batches accepted with 2 tokens, 0 refused because of their token"},
 		},
-		{name: "none", want: Finding{Text: "0 batches under 0 tokens, 0 refused as an older holder's"}},
+		{name: "none", want: Finding{Text: "0 batches accepted with 0 tokens, 0 refused because of their token"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p, _ := newTestPlayer(t)
--- a/internal/emulator/faulttest/leases.go
+++ b/internal/emulator/faulttest/leases.go
@@ -82,7 +82,7 @@
 		if t.at.After(e.deadline()) {
 			break
 		}
-		f.Text = fmt.Sprintf("last %q under %d", t.ingress, t.token)
+		f.Text = fmt.Sprintf("last holder %q, token %d", t.ingress, t.token)
 		if e.isExpectedTenure(t, newest) {
 			return Finding{Passed: true, Times: []time.Duration{t.at.Sub(e.from)}, Text: "by " + t.ingress}
 		}
@@ -120,14 +120,14 @@
 			role, token := match[1], match[2]
 			holder := role + " " + member
 			if known := holders[token]; known != "" && known != holder {
-				f = Finding{Text: fmt.Sprintf("token %s: %s, and %s", token, known, holder)}
+				f = Finding{Text: fmt.Sprintf("token %s has two holders: %s and %s", token, known, holder)}
 			}
 			holders[token] = holder
 			gains++
 		}
 	}
 	if f.Passed = f.Passed && gains > 0; f.Passed {
-		f.Text = fmt.Sprintf("%d gains", gains)
+		f.Text = fmt.Sprintf("%d leases acquired", gains)
 	}
 	return f
 }
--- a/internal/emulator/faulttest/parse_step.go
+++ b/internal/emulator/faulttest/parse_step.go
@@ -177,7 +177,7 @@
 		return nil
 	}
 	if !sp.scenario.Encrypted || !slices.Contains([]string{keysAdd, keysReverse, keysDrop}, change) {
-		return sp.errorAt("keys", "of a sealed fleet a key is one of add, turn and drop")
+		return sp.errorAt("keys", "must be one of add, turn and drop, and is only allowed with sealed = true")
 	}
 	sp.setAction(ActionKeys, change)
 	return nil
@@ -240,7 +240,7 @@
 
 func (sp *stepParser) checkOneAction() error {
 	if sp.actions != 1 {
-		return sp.errorAt("", "one thing is done in each at")
+		return sp.errorAt("", "an at block must have exactly one action")
 	}
 	return nil
 }
@@ -248,7 +248,7 @@
 func (sp *stepParser) parseDiskFault() error {
 	_, known := diskFaults[sp.block.DiskFault]
 	if known != (sp.step.Action == ActionDisk) {
-		return sp.errorAt("fails", "of a disk, it is one of write, torn, full, sync and rename")
+		return sp.errorAt("fails", "must be one of write, torn, full, sync and rename, and is only allowed with disk")
 	}
 	if sp.step.Action == ActionRevise && !sp.scenario.Catalogue {
 		return sp.errorAt("revise", "there is no catalogue")
@@ -284,7 +284,7 @@
 
 func (sp *stepParser) checkDuration() error {
 	if sp.step.Duration > 0 && !slices.Contains(undoableActions, sp.step.Action) {
-		return sp.errorAt("for", "what is undone is a stop, a link, a fill, a disk, a server or a lameduck")
+		return sp.errorAt("for", "is only allowed with stop, link, fill, disk, server and lameduck")
 	}
 	return nil
 }
--- a/internal/emulator/faulttest/player.go
+++ b/internal/emulator/faulttest/player.go
@@ -252,7 +252,7 @@
 	if p.sleepUntil(ctx, step.At+step.Duration) != nil {
 		return
 	}
-	p.log.add(eventUndone, string(step.Action)+" is over", step.Members...)
+	p.log.add(eventUndone, string(step.Action)+" is undone", step.Members...)
 	undo()
 }
 
--- a/internal/emulator/faulttest/scenario_file.go
+++ b/internal/emulator/faulttest/scenario_file.go
@@ -124,7 +124,7 @@
 		return file.ErrorAt("ingresses", fmt.Sprintf("must be from 1 to %d", maxIngresses))
 	}
 	if s.Catalogue && s.Voters == 0 {
-		return file.ErrorAt("catalogue", "what is announced needs voters")
+		return file.ErrorAt("catalogue", "is only allowed with voters, which grant the lease for announcing revisions")
 	}
 	if s.QuoteServers < 0 || s.QuoteServers > len(fakeQuoteServers) {
 		return file.ErrorAt("servers", fmt.Sprintf("must be from 0 to %d", len(fakeQuoteServers)))
@@ -169,7 +169,7 @@
 	for name, rate := range s.ClockRates {
 		inRange := rate >= minClockRate && rate <= maxClockRate
 		if !slices.Contains(names, name) || !inRange {
-			return file.ErrorAt("clocks", "seconds of a member's clock in one, from 0.5 to 2, by its name")
+			return file.ErrorAt("clocks", "must map members to the speed of their clock, from 0.5 to 2")
 		}
 	}
 	return nil
@@ -177,7 +177,7 @@
 
 func (s *Scenario) parseExpectations(file *hclfile.File, blocks []expectationBlock) error {
 	if len(blocks) == 0 {
-		return file.ErrorAt("expect", "nothing is expected: a rehearsal that cannot fail shows nothing")
+		return file.ErrorAt("expect", "at least one expect block is required, or the fault test could not fail")
 	}
 	for _, block := range blocks {
 		expectation, err := s.parseExpectation(file, block)
@@ -194,14 +194,14 @@
 	e = Expectation{Kind: ExpectationKind(block.Kind), Value: block.Value, Max: block.Max, Min: block.Min}
 	values, known := expectationValues[e.Kind]
 	if !known {
-		return e, file.ErrorAt(path, fmt.Sprintf("nothing is called %q", block.Kind))
+		return e, file.ErrorAt(path, fmt.Sprintf("unknown kind of expectation %q", block.Kind))
 	}
 	if !slices.Contains(values, e.Value) && (values != nil || e.Value != "") {
 		return e, file.ErrorAt(path+".is", fmt.Sprintf("must be one of %q", values))
 	}
 	hasBounds := e.Max > 0 && e.Min >= 0
 	if e.Kind == ExpectUsage && (s.Customers == 0 || !hasBounds) {
-		return e, file.ErrorAt(path, "needs customers, and most as a fraction of their quota")
+		return e, file.ErrorAt(path, "needs customers, most above 0 and least not below 0, as fractions of a quota")
 	}
 	if e.Members, err = s.parseMembers(file, path+".of", block.Members); err != nil {
 		return e, err
@@ -216,7 +216,7 @@
 		return e, err
 	}
 	if e.After+e.Within > s.Duration || e.Within <= 0 {
-		return e, file.ErrorAt(path, fmt.Sprintf("it ends past the end, %v", s.Duration))
+		return e, file.ErrorAt(path, fmt.Sprintf("must end after it begins, and within the scenario's %v", s.Duration))
 	}
 	return e, nil
 }
--- a/internal/emulator/faulttest/scenario_file_test.go
+++ b/internal/emulator/faulttest/scenario_file_test.go
@@ -78,7 +78,7 @@
 func TestParseInvalidFiles(t *testing.T) {
 	const ok = "\nexpect \"agree\" {}\n"
 	for _, test := range []struct{ name, text, want string }{
-		{"no expectation", head, "x.hcl:1:1: expect: nothing is expected"},
+		{"no expectation", head, "x.hcl:1:1: expect: at least one expect block is required"},
 		{"unknown member", head + `at "1s" { kill = ["n4"] }` + ok, `no member is "n4"`},
 		{
 			"step after the end",
@@ -86,28 +86,40 @@
 			"x.hcl:5:1: at.11s: 11s is past the end, 10s",
 		},
 		{"bad time", head + `at "soon" { kill = ["n1"] }` + ok, "not a span of time"},
-		{"no action", head + `at "1s" { }` + ok, "one thing is done in each at"},
+		{"no action", head + `at "1s" { }` + ok, "an at block must have exactly one action"},
 		{"unknown action", head + `at "1s" { kil = ["n1"] }` + ok, "Unsupported argument"},
 		{
 			"two actions",
 			head + "at \"1s\" {\n kill = [\"n1\"]\n stop = [\"n2\"]\n}" + ok,
-			"one thing is done in each at",
+			"an at block must have exactly one action",
+		},
+		{
+			"duration of a kill",
+			head + "at \"1s\" {\n kill = [\"n1\"]\n for = \"1s\"\n}" + ok,
+			"at.1s.for: is only allowed with stop",
 		},
-		{"duration of a kill", head + "at \"1s\" {\n kill = [\"n1\"]\n for = \"1s\"\n}" + ok, "what is undone"},
 		{"bad loss", head + "at \"1s\" {\n link {\n loss = 1.5\n }\n}" + ok, "loss must be from 0 to 1"},
 		{"link without a fault", head + "at \"1s\" {\n link {\n }\n}" + ok, "no fault is named"},
 		{"bad protocol", head + "at \"1s\" {\n link {\n cut = true\n protocol = \"x\"\n }\n}" + ok, "neither"},
-		{"keys without encryption", head + `at "1s" { keys = "add" }` + ok, "of a sealed fleet"},
-		{"disk without a fault", head + `at "1s" { disk = ["n1"] }` + ok, "of a disk, it is one of"},
+		{"keys without encryption", head + `at "1s" { keys = "add" }` + ok, "only allowed with sealed = true"},
+		{
+			"disk without a fault",
+			head + `at "1s" { disk = ["n1"] }` + ok,
+			"at.1s.fails: must be one of write, torn, full, sync and rename",
+		},
 		{"no catalogue", head + `at "1s" { revise = ["n1"] }` + ok, "there is no catalogue"},
-		{"catalogue without voters", head + "catalogue = true" + ok, "what is announced needs voters"},
-		{"clock of an unknown member", head + "clocks = { n9 = 1 }" + ok, "seconds of a member's clock in one"},
-		{"unknown expectation", head + `expect "luck" {}`, `nothing is called "luck"`},
+		{"catalogue without voters", head + "catalogue = true" + ok, "catalogue: is only allowed with voters"},
+		{
+			"clock of an unknown member",
+			head + "clocks = { n9 = 1 }" + ok,
+			"clocks: must map members to the speed of their clock, from 0.5 to 2",
+		},
+		{"unknown expectation", head + `expect "luck" {}`, `unknown kind of expectation "luck"`},
 		{"bad value", head + `expect "state" { is = "well" }`, "expect.state.is: must be one of"},
 		{
 			"expectation after the end",
 			head + "expect \"agree\" {\n after = \"9s\"\n within = \"2s\"\n}",
-			"it ends past the end",
+			"must end after it begins, and within the scenario's 10s",
 		},
 		{
 			"too many ingresses",
