--- a/internal/emulator/loopback/partition.go
+++ b/internal/emulator/loopback/partition.go
@@ -136,7 +136,7 @@
 		answer.Call = "malformed configuration change"
 		answer.Status, _ = o.call(http.MethodPatch, m, []byte("{"), callTimeout)
 	case 3:
-		answer.Call = "beat"
+		answer.Call = "heartbeat"
 		if s := cl.serverAt(n); s != nil && s.heartbeatTo(m) {
 			answer.Status = http.StatusOK
 		}
--- a/internal/emulator/loopback/reporttext.go
+++ b/internal/emulator/loopback/reporttext.go
@@ -16,7 +16,7 @@
 func (r *Report) Write(w io.Writer) error {
 	r.WriteTables(w)
 	for _, text := range slices.Sorted(maps.Keys(r.GatewayAnswers)) {
-		fmt.Fprintf(w, "%d times an answer of the system's own: %s\n", r.GatewayAnswers[text], text)
+		fmt.Fprintf(w, "%d times the system answered instead of a server: %s\n", r.GatewayAnswers[text], text)
 	}
 	for _, n := range r.Notes {
 		fmt.Fprintln(w, "note:", n)
@@ -30,7 +30,7 @@
 	r.writeClasses(t)
 	r.writeProcesses(t)
 	t.Flush()
-	fmt.Fprintf(w, "\n%d arrivals at servers, %d probes of health, operator's calls p99 %.0f ms\n",
+	fmt.Fprintf(w, "\n%d arrivals at servers, %d health checks, operator's calls p99 %.0f ms\n",
 		r.Arrivals, r.HealthChecks, 1000*r.ChangeP99)
 }
 
@@ -47,7 +47,7 @@
 }
 
 func (r *Report) writeProcesses(w io.Writer) {
-	fmt.Fprintln(w, "\nprocess\tCPU ms\tpeak MB\tlives")
+	fmt.Fprintln(w, "\nprocess\tCPU ms\tpeak MB\tstarts")
 	for _, u := range r.Processes {
 		megabytes := float64(u.PeakMemory) / (1 << 20)
 		fmt.Fprintf(w, "%s\t%d\t%.1f\t%d\n", u.Process, u.CPU.Milliseconds(), megabytes, u.Starts)
