--- a/internal/emulator/testcluster/errors.go
+++ b/internal/emulator/testcluster/errors.go
@@ -18,7 +18,7 @@
 }
 
 func (e *ExitError) Error() string {
-	return fmt.Sprintf("testcluster: %s %s ended at once: %s",
+	return fmt.Sprintf("testcluster: %s %s ended before it was ready: %s",
 		filepath.Base(e.Program), strings.Join(e.Args, " "), e.Log)
 }
 
@@ -29,7 +29,8 @@
 }
 
 func (n *NotReadyError) Error() string {
-	return fmt.Sprintf("testcluster: %s: no line with %s in %v", strings.Join(n.Args, " "), n.Code, readyTimeout)
+	return fmt.Sprintf("testcluster: %s: no log line with the code %s within %v",
+		strings.Join(n.Args, " "), n.Code, readyTimeout)
 }
 
 // NotTerminatedError reports that a process did not end within quitTimeout after SIGTERM.
@@ -38,5 +39,5 @@
 }
 
 func (n *NotTerminatedError) Error() string {
-	return fmt.Sprintf("testcluster: process %d does not end", n.PID)
+	return fmt.Sprintf("testcluster: process %d did not end in time after SIGTERM", n.PID)
 }
--- a/internal/emulator/testcluster/evaluation.go
+++ b/internal/emulator/testcluster/evaluation.go
@@ -57,7 +57,7 @@
 	for id, a := range e.arrivals {
 		q := e.requests[id]
 		if q == nil {
-			e.problem("a request arrived that nobody sent: %s", id)
+			e.problem("a quote server received a request that no client sent: %s", id)
 			continue
 		}
 		e.report.ArrivedUnits += q.units
--- a/internal/emulator/testcluster/evaluation_test.go
+++ b/internal/emulator/testcluster/evaluation_test.go
@@ -77,7 +77,7 @@
 	if got, want := e.report.ExecutedTwice, 1; got != want {
 		t.Errorf("executed twice: got %d, want %d", got, want)
 	}
-	want := "a request arrived that nobody sent: x"
+	want := "a quote server received a request that no client sent: x"
 	if got := e.report.Problems; len(got) != 1 || got[0] != want {
 		t.Errorf("problems: got %q, want %q", got, want)
 	}
--- a/internal/emulator/testcluster/events.go
+++ b/internal/emulator/testcluster/events.go
@@ -139,7 +139,7 @@
 			booked++
 		}
 	})
-	c.progress("revision 3 announced: %d members have booked as much again for %.0f s", booked, duration)
+	c.progress("revision 3 announced: %d members book their plan's rate a second time for %.0f s", booked, duration)
 	return err
 }
 
--- a/internal/emulator/testcluster/process_test.go
+++ b/internal/emulator/testcluster/process_test.go
@@ -62,7 +62,7 @@
 	if !errors.As(err, &exit) {
 		t.Fatalf("Launch: got %v, want an ExitError", err)
 	}
-	want := "testcluster: program serve -c file ended at once: no such file\n"
+	want := "testcluster: program serve -c file ended before it was ready: no such file\n"
 	if err.Error() != want {
 		t.Errorf("Launch: got %q, want %q", err, want)
 	}
@@ -75,9 +75,9 @@
 	}{
 		{
 			&NotReadyError{Args: []string{"serve", "-c"}, Code: "started"},
-			"testcluster: serve -c: no line with started in 20s",
+			"testcluster: serve -c: no log line with the code started within 20s",
 		},
-		{&NotTerminatedError{PID: 7}, "testcluster: process 7 does not end"},
+		{&NotTerminatedError{PID: 7}, "testcluster: process 7 did not end in time after SIGTERM"},
 	} {
 		t.Run(fmt.Sprintf("%T", test.err), func(t *testing.T) {
 			if got := test.err.Error(); got != test.want {
--- a/internal/emulator/testcluster/report.go
+++ b/internal/emulator/testcluster/report.go
@@ -111,7 +111,7 @@
 	fmt.Fprintf(w, "batches received again              %d, with other content %d\n",
 		r.RepeatedBatches, r.ConflictingBatches)
 	fmt.Fprintf(w, "summary-sends that may have run twice  %d\n", r.ExecutedTwice)
-	fmt.Fprintf(w, "peak use of a rate limit            %.2f (1 is at it)\n", r.PeakLimitUse)
+	fmt.Fprintf(w, "peak use of a rate limit            %.2f (1 is the limit)\n", r.PeakLimitUse)
 	if r.MovedUse > 0 {
 		fmt.Fprintf(w, "quota used by members who request twice as much  "+
 			"%.3f moved to basic, after two cycles; %.3f on basic all the time\n", r.MovedUse, r.SteadyUse)
