--- a/internal/emulator/invariants/denied.go
+++ b/internal/emulator/invariants/denied.go
@@ -29,7 +29,7 @@
 		}
 	}
 	if denied > toleratedDenied+all/deniedShare {
-		c.report(ruleDenied, Never, "%d of %d requests that were proper, the first of them: %s", denied, all, first)
+		c.report(ruleDenied, Never, "%d of %d proper requests were denied, the first of them: %s", denied, all, first)
 	}
 }
 
--- a/internal/emulator/invariants/departures.go
+++ b/internal/emulator/invariants/departures.go
@@ -13,7 +13,7 @@
 		}
 		for _, d := range c.Departures {
 			if c.drained(d, arrival, attempt) {
-				c.report(ruleDrain, arrival.At, "%s reached %s %.2f s after its leave was acknowledged by %s",
+				c.report(ruleDrain, arrival.At, "%s reached %s %.2f s after its departure was acknowledged by %s",
 					attempt, arrival.Instance, arrival.At-d.At, d.By)
 				break
 			}
@@ -62,7 +62,7 @@
 	}
 	for _, r := range c.arrivalsByID[a.ID] {
 		if r.ran() && r.Started < a.Done && r.End > a.Done {
-			c.report(ruleLost, a.Done, "%s: ended with a %d of its own while %s was at work on it",
+			c.report(ruleLost, a.Done, "%s: the terminating process answered %d itself while %s was still executing it",
 				a, a.Status, r.Instance)
 		}
 	}
--- a/internal/emulator/invariants/handling.go
+++ b/internal/emulator/invariants/handling.go
@@ -100,7 +100,7 @@
 		return
 	}
 	if in, _ := c.inContact(h.attempt.Edge, h.attempt.Sent, h.at); in {
-		c.report(ruleConfig, h.at, "%v: no configuration that was sent says so", h)
+		c.report(ruleConfig, h.at, "%v: no configuration that was sent leads to this answer", h)
 	}
 }
 
--- a/internal/emulator/invariants/log.go
+++ b/internal/emulator/invariants/log.go
@@ -43,7 +43,7 @@
 )
 
 func (e Ending) String() string {
-	return [...]string{"answered", "cut off", "given up", "not connected", "garbled"}[e]
+	return [...]string{"answered", "truncated", "timed out", "not connected", "malformed"}[e]
 }
 
 // Attempt is one request as its client saw it.
--- a/internal/emulator/invariants/rates.go
+++ b/internal/emulator/invariants/rates.go
@@ -33,7 +33,7 @@
 		limit := c.Bounds.RetryRatio*float64(requests) + c.Bounds.RetrySlack
 		if float64(count) > limit {
 			reported[last.service] = true
-			c.report(ruleBudget, last.at, "%s got %d further arrivals in %g s with %d requests: at most %.0f",
+			c.report(ruleBudget, last.at, "%s got %d retries in %g s with %d requests, want at most %.0f",
 				last.service, count, window, requests, limit)
 		}
 	}
@@ -113,7 +113,8 @@
 			count, perSecond := runsInWindow(runs[i:], window)
 			limit := c.quotaLimit(tenant, first.sent, window)
 			if float64(count) > limit {
-				c.report(ruleQuota, first.sent, "%s: %d requests ran in %g s: at most %.0f; by the second %v",
+				c.report(ruleQuota, first.sent,
+					"%s: %d requests ran in %g s, want at most %.0f; per second by machine: %v",
 					tenant, count, window, limit, perSecond)
 				break
 			}
--- a/internal/emulator/invariants/requests.go
+++ b/internal/emulator/invariants/requests.go
@@ -35,7 +35,7 @@
 			arrival.Instance, arrival.Method, arrival.Host, arrival.Target, arrival.Body,
 			arrival.ID, attempt.Method, attempt.Host, attempt.Target, attempt.Body)
 	case !c.tenantFits(attempt, arrival.Tenant):
-		c.report(ruleUnasked, arrival.Started, "%s ran %s with X-Tenant %q, which does not hold its key",
+		c.report(ruleUnasked, arrival.Started, "%s ran %s with X-Tenant %q, which does not own the request's key",
 			arrival.Instance, arrival.ID, arrival.Tenant)
 	}
 }
@@ -113,11 +113,11 @@
 func (c *checker) checkAnswer(a *Attempt) {
 	arrivals := c.arrivalsByID[a.ID]
 	if a.Surplus {
-		c.report(ruleMixed, a.Done, "%s: bytes came with no request waiting", a)
+		c.report(ruleMixed, a.Done, "%s: the client received bytes after the answer, with no further request sent", a)
 	}
 	aborted := slices.ContainsFunc(arrivals, func(r *Arrival) bool { return r.Aborted })
 	if a.End == Malformed && !aborted {
-		c.report(ruleMixed, a.Done, "%s: bytes that are no answer", a)
+		c.report(ruleMixed, a.Done, "%s: the client received bytes that are not an HTTP response", a)
 	}
 	if a.End != Answered {
 		return
