--- a/internal/emulator/capacity/errors.go
+++ b/internal/emulator/capacity/errors.go
@@ -9,5 +9,5 @@
 
 // Error returns a message that names the series.
 func (ms *MissingSeriesError) Error() string {
-	return fmt.Sprintf("the run has no slope %q", ms.Series)
+	return fmt.Sprintf("the run has no series %q", ms.Series)
 }
--- a/internal/emulator/costmodel/counters.go
+++ b/internal/emulator/costmodel/counters.go
@@ -17,7 +17,7 @@
 	m.measureTime(timeBenchmark{
 		series: Series{
 			Name:        "tally.add",
-			Description: "CounterTable.Add, a call that is a report of its own, and its answer",
+			Description: "CounterTable.Add for a call that is reported separately, and its answer",
 			SizeUnit:    "tenants",
 			Logarithmic: true,
 		},
--- a/internal/emulator/costmodel/frames.go
+++ b/internal/emulator/costmodel/frames.go
@@ -28,7 +28,7 @@
 }
 
 var frameKinds = []frameKind{
-	{"tenant", "an update with n tenants; a: a heartbeat", "tenants", tenantUpdate},
+	{"tenant", "an update with n tenants; without tenants, a heartbeat", "tenants", tenantUpdate},
 	{"route", "an update with n routes", "routes", routeUpdate},
 	{"service", "an update with n services", "services", serviceUpdate},
 	{"line", "an update with n instances", "servers", instanceUpdate},
--- a/internal/emulator/costmodel/gateway.go
+++ b/internal/emulator/costmodel/gateway.go
@@ -82,7 +82,7 @@
 	{
 		series: Series{
 			Name:        "tick.thin",
-			Description: "one tick of a Gateway, tenants whose requests are reports of their own",
+			Description: "one tick of a Gateway, tenants each of whose requests is reported separately",
 			SizeUnit:    "tenants",
 		},
 		sizes:      tickTenantSizes,
@@ -93,7 +93,7 @@
 		series: Series{
 			Name: "tick.sliced",
 			Description: "one tick of a Gateway, tenants that report and read each second, " +
-				"the codec and the way not counted",
+				"without the time to encode, send and decode",
 			SizeUnit: "tenants",
 		},
 		sizes:      tickTenantSizes,
--- a/internal/emulator/costmodel/heartbeats.go
+++ b/internal/emulator/costmodel/heartbeats.go
@@ -21,7 +21,7 @@
 var heartbeatBenchmarks = []heartbeatBenchmark{
 	{
 		name:        "registry.beat",
-		description: "Registry.RecordHeartbeat, the call that says the same again",
+		description: "Registry.RecordHeartbeat, a heartbeat that reports no change",
 		record:      func(r *registry.Registry, now float64, one registry.Instance) { r.RecordHeartbeat(now, one) },
 	},
 	{
--- a/internal/emulator/costmodel/run.go
+++ b/internal/emulator/costmodel/run.go
@@ -53,7 +53,7 @@
 		}
 	}
 	if err := buffered.Flush(); err != nil {
-		return fmt.Errorf("write the slopes: %w", err)
+		return fmt.Errorf("write the series: %w", err)
 	}
 	return nil
 }
@@ -73,7 +73,7 @@
 			return run, nil
 		}
 		if err != nil {
-			return nil, fmt.Errorf("slope %d: %w", len(run.Series)+1, err)
+			return nil, fmt.Errorf("series %d: %w", len(run.Series)+1, err)
 		}
 		if err := series.Fit(); err != nil {
 			return nil, err
--- a/internal/emulator/costmodel/state_memory.go
+++ b/internal/emulator/costmodel/state_memory.go
@@ -80,7 +80,7 @@
 	measureHeap(m, heapBenchmark[*configuration.Snapshot]{
 		series: Series{
 			Name:        "table." + kind.name,
-			Description: "live heap of a RoutingTable beside its Snapshot",
+			Description: "live heap of a RoutingTable, without its Snapshot",
 			SizeUnit:    kind.name + "s",
 		},
 		sizes: itemMemorySizes,
@@ -95,7 +95,7 @@
 	measureHeap(m, heapBenchmark[noBase]{
 		series: Series{
 			Name:        "store." + kind.name,
-			Description: "live heap of a replication.Store, its Snapshot with it",
+			Description: "live heap of a replication.Store, including its Snapshot",
 			SizeUnit:    kind.name + "s",
 		},
 		sizes: itemMemorySizes,
@@ -153,7 +153,7 @@
 	measureHeap(m, heapBenchmark[[]registry.Instance]{
 		series: Series{
 			Name:        "registry.line",
-			Description: "live heap of a registry.Registry, beside the strings of its instances",
+			Description: "live heap of a registry.Registry, without the strings of its instances",
 			SizeUnit:    "servers",
 		},
 		sizes: instanceMemorySizes,
@@ -175,7 +175,7 @@
 	measureHeap(m, heapBenchmark[noBase]{
 		series: Series{
 			Name:        "tally.name",
-			Description: "live heap of a quota.CounterTable, one reporter a tenant, each call a report of its own",
+			Description: "live heap of a quota.CounterTable, one reporter a tenant, each call reported separately",
 			SizeUnit:    "tenants",
 		},
 		sizes: []int{1000, 4000, 16000, 50000, 100000},
@@ -195,7 +195,7 @@
 	measureHeap(m, heapBenchmark[noBase]{
 		series: Series{
 			Name:        "tally.holder.each",
-			Description: "the same, each call a report of its own",
+			Description: "as tally.holder, but each call reported separately",
 			SizeUnit:    "reporters",
 		},
 		sizes: reporterSizes,
--- a/internal/emulator/modelcheck/errors.go
+++ b/internal/emulator/modelcheck/errors.go
@@ -16,7 +16,9 @@
 // UnknownConditionError reports an unknown condition in the text form of a config.
 type UnknownConditionError struct{ Condition string }
 
-func (uc UnknownConditionError) Error() string { return fmt.Sprintf("no world has %q", uc.Condition) }
+func (uc UnknownConditionError) Error() string {
+	return fmt.Sprintf("unknown condition %q", uc.Condition)
+}
 
 // UnknownEventError reports a line of a trace that names no event of the alphabet.
 type UnknownEventError struct{ Event string }
