--- a/cmd/mulleinrouter/process_test.go
+++ b/cmd/mulleinrouter/process_test.go
@@ -9,6 +9,7 @@
 	"slices"
 	"strings"
 	"testing"
+	"time"
 
 	"mulleinrouter/internal/race"
 )
@@ -74,16 +75,26 @@
 	return p
 }
 
+// lineTimeout is the time for a process to log an awaited line. It is much longer than a process needs on a busy
+// machine, and shorter than the time limit of the tests, at which no log would be printed.
+const lineTimeout = time.Minute
+
 // awaitLine waits until the process has logged a line that contains text, and returns the line. It returns each line
-// only once. If the log ends first, it returns a message with the lines that are left.
+// only once. If the log ends first, or the line does not come within lineTimeout, it returns a message with the lines
+// that are left.
 func (p *process) awaitLine(text string) string {
+	expired := time.After(lineTimeout)
 	for i := 0; ; i++ {
 		if i == len(p.unread) {
-			line, more := <-p.lines
-			if !more {
-				return "the log ended without the expected line: " + strings.Join(p.unread, "\n")
+			select {
+			case line, more := <-p.lines:
+				if !more {
+					return "the log ended without the expected line: " + strings.Join(p.unread, "\n")
+				}
+				p.unread = append(p.unread, line)
+			case <-expired:
+				return "the log has no such line after " + lineTimeout.String() + ": " + strings.Join(p.unread, "\n")
 			}
-			p.unread = append(p.unread, line)
 		}
 		if line := p.unread[i]; strings.Contains(line, text) {
 			p.unread = slices.Delete(p.unread, i, i+1)
