--- a/cmd/mulleinrouter/main_test.go
+++ b/cmd/mulleinrouter/main_test.go
@@ -113,7 +113,7 @@
 		{"limits", replace(`"sockets":1024`, `"sockets":-1`),
 			"mulleinrouter: FILE: limits: below zero"},
 		{"no counter", replace(`"counter":"127.0.0.1:1"`, `"counter":""`),
-			"mulleinrouter: FILE: counter: the settings promise one, but there is no address"},
+			"mulleinrouter: FILE: counter: the settings require one, but no address is configured"},
 		{"address of another machine", replace(`"listen":"127.0.0.1:0"`, `"listen":"192.0.2.1:1"`),
 			"mulleinrouter: listen: *"},
 	} {
--- a/internal/standalone/config/errors.go
+++ b/internal/standalone/config/errors.go
@@ -14,5 +14,5 @@
 	ErrNoClassesOrPlans = errors.New("settings: no classes or no plans")
 
 	// ErrNoCounterAddress is returned if the settings require a counter and the file has no address for it.
-	ErrNoCounterAddress = errors.New("counter: the settings promise one, but there is no address")
+	ErrNoCounterAddress = errors.New("counter: the settings require one, but no address is configured")
 )
--- a/internal/standalone/config/hcl.go
+++ b/internal/standalone/config/hcl.go
@@ -214,7 +214,7 @@
 	if h.Discovery != "" {
 		if len(h.Servers) > 0 {
 			return file.ErrorAt("server."+h.Servers[0].ID,
-				"servers are written down and discovery is named: only one of them may be")
+				"servers are listed and discovery is configured: only one of them is allowed")
 		}
 		return checkAddress(file, "discovery", h.Discovery)
 	}
--- a/internal/standalone/config/hcl_test.go
+++ b/internal/standalone/config/hcl_test.go
@@ -173,7 +173,7 @@
 		{"ceiling", "ceiling_rate  = 40", "ceiling_rate  = 4",
 			line("ceiling_rate") + `:3: plan.plus.ceiling_rate: below the plan's rate of 20`},
 		{"both kinds of servers", "log_format =", "discovery = \"127.0.0.1:1\"\nlog_format =",
-			`f:*: server.quotes-1: servers are written down and discovery is named: only one of them may be`},
+			`f:*: server.quotes-1: servers are listed and discovery is configured: only one of them is allowed`},
 		{"counter", "rules {", "counter {\n}\nrules {",
 			line("rules") + `:1: counter: needs an address, or embedded with an address to listen on, and not both`},
 		{"fleet", "rules {", "fleet {\n  ingresses = 2\n  number = 2\n}\nrules {",
--- a/internal/standalone/discovery/errors.go
+++ b/internal/standalone/discovery/errors.go
@@ -16,7 +16,7 @@
 
 	// errWatchSilent is wrapped by all errors of reading the lines of a watch. Only if the error is also a timeout did
 	// the watch receive no line in time.
-	errWatchSilent = errors.New("the watch fell silent")
+	errWatchSilent = errors.New("cannot read the watch")
 )
 
 // codeSilent is the log code of a call or a watch that timed out.
