--- a/internal/standalone/catalogue/errors.go
+++ b/internal/standalone/catalogue/errors.go
@@ -9,5 +9,5 @@
 
 	// ErrEarlierStart is returned for a revision with a start that is before the start of the last one. A revision
 	// without a start takes effect at once, and is accepted.
-	ErrEarlierStart = errors.New("it holds before the last one does")
+	ErrEarlierStart = errors.New("it would take effect before the last revision does")
 )
--- a/internal/standalone/plans/errors.go
+++ b/internal/standalone/plans/errors.go
@@ -27,7 +27,7 @@
 	text := fmt.Sprintf("at Unix time %.0f only %g units a second are left; %.0f units would fit in this span",
 		c.At, math.Max(0, c.Free), c.Units)
 	if c.From > 0 {
-		text += fmt.Sprintf(", the whole from Unix time %.0f on", c.From)
+		text += fmt.Sprintf("; the complete booking would fit from Unix time %.0f on", c.From)
 	}
 	return text
 }
--- a/internal/standalone/plans/plans_test.go
+++ b/internal/standalone/plans/plans_test.go
@@ -51,7 +51,7 @@
 			[]string{"plan.basic.rate: must be a number, 0 or more"}},
 		{"no burst", func(r *Revision) { r.Plans[0].Burst = 0 },
 			[]string{"plan.basic.burst: a rate needs a burst above 0: " +
-				"a store that holds nothing lets nothing through"}},
+				"a token bucket of size 0 is always empty"}},
 		{"rate limit below the rate", func(r *Revision) { r.Plans[1].LimitRate = 9 },
 			[]string{"plan.plus.ceiling_rate: below the plan's rate of 10"}},
 		{"rate limit without burst", func(r *Revision) { r.Plans[1].LimitBurst = 0 },
@@ -71,7 +71,7 @@
 		{"bookings beyond the bookable rate", func(r *Revision) {
 			r.Bookings = []Booking{{"b1", anna, 10, 20, 600}, {"b2", anna, 15, 25, 500}, {"b3", anna, 30, 40, 1}}
 		}, []string{"booking.b2.units: at Unix time 15 only 40 units a second are left; " +
-			"400 units would fit in this span, the whole from Unix time 20 on"}},
+			"400 units would fit in this span; the complete booking would fit from Unix time 20 on"}},
 		{"negative bookable rate without bookings", func(r *Revision) { r.BookableRate = -1 },
 			[]string{"bookable_rate: must be a number of units a second, 0 or more"}},
 		{"negative bookable rate with a booking", func(r *Revision) {
--- a/internal/standalone/plans/validate.go
+++ b/internal/standalone/plans/validate.go
@@ -74,7 +74,7 @@
 			}
 		}
 		if p.Rate > 0 && p.Burst <= 0 {
-			v.reject("a rate needs a burst above 0: a store that holds nothing lets nothing through",
+			v.reject("a rate needs a burst above 0: a token bucket of size 0 is always empty",
 				"plan", p.Name, "burst")
 		}
 		if p.LimitRate > 0 && p.LimitRate < p.Rate {
