--- a/internal/standalone/fleet/keyring/keyring.go
+++ b/internal/standalone/fleet/keyring/keyring.go
@@ -33,12 +33,12 @@
 			return nil, fmt.Errorf("%w: %s:%d: not base64", ErrKeys, path, i+1)
 		}
 		if size := len(key); size != 16 && size != 24 && size != 32 {
-			return nil, fmt.Errorf("%w: %s:%d: %d bytes, 16, 24 or 32 are wanted", ErrKeys, path, i+1, size)
+			return nil, fmt.Errorf("%w: %s:%d: %d bytes, but a key must have 16, 24 or 32", ErrKeys, path, i+1, size)
 		}
 		keys = append(keys, key)
 	}
 	if len(keys) == 0 || len(keys) > maxKeys {
-		return nil, fmt.Errorf("%w: %s:1: %d keys, from 1 to %d are wanted", ErrKeys, path, len(keys), maxKeys)
+		return nil, fmt.Errorf("%w: %s:1: %d keys, but a file must have 1 to %d", ErrKeys, path, len(keys), maxKeys)
 	}
 	return keys, nil
 }
--- a/internal/standalone/fleet/leaseservice/service.go
+++ b/internal/standalone/fleet/leaseservice/service.go
@@ -113,7 +113,10 @@
 	tokenBase := uint64(time.Now().Unix()) << tokenBaseShift
 	voter, err := quorum.Open(name, s.options.Voters, store, tokenBase)
 	if err != nil {
-		level.Error(s.log("duty-voter-unusable")).Log("msg", "voter disabled: its store cannot be opened", "error", err)
+		level.Error(s.log("duty-voter-unusable")).Log(
+			"msg", "voter not started: its store cannot be used; if the disk is full, it is retried",
+			"error", err,
+		)
 	}
 	s.voter = voter
 }
--- a/internal/standalone/fleet/quotasync/service.go
+++ b/internal/standalone/fleet/quotasync/service.go
@@ -187,12 +187,12 @@
 func (s *Service) logCounterTrust(change quotashare.CounterTrustChanged) {
 	logger := log.With(s.options.Log, "why", change.Reason)
 	if change.Trusted {
-		level.Info(logger).Log("msg", "the counter is trusted again: quotas go by its totals",
+		level.Info(logger).Log("msg", "the counter is trusted again: quotas are enforced by its totals",
 			"code", "share-counter-trusted",
 		)
 		return
 	}
-	level.Warn(logger).Log("msg", "the counter is not trusted: quotas go by leased grants",
+	level.Warn(logger).Log("msg", "the counter is not trusted: quotas are enforced by leased grants",
 		"code", "share-counter-doubted",
 	)
 }
