--- a/internal/standalone/cli/cli.go
+++ b/internal/standalone/cli/cli.go
@@ -87,7 +87,7 @@
 	}
 	if err != nil {
 		fmt.Fprintf(errOut, "%s: %v\n", programName, err)
-		fmt.Fprintf(errOut, "%s --help tells what there is.\n", programName)
+		fmt.Fprintf(errOut, "%s --help lists the commands and flags.\n", programName)
 		return ExitUsage
 	}
 	return p.finish(parsed.Run(p))
--- a/internal/standalone/cli/cli_test.go
+++ b/internal/standalone/cli/cli_test.go
@@ -94,7 +94,7 @@
 		{"replace -c DIR/none a b", ExitBadFile, []string{"no such file"}},
 		{"serve -c DIR/none.hcl", ExitBadFile, []string{"mulleinrouter: configuration: open DIR/none.hcl"}},
 		{"check ../../../deploy/single.hcl", 0,
-			[]string{"a configuration in order", "2 written down", "use            not recorded"}},
+			[]string{"a configuration in order", "2 listed in the configuration", "use            not recorded"}},
 		{"usage show DIR/none", ExitBadFile, []string{"no such file"}},
 	})
 }
@@ -141,7 +141,7 @@
 		{"plans apply DIR/new.hcl --to DIR/live.hcl --yes", 1, []string{"its number is not above the last one's"}},
 		{"plans apply DIR/bad.hcl --to DIR/live.hcl --yes", ExitBadFile, nil},
 		{"plans diff DIR/live.hcl DIR/next.hcl", 1,
-			[]string{"plan", "rate=4 burst=8", "rate=5 burst=8", "they differ"}},
+			[]string{"plan", "rate=4 burst=8", "rate=5 burst=8", "the catalogues differ"}},
 		{"plans diff DIR/new.hcl DIR/new.hcl", 0, nil},
 		{"plans diff DIR/live.hcl DIR/next.hcl --output json", 1,
 			[]string{`[{"what":"plan","name":"basic","from":"rate=4 burst=8`}},
@@ -206,8 +206,8 @@
 		{"usage verify DIR", 0,
 			[]string{"batches           0", "in no batch yet   24 units in 16 tries", "all is in order"}},
 		{"usage verify DIR --output json", 0, []string{`"notExported":{"units":24,"tries":16}`, `"problems":[]`}},
-		{"usage export DIR --to " + billing.URL(), 0, []string{"1 batches taken, nothing is left"}},
-		{"usage export DIR --to " + billing.URL(), 0, []string{"0 batches taken"}},
+		{"usage export DIR --to " + billing.URL(), 0, []string{"1 batches acknowledged, nothing is left"}},
+		{"usage export DIR --to " + billing.URL(), 0, []string{"0 batches acknowledged"}},
 		{"usage verify DIR", 0, []string{
 			"batches           1", "billed            18 units in 12 tries", "arrival not known  6 units in 4 tries",
 			"all is in order",
@@ -227,6 +227,6 @@
 		t.Fatal(err)
 	}
 	runSteps(t, dir, []step{
-		{"usage verify DIR", 1, []string{"1 records damaged", "batch 1 says otherwise than its segments 1 to 1"}},
+		{"usage verify DIR", 1, []string{"1 records damaged", "batch 1 does not match its segments 1 to 1"}},
 	})
 }
--- a/internal/standalone/cli/errors.go
+++ b/internal/standalone/cli/errors.go
@@ -42,7 +42,7 @@
 	errViolated             = errors.New("a rule is broken")
 	errExpectationFailed    = errors.New("not all expectations were met")
 	errUnexpectedRunResult  = errors.New("the run did not show the expected result")
-	errCataloguesDiffer     = errors.New("they differ")
+	errCataloguesDiffer     = errors.New("the catalogues differ")
 	errBatchNotAcknowledged = errors.New("billing did not accept the next batch")
 
 	// Errors of try.
--- a/internal/standalone/cli/faulttest.go
+++ b/internal/standalone/cli/faulttest.go
@@ -19,13 +19,13 @@
 // FaultTestCommand runs a fault test, which injects the faults of a scenario.
 type FaultTestCommand struct {
 	File      string  `arg:"" name:"file" help:"${faultTestFile}"`
-	Ingresses int     `name:"ingresses" help:"So many ingresses instead of those that the file names."`
+	Ingresses int     `name:"ingresses" help:"Number of ingresses, instead of the number in the file."`
 	Seed      uint64  `name:"seed" help:"Another seed than the file's."`
 	Dir       string  `name:"dir" type:"path" help:"Folder for files and logs; it stays. Default: a temporary one."`
 	Events    string  `name:"events" type:"path" placeholder:"FILE" help:"What was done and seen, as JSON lines."`
-	Slack     float64 `name:"slack" default:"1" help:"Times the limits of what is expected, for a slow machine."`
+	Slack     float64 `name:"slack" default:"1" help:"Factor for the time limits of expectations, for a slow machine."`
 	Repeat    int     `name:"repeat" default:"1" help:"${faultTestRepeat}"`
-	Parallel  int     `name:"beside" default:"1" help:"So many of them side by side."`
+	Parallel  int     `name:"beside" default:"1" help:"Number of runs at the same time."`
 }
 
 // readScenario reads a scenario from a file, or a shipped scenario by its name. An existing file takes precedence.
@@ -102,7 +102,7 @@
 		fmt.Fprintln(out)
 		faulttest.WriteTable(out, results.reports)
 	}
-	fmt.Fprintf(out, "%d of %d held\n", ft.Repeat-results.failed, ft.Repeat)
+	fmt.Fprintf(out, "%d of %d runs passed\n", ft.Repeat-results.failed, ft.Repeat)
 	if results.failed > 0 {
 		return errExpectationFailed
 	}
@@ -128,7 +128,7 @@
 		return
 	case !report.Passed():
 		s.failed++
-		fmt.Fprintf(s.out, "seed %d: not all held\n", seed)
+		fmt.Fprintf(s.out, "seed %d: not all expectations were met\n", seed)
 		report.Write(s.out)
 	case dir != "":
 		os.RemoveAll(dir)
--- a/internal/standalone/cli/fleet.go
+++ b/internal/standalone/cli/fleet.go
@@ -106,8 +106,8 @@
 // row did not report the link, usually because its report did not arrive.
 var linkMarks = map[string]string{"both": "+", "in": "<", "none": "x", "unknown": ".", "": "?"}
 
-const linkLegend = "\n+ answers   < is heard, and does not answer   x neither   . not tried of late   " +
-	"? its own row did not come"
+const linkLegend = "\nthe peer, as the reporter sees it:\n+ answers   < sends, but does not answer   x neither   " +
+	". unknown   ? no report"
 
 // Run makes the call and prints the links as a matrix.
 func (fl *FleetLinksCommand) Run(p *Program) error {
@@ -117,7 +117,7 @@
 func writeLinks(out io.Writer, l *links) error {
 	names := l.names()
 	t := commandline.NewTable(out)
-	fmt.Fprintf(t, "from \\ to\t%s\n", strings.Join(names, "\t"))
+	fmt.Fprintf(t, "reporter \\ peer\t%s\n", strings.Join(names, "\t"))
 	for _, from := range names {
 		fmt.Fprint(t, from)
 		for _, to := range names {
@@ -151,7 +151,7 @@
 // FleetTurnCommand waits until an ingress may be restarted.
 type FleetTurnCommand struct {
 	ingressFlags
-	Wait time.Duration `name:"wait" default:"0s" help:"For how long at the most; 0: it is asked once."`
+	Wait time.Duration `name:"wait" default:"0s" help:"Longest time to wait; 0: ask once."`
 }
 
 // Run repeats the call until the ingress may be restarted or the time of --wait has passed.
--- a/internal/standalone/cli/fleetleases.go
+++ b/internal/standalone/cli/fleetleases.go
@@ -68,7 +68,8 @@
 	if _, err := ft.callLeader("GIVE " + ft.Role + " " + ft.To); err != nil {
 		return err
 	}
-	fmt.Fprintf(p.out, "%s goes to %s as soon as its holder has let go of it; fleet duties tells\n", ft.Role, ft.To)
+	fmt.Fprintf(p.out, "%s goes to %s as soon as its holder has released it; fleet duties shows the holder\n",
+		ft.Role, ft.To)
 	return nil
 }
 
@@ -135,7 +136,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%s %s is not agreed on after 10 s", change.action, change.name)
+			return fmt.Errorf("%s %s: the voters have not agreed on this change after 10 s", change.action, change.name)
 		}
 	}
 }
--- a/internal/standalone/cli/fleetshared.go
+++ b/internal/standalone/cli/fleetshared.go
@@ -34,7 +34,7 @@
 // FleetStateCommand shows the state that the ingresses share: quotas, loans and warnings of servers.
 type FleetStateCommand struct {
 	ingressFlags
-	Member string `name:"member" placeholder:"ID" help:"Of one member alone."`
+	Member string `name:"member" placeholder:"ID" help:"Show only this member."`
 }
 
 // Run makes the call and prints the members' quotas and loans as a table.
@@ -45,14 +45,14 @@
 
 func writeShared(out io.Writer, r *quotasync.Report) error {
 	if r.CounterTrusted {
-		fmt.Fprint(out, "the counter is trusted: quotas go by its totals")
+		fmt.Fprint(out, "the counter is trusted: quotas are enforced by its totals")
 	} else {
-		fmt.Fprintf(out, "the counter is not trusted (%s): quotas go by loans", cmp.Or(r.Reason, "there is none"))
+		fmt.Fprintf(out, "the counter is not trusted (%s): quotas are enforced by loans", cmp.Or(r.Reason, "there is none"))
 	}
-	fmt.Fprintf(out, "; %.4g units a second given, %.4g taken; %d words refused; warned of %d servers %s\n\n",
+	fmt.Fprintf(out, "; %.4g units a second given, %.4g taken; %d messages refused; warned of %d servers %s\n\n",
 		r.Lent, r.Borrowed, r.Rejected, len(r.WarnedServers), strings.Join(r.WarnedServers, " "))
 	t := commandline.NewTable(out)
-	fmt.Fprintln(t, "member\tquota\tright\tasked\tgiven\ttaken\tother doors\tsilent")
+	fmt.Fprintln(t, "member\tquota\tright\tasked\tgiven\ttaken\tother ingresses\tsilent")
 	for _, m := range r.Customers {
 		fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%.4g\t%s\t%s\t%s\t%s\n",
 			m.Customer, m.Quota, m.Grant, m.Demand, formatLoans(m.LentTo), formatLoans(m.BorrowedFrom),
--- a/internal/standalone/cli/help.go
+++ b/internal/standalone/cli/help.go
@@ -15,7 +15,7 @@
 	"bookingsCancel":   "Cancel a booking. What it would still have allowed is free again.",
 	"watchedCatalogue": "The catalogue that ingresses watch.",
 	"checkFile": "A configuration (.hcl, or .json as the platform gives it), a catalogue of plans, or a settings " +
-		"file of the system.",
+		"file of a proxy, an agent or a control node.",
 	"checkProgram": "Program that a settings file is for: proxy, agent or control. Default: those of its role or " +
 		"its class of machine.",
 	"shells": strings.Join(completion.Shells, ","),
@@ -24,8 +24,8 @@
 	"logFormat": "Form of the log: logfmt or json. Default: what the configuration says, or logfmt.",
 	"serve": "Serve clients (the default). Without -c, the configuration is that of NODE_CONFIG, as the " +
 		"platform gives it.",
-	"check": "Check a file of either program, and say what is in it. Each error is reported with its file, line and " +
-		"column or key.",
+	"check": "Check a configuration, a catalogue of plans or a settings file, and say what is in it. Each error is " +
+		"reported with its file, line and column or key.",
 	"shards":        "Show who holds the lease of each shard of locks and cells, and how far behind its replicas are.",
 	"transferShard": "Have the leaseholder of a shard hand it to another voter.",
 	"members":       "Show which control nodes are voters, which are learners, and how far behind they are.",
@@ -39,8 +39,8 @@
 	"tryIngress": "Run ingresses in service instead, among stand-ins of their own, change a plan midway, and show " +
 		"what was served and billed.",
 	"tryServe": "Leave the gateway running without clients and faults, with its addresses printed, until Ctrl-C.",
-	"tryLoad": "What clients ask for: in parts of 120 requests a second, with --ingress in times the members' " +
-		"quotas.",
+	"tryLoad": "Request rate of the clients, as a multiple of 120 requests a second, or of the members' quotas " +
+		"with --ingress.",
 	"tryFor":  "How long clients send requests.",
 	"tryEdge": "Edge machines, each with a proxy and an agent.",
 	"tryBin": "Folder of the programs proxy, agent and control. Default: where this program is, or else they are " +
@@ -49,21 +49,21 @@
 	"trySchedule": "Faults to inject in place of the usual ones: a file of lines \"SECONDS NAME [TARGET]\", names " +
 		"joined by commas (emulator try --list), or none.",
 	"tryKill":   "Kill an ingress in the middle, and start it again.",
-	"tryFaults": "Quote servers and billing do wrong now and then.",
+	"tryFaults": "Make quote servers and billing fail now and then.",
 	"faultTest": "Play a scenario of faults on ingresses that it starts on this machine, and check what is " +
 		"expected of them.",
 	"faultTestFile": "A scenario: a file, or one of those that ship (deploy/faulttests) by its name, such as " +
 		"duty-holder.",
-	"faultTestRepeat": "Play it so often, with seeds that follow each other, and tell medians and the worst over " +
-		"all.",
-	"fleetMembers": "Show the members, what state they are in, and how much of the fleet is heard.",
+	"faultTestRepeat": "Number of runs, with consecutive seeds. For several runs, the medians and worst values over all " +
+		"runs are printed.",
+	"fleetMembers": "Show the members, what state they are in, and how much of the fleet the ingress hears from.",
 	"fleetLeases":  "Show who holds which duty, who waits for it, and who held it before.",
 	"fleetPlans":   "Show which revisions of the catalogue were announced, and by whom.",
 	"fleetVoters":  "Show, add, remove or replace those that agree on who holds a duty.",
 	"fleetState": "Show what an ingress shares with the others: who has how much of a member's quota, and " +
 		"which servers are warned of.",
-	"fleetTurn": "Wait until this ingress may be restarted: the whole fleet is heard, and nobody else is " +
-		"starting, drained or leaving.",
+	"fleetTurn": "Wait until this ingress may be restarted: it reaches the complete fleet, and no other " +
+		"ingress is starting, drained or leaving.",
 	"ingressMgmt":        "Management address of the ingress that is asked.",
 	"fleetLeaseTransfer": "Have its holder give a duty up, and a named ingress have it next.",
 	"voterActions":       "list,add,remove,replace",
@@ -77,9 +77,9 @@
 		"once.",
 	"plansApplyTo":    "The catalogue that ingresses watch. It is made if it is not there.",
 	"serveConfig":     "Configuration of our own form (HCL), such as deploy/single.hcl.",
-	"tryLease":        "Show a duty instead: whoever exports the use of all is killed, and another goes on.",
+	"tryLease":        "Show a duty instead: the ingress that exports all usage is killed, and another takes over.",
 	"tryDir":          "Folder for logs and data; it stays. Default: a temporary one.",
-	"usageVerify":     "Check segments and batches, and that they say the same. Exit code 1 if they do not.",
+	"usageVerify":     "Check segments and batches, and that they match. Exit code 1 if they do not.",
 	"usageExportKeep": "Segments that were acknowledged stay for this long.",
 	"usageShowBy":     "What to add up by: member, plan, class, minute, or all rows one by one.",
 }
--- a/internal/standalone/cli/ingresssummary.go
+++ b/internal/standalone/cli/ingresssummary.go
@@ -55,7 +55,7 @@
 func (is *ingressSummary) writeTable(out io.Writer) error {
 	servers := "from discovery at " + is.Discovery
 	if is.Static {
-		servers = fmt.Sprintf("%d written down", is.Servers)
+		servers = fmt.Sprintf("%d listed in the configuration", is.Servers)
 	}
 	counter := cmp.Or(is.Counter, "none")
 	if is.Embedded != "" {
@@ -63,7 +63,7 @@
 	}
 	usage := "not recorded"
 	if is.UsageDir != "" {
-		usage = fmt.Sprintf("recorded in %s, told to %s", is.UsageDir, cmp.Or(is.UsageEndpoint, "nobody"))
+		usage = fmt.Sprintf("recorded in %s, export endpoint: %s", is.UsageDir, cmp.Or(is.UsageEndpoint, "none"))
 	}
 	table := commandline.NewTable(out)
 	for _, row := range []struct{ label, value string }{
--- a/internal/standalone/cli/modelcheck.go
+++ b/internal/standalone/cli/modelcheck.go
@@ -21,9 +21,9 @@
 
 // ModelCheckStatesCommand explores orderings of events and checks the rules after each event.
 type ModelCheckStatesCommand struct {
-	Depth  int    `name:"depth" default:"4" help:"Every ordering of so many events."`
+	Depth  int    `name:"depth" default:"4" help:"Check every ordering of this many events."`
 	Random int    `name:"random" default:"200000" help:"Further orderings of five to eight events, drawn by chance."`
-	Seed   uint64 `name:"seed" default:"1" help:"For those."`
+	Seed   uint64 `name:"seed" default:"1" help:"Seed of the random orderings."`
 	Out    string `name:"out" type:"path" placeholder:"DIR" help:"Folder for the traces of violations."`
 }
 
--- a/internal/standalone/cli/serve.go
+++ b/internal/standalone/cli/serve.go
@@ -79,7 +79,9 @@
 	level.Info(logger).Log("msg", "shutting down", "code", "process-stopping", "signal", received.String())
 	out.Flush()
 	n.Drain()
-	level.Info(logger).Log("msg", "all requests answered", "code", "process-stopped")
+	level.Info(logger).Log("msg", "shut down: all requests answered, or aborted after the drain timeout",
+		"code", "process-stopped",
+	)
 	return nil
 }
 
--- a/internal/standalone/cli/tryingress.go
+++ b/internal/standalone/cli/tryingress.go
@@ -17,7 +17,7 @@
 	Members   int     `name:"members" default:"40" group:"With --ingress" help:"Members, half on either plan."`
 	Ingresses int     `name:"ingresses" default:"3" group:"With --ingress" help:"Ingresses, each a process."`
 	Kill      bool    `name:"kill" group:"With --ingress" help:"${tryKill}"`
-	Crashes   int     `name:"crashes" group:"With --ingress" help:"So many times an exporter is killed."`
+	Crashes   int     `name:"crashes" group:"With --ingress" help:"How many times an exporter is killed."`
 	Faults    bool    `name:"faults" group:"With --ingress" help:"${tryFaults}"`
 	Lease     bool    `name:"duty" group:"With --ingress" help:"${tryLease}"`
 }
--- a/internal/standalone/cli/tryprograms.go
+++ b/internal/standalone/cli/tryprograms.go
@@ -30,7 +30,7 @@
 }
 
 func (ne *noProgramsError) Error() string {
-	return fmt.Sprintf("%s are not all in %s, beside this program, and cannot be built here: %v. "+
+	return fmt.Sprintf("%s are not all in %s, the folder of this program, and cannot be built here: %v. "+
 		"Run it in a checkout of mulleinrouter, or name their folder with --bin",
 		strings.Join(rolePrograms, ", "), ne.programDir, ne.reason)
 }
--- a/internal/standalone/cli/usage.go
+++ b/internal/standalone/cli/usage.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(p.out, "%d batches taken, nothing is left\n", batches)
+	fmt.Fprintf(p.out, "%d batches acknowledged, nothing is left\n", batches)
 	return nil
 }
 
@@ -99,7 +99,7 @@
 
 // UsageVerifyCommand verifies that segments and batches are intact and agree.
 type UsageVerifyCommand struct {
-	Dir string `arg:"" name:"dir" type:"path" help:"Folder of the records. No exporter may be at it meanwhile."`
+	Dir string `arg:"" name:"dir" type:"path" help:"Folder of the records. No exporter may use it at the same time."`
 	commandline.OutputFlag
 }
 
--- a/internal/standalone/cli/usageverify.go
+++ b/internal/standalone/cli/usageverify.go
@@ -53,8 +53,8 @@
 	fmt.Fprintf(t, "batches\t%d\n", v.Batches)
 	fmt.Fprintf(t, "billed\t%s\n", units(v.Known))
 	fmt.Fprintf(t, "arrival not known\t%s, listed apart\n", units(v.Unknown))
-	fmt.Fprintf(t, "not recorded\t%s, for want of room\n", units(v.Unmetered))
+	fmt.Fprintf(t, "not recorded\t%s, for lack of disk space\n", units(v.Unmetered))
 	fmt.Fprintf(t, "in no batch yet\t%s\n", units(v.NotExported))
-	fmt.Fprintf(t, "out\t%d tries\n", v.InFlight)
+	fmt.Fprintf(t, "in flight\t%d tries\n", v.InFlight)
 	return t.Flush()
 }
--- a/internal/standalone/usageexport/exporter_test.go
+++ b/internal/standalone/usageexport/exporter_test.go
@@ -208,7 +208,7 @@
 			data, _ := os.ReadFile(l[0].Path)
 			more, _ := os.ReadFile(l[2].Path)
 			os.WriteFile(l[0].Path, append(data, more[usage.HeaderSize:]...), 0o644)
-		}, "batch 1 says otherwise than its segments 1 to 1"},
+		}, "batch 1 does not match its segments 1 to 1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir, b := t.TempDir(), startBilling(t)
--- a/internal/standalone/usageexport/verify.go
+++ b/internal/standalone/usageexport/verify.go
@@ -83,7 +83,7 @@
 			continue
 		}
 		if report.Damaged > 0 || report.Lost > 0 {
-			v.addProblem("%s: %d records damaged, %d bytes after the last sound one",
+			v.addProblem("%s: %d records damaged, %d bytes after the last valid one",
 				s.Path, report.Damaged, report.Lost)
 		}
 		v.Segments++
@@ -112,7 +112,7 @@
 	}
 	recorded, complete := v.recorded(b)
 	if complete && fmt.Sprint(batched.Rows()) != fmt.Sprint(recorded.Rows()) {
-		v.addProblem("batch %d says otherwise than its segments %d to %d", b.Number, b.First, b.Last)
+		v.addProblem("batch %d does not match its segments %d to %d", b.Number, b.First, b.Last)
 	}
 	known, unknown := batched.Total()
 	v.Known = v.Known.Add(known)
