--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -17,7 +17,7 @@
 
 const (
 	name        = commandline.Agent
-	description = "The agent on an edge machine: it keeps the link to the control nodes and feeds the proxy beside it."
+	description = "The agent on an edge machine: it passes what control nodes publish to the proxy on the same machine."
 )
 
 // memoryLimit is the memory use, in bytes, above which the garbage collector works harder. It is low because the proxy
@@ -29,8 +29,8 @@
 const gcPercent = 50
 
 type program struct {
-	Serve serve `cmd:"" default:"withargs" help:"Keep the link and feed the proxy (the default)."`
-	Check check `cmd:"" help:"Check a settings file, and say what is in it that matters here."`
+	Serve serve `cmd:"" default:"withargs" help:"Pass what control nodes publish to the proxy (the default)."`
+	Check check `cmd:"" help:"Check a settings file, and print the settings that matter to this program."`
 	Show  show  `cmd:"" help:"Ask the agent that runs on this machine what it knows."`
 
 	Version     commandline.VersionCommand `cmd:"" help:"Say which version this is, with its commit and Go's."`
--- a/cmd/control/main.go
+++ b/cmd/control/main.go
@@ -24,12 +24,12 @@
 const (
 	name        = commandline.Control
 	description = "The control node on a core machine: it takes the configuration and the heartbeats of servers, " +
-		"and feeds the agents."
+		"and publishes them to the agents."
 )
 
 type program struct {
 	Serve serve `cmd:"" default:"withargs" help:"Serve as a control node (the default)."`
-	Check check `cmd:"" help:"Check a settings file, and say what is in it that matters here."`
+	Check check `cmd:"" help:"Check a settings file, and print the settings that matter to this program."`
 
 	Members operatorcommand.Members `cmd:"" help:"Say which control nodes vote, which learn, and how far behind they are."` //nolint:lll // a tag is one line
 	Replace operatorcommand.Replace `cmd:"" help:"Have a learner take the place of a voter."`
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -20,7 +20,7 @@
 )
 
 type program struct {
-	Slopes slopesCommand `cmd:"" help:"Measure what each part costs by the size of what it knows."`
+	Slopes slopesCommand `cmd:"" help:"Measure the cost of each role as a function of size."`
 	Plan   planCommand   `cmd:"" help:"Estimate what each role needs at a size, and which limit binds first."`
 
 	Days daysCommand `cmd:"" help:"Draw scenarios of a day with faults of the control plane, as files for the bench."`
--- a/cmd/emulator/try.go
+++ b/cmd/emulator/try.go
@@ -33,10 +33,10 @@
 	Edge   int           `default:"3" help:"Edge machines, each with a proxy and an agent."`
 	For    time.Duration `default:"30s" help:"How long there is traffic."`
 	Faults string        `help:"A file of lines \"SECONDS NAME [TARGET]\", or fault names joined by commas."`
-	Seed   uint64        `default:"1" help:"Of all that is drawn."`
+	Seed   uint64        `default:"1" help:"Seed of all random choices."`
 	Bin    string        `default:"target" type:"existingdir" help:"Folder of proxy, agent and control."`
-	Load   float64       `default:"1" help:"Of the usual 120 requests a second."`
-	Brisk  bool          `help:"Hold the machines to tighter times than usual, sooner after trouble."`
+	Load   float64       `default:"1" help:"Request rate, as a multiple of 120 requests a second."`
+	Brisk  bool          `help:"Check sooner after a fault, and against shorter time limits."`
 	List   bool          `help:"List the faults, and do nothing else."`
 }
 
@@ -72,7 +72,7 @@
 	}
 	fmt.Print(text.String())
 	if n := len(report.Violations); n > 0 {
-		return fmt.Errorf("%d instances of broken rules", n)
+		return fmt.Errorf("%d violations of rules", n)
 	}
 	return os.RemoveAll(dir)
 }
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -26,7 +26,7 @@
 
 type program struct {
 	Serve serve `cmd:"" default:"withargs" help:"Serve clients until SIGTERM (the default)."`
-	Check check `cmd:"" help:"Check a settings file, and say what is in it that matters here."`
+	Check check `cmd:"" help:"Check a settings file, and print the settings that matter to this program."`
 
 	Version     commandline.VersionCommand `cmd:"" help:"Say which version this is, with its commit and Go's."`
 	VersionFlag kong.VersionFlag           `name:"version" help:"Say which version this is."`
