--- a/coordinationclient/errors.go
+++ b/coordinationclient/errors.go
@@ -15,8 +15,8 @@
 	// ErrNotFound means that the cell does not exist.
 	ErrNotFound = errors.New("there is no such cell")
 
-	// ErrCompacted means that the events after a revision are no longer stored. The caller must start again
-	// with a read of the cells.
+	// ErrCompacted means that the events after a revision are no longer stored. The caller must read the cells again
+	// before it continues.
 	ErrCompacted = errors.New("the events after this revision are no longer stored")
 )
 
--- a/coordinationclient/lock.go
+++ b/coordinationclient/lock.go
@@ -84,8 +84,7 @@
 	return err
 }
 
-// Release releases the lock. As soon as it is called, the caller no longer holds the lock, even if Release returns an
-// error.
+// Release releases the lock. After the call, the caller no longer holds the lock, even if Release returns an error.
 func (l *Lock) Release(ctx context.Context) error {
 	l.mu.Lock()
 	l.validUntil = time.Time{}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -18,8 +18,8 @@
 const program = "agent"
 
 const (
-	// proxyReadyTTL is the time for which a proxy's renewal that reports it as ready is valid. After it the agent does
-	// not renew the lease of its ingress any more.
+	// proxyReadyTTL is the time for which a proxy's renewal that reports it as ready is valid. After this time the
+	// agent no longer renews the lease of its ingress.
 	proxyReadyTTL = 1500 * time.Millisecond
 	dialTimeout   = time.Second // for a connection to a control node
 )
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -177,13 +177,14 @@
 		is.NoErr(err)
 		is.True(!answer.CounterTotal.OK)
 		is.True(slices.Contains(one.adds, "nobody's") && slices.Contains(two.adds, "nobody's"))
-		// If an owner accepts a report but may lack those of others yet (OK is false), the next node is not called.
+		// If an owner accepts a report but may not have the reports of other ingresses yet (OK is false), the next node
+		// is not called.
 		answer, err = proxy.Call(time.Second, &transport.Frame{CounterAdd: &transport.CounterAdd{Name: "unsure"}})
 		is.NoErr(err)
 		is.Equal(*answer.CounterTotal, transport.CounterTotal{Reporters: 1})
 		is.True(slices.Contains(one.adds, "unsure") != slices.Contains(two.adds, "unsure"))
 
-		// One node stops. The agent remains ready but has no quorum any more, and the calls for the counters of the
+		// One node stops. The agent remains ready but no longer has a quorum, and the calls for the counters of the
 		// stopped node go to the other one.
 		controlPlane.stop(one)
 		advance(3 * time.Second)
@@ -258,9 +259,9 @@
 	}
 }
 
-// TestDiscoversVoters starts an agent whose seeds are a partitioned node and one that is down. The agent must discover
-// the voters from the partitioned node and evaluate quorum by the voters alone. It must keep the voters when the
-// settings are reread, and remove sources that are no longer voters.
+// TestDiscoversVoters starts an agent whose seeds are a partitioned node and a node that is down. The agent must
+// discover the voters from the partitioned node and evaluate the quorum from the voters alone. It must keep the voters
+// when the settings are reread, and remove sources that are no longer voters.
 func TestDiscoversVoters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -317,8 +318,8 @@
 	})
 }
 
-// TestEvaluateByContact checks that a node that lacks changes which another node has is not sufficient, and that the
-// majority is computed from the voters that a node in contact reported.
+// TestEvaluateByContact checks that a node that does not have all changes of another node is not sufficient, and that
+// the majority is computed from the voters that a node in contact reported.
 func TestEvaluateByContact(t *testing.T) {
 	now := time.Unix(100, 0)
 	status := func(fromVoters, quorum bool, epoch uint64, members int, voters ...string) sourceStatus {
--- a/internal/agent/cluster_view.go
+++ b/internal/agent/cluster_view.go
@@ -61,8 +61,8 @@
 
 // evaluate combines the states of the control nodes into a view. A majority of the voters has every acknowledged
 // change, and so has a node that is ready and in contact with a majority. If the agent does not connect to a majority,
-// one such node is sufficient after singleSourceAfter. A node that is out of contact, or that lacks changes which
-// another node has, is never sufficient.
+// one such node is sufficient after singleSourceAfter. A node that is out of contact, or that does not have all changes
+// of another node, is never sufficient.
 func evaluate(statuses []sourceStatus, now time.Time, sinceStart time.Duration) clusterView {
 	view, electorate := evaluateVoters(statuses, now)
 	newestEpoch := uint64(0)
--- a/internal/agent/counters.go
+++ b/internal/agent/counters.go
@@ -15,7 +15,7 @@
 	// counterTimeout bounds a counter call to each of maxCounterAttempts owners. The proxy waits only slightly longer
 	// than both attempts take together.
 	counterTimeout     = 160 * time.Millisecond
-	maxCounterAttempts = 2 // the owner, then the node that owns the counter without it
+	maxCounterAttempts = 2 // the owner, then the node that would own the counter without the first one
 )
 
 // handleCounterCall forwards a counter call of a proxy in the background, and sends the answer when the owner has
@@ -38,7 +38,7 @@
 }
 
 // forwardToOwner forwards a report to the live control node that owns its counter. If that node does not answer or does
-// not accept the report, forwardToOwner tries the node that owns the counter without it.
+// not accept the report, forwardToOwner tries the node that would own the counter without that node.
 func (a *Agent) forwardToOwner(report *transport.CounterAdd) *transport.CounterTotal {
 	a.counterCalls.Add(1)
 	live, sources := a.view().live, *a.sources.Load()
--- a/internal/agent/metrics_test.go
+++ b/internal/agent/metrics_test.go
@@ -12,8 +12,8 @@
 	"mulleinrouter/internal/logging/logtest"
 )
 
-// TestMetrics checks that the number of series does not depend on the number of servers: an agent that knows no servers
-// exports as many as one that knows a hundred.
+// TestMetrics checks that the number of series does not depend on the number of servers: an agent without servers
+// exports as many series as an agent with a hundred servers.
 func TestMetrics(t *testing.T) {
 	is := is.New(t)
 	a := New(7, logtest.Discard())
--- a/internal/agent/sources.go
+++ b/internal/agent/sources.go
@@ -58,7 +58,7 @@
 
 // subscribeToVoters subscribes to the voters that a control node reported, in addition to the configured seeds, because
 // the seeds may be down or partitioned and each voter owns counters. If the list of voters is current, it removes
-// sources that were subscribed to as voters and are not voters any more.
+// sources that were subscribed to as voters and are no longer voters.
 func (a *Agent) subscribeToVoters(electorate []string, current bool) {
 	now := time.Since(a.startedAt)
 	checkedAt := a.votersCheckedAt.Load()
