--- a/internal/dataplane/attempt/doc.go
+++ b/internal/dataplane/attempt/doc.go
@@ -1,7 +1,7 @@
 // Package attempt implements the life cycle of a request: the request is admitted or rejected, forwarded in one or more
 // attempts, and answered once.
 //
-// Machine is the state machine of one request. Dispatcher owns the decision module and the machines of all pending
+// Machine is the state machine of a request. Dispatcher owns the decision module and the machines of all pending
 // requests. It turns events into effects that its host carries out: decisions to deliver, attempts to cancel, timers to
 // set, and calls of the counter to make.
 //
--- a/internal/dataplane/attempt/machine.go
+++ b/internal/dataplane/attempt/machine.go
@@ -22,10 +22,10 @@
 
 func (p Phase) String() string { return phaseNames[p] }
 
-// Machine is the state machine of one request. The zero value represents an idempotent request that is attempted at
-// most once.
+// Machine is the state machine of a request. The zero value represents an idempotent request that is attempted at most
+// once.
 type Machine struct {
-	AtMostOnce bool // no further attempt after one that may have been executed
+	AtMostOnce bool // no attempt is sent after one that may have been executed
 	// NoClientRetry: the client's retry might be executed too, so the request is not rejected after an attempt that may
 	// have been executed.
 	NoClientRetry bool
--- a/internal/dataplane/backoff/window.go
+++ b/internal/dataplane/backoff/window.go
@@ -13,10 +13,10 @@
 	maxGrowthFactor = 4.0
 )
 
-// Window is the backoff window of one ingress for one service. It is created by New.
+// Window is the backoff window of an ingress for a service. New creates it.
 type Window struct{ initial, current decision.Seconds }
 
-// New returns the window of one ingress in a fleet of the given size.
+// New returns the window of an ingress in a fleet of the given size.
 func New(fleetSize int) *Window {
 	initial := initialWindow(fleetSize)
 	return &Window{initial: initial, current: initial}
--- a/internal/dataplane/clientconn/body_progress.go
+++ b/internal/dataplane/clientconn/body_progress.go
@@ -19,9 +19,8 @@
 	maxStreamedStall decision.Seconds = 10
 )
 
-// BodyProgress tracks the arrival of one request's body. Only the time spent waiting for the client counts, not the
-// time spent waiting for the backend or for a decision. The zero value represents a body that has not been waited for
-// yet.
+// BodyProgress tracks the arrival of a request's body. Only the time spent waiting for the client counts, not the time
+// spent waiting for the backend or for a decision. The zero value represents a body that has not been waited for yet.
 type BodyProgress struct {
 	Streamed bool // the body is forwarded as it arrives, in chunks of any size
 
--- a/internal/dataplane/clientconn/eviction.go
+++ b/internal/dataplane/clientconn/eviction.go
@@ -18,8 +18,9 @@
 }
 
 // EvictBefore reports whether an evictable connection is closed before another one. Unproductive connections are closed
-// before idle ones; among equals, the one that has been in its state for longest is closed first. A flood of silent
-// connections therefore evicts its own connections first.
+// before idle ones. Of two unproductive or two idle connections, the one whose state began first is closed first; a
+// connection that has not sent a complete request counts from its start. A flood of silent connections therefore evicts
+// its own connections first.
 func (m *Machine) EvictBefore(other *Machine, now decision.Seconds) bool {
 	if a, b := m.unproductive(now), other.unproductive(now); a != b {
 		return a
--- a/internal/dataplane/clientconn/machine.go
+++ b/internal/dataplane/clientconn/machine.go
@@ -55,7 +55,7 @@
 	codeIllegalTransition = "client-illegal" // a bug: see ErrIllegalTransition
 )
 
-// Machine is the state machine of one client's connection. The zero value represents a connection that was accepted at
+// Machine is the state machine of a client's connection. The zero value represents a connection that was accepted at
 // time 0 and has already been used; Accepted returns the machine of a new connection.
 type Machine struct {
 	state          State
@@ -83,7 +83,7 @@
 // Enter moves the connection to a state. keepOpen says whether connections are kept open between requests.
 //
 // open reports whether the connection stays open. If it does not, the host closes it now. An idle connection for which
-// ServesPending is true is closed as soon as it is known that no bytes of a request have arrived.
+// ServesPending is true is closed later, once it is known that no bytes of a request have arrived.
 //
 // resumeReads reports that a request had begun to arrive when the connection was closed. The host then undoes the
 // interrupt of the reads, and the request is served as the last one.
--- a/internal/dataplane/engine/doc.go
+++ b/internal/dataplane/engine/doc.go
@@ -1,5 +1,5 @@
-// Package engine runs the decision module in real time. Engine owns the attempt.Dispatcher and with it the gateway,
-// neither of which is safe for concurrent use. It passes events to the dispatcher one at a time, under its mutex, and
+// Package engine runs the decision module in real time. Engine owns the attempt.Dispatcher, which owns the gateway.
+// Neither is safe for concurrent use. The engine passes events to the dispatcher one at a time, under its mutex, and
 // passes each effect to the request, the counter or the timer that it concerns. The engine is independent of protocols:
 // its callers submit requests, and follow each request by its Ticket.
 //
--- a/internal/dataplane/engine/engine_test.go
+++ b/internal/dataplane/engine/engine_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// backends is a complete list of one backend.
+// backends returns a complete list with one backend.
 func backends() decision.Backends {
 	return decision.Backends{Complete: true, List: []decision.Backend{{ID: "b", Serving: true, Size: 1}}}
 }
--- a/internal/dataplane/http1/chunked.go
+++ b/internal/dataplane/http1/chunked.go
@@ -111,7 +111,7 @@
 	}
 	line, ok := bytes.CutSuffix(line, []byte("\r\n"))
 	if !ok || bytes.IndexByte(line, '\r') >= 0 {
-		// RFC 9112, 7.1: a reader that accepts other line ends would see a different message than one that does not.
+		// RFC 9112, 7.1: a reader that accepts other line ends would parse a different message from one that does not.
 		return nil, ErrFraming
 	}
 	return line, nil
--- a/internal/dataplane/http1/fields.go
+++ b/internal/dataplane/http1/fields.go
@@ -38,7 +38,7 @@
 }
 
 // AppendFields appends the end-to-end fields of a header, sorted by name. It omits hop-by-hop fields, fields that the
-// Connection field names, and the fields in except. The values of one field keep their order.
+// Connection field names, and the fields in except. The values of a field keep their order.
 func AppendFields(b []byte, h textproto.MIMEHeader, except map[string]bool) []byte {
 	var array [16]string
 	names := array[:0]
--- a/internal/dataplane/http1/response.go
+++ b/internal/dataplane/http1/response.go
@@ -26,7 +26,7 @@
 func (r *Response) Large() bool { return r.chunked || r.untilClose || r.length > MaxBufferedBody }
 
 // Response reads the head of the next final answer. If bodiless is true, the answer is one to a HEAD request: no body
-// follows, although the head may state the length of one.
+// follows, although the head may state a length.
 func (rd *Reader) Response(bodiless bool) (*Response, error) {
 	for range maxInterim + 1 {
 		r, proto, err := rd.responseHead()
--- a/internal/dataplane/ingress/answer.go
+++ b/internal/dataplane/ingress/answer.go
@@ -17,7 +17,7 @@
 	lingerLong = 5 * time.Second
 
 	// maxKeptBuffer is the size in bytes up to which a connection keeps its answer buffer for reuse. Larger buffers are
-	// released, so that many connections do not each hold the memory of one large answer.
+	// released, so that many connections do not each hold the memory of a large answer.
 	maxKeptBuffer = 8 << 10
 )
 
--- a/internal/dataplane/ingress/class_stats.go
+++ b/internal/dataplane/ingress/class_stats.go
@@ -9,7 +9,7 @@
 // maxClasses is how many classes are counted. Class names that clients invent must not make the map grow without limit.
 const maxClasses = 64
 
-// ClassStats are the counters of one class since the process started.
+// ClassStats holds the counters of a class since the process started.
 type ClassStats struct {
 	Class    string
 	OK       int64 // requests answered with status 200
@@ -26,7 +26,7 @@
 	classes map[string]*classCounts
 }
 
-// classCounts are the counters of one class. A nil *classCounts counts nothing; it is used for classes beyond
+// classCounts holds the counters of a class. A nil *classCounts counts nothing; it is used for classes beyond
 // maxClasses.
 type classCounts struct{ ok, rejected, errors, attempts atomic.Int64 }
 
--- a/internal/dataplane/ingress/conn.go
+++ b/internal/dataplane/ingress/conn.go
@@ -21,7 +21,9 @@
 // pastDeadline is a deadline in the past. Setting it on a connection interrupts blocked reads or writes.
 var pastDeadline = time.Unix(1, 0)
 
-// conn is the connection of one client. Its fields, except for machine, belong to the goroutine that executes run.
+// conn is the connection of a client. Its fields belong to the goroutine that executes run, except for machine. While a
+// request is pending or the next one is awaited, reader is used by watchClient, or by the goroutine that reads a
+// streamed body.
 type conn struct {
 	net.Conn
 	server      *Server
--- a/internal/dataplane/ingress/metering.go
+++ b/internal/dataplane/ingress/metering.go
@@ -17,7 +17,7 @@
 	Ended(seq uint64, a usage.Arrival)
 }
 
-// meteredRequest records one request for billing. Its zero value stands for a request that has not been forwarded.
+// meteredRequest records a request for billing. The zero value represents a request that has not been forwarded.
 type meteredRequest struct {
 	meter   Meter         // nil: no attempt has been sent
 	seq     uint64        // number of the request at the meter
--- a/internal/dataplane/ingress/parse.go
+++ b/internal/dataplane/ingress/parse.go
@@ -14,7 +14,7 @@
 const (
 	pathPrefix                       = "/api/"
 	maxTimeout      decision.Seconds = 300 // limit of X-Timeout, longer than any client of this service waits
-	defaultMaxUnits                  = 1e6 // limit of the units of one request if the settings state none
+	defaultMaxUnits                  = 1e6 // limit of a request's units if the settings state none
 	maxIDLength                      = 128 // limit of a request ID in bytes
 
 	// answerTransit is subtracted from the client's timeout, because the answer must reach the client within it.
--- a/internal/dataplane/ingress/relay_test.go
+++ b/internal/dataplane/ingress/relay_test.go
@@ -109,7 +109,7 @@
 }
 
 // Two answers of 5 MiB on one connection, with a Content-Length or chunked, must reach the client unchanged. The heap
-// may grow by a quarter of one answer at most, so that the test fails if the server buffers complete answers.
+// may grow by at most a quarter of an answer, so that the test fails if the server buffers complete answers.
 func TestLongAnswersAreForwardedUnchanged(t *testing.T) {
 	const size = 5 << 20
 	for _, chunked := range []bool{false, true} {
--- a/internal/dataplane/ingress/server.go
+++ b/internal/dataplane/ingress/server.go
@@ -23,7 +23,7 @@
 // acceptPause is the pause after a failed accept. It prevents a busy loop if the error persists.
 const acceptPause = 10 * time.Millisecond
 
-// Server serves the clients of one ingress.
+// Server serves the clients of an ingress.
 type Server struct {
 	// Meter records each request that is forwarded; nil: requests are not metered. It must be set before Serve.
 	Meter Meter
@@ -40,7 +40,7 @@
 	methods   atomic.Pointer[map[string]string] // HTTP method of each class
 	plans     atomic.Pointer[map[string]bool]   // plans that clients may name
 	ingresses int                               // number of ingresses in the fleet
-	maxUnits  float64                           // limit of the units of one request
+	maxUnits  float64                           // limit of a request's units
 	maxConns  int                               // limit of open connections
 	base      time.Time                         // time 0 of the state machines, whose times are in seconds
 	ctx       context.Context                   // context of the attempts and of sweep
--- a/internal/dataplane/traffic/counter.go
+++ b/internal/dataplane/traffic/counter.go
@@ -5,7 +5,7 @@
 // Estimates of the bytes on the wire in addition to those that the process reads and writes.
 const (
 	ConnectionOverheadBytes = 250 // packets that open and close a connection, in each direction
-	TransferOverheadBytes   = 66  // TCP, IP and Ethernet headers of one read or write, and acknowledgements
+	TransferOverheadBytes   = 66  // TCP, IP and Ethernet headers of a read or a write, and acknowledgements
 )
 
 // Counter counts bytes in both directions. A nil Counter counts nothing. It is safe for concurrent use.
--- a/internal/dataplane/upstream/message.go
+++ b/internal/dataplane/upstream/message.go
@@ -7,7 +7,7 @@
 	"mulleinrouter/internal/decision"
 )
 
-// Message is a request as it is sent to a backend.
+// Message is a request to a backend.
 type Message struct {
 	Method, Target, ID string
 	Fields             []byte // further header fields, in wire format
--- a/internal/dataplane/upstream/slow_attempt_test.go
+++ b/internal/dataplane/upstream/slow_attempt_test.go
@@ -13,7 +13,7 @@
 )
 
 // An attempt at a server that does not answer is abandoned when ShouldAbandon returns true, and not before. After the
-// answer, ShouldAbandon is not called any more and the timer leaves the connection's deadline unchanged.
+// answer, ShouldAbandon is no longer called and the timer leaves the connection's deadline unchanged.
 func TestSlowAttempt(t *testing.T) {
 	const deadline = 10 * time.Second
 	for _, tc := range []struct {
--- a/internal/dataplane/upstream/write.go
+++ b/internal/dataplane/upstream/write.go
@@ -67,7 +67,7 @@
 func (p *Pool) mayRelease(ctx context.Context, c *conn) error {
 	switch code := c.stale(c.addr); {
 	case code == codeUnexpectedBytes && ctx.Err() == nil && p.Dialect.IDField != "":
-		return errEarlyAnswer // the ID in the answer tells which request it answers
+		return errEarlyAnswer // the ID in the answer identifies the request that it answers
 	case code != "" || ctx.Err() != nil:
 		return fmt.Errorf("%w: %s", errConnectionEnded, code)
 	}
--- a/internal/dataplane/upstreamconn/loss_history.go
+++ b/internal/dataplane/upstreamconn/loss_history.go
@@ -9,7 +9,7 @@
 //
 //   - on connections to a server that lost a connection a moment ago, for whatever reason: the server restarts, is
 //     overloaded, or closes idle connections sooner than it announces;
-//   - before a request that must be executed at most once, because its client gets a failure if there is no proof;
+//   - before a request that must be executed at most once: without a proof, its client gets a failure;
 //   - on a connection that has been idle for long. An idempotent request that is lost with the connection is retried,
 //     and the loss is recorded.
 const (
--- a/internal/dataplane/upstreamconn/machine.go
+++ b/internal/dataplane/upstreamconn/machine.go
@@ -27,7 +27,7 @@
 // a server could send them endlessly.
 const maxForeignAnswers = 4
 
-// Machine is the state machine of one connection. The zero value represents a connection that has just been opened.
+// Machine is the state machine of a connection. The zero value represents a connection that has just been opened.
 type Machine struct {
 	state            State
 	uses             int  // requests that have begun on the connection
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// NotBegun ends an attempt of which no byte was written, because MayBegin forbade it. The connection is still usable.
+// NotBegun ends an attempt before any byte was written, because MayBegin forbade it. The connection is still usable.
 func (m *Machine) NotBegun() Verdict {
 	if m.state != Writing {
 		return m.illegal("not begun")
--- a/internal/dataplane/usage/batch.go
+++ b/internal/dataplane/usage/batch.go
@@ -34,7 +34,7 @@
 	Acknowledged Reply = iota
 	Retry              // not accepted, or not known to be accepted: the same batch is sent again
 	Conflict           // the endpoint has other content under this number: an operator must intervene
-	Invalid            // the batch will not be accepted as it is: an operator must intervene
+	Invalid            // the endpoint will not accept the batch unchanged: an operator must intervene
 )
 
 // InterpretStatus interprets a reply by its HTTP status; status 0 means that there was no reply. echoed is true if the
--- a/internal/dataplane/usage/header.go
+++ b/internal/dataplane/usage/header.go
@@ -41,7 +41,7 @@
 // Header is the header of a segment.
 type Header struct {
 	Number    uint64 // segment number, from 1
-	Writer    uint64 // identifies one run of one ingress
+	Writer    uint64 // identifies a run of an ingress
 	StartedAt int64  // Unix ms
 	SealedAt  int64  // Unix ms; 0: the segment was not closed
 }
--- a/internal/dataplane/usage/replayer.go
+++ b/internal/dataplane/usage/replayer.go
@@ -14,7 +14,7 @@
 // Replayer replays segments in order and returns what each adds to the bill. Requests that were in flight when a
 // segment ended are carried over into the next.
 type Replayer struct {
-	Writer  uint64             // writer of the last segment: one run of one ingress
+	Writer  uint64             // writer of the last segment: a run of an ingress
 	Pending map[uint64]Request // requests that were sent and have not ended, by Record.Seq
 }
 
--- a/internal/dataplane/usage/scan.go
+++ b/internal/dataplane/usage/scan.go
@@ -47,7 +47,7 @@
 	return report, nil
 }
 
-// lostBytes returns the number of bytes up to the last one that is not zero.
+// lostBytes returns the number of bytes up to and including the last non-zero byte.
 func lostBytes(b []byte) int {
 	for i := len(b) - 1; i >= 0; i-- {
 		if b[i] != 0 {
--- a/internal/dataplane/usage/segment_test.go
+++ b/internal/dataplane/usage/segment_test.go
@@ -84,7 +84,8 @@
 	}
 }
 
-// A flipped bit causes the loss of its own record only, unless it is in a length. It is always reported.
+// A flipped bit causes the loss of only the record that contains it, unless the bit is in a length. The loss is always
+// reported.
 func TestFlippedBits(t *testing.T) {
 	records := []Record{sent(1, "a", 5), sent(2, "b", 5), sent(3, "c", 5)}
 	data := segmentOf(Header{Number: 1}, records...)
