--- a/internal/proxy/answers_test.go
+++ b/internal/proxy/answers_test.go
@@ -95,8 +95,8 @@
 const endsWithConnection = "\x00"
 
 // TestTruncatedAnswersNeverLookComplete closes or resets the server's connection after each byte of its answer. The
-// client must get no success, or one that it can recognize as truncated. After the last byte it must get the complete
-// answer.
+// client must not get a success, unless it can recognize the answer as truncated. After the last byte it must get the
+// complete answer.
 func TestTruncatedAnswersNeverLookComplete(t *testing.T) {
 	const ownHead = "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Server-Seal: s\r\n"
 	for name, c := range map[string]struct{ answer, body string }{
@@ -160,9 +160,9 @@
 	}
 }
 
-// TestAnswersReachTheirOwnClient sends two requests in sequence to a server that sends wrong answers in place of or in
-// addition to the right one: the previous answer, a second answer, the rejection of another request, an answer without
-// an ID. A client must get its own answer or a failure, and must never be told that an executed request was not
+// TestAnswersReachTheirOwnClient sends two requests in sequence to a server that sends wrong answers instead of the
+// right one or in addition to it: the previous answer, a second answer, the rejection of another request, an answer
+// without an ID. A client must get its own answer or a failure, and must never be told that an executed request was not
 // executed. No request may run twice.
 func TestAnswersReachTheirOwnClient(t *testing.T) {
 	success := func(id string) string {
--- a/internal/proxy/control_feed.go
+++ b/internal/proxy/control_feed.go
@@ -21,14 +21,14 @@
 
 const (
 	// contactTTL is the time without contact to a majority of the control nodes after which the configuration here may
-	// be out of date: a route, a tenant or a service that it lacks may exist nevertheless.
+	// be out of date: a route, a tenant or a service that it does not contain may exist nevertheless.
 	contactTTL = 1500 * time.Millisecond
 	// disruptionMargin is the time by which the disruption window exceeds ConfigApply, in seconds.
 	disruptionMargin = 1
 )
 
 // controlFeed receives the configuration, the servers and the number of ingresses from the agent on the same machine,
-// and calls the quota counters by way of the agent.
+// and calls the quota counters through the agent.
 type controlFeed struct {
 	log  log.Logger
 	node string
@@ -141,7 +141,7 @@
 }
 
 // upToDate reports whether the configuration here is complete and the last contact with a majority is more recent than
-// contactTTL. Only then is a route, a tenant or a service that it lacks considered not to exist.
+// contactTTL. Only then is a route, a tenant or a service that it does not contain considered not to exist.
 func (cf *controlFeed) upToDate() bool { return cf.complete.Load() && cf.contactAge() < contactTTL }
 
 // awaitConfiguration waits until the configuration here is complete, for limit seconds at most, and returns the time
--- a/internal/proxy/counter_calls.go
+++ b/internal/proxy/counter_calls.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// counterTimeout is the limit of a call to a counter's owner by way of the agent. It is slightly longer than the
+	// counterTimeout is the timeout of a call to a counter's owner through the agent. It is slightly longer than the
 	// agent's two attempts of 160 ms each.
 	counterTimeout  = 350 * time.Millisecond
 	maxCounterCalls = 256 // in flight; further calls would not be answered in time anyway
@@ -56,7 +56,7 @@
 	switch {
 	case total == nil:
 		cf.engine.PairCounterReplied(call, decision.Failed, 0, 0)
-	case !total.OK: // Reporters > 0: the owner accepted this report but may lack those of others yet
+	case !total.OK: // Reporters > 0: the owner accepted this report but may not have those of others yet
 		cf.engine.PairCounterReplied(call, decision.Failed, 0, total.Reporters)
 	default:
 		cf.engine.PairCounterReplied(call, decision.Succeeded, total.Sum, total.Reporters)
--- a/internal/proxy/shedding_test.go
+++ b/internal/proxy/shedding_test.go
@@ -28,7 +28,7 @@
 }
 
 // step offers a number of requests per second, of which a share is admitted, for dt seconds. It returns the bytes that
-// were transmitted and the number of requests that will be in time.
+// were transmitted and the number of requests that will meet the deadline.
 func (ol *overloadedLink) step(dt, offered, share, deadline float64) (through, inTime float64) {
 	arrives := offered * dt * (share*ol.request + (1-share)*ol.refusal)
 	if delay := ol.queue / ol.capacity; delay < deadline {
--- a/internal/proxy/translator.go
+++ b/internal/proxy/translator.go
@@ -171,7 +171,7 @@
 
 // resolve finds a request's destination in the configuration in force.
 func (t *translator) resolve(r *http1.Request) (destination, *ingress.RequestError) {
-	if !t.control.complete.Load() { // an incomplete configuration may lack the tenants and would admit everybody
+	if !t.control.complete.Load() { // an incomplete configuration may contain no tenants and would admit everybody
 		return destination{}, t.unknownError(http.StatusServiceUnavailable, "request-too-soon", "no configuration yet")
 	}
 	table := t.control.table.Load()
