--- a/internal/decision/actions.go
+++ b/internal/decision/actions.go
@@ -7,7 +7,7 @@
 type Send struct {
 	ID        uint64
 	Backend   string
-	Timeout   Seconds // timeout of the attempt; 0: it lasts until the client gives up
+	Timeout   Seconds // timeout of the attempt; 0: only the client's deadline limits it
 	OverQuota bool    // the request does not conform to its quota
 	// SlowAfter is the time without an answer, since the request was written, after which the host asks
 	// Gateway.ShouldAbandon whether to abandon the attempt, and repeats the question from time to time. 0:
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -66,7 +66,8 @@
 	g.emit(Send{ID: r.ID, Backend: b.ID, Timeout: timeout, OverQuota: !r.conforming, SlowAfter: slowAfter})
 }
 
-// attemptTimeout returns the timeout of the next attempt of a request; 0: it lasts until the client gives up.
+// attemptTimeout returns the timeout of the next attempt of a request; 0 means that only the client's
+// deadline limits it.
 func (g *Gateway) attemptTimeout(r *request) Seconds {
 	rest := r.targetAt - g.now
 	if r.class.Effect != Idempotent || r.class.LateValue != 0 {
@@ -75,7 +76,7 @@
 	if rest <= 0 || rest+tickInterval > r.deadline-g.now {
 		return 0
 	}
-	// An answer that has not come long after the typical latency is not expected any more, because the
+	// An answer that has not come long after the typical latency is no longer expected, because the
 	// connection is probably dead. An early timeout leaves time for a second attempt.
 	early := max(lostAttemptFraction*r.class.LatencyTarget, lostAttemptLatencies*r.pool.latency)
 	if len(r.attempts) == 0 && 2*early < rest {
--- a/internal/decision/backend_pools.go
+++ b/internal/decision/backend_pools.go
@@ -36,7 +36,7 @@
 	slotOverbooking = 1.5
 )
 
-// backendPool is the state of the backends of one group. A host that names no groups has one pool for all
+// backendPool is the state of the backends of a group. If the host names no groups, one pool contains all
 // backends.
 type backendPool struct {
 	name               string
@@ -90,7 +90,7 @@
 	}
 }
 
-// newRetryBudget creates the retry budget of one group.
+// newRetryBudget creates the retry budget of a group.
 func (g *Gateway) newRetryBudget() retry.Budget {
 	if g.settings.RetryShare > 0 {
 		return retry.Divided(g.settings.RetryShare, g.settings.RetrySlack, g.settings.Gateways)
--- a/internal/decision/backends.go
+++ b/internal/decision/backends.go
@@ -10,7 +10,7 @@
 // dominate the mean size and the slot limits.
 const maxBackendSize = 1e3
 
-// backend is the state of one backend at a gateway.
+// backend is the state of a backend at a gateway.
 type backend struct {
 	Backend
 	pool   *backendPool
--- a/internal/decision/conformance/value_distribution.go
+++ b/internal/decision/conformance/value_distribution.go
@@ -5,7 +5,7 @@
 	maxValues = 16   // distinct values; requests of further values count only in the total
 )
 
-// ValueDistribution is the recent demand of one customer, in units, by the value of its requests. The zero
+// ValueDistribution is the recent demand of a customer, in units, by the value of its requests. The zero
 // value is an empty distribution.
 type ValueDistribution struct {
 	values []float64
--- a/internal/decision/counter_cycles.go
+++ b/internal/decision/counter_cycles.go
@@ -12,7 +12,7 @@
 	minCyclePeriod = 2.0 // s; shorter cycles see fewer requests and call the counter more often
 	maxCyclePeriod = 6.0 // s; longer cycles follow changes of demand too slowly
 	// readDelay is the time from the reply to a report until the totals are read, in seconds. The clocks of
-	// the gateways must differ by much less, because the totals lack the reports that come later.
+	// the gateways must differ by much less, because the totals do not include the reports that come later.
 	readDelay    = 0.5
 	packedQuotas = 20.0 // multiple of the quota up to which a packed number can hold the total rate
 	// maxDigits is the power of ten of the first of the seven digits of a packed number, which the counter
@@ -40,8 +40,10 @@
 	stageReading             // the totals were requested
 )
 
-// counterCycle is the state of one customer in the cycles of the shared counter. Each gateway reports its
-// demand once per cycle, and reads the total of all gateways readDelay later.
+// counterCycle is the state of a customer in the cycles of the shared counter. Unless the customer is sparse,
+// a gateway reports its demand once per cycle, and reads the total of all gateways readDelay after the reply.
+// Without pair counters, a gateway below idleFraction of the even share makes no calls, and a reply that
+// includes all gateways is used without a second call.
 type counterCycle struct {
 	period    Seconds
 	phase     Seconds // offset of the cycles, which spreads the calls of all customers over a period
@@ -52,7 +54,7 @@
 	stage     cycleStage
 
 	localRate float64 // units per second requested at this gateway in the last cycle
-	totalRate float64 // units per second requested at all gateways, by the last valid total
+	totalRate float64 // units per second requested at all gateways, from the last valid total
 	reporters float64 // number of gateways that the total is from
 	totalAt   Seconds // time of the last total; -Inf: none has come
 	validFor  Seconds // time for which a total is valid
--- a/internal/decision/counter_health_test.go
+++ b/internal/decision/counter_health_test.go
@@ -70,7 +70,7 @@
 
 // A reply that cannot be decoded, or a broken connection, does not show that the counter is overloaded. If it
 // counted as overload, one corrupt reply in thirty would reduce the calls so much that quotas would hardly be
-// supervised any more.
+// enforced.
 func TestOnlyAnOverloadedCounterIsCalledLess(t *testing.T) {
 	for _, tc := range []struct {
 		outcome Outcome
--- a/internal/decision/customers.go
+++ b/internal/decision/customers.go
@@ -19,11 +19,11 @@
 	phaseSteps = 1024
 )
 
-// customer is the state of one customer at a gateway: its terms, its usage and this gateway's part of its
+// customer is the state of a customer at a gateway: its terms, its usage and this gateway's part of its
 // quota.
 type customer struct {
 	key           string
-	hash          uint32 // hash of the key; equal at all gateways
+	hash          uint32 // hash of the key, equal at all gateways
 	termsTag      string // Terms.Tag of the terms in force
 	counterSuffix string // suffix of the names of its counters
 	plan          *Plan
@@ -100,10 +100,10 @@
 //
 // Buckets keep their tokens, up to the new capacity, and a slice keeps its share of the quota. So no change
 // loses saved tokens, and repeated changes cannot give a second burst. Gateways learn of a change at
-// different times, but the totals of one counter name are for one quota. Therefore the number of reporters
-// under the old name is raised above the number of gateways, which freezes the slices of gateways that
-// still use it, and the slices here stay until as many gateways report as before. So the sum of all slices
-// never exceeds the larger of the two quotas.
+// different times, but each counter name is for the totals of a single quota. Therefore the number of
+// reporters under the old name is raised above the number of gateways, which freezes the slices of gateways
+// that still use it, and the slices here stay until as many gateways report as before. So the sum of all
+// slices never exceeds the larger of the two quotas.
 func (g *Gateway) changeTerms(c *customer, t *Terms) {
 	if c.termsTag == t.Tag {
 		return
--- a/internal/decision/doc.go
+++ b/internal/decision/doc.go
@@ -21,7 +21,7 @@
 // The interface is in settings.go, events.go and actions.go. The decisions are in one file per concern:
 //
 //   - gateway.go: the state of a gateway, events and ticks;
-//   - admission.go, arrival_rate.go: whether a request conforms to its quota, and what happens to one that
+//   - admission.go, arrival_rate.go: whether a request conforms to its quota, and what happens if it
 //     does not;
 //   - customers.go, plans.go: customers and their terms;
 //   - quota_bucket.go, rate_limits.go: this gateway's part of a quota and of a hard rate limit;
--- a/internal/decision/events.go
+++ b/internal/decision/events.go
@@ -18,7 +18,7 @@
 	ID        string
 	Group     string // requests go to backends of their own group
 	Zone      string
-	Kind      string  // machine type; backends of one kind have similar latency
+	Kind      string  // machine type; backends of the same kind have similar latency
 	Serving   bool    // false: it is draining or removed, and gets no new requests
 	Size      float64 // relative capacity; 0: not known
 	StartedAt Seconds // time of its last start; 0: long ago
@@ -33,7 +33,7 @@
 	Group      string // group of the backends that may serve it
 	Plan       string
 	Customer   string
-	TimeLeft   Seconds // time until the client gives up
+	TimeLeft   Seconds // time until the client's deadline
 	Units      float64 // units that it takes from the quota; an estimate if Settings.SettledLater
 	Gateways   int     // number of gateways that may receive requests of this customer
 	// OwnerContactAge is the time since the host was last in contact with the owners of pair counters.
--- a/internal/decision/handover.go
+++ b/internal/decision/handover.go
@@ -54,7 +54,7 @@
 	Backends               []BackendKnowledge  `json:"Backends"`
 }
 
-// CustomerKnowledge is the learned state of one customer's quota.
+// CustomerKnowledge is the learned state of a customer's quota.
 type CustomerKnowledge struct {
 	Terms         Terms   `json:"Terms"`
 	Gateways      int     `json:"Doors"`
@@ -64,7 +64,7 @@
 	TokensAt      Seconds `json:"Filled"`   // time at which Tokens were computed
 	LimitTokensAt Seconds `json:"CeilFill"` // time at which LimitTokens were computed
 	LocalDemand   float64 `json:"Rate"`     // units per second requested at this gateway
-	TotalDemand   float64 `json:"Total"`    // units per second requested at all gateways, by the last total
+	TotalDemand   float64 `json:"Total"`    // units per second requested at all gateways, from the last total
 	Reporters     float64 `json:"Told"`     // number of gateways that the last total is from
 	TotalAt       Seconds `json:"TotalAt"`
 	ValidFor      Seconds `json:"ValidFor"`
@@ -72,7 +72,7 @@
 	DemandShare   float64 `json:"Part"`  // this gateway's share of a sparse customer's demand
 }
 
-// BackendKnowledge is the learned state of one backend.
+// BackendKnowledge is the learned state of a backend.
 type BackendKnowledge struct {
 	ID                  string  `json:"ID"`
 	Limit               float64 `json:"Limit"`
@@ -208,7 +208,7 @@
 	return true
 }
 
-// restoreCustomer applies the knowledge of one customer, and reports whether it was applied.
+// restoreCustomer applies the knowledge of a customer, and reports whether it did.
 func (g *Gateway) restoreCustomer(e CustomerKnowledge, termsByTag map[string]*Terms) bool {
 	if !e.valid(g.now) || g.customers[e.Terms.Customer] != nil {
 		return false
@@ -235,11 +235,11 @@
 	return true
 }
 
-// restoreBackend applies the knowledge of one backend at the given time, and reports whether it was applied.
+// restoreBackend applies the knowledge of a backend from the given time, and reports whether it did.
 func (g *Gateway) restoreBackend(e BackendKnowledge, at Seconds, weight decayWeight) bool {
 	b := g.backends[e.ID]
 	if b == nil || !b.listed || b.StartedAt > at || g.warmFraction(b) < 1 {
-		return false // the backend has restarted since, so the knowledge does not apply to it
+		return false // not listed, restarted since, or in slow start: the knowledge does not apply
 	}
 	weight.apply(&b.limit, min(maxLimit, e.Limit))
 	weight.apply(&b.latency, e.TypicalTime)
--- a/internal/decision/outliers.go
+++ b/internal/decision/outliers.go
@@ -4,8 +4,8 @@
 
 const (
 	// With larger weights, the typical values would follow single answers.
-	latencyWeight = 0.1 // weight of one answer in a backend's typical latency
-	errorWeight   = 0.1 // weight of one answer in a backend's error rate
+	latencyWeight = 0.1 // weight of an answer in a backend's typical latency
+	errorWeight   = 0.1 // weight of an answer in a backend's error rate
 
 	ejectAfterFailures = 3   // consecutive failures
 	minEjection        = 1.0 // s, doubled with each further failure
--- a/internal/decision/pair_counters.go
+++ b/internal/decision/pair_counters.go
@@ -25,9 +25,9 @@
 	newGatewayToleranceShare = 0.75
 )
 
-// pairCounters is the state of one customer with pair counters.
+// pairCounters is the state of a customer with pair counters.
 type pairCounters struct {
-	ackedAt       Seconds // time of the last report that a counter owner accepted
+	ackedAt       Seconds // time of the last report, or call if sparse, that a counter owner accepted
 	unreachableAt Seconds // time of the first request without a reachable counter owner, since the last reply
 	shared        sharedBucket
 }
--- a/internal/decision/plans.go
+++ b/internal/decision/plans.go
@@ -8,8 +8,8 @@
 	"mulleinrouter/internal/decision/ratelimit"
 )
 
-// Tag returns a hash of a plan's numbers, which is the same at all gateways for the same numbers. The
-// plan's name is not included. The tag separates the counter's totals of different quotas.
+// Tag returns a hash of a plan's numbers. Equal numbers give the same hash at all gateways. The plan's name
+// is not included. The tag separates the counter's totals of different quotas.
 //
 // It hashes the values of the fields as fmt prints them, so the order of Plan's fields must not change, and
 // neither Plan nor its fields may have a String method.
--- a/internal/decision/queue.go
+++ b/internal/decision/queue.go
@@ -87,8 +87,8 @@
 	for _, p := range g.pools {
 		p.waiting = waitingValues{}
 	}
-	// The most valuable request comes first, and among equals the newest, because one that has waited long
-	// would be late anyway.
+	// The most valuable request comes first. Among requests of equal value, the newest comes first, because
+	// one that has waited long would be late anyway.
 	slices.SortStableFunc(waiting, func(a, b *request) int {
 		return cmp.Or(cmp.Compare(b.value, a.value), cmp.Compare(b.arrivedAt, a.arrivedAt))
 	})
--- a/internal/decision/queue_test.go
+++ b/internal/decision/queue_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// A late request that earns nothing any more leaves free capacity to others until its queue deadline.
+// A late request that no longer earns anything leaves free capacity to others until its queue deadline.
 func TestQueuedRequestWithoutValueWaitsForItsDeadline(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].LateValue = 0
--- a/internal/decision/quota_grants.go
+++ b/internal/decision/quota_grants.go
@@ -66,7 +66,8 @@
 	g.ReapplyGrants(now)
 }
 
-// revokeGrant restores the slice that the gateway computes, when a customer's grant is no longer listed.
+// revokeGrant ends a grant that is no longer listed. It restores the slice that a scaled grant replaced,
+// unless the gateway has computed a new slice since.
 func (g *Gateway) revokeGrant(c *customer, h *grant) {
 	g.refill(c)
 	if h.Scaled && c.bucket.slice == h.appliedSlice {
--- a/internal/decision/quota_grants_test.go
+++ b/internal/decision/quota_grants_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// grantedGateway drives one gateway with a hundred requests per second of one customer, and counts the
+// grantedGateway drives a gateway with a hundred requests per second of a single customer, and counts the
 // requests that it forwards.
 type grantedGateway struct {
 	g    *Gateway
--- a/internal/decision/rate_limits_test.go
+++ b/internal/decision/rate_limits_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// limitedFleet simulates two to four gateways of one customer and a counter whose replies are delayed, or
+// limitedFleet simulates two to four gateways, a single customer, and a counter whose replies are delayed, or
 // do not come while the counter is silent.
 type limitedFleet struct {
 	*testing.T
@@ -29,7 +29,7 @@
 	reference      referenceBucket // requests that a single gateway would forward
 }
 
-// referenceBucket is one token bucket for the requests at all gateways.
+// referenceBucket is a single token bucket for the requests at all gateways.
 type referenceBucket struct {
 	at           Seconds
 	tokens, sent float64
@@ -66,7 +66,7 @@
 	return c
 }
 
-// start starts a gateway, in place of the running one, whose state is lost.
+// start starts a gateway. It replaces a running one, whose state is lost.
 func (f *limitedFleet) start(i int) {
 	s := f.settings
 	s.Index = i
--- a/internal/decision/ratelimit/split.go
+++ b/internal/decision/ratelimit/split.go
@@ -30,7 +30,8 @@
 }
 
 // span returns the length of a span of the shared part, in seconds. It is 0 if there is no shared part:
-// without a counter, or with a burst that is too small for the delays.
+// without a limit, without a counter, with fewer than two gateways, or with a burst that is too small for the
+// delays.
 func (s Split) span() float64 {
 	if !s.Counter || s.Gateways < 2 || s.Rate <= 0 {
 		return 0
--- a/internal/decision/retry/budget.go
+++ b/internal/decision/retry/budget.go
@@ -11,7 +11,7 @@
 	minRecentAttempts = 8.0 // weighted attempts; with fewer, a group never counts as failing
 )
 
-// Budget is the retry budget of one gateway for one group of servers. New and Divided create one.
+// Budget is the retry budget of a gateway for a group of servers. New and Divided create one.
 type Budget struct {
 	tokens    float64 // retries that may be made now
 	share     float64 // tokens added per first attempt
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -36,7 +36,7 @@
 	CounterCallCost float64 // share of the total value that one counter call per request would cost
 	CounterTimeout  Seconds // timeout of a counter call
 	SettledLater    bool    // units are estimates, corrected by the first successful answer
-	MaxUnits        float64 // largest number of units of one request
+	MaxUnits        float64 // largest number of units of a request; Gateway assumes at least 1
 
 	CapacityInSlots bool // the size of a backend is the number of requests that it handles concurrently
 	// RemoteZoneCost is the cost of a backend in another zone relative to one in this zone; 0: zones do not
@@ -98,7 +98,7 @@
 type Class struct {
 	Name          string
 	LatencyTarget Seconds // an answer within this time earns the full value
-	Deadline      Seconds // time after which the client gives up
+	Deadline      Seconds // time after which the client times out
 	Value         float64 // value that a request earns, before the plan's ValueWeight
 	LateValue     float64 // share of the value that an answer after the latency target earns
 	MaxAttempts   int     // attempts for one request; 0: Settings.MaxAttempts
@@ -132,5 +132,6 @@
 type Terms struct {
 	Customer string `json:"Customer"`
 	Plan     Plan   `json:"Plan"`
-	Tag      string `json:"Tag"` // identifies the plan's numbers at all gateways; separates their totals
+	// Tag identifies the plan's numbers at all gateways. It separates the totals of different quotas.
+	Tag string `json:"Tag"`
 }
--- a/internal/decision/sparse.go
+++ b/internal/decision/sparse.go
@@ -29,8 +29,8 @@
 type sparseMode struct {
 	active      bool
 	cycleTotal  float64 // total of the present cycle at the last reading, in units
-	admitRatio  float64 // share of requests to admit, by the last totals; the same at all gateways
-	demandShare float64 // share of the demand at this gateway, by the last totals
+	admitRatio  float64 // share of requests to admit, from the last totals; the same at all gateways
+	demandShare float64 // share of the demand at this gateway, from the last totals
 	queries     []counterQuery
 }
 
@@ -74,10 +74,10 @@
 
 // callProbability returns the probability that a request of a sparse customer calls the counter. The added
 // amount is divided by it, so one call must not be a large part of a cycle's total: large quotas need few
-// calls, and for small ones all requests call. If the counter cannot handle all calls, some customers are
-// not sampled at all. They are the same ones at all gateways, because a total from half of the gateways is
-// noise. The first to be dropped are customers for whom the reply decides nothing. If excess costs, all
-// customers are sampled, but at a low rate.
+// calls, and for small ones all requests call. If the counter cannot handle all calls, some customers are not
+// sampled at all. All gateways drop the same customers, because a total from half of the gateways is noise.
+// The first to be dropped are customers for whom the reply decides nothing. If excess costs, all customers
+// are sampled, but at a low rate.
 func (g *Gateway) callProbability(c *customer, r *request) float64 {
 	if g.settings.PairCounters {
 		return 1
--- a/internal/decision/sparse_partition.go
+++ b/internal/decision/sparse_partition.go
@@ -1,9 +1,9 @@
 package decision
 
 // This file bounds the requests of a sparse customer that a gateway admits while no counter owner replies,
-// with pair counters. The gateways that reach the counter owner use the complete quota, so the requests
-// that all partitioned gateways admit in addition must stay within QuotaTolerance, a part of which is a
-// number of requests.
+// with pair counters. The gateways that reach the counter owner use the complete quota, so the requests that
+// all partitioned gateways admit in addition must stay within QuotaTolerance, part of which is a fixed number
+// of units.
 
 const (
 	// sparseGraceBase is the time without a reply of any counter owner, in seconds, for which a gateway
--- a/internal/decision/sparse_test.go
+++ b/internal/decision/sparse_test.go
@@ -200,12 +200,12 @@
 	}
 }
 
-// The requests of a fleet come a few at a time for half a day. No gateway may queue them because of its own
+// A fleet receives only a few requests at a time for half a day. No gateway may queue them because of its own
 // limits: 900 of 2,400 requests were rejected in 2 s while servers were idle (zone+vast).
 func TestSparseTrafficIsNotQueued(t *testing.T) {
 	gateways, _ := newTestFleet(80, 60)
 	g, sent := gateways[0], 0
-	for i := range 60 { // three at a time, of which one is slow
+	for i := range 60 { // three at a time, one of which is slow
 		out := g.Handle(1+float64(i/3)/2, testRequest(uint64(i+1), "safe", "free"))
 		for _, send := range actionsOf[Send](out) {
 			sent++
