--- a/internal/control/catchup/doc.go
+++ b/internal/control/catchup/doc.go
@@ -1,4 +1,4 @@
-// Package catchup fetches chosen changes that this control node lacks from other control nodes.
+// Package catchup fetches chosen changes that this control node does not have from other control nodes.
 //
 // A Fetcher requests chunks (see replica/staging.go) from the peers, one at a time from each peer, and passes them to
 // the replica. A caller that needs a few missing changes waits for them (Fetch); larger amounts are fetched in the
--- a/internal/control/catchup/fetcher.go
+++ b/internal/control/catchup/fetcher.go
@@ -18,7 +18,7 @@
 	stallTimeout = time.Second            // time without a chunk after which another source is tried as well
 	fetchTimeout = 300 * time.Millisecond // time in which one call of Fetch requests further chunks
 	pollInterval = 50 * time.Millisecond  // between two checks of the progress of a background fetch
-	// maxWaiters is how many calls of Fetch may wait for one node at a time. Further calls return at once, so that a
+	// maxWaiters is the maximum number of concurrent calls of Fetch for a node. Further calls return at once, so that a
 	// node that does not answer blocks only a few goroutines.
 	maxWaiters = 4
 )
@@ -39,7 +39,7 @@
 	// slot limits the node to one chunk at a time. Each node has its own slot, so that a partitioned node does not
 	// delay fetches from the others.
 	slot                 chan struct{}
-	waiting              atomic.Int32 // calls that wait for the slot or hold it
+	waiting              atomic.Int32 // calls of Fetch for this source that are in progress
 	fetchingInBackground atomic.Bool
 	chunkBytes           int // size of the next chunk to request; guarded by the slot
 }
@@ -61,9 +61,9 @@
 }
 
 // Fetch gets chosen changes from a control node until the local snapshot has reached the given epoch, and returns the
-// epoch of the local snapshot. It requests no further chunk after fetchTimeout, or once a chunk did not arrive or was
-// not used, and none at all if maxWaiters calls wait for the node already. While a background fetch is running, it
-// waits for that fetch instead of requesting the same chunks again.
+// epoch of the local snapshot. It stops requesting chunks after fetchTimeout, or once a chunk did not arrive or was not
+// used. It requests none if maxWaiters calls of Fetch for the node are in progress already. While a background fetch is
+// running and chunks are staged, it waits for that fetch instead of requesting the same chunks again.
 func (f *Fetcher) Fetch(from string, epoch uint64) uint64 {
 	current := f.replica.Epoch()
 	p := f.peers.Find(from)
--- a/internal/control/catchup/lag.go
+++ b/internal/control/catchup/lag.go
@@ -17,8 +17,8 @@
 	since       time.Time
 }
 
-// Update compares the local epoch with those of the peers, and reports whether the local node still lacks a snapshot
-// that a peer has had for more than MaxLag.
+// Update compares the local epoch with those of the peers, and reports whether the local node still does not
+// have a snapshot that a peer has had for more than MaxLag.
 func (l *Lag) Update(now time.Time, epoch uint64, p *peers.Set) (lagging bool) {
 	if l.newestEpoch <= epoch { // caught up with newestEpoch: compare with the newest epoch from now on
 		*l = Lag{newestEpoch: p.NewestEpoch(0), since: now}
--- a/internal/control/proposals/compose.go
+++ b/internal/control/proposals/compose.go
@@ -10,7 +10,8 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// maxBatchBytes is the approximate limit on the items of one proposal. The first change may be longer by itself.
+// maxBatchBytes is the approximate limit on the total size of the items of a proposal. A first change that is longer is
+// proposed alone.
 const maxBatchBytes = 1 << 20
 
 // ElectorateChange replaces the voters. It applies only to the electorate for which it was planned.
--- a/internal/control/proposals/doc.go
+++ b/internal/control/proposals/doc.go
@@ -1,8 +1,8 @@
 // Package proposals queues changes of the configuration at the control node that received them, and proposes them to
-// the voters. There is no leader. Several nodes may propose at the same time, and the ballots of package consensus
-// order their proposals.
+// the voters. There is no leader. Nodes may propose at the same time, and the ballots of package consensus order their
+// proposals.
 //
-// Queue runs a consensus.Proposer in one goroutine, one run after the other. It performs the proposer's actions and
+// Queue runs a consensus.Proposer in one goroutine, one run at a time. It performs the proposer's actions and
 // passes the answers to it. queue.go has the queue, run.go one run, rounds.go the messages to voters, and compose.go
 // chooses what to propose. Changes that wait at the same time are proposed together. The goroutine owns the proposer
 // and the fields that are marked so.
--- a/internal/control/proposals/queue.go
+++ b/internal/control/proposals/queue.go
@@ -25,13 +25,13 @@
 
 // Peers reaches the other control nodes (peers.Set).
 type Peers interface {
-	// Call calls a node and returns its answer; nil: there was none.
+	// Call calls a node and returns its answer, or nil if there was none.
 	Call(addr string, timeout time.Duration, request *transport.Frame) *transport.Frame
 	// Broadcast sends a request to all nodes without waiting for answers.
 	Broadcast(timeout time.Duration, newRequest func() *transport.Frame)
 }
 
-// Fetcher fetches chosen changes that the replica lacks (catchup.Fetcher).
+// Fetcher fetches chosen changes that the replica does not have (catchup.Fetcher).
 type Fetcher interface {
 	Fetch(from string, epoch uint64) uint64
 }
@@ -51,7 +51,7 @@
 	Fetcher     Fetcher
 	Lease       Lease
 	// OnConfirmed is called after each read. Its argument is the term of the lease in which the read confirmed that
-	// this node's snapshot is the newest; 0: it did not.
+	// this node's snapshot is the newest, or 0 if it did not.
 	OnConfirmed func(term uint64)
 	Closed      <-chan struct{} // closed when the node stops; later answers are dropped
 	Log         log.Logger
@@ -60,10 +60,10 @@
 // pendingChange is a change that waits for a decision.
 type pendingChange struct {
 	items            []configuration.Item
-	electorateChange *ElectorateChange // takes the place of items; nil: the change is one of items
+	electorateChange *ElectorateChange // proposed instead of items; nil for a change of items
 	deadline         time.Time
 	done             chan error  // receives nil, a *configuration.RejectionError or another error
-	abandoned        atomic.Bool // the caller has its answer, or waits no longer
+	abandoned        atomic.Bool // the caller has its answer, or has stopped waiting
 }
 
 // answer passes the result to the caller that waits for the change. Only the first answer counts.
@@ -74,7 +74,7 @@
 	}
 }
 
-// isAbandoned reports whether nobody waits for the answer any more, so that the change must not be proposed.
+// isAbandoned reports whether no caller waits for the answer any more, so that the change must not be proposed.
 func (p *pendingChange) isAbandoned() bool {
 	return p.abandoned.Load() && !mutants.On("proposals/proposes-gone")
 }
@@ -82,8 +82,8 @@
 // event is an answer to a request of a proposer, applied by the queue's goroutine.
 type event func(*consensus.Proposer) consensus.Action
 
-// Queue runs changes and reads through consensus, one run after the other. There is no leader. Each node proposes the
-// changes that it received, and competes with the others by ballots.
+// Queue runs changes and reads through consensus, one run at a time. There is no leader. Each node proposes the changes
+// that it received, and competes with the others by ballots.
 type Queue struct {
 	options Options
 	log     log.Logger
@@ -118,9 +118,9 @@
 }
 
 // Change proposes items, and waits up to timeout until they are chosen. It returns nil once they are, a
-// *configuration.RejectionError, or ErrNoMajority. After the end of the caller's context the items are no longer
-// proposed, because the operator may have sent them to another node and got an answer there, which a late proposal from
-// this node must not contradict.
+// *configuration.RejectionError, or ErrNoMajority. After the timeout or the end of the caller's context, no new
+// proposal includes the items, because the operator may have sent them to another node and got an answer there, which a
+// late proposal from this node must not contradict.
 func (q *Queue) Change(ctx context.Context, items []configuration.Item, timeout time.Duration) error {
 	return q.submit(ctx, &pendingChange{items: items}, timeout)
 }
--- a/internal/control/proposals/rounds.go
+++ b/internal/control/proposals/rounds.go
@@ -36,7 +36,7 @@
 	return func(p *consensus.Proposer) consensus.Action { return p.NoReply(action.Attempt, voter) }
 }
 
-// accept asks a voter to accept a proposal, and returns its answer; nil: there was none.
+// accept asks a voter to accept a proposal, and returns its answer, or nil if there was none.
 func (q *Queue) accept(voter string, action consensus.Action, timeout time.Duration) *consensus.Accepted {
 	if voter == q.options.Self {
 		return q.replica.Accept(action.Proposal, nil)
@@ -50,7 +50,7 @@
 }
 
 // prepare asks a voter for a promise. If the action is a read, it asks only for what the voter has promised and
-// accepted. It returns the voter's answer; nil: there was none.
+// accepted. It returns the voter's answer, or nil if there was none.
 func (q *Queue) prepare(voter string, action consensus.Action, timeout time.Duration) *consensus.Promise {
 	prepare := &transport.Prepare{Ballot: action.Ballot, ReadOnly: action.Kind == consensus.Read}
 	if voter == q.options.Self {
@@ -63,7 +63,7 @@
 	return &answer.Promise.Promise
 }
 
-// fetch starts to fetch chosen changes that this node lacks from one that has them, and returns how long to wait.
+// fetch starts to fetch missing chosen changes from a node that has them, and returns how long to wait.
 func (q *Queue) fetch(action consensus.Action) (wait time.Duration) {
 	proposer := q.proposer
 	go func() {
@@ -74,7 +74,7 @@
 	return 2 * roundTimeout
 }
 
-// post passes an answer to the goroutine of Run, which ignores it if the proposer is no longer the one that asked.
+// post passes an answer to the goroutine of Run, which ignores it unless the present proposer is the one that asked.
 func (q *Queue) post(asked *consensus.Proposer, e event) {
 	ifSame := func(p *consensus.Proposer) consensus.Action {
 		if p != asked {
--- a/internal/control/proposals/run.go
+++ b/internal/control/proposals/run.go
@@ -138,7 +138,7 @@
 }
 
 // waitForForeignRound waits a little while a round of another node is in progress, because two proposers that keep
-// outbidding each other would both fail. A proposer that has lost rounds waits less than one that begins.
+// outbidding each other would both fail. A run that has lost rounds waits less than a run in its first round.
 func (r *run) waitForForeignRound(ctx context.Context) {
 	q := r.queue
 	defer func() {
--- a/internal/control/replica/chunks.go
+++ b/internal/control/replica/chunks.go
@@ -18,14 +18,14 @@
 	MinChunkBytes = 64 << 10
 	// MaxChunkBytes is the approximate size of a chunk on a fast link. A single item may be longer.
 	MaxChunkBytes = 256 << 10
-	// MaxRecentChanges is the number of chosen changes whose keys are kept, so that a node that lacks only these gets
-	// them without a scan of the whole snapshot.
+	// MaxRecentChanges is the maximum number of chosen changes whose keys are kept, so that a node that is missing only
+	// these gets them without a scan of the whole snapshot. When it is reached, the older half is dropped.
 	MaxRecentChanges = 256
 
-	historyEntryBytes = 20 // upper bound for one version of an item's history in a frame
+	historyEntryBytes = 20 // upper bound for the size of a version in an item's history, in a frame
 )
 
-// chosenChange has the keys of a chosen change, and the epoch in which it was chosen.
+// chosenChange contains the epoch of a chosen change, and the keys of its items.
 type chosenChange struct {
 	epoch uint64
 	keys  []configuration.Key
@@ -43,8 +43,8 @@
 // instances.Registry.PersistedAfter).
 type PersistedInstances func(after string, maxBytes int) (page []registry.Instance, more bool)
 
-// Chunk answers a node that lacks chosen changes, or whose disk is empty. It returns nil as long as this node's disk
-// has not been read.
+// Chunk answers a node that is missing chosen changes, or whose disk is empty. It returns nil until this node's disk
+// has been read.
 func (r *Replica) Chunk(request *transport.CatchUpRequest, persisted PersistedInstances) *transport.CatchUpChunk {
 	r.mu.Lock()
 	if r.disk == nil {
@@ -130,7 +130,7 @@
 }
 
 // firstItems returns about maxBytes of items, and at least one if there are any. It never separates items that share a
-// position. Next is the position to continue from; 0: there are no more items.
+// position. Next is the position to continue from; 0 means that no items are left.
 func firstItems(all iter.Seq2[uint64, configuration.Item], maxBytes int) (items []configuration.Item, next uint64) {
 	var last uint64
 	for position, item := range all {
--- a/internal/control/replica/chunks_test.go
+++ b/internal/control/replica/chunks_test.go
@@ -39,7 +39,7 @@
 
 func noInstances(string, int) ([]registry.Instance, bool) { return nil, false }
 
-// failureRecorder takes the place of a *testing.T in package is. It records a failure instead of ending the test.
+// failureRecorder is used instead of a *testing.T in package is. It records a failure instead of ending the test.
 type failureRecorder struct{ failure *string }
 
 func (f failureRecorder) Fail()    { f.FailNow() }
@@ -182,7 +182,8 @@
 	}
 }
 
-// check checks the snapshot against the model, and that the replica accepts no proposal upon a snapshot that it lacks.
+// check checks the snapshot against the model, and that the replica accepts no proposal upon a snapshot that it does
+// not have.
 func (w *transferWalk) check() {
 	epoch, snapshot := w.replica.Snapshot()
 	if w.failure == "" && (snapshot != w.snapshot || epoch != w.epoch) {
@@ -215,7 +216,7 @@
 }
 
 // checkNewerItems gets from a replica, after a number of changes, the items newer than each epoch, from the first
-// position and from a random one, and compares them with a plain list. It returns the first difference; empty: none.
+// position and from a random one, and compares them with a plain list. It returns the first difference, if any.
 func checkNewerItems(changes int) string {
 	var failure string
 	is := is.New(failureRecorder{&failure})
--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -15,20 +15,21 @@
 )
 
 const (
-	// SyncTimeout limits how long an answer waits for the disk. After it there is no answer, because a majority of
-	// other voters can decide without this node.
+	// SyncTimeout limits how long an answer waits for the disk. If a sync takes longer, the node does not answer,
+	// because a majority of the voters can decide without it.
 	SyncTimeout = 500 * time.Millisecond
-	// MaxControlNodes is the maximum number of control nodes of one system, and so of voters.
+	// MaxControlNodes is the maximum number of control nodes of a system, and so of voters. An electorate with more
+	// voters that another process sent is rejected.
 	MaxControlNodes = 40
 
-	timeoutPerMegabyte = 400 * time.Millisecond // time allowed for the transfer of one megabyte of items
+	timeoutPerMegabyte = 400 * time.Millisecond // time allowed for the transfer of 1 MiB of items
 )
 
 // Options are the settings and dependencies of a replica.
 type Options struct {
 	Self              string                      // own control address
 	Store             *replication.Store          // holds the items; only the replica changes them
-	IsOwnBallot       func(consensus.Ballot) bool // reports whether a ballot is of this process; nil: none is
+	IsOwnBallot       func(consensus.Ballot) bool // reports whether a ballot is of this process; nil means that none is
 	NewDiskID         func() uint64               // id of a new disk; not called if Load gets a bootstrap electorate
 	ElectorateChanged func()                      // called with the replica's mutex held; must not block; may be nil
 }
@@ -44,11 +45,11 @@
 	electorateChanged func()
 
 	mu           sync.Mutex     // guards the fields below
-	disk         *storage.Store // nil: the disk has not been read yet
+	disk         *storage.Store // nil until the disk has been read
 	acceptor     consensus.Acceptor
-	lastSave     *storage.Future // save of the acceptor's last change; nil: unchanged since it was read
-	pendingAt    time.Time       // time since which acceptor.Pending is pending
-	foreignRound chan struct{}   // closed once the pending change of another node is chosen; nil: there is none
+	lastSave     *storage.Future // last save that answers must wait for; nil if none
+	pendingAt    time.Time       // time of the last promise or acceptance, of LearnElectorate or of Load
+	foreignRound chan struct{}   // closed when the next chosen change is applied; nil if no foreign round is known
 	recent       []chosenChange  // the last changes up to acceptor.Epoch, without a gap
 	staging      staging
 }
@@ -129,16 +130,16 @@
 	}
 }
 
-// ForeignRoundDone returns a channel that is closed once the change that another node is proposing is chosen; nil: no
-// such round is known.
+// ForeignRoundDone returns a channel that is closed when the next chosen change is applied here, which normally is the
+// change that another node is proposing. It returns nil if no round of another node is known.
 func (r *Replica) ForeignRoundDone() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.foreignRound
 }
 
-// Prepare answers a prepare request or a read; nil: no answer. A node that is not a voter answers too, because the
-// proposer counts only the answers of voters.
+// Prepare answers a prepare request or a read, or returns nil to send no answer. A node that is not a voter answers
+// too, because the proposer counts only the answers of voters.
 func (r *Replica) Prepare(request *transport.Prepare) *consensus.Promise {
 	if request.ReadOnly {
 		return r.read(request.Synced)
@@ -176,8 +177,8 @@
 	return &promise
 }
 
-// Accept answers a proposal; nil: no answer. If this node lacks the snapshot before the proposal, it calls fetch once
-// to get it from the proposer. fetch may be nil.
+// Accept answers a proposal, or returns nil to send no answer. If this node does not have the snapshot before the
+// proposal, it calls fetch once to get it from the proposer. fetch may be nil.
 func (r *Replica) Accept(proposal consensus.Proposal, fetch func()) *consensus.Accepted {
 	if !allKeysValid(proposal.Items) {
 		return nil
@@ -216,8 +217,8 @@
 	return &accepted, r.lastSave
 }
 
-// Choose applies a chosen change, and returns the resulting base. It has no effect if this node lacks the snapshot
-// before the change.
+// Choose applies a chosen change, and returns the resulting base. It has no effect unless this node's snapshot is the
+// one before the change.
 func (r *Replica) Choose(proposal consensus.Proposal) consensus.Base {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -227,8 +228,8 @@
 	return r.acceptor.Base()
 }
 
-// Learn applies the pending change if it is the one that was chosen under a ballot. It reports whether this node's
-// snapshot has reached the epoch.
+// Learn applies the pending change if it has the ballot and the epoch of a change that another node reports as chosen.
+// It reports whether this node's snapshot has reached the epoch.
 func (r *Replica) Learn(ballot consensus.Ballot, epoch uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -326,7 +327,7 @@
 }
 
 // Pending returns the highest promised ballot, and the epoch of the change that is accepted here and not known to be
-// chosen; 0: there is none.
+// chosen; 0 means none.
 func (r *Replica) Pending() (promised consensus.Ballot, epoch uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -336,8 +337,9 @@
 	return r.acceptor.Promised, epoch
 }
 
-// PendingFor is the time for which a change has been accepted here and not known to be chosen; 0: there is none, or
-// this node is not a voter.
+// PendingFor returns the time since the last promise or acceptance here if a change is accepted here and not known to
+// be chosen. A new promise, which shows that a proposer is active, restarts the time. PendingFor returns 0 if there is
+// no such change or this node is not a voter.
 func (r *Replica) PendingFor(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/control/replica/replicatest/history.go
+++ b/internal/control/replica/replicatest/history.go
@@ -65,8 +65,8 @@
 	return items
 }
 
-// Check compares a replica's snapshot with the model's snapshot of the same epoch. It returns the first difference;
-// empty: there is none.
+// Check compares a replica's snapshot with the model's snapshot of the same epoch. It returns the first difference,
+// or an empty string if there is none.
 func (h *History) Check(r Replica) string {
 	epoch, snapshot := r.Snapshot()
 	want := h.ItemsAt(epoch)
@@ -97,7 +97,7 @@
 	return ""
 }
 
-// Apply applies to a replica the changes that it lacks up to an epoch, one by one.
+// Apply applies to a replica, one by one, the changes up to an epoch that it does not have yet.
 func (h *History) Apply(r Replica, epoch uint64) {
 	at, _ := r.Snapshot()
 	for _, p := range h.Changes[at:epoch] {
--- a/internal/control/replica/staging.go
+++ b/internal/control/replica/staging.go
@@ -10,15 +10,15 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// A node that lacks chosen changes gets them from any other control node, in chunks. An item has the epoch in which it
-// was chosen, so the snapshot of epoch E is that of epoch B with those items of E that are newer than B. The source
-// keeps no state of a transfer. It reads each chunk, from a given position on, from the snapshot that it has at that
-// moment. The chunks of one pass may therefore come from snapshots of several epochs, from FirstEpoch to LastEpoch, in
-// an order that never decreases. They are staged, and not visible. After a pass, all changes up to FirstEpoch are
-// applied or staged, and the next pass requests only newer ones. If all chunks of a pass come from the snapshot of one
-// epoch, they complete that snapshot, which is then applied at once. It therefore makes no difference which node sends
-// the next chunk, and a transfer continues at its position after a lost connection, with another source, and after a
-// restart.
+// A node that is missing chosen changes gets them from any other control node, in chunks. An item has the epoch of the
+// change that last set it or extended its history. The snapshot of epoch E is therefore that of epoch B, with the items
+// of E that are newer than B added or replaced. The source keeps no state of a transfer. It reads each chunk, from a
+// given position on, from the snapshot that it has at that moment. The chunks of a pass may therefore come from
+// snapshots of several epochs, from FirstEpoch to LastEpoch; the epoch never decreases from one chunk to the next.
+// Staged chunks are not visible to readers. After a pass, all changes up to FirstEpoch are applied or staged, and the
+// next pass requests only newer changes. If all chunks of a pass come from snapshots of the same epoch, they complete
+// that snapshot, which is then applied at once. It therefore makes no difference which node sends the next chunk, and a
+// transfer continues at its position after a lost connection, with another source, and after a restart.
 
 // staging holds the chunks of an incomplete transfer. Replica.mu guards it.
 type staging struct {
@@ -59,7 +59,7 @@
 		s.items = map[configuration.Key]configuration.Item{}
 	}
 	for _, item := range chunk.Items {
-		// Items of one version may have different histories. That of the newer epoch is the longer one.
+		// Items of the same version may have different histories. The item of the newer epoch has the later history.
 		if old, ok := s.items[item.Key]; !ok || item.Epoch > old.Epoch {
 			s.items[item.Key] = item
 		}
@@ -147,7 +147,7 @@
 	return r.staging.LastEpoch != 0
 }
 
-// LastChunkAt is the time at which the last useful chunk arrived; zero: none has.
+// LastChunkAt is the time at which the last useful chunk arrived; zero means none yet.
 func (r *Replica) LastChunkAt() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
