--- a/internal/control/shards/host.go
+++ b/internal/control/shards/host.go
@@ -63,8 +63,8 @@
 	h.processOutput(now)
 }
 
-// tick reports the time to the replica. The leaseholder also changes the voters towards the target, deletes records
-// that are no longer needed, and transfers the lease if another voter is preferred.
+// tick reports the time to the replica. The leaseholder also changes the voters towards the target, deletes
+// unneeded records, and transfers the lease if another voter is preferred.
 func (h *host) tick(round int, target []consensus.Voter) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -82,8 +82,8 @@
 	h.processOutput(now)
 }
 
-// upkeep deletes records that are no longer needed. If the deletions can't be proposed now, they are lost together with
-// the tables, and the next leaseholder finds the records again.
+// upkeep deletes unneeded records. If the deletions can't be proposed now, they are lost together with the tables, and
+// the next leaseholder finds the records again.
 func (h *host) upkeep(now float64) {
 	if !h.replica.HoldsLease(now) {
 		return
--- a/internal/control/shards/service.go
+++ b/internal/control/shards/service.go
@@ -148,7 +148,7 @@
 // now is the time by the monotonic clock, in seconds.
 func (s *Service) now() float64 { return s.options.Clock().Seconds() }
 
-// hostOf returns the host of a request's shard; nil: the disk has not been read yet.
+// hostOf returns the host of a request's shard, or nil until the disk has been read.
 func (s *Service) hostOf(r coordination.Request) *host {
 	hosts := s.hosts.Load()
 	if hosts == nil {
--- a/internal/control/shards/status.go
+++ b/internal/control/shards/status.go
@@ -16,7 +16,7 @@
 
 const millisPerSecond = 1000
 
-// Status returns what this node knows of the shards; empty: the disk has not been read yet.
+// Status returns the state of the shards as known to this node. It is empty until the disk has been read.
 func (s *Service) Status() []operatorapi.Shard {
 	all := []operatorapi.Shard{}
 	hosts := s.hosts.Load()
--- a/internal/control/shards/waiters.go
+++ b/internal/control/shards/waiters.go
@@ -6,7 +6,7 @@
 	done  chan bool // capacity 1; receives whether the batch was committed in its term
 }
 
-// waiters are the calls of one shard that wait for a commit. The host's mutex guards them.
+// waiters are the calls of a shard that wait for a commit. The host's mutex guards them.
 type waiters struct {
 	all     []waiter
 	changed chan struct{} // closed at the next commit and at the end of the term
--- a/internal/control/storage/options.go
+++ b/internal/control/storage/options.go
@@ -13,7 +13,7 @@
 // only at its start.
 const (
 	cacheBytes                = 1 << 20   // size of the block cache, bytes
-	memTableBytes             = 512 << 10 // size of one memtable, bytes
+	memTableBytes             = 512 << 10 // size of a memtable, bytes
 	maxManifestBytes          = 1 << 20   // size at which a new manifest is started, bytes
 	maxBaseLevelBytes         = 8 << 20   // size of the base level, bytes
 	tableBytes                = 2 << 20   // target size of a table file, bytes
--- a/internal/control/storage/power_loss_fs_test.go
+++ b/internal/control/storage/power_loss_fs_test.go
@@ -16,8 +16,8 @@
 	vfs.FS
 
 	mu       sync.Mutex              // guards the fields below
-	current  map[string]*fileContent // the folder as it is now
-	synced   map[string]*fileContent // the folder as of its last sync
+	current  map[string]*fileContent // current content of the folder
+	synced   map[string]*fileContent // content of the folder at its last sync
 	unsynced []nameChange            // changes since that sync
 	onStep   func()                  // called after each change of a name and each sync, with the lock held
 }
--- a/internal/control/storage/power_loss_test.go
+++ b/internal/control/storage/power_loss_test.go
@@ -159,7 +159,7 @@
 	return errors.As(err, &panicked)
 }
 
-// firstFailure takes the place of a *testing.T in package is. It records a failure and lets the test continue.
+// firstFailure is used instead of a *testing.T in package is. It records a failure and lets the test continue.
 type firstFailure struct{ text *string }
 
 func (f firstFailure) Fail()           { f.FailNow() }
--- a/internal/control/storage/retrying_file.go
+++ b/internal/control/storage/retrying_file.go
@@ -10,7 +10,7 @@
 type retryingFile struct {
 	vfs.File
 	fs          *retryingFS
-	unsyncedDir string // folder in which its name may not be on disk yet; empty: the name is synced
+	unsyncedDir string // folder in which its name may not be on disk yet; empty if the name is synced
 	synced      int64  // number of bytes on disk
 	unsynced    []byte // bytes written after those
 }
--- a/internal/control/storage/shard_test.go
+++ b/internal/control/storage/shard_test.go
@@ -108,7 +108,8 @@
 	store.Close()
 }
 
-// After a power loss a shard has the state of one of its saves, which is not older than the last synced one.
+// After a power loss a shard has the state after one of its saves, which is not older than the last synced save, or no
+// state if no save was synced.
 func TestShardsSurvivePowerLoss(t *testing.T) {
 	for seed := range uint64(30) {
 		rnd := rand.New(rand.NewPCG(seed, 0))
--- a/internal/control/storage/size_test.go
+++ b/internal/control/storage/size_test.go
@@ -47,7 +47,7 @@
 	workloadItems        = 100  // items of a change
 	workloadInstances    = 300  // instances that exist at a time
 	workloadNewInstances = 20   // instances that a change adds
-	instanceBytes        = 100  // approximate size of the record of one instance
+	instanceBytes        = 100  // approximate size of an instance's record, bytes
 )
 
 // change returns the change that makes an epoch.
--- a/internal/control/storage/state.go
+++ b/internal/control/storage/state.go
@@ -20,12 +20,12 @@
 	Acceptor     consensus.Acceptor   // Pending is the accepted proposal that is not known to be chosen
 	Items        []configuration.Item // chosen items in the order of their keys
 	Instances    []registry.Instance  // instances with an acknowledged departure
-	IngressCount int                  // last count of ingresses; 0: never counted
-	Stage        *StageProgress       // progress of a catch-up; nil: none is in progress
+	IngressCount int                  // last count of ingresses; 0 means never counted
+	Stage        *StageProgress       // progress of a catch-up; nil if none is in progress
 	StagedItems  []configuration.Item // items fetched by that catch-up, not part of Items yet
 	Shards       map[uint32]shard.State
 
-	version int // version of the records; 0: there are none
+	version int // version of the records; 0 means that there are none
 }
 
 // StageProgress is the progress of a catch-up. The fetched items are staged, which means that they are stored without
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -30,7 +30,7 @@
 
 	mu          sync.Mutex // guards the fields below
 	queued      *Future    // future of the batches that the next commit writes
-	commitStart time.Time  // start of the commit in progress; zero: there is none
+	commitStart time.Time  // start of the commit in progress; zero means none
 	closed      bool
 }
 
@@ -144,8 +144,8 @@
 	}
 }
 
-// nextCommit removes and returns the queued batches; nil: there are none. If there are none and the store is closed,
-// all batches that are put later fail.
+// nextCommit removes and returns the queued batches, or nil if there are none. If there are none and the store is
+// closed, all batches that are put later fail.
 func (s *Store) nextCommit() (future *Future, closed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
