--- a/internal/control/connlimit/gate.go
+++ b/internal/control/connlimit/gate.go
@@ -56,7 +56,7 @@
 	slot slot
 }
 
-// Accept accepts every connection. If the limit is reached, it evicts the one that has been idle longest.
+// Accept accepts every connection. If the limit is reached, it evicts the connection that has been idle longest.
 func (l *listener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/control/connlimit/slots.go
+++ b/internal/control/connlimit/slots.go
@@ -31,8 +31,8 @@
 
 // slots decides which connections of servers and operators a node keeps, and how many internal ones (of agents and
 // control nodes) it accepts, because all of them share its descriptors. A new connection of a server or operator is
-// always accepted. At the limit, the one that has been idle longest is evicted for it, never one with a call in flight.
-// slots does no I/O and needs no clock, because only the order of its method calls matters.
+// always accepted. If the limit is reached, the connection that has been idle longest is evicted for it, never one with
+// a call in flight. slots does no I/O and needs no clock, because only the order of its method calls matters.
 //
 // Invariants:
 //
@@ -44,17 +44,17 @@
 	internalLimit int
 	internal      int
 	inFlight      int
-	idle          list.List // *slot values, the one that has been idle longest first
+	idle          list.List // *slot values, sorted by idle time, longest first
 }
 
 // slot is one connection of a server or an operator. It is idle, has a call in flight, or is closed.
 type slot struct {
-	element  *list.Element // element of slots.idle; nil: a call is in flight, or the connection is closed
+	element  *list.Element // element of slots.idle; nil if a call is in flight or the connection is closed
 	inFlight bool
 	close    func() error // called by Gate, never by slots
 }
 
-// newSlots computes the limits from the number of descriptors that the process may open; 0: unknown.
+// newSlots computes the limits from the number of descriptors that the process may open; 0 means unknown.
 func newSlots(maxFDs int) *slots {
 	if maxFDs == 0 {
 		maxFDs = defaultFDs
@@ -68,7 +68,7 @@
 func (s *slots) total() int { return s.internal + s.inFlight + s.idle.Len() }
 
 // evictIfFull removes the connection that has been idle longest if the limit is reached, and returns it for the caller
-// to close; nil: none was evicted.
+// to close, or nil if none was evicted.
 func (s *slots) evictIfFull() (evicted *slot) {
 	if s.total() < s.limit {
 		return nil
@@ -78,7 +78,7 @@
 	return evicted
 }
 
-// add accepts a new connection, and returns the one that was evicted for it; nil: none was.
+// add accepts a new connection, and returns the connection that was evicted for it, or nil if none was.
 func (s *slots) add(c *slot) (evicted *slot) {
 	evicted = s.evictIfFull()
 	c.element = s.idle.PushBack(c)
--- a/internal/control/connlimit/slots_test.go
+++ b/internal/control/connlimit/slots_test.go
@@ -32,7 +32,7 @@
 	return count
 }
 
-// evictIfFull removes and returns the connection that must be evicted for a new one; nil: none.
+// evictIfFull removes and returns the connection that must be evicted for a new one, or nil if none must.
 func (m *model) evictIfFull() (evicted *slot) {
 	if m.internal+len(m.conns) < m.limit {
 		return nil
--- a/internal/control/electorate/changes.go
+++ b/internal/control/electorate/changes.go
@@ -28,7 +28,7 @@
 	// minAge is the time since this process first saw an electorate, or since its start, before Maintain changes that
 	// electorate. Until then, a voter that has not answered this process yet is not replaced.
 	minAge        = 10 * time.Second
-	maxProbes     = 5                       // attempts to probe a node that lacks changes
+	maxProbes     = 5                       // attempts to probe a node that is behind
 	probeInterval = 50 * time.Millisecond   // between two probes of a node
 	probeTimeout  = 2 * replica.SyncTimeout // for the answer to one probe, which waits for a sync of the disk
 )
@@ -158,7 +158,7 @@
 }
 
 // probe returns the entry of a control node as a voter, once the node has all changes up to base on its disk. A node
-// that lacks some of them is probed again, up to maxProbes times.
+// that does not have all of them yet is probed again, up to maxProbes times in all.
 func (m *Manager) probe(ctx context.Context, addr string, base consensus.Base) (voter consensus.Voter, err error) {
 	for range maxProbes {
 		if voter, err = m.probeOnce(addr, base); !errors.Is(err, errBehind) || ctx.Err() != nil {
--- a/internal/control/electorate/errors.go
+++ b/internal/control/electorate/errors.go
@@ -2,8 +2,8 @@
 
 import "github.com/cockroachdb/errors"
 
-// errBehind means that a probed control node lacks changes that it needs before it can vote. The probe is repeated,
-// because the node may receive the changes shortly.
+// errBehind means that a probed control node does not have all changes that it needs before it can vote. The probe
+// is repeated, because the node may receive the changes shortly.
 var errBehind = errors.New("it is behind")
 
 // ChangeError means that the electorate was not changed, because the state of the nodes does not allow it or because
--- a/internal/control/httpapi/applications.go
+++ b/internal/control/httpapi/applications.go
@@ -37,7 +37,7 @@
 // cellBody is the body of a put.
 type cellBody struct {
 	Payload *string `json:"payload"`
-	Active  *uint64 `json:"active"` // revision that the cell must have; 0: it must not exist; absent: any
+	Active  *uint64 `json:"active"` // required revision of the cell; 0 means that it must not exist, absent means any
 }
 
 // Bodies of answers.
--- a/internal/control/httpapi/call.go
+++ b/internal/control/httpapi/call.go
@@ -20,15 +20,15 @@
 	StartupGrace = 2 * time.Second
 	// StartupWait is how long one call waits for that first contact.
 	StartupWait = 500 * time.Millisecond
-	// HeartbeatBodyTimeout limits reading the body of a call of a server or an application, because a server waits no
-	// longer for its answer.
+	// HeartbeatBodyTimeout limits reading the body of a call of a server or an application, because a server does not
+	// wait longer for its answer.
 	HeartbeatBodyTimeout = time.Second
 	// PromptBodyTimeout replaces HeartbeatBodyTimeout while few slots for connections are free, so that a slow body
 	// does not occupy one of them.
 	PromptBodyTimeout = 50 * time.Millisecond
 
-	// bodyTimeout is the time in which the http.Server must have read a call. Writing the answer may take until twice
-	// that time. Without it, a client that stalls would occupy its slot for ever.
+	// bodyTimeout limits how long the http.Server reads a call. The response must be written within twice that time.
+	// Without these limits, a client that stalls would occupy its slot forever.
 	bodyTimeout       = 10 * time.Second
 	largeBodyBytes    = 1 << 20                // size above which at most maxLargeBodies bodies are read at once
 	slowCallThreshold = 250 * time.Millisecond // duration from which on an operator's call is logged
--- a/internal/control/httpapi/config.go
+++ b/internal/control/httpapi/config.go
@@ -14,7 +14,7 @@
 	// short patch, and longer for that to a long one.
 	changeTimeout   = 850 * time.Millisecond
 	timeoutPerItem  = time.Millisecond // added to changeTimeout for each item beyond shortPatchItems
-	shortPatchItems = 100              // items of a patch that changeTimeout suffices for
+	shortPatchItems = 100              // number of items of a patch for which changeTimeout suffices
 )
 
 // patchConfig proposes the items of a patch to the voters. It answers 200 once they are on a majority of the disks.
--- a/internal/control/httpapi/server.go
+++ b/internal/control/httpapi/server.go
@@ -28,7 +28,7 @@
 const (
 	readHeaderTimeout = 2 * time.Second // for the header of a call; a slower client is disconnected
 	idleTimeout       = 5 * time.Second // time without a call after which a connection is closed
-	maxHeaderBytes    = 8 << 10         // limit of the header of one call
+	maxHeaderBytes    = 8 << 10         // limit of the header of a call, bytes; bounds the memory for it
 	maxLargeBodies    = 2               // large bodies that may be read or handled at once; bounds the memory for them
 )
 
--- a/internal/control/httpapi/view.go
+++ b/internal/control/httpapi/view.go
@@ -17,12 +17,12 @@
 	Epoch         uint64           `json:"epoch"` // of this node's configuration
 	Items         int              `json:"items"` // in that configuration, including deleted ones
 	Promised      consensus.Ballot `json:"promised"`
-	// PendingEpoch is the epoch of a change that is accepted here and not known to be chosen; 0: there is none.
+	// PendingEpoch is the epoch of a change that is accepted here and not known to be chosen; 0 means none.
 	PendingEpoch    uint64         `json:"pendingEpoch"`
 	Voters          []string       `json:"voters"`  // control addresses
 	Votes           bool           `json:"votes"`   // whether this node is a voter
 	Sources         []PeerView     `json:"sources"` // the other control nodes
-	Ingresses       int64          `json:"members"` // number of ingresses that hold a lease
+	Ingresses       int64          `json:"members"` // number of ready ingresses that hold a lease
 	Instances       InstanceCounts `json:"instances"`
 	QuotaCounters   int            `json:"countersKept"` // number of quota counters that this node owns
 	InContact       bool           `json:"contact"`      // whether it is in contact with a majority of voters
@@ -38,8 +38,8 @@
 // PeerView is what this node knows of another control node.
 type PeerView struct {
 	ControlAddr        string  `json:"at"`
-	LastContactSeconds float64 `json:"heardSecondsAgo"` // seconds since its last update; -1: none yet
-	// AnsweredSecondsAgo is the time since the newest request that it answered was sent, in seconds; -1: none was.
+	LastContactSeconds float64 `json:"heardSecondsAgo"` // seconds since its last update; -1 means none yet
+	// AnsweredSecondsAgo is the time since the newest request that it answered was sent, in seconds; -1 means none.
 	AnsweredSecondsAgo float64 `json:"answeredSecondsAgo"`
 	Epoch              uint64  `json:"epoch"`
 	Ready              bool    `json:"ready"`
--- a/internal/control/ingresslease/table.go
+++ b/internal/control/ingresslease/table.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// leaseDuration is the time after its last renewal for which a lease is valid. After that the ingress is no longer
-	// counted.
+	// leaseDuration is how long a lease is valid after its last renewal. After that the ingress is not counted any
+	// more.
 	leaseDuration = 2 * time.Second
 	// initialRenewalPeriod is the time from the start of a term of contact in which Count returns only the lower bound,
 	// because some holders may not have renewed their leases here yet.
@@ -95,7 +95,7 @@
 	}
 }
 
-// Count is the number of ready ingresses in a term of contact that began at termStart; 0: unknown. Until all
+// Count is the number of ready ingresses in a term of contact that began at termStart; 0 means unknown. Until all
 // ingresses have had time to renew their leases here, it is not below the lower bound, because shares of quotas that
 // are too large cannot be revoked.
 func (t *Table) Count(now, termStart time.Time) int64 {
--- a/internal/control/instances/departures.go
+++ b/internal/control/instances/departures.go
@@ -22,8 +22,8 @@
 	minCopies    = 2    // disks that must store a departure before it is acknowledged, if there are that many voters
 )
 
-// Departures stores the departures of instances on so many disks that the loss of the tolerated number of machines
-// leaves at least one copy.
+// Departures stores the departures of instances on enough disks that at least one copy is left after the loss of the
+// tolerated number of machines.
 type Departures struct {
 	Registry *Registry
 	Settings *settings.Settings
@@ -44,7 +44,7 @@
 }
 
 // Replicate stores a departing instance on the disks of voters. It returns true once the instance is on the required
-// number of disks, and false if it can't be stored on as many before ctx ends.
+// number of disks, and false if it can't be stored on that many before ctx ends.
 func (d *Departures) Replicate(ctx context.Context, instance registry.Instance) bool {
 	voters, _ := d.Replica.Voters()
 	results, pending := d.requestCopies(ctx, instance, voters)
--- a/internal/control/operatorapi/bodies.go
+++ b/internal/control/operatorapi/bodies.go
@@ -3,7 +3,7 @@
 // Members is the body of GET /members.
 type Members struct {
 	Epoch      uint64   `json:"epoch"`         // of the configuration of the node that answers
-	SinceEpoch uint64   `json:"sinceEpoch"`    // epoch in which these became the voters; 0: the first start
+	SinceEpoch uint64   `json:"sinceEpoch"`    // epoch in which these became the voters; 0 means the first start
 	AgeSeconds float64  `json:"standsSeconds"` // seconds for which this node has known these voters
 	Wanted     int      `json:"wanted"`        // number of voters that tolerates the configured losses
 	Contact    bool     `json:"contact"`       // whether the node is in contact with a majority of them
@@ -11,12 +11,12 @@
 	Learners   []Member `json:"learners"`
 }
 
-// Member is what one control node knows of another, or of itself.
+// Member is the state of a control node as known to the node that answers, which may be the same node.
 type Member struct {
 	Addr               string  `json:"at"` // control address
 	Zone               string  `json:"zone,omitempty"`
 	Disk               string  `json:"disk,omitempty"`  // id of the disk that holds a voter's vote, in hexadecimal
-	LastContactSeconds float64 `json:"heardSecondsAgo"` // seconds since its last update or ping answer; -1: none yet
+	LastContactSeconds float64 `json:"heardSecondsAgo"` // seconds since its last update or ping answer; -1 if none
 	EpochsBehind       uint64  `json:"behind"`          // epochs by which it is behind the node that answers
 	Up                 bool    `json:"up"`              // whether it is connected and has answered recently
 	// DiskReplaced means that the node that answers is listed as a voter with a disk that it no longer has.
@@ -35,10 +35,10 @@
 	Shards []Shard `json:"shards"`
 }
 
-// Shard is what one control node knows of a shard of locks, numbers and cells.
+// Shard is the state of a shard of locks, numbers and cells as known to the node that answers.
 type Shard struct {
 	Number      uint32 `json:"shard"`
-	Leaseholder string `json:"leaseholder"` // control address; empty: unknown to the node that answers
+	Leaseholder string `json:"leaseholder"` // control address; empty if unknown to the node that answers
 	Term        uint64 `json:"term"`
 	Batch       uint64 `json:"batch"` // number of the node's last batch
 	Lease       bool   `json:"lease"` // whether the node that answers holds the lease
@@ -56,8 +56,8 @@
 type Replica struct {
 	Addr    string `json:"at"` // control address
 	Learner bool   `json:"learner,omitempty"`
-	// Behind is the number of batches that it has not confirmed to the leaseholder; -1: the node that answers is not
-	// the leaseholder.
+	// Behind is the number of batches that it has not confirmed to the leaseholder, or -1 if the node that answers is
+	// not the leaseholder.
 	Behind int64 `json:"behind"`
 }
 
--- a/internal/control/operatorapi/client.go
+++ b/internal/control/operatorapi/client.go
@@ -10,7 +10,7 @@
 
 const (
 	requestTimeout   = 5 * time.Second // for the connection, the call and its response
-	maxResponseBytes = 1 << 20         // further bytes of a response are not read
+	maxResponseBytes = 1 << 20         // further bytes of a response are not read, which bounds memory
 )
 
 // Client calls one control node.
@@ -19,7 +19,7 @@
 }
 
 // Members gets the voters and learners. It returns the body as the node sent it, because a newer node may send fields
-// that the type Members lacks. Errors are *RejectedError or those of the connection.
+// that the type Members does not have. Errors are *RejectedError or those of the connection.
 func (c Client) Members() ([]byte, error) { return c.call(http.MethodGet, "/members", nil) }
 
 // Replace replaces a voter by a learner. It returns once the change is chosen. Errors are those of Members.
@@ -32,7 +32,8 @@
 	return err
 }
 
-// Shards gets what the node knows of the shards, as the body that it sent. Errors are those of Members.
+// Shards gets the state of the shards as known to the node. It returns the body as the node sent it. Errors are those
+// of Members.
 func (c Client) Shards() ([]byte, error) { return c.call(http.MethodGet, "/shards", nil) }
 
 // Transfer makes the node transfer the lease of a shard to another voter. Errors are those of Members.
--- a/internal/control/operatorcommand/operatorcommand_test.go
+++ b/internal/control/operatorcommand/operatorcommand_test.go
@@ -16,8 +16,8 @@
 	"mulleinrouter/internal/control/operatorapi"
 )
 
-// membersBody is the answer of a control node. Its last key is one that these commands do not know, as a newer node may
-// send.
+// membersBody is the answer of a control node. Its last key is unknown to these commands. A newer node may send such
+// keys.
 const membersBody = `{"epoch":3,"sinceEpoch":2,"standsSeconds":9.2,"wanted":3,"contact":true,` +
 	`"voters":[{"at":"10.0.0.1:80","zone":"z1","heardSecondsAgo":0,"behind":0,"up":true,"thisControl":true},` +
 	`{"at":"10.0.0.2:80","zone":"z2","heardSecondsAgo":4.1,"behind":0,"up":false}],` +
@@ -31,7 +31,7 @@
 learner  10.0.0.3:80  z3    up       7       never
 `
 
-// shardsBody is the answer of a control node that holds the lease of one shard.
+// shardsBody is the answer of a control node that holds the lease of the first of two shards.
 const shardsBody = `{"shards":[{"shard":0,"leaseholder":"10.0.0.1:80","term":4,"batch":91,"lease":true,` +
 	`"leaseAgeMs":120,"locks":2,"cells":7,"replicas":[{"at":"10.0.0.1:80","behind":0},` +
 	`{"at":"10.0.0.2:80","learner":true,"behind":3}]},{"shard":1,"leaseholder":"","term":2,"batch":5,"lease":false,` +
