--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -112,7 +112,7 @@
 }
 
 // awaitNewest waits until a node has the newest snapshot. Until then, the node must show only complete snapshots,
-// accept no proposal for which it lacks earlier changes, and not be ready.
+// accept no proposal for which it does not have the earlier changes, and not be ready.
 func (c *testCluster) awaitNewest(h *replicatest.History, addr string, limit time.Duration) {
 	c.Helper()
 	m, began := c.nodes[addr], time.Now()
@@ -146,8 +146,8 @@
 	}
 }
 
-// A node that lacks changes catches up over fast links. The numbers of missing changes include one, thousands, and
-// those around replica.MaxRecentChanges, up to which the replicas remember changes by key.
+// A node that is behind catches up over fast links. The numbers of missing changes include one, thousands, and those
+// around replica.MaxRecentChanges, up to which the replicas remember changes by key.
 func TestCatchUpAfterChanges(t *testing.T) {
 	t.Parallel()
 	const recent = replica.MaxRecentChanges
@@ -265,8 +265,8 @@
 	return c
 }
 
-// measureLagging makes a ready node that is in contact lack a large change, which it fetches over a slow link. It
-// returns how long the node still announced that it was ready, and how long it lacked the change.
+// measureLagging applies large changes to the other nodes, so that a node that is ready and in contact must fetch them
+// over a slow link. It returns how long the node still announced that it was ready, and how long it was behind.
 func measureLagging(t *testing.T) (ready, behind time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newMeteredCluster(t)
@@ -353,9 +353,9 @@
 	}
 }
 
-// Measures the times in docs/design/control-plane-faults.md: how long a node that lacks 1,000 changes, and one whose
-// disk is empty after a day with 600 changes, take to catch up over links of 2 Mbit/s in each direction. Times are
-// simulated. The byte counts include everything sent over the links meanwhile, such as heartbeats.
+// Measures the times in docs/design/control-plane-faults.md: how long a node that is 1,000 changes behind, and one
+// whose disk is empty after a day with 600 changes, take to catch up over links of 2 Mbit/s in each direction. Times
+// are simulated. The byte counts include everything sent over the links in that time, such as heartbeats.
 func TestCatchUpTimes(t *testing.T) {
 	t.Parallel()
 	for _, empty := range []bool{false, true} {
--- a/internal/control/coordination_histories_test.go
+++ b/internal/control/coordination_histories_test.go
@@ -176,8 +176,8 @@
 	return wrong
 }
 
-// runApplications runs the workload of one seed with a number of faults. It returns the failures, and the counts of the
-// answers by outcome.
+// runApplications runs the workload of a seed with a number of faults. It returns the failures, and the number of
+// answers of each outcome.
 func runApplications(t *testing.T, seed uint64, faults int) (wrong []string, counts map[string]int) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newApplications(t, seed)
--- a/internal/control/coordination_isolation_test.go
+++ b/internal/control/coordination_isolation_test.go
@@ -102,8 +102,8 @@
 	"sends":     func(isolated, _, to string) bool { return to == isolated },
 }
 
-// An isolated leaseholder answers from memory while its lease lasts, and not at all afterwards. It never confirms a
-// call that needs a majority.
+// An isolated leaseholder answers from memory while its lease lasts. Afterwards it rejects calls or does not answer
+// them. It never confirms a call that needs a majority.
 func TestIsolatedLeaseholder(t *testing.T) {
 	for name, severed := range isolations {
 		t.Run(name, func(t *testing.T) {
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -15,7 +15,7 @@
 //	peers         connections to the other control nodes
 //	replica       this node's replica of the configuration, and its vote
 //	storage       this node's disk
-//	catchup       fetching of changes that the replica lacks
+//	catchup       fetching of changes that the replica does not have
 //	electorate    the set of voters, and their replacement
 //	instances     server instances, and the copies of their departures
 //	ingresslease  the leases of ingresses
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -65,8 +65,8 @@
 // maxHistory is the number of overtaken versions in an item's history (configuration.Item).
 const maxHistory = 16
 
-// isForgotten reports whether so many higher versions of the item were applied that the item's history may no longer
-// contain this one.
+// isForgotten reports whether more than maxHistory higher versions of the item were applied, so that the item's history
+// may not contain this version any more.
 func (m *model) isForgotten(s itemVersion) bool {
 	higher := map[int]bool{}
 	for v := range m.overtaken {
@@ -179,7 +179,7 @@
 	}
 }
 
-// simulation runs the nodes and the operators of one seed.
+// simulation runs the nodes and the operators of a seed.
 type simulation struct {
 	*testCluster
 	model
@@ -267,7 +267,7 @@
 	return text
 }
 
-// nextCall returns the next call of an operator: a new one, or one that was sent before.
+// nextCall returns the next call of an operator: a new call, or an earlier one again.
 func (s *simulation) nextCall(random *rand.Rand) *operatorCall {
 	s.modelMu.Lock()
 	defer s.modelMu.Unlock()
@@ -279,7 +279,7 @@
 		}
 		return nil
 	}
-	// Repeat a call that was acknowledged at any time before, or one that got no clear answer.
+	// Repeat an earlier call that was acknowledged, or one that was neither acknowledged nor rejected.
 	if random.IntN(4) == 0 {
 		repeatable := func(call *operatorCall) bool { return !call.rejected && (call.acknowledged || !call.sending) }
 		if call := earlier(repeatable); call != nil {
@@ -717,7 +717,7 @@
 		}
 		return c.differences()
 	},
-	// A node that has accepted a change gets a message that another change was chosen for the same epoch.
+	// A node that has accepted a change receives a message that another change was chosen for the same epoch.
 	"chosen message for another change": func(c *testCluster) string {
 		if status := c.patch(c.seeds[0], patchBody([]string{serviceJSON("s", 1)}, nil)); status != 200 {
 			return fmt.Sprint("first: ", status)
@@ -738,7 +738,7 @@
 		return c.differences()
 	},
 	// An operator's connection breaks and its change is rejected at another node. Then the service that the change
-	// lacked is chosen, while the first node still has the change queued.
+	// refers to is chosen, while the first node still has the change queued.
 	"abandoned call": func(c *testCluster) string {
 		if status := c.patch(c.seeds[1], patchBody([]string{serviceJSON("s", 1)}, nil)); status != 200 {
 			return fmt.Sprint("first: ", status)
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -116,7 +116,7 @@
 	return m
 }
 
-// epochsBehind returns the number of changes that this node lacks and another control node is known to have.
+// epochsBehind returns the number of changes that another control node is known to have and this node does not.
 func (n *Node) epochsBehind() uint64 {
 	epoch := n.replica.Epoch()
 	return n.peers.NewestEpoch(epoch) - epoch
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -67,8 +67,8 @@
 		w.store.NotifySubscribers()
 	}
 	if term != w.term {
-		// Contact was lost and is restored, even if no round saw the loss. Ingress counts and missing heartbeats
-		// from before are no evidence, because messages may have been lost meanwhile.
+		// Contact was lost and is restored, even if no round saw the loss. Missing lease renewals and heartbeats from
+		// before do not show that an ingress or a server is gone, because messages may have been lost in the meantime.
 		w.term, w.termStart = term, now
 		w.ingresses.BeginTerm()
 		w.instances.QuorumLost()
@@ -162,7 +162,8 @@
 	return n.replica.PendingFor(now) > orphanTimeout+rank*orphanRankDelay
 }
 
-// ingressCount returns the number of ingresses that hold a lease, or 0 if it is unknown, as it is without contact.
+// ingressCount returns the number of ready ingresses that hold a lease, or 0 if it is unknown. Without contact it is
+// unknown.
 func (n *Node) ingressCount() int {
 	if !n.majority.Held() {
 		return 0
@@ -170,8 +171,8 @@
 	return int(n.ingresses.Published())
 }
 
-// zoneRank returns the rank of an ingress among those in its zone, and their number. The number is 0 if the rank is
-// unknown, as it is without contact.
+// zoneRank returns the rank of an ingress among the ready ones in its zone, and their number. The number is 0 if the
+// rank is unknown. Without contact it is unknown.
 func (n *Node) zoneRank(node string) (rank, peers int) {
 	if !n.majority.Held() {
 		return 0, 0
