--- a/internal/cluster/configuration/entities.go
+++ b/internal/cluster/configuration/entities.go
@@ -11,8 +11,8 @@
 	MaxHostBytes     = 255     // bytes in a host
 	MaxPrefixBytes   = 1024    // bytes in a path prefix; no more of a request's path is compared
 	MaxKeyBytes      = 1024    // bytes in an API key
-	MaxKeys          = 10_000  // API keys of one tenant
-	MaxSplitServices = 1000    // weighted services of one route
+	MaxKeys          = 10_000  // API keys of a tenant
+	MaxSplitServices = 1000    // weighted services of a route
 	MaxBodyBytes     = 1 << 20 // bytes in an item's body
 )
 
@@ -45,7 +45,7 @@
 	Name     string
 	Keys     []string
 	Priority int     // takes precedence over the route's; 0 is the highest
-	Rate     float64 // requests per second over all ingresses; 0: no limit
+	Rate     float64 // requests per second over all ingresses; 0 means no limit
 	Burst    float64 // requests allowed beyond the rate
 	Version  uint64
 	Epoch    uint64
@@ -54,8 +54,8 @@
 // Service is the decoded body of a service item.
 type Service struct {
 	Name           string
-	Health         string // path of the servers' health check; empty: unknown
-	MaxConnections int    // connections per server, over all callers; 0: unknown
+	Health         string // path of the servers' health check; empty means unknown
+	MaxConnections int    // connections per server, over all callers; 0 means unknown
 	Version        uint64
 }
 
@@ -91,14 +91,14 @@
 	}
 }
 
-// takesPrecedenceOver reports whether a route wins over another one that claims the same key. Two routes claim the same
-// key while the update of the one that released it has not arrived yet. The higher epoch wins, then the higher version,
+// takesPrecedenceOver reports whether a route wins over another route that claims the same key. Two routes claim a key
+// when the update by which one of them released it has not arrived yet. The higher epoch wins, then the higher version,
 // then the name that sorts first.
 func (r *Route) takesPrecedenceOver(o *Route) bool {
 	return comparePrecedence(r.Epoch, o.Epoch, r.Version, o.Version, r.Name, o.Name)
 }
 
-// takesPrecedenceOver reports whether a tenant wins over another one that claims the same API key, by the rules for
+// takesPrecedenceOver reports whether a tenant wins over another tenant that claims the same API key, by the rules for
 // routes.
 func (t *Tenant) takesPrecedenceOver(o *Tenant) bool {
 	return comparePrecedence(t.Epoch, o.Epoch, t.Version, o.Version, t.Name, o.Name)
--- a/internal/cluster/configuration/history.go
+++ b/internal/cluster/configuration/history.go
@@ -33,7 +33,7 @@
 
 // lookupHistory returns the digest of a superseded version if the history has it. If not, isNew reports whether the
 // version has never arrived, because otherwise the history would still have it. A version that is neither found nor new
-// is too old, and nothing is known about it.
+// is older than all that the history keeps, so it may have arrived or not.
 func (i Item) lookupHistory(version uint64) (digest uint64, found, isNew bool) {
 	if i.History == nil || mutants.On("configuration/forgets-past") {
 		return 0, false, !mutants.On("configuration/forgets-past")
--- a/internal/cluster/configuration/item.go
+++ b/internal/cluster/configuration/item.go
@@ -89,9 +89,9 @@
 	// Body is the JSON object as the operator sent it, without insignificant space. A deleted item has none. It is
 	// never modified in place.
 	Body []byte `cbor:"4,keyasint,omitempty"`
-	// Epoch is the epoch of the change in which this version was chosen; 0: it is not chosen yet.
+	// Epoch is the epoch of the change in which this version was chosen; 0 means not chosen yet.
 	Epoch uint64 `cbor:"5,keyasint,omitempty"`
-	// History lists the versions that this one superseded; nil: none, or the item is not merged yet.
+	// History lists the versions that this one superseded; nil means none, or that the item is not merged yet.
 	History *History `cbor:"6,keyasint,omitempty"`
 }
 
--- a/internal/cluster/configuration/patch.go
+++ b/internal/cluster/configuration/patch.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// MaxItems is the largest number of items in one call.
+// MaxItems is the largest number of items in a call.
 const MaxItems = 4 << 20
 
 // versionDigits is the length of a generation, which is a version in hexadecimal digits.
@@ -39,7 +39,7 @@
 	return p.items, nil
 }
 
-// patchReader reads the items of one call.
+// patchReader reads the items of a call.
 type patchReader struct {
 	jsonReader
 	items []Item
--- a/internal/cluster/configuration/render.go
+++ b/internal/cluster/configuration/render.go
@@ -33,7 +33,7 @@
 	return append(out, '}')
 }
 
-// renderSection appends the items of one kind.
+// renderSection appends the section with the items of a kind, sorted by name.
 func renderSection(out []byte, kind Kind, entries []*entry) []byte {
 	slices.SortFunc(entries, func(a, b *entry) int { return strings.Compare(a.Key.Name, b.Key.Name) })
 	out = append(appendQuoted(out, kind.String()), ":{"...)
--- a/internal/cluster/configuration/routing_table.go
+++ b/internal/cluster/configuration/routing_table.go
@@ -19,7 +19,7 @@
 func NewRoutingTable() *RoutingTable { return new(RoutingTable) }
 
 // With returns the table of a snapshot that differs from this table's snapshot in the given items. The cost grows with
-// their number. Items that have not changed do no harm, and an item that cannot be parsed has no effect.
+// their number. They may include items that have not changed. An item that cannot be parsed counts as deleted.
 func (rt *RoutingTable) With(snapshot *Snapshot, changed []Item) *RoutingTable {
 	next, e := *rt, new(edit)
 	next.snapshot = snapshot
@@ -101,8 +101,7 @@
 }
 
 // Tenant returns the tenant that has an API key, or nil if there is none or the key is empty. If several tenants claim
-// the key, the one with the highest epoch has it, then the one with the highest version, then the one whose name sorts
-// first.
+// the key, the tenant with the highest epoch has it, then the highest version, then the name that sorts first.
 func (rt *RoutingTable) Tenant(key string) *Tenant {
 	if c, _ := rt.keys.get(stringKey(key)); c != nil && key != "" {
 		return c.entity
--- a/internal/cluster/configuration/snapshot.go
+++ b/internal/cluster/configuration/snapshot.go
@@ -94,9 +94,9 @@
 
 // Merge returns the snapshot with the items merged, and those of them that changed it. For each key the highest version
 // wins; an equal or lower one has no effect. Items may come in any order, and intermediate snapshots may be invalid as
-// a whole: the final result is the same. If several routes match the same requests, the one with the highest epoch is
-// in force, then the one with the highest version, then the one whose name sorts first. An item that cannot be parsed
-// is kept and passed on, but is never in force.
+// a whole: the final result is the same. If several routes match the same requests, the route with the highest epoch is
+// in force, then the highest version, then the name that sorts first. An item that cannot be parsed is kept and passed
+// on, but is never in force.
 func (s *Snapshot) Merge(items []Item) (next *Snapshot, changed []Item) { return s.merge(items, nil) }
 
 // merge implements Merge. entries are the parsed items if they come from an operator, and nil otherwise. With entries,
--- a/internal/cluster/configuration/snapshot_test.go
+++ b/internal/cluster/configuration/snapshot_test.go
@@ -409,7 +409,8 @@
 	}
 }
 
-// manyItems returns a configuration of one service, a number of tenants, and as many routes up to a limit.
+// manyItems returns a configuration with a service, the given number of tenants, and as many routes, but at most
+// maxRoutes.
 func manyItems(tenants int) []Item {
 	const maxRoutes, routesPerHost = 45_000, 9
 	items := []Item{{Key: Key{Services, "s"}, Version: 1, Body: []byte(`{"maxConns":9}`)}}
--- a/internal/cluster/consensus/action.go
+++ b/internal/cluster/consensus/action.go
@@ -1,6 +1,6 @@
 package consensus
 
-// ActionKind is what a proposer asks its caller to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // The kinds of actions. The comment on each names the methods with which the caller reports the result; the proposer
--- a/internal/cluster/consensus/electorate.go
+++ b/internal/cluster/consensus/electorate.go
@@ -7,7 +7,7 @@
 // voter that lost its promises can't vote a second time.
 type Voter struct {
 	Addr string `cbor:"1,keyasint"`           // host:port
-	Disk uint64 `cbor:"2,keyasint,omitempty"` // see Acceptor.Disk; 0: the disk of the first start
+	Disk uint64 `cbor:"2,keyasint,omitempty"` // see Acceptor.Disk; 0 means the disk of the first start
 }
 
 // Electorate is the set of voters whose majority chooses the change to the next epoch.
@@ -18,7 +18,7 @@
 // request. Each epoch is a separate Paxos instance, and its voters are fixed by the epochs before it. Two electorates
 // never choose for the same epoch, so the majorities of subsequent electorates need not intersect.
 type Electorate struct {
-	Since  uint64  `cbor:"1,keyasint,omitempty"` // epoch of the change that set it; 0: the first start
+	Since  uint64  `cbor:"1,keyasint,omitempty"` // epoch of the change that set it; 0 means the first start
 	Voters []Voter `cbor:"2,keyasint,omitempty"` // never changed in place
 }
 
--- a/internal/cluster/consensus/messages.go
+++ b/internal/cluster/consensus/messages.go
@@ -26,7 +26,7 @@
 	Ballot Ballot               `cbor:"1,keyasint"`
 	Epoch  uint64               `cbor:"2,keyasint"` // epoch of the snapshot that the change produces
 	Items  []configuration.Item `cbor:"3,keyasint,omitempty"`
-	Voters []Voter              `cbor:"4,keyasint,omitempty"` // the electorate from this epoch on; nil: unchanged
+	Voters []Voter              `cbor:"4,keyasint,omitempty"` // the electorate from this epoch on; nil means unchanged
 }
 
 // newerThan reports whether a pending proposal takes precedence over another one. The epoch is compared first, then the
--- a/internal/cluster/consensus/proposer.go
+++ b/internal/cluster/consensus/proposer.go
@@ -7,7 +7,7 @@
 	"mulleinrouter/internal/mutants"
 )
 
-// Proposer proposes the changes of one node, one after the other. Its caller performs the actions that it returns and
+// Proposer proposes the changes of a node, one at a time. Its caller performs the actions that it returns and
 // reports their results; the methods that take an attempt ignore results of earlier actions.
 //
 // A run consists of rounds. In a round the proposer requests promises of its ballot from the voters. With a majority of
@@ -130,8 +130,8 @@
 	return p.emit(Action{Kind: Compose, Confirmed: p.confirmed})
 }
 
-// rebase sets the base to build on, and reports whether it has another electorate. In that case the ballot is no longer
-// prepared, because promises of one electorate are not valid for the next.
+// rebase sets the base to build on, and reports whether its electorate differs from that of the previous base. If so,
+// the ballot must be prepared again, because the promises of an electorate are not valid for the next.
 func (p *Proposer) rebase(b Base) (electorateChanged bool) {
 	electorateChanged = !b.Electorate.Equal(p.base.Electorate)
 	if mutants.On("consensus/out-votes") && p.base.Electorate.Known() {
@@ -153,7 +153,7 @@
 	return p.emit(Action{Kind: Accept, To: p.base.Electorate.Addresses(), Proposal: *p.inFlight})
 }
 
-// emit numbers an action and records it as the one whose result the proposer waits for.
+// emit numbers an action and records that the proposer waits for its result.
 func (p *Proposer) emit(a Action) Action {
 	p.attempt++
 	a.Attempt, p.action = p.attempt, a.Kind
--- a/internal/cluster/consensus/random_walk_test.go
+++ b/internal/cluster/consensus/random_walk_test.go
@@ -14,7 +14,7 @@
 	return 10000
 }
 
-// randomWalk runs the simulation of one seed with a fault, or without one if fault is empty. It returns the first
+// randomWalk runs the simulation for a seed with a fault, or without faults if fault is empty. It returns the first
 // violation and the number of chosen changes.
 func randomWalk(seed uint64, fault string) (wrong string, chosen int) {
 	s := newSimulation(seed, fault)
--- a/internal/cluster/consensus/round.go
+++ b/internal/cluster/consensus/round.go
@@ -17,13 +17,13 @@
 	maxBackoffsCounted      = 10 // consecutive failures that are counted, here and for the backoff
 )
 
-// round holds the results of one round of a proposer.
+// round holds the results of a round of a proposer.
 type round struct {
 	query ActionKind // the request of this round, Prepare or Read
 	// newestEpoch is the highest chosen epoch that any node reported, whether or not its vote counts.
 	newestEpoch  uint64
 	newestSource string // address of the node that reported newestEpoch
-	noMajority   bool   // so many voters rejected that no majority is left
+	noMajority   bool   // the round failed: the other voters are too few for a majority, or it timed out
 	// pending is the accepted proposal of the highest epoch, then the highest ballot, among the votes that count.
 	pending *Proposal
 }
@@ -161,8 +161,8 @@
 	}
 	chosen := *p.inFlight
 	p.inFlight = nil
-	// No other change was chosen on the snapshot that this one builds on, so nothing newer was acknowledged before this
-	// run.
+	// No other change was chosen on the snapshot that this change builds on, so nothing newer was acknowledged before
+	// this run.
 	p.confirmed = true
 	p.needsSeal = chosen.Voters != nil
 	return p.emit(Action{Kind: Apply, Proposal: chosen})
--- a/internal/cluster/consensus/simulation_network_test.go
+++ b/internal/cluster/consensus/simulation_network_test.go
@@ -120,7 +120,7 @@
 	s.perform(i, n.proposer.Composed(a.Attempt, n.Base(), proposed, voters))
 }
 
-// apply applies a proposal that a node considers chosen, and checks that no other one was chosen for its epoch.
+// apply applies a proposal that a node considers chosen, and checks that no other proposal was chosen for its epoch.
 func (s *simulation) apply(i int, p Proposal) {
 	n, text := s.nodes[i], fmt.Sprint(p.Items, p.Voters)
 	if old, ok := s.chosen[p.Epoch]; ok && old != text {
--- a/internal/cluster/consensus/simulation_test.go
+++ b/internal/cluster/consensus/simulation_test.go
@@ -69,7 +69,7 @@
 	items        items
 	rejected     bool
 	acknowledged bool
-	node         int // node that has the call; -1: the operator doesn't know its outcome; -2: it was answered
+	node         int // node that has the call; -1 means that its outcome is unknown to the operator, -2 answered
 }
 
 // node is a control node, with its process.
@@ -78,7 +78,7 @@
 	synced             diskState // on disk
 	removed            bool      // failed permanently, with its disk
 	wantedChange       *electorateChange
-	electorateEpoch    uint64 // epoch of the change of the electorate in this run; 0: none
+	electorateEpoch    uint64 // epoch of the change of the electorate in this run; 0 means none
 	unsyncedReplies    []message
 	name               string
 	proposer           *Proposer
@@ -93,7 +93,7 @@
 // message is a request or a reply. Its kind is given by the field that is set.
 type message struct {
 	from, to, attempt int
-	incarnation       string // incarnation of the requesting process, the only one that accepts the reply
+	incarnation       string // incarnation of the requesting process; only that process accepts the reply
 	prepare, read     *Ballot
 	promise           *Promise
 	accept            *Proposal
@@ -119,7 +119,7 @@
 	fault          string
 	lossRate       int // restarts and disk losses per thousand steps
 	electorateRate int // changes of the electorate per thousand steps
-	partitioned    int // node that can neither send nor receive; negative: none
+	partitioned    int // node that can neither send nor receive; negative means none
 	violation      string
 }
 
@@ -243,7 +243,8 @@
 	}
 }
 
-// diskLost reports whether a voter's disk is lost. The disk of the node with the index also counts as lost; -1: none.
+// diskLost reports whether a voter's disk is lost. also is the index of a node whose disk counts as lost too; -1
+// means none.
 func (s *simulation) diskLost(v Voter, also int) bool {
 	k := slices.Index(s.names, v.Addr)
 	n := s.nodes[k]
@@ -351,7 +352,7 @@
 	return e.ReplaceVoter(out, in)
 }
 
-// submit sends a node an operator's call: a new one, or again one whose outcome the operator doesn't know.
+// submit sends an operator's call to a node: a new call, or a retry of a call whose outcome the operator doesn't know.
 func (s *simulation) submit(i int) {
 	for _, c := range s.calls {
 		if c.node == -1 && s.rnd.IntN(2) == 0 {
