--- a/internal/cluster/quota/counter.go
+++ b/internal/cluster/quota/counter.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// counter is the counter of one name. It is linked into the list of its CounterTable, which is ordered by last use.
+// counter is a counter of a CounterTable, identified by its name. It is linked into the table's list, which is ordered
+// by last use.
 type counter struct {
 	name         string
 	newer, older *counter
@@ -28,13 +29,13 @@
 	validTo float64 // end of the time for which this holds, in seconds
 }
 
-// reporter holds the reports of one reporter for its newest cycle and for the one before.
+// reporter holds the reports of a reporter for the two newest cycles that it reported.
 type reporter struct {
 	reportedAt            float64 // time of the last report for the newest cycle, in seconds
 	cycle, earlierCycle   int64
 	amount, earlierAmount float64  // requests
 	hasEarlier            bool     // earlierCycle and earlierAmount are set
-	serials               *serials // serials of PerRequest reports; nil: none received
+	serials               *serials // serials of PerRequest reports; nil means none received
 }
 
 // add applies a report, and corrects the cached total by the difference.
--- a/internal/cluster/quota/counter_table.go
+++ b/internal/cluster/quota/counter_table.go
@@ -7,26 +7,27 @@
 
 // Times, in seconds, and limits.
 const (
-	// HandoverFence is the time for which a node must have owned a counter before it answers for it. By then the
+	// HandoverFence is the time for which a node must have owned a counter before it answers with the sum. By then the
 	// previous owner has stopped answering, and all reporters have reported to the new one.
 	HandoverFence = 2.0
 	// LateReportRetention is the time for which a late reporter counts with its last report.
 	LateReportRetention = 3.0
 	// MaxRetention is the longest time for which a counter is kept after its last use, whatever a report requests.
 	MaxRetention = 600.0
-	// MaxNames bounds the counters of one node. A new counter replaces the least recently used one.
+	// MaxNames bounds the counters of a node. Beyond it, a new counter replaces the least recently used one.
 	MaxNames = 1 << 17
-	// MaxReporters bounds the reporters of one counter. A new reporter replaces the one with the oldest last report.
+	// MaxReporters bounds the reporters of a counter. Beyond it, a new reporter replaces the reporter with the oldest
+	// last report.
 	MaxReporters = 8192
 )
 
 const (
 	maxNameLength  = 1024 // bytes
-	maxViews       = 32   // views that are kept; beyond them all answers are suspended
+	maxViews       = 32   // views that are kept; if there are more, all answers are suspended (see SetMembers)
 	expiredPerCall = 4    // largest number of counters that one call of Add removes, which bounds the time of the call
 )
 
-// CounterTable holds the counters of one control node. The times passed to its methods must not decrease. Calls must be
+// CounterTable holds the counters of a control node. The times passed to its methods must not decrease. Calls must be
 // serialized.
 type CounterTable struct {
 	views    []view // views in effect during the last HandoverFence, the current one last
@@ -38,15 +39,15 @@
 // view is the membership over which the counters are distributed from a point in time on.
 type view struct {
 	from float64  // time in seconds
-	live []string // sorted; empty: no counter is answered
+	live []string // sorted; empty means no counter is answered
 	self string
 }
 
 // NewCounterTable returns a table that answers for no counter yet.
 func NewCounterTable() *CounterTable { return &CounterTable{counters: map[string]*counter{}} }
 
-// SetMembers sets the control nodes over which the counters are distributed from now on. live are the live ones,
-// including self, the name of this node, and quorum says whether they are a majority. It may be called at any rate; a
+// SetMembers sets the control nodes over which the counters are distributed from now on. live are the live nodes,
+// including this one, whose name is self, and quorum says whether they are a majority. It may be called at any rate; a
 // call that changes nothing has no effect.
 func (ct *CounterTable) SetMembers(now float64, live []string, self string, quorum bool) {
 	next := view{from: now, self: self}
@@ -92,10 +93,11 @@
 // An owner accepts reports as soon as it owns the counter, so that it has all of them once its ownership is confirmed;
 // until then it answers without OK. Each reporter counts with its report for the cycle or, if it has not reported yet,
 // with its last report if that is younger than LateReportRetention. PerRequest reports count for their own cycle alone.
-// The serials of one reporter must rise, and far fewer than serialWindow of them may be in flight at once; a restarted
-// process reports under another name or continues above its last serial. A counter is kept for Retention after its last
-// use, and at least for LateReportRetention. Cycles must not be longer than HandoverFence, because otherwise a new
-// owner would answer before all reporters have reported to it.
+// The serials of a reporter must rise, and far fewer than serialWindow of them may be in flight at once; a restarted
+// process reports under another name or continues above its last serial. After its last use, a counter is kept for the
+// longest Retention that a report requested, at least for LateReportRetention and at most for MaxRetention. Cycles
+// must not be longer than HandoverFence, because otherwise a new owner would answer before all reporters have reported
+// to it.
 func (ct *CounterTable) Add(now float64, report *Report) Total {
 	ct.expire(now)
 	owned, confirmed := ct.owns(now, report.Name)
@@ -144,7 +146,8 @@
 	return c
 }
 
-// expire removes counters that have not been used for their retention, at most expiredPerCall in one call.
+// expire removes counters that have not been used for their retention, at most expiredPerCall in a call. It starts with
+// the least recently used counter and stops at a counter whose retention has not passed.
 func (ct *CounterTable) expire(now float64) {
 	for range expiredPerCall {
 		c := ct.oldest
--- a/internal/cluster/quota/owner.go
+++ b/internal/cluster/quota/owner.go
@@ -10,9 +10,9 @@
 	hashSeparator = "\x00" // separates the counter's name from the node's
 )
 
-// Owner returns the live node that owns a counter: the one whose hash with the counter's name is highest (rendezvous
-// hashing). All callers that see the same nodes get the same result. When a node leaves, only its counters move. The
-// result is empty if no node is live.
+// Owner returns the live node that owns a counter: the node whose name, hashed with the counter's name, gives the
+// highest hash (rendezvous hashing). All callers that see the same nodes get the same result. When a node leaves, only
+// its counters move. The result is empty if no node is live.
 func Owner(name string, live []string) (owner string) {
 	best := uint64(0)
 	for _, node := range live {
--- a/internal/cluster/quota/serials.go
+++ b/internal/cluster/quota/serials.go
@@ -3,8 +3,8 @@
 // serialBlocks is the number of remembered blocks of 64 serials each.
 const serialBlocks = 8
 
-// serialWindow is the number of the latest serials that are remembered. A new report that arrives after as many later
-// ones counts as repeated and is lost.
+// serialWindow is the number of the latest serials that are remembered. A new report whose serial is this much or more
+// below the highest received one counts as repeated, and its amount is lost.
 const serialWindow = serialBlocks * 64
 
 // serials records which serials of a reporter have been received: a ring of bits, one for each serial of the window
--- a/internal/cluster/registry/instance.go
+++ b/internal/cluster/registry/instance.go
@@ -47,7 +47,7 @@
 	Capacity       int     `cbor:"6,keyasint,omitempty"` // concurrent requests
 	Phase          Phase   `cbor:"7,keyasint,omitempty"`
 	Seq            uint64  `cbor:"8,keyasint,omitempty"` // number of the server's call that reported this
-	SlowStartUntil Seconds `cbor:"9,keyasint,omitempty"` // end of its slow start, on the common clock; 0: none
+	SlowStartUntil Seconds `cbor:"9,keyasint,omitempty"` // end of its slow start, on the common clock; 0 means none
 }
 
 // Supersedes reports whether an instance replaces another version with the same ID. Gone always does; otherwise the
--- a/internal/cluster/registry/queue.go
+++ b/internal/cluster/registry/queue.go
@@ -5,7 +5,7 @@
 	instance                   Instance
 	lastSeenAt                 Seconds // time of the last heartbeat or change of phase
 	overdue                    bool    // counted in Registry.overdue
-	heartbeatNumber            uint64  // number of the last heartbeat received by this node; 0: none
+	heartbeatNumber            uint64  // number of the last heartbeat received by this node; 0 means none
 	phaseLinks, heartbeatLinks links
 }
 
--- a/internal/cluster/registry/registry.go
+++ b/internal/cluster/registry/registry.go
@@ -1,6 +1,6 @@
 package registry
 
-// Limits of a Registry. A value in heartbeats is a multiple of the interval between two calls of one server.
+// Limits of a Registry. The unit "heartbeats" is the interval between two calls of a server.
 const (
 	// TimeoutHeartbeats is the time without a call after which an instance is silent, in heartbeats.
 	TimeoutHeartbeats = 3.5
@@ -16,11 +16,11 @@
 	// SilentRetention is the time for which a silent instance is kept, in seconds, because it may be partitioned and
 	// call again.
 	SilentRetention Seconds = 600
-	// DrainRetention is the time in seconds, after its timeout, for which a draining instance without calls does not
-	// count as gone.
+	// DrainRetention is the additional time, in seconds, after the timeout of a draining instance until it counts as
+	// gone.
 	DrainRetention Seconds = 60
-	// MaxInstances bounds the instances of one registry. When it is reached, a new instance replaces the oldest gone
-	// one or, if there is none, the oldest silent, draining or serving one.
+	// MaxInstances bounds the instances of a registry. When it is reached, a new instance replaces the oldest gone
+	// instance or, if there is none, the oldest silent, draining or serving one, in this order.
 	MaxInstances = 1 << 19
 )
 
@@ -40,7 +40,7 @@
 
 	overdue         int     // number of serving instances that have timed out; they are first in their queue
 	firstNotOverdue *entry  // the first serving instance that is not overdue
-	massTimeout     bool    // more than half timed out together: none becomes silent
+	massTimeout     bool    // in a mass timeout, in which no instance becomes silent (DetectSilent)
 	callsResumed    bool    // a call has arrived since the mass timeout began
 	callsResumedAt  Seconds // time of that call
 }
@@ -70,7 +70,7 @@
 }
 
 // RecordHeartbeat records a call of a server. merged is the resulting instance, which for a late or repeated call may
-// differ from that of the call, and changed reports whether other processes must be sent it. An invalid instance
+// differ from that of the call, and changed reports whether it must be sent to other processes. An invalid instance
 // changes nothing.
 func (r *Registry) RecordHeartbeat(now Seconds, instance Instance) (merged Instance, changed bool) {
 	if !instance.Valid() {
