--- a/internal/cluster/replication/changes.go
+++ b/internal/cluster/replication/changes.go
@@ -10,13 +10,13 @@
 // entryOverhead is the approximate size of an entry in a frame without its strings and its body, in bytes.
 const entryOverhead = 32
 
-// Changes is what changed in a Store after a sequence number. Each entry is included once, as it is now, in order of
-// its last change.
+// Changes has the entries of a Store that changed after a sequence number. Each entry is included once, with its
+// present content, in order of its last change.
 type Changes struct {
 	Items     []configuration.Item
 	Instances []registry.Instance
 	Seq       uint64 // sequence number for the next call
-	Complete  bool   // there are no changes after Seq
+	Complete  bool   // no changes are left after Seq
 }
 
 // ChangesSince returns what changed after a sequence number, up to about maxBytes. If anything changed, it returns at
--- a/internal/cluster/replication/chunk_cache.go
+++ b/internal/cluster/replication/chunk_cache.go
@@ -11,7 +11,7 @@
 	chunkBytes       = 64 << 10    // approximate size of an update, bytes
 	smallChangeBytes = 4 << 10     // changes up to this size are sent with the next update instead of a chunk, bytes
 	chunkLifetime    = time.Second // time for which a chunk is shared with other subscribers
-	chunkCacheBytes  = 512 << 10   // total size of the cached chunks, bytes
+	chunkCacheBytes  = 512 << 10   // bound on the total size of the cached chunks, bytes
 )
 
 // chunkCache contains the encoded chunks of the snapshot that are sent to new subscribers. After a power failure
@@ -22,7 +22,7 @@
 type chunkCache struct {
 	mu     sync.Mutex       // guards the fields below
 	chunks map[uint64]chunk // by the sequence number after which they begin
-	bytes  int              // total size of the chunks
+	bytes  int              // total size of the chunks added since the map was last replaced, overwritten ones included
 }
 
 // chunk is an encoded update with the changes up to a sequence number.
--- a/internal/cluster/replication/client.go
+++ b/internal/cluster/replication/client.go
@@ -35,13 +35,13 @@
 	Seed        uint64 // seed of the jitter of the backoff
 	Store       *Store
 	Clock       *Clock
-	MaxFrame    int // longest accepted frame, bytes; 0: transport.MaxFrame
+	MaxFrame    int // longest accepted frame, bytes; 0 means transport.MaxFrame
 
-	// Ready is sent with each renewal; nil: not ready.
+	// Ready is sent with each renewal; nil means not ready.
 	Ready func() bool
-	// Handle answers calls of the source (see transport.Conn.Run); nil: calls are ignored.
+	// Handle answers calls of the source (see transport.Conn.Run); nil means that calls are ignored.
 	Handle func(*transport.Frame) *transport.Frame
-	// Consume handles an update instead of merging it into the Store; nil: merge.
+	// Consume handles an update instead of merging it into the Store; nil means that updates are merged.
 	Consume func(*transport.Update)
 	// OnUpdate is called after each update. Unless Consume is set, the update then has only the entries that were new
 	// to the Store. It may be nil.
@@ -50,11 +50,12 @@
 	// cause when such a connection has ended. It may be nil.
 	OnConnection func(up bool, err error)
 	// InitialSync orders the clients that share an empty Store: one receives the snapshot before the others subscribe.
-	// Nil: each client receives the complete snapshot.
+	// Nil means that each client receives the complete snapshot.
 	InitialSync *InitialSync
-	// RepairSource enables repair: a source that began a new incarnation is sent the instances that it has lost.
+	// RepairSource enables repair: the instances that a source may have lost are sent to it if it began a new
+	// incarnation, or sent no update for repairAfterAbsence.
 	RepairSource bool
-	// Dial opens a connection; nil: TCP to Addr.
+	// Dial opens a connection; nil means TCP to Addr.
 	Dial func(context.Context) (net.Conn, error)
 
 	mu            sync.Mutex // guards the fields below
@@ -63,9 +64,9 @@
 	cancelBackoff context.CancelFunc // cancels the present dial or backoff
 }
 
-// State is what is known about a source.
+// State is the known state of a source.
 type State struct {
-	Incarnation  uint64 // 0: the source never sent an update
+	Incarnation  uint64 // 0 means that the source never sent an update
 	Seq          uint64 // all changes of the source up to this one are in the Store
 	Members      int
 	Ready        bool
@@ -73,7 +74,7 @@
 	Complete     bool // as of the last update, the Store has everything of the source's present incarnation
 	Epoch        uint64
 	Rank         int       // rank of this process's ingress in its zone
-	ZonePeers    int       // number of ranked ingresses in the zone; 0: no rank
+	ZonePeers    int       // number of ranked ingresses in the zone; 0 means no rank
 	Voters       []string  // the electorate, as last sent
 	LastUpdateAt time.Time // sending time of the last update, computed by the common clock; only for differences
 }
@@ -83,7 +84,7 @@
 	return s.Incarnation != 0 && time.Since(s.LastUpdateAt) <= span
 }
 
-// State returns what is known about the source. The state is kept when the connection ends; see State.UpdatedWithin.
+// State returns the known state of the source. It is kept when the connection ends; see State.UpdatedWithin.
 func (c *Client) State() State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/replication/clock.go
+++ b/internal/cluster/replication/clock.go
@@ -7,9 +7,11 @@
 )
 
 const (
-	maxSkew      = 0.005 // a clock is set only if it is behind another by more than this, seconds
-	maxStep      = 3600  // the most by which a clock is set ahead at once, except for the first time, seconds
-	maxClockTime = 1e12  // received times above this are ignored as invalid, seconds
+	maxSkew = 0.005 // a clock is set only if it is behind another by more than this, seconds
+	// maxStep is the most by which a clock is set ahead at once, except for the first time, and the highest result of
+	// Age, in seconds.
+	maxStep      = 3600
+	maxClockTime = 1e12 // received times above this are ignored as invalid, seconds
 )
 
 // Clock is the common clock of the control nodes, in seconds: the highest time that any of them has seen. It never goes
--- a/internal/cluster/replication/dial.go
+++ b/internal/cluster/replication/dial.go
@@ -20,7 +20,7 @@
 // dialFunc opens a connection.
 type dialFunc func(context.Context) (net.Conn, error)
 
-// dialResult is the result of one attempt to connect.
+// dialResult is the result of an attempt to connect.
 type dialResult struct {
 	conn net.Conn
 	err  error
@@ -45,7 +45,7 @@
 		case results <- dialResult{conn, err}:
 		case <-attempts.Done():
 			if err == nil {
-				conn.Close() // another one was established before
+				conn.Close() // another connection was established first, or the context has ended
 			}
 		}
 	}
--- a/internal/cluster/replication/digests.go
+++ b/internal/cluster/replication/digests.go
@@ -29,7 +29,7 @@
 	return m != nil && seq <= m.upTo && m.bits[bucket/8]&(1<<(bucket%8)) != 0
 }
 
-// Bits returns the matching buckets as a bit set for the other store; nil: none.
+// Bits returns the matching buckets as a bit set for the other store; nil means none.
 func (m *MatchingBuckets) Bits() []byte {
 	if m == nil {
 		return nil
--- a/internal/cluster/replication/digests_test.go
+++ b/internal/cluster/replication/digests_test.go
@@ -39,8 +39,8 @@
 	return all
 }
 
-// TestDigests compares the digests of two stores. Exactly the buckets with the same entries must match, and a
-// subscriber that is not sent the matching buckets must end with the same entries as one that is sent everything.
+// TestDigests compares the digests of two stores. Exactly the buckets with the same entries must match. A subscriber to
+// which the matching buckets are not sent must end with the same entries as a subscriber to which everything is sent.
 func TestDigests(t *testing.T) {
 	for seed := range uint64(60) {
 		is := is.New(t)
@@ -52,7 +52,7 @@
 				s.MergeInstances(instances)
 			}
 		}
-		divergence := random.IntN(40) // changes of one store only, per thousand changes
+		divergence := random.IntN(40) // changes made in only one of the stores, per thousand changes
 		change := func(stores ...*Store) {
 			n := random.IntN(900)
 			if n < 300 {
@@ -122,7 +122,7 @@
 	is.Equal(NewStore(1).Match([]byte{1}), nil)
 }
 
-// sourceSet is three sources of one agent, with different latencies.
+// sourceSet is the three sources of an agent, with different latencies.
 type sourceSet struct {
 	all         [3]*fakeSource
 	latency     [3]time.Duration
--- a/internal/cluster/replication/feed.go
+++ b/internal/cluster/replication/feed.go
@@ -8,21 +8,26 @@
 )
 
 const (
-	batchDelay             = 2 * time.Millisecond   // least time between two updates, to batch close changes
-	heartbeatBatchInterval = 400 * time.Millisecond // least time between two updates with heartbeats
-	maxHeartbeats          = 2048                   // most heartbeats in one update
+	// batchDelay is the least time from a complete update to the next one, so that changes that are close in time are
+	// sent in one update.
+	batchDelay = 2 * time.Millisecond
+	// heartbeatBatchInterval is the least time between two batches of heartbeats. A batch is sent in one update or, if
+	// it has maxHeartbeats or more, in several updates without a delay.
+	heartbeatBatchInterval = 400 * time.Millisecond
+	// maxHeartbeats is the most heartbeats that Source.Heartbeats returns at a time. After that many, more may be left.
+	maxHeartbeats = 2048
 )
 
-// feed is the sending side of one subscription. It records what the subscriber has been sent so far.
+// feed is the sending side of a subscription. It records what has been sent to the subscriber so far.
 type feed struct {
 	source *Source
 	conn   *transport.Conn
 	hello  *transport.Hello
 
-	initial      bool             // the subscriber has no entries yet, and is sent shared chunks first
+	initial      bool             // the Hello names no entries by Seq or digests, so shared chunks are sent first
 	seq          uint64           // changes up to this sequence number were sent
 	matching     *MatchingBuckets // entries that the subscriber had when it subscribed
-	matchingBits []byte           // bits of matching to be sent with the next update; nil: they were sent
+	matchingBits []byte           // bits of matching to be sent with the next update; nil means already sent
 	voters       []string         // the electorate as last sent
 
 	sendsHeartbeats  bool
--- a/internal/cluster/replication/heartbeat_resume.go
+++ b/internal/cluster/replication/heartbeat_resume.go
@@ -12,10 +12,10 @@
 	// heartbeatResumeTime is how long after the end of a connection a new subscription of the same node can resume the
 	// heartbeats, with those that were not sent yet. Later, they are out of date.
 	heartbeatResumeTime = transport.IdleTimeout
-	maxHeartbeatResumes = 64 // recorded subscribers
+	maxHeartbeatResumes = 64 // recorded subscribers; a further one replaces all of them
 )
 
-// heartbeatResumes records up to which number control nodes had been sent heartbeats when their subscriptions ended.
+// heartbeatResumes records up to which number heartbeats were sent to control nodes when their subscriptions ended.
 // Heartbeats are sent in batches. Without the record, a subscriber whose connection is reset more often than a batch is
 // sent would receive no heartbeats, and would consider servers silent that call another node. The zero value is empty.
 type heartbeatResumes struct {
@@ -29,7 +29,7 @@
 	endedAt time.Time
 }
 
-// resumeHeartbeats returns the number after which a new subscription of a node is sent heartbeats. If the previous
+// resumeHeartbeats returns the number after which heartbeats are sent to a new subscription of a node. If the previous
 // subscription has just ended, it continues from there. Otherwise it starts with the heartbeats received from now on.
 func (s *Source) resumeHeartbeats(node string) (number uint64) {
 	s.resumes.mu.Lock()
--- a/internal/cluster/replication/initial_sync.go
+++ b/internal/cluster/replication/initial_sync.go
@@ -16,19 +16,19 @@
 	initialSyncMaxWait = 1500 * time.Millisecond
 )
 
-// InitialSync orders several clients of one store that is still empty. The first client to connect, normally that of
-// the nearest source, receives the snapshot before the others subscribe. These then receive only the differences
-// (Store.Digests). The zero value is ready for use by the clients of one store.
+// InitialSync orders the clients that fill the same empty store from several sources. The first client to connect,
+// normally that of the nearest source, receives the snapshot before the others subscribe. The others then receive only
+// the differences (Store.Digests). The zero value is ready for use by the clients of a store.
 type InitialSync struct {
 	mu        sync.Mutex    // guards the fields below
-	first     *session      // the session that receives the snapshot; nil: none
+	first     *session      // the session that receives the snapshot; nil means none
 	updatedAt time.Time     // time of the last update from the source of first
-	released  chan struct{} // closed when first has the snapshot, or has ended
+	released  chan struct{} // closed when first has the snapshot, has ended, or is replaced
 	complete  bool          // a session has the snapshot
 }
 
 // await returns when a session may subscribe. If the source of the first session sends no updates for initialSyncIdle,
-// the next session replaces it.
+// the next session replaces it. No session waits for longer than initialSyncMaxWait.
 func (is *InitialSync) await(ctx context.Context, s *session) {
 	for began := time.Now(); ; {
 		is.mu.Lock()
@@ -82,8 +82,8 @@
 	}
 }
 
-// release wakes the waiting sessions: they subscribe or, if there is no snapshot yet, one of them becomes the first.
-// The mutex must be held.
+// release wakes the waiting sessions. They subscribe or, if none has received the snapshot yet, one of them becomes the
+// first. The mutex must be held.
 func (is *InitialSync) release() {
 	is.first = nil
 	close(is.released)
--- a/internal/cluster/replication/repair.go
+++ b/internal/cluster/replication/repair.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// repairDelay is the time from the first complete update of a new incarnation of a source until the source is sent
-	// the instances that it still does not have. A server calls twice in this time, so the source already has those
-	// that call it.
+	// repairDelay is the time from the first complete update after the start of a repair until the instances that
+	// the source still does not have are sent to it. A server calls twice in this time, so the source already has the
+	// instances whose servers call it.
 	repairDelay = 3 * time.Second
 	// repairAfterAbsence is the time without an update after which a source may have dropped instances that changed.
 	repairAfterAbsence = time.Minute
@@ -18,11 +18,11 @@
 	repairBatch        = 256  // instances in one frame
 )
 
-// sourceRepair records which instances a source is known to have since its new incarnation began. The zero value is not
+// sourceRepair records which instances a source is known to have since the start of its repair. The zero value is not
 // active.
 type sourceRepair struct {
-	known      map[string]struct{} // by instance ID; nil: no repair is pending
-	completeAt time.Time           // time of the source's first complete update; zero: none yet
+	known      map[string]struct{} // by instance ID; nil means no repair is pending
+	completeAt time.Time           // time of the source's first complete update since start; zero means none yet
 }
 
 // start begins a new repair.
@@ -61,7 +61,7 @@
 }
 
 // missing returns the live instances that the source is not known to have, at most maxRepairInstances of them. It
-// begins at an offset, so that several subscribers send different instances if very many are missing.
+// starts at an offset into all, so that several subscribers send different instances if more than that are missing.
 func (sr *sourceRepair) missing(all []registry.Instance, offset uint64) []registry.Instance {
 	var missing []registry.Instance
 	for i := range all {
--- a/internal/cluster/replication/replication_test.go
+++ b/internal/cluster/replication/replication_test.go
@@ -334,7 +334,7 @@
 	is.Equal(len(s.MergeInstances([]registry.Instance{{ID: "i", Seq: 7, Phase: registry.Silent}})), 0)
 	is.Equal(s.ChangesSince(seq, 1<<20).Instances, []registry.Instance{{ID: "i", Seq: 9}})
 	seq = s.ChangesSince(0, 1<<20).Seq
-	// If neither instance supersedes the other, they must not be sent back and forth for ever.
+	// If neither instance supersedes the other, they must not be sent back and forth endlessly.
 	s.MergeInstances([]registry.Instance{{ID: "i", Seq: 9, Address: "another"}})
 	is.Equal(s.Seq(), seq)
 }
--- a/internal/cluster/replication/slots.go
+++ b/internal/cluster/replication/slots.go
@@ -11,7 +11,7 @@
 // slot is an entry of a Store: the last change of an item or of an instance. The items themselves are in the snapshot.
 type slot struct {
 	seq      uint64            // sequence number of the last change
-	key      configuration.Key // key of an item; kind 0: the entry is an instance
+	key      configuration.Key // key of an item; kind 0 means that the entry is an instance
 	instance registry.Instance
 	bucket   uint8
 	digest   uint64 // hash of the entry, which is part of the digest of its bucket
--- a/internal/cluster/replication/source.go
+++ b/internal/cluster/replication/source.go
@@ -20,28 +20,28 @@
 	Store *Store
 	Clock *Clock
 
-	// Members returns the number of ingresses with a lease; nil: not known.
+	// Members returns the number of ingresses with a lease; nil means unknown.
 	Members func() int
-	// Ready reports whether a new subscriber has all that it needs to serve once it is up to date; nil: no.
+	// Ready reports whether a new subscriber has all that it needs to serve once it is up to date; nil means no.
 	Ready func() bool
-	// Quorum reports whether this process is in contact with a majority of the voters; nil: no.
+	// Quorum reports whether this process is in contact with a majority of the voters; nil means no.
 	Quorum func() bool
-	// Epoch returns the epoch to send; nil: the epoch of the Store.
+	// Epoch returns the epoch to send; nil means the epoch of the Store.
 	Epoch func() uint64
-	// OnInstances is called with instances that a subscriber sends because this source may have lost them; nil: they
-	// are ignored.
+	// OnInstances is called with instances that a subscriber sends because this source may have lost them; nil means
+	// that they are ignored.
 	OnInstances func(instances []registry.Instance)
 	// OnRenewal is called when an agent or a proxy renews its lease; may be nil.
 	OnRenewal func(hello *transport.Hello, ready bool)
-	// Rank returns the rank of a subscriber in its zone, and the number of ranked ingresses there; nil: no ranks.
+	// Rank returns the rank of a subscriber in its zone, and the number of ranked ingresses there; nil means no ranks.
 	Rank func(node string) (rank, peers int)
-	// LinkDelay estimates the queueing delay of this machine's link; 0 or nil: not known.
+	// LinkDelay estimates the queueing delay of this machine's link; 0 or nil means unknown.
 	LinkDelay func() time.Duration
 	// Voters returns the electorate, which is sent to all subscribers but control nodes. The slice is never changed in
-	// place. Nil: it is not sent.
+	// place. Nil means that it is not sent.
 	Voters func() []string
 	// Heartbeats returns the heartbeats received after a number, and the number for the next call (see
-	// registry.Registry.HeartbeatsSince). They are sent to control nodes; nil: none are sent.
+	// registry.Registry.HeartbeatsSince). They are sent to control nodes; nil means that none are sent.
 	Heartbeats func(since uint64) (heartbeats []transport.Heartbeat, last uint64)
 
 	cache   chunkCache
--- a/internal/cluster/replication/store.go
+++ b/internal/cluster/replication/store.go
@@ -52,7 +52,7 @@
 // Snapshot returns the items as they are now; a snapshot never changes.
 func (s *Store) Snapshot() *configuration.Snapshot { return s.snapshot.Load() }
 
-// Epoch returns the newest epoch of which the store has the complete configuration; 0: none.
+// Epoch returns the newest epoch for which the store has the complete configuration; 0 means none.
 func (s *Store) Epoch() uint64 { return s.epoch.Load() }
 
 // SetEpoch records that the store has the complete configuration of an epoch. Lower epochs than the recorded one are
