--- a/internal/cluster/coordination/cells.go
+++ b/internal/cluster/coordination/cells.go
@@ -12,7 +12,7 @@
 type cell struct {
 	value    string
 	revision uint64
-	seq      uint64 // number of the batch with this value; 0: the value is of an earlier term
+	seq      uint64 // number of the batch with this value; 0 means that the value is of an earlier term
 }
 
 func loadCell(r *recordReader) *cell { return &cell{value: r.text(), revision: r.number()} }
@@ -27,14 +27,14 @@
 type event struct {
 	put
 	revision uint64
-	seq      uint64  // number of the batch with the put; 0: the put is of an earlier term
+	seq      uint64  // number of the batch with the put; 0 means that the put is of an earlier term
 	at       float64 // time of the put or, if it is of an earlier term, of its loading, in seconds
 }
 
 // group is the cells whose names are the same up to the first dot.
 type group struct {
 	revision uint64 // revision of the last put
-	base     uint64 // events up to this revision are no longer kept
+	base     uint64 // events up to this revision have been removed
 	events   []event
 	byPut    map[put]event // the kept events by cell and value
 }
--- a/internal/cluster/coordination/doc.go
+++ b/internal/cluster/coordination/doc.go
@@ -1,6 +1,6 @@
 // Package coordination implements the primitives through which applications coordinate: locks with fencing tokens,
-// increasing numbers, and cells (small keys) with revisions and watches. Tables are the records of one shard, as its
-// leaseholder has them in memory.
+// increasing numbers, and cells (small keys) with revisions and watches. Tables are the records of a shard in the
+// memory of its leaseholder.
 //
 // Tables evaluate requests without further input: Evaluate takes a request and returns its result, the writes that must
 // be replicated, and the number of the batch that must be committed before the result may be returned to the
--- a/internal/cluster/coordination/locks.go
+++ b/internal/cluster/coordination/locks.go
@@ -20,7 +20,7 @@
 	fence   uint64  // fencing token
 	holdMs  uint64  // the longest requested hold, milliseconds: after a take-over the hold lasts this long
 	expires float64 // end of the hold by this leaseholder's clock, in seconds
-	seq     uint64  // number of the batch with the record; 0: the record is of an earlier term
+	seq     uint64  // number of the batch with the record; 0 means that the record is of an earlier term
 }
 
 func (l *lock) record() []byte { return newRecord().text(l.owner).number(l.fence).number(l.holdMs) }
--- a/internal/cluster/coordination/numbers.go
+++ b/internal/cluster/coordination/numbers.go
@@ -13,7 +13,7 @@
 type number struct {
 	next  uint64
 	upper uint64 // last reserved number
-	seq   uint64 // number of the batch with the reservation; 0: the reservation is of an earlier term
+	seq   uint64 // number of the batch with the reservation; 0 means that it is of an earlier term
 }
 
 // loadNumber starts after all numbers that an earlier term may have issued.
--- a/internal/cluster/coordination/request.go
+++ b/internal/cluster/coordination/request.go
@@ -39,7 +39,7 @@
 	Value  string `cbor:"6,keyasint,omitempty"` // value to put
 	// Expected is the revision that the cell must have for a put. 0 means that the cell must not exist; nil means any.
 	Expected *uint64 `cbor:"7,keyasint,omitempty"`
-	After    uint64  `cbor:"8,keyasint,omitempty"` // revision after which a watch begins; 0: the present one
+	After    uint64  `cbor:"8,keyasint,omitempty"` // revision after which a watch begins; 0 means the present one
 	WaitMs   int64   `cbor:"9,keyasint,omitempty"` // time for which a watch waits for an event, milliseconds
 }
 
@@ -57,7 +57,7 @@
 	return "lock/" + r.Name
 }
 
-// groupOf returns a cell's name up to and including its first dot. A name without a dot is a group of one cell.
+// groupOf returns a cell's name up to and including its first dot. A cell whose name has no dot is a group by itself.
 func groupOf(name string) string {
 	if group, _, found := strings.Cut(name, "."); found {
 		return group + "."
@@ -74,7 +74,7 @@
 	Conflict    Code = 2 // another owner has the lock, or the hold has ended
 	NotFound    Code = 3 // the cell does not exist
 	Mismatch    Code = 4 // the cell does not have the expected revision, and never will again
-	Compacted   Code = 5 // the events after the requested revision are no longer kept
+	Compacted   Code = 5 // events after the requested revision have been removed
 	TooMany     Code = 6 // the shard has too many records; the request had no effect
 	TooManyOpen Code = 7 // too many calls are in flight; the request had no effect
 )
--- a/internal/cluster/coordination/tables.go
+++ b/internal/cluster/coordination/tables.go
@@ -16,7 +16,7 @@
 	retentionMargin = 10.0
 )
 
-// Tables are the records of one shard at its leaseholder, in one term.
+// Tables are the records of a shard at its leaseholder, for the duration of a term.
 type Tables struct {
 	retention float64 // time for which events are kept, seconds
 	locks     map[string]*lock
@@ -100,8 +100,9 @@
 	return Outcome{Result: Result{Code: NotFound}}
 }
 
-// Upkeep removes records that are no longer needed, and returns the writes that delete them: locks whose hold has
-// ended, because a later term would otherwise extend it again, and events older than the retention.
+// Upkeep removes unneeded records, and returns the writes that delete them, at most maxUpkeepWrites. It removes events
+// older than the retention, and locks whose hold has ended: if their records were kept, the leaseholder of a later term
+// would extend the holds when it loads them.
 func (t *Tables) Upkeep(now float64, committed uint64) (writes []shard.Write) {
 	for name, l := range t.locks {
 		if now >= l.expires && l.seq <= committed && len(writes) < maxUpkeepWrites {
--- a/internal/cluster/shard/doc.go
+++ b/internal/cluster/shard/doc.go
@@ -12,7 +12,7 @@
 //	a voter votes once per term, saves its vote before it sends it, and votes only for a candidate with a position
 //	  that is not older than its own
 //	a batch counts as stored on a replica once it is saved there, on the disk that the voter is listed with
-//	a leader commits batches of earlier terms only together with a batch of its own term
+//	a leader commits batches of earlier terms only together with a batch of its current term
 //	a lease ends before any voter that supported it may vote for another leader
 //
 // Files: position.go and message.go (types), replica.go (state and saves), election.go (votes and terms), leader.go
--- a/internal/cluster/shard/leader.go
+++ b/internal/cluster/shard/leader.go
@@ -36,13 +36,13 @@
 	disk     uint64
 	position Position // position of the last batch that the replica is known or assumed to have
 	matched  uint64   // all batches up to this number are saved on the replica
-	answered float64  // sending time of the newest message that the replica has answered, seconds; never: none
+	answered float64  // sending time of the newest message that the replica has answered, seconds; never means none
 	inFlight bool     // an append is not answered yet
 	sentAt   float64  // sending time of that append, seconds
 }
 
 // becomeLeader makes this replica the leader of its term, and appends an empty batch. Once that batch is committed, all
-// batches of earlier terms are committed too; a leader may commit them only together with a batch of its own term.
+// batches of earlier terms are committed too; a leader may commit them only together with one of its current term.
 func (r *Replica) becomeLeader(now float64) {
 	r.role, r.leaderAddr = leader, r.self.Addr
 	r.leadership = leadership{progress: map[string]*progress{}, electedAt: now, firstSeq: r.last.Seq + 1}
@@ -108,8 +108,8 @@
 	return p
 }
 
-// replicate sends a replica the batches that it does not have, or the complete state if they are no longer kept. It
-// sends nothing while an append to that replica is unanswered.
+// replicate sends a replica the batches that it does not have, or the complete state if the leader has already dropped
+// some of them. It sends nothing while an append to that replica is unanswered.
 func (r *Replica) replicate(addr string, now float64) {
 	p := r.progressOf(addr)
 	if p.inFlight || p.position == r.last {
@@ -218,7 +218,7 @@
 type ReplicaStatus struct {
 	Addr    string
 	Learner bool
-	Behind  int64 // batches not confirmed to this leader; -1: unknown, because this replica is not the leader
+	Behind  int64 // batches not confirmed to this leader; -1 means unknown, because this replica is not the leader
 }
 
 // Replicas returns the status of the voters and, at the leader, of the learners.
--- a/internal/cluster/shard/message.go
+++ b/internal/cluster/shard/message.go
@@ -17,7 +17,7 @@
 	TimeoutNow     Kind = 8 // the leader has released its lease, and the receiver must campaign at once
 )
 
-// Message is what replicas of one shard send each other. A message may be lost, delayed or duplicated.
+// Message is a message between replicas of a shard. It may be lost, delayed or duplicated.
 type Message struct {
 	From string `cbor:"-"` // address of the sender; set by the transport of the receiver
 	To   string `cbor:"-"` // address of the receiver
--- a/internal/cluster/shard/position.go
+++ b/internal/cluster/shard/position.go
@@ -24,14 +24,14 @@
 // Write sets a record, or deletes it.
 type Write struct {
 	Key   string `cbor:"1,keyasint"`
-	Value []byte `cbor:"2,keyasint,omitempty"` // nil: deleted
+	Value []byte `cbor:"2,keyasint,omitempty"` // nil means deleted
 }
 
 // Batch is a set of writes that take effect together.
 type Batch struct {
 	Position Position          `cbor:"1,keyasint"`
 	Writes   []Write           `cbor:"2,keyasint,omitempty"`
-	Voters   []consensus.Voter `cbor:"3,keyasint,omitempty"` // the voters from this batch on; nil: unchanged
+	Voters   []consensus.Voter `cbor:"3,keyasint,omitempty"` // the voters from this batch on; nil means unchanged
 }
 
 // Header is what a replica saves in addition to its records.
--- a/internal/cluster/shard/replica.go
+++ b/internal/cluster/shard/replica.go
@@ -52,7 +52,7 @@
 	recentBytes int
 
 	role       role
-	leaderAddr string          // address of the leader as last known; empty: unknown
+	leaderAddr string          // address of the leader as last known; empty means unknown
 	grantUntil float64         // time before which this replica votes for no other leader, seconds
 	electionAt float64         // time before which this replica doesn't campaign, seconds
 	granted    map[string]bool // other voters that granted the vote or pre-vote of this campaign, by address
@@ -227,7 +227,7 @@
 // Term is the highest term seen.
 func (r *Replica) Term() uint64 { return r.term }
 
-// Leader is the address of the leader as last known; empty: unknown.
+// Leader is the address of the leader as last known; empty means unknown.
 func (r *Replica) Leader() string { return r.leaderAddr }
 
 // Voters returns the voters as of Last. The caller must not change them.
--- a/internal/cluster/shard/simulation_test.go
+++ b/internal/cluster/shard/simulation_test.go
@@ -11,7 +11,7 @@
 	"mulleinrouter/internal/cluster/consensus"
 )
 
-// simulation runs the replicas of one shard in simulated time. Messages are delayed, lost and duplicated, and links may
+// simulation runs the replicas of a shard in simulated time. Messages are delayed, lost and duplicated, and links may
 // work in one direction only. Processes are suspended, and handle the messages of that time afterwards. Clocks run at
 // different rates, disks are slow, power failures lose what is not synced, and disks are lost. The replicas are
 // compared with a model, which is the content of the committed batches.
@@ -40,12 +40,12 @@
 	disk          uint64
 	stored        State    // state on disk, synced
 	clockRate     float64  // seconds of the node's clock per second of simulated time
-	replica       *Replica // nil: the node is down
+	replica       *Replica // nil means that the node is down
 	incarnation   int      // number of the process
 	suspended     bool
 	inbox         []func() // what a suspended process executes when it resumes
 	diskIdleAt    float64  // time at which the disk has written all queued saves, seconds
-	lastLeaseTerm uint64   // term of the node's last known lease; 0: none
+	lastLeaseTerm uint64   // term of the node's last known lease; 0 means none
 }
 
 type event struct {
