--- a/internal/cluster/command/settings.go
+++ b/internal/cluster/command/settings.go
@@ -33,7 +33,7 @@
 
 // Memory configures how a program uses memory, which is scarce on the machines of the system.
 type Memory struct {
-	// GCPercent is the growth of the heap that starts a garbage collection, in percent; 0: Go's default.
+	// GCPercent is the growth of the heap that starts a garbage collection, in percent; 0 means Go's default.
 	GCPercent int
 	// Limit returns the memory use above which the garbage collector works harder, in bytes.
 	Limit func(*settings.Settings) int64
--- a/internal/cluster/commandline/check.go
+++ b/internal/cluster/commandline/check.go
@@ -36,8 +36,8 @@
 	return PrintSummaries(out, cc.OutputFlag, Summarize(s, program))
 }
 
-// Programs returns the programs that a settings file is for: the one that its role names, or those of its class of
-// machine. It returns none if the file names neither.
+// Programs returns the programs that a settings file is for: the program named by its role or, if the role is not a
+// program, the programs of its machine class. It returns none if the file has neither.
 func Programs(s *settings.Settings) []string {
 	switch {
 	case slices.Contains([]string{Proxy, Agent, Control}, s.Role):
--- a/internal/cluster/commandline/settings.go
+++ b/internal/cluster/commandline/settings.go
@@ -20,7 +20,7 @@
 	File string `short:"c" help:"Settings file. Default: the one that ${variable} names." placeholder:"FILE"`
 }
 
-// Load loads a settings file for a program. If file is empty, it loads the one that settings.EnvVariable names. Errors
+// Load loads a settings file for a program. If file is empty, it loads the file that settings.EnvVariable names. Errors
 // are *SettingsError.
 func Load(file, program string) (*settings.Settings, error) {
 	s, err := settings.Load(file)
--- a/internal/cluster/linkfaults/injector.go
+++ b/internal/cluster/linkfaults/injector.go
@@ -21,7 +21,7 @@
 type Injector struct{ partition atomic.Pointer[Partition] }
 
 // NewInjector returns an Injector that rereads the file at path until the context ends. The file must be replaced as a
-// whole. If it cannot be read later, the partition stays as it is. An empty path gives a nil Injector.
+// whole. If it cannot be read later, the partition remains unchanged. For an empty path the Injector is nil.
 func NewInjector(ctx context.Context, path string) (*Injector, error) {
 	if path == "" {
 		return nil, nil
@@ -83,8 +83,8 @@
 	net.Conn
 	injector      *Injector
 	host          string
-	readDeadline  atomic.Int64 // Unix nanoseconds; 0: none
-	writeDeadline atomic.Int64 // Unix nanoseconds; 0: none
+	readDeadline  atomic.Int64 // Unix nanoseconds; 0 means none
+	writeDeadline atomic.Int64 // Unix nanoseconds; 0 means none
 	closeOnce     sync.Once
 	closed        chan struct{}
 }
@@ -128,7 +128,7 @@
 	return c.Conn.Close()
 }
 
-// unixNanos returns a deadline in Unix nanoseconds; 0: none.
+// unixNanos returns a deadline in Unix nanoseconds; 0 means none.
 func unixNanos(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
--- a/internal/cluster/metrics/registry.go
+++ b/internal/cluster/metrics/registry.go
@@ -23,7 +23,7 @@
 // bindPolicy retries for about 5 s, because the previous process may still hold the port.
 var bindPolicy = retry.Policy{Attempts: 20, Interval: 250 * time.Millisecond}
 
-// Registry holds the metrics of one process. Register all of them before it serves.
+// Registry holds the metrics of a process. Register all of them before calling Serve.
 type Registry struct {
 	program  string
 	registry *prometheus.Registry
@@ -65,7 +65,7 @@
 	r.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts(r.options(name, help, nil)), value))
 }
 
-// Sample is the value of one series of a family.
+// Sample is the label value of a series of a family, and the series' present value.
 type Sample struct {
 	Label string
 	Value float64
@@ -130,7 +130,7 @@
 // Server describes where a program serves its metrics.
 type Server struct {
 	Program  string   // control, agent or proxy
-	Endpoint Endpoint // zero: metrics are not served
+	Endpoint Endpoint // the zero value means that metrics are not served
 	Host     string   // the machine's IP address
 	Log      log.Logger
 }
--- a/internal/cluster/settings/doc.go
+++ b/internal/cluster/settings/doc.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of one process: its place in the system, its limits, and the bounds of the rules
-// in force. They come from a file with lines of the form a.b=value, which may change while the process runs.
+// Package settings reads the settings of a process: its place in the system, its limits, and the bounds of the rules in
+// force. They come from a file with lines of the form a.b=value, which may change while the process runs.
 //
 //   - settings.go: Settings, and the addresses derived from them;
 //   - decode.go: decoding the text of a file into Settings;
--- a/internal/cluster/settings/errors.go
+++ b/internal/cluster/settings/errors.go
@@ -16,8 +16,8 @@
 
 // SettingError is one error in a settings file.
 type SettingError struct {
-	File string // name without its folder; empty if there is no file
-	Line int    // from 1; 0: something is missing from the file
+	File string // name without its folder; empty for errors that Settings.Require returns
+	Line int    // from 1; 0 means that a setting is missing
 	Key  string // empty if the line has none
 	Text string
 }
--- a/internal/cluster/settings/paths.go
+++ b/internal/cluster/settings/paths.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// text returns the value at a path; empty if there is none.
+// text returns the value at a path; empty if it is missing.
 func (r *reader) text(path string) string { return r.paths[path].Value }
 
 // given returns the value at a path, and whether there is a value that is not empty.
@@ -106,7 +106,7 @@
 	return table
 }
 
-// flag reads true or false. It returns false if there is no value.
+// flag reads true or false. It returns false if the value is missing.
 func (r *reader) flag(path string) bool {
 	v, ok := r.given(path)
 	if ok && v != "true" && v != "false" {
@@ -115,7 +115,7 @@
 	return v == "true"
 }
 
-// integer reads an integer that is at least 0. It returns 0 if there is none.
+// integer reads an integer that is at least 0. It returns 0 if the value is missing.
 func (r *reader) integer(path string) int {
 	v, ok := r.given(path)
 	if !ok {
@@ -132,7 +132,7 @@
 	return n
 }
 
-// number reads a finite number that is at least 0. It returns fallback if there is none.
+// number reads a finite number that is at least 0. It returns fallback if the value is missing.
 func (r *reader) number(path string, fallback float64) float64 {
 	v, ok := r.given(path)
 	if !ok {
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -14,7 +14,7 @@
 // loopbackHost is the host at which a proxy reaches the agent on the same machine.
 const loopbackHost = "127.0.0.1"
 
-// Settings is the validated settings of one process. It is shared and must not be modified. Times are in seconds.
+// Settings is the validated settings of a process. It is shared and must not be modified. Times are in seconds.
 type Settings struct {
 	Node        string
 	Role        string // name of the process's role in the deploy file
@@ -25,12 +25,12 @@
 	Region      string
 	LossCounted bool   // the tolerance counts the loss of this machine
 	Bootstrap   bool   // this is the first start of the system, with empty disks
-	DataPath    string // folder on the machine's disk; empty: there is no disk
+	DataPath    string // folder on the machine's disk; empty means no disk
 	Limits      Limits
 
-	FrontAddr   string            // host:port for clients; empty: none are served
-	ReadyAddr   string            // host:port of the readiness check; empty: there is none
-	ControlAddr string            // host:port for operators and servers; empty: none are served
+	FrontAddr   string            // host:port for clients; empty means that none are served
+	ReadyAddr   string            // host:port of the readiness check; empty means none
+	ControlAddr string            // host:port for operators and servers; empty means that none are served
 	InnerFirst  int               // first port for the system's own processes; the same on all machines
 	InnerLast   int               // last such port
 	Seeds       []string          // control addresses of some control nodes
@@ -41,17 +41,17 @@
 	Tolerance         Tolerance
 	Bounds            Bounds
 
-	Log logging.Settings // zero: level info, in logfmt
+	Log logging.Settings // the zero value means level info, in logfmt
 }
 
-// Limits is what the process may use.
+// Limits is the resources that the process may use.
 type Limits struct {
 	CPUFraction float64 // usable fraction of a core
 	Cores       float64 // speed relative to one core
-	MemoryMB    int     // megabytes above which the process is killed; 0: unknown
-	MaxFDs      int     // file descriptors; 0: unknown
-	LinkMbps    float64 // megabits per second; 0: unknown
-	DiskMB      int     // megabytes; 0: unknown
+	MemoryMB    int     // megabytes above which the process is killed; 0 means unknown
+	MaxFDs      int     // file descriptors; 0 means unknown
+	LinkMbps    float64 // megabits per second; 0 means unknown
+	DiskMB      int     // megabytes; 0 means unknown
 }
 
 // Tolerance is the number of machines, zones and regions that may be lost at the same time while every rule is kept.
@@ -88,7 +88,7 @@
 }
 
 // UnsupportedClauses returns the clauses in force that this version does not implement. The calls that such a clause
-// introduces are answered with 404, and there is no other sign of it.
+// introduces are answered with 404; nothing else indicates that the clause is not implemented.
 func (s *Settings) UnsupportedClauses() (unsupported []string) {
 	for _, clause := range slices.Sorted(maps.Keys(s.Clauses)) {
 		if !slices.Contains(supportedClauses, clause) {
--- a/internal/cluster/settings/watch.go
+++ b/internal/cluster/settings/watch.go
@@ -17,12 +17,12 @@
 const EnvVariable = "MULLEINROUTER_CONFIG"
 
 const (
-	maxFileBytes = 1 << 20         // bytes of a settings file; a usual one has 2 KB
+	maxFileBytes = 1 << 20         // longest settings file that is accepted, bytes; a usual one has 2 KB
 	pollInterval = 5 * time.Second // time between two checks for a change without a signal
 )
 
-// Load loads the settings file at path or, if path is empty, the one that the environment names. Errors are
-// SettingErrors, ErrNoFile, ErrTooLong, or those of reading the file.
+// Load loads the settings file at path or, if path is empty, the file that EnvVariable names. Errors are SettingErrors,
+// ErrNoFile, ErrTooLong, or those of reading the file.
 func Load(path string) (*Settings, error) {
 	path, err := resolvePath(path)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return Decode(filepath.Base(path), string(text))
 }
 
-// resolvePath returns the path or, if it is empty, the one that the environment names.
+// resolvePath returns the path or, if it is empty, the path that EnvVariable names.
 func resolvePath(path string) (string, error) {
 	if path == "" {
 		path = os.Getenv(EnvVariable)
@@ -126,7 +126,8 @@
 }
 
 // Follow reloads the file at each signal, and checks it for a change every pollInterval, until the context ends. It
-// calls onReload after each load that changed the settings or failed.
+// calls onReload after each load that changed the settings or failed. An error that Reread finds again is not reported
+// again.
 func (w *Watcher) Follow(ctx context.Context, hangups <-chan os.Signal, onReload func(changed bool, err error)) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
--- a/internal/cluster/transport/calls.go
+++ b/internal/cluster/transport/calls.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// maxBlockingCalls bounds the calls of one connection that are handled at the same time and may wait for a disk.
+// maxBlockingCalls bounds the calls of a connection that are handled at the same time on separate goroutines, because
+// they may block (see Run).
 const maxBlockingCalls = 32
 
 // Handler handles a frame and returns the answer; nil means no answer.
--- a/internal/cluster/transport/catchup_messages.go
+++ b/internal/cluster/transport/catchup_messages.go
@@ -13,13 +13,13 @@
 	EmptyDisk     bool   `cbor:"2,keyasint,omitempty"`  // the node's disk is empty: it also needs the stored instances
 	FromPosition  uint64 `cbor:"8,keyasint,omitempty"`  // position of the first item
 	NewestEpoch   uint64 `cbor:"9,keyasint,omitempty"`  // newest epoch of all chunks so far; older ones are of no use
-	MaxBytes      int    `cbor:"10,keyasint,omitempty"` // approximate size of the chunk, bytes; 0: the source's default
+	MaxBytes      int    `cbor:"10,keyasint,omitempty"` // approximate size of the chunk, bytes; 0 means the default
 	AfterInstance string `cbor:"11,keyasint,omitempty"` // only instances whose ids sort after this one are requested
 }
 
 // CatchUpChunk is the reply to CatchUpRequest: the items chosen after its epoch, as they are in the snapshot of Epoch.
 type CatchUpChunk struct {
-	NextPosition  uint64               `cbor:"8,keyasint,omitempty"` // position for the next request; 0: no more items
+	NextPosition  uint64               `cbor:"8,keyasint,omitempty"` // position for the next request; 0 means the end
 	MoreInstances bool                 `cbor:"9,keyasint,omitempty"` // there are more instances after these
 	Epoch         uint64               `cbor:"1,keyasint"`
 	Items         []configuration.Item `cbor:"2,keyasint,omitempty"`
--- a/internal/cluster/transport/codec.go
+++ b/internal/cluster/transport/codec.go
@@ -25,9 +25,9 @@
 // little as one byte on the wire, but may need some hundred bytes in memory.
 const (
 	maxNesting              = 12      // levels of arrays and maps
-	maxMapPairs             = 64      // pairs in one map
-	maxArrayElements        = 1 << 16 // elements of one array
-	maxControlArrayElements = 1 << 21 // elements of one array in a frame longer than MaxFrame
+	maxMapPairs             = 64      // pairs in a map
+	maxArrayElements        = 1 << 16 // elements of an array
+	maxControlArrayElements = 1 << 21 // elements of an array in a frame longer than MaxFrame
 )
 
 var (
--- a/internal/cluster/transport/conn.go
+++ b/internal/cluster/transport/conn.go
@@ -23,7 +23,7 @@
 	// maxRetainedBuffer is the largest buffer that is kept after use, in bytes. Larger ones are dropped, because a
 	// control node has thousands of connections.
 	maxRetainedBuffer = 4 << 10
-	maxWriteBytes     = 64 << 10  // bytes of one write, which must end within WriteTimeout
+	maxWriteBytes     = 64 << 10  // most bytes in a single write, which must end within WriteTimeout
 	maxQueuedBytes    = 256 << 10 // bytes in the queue from which on callers of Send wait for the peer to read
 )
 
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -11,7 +11,7 @@
 type Frame struct {
 	Call uint64 `cbor:"1,keyasint,omitempty"`
 
-	Hello        *Hello        `cbor:"2,keyasint,omitempty"` // first frame of a subscription
+	Hello        *Hello        `cbor:"2,keyasint,omitempty"` // first frame of a subscription; see Hello for later ones
 	Update       *Update       `cbor:"3,keyasint,omitempty"` // from a source to a subscriber
 	Renewal      *Renewal      `cbor:"4,keyasint,omitempty"` // from a subscriber, to renew its lease
 	CounterAdd   *CounterAdd   `cbor:"5,keyasint,omitempty"` // to the owner of a counter
@@ -30,7 +30,7 @@
 	Coordination   *Coordination   `cbor:"17,keyasint,omitempty"` // one-way
 }
 
-// Hello subscribes to a source.
+// Hello subscribes to a source. Further ones on the same connection only carry Instances, for read repair.
 type Hello struct {
 	Node        string `cbor:"1,keyasint"` // name of the subscriber
 	Class       string `cbor:"2,keyasint"` // of the subscriber: "agent", "proxy" or "control"
@@ -43,7 +43,7 @@
 	// Instances are instances that the subscriber knows. A source that has lost its own merges them (read repair).
 	Instances []registry.Instance `cbor:"6,keyasint,omitempty"`
 
-	Epoch       uint64 `cbor:"7,keyasint,omitempty"` // newest epoch of which the subscriber has the complete snapshot
+	Epoch       uint64 `cbor:"7,keyasint,omitempty"` // newest epoch for which the subscriber has the complete snapshot
 	Zone        string `cbor:"9,keyasint,omitempty"` // zone of an ingress or a control node
 	ControlAddr string `cbor:"8,keyasint,omitempty"` // own address of a control node that subscribes, host:port
 
@@ -60,7 +60,7 @@
 	Items       []configuration.Item `cbor:"4,keyasint,omitempty"`
 	Instances   []registry.Instance  `cbor:"5,keyasint,omitempty"`
 	Heartbeats  []Heartbeat          `cbor:"6,keyasint,omitempty"`  // sent only to control nodes
-	Members     int                  `cbor:"7,keyasint,omitempty"`  // number of ingresses with a lease; 0: not known
+	Members     int                  `cbor:"7,keyasint,omitempty"`  // number of ingresses with a lease; 0 means unknown
 	Clock       float64              `cbor:"8,keyasint,omitempty"`  // common clock at the sending, seconds
 	Epoch       uint64               `cbor:"9,keyasint,omitempty"`  // epoch of the source's newest complete snapshot
 	Ready       bool                 `cbor:"10,keyasint,omitempty"` // the source has all that a new ingress needs
@@ -70,10 +70,10 @@
 	Rank int `cbor:"12,keyasint,omitempty"`
 	// ZonePeers is the number of ingresses in the subscriber's zone, including itself. 0 means that it has no rank.
 	ZonePeers int `cbor:"13,keyasint,omitempty"`
-	// LinkDelay is how long packets queue at the link of the source's machine, in seconds; 0: not known. It is sent
+	// LinkDelay is how long packets queue at the link of the source's machine, in seconds; 0 means unknown. It is sent
 	// only to a proxy.
 	LinkDelay float64 `cbor:"15,keyasint,omitempty"`
-	// Voters are the control addresses of the electorate that the source knows; empty: unchanged.
+	// Voters are the control addresses of the electorate that the source knows; empty means unchanged.
 	Voters []string `cbor:"14,keyasint,omitempty"`
 	// MatchingBuckets has a bit for each bucket of Hello.Digests that is the same and is left out. It is sent only with
 	// the first update.
