--- a/internal/cluster/transport/conn.go
+++ b/internal/cluster/transport/conn.go
@@ -13,7 +13,9 @@
 
 // Times of a connection.
 const (
-	KeepaliveInterval = 500 * time.Millisecond  // each side sends something at least this often
+	// KeepaliveInterval is the longest time between two updates of a source. A subscriber sends a renewal after an
+	// update, but not after each one if they are closer together, so its renewals may be up to twice as far apart.
+	KeepaliveInterval = 500 * time.Millisecond
 	IdleTimeout       = 2 * time.Second         // without a byte received for this long, a connection ends
 	WriteTimeout      = 1500 * time.Millisecond // a single write that takes longer ends the connection
 )
