--- a/internal/cluster/transport/conn.go
+++ b/internal/cluster/transport/conn.go
@@ -13,7 +13,9 @@
 
 // Times of a connection.
 const (
-	KeepaliveInterval = 500 * time.Millisecond  // each side sends something at least this often
+	// KeepaliveInterval is the longest time between two updates of a source. A subscriber sends a renewal after an
+	// update, but not after each one if they are closer together, so its renewals may be up to twice as far apart.
+	KeepaliveInterval = 500 * time.Millisecond
 	IdleTimeout       = 2 * time.Second         // without a byte received for this long, a connection ends
 	WriteTimeout      = 1500 * time.Millisecond // a single write that takes longer ends the connection
 )
@@ -23,7 +25,7 @@
 	// maxRetainedBuffer is the largest buffer that is kept after use, in bytes. Larger ones are dropped, because a
 	// control node has thousands of connections.
 	maxRetainedBuffer = 4 << 10
-	maxWriteBytes     = 64 << 10  // bytes of one write, which must end within WriteTimeout
+	maxWriteBytes     = 64 << 10  // most bytes in a single write, which must end within WriteTimeout
 	maxQueuedBytes    = 256 << 10 // bytes in the queue from which on callers of Send wait for the peer to read
 )
 
