--- a/internal/emulator/faulttest/environment_test.go
+++ b/internal/emulator/faulttest/environment_test.go
@@ -52,8 +52,8 @@
 }
 
 // A member listens at its addresses only some time after they are chosen. Meanwhile relays open connections from the
-// same IP address, for which the kernel chooses ephemeral ports. So no port of a member may be ephemeral. A member whose
-// gossip port was taken never joined the fleet.
+// same IP address, for which the kernel chooses ephemeral ports. So no port of a member may be ephemeral. A member
+// whose gossip port was taken never joined the fleet.
 func TestFreeAddrsAreNotEphemeral(t *testing.T) {
 	const draws = 100
 	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
