--- a/internal/standalone/cli/fleetshared.go
+++ b/internal/standalone/cli/fleetshared.go
@@ -47,7 +47,8 @@
 	if r.CounterTrusted {
 		fmt.Fprint(out, "the counter is trusted: quotas are enforced by its totals")
 	} else {
-		fmt.Fprintf(out, "the counter is not trusted (%s): quotas are enforced by loans", cmp.Or(r.Reason, "there is none"))
+		fmt.Fprintf(out, "the counter is not trusted (%s): quotas are enforced by loans",
+			cmp.Or(r.Reason, "there is none"))
 	}
 	fmt.Fprintf(out, "; %.4g units a second given, %.4g taken; %d messages refused; warned of %d servers %s\n\n",
 		r.Lent, r.Borrowed, r.Rejected, len(r.WarnedServers), strings.Join(r.WarnedServers, " "))
--- a/internal/standalone/cli/help.go
+++ b/internal/standalone/cli/help.go
@@ -54,8 +54,8 @@
 		"expected of them.",
 	"faultTestFile": "A scenario: a file, or one of those that ship (deploy/faulttests) by its name, such as " +
 		"duty-holder.",
-	"faultTestRepeat": "Number of runs, with consecutive seeds. For several runs, the medians and worst values over all " +
-		"runs are printed.",
+	"faultTestRepeat": "Number of runs, with consecutive seeds. For several runs, the medians and worst values over " +
+		"all runs are printed.",
 	"fleetMembers": "Show the members, what state they are in, and how much of the fleet the ingress hears from.",
 	"fleetLeases":  "Show who holds which duty, who waits for it, and who held it before.",
 	"fleetPlans":   "Show which revisions of the catalogue were announced, and by whom.",
--- a/internal/standalone/config/hclfleet.go
+++ b/internal/standalone/config/hclfleet.go
@@ -147,7 +147,8 @@
 func (m *membershipBlock) checkVoters(file *hclfile.File, c *Config) error {
 	const path = membershipPath + "voters"
 	if n := len(m.Voters); n != 0 && n != 1 && n != 3 && n != 5 {
-		return file.ErrorAt(path, "must name one, three or five voters; if a single one is lost, no lease can be granted")
+		return file.ErrorAt(path,
+			"must name one, three or five voters; if a single one is lost, no lease can be granted")
 	}
 	for i, voter := range m.Voters {
 		if voter == "" || len(voter) > maxNameBytes || slices.Contains(m.Voters[:i], voter) {
