--- a/cmd/mulleinrouter/process_test.go
+++ b/cmd/mulleinrouter/process_test.go
@@ -42,6 +42,7 @@
 
 // process is a running process of the program.
 type process struct {
+	t      *testing.T
 	cmd    *exec.Cmd
 	lines  chan string // lines of its log, buffered so that the process does not block before the test reads them
 	unread []string    // lines that awaitLine has read and not yet returned
@@ -51,7 +52,7 @@
 // startProcess starts the program, and kills it at the end of the test if it still runs.
 func startProcess(t *testing.T, env ...string) *process {
 	t.Helper()
-	p := &process{cmd: exec.Command(program), lines: make(chan string, 10000)}
+	p := &process{t: t, cmd: exec.Command(program), lines: make(chan string, 10000)}
 	p.cmd.Env = append(os.Environ(), env...)
 	stderr, err := p.cmd.StderrPipe()
 	if err != nil {
@@ -80,8 +81,8 @@
 const lineTimeout = time.Minute
 
 // awaitLine waits until the process has logged a line that contains text, and returns the line. It returns each line
-// only once. If the log ends first, or the line does not come within lineTimeout, it returns a message with the lines
-// that are left.
+// only once. If the log ends first, it returns a message with the lines that are left. If the line does not come within
+// lineTimeout, it also fails the test, because one of the lines left may contain what the caller looks for.
 func (p *process) awaitLine(text string) string {
 	expired := time.After(lineTimeout)
 	for i := 0; ; i++ {
@@ -93,7 +94,9 @@
 				}
 				p.unread = append(p.unread, line)
 			case <-expired:
-				return "the log has no such line after " + lineTimeout.String() + ": " + strings.Join(p.unread, "\n")
+				left := strings.Join(p.unread, "\n")
+				p.t.Errorf("the log has no line with %q after %v:\n%s", text, lineTimeout, left)
+				return left
 			}
 		}
 		if line := p.unread[i]; strings.Contains(line, text) {
