--- a/internal/standalone/fleet/quorum/boltstore/boltstore.go
+++ b/internal/standalone/fleet/quorum/boltstore/boltstore.go
@@ -21,7 +21,8 @@
 	// lockTimeout is how long Open waits for the file's lock. It is short, because an older process of this ingress
 	// holds the lock for as long as it runs, and the voter retries Open.
 	lockTimeout = 20 * time.Millisecond
-	// retainedEntries is the number of entries before a snapshot that are kept, for voters that are a little behind.
+	// retainedEntries is the number of entries up to a snapshot that stay in the file. Open checks them but returns
+	// only the entries after the snapshot.
 	retainedEntries = 200
 )
 
--- a/internal/standalone/fleet/quorum/boltstore/load.go
+++ b/internal/standalone/fleet/quorum/boltstore/load.go
@@ -53,8 +53,9 @@
 	return nil
 }
 
-// loadEntries reads the entries after the snapshot. They must have no gaps, begin right after the snapshot, and include
-// all entries that are committed by the hard state.
+// loadEntries reads the entries after the snapshot. It returns an error if the stored entries, including those up to
+// the snapshot, have gaps, if those after the snapshot don't begin right after it, or if entries that are committed by
+// the hard state are missing.
 func loadEntries(log *bbolt.Bucket, d *quorum.Durable) error {
 	snapshotIndex := d.Snapshot.GetMetadata().GetIndex()
 	last := uint64(0) // 0: none
--- a/internal/standalone/fleet/quorum/bootstrap.go
+++ b/internal/standalone/fleet/quorum/bootstrap.go
@@ -11,8 +11,8 @@
 	"mulleinrouter/internal/standalone/fleet/singleton"
 )
 
-// sendHello asks the other voters up to which boot and entry they have seen this voter, until a majority has responded.
-// A voter that is not bootstrapped sends its id to the configured voters.
+// sendHello asks the other voters, every helloTicks, up to which boot and entry they have seen this voter, until it is
+// allowed to vote. A voter that is not bootstrapped sends its id to the configured voters.
 func (v *Voter) sendHello() {
 	if v.state == Voting || v.ticks%helloTicks != 0 {
 		return
--- a/internal/standalone/fleet/quorum/doc.go
+++ b/internal/standalone/fleet/quorum/doc.go
@@ -9,7 +9,8 @@
 // vote until it is added again. A voter whose store was rolled back to an older copy detects this because other voters
 // have seen it at a later boot or entry than the store holds, and retires.
 //
-// The package imports raft, CBOR and package singleton, whose table it replicates. Package boltstore implements
-// Store. Tests: simulated fleets with faults (simulation_test.go), load with real stores (load_test.go) and the format
-// of messages (encoding_test.go); builds with the tag mutants seed faults, see package mutants.
+// The package imports raft, CBOR, protobuf, package mutants and package singleton, whose table it replicates. Package
+// boltstore implements Store. Tests: simulated fleets with faults (simulation_test.go), load with real stores
+// (load_test.go) and the format of messages (encoding_test.go); builds with the tag mutants seed faults, see package
+// mutants.
 package quorum
--- a/internal/standalone/fleet/quorum/load_test.go
+++ b/internal/standalone/fleet/quorum/load_test.go
@@ -218,7 +218,7 @@
 }
 
 // renewUntilApplied sends a leader the requests of an ingress that holds all roles, until the leader has applied a
-// number of entries, and returns the time.
+// number of entries, but not beyond second 2000 of simulated time, and returns the time.
 func renewUntilApplied(voter *quorum.Voter, now float64, entries int) float64 {
 	r := singleton.AcquireRequest{From: singleton.Identity{Name: "a", Boot: 1}}
 	for role := range singleton.MaxRoles {
--- a/internal/standalone/fleet/quorum/messages.go
+++ b/internal/standalone/fleet/quorum/messages.go
@@ -23,13 +23,13 @@
 	Name         string            `cbor:"3,keyasint"` // name of the sender
 	Boot         uint64            `cbor:"4,keyasint"` // boot count of the sender
 	RaftMessage  []byte            `cbor:"5,keyasint,omitempty"`
-	LastIndex    uint64            `cbor:"6,keyasint,omitempty"`  // in a hello: the sender's last entry
+	LastIndex    uint64            `cbor:"6,keyasint,omitempty"`  // in a hello: the sender's last entry; not read
 	Bootstrapped bool              `cbor:"7,keyasint,omitempty"`  // the sender's store knows its voters
 	Progress     PeerProgress      `cbor:"8,keyasint,omitempty"`  // of the receiver, as the sender has seen it
 	Match        map[uint64]uint64 `cbor:"9,keyasint,omitempty"`  // from a leader: last acknowledged index by voter
 	Voters       map[uint64]string `cbor:"10,keyasint,omitempty"` // in a bootstrap: names of the voters by id
 	TokenBase    uint64            `cbor:"11,keyasint,omitempty"` // in a bootstrap: last token of the sender's table
-	Waiting      bool              `cbor:"12,keyasint,omitempty"` // in a progress: the sender is Waiting itself
+	Waiting      bool              `cbor:"12,keyasint,omitempty"` // in a progress: the sender is Waiting; not read
 }
 
 // Message is an encoded envelope to a voter.
--- a/internal/standalone/fleet/quorum/receive.go
+++ b/internal/standalone/fleet/quorum/receive.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// receiveHello responds with the progress at which this voter has seen the sender. If the sender is not bootstrapped,
-// its id is recorded, so that it can be bootstrapped or added. If it belongs to a group that is already bootstrapped,
-// it is sent the voters of the group.
+// receiveHello responds with the progress at which this voter has seen the sender. If the sender is not bootstrapped
+// and is a configured voter, its id is recorded, so that it can be bootstrapped or added. If that id belongs to a group
+// that is already bootstrapped, the sender is sent the voters of the group.
 func (v *Voter) receiveHello(e envelope, known PeerProgress, stale bool) {
 	if e.Bootstrapped {
 		delete(v.unbootstrapped, e.Name)
--- a/internal/standalone/fleet/quorum/simulation_test.go
+++ b/internal/standalone/fleet/quorum/simulation_test.go
@@ -20,7 +20,7 @@
 // machine is one ingress of the simulated fleet. Each is a candidate for the role, and all but the last are voters.
 type machine struct {
 	name        string
-	clockRate   float64 // rate of its clock: seconds per second of simulated time
+	clockRate   float64 // seconds of its clock per second of simulated time; within singleton.MaxClockDrift of 1
 	store       *memoryStore
 	backup      *Durable
 	voter       *Voter // nil: the machine is down, or not a voter
--- a/internal/standalone/fleet/quorum/status.go
+++ b/internal/standalone/fleet/quorum/status.go
@@ -23,7 +23,8 @@
 	Busy State = "busy"
 	// Full means that the disk is full. The voter sends nothing, and restarts from its store once there is space.
 	Full State = "full"
-	// Retired means that the store was rolled back, is corrupt, or failed. The voter does not vote under its id again.
+	// Retired means that the store was rolled back, is corrupt or failed, or that raft panicked. The voter does not
+	// vote under its id again.
 	Retired State = "retired"
 )
 
--- a/internal/standalone/fleet/quorum/store.go
+++ b/internal/standalone/fleet/quorum/store.go
@@ -4,8 +4,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Store is the durable state of a voter. Save returns once all of the batch is durable, or an error. After ErrNoSpace
-// the store is unchanged. After any other error its state is unknown, and the voter does not use it any more.
+// Store is the durable state of a voter. Save returns nil only after the whole batch is durable. After ErrNoSpace the
+// store is unchanged. After any other error its state is unknown, and the voter does not use it any more.
 type Store interface {
 	// Open reads the state, and durably increases the boot count. If the file is locked, the disk is full or the state
 	// is corrupt, its error is or wraps ErrLocked, ErrNoSpace or ErrCorrupt.
--- a/internal/standalone/fleet/quorum/voter.go
+++ b/internal/standalone/fleet/quorum/voter.go
@@ -19,11 +19,11 @@
 	electionTicks  = 8 // minimum election timeout, ticks; raft picks each at random, up to nearly twice as many
 	helloTicks     = 3 // ticks between two hellos
 
-	snapshotEvery   = 2000 // entries between two snapshots, which bound the log
-	retainedEntries = 200  // entries kept before a snapshot, so that voters a little behind need no snapshot
+	snapshotEvery   = 2000 // entries between two snapshots, so that the log stays bounded
+	retainedEntries = 200  // entries kept in memory before a snapshot, so that voters a little behind need no snapshot
 
 	maxProposalBytes   = 64 << 10 // bytes of one encoded command; a longer one is not proposed
-	maxMessageBytes    = 8 << 20  // bytes of an envelope; large enough for a snapshot of the largest table
+	maxMessageBytes    = 8 << 20  // bytes of a received envelope; large enough for a snapshot of the largest table
 	maxAppendBytes     = 1 << 20  // bytes of the entries in one message of raft
 	maxUncommitted     = 1 << 20  // bytes of the entries that are proposed and not committed; raft drops further ones
 	maxInflightAppends = 64       // unacknowledged append messages to one voter
@@ -68,10 +68,10 @@
 	Messages []Message         // to other voters
 	Replies  []singleton.Reply // to ingresses
 	Wake     []string          // names of ingresses that should send their requests at once
-	Changed  bool              // the table, the leader, the voters or the state changed
+	Changed  bool              // the table (apart from renewals), the leader, the voters or the state changed
 }
 
-// Open starts a voter from its store. If the voters are bootstrapped now, the first token is above tokenBase. Callers
+// Open starts a voter from its store. If this voter bootstraps the group, the first token is above tokenBase. Callers
 // pass the time in seconds, shifted left by 20 bits, so that tokens keep growing even if all voters' stores are lost.
 //
 // The voter may be used even if err is not nil: if the disk is full, Reopen starts it once there is space again; after
@@ -104,7 +104,8 @@
 }
 
 // Reopen starts the voter again from its store, once a full disk has space or an older process of this ingress has
-// ended. The caller calls it before each Tick.
+// ended. The caller calls it before each Tick. If the store cannot be opened for any other reason, a voter that is Busy
+// retires, and one that is Full keeps trying.
 func (v *Voter) Reopen(now singleton.Seconds) {
 	if v.state != Full && v.state != Busy || now < v.nextReopenAt {
 		return
@@ -209,8 +210,8 @@
 	return v.step(now, func() { v.stepManager(now, singleton.Transfer{Role: role, To: to}) })
 }
 
-// step runs do, and then handles raft's Ready. raft panics if it detects that a log was rolled back, and the voter then
-// retires.
+// step runs do, and then handles raft's Ready. It does nothing while raft does not run. A panic retires the voter,
+// because raft panics if it detects that a log was rolled back.
 func (v *Voter) step(now singleton.Seconds, do func()) (output Output) {
 	v.output, v.steppedAt = Output{}, now
 	defer func() {
--- a/internal/standalone/fleet/quorum/voter_test.go
+++ b/internal/standalone/fleet/quorum/voter_test.go
@@ -11,7 +11,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// recoverySeconds is the time without faults at the end of a run, in seconds. Within it the role has to be held again.
+// recoverySeconds is the time without faults at the end of a run, after which the role must be held again.
 const recoverySeconds = 14
 
 // seedsFromEnvironment returns the number of seeds that MULLEIN_SEEDS sets.
@@ -34,6 +34,8 @@
 	return s
 }
 
+// TestSimulatedFaults runs fleets with random faults, and checks that no two machines act under one token, that tokens
+// never decrease, and that the role is held again after the faults. It logs how long the role had no holder.
 func TestSimulatedFaults(t *testing.T) {
 	cryptotest.SetGlobalRandom(t, 1) // raft takes its election timeouts from it, so results are reproducible
 	seeds := uint64(40)
