--- a/internal/standalone/fleet/singleton/lease_holder.go
+++ b/internal/standalone/fleet/singleton/lease_holder.go
@@ -243,7 +243,8 @@
 	return []LeaseHolderAction{LeaseLost{role, lease.token}}
 }
 
-// tick stops acting on leases that have ended, and sends a request when one is due.
+// tick stops acting on leases that end within SafetyMargin, and sends a request when one is due. It forgets requests
+// sent more than LeaseDuration ago, because a response to one of them could only confirm a lease that has ended.
 func (lh *LeaseHolder) tick(now Seconds) (actions []LeaseHolderAction) {
 	for _, role := range slices.Sorted(maps.Keys(lh.roles)) {
 		if lease := lh.roles[role]; lease.acting && now >= lease.expiresAt-SafetyMargin {
--- a/internal/standalone/fleet/singleton/lease_manager.go
+++ b/internal/standalone/fleet/singleton/lease_manager.go
@@ -59,13 +59,13 @@
 // pendingRequest is a request whose response is delayed until its renewals are applied.
 type pendingRequest struct {
 	request      AcquireRequest
-	renewalsLeft int
+	renewalsLeft int // renewals of the request that are neither applied nor rejected yet
 	receivedAt   Seconds
 }
 
 // LeaseManager queues candidates, grants roles and expires leases at the voters' leader. Each voter has one; it does
 // nothing while the voter is not the leader. Its state is neither stored nor replicated, so a new leader starts without
-// candidates, and waits for a full lease before it expires one.
+// candidates, and waits for expireAfter before it expires a lease.
 type LeaseManager struct {
 	table           *LeaseTable
 	leading         bool
@@ -124,6 +124,7 @@
 	case RequestReceived:
 		return lm.requestReceived(now, event.Request)
 	case Transfer:
+		// The limit bounds the memory, because an operator may name roles that don't exist.
 		if _, known := lm.table.Leases[event.Role]; known || len(lm.transferTo) < MaxRoles {
 			lm.transferTo[event.Role] = event.To
 		}
@@ -149,7 +150,7 @@
 }
 
 // requestReceived proposes the renewals and releases of a request, and queues its sender as a candidate for the other
-// roles. The response is sent once the renewals are applied, or at once if there are none.
+// roles. The response is sent once the renewals are applied or rejected, or at once if there are none.
 func (lm *LeaseManager) requestReceived(now Seconds, r AcquireRequest) (actions []ManagerAction) {
 	if len(r.Roles) > MaxRoles || r.From.Name == "" || len(r.From.Name) > maxNameLength {
 		return nil
@@ -181,7 +182,8 @@
 	return append(actions, lm.response(pending.request))
 }
 
-// enqueue makes the sender of a request a candidate for a role.
+// enqueue makes the sender of a request a candidate for a role. MaxRoles bounds the queues for roles that were never
+// granted, because any ingress may name them.
 func (lm *LeaseManager) enqueue(now Seconds, r AcquireRequest, requested RoleRequest) {
 	role := requested.Role
 	if role == "" || len(role) > maxNameLength {
@@ -301,7 +303,7 @@
 		if !lease.assigned() || now <= lm.renewedAt[role]+wait {
 			continue
 		}
-		lm.renewedAt[role] = now // so that the expiry is proposed only once per lease duration
+		lm.renewedAt[role] = now // so that the expiry is proposed again only after a further expireAfter
 		expire := Command{Kind: Expire, Role: role, Token: lease.Token, RenewedIndex: lease.RenewedIndex}
 		actions = append(actions, Propose{expire})
 	}
--- a/internal/standalone/fleet/singleton/messages.go
+++ b/internal/standalone/fleet/singleton/messages.go
@@ -4,7 +4,7 @@
 // it renews.
 type AcquireRequest struct {
 	From  Identity      `cbor:"1,keyasint"`
-	ID    uint64        `cbor:"2,keyasint"` // chosen by the sender
+	ID    uint64        `cbor:"2,keyasint"` // chosen by the sender, and repeated in the response
 	Zone  string        `cbor:"3,keyasint,omitempty"`
 	Load  float64       `cbor:"4,keyasint,omitempty"` // 0 to 1
 	Roles []RoleRequest `cbor:"5,keyasint"`
--- a/internal/standalone/fleet/singleton/mutants_test.go
+++ b/internal/standalone/fleet/singleton/mutants_test.go
@@ -32,6 +32,8 @@
 	}
 }
 
+// TestGrantResponseMutant checks that checkGrantResponse finds a leader that confirms a lease in the response that
+// first reports its grant.
 func TestGrantResponseMutant(t *testing.T) {
 	mutants.Seed(t, "singleton/grant-is-lease")
 	if checkGrantResponse() == nil {
--- a/internal/standalone/fleet/singleton/timing.go
+++ b/internal/standalone/fleet/singleton/timing.go
@@ -15,7 +15,7 @@
 	// time.
 	SafetyMargin = 0.05
 
-	// expireAfter is how long the leader waits after a renewal before it expires the lease. It is longer than
+	// expireAfter is how long the leader waits after a grant or renewal before it expires the lease. It is longer than
 	// LeaseDuration, because the holder's clock may be slow, and the leader's fast, by MaxClockDrift.
 	expireAfter = LeaseDuration*(1+MaxClockDrift)/(1-MaxClockDrift) + SafetyMargin
 
