--- a/internal/standalone/fleet/leaseservice/announcer.go
+++ b/internal/standalone/fleet/leaseservice/announcer.go
@@ -176,8 +176,8 @@
 		a.store(action.Record)
 	case revisionlog.ReportConflict:
 		level.Error(a.service.log("duty-revision-turned")).Log(
-			"msg", "revision of this ingress's file not announced: its number is already in use for other content; "+
-				"use a higher number",
+			"msg", "revision of this ingress's file not announced: its number is too low or already in use for other "+
+				"content; use a higher number",
 			"revision", action.Entry.Number, "digest", action.Entry.Digest,
 		)
 	}
--- a/internal/standalone/fleet/leaseservice/calls.go
+++ b/internal/standalone/fleet/leaseservice/calls.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// call sends a request to the receivers and returns the first response. It fails after the timeout.
+// call sends a request to the receivers and returns the first response. It fails after the timeout, when ctx ends, or
+// when the service is stopped while the inbox is full.
 func (s *Service) call(
 	ctx context.Context, receivers []string, topic gossip.Topic, body []byte, timeout time.Duration,
 ) ([]byte, error) {
--- a/internal/standalone/fleet/leaseservice/messages.go
+++ b/internal/standalone/fleet/leaseservice/messages.go
@@ -52,8 +52,9 @@
 	}
 }
 
-// handleMessage handles a message. Messages that cannot be decoded are dropped, and so are requests whose sender does
-// not match and responses that do not come from a voter.
+// handleMessage handles a message. Messages that cannot be decoded are dropped, and so are an AcquireRequest whose From
+// is not the sender and an AcquireResponse that does not come from a voter. A response to a call is accepted from any
+// ingress that knows the random id of the call.
 func (s *Service) handleMessage(m message) {
 	switch m.topic {
 	case topicVote:
--- a/internal/standalone/fleet/leaseservice/service.go
+++ b/internal/standalone/fleet/leaseservice/service.go
@@ -21,9 +21,11 @@
 const (
 	tickInterval   = 100 * time.Millisecond // time between two ticks of the lease holder, and of the voter
 	stallThreshold = time.Second            // time without a tick after which the process counts as paused
-	inboxSize      = 1024                   // messages or voter steps; more are dropped, as if the network lost them
-	storeFile      = "votes.db"             // name of a voter's store in Options.Dir
-	tokenBaseShift = 20                     // bits by which Unix time is shifted for the token base, see quorum.Open
+	// inboxSize is the number of messages, voter steps or events of the revision log that each queue can hold. More are
+	// dropped, as if the network lost them, except those passed by enqueueBlocking and by call.
+	inboxSize      = 1024
+	storeFile      = "votes.db" // name of a voter's store in Options.Dir
+	tokenBaseShift = 20         // bits by which Unix time is shifted for the token base, see quorum.Open
 )
 
 // Service runs the leases of one ingress. Its methods are safe for concurrent use.
@@ -56,7 +58,7 @@
 	identity    singleton.Identity
 	roles       map[string]*role
 	roleStatus  map[string]singleton.RoleStatus // by role, from the leader's last response
-	lastTick    time.Duration                   // time since startedAt
+	lastTick    time.Duration                   // time of the last tick, since startedAt
 	resigned    bool                            // whether roles are not requested because of Resign
 	stopped     bool
 
--- a/internal/standalone/fleet/revisionlog/announcer.go
+++ b/internal/standalone/fleet/revisionlog/announcer.go
@@ -4,7 +4,7 @@
 
 // peer is the state that a lease holder keeps of another ingress.
 type peer struct {
-	entries     map[uint64]Entry // its last inventory, by number; nil until one is received
+	entries     map[uint64]Entry // its last inventory, by number; nil if none is known or missing entries are fetched
 	nextQueryAt Seconds
 	announcedAt map[uint64]Seconds // time of the last Announce, by number
 }
@@ -48,7 +48,7 @@
 }
 
 // inventoryReceived records what a peer has stored, and fetches the entries that an earlier lease holder announced to
-// the peer and that this ingress lacks.
+// the peer and that this ingress lacks, or has with other content from an older announcement.
 func (l *Log) inventoryReceived(from string, p *peer, listed []Entry) []Action {
 	p.entries = map[uint64]Entry{}
 	var missing []Entry
@@ -118,8 +118,8 @@
 	return p
 }
 
-// tickLeaseHolder queries the peers, sends them the entries that they have not confirmed, and announces the revisions
-// of this ingress's own file once the inventories are gathered.
+// tickLeaseHolder queries the peers. Once their inventories are gathered, it sends them the entries that they have not
+// confirmed, and announces the revisions of this ingress's own file.
 func (l *Log) tickLeaseHolder(now Seconds) (actions []Action) {
 	inventories := 0
 	for _, name := range l.livePeers {
@@ -156,7 +156,8 @@
 	return []Action{Send{name, Message{Kind: Query, Token: l.token}}}
 }
 
-// announceTo sends a peer the entries that it has not confirmed.
+// announceTo sends a peer the entries that it has not confirmed, once the inventories are gathered. An entry is sent
+// again after resendInterval.
 func (l *Log) announceTo(now Seconds, name string, p *peer) (actions []Action) {
 	lowest := lowestNumber(p.entries)
 	for _, e := range sortedByNumber(l.entries) {
--- a/internal/standalone/fleet/revisionlog/events.go
+++ b/internal/standalone/fleet/revisionlog/events.go
@@ -49,7 +49,7 @@
 	// StoreRecord replaces the record on disk. The caller reports RecordStored once it is durable.
 	StoreRecord struct{ Record Record }
 	// ReportConflict reports that a revision of this ingress's own file is not announced, because its number is already
-	// in use for other content.
+	// in use for other content or is too low to be retained.
 	ReportConflict struct{ Entry Entry }
 )
 
--- a/internal/standalone/fleet/revisionlog/log.go
+++ b/internal/standalone/fleet/revisionlog/log.go
@@ -57,7 +57,7 @@
 	return l
 }
 
-// Entries returns the announced revisions, by number, and the newest fencing token.
+// Entries returns the announced revisions, sorted by number, and the newest fencing token seen.
 func (l *Log) Entries() ([]Entry, uint64) {
 	return sortedByNumber(l.entries), l.lastToken
 }
@@ -85,7 +85,8 @@
 	return nil
 }
 
-// localRevision adds a revision of this ingress's own file, to be announced or submitted later.
+// localRevision adds a revision of this ingress's own file, to be announced or submitted later. A revision with a text
+// of more than MaxTextBytes is ignored.
 func (l *Log) localRevision(now Seconds, e Entry) []Action {
 	announced, known := l.entries[e.Number]
 	if known && announced.Digest == e.Digest || len(e.Text) > MaxTextBytes {
@@ -103,8 +104,9 @@
 	return nil
 }
 
-// reportConflict reports, only once, that the number of a revision of this ingress's own file is already in use for
-// other content.
+// reportConflict reports that the number of a revision of this ingress's own file is already in use for other content
+// or is too low to be retained. The record of reported conflicts is cleared when it exceeds MaxEntries, so that it
+// stays bounded; until then a conflict is reported only once.
 func (l *Log) reportConflict(e Entry) []Action {
 	delete(l.local, e.Number)
 	if l.conflicts[e.Number] == e.Digest {
--- a/internal/standalone/fleet/revisionlog/log_test.go
+++ b/internal/standalone/fleet/revisionlog/log_test.go
@@ -64,6 +64,8 @@
 	}
 }
 
+// TestSimulatedFaults checks that no number is announced with two contents under one token, that an ingress keeps what
+// it confirmed, and that all ingresses have the same revisions once the faults have ended.
 func TestSimulatedFaults(t *testing.T) {
 	for seed := range uint64(100) {
 		if violation := simulate(seed); violation != "" {
--- a/internal/standalone/fleet/revisionlog/messages.go
+++ b/internal/standalone/fleet/revisionlog/messages.go
@@ -7,7 +7,7 @@
 	// MaxTextBytes is the maximum length of a revision's text in bytes.
 	MaxTextBytes = 1 << 20
 
-	maxPeers      = 1024 // peers whose state a lease holder tracks
+	maxPeers      = 1024 // peers whose state a lease holder tracks; it ignores further ones
 	maxNameLength = 64   // bytes of a peer's name
 )
 
