--- a/internal/standalone/fleet/quotashare/allocator.go
+++ b/internal/standalone/fleet/quotashare/allocator.go
@@ -23,7 +23,7 @@
 	options   Options
 	startedAt Seconds
 	lastTick  Seconds
-	nameLost  bool // another process uses this ingress's name, see NameLost
+	nameLost  bool // this process left the fleet or lost its name, see NameLost
 
 	customers map[string]*customer
 	peers     map[string]*peer
--- a/internal/standalone/fleet/quotashare/counterhealth.go
+++ b/internal/standalone/fleet/quotashare/counterhealth.go
@@ -33,7 +33,7 @@
 	// the first call of any ingress, so the name may expire earlier than the TTL after this ingress's first call.
 	nameTTLFactor        = 0.8
 	maxNameTTL           = 60.0 // longest time for which a name is tracked, before the factor; seconds
-	maxCounterNames      = 4096 // names with state
+	maxCounterNames      = 4096 // names with state; totals of further names are not checked
 	maxCallsInFlight     = 16   // tracked for one name
 	maxPeersPerName      = 16   // peers whose totals of a name are remembered
 	maxTotalsPerCustomer = 4    // in a report to another gateway
@@ -177,6 +177,8 @@
 	return all[max(0, len(all)-maxTotalsPerCustomer):]
 }
 
+// tick forgets expired names. It distrusts a counter that doesn't answer, and trusts one again after answersToTrust
+// answers in a row, but not before distrustedUntil.
 func (ch *counterHealth) tick(now Seconds) []Action {
 	for name, n := range ch.names {
 		if now > n.expiresAt {
--- a/internal/standalone/fleet/quotashare/customer.go
+++ b/internal/standalone/fleet/quotashare/customer.go
@@ -56,6 +56,8 @@
 	}
 }
 
+// addDemand counts a request of a customer. No state is created for a customer with only one gateway, because that
+// gateway owns the whole quota.
 func (a *Allocator) addDemand(now Seconds, d Demand) {
 	c := a.customers[d.Customer]
 	if c == nil {
--- a/internal/standalone/fleet/quotashare/events.go
+++ b/internal/standalone/fleet/quotashare/events.go
@@ -45,7 +45,8 @@
 // expired.
 type Paused struct{}
 
-// NameLost reports that another process uses this ingress's name, and therefore owns its share of the quotas.
+// NameLost reports that this process has left the fleet or lost its name to another process, which may therefore own
+// this ingress's share of the quotas.
 type NameLost struct{}
 
 func (Demand) event() {}
--- a/internal/standalone/fleet/quotashare/grants.go
+++ b/internal/standalone/fleet/quotashare/grants.go
@@ -39,8 +39,8 @@
 }
 
 // ownShare returns this gateway's own share of a quota and how much of it may be lent, in units a second. Until the
-// loans of an earlier process of this ingress have ended, and once another process uses the ingress's name, the share
-// is only the part that is never lent.
+// loans of an earlier process of this ingress have ended, and after NameLost, the share is only the part that is never
+// lent.
 func (a *Allocator) ownShare(now Seconds, c *customer) (share, lendable float64) {
 	even := c.evenShare()
 	if a.nameLost || now < a.startedAt+ReclaimDelay && !mutants.On("quotashare/promises-forgotten") {
--- a/internal/standalone/fleet/quotashare/sending.go
+++ b/internal/standalone/fleet/quotashare/sending.go
@@ -30,7 +30,7 @@
 }
 
 // customerReports returns the reports for each other gateway that is alive. Once a gateway has maxCustomersPerMessage
-// reports, only reports with a loan are added.
+// reports, only reports with a loan are added. newMessage omits these from the message, so their loans are not made.
 func (a *Allocator) customerReports(now Seconds, alive []string) map[string][]CustomerReport {
 	isAlive := make(map[string]bool, len(alive))
 	for _, name := range alive {
@@ -71,7 +71,7 @@
 	return slowSendInterval
 }
 
-// newMessage returns the next message to a peer, and remembers the loans in it.
+// newMessage returns the next message to a peer, and remembers the loans in it for longer than the peer may use them.
 func (a *Allocator) newMessage(now Seconds, p *peer, reports []CustomerReport) Message {
 	p.sentSeq++
 	m := Message{
--- a/internal/standalone/fleet/quotashare/simulation_test.go
+++ b/internal/standalone/fleet/quotashare/simulation_test.go
@@ -25,7 +25,7 @@
 type ingress struct {
 	name               string
 	number             int     // index in the fleet
-	clockRate          float64 // seconds of its clock per simulated second
+	clockRate          float64 // seconds of its clock per simulated second, within MaxClockDrift of 1
 	allocator          *Allocator
 	boot               uint64
 	up                 bool
@@ -359,6 +359,9 @@
 // longRun reports whether the long variants of the tests are enabled.
 func longRun() bool { return os.Getenv("MULLEIN_LONG") != "" }
 
+// TestGrantsStayWithinQuota checks in random scenarios that the grants of a customer's gateways together never exceed
+// its quota while no ingress trusts the counter. Otherwise the parts of a partitioned fleet could together admit more
+// than the quota.
 func TestGrantsStayWithinQuota(t *testing.T) {
 	seeds := uint64(40)
 	if longRun() {
--- a/internal/standalone/fleet/quotashare/types.go
+++ b/internal/standalone/fleet/quotashare/types.go
@@ -24,7 +24,7 @@
 type Status struct {
 	Customer     string   `json:"member"`
 	Quota        float64  `json:"quota"`            // units a second
-	Grant        float64  `json:"right"`            // units a second that this ingress may use
+	Grant        float64  `json:"right"`            // units a second usable here while the counter is not trusted
 	Demand       float64  `json:"asked"`            // units a second requested here
 	LentTo       []Loan   `json:"given,omitempty"`  // loans of this ingress to others
 	BorrowedFrom []Loan   `json:"taken,omitempty"`  // loans of others to this ingress
--- a/internal/standalone/fleet/quotashare/votes.go
+++ b/internal/standalone/fleet/quotashare/votes.go
@@ -8,14 +8,15 @@
 
 // Each ingress sends the servers that it observes to be unhealthy to a few other ingresses at a time. It doesn't
 // forward the votes that it receives, because votes could then confirm themselves in a loop. A server is warned of
-// while enough ingresses with recent messages vote against it. The decision module's own recent observations take
-// precedence; a warning only raises the cost of a server.
+// while enough ingresses with recent messages vote against it. The decision module ignores a warning about a server
+// that has recently answered this ingress successfully. It treats any other warned server as unhealthy until that
+// answers.
 const (
 	votesPerRound        = 4   // receivers of the votes at each tick
 	voteTTL              = 6.0 // validity of a vote, seconds
 	minVotes             = 3   // votes of different ingresses that are needed for a warning; see suspectServers
 	warnedServersDivisor = 3   // at most 1/3 of the endpoint list is warned of
-	maxVotesPerPeer      = 64  // a message with more votes is ignored
+	maxVotesPerPeer      = 64  // the votes in a message with more are ignored
 )
 
 // isCredible reports whether the votes in a message count. Votes against more than a third of the sender's servers are
--- a/internal/standalone/fleet/quotasync/service.go
+++ b/internal/standalone/fleet/quotasync/service.go
@@ -33,9 +33,13 @@
 
 // Engine enforces the grants and warnings, and knows the health of servers.
 type Engine interface {
+	// SetGrants replaces all grants. They expire after the lease.
 	SetGrants(all []decision.QuotaGrant, lease decision.Seconds)
+	// SetSuspects replaces the servers that other ingresses find unhealthy.
 	SetSuspects(servers []string)
+	// UnhealthyServers returns the servers that this ingress itself finds unhealthy.
 	UnhealthyServers() []string
+	// PoolSize returns the number of servers in the endpoint list, and how many of these the engine avoids now.
 	PoolSize() (listed, avoided int)
 }
 
