--- a/internal/standalone/fleet/membership/events.go
+++ b/internal/standalone/fleet/membership/events.go
@@ -104,7 +104,7 @@
 	Name string
 	From State
 	To   State
-	New  bool // the member was not known before
-	Boot uint64
+	New  bool   // the member was not known before
+	Boot uint64 // boot count of the member's incarnation; 0 for a change of the reachability
 	What string // "state", "phase" or "claim" (the incarnation); for the reachability: the name of the level
 }
--- a/internal/standalone/fleet/membership/messages.go
+++ b/internal/standalone/fleet/membership/messages.go
@@ -96,7 +96,7 @@
 		return nil
 	}
 	ack := v.newMessage()
-	ack.AckedSeq = max(1, m.Seq)
+	ack.AckedSeq = max(1, m.Seq) // 0 would mark the acknowledgement as a probe
 	ack.KnownIncarnation = known
 	return []Action{SendMessage{To: m.From, Addr: m.Addr, Message: ack}}
 }
--- a/internal/standalone/fleet/membership/queries.go
+++ b/internal/standalone/fleet/membership/queries.go
@@ -69,8 +69,8 @@
 	return all
 }
 
-// Digest returns a hash of the names and incarnations of the members that are alive. Members with the same digest
-// agree on them.
+// Digest returns a hash of the names and incarnations of the members that are alive or suspect. Members with the same
+// digest agree on them.
 func (v *View) Digest() string {
 	alive := map[string]Incarnation{v.self.Name: v.self.Incarnation}
 	for name, p := range v.peers {
@@ -85,7 +85,7 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// Rank returns the position of this process among the members that are alive and not leaving, from 0, and
+// Rank returns the position of this process, from 0, among the members that are alive or suspect and not leaving, and
 // their number. Members may disagree on the rank, so it may be used to spread load, but not to decide who acts.
 func (v *View) Rank() (rank, of int) {
 	of = 1
--- a/internal/standalone/fleet/membership/types.go
+++ b/internal/standalone/fleet/membership/types.go
@@ -112,9 +112,11 @@
 // are never both at one of these levels, because an ingress is at them only while it reaches more than half of the last
 // agreed membership.
 const (
-	Partitioned ReachabilityLevel = iota // at most half of the last agreed membership is reached, or nothing is known
-	Majority                             // more than half of it, but not all
-	Complete                             // all of it
+	// At Partitioned, at most half of the last agreed membership is alive, no message arrived within reachabilityTTL,
+	// or most of the recent probes were missed.
+	Partitioned ReachabilityLevel = iota
+	Majority                      // more than half of it, but not all
+	Complete                      // all of it
 )
 
 var reachabilityLevelNames = [...]string{"cut-off", "thinned", "whole"}
@@ -126,6 +128,6 @@
 	Level  ReachabilityLevel
 	Since  Seconds // when Level began
 	Until  Seconds // when Level expires, unless it is renewed; from then on it is Partitioned
-	Alive  int     // members that are alive, this one included
+	Alive  int     // members of the last agreed membership whose state is Alive, this one included
 	Agreed int     // members of the last agreed membership, this one included
 }
