--- a/internal/standalone/fleet/gossip/delegate.go
+++ b/internal/standalone/fleet/gossip/delegate.go
@@ -14,7 +14,8 @@
 // reports changes, so the view keeps the old state until the member's next change or until the protocol is restarted.
 const maxPendingUpdates = 4 * membership.MaxMembers
 
-// NodeMeta implements memberlist.Delegate: it returns the encoded metadata of this member.
+// NodeMeta implements memberlist.Delegate. It returns the encoded metadata of this member, or none if that is longer
+// than limit bytes. Other members reject reports of a member without metadata.
 func (i *instance) NodeMeta(limit int) []byte {
 	if b := *i.fleet.metadata.Load(); len(b) <= limit {
 		return b
--- a/internal/standalone/fleet/gossip/fleet.go
+++ b/internal/standalone/fleet/gossip/fleet.go
@@ -166,7 +166,8 @@
 	f.broadcastMetadata()
 }
 
-// Leave announces that this member leaves, so that the other members stop probing it. If handOver is true, nothing is
+// Leave announces that this member leaves, so that the other members stop probing it. The caller sets the phase Leaving
+// before, because the other members tell a departure from a death only by that phase. If handOver is true, nothing is
 // announced, because a newer process of this ingress takes over the name and the other members see one member with a
 // new incarnation. A second call waits for the first.
 func (f *Fleet) Leave(handOver bool) {
--- a/internal/standalone/fleet/gossip/fleet_test.go
+++ b/internal/standalone/fleet/gossip/fleet_test.go
@@ -14,6 +14,8 @@
 	"mulleinrouter/internal/emulator/faultnet"
 )
 
+// TestKilledMemberIsDetected checks that all members see a killed member as dead within 20 s, in fleets of several
+// sizes. It logs the traffic of a member afterwards.
 func TestKilledMemberIsDetected(t *testing.T) {
 	sizes := []int{3, 10, 30}
 	if longRun() {
--- a/internal/standalone/fleet/gossip/golden_test.go
+++ b/internal/standalone/fleet/gossip/golden_test.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// TestGoldenMetadata checks the same for the metadata that members publish in the SWIM protocol.
+// TestGoldenMetadata checks that metadata of an earlier version, which members publish in the SWIM protocol, is decoded
+// to the same values and encoded to the same bytes.
 func TestGoldenMetadata(t *testing.T) {
 	for _, tc := range []struct {
 		file string
--- a/internal/standalone/fleet/gossip/instance.go
+++ b/internal/standalone/fleet/gossip/instance.go
@@ -90,7 +90,7 @@
 	c.AdvertisePort, _ = strconv.Atoi(port)
 	c.BindPort = c.AdvertisePort
 	c.ProbeInterval = f.options.Interval
-	c.ProbeTimeout = f.options.Interval * 2 / 5
+	c.ProbeTimeout = f.options.Interval * 2 / 5 // the rest of the interval is for indirect probes
 	c.GossipInterval = f.options.Interval / 4
 	c.GossipNodes = gossipNodes
 	c.SuspicionMult = suspicionMultiplier(f.options.Interval, f.options.Expect)
@@ -108,7 +108,8 @@
 
 // suspicionMultiplier returns the value of memberlist's SuspicionMult that gives a suspected member about
 // suspicionTimeout to refute. A fixed multiplier doesn't fit all fleets, because memberlist's time-out grows with the
-// logarithm of the fleet's size: in a small fleet with 30% packet loss it declared healthy members dead too soon.
+// logarithm of the fleet's size. In a small fleet with 30% packet loss, the time-out of a fixed multiplier was so short
+// that healthy members were declared dead.
 func suspicionMultiplier(interval time.Duration, fleetSize int) int {
 	scale := max(1, math.Log10(float64(max(1, fleetSize))))
 	multiplier := int(math.Round(suspicionTimeout.Seconds() / (interval.Seconds() * scale)))
--- a/internal/standalone/fleet/gossip/options.go
+++ b/internal/standalone/fleet/gossip/options.go
@@ -14,7 +14,7 @@
 
 // Options configure the membership of an ingress in a fleet.
 type Options struct {
-	Fleet     string
+	Fleet     string // name of the fleet; packets of other fleets are rejected
 	Name      string
 	Zone      string
 	Version   string
--- a/internal/standalone/fleet/gossip/queries.go
+++ b/internal/standalone/fleet/gossip/queries.go
@@ -53,7 +53,8 @@
 	return names
 }
 
-// MemberNames returns the names of the known ingresses by their index, dead ones included.
+// MemberNames returns the names of the known ingresses by their index, dead ones included. If several have the same
+// index, one that is alive takes precedence.
 func (f *Fleet) MemberNames() map[int]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standalone/fleet/gossip/run.go
+++ b/internal/standalone/fleet/gossip/run.go
@@ -13,7 +13,7 @@
 const (
 	tickInterval      = 100 * time.Millisecond // between two ticks of the view
 	maxTickDelay      = time.Second            // a longer time between two ticks means that the process was suspended
-	bindRetryInterval = 250 * time.Millisecond // between attempts, while an older process may have the address
+	bindRetryInterval = 250 * time.Millisecond // between attempts to listen, which fail while an older process listens
 	minWriteInterval  = time.Second            // minimum time between two writes of the record
 )
 
--- a/internal/standalone/fleet/gossip/testfleet_test.go
+++ b/internal/standalone/fleet/gossip/testfleet_test.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	formTimeout  = 30 * time.Second // limit for a fleet to form, or to be complete again
-	pollInterval = 100 * time.Millisecond
-	seeds        = 3 // members whose addresses are the seeds of all
+	formTimeout  = 30 * time.Second       // limit for a fleet to form, or to be complete again
+	pollInterval = 100 * time.Millisecond // time between two checks of a condition in waitUntil
+	seeds        = 3                      // members whose addresses are the seeds of all
 
 	complete    = "whole"   // name of the reachability level in reports
 	partitioned = "cut-off" // name of the reachability level in reports
