--- a/internal/standalone/state/errors.go
+++ b/internal/standalone/state/errors.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Errors of reading a file. The file is not changed after one.
+// Errors of reading a file. Reading never changes or removes the file.
 var (
 	// ErrDamaged is the error of a file whose header, checksum or content is invalid, or that is too large.
 	ErrDamaged = errors.New("damaged file")
--- a/internal/standalone/state/folder_test.go
+++ b/internal/standalone/state/folder_test.go
@@ -20,6 +20,8 @@
 	Part float64
 }
 
+// TestFolder checks that a process finds and reads the files of the ingress's other processes, but neither lists its
+// own nor those of another ingress in the same folder, and that a removed file is missing afterwards.
 func TestFolder(t *testing.T) {
 	dir := t.TempDir()
 	writer := Open(dir, "n1 10.0.0.4:80", 7)
--- a/internal/standalone/vfs/faulty.go
+++ b/internal/standalone/vfs/faulty.go
@@ -46,7 +46,7 @@
 
 // Fault describes how operations of one kind fail, in the format of the fault tests' files.
 type Fault struct {
-	Err  string `json:"err"`  // ENOSPC or EIO
+	Err  string `json:"err"`  // ENOSPC or EIO; any other text counts as EIO
 	Torn bool   `json:"torn"` // see FailFrom
 }
 
