--- a/internal/standalone/handover/handover.go
+++ b/internal/standalone/handover/handover.go
@@ -61,8 +61,8 @@
 	Newer     []int64 // newer processes that are not leaving; this process hands its learned state over to them
 }
 
-// Heartbeat applies the other processes' records. The share shrinks at once, but grows only by what the others' records
-// leave free, so that the shares never add up to more than 1.
+// Heartbeat applies the other processes' records. The share shrinks at once, but grows only up to what the others'
+// records leave free, so that the shares never add up to more than 1.
 func (m *Member) Heartbeat(now float64, others []Record) (v View) {
 	live := slices.DeleteFunc(slices.Clone(others), func(r Record) bool {
 		// A heartbeat far in the future was written before the clock was set back. Such a record would stay valid until
