--- a/internal/standalone/fleet/leaseservice/errors.go
+++ b/internal/standalone/fleet/leaseservice/errors.go
@@ -6,7 +6,8 @@
 )
 
 var (
-	// errNoResponse means that a call had no response within its timeout. Its text is the answer to an operator's call.
+	// errNoResponse means that a call had no response within its timeout. Its text is meant for an operator's call, but
+	// an export to which the lease holder does not respond returns it too.
 	errNoResponse = errors.New("no voter that leads has answered: is there a majority?")
 	// errStopped means that the service was stopped.
 	errStopped = errors.New("the lease service is stopped")
--- a/internal/standalone/fleet/leaseservice/service.go
+++ b/internal/standalone/fleet/leaseservice/service.go
@@ -188,7 +188,7 @@
 		s.identity = identity
 	}
 	s.checkRecordTimeout(now)
-	s.stepLeaseHolder(singleton.LeaseHolderTick{})
+	s.stepLeaseHolder(singleton.LeaseHolderTick{}) // without a load, so candidates are not ordered by load
 }
 
 // logVoterStatus logs changes of the voter's status. It must be called on the goroutine of runVoter.
--- a/internal/standalone/fleet/quorum/boltstore/boltstore.go
+++ b/internal/standalone/fleet/quorum/boltstore/boltstore.go
@@ -92,6 +92,7 @@
 }
 
 // wrap adds the path to an error, and wraps ErrNoSpace or ErrLocked of package quorum for a full disk or a locked file.
+// A disk quota or file size limit that is reached counts as a full disk.
 func (s *Store) wrap(operation string, err error) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG) {
 		return fmt.Errorf("%s: %s: %w: %w", s.Path, operation, quorum.ErrNoSpace, err)
--- a/internal/standalone/fleet/quorum/messages.go
+++ b/internal/standalone/fleet/quorum/messages.go
@@ -38,7 +38,8 @@
 	Data []byte
 }
 
-// strictDecoding limits the CBOR that is accepted from other processes, which is untrusted input.
+// strictDecoding limits the CBOR that is accepted from other processes, which is untrusted input. The bounds are far
+// above what a valid message needs, because the maps of an envelope have one pair for each voter.
 var strictDecoding = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
--- a/internal/standalone/fleet/quorum/status.go
+++ b/internal/standalone/fleet/quorum/status.go
@@ -31,7 +31,7 @@
 // Status describes a voter.
 type Status struct {
 	State   State
-	Reason  string // reason for the state Busy, Full or Retired
+	Reason  string // reason for the last state Busy, Full or Retired; it is kept when the state ends
 	ID      uint64
 	Boot    uint64
 	Leader  string // name; empty: no leader is known
--- a/internal/standalone/fleet/quorum/voter.go
+++ b/internal/standalone/fleet/quorum/voter.go
@@ -40,7 +40,7 @@
 	durable    *Durable
 
 	state  State
-	reason string // reason for the state Busy, Full or Retired
+	reason string // reason for the last state Busy, Full or Retired; it is kept when the state ends
 
 	node          *raft.RawNode // nil: raft does not run, and the voter sends nothing
 	raftStorage   *raft.MemoryStorage
--- a/internal/standalone/fleet/quotashare/doc.go
+++ b/internal/standalone/fleet/quotashare/doc.go
@@ -3,9 +3,9 @@
 // the fleet can use. The package has three tasks:
 //
 //   - Quota grants under leases (grants.go, lending.go). Each gateway of a customer owns an even share of its quota,
-//     and lends the part that it doesn't use to gateways that need more. A lender stops using a loan before it offers
-//     it, and the borrower's lease ends, by the borrower's own clock, before the lender reclaims the loan. So the
-//     grants of all gateways of a customer never sum to more than its quota.
+//     and lends the part that it doesn't use to gateways that need more. A lender stops using a loan in the tick in
+//     which it offers it, and the borrower's lease ends, by the borrower's own clock, before the lender reclaims the
+//     loan. So the grants of all gateways of a customer never sum to more than its quota.
 //   - The health of the counter (counterhealth.go), derived from its answers and from the amounts that other gateways
 //     report to have added.
 //   - Votes against servers (votes.go). The votes of other ingresses can make an ingress avoid a server, but never make
--- a/internal/standalone/fleet/revisionlog/log.go
+++ b/internal/standalone/fleet/revisionlog/log.go
@@ -35,7 +35,7 @@
 
 	token     uint64 // token of the lease that this ingress holds; 0 if it holds none
 	gainedAt  Seconds
-	gathered  bool // whether the inventories of the peers are known, so that revisions may be announced
+	gathered  bool // whether all inventories are known or gatherTimeout has passed, so that revisions may be announced
 	peers     map[string]*peer
 	livePeers []string
 }
