--- a/internal/standalone/fleet/quorum/boltstore/boltstore.go
+++ b/internal/standalone/fleet/quorum/boltstore/boltstore.go
@@ -21,7 +21,8 @@
 	// lockTimeout is how long Open waits for the file's lock. It is short, because an older process of this ingress
 	// holds the lock for as long as it runs, and the voter retries Open.
 	lockTimeout = 20 * time.Millisecond
-	// retainedEntries is the number of entries before a snapshot that are kept, for voters that are a little behind.
+	// retainedEntries is the number of entries up to a snapshot that stay in the file. Open checks them but returns
+	// only the entries after the snapshot.
 	retainedEntries = 200
 )
 
@@ -91,6 +92,7 @@
 }
 
 // wrap adds the path to an error, and wraps ErrNoSpace or ErrLocked of package quorum for a full disk or a locked file.
+// A disk quota or file size limit that is reached counts as a full disk.
 func (s *Store) wrap(operation string, err error) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG) {
 		return fmt.Errorf("%s: %s: %w: %w", s.Path, operation, quorum.ErrNoSpace, err)
--- a/internal/standalone/fleet/quorum/status.go
+++ b/internal/standalone/fleet/quorum/status.go
@@ -23,14 +23,15 @@
 	Busy State = "busy"
 	// Full means that the disk is full. The voter sends nothing, and restarts from its store once there is space.
 	Full State = "full"
-	// Retired means that the store was rolled back, is corrupt, or failed. The voter does not vote under its id again.
+	// Retired means that the store was rolled back, is corrupt or failed, or that raft panicked. The voter does not
+	// vote under its id again.
 	Retired State = "retired"
 )
 
 // Status describes a voter.
 type Status struct {
 	State   State
-	Reason  string // reason for the state Busy, Full or Retired
+	Reason  string // reason for the last state Busy, Full or Retired; it is kept when the state ends
 	ID      uint64
 	Boot    uint64
 	Leader  string // name; empty: no leader is known
