--- a/internal/dataplane/attempt/dispatcher.go
+++ b/internal/dataplane/attempt/dispatcher.go
@@ -13,10 +13,10 @@
 type Dispatcher[H any] struct {
 	gateway             *decision.Gateway
 	maxAttempts         int
-	finishNonIdempotent bool            // at-most-once attempts are not cancelled when their client disconnects
-	atMostOnce          map[string]bool // by class name: a request must be executed at most once
-	noClientRetry       map[string]bool // by class name: a client's retry may be executed as well
-	pending             map[uint64]*Request[H]
+	finishNonIdempotent bool                   // at-most-once attempts are not cancelled when their client disconnects
+	atMostOnce          map[string]bool        // by class name: a request must be executed at most once
+	noClientRetry       map[string]bool        // by class name: a client's retry may be executed as well
+	pending             map[uint64]*Request[H] // by ID
 	lastID              uint64
 	effects             []Effect // effects of the event being handled
 }
@@ -98,8 +98,8 @@
 	}
 }
 
-// AttemptEnded reports the outcome of the attempt in flight. No decision follows decision.Succeeded, because the host
-// forwards the answer to the client.
+// AttemptEnded reports the outcome of the attempt in flight. If the client has disconnected, the decision NoAnswer
+// follows. Otherwise no decision follows decision.Succeeded, because the host forwards the answer to the client.
 func (d *Dispatcher[H]) AttemptEnded(now decision.Seconds, q *Request[H], outcome decision.Outcome) []Effect {
 	d.effects = nil
 	abandoned := q.phase() == Abandoned
@@ -253,8 +253,9 @@
 	d.finish(q, q.machine.Fail(), final)
 }
 
-// cancel carries out the decision to cancel an attempt, if it is the one in flight. If the settings say so, an attempt
-// that must be executed at most once is not cancelled when its client disconnects.
+// cancel carries out the decision to cancel an attempt, if it is the last one and may have been executed. The host
+// ignores the cancellation if the attempt has already ended. With finishNonIdempotent, an attempt that must be executed
+// at most once is not cancelled when its client disconnects.
 func (d *Dispatcher[H]) cancel(a decision.Cancel) {
 	q := d.pending[a.ID]
 	if q == nil || !q.machine.MayHaveExecuted() || a.Attempt != q.lastAttempt() {
@@ -268,8 +269,8 @@
 	}
 }
 
-// finish delivers the final decision on a request. err is the result of the state machine's transition. If it is not
-// nil, because a rejection is unsafe for example, a request that waits for a decision fails instead.
+// finish delivers the final decision on a request. err is the result of the state machine's transition. If err is not
+// nil, for example because a rejection is unsafe, a request that waits for a decision fails instead.
 func (d *Dispatcher[H]) finish(q *Request[H], err error, final Decision) {
 	if err != nil {
 		d.effects = append(d.effects, IllegalTransition[H]{q, fmt.Errorf("%v: %w", final.Kind, err)})
--- a/internal/dataplane/attempt/gateway.go
+++ b/internal/dataplane/attempt/gateway.go
@@ -13,7 +13,7 @@
 func (d *Dispatcher[H]) SetShare(share float64, secondary bool) { d.gateway.SetShare(share, secondary) }
 
 // HandOver returns the state for another process of this ingress: half of the tokens of the quota buckets, which it
-// removes from them, and what the gateway has learned.
+// removes from them, and what the gateway has learned of customers and backends.
 func (d *Dispatcher[H]) HandOver(now decision.Seconds) decision.Knowledge {
 	return d.gateway.HandOver(now)
 }
--- a/internal/dataplane/backoff/window.go
+++ b/internal/dataplane/backoff/window.go
@@ -5,11 +5,11 @@
 const (
 	minWindow     decision.Seconds = 0.2 // seconds; initial window of a small fleet
 	windowPerNode decision.Seconds = 0.1 // seconds for each ingress, so that the fleet makes ten calls a second
-	// maxInitialWindow, in seconds, bounds the initial window: with a wrong fleet size, an ingress must not stay
-	// without the service for hours.
+	// maxInitialWindow, in seconds, bounds the initial window, because with a wrong fleet size an ingress could
+	// otherwise stay without the service for hours.
 	maxInitialWindow decision.Seconds = 30.0
-	// maxGrowthFactor bounds the window, as a multiple of the initial window: after a longer wait, an update would be
-	// too old to be of use.
+	// maxGrowthFactor bounds the window, as a multiple of the initial window, because after a longer wait an update
+	// would be too old to be of use.
 	maxGrowthFactor = 4.0
 )
 
--- a/internal/dataplane/backoff/window_test.go
+++ b/internal/dataplane/backoff/window_test.go
@@ -22,7 +22,7 @@
 		q.busyUntil = now
 	}
 	if q.busyUntil-now > queueLength*callTime {
-		return now + 3*time.Millisecond, false
+		return now + 3*time.Millisecond, false // the queue is full, so the call is rejected without being handled
 	}
 	q.busyUntil += callTime
 	if q.busyUntil-now > callTimeout {
@@ -96,6 +96,8 @@
 	}
 }
 
+// The window doubles with each failure up to four times its initial length, and a success resets it. A fleet size that
+// is too large, negative or not known gives a window within the limits.
 func TestWindow(t *testing.T) {
 	w := New(80)
 	var got []time.Duration
--- a/internal/dataplane/engine/counters.go
+++ b/internal/dataplane/engine/counters.go
@@ -7,8 +7,8 @@
 	"mulleinrouter/internal/decision"
 )
 
-// countsLogInterval is the time between two log lines of decision counts, in seconds. It is long enough for the lines
-// of all ingresses of a fleet to be added up.
+// countsLogInterval is the minimum time between two log lines of decision counts, in seconds. It keeps the number of
+// lines so low that those of all ingresses of a fleet can be added up.
 const countsLogInterval decision.Seconds = 10
 
 // decisionCounts are counts of decisions and of calls of the counter over a period.
@@ -22,8 +22,8 @@
 // empty reports whether nothing was counted.
 func (c *decisionCounts) empty() bool { return c.decided == [4]int{} && c.counterCalls == 0 }
 
-// rotate returns the counts and starts a new period if countsLogInterval has passed. due reports whether there is
-// something to log.
+// rotate returns the counts and starts a new period if countsLogInterval has passed. due reports whether the returned
+// counts are to be logged; they are not if nothing was counted.
 func (c *decisionCounts) rotate(now decision.Seconds) (due bool, counted decisionCounts) {
 	if c.since == 0 {
 		c.since = now
--- a/internal/dataplane/engine/engine.go
+++ b/internal/dataplane/engine/engine.go
@@ -75,7 +75,7 @@
 }
 
 // HandOver returns the state for another process of this ingress: half of the tokens of the quota buckets, which it
-// removes from them, and what the gateway has learned.
+// removes from them, and what the gateway has learned of customers and backends.
 func (e *Engine) HandOver() decision.Knowledge {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -150,8 +150,8 @@
 	return e.dispatcher.Stats(e.clock.Now())
 }
 
-// now returns the decision module's time. If the lease of the share has expired, it sets the share to 0. The caller
-// holds the mutex.
+// now returns the decision module's time. If the lease of the share has expired, it sets the share to 0 and makes this
+// process the secondary one (see SetShare). The caller holds the mutex.
 func (e *Engine) now() decision.Seconds {
 	now := e.clock.Now()
 	if e.shareExpiresAt > 0 && now > e.shareExpiresAt {
--- a/internal/dataplane/engine/ticket.go
+++ b/internal/dataplane/engine/ticket.go
@@ -62,8 +62,9 @@
 // Next waits for the next decision.
 func (t *Ticket) Next() Decision { return <-t.decisions }
 
-// AttemptEnded reports the outcome of the attempt that the last decision asked for. No decision follows
-// decision.Succeeded, because the host forwards the answer to the client.
+// AttemptEnded reports the outcome of the attempt that the last decision asked for. If the client has disconnected, the
+// decision NoAnswer follows. Otherwise no decision follows decision.Succeeded, because the host forwards the answer to
+// the client.
 func (t *Ticket) AttemptEnded(outcome decision.Outcome) {
 	t.engine.dispatch(func(now decision.Seconds) []attempt.Effect {
 		return t.engine.dispatcher.AttemptEnded(now, t.request, outcome)
