--- a/internal/dataplane/upstream/answer.go
+++ b/internal/dataplane/upstream/answer.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// newAnswer translates an answer for the connection's state machine, which knows only the statuses of the dialect in
-// service: see upstreamconn.Answer.
+// newAnswer translates an answer for the connection's state machine, which knows only the statuses of the standalone
+// ingress's dialect (see upstreamconn.Answer).
 func newAnswer(head *http1.Response, meaning AnswerMeaning) upstreamconn.Answer {
 	a := upstreamconn.Answer{Status: head.Status, NotProcessed: meaning == NotExecuted, Close: head.Close}
 	switch meaning {
--- a/internal/dataplane/upstream/conn.go
+++ b/internal/dataplane/upstream/conn.go
@@ -22,7 +22,7 @@
 	net.Conn
 	upstreamconn.Machine
 	backend         string
-	addr            string
+	addr            string // address of the backend when the connection was opened
 	reader          *http1.Reader
 	raw             syscall.RawConn
 	resetWait       time.Duration    // estimate of the time within which a reset by the server arrives
--- a/internal/dataplane/upstream/dialect.go
+++ b/internal/dataplane/upstream/dialect.go
@@ -6,16 +6,17 @@
 	"mulleinrouter/internal/dataplane/http1"
 )
 
-// Dialect is the protocol spoken with backends. Its zero value is the dialect of the deployments in service.
+// Dialect is the protocol spoken with backends. Its zero value is the dialect of the standalone ingress; package proxy
+// sets another one.
 type Dialect struct {
-	// AppendHead appends the request line and the fields that concern the attempt. Nil: those of the deployments in
-	// service.
+	// AppendHead appends the request line and the fields that concern the attempt. Nil: those of the standalone
+	// ingress.
 	AppendHead func(b []byte, m *Message, backend string, left time.Duration) []byte
 	// Meaning returns what an answer means for the request that was written before it. Nil: the rules of the
-	// deployments in service.
+	// standalone ingress.
 	Meaning func(m *Message, a *http1.Response) AnswerMeaning
 	// IDField is the field in which an answer returns the ID of its request, in textproto's canonical form. "": answers
-	// have no such field, as in the deployments in service.
+	// have no such field, as with the standalone ingress.
 	IDField string
 	// MinHoldIdle is the minimum time for which the last byte of a request is held back, if the request must run at
 	// most once and the connection has been idle. 0: no longer than on any other connection.
--- a/internal/dataplane/upstream/errors.go
+++ b/internal/dataplane/upstream/errors.go
@@ -13,7 +13,7 @@
 // Errors of writing a request.
 var (
 	// errConnectionEnded is returned when the server reset or closed the connection, or sent something, before the
-	// request was written completely.
+	// request was written completely, and when the attempt was cancelled while a part of the request was held back.
 	errConnectionEnded = errors.New("connection ended before the request was complete")
 	// errEarlyAnswer is returned when the server sent something while a part of the request was held back. What it sent
 	// may be the answer to the request.
@@ -22,7 +22,7 @@
 	errDraining = errors.New("server draining")
 	// errClientUpload is returned when the client did not send the complete body.
 	errClientUpload = errors.New("incomplete body from the client")
-	// errServerUpload is returned when the server did not accept the complete body.
+	// errServerUpload is returned when the server did not accept the complete request. It wraps the cause.
 	errServerUpload = errors.New("server did not accept the complete request")
 )
 
--- a/internal/dataplane/upstream/message.go
+++ b/internal/dataplane/upstream/message.go
@@ -13,7 +13,7 @@
 	Fields             []byte // further header fields, in wire format
 	Body               []byte
 	Host, Tenant       string               // empty in a dialect that does not use them
-	AtMostOnce         bool                 // whether it must run at most once, whatever its method
+	AtMostOnce         bool                 // whether the request must run at most once, whatever its method
 	Trailer            textproto.MIMEHeader // trailer fields after Body, which is then sent as one chunk; nil: none
 	Upload             Upload               // streamed body; Body is then nil
 	SlowAttempt        SlowAttempt          // when to abandon the next attempt as too slow
@@ -27,7 +27,7 @@
 // Result is how an attempt ended.
 type Result struct {
 	Outcome  decision.Outcome
-	Answered bool            // whether a complete answer proves that the request had arrived completely
+	Answered bool            // whether an answer proves that the request arrived completely (see upstreamconn.Verdict)
 	Writes   int             // how often the request was written completely, each time to another connection
 	Head     *http1.Response // head of the answer; nil: there was no answer
 	Body     []byte          // body of the answer, unless it is streamed
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -107,8 +107,8 @@
 	)
 }
 
-// recordLoss records that a connection ended while it was idle or while a request was written to it. For a while, the
-// last byte of each request to that backend is then held back.
+// recordLoss records the loss of a connection (see upstreamconn.LossHistory.Record). For a while, the last byte of each
+// request to that backend is then held back.
 func (p *Pool) recordLoss(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +123,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			p.sweep(time.Now().Add(time.Hour))
+			p.sweep(time.Now().Add(time.Hour)) // by then, all connections that are idle now have expired
 			return
 		case now := <-ticker.C:
 			p.sweep(now)
--- a/internal/dataplane/upstream/slow_attempt_test.go
+++ b/internal/dataplane/upstream/slow_attempt_test.go
@@ -84,7 +84,7 @@
 		{"used just now", 2, 0.01, true, minHold, resetWait},
 		{"new", 1, 100, true, minHold, resetWait},
 		{"idempotent", 2, 0.2, false, minHold, resetWait},
-		{"dialect in service", 2, 0.2, true, 0, resetWait},
+		{"dialect without a minimum", 2, 0.2, true, 0, resetWait},
 		{"reset expected later than the minimum", 2, 0.2, true, time.Millisecond, resetWait},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/dataplane/upstream/stream.go
+++ b/internal/dataplane/upstream/stream.go
@@ -10,9 +10,9 @@
 	"mulleinrouter/internal/dataplane/http1"
 )
 
-// MaxStall is how long a streamed body may make no progress, in either direction. The deadline of the attempt applies
-// until the first bytes of the body. After them, a long transfer may go on, and only a peer that stalls is
-// disconnected.
+// MaxStall is how long a streamed body may make no progress, in either direction. An upload must also end by the
+// deadline of the attempt. That deadline does not apply to the body of an answer, so that a long transfer may go on,
+// and only a peer that stalls is disconnected.
 const MaxStall = 10 * time.Second
 
 // ChunkSize is the maximum number of bytes of a streamed body that are buffered, in either direction.
--- a/internal/dataplane/upstream/write.go
+++ b/internal/dataplane/upstream/write.go
@@ -12,17 +12,17 @@
 	"mulleinrouter/internal/decision"
 )
 
-// minIdleTime is the time in seconds since a connection's last answer from which on it counts as idle, because the
-// server may have dropped it (see Dialect.MinHoldIdle).
+// minIdleTime is the time since a connection's last answer, in seconds, above which the connection counts as idle,
+// because the server may have dropped it (see Dialect.MinHoldIdle).
 const minIdleTime decision.Seconds = 0.05
 
 // requestBuffers holds buffers in which requests are assembled.
 var requestBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
 
 // write sends a request. If holdsLastByte returns true, it sends the last byte separately, after a pause. A server that
-// has dropped an idle connection resets it at the first byte of a request, and bytes that arrive before the request is
-// complete are not an answer to it. While the last byte is held back, each of the two proves that the request was not
-// executed.
+// has dropped an idle connection resets it at the first byte of a request. While the last byte is held back, this
+// proves that the request was not executed. So do bytes that arrive meanwhile, unless they are an answer with the ID of
+// the request (see Pool.earlyAnswer).
 func (p *Pool) write(ctx context.Context, c *conn, request []byte, atMostOnce bool) (complete bool, err error) {
 	if !p.holdsLastByte(c, atMostOnce) {
 		n, err := c.Write(request)
--- a/internal/dataplane/upstreamconn/idle_pool.go
+++ b/internal/dataplane/upstreamconn/idle_pool.go
@@ -55,8 +55,8 @@
 }
 
 // Reserve counts a new connection as open; the host then opens it. At the limit, the pool removes the connection that
-// has been idle for longest: evict reports that the host must close evicted. ok is false if all open connections are in
-// use.
+// has been idle for longest. evict reports that the host must close evicted and then call Closed; until then, the
+// limit is exceeded by one. ok is false if all open connections are in use.
 func (ip *IdlePool[C]) Reserve() (evicted C, evict, ok bool) {
 	if ip.open >= ip.Max {
 		server := ip.longestIdle()
@@ -100,7 +100,7 @@
 }
 
 // TakeExpired removes and returns the connections that have been idle since before the given time, and all idle
-// connections to servers that are not serving.
+// connections to servers that are not serving. The host closes them and calls Closed for each.
 func (ip *IdlePool[C]) TakeExpired(before decision.Seconds, serving func(server string) bool) (expired []C) {
 	for server, conns := range ip.idle {
 		n := 0
--- a/internal/dataplane/upstreamconn/loss_history.go
+++ b/internal/dataplane/upstreamconn/loss_history.go
@@ -10,8 +10,8 @@
 //   - on connections to a server that lost a connection a moment ago, for whatever reason: the server restarts, is
 //     overloaded, or closes idle connections sooner than it announces;
 //   - before a request that must be executed at most once: without a proof, its client gets a failure;
-//   - on a connection that has been idle for long. An idempotent request that is lost with the connection is retried,
-//     and the loss is recorded.
+//   - on a connection that has been idle for longer than longIdleTime. On another connection, an idempotent request may
+//     be lost, but it is retried, and the recorded loss makes the first rule apply to the requests after it.
 const (
 	lossRetention decision.Seconds = 10 // seconds for which a lost connection counts against the others to its server
 	longIdleTime  decision.Seconds = 1  // seconds of idleness after which a server may have dropped a connection
@@ -29,7 +29,8 @@
 	lastLoss map[string]decision.Seconds // time of the last loss, by server
 }
 
-// Record records the loss of a connection, which ended while it was idle or while a request was written to it.
+// Record records the loss of a connection, which ended or became unusable while it was idle, while a request was
+// written to it, or before the answer was complete.
 func (lh *LossHistory) Record(server string, now decision.Seconds) {
 	if lh.lastLoss == nil {
 		lh.lastLoss = map[string]decision.Seconds{}
--- a/internal/dataplane/upstreamconn/loss_history_test.go
+++ b/internal/dataplane/upstreamconn/loss_history_test.go
@@ -6,6 +6,9 @@
 	"mulleinrouter/internal/decision"
 )
 
+// The last byte is held back exactly if the server lost a connection within lossRetention, the request must be executed
+// at most once, or the connection has been idle for longer than longIdleTime. Otherwise the pause would delay requests
+// for nothing, or a request would be lost without proof that it was not executed.
 func TestHoldLastByte(t *testing.T) {
 	var h LossHistory
 	h.Record("lossy", 100)
--- a/internal/dataplane/upstreamconn/machine.go
+++ b/internal/dataplane/upstreamconn/machine.go
@@ -140,7 +140,7 @@
 	case a.TrailingBytes && !mutants.On("upstreamconn/more-kept"):
 		return "upstream-bad-answer"
 	case m.foreignAnswers > 0 && !mutants.On("upstreamconn/other-kept"):
-		return "upstream-bad-answer" // more of them may follow
+		return "upstream-bad-answer" // more foreign answers may follow
 	case a.Close && !mutants.On("upstreamconn/close-kept"):
 		return "upstream-close"
 	case cancelled && !mutants.On("upstreamconn/cancelled-kept"):
@@ -161,7 +161,7 @@
 	return v
 }
 
-// StreamEnded records the end of such a body, which is complete or was cut off by either side.
+// StreamEnded records the end of a streamed body, which is complete or was cut off by either side.
 func (m *Machine) StreamEnded(complete, trailingBytes bool) Verdict {
 	reusable := m.state == Streaming && !m.closeAfterStream
 	m.state = Ended
--- a/internal/dataplane/upstreamconn/verdict.go
+++ b/internal/dataplane/upstreamconn/verdict.go
@@ -28,8 +28,10 @@
 
 // Verdict is what the end of an attempt on a connection proves, and whether the connection can be used again.
 type Verdict struct {
-	Outcome           decision.Outcome
-	Answered          bool   // a complete answer followed a request that was written completely, and so has arrived
+	Outcome decision.Outcome
+	// Answered means that a complete answer, or the head of a streamed one, followed the completely written request.
+	// This proves that the request arrived at the server.
+	Answered          bool
 	TryNextConnection bool   // the attempt may continue on another connection, because the request was not executed
 	Reusable          bool   // the connection returns to the idle pool
 	Code              string // log code of the connection's end, unless it is reusable
