--- a/internal/dataplane/clientconn/machine.go
+++ b/internal/dataplane/clientconn/machine.go
@@ -16,8 +16,8 @@
 const (
 	Idle        State = iota // between requests, or before the first one
 	ReadingHead              // the head of a request is being read
-	ReadingBody              // its body is being read, before it is submitted
-	Deciding                 // the request is submitted, or an attempt is in flight
+	ReadingBody              // the body of a request that is not submitted yet is being read
+	Deciding                 // the request is submitted and waits for a decision, or an attempt is in flight
 	Uploading                // the body is forwarded to a backend as it arrives
 	Answering                // an answer is being written
 	Discarding               // the request has been answered; the rest of its body is read and discarded
@@ -59,8 +59,8 @@
 // time 0 and has already been used; Accepted returns the machine of a new connection.
 type Machine struct {
 	state          State
-	since          decision.Seconds // start of the state, or of the connection until its first request is complete
-	unused         bool             // no complete request has arrived
+	since          decision.Seconds // start of the state; while unused is set, start of the connection
+	unused         bool             // no complete request has arrived, and none was answered as malformed
 	requestPending bool             // idle, but bytes of a request have arrived
 	closeCode      string           // log code of the close by this side; "": the connection is not being closed
 	closeAnnounced bool             // the last answer announced that it was the last (Connection: close)
@@ -88,8 +88,8 @@
 // resumeReads reports that a request had begun to arrive when the connection was closed. The host then undoes the
 // interrupt of the reads, and the request is served as the last one.
 //
-// The error wraps ErrIllegalTransition. The state is entered nevertheless, and the connection is closed after the
-// answer to its request.
+// The error wraps ErrIllegalTransition. The connection is then being closed: at once if it becomes idle. Any other
+// state is entered nevertheless, and the connection is closed after the answer to its request.
 func (m *Machine) Enter(to State, now decision.Seconds, keepOpen bool) (open, resumeReads bool, err error) {
 	if to != Lingering && !slices.Contains(transitions[m.state], to) {
 		err = fmt.Errorf("%v while %v: %w", to, m.state, ErrIllegalTransition)
--- a/internal/dataplane/clientconn/timeouts.go
+++ b/internal/dataplane/clientconn/timeouts.go
@@ -23,7 +23,7 @@
 type Timeouts struct {
 	FirstByte decision.Seconds // from accepting the connection to its first byte
 	Idle      decision.Seconds // between requests
-	Head      decision.Seconds // for the head of a request
+	Head      decision.Seconds // for the head of a request; for the first one, from accepting the connection
 
 	// ServePending means that a request whose first bytes have arrived on an idle connection is served before the
 	// connection is closed, unless the last answer has announced the close.
--- a/internal/dataplane/ingress/answer.go
+++ b/internal/dataplane/ingress/answer.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// lingerShort is how long the connection lingers after a malformed request was rejected, so that the client can
-	// read the answer. It is also how long a lingering connection waits for the next bytes from the client.
+	// lingerShort is how long the connection lingers after a malformed or late request was rejected, so that the client
+	// can read the answer. It is also how long a lingering connection waits for the next bytes from the client.
 	lingerShort = time.Second
 	// lingerLong is how long the connection lingers to discard the rest of a streamed body.
 	lingerLong = 5 * time.Second
--- a/internal/dataplane/ingress/conn.go
+++ b/internal/dataplane/ingress/conn.go
@@ -149,7 +149,8 @@
 		err = nil // the log code says already that the client closed the connection
 	}
 	level.Info(c.server.log).Log("msg", "client connection ended",
-		"code", code, "from", c.RemoteAddr(), "requests", requests, "error", err, // formatted only if they are written
+		// The values are formatted only if the line is written.
+		"code", code, "from", c.RemoteAddr(), "requests", requests, "error", err,
 	)
 }
 
--- a/internal/dataplane/ingress/dialect.go
+++ b/internal/dataplane/ingress/dialect.go
@@ -7,8 +7,7 @@
 	"mulleinrouter/internal/decision"
 )
 
-// Dialect is the protocol spoken with clients. New sets the dialect of the deployments in service; SetDialect replaces
-// it.
+// Dialect is the protocol spoken with clients. New sets the dialect of the standalone ingress; SetDialect replaces it.
 type Dialect struct {
 	// ReadyPath is the path of the readiness page.
 	ReadyPath string
@@ -29,7 +28,7 @@
 	MaxBody  func() int64
 }
 
-// ingressFields are the fields on which the ingress in service bases its decisions, or which it writes itself. They are
+// ingressFields are the fields on which the standalone ingress bases its decisions, or which it writes itself. They are
 // not forwarded, and a trailer must not contain them.
 var ingressFields = map[string]bool{
 	keyID:      true,
--- a/internal/dataplane/ingress/eviction.go
+++ b/internal/dataplane/ingress/eviction.go
@@ -11,13 +11,13 @@
 const (
 	// sweepInterval is the time between two searches for connections that exceed a timeout.
 	sweepInterval = 250 * time.Millisecond
-	// evictionRetry is the time after which a failed eviction is tried again. By then, a new connection on which
-	// nothing has arrived yet has become evictable.
+	// evictionRetry is the time after which a failed eviction is tried again. By then, a new connection on which only a
+	// part of a request has arrived has become evictable.
 	evictionRetry = 100 * time.Millisecond
 )
 
-// admit adds a connection. At the limit of connections it first evicts another one. If all of them have a pending
-// request, it waits until one becomes idle or ends.
+// admit adds a connection. At the limit of connections it first evicts another one. If none is evictable, it waits
+// until one is, or until one ends.
 func (s *Server) admit(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dataplane/ingress/outcomes.go
+++ b/internal/dataplane/ingress/outcomes.go
@@ -10,8 +10,8 @@
 	Answered           Outcome = iota // answered with a backend's success, or its rejection of the client's request
 	ServerFailed                      // failed and may have been executed; answered with a backend's own error answer
 	Failed                            // failed and may have been executed; answered with 502
-	OverQuota                         // rejected for an exceeded quota, without being executed
-	NoServer                          // rejected because no backend accepted it in time; it was not executed
+	OverQuota                         // rejected while its quota was exceeded; a retry is safe
+	NoServer                          // rejected because no backend served it in time; a retry is safe
 	Invalid                           // rejected before it was submitted: unknown route or key, or not well-formed
 	ClientDisconnected                // not answered, because the client disconnected
 
--- a/internal/dataplane/ingress/parse.go
+++ b/internal/dataplane/ingress/parse.go
@@ -13,15 +13,17 @@
 
 const (
 	pathPrefix                       = "/api/"
-	maxTimeout      decision.Seconds = 300 // limit of X-Timeout, longer than any client of this service waits
+	maxTimeout      decision.Seconds = 300 // limit of X-Timeout in seconds, longer than any client waits
 	defaultMaxUnits                  = 1e6 // limit of a request's units if the settings state none
 	maxIDLength                      = 128 // limit of a request ID in bytes
 
-	// answerTransit is subtracted from the client's timeout, because the answer must reach the client within it.
+	// answerTransit is subtracted from the client's timeout, because the answer must reach the client within it. At
+	// most half of the timeout is subtracted.
 	answerTransit = 10 * time.Millisecond
 )
 
-// Header fields of the dialect in service, in textproto's canonical form. For another form, Get would allocate memory.
+// Header fields of the standalone ingress's dialect, in textproto's canonical form. For another form, Get would
+// allocate memory.
 const (
 	keyID      = "X-Request-Id"
 	keyClass   = "X-Priority-Class"
@@ -36,8 +38,8 @@
 	return &RequestError{Status: status, Code: code, Text: text}
 }
 
-// parse translates a client's request in the dialect in service. It does not add a streamed body to the message; handle
-// does that.
+// parse translates a client's request in the standalone ingress's dialect. It does not add a streamed body to the
+// message; handle does that.
 func (s *Server) parse(r *http1.Request) (decision.Request, *upstream.Message, *RequestError) {
 	request, err := s.parseHead(r)
 	if err != nil {
--- a/internal/dataplane/ingress/pending_request.go
+++ b/internal/dataplane/ingress/pending_request.go
@@ -137,7 +137,7 @@
 	return p.upload.err
 }
 
-// reject answers a request that was not executed: the client may retry it safely.
+// reject answers a request that the client may retry safely, because it was not executed or may be executed again.
 func (p *pendingRequest) reject(d engine.Decision) (code string, err error) {
 	s := p.conn.server
 	status, outcome := 503, NoServer
--- a/internal/dataplane/ingress/server.go
+++ b/internal/dataplane/ingress/server.go
@@ -52,7 +52,7 @@
 	mu        sync.Mutex // guards the fields below, and the machine of each connection
 	conns     map[*conn]struct{}
 	ids       map[string]struct{} // IDs of the pending requests
-	changed   sync.Cond           // signals that a connection was removed, or may have become evictable
+	changed   sync.Cond           // signals that a connection was removed or may be evictable, or a time limit passed
 	waiting   int                 // accepted connections that wait in admit for the limit to allow them
 	lifecycle decision.Lifecycle  // readiness, and whether connections stay open after an answer
 }
