--- a/internal/dataplane/traffic/load.go
+++ b/internal/dataplane/traffic/load.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// averagingTime is the time constant of Load's moving average, in seconds: a shorter burst does not count as load.
+// averagingTime is the time constant of Load's moving average, in seconds. A much shorter burst hardly counts as load.
 const averagingTime = 0.5
 
 // Load estimates which fraction of a link's capacity the traffic uses, as a moving average. The capacity of the zero
--- a/internal/dataplane/usage/replayer.go
+++ b/internal/dataplane/usage/replayer.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	// maxMinutesInFlight is the age in minutes from which a request without a recorded end is counted with unknown
-	// arrival. No client waits for more than five minutes, so the record of the end was lost, for example because the
-	// disk was full.
+	// maxMinutesInFlight is the age in minutes above which a request without a recorded end is counted with unknown
+	// arrival when a segment is closed. No client waits for more than five minutes, so the record of the end was lost,
+	// for example because the disk was full.
 	maxMinutesInFlight = 10
 
 	msPerMinute = 60_000
@@ -35,7 +35,7 @@
 	return tally, report, err
 }
 
-// apply applies one record.
+// apply records a request that was sent as pending, and counts a pending request that has ended.
 func (r *Replayer) apply(tally Tally, record Record) {
 	switch record.Kind {
 	case Sent:
@@ -48,7 +48,7 @@
 	}
 }
 
-// expire counts the pending requests that were sent before the given minute with unknown arrival.
+// expire removes the pending requests that were sent before the given minute, and counts them with unknown arrival.
 func (r *Replayer) expire(tally Tally, before int64) {
 	for seq, request := range r.Pending {
 		if request.Minute < before {
--- a/internal/dataplane/usage/replayer_test.go
+++ b/internal/dataplane/usage/replayer_test.go
@@ -7,6 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// Each segment bills the requests that have ended since the previous one, exactly once. Requests without an end are
+// billed with unknown arrival after maxMinutesInFlight, or as soon as another run writes.
 func TestReplayer(t *testing.T) {
 	const minute = 60_000 // ms
 	type row struct {
--- a/internal/dataplane/usage/scan.go
+++ b/internal/dataplane/usage/scan.go
@@ -10,7 +10,7 @@
 type Report struct {
 	Records   int // records read
 	End       int // offset of the end of the last valid record, bytes
-	Damaged   int // records that were skipped because their checksum does not match
+	Damaged   int // records that were skipped because the checksum does not match or the payload is malformed
 	Lost      int // bytes from End to the last non-zero byte: a truncated record, or unreadable data
 	Unmetered Sum // requests that were not recorded
 }
--- a/internal/dataplane/usage/segment_test.go
+++ b/internal/dataplane/usage/segment_test.go
@@ -109,6 +109,8 @@
 	}
 }
 
+// A flipped bit in the header, except in the closing time, makes the segment unreadable. Otherwise its requests could
+// be billed under a wrong number or writer.
 func TestFlippedBitsOfHeader(t *testing.T) {
 	data := segmentOf(Header{Number: 1}, sent(1, "a", 5), sent(2, "b", 5), sent(3, "c", 5))
 	for bit := range checksumOffset * 8 {
@@ -120,6 +122,7 @@
 	}
 }
 
+// Any payload is rejected, or parsed as a record that is unchanged after it was written and parsed again.
 func FuzzParse(f *testing.F) {
 	for _, r := range []Record{sent(1, "a", 5), ended(1, Arrived)} {
 		f.Add(AppendRecord(nil, &r))
