--- a/internal/proxy/control_feed.go
+++ b/internal/proxy/control_feed.go
@@ -98,7 +98,7 @@
 		cf.rank, cf.peers = update.Rank, update.ZonePeers
 		cf.engine.SetZoneRank(update.Rank, update.ZonePeers)
 	}
-	if update.Quorum { // counted from when it was sent, because this process may have been suspended since
+	if update.Quorum { // the age counts from the sending of the update, since this process may have been suspended
 		cf.quorumAt.Store(int64(time.Since(cf.startedAt) - cf.agent.Clock.Age(update.Clock)))
 	}
 	sufficient := update.Complete && update.Ready && cf.table.Load().RouteCount() > 0
@@ -121,7 +121,8 @@
 	return epoch
 }
 
-// setMembers sets the number of ingresses. A number of 0 or less means that it is not known, and is ignored.
+// setMembers records the reported number of ingresses, and passes a change to the engine. A number of 0 or less means
+// that the agent does not know it, and is ignored.
 func (cf *controlFeed) setMembers(members int) {
 	if members <= 0 {
 		return
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -10,11 +10,11 @@
 
 const (
 	readinessPath    = "/readiness"
-	readinessTimeout = 5 * time.Second // for one request, and for the idle time before the next one
+	readinessTimeout = 5 * time.Second // for awaiting, reading and answering one request
 )
 
 // serveReadiness answers the platform's readiness checks until the listener is closed. A connection ends when the
-// client closes it, after readinessTimeout without a request, or with the process.
+// client closes it, after readinessTimeout without a complete request, or with the process.
 func serveReadiness(listener net.Listener, ready func() bool) {
 	for {
 		conn, err := listener.Accept()
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -81,8 +81,8 @@
 }
 
 // shutdownTimes returns the two phases of a shutdown: the time for which new clients are still served, and then the
-// time for which open requests may finish before the rest is aborted. Both phases and the last answers fit into the
-// grace, and no request is aborted in the first half of the grace.
+// time for which open requests may finish before the rest is aborted. For a grace of at least 2 s, both phases and the
+// last answers fit into the grace, and no request is aborted in the first half of the grace.
 func shutdownTimes(grace time.Duration) (serve, finish time.Duration) {
 	serve = min(maxHandoverTime, grace*2/5)
 	return serve, max(0, grace-serve-2*finalAnswerTime-graceReserve)
@@ -115,8 +115,8 @@
 	return forwarded
 }
 
-// logReload logs the result of rereading the settings file. A changed grace takes effect at once; the other settings of
-// the proxy take effect at its next start.
+// logReload logs the result of rereading the settings file. A changed grace, ConfigApply or log level takes effect at
+// once; the other settings of the proxy take effect at its next start.
 func (p *Proxy) logReload(changed bool, err error) {
 	switch {
 	case err != nil:
--- a/internal/proxy/shedding.go
+++ b/internal/proxy/shedding.go
@@ -33,7 +33,7 @@
 
 // shedder decides which share of new connections is admitted. The share decreases multiplicatively while the link is
 // overloaded or has a queue, and increases more slowly while there is spare capacity. A shedder performs no I/O and
-// gets the time from its caller. Safe for concurrent use.
+// gets the time from its caller. It is safe for concurrent use.
 type shedder struct {
 	counter *traffic.Counter
 
--- a/internal/proxy/translator.go
+++ b/internal/proxy/translator.go
@@ -42,7 +42,7 @@
 	defaultHeadTimeout = 3  // for the head of a request
 )
 
-// translator translates the requests of clients for the decision module. Safe for concurrent use.
+// translator translates the requests of clients for the decision module. It is safe for concurrent use.
 type translator struct {
 	control *controlFeed
 
--- a/internal/proxy/translator_test.go
+++ b/internal/proxy/translator_test.go
@@ -70,6 +70,8 @@
 	return r
 }
 
+// TestParse checks the route and the tenant of each request that is accepted, and the status of each rejection. If the
+// configuration is out of date, a missing route or key must be answered with 503, because it may exist nevertheless.
 func TestParse(t *testing.T) {
 	const line = "GET /a/x?q=/a/b/ HTTP/1.1\nHost: One.example\nX-Attempt-Id: i1\nX-Time-Left-Ms: 900"
 	for name, c := range map[string]struct {
@@ -195,6 +197,8 @@
 	is.True(count > 650 && count < 750)
 }
 
+// TestClassifyAnswer checks the meaning of each kind of answer. If an answer without proof meant NotExecuted, a request
+// that must run at most once could be executed twice.
 func TestClassifyAnswer(t *testing.T) {
 	for text, want := range map[string]upstream.AnswerMeaning{
 		"200 OK\nX-Attempt-Id: i1\nX-Server-Seal: s":                         upstream.Served,
