--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -21,7 +21,7 @@
 	// proxyReadyTTL is the time for which a proxy's renewal that reports it as ready is valid. After this time the
 	// agent no longer renews the lease of its ingress.
 	proxyReadyTTL = 1500 * time.Millisecond
-	dialTimeout   = time.Second // for a connection to a control node
+	dialTimeout   = time.Second // limit of the time to connect to a control node
 )
 
 // Agent is a running agent.
@@ -52,7 +52,7 @@
 
 	counterSlots        chan struct{} // one element per counter call in flight
 	counterCalls        atomic.Int64  // counter calls forwarded
-	counterCallFailures atomic.Int64  // forwarded counter calls that no owner answered
+	counterCallFailures atomic.Int64  // forwarded counter calls that no owner accepted
 }
 
 // New returns an agent. The incarnation identifies the process and must not have been used by any other process.
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -24,7 +24,7 @@
 
 // fakeControlPlane simulates a set of control nodes. A node that is down accepts no connections.
 type fakeControlPlane struct {
-	mu    sync.Mutex
+	mu    sync.Mutex           // guards nodes, and the fields down, conns, adds and ready of each node
 	nodes map[string]*fakeNode // by internal address
 
 	voters []string // control addresses of the voters, as reported by every node
@@ -112,6 +112,9 @@
 	}
 }
 
+// TestAgentAmongControlNodes runs an agent while control nodes start, stop and are replaced. A proxy that is connected
+// to the agent must get the merged updates of the nodes, must be told that they are not sufficient as long as no
+// majority is in contact, and must reach an owner of each counter.
 func TestAgentAmongControlNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/agent/cluster_view.go
+++ b/internal/agent/cluster_view.go
@@ -15,10 +15,10 @@
 	singleSourceAfter = 5 * time.Second
 )
 
-// clusterView is the combined state of all sources. It takes only control nodes into account that are in contact with a
-// majority of the voters.
+// clusterView is the combined state of all sources. Except for voters, its fields describe only control nodes that are
+// in contact with a majority of the voters.
 type clusterView struct {
-	members       int      // highest number of ingresses that a node reports; 0: not known
+	members       int      // highest reported number of ingresses; 0: not known
 	quorum        bool     // a majority of the voters is in contact (see sourceStatus.inContact)
 	sufficient    bool     // the updates received are enough to serve requests
 	voters        []string // control addresses of the voters; nil: not known
--- a/internal/agent/errors.go
+++ b/internal/agent/errors.go
@@ -2,5 +2,5 @@
 
 import "errors"
 
-// ErrNoAgent is wrapped in the error of Ask if no agent answers at the address.
+// ErrNoAgent is wrapped in the error of Ask if no agent is found at the address.
 var ErrNoAgent = errors.New("no agent answers")
--- a/internal/agent/link_delay.go
+++ b/internal/agent/link_delay.go
@@ -15,7 +15,7 @@
 // linkDelay estimates the queueing delay of packets at this machine's link from the age of the control nodes' updates
 // on arrival. The estimate is the lowest age within a window over all sources, because a queue at the link delays all
 // updates, whereas a slow source or a partition delays only some of them. Without updates the delay is unknown, because
-// their absence does not indicate a queue. Safe for concurrent use.
+// their absence does not indicate a queue. A linkDelay is safe for concurrent use.
 type linkDelay struct {
 	mu      sync.Mutex                    // guards the fields below
 	samples [linkDelaySamples]delaySample // ring buffer
@@ -35,7 +35,7 @@
 	ld.next = (ld.next + 1) % len(ld.samples)
 }
 
-// current returns the estimate at the time now. It is always positive; 0 means that the delay is not known.
+// current returns the estimate at the time now, which is at least 1 ns; 0 means that the delay is not known.
 func (ld *linkDelay) current(now time.Time) time.Duration {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -25,8 +25,9 @@
 	Serving     int     `json:"serving"`   // instances that accept requests
 }
 
-// Ask requests a report from the agent at an address. It takes about two seconds at most. If no agent answers, the
-// error wraps ErrNoAgent.
+// Ask requests a report from the agent at an address. It fails if it cannot connect within askTimeout, or if the agent
+// sends nothing for transport.IdleTimeout. The error wraps ErrNoAgent if no connection is established or if the answer
+// is not that of an agent.
 func Ask(ctx context.Context, addr string) (Report, error) {
 	netConn, err := transport.Dial(ctx, addr, askTimeout)
 	if err != nil {
