--- a/coordinationclient/client.go
+++ b/coordinationclient/client.go
@@ -44,7 +44,7 @@
 }
 
 // call repeats a request until it gets a definite answer or the context ends. If body is nil, the request has no body.
-// Each attempt may take wait longer than attemptTimeout.
+// wait is added to the timeout of each attempt, because a node may delay its answer for that long.
 func (c *Client) call(ctx context.Context, method, path string, body any, wait time.Duration) (*response, error) {
 	var payload []byte // nil if the request has no body
 	if body != nil {
@@ -202,6 +202,8 @@
 	}
 }
 
+// watchOnce returns the events of a group after a revision, and the revision up to which they are complete. If there
+// are none, the node waits for one, for the time wait at most.
 func (c *Client) watchOnce(ctx context.Context, group string, after uint64, wait time.Duration) (
 	events []Event, until uint64, err error,
 ) {
--- a/coordinationclient/client_test.go
+++ b/coordinationclient/client_test.go
@@ -71,6 +71,7 @@
 	})
 }
 
+// TestAnswersAndErrors checks the error for each definite answer other than a 200. An invalid call is not repeated.
 func TestAnswersAndErrors(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/coordinationclient/errors.go
+++ b/coordinationclient/errors.go
@@ -26,7 +26,8 @@
 
 func (me *MismatchError) Error() string { return fmt.Sprintf("the cell has revision %d", me.Revision) }
 
-// StatusError means that a call was rejected and that a repetition would be rejected, too.
+// StatusError means that a call was rejected and that a repetition would be rejected, too. An UnknownOutcomeError may
+// also wrap a StatusError, with a 429 or a 5xx: there, the call may have taken effect, and a repetition may succeed.
 type StatusError struct {
 	Status  int // HTTP status code
 	Message string
--- a/coordinationclient/lock.go
+++ b/coordinationclient/lock.go
@@ -27,8 +27,9 @@
 	HoldMs int64  `json:"holdMs,omitempty"`
 }
 
-// Acquire acquires a lock for the time hold, or returns ErrTaken. The owner's name must be unique among all callers. If
-// the owner already holds the lock, it acquires the lock again with the same fencing token.
+// Acquire acquires a lock for the time hold. The owner's name must be unique among all callers. If the owner already
+// holds the lock, it acquires the lock again with the same fencing token. The error is ErrTaken if another owner holds
+// the lock, and ErrLost if the answer arrived so late that the time hold had passed.
 func (c *Client) Acquire(ctx context.Context, name, owner string, hold time.Duration) (*Lock, error) {
 	path := "/locks/" + url.PathEscape(name)
 	answer, err := c.call(ctx, http.MethodPost, path, lockBody{Owner: owner, HoldMs: hold.Milliseconds()}, 0)
