--- a/internal/dataplane/clientconn/machine_test.go
+++ b/internal/dataplane/clientconn/machine_test.go
@@ -87,6 +87,8 @@
 	}
 }
 
+// A connection that makes no progress exceeds its timeout and not before, a request that has begun to arrive is served
+// although its connection is being closed, and illegal transitions are reported.
 func TestMachine(t *testing.T) {
 	for _, tc := range []struct{ name, script, want string }{
 		{
--- a/internal/dataplane/http1/reader_test.go
+++ b/internal/dataplane/http1/reader_test.go
@@ -27,6 +27,8 @@
 // postChunked returns a POST request with a chunked body.
 func postChunked(chunks string) string { return post("Transfer-Encoding: chunked", chunks) }
 
+// A well-formed request is read completely. A request that is malformed, ambiguous or over a limit is rejected with its
+// error, because another reader could see different requests in it.
 func TestRequest(t *testing.T) {
 	chunkedHeader := textproto.MIMEHeader{"Transfer-Encoding": {"chunked"}}
 	for _, tc := range []struct {
--- a/internal/dataplane/usage/batch_test.go
+++ b/internal/dataplane/usage/batch_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// Only a 2xx that names the batch acknowledges it. If another reply did, the usage in the batch would never be billed.
 func TestInterpretStatus(t *testing.T) {
 	for _, tc := range []struct {
 		status int
--- a/internal/dataplane/usage/request_test.go
+++ b/internal/dataplane/usage/request_test.go
@@ -7,6 +7,7 @@
 	"mulleinrouter/internal/decision"
 )
 
+// Arrived and NotArrived need proof. Without proof the arrival is unknown, and the request is counted in another row.
 func TestArrivalOf(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -106,6 +106,8 @@
 
 func (c *formatCounter) String() string { *c++; return "text" }
 
+// A value in a line below the level is not formatted, because lines that are logged for each connection would otherwise
+// cost processor time even when they are dropped.
 func TestDroppedLinesAreNotFormatted(t *testing.T) {
 	var dropped, written formatCounter
 	logger := New(io.Discard, Logfmt, LevelWarn)
