--- a/internal/cluster/consensus/action.go
+++ b/internal/cluster/consensus/action.go
@@ -3,8 +3,8 @@
 // ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The kinds of actions. The comment on each names the methods with which the caller reports the result; the proposer
-// waits for one of them, or for Timeout.
+// The kinds of actions. The comment on each names the methods with which the caller reports the result. The proposer
+// waits for one of them or, except after Backoff, for Timeout.
 const (
 	// None requests nothing, because the proposer still waits for outstanding answers.
 	None ActionKind = iota
--- a/internal/cluster/consensus/proposer.go
+++ b/internal/cluster/consensus/proposer.go
@@ -23,7 +23,7 @@
 
 	ballot      Ballot // ballot of its requests; promised by a majority if prepared is set
 	prepared    bool
-	reading     bool   // the run only reads, and prepares a ballot only to complete another node's proposal
+	reading     bool   // the run only reads; it prepares a ballot only to complete a pending proposal or to seal
 	highestSeen Ballot // highest ballot seen of any node
 	base        Base   // the newest chosen snapshot on this node
 
@@ -32,20 +32,20 @@
 	needsSeal bool
 	// confirmed means that nothing newer than the base was acknowledged before this run began.
 	confirmed bool
-	// inFlight is the proposal that was sent to be accepted under the newest ballot of its epoch. It is not known
-	// whether it is chosen.
+	// inFlight is the last proposal that this proposer sent to the voters, while it is not known whether that proposal
+	// is chosen.
 	inFlight *Proposal
 
-	action   ActionKind // the action whose result the proposer waits for
-	attempt  uint64     // number of that action
-	granted  map[string]bool
-	rejected map[string]bool
+	action   ActionKind      // the action whose result the proposer waits for
+	attempt  uint64          // number of that action
+	granted  map[string]bool // voters that granted the request of that action, by address
+	rejected map[string]bool // voters that rejected that request or did not answer it, by address
 	round    round
 	backoffs int // consecutive backoffs
 }
 
 // NewProposer returns a proposer whose ballots carry the given name. No other node, and no other incarnation of this
-// node, may use the same name.
+// node, may use the same name. The seed is that of the random backoffs and round numbers.
 func NewProposer(name string, seed uint64) *Proposer {
 	return &Proposer{name: name, rnd: rand.New(rand.NewPCG(seed, 0))}
 }
@@ -125,7 +125,7 @@
 		return p.startRound(Prepare)
 	}
 	if p.reading {
-		return p.restart() // this read completed another node's change, and that node may have proposed more since
+		return p.restart() // this read completed a pending change, and other nodes may have proposed more since
 	}
 	return p.emit(Action{Kind: Compose, Confirmed: p.confirmed})
 }
--- a/internal/cluster/consensus/random_walk_test.go
+++ b/internal/cluster/consensus/random_walk_test.go
@@ -27,6 +27,8 @@
 	return s.violation, len(s.chosen)
 }
 
+// In no walk may two changes be chosen for one epoch, an acknowledged call be lost, a rejected call take effect, or a
+// completed change of the electorate be on too few disks.
 func TestRandomWalks(t *testing.T) {
 	chosen := 0
 	for seed := range walks() {
--- a/internal/cluster/consensus/round.go
+++ b/internal/cluster/consensus/round.go
@@ -23,7 +23,7 @@
 	// newestEpoch is the highest chosen epoch that any node reported, whether or not its vote counts.
 	newestEpoch  uint64
 	newestSource string // address of the node that reported newestEpoch
-	noMajority   bool   // the round failed: the other voters are too few for a majority, or it timed out
+	noMajority   bool   // too many voters rejected the request, or it timed out; Backoff follows the Fetch
 	// pending is the accepted proposal of the highest epoch, then the highest ballot, among the votes that count.
 	pending *Proposal
 }
@@ -102,14 +102,14 @@
 	}
 	if p.round.query == Read {
 		if pending != nil {
-			return p.startRound(Prepare) // another proposer left this proposal, and it may have been chosen
+			return p.startRound(Prepare) // the proposal may have been chosen, so it must be completed first
 		}
 		return p.emit(Action{Kind: Done})
 	}
 	p.confirmed = true
 	if pending == nil {
-		// Its own proposal may be accepted by voters that did not answer. It comes first, because its calls have not
-		// been answered yet.
+		// Voters that did not answer may have accepted this proposer's own proposal. It precedes new changes, because
+		// its calls have not been answered yet.
 		pending = p.inFlight
 	}
 	if pending != nil {
@@ -176,8 +176,8 @@
 	return p.reject(from)
 }
 
-// reject counts a voter that doesn't grant the request, and fails the round once the other voters are too few for a
-// majority.
+// reject counts a voter that doesn't grant the request, and abandons the round once the voters that have not rejected
+// it are too few for a majority.
 func (p *Proposer) reject(from string) Action {
 	if p.granted[from] {
 		return Action{}
--- a/internal/cluster/consensus/simulation_network_test.go
+++ b/internal/cluster/consensus/simulation_network_test.go
@@ -296,7 +296,7 @@
 	}
 }
 
-// settle runs without faults until nothing is in progress.
+// runUntilIdle runs without faults until nothing is in progress.
 func (s *simulation) runUntilIdle() {
 	const maxRounds = 3000
 	for range maxRounds {
@@ -314,7 +314,7 @@
 			return
 		}
 		if len(s.network) == 0 || s.rnd.IntN(8) == 0 {
-			s.fetch(s.rnd.IntN(len(s.nodes)), s.rnd.IntN(len(s.nodes)), 0) // the periodic sweep
+			s.fetch(s.rnd.IntN(len(s.nodes)), s.rnd.IntN(len(s.nodes)), 0) // the periodic catch-up
 		}
 		for n := len(s.network); n > 0; n-- {
 			s.deliver(false)
--- a/internal/cluster/consensus/simulation_test.go
+++ b/internal/cluster/consensus/simulation_test.go
@@ -113,16 +113,19 @@
 	nodes          []*node
 	network        []message
 	calls          []*call
-	chosen         map[uint64]string
-	version        uint64
-	incarnations   int
-	fault          string
-	lossRate       int // restarts and disk losses per thousand steps
-	electorateRate int // changes of the electorate per thousand steps
-	partitioned    int // node that can neither send nor receive; negative means none
+	chosen         map[uint64]string // content of the chosen changes by epoch
+	version        uint64            // version of the last item that was submitted
+	incarnations   int               // number of processes started so far
+	fault          string            // see newSimulation
+	lossRate       int               // restarts and disk losses per thousand steps
+	electorateRate int               // changes of the electorate per thousand steps
+	partitioned    int               // node that can neither send nor receive; negative means none
 	violation      string
 }
 
+// newSimulation returns a cluster with a fault; an empty fault means none. With "unsynced", nodes answer before their
+// state is synced. With "votes-blank", the first voters also vote after the loss of their disks. With "unsealed", the
+// check of sealed electorates is off.
 func newSimulation(seed uint64, fault string) *simulation {
 	s := &simulation{
 		rnd:            rand.New(rand.NewPCG(seed, 7)),
