--- a/internal/cluster/shard/election.go
+++ b/internal/cluster/shard/election.go
@@ -11,10 +11,12 @@
 const (
 	// electionMargin is the wait after this voter's grant has ended, because the other voters may have received the
 	// last heartbeat later.
-	electionMargin  = 0.03
-	rankDelay       = 0.12 // added for each voter with a lower rank
-	electionJitter  = 0.06 // upper bound of the random part
-	campaignTimeout = 0.35 // time after which a campaign is repeated
+	electionMargin = 0.03
+	rankDelay      = 0.12 // added for each voter with a lower rank
+	electionJitter = 0.06 // upper bound of the random part
+	// campaignTimeout is the time after which a campaign is repeated. A voter that has granted its vote does not
+	// campaign itself before that time.
+	campaignTimeout = 0.35
 )
 
 // Tick reports the time. It must be called several times per heartbeat interval.
@@ -32,7 +34,8 @@
 	r.electionAt = from + electionMargin + rankDelay*float64(r.rank(r.self)) + electionJitter*r.rnd.Float64()
 }
 
-// rank is the position of a voter in the order of campaigns of this shard, from 0.
+// rank is the position of a voter in the order of campaigns of this shard, from 0. Replicas that are not voters come
+// last.
 func (r *Replica) rank(v consensus.Voter) int {
 	n := len(r.voters)
 	for i, voter := range r.voters {
@@ -115,6 +118,8 @@
 		return // without state of the shard, this replica can't compare positions
 	}
 	upToDate := m.Last.Compare(r.last) >= 0 || mutants.On("shard/votes-for-older")
+	// A transfer means that the leader with this voter's grant has released its lease. Otherwise a higher term is not
+	// adopted before the grant has ended either, so that a candidate can't depose a leader with a lease.
 	mayVote := m.Transfer || now >= r.grantUntil && !r.HoldsLease(now) || mutants.On("shard/breaks-grant")
 	reply := Message{Kind: VoteReply, Term: r.term, Pre: m.Pre}
 	if m.Pre {
--- a/internal/cluster/shard/explore_test.go
+++ b/internal/cluster/shard/explore_test.go
@@ -172,7 +172,7 @@
 		}
 		events = append(events, exploredEvent{"crash " + addr, func(c *exploredCluster) { c.start(c.node(addr)) }})
 	}
-	for _, span := range []float64{0.25, 1.2} {
+	for _, span := range []float64{0.25, 1.2} { // more than a heartbeat interval, and more than a lease and a grant
 		events = append(events, exploredEvent{fmt.Sprint("wait ", span), func(c *exploredCluster) { c.wait(span) }})
 	}
 	return events
--- a/internal/cluster/shard/follower.go
+++ b/internal/cluster/shard/follower.go
@@ -47,9 +47,10 @@
 	}
 }
 
-// stepAppend applies the batches that follow this replica's last one. Batches that it already has, because the message
-// came twice, are skipped. This is safe because a last batch of the leader's own term means that all batches before it
-// are the leader's too.
+// stepAppend applies the batches that follow this replica's last one. If they do not follow it, this replica reports
+// its last position, from which the leader continues. Batches that it already has, because the message came twice, are
+// skipped. This is safe because a last batch of the leader's own term means that all batches before it are the leader's
+// too.
 func (r *Replica) stepAppend(m Message) {
 	if r.last != m.Prev && (r.last.Term != m.Term || r.last.Seq < m.Prev.Seq) {
 		r.send(m.From, Message{Kind: AppendReply, Term: r.term, Last: r.last, Sent: m.Sent})
--- a/internal/cluster/shard/leader.go
+++ b/internal/cluster/shard/leader.go
@@ -20,7 +20,7 @@
 
 // leadership is the state of a leader, from the start of its term.
 type leadership struct {
-	electedAt    float64
+	electedAt    float64              // seconds
 	firstSeq     uint64               // number of the batch with which the term began
 	commit       uint64               // all batches up to this number are saved by a majority
 	votersSeq    uint64               // number of the batch with the last change of the voters
@@ -33,7 +33,7 @@
 
 // progress is what a leader knows about another replica.
 type progress struct {
-	disk     uint64
+	disk     uint64   // disk of the replica's last reply; until then, the disk that a voter is listed with
 	position Position // position of the last batch that the replica is known or assumed to have
 	matched  uint64   // all batches up to this number are saved on the replica
 	answered float64  // sending time of the newest message that the replica has answered, seconds; never means none
@@ -99,6 +99,8 @@
 	return addrs
 }
 
+// progressOf returns the progress of a replica. A replica that has not answered yet is assumed to have all batches,
+// until its reply to a heartbeat reports its position.
 func (r *Replica) progressOf(addr string) *progress {
 	p := r.progress[addr]
 	if p == nil {
@@ -168,6 +170,7 @@
 	}
 	p := r.progressOf(m.From)
 	if p.disk != m.Disk && !mutants.On("shard/any-disk") {
+		// What the replica saved on its former disk no longer counts.
 		*p = progress{disk: m.Disk, position: m.Last, answered: never}
 	}
 	if mutants.On("shard/lease-from-receipt") {
--- a/internal/cluster/shard/lease.go
+++ b/internal/cluster/shard/lease.go
@@ -16,7 +16,8 @@
 	// the start of its process. It exceeds LeaseTTL by more than two monotonic clocks differ over that time.
 	grantTTL = 1.1
 	// stepDownAfter is how long after the last message that a majority answered a leader steps down, counted from the
-	// sending of that message. It exceeds LeaseTTL, so the lease has ended by then.
+	// sending of that message or, if that is later, from the election. It exceeds LeaseTTL, so the lease has ended by
+	// then.
 	stepDownAfter = 1.3
 )
 
@@ -32,7 +33,8 @@
 	return now < r.supportedSince(now)+LeaseTTL
 }
 
-// LeaseAge returns how long ago the newest message that a majority has answered was sent, in seconds.
+// LeaseAge returns how long ago the newest message that a majority has answered was sent, in seconds. It is meaningful
+// only at the leader.
 func (r *Replica) LeaseAge(now float64) float64 { return now - r.supportedSince(now) }
 
 // supportedSince returns the sending time of the newest message that a majority of the voters has answered. This
@@ -42,8 +44,8 @@
 }
 
 // majorityValue returns the greatest value that a majority of the voters has reached. The value of this replica is own,
-// that of another voter is taken from its progress. It is none if this leader has no progress of the disk that the
-// voter is listed with.
+// that of another voter is taken from its progress. A voter's value is none if this leader has no progress of the disk
+// that the voter is listed with.
 func majorityValue[T cmp.Ordered](r *Replica, own, none T, of func(*progress) T) T {
 	values := make([]T, 0, len(r.voters))
 	for _, voter := range r.voters {
--- a/internal/cluster/shard/membership.go
+++ b/internal/cluster/shard/membership.go
@@ -47,7 +47,7 @@
 		}
 	}
 	if len(leaving) == 0 || len(r.learners) > 0 {
-		return nil
+		return nil // a voter that answers is only removed once all learners are voters
 	}
 	for _, v := range leaving {
 		if v != r.self {
@@ -55,7 +55,8 @@
 		}
 	}
 	for _, v := range target {
-		r.TransferTo(v.Addr, now) // a leader does not remove itself but transfers the leadership
+		// A leader does not remove itself but transfers the leadership to the first voter that can take it over.
+		r.TransferTo(v.Addr, now)
 	}
 	return nil
 }
--- a/internal/cluster/shard/message.go
+++ b/internal/cluster/shard/message.go
@@ -26,16 +26,18 @@
 	Kind  Kind   `cbor:"2,keyasint"`
 	Term  uint64 `cbor:"3,keyasint"`           // term of the sender; in a Vote, the term in which the vote is requested
 	Disk  uint64 `cbor:"4,keyasint,omitempty"` // disk of the sender (consensus.Voter)
-	// Last is the position of the sender's last batch. In an AppendReply with OK, all batches up to it are saved.
+	// Last is the position of the sender's last batch; a VoteReply has none. In an AppendReply with OK, all batches up
+	// to Last are saved.
 	Last     Position          `cbor:"5,keyasint"`
 	Pre      bool              `cbor:"6,keyasint,omitempty"` // pre-vote: nothing is saved or promised
 	Transfer bool              `cbor:"7,keyasint,omitempty"` // the leader of the previous term has released its lease
-	OK       bool              `cbor:"8,keyasint,omitempty"`
-	Prev     Position          `cbor:"9,keyasint"` // position of the batch before the first of Batches
+	OK       bool              `cbor:"8,keyasint,omitempty"` // in a reply: the sender grants or accepts the request
+	Prev     Position          `cbor:"9,keyasint"`           // position of the batch before the first of Batches
 	Batches  []Batch           `cbor:"10,keyasint,omitempty"`
 	Records  []Write           `cbor:"11,keyasint,omitempty"` // records of an Install
 	Voters   []consensus.Voter `cbor:"12,keyasint,omitempty"` // voters of an Install
-	Sent     float64           `cbor:"13,keyasint,omitempty"` // sending time by the leader's clock; replies repeat it
+	// Sent is the sending time by the leader's clock, in seconds. The replies repeat it.
+	Sent float64 `cbor:"13,keyasint,omitempty"`
 }
 
 // Output is what a replica asks its caller to do.
--- a/internal/cluster/shard/replica.go
+++ b/internal/cluster/shard/replica.go
@@ -10,7 +10,7 @@
 )
 
 // Bounds of the recent batches that a replica keeps in memory, from which it can bring other replicas up to date
-// without sending them the complete state.
+// without sending them the complete state. Above one of them, the older half of the batches is dropped.
 const (
 	maxRecentBatches = 512     // batches
 	maxRecentBytes   = 1 << 20 // bytes of keys and values
--- a/internal/cluster/shard/simulation_test.go
+++ b/internal/cluster/shard/simulation_test.go
@@ -19,7 +19,7 @@
 	rnd              *rand.Rand
 	now              float64
 	events           eventQueue
-	sequence         int
+	sequence         int // number of the last event, which orders events at the same time
 	nodes            map[string]*simulatedNode
 	addrs            []string
 	target           []consensus.Voter // voters in the configuration
@@ -412,7 +412,7 @@
 	}
 	s.advance(1)
 	if s.highestCommitted == before {
-		s.violate("no leaseholder 12 s after the last fault")
+		s.violate("no batch committed within 1 s, 12 s after the last fault")
 	}
 }
 
