--- a/internal/cluster/coordination/cells.go
+++ b/internal/cluster/coordination/cells.go
@@ -89,7 +89,8 @@
 }
 
 // put puts a value into a cell. A put that repeats a kept event is not executed again but answered with the revision
-// of that event, even if other values were put since: it may be the retry of a put whose answer was lost.
+// of that event, even if other values were put since, because it may be the retry of a put whose answer was lost. A put
+// of the present value is not executed either, whatever revision it expects.
 func (t *Tables) put(r Request, now float64, next uint64) Outcome {
 	c, p := t.cells[r.Name], put{r.Name, r.Value}
 	if g := t.groups[groupOf(r.Name)]; g != nil {
@@ -140,7 +141,8 @@
 	return out
 }
 
-// watch returns the committed events after a revision. If there are none, the watch is pending.
+// watch returns the committed events after a revision. If there are none, the watch is pending. With After 0 it returns
+// the present revision at once.
 func (t *Tables) watch(r Request, committed uint64) Outcome {
 	g := t.groups[r.Name]
 	if g == nil {
--- a/internal/cluster/coordination/locks.go
+++ b/internal/cluster/coordination/locks.go
@@ -42,8 +42,8 @@
 	l.expires = max(l.expires, now+hold+holdMargin+holdMarginShare*hold)
 }
 
-// acquire gives a free lock to an owner. The fencing token is the number of the batch, which no earlier hold in the
-// shard can have had.
+// acquire gives a free lock to an owner, or prolongs the hold of its present owner. The fencing token is the number of
+// the batch, which no earlier hold in the shard can have had.
 func (t *Tables) acquire(r Request, now float64, next uint64) Outcome {
 	l := t.locks[r.Name]
 	switch {
--- a/internal/cluster/coordination/request.go
+++ b/internal/cluster/coordination/request.go
@@ -39,14 +39,15 @@
 	Value  string `cbor:"6,keyasint,omitempty"` // value to put
 	// Expected is the revision that the cell must have for a put. 0 means that the cell must not exist; nil means any.
 	Expected *uint64 `cbor:"7,keyasint,omitempty"`
-	After    uint64  `cbor:"8,keyasint,omitempty"` // revision after which a watch begins; 0 means the present one
-	WaitMs   int64   `cbor:"9,keyasint,omitempty"` // time for which a watch waits for an event, milliseconds
+	// After is the revision after which a watch begins. With 0 the watch only returns the present revision.
+	After  uint64 `cbor:"8,keyasint,omitempty"`
+	WaitMs int64  `cbor:"9,keyasint,omitempty"` // time for which a watch waits for an event, milliseconds
 }
 
 // ReadOnly reports whether a request changes nothing. Such a request has had no effect, even if its answer is lost.
 func (r Request) ReadOnly() bool { return r.Kind == GetCell || r.Kind == Watch }
 
-// Scope is the part of the name that determines the shard. All cells of a group are in one shard.
+// Scope is the kind and the name that determine the shard. All cells of a group are in one shard.
 func (r Request) Scope() string {
 	switch r.Kind {
 	case PutCell, GetCell, Watch:
@@ -73,9 +74,9 @@
 	OK          Code = 1
 	Conflict    Code = 2 // another owner has the lock, or the hold has ended
 	NotFound    Code = 3 // the cell does not exist
-	Mismatch    Code = 4 // the cell does not have the expected revision, and never will again
+	Mismatch    Code = 4 // the cell does not have the expected revision; a revision that has passed never returns
 	Compacted   Code = 5 // events after the requested revision have been removed
-	TooMany     Code = 6 // the shard has too many records; the request had no effect
+	TooMany     Code = 6 // the shard has too many records or bytes of values; the request had no effect
 	TooManyOpen Code = 7 // too many calls are in flight; the request had no effect
 )
 
--- a/internal/cluster/coordination/tables.go
+++ b/internal/cluster/coordination/tables.go
@@ -97,12 +97,12 @@
 	case Watch:
 		return t.watch(r, committed)
 	}
-	return Outcome{Result: Result{Code: NotFound}}
+	return Outcome{Result: Result{Code: NotFound}} // a kind that this version does not know
 }
 
 // Upkeep removes unneeded records, and returns the writes that delete them, at most maxUpkeepWrites. It removes events
-// older than the retention, and locks whose hold has ended: if their records were kept, the leaseholder of a later term
-// would extend the holds when it loads them.
+// older than the retention, and locks whose hold has ended, because the leaseholder of a later term would extend the
+// holds when it loads their records.
 func (t *Tables) Upkeep(now float64, committed uint64) (writes []shard.Write) {
 	for name, l := range t.locks {
 		if now >= l.expires && l.seq <= committed && len(writes) < maxUpkeepWrites {
