--- a/internal/cluster/replication/chunk_cache_test.go
+++ b/internal/cluster/replication/chunk_cache_test.go
@@ -82,6 +82,7 @@
 			return here, nil
 		}
 		client.Consume = func(f *transport.Update) {
+			// Only a chunk is incomplete and has this many entries.
 			if !f.Complete && len(f.Items)+len(f.Instances) > 500 && (f.Quorum || f.Ready || f.Members > 0) {
 				withStatus.Add(1)
 			}
--- a/internal/cluster/replication/client.go
+++ b/internal/cluster/replication/client.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// initialDialTimeout bounds the first attempts. A machine without power does not answer and may return at any
-	// moment, but the kernel repeats the first packet of a connection only after 1 s.
+	// initialDialTimeout is the least time-out of an attempt that is not eager. It is short because a machine without
+	// power does not answer and may return at any moment, but the kernel repeats the first packet of a connection only
+	// after 1 s.
 	initialDialTimeout = 200 * time.Millisecond
-	dialTimeout        = time.Second // bounds the later attempts, which get twice the backoff
+	dialTimeout        = time.Second // bounds the time-outs of later attempts, which are twice the backoff
 )
 
-// Backoff between two attempts at a connection.
+// Backoff between two attempts at a connection. The wait is at least half of it.
 const (
 	initialBackoff = 100 * time.Millisecond
 	localBackoff   = 15 * time.Millisecond // to the agent on the same machine, which starts at the same moment
@@ -58,22 +59,22 @@
 	// Dial opens a connection; nil means TCP to Addr.
 	Dial func(context.Context) (net.Conn, error)
 
-	mu            sync.Mutex // guards the fields below
-	conn          *transport.Conn
+	mu            sync.Mutex      // guards the fields below
+	conn          *transport.Conn // connection on which the source has answered; nil means none
 	state         State
 	cancelBackoff context.CancelFunc // cancels the present dial or backoff
 }
 
 // State is the known state of a source.
 type State struct {
-	Incarnation  uint64 // 0 means that the source never sent an update
-	Seq          uint64 // all changes of the source up to this one are in the Store
-	Members      int
-	Ready        bool
-	Quorum       bool
-	Complete     bool // as of the last update, the Store has everything of the source's present incarnation
-	Epoch        uint64
-	Rank         int       // rank of this process's ingress in its zone
+	Incarnation  uint64    // 0 means that the source never sent an update
+	Seq          uint64    // all changes of the source up to this one are in the Store
+	Members      int       // number of ingresses with a lease; 0 means unknown
+	Ready        bool      // the source has all that a new ingress needs
+	Quorum       bool      // the source reaches a majority of the voters
+	Complete     bool      // as of the last update, the Store has everything of the source's present incarnation
+	Epoch        uint64    // epoch of the source's newest complete snapshot
+	Rank         int       // rank of this process's ingress in its zone, from 0
 	ZonePeers    int       // number of ranked ingresses in the zone; 0 means no rank
 	Voters       []string  // the electorate, as last sent
 	LastUpdateAt time.Time // sending time of the last update, computed by the common clock; only for differences
@@ -154,8 +155,8 @@
 	}
 }
 
-// open opens a connection to the source; nil means that it failed or the source does not answer in time. The agent on
-// the same machine is never dialed eagerly, because the kernel refuses connections at once while the agent isn't
+// open opens a connection to the source; nil means that the dial failed or the source did not answer in time. The agent
+// on the same machine is never dialed eagerly, because the kernel refuses connections at once while the agent isn't
 // running.
 func (c *Client) open(ctx context.Context, eagerUntil time.Time, backoff time.Duration) net.Conn {
 	dial := c.Dial
@@ -175,8 +176,8 @@
 	return conn
 }
 
-// RetryNow ends the present dial or backoff if the source is not connected. The caller has a sign that the source has
-// returned; a dial that began while the source was without power would only time out.
+// RetryNow ends the present dial or backoff if the source is not connected. It is called on a sign that the source has
+// returned, because a dial that began while the source was without power would only time out.
 func (c *Client) RetryNow() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/replication/dial.go
+++ b/internal/cluster/replication/dial.go
@@ -31,7 +31,7 @@
 	return func(ctx context.Context) (net.Conn, error) { return dialEagerly(ctx, dial) }
 }
 
-// dialEagerly opens connections until one is established or the context ends. At most eagerTimeout/eagerInterval of
+// dialEagerly opens connections until one is established or the context ends. At most eagerTimeout/eagerInterval+1 of
 // them are pending at a time.
 func dialEagerly(ctx context.Context, dial dialFunc) (net.Conn, error) {
 	attempts, cancel := context.WithCancel(ctx)
--- a/internal/cluster/replication/dial_test.go
+++ b/internal/cluster/replication/dial_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestReconnectsToReturningHost has a source that is unreachable for some time after the client's start. The client
-// must be connected within two eager intervals of its return, with a bounded number of pending connections, and must
-// begin only few connections after the eager period.
+// TestReconnectsToReturningHost starts a client of a source that is unreachable for some time. The client must be
+// connected within two eager intervals of the source's return, or within the usual backoff if the source returns after
+// the eager period. It must have a bounded number of pending connections, and begin only few after the eager period.
 func TestReconnectsToReturningHost(t *testing.T) {
 	for name, c := range map[string]struct {
 		unreachable, refuses time.Duration // refuses: last part of unreachable, in which it refuses connections
@@ -104,9 +104,9 @@
 	}
 }
 
-// TestReconnectsToReturningAgent has an agent that refuses connections of the proxy on its machine for some time after
-// the proxy's start. The proxy must be connected within localBackoff of the agent's return, or within the usual backoff
-// if the agent returns after the eager period.
+// TestReconnectsToReturningAgent starts a proxy while the agent on its machine refuses connections for some time. The
+// proxy must be connected within localBackoff of the agent's return, or within the usual backoff if the agent returns
+// after the eager period.
 func TestReconnectsToReturningAgent(t *testing.T) {
 	for name, c := range map[string]struct{ down, within time.Duration }{
 		"at once":                      {0, 0},
--- a/internal/cluster/replication/digests.go
+++ b/internal/cluster/replication/digests.go
@@ -9,7 +9,7 @@
 
 const (
 	bucketCount = 256 // buckets of a store, as many as one byte of a hash can number
-	// minDigestEntries is the size of a store below which its snapshot costs little more than its digests.
+	// minDigestEntries is the size of a store, in entries, below which its snapshot costs little more than its digests.
 	minDigestEntries = 256
 )
 
@@ -43,7 +43,7 @@
 	return int(bucket/8) < len(bits) && bits[bucket/8]&(1<<(bucket%8)) != 0
 }
 
-// hash is FNV-1a, 64 bits. Each text is hashed with its length before it.
+// hash is FNV-1a, 64 bits, whose prime is 1099511628211. Each text is hashed with its length before it.
 type hash uint64
 
 // firstHash is the offset basis of FNV-1a.
@@ -102,7 +102,7 @@
 	return h.finalize()
 }
 
-// updateDigest brings the digest of a slot's bucket up to date with the slot. The mutex is held.
+// updateDigest brings the digest of a slot's bucket up to date with the slot. The mutex must be held.
 func (s *Store) updateDigest(index int32) {
 	entry := &s.slots[index]
 	s.digests[entry.bucket] -= entry.digest
--- a/internal/cluster/replication/feed.go
+++ b/internal/cluster/replication/feed.go
@@ -27,12 +27,12 @@
 	initial      bool             // the Hello names no entries by Seq or digests, so shared chunks are sent first
 	seq          uint64           // changes up to this sequence number were sent
 	matching     *MatchingBuckets // entries that the subscriber had when it subscribed
-	matchingBits []byte           // bits of matching to be sent with the next update; nil means already sent
+	matchingBits []byte           // bits of matching to be sent with the next update; nil means none
 	voters       []string         // the electorate as last sent
 
 	sendsHeartbeats  bool
 	heartbeatNumber  uint64 // heartbeats up to this number were sent
-	lastBatchStart   uint64 // heartbeatNumber before the last batch with heartbeats, which may not have arrived
+	lastBatchStart   uint64 // heartbeatNumber before the last update with heartbeats, which may not have arrived
 	lastHeartbeatsAt time.Time
 }
 
--- a/internal/cluster/replication/heartbeat_resume.go
+++ b/internal/cluster/replication/heartbeat_resume.go
@@ -25,12 +25,13 @@
 
 // heartbeatPosition is the position in the heartbeats at which a subscription ended.
 type heartbeatPosition struct {
-	number  uint64 // heartbeats up to this number have arrived, or are out of date
+	number  uint64 // a new subscription starts after this number
 	endedAt time.Time
 }
 
 // resumeHeartbeats returns the number after which heartbeats are sent to a new subscription of a node. If the previous
-// subscription has just ended, it continues from there. Otherwise it starts with the heartbeats received from now on.
+// subscription has just ended, it continues from there. Otherwise the heartbeats received so far are skipped, at most
+// maxHeartbeats of them.
 func (s *Source) resumeHeartbeats(node string) (number uint64) {
 	s.resumes.mu.Lock()
 	position, found := s.resumes.positions[node]
@@ -43,8 +44,8 @@
 	return number
 }
 
-// recordHeartbeats records where a subscription has ended. Its last batch may not have arrived, so it will be sent
-// again; heartbeats that arrive twice have no further effect.
+// recordHeartbeats records where a subscription has ended. Its last update with heartbeats may not have arrived, so
+// these will be sent again; heartbeats that arrive twice have no further effect.
 func (f *feed) recordHeartbeats() {
 	if !f.sendsHeartbeats {
 		return
--- a/internal/cluster/replication/initial_sync.go
+++ b/internal/cluster/replication/initial_sync.go
@@ -22,7 +22,7 @@
 type InitialSync struct {
 	mu        sync.Mutex    // guards the fields below
 	first     *session      // the session that receives the snapshot; nil means none
-	updatedAt time.Time     // time of the last update from the source of first
+	updatedAt time.Time     // time of the last update from the source of first, or of the start of first
 	released  chan struct{} // closed when first has the snapshot, has ended, or is replaced
 	complete  bool          // a session has the snapshot
 }
--- a/internal/cluster/replication/replication_test.go
+++ b/internal/cluster/replication/replication_test.go
@@ -51,6 +51,8 @@
 	return keys
 }
 
+// TestStoreAgainstModel makes random changes to a Store. The store must report the same changes as the model after any
+// sequence number, and its log must stay bounded.
 func TestStoreAgainstModel(t *testing.T) {
 	for seed := range uint64(30) {
 		is := is.New(t)
@@ -155,10 +157,10 @@
 		before := client.Now()
 		client.Observe(before+(random.Float64()-0.7)*1e5, random.Float64()/100)
 		now := client.Now()
-		is.True(now >= before && now >= last && now-before <= 3601)
+		is.True(now >= before && now >= last && now-before <= 3601) // maxStep, and 1 s of slack
 		last = now
 	}
-	client.Observe(client.Now()+0.004, 0)
+	client.Observe(client.Now()+0.004, 0) // less than maxSkew
 	is.Equal(client.Now(), last)
 }
 
@@ -212,6 +214,8 @@
 	return here, nil
 }
 
+// TestSubscription checks what a client receives at first, after changes, after a lost connection and after a restart
+// of the source: every missing entry, and each only once.
 func TestSubscription(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/cluster/replication/session.go
+++ b/internal/cluster/replication/session.go
@@ -23,7 +23,7 @@
 	repair      sourceRepair
 }
 
-// connectAndServe subscribes over a connection, and returns when the connection ends, or at once if it is nil. It
+// connectAndServe subscribes over a connection, and returns when the connection ends, or at once if netConn is nil. It
 // reports whether the source answered.
 func (c *Client) connectAndServe(ctx context.Context, netConn net.Conn) (answered bool) {
 	if netConn == nil {
@@ -96,7 +96,7 @@
 // apply handles an update. It also sends the renewals, so that a subscription needs no timer for them.
 func (s *session) apply(update *transport.Update) {
 	c, now := s.client, time.Now()
-	if update.Incarnation == 0 {
+	if update.Incarnation == 0 { // not valid: no store has this incarnation (NewStore)
 		s.conn.Close()
 		return
 	}
