--- a/internal/cluster/configuration/canonical_test.go
+++ b/internal/cluster/configuration/canonical_test.go
@@ -104,6 +104,8 @@
 	return []string{"true", "false", "null"}[r.IntN(3)]
 }
 
+// Two bodies must have the same content exactly if the standard library decodes the same value from both, apart from
+// the generation.
 func TestSameContentInAnySpelling(t *testing.T) {
 	is := is.New(t)
 	item := func(body string) Item { return Item{Key: Key{Services, "s"}, Version: 12, Body: []byte(body)} }
--- a/internal/cluster/configuration/entities.go
+++ b/internal/cluster/configuration/entities.go
@@ -43,10 +43,10 @@
 // Tenant is the decoded body of a tenant item.
 type Tenant struct {
 	Name     string
-	Keys     []string
-	Priority int     // takes precedence over the route's; 0 is the highest
-	Rate     float64 // requests per second over all ingresses; 0 means no limit
-	Burst    float64 // requests allowed beyond the rate
+	Keys     []string // API keys
+	Priority int      // takes precedence over the route's; 0 is the highest
+	Rate     float64  // requests per second over all ingresses; 0 means no limit
+	Burst    float64  // requests allowed beyond the rate
 	Version  uint64
 	Epoch    uint64
 }
--- a/internal/cluster/configuration/field_reader.go
+++ b/internal/cluster/configuration/field_reader.go
@@ -94,7 +94,7 @@
 // seconds reads a time in milliseconds and returns it in seconds.
 func (f *fieldReader) seconds(name string) float64 { return min(f.number(name, 0)/1000, maxSeconds) }
 
-// integer reads a number, drops its fraction, and limits it to the range of 32 bits.
+// integer reads a number that is at least minimum, drops its fraction, and limits it to the range of 32 bits.
 func (f *fieldReader) integer(name string, minimum float64) int {
 	return int(min(max(f.number(name, minimum), math.MinInt32), math.MaxInt32))
 }
--- a/internal/cluster/configuration/model_test.go
+++ b/internal/cluster/configuration/model_test.go
@@ -176,8 +176,8 @@
 	return best.Name
 }
 
-// randomItem returns a random item from a small set, so that items often conflict. Most items of the same version have
-// the same content.
+// randomItem returns a random item from a small set, with a version above the given one, so that items often conflict.
+// Most items of the same version have the same content.
 func randomItem(r *rand.Rand, above int) Item {
 	i := Item{Key: Key{Kind: Routes + Kind(r.IntN(4))}, Version: uint64(above + 1 + r.IntN(12))}
 	content := rand.New(rand.NewPCG(i.Version, uint64(r.IntN(4)/3)))
--- a/internal/cluster/configuration/positions.go
+++ b/internal/cluster/configuration/positions.go
@@ -5,9 +5,9 @@
 	"math/bits"
 )
 
-// trieOrder returns the position of a hash in a walk that visits the slots of each node in ascending order: its digits,
-// the lowest first. That order does not depend on the other keys in the trie, so a position means the same in every
-// snapshot.
+// trieOrder returns the position of a hash in a walk that visits the slots of each node in ascending order. It has the
+// digits of the hash, of levelBits bits each, in reverse order, because the lowest digit selects the slot of the root.
+// A position does not depend on the other keys in the trie, so it means the same in every snapshot.
 func trieOrder(h uint64) uint64 {
 	var order uint64
 	for shift := uint(0); shift < hashBits; shift += levelBits {
--- a/internal/cluster/configuration/snapshot_test.go
+++ b/internal/cluster/configuration/snapshot_test.go
@@ -25,6 +25,7 @@
 	"remove":{"routes":[{"name":"r-old","generation":"00000009","why":"old"}],"customers":[],"services":[]}}
 `
 
+// The sample must be rendered as it was sent, and the routing table must find its items without an allocation.
 func TestPatchRoundTrip(t *testing.T) {
 	is := is.New(t)
 	items, err := ReadPatch([]byte(sample))
@@ -218,6 +219,7 @@
 	}
 }
 
+// Each call after the sample must get the expected status, and an invalid one a text of one line that names the reason.
 func TestInvalidCallsAreRejected(t *testing.T) {
 	is := is.New(t)
 	first, err := ReadPatch([]byte(sample))
@@ -286,6 +288,7 @@
 	}
 }
 
+// Random calls must get the status that the model gives them, and leave the model's items and histories.
 func TestSnapshotMatchesModel(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(5, 6))
@@ -333,6 +336,7 @@
 	is.True(min(statuses[200], statuses[400], statuses[409]) > 20) // each status occurs often
 }
 
+// Replicas that merge the same items in another order or in other groups must end with the same snapshot.
 func TestMergeConvergesInAnyOrder(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(7, 8))
@@ -370,6 +374,7 @@
 	}
 }
 
+// When the winner of a contested route or API key is deleted, the claim that is next in precedence must take over.
 func TestPrecedenceOfClaims(t *testing.T) {
 	is := is.New(t)
 	item := func(kind Kind, name string, version, epoch uint64) Item {
--- a/internal/cluster/configuration/trie.go
+++ b/internal/cluster/configuration/trie.go
@@ -50,7 +50,7 @@
 }
 
 // edit identifies the nodes that one batch of changes has created. They are not shared yet, so the batch may modify
-// them in place.
+// them in place. It has a byte, because pointers to different values without a size may be equal.
 type edit struct{ _ byte }
 
 // trie is a persistent map. The zero value is empty. Readers need no lock.
@@ -80,8 +80,10 @@
 	hashBits  = 64 // bits of the hash
 )
 
+// bitAt returns the bit of the slot that a hash selects in the node whose level begins at bit shift of the hash.
 func bitAt(h uint64, shift uint) uint32 { return 1 << (h >> shift & (1<<levelBits - 1)) }
 
+// rank returns the number of slots of a set before the slot of a bit, which is the slot's index in pairs or children.
 func rank(set, bit uint32) int { return bits.OnesCount32(set & (bit - 1)) }
 
 func (t trie[K, V]) get(k K) (V, bool) { return t.find(k.hash(), k) }
@@ -257,6 +259,7 @@
 	return c
 }
 
+// replaced only copies the slice if at is negative.
 func replaced[T any](s []T, at int, x T) []T {
 	if len(s) == 0 {
 		return nil
--- a/internal/cluster/configuration/trie_test.go
+++ b/internal/cluster/configuration/trie_test.go
@@ -13,6 +13,8 @@
 
 func (c collidingKey) hash() uint64 { return uint64(c%7) << 60 }
 
+// After random changes a trie must have the same content as a map, and earlier versions that were kept must not have
+// changed.
 func TestTrieMatchesMap(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(1, 2))
