--- a/internal/cluster/quota/counter.go
+++ b/internal/cluster/quota/counter.go
@@ -33,7 +33,7 @@
 type reporter struct {
 	reportedAt            float64 // time of the last report for the newest cycle, in seconds
 	cycle, earlierCycle   int64
-	amount, earlierAmount float64  // requests
+	amount, earlierAmount float64  // in the unit of Report.Amount
 	hasEarlier            bool     // earlierCycle and earlierAmount are set
 	serials               *serials // serials of PerRequest reports; nil means none received
 }
--- a/internal/cluster/quota/counter_table_test.go
+++ b/internal/cluster/quota/counter_table_test.go
@@ -171,6 +171,8 @@
 	}
 }
 
+// A new owner must answer only after HandoverFence, and then with the reports that it received before. A node without a
+// quorum must not answer.
 func TestHandoverFence(t *testing.T) {
 	is := is.New(t)
 	name, both := "", []string{"a", "b"}
--- a/internal/cluster/quota/doc.go
+++ b/internal/cluster/quota/doc.go
@@ -1,9 +1,10 @@
 // Package quota keeps the shared counters of tenants' quotas.
 //
-// Each ingress is a reporter. Once per cycle a reporter adds the number of requests that it received to a counter, and
-// reads the sum and the number of reporters, from which it sets its slice of the quota. The counters are distributed
-// over the live control nodes by rendezvous hashing of their names. When a counter changes owners, the new owner
-// answers with its sum only after a fence (HandoverFence).
+// Each ingress is a reporter. Once per cycle a reporter adds its demand, in units per second, to a counter, and reads
+// the sum and the number of reporters, from which it sets its slice of the quota. A tenant with few requests is counted
+// by request instead (Report.PerRequest). The counters are distributed over the live control nodes by rendezvous
+// hashing of their names. When a counter changes owners, the new owner answers with its sum only after a fence
+// (HandoverFence).
 //
 // If a sum did not include a reporter, that reporter's slice would be given away a second time. Every rule therefore
 // errs on the safe side: a late reporter counts with its last report, a repeated report counts once, and an owner that
--- a/internal/cluster/quota/messages.go
+++ b/internal/cluster/quota/messages.go
@@ -7,10 +7,10 @@
 // A reporter reports once per cycle: a further report from the same reporter for the same cycle replaces the earlier
 // one. With PerRequest each report counts by itself, and Serial identifies repeated ones.
 type Report struct {
-	Name       string  `cbor:"1,keyasint"` // name of the counter: a tenant and its terms
-	Cycle      int64   `cbor:"2,keyasint"`
+	Name       string  `cbor:"1,keyasint"`           // name of the counter, which is the tenant's name
+	Cycle      int64   `cbor:"2,keyasint"`           // number of the cycle, the same at all ingresses
 	Reporter   string  `cbor:"3,keyasint"`           // ingress that reports; with PerRequest its process
-	Amount     float64 `cbor:"4,keyasint,omitempty"` // requests
+	Amount     float64 `cbor:"4,keyasint,omitempty"` // units per second; with PerRequest units
 	ReadOnly   bool    `cbor:"5,keyasint,omitempty"` // query: nothing is added
 	Retention  float64 `cbor:"6,keyasint,omitempty"` // seconds for which the counter is kept after its last use
 	PerRequest bool    `cbor:"7,keyasint,omitempty"`
@@ -34,6 +34,6 @@
 // have the reports of all other reporters yet.
 type Total struct {
 	OK        bool    `cbor:"1,keyasint,omitempty"`
-	Sum       float64 `cbor:"2,keyasint,omitempty"` // requests, over all reporters
-	Reporters int     `cbor:"3,keyasint,omitempty"`
+	Sum       float64 `cbor:"2,keyasint,omitempty"` // over all reporters, in the unit of Report.Amount
+	Reporters int     `cbor:"3,keyasint,omitempty"` // number of reporters in Sum
 }
--- a/internal/cluster/registry/registry_test.go
+++ b/internal/cluster/registry/registry_test.go
@@ -218,6 +218,7 @@
 	}
 }
 
+// A heartbeat that arrives after the departure of its server must not restore the instance while the tombstone is kept.
 func TestLateHeartbeatAfterDeparture(t *testing.T) {
 	is := is.New(t)
 	r := New(1.5)
--- a/internal/cluster/registry/silence.go
+++ b/internal/cluster/registry/silence.go
@@ -13,8 +13,8 @@
 // several times in each heartbeat interval: if more than one interval has passed since the last call, the process
 // itself was paused, and its timeout begins again. If more than half of the serving instances, and at least
 // MassTimeoutMinimum, time out together, the cause is more likely a partition of this node. In such a mass timeout no
-// instance becomes silent until any server calls; MassTimeoutRecheckHeartbeats later, only the instances that have not
-// called become silent.
+// instance becomes silent or gone until any server calls; MassTimeoutRecheckHeartbeats later, only the instances that
+// have not called become silent.
 func (r *Registry) DetectSilent(now Seconds) []Instance {
 	if r.checked && now-r.lastCheck > r.heartbeatInterval {
 		r.quorumSince = max(r.quorumSince, now)
