--- a/internal/cluster/transport/calls.go
+++ b/internal/cluster/transport/calls.go
@@ -117,7 +117,8 @@
 	}
 }
 
-// reply sends the reply to a call. An error is ignored: it means that the connection has ended, which Run finds itself.
+// reply sends the reply to a call. An error is ignored, because Run finds itself that the connection has ended. If the
+// reply is too long to be sent, the call is not answered.
 func (c *Conn) reply(call uint64, f *Frame) {
 	if f == nil {
 		return
--- a/internal/cluster/transport/catchup_messages.go
+++ b/internal/cluster/transport/catchup_messages.go
@@ -12,7 +12,7 @@
 	Epoch         uint64 `cbor:"1,keyasint"`
 	EmptyDisk     bool   `cbor:"2,keyasint,omitempty"`  // the node's disk is empty: it also needs the stored instances
 	FromPosition  uint64 `cbor:"8,keyasint,omitempty"`  // position of the first item
-	NewestEpoch   uint64 `cbor:"9,keyasint,omitempty"`  // newest epoch of all chunks so far; older ones are of no use
+	NewestEpoch   uint64 `cbor:"9,keyasint,omitempty"`  // newest epoch of the chunks so far; older chunks are of no use
 	MaxBytes      int    `cbor:"10,keyasint,omitempty"` // approximate size of the chunk, bytes; 0 means the default
 	AfterInstance string `cbor:"11,keyasint,omitempty"` // only instances whose ids sort after this one are requested
 }
@@ -21,7 +21,7 @@
 type CatchUpChunk struct {
 	NextPosition  uint64               `cbor:"8,keyasint,omitempty"` // position for the next request; 0 means the end
 	MoreInstances bool                 `cbor:"9,keyasint,omitempty"` // there are more instances after these
-	Epoch         uint64               `cbor:"1,keyasint"`
+	Epoch         uint64               `cbor:"1,keyasint"`           // epoch of the source's snapshot
 	Items         []configuration.Item `cbor:"2,keyasint,omitempty"`
 	Voters        []string             `cbor:"6,keyasint,omitempty"` // sent by older versions: the initial electorate
 	Instances     []registry.Instance  `cbor:"7,keyasint,omitempty"` // instances on the source's disk
@@ -36,5 +36,5 @@
 
 // PersistReply is the reply to PersistRequest.
 type PersistReply struct {
-	OK bool `cbor:"1,keyasint,omitempty"`
+	OK bool `cbor:"1,keyasint,omitempty"` // the instances are synced to the disk
 }
--- a/internal/cluster/transport/conn.go
+++ b/internal/cluster/transport/conn.go
@@ -26,7 +26,7 @@
 	// control node has thousands of connections.
 	maxRetainedBuffer = 4 << 10
 	maxWriteBytes     = 64 << 10  // most bytes in a single write, which must end within WriteTimeout
-	maxQueuedBytes    = 256 << 10 // bytes in the queue from which on callers of Send wait for the peer to read
+	maxQueuedBytes    = 256 << 10 // bytes in the queue at which callers of Send begin to wait for the peer to read
 )
 
 // Conn is a connection that carries frames. Receive and Run may be called by one goroutine at a time, all other methods
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// Reading damaged frames must end in an error. It must not panic, nor allocate much more memory than has arrived.
+// Reading damaged frames must end in an error. It must not panic or run out of memory.
 func TestBrokenFrames(t *testing.T) {
 	_, encoded := testFrames(t)
 	rnd := rand.New(rand.NewPCG(1, 1))
@@ -83,6 +83,8 @@
 	}
 }
 
+// Concurrent calls must get their own replies. A call without a reply must fail after its timeout, or as soon as the
+// connection has ended.
 func TestCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
