--- a/internal/cluster/command/settings.go
+++ b/internal/cluster/command/settings.go
@@ -41,8 +41,8 @@
 
 // Start loads the settings of a program that serves, and sets the limits of the Go runtime: the memory limit, and a
 // single thread at a time, because the machines run only one. From here on SIGHUP is ignored until the program asks to
-// be notified of it: the signal means that the settings have changed, and must not end a process that has not read them
-// yet.
+// be notified of it, because the signal means that the settings have changed and must not end a process that has not
+// read them yet.
 func Start(file, program string, memory Memory) (*settings.Settings, error) {
 	signal.Ignore(syscall.SIGHUP)
 	if memory.GCPercent > 0 {
--- a/internal/cluster/linkfaults/injector.go
+++ b/internal/cluster/linkfaults/injector.go
@@ -21,7 +21,7 @@
 type Injector struct{ partition atomic.Pointer[Partition] }
 
 // NewInjector returns an Injector that rereads the file at path until the context ends. The file must be replaced as a
-// whole. If it cannot be read later, the partition remains unchanged. For an empty path the Injector is nil.
+// whole. If it cannot be read or parsed later, the partition remains unchanged. For an empty path the Injector is nil.
 func NewInjector(ctx context.Context, path string) (*Injector, error) {
 	if path == "" {
 		return nil, nil
@@ -52,8 +52,8 @@
 	}
 }
 
-// Dialer returns a dialer that opens connections with dial and lets the partition block them. For a nil Injector it
-// returns dial.
+// Dialer returns a dialer that opens connections with dial and lets the partition block them. A new connection waits
+// while either direction is blocked, because its handshake needs both. For a nil Injector it returns dial.
 func (in *Injector) Dialer(dial DialFunc) DialFunc {
 	if in == nil {
 		return dial
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -16,13 +16,13 @@
 
 // Settings is the validated settings of a process. It is shared and must not be modified. Times are in seconds.
 type Settings struct {
-	Node        string
-	Role        string // name of the process's role in the deploy file
-	Class       string // class of the machine: edge or core
-	Serving     []string
-	Host        string // the machine's IPv4 address
+	Node        string   // name of this node
+	Role        string   // name of the process's role in the deploy file
+	Class       string   // class of the machine: edge or core
+	Serving     []string // what the machine serves, such as edge and control
+	Host        string   // the machine's IPv4 address
 	Zone        string
-	Region      string
+	Region      string // region of the zone
 	LossCounted bool   // the tolerance counts the loss of this machine
 	Bootstrap   bool   // this is the first start of the system, with empty disks
 	DataPath    string // folder on the machine's disk; empty means no disk
--- a/internal/cluster/settings/settings_test.go
+++ b/internal/cluster/settings/settings_test.go
@@ -121,6 +121,8 @@
 	}
 }
 
+// A broken or missing file must leave the settings in force, and Reread must return the same error only once. A change
+// must be found even if the clock was set back.
 func TestWatcherRejectsBrokenFiles(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "node.conf")
--- a/internal/cluster/settings/watch.go
+++ b/internal/cluster/settings/watch.go
@@ -59,8 +59,8 @@
 type Watcher struct {
 	path          string
 	current       atomic.Pointer[Settings]
-	seen          fileVersion
-	reportedError string // text of the last error; empty after a successful load
+	seen          fileVersion // version of the file at the last load; zero before it and after a failed one
+	reportedError string      // text of the last error; empty after a successful load
 }
 
 // fileVersion identifies a version of a file without reading the file.
