--- a/internal/cluster/configuration/positions.go
+++ b/internal/cluster/configuration/positions.go
@@ -24,7 +24,8 @@
 
 // ItemsFrom iterates over the items at or after a position, deleted ones included, in the order of their positions.
 // ItemsFrom(position+1) continues after an item, in this snapshot or a later one, on this machine or another. Keys that
-// share a position, which is very rare, follow one another in no particular order.
+// share a position, which is very rare, follow one another in no particular order. A caller must therefore take all
+// items of a position before it continues from the next.
 func (s *Snapshot) ItemsFrom(position uint64) iter.Seq2[uint64, Item] {
 	return func(yield func(uint64, Item) bool) {
 		if s != nil {
--- a/internal/cluster/consensus/proposer.go
+++ b/internal/cluster/consensus/proposer.go
@@ -56,7 +56,7 @@
 // A run that is in progress is abandoned. A proposal that it sent stays with the voters that accepted it, and this or
 // another proposer finds it there. The ballot is kept only after a run that ended with Done. An abandoned run may have
 // found a pending proposal that must be completed first. It may also have a proposal in flight under that ballot, which
-// answers that arrived since may have made chosen.
+// may have been chosen since.
 func (p *Proposer) Start(base Base, reading bool) Action {
 	p.rebase(base)
 	p.confirmed, p.reading, p.backoffs = false, reading, 0
--- a/internal/cluster/registry/queue.go
+++ b/internal/cluster/registry/queue.go
@@ -3,7 +3,7 @@
 // entry is an instance with its links in the queue of its phase and in the queue of heartbeats received by this node.
 type entry struct {
 	instance                   Instance
-	lastSeenAt                 Seconds // time of the last heartbeat or change of phase
+	lastSeenAt                 Seconds // time of the last heartbeat, merge or change of phase
 	overdue                    bool    // counted in Registry.overdue
 	heartbeatNumber            uint64  // number of the last heartbeat received by this node; 0 means none
 	phaseLinks, heartbeatLinks links
--- a/internal/cluster/replication/client.go
+++ b/internal/cluster/replication/client.go
@@ -30,7 +30,7 @@
 	Addr        string // address of the source, host:port
 	Node        string // name of the subscribing node
 	Class       string // ClassAgent, ClassProxy or ClassControl
-	Zone        string // zone of an ingress
+	Zone        string // zone of an ingress or a control node
 	ControlAddr string // own address of a control node that subscribes, host:port; else empty
 	Incarnation uint64 // incarnation of this process
 	Seed        uint64 // seed of the jitter of the backoff
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -40,7 +40,8 @@
 	SourceIncarnation uint64 `cbor:"4,keyasint,omitempty"`
 	// Seq is the last change of that incarnation that the subscriber has. Only later changes are sent.
 	Seq uint64 `cbor:"5,keyasint,omitempty"`
-	// Instances are instances that the subscriber knows. A source that has lost its own merges them (read repair).
+	// Instances are instances that the subscriber knows and the source may have lost. The source merges them (read
+	// repair).
 	Instances []registry.Instance `cbor:"6,keyasint,omitempty"`
 
 	Epoch       uint64 `cbor:"7,keyasint,omitempty"` // newest epoch for which the subscriber has the complete snapshot
