--- a/internal/cluster/configuration/positions.go
+++ b/internal/cluster/configuration/positions.go
@@ -5,9 +5,9 @@
 	"math/bits"
 )
 
-// trieOrder returns the position of a hash in a walk that visits the slots of each node in ascending order: its digits,
-// the lowest first. That order does not depend on the other keys in the trie, so a position means the same in every
-// snapshot.
+// trieOrder returns the position of a hash in a walk that visits the slots of each node in ascending order. It has the
+// digits of the hash, of levelBits bits each, in reverse order, because the lowest digit selects the slot of the root.
+// A position does not depend on the other keys in the trie, so it means the same in every snapshot.
 func trieOrder(h uint64) uint64 {
 	var order uint64
 	for shift := uint(0); shift < hashBits; shift += levelBits {
@@ -24,7 +24,8 @@
 
 // ItemsFrom iterates over the items at or after a position, deleted ones included, in the order of their positions.
 // ItemsFrom(position+1) continues after an item, in this snapshot or a later one, on this machine or another. Keys that
-// share a position, which is very rare, follow one another in no particular order.
+// share a position, which is very rare, follow one another in no particular order. A caller must therefore take all
+// items of a position before it continues from the next.
 func (s *Snapshot) ItemsFrom(position uint64) iter.Seq2[uint64, Item] {
 	return func(yield func(uint64, Item) bool) {
 		if s != nil {
