--- a/internal/control/electorate/changes.go
+++ b/internal/control/electorate/changes.go
@@ -19,7 +19,7 @@
 
 const (
 	changeTimeout   = 2 * time.Second // for a change of the electorate, until a majority has it on disk
-	handoverTimeout = time.Second     // for the transfer of this node's vote at shutdown
+	handoverTimeout = time.Second     // for attempts to transfer this node's vote at shutdown, and for each decision
 	// replacementDelay is how long a voter may be silent beyond the bound on contact (contactMs) before it is replaced.
 	replacementDelay = 2 * time.Second
 	// replacementRankDelay is added for each reachable voter that precedes this one, so that normally only one voter
@@ -33,12 +33,15 @@
 	probeTimeout  = 2 * replica.SyncTimeout // for the answer to one probe, which waits for a sync of the disk
 )
 
-// HandoverLimit is how long a shutdown waits for HandOver to return.
+// HandoverLimit is how long a shutdown waits for HandOver to return. HandOver attempts replacements for
+// handoverTimeout, and the last of them may wait as long again for its decision.
 const HandoverLimit = 2 * handoverTimeout
 
 // Maintain replaces a voter that has been silent for too long, and enlarges an electorate that is too small. The first
 // of the reachable voters starts the change, and the others start it later if the first does not; concurrent attempts
-// do no harm. The goroutines that it starts run in wg.
+// do no harm, because a change applies only to the electorate for which it was planned. Maintain acts only while the
+// majority lease is held and the snapshot, which must not be empty, is confirmed as the newest. The goroutines that it
+// starts run in wg.
 func (m *Manager) Maintain(ctx context.Context, wg *sync.WaitGroup) {
 	base, snapshot := m.options.Replica.Base()
 	e := base.Electorate
@@ -55,6 +58,7 @@
 	contactBound := time.Duration(m.options.Settings.Bounds.Contact * float64(time.Second))
 	limit := contactBound + replacementDelay + rank*replacementRankDelay
 	silent := m.firstSilent(e, age, limit)
+	// Two voters are added at once, because four voters tolerate no more losses than three.
 	enlarge := silent == "" && len(e.Voters)+2 <= m.WantedVoters() && len(reachable) == len(e.Voters) && age > limit
 	if silent == "" && !enlarge {
 		return
@@ -193,8 +197,8 @@
 	return &answer.Promise.Promise
 }
 
-// change proposes a new electorate if majorities of both the present and the new electorate are in contact. Probed
-// voters count as in contact.
+// change proposes a new electorate if it has no fewer voters than the present one, and if majorities of both are in
+// contact. Probed voters count as in contact.
 func (m *Manager) change(
 	ctx context.Context, from consensus.Electorate, to []consensus.Voter, timeout time.Duration,
 	probed ...consensus.Voter,
--- a/internal/control/electorate/doc.go
+++ b/internal/control/electorate/doc.go
@@ -5,6 +5,6 @@
 // voter at an operator's request, and transfers this node's vote when the node shuts down. Each change of the
 // electorate is a change of the configuration, which proposals.Queue submits to the voters.
 //
-// It imports package cluster's folders and control's packages for replica, peers, proposals and majority. Its
-// tests drive whole clusters in package control (electorate_test.go).
+// It imports packages of cluster and control's packages replica, peers, proposals and majority. Its tests drive whole
+// clusters in package control (electorate_test.go).
 package electorate
--- a/internal/control/electorate/errors.go
+++ b/internal/control/electorate/errors.go
@@ -6,8 +6,9 @@
 // is repeated, because the node may receive the changes shortly.
 var errBehind = errors.New("it is behind")
 
-// ChangeError means that the electorate was not changed, because the state of the nodes does not allow it or because
-// no majority decided in time. Operators see its text, which is the text of the cause.
+// ChangeError means that the state of the nodes does not allow a change of the electorate, or that its proposal failed.
+// If the cause is proposals.ErrNoMajority, the change may still be chosen later. Operators see its text, which is that
+// of the cause.
 type ChangeError struct{ Cause error }
 
 func (c *ChangeError) Error() string { return c.Cause.Error() }
--- a/internal/control/majority/lease.go
+++ b/internal/control/majority/lease.go
@@ -45,7 +45,8 @@
 func (l *Lease) Now() time.Duration { return l.now() }
 
 // RecordAnswer records that a node has answered a request that was sent at sentAt by the lease's clock. The lease is
-// evaluated before and after: it may have expired since the last evaluation, and then the answer begins a new term.
+// also evaluated before, because it may have expired since the last evaluation. In that case the answer may begin a new
+// term.
 func (l *Lease) RecordAnswer(node string, sentAt time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,14 +82,14 @@
 func (l *Lease) inContact(node string, now time.Duration) bool {
 	ttl := TTL
 	if mutants.On("majority/lease-of-one-round") {
-		ttl = 250 * time.Millisecond
+		ttl = 250 * time.Millisecond // interval of the pings
 	}
 	at, ok := l.lastAnswered[node]
 	return ok && now-at <= ttl
 }
 
-// Current returns whether the lease is held now, and its term, which numbers the current or the last uninterrupted
-// span in which it was held.
+// Current returns the lease's term, which numbers the current or the last uninterrupted span in which the lease was
+// held, and whether the lease is held now.
 func (l *Lease) Current() (term uint64, held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,8 +108,8 @@
 // FirstHeld returns a channel that is closed when the lease is held for the first time.
 func (l *Lease) FirstHeld() <-chan struct{} { return l.firstHeld }
 
-// Reachable returns the voters in contact now, including this node if it is a voter, together with the lease's term
-// and whether the lease is held.
+// Reachable returns the voters in contact now in the order of the electorate, including this node if it is a voter,
+// together with the lease's term and whether the lease is held.
 func (l *Lease) Reachable() (voters []string, term uint64, held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/control/majority/lease_test.go
+++ b/internal/control/majority/lease_test.go
@@ -73,6 +73,8 @@
 	return ""
 }
 
+// Guards against a lease that outlasts its answers, for example because an answer is timed from its arrival, or because
+// an expiry during a suspension goes unnoticed and the term does not change.
 func TestLeaseMatchesReferenceModel(t *testing.T) {
 	for seed := range uint64(300) {
 		if difference := compareLeaseWithModel(seed); difference != "" {
