--- a/internal/control/proposals/compose.go
+++ b/internal/control/proposals/compose.go
@@ -43,6 +43,7 @@
 	}
 	items, verdicts := consensus.ComposeProposal(
 		snapshot, itemsForEpoch(changes, base.Epoch+1), maxBatchBytes, (*configuration.Snapshot).Validate)
+	// A change that an outdated snapshot rejects may be valid upon the newest one.
 	rejects := slices.ContainsFunc(verdicts, func(v consensus.Verdict) bool { return v.Err != nil })
 	if rejects && !action.Confirmed && !mutants.On("proposals/refuses-unsure") {
 		return q.proposer.RequireConfirmation(action.Attempt), changes
@@ -107,7 +108,8 @@
 	return q.proposer.Composed(action.Attempt, base, nil, voters), changes
 }
 
-// apply applies a chosen proposal, answers the changes that it includes, and notifies the other nodes.
+// apply applies a chosen proposal and notifies the other nodes. It answers the included changes only if the proposal is
+// the one that compose made, because the proposer may instead have completed a proposal of another node.
 func (q *Queue) apply(action consensus.Action) consensus.Action {
 	p := action.Proposal
 	base := q.replica.Choose(p)
--- a/internal/control/proposals/queue.go
+++ b/internal/control/proposals/queue.go
@@ -19,7 +19,7 @@
 const (
 	maxBatchCalls   = 128  // limit of the changes that are proposed together; the others wait for the next run
 	eventsBuffer    = 64   // answers that may wait for the queue's goroutine; the senders of further ones block
-	jitterStream    = 1    // stream of the incarnation's random generator that the delays use
+	jitterStream    = 1    // second seed of the random delays; the first is the incarnation
 	firstProposerID = "/1" // appended to Options.Name in ballots
 )
 
--- a/internal/control/proposals/run.go
+++ b/internal/control/proposals/run.go
@@ -11,7 +11,8 @@
 const (
 	// backgroundRunTimeout limits a run that has no operator's deadline.
 	backgroundRunTimeout = time.Second
-	// meanForeignRoundWait is the average time that a round waits for the round of another node.
+	// meanForeignRoundWait is the average of the random time for which a round waits for the round of another node at
+	// most.
 	meanForeignRoundWait = 40 * time.Millisecond
 	// firstRoundFactor multiplies that wait in the first round of a run, so that proposers that have lost rounds go
 	// first.
@@ -137,8 +138,9 @@
 	return r.queue.proposer.Resumed(action.Attempt, base)
 }
 
-// waitForForeignRound waits a little while a round of another node is in progress, because two proposers that keep
-// outbidding each other would both fail. A run that has lost rounds waits less than a run in its first round.
+// waitForForeignRound waits for the end of another node's round if one is in progress, for a short random time at most,
+// because two proposers that keep outbidding each other would both fail. A run that has lost rounds waits less than a
+// run in its first round.
 func (r *run) waitForForeignRound(ctx context.Context) {
 	q := r.queue
 	defer func() {
