--- a/internal/control/replica/chunks.go
+++ b/internal/control/replica/chunks.go
@@ -43,8 +43,9 @@
 // instances.Registry.PersistedAfter).
 type PersistedInstances func(after string, maxBytes int) (page []registry.Instance, more bool)
 
-// Chunk answers a node that is missing chosen changes, or whose disk is empty. It returns nil until this node's disk
-// has been read.
+// Chunk answers a node that is missing chosen changes with newer items, or a node whose disk is empty with a page of
+// departing instances. The chunk has no items if this node's snapshot is not newer than the requester's, or is older
+// than the chunks that the requester has staged. Chunk returns nil until this node's disk has been read.
 func (r *Replica) Chunk(request *transport.CatchUpRequest, persisted PersistedInstances) *transport.CatchUpChunk {
 	r.mu.Lock()
 	if r.disk == nil {
--- a/internal/control/replica/chunks_test.go
+++ b/internal/control/replica/chunks_test.go
@@ -215,8 +215,8 @@
 	t.Logf("%d walks, %d chunks", transferWalks, chunks)
 }
 
-// checkNewerItems gets from a replica, after a number of changes, the items newer than each epoch, from the first
-// position and from a random one, and compares them with a plain list. It returns the first difference, if any.
+// checkNewerItems applies a number of changes to a replica. For each epoch, it compares the items that are newer with a
+// plain list, from the first position and from a random one. It returns the first difference, if any.
 func checkNewerItems(changes int) string {
 	var failure string
 	is := is.New(failureRecorder{&failure})
@@ -263,6 +263,8 @@
 	600,
 }
 
+// Guards against the use of the recent changes for an epoch whose next change they no longer contain, because a node
+// that catches up would then miss that change.
 func TestItemsNewerThan(t *testing.T) {
 	for _, changes := range changeCounts {
 		t.Run(fmt.Sprint(changes, " changes"), func(t *testing.T) {
--- a/internal/control/replica/staging.go
+++ b/internal/control/replica/staging.go
@@ -75,8 +75,9 @@
 	return s.FirstEpoch == s.LastEpoch || mutants.On("replica/mixes-epochs")
 }
 
-// follows reports whether a chunk continues the transfer, which means that it answers the newest request and comes from
-// a snapshot that is not older than those of the chunks before it.
+// follows reports whether a chunk continues the transfer. Its snapshot must not be older than those of the chunks
+// before it, and its request must have asked for all items from NextPosition on that are newer than BaseEpoch. Unless
+// it is the last chunk of the pass, its next position must be higher.
 func (s *staging) follows(request *transport.CatchUpRequest, chunk *transport.CatchUpChunk) bool {
 	if chunk.Epoch < s.LastEpoch && !mutants.On("replica/older-source") {
 		return false
