--- a/internal/control/connlimit/gate.go
+++ b/internal/control/connlimit/gate.go
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// ConnState is the http.Server's callback of the same name.
+// ConnState is the http.Server's callback of the same name. A connection becomes idle once the response is written.
 func (g *Gate) ConnState(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*trackedConn)
 	if !ok {
@@ -129,7 +129,8 @@
 	return Admitted
 }
 
-// FinishCall frees the call's slot before its response is written.
+// FinishCall marks the call's connection as idle before its response is written. Without FinishCall, ConnState does so
+// afterwards.
 func (g *Gate) FinishCall(r *http.Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/control/connlimit/slots.go
+++ b/internal/control/connlimit/slots.go
@@ -4,9 +4,10 @@
 
 // Shares of the slots and of the file descriptors. A slot is one open connection.
 const (
-	// reservedForNew slots are never used by calls in flight, so that a node can always read the header of a new call.
+	// reservedForNew slots are never used by calls in flight or internal connections, so that a node can always read
+	// the header of a new call.
 	reservedForNew = 16
-	// reservedForOperators further slots are used by calls of operators only.
+	// reservedForOperators further slots are used, among calls, only by those of operators.
 	reservedForOperators = 32
 	// reservedForPrompt further slots are used, among the calls of servers and applications, only by those whose bodies
 	// arrive at once, because such a call may announce a departure.
@@ -54,7 +55,8 @@
 	close    func() error // called by Gate, never by slots
 }
 
-// newSlots computes the limits from the number of descriptors that the process may open; 0 means unknown.
+// newSlots computes the limits from the number of descriptors that the process may open; 0 means unknown. Internal
+// connections leave an eighth of the slots, and at least minControlSlots, to servers and operators.
 func newSlots(maxFDs int) *slots {
 	if maxFDs == 0 {
 		maxFDs = defaultFDs
@@ -68,7 +70,8 @@
 func (s *slots) total() int { return s.internal + s.inFlight + s.idle.Len() }
 
 // evictIfFull removes the connection that has been idle longest if the limit is reached, and returns it for the caller
-// to close, or nil if none was evicted.
+// to close, or nil if none was evicted. An idle connection always exists when the limit is reached, because calls in
+// flight and internal connections leave reservedForNew slots.
 func (s *slots) evictIfFull() (evicted *slot) {
 	if s.total() < s.limit {
 		return nil
--- a/internal/control/connlimit/slots_test.go
+++ b/internal/control/connlimit/slots_test.go
@@ -60,6 +60,8 @@
 	return Rejected
 }
 
+// Guards against the eviction of a connection that has a call in flight or has not been idle longest, against calls
+// that use reserved slots, and against counts that differ from the open connections.
 func TestSlotsMatchReferenceModel(t *testing.T) {
 	for seed := range uint64(200) {
 		is := is.New(t)
@@ -131,7 +133,8 @@
 	}
 }
 
-// The limits follow from the number of descriptors that the process may open.
+// Guards against limits that leave too few descriptors for files and listeners, and against too few slots if the
+// process may open only a few descriptors.
 func TestLimitsFollowDescriptors(t *testing.T) {
 	for _, test := range []struct{ maxFDs, limit, internalLimit int }{
 		{maxFDs: 0, limit: 684, internalLimit: 556},
--- a/internal/control/ingresslease/table.go
+++ b/internal/control/ingresslease/table.go
@@ -18,8 +18,8 @@
 	initialRenewalPeriod = 1500 * time.Millisecond
 	maxLeases            = 1 << 14 // bounds memory; further ingresses get no lease
 
-	// MaxNameLength limits the names of nodes and zones, in bytes. An ingress with a longer name gets no lease, and a
-	// longer zone of a control node is ignored.
+	// MaxNameLength limits the names of ingresses and the zones of control nodes, in bytes. An ingress with a longer
+	// name gets no lease, and a longer zone is ignored.
 	MaxNameLength = 4096
 )
 
--- a/internal/control/ingresslease/table_test.go
+++ b/internal/control/ingresslease/table_test.go
@@ -9,6 +9,8 @@
 	"mulleinrouter/internal/cluster/transport"
 )
 
+// Guards against a count that is too low while some holders may not have renewed their leases yet, which would make the
+// quota shares of the others too large, and against ingresses that are counted without a valid lease or readiness.
 func TestCountAndRanks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var table Table
