--- a/internal/control/shards/calls.go
+++ b/internal/control/shards/calls.go
@@ -22,9 +22,9 @@
 	maxForwardedInFlight = 2048                  // calls of other nodes that are evaluated at once; bounds memory
 )
 
-// Do gets a request evaluated by the leaseholder of its shard, which may be this node or another. Its errors are
+// Do evaluates a request at the leaseholder of its shard, which may be this node or another. Its errors are
 // ErrNoLeaseholder and ErrUnknownOutcome. A request may be repeated, because the repetition finds the effect of the
-// first attempt.
+// first attempt; a repeated request for a number gets another number, and the first one is skipped.
 func (s *Service) Do(ctx context.Context, r coordination.Request) (coordination.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+time.Duration(r.WaitMs)*time.Millisecond)
 	defer cancel()
@@ -65,8 +65,8 @@
 	return code == coordination.TooMany || code == coordination.TooManyOpen
 }
 
-// try makes one attempt at a request, here or at the node that is known to be the leaseholder. Redirected means that
-// this node named another leaseholder.
+// try makes one attempt at a request, here or at the last known leaseholder; if none is known, at a random voter.
+// Redirected means that the node that was asked named another leaseholder.
 func (s *Service) try(ctx context.Context, r coordination.Request) (
 	result coordination.Result, redirected bool, err error,
 ) {
@@ -91,8 +91,8 @@
 	return result, named != "" && named != leader, err
 }
 
-// learnLeader records the node that answered as the leaseholder, or that another node named as such. A node without a
-// replica of the shard has no other way to know it.
+// learnLeader records the node that answered as the leaseholder, or that another node named as such. An empty address
+// forgets it. A node without a replica of the shard has no other way to know it.
 func (h *host) learnLeader(addr string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -116,7 +116,7 @@
 	if len(voters) == 0 {
 		return ""
 	}
-	return voters[rand.IntN(len(voters))].Addr //nolint:gosec // any will do
+	return voters[rand.IntN(len(voters))].Addr //nolint:gosec // any voter will do
 }
 
 // serve evaluates a request as the leaseholder. The lease is checked at the moment of the evaluation, after the call
@@ -235,7 +235,8 @@
 	}
 }
 
-// serveForwarded evaluates a call of another node in a new goroutine.
+// serveForwarded evaluates a call of another node in a new goroutine. If maxForwardedInFlight are being evaluated
+// already, it rejects the call.
 func (s *Service) serveForwarded(from string, call transport.CoordinationCall) {
 	s.mu.Lock()
 	s.forwardedInFlight++
--- a/internal/control/shards/host.go
+++ b/internal/control/shards/host.go
@@ -126,7 +126,7 @@
 }
 
 // updateTerm loads the tables at the start of an established term, drops them at its end, and answers the calls whose
-// batches are committed.
+// batches are committed. h.mu is held.
 func (h *host) updateTerm(now float64) {
 	term, commit := h.replica.Committed()
 	if h.tables != nil && term != h.term {
@@ -145,6 +145,8 @@
 	}
 }
 
+// load loads the tables. If a record can't be read, this node answers no calls of the shard although it holds the
+// lease, and updateTerm tries again.
 func (h *host) load(term uint64, now float64) {
 	tables, err := coordination.Load(h.replica.Records(), now, h.service.options.History)
 	if err != nil {
--- a/internal/control/shards/service.go
+++ b/internal/control/shards/service.go
@@ -57,7 +57,7 @@
 	stop    context.CancelFunc
 	running sync.WaitGroup
 
-	mu                sync.Mutex // guards the fields below
+	mu                sync.Mutex // guards the fields up to ended
 	outboxes          map[string]*outbox
 	lastCall          uint64 // id of the last call that was forwarded
 	forwards          map[uint64]chan transport.CoordinationReply
