--- a/internal/control/catchup/fetcher.go
+++ b/internal/control/catchup/fetcher.go
@@ -155,8 +155,8 @@
 }
 
 // FetchInventory requests the electorate and the departing instances on a peer's disk, page by page, and calls merge
-// with the instances of each page. It returns the first page, which contains the electorate, or nil if the peer does
-// not answer.
+// with the instances of each page. It returns the first page, which contains the electorate, or nil if the peer leaves
+// a request for any page unanswered.
 func (f *Fetcher) FetchInventory(p *peers.Peer, merge func([]registry.Instance)) (first *transport.CatchUpChunk) {
 	request := &transport.CatchUpRequest{EmptyDisk: true}
 	for {
@@ -173,7 +173,7 @@
 			return first
 		}
 		last := page.Instances[len(page.Instances)-1].ID
-		if last <= request.AfterInstance {
+		if last <= request.AfterInstance { // the peer does not advance; prevents an endless loop
 			return first
 		}
 		request = &transport.CatchUpRequest{EmptyDisk: true, AfterInstance: last}
--- a/internal/control/instances/departures.go
+++ b/internal/control/instances/departures.go
@@ -33,7 +33,7 @@
 }
 
 // Persist merges departing instances that another node has sent, and returns true once they are on this node's disk. It
-// returns false if they can't be stored.
+// returns false if they can't be stored within replica.SyncTimeout.
 func (d *Departures) Persist(instances []registry.Instance) bool {
 	disk := d.Disk()
 	if len(instances) > maxPersisted || disk == nil {
@@ -43,8 +43,8 @@
 	return replica.AwaitSync(d.Registry.PersistDepartures(disk, IDs(instances)...), 0)
 }
 
-// Replicate stores a departing instance on the disks of voters. It returns true once the instance is on the required
-// number of disks, and false if it can't be stored on that many before ctx ends.
+// Replicate stores a departing instance on the disks of this node and of the voters. It returns true once the instance
+// is on the required number of disks, and false if it can't be stored on that many before ctx ends.
 func (d *Departures) Replicate(ctx context.Context, instance registry.Instance) bool {
 	voters, _ := d.Replica.Voters()
 	results, pending := d.requestCopies(ctx, instance, voters)
--- a/internal/control/instances/registry.go
+++ b/internal/control/instances/registry.go
@@ -83,6 +83,7 @@
 func (r *Registry) Heartbeat(instance registry.Instance) (merged registry.Instance, acknowledged bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
+	// The heartbeat of a draining server may leave out the server's description.
 	if old, ok := r.detector.Get(instance.ID); ok && instance.Address == "" {
 		instance.Service = old.Service
 		instance.Address = old.Address
--- a/internal/control/peers/set.go
+++ b/internal/control/peers/set.go
@@ -148,7 +148,8 @@
 	return p.client.Send(frame)
 }
 
-// Broadcast calls all peers without waiting for answers. Each call needs a separate frame, made by newRequest.
+// Broadcast calls all peers without waiting for answers, which do not extend the majority lease. Each call needs a
+// separate frame, made by newRequest.
 func (s *Set) Broadcast(timeout time.Duration, newRequest func() *transport.Frame) {
 	for _, p := range s.All() {
 		request := newRequest()
