--- a/internal/control/httpapi/applications.go
+++ b/internal/control/httpapi/applications.go
@@ -16,7 +16,7 @@
 const maxApplicationBytes = 16 << 10
 
 // applicationEndpoints are the calls of applications. They are served only if applications coordinate through the
-// control nodes.
+// control nodes. They need no majority lease, because the leaseholder of the shard answers them.
 var applicationEndpoints = []endpoint{
 	{pattern: "POST /locks/{id}", maxBody: maxApplicationBytes, caller: byApplication, handle: (*Server).acquireLock},
 	{pattern: "PUT /locks/{id}", maxBody: maxApplicationBytes, caller: byApplication, handle: (*Server).renewLock},
@@ -73,7 +73,7 @@
 	return s.lockCall(r, body, coordination.ReleaseLock)
 }
 
-// lockCall parses and checks the body of a call on a lock, and gets the request evaluated.
+// lockCall parses and checks the body of a call on a lock, and passes the request to coordinate.
 func (s *Server) lockCall(r *http.Request, body []byte, kind coordination.Kind) (reply, error) {
 	var b lockBody
 	if json.Unmarshal(body, &b) != nil {
@@ -127,8 +127,8 @@
 	return s.coordinate(r, request)
 }
 
-// coordinate gets a request evaluated by the shard's leaseholder. It takes the name of the lock, number, cell or group
-// from the path.
+// coordinate evaluates a request at the shard's leaseholder. It takes the name of the lock, number, cell or group from
+// the path.
 func (s *Server) coordinate(r *http.Request, request coordination.Request) (reply, error) {
 	request.Name = r.PathValue("id")
 	if request.Name == "" || len(request.Name) > coordination.MaxNameBytes || !utf8.ValidString(request.Name) {
--- a/internal/control/httpapi/call.go
+++ b/internal/control/httpapi/call.go
@@ -89,7 +89,8 @@
 	return HeartbeatBodyTimeout, nil
 }
 
-// acquireLargeBody waits until a large body may be read. The caller must call release when the call has been handled.
+// acquireLargeBody waits until a large body may be read, for changeTimeout at most. The caller must call release when
+// the call has been handled.
 func (c *call) acquireLargeBody() (release func(), err error) {
 	maybeLarge := c.request.ContentLength > largeBodyBytes || c.request.ContentLength < 0
 	if c.endpoint.maxBody <= largeBodyBytes || !maybeLarge {
@@ -157,8 +158,8 @@
 	return answer
 }
 
-// awaitContact reports whether this node is in contact with a majority. Just after the start it waits a little for
-// the first contact, because all nodes may have started at the same time.
+// awaitContact reports whether this node is in contact with a majority. Within StartupGrace it waits up to StartupWait
+// for the first contact, because all nodes may have started at the same time.
 func (s *Server) awaitContact(ctx context.Context) bool {
 	lease := s.options.Lease
 	if lease.Held() || mutants.On("httpapi/acknowledges-alone") {
--- a/internal/control/httpapi/server.go
+++ b/internal/control/httpapi/server.go
@@ -65,7 +65,8 @@
 	Coordination Coordination
 	Started      time.Time   // start of this process
 	View         func() View // returns the body of GET /view
-	// Member returns what this node knows of the control node at an address. Its EpochsBehind counts from the epoch.
+	// Member returns the state of the control node at an address, as known to this node. EpochsBehind counts from the
+	// epoch.
 	Member func(addr string, epoch uint64) operatorapi.Member
 	Log    log.Logger
 }
--- a/internal/control/httpapi/view.go
+++ b/internal/control/httpapi/view.go
@@ -6,7 +6,7 @@
 	"mulleinrouter/internal/cluster/consensus"
 )
 
-// View is the body of GET /view. It has what a control node knows of itself and of the others.
+// View is the body of GET /view: the state of a control node, and that of the others as known to it.
 type View struct {
 	Node          string           `json:"node"`
 	Control       string           `json:"control"` // its control address
@@ -35,7 +35,7 @@
 // InstanceCounts counts server instances by service and phase.
 type InstanceCounts map[string]map[string]int
 
-// PeerView is what this node knows of another control node.
+// PeerView is the state of another control node as known to this node.
 type PeerView struct {
 	ControlAddr        string  `json:"at"`
 	LastContactSeconds float64 `json:"heardSecondsAgo"` // seconds since its last update; -1 means none yet
--- a/internal/control/operatorapi/bodies.go
+++ b/internal/control/operatorapi/bodies.go
@@ -5,7 +5,7 @@
 	Epoch      uint64   `json:"epoch"`         // of the configuration of the node that answers
 	SinceEpoch uint64   `json:"sinceEpoch"`    // epoch in which these became the voters; 0 means the first start
 	AgeSeconds float64  `json:"standsSeconds"` // seconds for which this node has known these voters
-	Wanted     int      `json:"wanted"`        // number of voters that tolerates the configured losses
+	Wanted     int      `json:"wanted"`        // voters needed for the configured losses; at least the present number
 	Contact    bool     `json:"contact"`       // whether the node is in contact with a majority of them
 	Voters     []Member `json:"voters"`
 	Learners   []Member `json:"learners"`
