--- a/internal/control/catchup_mutants_test.go
+++ b/internal/control/catchup_mutants_test.go
@@ -8,6 +8,7 @@
 	"mulleinrouter/internal/mutants"
 )
 
+// A node that stays ready while its snapshot lags behind is detected.
 func TestLaggingMutant(t *testing.T) {
 	mutants.Seed(t, "control/ready-behind")
 	if ready, _ := measureLagging(t); ready <= maxReadyWhileLagging {
@@ -15,6 +16,7 @@
 	}
 }
 
+// A node that begins its transfer anew after a restart is detected by the bytes that are sent twice.
 func TestTransferRestartMutant(t *testing.T) {
 	mutants.Seed(t, "replica/begins-anew")
 	if total, bytes := catchUpOverSlowLink(t); bytes < total*5/4 {
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -25,8 +25,8 @@
 
 // linkMeter measures the traffic of all links, and limits their rate.
 type linkMeter struct {
-	mu      sync.Mutex
-	rate    float64 // bytes per second of simulated time in each direction; unlimited if 0
+	mu      sync.Mutex // guards the fields below
+	rate    float64    // bytes per second of simulated time in each direction; unlimited if 0
 	bytes   int
 	longest int // size of the longest frame, in bytes
 }
@@ -301,6 +301,8 @@
 // with a keepalive, allows for catchup.MaxLag, and evaluates the lag in rounds of watch.
 const maxReadyWhileLagging = catchup.MaxLag + transport.KeepaliveInterval + 2*watchInterval
 
+// Guards against agents that serve with an outdated configuration, because a node that is in contact with a majority
+// but catches up slowly goes on announcing that it is ready.
 func TestNotReadyWhileLagging(t *testing.T) {
 	t.Parallel()
 	ready, behind := measureLagging(t)
--- a/internal/control/coordination_histories_test.go
+++ b/internal/control/coordination_histories_test.go
@@ -19,7 +19,7 @@
 )
 
 // applications are clients that call random nodes in simulated time. Meanwhile, nodes crash, lose power together, are
-// paused, lose their disks or have them stall, and links fail in one or both directions.
+// paused or lose their disks, disks stall, and links fail in one or both directions.
 type applications struct {
 	*testCluster
 	workload *histories.Workload
--- a/internal/control/coordination_test.go
+++ b/internal/control/coordination_test.go
@@ -113,6 +113,7 @@
 		for n := range 20 {
 			began := time.Now()
 			status, body := c.call(spare, "POST", fmt.Sprint("/locks/l", n), `{"owner":"a","holdMs":3000}`)
+			// The first 12 calls may have to find the leaseholders of the shards.
 			if took := time.Since(began); status != 200 || n >= 12 && took > 5*time.Millisecond {
 				t.Errorf("lock %d: got %d %s after %v", n, status, body, took)
 			}
--- a/internal/control/counters.go
+++ b/internal/control/counters.go
@@ -14,7 +14,7 @@
 type counterService struct {
 	addr   func() string // returns this node's internal address
 	lease  *majority.Lease
-	uptime func() float64
+	uptime func() float64 // seconds since the start of the process, by a monotonic clock
 
 	mu    sync.Mutex // guards the fields below
 	table *quota.CounterTable
@@ -25,7 +25,8 @@
 	return &counterService{addr: addr, lease: lease, uptime: uptime, table: quota.NewCounterTable()}
 }
 
-// handle answers a call that adds to a counter. It returns nil for any other frame.
+// handle answers a call that adds to a counter. The answer is not OK if this node does not own the counter now. handle
+// returns nil for any other frame.
 func (c *counterService) handle(request *transport.Frame) *transport.Frame {
 	add := request.CounterAdd
 	if add == nil {
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -20,7 +20,9 @@
 //	instances     server instances, and the copies of their departures
 //	ingresslease  the leases of ingresses
 //
-// The package may import package cluster's folders and the packages below this one, and nothing of the data plane. Its
-// tests run whole clusters in simulated time on simulated disks and links; those that seed faults need the build tag
+// Package shards serves the calls of applications and takes no part in these changes.
+//
+// The package may import packages of cluster and the packages below this one, and nothing of the data plane. Its tests
+// run whole clusters in simulated time on simulated disks and links; those that seed faults need the build tag
 // "mutants".
 package control
--- a/internal/control/machines_test.go
+++ b/internal/control/machines_test.go
@@ -167,6 +167,7 @@
 	g.checkRecovered()
 }
 
+// Guards against leases and time-outs that are too short for processes that a processor quota pauses again and again.
 func TestProcessorQuota(t *testing.T) {
 	aligned := func(string) time.Duration { return 0 }
 	for name, c := range map[string]struct {
@@ -247,6 +248,8 @@
 	n.internal.dialed = nil
 }
 
+// Guards against a loss of contact, of acknowledged changes or of servers, because connections are reset so often that
+// calls and heartbeats do not get through, although nodes and links work in between.
 func TestBurstsOfResets(t *testing.T) {
 	for _, gap := range []time.Duration{100 * time.Millisecond, 400 * time.Millisecond} {
 		for count := 1; count <= 3; count += 2 {
@@ -306,6 +309,8 @@
 	}
 }
 
+// Guards against the loss of an acknowledged change when several machines fail at once, and against acknowledgements by
+// the minority that is left.
 func TestProcessesKilledTogether(t *testing.T) {
 	for _, c := range []struct {
 		nodes  int
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -73,9 +73,9 @@
 	name        string // unique name of this process, which its ballots contain
 	log         log.Logger
 	started     time.Time
-	ended       chan struct{} // closed at the end of Run
-	gracePeriod time.Duration // shutdownGracePeriod, unless a test sets another before Run
-	leaseClock  func() time.Duration
+	ended       chan struct{}        // closed at the end of Run
+	gracePeriod time.Duration        // shutdownGracePeriod, unless a test sets another before Run
+	leaseClock  func() time.Duration // monotonic clock of the majority lease; a test may set another before Run
 
 	store       *replication.Store
 	clock       *replication.Clock
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -35,7 +35,7 @@
 	nodes        map[string]*testNode
 	incarnations uint64
 
-	mu          sync.Mutex
+	mu          sync.Mutex      // guards partitioned and meter, and nodes against dialing nodes
 	partitioned map[string]bool // nodes that are separated from all others
 
 	meter *linkMeter          // measures all links and limits their rate; nil if they are neither measured nor limited
@@ -62,8 +62,8 @@
 	conns  chan net.Conn
 	once   sync.Once
 	closed chan struct{}
-	mu     sync.Mutex
-	dialed []net.Conn
+	mu     sync.Mutex // guards dialed
+	dialed []net.Conn // dialing ends of the connections from and to the node
 }
 
 func newPipeListener() *pipeListener {
@@ -89,7 +89,7 @@
 // stallingFS is a file system whose syncs block while it is stalled.
 type stallingFS struct {
 	vfs.FS
-	mu     sync.Mutex
+	mu     sync.Mutex    // guards resume
 	resume chan struct{} // closed when the stall ends; nil if not stalled
 }
 
@@ -342,6 +342,8 @@
 	return ""
 }
 
+// Guards against nodes whose configurations differ, after concurrent changes that conflict, after the loss of a disk or
+// of power, and when a learner joins.
 func TestConfigurationChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3)
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -26,8 +26,8 @@
 
 // Random operators: up to eight operators send changes concurrently to three real nodes in simulated time. They lose
 // answers and repeat calls at once or late, at other nodes and in other JSON spellings. They also send two contents
-// under one version, invalid changes and old versions. Nodes are partitioned, lose power or disks, and have their disks
-// stall. The answers are checked against a simple model: the changes that were acknowledged, those that were rejected,
+// under one version, invalid changes and old versions. Nodes are partitioned and lose power or disks, and disks stall.
+// The answers are checked against a simple model: the changes that were acknowledged, those that were rejected,
 // and all contents that any replica ever had.
 
 // itemVersion is a version of an item with its content.
@@ -460,7 +460,7 @@
 			s.start(a, disks[a], false)
 			time.Sleep(randomDuration(random, 100*time.Millisecond))
 		}
-	case 4, 5: // disks stall, for less than the time after which a node stops waiting for them
+	case 4, 5: // disks stall for up to 600 ms; a node stops waiting for its disk after replica.SyncTimeout (500 ms)
 		for range 3 {
 			var stalled []*testNode
 			for _, a := range s.seeds {
@@ -574,6 +574,7 @@
 	return &s.model
 }
 
+// Guards against lost acknowledged changes, changes that are rejected and applied, and two contents of one version.
 func TestRandomOperators(t *testing.T) {
 	t.Parallel()
 	total := &model{counts: map[string]int{}}
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -27,7 +27,7 @@
 	*testCluster
 	began time.Time
 
-	mu             sync.Mutex
+	mu             sync.Mutex // guards failures, homeNodes, heartbeats, outOfContact and counterAnswers
 	failures       []string
 	homeNodes      []int // index of the node that a server calls first, by server
 	heartbeats     int
@@ -253,8 +253,7 @@
 	},
 }
 
-// partitionNode separates a node from the other control nodes for twenty seconds. Agents and servers still reach all
-// nodes.
+// partitionNode separates a node from the other control nodes for about 19 s. Agents and servers still reach all nodes.
 func partitionNode(g *observedCluster, node string, sever func(*testCluster, string, bool)) {
 	others := slices.DeleteFunc(slices.Clone(g.seeds), func(a string) bool { return a == node })
 	version := int(time.Since(g.began)/time.Second) * 10
@@ -304,6 +303,8 @@
 	g.run(6 * time.Second)
 }
 
+// Guards against a node without contact that acknowledges calls, answers from outdated state or takes servers for
+// silent, and against a majority that does not go on without it.
 func TestPartition(t *testing.T) {
 	for _, kind := range []string{"silent", "out", "in", "reset"} {
 		for index := range 3 {
@@ -396,6 +397,7 @@
 	g.checkRecovered()
 }
 
+// Guards against a process that resumes after a suspension and answers as if its lease were still held.
 func TestSuspendedNode(t *testing.T) {
 	for _, failure := range observe(t, 9, suspendNode) {
 		t.Error(failure)
--- a/internal/control/partitionable_links_test.go
+++ b/internal/control/partitionable_links_test.go
@@ -9,7 +9,7 @@
 // partitionableLinks are links that can be severed in each direction independently and without an error. Data and
 // closes that are sent over a severed link are delivered once the link is restored, as over TCP.
 type partitionableLinks struct {
-	mu      sync.Mutex
+	mu      sync.Mutex         // guards severed and ends
 	severed map[[2]string]bool // severed directions, by sender and receiver
 	ends    []*linkEnd
 	pauses  *processPauses // pauses of the processes at both ends; nil if there are none
@@ -19,10 +19,10 @@
 type linkEnd struct {
 	net.Conn
 	links     *partitionableLinks
-	direction [2]string // from this end to the other
-	writeMu   sync.Mutex
-	buffered  []byte
-	closed    bool // guarded by links.mu
+	direction [2]string  // from this end to the other
+	writeMu   sync.Mutex // guards buffered, and orders the writes
+	buffered  []byte     // data written while the direction is severed
+	closed    bool       // guarded by links.mu
 }
 
 // severedBetween reports whether two nodes cannot connect because at least one direction between them is severed.
--- a/internal/control/process_pauses_test.go
+++ b/internal/control/process_pauses_test.go
@@ -11,7 +11,7 @@
 
 // processPauses simulates pauses of processes. A paused process neither reads nor writes, and data for it is buffered.
 type processPauses struct {
-	mu        sync.Mutex
+	mu        sync.Mutex                         // guards pausedFor
 	pausedFor func(process string) time.Duration // remaining time of the current pause; nil if no process is paused
 }
 
@@ -45,7 +45,7 @@
 	process string
 	pauses  *processPauses
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards the fields below
 	queue   [][]byte
 	writing bool // a goroutine is writing the queue
 	closed  bool
