--- a/internal/control/connlimit/gate.go
+++ b/internal/control/connlimit/gate.go
@@ -19,8 +19,8 @@
 
 // Stats counts the connections of a gate.
 type Stats struct {
-	InFlight int // connections of servers and operators with a call in flight
-	Idle     int // connections of servers and operators without one
+	InFlight int // HTTP connections with a call in flight
+	Idle     int // HTTP connections without one
 	Internal int // connections of agents and control nodes
 	Limit    int // limit on all connections together
 }
@@ -40,8 +40,8 @@
 	}
 }
 
-// Listen wraps the listener for the connections of servers and operators. The http.Server that serves it must
-// use ConnState and ConnContext of this gate.
+// Listen wraps the listener for HTTP connections. The http.Server that serves it must use ConnState and ConnContext of
+// this gate.
 func (g *Gate) Listen(l net.Listener) net.Listener { return &listener{Listener: l, gate: g} }
 
 type listener struct {
@@ -49,7 +49,7 @@
 	gate *Gate
 }
 
-// trackedConn is a connection of a server or an operator.
+// trackedConn is an HTTP connection.
 type trackedConn struct {
 	net.Conn
 	gate *Gate
--- a/internal/control/connlimit/slots.go
+++ b/internal/control/connlimit/slots.go
@@ -30,10 +30,10 @@
 	Evicted                    // the connection has been evicted in the meantime
 )
 
-// slots decides which connections of servers and operators a node keeps, and how many internal ones (of agents and
-// control nodes) it accepts, because all of them share its descriptors. A new connection of a server or operator is
-// always accepted. If the limit is reached, the connection that has been idle longest is evicted for it, never one with
-// a call in flight. slots does no I/O and needs no clock, because only the order of its method calls matters.
+// slots decides which HTTP connections (of servers, operators and applications) a node keeps, and how many internal
+// connections (of agents and control nodes) it accepts, because all of them share its descriptors. A new HTTP connection
+// is always accepted. If the limit is reached, the connection that has been idle longest is evicted for it, never one
+// with a call in flight. slots does no I/O and needs no clock, because only the order of its method calls matters.
 //
 // Invariants:
 //
@@ -48,7 +48,7 @@
 	idle          list.List // *slot values, sorted by idle time, longest first
 }
 
-// slot is one connection of a server or an operator. It is idle, has a call in flight, or is closed.
+// slot is one HTTP connection. It is idle, has a call in flight, or is closed.
 type slot struct {
 	element  *list.Element // element of slots.idle; nil if a call is in flight or the connection is closed
 	inFlight bool
@@ -56,7 +56,7 @@
 }
 
 // newSlots computes the limits from the number of descriptors that the process may open; 0 means unknown. Internal
-// connections leave an eighth of the slots, and at least minControlSlots, to servers and operators.
+// connections leave an eighth of the slots, and at least minControlSlots, to HTTP connections.
 func newSlots(maxFDs int) *slots {
 	if maxFDs == 0 {
 		maxFDs = defaultFDs
--- a/internal/control/electorate/learners.go
+++ b/internal/control/electorate/learners.go
@@ -37,7 +37,7 @@
 }
 
 // successors returns the learners in order of preference for replacing a voter: first those in the voter's zone, then
-// those in the zones with the fewest voters.
+// those in the zones with the fewest voters. voter is "" if the learners are to be added.
 func (m *Manager) successors(e consensus.Electorate, voter string) []Learner {
 	learners, votersInZone := m.Learners(e), map[string]int{}
 	for _, v := range e.Voters {
--- a/internal/control/electorate/manager.go
+++ b/internal/control/electorate/manager.go
@@ -89,7 +89,7 @@
 func (m *Manager) Follow(ctx context.Context, wg *sync.WaitGroup) {
 	for ; ctx.Err() == nil; retry.Sleep(ctx, pollInterval) {
 		if !m.options.DiskRead() {
-			continue
+			continue // this node's disk id is not known yet
 		}
 		voters, _ := m.options.Replica.Voters()
 		m.options.Peers.Subscribe(ctx, wg, voters)
