--- a/internal/control/connlimit/slots.go
+++ b/internal/control/connlimit/slots.go
@@ -31,9 +31,10 @@
 )
 
 // slots decides which HTTP connections (of servers, operators and applications) a node keeps, and how many internal
-// connections (of agents and control nodes) it accepts, because all of them share its descriptors. A new HTTP connection
-// is always accepted. If the limit is reached, the connection that has been idle longest is evicted for it, never one
-// with a call in flight. slots does no I/O and needs no clock, because only the order of its method calls matters.
+// connections (of agents and control nodes) it accepts, because all of them share its descriptors. A new HTTP
+// connection is always accepted. If the limit is reached, the connection that has been idle longest is evicted for it,
+// never one with a call in flight. slots does no I/O and needs no clock, because only the order of its method calls
+// matters.
 //
 // Invariants:
 //
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -2,11 +2,11 @@
 //
 // A control node accepts configuration changes from operators and proposes them to the voters, accepts heartbeats from
 // servers and detects which servers are silent, streams configuration and instances to the agents, and keeps the quota
-// counters that it owns. This package connects the components and owns their life cycle: node.go makes, starts and stops
-// them, wiring.go connects them to one another, watch.go does the periodic work, internal_server.go serves agents and
-// other control nodes, counters.go keeps the quota counters, coordination.go connects the shards through which
-// applications coordinate, and view.go and metrics.go provide what operators see. The components, each documented in its
-// own package, in the order in which they process a change of the configuration:
+// counters that it owns. This package connects the components and owns their life cycle: node.go makes, starts and
+// stops them, wiring.go connects them to one another, watch.go does the periodic work, internal_server.go serves agents
+// and other control nodes, counters.go keeps the quota counters, coordination.go connects the shards through which
+// applications coordinate, and view.go and metrics.go provide what operators see. The components, each documented in
+// its own package, in the order in which they process a change of the configuration:
 //
 //	httpapi       HTTP calls of servers, operators and applications
 //	connlimit     limits on connections
