--- a/internal/control/connlimit/slots.go
+++ b/internal/control/connlimit/slots.go
@@ -4,9 +4,10 @@
 
 // Shares of the slots and of the file descriptors. A slot is one open connection.
 const (
-	// reservedForNew slots are never used by calls in flight, so that a node can always read the header of a new call.
+	// reservedForNew slots are never used by calls in flight or internal connections, so that a node can always read
+	// the header of a new call.
 	reservedForNew = 16
-	// reservedForOperators further slots are used by calls of operators only.
+	// reservedForOperators further slots are used, among calls, only by those of operators.
 	reservedForOperators = 32
 	// reservedForPrompt further slots are used, among the calls of servers and applications, only by those whose bodies
 	// arrive at once, because such a call may announce a departure.
@@ -29,10 +30,11 @@
 	Evicted                    // the connection has been evicted in the meantime
 )
 
-// slots decides which connections of servers and operators a node keeps, and how many internal ones (of agents and
-// control nodes) it accepts, because all of them share its descriptors. A new connection of a server or operator is
-// always accepted. If the limit is reached, the connection that has been idle longest is evicted for it, never one with
-// a call in flight. slots does no I/O and needs no clock, because only the order of its method calls matters.
+// slots decides which HTTP connections (of servers, operators and applications) a node keeps, and how many internal
+// connections (of agents and control nodes) it accepts, because all of them share its descriptors. A new HTTP
+// connection is always accepted. If the limit is reached, the connection that has been idle longest is evicted for it,
+// never one with a call in flight. slots does no I/O and needs no clock, because only the order of its method calls
+// matters.
 //
 // Invariants:
 //
@@ -47,14 +49,15 @@
 	idle          list.List // *slot values, sorted by idle time, longest first
 }
 
-// slot is one connection of a server or an operator. It is idle, has a call in flight, or is closed.
+// slot is one HTTP connection. It is idle, has a call in flight, or is closed.
 type slot struct {
 	element  *list.Element // element of slots.idle; nil if a call is in flight or the connection is closed
 	inFlight bool
 	close    func() error // called by Gate, never by slots
 }
 
-// newSlots computes the limits from the number of descriptors that the process may open; 0 means unknown.
+// newSlots computes the limits from the number of descriptors that the process may open; 0 means unknown. Internal
+// connections leave an eighth of the slots, and at least minControlSlots, to HTTP connections.
 func newSlots(maxFDs int) *slots {
 	if maxFDs == 0 {
 		maxFDs = defaultFDs
@@ -68,7 +71,8 @@
 func (s *slots) total() int { return s.internal + s.inFlight + s.idle.Len() }
 
 // evictIfFull removes the connection that has been idle longest if the limit is reached, and returns it for the caller
-// to close, or nil if none was evicted.
+// to close, or nil if none was evicted. An idle connection always exists when the limit is reached, because calls in
+// flight and internal connections leave reservedForNew slots.
 func (s *slots) evictIfFull() (evicted *slot) {
 	if s.total() < s.limit {
 		return nil
