--- a/internal/control/coordination_test.go
+++ b/internal/control/coordination_test.go
@@ -124,14 +124,13 @@
 // A leaseholder that shuts down gracefully transfers its shards, so that no call waits for a lease to expire.
 func TestGracefulStopHandsShardsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCoordinationCluster(t)
+		c := startCoordinationCluster(t, nil, time.Second)
 		defer c.stopAll()
 		advance(10 * time.Second)
 		stopped := leaseholderOfLockL(c)
 		others := slices.DeleteFunc(slices.Clone(c.seeds), func(addr string) bool { return addr == stopped })
 		_, fence := c.call(stopped, "POST", "/locks/l", `{"owner":"a","holdMs":20000}`)
 		node := c.nodes[stopped]
-		node.gracePeriod = time.Second
 		node.stop()
 		advance(50 * time.Millisecond)
 		for _, addr := range others {
@@ -141,7 +140,9 @@
 			}
 		}
 		c.NoErr(<-node.ended)
+		c.mu.Lock()
 		delete(c.nodes, stopped)
+		c.mu.Unlock()
 	})
 }
 
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -42,6 +42,8 @@
 	links *partitionableLinks // partitions the links without an error at either end; nil if none is to be partitioned
 
 	clauses map[string]bool // clauses in force (settings.Settings.Clauses)
+
+	gracePeriod time.Duration // grace period of the nodes that are started; with 0, a stopped node ends at once
 }
 
 // testNode is a control node of a testCluster with its disk.
@@ -138,8 +140,15 @@
 func newCoordinationCluster(t *testing.T) *testCluster { return newCoordinationClusterOver(t, nil) }
 
 func newCoordinationClusterOver(t *testing.T, links *partitionableLinks) *testCluster {
+	return startCoordinationCluster(t, links, 0)
+}
+
+// startCoordinationCluster returns a cluster of three nodes that serves coordination calls of applications. Its nodes
+// are started with the given grace period.
+func startCoordinationCluster(t *testing.T, links *partitionableLinks, gracePeriod time.Duration) *testCluster {
 	c := &testCluster{I: is.New(t), t: t, nodes: map[string]*testNode{}, partitioned: map[string]bool{}, links: links}
 	c.clauses = map[string]bool{"coord": true}
+	c.gracePeriod = gracePeriod
 	c.startFirst(3)
 	return c
 }
@@ -186,7 +195,7 @@
 		Dial:     func(_ context.Context, inner string) (net.Conn, error) { return c.dial(addr, inner) },
 	})
 	c.NoErr(err)
-	n.gracePeriod = 0
+	n.gracePeriod = c.gracePeriod
 	n.leaseClock = func() time.Duration { return time.Since(n.started) + time.Duration(n.clockSkew.Load()) }
 	ctx, stop := context.WithCancel(context.Background())
 	n.stop = stop
