--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -2,7 +2,8 @@
 
 import "cmp"
 
-// handleRequest admits or rejects a request, or calls the counter and decides when the reply comes.
+// handleRequest admits or rejects a request, or calls the counter and decides when the reply comes. A
+// request with the ID of a pending one is ignored.
 func (g *Gateway) handleRequest(e Request) {
 	if g.requests[e.ID] != nil {
 		return
@@ -23,7 +24,7 @@
 
 func (g *Gateway) newRequest(e Request) *request {
 	class := cmp.Or(e.ClassTerms, g.classes[e.Class])
-	if class == nil { // unknown: the client may retry a rejection, but the gateway never retries
+	if class == nil { // unknown: NonIdempotent, so it is sent again only if it was certainly not executed
 		class = &Class{LatencyTarget: e.TimeLeft, Value: 1}
 	}
 	terms := cmp.Or(e.Terms, g.plans[e.Plan])
@@ -42,8 +43,8 @@
 }
 
 // elapsedAtClient estimates the time since the client first sent a request that it now retries, from the
-// share of the deadline that the retry has left. Without it, a quarter of the requests that were served
-// during an overload were answered too late.
+// share of the deadline that the retry has left. A difference of up to tickInterval counts as none. Without
+// the estimate, a quarter of the requests that were served during an overload were answered too late.
 func (g *Gateway) elapsedAtClient(e Request, class *Class) Seconds {
 	longest := max(g.maxTimeLeft[class.Name], e.TimeLeft)
 	g.maxTimeLeft[class.Name] = longest
@@ -70,7 +71,9 @@
 	}
 }
 
-// admit forwards or rejects a request after conforming has been decided.
+// admit sets the value and the priority of a request whose r.conforming is decided, and forwards, queues or
+// rejects it, or waits for the shared part of its rate limit. Excess that does not earn more than it costs is
+// rejected.
 func (g *Gateway) admit(r *request) {
 	plan := r.customer.plan
 	r.value = r.class.Value * plan.ValueWeight
@@ -97,7 +100,7 @@
 // quota.
 func (g *Gateway) withinQuota(r *request) bool {
 	c := r.customer
-	// Forwarding pays if the probability of conforming is above this.
+	// Forwarding pays if the probability of conforming is above this, even if excess earns nothing.
 	minProbability := c.plan.ExcessCost / (1 + c.plan.ExcessCost)
 	if limit := c.plan.MaxInFlight; limit > 0 {
 		if c.inFlight >= limit {
@@ -127,7 +130,8 @@
 
 // probablyWithinInFlightLimit returns the probability that one more attempt is within a limit on attempts in
 // flight. A limit of two or three cannot be divided among gateways, so the attempts of the other gateways are
-// estimated: from the totals or, because totals show a burst late, from this gateway's own arrivals.
+// estimated. The estimate follows the totals, but is at least what this gateway's own arrivals suggest,
+// because totals show a burst late.
 func (g *Gateway) probablyWithinInFlightLimit(c *customer) float64 {
 	cycle := &c.cycle
 	others := min(cycle.localRate, idleFraction*c.quota/c.gateways) * (c.gateways - 1)
@@ -139,12 +143,13 @@
 	return poissonBelow(c.plan.MaxInFlight-c.inFlight, rate*g.defaultPool.latency)
 }
 
-// passesSampling decides a request of a sparse customer by the last admit ratio. If no total is valid, it
-// uses the share of other customers' requests that conformed.
+// passesSampling decides a request of a sparse customer by the last admit ratio, if its totals are valid or
+// the counter does not reply. If no total is valid and excess costs, the share of all customers' requests
+// that conformed must be high enough, too.
 func (g *Gateway) passesSampling(r *request, minProbability float64) bool {
 	c := r.customer
 	valid := g.totalsValid(c)
-	// While the counter does not reply, the last ratio remains in use.
+	// After a failed call, the last ratio remains in use until a call succeeds.
 	frozen := g.counter.failures > 0 && c.sparse.admitRatio > 0
 	if (valid || frozen) && g.rng.Float64() >= c.sparse.admitRatio {
 		return false
@@ -155,7 +160,8 @@
 	return g.conformance.Conforming(r.ClientRetry) >= minProbability
 }
 
-// reject rejects a request that is not executed, and advises when to retry.
+// reject answers a request that the client may safely retry, and advises when. The advised delay is
+// MaxRetryAfter, or for a request over quota the time until the bucket holds its units, if that is shorter.
 func (g *Gateway) reject(r *request) {
 	wait := g.settings.MaxRetryAfter
 	if c := r.customer; c.plan.Rate > 0 && !r.conforming && c.bucket.slice > 0 {
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -6,10 +6,9 @@
 )
 
 const (
-	// A first attempt times out as lost after this share of the latency target, but not before this number of
-	// typical latencies.
-	lostAttemptFraction  = 0.3
-	lostAttemptLatencies = 10.0
+	// A first attempt times out as lost after the longer of these two times.
+	lostAttemptFraction  = 0.3  // share of the latency target
+	lostAttemptLatencies = 10.0 // typical latencies
 )
 
 // request is the state of a client's request from its arrival until it is answered and none of its attempts
@@ -29,8 +28,8 @@
 	inFlight         int  // attempts in flight
 	answered         bool // the gateway or an attempt has answered it
 	conforming       bool // it conforms to its quota
-	// lowPriority is set for a request that is over quota, or too late to earn its full value. Such requests
-	// may use only lowPriorityShare of the backends' limits.
+	// lowPriority is set for a request that is over quota, or that is late and worth no more than
+	// backendPool.lowestValue. Such requests may use only lowPriorityShare of the backends' limits.
 	lowPriority bool
 }
 
@@ -44,7 +43,8 @@
 	countedLate     bool // it has exceeded the latency target and has counted as a failure
 }
 
-// startAttempt sends a request to a backend, unless the customer's hard rate limit rejects it.
+// startAttempt sends a request to a backend. A first attempt must also be within the customer's hard rate
+// limit; otherwise the request is rejected.
 func (g *Gateway) startAttempt(r *request, b *backend) {
 	first := len(r.attempts) == 0
 	if first && !g.takeLimitTokens(r) {
@@ -54,7 +54,7 @@
 	slowAfter := g.slowAttemptTimeout(r)
 	timeout := g.attemptTimeout(r)
 	if timeout > 0 {
-		slowAfter = 0
+		slowAfter = 0 // the timeout ends a slow attempt
 	}
 	r.attempts = append(r.attempts, attempt{backend: b, sentAt: g.now, mayHaveExecuted: true})
 	r.inFlight++
@@ -67,7 +67,8 @@
 }
 
 // attemptTimeout returns the timeout of the next attempt of a request; 0 means that only the client's
-// deadline limits it.
+// deadline limits it. A timeout is set only if the request may be sent again, a late answer earns nothing,
+// and the latency target is still ahead and before the deadline.
 func (g *Gateway) attemptTimeout(r *request) Seconds {
 	rest := r.targetAt - g.now
 	if r.class.Effect != Idempotent || r.class.LateValue != 0 {
@@ -153,7 +154,7 @@
 	r.customer.inFlight--
 	g.countEnded(a.backend, e.Outcome)
 	g.observeOutcome(a.backend, r, a, e)
-	if e.Outcome != Cancelled && e.Outcome != NotSent {
+	if e.Outcome != Cancelled && e.Outcome != NotSent { // these two show nothing about the backends
 		r.pool.retryBudget.ObserveOutcome(g.now, e.Outcome == Succeeded)
 	}
 	g.settleUnits(r, e)
--- a/internal/decision/events.go
+++ b/internal/decision/events.go
@@ -38,13 +38,13 @@
 	Gateways   int     // number of gateways that may receive requests of this customer
 	// OwnerContactAge is the time since the host was last in contact with the owners of pair counters.
 	OwnerContactAge Seconds
-	// FirstGateway is the number of the first of these gateways. Their numbers are consecutive, modulo the
-	// number of all gateways. Only the host uses it.
+	// FirstGateway is the number of the first gateway that may receive requests of this customer. The numbers
+	// of the others follow, modulo the number of all gateways. Only the host uses it.
 	FirstGateway int
 	ClientRetry  bool   // the client marked it as a retry
 	Terms        *Terms // the customer's own terms; nil: Settings.Plans has those of Plan
-	// Streamed means that the body is forwarded as it arrives: once a byte of it was sent, the request cannot
-	// be sent again.
+	// Streamed means that the body is forwarded as it arrives, so once a byte of it was sent, the request
+	// cannot be sent again. Only the host uses it.
 	Streamed bool
 }
 
@@ -63,10 +63,10 @@
 	Succeeded                        // a successful answer
 	Rejected                         // the server rejected the work
 	TimedOut                         // no answer before the timeout
-	ConnectionRefused                // no connection was established
+	ConnectionRefused                // no connection was established, or the request was not written in full
 	ConnectionReset                  // the connection was lost before an answer
 	Cancelled                        // the host cancelled it
-	NotSent                          // no byte of the request was sent
+	NotSent                          // not sent, or cancelled before the request was written in full
 )
 
 // ProvesNotExecuted reports whether an outcome proves that the request was not executed and never will be
--- a/internal/decision/gateway.go
+++ b/internal/decision/gateway.go
@@ -32,13 +32,13 @@
 	customers    map[string]*customer
 	customerList []*customer // the same in order of arrival, because map iteration is not deterministic
 	requests     map[uint64]*request
-	unanswered   []*request // requests without an answer, oldest first
+	unanswered   []*request // requests without an answer, oldest first; ticks remove the answered ones
 	queue        []*request // requests that wait for a backend
 
 	backends     map[string]*backend
 	defaultPool  *backendPool // backends without a group
 	poolsByGroup map[string]*backendPool
-	pools        []*backendPool // the same in order of arrival, because map iteration is not deterministic
+	pools        []*backendPool // the same in order of creation, because map iteration is not deterministic
 	zonePosition zonePosition
 
 	conformance     conformance.Estimator
@@ -62,8 +62,7 @@
 		poolsByGroup: map[string]*backendPool{},
 		counter:      counterHealth{callProbability: 1, probabilityAtReply: 1},
 	}
-	// The default pool uses Settings.Gateways as the host set it, so it is created before the corrections
-	// below.
+	// Settings.Gateways may still be 0 here. The retry budget of the default pool then counts one gateway.
 	g.defaultPool = g.poolFor("")
 	g.settings.MaxUnits = max(1, s.MaxUnits)
 	g.settings.Gateways = max(1, s.Gateways)
@@ -112,8 +111,8 @@
 	g.tickedAt = g.now
 	g.startedAt = g.now
 	g.counter.repliedAt = g.now
-	// Gateways that start at the same time must not tick at the same time: their simultaneous calls would
-	// overload the counter, which then rejects a quarter of them.
+	// Gateways that start at the same time must not tick at the same time, because their simultaneous calls
+	// would overload the counter, which then rejects a quarter of them.
 	first := tickInterval * (1 + g.rng.Float64())
 	g.emit(SetTimer{At: g.now + first, Token: tickToken})
 }
--- a/internal/decision/queue.go
+++ b/internal/decision/queue.go
@@ -34,11 +34,11 @@
 // blocks reports whether a request stays in the queue without a search for a backend. It does if a queued
 // request that is at least as valuable could use the same capacity, or if this request earns nothing any
 // more. A request that earns nothing leaves the capacity to later arrivals, and uses what is free at its
-// deadline.
+// queue deadline.
 func (w *waitingValues) blocks(r *request) bool { return r.value <= w.highestAhead(r) }
 
-// dispatch starts the first attempt of a request, or queues it until a backend has capacity. No request
-// overtakes a more valuable queued one of its group.
+// dispatch starts the first attempt of a request, or queues it until a backend has capacity. It rejects the
+// request once its queue deadline has passed. No request overtakes a more valuable queued one of its group.
 func (g *Gateway) dispatch(r *request) {
 	var b *backend
 	if r.pool.waiting.highestAhead(r) <= r.value {
@@ -48,7 +48,6 @@
 	case b != nil:
 		g.startAttempt(r, b)
 	case g.now >= r.queueDeadline():
-		// The next tick would come after the queue deadline.
 		g.reject(r)
 	default:
 		g.enqueue(r)
@@ -71,7 +70,8 @@
 	r.pool.waiting.add(r)
 }
 
-// queueDeadline returns the time at which a request is rejected if no backend has capacity.
+// queueDeadline returns the time at which a request is rejected if no backend has capacity: when its longest
+// wait or its latency target has passed, and at the latest two ticks before the client's deadline.
 func (r *request) queueDeadline() Seconds {
 	wait := cmp.Or(r.class.MaxQueueTime, queueTimeFraction*r.class.LatencyTarget)
 	return min(r.arrivedAt+wait, r.targetAt, r.deadline-2*tickInterval)
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -4,11 +4,12 @@
 type Seconds = float64
 
 // Settings configure a gateway at its start. A zero field means that the feature is not available, or that
-// there is no limit. Gateway itself does not read DrainGrace, OverloadFactor, OverloadFor,
-// FinishNonIdempotent, ConnectTimeout, Keepalive, CounterCallCost and SettledLater.
+// there is no limit, except that Gateways, MaxAttempts and MaxUnits count as 1 if they are smaller. Gateway
+// itself does not read DrainGrace, OverloadFactor, OverloadFor, FinishNonIdempotent, ConnectTimeout,
+// Keepalive, CounterCallCost and SettledLater.
 type Settings struct {
 	Gateways int // number of all gateways
-	Index    int // number of this gateway, from 0
+	Index    int // number of this gateway, which determines its order of use of the backends
 	Zone     string
 	Classes  []Class
 	Plans    []Plan
