--- a/internal/decision/backend_pools.go
+++ b/internal/decision/backend_pools.go
@@ -10,8 +10,8 @@
 
 const (
 	initialLatency = 0.1 // s, before any answer
-	// latencyForgetRate is the share per second by which latency and errors of unused backends decay, so that
-	// these are tried again.
+	// latencyForgetRate is the share per second by which the latency of an unused backend returns to that of
+	// its kind, and its error rate to 0, so that it is tried again.
 	latencyForgetRate = 0.2
 	unusedAfter       = 1.0 // s without an attempt after which a backend counts as unused
 	answerWindow      = 2.0 // s, time constant by which the weight of recent answers decays
@@ -19,7 +19,7 @@
 
 	// Subsetting: each gateway uses only some backends of a large group.
 	minSubset             = 4.0 // backends; also the largest number of trial tokens
-	minGatewaysPerBackend = 4.0 // gateways that use one backend, if there are that many
+	minGatewaysPerBackend = 4.0 // gateways that use one backend on average, if there are that many
 	// subsetContactInterval is the time, in seconds, in which a gateway uses each backend of its subset about
 	// once. The subset grows with the traffic only as long as each backend gives recent answers to choose by.
 	subsetContactInterval = 1.0
@@ -31,7 +31,7 @@
 	trialsPerSecond = 0.1
 
 	// slotOverbooking is the number of attempts that a gateway may have in flight per slot of a backend. It
-	// is low because other gateways send to the backend too, and it rejects requests when its queue is
+	// is low because other gateways send to the backend too, and a backend rejects requests when its queue is
 	// full.
 	slotOverbooking = 1.5
 )
@@ -48,11 +48,11 @@
 	serving            int                 // number of available backends
 	subsetSize         int                 // number of backends in use: first in order, not ejected
 	trialTokens        float64
-	gatewaysPerBackend float64 // gateways that use one backend, in multiples of minGatewaysPerBackend
+	gatewaysPerBackend float64 // gateways per backend, in multiples of minGatewaysPerBackend; at least 1
 	warm               int     // backends in use that are past slow start; at least half of those in use
 	retryBudget        retry.Budget
 	sendRate           float64 // attempts per second
-	lastUsedAt         Seconds // time of the last request for the group
+	lastUsedAt         Seconds // time of the last request or new backend of the group
 	waiting            waitingValues
 	lowestValue        lowestValue
 }
@@ -90,7 +90,7 @@
 	}
 }
 
-// newRetryBudget creates the retry budget of a group.
+// newRetryBudget creates the retry budget of a group. It is divided among all gateways if RetryShare is set.
 func (g *Gateway) newRetryBudget() retry.Budget {
 	if g.settings.RetryShare > 0 {
 		return retry.Divided(g.settings.RetryShare, g.settings.RetrySlack, g.settings.Gateways)
@@ -111,7 +111,8 @@
 	})
 }
 
-// agePool ages the state of a group: learned values decay, and removed backends are deleted.
+// agePool ages the state of a group: learned values decay, and backends are deleted that are draining or
+// removed, have no attempt in flight and have not been used for idleExpiry.
 func (g *Gateway) agePool(p *backendPool, elapsed Seconds) {
 	p.sendRate *= math.Exp(-elapsed / sendRateWindow)
 	p.trialTokens = min(minSubset, p.trialTokens+trialsPerSecond*elapsed)
@@ -173,7 +174,8 @@
 // slotLimit returns the concurrency limit of a backend whose number of slots is known, for one gateway.
 func (b *backend) slotLimit() float64 { return math.Ceil(slotOverbooking * b.Size) }
 
-// SetMembers sets the number of gateways when it becomes known. Retry budgets and subsets are adjusted to it.
+// SetMembers sets the number of gateways when it becomes known. Retry budgets are adjusted to it at once,
+// subsets at the next tick. A number below 1 is ignored.
 func (g *Gateway) SetMembers(n int) {
 	if n <= 0 || n == g.settings.Gateways {
 		return
--- a/internal/decision/backends.go
+++ b/internal/decision/backends.go
@@ -15,7 +15,7 @@
 	Backend
 	pool   *backendPool
 	listed bool
-	rank   uint64 // position in this gateway's order of use
+	rank   uint64 // random sort key of this gateway's order of use
 
 	inFlight        int     // attempts in flight
 	abandoned       float64 // estimated number of abandoned attempts that it still works on
@@ -52,7 +52,7 @@
 		}
 	}
 	for _, row := range e.List {
-		row.Size = min(maxBackendSize, cmp.Or(max(0, row.Size), 1)) // 0: not known
+		row.Size = min(maxBackendSize, cmp.Or(max(0, row.Size), 1)) // a size that is not known counts as 1
 		g.updateBackend(row)
 	}
 	for _, p := range g.pools {
--- a/internal/decision/outliers.go
+++ b/internal/decision/outliers.go
@@ -28,7 +28,8 @@
 	limitDecrease    = 0.7  // factor applied after a slow answer
 )
 
-// observeOutcome updates a backend's latency, health and limit from the outcome of an attempt.
+// observeOutcome updates a backend's latency, health and limit from the outcome of an attempt. Cancelled and
+// NotSent show nothing about the backend.
 func (g *Gateway) observeOutcome(b *backend, r *request, a *attempt, e AttemptEnded) {
 	switch e.Outcome {
 	case Succeeded:
@@ -101,8 +102,8 @@
 }
 
 // adjustLimit changes a backend's concurrency limit by additive increase and multiplicative decrease. It
-// rises by limitIncrease per number of fast answers that equals the limit, and falls after a slow answer,
-// at most once per typical latency.
+// rises by limitIncrease per number of fast answers that equals the limit, and falls after a slow answer, a
+// rejection or a timeout, at most once per typical latency.
 func (g *Gateway) adjustLimit(b *backend, slow bool) {
 	switch {
 	case g.settings.CapacityInSlots:
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -22,8 +22,8 @@
 // attempts at a fleet that is mostly unhealthy.
 func (g *Gateway) selectBackend(r *request) *backend {
 	p := r.pool
-	// If all backends are ejected, none is an outlier: the fault may be in this gateway's own network, so
-	// ejections are ignored. An overloaded backend still counts as healthy.
+	// If all available backends are ejected, ejections and overload pauses are ignored, because the fault may
+	// be in this gateway's own network. An overloaded backend that is not ejected counts as healthy here.
 	anyHealthy := slices.ContainsFunc(p.order, func(b *backend) bool {
 		return b.available() && g.now >= b.ejectedUntil
 	})
@@ -41,7 +41,7 @@
 		if used > p.subsetSize {
 			break
 		}
-		if !subsetting || b.failures == 0 {
+		if !subsetting || b.failures == 0 { // a backend that fails gives its place in the subset to another
 			used++
 		}
 		if !g.hasCapacity(b, r.lowPriority) {
@@ -60,8 +60,8 @@
 }
 
 // hasCapacity reports whether a backend may get one more attempt from this process. A limit below one
-// limits the rate of attempts instead: if a backend is so slow that even one attempt from each gateway
-// would overload it, each gateway must leave pauses between its attempts.
+// limits the rate of attempts instead, because if a backend is so slow that even one attempt from each
+// gateway would overload it, each gateway must leave pauses between its attempts.
 func (g *Gateway) hasCapacity(b *backend, lowPriority bool) bool {
 	limit := b.limit * g.processShare()
 	if lowPriority {
@@ -74,9 +74,9 @@
 }
 
 // expectedCost returns the expected wait for an answer of a backend, weighted by its errors and its zone.
-// The wait is the learned latency, or the present time without an answer if that is longer. If there are
-// few recent answers, the cost is random, and lower for larger backends. Otherwise all gateways would
-// choose the same one.
+// The wait is the learned latency, or the present time without an answer if that is longer, multiplied by the
+// attempts in flight including the new one, and divided by warmFraction. If there are few recent answers, the
+// cost is random, and lower for larger backends. Otherwise all gateways would choose the same one.
 func (g *Gateway) expectedCost(b *backend, warmFraction float64) float64 {
 	cost := float64(b.inFlight+1) * b.latency / warmFraction
 	evidence := b.recentAnswers / (b.recentAnswers + 1)
--- a/internal/decision/slow_attempts.go
+++ b/internal/decision/slow_attempts.go
@@ -26,9 +26,9 @@
 }
 
 // ShouldAbandon reports whether the attempt in flight of a request, which has become slow (Send.SlowAfter),
-// should be abandoned now. That is so if no planned disruption is under way, another backend has capacity
-// for the request, the retry budget allows another attempt, and there is time for an answer. Otherwise the
-// slow server may still answer, and to abandon the attempt would only fail the request.
+// should be abandoned now. That is so if the request arrived after the last planned disruption, another
+// backend has capacity for it, the retry budget allows another attempt, and there is time for an answer.
+// Otherwise the slow server may still answer, and to abandon the attempt would only fail the request.
 func (g *Gateway) ShouldAbandon(now Seconds, id uint64) bool {
 	r := g.requests[id]
 	if r == nil || r.answered || r.inFlight != 1 || len(r.attempts) != 1 {
