--- a/internal/decision/shared_bucket.go
+++ b/internal/decision/shared_bucket.go
@@ -5,8 +5,8 @@
 	fullThrottleOverdraft = 0.5 // share of a cycle's quota; a bucket overdrawn by this much admits nothing
 )
 
-// sharedBucket is a token bucket of a sparse customer's complete quota. One gateway estimates from the
-// totals that it reads how much all gateways together have admitted.
+// sharedBucket is a token bucket of a sparse customer's complete quota. Each gateway keeps its own one, and
+// estimates from the totals that it reads how much all gateways together have admitted.
 type sharedBucket struct {
 	observedAt Seconds // time of the last total
 	cycle      int64   // cycle of the last total
@@ -19,7 +19,8 @@
 // The ratio follows the totals of two cycles, so it lags if demand rises in the middle of a cycle. The
 // excess that is admitted meanwhile is compensated over the next cycles. Each request is decided by its own
 // total, so the share that was admitted between two totals is estimated as the mean of their two ratios. If
-// the unrestricted amount was exceeded between them, everything up to that amount was admitted.
+// the unrestricted units, up to which all requests conform, were exceeded between them, everything up to that
+// amount was admitted.
 func (g *Gateway) throttleOverdraft(c *customer, lastRatio, unrestricted float64, t sampledTotals) {
 	if !g.settings.PairCounters || c.plan.Rate <= 0 {
 		return
@@ -64,6 +65,7 @@
 // the last total is too old.
 func (g *Gateway) estimatedSharedTokens(c *customer, unrestricted float64, t sampledTotals) float64 {
 	period, sum, burst := c.cycle.period, c.sparse.cycleTotal, c.plan.Burst
+	// Units that were admitted in the previous cycle.
 	before := min(c.cycle.totalRate*(period+t.elapsed)-sum, burst+c.quota*period)
 	unsampled := min(sum, unrestricted)
 	return burst + c.quota*(period+t.elapsed) - before - unsampled - (sum-unsampled)*c.sparse.admitRatio
--- a/internal/decision/sparse.go
+++ b/internal/decision/sparse.go
@@ -6,15 +6,18 @@
 	// sparseThresholdBursts makes a customer sparse if one request at each gateway adds up to more than this
 	// number of bursts. It bounds the capacity of all buckets together, as each holds at least one request.
 	sparseThresholdBursts = 2.0
-	sampledUtilization    = 0.85 // target share of the quota, as a bucket near empty rejects at random
+	sampledUtilization    = 0.85 // target share of the quota, because a bucket near empty rejects at random
 	maxCallWeight         = 0.15 // share of a cycle's quota that one call may add
-	maxValidCycles        = 4.0  // cycles for which a total is valid if it keeps showing the same
+	// maxValidCycles is the longest time for which a total is valid, in cycles. The time doubles with each
+	// total that shows the demand on the same side of the quota as the last one.
+	maxValidCycles = 4.0
 	// excessCallExponent is the exponent on the call probability of customers for whom the reply decides
 	// nothing, so that their calls are the first to stop when the counter is overloaded.
 	excessCallExponent = 4.0
-	// overloadedCallProbability is the call probability below which no second call is made for a request.
+	// overloadedCallProbability is the call probability below which no second call is made for a request of a
+	// customer whose excess costs.
 	overloadedCallProbability = 0.6
-	amountTolerance           = 1e-6 // units; a total this near to the amount is from this gateway alone
+	amountTolerance           = 1e-6 // units above a call's amount up to which a total is this call's alone
 	// maxAssumedQuotas is the largest demand in the previous cycle, as a multiple of the quota, that is
 	// assumed if its total is not known.
 	maxAssumedQuotas = 2.0
@@ -29,7 +32,7 @@
 type sparseMode struct {
 	active      bool
 	cycleTotal  float64 // total of the present cycle at the last reading, in units
-	admitRatio  float64 // share of requests to admit, from the last totals; the same at all gateways
+	admitRatio  float64 // share of requests to admit, from the last totals; about the same at all gateways
 	demandShare float64 // share of the demand at this gateway, from the last totals
 	queries     []counterQuery
 }
@@ -39,14 +42,15 @@
 	request       *request
 	plan          *Plan // plan in force when the call was sent
 	counterName   string
-	cycle         int64
+	cycle         int64 // number of the cycle whose counter was called
 	sentAt        Seconds
 	amount        float64 // units that the call added
 	previousCycle bool    // the call reads the total of the previous cycle
 	spanCapacity  float64 // units of a span, for a call for the shared part of the rate limit; else 0
 }
 
-// isSparse reports whether a customer's requests are admitted by sampling.
+// isSparse reports whether a customer's requests are admitted by sampling. A limit on attempts in flight is
+// sparse if the even share of a gateway is below half an attempt.
 func (g *Gateway) isSparse(c *customer) bool {
 	if c.plan.Rate > 0 {
 		return c.gateways > 1 && sparseThresholdBursts*c.plan.Burst < c.gateways*g.settings.MaxUnits
@@ -62,7 +66,7 @@
 		return false
 	}
 	if r.TimeLeft <= g.settings.CounterTimeout+2*tickInterval {
-		return false
+		return false // the reply could come too late
 	}
 	probability := g.callProbability(c, r)
 	if g.rng.Float64() >= probability {
@@ -76,8 +80,9 @@
 // amount is divided by it, so one call must not be a large part of a cycle's total: large quotas need few
 // calls, and for small ones all requests call. If the counter cannot handle all calls, some customers are not
 // sampled at all. All gateways drop the same customers, because a total from half of the gateways is noise.
-// The first to be dropped are customers for whom the reply decides nothing. If excess costs, all customers
-// are sampled, but at a low rate.
+// The first to be dropped are customers whose excess is forwarded, for whom the reply decides nothing. Other
+// customers whose excess costs are all sampled, but at a low rate. The older the last total is, the more
+// probable is a call.
 func (g *Gateway) callProbability(c *customer, r *request) float64 {
 	if g.settings.PairCounters {
 		return 1
--- a/internal/decision/sparse_partition.go
+++ b/internal/decision/sparse_partition.go
@@ -9,14 +9,16 @@
 	// sparseGraceBase is the time without a reply of any counter owner, in seconds, for which a gateway
 	// uses its share of the quota.
 	sparseGraceBase     = 0.4
-	sparseGraceRequests = 8.0 // requests that the complete quota admits in the rest of the grace period
+	sparseGraceRequests = 8.0 // units that the complete quota admits in the rest of the grace period
 	sparseBurstShare    = 0.4 // share of the burst that the buckets of all partitioned gateways hold together
-	sparseSpareRequests = 8.0 // requests added to these buckets together, less than one to each
+	// sparseSpareRequests is the number of requests that are added to these buckets together. With more than
+	// eight gateways that is less than one to each.
+	sparseSpareRequests = 8.0
 	partitionedShare    = 0.1 // share of its even share that a partitioned gateway admits
 )
 
 // sparseGracePeriod returns the time for which a gateway without a reply uses its share of a sparse
-// customer's quota.
+// customer's quota: sparseGraceBase and the time of sparseGraceRequests, but at most reportExpiry.
 func (g *Gateway) sparseGracePeriod(c *customer) Seconds {
 	return min(reportExpiry, sparseGraceBase+sparseGraceRequests/g.quotaRate(c))
 }
@@ -32,7 +34,7 @@
 	if !g.settings.PairCounters || g.now-contact < grace {
 		return rate
 	}
-	if c.bucket.refilledAt-contact < grace {
+	if c.bucket.refilledAt-contact < grace { // the first refill after the grace period
 		// The gateways that reach the counter owner use the saved tokens too.
 		c.bucket.tokens *= partitionedShare
 	}
@@ -59,9 +61,10 @@
 	c.bucket.tokens = min(c.bucket.tokens, burst+spare+refilled)
 }
 
-// admitFraction decides a request of a sparse customer if the bucket holds only a fraction of its tokens
-// and no counter owner has replied since it arrived. The request is admitted with the probability of that
-// fraction, and the bucket is emptied. So many gateways together admit as much as their buckets hold.
+// admitFraction decides a request of a sparse customer if the bucket holds only a fraction of the tokens that
+// the request needs and no counter owner has replied since it arrived. The request is admitted with the
+// probability of that fraction, and the bucket is emptied. Thereby many gateways together admit as much as
+// their buckets hold. Any other request is rejected.
 func (g *Gateway) admitFraction(c *customer, r *request, fraction float64) bool {
 	if !g.settings.PairCounters || !c.sparse.active || g.ownerReachedAt >= r.arrivedAt {
 		return false
