--- a/internal/decision/counter_cycles.go
+++ b/internal/decision/counter_cycles.go
@@ -53,7 +53,7 @@
 	demand    float64 // units requested at this gateway in this cycle
 	stage     cycleStage
 
-	localRate float64 // units per second requested at this gateway in the last cycle
+	localRate float64 // units per second requested at this gateway in the last cycle (measureDemand)
 	totalRate float64 // units per second requested at all gateways, from the last valid total
 	reporters float64 // number of gateways that the total is from
 	totalAt   Seconds // time of the last total; -Inf: none has come
@@ -126,8 +126,8 @@
 	}
 }
 
-// closeCycle starts a customer's next cycle. It reports the demand in the last cycle to the counter, unless
-// the demand is below idleFraction of the even share.
+// closeCycle starts a customer's next cycle. It reports the demand in the last cycle to the counter. Without
+// pair counters, a gateway whose demand is below idleFraction of the even share does not report.
 func (g *Gateway) closeCycle(c *customer) {
 	g.measureDemand(c)
 	c.cycle.number = c.cycle.numberAt(g.now)
@@ -156,7 +156,8 @@
 	g.callCounter(c, c.cycle.number, g.reporterCount(reporterUnit)+min(maxRate, rate))
 }
 
-// measureDemand sets the local rate from the demand of the cycle that ends.
+// measureDemand sets the local rate from the demand of the cycle that ends. With pair counters, the rate is
+// smoothed over cycles.
 func (g *Gateway) measureDemand(c *customer) {
 	cycle := &c.cycle
 	// The first cycle of a customer may be short, and a few requests in it must not look like a high rate.
@@ -217,7 +218,8 @@
 	g.applyTotals(c, (total-reporters*reporterUnit)*rateUnit, reporters)
 }
 
-// applyTotals sets the slice from totals, unless these are invalid.
+// applyTotals sets the slice from totals, unless these are invalid. For a limit on attempts in flight it only
+// stores the totals, which probablyWithinInFlightLimit uses.
 func (g *Gateway) applyTotals(c *customer, totalRate, reporters float64) {
 	cycle := &c.cycle
 	fewer := reporters < cycle.reporters
--- a/internal/decision/counter_health.go
+++ b/internal/decision/counter_health.go
@@ -1,7 +1,7 @@
 package decision
 
 const (
-	pauseAfterFailures = 4   // consecutive calls without a successful reply, after which calls pause
+	pauseAfterFailures = 4   // calls rejected or without a reply, in succession, after which calls pause
 	pauseDuration      = 1.0 // s without calls before the counter is tried again
 	counterLostAfter   = 2.5 // s without a reply; then the counter was lost and not overloaded
 
@@ -16,7 +16,7 @@
 // counterHealth tracks the replies of the shared counter to this gateway. The call probability adapts to the
 // counter's capacity by additive increase and multiplicative decrease.
 type counterHealth struct {
-	failures           int     // consecutive calls without a successful reply
+	failures           int     // calls that were rejected or got no reply, since the last successful reply
 	pausedUntil        Seconds // end of the pause between calls
 	callProbability    float64 // probability of a call for a request of a sparse customer
 	probabilityAtReply float64 // callProbability at the last reply, including rejections
@@ -31,7 +31,7 @@
 	if replied {
 		if ch.unanswered >= pauseAfterFailures && now-ch.repliedAt > counterLostAfter {
 			// Timeouts during the loss have cut the call probability to its minimum. At that level calls
-			// are so rare that it would take minutes to rise again, and quotas would be unsupervised
+			// are so rare that it would take minutes to rise again, and quotas would not be enforced
 			// meanwhile.
 			ch.callProbability = ch.probabilityAtReply
 		}
--- a/internal/decision/customers.go
+++ b/internal/decision/customers.go
@@ -73,12 +73,12 @@
 	c.bucket.slice = c.quota / c.gateways
 	c.bucket.tokens = g.initialTokens(c) // refill limits it to the capacity
 	c.sparse.demandShare = 1 / c.gateways
-	c.limit.refilledAt = g.startedAt
+	c.limit.refilledAt = g.startedAt // the limit has refilled since the start
 	c.limit.tokens = c.plan.initialLimitTokens() / c.gateways
 	return c
 }
 
-// applyTerms sets the fields that depend only on the terms.
+// applyTerms sets the fields that depend on the terms.
 func (g *Gateway) applyTerms(c *customer, t *Terms) {
 	c.plan = &t.Plan
 	c.termsTag = t.Tag
@@ -102,8 +102,9 @@
 // loses saved tokens, and repeated changes cannot give a second burst. Gateways learn of a change at
 // different times, but each counter name is for the totals of a single quota. Therefore the number of
 // reporters under the old name is raised above the number of gateways, which freezes the slices of gateways
-// that still use it, and the slices here stay until as many gateways report as before. So the sum of all
-// slices never exceeds the larger of the two quotas.
+// that still use it, and the slices here stay until as many gateways report as before, or
+// termsChangeCycles have passed. So the sum of all slices does not exceed the larger of the two quotas in
+// that time.
 func (g *Gateway) changeTerms(c *customer, t *Terms) {
 	if c.termsTag == t.Tag {
 		return
--- a/internal/decision/handover.go
+++ b/internal/decision/handover.go
@@ -35,7 +35,8 @@
 	return max(min(capacity, g.settings.MaxUnits), g.processShare()*capacity)
 }
 
-// reporterCount returns the amount that a report adds to the number of reporters in a packed number.
+// reporterCount returns the amount that a report adds to the number of reporters in a packed number. For the
+// secondary process it is 0, because the other process reports the gateway.
 func (g *Gateway) reporterCount(reporterUnit float64) float64 {
 	if g.settings.Secondary {
 		return 0
@@ -154,8 +155,8 @@
 // Restore applies the learned state of another process of this gateway, aged by the time since HandOver:
 // buckets refill, totals expire, and limits and latencies decay towards the initial values of a new
 // process. It is meant for a process that has received its backends and has not decided any request yet. It
-// returns the numbers of customers and backends that it restored. Customers with an invalid quota or rate
-// limit are skipped.
+// returns the numbers of customers and backends that it restored. Customers that are already known, and
+// those with negative values or times in the future, are skipped.
 func (g *Gateway) Restore(now Seconds, k Knowledge) (customers, backends int) {
 	age := now - k.At
 	if !(age > -clockTolerance && age < maxKnowledgeAge) {
--- a/internal/decision/pair_counters.go
+++ b/internal/decision/pair_counters.go
@@ -14,8 +14,7 @@
 	pairUtilization  = 0.88 // share of the quota that sampling aims at
 	burstOverbooking = 1.5  // bursts that all buckets together may hold, without pair counters
 
-	// minPairCycleRequests is the smallest even share, in requests per cycle, of a customer that is not
-	// sparse.
+	// minPairCycleRequests is the smallest even share, in units per cycle, of a customer that is not sparse.
 	minPairCycleRequests = 4.0
 	// newGatewayAge is the time after its start, in seconds, for which a gateway assumes that the process
 	// before it may have spent its part of the burst.
@@ -146,7 +145,7 @@
 
 // initialTokens returns the tokens of a new customer's local bucket, before they are limited to its
 // capacity. With pair counters, a gateway that has just started does not know what the process before it
-// spent, so it starts with its part of the quota's tolerance and one request.
+// spent, so it starts with one unit and its part of newGatewayToleranceShare of the quota's tolerance.
 func (g *Gateway) initialTokens(c *customer) float64 {
 	if g.settings.PairCounters && g.now-g.startedAt < newGatewayAge {
 		tolerance := g.settings.QuotaTolerance.units(c.plan)
@@ -198,8 +197,7 @@
 }
 
 // enlargeEvenSlice resets a customer to the even slice if there are fewer gateways than assumed and no
-// totals have set the slice yet. When it starts, the host assumes many gateways until it knows their
-// number.
+// totals have set the slice yet. At its start, the host assumes many gateways until it knows their number.
 func (g *Gateway) enlargeEvenSlice(c *customer, gateways float64) {
 	if c.quota <= 0 {
 		return
--- a/internal/decision/quota_bucket.go
+++ b/internal/decision/quota_bucket.go
@@ -19,9 +19,9 @@
 	tb.refilledAt = now
 }
 
-// refill updates the local bucket to the present time. Its capacity is the slice's share of the burst. For
-// a sparse customer it is this gateway's share of the demand, or the even share as long as the demand is
-// unknown, and at least one request.
+// refill updates the local bucket to the present time. Its capacity is the slice's share of the burst, and at
+// least minCapacity. For a sparse customer it is the burst times this gateway's share of the demand, or the
+// even share as long as the demand is unknown, and at least one request.
 func (g *Gateway) refill(c *customer) {
 	rate := g.effectiveSlice(c)
 	capacity := max(g.minCapacity(c), c.plan.Burst*min(1, g.sliceOfBurst(c)/c.quota))
@@ -34,7 +34,7 @@
 
 // takeTokens takes the tokens of a request from the local bucket, if it holds enough in addition to the
 // reserve for more valuable requests. A full bucket still admits each request that is not larger than its
-// capacity without the reserve.
+// capacity minus the reserve.
 func (g *Gateway) takeTokens(r *request) bool {
 	c := r.customer
 	g.refill(c)
--- a/internal/decision/quota_grants.go
+++ b/internal/decision/quota_grants.go
@@ -37,7 +37,7 @@
 }
 
 // SetGrants replaces all quota grants of this gateway. After the given time, only the Reserved rate of each
-// grant is in force.
+// grant is in force. A grant for a customer that is not known or has no quota in units per second is ignored.
 func (g *Gateway) SetGrants(now Seconds, grants []QuotaGrant, until Seconds) {
 	g.now = now
 	previous := g.grants
@@ -92,9 +92,12 @@
 	}
 }
 
+// applyGrant sets a customer's slice to the rate of its grant. For a sparse customer it sets this gateway's
+// share of the demand instead, which determines the refill rate of the bucket, unless the counter's totals
+// decide each request.
 func (g *Gateway) applyGrant(c *customer, h *grant) {
 	if c.bucket.slice != h.appliedSlice {
-		h.ownSlice = c.bucket.slice
+		h.ownSlice = c.bucket.slice // the gateway has computed a new slice since
 	}
 	rate := h.rateAt(g.now)
 	part := min(1, rate/c.quota)
@@ -116,10 +119,10 @@
 	g.transferRateLimit(c, h, rate)
 }
 
-// minCapacity returns the smallest capacity of a bucket, however small its slice is: one request. Over all
-// gateways that is at most two bursts, because otherwise the customer is sparse. With pair counters, only a
-// bucket with a grant has this minimum, because partitioned gateways would otherwise admit more than
-// QuotaTolerance.
+// minCapacity returns the smallest capacity of a bucket, however small its slice is: one request, or without
+// a grant the burst if that is smaller. Over all gateways that is at most two bursts, because otherwise the
+// customer is sparse. With pair counters, only a bucket with a grant has this minimum, because partitioned
+// gateways would otherwise admit more than QuotaTolerance.
 func (g *Gateway) minCapacity(c *customer) float64 {
 	switch {
 	case g.grants[c.key] != nil:
@@ -130,8 +133,9 @@
 	return min(c.plan.Burst, g.settings.MaxUnits)
 }
 
-// transferRateLimit adjusts this gateway's part of a hard rate limit to its part of the quota. A gateway
-// with more than the even share gains the rate limit tokens that another gateway loses.
+// transferRateLimit adjusts this gateway's part of a hard rate limit to its part of the quota, unless the
+// grant is scaled. A gateway with more than the even share gains the rate limit tokens that another gateway
+// loses.
 func (g *Gateway) transferRateLimit(c *customer, h *grant, rate float64) {
 	elapsed := max(0, g.now-h.limitTransferredAt)
 	h.limitTransferredAt = g.now
--- a/internal/decision/stats.go
+++ b/internal/decision/stats.go
@@ -6,11 +6,12 @@
 type Stats struct {
 	Pending   int                 // requests that are unanswered or have an attempt in flight
 	Queued    int                 // pending requests that wait for a server
-	Customers int                 // customers that sent requests within the last minute
+	Customers int                 // customers with a request in the last minute or an attempt in flight
 	Servers   map[ServerState]int // listed servers by state
 	// RetryTokens is the number of retries that may be made at once, for the service with the fewest left.
 	RetryTokens float64
-	// CounterCallsUnanswered is the number of consecutive counter calls without a successful reply.
+	// CounterCallsUnanswered is the number of counter calls that were rejected or got no reply, since the
+	// last successful reply.
 	CounterCallsUnanswered int
 }
 
