--- a/internal/decision/conformance/value_distribution_test.go
+++ b/internal/decision/conformance/value_distribution_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// The share above a value follows the recent demand, and the number of values is bounded.
 func TestValueDistribution(t *testing.T) {
 	var distribution ValueDistribution
 	if distribution.ShareAbove(1) != 0 {
@@ -33,12 +34,12 @@
 		distribution.Observe(3, 1)
 	}
 	if distribution.ShareAbove(3) > 0.05 {
-		t.Errorf("share above 3 is still %.2f", distribution.ShareAbove(3))
+		t.Errorf("share above 3 is still %.2f, want at most 0.05", distribution.ShareAbove(3))
 	}
 	for i := range 10_000 { // many distinct values must not make it grow
 		distribution.Observe(float64(i), 1)
 	}
 	if len(distribution.values) > maxValues || distribution.ShareAbove(0) > 1 {
-		t.Errorf("%d values", len(distribution.values))
+		t.Errorf("%d values, want at most 16 and a share above 0 of at most 1", len(distribution.values))
 	}
 }
--- a/internal/decision/ratelimit/split_test.go
+++ b/internal/decision/ratelimit/split_test.go
@@ -94,6 +94,7 @@
 		if f.lowest < -s.Slack {
 			t.Errorf("seed %d: the bucket fell to %.1f, slack %.1f", seed, f.lowest, s.Slack)
 		}
+		// The counter is lost for 3 of the 30 s.
 		if f.sent < 0.7*rate*27 {
 			t.Errorf("seed %d: %.0f of %.0f units forwarded", seed, f.sent, rate*30)
 		}
@@ -126,6 +127,8 @@
 	}
 }
 
+// Without a counter, with a single gateway, or with a burst too small for the delays, there is no shared
+// part, and each gateway has its complete even share.
 func TestNoSharedPart(t *testing.T) {
 	for _, s := range []Split{
 		{Rate: 40, Burst: 60, Slack: 6, Gateways: 8},
@@ -133,7 +136,7 @@
 		{Rate: 40, Burst: 40 * GrantValidity, Slack: 6, Gateways: 8, Counter: true},
 	} {
 		if name, available, _, ok := s.SharedSpan(100); ok {
-			t.Errorf("%+v: %s, %v", s, name, available)
+			t.Errorf("%+v: shared span %s of %v units, want none", s, name, available)
 		}
 		if got := fmt.Sprint(s.OwnTokens(0, 1e6, 1)); got != fmt.Sprint((s.Burst+s.Slack)/s.Gateways) {
 			t.Errorf("%+v: own part %s", s, got)
--- a/internal/decision/retry/budget.go
+++ b/internal/decision/retry/budget.go
@@ -32,8 +32,9 @@
 }
 
 // Divided returns the budget of one of several gateways that together may make the given share of retries,
-// and the slack beyond it in a window. Each gateway can save up its part of the slack. In a divided budget
-// a retry of a rejected attempt costs a token too, because the attempt has reached a server.
+// and in any period the slack beyond it. Each gateway can save up its part of the slack, but at least one
+// token. In a divided budget a retry of a rejected attempt costs a token too, because the attempt has reached
+// a server.
 func Divided(share, slack float64, gateways int) Budget {
 	b := Budget{share: share, slack: slack}
 	b.SetGateways(gateways)
--- a/internal/decision/retry/budget_test.go
+++ b/internal/decision/retry/budget_test.go
@@ -60,6 +60,8 @@
 	}
 }
 
+// Queued first attempts have precedence over retries of attempts that may have been executed. A group counts
+// as failing only after minRecentAttempts, and not for longer than these are recent.
 func TestQueuedFirstAttemptsAndFewAttempts(t *testing.T) {
 	b := New()
 	if b.Take(0, false, true) || !b.Take(0, false, false) {
