--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -4,6 +4,8 @@
 	"testing"
 )
 
+// Requests over quota must be rejected with a delay of at most MaxRetryAfter, so that clients do not retry at
+// once.
 func TestShortfallIsRejectedWithRetryAfter(t *testing.T) {
 	g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
 	refused := 0
@@ -11,7 +13,7 @@
 		for _, a := range actionsOf[Reject](g.Handle(0, testRequest(i, "safe", "rate"))) {
 			refused++
 			if a.RetryAfter <= 0 || a.RetryAfter > 1 {
-				t.Errorf("retry after %v", a.RetryAfter)
+				t.Errorf("retry after %v s, want more than 0 and at most 1", a.RetryAfter)
 			}
 		}
 	}
@@ -20,6 +22,7 @@
 	}
 }
 
+// Excess that earns something must be forwarded, but only within the low-priority share of the limits.
 func TestExcessThatEarnsIsForwardedWithinCapacity(t *testing.T) {
 	g := startedGateway(t, testSettings(), servingBackend("x"))
 	sent := 0
@@ -34,6 +37,8 @@
 	}
 }
 
+// Two gateways cannot divide a limit of two attempts evenly over time, so each estimates the attempts of the
+// other one. A gateway must never exceed the limit by itself.
 func TestInFlightLimitOfTwoIsSharedByProbability(t *testing.T) {
 	g := startedGateway(t, testSettings(), servingBackend("x"))
 	if len(actionsOf[Send](g.Handle(0, testRequest(1, "safe", "open")))) != 1 {
@@ -68,6 +73,8 @@
 	}
 }
 
+// A request of an unknown class counts as non-idempotent, so after a timeout it must be failed and not be
+// sent again.
 func TestUnknownPlanAndClassGetOneSafeAnswer(t *testing.T) {
 	g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
 	if len(actionsOf[Send](g.Handle(0, testRequest(1, "?", "?")))) != 1 {
@@ -75,10 +82,12 @@
 	}
 	out := g.Handle(1, AttemptEnded{ID: 1, Backend: "x", Outcome: TimedOut, Duration: 1})
 	if len(actionsOf[Fail](out)) != 1 || len(actionsOf[Send](out)) != 0 || len(actionsOf[Reject](out)) != 0 {
-		t.Errorf("got %v", out)
+		t.Errorf("got %v, want one Fail", out)
 	}
 }
 
+// A request that no backend can serve must be rejected exactly once before the client's deadline, and its
+// state must be deleted.
 func TestNoRequestIsLost(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -96,12 +105,14 @@
 			out := g.Handle(0, r)
 			out = append(out, runTicks(g, 0.001, tc.left)...)
 			if len(actionsOf[Reject](out)) != 1 || len(actionsOf[Send](out)) != 0 || len(g.requests) != 0 {
-				t.Errorf("got %v", out)
+				t.Errorf("got %v, want one Reject and no pending request", out)
 			}
 		})
 	}
 }
 
+// Units beyond the estimate must be taken from the bucket even if it does not hold them, so that too low
+// estimates do not raise the quota.
 func TestSettledUnitsOverdrawTheBucket(t *testing.T) {
 	g := startedGateway(t, testSettings(), servingBackend("x"))
 	g.Handle(0, testRequest(1, "safe", "rate"))
--- a/internal/decision/attempts_test.go
+++ b/internal/decision/attempts_test.go
@@ -6,13 +6,14 @@
 	"testing"
 )
 
+// A request that may have been executed must not be sent again, unless its class is idempotent.
 func TestAtMostOnce(t *testing.T) {
 	backends := []Backend{servingBackend("x"), servingBackend("y"), servingBackend("z")}
 	for _, tc := range []struct {
 		class   string
 		outcome Outcome
-		at      Seconds
-		want    string // the next action
+		at      Seconds // time at which the first attempt ends
+		want    string  // the next action
 	}{
 		{
 			"unsafe", ConnectionRefused, 0.1, "send",
@@ -40,11 +41,11 @@
 			switch tc.want {
 			case "fail":
 				if len(sends) != 0 || len(fails) != 1 || len(actionsOf[Reject](out)) != 0 {
-					t.Errorf("got %v", out)
+					t.Errorf("got %v, want one Fail", out)
 				}
 			default:
 				if len(sends) != 1 {
-					t.Errorf("got %v", out)
+					t.Errorf("got %v, want one Send", out)
 				}
 			}
 		})
--- a/internal/decision/backends_test.go
+++ b/internal/decision/backends_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// A backend that drains or was removed from the list must get no further attempt.
 func TestDrainingTakesEffectAtOnce(t *testing.T) {
 	g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
 	g.Handle(1, Backends{List: []Backend{{ID: "x", Zone: "a"}}})
@@ -24,6 +25,8 @@
 	}
 }
 
+// A backend in slow start must get requests, but not more than its share of capacity. Otherwise it is
+// overloaded as soon as it starts.
 func TestWarmingBackendGetsItsShareOnly(t *testing.T) {
 	g := startedGateway(
 		t, testSettings(), servingBackend("x"), servingBackend("y"),
@@ -188,8 +191,12 @@
 			)
 		}
 	}
+	// 60 servers in use and the 36 that are replaced every 5 s, for 70 s, each in a map and in a list.
 	if maxEntries > 2*(60+36*14) || len(g.defaultPool.kindLatencies) > 2 {
-		t.Errorf("up to %d entries, %d kinds", maxEntries, len(g.defaultPool.kindLatencies))
+		t.Errorf(
+			"up to %d entries, %d kinds; want 1128 and 2 at most", maxEntries,
+			len(g.defaultPool.kindLatencies),
+		)
 	}
 }
 
--- a/internal/decision/counter_cycles_test.go
+++ b/internal/decision/counter_cycles_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// The slices that all reporting gateways compute from the same totals must sum to what they may admit
+// together.
 func TestSlicesSumToTheQuota(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -43,6 +45,7 @@
 	}
 }
 
+// A counter may restart empty or lose reports. A total that cannot be right must not change the slice.
 func TestImpossibleTotalsLeaveTheSlice(t *testing.T) {
 	for _, tc := range []struct {
 		name                 string
@@ -67,6 +70,8 @@
 	}
 }
 
+// A customer that is hardly used must cause no counter calls, and its state must be deleted after idleExpiry.
+// Otherwise calls and memory would grow with the number of customers.
 func TestIdleCustomersMakeNoCallsAndExpire(t *testing.T) {
 	g := startedGateway(t, testSettings(), servingBackend("x"))
 	g.Handle(0, testRequest(1, "safe", "rate"))
@@ -83,6 +88,7 @@
 	}
 }
 
+// A reply without a call in this cycle, or for an unknown customer, must not change a slice.
 func TestCounterRepliesForForgottenNamesAreIgnored(t *testing.T) {
 	g := startedGateway(t, testSettings(), servingBackend("x"))
 	g.Handle(0, testRequest(1, "safe", "rate"))
@@ -113,6 +119,8 @@
 	}
 }
 
+// A packed number has seven digits. They must hold the exact number of 500 reporters and their total rate to
+// 2%, even at twice the quota.
 func TestTotalsOf500GatewaysAreRightAndSlicesSumToTheQuota(t *testing.T) {
 	for _, over := range []float64{0.6, 2} { // demand as a multiple of the quota
 		s := testSettings()
--- a/internal/decision/counter_health_test.go
+++ b/internal/decision/counter_health_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// While the counter is down, calls must pause, and the slices must not change.
 func TestFailingCounterPausesCallsAndLeavesTheSlice(t *testing.T) {
 	for _, outcome := range []Outcome{TimedOut, Rejected, ConnectionRefused} {
 		g := startedGateway(t, testSettings(), servingBackend("x"))
@@ -33,8 +34,8 @@
 	}
 }
 
-// Guards against quotas that remain unsupervised for minutes after the counter was lost for seconds: calls
-// to a lost counter get no reply, but must not count as calls that an overloaded counter could not handle.
+// Guards against quotas that are not enforced for minutes after the counter was lost for seconds: calls to a
+// lost counter get no reply, but must not count as calls that an overloaded counter could not handle.
 func TestCallsResumeAfterCounterLoss(t *testing.T) {
 	s := testSettings()
 	s.Plans = []Plan{{Name: "sparse", Rate: 1, Burst: 2, ValueWeight: 1, ExcessCost: 1}}
@@ -93,7 +94,7 @@
 }
 
 // A stall of the counter leaves many simultaneous calls unanswered. When each of them reduced the call
-// probability, quotas were hardly supervised for the rest of the day, because the few remaining calls
+// probability, quotas were hardly enforced for the rest of the day, because the few remaining calls
 // brought few replies to raise it again (fleet day: 4% of calls for 15 s).
 func TestCounterStallReducesCallsOnce(t *testing.T) {
 	g := startedGateway(t, testSettings())
@@ -132,6 +133,7 @@
 	}
 }
 
+// A request that waits for a counter reply that never comes must be decided without it.
 func TestRequestIsAnsweredWithoutACounterReply(t *testing.T) {
 	g := startedGateway(t, testSettings(), servingBackend("x"))
 	r := testRequest(1, "safe", "rate")
@@ -144,6 +146,8 @@
 	}
 }
 
+// While the counter is overloaded, customers whose excess costs must all be sampled at a lower rate, and
+// calls must stop first for customers whose excess is forwarded.
 func TestOverloadedCounterIsCalledForAllWhereExcessCosts(t *testing.T) {
 	s := testSettings()
 	s.Plans = []Plan{
--- a/internal/decision/fleet_simulation_test.go
+++ b/internal/decision/fleet_simulation_test.go
@@ -11,10 +11,10 @@
 type fleetShape struct {
 	name            string
 	gatewaysPerZone []int
-	serversPerZone  []int // servers of the only service
-	slots           int   // requests that a server handles concurrently
-	queue           int   // requests that a server queues; it rejects further ones
-	serviceTime     Seconds
+	serversPerZone  []int   // servers of the only service
+	slots           int     // requests that a server handles concurrently
+	queue           int     // requests that a server queues; it rejects further ones
+	serviceTime     Seconds // mean time to handle a request
 	requestRate     float64 // requests per second, over all gateways
 	configApply     Seconds // longest time for a configuration to be applied (configApplyMs)
 }
@@ -22,7 +22,7 @@
 // simulatedServer handles a number of requests concurrently and queues a few more.
 type simulatedServer struct {
 	zone     int
-	received int
+	received int       // requests, including rejected ones
 	freeAt   []Seconds // by slot: time at which it has finished its requests
 	starts   []Seconds // start times of the queued requests, earliest first
 }
@@ -169,7 +169,7 @@
 // accept returns the duration and the outcome of a request that arrives now. A server with a full queue
 // rejects it.
 func (ss *simulatedServer) accept(now Seconds, shape *fleetShape, rng *rand.Rand) (Seconds, Outcome) {
-	const networkDelay = 0.002
+	const networkDelay = 0.002 // s
 	ss.received++
 	for len(ss.starts) > 0 && ss.starts[0] <= now {
 		ss.starts = ss.starts[1:]
--- a/internal/decision/gateway_test.go
+++ b/internal/decision/gateway_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// A gateway with zero settings must serve requests, without counter calls.
 func TestZeroSettings(t *testing.T) {
 	s := Settings{
 		Plans: []Plan{{Name: "rate", Rate: 10, Burst: 20, ValueWeight: 1}, {Name: "none", ValueWeight: 1}},
@@ -17,18 +18,19 @@
 		out := g.Handle(0, r)
 		out = append(out, runTicks(g, 0.05, 20)...)
 		if len(actionsOf[Send](out)) != 1 || len(actionsOf[CounterCall](out)) != 0 {
-			t.Errorf("%s: got %v", plan, out)
+			t.Errorf("%s: got %v, want one Send and no CounterCall", plan, out)
 		}
 	}
 }
 
+// Events of requests, attempts and timers that are not known must have no effect.
 func TestStaleEventsAreIgnored(t *testing.T) {
 	g := startedGateway(t, testSettings(), servingBackend("x"))
 	for _, e := range []Event{
 		AttemptEnded{ID: 99}, ClientDisconnected{ID: 99}, Timer{"old"},
 	} {
 		if out := g.Handle(1, e); len(out) != 0 {
-			t.Errorf("%T: got %v", e, out)
+			t.Errorf("%T: got %v, want no action", e, out)
 		}
 	}
 	g.Handle(1, testRequest(1, "safe", "free"))
@@ -40,6 +42,7 @@
 	}
 }
 
+// Equal settings, seed and events must give equal actions, so map iteration must not influence decisions.
 func TestSameEventsSameActions(t *testing.T) {
 	play := func() (all []Action) {
 		g := startedGateway(
@@ -63,8 +66,8 @@
 	}
 }
 
-// Gateways that tick at the same time call the counter at the same time, which then rejected 25% of the calls
-// (i151ab8).
+// Guards against simultaneous counter calls: when all gateways ticked at the same time, the counter rejected
+// 25% of the calls (i151ab8).
 func TestGatewaysDoNotTickInStep(t *testing.T) {
 	first := actionsOf[SetTimer](New(testSettings(), 1).Handle(0, Start{}))[0].At
 	second := actionsOf[SetTimer](New(testSettings(), 2).Handle(0, Start{}))[0].At
@@ -73,6 +76,8 @@
 	}
 }
 
+// Input that cannot be right must not keep a gateway from serving other customers: too many gateways, a total
+// that is too large, a clock that steps back, and hundreds of backends that are then removed.
 func TestOddInputAtScale(t *testing.T) {
 	g := startedGateway(t, testSettings())
 	r := testRequest(1, "safe", "rate")
--- a/internal/decision/handover_test.go
+++ b/internal/decision/handover_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// infiniteKnowledge sets invalid values for backends.
+// infiniteKnowledge sets invalid limits of backends and an infinite typical latency.
 func infiniteKnowledge(k *Knowledge) {
 	k.Backends[0].Limit, k.Backends[1].Limit = math.Inf(1), -1
 	k.TypicalTime = math.Inf(1)
--- a/internal/decision/helpers_test.go
+++ b/internal/decision/helpers_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// testSettings returns the settings of two gateways that share a counter, with one class of each effect and
+// one plan of each kind.
 func testSettings() Settings {
 	return Settings{
 		Gateways: 2, Zone: "a", DrainGrace: 0.25, AnswerSlack: 0.016, SlowStartShare: 0.2, SlowStartTime: 10,
@@ -32,6 +34,7 @@
 	}
 }
 
+// startedGateway returns a gateway that started at time 0 and has received its backends.
 func startedGateway(t *testing.T, s Settings, backends ...Backend) *Gateway {
 	t.Helper()
 	g := New(s, 7)
--- a/internal/decision/outliers_test.go
+++ b/internal/decision/outliers_test.go
@@ -34,6 +34,7 @@
 	}
 }
 
+// An ejected backend must get no attempt during its ejection, and one trial after it.
 func TestEjectedBackendGetsOneAttemptAfterwards(t *testing.T) {
 	g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
 	g.Handle(0, testRequest(1, "safe", "free"))
@@ -78,7 +79,7 @@
 		}
 	}
 	if to["x"] == 0 || to["x"] > 5 || to["y"] < 90 {
-		t.Errorf("sent %v", to)
+		t.Errorf("sent %v, want 1 to 5 to x and at least 90 to y", to)
 	}
 }
 
--- a/internal/decision/plans_test.go
+++ b/internal/decision/plans_test.go
@@ -185,7 +185,8 @@
 	}
 }
 
-// A customer's first request and a change of its terms come in the same cycle.
+// A customer's first request and a change of its terms come in the same cycle. Gateways that do not know the
+// customer must ignore the change, and the slices must then sum to the new quota.
 func TestCustomerArrivesWithATermsChange(t *testing.T) {
 	f := newCustomerFleet(t, 3, terms(60, 120))
 	f.ask(0)
@@ -247,6 +248,7 @@
 	}
 }
 
+// A change to a larger plan must keep the saved tokens, and the change back must not give a second burst.
 func TestUpgradeKeepsTokens(t *testing.T) {
 	plus := Plan{
 		Rate: 30, Burst: 60, ValueWeight: 1, ExcessCost: 1, LimitRate: 60, LimitBurst: 120, LimitSlack: 6,
@@ -270,6 +272,8 @@
 	}
 }
 
+// A lower rate limit must apply at once to the tokens that were saved under the higher one, and a bucket in
+// debt must stay in debt.
 func TestRateLimitLoweredBelowTokens(t *testing.T) {
 	high := Plan{Rate: 30, Burst: 60, ValueWeight: 1, LimitRate: 60, LimitBurst: 120, LimitSlack: 6}
 	low := Plan{Rate: 5, Burst: 10, ValueWeight: 1, LimitRate: 6, LimitBurst: 12, LimitSlack: 1}
@@ -330,6 +334,7 @@
 	}
 }
 
+// A request that waits for a counter reply while the terms change must be decided exactly once.
 func TestTermsChangeDuringACounterCall(t *testing.T) {
 	g := startedGateway(t, testSettings(), servingBackend("x"))
 	r := testRequest(1, "safe", "rate")
@@ -348,7 +353,7 @@
 }
 
 // The terms change at random between plans without a quota, with a limit on attempts in flight, and with a
-// rate.
+// rate. No value may become NaN or a slice negative, and each request must be answered exactly once.
 func TestTermsChangesAmongAllKindsOfPlans(t *testing.T) {
 	s := testSettings()
 	kinds := []Plan{{ValueWeight: 1}, {MaxInFlight: 3, ValueWeight: 1}, {
--- a/internal/decision/queue_test.go
+++ b/internal/decision/queue_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// Queued requests must be sent in order of value, and among equal values the newest first, because one that
+// has waited long would be late anyway.
 func TestQueueMostValuableFirstThenNewest(t *testing.T) {
 	g := startedGateway(t, testSettings())
 	g.classes["dear"] = &Class{Name: "dear", LatencyTarget: 1, Deadline: 3, Value: 5}
@@ -18,7 +20,7 @@
 		order = append(order, s.ID)
 	}
 	if !reflect.DeepEqual(order, []uint64{3, 1, 2, 0}) {
-		t.Errorf("sent in order %v", order)
+		t.Errorf("sent in order %v, want [3 1 2 0]", order)
 	}
 }
 
--- a/internal/decision/rate_limits_test.go
+++ b/internal/decision/rate_limits_test.go
@@ -443,8 +443,8 @@
 	}
 }
 
-// Compares the smallest quotas of the second user, 1.2 units per second with requests of 1 to 6 units, with
-// one bucket for all gateways, over 1,000 s in which the busy gateway's share changes every 10 s. A
+// Compares the smallest quota in use, 1.2 units per second with requests of 1 to 6 units, with one bucket
+// for all gateways, over 1,000 s in which the busy gateway's share changes every 10 s. A
 // customer within its quota must get most of the units that the one bucket admits. One with a higher demand
 // must get its quota, and never much more.
 func TestTinyQuotasAgainstOneBucket(t *testing.T) {
@@ -477,6 +477,8 @@
 	}
 }
 
+// If excess is forwarded, a new gateway must start with an empty part of the rate limit, because the process
+// before it may have used it up. It must then admit at most its half of the limit.
 func TestRateLimitHoldsForOneGatewayAndAfterARestart(t *testing.T) {
 	g := startedGateway(
 		t, testSettings(), servingBackend("x"), servingBackend("y"), servingBackend("z"),
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -17,10 +17,12 @@
 		}
 	}
 	if sent["x"] != 0 || sent["y"] != initialLimit/2 { // the limit is divided between two gateways
-		t.Errorf("sent %v", sent)
+		t.Errorf("sent %v, want none to x and 6 to y", sent)
 	}
 }
 
+// Gateways without recent answers must choose different backends, and larger ones more often. Otherwise all
+// of them would overload the same one.
 func TestGatewaysWithoutEvidenceDoNotChooseAlike(t *testing.T) {
 	list, sent := []Backend{}, map[string]int{}
 	for i := range 20 {
@@ -49,6 +51,8 @@
 	}
 }
 
+// Each backend must be in the subsets of several gateways. A subset must grow with the traffic, and must hold
+// all backends if there are few gateways.
 func TestSubsetsCoverAllBackends(t *testing.T) {
 	gateways, list := newTestFleet(240, 60)
 	users := map[string]int{}
@@ -70,7 +74,7 @@
 		}
 	}
 	for _, b := range list {
-		if n := users[b.ID]; n < 3 || n > 30 { // 12 on average
+		if n := users[b.ID]; n < 3 || n > 30 { // 16 on average
 			t.Errorf("%s is used by %d gateways", b.ID, n)
 		}
 	}
@@ -85,6 +89,8 @@
 	}
 }
 
+// If all backends are ejected, requests must still be sent, because the fault may be in the gateway's own
+// network.
 func TestNoOutlierWhereAllAreUnhealthy(t *testing.T) {
 	g := startedGateway(t, testSettings(), servingBackend("x"), servingBackend("y"))
 	for _, b := range g.defaultPool.order {
--- a/internal/decision/sparse_test.go
+++ b/internal/decision/sparse_test.go
@@ -142,7 +142,8 @@
 	}
 }
 
-// Guards against wrong admission when slices are smaller than one request (later big-1).
+// Guards against too few or too many admitted requests when slices are smaller than one request (later
+// big-1).
 func TestSparseCustomerKeepsItsQuotaOver200Gateways(t *testing.T) {
 	for _, tc := range []struct{ perSecond, minForwarded, maxForwarded float64 }{
 		{5, 5*20 - 1, 5 * 20},                   // half the quota: all is forwarded
@@ -167,6 +168,8 @@
 	}
 }
 
+// While the counter is overloaded, all gateways must sample the same customers, because a total from half of
+// the gateways is noise.
 func TestSampledCustomersAreTheSameAtAllGateways(t *testing.T) {
 	var first []bool
 	for seed := range uint64(5) {
