--- a/internal/decision/backends.go
+++ b/internal/decision/backends.go
@@ -68,7 +68,7 @@
 		g.backends[row.ID] = b
 		b.pool.order = append(b.pool.order, b)
 	}
-	if row.StartedAt > b.StartedAt {
+	if row.StartedAt > b.StartedAt { // it has started or restarted
 		// A start time far in the future must not leave the backend in slow start forever.
 		b.warmingSince = min(row.StartedAt, g.now+g.settings.SlowStartTime)
 		b.warmUpTokensAt = g.now
--- a/internal/decision/counter_cycles.go
+++ b/internal/decision/counter_cycles.go
@@ -97,6 +97,8 @@
 	return c.quota * (1 - idleFraction*(c.gateways-reporters)/c.gateways)
 }
 
+// counterName returns the name of a customer's counter for a cycle, from which handleCounterReply takes the
+// customer.
 func (c *customer) counterName(cycle int64) string {
 	return c.key + "/" + strconv.FormatInt(cycle, 36) + c.counterSuffix
 }
--- a/internal/decision/handover.go
+++ b/internal/decision/handover.go
@@ -48,8 +48,8 @@
 // service stores it as JSON, so the tags keep the names that older versions used.
 type Knowledge struct {
 	At                     Seconds             `json:"At"`
-	TypicalTime            Seconds             `json:"Usual"`  // typical latency over all backends
-	SendRate               float64             `json:"Rate"`   // attempts per second
+	TypicalTime            Seconds             `json:"Usual"`  // typical latency of the default pool
+	SendRate               float64             `json:"Rate"`   // attempts per second at the default pool
 	CounterCallProbability float64             `json:"Chance"` // probability of a call for a sparse customer
 	Customers              []CustomerKnowledge `json:"Customers"`
 	Backends               []BackendKnowledge  `json:"Backends"`
--- a/internal/decision/lifecycle.go
+++ b/internal/decision/lifecycle.go
@@ -41,9 +41,10 @@
 // Phase returns the present phase.
 func (l *Lifecycle) Phase() Phase { return l.phase }
 
-// Handle applies an event. It reports whether the event was accepted: Rejoin and EnterLameDuck are rejected
-// once the process stops, and Rejoin is rejected before it serves. A rejected event changes nothing. An event
-// that does not change the phase, such as a second EnterLameDuck, is still accepted.
+// Handle applies an event. It reports whether the event was accepted: once the process stops, only Terminate
+// and Close are, and once it closes, only Close. Rejoin is also rejected in the phase Starting. A rejected
+// event changes nothing. An event that does not change the phase, such as a second EnterLameDuck, is still
+// accepted.
 func (l *Lifecycle) Handle(e LifecycleEvent) (accepted bool) {
 	switch {
 	case e == Close:
--- a/internal/decision/outliers.go
+++ b/internal/decision/outliers.go
@@ -3,7 +3,8 @@
 import "math"
 
 const (
-	// With larger weights, the typical values would follow single answers.
+	// With larger weights, the typical values would follow single answers. In the latency of its kind of
+	// backend, an answer has half of latencyWeight, and in that of the group a quarter.
 	latencyWeight = 0.1 // weight of an answer in a backend's typical latency
 	errorWeight   = 0.1 // weight of an answer in a backend's error rate
 
@@ -97,6 +98,7 @@
 	doublings := float64(max(0, b.failures-ejectAfterFailures))
 	b.ejectedUntil = g.now + min(maxEjection, minEjection*math.Exp2(doublings))
 	b.failures = min(b.failures, ejectAfterFailures+maxEjectionSteps)
+	// After its ejection, the backend gets one attempt at a time until fast answers raise its limit.
 	b.limit = 1
 	b.latency = *b.kindLatency
 }
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -18,8 +18,8 @@
 //
 // If there are many gateways, each uses a subset, the first backends in its own order of use. A gateway that
 // spread its requests over all backends would rarely use the same one twice, and could not learn which are
-// overloaded. An attempt at a backend that is not known to be healthy costs a trial token, which limits the
-// attempts at a fleet that is mostly unhealthy.
+// overloaded. An attempt at a backend that is not known to be healthy costs a trial token. With a subset,
+// none is made without a token, which limits the attempts at a fleet that is mostly unhealthy.
 func (g *Gateway) selectBackend(r *request) *backend {
 	p := r.pool
 	// If all available backends are ejected, ejections and overload pauses are ignored, because the fault may
--- a/internal/decision/sparse.go
+++ b/internal/decision/sparse.go
@@ -121,8 +121,8 @@
 	g.callCounter(c, cycle, amount)
 }
 
-// expireQueries decides the requests whose reply is overdue, so that a reply that the host loses does not
-// lose the request.
+// expireQueries decides the requests whose reply has not come within two timeouts and a tick, so that a reply
+// that the host loses does not lose the request.
 func (g *Gateway) expireQueries(c *customer) {
 	maxAge := 2 * g.settings.CounterTimeout
 	for len(c.sparse.queries) > 0 {
@@ -179,8 +179,9 @@
 	g.admit(r)
 }
 
-// readSampledTotals processes a total. If the demand is above the quota and the previous cycle's total is not
-// known, it calls the counter for that total, or assumes a value if the counter is overloaded.
+// readSampledTotals processes a total. If the demand is above the quota, is not from this call alone, and the
+// previous cycle's total is not known, it calls the counter for that total, or assumes a value if the counter
+// is overloaded.
 func (g *Gateway) readSampledTotals(
 	c *customer, q counterQuery, total float64,
 ) (t sampledTotals, complete bool) {
@@ -231,7 +232,7 @@
 	switch {
 	case sum <= unrestricted:
 		c.sparse.admitRatio = 1
-	case t.previous > quota*period:
+	case t.previous > quota*period: // the demand was over the quota in the previous cycle, too
 		c.sparse.admitRatio = min(1, g.targetUtilization()*quota/rate)
 	default:
 		c.sparse.admitRatio = min(1, g.targetUtilization()*quota*t.elapsed/sum)
--- a/internal/decision/zone_slots.go
+++ b/internal/decision/zone_slots.go
@@ -12,7 +12,8 @@
 // zonePosition is a gateway's rank among the gateways of its zone, and their number; peers 0: not known.
 type zonePosition struct{ rank, peers int }
 
-// SetZoneRank sets this gateway's rank among the gateways of its zone, from 0, and their number.
+// SetZoneRank sets this gateway's rank among the gateways of its zone, from 0, and their number. A rank out
+// of range is ignored.
 func (g *Gateway) SetZoneRank(rank, peers int) {
 	if rank < 0 || rank >= peers {
 		return
