--- a/internal/decision/outliers.go
+++ b/internal/decision/outliers.go
@@ -3,7 +3,8 @@
 import "math"
 
 const (
-	// With larger weights, the typical values would follow single answers.
+	// With larger weights, the typical values would follow single answers. In the latency of its kind of
+	// backend, an answer has half of latencyWeight, and in that of the group a quarter.
 	latencyWeight = 0.1 // weight of an answer in a backend's typical latency
 	errorWeight   = 0.1 // weight of an answer in a backend's error rate
 
@@ -28,7 +29,8 @@
 	limitDecrease    = 0.7  // factor applied after a slow answer
 )
 
-// observeOutcome updates a backend's latency, health and limit from the outcome of an attempt.
+// observeOutcome updates a backend's latency, health and limit from the outcome of an attempt. Cancelled and
+// NotSent show nothing about the backend.
 func (g *Gateway) observeOutcome(b *backend, r *request, a *attempt, e AttemptEnded) {
 	switch e.Outcome {
 	case Succeeded:
@@ -96,13 +98,14 @@
 	doublings := float64(max(0, b.failures-ejectAfterFailures))
 	b.ejectedUntil = g.now + min(maxEjection, minEjection*math.Exp2(doublings))
 	b.failures = min(b.failures, ejectAfterFailures+maxEjectionSteps)
+	// After its ejection, the backend gets one attempt at a time until fast answers raise its limit.
 	b.limit = 1
 	b.latency = *b.kindLatency
 }
 
 // adjustLimit changes a backend's concurrency limit by additive increase and multiplicative decrease. It
-// rises by limitIncrease per number of fast answers that equals the limit, and falls after a slow answer,
-// at most once per typical latency.
+// rises by limitIncrease per number of fast answers that equals the limit, and falls after a slow answer, a
+// rejection or a timeout, at most once per typical latency.
 func (g *Gateway) adjustLimit(b *backend, slow bool) {
 	switch {
 	case g.settings.CapacityInSlots:
