--- a/internal/standalone/plans/revision.go
+++ b/internal/standalone/plans/revision.go
@@ -53,14 +53,14 @@
 // Rate returns the rate that the booking adds to the member's quota during its period, in units per second.
 func (b Booking) Rate() float64 { return b.Units / (b.To - b.From) }
 
-// String returns the text of a booking for tables, logs and digests. It must not change, because it is part of the
-// digest, which ingresses of different versions compare.
+// String returns the text of a booking for digests. It has the length of the period in whole seconds, but not its
+// start. It must not change, because ingresses of different versions compare digests.
 func (b Booking) String() string {
 	return fmt.Sprintf("%s: %g units for %s over %.0f s", b.ID, b.Units, b.Member, b.To-b.From)
 }
 
-// Digest returns a short hash of the whole content of a revision, including its number. Equal revisions have equal
-// digests.
+// Digest returns a short hash of all fields of a revision, of a booking those in Booking.String. Equal revisions have
+// equal digests. So do revisions that differ only in the start of a booking.
 func (r *Revision) Digest() string {
 	h := fnv.New64a()
 	fmt.Fprint(h, r.Number, r.EffectiveAt, r.Authority, r.BookableRate)
--- a/internal/standalone/plans/state.go
+++ b/internal/standalone/plans/state.go
@@ -187,7 +187,8 @@
 	return due
 }
 
-// differsFor reports whether a member's terms may differ from those in an earlier revision, which may be nil.
+// differsFor reports whether a member's terms may differ from those in an earlier revision, which may be nil. It does
+// not compare bookings, so it returns true for a member that has one in either revision.
 func (c *compiledRevision) differsFor(member string, before *compiledRevision) bool {
 	plan := c.Members[member]
 	if before == nil || before.Members[member] != plan {
