--- a/internal/standalone/node/catalogue.go
+++ b/internal/standalone/node/catalogue.go
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// startAnnouncer makes revisions take effect only once the holder of the catalogue's lease has announced them. If
-// there is no record of an announced revision yet, the revisions of this ingress's own file are applied until then.
+// startAnnouncer makes revisions take effect only once the holder of the catalogue's lease has announced them. If the
+// state folder has no announced revision, the revisions of this ingress's own file apply until one is announced.
 func (n *Node) startAnnouncer(ctx context.Context, first []plans.Revision) {
 	folder, read := n.stateFolder(0), false
 	n.announcer, read = n.leases.StartAnnouncer(ctx, leaseservice.AnnouncerOptions{
--- a/internal/standalone/node/fleetcalls.go
+++ b/internal/standalone/node/fleetcalls.go
@@ -31,7 +31,7 @@
 			return false, nil
 		}
 		return jsonAnswer(n.announcer.Status())
-	case "STATE": // STATE [MEMBER]: shared quotas, and servers that enough ingresses find unhealthy
+	case "STATE": // STATE [CUSTOMER]: shared quotas of one or all customers, and servers that enough ingresses warn of
 		if n.quotaSync == nil {
 			return false, nil
 		}
--- a/internal/standalone/node/node_test.go
+++ b/internal/standalone/node/node_test.go
@@ -141,19 +141,20 @@
 		"basic of 1, beyond false, unknown false": 2,
 		"plus of 2, beyond false, unknown false":  3,
 	}
-	if diff := cmp.Diff(want, attemptsByPlan(t, usageDir)); diff != "" {
+	if diff := cmp.Diff(want, requestsByPlan(t, usageDir)); diff != "" {
 		t.Errorf("billed (-want +got):\n%s", diff)
 	}
 }
 
-// attemptsByPlan adds up the attempts in a folder of usage records.
-func attemptsByPlan(t *testing.T, dir string) map[string]int64 {
+// requestsByPlan adds up the requests in a folder of usage records, by plan, revision and whether they were over quota
+// or have an unknown arrival.
+func requestsByPlan(t *testing.T, dir string) map[string]int64 {
 	t.Helper()
 	segments, err := usagesegment.List(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	replayer, attempts := usage.Replayer{}, map[string]int64{}
+	replayer, counts := usage.Replayer{}, map[string]int64{}
 	for _, segment := range segments {
 		header, data, err := usagesegment.Read(segment.Path)
 		if err != nil {
@@ -165,10 +166,10 @@
 		}
 		for _, r := range tally.Rows() {
 			key := fmt.Sprintf("%s of %d, beyond %v, unknown %v", r.Plan, r.Revision, r.OverQuota, r.Unknown)
-			attempts[key] += r.Requests
+			counts[key] += r.Requests
 		}
 	}
-	return attempts
+	return counts
 }
 
 func TestReloadAppliesPlansAndServers(t *testing.T) {
@@ -225,7 +226,7 @@
 	}
 }
 
-// Start must return an error that names the resource that cannot be opened, and must leave nothing open.
+// Start must return an error that names the resource that cannot be opened.
 func TestStartFails(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "file")
--- a/internal/standalone/node/reload.go
+++ b/internal/standalone/node/reload.go
@@ -35,8 +35,10 @@
 	n.reloadClasses(c)
 	n.config.SettingsRaw = c.SettingsRaw
 	if n.fleet != nil {
-		if err := n.fleet.Reload(); err != nil { // reads the key file, which config has just read without an error
-			return err // only if the file has changed since then
+		// This reads the key file that was configured at the start. If c names the same file, package config has just
+		// read it without an error, so this fails only if the file has changed since then.
+		if err := n.fleet.Reload(); err != nil {
+			return err
 		}
 	}
 	if c.Static {
--- a/internal/standalone/node/usage.go
+++ b/internal/standalone/node/usage.go
@@ -26,8 +26,8 @@
 )
 
 // startUsage records usage and, if the configuration has an endpoint, exports it. While an older process of this
-// ingress is running, it writes to the secondary folder, which billing treats as another source. The records that the
-// older process leaves in the configured folder are exported once that process has ended.
+// ingress is running, it writes to the secondary folder, which billing treats as another source. exportLeftovers
+// exports records that the older process leaves in the configured folder.
 func (n *Node) startUsage(ctx context.Context) error {
 	writer, dir, otherDir, err := n.openUsageDir()
 	if err != nil {
@@ -136,7 +136,9 @@
 }
 
 // exportLeftovers exports the records that another process of this ingress left in its folder, once that process has
-// ended. It may be an older process, or a newer one that was killed during an upgrade.
+// ended. It may be an older process, or a newer one that was killed during an upgrade. The first check that finds any
+// segment tries to export the folder, which fails while the other process has it locked. Later checks try again only if
+// a segment is open, which is so while that process runs and after it was killed, but not after it closed its segments.
 func (n *Node) exportLeftovers(ctx context.Context, dir string) {
 	isOpen := func(s usagesegment.Info) bool { return s.Open }
 	for first := true; ; {
