--- a/internal/standalone/config/config.go
+++ b/internal/standalone/config/config.go
@@ -17,7 +17,7 @@
 	Counter   string // empty: there is no counter
 	Mgmt      string // management address, for operators only; empty: none
 	State     string // folder for state that outlives a process; the processes of an upgrade share it; empty: none
-	Seed      uint64
+	Seed      uint64 // seed of the random choices of this ingress
 	Limits    Limits
 	Known     *discovery.List // initial endpoint list; nil: none
 	Settings  decision.Settings
@@ -59,9 +59,10 @@
 	Keep     time.Duration // retention of segments after they are acknowledged
 }
 
-// Limits are the resources of the machine that the ingress may use. Zero means the default of node.Tune.
+// Limits are the resources of the machine that the ingress may use. Zero means the default of node.Tune, which for
+// Cores is that of the Go runtime.
 type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Cores    float64 `json:"cores"`     // CPU cores; may be a fraction
+	MemoryMB int     `json:"memory_mb"` // in units of 2^20 bytes
+	Sockets  int     `json:"sockets"`   // open sockets, of which clients and backends get shares
 }
--- a/internal/standalone/config/fuzz_test.go
+++ b/internal/standalone/config/fuzz_test.go
@@ -89,7 +89,7 @@
 }
 `))
 	f.Add([]byte("listen = "))
-	f.Add([]byte("listen = 9e99999999\nname = \"a${-8e-88888888}\"\n")) // hung: the library wrote out every digit
+	f.Add([]byte("listen = 9e99999999\nname = \"a${-8e-88888888}\"\n")) // see TestHugeNumbersAreRejected
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if c, err := ParseFile("f.hcl", text); err == nil && len(c.Settings.Classes) > 0 {
 			decide(c)
@@ -97,6 +97,8 @@
 	})
 }
 
+// A number with a huge exponent must be rejected with its line. The HCL library writes out every digit when it converts
+// a number to text, so that a start or a reload would hang.
 func TestHugeNumbersAreRejected(t *testing.T) {
 	for _, text := range []string{"listen = 9e99999999\n", "name = \"a\"\nlisten = \"${1 + 2e-99999999}\"\n"} {
 		_, err := ParseFile("f.hcl", []byte(text))
--- a/internal/standalone/config/hcl.go
+++ b/internal/standalone/config/hcl.go
@@ -118,7 +118,8 @@
 	return ParseFile(path, text)
 }
 
-// ParseFile parses the text of an HCL configuration. The name is the path for errors and for relative paths.
+// ParseFile parses the text of an HCL configuration. The name is the path of the file, which errors state. Relative
+// paths of the catalogue, the usage records and the key file are resolved against its folder.
 func ParseFile(name string, text []byte) (*Config, error) {
 	var form hclConfig
 	file, err := hclfile.Parse(name, text, &form)
--- a/internal/standalone/config/hclfleet.go
+++ b/internal/standalone/config/hclfleet.go
@@ -12,7 +12,9 @@
 )
 
 const (
-	maxNameBytes = 64 // maximum length of the name of a fleet or a member; bounds messages, which contain it
+	// maxNameBytes is the maximum length of the name of a fleet or a member. It bounds messages, which contain the
+	// names. The error text of checkVoters repeats it.
+	maxNameBytes = 64
 
 	// The interval between health checks of members is bounded, because a short one causes load and a long one delays
 	// the detection of failures.
@@ -23,7 +25,8 @@
 	defaultCounterTimeout = 50 * time.Millisecond // for a reply of the counter
 )
 
-// readFleet reads the size of the fleet, the number of this ingress in it, and the counter that ingresses share.
+// readFleet reads the size of the fleet, the number of this ingress in it, its membership, and the counter that
+// ingresses share.
 func (h *hclConfig) readFleet(file *hclfile.File, c *Config) error {
 	c.Settings.Gateways = 1
 	if h.Fleet != nil {
--- a/internal/standalone/config/hclpolicy.go
+++ b/internal/standalone/config/hclpolicy.go
@@ -51,6 +51,7 @@
 	return nil
 }
 
+// readDurations reads the durations of the rules block. Those that the file omits get the defaults listed here.
 func (r *rulesBlock) readDurations(file *hclfile.File, s *decision.Settings) error {
 	for _, d := range []struct {
 		key, text    string
--- a/internal/standalone/hclfile/hclfile.go
+++ b/internal/standalone/hclfile/hclfile.go
@@ -105,8 +105,8 @@
 	return nil, 0
 }
 
-// Duration parses a duration such as "250ms" or "1m30s". An empty text means the default value. The path is where
-// an error is reported.
+// Duration parses a duration such as "250ms" or "1m30s", which must not be negative. An empty text means the default
+// value. The path is where an error is reported.
 func (f *File) Duration(path, text string, defaultValue time.Duration) (time.Duration, error) {
 	if text == "" {
 		return defaultValue, nil
