--- a/internal/standalone/counterclient/pipeline.go
+++ b/internal/standalone/counterclient/pipeline.go
@@ -20,8 +20,8 @@
 	maxPendingCalls  = 1024                   // unanswered calls on one connection; more are refused, to bound memory
 	dialTimeout      = 250 * time.Millisecond // for one attempt to connect
 	reconnectDelay   = 100 * time.Millisecond // after a failure, so that the counter is not dialed in a tight loop
-	pingInterval     = 2 * time.Second        // idle time before a ping; the counter allows 10 s or less
-	silenceTimeout   = time.Second            // for a reply; a machine that fails leaves its connections open
+	pingInterval     = 2 * time.Second        // idle time before a ping; the counter's idle timeout is 10 s or less
+	silenceTimeout   = time.Second            // for a reply; a machine that fails does not close its connections
 	readBufferLength = 1024                   // bytes; no valid line of the counter is longer
 )
 
@@ -167,7 +167,8 @@
 	return c
 }
 
-// check pings idle connections, so that the counter does not close them, and ends silent and retired ones.
+// check pings idle connections, so that the counter does not close them, and ends silent and retired ones. A connection
+// is silent if both its oldest call and its last reply are older than silenceTimeout.
 func (p *pipeline) check(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
