--- a/internal/standalone/catalogue/watcher.go
+++ b/internal/standalone/catalogue/watcher.go
@@ -21,7 +21,7 @@
 	lastError error // error of the last read; nil if it succeeded
 }
 
-// Run reads the file, and reads it again whenever it is replaced, until the context ends.
+// Run reads the file, and reads it again after each change other than of its permissions, until the context ends.
 func (w *Watcher) Run(ctx context.Context) error {
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
--- a/internal/standalone/discovery/connection.go
+++ b/internal/standalone/discovery/connection.go
@@ -90,10 +90,10 @@
 	request := append([]byte("GET "), target...)
 	request = append(request, " HTTP/1.1\r\nHost: discovery\r\n\r\n"...)
 	// While discovery is down it is silent, and when it is back it answers the queued calls at once. An ingress that
-	// waits between two calls at that moment gets no answer: in the test run "herd" with 300 ingresses, changes that
-	// were available but unread made ingresses send new requests to draining servers 1,500 times. A call that times out
-	// and is repeated goes to the end of the queue. So the timeout of a call includes the delay that would otherwise
-	// follow it.
+	// waits between two calls at that moment gets no answer, and learns of changes too late. In the test run "herd"
+	// with 300 ingresses, such ingresses sent new requests to draining servers 1,500 times. A call that times out and
+	// is repeated goes to the end of the queue. So the timeout of a call includes the delay that would otherwise follow
+	// it.
 	timeout := cmp.Or(w.replyTimeout, silenceTimeout) + time.Duration(w.backoff.Length()*float64(time.Second))
 	conn.SetDeadline(time.Now().Add(timeout))
 	if _, err := conn.Write(request); err != nil {
--- a/internal/standalone/discovery/watcher.go
+++ b/internal/standalone/discovery/watcher.go
@@ -24,7 +24,7 @@
 	// fell silent, of which silenceTimeout takes 3 s.
 	silentReconnectWindow = 2.0
 
-	maxListBytes = 4 << 20 // bytes of a list or a line of the watch; bounds the memory that discovery can make it use
+	maxListBytes = 4 << 20 // bytes of a list or a line of the watch; bounds the memory of the ingress
 
 	rngStream = 2 // separates the watcher's random numbers from those of other users of the seed
 )
