--- a/internal/standalone/usageexport/verify.go
+++ b/internal/standalone/usageexport/verify.go
@@ -9,7 +9,7 @@
 
 // maxRequestSegments is the greatest number of segments between the one with the start of a request and the one that
 // adds the request to the bill. A request without an end is billed, with unknown arrival, about ten minutes after its
-// start, and segments are closed about once a minute.
+// start, and segments are closed about once a minute with the default rotation.
 const maxRequestSegments = 12
 
 // Verification is the outcome of Verify.
--- a/internal/standalone/usagesegment/run.go
+++ b/internal/standalone/usagesegment/run.go
@@ -54,7 +54,7 @@
 		w.addSpare()
 	}
 	if current == nil || len(filled) > 0 {
-		return
+		return // a segment that has just begun is synced from the next iteration on
 	}
 	// Close doesn't wait for this sync and may have closed the file. That error is ignored, because Close syncs the
 	// file itself.
@@ -65,8 +65,9 @@
 	}
 }
 
-// rotateSegments begins a new segment if the current one is old, or if there is none and retry is set. It returns the
-// segments to be sealed, the current one, whether a spare segment is needed, and whether the writer is closed.
+// rotateSegments begins a new segment if the current one has records and is old, or if there is none and retry is set.
+// It returns the segments to be sealed, the current one, whether a spare segment is needed, and whether the writer is
+// closed.
 func (w *Writer) rotateSegments(retry bool) (filled []*segmentFile, current *segmentFile, needsSpare, closed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standalone/usagesegment/segment_test.go
+++ b/internal/standalone/usagesegment/segment_test.go
@@ -75,6 +75,8 @@
 	return known, unknown, len(replayer.Pending), missed
 }
 
+// TestSegmentsHoldAllRecords writes from several goroutines beyond the size of a segment. No record may be lost or
+// counted twice where a segment is full, old or closed.
 func TestSegmentsHoldAllRecords(t *testing.T) {
 	dir, c := t.TempDir(), &fakeClock{at: time.Unix(1_740_000_000, 0)}
 	logger, lines := logtest.Record()
@@ -133,6 +135,8 @@
 	w.Close()
 }
 
+// TestFullDiskStopsMeteringOnly checks that on a full disk Sent does not fail, but counts the request as missed. Once
+// there is space, the sum of the missed requests and the ends that came meanwhile must be recorded.
 func TestFullDiskStopsMeteringOnly(t *testing.T) {
 	dir, c, full := t.TempDir(), &fakeClock{at: time.Unix(1_740_000_000, 0)}, false
 	logger, lines := logtest.Record()
@@ -242,6 +246,8 @@
 	}
 }
 
+// TestPartialRecordIsTruncated checks that the next start cuts off a record that a power loss left incomplete, and
+// keeps the records before it.
 func TestPartialRecordIsTruncated(t *testing.T) {
 	dir := t.TempDir()
 	logger, lines := logtest.Record()
