--- a/internal/standalone/cli/cli_test.go
+++ b/internal/standalone/cli/cli_test.go
@@ -181,7 +181,7 @@
 	plans := []string{"basic", "plus"}
 	arrivals := []usage.Arrival{usage.Arrived, usage.Arrived, usage.Arrived, usage.ArrivalUnknown, usage.NotArrived}
 	for i := range 20 {
-		attempt := w.Sent(usage.Request{
+		seq := w.Sent(usage.Request{
 			Member:    fmt.Sprintf("%016x", i%2),
 			Plan:      plans[i%2],
 			Class:     "quote-read",
@@ -189,7 +189,7 @@
 			OverQuota: i < 4,
 			Minute:    time.Now().Unix() / 60,
 		})
-		w.Ended(attempt, arrivals[i%5])
+		w.Ended(seq, arrivals[i%5])
 	}
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/standalone/cli/fleetleases.go
+++ b/internal/standalone/cli/fleetleases.go
@@ -13,7 +13,8 @@
 	"mulleinrouter/internal/standalone/jsontext"
 )
 
-// voterChangeTimeout is how long the command waits until the voters have agreed on a change of the voters.
+// voterChangeTimeout is how long the command waits until the voters have agreed on a change of the voters. The error
+// text of apply repeats it.
 const voterChangeTimeout = 10 * time.Second
 
 // callLeases is the call of the management protocol that returns the voters, the leases and their history.
--- a/internal/standalone/cli/plans.go
+++ b/internal/standalone/cli/plans.go
@@ -205,6 +205,7 @@
 			return err
 		}
 	}
+	// The start in the file has precedence over --in, and --holds over both.
 	if next.EffectiveAt == 0 || pa.Holds != "" {
 		if next.EffectiveAt, err = pa.time(); err != nil {
 			return err
--- a/internal/standalone/cli/usageshow.go
+++ b/internal/standalone/cli/usageshow.go
@@ -77,8 +77,8 @@
 	return t.Flush()
 }
 
-// usageSum is the sum of the rows with one name: the number of attempts, and their units within the quota, beyond it,
-// and with unknown arrival.
+// usageSum is the sum of the rows with one name. Tries is the number of requests, each counted once, however many
+// attempts it had. The other fields are their units within the quota, beyond it, and with unknown arrival.
 type usageSum struct {
 	Name    string  `json:"Name"`
 	Tries   int64   `json:"Tries"`
--- a/internal/standalone/cli/usageverify.go
+++ b/internal/standalone/cli/usageverify.go
@@ -18,11 +18,11 @@
 	ArrivalUnknown usageTotal `json:"arrivalUnknown"` // not in Billed
 	NotRecorded    usageTotal `json:"notRecorded"`    // could not be recorded because the disk was full
 	NotExported    usageTotal `json:"notExported"`    // not yet in a batch
-	InFlight       int        `json:"inFlight"`       // attempts that have not ended
+	InFlight       int        `json:"inFlight"`       // requests that have not ended
 	Problems       []string   `json:"problems"`       // empty: no problem was found
 }
 
-// usageTotal is a number of attempts and the sum of their units.
+// usageTotal is a number of requests and the sum of their units. A request counts once, however many attempts it had.
 type usageTotal struct {
 	Units float64 `json:"units"`
 	Tries int64   `json:"tries"`
--- a/internal/standalone/simprotocol/host_test.go
+++ b/internal/standalone/simprotocol/host_test.go
@@ -47,6 +47,7 @@
 	}
 }
 
+// The gateways of a process stand for separate ingresses, so the reply for one must not depend on events of another.
 func TestInstancesShareNothing(t *testing.T) {
 	request := `{"Ts":2,"frame":2,"groups":[{"I":%d,"events":[["SUBMIT",1,"read","p","k",2,1,1,0,0]]}]}`
 	alone := serve(t, fmt.Sprintf(start, 1), fmt.Sprintf(request, 1))
