--- a/cmd/emulator/errors.go
+++ b/cmd/emulator/errors.go
@@ -6,7 +6,7 @@
 // is exceeded.
 var errPlanDoesNotFit = errors.New("the plan does not fit")
 
-// unusableFileError wraps the error of a file or fault schedule from the command line that cannot be used. It ends the
+// unusableFileError wraps the error of a file, a fault schedule or a cost model that cannot be used. It ends the
 // program with exitUnusableFile.
 type unusableFileError struct{ error }
 
--- a/internal/standalone/cli/errors.go
+++ b/internal/standalone/cli/errors.go
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// Errors of commands. Their texts are the last line of the program's output.
+// Errors of commands. The program prints their texts as the last line of its output, except that a line about --help
+// follows those of an invalid command line.
 var (
 	// Errors of commands that completed with a negative result.
 	errViolated             = errors.New("a rule is broken")
--- a/internal/standalone/config/config.go
+++ b/internal/standalone/config/config.go
@@ -55,8 +55,8 @@
 type Usage struct {
 	Dir      string
 	Endpoint string        // URL to which batches are sent; empty: none
-	Rotate   time.Duration // age at which a segment is closed, after which it can be exported
-	Keep     time.Duration // retention of segments after they are acknowledged
+	Rotate   time.Duration // age at which a segment with records is closed, after which it can be exported
+	Keep     time.Duration // how long acknowledged segments are kept after their last write
 }
 
 // Limits are the resources of the machine that the ingress may use. Zero means the default of node.Tune, which for
--- a/internal/standalone/discovery/errors.go
+++ b/internal/standalone/discovery/errors.go
@@ -19,7 +19,7 @@
 	errWatchSilent = errors.New("cannot read the watch")
 )
 
-// codeSilent is the log code of a call or a watch that timed out.
+// codeSilent is the log code of a connect, a call or a watch that timed out.
 const codeSilent = "discovery-silent"
 
 // logCode returns the log code for the end of a connection.
--- a/internal/standalone/discovery/watcher.go
+++ b/internal/standalone/discovery/watcher.go
@@ -42,7 +42,7 @@
 	// unknown, and only random delays spread the calls of the ingresses.
 	Rank func() (rank, live int)
 
-	replyTimeout time.Duration // for the head of a response and for the complete list; 0 means silenceTimeout
+	replyTimeout time.Duration // for the head of a response and for the complete list, see get; 0 means silenceTimeout
 	watchTimeout time.Duration // for the next line of the watch; 0 means silenceTimeout
 	rev          int64         // revision of the last list
 	hasList      bool          // rev is a revision of the present address, from which a watch can continue
@@ -122,7 +122,8 @@
 	if code == codeSilent {
 		// A watch that fell silent is reopened soon, before the ingress is expected to know the changes that it missed.
 		// A call that timed out is repeated at once, because it has already waited for the backoff time (see get) and
-		// has lost its position in discovery's queue.
+		// has lost its position in discovery's queue. A connect that timed out is also repeated at once, although it
+		// has waited only for dialTimeout.
 		if errors.Is(err, errWatchSilent) {
 			return rng.Float64() * min(w.backoff.Length(), silentReconnectWindow)
 		}
--- a/internal/standalone/hclfile/errors.go
+++ b/internal/standalone/hclfile/errors.go
@@ -68,7 +68,7 @@
 	return e
 }
 
-// rank returns 0 for an unknown key and 1 for any other diagnostic.
+// rank returns 0 for an unknown key or block and 1 for any other diagnostic.
 func rank(d *hcl.Diagnostic) int {
 	if strings.HasPrefix(d.Summary, "Unsupported") {
 		return 0
--- a/internal/standalone/hotrestart/doc.go
+++ b/internal/standalone/hotrestart/doc.go
@@ -4,5 +4,5 @@
 // connections to the newer one, and closes its listener once the queue is empty.
 //
 // It imports only golang.org/x/sys/unix and holds no state, because the listener belongs to the caller. The tests in
-// hotrestart_test.go use loopback; packages node and emulator/faulttest test whole processes.
+// hotrestart_test.go use loopback; those of cmd/mulleinrouter upgrade whole processes.
 package hotrestart
