--- a/internal/standalone/config/config.go
+++ b/internal/standalone/config/config.go
@@ -17,7 +17,7 @@
 	Counter   string // empty: there is no counter
 	Mgmt      string // management address, for operators only; empty: none
 	State     string // folder for state that outlives a process; the processes of an upgrade share it; empty: none
-	Seed      uint64
+	Seed      uint64 // seed of the random choices of this ingress
 	Limits    Limits
 	Known     *discovery.List // initial endpoint list; nil: none
 	Settings  decision.Settings
@@ -55,13 +55,14 @@
 type Usage struct {
 	Dir      string
 	Endpoint string        // URL to which batches are sent; empty: none
-	Rotate   time.Duration // age at which a segment is closed, after which it can be exported
-	Keep     time.Duration // retention of segments after they are acknowledged
+	Rotate   time.Duration // age at which a segment with records is closed, after which it can be exported
+	Keep     time.Duration // how long acknowledged segments are kept after their last write
 }
 
-// Limits are the resources of the machine that the ingress may use. Zero means the default of node.Tune.
+// Limits are the resources of the machine that the ingress may use. Zero means the default of node.Tune, which for
+// Cores is that of the Go runtime.
 type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Cores    float64 `json:"cores"`     // CPU cores; may be a fraction
+	MemoryMB int     `json:"memory_mb"` // in units of 2^20 bytes
+	Sockets  int     `json:"sockets"`   // open sockets, of which clients and backends get shares
 }
