--- a/internal/emulator/modelcheck/alphabet.go
+++ b/internal/emulator/modelcheck/alphabet.go
@@ -78,7 +78,7 @@
 	eventDrainEnds   = "patience" // the drain ends: the process cancels the remaining attempts
 )
 
-// alphabet lists every kind of event. A run reports which part of the pairs of kinds it has covered.
+// alphabet lists every kind of event. A run reports how many pairs of kinds it has covered (Result.Pairs).
 var alphabet = []string{
 	eventConnects, eventDialFails, eventCancelLands,
 	eventLastByte, eventBreaksHolding, eventSpeaksHolding,
--- a/internal/emulator/modelcheck/attempt.go
+++ b/internal/emulator/modelcheck/attempt.go
@@ -22,7 +22,7 @@
 	client    *client
 	backend   string
 	deadline  decision.Seconds
-	conn      *connection // nil until one is reserved or being opened
+	conn      *connection // nil until one has been taken from the pool or is being opened
 	stage     attemptStage
 	cancelled bool
 	// slowAfter is the time after writtenAt at which the pool asks whether to abandon the attempt. 0 means that it
--- a/internal/emulator/modelcheck/checker_test.go
+++ b/internal/emulator/modelcheck/checker_test.go
@@ -19,12 +19,13 @@
 	t.Logf("%d orderings, %d steps, %d kinds of states", r.Orderings, r.Steps, r.States)
 	t.Logf("%d of %d pairs", r.Pairs, r.AllPairs)
 	if r.Orderings < 10_000 || r.States < 500 {
-		t.Errorf("got %d orderings and %d kinds of states, want 10000 and 500", r.Orderings, r.States)
+		t.Errorf("got %d orderings and %d kinds of states, want at least 10000 and 500", r.Orderings, r.States)
 	}
 }
 
 // TestEveryEventHappens checks that every kind of event happens in some world. With kinds that never happen, a run
-// would cover less than its alphabet suggests.
+// would cover less than its alphabet suggests. It follows every first event, and later events only of kinds not seen
+// before.
 func TestEveryEventHappens(t *testing.T) {
 	seen := map[string]bool{}
 	var explore func(config Config, choices []int, depth int)
--- a/internal/emulator/modelcheck/client.go
+++ b/internal/emulator/modelcheck/client.go
@@ -31,8 +31,8 @@
 
 	finished       bool
 	status         string
-	answers        int
-	finalDecisions int
+	answers        int // number of answers that the client has received
+	finalDecisions int // number of decisions that end the request; a served answer counts as one
 
 	possibleExecutions int // number of attempts that a server may have run
 }
--- a/internal/emulator/modelcheck/client_explorer.go
+++ b/internal/emulator/modelcheck/client_explorer.go
@@ -95,7 +95,7 @@
 	}
 	events := []clientEvent{
 		{"second", func(cc *clientConnection) { cc.passTime(1) }},
-		{"while", func(cc *clientConnection) { cc.passTime(4) }},
+		{"while", func(cc *clientConnection) { cc.passTime(4) }}, // longer than maxWait
 		{"room", (*clientConnection).evict},
 	}
 	if cc.keepOpen {
--- a/internal/emulator/modelcheck/config.go
+++ b/internal/emulator/modelcheck/config.go
@@ -74,7 +74,7 @@
 	return strings.Join(conditions, " ")
 }
 
-// ParseConfig parses the text form of a config. It returns an UnknownConditionError or ErrServerCount.
+// ParseConfig parses the text form of a config. Its error is an UnknownConditionError or ErrServerCount.
 func ParseConfig(text string) (Config, error) {
 	var c Config
 	flags := c.flags()
--- a/internal/emulator/modelcheck/errors.go
+++ b/internal/emulator/modelcheck/errors.go
@@ -23,4 +23,4 @@
 // UnknownEventError reports a line of a trace that names no event of the alphabet.
 type UnknownEventError struct{ Event string }
 
-func (ue UnknownEventError) Error() string { return fmt.Sprintf("no event %q", ue.Event) }
+func (ue UnknownEventError) Error() string { return fmt.Sprintf("unknown event %q", ue.Event) }
--- a/internal/emulator/modelcheck/events.go
+++ b/internal/emulator/modelcheck/events.go
@@ -94,7 +94,7 @@
 }
 
 // mayRetry reports whether a client may send its request again. Only a client that was rejected or has disconnected
-// may, once.
+// may, once, and not during a drain of the process.
 func (w *world) mayRetry(c *client) bool {
 	return c.finished &&
 		!c.retried &&
@@ -143,7 +143,7 @@
 	return events
 }
 
-// takeAddress lists a new server at the address of a server, and moves that server to another address.
+// takeAddress lists a new server at the address of s, and moves s to another address.
 func (w *world) takeAddress(s *server) {
 	id := fmt.Sprint("n", len(w.servers))
 	w.servers = append(w.servers, &server{id: id, address: s.address, listed: true, serving: true})
--- a/internal/emulator/modelcheck/explorer.go
+++ b/internal/emulator/modelcheck/explorer.go
@@ -63,6 +63,7 @@
 			ex.jobs = append(ex.jobs, job{config: config, first: first})
 		}
 		if options.Random > 0 {
+			// 1000 exceeds the number of worlds, so that no two values of options.Seed share the seed of a job.
 			seed := options.Seed*1000 + uint64(i)
 			ex.jobs = append(ex.jobs, job{config: config, random: true, seed: seed})
 		}
--- a/internal/emulator/modelcheck/properties.go
+++ b/internal/emulator/modelcheck/properties.go
@@ -11,11 +11,13 @@
 
 // The names of the properties of requests, attempts and connections to servers. Traces store them.
 const (
-	// propertyLegal: no state machine receives an event for which its state has no transition.
+	// propertyLegal: no state machine receives an event for which its state has no transition, and the phase of a
+	// request says whether an attempt is in flight.
 	propertyLegal = "legal"
 	// propertyOneAnswer: a client gets one answer, and its request one final decision.
 	propertyOneAnswer = "one-answer"
-	// propertyInTime: a request is answered by its deadline, and no attempt is allowed to take longer.
+	// propertyInTime: a request is answered at most answerSlack after its deadline, and no attempt may take longer than
+	// the deadline.
 	propertyInTime = "in-time"
 	// propertyAnsweredAtEnd: no request finishes without a final decision.
 	propertyAnsweredAtEnd = "given-up-is-answered"
@@ -37,9 +39,11 @@
 	propertyAbandonedResumes = "given-up-goes-on"
 	// propertyDisconnectCancels: the attempt of a client that disconnected is cancelled.
 	propertyDisconnectCancels = "left-is-cancelled"
-	// propertyDraining: no request is sent to a server that is known to drain.
+	// propertyDraining: no attempt begins at a server that is known to drain, and no last byte is sent to a server more
+	// than drainGrace after that server was listed as draining or removed.
 	propertyDraining = "drained"
-	// propertyRemoved: no request is sent to a server that was removed from the endpoint list, nor to its old address.
+	// propertyRemoved: no attempt begins at a server that was removed from the endpoint list, nor at an address that
+	// its server no longer has.
 	propertyRemoved = "nothing-new-to-the-gone"
 	// propertyExclusive: a connection carries one request at a time.
 	propertyExclusive = "one-request-on-a-connection"
@@ -71,7 +75,7 @@
 // checkInvariants checks the properties that must hold between events.
 func (w *world) checkInvariants() {
 	if w.applying {
-		return
+		return // the dispatcher is ahead of the effects that are still to be carried out
 	}
 	for _, c := range w.clients {
 		w.checkClient(c)
--- a/internal/emulator/modelcheck/schedule.go
+++ b/internal/emulator/modelcheck/schedule.go
@@ -14,7 +14,7 @@
 )
 
 // runToCompletion advances the world without further events until nothing can be pending: timers fire, calls to the
-// counter time out, and attempts end at their deadline or when they were cancelled.
+// counter time out, streamed answers end, and attempts end at their deadline or when they were cancelled.
 func (w *world) runToCompletion() {
 	for end := w.now + requestDeadline + completionTime; w.now < end && len(w.violations) == 0; {
 		for _, c := range w.clients {
@@ -49,8 +49,8 @@
 	return inFlight()
 }
 
-// advance ends the attempts whose deadline has passed, and advances the clock to the next timer or deadline. Then it
-// lets all pending calls to the counter time out, and fires the timers that are due.
+// advance ends the attempts whose deadline has passed, and advances the clock to the next timer or deadline, by
+// clockStep at most. Then it lets all pending calls to the counter time out, and fires the timers that are due.
 func (w *world) advance() {
 	for _, c := range w.clients {
 		if c.attempt != nil && w.now >= c.attempt.deadline-tolerance {
--- a/internal/emulator/modelcheck/trace.go
+++ b/internal/emulator/modelcheck/trace.go
@@ -32,7 +32,7 @@
 	)
 }
 
-// ReadTrace reads the text form of a trace. It returns an UnknownEventError, ErrWorldCount, or an error of ParseConfig.
+// ReadTrace reads the text form of a trace. Its error is an UnknownEventError, ErrWorldCount, or that of ParseConfig.
 func ReadTrace(r io.Reader) (*Trace, error) {
 	t, worlds := &Trace{}, 0
 	for lines := bufio.NewScanner(r); lines.Scan(); {
--- a/internal/emulator/modelcheck/world.go
+++ b/internal/emulator/modelcheck/world.go
@@ -9,21 +9,21 @@
 	"mulleinrouter/internal/decision"
 )
 
-// Limits in the settings of the world, in seconds except for those that count something.
+// Limits in the settings of the world. Times are in seconds.
 const (
 	latencyTarget   = 1.0
-	requestDeadline = 3.0
-	answerSlack     = 0.05
-	drainGrace      = 0.25 // time after a drain is known in which requests may still arrive
-	maxAttempts     = 4
-	maxConnections  = 4
+	requestDeadline = 3.0  // time from the submission of a request
+	answerSlack     = 0.05 // time by which an answer may miss its deadline
+	drainGrace      = 0.25 // time after a server is listed as draining in which a begun request may still be sent
+	maxAttempts     = 4    // attempts of one request
+	maxConnections  = 4    // open connections of the pool
 
 	// tolerance is the allowance for rounding errors of times, in seconds.
 	tolerance = 1e-9
 )
 
 const (
-	customer  = "m"
+	customer  = "m"    // of all requests
 	classRead = "read" // idempotent
 	classSend = "send" // non-idempotent
 
