--- a/internal/emulator/invariants/configuration.go
+++ b/internal/emulator/invariants/configuration.go
@@ -32,7 +32,7 @@
 func (c *checker) checkAcknowledged() {
 	for _, v := range c.Versions {
 		if !v.Valid && v.Acked < Never {
-			c.report(ruleConfig, v.Acked, "%s %08x was acknowledged, and its call is invalid", v.Item, v.Number)
+			c.report(ruleConfig, v.Acked, "%s %08x was acknowledged, but its call is invalid", v.Item, v.Number)
 		}
 	}
 }
@@ -41,7 +41,7 @@
 // closing fault.
 func (c *checker) checkReadBack() {
 	if len(c.ConfigReads) == 0 {
-		c.report(ruleConfig, Never, "nothing was read back at the end")
+		c.report(ruleConfig, Never, "no configuration was read back at the end of the run")
 	}
 	for _, r := range c.ConfigReads {
 		for item, versions := range c.versionsByItem {
@@ -69,11 +69,11 @@
 		}
 	}
 	if acked != nil && acked.Acked < c.Closing && c.Closing < Never {
-		c.report(ruleLost, r.At, "%s reads %s as %s after the closing fault, acknowledged last was %s",
+		c.report(ruleLost, r.At, "%s reads %s back as %s after the closing fault, but %s was acknowledged last",
 			r.Machine, item, describeBody(body, present), acked)
 		return
 	}
-	c.report(ruleConfig, r.At, "%s reads %s back as %s, acknowledged last was %v",
+	c.report(ruleConfig, r.At, "%s reads %s back as %s, but %v was acknowledged last",
 		r.Machine, item, describeBody(body, present), acked)
 }
 
@@ -120,7 +120,7 @@
 
 func (f floor) String() string {
 	if len(f) == 0 {
-		return "no item has one"
+		return "no lowest versions"
 	}
 	var out []string
 	for item, n := range f {
--- a/internal/emulator/invariants/contact.go
+++ b/internal/emulator/invariants/contact.go
@@ -36,8 +36,9 @@
 	return false
 }
 
-// inContact reports whether an edge machine was in contact with the control nodes during a whole period. stretched
-// reports the same, but ignores faults of a minority of the control nodes.
+// inContact reports whether a machine was in contact with the control nodes during a whole period. A fault of the
+// machine, or of control nodes, interrupts the contact until Bounds.Contact after its end. stretched reports the same,
+// but ignores faults of a minority of the control nodes.
 func (c *checker) inContact(machine string, from, to Seconds) (in, stretched bool) {
 	in, stretched = true, true
 	for _, f := range c.Faults {
--- a/internal/emulator/invariants/denied.go
+++ b/internal/emulator/invariants/denied.go
@@ -5,10 +5,10 @@
 	"net/http"
 )
 
-// DENIED tolerates toleratedDenied denied requests in a run, and one more for every deniedShare requests.
+// DENIED tolerates toleratedDenied denied requests in a run, and one more for every requestsPerDenied requests.
 const (
-	toleratedDenied = 5
-	deniedShare     = 500
+	toleratedDenied   = 5
+	requestsPerDenied = 500
 )
 
 // checkDenied checks DENIED: machines in contact do not themselves answer proper requests with a 3xx or 4xx.
@@ -28,7 +28,7 @@
 			first = fmt.Sprintf("%s got %d at %.2f s", a, a.Status, a.Done)
 		}
 	}
-	if denied > toleratedDenied+all/deniedShare {
+	if denied > toleratedDenied+all/requestsPerDenied {
 		c.report(ruleDenied, Never, "%d of %d proper requests were denied, the first of them: %s", denied, all, first)
 	}
 }
--- a/internal/emulator/invariants/departures.go
+++ b/internal/emulator/invariants/departures.go
@@ -9,7 +9,7 @@
 		arrival := &c.Arrivals[i]
 		attempt := c.attemptByID[arrival.ID]
 		if attempt == nil || arrival.Status == http.StatusMisdirectedRequest {
-			continue
+			continue // a server answers 421 to a request for another server, without running it
 		}
 		for _, d := range c.Departures {
 			if c.drained(d, arrival, attempt) {
--- a/internal/emulator/invariants/handling.go
+++ b/internal/emulator/invariants/handling.go
@@ -69,7 +69,7 @@
 	}
 	if required, bound := c.requiredVersions(h, items); bound &&
 		!c.explainable(h, items, required.restrict(h.acceptable)) {
-		c.report(ruleConfig, h.at, "%v: only a version allows it that should have been superseded (%s)", h, required)
+		c.report(ruleConfig, h.at, "%v: only allowed by a version that should have been superseded (%s)", h, required)
 	}
 	startedAt := c.processStart(h.attempt.Edge, h.attempt.Sent)
 	observed := c.observedVersions(h, items, seen, startedAt)
@@ -92,7 +92,7 @@
 // reportUnexplained reports a handling that no acceptable configuration allows.
 func (c *checker) reportUnexplained(h handling, items []string) {
 	if c.explainable(h, items, h.sent) {
-		c.report(ruleConfig, h.at, "%v: only a refused or invalid version allows it", h)
+		c.report(ruleConfig, h.at, "%v: only allowed by a refused or invalid version", h)
 		return
 	}
 	if h.outcome.service != "" {
--- a/internal/emulator/invariants/log.go
+++ b/internal/emulator/invariants/log.go
@@ -89,7 +89,7 @@
 type Version struct {
 	Item    string // section/name
 	Number  uint64
-	Dropped bool
+	Dropped bool    // the version removes the item
 	Valid   bool    // the call that sent it was valid as a whole
 	Sent    Seconds // when it was sent first
 	Acked   Seconds // when the 200 was received; Never if none was
