--- a/internal/emulator/histories/check.go
+++ b/internal/emulator/histories/check.go
@@ -55,14 +55,14 @@
 func holdIntervals(calls []Call) (intervals []holdInterval) {
 	open := map[int]*holdInterval{}
 	end := func(app int, at time.Duration) {
-		if b := open[app]; b != nil {
-			b.to = min(b.to, at)
-			intervals = append(intervals, *b)
+		if interval := open[app]; interval != nil {
+			interval.to = min(interval.to, at)
+			intervals = append(intervals, *interval)
 			delete(open, app)
 		}
 	}
 	for _, c := range calls {
-		b := open[c.App]
+		current := open[c.App]
 		switch {
 		case c.Kind == Release:
 			end(c.App, c.Sent)
@@ -70,8 +70,8 @@
 			if c.Status == http.StatusConflict {
 				end(c.App, c.Received)
 			}
-		case b != nil && c.Received <= b.to && c.Fence == b.fence:
-			b.to = max(b.to, c.Sent+c.Hold)
+		case current != nil && c.Received <= current.to && c.Fence == current.fence:
+			current.to = max(current.to, c.Sent+c.Hold)
 		case c.Kind == Acquire && c.Received < c.Sent+c.Hold:
 			end(c.App, never)
 			open[c.App] = &holdInterval{c.App, c.Fence, c.Received, c.Sent + c.Hold, c.Sent}
@@ -188,7 +188,7 @@
 }
 
 // mergePutAttempts merges the attempts of each put into one operation, from the first time the put was sent to its
-// definite answer. All answers to a put must contain the same revision.
+// definite answer, because the attempts must take effect as a single put. It ignores answers after a definite one.
 func mergePutAttempts(calls []Call) (joined []Call) {
 	slices.SortStableFunc(calls, func(a, b Call) int { return cmp.Compare(a.Sent, b.Sent) })
 	puts := map[string]int{}
--- a/internal/emulator/histories/check_test.go
+++ b/internal/emulator/histories/check_test.go
@@ -104,6 +104,8 @@
 	}
 }
 
+// TestCheckWatches checks that a watch is accepted only if its events have increasing revisions within its range, and
+// include each put in that range with its value.
 func TestCheckWatches(t *testing.T) {
 	puts := map[uint64]string{1: "a", 2: "b", 3: "c"}
 	for _, test := range []struct {
--- a/internal/emulator/histories/workload.go
+++ b/internal/emulator/histories/workload.go
@@ -99,7 +99,7 @@
 	var answer answerBody
 	if status == http.StatusOK || status == http.StatusPreconditionFailed {
 		if err := json.Unmarshal([]byte(text), &answer); err != nil {
-			w.addViolation(fmt.Sprintf("%s %s: %d %s", method, path, status, text))
+			w.addViolation(fmt.Sprintf("%s %s: %d, the answer is not valid JSON: %s", method, path, status, text))
 		}
 	}
 	switch c.Kind {
@@ -120,14 +120,14 @@
 	return c
 }
 
-func (w *Workload) addViolation(wrong string) {
+func (w *Workload) addViolation(description string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.violations = append(w.violations, wrong)
+	w.violations = append(w.violations, description)
 }
 
-// useLock acquires a lock and renews it a few times. Then it releases the lock, or lets the hold time expire as a
-// crashed or stalled application does.
+// useLock acquires a lock and renews it a few times. Then it releases the lock or, in one of three cases, lets the hold
+// time expire as a crashed or stalled application does.
 func (w *Workload) useLock(app int) {
 	path := fmt.Sprint("/locks/l", w.Random(locks))
 	hold := []time.Duration{400, 1500, 4000}[w.Random(3)] * time.Millisecond
@@ -196,7 +196,7 @@
 	path := fmt.Sprintf("/watch/%s?after=%d&waitMs=%d", group, after, watchWait.Milliseconds())
 	status, text := w.send(http.MethodGet, path, "", CallTimeout+watchWait)
 	if status == http.StatusGone {
-		w.addViolation(fmt.Sprintf("watch of %s after %d: 410", group, after))
+		w.addViolation(fmt.Sprintf("watch of %s after %d: got 410, want the events after that revision", group, after))
 	}
 	if status != http.StatusOK {
 		return
@@ -222,7 +222,7 @@
 		w.mu.Unlock()
 		path := fmt.Sprintf("/watch/%s?after=%d&waitMs=0", groupName(n), after)
 		if status, text := w.send(http.MethodGet, path, "", CallTimeout); status != http.StatusOK {
-			w.addViolation(fmt.Sprintf("at the end, %s: %d %s", path, status, text))
+			w.addViolation(fmt.Sprintf("at the end, %s: got %d %s, want 200", path, status, text))
 		}
 	}
 }
