--- a/internal/emulator/capacity/control.go
+++ b/internal/emulator/capacity/control.go
@@ -124,7 +124,7 @@
 }
 
 // controlBounds adds the bounds that are constants in the code of a control node. The description of each names the
-// constant.
+// constant. The plan sets the bound of the first call, by default to transport.MaxControlFrame.
 func (e *estimator) controlBounds(load controlLoad) {
 	counters := e.newDemand()
 	counters.terms = []Term{{Description: "active tenants", UnitCost: 1, Count: load.activeCounters}}
--- a/internal/emulator/costmodel/fixtures.go
+++ b/internal/emulator/costmodel/fixtures.go
@@ -116,11 +116,11 @@
 
 // generate returns n values, each made from its number.
 func generate[T any](n int, one func(i int) T) []T {
-	things := make([]T, n)
-	for i := range things {
-		things[i] = one(i)
+	values := make([]T, n)
+	for i := range values {
+		values[i] = one(i)
 	}
-	return things
+	return values
 }
 
 func tenants(n int) []configuration.Item {
--- a/internal/emulator/costmodel/series.go
+++ b/internal/emulator/costmodel/series.go
@@ -112,7 +112,7 @@
 	}
 	return &FitError{
 		Series:  s.Name,
-		Problem: fmt.Sprintf("cost %g at size %g is not positive and finite", p.Cost, p.Size),
+		Problem: fmt.Sprintf("got cost %g at size %g, need both above 0 and finite", p.Cost, p.Size),
 	}
 }
 
--- a/internal/emulator/scenario/draw.go
+++ b/internal/emulator/scenario/draw.go
@@ -18,6 +18,7 @@
 // and Day.Zero.
 func Draw(seed uint64, one, zero float64) Day {
 	d := drawing{rand.New(rand.NewPCG(seed, coreStream))}
+	// The base of Day.Seed, 1000, differs from that of DrawAny, so that the days of a seed have different seeds.
 	day := Day{Name: fmt.Sprintf("worst-%02d", seed), Seed: 1000 + seed, One: one, Zero: zero}
 	for range 2 + d.IntN(3) {
 		day.Faults = append(day.Faults, d.fault(d.between(firstFault, lastFault), coreFaults))
--- a/internal/emulator/scenario/edge_faults.go
+++ b/internal/emulator/scenario/edge_faults.go
@@ -74,7 +74,7 @@
 		return []string{d.share(0.3, 1), d.gap(0.5, 2)}
 	}},
 	{"reset_conns", 1, func(d drawing) []string {
-		return []string{d.share(0.1, 0.5), d.factor(0.3, 1), d.how([]string{""})}
+		return []string{d.share(0.1, 0.5), d.factor(0.3, 1), d.how([]string{""})} // how is always empty
 	}},
 }
 
