--- a/internal/emulator/costmodel/frames.go
+++ b/internal/emulator/costmodel/frames.go
@@ -13,6 +13,7 @@
 // frameOperations is the number of times that a batch of frames is encoded or decoded in one measurement.
 const frameOperations = 200
 
+// The numbers of items, frames or calls for which bytes and times are measured.
 var (
 	frameByteSizes = []int{1, 4, 16, 64, 256}
 	frameTimeSizes = []int{10, 40, 80, 160, 300}
--- a/internal/emulator/costmodel/gateway.go
+++ b/internal/emulator/costmodel/gateway.go
@@ -14,7 +14,7 @@
 	measureTicks(m)
 }
 
-var gatewayMemorySizes = []int{500, 2000, 8000, 20000, 50000}
+var gatewayMemorySizes = []int{500, 2000, 8000, 20000, 50000} // numbers of servers or of tenants
 
 func measureGatewayMemory(m *meter) {
 	measureHeap(m, heapBenchmark[noBase]{
--- a/internal/emulator/costmodel/gateway_harness.go
+++ b/internal/emulator/costmodel/gateway_harness.go
@@ -47,7 +47,7 @@
 			Value:         1,
 			LateValue:     0.5,
 			MaxAttempts:   2,
-			MaxQueueTime:  0.088,
+			MaxQueueTime:  0.088, // 22 % of LatencyTarget, as in the proxy
 			Effect:        decision.Idempotent,
 		},
 	}
@@ -63,8 +63,8 @@
 	return gh
 }
 
-// harnessSettings returns the settings that the proxy uses, for one of designIngresses gateways. It leaves out
-// FinishNonIdempotent, which the proxy also sets, because decision.Gateway does not use it.
+// harnessSettings returns the settings that the proxy uses, except that Gateways is designIngresses; the proxy starts
+// with 1. It leaves out FinishNonIdempotent, which the proxy also sets, because decision.Gateway does not use it.
 func harnessSettings() decision.Settings {
 	return decision.Settings{
 		Gateways:        designIngresses,
@@ -86,8 +86,8 @@
 		PairCounters:    true,
 		CounterCycle:    1,
 		QuotaTolerance:  decision.QuotaTolerance{Window: 5, Excess: 0.1, Slack: 20},
-		RetryShare:      0.16,
-		RetrySlack:      48,
+		RetryShare:      0.16, // 80 % of the default bound of 0.2, as in the proxy
+		RetrySlack:      48,   // 80 % of the default bound of 60, as in the proxy
 	}
 }
 
--- a/internal/emulator/costmodel/snapshots.go
+++ b/internal/emulator/costmodel/snapshots.go
@@ -9,7 +9,7 @@
 	"mulleinrouter/internal/cluster/transport"
 )
 
-var snapshotSizes = []int{10000, 20000, 40000, 60000, 100000}
+var snapshotSizes = []int{10000, 20000, 40000, 60000, 100000} // numbers of tenants
 
 // measureSnapshots measures the series of the processor time to send, receive, parse and render the complete state.
 func measureSnapshots(m *meter) {
--- a/internal/emulator/costmodel/state_memory.go
+++ b/internal/emulator/costmodel/state_memory.go
@@ -43,7 +43,7 @@
 	},
 }
 
-var itemMemorySizes = []int{2000, 8000, 24000, 60000, 150000}
+var itemMemorySizes = []int{2000, 8000, 24000, 60000, 150000} // numbers of items
 
 // measureStateMemory measures the series of the live heap of each kind of state that a process holds.
 func measureStateMemory(m *meter) {
@@ -131,7 +131,7 @@
 	}
 }
 
-var instanceMemorySizes = []int{2000, 8000, 24000, 60000, 200000}
+var instanceMemorySizes = []int{2000, 8000, 24000, 60000, 200000} // numbers of instances
 
 func measureInstanceMemory(m *meter) {
 	measureHeap(m, heapBenchmark[noBase]{
--- a/internal/emulator/modelcheck/attempt.go
+++ b/internal/emulator/modelcheck/attempt.go
@@ -148,7 +148,8 @@
 	}
 }
 
-// checkSlow does what the pool does when an attempt has become slow: it asks the dispatcher whether to abandon it.
+// checkSlow advances the clock until an attempt counts as slow, and does what the pool does then: it asks the
+// dispatcher whether to abandon the attempt.
 func (w *world) checkSlow(pending *pendingAttempt) {
 	c, conn := pending.client, pending.conn
 	stillPending := w.advanceDuring(pending, pending.writtenAt+pending.slowAfter)
--- a/internal/emulator/modelcheck/config.go
+++ b/internal/emulator/modelcheck/config.go
@@ -102,7 +102,8 @@
 	return c, nil
 }
 
-// Configs returns the worlds that are explored by default.
+// Configs returns the worlds that are explored by default: the basic ones, and further ones with streamed bodies, with
+// odd servers, and with slow dials.
 func Configs() []Config {
 	var all []Config
 	for _, servers := range serverCounts {
@@ -151,8 +152,8 @@
 }
 
 // basicConfigs returns the worlds of one or two requests with each combination of IdleConnection, Sparse and
-// OneConnection. Two requests are not combined with Sparse, because they share the pool and the dispatcher whatever the
-// customer's quota slice is.
+// OneConnection. The second of two requests is always non-idempotent. Two requests are not combined with Sparse,
+// because they share the pool and the dispatcher whatever the customer's quota slice is.
 func basicConfigs(servers int) []Config {
 	var all []Config
 	for bits := range 8 {
