--- a/internal/emulator/modelcheck/attempt.go
+++ b/internal/emulator/modelcheck/attempt.go
@@ -22,7 +22,7 @@
 	client    *client
 	backend   string
 	deadline  decision.Seconds
-	conn      *connection // nil until one is reserved or being opened
+	conn      *connection // nil until one has been taken from the pool or is being opened
 	stage     attemptStage
 	cancelled bool
 	// slowAfter is the time after writtenAt at which the pool asks whether to abandon the attempt. 0 means that it
@@ -148,7 +148,8 @@
 	}
 }
 
-// checkSlow does what the pool does when an attempt has become slow: it asks the dispatcher whether to abandon it.
+// checkSlow advances the clock until an attempt counts as slow, and does what the pool does then: it asks the
+// dispatcher whether to abandon the attempt.
 func (w *world) checkSlow(pending *pendingAttempt) {
 	c, conn := pending.client, pending.conn
 	stillPending := w.advanceDuring(pending, pending.writtenAt+pending.slowAfter)
