--- a/internal/emulator/loopback/attempt.go
+++ b/internal/emulator/loopback/attempt.go
@@ -20,7 +20,7 @@
 const (
 	maxRequestBodyBytes = 3000             // upper limit, not reached, of the size of a request body
 	maxRetryAfter       = 60               // longest wait that a Retry-After field may cause, seconds
-	maxIdleTime         = 14 * time.Second // longest time for which a client keeps an idle connection
+	maxIdleTime         = 14 * time.Second // longest time that a client keeps an idle connection, below IdleTimeoutMs
 
 	// idleMargin is the time in seconds before the peer's idle timeout at which a client stops using a connection, so
 	// that it sends no request while the peer closes the connection.
@@ -59,6 +59,7 @@
 	} else {
 		t.End = endingOf(err)
 	}
+	// A request that the machine has not read was not executed, so it is recorded as one without a connection.
 	if t.End == invariants.Truncated && t.Status == 0 && cl.closedUnread(c.conn, err) {
 		t.End = invariants.NotConnected
 	}
@@ -125,8 +126,8 @@
 	return dialEdge(edge, min(maxConnectTime, left))
 }
 
-// drawMessage encodes an attempt as an HTTP/1.1 request. Some requests claim a tenant in a header field, which the
-// proxy must ignore, and some bodies are chunked.
+// drawMessage encodes an attempt as an HTTP/1.1 request. Some requests claim a tenant and a target instance in header
+// fields, which the proxy must ignore, and some bodies are chunked.
 func drawMessage(t *invariants.Attempt, body []byte, left time.Duration, closing bool, rng *rand.Rand) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", t.Method, t.Target, t.Host)
--- a/internal/emulator/loopback/client.go
+++ b/internal/emulator/loopback/client.go
@@ -11,9 +11,13 @@
 )
 
 const (
-	maxRetries     = 2                     // maximum number of retries after the first attempt
-	initialBackoff = 30 * time.Millisecond // minimum wait before the first retry; it doubles for each further retry
-	minTimeLeft    = 20 * time.Millisecond // minimum time left until the deadline for a retry to be made
+	maxRetries = 2 // maximum number of retries after the first attempt
+
+	// initialBackoff is the minimum wait before the first retry, unless the answer has a Retry-After field. It doubles
+	// for each further retry.
+	initialBackoff = 30 * time.Millisecond
+
+	minTimeLeft = 20 * time.Millisecond // minimum time left until the deadline for a retry to be made
 )
 
 // clientUser is a simulated client in a zone. It may keep one idle connection.
--- a/internal/emulator/loopback/cluster.go
+++ b/internal/emulator/loopback/cluster.go
@@ -58,7 +58,7 @@
 	users      []*clientUser
 
 	serial           atomic.Int64 // last serial number of a server or of a response
-	inFlight         atomic.Int64 // number of requests of clients in progress
+	inFlight         atomic.Int64 // number of requests of clients in progress, without canaries
 	healthChecks     atomic.Int64 // number of health checks that servers received
 	hotTenant        atomic.Pointer[tenant]
 	lastAcknowledger atomic.Pointer[machine] // core node that acknowledged the latest change
@@ -68,12 +68,12 @@
 
 	mu             sync.Mutex // guards the fields below and the links of all machines
 	rng            *rand.Rand
-	servers        []*server
-	edgeHealth     []edgeHealth // by index in edge
-	live           map[*requestClass][]*route
-	canaries       []canary
-	gatewayAnswers map[string]int // number of answers that the gateway itself generated, by status and text
-	diskLost       *machine       // machine that lost its disk last
+	servers        []*server                  // all that were started, also those that have stopped
+	edgeHealth     []edgeHealth               // by index in edge
+	live           map[*requestClass][]*route // routes to which clients send requests
+	canaries       []canary                   // in the order in which they were added
+	gatewayAnswers map[string]int             // number of answers that the gateway itself generated, by status and text
+	diskLost       *machine                   // machine that lost its disk last
 	diskLostAt     invariants.Seconds
 }
 
--- a/internal/emulator/loopback/configfaults.go
+++ b/internal/emulator/loopback/configfaults.go
@@ -64,7 +64,7 @@
 	return r.itemOf(body)
 }
 
-// removeRoute removes a route, after the clients have stopped using it.
+// removeRoute removes a route. Clients choose it for no further request once the removal is submitted.
 func (cl *cluster) removeRoute(removed *route) {
 	c := removed.class
 	cl.mu.Lock()
--- a/internal/emulator/loopback/errors.go
+++ b/internal/emulator/loopback/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// ErrMachineCount is returned for options with no machines of a kind, or with more than the loopback addresses allow.
+// ErrMachineCount is returned for options with no machines of a kind, or with more than maxMachines.
 var ErrMachineCount = errors.New("the numbers of core machines and of edge machines must each be from 1 to 50")
 
 // ErrNoFreePorts is returned when no consecutive ports were found that are free on the addresses of all machines.
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("%s:%d: %s", se.File, se.Line, se.Problem)
 }
 
-// UnknownFaultError is returned for a schedule that contains neither the name of a fault nor that of a file.
+// UnknownFaultError is returned for a schedule that is not the name of a readable file and lists an unknown fault.
 type UnknownFaultError struct {
 	Name string
 }
--- a/internal/emulator/loopback/faults.go
+++ b/internal/emulator/loopback/faults.go
@@ -9,9 +9,11 @@
 
 // Fault is one entry of a schedule.
 type Fault struct {
-	At     time.Duration // time since the start of the traffic
-	Name   string        // name of a FaultKind
-	Target int           // index, from 0, of the machine, server or tenant among those that the fault can affect
+	At   time.Duration // time since the start of the traffic
+	Name string        // name of a FaultKind
+	// Target is the index, modulo their number, of one of the machines, servers, services or tenants that the fault can
+	// affect. It is not negative.
+	Target int
 }
 
 // linkFaultPrefix is the prefix of the names of faults that cut links.
@@ -25,7 +27,8 @@
 	Help string // description, one line
 }
 
-// faultKind is an entry in the table of faults. inject returns when the fault is over.
+// faultKind is an entry in the table of faults. inject returns when the fault is over, except for parts of the fault
+// that it starts in cluster.faultRuns.
 type faultKind struct {
 	help   string
 	inject func(cl *cluster, target int)
@@ -50,8 +53,8 @@
 	"retire-core": {"a core node is killed and never started again", retireCore},
 	"freeze-core": {"a core node is suspended for 4 s", suspendCore},
 	"cut-core":    {"a core node is cut off from the others for 8 s, and gets calls in that time", partitionCore},
-	"cut-one-way": {"what a core node sends to the others does not arrive for 8 s", partitionCoreOutward},
-	"cut-deaf":    {"what the other core nodes send to one of them does not arrive for 8 s", partitionCoreInward},
+	"cut-one-way": {"messages from a core node to the others are lost for 8 s", partitionCoreOutward},
+	"cut-deaf":    {"messages from the other core nodes to one of them are lost for 8 s", partitionCoreInward},
 	"cut-all": {
 		"a core node is cut off from the others and from all agents for 8 s; an edge machine is restarted meanwhile",
 		partitionCoreFromAll,
@@ -61,20 +64,20 @@
 		partitionCoreAndKill,
 	},
 	"cut-edge": {"an edge machine is cut off from all core nodes for 3 s", partitionEdge},
-	"crash":    {"a server crashes, and another comes", crashServer},
-	"reuse":    {"a server crashes, and its address goes to one of another service", reuseAddress},
+	"crash":    {"a server crashes, and another one starts", crashServer},
+	"reuse":    {"a server crashes, and a server of another service gets its address", reuseAddress},
 	"dark":     {"a server neither executes nor answers requests for 3 s, and sends no heartbeats", blackHoleServer},
 	"release":  {"the servers of a service are replaced, new ones first", releaseService},
 	"scale-in": {"a server announces that it drains, and stops after the drain time", removeServer},
 	"lose":     {"answers are lost after their requests ran", badResponses(loseResponse)},
 	"reset":    {"connections are reset while their requests run", badResponses(resetConn)},
-	"garble":   {"servers send bytes that are no answer", badResponses(garbleResponse)},
+	"garble":   {"servers send bytes that are not an HTTP response", badResponses(garbleResponse)},
 	"cut":      {"answers end in the middle", badResponses(truncateResponse)},
 	"surplus":  {"answers come a second time, late", badResponses(repeatResponse)},
 	"config":   {"the configuration changes a few times", changeConfig},
 	"race":     {"two operators change a route at once, with the same version", raceOperators},
 	"invalid":  {"invalid configurations are sent", sendInvalidConfig},
-	"revoke":   {"a key is taken away, and another given", revokeKey},
+	"revoke":   {"a tenant's API key is replaced by another one", revokeKey},
 	"hot":      {"a tenant sends eight times its usual rate of requests for 6 s", heatTenant},
 }
 
--- a/internal/emulator/loopback/machine.go
+++ b/internal/emulator/loopback/machine.go
@@ -133,7 +133,8 @@
 	endFault(m.cluster.now())
 }
 
-// retire kills the processes of a machine permanently.
+// retire kills the processes of a machine and does not start them again. The recorded fault ends at once, because the
+// cluster must meet its bounds again while the machine is missing.
 func (m *machine) retire() {
 	m.lifecycle.Lock()
 	defer m.lifecycle.Unlock()
--- a/internal/emulator/loopback/machinefaults.go
+++ b/internal/emulator/loopback/machinefaults.go
@@ -78,8 +78,8 @@
 func suspendCore(cl *cluster, target int) { cl.coreAt(target).suspend(suspendTime) }
 
 // wipeDisk erases a core node's disk, if the cluster must tolerate that. The cluster must tolerate the loss of one disk
-// at a time, if it has at least minCoreForWipe core nodes. A loss is over when the machine has had the time of
-// Bounds.CatchUp to catch up with the others.
+// at a time, if it has at least minCoreForWipe core nodes. A loss is over when the machine has been started again and
+// has then had the time of Bounds.CatchUp to catch up with the others.
 func (m *machine) wipeDisk() {
 	recorder := &m.cluster.recorder
 	if !m.cluster.beginDiskLoss(m) {
--- a/internal/emulator/loopback/options.go
+++ b/internal/emulator/loopback/options.go
@@ -8,7 +8,9 @@
 )
 
 const (
-	maxMachines              = 50 // maximum number of machines of a kind, which share one /24 network per zone
+	// maxMachines is the maximum number of machines of a kind. It keeps the addresses of edge machines below those of
+	// core nodes (coreHostOffset), because both share one /24 network per zone.
+	maxMachines              = 50
 	defaultHeartbeatInterval = 1500 * time.Millisecond
 )
 
--- a/internal/emulator/loopback/partition.go
+++ b/internal/emulator/loopback/partition.go
@@ -115,8 +115,8 @@
 }
 
 // queryPartitioned makes the nth call to a partitioned node. It cycles through four kinds of calls, which a core node
-// may acknowledge only while it is in contact with a majority. It returns the status of the answer. Status 0 means that
-// there was no answer, or that the node did not acknowledge a heartbeat.
+// may accept or permanently reject only while it is in contact with a majority. It returns the status of the answer.
+// Status 0 means that there was no answer, or that the node did not acknowledge a heartbeat.
 func (m *machine) queryPartitioned(n int) int {
 	cl := m.cluster
 	o := cl.operator
--- a/internal/emulator/loopback/platform.go
+++ b/internal/emulator/loopback/platform.go
@@ -66,6 +66,7 @@
 // chooseEdge returns the machine to which the platform sends a client's connection (PROTOCOL.md, "How clients arrive").
 // It chooses a machine in rotation from the nearest zone that has one. If less than half of the machines of that zone
 // are in rotation, it chooses any machine of the zone. If no machine at all is in rotation, it chooses any machine.
+// Each further attempt of a request goes to the next one of these machines.
 func (cl *cluster) chooseEdge(u *clientUser, attempt int) *machine {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
--- a/internal/emulator/loopback/ports.go
+++ b/internal/emulator/loopback/ports.go
@@ -33,8 +33,8 @@
 	return p
 }
 
-// choosePorts returns consecutive ports that begin with first. If first is 0, it draws ports that are free on the
-// addresses of all machines.
+// choosePorts returns consecutive ports that are free on the addresses of all machines. They begin with first; if first
+// is 0, choosePorts draws them.
 func choosePorts(first int, rng *rand.Rand, ips []string) (ports, error) {
 	if first == 0 {
 		return drawPorts(rng, ips)
--- a/internal/emulator/loopback/reporttext.go
+++ b/internal/emulator/loopback/reporttext.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// WriteViolations writes the rules that were violated, with the first violations of each.
+// WriteViolations writes the rules that were violated, with the first maxShown violations of each.
 func (r *Report) WriteViolations(w io.Writer) error {
 	if len(r.Violations) == 0 {
 		_, err := fmt.Fprintln(w, "rules broken: none")
--- a/internal/emulator/loopback/run.go
+++ b/internal/emulator/loopback/run.go
@@ -15,7 +15,7 @@
 
 const (
 	startTimeout   = 25 * time.Second      // for all edge machines to be ready and serve every route
-	readinessRetry = 30 * time.Millisecond // between two checks of a machine that is not ready yet
+	readinessRetry = 30 * time.Millisecond // between two checks whether a machine is ready or serves a route
 )
 
 // Run runs a cluster with traffic and faults, and checks the recorded observations. It returns an error if the cluster
--- a/internal/emulator/loopback/schedule.go
+++ b/internal/emulator/loopback/schedule.go
@@ -21,7 +21,7 @@
 // empty text means no faults. Lines of a file have the form "SECONDS NAME [TARGET]", and # begins a comment. For a
 // list, the seed determines the targets and the times, which are between 10% and 70% of the traffic time; the name
 // "any" means a random fault. ParseSchedule returns a *ScheduleError for an invalid line of a file and an
-// *UnknownFaultError for an unknown name.
+// *UnknownFaultError for an unknown name in a list.
 func ParseSchedule(text string, trafficTime time.Duration, seed uint64) ([]Fault, error) {
 	if text == "" {
 		return nil, nil
--- a/internal/emulator/loopback/server.go
+++ b/internal/emulator/loopback/server.go
@@ -36,7 +36,7 @@
 	cluster      *cluster
 	id           string
 	service      string
-	generation   string
+	generation   string // release of the server, which its heartbeats contain
 	zone         string
 	slots        int
 	meanWork     time.Duration // mean execution time of a request at slowness 1
--- a/internal/emulator/loopback/serverconn.go
+++ b/internal/emulator/loopback/serverconn.go
@@ -35,7 +35,8 @@
 	disconnected <-chan struct{} // closed when no further request can be read, mostly because the peer has disconnected
 }
 
-// serveConn answers the requests of one connection sequentially.
+// serveConn answers the requests of one connection sequentially. Another goroutine reads them, so that the end of the
+// connection is noticed while a request is executed.
 func (s *server) serveConn(conn net.Conn) {
 	requests := make(chan serverRequest)
 	disconnected := make(chan struct{})
--- a/internal/emulator/loopback/settings.go
+++ b/internal/emulator/loopback/settings.go
@@ -96,6 +96,7 @@
 		clauses += ",coord" // users of Serve can use locks, numbers and cells
 	}
 	s.set("terms.clauses", clauses)
+	// The cluster tolerates the loss of one core node, if those that remain are a majority.
 	s.set("terms.tolerance.machineLosses", min(1, (len(cl.core)-1)/2))
 }
 
--- a/internal/emulator/loopback/traffic.go
+++ b/internal/emulator/loopback/traffic.go
@@ -9,7 +9,7 @@
 	hotFactor      = 8                     // rate of a hot tenant, as a multiple of its usual rate
 	maxInFlight    = 1500                  // maximum number of requests in progress, without canaries
 	canaryInterval = 80 * time.Millisecond // between two canaries
-	recentCanaries = 6                     // number of latest canaries that are sent
+	recentCanaries = 6                     // number of latest canaries among which the next one is drawn
 )
 
 // canary describes a request whose answer shows which configuration is in force.
