--- a/internal/emulator/faultnet/fault.go
+++ b/internal/emulator/faultnet/fault.go
@@ -13,8 +13,8 @@
 	Jitter time.Duration
 	// Duplicate is the share of datagrams that arrive twice, from 0 to 1.
 	Duplicate float64
-	// Reorder is the share of datagrams and chunks, from 0 to 1, that are delayed by an additional 30 ms, so that later
-	// datagrams overtake them.
+	// Reorder is the share of datagrams and chunks, from 0 to 1, that are delayed by an additional 30 ms. Later
+	// datagrams overtake a delayed one; the chunks of a stream stay in order.
 	Reorder float64
 	// Cut stops all traffic: datagrams are lost, and streams stay open but transfer no data.
 	Cut bool
--- a/internal/emulator/faultnet/links.go
+++ b/internal/emulator/faultnet/links.go
@@ -24,7 +24,8 @@
 	retransmissionDelay = 200 * time.Millisecond
 	// maxRetransmissions limits the retransmissions of one chunk, so that a loss of 1 does not delay it forever.
 	maxRetransmissions = 8
-	// reorderDelay is the additional delay of a datagram or chunk that is to be overtaken by later ones.
+	// reorderDelay is the additional delay of a datagram that is to be overtaken by later ones. Fault.Reorder delays
+	// chunks for the same time, but they stay in order.
 	reorderDelay = 30 * time.Millisecond
 )
 
@@ -175,7 +176,7 @@
 }
 
 // await transfers a chunk and returns true after its delay. While the link is cut, it waits. It returns false as soon
-// as stop delivers a value or is closed.
+// as stop delivers a value or is closed. A chunk of size 0 represents the opening of a stream.
 func await[T any](l *Links, from, to string, size int, stop <-chan T) bool {
 	for {
 		delay, retry := l.Transfer(from, to, size)
--- a/internal/emulator/faultnet/memory.go
+++ b/internal/emulator/faultnet/memory.go
@@ -102,8 +102,8 @@
 }
 
 // DialAddressTimeout opens a stream. It fails if there is no endpoint at the address, if the link in either direction
-// does not transfer data within the timeout, or if the endpoint does not accept the stream by then. Faults that are set
-// later do not affect an open stream.
+// does not transfer data within the timeout, or if the endpoint does not accept the stream by then. Faults affect only
+// the opening of a stream, not the data on an open one.
 func (e *Endpoint) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	expired := time.After(timeout)
 	to := e.network.endpoint(a.Addr)
