--- a/internal/emulator/coordinationsoak/faults.go
+++ b/internal/emulator/coordinationsoak/faults.go
@@ -12,8 +12,8 @@
 const (
 	// restartDelay bounds the random delay after which a killed process is started again.
 	restartDelay = 300 * time.Millisecond
-	// diskLossInterval is the minimum time between two disk losses, after which the node with the earlier loss has
-	// caught up on its new disk.
+	// diskLossInterval is the minimum time between two disk losses, and between the start and the first one. After this
+	// time, the node with the earlier loss has caught up on its new disk.
 	diskLossInterval = 12 * time.Second
 )
 
--- a/internal/emulator/coordinationsoak/node.go
+++ b/internal/emulator/coordinationsoak/node.go
@@ -15,8 +15,8 @@
 	controlPort = 8580            // port of network.bind.controlAddr
 	innerPort   = 7320            // first port of network.innerPortRange
 	graceTime   = 6 * time.Second // time that a process may take to end after SIGTERM, before it is killed
-	// startupTime is the time after its start in which SIGHUP may end a process. A Go program cannot ignore a signal
-	// before its packages are initialized, which takes 5 to 12 ms on an idle processor and longer on a busy one.
+	// startupTime is the time after the start of a process in which SIGHUP may end it. A Go program cannot ignore a
+	// signal before its packages are initialized, which takes 5 to 12 ms on an idle processor and longer on a busy one.
 	startupTime = time.Second
 )
 
@@ -26,11 +26,11 @@
 	dir     string
 	program string
 
-	lifecycle       sync.Mutex // serializes the faults that stop and start the process
-	mu              sync.Mutex // guards the fields below
-	cmd             *exec.Cmd
-	done            chan struct{} // closed once this incarnation has ended
-	endRequested    bool          // whether this incarnation was sent SIGTERM or SIGKILL
+	lifecycle       sync.Mutex    // serializes the faults that stop and start the process
+	mu              sync.Mutex    // guards the fields below
+	cmd             *exec.Cmd     // latest incarnation
+	done            chan struct{} // closed once the latest incarnation has ended
+	endRequested    bool          // whether the latest incarnation was sent SIGTERM or SIGKILL
 	unexpectedExits []error       // errors of incarnations that ended without such a signal
 	hangups         int           // number of incarnations that SIGHUP ended during their startup
 }
@@ -43,8 +43,8 @@
 
 func (n *node) diskPath() string { return filepath.Join(n.dir, "disk") }
 
-// writeSettings writes the settings file. bootstrap is set only for the first start of the cluster, because a node that
-// has lost its disk joins the existing cluster.
+// writeSettings writes the settings file. bootstrap stays set in the file until the node loses its disk. The setting
+// affects only a node without data, and a node that has lost its disk must join the existing cluster instead.
 func (n *node) writeSettings(seeds []string, bootstrap bool) error {
 	lines := []string{
 		"self.nodeName=core-" + n.ip, "self.role=control", "self.machineClass=core", "self.serving=control",
--- a/internal/emulator/coordinationsoak/soak_test.go
+++ b/internal/emulator/coordinationsoak/soak_test.go
@@ -39,8 +39,9 @@
 	return free
 }
 
-// TestSoak runs soaks with real processes. Each takes the duration of its faults, and the time until all nodes have
-// started before them and answer after them.
+// TestSoak runs soaks with real processes. It fails if the answers to the applications are inconsistent, a process ends
+// by itself, panics or has a data race, or a node does not answer after the faults. Each soak takes the duration of its
+// faults, and the time until all nodes have started before them and answer after them.
 func TestSoak(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "control")
 	args := []string{"build", "-o", program}
