--- a/internal/emulator/testcluster/doc.go
+++ b/internal/emulator/testcluster/doc.go
@@ -5,7 +5,7 @@
 //   - options.go: Options, the plans and the members;
 //   - cluster.go: Run, from the start of all fakes and processes to their end;
 //   - ingress.go: the configuration and the start of ingresses and exporters;
-//   - events.go: what happens to the cluster while there is load;
+//   - events.go: changes and faults while there is load;
 //   - load.go: the members' requests;
 //   - evaluation.go: comparison of what clients, quote servers and billing observed;
 //   - report.go: Report, its verdict and its text;
--- a/internal/emulator/testcluster/errors.go
+++ b/internal/emulator/testcluster/errors.go
@@ -12,9 +12,9 @@
 
 // ExitError reports that a process ended before it was ready.
 type ExitError struct {
-	Program string // its path
+	Program string // path of the program
 	Args    []string
-	Log     []byte // what it logged
+	Log     []byte // content of the log file, to which earlier processes may have written too
 }
 
 func (e *ExitError) Error() string {
@@ -25,7 +25,7 @@
 // NotReadyError reports that a process did not log that it is ready within readyTimeout.
 type NotReadyError struct {
 	Args []string
-	Code string // of the log line that was expected
+	Code string // code of the awaited log line
 }
 
 func (n *NotReadyError) Error() string {
--- a/internal/emulator/testcluster/load.go
+++ b/internal/emulator/testcluster/load.go
@@ -31,7 +31,7 @@
 	sentAt     time.Time
 	latency    time.Duration
 	outcome    outcome
-	retryAfter bool // the answer has Retry-After
+	retryAfter bool // it was rejected with Retry-After
 }
 
 // load sends the members' requests. Their times do not depend on the answers (open loop).
@@ -78,7 +78,7 @@
 		requests: map[string]*request{},
 	}
 	for i := range c.Members {
-		factor := c.Load * (0.6 + 0.8*c.rng.Float64()) // 0.6 to 1.4 times the average load
+		factor := c.Load * (0.6 + 0.8*c.rng.Float64()) // 0.6 to 1.4 times Options.Load
 		if heavy(i) {
 			factor = c.Load * heavyFactor
 		}
--- a/internal/emulator/testcluster/options.go
+++ b/internal/emulator/testcluster/options.go
@@ -14,7 +14,7 @@
 	Ingresses int       // at least 1
 	Members   int       // at least 2; at first, half of them are on each plan
 	Seconds   float64   // duration of the load
-	Load      float64   // what members request on average, as a multiple of their quotas
+	Load      float64   // average request rate of the members that are not heavy, as a multiple of their quotas
 	Changes   bool      // change plans and add bookings in the middle of the run
 	Kill      bool      // kill the last ingress and start it again
 	Crashes   int       // number of times that the exporter of ingress 0 is killed and started again
@@ -56,8 +56,8 @@
 	bookingEvery = 20
 	firstBooked  = 2
 
-	// In each group of heavyPeriod consecutive members, those from index heavyFrom on request heavyFactor times the
-	// average load.
+	// In each group of heavyPeriod consecutive members, those from index heavyFrom on are heavy: their request rate is
+	// heavyFactor times Options.Load.
 	heavyPeriod = 8
 	heavyFrom   = 6
 	heavyFactor = 2
@@ -66,7 +66,8 @@
 // memberName returns the name of a member by its number.
 func memberName(i int) string { return fmt.Sprintf("%016x", firstMember+i) }
 
-// memberNumber returns the number of a member by its name; it is negative if no member has the name.
+// memberNumber returns the number of a member by its name. If no member has the name, the number is negative or not
+// below Options.Members.
 func memberNumber(name string) int {
 	var n int
 	if _, err := fmt.Sscanf(name, "%x", &n); err != nil {
@@ -92,7 +93,7 @@
 // hasBooking reports whether a member has a booking in a run with Options.Changes.
 func hasBooking(i int) bool { return i%bookingEvery == firstBooked }
 
-// heavy reports whether a member requests far more than its quota.
+// heavy reports whether a member requests heavyFactor times as much as others do on average.
 func heavy(i int) bool { return i%heavyPeriod >= heavyFrom }
 
 // groups returns the names of the groups that members are counted in.
--- a/internal/emulator/testcluster/report.go
+++ b/internal/emulator/testcluster/report.go
@@ -44,7 +44,8 @@
 	Problems           []string
 }
 
-// Passed reports whether the bill is correct and no request ran twice, exceeded a rate limit or got a wrong answer.
+// Passed reports whether the bill is correct and complete, no request that must not run twice may have done so, no rate
+// limit was exceeded, no answer had an unexpected status, and no other problem was found.
 func (r *Report) Passed() bool {
 	for _, g := range r.Groups {
 		if g.outcomes[wrong] > 0 {
