--- a/internal/emulator/faulttest/clients.go
+++ b/internal/emulator/faulttest/clients.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	clientInterval = 200 * time.Millisecond // between the requests of a client
+	clientInterval = 200 * time.Millisecond // between the end of a client's request and its next one
 	clientTimeout  = 4 * time.Second        // longer than the 2 s in which X-Timeout asks the ingress for a response
 	absenceGrace   = time.Second            // time after an absence in which a request may stay unanswered
 
@@ -55,7 +55,7 @@
 	return response.StatusCode, nil
 }
 
-// startClients sends a request to each member every clientInterval until the context ends.
+// startClients starts a client of each member, which sends requests one after the other until the context ends.
 func (e *environment) startClients(ctx context.Context, running *sync.WaitGroup) *requestCounts {
 	counts := &requestCounts{}
 	for _, n := range e.nodes {
--- a/internal/emulator/faulttest/config.go
+++ b/internal/emulator/faulttest/config.go
@@ -28,12 +28,12 @@
 type memberConfig struct {
 	Name          string
 	ClientAddr    string
-	Dir           string
+	Dir           string // folder of the member's state
 	DiscoveryAddr string
 	CounterAddr   string
 	Ingresses     int
-	Number        int // number of the member, from 0
-	Fleet         string
+	Number        int    // number of the member, from 0
+	Fleet         string // environment.addressPrefix, so that fleets of other fault tests have other names
 	GossipAddr    string
 	RelayAddr     string // address of the relay in front of GossipAddr, to which other members connect
 	Seeds         string // addresses, quoted and separated by commas
--- a/internal/emulator/faulttest/customers.go
+++ b/internal/emulator/faulttest/customers.go
@@ -77,7 +77,8 @@
 }
 
 // send sends a request without waiting for the response. If maxCustomerRequests are in flight, the machine is too slow,
-// and send drops the request. A dropped request affects no expectation, because it does not have to be served.
+// and send drops the request. A dropped request is not counted as unanswered; it only lowers the use that ExpectUsage
+// measures.
 func (c *customerClient) send(n *node, customer int, id string) {
 	select {
 	case c.inFlight <- struct{}{}:
--- a/internal/emulator/faulttest/doc.go
+++ b/internal/emulator/faulttest/doc.go
@@ -1,7 +1,7 @@
 // Package faulttest runs fault tests: scenarios of faults on real processes of the built program. It starts ingresses
-// on loopback, each with its own address, relays what they send to each other and to their fakes over links
-// whose faults it controls by direction and by pair, suspends, kills and upgrades processes, fills disks and restores
-// folders as a scenario file says, and evaluates what the file expects.
+// on loopback, each with its own address. Relays forward what the ingresses send to each other and to the fakes, and
+// inject faults for each pair and direction. As a scenario file says, the package also suspends, kills and upgrades
+// processes, fills disks and restores folders. Finally it evaluates the expectations of the file.
 //
 // Read, Shipped and Parse make a Scenario of a file (scenario_file.go, parse_step.go); Play runs it (player.go) in an
 // environment of relays and fakes (environment.go) and returns a Report.
--- a/internal/emulator/faulttest/environment.go
+++ b/internal/emulator/faulttest/environment.go
@@ -54,7 +54,7 @@
 	extraCounters []*counter   // those that replace the first one or run in addition to it
 	busyShift     atomic.Int64 // number of ingresses by which each customer's busy ingress has moved
 
-	mu         sync.Mutex        // guards the fields below: twins are added while relays serve
+	mu         sync.Mutex        // guards the fields below, because twins are added while relays serve
 	memberByIP map[string]string // names of members by the IP address that they connect from
 	relays     []*faultnet.Relay
 }
@@ -88,7 +88,8 @@
 }
 
 // newAddressPrefix picks a loopback network that very probably no other fault test uses, because a port that a member
-// closes must not be reused by a member of another fault test.
+// closes must not be reused by a member of another fault test. The networks of one process are 1009 apart, so that they
+// differ from those of processes with consecutive IDs.
 func newAddressPrefix() string {
 	n := os.Getpid() + 1009*int(environments.Add(1))
 	return fmt.Sprintf("127.%d.%d", 64+n/200%64, 1+n%200)
--- a/internal/emulator/faulttest/evaluate_test.go
+++ b/internal/emulator/faulttest/evaluate_test.go
@@ -248,7 +248,7 @@
 	}
 }
 
-// Every kind of expectation that a file may name has an evaluator, and every action has a function.
+// Every kind of expectation that a file may name has an evaluator, and every action on members has a function.
 func TestTablesComplete(t *testing.T) {
 	for kind := range expectationValues {
 		if evaluators[kind] == nil {
--- a/internal/emulator/faulttest/event_log.go
+++ b/internal/emulator/faulttest/event_log.go
@@ -35,7 +35,7 @@
 // eventLog writes actions and their results, as text and as lines of JSON.
 type eventLog struct {
 	startedAt time.Time  // time 0 of the events; zero: the scenario has not started
-	mu        sync.Mutex // guards the writers below: each event is written in one piece
+	mu        sync.Mutex // guards the writers below, so that each event is written in one piece
 	progress  io.Writer  // nil: none
 	events    io.Writer  // nil: none
 }
--- a/internal/emulator/faulttest/leases.go
+++ b/internal/emulator/faulttest/leases.go
@@ -71,7 +71,8 @@
 	return nodes[0]
 }
 
-// evaluateLease looks for the first moment after the expectation's start when one of its members held the lease.
+// evaluateLease looks for the first moment after the expectation's start when one of its members ran and held the lease
+// under an expected token.
 func (e *evaluation) evaluateLease() (f Finding) {
 	newest := uint64(0) // newest token before the expectation's start
 	for _, t := range e.player.tenures {
--- a/internal/emulator/faulttest/parse_step.go
+++ b/internal/emulator/faulttest/parse_step.go
@@ -245,6 +245,7 @@
 	return nil
 }
 
+// parseDiskFault reads how a disk fails. It also rejects a new revision in a scenario without a catalogue.
 func (sp *stepParser) parseDiskFault() error {
 	_, known := diskFaults[sp.block.DiskFault]
 	if known != (sp.step.Action == ActionDisk) {
--- a/internal/emulator/faulttest/scenario.go
+++ b/internal/emulator/faulttest/scenario.go
@@ -97,7 +97,7 @@
 type Step struct {
 	At       time.Duration // since the scenario's start, when all ingresses have received the complete membership
 	Action   Action
-	Members  []string
+	Members  []string      // empty: the action applies to the lease holder, or to no member (see actionsWithoutNodes)
 	Duration time.Duration // time after which the action is undone; 0: it is not undone
 	// Argument depends on the action: the folder of a start, the change of the keys, the voters or the counter, how a
 	// disk fails, the number of a quote server, or which process of an upgrade is killed.
@@ -139,7 +139,8 @@
 	// ExpectUsage: the number of each customer's requests that arrive in the period Within after After is from Min to
 	// Max, as fractions of its quota in that period.
 	ExpectUsage ExpectationKind = "use"
-	// ExpectUniqueTokens: each fencing token had only one holder, according to the logs of all processes.
+	// ExpectUniqueTokens: according to the logs of all processes, leases were acquired, and each fencing token had only
+	// one holder.
 	ExpectUniqueTokens ExpectationKind = "one"
 	// ExpectWarned: with the value "some", other members warned each member of a server at some moment. With "none", no
 	// member was warned.
--- a/internal/emulator/faulttest/scenario_file.go
+++ b/internal/emulator/faulttest/scenario_file.go
@@ -131,7 +131,7 @@
 	}
 	quotaInRange := s.Quota >= minQuota && s.Quota <= maxQuota
 	if s.Customers < 0 || s.Customers > maxCustomers || s.Customers > 0 && !quotaInRange {
-		return file.ErrorAt("customers", "up to 100, with a quota from 1 to 1000 units a second")
+		return file.ErrorAt("customers", "must be from 0 to 100, with a quota from 1 to 1000 units per second")
 	}
 	return nil
 }
