--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -144,12 +144,12 @@
 }
 
 // passesSampling decides a request of a sparse customer by the last admit ratio, if its totals are valid or
-// the counter does not reply. If no total is valid and excess costs, the share of all customers' requests
-// that conformed must be high enough, too.
+// calls are rejected or get no reply. If no total is valid and excess costs, the share of conforming requests
+// over all customers whose excess costs must be high enough, too.
 func (g *Gateway) passesSampling(r *request, minProbability float64) bool {
 	c := r.customer
 	valid := g.totalsValid(c)
-	// After a failed call, the last ratio remains in use until a call succeeds.
+	// After a call that was rejected or got no reply, the last ratio remains in use until a call succeeds.
 	frozen := g.counter.failures > 0 && c.sparse.admitRatio > 0
 	if (valid || frozen) && g.rng.Float64() >= c.sparse.admitRatio {
 		return false
@@ -160,8 +160,9 @@
 	return g.conformance.Conforming(r.ClientRetry) >= minProbability
 }
 
-// reject answers a request that the client may safely retry, and advises when. The advised delay is
-// MaxRetryAfter, or for a request over quota the time until the bucket holds its units, if that is shorter.
+// reject answers a request that the client may safely retry. With MayRetryAfter, it advises a delay:
+// MaxRetryAfter, or for a request over a rate quota the time until the bucket holds its units, if that is
+// shorter.
 func (g *Gateway) reject(r *request) {
 	wait := g.settings.MaxRetryAfter
 	if c := r.customer; c.plan.Rate > 0 && !r.conforming && c.bucket.slice > 0 {
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -28,8 +28,9 @@
 	inFlight         int  // attempts in flight
 	answered         bool // the gateway or an attempt has answered it
 	conforming       bool // it conforms to its quota
-	// lowPriority is set for a request that is over quota, or that is late and worth no more than
-	// backendPool.lowestValue. Such requests may use only lowPriorityShare of the backends' limits.
+	// lowPriority is set for a request that is over quota, or whose answer is expected after the latency
+	// target and is worth no more than backendPool.lowestValue. Such requests may use only lowPriorityShare
+	// of the backends' limits.
 	lowPriority bool
 }
 
@@ -43,8 +44,8 @@
 	countedLate     bool // it has exceeded the latency target and has counted as a failure
 }
 
-// startAttempt sends a request to a backend. A first attempt must also be within the customer's hard rate
-// limit; otherwise the request is rejected.
+// startAttempt sends a request to a backend. If the first attempt would exceed the customer's hard rate
+// limit, the request is rejected instead.
 func (g *Gateway) startAttempt(r *request, b *backend) {
 	first := len(r.attempts) == 0
 	if first && !g.takeLimitTokens(r) {
@@ -67,8 +68,8 @@
 }
 
 // attemptTimeout returns the timeout of the next attempt of a request; 0 means that only the client's
-// deadline limits it. A timeout is set only if the request may be sent again, a late answer earns nothing,
-// and the latency target is still ahead and before the deadline.
+// deadline limits it. A timeout is set only if the request is idempotent, a late answer earns nothing, and
+// the latency target is still ahead and at least a tick before the deadline.
 func (g *Gateway) attemptTimeout(r *request) Seconds {
 	rest := r.targetAt - g.now
 	if r.class.Effect != Idempotent || r.class.LateValue != 0 {
@@ -89,6 +90,7 @@
 // retryOrFail retries a request whose attempt was not served, or answers it. A request that may have been
 // executed is sent again only if it is idempotent.
 func (g *Gateway) retryOrFail(r *request, provenNotExecuted, bodyConsumed bool) {
+	// The answer of another attempt would earn nothing, or could come too late for the client.
 	late := g.now > r.targetAt && r.class.LateValue == 0 || r.deadline-g.now <= 2*g.settings.AnswerSlack
 	maxAttempts := cmp.Or(r.class.MaxAttempts, g.settings.MaxAttempts)
 	safe := r.class.Effect == Idempotent || !r.mayHaveExecuted()
--- a/internal/decision/handover.go
+++ b/internal/decision/handover.go
@@ -155,8 +155,8 @@
 // Restore applies the learned state of another process of this gateway, aged by the time since HandOver:
 // buckets refill, totals expire, and limits and latencies decay towards the initial values of a new
 // process. It is meant for a process that has received its backends and has not decided any request yet. It
-// returns the numbers of customers and backends that it restored. Customers that are already known, and
-// those with negative values or times in the future, are skipped.
+// returns the numbers of customers and backends that it restored. It skips customers that are already known
+// or whose knowledge is not valid (CustomerKnowledge.valid), and backends whose knowledge does not apply.
 func (g *Gateway) Restore(now Seconds, k Knowledge) (customers, backends int) {
 	age := now - k.At
 	if !(age > -clockTolerance && age < maxKnowledgeAge) {
--- a/internal/decision/lifecycle.go
+++ b/internal/decision/lifecycle.go
@@ -41,10 +41,9 @@
 // Phase returns the present phase.
 func (l *Lifecycle) Phase() Phase { return l.phase }
 
-// Handle applies an event. It reports whether the event was accepted: once the process stops, only Terminate
-// and Close are, and once it closes, only Close. Rejoin is also rejected in the phase Starting. A rejected
-// event changes nothing. An event that does not change the phase, such as a second EnterLameDuck, is still
-// accepted.
+// Handle applies an event, and reports whether it was accepted. The phase Stopping accepts only Terminate and
+// Close, the phase Closing only Close. The phase Starting rejects Rejoin. A rejected event changes nothing.
+// An event that does not change the phase, such as a second EnterLameDuck, is still accepted.
 func (l *Lifecycle) Handle(e LifecycleEvent) (accepted bool) {
 	switch {
 	case e == Close:
--- a/internal/decision/outliers.go
+++ b/internal/decision/outliers.go
@@ -20,9 +20,11 @@
 
 	// Concurrency limits: the attempts in flight that a backend may have from this gateway. They are
 	// learned from its answers.
-	initialLimit     = 12.0 // attempts over all gateways; at least one per gateway
-	maxLimit         = 64.0 // attempts; bounds how many requests one gateway may lose with a backend
-	minLimit         = 0.1  // attempts; a limit below 1 limits the rate (hasCapacity)
+	initialLimit = 12.0 // attempts over all gateways; at least one per gateway
+	maxLimit     = 64.0 // attempts; bounds how many requests one gateway may lose with a backend
+	// minLimit is the lowest limit, in attempts, before the division by gatewaysPerBackend. A limit below 1
+	// limits the rate of attempts (hasCapacity).
+	minLimit         = 0.1
 	slowFraction     = 0.35 // share of the latency target; a slower answer shows that requests queue too long
 	limitUtilization = 0.7  // share of the limit in use from which fast answers raise it
 	limitIncrease    = 0.1  // attempts; increase per number of fast answers that equals the limit
@@ -104,8 +106,8 @@
 }
 
 // adjustLimit changes a backend's concurrency limit by additive increase and multiplicative decrease. It
-// rises by limitIncrease per number of fast answers that equals the limit, and falls after a slow answer, a
-// rejection or a timeout, at most once per typical latency.
+// rises by limitIncrease per number of fast answers that equals the limit. It falls if an attempt is slow,
+// even before it ends, is rejected or times out, but at most once per typical latency of the group.
 func (g *Gateway) adjustLimit(b *backend, slow bool) {
 	switch {
 	case g.settings.CapacityInSlots:
--- a/internal/decision/queue.go
+++ b/internal/decision/queue.go
@@ -37,8 +37,8 @@
 // queue deadline.
 func (w *waitingValues) blocks(r *request) bool { return r.value <= w.highestAhead(r) }
 
-// dispatch starts the first attempt of a request, or queues it until a backend has capacity. It rejects the
-// request once its queue deadline has passed. No request overtakes a more valuable queued one of its group.
+// dispatch starts the first attempt of a request. If no backend has capacity, it queues the request, or
+// rejects it once its queue deadline has come. No request overtakes a more valuable queued one of its group.
 func (g *Gateway) dispatch(r *request) {
 	var b *backend
 	if r.pool.waiting.highestAhead(r) <= r.value {
--- a/internal/decision/rate_limits.go
+++ b/internal/decision/rate_limits.go
@@ -33,8 +33,9 @@
 }
 
 // requestSharedLimit calls the counter for the shared part of the rate limit, if a conforming request needs
-// more tokens than this gateway's own part holds. It does not while calls pause, or after a change of terms,
-// when gateways may still use different limits. It reports whether the request now waits for the reply.
+// more tokens than this gateway's own part holds. It makes no call while calls pause, nor for
+// termsChangeCycles after a change of terms, because gateways may then use different limits. It reports
+// whether the request now waits for the reply.
 func (g *Gateway) requestSharedLimit(r *request) bool {
 	c := r.customer
 	g.refillLimit(c)
--- a/internal/decision/rate_limits_test.go
+++ b/internal/decision/rate_limits_test.go
@@ -444,9 +444,9 @@
 }
 
 // Compares the smallest quota in use, 1.2 units per second with requests of 1 to 6 units, with one bucket
-// for all gateways, over 1,000 s in which the busy gateway's share changes every 10 s. A
-// customer within its quota must get most of the units that the one bucket admits. One with a higher demand
-// must get its quota, and never much more.
+// for all gateways, over 1,000 s in which the busy gateway's share changes every 10 s. A customer within its
+// quota must get most of the units that the one bucket admits. One with a higher demand must get its quota,
+// and never much more.
 func TestTinyQuotasAgainstOneBucket(t *testing.T) {
 	for _, tc := range []struct{ demand, minRatio, maxRatio float64 }{
 		{0.3, 0.72, 1.1},
--- a/internal/decision/sparse.go
+++ b/internal/decision/sparse.go
@@ -180,8 +180,8 @@
 }
 
 // readSampledTotals processes a total. If the demand is above the quota, is not from this call alone, and the
-// previous cycle's total is not known, it calls the counter for that total, or assumes a value if the counter
-// is overloaded.
+// previous cycle's total is not known, it calls the counter for that total. If the counter is overloaded and
+// excess costs, it assumes a value instead.
 func (g *Gateway) readSampledTotals(
 	c *customer, q counterQuery, total float64,
 ) (t sampledTotals, complete bool) {
--- a/internal/decision/sparse_partition.go
+++ b/internal/decision/sparse_partition.go
@@ -63,8 +63,8 @@
 
 // admitFraction decides a request of a sparse customer if the bucket holds only a fraction of the tokens that
 // the request needs and no counter owner has replied since it arrived. The request is admitted with the
-// probability of that fraction, and the bucket is emptied. Thereby many gateways together admit as much as
-// their buckets hold. Any other request is rejected.
+// probability of that fraction, and the bucket is emptied, so that many gateways together admit as much as
+// their buckets hold. In any other case the request does not conform.
 func (g *Gateway) admitFraction(c *customer, r *request, fraction float64) bool {
 	if !g.settings.PairCounters || !c.sparse.active || g.ownerReachedAt >= r.arrivedAt {
 		return false
--- a/internal/decision/sparse_partition_test.go
+++ b/internal/decision/sparse_partition_test.go
@@ -21,8 +21,8 @@
 }
 
 // testSparseRushes simulates a tenant at half of its quota, whose demand rises to a multiple of the quota
-// some time after a part of the gateways was partitioned. In any five seconds, the forwarded requests must
-// stay within the rule.
+// some time after a part of the gateways, or none, was partitioned. In any five seconds, no more requests
+// than maxAllowed may be forwarded.
 func testSparseRushes(t *testing.T, nodes int, rate float64, seeds uint64) {
 	for _, part := range []int{2, 3, 1000} {
 		for _, times := range []float64{3, 6, 9} {
--- a/internal/decision/suspects.go
+++ b/internal/decision/suspects.go
@@ -26,8 +26,8 @@
 		answersWell := b.healthy && b.failures == 0 && b.recentAnswers >= 1
 		if b.listed && slices.Contains(servers, b.ID) && !answersWell {
 			b.healthy = false
-			// Not above suspectErrorRate, so that this gateway does not report a suspicion of others as its
-			// own observation.
+			// Raised to suspectErrorRate and not above it, so that UnhealthyServers does not report a
+			// suspicion of others as this gateway's own observation.
 			b.errorRate = max(b.errorRate, suspectErrorRate)
 		}
 	}
