--- a/internal/dataplane/engine/engine.go
+++ b/internal/dataplane/engine/engine.go
@@ -91,7 +91,7 @@
 }
 
 // SetGrants sets the quota grants of this ingress for lease seconds. After that, the ingress has only the part of each
-// quota that it keeps in any case (decision.QuotaGrant.Keep).
+// quota that is reserved for it in any case (decision.QuotaGrant.Reserved).
 func (e *Engine) SetGrants(grants []decision.QuotaGrant, lease decision.Seconds) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/dataplane/ingress/lifecycle.go
+++ b/internal/dataplane/ingress/lifecycle.go
@@ -13,8 +13,8 @@
 // Started makes the readiness page answer 200, since the process serves.
 func (s *Server) Started() { s.transition(decision.Started) }
 
-// Shutdown makes the readiness page answer 503 from now on. It is called when a SIGTERM is received. Idle connections
-// are closed at once, the others after their next answer.
+// Shutdown makes the readiness page answer 503 from now on. It is called when a SIGTERM is received. Until Drain, new
+// connections are still served, and connections stay open after an answer (see decision.Lifecycle.KeepOpen).
 func (s *Server) Shutdown() { s.transition(decision.Terminate) }
 
 // LameDuck drains the process without stopping it. The readiness page answers 503. Idle connections are closed at once,
@@ -23,7 +23,7 @@
 func (s *Server) LameDuck() bool { return s.transition(decision.EnterLameDuck) }
 
 // Rejoin ends a drain that LameDuck began: the readiness page answers 200 again, and connections stay open after an
-// answer. It reports whether it took effect, which it does not once the process is stopping.
+// answer. It reports whether it took effect, which it does not in the phases Starting, Stopping and Closing.
 func (s *Server) Rejoin() bool { return s.transition(decision.Rejoin) }
 
 // Phase returns the phase of the process.
--- a/internal/dataplane/upstream/errors.go
+++ b/internal/dataplane/upstream/errors.go
@@ -22,7 +22,7 @@
 	errDraining = errors.New("server draining")
 	// errClientUpload is returned when the client did not send the complete body.
 	errClientUpload = errors.New("incomplete body from the client")
-	// errServerUpload is returned when the server did not accept the complete request. It wraps the cause.
+	// errServerUpload is returned, together with the cause, when the server did not accept the complete request.
 	errServerUpload = errors.New("server did not accept the complete request")
 )
 
--- a/internal/dataplane/upstream/write.go
+++ b/internal/dataplane/upstream/write.go
@@ -21,8 +21,8 @@
 
 // write sends a request. If holdsLastByte returns true, it sends the last byte separately, after a pause. A server that
 // has dropped an idle connection resets it at the first byte of a request. While the last byte is held back, this
-// proves that the request was not executed. So do bytes that arrive meanwhile, unless they are an answer with the ID of
-// the request (see Pool.earlyAnswer).
+// proves that the request was not executed. So do bytes that arrive meanwhile, unless they are an answer to the request
+// (see Pool.earlyAnswer).
 func (p *Pool) write(ctx context.Context, c *conn, request []byte, atMostOnce bool) (complete bool, err error) {
 	if !p.holdsLastByte(c, atMostOnce) {
 		n, err := c.Write(request)
--- a/internal/dataplane/usage/batch.go
+++ b/internal/dataplane/usage/batch.go
@@ -62,8 +62,9 @@
 )
 
 // RetryDelay returns the delay before a batch is sent again, in seconds. failures is the number of consecutive failures
-// (from 1), and reply is the last reply. advice is the delay that the endpoint asked for, in seconds; 0: none. The
-// delay is randomized, so that ingresses that failed together do not retry together.
+// (from 1), and reply is the last reply. advice is the delay that the endpoint asked for, in seconds; 0: none. It is a
+// lower bound, up to maxRetryDelay. The delay is randomized to between half of its value and all of it, so that
+// ingresses that failed together do not retry together.
 func RetryDelay(failures int, reply Reply, advice float64, rng *rand.Rand) float64 {
 	delay := min(maxRetryDelay, minRetryDelay*math.Exp2(float64(min(failures-1, maxDoublings))))
 	if reply == Conflict || reply == Invalid {
--- a/internal/dataplane/usage/request.go
+++ b/internal/dataplane/usage/request.go
@@ -27,8 +27,9 @@
 }
 
 // ArrivalOf returns the arrival that the outcome of an attempt proves (PROTOCOL, "Ingresses to quote servers").
-// answered is true if the request was written completely and a complete answer followed. A server that rejects a
-// request has received it, too: units are charged when the first attempt has arrived, not when it has been executed.
+// answered is true if the request was written completely and a complete answer, or the head of a streamed one,
+// followed. A server that rejects a request has received it, too: units are charged when the first attempt has arrived,
+// not when it has been executed.
 func ArrivalOf(outcome decision.Outcome, answered bool) Arrival {
 	switch {
 	case answered || outcome == decision.Succeeded || outcome == decision.Rejected:
