--- a/internal/proxy/control_feed.go
+++ b/internal/proxy/control_feed.go
@@ -98,7 +98,8 @@
 		cf.rank, cf.peers = update.Rank, update.ZonePeers
 		cf.engine.SetZoneRank(update.Rank, update.ZonePeers)
 	}
-	if update.Quorum { // the age counts from the sending of the update, since this process may have been suspended
+	if update.Quorum {
+		// The contact dates from the sending of the update. This process may have been suspended since then.
 		cf.quorumAt.Store(int64(time.Since(cf.startedAt) - cf.agent.Clock.Age(update.Clock)))
 	}
 	sufficient := update.Complete && update.Ready && cf.table.Load().RouteCount() > 0
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -47,7 +47,7 @@
 const (
 	answerSlack    = 0.02 // time by which an answer may exceed the client's deadline
 	slowStartTime  = 3.0  // time after its start for which a server has less capacity
-	slowStartShare = 0.5  // share of a server's capacity that is available during slowStartTime
+	slowStartShare = 0.5  // share of a server's capacity at its start, which rises to 1 during slowStartTime
 	maxAttempts    = 2    // attempts per request
 	maxRetryAfter  = 0.5  // longest time in a Retry-After
 	remoteZoneCost = 1.25 // cost of a server in another zone, relative to one in the same zone
