--- a/internal/dataplane/engine/engine_test.go
+++ b/internal/dataplane/engine/engine_test.go
@@ -224,6 +224,8 @@
 	})
 }
 
+// The counts of decisions are logged at most once in countsLogInterval, each count once, and not at all if nothing was
+// counted.
 func TestCountersAreLoggedEveryTenSeconds(t *testing.T) {
 	var c decisionCounts
 	for _, step := range []struct {
--- a/internal/dataplane/upstreamconn/machine_test.go
+++ b/internal/dataplane/upstreamconn/machine_test.go
@@ -259,6 +259,8 @@
 	}
 }
 
+// Up to maxForeignAnswers answers to other requests are skipped. Further ones are not, since a server could send them
+// without end.
 func TestForeignAnswersAreBounded(t *testing.T) {
 	m := &Machine{}
 	write(m)
--- a/internal/dataplane/usage/batch_test.go
+++ b/internal/dataplane/usage/batch_test.go
@@ -34,6 +34,9 @@
 	}
 }
 
+// The delay doubles with each failure up to maxRetryDelay, and is randomized to between half of its value and all of
+// it. It is not shorter than the advice, unless the advice exceeds maxRetryDelay. A batch that needs an operator is
+// sent again as rarely as after many failures.
 func TestRetryDelay(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, tc := range []struct {
--- a/internal/decision/counter_cycles_test.go
+++ b/internal/decision/counter_cycles_test.go
@@ -102,6 +102,8 @@
 	}
 }
 
+// A gateway whose report the counter has lost keeps its last slice, and the others leave it only the part of
+// an idle gateway. The slices may then exceed the quota by the difference of the two at most.
 func TestLostReportShiftsTheSumByABoundedPart(t *testing.T) {
 	// Three gateways have a demand of 12 with a quota of 10. The third one's report is lost, so it keeps
 	// its last slice.
--- a/internal/proxy/translator_test.go
+++ b/internal/proxy/translator_test.go
@@ -186,6 +186,8 @@
 	return []string{name}
 }
 
+// TestSplitRoutesFollowTheirWeights sends a thousand requests to a route that gives the service s2 a share of 70%. From
+// 65 to 75% of them must go to s2.
 func TestSplitRoutesFollowTheirWeights(t *testing.T) {
 	is := is.New(t)
 	translator, count := newTestTranslator(t, true, true), 0
