--- a/internal/emulator/loopback/faults.go
+++ b/internal/emulator/loopback/faults.go
@@ -53,8 +53,14 @@
 	"retire-core": {"a core node is killed and never started again", retireCore},
 	"freeze-core": {"a core node is suspended for 4 s", suspendCore},
 	"cut-core":    {"a core node is cut off from the others for 8 s, and gets calls in that time", partitionCore},
-	"cut-one-way": {"messages from a core node to the others are lost for 8 s", partitionCoreOutward},
-	"cut-deaf":    {"messages from the other core nodes to one of them are lost for 8 s", partitionCoreInward},
+	"cut-one-way": {
+		"messages from a core node to the others are lost for 8 s; connections close within 2 s and reopen afterwards",
+		partitionCoreOutward,
+	},
+	"cut-deaf": {
+		"messages to a core node from the others are lost for 8 s; connections close within 2 s and reopen afterwards",
+		partitionCoreInward,
+	},
 	"cut-all": {
 		"a core node is cut off from the others and from all agents for 8 s; an edge machine is restarted meanwhile",
 		partitionCoreFromAll,
--- a/internal/emulator/loopback/partition.go
+++ b/internal/emulator/loopback/partition.go
@@ -16,7 +16,10 @@
 	changeEvery   = 4                      // number of these calls for each change of the configuration
 )
 
-// direction is the direction in which a link is cut, from the perspective of one machine.
+// direction is the direction in which a link is cut, from the perspective of one machine. A message in that direction
+// waits, and is lost when its connection times out, which takes 2 s at most (transport.WriteTimeout, IdleTimeout). It
+// would arrive late only if the cut were shorter. While a link is cut in any direction, no connection opens across it,
+// so that messages in the other direction are lost too once the connections have closed.
 type direction int
 
 const (
