--- a/internal/emulator/loopback/attempt.go
+++ b/internal/emulator/loopback/attempt.go
@@ -19,7 +19,7 @@
 
 const (
 	maxRequestBodyBytes = 3000             // upper limit, not reached, of the size of a request body
-	maxRetryAfter       = 60               // longest wait that a Retry-After field may cause, seconds
+	maxRetryAfter       = 60               // seconds; a larger value of a Retry-After field counts as this one
 	maxIdleTime         = 14 * time.Second // longest time that a client keeps an idle connection, below IdleTimeoutMs
 
 	// idleMargin is the time in seconds before the peer's idle timeout at which a client stops using a connection, so
--- a/internal/emulator/loopback/report.go
+++ b/internal/emulator/loopback/report.go
@@ -37,7 +37,7 @@
 	ChangeP99      invariants.Seconds // time from a call of the operator to its acknowledgement, 99th percentile
 	HealthChecks   int64              // number of health checks that servers received
 	Arrivals       int                // number of requests that servers received, without health checks
-	GatewayAnswers map[string]int     // answers to attempts that the gateway itself generated, by status and text
+	GatewayAnswers map[string]int     // number of attempts that the gateway itself answered, by status and text
 }
 
 // ClassResult contains the numbers of requests of one class. Each request is counted once, by the result of its last
--- a/internal/emulator/loopback/settings.go
+++ b/internal/emulator/loopback/settings.go
@@ -56,6 +56,7 @@
 	s.set("self.region", region)
 	s.set("self.lossCounted", m.core)
 	s.set("self.bootstrap", bootstrap)
+	// The programs size their own limits by these resources of a machine. The emulator does not enforce them.
 	s.set("self.limits.cpuFraction", 0.4)
 	s.set("self.limits.coreCount", 1)
 	s.set("self.limits.memoryMb", 284)
