--- a/internal/emulator/modelcheck/attempt.go
+++ b/internal/emulator/modelcheck/attempt.go
@@ -113,10 +113,10 @@
 	}
 }
 
-// checkDrainedServer is called when the last byte of a request, or the first byte of a streamed body, is about to be
-// sent. It checks that the server has not been listed as draining, or removed, for longer than drainGrace. Before that
-// byte no part of the request can have run, so that it can still be sent to another server. Bytes after the first one
-// of a streamed body may go to a draining server (PROTOCOL, "Figures").
+// checkDrainedServer is called when the delayed last byte of a request, or the first byte of a streamed body, is about
+// to be sent. It checks that the server has not been listed as draining, or removed, for longer than drainGrace. Before
+// that byte no part of the request can have run, so that it can still be sent to another server. Bytes after the first
+// one of a streamed body may go to a draining server (PROTOCOL, "Figures").
 func (w *world) checkDrainedServer(pending *pendingAttempt) {
 	s := w.server(pending.backend)
 	if s == nil || s.listed && s.serving {
--- a/internal/emulator/modelcheck/events.go
+++ b/internal/emulator/modelcheck/events.go
@@ -94,7 +94,7 @@
 }
 
 // mayRetry reports whether a client may send its request again. Only a client that was rejected or has disconnected
-// may, once, and not during a drain of the process.
+// may, once, while there are fewer than maxClients clients, and not during a drain of the process.
 func (w *world) mayRetry(c *client) bool {
 	return c.finished &&
 		!c.retried &&
--- a/internal/emulator/modelcheck/properties.go
+++ b/internal/emulator/modelcheck/properties.go
@@ -39,8 +39,8 @@
 	propertyAbandonedResumes = "given-up-goes-on"
 	// propertyDisconnectCancels: the attempt of a client that disconnected is cancelled.
 	propertyDisconnectCancels = "left-is-cancelled"
-	// propertyDraining: no attempt begins at a server that is known to drain, and no last byte is sent to a server more
-	// than drainGrace after that server was listed as draining or removed.
+	// propertyDraining: no attempt begins at a server that is known to drain. More than drainGrace after a server was
+	// listed as draining or removed, no delayed last byte and no first byte of a streamed body is sent to it.
 	propertyDraining = "drained"
 	// propertyRemoved: no attempt begins at a server that was removed from the endpoint list, nor at an address that
 	// its server no longer has.
