--- a/internal/emulator/faulttest/player.go
+++ b/internal/emulator/faulttest/player.go
@@ -29,7 +29,7 @@
 	joinPollInterval = 50 * time.Millisecond // between two checks whether they have received it
 
 	pollInterval    = 200 * time.Millisecond // between two polls of a member
-	pollPerNode     = 10 * time.Millisecond  // minimum poll interval per member; limits the load of a large fleet
+	pollPerNode     = 10 * time.Millisecond  // minimum poll interval for each member in the fleet; limits the load
 	idlePoll        = 5 * time.Second        // poll interval of an idle scenario
 	observeInterval = pollInterval / 2       // shorter than pollInterval, so that each polled view is observed
 )
--- a/internal/emulator/testcluster/evaluation.go
+++ b/internal/emulator/testcluster/evaluation.go
@@ -187,7 +187,7 @@
 }
 
 // quotaAdjustment is the time from the change of plans until quota use is measured, in which the ingresses adjust their
-// quota slices. It is two cycles of two seconds each, which is the shortest cycle for quotas above 4 units per second.
+// quota slices. It is two cycles, which take two seconds each for quotas of at least 4 units per second.
 const quotaAdjustment = 4 * time.Second
 
 // quotaUse returns what chosen heavy members on the plan basic, other than those with bookings, used as a fraction of
