--- a/internal/cluster/coordination/locks.go
+++ b/internal/cluster/coordination/locks.go
@@ -77,8 +77,8 @@
 	return t.prolong(r, l, now, next)
 }
 
-// prolong extends a hold. It must be replicated only if the new hold is longer than all before, because a take-over
-// extends a hold by its longest recorded time.
+// prolong extends a hold. The extension must be replicated only if the new hold is longer than all before, because a
+// take-over extends a hold by its longest recorded time.
 func (t *Tables) prolong(r Request, l *lock, now float64, next uint64) Outcome {
 	out := Outcome{Result: Result{Code: OK, Fence: l.fence}}
 	holdMs := uint64(r.HoldMs) //nolint:gosec // checked by the caller
@@ -91,7 +91,9 @@
 	return out
 }
 
-// release ends a hold. A delayed or duplicated call names a hold that has already ended, and has no effect.
+// release ends the hold that the request names by its owner and fence. A delayed or duplicated call for a hold that has
+// already ended has no effect. But a hold that acquire has prolonged keeps its fence, so a call that was sent before
+// that and arrives late ends the prolonged hold.
 func (t *Tables) release(r Request, next uint64) Outcome {
 	l := t.locks[r.Name]
 	if l == nil || l.owner != r.Owner || l.fence != r.Fence {
--- a/internal/cluster/coordination/request.go
+++ b/internal/cluster/coordination/request.go
@@ -47,7 +47,8 @@
 // ReadOnly reports whether a request changes nothing. Such a request has had no effect, even if its answer is lost.
 func (r Request) ReadOnly() bool { return r.Kind == GetCell || r.Kind == Watch }
 
-// Scope is the kind and the name that determine the shard. All cells of a group are in one shard.
+// Scope returns the kind of record and the name, or for cells the group, which determine the shard. Therefore all cells
+// of a group are in one shard.
 func (r Request) Scope() string {
 	switch r.Kind {
 	case PutCell, GetCell, Watch:
--- a/internal/cluster/shard/election.go
+++ b/internal/cluster/shard/election.go
@@ -14,7 +14,7 @@
 	electionMargin = 0.03
 	rankDelay      = 0.12 // added for each voter with a lower rank
 	electionJitter = 0.06 // upper bound of the random part
-	// campaignTimeout is the time after which a campaign is repeated. A voter that has granted its vote does not
+	// campaignTimeout is the least time after which a campaign is repeated. A voter that has granted its vote does not
 	// campaign itself before that time.
 	campaignTimeout = 0.35
 )
@@ -118,8 +118,8 @@
 		return // without state of the shard, this replica can't compare positions
 	}
 	upToDate := m.Last.Compare(r.last) >= 0 || mutants.On("shard/votes-for-older")
-	// A transfer means that the leader with this voter's grant has released its lease. Otherwise a higher term is not
-	// adopted before the grant has ended either, so that a candidate can't depose a leader with a lease.
+	// Until its grant has ended, this voter neither votes nor adopts a candidate's higher term, so that no candidate
+	// deposes a leader with a lease. In a transfer it does, because the leader has released its lease.
 	mayVote := m.Transfer || now >= r.grantUntil && !r.HoldsLease(now) || mutants.On("shard/breaks-grant")
 	reply := Message{Kind: VoteReply, Term: r.term, Pre: m.Pre}
 	if m.Pre {
--- a/internal/cluster/shard/follower.go
+++ b/internal/cluster/shard/follower.go
@@ -18,7 +18,8 @@
 	}
 }
 
-// stepLeader handles a message of a leader. After it, this replica votes for no other leader until grantUntil.
+// stepLeader handles a message of a leader. Unless the message is of an earlier term or a TimeoutNow, this replica then
+// votes for no other leader until grantUntil.
 func (r *Replica) stepLeader(m Message, now float64) {
 	if m.Term < r.term {
 		kind := AppendReply
--- a/internal/cluster/shard/leader.go
+++ b/internal/cluster/shard/leader.go
@@ -100,7 +100,7 @@
 }
 
 // progressOf returns the progress of a replica. A replica that has not answered yet is assumed to have all batches,
-// until its reply to a heartbeat reports its position.
+// until one of its replies reports its position.
 func (r *Replica) progressOf(addr string) *progress {
 	p := r.progress[addr]
 	if p == nil {
--- a/internal/cluster/shard/message.go
+++ b/internal/cluster/shard/message.go
@@ -24,8 +24,10 @@
 
 	Shard uint32 `cbor:"1,keyasint"`
 	Kind  Kind   `cbor:"2,keyasint"`
-	Term  uint64 `cbor:"3,keyasint"`           // term of the sender; in a Vote, the term in which the vote is requested
-	Disk  uint64 `cbor:"4,keyasint,omitempty"` // disk of the sender (consensus.Voter)
+	// Term is the term of the sender. In a Vote, and in a VoteReply that grants a pre-vote, it is the term in which the
+	// vote is requested.
+	Term uint64 `cbor:"3,keyasint"`
+	Disk uint64 `cbor:"4,keyasint,omitempty"` // disk of the sender (consensus.Voter)
 	// Last is the position of the sender's last batch; a VoteReply has none. In an AppendReply with OK, all batches up
 	// to Last are saved.
 	Last     Position          `cbor:"5,keyasint"`
