--- a/internal/cluster/registry/registry.go
+++ b/internal/cluster/registry/registry.go
@@ -128,8 +128,8 @@
 }
 
 // Merge merges instances that another process knows: another control node, or a subscriber after this node has lost its
-// own instances. Those that are new or supersede the known version count as seen now. Merge returns those of them that
-// differ from the known version.
+// own instances. Those that are new or supersede the known version count as seen now. Merge returns the new ones, and
+// those that supersede the known version and differ from it.
 func (r *Registry) Merge(now Seconds, instances []Instance) (changed []Instance) {
 	for _, instance := range instances {
 		if !instance.Valid() {
--- a/internal/cluster/registry/silence.go
+++ b/internal/cluster/registry/silence.go
@@ -10,8 +10,8 @@
 }
 
 // DetectSilent returns the instances that become silent now, and the draining ones that become gone. It must be called
-// several times in each heartbeat interval: if more than one interval has passed since the last call, the process
-// itself was paused, and its timeout begins again. If more than half of the serving instances, and at least
+// several times in each heartbeat interval, because a longer time than one interval since the last call is taken for a
+// pause of this process, after which the timeout begins again. If more than half of the serving instances, and at least
 // MassTimeoutMinimum, time out together, the cause is more likely a partition of this node. In such a mass timeout no
 // instance becomes silent or gone until any server calls; MassTimeoutRecheckHeartbeats later, only the instances that
 // have not called become silent.
--- a/internal/cluster/transport/calls.go
+++ b/internal/cluster/transport/calls.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// reply sends the reply to a call. An error is ignored, because Run finds itself that the connection has ended. If the
-// reply is too long to be sent, the call is not answered.
+// reply sends the reply to a call. An error is ignored. It means that the connection has ended, which Run reports, or
+// that the reply is too long to be sent, so that the call gets no answer.
 func (c *Conn) reply(call uint64, f *Frame) {
 	if f == nil {
 		return
--- a/internal/cluster/transport/catchup_messages.go
+++ b/internal/cluster/transport/catchup_messages.go
@@ -10,7 +10,7 @@
 // configuration.Key.Position.
 type CatchUpRequest struct {
 	Epoch         uint64 `cbor:"1,keyasint"`
-	EmptyDisk     bool   `cbor:"2,keyasint,omitempty"`  // the node's disk is empty: it also needs the stored instances
+	EmptyDisk     bool   `cbor:"2,keyasint,omitempty"`  // the node's disk is empty: instances are requested, no items
 	FromPosition  uint64 `cbor:"8,keyasint,omitempty"`  // position of the first item
 	NewestEpoch   uint64 `cbor:"9,keyasint,omitempty"`  // newest epoch of the chunks so far; older chunks are of no use
 	MaxBytes      int    `cbor:"10,keyasint,omitempty"` // approximate size of the chunk, bytes; 0 means the default
@@ -24,7 +24,7 @@
 	Epoch         uint64               `cbor:"1,keyasint"`           // epoch of the source's snapshot
 	Items         []configuration.Item `cbor:"2,keyasint,omitempty"`
 	Voters        []string             `cbor:"6,keyasint,omitempty"` // sent by older versions: the initial electorate
-	Instances     []registry.Instance  `cbor:"7,keyasint,omitempty"` // instances on the source's disk
+	Instances     []registry.Instance  `cbor:"7,keyasint,omitempty"` // departing instances on the source's disk
 
 	Electorate consensus.Electorate `cbor:"10,keyasint,omitempty"` // electorate in the snapshot of Epoch
 }
