--- a/internal/cluster/configuration/canonical.go
+++ b/internal/cluster/configuration/canonical.go
@@ -96,8 +96,8 @@
 	return append(out, '}'), err
 }
 
-// appendCanonicalNumber appends a number as an integer without trailing zeros and a power of ten. Unlike a
-// binary fraction, this form loses no precision, so two numbers have the same form only if they are equal.
+// appendCanonicalNumber appends a number as an integer without trailing zeros and a power of ten. Unlike a binary
+// fraction, this form loses no precision, so two numbers have the same form only if they are equal.
 func appendCanonicalNumber(out []byte, number string) []byte {
 	digits, exponent := number, 0
 	if e := strings.IndexAny(number, "eE"); e >= 0 {
--- a/internal/cluster/configuration/canonical_test.go
+++ b/internal/cluster/configuration/canonical_test.go
@@ -105,7 +105,7 @@
 }
 
 // Two bodies must have the same content exactly if the standard library decodes the same value from both, apart from
-// the generation.
+// the generation. Numbers are compared exactly.
 func TestSameContentInAnySpelling(t *testing.T) {
 	is := is.New(t)
 	item := func(body string) Item { return Item{Key: Key{Services, "s"}, Version: 12, Body: []byte(body)} }
--- a/internal/cluster/configuration/history.go
+++ b/internal/cluster/configuration/history.go
@@ -46,7 +46,7 @@
 	return 0, false, n < maxHistory
 }
 
-// with returns the history with the version of an item added, which must not be in it yet.
+// with returns the history with the version of an item added. The version must not be in the history yet.
 func (h *History) with(i Item) *History {
 	var history History
 	if h != nil {
--- a/internal/cluster/consensus/electorate.go
+++ b/internal/cluster/consensus/electorate.go
@@ -71,7 +71,8 @@
 }
 
 // ReplaceVoter returns the voters with the one at oldAddr replaced. If oldAddr is empty, the replacement is added. If
-// the replacement has no Addr, the voter at oldAddr is removed. If there is no voter at oldAddr, nothing changes.
+// the replacement has no Addr, the voter at oldAddr is removed. If a non-empty oldAddr is that of no voter, nothing
+// changes.
 func (e Electorate) ReplaceVoter(oldAddr string, replacement Voter) []Voter {
 	voters := slices.Clone(e.Voters)
 	n := e.index(oldAddr)
--- a/internal/cluster/consensus/proposer.go
+++ b/internal/cluster/consensus/proposer.go
@@ -45,7 +45,7 @@
 }
 
 // NewProposer returns a proposer whose ballots carry the given name. No other node, and no other incarnation of this
-// node, may use the same name. The seed is that of the random backoffs and round numbers.
+// node, may use the same name. The seed determines the random parts of backoffs and round numbers.
 func NewProposer(name string, seed uint64) *Proposer {
 	return &Proposer{name: name, rnd: rand.New(rand.NewPCG(seed, 0))}
 }
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -21,11 +21,11 @@
 	Class       string   // class of the machine: edge or core
 	Serving     []string // what the machine serves, such as edge and control
 	Host        string   // the machine's IPv4 address
-	Zone        string
-	Region      string // region of the zone
-	LossCounted bool   // the tolerance counts the loss of this machine
-	Bootstrap   bool   // this is the first start of the system, with empty disks
-	DataPath    string // folder on the machine's disk; empty means no disk
+	Zone        string   // zone of the machine
+	Region      string   // region of the zone
+	LossCounted bool     // the tolerance counts the loss of this machine
+	Bootstrap   bool     // this is the first start of the system, with empty disks
+	DataPath    string   // folder on the machine's disk; empty means no disk
 	Limits      Limits
 
 	FrontAddr   string            // host:port for clients; empty means that none are served
--- a/internal/cluster/settings/watch.go
+++ b/internal/cluster/settings/watch.go
@@ -59,7 +59,7 @@
 type Watcher struct {
 	path          string
 	current       atomic.Pointer[Settings]
-	seen          fileVersion // version of the file at the last load; zero before it and after a failed one
+	seen          fileVersion // version of the file at the last load; zero before the first and after a failed one
 	reportedError string      // text of the last error; empty after a successful load
 }
 
