--- a/internal/cluster/command/settings.go
+++ b/internal/cluster/command/settings.go
@@ -21,8 +21,8 @@
 	LinkFaults string `name:"links" hidden:"" help:"For fault tests: a file of hosts to partition from."`
 }
 
-// Dialer returns a dialer that opens connections with dial and blocks them as the file says until the context ends.
-// Without a file it returns dial.
+// Dialer returns a dialer that opens connections with dial and blocks them as the file says, which is read again until
+// the context ends. Without a file it returns dial.
 func (lf LinkFaultsFlag) Dialer(ctx context.Context, dial linkfaults.DialFunc) (linkfaults.DialFunc, error) {
 	injector, err := linkfaults.NewInjector(ctx, lf.LinkFaults)
 	if err != nil {
