--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -22,7 +22,7 @@
 //
 // Package shards serves the calls of applications and takes no part in these changes.
 //
-// The package may import packages of cluster and the packages below this one, and nothing of the data plane. Its tests
-// run whole clusters in simulated time on simulated disks and links; those that seed faults need the build tag
-// "mutants".
+// The package may import packages of cluster, the packages below this one and package mutants, and nothing of the data
+// plane. Its tests run whole clusters in simulated time on simulated disks and links; those that seed faults need the
+// build tag "mutants".
 package control
--- a/internal/control/electorate/changes.go
+++ b/internal/control/electorate/changes.go
@@ -19,7 +19,7 @@
 
 const (
 	changeTimeout   = 2 * time.Second // for a change of the electorate, until a majority has it on disk
-	handoverTimeout = time.Second     // for attempts to transfer this node's vote at shutdown, and for each decision
+	handoverTimeout = time.Second     // in which HandOver may begin a replacement, and for the decision on each one
 	// replacementDelay is how long a voter may be silent beyond the bound on contact (contactMs) before it is replaced.
 	replacementDelay = 2 * time.Second
 	// replacementRankDelay is added for each reachable voter that precedes this one, so that normally only one voter
@@ -33,8 +33,8 @@
 	probeTimeout  = 2 * replica.SyncTimeout // for the answer to one probe, which waits for a sync of the disk
 )
 
-// HandoverLimit is how long a shutdown waits for HandOver to return. HandOver attempts replacements for
-// handoverTimeout, and the last of them may wait as long again for its decision.
+// HandoverLimit is how long a shutdown waits for HandOver to return. HandOver begins no replacement after
+// handoverTimeout, and the last one may wait as long again for its decision.
 const HandoverLimit = 2 * handoverTimeout
 
 // Maintain replaces a voter that has been silent for too long, and enlarges an electorate that is too small. The first
--- a/internal/control/httpapi/doc.go
+++ b/internal/control/httpapi/doc.go
@@ -8,6 +8,6 @@
 // GET /view; the bodies that the project's own client reads too are in operatorapi. The package keeps no state except
 // the counts of answers and the limit on large bodies.
 //
-// It imports packages of cluster and control. The tests here check bodies, errors and the table of endpoints; package
-// control tests whole nodes.
+// It imports packages of cluster and control, and package mutants. The tests here check bodies, errors and the table of
+// endpoints; package control tests whole nodes.
 package httpapi
--- a/internal/control/httpapi/server.go
+++ b/internal/control/httpapi/server.go
@@ -65,8 +65,8 @@
 	Coordination Coordination
 	Started      time.Time   // start of this process
 	View         func() View // returns the body of GET /view
-	// Member returns the state of the control node at an address, as known to this node. EpochsBehind counts from the
-	// epoch.
+	// Member returns the state of the control node at an address, as known to this node. EpochsBehind is how far that
+	// node is behind the given epoch.
 	Member func(addr string, epoch uint64) operatorapi.Member
 	Log    log.Logger
 }
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -35,7 +35,7 @@
 	nodes        map[string]*testNode
 	incarnations uint64
 
-	mu          sync.Mutex      // guards partitioned and meter, and nodes against dialing nodes
+	mu          sync.Mutex      // guards partitioned, meter, and changes of nodes, which dial reads at any time
 	partitioned map[string]bool // nodes that are separated from all others
 
 	meter *linkMeter          // measures all links and limits their rate; nil if they are neither measured nor limited
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -27,8 +27,8 @@
 // Random operators: up to eight operators send changes concurrently to three real nodes in simulated time. They lose
 // answers and repeat calls at once or late, at other nodes and in other JSON spellings. They also send two contents
 // under one version, invalid changes and old versions. Nodes are partitioned and lose power or disks, and disks stall.
-// The answers are checked against a simple model: the changes that were acknowledged, those that were rejected,
-// and all contents that any replica ever had.
+// The answers are checked against a simple model: the changes that were acknowledged, those that were rejected, and all
+// contents that any replica ever had.
 
 // itemVersion is a version of an item with its content.
 type itemVersion struct {
--- a/internal/control/proposals/run.go
+++ b/internal/control/proposals/run.go
@@ -11,13 +11,12 @@
 const (
 	// backgroundRunTimeout limits a run that has no operator's deadline.
 	backgroundRunTimeout = time.Second
-	// meanForeignRoundWait is the average of the random time for which a round waits for the round of another node at
-	// most.
+	// meanForeignRoundWait is the mean of the random limit on the wait of a round for the round of another node.
 	meanForeignRoundWait = 40 * time.Millisecond
-	// firstRoundFactor multiplies that wait in the first round of a run, so that proposers that have lost rounds go
+	// firstRoundFactor multiplies that limit in the first round of a run, so that proposers that have lost rounds go
 	// first.
 	firstRoundFactor = 2
-	// maxForeignWaitDivisor bounds the divisor of that wait, which grows with the number of lost rounds.
+	// maxForeignWaitDivisor bounds the divisor of that limit, which grows with the number of lost rounds.
 	maxForeignWaitDivisor = 4
 )
 
--- a/internal/control/replica/chunks.go
+++ b/internal/control/replica/chunks.go
@@ -19,7 +19,7 @@
 	// MaxChunkBytes is the approximate size of a chunk on a fast link. A single item may be longer.
 	MaxChunkBytes = 256 << 10
 	// MaxRecentChanges is the maximum number of chosen changes whose keys are kept, so that a node that is missing only
-	// these gets them without a scan of the whole snapshot. When it is reached, the older half is dropped.
+	// these gets them without a scan of the whole snapshot. The next change after that many drops the older half.
 	MaxRecentChanges = 256
 
 	historyEntryBytes = 20 // upper bound for the size of a version in an item's history, in a frame
@@ -44,8 +44,8 @@
 type PersistedInstances func(after string, maxBytes int) (page []registry.Instance, more bool)
 
 // Chunk answers a node that is missing chosen changes with newer items, or a node whose disk is empty with a page of
-// departing instances. The chunk has no items if this node's snapshot is not newer than the requester's, or is older
-// than the chunks that the requester has staged. Chunk returns nil until this node's disk has been read.
+// departing instances. The chunk has no items if this node's snapshot is not newer than the epoch of the request, or is
+// older than the chunks that the requester has staged. Chunk returns nil until this node's disk has been read.
 func (r *Replica) Chunk(request *transport.CatchUpRequest, persisted PersistedInstances) *transport.CatchUpChunk {
 	r.mu.Lock()
 	if r.disk == nil {
--- a/internal/control/shards/doc.go
+++ b/internal/control/shards/doc.go
@@ -10,6 +10,6 @@
 // Files: service.go (life cycle), host.go (one shard), waiters.go (calls that wait for a commit), calls.go (evaluation
 // and forwarding), outbox.go (messages to and from peers), status.go (status and metrics), errors.go.
 //
-// The package may import control/operatorapi, control/storage and packages of cluster. Its tests are
+// The package may import control/operatorapi, control/storage, packages of cluster and package mutants. Its tests are
 // internal/control/coordination_test.go and others there, which run simulated nodes.
 package shards
--- a/internal/control/storage/doc.go
+++ b/internal/control/storage/doc.go
@@ -1,6 +1,5 @@
 // Package storage keeps the durable state of a control node: its promises and accepted proposals as an acceptor, the
-// chosen configuration, a catch-up that is in progress, the shards, and the server instances whose departure was
-// acknowledged.
+// chosen configuration, a catch-up that is in progress, the shards, and the server instances.
 //
 // A Store owns one folder. Open reads all of it into a State, which belongs to the caller. Afterwards the folder is
 // only written to. Callers submit batches with Store.Put and wait for their sync with Future.Wait. The store's
--- a/internal/control/storage/state.go
+++ b/internal/control/storage/state.go
@@ -19,7 +19,7 @@
 	Empty        bool
 	Acceptor     consensus.Acceptor   // Pending is the accepted proposal that is not known to be chosen
 	Items        []configuration.Item // chosen items in the order of their keys
-	Instances    []registry.Instance  // instances with an acknowledged departure
+	Instances    []registry.Instance  // server instances of all phases, as last written
 	IngressCount int                  // last count of ingresses; 0 means never counted
 	Stage        *StageProgress       // progress of a catch-up; nil if none is in progress
 	StagedItems  []configuration.Item // items fetched by that catch-up, not part of Items yet
