--- a/internal/cluster/coordination/locks.go
+++ b/internal/cluster/coordination/locks.go
@@ -18,7 +18,7 @@
 type lock struct {
 	owner   string
 	fence   uint64  // fencing token
-	holdMs  uint64  // the longest requested hold, milliseconds: after a take-over the hold lasts this long
+	holdMs  uint64  // the longest requested hold, milliseconds; after a take-over the hold lasts this long
 	expires float64 // end of the hold by this leaseholder's clock, in seconds
 	seq     uint64  // number of the batch with the record; 0 means that the record is of an earlier term
 }
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -124,9 +124,9 @@
 // InternalAddr returns the host:port at which the system's other processes reach this machine.
 func (s *Settings) InternalAddr() string { return net.JoinHostPort(s.Host, strconv.Itoa(s.InnerFirst)) }
 
-// AgentAddr returns the host:port at which the proxy on this machine reaches the agent. If the machine's own address is
-// a loopback one, because several machines share a host, the agent listens there: 127.0.0.1 would be the same for all
-// of them.
+// AgentAddr returns the host:port at which the proxy on this machine reaches the agent. If several machines share a
+// host, the machine's own address is a loopback one, and the agent listens there, because 127.0.0.1 would be the same
+// for all of them.
 func (s *Settings) AgentAddr() string {
 	host := loopbackHost
 	if ip, err := netip.ParseAddr(s.Host); err == nil && ip.IsLoopback() {
--- a/internal/cluster/transport/codec.go
+++ b/internal/cluster/transport/codec.go
@@ -21,8 +21,8 @@
 	readBytes   = 64 << 10 // most bytes that are read at a time, so that memory is allocated only as a frame arrives
 )
 
-// Bounds of a decoded frame. Arrays are bounded so that a small frame can't allocate much memory: an element needs as
-// little as one byte on the wire, but may need some hundred bytes in memory.
+// Bounds of a decoded frame. Arrays are bounded so that a small frame can't allocate much memory, because an element
+// needs as little as one byte on the wire, but may need some hundred bytes in memory.
 const (
 	maxNesting              = 12      // levels of arrays and maps
 	maxMapPairs             = 64      // pairs in a map
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -364,8 +364,8 @@
 	}
 }
 
-// suspendNode suspends the process of a node for twenty seconds. When the process resumes, it must not answer from
-// state of before the suspension, although its connections are still open and have buffered what arrived meanwhile. Its
+// suspendNode suspends the process of a node for twenty seconds. When the process resumes, it must not answer from its
+// state before the suspension, although its connections are still open and have buffered what arrived meanwhile. Its
 // clock has advanced.
 func suspendNode(g *observedCluster) {
 	suspended := g.seeds[1]
