--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -21,11 +21,11 @@
 	Class       string   // class of the machine: edge or core
 	Serving     []string // what the machine serves, such as edge and control
 	Host        string   // the machine's IPv4 address
-	Zone        string
-	Region      string // region of the zone
-	LossCounted bool   // the tolerance counts the loss of this machine
-	Bootstrap   bool   // this is the first start of the system, with empty disks
-	DataPath    string // folder on the machine's disk; empty means no disk
+	Zone        string   // zone of the machine
+	Region      string   // region of the zone
+	LossCounted bool     // the tolerance counts the loss of this machine
+	Bootstrap   bool     // this is the first start of the system, with empty disks
+	DataPath    string   // folder on the machine's disk; empty means no disk
 	Limits      Limits
 
 	FrontAddr   string            // host:port for clients; empty means that none are served
@@ -124,9 +124,9 @@
 // InternalAddr returns the host:port at which the system's other processes reach this machine.
 func (s *Settings) InternalAddr() string { return net.JoinHostPort(s.Host, strconv.Itoa(s.InnerFirst)) }
 
-// AgentAddr returns the host:port at which the proxy on this machine reaches the agent. If the machine's own address is
-// a loopback one, because several machines share a host, the agent listens there: 127.0.0.1 would be the same for all
-// of them.
+// AgentAddr returns the host:port at which the proxy on this machine reaches the agent. If several machines share a
+// host, the machine's own address is a loopback one, and the agent listens there, because 127.0.0.1 would be the same
+// for all of them.
 func (s *Settings) AgentAddr() string {
 	host := loopbackHost
 	if ip, err := netip.ParseAddr(s.Host); err == nil && ip.IsLoopback() {
