--- a/internal/standalone/fleet/leaseservice/calls.go
+++ b/internal/standalone/fleet/leaseservice/calls.go
@@ -55,8 +55,9 @@
 	}
 }
 
-// call sends a request to the receivers and returns the first response. It fails after the timeout, when ctx ends, or
-// when the service is stopped while the inbox is full.
+// call sends a request to the receivers and returns the first response. It fails if the service is stopped before the
+// request to this ingress itself is in the inbox, and otherwise after the timeout or when ctx ends. While the inbox is
+// full, the call waits, and the timeout has not begun.
 func (s *Service) call(
 	ctx context.Context, receivers []string, topic gossip.Topic, body []byte, timeout time.Duration,
 ) ([]byte, error) {
--- a/internal/standalone/fleet/quorum/voter.go
+++ b/internal/standalone/fleet/quorum/voter.go
@@ -68,7 +68,10 @@
 	Messages []Message         // to other voters
 	Replies  []singleton.Reply // to ingresses
 	Wake     []string          // names of ingresses that should send their requests at once
-	Changed  bool              // the table (apart from renewals), the leader, the voters or the state changed
+
+	// Changed reports that the leader, the voters or the state changed, or that a command other than a renewal changed
+	// the table. A snapshot of another voter that replaces the table does not set it. No caller reads it.
+	Changed bool
 }
 
 // Open starts a voter from its store. If this voter bootstraps the group, the first token is above tokenBase. Callers
--- a/internal/standalone/fleet/quorum/voter_test.go
+++ b/internal/standalone/fleet/quorum/voter_test.go
@@ -35,7 +35,8 @@
 }
 
 // TestSimulatedFaults runs fleets with random faults, and checks that no two machines act under one token, that tokens
-// never decrease, and that the role is held again after the faults. It logs how long the role had no holder.
+// never decrease, and that the role is held again after the faults if a majority votes. It logs how long the role had
+// no holder.
 func TestSimulatedFaults(t *testing.T) {
 	cryptotest.SetGlobalRandom(t, 1) // raft takes its election timeouts from it, so results are reproducible
 	seeds := uint64(40)
--- a/internal/standalone/fleet/revisionlog/announcer.go
+++ b/internal/standalone/fleet/revisionlog/announcer.go
@@ -4,7 +4,9 @@
 
 // peer is the state that a lease holder keeps of another ingress.
 type peer struct {
-	entries     map[uint64]Entry // its last inventory, by number; nil if none is known or missing entries are fetched
+	// entries is its last inventory, by number. It is nil if no inventory has arrived, and while entries that the
+	// inventory listed and this ingress lacks are being fetched.
+	entries     map[uint64]Entry
 	nextQueryAt Seconds
 	announcedAt map[uint64]Seconds // time of the last Announce, by number
 }
--- a/internal/standalone/fleet/revisionlog/log.go
+++ b/internal/standalone/fleet/revisionlog/log.go
@@ -105,8 +105,8 @@
 }
 
 // reportConflict reports that the number of a revision of this ingress's own file is already in use for other content
-// or is too low to be retained. The record of reported conflicts is cleared when it exceeds MaxEntries, so that it
-// stays bounded; until then a conflict is reported only once.
+// or is too low to be retained. A conflict is reported only once, until l.conflicts exceeds MaxEntries and is cleared
+// to bound its size.
 func (l *Log) reportConflict(e Entry) []Action {
 	delete(l.local, e.Number)
 	if l.conflicts[e.Number] == e.Digest {
--- a/internal/standalone/fleet/singleton/lease_manager.go
+++ b/internal/standalone/fleet/singleton/lease_manager.go
@@ -56,7 +56,7 @@
 func (Reply) managerAction()   {}
 func (Wake) managerAction()    {}
 
-// pendingRequest is a request whose response is delayed until its renewals are applied.
+// pendingRequest is a request whose response is delayed until its renewals are applied or rejected.
 type pendingRequest struct {
 	request      AcquireRequest
 	renewalsLeft int // renewals of the request that are neither applied nor rejected yet
