--- a/internal/standalone/fleet/gossip/delegate.go
+++ b/internal/standalone/fleet/gossip/delegate.go
@@ -15,7 +15,7 @@
 const maxPendingUpdates = 4 * membership.MaxMembers
 
 // NodeMeta implements memberlist.Delegate. It returns the encoded metadata of this member, or none if that is longer
-// than limit bytes. Other members reject reports of a member without metadata.
+// than limit bytes. Other members reject reports that a member without metadata is alive.
 func (i *instance) NodeMeta(limit int) []byte {
 	if b := *i.fleet.metadata.Load(); len(b) <= limit {
 		return b
--- a/internal/standalone/fleet/gossip/queries.go
+++ b/internal/standalone/fleet/gossip/queries.go
@@ -33,8 +33,8 @@
 	return r
 }
 
-// Rank returns the position of this ingress among the members that are alive, and their number. See
-// membership.View.Rank.
+// Rank returns the position of this ingress, from 0, among the members that are alive or suspect and not leaving, and
+// their number. See membership.View.Rank.
 func (f *Fleet) Rank() (rank, of int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standalone/fleet/membership/types.go
+++ b/internal/standalone/fleet/membership/types.go
@@ -115,8 +115,8 @@
 	// At Partitioned, at most half of the last agreed membership is alive, no message arrived within reachabilityTTL,
 	// or most of the recent probes were missed.
 	Partitioned ReachabilityLevel = iota
-	Majority                      // more than half of it, but not all
-	Complete                      // all of it
+	Majority                      // more than half of the last agreed membership is alive, but not all
+	Complete                      // all of the last agreed membership is alive
 )
 
 var reachabilityLevelNames = [...]string{"cut-off", "thinned", "whole"}
@@ -125,9 +125,12 @@
 
 // Reachability is the level of an ingress's contact with the fleet, with the time for which it is valid.
 type Reachability struct {
-	Level  ReachabilityLevel
-	Since  Seconds // when Level began
-	Until  Seconds // when Level expires, unless it is renewed; from then on it is Partitioned
-	Alive  int     // members of the last agreed membership whose state is Alive, this one included
-	Agreed int     // members of the last agreed membership, this one included
+	Level ReachabilityLevel
+	Since Seconds // when Level began
+	Until Seconds // when Level expires, unless it is renewed; from then on it is Partitioned
+
+	// Alive is the number of members of the last agreed membership whose state is Alive, this one included. After a
+	// restart of the SWIM protocol, another member counts only once the protocol has reported it again.
+	Alive  int
+	Agreed int // members of the last agreed membership, this one included
 }
--- a/internal/standalone/fleet/membership/walk_test.go
+++ b/internal/standalone/fleet/membership/walk_test.go
@@ -284,7 +284,8 @@
 func (c rapidChooser) below(n int) int { return rapid.IntRange(0, n-1).Draw(c.T, "choice") }
 
 // TestProperties checks with random events that the view matches the model, see check and step. For example, a member
-// that can still be reached is not published as dead, and a view without recent contact is Partitioned.
+// that sent a message after the protocol declared it dead is not published as dead until the state of its link expires,
+// and a view without recent contact is Partitioned.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { randomWalk(rapidChooser{t}) })
 }
--- a/internal/standalone/fleet/quotashare/peer.go
+++ b/internal/standalone/fleet/quotashare/peer.go
@@ -18,7 +18,7 @@
 	borrowedUntil Seconds            // end of the lease of these loans
 
 	sentSeq    uint64        // Seq of the latest message to the peer
-	sent       []sentMessage // recent messages to the peer, whose loans it may still use
+	sent       []sentMessage // recent messages to the peer; see isLoanUsable for their loans
 	ackedSeq   uint64        // Seq of the latest of these that the peer has acknowledged
 	nextSendAt Seconds
 }
