--- a/internal/standalone/cli/usageshow.go
+++ b/internal/standalone/cli/usageshow.go
@@ -78,7 +78,7 @@
 }
 
 // usageSum is the sum of the rows with one name. Tries is the number of requests, each counted once, however many
-// attempts it had. The other fields are their units within the quota, beyond it, and with unknown arrival.
+// attempts it had. Inside, Beyond and Unknown are their units within the quota, beyond it, and with unknown arrival.
 type usageSum struct {
 	Name    string  `json:"Name"`
 	Tries   int64   `json:"Tries"`
--- a/internal/standalone/counterserver/store.go
+++ b/internal/standalone/counterserver/store.go
@@ -12,7 +12,7 @@
 	// MaxAmount is the greatest amount that one call may add or subtract.
 	MaxAmount = 1e9
 
-	maxKeepMs         = 60_000 // ms; longer times are reduced to it, because maxNames is too few for them
+	maxKeepMs         = 60_000 // ms; longer times are reduced to it, so that maxNames suffices
 	significantDigits = 7      // digits of a reported total; callers must not rely on more
 )
 
--- a/internal/standalone/mgmt/client.go
+++ b/internal/standalone/mgmt/client.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const maxAnswerBytes = 4 << 20 // bytes of one line of an answer; a longer line is an error, which bounds the memory
+const maxAnswerBytes = 4 << 20 // bytes of one line of an answer; a longer line is an error, which bounds its memory
 
 // Call makes one call at a management address and returns the lines after ACK. The timeout applies to the dial, and
 // again to the call. The error is ErrRejected or one of the connection.
--- a/internal/standalone/plans/revision.go
+++ b/internal/standalone/plans/revision.go
@@ -59,8 +59,9 @@
 	return fmt.Sprintf("%s: %g units for %s over %.0f s", b.ID, b.Units, b.Member, b.To-b.From)
 }
 
-// Digest returns a short hash of all fields of a revision, of a booking those in Booking.String. Equal revisions have
-// equal digests. So do revisions that differ only in the start of a booking.
+// Digest returns a short hash of a revision. It covers all fields, except that Booking.String represents a booking.
+// Equal revisions have equal digests. So do revisions that differ only in when bookings begin, if the lengths of the
+// bookings in whole seconds are the same.
 func (r *Revision) Digest() string {
 	h := fnv.New64a()
 	fmt.Fprint(h, r.Number, r.EffectiveAt, r.Authority, r.BookableRate)
--- a/internal/standalone/settings/check.go
+++ b/internal/standalone/settings/check.go
@@ -13,8 +13,8 @@
 
 // Check returns nil if settings (raw) may replace those in force (before) at a SIGHUP. A file is applied as a whole or
 // not at all. Every key of the settings in force must still be present, at the top level and in each section, and each
-// class must have the keys of the first class in force. Each class needs a positive Deadline, and SendCap, the maximum
-// number of attempts, must be a positive whole number. The error names the key.
+// class must have the keys of the first class in force. Each class needs a positive Deadline. SendCap, the maximum
+// number of attempts, must be a positive whole number if it is set. The error names the key.
 func Check(raw, before []byte) error {
 	var next, current jsonObject
 	if err := jsontext.Decode(raw, &next); err != nil || next == nil {
--- a/internal/standalone/usageexport/batch.go
+++ b/internal/standalone/usageexport/batch.go
@@ -76,7 +76,8 @@
 		level.Error(e.Log).Log("msg", "usage records are damaged; the batch reports their number",
 			"code", "usage-damaged", "file", s.Path, "records", report.Damaged, "bytes", report.Lost,
 		)
-		b.Damaged += report.Damaged + min(report.Lost, 1) // lost bytes count as one record; their number is unknown
+		// Lost bytes count as one record, because the number of records in them is unknown.
+		b.Damaged += report.Damaged + min(report.Lost, 1)
 	}
 	tally.Merge(rows)
 	b.Unmetered = b.Unmetered.Add(report.Unmetered)
--- a/internal/standalone/usageexport/store.go
+++ b/internal/standalone/usageexport/store.go
@@ -20,7 +20,7 @@
 	storePerm   = 0o644
 	lockTimeout = time.Second // for another exporter that is ending to release the lock
 
-	maxSentBatches = 10_000 // acknowledged batches that are kept at least, for verification and for operators
+	maxSentBatches = 10_000 // minimum number of acknowledged batches that are kept, for verification and operators
 	pruneInterval  = 256    // batches between two removals of older ones
 )
 
@@ -111,7 +111,7 @@
 }
 
 // storeAcknowledgement moves the batch from the outbox to the acknowledged ones. Every pruneInterval batches it removes
-// those before the last maxSentBatches.
+// the oldest acknowledged ones, so that at least the last maxSentBatches stay.
 func (e *Exporter) storeAcknowledgement(body []byte) error {
 	var b usage.Batch
 	if err := json.Unmarshal(body, &b); err != nil {
