--- a/internal/standalone/catalogue/catalogue_test.go
+++ b/internal/standalone/catalogue/catalogue_test.go
@@ -41,6 +41,7 @@
 }
 `
 
+// TestParseAndFormat checks the values that Parse reads, and that Parse reads the text of Format to the same revisions.
 func TestParseAndFormat(t *testing.T) {
 	all, err := Parse("plans.hcl", []byte(good))
 	if err != nil {
@@ -71,6 +72,7 @@
 	}
 }
 
+// TestParseErrorsNameThePlace checks that each error is one line that begins with the position of the mistake.
 func TestParseErrorsNameThePlace(t *testing.T) {
 	// from is replaced by to. A final * in want matches any text.
 	for _, tc := range []struct{ name, from, to, want string }{
@@ -114,6 +116,8 @@
 	}
 }
 
+// TestApply checks that Apply removes the revisions before the one in force, and rejects a revision whose number or
+// start is not after those of the last one.
 func TestApply(t *testing.T) {
 	r := func(n uint64, holds float64) plans.Revision { return plans.Revision{Number: n, EffectiveAt: holds} }
 	numbers := func(all []plans.Revision) (n []uint64) {
--- a/internal/standalone/cli/cli_test.go
+++ b/internal/standalone/cli/cli_test.go
@@ -118,6 +118,7 @@
 	}
 }
 
+// TestPlansAndBookings checks a catalogue through its commands, from the first revision to a cancelled booking.
 func TestPlansAndBookings(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
@@ -172,6 +173,7 @@
 	}
 }
 
+// TestUsage checks that the commands show, verify and export the recorded usage, and that a damaged record is found.
 func TestUsage(t *testing.T) {
 	dir := t.TempDir()
 	w, err := usagesegment.Open(dir, time.Minute, logtest.Discard())
--- a/internal/standalone/config/fuzz_test.go
+++ b/internal/standalone/config/fuzz_test.go
@@ -70,7 +70,7 @@
 	})
 }
 
-// FuzzHCL checks the same for an HCL configuration.
+// FuzzHCL checks that an HCL configuration is either rejected or usable by the decision module.
 func FuzzHCL(f *testing.F) {
 	f.Add([]byte(`listen = "127.0.0.1:1"
 server "a" {
--- a/internal/standalone/discovery/watcher_test.go
+++ b/internal/standalone/discovery/watcher_test.go
@@ -105,9 +105,9 @@
 	}
 }
 
-// TestUpdateArrivesAsDiscoveryReturns has discovery fall silent for 8 s, to open watches and to new calls. When it is
-// back, it answers the queued calls. Each ingress of a large fleet must get the update at once, because it is expected
-// to know the update from that moment on.
+// Discovery is silent for 8 s, to open watches and to new calls. When it is back, it answers the queued calls. Each
+// ingress of a large fleet must then get the update within 250 ms, because it is expected to know the update from that
+// moment on. An ingress without a queued call at that moment would get it late.
 func TestUpdateArrivesAsDiscoveryReturns(t *testing.T) {
 	const down, back = 3300 * time.Millisecond, 11300 * time.Millisecond
 	for seed := range uint64(20) {
--- a/internal/standalone/fleet/keyring/keyring_test.go
+++ b/internal/standalone/fleet/keyring/keyring_test.go
@@ -9,6 +9,8 @@
 	"testing"
 )
 
+// TestRead checks that the keys of a valid file are read, and that the error of an invalid file names the file and line
+// but not the key.
 func TestRead(t *testing.T) {
 	key := func(size int) string { return base64.StdEncoding.EncodeToString(make([]byte, size)) }
 	for _, tc := range []struct {
--- a/internal/standalone/handover/handover_test.go
+++ b/internal/standalone/handover/handover_test.go
@@ -78,7 +78,7 @@
 const (
 	randomRuns     = 3000 // seeds, one random run each
 	runEvents      = 400  // events in a random run
-	maxProcesses   = 4    // processes at a time that a random run starts
+	maxProcesses   = 4    // maximum number of processes at a time in a random run
 	shareTolerance = 1e-9 // for the rounding errors of a sum of shares
 	minShare       = 0.19 // least sum of the shares after a while without changes; slightly below leavingShare
 )
--- a/internal/standalone/hclfile/plan_test.go
+++ b/internal/standalone/hclfile/plan_test.go
@@ -8,6 +8,7 @@
 	"mulleinrouter/internal/decision"
 )
 
+// TestPlanRoundTrip checks that no field of a plan is lost or exchanged between a file and the decision module.
 func TestPlanRoundTrip(t *testing.T) {
 	want := decision.Plan{
 		Name: "plus", Rate: 1, Burst: 2, MaxInFlight: 3, ValueWeight: 4, ExcessValue: 5, ExcessCost: 6,
--- a/internal/standalone/mgmt/server_test.go
+++ b/internal/standalone/mgmt/server_test.go
@@ -67,6 +67,8 @@
 	return string(b)
 }
 
+// Each call must be answered with ACK or NAK and its lines. A call that is too long must be answered with NAK, and not
+// by a reset because of its unread bytes.
 func TestCalls(t *testing.T) {
 	addr := startServer(t)
 	for _, tc := range []struct{ send, want string }{
--- a/internal/standalone/node/node_test.go
+++ b/internal/standalone/node/node_test.go
@@ -172,6 +172,8 @@
 	return counts
 }
 
+// After a reload with other plans and another static server, requests must be decided by the new plans and sent to the
+// new server only. A reload with invalid plans must change nothing.
 func TestReloadAppliesPlansAndServers(t *testing.T) {
 	n, quotes, _ := startNode(t, twoPlans)
 	defer n.Stop()
--- a/internal/standalone/node/peers_test.go
+++ b/internal/standalone/node/peers_test.go
@@ -68,6 +68,8 @@
 	}
 }
 
+// Without a state folder, or with an address at which no second process can listen, there is no exchange with other
+// processes.
 func TestNoPeerProcesses(t *testing.T) {
 	for _, tc := range []struct{ name, dir, listen string }{
 		{"no folder", "", "10.0.0.4:80"},
--- a/internal/standalone/plans/plans_test.go
+++ b/internal/standalone/plans/plans_test.go
@@ -187,6 +187,8 @@
 	return all
 }
 
+// Of the revisions whose start has passed, the one with the highest number must be in force, in whatever order they are
+// offered. Without a revision, the plans of the settings apply.
 func TestRevisionsComeInForce(t *testing.T) {
 	s := NewState([]decision.Plan{basic()})
 	got := append(rates(s, anna, "basic", 1), rates(s, anna, "gold", 1)...)
@@ -243,6 +245,8 @@
 	}
 }
 
+// A member's rate must be raised by the sum of its running bookings, also if a booking is changed or cancelled while it
+// runs, or began before the ingress started.
 func TestBookingsRaiseTheRateWhileTheyRun(t *testing.T) {
 	s := NewState(nil)
 	s.Offer(revision(1, 0, func(r *Revision) {
@@ -283,6 +287,8 @@
 	}
 }
 
+// The catalogue or the client's header names a member's plan, as the revision's authority says. Clients that still name
+// a removed plan must be served.
 func TestAuthority(t *testing.T) {
 	s := NewState(nil)
 	s.Offer(revision(1, 0), 0)
@@ -307,6 +313,8 @@
 	}
 }
 
+// Due must return the listed members whose terms may have changed since its last call, and Next the time of the next
+// change.
 func TestDueAndNext(t *testing.T) {
 	s := NewState(nil)
 	s.Offer(revision(1, 0), 0)
@@ -335,6 +343,8 @@
 	check(71, 0, map[string]float64{bert: 10})
 }
 
+// A further revision must be rejected while maxPending are known, so that their memory is bounded. Those before the one
+// in force must be dropped once it takes effect.
 func TestTooManyPending(t *testing.T) {
 	s := NewState(nil)
 	for i := range uint64(maxPending) {
--- a/internal/standalone/simprotocol/host_test.go
+++ b/internal/standalone/simprotocol/host_test.go
@@ -23,6 +23,8 @@
 	return strings.Split(strings.TrimSpace(out.String()), "\n")
 }
 
+// Each batch must be answered by the actions of its events. Messages with unknown names, and a batch without events,
+// are answered without an action.
 func TestHandWrittenBatches(t *testing.T) {
 	got := serve(t, fmt.Sprintf(start, 3),
 		`{"Ts":2,"frame":2,"groups":[{"I":3,"events":[`+
@@ -57,6 +59,7 @@
 	}
 }
 
+// Events for an instance after its STOP must cause no actions.
 func TestStoppedInstanceIsSilent(t *testing.T) {
 	got := serve(t, fmt.Sprintf(start, 1),
 		`{"Ts":2,"frame":2,"groups":[{"I":1,"events":[`+
--- a/internal/standalone/usageexport/exporter_test.go
+++ b/internal/standalone/usageexport/exporter_test.go
@@ -130,6 +130,8 @@
 	}
 }
 
+// TestUnreachableEndpoint checks that a step fails with the answer Retry if the endpoint hangs or is down, and that the
+// batch is sent after a hang.
 func TestUnreachableEndpoint(t *testing.T) {
 	dir, b := t.TempDir(), startBilling(t)
 	recordUsage(t, dir, 10)
@@ -159,6 +161,8 @@
 	}
 }
 
+// TestConflictingBatchIsReported checks that a step fails with the answer Conflict if the endpoint has another batch
+// under the same source and number. Otherwise the usage of the second batch would be lost without a trace.
 func TestConflictingBatchIsReported(t *testing.T) {
 	dir, b := t.TempDir(), startBilling(t)
 	recordUsage(t, dir, 10)
@@ -192,6 +196,8 @@
 	return e
 }
 
+// TestVerify checks that Verify reports a missing segment, a damaged record, and a segment that does not match its
+// batch, and that it reports nothing for intact files.
 func TestVerify(t *testing.T) {
 	for name, tc := range map[string]struct {
 		damage func(list []usagesegment.Info)
@@ -238,6 +244,8 @@
 	}
 }
 
+// TestAcknowledgedSegmentsAreRemoved checks that segments are removed once they are acknowledged and their retention
+// has passed, and that Verify accepts that they are missing.
 func TestAcknowledgedSegmentsAreRemoved(t *testing.T) {
 	dir, b := t.TempDir(), startBilling(t)
 	recordUsage(t, dir, 5)
