--- a/internal/standalone/config/hcl.go
+++ b/internal/standalone/config/hcl.go
@@ -62,6 +62,8 @@
 	Wait     string `hcl:"wait,optional"`
 }
 
+// rulesBlock configures the decision module. readRules maps its fields to those of decision.Settings, which describes
+// their meaning.
 type rulesBlock struct {
 	DrainGrace     string  `hcl:"drain_grace,optional"`
 	AnswerSlack    string  `hcl:"answer_slack,optional"`
@@ -80,18 +82,18 @@
 	ID      string  `hcl:"id,label"`
 	Address string  `hcl:"address"`
 	Zone    string  `hcl:"zone,optional"`
-	Kind    string  `hcl:"kind,optional"`
-	Size    float64 `hcl:"size,optional"`
-	Drained bool    `hcl:"drained,optional"`
+	Kind    string  `hcl:"kind,optional"`    // machine type; servers of the same kind have similar latency
+	Size    float64 `hcl:"size,optional"`    // relative capacity; 0: not known
+	Drained bool    `hcl:"drained,optional"` // the server gets no new requests
 }
 
 type classBlock struct {
 	Name      string  `hcl:"name,label"`
-	Aim       string  `hcl:"aim"`
-	Deadline  string  `hcl:"deadline"`
-	Worth     float64 `hcl:"worth,optional"`
-	LateWorth float64 `hcl:"late_worth,optional"`
-	Repeat    string  `hcl:"repeat"`
+	Aim       string  `hcl:"aim"`                 // latency target; an answer within it earns the full value
+	Deadline  string  `hcl:"deadline"`            // time after which the client times out
+	Worth     float64 `hcl:"worth,optional"`      // value of a request; 0 means 1
+	LateWorth float64 `hcl:"late_worth,optional"` // share of the value that a later answer earns, 0 to 1
+	Repeat    string  `hcl:"repeat"`              // "safe" if a request may run twice, otherwise "never"
 }
 
 type catalogueBlock struct {
--- a/internal/standalone/hclfile/plan.go
+++ b/internal/standalone/hclfile/plan.go
@@ -3,7 +3,7 @@
 import "mulleinrouter/internal/decision"
 
 // Plan is the block of a plan in a configuration or a catalogue. Rates are in units per second, where units are what
-// requests are counted in.
+// requests are counted in. decision.Plan describes the meaning of each field.
 type Plan struct {
 	Name         string  `hcl:"name,label"`
 	Rate         float64 `hcl:"rate,optional"`
