--- a/internal/standalone/fleet/quotashare/votes.go
+++ b/internal/standalone/fleet/quotashare/votes.go
@@ -9,8 +9,8 @@
 // Each ingress sends the servers that it observes to be unhealthy to a few other ingresses at a time. It doesn't
 // forward the votes that it receives, because votes could then confirm themselves in a loop. A server is warned of
 // while enough ingresses with recent messages vote against it. The decision module ignores a warning about a server
-// that has recently answered this ingress successfully. It treats any other warned server as unhealthy until that
-// answers.
+// that has recently answered this ingress successfully. Any other warned server counts as unhealthy there, at a higher
+// cost, until it answers successfully.
 const (
 	votesPerRound        = 4   // receivers of the votes at each tick
 	voteTTL              = 6.0 // validity of a vote, seconds
